--- a/internal/archive/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -1,4 +1,4 @@
-package archive
+package controlstate
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/ledger"
-	"pebbleloom/internal/link"
-	"pebbleloom/internal/plan"
+	"pebbleloom/internal/control/consensus"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 type gsimNode struct {
 	addr   string
 	disk   *cacheDisk
-	p      *part
+	p      *shard
 	clk    *clock.Hand
 	rate   float64
 	frozen time.Duration
@@ -100,7 +100,7 @@
 	s.first = false
 	for i := range 2 {
 		h := &simHolder{clk: &clock.Hand{}, rate: 0.97 + 0.06*s.r.Float64()}
-		h.l = link.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
+		h.l = controlclient.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
 		s.leases = append(s.leases, h)
 	}
 	return s
@@ -129,20 +129,20 @@
 	life := n.life
 	n.disk.dieIn, n.disk.died = -1, false
 	n.clk.T = time.Duration(s.r.Int64N(int64(time.Hour)))
-	p := newPart(context.Background(), 0, n.clk, hclog.NewNullLogger(), func(l *wire.Letter) {
+	p := newShard(context.Background(), 0, n.clk, hclog.NewNullLogger(), func(l *wire.Message) {
 		if n.life == life {
 			s.post(l)
 		}
 	})
-	p.turnAt = 3000
+	p.compactAt = 3000
 	n.p = nil
-	openGroup(p, &group{codec: versions{}, disk: n.disk, want: 2*s.tolerate + 1, mendTicks: int(mendPart / groupTick), district: func(string) string { return "" },
-		cfg: ledger.Config{BeatTicks: beatTicks, ElectTicks: electTicks, MaxBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(life)*1000+uint64(n.addr[1])))},
-		first: func() *wire.Slot {
+	openGroup(p, &group{codec: versions{}, disk: n.disk, targetSize: 2*s.tolerate + 1, retryOpenTicks: int(retryOpenPart / groupTick), zoneOf: func(string) string { return "" },
+		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(life)*1000+uint64(n.addr[1])))},
+		first: func() *wire.Snapshot {
 			if s.plant == "same-life" && !s.first { // planted: a lost disk comes back as the member that it was
-				return ledger.Learner(n.addr + "/0")
+				return consensus.LearnerSnapshot(n.addr + "/0")
 			}
-			return begin(s.first, n.addr, s.seeds, s.r.Uint64)
+			return firstSnapshot(s.first, n.addr, s.seeds, s.r.Uint64)
 		}})
 	n.p, n.next, n.down = p, s.now, 0
 }
@@ -157,7 +157,7 @@
 		n.disk.powerLost()
 	}
 	if s.r.IntN(2) == 0 { // what it had sent meanwhile never left the machine
-		s.mail = slices.DeleteFunc(s.mail, func(m simLetter) bool { return link.Addr(m.l.From) == n.addr })
+		s.mail = slices.DeleteFunc(s.mail, func(m simLetter) bool { return controlclient.Addr(m.l.From) == n.addr })
 	}
 }
 
@@ -171,13 +171,13 @@
 }
 
 func (s *gsim) up(n *gsimNode) bool   { return n != nil && n.p != nil && s.now >= n.frozen }
-func (s *gsim) well(n *gsimNode) bool { return s.up(n) && n.p.bad == nil }
+func (s *gsim) well(n *gsimNode) bool { return s.up(n) && n.p.failure == nil }
 func (s *gsim) apart(a, b string) bool {
 	return s.cut[a+">"+b] || s.cut[b+">"+a] || s.r.Float64() < s.loss
 }
 
-func (s *gsim) post(l *wire.Letter) {
-	from, to := link.Addr(l.From), link.Addr(l.To)
+func (s *gsim) post(l *wire.Message) {
+	from, to := controlclient.Addr(l.From), controlclient.Addr(l.To)
 	if s.cut[from+">"+to] || s.r.Float64() < s.loss {
 		return
 	}
@@ -193,7 +193,7 @@
 	}
 	for range 1 + s.r.IntN(50)/49 {
 		s.sent++
-		s.mail = append(s.mail, simLetter{s.now + time.Millisecond + d, s.sent, proto.Clone(l).(*wire.Letter)})
+		s.mail = append(s.mail, simLetter{s.now + time.Millisecond + d, s.sent, proto.Clone(l).(*wire.Message)})
 		d *= 2
 	}
 }
@@ -229,11 +229,11 @@
 	s.mail = nil
 	var stay []simLetter
 	for _, m := range due {
-		n := s.node(link.Addr(m.l.To))
+		n := s.node(controlclient.Addr(m.l.To))
 		if m.at > s.now || n.p != nil && !s.up(n) { // a frozen machine's letters wait
 			stay = append(stay, m)
 		} else if s.well(n) {
-			n.p.core.Take(m.l)
+			n.p.core.Step(m.l)
 			s.after(n)
 		}
 	}
@@ -247,17 +247,17 @@
 			continue
 		}
 		n.next = s.now + time.Duration(float64(100*time.Millisecond)/n.rate)
-		if n.p.bad == nil {
+		if n.p.failure == nil {
 			n.p.core.Tick()
 		}
 		was, _, _ := n.p.core.Members()
-		n.p.watch()
+		n.p.tick()
 		if now, _, _ := n.p.core.Members(); !slices.Equal(was, now) {
 			s.counts["members change"]++
 			s.note("%s changes members %v to %v", n.addr, was, now)
 		}
 		s.after(n)
-		if s.up(n) && s.now >= n.ask && n.p.alone() {
+		if s.up(n) && s.now >= n.ask && n.p.needsToJoin() {
 			n.ask = s.now + 800*time.Millisecond
 			s.takeIn(n)
 		}
@@ -278,19 +278,19 @@
 		if m == nil || m == n || !s.well(m) || s.apart(n.addr, m.addr) {
 			return
 		}
-		t := m.p.takeIn(&wire.JoinAsk{Name: n.p.core.Self()})
+		t := m.p.handleJoin(&wire.JoinRequest{Name: n.p.core.Self()})
 		if s.after(m); t.Outcome == "done" {
 			s.counts["taken in"]++
 			return
 		}
-		m = s.node(link.Addr(t.Owner))
+		m = s.node(controlclient.Addr(t.Leader))
 	}
 }
 
 func (s *gsim) owner() *gsimNode {
 	var o *gsimNode
 	for _, n := range s.nodes {
-		if s.well(n) && n.p.core.Stands().Owns && (o == nil || n.p.core.Stands().Term > o.p.core.Stands().Term) {
+		if s.well(n) && n.p.core.Status().IsLeader && (o == nil || n.p.core.Status().Term > o.p.core.Status().Term) {
 			o = n
 		}
 	}
@@ -300,13 +300,13 @@
 // whole tells whether the group has all the members it wants, and they hold all there is.
 func (s *gsim) whole() bool {
 	o := s.owner()
-	if o == nil || !o.p.core.Settled() {
+	if o == nil || !o.p.core.MembershipSettled() {
 		return false
 	}
 	ms, _, _ := o.p.core.Members()
 	for _, m := range ms {
-		n := s.node(link.Addr(m))
-		if !s.well(n) || n.p.core.Self() != m || n.p.core.Stands().Applied+2 < o.p.core.Stands().Applied {
+		n := s.node(controlclient.Addr(m))
+		if !s.well(n) || n.p.core.Self() != m || n.p.core.Status().Applied+2 < o.p.core.Status().Applied {
 			return false
 		}
 	}
@@ -326,16 +326,16 @@
 	vouch                map[string]time.Duration // when a member was asked that held nothing newer
 }
 
-func (e *gsimEdge) hear(asked time.Duration, t *wire.FollowTell) {
+func (e *gsimEdge) hear(asked time.Duration, t *wire.FollowResponse) {
 	if len(t.Members) > 0 && (t.MembersTerm > e.term || t.MembersTerm == e.term && t.MembersIndex > e.index) {
 		e.members, e.term, e.index = t.Members, t.MembersTerm, t.MembersIndex
 	}
-	for _, d := range t.Docs {
-		if d.Key == plan.Key {
-			e.version = max(e.version, d.Epoch)
+	for _, d := range t.Documents {
+		if d.Key == routingconfig.Key {
+			e.version = max(e.version, d.Version)
 		}
 	}
-	if t.Same {
+	if t.NothingNewer {
 		e.vouch[t.Member] = max(e.vouch[t.Member], asked)
 	}
 }
@@ -356,18 +356,18 @@
 // poll is an edge's long poll of one member, and the check of its proof.
 func (s *gsim) poll(n *gsimNode, hold time.Duration) {
 	e, asked, end, life := s.edge, s.now, s.now+hold, n.life
-	ask := &wire.FollowAsk{Have: []*wire.Have{{Key: plan.Key, Version: e.version}}, Proof: plan.Key}
+	ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: e.version}}, Proof: routingconfig.Key}
 	f := func() bool {
 		if n.p == nil || n.life != life || hold > 0 && s.now < n.frozen {
 			return n.life == life && n.p != nil
 		}
-		g := n.p.seen.now()
+		g := n.p.published.current()
 		if s.plant == "vouch-open" { // planted: what is in the log and not applied is overlooked
 			x := *g
-			x.open, g = nil, &x
+			x.unapplied, g = nil, &x
 		}
-		t := g.tell(ask)
-		if len(t.Docs) == 0 && s.now < end {
+		t := g.followResponse(ask)
+		if len(t.Documents) == 0 && s.now < end {
 			return true
 		}
 		if s.r.Float64() < s.loss {
--- a/internal/archive/sim_main_test.go
+++ b/internal/control/controlstate/sim_main_test.go
@@ -1,4 +1,4 @@
-package archive
+package controlstate
 
 import (
 	"fmt"
@@ -28,7 +28,7 @@
 
 // Many seeded lives of a part: nothing acknowledged is lost, reads are linearizable, one
 // holder has the duty at a time, a proof of freshness is never wrong, and service is back
-// within the bound. `SIM_SEEDS=5000 go test ./internal/archive -run Sim` runs wide;
+// within the bound. `SIM_SEEDS=5000 go test ./internal/control/controlstate -run Sim` runs wide;
 // `SIM_SEED=17 SIM_SEEDS=1` replays one.
 func TestSimPart(t *testing.T) {
 	from, n := simSeeds(t, 60)
@@ -37,7 +37,7 @@
 		s := newSim(seed, "")
 		s.run(3)
 		if len(s.bad) > 0 {
-			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/archive -run TestSimPart\n%s", seed,
+			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimPart\n%s", seed,
 				s.bad[0], seed, strings.Join(s.trace[max(0, len(s.trace)-25):], "\n"))
 		}
 		for k, v := range s.counts {
--- a/internal/archive/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -1,4 +1,4 @@
-package archive
+package controlstate
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 // ask sends a command to a node and follows it up until it is answered; the answer may be
 // lost on the way back, as may the question.
-func (s *sim) ask(n *simNode, a *wire.ChangeAsk, done func(*wire.ChangeTell)) {
+func (s *sim) ask(n *simNode, a *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
 	if !s.up(n) || s.r.Float64() < s.loss {
 		return
 	}
@@ -22,7 +22,7 @@
 	s.open = append(s.open, func() bool {
 		if tell == nil {
 			select {
-			case tell = <-w.tell:
+			case tell = <-w.answer:
 			default:
 				return n.life == life && s.now-begin < 10*time.Second
 			}
@@ -48,13 +48,13 @@
 	}
 	w := &simWrite{body: fmt.Sprintf("body-%d", len(s.writes)), begin: s.now}
 	s.writes = append(s.writes, w)
-	put := &wire.Put{Key: "doc", Body: []byte(w.body), IfEpoch: base}
+	put := &wire.Put{Key: "doc", Body: []byte(w.body), IfVersion: base}
 	if s.r.IntN(4) == 0 {
-		put.AnyEpoch = true
+		put.AnyVersion = true
 	}
-	s.ask(n, &wire.ChangeAsk{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeTell) {
+	s.ask(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeResponse) {
 		if t.Outcome == "done" {
-			w.epoch, w.end = t.Epoch, s.now
+			w.epoch, w.end = t.Version, s.now
 			s.counts["acked"]++
 			s.note("acked %s epoch %d by %s", w.body, w.epoch, n.name)
 			if s.r.IntN(12) == 0 { // the owner dies right after it acknowledged; the others are asked for news
@@ -85,10 +85,10 @@
 		select {
 		case ok := <-w:
 			if ok && n.life == life && s.up(n) {
-				ds, _ := n.p.pick(&wire.ReadAsk{Key: "doc"})
+				ds, _ := n.p.selectDocuments(&wire.ReadRequest{Key: "doc"})
 				x := &simRead{begin: begin, end: s.now}
 				if len(ds) > 0 {
-					x.epoch, x.body = ds[0].Epoch, string(ds[0].Body)
+					x.epoch, x.body = ds[0].Version, string(ds[0].Body)
 				}
 				s.reads = append(s.reads, x)
 				s.counts["read"]++
@@ -117,21 +117,21 @@
 		if n.life != life || !s.up(n) {
 			return n.life == life
 		}
-		t := n.p.newsNow(&wire.NewsAsk{Key: "doc", Have: have}, n.name, s.now >= wait)
-		if s.plant == "vouch-unsettled" && s.now >= wait && n.p.st.docs["doc"].GetEpoch() == have {
-			t = &wire.NewsTell{Outcome: "same"} // planted: what is in the log, not applied, is overlooked
+		t := n.p.newsNow(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
+		if s.plant == "vouch-unsettled" && s.now >= wait && n.p.state.docs["doc"].GetVersion() == have {
+			t = &wire.WatchResponse{Outcome: "same"} // planted: what is in the log, not applied, is overlooked
 		}
 		if t == nil {
 			return true
 		}
 		if s.plant == "vouch-unsettled" {
-			t.Settled = true
+			t.NothingNewer = true
 		}
 		f.Hear(n.name, have, asked, t)
 		proof := f.Proof()
 		for _, w := range s.writes {
-			if w.end > 0 && w.end <= proof && w.epoch > f.Doc().GetEpoch() {
-				s.fault("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", f.Doc().GetEpoch(), proof, w.epoch, w.end)
+			if w.end > 0 && w.end <= proof && w.epoch > f.Doc().GetVersion() {
+				s.fault("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", f.Doc().GetVersion(), proof, w.epoch, w.end)
 			}
 		}
 		if proof > 0 {
@@ -147,7 +147,7 @@
 	id[0] = byte(s.r.IntN(40))
 	nonce := uint64(s.r.IntN(3) + 1)
 	c := &wire.Claims{List: []*wire.Claim{{Id: id, Nonce: nonce}}}
-	s.ask(s.anyone(), &wire.ChangeAsk{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: c}}}, func(t *wire.ChangeTell) {
+	s.ask(s.anyone(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: c}}}, func(t *wire.ChangeResponse) {
 		if t.Outcome != "done" || !t.Granted[0] {
 			return
 		}
@@ -172,7 +172,7 @@
 	h.busy = true
 	before := s.now
 	s.open = append(s.open, func() bool { h.busy = s.now-before < 1500*time.Millisecond; return h.busy })
-	s.ask(s.anyone(), &wire.ChangeAsk{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}}, func(t *wire.ChangeTell) {
+	s.ask(s.anyone(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}}, func(t *wire.ChangeResponse) {
 		if s.plant == "lease-late" {
 			asked = h.clk.Now() + 2*time.Second // planted: counted from the answer, and more
 		}
@@ -216,14 +216,14 @@
 		n.disk.fail = true
 		s.counts["full"]++
 	case 11:
-		if s.up(n) && n.p.bad == nil && !n.blank && s.othersHold(n) && len(s.ghosts) == 0 && s.counts["acked"] > 0 {
+		if s.up(n) && n.p.failure == nil && !n.blank && s.othersHold(n) && len(s.ghosts) == 0 && s.counts["acked"] > 0 {
 			s.replace(n)
 		}
 	case 10:
 		n.stall = [...]time.Duration{0, 30 * time.Millisecond, 2 * time.Second}[s.r.IntN(3)]
 		s.counts["stall"]++
 	case 9:
-		if s.up(n) && n.p.bad == nil && n.p.core.HandOver() {
+		if s.up(n) && n.p.failure == nil && n.p.core.TransferLeadership() {
 			n.p.step()
 			s.counts["hand over"]++
 		}
@@ -239,7 +239,7 @@
 		s.ghosts = nil // somebody has stopped it
 	}
 	for _, n := range s.nodes {
-		down := n.p == nil || n.p.bad != nil
+		down := n.p == nil || n.p.failure != nil
 		if !down || !all && s.r.IntN(3) > 0 {
 			continue
 		}
@@ -324,7 +324,7 @@
 				s.read()
 			}
 			for _, n := range s.nodes {
-				if n.p == nil || n.p.bad != nil {
+				if n.p == nil || n.p.failure != nil {
 					s.mend(true) // a torn power setting may strike in peace, once
 				}
 			}
--- a/internal/archive/sim_test.go
+++ b/internal/control/controlstate/sim_test.go
@@ -1,4 +1,4 @@
-package archive
+package controlstate
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/ledger"
-	"pebbleloom/internal/link"
-	"pebbleloom/internal/runner"
+	"pebbleloom/internal/control/consensus"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/data/nodeagent"
 	"pebbleloom/internal/wire"
 )
 
@@ -75,7 +75,7 @@
 type simNode struct {
 	name   string
 	disk   *simDisk
-	p      *part
+	p      *shard
 	clk    *clock.Hand
 	rate   float64
 	frozen time.Duration // until
@@ -89,7 +89,7 @@
 type simLetter struct {
 	at time.Duration
 	n  int
-	l  *wire.Letter
+	l  *wire.Message
 }
 
 type simWrite struct {
@@ -130,13 +130,13 @@
 
 // simRunner polls all members with the real Fresh.
 type simRunner struct {
-	f   *runner.Fresh
+	f   *nodeagent.Fresh
 	clk *clock.Hand
 }
 
 // simHolder wants the duty with the real Lease.
 type simHolder struct {
-	l    *link.Lease
+	l    *controlclient.Lease
 	clk  *clock.Hand
 	rate float64
 	busy bool
@@ -154,10 +154,10 @@
 	for _, n := range s.nodes {
 		s.boot(n)
 	}
-	s.fresh = &simRunner{f: runner.NewFresh(), clk: &clock.Hand{}}
+	s.fresh = &simRunner{f: nodeagent.NewFresh(), clk: &clock.Hand{}}
 	for i := range 3 {
 		h := &simHolder{clk: &clock.Hand{}, rate: 0.97 + 0.06*s.r.Float64()}
-		h.l = link.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
+		h.l = controlclient.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
 		s.leases = append(s.leases, h)
 	}
 	return s
@@ -189,9 +189,9 @@
 	for _, m := range s.nodes {
 		ms = append(ms, m.name)
 	}
-	cfg := ledger.Config{Self: n.name, Members: ms, BeatTicks: 2, ElectTicks: 12, MaxBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(n.life*10)))}
+	cfg := consensus.Config{Self: n.name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(n.life*10)))}
 	life := n.life
-	p, err := openPart(context.Background(), cfg, n.disk, func() string { return n.inc }, n.clk, hclog.NewNullLogger(), func(l *wire.Letter) {
+	p, err := openShard(context.Background(), cfg, n.disk, func() string { return n.inc }, n.clk, hclog.NewNullLogger(), func(l *wire.Message) {
 		if n.life == life {
 			s.post(l)
 		}
@@ -200,18 +200,18 @@
 		s.fault("%s doesn't open: %v", n.name, err)
 		return
 	}
-	p.turnAt = 2000 // turn slots often
+	p.compactAt = 2000 // turn slots often
 	n.p, n.next = p, s.now
-	n.blank = p.core.Stands().Blank
-	if s.plant == "vote-blank" && p.core.Stands().Blank {
+	n.blank = p.core.Status().Blank
+	if s.plant == "vote-blank" && p.core.Status().Blank {
 		// Planted: a lost disk is taken for a first start, and votes at once.
-		slot := ledger.First(n.inc)
-		slot.Hard.Standing = wire.Standing_FOUNDED
-		p.core = ledger.New(cfg, slot, nil)
+		slot := consensus.BlankSnapshot(n.inc)
+		slot.HardState.DiskState = wire.DiskState_DISK_FOUNDED
+		p.core = consensus.New(cfg, slot, nil)
 	}
 }
 
-func (s *sim) post(l *wire.Letter) {
+func (s *sim) post(l *wire.Message) {
 	if s.cut[l.From+">"+l.To] || s.r.Float64() < s.loss {
 		return
 	}
@@ -254,8 +254,8 @@
 			continue
 		}
 		for _, n := range s.all() { // a name that two have reaches both
-			if n.name == m.l.To && s.up(n) && n.p.bad == nil {
-				n.p.core.Take(proto.Clone(m.l).(*wire.Letter))
+			if n.name == m.l.To && s.up(n) && n.p.failure == nil {
+				n.p.core.Step(proto.Clone(m.l).(*wire.Message))
 				n.p.step()
 			}
 		}
@@ -264,18 +264,18 @@
 	for _, n := range s.all() {
 		if s.up(n) && s.now >= n.next {
 			n.next = s.now + time.Duration(float64(50*time.Millisecond)/n.rate)
-			if n.p.bad == nil {
+			if n.p.failure == nil {
 				n.p.core.Tick()
 				n.p.step()
-				n.blank = n.blank && n.p.core.Stands().Blank
+				n.blank = n.blank && n.p.core.Status().Blank
 			}
 		}
 	}
 	if s.dbg {
 		for _, n := range s.nodes {
-			if n.p != nil && n.p.bad == nil {
-				x := n.p.core.Stands()
-				k := fmt.Sprintf("%s owns %v term %d owner %s applied %d last %d blank %v", n.name, x.Owns, x.Term, x.Owner, x.Applied, x.Last, x.Blank)
+			if n.p != nil && n.p.failure == nil {
+				x := n.p.core.Status()
+				k := fmt.Sprintf("%s owns %v term %d owner %s applied %d last %d blank %v", n.name, x.IsLeader, x.Term, x.Leader, x.Applied, x.Last, x.Blank)
 				if s.seen == nil {
 					s.seen = map[string]string{}
 				}
@@ -322,8 +322,8 @@
 	g.disk.slow = nil
 	clk := *n.clk
 	g.clk = &clk
-	g.p.clk = g.clk
-	g.p.post = s.post
+	g.p.clock = g.clk
+	g.p.send = s.post
 	s.ghosts = append(s.ghosts, &g)
 	n.disk = newSimDisk()
 	s.note("%s is replaced by an empty machine while it is frozen", n.name)
--- a/internal/archive/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -1,4 +1,4 @@
-package archive
+package controlstate
 
 import (
 	"fmt"
@@ -31,8 +31,8 @@
 }
 
 func put(key, body, token string, epoch uint64) *wire.Command {
-	u := &wire.Put{Key: key, Body: []byte(body), IfEpoch: epoch, Token: token}
-	u.Sum = sumOf(u, false)
+	u := &wire.Put{Key: key, Body: []byte(body), IfVersion: epoch, Token: token}
+	u.Digest = digestOf(u, false)
 	return &wire.Command{Kind: &wire.Command_Put{Put: u}}
 }
 
@@ -41,8 +41,8 @@
 // racers wins, a change sent again is the same change, and no epoch is told twice.
 func TestEveryOrderOfRacingSetups(t *testing.T) {
 	cs := []*wire.Command{put("k", "a", "ta", 1), put("k", "a", "ta", 1), put("k", "b", "tb", 1), put("k", "b", "tb", 1), put("k", "c", "tc", 0)}
-	cs[4].GetPut().AnyEpoch = true
-	cs[4].GetPut().Sum = sumOf(cs[4].GetPut(), false)
+	cs[4].GetPut().AnyVersion = true
+	cs[4].GetPut().Digest = digestOf(cs[4].GetPut(), false)
 	n := orders(len(cs), func(o []int) {
 		s := newState()
 		s.apply(put("k", "first", "t0", 0), 0)
@@ -51,16 +51,16 @@
 			r := s.apply(proto.Clone(cs[i]).(*wire.Command), 0)
 			if r.Outcome == "done" {
 				body := string(cs[i].GetPut().Body)
-				if b, ok := epochs[r.Epoch]; ok && b != body {
-					t.Fatalf("%v: epoch %d was told for %s and for %s", o, r.Epoch, b, body)
+				if b, ok := epochs[r.Version]; ok && b != body {
+					t.Fatalf("%v: epoch %d was told for %s and for %s", o, r.Version, b, body)
 				}
-				epochs[r.Epoch], won[i/2] = body, r.Epoch
+				epochs[r.Version], won[i/2] = body, r.Version
 			}
 		}
 		_, a := won[0]
 		_, b := won[1]
-		if won[2] == 0 || a && b || s.docs["k"].Epoch != uint64(1+len(won)) {
-			t.Fatalf("%v: won %v, epoch %d", o, won, s.docs["k"].Epoch)
+		if won[2] == 0 || a && b || s.docs["k"].Version != uint64(1+len(won)) {
+			t.Fatalf("%v: won %v, epoch %d", o, won, s.docs["k"].Version)
 		}
 	})
 	if n != 120 {
@@ -73,12 +73,12 @@
 // and both are never let write under one fence.
 func TestEveryOrderOfALeasePassingOn(t *testing.T) {
 	grant := func(h string, fence uint64, up bool) *wire.Command {
-		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Duty: "d", Holder: h, IfFence: fence, TtlNs: 1e9, GiveUp: up}}}
+		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, GiveUp: up}}}
 	}
 	write := func(h string, fence uint64) *wire.Command {
 		c := put("p", h, "", 0)
 		u := c.GetPut()
-		u.AnyEpoch, u.Duty, u.Fence, u.Holder = true, "d", fence, h
+		u.AnyVersion, u.Lease, u.Fence, u.Holder = true, "d", fence, h
 		return c
 	}
 	cs := []*wire.Command{grant("a", 1, false), write("a", 1), grant("b", 1, false), write("b", 2), grant("a", 1, true), write("a", 2)}
@@ -110,7 +110,7 @@
 // with a margin; for its holder always.
 func TestWhenADutyIsFree(t *testing.T) {
 	s := newState()
-	g := func(h string) *wire.Grant { return &wire.Grant{Duty: "d", Holder: h, TtlNs: uint64(8 * time.Second)} }
+	g := func(h string) *wire.Grant { return &wire.Grant{Lease: "d", Holder: h, TtlNs: uint64(8 * time.Second)} }
 	s.apply(&wire.Command{Kind: &wire.Command_Grant{Grant: g("a")}}, 10*time.Second)
 	for _, c := range []struct {
 		h    string
@@ -160,7 +160,7 @@
 // given back leave room at once, and the order of what was given back stays bounded.
 func TestOnceOnlyIdsGoByAge(t *testing.T) {
 	apply := func(s *state, passed time.Duration, c *wire.Claim) (bool, bool) {
-		r := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{c}, PassedNs: uint64(passed), KeepNs: uint64(keepIds)}}}, 0)
+		r := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{c}, PassedNs: uint64(passed), KeepNs: uint64(defaultKeepIDs)}}}, 0)
 		return r.Granted[0], r.Full[0]
 	}
 	s := newState()
@@ -169,7 +169,7 @@
 			t.Fatalf("claim %d was denied", i)
 		}
 	}
-	if ok, full := apply(s, keepIds-1, claim(maxClaims, 1)); ok || !full {
+	if ok, full := apply(s, defaultKeepIDs-1, claim(maxClaims, 1)); ok || !full {
 		t.Fatalf("a full part took one more: %v %v", ok, full)
 	}
 	if ok, _ := apply(s, 0, claim(0, 2)); ok {
@@ -217,7 +217,7 @@
 // The part's age is what its owners saw pass: none between owners, none twice.
 func TestAPartsAgeIsItsOwners(t *testing.T) {
 	h := &clock.Hand{T: time.Hour}
-	p := &part{clk: h}
+	p := &shard{clock: h}
 	for _, x := range []struct {
 		at, term uint64
 		want     time.Duration
--- /dev/null
+++ b/internal/control/controlstate/watch.go
@@ -0,0 +1,81 @@
+package controlstate
+
+import (
+	"context"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"pebbleloom/internal/wire"
+)
+
+// settled tells whether this member can vouch that nothing newer of a key than what it
+// has applied was ever acknowledged with its help.
+func (p *shard) nothingNewer(key string) bool {
+	s := p.core.Status()
+	if p.failure != nil || s.Blank {
+		return false
+	}
+	for _, e := range p.core.Unapplied() {
+		c := &wire.Command{}
+		if len(e.Body) > 0 && (proto.Unmarshal(e.Body, c) != nil || c.GetPut().GetKey() == key) {
+			return false
+		}
+	}
+	return true
+}
+
+// tellNews holds the question until there is news or its time is over. "same" is a vouch:
+// this member's disk has nothing newer.
+func (p *shard) watch(ctx context.Context, a *wire.WatchRequest, member string) *wire.WatchResponse {
+	t := &wire.WatchResponse{Outcome: "cant-say", Member: member}
+	end := time.NewTimer(time.Duration(a.HoldNs))
+	defer end.Stop()
+	for over := false; ; {
+		var c chan struct{}
+		ok := p.do(ctx, func() {
+			if t = p.newsNow(a, member, over); t == nil {
+				c = make(chan struct{})
+				p.watchers[c] = true
+			}
+		})
+		if !ok {
+			return &wire.WatchResponse{Outcome: "cant-say", Member: member}
+		}
+		if t != nil {
+			return t
+		}
+		select {
+		case <-c:
+		case <-end.C:
+			over = true
+		case <-ctx.Done():
+			over = true
+		case <-p.ctx.Done():
+			return &wire.WatchResponse{Outcome: "cant-say", Member: member}
+		}
+		p.commands.Offer(func() { delete(p.watchers, c) })
+	}
+}
+
+// newsNow gives the answer that can be given now; nil means: wait.
+func (p *shard) newsNow(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
+	t := p.newsHere(a, member, over)
+	if t != nil {
+		t.Incarnation, t.KnownIncarnations = p.core.Incarnations()
+	}
+	return t
+}
+
+func (p *shard) newsHere(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
+	d := p.state.docs[a.Key]
+	switch {
+	case p.failure == nil && d.GetVersion() > a.Have:
+		return &wire.WatchResponse{Outcome: "news", Document: d, Member: member, NothingNewer: p.nothingNewer(a.Key)}
+	case over && p.nothingNewer(a.Key) && d.GetVersion() == a.Have:
+		return &wire.WatchResponse{Outcome: "same", Member: member}
+	case over || p.failure != nil || len(p.watchers) >= 1024:
+		return &wire.WatchResponse{Outcome: "cant-say", Member: member}
+	}
+	return nil
+}
--- a/internal/frontdesk/group.go
+++ b/internal/control/operatorapi/group.go
@@ -1,4 +1,4 @@
-package frontdesk
+package operatorapi
 
 import (
 	"context"
@@ -8,19 +8,19 @@
 	"sync"
 
 	"pebbleloom/api/operator"
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/link"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/wire"
 )
 
 // seat is how one core machine's control node answered.
 type seat struct {
 	node  *wire.Node
-	stand *wire.PartStand
-	tell  *wire.FollowTell // its name, and the newest membership that it knows
+	stand *wire.ShardStatus
+	tell  *wire.FollowResponse // its name, and the newest membership that it knows
 }
 
 // GetStatus looks at the whole site from here and says what is wrong, and what to do.
@@ -34,7 +34,7 @@
 	}
 	view := d.view()
 	for _, n := range view.Nodes {
-		if n.State == roster.Gone {
+		if n.State == clustermembership.Gone {
 			book := "edge-gone"
 			if n.Role != "runner" {
 				book = "core-gone"
@@ -52,7 +52,7 @@
 }
 
 // seats asks all control nodes at once how they stand, each for a short time.
-func (d *siteDesk) seats(ctx context.Context, view roster.View) []seat {
+func (d *siteDesk) seats(ctx context.Context, view clustermembership.View) []seat {
 	ctx, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
 	defer end()
 	var l []seat
@@ -63,12 +63,12 @@
 	for i := range l {
 		x := &l[i]
 		all.Go(func() {
-			if t, err := d.calls.Archive(x.node.Addr).Stand(ctx, &wire.StandAsk{}); err == nil && len(t.Parts) > 0 {
-				x.stand = t.Parts[0]
+			if t, err := d.calls.Archive(x.node.Addr).Stand(ctx, &wire.StatusRequest{}); err == nil && len(t.Shards) > 0 {
+				x.stand = t.Shards[0]
 			}
 		})
 		all.Go(func() {
-			if t, err := d.calls.Archive(x.node.Addr).Follow(ctx, &wire.FollowAsk{}); err == nil {
+			if t, err := d.calls.Archive(x.node.Addr).Follow(ctx, &wire.FollowRequest{}); err == nil {
 				x.tell = t
 			}
 		})
@@ -79,14 +79,14 @@
 }
 
 // group tells how the group stands, and whether one of those that answer owns it.
-func (d *siteDesk) group(ctx context.Context, view roster.View, s *operator.Status, f *finder, fact func(string, string, ...any)) (owned bool) {
+func (d *siteDesk) group(ctx context.Context, view clustermembership.View, s *operator.Status, f *finder, fact func(string, string, ...any)) (owned bool) {
 	l := d.seats(ctx, view)
 	var members []string
 	var term, index uint64
 	at, by := map[string]string{}, map[string]string{} // node by address, life by address
 	heard := map[string]bool{}                         // by address
 	for _, n := range view.Nodes {
-		if n.Role == "archive" && (at[n.Addr] == "" || n.State != roster.Gone) { // another may stand there now
+		if n.Role == "archive" && (at[n.Addr] == "" || n.State != clustermembership.Gone) { // another may stand there now
 			at[n.Addr] = n.Name
 		}
 	}
@@ -100,7 +100,7 @@
 		}
 	}
 	called := func(member string) string {
-		if n := at[link.Addr(member)]; n != "" {
+		if n := at[controlclient.Addr(member)]; n != "" {
 			return n
 		}
 		return member
@@ -113,25 +113,25 @@
 		}
 		p, st := x.stand, "follows"
 		switch {
-		case p.Bad != "":
+		case p.Failure != "":
 			st = "out"
-			f.add("member-out", name, p.Bad, errs.DiskBad.Remedy, "disk-full")
+			f.add("member-out", name, p.Failure, errs.DiskBad.Remedy, "disk-full")
 		case !slices.Contains(members, x.tell.Member):
 			st = "learner"
-		case p.Owns:
+		case p.IsLeader:
 			st, owned = "owns", true
 		}
-		s.Parts = append(s.Parts, operator.StatusPartsItem{Member: name, Owner: called(p.Owner), State: st, Applied: int64(p.Applied),
+		s.Parts = append(s.Parts, operator.StatusPartsItem{Member: name, Owner: called(p.Leader), State: st, Applied: int64(p.Applied),
 			Last: int64(p.Last), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
 	}
 	var names []string
 	for _, m := range members {
-		life, answers := by[link.Addr(m)]
+		life, answers := by[controlclient.Addr(m)]
 		names = append(names, called(m))
 		switch {
 		case answers && life != m:
 			f.add("member-blank", called(m), "it came back without its disk", "wait until it is taken in anew; else see that the others reach it", "disk-lost")
-		case !answers && !heard[link.Addr(m)]:
+		case !answers && !heard[controlclient.Addr(m)]:
 			f.add("member-gone", called(m), "a member whose machine isn't there", "start it again; else wait until a spare takes its place", "core-gone")
 		}
 	}
@@ -146,9 +146,9 @@
 }
 
 // index tells which index nodes there are.
-func (d *siteDesk) index(view roster.View, f *finder, fact func(string, string, ...any)) {
+func (d *siteDesk) index(view clustermembership.View, f *finder, fact func(string, string, ...any)) {
 	var serving []string
-	for _, n := range catalogue.Serving(view.Nodes) {
+	for _, n := range promptindex.Serving(view.Nodes) {
 		serving = append(serving, n.Name)
 	}
 	fact("index nodes", "%d, serving: %s", len(view.Role("catalogue")), strings.Join(serving, " "))
@@ -158,7 +158,7 @@
 }
 
 // documents tells what is in force.
-func (d *siteDesk) documents(ctx context.Context, view roster.View, f *finder, fact func(string, string, ...any)) {
+func (d *siteDesk) documents(ctx context.Context, view clustermembership.View, f *finder, fact func(string, string, ...any)) {
 	x, _, err := d.doc(ctx, d.key)
 	if err != nil { // then nothing else can be read either
 		f.add("plan-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-split")
@@ -167,13 +167,13 @@
 	if x == nil {
 		f.add("no-setup", "site", "no plan is in force", "send one: desk setup apply --file …", "setup-wrong")
 	} else {
-		fact("plan", "version %d, %d bytes", x.Epoch, len(x.Body))
+		fact("plan", "version %d, %d bytes", x.Version, len(x.Body))
 	}
 	d.duties(ctx, view, f, fact)
 }
 
 // duties tells who does the site's duties, and how the workers stand.
-func (d *siteDesk) duties(ctx context.Context, view roster.View, f *finder, fact func(string, string, ...any)) {
+func (d *siteDesk) duties(ctx context.Context, view clustermembership.View, f *finder, fact func(string, string, ...any)) {
 	w, err := d.staff(ctx)
 	if err != nil {
 		f.add("workers-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-split")
@@ -182,9 +182,9 @@
 	held := false
 	for _, l := range w.leases {
 		m, _, _ := strings.Cut(l.Holder, "/")
-		fact("duties of the "+l.Duty, "%s, fence %d", l.Holder, l.Fence)
+		fact("duties of the "+l.Name, "%s, fence %d", l.Holder, l.Fence)
 		for _, n := range view.Role("catalogue") {
-			held = held || m != "" && n.Name == "catalogue/"+m && n.State == roster.Alive
+			held = held || m != "" && n.Name == "catalogue/"+m && n.State == clustermembership.Alive
 		}
 	}
 	if !held {
--- a/internal/frontdesk/keyed_test.go
+++ b/internal/control/operatorapi/keyed_test.go
@@ -1,4 +1,4 @@
-package frontdesk
+package operatorapi
 
 import (
 	"net/http"
--- a/internal/frontdesk/lookup.go
+++ b/internal/control/operatorapi/lookup.go
@@ -1,4 +1,4 @@
-package frontdesk
+package operatorapi
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"slices"
 
 	"pebbleloom/api/operator"
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/pick"
-	"pebbleloom/internal/plan"
-	"pebbleloom/internal/prefix"
 )
 
 // LookUp asks the index who holds each part of a prompt, named by its ids, under the newest named
@@ -26,11 +26,13 @@
 	if err != nil {
 		return nil, errs.Wrap(err, "read plan")
 	}
-	i := slices.IndexFunc(p.Tenants, func(t plan.Tenant) bool { return t.Name == q.Tenant })
+	i := slices.IndexFunc(p.Tenants, func(t routingconfig.Tenant) bool { return t.Name == q.Tenant })
 	if i < 0 {
 		return nil, errs.New(errs.NotFound, "tenant %q", q.Tenant)
 	}
-	if !slices.ContainsFunc(p.Services, func(s plan.Service) bool { return s.Engine != nil && slices.Contains(s.Engine.Models, q.Model) }) {
+	if !slices.ContainsFunc(p.Services, func(s routingconfig.Service) bool {
+		return s.Engine != nil && slices.Contains(s.Engine.Models, q.Model)
+	}) {
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
 	w, err := d.staff(ctx)
@@ -43,12 +45,12 @@
 			weights = max(weights, x.Weights[q.Model])
 		}
 	}
-	text := pick.Text(q.Model, weights, &p.Tenants[i])
+	text := selection.Text(q.Model, weights, &p.Tenants[i])
 	ks := make([]prefix.Key, len(q.Parts))
 	for i, id := range q.Parts {
-		ks[i] = catalogue.KeyOf(text, id)
+		ks[i] = promptindex.KeyOf(text, id)
 	}
-	got := catalogue.NewShards(catalogue.Serving(d.view().Nodes)).Seek(ctx, ks, d.calls.Catalogue, d.b.Heal(1.0/24))
+	got := promptindex.NewShards(promptindex.Serving(d.view().Nodes)).Seek(ctx, ks, d.calls.Catalogue, d.b.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, k := range ks {
 		x := operator.FoundPrefixesItem{Key: k.String(), Holders: []string{}}
--- a/internal/frontdesk/moves.go
+++ b/internal/control/operatorapi/moves.go
@@ -1,4 +1,4 @@
-package frontdesk
+package operatorapi
 
 import (
 	"context"
@@ -7,21 +7,21 @@
 	"github.com/go-faster/jx"
 
 	"pebbleloom/api/operator"
-	"pebbleloom/internal/calendar"
+	"pebbleloom/internal/control/calendar"
+	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/link"
 	"pebbleloom/internal/wire"
 )
 
 // moves reads all entries of the calendar, part by part, each by majority.
-func (d *Desk) moves(ctx context.Context) ([]*wire.Doc, error) {
-	var l []*wire.Doc
-	for p := range uint32(link.Parts) {
-		t, err := d.ctl.Read(ctx, &wire.ReadAsk{Part: p, Key: "calendar/", Prefix: true})
+func (d *Desk) moves(ctx context.Context) ([]*wire.Document, error) {
+	var l []*wire.Document
+	for p := range uint32(controlclient.Shards) {
+		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: p, Key: "calendar/", Prefix: true})
 		if err != nil {
 			return nil, errs.Wrap(err, "read calendar")
 		}
-		l = append(l, t.Docs...)
+		l = append(l, t.Documents...)
 	}
 	return l, nil
 }
@@ -65,7 +65,7 @@
 			continue
 		}
 		if o.Name == e.Name && o.Service == e.Service {
-			if old = x.Epoch; o.Active() {
+			if old = x.Version; o.Active() {
 				b.Fault(errs.Conflict, "entry %q of %s is %s: give another name, or end it first", o.Name, o.Service, o.State)
 			}
 			continue
@@ -84,12 +84,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &wire.Put{Key: calendar.Key(e.Service, e.Name), Body: body, IfEpoch: epoch}
-	t, err := d.ctl.Change(ctx, &wire.ChangeAsk{Part: link.PartOf(e.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, Dry: dry})
+	p := &wire.Put{Key: calendar.Key(e.Service, e.Name), Body: body, IfVersion: epoch}
+	t, err := d.ctl.Change(ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(e.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, DryRun: dry})
 	if err != nil {
 		return nil, errs.Wrap(err, "write calendar")
 	}
-	return &operator.Changed{Epoch: int64(t.Epoch), Outcome: t.Outcome, Note: operator.NewOptString(e.State)}, nil
+	return &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome, Note: operator.NewOptString(e.State)}, nil
 }
 
 // AskMove pauses, resumes, cancels or undoes a move. The system writes the same entry as
@@ -99,21 +99,21 @@
 func (d *Desk) AskMove(ctx context.Context, q operator.AskMoveParams) (*operator.Changed, error) {
 	var last error
 	for range 5 {
-		t, err := d.ctl.Read(ctx, &wire.ReadAsk{Part: link.PartOf(q.Service), Key: calendar.Key(q.Service, q.Name)})
+		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: calendar.Key(q.Service, q.Name)})
 		if err != nil {
 			return nil, errs.Wrap(err, "read calendar")
 		}
-		if len(t.Docs) == 0 {
+		if len(t.Documents) == 0 {
 			return nil, errs.New(errs.NotFound, "service %q has no entry %q", q.Service, q.Name)
 		}
-		e, err := calendar.Read(t.Docs[0].Body)
+		e, err := calendar.Read(t.Documents[0].Body)
 		if err != nil {
 			return nil, err
 		}
 		if err := e.Ask(string(q.Verb)); err != nil {
 			return nil, err
 		}
-		c, err := d.putMove(ctx, e, t.Docs[0].Epoch, false)
+		c, err := d.putMove(ctx, e, t.Documents[0].Version, false)
 		if errs.KindOf(err) != errs.Conflict || err == nil {
 			return c, err
 		}
--- a/internal/frontdesk/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -1,4 +1,4 @@
-package frontdesk
+package operatorapi
 
 import (
 	"context"
@@ -7,21 +7,21 @@
 	"github.com/go-faster/jx"
 
 	"pebbleloom/api/operator"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/retire"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/link"
-	"pebbleloom/internal/retire"
 	"pebbleloom/internal/wire"
 )
 
 // retirements reads all retirements, part by part, each by majority.
-func (d *Desk) retirements(ctx context.Context) ([]*wire.Doc, error) {
-	var l []*wire.Doc
-	for p := range uint32(link.Parts) {
-		t, err := d.ctl.Read(ctx, &wire.ReadAsk{Part: p, Key: "retire/", Prefix: true})
+func (d *Desk) retirements(ctx context.Context) ([]*wire.Document, error) {
+	var l []*wire.Document
+	for p := range uint32(controlclient.Shards) {
+		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: p, Key: "retire/", Prefix: true})
 		if err != nil {
 			return nil, errs.Wrap(err, "read retirements")
 		}
-		l = append(l, t.Docs...)
+		l = append(l, t.Documents...)
 	}
 	return l, nil
 }
@@ -66,7 +66,7 @@
 			continue
 		}
 		if o.Name == x.Name && o.Service == x.Service {
-			if old = y.Epoch; o.Active() {
+			if old = y.Version; o.Active() {
 				b.Fault(errs.Conflict, "retirement %q of %s is %s: give another name, or end it first", o.Name, o.Service, o.State)
 			}
 			continue
@@ -97,12 +97,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &wire.Put{Key: retire.Key(r.Service, r.Name), Body: body, IfEpoch: version}
-	t, err := d.ctl.Change(ctx, &wire.ChangeAsk{Part: link.PartOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, Dry: dry})
+	p := &wire.Put{Key: retire.Key(r.Service, r.Name), Body: body, IfVersion: version}
+	t, err := d.ctl.Change(ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, DryRun: dry})
 	if err != nil {
 		return nil, errs.Wrap(err, "write retirement")
 	}
-	return &operator.Changed{Epoch: int64(t.Epoch), Outcome: t.Outcome, Note: operator.NewOptString(r.State)}, nil
+	return &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome, Note: operator.NewOptString(r.State)}, nil
 }
 
 // AskRetirement starts, pauses, resumes or aborts a retirement; asked again it changes nothing. The
@@ -113,14 +113,14 @@
 func (d *Desk) AskRetirement(ctx context.Context, q operator.AskRetirementParams) (*operator.Changed, error) {
 	var last error
 	for range 8 {
-		t, err := d.ctl.Read(ctx, &wire.ReadAsk{Part: link.PartOf(q.Service), Key: retire.Key(q.Service, q.Name)})
+		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: retire.Key(q.Service, q.Name)})
 		if err != nil {
 			return nil, errs.Wrap(err, "read retirement")
 		}
-		if len(t.Docs) == 0 {
+		if len(t.Documents) == 0 {
 			return nil, errs.New(errs.NotFound, "service %q has no retirement %q", q.Service, q.Name)
 		}
-		r, err := retire.Read(t.Docs[0].Body)
+		r, err := retire.Read(t.Documents[0].Body)
 		if err != nil {
 			return nil, err
 		}
@@ -129,14 +129,14 @@
 			return nil, err
 		}
 		if r.State == was {
-			return &operator.Changed{Epoch: int64(t.Docs[0].Epoch), Outcome: "done", Note: operator.NewOptString(r.State)}, nil
+			return &operator.Changed{Epoch: int64(t.Documents[0].Version), Outcome: "done", Note: operator.NewOptString(r.State)}, nil
 		}
 		if was == retire.Planned && r.State == retire.Running {
 			if err := d.fits(ctx, r); err != nil {
 				return nil, err
 			}
 		}
-		c, err := d.putRetirement(ctx, r, t.Docs[0].Epoch, false)
+		c, err := d.putRetirement(ctx, r, t.Documents[0].Version, false)
 		if errs.KindOf(err) != errs.Conflict || err == nil || was == retire.Planned {
 			return c, err
 		}
--- a/internal/frontdesk/frontdesk.go
+++ b/internal/control/operatorapi/server.go
@@ -1,7 +1,7 @@
-// Package frontdesk serves the operator's API. It stands on every node, and every node
+// Package operatorapi serves the operator's API. It stands on every node, and every node
 // gives the same answer: what belongs to the control state is read by majority, and what
 // is a view is told by one node, which the answer names.
-package frontdesk
+package operatorapi
 
 import (
 	"context"
@@ -15,22 +15,22 @@
 	"github.com/go-faster/jx"
 
 	"pebbleloom/api/operator"
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/link"
-	"pebbleloom/internal/prefix"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
 // Desk answers operators.
 type Desk struct {
-	ctl   *link.Control
-	view  func() roster.View
+	ctl   *controlclient.Client
+	view  func() clustermembership.View
 	calls *daemon.Calls
 	b     settings.Bounds
 	key   string // of the document that is the site's setup
@@ -39,13 +39,13 @@
 // Serve serves the operator's API at the place's operator address.
 //
 // Example: err := frontdesk.Serve(life, ctl, member.View, calls)
-func Serve(l *daemon.Life, ctl *link.Control, view func() roster.View, calls *daemon.Calls) error {
-	d := &Desk{ctl, view, calls, l.Place.Bounds, link.SetupKey}
+func Serve(l *daemon.Life, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Calls) error {
+	d := &Desk{ctl, view, calls, l.Place.Bounds, controlclient.SetupKey}
 	s, err := operator.NewServer(d)
 	if err != nil {
 		return errs.Wrap(err, "operator API")
 	}
-	return l.Serve(l.Place.Operator, keyed(l.Place.OpKey, http.MaxBytesHandler(s, 2*setup.MaxBytes)))
+	return l.Serve(l.Place.Operator, keyed(l.Place.OpKey, http.MaxBytesHandler(s, 2*serviceconfig.MaxBytes)))
 }
 
 // KeyHead carries the operators' key.
@@ -75,37 +75,37 @@
 	return &operator.DeniedStatusCode{StatusCode: k.HTTP, Response: operator.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
 }
 
-func (d *Desk) read(ctx context.Context) (*wire.Doc, error) {
-	t, err := d.ctl.Read(ctx, &wire.ReadAsk{Key: d.key})
+func (d *Desk) read(ctx context.Context) (*wire.Document, error) {
+	t, err := d.ctl.Read(ctx, &wire.ReadRequest{Key: d.key})
 	if err != nil {
 		return nil, errs.Wrap(err, "read setup")
 	}
-	if len(t.Docs) == 0 {
+	if len(t.Documents) == 0 {
 		return nil, errs.New(errs.NotFound, "no setup has been applied yet")
 	}
-	return t.Docs[0], nil
+	return t.Documents[0], nil
 }
 
 // setup reads the setup in force, with its document.
-func (d *Desk) setup(ctx context.Context) (*wire.Doc, *setup.Setup, error) {
+func (d *Desk) setup(ctx context.Context) (*wire.Document, *serviceconfig.Setup, error) {
 	doc, err := d.read(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := setup.Read(doc.Body)
+	s, err := serviceconfig.Read(doc.Body)
 	return doc, s, errs.Wrap(err, "read setup")
 }
 
 func (d *Desk) put(ctx context.Context, body []byte, ifEpoch *uint64, token string, patch, dry bool) (*operator.Changed, error) {
-	p := &wire.Put{Key: d.key, Body: body, Token: token, AnyEpoch: ifEpoch == nil}
+	p := &wire.Put{Key: d.key, Body: body, Token: token, AnyVersion: ifEpoch == nil}
 	if ifEpoch != nil {
-		p.IfEpoch = *ifEpoch
+		p.IfVersion = *ifEpoch
 	}
-	t, err := d.ctl.Change(ctx, &wire.ChangeAsk{Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, Patch: patch, Dry: dry})
+	t, err := d.ctl.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, Patch: patch, DryRun: dry})
 	if err != nil {
 		return nil, errs.Wrap(err, "change setup")
 	}
-	c := &operator.Changed{Epoch: int64(t.Epoch), Outcome: t.Outcome}
+	c := &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome}
 	if t.TokenReuse != "" {
 		c.Note = operator.NewOptString(t.TokenReuse)
 	}
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &operator.SetupInForce{Epoch: int64(doc.Epoch), Setup: jx.Raw(doc.Body)}, nil
+	return &operator.SetupInForce{Epoch: int64(doc.Version), Setup: jx.Raw(doc.Body)}, nil
 }
 
 // ChangeSetup applies a whole or partial setup.
@@ -148,7 +148,7 @@
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
 	if m.Weights == uint64(q.Weights) {
-		return &operator.Changed{Epoch: int64(doc.Epoch), Outcome: "done", Note: operator.NewOptString("these weights are in force already")}, nil
+		return &operator.Changed{Epoch: int64(doc.Version), Outcome: "done", Note: operator.NewOptString("these weights are in force already")}, nil
 	}
 	if uint64(q.Weights) < m.Weights {
 		return nil, errs.New(errs.BadInput, "weights %d are older than %d in force: name a later epoch", q.Weights, m.Weights)
@@ -156,12 +156,12 @@
 	return d.patch(ctx, doc, map[string]any{"models": map[string]any{q.Model: map[string]any{"weights": q.Weights}}}, q.Token.Or(""))
 }
 
-func (d *Desk) patch(ctx context.Context, doc *wire.Doc, p any, token string) (*operator.Changed, error) {
+func (d *Desk) patch(ctx context.Context, doc *wire.Document, p any, token string) (*operator.Changed, error) {
 	raw, err := json.Marshal(p)
 	if err != nil {
 		return nil, errs.Wrap(err, "write patch")
 	}
-	return d.put(ctx, raw, &doc.Epoch, token, true, false)
+	return d.put(ctx, raw, &doc.Version, token, true, false)
 }
 
 // RevokeKey takes a tenant's key out of force.
@@ -206,7 +206,7 @@
 // teller names the one node that tells a view: the first by name of a role that answers.
 func (d *Desk) teller(role string, ask func(addr string) error) (string, error) {
 	for _, n := range d.view().Role(role) {
-		if n.State == roster.Alive && ask(n.Addr) == nil {
+		if n.State == clustermembership.Alive && ask(n.Addr) == nil {
 			return n.Name, nil
 		}
 	}
@@ -237,7 +237,7 @@
 	return l, nil
 }
 
-func (d *Desk) feed(ctx context.Context) (string, *feed.Snapshot, error) {
+func (d *Desk) feed(ctx context.Context) (string, *updatestream.Snapshot, error) {
 	var t *wire.FeedTell
 	who, err := d.teller("runner", func(addr string) (err error) {
 		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
@@ -248,7 +248,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	s, err := feed.Read(t, nil, 0)
+	s, err := updatestream.Read(t, nil, 0)
 	return who, s, err
 }
 
@@ -273,14 +273,14 @@
 //
 // Example: GET /v1/placements/appraisals
 func (d *Desk) GetPlacement(ctx context.Context, q operator.GetPlacementParams) (*operator.PlacementInForce, error) {
-	t, err := d.ctl.Read(ctx, &wire.ReadAsk{Part: link.PartOf(q.Service), Key: "placement/" + q.Service})
+	t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: "placement/" + q.Service})
 	if err != nil {
 		return nil, errs.Wrap(err, "read placement")
 	}
-	if len(t.Docs) == 0 {
+	if len(t.Documents) == 0 {
 		return nil, errs.New(errs.NotFound, "no placement for service %q yet", q.Service)
 	}
-	return &operator.PlacementInForce{Epoch: int64(t.Docs[0].Epoch), Placement: jx.Raw(t.Docs[0].Body)}, nil
+	return &operator.PlacementInForce{Epoch: int64(t.Documents[0].Version), Placement: jx.Raw(t.Documents[0].Body)}, nil
 }
 
 // Explain asks all edge machines why a request went where it went.
@@ -342,7 +342,7 @@
 	for _, e := range es {
 		ks = append(ks, e.Key)
 	}
-	got := catalogue.NewShards(d.view().Nodes).Seek(ctx, ks, d.calls.Catalogue, d.b.Heal(1.0/24))
+	got := promptindex.NewShards(d.view().Nodes).Seek(ctx, ks, d.calls.Catalogue, d.b.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, e := range es {
 		x := operator.FoundPrefixesItem{Key: e.Key.String(), Tokens: operator.NewOptInt(e.Tokens), Holders: []string{}}
--- a/internal/frontdesk/site.go
+++ b/internal/control/operatorapi/site.go
@@ -1,4 +1,4 @@
-package frontdesk
+package operatorapi
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"github.com/go-faster/jx"
 
 	"pebbleloom/api/operator"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/link"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/plan"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
@@ -31,18 +31,18 @@
 	*Desk
 	site *settings.Site
 	name string // of this node
-	plan func(body []byte) (*plan.Plan, error)
+	plan func(body []byte) (*routingconfig.Plan, error)
 }
 
 // ServeSite serves the operator's API of a site whose membership is agreed data. It costs a
 // listener until the first question.
 //
 // Example: err := frontdesk.ServeSite(life, control, member.View, calls, codec.Read)
-func ServeSite(l *daemon.Life, ctl *link.Control, view func() roster.View, calls *daemon.Calls, read func([]byte) (*plan.Plan, error)) error {
-	d := &siteDesk{&Desk{ctl, view, calls, l.Place.Bounds, plan.Key}, l.Place.Site, "archive/" + l.Place.Name, read}
+func ServeSite(l *daemon.Life, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Calls, read func([]byte) (*routingconfig.Plan, error)) error {
+	d := &siteDesk{&Desk{ctl, view, calls, l.Place.Bounds, routingconfig.Key}, l.Place.Site, "archive/" + l.Place.Name, read}
 	api := sync.OnceValues(func() (http.Handler, error) {
 		s, err := operator.NewServer(d)
-		return http.MaxBytesHandler(s, 2*setup.MaxBytes), err
+		return http.MaxBytesHandler(s, 2*serviceconfig.MaxBytes), err
 	})
 	return l.Serve(l.Place.Operator, keyed(l.Place.OpKey, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h, err := api()
@@ -61,12 +61,12 @@
 }
 
 // doc reads one document by majority; nil: there is none. The leases are those in force with it.
-func (d *siteDesk) doc(ctx context.Context, key string) (*wire.Doc, []*wire.Lease, error) {
-	t, err := d.ctl.Read(ctx, &wire.ReadAsk{Key: key})
+func (d *siteDesk) doc(ctx context.Context, key string) (*wire.Document, []*wire.Lease, error) {
+	t, err := d.ctl.Read(ctx, &wire.ReadRequest{Key: key})
 	if err != nil {
 		return nil, nil, errs.Wrap(err, "read "+key)
 	}
-	for _, x := range t.Docs {
+	for _, x := range t.Documents {
 		if x.Key == key {
 			return x, t.Leases, nil
 		}
@@ -80,7 +80,7 @@
 	if err == nil && x != nil {
 		err = errs.Wrap(json.Unmarshal(x.Body, v), "read "+key)
 	}
-	return x.GetEpoch(), err
+	return x.GetVersion(), err
 }
 
 // NameWeights names a version of a model's weights.
@@ -106,12 +106,12 @@
 	if err != nil {
 		return nil, errs.Wrap(err, "write the weights that are named")
 	}
-	t, err := d.ctl.Change(ctx, &wire.ChangeAsk{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
-		Key: fleet.WeightsKey, Body: body, IfEpoch: version, Token: q.Token.Or("")}}}})
+	t, err := d.ctl.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
+		Key: fleet.WeightsKey, Body: body, IfVersion: version, Token: q.Token.Or("")}}}})
 	if err != nil {
 		return nil, errs.Wrap(err, "name weights")
 	}
-	return &operator.Changed{Epoch: int64(t.Epoch), Outcome: t.Outcome}, nil
+	return &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome}, nil
 }
 
 // ListNodes lists the nodes as this one sees them.
@@ -151,12 +151,12 @@
 	if _, err := d.read(ctx, fleet.WeightsKey, &w); err != nil {
 		return nil, err
 	}
-	ps, err := d.ctl.Read(ctx, &wire.ReadAsk{Key: fleet.PlacementKey, Prefix: true})
+	ps, err := d.ctl.Read(ctx, &wire.ReadRequest{Key: fleet.PlacementKey, Prefix: true})
 	if err != nil {
 		return nil, errs.Wrap(err, "read placements")
 	}
-	for _, x := range ps.Docs {
-		p, err := placement.Read(x.Body, x.Epoch)
+	for _, x := range ps.Documents {
+		p, err := placement.Read(x.Body, x.Version)
 		if err != nil {
 			return nil, errs.Wrap(err, x.Key)
 		}
@@ -231,7 +231,7 @@
 	if x == nil {
 		return nil, errs.New(errs.NotFound, "no placement for service %q yet", q.Service)
 	}
-	return &operator.PlacementInForce{Epoch: int64(x.Epoch), Placement: jx.Raw(x.Body)}, nil
+	return &operator.PlacementInForce{Epoch: int64(x.Version), Placement: jx.Raw(x.Body)}, nil
 }
 
 // RevokeKey isn't done by itself here.
--- a/internal/frontdesk/status.go
+++ b/internal/control/operatorapi/status.go
@@ -1,14 +1,14 @@
-package frontdesk
+package operatorapi
 
 import (
 	"context"
 	"fmt"
 
 	"pebbleloom/api/operator"
-	"pebbleloom/internal/calendar"
+	"pebbleloom/internal/control/calendar"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/link"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
@@ -64,39 +64,39 @@
 	owned := map[uint32]bool{}
 	for _, n := range d.view().Role("archive") {
 		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
-		t, err := d.calls.Archive(n.Addr).Stand(one, &wire.StandAsk{})
+		t, err := d.calls.Archive(n.Addr).Stand(one, &wire.StatusRequest{})
 		end()
 		if err != nil {
 			f.add("core-silent", n.Name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
 			continue
 		}
-		for _, p := range t.Parts {
+		for _, p := range t.Shards {
 			st := "follows"
 			switch {
-			case p.Bad != "":
+			case p.Failure != "":
 				st = "out"
-				f.add("member-out", fmt.Sprintf("%s part %d", p.Member, p.Part), p.Bad, errs.DiskBad.Remedy, "disk-full")
+				f.add("member-out", fmt.Sprintf("%s part %d", p.Member, p.Shard), p.Failure, errs.DiskBad.Remedy, "disk-full")
 			case p.Stuck != "":
 				st = "stuck"
-				f.add("member-stuck", fmt.Sprintf("%s part %d", p.Member, p.Part), p.Stuck, "bring one of the two data folders back", "disk-lost")
+				f.add("member-stuck", fmt.Sprintf("%s part %d", p.Member, p.Shard), p.Stuck, "bring one of the two data folders back", "disk-lost")
 			case p.Blank:
 				st = "blank"
-				f.add("member-blank", fmt.Sprintf("%s part %d", p.Member, p.Part), "it hasn't caught up from both others", "see that both other members run", "disk-lost")
-			case p.Owns:
-				st, owned[p.Part] = "owns", true
+				f.add("member-blank", fmt.Sprintf("%s part %d", p.Member, p.Shard), "it hasn't caught up from both others", "see that both other members run", "disk-lost")
+			case p.IsLeader:
+				st, owned[p.Shard] = "owns", true
 			}
-			s.Parts = append(s.Parts, operator.StatusPartsItem{Part: int(p.Part), Member: p.Member, Owner: p.Owner, State: st, Applied: int64(p.Applied),
+			s.Parts = append(s.Parts, operator.StatusPartsItem{Part: int(p.Shard), Member: p.Member, Owner: p.Leader, State: st, Applied: int64(p.Applied),
 				Last: int64(p.Last), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
 		}
 	}
-	for p := range uint32(link.Parts) {
+	for p := range uint32(controlclient.Shards) {
 		if !owned[p] {
 			f.add("part-unowned", fmt.Sprintf("part %d", p), "no core machine that answers owns it", "see that two of its three members run and reach each other", "core-split")
 		}
 	}
 }
 
-func workers(snap *feed.Snapshot, f *finder) {
+func workers(snap *updatestream.Snapshot, f *finder) {
 	if snap.Setup == nil {
 		f.add("no-setup", "site", "no setup is in force", "apply one: desk setup apply --file …", "setup-wrong")
 	}
@@ -104,7 +104,7 @@
 	old := map[string]int{}
 	for _, w := range snap.Workers {
 		switch {
-		case w.State == feed.WorkerGone:
+		case w.State == updatestream.WorkerGone:
 			book := "worker-gone"
 			if w.Kind == "store" {
 				book = "store-empty"
--- a/internal/appraiser/appraiser.go
+++ b/internal/control/placementcontroller/appraiser.go
@@ -1,4 +1,4 @@
-package appraiser
+package placementcontroller
 
 import (
 	"context"
@@ -11,18 +11,18 @@
 	"sync"
 	"time"
 
-	"pebbleloom/internal/calendar"
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/calendar"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/retire"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/link"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/retire"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
@@ -30,21 +30,21 @@
 type Appraiser struct {
 	life   *daemon.Life
 	clk    clock.Clock
-	ros    *roster.Member
+	ros    *clustermembership.Member
 	calls  *daemon.Calls
-	ctl    *link.Control
+	ctl    *controlclient.Client
 	be     *contract.Backends
 	holder string
 	duties map[string]*duty
-	fol    *feed.Follower
+	fol    *updatestream.Follower
 	held   sync.Map // service -> how many nodes hold its retirement up
 }
 
 type duty struct {
 	name  string
 	end   context.CancelFunc
-	lease *link.Lease
-	doc   *wire.Doc
+	lease *controlclient.Lease
+	doc   *wire.Document
 	last  *placement.Placement
 	full  time.Duration // when the whole was last recomputed
 	fence uint64
@@ -61,10 +61,10 @@
 	a := &Appraiser{life: l, clk: l.Clock, calls: daemon.NewCalls(l), be: contract.NewBackends(l.Dial), duties: map[string]*duty{}}
 	l.Until(a.be.Close)
 	a.holder = fmt.Sprintf("%s/%x", l.Place.Name, a.clk.Now())
-	a.ros = roster.Start(l.Ctx, l.Place, "appraiser", a.clk, l.Log, a.calls.Roster, nil)
-	view := func() roster.View { return a.ros.View() }
-	a.ctl = link.New(l.Place.Core, view, a.calls, l.Place.Bounds)
-	a.fol = feed.Follow(l.Ctx, a.clk, l.Log, a.runner, l.Place.Bounds.Heal(1.0/12), nil, feed.Seeds(a.ros.SetSeeds))
+	a.ros = clustermembership.Start(l.Ctx, l.Place, "appraiser", a.clk, l.Log, a.calls.Roster, nil)
+	view := func() clustermembership.View { return a.ros.View() }
+	a.ctl = controlclient.New(l.Place.Core, view, a.calls, l.Place.Bounds)
+	a.fol = updatestream.Follow(l.Ctx, a.clk, l.Log, a.runner, l.Place.Bounds.Heal(1.0/12), nil, updatestream.Seeds(a.ros.SetSeeds))
 	l.Meter.Gauge("pebbleloom_retirement_held", "nodes that hold up a retirement which this appraiser carries on", func() (v float64) {
 		a.held.Range(func(_, n any) bool { v += float64(n.(int)); return true })
 		return v
@@ -82,7 +82,7 @@
 // runner gives any living runner: workers are seen through it.
 func (a *Appraiser) runner() wire.Runner {
 	for _, n := range a.ros.View().Role("runner") {
-		if n.State == roster.Alive {
+		if n.State == clustermembership.Alive {
 			return a.calls.Runner(n.Addr)
 		}
 	}
@@ -105,7 +105,7 @@
 		if a.duties[name] == nil && served[name] {
 			ctx, end := context.WithCancel(a.life.Ctx)
 			b := a.life.Place.Bounds
-			d := &duty{name: name, end: end, lease: link.NewLease(a.ctl, a.clk, "appraise/"+name, link.PartOf(name), a.holder, b.Heal(settings.LeasePart)), pacer: calendar.NewPacer(), aging: retire.NewPacer()}
+			d := &duty{name: name, end: end, lease: controlclient.NewLease(a.ctl, a.clk, "appraise/"+name, controlclient.ShardOf(name), a.holder, b.Heal(settings.LeasePart)), pacer: calendar.NewPacer(), aging: retire.NewPacer()}
 			a.duties[name] = d
 			a.again(ctx, func() {
 				if err := d.lease.Renew(ctx); err != nil {
@@ -161,10 +161,10 @@
 	}
 }
 
-func workersOf(s *feed.Snapshot, name string) []*wire.Worker {
+func workersOf(s *updatestream.Snapshot, name string) []*wire.Worker {
 	var l []*wire.Worker
 	for _, w := range s.Workers {
-		if w.Service == name && w.Kind == "lm" && w.State < feed.WorkerDraining {
+		if w.Service == name && w.Kind == "lm" && w.State < updatestream.WorkerDraining {
 			l = append(l, w)
 		}
 	}
@@ -173,7 +173,7 @@
 
 // rollOut moves the service to the named weights; the lease is looked at right before each
 // order, and the order carries its fence.
-func (a *Appraiser) rollOut(d *duty, s *feed.Snapshot, name string, svc setup.Service) error {
+func (a *Appraiser) rollOut(d *duty, s *updatestream.Snapshot, name string, svc serviceconfig.Service) error {
 	ws := slices.DeleteFunc(workersOf(s, name), func(w *wire.Worker) bool { return w.Model != svc.Model && w.Model != "" }) // others have another base
 	seen := s.WeightsAt[svc.Model]
 	now := a.clk.Now()
@@ -196,7 +196,7 @@
 // order tells workers to load weights, all at once: a silent one holds up no other. The lease
 // is looked at right before each goes off, and no order is waited for, and so under way, for
 // longer than from the lease's end here until another may hold it.
-func (a *Appraiser) order(lease *link.Lease, ws []*wire.Worker, weights uint64) error {
+func (a *Appraiser) order(lease *controlclient.Lease, ws []*wire.Worker, weights uint64) error {
 	ctx, end := context.WithTimeout(a.life.Ctx, a.life.Place.Bounds.Heal(settings.OrderPart))
 	defer end()
 	got := make(chan error, len(ws))
@@ -217,18 +217,18 @@
 	return b.Look()
 }
 
-func (a *Appraiser) place(d *duty, s *feed.Snapshot, name string, svc setup.Service) error {
+func (a *Appraiser) place(d *duty, s *updatestream.Snapshot, name string, svc serviceconfig.Service) error {
 	now := a.clk.Now()
 	b := a.life.Place.Bounds
 	if d.doc == nil { // new to the duty: go on from what is in force
-		t, err := a.ctl.Read(a.life.Ctx, &wire.ReadAsk{Part: link.PartOf(name), Key: "placement/" + name})
+		t, err := a.ctl.Read(a.life.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: "placement/" + name})
 		if err != nil {
 			return errs.Wrap(err, "read placement")
 		}
-		d.doc, d.last, d.full = &wire.Doc{}, nil, 0
-		if len(t.Docs) > 0 {
-			d.doc = t.Docs[0]
-			if d.last, err = placement.Read(d.doc.Body, d.doc.Epoch); err != nil {
+		d.doc, d.last, d.full = &wire.Document{}, nil, 0
+		if len(t.Documents) > 0 {
+			d.doc = t.Documents[0]
+			if d.last, err = placement.Read(d.doc.Body, d.doc.Version); err != nil {
 				return errs.Wrap(err, "placement in force")
 			}
 			d.roll = Roll{Batch: d.last.Rolling, At: now}
@@ -274,20 +274,20 @@
 	if err != nil {
 		return errs.Wrap(err, "write placement")
 	}
-	put := &wire.Put{Key: "placement/" + name, Body: body, IfEpoch: d.doc.Epoch, Duty: d.lease.Duty, Fence: fence, Holder: a.holder}
-	t, err := a.ctl.Change(a.life.Ctx, &wire.ChangeAsk{Part: link.PartOf(name), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	put := &wire.Put{Key: "placement/" + name, Body: body, IfVersion: d.doc.Version, Lease: d.lease.Duty, Fence: fence, Holder: a.holder}
+	t, err := a.ctl.Change(a.life.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(name), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
 		d.doc = nil // read it again before the next try
 		return errs.Wrap(err, "publish placement")
 	}
-	p.Epoch = t.Epoch
-	d.doc, d.last = &wire.Doc{Body: body, Epoch: t.Epoch}, p
-	a.life.Log.Info("placement", "service", name, "epoch", t.Epoch, "fence", fence, "replicated", len(p.Replicated),
+	p.Epoch = t.Version
+	d.doc, d.last = &wire.Document{Body: body, Version: t.Version}, p
+	a.life.Log.Info("placement", "service", name, "epoch", t.Version, "fence", fence, "replicated", len(p.Replicated),
 		"entries", p.Entries, "r_max", p.RMax, "b", p.B, "why", p.Why)
 	return nil
 }
 
-func mode(s setup.Service) string {
+func mode(s serviceconfig.Service) string {
 	if s.Placement == "" {
 		return "hrcs"
 	}
--- a/internal/appraiser/order_test.go
+++ b/internal/control/placementcontroller/order_test.go
@@ -1,4 +1,4 @@
-package appraiser
+package placementcontroller
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/link"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -34,9 +34,9 @@
 		defer l.Stop(0)
 		a := &Appraiser{life: l, clk: clk, be: contract.NewBackends(l.Dial)}
 		ttl := b.Heal(settings.LeasePart)
-		lease := link.NewLease(nil, clk, "d", 1, "core-1/1", ttl)
+		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", ttl)
 		asked := clk.Now()
-		lease.Tell(asked, &wire.ChangeTell{Outcome: "done", Fence: 4})
+		lease.Tell(asked, &wire.ChangeResponse{Outcome: "done", Fence: 4})
 		var ws []*wire.Worker
 		for i := range 18 {
 			ws = append(ws, &wire.Worker{Name: fmt.Sprint("w", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1)})
--- a/internal/appraiser/pace.go
+++ b/internal/control/placementcontroller/pace.go
@@ -1,4 +1,4 @@
-package appraiser
+package placementcontroller
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"pebbleloom/internal/calendar"
+	"pebbleloom/internal/control/calendar"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/link"
 	"pebbleloom/internal/wire"
 )
 
@@ -72,9 +72,9 @@
 // machine's clock that jumps moves nothing.
 func (a *Appraiser) wall() time.Time {
 	var l []int64
-	gather(a, "archive", func(ctx context.Context, addr string) (*wire.TimeTell, error) {
-		return a.calls.Archive(addr).Time(ctx, &wire.TimeAsk{})
-	}, func(t *wire.TimeTell) { l = append(l, t.WallNs) })
+	gather(a, "archive", func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
+		return a.calls.Archive(addr).Time(ctx, &wire.TimeRequest{})
+	}, func(t *wire.TimeResponse) { l = append(l, t.WallNs) })
 	return median(l, len(a.life.Place.Core))
 }
 
@@ -89,15 +89,15 @@
 // pace carries the service's calendar on by one step. Entries are read by majority, written
 // under the lease's fence onto the epoch they were read at, and moves are made onto the
 // setup's epoch: a holder that comes late changes nothing.
-func (a *Appraiser) pace(d *duty, s *feed.Snapshot, name string) error {
-	part := link.PartOf(name)
-	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadAsk{Part: part, Key: "calendar/" + name + "/", Prefix: true})
+func (a *Appraiser) pace(d *duty, s *updatestream.Snapshot, name string) error {
+	part := controlclient.ShardOf(name)
+	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadRequest{Shard: part, Key: "calendar/" + name + "/", Prefix: true})
 	if err != nil {
 		return errs.Wrap(err, "read calendar")
 	}
 	var b errs.Batch
 	lately := sync.OnceValue(a.seen) // asked of all runners once a turn, and only when a move needs it
-	for _, doc := range t.Docs {
+	for _, doc := range t.Documents {
 		e, err := calendar.Read(doc.Body)
 		if b.Note(doc.Key, err); err != nil || !e.Active() || e.State == calendar.Paused {
 			continue
@@ -108,8 +108,8 @@
 			if _, ok := d.lease.Held(); !ok {
 				return b.Look()
 			}
-			put := &wire.Put{Key: link.SetupKey, Body: move.Patch, IfEpoch: w.Epoch, Token: move.Token}
-			_, err := a.ctl.Change(a.life.Ctx, &wire.ChangeAsk{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+			put := &wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: w.Epoch, Token: move.Token}
+			_, err := a.ctl.Change(a.life.Ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			if errs.KindOf(err) == errs.BadInput && err != nil { // the setup can't take it: people must look
 				next = e
 				next.State, next.Why, changed = calendar.Paused, "stopped: "+err.Error(), true
@@ -127,7 +127,7 @@
 	return b.Look()
 }
 
-func (a *Appraiser) write(d *duty, part uint32, doc *wire.Doc, e *calendar.Entry) error {
+func (a *Appraiser) write(d *duty, part uint32, doc *wire.Document, e *calendar.Entry) error {
 	fence, ok := d.lease.Held()
 	if !ok {
 		return nil
@@ -136,15 +136,15 @@
 	if err != nil {
 		return err
 	}
-	put := &wire.Put{Key: doc.Key, Body: body, IfEpoch: doc.Epoch, Duty: d.lease.Duty, Fence: fence, Holder: a.holder}
-	_, err = a.ctl.Change(a.life.Ctx, &wire.ChangeAsk{Part: part, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: d.lease.Duty, Fence: fence, Holder: a.holder}
+	_, err = a.ctl.Change(a.life.Ctx, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err == nil {
 		a.life.Log.Info("calendar", "entry", e.Name, "service", e.Service, "state", e.State, "step", e.Step, "why", e.Why)
 	}
 	return errs.Wrap(err, "write entry")
 }
 
-func (a *Appraiser) world(s *feed.Snapshot, name string, e *calendar.Entry, lately func() seen) calendar.World {
+func (a *Appraiser) world(s *updatestream.Snapshot, name string, e *calendar.Entry, lately func() seen) calendar.World {
 	w := calendar.World{Clock: a.clk.Now(), Epoch: s.Epoch, Setup: s.Setup}
 	if e.State == calendar.Planned && e.At != "" {
 		w.Wall = a.wall()
@@ -158,7 +158,7 @@
 			continue
 		}
 		w.Workers = append(w.Workers, calendar.Worker{Name: x.Name, Incarnation: x.Incarnation, Weights: x.Weights,
-			Up: x.State == feed.WorkerUp, Here: x.State < feed.WorkerGone, Busy: int(x.Busy)})
+			Up: x.State == updatestream.WorkerUp, Here: x.State < updatestream.WorkerGone, Busy: int(x.Busy)})
 		w.Ok, w.Bad = w.Ok+all.ok[x.Name], w.Bad+all.bad[x.Name]
 	}
 	return w
--- a/internal/appraiser/pick.go
+++ b/internal/control/placementcontroller/pick.go
@@ -1,12 +1,12 @@
-// Package appraiser decides a service's placement under a lease, and brings named weights
+// Package placementcontroller decides a service's placement under a lease, and brings named weights
 // to its workers one by one.
-package appraiser
+package placementcontroller
 
 import (
 	"sort"
 	"time"
 
-	"pebbleloom/internal/placement"
+	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/wire"
 )
 
--- a/internal/appraiser/pick_test.go
+++ b/internal/control/placementcontroller/pick_test.go
@@ -1,11 +1,11 @@
-package appraiser
+package placementcontroller
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"pebbleloom/internal/placement"
+	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
--- a/internal/appraiser/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -1,4 +1,4 @@
-package appraiser
+package placementcontroller
 
 import (
 	"bufio"
@@ -11,12 +11,12 @@
 	"time"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/retire"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/link"
-	"pebbleloom/internal/retire"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
@@ -28,12 +28,12 @@
 
 // active reads the service's retirements and gives the one under way, with its document; or else what
 // was retired before.
-func (a *Appraiser) active(name string) (r *retire.Retirement, doc *wire.Doc, gone []string, err error) {
-	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadAsk{Part: link.PartOf(name), Key: retire.Key(name, ""), Prefix: true})
+func (a *Appraiser) active(name string) (r *retire.Retirement, doc *wire.Document, gone []string, err error) {
+	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: retire.Key(name, ""), Prefix: true})
 	if err != nil {
 		return nil, nil, nil, errs.Wrap(err, "read retirements")
 	}
-	for _, d := range t.Docs {
+	for _, d := range t.Documents {
 		x, err := retire.Read(d.Body)
 		if err != nil {
 			return nil, nil, nil, errs.Wrap(err, d.Key)
@@ -50,7 +50,7 @@
 
 // retire carries the service's retirement on by one look. The setup is read first, then the
 // retirement, then the nodes: whatever a late holder still does meets a later version of one of them.
-func (a *Appraiser) retire(d *duty, s *feed.Snapshot, name string) error {
+func (a *Appraiser) retire(d *duty, s *updatestream.Snapshot, name string) error {
 	r, _, gone, err := a.active(name)
 	if err != nil {
 		return err
@@ -63,11 +63,11 @@
 	if r.State == retire.Paused {
 		return nil
 	}
-	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadAsk{Key: link.SetupKey})
-	if err != nil || len(t.Docs) == 0 {
+	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	if err != nil || len(t.Documents) == 0 {
 		return errs.Wrap(err, "read setup")
 	}
-	now, err := setup.Read(t.Docs[0].Body)
+	now, err := serviceconfig.Read(t.Documents[0].Body)
 	if err != nil {
 		return errs.Wrap(err, "setup in force")
 	}
@@ -75,7 +75,7 @@
 	if err != nil || r == nil {
 		return err
 	}
-	w := retire.World{Version: doc.Epoch, Setup: now, Follow: a.life.Place.Bounds.Setup(1)}
+	w := retire.World{Version: doc.Version, Setup: now, Follow: a.life.Place.Bounds.Setup(1)}
 	var addr map[string]string
 	w.Nodes, addr, w.Listed = a.nodes(name)
 	w.Clock = a.clk.Now()
@@ -84,7 +84,7 @@
 		w.Ok, w.Bad = w.Ok+all.ok[n], w.Bad+all.bad[n]
 	}
 	next, acts, changed := d.aging.Next(r, w)
-	done, err := a.carry(d, next, acts, t.Docs[0].Epoch, addr)
+	done, err := a.carry(d, next, acts, t.Documents[0].Version, addr)
 	var b errs.Batch
 	b.Note("act", err)
 	if changed || done {
@@ -95,7 +95,7 @@
 
 // keep loads what the service's workers lack of what the setup says, while nothing is retired, and lets
 // go of what was.
-func (a *Appraiser) keep(d *duty, s *feed.Snapshot, name string, gone []string) error {
+func (a *Appraiser) keep(d *duty, s *updatestream.Snapshot, name string, gone []string) error {
 	now := a.clk.Now()
 	if len(s.Setup.Adapters) == 0 || d.kept != 0 && now-d.kept < a.life.Place.Bounds.Heal(keepPart) {
 		return nil
@@ -159,8 +159,8 @@
 			var err error
 			switch {
 			case x.Patch != nil:
-				put := &wire.Put{Key: link.SetupKey, Body: x.Patch, IfEpoch: version}
-				_, err = a.ctl.Change(ctx, &wire.ChangeAsk{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+				put := &wire.Put{Key: controlclient.SetupKey, Body: x.Patch, IfVersion: version}
+				_, err = a.ctl.Change(ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			case x.Order != nil:
 				x.Order.Fence, x.Order.Holder = fence, d.lease.Holder
 				err = a.be.Order(ctx, addr[x.Node], *x.Order)
@@ -228,7 +228,7 @@
 	return nil
 }
 
-func (a *Appraiser) writeRetirement(d *duty, doc *wire.Doc, was, r *retire.Retirement) error {
+func (a *Appraiser) writeRetirement(d *duty, doc *wire.Document, was, r *retire.Retirement) error {
 	fence, ok := d.lease.Held()
 	if !ok {
 		return nil
@@ -237,8 +237,8 @@
 	if err != nil {
 		return err
 	}
-	put := &wire.Put{Key: doc.Key, Body: body, IfEpoch: doc.Epoch, Duty: d.lease.Duty, Fence: fence, Holder: a.holder}
-	_, err = a.ctl.Change(a.life.Ctx, &wire.ChangeAsk{Part: link.PartOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: d.lease.Duty, Fence: fence, Holder: a.holder}
+	_, err = a.ctl.Change(a.life.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err == nil && (was.State != r.State || was.Phase != r.Phase || was.Share != r.Share) {
 		held := ""
 		for _, h := range r.Holds[:min(1, len(r.Holds))] {
--- a/internal/appraiser/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -1,4 +1,4 @@
-package appraiser
+package placementcontroller
 
 import (
 	"sort"
--- a/internal/retire/check.go
+++ b/internal/control/retire/check.go
@@ -6,9 +6,9 @@
 	"slices"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/setup"
 )
 
 // Load is one adapter of a set.
@@ -29,7 +29,7 @@
 // SetOf is what the setup says about a base and some adapters on it.
 //
 // Example: set := retire.SetOf(s, "lector-2", []string{"rare-2"})
-func SetOf(s *setup.Setup, base string, adapters []string) Set {
+func SetOf(s *serviceconfig.Setup, base string, adapters []string) Set {
 	x := Set{Base: base, Weights: s.Models[base].Weights, Room: s.Models[base].Room}
 	adapters = slices.Clone(adapters)
 	slices.Sort(adapters)
@@ -83,7 +83,7 @@
 }
 
 // depending names a service's adapters on a base.
-func depending(s *setup.Setup, service, base string) []string {
+func depending(s *serviceconfig.Setup, service, base string) []string {
 	var l []string
 	for _, n := range queue.Keys(s.Adapters) {
 		if a := s.Adapters[n]; a.Base == base && slices.Contains(a.Services, service) {
@@ -94,7 +94,7 @@
 }
 
 // sets are the old one and the new one of a retirement.
-func (r *Retirement) sets(s *setup.Setup) (was, next Set) {
+func (r *Retirement) sets(s *serviceconfig.Setup) (was, next Set) {
 	var l []string
 	for _, n := range r.Replace {
 		l = append(l, n)
@@ -103,7 +103,7 @@
 }
 
 // moves says where each of the service's routes that is answered on the old base is to go.
-func (r *Retirement) moves(s *setup.Setup) map[string]string {
+func (r *Retirement) moves(s *serviceconfig.Setup) map[string]string {
 	m := map[string]string{}
 	for n, v := range s.Ways {
 		if v.Service != r.Service {
@@ -123,7 +123,7 @@
 // what to do, before anything moves.
 //
 // Example: r.CheckSetup(s, &b)
-func (r *Retirement) CheckSetup(s *setup.Setup, b *errs.Batch) {
+func (r *Retirement) CheckSetup(s *serviceconfig.Setup, b *errs.Batch) {
 	bad := func(f, format string, a ...any) { b.Fault(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
 	v, ok := s.Services[r.Service]
 	if !ok {
@@ -197,7 +197,7 @@
 }
 
 // checkRoutes sees that no route is left with no model, also those of other services.
-func (r *Retirement) checkRoutes(s *setup.Setup, bad func(f, format string, a ...any)) {
+func (r *Retirement) checkRoutes(s *serviceconfig.Setup, bad func(f, format string, a ...any)) {
 	m := r.moves(s)
 	for _, n := range queue.Keys(s.Ways) {
 		v := s.Ways[n]
--- a/internal/retire/nodes.go
+++ b/internal/control/retire/nodes.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/setup"
 )
 
 func holdsModel(n Node, base string) bool {
@@ -128,7 +128,7 @@
 // with it, once the worker has the whole set.
 //
 // Example: acts := retire.Keep(s, "lector-main", nodes, []string{"lector"})
-func Keep(s *setup.Setup, service string, nodes []Node, retired []string) []Act {
+func Keep(s *serviceconfig.Setup, service string, nodes []Node, retired []string) []Act {
 	v, ok := s.Services[service]
 	l := depending(s, service, v.Model)
 	if !ok || len(l) == 0 {
@@ -154,7 +154,7 @@
 }
 
 // answers tells whether any route of a service leads to a base, or is being moved there.
-func answers(s *setup.Setup, service, base string) bool {
+func answers(s *serviceconfig.Setup, service, base string) bool {
 	for n, v := range s.Ways {
 		for _, x := range []string{v.Answers(n), v.Move} {
 			if t, ok := s.Named(x); ok && t.Model == base && (v.Service == service || v.Next == service) {
--- a/internal/retire/retire_test.go
+++ b/internal/control/retire/retire_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/setup"
 )
 
 // Each fault of a plan is a typed error that names the item and the remedy.
@@ -40,11 +40,11 @@
 		"a route of another service":        {`{"models":{"x":{"weights":1}},"services":{"s2":{"model":"x"}},"adapters":{"fare":{"services":["s","s2"]}},"ways":{"far":{"service":"s2","use":"fare"}}}`, nil, `ways.far: it is answered by fare at service s2`},
 		"a route that is being handed over": {`{"services":{"s2":{"model":"old"}},"ways":{"old":{"next":"s2","share":10}}}`, nil, `ways.old: it is being handed over to service s2`},
 	} {
-		body, err := setup.Merge(first, []byte(x.patch))
+		body, err := serviceconfig.Merge(first, []byte(x.patch))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		s, err := setup.Read(body)
+		s, err := serviceconfig.Read(body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -323,7 +323,7 @@
 // While nothing is retired a worker that came back empty, or with what was retired long ago, gets what
 // the setup names; a service without adapters is left alone.
 func TestKeep(t *testing.T) {
-	s, err := setup.Read(first)
+	s, err := serviceconfig.Read(first)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -345,7 +345,7 @@
 	if l := Keep(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "load" {
 		t.Errorf("it has that alone: %+v", l)
 	}
-	s.Models["older"], s.Ways["older"] = setup.Model{Weights: 9}, setup.Way{Service: "s"}
+	s.Models["older"], s.Ways["older"] = serviceconfig.Model{Weights: 9}, serviceconfig.Way{Service: "s"}
 	back.Holds = append(back.Holds, full)
 	if l := Keep(s, "s", []Node{back}, []string{"older"}); len(l) != 0 {
 		t.Errorf("a route leads there again: %+v", l)
@@ -359,7 +359,7 @@
 // A document reads back as it was written, and what it doesn't know is denied.
 func TestDocument(t *testing.T) {
 	r := plan()
-	r.Proved("w1", "life", SetOf(&setup.Setup{}, "new", nil))
+	r.Proved("w1", "life", SetOf(&serviceconfig.Setup{}, "new", nil))
 	b, err := r.Write()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/retire/sim_test.go
+++ b/internal/control/retire/sim_test.go
@@ -188,7 +188,7 @@
 // Seeded fleets under kills, lost disks, late and lost messages, replaced workers, joiners, workers that
 // boast, holders that die, two operators, and aborts that race with the barrier. The same fleet without a
 // retirement stands beside each: nobody waits longer because of it. `RETIRE_SEEDS=5000 go test
-// ./internal/retire -run TestSimulated` runs wide.
+// ./internal/control/retire -run TestSimulated` runs wide.
 func TestSimulated(t *testing.T) {
 	ends, lateWith, lateWithout, all := map[string]int{}, 0, 0, 0
 	for seed := range seeds(t, 40) {
--- a/internal/retire/size_test.go
+++ b/internal/control/retire/size_test.go
@@ -6,20 +6,20 @@
 	"time"
 
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/setup"
+	"pebbleloom/internal/control/serviceconfig"
 )
 
 // crowd is a service of so many nodes and adapters, each node ready up to its proof.
 func crowd(nodes, adapters int) (*Retirement, World) {
-	s := &setup.Setup{Models: map[string]setup.Model{"old": {Weights: 1, Room: 50}, "new": {Weights: 1, Room: 50}}, Adapters: map[string]setup.Adapter{},
-		Services: map[string]setup.Service{"s": {Model: "old", Room: 1000}}, Ways: map[string]setup.Way{"old": {Service: "s"}}}
+	s := &serviceconfig.Setup{Models: map[string]serviceconfig.Model{"old": {Weights: 1, Room: 50}, "new": {Weights: 1, Room: 50}}, Adapters: map[string]serviceconfig.Adapter{},
+		Services: map[string]serviceconfig.Service{"s": {Model: "old", Room: 1000}}, Ways: map[string]serviceconfig.Way{"old": {Service: "s"}}}
 	r := &Retirement{Name: "spring", Service: "s", From: "old", To: "new", Replace: map[string]string{}, AtOnce: max(1, nodes/20), State: Running, Phase: Prove}
 	was, next := map[string]uint64{}, map[string]uint64{}
 	for i := range adapters {
 		n := fmt.Sprintf("adapter-%d", i)
-		s.Adapters[n] = setup.Adapter{Base: "old", Build: 1, Room: 1, Services: []string{"s"}}
-		s.Adapters[n+"-2"] = setup.Adapter{Base: "new", Build: 1, Room: 1, Services: []string{"s"}}
-		s.Ways[n] = setup.Way{Service: "s"}
+		s.Adapters[n] = serviceconfig.Adapter{Base: "old", Build: 1, Room: 1, Services: []string{"s"}}
+		s.Adapters[n+"-2"] = serviceconfig.Adapter{Base: "new", Build: 1, Room: 1, Services: []string{"s"}}
+		s.Ways[n] = serviceconfig.Way{Service: "s"}
 		r.Replace[n], was[n], next[n+"-2"] = n+"-2", 1, 1
 	}
 	w := World{Clock: time.Hour, Version: 7, Setup: s, Listed: true, Follow: time.Second}
@@ -48,7 +48,7 @@
 	}
 }
 
-// One look of a holder, and the document's size: `go test ./internal/retire -run none -bench Look`
+// One look of a holder, and the document's size: `go test ./internal/control/retire -run none -bench Look`
 func BenchmarkLook(b *testing.B) {
 	for _, n := range []int{18, 90, 355, 710} {
 		for _, a := range []int{2, 35} {
--- a/internal/retire/step.go
+++ b/internal/control/retire/step.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/setup"
 )
 
 // Node is what a retirement needs to know of one worker that the platform lists.
@@ -31,7 +31,7 @@
 type World struct {
 	Clock   time.Duration
 	Version uint64 // of the retirement's document
-	Setup   *setup.Setup
+	Setup   *serviceconfig.Setup
 	Listed  bool // the platform's list was read just now
 	Nodes   []Node
 	Ok, Bad float64       // attempts of the service, lately
--- a/internal/retire/world_test.go
+++ b/internal/control/retire/world_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/setup"
 )
 
 const (
@@ -52,7 +52,7 @@
 	}
 }
 
-func (n *node) has(t setup.Target) bool {
+func (n *node) has(t serviceconfig.Target) bool {
 	l, ok := n.holds[t.Model]
 	return ok && l.Weights == t.Weights && (t.Adapter == "" || l.Adapters[t.Adapter] == t.Build && !n.fake[t.Adapter])
 }
@@ -120,8 +120,8 @@
 	f.mail[at] = append(f.mail[at], do)
 }
 
-func (f *fleet) setup() *setup.Setup {
-	s, err := setup.Read(f.body)
+func (f *fleet) setup() *serviceconfig.Setup {
+	s, err := serviceconfig.Read(f.body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 	if version != f.version {
 		return false
 	}
-	m, err := setup.Merge(f.body, b)
+	m, err := serviceconfig.Merge(f.body, b)
 	if err != nil {
 		f.t.Fatalf("%s: %v", b, err)
 	}
@@ -293,7 +293,7 @@
 
 func (f *fleet) prove(n *node, x Act) bool {
 	for _, a := range append([]Load{{}}, x.Prove.Adapters...) {
-		if n.up && n.life == x.Life && n.has(setup.Target{Model: x.Prove.Base, Weights: x.Prove.Weights, Adapter: a.Name, Build: a.Build}) {
+		if n.up && n.life == x.Life && n.has(serviceconfig.Target{Model: x.Prove.Base, Weights: x.Prove.Weights, Adapter: a.Name, Build: a.Build}) {
 			n.answered[n.life+x.Prove.Sum()+a.Name] = true
 		} else if f.plant != 2 { // else its word is taken
 			return false
@@ -309,7 +309,7 @@
 		return
 	}
 	lag := f.r.IntN(follow)
-	s, err := setup.Read(f.past[max(0, len(f.past)-1-lag)])
+	s, err := serviceconfig.Read(f.past[max(0, len(f.past)-1-lag)])
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/plan/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -1,4 +1,4 @@
-package plan
+package routingconfig
 
 import (
 	"slices"
--- a/internal/plan/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -1,6 +1,6 @@
-// Package plan is a site's configuration for requests of any shape: routes by host and prefix,
+// Package routingconfig is a site's configuration for requests of any shape: routes by host and prefix,
 // services, tenants with their keys, limits. It knows nothing of the form it was written in.
-package plan
+package routingconfig
 
 import "time"
 
--- a/internal/setup/fuzz_test.go
+++ b/internal/control/serviceconfig/fuzz_test.go
@@ -1,4 +1,4 @@
-package setup
+package serviceconfig
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 )
 
 // Whatever comes as a setup, whole or partial, is read or denied with a type; what is read is
-// kept in a form that reads back as the same. `go test ./internal/setup -fuzz FuzzSetups`
+// kept in a form that reads back as the same. `go test ./internal/control/serviceconfig -fuzz FuzzSetups`
 func FuzzSetups(f *testing.F) {
 	for _, s := range []string{`{}`, `{"models":{"m":{"weights":1}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`, `{"tenants":{"t":{"keys":["12345678"]}}}`,
 		`[]`, `null`, `{"models":{"m":null}}`, `{"models":{"m":{"weights":-1}}}`, `{"wait_max_ms":1e99}`, "\x00", `{"tenants":{"t":{"rate":1e308}}}`} {
--- a/internal/setup/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -1,4 +1,4 @@
-package setup
+package serviceconfig
 
 import (
 	"bytes"
--- a/internal/setup/setup.go
+++ b/internal/control/serviceconfig/setup.go
@@ -1,5 +1,5 @@
-// Package setup is the operator's configuration: reading, merging and checking it.
-package setup
+// Package serviceconfig is the operator's configuration: reading, merging and checking it.
+package serviceconfig
 
 import (
 	"bytes"
--- a/internal/shelf/faulty.go
+++ b/internal/control/storage/faulty.go
@@ -1,4 +1,4 @@
-package shelf
+package storage
 
 import (
 	"errors"
--- a/internal/shelf/fuzz_test.go
+++ b/internal/control/storage/fuzz_test.go
@@ -1,4 +1,4 @@
-package shelf
+package storage
 
 import (
 	"errors"
@@ -19,7 +19,7 @@
 }
 
 // Whatever lies on a disk is read, or denied as rot; nothing makes the reader fall over.
-// `go test ./internal/shelf -fuzz FuzzDisks`
+// `go test ./internal/control/storage -fuzz FuzzDisks`
 func FuzzDisks(f *testing.F) {
 	f.Add([]byte{}, []byte{}, []byte{}, []byte{})
 	f.Add([]byte("1LBP\x00\x00"), []byte("1LBP"), []byte{0, 0}, []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
--- a/internal/shelf/shelf.go
+++ b/internal/control/storage/storage.go
@@ -1,11 +1,11 @@
-// Package shelf keeps one part's state on disk: two slots written in turn, with a short
+// Package storage keeps one part's state on disk: two slots written in turn, with a short
 // log between. Nothing that was acknowledged is lost to a torn write, and nothing rotten
 // is read silently.
 //
 // slot-0 and slot-1 each hold a whole state under a generation and a checksum; log-0 and
 // log-1 hold what came after the slot of the same number. Turning to generation g writes
 // the log first (header g, with the records that stay), then the slot.
-package shelf
+package storage
 
 import (
 	"encoding/binary"
@@ -36,30 +36,30 @@
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // Shelf writes; after a failed write it denies all more.
-type Shelf struct {
-	d    Disk
-	gen  uint64
-	size int // bytes of the log in force
-	bad  error
+type Store struct {
+	disk       Disk
+	generation uint64
+	size       int // bytes of the log in force
+	failure    error
 }
 
 // Loaded is what a shelf held when it was opened.
 type Loaded struct {
-	Slot    *wire.Slot // nil on an empty disk
-	Records []*wire.Record
-	Torn    int // bytes of a torn tail that were cut off
+	Snapshot *wire.Snapshot // nil on an empty disk
+	Records  []*wire.Record
+	Torn     int // bytes of a torn tail that were cut off
 }
 
 // Open reads what the disk holds. An empty disk gives a nil Slot; a disk that can't be
 // trusted gives an error of kind DiskBad.
 //
 // Example: s, l, err := shelf.Open(shelf.Folder("/var/lib/pebbleloom/part-0"))
-func Open(d Disk) (*Shelf, Loaded, error) {
-	s := &Shelf{d: d}
+func Open(d Disk) (*Store, Loaded, error) {
+	s := &Store{disk: d}
 	var l Loaded
 	var logs [2][]byte
 	var there [4]bool
-	var slots [2]*wire.Slot
+	var slots [2]*wire.Snapshot
 	var gens, lgens [2]uint64
 	var rest [2]int
 	var b errs.Batch
@@ -98,9 +98,9 @@
 	if lgens[o] > gens[at] && len(records(logs[o]).list) > rest[o] {
 		return nil, l, errs.New(errs.DiskBad, "slot-%d is rotten: its log of generation %d went on after it was written", o, lgens[o])
 	}
-	s.gen, l.Slot = gens[at], slots[at]
-	if lgens[at] != s.gen {
-		return nil, l, errs.New(errs.DiskBad, "log-%d is of generation %d, its slot of %d", at, lgens[at], s.gen)
+	s.generation, l.Snapshot = gens[at], slots[at]
+	if lgens[at] != s.generation {
+		return nil, l, errs.New(errs.DiskBad, "log-%d is of generation %d, its slot of %d", at, lgens[at], s.generation)
 	}
 	sc := records(logs[at])
 	if sc.rot {
@@ -119,22 +119,22 @@
 	return s, l, nil
 }
 
-func (s *Shelf) log() string { return fmt.Sprintf("log-%d", s.gen%2) }
+func (s *Store) log() string { return fmt.Sprintf("log-%d", s.generation%2) }
 
 // Append puts records behind the log and returns once they are synced.
 //
 // Example: err := s.Append([]*wire.Record{r})
-func (s *Shelf) Append(rs []*wire.Record) error {
-	if s.bad != nil {
-		return s.bad
+func (s *Store) Append(rs []*wire.Record) error {
+	if s.failure != nil {
+		return s.failure
 	}
 	if len(rs) == 0 {
 		return nil
 	}
 	b := pack(rs)
-	if err := s.d.Append(s.log(), b); err != nil {
-		s.bad = errs.As(err, errs.DiskBad, "append to log")
-		return s.bad
+	if err := s.disk.Append(s.log(), b); err != nil {
+		s.failure = errs.As(err, errs.DiskBad, "append to log")
+		return s.failure
 	}
 	s.size += len(b)
 	return nil
@@ -143,11 +143,11 @@
 // Turn writes the other slot and starts its log with the records that stay.
 //
 // Example: err := s.Turn(slot, rest)
-func (s *Shelf) Turn(slot *wire.Slot, rest []*wire.Record) error {
-	if s.bad != nil {
-		return s.bad
+func (s *Store) SaveSnapshot(slot *wire.Snapshot, rest []*wire.Record) error {
+	if s.failure != nil {
+		return s.failure
 	}
-	g := s.gen + 1
+	g := s.generation + 1
 	h := make([]byte, headSize)
 	binary.LittleEndian.PutUint32(h, magic)
 	binary.LittleEndian.PutUint64(h[4:], g)
@@ -156,7 +156,7 @@
 	lb := append(h, pack(rest)...)
 	body, err := proto.Marshal(slot)
 	if err == nil {
-		err = s.d.Write(fmt.Sprintf("log-%d", g%2), lb)
+		err = s.disk.Write(fmt.Sprintf("log-%d", g%2), lb)
 	}
 	if err == nil {
 		sb := make([]byte, 12, 16+len(body))
@@ -164,22 +164,22 @@
 		binary.LittleEndian.PutUint64(sb[4:], g)
 		sb = append(sb, body...)
 		sb = binary.LittleEndian.AppendUint32(sb, crc32.Checksum(sb, table))
-		err = s.d.Write(fmt.Sprintf("slot-%d", g%2), sb)
+		err = s.disk.Write(fmt.Sprintf("slot-%d", g%2), sb)
 	}
 	if err != nil {
-		s.bad = errs.As(err, errs.DiskBad, "turn slot")
-		return s.bad
+		s.failure = errs.As(err, errs.DiskBad, "turn slot")
+		return s.failure
 	}
-	s.gen, s.size = g, len(lb)
+	s.generation, s.size = g, len(lb)
 	return nil
 }
 
 // Size is how long the log in force is, in bytes.
 //
 // Example: if s.Size() > 1<<20 { turn() }
-func (s *Shelf) Size() int { return s.size }
+func (s *Store) Size() int { return s.size }
 
-func readSlot(b []byte) (*wire.Slot, uint64) {
+func readSlot(b []byte) (*wire.Snapshot, uint64) {
 	if len(b) < 16 || binary.LittleEndian.Uint32(b) != magic {
 		return nil, 0
 	}
@@ -187,7 +187,7 @@
 	if crc32.Checksum(b[:n], table) != binary.LittleEndian.Uint32(b[n:]) {
 		return nil, 0
 	}
-	s := &wire.Slot{}
+	s := &wire.Snapshot{}
 	if proto.Unmarshal(b[12:n], s) != nil {
 		return nil, 0
 	}
--- a/internal/shelf/shelf_test.go
+++ b/internal/control/storage/storage_test.go
@@ -1,4 +1,4 @@
-package shelf
+package storage
 
 import (
 	"bytes"
@@ -50,7 +50,7 @@
 	if err != nil {
 		return 0
 	}
-	if s.Turn(&wire.Slot{Epoch: 1, Hard: &wire.Hard{Incarnation: "a"}}, nil) != nil {
+	if s.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}}, nil) != nil {
 		return 0
 	}
 	for i := 1; i <= 14; i++ {
@@ -58,7 +58,7 @@
 			return i - 1
 		}
 		if i%4 == 0 { // the slot swallows all but the last
-			if s.Turn(&wire.Slot{Epoch: 1, Index: uint64(i - 1), Hard: &wire.Hard{Incarnation: "a"}}, []*wire.Record{rec(i)}) != nil {
+			if s.SaveSnapshot(&wire.Snapshot{Format: 1, Index: uint64(i - 1), HardState: &wire.HardState{Incarnation: "a"}}, []*wire.Record{rec(i)}) != nil {
 				return i
 			}
 		}
@@ -68,8 +68,8 @@
 
 func held(l Loaded) int {
 	n := 0
-	if l.Slot != nil {
-		n = int(l.Slot.Index)
+	if l.Snapshot != nil {
+		n = int(l.Snapshot.Index)
 	}
 	for _, r := range l.Records {
 		n = int(r.GetEntry().Index)
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Turn(&wire.Slot{Epoch: 1, Hard: &wire.Hard{}}, nil); err != nil {
+	if err := s.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	m.left = 3
--- a/internal/daemon/world.go
+++ b/internal/daemon/world.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/storage"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/shelf"
 )
 
 // World is all that a program meets outside itself. A simulated site swaps it and nothing
@@ -25,7 +25,7 @@
 	Wall    func() time.Time // what people go by
 	Listen  func(addr string) (net.Listener, error)
 	Dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	Disk    func(folder string) shelf.Disk
+	Disk    func(folder string) storage.Disk
 	Journal func(file string) (io.Writer, error) // a stand-in's, which outlives it
 	Seed    func() uint64                        // of whatever is left to chance
 }
@@ -42,7 +42,7 @@
 	if p.Site != nil {
 		dial = patient(p).DialContext
 	}
-	return World{Clock: clock.Boot(), Wall: wall, Dial: dial, Disk: shelf.Folder, Seed: rand.Uint64,
+	return World{Clock: clock.Boot(), Wall: wall, Dial: dial, Disk: storage.Folder, Seed: rand.Uint64,
 		Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) },
 		Journal: func(file string) (io.Writer, error) {
 			return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
--- a/internal/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"pebbleloom/internal/backend"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/backend"
 	"pebbleloom/internal/fleet"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -22,8 +22,8 @@
 type Agent struct {
 	life    *daemon.Life
 	desk    *queue.Desk[table]
-	ros     *roster.Member
-	view    atomic.Pointer[roster.View] // the newest, for the desk
+	ros     *clustermembership.Member
+	view    atomic.Pointer[clustermembership.View] // the newest, for the desk
 	archive func(addr string) wire.Archive
 	shown   atomic.Pointer[shown]
 	calls   map[string]context.CancelFunc // by address: who is followed; the desk's
@@ -42,7 +42,7 @@
 func Start(l *daemon.Life, codec backend.Codec, role string) (*Agent, error) {
 	calls := daemon.NewCalls(l)
 	a := newAgent(l, codec, calls.Archive)
-	a.ros = roster.Start(l.Ctx, l.Place, role, l.Clock, l.Log, calls.Roster, func(v roster.View) {
+	a.ros = clustermembership.Start(l.Ctx, l.Place, role, l.Clock, l.Log, calls.Roster, func(v clustermembership.View) {
 		a.view.Store(&v)
 		a.desk.Tell(a.look)
 	})
@@ -67,7 +67,7 @@
 	a := &Agent{life: l, archive: archive, seeds: l.Place.Seeds, calls: map[string]context.CancelFunc{}}
 	t := newTable(l.Place.Bounds, codec, l.Clock.Now())
 	a.shown.Store(&shown{&t.snap, make(chan struct{})})
-	a.view.Store(&roster.View{})
+	a.view.Store(&clustermembership.View{})
 	a.show(t, true)
 	a.desk = queue.NewDesk(t, 256)
 	l.Until(a.desk.Stop)
@@ -89,7 +89,7 @@
 // View is what the roster knows now.
 //
 // Example: for _, n := range a.View().Role("catalogue") { ask(n.Addr) }
-func (a *Agent) View() roster.View { return a.ros.View() }
+func (a *Agent) View() clustermembership.View { return a.ros.View() }
 
 // Handler serves the roster's calls; the caller mounts it where this process listens.
 //
@@ -127,7 +127,7 @@
 			want[s] = true
 		}
 		for _, n := range t.snap.Nodes {
-			if n.Role == "archive" && n.State != roster.Gone {
+			if n.Role == "archive" && n.State != clustermembership.Gone {
 				want[n.Addr] = true
 			}
 		}
@@ -148,7 +148,7 @@
 }
 
 // heard takes one member's answer into the table, and says whether it was of any use.
-func (a *Agent) heard(tell *wire.FollowTell, had uint64, asked time.Duration) (useful bool) {
+func (a *Agent) heard(tell *wire.FollowResponse, had uint64, asked time.Duration) (useful bool) {
 	a.desk.Ask(func(t *table) {
 		term, index, first := t.proof.term, t.proof.index, t.snap.ProofAt == 0
 		news, err := t.hear(tell, had, asked, a.life.Clock.Now())
--- a/internal/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -50,7 +50,7 @@
 	addr string
 }
 
-func (s seat) Follow(ctx context.Context, a *wire.FollowAsk) (*wire.FollowTell, error) {
+func (s seat) Follow(ctx context.Context, a *wire.FollowRequest) (*wire.FollowResponse, error) {
 	s.mu.Lock()
 	s.asked[s.addr]++
 	s.under[s.addr]++
@@ -66,7 +66,7 @@
 	case "errs":
 		return nil, errs.New(errs.CantSay, "no")
 	case "empty":
-		return &wire.FollowTell{}, nil
+		return &wire.FollowResponse{}, nil
 	}
 	if version <= had(a) || mood == "behind" {
 		select {
@@ -78,14 +78,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := &wire.FollowTell{Same: true, Members: s.members, MembersTerm: 1, MembersIndex: s.index}
+	t := &wire.FollowResponse{NothingNewer: true, Members: s.members, MembersTerm: 1, MembersIndex: s.index}
 	for _, m := range s.members {
 		if address(m) == s.addr {
 			t.Member = m
 		}
 	}
 	if s.version > had(a) && s.mood[s.addr] != "behind" {
-		t.Docs = append(t.Docs, planDoc(s.version))
+		t.Documents = append(t.Documents, planDoc(s.version))
 	}
 	return t, nil
 }
--- a/internal/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/plan"
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 	hold := b.Setup(holdPart)
 	member, born := a.archive(addr), a.life.Clock.Now()
 	for pause := b.Setup(pauseLeft); ctx.Err() == nil; {
-		var ask *wire.FollowAsk
+		var ask *wire.FollowRequest
 		asked := a.life.Clock.Now()
 		if !a.desk.Ask(func(t *table) { ask = t.ask(t.hold(asked)) }) {
 			return
@@ -56,9 +56,9 @@
 }
 
 // had is the version of the plan that a question was asked with.
-func had(a *wire.FollowAsk) uint64 {
+func had(a *wire.FollowRequest) uint64 {
 	for _, h := range a.Have {
-		if h.Key == plan.Key {
+		if h.Key == routingconfig.Key {
 			return h.Version
 		}
 	}
--- a/internal/agent/proof.go
+++ b/internal/data/agent/proof.go
@@ -66,7 +66,7 @@
 // member was asked with or told.
 //
 // Example: p.Hear(tell, 7, askedAt)
-func (p *Proof) Hear(t *wire.FollowTell, version uint64, asked time.Duration) {
+func (p *Proof) Hear(t *wire.FollowResponse, version uint64, asked time.Duration) {
 	if len(t.Members) == 0 {
 		return // it knows no group
 	}
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	if !t.Same || !slices.Contains(p.members, t.Member) || asked <= p.said[t.Member].asked {
+	if !t.NothingNewer || !slices.Contains(p.members, t.Member) || asked <= p.said[t.Member].asked {
 		return
 	}
 	p.said[t.Member] = vouch{asked, version, t.MembersTerm, t.MembersIndex}
--- a/internal/agent/proof_test.go
+++ b/internal/data/agent/proof_test.go
@@ -11,12 +11,12 @@
 
 var abc = []string{"1:1/a", "1:2/b", "1:3/c"}
 
-func says(member string, term, index uint64, members ...string) *wire.FollowTell {
-	return &wire.FollowTell{Member: member, Same: true, MembersTerm: term, MembersIndex: index, Members: members}
+func says(member string, term, index uint64, members ...string) *wire.FollowResponse {
+	return &wire.FollowResponse{Member: member, NothingNewer: true, MembersTerm: term, MembersIndex: index, Members: members}
 }
 
 type answer struct {
-	tell    *wire.FollowTell
+	tell    *wire.FollowResponse
 	version uint64
 	asked   time.Duration
 }
@@ -45,7 +45,7 @@
 		for _, t := range l {
 			by := map[string]bool{}
 			for _, a := range l {
-				if a.tell.Same && a.asked >= t.asked && a.version <= v && slices.Contains(x.tell.Members, a.tell.Member) &&
+				if a.tell.NothingNewer && a.asked >= t.asked && a.version <= v && slices.Contains(x.tell.Members, a.tell.Member) &&
 					a.tell.MembersTerm == x.tell.MembersTerm && a.tell.MembersIndex == x.tell.MembersIndex {
 					by[a.tell.Member] = true
 				}
@@ -63,7 +63,7 @@
 func TestEveryOrderOfAnswers(t *testing.T) {
 	four := append(slices.Clone(abc), "1:4/d")
 	silent := says(abc[2], 1, 9, four...)
-	silent.Same = false
+	silent.NothingNewer = false
 	as := []answer{
 		{says(abc[0], 1, 1, abc...), 7, 10},
 		{says(abc[1], 1, 1, abc...), 7, 20},
@@ -107,7 +107,7 @@
 	}
 	p.Hear(says("1:1/x", 1, 1, abc...), 7, 90) // the same address, another life: its disk was lost
 	p.Hear(says("9:9/z", 1, 1, abc...), 7, 95)
-	p.Hear(&wire.FollowTell{Member: abc[1], Same: true}, 7, 99)
+	p.Hear(&wire.FollowResponse{Member: abc[1], NothingNewer: true}, 7, 99)
 	if at := p.At(7); at != 0 {
 		t.Fatalf("strangers and one who knows no members prove %v", at)
 	}
@@ -295,7 +295,7 @@
 		return
 	}
 	version := max(q.have, told)
-	tell := &wire.FollowTell{Member: q.name, Same: plans(h.log) <= version, Members: ms, MembersIndex: uint64(at), MembersTerm: uint64(h.log[at].term)}
+	tell := &wire.FollowResponse{Member: q.name, NothingNewer: plans(h.log) <= version, Members: ms, MembersIndex: uint64(at), MembersTerm: uint64(h.log[at].term)}
 	if p := g.proof; g.blind && (p.term > tell.MembersTerm || p.term == tell.MembersTerm && p.index > tell.MembersIndex) {
 		tell.Members, tell.MembersTerm, tell.MembersIndex = p.members, p.term, p.index
 	}
--- a/internal/agent/table.go
+++ b/internal/data/agent/table.go
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"pebbleloom/internal/backend"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/plan"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -57,14 +57,14 @@
 }
 
 // ask is what to ask a member with now.
-func (t *table) ask(hold time.Duration) *wire.FollowAsk {
-	a := &wire.FollowAsk{HoldNs: uint64(hold), Proof: plan.Key, Packed: true}
-	for _, k := range []string{plan.Key, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
-		a.Have = append(a.Have, &wire.Have{Key: k, Version: t.have[k]})
+func (t *table) ask(hold time.Duration) *wire.FollowRequest {
+	a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.Key, Packed: true}
+	for _, k := range []string{routingconfig.Key, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
+		a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.have[k]})
 	}
 	for _, k := range queue.Keys(t.have) {
 		if strings.HasPrefix(k, fleet.PlacementKey) && k != fleet.PlacementKey {
-			a.Have = append(a.Have, &wire.Have{Key: k, Version: t.have[k]})
+			a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.have[k]})
 		}
 	}
 	return a
@@ -72,15 +72,15 @@
 
 // hear takes a member's answer to a question that had plan version had, asked at an instant. It
 // tells whether there was news.
-func (t *table) hear(tell *wire.FollowTell, had uint64, asked, now time.Duration) (news bool, err error) {
+func (t *table) hear(tell *wire.FollowResponse, had uint64, asked, now time.Duration) (news bool, err error) {
 	var b errs.Batch
 	version := had
-	for _, d := range tell.Docs {
-		if d.GetKey() == plan.Key {
-			version = max(version, d.GetEpoch())
+	for _, d := range tell.Documents {
+		if d.GetKey() == routingconfig.Key {
+			version = max(version, d.GetVersion())
 		}
-		if t.known(d.GetKey()) && d.GetEpoch() > t.have[d.GetKey()] {
-			t.have[d.GetKey()] = d.GetEpoch()
+		if t.known(d.GetKey()) && d.GetVersion() > t.have[d.GetKey()] {
+			t.have[d.GetKey()] = d.GetVersion()
 			news = true
 			b.Note("document "+d.GetKey(), errs.Wrap(t.adopt(d, now), "read"))
 		}
@@ -91,7 +91,7 @@
 }
 
 func (t *table) known(key string) bool {
-	return key == plan.Key || key == fleet.WorkersKey || key == fleet.WeightsKey ||
+	return key == routingconfig.Key || key == fleet.WorkersKey || key == fleet.WeightsKey ||
 		strings.HasPrefix(key, fleet.PlacementKey) && key != fleet.PlacementKey
 }
 
@@ -104,18 +104,18 @@
 
 // adopt takes a newer document into use. Members tell committed ones alone. One that this program
 // can't read leaves the one before it in use, and a plan's proof then grows no more.
-func (t *table) adopt(d *wire.Doc, now time.Duration) error {
+func (t *table) adopt(d *wire.Document, now time.Duration) error {
 	d, err := fleet.Unpack(d)
 	if err != nil {
 		return err
 	}
 	switch d.Key {
-	case plan.Key:
+	case routingconfig.Key:
 		p, err := t.codec.Read(d.Body)
 		if err != nil {
 			return err
 		}
-		p.Version = d.Epoch // what was agreed on counts
+		p.Version = d.Version // what was agreed on counts
 		t.snap.Plan = p
 	case fleet.WorkersKey:
 		var w fleet.Table
@@ -130,7 +130,7 @@
 		}
 		t.name(w.Named, now)
 	default:
-		p, err := placement.Read(d.Body, d.Epoch)
+		p, err := placement.Read(d.Body, d.Version)
 		if err != nil {
 			return err
 		}
@@ -163,11 +163,11 @@
 }
 
 // see takes the roster's view and counts the edge machines. It tells whether any of that is news.
-func (t *table) see(v roster.View, now time.Duration) bool {
+func (t *table) see(v clustermembership.View, now time.Duration) bool {
 	alone := true
 	for _, n := range v.Nodes {
 		alone = alone && n.Role != "archive"
-		if n.Role == "runner" && n.State != roster.Gone {
+		if n.Role == "runner" && n.State != clustermembership.Gone {
 			t.edges[n.Name] = now
 		}
 	}
--- a/internal/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/plan"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -17,32 +17,32 @@
 // numbers is a form of plans that holds nothing but their number.
 type numbers struct{ reads int }
 
-func (c *numbers) Read(body []byte) (*plan.Plan, error) {
+func (c *numbers) Read(body []byte) (*routingconfig.Plan, error) {
 	c.reads++
 	v, err := strconv.ParseUint(string(body), 10, 64)
 	if err != nil {
 		return nil, errs.As(err, errs.BadInput, "not a number")
 	}
-	return &plan.Plan{Version: v}, nil
+	return &routingconfig.Plan{Version: v}, nil
 }
 
 func (*numbers) Merge(_, sent []byte, _ bool) ([]byte, uint64, error) { return sent, 0, nil }
 
-func planDoc(v uint64) *wire.Doc {
-	return &wire.Doc{Key: plan.Key, Epoch: v, Body: []byte(strconv.FormatUint(v, 10))}
+func planDoc(v uint64) *wire.Document {
+	return &wire.Document{Key: routingconfig.Key, Version: v, Body: []byte(strconv.FormatUint(v, 10))}
 }
 
-func doc(t *testing.T, key string, v uint64, body any) *wire.Doc {
+func doc(t *testing.T, key string, v uint64, body any) *wire.Document {
 	t.Helper()
 	b, err := json.Marshal(body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &wire.Doc{Key: key, Epoch: v, Body: b}
+	return &wire.Document{Key: key, Version: v, Body: b}
 }
 
-func tells(member string, same bool, docs ...*wire.Doc) *wire.FollowTell {
-	return &wire.FollowTell{Member: member, Same: same, Members: abc, MembersTerm: 1, MembersIndex: 1, Docs: docs}
+func tells(member string, same bool, docs ...*wire.Document) *wire.FollowResponse {
+	return &wire.FollowResponse{Member: member, NothingNewer: same, Members: abc, MembersTerm: 1, MembersIndex: 1, Documents: docs}
 }
 
 const start = time.Hour
@@ -53,7 +53,7 @@
 // twice, and a plan that was told is vouched for by its teller.
 func TestPlanNeverGoesBack(t *testing.T) {
 	type heard struct {
-		tell *wire.FollowTell
+		tell *wire.FollowResponse
 		had  uint64
 		at   time.Duration
 	}
@@ -72,14 +72,14 @@
 		for _, h := range l {
 			news, err := x.hear(h.tell, h.had, h.at, start+10)
 			told := uint64(0)
-			for _, d := range h.tell.Docs {
-				told = d.Epoch
+			for _, d := range h.tell.Documents {
+				told = d.Version
 			}
 			if err != nil || news != (told > top) {
 				t.Fatalf("%v: news %v, %v", l, news, err)
 			}
 			top = max(top, told)
-			if top > 0 && x.snap.Plan.Version != top || x.have[plan.Key] != top || x.snap.ProofAt < proof {
+			if top > 0 && x.snap.Plan.Version != top || x.have[routingconfig.Key] != top || x.snap.ProofAt < proof {
 				t.Fatalf("%v: plan %v in use, %d told, proof %v after %v", l, x.snap.Plan, top, x.snap.ProofAt, proof)
 			}
 			proof = x.snap.ProofAt
@@ -94,14 +94,14 @@
 	x := fresh()
 	x.hear(tells(abc[0], true, planDoc(2)), 0, start+1, start+1)
 	x.hear(tells(abc[1], true), 2, start+2, start+2)
-	bad := &wire.Doc{Key: plan.Key, Epoch: 3, Body: []byte("?")}
+	bad := &wire.Document{Key: routingconfig.Key, Version: 3, Body: []byte("?")}
 	if news, err := x.hear(tells(abc[0], true, bad), 2, start+3, start+3); !news || err == nil {
 		t.Fatalf("news %v, error %v", news, err)
 	}
 	x.hear(tells(abc[1], true, bad), 2, start+4, start+4)
 	x.hear(tells(abc[2], true), 3, start+5, start+5)
-	if x.snap.Plan.Version != 2 || x.snap.ProofAt != start+1 || x.have[plan.Key] != 3 {
-		t.Fatalf("plan %d, proof %v, asks with %d", x.snap.Plan.Version, x.snap.ProofAt, x.have[plan.Key])
+	if x.snap.Plan.Version != 2 || x.snap.ProofAt != start+1 || x.have[routingconfig.Key] != 3 {
+		t.Fatalf("plan %d, proof %v, asks with %d", x.snap.Plan.Version, x.snap.ProofAt, x.have[routingconfig.Key])
 	}
 	if r := x.codec.(*numbers).reads; r != 2 {
 		t.Fatalf("%d reads", r)
@@ -124,7 +124,7 @@
 	for _, h := range a.Have {
 		got[h.Key] = h.Version
 	}
-	if len(a.Have) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || a.Proof != plan.Key || a.HoldNs != 1e9 {
+	if len(a.Have) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || a.Proof != routingconfig.Key || a.HoldNs != 1e9 {
 		t.Fatalf("asks %v", a)
 	}
 	shown := x.snap
@@ -162,12 +162,12 @@
 	}
 }
 
-func nodes(edges int, gone int) (v roster.View) {
+func nodes(edges int, gone int) (v clustermembership.View) {
 	v.Nodes = append(v.Nodes, &wire.Node{Name: "archive/c", Role: "archive"})
 	for i := range edges {
 		n := &wire.Node{Name: "runner/" + strconv.Itoa(i), Role: "runner"}
 		if i < gone {
-			n.State = roster.Gone
+			n.State = clustermembership.Gone
 		}
 		v.Nodes = append(v.Nodes, n)
 	}
@@ -176,7 +176,7 @@
 
 func TestEdgesAreCountedWithThoseLatelyGone(t *testing.T) {
 	x := fresh()
-	x.see(roster.View{Nodes: []*wire.Node{{Name: "runner/0", Role: "runner"}}}, start+x.b.Leave(1))
+	x.see(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: "runner"}}}, start+x.b.Leave(1))
 	if x.snap.Edges != unheard {
 		t.Fatalf("alone: %d edges", x.snap.Edges)
 	}
--- a/internal/backend/backend.go
+++ b/internal/data/backend/backend.go
@@ -6,8 +6,8 @@
 	"context"
 	"time"
 
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/plan"
 )
 
 // Calls are the questions and orders.
@@ -84,6 +84,6 @@
 // (part), over the one in force and gives what is kept, and its version. What it kept is read
 // back exactly as it was sent.
 type Codec interface {
-	Read(body []byte) (*plan.Plan, error)
+	Read(body []byte) (*routingconfig.Plan, error)
 	Merge(old, sent []byte, part bool) (kept []byte, version uint64, err error)
 }
--- a/internal/dispatcher/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"bufio"
@@ -11,11 +11,11 @@
 	"pebbleloom/api/caller"
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/prefix"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
@@ -181,7 +181,7 @@
 }
 
 // pin gives the newest setup if it is proved fresh enough to follow.
-func (d *Dispatcher) pin(id string) (*feed.Snapshot, error) {
+func (d *Dispatcher) pin(id string) (*updatestream.Snapshot, error) {
 	s := d.fol.Now()
 	if d.stopping() {
 		return nil, deny(errs.NotRun, id, d.b.Setup(0.1), "this dispatcher is draining: ask another")
@@ -193,7 +193,7 @@
 }
 
 // current tells whether a pinned setup is still the newest, and proved so.
-func (d *Dispatcher) current(s *feed.Snapshot) bool {
+func (d *Dispatcher) current(s *updatestream.Snapshot) bool {
 	n := d.fol.Now()
 	return n.Epoch == s.Epoch && n.Fresh(d.clk.Now(), d.b.Setup(0.8))
 }
@@ -201,13 +201,13 @@
 // entries names a prompt's prefixes under each weights epoch that may still start. Which
 // ones may is asked anew every time; the names in have, made under the same setup, are used
 // again, since hashing a long prompt takes its time.
-func (d *Dispatcher) entries(s *feed.Snapshot, q *caller.Ask, tenant string, have map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
+func (d *Dispatcher) entries(s *updatestream.Snapshot, q *caller.Ask, tenant string, have map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
 	m := map[uint64][]prefix.Entry{}
 	on := target(s, q)
 	w := s.WeightsAt[on.Model]
 	service := s.Setup.Ways[q.Model].For(q.RequestID)
 	for _, x := range s.Workers {
-		if x.Service != service || x.State == feed.WorkerGone {
+		if x.Service != service || x.State == updatestream.WorkerGone {
 			continue
 		}
 		if x = under(x, on); x == nil {
@@ -230,7 +230,7 @@
 // until is the instant up to which a go may begin at a worker: the setup must be one that is
 // followed then, and the worker's weights ones that may start. The bounds themselves are a
 // little later; a worker that isn't told apart by its clock is held to them by the wait alone.
-func (d *Dispatcher) until(s *feed.Snapshot, q *caller.Ask, w *wire.Worker) time.Duration {
+func (d *Dispatcher) until(s *updatestream.Snapshot, q *caller.Ask, w *wire.Worker) time.Duration {
 	t := s.ProofAt + d.b.Setup(0.95)
 	if not, _, ok := s.WeightsAt[target(s, q).Model].Since(w.Weights); ok {
 		t = min(t, not+d.b.Weights(0.95))
@@ -249,7 +249,7 @@
 }
 
 // older tells how long superseded weights may still start; zero: no more.
-func (d *Dispatcher) older(w feed.Seen, weights uint64) time.Duration {
+func (d *Dispatcher) older(w updatestream.Seen, weights uint64) time.Duration {
 	not, _, ok := w.Since(weights)
 	if !ok || weights == 0 {
 		return 0
@@ -268,7 +268,7 @@
 }
 
 // pickWorker picks the worker of the next go.
-func (d *Dispatcher) pickWorker(s *feed.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
+func (d *Dispatcher) pickWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], target(s, q)
 	u := Query{ID: q.RequestID, Mode: modeOf(s.Setup, service), District: d.life.Place.District, Entries: d.entries(s, q, tenant, es), Found: found,
 		Tried: tried, Newest: s.WeightsAt[on.Model].Weights, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
@@ -277,10 +277,10 @@
 	}
 	now := d.clk.Now()
 	for _, w := range s.Workers {
-		if w.Kind == "store" && w.State == feed.WorkerUp {
+		if w.Kind == "store" && w.State == updatestream.WorkerUp {
 			u.Stores[w.Name] = w.Addr
 		}
-		if x := under(w, on); x != nil && w.Service == service && w.State <= feed.WorkerUnsure {
+		if x := under(w, on); x != nil && w.Service == service && w.State <= updatestream.WorkerUnsure {
 			u.Workers = append(u.Workers, x)
 		}
 	}
@@ -314,7 +314,7 @@
 	return c, nil
 }
 
-func modeOf(s *setup.Setup, service string) string {
+func modeOf(s *serviceconfig.Setup, service string) string {
 	if m := s.Services[service].Placement; m != "" {
 		return m
 	}
@@ -323,7 +323,7 @@
 
 // start begins a go and waits for its first line. Where it fails, notRun is the proof that
 // the go never started.
-func (d *Dispatcher) start(ctx context.Context, s *feed.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
+func (d *Dispatcher) start(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
 	ctx, stop := context.WithCancel(ctx)
 	w := c.Worker
 	o := &stream{d: d, id: q.RequestID, worker: w.Name, district: w.District, began: d.clk.Now(), stop: stop, snap: s}
@@ -357,7 +357,7 @@
 // watch gives up a go whose worker has gone: its silence is not waited out.
 func (d *Dispatcher) watch(o *stream, w *wire.Worker, stop func()) {
 	for _, x := range d.fol.Now().Workers {
-		if x.Name == w.Name && x.Addr == w.Addr && x.State != feed.WorkerGone && (x.Incarnation == w.Incarnation || w.Incarnation == "") {
+		if x.Name == w.Name && x.Addr == w.Addr && x.State != updatestream.WorkerGone && (x.Incarnation == w.Incarnation || w.Incarnation == "") {
 			o.again(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
 			return
 		}
--- a/internal/dispatcher/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"bytes"
@@ -18,14 +18,14 @@
 	"pebbleloom/api/caller"
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/fares"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/setup"
+	"pebbleloom/internal/sim/loadgen"
 	"pebbleloom/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 	mu      sync.Mutex
 	starts  map[string]int // goes that reached a worker and began, by request
 	granted map[string]bool
-	snap    *feed.Snapshot
+	snap    *updatestream.Snapshot
 	clk     *clock.Hand
 	started func() // called when a go has begun; mu is held
 }
@@ -128,9 +128,9 @@
 	p := settings.Place{Name: "edge-1", District: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
 	b := &bench{starts: map[string]int{}, granted: map[string]bool{}, clk: &clock.Hand{T: time.Hour}}
-	b.snap = &feed.Snapshot{Epoch: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]feed.Seen{"m": {Weights: 1}},
-		Setup: (&setup.Setup{Tenants: map[string]setup.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]setup.Model{"m": {Weights: 1}},
-			Services: map[string]setup.Service{"s": {Model: "m"}}, Ways: map[string]setup.Way{"m": {Service: "s"}}}).Ready()}
+	b.snap = &updatestream.Snapshot{Epoch: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.Seen{"m": {Weights: 1}},
+		Setup: (&serviceconfig.Setup{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
+			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Ways: map[string]serviceconfig.Way{"m": {Service: "s"}}}).Ready()}
 	for i, m := range modes {
 		n := fmt.Sprintf("w%d", i)
 		addr := ""
@@ -152,7 +152,7 @@
 	d.gate = queue.NewDesk(newGate(), 64)
 	d.gate.Ask(func(g *gate) { d.tries(g, "s").saved = 1 }) // as after a few requests
 	d.index = newIndex(l, b.clk)
-	d.fol = feed.Fixed(func() *feed.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snap })
+	d.fol = updatestream.Fixed(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snap })
 	srv, err := caller.NewServer(d, caller.WithErrorHandler(turnAway))
 	if err != nil {
 		t.Fatal(err)
@@ -168,9 +168,9 @@
 	return b.starts[id]
 }
 
-func (b *bench) ask(id string, once bool) fares.Outcome {
-	q := fares.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
-	return fares.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
+func (b *bench) ask(id string, once bool) loadgen.Outcome {
+	q := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
+	return loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
 }
 
 // A worker dies, refuses or misbehaves at every step of a go, and the other worker is well
@@ -256,12 +256,12 @@
 		kind string
 	}{
 		"the proof is too old":    {func(b *bench) { b.clk.T += settings.Default().Setup(0.81) }, "not-run"},
-		"there is no setup":       {func(b *bench) { b.snap = &feed.Snapshot{} }, "not-run"},
+		"there is no setup":       {func(b *bench) { b.snap = &updatestream.Snapshot{} }, "not-run"},
 		"the key is unknown":      {func(b *bench) { b.snap.Setup.Tenants = nil; b.snap.Setup.Ready() }, "bad-key"},
 		"no way leads there":      {func(b *bench) { b.snap.Setup.Ways = nil }, "no-such-model"},
-		"all workers are leaving": {func(b *bench) { b.snap.Workers[0].State = feed.WorkerDraining }, "not-run"},
+		"all workers are leaving": {func(b *bench) { b.snap.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
 		"older weights alone": {func(b *bench) {
-			b.snap.WeightsAt = map[string]feed.Seen{"m": {Weights: 2}}
+			b.snap.WeightsAt = map[string]updatestream.Seen{"m": {Weights: 2}}
 		}, "not-run"},
 	} {
 		b := newBench(t, "well")
@@ -271,7 +271,7 @@
 		}
 	}
 	b := newBench(t, "well")
-	b.snap.WeightsAt = map[string]feed.Seen{"m": {Weights: 2, Past: []feed.Seen{{Weights: 1, Until: time.Hour - time.Second}}}}
+	b.snap.WeightsAt = map[string]updatestream.Seen{"m": {Weights: 2, Past: []updatestream.Seen{{Weights: 1, Until: time.Hour - time.Second}}}}
 	if o := b.ask("r", true); !o.Sealed {
 		t.Errorf("older weights within their bound: %+v", o)
 	}
@@ -280,15 +280,15 @@
 // A go that may have run is followed by a denial for another reason: the caller still has to
 // hear that it may have run, and not a kind that says it didn't.
 func TestWhatMayHaveRunIsNeverDeniedAsNotRun(t *testing.T) {
-	for name, change := range map[string]func(*feed.Snapshot){
-		"the key is taken out of force": func(s *feed.Snapshot) { s.Setup = (&setup.Setup{}).Ready() },
-		"the way is taken away": func(s *feed.Snapshot) {
+	for name, change := range map[string]func(*updatestream.Snapshot){
+		"the key is taken out of force": func(s *updatestream.Snapshot) { s.Setup = (&serviceconfig.Setup{}).Ready() },
+		"the way is taken away": func(s *updatestream.Snapshot) {
 			c := *s.Setup
 			c.Ways = nil
 			s.Setup = c.Ready()
 		},
-		"the proof gets too old": func(s *feed.Snapshot) { s.ProofAt = time.Minute },
-		"the workers leave":      func(s *feed.Snapshot) { s.Workers = nil },
+		"the proof gets too old": func(s *updatestream.Snapshot) { s.ProofAt = time.Minute },
+		"the workers leave":      func(s *updatestream.Snapshot) { s.Workers = nil },
 	} {
 		b := newBench(t, "dies-before", "dies-before")
 		b.started = func() {
--- a/internal/dispatcher/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"time"
 
 	"pebbleloom/api/caller"
-	"pebbleloom/internal/fares"
-	"pebbleloom/internal/feed"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/settings"
+	"pebbleloom/internal/sim/loadgen"
 	"pebbleloom/internal/wire"
 )
 
@@ -39,7 +39,7 @@
 func TestUntilWhenAGoMayBegin(t *testing.T) {
 	b := newBench(t, "well")
 	bounds, now := settings.Default(), b.clk.Now()
-	b.snap.WeightsAt = map[string]feed.Seen{"m": {Weights: 3, Past: []feed.Seen{{Weights: 1, Until: now - bounds.Weights(0.9)}, {Weights: 2, Until: now}}}}
+	b.snap.WeightsAt = map[string]updatestream.Seen{"m": {Weights: 3, Past: []updatestream.Seen{{Weights: 1, Until: now - bounds.Weights(0.9)}, {Weights: 2, Until: now}}}}
 	q := &caller.Ask{Model: "m"}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
@@ -57,7 +57,7 @@
 	b.snap.Workers[0].Weights = 3
 	none, looks := *b.snap, 0
 	none.Workers = nil
-	b.d.fol = feed.Fixed(func() *feed.Snapshot {
+	b.d.fol = updatestream.Fixed(func() *updatestream.Snapshot {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if looks++; looks > 10 { // the worker leaves while the request waits
@@ -77,8 +77,8 @@
 	b.d.gate.Ask(func(g *gate) { g.worker("w0").goes, g.meanUs = 40, 1000 })
 	b.snap.ProofAt = b.clk.Now() - settings.Default().Setup(0.799)
 	b.d.b.SetupMs = 1684 // the proof just holds, and no queue fits before its end
-	q := fares.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
-	o := fares.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
+	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
+	o := loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
 	if o.Denied != "not-run" || b.began("r") > 0 {
 		t.Errorf("%s %s", o.Denied, o.Message)
 	}
--- a/internal/dispatcher/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 	"sync/atomic"
 	"time"
 
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/link"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/wire"
 )
 
@@ -26,8 +26,8 @@
 // can't run through two dispatchers. Ids are spread over the parts; what waits for a part
 // goes into one command.
 type claimer struct {
-	ctl   *link.Control
-	rings [link.Parts]*queue.Ring[claim]
+	ctl   *controlclient.Client
+	rings [controlclient.Shards]*queue.Ring[claim]
 	last  atomic.Uint64
 	hold  time.Duration
 }
@@ -48,14 +48,14 @@
 	return h[:16]
 }
 
-func newClaimer(l *daemon.Life, fol func() *feed.Snapshot, calls *daemon.Calls, inc uint64) *claimer {
-	view := func() roster.View {
+func newClaimer(l *daemon.Life, fol func() *updatestream.Snapshot, calls *daemon.Calls, inc uint64) *claimer {
+	view := func() clustermembership.View {
 		if s := fol(); s != nil {
-			return roster.View{Nodes: s.Nodes}
+			return clustermembership.View{Nodes: s.Nodes}
 		}
-		return roster.View{}
+		return clustermembership.View{}
 	}
-	c := &claimer{ctl: link.New(l.Place.Core, view, calls, l.Place.Bounds), hold: l.Place.Bounds.Heal(1.0 / 6)}
+	c := &claimer{ctl: controlclient.New(l.Place.Core, view, calls, l.Place.Bounds), hold: l.Place.Bounds.Heal(1.0 / 6)}
 	c.last.Store(inc) // a nonce is never used again, also not by a later life
 	for i := range c.rings {
 		c.rings[i] = queue.NewRing[claim](l.Place.Bounds.Waiting)
@@ -86,7 +86,7 @@
 }
 
 func (c *claimer) ring(id []byte) *queue.Ring[claim] {
-	return c.rings[1+binary.LittleEndian.Uint64(id)%(link.Parts-1)]
+	return c.rings[1+binary.LittleEndian.Uint64(id)%(controlclient.Shards-1)]
 }
 
 // run carries one part's claims, one command at a time; what comes meanwhile joins the next.
@@ -102,7 +102,7 @@
 				cs.List = append(cs.List, y.c)
 			}
 			one, end := context.WithTimeout(ctx, c.hold)
-			t, err := c.ctl.Change(one, &wire.ChangeAsk{Part: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
+			t, err := c.ctl.Change(one, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
 			end()
 			if err == nil && len(t.Granted) != len(l) {
 				err = errs.New(errs.Inside, "%d claims, %d answers", len(l), len(t.Granted))
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/data/callerproxy/dispatcher.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"pebbleloom/api/caller"
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/placement"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -34,7 +34,7 @@
 	life   *daemon.Life
 	b      settings.Bounds
 	clk    clock.Clock
-	fol    *feed.Follower
+	fol    *updatestream.Follower
 	gate   *queue.Desk[gate]
 	index  *index
 	claims claims
@@ -70,7 +70,7 @@
 	l.Until(d.be.Close)
 	d.index = newIndex(l, d.clk)
 	calls := daemon.NewCalls(l)
-	d.fol = feed.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.Runner(l.Place.Runner) }, d.b.Setup(0.1), d.goes, func(s *feed.Snapshot) {
+	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.Runner(l.Place.Runner) }, d.b.Setup(0.1), d.goes, func(s *updatestream.Snapshot) {
 		d.index.follow(s.Nodes)
 		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Setup(0.8)))
 	})
@@ -107,10 +107,10 @@
 }
 
 // up tells whether any service that a way leads to has a worker up.
-func up(s *feed.Snapshot) bool {
+func up(s *updatestream.Snapshot) bool {
 	has := map[string]bool{}
 	for _, w := range s.Workers {
-		has[w.Service] = has[w.Service] || w.State == feed.WorkerUp
+		has[w.Service] = has[w.Service] || w.State == updatestream.WorkerUp
 	}
 	for _, w := range s.Setup.Ways {
 		if has[w.Service] {
@@ -141,15 +141,15 @@
 
 // allowance is this edge's part of the extra tries that a service may save up. Edges that are
 // gone count too, as long as they are remembered: one that is only cut off has its part still.
-func (d *Dispatcher) allowance(g *gate, s *feed.Snapshot) float64 {
+func (d *Dispatcher) allowance(g *gate, s *updatestream.Snapshot) float64 {
 	g.edges = max(g.edges, edges(s, true))
 	return part(float64(d.b.TryAllow), g.edges)
 }
 
 // edges counts the edge machines that a snapshot knows; gone ones where asked for.
-func edges(s *feed.Snapshot, gone bool) (n int) {
+func edges(s *updatestream.Snapshot, gone bool) (n int) {
 	for _, x := range s.Nodes {
-		if x.Role == "runner" && (gone || x.State < roster.Gone) {
+		if x.Role == "runner" && (gone || x.State < clustermembership.Gone) {
 			n++
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // learn takes what a fetch has shown of its link.
-func (d *Dispatcher) learn(g *gate, s *feed.Snapshot, p *contract.Piece, district string) {
+func (d *Dispatcher) learn(g *gate, s *updatestream.Snapshot, p *contract.Piece, district string) {
 	class, to := "far", &d.far
 	for _, w := range s.Workers {
 		if w.Addr != p.FetchAddr {
@@ -277,7 +277,7 @@
 	SaveTo    string  `json:"save_to,omitempty"`
 }
 
-func (d *Dispatcher) decided(id string, s *feed.Snapshot, c Choice) {
+func (d *Dispatcher) decided(id string, s *updatestream.Snapshot, c Choice) {
 	x := Decision{Request: id, Worker: c.Worker.Name, Setup: s.Epoch, Hit: c.Hit, Fetch: c.Fetch, WaitUs: c.Wait, CostUs: c.Cost, Hot: c.Hot, Home: c.Home, SaveTo: c.Saves,
 		Session: c.Session, Fetches: c.Fetches, Machine: d.life.Place.Name}
 	if p := s.Placements[c.Worker.Service]; p != nil {
--- a/internal/dispatcher/gate.go
+++ b/internal/data/callerproxy/gate.go
@@ -1,11 +1,11 @@
-package dispatcher
+package callerproxy
 
 import (
 	"maps"
 	"time"
 
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
@@ -42,7 +42,7 @@
 
 // admit takes a request in, or says why not and when to come back. A tenant's budget is the
 // site's: each of the living edges has its part of it.
-func (g *gate) admit(tenant string, t setup.Tenant, most, edges int, now time.Duration) (k *errs.Kind, why string, back time.Duration) {
+func (g *gate) admit(tenant string, t serviceconfig.Tenant, most, edges int, now time.Duration) (k *errs.Kind, why string, back time.Duration) {
 	if g.inflight >= most {
 		return errs.Overloaded, "this dispatcher holds as many requests as it may", time.Duration(g.meanUs) * time.Microsecond
 	}
--- a/internal/dispatcher/index.go
+++ b/internal/data/callerproxy/index.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 	"sync/atomic"
 	"time"
 
-	"pebbleloom/internal/catalogue"
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -25,7 +25,7 @@
 // index asks the catalogue in batches and feeds it the accesses that this dispatcher has seen.
 type index struct {
 	ring   *queue.Ring[question]
-	shards atomic.Pointer[catalogue.Shards]
+	shards atomic.Pointer[promptindex.Shards]
 	calls  *daemon.Calls
 	b      settings.Bounds
 	wait   time.Duration
@@ -71,12 +71,12 @@
 	var now []string
 	for _, n := range nodes {
 		if n.Role == "catalogue" {
-			now = append(now, fmt.Sprintf("%s %s %v", n.Name, n.Addr, n.State < roster.Gone))
+			now = append(now, fmt.Sprintf("%s %s %v", n.Name, n.Addr, n.State < clustermembership.Gone))
 		}
 	}
 	if s := strings.Join(now, "\n"); s != x.laid {
 		x.laid = s
-		x.shards.Store(catalogue.NewShards(nodes))
+		x.shards.Store(promptindex.NewShards(nodes))
 	}
 }
 
--- a/internal/dispatcher/meters.go
+++ b/internal/data/callerproxy/meters.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import "pebbleloom/internal/daemon"
 
--- a/internal/dispatcher/pick.go
+++ b/internal/data/callerproxy/pick.go
@@ -1,13 +1,13 @@
-package dispatcher
+package callerproxy
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/wire"
 )
 
@@ -78,7 +78,7 @@
 	mean, n := 0.0, 0
 	for _, w := range q.Workers {
 		addr[w.Name], district[w.Name] = w.Addr, w.District
-		if w.State == feed.WorkerUp {
+		if w.State == updatestream.WorkerUp {
 			names = append(names, w.Name)
 			mean += q.Load(w.Name)
 			n++
@@ -94,7 +94,7 @@
 	homes := map[uint64]leaning{} // what a prompt leans to is the same for all workers of one weights epoch
 	for _, w := range q.Workers {
 		es, ok := q.Entries[w.Weights]
-		if !ok || q.Tried[w.Name] || w.State != feed.WorkerUp || q.aside(w) {
+		if !ok || q.Tried[w.Name] || w.State != updatestream.WorkerUp || q.aside(w) {
 			continue
 		}
 		o := q.weigh(w, es, holders, addr, district)
--- a/internal/dispatcher/pick_test.go
+++ b/internal/data/callerproxy/pick_test.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/wire"
 )
 
--- a/internal/dispatcher/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"time"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/feed"
 )
 
 // stream passes a worker's lines on, one by one, each checked. It ends well only after the
@@ -19,7 +19,7 @@
 	id       string
 	worker   string
 	district string
-	snap     *feed.Snapshot
+	snap     *updatestream.Snapshot
 	began    time.Duration
 	body     io.ReadCloser
 	r        *bufio.Reader
--- a/internal/dispatcher/target.go
+++ b/internal/data/callerproxy/target.go
@@ -1,25 +1,25 @@
-package dispatcher
+package callerproxy
 
 import (
 	"pebbleloom/api/caller"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/prefix"
-	"pebbleloom/internal/setup"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/wire"
 )
 
 // target is the set of weights that answers a request under a setup; where no route leads there,
 // what was asked for.
-func target(s *feed.Snapshot, q *caller.Ask) setup.Target {
+func target(s *updatestream.Snapshot, q *caller.Ask) serviceconfig.Target {
 	if t, ok := s.Setup.Target(q.Model, q.RequestID); ok {
 		return t
 	}
-	return setup.Target{Model: q.Model}
+	return serviceconfig.Target{Model: q.Model}
 }
 
 // under shows a worker as it stands to a set of weights: with the version that it has of the base.
 // Nil: it hasn't the base, or not that build of the adapter, so it gets no such request.
-func under(w *wire.Worker, t setup.Target) *wire.Worker {
+func under(w *wire.Worker, t serviceconfig.Target) *wire.Worker {
 	if len(w.Loaded) == 0 {
 		if t.Adapter != "" || w.Model != "" && w.Model != t.Model {
 			return nil
@@ -41,6 +41,6 @@
 }
 
 // chain names a prompt's prefixes under one set of weights.
-func chain(s *feed.Snapshot, t setup.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
+func chain(s *updatestream.Snapshot, t serviceconfig.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
 	return prefix.Chain(s.Setup.Domain(tenant), prefix.Under(t.Model, t.Adapter, t.Build), weights, parts)
 }
--- a/internal/dispatcher/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -1,11 +1,11 @@
-package dispatcher
+package callerproxy
 
 import (
 	"testing"
 
 	"pebbleloom/api/caller"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/setup"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/wire"
 )
 
@@ -17,21 +17,21 @@
 		{Model: "lector", Weights: 4, Adapters: map[string]uint64{"rare": 1}}, {Model: "lector-2", Weights: 2, Adapters: map[string]uint64{"rare-2": 7}}}}
 	for name, x := range map[string]struct {
 		w    *wire.Worker
-		t    setup.Target
+		t    serviceconfig.Target
 		want uint64 // the weights it stands on; 0: not at all
 	}{
-		"its one model":                   {old, setup.Target{Model: "lector"}, 4},
-		"another model":                   {old, setup.Target{Model: "lector-2"}, 0},
-		"an adapter it says nothing of":   {old, setup.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
-		"the first of two":                {both, setup.Target{Model: "lector"}, 4},
-		"the second of two":               {both, setup.Target{Model: "lector-2"}, 2},
-		"an adapter on the first":         {both, setup.Target{Model: "lector", Adapter: "rare", Build: 1}, 4},
-		"an adapter on the second":        {both, setup.Target{Model: "lector-2", Adapter: "rare-2", Build: 7}, 2},
-		"another build of it":             {both, setup.Target{Model: "lector-2", Adapter: "rare-2", Build: 8}, 0},
-		"an adapter on the other base":    {both, setup.Target{Model: "lector", Adapter: "rare-2", Build: 7}, 0},
-		"no build at all":                 {both, setup.Target{Model: "lector", Adapter: "none"}, 0},
-		"a worker that isn't known yet":   {&wire.Worker{}, setup.Target{Model: "lector"}, 0},
-		"an adapter on an unknown worker": {&wire.Worker{}, setup.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
+		"its one model":                   {old, serviceconfig.Target{Model: "lector"}, 4},
+		"another model":                   {old, serviceconfig.Target{Model: "lector-2"}, 0},
+		"an adapter it says nothing of":   {old, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
+		"the first of two":                {both, serviceconfig.Target{Model: "lector"}, 4},
+		"the second of two":               {both, serviceconfig.Target{Model: "lector-2"}, 2},
+		"an adapter on the first":         {both, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 4},
+		"an adapter on the second":        {both, serviceconfig.Target{Model: "lector-2", Adapter: "rare-2", Build: 7}, 2},
+		"another build of it":             {both, serviceconfig.Target{Model: "lector-2", Adapter: "rare-2", Build: 8}, 0},
+		"an adapter on the other base":    {both, serviceconfig.Target{Model: "lector", Adapter: "rare-2", Build: 7}, 0},
+		"no build at all":                 {both, serviceconfig.Target{Model: "lector", Adapter: "none"}, 0},
+		"a worker that isn't known yet":   {&wire.Worker{}, serviceconfig.Target{Model: "lector"}, 0},
+		"an adapter on an unknown worker": {&wire.Worker{}, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
 	} {
 		got := uint64(0)
 		if y := under(x.w, x.t); y != nil {
@@ -51,9 +51,9 @@
 // A route's requests are moved by share, each id always the same way, and the keys of what one set of
 // weights has made are no other's.
 func TestRequestsAreMovedByShare(t *testing.T) {
-	s := &feed.Snapshot{Setup: (&setup.Setup{Models: map[string]setup.Model{"a": {Weights: 1}, "b": {Weights: 1}},
-		Adapters: map[string]setup.Adapter{"r": {Base: "a", Build: 1}, "r2": {Base: "b", Build: 1}},
-		Ways:     map[string]setup.Way{"r": {Service: "s", Move: "r2", Moved: 30}}}).Ready()}
+	s := &updatestream.Snapshot{Setup: (&serviceconfig.Setup{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
+		Adapters: map[string]serviceconfig.Adapter{"r": {Base: "a", Build: 1}, "r2": {Base: "b", Build: 1}},
+		Ways:     map[string]serviceconfig.Way{"r": {Service: "s", Move: "r2", Moved: 30}}}).Ready()}
 	moved := 0
 	for i := range 1000 {
 		q := &caller.Ask{Model: "r", RequestID: string(rune(i + 32))}
@@ -69,7 +69,7 @@
 		t.Errorf("%d of 1000 moved, 300 are due", moved)
 	}
 	seen := map[string]bool{}
-	for _, x := range []setup.Target{{Model: "a"}, {Model: "b"}, {Model: "a", Adapter: "r", Build: 1}, {Model: "a", Adapter: "r", Build: 2}, {Model: "b", Adapter: "r", Build: 1}} {
+	for _, x := range []serviceconfig.Target{{Model: "a"}, {Model: "b"}, {Model: "a", Adapter: "r", Build: 1}, {Model: "a", Adapter: "r", Build: 2}, {Model: "b", Adapter: "r", Build: 1}} {
 		k := chain(s, x, "t", 1, []string{"p"})[0].Key.String()
 		if seen[k] {
 			t.Errorf("%+v has another's key", x)
--- a/internal/dispatcher/tries.go
+++ b/internal/data/callerproxy/tries.go
@@ -1,4 +1,4 @@
-package dispatcher
+package callerproxy
 
 // Tries bounds the extra tries of one service: each first go earns a share of an extra one,
 // and no more than the allowance is ever saved up. So in any window whatever, wherever it
--- a/internal/seek/count.go
+++ b/internal/data/indexclient/count.go
@@ -1,10 +1,10 @@
-package seek
+package indexclient
 
 import (
 	"context"
 	"time"
 
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/wire"
 )
 
--- a/internal/seek/seek.go
+++ b/internal/data/indexclient/seek.go
@@ -1,6 +1,6 @@
-// Package seek is how an edge machine asks the index who holds the parts of prompts, and tells it
+// Package indexclient is how an edge machine asks the index who holds the parts of prompts, and tells it
 // what was routed where. A late or missing answer is a miss: no request waits for the index.
-package seek
+package indexclient
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"pebbleloom/internal/catalogue"
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
@@ -221,7 +221,7 @@
 			if !r.t.Warm && len(r.t.Found[i].Holders) == 0 {
 				continue // it can't say yet that nobody holds it
 			}
-			got[k], sure[k] = catalogue.Join(got[k], r.t.Found[i]), r.t.Warm
+			got[k], sure[k] = promptindex.Join(got[k], r.t.Found[i]), r.t.Warm
 		}
 	}
 }
--- a/internal/seek/seek_test.go
+++ b/internal/data/indexclient/seek_test.go
@@ -1,4 +1,4 @@
-package seek
+package indexclient
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
-	"pebbleloom/internal/catalogue"
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -61,7 +61,7 @@
 	for _, k := range a.Keys {
 		f := &wire.Found{}
 		if h := n.x.held[prefix.Key(k)]; h != "" && mood != "cold" {
-			f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: catalogue.Confirmed})
+			f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: promptindex.Confirmed})
 		}
 		t.Found = append(t.Found, f)
 	}
@@ -97,7 +97,7 @@
 	x.told = map[string][]*wire.CountAsk{}
 	synctest.Test(t, func(t *testing.T) {
 		ns := nodes()
-		serving := catalogue.Serving(ns)
+		serving := promptindex.Serving(ns)
 		w := daemon.World{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "edge", settings.Place{Name: "edge-1", District: serving[1].District, Bounds: settings.Default(), Extra: []string{"log=off"}})
 		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.Catalogue { return node{x, addr} })
@@ -112,7 +112,7 @@
 	synctest.Wait()
 }
 
-func key(i int) prefix.Key { return catalogue.KeyOf("s", fmt.Sprint(i)) }
+func key(i int) prefix.Key { return promptindex.KeyOf("s", fmt.Sprint(i)) }
 
 func keys(n int) (l []prefix.Key) {
 	for i := range n {
--- a/internal/seek/table.go
+++ b/internal/data/indexclient/table.go
@@ -1,4 +1,4 @@
-package seek
+package indexclient
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"pebbleloom/internal/catalogue"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
@@ -29,7 +29,7 @@
 	s      *Seeker
 	seen   []*wire.Node // that the layout was made of
 	laid   string
-	shards *catalogue.Shards
+	shards *promptindex.Shards
 	near   map[string]bool          // index nodes of this district
 	late   map[string]time.Duration // until then
 	probe  map[string]time.Duration // a late one isn't asked before
@@ -42,13 +42,13 @@
 }
 
 // lay lays the shards out anew when the index nodes have changed.
-func (t *table) lay() *catalogue.Shards {
+func (t *table) lay() *promptindex.Shards {
 	nodes := t.s.nodes()
 	if t.shards != nil && len(nodes) == len(t.seen) && (len(nodes) == 0 || &nodes[0] == &t.seen[0]) {
 		return t.shards
 	}
 	t.seen = nodes
-	serving := catalogue.Serving(nodes)
+	serving := promptindex.Serving(nodes)
 	var now strings.Builder
 	for _, n := range serving {
 		fmt.Fprintf(&now, "%s %s\n", n.Name, n.Addr)
@@ -56,7 +56,7 @@
 	if t.shards != nil && now.String() == t.laid {
 		return t.shards
 	}
-	t.laid, t.shards = now.String(), catalogue.NewShards(serving)
+	t.laid, t.shards = now.String(), promptindex.NewShards(serving)
 	clear(t.near)
 	clear(t.late)
 	clear(t.probe)
--- a/internal/seek/warm_test.go
+++ b/internal/data/indexclient/warm_test.go
@@ -1,10 +1,10 @@
-package seek
+package indexclient
 
 import (
 	"context"
 	"testing"
 
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/wire"
 )
 
--- a/internal/runner/fresh.go
+++ b/internal/data/nodeagent/fresh.go
@@ -1,7 +1,7 @@
-// Package runner is the agent on each edge machine: it keeps the link to the control
+// Package nodeagent is the agent on each edge machine: it keeps the link to the control
 // state, proves that the setup in use is fresh, watches the workers, and feeds the
 // processes beside it over loopback.
-package runner
+package nodeagent
 
 import (
 	"time"
@@ -19,7 +19,7 @@
 
 // vouched is a setup with those who vouch for it.
 type vouched struct {
-	doc  *wire.Doc
+	doc  *wire.Document
 	same map[string]vouch
 }
 
@@ -28,7 +28,7 @@
 type vouch struct {
 	asked time.Duration
 	inc   string
-	known []*wire.Known
+	known []*wire.KnownIncarnation
 }
 
 // knows tells whether another's life counts for this one.
@@ -49,28 +49,28 @@
 // Epoch is what to ask with: the newest setup heard of, in use already or not.
 //
 // Example: ask.Have = f.Epoch()
-func (f *Fresh) Epoch() uint64 { return max(f.cur.doc.GetEpoch(), f.next.doc.GetEpoch()) }
+func (f *Fresh) Epoch() uint64 { return max(f.cur.doc.GetVersion(), f.next.doc.GetVersion()) }
 
 // Hear takes a member's answer to a question asked at an instant with an epoch. It tells
 // whether the setup in use has changed.
 //
 // Example: changed := f.Hear("core-1", 7, askedAt, tell)
-func (f *Fresh) Hear(member string, have uint64, asked time.Duration, t *wire.NewsTell) bool {
+func (f *Fresh) Hear(member string, have uint64, asked time.Duration, t *wire.WatchResponse) bool {
 	top := &f.cur
 	if f.next.doc != nil {
 		top = &f.next
 	}
 	switch t.Outcome {
 	case "news":
-		if t.Doc.GetEpoch() > f.Epoch() {
-			f.next = vouched{t.Doc, map[string]vouch{}}
+		if t.Document.GetVersion() > f.Epoch() {
+			f.next = vouched{t.Document, map[string]vouch{}}
 			top = &f.next
 		}
-		if t.Settled && t.Doc.GetEpoch() == top.doc.GetEpoch() {
+		if t.NothingNewer && t.Document.GetVersion() == top.doc.GetVersion() {
 			top.add(member, asked, t)
 		}
 	case "same":
-		if have == top.doc.GetEpoch() {
+		if have == top.doc.GetVersion() {
 			top.add(member, asked, t)
 		}
 	}
@@ -81,9 +81,9 @@
 	return false
 }
 
-func (v *vouched) add(member string, asked time.Duration, t *wire.NewsTell) {
+func (v *vouched) add(member string, asked time.Duration, t *wire.WatchResponse) {
 	if asked > v.same[member].asked {
-		v.same[member] = vouch{asked, t.Incarnation, t.Known}
+		v.same[member] = vouch{asked, t.Incarnation, t.KnownIncarnations}
 	}
 }
 
@@ -110,4 +110,4 @@
 // Doc is the setup document in use.
 //
 // Example: s, err := setup.Read(f.Doc().Body)
-func (f *Fresh) Doc() *wire.Doc { return f.cur.doc }
+func (f *Fresh) Doc() *wire.Document { return f.cur.doc }
--- a/internal/runner/fresh_test.go
+++ b/internal/data/nodeagent/fresh_test.go
@@ -1,4 +1,4 @@
-package runner
+package nodeagent
 
 import (
 	"sort"
@@ -6,21 +6,21 @@
 	"time"
 
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/feed"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
 
-func same() *wire.NewsTell { return &wire.NewsTell{Outcome: "same"} }
-func news(e uint64, settled bool) *wire.NewsTell {
-	return &wire.NewsTell{Outcome: "news", Settled: settled, Doc: &wire.Doc{Epoch: e, Body: []byte("x")}}
+func same() *wire.WatchResponse { return &wire.WatchResponse{Outcome: "same"} }
+func news(e uint64, settled bool) *wire.WatchResponse {
+	return &wire.WatchResponse{Outcome: "news", NothingNewer: settled, Document: &wire.Document{Version: e, Body: []byte("x")}}
 }
 
 type answer struct {
 	m     string
 	have  uint64
 	asked time.Duration
-	t     *wire.NewsTell
+	t     *wire.WatchResponse
 }
 
 func everyOrder(l []answer, f func([]answer)) (n int) {
@@ -54,7 +54,7 @@
 			f.Hear(a.m, a.have, a.asked, a.t)
 			if a.t.Outcome == "news" {
 				seen = 2
-				if a.t.Settled {
+				if a.t.NothingNewer {
 					vouch[2][a.m] = max(vouch[2][a.m], a.asked)
 				}
 			} else if a.have == seen {
@@ -69,11 +69,11 @@
 				ts = append(ts, x)
 			}
 			sort.Slice(ts, func(i, j int) bool { return ts[i] > ts[j] })
-			if f.Doc().Epoch != use || f.Proof() != ts[1] {
-				t.Fatalf("after %v: epoch %d with proof %d, want %d with %d", l, f.Doc().Epoch, f.Proof(), use, ts[1])
+			if f.Doc().Version != use || f.Proof() != ts[1] {
+				t.Fatalf("after %v: epoch %d with proof %d, want %d with %d", l, f.Doc().Version, f.Proof(), use, ts[1])
 			}
 		}
-		if f.Doc().Epoch == 2 {
+		if f.Doc().Version == 2 {
 			adopted++
 		}
 	})
@@ -88,7 +88,7 @@
 	for i := range 5 {
 		f.Hear("a", 1, time.Duration(10+i), same())
 	}
-	f.Hear("b", 1, 20, &wire.NewsTell{Outcome: "cant-say"})
+	f.Hear("b", 1, 20, &wire.WatchResponse{Outcome: "cant-say"})
 	if f.Proof() != 0 || f.Doc() != nil {
 		t.Fatalf("one member's word was taken for a majority's: %d", f.Proof())
 	}
@@ -120,24 +120,24 @@
 		now  time.Duration
 		want int
 	}{
-		{"listed and probed", func(*Workers) {}, at(0.1), int(feed.WorkerUp)},
-		{"silent for longer than the ratio", func(*Workers) {}, at(0.7), int(feed.WorkerGone)},
+		{"listed and probed", func(*Workers) {}, at(0.1), int(updatestream.WorkerUp)},
+		{"silent for longer than the ratio", func(*Workers) {}, at(0.7), int(updatestream.WorkerGone)},
 		{"not listed any more", func(w *Workers) { w.Listed(nil, at(0.1)) }, at(0.1), -1},
-		{"warned by the platform", func(w *Workers) { y := x; y.Draining = true; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(feed.WorkerDraining)},
-		{"says itself that it drains", func(w *Workers) { s := ok; s.Draining = true; w.Probed(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(feed.WorkerDraining)},
-		{"a go failed after its last probe", func(w *Workers) { w.Goes([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1)) }, at(0.1), int(feed.WorkerUnsure)},
+		{"warned by the platform", func(w *Workers) { y := x; y.Draining = true; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
+		{"says itself that it drains", func(w *Workers) { s := ok; s.Draining = true; w.Probed(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
+		{"a go failed after its last probe", func(w *Workers) { w.Goes([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
 		{"a good probe clears a failed go", func(w *Workers) {
 			w.Goes([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1))
 			w.Probed(x, ok, true, at(0.2), at(0.2))
-		}, at(0.2), int(feed.WorkerUp)},
-		{"a stranger at its address", func(w *Workers) { w.Probed(x, contract.State{Name: "cab-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(feed.WorkerUnsure)},
-		{"listed at another address: another life", func(w *Workers) { y := x; y.Addr = "127.0.0.1:2"; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(feed.WorkerGone)},
+		}, at(0.2), int(updatestream.WorkerUp)},
+		{"a stranger at its address", func(w *Workers) { w.Probed(x, contract.State{Name: "cab-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
+		{"listed at another address: another life", func(w *Workers) { y := x; y.Addr = "127.0.0.1:2"; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerGone)},
 		{"an old address's probe comes late", func(w *Workers) {
 			y := x
 			y.Addr = "127.0.0.1:2"
 			w.Listed([]contract.Listed{y}, at(0.1))
 			w.Probed(x, ok, true, at(0.1), at(0.1))
-		}, at(0.1), int(feed.WorkerGone)},
+		}, at(0.1), int(updatestream.WorkerGone)},
 	} {
 		w := fresh()
 		c.do(w)
@@ -145,7 +145,7 @@
 			t.Errorf("%s: state %d, want %d", c.name, got, c.want)
 		}
 	}
-	if got := state(fresh(), map[string]bool{"cab-1": true}, at(0.1)); got != int(feed.WorkerDraining) {
+	if got := state(fresh(), map[string]bool{"cab-1": true}, at(0.1)); got != int(updatestream.WorkerDraining) {
 		t.Errorf("drained by the setup: state %d", got)
 	}
 }
@@ -172,7 +172,7 @@
 		w.Probe()
 		w.Probed(x, contract.State{Name: "w", Weights: 1}, true, now, now)
 		var drains map[string]bool
-		if w.Table(drains, now)[0].State != feed.WorkerUp {
+		if w.Table(drains, now)[0].State != updatestream.WorkerUp {
 			t.Fatal("it isn't up to begin with")
 		}
 		l, s, unlisted := x, contract.State{Name: "w", Weights: 1}, false
@@ -195,7 +195,7 @@
 			}
 			w.Probed(l, s, true, now, now)
 			rows := w.Table(drains, now)
-			if unlisted != (len(rows) == 0) || !unlisted && rows[0].State != feed.WorkerDraining {
+			if unlisted != (len(rows) == 0) || !unlisted && rows[0].State != updatestream.WorkerDraining {
 				t.Fatalf("after %v, at %d: %v", done, i, rows)
 			}
 		}
--- a/internal/runner/runner.go
+++ b/internal/data/nodeagent/runner.go
@@ -1,4 +1,4 @@
-package runner
+package nodeagent
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/operatorapi"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/frontdesk"
-	"pebbleloom/internal/link"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
@@ -22,9 +22,9 @@
 type table struct {
 	fresh    *Fresh
 	workers  *Workers
-	view     roster.View
-	places   map[string]*wire.Doc
-	setup    *setup.Setup
+	view     clustermembership.View
+	places   map[string]*wire.Document
+	setup    *serviceconfig.Setup
 	links    map[string]*wire.LinkSeen
 	health   map[string]*health
 	number   uint64 // of all that is told
@@ -42,7 +42,7 @@
 	clk   clock.Clock
 	calls *daemon.Calls
 	be    *contract.Backends
-	ros   *roster.Member
+	ros   *clustermembership.Member
 }
 
 // Start runs the agent.
@@ -52,12 +52,12 @@
 	b := l.Place.Bounds
 	r := &Runner{life: l, clk: l.Clock, calls: daemon.NewCalls(l), be: contract.NewBackends(l.Dial)}
 	l.Until(r.be.Close)
-	ms := link.Members(0, l.Place.Core)
+	ms := controlclient.Members(0, l.Place.Core)
 	// Counters begin anywhere, so that an asker can't take a new life's for the old one's.
-	r.desk = queue.NewDesk(&table{number: l.Seed(), lists: l.Seed(), fresh: NewFresh(), workers: NewWorkers(b), places: map[string]*wire.Doc{},
+	r.desk = queue.NewDesk(&table{number: l.Seed(), lists: l.Seed(), fresh: NewFresh(), workers: NewWorkers(b), places: map[string]*wire.Document{},
 		links: map[string]*wire.LinkSeen{}, health: map[string]*health{}, waiting: map[chan struct{}]bool{}}, 1024)
 	l.Until(r.desk.Stop)
-	r.ros = roster.Start(l.Ctx, l.Place, "runner", r.clk, l.Log, r.calls.Roster, func(v roster.View) {
+	r.ros = clustermembership.Start(l.Ctx, l.Place, "runner", r.clk, l.Log, r.calls.Roster, func(v clustermembership.View) {
 		r.desk.Tell(func(t *table) { t.view = v; t.listed() })
 	})
 	for _, m := range ms {
@@ -69,7 +69,7 @@
 	l.Meter.Gauge("pebbleloom_workers_up", "workers that this machine sees up", func() (v float64) {
 		r.desk.Ask(func(t *table) {
 			for _, w := range t.lastRows {
-				if w.State == feed.WorkerUp {
+				if w.State == updatestream.WorkerUp {
 					v++
 				}
 			}
@@ -78,7 +78,7 @@
 	})
 	l.Meter.Gauge("pebbleloom_nodes", "nodes that this machine doesn't see as gone", func() (v float64) {
 		for _, n := range r.ros.View().Nodes {
-			if n.State != roster.Gone {
+			if n.State != clustermembership.Gone {
 				v++
 			}
 		}
@@ -90,8 +90,8 @@
 	if err := l.Serve(l.Place.Listen, mux); err != nil {
 		return err
 	}
-	view := func() roster.View { return r.ros.View() }
-	if err := frontdesk.Serve(l, link.New(l.Place.Core, view, r.calls, b), view, r.calls); err != nil {
+	view := func() clustermembership.View { return r.ros.View() }
+	if err := operatorapi.Serve(l, controlclient.New(l.Place.Core, view, r.calls, b), view, r.calls); err != nil {
 		return err
 	}
 	l.Ready.Store(true)
@@ -119,10 +119,10 @@
 		var have uint64
 		r.desk.Ask(func(t *table) { have = t.fresh.Epoch() })
 		asked := r.clk.Now()
-		var tell *wire.NewsTell
+		var tell *wire.WatchResponse
 		if addr, ok := r.ros.View().Addr("archive/" + member); ok {
 			ctx, end := context.WithTimeout(r.life.Ctx, b.Setup(0.3))
-			t, err := r.calls.Archive(addr).News(ctx, &wire.NewsAsk{Key: link.SetupKey, Have: have, HoldNs: uint64(b.Setup(0.15))})
+			t, err := r.calls.Archive(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Setup(0.15))})
 			end()
 			if err == nil {
 				tell = t
@@ -138,19 +138,19 @@
 	}
 }
 
-func (r *Runner) hear(t *table, member string, have uint64, asked time.Duration, tell *wire.NewsTell) {
+func (r *Runner) hear(t *table, member string, have uint64, asked time.Duration, tell *wire.WatchResponse) {
 	if t.fresh.Hear(member, have, asked, tell) {
-		s, err := setup.Read(t.fresh.Doc().Body)
+		s, err := serviceconfig.Read(t.fresh.Doc().Body)
 		if err != nil {
 			// The control state only holds checked setups; a program older than the setup can still
 			// fail here. It goes without a setup rather than with half of one.
-			r.life.Log.Error("setup can't be read", "epoch", t.fresh.Doc().Epoch, "error", err)
+			r.life.Log.Error("setup can't be read", "epoch", t.fresh.Doc().Version, "error", err)
 		}
 		t.setup = s
 		if s != nil && len(s.Seeds) == 3 {
 			r.ros.SetSeeds(s.Seeds)
 		}
-		r.life.Log.Info("setup adopted", "epoch", t.fresh.Doc().Epoch)
+		r.life.Log.Info("setup adopted", "epoch", t.fresh.Doc().Version)
 	}
 	t.changed()
 }
@@ -216,7 +216,7 @@
 		}
 		for _, w := range t.lastRows { // the others have no placement
 			if _, ok := t.setup.Services[w.Service]; ok {
-				have[w.Service] = t.places[w.Service].GetEpoch()
+				have[w.Service] = t.places[w.Service].GetVersion()
 			}
 		}
 		for n := range t.places {
@@ -226,19 +226,19 @@
 		}
 	})
 	for n, h := range have {
-		part := link.PartOf(n)
-		ms := link.Members(part, r.life.Place.Core)
+		part := controlclient.ShardOf(n)
+		ms := controlclient.Members(part, r.life.Place.Core)
 		m := ms[int(r.clk.Now()/time.Second)%len(ms)]
 		addr, ok := r.ros.View().Addr("archive/" + m)
 		if !ok {
 			continue
 		}
 		ctx, end := context.WithTimeout(r.life.Ctx, r.life.Place.Bounds.Heal(1.0/24))
-		tell, err := r.calls.Archive(addr).News(ctx, &wire.NewsAsk{Part: part, Key: "placement/" + n, Have: h})
+		tell, err := r.calls.Archive(addr).News(ctx, &wire.WatchRequest{Shard: part, Key: "placement/" + n, Have: h})
 		end()
-		if err == nil && tell.Outcome == "news" && tell.Doc.GetEpoch() > h {
+		if err == nil && tell.Outcome == "news" && tell.Document.GetVersion() > h {
 			r.desk.Tell(func(t *table) {
-				t.places[n] = &wire.Doc{Key: n, Body: tell.Doc.Body, Epoch: tell.Doc.Epoch}
+				t.places[n] = &wire.Document{Key: n, Body: tell.Document.Body, Version: tell.Document.Version}
 				t.listed()
 			})
 		}
@@ -348,7 +348,7 @@
 	f := &wire.FeedTell{Number: t.number, View: t.lists, ProofAt: uint64(t.fresh.Proof()), Setup: t.fresh.Doc(), WorkersAt: uint64(t.workers.listed)}
 	if t.setup == nil {
 		f.Setup, f.ProofAt = nil, 0 // a setup that can't be read is no setup
-	} else if f.Setup.GetEpoch() == a.HaveSetup {
+	} else if f.Setup.GetVersion() == a.HaveSetup {
 		f.Setup = nil
 	}
 	if a.HaveView == t.lists && t.lists != 0 {
--- a/internal/runner/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -1,4 +1,4 @@
-package runner
+package nodeagent
 
 import (
 	"maps"
@@ -6,7 +6,7 @@
 	"time"
 
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/feed"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
@@ -111,14 +111,14 @@
 	var l []*wire.Worker
 	for _, n := range w.names() {
 		x := w.all[n]
-		st := feed.WorkerUp
+		st := updatestream.WorkerUp
 		switch {
 		case x.probed == 0 || now-x.probed > w.b.Leave(0.6):
-			st = feed.WorkerGone // never seen, or silent for too long: a silent cut looks like this
+			st = updatestream.WorkerGone // never seen, or silent for too long: a silent cut looks like this
 		case x.l.Draining || x.s.Draining || drains[n]:
-			st = feed.WorkerDraining
+			st = updatestream.WorkerDraining
 		case x.failed > x.probed:
-			st = feed.WorkerUnsure
+			st = updatestream.WorkerUnsure
 		}
 		l = append(l, &wire.Worker{Name: n, Addr: x.l.Addr, Service: x.l.Service, Model: x.s.Model, District: x.l.District,
 			Incarnation: x.s.Incarnation, State: st, Weights: x.s.Weights, Slots: uint32(x.s.Slots), Busy: uint32(x.s.Busy),
--- a/internal/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -8,8 +8,8 @@
 	"math"
 	"sort"
 
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/queue"
 )
 
--- a/internal/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 )
 
 // Computed by hand from R_max = α·t·B·(N−1) / (c·S·N).
--- a/internal/catalogue/core.go
+++ b/internal/data/promptindex/core.go
@@ -1,6 +1,6 @@
-// Package catalogue is an index node: for every prefix of its shards, who holds it and how
+// Package promptindex is an index node: for every prefix of its shards, who holds it and how
 // hot it is. It holds no data and has no disk. Core is a pure state machine.
-package catalogue
+package promptindex
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"time"
 
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
--- a/internal/catalogue/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package promptindex
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
--- a/internal/catalogue/events.go
+++ b/internal/data/promptindex/events.go
@@ -1,12 +1,12 @@
-package catalogue
+package promptindex
 
 import (
 	"crypto/sha256"
 	"strconv"
 	"time"
 
-	"pebbleloom/internal/backend"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/wire"
 )
 
--- a/internal/catalogue/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -1,4 +1,4 @@
-package catalogue
+package promptindex
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 	"testing/synctest"
 	"time"
 
-	"pebbleloom/internal/backend"
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/plan"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -318,7 +318,7 @@
 
 func snapshot(nodes []*wire.Node) *fleet.Snapshot {
 	return &fleet.Snapshot{Nodes: nodes, Workers: []fleet.Worker{{ID: "w1", Service: "llm", Addr: "1:1"}, {ID: "w2", Service: "llm", Addr: "1:2"}, {ID: "p", Service: "app", Addr: "1:9"}},
-		Plan: &plan.Plan{Services: []plan.Service{{Name: "llm", Engine: &plan.Engine{Polls: 12}}, {Name: "app"}, {Name: "d", Store: &plan.Store{Addr: "2:1"}}}}}
+		Plan: &routingconfig.Plan{Services: []routingconfig.Service{{Name: "llm", Engine: &routingconfig.Engine{Polls: 12}}, {Name: "app"}, {Name: "d", Store: &routingconfig.Store{Addr: "2:1"}}}}}
 }
 
 // Each call has its price: one a worker and pace, none to plain workers, none by a node that only
--- a/internal/catalogue/loads.go
+++ b/internal/data/promptindex/loads.go
@@ -1,4 +1,4 @@
-package catalogue
+package promptindex
 
 import (
 	"sort"
--- a/internal/catalogue/node.go
+++ b/internal/data/promptindex/node.go
@@ -1,4 +1,4 @@
-package catalogue
+package promptindex
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/feed"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/roster"
 	"pebbleloom/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 	sh   atomic.Pointer[Shards]
 	name string
 	be   *contract.Backends
-	fol  *feed.Follower
+	fol  *updatestream.Follower
 	busy map[string]bool // workers whose poll is under way; the desk's
 	seen map[string]bool
 }
@@ -41,8 +41,8 @@
 	l.Until(n.desk.Stop)
 	l.Until(n.be.Close)
 	calls := daemon.NewCalls(l)
-	ros := roster.Start(l.Ctx, l.Place, "catalogue", n.clk, l.Log, calls.Roster, func(v roster.View) { n.reshard(v.Nodes) })
-	n.fol = feed.Follow(l.Ctx, n.clk, l.Log, func() wire.Runner { return calls.Runner(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, feed.Seeds(ros.SetSeeds))
+	ros := clustermembership.Start(l.Ctx, l.Place, "catalogue", n.clk, l.Log, calls.Roster, func(v clustermembership.View) { n.reshard(v.Nodes) })
+	n.fol = updatestream.Follow(l.Ctx, n.clk, l.Log, func() wire.Runner { return calls.Runner(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.Seeds(ros.SetSeeds))
 	l.Every(l.Place.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
 		return func() (v float64) { n.desk.Ask(func(c *Core) { v = f(c) }); return v }
@@ -84,7 +84,7 @@
 	n.desk.Ask(func(c *Core) {
 		here := map[string]bool{}
 		for _, w := range s.Workers {
-			if w.State == feed.WorkerGone || w.Kind == "app" {
+			if w.State == updatestream.WorkerGone || w.Kind == "app" {
 				continue
 			}
 			here[w.Name] = true
--- a/internal/catalogue/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -1,4 +1,4 @@
-package catalogue
+package promptindex
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
--- a/internal/catalogue/site.go
+++ b/internal/data/promptindex/site.go
@@ -1,14 +1,14 @@
-package catalogue
+package promptindex
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"pebbleloom/internal/backend"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
--- a/internal/forward/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/pick"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/wire"
 )
 
@@ -33,7 +33,7 @@
 // attempt is one worker's part in a request.
 type attempt struct {
 	q      *request
-	c      pick.Choice
+	c      selection.Choice
 	ctx    context.Context
 	cancel context.CancelFunc
 	line   *line
@@ -44,9 +44,9 @@
 	began  time.Duration
 	first  time.Duration // until its first piece
 	fate   fate
-	ending pick.Ending
+	ending selection.Ending
 	final  bool // no other worker would say otherwise
-	load   *pick.Load
+	load   *selection.Load
 }
 
 // look asks the index for the prompt's parts.
@@ -64,7 +64,7 @@
 func (*body) Close() error { return nil }
 
 // send carries the request to a worker and judges the head of what it answers.
-func (q *request) send(c pick.Choice) *attempt {
+func (q *request) send(c selection.Choice) *attempt {
 	a := &attempt{q: q, c: c, began: q.d.l.Clock.Now()}
 	rt := q.ask.Route
 	within := max(rt.Target/2, q.d.l.Place.Bounds.Leave(0.05))
@@ -112,12 +112,12 @@
 			a.q.d.lines.idle.stands(a.age)
 		}
 	case a.line == nil || a.line.stop(a):
-		a.fate, a.ending = unsent, pick.Unfit
+		a.fate, a.ending = unsent, selection.Unfit
 		if errs.KindOf(err) == errs.Overloaded { // this machine's share, not the worker's fault
-			a.ending = pick.Full
+			a.ending = selection.Full
 		}
 	default:
-		a.fate, a.ending = broken, pick.Unfit
+		a.fate, a.ending = broken, selection.Unfit
 		if a.reused && a.ctx.Err() == nil {
 			a.q.d.lines.idle.forgot(a.age)
 		}
@@ -172,15 +172,15 @@
 	said := len(head.Values(h.NotRun)) > 0
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		a.denied(pick.Moved)
+		a.denied(selection.Moved)
 		if v := head.Get(h.Weights); a.c.Weights != 0 && v != "" && v != strconv.FormatUint(a.c.Weights, 10) {
-			a.ending = pick.Loading
+			a.ending = selection.Loading
 		}
 	case said && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
-		a.denied(pick.Full)
+		a.denied(selection.Full)
 	case said && status == http.StatusBadRequest:
 		a.final = true
-		a.denied(pick.Unfit)
+		a.denied(selection.Unfit)
 	case said || promise(status):
 		a.unfit() // it promises what it may not, or denies what it says it didn't run: no proof
 	case status < 300 && head.Get(h.Seal) == "":
@@ -190,7 +190,7 @@
 	case status >= 500 && a.resp.ContentLength <= short:
 		a.keep(true)
 	default:
-		a.ending = pick.Served
+		a.ending = selection.Served
 	}
 }
 
@@ -218,12 +218,12 @@
 
 // unfit ends an attempt with no answer of use: it may have run.
 func (a *attempt) unfit() {
-	a.fate, a.ending = broken, pick.Unfit
+	a.fate, a.ending = broken, selection.Unfit
 	a.line.stop(a)
 }
 
 // denied takes a worker at its word that it has not run the request.
-func (a *attempt) denied(e pick.Ending) {
+func (a *attempt) denied(e selection.Ending) {
 	a.keep(false)
 	a.fate, a.ending = notRun, e
 }
@@ -239,7 +239,7 @@
 		return
 	}
 	a.rest()
-	a.fate, a.ending = broken, pick.Unfit
+	a.fate, a.ending = broken, selection.Unfit
 	a.final = a.final || a.resp.StatusCode == http.StatusGatewayTimeout
 	if a.resp.StatusCode == http.StatusMisdirectedRequest || a.q.kept != nil && a.q.kept.ran && !ran {
 		return // not the downstream's business, or worth less than what is kept
@@ -259,9 +259,9 @@
 	q := a.q
 	switch {
 	case a.fate == gone || q.r.Context().Err() != nil && a.fate != whole:
-		a.ending = pick.Left
+		a.ending = selection.Left
 	case q.ctx.Err() != nil && a.fate != whole && a.fate != notRun:
-		a.ending = pick.Unsure
+		a.ending = selection.Unsure
 	}
 	if a.fate != unsent && a.fate != notRun {
 		q.ran = true
--- a/internal/forward/budget.go
+++ b/internal/data/proxy/budget.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import "sync"
 
--- a/internal/forward/forward.go
+++ b/internal/data/proxy/forward.go
@@ -1,7 +1,7 @@
-// Package forward is a request's way: one front door that takes requests of any shape from
+// Package proxy is a request's way: one front door that takes requests of any shape from
 // downstreams and carries each to a worker and its answer back. What a downstream is told about
 // whether its request ran is always true: a promise that it didn't run needs proof.
-package forward
+package proxy
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"time"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/pick"
-	"pebbleloom/internal/plan"
 	"pebbleloom/internal/settings"
 )
 
@@ -27,7 +27,7 @@
 	Headers   Headers
 	ReadyPath string // where the platform asks whether this machine is ready
 	Snapshot  func() *fleet.Snapshot
-	Pick      pick.Picker
+	Pick      selection.Picker
 }
 
 // door takes requests and carries them.
@@ -114,7 +114,7 @@
 
 // limits are the first plan's, if it and its proof come soon; until then connections wait at the
 // listener: what would have to be denied is served a moment later.
-func (d *door) limits() plan.Limits {
+func (d *door) limits() routingconfig.Limits {
 	b := d.l.Place.Bounds
 	step := b.Setup(firstPlan / 25)
 	for range 25 {
@@ -134,10 +134,10 @@
 		}
 		break
 	}
-	return plan.Limits{HeaderBytes: 16 << 10, HeaderTime: b.Heal(0.25), IdleTime: b.Heal(1.25)}
+	return routingconfig.Limits{HeaderBytes: 16 << 10, HeaderTime: b.Heal(0.25), IdleTime: b.Heal(1.25)}
 }
 
-func (d *door) plan() *plan.Plan {
+func (d *door) plan() *routingconfig.Plan {
 	if s := d.Snapshot(); s != nil {
 		return s.Plan
 	}
--- a/internal/forward/headers.go
+++ b/internal/data/proxy/headers.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"net/http"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"pebbleloom/internal/pick"
+	"pebbleloom/internal/data/selection"
 )
 
 // Headers are the platform's names of header fields, and the forms of their values. The adapter
@@ -35,8 +35,8 @@
 	ReadLeft  func(v string) (time.Duration, bool)
 	WriteLeft func(left time.Duration) string
 	ReadUsage func(v string) (in, out int)
-	ReadParts func(v string) []pick.Part
-	ReadLoad  func(v string) (pick.Load, bool)
+	ReadParts func(v string) []selection.Part
+	ReadLoad  func(v string) (selection.Load, bool)
 }
 
 // hop are the fields that concern one connection only.
@@ -85,7 +85,7 @@
 
 // towards is the header that goes to a worker with this choice. What a downstream may not say
 // itself is gone, whatever it sent.
-func (q *request) towards(c pick.Choice, left time.Duration) http.Header {
+func (q *request) towards(c selection.Choice, left time.Duration) http.Header {
 	h := &q.d.Headers
 	to := h.carried(q.r.Header)
 	for _, k := range h.ours() {
--- a/internal/forward/line_test.go
+++ b/internal/data/proxy/line_test.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/pick"
 )
 
 // A connection that a worker keeps is used again; one that it ends while idle loses no request,
@@ -168,7 +168,7 @@
 		if a := s.call(post("once", "a3", "b")); a.status != 503 || a.head.Get("Retry-After") == "" {
 			t.Errorf("%+v", a)
 		}
-		if s.ws[0].runs() != 2 || s.p.endings[0] != pick.Full {
+		if s.ws[0].runs() != 2 || s.p.endings[0] != selection.Full {
 			t.Errorf("ran %d, %v", s.ws[0].runs(), s.p.endings)
 		}
 		for _, c := range cs {
--- a/internal/forward/pass.go
+++ b/internal/data/proxy/pass.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"net/http"
 	"strconv"
 
-	"pebbleloom/internal/pick"
-	"pebbleloom/internal/plan"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/selection"
 )
 
 // pass hands a good answer on. Pieces of a series go on as they come; what is short goes out in
@@ -24,7 +24,7 @@
 			q.events.reset(q.begun)
 		}
 	}
-	lively := q.ask.Route.Kind == plan.Stream || a.eventful()
+	lively := q.ask.Route.Kind == routingconfig.Stream || a.eventful()
 	fill := !lively
 	for {
 		n, err := a.more(buf, fill)
@@ -42,7 +42,7 @@
 		}
 		if err == io.EOF {
 			a.rest()
-			a.fate, a.ending = whole, pick.Served
+			a.fate, a.ending = whole, selection.Served
 			return
 		}
 		if err != nil {
--- a/internal/forward/request.go
+++ b/internal/data/proxy/request.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"bytes"
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/pick"
-	"pebbleloom/internal/plan"
 	"pebbleloom/internal/settings"
 )
 
@@ -29,7 +29,7 @@
 
 	at      time.Duration // it was read
 	until   time.Duration // the downstream waits, and the route lets it
-	ask     pick.Request
+	ask     selection.Request
 	conns   int // of one worker, from this machine
 	body    []byte
 	chunked bool
@@ -129,7 +129,7 @@
 }
 
 // read takes in the whole body.
-func (q *request) read(p *plan.Plan) bool {
+func (q *request) read(p *routingconfig.Plan) bool {
 	limit := int64(p.Limits.BodyBytes)
 	if limit <= 0 {
 		limit = int64(q.d.l.Place.Bounds.BodyKB) << 10
@@ -193,7 +193,7 @@
 	if v := q.r.Header.Get(h.Parts); v != "" {
 		q.ask.Parts = h.ReadParts(v)
 	}
-	if rt := q.ask.Route; rt.Kind == plan.Stream && rt.Resumable {
+	if rt := q.ask.Route; rt.Kind == routingconfig.Stream && rt.Resumable {
 		q.events = &events{last: q.r.Header.Get(h.LastEvent), exact: true}
 	}
 }
@@ -215,7 +215,7 @@
 // repeatable tells whether more than one worker may run it.
 func (q *request) repeatable() bool {
 	rt := q.ask.Route
-	return rt.Kind == plan.Repeatable || rt.Kind == plan.Stream && rt.Resumable
+	return rt.Kind == routingconfig.Repeatable || rt.Kind == routingconfig.Stream && rt.Resumable
 }
 
 // deny answers a request in this machine's own words.
--- a/internal/forward/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/pick"
-	"pebbleloom/internal/plan"
 )
 
 // Method, path, query and body reach the worker as they came, byte for byte.
@@ -157,7 +157,7 @@
 // What a picker says takes effect on the request.
 func TestChoiceTakesEffect(t *testing.T) {
 	open(t, []script{says(strings.Replace(okay, "Go-Seal", "Go-Load: 3/1/8\r\nGo-Seal", 1))}, func(s *site) {
-		s.p.dress = func(c *pick.Choice) {
+		s.p.dress = func(c *selection.Choice) {
 			c.Weights, c.Salt, c.Fetch, c.Save, c.Urgency = 7, "salt", "10.0.1.9:80", "10.0.1.8:80", 0
 		}
 		if a := s.call(post("once", "a1", "b", "Go-Version: 3", "Go-Parts: p1 p22")); a.status != 200 {
@@ -169,7 +169,7 @@
 				t.Errorf("%s: %q", k, h.Get(k))
 			}
 		}
-		if len(s.p.loads) != 1 || s.p.loads[0] != (pick.Load{Running: 3, Waiting: 1, Slots: 8}) || s.p.endings[0] != pick.Served {
+		if len(s.p.loads) != 1 || s.p.loads[0] != (selection.Load{Running: 3, Waiting: 1, Slots: 8}) || s.p.endings[0] != selection.Served {
 			t.Errorf("%v %v", s.p.loads, s.p.endings)
 		}
 	})
@@ -212,7 +212,7 @@
 		synctest.Wait()
 		p := routes()
 		p.Tenants[0].Keys = []string{"new"}
-		p = (&plan.Plan{Version: 2, Routes: p.Routes, Services: p.Services, Tenants: p.Tenants, Limits: p.Limits}).Ready()
+		p = (&routingconfig.Plan{Version: 2, Routes: p.Routes, Services: p.Services, Tenants: p.Tenants, Limits: p.Limits}).Ready()
 		s.set(func(n *fleet.Snapshot) { n.Plan = p })
 		if a := c.ask(text[len(text)-1:]); a.status != 401 || s.ws[0].runs() != 0 {
 			t.Errorf("%d %v", a.status, a.err)
@@ -275,7 +275,7 @@
 			if d := s.l.Clock.Now() - began; a.status != 504 || d < 4*time.Second || d > 4*time.Second+100*time.Millisecond || s.ws[1].runs() != 0 {
 				t.Errorf("%s: %d after %v, second %d", route, a.status, d, s.ws[1].runs())
 			}
-			if s.p.endings[0] != pick.Unsure {
+			if s.p.endings[0] != selection.Unsure {
 				t.Errorf("%s: ending %v", route, s.p.endings)
 			}
 		})
--- a/internal/forward/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -1,4 +1,4 @@
-package forward
+package proxy
 
 import (
 	"bufio"
@@ -17,11 +17,11 @@
 	"time"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/pick"
-	"pebbleloom/internal/plan"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -38,13 +38,13 @@
 		},
 		WriteLeft: func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) },
 		ReadUsage: func(v string) (in, out int) { _, _ = fmt.Sscanf(v, "%d/%d", &in, &out); return },
-		ReadParts: func(v string) (l []pick.Part) {
+		ReadParts: func(v string) (l []selection.Part) {
 			for _, s := range strings.Fields(v) {
-				l = append(l, pick.Part{ID: s, Tokens: len(s)})
+				l = append(l, selection.Part{ID: s, Tokens: len(s)})
 			}
 			return l
 		},
-		ReadLoad: func(v string) (l pick.Load, ok bool) {
+		ReadLoad: func(v string) (l selection.Load, ok bool) {
 			n, _ := fmt.Sscanf(v, "%d/%d/%d", &l.Running, &l.Waiting, &l.Slots)
 			return l, n == 3
 		}}
@@ -162,34 +162,38 @@
 // picker takes the first worker of the service that wasn't tried, and keeps a journal.
 type picker struct {
 	mu      sync.Mutex
-	endings []pick.Ending
-	loads   []pick.Load
+	endings []selection.Ending
+	loads   []selection.Load
 	open    int
-	dress   func(*pick.Choice)
+	dress   func(*selection.Choice)
 }
 
-func (p *picker) Look(context.Context, *fleet.Snapshot, *pick.Request) map[prefix.Key]*wire.Found {
+func (p *picker) Look(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.Found {
 	return nil
 }
 
-func (p *picker) Pick(s *fleet.Snapshot, r *pick.Request, _ map[prefix.Key]*wire.Found, tried map[string]bool) (pick.Choice, bool) {
+func (p *picker) Pick(s *fleet.Snapshot, r *selection.Request, _ map[prefix.Key]*wire.Found, tried map[string]bool) (selection.Choice, bool) {
 	for _, w := range s.Workers {
 		if w.Service == r.Service && !w.Draining && !tried[w.ID] {
-			c := pick.Choice{Worker: w, Urgency: -1}
+			c := selection.Choice{Worker: w, Urgency: -1}
 			if p.dress != nil {
 				p.dress(&c)
 			}
 			return c, true
 		}
 	}
-	return pick.Choice{}, false
+	return selection.Choice{}, false
 }
 
-func (p *picker) Sent(*pick.Request, pick.Choice) { p.mu.Lock(); defer p.mu.Unlock(); p.open++ }
+func (p *picker) Sent(*selection.Request, selection.Choice) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open++
+}
 
-func (p *picker) Begun(*pick.Request, pick.Choice, *pick.Load, time.Duration) {}
+func (p *picker) Begun(*selection.Request, selection.Choice, *selection.Load, time.Duration) {}
 
-func (p *picker) Done(_ *pick.Request, _ pick.Choice, e pick.Ending, l *pick.Load, _ time.Duration) {
+func (p *picker) Done(_ *selection.Request, _ selection.Choice, e selection.Ending, l *selection.Load, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -213,17 +217,17 @@
 
 const front, readyAt, host = "10.0.0.1:80", "10.0.0.1:81", "any.example"
 
-func routes() *plan.Plan {
-	one := func(name string, k plan.Kind, resumable bool) plan.Route {
-		return plan.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: k, Resumable: resumable, Attempts: 3, Public: true,
-			Timeout: 8 * time.Second, Target: 400 * time.Millisecond, Split: []plan.Share{{Service: "s", Weight: 1}}}
+func routes() *routingconfig.Plan {
+	one := func(name string, k routingconfig.Kind, resumable bool) routingconfig.Route {
+		return routingconfig.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: k, Resumable: resumable, Attempts: 3, Public: true,
+			Timeout: 8 * time.Second, Target: 400 * time.Millisecond, Split: []routingconfig.Share{{Service: "s", Weight: 1}}}
 	}
-	private := one("private", plan.Once, false)
+	private := one("private", routingconfig.Once, false)
 	private.Public = false
-	return (&plan.Plan{Version: 1, Services: []plan.Service{{Name: "s", MaxConns: 100}},
-		Routes:  []plan.Route{one("repeat", plan.Repeatable, false), one("once", plan.Once, false), one("stream", plan.Stream, false), one("resume", plan.Stream, true), private},
-		Tenants: []plan.Tenant{{Name: "ten", Keys: []string{"good"}, Priority: -1}},
-		Limits:  plan.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}}).Ready()
+	return (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: "s", MaxConns: 100}},
+		Routes:  []routingconfig.Route{one("repeat", routingconfig.Repeatable, false), one("once", routingconfig.Once, false), one("stream", routingconfig.Stream, false), one("resume", routingconfig.Stream, true), private},
+		Tenants: []routingconfig.Tenant{{Name: "ten", Keys: []string{"good"}, Priority: -1}},
+		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}}).Ready()
 }
 
 // open starts a site in a bubble and lets f act in it.
--- a/internal/pick/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -1,11 +1,11 @@
-package pick
+package selection
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/wire"
 )
 
@@ -14,7 +14,7 @@
 func TestAWorkerWhoseFirstPiecesAreLateIsSpared(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	e.tell("p", catalogue.Confirmed, h)
+	e.tell("p", promptindex.Confirmed, h)
 	r := e.ask("p", 13000)
 	c := e.must(t, r)
 	if c.Worker.ID != h {
@@ -42,7 +42,7 @@
 func TestLoadIsHeardAtTheFirstPiece(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	e.tell("p", catalogue.Confirmed, h)
+	e.tell("p", promptindex.Confirmed, h)
 	for i := range 4 { // what a prompt takes here is known by then
 		r := e.ask(fmt.Sprint("x", i), 13000)
 		e.serve(r, e.must(t, r), 150*time.Millisecond)
@@ -110,7 +110,7 @@
 			h = x
 		}
 	}
-	e.tell("p", catalogue.Confirmed, h.w.ID)
+	e.tell("p", promptindex.Confirmed, h.w.ID)
 	read := 13000 * h.st.h.b
 	h.st.late, h.st.lateAt = 0.3*read, e.now
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h.w.ID {
@@ -138,7 +138,7 @@
 	}
 	for i := range 50 {
 		part := fmt.Sprint("p", i)
-		e.found[catalogue.KeyOf(salt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
+		e.found[promptindex.KeyOf(salt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
 		if c := e.must(t, e.ask(part, 13000)); c.Weights != 1 {
 			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that keep the part are free", part, 2.5*13000*e.habits["llm"].b)
 		}
@@ -148,7 +148,7 @@
 func found(holders ...string) *wire.Found {
 	f := &wire.Found{Hotness: 1}
 	for _, h := range holders {
-		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: catalogue.Confirmed})
+		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: promptindex.Confirmed})
 	}
 	return f
 }
--- a/internal/pick/choice.go
+++ b/internal/data/selection/choice.go
@@ -1,10 +1,10 @@
-package pick
+package selection
 
 import (
 	"math/bits"
 	"time"
 
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/queue"
 )
 
--- a/internal/pick/memo.go
+++ b/internal/data/selection/memo.go
@@ -1,12 +1,12 @@
-package pick
+package selection
 
 import (
 	"slices"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/prefix"
 )
 
 // memo is what this edge itself knows of a part.
@@ -70,7 +70,7 @@
 		text := q.text(v)
 		ks := make([]prefix.Key, len(r.parts()))
 		for i, x := range r.parts() {
-			ks[i] = catalogue.KeyOf(text, x.ID)
+			ks[i] = promptindex.KeyOf(text, x.ID)
 		}
 		if !t.knows(q, v, ks) {
 			keys = append(keys, ks...)
--- a/internal/pick/news_test.go
+++ b/internal/data/selection/news_test.go
@@ -1,10 +1,10 @@
-package pick
+package selection
 
 import (
 	"testing"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 	e.serve(r, first, 150*time.Millisecond)
 	holder := other(first.Worker.ID)
 	e.now += e.b.Heal(newsPart)
-	e.tell("p", catalogue.Confirmed, holder)
+	e.tell("p", promptindex.Confirmed, holder)
 	from := holder + ":1"
 	for range 30 {
 		c := e.must(t, e.ask("p", 13000))
@@ -37,7 +37,7 @@
 	first := e.must(t, r)
 	e.serve(r, first, 150*time.Millisecond)
 	e.now += e.b.Heal(newsPart)
-	e.found[catalogue.KeyOf(salt("m", 1, nil), "p")] = &wire.Found{}
+	e.found[promptindex.KeyOf(salt("m", 1, nil), "p")] = &wire.Found{}
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != first.Worker.ID && c.Fetch != first.Worker.Addr {
 		t.Errorf("%s, fetching from %q; %s read it", c.Worker.ID, c.Fetch, first.Worker.ID)
 	}
