--- a/internal/pick/once_test.go
+++ b/internal/data/selection/once_test.go
@@ -1,4 +1,4 @@
-package pick
+package selection
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -61,12 +61,12 @@
 	m := map[prefix.Key]*wire.Found{}
 	for _, k := range keys {
 		f := &wire.Found{}
-		if k == catalogue.UpKey("depot") {
-			f.Holders = append(f.Holders, &wire.Holding{Worker: "depot", State: catalogue.Presumed})
+		if k == promptindex.UpKey("depot") {
+			f.Holders = append(f.Holders, &wire.Holding{Worker: "depot", State: promptindex.Presumed})
 		}
 		for id := range h.kept {
 			if h.keeps(id, k, now-h.lag) {
-				f.Holders = append(f.Holders, &wire.Holding{Worker: id, State: catalogue.Confirmed})
+				f.Holders = append(f.Holders, &wire.Holding{Worker: id, State: promptindex.Confirmed})
 			}
 		}
 		m[k] = f
@@ -85,7 +85,7 @@
 		return
 	}
 	e.send(r, c, now)
-	k := catalogue.KeyOf(c.Salt, r.Parts[0].ID)
+	k := promptindex.KeyOf(c.Salt, r.Parts[0].ID)
 	first := 30 * time.Millisecond
 	switch at, ok := h.kept[c.Worker.ID][k]; {
 	case ok && at <= now:
@@ -180,7 +180,7 @@
 func BenchmarkPickOf140(b *testing.B) {
 	e := newEdge(fleetOf(140))
 	for i := range 20 {
-		e.tell(fmt.Sprint("p", i), catalogue.Confirmed, fmt.Sprint("w", i), fmt.Sprint("w", 3*i), "depot")
+		e.tell(fmt.Sprint("p", i), promptindex.Confirmed, fmt.Sprint("w", i), fmt.Sprint("w", 3*i), "depot")
 	}
 	for i := range b.N {
 		r := e.ask(fmt.Sprint("p", i%20), 13000)
--- a/internal/pick/pick_test.go
+++ b/internal/data/selection/pick_test.go
@@ -1,15 +1,15 @@
-package pick
+package selection
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/plan"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -27,10 +27,10 @@
 
 func fleetOf(n int) *fleet.Snapshot {
 	s := &fleet.Snapshot{Edges: 9, Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
-		Plan: &plan.Plan{Services: []plan.Service{
-			{Name: "llm", Engine: &plan.Engine{Slots: 128, Room: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
+		Plan: &routingconfig.Plan{Services: []routingconfig.Service{
+			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, Room: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
 			{Name: "app"},
-			{Name: "depot", Store: &plan.Store{Addr: "store:1", District: "d0", LinkMbps: 150000}}}}}
+			{Name: "depot", Store: &routingconfig.Store{Addr: "store:1", District: "d0", LinkMbps: 150000}}}}}
 	for i := range n {
 		s.Workers = append(s.Workers, fleet.Worker{ID: fmt.Sprint("w", i), Service: "llm", Addr: fmt.Sprintf("w%d:1", i),
 			District: fmt.Sprint("d", i%4), Slots: 128, Weights: map[string]uint64{"m": 1}})
@@ -42,7 +42,7 @@
 	return &edge{table: newTable(settings.Default(), start), s: s, now: start + time.Minute, found: map[prefix.Key]*wire.Found{}}
 }
 
-var route = &plan.Route{Kind: plan.Stream, Target: 400 * time.Millisecond, Priority: 4, Session: true}
+var route = &routingconfig.Route{Kind: routingconfig.Stream, Target: 400 * time.Millisecond, Priority: 4, Session: true}
 
 func (e *edge) ask(shared string, tokens int) *Request {
 	e.n++
@@ -73,7 +73,7 @@
 	for _, h := range holders {
 		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: state})
 	}
-	e.found[catalogue.KeyOf(salt("m", 1, nil), part)] = f
+	e.found[promptindex.KeyOf(salt("m", 1, nil), part)] = f
 }
 
 func (e *edge) serve(r *Request, c Choice, first time.Duration) {
@@ -121,13 +121,13 @@
 func TestAHolderIsPicked(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := other(e.home(t, "p"))
-	e.tell("p", catalogue.Confirmed, h)
+	e.tell("p", promptindex.Confirmed, h)
 	c := e.must(t, e.ask("p", 13000))
 	if c.Worker.ID == h && c.Fetch != "" || c.Worker.ID != h && c.Fetch != h+":1" {
 		t.Errorf("%s, fetching from %q; %s keeps it", c.Worker.ID, c.Fetch, h)
 	}
 	// What is only presumed may not be there yet: it isn't worth the risk.
-	e.tell("p", catalogue.Presumed, h)
+	e.tell("p", promptindex.Presumed, h)
 	if c = e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
 		t.Errorf("%s, though %s is reading it", c.Worker.ID, h)
 	}
@@ -136,7 +136,7 @@
 func TestALoadedHolderIsSpared(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	e.tell("p", catalogue.Confirmed, h)
+	e.tell("p", promptindex.Confirmed, h)
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h || c.Fetch != "" {
 		t.Fatalf("calm: %s, %q", c.Worker.ID, c.Fetch)
 	}
@@ -177,7 +177,7 @@
 		want    string
 	}{{[]string{far, near, "depot"}, near + ":1"}, {[]string{"depot"}, "store:1"}}
 	for _, x := range cases {
-		e.tell("p", catalogue.Confirmed, x.holders...)
+		e.tell("p", promptindex.Confirmed, x.holders...)
 		tried := map[string]bool{}
 		for _, id := range append(x.holders, far, near) {
 			tried[id] = true
@@ -187,11 +187,11 @@
 			t.Errorf("%v: %s fetches from %q, want %s from %q", x.holders, c.Worker.ID, c.Fetch, h, x.want)
 		}
 	}
-	e.found[catalogue.UpKey("depot")] = &wire.Found{}
+	e.found[promptindex.UpKey("depot")] = &wire.Found{}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "" || c.Save != "" {
 		t.Errorf("the store is down: fetch %q save %q", c.Fetch, c.Save)
 	}
-	e.found[catalogue.UpKey("depot")] = &wire.Found{Holders: []*wire.Holding{{Worker: "depot"}}}
+	e.found[promptindex.UpKey("depot")] = &wire.Found{Holders: []*wire.Holding{{Worker: "depot"}}}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "store:1" {
 		t.Errorf("the store is back: fetch %q", c.Fetch)
 	}
@@ -201,7 +201,7 @@
 func TestABusySourceIsSpared(t *testing.T) {
 	e := newEdge(fleetOf(4))
 	h := e.home(t, "p")
-	e.tell("p", catalogue.Confirmed, other("w9"), "w0", "w1", "w2", "w3")
+	e.tell("p", promptindex.Confirmed, other("w9"), "w0", "w1", "w2", "w3")
 	g := e.lay(e.s).groups["llm"]
 	q := &query{t: e.table, s: e.s, r: e.ask("p", 13000), g: g, m: g.serve("m"), h: e.habits["llm"], model: "m", found: e.found, now: e.now, cs: []int{g.at[h]}}
 	q.pick()
@@ -231,7 +231,7 @@
 	if c = e.must(t, e.ask("", 0)); c.Save != "" || c.Fetch != "" {
 		t.Errorf("an own part: save %q fetch %q", c.Save, c.Fetch)
 	}
-	e.tell("q", catalogue.Confirmed, "depot")
+	e.tell("q", promptindex.Confirmed, "depot")
 	if c = e.must(t, e.ask("q", 13000)); c.Save != "" {
 		t.Error("saved though the index knows that the store has it")
 	}
@@ -257,7 +257,7 @@
 	s := fleetOf(4)
 	s.Workers[0].Draining = true
 	e := newEdge(s)
-	e.tell("p", catalogue.Confirmed, "w0", "gone")
+	e.tell("p", promptindex.Confirmed, "w0", "gone")
 	for range 20 {
 		c := e.must(t, e.ask("p", 13000), "w1")
 		if c.Worker.ID == "w0" || c.Worker.ID == "w1" {
--- a/internal/pick/picker.go
+++ b/internal/data/selection/picker.go
@@ -1,17 +1,17 @@
-package pick
+package selection
 
 import (
 	"context"
 	"time"
 
-	"pebbleloom/internal/catalogue"
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/indexclient"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/plan"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/seek"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -127,13 +127,13 @@
 	clk   clock.Clock
 	b     settings.Bounds
 	desk  *queue.Desk[table]
-	index *seek.Seeker
+	index *indexclient.Seeker
 }
 
 // New makes an edge's picker over its link to the index.
 //
-// Example: p := pick.New(life, seek.New(life, nodes), place.Name)
-func New(l *daemon.Life, c *seek.Seeker, self string) Picker {
+// Example: p := pick.New(life, indexclient.New(life, nodes), place.Name)
+func New(l *daemon.Life, c *indexclient.Seeker, self string) Picker {
 	t := newTable(l.Place.Bounds, l.Clock.Now())
 	if x := l.Place.Site; x != nil {
 		t.free = t.born + settings.Of(x.ContactMs, freePart)
@@ -339,13 +339,13 @@
 // upKeys are looked up beside a prompt's parts: which stores answer.
 func upKeys(g *group) (l []prefix.Key) {
 	for _, x := range g.stores {
-		l = append(l, catalogue.UpKey(x.svc.Name))
+		l = append(l, promptindex.UpKey(x.svc.Name))
 	}
 	return l
 }
 
 // pipe is how long one token takes over the slower of two links, in ms.
-func pipe(e *plan.Engine, mbps float64) float64 {
+func pipe(e *routingconfig.Engine, mbps float64) float64 {
 	if e.LinkMbps <= 0 || mbps <= 0 {
 		return 0
 	}
--- a/internal/pick/recent.go
+++ b/internal/data/selection/recent.go
@@ -1,4 +1,4 @@
-package pick
+package selection
 
 // recent is a bounded map in two halves: what isn't used any more goes with the older half.
 type recent[K comparable, V any] struct {
--- a/internal/pick/salt.go
+++ b/internal/data/selection/salt.go
@@ -1,15 +1,15 @@
-package pick
+package selection
 
 import (
 	"net/url"
 	"strconv"
 
-	"pebbleloom/internal/plan"
+	"pebbleloom/internal/control/routingconfig"
 )
 
 // salt is the text under which workers keep the parts of a prompt: version, model and wall. Two
 // of them are the same only where all three are.
-func salt(model string, weights uint64, t *plan.Tenant) string {
+func salt(model string, weights uint64, t *routingconfig.Tenant) string {
 	m := url.QueryEscape(model)
 	s := strconv.FormatUint(weights, 10) + "." + strconv.Itoa(len(m)) + "." + m
 	if t != nil && t.Isolated {
@@ -22,7 +22,9 @@
 // workers keep.
 //
 // Example: key := catalogue.KeyOf(pick.Text("daka", 2, tenant), part)
-func Text(model string, weights uint64, t *plan.Tenant) string { return salt(model, weights, t) }
+func Text(model string, weights uint64, t *routingconfig.Tenant) string {
+	return salt(model, weights, t)
+}
 
 // urgency is 0 to 9, 0 first: a tenant's priority goes before the route's.
 func urgency(r *Request) int {
--- a/internal/pick/shape.go
+++ b/internal/data/selection/shape.go
@@ -1,14 +1,14 @@
-// Package pick finds the worker for a request, and says where it may take what it lacks of the
+// Package selection finds the worker for a request, and says where it may take what it lacks of the
 // prompt and to whom it shall hand what it read: BAT's placement as it takes effect on requests.
-package pick
+package selection
 
 import (
 	"context"
 	"time"
 
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/plan"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/wire"
 )
 
@@ -16,12 +16,12 @@
 type Request struct {
 	ID       string // of the attempt
 	Service  string
-	Route    *plan.Route
-	Tenant   *plan.Tenant // nil on a public route
-	District string       // of this edge machine
-	Model    string       // "" where the request names none
-	In, Out  int          // tokens: of the prompt, and most put out
-	Parts    []Part       // of the prompt, in order; the last is the request's own or its session's
+	Route    *routingconfig.Route
+	Tenant   *routingconfig.Tenant // nil on a public route
+	District string                // of this edge machine
+	Model    string                // "" where the request names none
+	In, Out  int                   // tokens: of the prompt, and most put out
+	Parts    []Part                // of the prompt, in order; the last is the request's own or its session's
 }
 
 // Part is one part of a prompt.
--- a/internal/pick/share_test.go
+++ b/internal/data/selection/share_test.go
@@ -1,4 +1,4 @@
-package pick
+package selection
 
 import (
 	"fmt"
@@ -6,20 +6,20 @@
 	"testing"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
 
 // ring is some edges that share what they see by way of one index node.
 type ring struct {
-	l     *catalogue.Loads
+	l     *promptindex.Loads
 	edges []*edge
 	now   time.Duration
 }
 
 func newRing(workers, edges int) *ring {
-	r := &ring{l: catalogue.NewLoads(settings.Default()), now: start + time.Minute}
+	r := &ring{l: promptindex.NewLoads(settings.Default()), now: start + time.Minute}
 	for _, part := range []float64{1.0 / 15, 1.0 / 30} { // it has heard words for a while
 		r.l.Hear("before", &wire.Loads{}, r.now-settings.Default().Heal(part))
 	}
--- a/internal/pick/shed_test.go
+++ b/internal/data/selection/shed_test.go
@@ -1,4 +1,4 @@
-package pick
+package selection
 
 import (
 	"fmt"
--- a/internal/pick/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -1,20 +1,20 @@
-package pick
+package selection
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"pebbleloom/internal/catalogue"
-	"pebbleloom/internal/plan"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/promptindex"
 )
 
 func storesOf(n int) *edge {
 	s := fleetOf(18)
 	s.Plan.Services = s.Plan.Services[:2]
 	for i := range n {
-		s.Plan.Services = append(s.Plan.Services, plan.Service{Name: fmt.Sprint("depot", i),
-			Store: &plan.Store{Addr: fmt.Sprintf("store%d:1", i), District: fmt.Sprint("d", i), LinkMbps: 150000}})
+		s.Plan.Services = append(s.Plan.Services, routingconfig.Service{Name: fmt.Sprint("depot", i),
+			Store: &routingconfig.Store{Addr: fmt.Sprintf("store%d:1", i), District: fmt.Sprint("d", i), LinkMbps: 150000}})
 	}
 	return newEdge(s)
 }
@@ -53,7 +53,7 @@
 	e := storesOf(3)
 	for i := range 3 {
 		part := fmt.Sprint("p", i)
-		e.tell(part, catalogue.Confirmed, fmt.Sprint("depot", i))
+		e.tell(part, promptindex.Confirmed, fmt.Sprint("depot", i))
 		if c := e.must(t, e.ask(part, 13000)); c.Save != "" || c.Fetch != fmt.Sprintf("store%d:1", i) {
 			t.Errorf("part %d: save %q, fetch %q", i, c.Save, c.Fetch)
 		}
--- a/internal/pick/view.go
+++ b/internal/data/selection/view.go
@@ -1,11 +1,11 @@
-package pick
+package selection
 
 import (
 	"slices"
 	"time"
 
+	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/plan"
 	"pebbleloom/internal/queue"
 )
 
@@ -19,7 +19,7 @@
 
 // group is a service's workers and the stores that keep parts.
 type group struct {
-	svc     *plan.Service
+	svc     *routingconfig.Service
 	seats   []seat
 	at      map[string]int // by the worker's ID
 	stores  []store
@@ -28,7 +28,7 @@
 }
 
 type store struct {
-	svc *plan.Service
+	svc *routingconfig.Service
 	st  *stat
 }
 
@@ -59,7 +59,7 @@
 }
 
 // partRanks finds how far each of the plan's ranks can be parted.
-func partRanks(p *plan.Plan) int {
+func partRanks(p *routingconfig.Plan) int {
 	top := 0
 	if p != nil {
 		for i := range p.Routes {
--- a/internal/pick/weigh.go
+++ b/internal/data/selection/weigh.go
@@ -1,4 +1,4 @@
-package pick
+package selection
 
 import (
 	"encoding/binary"
@@ -7,9 +7,9 @@
 	"net/url"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/prefix"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
@@ -165,7 +165,7 @@
 // stores learns from the index which stores answer.
 func (q *query) stores() {
 	for _, x := range q.g.stores {
-		if f, ok := q.found[catalogue.UpKey(x.svc.Name)]; ok {
+		if f, ok := q.found[promptindex.UpKey(x.svc.Name)]; ok {
 			q.t.down[x.svc.Name] = len(f.GetHolders()) == 0
 		}
 	}
@@ -207,13 +207,13 @@
 	}
 	o.shared = max(0, len(ps)-1)
 	for i, p := range ps {
-		k := catalogue.KeyOf(o.text, p.ID)
+		k := promptindex.KeyOf(o.text, p.ID)
 		o.keys[i] = k
 		bit := uint64(1) << i
 		f, told := q.found[k]
 		o.told = o.told || told
 		for _, h := range f.GetHolders() {
-			note(h.Worker, bit, h.State == catalogue.Confirmed, false)
+			note(h.Worker, bit, h.State == promptindex.Confirmed, false)
 		}
 		m, mine := t.memo.get(k)
 		trust := t.b.Heal(memoPart)
--- a/internal/pick/weights_test.go
+++ b/internal/data/selection/weights_test.go
@@ -1,4 +1,4 @@
-package pick
+package selection
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/plan"
 )
 
 func TestWeightsAreThoseOfTheRow(t *testing.T) {
@@ -144,7 +144,7 @@
 		version     uint64
 	}
 	seen := map[string]wall{}
-	check := func(w wall, t0 *plan.Tenant) {
+	check := func(w wall, t0 *routingconfig.Tenant) {
 		s := salt(w.model, w.version, t0)
 		if old, ok := seen[s]; ok && old != w {
 			t.Fatalf("%q is the text of %+v and %+v", s, old, w)
@@ -159,8 +159,8 @@
 		if r.IntN(4) == 0 {
 			m += names[r.IntN(len(names))]
 		}
-		check(wall{m, "isolated " + n, v}, &plan.Tenant{Name: n, Isolated: true})
-		check(wall{m, "", v}, &plan.Tenant{Name: n})
+		check(wall{m, "isolated " + n, v}, &routingconfig.Tenant{Name: n, Isolated: true})
+		check(wall{m, "", v}, &routingconfig.Tenant{Name: n})
 		check(wall{m, "", v}, nil)
 	}
 }
@@ -168,8 +168,8 @@
 // Memory of one wall is never offered to another, whatever the index and this edge know.
 func TestWallsAreNeverShared(t *testing.T) {
 	e := newEdge(fleetOf(6))
-	e.tell("p", catalogue.Confirmed, "w1", "w2", "depot")
-	a := &plan.Tenant{Name: "a", Isolated: true, Priority: -1}
+	e.tell("p", promptindex.Confirmed, "w1", "w2", "depot")
+	a := &routingconfig.Tenant{Name: "a", Isolated: true, Priority: -1}
 	r := e.ask("p", 13000)
 	e.serve(r, e.must(t, r), 10*time.Millisecond)
 	r = e.ask("p", 13000)
@@ -199,12 +199,12 @@
 
 func TestUrgency(t *testing.T) {
 	for _, x := range []struct{ route, tenant, want int }{{4, -1, 4}, {4, 0, 0}, {0, 7, 7}, {12, -1, 9}, {-3, -1, 0}} {
-		r := &Request{Route: &plan.Route{Priority: x.route}, Tenant: &plan.Tenant{Priority: x.tenant}}
+		r := &Request{Route: &routingconfig.Route{Priority: x.route}, Tenant: &routingconfig.Tenant{Priority: x.tenant}}
 		if got := urgency(r); got != x.want {
 			t.Errorf("%+v: %d", x, got)
 		}
 	}
-	if urgency(&Request{Route: &plan.Route{Priority: 3}}) != 3 {
+	if urgency(&Request{Route: &routingconfig.Route{Priority: 3}}) != 3 {
 		t.Error("a public route")
 	}
 }
@@ -214,7 +214,7 @@
 func TestTheShorterPromptGoesFirstWithinItsRank(t *testing.T) {
 	for _, top := range []int{0, 1, 2, 4, 9, 20} {
 		s := fleetOf(18)
-		s.Plan.Routes = []plan.Route{{Priority: top}}
+		s.Plan.Routes = []routingconfig.Route{{Priority: top}}
 		e := newEdge(s)
 		last := -1
 		for rank := range min(top, 9) + 1 {
--- a/internal/feed/feed.go
+++ b/internal/data/updatestream/feed.go
@@ -1,6 +1,6 @@
-// Package feed is how a process that isn't in the roster of news itself follows the runner:
+// Package updatestream is how a process that isn't in the roster of news itself follows the runner:
 // it asks with the number it has and gets what changed.
-package feed
+package updatestream
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"github.com/hashicorp/go-hclog"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/setup"
 	"pebbleloom/internal/wire"
 )
 
@@ -29,7 +29,7 @@
 	Number     uint64
 	Epoch      uint64 // of the setup
 	View       uint64 // of workers, nodes, placements and stores
-	Setup      *setup.Setup
+	Setup      *serviceconfig.Setup
 	ProofAt    time.Duration // no setup newer than Epoch had been acknowledged then
 	Proved     time.Duration // the latest such instant known, also while the runner has just begun anew
 	WorkersAt  time.Duration // when the worker table was last known good
@@ -152,11 +152,11 @@
 		return nil, err
 	}
 	for _, d := range t.Placements {
-		if old != nil && old.Placements[d.Key] != nil && old.Placements[d.Key].Epoch == d.Epoch {
+		if old != nil && old.Placements[d.Key] != nil && old.Placements[d.Key].Epoch == d.Version {
 			s.Placements[d.Key] = old.Placements[d.Key]
 			continue
 		}
-		p, err := placement.Read(d.Body, d.Epoch)
+		p, err := placement.Read(d.Body, d.Version)
 		if err != nil {
 			return nil, errs.Wrap(err, "placement in feed")
 		}
@@ -167,15 +167,15 @@
 
 // adopt takes the setup of an answer, or keeps the one there was.
 func (s *Snapshot) adopt(t *wire.FeedTell, old *Snapshot, now time.Duration) error {
-	if old != nil && old.Setup != nil && (t.Setup == nil || old.Epoch == t.Setup.Epoch) {
+	if old != nil && old.Setup != nil && (t.Setup == nil || old.Epoch == t.Setup.Version) {
 		s.Epoch, s.Setup, s.WeightsAt = old.Epoch, old.Setup, old.WeightsAt
 		s.Proved = max(old.Proved, s.ProofAt) // a proof of this epoch stays true, whoever forgot it
 	} else if t.Setup != nil {
-		v, err := setup.Read(t.Setup.Body)
+		v, err := serviceconfig.Read(t.Setup.Body)
 		if err != nil {
 			return errs.Wrap(err, "setup in feed")
 		}
-		s.Epoch, s.Setup, s.Proved, s.WeightsAt = t.Setup.Epoch, v.Ready(), s.ProofAt, map[string]Seen{}
+		s.Epoch, s.Setup, s.Proved, s.WeightsAt = t.Setup.Version, v.Ready(), s.ProofAt, map[string]Seen{}
 		for n, m := range v.Models {
 			var o Seen
 			proved := time.Duration(0)
--- a/internal/feed/feed_test.go
+++ b/internal/data/updatestream/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package updatestream
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/wire"
 )
 
-func doc(epoch uint64, weights string) *wire.Doc {
-	return &wire.Doc{Epoch: epoch, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
+func doc(epoch uint64, weights string) *wire.Document {
+	return &wire.Document{Version: epoch, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
 }
 
 func must(t *testing.T, tell *wire.FeedTell, old *Snapshot, now time.Duration) *Snapshot {
@@ -25,7 +25,7 @@
 // that is shared is never changed.
 func TestWhatIsLeftOutStays(t *testing.T) {
 	a := must(t, &wire.FeedTell{Number: 1, View: 7, ProofAt: 10, Setup: doc(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
-		Placements: []*wire.Doc{{Key: "s", Epoch: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
+		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
 	b := must(t, &wire.FeedTell{Number: 2, View: 7, ProofAt: 20}, a, 200)
 	if b.Epoch != 3 || len(b.Workers) != 1 || b.Placements["s"] == nil || b.ProofAt != 20 || a.ProofAt != 10 {
 		t.Errorf("%+v after %+v", b, a)
@@ -34,7 +34,7 @@
 	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.Epoch != 3 || len(b.Workers) != 1 {
 		t.Errorf("%+v after %+v", c, b)
 	}
-	if _, err := Read(&wire.FeedTell{Setup: &wire.Doc{Epoch: 9, Body: []byte(`{`)}}, c, 400); err == nil {
+	if _, err := Read(&wire.FeedTell{Setup: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
 		t.Error("half a setup was read")
 	}
 }
--- a/internal/feed/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -1,4 +1,4 @@
-package feed
+package updatestream
 
 import (
 	"slices"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"pebbleloom/internal/placement"
-	"pebbleloom/internal/plan"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/wire"
 )
 
@@ -40,7 +40,7 @@
 
 // Snapshot is all that a request goes by. It never changes once it is shared.
 type Snapshot struct {
-	Plan       *plan.Plan
+	Plan       *routingconfig.Plan
 	ProofAt    time.Duration // no newer plan had been acknowledged then; zero: no proof yet
 	Workers    []Worker
 	Named      map[string]uint64
--- a/internal/fleet/pack.go
+++ b/internal/fleet/pack.go
@@ -22,7 +22,7 @@
 // of routes say much the same again and again, and every node of a site is told them.
 //
 // Example: tell.Docs = append(tell.Docs, fleet.Pack(d))
-func Pack(d *wire.Doc) *wire.Doc {
+func Pack(d *wire.Document) *wire.Document {
 	if len(d.GetBody()) < packLeast || d.Packed {
 		return d
 	}
@@ -33,13 +33,13 @@
 	if _, err := w.Write(d.Body); err != nil || w.Close() != nil || b.Len() >= len(d.Body) {
 		return d
 	}
-	return &wire.Doc{Key: d.Key, Body: b.Bytes(), Epoch: d.Epoch, Packed: true}
+	return &wire.Document{Key: d.Key, Body: b.Bytes(), Version: d.Version, Packed: true}
 }
 
 // Unpack gives a document as it was before it was packed.
 //
 // Example: d, err := fleet.Unpack(tell.Docs[0])
-func Unpack(d *wire.Doc) (*wire.Doc, error) {
+func Unpack(d *wire.Document) (*wire.Document, error) {
 	if !d.GetPacked() {
 		return d, nil
 	}
@@ -47,5 +47,5 @@
 	if err != nil || len(body) > packMost {
 		return nil, errs.New(errs.Inside, "document %s can't be unpacked", d.Key)
 	}
-	return &wire.Doc{Key: d.Key, Body: body, Epoch: d.Epoch}, nil
+	return &wire.Document{Key: d.Key, Body: body, Version: d.Version}, nil
 }
--- a/internal/fleet/pack_test.go
+++ b/internal/fleet/pack_test.go
@@ -21,13 +21,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &wire.Doc{Key: WorkersKey, Body: body, Epoch: 7}
+	d := &wire.Document{Key: WorkersKey, Body: body, Version: 7}
 	p := Pack(d)
-	if !p.Packed || 5*len(p.Body) > len(body) || p.Key != d.Key || p.Epoch != 7 {
+	if !p.Packed || 5*len(p.Body) > len(body) || p.Key != d.Key || p.Version != 7 {
 		t.Fatalf("%d bytes of %d", len(p.Body), len(body))
 	}
 	u, err := Unpack(p)
-	if err != nil || u.Packed || u.Key != d.Key || u.Epoch != 7 || !bytes.Equal(u.Body, body) {
+	if err != nil || u.Packed || u.Key != d.Key || u.Version != 7 || !bytes.Equal(u.Body, body) {
 		t.Fatalf("unpacked: %v", err)
 	}
 	if Pack(p) != p {
@@ -36,13 +36,13 @@
 }
 
 func TestWhatPackingDoesNotShortenStays(t *testing.T) {
-	short := &wire.Doc{Key: "k", Body: []byte("{}")}
-	noise := &wire.Doc{Key: "k", Body: make([]byte, 4096)}
+	short := &wire.Document{Key: "k", Body: []byte("{}")}
+	noise := &wire.Document{Key: "k", Body: make([]byte, 4096)}
 	r := rand.New(rand.NewPCG(3, 4))
 	for i := range noise.Body {
 		noise.Body[i] = byte(r.Uint32())
 	}
-	for _, d := range []*wire.Doc{short, noise} {
+	for _, d := range []*wire.Document{short, noise} {
 		if Pack(d) != d {
 			t.Errorf("%d bytes packed", len(d.Body))
 		}
@@ -54,7 +54,7 @@
 
 func TestABrokenPackedDocumentIsAnError(t *testing.T) {
 	for _, b := range [][]byte{nil, {1}, []byte("no deflated bytes")} {
-		if _, err := Unpack(&wire.Doc{Key: "k", Body: b, Packed: true}); err == nil {
+		if _, err := Unpack(&wire.Document{Key: "k", Body: b, Packed: true}); err == nil {
 			t.Errorf("%q unpacked", b)
 		}
 	}
--- a/internal/appservice/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -1,6 +1,6 @@
-// Package appservice is the stand-in for a site's small application service: it answers
+// Package appservicesim is the stand-in for a site's small application service: it answers
 // like a worker without a cache, in few pieces.
-package appservice
+package appservicesim
 
 import (
 	"encoding/json"
--- a/internal/tabletop/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -1,4 +1,4 @@
-package tabletop
+package clustersim
 
 import (
 	"fmt"
@@ -7,27 +7,27 @@
 	"strings"
 	"testing"
 
-	"pebbleloom/internal/yard"
+	"pebbleloom/internal/sim/testbed"
 )
 
 // What the placement is worth against its own switches, on virtual time, where the machine's speed
 // has no say. `TABLE_COMPARE="kv=6000 skew=1.0 link=40000" TABLE_SITE=paramo TABLE_SEEDS=5 go test
-// ./internal/tabletop -run TestCompare -v -timeout 3h` prints a table; runs are interleaved.
+// ./internal/sim/clustersim -run TestCompare -v -timeout 3h` prints a table; runs are interleaved.
 func TestCompare(t *testing.T) {
 	words := os.Getenv("TABLE_COMPARE")
 	if words == "" {
 		t.Skip("a measurement: run it by hand")
 	}
-	site, modes := os.Getenv("TABLE_SITE"), yard.Modes()
+	site, modes := os.Getenv("TABLE_SITE"), testbed.Modes()
 	if w := os.Getenv("TABLE_MODES"); w != "" {
 		modes = strings.Split(w, ",")
 	}
 	from, n := number(t, "TABLE_SEED", 1), number(t, "TABLE_SEEDS", 5)
-	got := map[string][]*yard.Report{}
+	got := map[string][]*testbed.Report{}
 	for seed := from; seed < from+n; seed++ {
 		for _, m := range modes {
-			sc := yard.Scenario{Name: m, HealMs: 1000, TailMs: 59000}
-			r := play(t, sc, site, seed, func(s *yard.Site) *Table {
+			sc := testbed.Scenario{Name: m, HealMs: 1000, TailMs: 59000}
+			r := play(t, sc, site, seed, func(s *testbed.Site) *Table {
 				v := s.Setup.Services[s.Traffic.Model+"-main"]
 				v.Placement = m
 				s.Setup.Services[s.Traffic.Model+"-main"] = v
@@ -58,7 +58,7 @@
 	fmt.Printf("%s, %s, seeds %d to %d: median (least to most)\n| placement | hit share | fetched share | R_max | replicated | prefilled | load max/mean | first piece ms, median | 95th |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
 		site, words, from, from+n-1)
 	for _, m := range modes {
-		col := func(form string, f func(*yard.Report) float64) string {
+		col := func(form string, f func(*testbed.Report) float64) string {
 			var l []float64
 			for _, r := range got[m] {
 				l = append(l, f(r))
@@ -66,10 +66,10 @@
 			sort.Float64s(l)
 			return fmt.Sprintf(form+" ("+form+" to "+form+")", l[len(l)/2], l[0], l[len(l)-1])
 		}
-		fmt.Printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", m, col("%.3f", func(r *yard.Report) float64 { return r.Sum.HitShare }),
-			col("%.3f", func(r *yard.Report) float64 { return r.Sum.FetchPart }), col("%.2f", func(r *yard.Report) float64 { return r.RMax }),
-			col("%.0f", func(r *yard.Report) float64 { return float64(r.Copied) }), col("%.0f", func(r *yard.Report) float64 { return float64(r.Sum.Prefilled) }),
-			col("%.2f", func(r *yard.Report) float64 { return r.Sum.MaxToMean }), col("%.0f", func(r *yard.Report) float64 { return float64(r.Sum.First50Ms) }),
-			col("%.0f", func(r *yard.Report) float64 { return float64(r.Sum.First95Ms) }))
+		fmt.Printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", m, col("%.3f", func(r *testbed.Report) float64 { return r.Sum.HitShare }),
+			col("%.3f", func(r *testbed.Report) float64 { return r.Sum.FetchPart }), col("%.2f", func(r *testbed.Report) float64 { return r.RMax }),
+			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Copied) }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.Prefilled) }),
+			col("%.2f", func(r *testbed.Report) float64 { return r.Sum.MaxToMean }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First50Ms) }),
+			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First95Ms) }))
 	}
 }
--- a/internal/tabletop/plain_test.go
+++ b/internal/sim/clustersim/plain_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package tabletop
+package clustersim
 
 const raced = false
--- a/internal/tabletop/proc.go
+++ b/internal/sim/clustersim/proc.go
@@ -1,4 +1,4 @@
-package tabletop
+package clustersim
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"syscall"
 	"time"
 
+	"pebbleloom/internal/control/storage"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/shelf"
-	"pebbleloom/internal/yard"
+	"pebbleloom/internal/sim/testbed"
 )
 
 // proc is one life of a process. All that it meets goes through pass: while it is frozen nothing
 // gets on, and once it is dead nothing that it does has any effect.
 type proc struct {
 	t       *Table
-	p       yard.Process
+	p       testbed.Process
 	m       *machine
 	life    *daemon.Life
 	started chan struct{}
@@ -35,7 +35,7 @@
 	r       *rand.Rand
 }
 
-func newProc(t *Table, p yard.Process, m *machine, seed uint64) *proc {
+func newProc(t *Table, p testbed.Process, m *machine, seed uint64) *proc {
 	return &proc{t: t, p: p, m: m, started: make(chan struct{}), dead: make(chan struct{}), conns: map[*conn]bool{}, lns: map[*listener]bool{},
 		r: rand.New(rand.NewPCG(seed, 17))}
 }
@@ -227,7 +227,7 @@
 var errDead = errors.New("the process is dead")
 
 // disk is a folder of the machine's disk, as this life sees it.
-func (p *proc) disk(folder string) shelf.Disk { return &disk{p, folder} }
+func (p *proc) disk(folder string) storage.Disk { return &disk{p, folder} }
 
 type disk struct {
 	p      *proc
@@ -251,7 +251,7 @@
 	if !d.p.pass() {
 		return errDead
 	}
-	stall, err := shelf.Fault(d.p.m.fault())
+	stall, err := storage.Fault(d.p.m.fault())
 	if err != nil {
 		return err
 	}
--- a/internal/tabletop/race_test.go
+++ b/internal/sim/clustersim/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package tabletop
+package clustersim
 
 // raced tells that the race detector is on: its runtime gives up on so long a run of so many
 // threads in a bubble of virtual time.
--- a/internal/tabletop/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -1,4 +1,4 @@
-package tabletop
+package clustersim
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"pebbleloom/internal/yard"
+	"pebbleloom/internal/sim/testbed"
 )
 
-func scenario(t *testing.T, name string) yard.Scenario {
+func scenario(t *testing.T, name string) testbed.Scenario {
 	t.Helper()
-	l, err := yard.Scenarios()
+	l, err := testbed.Scenarios()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,17 +22,17 @@
 		}
 	}
 	t.Fatalf("no scenario %s", name)
-	return yard.Scenario{}
+	return testbed.Scenario{}
 }
 
 // Whole retirements under live traffic, with the programs as they are. Beside the first stands the same
 // traffic without one: nobody waits past their bound because of it.
 func TestRetirementsUnderTraffic(t *testing.T) {
-	late := func(r *yard.Report) int { return r.Sum.Requests - r.Sum.Sealed }
+	late := func(r *testbed.Report) int { return r.Sum.Requests - r.Sum.Sealed }
 	for _, name := range []string{"retire-calm", "retire-troubles", "retire-abort"} {
 		sc := scenario(t, name)
-		r := play(t, sc, sc.Site, 1, func(s *yard.Site) *Table { return New(1, s) })
-		t.Log(yard.Line(r))
+		r := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
+		t.Log(testbed.Line(r))
 		if len(r.Faults) > 0 {
 			t.Errorf("%s:\n%s\n%s", name, strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
 		}
@@ -41,8 +41,8 @@
 		}
 		last := sc.Steps[len(sc.Steps)-1].At
 		sc.Steps, sc.TailMs = nil, 40000+last
-		o := play(t, sc, sc.Site, 1, func(s *yard.Site) *Table { return New(1, s) })
-		t.Log(yard.Line(o))
+		o := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
+		t.Log(testbed.Line(o))
 		if a, b := late(r), late(o); a > b {
 			t.Errorf("%d of %d requests weren't answered in time with a retirement, %d of %d without", a, r.Sum.Requests, b, o.Sum.Requests)
 		}
@@ -51,31 +51,31 @@
 
 // Seeded mixtures of the site's troubles while a retirement is under way: it ends, and no rule is broken.
 // Left out is what the run's own checks can't tell apart (other weights of the base), and what nobody
-// ends (a drained worker that isn't replaced). `TABLE_SEEDS=20 go test ./internal/tabletop -run
+// ends (a drained worker that isn't replaced). `TABLE_SEEDS=20 go test ./internal/sim/clustersim -run
 // TestMixturesInARetirement -timeout 2h` runs wide.
 func TestMixturesInARetirement(t *testing.T) {
 	from, n := number(t, "TABLE_SEED", 1), number(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
-		site := yard.Sites()[seed%2]
+		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			var l []yard.Trouble
-			for _, x := range yard.Mix(seed) {
+			var l []testbed.Trouble
+			for _, x := range testbed.Mix(seed) {
 				switch x.Name {
 				case "weights", "weights-again", "drain", "warn", "clock":
 				default:
 					l = append(l, x)
 				}
 			}
-			sc := yard.Script(site, seed, l)
+			sc := testbed.Script(site, seed, l)
 			sc.Rate, sc.Retire = 10, true
 			last := 0
 			for _, x := range sc.Steps {
 				last = max(last, x.At)
 			}
-			sc.Steps = append(append([]yard.Step{{At: 500, Do: "retire", Who: "spring", To: `{"shares":[25,100],"soak_s":1,"at_once":3,"abort_at":1}`}}, sc.Steps...),
-				yard.Step{At: last + 1000, Do: "retired", Who: "spring", To: "done"})
-			r := play(t, sc, site, seed, func(s *yard.Site) *Table { return New(seed, s) })
-			t.Logf("%s: %s", yard.Line(r), sc.About)
+			sc.Steps = append(append([]testbed.Step{{At: 500, Do: "retire", Who: "spring", To: `{"shares":[25,100],"soak_s":1,"at_once":3,"abort_at":1}`}}, sc.Steps...),
+				testbed.Step{At: last + 1000, Do: "retired", Who: "spring", To: "done"})
+			r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
+			t.Logf("%s: %s", testbed.Line(r), sc.About)
 			if len(r.Faults) > 0 {
 				t.Errorf("%d faults:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
 			}
@@ -84,7 +84,7 @@
 }
 
 // How long a retirement takes, by how many nodes go together. `TABLE_PACES=1,2,3,6 go test
-// ./internal/tabletop -run TestPaces -v` prints a line each.
+// ./internal/sim/clustersim -run TestPaces -v` prints a line each.
 func TestPaces(t *testing.T) {
 	words := os.Getenv("TABLE_PACES")
 	if words == "" {
@@ -93,7 +93,7 @@
 	for _, n := range strings.Split(words, ",") {
 		sc := scenario(t, "retire-calm")
 		sc.Steps[0].To = `{"shares":[100],"at_once":` + n + `}`
-		r := play(t, sc, sc.Site, 1, func(s *yard.Site) *Table { return New(1, s) })
+		r := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
 		if len(r.Faults) > 0 {
 			t.Errorf("%v", r.Faults)
 		}
@@ -104,7 +104,7 @@
 // Planted faults that only the programs can show: a worker that boasts of adapters holds the barrier, so
 // the old base stays; and one that answers under the wrong weights is seen by its callers.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
-	step := func(at int, do, who, to string) yard.Step { return yard.Step{At: at, Do: do, Who: who, To: to} }
+	step := func(at int, do, who, to string) testbed.Step { return testbed.Step{At: at, Do: do, Who: who, To: to} }
 	for _, x := range []struct {
 		point, want, state string
 		every              int
@@ -113,9 +113,9 @@
 		{"a worker boasts", "its proof failed", "done", 18, nil},
 		{"an answer is another adapter's", "isn't what", "move", 0, swap(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
-		sc := yard.Scenario{Name: "planted", Retire: true, Rate: 10, HealMs: 1000, TailMs: 2000,
-			Steps: []yard.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", x.state)}}
-		r := play(t, sc, "paramo", 3, func(s *yard.Site) *Table {
+		sc := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, HealMs: 1000, TailMs: 2000,
+			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", x.state)}}
+		r := play(t, sc, "paramo", 3, func(s *testbed.Site) *Table {
 			if x.every > 0 {
 				lie(s, "boasts", x.every)
 			}
--- a/internal/tabletop/table.go
+++ b/internal/sim/clustersim/table.go
@@ -1,11 +1,11 @@
-// Package tabletop is a whole site in one test process, on virtual time. The programs are the
+// Package clustersim is a whole site in one test process, on virtual time. The programs are the
 // real ones; network, clocks, disks, journals and chance are swapped through the seam that they
 // take at their start (daemon.World), and the yard's scenarios and checks are used as they are.
 //
 // What repeats under a seed: the site, its traffic, the script and its instants, clocks, drift
 // and what the disks do. Which of several threads that are ready at one instant goes first is
 // Go's to choose; so a run is much the same again, not the same to the letter.
-package tabletop
+package clustersim
 
 import (
 	"bytes"
@@ -21,29 +21,29 @@
 	"syscall"
 	"time"
 
-	"pebbleloom/internal/appraiser"
-	"pebbleloom/internal/appservice"
-	"pebbleloom/internal/archive"
-	"pebbleloom/internal/cab"
-	"pebbleloom/internal/catalogue"
+	"pebbleloom/internal/control/controlstate"
+	"pebbleloom/internal/control/placementcontroller"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/depot"
-	"pebbleloom/internal/dispatcher"
+	"pebbleloom/internal/data/callerproxy"
+	"pebbleloom/internal/data/nodeagent"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/rank"
-	"pebbleloom/internal/runner"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/yard"
+	"pebbleloom/internal/sim/appservicesim"
+	"pebbleloom/internal/sim/loadgen"
+	"pebbleloom/internal/sim/platformsim"
+	"pebbleloom/internal/sim/storesim"
+	"pebbleloom/internal/sim/testbed"
+	"pebbleloom/internal/sim/workersim"
 )
 
-var programs = map[string]func(*daemon.Life) error{"archive": archive.Start, "appraiser": appraiser.Start, "runner": runner.Start,
-	"catalogue": catalogue.Start, "dispatcher": dispatcher.Start, "cab": cab.Start, "appservice": appservice.Start, "depot": depot.Start, "rank": rank.Start}
+var programs = map[string]func(*daemon.Life) error{"archive": controlstate.Start, "appraiser": placementcontroller.Start, "runner": nodeagent.Start,
+	"catalogue": promptindex.Start, "dispatcher": callerproxy.Start, "cab": workersim.Start, "appservice": appservicesim.Start, "depot": storesim.Start, "rank": platformsim.Start}
 
 // Table is the ground of a site on virtual time.
 type Table struct {
-	*yard.Links
+	*testbed.Links
 	seed     uint64
 	begin    time.Time
 	patience time.Duration // of one that connects
@@ -80,10 +80,10 @@
 // New lays a table for a site.
 //
 // Example: t := tabletop.New(7, site); defer t.Down()
-func New(seed uint64, s *yard.Site) *Table {
-	t := &Table{Links: yard.NewLinks(), seed: seed, begin: time.Now(), patience: settings.Default().Leave(1.0 / 3), procs: map[string]*proc{},
+func New(seed uint64, s *testbed.Site) *Table {
+	t := &Table{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), patience: settings.Default().Leave(1.0 / 3), procs: map[string]*proc{},
 		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, doors: map[string]*listener{}, files: map[string]*file{}}
-	t.people = newProc(t, yard.Process{}, t.machine("people"), seed)
+	t.people = newProc(t, testbed.Process{}, t.machine("people"), seed)
 	for _, p := range s.Processes {
 		t.stands(p)
 	}
@@ -102,7 +102,7 @@
 }
 
 // stands notes which addresses a machine has.
-func (t *Table) stands(p yard.Process) *machine {
+func (t *Table) stands(p testbed.Process) *machine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range []string{p.Place.Listen, p.Place.Public, p.Place.Operator} {
@@ -155,10 +155,10 @@
 	return netip.MustParseAddr("127.0.0.1")
 }
 
-func (t *Table) rule(from, to string) (yard.Rule, <-chan struct{}) {
+func (t *Table) rule(from, to string) (testbed.Rule, <-chan struct{}) {
 	r, c := t.At(from, to)
 	if from == to || from == "people" || to == "people" {
-		r = yard.Rule{} // loopback, and those outside
+		r = testbed.Rule{} // loopback, and those outside
 	}
 	return r, c
 }
@@ -220,7 +220,7 @@
 // Start begins a life of a process.
 //
 // Example: err := t.Start(process)
-func (t *Table) Start(q yard.Process) error {
+func (t *Table) Start(q testbed.Process) error {
 	m := t.stands(q)
 	t.mu.Lock()
 	if o := t.procs[q.Name]; o != nil && !done(o.dead) {
@@ -286,12 +286,12 @@
 // Put notes where a process stands from its next start on.
 //
 // Example: err := t.Put(process)
-func (t *Table) Put(p yard.Process) error { t.stands(p); return nil }
+func (t *Table) Put(p testbed.Process) error { t.stands(p); return nil }
 
 // Wipe loses a machine's disk.
 //
 // Example: err := t.Wipe(process)
-func (t *Table) Wipe(p yard.Process) error {
+func (t *Table) Wipe(p testbed.Process) error {
 	t.mu.Lock()
 	m := t.machine(p.Place.Name)
 	t.mu.Unlock()
@@ -308,7 +308,7 @@
 // Switch makes a machine's disk or wall clock misbehave, or well again.
 //
 // Example: err := t.Switch(process, "disk", "stall 800")
-func (t *Table) Switch(p yard.Process, what, word string) error {
+func (t *Table) Switch(p testbed.Process, what, word string) error {
 	t.mu.Lock()
 	m := t.machine(p.Place.Name)
 	t.mu.Unlock()
@@ -328,17 +328,17 @@
 // Journal reads what a worker wrote down, in all its lives.
 //
 // Example: runs, err := t.Journal(process)
-func (t *Table) Journal(p yard.Process) ([]cab.Run, error) {
+func (t *Table) Journal(p testbed.Process) ([]workersim.Run, error) {
 	f := t.file(p.Place.Word("journal", ""))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return fares.ReadJournal(bytes.NewReader(f.b))
+	return loadgen.ReadJournal(bytes.NewReader(f.b))
 }
 
 // Link puts a rule on a way.
 //
-// Example: err := t.Link("edge-1", "core-2", yard.Rule{Cut: true})
-func (t *Table) Link(from, to string, r yard.Rule) error { t.Set(from, to, r); return nil }
+// Example: err := t.Link("edge-1", "core-2", testbed.Rule{Cut: true})
+func (t *Table) Link(from, to string, r testbed.Rule) error { t.Set(from, to, r); return nil }
 
 // Dial connects as people and callers do.
 //
--- a/internal/tabletop/table_test.go
+++ b/internal/sim/clustersim/table_test.go
@@ -1,4 +1,4 @@
-package tabletop
+package clustersim
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"testing/synctest"
 
-	"pebbleloom/internal/yard"
+	"pebbleloom/internal/sim/testbed"
 )
 
 func number(t *testing.T, key string, or uint64) uint64 {
@@ -25,7 +25,7 @@
 }
 
 // play runs a scenario on the table, in a bubble of virtual time.
-func play(t *testing.T, sc yard.Scenario, site string, seed uint64, on func(*yard.Site) *Table) (rep *yard.Report) {
+func play(t *testing.T, sc testbed.Scenario, site string, seed uint64, on func(*testbed.Site) *Table) (rep *testbed.Report) {
 	t.Helper()
 	if raced {
 		t.Skip("without the race detector: see README")
@@ -33,7 +33,7 @@
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		rep, err = yard.PlayOn(t.Context(), sc, yard.Options{Site: site, Seed: seed, Dir: dir, Net: 10}, func(s *yard.Site) (yard.Ground, error) {
+		rep, err = testbed.PlayOn(t.Context(), sc, testbed.Options{Site: site, Seed: seed, Dir: dir, Net: 10}, func(s *testbed.Site) (testbed.Ground, error) {
 			return on(s), nil
 		})
 		if err != nil {
@@ -46,11 +46,11 @@
 	return rep
 }
 
-// The scenarios of the yard, on virtual time. `TABLE_SCENARIO=all go test ./internal/tabletop -run
+// The scenarios of the yard, on virtual time. `TABLE_SCENARIO=all go test ./internal/sim/clustersim -run
 // TestScenarios -timeout 2h` plays them all; TABLE_SITE, TABLE_SEED and TABLE_SEEDS say where and
 // with which seeds.
 func TestScenarios(t *testing.T) {
-	l, err := yard.Scenarios()
+	l, err := testbed.Scenarios()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		if w := os.Getenv("TABLE_SCENARIO"); w != "all" && w != sc.Name && (w != "" || sc.Name != "all-together") {
 			continue
 		}
-		for _, site := range yard.Sites() {
+		for _, site := range testbed.Sites() {
 			if w := os.Getenv("TABLE_SITE"); w != "" && w != site {
 				continue
 			}
@@ -68,10 +68,10 @@
 					if sc.Rate == 0 {
 						sc.Rate = 10
 					}
-					r := play(t, sc, site, seed, func(s *yard.Site) *Table { return New(seed, s) })
-					t.Log(yard.Line(r))
+					r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
+					t.Log(testbed.Line(r))
 					if len(r.Faults) > 0 {
-						t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/tabletop -run TestScenarios -v",
+						t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
 							len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), sc.Name, site, seed)
 					}
 				})
@@ -81,37 +81,37 @@
 }
 
 // judge plays a script and says what was wrong with it.
-func judge(t *testing.T, site string, seed uint64, l []yard.Trouble) *yard.Report {
+func judge(t *testing.T, site string, seed uint64, l []testbed.Trouble) *testbed.Report {
 	t.Helper()
-	sc := yard.Script(site, seed, l)
+	sc := testbed.Script(site, seed, l)
 	sc.Rate = 10
-	r := play(t, sc, site, seed, func(s *yard.Site) *Table { return New(seed, s) })
-	t.Logf("%s: %s", yard.Line(r), sc.About)
+	r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
+	t.Logf("%s: %s", testbed.Line(r), sc.About)
 	return r
 }
 
 // Seeded mixtures of all troubles of the brief, judged by the fleets' own checks. `TABLE_SEEDS=1000
-// go test ./internal/tabletop -run TestMixtures -timeout 12h` runs wide; TABLE_SEED replays one, and
+// go test ./internal/sim/clustersim -run TestMixtures -timeout 12h` runs wide; TABLE_SEED replays one, and
 // with TABLE_SHRINK=1 leaves out what a fault doesn't need.
 func TestMixtures(t *testing.T) {
 	from, n := number(t, "TABLE_SEED", 1), number(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
-		site := yard.Sites()[seed%2]
+		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			l := yard.Mix(seed)
+			l := testbed.Mix(seed)
 			r := judge(t, site, seed, l)
 			if len(r.Faults) == 0 {
 				return
 			}
 			for i := 0; os.Getenv("TABLE_SHRINK") != "" && i < len(l); {
-				fewer := append(append([]yard.Trouble(nil), l[:i]...), l[i+1:]...)
+				fewer := append(append([]testbed.Trouble(nil), l[:i]...), l[i+1:]...)
 				if o := judge(t, site, seed, fewer); len(o.Faults) > 0 {
 					l, r = fewer, o
 				} else {
 					i++
 				}
 			}
-			t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/tabletop -run TestMixtures -v",
+			t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/sim/clustersim -run TestMixtures -v",
 				len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), seed)
 		})
 	}
--- a/internal/tabletop/wire.go
+++ b/internal/sim/clustersim/wire.go
@@ -1,4 +1,4 @@
-package tabletop
+package clustersim
 
 import (
 	"io"
--- a/internal/fares/check.go
+++ b/internal/sim/loadgen/check.go
@@ -1,7 +1,7 @@
-// Package fares is the stand-in for the callers of both sites. It sends streamed traffic,
+// Package loadgen is the stand-in for the callers of both sites. It sends streamed traffic,
 // checks every byte of every answer, and reconciles what it was told with what the workers
 // say they ran.
-package fares
+package loadgen
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/sim/workersim"
 )
 
 // Request is one request as it was sent.
@@ -195,7 +195,7 @@
 // that no journal was lost with a killed worker.
 //
 // Example: sum := book.Settle(journals, true)
-func (b *Book) Settle(journals map[string][]cab.Run, whole bool) Sum {
+func (b *Book) Settle(journals map[string][]workersim.Run, whole bool) Sum {
 	s := Sum{Denied: map[string]int{}, Workers: map[string]int{}, Faults: []string{}}
 	ran := map[string]int{}
 	for _, l := range journals {
--- a/internal/fares/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -1,4 +1,4 @@
-package fares
+package loadgen
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/sim/workersim"
 )
 
 var ask = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, Once: true}
@@ -75,17 +75,17 @@
 }
 
 func TestJournalsAreReconciled(t *testing.T) {
-	run := cab.Run{RequestID: "r1"}
+	run := workersim.Run{RequestID: "r1"}
 	for _, c := range []struct {
 		name string
 		o    Outcome
-		js   map[string][]cab.Run
+		js   map[string][]workersim.Run
 		want string
 	}{
-		{"ran once, sealed", Outcome{Request: ask, Sealed: true}, map[string][]cab.Run{"a": {run}}, ""},
-		{"a doubled run", Outcome{Request: ask, Sealed: true}, map[string][]cab.Run{"a": {run}, "b": {run}}, "ran 2 times"},
-		{"not run, yet it ran", Outcome{Request: ask, Denied: "not-run"}, map[string][]cab.Run{"a": {run}}, "yet it ran"},
-		{"may have run, and did", Outcome{Request: ask, Denied: "may-have-run"}, map[string][]cab.Run{"a": {run}}, ""},
+		{"ran once, sealed", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}}, ""},
+		{"a doubled run", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}, "b": {run}}, "ran 2 times"},
+		{"not run, yet it ran", Outcome{Request: ask, Denied: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
+		{"may have run, and did", Outcome{Request: ask, Denied: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
 		{"sealed by nobody", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
 	} {
 		b := &Book{}
@@ -116,7 +116,7 @@
 		b := &Book{}
 		b.Add(c.a)
 		b.Add(c.b)
-		if s := b.Settle(map[string][]cab.Run{"a": {{RequestID: "r1"}}}, true); s.Requests != 1 || s.Twins != 1 || s.Sealed != c.sealed || (len(s.Faults) > 0) != c.faults {
+		if s := b.Settle(map[string][]workersim.Run{"a": {{RequestID: "r1"}}}, true); s.Requests != 1 || s.Twins != 1 || s.Sealed != c.sealed || (len(s.Faults) > 0) != c.faults {
 			t.Errorf("%s: %+v", c.name, s)
 		}
 	}
--- a/internal/fares/fares.go
+++ b/internal/sim/loadgen/fares.go
@@ -1,4 +1,4 @@
-package fares
+package loadgen
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/sim/workersim"
 )
 
 // Tenant is a caller's tenant.
@@ -260,10 +260,10 @@
 // is its last.
 //
 // Example: runs, err := fares.ReadJournal(file)
-func ReadJournal(f io.Reader) ([]cab.Run, error) {
-	var l []cab.Run
+func ReadJournal(f io.Reader) ([]workersim.Run, error) {
+	var l []workersim.Run
 	for d := json.NewDecoder(f); ; {
-		var r cab.Run
+		var r workersim.Run
 		if err := d.Decode(&r); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return l, nil
 		} else if err != nil {
@@ -276,8 +276,8 @@
 // Journals asks workers what they ran.
 //
 // Example: js, err := fares.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
-func Journals(ctx context.Context, addrs map[string]string) (map[string][]cab.Run, error) {
-	m := map[string][]cab.Run{}
+func Journals(ctx context.Context, addrs map[string]string) (map[string][]workersim.Run, error) {
+	m := map[string][]workersim.Run{}
 	var b errs.Batch
 	for n, a := range addrs {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a+"/v1/runs", nil)
@@ -289,7 +289,7 @@
 			b.Note("journal of "+n, err)
 			continue
 		}
-		var l []cab.Run
+		var l []workersim.Run
 		b.Note("journal of "+n, json.NewDecoder(x.Body).Decode(&l))
 		x.Body.Close()
 		m[n] = l
--- a/internal/rank/rank.go
+++ b/internal/sim/platformsim/rank.go
@@ -1,6 +1,6 @@
-// Package rank is the stand-in for the platform: it lists back ends, marks those that were
+// Package platformsim is the stand-in for the platform: it lists back ends, marks those that were
 // warned, and probes edge nodes.
-package rank
+package platformsim
 
 import (
 	"encoding/json"
--- a/internal/depot/depot.go
+++ b/internal/sim/storesim/depot.go
@@ -1,6 +1,6 @@
-// Package depot is the stand-in for the prompt store: it keeps prefixes up to a bound and
+// Package storesim is the stand-in for the prompt store: it keeps prefixes up to a bound and
 // may come back empty.
-package depot
+package storesim
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/sim/workersim"
 )
 
 // Start runs the store.
@@ -23,7 +23,7 @@
 	if err != nil {
 		room = 400000
 	}
-	kv, inc := cab.NewKV(room), fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano())
+	kv, inc := workersim.NewKV(room), fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
 		used, room := kv.Used()
--- a/internal/yard/callers.go
+++ b/internal/sim/testbed/callers.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/integrii/flaggy"
 
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
 	"pebbleloom/internal/settings"
+	"pebbleloom/internal/sim/loadgen"
 )
 
 // Callers is the command line of the callers: they send to a site that is up.
@@ -45,10 +45,10 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), time.Duration(seconds)*2*time.Second+time.Minute)
 	defer end()
-	book := &fares.Book{}
+	book := &loadgen.Book{}
 	run := fmt.Sprintf("f%d-", time.Now().UnixMilli()) // an id is used once, also over several calls
-	fares.Drive(ctx, s.Traffic, fares.NewCaller(s.Edges), seed, run, int(float64(seconds)*s.Traffic.Rate), book)
-	js, err := fares.Journals(ctx, s.Cabs)
+	loadgen.Drive(ctx, s.Traffic, loadgen.NewCaller(s.Edges), seed, run, int(float64(seconds)*s.Traffic.Rate), book)
+	js, err := loadgen.Journals(ctx, s.Cabs)
 	if err != nil {
 		return fail(errs.Wrap(err, "journals"))
 	}
--- a/internal/yard/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"io"
--- a/internal/yard/compare.go
+++ b/internal/sim/testbed/compare.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
+	"pebbleloom/internal/sim/loadgen"
 )
 
 // Modes are the placements that can be compared.
@@ -23,7 +23,7 @@
 //
 // Example: err := yard.Compare(ctx, yard.Options{Site: "paramo", Seconds: 20, Seeds: 3, Seed: 1}, os.Stdout)
 func Compare(ctx context.Context, o Options, out io.Writer) error {
-	got := map[string][]fares.Sum{}
+	got := map[string][]loadgen.Sum{}
 	base := o.Dir
 	for i := range o.Seeds {
 		for _, m := range Modes() {
@@ -43,7 +43,7 @@
 	fmt.Fprintf(w, "%s, %d s, seeds %d to %d: median (least to most)\n", o.Site, o.Seconds, o.Seed, o.Seed+uint64(o.Seeds)-1)
 	fmt.Fprintln(w, "placement\thit share\tfetched share\tprefilled tokens\tload max/mean\tsealed\tfaults")
 	for _, m := range Modes() {
-		row := func(f func(fares.Sum) float64, form string) string {
+		row := func(f func(loadgen.Sum) float64, form string) string {
 			var l []float64
 			for _, s := range got[m] {
 				l = append(l, f(s))
@@ -51,10 +51,10 @@
 			sort.Float64s(l)
 			return fmt.Sprintf(form+" ("+form+" to "+form+")", l[len(l)/2], l[0], l[len(l)-1])
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m, row(func(s fares.Sum) float64 { return s.HitShare }, "%.3f"),
-			row(func(s fares.Sum) float64 { return s.FetchPart }, "%.3f"), row(func(s fares.Sum) float64 { return float64(s.Prefilled) }, "%.0f"),
-			row(func(s fares.Sum) float64 { return s.MaxToMean }, "%.2f"), row(func(s fares.Sum) float64 { return float64(s.Sealed) / float64(s.Requests) }, "%.3f"),
-			row(func(s fares.Sum) float64 { return float64(len(s.Faults)) }, "%.0f"))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m, row(func(s loadgen.Sum) float64 { return s.HitShare }, "%.3f"),
+			row(func(s loadgen.Sum) float64 { return s.FetchPart }, "%.3f"), row(func(s loadgen.Sum) float64 { return float64(s.Prefilled) }, "%.0f"),
+			row(func(s loadgen.Sum) float64 { return s.MaxToMean }, "%.2f"), row(func(s loadgen.Sum) float64 { return float64(s.Sealed) / float64(s.Requests) }, "%.3f"),
+			row(func(s loadgen.Sum) float64 { return float64(len(s.Faults)) }, "%.0f"))
 	}
 	return errs.Wrap(w.Flush(), "write table")
 }
--- a/internal/yard/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"time"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/placement"
 )
 
 // Fit starts one worker, has it prefill prompts of many lengths that it doesn't hold, and
--- a/internal/yard/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/sim/workersim"
 )
 
 // Fleet is a site that runs.
@@ -149,26 +149,26 @@
 // Journals reads what every worker has run, killed ones included.
 //
 // Example: js, err := f.Journals()
-func (f *Fleet) Journals() (map[string][]cab.Run, error) {
-	return f.journals(func(r cab.Run) bool { return r.Fence == 0 })
+func (f *Fleet) Journals() (map[string][]workersim.Run, error) {
+	return f.journals(func(r workersim.Run) bool { return r.Fence == 0 })
 }
 
 // Orders reads which orders every worker has obeyed.
 //
 // Example: orders, err := f.Orders()
-func (f *Fleet) Orders() (map[string][]cab.Run, error) {
-	return f.journals(func(r cab.Run) bool { return r.Fence > 0 })
+func (f *Fleet) Orders() (map[string][]workersim.Run, error) {
+	return f.journals(func(r workersim.Run) bool { return r.Fence > 0 })
 }
 
-func (f *Fleet) journals(which func(cab.Run) bool) (map[string][]cab.Run, error) {
-	m := map[string][]cab.Run{}
+func (f *Fleet) journals(which func(workersim.Run) bool) (map[string][]workersim.Run, error) {
+	m := map[string][]workersim.Run{}
 	var b errs.Batch
 	for n := range f.Site.Cabs {
 		p, err := f.process(n)
 		if b.Note(n, err); err == nil {
 			l, err := f.on.Journal(p)
 			b.Note(n, err)
-			m[n] = slices.DeleteFunc(l, func(r cab.Run) bool { return !which(r) })
+			m[n] = slices.DeleteFunc(l, func(r workersim.Run) bool { return !which(r) })
 		}
 	}
 	return m, b.Look()
--- a/internal/yard/ground.go
+++ b/internal/sim/testbed/ground.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
+	"pebbleloom/internal/sim/loadgen"
+	"pebbleloom/internal/sim/workersim"
 )
 
 // Ground is what a site runs on: processes of this machine, or a table on virtual time. Both
@@ -23,7 +23,7 @@
 	Put(p Process) error // writes the settings that it is started with next
 	Wipe(p Process) error
 	Switch(p Process, what, word string) error // "disk": full, sync, stall MS; "wall": MS; "" takes it back
-	Journal(p Process) ([]cab.Run, error)
+	Journal(p Process) ([]workersim.Run, error)
 	Link(from, to string, r Rule) error
 	Heal()
 	Dial(ctx context.Context, network, addr string) (net.Conn, error) // as people and callers do
@@ -103,13 +103,13 @@
 	return os.WriteFile(f, []byte(word), 0o644)
 }
 
-func (m *machines) Journal(p Process) ([]cab.Run, error) {
+func (m *machines) Journal(p Process) ([]workersim.Run, error) {
 	f, err := os.Open(filepath.Join(m.dir, p.Name+".runs"))
 	if err != nil {
 		return nil, errs.Wrap(err, "open journal")
 	}
 	defer f.Close()
-	return fares.ReadJournal(f)
+	return loadgen.ReadJournal(f)
 }
 
 func (m *machines) Link(from, to string, r Rule) error {
--- a/internal/yard/main.go
+++ b/internal/sim/testbed/main.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 	"pebbleloom/internal/capacity"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
 	"pebbleloom/internal/settings"
+	"pebbleloom/internal/sim/loadgen"
 )
 
 // Options are what the yard's commands take.
@@ -55,7 +55,7 @@
 		{"tally", "draw a table from the lines of many runs, which come in on standard input"},
 		{"upgrade", "bring a site of an earlier release to this one and back: yard upgrade --old /tmp/old-bin"},
 		{"capacity", "measure what each role costs as the fleet grows (docs/CAPACITY.md)"},
-		{"fit", "measure a worker's prefill and fit the curve (JSON, to be kept as internal/placement/curve.json)"}} {
+		{"fit", "measure a worker's prefill and fit the curve (JSON, to be kept as internal/data/placement/curve.json)"}} {
 		s := flaggy.NewSubcommand(c[0])
 		s.Description = c[1]
 		s.String(&o.Site, "s", "site", "paramo or daegu")
@@ -229,11 +229,11 @@
 		return Ran{}, err
 	}
 	defer f.Down()
-	book := &fares.Book{}
+	book := &loadgen.Book{}
 	n := int(float64(o.Seconds) * f.Site.Traffic.Rate)
 	one, end := context.WithTimeout(ctx, time.Duration(o.Seconds)*2*time.Second)
 	defer end()
-	fares.Drive(one, f.Site.Traffic, fares.NewCaller(f.Site.Edges), o.Seed, "r", n, book)
+	loadgen.Drive(one, f.Site.Traffic, loadgen.NewCaller(f.Site.Edges), o.Seed, "r", n, book)
 	use := f.Usage()
 	js, err := f.Journals()
 	if err != nil {
--- a/internal/yard/moves.go
+++ b/internal/sim/testbed/moves.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"pebbleloom/internal/calendar"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/calendar"
 	"pebbleloom/internal/errs"
 )
 
--- a/internal/yard/operate.go
+++ b/internal/sim/testbed/operate.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -58,10 +58,10 @@
 			continue
 		}
 		one, end := context.WithTimeout(ctx, time.Second)
-		t, err := wire.NewArchiveProtobufClient("http://"+p.Place.Listen, f.h).Stand(one, &wire.StandAsk{})
+		t, err := wire.NewArchiveProtobufClient("http://"+p.Place.Listen, f.h).Stand(one, &wire.StatusRequest{})
 		end()
-		for _, x := range t.GetParts() {
-			if err == nil && x.Part == 0 && x.Owns {
+		for _, x := range t.GetShards() {
+			if err == nil && x.Shard == 0 && x.IsLeader {
 				return p.Place.Name, nil
 			}
 		}
--- a/internal/yard/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"strings"
 	"time"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/retire"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
-	"pebbleloom/internal/retire"
-	"pebbleloom/internal/setup"
+	"pebbleloom/internal/sim/workersim"
 )
 
 // next is the second build of a base or an adapter.
@@ -27,12 +27,12 @@
 	}
 	lm := s.Traffic.Model
 	service := lm + "-main"
-	s.Setup.Models[lm] = setup.Model{Weights: s.Setup.Models[lm].Weights, Room: 100}
-	s.Setup.Models[next(lm)] = setup.Model{Weights: 1, Room: 100}
+	s.Setup.Models[lm] = serviceconfig.Model{Weights: s.Setup.Models[lm].Weights, Room: 100}
+	s.Setup.Models[next(lm)] = serviceconfig.Model{Weights: 1, Room: 100}
 	v := s.Setup.Services[service]
 	v.Room = 260
 	s.Setup.Services[service] = v
-	s.Setup.Adapters = map[string]setup.Adapter{}
+	s.Setup.Adapters = map[string]serviceconfig.Adapter{}
 	var words []string
 	for i := range s.Traffic.Kinds {
 		k := &s.Traffic.Kinds[i]
@@ -41,9 +41,9 @@
 			break
 		}
 		k.Model, k.Under = k.Name, []string{fmt.Sprintf("%s/%s@1", lm, k.Name), fmt.Sprintf("%s/%s@1", next(lm), next(k.Name))}
-		s.Setup.Adapters[k.Name] = setup.Adapter{Base: lm, Build: 1, Services: []string{service}, Room: 10}
-		s.Setup.Adapters[next(k.Name)] = setup.Adapter{Base: next(lm), Build: 1, Services: []string{service}, Room: 10}
-		s.Setup.Ways[k.Name] = setup.Way{Service: service}
+		s.Setup.Adapters[k.Name] = serviceconfig.Adapter{Base: lm, Build: 1, Services: []string{service}, Room: 10}
+		s.Setup.Adapters[next(k.Name)] = serviceconfig.Adapter{Base: next(lm), Build: 1, Services: []string{service}, Room: 10}
+		s.Setup.Ways[k.Name] = serviceconfig.Way{Service: service}
 		words = append(words, k.Name+"@1")
 	}
 	for i := range s.Processes {
@@ -152,7 +152,7 @@
 
 // retired: the old base leaves no worker before every worker has answered under the new base and
 // each adapter on it.
-func (p *play) retired(js, orders map[string][]cab.Run) (faults []string) {
+func (p *play) retired(js, orders map[string][]workersim.Run) (faults []string) {
 	if !p.sc.Retire {
 		return nil
 	}
--- a/internal/yard/retire_test.go
+++ b/internal/sim/testbed/retire_test.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"pebbleloom/internal/desk"
-	"pebbleloom/internal/retire"
+	"pebbleloom/internal/cli"
+	"pebbleloom/internal/control/retire"
 )
 
 // retireAtTheDesk retires a site's base model by the desk's commands alone, with their exit codes. In the
@@ -21,7 +21,7 @@
 	do := func(want int, args ...string) string {
 		t.Helper()
 		var out, bad bytes.Buffer
-		if code := desk.Main(append([]string{"--node", node}, args...), strings.NewReader(""), &out, &bad); code != want {
+		if code := cli.Main(append([]string{"--node", node}, args...), strings.NewReader(""), &out, &bad); code != want {
 			t.Fatalf("desk %v: exit %d, want %d: %s%s", args, code, want, out.String(), bad.String())
 		}
 		return out.String() + bad.String()
@@ -66,7 +66,7 @@
 	defer end()
 	for len(l.Retirements) != 1 || l.Retirements[0].State != retire.Done {
 		var out, bad bytes.Buffer
-		if code := desk.Main([]string{"--node", node, "retire", "status", "--json"}, strings.NewReader(""), &out, &bad); code > 1 {
+		if code := cli.Main([]string{"--node", node, "retire", "status", "--json"}, strings.NewReader(""), &out, &bad); code > 1 {
 			t.Fatalf("exit %d: %s", code, bad.String())
 		}
 		if err := json.Unmarshal(out.Bytes(), &l); err != nil || ctx.Err() != nil {
--- a/internal/yard/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"pebbleloom/internal/desk"
+	"pebbleloom/internal/cli"
 )
 
 // hand is the person at the desk: asked to confirm, it does what the book says first.
@@ -44,7 +44,7 @@
 		var out, bad bytes.Buffer
 		rec := filepath.Join(dir, args[0]+".jsonl")
 		a := append([]string{"--node", node, "--record", rec, "runbook", "run", "--name"}, args...)
-		if code := desk.Main(a, in, &out, &bad); code != 0 {
+		if code := cli.Main(a, in, &out, &bad); code != 0 {
 			raw, _ := os.ReadFile(rec)
 			t.Fatalf("%v: exit %d: %s\n%s", args, code, bad.String(), raw)
 		}
@@ -132,7 +132,7 @@
 	})
 
 	var out, bad bytes.Buffer
-	if code := desk.Main([]string{"--node", node, "status"}, &hand{}, &out, &bad); code != 0 {
+	if code := cli.Main([]string{"--node", node, "status"}, &hand{}, &out, &bad); code != 0 {
 		t.Errorf("in the end something is wrong: %s%s", out.String(), bad.String())
 	}
 }
--- a/internal/yard/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"time"
 
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
+	"pebbleloom/internal/sim/loadgen"
 )
 
 // Scenario is a run of a whole site with failures, as a file describes it.
@@ -82,14 +82,14 @@
 
 // Report is what a scenario has shown.
 type Report struct {
-	Scenario string    `json:"scenario"`
-	Site     string    `json:"site"`
-	Seed     uint64    `json:"seed"`
-	Sum      fares.Sum `json:"sum"`
-	Steps    []string  `json:"steps"`
-	Healed   float64   `json:"sealed_share_after_healing"`
-	During   float64   `json:"sealed_share_during"`
-	Extra    int       `json:"extra_runs"`
+	Scenario string      `json:"scenario"`
+	Site     string      `json:"site"`
+	Seed     uint64      `json:"seed"`
+	Sum      loadgen.Sum `json:"sum"`
+	Steps    []string    `json:"steps"`
+	Healed   float64     `json:"sealed_share_after_healing"`
+	During   float64     `json:"sealed_share_during"`
+	Extra    int         `json:"extra_runs"`
 	// Share of prompt tokens found kept before the first step, up to the bound after the
 	// last, and from there on.
 	Hits   [3]float64 `json:"hit_shares"`
@@ -176,22 +176,22 @@
 	for _, x := range sc.Steps {
 		last = max(last, x.At)
 	}
-	book, t0 := &fares.Book{}, time.Now()
+	book, t0 := &loadgen.Book{}, time.Now()
 	p.began = t0.UnixMilli()
-	caller := fares.NewCallerIn(ground.Dial, s.Edges)
+	caller := loadgen.NewCallerIn(ground.Dial, s.Edges)
 	defer caller.Close()
 	driving, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg, asides sync.WaitGroup
 	wg.Go(func() {
-		fares.Drive(driving, s.Traffic, caller, o.Seed, "s", 1<<30, book)
+		loadgen.Drive(driving, s.Traffic, caller, o.Seed, "s", 1<<30, book)
 	})
 	more := s.Traffic
 	more.Rate = sc.Burst
 	burst, calm := context.WithCancel(driving)
 	defer calm()
 	if sc.Burst > 0 {
-		wg.Go(func() { fares.Drive(burst, more, caller, o.Seed, "b", 1<<30, book) })
+		wg.Go(func() { loadgen.Drive(burst, more, caller, o.Seed, "b", 1<<30, book) })
 	}
 	for _, x := range sc.Steps {
 		if err := p.await(ctx, t0, x.At); err != nil {
--- a/internal/yard/settle.go
+++ b/internal/sim/testbed/settle.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"sort"
 	"strings"
 
-	"pebbleloom/internal/cab"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
+	"pebbleloom/internal/sim/loadgen"
+	"pebbleloom/internal/sim/workersim"
 )
 
 // settle checks a finished run against what must never happen.
-func (p *play) settle(ctx context.Context, book *fares.Book, closed int64, heal int) error {
+func (p *play) settle(ctx context.Context, book *loadgen.Book, closed int64, heal int) error {
 	js, err := p.f.Journals()
 	if err != nil {
 		return errs.Wrap(err, "journals")
@@ -59,7 +59,7 @@
 // tally adds up how many prompt tokens were found kept.
 type tally struct{ hit, all int }
 
-func (t *tally) add(o fares.Outcome) {
+func (t *tally) add(o loadgen.Outcome) {
 	t.hit += o.Last.Hit
 	t.all += o.Last.Hit + o.Last.Fetched + o.Last.Prefilled
 }
@@ -67,7 +67,7 @@
 func (t *tally) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
 
 // shares: service is back within the bound, and only allowed denials occur.
-func (p *play) shares(book *fares.Book, closed, heal int64) {
+func (p *play) shares(book *loadgen.Book, closed, heal int64) {
 	n, ok, dn, dok := 0, 0, 0, 0
 	var before, during, after tally
 	first := closed
@@ -123,7 +123,7 @@
 
 // keys: a revoked key works no longer than its bound, by when its requests were sent and by when
 // workers began them.
-func (p *play) keys(book *fares.Book, js map[string][]cab.Run) {
+func (p *play) keys(book *loadgen.Book, js map[string][]workersim.Run) {
 	gone := map[string]int64{} // request -> when its key was revoked
 	for _, o := range book.All() {
 		if at, ok := p.revoked[o.Request.Key]; ok {
@@ -157,7 +157,7 @@
 }
 
 // workers: older weights start no later than their bound; drained workers get nothing.
-func (p *play) workers(js map[string][]cab.Run) {
+func (p *play) workers(js map[string][]workersim.Run) {
 	b := p.f.Site.Processes[0].Place.Bounds
 	newer := map[uint64]int{}
 	for name, l := range js {
@@ -184,10 +184,10 @@
 
 // extra: second runs of a service's requests, in any ten seconds, against the share of its
 // requests and the site's allowance.
-func (p *play) extra(book *fares.Book, js map[string][]cab.Run) {
+func (p *play) extra(book *loadgen.Book, js map[string][]workersim.Run) {
 	b := p.f.Site.Processes[0].Place.Bounds
 	seen := map[string]bool{}
-	var all []cab.Run
+	var all []workersim.Run
 	for _, l := range js {
 		all = append(all, l...)
 	}
--- a/internal/yard/site.go
+++ b/internal/sim/testbed/site.go
@@ -1,6 +1,6 @@
-// Package yard runs a whole site on one machine: every program as a process of its own, on
+// Package testbed runs a whole site on one machine: every program as a process of its own, on
 // loopback addresses.
-package yard
+package testbed
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 	"path/filepath"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/fares"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/setup"
+	"pebbleloom/internal/sim/loadgen"
 )
 
 // Process is one program of a site.
@@ -28,8 +28,8 @@
 	Name      string
 	Processes []Process
 	List      []contract.Listed
-	Setup     setup.Setup
-	Traffic   fares.Traffic
+	Setup     serviceconfig.Setup
+	Traffic   loadgen.Traffic
 	Edges     []string // where callers ask
 	Operators []string
 	Cabs      map[string]string
@@ -62,14 +62,14 @@
 	weights := uint64(1)
 	switch name {
 	case "paramo":
-		s.Traffic = fares.Traffic{Site: name, Model: "lector", App: "caja", Rate: 45, WaitMs: 8000, Once: 0.3, Twins: 0.2, AppPart: 0.05, Kinds: []fares.Kind{
+		s.Traffic = loadgen.Traffic{Site: name, Model: "lector", App: "caja", Rate: 45, WaitMs: 8000, Once: 0.3, Twins: 0.2, AppPart: 0.05, Kinds: []loadgen.Kind{
 			{Name: "appraise", Share: 0.35, Openings: 60, Tokens: 3000, Skew: 1.0, Tail: 40, Pieces: 4},
 			{Name: "catalogue", Share: 0.35, Openings: 160, Tokens: 900, Skew: 0.8, Session: 300, Sessions: 300, Tail: 60, Pieces: 6},
 			{Name: "copies", Share: 0.30, Openings: 60, Tokens: 200, Skew: 0.9, Tail: 30, Pieces: 10}}}
 	case "daegu":
 		b.WeightsMs = 25000
 		link, far, alpha = "link=300000", "far=200000", 0.05
-		s.Traffic = fares.Traffic{Site: name, Model: "gisa", App: "jeonpyo", Rate: 30, WaitMs: 8000, Once: 0.4, Twins: 0.2, AppPart: 0.05, Kinds: []fares.Kind{
+		s.Traffic = loadgen.Traffic{Site: name, Model: "gisa", App: "jeonpyo", Rate: 30, WaitMs: 8000, Once: 0.4, Twins: 0.2, AppPart: 0.05, Kinds: []loadgen.Kind{
 			{Name: "ruling", Share: 0.4, Openings: 40, Tokens: 2600, Skew: 1.1, Tail: 30, Pieces: 4},
 			{Name: "route", Share: 0.3, Openings: 120, Tokens: 800, Skew: 0.8, Tail: 50, Pieces: 5},
 			{Name: "booking", Share: 0.3, Openings: 40, Tokens: 180, Skew: 0.9, Session: 400, Sessions: 120, Tail: 40, Pieces: 10}}}
@@ -77,18 +77,18 @@
 		return nil, errs.New(errs.BadInput, "site %q: give one of %v", name, Sites())
 	}
 	lm, app := s.Traffic.Model, s.Traffic.App
-	s.Setup = setup.Setup{Tenants: map[string]setup.Tenant{}, WaitMaxMs: 30000,
-		Models:   map[string]setup.Model{lm: {Weights: weights}, app: {Weights: 1}},
-		Services: map[string]setup.Service{lm + "-main": {Model: lm, Alpha: alpha}, app + "-main": {Model: app}},
-		Ways:     map[string]setup.Way{lm: {Service: lm + "-main"}, app: {Service: app + "-main"}}}
+	s.Setup = serviceconfig.Setup{Tenants: map[string]serviceconfig.Tenant{}, WaitMaxMs: 30000,
+		Models:   map[string]serviceconfig.Model{lm: {Weights: weights}, app: {Weights: 1}},
+		Services: map[string]serviceconfig.Service{lm + "-main": {Model: lm, Alpha: alpha}, app + "-main": {Model: app}},
+		Ways:     map[string]serviceconfig.Way{lm: {Service: lm + "-main"}, app: {Service: app + "-main"}}}
 	s.Traffic.Rate *= float64(times)
 	for i := range 8 {
-		t := fares.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", name, i+1), Weight: 1, Walled: i == 7}
+		t := loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", name, i+1), Weight: 1, Walled: i == 7}
 		if i < 2 {
 			t.Weight = 5
 		}
 		s.Traffic.Tenants = append(s.Traffic.Tenants, t)
-		s.Setup.Tenants[t.Name] = setup.Tenant{Keys: []string{t.Key}, Walled: t.Walled}
+		s.Setup.Tenants[t.Name] = serviceconfig.Tenant{Keys: []string{t.Key}, Walled: t.Walled}
 	}
 	ip := func(z, m int) string { return fmt.Sprintf("127.%d.%d.%d", net, z, m) }
 	at := func(a string, p int) string { return fmt.Sprintf("%s:%d", a, p) }
--- a/internal/yard/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"strconv"
 	"strings"
 
-	"pebbleloom/internal/fares"
+	"pebbleloom/internal/sim/loadgen"
 )
 
 // Ran is what a run of a site has shown.
 type Ran struct {
-	fares.Sum
+	loadgen.Sum
 	Usage map[string]Use `json:"usage"`
 }
 
--- a/internal/yard/yard_test.go
+++ b/internal/sim/testbed/yard_test.go
@@ -1,4 +1,4 @@
-package yard
+package testbed
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"pebbleloom/internal/cab"
+	"pebbleloom/internal/sim/workersim"
 )
 
 var built = sync.OnceValues(func() (string, error) {
@@ -19,7 +19,7 @@
 		return "", err
 	}
 	c := exec.Command("go", "build", "-o", bin+"/", "./cmd/...")
-	c.Dir = "../.."
+	c.Dir = "../../.."
 	if out, err := c.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -131,16 +131,16 @@
 // Two nodes that command at once are seen, in each way that this can be; one after the other is
 // no fault.
 func TestTwoCommandersAreSeen(t *testing.T) {
-	o := func(at int64, fence uint64, holder string) cab.Run {
-		return cab.Run{AtMs: at, Fence: fence, Holder: holder}
+	o := func(at int64, fence uint64, holder string) workersim.Run {
+		return workersim.Run{AtMs: at, Fence: fence, Holder: holder}
 	}
 	for name, x := range map[string]struct {
-		orders map[string][]cab.Run
+		orders map[string][]workersim.Run
 		faults int
 	}{
-		"one after the other": {map[string][]cab.Run{"w1": {o(1, 1, "a"), o(9, 2, "b")}, "w2": {o(2, 1, "a"), o(9, 2, "b")}}, 0},
-		"two under one fence": {map[string][]cab.Run{"w1": {o(1, 1, "a")}, "w2": {o(2, 1, "b")}}, 1},
-		"a worker goes back":  {map[string][]cab.Run{"w1": {o(1, 2, "b"), o(1, 1, "a")}}, 1},
+		"one after the other": {map[string][]workersim.Run{"w1": {o(1, 1, "a"), o(9, 2, "b")}, "w2": {o(2, 1, "a"), o(9, 2, "b")}}, 0},
+		"two under one fence": {map[string][]workersim.Run{"w1": {o(1, 1, "a")}, "w2": {o(2, 1, "b")}}, 1},
+		"a worker goes back":  {map[string][]workersim.Run{"w1": {o(1, 2, "b"), o(1, 1, "a")}}, 1},
 	} {
 		if f := commands(x.orders); len(f) != x.faults {
 			t.Errorf("%s: %v", name, f)
--- a/internal/cab/cab_test.go
+++ b/internal/sim/workersim/cab_test.go
@@ -1,4 +1,4 @@
-package cab
+package workersim
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/settings"
 )
 
--- a/internal/cab/kv.go
+++ b/internal/sim/workersim/kv.go
@@ -1,6 +1,6 @@
-// Package cab is the stand-in for a language-model worker: it prefills, decodes, keeps
+// Package workersim is the stand-in for a language-model worker: it prefills, decodes, keeps
 // whatever it reads in a bounded cache, and reports late, with gaps or not at all.
-package cab
+package workersim
 
 import (
 	"container/list"
--- a/internal/cab/lies.go
+++ b/internal/sim/workersim/lies.go
@@ -1,4 +1,4 @@
-package cab
+package workersim
 
 // A worker that lies is a planted fault: whoever checks a run must see it. "denies" runs a request
 // and says that it didn't, "twice" runs it twice, "walls" uses the shared cache for all tenants,
--- a/internal/cab/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -1,4 +1,4 @@
-package cab
+package workersim
 
 import (
 	"fmt"
--- a/internal/cab/run.go
+++ b/internal/sim/workersim/run.go
@@ -1,4 +1,4 @@
-package cab
+package workersim
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"pebbleloom/internal/contract"
-	"pebbleloom/internal/prefix"
+	"pebbleloom/internal/data/prefix"
 )
 
 // run carries a go on a slot: what others hold is fetched, and once the prefill's turn has
