--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -107,12 +107,12 @@
 	guarded := put != nil && put.Token == "" && !put.AnyVersion
 	c.eachMember(ctx, a.Shard, func(ctx context.Context, n wire.Archive) (bool, string) {
 		t, err := n.Change(ctx, a)
-		if err != nil || t.Outcome == "cant-say" {
+		if err != nil || t.Outcome == wire.OutcomeUnknown {
 			// A refused connection proves that it never began; anything else doesn't.
 			lost = lost || err == nil || !strings.Contains(err.Error(), "connection refused")
 			return lost && once, ""
 		}
-		if t.Outcome == "not-owner" || t.Outcome == "overloaded" {
+		if t.Outcome == wire.OutcomeNotLeader || t.Outcome == wire.OutcomeOverloaded {
 			return false, t.Leader
 		}
 		got = t
@@ -124,7 +124,7 @@
 	if got == nil {
 		return nil, errs.New(errs.CantSay, "part %d has no owner that answers", a.Shard)
 	}
-	if got.Outcome == "epoch-conflict" && lost && guarded {
+	if got.Outcome == wire.OutcomeConflict && lost && guarded {
 		return nil, errs.New(errs.MayHaveRun, "an answer was lost, and epoch %d is in force now: read it back", got.Version)
 	}
 	return got, ErrorOf(got)
@@ -135,9 +135,9 @@
 // Example: err := link.Verdict(tell)
 func ErrorOf(t *wire.ChangeResponse) error {
 	switch t.Outcome {
-	case "done", "valid":
+	case wire.OutcomeDone, wire.OutcomeValid:
 		return nil
-	case "epoch-conflict":
+	case wire.OutcomeConflict:
 		return errs.New(errs.Conflict, "epoch or fence in force: %d/%d %s", t.Version, t.Fence, t.Leader)
 	}
 	return errs.New(errs.Named(t.Outcome), "%s", strings.Join(t.Errors, "; "))
@@ -150,7 +150,7 @@
 	var got *wire.ReadResponse
 	c.eachMember(ctx, a.Shard, func(ctx context.Context, n wire.Archive) (bool, string) {
 		t, err := n.Read(ctx, a)
-		if err != nil || t.Outcome != "done" {
+		if err != nil || t.Outcome != wire.OutcomeDone {
 			return false, t.GetLeader()
 		}
 		got = t
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -30,7 +30,7 @@
 	case "lost": // it happened, or not; the answer doesn't come
 		panic(http.ErrAbortHandler)
 	case "core-2", "core-3", "core-4":
-		return &wire.ChangeResponse{Outcome: "not-owner", Leader: w}, nil
+		return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: w}, nil
 	}
 	return &wire.ChangeResponse{Outcome: w, Version: 7}, nil
 }
@@ -96,7 +96,7 @@
 	}
 	asked := clk.T
 	clk.T += time.Second // the answer takes a second: the lease is counted from the question
-	l.Tell(asked, &wire.ChangeResponse{Outcome: "done", Fence: 3})
+	l.Tell(asked, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 3})
 	for at, want := range map[time.Duration]bool{0: true, 5 * time.Second: true, 6 * time.Second: false, time.Hour: false} {
 		clk.T = asked + time.Second + at
 		if f, ok := l.Held(); ok != want || f != 3 {
@@ -104,7 +104,7 @@
 		}
 	}
 	clk.T = asked + 2*time.Second
-	l.Tell(clk.T, &wire.ChangeResponse{Outcome: "epoch-conflict", Fence: 4, Leader: "b"})
+	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
 	if _, ok := l.Held(); ok || l.Ask().IfFence != 4 {
 		t.Error("another holds it, yet it is held here")
 	}
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -29,9 +29,9 @@
 	defer s.mu.Unlock()
 	s.asked++
 	if s.owns {
-		return &wire.ChangeResponse{Outcome: "done", Version: 7}, nil
+		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7}, nil
 	}
-	return &wire.ChangeResponse{Outcome: "not-owner", Leader: s.owner()}, nil
+	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: s.owner()}, nil
 }
 
 // The owner of a group is found by whom anybody names, by the roster and by the seeds; once
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -59,7 +59,7 @@
 	switch t.GetOutcome() {
 	case "done":
 		l.fence, l.until = t.Fence, max(l.until, asked+l.TTL-time.Duration(float64(l.TTL)*settings.MarginPart))
-	case "epoch-conflict":
+	case wire.OutcomeConflict:
 		// Another holds it, or an earlier answer was lost: learn the fence and ask again later.
 		if l.fence = t.Fence; t.Leader != l.Holder {
 			l.until = 0
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, errs.As(err, errs.MayHaveRun, "change")
 	}
-	if t.Outcome != "done" {
+	if t.Outcome != wire.OutcomeDone {
 		return t, errs.New(errs.Conflict, "%s", t.Outcome)
 	}
 	return t, nil
@@ -96,7 +96,7 @@
 	ttl := time.Duration(l.TtlNs)
 	free := l.Holder == "" || l.Holder == g.Holder || now-s.seen > ttl+ttl/8
 	if g.IfFence != l.Fence || !free || g.GiveUp && l.Holder != g.Holder {
-		return &wire.ChangeResponse{Outcome: "epoch-conflict", Fence: l.Fence, Leader: l.Holder}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.Fence, Leader: l.Holder}
 	}
 	n := &wire.Lease{Name: g.Lease, Holder: g.Holder, Fence: l.Fence, TtlNs: g.TtlNs}
 	if g.GiveUp {
@@ -108,13 +108,13 @@
 		n.Fence++
 	}
 	s.lease, s.seen = n, now
-	return &wire.ChangeResponse{Outcome: "done", Fence: n.Fence, Leader: n.Holder}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: n.Fence, Leader: n.Holder}
 }
 
 func (s *stand) put(p *wire.Put) *wire.ChangeResponse {
 	d := s.docs[p.Key]
 	if l := s.lease; p.Lease != Lease || l.GetFence() != p.Fence || l.GetHolder() != p.Holder || p.AnyVersion || p.IfVersion != d.GetVersion() {
-		return &wire.ChangeResponse{Outcome: "epoch-conflict", Version: d.GetVersion()}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.GetVersion()}
 	}
 	s.docs[p.Key] = &wire.Document{Key: p.Key, Body: p.Body, Version: p.IfVersion + 1}
 	if strings.HasPrefix(p.Key, fleet.PlacementKey) {
@@ -126,7 +126,7 @@
 		}
 		s.aside = now
 	}
-	return &wire.ChangeResponse{Outcome: "done", Version: p.IfVersion + 1}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: p.IfVersion + 1}
 }
 
 func (s *stand) rolling() []string {
@@ -158,7 +158,7 @@
 }
 
 func (m *machine) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
-	t := &wire.ReadResponse{Outcome: "done"}
+	t := &wire.ReadResponse{Outcome: wire.OutcomeDone}
 	err := m.call(ctx, "read", func() error {
 		for _, k := range queue.Keys(m.s.docs) {
 			if k == a.Key || a.Prefix && strings.HasPrefix(k, a.Key) {
--- a/internal/control/controllers/tenure.go
+++ b/internal/control/controllers/tenure.go
@@ -103,7 +103,7 @@
 			}
 		}
 		n.until = asked + n.part(1-settings.MarginPart)
-	case "epoch-conflict":
+	case wire.OutcomeConflict:
 		if n.owner = t.Leader; t.Leader == "" || t.Leader == n.lease.Holder {
 			n.asked = -n.lease.TTL // only the fence wasn't known: ask again at the next look
 		}
@@ -138,7 +138,7 @@
 	}
 	g := n.lease.Ask()
 	g.GiveUp = true
-	n.lease.Tell(0, &wire.ChangeResponse{Outcome: "epoch-conflict", Fence: g.IfFence}) // not held here from now on
+	n.lease.Tell(0, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: g.IfFence}) // not held here from now on
 	_, err := n.ctl.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}})
 	return err
 }
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -85,13 +85,13 @@
 	}
 	m, done, ok := p.mergeAhead(ctx, a)
 	if !ok {
-		return &wire.ChangeResponse{Outcome: "overloaded"} // it never began
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // it never began
 	}
 	defer done()
 	var tell *wire.ChangeResponse
 	var w pendingChange
 	if !p.do(ctx, func() { w, tell = p.propose(a, m) }) {
-		return &wire.ChangeResponse{Outcome: "cant-say"}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
 	}
 	if tell != nil {
 		return tell
@@ -100,9 +100,9 @@
 	case tell = <-w.answer:
 		return tell
 	case <-ctx.Done():
-		return &wire.ChangeResponse{Outcome: "cant-say"}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
 	case <-p.ctx.Done():
-		return &wire.ChangeResponse{Outcome: "cant-say"}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
 	}
 }
 
@@ -111,7 +111,7 @@
 func (p *shard) propose(a *wire.ChangeRequest, m *merged) (pendingChange, *wire.ChangeResponse) {
 	s := p.core.Status()
 	if p.failure != nil || !s.IsLeader {
-		return pendingChange{}, &wire.ChangeResponse{Outcome: "not-owner", Leader: s.Leader}
+		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: s.Leader}
 	}
 	cmd := proto.Clone(a.Command).(*wire.Command)
 	if tell := p.prepare(cmd, a, m); tell != nil {
@@ -119,10 +119,10 @@
 	}
 	body, err := proto.Marshal(cmd)
 	if err != nil || len(body) > serviceconfig.MaxBytes*2 {
-		return pendingChange{}, &wire.ChangeResponse{Outcome: "too-big", Errors: []string{"command can't be written"}}
+		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"command can't be written"}}
 	}
 	if len(p.pending) >= 256 {
-		return pendingChange{}, &wire.ChangeResponse{Outcome: "overloaded"}
+		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
 	i, term, _ := p.core.Propose(body) // it owns the part, so it takes it
 	w := pendingChange{term, make(chan *wire.ChangeResponse, 1)}
@@ -136,15 +136,15 @@
 	if g := cmd.GetGrant(); g != nil {
 		// A new owner knows who holds a duty once it has applied what the terms before it granted.
 		if !p.core.AppliedOwnTerm() {
-			return &wire.ChangeResponse{Outcome: "overloaded"}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 		}
 		// While a grant may be under way nobody else gets the duty.
 		if h := p.state.leases[g.Lease]; h != nil && h.Holder != g.Holder && len(p.core.Unapplied()) > 0 {
-			return &wire.ChangeResponse{Outcome: "overloaded"}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 		}
 		if !p.state.free(g, p.clock.Now()) {
 			l := p.state.leases[g.Lease]
-			return &wire.ChangeResponse{Outcome: "epoch-conflict", Fence: l.GetFence(), Leader: l.GetHolder()}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()}
 		}
 		return nil
 	}
@@ -154,7 +154,7 @@
 	}
 	u := cmd.GetPut()
 	if u == nil || u.Key == "" || len(u.Key) > 256 {
-		return &wire.ChangeResponse{Outcome: "bad-input", Errors: []string{"no command: give a put or a grant"}}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"no command: give a put or a grant"}}
 	}
 	u.Digest = digestOf(u, a.Patch)
 	if t := p.state.repeated(u); t != nil {
@@ -162,7 +162,7 @@
 	}
 	old := p.state.docs[u.Key]
 	if !u.AnyVersion && u.IfVersion != old.GetVersion() {
-		return &wire.ChangeResponse{Outcome: "epoch-conflict", Version: old.GetVersion()}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: old.GetVersion()}
 	}
 	if u.Key == p.validatedKey() {
 		if m == nil || m.epoch != old.GetVersion() { // nobody did ahead, or another change came between
@@ -172,7 +172,7 @@
 			return &wire.ChangeResponse{Outcome: errs.KindOf(m.err).Name, Version: old.GetVersion(), Errors: []string{m.err.Error()}}
 		}
 		if u.AnyVersion && len(p.core.Unapplied()) > 0 { // it was checked against what another change may replace
-			return &wire.ChangeResponse{Outcome: "overloaded"}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 		}
 		u.NewVersion = m.version
 		if u.Body = m.body; a.Patch && u.AnyVersion { // it was merged onto this epoch, so it holds for this epoch alone
@@ -190,7 +190,7 @@
 		}
 	}
 	if a.DryRun {
-		return &wire.ChangeResponse{Outcome: "valid", Version: old.GetVersion()}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeValid, Version: old.GetVersion()}
 	}
 	return nil
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -96,7 +96,7 @@
 		return
 	}
 	for i, w := range p.pending {
-		w.answer <- &wire.ChangeResponse{Outcome: "cant-say"}
+		w.answer <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
 		delete(p.pending, i)
 	}
 	p.failure = nil
@@ -131,12 +131,12 @@
 		return nil
 	}
 	switch t := p.read(ctx, &wire.ReadRequest{}); t.Outcome {
-	case "done":
+	case wire.OutcomeDone:
 		return nil
-	case "not-owner":
-		return &wire.ChangeResponse{Outcome: "not-owner", Leader: t.Leader}
+	case wire.OutcomeNotLeader:
+		return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: t.Leader}
 	}
-	return &wire.ChangeResponse{Outcome: "overloaded"} // it never began
+	return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // it never began
 }
 
 // lay merges a plan, or named items of one, onto the one in force.
@@ -291,7 +291,7 @@
 			if err != nil {
 				break
 			}
-			if t.Outcome == "done" {
+			if t.Outcome == wire.OutcomeDone {
 				n.control.HintLeader(addr)
 				return vain
 			}
@@ -307,7 +307,7 @@
 //
 // Example: t, err := a.Join(ctx, &wire.JoinAsk{Name: "10.1.0.17:7360/8f3a"})
 func (n *Node) Join(ctx context.Context, a *wire.JoinRequest) (*wire.JoinResponse, error) {
-	p, none := n.shards[0], &wire.JoinResponse{Outcome: "cant-say"}
+	p, none := n.shards[0], &wire.JoinResponse{Outcome: wire.OutcomeUnknown}
 	if addr, life, ok := strings.Cut(a.Name, "/"); p == nil || p.group == nil || !ok || addr == "" || life == "" {
 		return none, nil
 	}
@@ -318,11 +318,11 @@
 	s := p.core.Status()
 	switch {
 	case p.failure != nil || !s.IsLeader:
-		return &wire.JoinResponse{Outcome: "not-owner", Leader: s.Leader}
+		return &wire.JoinResponse{Outcome: wire.OutcomeNotLeader, Leader: s.Leader}
 	case !p.core.AddLearner(a.Name):
-		return &wire.JoinResponse{Outcome: "overloaded", Leader: s.Leader}
+		return &wire.JoinResponse{Outcome: wire.OutcomeOverloaded, Leader: s.Leader}
 	}
-	return &wire.JoinResponse{Outcome: "done", Leader: s.Leader}
+	return &wire.JoinResponse{Outcome: wire.OutcomeDone, Leader: s.Leader}
 }
 
 // puts adds up what the entries that aren't applied yet may bring: by key the highest version,
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -78,11 +78,11 @@
 				default:
 				}
 			}
-			if tell.GetOutcome() == "done" {
+			if tell.GetOutcome() == wire.OutcomeDone {
 				acked++
 				newest = tell.Version
 			}
-			if i%10 == 9 && (p.failure != nil || tell.GetOutcome() != "done" && d.dieIn < 0 && life == p) {
+			if i%10 == 9 && (p.failure != nil || tell.GetOutcome() != wire.OutcomeDone && d.dieIn < 0 && life == p) {
 				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, tell)
 			}
 			if e := p.state.docs["k"].GetVersion(); p.failure == nil && p.core.AppliedOwnTerm() && e < newest {
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -179,7 +179,7 @@
 	if p := n.shards[a.Shard]; p != nil {
 		return p.change(ctx, a), nil
 	}
-	return &wire.ChangeResponse{Outcome: "not-owner"}, nil
+	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader}, nil
 }
 
 // Read reads what was acknowledged, where this node owns the part.
@@ -189,7 +189,7 @@
 	if p := n.shards[a.Shard]; p != nil {
 		return p.read(ctx, a), nil
 	}
-	return &wire.ReadResponse{Outcome: "not-owner"}, nil
+	return &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}, nil
 }
 
 // Time tells this machine's wall clock.
@@ -234,5 +234,5 @@
 		a.HoldNs = min(a.HoldNs, uint64(time.Minute))
 		return p.watch(ctx, a, n.life.Place.Name), nil
 	}
-	return &wire.WatchResponse{Outcome: "cant-say", Member: n.life.Place.Name}, nil
+	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.life.Place.Name}, nil
 }
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -105,7 +105,7 @@
 	if g.isLeader {
 		t := p.change(ctx, a)
 		switch t.Outcome {
-		case "not-owner", "overloaded", "cant-say":
+		case wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
 			n.control.HintLeader(t.Leader)
 		default:
 			return t, controlclient.ErrorOf(t)
@@ -129,7 +129,7 @@
 	} else {
 		n.control.HintLeader(g.leader)
 	}
-	if t.GetOutcome() != "done" {
+	if t.GetOutcome() != wire.OutcomeDone {
 		var err error
 		if t, err = n.control.Read(ctx, a); err != nil {
 			return nil, err
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -183,7 +183,7 @@
 }
 
 func (p *shard) commit(e *wire.Entry) {
-	tell := &wire.ChangeResponse{Outcome: "done"}
+	tell := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 	if len(e.Body) > 0 {
 		c := &wire.Command{}
 		if err := proto.Unmarshal(e.Body, c); err != nil {
@@ -196,7 +196,7 @@
 	if w, ok := p.pending[e.Index]; ok {
 		delete(p.pending, e.Index)
 		if w.term != e.Term {
-			tell = &wire.ChangeResponse{Outcome: "not-owner"} // another entry took its place: it never ran
+			tell = &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader} // another entry took its place: it never ran
 		}
 		w.answer <- tell
 	}
@@ -311,23 +311,23 @@
 // read answers from the applied state, once a majority confirms that this member owns the part.
 func (p *shard) read(ctx context.Context, a *wire.ReadRequest) *wire.ReadResponse {
 	w := make(chan bool, 1)
-	t := &wire.ReadResponse{Outcome: "not-owner"}
+	t := &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}
 	var id uint64
 	if !p.do(ctx, func() { id, t.Leader = p.beginRead(w) }) {
-		return &wire.ReadResponse{Outcome: "cant-say"}
+		return &wire.ReadResponse{Outcome: wire.OutcomeUnknown}
 	}
 	ok := false
 	select {
 	case ok = <-w:
 	case <-ctx.Done():
 		p.commands.Offer(func() { delete(p.reads, id) })
-		return &wire.ReadResponse{Outcome: "cant-say"}
+		return &wire.ReadResponse{Outcome: wire.OutcomeUnknown}
 	}
 	if !ok {
 		return t
 	}
-	if !p.do(ctx, func() { t.Outcome = "done"; t.Documents, t.Leases = p.selectDocuments(a) }) {
-		return &wire.ReadResponse{Outcome: "cant-say"}
+	if !p.do(ctx, func() { t.Outcome = wire.OutcomeDone; t.Documents, t.Leases = p.selectDocuments(a) }) {
+		return &wire.ReadResponse{Outcome: wire.OutcomeUnknown}
 	}
 	return t
 }
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -109,7 +109,7 @@
 	s.readAt(n, func(uint64, string) { // as confirm does
 		s.ask(n, a, func(t *wire.ChangeResponse) {
 			switch {
-			case t.Outcome == "done":
+			case t.Outcome == wire.OutcomeDone:
 				if t.Version != w.version {
 					s.fault("version %d is acknowledged as %d", w.version, t.Version)
 				}
@@ -123,7 +123,7 @@
 				if acked != nil {
 					acked(n)
 				}
-			case before > 0 && (t.Outcome == "epoch-conflict" || t.Outcome == "bad-input"):
+			case before > 0 && (t.Outcome == wire.OutcomeConflict || t.Outcome == wire.OutcomeBadInput):
 				s.fault("%s was acknowledged, and is %s when it is sent again", w.body, t.Outcome)
 			}
 		})
@@ -150,7 +150,7 @@
 		if s.plant == "lease-late" {
 			asked = h.clk.Now() + 2*time.Second // planted: counted from the answer, and more
 		}
-		if h.l.Tell(asked, t); t.Outcome != "done" {
+		if h.l.Tell(asked, t); t.Outcome != wire.OutcomeDone {
 			return
 		}
 		s.counts["granted"]++
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -279,7 +279,7 @@
 			return
 		}
 		t := m.p.handleJoin(&wire.JoinRequest{Name: n.p.core.Self()})
-		if s.after(m); t.Outcome == "done" {
+		if s.after(m); t.Outcome == wire.OutcomeDone {
 			s.counts["taken in"]++
 			return
 		}
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -53,7 +53,7 @@
 		put.AnyVersion = true
 	}
 	s.ask(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeResponse) {
-		if t.Outcome == "done" {
+		if t.Outcome == wire.OutcomeDone {
 			w.epoch, w.end = t.Version, s.now
 			s.counts["acked"]++
 			s.note("acked %s epoch %d by %s", w.body, w.epoch, n.name)
@@ -119,7 +119,7 @@
 		}
 		t := n.p.newsNow(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
 		if s.plant == "vouch-unsettled" && s.now >= wait && n.p.state.docs["doc"].GetVersion() == have {
-			t = &wire.WatchResponse{Outcome: "same"} // planted: what is in the log, not applied, is overlooked
+			t = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
 		}
 		if t == nil {
 			return true
@@ -148,7 +148,7 @@
 	nonce := uint64(s.r.IntN(3) + 1)
 	c := &wire.Claims{List: []*wire.Claim{{Id: id, Nonce: nonce}}}
 	s.ask(s.anyone(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: c}}}, func(t *wire.ChangeResponse) {
-		if t.Outcome != "done" || !t.Granted[0] {
+		if t.Outcome != wire.OutcomeDone || !t.Granted[0] {
 			return
 		}
 		s.counts["claimed"]++
@@ -177,7 +177,7 @@
 			asked = h.clk.Now() + 2*time.Second // planted: counted from the answer, and more
 		}
 		h.l.Tell(asked, t)
-		if t.Outcome == "done" {
+		if t.Outcome == wire.OutcomeDone {
 			s.counts["granted"]++
 		}
 	})
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -81,7 +81,7 @@
 	case *wire.Command_Grant:
 		return s.grant(k.Grant, now)
 	case *wire.Command_Claims:
-		t := &wire.ChangeResponse{Outcome: "done"}
+		t := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 		if k.Claims.KeepNs > 0 { // zero: of a release that told no age
 			s.claims.pass(k.Claims.PassedNs, k.Claims.KeepNs)
 		}
@@ -91,7 +91,7 @@
 		}
 		return t
 	}
-	return &wire.ChangeResponse{Outcome: "done"}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 }
 
 func (s *state) put(p *wire.Put) *wire.ChangeResponse {
@@ -99,23 +99,23 @@
 		return t
 	}
 	if l := s.leases[p.Lease]; p.Lease != "" && (l == nil || l.Fence != p.Fence || l.Holder != p.Holder) {
-		return &wire.ChangeResponse{Outcome: "epoch-conflict", Fence: l.GetFence(), Leader: l.GetHolder()} // the duty has passed on
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()} // the duty has passed on
 	}
 	d := s.docs[p.Key]
 	if d == nil {
 		if len(s.docs) >= maxDocs {
-			return &wire.ChangeResponse{Outcome: "too-big", Errors: []string{"the part holds as many documents as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the part holds as many documents as it may"}}
 		}
 		d = &wire.Document{Key: p.Key}
 	}
 	if !p.AnyVersion && p.IfVersion != d.Version {
-		return &wire.ChangeResponse{Outcome: "epoch-conflict", Version: d.Version}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.Version}
 	}
 	if p.NewVersion > 0 && p.NewVersion <= d.Version {
-		return &wire.ChangeResponse{Outcome: "epoch-conflict", Version: d.Version}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.Version}
 	}
 	if s.bytes-len(d.Body)+len(p.Body) > maxState {
-		return &wire.ChangeResponse{Outcome: "too-big", Version: d.Version, Errors: []string{"the part holds as many bytes as it may"}}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: d.Version, Errors: []string{"the part holds as many bytes as it may"}}
 	}
 	s.bytes += len(p.Body) - len(d.Body)
 	d = &wire.Document{Key: p.Key, Body: p.Body, Version: max(p.NewVersion, d.Version+1)}
@@ -126,7 +126,7 @@
 			s.tokens = s.tokens[1:]
 		}
 	}
-	return &wire.ChangeResponse{Outcome: "done", Version: d.Version}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: d.Version}
 }
 
 // again answers a change whose token was seen before: the first outcome stands.
@@ -136,9 +136,9 @@
 			continue
 		}
 		if t.Key != p.Key || string(t.Digest) != string(p.Digest) {
-			return &wire.ChangeResponse{Outcome: "bad-input", Errors: []string{"token " + p.Token + " was used for another change: give each change its own"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"token " + p.Token + " was used for another change: give each change its own"}}
 		}
-		return &wire.ChangeResponse{Outcome: "done", Version: t.Version, TokenReuse: "the change was made before"}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: t.Version, TokenReuse: "the change was made before"}
 	}
 	return nil
 }
@@ -157,12 +157,12 @@
 	l := s.leases[g.Lease]
 	if l == nil {
 		if len(s.leases) >= maxLeases {
-			return &wire.ChangeResponse{Outcome: "too-big", Errors: []string{"the part holds as many leases as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the part holds as many leases as it may"}}
 		}
 		l = &wire.Lease{Name: g.Lease}
 	}
 	if g.IfFence != l.Fence {
-		return &wire.ChangeResponse{Outcome: "epoch-conflict", Fence: l.Fence, Leader: l.Holder}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.Fence, Leader: l.Holder}
 	}
 	n := &wire.Lease{Name: g.Lease, Holder: g.Holder, Fence: l.Fence, TtlNs: g.TtlNs}
 	if g.GiveUp {
@@ -171,7 +171,7 @@
 		n.Fence++
 	}
 	s.leases[g.Lease], s.grantedAt[g.Lease] = n, now
-	return &wire.ChangeResponse{Outcome: "done", Fence: n.Fence, Leader: n.Holder}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: n.Fence, Leader: n.Holder}
 }
 
 // free tells whether a duty may be granted to a holder now. The holder counts its lease
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -49,7 +49,7 @@
 		won, epochs := map[int]uint64{}, map[uint64]string{}
 		for _, i := range o {
 			r := s.apply(proto.Clone(cs[i]).(*wire.Command), 0)
-			if r.Outcome == "done" {
+			if r.Outcome == wire.OutcomeDone {
 				body := string(cs[i].GetPut().Body)
 				if b, ok := epochs[r.Version]; ok && b != body {
 					t.Fatalf("%v: epoch %d was told for %s and for %s", o, r.Version, b, body)
@@ -93,7 +93,7 @@
 				t.Fatalf("%v: the fence fell from %d to %d", o, last, f)
 			}
 			last = f
-			if u := cs[i].GetPut(); u != nil && r.Outcome == "done" {
+			if u := cs[i].GetPut(); u != nil && r.Outcome == wire.OutcomeDone {
 				if u.Fence != f || by[f] != "" && by[f] != u.Holder {
 					t.Fatalf("%v: %s wrote under fence %d, %d is in force, %q wrote under it", o, u.Holder, u.Fence, f, by[f])
 				}
@@ -139,14 +139,14 @@
 	s := newState()
 	for i := range maxDocs + 10 {
 		r := s.apply(put(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
-		if (r.Outcome == "done") != (i < maxDocs) {
+		if (r.Outcome == wire.OutcomeDone) != (i < maxDocs) {
 			t.Fatalf("document %d: %s", i, r.Outcome)
 		}
 	}
 	if len(s.tokens) > maxTokens {
 		t.Errorf("%d tokens", len(s.tokens))
 	}
-	if r := s.apply(put("k0", string(make([]byte, maxState+1)), "", 1), 0); r.Outcome != "too-big" {
+	if r := s.apply(put("k0", string(make([]byte, maxState+1)), "", 1), 0); r.Outcome != wire.OutcomeTooBig {
 		t.Errorf("a body over the bound: %s", r.Outcome)
 	}
 }
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -28,7 +28,7 @@
 // tellNews holds the question until there is news or its time is over. "same" is a vouch:
 // this member's disk has nothing newer.
 func (p *shard) watch(ctx context.Context, a *wire.WatchRequest, member string) *wire.WatchResponse {
-	t := &wire.WatchResponse{Outcome: "cant-say", Member: member}
+	t := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	end := time.NewTimer(time.Duration(a.HoldNs))
 	defer end.Stop()
 	for over := false; ; {
@@ -40,7 +40,7 @@
 			}
 		})
 		if !ok {
-			return &wire.WatchResponse{Outcome: "cant-say", Member: member}
+			return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 		}
 		if t != nil {
 			return t
@@ -52,7 +52,7 @@
 		case <-ctx.Done():
 			over = true
 		case <-p.ctx.Done():
-			return &wire.WatchResponse{Outcome: "cant-say", Member: member}
+			return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 		}
 		p.commands.Offer(func() { delete(p.watchers, c) })
 	}
@@ -71,11 +71,11 @@
 	d := p.state.docs[a.Key]
 	switch {
 	case p.failure == nil && d.GetVersion() > a.Have:
-		return &wire.WatchResponse{Outcome: "news", Document: d, Member: member, NothingNewer: p.nothingNewer(a.Key)}
+		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: d, Member: member, NothingNewer: p.nothingNewer(a.Key)}
 	case over && p.nothingNewer(a.Key) && d.GetVersion() == a.Have:
-		return &wire.WatchResponse{Outcome: "same", Member: member}
+		return &wire.WatchResponse{Outcome: wire.OutcomeSame, Member: member}
 	case over || p.failure != nil || len(p.watchers) >= 1024:
-		return &wire.WatchResponse{Outcome: "cant-say", Member: member}
+		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	}
 	return nil
 }
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -129,7 +129,7 @@
 			return nil, err
 		}
 		if r.State == was {
-			return &operator.Changed{Epoch: int64(t.Documents[0].Version), Outcome: "done", Note: operator.NewOptString(r.State)}, nil
+			return &operator.Changed{Epoch: int64(t.Documents[0].Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(r.State)}, nil
 		}
 		if was == retire.Planned && r.State == retire.Running {
 			if err := d.fits(ctx, r); err != nil {
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -148,7 +148,7 @@
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
 	if m.Weights == uint64(q.Weights) {
-		return &operator.Changed{Epoch: int64(doc.Version), Outcome: "done", Note: operator.NewOptString("these weights are in force already")}, nil
+		return &operator.Changed{Epoch: int64(doc.Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are in force already")}, nil
 	}
 	if uint64(q.Weights) < m.Weights {
 		return nil, errs.New(errs.BadInput, "weights %d are older than %d in force: name a later epoch", q.Weights, m.Weights)
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -94,7 +94,7 @@
 	}
 	switch have, v := w.Named[q.Model], uint64(q.Weights); {
 	case have == v:
-		return &operator.Changed{Epoch: int64(version), Outcome: "done", Note: operator.NewOptString("these weights are named already")}, nil
+		return &operator.Changed{Epoch: int64(version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are named already")}, nil
 	case have > v:
 		return nil, errs.New(errs.BadInput, "weights %d are older than %d, which are named: name a later version", v, have)
 	}
--- a/internal/data/nodeagent/fresh.go
+++ b/internal/data/nodeagent/fresh.go
@@ -61,7 +61,7 @@
 		top = &f.next
 	}
 	switch t.Outcome {
-	case "news":
+	case wire.OutcomeNews:
 		if t.Document.GetVersion() > f.Epoch() {
 			f.next = vouched{t.Document, map[string]vouch{}}
 			top = &f.next
--- a/internal/data/nodeagent/fresh_test.go
+++ b/internal/data/nodeagent/fresh_test.go
@@ -11,9 +11,9 @@
 	"pebbleloom/internal/wire"
 )
 
-func same() *wire.WatchResponse { return &wire.WatchResponse{Outcome: "same"} }
+func same() *wire.WatchResponse { return &wire.WatchResponse{Outcome: wire.OutcomeSame} }
 func news(e uint64, settled bool) *wire.WatchResponse {
-	return &wire.WatchResponse{Outcome: "news", NothingNewer: settled, Document: &wire.Document{Version: e, Body: []byte("x")}}
+	return &wire.WatchResponse{Outcome: wire.OutcomeNews, NothingNewer: settled, Document: &wire.Document{Version: e, Body: []byte("x")}}
 }
 
 type answer struct {
@@ -52,7 +52,7 @@
 		seen := uint64(1)
 		for _, a := range l {
 			f.Hear(a.m, a.have, a.asked, a.t)
-			if a.t.Outcome == "news" {
+			if a.t.Outcome == wire.OutcomeNews {
 				seen = 2
 				if a.t.NothingNewer {
 					vouch[2][a.m] = max(vouch[2][a.m], a.asked)
@@ -88,7 +88,7 @@
 	for i := range 5 {
 		f.Hear("a", 1, time.Duration(10+i), same())
 	}
-	f.Hear("b", 1, 20, &wire.WatchResponse{Outcome: "cant-say"})
+	f.Hear("b", 1, 20, &wire.WatchResponse{Outcome: wire.OutcomeUnknown})
 	if f.Proof() != 0 || f.Doc() != nil {
 		t.Fatalf("one member's word was taken for a majority's: %d", f.Proof())
 	}
--- a/internal/data/nodeagent/runner.go
+++ b/internal/data/nodeagent/runner.go
@@ -128,7 +128,7 @@
 				tell = t
 			}
 		}
-		if tell == nil || tell.Outcome == "cant-say" {
+		if tell == nil || tell.Outcome == wire.OutcomeUnknown {
 			clock.Pause(r.life.Ctx, b.Setup(0.05))
 			if tell == nil {
 				continue
@@ -236,7 +236,7 @@
 		ctx, end := context.WithTimeout(r.life.Ctx, r.life.Place.Bounds.Heal(1.0/24))
 		tell, err := r.calls.Archive(addr).News(ctx, &wire.WatchRequest{Shard: part, Key: "placement/" + n, Have: h})
 		end()
-		if err == nil && tell.Outcome == "news" && tell.Document.GetVersion() > h {
+		if err == nil && tell.Outcome == wire.OutcomeNews && tell.Document.GetVersion() > h {
 			r.desk.Tell(func(t *table) {
 				t.places[n] = &wire.Document{Key: n, Body: tell.Document.Body, Version: tell.Document.Version}
 				t.listed()
