--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -147,7 +147,7 @@
 // callers are hollow edges that ask or tell an index node.
 func callers(ctx context.Context, t task) (string, func() (float64, float64, error), error) {
 	l := life("hollow", bounds(), nil)
-	c := daemon.NewCalls(l).Catalogue(t.Addr)
+	c := daemon.NewClients(l).PromptIndex(t.Addr)
 	key := func(i int) []byte { k := promptindex.KeyOf(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
 	var number atomic.Uint64
 	one := func(i int) error {
@@ -199,7 +199,7 @@
 		go func() {
 			first := sync.OnceFunc(up.Done)
 			l := life(fmt.Sprintf("hollow-%d", i), bounds(), nil)
-			c := daemon.NewCalls(l).Archive(t.Addr)
+			c := daemon.NewClients(l).ControlNode(t.Addr)
 			have := map[string]uint64{}
 			for ctx.Err() == nil {
 				a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.Key, Packed: true}
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -58,9 +58,9 @@
 	}
 	const span = 1000.0
 	tokens := mbps * 1e6 / 8 / float64(engine().TokenBytes)
-	f := placementcontroller.Facts{Service: serviceName(0), Mode: "hrcs", Alpha: 1, Workers: ws, Room: 320000, Hot: hot, Curve: placement.Default(),
+	f := placementcontroller.Inputs{Service: serviceName(0), Mode: "hrcs", Alpha: 1, Workers: ws, Room: 320000, Hot: hot, Curve: placement.Default(),
 		Links: []*wire.LinkSeen{{Class: "plan", Tokens: tokens * span, Ns: span * 1e9}}}
-	p := placementcontroller.Pick(f, nil)
+	p := placementcontroller.Compute(f, nil)
 	changed := 0
 	at := cpu()
 	for i := range looks {
@@ -70,7 +70,7 @@
 		var next *placement.Placement
 		var moved bool
 		if i%4 == 3 { // the whole is computed once in four looks
-			next = placementcontroller.Pick(f, p)
+			next = placementcontroller.Compute(f, p)
 			moved = !slices.Equal(next.Replicated, p.Replicated) || next.Mode != p.Mode || math.Abs(next.Floor-p.Floor) > 0.25*p.Floor+0.05
 		} else {
 			next, moved = placementcontroller.Swap(p, hot)
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -39,10 +39,10 @@
 }
 
 // life is a program's life in this process; listen, if any, is where its connections are counted.
-func life(name string, b settings.Bounds, tap *tap) *daemon.Life {
+func life(name string, b settings.Bounds, tap *tap) *daemon.Process {
 	p := settings.Place{Name: name, District: "district-0", Listen: "127.0.0.1:0", Bounds: b, Extra: []string{"log=off"},
 		Site: &settings.Site{First: true, IP: "127.0.0.1", MemoryMB: 4096, Ready: "127.0.0.1:0", BeatMs: 1200, GraceMs: 100, LeaseMs: 3000, AckMs: 60000, TransitMs: 1000}}
-	w := daemon.Real(p)
+	w := daemon.RealEnvironment(p)
 	if tap != nil {
 		w.Listen, p.Listen = tap.listen, tap.addr()
 		p.Seeds = []string{p.Listen}
@@ -65,8 +65,8 @@
 		{"table-memory", "B", "heap of the workers that a snapshot holds"},
 	}, func(n float64) ([]float64, error) {
 		l := roll(int(n), models)
-		t := controllers.NewTable(fleet.Table{Workers: l})
-		body, err := json.Marshal(t.Doc())
+		t := controllers.NewWorkerList(fleet.Table{Workers: l})
+		body, err := json.Marshal(t.Document())
 		if err != nil {
 			return nil, err
 		}
@@ -83,7 +83,7 @@
 				_ = json.Unmarshal(d.Body, &x)
 			}
 		})
-		took := b.spend(func() { t.Take(l, true); _, _ = json.Marshal(t.Doc()) })
+		took := b.spend(func() { t.Merge(l, true); _, _ = json.Marshal(t.Document()) })
 		runtime.KeepAlive(x)
 		return []float64{float64(len(body)), float64(len(told.Body)), read, took, max(1, memory)}, nil
 	}); err != nil {
--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -84,7 +84,7 @@
 	fmt.Fprintf(w, "SERVICE\tNAME\tFROM\tTO\tSTATE\tPROGRESS\tWHY\n")
 	for _, r := range x.Retirements {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Service, r.Name, r.From, r.To, r.State, r.Progress(), r.Why)
-		for _, h := range r.Holds {
+		for _, h := range r.Blockers {
 			fmt.Fprintf(w, "\theld by %s:\t%s\n\tdo:\t%s\n", h.Node, h.Why, h.Remedy)
 		}
 	}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -38,9 +38,9 @@
 	mu    sync.Mutex
 	doors map[string]*mouth
 	disks map[string]*memory
-	lives map[string]*daemon.Life // by role and number
-	has   map[string]uint64       // by worker: the weights it serves
-	late  bool                    // workers take no orders
+	lives map[string]*daemon.Process // by role and number
+	has   map[string]uint64          // by worker: the weights it serves
+	late  bool                       // workers take no orders
 	seed  uint64
 	http  *http.Transport
 }
@@ -107,7 +107,7 @@
 }
 
 func newPond(t *testing.T) *pond {
-	p := &pond{t: t, doors: map[string]*mouth{}, disks: map[string]*memory{}, lives: map[string]*daemon.Life{},
+	p := &pond{t: t, doors: map[string]*mouth{}, disks: map[string]*memory{}, lives: map[string]*daemon.Process{},
 		has: map[string]uint64{"w1": 1, "w2": 1, "w3": 1}}
 	p.http = &http.Transport{DialContext: p.dial}
 	return p
@@ -136,7 +136,7 @@
 	}
 }
 
-func (p *pond) life(role string, i, offset int) *daemon.Life {
+func (p *pond) life(role string, i, offset int) *daemon.Process {
 	p.seed++
 	seed := p.seed
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
@@ -144,7 +144,7 @@
 		ListRate: 47, MemoryMB: 284, Files: 4100, Ports: [2]int{7360, 7375}, Revokes: true, SlackMs: 200}
 	place := set.Place{Name: fmt.Sprint("m", i), District: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.Default(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Extra: []string{"log=off"}, Site: site}
-	w := daemon.World{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
 			if p.disks[at] == nil {
 				p.disks[at] = &memory{m: map[string][]byte{}}
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -18,7 +18,7 @@
 
 // Member runs a Core: it beats, hears, and shows the view.
 type Member struct {
-	desk *queue.Desk[Core]
+	desk *queue.Actor[Core]
 	clk  clock.Clock
 	b    settings.Bounds
 	log  hclog.Logger
@@ -75,7 +75,7 @@
 	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, District: p.District,
 		Addr: p.Told(), Operator: p.Operator}
 	p.Bounds = pace(p)
-	m := &Member{desk: queue.NewDesk(New(p.Bounds, self, p.Seeds), 256), clk: clk, b: p.Bounds, log: log, call: call, hook: hook}
+	m := &Member{desk: queue.NewActor(New(p.Bounds, self, p.Seeds), 256), clk: clk, b: p.Bounds, log: log, call: call, hook: hook}
 	m.desk.Ask(func(c *Core) { m.show(c) })
 	go m.run(ctx)
 	return m
@@ -84,7 +84,7 @@
 // SetSeeds changes the seeds at run time, as the setup in force names them.
 //
 // Example: m.SetSeeds(setup.Seeds)
-func (m *Member) SetSeeds(l []string) { m.desk.Tell(func(c *Core) { c.SetSeeds(l) }) }
+func (m *Member) SetSeeds(l []string) { m.desk.TrySend(func(c *Core) { c.SetSeeds(l) }) }
 
 func (m *Member) show(c *Core) {
 	if v := m.view.Load(); v != nil && v.Epoch == c.Epoch() {
@@ -130,7 +130,7 @@
 		} else {
 			next.Reset(beat)
 		}
-		m.desk.Tell(func(c *Core) {
+		m.desk.TrySend(func(c *Core) {
 			if m.gone {
 				return
 			}
@@ -154,7 +154,7 @@
 	if err != nil {
 		return // silence is what the watchers judge by
 	}
-	m.desk.Tell(func(c *Core) { c.Answer(x.To, t, m.clk.Now()); m.show(c) })
+	m.desk.TrySend(func(c *Core) { c.Answer(x.To, t, m.clk.Now()); m.show(c) })
 }
 
 // Hear serves the beats of others.
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -44,7 +44,7 @@
 type Client struct {
 	core   []string
 	view   func() clustermembership.View
-	calls  *daemon.Calls
+	calls  *daemon.Clients
 	bounds settings.Bounds
 	group  *groupAddresses // nil where the core machines are named
 }
@@ -52,7 +52,7 @@
 // New makes the way to the parts kept by the named core machines.
 //
 // Example: c := link.New(place.Core, member.View, calls, place.Bounds)
-func New(core []string, view func() clustermembership.View, calls *daemon.Calls, b settings.Bounds) *Client {
+func New(core []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
 	return &Client{core: core, view: view, calls: calls, bounds: b}
 }
 
@@ -76,7 +76,7 @@
 		}
 		if addr, ok := c.view().Addr("archive/" + m); ok {
 			one, stop := context.WithTimeout(asker, c.bounds.Heal(1.0/8))
-			done, owner := try(one, c.calls.Archive(addr))
+			done, owner := try(one, c.calls.ControlNode(addr))
 			stop()
 			if done {
 				return true
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -45,7 +45,7 @@
 	}
 	b := settings.Default()
 	b.HealMs = 1200 // all waits are ratios of it
-	return New([]string{"core-1", "core-2", "core-3", "core-4"}, func() clustermembership.View { return v }, daemon.NewCalls(daemon.New("test", settings.Place{Bounds: b})), b)
+	return New([]string{"core-1", "core-2", "core-3", "core-4"}, func() clustermembership.View { return v }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
 }
 
 func put(token string, guarded bool) *wire.ChangeRequest {
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -28,7 +28,7 @@
 // NewGroup makes the way to the one group of a site whose core machines nobody names.
 //
 // Example: c := link.NewGroup(place.Seeds, member.View, calls, place.Bounds)
-func NewGroup(seeds []string, view func() clustermembership.View, calls *daemon.Calls, b settings.Bounds) *Client {
+func NewGroup(seeds []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
 	c := &Client{view: view, calls: calls, bounds: b, group: &groupAddresses{}}
 	c.SetSeeds(seeds)
 	return c
@@ -92,7 +92,7 @@
 			}
 			tried[addr] = true
 			one, stop := context.WithTimeout(asker, c.bounds.Heal(tryPart))
-			done, owner := try(one, c.calls.Archive(addr))
+			done, owner := try(one, c.calls.ControlNode(addr))
 			stop()
 			if done {
 				c.HintLeader(addr)
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -50,7 +50,7 @@
 	b := settings.Default()
 	b.HealMs = 60000 // so long that a busy machine makes no try too late
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-2", Role: "archive", Addr: addr[1]}, {Name: "runner/e", Role: "runner", Addr: addr[0]}}}
-	c := NewGroup([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewCalls(daemon.New("test", settings.Place{Bounds: b})), b)
+	c := NewGroup([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
 	for _, x := range []struct {
 		what  string
 		owner int    // who owns it
--- a/internal/control/controllers/duty_test.go
+++ b/internal/control/controllers/controller_test.go
@@ -11,8 +11,8 @@
 
 // begun is a site whose four core machines are up, whose table is written and whose weights
 // have just been named anew.
-func begun(t *testing.T, n int) *stand {
-	s := newStand(t, n)
+func newRunningSite(t *testing.T, n int) *testSite {
+	s := newTestSite(t, n)
 	for i := range 4 {
 		s.core(fmt.Sprint("core-", i+1))
 	}
@@ -25,15 +25,15 @@
 	for _, n := range []int{1, 3, 18, 60} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := begun(t, n)
+				s := newRunningSite(t, n)
 				defer s.stop()
-				took := s.wait(func() bool { return s.settled(2) }, s.b.Weights(0.9))
+				took := s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(0.9))
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				if s.orders != n || s.most > max(1, n/3) {
-					t.Errorf("%d orders for %d workers, %d at once", s.orders, n, s.most)
+				if s.orders != n || s.maxLoading > max(1, n/3) {
+					t.Errorf("%d orders for %d workers, %d at once", s.orders, n, s.maxLoading)
 				}
-				t.Logf("%d workers: %v, %d at once, calls %v", n, took, s.most, s.calls)
+				t.Logf("%d workers: %v, %d at once, calls %v", n, took, s.maxLoading, s.calls)
 			})
 		})
 	}
@@ -42,11 +42,11 @@
 // The holder dies, or is stopped, between any two effects of a roll-out: nothing is ordered
 // twice, no two holders order too near each other, nobody stays set aside, and all have the
 // weights within the bound, counted from when the core is settled again.
-func TestTheHolderDiesAnywhere(t *testing.T) {
+func TestHolderDiesBetweenAnyTwoEffects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begun(t, 4)
+		s := newRunningSite(t, 4)
 		from := s.effects
-		s.wait(func() bool { return s.settled(2) }, s.b.Weights(1))
+		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
 		whole := s.effects - from
 		s.stop()
 		if whole < 30 {
@@ -54,7 +54,7 @@
 		}
 		for _, how := range []string{"before", "after", "stop"} {
 			for k := 1; k <= whole; k++ {
-				one(t, how, k)
+				runUntilDeath(t, how, k)
 				if t.Failed() {
 					t.Fatalf("%s effect %d of %d", how, k, whole)
 				}
@@ -63,13 +63,13 @@
 	})
 }
 
-func one(t *testing.T, how string, k int) {
-	s := begun(t, 4)
+func runUntilDeath(t *testing.T, how string, k int) {
+	s := newRunningSite(t, 4)
 	defer s.stop()
 	s.mu.Lock()
-	s.how, s.at = how, s.effects+k
+	s.deathKind, s.deathAt = how, s.effects+k
 	s.mu.Unlock()
-	s.wait(func() bool { return s.settled(2) }, 3*time.Second+s.b.Weights(1))
+	s.wait(func() bool { return s.settled(2) }, 3*time.Second+s.bounds.Weights(1))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.victim == "" {
@@ -84,8 +84,8 @@
 func TestLostAnswers(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStand(t, 6)
-			s.rnd = rand.New(rand.NewPCG(seed, 7))
+			s := newTestSite(t, 6)
+			s.random = rand.New(rand.NewPCG(seed, 7))
 			defer s.stop()
 			s.core("core-1")
 			s.core("core-2")
@@ -94,25 +94,25 @@
 			s.lossy = 0.1
 			s.mu.Unlock()
 			s.name("daka", 2)
-			s.wait(func() bool { return s.settled(2) }, 3*s.b.Weights(1))
+			s.wait(func() bool { return s.settled(2) }, 3*s.bounds.Weights(1))
 		})
 	}
 }
 
-func TestNamedTwiceAndMuteWorkers(t *testing.T) {
+func TestNamedTwiceAndSilentWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begun(t, 18)
+		s := newRunningSite(t, 18)
 		defer s.stop()
 		s.mu.Lock()
-		s.hands["w00"].mute, s.hands["w07"].mute = true, true
+		s.workers["w00"].silent, s.workers["w07"].silent = true, true
 		s.mu.Unlock()
 		<-time.After(2 * time.Second)
 		s.name("daka", 3)
-		s.wait(func() bool { return s.settled(3) }, s.b.Weights(1))
+		s.wait(func() bool { return s.settled(3) }, s.bounds.Weights(1))
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		middle := 0
-		for _, h := range s.hands {
+		for _, h := range s.workers {
 			middle += h.loads[2]
 		}
 		if middle > 6 {
@@ -123,32 +123,32 @@
 
 // What the list shows is in force well within the bound on workers that left, also when the
 // holder of the duties dies just then; and while the list can't be had the table stays.
-func TestTheTableFollowsTheList(t *testing.T) {
+func TestWorkerListFollowsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begun(t, 5)
+		s := newRunningSite(t, 5)
 		defer s.stop()
-		s.wait(func() bool { return s.settled(2) }, s.b.Weights(1))
+		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
 		gone := func(id string) func() bool {
 			return func() bool { s.mu.Lock(); defer s.mu.Unlock(); _, ok := s.table()[id]; return !ok }
 		}
 		s.mu.Lock()
-		s.hands["w01"].w.Draining = true
+		s.workers["w01"].w.Draining = true
 		s.mu.Unlock()
-		s.wait(gone("w01"), s.b.Leave(0.35))
+		s.wait(gone("w01"), s.bounds.Leave(0.35))
 
 		s.mu.Lock()
-		s.down = true
+		s.listDown = true
 		reads := s.reads
-		delete(s.hands, "w02")
+		delete(s.workers, "w02")
 		s.mu.Unlock()
 		<-time.After(10 * time.Second)
 		s.mu.Lock()
 		if _, ok := s.table()["w02"]; !ok || s.reads-reads > 10 {
 			t.Errorf("%v after %d readings that came to nothing", s.table(), s.reads-reads)
 		}
-		s.down = false
+		s.listDown = false
 		s.mu.Unlock()
-		s.wait(gone("w02"), s.b.Leave(0.6))
+		s.wait(gone("w02"), s.bounds.Leave(0.6))
 
 		for i := range 3 { // the holder dies as a worker begins to leave
 			<-time.After(time.Duration(3000+70*i) * time.Millisecond)
@@ -156,34 +156,34 @@
 			s.mu.Lock()
 			holder := s.lease.Holder[:len("core-1")]
 			s.kill(holder)
-			s.hands[id].w.Draining = true
+			s.workers[id].w.Draining = true
 			s.mu.Unlock()
-			t.Logf("followed after %v", s.wait(gone(id), s.b.Leave(0.8)))
+			t.Logf("followed after %v", s.wait(gone(id), s.bounds.Leave(0.8)))
 		}
 	})
 }
 
 // A new worker is in the table soon, and one that comes back with the weights it had is brought
 // to the newest.
-func TestAWorkerComesBackWithOldWeights(t *testing.T) {
+func TestRestartedWorkerIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begun(t, 5)
+		s := newRunningSite(t, 5)
 		defer s.stop()
-		s.wait(func() bool { return s.settled(2) }, s.b.Weights(1))
+		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
 		s.mu.Lock()
-		delete(s.hands, "w01")
+		delete(s.workers, "w01")
 		s.add("x01", 1)
 		s.mu.Unlock()
-		s.wait(func() bool { return s.settled(2) }, s.b.Weights(0.5))
+		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(0.5))
 	})
 }
 
 // Quiet hours cost little.
-func TestAQuietSiteIsAskedLittle(t *testing.T) {
+func TestIdleSiteMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begun(t, 18)
+		s := newRunningSite(t, 18)
 		defer s.stop()
-		s.wait(func() bool { return s.settled(2) }, s.b.Weights(1))
+		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
 		<-time.After(time.Second)
 		s.mu.Lock()
 		was := map[string]int{}
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -19,14 +19,14 @@
 
 // machine is one core machine's way to all of it.
 type machine struct {
-	s    *stand
+	s    *testSite
 	name string
 }
 
 // call is one call of the machine: it travels, does what it does, and the answer travels back.
 // Where the machine's time has come, it dies before or after that.
 func (m *machine) call(ctx context.Context, kind string, do func() error) error {
-	clock.Pause(ctx, oneWay)
+	clock.Pause(ctx, callDelay)
 	s := m.s
 	s.mu.Lock()
 	if _, ok := s.dead[m.name]; ok || ctx.Err() != nil {
@@ -37,34 +37,34 @@
 	if kind == "put" || kind == "order" || kind == "report" {
 		s.effects++
 	}
-	die := s.effects == s.at && s.victim == "" && s.lease.GetHolder() != "" && strings.HasPrefix(s.lease.Holder, m.name+"/")
-	if die && s.how == "before" {
+	die := s.effects == s.deathAt && s.victim == "" && s.lease.GetHolder() != "" && strings.HasPrefix(s.lease.Holder, m.name+"/")
+	if die && s.deathKind == "before" {
 		s.kill(m.name)
 		s.mu.Unlock()
 		return errLost
 	}
 	err := do()
-	if die && s.how == "after" {
+	if die && s.deathKind == "after" {
 		s.kill(m.name)
 		err = errLost
 	}
-	if die && s.how == "stop" {
+	if die && s.deathKind == "stop" {
 		s.victim = m.name
-		l := s.lives[m.name]
-		s.stopping.Go(func() { l.Stop(s.b.Leave(1)) })
+		l := s.processes[m.name]
+		s.stopping.Go(func() { l.Stop(s.bounds.Leave(1)) })
 	}
-	if s.lossy > 0 && s.rnd.Float64() < s.lossy {
+	if s.lossy > 0 && s.random.Float64() < s.lossy {
 		err = errLost
 	}
 	s.mu.Unlock()
-	clock.Pause(ctx, oneWay)
+	clock.Pause(ctx, callDelay)
 	if ctx.Err() != nil {
 		return errLost
 	}
 	return err
 }
 
-func (s *stand) kill(name string) { s.dead[name], s.victim = s.clk.Now(), name }
+func (s *testSite) kill(name string) { s.dead[name], s.victim = s.clock.Now(), name }
 
 func (m *machine) Change(ctx context.Context, a *wire.ChangeRequest) (t *wire.ChangeResponse, err error) {
 	kind := "put"
@@ -88,48 +88,48 @@
 	return t, nil
 }
 
-func (s *stand) grant(g *wire.Grant) *wire.ChangeResponse {
-	now, l := s.clk.Now(), s.lease
+func (s *testSite) grant(g *wire.Grant) *wire.ChangeResponse {
+	now, l := s.clock.Now(), s.lease
 	if l == nil {
 		l = &wire.Lease{}
 	}
 	ttl := time.Duration(l.TtlNs)
-	free := l.Holder == "" || l.Holder == g.Holder || now-s.seen > ttl+ttl/8
+	free := l.Holder == "" || l.Holder == g.Holder || now-s.grantedAt > ttl+ttl/8
 	if g.IfFence != l.Fence || !free || g.GiveUp && l.Holder != g.Holder {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.Fence, Leader: l.Holder}
 	}
 	n := &wire.Lease{Name: g.Lease, Holder: g.Holder, Fence: l.Fence, TtlNs: g.TtlNs}
 	if g.GiveUp {
-		if s.flying[g.Holder] > 0 {
+		if s.inFlight[g.Holder] > 0 {
 			s.t.Errorf("%s gives the lease back while its order is under way", g.Holder)
 		}
 		n.Holder = ""
 	} else if l.Holder != g.Holder {
 		n.Fence++
 	}
-	s.lease, s.seen = n, now
+	s.lease, s.grantedAt = n, now
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: n.Fence, Leader: n.Holder}
 }
 
-func (s *stand) put(p *wire.Put) *wire.ChangeResponse {
+func (s *testSite) put(p *wire.Put) *wire.ChangeResponse {
 	d := s.docs[p.Key]
-	if l := s.lease; p.Lease != Lease || l.GetFence() != p.Fence || l.GetHolder() != p.Holder || p.AnyVersion || p.IfVersion != d.GetVersion() {
+	if l := s.lease; p.Lease != LeaseName || l.GetFence() != p.Fence || l.GetHolder() != p.Holder || p.AnyVersion || p.IfVersion != d.GetVersion() {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.GetVersion()}
 	}
 	s.docs[p.Key] = &wire.Document{Key: p.Key, Body: p.Body, Version: p.IfVersion + 1}
 	if strings.HasPrefix(p.Key, fleet.PlacementKey) {
 		now := map[string]time.Duration{}
 		for _, id := range s.rolling() {
-			if now[id] = s.clk.Now(); s.aside[id] != 0 {
-				now[id] = s.aside[id]
+			if now[id] = s.clock.Now(); s.setAsideAt[id] != 0 {
+				now[id] = s.setAsideAt[id]
 			}
 		}
-		s.aside = now
+		s.setAsideAt = now
 	}
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: p.IfVersion + 1}
 }
 
-func (s *stand) rolling() []string {
+func (s *testSite) rolling() []string {
 	var p struct {
 		Rolling []string `json:"rolling"`
 	}
@@ -141,7 +141,7 @@
 	return p.Rolling
 }
 
-func (s *stand) table() map[string]uint64 {
+func (s *testSite) table() map[string]uint64 {
 	var doc fleet.Table
 	if d := s.docs[fleet.WorkersKey]; d != nil {
 		if err := json.Unmarshal(d.Body, &doc); err != nil {
@@ -173,10 +173,10 @@
 func (m *machine) List(ctx context.Context, page string) (ws []fleet.Worker, next string, err error) {
 	err = m.call(ctx, "list", func() error {
 		s := m.s
-		if s.reads++; s.down {
+		if s.reads++; s.listDown {
 			return errs.New(errs.Overloaded, "asked too often")
 		}
-		ids := queue.Keys(s.hands)
+		ids := queue.Keys(s.workers)
 		if i := slices.Index(ids, page); i > 0 {
 			ids = ids[i:]
 		}
@@ -184,8 +184,8 @@
 			ids, next = ids[:50], ids[50]
 		}
 		for _, id := range ids {
-			w := s.hands[id].w
-			w.Weights = map[string]uint64{"daka": s.hands[id].at(s.clk.Now() - lagged).has}
+			w := s.workers[id].w
+			w.Weights = map[string]uint64{"daka": s.workers[id].at(s.clock.Now() - listLag).has}
 			ws = append(ws, w)
 		}
 		return nil
@@ -193,9 +193,9 @@
 	return ws, next, err
 }
 
-func (m *machine) hand(addr string) *hand {
-	for _, h := range m.s.hands {
-		if h.w.Addr == addr && !h.mute {
+func (m *machine) workerAt(addr string) *testWorker {
+	for _, h := range m.s.workers {
+		if h.w.Addr == addr && !h.silent {
 			return h
 		}
 	}
@@ -204,11 +204,11 @@
 
 func (m *machine) Report(ctx context.Context, addr string) (r backend.Report, err error) {
 	err = m.call(ctx, "report", func() error {
-		h := m.hand(addr)
+		h := m.workerAt(addr)
 		if h == nil {
 			return errLost
 		}
-		x := h.at(m.s.clk.Now() - aged)
+		x := h.at(m.s.clock.Now() - reportAge)
 		r = backend.Report{Busy: x.busy, Weights: map[string]uint64{"daka": x.has}}
 		return nil
 	})
@@ -216,10 +216,10 @@
 }
 
 func (m *machine) Order(ctx context.Context, addr string, o backend.Order) (out backend.Outcome, err error) {
-	m.flying(o.Holder, 1)
-	defer m.flying(o.Holder, -1)
+	m.countInFlight(o.Holder, 1)
+	defer m.countInFlight(o.Holder, -1)
 	err = m.call(ctx, "order", func() error {
-		h := m.hand(addr)
+		h := m.workerAt(addr)
 		if h == nil {
 			return errLost
 		}
@@ -230,15 +230,15 @@
 }
 
 // flying counts a holder's orders that aren't answered yet.
-func (m *machine) flying(holder string, n int) {
+func (m *machine) countInFlight(holder string, n int) {
 	m.s.mu.Lock()
 	defer m.s.mu.Unlock()
-	m.s.flying[holder] += n
+	m.s.inFlight[holder] += n
 }
 
 // order is how a worker takes an order; the rules of the site are checked here.
-func (s *stand) order(h *hand, o backend.Order) backend.Outcome {
-	now, id := s.clk.Now(), h.w.ID
+func (s *testSite) order(h *testWorker, o backend.Order) backend.Outcome {
+	now, id := s.clock.Now(), h.w.ID
 	s.orders++
 	if x, ok := s.last[id]; ok && (x.fence > o.Fence || x.fence == o.Fence && x.holder != o.Holder) {
 		s.t.Errorf("%s: fence %d of %s after %d of %s", id, o.Fence, o.Holder, x.fence, x.holder)
@@ -246,8 +246,8 @@
 	if x, ok := s.last[id]; ok && x.holder != o.Holder && now-x.at < 3*time.Second { // the rule is a worker's
 		s.t.Errorf("%s: %s orders %v after %s", id, o.Holder, now-x.at, x.holder)
 	}
-	s.last[id] = sent{o.Holder, o.Fence, now}
-	if at := s.aside[id]; at == 0 || now-at < s.b.Leave(lead) {
+	s.last[id] = sentOrder{o.Holder, o.Fence, now}
+	if at := s.setAsideAt[id]; at == 0 || now-at < s.bounds.Leave(leadRatio) {
 		s.t.Errorf("%s is ordered before edges were told to send it nothing new", id)
 	}
 	if o.Instance != id || o.Mode != backend.ModeAwait || o.Model != "daka" || o.Version > s.named["daka"] {
@@ -263,21 +263,21 @@
 	}
 	h.fence = o.Fence
 	busy := 1
-	for _, x := range s.hands {
+	for _, x := range s.workers {
 		if x.at(now).busy {
 			busy++
 		}
 	}
-	s.most = max(s.most, busy)
+	s.maxLoading = max(s.maxLoading, busy)
 	takes := 1100 * time.Millisecond
-	if many := max(1, len(s.hands)/5); busy > many {
+	if many := max(1, len(s.workers)/5); busy > many {
 		takes = takes * time.Duration(busy) / time.Duration(many)
 	}
 	if h.loads[o.Version]++; h.loads[o.Version] > 1 {
 		s.t.Errorf("%s loads %d twice", id, o.Version)
 	}
 	old := h.at(now).has
-	h.states = append(h.states, state{now, true, old}, state{now + runsOut + takes, false, o.Version})
+	h.states = append(h.states, state{now, true, old}, state{now + drainTime + takes, false, o.Version})
 	return backend.Begun
 }
 
--- a/internal/control/controllers/names_test.go
+++ b/internal/control/controllers/namedweights_test.go
@@ -14,7 +14,7 @@
 	}
 	leaves := worker("3", 1)
 	leaves.Draining = true
-	n := newNames()
+	n := newNamedWeights()
 	for _, c := range []struct {
 		what   string
 		s      *fleet.Snapshot
@@ -29,13 +29,13 @@
 		{"the middle is there, the newest isn't", at(4, 25), 2, 4, 20},
 		{"all have it", at(5, 40), 4, 5, 40},
 	} {
-		n.take(c.s, []fleet.Worker{worker("1", c.has), worker("2", 9), leaves})
-		if n.named["daka"] != c.named || n.since["daka"] != time.Duration(c.sinceS)*time.Second {
-			t.Errorf("%s: %d since %v", c.what, n.named["daka"], n.since["daka"])
+		n.update(c.s, []fleet.Worker{worker("1", c.has), worker("2", 9), leaves})
+		if n.versions["daka"] != c.named || n.namedAt["daka"] != time.Duration(c.sinceS)*time.Second {
+			t.Errorf("%s: %d since %v", c.what, n.versions["daka"], n.namedAt["daka"])
 		}
 	}
-	n.take(&fleet.Snapshot{Named: map[string]uint64{"other": 1}}, nil)
-	if _, ok := n.since["other"]; ok || n.named["other"] != 1 {
+	n.update(&fleet.Snapshot{Named: map[string]uint64{"other": 1}}, nil)
+	if _, ok := n.namedAt["other"]; ok || n.versions["other"] != 1 {
 		t.Error("nobody knows since when")
 	}
 }
--- /dev/null
+++ b/internal/control/controllers/placement.go
@@ -0,0 +1,95 @@
+package controllers
+
+import (
+	"context"
+	"math"
+	"slices"
+	"time"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/placementcontroller"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/wire"
+)
+
+const (
+	recomputeRatio = 1.0  // of the heal bound: between two full computations
+	maxHotEntries  = 1000 // entries asked of an index node
+	floorTolerance = 0.25 // of the floor: a smaller change isn't published
+)
+
+// HotEntries asks the prompt index for a service's hot entries.
+type HotEntries func(ctx context.Context, service string) []*wire.Hot
+
+// servicePlacement is the placement of one service.
+type servicePlacement struct {
+	wanted         *placement.Placement // the newest one, written or pending
+	inForceRolling []string             // workers that the written document sets aside
+	recomputedAt   time.Duration        // the last full computation
+}
+
+// runPlacement recomputes every service's placement periodically.
+func (s *session) runPlacement() {
+	b := s.process.Place.Bounds
+	for s.ctx.Err() == nil {
+		if snapshot := s.snap(); snapshot != nil && snapshot.Plan != nil {
+			for _, x := range snapshot.Plan.Services {
+				if _, ok := s.held(); !ok || x.Engine == nil {
+					continue
+				}
+				hot := s.hotEntries(s.ctx, x.Name)
+				s.actor.Ask(func(*session) { s.updatePlacement(x, hot) })
+			}
+		}
+		clock.Pause(s.ctx, b.Heal(placementRatio))
+	}
+}
+
+// updatePlacement computes one service's placement and writes it if it changed. It runs on the actor's
+// goroutine.
+func (s *session) updatePlacement(x routingconfig.Service, hot []*wire.Hot) {
+	if len(hot) == 0 {
+		return // no index node answers, or there was no request yet
+	}
+	p := s.placements[x.Name]
+	if p == nil {
+		p = &servicePlacement{}
+		s.placements[x.Name] = p
+	}
+	now := s.process.Clock.Now()
+	next, changed := nextPlacement(p, x, hot, workerIDs(s.workers.Document().Workers, x.Name), now, s.process.Place.Bounds.Heal(recomputeRatio))
+	if changed {
+		s.writePlacement(p, next)
+		s.process.Log.Info("placement", "service", x.Name, "fence", s.fence, "replicated", len(next.Replicated),
+			"entries", next.Entries, "r_max", next.RMax, "b", next.B, "why", next.Why)
+	}
+}
+
+// nextPlacement computes the next placement, and whether the change is worth publishing.
+func nextPlacement(p *servicePlacement, x routingconfig.Service, hot []*wire.Hot, workers []string, now, whole time.Duration) (*placement.Placement, bool) {
+	old := p.wanted
+	if old != nil && p.recomputedAt > 0 && now-p.recomputedAt < whole && slices.Equal(workers, old.Workers) {
+		return placementcontroller.Swap(old, hot)
+	}
+	p.recomputedAt = now
+	next := placementcontroller.Compute(placementFacts(x, hot, workers), old)
+	if old == nil {
+		return next, true
+	}
+	next.Rolling = old.Rolling
+	changed := !slices.Equal(next.Replicated, old.Replicated) || !slices.Equal(next.Workers, old.Workers) || next.Mode != old.Mode ||
+		math.Abs(next.Floor-old.Floor) > floorTolerance*old.Floor+0.05
+	return next, changed
+}
+
+// placementFacts are the inputs of the placement: the engine's own link and the prefill curve.
+func placementFacts(x routingconfig.Service, hot []*wire.Hot, workers []string) placementcontroller.Inputs {
+	f := placementcontroller.Inputs{Service: x.Name, Mode: "hrcs", Alpha: 1, Workers: workers, Room: x.Engine.Room, Hot: hot, Curve: placement.Default()}
+	if x.Engine.LinkMbps > 0 && x.Engine.TokenBytes > 0 {
+		const span = 1000 * time.Second // long enough to outweigh the initial estimate
+		b := x.Engine.LinkMbps * 1e6 / 8 / float64(x.Engine.TokenBytes)
+		f.Links = []*wire.LinkSeen{{Class: "plan", Tokens: b * span.Seconds(), Ns: float64(span)}}
+	}
+	return f
+}
--- a/internal/control/controllers/place_test.go
+++ b/internal/control/controllers/placement_test.go
@@ -26,23 +26,23 @@
 
 // The bandwidth is the engine's own link, whatever is believed before anything is known.
 func TestBandwidthIsThePlans(t *testing.T) {
-	p := placementcontroller.Pick(facts(engine(370000), head(20, 30), []string{"1", "2", "3"}), nil)
+	p := placementcontroller.Compute(placementFacts(engine(370000), head(20, 30), []string{"1", "2", "3"}), nil)
 	want := 370000e6 / 8 / 18432
 	if p.B < 0.99*want || p.B > 1.01*want {
 		t.Errorf("%v, want %v", p.B, want)
 	}
-	slow := placementcontroller.Pick(facts(engine(10), head(20, 30), []string{"1", "2", "3"}), nil)
+	slow := placementcontroller.Compute(placementFacts(engine(10), head(20, 30), []string{"1", "2", "3"}), nil)
 	if len(slow.Replicated) <= len(p.Replicated) {
 		t.Errorf("slow links replicate %d, fast ones %d", len(slow.Replicated), len(p.Replicated))
 	}
 }
 
-func TestWhenAPlacementIsTold(t *testing.T) {
+func TestWhenAPlacementIsPublished(t *testing.T) {
 	const whole = 12 * time.Second
 	ws := []string{"1", "2"}
-	first := &place{}
-	old, changed := replace(first, engine(10), head(20, 30), ws, time.Minute, whole)
-	if !changed || first.full != time.Minute {
+	first := &servicePlacement{}
+	old, changed := nextPlacement(first, engine(10), head(20, 30), ws, time.Minute, whole)
+	if !changed || first.recomputedAt != time.Minute {
 		t.Fatal("the first isn't told")
 	}
 	old.Rolling = []string{"2"}
@@ -60,17 +60,17 @@
 		{"a burst", burst, ws, time.Second, true, false},
 		{"another worker", head(20, 30), []string{"1", "2", "3"}, time.Second, true, true},
 	} {
-		p := &place{last: old, full: time.Minute}
-		next, changed := replace(p, engine(10), c.hot, c.workers, time.Minute+c.after, whole)
-		if changed != c.changed || (p.full != time.Minute) != c.whole {
-			t.Errorf("%s: changed %v, computed at %v", c.name, changed, p.full)
+		p := &servicePlacement{wanted: old, recomputedAt: time.Minute}
+		next, changed := nextPlacement(p, engine(10), c.hot, c.workers, time.Minute+c.after, whole)
+		if changed != c.changed || (p.recomputedAt != time.Minute) != c.whole {
+			t.Errorf("%s: changed %v, computed at %v", c.name, changed, p.recomputedAt)
 		}
 		if !slices.Equal(next.Rolling, old.Rolling) {
 			t.Errorf("%s: who is set aside got lost", c.name)
 		}
 	}
 	var none *placement.Placement
-	if next, changed := replace(&place{last: none}, engine(10), head(20, 30), ws, time.Minute, whole); !changed || next.Mode != "hrcs" {
+	if next, changed := nextPlacement(&servicePlacement{wanted: none}, engine(10), head(20, 30), ws, time.Minute, whole); !changed || next.Mode != "hrcs" {
 		t.Errorf("%+v", next)
 	}
 }
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -17,58 +17,58 @@
 	"pebbleloom/internal/wire"
 )
 
-// hotPart of the heal bound is how long index nodes are waited for.
-const hotPart = 1.0 / 48
+// hotTimeoutRatio is the timeout of the index nodes' responses, as a ratio of the heal bound.
+const hotTimeoutRatio = 1.0 / 48
 
-// StartProcess runs a core machine's process of index and placement: a member of the roster in
-// the role "catalogue", an index node, and the site's duties while this machine holds them.
+// StartProcess runs a core machine's index and placement process: a cluster member in the index role,
+// an index node, and the site's controllers while this machine holds the lease.
 //
-// Example: err := duty.StartProcess(life, codec, calls)
-func StartProcess(l *daemon.Life, codec backend.Codec, calls backend.Calls) error {
-	if l.Place.Site == nil {
-		return errs.New(errs.BadInput, "index and placement: the settings tell nothing of a site: give its ports and bounds")
+// Example: err := controllers.StartProcess(process, codec, calls)
+func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Calls) error {
+	if process.Place.Site == nil {
+		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
 	}
-	l.Place.Listen = l.Place.Site.Port(l.Place.Site.IP, settings.PortIndex)
-	a, err := agent.Start(l, codec, "catalogue")
+	process.Place.Listen = process.Place.Site.Port(process.Place.Site.IP, settings.PortIndex)
+	a, err := agent.Start(process, codec, "catalogue")
 	if err != nil {
 		return errs.Wrap(err, "agent")
 	}
-	index, err := promptindex.StartSite(l, calls, a.Now)
+	index, err := promptindex.StartSite(process, calls, a.Now)
 	if err != nil {
 		return errs.Wrap(err, "index")
 	}
-	links := daemon.NewCalls(l)
+	clients := daemon.NewClients(process)
 	mux := http.NewServeMux()
 	mux.Handle(wire.RosterPathPrefix, a.Handler())
 	mux.Handle(wire.CataloguePathPrefix, index.Handler())
-	if err := l.Serve(l.Place.Listen, mux); err != nil {
+	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
-	Start(l, controlclient.NewGroup(l.Place.Seeds, a.View, links, l.Place.Bounds), calls, a.Now, a.View, indexed(l, a.View, links.Catalogue))
-	l.Ready.Store(true)
+	Start(process, controlclient.NewGroup(process.Place.Seeds, a.View, clients, process.Place.Bounds), calls, a.Now, a.View, queryIndexNodes(process, a.View, clients.PromptIndex))
+	process.Ready.Store(true)
 	return nil
 }
 
-// indexed asks all index nodes that serve at once, each for a short time. Two hold each entry:
-// the higher count is taken.
-func indexed(l *daemon.Life, view func() clustermembership.View, node func(addr string) wire.Catalogue) Hottest {
+// queryIndexNodes asks all serving index nodes at once, each with a short timeout. Two hold each
+// entry: the higher count is taken.
+func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.Catalogue) HotEntries {
 	return func(ctx context.Context, service string) []*wire.Hot {
-		ctx, end := context.WithTimeout(ctx, l.Place.Bounds.Heal(hotPart))
+		ctx, end := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotTimeoutRatio))
 		defer end()
-		ns := promptindex.Serving(view().Nodes)
-		got := make(chan *wire.HotTell, len(ns))
+		nodes := promptindex.Serving(view().Nodes)
+		responses := make(chan *wire.HotTell, len(nodes))
 		var wg sync.WaitGroup
-		for _, n := range ns {
+		for _, n := range nodes {
 			wg.Go(func() {
-				if t, err := node(n.Addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: hotMost}); err == nil {
-					got <- t
+				if t, err := node(n.Addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: maxHotEntries}); err == nil {
+					responses <- t
 				}
 			})
 		}
 		wg.Wait()
-		close(got)
+		close(responses)
 		all := map[string]*wire.Hot{}
-		for t := range got {
+		for t := range responses {
 			for _, h := range t.Hot {
 				if o := all[string(h.Key)]; o == nil || o.Hotness < h.Hotness {
 					all[string(h.Key)] = h
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -15,12 +15,12 @@
 )
 
 // shelfNode is an index node; without entries a silent one.
-type shelfNode struct {
+type indexNode struct {
 	wire.Catalogue
 	hot []*wire.Hot
 }
 
-func (n shelfNode) Hottest(ctx context.Context, a *wire.HotAsk) (*wire.HotTell, error) {
+func (n indexNode) Hottest(ctx context.Context, a *wire.HotAsk) (*wire.HotTell, error) {
 	if n.hot == nil {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
@@ -33,10 +33,10 @@
 
 // Two index nodes hold each entry, and the higher count is taken; a silent node holds up nobody
 // for long; nobody there is no hot entry at all.
-func TestWhatIsHotSomewhere(t *testing.T) {
+func TestHotEntriesOfIndexNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := daemon.NewIn(daemon.World{Clock: clock.Ticking()}, "duty", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
-		nodes := map[string]shelfNode{
+		l := daemon.NewIn(daemon.Environment{Clock: clock.Ticking()}, "duty", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
+		nodes := map[string]indexNode{
 			"a": {hot: []*wire.Hot{{Key: []byte("x"), Hotness: 3}, {Key: []byte("y"), Hotness: 1}}},
 			"b": {hot: []*wire.Hot{{Key: []byte("x"), Hotness: 5}, {Key: []byte("z"), Hotness: 2}}},
 			"c": {},
@@ -47,7 +47,7 @@
 		}
 		ask := func(v clustermembership.View) map[string]float64 {
 			m := map[string]float64{}
-			for _, h := range indexed(l, func() clustermembership.View { return v }, func(a string) wire.Catalogue { return nodes[a] })(t.Context(), "reading") {
+			for _, h := range queryIndexNodes(l, func() clustermembership.View { return v }, func(a string) wire.Catalogue { return nodes[a] })(t.Context(), "reading") {
 				m[string(h.Key)] = h.Hotness
 			}
 			return m
@@ -67,7 +67,7 @@
 				}
 			}
 		}
-		if d := l.Clock.Now() - from; d > 2*bounds().Heal(hotPart) {
+		if d := l.Clock.Now() - from; d > 2*bounds().Heal(hotTimeoutRatio) {
 			t.Errorf("waited %v for silent nodes", d)
 		}
 		if got := ask(clustermembership.View{}); len(got) != 0 {
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestNoSiteNoProcess(t *testing.T) {
+func TestStartProcessNeedsASite(t *testing.T) {
 	l := daemon.New("duty", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
 	if err := StartProcess(l, nil, nil); errs.KindOf(err) != errs.BadInput {
 		t.Errorf("%v", err)
--- a/internal/control/controllers/roll_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -17,29 +17,29 @@
 }
 
 // lone is one worker as a roll-out meets it, by hand.
-type lone struct {
-	t     *testing.T
-	r     *Roll
-	w     fleet.Worker
-	named uint64
-	now   time.Duration
-	path  []string
+type singleWorker struct {
+	t       *testing.T
+	rollout *Rollout
+	w       fleet.Worker
+	named   uint64
+	now     time.Duration
+	path    []string
 }
 
-func newLone(t *testing.T, rolling ...string) *lone {
-	return &lone{t: t, r: NewRoll(bounds(), rolling), w: worker("1", 1), named: 2, now: time.Minute}
+func newSingleWorker(t *testing.T, rolling ...string) *singleWorker {
+	return &singleWorker{t: t, rollout: NewRollout(bounds(), rolling), w: worker("1", 1), named: 2, now: time.Minute}
 }
 
-func (x *lone) step() Acts {
-	return x.r.Step(Facts{Now: x.now, Workers: []fleet.Worker{x.w}, Named: map[string]uint64{"daka": x.named},
+func (x *singleWorker) step() Acts {
+	return x.rollout.Step(Facts{Now: x.now, Workers: []fleet.Worker{x.w}, Named: map[string]uint64{"daka": x.named},
 		Since: map[string]time.Duration{"daka": time.Minute}, Engines: map[string]bool{"reading": true}})
 }
 
 // until steps until the roll-out wants something of the worker, or span is over.
-func (x *lone) until(span time.Duration) Acts {
+func (x *singleWorker) until(span time.Duration) Acts {
 	for end := x.now + span; x.now < end; x.now += 50 * time.Millisecond {
 		a := x.step()
-		x.r.Aside(a.Rolling["reading"], x.now)
+		x.rollout.SetAside(a.Rolling["reading"], x.now)
 		if len(a.Orders)+len(a.Reports) > 0 {
 			return a
 		}
@@ -65,7 +65,7 @@
 	paths := 0
 	var run func(script []int)
 	run = func(script []int) {
-		x := newLone(t)
+		x := newSingleWorker(t)
 		may, has := false, false // the worker may be loading; it has the version
 		var asked time.Duration  // when the order was answered
 		for i := 0; ; i++ {
@@ -103,19 +103,19 @@
 			if len(a.Orders) > 0 {
 				asked = x.now
 				may = c.out == backend.Begun || c.out == backend.Busy || c.out == backend.Unknown
-				if v := x.r.Ordered(a.Orders[0], c.out, x.now); v != 0 {
+				if v := x.rollout.Ordered(a.Orders[0], c.out, x.now); v != 0 {
 					x.w.Weights, has = new, true
 				}
 				continue
 			}
-			m, v := x.r.Reported("1", c.rep, !c.lost, x.now)
+			m, v := x.rollout.Reported("1", c.rep, !c.lost, x.now)
 			switch {
 			case c.name == "new":
 				if has = true; v != 2 || m != "daka" {
 					t.Fatalf("%v: the new weights aren't told: %q %d", x.path, m, v)
 				}
 				x.w.Weights = new
-			case c.name == "old" && x.now-asked >= bounds().Leave(stale):
+			case c.name == "old" && x.now-asked >= bounds().Leave(staleReportRatio):
 				may = false // it would show by now
 			}
 		}
@@ -128,12 +128,12 @@
 
 // An order that may have reached the worker before this holder's time is asked about first.
 func TestAPastHoldersOrderIsAskedAbout(t *testing.T) {
-	x := newLone(t, "1")
+	x := newSingleWorker(t, "1")
 	a := x.until(bounds().Weights(1))
 	if len(a.Orders) != 0 || len(a.Reports) != 1 {
 		t.Fatalf("%+v", a)
 	}
-	if _, v := x.r.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 2 {
+	if _, v := x.rollout.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 2 {
 		t.Error("not told")
 	}
 }
@@ -141,14 +141,14 @@
 // Named again while it loads: the newest is ordered next, without being set aside anew, and
 // what was named in between is skipped.
 func TestNamedAgainWhileItLoads(t *testing.T) {
-	x := newLone(t)
+	x := newSingleWorker(t)
 	a := x.until(bounds().Weights(1))
-	x.r.Ordered(a.Orders[0], backend.Begun, x.now)
+	x.rollout.Ordered(a.Orders[0], backend.Begun, x.now)
 	x.named = 3
 	x.step()
 	x.named = 4
 	a = x.until(bounds().Weights(1))
-	x.r.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now)
+	x.rollout.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now)
 	x.w = worker("1", 2)
 	a = x.step()
 	if len(a.Orders) != 1 || a.Orders[0].Weights != 4 || len(a.Rolling["reading"]) != 1 {
@@ -158,17 +158,17 @@
 
 // Who leaves, or drains, is let go, and answers that come after that change nothing.
 func TestAWorkerLeavesWhileItLoads(t *testing.T) {
-	x := newLone(t)
+	x := newSingleWorker(t)
 	a := x.until(bounds().Weights(1))
 	x.w.Draining = true
-	if b := x.step(); len(b.Rolling["reading"]) != 0 || !x.r.Idle() {
+	if b := x.step(); len(b.Rolling["reading"]) != 0 || !x.rollout.Idle() {
 		t.Errorf("%+v", b)
 	}
-	if v := x.r.Ordered(a.Orders[0], backend.Holds, x.now); v != 0 {
+	if v := x.rollout.Ordered(a.Orders[0], backend.Holds, x.now); v != 0 {
 		t.Errorf("%d", v)
 	}
-	x.r.Unsent(a.Orders[0])
-	if _, v := x.r.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 0 {
+	x.rollout.Unsent(a.Orders[0])
+	if _, v := x.rollout.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 0 {
 		t.Errorf("%d", v)
 	}
 }
@@ -182,12 +182,12 @@
 		version uint64
 		from    time.Duration
 	}{{nil, 2, 3 * time.Second}, {[]string{"2"}, 2, 3 * time.Second}, {nil, 1, 0}, {[]string{"2"}, 1, 0}} {
-		r, b := NewRoll(bounds(), c.past), bounds()
+		r, b := NewRollout(bounds(), c.past), bounds()
 		first, set := time.Duration(-1), time.Duration(-1)
 		for now := time.Duration(0); now < 5*time.Second; now += 10 * time.Millisecond {
 			a := r.Step(Facts{Now: now, Workers: []fleet.Worker{worker("1", c.version)}, Named: map[string]uint64{"daka": 3},
 				Engines: map[string]bool{"reading": true}, From: 3 * time.Second})
-			r.Aside(a.Rolling["reading"], now)
+			r.SetAside(a.Rolling["reading"], now)
 			if len(a.Rolling["reading"]) > 0 && set < 0 {
 				set = now
 			}
@@ -195,15 +195,15 @@
 				first = now
 			}
 		}
-		if set < c.from-b.Leave(lead) || first < c.from || first-set < b.Leave(lead) || first > c.from+2*b.Leave(lead) {
+		if set < c.from-b.Leave(leadRatio) || first < c.from || first-set < b.Leave(leadRatio) || first > c.from+2*b.Leave(leadRatio) {
 			t.Errorf("%+v: set aside at %v, ordered at %v", c, set, first)
 		}
 	}
-	r := NewRoll(bounds(), []string{"1"}) // one that was set aside may have had an order
+	r := NewRollout(bounds(), []string{"1"}) // one that was set aside may have had an order
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
 		a := r.Step(Facts{Now: now, Workers: []fleet.Worker{worker("1", 1)}, Named: map[string]uint64{"daka": 2},
 			Engines: map[string]bool{"reading": true}, From: 3 * time.Second})
-		r.Aside(a.Rolling["reading"], now)
+		r.SetAside(a.Rolling["reading"], now)
 		for _, w := range a.Reports {
 			r.Reported(w.ID, backend.Report{Weights: map[string]uint64{"daka": 1}}, true, now)
 		}
@@ -214,7 +214,7 @@
 }
 
 func TestHowManyAtOnce(t *testing.T) {
-	r, b := NewRoll(bounds(), nil), bounds()
+	r, b := NewRollout(bounds(), nil), bounds()
 	for _, c := range []struct {
 		all, left int
 		since     time.Duration
@@ -224,11 +224,11 @@
 		{18, 18, -b.Weights(0.5), 6}, {18, 14, -b.Weights(0.2), 3}, {18, 2, -b.Weights(0.5), 3}, {112, 112, -b.Weights(0.6), 37}, // the bound presses
 		{18, 1, -b.Weights(2), 3}, {2, 2, -b.Weights(2), 1},
 	} {
-		if got := r.most(Facts{Now: time.Minute}, c.all, c.left, time.Minute+c.since, "daka"); got != c.want {
+		if got := r.maxConcurrent(Facts{Now: time.Minute}, c.all, c.left, time.Minute+c.since, "daka"); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
-	if got := r.most(Facts{}, 18, 18, -1, "daka"); got != 3 {
+	if got := r.maxConcurrent(Facts{}, 18, 18, -1, "daka"); got != 3 {
 		t.Errorf("not known since when: %d", got)
 	}
 }
@@ -243,7 +243,7 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			b := bounds()
 			b.WeightsMs = 15000
-			r := NewRoll(b, nil)
+			r := NewRollout(b, nil)
 			ws := make([]fleet.Worker, c.n)
 			done, out := make([]time.Duration, c.n), make([]time.Duration, c.n)
 			at := map[string]int{}
@@ -255,7 +255,7 @@
 			for now := time.Duration(0); now < b.Weights(1); now += 25 * time.Millisecond {
 				a := r.Step(Facts{Now: now, Workers: ws, Named: map[string]uint64{"daka": 2}, Since: map[string]time.Duration{"daka": 0},
 					Engines: map[string]bool{"reading": true}})
-				r.Aside(a.Rolling["reading"], now)
+				r.SetAside(a.Rolling["reading"], now)
 				for _, o := range a.Orders {
 					i := at[o.Worker.ID]
 					if done[i] != 0 {
--- a/internal/control/controllers/haste_test.go
+++ b/internal/control/controllers/slowload_test.go
@@ -11,10 +11,10 @@
 
 // A load that takes a fifth of the bound is no reason for haste: the last ones may go on when the
 // older weights are picked no more. Until then a quarter of the workers is out at the most.
-func TestSlowLoadsMakeNoHaste(t *testing.T) {
+func TestSlowLoadsDontRaiseConcurrency(t *testing.T) {
 	b := bounds()
 	b.WeightsMs = 15000
-	r := NewRoll(b, nil)
+	r := NewRollout(b, nil)
 	const n = 18
 	ws := make([]fleet.Worker, n)
 	for i := range ws {
@@ -23,7 +23,7 @@
 	done := map[string]time.Duration{}
 	for now := time.Duration(0); now < b.Weights(1.2); now += 25 * time.Millisecond {
 		a := r.Step(Facts{Now: now, Workers: ws, Named: map[string]uint64{"daka": 2}, Since: map[string]time.Duration{"daka": 0}, Engines: map[string]bool{"reading": true}})
-		r.Aside(a.Rolling["reading"], now)
+		r.SetAside(a.Rolling["reading"], now)
 		for _, o := range a.Orders {
 			done[o.Worker.ID] = now + 2600*time.Millisecond
 			r.Ordered(o, backend.Begun, now)
--- /dev/null
+++ b/internal/control/controllers/workerlist.go
@@ -0,0 +1,126 @@
+package controllers
+
+import (
+	"maps"
+	"slices"
+
+	"pebbleloom/internal/fleet"
+	"pebbleloom/internal/queue"
+)
+
+// WorkerList is the site's list of workers, as its document holds it. It follows the platform's list,
+// which lags: the weights of one incarnation of a worker never go back to an older version.
+type WorkerList struct{ rows map[string]*row }
+
+type row struct {
+	worker fleet.Worker
+	missed int // consecutive reads of the list without it
+}
+
+// NewWorkerList starts from the stored document.
+//
+// Example: t := controllers.NewWorkerList(fleet.Table{})
+func NewWorkerList(doc fleet.Table) *WorkerList {
+	t := &WorkerList{rows: map[string]*row{}}
+	for _, w := range doc.Workers {
+		w.Weights = maps.Clone(w.Weights)
+		t.rows[w.ID] = &row{worker: w}
+	}
+	return t
+}
+
+// Merge applies a read of the whole platform list and reports whether anything relevant changed. Pages
+// are read one after another, and a worker may slip through between two of them: unless the read is
+// sure, a worker is removed only after two consecutive reads without it.
+//
+// Example: changed := t.Merge(list, pages == 1)
+func (t *WorkerList) Merge(list []fleet.Worker, sure bool) bool {
+	changed, here := false, make(map[string]bool, len(list))
+	for _, w := range list {
+		if w.ID == "" || here[w.ID] {
+			continue
+		}
+		here[w.ID] = true
+		r := t.rows[w.ID]
+		if r == nil {
+			r = &row{}
+			t.rows[w.ID], changed = r, true
+		}
+		r.missed = 0
+		w.Weights = mergeVersions(r.worker.Weights, w.Weights)
+		changed = changed || !sameWorker(r.worker, w)
+		r.worker = w
+	}
+	for id, r := range t.rows {
+		if here[id] {
+			continue
+		}
+		if r.missed++; sure || r.missed > 1 {
+			delete(t.rows, id)
+			changed = true
+		}
+	}
+	return changed
+}
+
+// Unsure reports whether a worker was missing in the last read and is kept for now.
+//
+// Example: if t.Unsure() { readAgainSoon() }
+func (t *WorkerList) Unsure() bool {
+	for _, r := range t.rows {
+		if r.missed > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// SetWeights records that a worker serves a version of a model's weights, and reports whether that is
+// new.
+//
+// Example: changed := t.SetWeights("i-7f3a", "daka", 2)
+func (t *WorkerList) SetWeights(id, model string, version uint64) bool {
+	r := t.rows[id]
+	if r == nil || r.worker.Weights[model] >= version {
+		return false
+	}
+	r.worker.Weights = mergeVersions(r.worker.Weights, map[string]uint64{model: version}) // a new map: the previous one is shared
+	return true
+}
+
+// Document returns all workers, sorted by ID.
+//
+// Example: body, err := json.Marshal(t.Document())
+func (t *WorkerList) Document() fleet.Table {
+	d := fleet.Table{Workers: make([]fleet.Worker, 0, len(t.rows))}
+	for _, id := range queue.Keys(t.rows) {
+		d.Workers = append(d.Workers, t.rows[id].worker)
+	}
+	return d
+}
+
+// mergeVersions takes each model's higher version. A model that the list no longer names is dropped.
+func mergeVersions(old, now map[string]uint64) map[string]uint64 {
+	m := make(map[string]uint64, len(now))
+	for k, v := range now {
+		m[k] = max(v, old[k])
+	}
+	return m
+}
+
+func sameWorker(a, b fleet.Worker) bool {
+	return a.ID == b.ID && a.Service == b.Service && a.Addr == b.Addr && a.District == b.District &&
+		a.Slots == b.Slots && a.Draining == b.Draining && maps.Equal(a.Weights, b.Weights)
+}
+
+// workerIDs returns the sorted IDs of one service's workers that aren't draining.
+func workerIDs(ws []fleet.Worker, service string) []string {
+	l := []string{}
+	for _, w := range ws {
+		if w.Service == service && !w.Draining {
+			l = append(l, w.ID)
+		}
+	}
+	slices.Sort(l)
+	return l
+}
--- a/internal/control/controllers/table_test.go
+++ b/internal/control/controllers/workerlist_test.go
@@ -34,23 +34,23 @@
 		{"one is gone", []fleet.Worker{b}, true, true, 1},
 		{"one may have slipped between two pages", []fleet.Worker{b}, false, false, 2},
 	} {
-		x := NewTable(fleet.Table{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
-		if got := x.Take(c.list, c.sure); got != c.changed || len(x.Doc().Workers) != c.left {
-			t.Errorf("%s: changed %v, %d left", c.name, got, len(x.Doc().Workers))
+		x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
+		if got := x.Merge(c.list, c.sure); got != c.changed || len(x.Document().Workers) != c.left {
+			t.Errorf("%s: changed %v, %d left", c.name, got, len(x.Document().Workers))
 		}
 	}
 }
 
 func TestGoneAfterTwoReadingsOfManyPages(t *testing.T) {
-	x := NewTable(fleet.Table{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
-	if x.Take([]fleet.Worker{worker("2", 1)}, false) {
+	x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
+	if x.Merge([]fleet.Worker{worker("2", 1)}, false) {
 		t.Error("gone at the first")
 	}
-	if x.Take([]fleet.Worker{worker("2", 1), worker("1", 1)}, false) {
+	if x.Merge([]fleet.Worker{worker("2", 1), worker("1", 1)}, false) {
 		t.Error("back, and that is news")
 	}
-	x.Take([]fleet.Worker{worker("2", 1)}, false)
-	if !x.Take([]fleet.Worker{worker("2", 1)}, false) || len(x.Doc().Workers) != 1 {
+	x.Merge([]fleet.Worker{worker("2", 1)}, false)
+	if !x.Merge([]fleet.Worker{worker("2", 1)}, false) || len(x.Document().Workers) != 1 {
 		t.Error("not gone at the second in a row")
 	}
 }
@@ -58,23 +58,23 @@
 // Whatever order reports and readings of a list that lags come in, a version never goes back,
 // and what was handed out doesn't change.
 func TestWeightsNeverGoBack(t *testing.T) {
-	events := []func(*Table){
-		func(x *Table) { x.Has("1", "daka", 2) },
-		func(x *Table) { x.Has("1", "daka", 3) },
-		func(x *Table) { x.Take([]fleet.Worker{worker("1", 1)}, true) },
-		func(x *Table) { x.Take([]fleet.Worker{worker("1", 2)}, true) },
-		func(x *Table) { x.Has("2", "daka", 9) }, // not there
+	events := []func(*WorkerList){
+		func(x *WorkerList) { x.SetWeights("1", "daka", 2) },
+		func(x *WorkerList) { x.SetWeights("1", "daka", 3) },
+		func(x *WorkerList) { x.Merge([]fleet.Worker{worker("1", 1)}, true) },
+		func(x *WorkerList) { x.Merge([]fleet.Worker{worker("1", 2)}, true) },
+		func(x *WorkerList) { x.SetWeights("2", "daka", 9) }, // not there
 	}
 	var run func(done []int)
 	run = func(done []int) {
-		x := NewTable(fleet.Table{Workers: []fleet.Worker{worker("1", 1)}})
+		x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 1)}})
 		top := uint64(1)
 		for _, i := range done {
-			before := x.Doc()
-			was := NewTable(before).Doc()
+			before := x.Document()
+			was := NewWorkerList(before).Document()
 			events[i](x)
 			top = max(top, []uint64{2, 3, 1, 2, 1}[i])
-			if d := x.Doc(); len(d.Workers) != 1 || d.Workers[0].Weights["daka"] != top {
+			if d := x.Document(); len(d.Workers) != 1 || d.Workers[0].Weights["daka"] != top {
 				t.Fatalf("order %v: %+v, want %d", done, d, top)
 			}
 			if !reflect.DeepEqual(before, was) {
@@ -91,12 +91,12 @@
 	run(nil)
 }
 
-func TestAnotherLifeHasItsOwnWeights(t *testing.T) {
-	x := NewTable(fleet.Table{Workers: []fleet.Worker{worker("1", 5)}})
+func TestNewIncarnationHasItsOwnWeights(t *testing.T) {
+	x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 5)}})
 	y := worker("1b", 4)
 	y.Addr = worker("1", 5).Addr
-	x.Take([]fleet.Worker{y}, true)
-	if d := x.Doc(); len(d.Workers) != 1 || d.Workers[0].Weights["daka"] != 4 {
+	x.Merge([]fleet.Worker{y}, true)
+	if d := x.Document(); len(d.Workers) != 1 || d.Workers[0].Weights["daka"] != 4 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -153,12 +153,12 @@
 // StartGroup runs a control node whose membership is agreed data. The door serves operators.
 //
 // Example: err := archive.StartGroup(life, codec, func(n *archive.Node) http.Handler { return desk(n) })
-func StartGroup(l *daemon.Life, codec backend.Codec, door func(*Node) http.Handler) error {
+func StartGroup(l *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
 	s, own := l.Place.Site, l.Place.Told()
-	n := &Node{life: l, shards: map[uint32]*shard{}, calls: daemon.NewCalls(l)}
-	n.roster = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.calls.Roster, nil)
+	n := &Node{life: l, shards: map[uint32]*shard{}, calls: daemon.NewClients(l)}
+	n.roster = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.calls.Membership, nil)
 	n.control = controlclient.NewGroup(l.Place.Seeds, n.roster.View, n.calls, l.Place.Bounds)
-	l.Told(func(p settings.Place) { n.control.SetSeeds(p.Seeds); n.roster.SetSeeds(p.Seeds) })
+	l.OnSettingsChanged(func(p settings.Place) { n.control.SetSeeds(p.Seeds); n.roster.SetSeeds(p.Seeds) })
 	n.transport = newTransport(l.Ctx, n)
 	tick := l.Place.Bounds.Heal(groupTick)
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
@@ -192,7 +192,7 @@
 	n.meters()
 	n.groupMeters(p)
 	l.Go(func() { n.joinLoop() })
-	l.Leaving(n.leave)
+	l.OnShutdown(n.leave)
 	l.Ready.Store(true)
 	l.Log.Info("serving", "life", n.incarnation)
 	return nil
@@ -286,7 +286,7 @@
 		addr := all[(turn+i)%len(all)]
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
 			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(1.0/30))
-			t, err := n.calls.Archive(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.life.Place.District})
+			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.life.Place.District})
 			end()
 			if err != nil {
 				break
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -26,7 +26,7 @@
 	mu    sync.Mutex
 	doors map[string]*pipes
 	disks map[string]*heldDisk
-	lives map[string]*daemon.Life
+	lives map[string]*daemon.Process
 	nodes map[string]*Node
 	dark  map[string]bool // an address that says nothing
 	seeds []string
@@ -103,7 +103,7 @@
 
 // newGround lays out machines; the first three are the seeds.
 func newGround(t *testing.T) *ground {
-	g := &ground{t: t, doors: map[string]*pipes{}, disks: map[string]*heldDisk{}, lives: map[string]*daemon.Life{},
+	g := &ground{t: t, doors: map[string]*pipes{}, disks: map[string]*heldDisk{}, lives: map[string]*daemon.Process{},
 		nodes: map[string]*Node{}, dark: map[string]bool{}}
 	for i := range 3 {
 		g.seeds = append(g.seeds, g.addr(i+1))
@@ -161,7 +161,7 @@
 	seed := g.seed
 	p := settings.Place{Name: fmt.Sprint("core-", i), District: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.Default(),
 		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: 1, IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
-	w := daemon.World{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk { return g.disks[addr] },
 		Listen: func(a string) (net.Listener, error) {
 			l := &pipes{g: g, addr: a, c: make(chan net.Conn), end: make(chan struct{})}
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -25,11 +25,11 @@
 
 // Node is a control node: its parts, and the letters between it and its colleagues.
 type Node struct {
-	life        *daemon.Life
+	life        *daemon.Process
 	shards      map[uint32]*shard
 	out         map[string]*queue.Ring[*wire.Message]
 	roster      *clustermembership.Member
-	calls       *daemon.Calls
+	calls       *daemon.Clients
 	core        []string
 	incarnation string
 	control     *controlclient.Client // of a group
@@ -39,14 +39,14 @@
 // Start runs a control node.
 //
 // Example: daemon.Main("archive", "control node", need, archive.Start)
-func Start(l *daemon.Life) error {
-	n := &Node{life: l, shards: map[uint32]*shard{}, out: map[string]*queue.Ring[*wire.Message]{}, calls: daemon.NewCalls(l)}
+func Start(l *daemon.Process) error {
+	n := &Node{life: l, shards: map[uint32]*shard{}, out: map[string]*queue.Ring[*wire.Message]{}, calls: daemon.NewClients(l)}
 	clk := l.Clock
 	core := append([]string(nil), l.Place.Core...)
 	sort.Strings(core)
 	fresh := func() string { return fmt.Sprintf("%s/%016x", l.Place.Name, l.Seed()) }
 	n.core, n.incarnation = core, fresh()
-	n.roster = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.calls.Roster, nil)
+	n.roster = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.calls.Membership, nil)
 	for _, m := range core {
 		if m != l.Place.Name {
 			r := queue.NewRing[*wire.Message](1024)
@@ -116,7 +116,7 @@
 }
 
 // disk is a part's folder; where the place names a switch, faults can be brought about.
-func disk(l *daemon.Life, part string) storage.Disk {
+func disk(l *daemon.Process, part string) storage.Disk {
 	d := l.Disk(filepath.Join(l.Place.Data, part))
 	if f := l.Place.Word("faults", ""); f != "" {
 		return storage.Faulty(d, f)
@@ -144,7 +144,7 @@
 				continue
 			}
 			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(1.0/24))
-			_, err := n.calls.Archive(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
+			_, err := n.calls.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
 			end()
 			if err != nil {
 				n.life.Log.Debug("letters lost", "to", to, "letters", len(ls), "error", err)
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -294,7 +294,7 @@
 	if len(p.core.Unapplied()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
-	b.Note("retirement", r.Clash(p.retirements(&b)))
+	b.Note("retirement", r.ConflictWith(p.retirements(&b)))
 	if r.Active() && r.State != retire.Planned {
 		for k, d := range p.state.docs {
 			if !strings.HasPrefix(k, "calendar/") {
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -69,7 +69,7 @@
 		case l := <-r.Out():
 			ls := append([]*wire.Message{l}, r.Drain(15)...)
 			one, end := context.WithTimeout(ctx, life.Place.Bounds.Heal(1.0/24))
-			_, err := m.node.calls.Archive(to).Post(one, &wire.MessageBatch{Format: 1, Messages: ls})
+			_, err := m.node.calls.ControlNode(to).Post(one, &wire.MessageBatch{Format: 1, Messages: ls})
 			end()
 			if err != nil {
 				life.Log.Debug("letters lost", "to", to, "letters", len(ls), "error", err)
--- a/internal/control/operatorapi/group.go
+++ b/internal/control/operatorapi/group.go
@@ -63,12 +63,12 @@
 	for i := range l {
 		x := &l[i]
 		all.Go(func() {
-			if t, err := d.calls.Archive(x.node.Addr).Stand(ctx, &wire.StatusRequest{}); err == nil && len(t.Shards) > 0 {
+			if t, err := d.calls.ControlNode(x.node.Addr).Stand(ctx, &wire.StatusRequest{}); err == nil && len(t.Shards) > 0 {
 				x.stand = t.Shards[0]
 			}
 		})
 		all.Go(func() {
-			if t, err := d.calls.Archive(x.node.Addr).Follow(ctx, &wire.FollowRequest{}); err == nil {
+			if t, err := d.calls.ControlNode(x.node.Addr).Follow(ctx, &wire.FollowRequest{}); err == nil {
 				x.tell = t
 			}
 		})
--- a/internal/control/operatorapi/lookup.go
+++ b/internal/control/operatorapi/lookup.go
@@ -50,7 +50,7 @@
 	for i, id := range q.Parts {
 		ks[i] = promptindex.KeyOf(text, id)
 	}
-	got := promptindex.NewShards(promptindex.Serving(d.view().Nodes)).Seek(ctx, ks, d.calls.Catalogue, d.b.Heal(1.0/24))
+	got := promptindex.NewShards(promptindex.Serving(d.view().Nodes)).Seek(ctx, ks, d.calls.PromptIndex, d.b.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, k := range ks {
 		x := operator.FoundPrefixesItem{Key: k.String(), Holders: []string{}}
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -73,7 +73,7 @@
 		}
 		others = append(others, o)
 	}
-	b.Note("retirement", x.Clash(others))
+	b.Note("retirement", x.ConflictWith(others))
 	b.Note("retirement", d.fits(ctx, x))
 	if err := b.Look(); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 		return err
 	}
 	var b errs.Batch
-	r.CheckSetup(s, &b)
+	r.CheckConfig(s, &b)
 	return b.Look()
 }
 
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 		was := r.State
-		if err := r.Ask(string(q.Verb)); err != nil {
+		if err := r.Request(string(q.Verb)); err != nil {
 			return nil, err
 		}
 		if r.State == was {
@@ -160,7 +160,7 @@
 		if r.State == retire.Paused {
 			f.add("retirement-paused", r.Service+"/"+r.Name, r.Why, "find out why, then resume or abort it", "retirement-held")
 		}
-		for _, h := range r.Holds {
+		for _, h := range r.Blockers {
 			if h.Stuck {
 				f.add("retirement-held", r.Service+"/"+r.Name, h.Node+": "+h.Why, h.Remedy, "retirement-held")
 			}
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -31,7 +31,7 @@
 type Desk struct {
 	ctl   *controlclient.Client
 	view  func() clustermembership.View
-	calls *daemon.Calls
+	calls *daemon.Clients
 	b     settings.Bounds
 	key   string // of the document that is the site's setup
 }
@@ -39,7 +39,7 @@
 // Serve serves the operator's API at the place's operator address.
 //
 // Example: err := frontdesk.Serve(life, ctl, member.View, calls)
-func Serve(l *daemon.Life, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Calls) error {
+func Serve(l *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients) error {
 	d := &Desk{ctl, view, calls, l.Place.Bounds, controlclient.SetupKey}
 	s, err := operator.NewServer(d)
 	if err != nil {
@@ -221,7 +221,7 @@
 	who, err := d.teller("archive", func(addr string) (err error) {
 		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
 		defer end()
-		b, err = d.calls.Roster(addr).Hear(one, &wire.Beat{Epoch: 1, Whole: true})
+		b, err = d.calls.Membership(addr).Hear(one, &wire.Beat{Epoch: 1, Whole: true})
 		return err
 	})
 	if err != nil {
@@ -242,7 +242,7 @@
 	who, err := d.teller("runner", func(addr string) (err error) {
 		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
 		defer end()
-		t, err = d.calls.Runner(addr).Feed(one, &wire.FeedAsk{})
+		t, err = d.calls.NodeAgent(addr).Feed(one, &wire.FeedAsk{})
 		return err
 	})
 	if err != nil {
@@ -312,7 +312,7 @@
 func (d *Desk) explained(ctx context.Context, request string, l *operator.Explained) (silent int) {
 	for _, n := range d.view().Role("runner") {
 		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/24))
-		t, err := d.calls.Runner(n.Addr).Explain(one, &wire.ExplainAsk{Request: request})
+		t, err := d.calls.NodeAgent(n.Addr).Explain(one, &wire.ExplainAsk{Request: request})
 		end()
 		if err != nil {
 			silent++
@@ -342,7 +342,7 @@
 	for _, e := range es {
 		ks = append(ks, e.Key)
 	}
-	got := promptindex.NewShards(d.view().Nodes).Seek(ctx, ks, d.calls.Catalogue, d.b.Heal(1.0/24))
+	got := promptindex.NewShards(d.view().Nodes).Seek(ctx, ks, d.calls.PromptIndex, d.b.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, e := range es {
 		x := operator.FoundPrefixesItem{Key: e.Key.String(), Tokens: operator.NewOptInt(e.Tokens), Holders: []string{}}
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -38,7 +38,7 @@
 // listener until the first question.
 //
 // Example: err := frontdesk.ServeSite(life, control, member.View, calls, codec.Read)
-func ServeSite(l *daemon.Life, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Calls, read func([]byte) (*routingconfig.Plan, error)) error {
+func ServeSite(l *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients, read func([]byte) (*routingconfig.Plan, error)) error {
 	d := &siteDesk{&Desk{ctl, view, calls, l.Place.Bounds, routingconfig.Key}, l.Place.Site, "archive/" + l.Place.Name, read}
 	api := sync.OnceValues(func() (http.Handler, error) {
 		s, err := operator.NewServer(d)
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -64,7 +64,7 @@
 	owned := map[uint32]bool{}
 	for _, n := range d.view().Role("archive") {
 		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
-		t, err := d.calls.Archive(n.Addr).Stand(one, &wire.StatusRequest{})
+		t, err := d.calls.ControlNode(n.Addr).Stand(one, &wire.StatusRequest{})
 		end()
 		if err != nil {
 			f.add("core-silent", n.Name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
--- a/internal/control/placementcontroller/pick.go
+++ b/internal/control/placementcontroller/compute.go
@@ -3,6 +3,7 @@
 package placementcontroller
 
 import (
+	"encoding/hex"
 	"sort"
 	"time"
 
@@ -10,17 +11,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// The constants of the choice, as ratios.
+// The constants of the placement, as ratios.
 const (
-	stay     = 0.7     // an entry leaves the replicated set only below this share of the threshold
-	burst    = 1.3     // an entry swaps in between recomputations only above this multiple of the coldest
-	roomPart = 0.5     // of a worker's room the replicated set may take
-	coldB    = 50000.0 // tokens a second, believed until fetches have shown more
-	coldS    = 0.02    // seconds of fetching that the belief weighs as much as
+	keepShare        = 0.7     // an entry leaves the replicated set only below this share of the threshold
+	swapRatio        = 1.3     // an entry swaps in between recomputations only above this multiple of the coldest
+	roomShare        = 0.5     // of a worker's room the replicated set may take
+	initialBandwidth = 50000.0 // tokens a second, assumed until fetches were measured
+	initialSeconds   = 0.02    // weight of that assumption, in seconds of fetching
 )
 
-// Facts are what a choice is made from.
-type Facts struct {
+// Inputs are what a placement is computed from.
+type Inputs struct {
 	Service string
 	Mode    string
 	Alpha   float64
@@ -31,15 +32,15 @@
 	Curve   placement.Curve
 }
 
-// Pick makes a placement: the ratio by the paper's Algorithm 1, the set by the hottest,
-// with some patience for those that are in it already.
+// Compute makes a placement: the ratio by the paper's Algorithm 1, the set of the hottest entries,
+// with hysteresis for those that are in it already.
 //
-// Example: p := appraiser.Pick(facts, old)
-func Pick(f Facts, old *placement.Placement) *placement.Placement {
+// Example: p := placementcontroller.Compute(inputs, old)
+func Compute(f Inputs, old *placement.Placement) *placement.Placement {
 	p := &placement.Placement{Service: f.Service, Mode: f.Mode, Workers: f.Workers, Prefill: f.Curve, Replicated: []string{}}
-	fs, requests, tokens := freqs(f.Hot)
+	fs, requests, tokens := frequencies(f.Hot)
 	p.Entries = len(fs)
-	p.B, p.Floor = bandwidth(f.Links), floor(f.Hot)
+	p.B, p.Floor = bandwidth(f.Links), admissionFloor(f.Hot)
 	if requests > 0 {
 		p.MeanLen = tokens / requests
 	}
@@ -54,10 +55,10 @@
 			}
 		}
 		edge := sorted[n-1].F
-		room := int(float64(f.Room) * roomPart)
+		room := int(float64(f.Room) * roomShare)
 		var in []placement.Freq
 		for i, x := range sorted {
-			if i < n || was[x.Key] && x.F >= stay*edge {
+			if i < n || was[x.Key] && x.F >= keepShare*edge {
 				in = append(in, x)
 			}
 		}
@@ -75,12 +76,12 @@
 	return p
 }
 
-// Swap brings bursting entries in for the coldest ones, between recomputations. It says
-// whether anything changed.
+// Swap replaces the coldest entries by bursting ones, between full computations. It reports whether
+// anything changed.
 //
-// Example: next, changed := appraiser.Swap(old, hot)
+// Example: next, changed := placementcontroller.Swap(old, hot)
 func Swap(old *placement.Placement, hot []*wire.Hot) (*placement.Placement, bool) {
-	fs, _, _ := freqs(hot)
+	fs, _, _ := frequencies(hot)
 	at := map[string]placement.Freq{}
 	for _, x := range fs {
 		at[x.Key] = x
@@ -98,7 +99,7 @@
 			continue
 		}
 		last := in[len(in)-1]
-		if x.F <= burst*at[last].F || x.Tokens > at[last].Tokens && at[last].Tokens > 0 {
+		if x.F <= swapRatio*at[last].F || x.Tokens > at[last].Tokens && at[last].Tokens > 0 {
 			break
 		}
 		in = append([]string{x.Key}, in[:len(in)-1]...)
@@ -109,22 +110,22 @@
 	return &n, changed
 }
 
-func freqs(hot []*wire.Hot) (fs []placement.Freq, requests, tokens float64) {
+func frequencies(hot []*wire.Hot) (fs []placement.Freq, requests, tokens float64) {
 	for _, h := range hot {
-		fs = append(fs, placement.Freq{Key: hexOf(h.Key), F: h.Hotness, Tokens: int(h.Tokens)})
+		fs = append(fs, placement.Freq{Key: hex.EncodeToString(h.Key), F: h.Hotness, Tokens: int(h.Tokens)})
 		if h.Head {
 			requests += h.Hotness
 		}
-		if h.Hotness >= 1.5 { // seen by more than one request lately: shared
+		if h.Hotness >= 1.5 { // more than one recent request: shared
 			tokens += h.Hotness * float64(h.Tokens)
 		}
 	}
 	return fs, requests, tokens
 }
 
-// floor is the hotness of the coldest entry that is cached somewhere and that no prompt
-// begins with: a session's prefix has to be hotter to be admitted.
-func floor(hot []*wire.Hot) float64 {
+// admissionFloor is the hotness of the coldest cached entry that no prompt begins with: a session's
+// prefix has to be hotter to be admitted.
+func admissionFloor(hot []*wire.Hot) float64 {
 	least := -1.0
 	for _, h := range hot {
 		if !h.Head && h.Holders > 0 && (least < 0 || h.Hotness < least) {
@@ -134,9 +135,10 @@
 	return max(0, least)
 }
 
-// bandwidth is what fetches from other workers have shown; a starting value until then.
+// bandwidth is the measured rate of fetches from other workers, in tokens a second; an initial value
+// until there are any.
 func bandwidth(l []*wire.LinkSeen) float64 {
-	tok, ns := coldB*coldS, coldS*float64(time.Second)
+	tok, ns := initialBandwidth*initialSeconds, initialSeconds*float64(time.Second)
 	for _, x := range l {
 		if x.Class != "store" {
 			tok, ns = tok+x.Tokens, ns+x.Ns
@@ -144,13 +146,3 @@
 	}
 	return tok / ns * float64(time.Second)
 }
-
-const hexDigits = "0123456789abcdef"
-
-func hexOf(b []byte) string {
-	s := make([]byte, 0, 2*len(b))
-	for _, x := range b {
-		s = append(s, hexDigits[x>>4], hexDigits[x&15])
-	}
-	return string(s)
-}
--- a/internal/control/placementcontroller/pick_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/wire"
 )
 
-func hots(f ...float64) []*wire.Hot {
+func hotEntries(f ...float64) []*wire.Hot {
 	var l []*wire.Hot
 	for i, x := range f {
 		l = append(l, &wire.Hot{Key: []byte{byte(i)}, Hotness: x, Tokens: 1000, Head: true, Holders: 1})
@@ -18,41 +18,41 @@
 	return l
 }
 
-func facts(f ...float64) Facts {
-	return Facts{Service: "s", Mode: "hrcs", Alpha: 0.5, Workers: []string{"a", "b", "c", "d"}, Room: 1 << 20, Hot: hots(f...), Curve: placement.Curve{C: []float64{0, 40}}}
+func testInputs(f ...float64) Inputs {
+	return Inputs{Service: "s", Mode: "hrcs", Alpha: 0.5, Workers: []string{"a", "b", "c", "d"}, Room: 1 << 20, Hot: hotEntries(f...), Curve: placement.Curve{C: []float64{0, 40}}}
 }
 
 // By hand: 1000 shared tokens a request take 40 ms; B is the starting 50000 tokens a
 // second; α·t·B·(N−1)/(S·N) = 0.5·0.04·50000·3/(1000·4) = 0.75. The scan stops at 0.25.
-func TestPickByHand(t *testing.T) {
-	p := Pick(facts(50, 30, 20), nil)
+func TestComputeByHand(t *testing.T) {
+	p := Compute(testInputs(50, 30, 20), nil)
 	if p.RMax < 0.7499 || p.RMax > 0.7501 || len(p.Replicated) != 1 || p.Replicated[0] != "00" || p.MeanLen != 1000 {
 		t.Errorf("%+v", p)
 	}
-	f := facts(50, 30, 20)
+	f := testInputs(50, 30, 20)
 	f.Links = []*wire.LinkSeen{{Class: "near", Tokens: 1e6, Ns: 1e12}, {Class: "store", Tokens: 1e12, Ns: 1}}
-	if p = Pick(f, nil); p.RMax > 0.05 || len(p.Replicated) != 3 {
+	if p = Compute(f, nil); p.RMax > 0.05 || len(p.Replicated) != 3 {
 		t.Errorf("links seen to be slow, the store's left out: R_max %v, %d replicated", p.RMax, len(p.Replicated))
 	}
-	f = facts(50, 30, 20)
+	f = testInputs(50, 30, 20)
 	f.Alpha, f.Room = 0.01, 4500
-	if p = Pick(f, nil); len(p.Replicated) != 2 {
+	if p = Compute(f, nil); len(p.Replicated) != 2 {
 		t.Errorf("half of 4500 tokens of room hold %d entries of 1000", len(p.Replicated))
 	}
 	f.Workers = []string{"a"}
-	if p = Pick(f, nil); p.RMax != 0 {
+	if p = Compute(f, nil); p.RMax != 0 {
 		t.Errorf("one worker: R_max %v", p.RMax)
 	}
-	if p = Pick(facts(), nil); len(p.Replicated) != 0 || p.Ratio != 0 {
+	if p = Compute(testInputs(), nil); len(p.Replicated) != 0 || p.Ratio != 0 {
 		t.Errorf("no accesses: %+v", p)
 	}
 }
 
 // Counts that swing round the edge of the set don't make it flap.
-func TestSetsDontFlap(t *testing.T) {
-	f := facts(40, 30, 16, 14)
+func TestReplicatedSetDoesntFlap(t *testing.T) {
+	f := testInputs(40, 30, 16, 14)
 	f.Alpha = 0.15 // R_max 0.225: three of four
-	p := Pick(f, nil)
+	p := Compute(f, nil)
 	if len(p.Replicated) != 3 {
 		t.Fatalf("%+v", p)
 	}
@@ -63,8 +63,8 @@
 			x, y = 14, 16
 		}
 		g := f
-		g.Hot = hots(40, 30, x, y)
-		n := Pick(g, p)
+		g.Hot = hotEntries(40, 30, x, y)
+		n := Compute(g, p)
 		if fmt.Sprint(len(n.Replicated)) != fmt.Sprint(len(p.Replicated)) {
 			changes++
 		}
@@ -79,13 +79,13 @@
 }
 
 func TestABurstSwapsIn(t *testing.T) {
-	p := Pick(facts(40, 30, 16, 14), nil)
+	p := Compute(testInputs(40, 30, 16, 14), nil)
 	n := len(p.Replicated)
-	q, changed := Swap(p, hots(40, 30, 16, 90))
+	q, changed := Swap(p, hotEntries(40, 30, 16, 90))
 	if !changed || len(q.Replicated) != n || q.Replicated[0] != "03" {
 		t.Errorf("%v after %v", q.Replicated, p.Replicated)
 	}
-	if _, changed = Swap(q, hots(40, 30, 16, 90)); changed {
+	if _, changed = Swap(q, hotEntries(40, 30, 16, 90)); changed {
 		t.Error("swapped again with nothing new")
 	}
 }
@@ -93,7 +93,7 @@
 // A roll-out sets a batch aside before it orders it, keeps two thirds serving, and is
 // through within the bound: also when the duty changes hands in the middle, when some
 // workers don't obey the first order, and on both sites' bounds.
-func TestRollOutIsPaced(t *testing.T) {
+func TestRolloutIsPaced(t *testing.T) {
 	for _, bound := range []int{20000, 25000} {
 		b := settings.Default()
 		b.WeightsMs = bound
@@ -101,11 +101,11 @@
 		for i := range 18 {
 			ws = append(ws, &wire.Worker{Name: fmt.Sprintf("w%02d", i), Weights: 1})
 		}
-		r, orders, most, done := &Roll{}, map[string]int{}, 0, time.Duration(0)
+		r, orders, most, done := &Rollout{}, map[string]int{}, 0, time.Duration(0)
 		asideAt := map[string]time.Duration{}
 		for at := time.Duration(0); at < 30*time.Second; at += 500 * time.Millisecond {
 			if at == 4*time.Second {
-				r = &Roll{Batch: r.Batch, At: at} // another holder goes on from the placement in force
+				r = &Rollout{Batch: r.Batch, SetAsideAt: at} // another holder goes on from the placement in force
 			}
 			l, changed := r.Step(ws, 2, func(uint64) time.Duration { return at }, at, b)
 			if changed {
@@ -115,7 +115,7 @@
 			}
 			most = max(most, len(r.Batch))
 			for _, w := range l {
-				if at-asideAt[w.Name] < b.Heal(aside) {
+				if at-asideAt[w.Name] < b.Heal(setAsideRatio) {
 					t.Fatalf("%s was ordered %v after it was set aside", w.Name, at-asideAt[w.Name])
 				}
 				if orders[w.Name]++; w.Name != "w03" || orders[w.Name] > 2 {
@@ -143,13 +143,13 @@
 
 // Weights named again in quick succession: the workers on the oldest go first, and are through
 // within the bound from when those were superseded, not from the latest naming.
-func TestRollOutOfWeightsNamedAgain(t *testing.T) {
+func TestRolloutOfWeightsNamedAgain(t *testing.T) {
 	b := settings.Default()
 	var ws []*wire.Worker
 	for i := range 18 {
 		ws = append(ws, &wire.Worker{Name: fmt.Sprintf("w%02d", i), Weights: 1})
 	}
-	r, want := &Roll{}, uint64(2)
+	r, want := &Rollout{}, uint64(2)
 	for at := time.Duration(0); at < 30*time.Second; at += 500 * time.Millisecond {
 		if at == 6*time.Second {
 			want = 3
--- /dev/null
+++ b/internal/control/placementcontroller/controller.go
@@ -0,0 +1,322 @@
+package placementcontroller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math"
+	"net/http"
+	"reflect"
+	"slices"
+	"sync"
+	"time"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/calendar"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/retire"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/updatestream"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// Controller runs on every core machine; each service's lease is held by one of them.
+type Controller struct {
+	process  *daemon.Process
+	clock    clock.Clock
+	members  *clustermembership.Member
+	clients  *daemon.Clients
+	control  *controlclient.Client
+	backends *contract.Backends
+	holder   string
+	services map[string]*serviceController
+	updates  *updatestream.Follower
+	heldUp   sync.Map // service -> how many nodes block its retirement
+}
+
+// serviceController is the work on one service under its lease.
+type serviceController struct {
+	name         string
+	cancel       context.CancelFunc
+	lease        *controlclient.Lease
+	document     *wire.Document
+	placement    *placement.Placement
+	recomputedAt time.Duration // the last full computation
+	fence        uint64
+	rollout      Rollout
+	calendar     *calendar.Pacer
+	retirement   *retire.Planner
+	repairedAt   time.Duration // the last repair while nothing is being retired
+}
+
+// Start runs the controller.
+//
+// Example: daemon.Main("appraiser", "placement under a lease", need, placementcontroller.Start)
+func Start(process *daemon.Process) error {
+	c := &Controller{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial), services: map[string]*serviceController{}}
+	process.OnStop(c.backends.Close)
+	c.holder = fmt.Sprintf("%s/%x", process.Place.Name, c.clock.Now())
+	c.members = clustermembership.Start(process.Ctx, process.Place, "appraiser", c.clock, process.Log, c.clients.Membership, nil)
+	view := func() clustermembership.View { return c.members.View() }
+	c.control = controlclient.New(process.Place.Core, view, c.clients, process.Place.Bounds)
+	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, process.Place.Bounds.Heal(1.0/12), nil, updatestream.Seeds(c.members.SetSeeds))
+	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", func() (v float64) {
+		c.heldUp.Range(func(_, n any) bool { v += float64(n.(int)); return true })
+		return v
+	})
+	mux := http.NewServeMux()
+	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(c.members))
+	if err := process.Serve(process.Place.Listen, mux); err != nil {
+		return err
+	}
+	process.Every(process.Place.Bounds.Heal(1.0/24), c.assignServices)
+	process.Ready.Store(true)
+	return nil
+}
+
+// nodeAgent returns any live node agent: workers are observed through it.
+func (c *Controller) nodeAgent() wire.Runner {
+	for _, n := range c.members.View().Role("runner") {
+		if n.State == clustermembership.Alive {
+			return c.clients.NodeAgent(n.Addr)
+		}
+	}
+	return nil
+}
+
+// assignServices runs a service controller for every service that any worker serves. Each has two
+// goroutines, one that renews its lease and one that works: if one of them blocks, it delays neither
+// another service nor its own renewal.
+func (c *Controller) assignServices() {
+	s := c.updates.Now()
+	if s == nil || s.Setup == nil {
+		return
+	}
+	served := map[string]bool{}
+	for _, w := range s.Workers {
+		served[w.Service] = true
+	}
+	for name := range s.Setup.Services {
+		if c.services[name] == nil && served[name] {
+			ctx, end := context.WithCancel(c.process.Ctx)
+			b := c.process.Place.Bounds
+			svc := &serviceController{name: name, cancel: end, lease: controlclient.NewLease(c.control, c.clock, "appraise/"+name, controlclient.ShardOf(name), c.holder, b.Heal(settings.LeasePart)), calendar: calendar.NewPacer(), retirement: retire.NewPlanner()}
+			c.services[name] = svc
+			c.repeat(ctx, func() {
+				if err := svc.lease.Renew(ctx); err != nil {
+					c.process.Log.Debug("no lease", "service", name, "error", err)
+				}
+			})
+			c.repeat(ctx, func() { c.step(svc) })
+		}
+	}
+	for name, svc := range c.services {
+		if _, ok := s.Setup.Services[name]; !ok {
+			svc.cancel() // the lease expires by itself
+			delete(c.services, name)
+		}
+	}
+}
+
+// repeat runs a step now and at every tick until ctx ends.
+func (c *Controller) repeat(ctx context.Context, step func()) {
+	c.process.Go(func() {
+		t := clock.Every(c.process.Place.Bounds.Heal(1.0 / 24))
+		defer t.Stop()
+		for ctx.Err() == nil {
+			step()
+			select {
+			case <-ctx.Done():
+			case <-t.C:
+			}
+		}
+	})
+}
+
+// step is one step of a service's work.
+func (c *Controller) step(svc *serviceController) {
+	s := c.updates.Now()
+	config, ok := s.Setup.Services[svc.name]
+	fence, held := svc.lease.Held()
+	if !ok || !held {
+		svc.document = nil
+		return
+	}
+	if fence != svc.fence {
+		c.process.Log.Info("lease acquired", "service", svc.name, "fence", fence)
+		svc.fence, svc.document, svc.retirement = fence, nil, retire.NewPlanner()
+	}
+	var b errs.Batch
+	b.Note("roll out weights", c.stepRollout(svc, s, svc.name, config))
+	b.Note("place", c.updatePlacement(svc, s, svc.name, config))
+	b.Note("calendar", c.stepCalendar(svc, s, svc.name))
+	b.Note("retirement", c.stepRetirement(svc, s, svc.name))
+	if err := b.Look(); err != nil {
+		c.process.Log.Warn("service step failed", "service", svc.name, "error", errs.Text(err))
+	}
+}
+
+func languageWorkers(s *updatestream.Snapshot, name string) []*wire.Worker {
+	var l []*wire.Worker
+	for _, w := range s.Workers {
+		if w.Service == name && w.Kind == "lm" && w.State < updatestream.WorkerDraining {
+			l = append(l, w)
+		}
+	}
+	return l
+}
+
+// stepRollout advances the service to the named weights.
+func (c *Controller) stepRollout(svc *serviceController, s *updatestream.Snapshot, name string, config serviceconfig.Service) error {
+	ws := slices.DeleteFunc(languageWorkers(s, name), func(w *wire.Worker) bool { return w.Model != config.Model && w.Model != "" }) // others have another base model
+	seen := s.WeightsAt[config.Model]
+	now := c.clock.Now()
+	if svc.placement == nil {
+		return nil // the stored placement isn't read yet
+	}
+	svc.rollout.AllAtOnce = config.RollOut == "at-once"
+	since := func(w uint64) time.Duration { _, first, _ := seen.Since(w); return now - first }
+	order, changed := svc.rollout.Step(ws, seen.Weights, since, now, c.process.Place.Bounds)
+	var b errs.Batch
+	b.Note("order", c.sendOrders(svc.lease, order, seen.Weights))
+	if changed {
+		p := *svc.placement
+		p.Rolling, p.Why = svc.rollout.Batch, "weights are being rolled out"
+		b.Note("set aside", c.publishPlacement(svc, name, &p))
+	}
+	return b.Look()
+}
+
+// sendOrders orders workers to load weights, all at once: a silent worker delays no other. The lease
+// is checked right before each order is sent, and none stays in flight for longer than from the
+// lease's end on this machine until another may hold it.
+func (c *Controller) sendOrders(lease *controlclient.Lease, ws []*wire.Worker, weights uint64) error {
+	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(settings.OrderPart))
+	defer end()
+	got := make(chan error, len(ws))
+	for _, w := range ws {
+		go func() {
+			fence, ok := lease.Held()
+			if !ok {
+				got <- nil // another may hold it soon
+				return
+			}
+			got <- errs.Wrap(c.backends.Order(ctx, w.Addr, contract.Order{Fence: fence, Holder: lease.Holder, Kind: "weights", Weights: weights}), "order "+w.Name)
+		}()
+	}
+	var b errs.Batch
+	for range ws {
+		b.Note("weights", <-got)
+	}
+	return b.Look()
+}
+
+func (c *Controller) updatePlacement(svc *serviceController, s *updatestream.Snapshot, name string, config serviceconfig.Service) error {
+	now := c.clock.Now()
+	b := c.process.Place.Bounds
+	if svc.document == nil { // a new holder: resume from the stored placement
+		t, err := c.control.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: "placement/" + name})
+		if err != nil {
+			return errs.Wrap(err, "read placement")
+		}
+		svc.document, svc.placement, svc.recomputedAt = &wire.Document{}, nil, 0
+		if len(t.Documents) > 0 {
+			svc.document = t.Documents[0]
+			if svc.placement, err = placement.Read(svc.document.Body, svc.document.Version); err != nil {
+				return errs.Wrap(err, "stored placement")
+			}
+			svc.rollout = Rollout{Batch: svc.placement.Rolling, SetAsideAt: now}
+		}
+	}
+	ws := languageWorkers(s, name)
+	if len(ws) == 0 {
+		return nil
+	}
+	hot := c.hotEntries(name)
+	var p *placement.Placement
+	changed := true
+	if names := workerNames(ws); svc.placement == nil || now-svc.recomputedAt > b.Heal(0.5) || !reflect.DeepEqual(names, svc.placement.Workers) || svc.placement.Mode != placementMode(config) {
+		f := Inputs{Service: name, Mode: placementMode(config), Alpha: config.Alpha, Workers: names, Hot: hot, Curve: placement.Default(), Links: c.usage().links}
+		if f.Alpha == 0 {
+			f.Alpha = 1
+		}
+		for _, w := range ws {
+			if f.Room == 0 || int(w.KvRoom) < f.Room {
+				f.Room = int(w.KvRoom)
+			}
+		}
+		p = Compute(f, svc.placement)
+		p.Rolling = svc.rollout.Batch
+		svc.recomputedAt = now
+		changed = svc.placement == nil || !reflect.DeepEqual(p.Replicated, svc.placement.Replicated) || !reflect.DeepEqual(p.Workers, svc.placement.Workers) || p.Mode != svc.placement.Mode || math.Abs(p.Floor-svc.placement.Floor) > 0.25*svc.placement.Floor+0.05
+	} else {
+		p, changed = Swap(svc.placement, hot)
+	}
+	if !changed {
+		return nil
+	}
+	return c.publishPlacement(svc, name, p)
+}
+
+func (c *Controller) publishPlacement(svc *serviceController, name string, p *placement.Placement) error {
+	fence, ok := svc.lease.Held()
+	if !ok {
+		return nil // the lease expired during the computation
+	}
+	p.Fence = fence
+	body, err := json.Marshal(p)
+	if err != nil {
+		return errs.Wrap(err, "write placement")
+	}
+	put := &wire.Put{Key: "placement/" + name, Body: body, IfVersion: svc.document.Version, Lease: svc.lease.Duty, Fence: fence, Holder: c.holder}
+	t, err := c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(name), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	if err != nil {
+		svc.document = nil // read it again before the next attempt
+		return errs.Wrap(err, "publish placement")
+	}
+	p.Epoch = t.Version
+	svc.document, svc.placement = &wire.Document{Body: body, Version: t.Version}, p
+	c.process.Log.Info("placement", "service", name, "epoch", t.Version, "fence", fence, "replicated", len(p.Replicated),
+		"entries", p.Entries, "r_max", p.RMax, "b", p.B, "why", p.Why)
+	return nil
+}
+
+func placementMode(s serviceconfig.Service) string {
+	if s.Placement == "" {
+		return "hrcs"
+	}
+	return s.Placement
+}
+
+func workerNames(ws []*wire.Worker) []string {
+	l := make([]string, 0, len(ws))
+	for _, w := range ws {
+		l = append(l, w.Name)
+	}
+	return l
+}
+
+// hotEntries gathers the hottest entries of all index nodes; two hold each, the higher count is used.
+func (c *Controller) hotEntries(service string) []*wire.Hot {
+	all := map[string]*wire.Hot{}
+	queryAll(c, "catalogue", func(ctx context.Context, addr string) (*wire.HotTell, error) {
+		return c.clients.PromptIndex(addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: 1000})
+	}, func(t *wire.HotTell) {
+		for _, h := range t.Hot {
+			if o := all[string(h.Key)]; o == nil || o.Hotness < h.Hotness {
+				all[string(h.Key)] = h
+			}
+		}
+	})
+	l := make([]*wire.Hot, 0, len(all))
+	for _, h := range all {
+		l = append(l, h)
+	}
+	return l
+}
--- a/internal/control/placementcontroller/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -20,26 +20,26 @@
 	"pebbleloom/internal/wire"
 )
 
-// proofDomain is the wall of proofs: what they leave in a cache is nobody else's.
+// proofDomain is the cache domain of proofs: no other request reads what they leave in a cache.
 const proofDomain = "retire"
 
-// keepPart is how often, of the bound on healing, workers are looked over while nothing is retired.
-const keepPart = 1.0 / 6
+// repairRatio is the interval of repairs while nothing is being retired, as a ratio of the heal bound.
+const repairRatio = 1.0 / 6
 
-// active reads the service's retirements and gives the one under way, with its document; or else what
-// was retired before.
-func (a *Appraiser) active(name string) (r *retire.Retirement, doc *wire.Document, gone []string, err error) {
-	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: retire.Key(name, ""), Prefix: true})
+// activeRetirement reads the service's retirements and returns the active one with its document, or
+// else the base models that were retired before.
+func (c *Controller) activeRetirement(name string) (r *retire.Retirement, doc *wire.Document, gone []string, err error) {
+	t, err := c.control.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: retire.Key(name, ""), Prefix: true})
 	if err != nil {
 		return nil, nil, nil, errs.Wrap(err, "read retirements")
 	}
-	for _, d := range t.Documents {
-		x, err := retire.Read(d.Body)
+	for _, svc := range t.Documents {
+		x, err := retire.Read(svc.Body)
 		if err != nil {
-			return nil, nil, nil, errs.Wrap(err, d.Key)
+			return nil, nil, nil, errs.Wrap(err, svc.Key)
 		}
 		if x.Active() && x.State != retire.Planned {
-			return x, d, nil, nil
+			return x, svc, nil, nil
 		}
 		if x.State == retire.Done {
 			gone = append(gone, x.From)
@@ -48,72 +48,74 @@
 	return nil, nil, gone, nil
 }
 
-// retire carries the service's retirement on by one look. The setup is read first, then the
-// retirement, then the nodes: whatever a late holder still does meets a later version of one of them.
-func (a *Appraiser) retire(d *duty, s *updatestream.Snapshot, name string) error {
-	r, _, gone, err := a.active(name)
+// stepRetirement advances the service's retirement by one step. The service configuration is read
+// first, then the retirement, then the nodes: whatever a past holder still does meets a later version
+// of one of them.
+func (c *Controller) stepRetirement(svc *serviceController, s *updatestream.Snapshot, name string) error {
+	r, _, gone, err := c.activeRetirement(name)
 	if err != nil {
 		return err
 	}
 	if r == nil {
-		a.held.Delete(name)
-		return a.keep(d, s, name, gone)
+		c.heldUp.Delete(name)
+		return c.repairWorkers(svc, s, name, gone)
 	}
-	a.held.Store(name, r.Nodes-r.Ready)
+	c.heldUp.Store(name, r.Nodes-r.Ready)
 	if r.State == retire.Paused {
 		return nil
 	}
-	t, err := a.ctl.Read(a.life.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	t, err := c.control.Read(c.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
 	if err != nil || len(t.Documents) == 0 {
-		return errs.Wrap(err, "read setup")
+		return errs.Wrap(err, "read service configuration")
 	}
 	now, err := serviceconfig.Read(t.Documents[0].Body)
 	if err != nil {
-		return errs.Wrap(err, "setup in force")
+		return errs.Wrap(err, "service configuration in force")
 	}
-	r, doc, _, err := a.active(name)
+	r, doc, _, err := c.activeRetirement(name)
 	if err != nil || r == nil {
 		return err
 	}
-	w := retire.World{Version: doc.Version, Setup: now, Follow: a.life.Place.Bounds.Setup(1)}
+	w := retire.Observation{Version: doc.Version, Config: now, ConfigBound: c.process.Place.Bounds.Setup(1)}
 	var addr map[string]string
-	w.Nodes, addr, w.Listed = a.nodes(name)
-	w.Clock = a.clk.Now()
-	all := a.seen()
+	w.Nodes, addr, w.Listed = c.workerStates(name)
+	w.Clock = c.clock.Now()
+	all := c.usage()
 	for n := range addr {
-		w.Ok, w.Bad = w.Ok+all.ok[n], w.Bad+all.bad[n]
+		w.Ok, w.Failed = w.Ok+all.ok[n], w.Failed+all.failed[n]
 	}
-	next, acts, changed := d.aging.Next(r, w)
-	done, err := a.carry(d, next, acts, t.Documents[0].Version, addr)
+	next, acts, changed := svc.retirement.Next(r, w)
+	done, err := c.execute(svc, next, acts, t.Documents[0].Version, addr)
 	var b errs.Batch
 	b.Note("act", err)
 	if changed || done {
-		b.Note("write "+r.Name, a.writeRetirement(d, doc, r, next))
+		b.Note("write "+r.Name, c.writeRetirement(svc, doc, r, next))
 	}
 	return b.Look()
 }
 
-// keep loads what the service's workers lack of what the setup says, while nothing is retired, and lets
-// go of what was.
-func (a *Appraiser) keep(d *duty, s *updatestream.Snapshot, name string, gone []string) error {
-	now := a.clk.Now()
-	if len(s.Setup.Adapters) == 0 || d.kept != 0 && now-d.kept < a.life.Place.Bounds.Heal(keepPart) {
+// repairWorkers loads what the service's workers lack of the service configuration while nothing is
+// being retired, and unloads what was retired.
+func (c *Controller) repairWorkers(svc *serviceController, s *updatestream.Snapshot, name string, gone []string) error {
+	now := c.clock.Now()
+	if len(s.Setup.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < c.process.Place.Bounds.Heal(repairRatio) {
 		return nil
 	}
-	d.kept = now
-	nodes, addr, listed := a.nodes(name)
+	svc.repairedAt = now
+	nodes, addr, listed := c.workerStates(name)
 	if !listed {
 		return nil
 	}
-	_, err := a.carry(d, nil, retire.Keep(s.Setup, name, nodes, gone), 0, addr)
+	_, err := c.execute(svc, nil, retire.Repair(s.Setup, name, nodes, gone), 0, addr)
 	return err
 }
 
-// nodes asks the platform for the service's workers, and each of them for its state, all at once.
-func (a *Appraiser) nodes(name string) (l []retire.Node, addr map[string]string, listed bool) {
-	ctx, end := context.WithTimeout(a.life.Ctx, a.life.Place.Bounds.Heal(1.0/48))
+// workerStates asks the platform for the service's workers, and each of them for its state, all at
+// once.
+func (c *Controller) workerStates(name string) (l []retire.Node, addr map[string]string, listed bool) {
+	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(1.0/48))
 	defer end()
-	all, err := a.be.List(ctx, a.life.Place.Rank)
+	all, err := c.backends.List(ctx, c.process.Place.Rank)
 	if err != nil {
 		return nil, nil, false
 	}
@@ -126,10 +128,10 @@
 		}
 		addr[x.Name] = x.Addr
 		wg.Go(func() {
-			st, err := a.be.State(ctx, x.Addr)
+			st, err := c.backends.State(ctx, x.Addr)
 			n := retire.Node{Name: x.Name}
 			if err == nil && st.Name == x.Name {
-				n = retire.Node{Name: x.Name, Life: st.Incarnation, Answers: true, Draining: st.Draining || x.Draining, Holds: st.Holds(),
+				n = retire.Node{Name: x.Name, Incarnation: st.Incarnation, Answers: true, Draining: st.Draining || x.Draining, Loaded: st.Holds(),
 					Loading: st.Loading, Room: st.Room, Free: st.Free}
 			}
 			mu.Lock()
@@ -141,47 +143,47 @@
 	return l, addr, true
 }
 
-// carry makes the acts, those to nodes all at once, and writes into the retirement what was
-// acknowledged; done tells whether there was any. The lease is looked at right before each act, and none
-// is waited for longer than an order is.
-func (a *Appraiser) carry(d *duty, r *retire.Retirement, acts []retire.Act, version uint64, addr map[string]string) (done bool, err error) {
-	ctx, end := context.WithTimeout(a.life.Ctx, a.life.Place.Bounds.Heal(settings.OrderPart))
+// execute performs the actions, those on nodes all at once, and records in the retirement what was
+// acknowledged; done reports whether there was any. The lease is checked right before each action, and
+// none may take longer than an order.
+func (c *Controller) execute(svc *serviceController, r *retire.Retirement, acts []retire.Action, version uint64, addr map[string]string) (done bool, err error) {
+	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(settings.OrderPart))
 	defer end()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var b errs.Batch
 	for _, x := range acts {
 		wg.Go(func() {
-			fence, ok := d.lease.Held()
+			fence, ok := svc.lease.Held()
 			if !ok {
-				return // another may hold it soon
+				return // another machine may hold it soon
 			}
 			var err error
 			switch {
 			case x.Patch != nil:
 				put := &wire.Put{Key: controlclient.SetupKey, Body: x.Patch, IfVersion: version}
-				_, err = a.ctl.Change(ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+				_, err = c.control.Change(ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			case x.Order != nil:
-				x.Order.Fence, x.Order.Holder = fence, d.lease.Holder
-				err = a.be.Order(ctx, addr[x.Node], *x.Order)
+				x.Order.Fence, x.Order.Holder = fence, svc.lease.Holder
+				err = c.backends.Order(ctx, addr[x.Node], *x.Order)
 			default:
-				err = a.prove(ctx, r, x, addr[x.Node])
+				err = c.prove(ctx, r, x, addr[x.Node])
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err != nil && x.Prove != nil:
-				d.aging.Unproved(x.Node, err.Error())
+				svc.retirement.RecordFailedProof(x.Node, err.Error())
 			case err != nil:
 				b.Note("retire "+x.Node, err)
 			case x.Patch != nil:
-				r.Patched()
+				r.RecordPatch()
 				done = true
 			case x.Prove != nil:
-				r.Proved(x.Node, x.Life, *x.Prove)
+				r.RecordProof(x.Node, x.Incarnation, *x.Prove)
 				done = true
 			case r != nil && x.Order.Kind == "unload":
-				r.Told(x.Node, x.Order.Incarnation)
+				r.RecordUnload(x.Node, x.Order.Incarnation)
 				done = true
 			}
 		})
@@ -190,26 +192,27 @@
 	return done, b.Look()
 }
 
-// prove sends a node one real request under its base and each adapter, and checks every answer to
-// its seal, which names what answered.
-func (a *Appraiser) prove(ctx context.Context, r *retire.Retirement, x retire.Act, addr string) error {
-	for i, l := range append([]retire.Load{{}}, x.Prove.Adapters...) {
-		s := contract.Start{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, a.clk.Now(), i), Domain: proofDomain, Model: x.Prove.Base, Weights: x.Prove.Weights,
-			Adapter: l.Name, Build: l.Build, Parts: []string{"proof"}, Pieces: 1, WaitMs: int(a.life.Place.Bounds.Heal(settings.OrderPart) / time.Millisecond), Incarnation: x.Life}
-		if err := a.answers(ctx, addr, x.Node, s); err != nil {
+// prove sends a node one real request under its base and each adapter, and checks every answer to its
+// seal, which names the weights that answered.
+func (c *Controller) prove(ctx context.Context, r *retire.Retirement, x retire.Action, addr string) error {
+	for i, l := range append([]retire.AdapterBuild{{}}, x.Prove.Adapters...) {
+		s := contract.Start{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, c.clock.Now(), i), Domain: proofDomain, Model: x.Prove.Base, Weights: x.Prove.Weights,
+			Adapter: l.Name, Build: l.Build, Parts: []string{"proof"}, Pieces: 1, WaitMs: int(c.process.Place.Bounds.Heal(settings.OrderPart) / time.Millisecond), Incarnation: x.Incarnation}
+		if err := c.checkAnswer(ctx, addr, x.Node, s); err != nil {
 			return errs.Wrap(err, strings.TrimSpace("base model "+x.Prove.Base+" "+l.Name))
 		}
 	}
 	return nil
 }
 
-func (a *Appraiser) answers(ctx context.Context, addr, node string, s contract.Start) error {
-	g := a.be.Begin(ctx, addr, s, nil)
+// checkAnswer sends one request and checks the answer to its seal.
+func (c *Controller) checkAnswer(ctx context.Context, addr, node string, s contract.Start) error {
+	g := c.backends.Begin(ctx, addr, s, nil)
 	if g.Err != nil {
 		return g.Err
 	}
 	defer g.Body.Close()
-	c, b := contract.NewCheck(s.RequestID, node), bufio.NewReaderSize(g.Body, contract.MaxLine)
+	check, b := contract.NewCheck(s.RequestID, node), bufio.NewReaderSize(g.Body, contract.MaxLine)
 	for {
 		line, err := b.ReadSlice('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
@@ -218,18 +221,18 @@
 		if err != nil {
 			return errs.As(err, errs.Inside, "read answer")
 		}
-		if why := c.Line(line); why != "" {
+		if why := check.Line(line); why != "" {
 			return errs.New(errs.Inside, "%s", why)
 		}
 	}
-	if l := c.Last; l == nil || l.N != s.Pieces || l.Model != s.Model || l.Weights != s.Weights || l.Adapter != s.Adapter || l.Build != s.Build {
+	if l := check.Last; l == nil || l.N != s.Pieces || l.Model != s.Model || l.Weights != s.Weights || l.Adapter != s.Adapter || l.Build != s.Build {
 		return errs.New(errs.Inside, "its answer isn't sealed under what was asked for")
 	}
 	return nil
 }
 
-func (a *Appraiser) writeRetirement(d *duty, doc *wire.Document, was, r *retire.Retirement) error {
-	fence, ok := d.lease.Held()
+func (c *Controller) writeRetirement(svc *serviceController, doc *wire.Document, was, r *retire.Retirement) error {
+	fence, ok := svc.lease.Held()
 	if !ok {
 		return nil
 	}
@@ -237,14 +240,14 @@
 	if err != nil {
 		return err
 	}
-	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: d.lease.Duty, Fence: fence, Holder: a.holder}
-	_, err = a.ctl.Change(a.life.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Duty, Fence: fence, Holder: c.holder}
+	_, err = c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err == nil && (was.State != r.State || was.Phase != r.Phase || was.Share != r.Share) {
 		held := ""
-		for _, h := range r.Holds[:min(1, len(r.Holds))] {
+		for _, h := range r.Blockers[:min(1, len(r.Blockers))] {
 			held = h.Node + ": " + h.Why
 		}
-		a.life.Log.Info("retirement", "name", r.Name, "service", r.Service, "state", r.State, "phase", r.Phase, "ready", r.Ready, "nodes", r.Nodes, "why", r.Why, "held_by", held)
+		c.process.Log.Info("retirement", "name", r.Name, "service", r.Service, "state", r.State, "phase", r.Phase, "ready", r.Ready, "nodes", r.Nodes, "why", r.Why, "held_by", held)
 	}
 	return errs.Wrap(err, "write retirement")
 }
--- a/internal/control/placementcontroller/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -8,29 +8,28 @@
 	"pebbleloom/internal/wire"
 )
 
-// The pace of a roll-out, as ratios.
+// Timing and concurrency of a rollout, as ratios.
 const (
-	aside   = 0.125     // of the heal bound: how long a batch is set aside before it is ordered
-	settle  = 0.25      // of the heal bound: how long an ordered batch may take
-	span    = 0.6       // of the weights bound: all batches fit into it
-	mostOut = 1.0 / 3.0 // of the workers that may be out at once
+	setAsideRatio = 0.125     // of the heal bound: from setting a batch aside to its orders
+	batchRatio    = 0.25      // of the heal bound: how long an ordered batch may take
+	spanRatio     = 0.6       // of the weights bound: all batches fit into it
+	maxOutShare   = 1.0 / 3.0 // of the workers that may be out at once
 )
 
-// Roll brings workers to named weights batch by batch. A batch is first set aside in the
-// placement, so that dispatchers send it nothing new; then it is ordered; then the next
-// one follows. It goes on from the placement in force when the duty changes hands.
-type Roll struct {
-	Batch []string
-	At    time.Duration // when the batch was set aside
-	Whole bool          // all at once, to compare with
+// Rollout brings workers to named weights batch by batch. A batch is first set aside in the placement,
+// so that proxies send it no new requests; then it gets its orders; then the next one follows. It
+// resumes from the stored placement when the lease changes hands.
+type Rollout struct {
+	Batch      []string
+	SetAsideAt time.Duration // when the batch was set aside
+	AllAtOnce  bool          // all at once, for comparison
 }
 
-// Step moves the roll-out on: it says whom to order now, and whether the batch has changed.
-//
-// since tells how long ago a worker's own weights were superseded: each epoch has its bound.
+// Step advances the rollout: it returns the workers to order now, and whether the batch has changed.
+// since returns how long ago a worker's own weights were superseded: each version has its bound.
 //
 // Example: order, changed := r.Step(workers, 4, since, now, bounds)
-func (r *Roll) Step(ws []*wire.Worker, want uint64, since func(uint64) time.Duration, now time.Duration, b settings.Bounds) (order []*wire.Worker, changed bool) {
+func (r *Rollout) Step(ws []*wire.Worker, want uint64, since func(uint64) time.Duration, now time.Duration, b settings.Bounds) (order []*wire.Worker, changed bool) {
 	in := map[string]bool{}
 	for _, n := range r.Batch {
 		in[n] = true
@@ -45,27 +44,27 @@
 		}
 	}
 	if len(r.Batch) > 0 {
-		if len(mine) > 0 && now-r.At < b.Heal(settle) {
-			if now-r.At >= b.Heal(aside) {
+		if len(mine) > 0 && now-r.SetAsideAt < b.Heal(batchRatio) {
+			if now-r.SetAsideAt >= b.Heal(setAsideRatio) {
 				return mine, false
 			}
 			return nil, false
 		}
-		r.Batch, changed = nil, true // done, or it takes too long: it is ordered again with a later batch
+		r.Batch, changed = nil, true // done, or too slow: the rest is ordered again with a later batch
 	}
 	if len(old) == 0 {
 		return nil, changed
 	}
-	sort.Slice(old, func(i, j int) bool { // what was superseded first goes first
+	sort.Slice(old, func(i, j int) bool { // the oldest weights first
 		return old[i].Weights < old[j].Weights || old[i].Weights == old[j].Weights && old[i].Name < old[j].Name
 	})
-	left := b.Weights(span) - since(old[0].Weights)
-	rounds := max(1, int(left/b.Heal(settle)))
-	n := min((len(old)+rounds-1)/rounds, max(1, int(float64(len(ws))*mostOut)))
-	if r.Whole {
+	left := b.Weights(spanRatio) - since(old[0].Weights)
+	rounds := max(1, int(left/b.Heal(batchRatio)))
+	n := min((len(old)+rounds-1)/rounds, max(1, int(float64(len(ws))*maxOutShare)))
+	if r.AllAtOnce {
 		n = len(old)
 	}
-	r.At = now
+	r.SetAsideAt = now
 	for _, w := range old[:min(n, len(old))] {
 		r.Batch = append(r.Batch, w.Name)
 	}
--- /dev/null
+++ b/internal/control/retire/catchup.go
@@ -0,0 +1,166 @@
+package retire
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/queue"
+)
+
+func holdsModel(n Node, base string) bool {
+	return slices.ContainsFunc(n.Loaded, func(l contract.Loaded) bool { return l.Model == base })
+}
+
+func (s *step) order(n Node, o contract.Order) {
+	o.Incarnation, o.Plan, o.Step = n.Incarnation, Key(s.retirement.Service, s.retirement.Name), s.observed.Version
+	s.actions = append(s.actions, Action{Node: n.Name, Order: &o})
+}
+
+// catchUp brings every node to a set: its base, from level 1 on its adapters, from level 2 on a proof
+// of this round or a later one. Each node that isn't there yet becomes a blocker.
+func (s *step) catchUp(x Set, level, round int) {
+	busy := 0
+	for _, n := range s.observed.Nodes {
+		if n.Loading != "" {
+			busy++
+		}
+	}
+	for _, n := range s.observed.Nodes {
+		if !n.Answers {
+			s.block(n.Name, "it doesn't answer, and may come back", "bring it back, or have the platform take it out of its list")
+			continue
+		}
+		need, o := "base model "+x.Base, contract.Order{Kind: "load", Model: x.Base, Weights: x.Weights, Room: x.Room}
+		have := x.loadedBase(n.Loaded)
+		if have != nil && level > 0 {
+			if a := x.missingAdapter(have); a != nil {
+				need = "adapter " + a.Name
+				o = contract.Order{Kind: "load", Model: x.Base, Weights: x.Weights, Adapter: a.Name, Build: a.Build, Room: a.Room}
+			} else {
+				need = ""
+			}
+		} else if have != nil {
+			need = ""
+		}
+		switch {
+		case need != "" && n.Loading != "":
+			s.block(n.Name, "it loads "+n.Loading, "nothing to do; if it stays so, see the worker's log")
+		case need != "" && n.Room > 0 && n.Free < o.Room:
+			s.block(n.Name, fmt.Sprintf("%s takes %d MB, %d of %d are free", need, o.Room, n.Free, n.Room), "unload there what isn't needed, or give it more memory and start it again")
+		case need != "":
+			s.block(n.Name, "it lacks "+need, "nothing to do: it is loaded in its turn")
+			if busy < s.retirement.atOnce() {
+				busy++
+				s.order(n, o)
+			}
+		case level > 1:
+			s.requestProof(n, x, round, &busy)
+		}
+	}
+}
+
+// requestProof asks a node for a proof unless its incarnation has one under this set and round.
+func (s *step) requestProof(n Node, x Set, round int, busy *int) {
+	if p, ok := s.retirement.Proofs[n.Name]; ok && p.Incarnation == n.Incarnation && p.Set == s.fingerprint && p.Round >= round {
+		return
+	}
+	why, remedy := "it hasn't answered under every adapter yet", "nothing to do: it is asked in its turn"
+	if f := s.failed[n.Name]; f != "" {
+		why, remedy = "its proof failed: "+f, "see the worker's log; replace it if it stays so"
+	}
+	if n.Draining {
+		remedy = "it is draining: let the platform replace it"
+	}
+	s.block(n.Name, why, remedy)
+	if *busy < s.retirement.atOnce() {
+		*busy++
+		s.actions = append(s.actions, Action{Node: n.Name, Incarnation: n.Incarnation, Prove: &x})
+	}
+}
+
+// runAbort reverts a retirement: routes, then requests that still run, then the new base.
+func (s *step) runAbort() {
+	switch s.retirement.Phase {
+	case Return:
+		ways := object{}
+		for _, n := range queue.Keys(s.retirement.PreviousUse) {
+			if _, ok := s.observed.Config.Ways[n]; !ok {
+				continue
+			}
+			use := any(nil)
+			if s.retirement.PreviousUse[n] != "" {
+				use = s.retirement.PreviousUse[n]
+			}
+			ways[n] = object{"use": use, "move": nil, "moved": nil}
+		}
+		s.changeConfig(true, object{"ways": ways}, func() { s.enter(Aborting, Settle) })
+	case Settle:
+		if s.isIdle(s.retirement.To) && s.heldFor(Settle, s.observed.ConfigBound) {
+			s.enter(Aborting, Clean)
+		}
+	case Clean:
+		s.catchUp(s.old, 1, 0) // a node that joined with only the new base needs the old one
+		behind := map[string]bool{}
+		for _, h := range s.blockers {
+			behind[h.Node] = true
+		}
+		maps.DeleteFunc(s.retirement.Unloaded, func(n, incarnation string) bool {
+			return !slices.ContainsFunc(s.observed.Nodes, func(x Node) bool { return x.Name == n && (!x.Answers || x.Incarnation == incarnation) })
+		})
+		for _, n := range s.observed.Nodes {
+			if !behind[n.Name] && (s.retirement.Unloaded[n.Name] != n.Incarnation || holdsModel(n, s.retirement.To)) {
+				s.block(n.Name, "it is to drop "+s.retirement.To+" again", "nothing to do; if it stays so, see the worker's log")
+				s.order(n, contract.Order{Kind: "unload", Model: s.retirement.To})
+			}
+		}
+		if len(s.blockers) == 0 {
+			s.enter(Aborted, "")
+		}
+	}
+}
+
+// Repair returns the orders that bring a service's workers to the set that the service configuration
+// names, while nothing is being retired: a worker that restarts empty, or with a model retired long
+// ago, is caught up. A service without adapters is left as its workers start. A retired model is
+// unloaded again from a worker that has the whole set.
+//
+// Example: actions := retire.Repair(config, "lector-main", nodes, []string{"lector"})
+func Repair(s *serviceconfig.Setup, service string, nodes []Node, retired []string) []Action {
+	v, ok := s.Services[service]
+	l := dependentAdapters(s, service, v.Model)
+	if !ok || len(l) == 0 {
+		return nil
+	}
+	t := &step{Planner: NewPlanner(), retirement: &Retirement{Service: service, AtOnce: len(nodes)}, observed: Observation{Nodes: nodes}}
+	t.catchUp(SetOf(s, v.Model, l), 1, 0)
+	behind := map[string]bool{}
+	for _, h := range t.blockers {
+		behind[h.Node] = true
+	}
+	for _, n := range nodes {
+		for _, base := range retired {
+			if base != v.Model && !behind[n.Name] && holdsModel(n, base) && !routesTo(s, service, base) {
+				t.order(n, contract.Order{Kind: "unload", Model: base})
+			}
+		}
+	}
+	for _, a := range t.actions {
+		a.Order.Plan, a.Order.Step = "", 0
+	}
+	return t.actions
+}
+
+// routesTo reports whether any route of a service leads to a base, or is being moved there.
+func routesTo(s *serviceconfig.Setup, service, base string) bool {
+	for n, v := range s.Ways {
+		for _, x := range []string{v.Answers(n), v.Move} {
+			if t, ok := s.Named(x); ok && t.Model == base && (v.Service == service || v.Next == service) {
+				return true
+			}
+		}
+	}
+	return false
+}
--- a/internal/control/retire/check.go
+++ b/internal/control/retire/check.go
@@ -11,8 +11,8 @@
 	"pebbleloom/internal/queue"
 )
 
-// Load is one adapter of a set.
-type Load struct {
+// AdapterBuild is one adapter of a set.
+type AdapterBuild struct {
 	Name  string
 	Build uint64
 	Room  int
@@ -23,26 +23,26 @@
 	Base     string
 	Weights  uint64
 	Room     int
-	Adapters []Load // by name
+	Adapters []AdapterBuild // by name
 }
 
-// SetOf is what the setup says about a base and some adapters on it.
+// SetOf returns the set of a base and some adapters, as the service configuration defines them.
 //
-// Example: set := retire.SetOf(s, "lector-2", []string{"rare-2"})
+// Example: set := retire.SetOf(config, "lector-2", []string{"rare-2"})
 func SetOf(s *serviceconfig.Setup, base string, adapters []string) Set {
 	x := Set{Base: base, Weights: s.Models[base].Weights, Room: s.Models[base].Room}
 	adapters = slices.Clone(adapters)
 	slices.Sort(adapters)
 	for _, n := range slices.Compact(adapters) {
-		x.Adapters = append(x.Adapters, Load{n, s.Adapters[n].Build, s.Adapters[n].Room})
+		x.Adapters = append(x.Adapters, AdapterBuild{n, s.Adapters[n].Build, s.Adapters[n].Room})
 	}
 	return x
 }
 
-// Total is what a set takes of a worker's memory.
+// TotalRoom is the memory of a worker that a set takes, in MB.
 //
-// Example: mb := set.Total()
-func (x Set) Total() int {
+// Example: mb := set.TotalRoom()
+func (x Set) TotalRoom() int {
 	n := x.Room
 	for _, a := range x.Adapters {
 		n += a.Room
@@ -50,10 +50,11 @@
 	return n
 }
 
-// Sum tells sets apart: another version of the base or another build of an adapter is another set.
+// Fingerprint identifies a set: another version of the base or another build of an adapter is another
+// set.
 //
-// Example: if proof.Set != set.Sum() { proveAgain() }
-func (x Set) Sum() string {
+// Example: if proof.Set != set.Fingerprint() { proveAgain() }
+func (x Set) Fingerprint() string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%q %d", x.Base, x.Weights)
 	for _, a := range x.Adapters {
@@ -62,8 +63,9 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:8])
 }
 
-// held tells what a node holds of the set's base; nil: nothing, or another version of it.
-func (x Set) held(l []contract.Loaded) *contract.Loaded {
+// loadedBase returns the set's base as a node has it loaded; nil if it has none or another version of
+// it.
+func (x Set) loadedBase(l []contract.Loaded) *contract.Loaded {
 	for i := range l {
 		if l[i].Model == x.Base && l[i].Weights == x.Weights {
 			return &l[i]
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// lacking is the first adapter that a node hasn't got in the build that is due.
-func (x Set) lacking(l *contract.Loaded) *Load {
+// missingAdapter is the first adapter that a node lacks in the required build.
+func (x Set) missingAdapter(l *contract.Loaded) *AdapterBuild {
 	for i, a := range x.Adapters {
 		if l.Adapters[a.Name] != a.Build {
 			return &x.Adapters[i]
@@ -82,8 +84,8 @@
 	return nil
 }
 
-// depending names a service's adapters on a base.
-func depending(s *serviceconfig.Setup, service, base string) []string {
+// dependentAdapters lists a service's adapters on a base.
+func dependentAdapters(s *serviceconfig.Setup, service, base string) []string {
 	var l []string
 	for _, n := range queue.Keys(s.Adapters) {
 		if a := s.Adapters[n]; a.Base == base && slices.Contains(a.Services, service) {
@@ -93,17 +95,17 @@
 	return l
 }
 
-// sets are the old one and the new one of a retirement.
-func (r *Retirement) sets(s *serviceconfig.Setup) (was, next Set) {
+// oldAndNewSets are the sets before and after a retirement.
+func (r *Retirement) oldAndNewSets(s *serviceconfig.Setup) (was, next Set) {
 	var l []string
 	for _, n := range r.Replace {
 		l = append(l, n)
 	}
-	return SetOf(s, r.From, depending(s, r.Service, r.From)), SetOf(s, r.To, l)
+	return SetOf(s, r.From, dependentAdapters(s, r.Service, r.From)), SetOf(s, r.To, l)
 }
 
-// moves says where each of the service's routes that is answered on the old base is to go.
-func (r *Retirement) moves(s *serviceconfig.Setup) map[string]string {
+// routeMoves maps each of the service's routes on the old base to its new model or adapter.
+func (r *Retirement) routeMoves(s *serviceconfig.Setup) map[string]string {
 	m := map[string]string{}
 	for n, v := range s.Ways {
 		if v.Service != r.Service {
@@ -119,11 +121,11 @@
 	return m
 }
 
-// CheckSetup notes every fault that a retirement shows against the setup; each names the item and
-// what to do, before anything moves.
+// CheckConfig notes every fault of a retirement against the service configuration; each names the item
+// and the remedy, before anything moves.
 //
-// Example: r.CheckSetup(s, &b)
-func (r *Retirement) CheckSetup(s *serviceconfig.Setup, b *errs.Batch) {
+// Example: r.CheckConfig(config, &b)
+func (r *Retirement) CheckConfig(s *serviceconfig.Setup, b *errs.Batch) {
 	bad := func(f, format string, a ...any) { b.Fault(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
 	v, ok := s.Services[r.Service]
 	if !ok {
@@ -143,7 +145,7 @@
 			bad("service", "service %s has base model %s as well: hand it over first, so that one retirement holds for all its nodes", n, x.Model)
 		}
 	}
-	for _, n := range depending(s, r.Service, r.From) {
+	for _, n := range dependentAdapters(s, r.Service, r.From) {
 		if r.Replace[n] == "" {
 			bad("replace."+n, "adapter %s stands on %s and has no replacement: name the adapter that was built for %s", n, r.From, r.To)
 		}
@@ -180,7 +182,7 @@
 		taken[r.Replace[n]] = n
 	}
 	r.checkRoutes(s, bad)
-	was, next := r.sets(s)
+	was, next := r.oldAndNewSets(s)
 	for _, x := range []Set{was, next} {
 		if x.Room == 0 {
 			bad("models."+x.Base+".room", "missing: say what it takes of a worker's memory, in MB")
@@ -191,14 +193,14 @@
 			}
 		}
 	}
-	if need := was.Total() + next.Total(); v.Room < need {
+	if need := was.TotalRoom() + next.TotalRoom(); v.Room < need {
 		bad("services."+r.Service+".room", "%d MB a worker, and both sets take %d: give workers with that room, then say so there", v.Room, need)
 	}
 }
 
-// checkRoutes sees that no route is left with no model, also those of other services.
+// checkRoutes notes every route that would be left without a model, including those of other services.
 func (r *Retirement) checkRoutes(s *serviceconfig.Setup, bad func(f, format string, a ...any)) {
-	m := r.moves(s)
+	m := r.routeMoves(s)
 	for _, n := range queue.Keys(s.Ways) {
 		v := s.Ways[n]
 		if to, ok := m[n]; ok && to == "" {
--- a/internal/control/retire/retire_test.go
+++ b/internal/control/retire/retire_test.go
@@ -48,13 +48,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := plan()
+		r := newPlan()
 		if x.change != nil {
 			x.change(r)
 		}
 		var b errs.Batch
 		r.Check(&b)
-		r.CheckSetup(s, &b)
+		r.CheckConfig(s, &b)
 		err = b.Look()
 		if (err == nil) != (x.want == "") || err != nil && (!strings.Contains(err.Error(), x.want) || errs.KindOf(err) != errs.BadInput) {
 			t.Errorf("%s: %v\nwant %q", name, err, x.want)
@@ -65,12 +65,12 @@
 	if n := len(b.Lines()); n != 7 {
 		t.Errorf("%d faults: %v", n, b.Lines())
 	}
-	a, o := plan(), plan()
+	a, o := newPlan(), newPlan()
 	o.Name, o.Service, o.State = "other", "s9", Running
-	if err := a.Clash([]*Retirement{o}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) || !strings.Contains(err.Error(), `"other"`) {
+	if err := a.ConflictWith([]*Retirement{o}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) || !strings.Contains(err.Error(), `"other"`) {
 		t.Errorf("two retirements of one base: %v", err)
 	}
-	if o.State = Done; a.Clash([]*Retirement{o}) != nil {
+	if o.State = Done; a.ConflictWith([]*Retirement{o}) != nil {
 		t.Error("clashes with one that is over")
 	}
 }
@@ -90,23 +90,23 @@
 	}
 	grow(nil)
 	for _, p := range l {
-		r, past, over := plan(), false, ""
+		r, past, over := newPlan(), false, ""
 		for _, v := range p {
 			if v == "barrier" {
 				if r.State == Running {
-					r.note(Running, Drop, "")
+					r.transition(Running, Drop, "")
 					past = true
 				}
 				continue
 			}
 			was := r.clone()
-			err := r.Ask(v)
+			err := r.Request(v)
 			if err != nil && (r.State != was.State || r.Phase != was.Phase) {
 				t.Fatalf("%v: denied, yet it went from %s to %s", p, was.State, r.State)
 			}
 			once := r.clone()
 			if err == nil {
-				if err := r.Ask(v); err != nil || r.State != once.State || r.Phase != once.Phase || len(r.Log) != len(once.Log) {
+				if err := r.Request(v); err != nil || r.State != once.State || r.Phase != once.Phase || len(r.Log) != len(once.Log) {
 					t.Fatalf("%v: %s again: %v, %s after %s", p, v, err, r.State, once.State)
 				}
 			}
@@ -127,22 +127,22 @@
 }
 
 // calm is a fleet without troubles.
-func calm(t *testing.T) *fleet {
+func calmFleet(t *testing.T) *testFleet {
 	f := newFleet(t, 1, 0)
 	f.quiet, f.trouble = true, false
 	return f
 }
 
 // step makes one turn of a holder in the calm fleet; stop says after which of its effects it dies.
-func (f *fleet) step(p *Pacer, stop int) (effects int) {
-	r, s, version, at := f.doc.clone(), f.setup(), f.version, f.docAt
-	w := World{Clock: time.Duration(f.now) * time.Second, Version: at, Setup: s, Listed: true, Follow: time.Second}
+func (f *testFleet) step(p *Planner, stop int) (effects int) {
+	r, s, version, at := f.doc.clone(), f.config(), f.version, f.docAt
+	w := Observation{Clock: time.Duration(f.now) * time.Second, Version: at, Config: s, Listed: true, ConfigBound: time.Second}
 	for _, n := range f.nodes {
-		w.Nodes = append(w.Nodes, Node{Name: n.name, Life: n.life, Answers: n.up, Holds: n.says(), Loading: n.loading, Room: 130, Free: 130 - 60*len(n.holds)})
+		w.Nodes = append(w.Nodes, Node{Name: n.name, Incarnation: n.incarnation, Answers: n.up, Loaded: n.report(), Loading: n.loading, Room: 130, Free: 130 - 60*len(n.holds)})
 	}
 	next, acts, changed := p.Next(r, w)
 	for _, x := range acts {
-		var n *node
+		var n *testNode
 		for _, y := range f.nodes {
 			if y.name == x.Node {
 				n = y
@@ -151,15 +151,15 @@
 		switch {
 		case x.Patch != nil:
 			if f.patch(x.Patch, version) {
-				next.Patched()
+				next.RecordPatch()
 			}
 		case x.Order != nil:
 			if f.order(n, *x.Order, 1) && x.Order.Kind == "unload" {
-				next.Told(x.Node, x.Order.Incarnation)
+				next.RecordUnload(x.Node, x.Order.Incarnation)
 			}
 		default:
 			if f.prove(n, x) {
-				next.Proved(x.Node, x.Life, *x.Prove)
+				next.RecordProof(x.Node, x.Incarnation, *x.Prove)
 			}
 		}
 		changed = true
@@ -174,22 +174,22 @@
 	return effects
 }
 
-func (f *fleet) pass() {
-	for _, do := range f.mail[f.now] {
+func (f *testFleet) tick() {
+	for _, do := range f.inbox[f.now] {
 		do()
 	}
-	delete(f.mail, f.now)
+	delete(f.inbox, f.now)
 	f.now++
 }
 
 // A holder dies after any one effect of a whole retirement, or of one that is aborted late; the next one
 // goes on from what is written, ends it, and no invariant is hurt.
-func TestHoldersDieBetweenAnyTwoEffects(t *testing.T) {
+func TestHolderDiesBetweenAnyTwoEffects(t *testing.T) {
 	for _, abort := range []bool{false, true} {
 		whole := 0
 		for die := 1; ; die++ {
-			f, p, done := calm(t), NewPacer(), 0
-			if err := f.doc.Ask("start"); err != nil {
+			f, p, done := calmFleet(t), NewPlanner(), 0
+			if err := f.doc.Request("start"); err != nil {
 				t.Fatal(err)
 			}
 			for f.now < 3000 && f.doc.Active() {
@@ -199,17 +199,17 @@
 				}
 				n := f.step(p, stop)
 				if done += n; stop > 0 && n == stop {
-					p = NewPacer() // it died; another one takes over
+					p = NewPlanner() // it died; another one takes over
 				}
 				if abort && f.doc.Phase == Drain {
-					if err := f.doc.Ask("abort"); err != nil {
+					if err := f.doc.Request("abort"); err != nil {
 						t.Fatal(err)
 					}
 					f.docAt++
 				}
-				f.pass()
+				f.tick()
 			}
-			f.asBeforeIf(abort)
+			f.checkRevertedIf(abort)
 			want := map[bool]string{false: Done, true: Aborted}[abort]
 			if f.doc.State != want || len(f.faults) > 0 {
 				t.Fatalf("abort %v, death after effect %d: %s %s, %v\n%s", abort, die, f.doc.State, f.doc.Phase, f.faults, strings.Join(f.doc.Log, "\n"))
@@ -229,137 +229,137 @@
 	}
 }
 
-func (f *fleet) asBeforeIf(abort bool) {
+func (f *testFleet) checkRevertedIf(abort bool) {
 	if abort {
 		f.abortedAt = f.now
-		f.asBefore()
+		f.checkReverted()
 	}
 }
 
 // held runs a calm retirement until it stands still, and gives who holds it up.
-func held(f *fleet, p *Pacer, n int) []Hold {
+func blockersAfter(f *testFleet, p *Planner, n int) []Blocker {
 	for range n {
 		f.step(p, 0)
-		f.pass()
+		f.tick()
 	}
-	return f.doc.Holds
+	return f.doc.Blockers
 }
 
 // Who holds the barrier is named, with what to do; a node that the platform takes out of its list holds
 // it no more, and one that comes in late with old weights alone is caught up first.
-func TestWhoHoldsTheBarrierIsNamed(t *testing.T) {
-	f, p := calm(t), NewPacer()
-	if err := f.doc.Ask("start"); err != nil {
+func TestBlockersAreNamed(t *testing.T) {
+	f, p := calmFleet(t), NewPlanner()
+	if err := f.doc.Request("start"); err != nil {
 		t.Fatal(err)
 	}
 	f.nodes[3].up = false
-	if l := held(f, p, 200); len(l) != 1 || l[0].Node != "w3" || !l[0].Stuck || !strings.Contains(l[0].Remedy, "take it out of its list") || f.doc.Phase != LoadBase {
+	if l := blockersAfter(f, p, 200); len(l) != 1 || l[0].Node != "w3" || !l[0].Stuck || !strings.Contains(l[0].Remedy, "take it out of its list") || f.doc.Phase != LoadBase {
 		t.Fatalf("a silent node: %s, %+v", f.doc.Phase, l)
 	}
 	if !f.doc.Stuck() || !strings.Contains(f.doc.Progress(), "5 of 6 nodes ready") {
 		t.Errorf("%s", f.doc.Progress())
 	}
 	f.nodes[3].start(true)
-	f.nodes[3].boasts = true
-	held(f, p, 200)
-	if l := f.doc.Holds; f.doc.Phase != Prove || len(l) != 1 || l[0].Node != "w3" {
+	f.nodes[3].lies = true
+	blockersAfter(f, p, 200)
+	if l := f.doc.Blockers; f.doc.Phase != Prove || len(l) != 1 || l[0].Node != "w3" {
 		t.Fatalf("a boasting node: %s, %+v", f.doc.Phase, l)
 	}
 	f.nodes[3].start(true)
-	f.nodes[3].boasts = false
+	f.nodes[3].lies = false
 	for f.doc.Phase != Drop && f.now < 2000 {
-		held(f, p, 1)
+		blockersAfter(f, p, 1)
 	}
 	f.nodes[5].start(true) // it is replaced right after the barrier: old weights alone
-	if l := held(f, p, 2); f.doc.Phase != Drop || len(l) == 0 {
+	if l := blockersAfter(f, p, 2); f.doc.Phase != Drop || len(l) == 0 {
 		t.Fatalf("%s %+v", f.doc.Phase, l)
 	}
 	for f.doc.Active() && f.now < 3000 {
 		if _, both := f.nodes[5].holds["old"]; both && f.nodes[5].loading != "" {
-			for _, n := range f.doc.Going {
+			for _, n := range f.doc.Dropping {
 				if n == "w5" {
 					t.Fatal("a node that isn't caught up is told to drop the old base")
 				}
 			}
 		}
-		held(f, p, 1)
+		blockersAfter(f, p, 1)
 	}
 	if f.doc.State != Done || len(f.faults) > 0 {
-		t.Fatalf("%s %s %+v %v", f.doc.State, f.doc.Phase, f.doc.Holds, f.faults)
+		t.Fatalf("%s %s %+v %v", f.doc.State, f.doc.Phase, f.doc.Blockers, f.faults)
 	}
 }
 
 // The abort line: where more attempts fail than it allows, it goes back before the barrier and stops after it.
 func TestAbortLine(t *testing.T) {
-	f, p := calm(t), NewPacer()
-	r := plan()
-	if err := r.Ask("start"); err != nil {
+	f, p := calmFleet(t), NewPlanner()
+	r := newPlan()
+	if err := r.Request("start"); err != nil {
 		t.Fatal(err)
 	}
-	w := World{Setup: f.setup(), Listed: true, Nodes: []Node{{Name: "w"}}, Ok: 70, Bad: 30}
+	w := Observation{Config: f.config(), Listed: true, Nodes: []Node{{Name: "w"}}, Ok: 70, Failed: 30}
 	if x, _, ch := p.Next(r, w); !ch || x.State != Aborting || x.Phase != Settle || !strings.Contains(x.Why, "30 of 100 attempts failed") {
 		t.Errorf("%+v", x)
 	}
-	r.note(Running, Move, "")
+	r.transition(Running, Move, "")
 	if x, _, _ := p.Next(r, w); x.State != Aborting || x.Phase != Return {
 		t.Errorf("%+v", x)
 	}
-	r.note(Running, Drop, "")
+	r.transition(Running, Drop, "")
 	if x, _, _ := p.Next(r, w); x.State != Paused || x.Phase != Drop {
 		t.Errorf("%+v", x)
 	}
-	w.Ok, w.Bad = 99, 1
+	w.Ok, w.Failed = 99, 1
 	w.Listed = false
-	r.note(Running, Prove, "")
-	if x, acts, _ := p.Next(r, w); len(acts) > 0 || len(x.Holds) != 1 || x.Holds[0].Node != "platform" {
+	r.transition(Running, Prove, "")
+	if x, acts, _ := p.Next(r, w); len(acts) > 0 || len(x.Blockers) != 1 || x.Blockers[0].Node != "platform" {
 		t.Errorf("without the platform's list: %+v %v", x, acts)
 	}
 	w.Listed, w.Nodes = true, nil
-	if x, acts, _ := p.Next(r, w); len(acts) > 0 || len(x.Holds) != 1 {
+	if x, acts, _ := p.Next(r, w); len(acts) > 0 || len(x.Blockers) != 1 {
 		t.Errorf("without a node: %+v %v", x, acts)
 	}
 }
 
 // While nothing is retired a worker that came back empty, or with what was retired long ago, gets what
 // the setup names; a service without adapters is left alone.
-func TestKeep(t *testing.T) {
+func TestRepair(t *testing.T) {
 	s, err := serviceconfig.Read(first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	full := contract.Loaded{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1, "fare": 4}}
-	nodes := []Node{{Name: "a", Answers: true, Holds: []contract.Loaded{full}}, {Name: "b", Answers: true, Life: "b/2"},
-		{Name: "c", Answers: true, Holds: []contract.Loaded{{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1}}}}, {Name: "d"}, {Name: "e", Answers: true, Loading: "old"}}
+	nodes := []Node{{Name: "a", Answers: true, Loaded: []contract.Loaded{full}}, {Name: "b", Answers: true, Incarnation: "b/2"},
+		{Name: "c", Answers: true, Loaded: []contract.Loaded{{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1}}}}, {Name: "d"}, {Name: "e", Answers: true, Loading: "old"}}
 	got := ""
-	for _, x := range Keep(s, "s", nodes, []string{"old", "older"}) {
+	for _, x := range Repair(s, "s", nodes, []string{"old", "older"}) {
 		got += fmt.Sprintf("%s %s%s@%d ", x.Node, x.Order.Model, x.Order.Adapter, x.Order.Build)
 	}
 	if got != "b old@0 c oldfare@4 " {
 		t.Errorf("%q", got)
 	}
-	back := Node{Name: "f", Answers: true, Holds: []contract.Loaded{{Model: "older", Weights: 9}, full}}
-	if l := Keep(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "unload" || l[0].Order.Model != "older" {
+	back := Node{Name: "f", Answers: true, Loaded: []contract.Loaded{{Model: "older", Weights: 9}, full}}
+	if l := Repair(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "unload" || l[0].Order.Model != "older" {
 		t.Errorf("what was retired came back: %+v", l)
 	}
-	back.Holds = back.Holds[:1]
-	if l := Keep(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "load" {
+	back.Loaded = back.Loaded[:1]
+	if l := Repair(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "load" {
 		t.Errorf("it has that alone: %+v", l)
 	}
 	s.Models["older"], s.Ways["older"] = serviceconfig.Model{Weights: 9}, serviceconfig.Way{Service: "s"}
-	back.Holds = append(back.Holds, full)
-	if l := Keep(s, "s", []Node{back}, []string{"older"}); len(l) != 0 {
+	back.Loaded = append(back.Loaded, full)
+	if l := Repair(s, "s", []Node{back}, []string{"older"}); len(l) != 0 {
 		t.Errorf("a route leads there again: %+v", l)
 	}
 	s.Adapters = nil
-	if l := Keep(s, "s", nodes, nil); l != nil {
+	if l := Repair(s, "s", nodes, nil); l != nil {
 		t.Errorf("%v", l)
 	}
 }
 
 // A document reads back as it was written, and what it doesn't know is denied.
 func TestDocument(t *testing.T) {
-	r := plan()
-	r.Proved("w1", "life", SetOf(&serviceconfig.Setup{}, "new", nil))
+	r := newPlan()
+	r.RecordProof("w1", "life", SetOf(&serviceconfig.Setup{}, "new", nil))
 	b, err := r.Write()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/retire/retirement.go
+++ b/internal/control/retire/retirement.go
@@ -1,6 +1,6 @@
 // Package retire takes a base model out of use: every adapter that depends on it is loaded on the
 // new base and answers on every node before the old base leaves any of them. All of it is pure; the
-// holder of the service's duty carries it out.
+// holder of the service's lease carries it out.
 package retire
 
 import (
@@ -44,53 +44,53 @@
 
 var phases = []string{LoadBase, LoadAdapters, Prove, Move, Drain, Barrier, Drop, Finish}
 
-// Retirement is one base model's way out with how far it has come. It is one document of the control
-// state, so whoever takes the duty over goes on exactly where the last one stopped.
+// Retirement is the removal of one base model, with its progress. It is one document of the control
+// state, so the next holder of the lease resumes exactly where the last one stopped.
 type Retirement struct {
 	Name    string            `json:"name"`
 	Service string            `json:"service"`
 	From    string            `json:"from"`
 	To      string            `json:"to"`
 	Replace map[string]string `json:"replace"`            // adapter -> the one that was built for the new base
-	Shares  []int             `json:"shares,omitempty"`   // percent by percent, the last is 100
+	Shares  []int             `json:"shares,omitempty"`   // rising percents; the last is 100
 	SoakS   int               `json:"soak_s,omitempty"`   // how long each share is held
 	AtOnce  int               `json:"at_once,omitempty"`  // how many nodes load or drop together; 0: 1
 	AbortAt float64           `json:"abort_at,omitempty"` // abort when a larger share of attempts fails; 0: 0.2
 
-	State  string            `json:"state"`
-	Phase  string            `json:"phase,omitempty"`
-	Why    string            `json:"why,omitempty"`
-	Share  int               `json:"share"`            // index of the share in hand
-	Doing  bool              `json:"doing,omitempty"`  // the change of the setup that the phase makes has begun
-	Made   bool              `json:"made,omitempty"`   // and was acknowledged
-	Before map[string]string `json:"before,omitempty"` // route -> what answered it
-	Proofs map[string]Proof  `json:"proofs,omitempty"` // by node
-	Clean  map[string]string `json:"clean,omitempty"`  // node -> the life that was told to drop the new base
-	Going  []string          `json:"going,omitempty"`  // nodes that drop the old base now
-	Nodes  int               `json:"nodes,omitempty"`
-	Ready  int               `json:"ready,omitempty"` // nodes that hold nothing up
-	Holds  []Hold            `json:"holds,omitempty"`
-	Log    []string          `json:"log,omitempty"` // states and phases, oldest first
+	State         string            `json:"state"`
+	Phase         string            `json:"phase,omitempty"`
+	Why           string            `json:"why,omitempty"`
+	Share         int               `json:"share"`            // index of the current share
+	ChangeStarted bool              `json:"doing,omitempty"`  // the phase's change of the service configuration was started
+	ChangeAcked   bool              `json:"made,omitempty"`   // and acknowledged
+	PreviousUse   map[string]string `json:"before,omitempty"` // route -> the model or adapter that answered it
+	Proofs        map[string]Proof  `json:"proofs,omitempty"` // by node
+	Unloaded      map[string]string `json:"clean,omitempty"`  // node -> the incarnation that unloaded the new base
+	Dropping      []string          `json:"going,omitempty"`  // nodes that are unloading the old base
+	Nodes         int               `json:"nodes,omitempty"`
+	Ready         int               `json:"ready,omitempty"` // nodes that block nothing
+	Blockers      []Blocker         `json:"holds,omitempty"`
+	Log           []string          `json:"log,omitempty"` // states and phases, oldest first
 }
 
-// Proof is that a node's life answered under every set of weights.
+// Proof records that a node's incarnation answered under every set of weights.
 type Proof struct {
-	Life  string `json:"life"`
-	Set   string `json:"set"`
-	Round int    `json:"round"` // 1: before requests were moved, 2: at the barrier
+	Incarnation string `json:"life"`
+	Set         string `json:"set"`
+	Round       int    `json:"round"` // 1: before requests were moved, 2: at the barrier
 }
 
-// Hold is who holds a retirement up, and what to do about it.
-type Hold struct {
+// Blocker is a node that blocks a retirement, why, and the remedy.
+type Blocker struct {
 	Node   string `json:"node"`
 	Why    string `json:"why"`
 	Remedy string `json:"remedy"`
-	Stuck  bool   `json:"stuck,omitempty"` // the system can't bring it along by itself
+	Stuck  bool   `json:"stuck,omitempty"` // the system can't resolve it by itself
 }
 
 const (
-	maxLog   = 64
-	maxHolds = 16 // named; the others are counted by Nodes and Ready
+	maxLog      = 64
+	maxBlockers = 16 // listed; the others are counted by Nodes and Ready
 )
 
 // Key is the document that holds a retirement.
@@ -119,17 +119,19 @@
 	return b, errs.Wrap(err, "write retirement")
 }
 
-// Active tells whether a retirement still has a place among the service's plans.
+// Active reports whether a retirement hasn't ended.
 //
 // Example: if r.Active() { … }
 func (r *Retirement) Active() bool { return r.State != Done && r.State != Aborted }
 
-// Past tells whether the barrier is passed: the old base may have left a node.
+// PastBarrier reports whether the barrier is passed: the old base may have left a node.
 //
-// Example: if r.Past() { … }
-func (r *Retirement) Past() bool { return r.Phase == Drop || r.Phase == Finish || r.State == Done }
+// Example: if r.PastBarrier() { … }
+func (r *Retirement) PastBarrier() bool {
+	return r.Phase == Drop || r.Phase == Finish || r.State == Done
+}
 
-// Check notes every fault of a new retirement that it shows by itself.
+// Check notes every fault of a new retirement that shows without the service configuration.
 //
 // Example: r.Check(&b)
 func (r *Retirement) Check(b *errs.Batch) {
@@ -167,7 +169,7 @@
 // Clash says which of the other retirements can't stand beside this one; both are named.
 //
 // Example: if err := r.Clash(others); err != nil { return err }
-func (r *Retirement) Clash(others []*Retirement) error {
+func (r *Retirement) ConflictWith(others []*Retirement) error {
 	for _, o := range others {
 		if o.Name == r.Name && o.Service == r.Service || !o.Active() || !r.Active() {
 			continue
@@ -184,26 +186,26 @@
 	return nil
 }
 
-// Ask is what an operator asks of a retirement: start, pause, resume or abort. Asked again it changes
-// nothing. It changes the state alone; what follows from it is carried out by the duty's holder.
+// Request applies an operator's verb: start, pause, resume or abort. Repeating it changes nothing. It
+// changes the state alone; the lease's holder carries out what follows from it.
 //
-// Example: err := r.Ask("pause")
-func (r *Retirement) Ask(verb string) error {
+// Example: err := r.Request("pause")
+func (r *Retirement) Request(verb string) error {
 	switch {
 	case verb == "start" && r.State == Planned:
-		r.note(Running, LoadBase, "started by an operator")
+		r.transition(Running, LoadBase, "started by an operator")
 	case verb == "start" && r.State == Running:
 	case verb == "pause" && r.State == Running:
-		r.note(Paused, r.Phase, "by an operator")
+		r.transition(Paused, r.Phase, "by an operator")
 	case verb == "pause" && r.State == Paused:
 	case verb == "resume" && r.State == Paused:
-		r.note(Running, r.Phase, "")
+		r.transition(Running, r.Phase, "")
 	case verb == "resume" && r.State == Running:
-	case verb == "abort" && r.Past():
+	case verb == "abort" && r.PastBarrier():
 		return errs.New(errs.Conflict, "retirement %q has passed its barrier: old weights may have gone: let it end, then retire %s in favour of %s", r.Name, r.To, r.From)
 	case verb == "abort" && (r.State == Aborting || r.State == Aborted):
 	case verb == "abort" && r.State == Planned:
-		r.note(Aborted, "", "before it began")
+		r.transition(Aborted, "", "before it began")
 	case verb == "abort":
 		r.abort("by an operator")
 	case verb == "start" || verb == "pause" || verb == "resume":
@@ -214,29 +216,29 @@
 	return nil
 }
 
-// abort takes back what was done: requests first, if any may have been moved.
+// abort starts to revert what was done: routes first, if any may have been moved.
 func (r *Retirement) abort(why string) {
 	first := Settle
 	if i := slices.Index(phases, r.Phase); i >= slices.Index(phases, Move) {
 		first = Return
 	}
-	r.Doing, r.Made, r.Clean = false, false, nil
-	r.note(Aborting, first, why)
+	r.ChangeStarted, r.ChangeAcked, r.Unloaded = false, false, nil
+	r.transition(Aborting, first, why)
 }
 
-// note goes to a state and a phase, and writes that into the history.
-func (r *Retirement) note(state, phase, why string) {
+// transition enters a state and a phase, and appends them to the history.
+func (r *Retirement) transition(state, phase, why string) {
 	if r.State != state || r.Phase != phase {
 		r.Log = append(r.Log, strings.TrimSpace(strings.TrimSuffix(state+" "+phase+": "+why, ": ")))
 		r.Log = r.Log[max(0, len(r.Log)-maxLog):]
 	}
-	r.State, r.Phase, r.Why, r.Holds = state, phase, why, nil
+	r.State, r.Phase, r.Why, r.Blockers = state, phase, why, nil
 }
 
 func (r *Retirement) clone() *Retirement {
 	c := *r
-	c.Before, c.Proofs, c.Clean = maps.Clone(r.Before), maps.Clone(r.Proofs), maps.Clone(r.Clean)
-	c.Going, c.Holds, c.Log = slices.Clone(r.Going), slices.Clone(r.Holds), slices.Clone(r.Log)
+	c.PreviousUse, c.Proofs, c.Unloaded = maps.Clone(r.PreviousUse), maps.Clone(r.Proofs), maps.Clone(r.Unloaded)
+	c.Dropping, c.Blockers, c.Log = slices.Clone(r.Dropping), slices.Clone(r.Blockers), slices.Clone(r.Log)
 	return &c
 }
 
@@ -249,7 +251,7 @@
 	return r.Shares
 }
 
-// Progress tells how far it has come, for people.
+// Progress describes how far it has come, for people.
 //
 // Example: fmt.Println(r.Progress())
 func (r *Retirement) Progress() string {
@@ -271,9 +273,9 @@
 	return s
 }
 
-// Stuck tells whether somebody holds it up whom the system can't bring along by itself.
+// Stuck reports whether a blocker needs an operator.
 //
 // Example: if r.Stuck() { lookIntoIt() }
 func (r *Retirement) Stuck() bool {
-	return r.Active() && slices.ContainsFunc(r.Holds, func(h Hold) bool { return h.Stuck })
+	return r.Active() && slices.ContainsFunc(r.Blockers, func(h Blocker) bool { return h.Stuck })
 }
--- a/internal/control/retire/sim_test.go
+++ b/internal/control/retire/sim_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-func newFleet(t testing.TB, seed uint64, plant int) *fleet {
-	f := &fleet{t: t, r: rand.New(rand.NewPCG(seed, 5)), mail: map[int][]func(){}, body: first, version: 1, doc: plan(), docAt: 1, pacers: []*Pacer{NewPacer(), NewPacer(), NewPacer()},
-		plant: plant, trouble: plant == 0 || plant == 5, holder: -1}
+func newFleet(t testing.TB, seed uint64, plant int) *testFleet {
+	f := &testFleet{t: t, r: rand.New(rand.NewPCG(seed, 5)), inbox: map[int][]func(){}, body: first, version: 1, doc: newPlan(), docAt: 1, planners: []*Planner{NewPlanner(), NewPlanner(), NewPlanner()},
+		planted: plant, trouble: plant == 0 || plant == 5, holder: -1}
 	for i := range 6 {
-		n := &node{name: fmt.Sprint("w", i), listed: true, answered: map[string]bool{}, boasts: plant == 2}
+		n := &testNode{name: fmt.Sprint("w", i), listed: true, answered: map[string]bool{}, lies: plant == 2}
 		n.start(true)
 		f.nodes = append(f.nodes, n)
 	}
@@ -21,7 +21,7 @@
 }
 
 // run plays one seed to its end. Without a retirement it is the same fleet under the same troubles.
-func run(t testing.TB, seed uint64, plant int, with bool) *fleet {
+func run(t testing.TB, seed uint64, plant int, with bool) *testFleet {
 	f := newFleet(t, seed, plant)
 	luck := rand.New(rand.NewPCG(seed, 9)) // of troubles and requests: the same with and without
 	people := rand.New(rand.NewPCG(seed, 11))
@@ -32,18 +32,18 @@
 	for f.now = 0; f.now < 2400; f.now++ {
 		f.quiet = f.now > 900
 		f.trouble = f.trouble && !f.quiet
-		f.past = append(f.past, f.body)
-		for _, do := range f.mail[f.now] {
+		f.configHistory = append(f.configHistory, f.body)
+		for _, do := range f.inbox[f.now] {
 			do()
 		}
-		delete(f.mail, f.now)
+		delete(f.inbox, f.now)
 		if f.trouble {
-			f.befall(luck)
+			f.injectFaults(luck)
 		} else {
 			for _, n := range f.nodes {
 				if n.listed && (!n.up || len(n.fake) > 0) && plant != 2 { // the platform replaces whoever is down or boasts
 					n.start(true)
-					n.boasts = false
+					n.lies = false
 				}
 			}
 		}
@@ -54,16 +54,16 @@
 				f.patch([]byte(`{"ways":{"rare":{"use":"rare-2"}}}`), f.version)
 			}
 			if f.now%3 == 0 {
-				f.look(f.r.IntN(3))
+				f.holderStep(f.r.IntN(3))
 			}
 			if f.doc.State == Aborted {
-				f.asBefore()
+				f.checkReverted()
 			}
 		}
 		if f.now < 1800 && f.now%2 == 0 {
 			q := &request{id: fmt.Sprint("r", f.now), route: []string{"old", "rare", "fare"}[luck.IntN(3)], until: f.now + wait}
 			f.all = append(f.all, q)
-			f.ask(q)
+			f.sendRequest(q)
 		}
 		if with && !f.doc.Active() && f.now > 1900 {
 			break
@@ -78,27 +78,27 @@
 		}
 	}
 	if with && f.doc.Active() {
-		f.fault(0, "it never ended: %s %s, held by %v", f.doc.State, f.doc.Progress(), f.doc.Holds)
+		f.fault(0, "it never ended: %s %s, held by %v", f.doc.State, f.doc.Progress(), f.doc.Blockers)
 	}
 	return f
 }
 
 // befall brings troubles: nodes die, come back with the old set or empty, are replaced, join; two at most
 // are away or behind at once, as capacity planning has it.
-func (f *fleet) befall(luck *rand.Rand) {
+func (f *testFleet) injectFaults(luck *rand.Rand) {
 	away := 0
 	for _, n := range f.nodes {
-		if !n.up || f.doc.Phase != "" && f.doc.Phase != LoadBase && len(n.holds) < 2 && f.doc.State == Running && !f.doc.Past() || len(n.holds) == 0 {
+		if !n.up || f.doc.Phase != "" && f.doc.Phase != LoadBase && len(n.holds) < 2 && f.doc.State == Running && !f.doc.PastBarrier() || len(n.holds) == 0 {
 			away++
 		}
 	}
 	n, what, empty, b := f.nodes[luck.IntN(len(f.nodes))], luck.IntN(200), luck.IntN(3) == 0, luck.IntN(4) == 0
 	switch {
 	case what == 0 && away < 2 && n.up: // it dies
-		n.up, n.life = false, n.life+"x"
+		n.up, n.incarnation = false, n.incarnation+"x"
 	case what <= 4 && !n.up && n.listed: // it is back, perhaps empty
 		n.start(!empty)
-		n.boasts = b
+		n.lies = b
 	case what == 5 && !n.up: // the platform takes it out of its list for a while
 		n.listed = false
 	case what <= 8 && !n.listed:
@@ -112,7 +112,7 @@
 }
 
 // lease: one holder at a time; the next gets it a while after the last has stopped to count on it.
-func (f *fleet) lease(luck *rand.Rand) {
+func (f *testFleet) lease(luck *rand.Rand) {
 	if f.now < f.leased {
 		if f.trouble && luck.IntN(80) == 0 {
 			f.leased = f.now // it stops
@@ -122,14 +122,14 @@
 	if f.now > f.leased+5 {
 		if h := luck.IntN(3); h != f.holder {
 			f.holder, f.fence = h, f.fence+1
-			f.pacers[h] = NewPacer()
+			f.planners[h] = NewPlanner()
 		}
 		f.leased = f.now + 60
 	}
 }
 
 // operate: two operators start, pause, resume and abort, each on what it has read a while ago.
-func (f *fleet) operate(luck *rand.Rand, abortAt int) {
+func (f *testFleet) operate(luck *rand.Rand, abortAt int) {
 	verb := ""
 	switch x := luck.IntN(120); {
 	case f.now == 20 || f.now == 22 || f.quiet && f.doc.State == Planned:
@@ -145,12 +145,12 @@
 		return
 	}
 	r, at := f.doc.clone(), f.docAt
-	if r.Ask(verb) != nil {
+	if r.Request(verb) != nil {
 		return
 	}
-	f.later(3, func() {
+	f.deliver(3, func() {
 		if !f.put(r, at, 0) && (verb == "abort" || verb == "start") { // it crossed with a step: made again on what is there
-			if r, at := f.doc.clone(), f.docAt; r.Ask(verb) == nil {
+			if r, at := f.doc.clone(), f.docAt; r.Request(verb) == nil {
 				f.put(r, at, 0)
 			}
 		}
@@ -158,11 +158,11 @@
 }
 
 // asBefore: once it is aborted the setup is what it was, and no node that answers has the new base, nor gets it later.
-func (f *fleet) asBefore() {
+func (f *testFleet) checkReverted() {
 	if f.abortedAt == 0 {
 		return
 	}
-	s, o := f.setup(), first
+	s, o := f.config(), first
 	s.WaitMaxMs = 0
 	for n, v := range s.Ways {
 		if v.Move != "" || v.Moved != 0 || n != "fare" && v.Use != "" || n == "fare" && v.Use != "fare" {
--- a/internal/control/retire/size_test.go
+++ b/internal/control/retire/size_test.go
@@ -10,7 +10,7 @@
 )
 
 // crowd is a service of so many nodes and adapters, each node ready up to its proof.
-func crowd(nodes, adapters int) (*Retirement, World) {
+func largeService(nodes, adapters int) (*Retirement, Observation) {
 	s := &serviceconfig.Setup{Models: map[string]serviceconfig.Model{"old": {Weights: 1, Room: 50}, "new": {Weights: 1, Room: 50}}, Adapters: map[string]serviceconfig.Adapter{},
 		Services: map[string]serviceconfig.Service{"s": {Model: "old", Room: 1000}}, Ways: map[string]serviceconfig.Way{"old": {Service: "s"}}}
 	r := &Retirement{Name: "spring", Service: "s", From: "old", To: "new", Replace: map[string]string{}, AtOnce: max(1, nodes/20), State: Running, Phase: Prove}
@@ -22,25 +22,25 @@
 		s.Ways[n] = serviceconfig.Way{Service: "s"}
 		r.Replace[n], was[n], next[n+"-2"] = n+"-2", 1, 1
 	}
-	w := World{Clock: time.Hour, Version: 7, Setup: s, Listed: true, Follow: time.Second}
+	w := Observation{Clock: time.Hour, Version: 7, Config: s, Listed: true, ConfigBound: time.Second}
 	for i := range nodes {
 		name := fmt.Sprintf("worker-%03d", i)
-		w.Nodes = append(w.Nodes, Node{Name: name, Life: name + "/18a3b2c4d5e6f708", Answers: true,
-			Holds: []contract.Loaded{{Model: "old", Weights: 1, Adapters: was}, {Model: "new", Weights: 1, Adapters: next}}})
+		w.Nodes = append(w.Nodes, Node{Name: name, Incarnation: name + "/18a3b2c4d5e6f708", Answers: true,
+			Loaded: []contract.Loaded{{Model: "old", Weights: 1, Adapters: was}, {Model: "new", Weights: 1, Adapters: next}}})
 	}
 	return r, w
 }
 
 // Documents stay well under what a part's state may hold, at the size that is looked towards.
 func TestDocumentsAreBounded(t *testing.T) {
-	r, w := crowd(710, 35)
-	_, next := r.sets(w.Setup)
+	r, w := largeService(710, 35)
+	_, next := r.oldAndNewSets(w.Config)
 	for _, n := range w.Nodes {
-		r.Proved(n.Name, n.Life, next)
+		r.RecordProof(n.Name, n.Incarnation, next)
 	}
 	for range 3 * maxLog {
-		r.note(Paused, r.Phase, "by an operator")
-		r.note(Running, r.Phase, "")
+		r.transition(Paused, r.Phase, "by an operator")
+		r.transition(Running, r.Phase, "")
 	}
 	b, err := r.Write()
 	if err != nil || len(b) > 256<<10 || len(r.Log) > maxLog {
@@ -53,10 +53,10 @@
 	for _, n := range []int{18, 90, 355, 710} {
 		for _, a := range []int{2, 35} {
 			b.Run(fmt.Sprintf("nodes=%d/adapters=%d", n, a), func(b *testing.B) {
-				r, w := crowd(n, a)
-				_, next := r.sets(w.Setup)
+				r, w := largeService(n, a)
+				_, next := r.oldAndNewSets(w.Config)
 				for _, x := range w.Nodes[1:] {
-					r.Proved(x.Name, x.Life, next)
+					r.RecordProof(x.Name, x.Incarnation, next)
 				}
 				body, err := r.Write()
 				if err != nil {
@@ -64,7 +64,7 @@
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, acts, _ := NewPacer().Next(r, w); len(acts) != 1 {
+					if _, acts, _ := NewPlanner().Next(r, w); len(acts) != 1 {
 						b.Fatalf("%d acts", len(acts))
 					}
 				}
--- a/internal/control/retire/world_test.go
+++ b/internal/control/retire/world_test.go
@@ -24,41 +24,41 @@
  "rare-2":{"base":"new","build":1,"room":5,"services":["s"]},"fare-2":{"base":"new","build":2,"room":5,"services":["s"]}},
  "services":{"s":{"model":"old","room":130}},"ways":{"old":{"service":"s"},"rare":{"service":"s"},"fare":{"service":"s","use":"fare"}}}`)
 
-func plan() *Retirement {
+func newPlan() *Retirement {
 	return &Retirement{Name: "spring", Service: "s", From: "old", To: "new", Replace: map[string]string{"rare": "rare-2", "fare": "fare-2"},
 		Shares: []int{30, 100}, SoakS: 1, AtOnce: 2, State: Planned}
 }
 
 // node is a worker as it really is.
-type node struct {
-	name, life string
-	up, listed bool
-	born       int
-	holds      map[string]contract.Loaded
-	loading    string
-	fence      uint64
-	steps      map[string]uint64
-	boasts     bool // it says that it holds what it was told to load, and doesn't
-	fake       map[string]bool
-	answered   map[string]bool // life, set and adapter
+type testNode struct {
+	name, incarnation string
+	up, listed        bool
+	starts            int
+	holds             map[string]contract.Loaded
+	loading           string
+	fence             uint64
+	steps             map[string]uint64
+	lies              bool // it says that it holds what it was told to load, and doesn't
+	fake              map[string]bool
+	answered          map[string]bool // life, set and adapter
 }
 
-func (n *node) start(old bool) {
-	n.born++
-	n.life, n.up, n.loading, n.steps, n.fake, n.fence = fmt.Sprint(n.name, "/", n.born), true, "", map[string]uint64{}, map[string]bool{}, 0
+func (n *testNode) start(old bool) {
+	n.starts++
+	n.incarnation, n.up, n.loading, n.steps, n.fake, n.fence = fmt.Sprint(n.name, "/", n.starts), true, "", map[string]uint64{}, map[string]bool{}, 0
 	n.holds = map[string]contract.Loaded{}
 	if old {
 		n.holds["old"] = contract.Loaded{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1, "fare": 4}}
 	}
 }
 
-func (n *node) has(t serviceconfig.Target) bool {
+func (n *testNode) has(t serviceconfig.Target) bool {
 	l, ok := n.holds[t.Model]
 	return ok && l.Weights == t.Weights && (t.Adapter == "" || l.Adapters[t.Adapter] == t.Build && !n.fake[t.Adapter])
 }
 
 // says is what it tells of itself; a boasting one tells more than is true, which fake notes.
-func (n *node) says() []contract.Loaded {
+func (n *testNode) report() []contract.Loaded {
 	var l []contract.Loaded
 	for _, k := range queue.Keys(n.holds) {
 		x := n.holds[k]
@@ -79,37 +79,37 @@
 
 // fleet is the whole world of the simulation; everything happens in ticks, and whatever is sent
 // lands later, or never.
-type fleet struct {
-	t         testing.TB
-	r         *rand.Rand
-	now       int
-	mail      map[int][]func()
-	body      []byte
-	version   uint64
-	past      [][]byte // the setup by tick, for dispatchers that are behind
-	doc       *Retirement
-	docAt     uint64
-	fence     uint64
-	holder    int
-	leased    int // until then
-	pacers    []*Pacer
-	nodes     []*node
-	all       []*request
-	faults    []string
-	plant     int // the invariant that is broken on purpose
-	quiet     bool
-	trouble   bool // troubles still come
-	late      int
-	abortedAt int
+type testFleet struct {
+	t             testing.TB
+	r             *rand.Rand
+	now           int
+	inbox         map[int][]func()
+	body          []byte
+	version       uint64
+	configHistory [][]byte // the setup by tick, for dispatchers that are behind
+	doc           *Retirement
+	docAt         uint64
+	fence         uint64
+	holder        int
+	leased        int // until then
+	planners      []*Planner
+	nodes         []*testNode
+	all           []*request
+	faults        []string
+	planted       int // the invariant that is broken on purpose
+	quiet         bool
+	trouble       bool // troubles still come
+	late          int
+	abortedAt     int
 }
 
-func (f *fleet) fault(invariant int, format string, a ...any) {
+func (f *testFleet) fault(invariant int, format string, a ...any) {
 	if len(f.faults) < 5 {
 		f.faults = append(f.faults, fmt.Sprintf("(%d) tick %d: ", invariant, f.now)+fmt.Sprintf(format, a...))
 	}
 }
 
-func (f *fleet) later(max int, do func()) {
+func (f *testFleet) deliver(max int, do func()) {
 	if f.trouble && f.r.IntN(30) == 0 {
 		return // lost
 	}
@@ -117,10 +117,10 @@
 	if f.trouble && f.r.IntN(15) == 0 {
 		at += f.r.IntN(60) // very late
 	}
-	f.mail[at] = append(f.mail[at], do)
+	f.inbox[at] = append(f.inbox[at], do)
 }
 
-func (f *fleet) setup() *serviceconfig.Setup {
+func (f *testFleet) config() *serviceconfig.Setup {
 	s, err := serviceconfig.Read(f.body)
 	if err != nil {
 		f.t.Fatal(err)
@@ -128,7 +128,7 @@
 	return s
 }
 
-func (f *fleet) patch(b []byte, version uint64) bool {
+func (f *testFleet) patch(b []byte, version uint64) bool {
 	if version != f.version {
 		return false
 	}
@@ -141,13 +141,13 @@
 }
 
 // put writes the retirement onto the version it was read at, by a holder under its fence or by an operator.
-func (f *fleet) put(r *Retirement, version, fence uint64) bool {
+func (f *testFleet) put(r *Retirement, version, fence uint64) bool {
 	if version != f.docAt || fence != 0 && fence != f.fence {
 		return false
 	}
 	was := f.doc
 	f.doc, f.docAt = r.clone(), f.docAt+1
-	if !was.Past() && r.Past() {
+	if !was.PastBarrier() && r.PastBarrier() {
 		f.barrier()
 	}
 	if was.State != Aborted && r.State == Aborted && was.State != Planned {
@@ -157,26 +157,26 @@
 }
 
 // barrier: every node that was listed has truly answered in the life that is written down.
-func (f *fleet) barrier() {
-	set := SetOf(f.setup(), "new", []string{"rare-2", "fare-2"})
+func (f *testFleet) barrier() {
+	set := SetOf(f.config(), "new", []string{"rare-2", "fare-2"})
 	for _, n := range f.nodes {
-		if !n.listed || n.up && n.born > 1 && f.doc.Proofs[n.name].Life != n.life && !f.quiet {
+		if !n.listed || n.up && n.starts > 1 && f.doc.Proofs[n.name].Incarnation != n.incarnation && !f.quiet {
 			continue // it came back, or came in, after the holder looked: it is caught up first
 		}
-		for _, a := range append([]Load{{}}, set.Adapters...) {
-			if p := f.doc.Proofs[n.name]; !n.answered[p.Life+set.Sum()+a.Name] {
-				f.fault(2, "the barrier is passed, and %s hasn't answered under %q in life %q", n.name, a.Name, p.Life)
+		for _, a := range append([]AdapterBuild{{}}, set.Adapters...) {
+			if p := f.doc.Proofs[n.name]; !n.answered[p.Incarnation+set.Fingerprint()+a.Name] {
+				f.fault(2, "the barrier is passed, and %s hasn't answered under %q in life %q", n.name, a.Name, p.Incarnation)
 			}
 		}
 	}
 }
 
-func (f *fleet) order(n *node, o contract.Order, fence uint64) bool {
-	if !n.up || o.Incarnation != n.life || fence < n.fence {
+func (f *testFleet) order(n *testNode, o contract.Order, fence uint64) bool {
+	if !n.up || o.Incarnation != n.incarnation || fence < n.fence {
 		return false
 	}
 	n.fence = fence
-	if o.Step < n.steps[o.Plan] && f.plant != 5 {
+	if o.Step < n.steps[o.Plan] && f.planted != 5 {
 		return false
 	}
 	n.steps[o.Plan] = o.Step
@@ -186,7 +186,7 @@
 		if l.Busy > 0 {
 			return false
 		}
-		if o.Model == "old" && have && !f.doc.Past() {
+		if o.Model == "old" && have && !f.doc.PastBarrier() {
 			f.fault(1, "%s drops the old base, the retirement is in %s", n.name, f.doc.Phase)
 		}
 		delete(n.holds, o.Model)
@@ -194,10 +194,10 @@
 	case n.loading != "":
 		return false
 	case o.Adapter == "" && l.Weights != o.Weights, o.Adapter != "" && have && l.Adapters[o.Adapter] != o.Build:
-		life, key := n.life, o.Model+"/"+o.Adapter
+		incarnation, key := n.incarnation, o.Model+"/"+o.Adapter
 		n.loading = key
 		done := func() {
-			if n.life != life || n.loading != key {
+			if n.incarnation != incarnation || n.loading != key {
 				return
 			}
 			n.loading = ""
@@ -210,79 +210,79 @@
 			default:
 				x.Adapters = maps.Clone(x.Adapters)
 				x.Adapters[o.Adapter] = o.Build
-				if n.boasts {
+				if n.lies {
 					n.fake[o.Adapter] = true
 				}
 			}
 			n.holds[o.Model] = x
 		}
-		f.mail[f.now+5] = append(f.mail[f.now+5], done)
+		f.inbox[f.now+5] = append(f.inbox[f.now+5], done)
 	}
 	return true
 }
 
 // look is a holder's turn: read the setup, the retirement, the nodes; act; write. It may stall or die
 // between any two of these, and what it has sent lands all the same.
-func (f *fleet) look(h int) {
+func (f *testFleet) holderStep(h int) {
 	dies := func() bool { return f.trouble && f.r.IntN(25) == 0 }
 	if f.holder != h || f.now >= f.leased {
 		return
 	}
-	fence, s, version := f.fence, f.setup(), f.version
-	f.later(2, func() {
+	fence, s, version := f.fence, f.config(), f.version
+	f.deliver(2, func() {
 		if dies() {
-			f.pacers[h] = NewPacer()
+			f.planners[h] = NewPlanner()
 			return
 		}
 		r, at := f.doc.clone(), f.docAt
-		f.later(2, func() {
-			w := World{Clock: time.Duration(f.now) * tick, Version: at, Setup: s, Listed: f.r.IntN(20) > 0, Follow: follow * tick}
-			by := map[string]*node{}
+		f.deliver(2, func() {
+			w := Observation{Clock: time.Duration(f.now) * tick, Version: at, Config: s, Listed: f.r.IntN(20) > 0, ConfigBound: follow * tick}
+			by := map[string]*testNode{}
 			for _, n := range f.nodes {
 				if n.listed {
 					by[n.name] = n
 					x := Node{Name: n.name}
 					if n.up {
-						x = Node{Name: n.name, Life: n.life, Answers: true, Holds: n.says(), Loading: n.loading, Room: 130, Free: 130 - 60*len(n.holds)}
+						x = Node{Name: n.name, Incarnation: n.incarnation, Answers: true, Loaded: n.report(), Loading: n.loading, Room: 130, Free: 130 - 60*len(n.holds)}
 					}
 					w.Nodes = append(w.Nodes, x)
 				}
 			}
-			next, acts, changed := f.pacers[h].Next(r, w)
-			if f.plant == 1 && r.Phase == Drain {
-				acts = append(acts, Act{Node: w.Nodes[0].Name, Order: &contract.Order{Kind: "unload", Model: "old", Incarnation: w.Nodes[0].Life, Step: at, Plan: "x"}})
+			next, acts, changed := f.planners[h].Next(r, w)
+			if f.planted == 1 && r.Phase == Drain {
+				acts = append(acts, Action{Node: w.Nodes[0].Name, Order: &contract.Order{Kind: "unload", Model: "old", Incarnation: w.Nodes[0].Incarnation, Step: at, Plan: "x"}})
 			}
 			acked := false
 			for _, x := range acts {
 				if f.holder != h || f.now >= f.leased || dies() {
-					f.pacers[h] = NewPacer()
+					f.planners[h] = NewPlanner()
 					return
 				}
-				f.later(2, func() {
+				f.deliver(2, func() {
 					switch {
 					case x.Patch != nil:
-						if f.plant == 5 && r.State == Aborting || f.patch(x.Patch, version) {
-							next.Patched()
+						if f.planted == 5 && r.State == Aborting || f.patch(x.Patch, version) {
+							next.RecordPatch()
 							acked = true
 						}
 					case x.Order != nil:
 						if f.order(by[x.Node], *x.Order, fence) && x.Order.Kind == "unload" {
-							next.Told(x.Node, x.Order.Incarnation)
+							next.RecordUnload(x.Node, x.Order.Incarnation)
 							acked = true
 						}
 					default:
 						if f.prove(by[x.Node], x) {
-							next.Proved(x.Node, x.Life, *x.Prove)
+							next.RecordProof(x.Node, x.Incarnation, *x.Prove)
 							acked = true
 						} else {
-							f.pacers[h].Unproved(x.Node, "adapter")
+							f.planners[h].RecordFailedProof(x.Node, "adapter")
 						}
 					}
 				})
 			}
-			f.later(4, func() {
+			f.deliver(4, func() {
 				if dies() {
-					f.pacers[h] = NewPacer()
+					f.planners[h] = NewPlanner()
 				} else if changed || acked {
 					f.put(next, at, fence)
 				}
@@ -291,11 +291,11 @@
 	})
 }
 
-func (f *fleet) prove(n *node, x Act) bool {
-	for _, a := range append([]Load{{}}, x.Prove.Adapters...) {
-		if n.up && n.life == x.Life && n.has(serviceconfig.Target{Model: x.Prove.Base, Weights: x.Prove.Weights, Adapter: a.Name, Build: a.Build}) {
-			n.answered[n.life+x.Prove.Sum()+a.Name] = true
-		} else if f.plant != 2 { // else its word is taken
+func (f *testFleet) prove(n *testNode, x Action) bool {
+	for _, a := range append([]AdapterBuild{{}}, x.Prove.Adapters...) {
+		if n.up && n.incarnation == x.Incarnation && n.has(serviceconfig.Target{Model: x.Prove.Base, Weights: x.Prove.Weights, Adapter: a.Name, Build: a.Build}) {
+			n.answered[n.incarnation+x.Prove.Fingerprint()+a.Name] = true
+		} else if f.planted != 2 { // else its word is taken
 			return false
 		}
 	}
@@ -304,31 +304,31 @@
 
 // ask sends a request: a dispatcher follows a setup that may be old, sees what nodes said a while ago,
 // and tries another where one proves that it didn't run.
-func (f *fleet) ask(q *request) {
+func (f *testFleet) sendRequest(q *request) {
 	if f.now >= q.until {
 		return
 	}
 	lag := f.r.IntN(follow)
-	s, err := serviceconfig.Read(f.past[max(0, len(f.past)-1-lag)])
+	s, err := serviceconfig.Read(f.configHistory[max(0, len(f.configHistory)-1-lag)])
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	to, _ := s.Target(q.route, q.id)
-	var l []*node
+	var l []*testNode
 	for _, n := range f.nodes {
-		if n.listed && n.up && slices.ContainsFunc(n.says(), func(x contract.Loaded) bool {
+		if n.listed && n.up && slices.ContainsFunc(n.report(), func(x contract.Loaded) bool {
 			return x.Model == to.Model && (to.Adapter == "" || x.Adapters[to.Adapter] == to.Build)
 		}) {
 			l = append(l, n)
 		}
 	}
-	again := func() { f.mail[f.now+2] = append(f.mail[f.now+2], func() { f.ask(q) }) }
+	again := func() { f.inbox[f.now+2] = append(f.inbox[f.now+2], func() { f.sendRequest(q) }) }
 	if len(l) == 0 {
 		again()
 		return
 	}
 	n := l[f.r.IntN(len(l))]
-	f.mail[f.now+1] = append(f.mail[f.now+1], func() {
+	f.inbox[f.now+1] = append(f.inbox[f.now+1], func() {
 		if !n.up || !n.has(to) {
 			again() // the worker's word, or a connection that wasn't made: it didn't run
 			return
@@ -336,9 +336,9 @@
 		x := n.holds[to.Model]
 		x.Busy++
 		n.holds[to.Model] = x
-		life := n.life
-		f.mail[f.now+3] = append(f.mail[f.now+3], func() {
-			if n.life != life {
+		incarnation := n.incarnation
+		f.inbox[f.now+3] = append(f.inbox[f.now+3], func() {
+			if n.incarnation != incarnation {
 				return // it died: the stream is broken
 			}
 			y, ok := n.holds[to.Model]
@@ -349,9 +349,9 @@
 			y.Busy--
 			n.holds[to.Model] = y
 			q.answers++
-			if f.plant == 3 && q.tried == 0 {
+			if f.planted == 3 && q.tried == 0 {
 				q.tried++
-				f.ask(q)
+				f.sendRequest(q)
 			}
 		})
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,48 +21,48 @@
 )
 
 // Life is one running program.
-type Life struct {
-	World
+type Process struct {
+	Environment
 	Ctx   context.Context // ends when the program stops
 	Log   hclog.Logger
 	Place settings.Place
 	Ready atomic.Bool
 	Meter *Meter
 	// Draining is closed when SIGTERM came: finish what runs, take nothing new.
-	Draining chan struct{}
-	end      context.CancelFunc
-	wg       sync.WaitGroup
-	servers  []*http.Server
-	told     []func(settings.Place)
-	leaving  []func(context.Context)
-	mu       sync.Mutex
+	Draining          chan struct{}
+	cancel            context.CancelFunc
+	wg                sync.WaitGroup
+	servers           []*http.Server
+	settingsListeners []func(settings.Place)
+	shutdownHooks     []func(context.Context)
+	mu                sync.Mutex
 }
 
 // Told notes who wants to hear of settings that have changed while the program runs.
 //
 // Example: l.Told(func(p settings.Place) { ros.SetSeeds(p.Seeds) })
-func (l *Life) Told(f func(settings.Place)) {
+func (l *Process) OnSettingsChanged(f func(settings.Place)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = append(l.told, f)
+	l.settingsListeners = append(l.settingsListeners, f)
 }
 
 // Leaving notes what has to be brought to an end before the program stops: it runs once Draining
 // is closed, while everything else still works, and its context ends with the grace time.
 //
 // Example: l.Leaving(func(ctx context.Context) { finish(ctx) })
-func (l *Life) Leaving(f func(context.Context)) {
+func (l *Process) OnShutdown(f func(context.Context)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaving = append(l.leaving, f)
+	l.shutdownHooks = append(l.shutdownHooks, f)
 }
 
 // Tell hands settings that have changed to all who want to hear of them.
 //
 // Example: l.Tell(place)
-func (l *Life) Tell(p settings.Place) {
+func (l *Process) ApplySettings(p settings.Place) {
 	l.mu.Lock()
-	fs := l.told
+	fs := l.settingsListeners
 	l.mu.Unlock()
 	for _, f := range fs {
 		f(p)
@@ -73,7 +73,7 @@
 // are listed at once, and the exit code is 2.
 //
 // Example: daemon.Main("runner", "the agent on a machine", settings.Need{Seeds: true}, runner.Start)
-func Main(prog, about string, need settings.Need, start func(*Life) error) {
+func Main(prog, about string, need settings.Need, start func(*Process) error) {
 	p, err := settings.Read(prog, about, os.Args[1:], need)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, prog+": "+errs.Text(err))
@@ -93,29 +93,29 @@
 // New makes a life without signals in the real world.
 //
 // Example: l := daemon.New("runner", place)
-func New(prog string, p settings.Place) *Life { return NewIn(Real(p), prog, p) }
+func New(prog string, p settings.Place) *Process { return NewIn(RealEnvironment(p), prog, p) }
 
 // NewIn makes a life without signals in a world.
 //
 // Example: l := daemon.NewIn(world, "runner", place)
-func NewIn(w World, prog string, p settings.Place) *Life {
-	l := &Life{World: w, Place: p, Meter: newMeter(), Draining: make(chan struct{})}
+func NewIn(w Environment, prog string, p settings.Place) *Process {
+	l := &Process{Environment: w, Place: p, Meter: newMeter(), Draining: make(chan struct{})}
 	l.Log = hclog.New(&hclog.LoggerOptions{Name: prog, JSONFormat: true, Output: os.Stderr, Level: hclog.LevelFromString(p.Word("log", "info"))}).With("machine", p.Name)
-	l.Ctx, l.end = context.WithCancel(context.Background())
+	l.Ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
 // Stop drains, then ends.
 //
 // Example: l.Stop(3 * time.Second)
-func (l *Life) Stop(grace time.Duration) {
+func (l *Process) Stop(grace time.Duration) {
 	l.Ready.Store(false)
 	close(l.Draining)
 	l.Log.Info("draining")
 	ctx, c := context.WithTimeout(context.Background(), grace)
 	defer c()
 	l.mu.Lock()
-	ss, fs := l.servers, l.leaving
+	ss, fs := l.servers, l.shutdownHooks
 	l.mu.Unlock()
 	var all sync.WaitGroup
 	for _, f := range fs {
@@ -128,7 +128,7 @@
 			s.Close()
 		}
 	}
-	l.end()
+	l.cancel()
 	l.wg.Wait()
 	l.Log.Info("stopped")
 }
@@ -136,7 +136,7 @@
 // Go runs a duty on its own thread; Stop waits for it.
 //
 // Example: l.Go(func() { poll(l.Ctx) })
-func (l *Life) Go(f func()) {
+func (l *Process) Go(f func()) {
 	l.wg.Add(1)
 	go func() { defer l.wg.Done(); f() }()
 }
@@ -144,7 +144,7 @@
 // Every runs a duty again and again until the program stops.
 //
 // Example: l.Every(time.Second, beat)
-func (l *Life) Every(d time.Duration, f func()) {
+func (l *Process) Every(d time.Duration, f func()) {
 	l.Go(func() {
 		t := time.NewTicker(max(d, time.Millisecond))
 		defer t.Stop()
@@ -162,7 +162,7 @@
 // Serve listens at an address and serves the handler, with health pages beside it.
 //
 // Example: err := l.Serve(place.Listen, mux)
-func (l *Life) Serve(addr string, h http.Handler) error {
+func (l *Process) Serve(addr string, h http.Handler) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, `{"ok":true}`) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -190,47 +190,47 @@
 }
 
 // Calls are the twirp links to other processes: one shared pool of connections.
-type Calls struct {
-	h *http.Client
+type Clients struct {
+	http *http.Client
 }
 
 // NewCalls makes the pool.
 //
 // Example: c := daemon.NewCalls(life)
-func NewCalls(l *Life) *Calls {
+func NewClients(l *Process) *Clients {
 	dial := l.Dial
 	if l.Place.Site != nil {
-		dial = insistent(dial, l.Place.Bounds)
+		dial = hedgedDial(dial, l.Place.Bounds)
 	}
 	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, MaxConnsPerHost: 64, IdleConnTimeout: time.Minute, DialContext: dial}}
-	l.Until(h.CloseIdleConnections)
-	return &Calls{h}
+	l.OnStop(h.CloseIdleConnections)
+	return &Clients{h}
 }
 
 // Archive is the link to a control node.
 //
 // Example: c.Archive("127.10.1.1:7000").Read(ctx, ask)
-func (c *Calls) Archive(addr string) wire.Archive {
-	return wire.NewArchiveProtobufClient("http://"+addr, c.h)
+func (c *Clients) ControlNode(addr string) wire.Archive {
+	return wire.NewArchiveProtobufClient("http://"+addr, c.http)
 }
 
 // Roster is the link to a node's roster.
 //
 // Example: c.Roster(addr).Hear(ctx, beat)
-func (c *Calls) Roster(addr string) wire.Roster {
-	return wire.NewRosterProtobufClient("http://"+addr, c.h)
+func (c *Clients) Membership(addr string) wire.Roster {
+	return wire.NewRosterProtobufClient("http://"+addr, c.http)
 }
 
 // Catalogue is the link to an index node.
 //
 // Example: c.Catalogue(addr).Seek(ctx, ask)
-func (c *Calls) Catalogue(addr string) wire.Catalogue {
-	return wire.NewCatalogueProtobufClient("http://"+addr, c.h)
+func (c *Clients) PromptIndex(addr string) wire.Catalogue {
+	return wire.NewCatalogueProtobufClient("http://"+addr, c.http)
 }
 
 // Runner is the link of a dispatcher to the agent beside it.
 //
 // Example: c.Runner("127.0.0.1:7001").Feed(ctx, ask)
-func (c *Calls) Runner(addr string) wire.Runner {
-	return wire.NewRunnerProtobufClient("http://"+addr, c.h)
+func (c *Clients) NodeAgent(addr string) wire.Runner {
+	return wire.NewRunnerProtobufClient("http://"+addr, c.http)
 }
--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -22,7 +22,7 @@
 
 // insistent dials again while no answer has come; the first connection counts, and an answer that
 // says no ends it.
-func insistent(dial dialFunc, b settings.Bounds) dialFunc {
+func hedgedDial(dial dialFunc, b settings.Bounds) dialFunc {
 	type end struct {
 		c   net.Conn
 		err error
--- a/internal/daemon/dial_test.go
+++ b/internal/daemon/dial_test.go
@@ -69,7 +69,7 @@
 			ctx, end := context.WithTimeout(context.Background(), time.Second)
 			defer end()
 			from := time.Now()
-			conn, err := insistent(far(c.up, c.takes, c.no, &dials, &open), b)(ctx, "tcp", "far:1")
+			conn, err := hedgedDial(far(c.up, c.takes, c.no, &dials, &open), b)(ctx, "tcp", "far:1")
 			took := time.Since(from)
 			if !errors.Is(err, c.no) || took > c.want || dials.Load() != c.dials {
 				t.Errorf("%s: %v after %v and %d dials", c.name, err, took, dials.Load())
--- a/internal/daemon/meter.go
+++ b/internal/daemon/meter.go
@@ -13,15 +13,15 @@
 // Meter is what a program shows at /metrics. Labels come from fixed lists alone, so the
 // number of series is bounded.
 type Meter struct {
-	reg    *prometheus.Registry
-	denied *prometheus.CounterVec
+	reg      *prometheus.Registry
+	rejected *prometheus.CounterVec
 }
 
 func newMeter() *Meter {
 	m := &Meter{reg: prometheus.NewRegistry()}
 	m.reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.denied = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests denied, by kind"}, []string{"kind"})
-	m.reg.MustRegister(m.denied)
+	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests denied, by kind"}, []string{"kind"})
+	m.reg.MustRegister(m.rejected)
 	return m
 }
 
@@ -42,7 +42,7 @@
 // Denied counts one denial under its kind.
 //
 // Example: l.Meter.Denied(errs.NotRun)
-func (m *Meter) Denied(k *errs.Kind) { m.denied.WithLabelValues(k.Name).Inc() }
+func (m *Meter) Rejected(k *errs.Kind) { m.rejected.WithLabelValues(k.Name).Inc() }
 
 func (m *Meter) handler() http.Handler {
 	return promhttp.HandlerFor(m.reg, promhttp.HandlerOpts{})
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -25,7 +25,7 @@
 // and when it has changed without a signal; faulty settings leave those in force and say so.
 //
 // Example: daemon.Run("edge", file, func() (settings.Place, error) { return read(file) }, start)
-func Run(prog, file string, read func() (settings.Place, error), start func(*Life) error) {
+func Run(prog, file string, read func() (settings.Place, error), start func(*Process) error) {
 	p, err := read()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, prog+": "+errs.Text(err))
@@ -51,7 +51,7 @@
 		if !reflect.DeepEqual(now, p) {
 			l.Log.Info("settings have changed")
 			p = now
-			l.Tell(p)
+			l.ApplySettings(p)
 		}
 	}
 	for {
--- a/internal/daemon/world.go
+++ b/internal/daemon/world.go
@@ -20,7 +20,7 @@
 
 // World is all that a program meets outside itself. A simulated site swaps it and nothing
 // else: the programs are the same.
-type World struct {
+type Environment struct {
 	Clock   clock.Clock      // what decisions are made by
 	Wall    func() time.Time // what people go by
 	Listen  func(addr string) (net.Listener, error)
@@ -33,16 +33,16 @@
 // Real is the world of a process on a machine.
 //
 // Example: w := daemon.Real(place)
-func Real(p settings.Place) World {
+func RealEnvironment(p settings.Place) Environment {
 	wall := time.Now
 	if f := p.Word("wall", ""); f != "" { // a failure test makes the wall clock jump
-		wall = func() time.Time { return time.Now().Add(jump(f)) }
+		wall = func() time.Time { return time.Now().Add(wallClockOffset(f)) }
 	}
 	dial := p.Dialer().DialContext
 	if p.Site != nil {
-		dial = patient(p).DialContext
+		dial = siteDialer(p).DialContext
 	}
-	return World{Clock: clock.Boot(), Wall: wall, Dial: dial, Disk: storage.Folder, Seed: rand.Uint64,
+	return Environment{Clock: clock.Boot(), Wall: wall, Dial: dial, Disk: storage.Folder, Seed: rand.Uint64,
 		Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) },
 		Journal: func(file string) (io.Writer, error) {
 			return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -51,8 +51,8 @@
 
 // patient dials from any address of the machine. A colleague that went dark says nothing: what
 // was sent and isn't acknowledged for a ratio of the leave bound ends the connection.
-func patient(p settings.Place) *net.Dialer {
-	silent := p.Bounds.Leave(silence)
+func siteDialer(p settings.Place) *net.Dialer {
+	silent := p.Bounds.Leave(unackedRatio)
 	return &net.Dialer{Timeout: p.Bounds.Leave(1.0 / 3), KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if e := c.Control(func(fd uintptr) {
@@ -65,10 +65,10 @@
 }
 
 // silence is how long sent bytes may stay unacknowledged, as a ratio of the leave bound.
-const silence = 0.4
+const unackedRatio = 0.4
 
 // jump reads by how many milliseconds a machine's wall clock is off; no file, not at all.
-func jump(file string) time.Duration {
+func wallClockOffset(file string) time.Duration {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return 0
@@ -83,4 +83,4 @@
 // Until calls stop once the program ends: a table's owner, a pool of connections.
 //
 // Example: l.Until(desk.Stop)
-func (l *Life) Until(stop func()) { context.AfterFunc(l.Ctx, stop) }
+func (l *Process) OnStop(stop func()) { context.AfterFunc(l.Ctx, stop) }
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -20,8 +20,8 @@
 
 // Agent is the one of a process.
 type Agent struct {
-	life    *daemon.Life
-	desk    *queue.Desk[table]
+	life    *daemon.Process
+	desk    *queue.Actor[table]
 	ros     *clustermembership.Member
 	view    atomic.Pointer[clustermembership.View] // the newest, for the desk
 	archive func(addr string) wire.Archive
@@ -39,14 +39,14 @@
 // Start joins the roster in a role and follows the control state until the program ends.
 //
 // Example: a, err := agent.Start(life, codec, "runner")
-func Start(l *daemon.Life, codec backend.Codec, role string) (*Agent, error) {
-	calls := daemon.NewCalls(l)
-	a := newAgent(l, codec, calls.Archive)
-	a.ros = clustermembership.Start(l.Ctx, l.Place, role, l.Clock, l.Log, calls.Roster, func(v clustermembership.View) {
+func Start(l *daemon.Process, codec backend.Codec, role string) (*Agent, error) {
+	calls := daemon.NewClients(l)
+	a := newAgent(l, codec, calls.ControlNode)
+	a.ros = clustermembership.Start(l.Ctx, l.Place, role, l.Clock, l.Log, calls.Membership, func(v clustermembership.View) {
 		a.view.Store(&v)
-		a.desk.Tell(a.look)
+		a.desk.TrySend(a.look)
 	})
-	l.Told(func(p settings.Place) { a.ros.SetSeeds(p.Seeds) })
+	l.OnSettingsChanged(func(p settings.Place) { a.ros.SetSeeds(p.Seeds) })
 	l.Go(func() { <-l.Draining; a.ros.Leave() })
 	l.Meter.Gauge("pebbleloom_plan_version", "version of the plan in use", func() float64 {
 		if p := a.Now().Plan; p != nil {
@@ -63,15 +63,15 @@
 	return a, nil
 }
 
-func newAgent(l *daemon.Life, codec backend.Codec, archive func(string) wire.Archive) *Agent {
+func newAgent(l *daemon.Process, codec backend.Codec, archive func(string) wire.Archive) *Agent {
 	a := &Agent{life: l, archive: archive, seeds: l.Place.Seeds, calls: map[string]context.CancelFunc{}}
 	t := newTable(l.Place.Bounds, codec, l.Clock.Now())
 	a.shown.Store(&shown{&t.snap, make(chan struct{})})
 	a.view.Store(&clustermembership.View{})
 	a.show(t, true)
-	a.desk = queue.NewDesk(t, 256)
-	l.Until(a.desk.Stop)
-	l.Told(func(p settings.Place) { a.desk.Ask(func(t *table) { a.seeds = p.Seeds; a.tend(t) }) })
+	a.desk = queue.NewActor(t, 256)
+	l.OnStop(a.desk.Stop)
+	l.OnSettingsChanged(func(p settings.Place) { a.desk.Ask(func(t *table) { a.seeds = p.Seeds; a.tend(t) }) })
 	return a
 }
 
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -94,7 +94,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c.news = make(chan struct{}) // of this bubble
-		w := daemon.World{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Bounds: settings.Default(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
 		a := newAgent(l, &numbers{}, func(addr string) wire.Archive { return seat{c, addr} })
@@ -273,7 +273,7 @@
 		}
 		p := a.life.Place
 		p.Seeds = []string{"2:3", "8:8", "8:9"}
-		a.life.Tell(p)
+		a.life.ApplySettings(p)
 		until(2 * time.Second)
 		if version(a) != 1 || a.Now().ProofAt == 0 {
 			t.Fatalf("plan %d, proof at %v", version(a), a.Now().ProofAt)
@@ -284,7 +284,7 @@
 // A process that reaches nobody starts, shows what it has, and ends.
 func TestStartAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.World{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 },
+		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 },
 			Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				clock.Pause(ctx, time.Second)
 				return nil, errs.New(errs.CantSay, "nobody is there")
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -73,7 +73,7 @@
 	var nonce uint64
 	leave := func() {
 		cancel()
-		d.gate.Tell(func(g *gate) { g.leave(tenant) })
+		d.gate.TrySend(func(g *gate) { g.leave(tenant) })
 		if nonce != 0 && !mayHaveRun {
 			d.claims.back(claimID(tenant, q.RequestID), nonce) // proved not to have run: the id may be sent again
 		}
@@ -119,23 +119,23 @@
 		}
 		until := d.until(s, q, c.Worker)
 		if left := wait - (d.clk.Now() - t0); time.Duration(c.Wait)*time.Microsecond > left || ctx.Err() != nil {
-			d.gate.Tell(func(g *gate) { g.release(c.Worker.Name) })
+			d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
 			if left <= 0 || ctx.Err() != nil {
 				return give(deny(errs.NotRun, q.RequestID, back, "the wait was over before a go could start"))
 			}
 			return give(deny(errs.Overloaded, q.RequestID, time.Duration(c.Wait)*time.Microsecond, "a slot is free in %.0f ms, after the wait is over", c.Wait/1000))
 		}
 		if now := d.clk.Now(); now+time.Duration(c.Wait)*time.Microsecond > until { // it waits here, where it is looked at again
-			d.gate.Tell(func(g *gate) { g.release(c.Worker.Name) })
+			d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
 			clock.Pause(ctx, d.b.Setup(0.02))
 			continue
 		}
 		if n == 0 {
 			n++
-			d.gate.Tell(func(g *gate) { d.tries(g, service).First(d.allowance(g, s)) })
+			d.gate.TrySend(func(g *gate) { d.tries(g, service).First(d.allowance(g, s)) })
 		}
 		if !d.current(s) { // a new setup came while this was thought over
-			d.gate.Tell(func(g *gate) { g.release(c.Worker.Name) })
+			d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
 			continue
 		}
 		var out *stream
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -149,7 +149,7 @@
 		b.snap.Workers = append(b.snap.Workers, &wire.Worker{Name: n, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
 	}
 	d := &Dispatcher{life: l, b: p.Bounds, clk: b.clk, be: contract.NewBackends((&net.Dialer{}).DialContext), curve: placement.Default(), log: queue.NewRing[*wire.Decided](8), claims: fakeClaims{b}}
-	d.gate = queue.NewDesk(newGate(), 64)
+	d.gate = queue.NewActor(newGate(), 64)
 	d.gate.Ask(func(g *gate) { d.tries(g, "s").saved = 1 }) // as after a few requests
 	d.index = newIndex(l, b.clk)
 	d.fol = updatestream.Fixed(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snap })
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -48,7 +48,7 @@
 	return h[:16]
 }
 
-func newClaimer(l *daemon.Life, fol func() *updatestream.Snapshot, calls *daemon.Calls, inc uint64) *claimer {
+func newClaimer(l *daemon.Process, fol func() *updatestream.Snapshot, calls *daemon.Clients, inc uint64) *claimer {
 	view := func() clustermembership.View {
 		if s := fol(); s != nil {
 			return clustermembership.View{Nodes: s.Nodes}
--- a/internal/data/callerproxy/dispatcher.go
+++ b/internal/data/callerproxy/dispatcher.go
@@ -31,11 +31,11 @@
 
 // Dispatcher is one edge proxy.
 type Dispatcher struct {
-	life   *daemon.Life
+	life   *daemon.Process
 	b      settings.Bounds
 	clk    clock.Clock
 	fol    *updatestream.Follower
-	gate   *queue.Desk[gate]
+	gate   *queue.Actor[gate]
 	index  *index
 	claims claims
 	be     *contract.Backends
@@ -60,17 +60,17 @@
 // Start runs the edge proxy.
 //
 // Example: daemon.Main("dispatcher", "edge proxy", need, dispatcher.Start)
-func Start(l *daemon.Life) error {
+func Start(l *daemon.Process) error {
 	d := &Dispatcher{life: l, b: l.Place.Bounds, clk: l.Clock, be: contract.NewBackends(l.Dial), curve: placement.Default(), log: queue.NewRing[*wire.Decided](512)}
 	d.near.Store(50000)
 	d.far.Store(50000)
 	d.storeB.Store(50000)
-	d.gate = queue.NewDesk(newGate(), 4096)
-	l.Until(d.gate.Stop)
-	l.Until(d.be.Close)
+	d.gate = queue.NewActor(newGate(), 4096)
+	l.OnStop(d.gate.Stop)
+	l.OnStop(d.be.Close)
 	d.index = newIndex(l, d.clk)
-	calls := daemon.NewCalls(l)
-	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.Runner(l.Place.Runner) }, d.b.Setup(0.1), d.goes, func(s *updatestream.Snapshot) {
+	calls := daemon.NewClients(l)
+	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, d.b.Setup(0.1), d.goes, func(s *updatestream.Snapshot) {
 		d.index.follow(s.Nodes)
 		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Setup(0.8)))
 	})
@@ -191,7 +191,7 @@
 // Example: d.NewError(ctx, errs.New(errs.BadKey, "the key is not in force"))
 func (d *Dispatcher) NewError(_ context.Context, err error) *caller.DeniedStatusCodeWithHeaders {
 	t := typed(err)
-	d.life.Meter.Denied(errs.Named(t.Response.Kind))
+	d.life.Meter.Rejected(errs.Named(t.Response.Kind))
 	return t
 }
 
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -26,11 +26,11 @@
 type index struct {
 	ring   *queue.Ring[question]
 	shards atomic.Pointer[promptindex.Shards]
-	calls  *daemon.Calls
+	calls  *daemon.Clients
 	b      settings.Bounds
 	wait   time.Duration
 	laid   string // the index nodes that the shards are laid out over
-	counts *queue.Desk[counter]
+	counts *queue.Actor[counter]
 	name   string
 	inc    uint64
 	clk    clock.Clock
@@ -56,11 +56,11 @@
 
 const maxCounts = 4096
 
-func newIndex(l *daemon.Life, clk clock.Clock) *index {
-	x := &index{ring: queue.NewRing[question](l.Place.Bounds.Waiting), calls: daemon.NewCalls(l), b: l.Place.Bounds,
+func newIndex(l *daemon.Process, clk clock.Clock) *index {
+	x := &index{ring: queue.NewRing[question](l.Place.Bounds.Waiting), calls: daemon.NewClients(l), b: l.Place.Bounds,
 		wait: l.Place.Bounds.Heal(1.0 / 400), name: "dispatcher/" + l.Place.Name, inc: uint64(clk.Now()), clk: clk}
-	x.counts = queue.NewDesk(&counter{to: map[string]*telling{}, past: map[prefix.Key]*wire.Access{}, old: map[prefix.Key]*wire.Access{}}, 1024)
-	l.Until(x.counts.Stop)
+	x.counts = queue.NewActor(&counter{to: map[string]*telling{}, past: map[prefix.Key]*wire.Access{}, old: map[prefix.Key]*wire.Access{}}, 1024)
+	l.OnStop(x.counts.Stop)
 	l.Go(func() { x.run(l.Ctx) })
 	l.Every(l.Place.Bounds.Heal(1.0/48), func() { x.flush(l.Ctx) })
 	return x
@@ -127,7 +127,7 @@
 	if s := x.shards.Load(); s != nil {
 		x.asked.Add(1)
 		x.keys.Add(uint64(len(ks)))
-		m = s.Seek(ctx, ks, x.calls.Catalogue, x.wait)
+		m = s.Seek(ctx, ks, x.calls.PromptIndex, x.wait)
 	}
 	for _, q := range qs {
 		q.tell <- m
@@ -140,7 +140,7 @@
 	if s == nil {
 		return
 	}
-	x.counts.Tell(func(c *counter) {
+	x.counts.TrySend(func(c *counter) {
 		for i, e := range es {
 			a := &wire.Access{Key: e.Key[:], Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
 			if i < upto {
@@ -219,7 +219,7 @@
 func (x *index) tell(ctx context.Context, h, addr string, a *wire.CountAsk) {
 	ctx, end := context.WithTimeout(ctx, x.b.Heal(1.0/24))
 	defer end()
-	r, err := x.calls.Catalogue(addr).Count(ctx, a)
+	r, err := x.calls.PromptIndex(addr).Count(ctx, a)
 	x.counts.Ask(func(c *counter) {
 		t := c.to[h]
 		if t == nil {
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -101,7 +101,7 @@
 	if s.check != nil {
 		last = s.check.Last
 	}
-	s.d.gate.Tell(func(g *gate) {
+	s.d.gate.TrySend(func(g *gate) {
 		g.ended(s.worker, ok, took, s.d.clk.Now())
 		if last != nil && last.Fetched > 0 && last.FetchUs > 0 {
 			s.d.learn(g, s.snap, last, s.district)
--- a/internal/data/indexclient/count.go
+++ b/internal/data/indexclient/count.go
@@ -40,7 +40,7 @@
 	if len(parts) == 0 {
 		return
 	}
-	s.desk.Tell(func(t *table) {
+	s.desk.TrySend(func(t *table) {
 		sh := t.lay()
 		for i, e := range parts {
 			a := &wire.Access{Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
--- a/internal/data/indexclient/seek.go
+++ b/internal/data/indexclient/seek.go
@@ -43,7 +43,7 @@
 // Seeker asks the index in batches and feeds it the accesses that this edge has seen.
 type Seeker struct {
 	ring  *queue.Ring[question]
-	desk  *queue.Desk[table]
+	desk  *queue.Actor[table]
 	nodes func() []*wire.Node
 	call  func(addr string) wire.Catalogue
 	b     settings.Bounds
@@ -59,8 +59,8 @@
 // New makes an edge's link to the index; nodes gives the roster's view.
 //
 // Example: s := seek.New(life, func() []*wire.Node { return agent.Snapshot().Nodes })
-func New(l *daemon.Life, nodes func() []*wire.Node) *Seeker {
-	calls, links := daemon.NewCalls(l), map[string]wire.Catalogue{}
+func New(l *daemon.Process, nodes func() []*wire.Node) *Seeker {
+	calls, links := daemon.NewClients(l), map[string]wire.Catalogue{}
 	var mu sync.Mutex
 	return start(l, nodes, func(addr string) wire.Catalogue {
 		mu.Lock()
@@ -70,7 +70,7 @@
 			if len(links) > maxLinks {
 				clear(links)
 			}
-			c = calls.Catalogue(addr)
+			c = calls.PromptIndex(addr)
 			links[addr] = c
 		}
 		return c
@@ -79,11 +79,11 @@
 
 const maxLinks = 64
 
-func start(l *daemon.Life, nodes func() []*wire.Node, call func(string) wire.Catalogue) *Seeker {
+func start(l *daemon.Process, nodes func() []*wire.Node, call func(string) wire.Catalogue) *Seeker {
 	s := &Seeker{ring: queue.NewRing[question](l.Place.Bounds.Waiting), nodes: nodes, call: call, b: l.Place.Bounds,
 		clk: l.Clock, ctx: l.Ctx, name: "edge/" + l.Place.Name, inc: uint64(l.Clock.Now()), home: l.Place.District}
-	s.desk = queue.NewDesk(newTable(s), 1024)
-	l.Until(s.desk.Stop)
+	s.desk = queue.NewActor(newTable(s), 1024)
+	l.OnStop(s.desk.Stop)
 	l.Go(s.run)
 	l.Every(l.Place.Bounds.Heal(tellPart), s.flush)
 	l.Meter.Count("pebbleloom_seek_calls_total", "look-up calls to the index", func() float64 { return float64(s.asked.Load()) })
