--- a/internal/data/indexclient/seek_test.go
+++ b/internal/data/indexclient/seek_test.go
@@ -98,7 +98,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ns := nodes()
 		serving := promptindex.Serving(ns)
-		w := daemon.World{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "edge", settings.Place{Name: "edge-1", District: serving[1].District, Bounds: settings.Default(), Extra: []string{"log=off"}})
 		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.Catalogue { return node{x, addr} })
 		f(s, serving)
--- a/internal/data/nodeagent/runner.go
+++ b/internal/data/nodeagent/runner.go
@@ -37,10 +37,10 @@
 
 // Runner is the agent of one machine.
 type Runner struct {
-	life  *daemon.Life
-	desk  *queue.Desk[table]
+	life  *daemon.Process
+	desk  *queue.Actor[table]
 	clk   clock.Clock
-	calls *daemon.Calls
+	calls *daemon.Clients
 	be    *contract.Backends
 	ros   *clustermembership.Member
 }
@@ -48,17 +48,17 @@
 // Start runs the agent.
 //
 // Example: daemon.Main("runner", "the agent on an edge machine", need, runner.Start)
-func Start(l *daemon.Life) error {
+func Start(l *daemon.Process) error {
 	b := l.Place.Bounds
-	r := &Runner{life: l, clk: l.Clock, calls: daemon.NewCalls(l), be: contract.NewBackends(l.Dial)}
-	l.Until(r.be.Close)
+	r := &Runner{life: l, clk: l.Clock, calls: daemon.NewClients(l), be: contract.NewBackends(l.Dial)}
+	l.OnStop(r.be.Close)
 	ms := controlclient.Members(0, l.Place.Core)
 	// Counters begin anywhere, so that an asker can't take a new life's for the old one's.
-	r.desk = queue.NewDesk(&table{number: l.Seed(), lists: l.Seed(), fresh: NewFresh(), workers: NewWorkers(b), places: map[string]*wire.Document{},
+	r.desk = queue.NewActor(&table{number: l.Seed(), lists: l.Seed(), fresh: NewFresh(), workers: NewWorkers(b), places: map[string]*wire.Document{},
 		links: map[string]*wire.LinkSeen{}, health: map[string]*health{}, waiting: map[chan struct{}]bool{}}, 1024)
-	l.Until(r.desk.Stop)
-	r.ros = clustermembership.Start(l.Ctx, l.Place, "runner", r.clk, l.Log, r.calls.Roster, func(v clustermembership.View) {
-		r.desk.Tell(func(t *table) { t.view = v; t.listed() })
+	l.OnStop(r.desk.Stop)
+	r.ros = clustermembership.Start(l.Ctx, l.Place, "runner", r.clk, l.Log, r.calls.Membership, func(v clustermembership.View) {
+		r.desk.TrySend(func(t *table) { t.view = v; t.listed() })
 	})
 	for _, m := range ms {
 		l.Go(func() { r.followSetup(m) })
@@ -122,7 +122,7 @@
 		var tell *wire.WatchResponse
 		if addr, ok := r.ros.View().Addr("archive/" + member); ok {
 			ctx, end := context.WithTimeout(r.life.Ctx, b.Setup(0.3))
-			t, err := r.calls.Archive(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Setup(0.15))})
+			t, err := r.calls.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Setup(0.15))})
 			end()
 			if err == nil {
 				tell = t
@@ -164,7 +164,7 @@
 		r.life.Log.Debug("platform doesn't answer: the last list stays", "error", err)
 		return
 	}
-	r.desk.Tell(func(t *table) { t.workers.Listed(l, asked); r.show(t) })
+	r.desk.TrySend(func(t *table) { t.workers.Listed(l, asked); r.show(t) })
 }
 
 func (r *Runner) probe() {
@@ -179,7 +179,7 @@
 			r.desk.Ask(func(t *table) { t.workers.Probed(x, s, err == nil, asked, r.clk.Now()) })
 		}()
 	}
-	r.desk.Tell(r.show)
+	r.desk.TrySend(r.show)
 }
 
 // show lets the waiting know when the worker table has changed.
@@ -234,10 +234,10 @@
 			continue
 		}
 		ctx, end := context.WithTimeout(r.life.Ctx, r.life.Place.Bounds.Heal(1.0/24))
-		tell, err := r.calls.Archive(addr).News(ctx, &wire.WatchRequest{Shard: part, Key: "placement/" + n, Have: h})
+		tell, err := r.calls.ControlNode(addr).News(ctx, &wire.WatchRequest{Shard: part, Key: "placement/" + n, Have: h})
 		end()
 		if err == nil && tell.Outcome == wire.OutcomeNews && tell.Document.GetVersion() > h {
-			r.desk.Tell(func(t *table) {
+			r.desk.TrySend(func(t *table) {
 				t.places[n] = &wire.Document{Key: n, Body: tell.Document.Body, Version: tell.Document.Version}
 				t.listed()
 			})
@@ -304,7 +304,7 @@
 		case <-ctx.Done():
 			a.HoldNs = 0
 		}
-		r.desk.Tell(func(t *table) { delete(t.waiting, c) })
+		r.desk.TrySend(func(t *table) { delete(t.waiting, c) })
 	}
 }
 
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -17,8 +17,8 @@
 
 // Node is an index node: one thread owns the tables; others poll workers and serve.
 type Node struct {
-	life *daemon.Life
-	desk *queue.Desk[Core]
+	life *daemon.Process
+	desk *queue.Actor[Core]
 	clk  clock.Clock
 	sh   atomic.Pointer[Shards]
 	name string
@@ -31,18 +31,18 @@
 // Start runs an index node.
 //
 // Example: daemon.Main("catalogue", "index node", need, catalogue.Start)
-func Start(l *daemon.Life) error {
+func Start(l *daemon.Process) error {
 	n := &Node{life: l, clk: l.Clock, name: "catalogue/" + l.Place.Name, be: contract.NewBackends(l.Dial),
 		busy: map[string]bool{}, seen: map[string]bool{}}
-	n.desk = queue.NewDesk(New(l.Place.Bounds, func(k prefix.Key) bool {
+	n.desk = queue.NewActor(New(l.Place.Bounds, func(k prefix.Key) bool {
 		s := n.sh.Load()
 		return s != nil && s.Mine(n.name, k)
 	}), 1024)
-	l.Until(n.desk.Stop)
-	l.Until(n.be.Close)
-	calls := daemon.NewCalls(l)
-	ros := clustermembership.Start(l.Ctx, l.Place, "catalogue", n.clk, l.Log, calls.Roster, func(v clustermembership.View) { n.reshard(v.Nodes) })
-	n.fol = updatestream.Follow(l.Ctx, n.clk, l.Log, func() wire.Runner { return calls.Runner(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.Seeds(ros.SetSeeds))
+	l.OnStop(n.desk.Stop)
+	l.OnStop(n.be.Close)
+	calls := daemon.NewClients(l)
+	ros := clustermembership.Start(l.Ctx, l.Place, "catalogue", n.clk, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
+	n.fol = updatestream.Follow(l.Ctx, n.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.Seeds(ros.SetSeeds))
 	l.Every(l.Place.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
 		return func() (v float64) { n.desk.Ask(func(c *Core) { v = f(c) }); return v }
@@ -71,7 +71,7 @@
 func (n *Node) reshard(nodes []*wire.Node) {
 	s := NewShards(nodes)
 	if old := n.sh.Swap(s); !s.Same(old, n.name) {
-		n.desk.Tell(func(c *Core) { c.Reshard() })
+		n.desk.TrySend(func(c *Core) { c.Reshard() })
 	}
 }
 
--- a/internal/data/promptindex/site.go
+++ b/internal/data/promptindex/site.go
@@ -90,12 +90,12 @@
 // serves its Handler.
 //
 // Example: n, err := catalogue.StartSite(life, calls, agent.Snapshot)
-func StartSite(l *daemon.Life, calls backend.Calls, snapshot func() *fleet.Snapshot) (*Node, error) {
+func StartSite(l *daemon.Process, calls backend.Calls, snapshot func() *fleet.Snapshot) (*Node, error) {
 	n := &Node{life: l, clk: l.Clock, name: "catalogue/" + l.Place.Name, busy: map[string]bool{}, seen: map[string]bool{}}
 	c := New(l.Place.Bounds, func(prefix.Key) bool { return true }) // whoever takes over a shard has it
 	c.slack = untold
-	n.desk = queue.NewDesk(c, 1024)
-	l.Until(n.desk.Stop)
+	n.desk = queue.NewActor(c, 1024)
+	l.OnStop(n.desk.Stop)
 	s := newSite(n, calls, snapshot)
 	l.Every(l.Place.Bounds.Heal(tickPart), s.tick)
 	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", s.count(func(c *Core) float64 { return float64(len(c.all)) }))
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -31,7 +31,7 @@
 	}
 	place := settings.Place{Name: "e1", District: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.Default(), Extra: []string{"log=off"},
 		Site: &settings.Site{Ready: "127.0.0.1:0", MemoryMB: 256, GraceMs: 10, TransitMs: 120}}
-	world := daemon.Real(place)
+	world := daemon.RealEnvironment(place)
 	world.Listen = func(addr string) (net.Listener, error) {
 		if addr == "front" {
 			return door, nil
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -33,7 +33,7 @@
 // door takes requests and carries them.
 type door struct {
 	Config
-	l       *daemon.Life
+	l       *daemon.Process
 	site    *settings.Site
 	lines   *lines
 	budgets budgets
@@ -60,7 +60,7 @@
 // Start opens the door and the page that tells whether it is ready.
 //
 // Example: err := forward.Start(life, forward.Config{Headers: platform.Headers(), ReadyPath: path, Snapshot: agent.Snapshot, Pick: picker})
-func Start(l *daemon.Life, c Config) error { return newDoor(l, c).open() }
+func Start(l *daemon.Process, c Config) error { return newDoor(l, c).open() }
 
 // open listens, and serves until the program stops.
 func (d *door) open() error {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func newDoor(l *daemon.Life, c Config) *door {
+func newDoor(l *daemon.Process, c Config) *door {
 	b := l.Place.Bounds
 	d := &door{Config: c, l: l, site: l.Place.Site, lines: newLines(l), room: int64(l.Place.Site.MemoryMB) << 20 / holdPart}
 	d.budgets = budgets{share: float64(b.TryShare) / 100, whole: float64(b.TryAllow), by: map[string]*tries{}}
@@ -93,7 +93,7 @@
 func (d *door) serve(front, page net.Listener) {
 	ready := &http.Server{Handler: http.HandlerFunc(d.ready), ReadHeaderTimeout: d.l.Place.Bounds.Heal(0.25), ErrorLog: quiet()}
 	d.l.Go(func() { d.run(ready, page) })
-	d.l.Until(func() { ready.Close() })
+	d.l.OnStop(func() { ready.Close() })
 	opened := make(chan *http.Server, 1)
 	d.l.Go(func() {
 		lim := d.limits()
@@ -101,7 +101,7 @@
 		opened <- s
 		d.run(s, front)
 	})
-	d.l.Leaving(func(ctx context.Context) { d.drain(ctx, <-opened) })
+	d.l.OnShutdown(func(ctx context.Context) { d.drain(ctx, <-opened) })
 }
 
 func (d *door) run(s *http.Server, ln net.Listener) {
--- a/internal/data/proxy/line.go
+++ b/internal/data/proxy/line.go
@@ -16,7 +16,7 @@
 
 // lines are the connections from this machine to workers.
 type lines struct {
-	l    *daemon.Life
+	l    *daemon.Process
 	t    *http.Transport
 	mu   sync.Mutex
 	open map[string]int // by worker's address
@@ -31,7 +31,7 @@
 
 type dialingKey struct{}
 
-func newLines(l *daemon.Life) *lines {
+func newLines(l *daemon.Process) *lines {
 	s := &lines{l: l, open: map[string]int{}}
 	s.t = &http.Transport{DialContext: s.dial, DisableCompression: true, MaxIdleConnsPerHost: 1 << 10,
 		MaxResponseHeaderBytes: 64 << 10, ReadBufferSize: 4 << 10, WriteBufferSize: 4 << 10}
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -229,7 +229,7 @@
 	if wait > 0 && k.HTTP == http.StatusServiceUnavailable {
 		h.Set("Retry-After", retryAfter(wait))
 	}
-	q.d.l.Meter.Denied(k)
+	q.d.l.Meter.Rejected(k)
 	text := errs.Text(errs.New(k, "%s", why)) + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	q.w.WriteHeader(k.HTTP)
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -207,7 +207,7 @@
 type site struct {
 	t    *testing.T
 	w    *wires
-	l    *daemon.Life
+	l    *daemon.Process
 	d    *door
 	p    *picker
 	once sync.Once
@@ -240,7 +240,7 @@
 		place := settings.Place{Name: "e1", District: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Extra: []string{"log=off"},
 			Site: &settings.Site{Ready: readyAt, MemoryMB: 256, GraceMs: 8000, TransitMs: 120, Revokes: true}}
 		clk := clock.Ticking()
-		s.l = daemon.NewIn(daemon.World{Clock: clk, Listen: s.w.Listen, Dial: s.w.Dial}, "edge", place)
+		s.l = daemon.NewIn(daemon.Environment{Clock: clk, Listen: s.w.Listen, Dial: s.w.Dial}, "edge", place)
 		snap := &fleet.Snapshot{Plan: routes(), ProofAt: clk.Now(), Edges: 1}
 		for i, x := range scripts {
 			w := &worker{play: x}
--- a/internal/data/selection/picker.go
+++ b/internal/data/selection/picker.go
@@ -126,20 +126,20 @@
 type picker struct {
 	clk   clock.Clock
 	b     settings.Bounds
-	desk  *queue.Desk[table]
+	desk  *queue.Actor[table]
 	index *indexclient.Seeker
 }
 
 // New makes an edge's picker over its link to the index.
 //
 // Example: p := pick.New(life, indexclient.New(life, nodes), place.Name)
-func New(l *daemon.Life, c *indexclient.Seeker, self string) Picker {
+func New(l *daemon.Process, c *indexclient.Seeker, self string) Picker {
 	t := newTable(l.Place.Bounds, l.Clock.Now())
 	if x := l.Place.Site; x != nil {
 		t.free = t.born + settings.Of(x.ContactMs, freePart)
 	}
-	p := &picker{clk: l.Clock, b: l.Place.Bounds, index: c, desk: queue.NewDesk(t, 1024)}
-	l.Until(p.desk.Stop)
+	p := &picker{clk: l.Clock, b: l.Place.Bounds, index: c, desk: queue.NewActor(t, 1024)}
+	l.OnStop(p.desk.Stop)
 	c.Share(p.loads, p.heard)
 	return p
 }
--- a/internal/data/selection/share.go
+++ b/internal/data/selection/share.go
@@ -165,5 +165,5 @@
 }
 
 func (p *picker) heard(l *wire.Loads) {
-	p.desk.Tell(func(t *table) { t.hear(l, p.clk.Now()) })
+	p.desk.TrySend(func(t *table) { t.hear(l, p.clk.Now()) })
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -57,21 +57,21 @@
 }
 
 // Desk owns a table: commands run one by one on its own thread.
-type Desk[T any] struct {
-	r    *Ring[func(*T)]
-	quit chan struct{}
-	once sync.Once
+type Actor[T any] struct {
+	commands *Ring[func(*T)]
+	quit     chan struct{}
+	once     sync.Once
 }
 
 // NewDesk starts the owner of table t with a queue of n commands.
 //
 // Example: d := queue.NewDesk(&table{}, 256)
-func NewDesk[T any](t *T, n int) *Desk[T] {
-	d := &Desk[T]{r: NewRing[func(*T)](n), quit: make(chan struct{})}
+func NewActor[T any](t *T, n int) *Actor[T] {
+	d := &Actor[T]{commands: NewRing[func(*T)](n), quit: make(chan struct{})}
 	go func() {
 		for {
 			select {
-			case f := <-d.r.c:
+			case f := <-d.commands.c:
 				f(t)
 			case <-d.quit:
 				return
@@ -84,15 +84,15 @@
 // Tell queues a command and goes on; false when the queue is full.
 //
 // Example: d.Tell(func(t *table) { t.n++ })
-func (d *Desk[T]) Tell(f func(*T)) bool { return d.r.Offer(f) }
+func (d *Actor[T]) TrySend(f func(*T)) bool { return d.commands.Offer(f) }
 
 // Ask queues a command and waits until it ran; false when the owner has stopped.
 //
 // Example: d.Ask(func(t *table) { n = t.n })
-func (d *Desk[T]) Ask(f func(*T)) bool {
+func (d *Actor[T]) Ask(f func(*T)) bool {
 	done := make(chan struct{})
 	select {
-	case d.r.c <- func(t *T) { f(t); close(done) }:
+	case d.commands.c <- func(t *T) { f(t); close(done) }:
 	case <-d.quit:
 		return false
 	}
@@ -107,7 +107,7 @@
 // Stop ends the owner's thread.
 //
 // Example: defer d.Stop()
-func (d *Desk[T]) Stop() { d.once.Do(func() { close(d.quit) }) }
+func (d *Actor[T]) Stop() { d.once.Do(func() { close(d.quit) }) }
 
 // Hash places a string on the ring of hashes.
 //
--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -15,7 +15,7 @@
 // Start runs the application service.
 //
 // Example: daemon.Main("appservice", "stand-in for the application service", need, appservice.Start)
-func Start(l *daemon.Life) error {
+func Start(l *daemon.Process) error {
 	slots := make(chan struct{}, 8)
 	inc := fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano())
 	mux := http.NewServeMux()
--- a/internal/sim/clustersim/proc.go
+++ b/internal/sim/clustersim/proc.go
@@ -23,7 +23,7 @@
 	t       *Table
 	p       testbed.Process
 	m       *machine
-	life    *daemon.Life
+	life    *daemon.Process
 	started chan struct{}
 	dead    chan struct{}
 	stop    sync.Once
@@ -106,8 +106,8 @@
 }
 
 // world is what the program meets outside itself.
-func (p *proc) world() daemon.World {
-	return daemon.World{Clock: p, Wall: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
+func (p *proc) world() daemon.Environment {
+	return daemon.Environment{Clock: p, Wall: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
 		Seed: func() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.r.Uint64() }}
 }
 
--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/table.go
@@ -38,7 +38,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-var programs = map[string]func(*daemon.Life) error{"archive": controlstate.Start, "appraiser": placementcontroller.Start, "runner": nodeagent.Start,
+var programs = map[string]func(*daemon.Process) error{"archive": controlstate.Start, "appraiser": placementcontroller.Start, "runner": nodeagent.Start,
 	"catalogue": promptindex.Start, "dispatcher": callerproxy.Start, "cab": workersim.Start, "appservice": appservicesim.Start, "depot": storesim.Start, "rank": platformsim.Start}
 
 // Table is the ground of a site on virtual time.
--- a/internal/sim/platformsim/rank.go
+++ b/internal/sim/platformsim/rank.go
@@ -26,10 +26,10 @@
 // Start runs the platform; its first list is a file named by the word `list`.
 //
 // Example: daemon.Main("rank", "stand-in for the platform", need, rank.Start)
-func Start(l *daemon.Life) error {
+func Start(l *daemon.Process) error {
 	p := &platform{list: map[string]contract.Listed{}, probe: map[string]string{},
 		h: &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: l.Dial}}}
-	l.Until(p.h.CloseIdleConnections)
+	l.OnStop(p.h.CloseIdleConnections)
 	if f := l.Place.Word("list", ""); f != "" {
 		raw, err := os.ReadFile(f)
 		var ls []contract.Listed
--- a/internal/sim/storesim/depot.go
+++ b/internal/sim/storesim/depot.go
@@ -18,7 +18,7 @@
 // Start runs the store.
 //
 // Example: daemon.Main("depot", "stand-in for the prompt store", need, depot.Start)
-func Start(l *daemon.Life) error {
+func Start(l *daemon.Process) error {
 	room, err := strconv.Atoi(l.Place.Word("kv", "400000"))
 	if err != nil {
 		room = 400000
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -87,7 +87,7 @@
 		}
 		if json.Unmarshal([]byte(last), &l) == nil {
 			for _, r := range l.Retirements {
-				if last = fmt.Sprintf("%s, %s, %s, held by %v", r.State, r.Progress(), r.Why, r.Holds); r.Name == who && (r.State == to || r.Phase == to) {
+				if last = fmt.Sprintf("%s, %s, %s, held by %v", r.State, r.Progress(), r.Why, r.Blockers); r.Name == who && (r.State == to || r.Phase == to) {
 					return p.afterwards(ctx, r)
 				}
 			}
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -34,7 +34,7 @@
 		"another life":            {0, "cab-1/before", nil, "incarnation", 6 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			w := daemon.Real(settings.Place{})
+			w := daemon.RealEnvironment(settings.Place{})
 			w.Clock, w.Wall = clock.Ticking(), time.Now
 			l := daemon.NewIn(w, "cab", settings.Place{Name: "cab-1", Bounds: settings.Default(),
 				Extra: []string{"log=off", "model=m", "slots=1", "fixed_us=5000000", "token_us=0", "square_us=0"}})
--- a/internal/sim/workersim/cab.go
+++ b/internal/sim/workersim/cab.go
@@ -59,7 +59,7 @@
 
 // Cab is one worker.
 type Cab struct {
-	life    *daemon.Life
+	life    *daemon.Process
 	inc     string
 	kv      *KV
 	sp      Speed
@@ -83,7 +83,7 @@
 	file  io.Writer // the journal, where one is named: it outlives a kill
 }
 
-func num(l *daemon.Life, key string, or float64) float64 {
+func num(l *daemon.Process, key string, or float64) float64 {
 	v, err := strconv.ParseFloat(l.Place.Word(key, ""), 64)
 	if err != nil {
 		return or
@@ -94,7 +94,7 @@
 // Start runs a worker.
 //
 // Example: daemon.Main("cab", "stand-in for a language-model worker", need, cab.Start)
-func Start(l *daemon.Life) error {
+func Start(l *daemon.Process) error {
 	c, err := open(l)
 	if err != nil {
 		return err
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func open(l *daemon.Life) (*Cab, error) {
+func open(l *daemon.Process) (*Cab, error) {
 	seed := queue64(l.Place.Name)
 	c := &Cab{life: l, inc: fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano()), kv: NewKV(int(num(l, "kv", 40000))),
 		sp: Speed{num(l, "fixed_us", 2000), num(l, "token_us", 40), num(l, "square_us", 0.004), num(l, "piece_us", 3000),
@@ -130,7 +130,7 @@
 		model: l.Place.Word("model", ""), weights: uint64(num(l, "weights", 1)), drop: num(l, "drop", 0), mute: l.Place.Word("mute", "") == "yes", late: time.Duration(num(l, "late_ms", 0)) * time.Millisecond, lie: l.Place.Word("lie", ""),
 		rnd: rand.New(rand.NewPCG(seed, 7)), h: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
 			DialContext: l.Dial}}}
-	l.Until(c.h.CloseIdleConnections)
+	l.OnStop(c.h.CloseIdleConnections)
 	if err := c.fill(); err != nil {
 		return nil, err
 	}
