--- a/internal/control/calendar/calendar_test.go
+++ b/internal/control/calendar/calendar_test.go
@@ -15,22 +15,22 @@
 	"pebbleloom/internal/errs"
 )
 
-// table is the world that entries are paced in: a setup with its epoch and tokens, and
+// table is the world that entries are paced in: a setup with its version and tokens, and
 // workers that follow it.
 type table struct {
-	body   []byte
-	epoch  uint64
-	tokens map[string]bool
-	moves  []string
-	ws     []Worker
-	clock  time.Duration
-	wall   time.Time
-	bad    float64
-	life   int
+	body     []byte
+	version  uint64
+	tokens   map[string]bool
+	moves    []string
+	ws       []Worker
+	clock    time.Duration
+	wall     time.Time
+	bad      float64
+	restarts int
 }
 
 func newTable() *table {
-	t := &table{epoch: 1, tokens: map[string]bool{}, wall: time.Unix(1e9, 0)}
+	t := &table{version: 1, tokens: map[string]bool{}, wall: time.Unix(1e9, 0)}
 	t.body = []byte(`{"models":{"m":{"weights":1}},"services":{"s":{"model":"m"},"s2":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)
 	for i := range 6 {
 		t.ws = append(t.ws, Worker{Name: fmt.Sprint("w", i), Incarnation: "life-0", Weights: 1, Up: true, Here: true})
@@ -44,23 +44,23 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return World{Wall: t.wall, Clock: t.clock, Epoch: t.epoch, Setup: s, Workers: slices.Clone(t.ws), Ok: 100 - t.bad, Bad: t.bad}
+	return World{Wall: t.wall, Clock: t.clock, Version: t.version, Config: s, Workers: slices.Clone(t.ws), Ok: 100 - t.bad, Bad: t.bad}
 }
 
-// move is the setup's part: onto the epoch, once a token.
-func (t *table) move(tb testing.TB, m Move, epoch uint64) bool {
+// move is the setup's part: onto the version, once a token.
+func (t *table) move(tb testing.TB, m Move, version uint64) bool {
 	tb.Helper()
 	if t.tokens[m.Token] {
 		return true
 	}
-	if epoch != t.epoch {
+	if version != t.version {
 		return false
 	}
 	b, err := jsonpatch.MergePatch(t.body, m.Patch)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	t.body, t.epoch, t.tokens[m.Token] = b, t.epoch+1, true
+	t.body, t.version, t.tokens[m.Token] = b, t.version+1, true
 	t.moves = append(t.moves, string(m.Patch))
 	return true
 }
@@ -70,13 +70,13 @@
 	w := t.world(tb)
 	for i := range t.ws {
 		x := &t.ws[i]
-		x.Up = !w.Setup.Drains[x.Name]
+		x.Up = !w.Config.Drains[x.Name]
 		if !x.Up && x.Incarnation == "life-0" {
-			t.life++
-			x.Incarnation = fmt.Sprint("life-", t.life)
+			t.restarts++
+			x.Incarnation = fmt.Sprint("life-", t.restarts)
 		}
-		if x.Weights < w.Setup.Models["m"].Weights {
-			x.Weights = w.Setup.Models["m"].Weights
+		if x.Weights < w.Config.Models["m"].Weights {
+			x.Weights = w.Config.Models["m"].Weights
 		}
 	}
 	t.clock += time.Second
@@ -115,35 +115,37 @@
 	for _, kind := range kinds {
 		for seed := range uint64(300) {
 			r := rand.New(rand.NewPCG(seed, 3))
-			tb, doc, epoch := newTable(), kind, 0
+			tb, doc, version := newTable(), kind, 0
 			holders := []*Pacer{NewPacer(), NewPacer()}
 			for range 400 {
 				if doc.State == Done {
 					break
 				}
 				at := r.IntN(2)
-				read, readEpoch, w := doc, epoch, tb.world(t)
+				read, readVersion, w := doc, version, tb.world(t)
+				w.EntryVersion = uint64(version)
 				if r.IntN(4) == 0 { // it stalls: the other one steps meanwhile
 					w2 := tb.world(t)
+					w2.EntryVersion = uint64(version)
 					n, m, ch := holders[1-at].Next(doc, w2)
-					if m.Patch != nil && tb.move(t, m, w2.Epoch) {
+					if m.Patch != nil && tb.move(t, m, w2.Version) {
 						n, ch = Acted(doc), true
 					}
 					if ch {
-						doc, epoch = n, epoch+1
+						doc, version = n, version+1
 					}
 				}
 				n, m, ch := holders[at].Next(read, w)
 				if m.Patch != nil {
-					if !tb.move(t, m, w.Epoch) || r.IntN(5) == 0 { // refused, or it dies before it writes
+					if !tb.move(t, m, w.Version) || r.IntN(5) == 0 { // refused, or it dies before it writes
 						holders[at] = NewPacer()
 						tb.live(t)
 						continue
 					}
 					n, ch = Acted(read), true
 				}
-				if ch && readEpoch == epoch && r.IntN(5) > 0 { // compare and set; or it dies before
-					doc, epoch = n, epoch+1
+				if ch && readVersion == version && r.IntN(5) > 0 { // compare and set; or it dies before
+					doc, version = n, version+1
 				}
 				tb.live(t)
 			}
@@ -165,7 +167,7 @@
 		n, m, ch := p.Next(e, w)
 		if m.Patch != nil {
 			clear(tb.tokens)
-			tb.move(t, m, w.Epoch) // and it dies before it writes
+			tb.move(t, m, w.Version) // and it dies before it writes
 			continue
 		}
 		if ch {
@@ -182,7 +184,7 @@
 	for range n {
 		w := tb.world(t)
 		x, m, ch := p.Next(e, w)
-		if m.Patch != nil && tb.move(t, m, w.Epoch) {
+		if m.Patch != nil && tb.move(t, m, w.Version) {
 			x, ch = Acted(e), true
 		}
 		if ch {
@@ -233,16 +235,16 @@
 	if err := e.Ask("undo"); err != nil {
 		t.Fatal(err)
 	}
-	if e = run(t, tb, p, e, 3); e.State != Undone || tb.world(t).Setup.Ways["m"] != (serviceconfig.Way{Service: "s"}) {
-		t.Fatalf("undone: %s, way %+v", e.State, tb.world(t).Setup.Ways["m"])
+	if e = run(t, tb, p, e, 3); e.State != Undone || tb.world(t).Config.Ways["m"] != (serviceconfig.Way{Service: "s"}) {
+		t.Fatalf("undone: %s, way %+v", e.State, tb.world(t).Config.Ways["m"])
 	}
 	tb = newTable()
 	e = run(t, tb, p, kinds[1], 3)
 	if err := e.Ask("undo"); err != nil {
 		t.Fatal(err)
 	}
-	if e = run(t, tb, p, e, 3); e.State != Undone || len(tb.world(t).Setup.Drains) > 0 {
-		t.Fatalf("undone: %s, drains %v", e.State, tb.world(t).Setup.Drains)
+	if e = run(t, tb, p, e, 3); e.State != Undone || len(tb.world(t).Config.Drains) > 0 {
+		t.Fatalf("undone: %s, drains %v", e.State, tb.world(t).Config.Drains)
 	}
 	if err := e.Ask("resume"); errs.KindOf(err) != errs.Conflict {
 		t.Errorf("resumed after it was undone: %v", err)
@@ -293,3 +295,27 @@
 		t.Errorf("%v %v", x, err)
 	}
 }
+
+// A step that a new holder makes again, on a later version of the configuration, bears the same token;
+// a later entry of the same name bears another, or its moves would count as made.
+func TestTheTokenOfAStep(t *testing.T) {
+	e := entry(Entry{Kind: Release, AtOnce: 2, Workers: []string{"w0", "w1"}})
+	tokens := map[string]string{}
+	for _, x := range []struct {
+		holder                string
+		entryVersion, version uint64
+	}{{"first", 3, 7}, {"second", 3, 9}, {"of a later entry", 30, 9}} {
+		p, tb := NewPacer(), newTable()
+		w := tb.world(t)
+		begun, _, _ := p.Next(e, w)
+		doing, _, _ := p.Next(begun, w)
+		w.EntryVersion, w.Version = x.entryVersion, x.version
+		_, move, _ := NewPacer().Next(doing, w)
+		if tokens[x.holder] = move.Token; move.Patch == nil || move.Token == "" {
+			t.Fatalf("%s: no move: %+v", x.holder, doing)
+		}
+	}
+	if tokens["first"] != tokens["second"] || tokens["first"] == tokens["of a later entry"] {
+		t.Errorf("tokens %v", tokens)
+	}
+}
--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -1,6 +1,6 @@
 // Package calendar is the plan of moves that operators write and the system paces:
-// roll-outs of weights, releases of a service worker by worker, handovers of a way from
-// one service to another. All of it is pure; the holder of the service's duty carries it out.
+// roll-outs of weights, releases of a service worker by worker, handovers of a route from
+// one service to another. All of it is pure; the holder of the service's lease carries it out.
 package calendar
 
 import (
@@ -16,7 +16,7 @@
 const (
 	Weights  = "weights"  // name newer weights, then see every worker on them
 	Release  = "release"  // drain, await the replacement, take back: batch by batch
-	Handover = "handover" // lead a way's requests to another service, share by share
+	Handover = "handover" // lead a route's requests to another service, share by share
 )
 
 // The states of an entry.
@@ -31,7 +31,7 @@
 )
 
 // Entry is one planned move with how far it has come. It is one document of the control
-// state, so whoever takes the duty over goes on exactly where the last one stopped.
+// state, so whoever takes the lease over continues exactly where the last holder stopped.
 type Entry struct {
 	Name    string   `json:"name"`
 	Service string   `json:"service"`
@@ -45,7 +45,7 @@
 	Workers []string `json:"workers,omitempty"` // release: in this order; empty: all of the service
 	AtOnce  int      `json:"at_once,omitempty"` // release: how many together
 	Keep    float64  `json:"keep,omitempty"`    // release: share of the service that stays up
-	StopAt  float64  `json:"stop_at,omitempty"` // pause when a larger share of goes fails; 0: 0.2
+	StopAt  float64  `json:"stop_at,omitempty"` // pause when a larger share of attempts fails; 0: 0.2
 
 	State string     `json:"state"`
 	Why   string     `json:"why,omitempty"` // why it stands where it stands
@@ -55,11 +55,11 @@
 
 // StepInfo is one step and how far it has come.
 type StepInfo struct {
-	Do    string            `json:"do"`           // name, see, drain, replaced, back, share, soak
-	On    []string          `json:"on,omitempty"` // workers
-	Share int               `json:"share,omitempty"`
-	Lives map[string]string `json:"lives,omitempty"` // incarnations before the step
-	State string            `json:"state"`           // todo, doing, done, undone
+	Do           string            `json:"do"`           // name, see, drain, replaced, back, share, soak
+	On           []string          `json:"on,omitempty"` // workers
+	Share        int               `json:"share,omitempty"`
+	Incarnations map[string]string `json:"lives,omitempty"` // incarnations before the step
+	State        string            `json:"state"`           // todo, doing, done, undone
 }
 
 // Key is the document that holds an entry.
@@ -113,7 +113,7 @@
 	switch e.Kind {
 	case Weights:
 		if e.Model == "" || e.Weights == 0 {
-			bad("model, weights", "missing: name the model and its newer weights epoch")
+			bad("model, weights", "missing: name the model and its newer weights version")
 		}
 	case Release:
 		if e.AtOnce < 0 || e.Keep < 0 || e.Keep >= 1 {
@@ -121,7 +121,7 @@
 		}
 	case Handover:
 		if e.Model == "" || e.To == "" || e.To == e.Service {
-			bad("model, to", "name the way's model and the other service")
+			bad("model, to", "name the route's model and the other service")
 		}
 		last := 0
 		for _, s := range e.Shares {
@@ -173,7 +173,7 @@
 }
 
 // Ask is what an operator asks of an entry: pause, resume, cancel or undo. It changes the
-// state alone; what follows from it is carried out by the holder of the duty.
+// state alone; what follows from it is carried out by the holder of the lease.
 //
 // Example: err := e.Ask("pause")
 func (e *Entry) Ask(verb string) error {
@@ -190,7 +190,7 @@
 	case verb == "cancel" && e.Active():
 		return errs.New(errs.Conflict, "entry %q has begun: undo it, or let it end", e.Name)
 	case verb == "undo" && e.Kind == Weights && len(e.Steps) > 0:
-		return errs.New(errs.Conflict, "weights don't go back: name a later epoch with the older weights in it")
+		return errs.New(errs.Conflict, "weights don't go back: name a later version with the older weights in it")
 	case verb == "undo" && (e.State == Running || e.State == Paused || e.State == Done && e.Kind == Handover):
 		e.State, e.Why = Undoing, "by an operator"
 	case verb == "pause" || verb == "resume" || verb == "cancel" || verb == "undo":
--- a/internal/control/calendar/step.go
+++ b/internal/control/calendar/step.go
@@ -18,14 +18,15 @@
 	Busy              int
 }
 
-// World is what is known when a step is thought over.
+// World is what is known when a step is decided.
 type World struct {
-	Wall    time.Time // the median of the core machines' clocks; zero: no majority told its own
-	Clock   time.Duration
-	Epoch   uint64
-	Setup   *serviceconfig.Setup
-	Workers []Worker
-	Ok, Bad float64 // goes of the service, lately
+	Wall         time.Time // the median of the core machines' clocks; zero: no majority sent its own
+	Clock        time.Duration
+	Version      uint64 // of the configuration
+	EntryVersion uint64 // of the entry's document, as it was read
+	Config       *serviceconfig.Setup
+	Workers      []Worker
+	Ok, Bad      float64 // attempts of the service, lately
 }
 
 // Move is what is to be done now: a partial setup under a token, or nothing.
@@ -45,9 +46,9 @@
 
 // Next says what an entry does now. It returns the entry as it is to be written (changed
 // tells whether it is), and the move to make once that is written. A step that acts is
-// first written as doing, then moved under a token of its own, then written as done: a
-// holder that dies between finds it doing and makes the same move again, which the token
-// makes the same change.
+// first written as doing, then moved under a token of its own, then written as done: a holder of the
+// lease that ends in between leaves it doing. The next holder makes the same move under the same token,
+// on whatever version of the configuration is in force then: the control state answers that it is done.
 //
 // Example: e2, move, changed := p.Next(e, world)
 func (p *Pacer) Next(old *Entry, w World) (e *Entry, m Move, changed bool) {
@@ -79,11 +80,11 @@
 			return e, m, changed
 		}
 		s.State, e.Why = "doing", ""
-		s.Lives = lives(s, w)
+		s.Incarnations = incarnations(s, w)
 		return e, m, true
 	}
 	if patch := e.patch(s); patch != nil {
-		return e, Move{patch, p.token(e, "")}, false // Acted writes it as done
+		return e, Move{patch, token(e, w, "")}, false // Acted writes it as done
 	}
 	if why := p.await(e, s, w); why != "" {
 		changed = e.Why != why
@@ -164,20 +165,20 @@
 		at = 0.2
 	}
 	if n := w.Ok + w.Bad; n >= 20 && w.Bad/n > at {
-		return fmt.Sprintf("stopped: %.0f of %.0f goes failed lately: find out why, then resume or undo", w.Bad, n)
+		return fmt.Sprintf("stopped: %.0f of %.0f attempts failed lately: find out why, then resume or undo", w.Bad, n)
 	}
 	return ""
 }
 
 // wait is a step's precondition: why it can't begin yet.
 func (e *Entry) wait(s *StepInfo, w World) string {
-	if w.Setup == nil {
-		return "no setup is known"
+	if w.Config == nil {
+		return "no configuration is known"
 	}
 	switch s.Do {
 	case "name":
-		if m, ok := w.Setup.Models[e.Model]; !ok {
-			return "model " + e.Model + " isn't in the setup"
+		if m, ok := w.Config.Models[e.Model]; !ok {
+			return "model " + e.Model + " isn't in the configuration"
 		} else if m.Weights > e.Weights {
 			return fmt.Sprintf("weights %d are in force already, newer than %d: cancel or undo this entry", m.Weights, e.Weights)
 		}
@@ -194,14 +195,14 @@
 			return fmt.Sprintf("waits for capacity: %d workers would stay up, %.0f are to", stay, max(1, need))
 		}
 	case "share":
-		if _, ok := w.Setup.Services[e.To]; !ok {
-			return "service " + e.To + " isn't in the setup"
+		if _, ok := w.Config.Services[e.To]; !ok {
+			return "service " + e.To + " isn't in the configuration"
 		}
 	}
 	return ""
 }
 
-func lives(s *StepInfo, w World) map[string]string {
+func incarnations(s *StepInfo, w World) map[string]string {
 	if s.Do != "drain" {
 		return nil
 	}
@@ -224,7 +225,7 @@
 
 type object = map[string]any
 
-// patch is the partial setup of a step that acts; nil for one that waits.
+// patch is the partial configuration of a step that acts; nil for one that waits.
 func (e *Entry) patch(s *StepInfo) []byte {
 	switch s.Do {
 	case "name":
@@ -260,7 +261,7 @@
 			return fmt.Sprintf("%d of %d workers are on older weights", old, len(w.Workers))
 		}
 	case "replaced":
-		before := e.Steps[e.Step-1].Lives
+		before := e.Steps[e.Step-1].Incarnations
 		for _, n := range s.On {
 			here := false
 			for _, x := range w.Workers {
@@ -298,18 +299,21 @@
 			}
 		}
 		if len(d) > 0 {
-			return e, Move{raw(object{"drains": d}), p.token(e, "undo")}, false
+			return e, Move{raw(object{"drains": d}), token(e, w, "undo")}, false
 		}
 	case Handover:
 		if len(e.Steps) > 0 {
-			return e, Move{raw(object{"ways": object{e.Model: object{"service": e.Service, "next": nil, "share": nil}}}), p.token(e, "undo")}, false
+			return e, Move{raw(object{"ways": object{e.Model: object{"service": e.Service, "next": nil, "share": nil}}}), token(e, w, "undo")}, false
 		}
 	}
 	e.State = Undone
 	return e, Move{}, true
 }
 
-// token names one step's move, the same for every holder.
-func (p *Pacer) token(e *Entry, more string) string {
-	return fmt.Sprintf("cal/%s/%s/%d%s", e.Service, e.Name, e.Step, more)
+// token names one step's move, the same for every holder: nobody writes the entry between the step's
+// beginning and its end. The version of the entry tells it from a later entry of the same name, whose
+// moves would else count as made; a step that is resumed after a pause is made anew, which changes
+// nothing where it was made before.
+func token(e *Entry, w World, suffix string) string {
+	return fmt.Sprintf("calendar/%s/%s/%d/%d%s", e.Service, e.Name, w.EntryVersion, e.Step, suffix)
 }
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -13,15 +13,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// merged is a setup that was merged and checked ahead, onto an epoch.
+// merged is a configuration that was merged and validated before it is proposed.
 type merged struct {
-	epoch   uint64
+	base    uint64 // the version it was merged onto
 	body    []byte
-	version uint64 // what the document's epoch becomes; 0: the next one
+	version uint64 // what the document's version becomes; 0: the next one
 	err     error
 }
 
-// checked is the document that is merged and checked before it is proposed.
+// validatedKey is the document that is merged and validated before it is proposed.
 func (p *shard) validatedKey() string {
 	if p.group != nil {
 		return routingconfig.Key
@@ -29,17 +29,17 @@
 	return controlclient.SetupKey
 }
 
-// merge lays a setup, whole or partial, over the one in force, and checks the result.
-func (p *shard) merge(old *wire.Document, u *wire.Put, patch bool) *merged {
-	m := &merged{epoch: old.GetVersion()}
+// merge applies a configuration, whole or partial, to the one in force, and validates the result.
+func (p *shard) merge(old *wire.Document, put *wire.Put, patch bool) *merged {
+	m := &merged{base: old.GetVersion()}
 	if p.group != nil {
-		p.mergePlan(m, old, u, patch)
+		p.mergePlan(m, old, put, patch)
 		return m
 	}
 	if patch {
-		m.body, m.err = serviceconfig.Merge(old.GetBody(), u.Body)
+		m.body, m.err = serviceconfig.Merge(old.GetBody(), put.Body)
 	} else {
-		m.body, m.err = serviceconfig.Merge(nil, u.Body)
+		m.body, m.err = serviceconfig.Merge(nil, put.Body)
 	}
 	if m.err == nil {
 		m.err = serviceconfig.Follows(old.GetBody(), m.body)
@@ -47,12 +47,12 @@
 	return m
 }
 
-// ahead merges and checks a setup on the caller's own thread, one at a time: a large one takes
-// long, and the part's thread has beats to keep. Nil: there is nothing to merge. Done gives the
-// turn to the next.
-func (p *shard) mergeAhead(ctx context.Context, a *wire.ChangeRequest) (m *merged, done func(), ok bool) {
-	u := a.Command.GetPut()
-	if u.GetKey() != p.validatedKey() {
+// mergeAhead merges and validates a configuration on the caller's goroutine, one at a time: a large
+// one takes long, and the shard's goroutine has heartbeats to send. Nil: there is nothing to merge.
+// The caller calls release once its change is done; not ok: it never began.
+func (p *shard) mergeAhead(ctx context.Context, request *wire.ChangeRequest) (m *merged, release func(), ok bool) {
+	put := request.Command.GetPut()
+	if put.GetKey() != p.validatedKey() {
 		return nil, func() {}, true
 	}
 	select {
@@ -62,135 +62,197 @@
 	case <-p.ctx.Done():
 		return nil, nil, false
 	}
-	done = func() { <-p.mergeLock }
+	release = func() { <-p.mergeLock }
 	var old *wire.Document
-	worth := false // else propose says so at once
+	useful := false // else propose answers at once
 	if !p.do(ctx, func() {
-		old = p.state.docs[u.Key]
-		worth = p.failure == nil && p.core.Status().IsLeader && (u.AnyVersion || u.IfVersion == old.GetVersion())
+		old = p.state.docs[put.Key]
+		useful = p.failure == nil && p.core.Status().IsLeader && (put.AnyVersion || put.IfVersion == old.GetVersion())
 	}) {
-		done()
+		release()
 		return nil, nil, false
 	}
-	if worth {
-		m = p.merge(old, u, a.Patch)
+	if useful {
+		m = p.merge(old, put, request.Patch)
 	}
-	return m, done, true
+	return m, release, true
 }
 
-// change proposes a command where this member owns the part, and waits for its outcome.
-func (p *shard) change(ctx context.Context, a *wire.ChangeRequest) *wire.ChangeResponse {
-	if tell := p.confirmLeadership(ctx, a); tell != nil {
-		return tell
+// change proposes a command where this member is the leader, and waits for its outcome.
+//
+// A refusal has to hold for good, and for every copy of the change: a change that was taken is never
+// refused when it is sent again. What the log answers is final. What is answered without it, from the
+// applied state, is judged again once a quorum has confirmed that this member is still the leader and
+// has applied all that was acknowledged before: a leader of the past, or one whose log holds the first
+// copy unapplied, would refuse what another leader took.
+func (p *shard) change(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
+	if response := p.confirmLeadership(ctx, request); response != nil {
+		return response
 	}
-	m, done, ok := p.mergeAhead(ctx, a)
+	m, release, ok := p.mergeAhead(ctx, request)
 	if !ok {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // it never began
 	}
-	defer done()
-	var tell *wire.ChangeResponse
-	var w pendingChange
-	if !p.do(ctx, func() { w, tell = p.propose(a, m) }) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
+	defer release()
+	response, committed := p.proposeAndWait(ctx, request, m)
+	if committed || request.Command.GetPut() == nil || !isRefusal(response.Outcome) {
+		return response
 	}
-	if tell != nil {
-		return tell
+	if response := p.confirmState(ctx); response != nil {
+		return response
+	}
+	response, _ = p.proposeAndWait(ctx, request, m)
+	return response
+}
+
+// isRefusal tells whether an outcome ends a change for good: it isn't sent again.
+func isRefusal(outcome wire.Outcome) bool {
+	switch outcome {
+	case wire.OutcomeDone, wire.OutcomeValid, wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
+		return false
+	}
+	return true
+}
+
+// confirmState returns nil once a quorum has confirmed that this member is the leader and its applied
+// state holds all that was acknowledged before the call; otherwise the answer to a change that never began.
+func (p *shard) confirmState(ctx context.Context) *wire.ChangeResponse {
+	switch read := p.read(ctx, &wire.ReadRequest{}); read.Outcome {
+	case wire.OutcomeDone:
+		return nil
+	case wire.OutcomeNotLeader:
+		return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: read.Leader}
+	}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
+}
+
+// proposeAndWait proposes a command and waits for its outcome; committed tells that it is the log's.
+func (p *shard) proposeAndWait(ctx context.Context, request *wire.ChangeRequest, m *merged) (response *wire.ChangeResponse, committed bool) {
+	var pending pendingChange
+	if !p.do(ctx, func() { pending, response = p.propose(request, m) }) {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}, false
+	}
+	if response != nil {
+		return response, false
 	}
 	select {
-	case tell = <-w.answer:
-		return tell
+	case response = <-pending.answer:
+		return response, true
 	case <-ctx.Done():
-		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
 	case <-p.ctx.Done():
-		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
 	}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}, false
 }
 
-// propose puts a command into the log, where this member owns the part; otherwise, or
-// where it needs no log, it gives the answer at once.
-func (p *shard) propose(a *wire.ChangeRequest, m *merged) (pendingChange, *wire.ChangeResponse) {
-	s := p.core.Status()
-	if p.failure != nil || !s.IsLeader {
-		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: s.Leader}
+// maxPending is how many changes a leader has under way at once.
+const maxPending = 256
+
+// propose appends a command to the log, where this member is the leader; otherwise, or where it needs
+// no log, it answers at once.
+func (p *shard) propose(request *wire.ChangeRequest, m *merged) (pendingChange, *wire.ChangeResponse) {
+	status := p.core.Status()
+	if p.failure != nil || !status.IsLeader {
+		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: status.Leader}
 	}
-	cmd := proto.Clone(a.Command).(*wire.Command)
-	if tell := p.prepare(cmd, a, m); tell != nil {
-		return pendingChange{}, tell
+	command := proto.Clone(request.Command).(*wire.Command)
+	if response := p.prepare(command, request, m); response != nil {
+		return pendingChange{}, response
 	}
-	body, err := proto.Marshal(cmd)
+	body, err := proto.Marshal(command)
 	if err != nil || len(body) > serviceconfig.MaxBytes*2 {
 		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"command can't be written"}}
 	}
-	if len(p.pending) >= 256 {
+	if len(p.pending) >= maxPending {
 		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
-	i, term, _ := p.core.Propose(body) // it owns the part, so it takes it
-	w := pendingChange{term, make(chan *wire.ChangeResponse, 1)}
-	p.pending[i] = w
-	return w, nil
+	index, term, _ := p.core.Propose(body) // it is the leader, so it takes it
+	pending := pendingChange{term, make(chan *wire.ChangeResponse, 1)}
+	p.pending[index] = pending
+	return pending, nil
 }
 
-// prepare checks a command against the applied state, and merges and validates setups.
-// Nil means: propose it.
-func (p *shard) prepare(cmd *wire.Command, a *wire.ChangeRequest, m *merged) *wire.ChangeResponse {
-	if g := cmd.GetGrant(); g != nil {
-		// A new owner knows who holds a duty once it has applied what the terms before it granted.
-		if !p.core.AppliedOwnTerm() {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
-		}
-		// While a grant may be under way nobody else gets the duty.
-		if h := p.state.leases[g.Lease]; h != nil && h.Holder != g.Holder && len(p.core.Unapplied()) > 0 {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
-		}
-		if !p.state.free(g, p.clock.Now()) {
-			l := p.state.leases[g.Lease]
-			return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()}
-		}
-		return nil
+// prepare checks a command against the applied state, and merges and validates configurations. Nil
+// means: propose it.
+func (p *shard) prepare(command *wire.Command, request *wire.ChangeRequest, m *merged) *wire.ChangeResponse {
+	if grant := command.GetGrant(); grant != nil {
+		return p.prepareGrant(grant)
 	}
-	if c := cmd.GetClaims(); c != nil && len(c.List) > 0 && len(c.List) <= 1024 {
+	if c := command.GetClaims(); c != nil && len(c.List) > 0 && len(c.List) <= 1024 {
 		c.PassedNs, c.KeepNs = uint64(p.passed(p.core.Status().Term)), uint64(p.keepIDs)
 		return nil
 	}
-	u := cmd.GetPut()
-	if u == nil || u.Key == "" || len(u.Key) > 256 {
+	put := command.GetPut()
+	if put == nil || put.Key == "" || len(put.Key) > 256 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"no command: give a put or a grant"}}
 	}
-	u.Digest = digestOf(u, a.Patch)
-	if t := p.state.repeated(u); t != nil {
-		return t
-	}
-	old := p.state.docs[u.Key]
-	if !u.AnyVersion && u.IfVersion != old.GetVersion() {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: old.GetVersion()}
+	put.Digest, put.ContentDigest = digestOf(put, request.Patch), contentDigest(put, request.Patch)
+	if response := p.state.repeated(put); response != nil {
+		return response
 	}
-	if u.Key == p.validatedKey() {
-		if m == nil || m.epoch != old.GetVersion() { // nobody did ahead, or another change came between
-			m = p.merge(old, u, a.Patch)
-		}
-		if m.err != nil {
-			return &wire.ChangeResponse{Outcome: errs.KindOf(m.err).Name, Version: old.GetVersion(), Errors: []string{m.err.Error()}}
-		}
-		if u.AnyVersion && len(p.core.Unapplied()) > 0 { // it was checked against what another change may replace
-			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
-		}
-		u.NewVersion = m.version
-		if u.Body = m.body; a.Patch && u.AnyVersion { // it was merged onto this epoch, so it holds for this epoch alone
-			u.AnyVersion, u.IfVersion = false, old.GetVersion()
+	old := p.state.docs[put.Key]
+	if !put.AnyVersion && put.IfVersion != old.GetVersion() {
+		if put.IfVersion > old.GetVersion() && len(p.core.Unapplied()) > 0 {
+			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // its base, and its first copy, may be under way
 		}
+		return p.state.overtaken(put)
 	}
-	if strings.HasPrefix(u.Key, "calendar/") {
-		if err := p.validateCalendarEntry(u); err != nil {
-			return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: old.GetVersion(), Errors: []string{err.Error()}}
+	if put.Key == p.validatedKey() {
+		if response := p.prepareConfiguration(put, request, m); response != nil {
+			return response
 		}
 	}
-	if strings.HasPrefix(u.Key, "retire/") {
-		if err := p.validateRetirement(u); err != nil {
-			return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: old.GetVersion(), Errors: []string{err.Error()}}
-		}
+	if err := p.validate(put); err != nil {
+		return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: old.GetVersion(), Errors: []string{err.Error()}}
 	}
-	if a.DryRun {
+	if request.DryRun {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeValid, Version: old.GetVersion()}
 	}
 	return nil
 }
+
+// prepareGrant decides whether a lease may be granted now.
+func (p *shard) prepareGrant(grant *wire.Grant) *wire.ChangeResponse {
+	// A new leader knows who holds a lease once it has applied what the terms before it granted.
+	if !p.core.AppliedOwnTerm() {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
+	}
+	// While a grant may be under way nobody else gets the lease.
+	l := p.state.leases[grant.Lease]
+	if l != nil && l.Holder != grant.Holder && len(p.core.Unapplied()) > 0 {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
+	}
+	if !p.state.free(grant, p.clock.Now()) {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()}
+	}
+	return nil
+}
+
+// prepareConfiguration puts the merged configuration in place of what was sent.
+func (p *shard) prepareConfiguration(put *wire.Put, request *wire.ChangeRequest, m *merged) *wire.ChangeResponse {
+	old := p.state.docs[put.Key]
+	if m == nil || m.base != old.GetVersion() { // it wasn't merged ahead, or another change came between
+		m = p.merge(old, put, request.Patch)
+	}
+	if m.err != nil {
+		return &wire.ChangeResponse{Outcome: errs.KindOf(m.err).Name, Version: old.GetVersion(), Errors: []string{m.err.Error()}}
+	}
+	if put.AnyVersion && len(p.core.Unapplied()) > 0 { // it was validated against what another change may replace
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
+	}
+	put.NewVersion = m.version
+	if put.Body = m.body; request.Patch && put.AnyVersion { // it was merged onto this version, so it holds for this one alone
+		put.AnyVersion, put.IfVersion = false, old.GetVersion()
+	}
+	return nil
+}
+
+// validate checks a calendar entry or a retirement against the others; any other document passes.
+func (p *shard) validate(put *wire.Put) error {
+	switch {
+	case strings.HasPrefix(put.Key, "calendar/"):
+		return p.validateCalendarEntry(put)
+	case strings.HasPrefix(put.Key, "retire/"):
+		return p.validateRetirement(put)
+	}
+	return nil
+}
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -1,9 +1,8 @@
-// Package controlstate is the control node: it keeps parts of the control state, each with two
-// colleagues, on its disk.
+// Package controlstate is the control node: a member of the shards, or of the one group, that keep
+// the control state on the disks of a quorum.
 package controlstate
 
 import (
-	"crypto/sha256"
 	"fmt"
 	"time"
 
@@ -14,31 +13,32 @@
 	"pebbleloom/internal/wire"
 )
 
-// keepIds is how long once-only ids are remembered where the settings say nothing.
+// defaultKeepIDs is how long once-only ids are remembered where the settings say nothing.
 const defaultKeepIDs = 30 * time.Minute
 
-// Bounds of one part's state.
+// Bounds of one shard's state.
 const (
 	maxDocs   = 512
 	maxLeases = 64
-	maxTokens = 256
+	maxTokens = 256 // the newest changes of all documents, as earlier releases keep them
 	maxState  = 8 << 20
-	maxClaims = 1 << 16 // once-only ids of a part; more than this at once are denied, not forgotten
+	maxClaims = 1 << 16 // once-only ids of a shard; more than this at once are rejected, not forgotten
 )
 
-// state is what a part's log adds up to. It is changed by apply alone, in log order, and
+// state is what a shard's log adds up to. It is changed by apply alone, in log order, and
 // every member gets the same from the same log.
 type state struct {
 	docs      map[string]*wire.Document
 	leases    map[string]*wire.Lease
-	tokens    []*wire.ChangeToken
+	tokens    []*wire.ChangeToken      // the newest of all documents
+	taken     map[string]*takenChanges // by document
 	grantedAt map[string]time.Duration // when this member saw the lease granted; not in the log
 	claims    claims
 	bytes     int
 }
 
 func newState() *state {
-	return &state{docs: map[string]*wire.Document{}, leases: map[string]*wire.Lease{}, grantedAt: map[string]time.Duration{}, claims: newClaims()}
+	return &state{docs: map[string]*wire.Document{}, leases: map[string]*wire.Lease{}, taken: map[string]*takenChanges{}, grantedAt: map[string]time.Duration{}, claims: newClaims()}
 }
 
 func (s *state) load(b []byte, now time.Duration) error {
@@ -47,7 +47,7 @@
 		return err
 	}
 	if p.Format > 1 {
-		return fmt.Errorf("state of epoch %d: this program reads epoch 1: start the newer program", p.Format)
+		return fmt.Errorf("state of format %d: this program reads format 1: start the newer program", p.Format)
 	}
 	*s = *newState()
 	for _, d := range p.Documents {
@@ -58,12 +58,13 @@
 		s.leases[l.Name], s.grantedAt[l.Name] = l, now
 	}
 	s.tokens = p.Tokens
+	s.loadTaken(p.Taken)
 	s.claims.load(p.Claims, p.AgeNs)
 	return nil
 }
 
 func (s *state) save() ([]byte, error) {
-	p := &wire.ShardState{Format: 1, Tokens: s.tokens, Claims: s.claims.save(), AgeNs: s.claims.age}
+	p := &wire.ShardState{Format: 1, Tokens: s.tokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveTaken()}
 	for _, k := range queue.Keys(s.docs) {
 		p.Documents = append(p.Documents, s.docs[k])
 	}
@@ -73,7 +74,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(p)
 }
 
-// apply carries out one command and tells its outcome.
+// apply carries out one committed command and returns its outcome.
 func (s *state) apply(c *wire.Command, now time.Duration) *wire.ChangeResponse {
 	switch k := c.GetKind().(type) {
 	case *wire.Command_Put:
@@ -81,83 +82,58 @@
 	case *wire.Command_Grant:
 		return s.grant(k.Grant, now)
 	case *wire.Command_Claims:
-		t := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
-		if k.Claims.KeepNs > 0 { // zero: of a release that told no age
+		response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
+		if k.Claims.KeepNs > 0 { // zero: of a release that sent no age
 			s.claims.pass(k.Claims.PassedNs, k.Claims.KeepNs)
 		}
 		for _, c := range k.Claims.List {
 			granted, full := s.claims.take(c)
-			t.Granted, t.Full = append(t.Granted, granted), append(t.Full, full)
+			response.Granted, response.Full = append(response.Granted, granted), append(response.Full, full)
 		}
-		return t
+		return response
 	}
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 }
 
-func (s *state) put(p *wire.Put) *wire.ChangeResponse {
-	if t := s.repeated(p); t != nil {
-		return t
+// put applies a change of a document. Whether it changes the state is decided as in all releases
+// before, so that members of several releases make the same state of one log.
+func (s *state) put(put *wire.Put) *wire.ChangeResponse {
+	if s.tokenIsRecent(put.Token) {
+		return s.repeated(put)
 	}
-	if l := s.leases[p.Lease]; p.Lease != "" && (l == nil || l.Fence != p.Fence || l.Holder != p.Holder) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()} // the duty has passed on
+	if l := s.leases[put.Lease]; put.Lease != "" && (l == nil || l.Fence != put.Fence || l.Holder != put.Holder) {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()} // the lease has passed on
 	}
-	d := s.docs[p.Key]
+	d := s.docs[put.Key]
 	if d == nil {
 		if len(s.docs) >= maxDocs {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the part holds as many documents as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many documents as it may"}}
 		}
-		d = &wire.Document{Key: p.Key}
+		d = &wire.Document{Key: put.Key}
 	}
-	if !p.AnyVersion && p.IfVersion != d.Version {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.Version}
+	if !put.AnyVersion && put.IfVersion != d.Version {
+		return s.overtaken(put)
 	}
-	if p.NewVersion > 0 && p.NewVersion <= d.Version {
+	if put.NewVersion > 0 && put.NewVersion <= d.Version {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.Version}
 	}
-	if s.bytes-len(d.Body)+len(p.Body) > maxState {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: d.Version, Errors: []string{"the part holds as many bytes as it may"}}
-	}
-	s.bytes += len(p.Body) - len(d.Body)
-	d = &wire.Document{Key: p.Key, Body: p.Body, Version: max(p.NewVersion, d.Version+1)}
-	s.docs[p.Key] = d
-	if p.Token != "" {
-		s.tokens = append(s.tokens, &wire.ChangeToken{Token: p.Token, Key: p.Key, Version: d.Version, Digest: p.Digest})
-		if len(s.tokens) > maxTokens {
-			s.tokens = s.tokens[1:]
-		}
+	if s.bytes-len(d.Body)+len(put.Body) > maxState {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: d.Version, Errors: []string{"the shard holds as many bytes as it may"}}
 	}
+	s.bytes += len(put.Body) - len(d.Body)
+	d = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, d.Version+1)}
+	s.docs[put.Key] = d
+	s.remember(put, d.Version)
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: d.Version}
 }
 
-// again answers a change whose token was seen before: the first outcome stands.
-func (s *state) repeated(p *wire.Put) *wire.ChangeResponse {
-	for _, t := range s.tokens {
-		if p.Token == "" || t.Token != p.Token {
-			continue
-		}
-		if t.Key != p.Key || string(t.Digest) != string(p.Digest) {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"token " + p.Token + " was used for another change: give each change its own"}}
-		}
-		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: t.Version, TokenReuse: "the change was made before"}
-	}
-	return nil
-}
-
-// sumOf is what makes two asks under one token the same ask.
-func digestOf(p *wire.Put, patch bool) []byte {
-	h := sha256.New()
-	fmt.Fprintf(h, "%q %d %v %v ", p.Key, p.IfVersion, p.AnyVersion, patch)
-	h.Write(p.Body)
-	return h.Sum(nil)
-}
-
 // grant gives, renews or takes back a lease. That the old one has run out was judged by
-// the owner before it proposed (free); here only the fence decides.
+// the leader before it proposed (free); here only the fence decides.
 func (s *state) grant(g *wire.Grant, now time.Duration) *wire.ChangeResponse {
 	l := s.leases[g.Lease]
 	if l == nil {
 		if len(s.leases) >= maxLeases {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the part holds as many leases as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many leases as it may"}}
 		}
 		l = &wire.Lease{Name: g.Lease}
 	}
@@ -174,7 +150,7 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: n.Fence, Leader: n.Holder}
 }
 
-// free tells whether a duty may be granted to a holder now. The holder counts its lease
+// free tells whether a lease may be granted to a holder now. The holder counts its lease
 // from when it asked, which was before any member saw the grant: so it stops first.
 func (s *state) free(g *wire.Grant, now time.Duration) bool {
 	l := s.leases[g.Lease]
--- a/internal/control/placementcontroller/pace.go
+++ b/internal/control/placementcontroller/pace.go
@@ -103,12 +103,13 @@
 			continue
 		}
 		w := a.world(s, name, e, lately)
+		w.EntryVersion = doc.Version
 		next, move, changed := d.pacer.Next(e, w)
 		if move.Patch != nil {
 			if _, ok := d.lease.Held(); !ok {
 				return b.Look()
 			}
-			put := &wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: w.Epoch, Token: move.Token}
+			put := &wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: w.Version, Token: move.Token}
 			_, err := a.ctl.Change(a.life.Ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			if errs.KindOf(err) == errs.BadInput && err != nil { // the setup can't take it: people must look
 				next = e
@@ -145,7 +146,7 @@
 }
 
 func (a *Appraiser) world(s *updatestream.Snapshot, name string, e *calendar.Entry, lately func() seen) calendar.World {
-	w := calendar.World{Clock: a.clk.Now(), Epoch: s.Epoch, Setup: s.Setup}
+	w := calendar.World{Clock: a.clk.Now(), Version: s.Epoch, Config: s.Setup}
 	if e.State == calendar.Planned && e.At != "" {
 		w.Wall = a.wall()
 	}
