--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -108,7 +108,7 @@
 			if _, ok := svc.lease.Held(); !ok {
 				return b.Look()
 			}
-			put := &wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: w.Epoch, Token: move.Token}
+			put := &wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: w.Version, Token: move.Token}
 			_, err := c.control.Change(c.process.Ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			if errs.KindOf(err) == errs.BadInput && err != nil { // an operator must correct it
 				next = e
@@ -145,7 +145,7 @@
 }
 
 func (c *Controller) calendarWorld(s *updatestream.Snapshot, name string, e *calendar.Entry, lately func() usage) calendar.World {
-	w := calendar.World{Clock: c.clock.Now(), Epoch: s.Epoch, Setup: s.Setup}
+	w := calendar.World{Clock: c.clock.Now(), Version: s.Epoch, Config: s.Setup}
 	if e.State == calendar.Planned && e.At != "" {
 		w.Wall = c.wallClock()
 	}
