--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -17,7 +17,8 @@
 	Group          bool     // membership is agreed data (group.go)
 	HeartbeatTicks int      // an owner speaks this often
 	ElectionTicks  int      // silence that makes a colleague stand, at least; at most twice as long
-	MaxBatchBytes  int      // of entries in one letter
+	MaxBatchBytes  int      // of entries in one message, and of a snapshot's piece
+	TailBytes      int      // of compacted entries kept in memory for followers that lag, at least; 0: none
 	Rand           *rand.Rand
 }
 
@@ -43,15 +44,6 @@
 // usedVote marks a term in which this member may have voted before it lost its disk.
 const unknownVote = "-"
 
-type progress struct {
-	next, match    uint64
-	incarnation    string // incarnation that match was told under
-	probe          uint64 // highest probe it has echoed
-	sinceHeard     int    // ticks since it spoke
-	inFlight       bool
-	snapshotSentAt int // the tick in which it was sent a slot; 0: it wasn't
-}
-
 type pendingRead struct{ id, probe, index uint64 }
 
 // Core is one member of one part.
@@ -59,7 +51,9 @@
 	cfg              Config
 	hardState        *wire.HardState
 	snapshot         *wire.Snapshot
-	log              []*wire.Entry // what follows the slot
+	log              []*wire.Entry // what follows the snapshot
+	tail             []*wire.Entry // entries up to the snapshot that are still kept for followers
+	incoming         *incomingSnapshot
 	commit           uint64
 	applied          uint64
 	role             role
@@ -115,47 +109,6 @@
 	return &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: inc}}
 }
 
-func (c *Core) lastIndex() uint64 {
-	if n := len(c.log); n > 0 {
-		return c.log[n-1].Index
-	}
-	return c.snapshot.Index
-}
-
-// termAt tells the term of an entry; false when the slot has swallowed it or it isn't there.
-func (c *Core) termAt(i uint64) (uint64, bool) {
-	if i == c.snapshot.Index {
-		return c.snapshot.Term, true
-	}
-	if i < c.snapshot.Index || i > c.lastIndex() {
-		return 0, false
-	}
-	return c.log[i-c.snapshot.Index-1].Term, true
-}
-
-func (c *Core) lastTerm() uint64 { t, _ := c.termAt(c.lastIndex()); return t }
-
-func (c *Core) entriesFrom(i uint64) []*wire.Entry {
-	if i > c.lastIndex() {
-		return nil
-	}
-	return c.log[i-c.snapshot.Index-1:]
-}
-
-func (c *Core) appendEntry(e *wire.Entry) {
-	if e.Index == c.lastIndex()+1 {
-		c.log = append(c.log, e)
-		c.applyMembership(e)
-	}
-}
-
-func (c *Core) truncate(i uint64) {
-	if i > c.snapshot.Index && i <= c.lastIndex() {
-		c.log = c.log[: i-c.snapshot.Index-1 : i-c.snapshot.Index-1]
-		c.reloadMembership()
-	}
-}
-
 func (c *Core) saveHardState(term uint64, vote string) {
 	c.hardState = &wire.HardState{Term: term, Vote: vote, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState, KnownIncarnations: c.hardState.KnownIncarnations}
 	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_HardState{HardState: c.hardState}})
@@ -234,6 +187,9 @@
 			c.ready.LostReads = append(c.ready.LostReads, r.id)
 		}
 		c.reads = nil
+		for _, p := range c.peers {
+			p.transfer = nil // its snapshot is freed
+		}
 	}
 	if c.role != follower || who != "" {
 		c.resetElectionTimer()
@@ -267,7 +223,7 @@
 }
 
 func (c *Core) becomeLeader() {
-	c.role, c.leader, c.heartbeatElapsed = leader, c.cfg.Self, 0
+	c.role, c.leader, c.heartbeatElapsed, c.incoming = leader, c.cfg.Self, 0, nil
 	clear(c.peers)
 	c.eachPeer(func(m string) { c.peers[m] = c.newProgress(m) })
 	c.proposeEntry(nil, c.members.namesOnWire(c.cfg.Group)) // an entry of its own term, so that earlier ones commit
@@ -284,38 +240,6 @@
 	return e.Index
 }
 
-// feed sends a colleague what it lacks; at a beat also when nothing is lacking.
-func (c *Core) replicate(m string, beat bool) {
-	p := c.peers[m]
-	if p.inFlight && !beat {
-		return
-	}
-	prev := p.next - 1
-	t, ok := c.termAt(prev)
-	if !ok {
-		if c.cfg.Group && p.snapshotSentAt > 0 && c.ticks-p.snapshotSentAt < c.cfg.ElectionTicks/2 {
-			return // it is under way, and large
-		}
-		p.snapshotSentAt = c.ticks
-		c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.probe})
-		p.inFlight = true
-		return
-	}
-	var es []*wire.Entry
-	n := 0
-	for _, e := range c.entriesFrom(p.next) {
-		if e.Index > c.replicationLimit(m) {
-			break
-		}
-		if n += len(e.Body) + 16; n > c.cfg.MaxBatchBytes && len(es) > 0 {
-			break
-		}
-		es = append(es, e)
-	}
-	p.inFlight = len(es) > 0
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: t, Entries: es, Commit: c.commit, Probe: c.probe})
-}
-
 // Propose adds a command where this member owns the part; false elsewhere.
 //
 // Example: i, ok := c.Propose(body)
@@ -371,25 +295,3 @@
 	}
 	c.reads = stay
 }
-
-// Compact lets the slot swallow the log up to what is applied; the driver turns the shelf
-// to the slot with the records that stay.
-//
-// Example: slot, rest := c.Compact(state)
-func (c *Core) Compact(state []byte) (*wire.Snapshot, []*wire.Record) {
-	t, _ := c.termAt(c.applied)
-	stay := append([]*wire.Entry(nil), c.entriesFrom(c.applied+1)...)
-	at := c.membershipAt(c.applied)
-	c.snapshot = &wire.Snapshot{Format: 1, Index: c.applied, Term: t, HardState: c.hardState, State: state,
-		Members: at.namesOnWire(c.cfg.Group), MembersIndex: at.index, MembersTerm: at.term}
-	c.log = stay
-	return c.snapshot, entryRecords(stay)
-}
-
-func entryRecords(es []*wire.Entry) []*wire.Record {
-	rs := make([]*wire.Record, 0, len(es))
-	for _, e := range es {
-		rs = append(rs, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
-	}
-	return rs
-}
--- a/internal/control/consensus/messages.go
+++ b/internal/control/consensus/messages.go
@@ -1,10 +1,6 @@
 package consensus
 
-import (
-	"google.golang.org/protobuf/proto"
-
-	"pebbleloom/internal/wire"
-)
+import "pebbleloom/internal/wire"
 
 // Take reads one letter. Letters may be lost, late, doubled or out of order.
 //
@@ -28,7 +24,7 @@
 		return // another life has taken that name: this one counts no more
 	}
 	switch l.Kind {
-	case wire.MessageKind_VOTE_RESPONSE, wire.MessageKind_PRE_VOTE_RESPONSE, wire.MessageKind_APPEND_RESPONSE:
+	case wire.MessageKind_VOTE_RESPONSE, wire.MessageKind_PRE_VOTE_RESPONSE, wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
 		if l.About != c.hardState.Incarnation {
 			return // an answer to another life of this name
 		}
@@ -65,8 +61,12 @@
 		}
 	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST:
 		c.handleAppend(l)
+	case wire.MessageKind_SNAPSHOT_PIECE_REQUEST:
+		c.handlePiece(l)
 	case wire.MessageKind_APPEND_RESPONSE:
 		c.handleAppendResponse(l)
+	case wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
+		c.handlePieceResponse(l)
 	case wire.MessageKind_TRANSFER_LEADERSHIP:
 		if l.Term == c.hardState.Term && l.From == c.leader && c.role == follower && c.IsVoter(c.cfg.Self) {
 			c.campaign(candidate)
@@ -96,111 +96,58 @@
 	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: ok, About: l.Incarnation})
 }
 
+// respondToAppend answers a leader: ok says that this member holds the log up to index as it does.
+func (c *Core) respondToAppend(l *wire.Message, ok bool, index, probe uint64) {
+	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, About: l.Incarnation, AcceptsPieces: true})
+}
+
 func (c *Core) handleAppend(l *wire.Message) {
-	r := &wire.Message{To: l.From, Kind: wire.MessageKind_APPEND_RESPONSE, Index: c.lastIndex(), Probe: l.Probe, About: l.Incarnation}
-	defer func() { c.send(r) }()
 	if l.Term < c.hardState.Term {
-		r.Probe = 0 // it may come to a later life of the asker, whose reads it must not confirm
-		return      // an owner of the past: the answer's term tells it so
+		// A leader of the past: the response's term says so. It may reach a later incarnation of that
+		// leader, whose reads it must not confirm.
+		c.respondToAppend(l, false, c.lastIndex(), 0)
+		return
 	}
 	c.becomeFollower(l.Term, l.From)
 	if l.Kind == wire.MessageKind_SNAPSHOT_REQUEST {
 		c.installSnapshot(l.Snapshot)
-		r.Ok, r.Index = true, l.Snapshot.Index
+		c.respondToAppend(l, true, l.Snapshot.Index, l.Probe)
 		return
 	}
-	if l.Index < c.snapshot.Index { // the front of it is swallowed already: skip that
-		skip := c.snapshot.Index - l.Index
-		if skip > uint64(len(l.Entries)) {
-			r.Ok, r.Index = true, c.snapshot.Index
+	prev, prevTerm, entries := l.Index, l.LogTerm, l.Entries
+	if prev < c.snapshot.Index { // its front is compacted here already
+		skip := c.snapshot.Index - prev
+		if skip > uint64(len(entries)) {
+			c.respondToAppend(l, true, c.snapshot.Index, l.Probe)
 			return
 		}
-		l = &wire.Message{Incarnation: l.Incarnation, Index: c.snapshot.Index, LogTerm: c.snapshot.Term, Entries: l.Entries[skip:], Commit: l.Commit}
+		prev, prevTerm, entries = c.snapshot.Index, c.snapshot.Term, entries[skip:]
 	}
-	if t, ok := c.termAt(l.Index); !ok || t != l.LogTerm {
-		r.Index = min(c.lastIndex(), l.Index-1)
+	if term, ok := c.termAt(prev); !ok || term != prevTerm {
+		c.respondToAppend(l, false, min(c.lastIndex(), prev-1), l.Probe)
 		return
 	}
-	for _, e := range l.Entries {
-		if t, ok := c.termAt(e.Index); ok && t == e.Term {
+	c.storeEntries(entries)
+	last := prev + uint64(len(entries))
+	c.commit = max(c.commit, min(l.Commit, last))
+	if c.incoming != nil && c.incoming.snapshot.Index <= c.commit {
+		c.incoming = nil // the log has brought what it was to bring
+	}
+	c.respondToAppend(l, true, last, l.Probe)
+}
+
+// storeEntries adds a leader's entries to the log; those that differ from them are cut off.
+func (c *Core) storeEntries(entries []*wire.Entry) {
+	for _, e := range entries {
+		term, ok := c.termAt(e.Index)
+		if ok && term == e.Term {
 			continue
-		} else if ok {
+		}
+		if ok {
 			c.truncate(e.Index)
 			c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: e.Index}})
 		}
 		c.appendEntry(e)
 		c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
 	}
-	r.Ok, r.Index = true, l.Index+uint64(len(l.Entries))
-	c.commit = max(c.commit, min(l.Commit, r.Index))
-}
-
-// install replaces slot, state and log by an owner's slot, where that is ahead.
-func (c *Core) installSnapshot(s *wire.Snapshot) {
-	if s.Index <= c.commit {
-		return
-	}
-	var stay []*wire.Entry
-	if t, ok := c.termAt(s.Index); ok && t == s.Term {
-		stay = append(stay, c.entriesFrom(s.Index+1)...)
-	}
-	c.adoptSnapshot(s, stay)
-}
-
-func (c *Core) adoptSnapshot(s *wire.Snapshot, stay []*wire.Entry) {
-	s = proto.Clone(s).(*wire.Snapshot)
-	s.HardState = c.hardState
-	c.snapshot, c.log, c.commit, c.applied = s, stay, s.Index, s.Index
-	c.reloadMembership()
-	// What this step has persisted so far is in the slot's hard state and the log that stays.
-	c.ready.Install, c.ready.Records, c.ready.Committed = s, entryRecords(stay), nil
-}
-
-func (c *Core) handleAppendResponse(l *wire.Message) {
-	if c.role != leader || l.Term != c.hardState.Term {
-		return
-	}
-	p := c.peers[l.From]
-	if p == nil {
-		return // removed, or a learner that isn't known any more: it asks again
-	}
-	p.sinceHeard = 0
-	if p.incarnation != l.Incarnation { // another disk: what the old one had acknowledged counts no more
-		p.incarnation, p.match, p.probe, p.inFlight, p.next = l.Incarnation, 0, 0, false, c.lastIndex()+1
-		c.replicate(l.From, true)
-		return
-	}
-	p.inFlight = false
-	p.probe = max(p.probe, l.Probe)
-	if !l.Ok && c.cfg.Group && l.Index < p.match {
-		return // it has lost what it had acknowledged, which nobody may: asked again at the next beat, not at once
-	}
-	if !l.Ok {
-		p.next = max(p.match+1, min(p.next-1, l.Index+1))
-		c.replicate(l.From, true)
-		return
-	}
-	p.match = max(p.match, l.Index)
-	p.next = max(p.next, p.match+1)
-	c.advanceCommit()
-	if p.next <= c.replicationLimit(l.From) {
-		c.replicate(l.From, false)
-	}
-}
-
-// advance commits what a majority holds, if it is of this term.
-func (c *Core) advanceCommit() {
-	for i := c.lastIndex(); i > c.commit; i-- {
-		if t, _ := c.termAt(i); t != c.hardState.Term {
-			return
-		}
-		if c.hasQuorum(func(m string) bool { return c.peers[m].match >= i }) {
-			c.commit = i
-			c.eachPeer(func(m string) { c.replicate(m, true) })
-			if !c.IsVoter(c.cfg.Self) && c.members.index <= c.commit {
-				c.becomeFollower(c.hardState.Term, "") // its own removal is done
-			}
-			return
-		}
-	}
 }
--- /dev/null
+++ b/internal/control/consensus/replication.go
@@ -0,0 +1,176 @@
+package consensus
+
+import "pebbleloom/internal/wire"
+
+// progress is what the leader knows of a member or learner that it replicates to.
+type progress struct {
+	next, match    uint64
+	incarnation    string // the incarnation that match was acknowledged by
+	probe          uint64 // highest probe it has echoed
+	sinceHeard     int    // ticks since it responded
+	responded      bool   // it has responded in this term
+	inFlight       bool
+	bulkUntil      int  // tick up to which a large batch in flight isn't sent again
+	bulkLosses     int  // large batches that got no response in time, one after another
+	acceptsPieces  bool // its release takes snapshots in pieces
+	transfer       *outgoingTransfer
+	snapshotSentAt int // tick in which a whole snapshot was sent last, to an older release; 0: never
+}
+
+// A batch of entries of bulkBytes or more isn't sent again at each heartbeat, but after
+// ElectionTicks without a response, and after a longer pause each time up to maxBulkPause times
+// that: on a slow link copies would queue up before it faster than they leave.
+const (
+	bulkBytes             = 16 << 10
+	maxBulkPause          = 8
+	bulkLossesForSnapshot = 2
+)
+
+// replicate sends a peer what it lacks; at a heartbeat also when it lacks nothing.
+func (c *Core) replicate(m string, heartbeat bool) {
+	p := c.peers[m]
+	if p.inFlight && !heartbeat {
+		return
+	}
+	if p.transfer != nil {
+		c.continueTransfer(m, p, heartbeat)
+		return
+	}
+	prev := p.next - 1
+	prevTerm, ok := c.termAt(prev)
+	if !ok || c.tooLargeForLink(p) {
+		c.replicateSnapshot(m, p)
+		return
+	}
+	if p.inFlight && c.ticks < p.bulkUntil {
+		c.sendAppend(m, prev, prevTerm, nil)
+		return
+	}
+	entries, size := c.batchFor(m, p.next)
+	p.bulkUntil = 0
+	if size >= bulkBytes {
+		if p.inFlight {
+			p.bulkLosses++
+		}
+		pause := min(1<<min(p.bulkLosses, maxBulkPause), maxBulkPause)
+		p.bulkUntil = c.ticks + c.cfg.ElectionTicks*pause
+	}
+	p.inFlight = len(entries) > 0
+	c.sendAppend(m, prev, prevTerm, entries)
+}
+
+func (c *Core) sendAppend(m string, prev, prevTerm uint64, entries []*wire.Entry) {
+	c.send(&wire.Message{To: m, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.probe})
+}
+
+// batchFor returns the entries to send from an index on, one at least if there is one, and their size.
+func (c *Core) batchFor(m string, from uint64) (entries []*wire.Entry, size int) {
+	for index := from; index <= c.replicationLimit(m); index++ {
+		e := c.entryAt(index)
+		if size+entryBytes(e) > c.cfg.MaxBatchBytes && len(entries) > 0 {
+			break
+		}
+		size += entryBytes(e)
+		entries = append(entries, e)
+	}
+	return entries, size
+}
+
+// tooLargeForLink tells whether a batch was lost so often that the link can't carry it whole; the
+// snapshot holds it already, and is sent in pieces.
+func (c *Core) tooLargeForLink(p *progress) bool {
+	return p.bulkLosses >= bulkLossesForSnapshot && p.acceptsPieces && p.next <= c.snapshot.Index
+}
+
+// replicateSnapshot begins to bring a peer up to the snapshot, because the entries that it lacks
+// are in the log no more.
+func (c *Core) replicateSnapshot(m string, p *progress) {
+	switch {
+	case !p.responded: // it may be dead, or of an older release: its response says
+		c.sendAppend(m, c.snapshot.Index, c.snapshot.Term, nil)
+	case p.acceptsPieces:
+		c.beginTransfer(m, p)
+	case p.snapshotSentAt > 0 && c.ticks-p.snapshotSentAt < c.cfg.ElectionTicks/2: // it is on its way
+	default:
+		p.snapshotSentAt, p.inFlight = c.ticks, true
+		c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.probe})
+	}
+}
+
+// heardFrom notes a response of this term; nil if it doesn't count.
+func (c *Core) heardFrom(l *wire.Message) *progress {
+	if c.role != leader || l.Term != c.hardState.Term {
+		return nil
+	}
+	p := c.peers[l.From]
+	if p == nil {
+		return nil // removed, or a learner that isn't known any more: it asks again
+	}
+	if p.incarnation != l.Incarnation { // another disk: what the old one had acknowledged counts no more
+		*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, responded: true, acceptsPieces: l.AcceptsPieces}
+		c.replicate(l.From, true)
+		return nil
+	}
+	if p.sinceHeard >= c.cfg.ElectionTicks { // it is back: what was in flight is lost
+		p.inFlight, p.bulkUntil, p.bulkLosses = false, 0, 0
+	}
+	p.sinceHeard, p.responded = 0, true
+	p.probe = max(p.probe, l.Probe)
+	return p
+}
+
+func (c *Core) handleAppendResponse(l *wire.Message) {
+	p := c.heardFrom(l)
+	if p == nil {
+		return
+	}
+	p.acceptsPieces = l.AcceptsPieces
+	if !l.Ok {
+		c.handleRejection(l, p)
+		return
+	}
+	advanced := l.Index > p.match
+	p.match = max(p.match, l.Index)
+	p.next = max(p.next, p.match+1)
+	if p.transfer != nil && p.match >= p.transfer.snapshot.Index {
+		p.transfer, p.inFlight, p.bulkLosses = nil, false, 0
+	}
+	if advanced || c.ticks >= p.bulkUntil {
+		p.inFlight, p.bulkLosses = false, 0
+	}
+	c.advanceCommit()
+	if p.next <= c.replicationLimit(l.From) {
+		c.replicate(l.From, false)
+	}
+}
+
+// handleRejection steps back to an entry that the peer may hold.
+func (c *Core) handleRejection(l *wire.Message, p *progress) {
+	if p.transfer != nil {
+		return // the transfer brings it up
+	}
+	p.inFlight = false
+	if c.cfg.Group && l.Index < p.match {
+		return // it has lost what it had acknowledged, which nobody may: asked again at the next heartbeat, not at once
+	}
+	p.next = max(p.match+1, min(p.next-1, l.Index+1))
+	p.bulkUntil = 0
+	c.replicate(l.From, true)
+}
+
+// advanceCommit commits what a quorum holds, if it is of this term.
+func (c *Core) advanceCommit() {
+	for i := c.lastIndex(); i > c.commit; i-- {
+		if term, _ := c.termAt(i); term != c.hardState.Term {
+			return
+		}
+		if c.hasQuorum(func(m string) bool { return c.peers[m].match >= i }) {
+			c.commit = i
+			c.eachPeer(func(m string) { c.replicate(m, true) })
+			if !c.IsVoter(c.cfg.Self) && c.members.index <= c.commit {
+				c.becomeFollower(c.hardState.Term, "") // its own removal is done
+			}
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -0,0 +1,135 @@
+package consensus
+
+import (
+	"hash/crc32"
+
+	"pebbleloom/internal/wire"
+)
+
+// A snapshot is sent in pieces, one after another, each when the one before it is acknowledged. The
+// leader asks first how much the follower holds, so a transfer goes on where it stopped after a loss,
+// a cut or a change of leader. Pieces grow while they are acknowledged quickly and shrink when one
+// is lost, so a slow link carries them within the driver's time for a message.
+//
+// A transfer under way keeps its snapshot when the leader compacts again: a stream of compactions
+// can't start it anew for ever. The leader keeps at most maxOutgoing of such snapshots beside its
+// newest one.
+
+const (
+	firstPieceBytes = 32 << 10
+	leastPieceBytes = 4 << 10
+	maxOutgoing     = 2
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// outgoingTransfer is a snapshot on its way to one peer.
+type outgoingTransfer struct {
+	snapshot   *wire.Snapshot // without state
+	state      []byte         // shared by all transfers of it
+	checksum   uint32         // of state
+	offset     uint64         // what the peer holds
+	pieceBytes int
+	sentAt     int // tick in which the piece in flight was sent
+}
+
+// beginTransfer asks a peer how much it holds of the snapshot that it is to get.
+func (c *Core) beginTransfer(m string, p *progress) {
+	p.transfer = c.newTransfer()
+	p.inFlight = false
+	c.sendPiece(m, p.transfer, 0)
+}
+
+// newTransfer is of the newest snapshot; where as many older ones as may be are on their way, of the
+// newest of these.
+func (c *Core) newTransfer() *outgoingTransfer {
+	active := c.activeTransfers()
+	if len(active) >= maxOutgoing {
+		c.dropSilentTransfers()
+		active = c.activeTransfers()
+	}
+	newest, current := (*outgoingTransfer)(nil), (*outgoingTransfer)(nil)
+	for _, t := range active {
+		if newest == nil || t.snapshot.Index > newest.snapshot.Index {
+			newest = t
+		}
+		if t.snapshot.Index == c.snapshot.Index {
+			current = t
+		}
+	}
+	switch {
+	case current != nil:
+		newest = current
+	case len(active) < maxOutgoing:
+		s := c.snapshot
+		header := &wire.Snapshot{Format: s.Format, Index: s.Index, Term: s.Term, Members: s.Members, MembersIndex: s.MembersIndex, MembersTerm: s.MembersTerm}
+		newest = &outgoingTransfer{snapshot: header, state: s.State, checksum: crc32.Checksum(s.State, castagnoli)}
+	}
+	return &outgoingTransfer{snapshot: newest.snapshot, state: newest.state, checksum: newest.checksum, pieceBytes: min(firstPieceBytes, c.cfg.MaxBatchBytes)}
+}
+
+// activeTransfers returns a transfer of each snapshot that is on its way, by index.
+func (c *Core) activeTransfers() map[uint64]*outgoingTransfer {
+	found := map[uint64]*outgoingTransfer{}
+	for _, p := range c.peers {
+		if p.transfer != nil {
+			found[p.transfer.snapshot.Index] = p.transfer
+		}
+	}
+	return found
+}
+
+// dropSilentTransfers gives up those to peers that are silent; they begin anew once they respond.
+func (c *Core) dropSilentTransfers() {
+	for _, p := range c.peers {
+		if p.transfer != nil && p.sinceHeard >= 2*c.cfg.ElectionTicks {
+			p.transfer, p.inFlight, p.responded = nil, false, false
+		}
+	}
+}
+
+// continueTransfer sends the piece in flight again where it wasn't acknowledged in time; otherwise, at
+// a heartbeat, it asks how much the peer holds.
+func (c *Core) continueTransfer(m string, p *progress, heartbeat bool) {
+	t := p.transfer
+	switch {
+	case p.inFlight && c.ticks-t.sentAt >= c.cfg.ElectionTicks:
+		t.pieceBytes = max(t.pieceBytes/2, min(leastPieceBytes, c.cfg.MaxBatchBytes))
+		c.sendNextPiece(m, p)
+	case heartbeat:
+		c.sendPiece(m, t, 0)
+	}
+}
+
+func (c *Core) sendNextPiece(m string, p *progress) {
+	p.inFlight, p.transfer.sentAt = true, c.ticks
+	c.sendPiece(m, p.transfer, p.transfer.pieceBytes)
+}
+
+// sendPiece sends up to so many bytes from what the peer holds on; none: a question how much it holds.
+func (c *Core) sendPiece(m string, t *outgoingTransfer, size int) {
+	end := min(t.offset+uint64(size), uint64(len(t.state)))
+	data := t.state[t.offset:end:end]
+	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.probe,
+		Piece: &wire.SnapshotPiece{Offset: t.offset, Total: uint64(len(t.state)), Data: data, Checksum: crc32.Checksum(data, castagnoli), StateChecksum: t.checksum}})
+}
+
+// handlePieceResponse goes on behind what a follower says that it holds.
+func (c *Core) handlePieceResponse(l *wire.Message) {
+	p := c.heardFrom(l)
+	if p == nil || p.transfer == nil || l.Piece == nil {
+		return
+	}
+	t := p.transfer
+	if l.Index != t.snapshot.Index || l.LogTerm != t.snapshot.Term || l.Piece.StateChecksum != t.checksum || l.Piece.Offset > uint64(len(t.state)) {
+		return // of another snapshot
+	}
+	if p.inFlight && l.Piece.Offset == t.offset {
+		return // the piece is still on its way
+	}
+	if p.inFlight && l.Piece.Offset > t.offset && c.ticks-t.sentAt <= c.cfg.HeartbeatTicks {
+		t.pieceBytes = min(2*t.pieceBytes, c.cfg.MaxBatchBytes)
+	}
+	t.offset = l.Piece.Offset
+	c.sendNextPiece(l.From, p)
+}
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -164,7 +164,7 @@
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
 	p.keepIDs = l.Place.Bounds.Once(1)
 	openGroup(p, &group{codec: codec, disk: disk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.Tolerate + 1, retryOpenTicks: int(retryOpenPart / groupTick),
-		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10,
+		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Place.Name)))},
 		first: func() *wire.Snapshot { return firstSnapshot(s.First, own, l.Place.Seeds, l.Seed) }})
 	n.shards[0], n.incarnation = p, p.published.current().self
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -57,7 +57,7 @@
 	tick := l.Place.Bounds.Heal(1.0 / 240)
 	for i := range uint32(controlclient.Shards) {
 		ms := controlclient.Members(i, core)
-		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10,
+		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Place.Name)))}
 		if !contains(ms, l.Place.Name) {
 			continue
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -2,78 +2,177 @@
 
 import (
 	"context"
+	"sync"
+	"time"
 
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
 
-// mail carries a group's letters: a ring and a thread for each address that gets any. It
-// belongs to the part's thread.
+// transport carries a group's messages: for each address a queue of small messages and one of large
+// ones, each with a goroutine of its own, so no heartbeat waits behind a snapshot. It belongs to the
+// shard's goroutine.
 type transport struct {
 	ctx      context.Context
 	node     *Node
 	outboxes map[string]*outbox
-	posted   int
+	sent     int
 }
 
 type outbox struct {
-	messages *queue.Ring[*wire.Message]
-	lastUsed int // the letter that was posted last, counted over all
-	stop     context.CancelFunc
+	small, large *queue.Ring[*wire.Message]
+	lastUsed     int // number of the message that was queued last, counted over all
+	stop         context.CancelFunc
 }
 
-// maxBoxes is how many addresses get letters at once; the one that got none for longest gives way.
-const maxOutboxes = 16
+// Bounds of the transport. Time is in parts of the heal bound.
+const (
+	maxOutboxes  = 16 // addresses that get messages at once; the one that got none for longest gives way
+	maxSmall     = 64 // queued messages for one address
+	maxLarge     = 2
+	maxBatch     = 16
+	largeBytes   = 16 << 10
+	sendTimePart = 1.0 / 24
+	longSendPart = 1.0 / 2 // for a large message that didn't arrive in a shorter time
+)
 
 func newTransport(ctx context.Context, n *Node) *transport {
 	return &transport{ctx: ctx, node: n, outboxes: map[string]*outbox{}}
 }
 
-// post hands a letter to the thread of the address in its receiver's name. A full ring drops
-// it: letters may be lost.
-func (m *transport) send(l *wire.Message) {
-	to := controlclient.Addr(l.To)
-	b := m.outboxes[to]
+// send queues a message for the address in its receiver's name. A full queue drops it: messages may
+// be lost.
+func (t *transport) send(m *wire.Message) {
+	to := controlclient.Addr(m.To)
+	b := t.outboxes[to]
 	if b == nil {
-		if len(m.outboxes) >= maxOutboxes {
-			m.dropOldest()
+		if len(t.outboxes) >= maxOutboxes {
+			t.dropOldest()
 		}
-		ctx, end := context.WithCancel(m.ctx)
-		b = &outbox{messages: queue.NewRing[*wire.Message](64), stop: end}
-		m.outboxes[to] = b
-		go m.deliver(ctx, to, b.messages)
+		b = t.open(to)
+	}
+	t.sent++
+	b.lastUsed = t.sent
+	if len(m.GetPiece().GetData()) > 0 || payloadBytes(m) >= largeBytes {
+		b.large.Offer(m)
+	} else {
+		b.small.Offer(m)
 	}
-	m.posted++
-	b.lastUsed = m.posted
-	b.messages.Offer(l)
 }
 
-func (m *transport) dropOldest() {
-	old := ""
-	for a, b := range m.outboxes {
-		if old == "" || b.lastUsed < m.outboxes[old].lastUsed {
-			old = a
+func (t *transport) open(to string) *outbox {
+	ctx, stop := context.WithCancel(t.ctx)
+	b := &outbox{small: queue.NewRing[*wire.Message](maxSmall), large: queue.NewRing[*wire.Message](maxLarge), stop: stop}
+	t.outboxes[to] = b
+	d := &delivery{node: t.node, to: to, longest: t.node.life.Place.Bounds.Heal(longSendPart)}
+	d.large.time = t.node.life.Place.Bounds.Heal(sendTimePart)
+	go d.sendSmall(ctx, b.small)
+	go d.sendLarge(ctx, b.large)
+	return b
+}
+
+func (t *transport) dropOldest() {
+	oldest := ""
+	for addr, b := range t.outboxes {
+		if oldest == "" || b.lastUsed < t.outboxes[oldest].lastUsed {
+			oldest = addr
 		}
 	}
-	m.outboxes[old].stop()
-	delete(m.outboxes, old)
+	t.outboxes[oldest].stop()
+	delete(t.outboxes, oldest)
 }
 
-func (m *transport) deliver(ctx context.Context, to string, r *queue.Ring[*wire.Message]) {
-	life := m.node.life
+// payloadBytes is about how large a message is that isn't a piece of a snapshot.
+func payloadBytes(m *wire.Message) int {
+	size := len(m.GetSnapshot().GetState())
+	for _, e := range m.Entries {
+		size += len(e.Body)
+	}
+	return size
+}
+
+// delivery sends one address its messages.
+type delivery struct {
+	node    *Node
+	to      string
+	longest time.Duration
+	mu      sync.Mutex // guards what follows
+	failed  bool       // the last small message didn't arrive
+	large   struct {
+		time  time.Duration      // how long the next large message may take
+		abort context.CancelFunc // ends the one under way; nil: none is
+	}
+}
+
+func (d *delivery) post(ctx context.Context, messages []*wire.Message) error {
+	_, err := d.node.calls.Archive(d.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
+	if err != nil {
+		d.node.life.Log.Debug("messages lost", "to", d.to, "messages", len(messages), "error", err)
+	}
+	return err
+}
+
+func (d *delivery) sendSmall(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-r.Out():
-			ls := append([]*wire.Message{l}, r.Drain(15)...)
-			one, end := context.WithTimeout(ctx, life.Place.Bounds.Heal(1.0/24))
-			_, err := m.node.calls.Archive(to).Post(one, &wire.MessageBatch{Format: 1, Messages: ls})
+		case m := <-queued.Out():
+			one, end := context.WithTimeout(ctx, d.shortest())
+			err := d.post(one, append([]*wire.Message{m}, queued.Drain(maxBatch-1)...))
 			end()
-			if err != nil {
-				life.Log.Debug("letters lost", "to", to, "letters", len(ls), "error", err)
-			}
+			d.noteSmall(err != nil)
 		}
 	}
 }
+
+func (d *delivery) shortest() time.Duration {
+	return d.node.life.Place.Bounds.Heal(sendTimePart)
+}
+
+// noteSmall ends a large message that was begun before its address could be reached again: its
+// connection may stay silent for long.
+func (d *delivery) noteSmall(failed bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.failed && !failed {
+		d.large.time = d.shortest()
+		if d.large.abort != nil {
+			d.large.abort()
+		}
+	}
+	d.failed = failed
+}
+
+func (d *delivery) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case m := <-queued.Out():
+			one, end := d.beginLarge(ctx)
+			err := d.post(one, []*wire.Message{m})
+			end()
+			d.noteLarge(err != nil)
+		}
+	}
+}
+
+func (d *delivery) beginLarge(ctx context.Context) (context.Context, context.CancelFunc) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	one, end := context.WithTimeout(ctx, d.large.time)
+	d.large.abort = end
+	return one, end
+}
+
+// noteLarge gives the next large message twice the time where this one had too little.
+func (d *delivery) noteLarge(failed bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.large.abort = nil
+	if failed && !d.failed {
+		d.large.time = min(2*d.large.time, d.longest)
+	}
+}
