--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -43,7 +43,7 @@
 	}
 	l := life("core-1", bounds(), t)
 	defer l.Stop(time.Second)
-	s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).Ready(), Workers: roll(1, 1),
+	s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: roll(1, 1),
 		Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", District: "district-0", Addr: t.addr()}}}
 	node, err := promptindex.StartSite(l, &keeper{parts: parts}, func() *fleet.Snapshot { return s })
 	if err != nil {
--- a/internal/capacity/form.go
+++ b/internal/capacity/form.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, errs.As(err, errs.BadInput, "plan")
 	}
-	return p.Ready(), nil
+	return p.BuildIndex(), nil
 }
 
 func oneRoute(d *jx.Decoder, r *routingconfig.Route) error {
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -71,7 +71,7 @@
 	}
 	l := life("edge-1", limits, nil)
 	defer l.Stop(time.Second)
-	l.Place.Seeds, l.Place.Bounds.SetupMs = seeds, 60000
+	l.Place.Seeds, l.Place.Bounds.ConfigMs = seeds, 60000
 	var bytes atomic.Int64
 	plain := (&settings.Place{Bounds: limits}).Dialer()
 	l.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -14,7 +14,7 @@
 // bounds are those of a fleet: what is in force everywhere within 13 s, all else as it is today.
 func bounds() settings.Bounds {
 	b := settings.Default()
-	b.SetupMs, b.LeaveMs = 13000, 12000 // the roster's leave bound is ten beats of 1,200 ms
+	b.ConfigMs, b.LeaveMs = 13000, 12000 // the roster's leave bound is ten beats of 1,200 ms
 	return b
 }
 
@@ -45,7 +45,7 @@
 		r.names = append(r.names, x.Addr)
 	}
 	for i, a := range r.names {
-		r.all[a].Hear(&wire.Beat{Epoch: 1, From: every[(i+1)%n], News: every, Whole: true}, r.now)
+		r.all[a].HandleHeartbeat(&wire.Beat{Epoch: 1, From: every[(i+1)%n], News: every, Whole: true}, r.now)
 	}
 	return r
 }
@@ -58,14 +58,14 @@
 		if c == nil {
 			continue
 		}
-		for _, x := range c.Step(r.now) {
+		for _, x := range c.Tick(r.now) {
 			r.calls++
 			to := r.all[x.To]
 			if to == nil {
 				continue // its machine is gone
 			}
-			if tell := r.carry(to.Hear(r.carry(x.Beat, wired), r.now), wired); tell != nil {
-				c.Answer(x.To, tell, r.now)
+			if tell := r.carry(to.HandleHeartbeat(r.carry(x.Heartbeat, wired), r.now), wired); tell != nil {
+				c.HandleResponse(x.To, tell, r.now)
 			}
 		}
 	}
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -33,14 +33,14 @@
 	for i := range l {
 		s := i % services
 		l[i] = fleet.Worker{ID: fmt.Sprintf("i-%08x", d.Uint32()), Service: serviceName(s), Addr: fmt.Sprintf("10.%d.%d.%d:8080", 64+i%5, i/200, i%200),
-			District: fmt.Sprintf("district-%d", i%5), Slots: 128, Weights: map[string]uint64{modelName(s): 3}}
+			Zone: fmt.Sprintf("district-%d", i%5), Slots: 128, Weights: map[string]uint64{modelName(s): 3}}
 	}
 	return l
 }
 
 // life is a program's life in this process; listen, if any, is where its connections are counted.
 func life(name string, b settings.Bounds, tap *tap) *daemon.Process {
-	p := settings.Place{Name: name, District: "district-0", Listen: "127.0.0.1:0", Bounds: b, Extra: []string{"log=off"},
+	p := settings.Place{Name: name, Zone: "district-0", Listen: "127.0.0.1:0", Bounds: b, Extra: []string{"log=off"},
 		Site: &settings.Site{First: true, IP: "127.0.0.1", MemoryMB: 4096, Ready: "127.0.0.1:0", BeatMs: 1200, GraceMs: 100, LeaseMs: 3000, AckMs: 60000, TransitMs: 1000}}
 	w := daemon.RealEnvironment(p)
 	if tap != nil {
@@ -105,7 +105,7 @@
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
 			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.Stream, Timeout: 8 * time.Second, Target: time.Second, Session: true, Attempts: 2, Split: []routingconfig.Share{{Service: serviceName(0), Weight: 1}}}}}
-		s := &fleet.Snapshot{Plan: x.Ready(), ProofAt: l.Clock.Now(), Workers: roll(int(n), 1), Edges: 340}
+		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Workers: roll(int(n), 1), Edges: 340}
 		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }), "edge-1")
 		i, d := 0, rand.New(rand.NewPCG(1, 2))
 		one := func(s *fleet.Snapshot) {
@@ -150,7 +150,7 @@
 			short.HealMs = 240
 		}
 		l := life("core-1", short, nil)
-		s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).Ready(), Workers: roll(int(n), 1),
+		s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: roll(int(n), 1),
 			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", District: "district-0", Addr: "127.0.0.1:1"}}}
 		c := &idle{asked: make(chan struct{}, 1<<16)}
 		if _, err := promptindex.StartSite(l, c, func() *fleet.Snapshot { return s }); err != nil {
--- a/internal/cli/desk.go
+++ b/internal/cli/desk.go
@@ -160,7 +160,7 @@
 	for _, a := range args {
 		r.asJSON = r.asJSON || a == "--json" || a == "-j" // also for what is wrong with the flags
 	}
-	words, err := set.Strict(ps, args)
+	words, err := set.ParseStrict(ps, args)
 	if err == nil {
 		err = errs.As(ps.ParseArgs(args), errs.BadInput, "flags")
 	}
@@ -219,7 +219,7 @@
 func (s shows) RoundTrip(r *http.Request) (*http.Response, error) {
 	if s.key != "" {
 		r = r.Clone(r.Context())
-		r.Header.Set(operatorapi.KeyHead, s.key)
+		r.Header.Set(operatorapi.KeyHeader, s.key)
 	}
 	return s.by.RoundTrip(r)
 }
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -47,7 +47,7 @@
 			code     int
 			says     string // in the answer, or in what is wrong
 		}{
-			{"setup get", "", 4, "no setup has been applied yet"},
+			{"setup get", "", 4, "no service configuration has been applied yet"},
 			{"status", "", 1, "no plan is in force"},
 			{"setup validate --file -", `{"version":0}`, 2, "version: missing"},
 			{"setup validate --file -", first, 0, "valid"},
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -142,7 +142,7 @@
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
 	site := &set.Site{First: true, Tolerate: 1, IP: ip(i), AckMs: 4000, GraceMs: 8000, BeatMs: 300, LeaseMs: 3000,
 		ListRate: 47, MemoryMB: 284, Files: 4100, Ports: [2]int{7360, 7375}, Revokes: true, SlackMs: 200}
-	place := set.Place{Name: fmt.Sprint("m", i), District: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.Default(),
+	place := set.Place{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.Default(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Extra: []string{"log=off"}, Site: site}
 	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
@@ -253,7 +253,7 @@
 	defer p.mu.Unlock()
 	for i := 1; i <= len(p.has); i++ {
 		id := fmt.Sprint("w", i)
-		l = append(l, fleet.Worker{ID: id, Service: "reading", Addr: "10.9.0." + fmt.Sprint(i) + ":1", District: "d1", Slots: 8, Draining: i == 3,
+		l = append(l, fleet.Worker{ID: id, Service: "reading", Addr: "10.9.0." + fmt.Sprint(i) + ":1", Zone: "d1", Slots: 8, Draining: i == 3,
 			Weights: map[string]uint64{"daka": p.has[id]}})
 	}
 	return l, "", nil
@@ -308,7 +308,7 @@
 	err := json.Unmarshal(b, &v)
 	x := &routingconfig.Plan{Version: v.Version, Tenants: []routingconfig.Tenant{{Name: "t", Priority: -1}, {Name: "walled", Priority: -1, Isolated: true}}, Services: []routingconfig.Service{{Name: "reading", MaxConns: 100,
 		Engine: &routingconfig.Engine{Slots: 8, Room: 10000, TokenBytes: 18432, LinkMbps: 370000, Polls: 4, Models: []string{"daka"}}}}}
-	return x.Ready(), err
+	return x.BuildIndex(), err
 }
 
 func (pondPlans) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock gives the instants that decisions are made by: a clock that counts sleep
-// and never jumps. The wall clock decides nothing in pebbleloom.
+// Package clock is the monotonic time that decisions are made by: it includes suspend and never jumps.
+// The wall clock decides nothing in pebbleloom.
 package clock
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells instants as the time since an origin of its own.
+// Clock returns instants as the time since an origin of its own.
 type Clock interface{ Now() time.Duration }
 
 type boot struct{}
@@ -17,21 +17,21 @@
 func (boot) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Linux has had it since 2.6.39; without it no bound can be kept.
+		// Linux has it since 2.6.39; without it no bound can be guaranteed.
 		panic("clock: CLOCK_BOOTTIME can't be read: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
 
-// Boot is the machine's clock since it booted, sleep included.
+// Boot is the time since the machine booted, suspend included.
 //
 // Example: t0 := clock.Boot().Now()
 func Boot() Clock { return boot{} }
 
-// Hand is a clock moved by hand, for tests and simulators.
+// Hand is a clock that tests and simulators set by hand.
 type Hand struct{ T time.Duration }
 
-// Now tells where the hand stands.
+// Now returns the time that was set.
 //
 // Example: (&clock.Hand{T: time.Second}).Now() == time.Second
 func (h *Hand) Now() time.Duration { return h.T }
@@ -40,7 +40,7 @@
 
 func (k ticking) Now() time.Duration { return time.Hour + time.Since(k.from) }
 
-// Ticking goes with the time of a test's bubble, from an hour on.
+// Ticking follows the fake time of a synctest bubble, starting at one hour.
 //
 // Example: clk := clock.Ticking()
 func Ticking() Clock { return ticking{time.Now()} }
@@ -57,7 +57,7 @@
 	}
 }
 
-// Every is a clock event that comes again and again.
+// Every is a ticker.
 //
 // Example: t := clock.Every(time.Second); defer t.Stop(); <-t.C
 func Every(d time.Duration) *time.Ticker { return time.NewTicker(max(d, time.Millisecond)) }
--- a/internal/codecheck/house_test.go
+++ b/internal/codecheck/house_test.go
@@ -124,7 +124,7 @@
 	if l, err := wall("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(l) != 2 {
 		t.Fatalf("the check itself finds %v, %v", l, err)
 	}
-	allowed := regexp.MustCompile(`/internal/sim/(workersim|storesim|appservicesim|platformsim|loadgen|testbed|clustersim)/|/internal/(clock/clock|cli/runbook|control/controlstate/node|daemon/world)\.go$`)
+	allowed := regexp.MustCompile(`/internal/sim/(workersim|storesim|appservicesim|platformsim|loadgen|testbed|clustersim)/|/internal/(clock/clock|cli/runbook|control/controlstate/node|daemon/environment)\.go$`)
 	for p, b := range files(t) {
 		if strings.HasSuffix(p, "_test.go") || allowed.MatchString(p) {
 			continue
--- a/internal/control/calendar/calendar_test.go
+++ b/internal/control/calendar/calendar_test.go
@@ -233,8 +233,8 @@
 	if err := e.Ask("undo"); err != nil {
 		t.Fatal(err)
 	}
-	if e = run(t, tb, p, e, 3); e.State != Undone || tb.world(t).Setup.Ways["m"] != (serviceconfig.Way{Service: "s"}) {
-		t.Fatalf("undone: %s, way %+v", e.State, tb.world(t).Setup.Ways["m"])
+	if e = run(t, tb, p, e, 3); e.State != Undone || tb.world(t).Setup.Routes["m"] != (serviceconfig.Route{Service: "s"}) {
+		t.Fatalf("undone: %s, way %+v", e.State, tb.world(t).Setup.Routes["m"])
 	}
 	tb = newTable()
 	e = run(t, tb, p, kinds[1], 3)
--- a/internal/control/calendar/step.go
+++ b/internal/control/calendar/step.go
@@ -23,7 +23,7 @@
 	Wall    time.Time // the median of the core machines' clocks; zero: no majority told its own
 	Clock   time.Duration
 	Epoch   uint64
-	Setup   *serviceconfig.Setup
+	Setup   *serviceconfig.Config
 	Workers []Worker
 	Ok, Bad float64 // goes of the service, lately
 }
--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -21,66 +21,66 @@
 
 const maxNodes = 4096
 
-// young is how many beats a node asks to be told all in: others may not have seen that it was
-// away, and have no reason of their own to tell it. These beats fill the first period, so that
-// nodes that begin together know each other soon.
-const young = 8
+// joiningBeats is how many heartbeats a node asks for full views: others may not have noticed that it
+// was away, and have no reason to send it everything. These heartbeats fill the first period, so that
+// nodes that start together find each other soon.
+const joiningBeats = 8
 
-// patience is how long views may differ, as a ratio of the leave bound, before all is told
-// though there is still news under way.
-const patience = 0.5
+// divergenceRatio is how long views may differ, as a ratio of the leave bound, before a full view is
+// sent although updates are still in flight.
+const divergenceRatio = 0.5
 
-// settledAge is how old a node is, as a ratio of the leave bound and sleep included, from
-// when on a later life of its name elsewhere is its successor and not its own past.
-const settledAge = 2
+// settledRatio is the age of a node, as a ratio of the leave bound and sleep included, from which a
+// newer incarnation of its name elsewhere is its successor and not its own past.
+const settledRatio = 2
 
 type entry struct {
-	n     *wire.Node
-	place uint64        // on the ring
-	at    time.Duration // when this state began, or the last beat heard
-	heard time.Duration
-	tell  int // how many more letters carry it
+	node        *wire.Node
+	position    uint64        // on the ring
+	changedAt   time.Duration // when this state began
+	lastHeard   time.Duration
+	retransmits int // how many more heartbeats carry it
 }
 
 // Core is one node's view of all nodes.
 type Core struct {
-	b        settings.Bounds
-	self     *wire.Node
-	seeds    []string
-	all      map[string]*entry
-	turn     int
-	epoch    uint64
-	sum      uint64 // who is there, added up; kept as the view changes
-	replaced bool
-	born     time.Duration            // its first step
-	apart    map[string]bool          // addresses whose view differs from this one's: they are told all
-	differ   map[string]time.Duration // since when the views of those that call differ from this one
+	bounds     settings.Bounds
+	self       *wire.Node
+	seeds      []string
+	entries    map[string]*entry
+	period     int
+	version    uint64
+	checksum   uint64 // checksum of the view
+	replaced   bool
+	startedAt  time.Duration            // its first tick
+	sendFull   map[string]bool          // addresses whose view differs: they get a full view
+	divergedAt map[string]time.Duration // by caller: since when its view differs from this one
 }
 
-// New makes a view that knows itself and its seeds.
+// New makes a view that holds this node and its seeds.
 //
-// Example: c := roster.New(bounds, self, seeds)
+// Example: c := clustermembership.New(bounds, self, seeds)
 func New(b settings.Bounds, self *wire.Node, seeds []string) *Core {
-	return &Core{b: b, self: self, seeds: seeds, all: map[string]*entry{}, epoch: 1, apart: map[string]bool{}, differ: map[string]time.Duration{}}
+	return &Core{bounds: b, self: self, seeds: seeds, entries: map[string]*entry{}, version: 1, sendFull: map[string]bool{}, divergedAt: map[string]time.Duration{}}
 }
 
-// Replaced tells whether another machine has taken this node's name: it is to stop.
+// Replaced reports whether another machine has taken this node's name: the node has to stop.
 //
 // Example: if c.Replaced() { stop() }
 func (c *Core) Replaced() bool { return c.replaced }
 
-// Epoch grows whenever the view changes.
+// Version grows whenever the view changes.
 //
-// Example: if c.Epoch() != seen { … }
-func (c *Core) Epoch() uint64 { return c.epoch }
+// Example: if c.Version() != seen { … }
+func (c *Core) Version() uint64 { return c.version }
 
 // SetSeeds changes the seeds at run time.
 //
 // Example: c.SetSeeds([]string{"127.10.1.1:7000"})
 func (c *Core) SetSeeds(s []string) { c.seeds = s }
 
-// newer tells whether a says more recent things of a node than b.
-func newer(a, b *wire.Node) bool {
+// isNewer reports whether a is a more recent state of a node than b.
+func isNewer(a, b *wire.Node) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
@@ -95,84 +95,84 @@
 		Addr: n.Addr, State: n.State, Beat: n.Beat, Operator: n.Operator}
 }
 
-func (c *Core) learn(n *wire.Node, now time.Duration, direct bool) {
+func (c *Core) merge(n *wire.Node, now time.Duration, direct bool) {
 	if n == nil || n.Name == "" {
 		return
 	}
 	if n.Name == c.self.Name {
-		// Someone says that this node is suspect or gone, or an older life of it is remembered:
-		// speak up louder.
+		// Another node considers this one suspect or gone, or remembers an older incarnation of it:
+		// refute that with a higher beat or incarnation.
 		if n.State != Alive && n.Incarnation == c.self.Incarnation && n.Beat >= c.self.Beat {
 			c.self.Beat = n.Beat + 1
 		} else if n.Incarnation > c.self.Incarnation {
-			if n.Addr != c.self.Addr && n.State == Alive && c.turn > 0 && now-c.born > c.b.Leave(settledAge) {
-				c.replaced = true // a machine elsewhere has taken this name while this one slept
+			if n.Addr != c.self.Addr && n.State == Alive && c.period > 0 && now-c.startedAt > c.bounds.Leave(settledRatio) {
+				c.replaced = true // another machine took this name while this one was suspended
 				return
 			}
 			c.self.Incarnation = n.Incarnation + 1
 		}
 		return
 	}
-	e := c.all[n.Name]
+	e := c.entries[n.Name]
 	if e == nil {
-		if len(c.all) >= maxNodes || n.State == Gone {
+		if len(c.entries) >= maxNodes || n.State == Gone {
 			return
 		}
-		c.all[n.Name] = &entry{n: clone(n), place: queue.Hash(n.Name), at: now, heard: now, tell: c.spread()}
-		c.epoch++
+		c.entries[n.Name] = &entry{node: clone(n), position: queue.Hash(n.Name), changedAt: now, lastHeard: now, retransmits: c.retransmitCount()}
+		c.version++
 		return
 	}
-	if direct && n.Incarnation >= e.n.Incarnation {
-		e.heard = now
+	if direct && n.Incarnation >= e.node.Incarnation {
+		e.lastHeard = now
 	}
-	if !newer(n, e.n) {
-		if n.State != Alive && e.n.State == Alive && e.n.Beat > n.Beat && n.Incarnation == e.n.Incarnation {
-			e.tell = c.spread() // it was heard since: say so
+	if !isNewer(n, e.node) {
+		if n.State != Alive && e.node.State == Alive && e.node.Beat > n.Beat && n.Incarnation == e.node.Incarnation {
+			e.retransmits = c.retransmitCount() // it was heard since: refute that
 		}
 		return
 	}
-	changed := n.State != e.n.State || n.Incarnation != e.n.Incarnation || n.Addr != e.n.Addr
-	e.n = clone(n)
+	changed := n.State != e.node.State || n.Incarnation != e.node.Incarnation || n.Addr != e.node.Addr
+	e.node = clone(n)
 	if changed {
-		e.at, e.tell = now, c.spread()
+		e.changedAt, e.retransmits = now, c.retransmitCount()
 		if n.State == Alive {
-			e.heard = now
+			e.lastHeard = now
 		}
-		c.epoch++
+		c.version++
 	}
 }
 
-func (c *Core) spread() int {
+func (c *Core) retransmitCount() int {
 	k := 3
-	for n := len(c.all); n > 1; n /= 2 {
+	for n := len(c.entries); n > 1; n /= 2 {
 		k += 2
 	}
 	return k
 }
 
-type placed struct {
-	place uint64
-	n     *wire.Node
+type ringNode struct {
+	position uint64
+	node     *wire.Node
 }
 
-// ring lists all that aren't gone, by place.
-func (c *Core) ring() []placed {
-	l := make([]placed, 0, len(c.all)+1)
-	l = append(l, placed{queue.Hash(c.self.Name), c.self})
-	for _, e := range c.all {
-		if e.n.State != Gone {
-			l = append(l, placed{e.place, e.n})
+// ring lists all nodes that aren't gone, by position.
+func (c *Core) ring() []ringNode {
+	l := make([]ringNode, 0, len(c.entries)+1)
+	l = append(l, ringNode{queue.Hash(c.self.Name), c.self})
+	for _, e := range c.entries {
+		if e.node.State != Gone {
+			l = append(l, ringNode{e.position, e.node})
 		}
 	}
 	sort.Slice(l, func(i, j int) bool {
-		return l[i].place < l[j].place || l[i].place == l[j].place && l[i].n.Name < l[j].n.Name
+		return l[i].position < l[j].position || l[i].position == l[j].position && l[i].node.Name < l[j].node.Name
 	})
 	return l
 }
 
-// steps are how far along the ring a node's watchers stand: the next, and two further off
-// so that news crosses a long ring in few beats.
-func steps(n int) []int {
+// ringOffsets are the distances on the ring to a node's observers: the next, and two farther ones so
+// that updates cross a large ring in few heartbeats.
+func ringOffsets(n int) []int {
 	if n < 2 {
 		return nil
 	}
@@ -189,72 +189,72 @@
 	return l
 }
 
-// total adds up a view: names, lives and states, whatever their order.
-func (c *Core) total() uint64 {
+// computeChecksum adds up names, incarnations and states, independent of their order.
+func (c *Core) computeChecksum() uint64 {
 	t := uint64(0)
 	add := func(n *wire.Node, place uint64) {
 		t += (place ^ n.Incarnation*0x9e3779b97f4a7c15) * uint64(n.State*2+3)
 	}
 	add(c.self, queue.Hash(c.self.Name))
-	for _, e := range c.all {
-		if e.n.State != Gone { // the gone are forgotten at different times
-			add(e.n, e.place)
+	for _, e := range c.entries {
+		if e.node.State != Gone { // nodes that are gone are removed at different times
+			add(e.node, e.position)
 		}
 	}
 	return t
 }
 
-// Call is a beat to send to an address.
+// Call is a heartbeat to send to an address.
 type Call struct {
-	To   string
-	Beat *wire.Beat
+	To        string
+	Heartbeat *wire.Beat
 }
 
-// Step is one period: judge whom this node watches, then say who to call.
+// Tick is one period: judge the observed nodes, then return the heartbeats to send.
 //
-// Example: for _, x := range c.Step(clk.Now()) { send(x) }
-func (c *Core) Step(now time.Duration) []Call {
-	if c.turn++; c.turn == 1 {
-		c.born = now
+// Example: for _, x := range c.Tick(clock.Now()) { send(x) }
+func (c *Core) Tick(now time.Duration) []Call {
+	if c.period++; c.period == 1 {
+		c.startedAt = now
 	}
 	c.self.Beat++
 	ring := c.ring()
-	at, ds := 0, steps(len(ring))
+	at, ds := 0, ringOffsets(len(ring))
 	for i, x := range ring {
-		if x.n == c.self {
+		if x.node == c.self {
 			at = i
 		}
 	}
 	watched := map[string]bool{}
 	for _, d := range ds {
-		watched[ring[(at-d+len(ring))%len(ring)].n.Name] = true
+		watched[ring[(at-d+len(ring))%len(ring)].node.Name] = true
 	}
-	for _, e := range c.all {
-		mine := watched[e.n.Name]
+	for _, e := range c.entries {
+		mine := watched[e.node.Name]
 		switch {
-		case e.n.State == Alive && !mine:
-			e.heard = now // judged from when this node becomes its watcher
-		case e.n.State == Alive && now-e.heard > c.b.Leave(0.35):
-			e.n.State, e.at, e.tell = Suspect, now, c.spread()
-			c.epoch++
-		case e.n.State == Suspect && now-e.at > c.b.Leave(0.25):
-			e.n.State, e.at, e.tell = Gone, now, c.spread()
-			c.epoch++
-		case e.n.State == Gone && now-e.at > c.b.Heal(10):
-			delete(c.all, e.n.Name)
-			c.epoch++
+		case e.node.State == Alive && !mine:
+			e.lastHeard = now // its timeout starts when this node becomes its observer
+		case e.node.State == Alive && now-e.lastHeard > c.bounds.Leave(0.35):
+			e.node.State, e.changedAt, e.retransmits = Suspect, now, c.retransmitCount()
+			c.version++
+		case e.node.State == Suspect && now-e.changedAt > c.bounds.Leave(0.25):
+			e.node.State, e.changedAt, e.retransmits = Gone, now, c.retransmitCount()
+			c.version++
+		case e.node.State == Gone && now-e.changedAt > c.bounds.Heal(10):
+			delete(c.entries, e.node.Name)
+			c.version++
 		}
 	}
-	c.sum = c.total()
+	c.checksum = c.computeChecksum()
 	var l []Call
 	for _, d := range ds {
-		if w := ring[(at+d)%len(ring)].n; w.State != Gone {
-			l = append(l, Call{w.Addr, c.beat(c.turn <= young)})
+		if w := ring[(at+d)%len(ring)].node; w.State != Gone {
+			l = append(l, Call{w.Addr, c.newHeartbeat(c.period <= joiningBeats)})
 		}
 	}
-	// Now and then a seed or someone gone is called, so that cut halves find each other.
+	// Every fourth period a seed or a gone node is called, so that partitions heal.
 	alone := len(l) == 0
-	if alone || c.turn%4 == 0 {
+	if alone || c.period%4 == 0 {
 		var far []string
 		for _, s := range c.seeds {
 			if s != c.self.Addr {
@@ -267,133 +267,133 @@
 			}
 		}
 		if len(far) > 0 {
-			x := far[c.turn/4%len(far)]
-			l = append(l, Call{x, c.beat(alone || c.apart[x])})
-			delete(c.apart, x)
+			x := far[c.period/4%len(far)]
+			l = append(l, Call{x, c.newHeartbeat(alone || c.sendFull[x])})
+			delete(c.sendFull, x)
 			if alone && len(far) > 1 {
-				l = append(l, Call{far[(c.turn+1)%len(far)], c.beat(true)})
+				l = append(l, Call{far[(c.period+1)%len(far)], c.newHeartbeat(true)})
 			}
 		}
 	}
-	for _, e := range c.all {
-		if e.tell > 0 {
-			e.tell--
+	for _, e := range c.entries {
+		if e.retransmits > 0 {
+			e.retransmits--
 		}
 	}
 	return l
 }
 
-func (c *Core) beat(whole bool) *wire.Beat {
-	b := &wire.Beat{Epoch: 1, From: clone(c.self), Whole: whole, Sum: c.sum}
-	for _, e := range c.all {
-		if whole || e.tell > 0 {
-			b.News = append(b.News, clone(e.n))
+func (c *Core) newHeartbeat(whole bool) *wire.Beat {
+	b := &wire.Beat{Epoch: 1, From: clone(c.self), Whole: whole, Sum: c.checksum}
+	for _, e := range c.entries {
+		if whole || e.retransmits > 0 {
+			b.News = append(b.News, clone(e.node))
 		}
 	}
 	return b
 }
 
-// Leave says goodbye: the beats it gives tell that this node is gone, so that nobody has
-// to find out by its silence.
+// Leave returns the heartbeats that announce that this node stops, so that nobody has to detect it by
+// its silence.
 //
 // Example: for _, x := range c.Leave() { send(x) }
 func (c *Core) Leave() []Call {
 	c.self.Beat++
 	c.self.State = Gone
 	var l []Call
-	for _, e := range c.all {
-		if e.n.State == Alive && len(l) < 8 {
-			l = append(l, Call{e.n.Addr, &wire.Beat{Epoch: 1, From: clone(c.self)}})
+	for _, e := range c.entries {
+		if e.node.State == Alive && len(l) < 8 {
+			l = append(l, Call{e.node.Addr, &wire.Beat{Epoch: 1, From: clone(c.self)}})
 		}
 	}
 	return l
 }
 
-// Hear takes a beat and gives the answer to it: what is news, or all where the two views
+// HandleHeartbeat takes a heartbeat and returns the response: the updates, or the full view if the two
 // differ.
 //
-// Example: answer := c.Hear(beat, clk.Now())
-func (c *Core) Hear(b *wire.Beat, now time.Duration) *wire.Beat {
+// Example: response := c.HandleHeartbeat(beat, clock.Now())
+func (c *Core) HandleHeartbeat(b *wire.Beat, now time.Duration) *wire.Beat {
 	if b.GetEpoch() != 1 {
-		return &wire.Beat{Epoch: 1, From: clone(c.self)} // a shape this program doesn't read
+		return &wire.Beat{Epoch: 1, From: clone(c.self)} // an unknown format
 	}
 	if b.GetFrom() == nil {
-		return c.beat(true) // somebody who only looks
+		return c.newHeartbeat(true) // an observer without a node of its own
 	}
-	old := c.all[b.From.Name]
-	fresh := old == nil || old.n.State == Gone
-	was := c.epoch
-	c.learn(b.From, now, true)
+	old := c.entries[b.From.Name]
+	fresh := old == nil || old.node.State == Gone
+	was := c.version
+	c.merge(b.From, now, true)
 	for _, n := range b.News {
-		c.learn(n, now, false)
+		c.merge(n, now, false)
 	}
-	if c.epoch != was {
-		c.sum = c.total()
+	if c.version != was {
+		c.checksum = c.computeChecksum()
 	}
-	t := c.beat(b.Whole || fresh || c.lags(b, now))
-	if e := c.all[b.From.Name]; e != nil && e.n.Incarnation > b.From.Incarnation {
-		t.News = append(t.News, clone(e.n)) // a later life of that name is known here
+	t := c.newHeartbeat(b.Whole || fresh || c.needsFullView(b, now))
+	if e := c.entries[b.From.Name]; e != nil && e.node.Incarnation > b.From.Incarnation {
+		t.News = append(t.News, clone(e.node)) // a newer incarnation of that name is known here
 	}
 	return t
 }
 
-// lags tells whether a caller's view differs from this one and no news under way will mend
-// that: there is none, or they have differed for long all the same.
-func (c *Core) lags(b *wire.Beat, now time.Duration) bool {
-	if b.Sum == c.sum {
-		delete(c.differ, b.From.Name)
+// needsFullView reports whether a caller's view differs from this one and no update in flight will fix
+// that: there is none, or the views have differed for long.
+func (c *Core) needsFullView(b *wire.Beat, now time.Duration) bool {
+	if b.Sum == c.checksum {
+		delete(c.divergedAt, b.From.Name)
 		return false
 	}
-	since, ok := c.differ[b.From.Name]
+	since, ok := c.divergedAt[b.From.Name]
 	if !ok {
-		if len(c.differ) >= 64 {
-			clear(c.differ) // counted anew
+		if len(c.divergedAt) >= 64 {
+			clear(c.divergedAt) // measured again from now
 		}
-		c.differ[b.From.Name] = now
+		c.divergedAt[b.From.Name] = now
 	}
-	if ok && now-since > c.b.Leave(patience) {
-		c.differ[b.From.Name] = now // told once, and again if that didn't help
+	if ok && now-since > c.bounds.Leave(divergenceRatio) {
+		c.divergedAt[b.From.Name] = now // sent once, and again if that didn't help
 		return true
 	}
-	return len(b.News) == 0 && c.settled(now)
+	return len(b.News) == 0 && c.isStable(now)
 }
 
-// settled tells whether there is no news under way here: views that differ then, differ
-// for long.
-func (c *Core) settled(now time.Duration) bool {
-	for _, e := range c.all {
-		if e.tell > 0 || now-e.at < c.b.Leave(0.3) {
+// isStable reports whether no update is in flight here: views that differ then will not converge by
+// themselves.
+func (c *Core) isStable(now time.Duration) bool {
+	for _, e := range c.entries {
+		if e.retransmits > 0 || now-e.changedAt < c.bounds.Leave(0.3) {
 			return false
 		}
 	}
 	return true
 }
 
-// Answer takes the answer to an own beat. Where the other told all and the views still
-// differ, it is told all at the next call.
+// HandleResponse takes the response to an own heartbeat. If the other node sent its full view and the
+// views still differ, the next call to it carries the full view.
 //
-// Example: c.Answer(addr, tell, clk.Now())
-func (c *Core) Answer(from string, b *wire.Beat, now time.Duration) {
-	was := c.epoch
-	c.learn(b.GetFrom(), now, true)
+// Example: c.HandleResponse(addr, response, clock.Now())
+func (c *Core) HandleResponse(from string, b *wire.Beat, now time.Duration) {
+	was := c.version
+	c.merge(b.GetFrom(), now, true)
 	for _, n := range b.GetNews() {
-		c.learn(n, now, false)
+		c.merge(n, now, false)
 	}
-	if c.epoch != was {
-		c.sum = c.total()
+	if c.version != was {
+		c.checksum = c.computeChecksum()
 	}
-	if b.GetWhole() && b.Sum != c.sum && len(c.apart) < 64 {
-		c.apart[from] = true
+	if b.GetWhole() && b.Sum != c.checksum && len(c.sendFull) < 64 {
+		c.sendFull[from] = true
 	}
 }
 
-// Nodes lists the view by name, this node too.
+// Nodes lists the view by name, including this node.
 //
 // Example: for _, n := range c.Nodes() { fmt.Println(n.Name, n.State) }
 func (c *Core) Nodes() []*wire.Node {
 	l := []*wire.Node{clone(c.self)}
-	for _, e := range c.all {
-		l = append(l, clone(e.n))
+	for _, e := range c.entries {
+		l = append(l, clone(e.node))
 	}
 	sort.Slice(l, func(i, j int) bool { return l[i].Name < l[j].Name })
 	return l
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -48,17 +48,17 @@
 			if c == nil || s.down[a] {
 				continue
 			}
-			for _, x := range c.Step(s.now) {
+			for _, x := range c.Tick(s.now) {
 				to := s.cores[x.To]
 				s.sent++
-				s.bytes += size(x.Beat)
+				s.bytes += size(x.Heartbeat)
 				if to == nil || s.down[x.To] || s.cut(a, x.To) {
 					continue
 				}
-				t := to.Hear(x.Beat, s.now)
+				t := to.HandleHeartbeat(x.Heartbeat, s.now)
 				s.bytes += size(t)
 				if !s.cut(x.To, a) {
-					c.Answer(x.To, t, s.now)
+					c.HandleResponse(x.To, t, s.now)
 				}
 			}
 		}
@@ -141,7 +141,7 @@
 	s := newSite(26, 6)
 	s.run(4 * time.Second)
 	for _, x := range s.cores[addr(7)].Leave() {
-		s.cores[x.To].Hear(x.Beat, s.now)
+		s.cores[x.To].HandleHeartbeat(x.Heartbeat, s.now)
 	}
 	s.down[addr(7)] = true
 	s.run(settings.Default().Leave(0.4))
@@ -226,9 +226,9 @@
 			s.add(j, uint64(200+i))
 			for a, c := range s.cores { // those who watch over it call first
 				if a != addr(i) && a != addr(j) {
-					for _, x := range c.Step(s.now) {
+					for _, x := range c.Tick(s.now) {
 						if x.To == addr(i) || x.To == addr(j) {
-							s.cores[x.To].Hear(x.Beat, s.now)
+							s.cores[x.To].HandleHeartbeat(x.Heartbeat, s.now)
 						}
 					}
 				}
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -13,28 +13,28 @@
 	"pebbleloom/internal/wire"
 )
 
-// beatPart is the time between two beats, as a ratio of the leave bound.
-const beatPart = 0.1
+// heartbeatRatio is the time between two heartbeats, as a ratio of the leave bound.
+const heartbeatRatio = 0.1
 
-// Member runs a Core: it beats, hears, and shows the view.
+// Member runs a Core: it sends and receives heartbeats and publishes the view.
 type Member struct {
-	desk *queue.Actor[Core]
-	clk  clock.Clock
-	b    settings.Bounds
-	log  hclog.Logger
-	call func(addr string) wire.Roster
-	view atomic.Pointer[View]
-	hook func(View)
-	gone bool // the desk's
+	actor    *queue.Actor[Core]
+	clock    clock.Clock
+	bounds   settings.Bounds
+	log      hclog.Logger
+	client   func(addr string) wire.Roster
+	view     atomic.Pointer[View]
+	onChange func(View)
+	left     bool // owned by the actor
 }
 
 // View is what a member knew at one moment.
 type View struct {
-	Epoch uint64
-	Nodes []*wire.Node
+	Version uint64
+	Nodes   []*wire.Node
 }
 
-// Addr finds the address of a living node, suspects included.
+// Addr returns the address of a live node, suspects included.
 //
 // Example: a, ok := v.Addr("core-1")
 func (v View) Addr(name string) (string, bool) {
@@ -59,55 +59,56 @@
 	return l
 }
 
-// pace is the place's bounds; a site that beats more slowly judges as much later.
-func pace(p settings.Place) settings.Bounds {
+// siteBounds are the process's bounds; a site with a slower heartbeat has a proportionally longer
+// timeout.
+func siteBounds(p settings.Place) settings.Bounds {
 	if p.Site != nil {
-		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.BeatMs)/beatPart))
+		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.BeatMs)/heartbeatRatio))
 	}
 	return p.Bounds
 }
 
-// Start makes a member of the place's site; hook is told of every change of the view.
+// Start makes a member of the process's site; onChange is called with every changed view.
 //
-// Example: m := roster.Start(ctx, place, "runner", clk, log, call, nil)
+// Example: m := clustermembership.Start(ctx, place, "runner", clock, log, client, nil)
 func Start(ctx context.Context, p settings.Place, role string, clk clock.Clock, log hclog.Logger,
 	call func(string) wire.Roster, hook func(View)) *Member {
-	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, District: p.District,
-		Addr: p.Told(), Operator: p.Operator}
-	p.Bounds = pace(p)
-	m := &Member{desk: queue.NewActor(New(p.Bounds, self, p.Seeds), 256), clk: clk, b: p.Bounds, log: log, call: call, hook: hook}
-	m.desk.Ask(func(c *Core) { m.show(c) })
+	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, District: p.Zone,
+		Addr: p.AdvertisedAddr(), Operator: p.Operator}
+	p.Bounds = siteBounds(p)
+	m := &Member{actor: queue.NewActor(New(p.Bounds, self, p.Seeds), 256), clock: clk, bounds: p.Bounds, log: log, client: call, onChange: hook}
+	m.actor.Ask(func(c *Core) { m.publish(c) })
 	go m.run(ctx)
 	return m
 }
 
-// SetSeeds changes the seeds at run time, as the setup in force names them.
+// SetSeeds changes the seeds at run time.
 //
-// Example: m.SetSeeds(setup.Seeds)
-func (m *Member) SetSeeds(l []string) { m.desk.TrySend(func(c *Core) { c.SetSeeds(l) }) }
+// Example: m.SetSeeds(config.Seeds)
+func (m *Member) SetSeeds(l []string) { m.actor.TrySend(func(c *Core) { c.SetSeeds(l) }) }
 
-func (m *Member) show(c *Core) {
-	if v := m.view.Load(); v != nil && v.Epoch == c.Epoch() {
+func (m *Member) publish(c *Core) {
+	if v := m.view.Load(); v != nil && v.Version == c.Version() {
 		return
 	}
-	v := &View{c.Epoch(), c.Nodes()}
+	v := &View{c.Version(), c.Nodes()}
 	m.view.Store(v)
-	if m.hook != nil {
-		m.hook(*v)
+	if m.onChange != nil {
+		m.onChange(*v)
 	}
 }
 
-// View gives what the member knows now.
+// View returns the current view.
 //
 // Example: m.View().Role("archive")
 func (m *Member) View() View { return *m.view.Load() }
 
-// Leave tells others that this node stops; it beats no more.
+// Leave announces that this node stops; it sends no more heartbeats.
 //
 // Example: m.Leave()
 func (m *Member) Leave() {
-	m.desk.Ask(func(c *Core) {
-		m.gone = true
+	m.actor.Ask(func(c *Core) {
+		m.left = true
 		for _, x := range c.Leave() {
 			go m.send(context.Background(), x)
 		}
@@ -115,54 +116,54 @@
 }
 
 func (m *Member) run(ctx context.Context) {
-	beat := m.b.Leave(beatPart)
+	beat := m.bounds.Leave(heartbeatRatio)
 	next := time.NewTimer(0)
 	defer next.Stop()
 	for turn := 0; ; turn++ {
 		select {
 		case <-ctx.Done():
-			m.desk.Stop()
+			m.actor.Stop()
 			return
 		case <-next.C:
 		}
-		if turn < young {
-			next.Reset(beat / young)
+		if turn < joiningBeats {
+			next.Reset(beat / joiningBeats)
 		} else {
 			next.Reset(beat)
 		}
-		m.desk.TrySend(func(c *Core) {
-			if m.gone {
+		m.actor.TrySend(func(c *Core) {
+			if m.left {
 				return
 			}
 			if c.Replaced() {
-				m.gone = true
-				m.log.Error("another machine has taken this name: this one beats no more", "remedy", "stop it, or give it a name of its own")
+				m.left = true
+				m.log.Error("another machine has taken this name: this one stops its heartbeats", "remedy", "stop it, or give it a name of its own")
 				return
 			}
-			for _, x := range c.Step(m.clk.Now()) {
+			for _, x := range c.Tick(m.clock.Now()) {
 				go m.send(ctx, x)
 			}
-			m.show(c)
+			m.publish(c)
 		})
 	}
 }
 
 func (m *Member) send(ctx context.Context, x Call) {
-	ctx, end := context.WithTimeout(ctx, m.b.Leave(0.2))
+	ctx, end := context.WithTimeout(ctx, m.bounds.Leave(0.2))
 	defer end()
-	t, err := m.call(x.To).Hear(ctx, x.Beat)
+	t, err := m.client(x.To).Hear(ctx, x.Heartbeat)
 	if err != nil {
-		return // silence is what the watchers judge by
+		return // the observers judge by silence
 	}
-	m.desk.TrySend(func(c *Core) { c.Answer(x.To, t, m.clk.Now()); m.show(c) })
+	m.actor.TrySend(func(c *Core) { c.HandleResponse(x.To, t, m.clock.Now()); m.publish(c) })
 }
 
-// Hear serves the beats of others.
+// Hear serves the heartbeats of other nodes.
 //
 // Example: srv := wire.NewRosterServer(m)
 func (m *Member) Hear(_ context.Context, b *wire.Beat) (*wire.Beat, error) {
 	var t *wire.Beat
-	m.desk.Ask(func(c *Core) { t = c.Hear(b, m.clk.Now()); m.show(c) })
+	m.actor.Ask(func(c *Core) { t = c.HandleHeartbeat(b, m.clock.Now()); m.publish(c) })
 	if t == nil {
 		t = &wire.Beat{Epoch: 1}
 	}
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -18,13 +18,13 @@
 // A site says how often it beats; nobody is judged sooner for that.
 func TestASiteSetsThePace(t *testing.T) {
 	p := settings.Place{Bounds: settings.Default()}
-	if b := pace(p); b != settings.Default() {
+	if b := siteBounds(p); b != settings.Default() {
 		t.Errorf("without a site: %+v", b)
 	}
 	for ms, want := range map[int]time.Duration{100: 300 * time.Millisecond, 1200: 1200 * time.Millisecond} {
 		p.Site = &settings.Site{BeatMs: ms}
-		if b := pace(p); b.Leave(beatPart) != want || b.Heal(1) != settings.Default().Heal(1) {
-			t.Errorf("beats of %d ms: %v", ms, b.Leave(beatPart))
+		if b := siteBounds(p); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.Default().Heal(1) {
+			t.Errorf("beats of %d ms: %v", ms, b.Leave(heartbeatRatio))
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		var l []*Member
 		d := &direct{at: map[string]*Member{}}
 		p := settings.Place{Bounds: settings.Default(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{BeatMs: 1200}}
-		beat := pace(p).Leave(beatPart)
+		beat := siteBounds(p).Leave(heartbeatRatio)
 		for i := range n {
 			p.Name, p.Listen = strconv.Itoa(i), strconv.Itoa(i)
 			m := Start(ctx, p, "runner", clock.Ticking(), hclog.NewNullLogger(), d.call, nil)
--- a/internal/control/controllers/workerlist.go
+++ b/internal/control/controllers/workerlist.go
@@ -109,7 +109,7 @@
 }
 
 func sameWorker(a, b fleet.Worker) bool {
-	return a.ID == b.ID && a.Service == b.Service && a.Addr == b.Addr && a.District == b.District &&
+	return a.ID == b.ID && a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone &&
 		a.Slots == b.Slots && a.Draining == b.Draining && maps.Equal(a.Weights, b.Weights)
 }
 
--- a/internal/control/controllers/workerlist_test.go
+++ b/internal/control/controllers/workerlist_test.go
@@ -8,7 +8,7 @@
 )
 
 func worker(id string, version uint64) fleet.Worker {
-	return fleet.Worker{ID: id, Service: "reading", Addr: "10.9.0." + id + ":80", District: "north", Slots: 8, Weights: map[string]uint64{"daka": version}}
+	return fleet.Worker{ID: id, Service: "reading", Addr: "10.9.0." + id + ":80", Zone: "north", Slots: 8, Weights: map[string]uint64{"daka": version}}
 }
 
 func TestWhatChangesTheTable(t *testing.T) {
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -42,7 +42,7 @@
 		m.body, m.err = serviceconfig.Merge(nil, u.Body)
 	}
 	if m.err == nil {
-		m.err = serviceconfig.Follows(old.GetBody(), m.body)
+		m.err = serviceconfig.CheckSuccessor(old.GetBody(), m.body)
 	}
 	return m
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -154,7 +154,7 @@
 //
 // Example: err := archive.StartGroup(life, codec, func(n *archive.Node) http.Handler { return desk(n) })
 func StartGroup(l *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
-	s, own := l.Place.Site, l.Place.Told()
+	s, own := l.Place.Site, l.Place.AdvertisedAddr()
 	n := &Node{life: l, shards: map[uint32]*shard{}, calls: daemon.NewClients(l)}
 	n.roster = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.calls.Membership, nil)
 	n.control = controlclient.NewGroup(l.Place.Seeds, n.roster.View, n.calls, l.Place.Bounds)
@@ -286,7 +286,7 @@
 		addr := all[(turn+i)%len(all)]
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
 			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(1.0/30))
-			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.life.Place.District})
+			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.life.Place.Zone})
 			end()
 			if err != nil {
 				break
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -159,7 +159,7 @@
 	}
 	g.seed++
 	seed := g.seed
-	p := settings.Place{Name: fmt.Sprint("core-", i), District: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.Default(),
+	p := settings.Place{Name: fmt.Sprint("core-", i), Zone: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.Default(),
 		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: 1, IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
 	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk { return g.disks[addr] },
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -118,7 +118,7 @@
 // disk is a part's folder; where the place names a switch, faults can be brought about.
 func disk(l *daemon.Process, part string) storage.Disk {
 	d := l.Disk(filepath.Join(l.Place.Data, part))
-	if f := l.Place.Word("faults", ""); f != "" {
+	if f := l.Place.Option("faults", ""); f != "" {
 		return storage.Faulty(d, f)
 	}
 	return d
--- a/internal/control/operatorapi/lookup.go
+++ b/internal/control/operatorapi/lookup.go
@@ -13,16 +13,16 @@
 	"pebbleloom/internal/errs"
 )
 
-// LookUp asks the index who holds each part of a prompt, named by its ids, under the newest named
-// weights; where none are named, under the newest that a worker serves.
+// LookUp asks the prompt index for the holders of each part of a prompt, named by its IDs, under the
+// newest named weights; if none are named, under the newest that a worker serves.
 //
 // Example: POST /v1/index {"model": "lector", "tenant": "biblioteca", "parts": ["5c1e07a2"]}
-func (d *siteDesk) LookUp(ctx context.Context, q *operator.Lookup) (*operator.Found, error) {
-	doc, err := d.Desk.read(ctx)
+func (s *siteServer) LookUp(ctx context.Context, q *operator.Lookup) (*operator.Found, error) {
+	doc, err := s.Server.readConfigDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
-	p, err := d.plan(doc.Body)
+	p, err := s.decodePlan(doc.Body)
 	if err != nil {
 		return nil, errs.Wrap(err, "read plan")
 	}
@@ -30,12 +30,12 @@
 	if i < 0 {
 		return nil, errs.New(errs.NotFound, "tenant %q", q.Tenant)
 	}
-	if !slices.ContainsFunc(p.Services, func(s routingconfig.Service) bool {
-		return s.Engine != nil && slices.Contains(s.Engine.Models, q.Model)
+	if !slices.ContainsFunc(p.Services, func(service routingconfig.Service) bool {
+		return service.Engine != nil && slices.Contains(service.Engine.Models, q.Model)
 	}) {
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
-	w, err := d.staff(ctx)
+	w, err := s.readWorkers(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 	for i, id := range q.Parts {
 		ks[i] = promptindex.KeyOf(text, id)
 	}
-	got := promptindex.NewShards(promptindex.Serving(d.view().Nodes)).Seek(ctx, ks, d.calls.PromptIndex, d.b.Heal(1.0/24))
+	got := promptindex.NewShards(promptindex.Serving(s.view().Nodes)).Seek(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, k := range ks {
 		x := operator.FoundPrefixesItem{Key: k.String(), Holders: []string{}}
--- a/internal/control/operatorapi/moves.go
+++ b/internal/control/operatorapi/moves.go
@@ -13,11 +13,11 @@
 	"pebbleloom/internal/wire"
 )
 
-// moves reads all entries of the calendar, part by part, each by majority.
-func (d *Desk) moves(ctx context.Context) ([]*wire.Document, error) {
+// moves reads all entries of the calendar, shard by shard, each by majority.
+func (s *Server) moves(ctx context.Context) ([]*wire.Document, error) {
 	var l []*wire.Document
 	for p := range uint32(controlclient.Shards) {
-		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: p, Key: "calendar/", Prefix: true})
+		t, err := s.control.Read(ctx, &wire.ReadRequest{Shard: p, Key: "calendar/", Prefix: true})
 		if err != nil {
 			return nil, errs.Wrap(err, "read calendar")
 		}
@@ -29,8 +29,8 @@
 // ListMoves lists the calendar.
 //
 // Example: GET /v1/calendar
-func (d *Desk) ListMoves(ctx context.Context) (*operator.Moves, error) {
-	ds, err := d.moves(ctx)
+func (s *Server) ListMoves(ctx context.Context) (*operator.Moves, error) {
+	ds, err := s.moves(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -41,17 +41,17 @@
 	return l, nil
 }
 
-// WriteMove writes a planned move. Clashes within a service are seen by the part's owner
-// itself; those with another service's moves are looked for here.
+// WriteMove writes a planned move. Conflicts within a service are detected by the shard's leader;
+// those with another service's moves are checked here.
 //
 // Example: POST /v1/calendar {"move": {"name": "spring", "service": "lector-main", "kind": "weights", "model": "lector", "weights": 4}}
-func (d *Desk) WriteMove(ctx context.Context, q *operator.NewMove) (*operator.Changed, error) {
+func (s *Server) WriteMove(ctx context.Context, q *operator.NewMove) (*operator.Changed, error) {
 	e, err := calendar.Read(q.Move)
 	if err != nil {
 		return nil, err
 	}
 	e.State, e.Why, e.Steps, e.Step = calendar.Planned, "", nil, 0
-	ds, err := d.moves(ctx)
+	ds, err := s.moves(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -76,30 +76,30 @@
 	if err := b.Look(); err != nil {
 		return nil, err
 	}
-	return d.putMove(ctx, e, old, q.Dry.Or(false))
+	return s.putMove(ctx, e, old, q.Dry.Or(false))
 }
 
-func (d *Desk) putMove(ctx context.Context, e *calendar.Entry, epoch uint64, dry bool) (*operator.Changed, error) {
+func (s *Server) putMove(ctx context.Context, e *calendar.Entry, epoch uint64, dry bool) (*operator.Changed, error) {
 	body, err := e.Write()
 	if err != nil {
 		return nil, err
 	}
 	p := &wire.Put{Key: calendar.Key(e.Service, e.Name), Body: body, IfVersion: epoch}
-	t, err := d.ctl.Change(ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(e.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, DryRun: dry})
+	t, err := s.control.Change(ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(e.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, DryRun: dry})
 	if err != nil {
 		return nil, errs.Wrap(err, "write calendar")
 	}
 	return &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome, Note: operator.NewOptString(e.State)}, nil
 }
 
-// AskMove pauses, resumes, cancels or undoes a move. The system writes the same entry as
-// it goes on, so a change that crosses with a step is made again on what is then there.
+// AskMove pauses, resumes, cancels or undoes a move. The controller writes the same entry, so a change
+// that crosses with a step is retried on the new version.
 //
 // Example: POST /v1/calendar/lector-main/spring/pause
-func (d *Desk) AskMove(ctx context.Context, q operator.AskMoveParams) (*operator.Changed, error) {
+func (s *Server) AskMove(ctx context.Context, q operator.AskMoveParams) (*operator.Changed, error) {
 	var last error
 	for range 5 {
-		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: calendar.Key(q.Service, q.Name)})
+		t, err := s.control.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: calendar.Key(q.Service, q.Name)})
 		if err != nil {
 			return nil, errs.Wrap(err, "read calendar")
 		}
@@ -113,7 +113,7 @@
 		if err := e.Ask(string(q.Verb)); err != nil {
 			return nil, err
 		}
-		c, err := d.putMove(ctx, e, t.Documents[0].Version, false)
+		c, err := s.putMove(ctx, e, t.Documents[0].Version, false)
 		if errs.KindOf(err) != errs.Conflict || err == nil {
 			return c, err
 		}
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -13,11 +13,11 @@
 	"pebbleloom/internal/wire"
 )
 
-// retirements reads all retirements, part by part, each by majority.
-func (d *Desk) retirements(ctx context.Context) ([]*wire.Document, error) {
+// retirements reads all retirements, shard by shard, each by majority.
+func (s *Server) retirements(ctx context.Context) ([]*wire.Document, error) {
 	var l []*wire.Document
 	for p := range uint32(controlclient.Shards) {
-		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: p, Key: "retire/", Prefix: true})
+		t, err := s.control.Read(ctx, &wire.ReadRequest{Shard: p, Key: "retire/", Prefix: true})
 		if err != nil {
 			return nil, errs.Wrap(err, "read retirements")
 		}
@@ -29,8 +29,8 @@
 // ListRetirements lists all retirements.
 //
 // Example: GET /v1/retirements
-func (d *Desk) ListRetirements(ctx context.Context) (*operator.Retirements, error) {
-	ds, err := d.retirements(ctx)
+func (s *Server) ListRetirements(ctx context.Context) (*operator.Retirements, error) {
+	ds, err := s.retirements(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -41,18 +41,18 @@
 	return l, nil
 }
 
-// PlanRetirement writes a planned retirement, checked against the setup in force and against all
-// others; nothing moves until it is started.
+// PlanRetirement writes a planned retirement, checked against the service configuration in force and
+// against all others; nothing moves until it is started.
 //
 // Example: POST /v1/retirements {"retirement": {"name": "spring", "service": "lector-main", "from": "lector", "to": "lector-2", "replace": {"rare": "rare-2"}}}
-func (d *Desk) PlanRetirement(ctx context.Context, q *operator.NewRetirement) (*operator.Changed, error) {
+func (s *Server) PlanRetirement(ctx context.Context, q *operator.NewRetirement) (*operator.Changed, error) {
 	r, err := retire.Read(q.Retirement)
 	if err != nil {
 		return nil, err
 	}
 	x := &retire.Retirement{Name: r.Name, Service: r.Service, From: r.From, To: r.To, Replace: r.Replace, Shares: r.Shares, SoakS: r.SoakS,
 		AtOnce: r.AtOnce, AbortAt: r.AbortAt, State: retire.Planned}
-	ds, err := d.retirements(ctx)
+	ds, err := s.retirements(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -74,46 +74,46 @@
 		others = append(others, o)
 	}
 	b.Note("retirement", x.ConflictWith(others))
-	b.Note("retirement", d.fits(ctx, x))
+	b.Note("retirement", s.checkAgainstConfig(ctx, x))
 	if err := b.Look(); err != nil {
 		return nil, err
 	}
-	return d.putRetirement(ctx, x, old, q.Dry.Or(false))
+	return s.putRetirement(ctx, x, old, q.Dry.Or(false))
 }
 
-// fits checks a retirement against the setup in force.
-func (d *Desk) fits(ctx context.Context, r *retire.Retirement) error {
-	_, s, err := d.setup(ctx)
+// checkAgainstConfig checks a retirement against the service configuration in force.
+func (s *Server) checkAgainstConfig(ctx context.Context, r *retire.Retirement) error {
+	_, config, err := s.readConfig(ctx)
 	if err != nil {
 		return err
 	}
 	var b errs.Batch
-	r.CheckConfig(s, &b)
+	r.CheckConfig(config, &b)
 	return b.Look()
 }
 
-func (d *Desk) putRetirement(ctx context.Context, r *retire.Retirement, version uint64, dry bool) (*operator.Changed, error) {
+func (s *Server) putRetirement(ctx context.Context, r *retire.Retirement, version uint64, dry bool) (*operator.Changed, error) {
 	body, err := r.Write()
 	if err != nil {
 		return nil, err
 	}
 	p := &wire.Put{Key: retire.Key(r.Service, r.Name), Body: body, IfVersion: version}
-	t, err := d.ctl.Change(ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, DryRun: dry})
+	t, err := s.control.Change(ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, DryRun: dry})
 	if err != nil {
 		return nil, errs.Wrap(err, "write retirement")
 	}
 	return &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome, Note: operator.NewOptString(r.State)}, nil
 }
 
-// AskRetirement starts, pauses, resumes or aborts a retirement; asked again it changes nothing. The
-// system writes the same document as it goes on, so a change that crosses with a step is made again on
-// what is then there.
+// AskRetirement starts, pauses, resumes or aborts a retirement; repeating it changes nothing. The
+// controller writes the same document, so a change that crosses with a step is retried on the new
+// version.
 //
 // Example: POST /v1/retirements/lector-main/spring/pause
-func (d *Desk) AskRetirement(ctx context.Context, q operator.AskRetirementParams) (*operator.Changed, error) {
+func (s *Server) AskRetirement(ctx context.Context, q operator.AskRetirementParams) (*operator.Changed, error) {
 	var last error
 	for range 8 {
-		t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: retire.Key(q.Service, q.Name)})
+		t, err := s.control.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: retire.Key(q.Service, q.Name)})
 		if err != nil {
 			return nil, errs.Wrap(err, "read retirement")
 		}
@@ -132,11 +132,11 @@
 			return &operator.Changed{Epoch: int64(t.Documents[0].Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(r.State)}, nil
 		}
 		if was == retire.Planned && r.State == retire.Running {
-			if err := d.fits(ctx, r); err != nil {
+			if err := s.checkAgainstConfig(ctx, r); err != nil {
 				return nil, err
 			}
 		}
-		c, err := d.putRetirement(ctx, r, t.Documents[0].Version, false)
+		c, err := s.putRetirement(ctx, r, t.Documents[0].Version, false)
 		if errs.KindOf(err) != errs.Conflict || err == nil || was == retire.Planned {
 			return c, err
 		}
@@ -145,9 +145,9 @@
 	return nil, errs.As(last, errs.Conflict, fmt.Sprintf("retirement %q keeps changing", q.Name))
 }
 
-// held finds retirements that wait for people, and who holds them up.
-func (d *Desk) held(ctx context.Context, f *finder) {
-	ds, err := d.retirements(ctx)
+// checkRetirements reports retirements that need an operator, and what blocks them.
+func (s *Server) checkRetirements(ctx context.Context, f *problems) {
+	ds, err := s.retirements(ctx)
 	if err != nil {
 		f.add("retirements-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-gone")
 		return
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -1,6 +1,6 @@
-// Package operatorapi serves the operator's API. It stands on every node, and every node
-// gives the same answer: what belongs to the control state is read by majority, and what
-// is a view is told by one node, which the answer names.
+// Package operatorapi serves the operator's API. Every node runs it, and every node gives the same
+// response: control state is read by majority, and a view is reported by one node, which the response
+// names.
 package operatorapi
 
 import (
@@ -27,83 +27,83 @@
 	"pebbleloom/internal/wire"
 )
 
-// Desk answers operators.
-type Desk struct {
-	ctl   *controlclient.Client
-	view  func() clustermembership.View
-	calls *daemon.Clients
-	b     settings.Bounds
-	key   string // of the document that is the site's setup
+// Server handles operators' requests.
+type Server struct {
+	control   *controlclient.Client
+	view      func() clustermembership.View
+	clients   *daemon.Clients
+	bounds    settings.Bounds
+	configKey string // of the document that holds the site's configuration
 }
 
-// Serve serves the operator's API at the place's operator address.
+// Serve serves the operator's API at the process's operator address.
 //
-// Example: err := frontdesk.Serve(life, ctl, member.View, calls)
-func Serve(l *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients) error {
-	d := &Desk{ctl, view, calls, l.Place.Bounds, controlclient.SetupKey}
-	s, err := operator.NewServer(d)
+// Example: err := operatorapi.Serve(process, control, member.View, clients)
+func Serve(process *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients) error {
+	s := &Server{ctl, view, calls, process.Place.Bounds, controlclient.SetupKey}
+	api, err := operator.NewServer(s)
 	if err != nil {
 		return errs.Wrap(err, "operator API")
 	}
-	return l.Serve(l.Place.Operator, keyed(l.Place.OpKey, http.MaxBytesHandler(s, 2*serviceconfig.MaxBytes)))
+	return process.Serve(process.Place.Operator, requireKey(process.Place.OperatorKey, http.MaxBytesHandler(api, 2*serviceconfig.MaxBytes)))
 }
 
-// KeyHead carries the operators' key.
-const KeyHead = "X-Operator-Key"
+// KeyHeader is the header that carries the operators' key.
+const KeyHeader = "X-Operator-Key"
 
-// keyed lets in who shows the operators' key, where the settings name one.
-func keyed(key string, h http.Handler) http.Handler {
+// requireKey rejects requests without the operators' key, if the settings name one.
+func requireKey(key string, h http.Handler) http.Handler {
 	if key == "" {
 		return h
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if subtle.ConstantTimeCompare([]byte(r.Header.Get(KeyHead)), []byte(key)) == 1 {
+		if subtle.ConstantTimeCompare([]byte(r.Header.Get(KeyHeader)), []byte(key)) == 1 {
 			h.ServeHTTP(w, r)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(errs.NotOurs.HTTP)
-		_ = json.NewEncoder(w).Encode(operator.Denial{Kind: errs.NotOurs.Name, Message: "the operators' key is missing or another", Remedy: errs.NotOurs.Remedy}) // who hung up can't be told
+		_ = json.NewEncoder(w).Encode(operator.Denial{Kind: errs.NotOurs.Name, Message: "the operators' key is missing or another", Remedy: errs.NotOurs.Remedy}) // the client may have disconnected
 	})
 }
 
-// NewError turns an error into its typed answer.
+// NewError maps an error to its typed response.
 //
-// Example: d.NewError(ctx, errs.New(errs.NotFound, "no setup"))
-func (d *Desk) NewError(_ context.Context, err error) *operator.DeniedStatusCode {
+// Example: d.NewError(ctx, errs.New(errs.NotFound, "tenant"))
+func (s *Server) NewError(_ context.Context, err error) *operator.DeniedStatusCode {
 	k := errs.KindOf(err)
 	return &operator.DeniedStatusCode{StatusCode: k.HTTP, Response: operator.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
 }
 
-func (d *Desk) read(ctx context.Context) (*wire.Document, error) {
-	t, err := d.ctl.Read(ctx, &wire.ReadRequest{Key: d.key})
+func (s *Server) readConfigDocument(ctx context.Context) (*wire.Document, error) {
+	t, err := s.control.Read(ctx, &wire.ReadRequest{Key: s.configKey})
 	if err != nil {
-		return nil, errs.Wrap(err, "read setup")
+		return nil, errs.Wrap(err, "read service configuration")
 	}
 	if len(t.Documents) == 0 {
-		return nil, errs.New(errs.NotFound, "no setup has been applied yet")
+		return nil, errs.New(errs.NotFound, "no service configuration has been applied yet")
 	}
 	return t.Documents[0], nil
 }
 
-// setup reads the setup in force, with its document.
-func (d *Desk) setup(ctx context.Context) (*wire.Document, *serviceconfig.Setup, error) {
-	doc, err := d.read(ctx)
+// readConfig reads the service configuration in force, with its document.
+func (s *Server) readConfig(ctx context.Context) (*wire.Document, *serviceconfig.Config, error) {
+	doc, err := s.readConfigDocument(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := serviceconfig.Read(doc.Body)
-	return doc, s, errs.Wrap(err, "read setup")
+	config, err := serviceconfig.Read(doc.Body)
+	return doc, config, errs.Wrap(err, "read service configuration")
 }
 
-func (d *Desk) put(ctx context.Context, body []byte, ifEpoch *uint64, token string, patch, dry bool) (*operator.Changed, error) {
-	p := &wire.Put{Key: d.key, Body: body, Token: token, AnyVersion: ifEpoch == nil}
+func (s *Server) putConfig(ctx context.Context, body []byte, ifEpoch *uint64, token string, patch, dry bool) (*operator.Changed, error) {
+	p := &wire.Put{Key: s.configKey, Body: body, Token: token, AnyVersion: ifEpoch == nil}
 	if ifEpoch != nil {
 		p.IfVersion = *ifEpoch
 	}
-	t, err := d.ctl.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, Patch: patch, DryRun: dry})
+	t, err := s.control.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: p}}, Patch: patch, DryRun: dry})
 	if err != nil {
-		return nil, errs.Wrap(err, "change setup")
+		return nil, errs.Wrap(err, "change service configuration")
 	}
 	c := &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome}
 	if t.TokenReuse != "" {
@@ -112,38 +112,38 @@
 	return c, nil
 }
 
-// GetSetup reads the setup in force.
+// GetSetup reads the service configuration in force.
 //
 // Example: GET /v1/setup
-func (d *Desk) GetSetup(ctx context.Context) (*operator.SetupInForce, error) {
-	doc, err := d.read(ctx)
+func (s *Server) GetSetup(ctx context.Context) (*operator.SetupInForce, error) {
+	doc, err := s.readConfigDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return &operator.SetupInForce{Epoch: int64(doc.Version), Setup: jx.Raw(doc.Body)}, nil
 }
 
-// ChangeSetup applies a whole or partial setup.
+// ChangeSetup applies a whole or partial service configuration.
 //
 // Example: POST /v1/setup {"setup": {"models": {"lector": {"weights": 4}}}, "partial": true}
-func (d *Desk) ChangeSetup(ctx context.Context, q *operator.SetupChange) (*operator.Changed, error) {
+func (s *Server) ChangeSetup(ctx context.Context, q *operator.SetupChange) (*operator.Changed, error) {
 	var e *uint64
 	if v, ok := q.IfEpoch.Get(); ok {
 		u := uint64(v)
 		e = &u
 	}
-	return d.put(ctx, q.Setup, e, q.Token.Or(""), q.Partial.Or(false), q.Dry.Or(false))
+	return s.putConfig(ctx, q.Setup, e, q.Token.Or(""), q.Partial.Or(false), q.Dry.Or(false))
 }
 
 // NameWeights names new weights for a model.
 //
 // Example: POST /v1/weights {"model": "lector", "weights": 4}
-func (d *Desk) NameWeights(ctx context.Context, q *operator.Weights) (*operator.Changed, error) {
-	doc, s, err := d.setup(ctx)
+func (s *Server) NameWeights(ctx context.Context, q *operator.Weights) (*operator.Changed, error) {
+	doc, config, err := s.readConfig(ctx)
 	if err != nil {
 		return nil, err
 	}
-	m, ok := s.Models[q.Model]
+	m, ok := config.Models[q.Model]
 	if !ok {
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
@@ -151,28 +151,28 @@
 		return &operator.Changed{Epoch: int64(doc.Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are in force already")}, nil
 	}
 	if uint64(q.Weights) < m.Weights {
-		return nil, errs.New(errs.BadInput, "weights %d are older than %d in force: name a later epoch", q.Weights, m.Weights)
+		return nil, errs.New(errs.BadInput, "weights %d are older than %d in force: name a later version", q.Weights, m.Weights)
 	}
-	return d.patch(ctx, doc, map[string]any{"models": map[string]any{q.Model: map[string]any{"weights": q.Weights}}}, q.Token.Or(""))
+	return s.patchConfig(ctx, doc, map[string]any{"models": map[string]any{q.Model: map[string]any{"weights": q.Weights}}}, q.Token.Or(""))
 }
 
-func (d *Desk) patch(ctx context.Context, doc *wire.Document, p any, token string) (*operator.Changed, error) {
+func (s *Server) patchConfig(ctx context.Context, doc *wire.Document, p any, token string) (*operator.Changed, error) {
 	raw, err := json.Marshal(p)
 	if err != nil {
 		return nil, errs.Wrap(err, "write patch")
 	}
-	return d.put(ctx, raw, &doc.Version, token, true, false)
+	return s.putConfig(ctx, raw, &doc.Version, token, true, false)
 }
 
-// RevokeKey takes a tenant's key out of force.
+// RevokeKey removes a tenant's key.
 //
 // Example: POST /v1/keys/revoke {"tenant": "hotline", "key": "…"}
-func (d *Desk) RevokeKey(ctx context.Context, q *operator.Revoke) (*operator.Changed, error) {
-	doc, s, err := d.setup(ctx)
+func (s *Server) RevokeKey(ctx context.Context, q *operator.Revoke) (*operator.Changed, error) {
+	doc, config, err := s.readConfig(ctx)
 	if err != nil {
 		return nil, err
 	}
-	t, ok := s.Tenants[q.Tenant]
+	t, ok := config.Tenants[q.Tenant]
 	if !ok {
 		return nil, errs.New(errs.NotFound, "tenant %q", q.Tenant)
 	}
@@ -185,14 +185,14 @@
 	if len(left) == len(t.Keys) {
 		return nil, errs.New(errs.NotFound, "tenant %q has no such key", q.Tenant)
 	}
-	return d.patch(ctx, doc, map[string]any{"tenants": map[string]any{q.Tenant: map[string]any{"keys": left}}}, "")
+	return s.patchConfig(ctx, doc, map[string]any{"tenants": map[string]any{q.Tenant: map[string]any{"keys": left}}}, "")
 }
 
-// Drain takes a worker out of use, or back in.
+// Drain takes a worker out of service, or back in.
 //
-// Example: POST /v1/drain {"worker": "cab-3", "drain": true}
-func (d *Desk) Drain(ctx context.Context, q *operator.Drain) (*operator.Changed, error) {
-	doc, err := d.read(ctx)
+// Example: POST /v1/drain {"worker": "worker-3", "drain": true}
+func (s *Server) Drain(ctx context.Context, q *operator.Drain) (*operator.Changed, error) {
+	doc, err := s.readConfigDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -200,12 +200,12 @@
 	if q.Drain {
 		v = true
 	}
-	return d.patch(ctx, doc, map[string]any{"drains": map[string]any{q.Worker: v}}, "")
+	return s.patchConfig(ctx, doc, map[string]any{"drains": map[string]any{q.Worker: v}}, "")
 }
 
-// teller names the one node that tells a view: the first by name of a role that answers.
-func (d *Desk) teller(role string, ask func(addr string) error) (string, error) {
-	for _, n := range d.view().Role(role) {
+// firstResponding returns the first node of a role, by name, that answers.
+func (s *Server) firstResponding(role string, ask func(addr string) error) (string, error) {
+	for _, n := range s.view().Role(role) {
 		if n.State == clustermembership.Alive && ask(n.Addr) == nil {
 			return n.Name, nil
 		}
@@ -216,12 +216,12 @@
 // ListNodes lists the nodes as one core machine sees them.
 //
 // Example: GET /v1/nodes
-func (d *Desk) ListNodes(ctx context.Context) (*operator.NodeList, error) {
+func (s *Server) ListNodes(ctx context.Context) (*operator.NodeList, error) {
 	var b *wire.Beat
-	who, err := d.teller("archive", func(addr string) (err error) {
-		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
+	who, err := s.firstResponding("archive", func(addr string) (err error) {
+		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		defer end()
-		b, err = d.calls.Membership(addr).Hear(one, &wire.Beat{Epoch: 1, Whole: true})
+		b, err = s.clients.Membership(addr).Hear(one, &wire.Beat{Epoch: 1, Whole: true})
 		return err
 	})
 	if err != nil {
@@ -237,31 +237,31 @@
 	return l, nil
 }
 
-func (d *Desk) feed(ctx context.Context) (string, *updatestream.Snapshot, error) {
+func (s *Server) readUpdates(ctx context.Context) (string, *updatestream.Snapshot, error) {
 	var t *wire.FeedTell
-	who, err := d.teller("runner", func(addr string) (err error) {
-		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
+	who, err := s.firstResponding("runner", func(addr string) (err error) {
+		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		defer end()
-		t, err = d.calls.NodeAgent(addr).Feed(one, &wire.FeedAsk{})
+		t, err = s.clients.NodeAgent(addr).Feed(one, &wire.FeedAsk{})
 		return err
 	})
 	if err != nil {
 		return "", nil, err
 	}
-	s, err := updatestream.Read(t, nil, 0)
-	return who, s, err
+	snapshot, err := updatestream.Read(t, nil, 0)
+	return who, snapshot, err
 }
 
-// ListWorkers lists the workers as one runner sees them.
+// ListWorkers lists the workers as one node agent sees them.
 //
 // Example: GET /v1/workers
-func (d *Desk) ListWorkers(ctx context.Context) (*operator.WorkerList, error) {
-	who, s, err := d.feed(ctx)
+func (s *Server) ListWorkers(ctx context.Context) (*operator.WorkerList, error) {
+	who, snapshot, err := s.readUpdates(ctx)
 	if err != nil {
 		return nil, err
 	}
 	l := &operator.WorkerList{SeenBy: who, Workers: []operator.WorkerListWorkersItem{}}
-	for _, w := range s.Workers {
+	for _, w := range snapshot.Workers {
 		l.Workers = append(l.Workers, operator.WorkerListWorkersItem{Name: w.Name, Addr: w.Addr, Service: w.Service, District: w.District,
 			State: [...]string{"up", "unsure", "draining", "gone"}[min(w.State, 3)], Incarnation: operator.NewOptString(w.Incarnation),
 			Weights: int64(w.Weights), Busy: operator.NewOptInt(int(w.Busy)), Queued: operator.NewOptInt(int(w.Queued)), Slots: int(w.Slots)})
@@ -272,8 +272,8 @@
 // GetPlacement reads a service's placement from the control state.
 //
 // Example: GET /v1/placements/appraisals
-func (d *Desk) GetPlacement(ctx context.Context, q operator.GetPlacementParams) (*operator.PlacementInForce, error) {
-	t, err := d.ctl.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: "placement/" + q.Service})
+func (s *Server) GetPlacement(ctx context.Context, q operator.GetPlacementParams) (*operator.PlacementInForce, error) {
+	t, err := s.control.Read(ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(q.Service), Key: "placement/" + q.Service})
 	if err != nil {
 		return nil, errs.Wrap(err, "read placement")
 	}
@@ -283,20 +283,20 @@
 	return &operator.PlacementInForce{Epoch: int64(t.Documents[0].Version), Placement: jx.Raw(t.Documents[0].Body)}, nil
 }
 
-// Explain asks all edge machines why a request went where it went.
+// Explain asks all edge machines how a request was routed.
 //
 // Example: GET /v1/explain/r1
-func (d *Desk) Explain(ctx context.Context, q operator.ExplainParams) (*operator.Explained, error) {
+func (s *Server) Explain(ctx context.Context, q operator.ExplainParams) (*operator.Explained, error) {
 	l := &operator.Explained{Goes: []jx.Raw{}}
 	silent := 0
-	for range 2 { // a dispatcher tells its runner a moment later: look once more
-		silent = d.explained(ctx, q.Request, l)
+	for range 2 { // a proxy reports to its node agent a moment later: query once more
+		silent = s.addExplanations(ctx, q.Request, l)
 		if len(l.Goes) > 0 {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(d.b.Setup(0.2)):
+		case <-time.After(s.bounds.Config(0.2)):
 		}
 	}
 	if len(l.Goes) == 0 && silent > 0 {
@@ -308,11 +308,11 @@
 	return l, nil
 }
 
-// explained adds what each edge machine knows of a request, and counts the silent ones.
-func (d *Desk) explained(ctx context.Context, request string, l *operator.Explained) (silent int) {
-	for _, n := range d.view().Role("runner") {
-		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/24))
-		t, err := d.calls.NodeAgent(n.Addr).Explain(one, &wire.ExplainAsk{Request: request})
+// addExplanations adds what each edge machine knows of a request, and counts the silent ones.
+func (s *Server) addExplanations(ctx context.Context, request string, l *operator.Explained) (silent int) {
+	for _, n := range s.view().Role("runner") {
+		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/24))
+		t, err := s.clients.NodeAgent(n.Addr).Explain(one, &wire.ExplainAsk{Request: request})
 		end()
 		if err != nil {
 			silent++
@@ -325,24 +325,24 @@
 	return silent
 }
 
-// LookUp asks the index who holds each prefix of a prompt.
+// LookUp asks the prompt index for the holders of each prefix of a prompt.
 //
 // Example: POST /v1/index {"model": "lector", "tenant": "biblioteca", "parts": ["…"]}
-func (d *Desk) LookUp(ctx context.Context, q *operator.Lookup) (*operator.Found, error) {
-	_, s, err := d.setup(ctx)
+func (s *Server) LookUp(ctx context.Context, q *operator.Lookup) (*operator.Found, error) {
+	_, config, err := s.readConfig(ctx)
 	if err != nil {
 		return nil, err
 	}
-	t, ok := s.Named(s.Ways[q.Model].Answers(q.Model))
+	t, ok := config.Resolve(config.Routes[q.Model].AnsweredBy(q.Model))
 	if !ok {
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
-	es := prefix.Chain(s.Domain(q.Tenant), prefix.Under(t.Model, t.Adapter, t.Build), t.Weights, q.Parts)
+	es := prefix.Chain(config.Domain(q.Tenant), prefix.Under(t.Model, t.Adapter, t.Build), t.Weights, q.Parts)
 	var ks []prefix.Key
 	for _, e := range es {
 		ks = append(ks, e.Key)
 	}
-	got := promptindex.NewShards(d.view().Nodes).Seek(ctx, ks, d.calls.PromptIndex, d.b.Heal(1.0/24))
+	got := promptindex.NewShards(s.view().Nodes).Seek(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, e := range es {
 		x := operator.FoundPrefixesItem{Key: e.Key.String(), Tokens: operator.NewOptInt(e.Tokens), Holders: []string{}}
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -13,20 +13,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// finder collects what is wrong.
-type finder struct{ list []operator.StatusProblemsItem }
+// problems collects what is wrong.
+type problems struct{ list []operator.StatusProblemsItem }
 
-func (f *finder) add(kind, where, text, remedy, book string) {
+func (f *problems) add(kind, where, text, remedy, book string) {
 	f.list = append(f.list, operator.StatusProblemsItem{Kind: kind, Where: where, Text: text, Remedy: remedy, Runbook: book})
 }
 
-// GetStatus looks at everything and says what is wrong, and what to do.
+// GetStatus checks everything and reports what is wrong, with remedies.
 //
 // Example: GET /v1/status
-func (d *Desk) GetStatus(ctx context.Context) (*operator.Status, error) {
-	f := &finder{list: []operator.StatusProblemsItem{}}
-	s := &operator.Status{Parts: []operator.StatusPartsItem{}}
-	if l, err := d.ListNodes(ctx); err != nil {
+func (s *Server) GetStatus(ctx context.Context) (*operator.Status, error) {
+	f := &problems{list: []operator.StatusProblemsItem{}}
+	status := &operator.Status{Parts: []operator.StatusPartsItem{}}
+	if l, err := s.ListNodes(ctx); err != nil {
 		f.add("nodes-unknown", "site", err.Error(), "see whether any core machine runs", "core-gone")
 	} else {
 		for _, n := range l.Nodes {
@@ -35,17 +35,17 @@
 				if book == "" {
 					book = "edge-gone"
 				}
-				f.add("node-gone", n.Name, "no watcher hears it", "start it again, under the same name", book)
+				f.add("node-gone", n.Name, "no heartbeat reaches its observers", "start it again, under the same name", book)
 			}
 		}
 	}
-	d.parts(ctx, s, f)
-	if _, snap, err := d.feed(ctx); err != nil {
+	s.checkShards(ctx, status, f)
+	if _, snap, err := s.readUpdates(ctx); err != nil {
 		f.add("workers-unknown", "site", err.Error(), "see whether any edge machine runs", "edge-gone")
 	} else {
-		workers(snap, f)
+		checkWorkers(snap, f)
 	}
-	if ds, err := d.moves(ctx); err != nil {
+	if ds, err := s.moves(ctx); err != nil {
 		f.add("calendar-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-gone")
 	} else {
 		for _, x := range ds {
@@ -54,17 +54,17 @@
 			}
 		}
 	}
-	d.held(ctx, f)
-	s.Problems, s.Ok = f.list, len(f.list) == 0
-	return s, nil
+	s.checkRetirements(ctx, f)
+	status.Problems, status.Ok = f.list, len(f.list) == 0
+	return status, nil
 }
 
-// parts asks every core machine how it stands.
-func (d *Desk) parts(ctx context.Context, s *operator.Status, f *finder) {
-	owned := map[uint32]bool{}
-	for _, n := range d.view().Role("archive") {
-		one, end := context.WithTimeout(ctx, d.b.Heal(1.0/12))
-		t, err := d.calls.ControlNode(n.Addr).Stand(one, &wire.StatusRequest{})
+// checkShards asks every control node for its status.
+func (s *Server) checkShards(ctx context.Context, report *operator.Status, f *problems) {
+	hasLeader := map[uint32]bool{}
+	for _, n := range s.view().Role("archive") {
+		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
+		t, err := s.clients.ControlNode(n.Addr).Stand(one, &wire.StatusRequest{})
 		end()
 		if err != nil {
 			f.add("core-silent", n.Name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
@@ -75,30 +75,30 @@
 			switch {
 			case p.Failure != "":
 				st = "out"
-				f.add("member-out", fmt.Sprintf("%s part %d", p.Member, p.Shard), p.Failure, errs.DiskBad.Remedy, "disk-full")
+				f.add("member-out", fmt.Sprintf("%s shard %d", p.Member, p.Shard), p.Failure, errs.DiskBad.Remedy, "disk-full")
 			case p.Stuck != "":
 				st = "stuck"
-				f.add("member-stuck", fmt.Sprintf("%s part %d", p.Member, p.Shard), p.Stuck, "bring one of the two data folders back", "disk-lost")
+				f.add("member-stuck", fmt.Sprintf("%s shard %d", p.Member, p.Shard), p.Stuck, "bring one of the two data folders back", "disk-lost")
 			case p.Blank:
 				st = "blank"
-				f.add("member-blank", fmt.Sprintf("%s part %d", p.Member, p.Shard), "it hasn't caught up from both others", "see that both other members run", "disk-lost")
+				f.add("member-blank", fmt.Sprintf("%s shard %d", p.Member, p.Shard), "it hasn't caught up from both others", "see that both other members run", "disk-lost")
 			case p.IsLeader:
-				st, owned[p.Shard] = "owns", true
+				st, hasLeader[p.Shard] = "owns", true
 			}
-			s.Parts = append(s.Parts, operator.StatusPartsItem{Part: int(p.Shard), Member: p.Member, Owner: p.Leader, State: st, Applied: int64(p.Applied),
+			report.Parts = append(report.Parts, operator.StatusPartsItem{Part: int(p.Shard), Member: p.Member, Owner: p.Leader, State: st, Applied: int64(p.Applied),
 				Last: int64(p.Last), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
 		}
 	}
 	for p := range uint32(controlclient.Shards) {
-		if !owned[p] {
-			f.add("part-unowned", fmt.Sprintf("part %d", p), "no core machine that answers owns it", "see that two of its three members run and reach each other", "core-split")
+		if !hasLeader[p] {
+			f.add("part-unowned", fmt.Sprintf("shard %d", p), "no responding core machine is its leader", "see that two of its three members run and reach each other", "core-split")
 		}
 	}
 }
 
-func workers(snap *updatestream.Snapshot, f *finder) {
+func checkWorkers(snap *updatestream.Snapshot, f *problems) {
 	if snap.Setup == nil {
-		f.add("no-setup", "site", "no setup is in force", "apply one: desk setup apply --file …", "setup-wrong")
+		f.add("no-setup", "site", "no service configuration is in force", "apply one: desk setup apply --file …", "setup-wrong")
 	}
 	stores, all := 0, 0
 	old := map[string]int{}
@@ -120,7 +120,7 @@
 	}
 	for _, m := range queue.Keys(old) {
 		f.add("older-weights", m, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", old[m], all, snap.WeightsAt[m].Weights),
-			"wait for the roll-out; else see the appraisers' logs", "weights-midday")
+			"wait for the rollout; else see the placement controllers' logs", "weights-midday")
 	}
 	if stores == 0 {
 		f.add("no-store", "site", "no prompt store answers", "service goes on without it; start it again", "store-empty")
--- a/internal/control/placementcontroller/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -76,7 +76,7 @@
 	if err != nil || r == nil {
 		return err
 	}
-	w := retire.Observation{Version: doc.Version, Config: now, ConfigBound: c.process.Place.Bounds.Setup(1)}
+	w := retire.Observation{Version: doc.Version, Config: now, ConfigBound: c.process.Place.Bounds.Config(1)}
 	var addr map[string]string
 	w.Nodes, addr, w.Listed = c.workerStates(name)
 	w.Clock = c.clock.Now()
--- a/internal/control/retire/catchup.go
+++ b/internal/control/retire/catchup.go
@@ -87,7 +87,7 @@
 	case Return:
 		ways := object{}
 		for _, n := range queue.Keys(s.retirement.PreviousUse) {
-			if _, ok := s.observed.Config.Ways[n]; !ok {
+			if _, ok := s.observed.Config.Routes[n]; !ok {
 				continue
 			}
 			use := any(nil)
@@ -128,7 +128,7 @@
 // unloaded again from a worker that has the whole set.
 //
 // Example: actions := retire.Repair(config, "lector-main", nodes, []string{"lector"})
-func Repair(s *serviceconfig.Setup, service string, nodes []Node, retired []string) []Action {
+func Repair(s *serviceconfig.Config, service string, nodes []Node, retired []string) []Action {
 	v, ok := s.Services[service]
 	l := dependentAdapters(s, service, v.Model)
 	if !ok || len(l) == 0 {
@@ -154,10 +154,10 @@
 }
 
 // routesTo reports whether any route of a service leads to a base, or is being moved there.
-func routesTo(s *serviceconfig.Setup, service, base string) bool {
-	for n, v := range s.Ways {
-		for _, x := range []string{v.Answers(n), v.Move} {
-			if t, ok := s.Named(x); ok && t.Model == base && (v.Service == service || v.Next == service) {
+func routesTo(s *serviceconfig.Config, service, base string) bool {
+	for n, v := range s.Routes {
+		for _, x := range []string{v.AnsweredBy(n), v.Move} {
+			if t, ok := s.Resolve(x); ok && t.Model == base && (v.Service == service || v.Next == service) {
 				return true
 			}
 		}
--- a/internal/control/retire/check.go
+++ b/internal/control/retire/check.go
@@ -29,7 +29,7 @@
 // SetOf returns the set of a base and some adapters, as the service configuration defines them.
 //
 // Example: set := retire.SetOf(config, "lector-2", []string{"rare-2"})
-func SetOf(s *serviceconfig.Setup, base string, adapters []string) Set {
+func SetOf(s *serviceconfig.Config, base string, adapters []string) Set {
 	x := Set{Base: base, Weights: s.Models[base].Weights, Room: s.Models[base].Room}
 	adapters = slices.Clone(adapters)
 	slices.Sort(adapters)
@@ -85,7 +85,7 @@
 }
 
 // dependentAdapters lists a service's adapters on a base.
-func dependentAdapters(s *serviceconfig.Setup, service, base string) []string {
+func dependentAdapters(s *serviceconfig.Config, service, base string) []string {
 	var l []string
 	for _, n := range queue.Keys(s.Adapters) {
 		if a := s.Adapters[n]; a.Base == base && slices.Contains(a.Services, service) {
@@ -96,7 +96,7 @@
 }
 
 // oldAndNewSets are the sets before and after a retirement.
-func (r *Retirement) oldAndNewSets(s *serviceconfig.Setup) (was, next Set) {
+func (r *Retirement) oldAndNewSets(s *serviceconfig.Config) (was, next Set) {
 	var l []string
 	for _, n := range r.Replace {
 		l = append(l, n)
@@ -105,14 +105,14 @@
 }
 
 // routeMoves maps each of the service's routes on the old base to its new model or adapter.
-func (r *Retirement) routeMoves(s *serviceconfig.Setup) map[string]string {
+func (r *Retirement) routeMoves(s *serviceconfig.Config) map[string]string {
 	m := map[string]string{}
-	for n, v := range s.Ways {
+	for n, v := range s.Routes {
 		if v.Service != r.Service {
 			continue
 		}
-		use := v.Answers(n)
-		if t, ok := s.Named(use); ok && t.Model == r.From {
+		use := v.AnsweredBy(n)
+		if t, ok := s.Resolve(use); ok && t.Model == r.From {
 			if m[n] = r.To; t.Adapter != "" {
 				m[n] = r.Replace[t.Adapter]
 			}
@@ -125,7 +125,7 @@
 // and the remedy, before anything moves.
 //
 // Example: r.CheckConfig(config, &b)
-func (r *Retirement) CheckConfig(s *serviceconfig.Setup, b *errs.Batch) {
+func (r *Retirement) CheckConfig(s *serviceconfig.Config, b *errs.Batch) {
 	bad := func(f, format string, a ...any) { b.Fault(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
 	v, ok := s.Services[r.Service]
 	if !ok {
@@ -175,7 +175,7 @@
 			bad(f, "%s replaces %s already: name one for each", r.Replace[n], taken[r.Replace[n]])
 		}
 		for _, t := range queue.Keys(s.Tenants) {
-			if ok && s.Lets(n, t) && !s.Lets(r.Replace[n], t) {
+			if ok && s.Allows(n, t) && !s.Allows(r.Replace[n], t) {
 				bad(f, "%s isn't for tenant %s, which %s is for: add the tenant to adapters.%s.tenants", r.Replace[n], t, n, r.Replace[n])
 			}
 		}
@@ -199,16 +199,16 @@
 }
 
 // checkRoutes notes every route that would be left without a model, including those of other services.
-func (r *Retirement) checkRoutes(s *serviceconfig.Setup, bad func(f, format string, a ...any)) {
+func (r *Retirement) checkRoutes(s *serviceconfig.Config, bad func(f, format string, a ...any)) {
 	m := r.routeMoves(s)
-	for _, n := range queue.Keys(s.Ways) {
-		v := s.Ways[n]
+	for _, n := range queue.Keys(s.Routes) {
+		v := s.Routes[n]
 		if to, ok := m[n]; ok && to == "" {
-			bad("ways."+n, "it would be left with no model: %s answers it and has no replacement", v.Answers(n))
+			bad("ways."+n, "it would be left with no model: %s answers it and has no replacement", v.AnsweredBy(n))
 		}
-		t, ok := s.Named(v.Answers(n))
+		t, ok := s.Resolve(v.AnsweredBy(n))
 		if ok && t.Model == r.From && v.Service != r.Service {
-			bad("ways."+n, "it is answered by %s at service %s: lead it elsewhere first", v.Answers(n), v.Service)
+			bad("ways."+n, "it is answered by %s at service %s: lead it elsewhere first", v.AnsweredBy(n), v.Service)
 		}
 		if _, mine := m[n]; mine && v.Next != "" {
 			bad("ways."+n, "it is being handed over to service %s: let that end first", v.Next)
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -31,7 +31,7 @@
 type Observation struct {
 	Clock       time.Duration
 	Version     uint64 // of the retirement's document
-	Config      *serviceconfig.Setup
+	Config      *serviceconfig.Config
 	Listed      bool // the platform's list was read just now
 	Nodes       []Node
 	Ok, Failed  float64       // recent attempts of the service
@@ -302,7 +302,7 @@
 			if s.retirement.PreviousUse == nil {
 				s.retirement.PreviousUse = map[string]string{}
 			}
-			s.retirement.PreviousUse[n] = s.observed.Config.Ways[n].Use
+			s.retirement.PreviousUse[n] = s.observed.Config.Routes[n].Use
 			s.changed = true
 		}
 	}
--- a/internal/control/retire/retire_test.go
+++ b/internal/control/retire/retire_test.go
@@ -345,7 +345,7 @@
 	if l := Repair(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "load" {
 		t.Errorf("it has that alone: %+v", l)
 	}
-	s.Models["older"], s.Ways["older"] = serviceconfig.Model{Weights: 9}, serviceconfig.Way{Service: "s"}
+	s.Models["older"], s.Routes["older"] = serviceconfig.Model{Weights: 9}, serviceconfig.Route{Service: "s"}
 	back.Loaded = append(back.Loaded, full)
 	if l := Repair(s, "s", []Node{back}, []string{"older"}); len(l) != 0 {
 		t.Errorf("a route leads there again: %+v", l)
@@ -359,7 +359,7 @@
 // A document reads back as it was written, and what it doesn't know is denied.
 func TestDocument(t *testing.T) {
 	r := newPlan()
-	r.RecordProof("w1", "life", SetOf(&serviceconfig.Setup{}, "new", nil))
+	r.RecordProof("w1", "life", SetOf(&serviceconfig.Config{}, "new", nil))
 	b, err := r.Write()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/retire/sim_test.go
+++ b/internal/control/retire/sim_test.go
@@ -164,7 +164,7 @@
 	}
 	s, o := f.config(), first
 	s.WaitMaxMs = 0
-	for n, v := range s.Ways {
+	for n, v := range s.Routes {
 		if v.Move != "" || v.Moved != 0 || n != "fare" && v.Use != "" || n == "fare" && v.Use != "fare" {
 			f.fault(5, "route %s is %+v after the abort, the setup was %s", n, v, o)
 		}
--- a/internal/control/retire/size_test.go
+++ b/internal/control/retire/size_test.go
@@ -11,15 +11,15 @@
 
 // crowd is a service of so many nodes and adapters, each node ready up to its proof.
 func largeService(nodes, adapters int) (*Retirement, Observation) {
-	s := &serviceconfig.Setup{Models: map[string]serviceconfig.Model{"old": {Weights: 1, Room: 50}, "new": {Weights: 1, Room: 50}}, Adapters: map[string]serviceconfig.Adapter{},
-		Services: map[string]serviceconfig.Service{"s": {Model: "old", Room: 1000}}, Ways: map[string]serviceconfig.Way{"old": {Service: "s"}}}
+	s := &serviceconfig.Config{Models: map[string]serviceconfig.Model{"old": {Weights: 1, Room: 50}, "new": {Weights: 1, Room: 50}}, Adapters: map[string]serviceconfig.Adapter{},
+		Services: map[string]serviceconfig.Service{"s": {Model: "old", Room: 1000}}, Routes: map[string]serviceconfig.Route{"old": {Service: "s"}}}
 	r := &Retirement{Name: "spring", Service: "s", From: "old", To: "new", Replace: map[string]string{}, AtOnce: max(1, nodes/20), State: Running, Phase: Prove}
 	was, next := map[string]uint64{}, map[string]uint64{}
 	for i := range adapters {
 		n := fmt.Sprintf("adapter-%d", i)
 		s.Adapters[n] = serviceconfig.Adapter{Base: "old", Build: 1, Room: 1, Services: []string{"s"}}
 		s.Adapters[n+"-2"] = serviceconfig.Adapter{Base: "new", Build: 1, Room: 1, Services: []string{"s"}}
-		s.Ways[n] = serviceconfig.Way{Service: "s"}
+		s.Routes[n] = serviceconfig.Route{Service: "s"}
 		r.Replace[n], was[n], next[n+"-2"] = n+"-2", 1, 1
 	}
 	w := Observation{Clock: time.Hour, Version: 7, Config: s, Listed: true, ConfigBound: time.Second}
--- a/internal/control/retire/world_test.go
+++ b/internal/control/retire/world_test.go
@@ -120,7 +120,7 @@
 	f.inbox[at] = append(f.inbox[at], do)
 }
 
-func (f *testFleet) config() *serviceconfig.Setup {
+func (f *testFleet) config() *serviceconfig.Config {
 	s, err := serviceconfig.Read(f.body)
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/control/routingconfig/check.go
+++ b/internal/control/routingconfig/check.go
@@ -2,11 +2,11 @@
 
 import "pebbleloom/internal/errs"
 
-// Check lists what makes a plan invalid, each fault with the item it lies in: a version of 0, a
-// route that names an unknown service, or has weights that add up to 0, or no timeout, two routes
-// with the same host and prefix, two tenants that share a key. All else is taken.
+// Check notes every fault of a plan, each with the item it lies in: a version of 0, a route that names
+// an unknown service, or has weights that add up to 0, or no timeout, two routes with the same host
+// and prefix, two tenants that share a key. Anything else is accepted.
 //
-// Example: if err := plan.Check(p); err != nil { return err }
+// Example: if err := routingconfig.Check(p); err != nil { return err }
 func Check(p *Plan) error {
 	var b errs.Batch
 	bad := func(format string, a ...any) { b.Fault(errs.BadInput, format, a...) }
@@ -17,8 +17,8 @@
 	for i := range p.Services {
 		known[p.Services[i].Name] = true
 	}
-	type place struct{ host, prefix string }
-	taken := make(map[place]string, len(p.Routes))
+	type routeKey struct{ host, prefix string }
+	taken := make(map[routeKey]string, len(p.Routes))
 	for i := range p.Routes {
 		r := &p.Routes[i]
 		for _, s := range r.Split {
@@ -32,7 +32,7 @@
 		if r.Timeout <= 0 {
 			bad("route %q: timeout: missing or 0", r.Name)
 		}
-		at := place{hostname(r.Host), r.Prefix}
+		at := routeKey{hostname(r.Host), r.Prefix}
 		if other, ok := taken[at]; ok {
 			bad("route %q: host %q and prefix %q: those of route %q too", r.Name, r.Host, r.Prefix, other)
 		}
@@ -50,10 +50,11 @@
 	return b.Look()
 }
 
-// Follows says whether a plan of version next may replace one of version old (0: there is none).
+// CheckSuccessor reports whether a plan of version next may replace one of version old (0: there is
+// none).
 //
-// Example: if err := plan.Follows(inForce.Version, p.Version); err != nil { return err }
-func Follows(old, next uint64) error {
+// Example: if err := routingconfig.CheckSuccessor(inForce.Version, p.Version); err != nil { return err }
+func CheckSuccessor(old, next uint64) error {
 	if next <= old {
 		return errs.New(errs.BadInput, "version: %d is not above %d, which is in force", next, old)
 	}
--- a/internal/control/routingconfig/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// host holds the routes of one host. A look-up asks once for each slash of a path, and no further
-// than the longest prefix: what it costs doesn't depend on how many routes there are.
-type host struct {
-	longest int
-	slashed map[string]*Route // by prefix, those that end with a slash
-	others  []*Route          // longest first; commonly none
+// hostRoutes holds the routes of one host. A lookup probes once per slash of a path, and no further
+// than the longest prefix: its cost doesn't depend on the number of routes.
+type hostRoutes struct {
+	longestPrefix int
+	slashed       map[string]*Route // by prefix, those that end with a slash
+	prefixes      []*Route          // longest first; usually none
 }
 
-// Ready builds the look-up tables, unless they stand already. It has to be called before the
-// plan is shared: nothing is found in one that isn't ready.
+// BuildIndex builds the lookup tables, unless they exist. It has to be called before the plan is
+// shared: lookups in a plan without them find nothing.
 //
-// Example: snap.Plan = p.Ready()
-func (p *Plan) Ready() *Plan {
+// Example: snapshot.Plan = p.BuildIndex()
+func (p *Plan) BuildIndex() *Plan {
 	if p.hosts != nil {
 		return p
 	}
-	p.hosts = map[string]*host{}
+	p.hosts = map[string]*hostRoutes{}
 	p.keys = make(map[string]*Tenant, 2*len(p.Tenants))
 	p.names = make(map[string]*Service, len(p.Services))
 	for i := range p.Routes {
@@ -29,18 +29,18 @@
 		name := hostname(r.Host)
 		h := p.hosts[name]
 		if h == nil {
-			h = &host{slashed: map[string]*Route{}}
+			h = &hostRoutes{slashed: map[string]*Route{}}
 			p.hosts[name] = h
 		}
-		h.longest = max(h.longest, len(r.Prefix))
+		h.longestPrefix = max(h.longestPrefix, len(r.Prefix))
 		if strings.HasSuffix(r.Prefix, "/") {
 			h.slashed[r.Prefix] = r
 		} else {
-			h.others = append(h.others, r)
+			h.prefixes = append(h.prefixes, r)
 		}
 	}
 	for _, h := range p.hosts {
-		slices.SortStableFunc(h.others, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+		slices.SortStableFunc(h.prefixes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range p.Tenants {
 		for _, k := range p.Tenants[i].Keys {
@@ -72,7 +72,7 @@
 		return nil, false
 	}
 	var found *Route
-	for rest := path[:min(len(path), h.longest)]; ; {
+	for rest := path[:min(len(path), h.longestPrefix)]; ; {
 		i := strings.LastIndexByte(rest, '/')
 		if i < 0 {
 			break
@@ -83,7 +83,7 @@
 		}
 		rest = rest[:i]
 	}
-	for _, r := range h.others {
+	for _, r := range h.prefixes {
 		if found != nil && len(found.Prefix) > len(r.Prefix) {
 			break
 		}
@@ -94,7 +94,7 @@
 	return found, found != nil
 }
 
-// Tenant finds who holds a key.
+// Tenant returns the tenant that owns a key.
 //
 // Example: t, ok := p.Tenant(key)
 func (p *Plan) Tenant(key string) (*Tenant, bool) {
@@ -102,17 +102,17 @@
 	return t, ok
 }
 
-// Named finds a service; of two with the same name, the last.
+// ServiceNamed returns a service; of two with the same name, the last.
 //
-// Example: s, ok := p.Named(route.Service(id))
-func (p *Plan) Named(service string) (*Service, bool) {
+// Example: s, ok := p.ServiceNamed(route.Service(id))
+func (p *Plan) ServiceNamed(service string) (*Service, bool) {
 	s, ok := p.names[service]
 	return s, ok
 }
 
-// Service tells which of the route's services takes an attempt: a hash of its id falls among the
-// weights, so that the same id leads to the same service on every machine. A service named twice
-// has the sum of its weights.
+// Service returns which of the route's services takes an attempt: a hash of its ID selects among the
+// weights, so the same ID leads to the same service on every machine. A service named twice has the
+// sum of its weights.
 //
 // Example: name := r.Service(attemptID)
 func (r *Route) Service(id string) string {
@@ -120,7 +120,7 @@
 	if sum == 0 {
 		return ""
 	}
-	at := int(spread(id) % uint64(sum))
+	at := int(hash(id) % uint64(sum))
 	for _, s := range r.Split {
 		if at -= max(s.Weight, 0); at < 0 {
 			return s.Service
@@ -138,8 +138,8 @@
 	return n
 }
 
-// spread hashes a text evenly into 64 bits: FNV-1a, and the last step of MurmurHash3.
-func spread(s string) uint64 {
+// hash spreads a string evenly over 64 bits: FNV-1a, and the final step of MurmurHash3.
+func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * 1099511628211
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -4,23 +4,24 @@
 
 import "time"
 
-// Key is the document that holds the plan, in part 0; its version is the plan's own.
+// Key is the document that holds the plan, in shard 0; its version is the plan's own.
 const Key = "plan"
 
-// Plan is one whole version.
+// Plan is one whole version of the routing configuration.
 type Plan struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Tenants  []Tenant
-	Limits   Limits
+	// Limits bound what a client may send.
+	Limits Limits
 
-	hosts map[string]*host
+	hosts map[string]*hostRoutes
 	keys  map[string]*Tenant
 	names map[string]*Service
 }
 
-// Kind says what may be repeated.
+// Kind tells what may be repeated.
 type Kind int
 
 // The kinds of a route.
@@ -30,16 +31,16 @@
 	Stream                 // a series of events; once, unless it may be resumed
 )
 
-// Route leads requests of a host and prefix to services.
+// Route sends requests of a host and prefix to services.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	Timeout            time.Duration // the longest an attempt may be held
-	Target             time.Duration // within this an answer earns its full worth
-	Gap                time.Duration // the longest pause between events that keeps it in time
+	Timeout            time.Duration // the longest duration of an attempt
+	Target             time.Duration // a response within this counts in full
+	Gap                time.Duration // the longest gap between events that is in time
 	Priority           int           // 0 is highest
 	Split              []Share
-	Attempts           int // the most workers that one request may go to
+	Attempts           int // the most workers that one request may be sent to
 	Public             bool
 	Session            bool // requests name the parts of their prompt
 	Resumable          bool
@@ -47,6 +48,7 @@
 
 // Share is one service's weight among those of a route.
 type Share struct {
+	// Service is a group of workers, or a store of cached prompts.
 	Service string
 	Weight  int
 }
@@ -56,33 +58,35 @@
 	Name     string
 	Health   string // path
 	MaxConns int    // of one worker, from all callers together
-	Engine   *Engine
-	Store    *Store
+	// Engine holds the properties of a service's model workers.
+	Engine *Engine
+	// Store caches prompt parts that workers hand it.
+	Store *Store
 }
 
 // Engine is what a service's model workers are like.
 type Engine struct {
 	Slots      int
-	Room       int     // tokens that running requests and kept parts share
-	TokenBytes int     // of a kept token
-	LinkMbps   float64 // moves of kept parts
+	Room       int     // tokens that running requests and cached parts share
+	TokenBytes int     // of a cached token
+	LinkMbps   float64 // transfers of cached parts
 	Polls      int     // calls for events that one worker holds at once, from all callers
 	Models     []string
 }
 
 // Store keeps parts that workers hand it.
 type Store struct {
-	Addr, District string
-	Room           int // tokens
-	LinkMbps       float64
-	Polls          int
+	Addr, Zone string
+	Room       int // tokens
+	LinkMbps   float64
+	Polls      int
 }
 
 // Tenant is one user's tenant with its keys.
 type Tenant struct {
 	Name     string
 	Keys     []string
-	Priority int // goes before the route's; -1: none set
+	Priority int // overrides the route's; -1: unset
 	Isolated bool
 }
 
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -22,7 +22,7 @@
 func TestTheLongestPrefixWins(t *testing.T) {
 	p := sample(route("a", "one.example", "/a/"), route("ab", "one.example", "/a/b/"), route("abc", "one.example", "/a/b/c/d/"),
 		route("root", "two.example", "/"), route("bare", "two.example", "/x"), route("bare2", "two.example", "/x/yy"), route("x", "two.example", "/x/"),
-		route("big", "Three.Example:80", "/A/")).Ready()
+		route("big", "Three.Example:80", "/A/")).BuildIndex()
 	for _, c := range []struct{ host, path, name string }{
 		{"one.example", "/a/", "a"}, {"one.example", "/a/1", "a"}, {"one.example", "/a", ""}, {"one.example", "/", ""}, {"one.example", "", ""},
 		{"one.example", "/a/b", "a"}, {"one.example", "/a/b/", "ab"}, {"one.example", "/a/b/c/d", "ab"}, {"one.example", "/a/b/c/d/e/f", "abc"},
@@ -62,7 +62,7 @@
 				p.Routes = append(p.Routes, route(x, "h", x))
 			}
 		}
-		p.Ready()
+		p.BuildIndex()
 		for _, path := range all {
 			want := ""
 			for _, r := range p.Routes {
@@ -81,19 +81,19 @@
 	p := sample()
 	p.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2", ""}}, {Name: "two", Keys: []string{"k3"}}}
 	p.Services = append(p.Services, Service{Name: "s", Health: "/last"})
-	p.Ready()
+	p.BuildIndex()
 	for k, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "k": "", "": ""} {
 		if x, ok := p.Tenant(k); ok != (want != "") || ok && x.Name != want {
 			t.Errorf("key %q: %v", k, x)
 		}
 	}
-	if s, ok := p.Named("s"); !ok || s.Health != "/last" {
+	if s, ok := p.ServiceNamed("s"); !ok || s.Health != "/last" {
 		t.Errorf("of two services with one name: %v", s)
 	}
-	if _, ok := p.Named("none"); ok {
+	if _, ok := p.ServiceNamed("none"); ok {
 		t.Error("a service that isn't there was found")
 	}
-	if p.Ready() != p || len(p.hosts) != 0 {
+	if p.BuildIndex() != p || len(p.hosts) != 0 {
 		t.Error("a ready plan was built anew")
 	}
 }
@@ -185,7 +185,7 @@
 		old, next uint64
 		ok        bool
 	}{{0, 0, false}, {0, 1, true}, {7, 7, false}, {7, 6, false}, {7, 8, true}, {7, 100, true}} {
-		if err := Follows(c.old, c.next); (err == nil) != c.ok || err != nil && errs.KindOf(err) != errs.BadInput {
+		if err := CheckSuccessor(c.old, c.next); (err == nil) != c.ok || err != nil && errs.KindOf(err) != errs.BadInput {
 			t.Errorf("%d after %d: %v", c.next, c.old, err)
 		}
 	}
@@ -202,7 +202,7 @@
 
 // A look-up takes no memory, and as long among thousands of routes as among a few.
 func TestALookUpTakesNoMemory(t *testing.T) {
-	p := many(3500).Ready()
+	p := many(3500).BuildIndex()
 	path := "/p3000/" + strings.Repeat("a/", 8000) // no slash beyond the longest prefix is looked at
 	if n := testing.AllocsPerRun(100, func() {
 		if r, ok := p.Route("h0.example:8080", path); !ok || r.Name != "r3000" {
@@ -215,7 +215,7 @@
 
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{10, 350, 3500} {
-		p := many(n).Ready()
+		p := many(n).BuildIndex()
 		last := p.Routes[n-1]
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
@@ -231,7 +231,7 @@
 	p := many(350)
 	for b.Loop() {
 		p.hosts = nil
-		p.Ready()
+		p.BuildIndex()
 	}
 }
 
--- a/internal/control/serviceconfig/adapters.go
+++ b/internal/control/serviceconfig/adapters.go
@@ -9,41 +9,41 @@
 // Target is the set of weights that answers one request.
 type Target struct {
 	Model   string // the base model
-	Weights uint64 // its epoch in force
+	Weights uint64 // their version in force
 	Adapter string // empty: the base alone
 	Build   uint64
 }
 
-// Target names the set of weights for one request by the way it came in on. A request id always
-// gets the same answer under one setup.
+// Target returns the set of weights for one request by the name of its route. A request ID always gets
+// the same one under one configuration.
 //
 // Example: t, ok := s.Target("rare", "r-17")
-func (s *Setup) Target(way, request string) (Target, bool) {
-	w, ok := s.Ways[way]
+func (s *Config) Target(route, request string) (Target, bool) {
+	w, ok := s.Routes[route]
 	if !ok {
 		return Target{}, false
 	}
-	name := w.Answers(way)
+	name := w.AnsweredBy(route)
 	if w.Move != "" && int(queue.Hash("move/"+request)%100) < w.Moved {
 		name = w.Move
 	}
-	return s.Named(name)
+	return s.Resolve(name)
 }
 
-// Answers is the model or adapter that answers a way's requests, but for those that were moved.
+// AnsweredBy is the model or adapter that answers a route's requests, except those that were moved.
 //
-// Example: s.Ways["rare"].Answers("rare")
-func (w Way) Answers(way string) string {
+// Example: config.Routes["rare"].AnsweredBy("rare")
+func (w Route) AnsweredBy(route string) string {
 	if w.Use != "" {
 		return w.Use
 	}
-	return way
+	return route
 }
 
-// Named gives the set of weights that a model's or an adapter's name stands for.
+// Resolve returns the set of weights that the name of a model or an adapter stands for.
 //
-// Example: t, ok := s.Named("rare")
-func (s *Setup) Named(name string) (Target, bool) {
+// Example: target, ok := config.Resolve("rare")
+func (s *Config) Resolve(name string) (Target, bool) {
 	if m, ok := s.Models[name]; ok {
 		return Target{Model: name, Weights: m.Weights}, true
 	}
@@ -51,15 +51,15 @@
 	return Target{Model: a.Base, Weights: s.Models[a.Base].Weights, Adapter: name, Build: a.Build}, ok
 }
 
-// Lets tells whether a tenant may name an adapter; a model is anybody's.
+// Allows reports whether a tenant may name an adapter; models are open to all.
 //
-// Example: if !s.Lets("rare", tenant) { deny() }
-func (s *Setup) Lets(name, tenant string) bool {
+// Example: if !config.Allows("rare", tenant) { reject() }
+func (s *Config) Allows(name, tenant string) bool {
 	a, ok := s.Adapters[name]
 	return !ok || len(a.Tenants) == 0 || slices.Contains(a.Tenants, tenant)
 }
 
-func (s *Setup) checkAdapters(bad func(path, format string, a ...any), word func(path, v string)) {
+func (s *Config) checkAdapters(bad func(path, format string, a ...any), word func(path, v string)) {
 	for _, n := range queue.Keys(s.Models) {
 		if s.Models[n].Room < 0 {
 			bad("models."+n+".room", "%d: give what it takes of a worker's memory in MB", s.Models[n].Room)
@@ -96,18 +96,18 @@
 	}
 }
 
-// checkUse sees that whatever answers a way's requests exists, and stands on the way's workers.
-func (s *Setup) checkUse(n string, bad func(path, format string, a ...any)) {
-	w, p := s.Ways[n], "ways."+n
-	if _, ok := s.Named(n); !ok && w.Use == "" {
-		bad(p, "no such model: a way is named by the model it serves")
+// checkUse notes a route whose target doesn't exist or isn't loaded on the route's workers.
+func (s *Config) checkUse(n string, bad func(path, format string, a ...any)) {
+	w, p := s.Routes[n], "ways."+n
+	if _, ok := s.Resolve(n); !ok && w.Use == "" {
+		bad(p, "no such model: a route is named by the model it serves")
 	}
 	for _, x := range [][2]string{{".use", w.Use}, {".move", w.Move}} {
-		if _, ok := s.Named(x[1]); x[1] != "" && !ok {
+		if _, ok := s.Resolve(x[1]); x[1] != "" && !ok {
 			bad(p+x[0], "%q is neither among models nor among adapters: add it there or name another", x[1])
 		}
 	}
-	for _, v := range []string{w.Answers(n), w.Move} {
+	for _, v := range []string{w.AnsweredBy(n), w.Move} {
 		if a, ok := s.Adapters[v]; ok && !slices.Contains(a.Services, w.Service) {
 			bad(p, "adapter %s isn't held by service %s: add the service to adapters.%s.services", v, w.Service, v)
 		}
--- a/internal/control/serviceconfig/setup.go
+++ b/internal/control/serviceconfig/config.go
@@ -1,4 +1,4 @@
-// Package serviceconfig is the operator's configuration: reading, merging and checking it.
+// Package serviceconfig is the operator's service configuration: reading, merging and checking it.
 package serviceconfig
 
 import (
@@ -17,54 +17,55 @@
 
 //go:generate sh -c "PATH=$(go env GOPATH)/bin:$PATH easyjson -all -disallow_unknown_fields model.go"
 
-// MaxBytes bounds a whole setup.
+// MaxBytes bounds a whole service configuration.
 const MaxBytes = 1 << 20
 
-// Read decodes and checks a whole setup; the faults name paths and remedies.
+// Read decodes and checks a whole service configuration; the faults name paths and remedies.
 //
-// Example: s, err := setup.Read(body)
-func Read(body []byte) (*Setup, error) {
-	s := &Setup{}
+// Example: config, err := serviceconfig.Read(body)
+func Read(body []byte) (*Config, error) {
+	s := &Config{}
 	if len(body) > MaxBytes {
-		return nil, errs.New(errs.TooBig, "setup: %d bytes, at most %d", len(body), MaxBytes)
+		return nil, errs.New(errs.TooBig, "service configuration: %d bytes, at most %d", len(body), MaxBytes)
 	}
 	if err := easyjson.Unmarshal(body, s); err != nil {
-		return nil, errs.As(err, errs.BadInput, "setup")
+		return nil, errs.As(err, errs.BadInput, "service configuration")
 	}
 	var b errs.Batch
 	s.check(&b)
 	return s, b.Look()
 }
 
-// Write gives the one form in which a setup is kept and read back.
+// Write encodes a service configuration in its one canonical form.
 //
-// Example: body, err := setup.Write(s)
-func Write(s *Setup) ([]byte, error) {
+// Example: body, err := serviceconfig.Write(config)
+func Write(s *Config) ([]byte, error) {
 	b, err := easyjson.Marshal(s)
 	if err != nil {
-		return nil, errs.Wrap(err, "write setup")
+		return nil, errs.Wrap(err, "encode service configuration")
 	}
-	// The generated writer leaves the order of maps open; the kept form has one order.
+	// The generated encoder leaves the order of maps open; the canonical form has one order.
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.UseNumber()
 	var v any
 	if err := d.Decode(&v); err != nil {
-		return nil, errs.Wrap(err, "order setup")
+		return nil, errs.Wrap(err, "order service configuration")
 	}
 	b, err = json.Marshal(v)
-	return b, errs.Wrap(err, "order setup")
+	return b, errs.Wrap(err, "order service configuration")
 }
 
-// Merge lays a partial setup over a whole one (RFC 7396: null removes) and checks the result.
+// Merge applies a partial service configuration to a whole one (RFC 7396: null removes) and checks the
+// result.
 //
-// Example: body, err := setup.Merge(old, []byte(`{"models":{"lector":{"weights":4}}}`))
+// Example: body, err := serviceconfig.Merge(old, []byte(`{"models":{"lector":{"weights":4}}}`))
 func Merge(whole, part []byte) ([]byte, error) {
 	if len(whole) == 0 {
 		whole = []byte("{}")
 	}
 	m, err := jsonpatch.MergePatch(whole, part)
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "merge partial setup")
+		return nil, errs.As(err, errs.BadInput, "merge partial service configuration")
 	}
 	s, err := Read(m)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return Write(s)
 }
 
-func (s *Setup) check(b *errs.Batch) {
+func (s *Config) check(b *errs.Batch) {
 	bad := func(path, format string, a ...any) {
 		b.Fault(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, a...))
 	}
@@ -102,7 +103,7 @@
 	for _, n := range queue.Keys(s.Models) {
 		word("models."+n, n)
 		if s.Models[n].Weights == 0 {
-			bad("models."+n+".weights", "missing: name the weights epoch, from 1")
+			bad("models."+n+".weights", "missing: name the weights' version, from 1")
 		}
 	}
 	s.checkAdapters(bad, word)
@@ -130,16 +131,16 @@
 			bad(p+".placement", "%q: give hrcs, all-replicated, all-sharded or no-index", v.Placement)
 		}
 	}
-	for _, n := range queue.Keys(s.Ways) {
-		if _, ok := s.Services[s.Ways[n].Service]; !ok {
-			bad("ways."+n+".service", "%q is not among services: add it there or name another", s.Ways[n].Service)
+	for _, n := range queue.Keys(s.Routes) {
+		if _, ok := s.Services[s.Routes[n].Service]; !ok {
+			bad("ways."+n+".service", "%q is not among services: add it there or name another", s.Routes[n].Service)
 		}
-		if w := s.Ways[n]; w.Next != "" {
+		if w := s.Routes[n]; w.Next != "" {
 			if v, ok := s.Services[w.Next]; !ok || v.Model != n {
 				bad("ways."+n+".next", "%q is no service of model %s: name one that is", w.Next, n)
 			}
 		}
-		if w := s.Ways[n]; w.Share < 0 || w.Share > 100 {
+		if w := s.Routes[n]; w.Share < 0 || w.Share > 100 {
 			bad("ways."+n+".share", "%d: give a percent", w.Share)
 		}
 		s.checkUse(n, bad)
@@ -157,23 +158,26 @@
 	}
 }
 
-// Tenant finds who a key belongs to.
+// Tenant returns the tenant that owns a key.
 //
 // Example: name, t, ok := s.Tenant(key)
-func (s *Setup) Tenant(key string) (string, Tenant, bool) {
+func (s *Config) Tenant(key string) (string, Tenant, bool) {
 	n, ok := s.byKey[key]
 	return n, s.Tenants[n], ok
 }
 
-// Has tells whether a key still belongs to a tenant.
+// KeyBelongsTo reports whether a key still belongs to a tenant.
 //
-// Example: if !s.Has(key, tenant) { deny() }
-func (s *Setup) Has(key, tenant string) bool { n, ok := s.byKey[key]; return ok && n == tenant }
+// Example: if !config.KeyBelongsTo(key, tenant) { reject() }
+func (s *Config) KeyBelongsTo(key, tenant string) bool {
+	n, ok := s.byKey[key]
+	return ok && n == tenant
+}
 
-// Ready builds what look-ups need; call it once, before the setup is shared.
+// BuildIndex builds the lookup tables; call it once, before the configuration is shared.
 //
-// Example: s.Ready()
-func (s *Setup) Ready() *Setup {
+// Example: config.BuildIndex()
+func (s *Config) BuildIndex() *Config {
 	s.byKey = map[string]string{}
 	for n, t := range s.Tenants {
 		for _, k := range t.Keys {
@@ -183,11 +187,11 @@
 	return s
 }
 
-// Domain is the wall domain of a tenant: its own when walled, the shared one otherwise.
+// Domain is the cache domain of a tenant: its own if isolated, the shared one otherwise.
 //
 // Example: s.Domain("hospital-norte")
-func (s *Setup) Domain(tenant string) string {
-	if s.Tenants[tenant].Walled {
+func (s *Config) Domain(tenant string) string {
+	if s.Tenants[tenant].Isolated {
 		return "t:" + tenant
 	}
 	return "shared"
--- a/internal/control/serviceconfig/setup_test.go
+++ b/internal/control/serviceconfig/config_test.go
@@ -10,8 +10,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// testdata/setups: what is read, merged and refused, and in which words.
-func TestSetups(t *testing.T) {
+// testdata/setups: what is decoded, merged and rejected, and with which messages.
+func TestConfigs(t *testing.T) {
 	var have []byte
 	datadriven.RunTest(t, "testdata/setups", func(_ *testing.T, d *datadriven.TestData) string {
 		part := []byte(d.Input)
@@ -28,9 +28,9 @@
 	})
 }
 
-// One setup has one kept form, whatever order its maps are walked in.
+// A configuration has one canonical form, whatever order its maps are walked in.
 func TestOneForm(t *testing.T) {
-	s := &Setup{Models: map[string]Model{}}
+	s := &Config{Models: map[string]Model{}}
 	for i := range 20 {
 		s.Models[fmt.Sprint("m", i)] = Model{Weights: 1<<63 + uint64(i)}
 	}
@@ -44,7 +44,7 @@
 		}
 	}
 	if !strings.Contains(string(a), "9223372036854775827") {
-		t.Errorf("a large epoch lost digits: %s", a)
+		t.Errorf("a large version lost digits: %s", a)
 	}
 }
 
@@ -100,7 +100,7 @@
 		old, next []byte
 		ok        bool
 	}{{nil, at("3"), true}, {at("3"), at("3"), true}, {at("3"), at("4"), true}, {at("3"), at("2"), false}, {[]byte(`{}`), at("1"), true}} {
-		if err := Follows(x.old, x.next); (err == nil) != x.ok || err != nil && errs.KindOf(err) != errs.BadInput {
+		if err := CheckSuccessor(x.old, x.next); (err == nil) != x.ok || err != nil && errs.KindOf(err) != errs.BadInput {
 			t.Errorf("%s after %s: %v", x.next, x.old, err)
 		}
 	}
--- a/internal/control/serviceconfig/model.go
+++ b/internal/control/serviceconfig/model.go
@@ -2,15 +2,15 @@
 
 import "pebbleloom/internal/queue"
 
-// Setup is the whole configuration of a site, as operators write it.
-type Setup struct {
+// Config is the whole configuration of a site, as operators write it.
+type Config struct {
 	Tenants   map[string]Tenant  `json:"tenants,omitempty"`
 	Models    map[string]Model   `json:"models,omitempty"`
 	Adapters  map[string]Adapter `json:"adapters,omitempty"`
 	Services  map[string]Service `json:"services,omitempty"`
-	Ways      map[string]Way     `json:"ways,omitempty"` // model or adapter that requests name -> the service that answers it
+	Routes    map[string]Route   `json:"ways,omitempty"` // model or adapter that requests name -> the service that answers it
 	Drains    map[string]bool    `json:"drains,omitempty"`
-	Seeds     []string           `json:"seeds,omitempty"` // three addresses that go before those of the settings
+	Seeds     []string           `json:"seeds,omitempty"` // three addresses that override those of the settings
 	WaitMaxMs int                `json:"wait_max_ms,omitempty"`
 
 	byKey map[string]string
@@ -19,12 +19,12 @@
 // Tenant is one user's tenant with its keys and budget.
 type Tenant struct {
 	Keys     []string `json:"keys,omitempty"`
-	Walled   bool     `json:"walled,omitempty"`   // shares no cache with others
-	Rate     float64  `json:"rate,omitempty"`     // requests a second at one dispatcher; 0: no bound
-	Inflight int      `json:"inflight,omitempty"` // at once at one dispatcher; 0: no bound
+	Isolated bool     `json:"walled,omitempty"`   // shares no cache with others
+	Rate     float64  `json:"rate,omitempty"`     // requests a second at one proxy; 0: no bound
+	Inflight int      `json:"inflight,omitempty"` // concurrent requests at one proxy; 0: no bound
 }
 
-// Model is a model with the weights epoch in force.
+// Model is a model with the version of its weights in force.
 type Model struct {
 	Weights uint64 `json:"weights"`
 	Room    int    `json:"room,omitempty"` // what it takes of a worker's memory, in MB
@@ -49,20 +49,21 @@
 	Room      int     `json:"room,omitempty"`      // each worker's memory for weights, in MB
 }
 
-// Way leads a model's requests to a service.
-type Way struct {
+// Route sends a model's requests to a service.
+type Route struct {
 	Service string `json:"service"`
-	Next    string `json:"next,omitempty"`  // a handover is under way to this service
-	Share   int    `json:"share,omitempty"` // percent of requests that go there already
-	Use     string `json:"use,omitempty"`   // the model or adapter that answers; empty: the one it is named by
+	Next    string `json:"next,omitempty"`  // a handover to this service is in progress
+	Share   int    `json:"share,omitempty"` // percent of requests that it gets already
+	Use     string `json:"use,omitempty"`   // the model or adapter that answers; empty: the one that names the route
 	Move    string `json:"move,omitempty"`  // its requests are being moved to this model or adapter
 	Moved   int    `json:"moved,omitempty"` // percent of requests that were moved already
 }
 
-// For names the service of one request: a request id always gets the same answer under one setup.
+// ServiceFor returns the service of one request: a request ID always gets the same service under one
+// configuration.
 //
-// Example: service := s.Ways["lector"].For("r-17")
-func (w Way) For(request string) string {
+// Example: service := config.Routes["lector"].ServiceFor("r-17")
+func (w Route) ServiceFor(request string) string {
 	if w.Next != "" && int(queue.Hash(request)%100) < w.Share {
 		return w.Next
 	}
--- a/internal/control/serviceconfig/model_easyjson.go
+++ b/internal/control/serviceconfig/model_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonC80ae7adDecodePebbleloomInternalSetup(in *jlexer.Lexer, out *Way) {
+func easyjsonC80ae7adDecodePebbleloomInternalSetup(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -81,7 +81,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC80ae7adEncodePebbleloomInternalSetup(out *jwriter.Writer, in Way) {
+func easyjsonC80ae7adEncodePebbleloomInternalSetup(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -119,26 +119,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Way) MarshalJSON() ([]byte, error) {
+func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonC80ae7adEncodePebbleloomInternalSetup(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Way) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonC80ae7adEncodePebbleloomInternalSetup(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Way) UnmarshalJSON(data []byte) error {
+func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonC80ae7adDecodePebbleloomInternalSetup(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Way) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonC80ae7adDecodePebbleloomInternalSetup(l, v)
 }
 func easyjsonC80ae7adDecodePebbleloomInternalSetup1(in *jlexer.Lexer, out *Tenant) {
@@ -186,7 +186,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Walled = bool(in.Bool())
+				out.Isolated = bool(in.Bool())
 			}
 		case "rate":
 			if in.IsNull() {
@@ -233,7 +233,7 @@
 			out.RawByte(']')
 		}
 	}
-	if in.Walled {
+	if in.Isolated {
 		const prefix string = ",\"walled\":"
 		if first {
 			first = false
@@ -241,7 +241,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Bool(bool(in.Walled))
+		out.Bool(bool(in.Isolated))
 	}
 	if in.Rate != 0 {
 		const prefix string = ",\"rate\":"
@@ -289,7 +289,7 @@
 func (v *Tenant) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonC80ae7adDecodePebbleloomInternalSetup1(l, v)
 }
-func easyjsonC80ae7adDecodePebbleloomInternalSetup2(in *jlexer.Lexer, out *Setup) {
+func easyjsonC80ae7adDecodePebbleloomInternalSetup2(in *jlexer.Lexer, out *Config) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -405,20 +405,20 @@
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Ways = make(map[string]Way)
+					out.Routes = make(map[string]Route)
 				} else {
-					out.Ways = nil
+					out.Routes = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
-					var v8 Way
+					var v8 Route
 					if in.IsNull() {
 						in.Skip()
 					} else {
 						(v8).UnmarshalEasyJSON(in)
 					}
-					(out.Ways)[key] = v8
+					(out.Routes)[key] = v8
 					in.WantComma()
 				}
 				in.Delim('}')
@@ -494,7 +494,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC80ae7adEncodePebbleloomInternalSetup2(out *jwriter.Writer, in Setup) {
+func easyjsonC80ae7adEncodePebbleloomInternalSetup2(out *jwriter.Writer, in Config) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -590,7 +590,7 @@
 			out.RawByte('}')
 		}
 	}
-	if len(in.Ways) != 0 {
+	if len(in.Routes) != 0 {
 		const prefix string = ",\"ways\":"
 		if first {
 			first = false
@@ -601,7 +601,7 @@
 		{
 			out.RawByte('{')
 			v15First := true
-			for v15Name, v15Value := range in.Ways {
+			for v15Name, v15Value := range in.Routes {
 				if v15First {
 					v15First = false
 				} else {
@@ -671,26 +671,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Setup) MarshalJSON() ([]byte, error) {
+func (v Config) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonC80ae7adEncodePebbleloomInternalSetup2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Setup) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Config) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonC80ae7adEncodePebbleloomInternalSetup2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Setup) UnmarshalJSON(data []byte) error {
+func (v *Config) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonC80ae7adDecodePebbleloomInternalSetup2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Setup) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Config) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonC80ae7adDecodePebbleloomInternalSetup2(l, v)
 }
 func easyjsonC80ae7adDecodePebbleloomInternalSetup3(in *jlexer.Lexer, out *Service) {
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -15,30 +15,31 @@
 	"pebbleloom/internal/queue"
 )
 
-// Template is a setup with parameters: strings in it may say {{.name}}. A string that is
-// nothing but one parameter becomes a number or a truth value where the parameter is one.
+// Template is a service configuration with parameters: strings in it may contain {{.name}}. A string
+// that is nothing but one parameter becomes a number or a boolean if the parameter is one.
 type Template struct {
 	Params map[string]string `json:"params"` // name -> what it means
-	Setup  map[string]any    `json:"setup"`
+	Config map[string]any    `json:"setup"`
 }
 
-// Layer is one overlay, a partial setup, with the name that origins are told by.
+// Layer is one overlay, a partial service configuration, with the name under which origins refer to
+// it.
 type Layer struct {
 	Name string
 	Body []byte
 }
 
-// Origin says where one value of a rendered setup comes from.
+// Origin tells where one value of a rendered service configuration comes from.
 type Origin struct {
 	Path  string `json:"path"`
 	Value string `json:"value"`
 	From  string `json:"from"`
 }
 
-// Render fills a template in, lays overlays over it in order, and checks the whole as any
-// setup. Missing and unknown parameters are refused by name.
+// Render fills in a template, applies overlays in order, and checks the result like any service
+// configuration. Missing and unknown parameters are rejected by name.
 //
-// Example: body, origins, err := setup.Render(raw, map[string]string{"weights": "3"}, layers)
+// Example: body, origins, err := serviceconfig.Render(raw, map[string]string{"weights": "3"}, layers)
 func Render(raw []byte, set map[string]string, layers []Layer) ([]byte, []Origin, error) {
 	var t Template
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -59,25 +60,25 @@
 		}
 	}
 	from := map[string]string{}
-	filled := fill(t.Setup, "", set, t.Params, from, &b)
+	filled := renderValue(t.Config, "", set, t.Params, from, &b)
 	if err := b.Look(); err != nil {
 		return nil, nil, err
 	}
 	body, err := json.Marshal(filled)
 	if err != nil {
-		return nil, nil, errs.Wrap(err, "write rendered setup")
+		return nil, nil, errs.Wrap(err, "encode rendered service configuration")
 	}
 	at := map[string]string{}
-	leaves(body, at)
+	flatten(body, at)
 	for _, l := range layers {
 		next, err := jsonpatch.MergePatch(body, l.Body)
 		if err != nil {
 			return nil, nil, errs.As(err, errs.BadInput, "overlay "+l.Name)
 		}
 		now := map[string]string{}
-		leaves(next, now)
+		flatten(next, now)
 		said := map[string]string{}
-		leaves(l.Body, said)
+		flatten(l.Body, said)
 		for p, v := range now {
 			if _, own := said[p]; own || at[p] != v {
 				from[p] = "overlay " + l.Name
@@ -89,7 +90,7 @@
 		return nil, nil, err
 	}
 	final := map[string]string{}
-	leaves(body, final)
+	flatten(body, final)
 	var os []Origin
 	for p, v := range final {
 		f := from[p]
@@ -102,33 +103,33 @@
 	return body, os, nil
 }
 
-// fill executes every string of the template.
-func fill(v any, path string, set, known map[string]string, from map[string]string, b *errs.Batch) any {
+// renderValue executes every string of the template.
+func renderValue(v any, path string, set, known map[string]string, from map[string]string, b *errs.Batch) any {
 	switch x := v.(type) {
 	case map[string]any:
 		m := map[string]any{}
 		for k, y := range x {
-			key, ok := fill(k, path+" (key)", set, known, map[string]string{}, b).(string)
+			key, ok := renderValue(k, path+" (key)", set, known, map[string]string{}, b).(string)
 			if !ok {
 				b.Fault(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
 				key = k
 			}
-			m[key] = fill(y, strings.TrimPrefix(path+"."+key, "."), set, known, from, b)
+			m[key] = renderValue(y, strings.TrimPrefix(path+"."+key, "."), set, known, from, b)
 		}
 		return m
 	case []any:
 		var l []any
 		for i, y := range x {
-			l = append(l, fill(y, fmt.Sprintf("%s[%d]", path, i), set, known, from, b))
+			l = append(l, renderValue(y, fmt.Sprintf("%s[%d]", path, i), set, known, from, b))
 		}
 		return l
 	case string:
-		return text(x, path, set, known, from, b)
+		return renderString(x, path, set, known, from, b)
 	}
 	return v
 }
 
-func text(s, path string, set, known, from map[string]string, b *errs.Batch) any {
+func renderString(s, path string, set, known, from map[string]string, b *errs.Batch) any {
 	t, err := template.New(path).Option("missingkey=error").Parse(s)
 	if err != nil {
 		b.Note(path, errs.As(err, errs.BadInput, "template"))
@@ -154,7 +155,7 @@
 	from[path] = "parameter " + strings.Join(used, ", ")
 	var o bytes.Buffer
 	if err := t.Execute(&o, set); err != nil {
-		return s // a missing one is named already
+		return s // a missing parameter is reported already
 	}
 	var v any
 	d := json.NewDecoder(bytes.NewReader(o.Bytes()))
@@ -168,8 +169,8 @@
 	return o.String()
 }
 
-// leaves lists the values of a document by their paths.
-func leaves(body []byte, to map[string]string) {
+// flatten lists the values of a document by their paths.
+func flatten(body []byte, to map[string]string) {
 	var v any
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon is what all programs share: start, logs, listening, health, stopping.
+// Package daemon is the process runtime that all programs share: start, logs, listening, health,
+// stopping.
 package daemon
 
 import (
@@ -20,7 +21,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Life is one running program.
+// Process is one running program.
 type Process struct {
 	Environment
 	Ctx   context.Context // ends when the program stops
@@ -28,7 +29,7 @@
 	Place settings.Place
 	Ready atomic.Bool
 	Meter *Meter
-	// Draining is closed when SIGTERM came: finish what runs, take nothing new.
+	// Draining is closed on SIGTERM: finish what runs, accept nothing new.
 	Draining          chan struct{}
 	cancel            context.CancelFunc
 	wg                sync.WaitGroup
@@ -38,28 +39,28 @@
 	mu                sync.Mutex
 }
 
-// Told notes who wants to hear of settings that have changed while the program runs.
+// OnSettingsChanged registers a callback for settings that change while the program runs.
 //
-// Example: l.Told(func(p settings.Place) { ros.SetSeeds(p.Seeds) })
+// Example: process.OnSettingsChanged(func(p settings.Place) { member.SetSeeds(p.Seeds) })
 func (l *Process) OnSettingsChanged(f func(settings.Place)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settingsListeners = append(l.settingsListeners, f)
 }
 
-// Leaving notes what has to be brought to an end before the program stops: it runs once Draining
-// is closed, while everything else still works, and its context ends with the grace time.
+// OnShutdown registers a hook that runs before the program stops: once Draining is closed, while
+// everything else still works; its context ends with the grace time.
 //
-// Example: l.Leaving(func(ctx context.Context) { finish(ctx) })
+// Example: process.OnShutdown(func(ctx context.Context) { finish(ctx) })
 func (l *Process) OnShutdown(f func(context.Context)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shutdownHooks = append(l.shutdownHooks, f)
 }
 
-// Tell hands settings that have changed to all who want to hear of them.
+// ApplySettings passes changed settings to all registered callbacks.
 //
-// Example: l.Tell(place)
+// Example: process.ApplySettings(place)
 func (l *Process) ApplySettings(p settings.Place) {
 	l.mu.Lock()
 	fs := l.settingsListeners
@@ -69,10 +70,10 @@
 	}
 }
 
-// Main reads the place, starts the program and waits for its end. Faults in the settings
-// are listed at once, and the exit code is 2.
+// Main reads the settings, starts the program and waits for its end. Faults in the settings are listed
+// at once, and the exit code is 2.
 //
-// Example: daemon.Main("runner", "the agent on a machine", settings.Need{Seeds: true}, runner.Start)
+// Example: daemon.Main("runner", "the agent on a machine", settings.Need{Seeds: true}, nodeagent.Start)
 func Main(prog, about string, need settings.Need, start func(*Process) error) {
 	p, err := settings.Read(prog, about, os.Args[1:], need)
 	if err != nil {
@@ -90,24 +91,24 @@
 	l.Stop(p.Bounds.Leave(1))
 }
 
-// New makes a life without signals in the real world.
+// New makes a process without signal handling in the real environment.
 //
-// Example: l := daemon.New("runner", place)
+// Example: process := daemon.New("runner", place)
 func New(prog string, p settings.Place) *Process { return NewIn(RealEnvironment(p), prog, p) }
 
-// NewIn makes a life without signals in a world.
+// NewIn makes a process without signal handling in an environment.
 //
-// Example: l := daemon.NewIn(world, "runner", place)
+// Example: process := daemon.NewIn(environment, "runner", place)
 func NewIn(w Environment, prog string, p settings.Place) *Process {
 	l := &Process{Environment: w, Place: p, Meter: newMeter(), Draining: make(chan struct{})}
-	l.Log = hclog.New(&hclog.LoggerOptions{Name: prog, JSONFormat: true, Output: os.Stderr, Level: hclog.LevelFromString(p.Word("log", "info"))}).With("machine", p.Name)
+	l.Log = hclog.New(&hclog.LoggerOptions{Name: prog, JSONFormat: true, Output: os.Stderr, Level: hclog.LevelFromString(p.Option("log", "info"))}).With("machine", p.Name)
 	l.Ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
 // Stop drains, then ends.
 //
-// Example: l.Stop(3 * time.Second)
+// Example: process.Stop(3 * time.Second)
 func (l *Process) Stop(grace time.Duration) {
 	l.Ready.Store(false)
 	close(l.Draining)
@@ -122,7 +123,7 @@
 		all.Go(func() { f(ctx) })
 	}
 	all.Wait()
-	// The first server listed is the one towards downstreams: it ends first.
+	// The first server is the one towards clients: it stops first.
 	for _, s := range ss {
 		if err := s.Shutdown(ctx); err != nil {
 			s.Close()
@@ -133,17 +134,17 @@
 	l.Log.Info("stopped")
 }
 
-// Go runs a duty on its own thread; Stop waits for it.
+// Go runs a function on its own goroutine; Stop waits for it.
 //
-// Example: l.Go(func() { poll(l.Ctx) })
+// Example: process.Go(func() { poll(process.Ctx) })
 func (l *Process) Go(f func()) {
 	l.wg.Add(1)
 	go func() { defer l.wg.Done(); f() }()
 }
 
-// Every runs a duty again and again until the program stops.
+// Every runs a function periodically until the program stops.
 //
-// Example: l.Every(time.Second, beat)
+// Example: process.Every(time.Second, sendHeartbeat)
 func (l *Process) Every(d time.Duration, f func()) {
 	l.Go(func() {
 		t := time.NewTicker(max(d, time.Millisecond))
@@ -161,7 +162,7 @@
 
 // Serve listens at an address and serves the handler, with health pages beside it.
 //
-// Example: err := l.Serve(place.Listen, mux)
+// Example: err := process.Serve(place.Listen, mux)
 func (l *Process) Serve(addr string, h http.Handler) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, `{"ok":true}`) })
@@ -189,14 +190,14 @@
 	return nil
 }
 
-// Calls are the twirp links to other processes: one shared pool of connections.
+// Clients make the twirp clients of other processes on one shared pool of connections.
 type Clients struct {
 	http *http.Client
 }
 
-// NewCalls makes the pool.
+// NewClients makes the pool.
 //
-// Example: c := daemon.NewCalls(life)
+// Example: clients := daemon.NewClients(process)
 func NewClients(l *Process) *Clients {
 	dial := l.Dial
 	if l.Place.Site != nil {
@@ -207,30 +208,30 @@
 	return &Clients{h}
 }
 
-// Archive is the link to a control node.
+// ControlNode is the client of a control node.
 //
-// Example: c.Archive("127.10.1.1:7000").Read(ctx, ask)
+// Example: clients.ControlNode("127.10.1.1:7000").Read(ctx, request)
 func (c *Clients) ControlNode(addr string) wire.Archive {
 	return wire.NewArchiveProtobufClient("http://"+addr, c.http)
 }
 
-// Roster is the link to a node's roster.
+// Membership is the client of a node's cluster membership.
 //
-// Example: c.Roster(addr).Hear(ctx, beat)
+// Example: clients.Membership(addr).Hear(ctx, heartbeat)
 func (c *Clients) Membership(addr string) wire.Roster {
 	return wire.NewRosterProtobufClient("http://"+addr, c.http)
 }
 
-// Catalogue is the link to an index node.
+// PromptIndex is the client of an index node.
 //
-// Example: c.Catalogue(addr).Seek(ctx, ask)
+// Example: clients.PromptIndex(addr).Seek(ctx, request)
 func (c *Clients) PromptIndex(addr string) wire.Catalogue {
 	return wire.NewCatalogueProtobufClient("http://"+addr, c.http)
 }
 
-// Runner is the link of a dispatcher to the agent beside it.
+// NodeAgent is the client of a node agent; a proxy's stands on the same machine.
 //
-// Example: c.Runner("127.0.0.1:7001").Feed(ctx, ask)
+// Example: clients.NodeAgent("127.0.0.1:7001").Feed(ctx, request)
 func (c *Clients) NodeAgent(addr string) wire.Runner {
 	return wire.NewRunnerProtobufClient("http://"+addr, c.http)
 }
--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -8,9 +8,9 @@
 	"pebbleloom/internal/settings"
 )
 
-// A first packet that meets a machine without power, a cut or a full queue is lost without a word,
-// and the system sends it again after a second or more. Between pebbleloom's own processes a new
-// connection is begun beside the first one sooner: the pauses grow from firstDial on, a ratio of the
+// A SYN that meets a machine without power, a partition or a full queue is lost silently,
+// and the kernel retransmits it after a second or more. Between pebbleloom's own processes a new
+// connection is opened beside the first one sooner: the pauses grow from firstDial on, a ratio of the
 // leave bound.
 const (
 	firstDial = 1.0 / 60
@@ -20,8 +20,7 @@
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// insistent dials again while no answer has come; the first connection counts, and an answer that
-// says no ends it.
+// hedgedDial dials again while there is no result; the first result counts, a refusal included.
 func hedgedDial(dial dialFunc, b settings.Bounds) dialFunc {
 	type end struct {
 		c   net.Conn
@@ -42,7 +41,7 @@
 		}
 		defer func() {
 			stop()
-			go func(left int) { // those that come too late
+			go func(left int) { // close late connections
 				for range left {
 					if e := <-ends; e.c != nil {
 						e.c.Close()
--- a/internal/daemon/world.go
+++ b/internal/daemon/environment.go
@@ -18,24 +18,24 @@
 	"pebbleloom/internal/settings"
 )
 
-// World is all that a program meets outside itself. A simulated site swaps it and nothing
-// else: the programs are the same.
+// Environment is everything that a program meets outside itself. A simulated site replaces it and
+// nothing else: the programs are the same.
 type Environment struct {
-	Clock   clock.Clock      // what decisions are made by
-	Wall    func() time.Time // what people go by
+	Clock   clock.Clock      // monotonic: the only clock that decisions use
+	Wall    func() time.Time // for people only
 	Listen  func(addr string) (net.Listener, error)
 	Dial    func(ctx context.Context, network, addr string) (net.Conn, error)
 	Disk    func(folder string) storage.Disk
-	Journal func(file string) (io.Writer, error) // a stand-in's, which outlives it
-	Seed    func() uint64                        // of whatever is left to chance
+	Journal func(file string) (io.Writer, error) // of a simulator; it outlives the process
+	Seed    func() uint64                        // of random choices
 }
 
-// Real is the world of a process on a machine.
+// RealEnvironment is the environment of a process on a machine.
 //
-// Example: w := daemon.Real(place)
+// Example: environment := daemon.RealEnvironment(place)
 func RealEnvironment(p settings.Place) Environment {
 	wall := time.Now
-	if f := p.Word("wall", ""); f != "" { // a failure test makes the wall clock jump
+	if f := p.Option("wall", ""); f != "" { // a failure test makes the wall clock jump
 		wall = func() time.Time { return time.Now().Add(wallClockOffset(f)) }
 	}
 	dial := p.Dialer().DialContext
@@ -49,8 +49,8 @@
 		}}
 }
 
-// patient dials from any address of the machine. A colleague that went dark says nothing: what
-// was sent and isn't acknowledged for a ratio of the leave bound ends the connection.
+// siteDialer dials from any address of the machine. A peer that lost power sends nothing: a connection
+// ends once bytes have been unacknowledged for a ratio of the leave bound.
 func siteDialer(p settings.Place) *net.Dialer {
 	silent := p.Bounds.Leave(unackedRatio)
 	return &net.Dialer{Timeout: p.Bounds.Leave(1.0 / 3), KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
@@ -64,10 +64,10 @@
 	}}
 }
 
-// silence is how long sent bytes may stay unacknowledged, as a ratio of the leave bound.
+// unackedRatio is how long sent bytes may stay unacknowledged, as a ratio of the leave bound.
 const unackedRatio = 0.4
 
-// jump reads by how many milliseconds a machine's wall clock is off; no file, not at all.
+// wallClockOffset reads by how many milliseconds a machine's wall clock is off; zero without a file.
 func wallClockOffset(file string) time.Duration {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// Until calls stop once the program ends: a table's owner, a pool of connections.
+// OnStop calls stop once the program ends: of an actor, of a pool of connections.
 //
-// Example: l.Until(desk.Stop)
+// Example: process.OnStop(actor.Stop)
 func (l *Process) OnStop(stop func()) { context.AfterFunc(l.Ctx, stop) }
--- a/internal/daemon/meter.go
+++ b/internal/daemon/meter.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// Meter is what a program shows at /metrics. Labels come from fixed lists alone, so the
+// Meter holds the metrics that a program shows at /metrics. Labels come from fixed lists alone, so the
 // number of series is bounded.
 type Meter struct {
 	reg      *prometheus.Registry
@@ -20,28 +20,28 @@
 func newMeter() *Meter {
 	m := &Meter{reg: prometheus.NewRegistry()}
 	m.reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests denied, by kind"}, []string{"kind"})
+	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests rejected, by kind"}, []string{"kind"})
 	m.reg.MustRegister(m.rejected)
 	return m
 }
 
-// Gauge shows a value that goes up and down; f is asked at every scrape.
+// Gauge registers a value that goes up and down; f is called at every scrape.
 //
-// Example: l.Meter.Gauge("pebbleloom_inflight", "requests under way", func() float64 { return n })
+// Example: process.Meter.Gauge("pebbleloom_inflight", "requests under way", func() float64 { return n })
 func (m *Meter) Gauge(name, help string, f func() float64) {
 	m.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, f))
 }
 
-// Count shows a value that only grows.
+// Count registers a value that only grows.
 //
-// Example: l.Meter.Count("pebbleloom_sealed_total", "answers sealed", func() float64 { return n })
+// Example: process.Meter.Count("pebbleloom_sealed_total", "answers sealed", func() float64 { return n })
 func (m *Meter) Count(name, help string, f func() float64) {
 	m.reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, f))
 }
 
-// Denied counts one denial under its kind.
+// Rejected counts one rejected request under its kind.
 //
-// Example: l.Meter.Denied(errs.NotRun)
+// Example: process.Meter.Rejected(errs.NotRun)
 func (m *Meter) Rejected(k *errs.Kind) { m.rejected.WithLabelValues(k.Name).Inc() }
 
 func (m *Meter) handler() http.Handler {
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -14,15 +14,15 @@
 	"pebbleloom/internal/settings"
 )
 
-// What a process of a small machine keeps to, as ratios.
+// Limits of a process on a small machine, as ratios.
 const (
-	softMemory = 0.7 // of the memory above which it is killed: from there on it collects harder
-	stopPart   = 0.9 // of the grace time: a stop is done by then
-	lookPart   = 0.5 // of the setup bound: how often the settings file is looked at
+	softMemory = 0.7 // of the memory limit: garbage collection is forced above it
+	stopPart   = 0.9 // of the grace time: a stop has to end within it
+	lookPart   = 0.5 // of the configuration bound: how often the settings file is checked
 )
 
-// Run runs a program whose settings a file holds, until SIGTERM. The file is read again on SIGHUP
-// and when it has changed without a signal; faulty settings leave those in force and say so.
+// Run runs a program whose settings are in a file, until SIGTERM. The file is read again on SIGHUP and
+// when it has changed without a signal; faulty settings are logged and leave those in force.
 //
 // Example: daemon.Run("edge", file, func() (settings.Place, error) { return read(file) }, start)
 func Run(prog, file string, read func() (settings.Place, error), start func(*Process) error) {
@@ -39,7 +39,7 @@
 		l.Log.Error("start failed", "error", errs.Text(err))
 		os.Exit(errs.KindOf(err).Exit)
 	}
-	t := clock.Every(p.Bounds.Setup(lookPart))
+	t := clock.Every(p.Bounds.Config(lookPart))
 	defer t.Stop()
 	was := stamp(file)
 	again := func() {
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -59,7 +59,7 @@
 	})
 	l.Meter.Gauge("pebbleloom_workers_known", "workers that requests may go by", func() float64 { return float64(len(a.Now().Workers)) })
 	a.desk.Ask(a.tend)
-	l.Every(l.Place.Bounds.Setup(holdPart), func() { a.desk.Ask(a.tend) })
+	l.Every(l.Place.Bounds.Config(holdPart), func() { a.desk.Ask(a.tend) })
 	return a, nil
 }
 
@@ -122,7 +122,7 @@
 	for _, m := range t.proof.Members() {
 		want[address(m)] = true
 	}
-	if now := a.life.Clock.Now(); len(want) == 0 || t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Setup(outOfTouch) {
+	if now := a.life.Clock.Now(); len(want) == 0 || t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Config(outOfTouch) {
 		for _, s := range a.seeds { // who was a member may have been replaced meanwhile
 			want[s] = true
 		}
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -32,25 +32,25 @@
 // delays nobody else's news.
 func (a *Agent) follow(ctx context.Context, addr string) {
 	b := a.life.Place.Bounds
-	hold := b.Setup(holdPart)
+	hold := b.Config(holdPart)
 	member, born := a.archive(addr), a.life.Clock.Now()
-	for pause := b.Setup(pauseLeft); ctx.Err() == nil; {
+	for pause := b.Config(pauseLeft); ctx.Err() == nil; {
 		var ask *wire.FollowRequest
 		asked := a.life.Clock.Now()
 		if !a.desk.Ask(func(t *table) { ask = t.ask(t.hold(asked)) }) {
 			return
 		}
-		call, end := context.WithTimeout(ctx, time.Duration(ask.HoldNs)+b.Setup(graceWait))
+		call, end := context.WithTimeout(ctx, time.Duration(ask.HoldNs)+b.Config(graceWait))
 		tell, err := member.Follow(call, ask)
 		end()
 		if err == nil && (a.heard(tell, had(ask), asked) || a.life.Clock.Now()-asked >= hold/2) {
-			pause = b.Setup(pauseLeft)
+			pause = b.Config(pauseLeft)
 			continue
 		}
 		clock.Pause(ctx, pause)
-		pause = min(2*pause, b.Setup(pauseMost))
-		if a.Now().ProofAt == 0 && a.life.Clock.Now()-born < b.Setup(eagerPart) { // all may have begun anew: whoever is next to is heard soon
-			pause = min(pause, b.Setup(pauseEager))
+		pause = min(2*pause, b.Config(pauseMost))
+		if a.Now().ProofAt == 0 && a.life.Clock.Now()-born < b.Config(eagerPart) { // all may have begun anew: whoever is next to is heard soon
+			pause = min(pause, b.Config(pauseEager))
 		}
 	}
 }
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -50,10 +50,10 @@
 // hold is how long a question asked now may be held. An agent that was out of touch, or slept, needs
 // a proof before it can serve again: it asks for answers at once.
 func (t *table) hold(now time.Duration) time.Duration {
-	if t.snap.Plan != nil && (t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Setup(outOfTouch)) {
+	if t.snap.Plan != nil && (t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Config(outOfTouch)) {
 		return 0
 	}
-	return t.b.Setup(holdPart)
+	return t.b.Config(holdPart)
 }
 
 // ask is what to ask a member with now.
@@ -149,7 +149,7 @@
 // gone by, or the time since it was last in touch if that is less.
 func (t *table) name(named map[string]uint64, now time.Duration) {
 	since := now
-	if t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Setup(outOfTouch) {
+	if t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Config(outOfTouch) {
 		since = max(t.snap.ProofAt, now-t.b.Weights(0.5))
 	}
 	at := map[string]time.Duration{}
@@ -171,7 +171,7 @@
 			t.edges[n.Name] = now
 		}
 	}
-	if now-t.snap.ProofAt <= t.b.Setup(outOfTouch) { // a machine that is cut off sees all others gone
+	if now-t.snap.ProofAt <= t.b.Config(outOfTouch) { // a machine that is cut off sees all others gone
 		maps.DeleteFunc(t.edges, func(_ string, at time.Duration) bool { return now-at > t.b.Heal(edgeMemory) })
 	}
 	n := max(1, len(t.edges))
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -152,7 +152,7 @@
 	if a := x.snap.NamedAt; a["m"] != now+1 || a["n"] != now+2 {
 		t.Fatalf("in touch: named at %v", a)
 	}
-	name(4, now+b.Setup(2), map[string]uint64{"m": 3})
+	name(4, now+b.Config(2), map[string]uint64{"m": 3})
 	if a := x.snap.NamedAt; a["m"] != now || len(a) != 1 {
 		t.Fatalf("out of touch since %v: named at %v", now, a)
 	}
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -39,7 +39,7 @@
 // Example: POST /v1/answers {"request_id": "r1", "model": "lector", "parts": ["…"], "wait_ms": 8000}
 func (d *Dispatcher) Answer(ctx context.Context, q *caller.Ask, h caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
 	t0 := d.clk.Now()
-	back := d.b.Setup(0.25)
+	back := d.b.Config(0.25)
 	s, err := d.pin(q.RequestID)
 	if err != nil {
 		return nil, err
@@ -99,20 +99,20 @@
 		if now, err := d.pin(q.RequestID); err != nil {
 			return give(err)
 		} else if now.Epoch != s.Epoch {
-			if s = now; !s.Setup.Has(h.XTenantKey, tenant) {
+			if s = now; !s.Setup.KeyBelongsTo(h.XTenantKey, tenant) {
 				return give(deny(errs.BadKey, q.RequestID, 0, "the key was taken out of force"))
 			}
 			es = d.entries(s, q, tenant, nil)
 			found = d.index.seek(ctx, keysOf(es))
 		}
-		way, ok := s.Setup.Ways[q.Model]
+		way, ok := s.Setup.Routes[q.Model]
 		if !ok {
 			return give(deny(errs.NoModel, q.RequestID, 0, "no way leads to model %q", q.Model))
 		}
-		if on := target(s, q); !s.Setup.Lets(on.Adapter, tenant) {
+		if on := target(s, q); !s.Setup.Allows(on.Adapter, tenant) {
 			return give(deny(errs.NoModel, q.RequestID, 0, "adapter %q isn't for tenant %s", on.Adapter, tenant))
 		}
-		service := way.For(q.RequestID)
+		service := way.ServiceFor(q.RequestID)
 		c, err := d.pickWorker(s, q, tenant, service, es, found, tried)
 		if err != nil {
 			return give(err)
@@ -127,7 +127,7 @@
 		}
 		if now := d.clk.Now(); now+time.Duration(c.Wait)*time.Microsecond > until { // it waits here, where it is looked at again
 			d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
-			clock.Pause(ctx, d.b.Setup(0.02))
+			clock.Pause(ctx, d.b.Config(0.02))
 			continue
 		}
 		if n == 0 {
@@ -184,10 +184,10 @@
 func (d *Dispatcher) pin(id string) (*updatestream.Snapshot, error) {
 	s := d.fol.Now()
 	if d.stopping() {
-		return nil, deny(errs.NotRun, id, d.b.Setup(0.1), "this dispatcher is draining: ask another")
+		return nil, deny(errs.NotRun, id, d.b.Config(0.1), "this dispatcher is draining: ask another")
 	}
-	if !s.Fresh(d.clk.Now(), d.b.Setup(0.8)) {
-		return nil, deny(errs.NotRun, id, d.b.Setup(0.25), "no proof that the setup is the newest")
+	if !s.Fresh(d.clk.Now(), d.b.Config(0.8)) {
+		return nil, deny(errs.NotRun, id, d.b.Config(0.25), "no proof that the setup is the newest")
 	}
 	return s, nil
 }
@@ -195,7 +195,7 @@
 // current tells whether a pinned setup is still the newest, and proved so.
 func (d *Dispatcher) current(s *updatestream.Snapshot) bool {
 	n := d.fol.Now()
-	return n.Epoch == s.Epoch && n.Fresh(d.clk.Now(), d.b.Setup(0.8))
+	return n.Epoch == s.Epoch && n.Fresh(d.clk.Now(), d.b.Config(0.8))
 }
 
 // entries names a prompt's prefixes under each weights epoch that may still start. Which
@@ -205,7 +205,7 @@
 	m := map[uint64][]prefix.Entry{}
 	on := target(s, q)
 	w := s.WeightsAt[on.Model]
-	service := s.Setup.Ways[q.Model].For(q.RequestID)
+	service := s.Setup.Routes[q.Model].ServiceFor(q.RequestID)
 	for _, x := range s.Workers {
 		if x.Service != service || x.State == updatestream.WorkerGone {
 			continue
@@ -231,7 +231,7 @@
 // followed then, and the worker's weights ones that may start. The bounds themselves are a
 // little later; a worker that isn't told apart by its clock is held to them by the wait alone.
 func (d *Dispatcher) until(s *updatestream.Snapshot, q *caller.Ask, w *wire.Worker) time.Duration {
-	t := s.ProofAt + d.b.Setup(0.95)
+	t := s.ProofAt + d.b.Config(0.95)
 	if not, _, ok := s.WeightsAt[target(s, q).Model].Since(w.Weights); ok {
 		t = min(t, not+d.b.Weights(0.95))
 	}
@@ -270,7 +270,7 @@
 // pickWorker picks the worker of the next go.
 func (d *Dispatcher) pickWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], target(s, q)
-	u := Query{ID: q.RequestID, Mode: modeOf(s.Setup, service), District: d.life.Place.District, Entries: d.entries(s, q, tenant, es), Found: found,
+	u := Query{ID: q.RequestID, Mode: modeOf(s.Setup, service), District: d.life.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
 		Tried: tried, Newest: s.WeightsAt[on.Model].Weights, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
 	if p != nil {
 		u.Curve = p.Prefill
@@ -314,7 +314,7 @@
 	return c, nil
 }
 
-func modeOf(s *serviceconfig.Setup, service string) string {
+func modeOf(s *serviceconfig.Config, service string) string {
 	if m := s.Services[service].Placement; m != "" {
 		return m
 	}
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -125,12 +125,12 @@
 
 func newBench(t *testing.T, modes ...string) *bench {
 	t.Helper()
-	p := settings.Place{Name: "edge-1", District: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
+	p := settings.Place{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
 	b := &bench{starts: map[string]int{}, granted: map[string]bool{}, clk: &clock.Hand{T: time.Hour}}
 	b.snap = &updatestream.Snapshot{Epoch: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.Seen{"m": {Weights: 1}},
-		Setup: (&serviceconfig.Setup{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
-			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Ways: map[string]serviceconfig.Way{"m": {Service: "s"}}}).Ready()}
+		Setup: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
+			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
 	for i, m := range modes {
 		n := fmt.Sprintf("w%d", i)
 		addr := ""
@@ -255,10 +255,10 @@
 		do   func(*bench)
 		kind string
 	}{
-		"the proof is too old":    {func(b *bench) { b.clk.T += settings.Default().Setup(0.81) }, "not-run"},
+		"the proof is too old":    {func(b *bench) { b.clk.T += settings.Default().Config(0.81) }, "not-run"},
 		"there is no setup":       {func(b *bench) { b.snap = &updatestream.Snapshot{} }, "not-run"},
-		"the key is unknown":      {func(b *bench) { b.snap.Setup.Tenants = nil; b.snap.Setup.Ready() }, "bad-key"},
-		"no way leads there":      {func(b *bench) { b.snap.Setup.Ways = nil }, "no-such-model"},
+		"the key is unknown":      {func(b *bench) { b.snap.Setup.Tenants = nil; b.snap.Setup.BuildIndex() }, "bad-key"},
+		"no way leads there":      {func(b *bench) { b.snap.Setup.Routes = nil }, "no-such-model"},
 		"all workers are leaving": {func(b *bench) { b.snap.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
 		"older weights alone": {func(b *bench) {
 			b.snap.WeightsAt = map[string]updatestream.Seen{"m": {Weights: 2}}
@@ -281,11 +281,11 @@
 // hear that it may have run, and not a kind that says it didn't.
 func TestWhatMayHaveRunIsNeverDeniedAsNotRun(t *testing.T) {
 	for name, change := range map[string]func(*updatestream.Snapshot){
-		"the key is taken out of force": func(s *updatestream.Snapshot) { s.Setup = (&serviceconfig.Setup{}).Ready() },
+		"the key is taken out of force": func(s *updatestream.Snapshot) { s.Setup = (&serviceconfig.Config{}).BuildIndex() },
 		"the way is taken away": func(s *updatestream.Snapshot) {
 			c := *s.Setup
-			c.Ways = nil
-			s.Setup = c.Ready()
+			c.Routes = nil
+			s.Setup = c.BuildIndex()
 		},
 		"the proof gets too old": func(s *updatestream.Snapshot) { s.ProofAt = time.Minute },
 		"the workers leave":      func(s *updatestream.Snapshot) { s.Workers = nil },
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -43,8 +43,8 @@
 	q := &caller.Ask{Model: "m"}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
-		2: now + bounds.Setup(0.95),
-		3: now + bounds.Setup(0.95),
+		2: now + bounds.Config(0.95),
+		3: now + bounds.Config(0.95),
 	} {
 		if got := b.d.until(b.snap, q, &wire.Worker{Weights: weights}); got != want {
 			t.Errorf("weights %d: until %v, %v is due", weights, got-now, want-now)
@@ -53,7 +53,7 @@
 	// A queue that is longer than that is waited for here, and looked at again and again.
 	b.d.gate.Ask(func(g *gate) { g.worker("w0").goes, g.meanUs = 40, 200000 })
 	b.started = func() { t.Error("it was sent off into a queue that outlasts its proof") }
-	b.snap.ProofAt = now - bounds.Setup(0.7)
+	b.snap.ProofAt = now - bounds.Config(0.7)
 	b.snap.Workers[0].Weights = 3
 	none, looks := *b.snap, 0
 	none.Workers = nil
@@ -75,8 +75,8 @@
 func TestTheEndOfAWaitIsAnAnswer(t *testing.T) {
 	b := newBench(t, "well") // its clock stands still
 	b.d.gate.Ask(func(g *gate) { g.worker("w0").goes, g.meanUs = 40, 1000 })
-	b.snap.ProofAt = b.clk.Now() - settings.Default().Setup(0.799)
-	b.d.b.SetupMs = 1684 // the proof just holds, and no queue fits before its end
+	b.snap.ProofAt = b.clk.Now() - settings.Default().Config(0.799)
+	b.d.b.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
 	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
 	o := loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
 	if o.Denied != "not-run" || b.began("r") > 0 {
--- a/internal/data/callerproxy/dispatcher.go
+++ b/internal/data/callerproxy/dispatcher.go
@@ -70,9 +70,9 @@
 	l.OnStop(d.be.Close)
 	d.index = newIndex(l, d.clk)
 	calls := daemon.NewClients(l)
-	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, d.b.Setup(0.1), d.goes, func(s *updatestream.Snapshot) {
+	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, d.b.Config(0.1), d.goes, func(s *updatestream.Snapshot) {
 		d.index.follow(s.Nodes)
-		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Setup(0.8)))
+		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Config(0.8)))
 	})
 	d.claims = newClaimer(l, d.fol.Now, calls, l.Seed())
 	srv, err := caller.NewServer(d, caller.WithErrorHandler(turnAway))
@@ -88,11 +88,11 @@
 // open takes callers in once there is a proved setup with workers: before that they are
 // better refused a connection, and ask another edge.
 func (d *Dispatcher) open(h http.Handler) {
-	t := clock.Every(d.b.Setup(0.02))
+	t := clock.Every(d.b.Config(0.02))
 	defer t.Stop()
 	for {
 		s := d.fol.Now()
-		if s.Fresh(d.clk.Now(), d.b.Setup(0.8)) && up(s) {
+		if s.Fresh(d.clk.Now(), d.b.Config(0.8)) && up(s) {
 			break
 		}
 		select {
@@ -112,7 +112,7 @@
 	for _, w := range s.Workers {
 		has[w.Service] = has[w.Service] || w.State == updatestream.WorkerUp
 	}
-	for _, w := range s.Setup.Ways {
+	for _, w := range s.Setup.Routes {
 		if has[w.Service] {
 			return true
 		}
--- a/internal/data/callerproxy/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -51,9 +51,9 @@
 // A route's requests are moved by share, each id always the same way, and the keys of what one set of
 // weights has made are no other's.
 func TestRequestsAreMovedByShare(t *testing.T) {
-	s := &updatestream.Snapshot{Setup: (&serviceconfig.Setup{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
+	s := &updatestream.Snapshot{Setup: (&serviceconfig.Config{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
 		Adapters: map[string]serviceconfig.Adapter{"r": {Base: "a", Build: 1}, "r2": {Base: "b", Build: 1}},
-		Ways:     map[string]serviceconfig.Way{"r": {Service: "s", Move: "r2", Moved: 30}}}).Ready()}
+		Routes:   map[string]serviceconfig.Route{"r": {Service: "s", Move: "r2", Moved: 30}}}).BuildIndex()}
 	moved := 0
 	for i := range 1000 {
 		q := &caller.Ask{Model: "r", RequestID: string(rune(i + 32))}
--- a/internal/data/indexclient/seek.go
+++ b/internal/data/indexclient/seek.go
@@ -81,7 +81,7 @@
 
 func start(l *daemon.Process, nodes func() []*wire.Node, call func(string) wire.Catalogue) *Seeker {
 	s := &Seeker{ring: queue.NewRing[question](l.Place.Bounds.Waiting), nodes: nodes, call: call, b: l.Place.Bounds,
-		clk: l.Clock, ctx: l.Ctx, name: "edge/" + l.Place.Name, inc: uint64(l.Clock.Now()), home: l.Place.District}
+		clk: l.Clock, ctx: l.Ctx, name: "edge/" + l.Place.Name, inc: uint64(l.Clock.Now()), home: l.Place.Zone}
 	s.desk = queue.NewActor(newTable(s), 1024)
 	l.OnStop(s.desk.Stop)
 	l.Go(s.run)
--- a/internal/data/nodeagent/runner.go
+++ b/internal/data/nodeagent/runner.go
@@ -24,7 +24,7 @@
 	workers  *Workers
 	view     clustermembership.View
 	places   map[string]*wire.Document
-	setup    *serviceconfig.Setup
+	setup    *serviceconfig.Config
 	links    map[string]*wire.LinkSeen
 	health   map[string]*health
 	number   uint64 // of all that is told
@@ -121,15 +121,15 @@
 		asked := r.clk.Now()
 		var tell *wire.WatchResponse
 		if addr, ok := r.ros.View().Addr("archive/" + member); ok {
-			ctx, end := context.WithTimeout(r.life.Ctx, b.Setup(0.3))
-			t, err := r.calls.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Setup(0.15))})
+			ctx, end := context.WithTimeout(r.life.Ctx, b.Config(0.3))
+			t, err := r.calls.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Config(0.15))})
 			end()
 			if err == nil {
 				tell = t
 			}
 		}
 		if tell == nil || tell.Outcome == wire.OutcomeUnknown {
-			clock.Pause(r.life.Ctx, b.Setup(0.05))
+			clock.Pause(r.life.Ctx, b.Config(0.05))
 			if tell == nil {
 				continue
 			}
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	place := settings.Place{Name: "e1", District: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.Default(), Extra: []string{"log=off"},
+	place := settings.Place{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.Default(), Extra: []string{"log=off"},
 		Site: &settings.Site{Ready: "127.0.0.1:0", MemoryMB: 256, GraceMs: 10, TransitMs: 120}}
 	world := daemon.RealEnvironment(place)
 	world.Listen = func(addr string) (net.Listener, error) {
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -116,7 +116,7 @@
 // listener: what would have to be denied is served a moment later.
 func (d *door) limits() routingconfig.Limits {
 	b := d.l.Place.Bounds
-	step := b.Setup(firstPlan / 25)
+	step := b.Config(firstPlan / 25)
 	for range 25 {
 		if p := d.plan(); p != nil && (!d.site.Revokes || d.Snapshot().ProofAt > 0) {
 			l := p.Limits
--- a/internal/data/proxy/leave_test.go
+++ b/internal/data/proxy/leave_test.go
@@ -139,7 +139,7 @@
 		}{
 			{"proved", true, 0, 0, 0},
 			{"proved soon", true, 100 * time.Millisecond, 100 * time.Millisecond, 130 * time.Millisecond},
-			{"never proved", true, time.Hour, b.Setup(0.8 * firstPlan), b.Setup(firstPlan)},
+			{"never proved", true, time.Hour, b.Config(0.8 * firstPlan), b.Config(firstPlan)},
 			{"no proof is asked for", false, time.Hour, 0, 0},
 		} {
 			site := *s.d.site // the open door reads its own
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -54,10 +54,10 @@
 func (d *door) take(w http.ResponseWriter, r *http.Request) *request {
 	q := &request{d: d, w: w, rc: http.NewResponseController(w), r: r, at: d.l.Clock.Now(), tried: map[string]bool{},
 		unwrite: func() bool { return true }}
-	q.ask.ID, q.ask.District = r.Header.Get(d.Headers.ID), d.l.Place.District
+	q.ask.ID, q.ask.District = r.Header.Get(d.Headers.ID), d.l.Place.Zone
 	s := d.Snapshot()
 	if s == nil || s.Plan == nil {
-		q.deny(errs.NotRun, "no plan is known here yet", d.l.Place.Bounds.Setup(0.1))
+		q.deny(errs.NotRun, "no plan is known here yet", d.l.Place.Bounds.Config(0.1))
 		return nil
 	}
 	if !q.admit(s) || !q.read(s.Plan) {
@@ -98,7 +98,7 @@
 	q.ask.Route, q.ask.Tenant = route, nil
 	if !route.Public && len(s.Plan.Tenants) > 0 {
 		if d.site.Revokes && !known {
-			q.deny(errs.NotRun, "it can't be proven here that the key is still good", b.Setup(0.1))
+			q.deny(errs.NotRun, "it can't be proven here that the key is still good", b.Config(0.1))
 			return false
 		}
 		if q.ask.Tenant, ok = s.Plan.Tenant(d.Headers.key(r)); !ok {
@@ -112,7 +112,7 @@
 	q.until = q.at + left
 	q.ask.Service = route.Service(q.ask.ID)
 	q.conns = 0
-	if svc, ok := s.Plan.Named(q.ask.Service); ok && svc.MaxConns > 0 {
+	if svc, ok := s.Plan.ServiceNamed(q.ask.Service); ok && svc.MaxConns > 0 {
 		q.conns = max(1, svc.MaxConns/max(1, s.Edges))
 	}
 	return true
@@ -121,7 +121,7 @@
 // unknown denies what the plan doesn't know. A plan that nobody vouches for can't say that.
 func (q *request) unknown(known bool, k *errs.Kind, why string) bool {
 	if !known {
-		q.deny(errs.NotRun, "the plan known here may be old, and "+why, q.d.l.Place.Bounds.Setup(0.1))
+		q.deny(errs.NotRun, "the plan known here may be old, and "+why, q.d.l.Place.Bounds.Config(0.1))
 		return false
 	}
 	q.deny(k, why, 0)
@@ -207,7 +207,7 @@
 		return q.later
 	}
 	if q.ask.Route == nil || q.ask.Route.Target <= 0 {
-		return q.d.l.Place.Bounds.Setup(0.1)
+		return q.d.l.Place.Bounds.Config(0.1)
 	}
 	return q.ask.Route.Target / 4
 }
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -212,7 +212,7 @@
 		synctest.Wait()
 		p := routes()
 		p.Tenants[0].Keys = []string{"new"}
-		p = (&routingconfig.Plan{Version: 2, Routes: p.Routes, Services: p.Services, Tenants: p.Tenants, Limits: p.Limits}).Ready()
+		p = (&routingconfig.Plan{Version: 2, Routes: p.Routes, Services: p.Services, Tenants: p.Tenants, Limits: p.Limits}).BuildIndex()
 		s.set(func(n *fleet.Snapshot) { n.Plan = p })
 		if a := c.ask(text[len(text)-1:]); a.status != 401 || s.ws[0].runs() != 0 {
 			t.Errorf("%d %v", a.status, a.err)
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -227,7 +227,7 @@
 	return (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: "s", MaxConns: 100}},
 		Routes:  []routingconfig.Route{one("repeat", routingconfig.Repeatable, false), one("once", routingconfig.Once, false), one("stream", routingconfig.Stream, false), one("resume", routingconfig.Stream, true), private},
 		Tenants: []routingconfig.Tenant{{Name: "ten", Keys: []string{"good"}, Priority: -1}},
-		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}}).Ready()
+		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}}).BuildIndex()
 }
 
 // open starts a site in a bubble and lets f act in it.
@@ -237,7 +237,7 @@
 		s := &site{t: t, w: &wires{at: map[string]*socket{}, to: map[string]int{}}, p: &picker{}}
 		b := settings.Default()
 		b.TryShare, b.TryAllow = 100, 100
-		place := settings.Place{Name: "e1", District: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Extra: []string{"log=off"},
+		place := settings.Place{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Extra: []string{"log=off"},
 			Site: &settings.Site{Ready: readyAt, MemoryMB: 256, GraceMs: 8000, TransitMs: 120, Revokes: true}}
 		clk := clock.Ticking()
 		s.l = daemon.NewIn(daemon.Environment{Clock: clk, Listen: s.w.Listen, Dial: s.w.Dial}, "edge", place)
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -106,7 +106,7 @@
 	e.must(t, e.ask("p", 13000))
 	var h *seat
 	for i := range e.v.groups["llm"].seats {
-		if x := &e.v.groups["llm"].seats[i]; x.w.District == "d0" && x.w.ID != e.home(t, "p") {
+		if x := &e.v.groups["llm"].seats[i]; x.w.Zone == "d0" && x.w.ID != e.home(t, "p") {
 			h = x
 		}
 	}
--- a/internal/data/selection/choice.go
+++ b/internal/data/selection/choice.go
@@ -34,7 +34,7 @@
 	if load >= slots {
 		c += (load - slots + 1) / slots * q.h.span
 	}
-	if x.w.District != q.r.District {
+	if x.w.Zone != q.r.District {
 		c += afarPart * q.target * rereadPart * float64(q.r.In)
 	}
 	if o.at >= 0 && !o.hot {
@@ -85,7 +85,7 @@
 		}
 		tokens := q.upto[held+n] - q.upto[held]
 		ms := tokens * s.pipe
-		if s.district != w.w.District {
+		if s.district != w.w.Zone {
 			ms *= distant
 		}
 		cost := ms + max(0, max(s.st.moves, w.st.moves)-q.now).Seconds()*1e3 + tokens*q.read*movePart
--- a/internal/data/selection/pick_test.go
+++ b/internal/data/selection/pick_test.go
@@ -30,10 +30,10 @@
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, Room: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
 			{Name: "app"},
-			{Name: "depot", Store: &routingconfig.Store{Addr: "store:1", District: "d0", LinkMbps: 150000}}}}}
+			{Name: "depot", Store: &routingconfig.Store{Addr: "store:1", Zone: "d0", LinkMbps: 150000}}}}}
 	for i := range n {
 		s.Workers = append(s.Workers, fleet.Worker{ID: fmt.Sprint("w", i), Service: "llm", Addr: fmt.Sprintf("w%d:1", i),
-			District: fmt.Sprint("d", i%4), Slots: 128, Weights: map[string]uint64{"m": 1}})
+			Zone: fmt.Sprint("d", i%4), Slots: 128, Weights: map[string]uint64{"m": 1}})
 	}
 	return s
 }
@@ -278,7 +278,7 @@
 func TestPlainServices(t *testing.T) {
 	s := fleetOf(0)
 	for i := range 8 {
-		s.Workers = append(s.Workers, fleet.Worker{ID: fmt.Sprint("a", i), Service: "app", Addr: fmt.Sprint("a", i), District: fmt.Sprint("d", i%2), Slots: 2})
+		s.Workers = append(s.Workers, fleet.Worker{ID: fmt.Sprint("a", i), Service: "app", Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("d", i%2), Slots: 2})
 	}
 	e := newEdge(s)
 	s.Edges = 1
@@ -290,9 +290,9 @@
 			t.Fatalf("%+v", c)
 		}
 		e.send(r, c, e.now)
-		at[c.Worker.District]++
-		if i < 2 && c.Worker.District != "d0" {
-			t.Errorf("request %d goes to %s", i, c.Worker.District)
+		at[c.Worker.Zone]++
+		if i < 2 && c.Worker.Zone != "d0" {
+			t.Errorf("request %d goes to %s", i, c.Worker.Zone)
 		}
 	}
 	if at["d0"] < 4 || at["d1"] == 0 {
--- a/internal/data/selection/picker.go
+++ b/internal/data/selection/picker.go
@@ -303,7 +303,7 @@
 func (t *table) plain(g *group, cs []int, r *Request, s *fleet.Snapshot, now time.Duration) Choice {
 	var near []int
 	for _, i := range cs {
-		if g.seats[i].w.District == r.District {
+		if g.seats[i].w.Zone == r.District {
 			near = append(near, i)
 		}
 	}
--- a/internal/data/selection/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -14,7 +14,7 @@
 	s.Plan.Services = s.Plan.Services[:2]
 	for i := range n {
 		s.Plan.Services = append(s.Plan.Services, routingconfig.Service{Name: fmt.Sprint("depot", i),
-			Store: &routingconfig.Store{Addr: fmt.Sprintf("store%d:1", i), District: fmt.Sprint("d", i), LinkMbps: 150000}})
+			Store: &routingconfig.Store{Addr: fmt.Sprintf("store%d:1", i), Zone: fmt.Sprint("d", i), LinkMbps: 150000}})
 	}
 	return newEdge(s)
 }
--- a/internal/data/selection/weigh.go
+++ b/internal/data/selection/weigh.go
@@ -264,7 +264,7 @@
 		if parts == 0 || q.m.by[i] != o.weights || q.now < x.st.outUntil {
 			continue
 		}
-		s := source{st: x.st, seat: i, addr: x.w.Addr, district: x.w.District, parts: parts, sure: t.sure[i], pipe: pipe(e, e.LinkMbps)}
+		s := source{st: x.st, seat: i, addr: x.w.Addr, district: x.w.Zone, parts: parts, sure: t.sure[i], pipe: pipe(e, e.LinkMbps)}
 		if len(o.from) < sources {
 			o.from = append(o.from, s)
 			continue
@@ -281,7 +281,7 @@
 	}
 	for i, x := range q.g.stores {
 		if parts := o.stores[i] &^ (soon[i] &^ sure[i]); parts != 0 && !t.down[x.svc.Name] {
-			o.from = append(o.from, source{st: x.st, seat: -1, addr: x.svc.Store.Addr, district: x.svc.Store.District,
+			o.from = append(o.from, source{st: x.st, seat: -1, addr: x.svc.Store.Addr, district: x.svc.Store.Zone,
 				parts: parts, sure: sure[i], pipe: pipe(e, x.svc.Store.LinkMbps)})
 		}
 	}
--- a/internal/data/updatestream/feed.go
+++ b/internal/data/updatestream/feed.go
@@ -29,7 +29,7 @@
 	Number     uint64
 	Epoch      uint64 // of the setup
 	View       uint64 // of workers, nodes, placements and stores
-	Setup      *serviceconfig.Setup
+	Setup      *serviceconfig.Config
 	ProofAt    time.Duration // no setup newer than Epoch had been acknowledged then
 	Proved     time.Duration // the latest such instant known, also while the runner has just begun anew
 	WorkersAt  time.Duration // when the worker table was last known good
@@ -175,7 +175,7 @@
 		if err != nil {
 			return errs.Wrap(err, "setup in feed")
 		}
-		s.Epoch, s.Setup, s.Proved, s.WeightsAt = t.Setup.Version, v.Ready(), s.ProofAt, map[string]Seen{}
+		s.Epoch, s.Setup, s.Proved, s.WeightsAt = t.Setup.Version, v.BuildIndex(), s.ProofAt, map[string]Seen{}
 		for n, m := range v.Models {
 			var o Seen
 			proved := time.Duration(0)
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,5 +1,5 @@
-// Package errs is how pebbleloom wraps, names and collects errors. Every error that can
-// reach a person carries a Kind whose message names the remedy.
+// Package errs wraps, types and collects errors. Every error that can reach a person carries a Kind
+// whose message names the remedy.
 package errs
 
 import (
@@ -14,32 +14,32 @@
 type Kind struct {
 	Name   string // stable word, used in JSON and tests
 	Remedy string // what to do about it
-	HTTP   int    // status towards downstreams and operators
-	Exit   int    // exit code of the desk
+	HTTP   int    // status towards clients and operators
+	Exit   int    // exit code of the command line
 }
 
 // The kinds in use. Exit codes are stable.
 var (
 	BadInput   = &Kind{"bad-input", "correct the named fields and send it again", 400, 2}
-	BadKey     = &Kind{"bad-key", "use a key that the setup in force lists for the tenant", 401, 3}
+	BadKey     = &Kind{"bad-key", "use a key that the configuration in force lists for the tenant", 401, 3}
 	NotOurs    = &Kind{"bad-operator-key", "give the operators' key of this site: --operator-key FILE or PEBBLELOOM_KEY", 401, 3}
-	NoModel    = &Kind{"no-such-model", "name a model that the setup in force routes", 404, 4}
+	NoModel    = &Kind{"no-such-model", "name a model that the configuration in force routes", 404, 4}
 	NotFound   = &Kind{"not-found", "check the name with the matching list command", 404, 4}
-	Conflict   = &Kind{"epoch-conflict", "read the setup back, redo the change on the epoch in force, apply again", 409, 5}
+	Conflict   = &Kind{"epoch-conflict", "read the configuration back, redo the change on the version in force, apply again", 409, 5}
 	TooBig     = &Kind{"too-big", "send less: the bound is in the message", 413, 2}
 	OverBudget = &Kind{"over-budget", "wait as long as Retry-After says, or raise the tenant's budget", 429, 6}
 	Overloaded = &Kind{"overloaded", "wait as long as Retry-After says, then ask again", 503, 6}
 	Expired    = &Kind{"expired", "ask again with a longer wait, or when load is lower", 504, 6}
 	NotRun     = &Kind{"not-run", "nothing ran: ask again after Retry-After", 503, 6}
 	MayHaveRun = &Kind{"may-have-run", "find out whether it took effect before asking again", 502, 7}
-	CantSay    = &Kind{"cant-say", "no majority of the part answers: check the core machines with `desk nodes`", 503, 8}
-	NotAsDue   = &Kind{"not-as-due", "see to what the step says, then go on with --resume", 409, 1}
+	CantSay    = &Kind{"cant-say", "no majority of the shard answers: check the core machines with `desk nodes`", 503, 8}
+	NotAsDue   = &Kind{"not-as-due", "do what the step says, then go on with --resume", 409, 1}
 	NotHere    = &Kind{"not-here", "this kind of site has no such thing: use what the message names instead", 501, 10}
 	DiskBad    = &Kind{"disk-bad", "free or replace the disk, clear the data folder, restart the member", 500, 9}
 	Inside     = &Kind{"inside", "look at this process's log for the step named here", 500, 9}
 )
 
-// Kinds lists every kind, for docs and for turning a word back into its kind.
+// Kinds lists every kind, for documentation and for decoding a name.
 //
 // Example: for _, k := range errs.Kinds() { fmt.Println(k.Name, k.Exit) }
 func Kinds() []*Kind {
@@ -47,7 +47,7 @@
 		Expired, NotRun, MayHaveRun, CantSay, NotAsDue, NotHere, DiskBad, Inside}
 }
 
-// Named gives the kind with that word, or Inside.
+// Named returns the kind with that name, or Inside.
 //
 // Example: errs.Named("not-run") == errs.NotRun
 func Named(s string) *Kind {
@@ -68,9 +68,9 @@
 	return merry.New(fmt.Sprintf(format, a...), merry.NoCaptureStack(), merry.WithValue(kindKey{}, k))
 }
 
-// Wrap names the step that an error came from; nil stays nil, the kind stays what it was.
+// Wrap prepends the step that an error came from; nil stays nil, the kind is kept.
 //
-// Example: return errs.Wrap(err, "read slot")
+// Example: return errs.Wrap(err, "read snapshot")
 func Wrap(err error, step string) error {
 	if err == nil {
 		return nil
@@ -88,7 +88,7 @@
 	return merry.Prepend(err, step, merry.NoCaptureStack(), merry.WithValue(kindKey{}, k))
 }
 
-// KindOf gives an error's kind; Inside where none was set.
+// KindOf returns an error's kind; Inside if none was set.
 //
 // Example: os.Exit(errs.KindOf(err).Exit)
 func KindOf(err error) *Kind {
@@ -105,10 +105,10 @@
 	return err.Error() + " (remedy: " + KindOf(err).Remedy + ")"
 }
 
-// Batch collects the errors of one step; the step looks at it once, at its end.
+// Batch collects the errors of one step; the step checks it once, at its end.
 type Batch struct{ all []error }
 
-// Note keeps an error, if it is one, under the name of what was tried.
+// Note records an error, if it is one, under the name of the step.
 //
 // Example: b.Note("listen", err)
 func (b *Batch) Note(step string, err error) {
@@ -117,12 +117,12 @@
 	}
 }
 
-// Fault keeps a new error of a kind.
+// Fault records a new error of a kind.
 //
-// Example: b.Fault(errs.BadInput, "%s: unknown district", path)
+// Example: b.Fault(errs.BadInput, "%s: unknown zone", path)
 func (b *Batch) Fault(k *Kind, format string, a ...any) { b.all = append(b.all, New(k, format, a...)) }
 
-// Look gives nil when nothing was noted, else one error that lists all under the first's kind.
+// Look returns nil if nothing was recorded, else one error that lists all under the first one's kind.
 //
 // Example: if err := b.Look(); err != nil { return err }
 func (b *Batch) Look() error {
@@ -135,7 +135,7 @@
 	return As(errors.New(strings.Join(b.Lines(), "; ")), KindOf(b.all[0]), fmt.Sprintf("%d faults", len(b.all)))
 }
 
-// Lines gives one line an error.
+// Lines returns one line per error.
 //
 // Example: for _, l := range b.Lines() { fmt.Println(l) }
 func (b *Batch) Lines() []string {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet is what the control state tells every node beside the plan: which workers there
-// are, which weights are named, and what was placed. Documents of part 0; JSON inside.
+// Package fleet holds the documents that the control state distributes to every node beside the
+// routing plan: which workers there are, which weights are named, and each service's placement. They
+// are JSON documents of shard 0.
 package fleet
 
 import (
@@ -10,25 +11,25 @@
 	"pebbleloom/internal/wire"
 )
 
-// The keys of the documents in part 0.
+// The keys of the documents in shard 0.
 const (
 	WorkersKey   = "workers"
 	WeightsKey   = "weights"
 	PlacementKey = "placement/" // and the service's name
 )
 
-// Worker is one life of a worker, as the platform lists it.
+// Worker is one incarnation of a worker, as the platform lists it.
 type Worker struct {
-	ID       string            `json:"id"` // of this life: another start has another
+	ID       string            `json:"id"` // of this incarnation: another start has another
 	Service  string            `json:"service"`
 	Addr     string            `json:"addr"`
-	District string            `json:"district"`
+	Zone     string            `json:"district"`
 	Slots    int               `json:"slots"`
 	Draining bool              `json:"draining,omitempty"`
 	Weights  map[string]uint64 `json:"weights,omitempty"` // by model: the version it serves
 }
 
-// Table is the document of workers.
+// Table is the document with the list of workers.
 type Table struct {
 	Workers []Worker `json:"workers"`
 }
@@ -38,14 +39,14 @@
 	Named map[string]uint64 `json:"named"`
 }
 
-// Snapshot is all that a request goes by. It never changes once it is shared.
+// Snapshot is everything that a request is routed by. It never changes once it is shared.
 type Snapshot struct {
 	Plan       *routingconfig.Plan
-	ProofAt    time.Duration // no newer plan had been acknowledged then; zero: no proof yet
+	ProofAt    time.Duration // the plan was proved to be the newest then; zero: no proof yet
 	Workers    []Worker
 	Named      map[string]uint64
 	NamedAt    map[string]time.Duration // when this process first saw that version named
 	Placements map[string]*placement.Placement
-	Nodes      []*wire.Node // the roster's view
-	Edges      int          // edge machines, those lately gone included; at least 1
+	Nodes      []*wire.Node // the cluster membership
+	Edges      int          // edge machines, recently lost ones included; at least 1
 }
--- a/internal/fleet/pack.go
+++ b/internal/fleet/pack.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	packLeast = 512      // bytes: what is shorter goes as it is
-	packMost  = 64 << 20 // bytes that a packed document may have once it is unpacked
+	packLeast = 512      // bytes: a shorter body isn't packed
+	packMost  = 64 << 20 // bytes: the limit of an unpacked body
 )
 
-// packers are kept: one is as large as many documents.
+// packers are reused: one is as large as many documents.
 var packers = sync.Pool{New: func() any { w, _ := flate.NewWriter(io.Discard, flate.BestSpeed); return w }}
 
-// Pack gives a document with its body deflated, where that makes it shorter: lists of workers and
-// of routes say much the same again and again, and every node of a site is told them.
+// Pack returns a document with its body deflated, if that makes it shorter: lists of workers and
+// routes are repetitive, and every node of a site gets them.
 //
-// Example: tell.Docs = append(tell.Docs, fleet.Pack(d))
+// Example: response.Docs = append(response.Docs, fleet.Pack(d))
 func Pack(d *wire.Document) *wire.Document {
 	if len(d.GetBody()) < packLeast || d.Packed {
 		return d
@@ -36,9 +36,9 @@
 	return &wire.Document{Key: d.Key, Body: b.Bytes(), Version: d.Version, Packed: true}
 }
 
-// Unpack gives a document as it was before it was packed.
+// Unpack returns a document as it was before it was packed.
 //
-// Example: d, err := fleet.Unpack(tell.Docs[0])
+// Example: d, err := fleet.Unpack(response.Docs[0])
 func Unpack(d *wire.Document) (*wire.Document, error) {
 	if !d.GetPacked() {
 		return d, nil
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue has the bounded ring that joins two threads, and the circle that places
-// names on a ring of hashes.
+// Package queue has the bounded ring between goroutines, the actor that owns a table, and rendezvous
+// hashing.
 package queue
 
 import (
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Ring is a bounded queue between threads. A full ring denies; it never grows.
+// Ring is a bounded queue between goroutines. A full ring rejects; it never grows.
 type Ring[T any] struct{ c chan T }
 
 // NewRing makes a ring with room for n.
@@ -18,9 +18,9 @@
 // Example: r := queue.NewRing[int](16)
 func NewRing[T any](n int) *Ring[T] { return &Ring[T]{c: make(chan T, n)} }
 
-// Offer puts v in, or says false at once when the ring is full.
+// Offer appends v, or returns false at once if the ring is full.
 //
-// Example: if !r.Offer(v) { denied++ }
+// Example: if !r.Offer(v) { rejected++ }
 func (r *Ring[T]) Offer(v T) bool {
 	select {
 	case r.c <- v:
@@ -30,17 +30,17 @@
 	}
 }
 
-// Out is the end to receive from.
+// Out is the receiving end.
 //
 // Example: for v := range r.Out() { use(v) }
 func (r *Ring[T]) Out() <-chan T { return r.c }
 
-// Len tells how many wait.
+// Len is the number of queued items.
 //
 // Example: if r.Len() > half { slow() }
 func (r *Ring[T]) Len() int { return len(r.c) }
 
-// Drain takes up to n that wait, without waiting.
+// Drain removes up to n queued items without blocking.
 //
 // Example: batch := append([]T{first}, r.Drain(63)...)
 func (r *Ring[T]) Drain(n int) []T {
@@ -56,16 +56,16 @@
 	return l
 }
 
-// Desk owns a table: commands run one by one on its own thread.
+// Actor owns a table: commands run one by one on its own goroutine.
 type Actor[T any] struct {
 	commands *Ring[func(*T)]
 	quit     chan struct{}
 	once     sync.Once
 }
 
-// NewDesk starts the owner of table t with a queue of n commands.
+// NewActor starts an actor for table t with a queue of n commands.
 //
-// Example: d := queue.NewDesk(&table{}, 256)
+// Example: actor := queue.NewActor(&table{}, 256)
 func NewActor[T any](t *T, n int) *Actor[T] {
 	d := &Actor[T]{commands: NewRing[func(*T)](n), quit: make(chan struct{})}
 	go func() {
@@ -81,14 +81,14 @@
 	return d
 }
 
-// Tell queues a command and goes on; false when the queue is full.
+// TrySend queues a command without waiting; false if the queue is full.
 //
-// Example: d.Tell(func(t *table) { t.n++ })
+// Example: actor.TrySend(func(t *table) { t.n++ })
 func (d *Actor[T]) TrySend(f func(*T)) bool { return d.commands.Offer(f) }
 
-// Ask queues a command and waits until it ran; false when the owner has stopped.
+// Ask queues a command and waits until it has run; false if the actor has stopped.
 //
-// Example: d.Ask(func(t *table) { n = t.n })
+// Example: actor.Ask(func(t *table) { n = t.n })
 func (d *Actor[T]) Ask(f func(*T)) bool {
 	done := make(chan struct{})
 	select {
@@ -104,18 +104,18 @@
 	}
 }
 
-// Stop ends the owner's thread.
+// Stop ends the actor's goroutine.
 //
-// Example: defer d.Stop()
+// Example: defer actor.Stop()
 func (d *Actor[T]) Stop() { d.once.Do(func() { close(d.quit) }) }
 
-// Hash places a string on the ring of hashes.
+// Hash spreads a string evenly over 64 bits.
 //
 // Example: queue.Hash("edge-1")
 func Hash(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
-	x := h.Sum64() // FNV alone leaves short names close together: mix it once more
+	x := h.Sum64() // FNV alone leaves short names close together: apply a finalizer
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -123,8 +123,8 @@
 	return x ^ x>>33
 }
 
-// Rendezvous orders names by their weight for a key: the first is the key's home, and a
-// name that leaves moves only its own keys.
+// Rendezvous orders names by their weight for a key (highest random weight hashing): a name that
+// leaves moves only its own keys.
 //
 // Example: queue.Rendezvous("k", []string{"a", "b"})[0]
 func Rendezvous(key string, names []string) []string {
@@ -142,7 +142,7 @@
 	return l
 }
 
-// Keys lists a map's keys in order.
+// Keys returns a map's keys, sorted.
 //
 // Example: for _, k := range queue.Keys(m) { use(k, m[k]) }
 func Keys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
