--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a process's place in the site: its addresses, its district, three
-// seeds, its data folder and the bounds that all constants are ratios of.
+// Package settings reads a process's settings: its addresses, its zone, three seeds, its data folder
+// and the bounds that all constants are ratios of.
 package settings
 
 import (
@@ -16,50 +16,51 @@
 	"pebbleloom/internal/queue"
 )
 
-// Place is what one process is told about where it stands.
+// Place holds the settings of one process.
 type Place struct {
-	Name     string   `json:"name"`         // the machine's or worker's name; stays over restarts
-	District string   `json:"district"`     // one of the site's districts
-	Listen   string   `json:"listen"`       // own address towards pebbleloom's processes
-	Tell     string   `json:"tell"`         // the address that others are told, where it isn't Listen
-	Public   string   `json:"public"`       // own address towards downstreams, or a stand-in's
-	Operator string   `json:"operator"`     // own address towards operators
-	OpKey    string   `json:"operator_key"` // what operators must show; empty: nothing
-	Seeds    []string `json:"seeds"`        // three addresses of other processes
-	Core     []string `json:"core"`         // the names of the core machines
-	Data     string   `json:"data"`         // the one data folder; only where there is a disk
-	Runner   string   `json:"runner"`       // the agent beside a dispatcher, on loopback
-	Rank     string   `json:"rank"`         // where the platform lists workers
-	Extra    []string `json:"extra"`        // a program's own words, checked by the program
-	Bounds   Bounds   `json:"bounds"`
-	Site     *Site    `json:"-"` // nil where the core machines are named
+	Name        string   `json:"name"`         // the machine's or worker's name; it survives restarts
+	Zone        string   `json:"district"`     // one of the site's zones
+	Listen      string   `json:"listen"`       // own address towards pebbleloom's processes
+	Advertise   string   `json:"tell"`         // the advertised address, if it isn't Listen
+	Public      string   `json:"public"`       // own address towards clients; a simulator's own
+	Operator    string   `json:"operator"`     // own address towards operators
+	OperatorKey string   `json:"operator_key"` // key that operators must present; empty: none
+	Seeds       []string `json:"seeds"`        // three addresses of other processes
+	Core        []string `json:"core"`         // the names of the core machines
+	Data        string   `json:"data"`         // the one data folder; only where there is a disk
+	Runner      string   `json:"runner"`       // the node agent beside a proxy, on loopback
+	Rank        string   `json:"rank"`         // where the platform lists workers
+	Extra       []string `json:"extra"`        // a program's own options, checked by the program
+	// Bounds are the guarantees to keep; every other duration is a ratio of one of them.
+	Bounds Bounds `json:"bounds"`
+	Site   *Site  `json:"-"` // nil if the core machines are named
 }
 
 // Bounds are what must hold; every other constant is a ratio of one of them.
 type Bounds struct {
-	SetupMs   int `json:"setup_ms"`   // an old setup is followed no longer than this
+	ConfigMs  int `json:"setup_ms"`   // an old configuration is in use no longer than this
 	KeyMs     int `json:"key_ms"`     // a revoked key works no longer than this
 	LeaveMs   int `json:"leave_ms"`   // a worker that left gets requests no longer than this
-	WeightsMs int `json:"weights_ms"` // older weights start no longer than this
-	HealMs    int `json:"heal_ms"`    // service is back within this after a closing fault
-	TryShare  int `json:"try_share"`  // extra tries, percent of traffic
+	WeightsMs int `json:"weights_ms"` // requests start on older weights no longer than this
+	HealMs    int `json:"heal_ms"`    // service is restored within this after a fault
+	TryShare  int `json:"try_share"`  // retries, percent of traffic
 	TrySpan   int `json:"try_span_ms"`
-	TryAllow  int `json:"try_allow"` // extra tries beside the share, of a service at the whole site
+	TryAllow  int `json:"try_allow"` // retries beside the share, of a service at the whole site
 	OnceMs    int `json:"once_ms"`   // a once-only id is remembered at least this long
 	BodyKB    int `json:"body_kb"`
-	Waiting   int `json:"waiting"` // requests that one dispatcher holds at once
-	Entries   int `json:"entries"` // prefix entries that one catalogue holds
+	Waiting   int `json:"waiting"` // requests that one proxy holds at once
+	Entries   int `json:"entries"` // prefix entries that one index node holds
 }
 
-// Default is what the users' brief asks for at Páramo.
+// Default holds the bounds of the Páramo site.
 //
 // Example: p.Bounds = settings.Default()
 func Default() Bounds {
-	return Bounds{SetupMs: 2000, KeyMs: 5000, LeaveMs: 3000, WeightsMs: 20000, HealMs: 12000,
+	return Bounds{ConfigMs: 2000, KeyMs: 5000, LeaveMs: 3000, WeightsMs: 20000, HealMs: 12000,
 		TryShare: 20, TrySpan: 10000, TryAllow: 10, OnceMs: 1800000, BodyKB: 512, Waiting: 256, Entries: 60000}
 }
 
-// What keeps two holders of a duty apart, as ratios of the heal bound. A holder stops MarginPart
+// What keeps two holders of a lease apart, as ratios of the heal bound. A holder stops MarginPart
 // of a lease before its end, another gets it MarginPart after it, and an order is under way for
 // OrderPart: it must land in between.
 const (
@@ -68,8 +69,8 @@
 	OrderPart  = 1.0 / 24
 )
 
-// apart is how long after the last order of a holder has landed the next one's first may go.
-func (b Bounds) apart() time.Duration {
+// orderGap is the time between the end of a holder's last order and the next holder's first.
+func (b Bounds) orderGap() time.Duration {
 	return b.Heal(2*MarginPart*LeasePart) - b.Heal(OrderPart)
 }
 
@@ -77,37 +78,37 @@
 	return time.Duration(float64(n) * ratio * float64(time.Millisecond))
 }
 
-// Setup is a ratio of the bound on old setups.
+// Config is a ratio of the bound on old configurations.
 //
-// Example: b.Setup(0.8) is how old a proof may be
-func (b Bounds) Setup(r float64) time.Duration { return ms(b.SetupMs, r) }
+// Example: b.Config(0.8) is how old a proof may be
+func (b Bounds) Config(r float64) time.Duration { return ms(b.ConfigMs, r) }
 
 // Weights is a ratio of the bound on older weights.
 //
-// Example: b.Weights(0.85) is how long they may be picked
+// Example: b.Weights(0.85) is how long they may be selected
 func (b Bounds) Weights(r float64) time.Duration { return ms(b.WeightsMs, r) }
 
 // Leave is a ratio of the bound on workers that left.
 //
-// Example: b.Leave(0.1) is the beat
+// Example: b.Leave(0.1) is the heartbeat interval
 func (b Bounds) Leave(r float64) time.Duration { return ms(b.LeaveMs, r) }
 
-// Heal is a ratio of the bound on service being back.
+// Heal is a ratio of the bound on restored service.
 //
 // Example: b.Heal(0.25) is a lease
 func (b Bounds) Heal(r float64) time.Duration { return ms(b.HealMs, r) }
 
-// Once is a ratio of how long once-only ids are remembered.
+// Once is a ratio of how long IDs of once-only requests are remembered.
 //
 // Example: b.Once(1) is the whole of it
 func (b Bounds) Once(r float64) time.Duration { return ms(b.OnceMs, r) }
 
-// Try is a ratio of the window over which extra tries are counted.
+// Try is a ratio of the window over which retries are counted.
 //
 // Example: b.Try(1) is the whole window
 func (b Bounds) Try(r float64) time.Duration { return ms(b.TrySpan, r) }
 
-// Need says which fields a program can't do without.
+// Need tells which fields a program requires.
 type Need struct {
 	Seeds, Core, Data, Runner, Rank, Public, Operator bool
 }
@@ -127,20 +128,20 @@
 	ps.ShowCompletion = false
 	ps.String(&file, "s", "settings", "settings file (JSON)")
 	ps.String(&f.Name, "n", "name", "name of the machine or worker")
-	ps.String(&f.District, "d", "district", "district it stands in")
+	ps.String(&f.Zone, "d", "district", "zone that it runs in")
 	ps.String(&f.Listen, "l", "listen", "own address (IP:port) towards pebbleloom's processes")
-	ps.String(&f.Public, "p", "public", "own address (IP:port) towards downstreams")
+	ps.String(&f.Public, "p", "public", "own address (IP:port) towards clients")
 	ps.String(&f.Operator, "o", "operator", "own address (IP:port) towards operators")
 	ps.String(&seeds, "", "seeds", "three seeds, joined by commas")
 	ps.String(&core, "", "core", "names of the core machines, joined by commas")
 	ps.String(&f.Data, "", "data", "data folder")
-	ps.String(&f.Runner, "", "runner", "address of the runner beside it")
+	ps.String(&f.Runner, "", "runner", "address of the node agent beside it")
 	ps.String(&f.Rank, "", "rank", "address where the platform lists workers")
-	ps.String(&extra, "", "extra", "the program's own words, key=value joined by commas")
+	ps.String(&extra, "", "extra", "the program's own options, key=value joined by commas")
 	var b errs.Batch
-	words, err := Strict(ps, args)
-	if err == nil && len(words) > 0 {
-		err = errs.New(errs.BadInput, "%q: %s takes flags alone: see --help", words, prog)
+	arguments, err := ParseStrict(ps, args)
+	if err == nil && len(arguments) > 0 {
+		err = errs.New(errs.BadInput, "%q: %s takes flags alone: see --help", arguments, prog)
 	}
 	if err == nil {
 		err = errs.As(ps.ParseArgs(args), errs.BadInput, "flags")
@@ -161,7 +162,7 @@
 		}
 	}
 	over(&p.Name, f.Name)
-	over(&p.District, f.District)
+	over(&p.Zone, f.Zone)
 	over(&p.Listen, f.Listen)
 	over(&p.Public, f.Public)
 	over(&p.Operator, f.Operator)
@@ -192,10 +193,10 @@
 		b.Fault(errs.BadInput, "%s: not a JSON object (%v): write one with `name`, `district`, `listen`, `seeds`", file, err)
 		return
 	}
-	fields := map[string]any{"name": &p.Name, "district": &p.District, "listen": &p.Listen, "tell": &p.Tell, "public": &p.Public,
-		"operator": &p.Operator, "operator_key": &p.OpKey, "seeds": &p.Seeds, "core": &p.Core, "data": &p.Data, "runner": &p.Runner,
+	fields := map[string]any{"name": &p.Name, "district": &p.Zone, "listen": &p.Listen, "tell": &p.Advertise, "public": &p.Public,
+		"operator": &p.Operator, "operator_key": &p.OperatorKey, "seeds": &p.Seeds, "core": &p.Core, "data": &p.Data, "runner": &p.Runner,
 		"rank": &p.Rank, "extra": &p.Extra}
-	bf := map[string]*int{"setup_ms": &p.Bounds.SetupMs, "key_ms": &p.Bounds.KeyMs, "leave_ms": &p.Bounds.LeaveMs,
+	bf := map[string]*int{"setup_ms": &p.Bounds.ConfigMs, "key_ms": &p.Bounds.KeyMs, "leave_ms": &p.Bounds.LeaveMs,
 		"weights_ms": &p.Bounds.WeightsMs, "heal_ms": &p.Bounds.HealMs, "try_share": &p.Bounds.TryShare,
 		"try_span_ms": &p.Bounds.TrySpan, "try_allow": &p.Bounds.TryAllow, "once_ms": &p.Bounds.OnceMs, "body_kb": &p.Bounds.BodyKB, "waiting": &p.Bounds.Waiting, "entries": &p.Bounds.Entries}
 	var bounds map[string]json.RawMessage
@@ -225,7 +226,7 @@
 	}
 }
 
-// Check notes every fault of a place.
+// Check notes every fault of the settings.
 //
 // Example: settings.Check(&p, settings.Need{Data: true}, "core-1.json", &b)
 func Check(p *Place, need Need, file string, b *errs.Batch) {
@@ -233,8 +234,8 @@
 	if p.Name == "" || strings.ContainsAny(p.Name, " ,/\x00") {
 		bad("name", "%q: give a word without spaces, commas or slashes", p.Name)
 	}
-	if p.District == "" {
-		bad("district", "missing: name the district this machine stands in")
+	if p.Zone == "" {
+		bad("district", "missing: name the zone that this machine is in")
 	}
 	addr := func(field, v string, must bool) {
 		if v == "" && !must {
@@ -245,12 +246,12 @@
 		}
 	}
 	addr("listen", p.Listen, true)
-	addr("tell", p.Tell, false)
+	addr("tell", p.Advertise, false)
 	addr("public", p.Public, need.Public)
 	addr("operator", p.Operator, need.Operator)
 	addr("runner", p.Runner, need.Runner)
 	addr("rank", p.Rank, need.Rank)
-	if n := len(p.OpKey); n != 0 && (n < 16 || n > 128 || strings.ContainsAny(p.OpKey, " \t\r\n")) {
+	if n := len(p.OperatorKey); n != 0 && (n < 16 || n > 128 || strings.ContainsAny(p.OperatorKey, " \t\r\n")) {
 		bad("operator_key", "%d letters: give 16 to 128 without spaces, or none", n)
 	}
 	if need.Seeds && len(p.Seeds) != 3 {
@@ -270,16 +271,16 @@
 			bad("bounds."+field, "%d: give %d to %d", v, lo, hi)
 		}
 	}
-	rng("setup_ms", p.Bounds.SetupMs, 200, 60000)
-	rng("key_ms", p.Bounds.KeyMs, p.Bounds.SetupMs, 120000)
+	rng("setup_ms", p.Bounds.ConfigMs, 200, 60000)
+	rng("key_ms", p.Bounds.KeyMs, p.Bounds.ConfigMs, 120000)
 	rng("leave_ms", p.Bounds.LeaveMs, 300, 60000)
-	rng("weights_ms", p.Bounds.WeightsMs, p.Bounds.SetupMs, 600000)
+	rng("weights_ms", p.Bounds.WeightsMs, p.Bounds.ConfigMs, 600000)
 	rng("heal_ms", p.Bounds.HealMs, 1000, 600000)
 	rng("try_share", p.Bounds.TryShare, 0, 100)
 	rng("try_span_ms", p.Bounds.TrySpan, 1000, 600000)
 	rng("try_allow", p.Bounds.TryAllow, 0, 10000)
-	rng("once_ms", p.Bounds.OnceMs, 600000, 86400000) // no wait is longer than the least of these
-	if p.Bounds.HealMs > 0 && p.Bounds.apart() < p.Bounds.Heal(OrderPart)/4 {
+	rng("once_ms", p.Bounds.OnceMs, 600000, 86400000) // no request waits longer than the minimum
+	if p.Bounds.HealMs > 0 && p.Bounds.orderGap() < p.Bounds.Heal(OrderPart)/4 {
 		bad("bounds.heal_ms", "%d: an order could land after the next holder's first: give more", p.Bounds.HealMs)
 	}
 	rng("body_kb", p.Bounds.BodyKB, 1, 16384)
@@ -287,17 +288,17 @@
 	rng("entries", p.Bounds.Entries, 100, 10000000)
 }
 
-// Told is the address that others are told.
+// AdvertisedAddr is the address that other processes get.
 //
-// Example: node.Addr = p.Told()
-func (p Place) Told() string {
-	if p.Tell != "" {
-		return p.Tell
+// Example: node.Addr = p.AdvertisedAddr()
+func (p Place) AdvertisedAddr() string {
+	if p.Advertise != "" {
+		return p.Advertise
 	}
 	return p.Listen
 }
 
-// Dialer makes connections that come from this place's own address.
+// Dialer makes connections from this process's own address.
 //
 // Example: c, err := p.Dialer().DialContext(ctx, "tcp", addr)
 func (p Place) Dialer() *net.Dialer {
@@ -308,10 +309,10 @@
 	return d
 }
 
-// Word finds a program's own word among the extras.
+// Option returns a program's own option from Extra, or a default.
 //
-// Example: p.Word("slots", "2") gives "4" when the extras hold "slots=4"
-func (p Place) Word(key, or string) string {
+// Example: p.Option("slots", "2") gives "4" when the extras hold "slots=4"
+func (p Place) Option(key, or string) string {
 	for _, e := range p.Extra {
 		if v, ok := strings.CutPrefix(e, key+"="); ok {
 			return v
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(p.Seeds) != 3 || p.Word("kv", "") != "9" || p.Word("none", "x") != "x" || p.Bounds.SetupMs != 2000 {
+	if len(p.Seeds) != 3 || p.Option("kv", "") != "9" || p.Option("none", "x") != "x" || p.Bounds.ConfigMs != 2000 {
 		t.Errorf("%+v", p)
 	}
 	for _, args := range [][]string{{"--nmae", "edge-1"}, {"--name"}, {"start"}, {"--name", "x", "y"}} {
--- a/internal/settings/strict.go
+++ b/internal/settings/strict.go
@@ -9,12 +9,12 @@
 	"pebbleloom/internal/errs"
 )
 
-// Strict checks a command line before flaggy reads it, which passes unknown flags over: a
-// slip in a flag's name must not become another command. It gives the words that are
-// neither flags nor their values.
+// ParseStrict checks a command line before flaggy reads it, which ignores unknown flags: a typo in a
+// flag's name must not become another command. It returns the arguments that are neither flags nor
+// their values.
 //
-// Example: words, err := settings.Strict(parser, os.Args[1:])
-func Strict(ps *flaggy.Parser, args []string) ([]string, error) {
+// Example: arguments, err := settings.ParseStrict(parser, os.Args[1:])
+func ParseStrict(ps *flaggy.Parser, args []string) ([]string, error) {
 	known := map[string]*flaggy.Flag{}
 	var learn func(*flaggy.Subcommand)
 	learn = func(c *flaggy.Subcommand) {
@@ -29,14 +29,14 @@
 		}
 	}
 	learn(&ps.Subcommand)
-	var words []string
+	var arguments []string
 	var b errs.Batch
 	for i := 0; i < len(args); i++ {
 		a := args[i]
 		name, val, has := strings.Cut(strings.TrimLeft(a, "-"), "=")
 		_, num := strconv.ParseFloat(a, 64)
 		if !strings.HasPrefix(a, "-") || a == "-" || num == nil {
-			words = append(words, a)
+			arguments = append(arguments, a)
 			continue
 		}
 		f := known[name]
@@ -54,7 +54,7 @@
 			i++
 		}
 	}
-	return words, b.Look()
+	return arguments, b.Look()
 }
 
 func isBool(f *flaggy.Flag) bool {
--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -20,8 +20,8 @@
 	inc := fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
-		contract.Tell(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, Service: l.Place.Word("service", ""), Model: l.Place.Word("model", ""),
-			District: l.Place.District, Weights: 1, Slots: cap(slots), Busy: len(slots), ClockUs: l.Clock.Now().Microseconds()})
+		contract.Tell(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, Service: l.Place.Option("service", ""), Model: l.Place.Option("model", ""),
+			District: l.Place.Zone, Weights: 1, Slots: cap(slots), Busy: len(slots), ClockUs: l.Clock.Now().Microseconds()})
 	})
 	mux.HandleFunc("POST /v1/start", func(w http.ResponseWriter, r *http.Request) {
 		var s contract.Start
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -41,7 +41,7 @@
 	cores := "core-1 core-2 core-3 core-4"
 	cut := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
 	stale := func(s *testbed.Site) { // edges that follow what they have, however old
-		lax(s, "dispatcher", func(b *settings.Bounds) { b.SetupMs = 60000 })
+		lax(s, "dispatcher", func(b *settings.Bounds) { b.ConfigMs = 60000 })
 	}
 	for _, x := range []struct {
 		point, want string
--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/table.go
@@ -329,7 +329,7 @@
 //
 // Example: runs, err := t.Journal(process)
 func (t *Table) Journal(p testbed.Process) ([]workersim.Run, error) {
-	f := t.file(p.Place.Word("journal", ""))
+	f := t.file(p.Place.Option("journal", ""))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return loadgen.ReadJournal(bytes.NewReader(f.b))
--- a/internal/sim/platformsim/rank.go
+++ b/internal/sim/platformsim/rank.go
@@ -30,7 +30,7 @@
 	p := &platform{list: map[string]contract.Listed{}, probe: map[string]string{},
 		h: &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: l.Dial}}}
 	l.OnStop(p.h.CloseIdleConnections)
-	if f := l.Place.Word("list", ""); f != "" {
+	if f := l.Place.Option("list", ""); f != "" {
 		raw, err := os.ReadFile(f)
 		var ls []contract.Listed
 		if err == nil {
--- a/internal/sim/storesim/depot.go
+++ b/internal/sim/storesim/depot.go
@@ -19,7 +19,7 @@
 //
 // Example: daemon.Main("depot", "stand-in for the prompt store", need, depot.Start)
 func Start(l *daemon.Process) error {
-	room, err := strconv.Atoi(l.Place.Word("kv", "400000"))
+	room, err := strconv.Atoi(l.Place.Option("kv", "400000"))
 	if err != nil {
 		room = 400000
 	}
@@ -27,7 +27,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
 		used, room := kv.Used()
-		contract.Tell(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, District: l.Place.District, KvTokens: used, KvRoom: room})
+		contract.Tell(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, District: l.Place.Zone, KvTokens: used, KvRoom: room})
 	})
 	mux.HandleFunc("GET /v1/kept", func(w http.ResponseWriter, r *http.Request) {
 		after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
--- a/internal/sim/testbed/callers.go
+++ b/internal/sim/testbed/callers.go
@@ -32,7 +32,7 @@
 		fmt.Fprintln(bad, "fares: "+errs.Text(err))
 		return errs.KindOf(err).Exit
 	}
-	_, err := settings.Strict(ps, args)
+	_, err := settings.ParseStrict(ps, args)
 	if err == nil {
 		err = errs.As(ps.ParseArgs(args), errs.BadInput, "flags")
 	}
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -80,7 +80,7 @@
 		fmt.Fprintln(bad, "yard: "+errs.Text(err))
 		return errs.KindOf(err).Exit
 	}
-	words, err := settings.Strict(ps, args)
+	words, err := settings.ParseStrict(ps, args)
 	if err == nil && len(words) > 1 {
 		err = errs.New(errs.BadInput, "%q: give one command: see --help", words)
 	}
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -43,7 +43,7 @@
 		k.Model, k.Under = k.Name, []string{fmt.Sprintf("%s/%s@1", lm, k.Name), fmt.Sprintf("%s/%s@1", next(lm), next(k.Name))}
 		s.Setup.Adapters[k.Name] = serviceconfig.Adapter{Base: lm, Build: 1, Services: []string{service}, Room: 10}
 		s.Setup.Adapters[next(k.Name)] = serviceconfig.Adapter{Base: next(lm), Build: 1, Services: []string{service}, Room: 10}
-		s.Setup.Ways[k.Name] = serviceconfig.Way{Service: service}
+		s.Setup.Routes[k.Name] = serviceconfig.Route{Service: service}
 		words = append(words, k.Name+"@1")
 	}
 	for i := range s.Processes {
--- a/internal/sim/testbed/settle.go
+++ b/internal/sim/testbed/settle.go
@@ -270,7 +270,7 @@
 		p := &s.Processes[i].Place
 		l.Name(strings.Split(p.Listen, ":")[0], p.Name)
 		b.Note("relay", l.Relay(to(p.Listen), p.Listen, p.Name))
-		p.Tell = to(p.Listen)
+		p.Advertise = to(p.Listen)
 		switch s.Processes[i].Program {
 		case "cab", "depot", "appservice", "rank":
 			b.Note("relay", l.Relay(to(p.Public), p.Public, p.Name))
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -28,7 +28,7 @@
 	Name      string
 	Processes []Process
 	List      []contract.Listed
-	Setup     serviceconfig.Setup
+	Setup     serviceconfig.Config
 	Traffic   loadgen.Traffic
 	Edges     []string // where callers ask
 	Operators []string
@@ -77,10 +77,10 @@
 		return nil, errs.New(errs.BadInput, "site %q: give one of %v", name, Sites())
 	}
 	lm, app := s.Traffic.Model, s.Traffic.App
-	s.Setup = serviceconfig.Setup{Tenants: map[string]serviceconfig.Tenant{}, WaitMaxMs: 30000,
+	s.Setup = serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{}, WaitMaxMs: 30000,
 		Models:   map[string]serviceconfig.Model{lm: {Weights: weights}, app: {Weights: 1}},
 		Services: map[string]serviceconfig.Service{lm + "-main": {Model: lm, Alpha: alpha}, app + "-main": {Model: app}},
-		Ways:     map[string]serviceconfig.Way{lm: {Service: lm + "-main"}, app: {Service: app + "-main"}}}
+		Routes:   map[string]serviceconfig.Route{lm: {Service: lm + "-main"}, app: {Service: app + "-main"}}}
 	s.Traffic.Rate *= float64(times)
 	for i := range 8 {
 		t := loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", name, i+1), Weight: 1, Walled: i == 7}
@@ -88,7 +88,7 @@
 			t.Weight = 5
 		}
 		s.Traffic.Tenants = append(s.Traffic.Tenants, t)
-		s.Setup.Tenants[t.Name] = serviceconfig.Tenant{Keys: []string{t.Key}, Walled: t.Walled}
+		s.Setup.Tenants[t.Name] = serviceconfig.Tenant{Keys: []string{t.Key}, Isolated: t.Walled}
 	}
 	ip := func(z, m int) string { return fmt.Sprintf("127.%d.%d.%d", net, z, m) }
 	at := func(a string, p int) string { return fmt.Sprintf("%s:%d", a, p) }
@@ -102,16 +102,16 @@
 	}
 	for z := 1; z <= 4; z++ {
 		a, n, d := ip(z, 1), core[z-1], fmt.Sprintf("district-%d", z)
-		add("archive-"+n, "archive", settings.Place{Name: n, District: d, Listen: at(a, 7003), Operator: at(a, 8090), Data: filepath.Join(dir, "data", n)})
-		add("appraiser-"+n, "appraiser", settings.Place{Name: n, District: d, Listen: at(a, 7004)})
+		add("archive-"+n, "archive", settings.Place{Name: n, Zone: d, Listen: at(a, 7003), Operator: at(a, 8090), Data: filepath.Join(dir, "data", n)})
+		add("appraiser-"+n, "appraiser", settings.Place{Name: n, Zone: d, Listen: at(a, 7004)})
 		s.Operators = append(s.Operators, at(a, 8090))
 	}
 	for i := range 9 * times {
 		z := i%4 + 1
 		a, n, d := ip(z, 11+i/4), fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("district-%d", z)
-		add("runner-"+n, "runner", settings.Place{Name: n, District: d, Listen: at(a, 7000), Operator: at(a, 8090)})
-		add("catalogue-"+n, "catalogue", settings.Place{Name: n, District: d, Listen: at(a, 7002), Runner: at(a, 7000)})
-		add("dispatcher-"+n, "dispatcher", settings.Place{Name: n, District: d, Listen: at(a, 7001), Public: at(a, 8080), Runner: at(a, 7000)})
+		add("runner-"+n, "runner", settings.Place{Name: n, Zone: d, Listen: at(a, 7000), Operator: at(a, 8090)})
+		add("catalogue-"+n, "catalogue", settings.Place{Name: n, Zone: d, Listen: at(a, 7002), Runner: at(a, 7000)})
+		add("dispatcher-"+n, "dispatcher", settings.Place{Name: n, Zone: d, Listen: at(a, 7001), Public: at(a, 8080), Runner: at(a, 7000)})
 		s.Edges, s.Operators = append(s.Edges, at(a, 8080)), append(s.Operators, at(a, 8090))
 	}
 	for i := range 18 * times {
@@ -119,15 +119,15 @@
 		a, n, d := ip(z, 21+i/4), fmt.Sprintf("cab-%d", i+1), fmt.Sprintf("district-%d", z)
 		s.List = append(s.List, contract.Listed{Name: n, Addr: at(a, 9000), Kind: "lm", Service: lm + "-main", District: d})
 		s.Cabs[n] = at(a, 9000)
-		add(n, "cab", settings.Place{Name: n, District: d, Listen: at(a, 9001), Public: at(a, 9000),
+		add(n, "cab", settings.Place{Name: n, Zone: d, Listen: at(a, 9001), Public: at(a, 9000),
 			Extra: append([]string{"service=" + lm + "-main", "model=" + lm, link, far, fmt.Sprintf("weights=%d", weights),
 				"journal=" + filepath.Join(dir, n+".runs")}, cabWords...)})
 	}
 	s.List = append(s.List, contract.Listed{Name: "app-1", Addr: at(ip(2, 40), 9000), Kind: "app", Service: app + "-main", District: "district-2"},
 		contract.Listed{Name: "depot-1", Addr: at(ip(3, 40), 9000), Kind: "store", District: "district-3"})
-	add("app-1", "appservice", settings.Place{Name: "app-1", District: "district-2", Listen: at(ip(2, 40), 9001), Public: at(ip(2, 40), 9000), Extra: []string{"service=" + app + "-main", "model=" + app}})
-	add("depot-1", "depot", settings.Place{Name: "depot-1", District: "district-3", Listen: at(ip(3, 40), 9001), Public: at(ip(3, 40), 9000)})
-	add("rank-1", "rank", settings.Place{Name: "rank-1", District: "district-1", Listen: at(ip(9, 1), 9101), Public: rank, Extra: []string{"list=" + filepath.Join(dir, "list.json")}})
+	add("app-1", "appservice", settings.Place{Name: "app-1", Zone: "district-2", Listen: at(ip(2, 40), 9001), Public: at(ip(2, 40), 9000), Extra: []string{"service=" + app + "-main", "model=" + app}})
+	add("depot-1", "depot", settings.Place{Name: "depot-1", Zone: "district-3", Listen: at(ip(3, 40), 9001), Public: at(ip(3, 40), 9000)})
+	add("rank-1", "rank", settings.Place{Name: "rank-1", Zone: "district-1", Listen: at(ip(9, 1), 9101), Public: rank, Extra: []string{"list=" + filepath.Join(dir, "list.json")}})
 	return s, nil
 }
 
--- a/internal/sim/workersim/cab.go
+++ b/internal/sim/workersim/cab.go
@@ -84,7 +84,7 @@
 }
 
 func num(l *daemon.Process, key string, or float64) float64 {
-	v, err := strconv.ParseFloat(l.Place.Word(key, ""), 64)
+	v, err := strconv.ParseFloat(l.Place.Option(key, ""), 64)
 	if err != nil {
 		return or
 	}
@@ -127,14 +127,14 @@
 		sp: Speed{num(l, "fixed_us", 2000), num(l, "token_us", 40), num(l, "square_us", 0.004), num(l, "piece_us", 3000),
 			num(l, "link", 100000), num(l, "far", 60000)},
 		slots: make(chan struct{}, int(num(l, "slots", 4))), prefill: make(chan struct{}, 1), room: int(num(l, "room", 12)),
-		model: l.Place.Word("model", ""), weights: uint64(num(l, "weights", 1)), drop: num(l, "drop", 0), mute: l.Place.Word("mute", "") == "yes", late: time.Duration(num(l, "late_ms", 0)) * time.Millisecond, lie: l.Place.Word("lie", ""),
+		model: l.Place.Option("model", ""), weights: uint64(num(l, "weights", 1)), drop: num(l, "drop", 0), mute: l.Place.Option("mute", "") == "yes", late: time.Duration(num(l, "late_ms", 0)) * time.Millisecond, lie: l.Place.Option("lie", ""),
 		rnd: rand.New(rand.NewPCG(seed, 7)), h: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
 			DialContext: l.Dial}}}
 	l.OnStop(c.h.CloseIdleConnections)
 	if err := c.fill(); err != nil {
 		return nil, err
 	}
-	if f := l.Place.Word("journal", ""); f != "" {
+	if f := l.Place.Option("journal", ""); f != "" {
 		var err error
 		if c.file, err = l.Journal(f); err != nil {
 			return nil, errs.As(err, errs.BadInput, "open journal")
@@ -155,8 +155,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	used, room := c.kv.Used()
-	return contract.State{Name: c.life.Place.Name, Incarnation: c.inc, Service: c.life.Place.Word("service", ""),
-		Loaded: c.holds(), Loading: c.loading, Room: c.total, Free: c.free(), Model: c.model, District: c.life.Place.District, Weights: c.weights, Slots: cap(c.slots),
+	return contract.State{Name: c.life.Place.Name, Incarnation: c.inc, Service: c.life.Place.Option("service", ""),
+		Loaded: c.holds(), Loading: c.loading, Room: c.total, Free: c.free(), Model: c.model, District: c.life.Place.Zone, Weights: c.weights, Slots: cap(c.slots),
 		Busy: len(c.slots), Queued: c.waiting, Draining: c.drain, Fence: c.fence, ClockUs: c.life.Clock.Now().Microseconds(), KvTokens: used, KvRoom: room}
 }
 
--- a/internal/sim/workersim/cab_test.go
+++ b/internal/sim/workersim/cab_test.go
@@ -23,7 +23,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	l := daemon.New("cab", settings.Place{Name: "cab-1", District: "d", Listen: "127.0.0.1:1", Public: addr, Bounds: settings.Default(),
+	l := daemon.New("cab", settings.Place{Name: "cab-1", Zone: "d", Listen: "127.0.0.1:1", Public: addr, Bounds: settings.Default(),
 		Extra: []string{"log=off", "model=m", "service=s", "kv=100", "token_us=1", "piece_us=1", "fixed_us=1"}})
 	if err := Start(l); err != nil {
 		t.Fatal(err)
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -32,12 +32,12 @@
 	c.memory = memory{total: int(num(l, "memory", 0)), bases: map[string]uint64{}, adapters: map[string]map[string]uint64{}, takes: map[string]int{},
 		busy: map[string]int{}, steps: map[string]uint64{}, asTold: int(num(l, "model_room", 0)),
 		baseTime: time.Duration(num(l, "load_ms", 400)) * time.Millisecond, addTime: time.Duration(num(l, "adapter_ms", 100)) * time.Millisecond}
-	if l.Place.Word("empty", "") == "yes" {
+	if l.Place.Option("empty", "") == "yes" {
 		c.model, c.weights = "", 0
 		return nil
 	}
 	c.takes[c.model] = c.asTold
-	for _, x := range strings.Split(l.Place.Word("adapters", ""), ",") {
+	for _, x := range strings.Split(l.Place.Option("adapters", ""), ",") {
 		if x == "" {
 			continue
 		}
