--- a/internal/control/calendar/step.go
+++ b/internal/control/calendar/step.go
@@ -24,7 +24,7 @@
 	Clock        time.Duration
 	Version      uint64 // of the configuration
 	EntryVersion uint64 // of the entry's document, as it was read
-	Config       *serviceconfig.Setup
+	Config       *serviceconfig.Config
 	Workers      []Worker
 	Ok, Bad      float64 // attempts of the service, lately
 }
