--- a/internal/control/controllers/roll.go
+++ b/internal/control/controllers/roll.go
@@ -49,13 +49,15 @@
 	calling bool
 	begun   bool // the worker said so: how long it takes can be told
 	silent  int
+	taken   *uint64 // orders that the worker had taken when it reported the last time; nil: not asked yet
 }
 
 // Order is an order to send to a worker.
 type Order struct {
-	Worker  fleet.Worker
-	Model   string
-	Weights uint64
+	Worker   fleet.Worker
+	Model    string
+	Weights  uint64
+	Sequence *uint64 // orders that the worker must have taken so far; nil: any number
 }
 
 // Acts are what a step wants done. Reports and orders are answered by Reported and Ordered.
@@ -245,7 +247,7 @@
 		busy, waiting = busy+1, waiting-1
 		l.stage, l.at, l.calling, l.begun, l.silent = ordered, f.Now, true, false, 0
 		r.unsure[w.ID] = true
-		a.Orders = append(a.Orders, Order{w, l.model, l.want})
+		a.Orders = append(a.Orders, Order{w, l.model, l.want, l.taken})
 	}
 	for _, w := range next[:max(0, min(len(next), most-busy-waiting+soon))] {
 		m, v := behind(w, f)
@@ -339,7 +341,7 @@
 		}
 		return "", 0
 	}
-	l.silent = 0
+	l.silent, l.taken = 0, &t.Sequence
 	v := t.Weights[l.model]
 	switch {
 	case v >= l.want:
--- a/internal/control/controllers/stand_test.go
+++ b/internal/control/controllers/stand_test.go
@@ -77,9 +77,10 @@
 }
 
 type state struct {
-	from time.Duration
-	busy bool
-	has  uint64
+	from  time.Duration
+	busy  bool
+	has   uint64
+	taken uint64 // orders
 }
 
 func (h *hand) at(t time.Duration) state {
--- a/internal/control/controllers/term.go
+++ b/internal/control/controllers/term.go
@@ -315,8 +315,13 @@
 	}
 	ctx, end := context.WithTimeout(context.WithoutCancel(t.ctx), min(left, b.Leave(askPart)))
 	defer end()
+	until := t.life.Clock.Now() + min(left, b.Leave(askPart))
+	ctx = backend.WithGuard(ctx, func() bool {
+		fence, _, ok := t.ten.left()
+		return ok && fence == t.fence && t.life.Clock.Now() < until
+	})
 	out, err := t.calls.Order(ctx, o.Worker.Addr, backend.Order{Model: o.Model, Version: o.Weights, Mode: backend.ModeAwait,
-		Holder: t.ten.lease.Holder, Fence: fence, Instance: o.Worker.ID})
+		Holder: t.ten.lease.Holder, Fence: fence, Instance: o.Worker.ID, Sequence: o.Sequence})
 	if err != nil {
 		out = backend.Unknown
 	}
