--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -316,8 +316,13 @@
 	}
 	ctx, end := context.WithTimeout(context.WithoutCancel(s.ctx), min(left, b.Leave(callTimeoutRatio)))
 	defer end()
+	until := s.process.Clock.Now() + min(left, b.Leave(callTimeoutRatio))
+	ctx = backend.WithGuard(ctx, func() bool {
+		current, _, held := s.lease.remaining()
+		return held && current == fence && s.process.Clock.Now() < until
+	})
 	out, err := s.calls.Order(ctx, o.Worker.Addr, backend.Order{Model: o.Model, Version: o.Weights, Mode: backend.ModeAwait,
-		Holder: s.lease.lease.Holder, Fence: fence, Instance: o.Worker.ID})
+		Holder: s.lease.lease.Holder, Fence: fence, Instance: o.Worker.ID, Sequence: o.Sequence})
 	if err != nil {
 		out = backend.Unknown
 	}
--- a/internal/sim/history/history_test.go
+++ b/internal/sim/history/history_test.go
@@ -29,7 +29,7 @@
 }
 
 // The checker itself: histories that are known good and known bad.
-func TestTheCheckerTellsGoodFromBad(t *testing.T) {
+func TestTheCheckerSeparatesGoodFromBad(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		good bool
