--- a/internal/control/storage/faulty.go
+++ b/internal/control/storage/faulty.go
@@ -17,7 +17,7 @@
 // Faulty is a Disk whose faults a file switches: "full", "sync" (every sync fails) or
 // "stall MS" (every write takes that long). Failure tests write the file; no file, no fault.
 //
-// Example: d := shelf.Faulty(shelf.Folder(dir), "/tmp/run/core-1.fault")
+// Example: d := storage.Faulty(storage.Folder(dir), "/tmp/run/core-1.fault")
 func Faulty(d Disk, file string) Disk { return faulty{d, file} }
 
 var errSync = errors.New("sync failed (switched on by a failure test)")
@@ -32,9 +32,9 @@
 	return err
 }
 
-// Fault reads what a disk is to suffer from: how long a write stalls, or with what it fails.
+// Fault reads what a disk suffers from: how long a write stalls, or the error that it fails with.
 //
-// Example: stall, err := shelf.Fault("stall 800")
+// Example: stall, err := storage.Fault("stall 800")
 func Fault(word string) (stall time.Duration, err error) {
 	w, n, _ := strings.Cut(strings.TrimSpace(word), " ")
 	switch w {
--- a/internal/control/storage/folder.go
+++ b/internal/control/storage/folder.go
@@ -11,7 +11,7 @@
 
 // Folder is the Disk of a real folder; it is made when missing.
 //
-// Example: d := shelf.Folder("/var/lib/pebbleloom/part-0")
+// Example: d := storage.Folder("/var/lib/pebbleloom/part-0")
 func Folder(dir string) Disk { return folder{dir} }
 
 func (f folder) Read(name string) ([]byte, bool, error) {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	// The folder's own entry, and the folder's entry in its parent, are synced too.
+	// The file's entry in the folder, and the folder's entry in its parent, are synced too.
 	for _, d := range []string{f.dir, filepath.Dir(f.dir)} {
 		h, err := os.Open(d)
 		if err != nil {
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -1,10 +1,11 @@
-// Package storage keeps one part's state on disk: two slots written in turn, with a short
-// log between. Nothing that was acknowledged is lost to a torn write, and nothing rotten
-// is read silently.
+// Package storage keeps one shard's state on disk: two snapshot files written by turns, with a short
+// log behind each. Nothing that was acknowledged is lost to a torn write, and nothing corrupted is
+// read silently.
 //
-// slot-0 and slot-1 each hold a whole state under a generation and a checksum; log-0 and
-// log-1 hold what came after the slot of the same number. Turning to generation g writes
-// the log first (header g, with the records that stay), then the slot.
+// slot-0 and slot-1 each hold a whole snapshot under a generation and a checksum; log-0 and log-1
+// hold what came after the snapshot of the same number. Saving generation g writes the log first
+// (header g, with the records that stay), then the snapshot. Until that is whole, the snapshot and
+// the log of generation g-1 hold.
 package storage
 
 import (
@@ -18,7 +19,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Disk is the seam to files. Each call returns once its effect is synced, file and folder.
+// Disk is the interface to files. Each call returns once its effect is synced, file and folder.
 type Disk interface {
 	Read(name string) (b []byte, there bool, err error)
 	Write(name string, b []byte) error
@@ -27,15 +28,17 @@
 }
 
 const (
-	magic    = 0x50424c31 // "PBL1": a shape of its own; a later shape gets another
-	headSize = 20
-	recHead  = 12
+	magic    = 0x50424c31 // "PBL1": the format of both kinds of file; a later format gets another
+	headSize = 20         // of a log
+	recHead  = 12         // of a record in it
 	maxRec   = 16 << 20
+	slotHead = 12 // of a snapshot file: magic and generation
+	slotFoot = 4  // its checksum
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// Shelf writes; after a failed write it denies all more.
+// Store writes a shard's files. After a failed write it refuses every other.
 type Store struct {
 	disk       Disk
 	generation uint64
@@ -43,17 +46,17 @@
 	failure    error
 }
 
-// Loaded is what a shelf held when it was opened.
+// Loaded is what a disk held when it was opened.
 type Loaded struct {
 	Snapshot *wire.Snapshot // nil on an empty disk
 	Records  []*wire.Record
 	Torn     int // bytes of a torn tail that were cut off
 }
 
-// Open reads what the disk holds. An empty disk gives a nil Slot; a disk that can't be
-// trusted gives an error of kind DiskBad.
+// Open reads what the disk holds. An empty disk gives a nil snapshot; a disk that can't be trusted
+// gives an error of kind DiskBad.
 //
-// Example: s, l, err := shelf.Open(shelf.Folder("/var/lib/pebbleloom/part-0"))
+// Example: s, l, err := storage.Open(storage.Folder("/var/lib/pebbleloom/part-0"))
 func Open(d Disk) (*Store, Loaded, error) {
 	s := &Store{disk: d}
 	var l Loaded
@@ -88,26 +91,26 @@
 		}
 	}
 	if at < 0 {
-		// The very first turn may have been cut short before anything was acknowledged.
+		// The very first snapshot may have been cut short before anything was acknowledged.
 		if lgens[1] == 1 && len(logs[1]) == 0 && !there[0] && !there[2] || !there[0] && !there[1] && !there[2] && logs[1] == nil {
 			return s, l, nil
 		}
-		return nil, l, errs.New(errs.DiskBad, "no slot can be read, though the folder holds state")
+		return nil, l, errs.New(errs.DiskBad, "no snapshot can be read, though the folder holds state: restore or empty the disk")
 	}
 	o := 1 - at
 	if lgens[o] > gens[at] && len(records(logs[o]).list) > rest[o] {
-		return nil, l, errs.New(errs.DiskBad, "slot-%d is rotten: its log of generation %d went on after it was written", o, lgens[o])
+		return nil, l, errs.New(errs.DiskBad, "slot-%d is corrupted: its log of generation %d went on after it was written: empty the disk, it is taken in anew", o, lgens[o])
 	}
 	s.generation, l.Snapshot = gens[at], slots[at]
 	if lgens[at] != s.generation {
-		return nil, l, errs.New(errs.DiskBad, "log-%d is of generation %d, its slot of %d", at, lgens[at], s.generation)
+		return nil, l, errs.New(errs.DiskBad, "log-%d is of generation %d, its snapshot of %d: empty the disk, it is taken in anew", at, lgens[at], s.generation)
 	}
 	sc := records(logs[at])
-	if sc.rot {
-		return nil, l, errs.New(errs.DiskBad, "log-%d is rotten at byte %d: whole records follow", at, sc.end)
+	if sc.corrupted {
+		return nil, l, errs.New(errs.DiskBad, "log-%d is corrupted at byte %d, whole records follow: empty the disk, it is taken in anew", at, sc.end)
 	}
 	if len(sc.list) < rest[at] {
-		return nil, l, errs.New(errs.DiskBad, "log-%d holds %d records of the %d it began with", at, len(sc.list), rest[at])
+		return nil, l, errs.New(errs.DiskBad, "log-%d holds %d records of the %d it began with: empty the disk, it is taken in anew", at, len(sc.list), rest[at])
 	}
 	l.Records, l.Torn = sc.list, len(logs[at])-sc.end
 	s.size = headSize + sc.end
@@ -140,10 +143,10 @@
 	return nil
 }
 
-// Turn writes the other slot and starts its log with the records that stay.
+// SaveSnapshot writes the other snapshot file and starts its log with the records that stay.
 //
-// Example: err := s.Turn(slot, rest)
-func (s *Store) SaveSnapshot(slot *wire.Snapshot, rest []*wire.Record) error {
+// Example: err := s.SaveSnapshot(snapshot, rest)
+func (s *Store) SaveSnapshot(snapshot *wire.Snapshot, rest []*wire.Record) error {
 	if s.failure != nil {
 		return s.failure
 	}
@@ -153,42 +156,49 @@
 	binary.LittleEndian.PutUint64(h[4:], g)
 	binary.LittleEndian.PutUint32(h[12:], uint32(len(rest)))
 	binary.LittleEndian.PutUint32(h[16:], crc32.Checksum(h[:16], table))
-	lb := append(h, pack(rest)...)
-	body, err := proto.Marshal(slot)
+	log := append(h, pack(rest)...)
+	file, err := packSnapshot(snapshot, g)
 	if err == nil {
-		err = s.disk.Write(fmt.Sprintf("log-%d", g%2), lb)
+		err = s.disk.Write(fmt.Sprintf("log-%d", g%2), log)
 	}
 	if err == nil {
-		sb := make([]byte, 12, 16+len(body))
-		binary.LittleEndian.PutUint32(sb, magic)
-		binary.LittleEndian.PutUint64(sb[4:], g)
-		sb = append(sb, body...)
-		sb = binary.LittleEndian.AppendUint32(sb, crc32.Checksum(sb, table))
-		err = s.disk.Write(fmt.Sprintf("slot-%d", g%2), sb)
+		err = s.disk.Write(fmt.Sprintf("slot-%d", g%2), file)
 	}
 	if err != nil {
-		s.failure = errs.As(err, errs.DiskBad, "turn slot")
+		s.failure = errs.As(err, errs.DiskBad, "save snapshot")
 		return s.failure
 	}
-	s.generation, s.size = g, len(lb)
+	s.generation, s.size = g, len(log)
 	return nil
 }
 
+// packSnapshot gives the bytes of a snapshot file. A snapshot may be large: it is copied once.
+func packSnapshot(snapshot *wire.Snapshot, generation uint64) ([]byte, error) {
+	file := make([]byte, slotHead, slotHead+proto.Size(snapshot)+slotFoot)
+	binary.LittleEndian.PutUint32(file, magic)
+	binary.LittleEndian.PutUint64(file[4:], generation)
+	file, err := proto.MarshalOptions{}.MarshalAppend(file, snapshot)
+	if err != nil {
+		return nil, err
+	}
+	return binary.LittleEndian.AppendUint32(file, crc32.Checksum(file, table)), nil
+}
+
 // Size is how long the log in force is, in bytes.
 //
-// Example: if s.Size() > 1<<20 { turn() }
+// Example: if s.Size() > 1<<20 { compact() }
 func (s *Store) Size() int { return s.size }
 
 func readSlot(b []byte) (*wire.Snapshot, uint64) {
-	if len(b) < 16 || binary.LittleEndian.Uint32(b) != magic {
+	if len(b) < slotHead+slotFoot || binary.LittleEndian.Uint32(b) != magic {
 		return nil, 0
 	}
-	n := len(b) - 4
+	n := len(b) - slotFoot
 	if crc32.Checksum(b[:n], table) != binary.LittleEndian.Uint32(b[n:]) {
 		return nil, 0
 	}
 	s := &wire.Snapshot{}
-	if proto.Unmarshal(b[12:n], s) != nil {
+	if proto.Unmarshal(b[slotHead:n], s) != nil {
 		return nil, 0
 	}
 	return s, binary.LittleEndian.Uint64(b[4:])
@@ -207,7 +217,7 @@
 	for _, r := range rs {
 		body, err := proto.Marshal(r)
 		if err != nil {
-			panic("shelf: a record that can't be marshalled: " + err.Error())
+			panic("storage: a record that can't be marshalled: " + err.Error())
 		}
 		h := make([]byte, recHead)
 		binary.LittleEndian.PutUint32(h, uint32(len(body)))
@@ -218,13 +228,14 @@
 	return b
 }
 
+// scan is what could be read of a log.
 type scan struct {
-	list []*wire.Record
-	end  int
-	rot  bool
+	list      []*wire.Record
+	end       int
+	corrupted bool
 }
 
-// one reads the record at the front of b: its length, or 0 when it isn't whole.
+// one reads the record at the front of b. The length is 0 when the record isn't whole.
 func one(b []byte) (*wire.Record, int) {
 	if len(b) < recHead || crc32.Checksum(b[:4], table) != binary.LittleEndian.Uint32(b[4:]) {
 		return nil, 0
@@ -240,8 +251,8 @@
 	return r, recHead + n
 }
 
-// records reads up to the first record that isn't whole. Where a whole one follows, that
-// is rot in the middle and not the torn tail of a crash.
+// records reads up to the first record that isn't whole. Where a whole one follows, the log is
+// corrupted in the middle, which the torn end that a crash leaves is not.
 func records(b []byte) scan {
 	var s scan
 	for s.end < len(b) {
@@ -253,7 +264,7 @@
 	}
 	for i := s.end + 1; i < len(b); i++ {
 		if r, n := one(b[i:]); n > recHead && r.Kind != nil {
-			s.rot = true
+			s.corrupted = true
 			break
 		}
 	}
