--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -17,15 +17,22 @@
 	snapshotSentAt int // tick in which a whole snapshot was sent last, to an older release; 0: never
 }
 
-// A batch of entries of bulkBytes or more isn't sent again at each heartbeat, but after
-// ElectionTicks without a response, and after a longer pause each time up to maxBulkPause times
-// that: on a slow link copies would queue up before it faster than they leave.
+// A batch of entries of bulkBytes or more isn't sent again at each heartbeat, but once the driver says
+// that it was lost or no response has come in the time that a link of bulkBytesPerTick takes, longer
+// after each loss: on a slow link copies would queue up faster than they leave.
 const (
 	bulkBytes             = 16 << 10
-	maxBulkPause          = 8
+	bulkBytesPerTick      = 8 << 10
+	maxBulkPause          = 8 // times ElectionTicks
 	bulkLossesForSnapshot = 2
 )
 
+// bulkPause is how many ticks a response to so many bytes may take.
+func (c *Core) bulkPause(size, losses int) int {
+	pause := (c.cfg.ElectionTicks + size/bulkBytesPerTick) << min(losses, maxBulkPause)
+	return min(pause, maxBulkPause*c.cfg.ElectionTicks)
+}
+
 // replicate sends a peer what it lacks; at a heartbeat also when it lacks nothing.
 func (c *Core) replicate(m string, heartbeat bool) {
 	p := c.peers[m]
@@ -50,10 +57,9 @@
 	p.bulkUntil = 0
 	if size >= bulkBytes {
 		if p.inFlight {
-			p.bulkLosses++
+			c.countLoss(p)
 		}
-		pause := min(1<<min(p.bulkLosses, maxBulkPause), maxBulkPause)
-		p.bulkUntil = c.ticks + c.cfg.ElectionTicks*pause
+		p.bulkUntil = c.ticks + c.bulkPause(size, p.bulkLosses)
 	}
 	p.inFlight = len(entries) > 0
 	c.sendAppend(m, prev, prevTerm, entries)
@@ -76,6 +82,33 @@
 	return entries, size
 }
 
+// countLoss counts a large batch that was lost while the peer could be heard: its link is too slow.
+func (c *Core) countLoss(p *progress) {
+	if p.sinceHeard < c.cfg.ElectionTicks {
+		p.bulkLosses++
+	}
+}
+
+// ReportLost says that the driver gave up sending a message. What it carried is sent again at the
+// next heartbeat, a snapshot in smaller pieces.
+//
+// Example: c.ReportLost(m); drive(c.Ready())
+func (c *Core) ReportLost(m *wire.Message) {
+	p := c.peers[m.To]
+	if c.role != leader || p == nil || m.Term != c.hardState.Term || !p.inFlight {
+		return
+	}
+	switch {
+	case p.transfer != nil:
+		if m.Piece != nil && m.Piece.Offset == p.transfer.offset {
+			p.transfer.resendAt = c.ticks
+		}
+	case len(m.Entries) > 0 && m.Entries[0].Index == p.next:
+		p.inFlight = false
+		c.countLoss(p)
+	}
+}
+
 // tooLargeForLink tells whether a batch was lost so often that the link can't carry it whole; the
 // snapshot holds it already, and is sent in pieces.
 func (c *Core) tooLargeForLink(p *progress) bool {
@@ -111,8 +144,11 @@
 		c.replicate(l.From, true)
 		return nil
 	}
-	if p.sinceHeard >= c.cfg.ElectionTicks { // it is back: what was in flight is lost
-		p.inFlight, p.bulkUntil, p.bulkLosses = false, 0, 0
+	if p.sinceHeard >= 2*c.cfg.HeartbeatTicks { // it is back: what was in flight is lost
+		p.inFlight, p.bulkUntil = false, 0
+	}
+	if p.sinceHeard >= c.cfg.ElectionTicks {
+		p.bulkLosses = 0 // they were the peer's, not the link's
 	}
 	p.sinceHeard, p.responded = 0, true
 	p.probe = max(p.probe, l.Probe)
--- a/internal/control/consensus/snapshot_transfer.go
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -31,6 +31,7 @@
 	offset     uint64         // what the peer holds
 	pieceBytes int
 	sentAt     int // tick in which the piece in flight was sent
+	resendAt   int // tick from which on it counts as lost
 }
 
 // beginTransfer asks a peer how much it holds of the snapshot that it is to get.
@@ -93,7 +94,7 @@
 func (c *Core) continueTransfer(m string, p *progress, heartbeat bool) {
 	t := p.transfer
 	switch {
-	case p.inFlight && c.ticks-t.sentAt >= c.cfg.ElectionTicks:
+	case p.inFlight && c.ticks >= t.resendAt:
 		t.pieceBytes = max(t.pieceBytes/2, min(leastPieceBytes, c.cfg.MaxBatchBytes))
 		c.sendNextPiece(m, p)
 	case heartbeat:
@@ -102,8 +103,10 @@
 }
 
 func (c *Core) sendNextPiece(m string, p *progress) {
-	p.inFlight, p.transfer.sentAt = true, c.ticks
-	c.sendPiece(m, p.transfer, p.transfer.pieceBytes)
+	t := p.transfer
+	p.inFlight, t.sentAt = true, c.ticks
+	t.resendAt = c.ticks + c.bulkPause(t.pieceBytes, 0)
+	c.sendPiece(m, t, t.pieceBytes)
 }
 
 // sendPiece sends up to so many bytes from what the peer holds on; none: a question how much it holds.
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -36,8 +36,9 @@
 }
 
 type queuedMessage struct {
-	at int
-	m  *wire.Message
+	at   int
+	m    *wire.Message
+	lost bool // its sender hears that it didn't arrive
 }
 
 // memoryDisk is what a member has persisted.
@@ -126,19 +127,18 @@
 	at, size := n.tick, payload(m)
 	if m.To == n.slow {
 		n.sent[m.Kind] += size
-		if takes := size / n.perTick; takes > n.patience {
-			return // given up half through; its bytes have still filled the link
-		} else if takes > 0 {
+		if takes := size / n.perTick; takes > 0 {
 			n.busyUntil = max(n.busyUntil, n.tick) + takes
 			at = n.busyUntil
 		}
 		if at-n.tick > n.patience {
+			n.queued = append(n.queued, queuedMessage{at: n.tick + n.patience, m: m, lost: true})
 			return
 		}
 	}
-	n.queued = append(n.queued, queuedMessage{at + 1, proto.Clone(m).(*wire.Message)})
+	n.queued = append(n.queued, queuedMessage{at: at + 1, m: proto.Clone(m).(*wire.Message)})
 	if n.r.Float64() < n.double {
-		n.queued = append(n.queued, queuedMessage{at + 2 + n.r.IntN(10), proto.Clone(m).(*wire.Message)})
+		n.queued = append(n.queued, queuedMessage{at: at + 2 + n.r.IntN(10), m: proto.Clone(m).(*wire.Message)})
 	}
 }
 
@@ -155,7 +155,10 @@
 	}
 	n.queued = later
 	for _, q := range due {
-		if c := n.cores[q.m.To]; c != nil {
+		if c := n.cores[q.m.From]; q.lost && c != nil {
+			c.ReportLost(q.m)
+			n.drive(q.m.From)
+		} else if c := n.cores[q.m.To]; !q.lost && c != nil {
 			c.Step(q.m)
 			n.drive(q.m.To)
 		}
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -173,6 +173,15 @@
 	})
 }
 
+// reportLost says to the core that a message of its own wasn't sent.
+func (p *shard) reportLost(m *wire.Message) {
+	p.commands.Offer(func() {
+		if p.failure == nil {
+			p.core.ReportLost(m)
+		}
+	})
+}
+
 // do runs f on the shard's goroutine; false when the shard is too busy or ending.
 func (p *shard) do(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -34,7 +34,7 @@
 	maxBatch     = 16
 	largeBytes   = 16 << 10
 	sendTimePart = 1.0 / 24
-	longSendPart = 1.0 / 2 // for a large message that didn't arrive in a shorter time
+	megabytePart = 1.0 // beside that, for each megabyte
 )
 
 func newTransport(ctx context.Context, n *Node) *transport {
@@ -65,8 +65,7 @@
 	ctx, stop := context.WithCancel(t.ctx)
 	b := &outbox{small: queue.NewRing[*wire.Message](maxSmall), large: queue.NewRing[*wire.Message](maxLarge), stop: stop}
 	t.outboxes[to] = b
-	d := &delivery{node: t.node, to: to, longest: t.node.life.Place.Bounds.Heal(longSendPart)}
-	d.large.time = t.node.life.Place.Bounds.Heal(sendTimePart)
+	d := &delivery{node: t.node, to: to}
 	go d.sendSmall(ctx, b.small)
 	go d.sendLarge(ctx, b.large)
 	return b
@@ -83,9 +82,9 @@
 	delete(t.outboxes, oldest)
 }
 
-// payloadBytes is about how large a message is that isn't a piece of a snapshot.
+// payloadBytes is about how large a message is.
 func payloadBytes(m *wire.Message) int {
-	size := len(m.GetSnapshot().GetState())
+	size := len(m.GetSnapshot().GetState()) + len(m.GetPiece().GetData())
 	for _, e := range m.Entries {
 		size += len(e.Body)
 	}
@@ -94,15 +93,16 @@
 
 // delivery sends one address its messages.
 type delivery struct {
-	node    *Node
-	to      string
-	longest time.Duration
-	mu      sync.Mutex // guards what follows
-	failed  bool       // the last small message didn't arrive
-	large   struct {
-		time  time.Duration      // how long the next large message may take
-		abort context.CancelFunc // ends the one under way; nil: none is
-	}
+	node       *Node
+	to         string
+	mu         sync.Mutex         // guards what follows
+	failed     bool               // the last small message didn't arrive
+	abortLarge context.CancelFunc // ends the large message that is being sent; nil: none is
+}
+
+// timeFor is how long a message of so many bytes may take.
+func (d *delivery) timeFor(size int) time.Duration {
+	return d.node.life.Place.Bounds.Heal(sendTimePart + megabytePart*float64(size)/(1<<20))
 }
 
 func (d *delivery) post(ctx context.Context, messages []*wire.Message) error {
@@ -119,7 +119,7 @@
 		case <-ctx.Done():
 			return
 		case m := <-queued.Out():
-			one, end := context.WithTimeout(ctx, d.shortest())
+			one, end := context.WithTimeout(ctx, d.timeFor(0))
 			err := d.post(one, append([]*wire.Message{m}, queued.Drain(maxBatch-1)...))
 			end()
 			d.noteSmall(err != nil)
@@ -127,52 +127,37 @@
 	}
 }
 
-func (d *delivery) shortest() time.Duration {
-	return d.node.life.Place.Bounds.Heal(sendTimePart)
-}
-
 // noteSmall ends a large message that was begun before its address could be reached again: its
 // connection may stay silent for long.
 func (d *delivery) noteSmall(failed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.failed && !failed {
-		d.large.time = d.shortest()
-		if d.large.abort != nil {
-			d.large.abort()
-		}
+	if d.failed && !failed && d.abortLarge != nil {
+		d.abortLarge()
 	}
 	d.failed = failed
 }
 
+// sendLarge sends large messages one by one; the core hears of each that is lost.
 func (d *delivery) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-queued.Out():
-			one, end := d.beginLarge(ctx)
+			one, end := context.WithTimeout(ctx, d.timeFor(payloadBytes(m)))
+			d.setAbort(end)
 			err := d.post(one, []*wire.Message{m})
-			end()
-			d.noteLarge(err != nil)
+			d.setAbort(nil)
+			if end(); err != nil {
+				d.node.shards[m.Shard].reportLost(m)
+			}
 		}
 	}
 }
 
-func (d *delivery) beginLarge(ctx context.Context) (context.Context, context.CancelFunc) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	one, end := context.WithTimeout(ctx, d.large.time)
-	d.large.abort = end
-	return one, end
-}
-
-// noteLarge gives the next large message twice the time where this one had too little.
-func (d *delivery) noteLarge(failed bool) {
+func (d *delivery) setAbort(abort context.CancelFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.large.abort = nil
-	if failed && !d.failed {
-		d.large.time = min(2*d.large.time, d.longest)
-	}
+	d.abortLarge = abort
 }
