--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -69,20 +69,14 @@
 	rt := q.ask.Route
 	within := max(rt.Target/2, q.d.l.Place.Bounds.Leave(0.05))
 	ctx := context.WithValue(q.ctx, dialingKey{}, dialing{most: q.conns, within: within})
-	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		a.line, a.reused, a.age = i.Conn.(*line), i.Reused, i.IdleTime
-		a.line.take(a)
-		if i.Reused && !q.repeatable() && !q.d.lines.idle.fit(i.IdleTime) {
-			a.aged = a.line.stop(a) // nothing of the request is on it: another is taken
-		}
-	}}))
+	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.take}))
 	q.d.Pick.Sent(&q.ask, c)
 	for n := 0; n < 4; n++ { // a kept line may have ended before it was used; then nothing has happened
 		a.exchange()
 		if a.aged {
 			n-- // in the end there is none left but a new one
 		}
-		if a.fate != unsent || !a.reused || q.ctx.Err() != nil {
+		if a.fate != unsent || !a.reused || q.ctx.Err() != nil || q.left() <= 0 {
 			break
 		}
 	}
@@ -101,6 +95,29 @@
 	return a
 }
 
+// take makes a line the attempt's before a byte is written, or ends it where it can't be sure to
+// carry this request and no other's answer: nothing of the request is on it then.
+func (a *attempt) take(i httptrace.GotConnInfo) {
+	a.line, a.reused, a.age = i.Conn.(*line), i.Reused, i.IdleTime
+	if i.Reused {
+		a.line.settle()
+	}
+	a.line.take(a)
+	switch {
+	case a.q.left() <= 0: // this machine stood still, or the connection took so long
+		a.line.stop(a)
+	case i.Reused && !a.suits():
+		a.aged = a.line.stop(a) // another is taken
+	}
+}
+
+// suits tells whether a line that served before may carry the request. Without an id no answer can
+// be told from another's, so such a request has a line of its own.
+func (a *attempt) suits() bool {
+	q := a.q
+	return q.ask.ID != "" && a.line.kept(a.age) && (q.repeatable() || q.d.lines.idle.fit(a.age) && !a.line.waiting())
+}
+
 // exchange sends the request and waits for the head of an answer.
 func (a *attempt) exchange() {
 	a.line, a.reused, a.aged = nil, false, false
@@ -165,7 +182,7 @@
 	if l, ok := h.ReadLoad(head.Get(h.Load)); ok {
 		a.load = &l
 	}
-	if status < 200 || head.Get(h.ID) != q.ask.ID || head.Get("Content-Encoding") != "" || !a.framed() {
+	if status < 200 || !a.own() || head.Get("Content-Encoding") != "" || !a.framed() {
 		a.unfit() // another request's answer, or none of the worker's
 		return
 	}
@@ -194,6 +211,12 @@
 	}
 }
 
+// own tells whether the answer names this request, and no other.
+func (a *attempt) own() bool {
+	ids := a.resp.Header.Values(a.q.d.Headers.ID)
+	return len(ids) == 1 && ids[0] == a.q.ask.ID || len(ids) == 0 && a.q.ask.ID == ""
+}
+
 // promise tells which statuses say that a request has not run and never will.
 func promise(status int) bool {
 	switch status {
@@ -250,6 +273,11 @@
 // rest keeps the line for another attempt.
 func (a *attempt) rest() {
 	_ = a.resp.Body.Close()
+	if a.q.ask.ID == "" {
+		a.line.stop(a)
+		a.line = nil
+		return
+	}
 	a.line.rest(a, keeps(a.resp.Header, a.q.d.l.Place.Bounds.Leave(1)))
 	a.line = nil
 }
--- a/internal/data/proxy/line.go
+++ b/internal/data/proxy/line.go
@@ -2,14 +2,18 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/errs"
 )
@@ -61,7 +65,7 @@
 		return nil, err
 	}
 	s.tend(c)
-	return &line{Conn: c, shut: func() { s.shut(addr) }}, nil
+	return newLine(c, s.l.Place.Bounds.Leave(1), func() { s.shut(addr) }), nil
 }
 
 func (s *lines) shut(addr string) {
@@ -82,20 +86,29 @@
 }
 
 // line is one connection to a worker, held by one attempt at a time. It knows whether anything of
-// an attempt ever left this machine.
+// an attempt ever left this machine, and lets no attempt have bytes that came before its own left.
 type line struct {
 	net.Conn
 	shut func()
 
 	mu      sync.Mutex
+	changed sync.Cond // stopped or reading was set
 	stopped bool
+	reading bool // a read is under way: all that came before it was looked at
 	writing int  // writes under way
 	sent    bool // the holder's bytes were taken by the kernel
 	holder  any  // nil: none
 	timer   *time.Timer
+	keep    time.Duration // how long it may lie idle: the worker is sure to keep it so long
 	once    sync.Once
 }
 
+func newLine(c net.Conn, keep time.Duration, shut func()) *line {
+	l := &line{Conn: c, shut: shut, keep: keep}
+	l.changed.L = &l.mu
+	return l
+}
+
 // Write hands bytes to the kernel, unless the line was stopped before.
 func (c *line) Write(p []byte) (int, error) {
 	c.mu.Lock()
@@ -113,17 +126,21 @@
 	return n, err
 }
 
-// Read takes what the worker sends. What comes while nobody holds the line belongs to no request.
+// Read takes what the worker sends. What comes while nobody holds the line, or before a byte of the
+// holder's request has left, belongs to no request: the line ends with it.
 func (c *line) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	c.reading = true
+	c.changed.Broadcast()
+	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
-	if n > 0 {
-		c.mu.Lock()
-		stray := c.holder == nil
-		c.mu.Unlock()
-		if stray {
-			c.Close()
-			return 0, io.EOF
-		}
+	c.mu.Lock()
+	c.reading = false
+	stray := n > 0 && (c.holder == nil || !c.sent && c.writing == 0)
+	c.mu.Unlock()
+	if stray {
+		c.Close()
+		return 0, io.EOF
 	}
 	return n, err
 }
@@ -132,6 +149,7 @@
 func (c *line) Close() error {
 	c.mu.Lock()
 	c.stopped = true
+	c.changed.Broadcast()
 	if c.timer != nil {
 		c.timer.Stop()
 	}
@@ -150,6 +168,43 @@
 	}
 }
 
+// settle waits until a line that served before is read from again, or has ended: then all that came
+// with the answer before has been looked at. net/http hands a connection on while bytes behind that
+// answer may still stand in its buffer; it finds them before it reads on, and ends the connection.
+func (c *line) settle() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for !c.reading && !c.stopped {
+		c.changed.Wait()
+	}
+}
+
+// kept tells whether the worker was sure to keep the line idle for that long. Its timer may be late:
+// the process may have stood still.
+func (c *line) kept(age time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return age <= c.keep
+}
+
+// waiting tells whether something has come, bytes or the line's end, that nobody has read: after a
+// pause of the process it stands in the kernel. A connection that can't be asked has nothing.
+func (c *line) waiting() (came bool) {
+	s, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := s.SyscallConn()
+	if err != nil {
+		return false
+	}
+	err = raw.Control(func(fd uintptr) {
+		n, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		came = err == nil && n >= 0 || errors.Is(err, unix.ECONNRESET) // no byte and no error: its end
+	})
+	return came || err != nil
+}
+
 // rest keeps the line for the next attempt, but no longer than the worker is sure to. The next may
 // hold it already.
 func (c *line) rest(by any, keep time.Duration) {
@@ -158,7 +213,7 @@
 	if c.holder != by {
 		return
 	}
-	c.holder = nil
+	c.holder, c.keep = nil, keep
 	if c.timer == nil {
 		c.timer = time.AfterFunc(keep, c.lapse)
 	} else {
@@ -185,6 +240,7 @@
 		return false
 	}
 	c.stopped = true
+	c.changed.Broadcast()
 	untouched = !c.sent && c.writing == 0
 	c.mu.Unlock()
 	c.Close()
--- a/internal/data/proxy/line_test.go
+++ b/internal/data/proxy/line_test.go
@@ -209,16 +209,27 @@
 func (f *fake) Close() error               { return nil }
 func (f *fake) Read(p []byte) (int, error) { return copy(p, "stray"), nil }
 
-// What comes while nobody holds a line is never an answer.
+// What comes while nobody holds a line, or before its holder has sent a byte, is never an answer.
 func TestBytesForNobody(t *testing.T) {
-	l := &line{Conn: &fake{}, shut: func() {}}
-	l.take(1)
-	if n, err := l.Read(make([]byte, 9)); n != 5 || err != nil {
-		t.Error(n, err)
-	}
-	l.rest(1, time.Hour)
-	if n, err := l.Read(make([]byte, 9)); n != 0 || err != io.EOF || !l.stopped {
-		t.Error(n, err)
+	for _, x := range []struct {
+		name string
+		do   func(l *line)
+		want bool
+	}{
+		{"its holder has sent", func(l *line) { l.take(1); _, _ = l.Write([]byte("x")) }, true},
+		{"its holder has sent nothing", func(l *line) { l.take(1) }, false},
+		{"nobody holds it", func(l *line) { l.take(1); _, _ = l.Write([]byte("x")); l.rest(1, time.Hour) }, false},
+		{"the next holder has sent nothing", func(l *line) { l.take(1); _, _ = l.Write([]byte("x")); l.rest(1, time.Hour); l.take(2) }, false},
+	} {
+		l := newLine(&fake{n: 9}, time.Hour, func() {})
+		x.do(l)
+		n, err := l.Read(make([]byte, 9))
+		if got := n == 5 && err == nil && !l.stopped; got != x.want {
+			t.Errorf("%s: %d, %v", x.name, n, err)
+		}
+		if !x.want && (n != 0 || err != io.EOF || !l.stopped) {
+			t.Errorf("%s: %d, %v: the line must end", x.name, n, err)
+		}
 	}
 }
 
@@ -236,7 +247,7 @@
 		{"some taken", fake{n: 1, err: bad}, func(l *line) { _, _ = l.Write([]byte("xy")) }, false},
 		{"all taken", fake{n: 9}, func(l *line) { _, _ = l.Write([]byte("xy")) }, false},
 	} {
-		l := &line{Conn: &x.f, shut: func() {}}
+		l := newLine(&x.f, time.Hour, func() {})
 		l.take(1)
 		x.do(l)
 		if got := l.stop(1); got != x.want {
@@ -248,7 +259,7 @@
 	}
 	// A write under way may yet be taken.
 	f := &fake{n: 1, wait: make(chan struct{})}
-	l := &line{Conn: f, shut: func() {}}
+	l := newLine(f, time.Hour, func() {})
 	l.take(1)
 	done := make(chan struct{})
 	go func() { defer close(done); _, _ = l.Write([]byte("x")) }()
@@ -266,7 +277,7 @@
 
 // Who no longer holds a line neither ends nor rests it.
 func TestLineOfAnother(t *testing.T) {
-	l := &line{Conn: &fake{n: 9}, shut: func() {}}
+	l := newLine(&fake{n: 9}, time.Hour, func() {})
 	l.take(1)
 	l.take(2)
 	l.rest(1, time.Nanosecond)
