--- /dev/null
+++ b/internal/data/proxy/reuse_test.go
@@ -0,0 +1,176 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// pair is both ends of a real connection.
+func pair(t *testing.T) (near, far *net.TCPConn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	c, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	d, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close(); d.Close() })
+	return c.(*net.TCPConn), d.(*net.TCPConn)
+}
+
+// What stands in the kernel while the process stood still is seen before a byte is sent: bytes, the
+// connection's end, its reset. It stays there for whoever reads.
+func TestWhatWaitsInTheKernelIsSeen(t *testing.T) {
+	for _, x := range []struct {
+		name string
+		do   func(far *net.TCPConn)
+		want bool
+	}{
+		{"nothing", func(*net.TCPConn) {}, false},
+		{"bytes", func(far *net.TCPConn) { _, _ = far.Write([]byte("late")) }, true},
+		{"its end", func(far *net.TCPConn) { _ = far.CloseWrite() }, true},
+		{"its reset", func(far *net.TCPConn) { _ = far.SetLinger(0); far.Close() }, true},
+	} {
+		near, far := pair(t)
+		l := newLine(near, time.Hour, func() {})
+		x.do(far)
+		if got := l.waiting(); got != x.want {
+			t.Errorf("%s: %v", x.name, got)
+		}
+		if p := make([]byte, 9); x.name == "bytes" {
+			if n, err := near.Read(p); string(p[:n]) != "late" || err != nil {
+				t.Errorf("they were taken away: %q %v", p[:n], err)
+			}
+		}
+	}
+	here, there := net.Pipe()
+	defer here.Close()
+	defer there.Close()
+	if newLine(here, time.Hour, func() {}).waiting() {
+		t.Error("a connection that can't be asked")
+	}
+}
+
+// A line that served is taken only once it is read from again, or has ended: until then bytes behind
+// the answer before may stand in net/http's buffer.
+func TestALineSettlesFirst(t *testing.T) {
+	for _, how := range []string{"read again", "ended"} {
+		synctest.Test(t, func(t *testing.T) {
+			near, far := net.Pipe()
+			l := newLine(near, time.Hour, func() {})
+			settled := make(chan struct{})
+			go func() { l.settle(); close(settled) }()
+			synctest.Wait()
+			select {
+			case <-settled:
+				t.Error("settled while nobody reads")
+			default:
+			}
+			if how == "ended" {
+				l.Close()
+			} else {
+				go func() { _, _ = l.Read(make([]byte, 1)) }()
+			}
+			<-settled
+			far.Close()
+			l.Close()
+		})
+	}
+}
+
+// captured notes the lines that a site's door opens.
+func captured(s *site) *[]*line {
+	var all []*line
+	dial := s.d.lines.t.DialContext
+	s.d.lines.t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		if l, ok := c.(*line); ok {
+			all = append(all, l)
+		}
+		return c, err
+	}
+	return &all
+}
+
+// A process that stood still comes to its lines before their timers do: none is taken that its worker
+// wasn't sure to keep so long.
+func TestALineOlderThanItsWorkerKeepsIt(t *testing.T) {
+	text := strings.Replace(okay, "Content-Length", "Keep-Alive: timeout=1\r\nContent-Length", 1)
+	for _, route := range []string{"once", "repeat"} {
+		open(t, []script{says(text)}, func(s *site) {
+			lines := captured(s)
+			if a := s.call(post(route, "a1", "b")); a.status != 200 {
+				t.Fatal(a)
+			}
+			synctest.Wait()
+			(*lines)[0].mu.Lock()
+			(*lines)[0].timer.Stop() // it doesn't run while the process stands still
+			(*lines)[0].mu.Unlock()
+			time.Sleep(900 * time.Millisecond) // of the bubble; four fifths of the second are over
+			if a := s.call(post(route, "a2", "b")); a.status != 200 {
+				t.Fatal(a)
+			}
+			if len(*lines) != 2 || s.ws[0].runs() != 2 {
+				t.Errorf("%s: %d connections, ran %d times", route, len(*lines), s.ws[0].runs())
+			}
+		})
+	}
+}
+
+// A request whose time went by while its connection came up isn't sent, and that is a promise.
+func TestNotSentOnceItsTimeIsOver(t *testing.T) {
+	open(t, []script{says(okay)}, func(s *site) {
+		dial := s.d.lines.t.DialContext
+		s.d.lines.t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			time.Sleep(4*time.Second + time.Millisecond) // of the bubble: the process stands still
+			return dial(ctx, network, addr)
+		}
+		a := s.call(post("once", "a1", "b"))
+		synctest.Wait()
+		if a.status != 503 || s.ws[0].runs() != 0 {
+			t.Errorf("%+v, ran %d times", a, s.ws[0].runs())
+		}
+	})
+}
+
+// Nothing tells the answers to requests without an id apart: each has a connection of its own.
+func TestRequestsWithoutAnID(t *testing.T) {
+	text := "HTTP/1.1 400 No\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+	open(t, []script{says(text)}, func(s *site) {
+		bare := "POST /once/x HTTP/1.1\r\nHost: any.example\r\nContent-Length: 1\r\n\r\nb"
+		for i := range 3 {
+			if a := s.call(bare); a.status != 400 || s.w.to[s.ws[0].Addr] != i+1 {
+				t.Errorf("%d: %d, %d connections", i, a.status, s.w.to[s.ws[0].Addr])
+			}
+		}
+	})
+	open(t, []script{says(okay)}, func(s *site) { // nor does one go on a line that served
+		if a := s.call(post("once", "a1", "b")); a.status != 200 {
+			t.Fatal(a)
+		}
+		s.call("POST /once/x HTTP/1.1\r\nHost: any.example\r\nContent-Length: 1\r\n\r\nb")
+		if n := s.w.to[s.ws[0].Addr]; n != 2 {
+			t.Errorf("%d connections", n)
+		}
+	})
+}
+
+// An answer that names two requests is nobody's.
+func TestAnAnswerWithTwoIDs(t *testing.T) {
+	open(t, []script{says(strings.Replace(okay, "Go-Seal", "Go-Id: other\r\nGo-Seal", 1))}, func(s *site) {
+		if a := s.call(post("once", "a1", "b")); a.status != 502 {
+			t.Errorf("%+v", a)
+		}
+	})
+}
--- /dev/null
+++ b/internal/data/proxy/search_test.go
@@ -0,0 +1,115 @@
+package proxy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"pebbleloom/internal/fleet"
+)
+
+// The search: its size, and how often a worker misbehaves.
+const (
+	searchSeeds    = 2 // unless POINT5_SEEDS says another number
+	searchClients  = 24
+	searchRequests = 30 // of each client
+	searchWorkers  = 3
+	searchConns    = 4 // to each worker
+	misbehaves     = 0.2
+	staysSilent    = 0.1 // of that
+	searchWait     = 400 * time.Millisecond
+)
+
+// planned is how a worker misbehaves at a request, by seed, worker and id alone.
+func planned(seed uint64, worker, id string) (step, fault, bool) {
+	if id == "" {
+		return 0, 0, false
+	}
+	h := seed
+	for _, c := range worker + "/" + id {
+		h = h*1099511628211 + uint64(c)
+	}
+	r := rand.New(rand.NewPCG(seed, h))
+	if r.Float64() >= misbehaves {
+		return 0, 0, false
+	}
+	s, f := headCame+step(r.IntN(int(answered-headCame)+1)), reset+fault(r.IntN(int(faults-reset)))
+	if r.Float64() < staysSilent {
+		f = silence
+	}
+	if s == halfBodyOut && f > finish { // what the worker itself puts into a body can't be told
+		s = halfHead
+	}
+	return s, f, true
+}
+
+// Many clients share few connections to workers that misbehave at every step, by a seed: every client
+// checks that its answer bears its own id and body, and the workers count what ran. One connection
+// that is used again after bytes that belong to no request is a failure.
+func TestSearchForAnswersGoneWrong(t *testing.T) {
+	seeds := searchSeeds
+	if n, err := strconv.Atoi(os.Getenv("POINT5_SEEDS")); err == nil {
+		seeds = n
+	}
+	total := map[int]int{}
+	for seed := range seeds {
+		for status, n := range searchOnce(t, uint64(seed)) {
+			total[status] += n
+		}
+		if t.Failed() {
+			t.Fatalf("seed %d", seed)
+		}
+	}
+	t.Logf("%d seeds of %d requests; by status (0: visibly broken): %v", seeds, searchClients*searchRequests, total)
+	if total[200] < seeds*searchClients*searchRequests/3 {
+		t.Errorf("too few are served for the search to show anything: %v", total)
+	}
+}
+
+func searchOnce(t *testing.T, seed uint64) map[int]int {
+	var bad []*adversary
+	var workers []fleet.Worker
+	for i := range searchWorkers {
+		name := "w" + strconv.Itoa(i)
+		a := newAdversary(t, name, func(id string, _ int) (step, fault, bool) { return planned(seed, name, id) })
+		bad, workers = append(bad, a), append(workers, a.Worker)
+	}
+	site := newRealSite(t, workers...)
+	site.d.Snapshot().Plan.Services[0].MaxConns = searchConns
+	var mu sync.Mutex
+	got := map[int]int{}
+	var all sync.WaitGroup
+	for client := range searchClients {
+		all.Go(func() {
+			r := rand.New(rand.NewPCG(seed, uint64(client)))
+			for n := range searchRequests {
+				route := []string{"repeat", "once", "once", "resume"}[r.IntN(4)]
+				id := fmt.Sprintf("s%d-c%d-n%d", seed, client, n)
+				a := site.send(route, id, searchWait)
+				runs := 0
+				for _, w := range bad {
+					runs += w.ran(id)
+				}
+				checkReply(t, route, id, a, runs)
+				mu.Lock()
+				if a.err != nil {
+					a.status = 0
+				}
+				got[a.status]++
+				mu.Unlock()
+			}
+		})
+	}
+	all.Wait()
+	for _, w := range bad {
+		if w.mu.Lock(); w.tainted > 0 {
+			t.Errorf("%s: %d requests came on connections with unexplained bytes", w.ID, w.tainted)
+		}
+		w.mu.Unlock()
+	}
+	return got
+}
