--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -289,7 +289,7 @@
 	s := &realSite{t: t, p: &picker{}}
 	b := settings.Default()
 	b.TryShare, b.TryAllow = 100, 1000
-	place := settings.Place{Name: "e1", District: "d", Public: "front", Bounds: b, Extra: []string{"log=off"},
+	place := settings.Place{Name: "e1", Zone: "d", Public: "front", Bounds: b, Extra: []string{"log=off"},
 		Site: &settings.Site{Ready: "ready", MemoryMB: 256, GraceMs: 8000, TransitMs: 20}}
 	clk := clock.Boot()
 	listen := func(name string) (net.Listener, error) {
@@ -299,7 +299,7 @@
 		}
 		return ln, err
 	}
-	l := daemon.NewIn(daemon.World{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", place)
+	l := daemon.NewIn(daemon.Environment{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", place)
 	snapshot := &fleet.Snapshot{Plan: routes(), ProofAt: clk.Now(), Edges: 1, Workers: workers}
 	s.d = newDoor(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Pick: s.p})
 	if err := s.d.open(); err != nil {
