--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -77,10 +77,10 @@
 }
 
 type state struct {
-	from  time.Duration
-	busy  bool
-	has   uint64
-	taken uint64 // orders
+	from     time.Duration
+	busy     bool
+	has      uint64
+	sequence uint64 // orders taken
 }
 
 func (h *testWorker) at(t time.Duration) state {
