--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -1,5 +1,5 @@
-// Package controlclient is the way from any process to the parts of the control state: it finds
-// the owner, goes on when one is lost, and says plainly when it can't tell.
+// Package controlclient is the client of the control state: it finds the leader of a shard, goes on
+// to another member when one is lost, and says plainly when the outcome is unknown.
 package controlclient
 
 import (
@@ -16,31 +16,31 @@
 	"pebbleloom/internal/wire"
 )
 
-// Parts is how many parts the control state is cut into. Part 0 holds the setup.
+// Shards is how many shards the control state is cut into. Shard 0 holds the configuration.
 const Shards = 8
 
-// SetupKey is the document that holds the site's setup, in part 0.
+// SetupKey is the document that holds the site's configuration, in shard 0.
 const SetupKey = "setup"
 
-// PartOf names the part of a service.
+// ShardOf gives the shard of a service.
 //
-// Example: link.PartOf("appraisals")
+// Example: controlclient.ShardOf("appraisals")
 func ShardOf(service string) uint32 { return 1 + uint32(queue.Hash(service)%(Shards-1)) }
 
-// Members names the three of the four core machines that keep a part.
+// Members names the three of the four core machines that replicate a shard.
 //
-// Example: link.Members(0, core)
-func Members(part uint32, core []string) []string {
+// Example: controlclient.Members(0, core)
+func Members(shard uint32, core []string) []string {
 	l := append([]string(nil), core...)
 	sort.Strings(l)
 	if len(l) < 4 {
 		return l
 	}
-	i := int(part) % len(l)
+	i := int(shard) % len(l)
 	return append(l[:i:i], l[i+1:]...)
 }
 
-// Control asks the parts.
+// Client sends requests to the leaders of the shards.
 type Client struct {
 	core   []string
 	view   func() clustermembership.View
@@ -49,43 +49,50 @@
 	group  *groupAddresses // nil where the core machines are named
 }
 
-// New makes the way to the parts kept by the named core machines.
+// New makes a client of the shards that the named core machines replicate.
 //
-// Example: c := link.New(place.Core, member.View, calls, place.Bounds)
+// Example: c := controlclient.New(place.Core, member.View, calls, place.Bounds)
 func New(core []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
 	return &Client{core: core, view: view, calls: calls, bounds: b}
 }
 
-// each tries a part's members in turn, the named owner first, until done says so or the
-// time is over.
-func (c *Client) eachMember(ctx context.Context, part uint32, try func(context.Context, wire.Archive) (done bool, owner string)) bool {
-	// The whole time bounds when a try may begin; a try that has begun has its own, so that the
+// outcome is what one attempt came to.
+type outcome struct {
+	done     bool   // no further attempt is needed, or none may be made
+	answered bool   // a response came, whatever it says
+	leader   string // whom the response names as the leader
+}
+
+// eachMember asks a shard's members in turn, whom one names as the leader right after it, until done
+// says so or the time is over. size is that of the request's body.
+func (c *Client) eachMember(ctx context.Context, shard uint32, size int, try func(context.Context, wire.Archive) outcome) bool {
+	// The whole time bounds when an attempt may begin; one that has begun has its own, so that the
 	// end of the whole doesn't leave an answer unheard.
 	if c.group != nil {
-		return c.eachAddress(ctx, try)
+		return c.eachAddress(ctx, size, try)
 	}
-	asker := ctx
+	caller := ctx
 	ctx, end := context.WithTimeout(ctx, c.bounds.Heal(0.5))
 	defer end()
-	ms := Members(part, c.core)
+	members := Members(shard, c.core)
 	next := ""
 	for i := 0; ctx.Err() == nil; i++ {
-		m := ms[i%len(ms)]
+		m := members[i%len(members)]
 		if next != "" {
 			m, next = next, ""
 		}
 		if addr, ok := c.view().Addr("archive/" + m); ok {
-			one, stop := context.WithTimeout(asker, c.bounds.Heal(1.0/8))
-			done, owner := try(one, c.calls.ControlNode(addr))
+			attempt, stop := context.WithTimeout(caller, c.bounds.Heal(1.0/8))
+			got := try(attempt, c.calls.ControlNode(addr))
 			stop()
-			if done {
+			if got.done {
 				return true
 			}
-			if owner != m {
-				next = owner
+			if got.leader != m {
+				next = got.leader
 			}
 		}
-		if i%len(ms) == len(ms)-1 {
+		if i%len(members) == len(members)-1 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(c.bounds.Heal(1.0 / 120)):
@@ -98,66 +105,66 @@
 // Change makes a change once. A put without a token isn't asked again after an answer was
 // lost, so that it can't happen twice.
 //
-// Example: t, err := c.Change(ctx, &wire.ChangeAsk{Part: 0, Command: cmd})
+// Example: response, err := c.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
 func (c *Client) Change(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	var got *wire.ChangeResponse
 	lost := false
 	put := a.Command.GetPut()
 	once := put != nil && put.Token == "" && put.AnyVersion
 	guarded := put != nil && put.Token == "" && !put.AnyVersion
-	c.eachMember(ctx, a.Shard, func(ctx context.Context, n wire.Archive) (bool, string) {
+	c.eachMember(ctx, a.Shard, len(put.GetBody()), func(ctx context.Context, n wire.Archive) outcome {
 		t, err := n.Change(ctx, a)
 		if err != nil || t.Outcome == wire.OutcomeUnknown {
 			// A refused connection proves that it never began; anything else doesn't.
 			lost = lost || err == nil || !strings.Contains(err.Error(), "connection refused")
-			return lost && once, ""
+			return outcome{done: lost && once, answered: err == nil}
 		}
 		if t.Outcome == wire.OutcomeNotLeader || t.Outcome == wire.OutcomeOverloaded {
-			return false, t.Leader
+			return outcome{answered: true, leader: t.Leader}
 		}
 		got = t
-		return true, ""
+		return outcome{done: true, answered: true}
 	})
 	if got == nil && lost && !a.DryRun {
 		return nil, errs.New(errs.MayHaveRun, "the change was sent, and no answer came")
 	}
 	if got == nil {
-		return nil, errs.New(errs.CantSay, "part %d has no owner that answers", a.Shard)
+		return nil, errs.New(errs.CantSay, "shard %d has no leader that answers", a.Shard)
 	}
 	if got.Outcome == wire.OutcomeConflict && lost && guarded {
-		return nil, errs.New(errs.MayHaveRun, "an answer was lost, and epoch %d is in force now: read it back", got.Version)
+		return nil, errs.New(errs.MayHaveRun, "an answer was lost, and version %d is in force now: read it back", got.Version)
 	}
 	return got, ErrorOf(got)
 }
 
-// Verdict is the error that the answer to a change amounts to; nil where it was made.
+// ErrorOf is the error that the response to a change amounts to; nil where it was made.
 //
-// Example: err := link.Verdict(tell)
+// Example: err := controlclient.ErrorOf(response)
 func ErrorOf(t *wire.ChangeResponse) error {
 	switch t.Outcome {
 	case wire.OutcomeDone, wire.OutcomeValid:
 		return nil
 	case wire.OutcomeConflict:
-		return errs.New(errs.Conflict, "epoch or fence in force: %d/%d %s", t.Version, t.Fence, t.Leader)
+		return errs.New(errs.Conflict, "version or fence in force: %d/%d %s", t.Version, t.Fence, t.Leader)
 	}
 	return errs.New(errs.Named(t.Outcome), "%s", strings.Join(t.Errors, "; "))
 }
 
 // Read reads what was acknowledged, or says that it can't tell.
 //
-// Example: t, err := c.Read(ctx, &wire.ReadAsk{Part: 0, Key: "setup"})
+// Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.SetupKey})
 func (c *Client) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
 	var got *wire.ReadResponse
-	c.eachMember(ctx, a.Shard, func(ctx context.Context, n wire.Archive) (bool, string) {
+	c.eachMember(ctx, a.Shard, 0, func(ctx context.Context, n wire.Archive) outcome {
 		t, err := n.Read(ctx, a)
 		if err != nil || t.Outcome != wire.OutcomeDone {
-			return false, t.GetLeader()
+			return outcome{answered: err == nil, leader: t.GetLeader()}
 		}
 		got = t
-		return true, ""
+		return outcome{done: true, answered: true}
 	})
 	if got == nil {
-		return nil, errs.New(errs.CantSay, "part %d has no owner that answers", a.Shard)
+		return nil, errs.New(errs.CantSay, "shard %d has no leader that answers", a.Shard)
 	}
 	return got, nil
 }
--- /dev/null
+++ b/internal/control/controlclient/cut_off_test.go
@@ -0,0 +1,154 @@
+package controlclient
+
+import (
+	"context"
+	"fmt"
+	"net/http/httptest"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// peer is a member that answers, or that is cut off and says nothing until its caller gives up.
+type peer struct {
+	wire.Archive
+	name string
+	all  *peers
+}
+
+// peers are the members of a group; the fields say how each answers.
+type peers struct {
+	mu     sync.Mutex
+	silent map[string]bool
+	leader string // who leads it
+	named  string // whom the others name
+	asked  []string
+	addr   map[string]string
+}
+
+func (p *peer) Change(ctx context.Context, _ *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+	p.all.mu.Lock()
+	p.all.asked = append(p.all.asked, p.name)
+	silent, leads, named := p.all.silent[p.name], p.all.leader == p.name, p.all.addr[p.all.named]
+	p.all.mu.Unlock()
+	switch {
+	case silent:
+		<-ctx.Done()
+		return nil, ctx.Err()
+	case leads:
+		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7}, nil
+	}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: named}, nil
+}
+
+func newPeers(t *testing.T, names ...string) (*peers, *Client) {
+	l := &peers{silent: map[string]bool{}, addr: map[string]string{}}
+	var seeds []string
+	for _, n := range names {
+		s := httptest.NewServer(wire.NewArchiveServer(&peer{name: n, all: l}))
+		t.Cleanup(s.Close)
+		l.addr[n] = s.Listener.Addr().String()
+		seeds = append(seeds, l.addr[n])
+	}
+	b := settings.Default()
+	b.HealMs = 6000 // an attempt lasts 250 ms
+	view := func() clustermembership.View { return clustermembership.View{} }
+	return l, NewGroup(seeds, view, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
+}
+
+// play sends one change under new circumstances, and tells who was asked.
+func (l *peers) play(c *Client, f func()) (asked []string, err error) {
+	l.mu.Lock()
+	f()
+	l.asked = nil
+	l.mu.Unlock()
+	_, err = c.Change(context.Background(), put("t", false))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.asked, err
+}
+
+// A member that gave no answer is asked after all others, also where one of them still names it as
+// the leader; once it has answered it counts as before.
+func TestASilentMemberIsAskedLast(t *testing.T) {
+	l, c := newPeers(t, "a", "b", "c")
+	for _, x := range []struct {
+		what string
+		f    func()
+		want string
+	}{
+		{"a leads", func() { l.leader = "a" }, "[a]"},
+		{"a is cut off, b leads", func() { l.silent["a"], l.leader = true, "b" }, "[a b]"},
+		{"b is known to lead", func() {}, "[b]"},
+		{"b steps down and still names a, c leads", func() { l.leader, l.named = "c", "a" }, "[b c]"},
+		{"a is back and leads", func() { l.silent["a"], l.leader = false, "a" }, "[c b a]"},
+		{"a counts again", func() {}, "[a]"},
+	} {
+		asked, err := l.play(c, x.f)
+		if got := fmt.Sprint(asked); err != nil || got != x.want {
+			t.Errorf("%s: asked %s, want %s: %v", x.what, got, x.want, err)
+		}
+	}
+}
+
+// A process that reaches nobody says so long before its caller's time is over, and the sooner the
+// longer it is so; each of the others is still asked.
+func TestACutOffProcessSaysSoSoon(t *testing.T) {
+	l, c := newPeers(t, "a", "b", "c")
+	clk := clock.Boot()
+	for i, most := range []time.Duration{1200 * time.Millisecond, 600 * time.Millisecond} {
+		begun := clk.Now()
+		asked, err := l.play(c, func() { l.silent["a"], l.silent["b"], l.silent["c"] = true, true, true })
+		if d := clk.Now() - begun; err == nil || errs.KindOf(err).HTTP < 500 || d > most {
+			t.Errorf("order %d: %v after %v", i, err, d)
+		}
+		if slices.Sort(asked); fmt.Sprint(asked) != "[a b c]" {
+			t.Errorf("order %d: asked %v", i, asked)
+		}
+	}
+}
+
+// A member that was restarted knows its peers from its log, where its seeds are cut off; its own
+// address is the last.
+func TestMembersOfTheLogAreAsked(t *testing.T) {
+	l, c := newPeers(t, "a", "b")
+	c.SetSeeds([]string{l.addr["a"]})
+	c.SetMembers(l.addr["a"]+"/0", []string{l.addr["a"] + "/0", l.addr["b"] + "/7"})
+	if got := fmt.Sprint(c.Addresses()); got != fmt.Sprint([]string{l.addr["b"], l.addr["a"]}) {
+		t.Errorf("addresses: %v", got)
+	}
+	if asked, err := l.play(c, func() { l.leader = "b" }); err != nil || fmt.Sprint(asked) != "[b]" {
+		t.Errorf("asked %v: %v", asked, err)
+	}
+}
+
+// A large body has more time in each attempt.
+func TestALargeBodyHasMoreTime(t *testing.T) {
+	_, c := newPeers(t, "a")
+	if a, b := c.attemptTime(0), c.attemptTime(attemptBytes); b != 2*a || a != 250*time.Millisecond {
+		t.Errorf("%v and %v", a, b)
+	}
+}
+
+// A conflict of the past, told by a member that was cut off, takes no lease away.
+func TestAStaleConflictTakesNoLeaseAway(t *testing.T) {
+	clk := &clock.Hand{T: time.Minute}
+	l := NewLease(nil, clk, "d", 1, "a", 8*time.Second)
+	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 5})
+	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
+	if fence, held := l.Held(); !held || fence != 5 || l.Ask().IfFence != 5 {
+		t.Errorf("held %v under fence %d", held, fence)
+	}
+	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 6, Leader: "b"})
+	if fence, held := l.Held(); held || fence != 6 {
+		t.Errorf("another holds it, yet: held %v under fence %d", held, fence)
+	}
+}
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -4,7 +4,9 @@
 	"context"
 	"slices"
 	"strings"
+	"sync"
 	"sync/atomic"
+	"time"
 
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/control/clustermembership"
@@ -13,52 +15,81 @@
 	"pebbleloom/internal/wire"
 )
 
-// seats is how a group whose membership is agreed data is found.
+// groupAddresses is how the members of a group are found whose membership is agreed data.
 type groupAddresses struct {
-	seeds  atomic.Pointer[[]string]
-	leader atomic.Pointer[string] // the address that owned it the last time
+	seeds   atomic.Pointer[[]string]
+	members atomic.Pointer[[]string] // addresses of the newest membership that this process knows
+	leader  atomic.Pointer[string]   // the address that led the group the last time
+	self    atomic.Pointer[string]   // this process's own address, where it is a member itself
+
+	mu     sync.Mutex
+	silent map[string]bool // addresses that gave no answer the last time
 }
 
-// How long one try may last, and the pause between two rounds, as ratios of the heal bound.
+// How long one attempt may last, and the pause between two rounds, as ratios of the heal bound. A
+// body of attemptBytes makes an attempt as long again. Where nobody else has answered lately, this
+// process is probably the one that is cut off, and an attempt gets silentPart of that time.
 const (
-	tryPart   = 1.0 / 24
-	pausePart = 1.0 / 80
+	attemptPart  = 1.0 / 24
+	attemptBytes = 256 << 10
+	silentPart   = 1.0 / 4
+	pausePart    = 1.0 / 80
 )
 
-// NewGroup makes the way to the one group of a site whose core machines nobody names.
+// maxSilent bounds how many silent addresses are remembered.
+const maxSilent = 256
+
+// NewGroup makes a client of the one group of a site whose core machines nobody names.
 //
-// Example: c := link.NewGroup(place.Seeds, member.View, calls, place.Bounds)
+// Example: c := controlclient.NewGroup(place.Seeds, member.View, calls, place.Bounds)
 func NewGroup(seeds []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
-	c := &Client{view: view, calls: calls, bounds: b, group: &groupAddresses{}}
+	c := &Client{view: view, calls: calls, bounds: b, group: &groupAddresses{silent: map[string]bool{}}}
 	c.SetSeeds(seeds)
 	return c
 }
 
-// SetSeeds changes the seeds at run time.
+// SetSeeds replaces the seed addresses at run time.
 //
 // Example: c.SetSeeds(place.Seeds)
 func (c *Client) SetSeeds(l []string) { c.group.seeds.Store(&l) }
 
-// Addr is the address inside a member's name, "IP:PORT/LIFE".
+// SetMembers gives the newest membership that this process knows, and its own name in the group. A
+// member that was restarted knows its peers from its log, also where its seeds can't be reached.
+//
+// Example: c.SetMembers("10.1.0.17:7360/8f3a", []string{"10.1.0.17:7360/8f3a", "10.2.0.24:7360/0"})
+func (c *Client) SetMembers(self string, members []string) {
+	addresses := make([]string, 0, len(members))
+	for _, m := range members {
+		addresses = append(addresses, Addr(m))
+	}
+	own := Addr(self)
+	c.group.members.Store(&addresses)
+	c.group.self.Store(&own)
+}
+
+// Addr is the address inside a member's name, "IP:PORT/INCARNATION".
 //
-// Example: link.Addr("10.1.0.17:7360/8f3a") == "10.1.0.17:7360"
+// Example: controlclient.Addr("10.1.0.17:7360/8f3a") == "10.1.0.17:7360"
 func Addr(member string) string {
 	a, _, _ := strings.Cut(member, "/")
 	return a
 }
 
-// Hint names the owner as somebody else has heard it.
+// HintLeader names the leader as somebody else has heard it; an empty name says nothing.
 //
-// Example: c.Hint("10.1.0.17:7360/8f3a")
-func (c *Client) HintLeader(owner string) {
-	if a := Addr(owner); a != "" {
+// Example: c.HintLeader("10.1.0.17:7360/8f3a")
+func (c *Client) HintLeader(leader string) {
+	if a := Addr(leader); a != "" {
 		c.group.leader.Store(&a)
 	}
 }
 
-// Seats lists where members may be, the likeliest first.
+// Addresses lists where members may be, the likeliest first: the leader as last heard of, the nodes
+// of the cluster membership, the members of the newest membership, the seeds. Those that gave no
+// answer the last time come after all others, and this process's own address, which it has asked
+// without the network, at the end.
 //
-// Example: for _, addr := range c.Seats() { ask(addr) }
+// Example: for _, addr := range c.Addresses() { ask(addr) }
 func (c *Client) Addresses() []string {
 	var l []string
 	add := func(a string) {
@@ -72,38 +103,139 @@
 	for _, n := range c.view().Role("archive") {
 		add(n.Addr)
 	}
+	if ms := c.group.members.Load(); ms != nil {
+		for _, m := range *ms {
+			add(m)
+		}
+	}
 	for _, s := range *c.group.seeds.Load() {
 		add(s)
 	}
+	return c.group.silentLast(l)
+}
+
+// silentLast orders the addresses by how likely they are to answer.
+func (g *groupAddresses) silentLast(l []string) []string {
+	rank := func(a string) int {
+		switch {
+		case g.isSelf(a):
+			return 2
+		case g.isSilent(a):
+			return 1
+		}
+		return 0
+	}
+	slices.SortStableFunc(l, func(a, b string) int { return rank(a) - rank(b) })
 	return l
 }
 
-// eachSeat tries the seats in turn, whom one names as owner right after it, until done says so
-// or the time is over.
-func (c *Client) eachAddress(asker context.Context, try func(context.Context, wire.Archive) (done bool, owner string)) bool {
-	ctx, end := context.WithTimeout(asker, c.bounds.Heal(0.5))
+func (g *groupAddresses) isSelf(addr string) bool {
+	own := g.self.Load()
+	return own != nil && *own == addr
+}
+
+// note remembers whether an address has answered.
+func (g *groupAddresses) note(addr string, answered bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if answered {
+		delete(g.silent, addr)
+		return
+	}
+	if len(g.silent) >= maxSilent {
+		clear(g.silent) // it is only an order to ask in
+	}
+	g.silent[addr] = true
+}
+
+func (g *groupAddresses) isSilent(addr string) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.silent[addr]
+}
+
+// onlySilent tells whether every other address was silent the last time it was asked.
+func (g *groupAddresses) onlySilent(l []string) bool {
+	others := 0
+	for _, a := range l {
+		if g.isSelf(a) {
+			continue
+		}
+		if others++; !g.isSilent(a) {
+			return false
+		}
+	}
+	return others > 0
+}
+
+// eachAddress asks the addresses in turn, whom one names as the leader right after it, until done
+// says so, the time is over, or a whole round shows that nobody else can be reached: then the
+// caller is told so while it can still ask elsewhere. size is that of the request's body.
+func (c *Client) eachAddress(caller context.Context, size int, try func(context.Context, wire.Archive) outcome) bool {
+	ctx, end := context.WithTimeout(caller, c.bounds.Heal(0.5))
 	defer end()
 	for ctx.Err() == nil {
-		todo, tried := c.Addresses(), map[string]bool{}
-		for len(todo) > 0 && ctx.Err() == nil {
-			addr := todo[0]
-			if todo = todo[1:]; tried[addr] {
-				continue
-			}
-			tried[addr] = true
-			one, stop := context.WithTimeout(asker, c.bounds.Heal(tryPart))
-			done, owner := try(one, c.calls.ControlNode(addr))
-			stop()
-			if done {
-				c.HintLeader(addr)
-				return true
-			}
-			if owner != "" {
-				c.HintLeader(owner)
-				todo = append([]string{Addr(owner)}, todo...)
-			}
+		if c.askRound(ctx, caller, size, try) {
+			return true
+		}
+		if c.group.onlySilent(c.Addresses()) {
+			return false
 		}
 		clock.Pause(ctx, c.bounds.Heal(pausePart))
 	}
 	return false
 }
+
+// askRound asks each address once.
+func (c *Client) askRound(ctx, caller context.Context, size int, try func(context.Context, wire.Archive) outcome) bool {
+	todo, asked := c.Addresses(), map[string]bool{}
+	limit := c.attemptTime(size)
+	least := time.Duration(float64(limit) * silentPart)
+	if c.group.onlySilent(todo) {
+		limit = least
+	}
+	for len(todo) > 0 && ctx.Err() == nil {
+		addr := todo[0]
+		if todo = todo[1:]; asked[addr] {
+			continue
+		}
+		asked[addr] = true
+		waited := time.NewTimer(least)
+		attempt, stop := context.WithTimeout(caller, limit)
+		got := try(attempt, c.calls.ControlNode(addr))
+		stop()
+		if got.answered || fired(waited) { // a refused connection or the caller's own end proves nothing
+			c.group.note(addr, got.answered)
+		}
+		if got.done {
+			c.HintLeader(addr)
+			return true
+		}
+		if got.leader == "" {
+			continue
+		}
+		c.HintLeader(got.leader)
+		if named := Addr(got.leader); c.group.isSilent(named) {
+			todo = append(todo, named) // others first: it may be the one that is cut off
+		} else {
+			todo = append([]string{named}, todo...)
+		}
+	}
+	return false
+}
+
+// fired stops a timer and tells whether its time is over.
+func fired(t *time.Timer) bool {
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return true
+	default:
+		return false
+	}
+}
+
+// attemptTime is how long one attempt may last for a body of a size.
+func (c *Client) attemptTime(size int) time.Duration {
+	return c.bounds.Heal(attemptPart * (1 + float64(size)/attemptBytes))
+}
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -10,8 +10,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// Lease is a duty's lease as its holder sees it. It is counted from when it was asked for,
-// by a clock that counts sleep; so it ends here before it can be granted to another.
+// Lease is a lease as its holder sees it. It is counted from when it was requested, by a clock that
+// counts sleep; so it ends here before it can be granted to another.
 type Lease struct {
 	Duty   string
 	Part   uint32
@@ -25,9 +25,9 @@
 	until time.Duration
 }
 
-// NewLease prepares to hold a duty; nothing is asked yet.
+// NewLease prepares to hold a lease; nothing is requested yet.
 //
-// Example: l := link.NewLease(ctl, clk, "appraise/lector", link.PartOf("lector"), "core-1/8f", 3*time.Second)
+// Example: l := controlclient.NewLease(ctl, clk, "appraise/lector", controlclient.ShardOf("lector"), "core-1/8f", 3*time.Second)
 func NewLease(ctl *Client, clk clock.Clock, duty string, part uint32, holder string, ttl time.Duration) *Lease {
 	return &Lease{Duty: duty, Part: part, Holder: holder, TTL: ttl, clk: clk, ctl: ctl}
 }
@@ -41,7 +41,7 @@
 	return l.fence, l.clk.Now() < l.until
 }
 
-// Ask is the grant to ask for at an instant.
+// Ask is the grant to request at an instant.
 //
 // Example: g := l.Ask()
 func (l *Lease) Ask() *wire.Grant {
@@ -50,24 +50,28 @@
 	return &wire.Grant{Lease: l.Duty, Holder: l.Holder, TtlNs: uint64(l.TTL), IfFence: l.fence}
 }
 
-// Tell takes the answer to a grant asked for at an instant.
+// Tell takes the response to a grant requested at an instant. A fence never falls: a conflict under
+// a lower one than is known here is of a member that was cut off, and says nothing about now.
 //
-// Example: l.Tell(askedAt, tell)
+// Example: l.Tell(requestedAt, response)
 func (l *Lease) Tell(asked time.Duration, t *wire.ChangeResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch t.GetOutcome() {
-	case "done":
+	case wire.OutcomeDone:
 		l.fence, l.until = t.Fence, max(l.until, asked+l.TTL-time.Duration(float64(l.TTL)*settings.MarginPart))
 	case wire.OutcomeConflict:
-		// Another holds it, or an earlier answer was lost: learn the fence and ask again later.
+		if t.Fence < l.fence {
+			return
+		}
+		// Another holds it, or an earlier response was lost: learn the fence and ask again later.
 		if l.fence = t.Fence; t.Leader != l.Holder {
 			l.until = 0
 		}
 	}
 }
 
-// Renew asks for the lease, or for more of it.
+// Renew requests the lease, or more of it.
 //
 // Example: err := l.Renew(ctx)
 func (l *Lease) Renew(ctx context.Context) error {
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -95,20 +95,21 @@
 	}
 	defer release()
 	response, committed := p.proposeAndWait(ctx, request, m)
-	if committed || request.Command.GetPut() == nil || !isRefusal(response.Outcome) {
+	if committed || request.Command.GetPut() == nil || !judgedByState(response.Outcome) {
 		return response
 	}
-	if response := p.confirmState(ctx); response != nil {
+	if response := p.confirmState(ctx, request); response != nil {
 		return response
 	}
 	response, _ = p.proposeAndWait(ctx, request, m)
 	return response
 }
 
-// isRefusal tells whether an outcome ends a change for good: it isn't sent again.
-func isRefusal(outcome wire.Outcome) bool {
+// judgedByState tells whether an outcome ends a change for good, or says of a dry run what would
+// come of it: both are judged by the applied state.
+func judgedByState(outcome wire.Outcome) bool {
 	switch outcome {
-	case wire.OutcomeDone, wire.OutcomeValid, wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
+	case wire.OutcomeDone, wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
 		return false
 	}
 	return true
@@ -116,7 +117,9 @@
 
 // confirmState returns nil once a quorum has confirmed that this member is the leader and its applied
 // state holds all that was acknowledged before the call; otherwise the answer to a change that never began.
-func (p *shard) confirmState(ctx context.Context) *wire.ChangeResponse {
+func (p *shard) confirmState(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
+	ctx, end := p.confirmContext(ctx, len(request.Command.GetPut().GetBody()))
+	defer end()
 	switch read := p.read(ctx, &wire.ReadRequest{}); read.Outcome {
 	case wire.OutcomeDone:
 		return nil
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -12,9 +12,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// glimpse is what a member held at one moment. It is shown after its disk holds it and before
-// anybody hears so; so whoever sees a glimpse sees all that this member has acknowledged to
-// hold, also while its thread waits for the disk.
+// publishedView is what a member held at one moment. It is published after its disk holds it and
+// before any peer hears so; so whoever reads the view sees all that this member has acknowledged
+// to hold, also while its thread waits for the disk.
 type publishedView struct {
 	self      string
 	docs      map[string]*wire.Document
@@ -29,38 +29,38 @@
 	changed   chan struct{} // closed once there is news
 }
 
-// glimpses shows the newest.
+// viewPublisher holds the newest view.
 type viewPublisher struct {
 	p       atomic.Pointer[publishedView]
-	waiting atomic.Int64 // questions that are held
+	waiting atomic.Int64 // requests that are held
 }
 
 func (g *viewPublisher) current() *publishedView { return g.p.Load() }
 
-// show makes a new glimpse where a step has changed what it shows. It wakes those that are
-// held only when there is something to tell.
+// publish makes a new view where a step has changed what it shows. It wakes the requests that are
+// held only when there is something to answer.
 func (p *shard) publish(o consensus.Ready) {
 	if p.group == nil {
 		return
 	}
 	old, s := p.published.current(), p.core.Status()
 	fresh := old == nil || o.Install != nil
-	owns := s.IsLeader && p.failure == nil
-	if !fresh && len(o.Records) == 0 && len(o.Committed) == 0 && old.leader == s.Leader && old.isLeader == owns && p.failure == nil {
+	isLeader := s.IsLeader && p.failure == nil
+	if !fresh && len(o.Records) == 0 && len(o.Committed) == 0 && old.leader == s.Leader && old.isLeader == isLeader && p.failure == nil {
 		return
 	}
-	if owns && (old == nil || !old.isLeader) {
-		p.log.Info("owns the group", "term", s.Term)
+	if isLeader && (old == nil || !old.isLeader) {
+		p.log.Info("leads the group", "term", s.Term)
 	}
-	g := &publishedView{leader: s.Leader, isLeader: owns, unapplied: pendingVersions(p.core.Unapplied())}
+	g := &publishedView{leader: s.Leader, isLeader: isLeader, unapplied: pendingVersions(p.core.Unapplied())}
 	g.members, g.term, g.index = p.core.Members()
 	g.self = p.core.Self()
 	g.votes = p.failure == nil && p.core.IsVoter(g.self)
-	put := fresh
+	changed := fresh
 	for _, e := range o.Committed {
-		put = put || len(e.Body) > 0
+		changed = changed || len(e.Body) > 0
 	}
-	if put {
+	if changed {
 		g.docs = maps.Clone(p.state.docs)
 		g.packed = packed(g.docs, old)
 	} else {
@@ -82,12 +82,12 @@
 	p.published.p.Store(g)
 }
 
-// maxHolds is how many questions are held at once; more are answered without being held.
+// maxHolds is how many requests are held at once; more are answered without being held.
 const maxHolds = 1024
 
 // Follow answers a long poll over several documents.
 //
-// Example: t, err := a.Follow(ctx, &wire.FollowAsk{Have: have, HoldNs: 1e9, Proof: "plan"})
+// Example: response, err := n.Follow(ctx, &wire.FollowRequest{Have: have, HoldNs: 1e9, Proof: "plan"})
 func (n *Node) Follow(ctx context.Context, a *wire.FollowRequest) (*wire.FollowResponse, error) {
 	p := n.shards[0]
 	if p == nil || p.group == nil {
@@ -110,14 +110,15 @@
 			over = true
 		case <-ctx.Done():
 			over = true
-		case <-draining: // what is held now is answered soon; not at once, it would be asked again
+		case <-draining: // what is held now is answered soon; not at once, or it would come back at once
 			draining = nil
 			end.Reset(min(hold, n.life.Place.Bounds.Heal(groupTick)))
 		}
 	}
 }
 
-// tell is the answer that this glimpse gives.
+// followResponse is the answer that this view gives. NothingNewer is the word of a member that has a
+// vote, of its own disk alone: agent.Proof says what a majority of such words proves.
 func (g *publishedView) followResponse(a *wire.FollowRequest) *wire.FollowResponse {
 	t := &wire.FollowResponse{Member: g.self, Members: g.members, MembersTerm: g.term, MembersIndex: g.index, Leader: g.leader}
 	have := make(map[string]uint64, len(a.Have))
@@ -147,7 +148,7 @@
 	return t
 }
 
-// packed packs documents; those that a glimpse before showed already aren't packed again.
+// packed packs documents; those that the view before held already aren't packed again.
 func packed(docs map[string]*wire.Document, old *publishedView) map[string]*wire.Document {
 	m := make(map[string]*wire.Document, len(docs))
 	for k, d := range docs {
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -124,21 +124,6 @@
 	}
 }
 
-// confirm sees to it that a plan is judged by all that was acknowledged before, and not by
-// what an owner of the past still holds. Nil: go on.
-func (p *shard) confirmLeadership(ctx context.Context, a *wire.ChangeRequest) *wire.ChangeResponse {
-	if p.group == nil || a.Command.GetPut().GetKey() != p.validatedKey() {
-		return nil
-	}
-	switch t := p.read(ctx, &wire.ReadRequest{}); t.Outcome {
-	case wire.OutcomeDone:
-		return nil
-	case wire.OutcomeNotLeader:
-		return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: t.Leader}
-	}
-	return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // it never began
-}
-
 // lay merges a plan, or named items of one, onto the one in force.
 func (p *shard) mergePlan(m *merged, old *wire.Document, u *wire.Put, part bool) {
 	m.body, m.version, m.err = p.codec.Merge(old.GetBody(), u.Body, part)
@@ -162,7 +147,7 @@
 	n.transport = newTransport(l.Ctx, n)
 	tick := l.Place.Bounds.Heal(groupTick)
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
-	p.keepIDs = l.Place.Bounds.Once(1)
+	p.keepIDs, p.confirmTime = l.Place.Bounds.Once(1), settings.Of(s.AckMs, waitPart*confirmPart)
 	openGroup(p, &group{codec: codec, disk: disk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.Tolerate + 1, retryOpenTicks: int(retryOpenPart / groupTick),
 		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Place.Name)))},
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -31,6 +31,7 @@
 	dark  map[string]bool // an address that says nothing
 	seeds []string
 	seed  uint64
+	net   *network // nil: pipes that lose what is sent while a machine is dark
 }
 
 type pipes struct {
@@ -113,7 +114,10 @@
 
 func (g *ground) addr(i int) string { return fmt.Sprintf("10.0.0.%d:7360", i) }
 
-func (g *ground) dial(_ context.Context, from, addr string) (net.Conn, error) {
+func (g *ground) dial(ctx context.Context, from, addr string) (net.Conn, error) {
+	if g.net != nil {
+		return g.net.dial(ctx, g, from, addr)
+	}
 	g.mu.Lock()
 	p, dark := g.doors[addr], g.dark[addr] || g.dark[from]
 	g.mu.Unlock()
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// meters shows how this node stands, over all its parts.
+// meters shows the status of this node, summed over its shards.
 func (n *Node) meters() {
 	sum := func(f func(*wire.ShardStatus) float64) func() float64 {
 		return func() (v float64) {
@@ -30,8 +30,8 @@
 		return 0
 	}
 	m := n.life.Meter
-	m.Gauge("pebbleloom_parts_owned", "parts that this node owns", sum(func(p *wire.ShardStatus) float64 { return is(p.IsLeader) }))
-	m.Gauge("pebbleloom_parts_out", "parts whose member here is out, blank or stuck", sum(func(p *wire.ShardStatus) float64 {
+	m.Gauge("pebbleloom_parts_owned", "shards that this node leads", sum(func(p *wire.ShardStatus) float64 { return is(p.IsLeader) }))
+	m.Gauge("pebbleloom_parts_out", "shards whose member here is out, blank or stuck", sum(func(p *wire.ShardStatus) float64 {
 		return is(p.Failure != "" || p.Blank || p.Stuck != "")
 	}))
 	m.Gauge("pebbleloom_state_bytes", "bytes of state kept", sum(func(p *wire.ShardStatus) float64 { return float64(p.StateBytes) }))
@@ -39,7 +39,7 @@
 	m.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(p *wire.ShardStatus) float64 { return float64(p.Last - p.Applied) }))
 }
 
-// groupMeters shows how this member stands in a group whose membership is agreed data.
+// groupMeters shows the status of this member in a group whose membership is agreed data.
 func (n *Node) groupMeters(p *shard) {
 	m := n.life.Meter
 	m.Gauge("pebbleloom_group_members", "members of the newest membership that this one knows", func() float64 { return float64(len(p.published.current().members)) })
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -23,7 +23,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node is a control node: its parts, and the letters between it and its colleagues.
+// Node is a control node: its shards, and the messages between it and its peers.
 type Node struct {
 	life        *daemon.Process
 	shards      map[uint32]*shard
@@ -38,7 +38,7 @@
 
 // Start runs a control node.
 //
-// Example: daemon.Main("archive", "control node", need, archive.Start)
+// Example: daemon.Main("archive", "control node", need, controlstate.Start)
 func Start(l *daemon.Process) error {
 	n := &Node{life: l, shards: map[uint32]*shard{}, out: map[string]*queue.Ring[*wire.Message]{}, calls: daemon.NewClients(l)}
 	clk := l.Clock
@@ -64,11 +64,11 @@
 		}
 		p, err := openShard(l.Ctx, cfg, disk(l, fmt.Sprintf("part-%d", i)), fresh, clk, l.Log, n.send)
 		if err != nil {
-			// One part's bad disk doesn't take the others out.
-			l.Log.Error("part stays closed", "part", i, "error", errs.Text(err))
+			// One shard's bad disk doesn't take the others out.
+			l.Log.Error("shard stays closed", "shard", i, "error", errs.Text(err))
 			continue
 		}
-		p.keepIDs = l.Place.Bounds.Once(1)
+		p.keepIDs, p.confirmTime = l.Place.Bounds.Once(1), l.Place.Bounds.Heal(servePart*confirmPart)
 		n.shards[i] = p
 		l.Go(func() { p.run(tick) })
 	}
@@ -91,11 +91,11 @@
 	n.meters()
 	l.Every(l.Place.Bounds.Heal(0.25), func() { n.followSeeds(ctl) })
 	l.Ready.Store(true)
-	l.Log.Info("serving", "parts", len(n.shards), "life", n.incarnation)
+	l.Log.Info("serving", "shards", len(n.shards), "incarnation", n.incarnation)
 	return nil
 }
 
-// followSeeds takes the seeds that the setup in force names.
+// followSeeds takes the seeds that the configuration in force names.
 func (n *Node) followSeeds(ctl *controlclient.Client) {
 	t, err := ctl.Read(n.life.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
 	if err != nil || len(t.Documents) == 0 {
@@ -115,17 +115,17 @@
 	return false
 }
 
-// disk is a part's folder; where the place names a switch, faults can be brought about.
-func disk(l *daemon.Process, part string) storage.Disk {
-	d := l.Disk(filepath.Join(l.Place.Data, part))
+// disk is a shard's folder; where the place names a switch, faults can be brought about.
+func disk(l *daemon.Process, folder string) storage.Disk {
+	d := l.Disk(filepath.Join(l.Place.Data, folder))
 	if f := l.Place.Option("faults", ""); f != "" {
 		return storage.Faulty(d, f)
 	}
 	return d
 }
 
-// post hands a letter to the thread that carries letters to its colleague. A full ring
-// drops it: letters may be lost.
+// send hands a message to the thread that carries messages to its receiver. A full ring
+// drops it: messages may be lost.
 func (n *Node) send(l *wire.Message) {
 	if r := n.out[l.To]; r != nil {
 		r.Offer(l)
@@ -147,18 +147,18 @@
 			_, err := n.calls.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
 			end()
 			if err != nil {
-				n.life.Log.Debug("letters lost", "to", to, "letters", len(ls), "error", err)
+				n.life.Log.Debug("messages lost", "to", to, "messages", len(ls), "error", err)
 			}
 		}
 	}
 }
 
-// Post takes letters from a colleague.
+// Post takes messages from a peer.
 //
-// Example: wire.NewArchiveProtobufClient(url, h).Post(ctx, parcel)
+// Example: receipt, err := wire.NewArchiveProtobufClient(url, h).Post(ctx, batch)
 func (n *Node) Post(_ context.Context, p *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	if p.Format != 1 {
-		return nil, twirp.InvalidArgumentError("epoch", "this node reads epoch 1: bring both programs to one release")
+		return nil, twirp.InvalidArgumentError("epoch", "this node reads format 1: bring both programs to one release")
 	}
 	for _, l := range p.Messages {
 		if pt := n.shards[l.Shard]; pt != nil {
@@ -172,36 +172,52 @@
 	return &wire.BatchReceipt{Format: 1}, nil
 }
 
-// Change carries out a change where this node owns the part; elsewhere it names the owner.
+// servePart is how long this node works on a change or a read that a peer or a client sent, as a
+// ratio of the heal bound. A caller that was cut off meanwhile ends nothing here: without a bound its
+// request would hold up those behind it.
+const servePart = 1.0 / 8
+
+// serveContext bounds the work on a request whose body has a size.
+func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, n.life.Place.Bounds.Heal(servePart*(1+float64(size)/waitBytes)))
+}
+
+// Change carries out a change where this node leads the shard; elsewhere it names the leader.
 //
-// Example: t, err := a.Change(ctx, &wire.ChangeAsk{Part: 0, Command: cmd})
+// Example: response, err := n.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
 func (n *Node) Change(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
-	if p := n.shards[a.Shard]; p != nil {
-		return p.change(ctx, a), nil
+	p := n.shards[a.Shard]
+	if p == nil {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader}, nil
 	}
-	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader}, nil
+	ctx, end := n.serveContext(ctx, len(a.Command.GetPut().GetBody()))
+	defer end()
+	return p.change(ctx, a), nil
 }
 
-// Read reads what was acknowledged, where this node owns the part.
+// Read reads what was acknowledged, where this node leads the shard.
 //
-// Example: t, err := a.Read(ctx, &wire.ReadAsk{Part: 0, Key: "setup"})
+// Example: response, err := n.Read(ctx, &wire.ReadRequest{Shard: 0, Key: "setup"})
 func (n *Node) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
-	if p := n.shards[a.Shard]; p != nil {
-		return p.read(ctx, a), nil
+	p := n.shards[a.Shard]
+	if p == nil {
+		return &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}, nil
 	}
-	return &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}, nil
+	ctx, end := n.serveContext(ctx, 0)
+	defer end()
+	return p.read(ctx, a), nil
 }
 
-// Time tells this machine's wall clock.
+// Time gives this machine's wall clock.
 //
-// Example: t, err := a.Time(ctx, &wire.TimeAsk{})
+// Example: response, err := n.Time(ctx, &wire.TimeRequest{})
 func (n *Node) Time(context.Context, *wire.TimeRequest) (*wire.TimeResponse, error) {
 	return &wire.TimeResponse{WallNs: n.life.Wall().UnixNano()}, nil
 }
 
-// Stand tells how this node stands in each of its parts.
+// Stand gives the status of this node's member in each of its shards.
 //
-// Example: t, err := a.Stand(ctx, &wire.StandAsk{})
+// Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
 func (n *Node) Stand(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	t := &wire.StatusResponse{Incarnation: n.incarnation}
 	for i := range uint32(controlclient.Shards) {
@@ -226,9 +242,9 @@
 	return t, nil
 }
 
-// News answers a long poll: news, or the vouch that there was none.
+// News answers a long poll: a newer document, or this member's word that it has none.
 //
-// Example: t, err := a.News(ctx, &wire.NewsAsk{Key: "setup", Have: 7, HoldNs: 3e8})
+// Example: response, err := n.News(ctx, &wire.WatchRequest{Key: "setup", Have: 7, HoldNs: 3e8})
 func (n *Node) News(ctx context.Context, a *wire.WatchRequest) (*wire.WatchResponse, error) {
 	if p := n.shards[a.Shard]; p != nil {
 		a.HoldNs = min(a.HoldNs, uint64(time.Minute))
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -16,20 +16,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// How long an operator's question is worked on, as a ratio of the bound on acknowledgements,
-// and how many more bytes of a plan make that as long again.
+// How long an operator's request is worked on, as a ratio of the bound on acknowledgements, and how
+// many more bytes of a plan make that as long again. It is less than the second of silence after
+// which an operator goes on to another node.
 const (
 	waitPart  = 0.22
 	waitBytes = 256 << 10
 )
 
-// wait is how long a question with a body is worked on: then the operator asks elsewhere.
+// wait is how long a request with a body is worked on: then the operator asks elsewhere.
 func (n *Node) wait(size int) time.Duration {
 	return settings.Of(n.life.Place.Site.AckMs, waitPart*(1+float64(size)/waitBytes))
 }
 
 // PutPlan lays a whole plan, or named items of one (part), over the version base. It returns
-// once that is acknowledged: on the disks of a majority, and in force. The same again is done again.
+// once that is acknowledged: on the disks of a quorum, and in force. The same request sent again is
+// acknowledged again.
 //
 // Example: version, err := n.PutPlan(ctx, 5, body, false)
 func (n *Node) PutPlan(ctx context.Context, base uint64, body []byte, part bool) (uint64, error) {
@@ -68,50 +70,64 @@
 	if w := (fleet.Weights{}); json.Unmarshal(n.shards[0].published.current().docs[fleet.WeightsKey].GetBody(), &w) == nil && w.Named[model] >= version {
 		return nil
 	}
-	for {
+	for ctx.Err() == nil {
 		d, err := n.readDoc(ctx, fleet.WeightsKey)
 		if err != nil {
 			return err
 		}
-		w := fleet.Weights{}
-		if len(d.GetBody()) > 0 {
-			if err := json.Unmarshal(d.Body, &w); err != nil {
-				return errs.Wrap(err, "read the weights that are named")
-			}
-		}
-		if w.Named[model] >= version {
-			return nil
-		}
-		if w.Named == nil {
-			w.Named = map[string]uint64{}
-		}
-		w.Named[model] = version
-		body, err := json.Marshal(w)
-		if err != nil {
-			return errs.Wrap(err, "write the weights that are named")
+		body, err := withWeights(d.GetBody(), model, version)
+		if err != nil || body == nil {
+			return err
 		}
 		_, err = n.change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
 			Key: fleet.WeightsKey, Body: body, IfVersion: d.GetVersion()}}}})
-		if err == nil || errs.KindOf(err) != errs.Conflict || ctx.Err() != nil {
+		if err == nil || errs.KindOf(err) != errs.Conflict {
 			return err
 		}
 	}
+	// A conflict is with another naming, or with this one's first copy: nothing was refused.
+	return errs.New(errs.CantSay, "other namings came first until the time was over: the same again is safe")
+}
+
+// withWeights gives the named weights with one more; nil where that is named already.
+func withWeights(old []byte, model string, version uint64) ([]byte, error) {
+	w := fleet.Weights{}
+	if len(old) > 0 {
+		if err := json.Unmarshal(old, &w); err != nil {
+			return nil, errs.Wrap(err, "read the weights that are named")
+		}
+	}
+	if w.Named[model] >= version {
+		return nil, nil
+	}
+	if w.Named == nil {
+		w.Named = map[string]uint64{}
+	}
+	w.Named[model] = version
+	body, err := json.Marshal(w)
+	return body, errs.Wrap(err, "write the weights that are named")
+}
+
+// leaderView is the newest published view, after the client was told whom it names.
+func (n *Node) leaderView() *publishedView {
+	v := n.shards[0].published.current()
+	n.control.SetMembers(v.self, v.members)
+	if !v.isLeader {
+		n.control.HintLeader(v.leader)
+	}
+	return v
 }
 
-// change makes a change here where this member owns the group, or else wherever the owner is.
+// change makes a change here where this member leads the group, or else wherever the leader is.
 func (n *Node) change(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
-	p := n.shards[0]
-	g := p.published.current()
-	if g.isLeader {
-		t := p.change(ctx, a)
+	if n.leaderView().isLeader {
+		t := n.shards[0].change(ctx, a)
 		switch t.Outcome {
 		case wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
 			n.control.HintLeader(t.Leader)
 		default:
 			return t, controlclient.ErrorOf(t)
 		}
-	} else {
-		n.control.HintLeader(g.leader)
 	}
 	t, err := n.control.Change(ctx, a)
 	if errs.KindOf(err) == errs.MayHaveRun && err != nil {
@@ -122,12 +138,12 @@
 
 // readDoc reads one document; nil: there is none.
 func (n *Node) readDoc(ctx context.Context, key string) (*wire.Document, error) {
-	p, a := n.shards[0], &wire.ReadRequest{Key: key}
+	a := &wire.ReadRequest{Key: key}
 	var t *wire.ReadResponse
-	if g := p.published.current(); g.isLeader {
-		t = p.read(ctx, a)
-	} else {
-		n.control.HintLeader(g.leader)
+	if n.leaderView().isLeader {
+		here, end := n.shards[0].confirmContext(ctx, 0)
+		t = n.shards[0].read(here, a)
+		end()
 	}
 	if t.GetOutcome() != wire.OutcomeDone {
 		var err error
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -22,26 +22,27 @@
 
 // shard runs one member of one shard: one goroutine has core, state and store to itself.
 type shard struct {
-	id        uint32
-	core      *consensus.Core
-	state     *state
-	store     *storage.Store
-	clock     clock.Clock
-	log       hclog.Logger
-	send      func(*wire.Message)
-	commands  *queue.Ring[func()]
-	pending   map[uint64]pendingChange
-	reads     map[uint64]chan bool
-	watchers  map[chan struct{}]bool
-	mergeLock chan struct{} // held by the change that merges and checks a setup
-	keepIDs   time.Duration // how long once-only ids are remembered
-	agedAt    time.Duration // when the shard's age was last written into the log, and in which term
-	agedTerm  uint64
-	compactAt int // the log is compacted when it is longer than this, and than the state
-	saved     int // bytes of the state in the newest snapshot
-	failure   error
-	ctx       context.Context
-	*group    // nil where the members are fixed
+	id          uint32
+	core        *consensus.Core
+	state       *state
+	store       *storage.Store
+	clock       clock.Clock
+	log         hclog.Logger
+	send        func(*wire.Message)
+	commands    *queue.Ring[func()]
+	pending     map[uint64]pendingChange
+	reads       map[uint64]chan bool
+	watchers    map[chan struct{}]bool
+	mergeLock   chan struct{} // held by the change that merges and checks a setup
+	keepIDs     time.Duration // how long once-only ids are remembered
+	confirmTime time.Duration // until a quorum must have confirmed this leader; 0: as long as the request lasts
+	agedAt      time.Duration // when the shard's age was last written into the log, and in which term
+	agedTerm    uint64
+	compactAt   int // the log is compacted when it is longer than this, and than the state
+	saved       int // bytes of the state in the newest snapshot
+	failure     error
+	ctx         context.Context
+	*group      // nil where the members are fixed
 }
 
 // openShard reads the disk and makes the member; an empty disk begins blank under a new incarnation.
@@ -112,6 +113,7 @@
 	for _, id := range o.LostReads {
 		p.answer(id, false)
 	}
+	p.releasePending()
 	if len(o.Committed) > 0 && p.failure == nil && p.store.Size() > max(p.compactAt, p.saved) {
 		if err := p.compact(); err != nil {
 			p.fail(err)
@@ -237,7 +239,7 @@
 	if p.failure == nil && s.IsLeader && len(p.reads) < 1024 {
 		if i, ok := p.core.RequestRead(); ok {
 			p.reads[i] = w
-			return i, s.Leader
+			return i, "" // where it is lost, this member isn't the one to name
 		}
 	}
 	w <- false
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// settled tells whether this member can vouch that nothing newer of a key than what it
-// has applied was ever acknowledged with its help.
+// nothingNewer tells whether this member's log holds no newer document of a key than what it has
+// applied: then none was ever acknowledged with its help.
 func (p *shard) nothingNewer(key string) bool {
 	s := p.core.Status()
 	if p.failure != nil || s.Blank {
@@ -25,8 +25,9 @@
 	return true
 }
 
-// tellNews holds the question until there is news or its time is over. "same" is a vouch:
-// this member's disk has nothing newer.
+// watch holds the request until there is a newer document or its time is over. OutcomeSame is this
+// member's word that its disk holds nothing newer; what a majority of such words proves is the
+// caller's to say.
 func (p *shard) watch(ctx context.Context, a *wire.WatchRequest, member string) *wire.WatchResponse {
 	t := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	end := time.NewTimer(time.Duration(a.HoldNs))
@@ -58,7 +59,7 @@
 	}
 }
 
-// newsNow gives the answer that can be given now; nil means: wait.
+// newsNow gives the response that can be given now; nil means: wait.
 func (p *shard) newsNow(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
 	t := p.newsHere(a, member, over)
 	if t != nil {
--- a/internal/control/mutation/point1_test.go
+++ b/internal/control/mutation/point1_test.go
@@ -1,10 +1,79 @@
 package mutation
 
-// A member that was cut off must not act as leader on what it still holds.
+const (
+	statePackage  = "internal/control/controlstate"
+	clientPackage = "internal/control/controlclient"
+	cutLeader     = "TestAMemberIsCutOff/leader_cut_both,_none_restarted$"
+)
+
+// A member that was cut off must not act as leader on what it still holds, nor keep anybody waiting.
 var _ = register(
 	mutant{point: 1, name: "a read is answered without asking a quorum",
 		file:        "internal/control/consensus/core.go",
 		original:    "return c.peers[m].probe >= r.probe",
 		replacement: "return true",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup"},
+		pkg:         statePackage, run: "TestSimGroup"},
+	mutant{point: 1, name: "a read is answered without asking a quorum, in a cut",
+		file:        "internal/control/consensus/core.go",
+		original:    "return c.peers[m].probe >= r.probe",
+		replacement: "return true",
+		pkg:         statePackage, run: cutLeader},
+	mutant{point: 1, name: "a leader without contact to a quorum leads on",
+		file:        "internal/control/consensus/core.go",
+		original:    "return c.peers[m].sinceHeard < 2*c.cfg.ElectionTicks",
+		replacement: "return true",
+		pkg:         statePackage, run: "TestAMemberIsCutOff/leader_cut_in,_none_restarted$"},
+	mutant{point: 1, name: "one without a vote gives its word for a proof",
+		file:        "internal/control/controlstate/follow.go",
+		original:    `a.Proof != "" && g.votes && `,
+		replacement: `a.Proof != "" && `,
+		pkg:         statePackage, run: "TestWhoHasNoVoteProvesNothing"},
+	mutant{point: 1, name: "a proof needs half of the members",
+		file:        "internal/data/agent/proof.go",
+		original:    "need := len(p.members)/2 + 1",
+		replacement: "need := len(p.members) / 2",
+		pkg:         statePackage, run: cutLeader},
+	mutant{point: 1, name: "a lease is granted before its commit",
+		file:     "internal/control/controlstate/change.go",
+		original: "	pending := pendingChange{term, make(chan *wire.ChangeResponse, 1)}",
+		replacement: `	if g := command.GetGrant(); g != nil {
+		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: g.IfFence}
+	}
+	pending := pendingChange{term, make(chan *wire.ChangeResponse, 1)}`,
+		pkg: statePackage, run: cutLeader},
+	mutant{point: 1, name: "a lease is free before its end",
+		file:        "internal/control/controlstate/state.go",
+		original:    "return now-s.grantedAt[g.Lease] > ttl+time.Duration(float64(ttl)*settings.MarginPart)",
+		replacement: "return now-s.grantedAt[g.Lease] > (ttl+time.Duration(float64(ttl)*settings.MarginPart))/8",
+		pkg:         statePackage, run: "TestAMemberIsCutOff/follower_cut_both,_none_restarted$"},
+	mutant{point: 1, name: "a plan is judged by a leader that nobody confirmed",
+		file:        "internal/control/controlstate/change.go",
+		original:    "	switch read := p.read(ctx, &wire.ReadRequest{}); read.Outcome {",
+		replacement: "	switch read := (&wire.ReadResponse{Outcome: wire.OutcomeDone}); read.Outcome {",
+		pkg:         statePackage, run: cutLeader},
+	mutant{point: 1, name: "a refusal isn't confirmed",
+		file:        "internal/control/controlstate/change.go",
+		original:    "|| !judgedByState(response.Outcome) {",
+		replacement: "|| !judgedByState(response.Outcome) || true {",
+		pkg:         statePackage, run: "TestACutOffLeaderRefusesNothing"},
+	mutant{point: 1, name: "a change waits on though its leader has stepped down",
+		file:        "internal/control/controlstate/contact.go",
+		original:    "if len(p.pending) == 0 || p.core.Status().IsLeader {",
+		replacement: "if len(p.pending) >= 0 || p.core.Status().IsLeader {",
+		pkg:         statePackage, run: "TestWhoWaitsIsLetGoAtTheStepDown"},
+	mutant{point: 1, name: "a stale conflict takes a lease away",
+		file:        "internal/control/controlclient/lease.go",
+		original:    "if t.Fence < l.fence {",
+		replacement: "if t.Fence < 0*l.fence {",
+		pkg:         clientPackage, run: "TestAStaleConflictTakesNoLeaseAway"},
+	mutant{point: 1, name: "a process that reaches nobody asks on",
+		file:        "internal/control/controlclient/group.go",
+		original:    "		if c.group.onlySilent(c.Addresses()) {",
+		replacement: "		if len(c.Addresses()) < 0 {",
+		pkg:         clientPackage, run: "TestACutOffProcessSaysSoSoon"},
+	mutant{point: 1, name: "a silent member is asked first",
+		file:        "internal/control/controlclient/group.go",
+		original:    "		case g.isSilent(a):\n			return 1",
+		replacement: "		case g.isSilent(a):\n			return 0",
+		pkg:         clientPackage, run: "TestASilentMemberIsAskedLast"},
 )
