--- /dev/null
+++ b/internal/control/consensus/model_invariants_test.go
@@ -0,0 +1,344 @@
+package consensus
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"pebbleloom/internal/data/agent"
+	"pebbleloom/internal/wire"
+)
+
+const (
+	question eventKind = 100 + iota // an agent asks all members whether there is anything newer
+	answer                          // one of them vouches that there isn't
+)
+
+// commitment is an entry that a member has committed, and the least term in which one did.
+type commitment struct {
+	entry *wire.Entry
+	term  uint64
+}
+
+// vouch is a member's answer to the agent: its disk holds nothing newer, and this is its membership.
+type vouch struct {
+	member      string
+	members     []string
+	term, index uint64
+}
+
+// history is what an observer has seen that the members may have forgotten.
+type history struct {
+	committed []commitment
+	asked     int // how many changes were committed when the agent asked; 0: it hasn't
+	vouches   []vouch
+	votes     map[string]ballot // the latest of each incarnation
+}
+
+// ballot is a vote that was given, to oneself included.
+type ballot struct {
+	term uint64
+	to   string
+}
+
+// bodies are the changes that were committed, one letter each.
+func (h history) bodies() string {
+	l := ""
+	for _, c := range h.committed {
+		l += string(c.entry.Body)
+	}
+	return l
+}
+
+type seenKey struct {
+	history int32
+	step    *stepResult
+}
+
+type seenStep struct {
+	history int32
+	fault   string
+}
+
+// remember adds what a step committed, and the votes that it gave, to the history.
+func (s *space) remember(id int32, r *stepResult) (now int32, fault string) {
+	key := seenKey{id, r}
+	old, known := s.seen[key]
+	if !known {
+		old.history, old.fault = s.extend(id, r)
+		s.seen[key] = old
+	}
+	return old.history, old.fault
+}
+
+func (s *space) extend(id int32, r *stepResult) (now int32, fault string) {
+	h := s.histories[id].history
+	h.committed = slices.Clip(h.committed)
+	changed, fault := h.addVotes(s, r)
+	for _, e := range r.committed {
+		if e.Index == uint64(len(h.committed))+1 {
+			h.committed = append(h.committed, commitment{e, r.term})
+		}
+	}
+	if len(h.committed) == len(s.histories[id].committed) && !changed {
+		return id, fault
+	}
+	return s.internHistory(h), fault
+}
+
+// addVotes: a member votes once in a term, also when it restarts in between, and never in an older
+// term than before. A vote is forgotten once a later term is on the voter's disk.
+func (h *history) addVotes(s *space, r *stepResult) (changed bool, fault string) {
+	votes := maps.Clone(h.votes)
+	if votes == nil {
+		votes = map[string]ballot{}
+	}
+	for _, id := range r.messages {
+		m := s.messages[id]
+		if m.votesFor == "" {
+			continue
+		}
+		was, voted := votes[m.Incarnation]
+		if voted && (was.term > m.Term || was.term == m.Term && was.to != m.votesFor) {
+			fault = fmt.Sprintf("two votes: %s votes for %s in term %d, and has voted for %s in term %d", m.From, m.votesFor, m.Term, was.to, was.term)
+		}
+		votes[m.Incarnation] = ballot{m.Term, m.votesFor}
+	}
+	if n := s.nodes[r.node]; !n.gone {
+		incarnation := n.core.hardState.Incarnation
+		if v, voted := votes[incarnation]; voted && n.disk.term() > v.term {
+			delete(votes, incarnation)
+		}
+	}
+	if maps.Equal(votes, h.votes) {
+		return false, fault
+	}
+	h.votes = votes
+	return true, fault
+}
+
+// ask notes that the agent begins to ask, with a plan that is one change older than what is committed.
+func (s *space) ask(id int32) int32 {
+	h := s.histories[id].history
+	if h.asked > 0 || h.bodies() == "" {
+		return id
+	}
+	h.asked = len(h.bodies())
+	return s.internHistory(h)
+}
+
+// vouchOf notes the answer of a member, where it vouches that its disk holds no newer plan.
+func (s *space) vouchOf(id int32, n nodeEntry) int32 {
+	h := s.histories[id].history
+	if h.asked == 0 || !n.core.IsVoter(n.name) || n.pending() {
+		return id
+	}
+	newest := len(n.app)
+	for _, e := range n.core.Unapplied() {
+		newest += len(e.Body)
+	}
+	if newest >= h.asked {
+		return id
+	}
+	v := vouch{member: n.name}
+	v.members, v.term, v.index = n.core.Members()
+	for _, old := range h.vouches {
+		if old.member == v.member && old.term == v.term && old.index == v.index {
+			return id
+		}
+	}
+	h.vouches = append(slices.Clip(h.vouches), v)
+	return s.internHistory(h)
+}
+
+// wrongProof tells whether the answers prove to the agent that its plan was the newest when it asked,
+// though it wasn't.
+func (h history) wrongProof() string {
+	const version, askedAt = 1, time.Second
+	p := agent.NewProof()
+	for _, v := range h.vouches {
+		p.Hear(&wire.FollowResponse{Member: v.member, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, NothingNewer: true}, version, askedAt)
+	}
+	if p.At(version) == 0 {
+		return ""
+	}
+	return fmt.Sprintf("wrong proof of freshness: %v prove that %d changes are all, %d had been committed before they were asked", h.vouches, h.asked-1, h.asked)
+}
+
+// checkStep holds the invariants against a step of one slot: those that tell of the step itself.
+func (s *space) checkStep(x *state, slot int, before int32, r *stepResult) string {
+	for _, fault := range []string{r.fault, s.agreement(s.histories[x.history].history, r), s.quorumHolds(x, slot, before, r), s.learnerLeads(slot, before, r), s.termFalls(before, r)} {
+		if fault != "" {
+			return fault
+		}
+	}
+	return ""
+}
+
+// checkState holds the invariants against a state.
+func (s *space) checkState(x *state) string {
+	h := s.histories[x.history].history
+	for _, fault := range []string{s.oneLeader(x), s.lostCommit(x, h), s.membershipSteps(x, h), s.appliedState(x, h), h.wrongProof()} {
+		if fault != "" {
+			return fault
+		}
+	}
+	return ""
+}
+
+// termFalls: the term on an incarnation's disk never falls.
+func (s *space) termFalls(before int32, r *stepResult) string {
+	was, is := s.nodes[before], s.nodes[r.node]
+	if is.gone || was.core.hardState.Incarnation != is.core.hardState.Incarnation || is.disk.term() >= was.disk.term() {
+		return ""
+	}
+	if is.core.cfg.Group || was.core.hardState.DiskState == is.core.hardState.DiskState { // of fixed members a blank one is let in
+		return fmt.Sprintf("the term on the disk of %s falls from %d to %d", is.name, was.disk.term(), is.disk.term())
+	}
+	return ""
+}
+
+// agreement: no two members commit different entries at one index.
+func (s *space) agreement(h history, r *stepResult) string {
+	for _, e := range r.committed {
+		if e.Index > uint64(len(h.committed)) {
+			return fmt.Sprintf("lost commit: %s commits entry %d though those before it aren't committed", s.nodes[r.node].name, e.Index)
+		}
+		if was := h.committed[e.Index-1].entry; was.Term != e.Term || string(was.Body) != string(e.Body) {
+			return fmt.Sprintf("lost commit: entry %d was committed as %v, %s commits %v", e.Index, was, s.nodes[r.node].name, e)
+		}
+	}
+	return ""
+}
+
+// quorumHolds: what a leader commits is on the disks of a majority of the members that its log names.
+// A wiped member may have held it, so this is told only where none was.
+func (s *space) quorumHolds(x *state, slot int, before int32, r *stepResult) string {
+	after := s.nodes[r.node]
+	if len(r.committed) == 0 || after.gone || x.used[wipes] > 0 || s.nodes[before].core.role != leader || s.nodes[before].core.applied >= after.core.applied {
+		return ""
+	}
+	last := r.committed[len(r.committed)-1]
+	holders := 0
+	names, _, _ := after.core.Members()
+	for _, name := range names {
+		m := s.nodes[x.nodes[slices.Index(slotNames[:], name)]]
+		read := New(m.core.cfg, m.disk.snapshot, m.disk.records)
+		if t, ok := read.termAt(last.Index); ok && t == last.Term || read.snapshot.Index > last.Index {
+			holders++
+		}
+	}
+	if 2*holders > len(names) {
+		return ""
+	}
+	return fmt.Sprintf("no overlapping majority: %s commits entry %d, which %d of %v hold", slotNames[slot], last.Index, holders, names)
+}
+
+// learnerLeads: whoever becomes leader is a voter by its own log.
+func (s *space) learnerLeads(slot int, before int32, r *stepResult) string {
+	was, is := s.nodes[before], s.nodes[r.node]
+	if is.gone || is.core.role != leader || was.core.role == leader || is.core.IsVoter(is.name) {
+		return ""
+	}
+	return fmt.Sprintf("learner in the quorum: %s leads and is no member", slotNames[slot])
+}
+
+// oneLeader: a term has one leader, and nobody else ever sent entries in it.
+func (s *space) oneLeader(x *state) string {
+	for _, id := range x.nodes {
+		n := s.nodes[id]
+		if n.gone || n.core.role != leader {
+			continue
+		}
+		term := n.core.hardState.Term
+		for _, other := range x.nodes {
+			if o := s.nodes[other]; !o.gone && o.name != n.name && o.core.role == leader && o.core.hardState.Term == term {
+				return fmt.Sprintf("two leaders of term %d: %s and %s", term, n.name, o.name)
+			}
+		}
+		for _, sent := range x.net {
+			if m := s.messages[sent]; m.leads && m.Term == term && m.From != n.name {
+				return fmt.Sprintf("two leaders of term %d: %s, and %s was", term, n.name, m.From)
+			}
+		}
+	}
+	return ""
+}
+
+// lostCommit: every leader of a later term has what was committed.
+func (s *space) lostCommit(x *state, h history) string {
+	for _, id := range x.nodes {
+		n := s.nodes[id]
+		if n.gone || n.core.role != leader {
+			continue
+		}
+		for _, c := range h.committed {
+			if c.term >= n.core.hardState.Term || c.entry.Index <= n.core.snapshot.Index {
+				continue
+			}
+			if t, ok := n.core.termAt(c.entry.Index); !ok || t != c.entry.Term {
+				return fmt.Sprintf("lost commit: %s leads term %d without entry %d of term %d, committed in term %d", n.name, n.core.hardState.Term, c.entry.Index, c.entry.Term, c.term)
+			}
+		}
+	}
+	return ""
+}
+
+// membershipSteps: in no leader's log do members change by more than one, or twice beyond what is committed.
+func (s *space) membershipSteps(x *state, h history) string {
+	for _, id := range x.nodes {
+		n := s.nodes[id]
+		if n.gone || n.core.role != leader || s.fixed {
+			continue
+		}
+		now, open := n.core.snapshot.Members, 0
+		for _, e := range n.core.log {
+			if len(e.Members) == 0 || slices.Equal(e.Members, now) {
+				continue
+			}
+			if len(now) > 0 && differing(now, e.Members) > 1 {
+				return fmt.Sprintf("members changed by more than one: %v to %v", now, e.Members)
+			}
+			if now = e.Members; e.Index > uint64(len(h.committed)) {
+				open++
+			}
+		}
+		if open > 1 {
+			return fmt.Sprintf("overlapping changes of members: %d aren't committed in the log of %s", open, n.name)
+		}
+	}
+	return ""
+}
+
+func differing(a, b []string) (n int) {
+	for _, m := range a {
+		if !slices.Contains(b, m) {
+			n++
+		}
+	}
+	for _, m := range b {
+		if !slices.Contains(a, m) {
+			n++
+		}
+	}
+	return n
+}
+
+// appliedState: what a member has applied is what was committed up to there.
+func (s *space) appliedState(x *state, h history) string {
+	for _, id := range x.nodes {
+		n := s.nodes[id]
+		if n.gone || n.core.ready.Install != nil { // or the driver hasn't loaded the snapshot yet
+			continue
+		}
+		if n.core.applied > uint64(len(h.committed)) {
+			return fmt.Sprintf("lost commit: %s has applied %d entries, %d were committed", n.name, n.core.applied, len(h.committed))
+		}
+		want := history{committed: h.committed[:n.core.applied]}.bodies()
+		if n.app != want {
+			return fmt.Sprintf("old state: %s has applied %q up to entry %d, committed is %q", n.name, n.app, n.core.applied, want)
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/control/consensus/model_test.go
@@ -0,0 +1,85 @@
+package consensus
+
+import (
+	"os"
+	"strings"
+	"testing"
+)
+
+// modelSearch is one configuration of the model checker: the bounds of the search that CI runs, and
+// those of the wider one.
+type modelSearch struct {
+	name     string
+	ci, wide bounds
+}
+
+// A group's network repeats messages without a bound; that of fixed members, whose rejoining sends whole
+// logs, as often as the bounds say.
+var modelSearches = []modelSearch{
+	{"elections",
+		bounds{terms: 2, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, restarts: 1}},
+		bounds{terms: 2, late: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, restarts: 1}}},
+	{"late requests",
+		bounds{terms: 2, late: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited}},
+		bounds{terms: 2, late: true, led: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, proposals: 1, restarts: 1}}},
+	{"pre-votes",
+		bounds{terms: 2, preVotes: true, led: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited}},
+		bounds{terms: 2, preVotes: true, led: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, restarts: 1, timeouts: 1}}},
+	{"elections and log",
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, proposals: 1, restarts: 1}},
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, proposals: 2, timeouts: 1}}},
+	{"entries of older terms",
+		bounds{terms: 4, disputed: true, small: true, most: [budgets]uint8{elections: 1}},
+		bounds{terms: 4, disputed: true, small: true, most: [budgets]uint8{elections: 1, duplicates: unlimited}}},
+	{"membership change and election",
+		bounds{terms: 2, led: true, learner: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, changes: 1}},
+		bounds{terms: 2, led: true, learner: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, changes: 2}}},
+	{"membership changes and wipe",
+		bounds{terms: 1, led: true, learner: true, most: [budgets]uint8{duplicates: unlimited, changes: 2, wipes: 1}},
+		bounds{terms: 2, led: true, learner: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, changes: 1, wipes: 1}}},
+	{"compaction and election",
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, proposals: 1, compactions: 1}},
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: unlimited, duplicates: unlimited, proposals: 1, compactions: 1, restarts: 1}}},
+	{"snapshot to a learner",
+		bounds{terms: 1, led: true, learner: true, most: [budgets]uint8{duplicates: unlimited, learners: 1, proposals: 1, compactions: 1, holds: 1}},
+		bounds{terms: 1, led: true, learner: true, most: [budgets]uint8{duplicates: unlimited, learners: 1, proposals: 1, compactions: 2, holds: 1, restarts: 1, changes: 1}}},
+	{"reads and leader transfer",
+		bounds{terms: 2, led: true, most: [budgets]uint8{duplicates: unlimited, proposals: 1, reads: 1, transfers: 1}},
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, proposals: 1, reads: 1, transfers: 1}}},
+	{"proofs of freshness",
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, proposals: 1, questions: 1, answers: 2}},
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, proposals: 1, questions: 1, answers: 2, changes: 1}}},
+	{"steps that sync together",
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, holds: 1, compactions: 1}},
+		bounds{terms: 2, led: true, most: [budgets]uint8{elections: 1, duplicates: unlimited, holds: 1, proposals: 1}}},
+	{"fixed members and a lost disk",
+		bounds{terms: 2, fixed: true, led: true, most: [budgets]uint8{elections: 1, heartbeats: 1, wipes: 1}},
+		bounds{terms: 2, fixed: true, led: true, most: [budgets]uint8{elections: 1, heartbeats: 1, wipes: 1, proposals: 1}}},
+}
+
+// wideSearches asks for the wider bounds; modelLimit is the most states that a search may visit then.
+const (
+	wideSearches = "CONSENSUS_MODEL"
+	modelLimit   = 20_000_000
+)
+
+// Every state within the bounds holds every invariant. A search that doesn't visit them all fails.
+func TestModelChecker(t *testing.T) {
+	for _, m := range modelSearches {
+		t.Run(m.name, func(t *testing.T) {
+			t.Parallel()
+			b := m.ci
+			if os.Getenv(wideSearches) == "wide" {
+				b = m.wide
+			}
+			r := search(b, modelLimit)
+			if r.fault != "" {
+				t.Fatalf("%s\nfound in %v\n\t%s", r.fault, r, strings.Join(r.trace, "\n\t"))
+			}
+			if r.limited {
+				t.Fatalf("not covered: %v", r)
+			}
+			t.Log(r)
+		})
+	}
+}
