--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -43,8 +43,8 @@
 }
 
 func tell(c *promptindex.Core, w int, next uint64, l []backend.Change, now time.Duration) {
-	q := c.Next(fmt.Sprintf("i-%08x", w*40503), serviceName(0))
-	c.Changes(q, backend.Events{Boot: 7, Next: next, List: l}, now)
+	q := c.NextEvents(fmt.Sprintf("i-%08x", w*40503), serviceName(0))
+	c.ApplyEvents(q, backend.Events{Boot: 7, Next: next, List: l}, now)
 }
 
 // kept measures the index: by how many parts are kept, how many workers keep each, and how many
@@ -77,7 +77,7 @@
 				i++
 				keys[j] = promptindex.KeyOf(cacheText, partName(i*7919%int(n)))
 			}
-			c.Seek(keys, now)
+			c.Lookup(keys, now)
 		}) / float64(len(keys))
 		hottest := b.spend(func() { c.Hottest(serviceName(0), 1000, now) })
 		sweep := b.spend(func() { c.Sweep(map[string]bool{}, now) })
--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -155,7 +155,7 @@
 		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Edges: 1,
 			Workers: []fleet.Worker{{ID: "i-0", Service: serviceName(0), Addr: f.told, Zone: "district-0", Slots: 128, Weights: map[string]uint64{modelName(0): 3}}}}
 		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }), "edge-1")
-		if err := proxy.Start(l, proxy.Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return s }, Pick: p}); err != nil {
+		if err := proxy.Start(l, proxy.Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return s }, Selector: p}); err != nil {
 			return nil, err
 		}
 		if _, err := f.run(); err != nil { // connections come up
--- a/internal/cli/desk.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operator's command line: every command may be given to any node.
+// Package cli is the operator's command line; every command may be sent to any node.
 package cli
 
 import (
@@ -28,14 +28,14 @@
 (on a platform site: any core machine, at its third internal port)
 
   desk --node 127.10.1.1:8090 setup get
-  desk setup apply --file setup.json --if-epoch 7      whole setup, only onto epoch 7
-  desk setup patch --file part.json                    partial setup (null removes)
+  desk setup apply --file setup.json --if-epoch 7      whole configuration, only onto version 7
+  desk setup patch --file part.json                    partial configuration (null removes)
   desk setup validate --file setup.json                checked, not applied
   desk setup diff --file setup.json                    what apply would change
   desk setup render --file site.tmpl.json --set weights=3 --overlay night.json
   desk weights name --model lector --weights 4
   desk keys revoke --tenant hotline --key KEY
-  desk drain --worker cab-3            (--back takes it into use again)
+  desk drain --worker worker-3         (--back takes it into use again)
   desk status                              exit code 1 when something is wrong
   desk nodes | desk workers
   desk placement show --service lector-main
@@ -44,24 +44,24 @@
   desk calendar pause --service lector-main --name spring     (resume, cancel, undo)
   desk retire plan --file retirement.json  (--dry-run: without writing it)
   desk retire start --service lector-main --name spring       (pause, resume, abort)
-  desk retire status                       exit code 1 when one waits for people
+  desk retire status                       exit code 1 when one needs an operator
   desk retire history
   desk runbook list
-  desk runbook run --name worker-gone --set worker=cab-3      (--dry-run, --resume RECORD, --yes)
+  desk runbook run --name worker-gone --set worker=worker-3   (--dry-run, --resume RECORD, --yes)
   desk explain --request r1
   desk index lookup --model lector --tenant hotline --part "opening" --part "question"
 
-exit codes: 0 done, 1 something is wrong (status, retire status, runbook), 2 bad input, 3 bad key, 4 not found, 5 epoch conflict, 6 denied for now,
-7 may have taken effect, 8 can't say, 9 an error inside, 10 not on this kind of site`
+exit codes: 0 done, 1 something is wrong (status, retire status, runbook), 2 bad input, 3 bad key, 4 not found, 5 version conflict, 6 rejected for now,
+7 may have taken effect, 8 outcome unknown, 9 internal error, 10 not on this kind of site`
 
-// request is one command line, read.
+// request is a parsed command line.
 type request struct {
 	node, file, token, model, tenant, key, worker, service, request, name string
 	record, resume, keyFile                                               string
 	asJSON, back, dry, yes                                                bool
 	ifEpoch, weights                                                      int64
 	parts, set, overlays                                                  []string
-	bad                                                                   io.Writer // where a run tells how far it has come
+	bad                                                                   io.Writer // where a runbook reports its progress
 }
 
 type command struct {
@@ -72,50 +72,50 @@
 
 func commands() []command {
 	return []command{
-		{"setup get", "read back the setup in force", getSetup},
-		{"setup apply", "apply a whole setup", apply(false, false)},
-		{"setup patch", "lay a partial setup over the one in force", apply(true, false)},
-		{"setup validate", "check a whole setup without applying it", apply(false, true)},
-		{"setup render", "fill in a template, lay overlays over it, show each value's origin", render},
-		{"setup diff", "show what a whole setup would change", diff},
+		{"setup get", "read back the configuration in force", getConfig},
+		{"setup apply", "apply a whole configuration", apply(false, false)},
+		{"setup patch", "merge a partial configuration into the one in force", apply(true, false)},
+		{"setup validate", "check a whole configuration without applying it", apply(false, true)},
+		{"setup render", "fill in a template, apply overlays, show each value's origin", render},
+		{"setup diff", "show what a whole configuration would change", diff},
 		{"weights name", "name new weights for a model", nameWeights},
-		{"keys revoke", "take a tenant's key out of force", revoke},
+		{"keys revoke", "revoke a tenant's key", revoke},
 		{"drain", "take a worker out of use", drain},
-		{"status", "say what is wrong and what to do about it", status},
+		{"status", "show what is wrong and the remedies", status},
 		{"nodes", "list the nodes", nodes},
 		{"workers", "list the workers", workers},
-		{"placement show", "show a service's placement", place},
-		{"calendar list", "list the planned moves and how far they have come", listMoves},
+		{"placement show", "show a service's placement", getPlacement},
+		{"calendar list", "list the planned moves and their progress", listMoves},
 		{"calendar write", "write a planned move", writeMove(false)},
 		{"calendar check", "check a planned move without writing it", writeMove(true)},
-		{"calendar pause", "hold a move where it is", askMove("pause")},
-		{"calendar resume", "let it go on", askMove("resume")},
-		{"calendar cancel", "take out a move that hasn't begun", askMove("cancel")},
-		{"calendar undo", "take back what a move has done", askMove("undo")},
+		{"calendar pause", "pause a move", askMove("pause")},
+		{"calendar resume", "resume a move", askMove("resume")},
+		{"calendar cancel", "cancel a move that hasn't started", askMove("cancel")},
+		{"calendar undo", "undo a move", askMove("undo")},
 		{"retire plan", "write a planned retirement of a base model (--dry-run: check it)", planRetirement},
-		{"retire start", "let a planned retirement begin", askRetirement("start")},
-		{"retire status", "say how far retirements have come and who holds them up", listRetirements(false)},
-		{"retire pause", "hold a retirement where it is", askRetirement("pause")},
-		{"retire resume", "let it go on", askRetirement("resume")},
-		{"retire abort", "go back to the old base, at any point before the barrier", askRetirement("abort")},
-		{"retire history", "show the states and phases that retirements went through", listRetirements(true)},
+		{"retire start", "start a planned retirement", askRetirement("start")},
+		{"retire status", "show the progress of retirements and what blocks them", listRetirements(false)},
+		{"retire pause", "pause a retirement", askRetirement("pause")},
+		{"retire resume", "resume a retirement", askRetirement("resume")},
+		{"retire abort", "revert to the old base, at any point before the barrier", askRetirement("abort")},
+		{"retire history", "show the states and phases of retirements", listRetirements(true)},
 		{"runbook list", "list the runbooks that come with the programs", listBooks},
 		{"runbook check", "check a runbook, shipped or a .json file", checkBook},
-		{"runbook run", "carry a runbook out, step by step", runBook},
-		{"explain", "tell why a request went where it went", explain},
-		{"index lookup", "ask who holds a prompt's prefixes", lookup},
+		{"runbook run", "run a runbook step by step", runBook},
+		{"explain", "show how a request was routed", explain},
+		{"index lookup", "show the holders of a prompt's prefixes", lookup},
 	}
 }
 
-// Main runs one command and gives its exit code.
+// Main runs one command and returns its exit code.
 //
-// Example: os.Exit(desk.Main([]string{"nodes", "--json"}, os.Stdin, os.Stdout, os.Stderr))
+// Example: os.Exit(cli.Main([]string{"nodes", "--json"}, os.Stdin, os.Stdout, os.Stderr))
 func Main(args []string, in io.Reader, out, bad io.Writer) int {
-	return perform(args, in, out, bad, http.DefaultTransport)
+	return runCommand(args, in, out, bad, http.DefaultTransport)
 }
 
-// perform runs one command; by carries its calls to a node.
-func perform(args []string, in io.Reader, out, bad io.Writer, by http.RoundTripper) int {
+// runCommand runs one command; transport carries its calls to a node.
+func runCommand(args []string, in io.Reader, out, bad io.Writer, by http.RoundTripper) int {
 	r := &request{node: os.Getenv("PEBBLELOOM_NODE"), ifEpoch: -1, bad: bad}
 	if r.node == "" {
 		r.node = "127.10.1.1:8090"
@@ -129,10 +129,10 @@
 	ps.String(&r.keyFile, "", "operator-key", "file with the operators' key (or the key itself in PEBBLELOOM_KEY)")
 	ps.Bool(&r.asJSON, "j", "json", "answer in JSON")
 	ps.String(&r.file, "f", "file", "file to read (- for standard input)")
-	ps.Int64(&r.ifEpoch, "e", "if-epoch", "only onto this epoch")
-	ps.String(&r.token, "t", "token", "the change's own token: the same token is never a second change")
+	ps.Int64(&r.ifEpoch, "e", "if-epoch", "only onto this version")
+	ps.String(&r.token, "t", "token", "idempotency token of the change")
 	ps.String(&r.model, "m", "model", "model")
-	ps.Int64(&r.weights, "w", "weights", "weights epoch")
+	ps.Int64(&r.weights, "w", "weights", "version of the weights")
 	ps.String(&r.tenant, "", "tenant", "tenant")
 	ps.String(&r.key, "k", "key", "tenant's key")
 	ps.String(&r.worker, "", "worker", "worker")
@@ -140,10 +140,10 @@
 	ps.String(&r.service, "s", "service", "service")
 	ps.String(&r.name, "", "name", "name of a planned move or a runbook")
 	ps.String(&r.record, "", "record", "where a run's record is kept")
-	ps.String(&r.resume, "", "resume", "the record to go on from")
-	ps.Bool(&r.dry, "", "dry-run", "look, but neither wait, act nor ask")
+	ps.String(&r.resume, "", "resume", "the record to resume from")
+	ps.Bool(&r.dry, "", "dry-run", "check only: no waiting, actions or prompts")
 	ps.Bool(&r.yes, "y", "yes", "confirm everything")
-	ps.StringSlice(&r.overlays, "", "overlay", "with setup render: a partial setup to lay over it; may come again")
+	ps.StringSlice(&r.overlays, "", "overlay", "with setup render: a partial configuration to merge in; repeatable")
 	ps.StringSlice(&r.set, "", "set", "a parameter, name=value")
 	ps.String(&r.request, "r", "request", "request id")
 	ps.StringSlice(&r.parts, "p", "part", "prompt part, in order")
@@ -158,7 +158,7 @@
 		return errs.KindOf(err).Exit
 	}
 	for _, a := range args {
-		r.asJSON = r.asJSON || a == "--json" || a == "-j" // also for what is wrong with the flags
+		r.asJSON = r.asJSON || a == "--json" || a == "-j" // also for errors in the flags
 	}
 	words, err := set.ParseStrict(ps, args)
 	if err == nil {
@@ -174,11 +174,11 @@
 	if c == nil {
 		return fail(errs.New(errs.BadInput, "no such command: see desk --help"))
 	}
-	key, err := opKey(r)
+	key, err := operatorKey(r)
 	if err != nil {
 		return fail(err)
 	}
-	cl, err := operator.NewClient("http://"+r.node, operator.WithClient(&http.Client{Transport: shows{key, by}}))
+	cl, err := operator.NewClient("http://"+r.node, operator.WithClient(&http.Client{Transport: keyTransport{key, by}}))
 	if err != nil {
 		return fail(errs.As(err, errs.BadInput, "node "+r.node))
 	}
@@ -186,14 +186,14 @@
 	defer end()
 	v, err := c.run(ctx, cl, r, in)
 	if err != nil {
-		return fail(typed(err, r.node))
+		return fail(typedError(err, r.node))
 	}
 	if r.asJSON {
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", " ")
 		err = enc.Encode(v)
 	} else {
-		_, err = fmt.Fprint(out, plain(v))
+		_, err = fmt.Fprint(out, formatText(v))
 	}
 	if err != nil {
 		return fail(errs.Wrap(err, "write answer"))
@@ -207,16 +207,16 @@
 	return 0
 }
 
-// shows puts the operators' key on every call.
-type shows struct {
+// keyTransport adds the operators' key to every call.
+type keyTransport struct {
 	key string
 	by  http.RoundTripper
 }
 
 // RoundTrip sends a call with the key.
 //
-// Example: h := &http.Client{Transport: shows{key, http.DefaultTransport}}
-func (s shows) RoundTrip(r *http.Request) (*http.Response, error) {
+// Example: h := &http.Client{Transport: keyTransport{key, http.DefaultTransport}}
+func (s keyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if s.key != "" {
 		r = r.Clone(r.Context())
 		r.Header.Set(operatorapi.KeyHeader, s.key)
@@ -224,7 +224,7 @@
 	return s.by.RoundTrip(r)
 }
 
-func opKey(r *request) (string, error) {
+func operatorKey(r *request) (string, error) {
 	if r.keyFile == "" {
 		return os.Getenv("PEBBLELOOM_KEY"), nil
 	}
@@ -232,7 +232,7 @@
 	return strings.TrimSpace(string(raw)), errs.As(err, errs.BadInput, "--operator-key")
 }
 
-// attach makes flaggy's tree of commands; the function it gives tells which was used.
+// attach makes flaggy's tree of commands; the function it returns finds the one that was used.
 func attach(ps *flaggy.Parser) func() *command {
 	groups := map[string]*flaggy.Subcommand{}
 	leaves := map[string]*flaggy.Subcommand{}
@@ -264,8 +264,8 @@
 	}
 }
 
-// typed gives an answer's error its kind back.
-func typed(err error, node string) error {
+// typedError restores the kind of an error in a response.
+func typedError(err error, node string) error {
 	var d *operator.DeniedStatusCode
 	if errors.As(err, &d) {
 		return errs.New(errs.Named(d.Response.Kind), "%s", d.Response.Message)
@@ -320,7 +320,7 @@
 		b, err = os.ReadFile(r.file)
 	}
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "read setup")
+		return nil, errs.As(err, errs.BadInput, "read file")
 	}
 	if !json.Valid(b) {
 		return nil, errs.New(errs.BadInput, "%s isn't JSON: correct it first", r.file)
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -19,7 +19,7 @@
 	"pebbleloom/internal/queue"
 )
 
-func getSetup(ctx context.Context, c *operator.Client, _ *request, _ io.Reader) (any, error) {
+func getConfig(ctx context.Context, c *operator.Client, _ *request, _ io.Reader) (any, error) {
 	return c.GetSetup(ctx)
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// Diff is one line of what a setup would change.
+// Diff is one value that a configuration would change.
 type Diff struct {
 	Path string `json:"path"`
 	Old  string `json:"old,omitempty"`
@@ -51,7 +51,7 @@
 		}
 		return
 	}
-	if l, ok := v.([]any); ok && len(l) > 0 && named(l) {
+	if l, ok := v.([]any); ok && len(l) > 0 && allNamed(l) {
 		for _, x := range l {
 			flat(prefix+"."+x.(map[string]any)["name"].(string), x, to)
 		}
@@ -64,8 +64,8 @@
 	to[prefix] = string(b)
 }
 
-// named tells whether all items of a list have a name: then each is compared by itself.
-func named(l []any) bool {
+// allNamed reports whether all items of a list have a name: then each is compared by itself.
+func allNamed(l []any) bool {
 	return !slices.ContainsFunc(l, func(x any) bool {
 		m, _ := x.(map[string]any)
 		_, ok := m["name"].(string)
@@ -82,14 +82,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := serviceconfig.Read(have.Setup); err == nil { // a plan of another form is compared as it was sent
+	if _, err := serviceconfig.Read(have.Setup); err == nil { // a plan of another format is compared as it was sent
 		if b, err = serviceconfig.Merge(nil, b); err != nil {
 			return nil, err
 		}
 	}
 	var x, y any
 	var f errs.Batch
-	f.Note("read setup in force", json.Unmarshal(have.Setup, &x))
+	f.Note("read configuration in force", json.Unmarshal(have.Setup, &x))
 	f.Note("read file", json.Unmarshal(b, &y))
 	if err := f.Look(); err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	if r.weights < 1 {
-		return nil, errs.New(errs.BadInput, "--weights is missing: give the epoch, from 1")
+		return nil, errs.New(errs.BadInput, "--weights is missing: give the version, from 1")
 	}
 	return c.NameWeights(ctx, &operator.Weights{Model: r.model, Weights: r.weights, Token: operator.NewOptString(token(r))})
 }
@@ -148,7 +148,7 @@
 	return c.ListWorkers(ctx)
 }
 
-func place(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
+func getPlacement(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
 	if err := need("service", r.service); err != nil {
 		return nil, err
 	}
@@ -181,16 +181,16 @@
 	return string(b)
 }
 
-// known writes a number that may not be told.
-func known(n operator.OptInt) string {
+// optional formats a number that may be absent.
+func optional(n operator.OptInt) string {
 	if v, ok := n.Get(); ok {
 		return strconv.Itoa(v)
 	}
 	return "-"
 }
 
-// plain writes an answer for people.
-func plain(v any) string {
+// formatText formats a response for people.
+func formatText(v any) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 2, 8, 2, ' ', 0)
 	switch x := v.(type) {
@@ -230,22 +230,22 @@
 	case *operator.WorkerList:
 		fmt.Fprintf(w, "NAME\tSERVICE\tDISTRICT\tADDRESS\tSTATE\tWEIGHTS\tBUSY\tQUEUED\tSLOTS\n")
 		for _, n := range x.Workers {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", n.Name, n.Service, n.District, n.Addr, n.State, n.Weights, known(n.Busy), known(n.Queued), n.Slots)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", n.Name, n.Service, n.District, n.Addr, n.State, n.Weights, optional(n.Busy), optional(n.Queued), n.Slots)
 		}
 		for _, m := range queue.Keys(x.Named.Or(nil)) {
 			fmt.Fprintf(w, "named weights of %s: %d\n", m, x.Named.Value[m])
 		}
 		fmt.Fprintf(w, "as seen by %s\n", x.SeenBy)
 	case *Rendered:
-		plainRendered(w, x)
+		formatRendered(w, x)
 	case *Listing:
-		plainBooks(w, x)
+		formatBooks(w, x)
 	case *Ran:
 		fmt.Fprintf(w, "run %s is through; record: %s\n", x.Run, x.Record)
 	case *Retired:
-		plainRetired(w, x)
+		formatRetirements(w, x)
 	case *operator.Moves:
-		plainMoves(w, x)
+		formatMoves(w, x)
 	case *operator.Explained:
 		for _, g := range x.Goes {
 			fmt.Fprintln(w, indent(g))
@@ -253,7 +253,7 @@
 	case *operator.Found:
 		fmt.Fprintf(w, "KEY\tTOKENS\tHOTNESS\tHOLDERS\n")
 		for _, p := range x.Prefixes {
-			fmt.Fprintf(w, "%s\t%s\t%.2f\t%s\n", p.Key, known(p.Tokens), p.Hotness, strings.Join(p.Holders, " "))
+			fmt.Fprintf(w, "%s\t%s\t%.2f\t%s\n", p.Key, optional(p.Tokens), p.Hotness, strings.Join(p.Holders, " "))
 		}
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/cli/moves.go
+++ b/internal/cli/moves.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func plainMoves(w io.Writer, l *operator.Moves) {
+func formatMoves(w io.Writer, l *operator.Moves) {
 	fmt.Fprintf(w, "SERVICE\tNAME\tKIND\tSTATE\tSTEP\tWHY\n")
 	for _, m := range l.Moves {
 		e, err := calendar.Read(m)
--- a/internal/cli/plain_test.go
+++ b/internal/cli/norace_test.go
@@ -2,4 +2,4 @@
 
 package cli
 
-const raced = false
+const raceDetector = false
--- a/internal/cli/render.go
+++ b/internal/cli/render.go
@@ -13,20 +13,20 @@
 	"pebbleloom/internal/errs"
 )
 
-// Rendered is what `setup render` answers.
+// Rendered is the output of `setup render`.
 type Rendered struct {
-	Setup   jx.Raw                 `json:"setup"`
+	Config  jx.Raw                 `json:"setup"`
 	Origins []serviceconfig.Origin `json:"origins"`
 }
 
-// render fills a template in and lays overlays over it; it asks no node. What it gives can
-// be applied: desk setup render … --json | jq .setup | desk setup apply --file -
+// render fills in a template and applies overlays; it calls no node. Its output can be applied: desk
+// setup render … --json | jq .setup | desk setup apply --file -
 func render(_ context.Context, _ *operator.Client, r *request, in io.Reader) (any, error) {
 	raw, err := read(r, in)
 	if err != nil {
 		return nil, err
 	}
-	set, err := settings(r.set)
+	set, err := parseSettings(r.set)
 	if err != nil {
 		return nil, err
 	}
@@ -42,8 +42,8 @@
 	return &Rendered{body, os}, err
 }
 
-func plainRendered(w io.Writer, x *Rendered) {
-	fmt.Fprintln(w, indent(x.Setup))
+func formatRendered(w io.Writer, x *Rendered) {
+	fmt.Fprintln(w, indent(x.Config))
 	fmt.Fprintln(w, "VALUE\tIS\tFROM")
 	for _, o := range x.Origins {
 		fmt.Fprintf(w, "%s\t%s\t%s\n", o.Path, o.Value, o.From)
--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -12,7 +12,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// Retired is what `retire status` and `retire history` answer.
+// Retired is the output of `retire status` and `retire history`.
 type Retired struct {
 	Retirements []*retire.Retirement `json:"retirements"`
 	history     bool
@@ -35,7 +35,7 @@
 	}
 }
 
-// listRetirements shows those of a service, or of that name, or all.
+// listRetirements lists those of a service, or of a name, or all.
 func listRetirements(history bool) func(context.Context, *operator.Client, *request, io.Reader) (any, error) {
 	return func(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
 		l, err := c.ListRetirements(ctx)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Wrong tells whether a retirement waits for people: it is paused, or a node holds it up that the
-// system can't bring along by itself.
+// Wrong reports whether a retirement needs an operator: it is paused, or blocked by a node that the
+// system can't fix by itself.
 //
 // Example: if x.Wrong() { return 1 }
 func (x *Retired) Wrong() bool {
@@ -72,7 +72,7 @@
 	return false
 }
 
-func plainRetired(w io.Writer, x *Retired) {
+func formatRetirements(w io.Writer, x *Retired) {
 	if x.history {
 		for _, r := range x.Retirements {
 			for _, l := range r.Log {
@@ -90,11 +90,11 @@
 	}
 }
 
-// retirements are the rows that a runbook looks at; held tells whether one waits for people.
-func (w *world) retirements(ctx context.Context) ([]map[string]string, error) {
+// retirements are the rows that a runbook checks; held reports whether one needs an operator.
+func (w *nodeWorld) retirements(ctx context.Context) ([]map[string]string, error) {
 	m, err := w.c.ListRetirements(ctx)
 	if err != nil {
-		return nil, typed(err, "")
+		return nil, typedError(err, "")
 	}
 	var l []map[string]string
 	for _, raw := range m.Retirements {
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -21,12 +21,12 @@
 	"pebbleloom/internal/runbook"
 )
 
-// Listing is what `runbook list` and `runbook check` answer.
+// Listing is the output of `runbook list` and `runbook check`.
 type Listing struct {
 	Books []runbook.Book `json:"books"`
 }
 
-// Ran is what a run answers.
+// Ran is the output of a run.
 type Ran struct {
 	Run    string         `json:"run"`
 	Record string         `json:"record"`
@@ -69,7 +69,7 @@
 	return &Listing{[]runbook.Book{*b}}, nil
 }
 
-func settings(l []string) (map[string]string, error) {
+func parseSettings(l []string) (map[string]string, error) {
 	m := map[string]string{}
 	var b errs.Batch
 	for _, x := range l {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set, err := settings(r.set)
+	set, err := parseSettings(r.set)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 		}
 		defer f.Close()
 	}
-	w := &world{c: c, in: bufio.NewReader(in), out: r.bad, yes: r.yes}
+	w := &nodeWorld{c: c, in: bufio.NewReader(in), out: r.bad, yes: r.yes}
 	err = runbook.Run(b, set, ran.Run, from, r.dry, w, func(l runbook.Line) error {
 		l.At = time.Now().UTC().Format(time.RFC3339)
 		ran.Lines = append(ran.Lines, l)
@@ -142,22 +142,22 @@
 	return ran, err
 }
 
-// world is the site as a runbook sees it, by way of a node's operator address.
-type world struct {
+// nodeWorld is the site as a runbook sees it, through a node's operator address.
+type nodeWorld struct {
 	c   *operator.Client
 	in  *bufio.Reader
 	out io.Writer
 	yes bool
 }
 
-func (w *world) ctx() (context.Context, context.CancelFunc) {
+func (w *nodeWorld) ctx() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), 15*time.Second)
 }
 
-// Rows shows a view as rows of words.
+// Rows returns a view as rows of values.
 //
 // Example: rows, err := w.Rows("workers")
-func (w *world) Rows(view string) ([]map[string]string, error) {
+func (w *nodeWorld) Rows(view string) ([]map[string]string, error) {
 	ctx, end := w.ctx()
 	defer end()
 	var l []map[string]string
@@ -165,7 +165,7 @@
 	case "nodes":
 		n, err := w.c.ListNodes(ctx)
 		if err != nil {
-			return nil, typed(err, "")
+			return nil, typedError(err, "")
 		}
 		for _, x := range n.Nodes {
 			l = append(l, map[string]string{"name": x.Name, "role": x.Role, "district": x.District, "state": x.State, "addr": x.Addr})
@@ -173,7 +173,7 @@
 	case "workers":
 		n, err := w.c.ListWorkers(ctx)
 		if err != nil {
-			return nil, typed(err, "")
+			return nil, typedError(err, "")
 		}
 		for _, x := range n.Workers {
 			l = append(l, map[string]string{"name": x.Name, "service": x.Service, "district": x.District, "state": x.State, "weights": strconv.FormatInt(x.Weights, 10)})
@@ -181,7 +181,7 @@
 	case "parts", "problems":
 		s, err := w.c.GetStatus(ctx)
 		if err != nil {
-			return nil, typed(err, "")
+			return nil, typedError(err, "")
 		}
 		for _, x := range s.Parts {
 			if view == "parts" {
@@ -196,7 +196,7 @@
 	case "moves":
 		m, err := w.c.ListMoves(ctx)
 		if err != nil {
-			return nil, typed(err, "")
+			return nil, typedError(err, "")
 		}
 		for _, x := range m.Moves {
 			e, err := calendar.Read(x)
@@ -210,11 +210,11 @@
 	case "setup":
 		s, err := w.c.GetSetup(ctx)
 		if err != nil {
-			return nil, typed(err, "")
+			return nil, typedError(err, "")
 		}
 		var v any
 		if err := json.Unmarshal(s.Setup, &v); err != nil {
-			return nil, errs.Wrap(err, "read setup")
+			return nil, errs.Wrap(err, "read configuration")
 		}
 		m := map[string]string{}
 		flat("", v, m)
@@ -225,10 +225,10 @@
 	return l, nil
 }
 
-// Do carries an action out, under the step's token where the action takes one.
+// Do executes an action, under the step's token if the action takes one.
 //
-// Example: err := w.Do("drain", map[string]string{"worker": "cab-3"}, "run-1/2")
-func (w *world) Do(action string, a map[string]string, token string) error {
+// Example: err := w.Do("drain", map[string]string{"worker": "worker-3"}, "run-1/2")
+func (w *nodeWorld) Do(action string, a map[string]string, token string) error {
 	ctx, end := w.ctx()
 	defer end()
 	r := &request{file: a["file"], token: token, ifEpoch: -1, worker: a["worker"], back: action == "undrain", tenant: a["tenant"], key: a["key"],
@@ -243,8 +243,8 @@
 		}
 		_, err = nameWeights(ctx, w.c, r, nil)
 	case "revoke-key":
-		if _, err = revoke(ctx, w.c, r, nil); err != nil && errs.KindOf(typed(err, "")) == errs.NotFound && strings.Contains(err.Error(), "no such key") {
-			err = nil // it is out of force already: an earlier go whose answer was lost
+		if _, err = revoke(ctx, w.c, r, nil); err != nil && errs.KindOf(typedError(err, "")) == errs.NotFound && strings.Contains(err.Error(), "no such key") {
+			err = nil // it is revoked already: an earlier attempt whose response was lost
 		}
 	case "patch-setup":
 		_, err = apply(true, false)(ctx, w.c, r, nil)
@@ -260,13 +260,13 @@
 	if err == nil || errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	return typed(err, "")
+	return typedError(err, "")
 }
 
-// Confirm asks the person at the desk.
+// Confirm asks the operator.
 //
 // Example: if !w.Confirm("Is the disk replaced?") { stop() }
-func (w *world) Confirm(text string) bool {
+func (w *nodeWorld) Confirm(text string) bool {
 	if w.yes {
 		return true
 	}
@@ -275,12 +275,12 @@
 	return (err == nil || err == io.EOF) && strings.TrimSpace(s) == "yes"
 }
 
-// Pause lets a second of a wait pass.
+// Pause waits for a second.
 //
 // Example: w.Pause(1)
-func (w *world) Pause(int) { time.Sleep(time.Second) }
+func (w *nodeWorld) Pause(int) { time.Sleep(time.Second) }
 
-func plainBooks(w io.Writer, l *Listing) {
+func formatBooks(w io.Writer, l *Listing) {
 	fmt.Fprintln(w, "RUNBOOK\tWHEN\tPARAMETERS")
 	for _, b := range l.Books {
 		var ps []string
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -14,8 +14,8 @@
 )
 
 // whole starts all of a site, and waits until its group has formed and all have heard of each other.
-func whole(t *testing.T) *pond {
-	p := newPond(t)
+func whole(t *testing.T) *testSite {
+	p := newTestSite(t)
 	for i := 1; i <= 4; i++ {
 		p.state(i)
 		p.index(i)
@@ -23,8 +23,8 @@
 	p.edge(5)
 	p.until("a group", 10*time.Second, func() bool {
 		for i := 1; i <= 4; i++ {
-			_, nodes, _ := p.desk(i, "", "nodes")
-			if code, _, _ := p.desk(i, "", "setup get"); code != 4 || strings.Count(nodes, "alive") != 9 {
+			_, nodes, _ := p.runOn(i, "", "nodes")
+			if code, _, _ := p.runOn(i, "", "setup get"); code != 4 || strings.Count(nodes, "alive") != 9 {
 				return false
 			}
 		}
@@ -36,7 +36,7 @@
 // Every command that has a meaning on a site with agreed membership is answered by any core
 // machine; every other one says that it has none there and what to use instead. All give JSON.
 func TestCommandsOnASite(t *testing.T) {
-	plainly(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		p := whole(t)
 		defer p.down()
@@ -86,13 +86,13 @@
 		} {
 			tried += c.args + "\n"
 			node := 1 + i%4
-			if code, out, bad := p.desk(node, c.in, c.args); code != c.code || !strings.Contains(out+bad, c.says) || code > 1 && !strings.Contains(bad, "remedy") {
+			if code, out, bad := p.runOn(node, c.in, c.args); code != c.code || !strings.Contains(out+bad, c.says) || code > 1 && !strings.Contains(bad, "remedy") {
 				t.Errorf("desk %s: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
 			}
 			if strings.Contains(c.args, "apply") || strings.Contains(c.args, "patch") {
 				continue // a change that was made isn't made again
 			}
-			code, out, bad := p.desk(node, c.in, c.args+" --json")
+			code, out, bad := p.runOn(node, c.in, c.args+" --json")
 			if code != c.code || !json.Valid([]byte(out+bad)) {
 				t.Errorf("desk %s --json: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
 			}
@@ -110,9 +110,13 @@
 	Ok       bool
 	Facts    []struct{ Name, Value string }
 	Problems []struct{ Kind, Where string }
-	Parts    []struct{ Member, Owner, State string }
-	Named    map[string]int
-	Workers  []struct {
+	Parts    []struct {
+		Member string
+		Leader string `json:"owner"`
+		State  string
+	}
+	Named   map[string]int
+	Workers []struct {
 		Name, State string
 		Weights     int
 	}
@@ -120,8 +124,8 @@
 	Placement struct{ Service, Mode string }
 }
 
-func (p *pond) tell(i int, args string) (a answers) {
-	_, out, bad := p.desk(i, "", args+" --json")
+func (p *testSite) query(i int, args string) (a answers) {
+	_, out, bad := p.runOn(i, "", args+" --json")
 	if err := json.Unmarshal([]byte(out+bad), &a); err != nil {
 		p.t.Fatalf("desk %s: %v: %s%s", args, err, out, bad)
 	}
@@ -158,15 +162,15 @@
 // The weights' roll-out, the workers, the placement and how the group stands can be followed from
 // any core machine; a machine that is gone, and one that came back without its disk, are named.
 func TestStatusFollowsASite(t *testing.T) {
-	plainly(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		p := whole(t)
 		defer p.down()
-		if code, out, bad := p.desk(2, `{"version":3}`, "setup apply --file -"); code != 0 {
+		if code, out, bad := p.runOn(2, `{"version":3}`, "setup apply --file -"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
-		p.until("all is well", 20*time.Second, func() bool { return p.tell(3, "status").Ok })
-		a := p.tell(4, "status")
+		p.until("all is well", 20*time.Second, func() bool { return p.query(3, "status").Ok })
+		a := p.query(4, "status")
 		if m := a.states(); m["owns"] != 1 || m["follows"] != 2 || m["learner"] != 1 {
 			t.Errorf("the group: %+v", a.Parts)
 		}
@@ -177,75 +181,75 @@
 			}
 		}
 		p.until("what workers keep", 20*time.Second, func() bool { // what they tell comes in turn
-			_, out, _ := p.desk(2, "", "index lookup --model daka --tenant t --part p1 --part p2")
+			_, out, _ := p.runOn(2, "", "index lookup --model daka --tenant t --part p1 --part p2")
 			return strings.Contains(out, "w1:confirmed") && strings.Contains(out, "w2:confirmed") && strings.Count(out, "\n") == 3
 		})
-		if code, out, bad := p.desk(2, "", "index lookup --model daka --tenant walled --part p1"); code != 0 || strings.Contains(out, "confirmed") {
+		if code, out, bad := p.runOn(2, "", "index lookup --model daka --tenant walled --part p1"); code != 0 || strings.Contains(out, "confirmed") {
 			t.Errorf("behind a wall: exit %d, %s%s", code, out, bad)
 		}
 		p.mu.Lock()
-		p.late = true
+		p.ordersRejected = true
 		p.mu.Unlock()
-		if code, out, bad := p.desk(2, "", "weights name --model daka --weights 2"); code != 0 {
+		if code, out, bad := p.runOn(2, "", "weights name --model daka --weights 2"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
-		if code, _, bad := p.desk(3, "", "weights name --model daka --weights 1"); code != 2 || !strings.Contains(bad, "older than 2") {
+		if code, _, bad := p.runOn(3, "", "weights name --model daka --weights 1"); code != 2 || !strings.Contains(bad, "older than 2") {
 			t.Errorf("older weights: exit %d, %s", code, bad)
 		}
-		if code, out, _ := p.desk(3, "", "weights name --model daka --weights 2"); code != 0 || !strings.Contains(out, "named already") {
+		if code, out, _ := p.runOn(3, "", "weights name --model daka --weights 2"); code != 0 || !strings.Contains(out, "named already") {
 			t.Errorf("the same weights again: exit %d, %s", code, out)
 		}
-		if a := p.tell(1, "status"); !a.has("older-weights", "daka") || !strings.Contains(a.fact("weights of daka"), "version 2 named, 2 workers behind") {
+		if a := p.query(1, "status"); !a.has("older-weights", "daka") || !strings.Contains(a.fact("weights of daka"), "version 2 named, 2 workers behind") {
 			t.Errorf("older weights: %+v", a)
 		}
-		if a := p.tell(1, "workers"); a.Named["daka"] != 2 || len(a.Workers) != 3 || a.Workers[0].Weights != 1 || a.Workers[0].State == "up" || a.Workers[2].State != "draining" {
+		if a := p.query(1, "workers"); a.Named["daka"] != 2 || len(a.Workers) != 3 || a.Workers[0].Weights != 1 || a.Workers[0].State == "up" || a.Workers[2].State != "draining" {
 			t.Errorf("workers: %+v", a)
 		}
 		p.mu.Lock()
-		p.late = false
+		p.ordersRejected = false
 		p.mu.Unlock()
-		p.until("the roll-out's end", 40*time.Second, func() bool { return p.tell(1, "status").Ok })
-		if a := p.tell(2, "placement show --service reading"); a.Epoch < 1 || a.Placement.Service != "reading" {
+		p.until("the roll-out's end", 40*time.Second, func() bool { return p.query(1, "status").Ok })
+		if a := p.query(2, "placement show --service reading"); a.Epoch < 1 || a.Placement.Service != "reading" {
 			t.Errorf("placement: %+v", a)
 		}
 		p.stop("edge5")
 		p.stop("index2")
-		p.until("the edge's end", 10*time.Second, func() bool { return !strings.Contains(p.tell(1, "status").fact("index nodes"), "4,") })
+		p.until("the edge's end", 10*time.Second, func() bool { return !strings.Contains(p.query(1, "status").fact("index nodes"), "4,") })
 		// A member comes back without its disk, at its own address.
 		p.stop("state3")
 		p.disks[ip(3)+":7360"] = nil
-		p.until("a spare's place", 30*time.Second, func() bool { return strings.Contains(p.tell(1, "status").fact("members"), "m4") })
+		p.until("a spare's place", 30*time.Second, func() bool { return strings.Contains(p.query(1, "status").fact("members"), "m4") })
 		p.state(3)
-		p.until("all four", 20*time.Second, func() bool { return p.tell(1, "status").states()["learner"] == 1 })
+		p.until("all four", 20*time.Second, func() bool { return p.query(1, "status").states()["learner"] == 1 })
 	})
 }
 
 // Without a majority every question that needs one says so within the bound, and status says who
 // is silent; nothing hangs, and what asks nobody is still answered.
 func TestASiteWithoutAMajoritySaysSo(t *testing.T) {
-	plainly(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		p := whole(t)
 		defer p.down()
-		if code, out, bad := p.desk(2, `{"version":3}`, "setup apply --file -"); code != 0 {
+		if code, out, bad := p.runOn(2, `{"version":3}`, "setup apply --file -"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
 		for _, i := range []int{2, 3, 4} { // killed, not told to end: nobody hands over
-			p.lives[fmt.Sprint("state", i)].Stop(0)
-			delete(p.lives, fmt.Sprint("state", i))
+			p.processes[fmt.Sprint("state", i)].Stop(0)
+			delete(p.processes, fmt.Sprint("state", i))
 		}
 		for args, code := range map[string]int{"setup get": 8, "workers": 8, "placement show --service reading": 8, "weights name --model daka --weights 5": 8,
 			"setup diff --file -": 8, "setup validate --file -": 8, "nodes": 0, "status": 1} {
 			from := time.Now()
-			got, out, bad := p.desk(1, `{"version":4}`, args)
+			got, out, bad := p.runOn(1, `{"version":4}`, args)
 			if d := time.Since(from); got != code || d > set.Default().Heal(0.75) {
 				t.Errorf("desk %s: exit %d after %v, want %d; %s%s", args, got, d, code, out, bad)
 			}
 		}
-		if a := p.tell(1, "status"); !a.has("part-unowned", "site") || a.has("plan-unknown", "") {
+		if a := p.query(1, "status"); !a.has("part-unowned", "site") || a.has("plan-unknown", "") {
 			t.Errorf("%+v", a)
 		}
-		if code, _, bad := p.desk(2, "", "nodes"); code != 8 || !strings.Contains(bad, "can't be reached") {
+		if code, _, bad := p.runOn(2, "", "nodes"); code != 8 || !strings.Contains(bad, "can't be reached") {
 			t.Errorf("a machine that is down: exit %d, %s", code, bad)
 		}
 	})
@@ -254,12 +258,12 @@
 // An address that isn't an operator's is named as such, with what to do: another process's port,
 // a port where operators are served in another form, one that speaks no HTTP.
 func TestAnotherPortSaysSo(t *testing.T) {
-	plainly(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		p := whole(t)
 		defer p.down()
 		odd := func(addr string, play func(net.Conn)) {
-			ln, err := p.lives["edge5"].Listen(addr)
+			ln, err := p.processes["edge5"].Listen(addr)
 			p.must(err)
 			t.Cleanup(func() { ln.Close() })
 			go func() {
@@ -296,7 +300,7 @@
 // What the site's processes show at /metrics, at their internal addresses. Series are bounded:
 // names from a fixed list, and labels from one alone.
 func TestMetricsOfASite(t *testing.T) {
-	plainly(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		p := whole(t)
 		defer p.down()
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -31,29 +31,29 @@
 	"pebbleloom/internal/wire"
 )
 
-// pond is a small site in one bubble of time: four core machines with control state and index,
+// testSite is a small site in one synctest bubble: four core machines with control state and index,
 // one edge; pipes for connections, disks in memory, three workers of the test's own.
-type pond struct {
-	t     *testing.T
-	mu    sync.Mutex
-	doors map[string]*mouth
-	disks map[string]*memory
-	lives map[string]*daemon.Process // by role and number
-	has   map[string]uint64          // by worker: the weights it serves
-	late  bool                       // workers take no orders
-	seed  uint64
-	http  *http.Transport
-}
-
-type mouth struct {
-	p    *pond
+type testSite struct {
+	t              *testing.T
+	mu             sync.Mutex
+	listeners      map[string]*pipeListener
+	disks          map[string]*memory
+	processes      map[string]*daemon.Process // by role and number
+	workerWeights  map[string]uint64          // by worker: the weights it serves
+	ordersRejected bool                       // workers take no orders
+	seed           uint64
+	http           *http.Transport
+}
+
+type pipeListener struct {
+	p    *testSite
 	addr string
 	in   chan net.Conn
 	end  chan struct{}
 	once sync.Once
 }
 
-func (m *mouth) Accept() (net.Conn, error) {
+func (m *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-m.in:
 		return c, nil
@@ -62,19 +62,19 @@
 	}
 }
 
-func (m *mouth) Close() error {
+func (m *pipeListener) Close() error {
 	m.once.Do(func() {
 		close(m.end)
 		m.p.mu.Lock()
 		defer m.p.mu.Unlock()
-		if m.p.doors[m.addr] == m {
-			delete(m.p.doors, m.addr)
+		if m.p.listeners[m.addr] == m {
+			delete(m.p.listeners, m.addr)
 		}
 	})
 	return nil
 }
 
-func (m *mouth) Addr() net.Addr { return &net.TCPAddr{} }
+func (m *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // memory is a disk that loses nothing.
 type memory struct {
@@ -106,9 +106,9 @@
 	return d.set(n, func(old []byte) []byte { return old[:s] })
 }
 
-func newPond(t *testing.T) *pond {
-	p := &pond{t: t, doors: map[string]*mouth{}, disks: map[string]*memory{}, lives: map[string]*daemon.Process{},
-		has: map[string]uint64{"w1": 1, "w2": 1, "w3": 1}}
+func newTestSite(t *testing.T) *testSite {
+	p := &testSite{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*memory{}, processes: map[string]*daemon.Process{},
+		workerWeights: map[string]uint64{"w1": 1, "w2": 1, "w3": 1}}
 	p.http = &http.Transport{DialContext: p.dial}
 	return p
 }
@@ -118,9 +118,9 @@
 // operatorAt is the operator address of a core machine.
 func operatorAt(i int) string { return ip(i) + ":7362" }
 
-func (p *pond) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+func (p *testSite) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	p.mu.Lock()
-	m := p.doors[addr]
+	m := p.listeners[addr]
 	p.mu.Unlock()
 	if m == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
@@ -136,7 +136,7 @@
 	}
 }
 
-func (p *pond) life(role string, i, offset int) *daemon.Process {
+func (p *testSite) newProcess(role string, i, offset int) *daemon.Process {
 	p.seed++
 	seed := p.seed
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
@@ -152,37 +152,37 @@
 			return p.disks[at]
 		},
 		Listen: func(a string) (net.Listener, error) {
-			m := &mouth{p: p, addr: a, in: make(chan net.Conn), end: make(chan struct{})}
+			m := &pipeListener{p: p, addr: a, in: make(chan net.Conn), end: make(chan struct{})}
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.doors[a] = m
+			p.listeners[a] = m
 			return m, nil
 		},
 		Dial: p.dial, Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 	l := daemon.NewIn(w, role, place)
-	p.lives[fmt.Sprint(role, i)] = l
+	p.processes[fmt.Sprint(role, i)] = l
 	return l
 }
 
-func (p *pond) must(err error) {
+func (p *testSite) must(err error) {
 	p.t.Helper()
 	if err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *pond) state(i int) {
-	l := p.life("state", i, set.PortState)
+func (p *testSite) state(i int) {
+	l := p.newProcess("state", i, set.PortState)
 	l.Place.Site.Control, l.Place.Operator = ip(i)+":8683", operatorAt(i)
 	p.must(controlstate.StartGroup(l, pondPlans{}, func(*controlstate.Node) http.Handler { return http.NotFoundHandler() }))
 }
 
-func (p *pond) index(i int) {
-	p.must(controllers.StartProcess(p.life("index", i, set.PortIndex), pondPlans{}, p))
+func (p *testSite) index(i int) {
+	p.must(controllers.StartProcess(p.newProcess("index", i, set.PortIndex), pondPlans{}, p))
 }
 
-func (p *pond) edge(i int) {
-	l := p.life("edge", i, set.PortState)
+func (p *testSite) edge(i int) {
+	l := p.newProcess("edge", i, set.PortState)
 	l.Place.Public, l.Place.Site.Ready = ip(i)+":8689", ip(i)+":8687"
 	a, err := agent.Start(l, pondPlans{}, "runner")
 	p.must(err)
@@ -190,46 +190,46 @@
 	mux.Handle(wire.RosterPathPrefix, a.Handler())
 	p.must(l.Serve(l.Place.Listen, mux))
 	s := indexclient.New(l, func() []*wire.Node { return a.Now().Nodes })
-	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Now, Pick: selection.New(l, s, l.Place.Name)}))
+	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Now, Selector: selection.New(l, s, l.Place.Name)}))
 }
 
-func (p *pond) stop(who string) {
-	p.lives[who].Stop(time.Second)
-	delete(p.lives, who)
+func (p *testSite) stop(who string) {
+	p.processes[who].Stop(time.Second)
+	delete(p.processes, who)
 }
 
-func (p *pond) down() {
+func (p *testSite) down() {
 	p.http.CloseIdleConnections()
 	var all sync.WaitGroup
-	for _, l := range p.lives {
+	for _, l := range p.processes {
 		all.Go(func() { l.Stop(time.Second) })
 	}
 	all.Wait()
 }
 
 // desk gives a command to a core machine.
-func (p *pond) desk(i int, in, args string) (code int, out, bad string) {
+func (p *testSite) runOn(i int, in, args string) (code int, out, bad string) {
 	return p.at(operatorAt(i), in, args)
 }
 
-func (p *pond) at(node, in, args string) (code int, out, bad string) {
+func (p *testSite) at(node, in, args string) (code int, out, bad string) {
 	var o, b bytes.Buffer
-	code = perform(append([]string{"--node", node}, strings.Fields(args)...), strings.NewReader(in), &o, &b, p.http)
+	code = runCommand(append([]string{"--node", node}, strings.Fields(args)...), strings.NewReader(in), &o, &b, p.http)
 	return code, o.String(), b.String()
 }
 
-func (p *pond) until(what string, within time.Duration, so func() bool) {
+func (p *testSite) until(what string, within time.Duration, so func() bool) {
 	p.t.Helper()
 	for from := time.Now(); !so(); clock.Pause(context.Background(), 100*time.Millisecond) {
 		if time.Since(from) > within {
-			_, out, bad := p.desk(1, "", "status")
+			_, out, bad := p.runOn(1, "", "status")
 			p.t.Fatalf("%s: not within %v\n%s%s", what, within, out, bad)
 		}
 	}
 }
 
 // scrape gives the names of what a process shows at an address, and how many series.
-func (p *pond) scrape(addr string) (names map[string]bool, series int) {
+func (p *testSite) scrape(addr string) (names map[string]bool, series int) {
 	r, err := (&http.Client{Transport: p.http}).Get("http://" + addr + "/metrics")
 	p.must(err)
 	defer r.Body.Close()
@@ -248,13 +248,13 @@
 
 // The workers: pond implements backend.Calls.
 
-func (p *pond) List(context.Context, string) (l []fleet.Worker, next string, err error) {
+func (p *testSite) List(context.Context, string) (l []fleet.Worker, next string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := 1; i <= len(p.has); i++ {
+	for i := 1; i <= len(p.workerWeights); i++ {
 		id := fmt.Sprint("w", i)
 		l = append(l, fleet.Worker{ID: id, Service: "reading", Addr: "10.9.0." + fmt.Sprint(i) + ":1", Zone: "d1", Slots: 8, Draining: i == 3,
-			Weights: map[string]uint64{"daka": p.has[id]}})
+			Weights: map[string]uint64{"daka": p.workerWeights[id]}})
 	}
 	return l, "", nil
 }
@@ -263,24 +263,24 @@
 	return "w" + strings.TrimSuffix(strings.TrimPrefix(addr, "10.9.0."), ":1")
 }
 
-func (p *pond) Report(_ context.Context, addr string) (backend.Report, error) {
+func (p *testSite) Report(_ context.Context, addr string) (backend.Report, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return backend.Report{Weights: map[string]uint64{"daka": p.has[worker(addr)]}}, nil
+	return backend.Report{Weights: map[string]uint64{"daka": p.workerWeights[worker(addr)]}}, nil
 }
 
-func (p *pond) Order(_ context.Context, addr string, o backend.Order) (backend.Outcome, error) {
+func (p *testSite) Order(_ context.Context, addr string, o backend.Order) (backend.Outcome, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.late {
+	if p.ordersRejected {
 		return backend.Denied, nil
 	}
-	p.has[worker(addr)] = o.Version
+	p.workerWeights[worker(addr)] = o.Version
 	return backend.Begun, nil
 }
 
 // Events: all workers keep part p1 of the weights that they serve, from the start.
-func (p *pond) Events(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.Events, error) {
+func (p *testSite) Events(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.Events, error) {
 	if since == 0 {
 		return p.Kept(ctx, addr)
 	}
@@ -288,10 +288,10 @@
 	return backend.Events{Boot: 1, Next: since}, ctx.Err()
 }
 
-func (p *pond) Kept(_ context.Context, addr string) (backend.Events, error) {
+func (p *testSite) Kept(_ context.Context, addr string) (backend.Events, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	text := selection.Text("daka", p.has[worker(addr)], nil)
+	text := selection.Text("daka", p.workerWeights[worker(addr)], nil)
 	return backend.Events{Boot: 1, Next: 1, List: []backend.Change{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
 }
 
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -12,7 +12,6 @@
 	"pebbleloom/internal/data/backend"
 	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -67,18 +66,10 @@
 		}
 		wg.Wait()
 		close(responses)
-		all := map[string]*wire.Hot{}
+		var all []*wire.HotTell
 		for t := range responses {
-			for _, h := range t.Hot {
-				if o := all[string(h.Key)]; o == nil || o.Hotness < h.Hotness {
-					all[string(h.Key)] = h
-				}
-			}
-		}
-		hot := make([]*wire.Hot, 0, len(all))
-		for _, k := range queue.Keys(all) {
-			hot = append(hot, all[k])
+			all = append(all, t)
 		}
-		return hot
+		return promptindex.MergeHot(all)
 	}
 }
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -110,7 +110,7 @@
 		return
 	}
 	f := s.fresh.f
-	have, asked := f.Epoch(), s.now
+	have, asked := f.Version(), s.now
 	wait := s.now + 300*time.Millisecond
 	life := n.life
 	s.open = append(s.open, func() bool {
@@ -127,11 +127,11 @@
 		if s.plant == "vouch-unsettled" {
 			t.NothingNewer = true
 		}
-		f.Hear(n.name, have, asked, t)
+		f.HandleResponse(n.name, have, asked, t)
 		proof := f.Proof()
 		for _, w := range s.writes {
-			if w.end > 0 && w.end <= proof && w.epoch > f.Doc().GetVersion() {
-				s.fault("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", f.Doc().GetVersion(), proof, w.epoch, w.end)
+			if w.end > 0 && w.end <= proof && w.epoch > f.Document().GetVersion() {
+				s.fault("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", f.Document().GetVersion(), proof, w.epoch, w.end)
 			}
 		}
 		if proof > 0 {
--- a/internal/control/operatorapi/lookup.go
+++ b/internal/control/operatorapi/lookup.go
@@ -50,7 +50,7 @@
 	for i, id := range q.Parts {
 		ks[i] = promptindex.KeyOf(text, id)
 	}
-	got := promptindex.NewShards(promptindex.Serving(s.view().Nodes)).Seek(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
+	got := promptindex.NewShards(promptindex.Serving(s.view().Nodes)).Lookup(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, k := range ks {
 		x := operator.FoundPrefixesItem{Key: k.String(), Holders: []string{}}
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -342,7 +342,7 @@
 	for _, e := range es {
 		ks = append(ks, e.Key)
 	}
-	got := promptindex.NewShards(s.view().Nodes).Seek(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
+	got := promptindex.NewShards(s.view().Nodes).Lookup(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, e := range es {
 		x := operator.FoundPrefixesItem{Key: e.Key.String(), Tokens: operator.NewOptInt(e.Tokens), Holders: []string{}}
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -97,7 +97,7 @@
 }
 
 func checkWorkers(snap *updatestream.Snapshot, f *problems) {
-	if snap.Setup == nil {
+	if snap.Config == nil {
 		f.add("no-setup", "site", "no service configuration is in force", "apply one: desk setup apply --file …", "setup-wrong")
 	}
 	stores, all := 0, 0
@@ -112,7 +112,7 @@
 			f.add("worker-gone", w.Name, "it is listed, yet doesn't answer probes", "have the platform replace it, or take it out of its list", book)
 		case w.Kind == "store":
 			stores++
-		case snap.Setup != nil && w.Kind == "lm":
+		case snap.Config != nil && w.Kind == "lm":
 			if all++; w.Weights > 0 && w.Weights < snap.WeightsAt[w.Model].Weights {
 				old[w.Model]++
 			}
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -146,7 +146,7 @@
 }
 
 func (c *Controller) calendarWorld(s *updatestream.Snapshot, name string, e *calendar.Entry, lately func() usage) calendar.World {
-	w := calendar.World{Clock: c.clock.Now(), Version: s.Epoch, Config: s.Setup}
+	w := calendar.World{Clock: c.clock.Now(), Version: s.ConfigVersion, Config: s.Config}
 	if e.State == calendar.Planned && e.At != "" {
 		w.Wall = c.wallClock()
 	}
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -20,6 +20,7 @@
 	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/settings"
@@ -95,14 +96,14 @@
 // another service nor its own renewal.
 func (c *Controller) assignServices() {
 	s := c.updates.Now()
-	if s == nil || s.Setup == nil {
+	if s == nil || s.Config == nil {
 		return
 	}
 	served := map[string]bool{}
 	for _, w := range s.Workers {
 		served[w.Service] = true
 	}
-	for name := range s.Setup.Services {
+	for name := range s.Config.Services {
 		if c.services[name] == nil && served[name] {
 			ctx, end := context.WithCancel(c.process.Ctx)
 			b := c.process.Place.Bounds
@@ -117,7 +118,7 @@
 		}
 	}
 	for name, svc := range c.services {
-		if _, ok := s.Setup.Services[name]; !ok {
+		if _, ok := s.Config.Services[name]; !ok {
 			svc.cancel() // the lease expires by itself
 			delete(c.services, name)
 		}
@@ -142,7 +143,7 @@
 // step is one step of a service's work.
 func (c *Controller) step(svc *serviceController) {
 	s := c.updates.Now()
-	config, ok := s.Setup.Services[svc.name]
+	config, ok := s.Config.Services[svc.name]
 	fence, held := svc.lease.Held()
 	if !ok || !held {
 		svc.document = nil
@@ -304,19 +305,9 @@
 
 // hotEntries gathers the hottest entries of all index nodes; two hold each, the higher count is used.
 func (c *Controller) hotEntries(service string) []*wire.Hot {
-	all := map[string]*wire.Hot{}
+	var all []*wire.HotTell
 	queryAll(c, "catalogue", func(ctx context.Context, addr string) (*wire.HotTell, error) {
 		return c.clients.PromptIndex(addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: 1000})
-	}, func(t *wire.HotTell) {
-		for _, h := range t.Hot {
-			if o := all[string(h.Key)]; o == nil || o.Hotness < h.Hotness {
-				all[string(h.Key)] = h
-			}
-		}
-	})
-	l := make([]*wire.Hot, 0, len(all))
-	for _, h := range all {
-		l = append(l, h)
-	}
-	return l
+	}, func(t *wire.HotTell) { all = append(all, t) })
+	return promptindex.MergeHot(all)
 }
--- a/internal/control/placementcontroller/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -98,7 +98,7 @@
 // being retired, and unloads what was retired.
 func (c *Controller) repairWorkers(svc *serviceController, s *updatestream.Snapshot, name string, gone []string) error {
 	now := c.clock.Now()
-	if len(s.Setup.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < c.process.Place.Bounds.Heal(repairRatio) {
+	if len(s.Config.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < c.process.Place.Bounds.Heal(repairRatio) {
 		return nil
 	}
 	svc.repairedAt = now
@@ -106,7 +106,7 @@
 	if !listed {
 		return nil
 	}
-	_, err := c.execute(svc, nil, retire.Repair(s.Setup, name, nodes, gone), 0, addr)
+	_, err := c.execute(svc, nil, retire.Repair(s.Config, name, nodes, gone), 0, addr)
 	return err
 }
 
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent keeps one machine's processes in touch with the control state: it joins the
-// roster, follows the documents that requests go by, proves that the plan in use is fresh, and
-// shows it all as one snapshot that never changes.
+// Package agent keeps one machine's processes in contact with the control state: it joins the cluster
+// membership, follows the documents that requests are routed by, proves that the plan in use is fresh,
+// and publishes it all as one immutable snapshot.
 package agent
 
 import (
@@ -18,150 +18,150 @@
 	"pebbleloom/internal/wire"
 )
 
-// Agent is the one of a process.
+// Agent is the agent of one process.
 type Agent struct {
-	life    *daemon.Process
-	desk    *queue.Actor[table]
-	ros     *clustermembership.Member
-	view    atomic.Pointer[clustermembership.View] // the newest, for the desk
-	archive func(addr string) wire.Archive
-	shown   atomic.Pointer[shown]
-	calls   map[string]context.CancelFunc // by address: who is followed; the desk's
-	seeds   []string                      // the desk's
+	process     *daemon.Process
+	actor       *queue.Actor[table]
+	member      *clustermembership.Member
+	view        atomic.Pointer[clustermembership.View] // the newest, for the actor
+	controlNode func(addr string) wire.Archive
+	published   atomic.Pointer[publishedSnapshot]
+	follows     map[string]context.CancelFunc // by address: the control nodes that are followed; owned by the actor
+	seeds       []string                      // owned by the actor
 }
 
-// shown is a snapshot, and what is closed when another with news takes its place.
-type shown struct {
-	snap *fleet.Snapshot
-	over chan struct{}
+// publishedSnapshot is a snapshot, and a channel that is closed when one with news replaces it.
+type publishedSnapshot struct {
+	snapshot *fleet.Snapshot
+	replaced chan struct{}
 }
 
-// Start joins the roster in a role and follows the control state until the program ends.
+// Start joins the cluster membership in a role and follows the control state until the program ends.
 //
-// Example: a, err := agent.Start(life, codec, "runner")
-func Start(l *daemon.Process, codec backend.Codec, role string) (*Agent, error) {
-	calls := daemon.NewClients(l)
-	a := newAgent(l, codec, calls.ControlNode)
-	a.ros = clustermembership.Start(l.Ctx, l.Place, role, l.Clock, l.Log, calls.Membership, func(v clustermembership.View) {
+// Example: a, err := agent.Start(process, codec, "runner")
+func Start(process *daemon.Process, codec backend.Codec, role string) (*Agent, error) {
+	clients := daemon.NewClients(process)
+	a := newAgent(process, codec, clients.ControlNode)
+	a.member = clustermembership.Start(process.Ctx, process.Place, role, process.Clock, process.Log, clients.Membership, func(v clustermembership.View) {
 		a.view.Store(&v)
-		a.desk.TrySend(a.look)
+		a.actor.TrySend(a.updateView)
 	})
-	l.OnSettingsChanged(func(p settings.Place) { a.ros.SetSeeds(p.Seeds) })
-	l.Go(func() { <-l.Draining; a.ros.Leave() })
-	l.Meter.Gauge("pebbleloom_plan_version", "version of the plan in use", func() float64 {
+	process.OnSettingsChanged(func(p settings.Place) { a.member.SetSeeds(p.Seeds) })
+	process.Go(func() { <-process.Draining; a.member.Leave() })
+	process.Meter.Gauge("pebbleloom_plan_version", "version of the plan in use", func() float64 {
 		if p := a.Now().Plan; p != nil {
 			return float64(p.Version)
 		}
 		return 0
 	})
-	l.Meter.Gauge("pebbleloom_proof_age_seconds", "how long ago the plan in use was known to be the newest", func() float64 {
-		return (l.Clock.Now() - a.Now().ProofAt).Seconds()
+	process.Meter.Gauge("pebbleloom_proof_age_seconds", "age of the proof that the plan in use is the newest", func() float64 {
+		return (process.Clock.Now() - a.Now().ProofAt).Seconds()
 	})
-	l.Meter.Gauge("pebbleloom_workers_known", "workers that requests may go by", func() float64 { return float64(len(a.Now().Workers)) })
-	a.desk.Ask(a.tend)
-	l.Every(l.Place.Bounds.Config(holdPart), func() { a.desk.Ask(a.tend) })
+	process.Meter.Gauge("pebbleloom_workers_known", "workers in the snapshot in use", func() float64 { return float64(len(a.Now().Workers)) })
+	a.actor.Ask(a.updateFollowed)
+	process.Every(process.Place.Bounds.Config(holdRatio), func() { a.actor.Ask(a.updateFollowed) })
 	return a, nil
 }
 
-func newAgent(l *daemon.Process, codec backend.Codec, archive func(string) wire.Archive) *Agent {
-	a := &Agent{life: l, archive: archive, seeds: l.Place.Seeds, calls: map[string]context.CancelFunc{}}
-	t := newTable(l.Place.Bounds, codec, l.Clock.Now())
-	a.shown.Store(&shown{&t.snap, make(chan struct{})})
+func newAgent(process *daemon.Process, codec backend.Codec, controlNode func(string) wire.Archive) *Agent {
+	a := &Agent{process: process, controlNode: controlNode, seeds: process.Place.Seeds, follows: map[string]context.CancelFunc{}}
+	t := newTable(process.Place.Bounds, codec, process.Clock.Now())
+	a.published.Store(&publishedSnapshot{&t.snapshot, make(chan struct{})})
 	a.view.Store(&clustermembership.View{})
-	a.show(t, true)
-	a.desk = queue.NewActor(t, 256)
-	l.OnStop(a.desk.Stop)
-	l.OnSettingsChanged(func(p settings.Place) { a.desk.Ask(func(t *table) { a.seeds = p.Seeds; a.tend(t) }) })
+	a.publish(t, true)
+	a.actor = queue.NewActor(t, 256)
+	process.OnStop(a.actor.Stop)
+	process.OnSettingsChanged(func(p settings.Place) { a.actor.Ask(func(t *table) { a.seeds = p.Seeds; a.updateFollowed(t) }) })
 	return a
 }
 
-// Now is what requests go by at this moment; its Plan is nil before the first one.
+// Now returns the current snapshot; its Plan is nil before the first one.
 //
 // Example: s := a.Now(); if s.Plan == nil { return notReady }
-func (a *Agent) Now() *fleet.Snapshot { return a.shown.Load().snap }
+func (a *Agent) Now() *fleet.Snapshot { return a.published.Load().snapshot }
 
-// Changed is closed once there is news beside a later proof. Take it before Now, so that nothing
-// is missed in between.
+// Changed is closed on news other than a later proof. Take it before Now, so that nothing is missed in
+// between.
 //
 // Example: c := a.Changed(); use(a.Now()); <-c
-func (a *Agent) Changed() <-chan struct{} { return a.shown.Load().over }
+func (a *Agent) Changed() <-chan struct{} { return a.published.Load().replaced }
 
-// View is what the roster knows now.
+// View returns the current cluster membership.
 //
 // Example: for _, n := range a.View().Role("catalogue") { ask(n.Addr) }
-func (a *Agent) View() clustermembership.View { return a.ros.View() }
+func (a *Agent) View() clustermembership.View { return a.member.View() }
 
-// Handler serves the roster's calls; the caller mounts it where this process listens.
+// Handler serves the calls of the cluster membership; the caller mounts it where this process listens.
 //
 // Example: mux.Handle(wire.RosterPathPrefix, a.Handler())
-func (a *Agent) Handler() http.Handler { return wire.NewRosterServer(a.ros) }
+func (a *Agent) Handler() http.Handler { return wire.NewRosterServer(a.member) }
 
-// show lets readers have the table's snapshot: a copy that nobody changes any more.
-func (a *Agent) show(t *table, news bool) {
-	old := a.shown.Load()
-	s := t.snap
+// publish makes the table's snapshot visible to readers, as a copy that is never changed.
+func (a *Agent) publish(t *table, news bool) {
+	old := a.published.Load()
+	s := t.snapshot
 	if !news {
-		a.shown.Store(&shown{&s, old.over})
+		a.published.Store(&publishedSnapshot{&s, old.replaced})
 		return
 	}
-	a.shown.Store(&shown{&s, make(chan struct{})})
-	close(old.over)
+	a.published.Store(&publishedSnapshot{&s, make(chan struct{})})
+	close(old.replaced)
 }
 
-// look takes the roster's view.
-func (a *Agent) look(t *table) {
-	if t.see(*a.view.Load(), a.life.Clock.Now()) {
-		a.show(t, true)
+// updateView applies the current cluster membership.
+func (a *Agent) updateView(t *table) {
+	if t.applyView(*a.view.Load(), a.process.Clock.Now()) {
+		a.publish(t, true)
 	}
 }
 
-// tend sees to it that the right members are followed.
-func (a *Agent) tend(t *table) {
-	a.look(t)
+// updateFollowed starts and stops followers, so that the right members are followed.
+func (a *Agent) updateFollowed(t *table) {
+	a.updateView(t)
 	want := map[string]bool{}
 	for _, m := range t.proof.Members() {
 		want[address(m)] = true
 	}
-	if now := a.life.Clock.Now(); len(want) == 0 || t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Config(outOfTouch) {
-		for _, s := range a.seeds { // who was a member may have been replaced meanwhile
+	if now := a.process.Clock.Now(); len(want) == 0 || t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio) {
+		for _, s := range a.seeds { // the members may have been replaced meanwhile
 			want[s] = true
 		}
-		for _, n := range t.snap.Nodes {
+		for _, n := range t.snapshot.Nodes {
 			if n.Role == "archive" && n.State != clustermembership.Gone {
 				want[n.Addr] = true
 			}
 		}
 	}
-	for addr, stop := range a.calls {
+	for addr, stop := range a.follows {
 		if !want[addr] {
 			stop()
-			delete(a.calls, addr)
+			delete(a.follows, addr)
 		}
 	}
 	for addr := range want {
-		if a.calls[addr] == nil && a.life.Ctx.Err() == nil {
-			ctx, stop := context.WithCancel(a.life.Ctx)
-			a.calls[addr] = stop
+		if a.follows[addr] == nil && a.process.Ctx.Err() == nil {
+			ctx, stop := context.WithCancel(a.process.Ctx)
+			a.follows[addr] = stop
 			go a.follow(ctx, addr)
 		}
 	}
 }
 
-// heard takes one member's answer into the table, and says whether it was of any use.
-func (a *Agent) heard(tell *wire.FollowResponse, had uint64, asked time.Duration) (useful bool) {
-	a.desk.Ask(func(t *table) {
-		term, index, first := t.proof.term, t.proof.index, t.snap.ProofAt == 0
-		news, err := t.hear(tell, had, asked, a.life.Clock.Now())
+// handleResponse applies one member's response, and reports whether it was useful.
+func (a *Agent) handleResponse(response *wire.FollowResponse, requested uint64, asked time.Duration) (useful bool) {
+	a.actor.Ask(func(t *table) {
+		term, index, first := t.proof.term, t.proof.index, t.snapshot.ProofAt == 0
+		news, err := t.applyResponse(response, requested, asked, a.process.Clock.Now())
 		if err != nil {
-			// The control state holds checked documents; a program older than one can still fail here.
-			a.life.Log.Error("news can't be read: the last that could be stays in use", "from", tell.Member, "error", err)
+			// The control state holds checked documents; a program older than a document can still fail here.
+			a.process.Log.Error("document can't be read: the previous one stays in use", "from", response.Member, "error", err)
 		}
-		a.show(t, news)
-		if first && t.snap.ProofAt > 0 {
-			a.life.Log.Info("first plan proved", "version", t.snap.Plan.Version, "workers", len(t.snap.Workers))
+		a.publish(t, news)
+		if first && t.snapshot.ProofAt > 0 {
+			a.process.Log.Info("first plan proved", "version", t.snapshot.Plan.Version, "workers", len(t.snapshot.Workers))
 		}
 		if t.proof.term != term || t.proof.index != index {
-			a.tend(t)
+			a.updateFollowed(t)
 		}
 		useful = news
 	})
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -68,7 +68,7 @@
 	case "empty":
 		return &wire.FollowResponse{}, nil
 	}
-	if version <= had(a) || mood == "behind" {
+	if version <= requestedVersion(a) || mood == "behind" {
 		select {
 		case <-news:
 		case <-end.C:
@@ -84,7 +84,7 @@
 			t.Member = m
 		}
 	}
-	if s.version > had(a) && s.mood[s.addr] != "behind" {
+	if s.version > requestedVersion(a) && s.mood[s.addr] != "behind" {
 		t.Documents = append(t.Documents, planDoc(s.version))
 	}
 	return t, nil
@@ -101,8 +101,8 @@
 		if a.Now() == nil || a.Now().Plan != nil {
 			t.Fatal("a plan before any was told")
 		}
-		a.desk.Ask(a.tend)
-		l.Every(l.Place.Bounds.Config(holdPart), func() { a.desk.Ask(a.tend) })
+		a.actor.Ask(a.updateFollowed)
+		l.Every(l.Place.Bounds.Config(holdRatio), func() { a.actor.Ask(a.updateFollowed) })
 		f(t, a)
 		l.Stop(time.Second)
 		synctest.Wait()
@@ -143,7 +143,7 @@
 		if version(a) != 2 || before.Plan.Version != 1 {
 			t.Fatalf("plan %d, and the old snapshot says %d", version(a), before.Plan.Version)
 		}
-		if age := a.life.Clock.Now() - a.Now().ProofAt; a.Now().ProofAt == 0 || age > a.life.Place.Bounds.Config(1.1) {
+		if age := a.process.Clock.Now() - a.Now().ProofAt; a.Now().ProofAt == 0 || age > a.process.Place.Bounds.Config(1.1) {
 			t.Fatalf("the proof is %v old", age)
 		}
 	})
@@ -159,7 +159,7 @@
 		before, strange := c.count("1:3"), c.count("9:9")
 		for range 100 {
 			until(100 * time.Millisecond)
-			if age := a.life.Clock.Now() - a.Now().ProofAt; age > a.life.Place.Bounds.Config(2*holdPart) {
+			if age := a.process.Clock.Now() - a.Now().ProofAt; age > a.process.Place.Bounds.Config(2*holdRatio) {
 				t.Fatalf("the proof is %v old", age)
 			}
 		}
@@ -207,9 +207,9 @@
 		}
 		// Once a majority can be heard again, there is a proof without waiting for a hold.
 		c.change(func() { c.mood["1:3"] = "" })
-		until(a.life.Place.Bounds.Config(graceWait+pauseMost) + time.Millisecond) // the last one that hangs
+		until(a.process.Place.Bounds.Config(graceRatio+maxPauseRatio) + time.Millisecond) // the last one that hangs
 		if a.Now().ProofAt <= at {
-			t.Errorf("no proof yet: %v old", a.life.Clock.Now()-a.Now().ProofAt)
+			t.Errorf("no proof yet: %v old", a.process.Clock.Now()-a.Now().ProofAt)
 		}
 	})
 }
@@ -229,7 +229,7 @@
 		if c.count("1:1") != n || c.held("1:1") != 0 || c.held("1:4") != 1 {
 			t.Errorf("asked of the one removed: %d then %d; under way: %d", n, c.count("1:1"), c.held("1:4"))
 		}
-		if age := a.life.Clock.Now() - a.Now().ProofAt; version(a) != 9 || age > a.life.Place.Bounds.Config(1) {
+		if age := a.process.Clock.Now() - a.Now().ProofAt; version(a) != 9 || age > a.process.Place.Bounds.Config(1) {
 			t.Errorf("plan %d, proof %v old", version(a), age)
 		}
 		// All members are replaced while none of them can be heard: the seeds tell who they are.
@@ -238,7 +238,7 @@
 			c.mood["1:2"], c.mood["1:3"], c.mood["1:4"] = "hangs", "hangs", "hangs"
 		})
 		until(10 * time.Second)
-		if age := a.life.Clock.Now() - a.Now().ProofAt; age > a.life.Place.Bounds.Config(1) {
+		if age := a.process.Clock.Now() - a.Now().ProofAt; age > a.process.Place.Bounds.Config(1) {
 			t.Errorf("the new members aren't found: proof %v old", age)
 		}
 	})
@@ -271,9 +271,9 @@
 		if a.Now().Plan != nil {
 			t.Fatal("a plan from nowhere")
 		}
-		p := a.life.Place
+		p := a.process.Place
 		p.Seeds = []string{"2:3", "8:8", "8:9"}
-		a.life.ApplySettings(p)
+		a.process.ApplySettings(p)
 		until(2 * time.Second)
 		if version(a) != 1 || a.Now().ProofAt == 0 {
 			t.Fatalf("plan %d, proof at %v", version(a), a.Now().ProofAt)
@@ -296,7 +296,7 @@
 			t.Fatal(err)
 		}
 		until(10 * time.Second)
-		if s := a.Now(); s.Plan != nil || s.ProofAt != 0 || s.Edges != unheard || len(s.Nodes) != 1 || a.View().Nodes[0].Name != "runner/edge-1" {
+		if s := a.Now(); s.Plan != nil || s.ProofAt != 0 || s.Edges != assumedEdges || len(s.Nodes) != 1 || a.View().Nodes[0].Name != "runner/edge-1" {
 			t.Fatalf("%+v", s)
 		}
 		if a.Handler() == nil {
--- a/internal/data/agent/proof.go
+++ b/internal/data/agent/proof.go
@@ -10,14 +10,14 @@
 // Proof shows by majority up to which instant no newer plan had been acknowledged, in a group
 // whose members change one at a time.
 //
-// The claim: let M be a membership, and let each of a majority Q of M have answered a question
-// asked at t or later that (a) its disk holds no plan newer than v, and (b) the newest membership
+// The claim: let M be a membership, and let each of a majority Q of M have answered a request
+// sent at t or later that (a) its disk holds no plan newer than v, and (b) the newest membership
 // on its disk is M itself, by term and index. Then no plan newer than v was acknowledged before t.
 //
 // What the group promises: an entry is committed by a majority of the newest membership in its
 // leader's log, committed or not; a leader adds a membership only when the one before it, and an
 // entry of its own term, are committed; it differs by one member; a member that lost its disk
-// has another life, so another name; (a) and (b) are read in one moment off the synced log.
+// has another incarnation, so another name; (a) and (b) are read at one instant from the synced log.
 //
 // Why it holds. Say a newer plan e was committed before t, by a majority of C. Any majorities
 // of the same membership, or of two that are adjacent, share a member, and what is committed
@@ -36,62 +36,62 @@
 //     case fails: from {1,2,3,4}, {a,3,4} of the lost {1,2,3,4,a} never meet {1,2} of {1,2,3}.)
 //
 // A proof tells of the past, so it stays when members change, and a proof for v is one for any
-// newer plan. What it never does is to serve an older one: a vouch for v says nothing about plans
+// newer plan. It never serves an older one: an attestation for v says nothing about plans
 // between u and v, so it doesn't count while u is in use.
 type Proof struct {
-	term, index uint64 // of the newest membership that any member told
-	members     []string
-	said        map[string]vouch
-	at          time.Duration
+	term, index  uint64 // of the newest membership that any member reported
+	members      []string
+	attestations map[string]attestation
+	at           time.Duration
 }
 
-// vouch is the latest word of one member.
-type vouch struct {
+// attestation is the latest statement of one member.
+type attestation struct {
 	asked       time.Duration
 	version     uint64 // its disk held nothing newer
 	term, index uint64 // of the newest membership on its disk
 }
 
-// NewProof begins without members.
+// NewProof starts without members.
 //
 // Example: p := agent.NewProof()
-func NewProof() *Proof { return &Proof{said: map[string]vouch{}} }
+func NewProof() *Proof { return &Proof{attestations: map[string]attestation{}} }
 
-// Members is the newest membership heard of; nil before the first.
+// Members is the newest known membership; nil before the first.
 //
 // Example: for _, m := range p.Members() { follow(m) }
 func (p *Proof) Members() []string { return p.members }
 
-// Hear takes an answer to a question asked at an instant. version is the newest plan that the
-// member was asked with or told.
+// AddResponse records a response to a request that was sent at the instant asked. version is the
+// newest plan that the member was sent or returned.
 //
-// Example: p.Hear(tell, 7, askedAt)
-func (p *Proof) Hear(t *wire.FollowResponse, version uint64, asked time.Duration) {
-	if len(t.Members) == 0 {
+// Example: p.AddResponse(response, 7, askedAt)
+func (p *Proof) AddResponse(response *wire.FollowResponse, version uint64, asked time.Duration) {
+	if len(response.Members) == 0 {
 		return // it knows no group
 	}
-	if p.members == nil || t.MembersTerm > p.term || t.MembersTerm == p.term && t.MembersIndex > p.index {
-		p.term, p.index, p.members = t.MembersTerm, t.MembersIndex, slices.Clone(t.Members)
-		for m := range p.said {
+	if p.members == nil || response.MembersTerm > p.term || response.MembersTerm == p.term && response.MembersIndex > p.index {
+		p.term, p.index, p.members = response.MembersTerm, response.MembersIndex, slices.Clone(response.Members)
+		for m := range p.attestations {
 			if !slices.Contains(p.members, m) {
-				delete(p.said, m)
+				delete(p.attestations, m)
 			}
 		}
 	}
-	if !t.NothingNewer || !slices.Contains(p.members, t.Member) || asked <= p.said[t.Member].asked {
+	if !response.NothingNewer || !slices.Contains(p.members, response.Member) || asked <= p.attestations[response.Member].asked {
 		return
 	}
-	p.said[t.Member] = vouch{asked, version, t.MembersTerm, t.MembersIndex}
+	p.attestations[response.Member] = attestation{asked, version, response.MembersTerm, response.MembersIndex}
 }
 
-// At is the instant up to which nothing newer than the version in use had been acknowledged;
-// zero without a proof. It never falls while the versions in use only climb.
+// At is the instant up to which nothing newer than the version in use had been acknowledged; zero
+// without a proof. It never decreases while the versions in use only grow.
 //
-// Example: if now-p.At(7) > bound { deny() }
+// Example: if now-p.At(7) > bound { reject() }
 func (p *Proof) At(version uint64) time.Duration {
 	var l []time.Duration
 	for _, m := range p.members {
-		if v, ok := p.said[m]; ok && v.version <= version && v.term == p.term && v.index == p.index {
+		if v, ok := p.attestations[m]; ok && v.version <= version && v.term == p.term && v.index == p.index {
 			l = append(l, v.asked)
 		}
 	}
--- a/internal/data/agent/proof_test.go
+++ b/internal/data/agent/proof_test.go
@@ -16,9 +16,9 @@
 }
 
 type answer struct {
-	tell    *wire.FollowResponse
-	version uint64
-	asked   time.Duration
+	response *wire.FollowResponse
+	version  uint64
+	asked    time.Duration
 }
 
 func everyOrder[T any](l []T, f func([]T)) (n int) {
@@ -41,13 +41,13 @@
 // a majority of one membership, all of whom told just that one and had nothing newer than v.
 func vouched(l []answer, v uint64) (best time.Duration) {
 	for _, x := range l {
-		need := len(x.tell.Members)/2 + 1
+		need := len(x.response.Members)/2 + 1
 		for _, t := range l {
 			by := map[string]bool{}
 			for _, a := range l {
-				if a.tell.NothingNewer && a.asked >= t.asked && a.version <= v && slices.Contains(x.tell.Members, a.tell.Member) &&
-					a.tell.MembersTerm == x.tell.MembersTerm && a.tell.MembersIndex == x.tell.MembersIndex {
-					by[a.tell.Member] = true
+				if a.response.NothingNewer && a.asked >= t.asked && a.version <= v && slices.Contains(x.response.Members, a.response.Member) &&
+					a.response.MembersTerm == x.response.MembersTerm && a.response.MembersIndex == x.response.MembersIndex {
+					by[a.response.Member] = true
 				}
 			}
 			if len(by) >= need {
@@ -78,7 +78,7 @@
 		p := NewProof()
 		before := time.Duration(0)
 		for i, a := range l {
-			p.Hear(a.tell, a.version, a.asked)
+			p.AddResponse(a.response, a.version, a.asked)
 			at := p.At(7)
 			if at < before || at > vouched(l[:i+1], 7) {
 				t.Fatalf("%v: proof at %v, vouched for at %v, before it %v", l[:i+1], at, vouched(l[:i+1], 7), before)
@@ -100,14 +100,14 @@
 func TestMinorityProvesNothing(t *testing.T) {
 	p := NewProof()
 	for i := range 5 {
-		p.Hear(says(abc[0], 1, 1, abc...), 7, time.Duration(10+i))
+		p.AddResponse(says(abc[0], 1, 1, abc...), 7, time.Duration(10+i))
 	}
 	if at := p.At(7); at != 0 {
 		t.Fatalf("one of three proves %v", at)
 	}
-	p.Hear(says("1:1/x", 1, 1, abc...), 7, 90) // the same address, another life: its disk was lost
-	p.Hear(says("9:9/z", 1, 1, abc...), 7, 95)
-	p.Hear(&wire.FollowResponse{Member: abc[1], NothingNewer: true}, 7, 99)
+	p.AddResponse(says("1:1/x", 1, 1, abc...), 7, 90) // the same address, another life: its disk was lost
+	p.AddResponse(says("9:9/z", 1, 1, abc...), 7, 95)
+	p.AddResponse(&wire.FollowResponse{Member: abc[1], NothingNewer: true}, 7, 99)
 	if at := p.At(7); at != 0 {
 		t.Fatalf("strangers and one who knows no members prove %v", at)
 	}
@@ -116,15 +116,15 @@
 func TestRemovedMemberVouchesForNothing(t *testing.T) {
 	four := append(slices.Clone(abc), "1:4/d")
 	p := NewProof()
-	p.Hear(says(abc[0], 1, 1, four...), 7, 10)
-	p.Hear(says("1:4/d", 1, 1, four...), 7, 20)
-	p.Hear(says(abc[0], 1, 5, abc...), 7, 30) // d was taken out
-	p.Hear(says("1:4/d", 1, 1, four...), 7, 40)
-	p.Hear(says(abc[1], 1, 1, four...), 7, 50) // hasn't heard of that
+	p.AddResponse(says(abc[0], 1, 1, four...), 7, 10)
+	p.AddResponse(says("1:4/d", 1, 1, four...), 7, 20)
+	p.AddResponse(says(abc[0], 1, 5, abc...), 7, 30) // d was taken out
+	p.AddResponse(says("1:4/d", 1, 1, four...), 7, 40)
+	p.AddResponse(says(abc[1], 1, 1, four...), 7, 50) // hasn't heard of that
 	if at := p.At(7); at != 0 {
 		t.Fatalf("a removed member, and one behind, prove %v", at)
 	}
-	p.Hear(says(abc[1], 1, 5, abc...), 7, 60)
+	p.AddResponse(says(abc[1], 1, 5, abc...), 7, 60)
 	if at := p.At(7); at != 30 {
 		t.Fatalf("two of three prove %v", at)
 	}
@@ -134,10 +134,10 @@
 func TestMembershipThatWasLost(t *testing.T) {
 	old, lost := []string{"1", "2", "3", "4"}, []string{"1", "2", "3", "4", "a"}
 	p := NewProof()
-	p.Hear(says("a", 2, 5, lost...), 7, 10)
-	p.Hear(says("4", 2, 5, lost...), 7, 10)
+	p.AddResponse(says("a", 2, 5, lost...), 7, 10)
+	p.AddResponse(says("4", 2, 5, lost...), 7, 10)
 	// 3 has heard from the leader of term 3, which cut the lost membership off its log.
-	p.Hear(says("3", 1, 1, old...), 7, 20)
+	p.AddResponse(says("3", 1, 1, old...), 7, 20)
 	if at := p.At(7); at != 0 {
 		t.Fatalf("proof at %v, while {1,2} of {1,2,3} may have acknowledged a newer plan", at)
 	}
@@ -300,7 +300,7 @@
 		tell.Members, tell.MembersTerm, tell.MembersIndex = p.members, p.term, p.index
 	}
 	g.have = max(g.have, told)
-	g.proof.Hear(tell, version, time.Duration(q.at))
+	g.proof.AddResponse(tell, version, time.Duration(q.at))
 	t := g.proof.At(g.have)
 	if t > 0 {
 		g.proofs++
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -18,93 +18,93 @@
 	"pebbleloom/internal/wire"
 )
 
-// unheard is how many edge machines there may be while this one hasn't heard how many there are.
-const unheard = 32
+// assumedEdges is the assumed number of edge machines while the real one isn't known.
+const assumedEdges = 32
 
 // How long an edge machine counts after it was last seen, as a ratio of the heal bound, and how
-// long after its start a node may not have heard of all others, as one of the leave bound.
+// long after its start a node may not know all others, as a ratio of the leave bound.
 const (
-	edgeMemory = 5
-	youngPart  = 1.0 / 3
+	edgeMemoryRatio = 5
+	joiningRatio    = 1.0 / 3
 )
 
-// outOfTouch is how old a proof is, as a ratio of the setup bound, when news may have been missed.
-const outOfTouch = 1.5
+// outOfContactRatio is the age of a proof, as a ratio of the configuration bound, from which news may have been missed.
+const outOfContactRatio = 1.5
 
-// table is all that an agent knows; one thread at a time touches it.
+// table is the state of an agent; one goroutine at a time touches it.
 type table struct {
-	b     settings.Bounds
-	codec backend.Codec
-	born  time.Duration
-	proof *Proof
-	have  map[string]uint64 // by document: the newest version told, read or not
-	edges map[string]time.Duration
-	snap  fleet.Snapshot
+	bounds     settings.Bounds
+	codec      backend.Codec
+	startedAt  time.Duration
+	proof      *Proof
+	versions   map[string]uint64 // by document: the newest version received, readable or not
+	edgeSeenAt map[string]time.Duration
+	snapshot   fleet.Snapshot
 }
 
 func newTable(b settings.Bounds, codec backend.Codec, now time.Duration) *table {
-	return &table{b: b, codec: codec, born: now, proof: NewProof(), have: map[string]uint64{},
-		edges: map[string]time.Duration{}, snap: fleet.Snapshot{Edges: unheard}}
+	return &table{bounds: b, codec: codec, startedAt: now, proof: NewProof(), versions: map[string]uint64{},
+		edgeSeenAt: map[string]time.Duration{}, snapshot: fleet.Snapshot{Edges: assumedEdges}}
 }
 
-// hold is how long a question asked now may be held. An agent that was out of touch, or slept, needs
-// a proof before it can serve again: it asks for answers at once.
+// hold is how long a request sent now may be held. An agent that was out of contact, or suspended,
+// needs a proof before it can serve again: it asks for an immediate response.
 func (t *table) hold(now time.Duration) time.Duration {
-	if t.snap.Plan != nil && (t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Config(outOfTouch)) {
+	if t.snapshot.Plan != nil && (t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio)) {
 		return 0
 	}
-	return t.b.Config(holdPart)
+	return t.bounds.Config(holdRatio)
 }
 
-// ask is what to ask a member with now.
-func (t *table) ask(hold time.Duration) *wire.FollowRequest {
+// newRequest makes the next request to a member.
+func (t *table) newRequest(hold time.Duration) *wire.FollowRequest {
 	a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.Key, Packed: true}
 	for _, k := range []string{routingconfig.Key, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
-		a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.have[k]})
+		a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.versions[k]})
 	}
-	for _, k := range queue.Keys(t.have) {
+	for _, k := range queue.Keys(t.versions) {
 		if strings.HasPrefix(k, fleet.PlacementKey) && k != fleet.PlacementKey {
-			a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.have[k]})
+			a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.versions[k]})
 		}
 	}
 	return a
 }
 
-// hear takes a member's answer to a question that had plan version had, asked at an instant. It
-// tells whether there was news.
-func (t *table) hear(tell *wire.FollowResponse, had uint64, asked, now time.Duration) (news bool, err error) {
+// applyResponse applies a member's response to a request that was sent with plan version requested at
+// the instant asked. It reports whether there was news.
+func (t *table) applyResponse(response *wire.FollowResponse, requested uint64, asked, now time.Duration) (news bool, err error) {
 	var b errs.Batch
-	version := had
-	for _, d := range tell.Documents {
+	version := requested
+	for _, d := range response.Documents {
 		if d.GetKey() == routingconfig.Key {
 			version = max(version, d.GetVersion())
 		}
-		if t.known(d.GetKey()) && d.GetVersion() > t.have[d.GetKey()] {
-			t.have[d.GetKey()] = d.GetVersion()
+		if t.isFollowed(d.GetKey()) && d.GetVersion() > t.versions[d.GetKey()] {
+			t.versions[d.GetKey()] = d.GetVersion()
 			news = true
-			b.Note("document "+d.GetKey(), errs.Wrap(t.adopt(d, now), "read"))
+			b.Note("document "+d.GetKey(), errs.Wrap(t.applyDocument(d, now), "read"))
 		}
 	}
-	t.proof.Hear(tell, version, asked)
-	t.prove()
+	t.proof.AddResponse(response, version, asked)
+	t.updateProof()
 	return news, b.Look()
 }
 
-func (t *table) known(key string) bool {
+func (t *table) isFollowed(key string) bool {
 	return key == routingconfig.Key || key == fleet.WorkersKey || key == fleet.WeightsKey ||
 		strings.HasPrefix(key, fleet.PlacementKey) && key != fleet.PlacementKey
 }
 
-// prove notes how fresh the plan in use is.
-func (t *table) prove() {
-	if t.snap.Plan != nil {
-		t.snap.ProofAt = t.proof.At(t.snap.Plan.Version)
+// updateProof sets how fresh the plan in use is.
+func (t *table) updateProof() {
+	if t.snapshot.Plan != nil {
+		t.snapshot.ProofAt = t.proof.At(t.snapshot.Plan.Version)
 	}
 }
 
-// adopt takes a newer document into use. Members tell committed ones alone. One that this program
-// can't read leaves the one before it in use, and a plan's proof then grows no more.
-func (t *table) adopt(d *wire.Document, now time.Duration) error {
+// applyDocument takes a newer document into use. Members send committed documents only. One that this
+// program can't read leaves the previous one in use, and the plan's proof then stops growing.
+func (t *table) applyDocument(d *wire.Document, now time.Duration) error {
 	d, err := fleet.Unpack(d)
 	if err != nil {
 		return err
@@ -115,72 +115,73 @@
 		if err != nil {
 			return err
 		}
-		p.Version = d.Version // what was agreed on counts
-		t.snap.Plan = p
+		p.Version = d.Version // the committed version counts
+		t.snapshot.Plan = p
 	case fleet.WorkersKey:
 		var w fleet.Table
 		if err := json.Unmarshal(d.Body, &w); err != nil {
 			return errs.As(err, errs.Inside, "not a table of workers")
 		}
-		t.snap.Workers = w.Workers
+		t.snapshot.Workers = w.Workers
 	case fleet.WeightsKey:
 		var w fleet.Weights
 		if err := json.Unmarshal(d.Body, &w); err != nil {
 			return errs.As(err, errs.Inside, "not a list of weights")
 		}
-		t.name(w.Named, now)
+		t.applyWeights(w.Named, now)
 	default:
 		p, err := placement.Read(d.Body, d.Version)
 		if err != nil {
 			return err
 		}
-		m := maps.Clone(t.snap.Placements)
+		m := maps.Clone(t.snapshot.Placements)
 		if m == nil {
 			m = map[string]*placement.Placement{}
 		}
 		m[strings.TrimPrefix(d.Key, fleet.PlacementKey)] = p
-		t.snap.Placements = m
+		t.snapshot.Placements = m
 	}
 	return nil
 }
 
-// name takes weights' versions. An agent in touch hears of them at once. One that was out of
-// touch, or has just begun, can't know how long ago they were named: half the bound counts as
-// gone by, or the time since it was last in touch if that is less.
-func (t *table) name(named map[string]uint64, now time.Duration) {
+// applyWeights sets the named weights. An agent in contact learns of them at once. One that was out of
+// contact, or has just started, can't know how long ago they were named: half the bound counts as
+// elapsed, or the time since the last contact if that is less.
+func (t *table) applyWeights(named map[string]uint64, now time.Duration) {
 	since := now
-	if t.snap.ProofAt == 0 || now-t.snap.ProofAt > t.b.Config(outOfTouch) {
-		since = max(t.snap.ProofAt, now-t.b.Weights(0.5))
+	if t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio) {
+		since = max(t.snapshot.ProofAt, now-t.bounds.Weights(0.5))
 	}
 	at := map[string]time.Duration{}
 	for m, v := range named {
 		at[m] = since
-		if old, ok := t.snap.Named[m]; ok && old == v {
-			at[m] = t.snap.NamedAt[m]
+		if old, ok := t.snapshot.Named[m]; ok && old == v {
+			at[m] = t.snapshot.NamedAt[m]
 		}
 	}
-	t.snap.Named, t.snap.NamedAt = named, at
+	t.snapshot.Named, t.snapshot.NamedAt = named, at
 }
 
-// see takes the roster's view and counts the edge machines. It tells whether any of that is news.
-func (t *table) see(v clustermembership.View, now time.Duration) bool {
+// applyView sets the cluster membership and counts the edge machines. It reports whether anything
+// changed.
+func (t *table) applyView(v clustermembership.View, now time.Duration) bool {
 	alone := true
 	for _, n := range v.Nodes {
 		alone = alone && n.Role != "archive"
 		if n.Role == "runner" && n.State != clustermembership.Gone {
-			t.edges[n.Name] = now
+			t.edgeSeenAt[n.Name] = now
 		}
 	}
-	if now-t.snap.ProofAt <= t.b.Config(outOfTouch) { // a machine that is cut off sees all others gone
-		maps.DeleteFunc(t.edges, func(_ string, at time.Duration) bool { return now-at > t.b.Heal(edgeMemory) })
+	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // a partitioned machine sees all others gone
+		maps.DeleteFunc(t.edgeSeenAt, func(_ string, at time.Duration) bool { return now-at > t.bounds.Heal(edgeMemoryRatio) })
 	}
-	n := max(1, len(t.edges))
-	if alone && t.snap.Edges == unheard || now-t.born < t.b.Leave(youngPart) {
-		n = max(n, unheard)
+	n := max(1, len(t.edgeSeenAt))
+	if alone && t.snapshot.Edges == assumedEdges || now-t.startedAt < t.bounds.Leave(joiningRatio) {
+		n = max(n, assumedEdges)
 	}
-	if n == t.snap.Edges && slices.Equal(v.Nodes, t.snap.Nodes) {
+	if n == t.snapshot.Edges && slices.Equal(v.Nodes, t.snapshot.Nodes) {
 		return false
 	}
-	t.snap.Edges, t.snap.Nodes = n, v.Nodes
+	t.snapshot.Edges, t.snapshot.Nodes = n, v.Nodes
 	return true
 }
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -41,7 +41,7 @@
 	return &wire.Document{Key: key, Version: v, Body: b}
 }
 
-func tells(member string, same bool, docs ...*wire.Document) *wire.FollowResponse {
+func newFollowResponse(member string, same bool, docs ...*wire.Document) *wire.FollowResponse {
 	return &wire.FollowResponse{Member: member, NothingNewer: same, Members: abc, MembersTerm: 1, MembersIndex: 1, Documents: docs}
 }
 
@@ -58,19 +58,19 @@
 		at   time.Duration
 	}
 	l := []heard{
-		{tells(abc[0], true, planDoc(2)), 0, start + 1},
-		{tells(abc[1], true, planDoc(5)), 2, start + 2},
-		{tells(abc[2], true, planDoc(3)), 2, start + 3},
-		{tells(abc[0], true), 3, start + 4},
-		{tells(abc[1], true, planDoc(5)), 3, start + 5},
-		{tells(abc[2], false, planDoc(5)), 3, start + 6},
+		{newFollowResponse(abc[0], true, planDoc(2)), 0, start + 1},
+		{newFollowResponse(abc[1], true, planDoc(5)), 2, start + 2},
+		{newFollowResponse(abc[2], true, planDoc(3)), 2, start + 3},
+		{newFollowResponse(abc[0], true), 3, start + 4},
+		{newFollowResponse(abc[1], true, planDoc(5)), 3, start + 5},
+		{newFollowResponse(abc[2], false, planDoc(5)), 3, start + 6},
 	}
 	everyOrder(l, func(l []heard) {
 		x := fresh()
 		top := uint64(0)
 		proof := time.Duration(0)
 		for _, h := range l {
-			news, err := x.hear(h.tell, h.had, h.at, start+10)
+			news, err := x.applyResponse(h.tell, h.had, h.at, start+10)
 			told := uint64(0)
 			for _, d := range h.tell.Documents {
 				told = d.Version
@@ -79,10 +79,10 @@
 				t.Fatalf("%v: news %v, %v", l, news, err)
 			}
 			top = max(top, told)
-			if top > 0 && x.snap.Plan.Version != top || x.have[routingconfig.Key] != top || x.snap.ProofAt < proof {
-				t.Fatalf("%v: plan %v in use, %d told, proof %v after %v", l, x.snap.Plan, top, x.snap.ProofAt, proof)
+			if top > 0 && x.snapshot.Plan.Version != top || x.versions[routingconfig.Key] != top || x.snapshot.ProofAt < proof {
+				t.Fatalf("%v: plan %v in use, %d told, proof %v after %v", l, x.snapshot.Plan, top, x.snapshot.ProofAt, proof)
 			}
-			proof = x.snap.ProofAt
+			proof = x.snapshot.ProofAt
 		}
 		if proof != start+4 {
 			t.Fatalf("%v: proof at %v in the end", l, proof)
@@ -92,16 +92,16 @@
 
 func TestPlanThatCannotBeReadGetsNoProof(t *testing.T) {
 	x := fresh()
-	x.hear(tells(abc[0], true, planDoc(2)), 0, start+1, start+1)
-	x.hear(tells(abc[1], true), 2, start+2, start+2)
+	x.applyResponse(newFollowResponse(abc[0], true, planDoc(2)), 0, start+1, start+1)
+	x.applyResponse(newFollowResponse(abc[1], true), 2, start+2, start+2)
 	bad := &wire.Document{Key: routingconfig.Key, Version: 3, Body: []byte("?")}
-	if news, err := x.hear(tells(abc[0], true, bad), 2, start+3, start+3); !news || err == nil {
+	if news, err := x.applyResponse(newFollowResponse(abc[0], true, bad), 2, start+3, start+3); !news || err == nil {
 		t.Fatalf("news %v, error %v", news, err)
 	}
-	x.hear(tells(abc[1], true, bad), 2, start+4, start+4)
-	x.hear(tells(abc[2], true), 3, start+5, start+5)
-	if x.snap.Plan.Version != 2 || x.snap.ProofAt != start+1 || x.have[routingconfig.Key] != 3 {
-		t.Fatalf("plan %d, proof %v, asks with %d", x.snap.Plan.Version, x.snap.ProofAt, x.have[routingconfig.Key])
+	x.applyResponse(newFollowResponse(abc[1], true, bad), 2, start+4, start+4)
+	x.applyResponse(newFollowResponse(abc[2], true), 3, start+5, start+5)
+	if x.snapshot.Plan.Version != 2 || x.snapshot.ProofAt != start+1 || x.versions[routingconfig.Key] != 3 {
+		t.Fatalf("plan %d, proof %v, asks with %d", x.snapshot.Plan.Version, x.snapshot.ProofAt, x.versions[routingconfig.Key])
 	}
 	if r := x.codec.(*numbers).reads; r != 2 {
 		t.Fatalf("%d reads", r)
@@ -110,54 +110,54 @@
 
 func TestDocumentsFindTheirPlace(t *testing.T) {
 	x := fresh()
-	before := x.snap
+	before := x.snapshot
 	ws := fleet.Table{Workers: []fleet.Worker{{ID: "w1", Service: "s"}}}
 	place := doc(t, fleet.PlacementKey+"s", 4, map[string]any{})
-	if _, err := x.hear(tells(abc[0], true, doc(t, fleet.WorkersKey, 3, ws), place, doc(t, "strange", 9, 1), doc(t, fleet.PlacementKey, 9, 1)), 0, start, start); err != nil {
+	if _, err := x.applyResponse(newFollowResponse(abc[0], true, doc(t, fleet.WorkersKey, 3, ws), place, doc(t, "strange", 9, 1), doc(t, fleet.PlacementKey, 9, 1)), 0, start, start); err != nil {
 		t.Fatal(err)
 	}
-	if x.snap.Workers[0].ID != "w1" || x.snap.Placements["s"] == nil || len(x.snap.Placements) != 1 || before.Placements != nil {
-		t.Fatalf("%+v, before %+v", x.snap, before)
+	if x.snapshot.Workers[0].ID != "w1" || x.snapshot.Placements["s"] == nil || len(x.snapshot.Placements) != 1 || before.Placements != nil {
+		t.Fatalf("%+v, before %+v", x.snapshot, before)
 	}
 	got := map[string]uint64{}
-	a := x.ask(time.Second)
+	a := x.newRequest(time.Second)
 	for _, h := range a.Have {
 		got[h.Key] = h.Version
 	}
 	if len(a.Have) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || a.Proof != routingconfig.Key || a.HoldNs != 1e9 {
 		t.Fatalf("asks %v", a)
 	}
-	shown := x.snap
-	x.hear(tells(abc[0], true, doc(t, fleet.PlacementKey+"t", 1, map[string]any{}), doc(t, fleet.WorkersKey, 2, fleet.Table{})), 0, start, start)
-	if len(x.snap.Placements) != 2 || len(shown.Placements) != 1 || len(x.snap.Workers) != 1 {
+	shown := x.snapshot
+	x.applyResponse(newFollowResponse(abc[0], true, doc(t, fleet.PlacementKey+"t", 1, map[string]any{}), doc(t, fleet.WorkersKey, 2, fleet.Table{})), 0, start, start)
+	if len(x.snapshot.Placements) != 2 || len(shown.Placements) != 1 || len(x.snapshot.Workers) != 1 {
 		t.Fatal("what was shown has changed, or workers went back")
 	}
 }
 
 func TestWhenWeightsWereNamed(t *testing.T) {
 	x := fresh()
-	b := x.b
+	b := x.bounds
 	name := func(v uint64, now time.Duration, named map[string]uint64) {
-		x.hear(tells(abc[0], true, doc(t, fleet.WeightsKey, v, fleet.Weights{Named: named})), 1, now, now)
+		x.applyResponse(newFollowResponse(abc[0], true, doc(t, fleet.WeightsKey, v, fleet.Weights{Named: named})), 1, now, now)
 	}
 	name(1, start, map[string]uint64{"m": 1})
-	if at := x.snap.NamedAt["m"]; at != start-b.Weights(0.5) {
+	if at := x.snapshot.NamedAt["m"]; at != start-b.Weights(0.5) {
 		t.Fatalf("a naming found at the start counts from %v", at)
 	}
 	now := start + time.Minute
-	x.hear(tells(abc[1], true, planDoc(1)), 0, now, now)
-	x.hear(tells(abc[0], true), 1, now, now)
+	x.applyResponse(newFollowResponse(abc[1], true, planDoc(1)), 0, now, now)
+	x.applyResponse(newFollowResponse(abc[0], true), 1, now, now)
 	name(2, now+1, map[string]uint64{"m": 2, "n": 7})
 	name(3, now+2, map[string]uint64{"m": 2, "n": 8})
-	if a := x.snap.NamedAt; a["m"] != now+1 || a["n"] != now+2 {
+	if a := x.snapshot.NamedAt; a["m"] != now+1 || a["n"] != now+2 {
 		t.Fatalf("in touch: named at %v", a)
 	}
 	name(4, now+b.Config(2), map[string]uint64{"m": 3})
-	if a := x.snap.NamedAt; a["m"] != now || len(a) != 1 {
+	if a := x.snapshot.NamedAt; a["m"] != now || len(a) != 1 {
 		t.Fatalf("out of touch since %v: named at %v", now, a)
 	}
 	name(5, now+b.Weights(3), map[string]uint64{"m": 4})
-	if a := x.snap.NamedAt; a["m"] != now+b.Weights(2.5) {
+	if a := x.snapshot.NamedAt; a["m"] != now+b.Weights(2.5) {
 		t.Fatalf("out of touch for long: named at %v", a)
 	}
 }
@@ -176,34 +176,34 @@
 
 func TestEdgesAreCountedWithThoseLatelyGone(t *testing.T) {
 	x := fresh()
-	x.see(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: "runner"}}}, start+x.b.Leave(1))
-	if x.snap.Edges != unheard {
-		t.Fatalf("alone: %d edges", x.snap.Edges)
+	x.applyView(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: "runner"}}}, start+x.bounds.Leave(1))
+	if x.snapshot.Edges != assumedEdges {
+		t.Fatalf("alone: %d edges", x.snapshot.Edges)
 	}
 	x = fresh()
-	if x.see(nodes(3, 0), start); x.snap.Edges != unheard {
-		t.Fatalf("just begun: %d edges", x.snap.Edges)
+	if x.applyView(nodes(3, 0), start); x.snapshot.Edges != assumedEdges {
+		t.Fatalf("just begun: %d edges", x.snapshot.Edges)
 	}
-	now := start + x.b.Leave(1)
+	now := start + x.bounds.Leave(1)
 	v := nodes(3, 0)
-	if !x.see(v, now) || x.snap.Edges != 3 || x.see(v, now) {
-		t.Fatalf("%d edges", x.snap.Edges)
+	if !x.applyView(v, now) || x.snapshot.Edges != 3 || x.applyView(v, now) {
+		t.Fatalf("%d edges", x.snapshot.Edges)
 	}
-	prove := func() { x.snap.ProofAt = now }
+	prove := func() { x.snapshot.ProofAt = now }
 	prove()
-	x.see(nodes(3, 2), now)
-	if x.snap.Edges != 3 {
-		t.Fatalf("just gone: %d edges", x.snap.Edges)
+	x.applyView(nodes(3, 2), now)
+	if x.snapshot.Edges != 3 {
+		t.Fatalf("just gone: %d edges", x.snapshot.Edges)
 	}
-	now += x.b.Heal(edgeMemory) + 1
-	if x.see(nodes(3, 2), now); x.snap.Edges != 3 {
-		t.Fatalf("out of touch with the core: %d edges", x.snap.Edges)
+	now += x.bounds.Heal(edgeMemoryRatio) + 1
+	if x.applyView(nodes(3, 2), now); x.snapshot.Edges != 3 {
+		t.Fatalf("out of touch with the core: %d edges", x.snapshot.Edges)
 	}
 	prove()
-	if x.see(nodes(3, 2), now); x.snap.Edges != 1 {
-		t.Fatalf("long gone: %d edges", x.snap.Edges)
+	if x.applyView(nodes(3, 2), now); x.snapshot.Edges != 1 {
+		t.Fatalf("long gone: %d edges", x.snapshot.Edges)
 	}
-	if x.see(nodes(3, 3), now+x.b.Heal(2*edgeMemory)); x.snap.Edges != 1 {
-		t.Fatalf("none left: %d edges", x.snap.Edges)
+	if x.applyView(nodes(3, 3), now+x.bounds.Heal(2*edgeMemoryRatio)); x.snapshot.Edges != 1 {
+		t.Fatalf("none left: %d edges", x.snapshot.Edges)
 	}
 }
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	wait := time.Duration(q.WaitMs) * time.Millisecond
-	if m := s.Setup.WaitMaxMs; m > 0 {
+	if m := s.Config.WaitMaxMs; m > 0 {
 		wait = min(wait, time.Duration(m)*time.Millisecond)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -57,7 +57,7 @@
 		cancel()
 		return nil, deny(errs.TooBig, q.RequestID, 0, "parts: %d bytes, at most %d", size, d.b.BodyKB<<10)
 	}
-	tenant, t, ok := s.Setup.Tenant(h.XTenantKey)
+	tenant, t, ok := s.Config.Tenant(h.XTenantKey)
 	if !ok {
 		cancel()
 		return nil, deny(errs.BadKey, q.RequestID, 0, "the key is not in force")
@@ -98,18 +98,18 @@
 		// The pinned epoch is checked again right before every go starts.
 		if now, err := d.pin(q.RequestID); err != nil {
 			return give(err)
-		} else if now.Epoch != s.Epoch {
-			if s = now; !s.Setup.KeyBelongsTo(h.XTenantKey, tenant) {
+		} else if now.ConfigVersion != s.ConfigVersion {
+			if s = now; !s.Config.KeyBelongsTo(h.XTenantKey, tenant) {
 				return give(deny(errs.BadKey, q.RequestID, 0, "the key was taken out of force"))
 			}
 			es = d.entries(s, q, tenant, nil)
 			found = d.index.seek(ctx, keysOf(es))
 		}
-		way, ok := s.Setup.Routes[q.Model]
+		way, ok := s.Config.Routes[q.Model]
 		if !ok {
 			return give(deny(errs.NoModel, q.RequestID, 0, "no way leads to model %q", q.Model))
 		}
-		if on := target(s, q); !s.Setup.Allows(on.Adapter, tenant) {
+		if on := target(s, q); !s.Config.Allows(on.Adapter, tenant) {
 			return give(deny(errs.NoModel, q.RequestID, 0, "adapter %q isn't for tenant %s", on.Adapter, tenant))
 		}
 		service := way.ServiceFor(q.RequestID)
@@ -144,7 +144,7 @@
 		mayHaveRun = mayHaveRun || !notRun
 		if err == nil {
 			out.leave = leave
-			return &caller.AnswerOKHeaders{XRequestID: q.RequestID, XWorker: c.Worker.Name, XSetupEpoch: fmt.Sprint(s.Epoch),
+			return &caller.AnswerOKHeaders{XRequestID: q.RequestID, XWorker: c.Worker.Name, XSetupEpoch: fmt.Sprint(s.ConfigVersion),
 				Response: caller.AnswerOK{Data: out}}, nil
 		}
 		tried[c.Worker.Name] = true
@@ -195,7 +195,7 @@
 // current tells whether a pinned setup is still the newest, and proved so.
 func (d *Dispatcher) current(s *updatestream.Snapshot) bool {
 	n := d.fol.Now()
-	return n.Epoch == s.Epoch && n.Fresh(d.clk.Now(), d.b.Config(0.8))
+	return n.ConfigVersion == s.ConfigVersion && n.Fresh(d.clk.Now(), d.b.Config(0.8))
 }
 
 // entries names a prompt's prefixes under each weights epoch that may still start. Which
@@ -205,7 +205,7 @@
 	m := map[uint64][]prefix.Entry{}
 	on := target(s, q)
 	w := s.WeightsAt[on.Model]
-	service := s.Setup.Routes[q.Model].ServiceFor(q.RequestID)
+	service := s.Config.Routes[q.Model].ServiceFor(q.RequestID)
 	for _, x := range s.Workers {
 		if x.Service != service || x.State == updatestream.WorkerGone {
 			continue
@@ -249,7 +249,7 @@
 }
 
 // older tells how long superseded weights may still start; zero: no more.
-func (d *Dispatcher) older(w updatestream.Seen, weights uint64) time.Duration {
+func (d *Dispatcher) older(w updatestream.WeightsHistory, weights uint64) time.Duration {
 	not, _, ok := w.Since(weights)
 	if !ok || weights == 0 {
 		return 0
@@ -270,7 +270,7 @@
 // pickWorker picks the worker of the next go.
 func (d *Dispatcher) pickWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], target(s, q)
-	u := Query{ID: q.RequestID, Mode: modeOf(s.Setup, service), District: d.life.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
+	u := Query{ID: q.RequestID, Mode: modeOf(s.Config, service), District: d.life.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
 		Tried: tried, Newest: s.WeightsAt[on.Model].Weights, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
 	if p != nil {
 		u.Curve = p.Prefill
@@ -337,7 +337,7 @@
 		hints[contract.SaveTo], hints[contract.SaveUpto] = c.Saves, fmt.Sprint(c.SaveUpto)
 	}
 	on := target(s, q)
-	g := d.be.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Setup.Domain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
+	g := d.be.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.Domain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
 		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clk.Now()).Milliseconds()), Once: q.Once.Or(false),
 		Incarnation: w.Incarnation, BeginByUs: beginBy(w, until)}, hints)
 	if g.Err != nil {
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -128,8 +128,8 @@
 	p := settings.Place{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
 	b := &bench{starts: map[string]int{}, granted: map[string]bool{}, clk: &clock.Hand{T: time.Hour}}
-	b.snap = &updatestream.Snapshot{Epoch: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.Seen{"m": {Weights: 1}},
-		Setup: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
+	b.snap = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Weights: 1}},
+		Config: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
 			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
 	for i, m := range modes {
 		n := fmt.Sprintf("w%d", i)
@@ -257,11 +257,11 @@
 	}{
 		"the proof is too old":    {func(b *bench) { b.clk.T += settings.Default().Config(0.81) }, "not-run"},
 		"there is no setup":       {func(b *bench) { b.snap = &updatestream.Snapshot{} }, "not-run"},
-		"the key is unknown":      {func(b *bench) { b.snap.Setup.Tenants = nil; b.snap.Setup.BuildIndex() }, "bad-key"},
-		"no way leads there":      {func(b *bench) { b.snap.Setup.Routes = nil }, "no-such-model"},
+		"the key is unknown":      {func(b *bench) { b.snap.Config.Tenants = nil; b.snap.Config.BuildIndex() }, "bad-key"},
+		"no way leads there":      {func(b *bench) { b.snap.Config.Routes = nil }, "no-such-model"},
 		"all workers are leaving": {func(b *bench) { b.snap.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
 		"older weights alone": {func(b *bench) {
-			b.snap.WeightsAt = map[string]updatestream.Seen{"m": {Weights: 2}}
+			b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Weights: 2}}
 		}, "not-run"},
 	} {
 		b := newBench(t, "well")
@@ -271,7 +271,7 @@
 		}
 	}
 	b := newBench(t, "well")
-	b.snap.WeightsAt = map[string]updatestream.Seen{"m": {Weights: 2, Past: []updatestream.Seen{{Weights: 1, Until: time.Hour - time.Second}}}}
+	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Weights: 2, Past: []updatestream.WeightsHistory{{Weights: 1, NewestUntil: time.Hour - time.Second}}}}
 	if o := b.ask("r", true); !o.Sealed {
 		t.Errorf("older weights within their bound: %+v", o)
 	}
@@ -281,11 +281,11 @@
 // hear that it may have run, and not a kind that says it didn't.
 func TestWhatMayHaveRunIsNeverDeniedAsNotRun(t *testing.T) {
 	for name, change := range map[string]func(*updatestream.Snapshot){
-		"the key is taken out of force": func(s *updatestream.Snapshot) { s.Setup = (&serviceconfig.Config{}).BuildIndex() },
+		"the key is taken out of force": func(s *updatestream.Snapshot) { s.Config = (&serviceconfig.Config{}).BuildIndex() },
 		"the way is taken away": func(s *updatestream.Snapshot) {
-			c := *s.Setup
+			c := *s.Config
 			c.Routes = nil
-			s.Setup = c.BuildIndex()
+			s.Config = c.BuildIndex()
 		},
 		"the proof gets too old": func(s *updatestream.Snapshot) { s.ProofAt = time.Minute },
 		"the workers leave":      func(s *updatestream.Snapshot) { s.Workers = nil },
@@ -293,7 +293,7 @@
 		b := newBench(t, "dies-before", "dies-before")
 		b.started = func() {
 			s := *b.snap
-			s.Epoch++
+			s.ConfigVersion++
 			change(&s)
 			b.snap = &s
 		}
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -39,7 +39,7 @@
 func TestUntilWhenAGoMayBegin(t *testing.T) {
 	b := newBench(t, "well")
 	bounds, now := settings.Default(), b.clk.Now()
-	b.snap.WeightsAt = map[string]updatestream.Seen{"m": {Weights: 3, Past: []updatestream.Seen{{Weights: 1, Until: now - bounds.Weights(0.9)}, {Weights: 2, Until: now}}}}
+	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Weights: 3, Past: []updatestream.WeightsHistory{{Weights: 1, NewestUntil: now - bounds.Weights(0.9)}, {Weights: 2, NewestUntil: now}}}}
 	q := &caller.Ask{Model: "m"}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
--- a/internal/data/callerproxy/dispatcher.go
+++ b/internal/data/callerproxy/dispatcher.go
@@ -112,7 +112,7 @@
 	for _, w := range s.Workers {
 		has[w.Service] = has[w.Service] || w.State == updatestream.WorkerUp
 	}
-	for _, w := range s.Setup.Routes {
+	for _, w := range s.Config.Routes {
 		if has[w.Service] {
 			return true
 		}
@@ -278,7 +278,7 @@
 }
 
 func (d *Dispatcher) decided(id string, s *updatestream.Snapshot, c Choice) {
-	x := Decision{Request: id, Worker: c.Worker.Name, Setup: s.Epoch, Hit: c.Hit, Fetch: c.Fetch, WaitUs: c.Wait, CostUs: c.Cost, Hot: c.Hot, Home: c.Home, SaveTo: c.Saves,
+	x := Decision{Request: id, Worker: c.Worker.Name, Setup: s.ConfigVersion, Hit: c.Hit, Fetch: c.Fetch, WaitUs: c.Wait, CostUs: c.Cost, Hot: c.Hot, Home: c.Home, SaveTo: c.Saves,
 		Session: c.Session, Fetches: c.Fetches, Machine: d.life.Place.Name}
 	if p := s.Placements[c.Worker.Service]; p != nil {
 		x.Placement = p.Epoch
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -127,7 +127,7 @@
 	if s := x.shards.Load(); s != nil {
 		x.asked.Add(1)
 		x.keys.Add(uint64(len(ks)))
-		m = s.Seek(ctx, ks, x.calls.PromptIndex, x.wait)
+		m = s.Lookup(ctx, ks, x.calls.PromptIndex, x.wait)
 	}
 	for _, q := range qs {
 		q.tell <- m
--- a/internal/data/callerproxy/meters.go
+++ b/internal/data/callerproxy/meters.go
@@ -18,7 +18,7 @@
 	})
 	m.Gauge("pebbleloom_setup_epoch", "epoch of the setup in use", func() float64 {
 		if s := d.fol.Now(); s != nil {
-			return float64(s.Epoch)
+			return float64(s.ConfigVersion)
 		}
 		return 0
 	})
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -11,7 +11,7 @@
 // target is the set of weights that answers a request under a setup; where no route leads there,
 // what was asked for.
 func target(s *updatestream.Snapshot, q *caller.Ask) serviceconfig.Target {
-	if t, ok := s.Setup.Target(q.Model, q.RequestID); ok {
+	if t, ok := s.Config.Target(q.Model, q.RequestID); ok {
 		return t
 	}
 	return serviceconfig.Target{Model: q.Model}
@@ -42,5 +42,5 @@
 
 // chain names a prompt's prefixes under one set of weights.
 func chain(s *updatestream.Snapshot, t serviceconfig.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
-	return prefix.Chain(s.Setup.Domain(tenant), prefix.Under(t.Model, t.Adapter, t.Build), weights, parts)
+	return prefix.Chain(s.Config.Domain(tenant), prefix.Under(t.Model, t.Adapter, t.Build), weights, parts)
 }
--- a/internal/data/callerproxy/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -51,7 +51,7 @@
 // A route's requests are moved by share, each id always the same way, and the keys of what one set of
 // weights has made are no other's.
 func TestRequestsAreMovedByShare(t *testing.T) {
-	s := &updatestream.Snapshot{Setup: (&serviceconfig.Config{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
+	s := &updatestream.Snapshot{Config: (&serviceconfig.Config{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
 		Adapters: map[string]serviceconfig.Adapter{"r": {Base: "a", Build: 1}, "r2": {Base: "b", Build: 1}},
 		Routes:   map[string]serviceconfig.Route{"r": {Service: "s", Move: "r2", Moved: 30}}}).BuildIndex()}
 	moved := 0
--- a/internal/data/indexclient/seek_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -20,14 +20,14 @@
 
 // index stands in for the index nodes: each a real core of its own behind a mood.
 type index struct {
-	mu    sync.Mutex
-	mood  map[string]string // by address: "", hangs, errors, cold
-	asked []string
-	keys  int
-	told  map[string][]*wire.CountAsk
-	held  map[prefix.Key]string
-	again bool
-	gate  chan struct{}
+	mu     sync.Mutex
+	mood   map[string]string // by address: "", hangs, errors, cold
+	asked  []string
+	keys   int
+	counts map[string][]*wire.CountAsk
+	held   map[prefix.Key]string
+	again  bool
+	gate   chan struct{}
 }
 
 func (x *index) set(addr, mood string) {
@@ -74,7 +74,7 @@
 	if n.x.mood[n.addr] == "errors" {
 		return nil, errors.New("down")
 	}
-	n.x.told[n.addr] = append(n.x.told[n.addr], a)
+	n.x.counts[n.addr] = append(n.x.counts[n.addr], a)
 	again := n.x.again
 	n.x.again = false
 	return &wire.CountTell{Number: a.Number, Again: again}, nil
@@ -89,12 +89,12 @@
 	return l
 }
 
-func run(t *testing.T, x *index, f func(s *Seeker, serving []*wire.Node)) {
+func run(t *testing.T, x *index, f func(s *Client, serving []*wire.Node)) {
 	t.Helper()
 	if x.mood == nil {
 		x.mood = map[string]string{}
 	}
-	x.told = map[string][]*wire.CountAsk{}
+	x.counts = map[string][]*wire.CountAsk{}
 	synctest.Test(t, func(t *testing.T) {
 		ns := nodes()
 		serving := promptindex.Serving(ns)
@@ -126,22 +126,22 @@
 // All keys of a question go in one call, to the serving node of this district.
 func TestOneCallAQuestion(t *testing.T) {
 	x := &index{held: map[prefix.Key]string{key(3): "w"}}
-	run(t, x, func(s *Seeker, serving []*wire.Node) {
-		m := s.Seek(context.Background(), keys(20), wait)
+	run(t, x, func(s *Client, serving []*wire.Node) {
+		m := s.Lookup(context.Background(), keys(20), wait)
 		if len(m) != 20 || len(m[key(3)].Holders) != 1 || len(m[key(4)].Holders) != 0 {
 			t.Errorf("found %v", m)
 		}
 		if !slices.Equal(x.asked, []string{serving[1].Addr}) {
 			t.Errorf("asked %v, want %v alone", x.asked, serving[1].Addr)
 		}
-		if m = s.Seek(context.Background(), []prefix.Key{key(3)}, wait); len(m) != 1 || len(x.asked) != 1 {
+		if m = s.Lookup(context.Background(), []prefix.Key{key(3)}, wait); len(m) != 1 || len(x.asked) != 1 {
 			t.Errorf("asked again at once: %v", x.asked)
 		}
-		pass(s.b.Heal(keepPart))
-		if s.Seek(context.Background(), []prefix.Key{key(3)}, wait); len(x.asked) != 2 {
+		pass(s.bounds.Heal(cacheRatio))
+		if s.Lookup(context.Background(), []prefix.Key{key(3)}, wait); len(x.asked) != 2 {
 			t.Errorf("an old answer was gone by: %v", x.asked)
 		}
-		if s.Seek(context.Background(), nil, wait) != nil || len(x.asked) != 2 {
+		if s.Lookup(context.Background(), nil, wait) != nil || len(x.asked) != 2 {
 			t.Errorf("asked for nothing: %v", x.asked)
 		}
 	})
@@ -150,23 +150,23 @@
 // Questions that come while others are under way are joined into one call.
 func TestWaitingQuestionsAreJoined(t *testing.T) {
 	x := &index{}
-	run(t, x, func(s *Seeker, _ []*wire.Node) {
+	run(t, x, func(s *Client, _ []*wire.Node) {
 		x.gate = make(chan struct{})
 		var wg sync.WaitGroup
 		ask := func(i int) {
-			wg.Go(func() { s.Seek(context.Background(), []prefix.Key{key(i), key(0)}, s.b.Heal(1)) })
+			wg.Go(func() { s.Lookup(context.Background(), []prefix.Key{key(i), key(0)}, s.bounds.Heal(1)) })
 			synctest.Wait()
 		}
-		for i := range underway + 21 {
+		for i := range maxBatches + 21 {
 			ask(i)
 		}
-		if len(x.asked) != underway {
+		if len(x.asked) != maxBatches {
 			t.Errorf("%d calls under way", len(x.asked))
 		}
 		close(x.gate)
 		wg.Wait()
 		// One question had been taken out of the ring already while the others waited in it.
-		if len(x.asked) != underway+1 || x.keys != 2*underway-1+22 {
+		if len(x.asked) != maxBatches+1 || x.keys != 2*maxBatches-1+22 {
 			t.Errorf("%d calls with %d keys", len(x.asked), x.keys)
 		}
 	})
@@ -174,20 +174,20 @@
 
 func TestALateOrMissingAnswerIsAMiss(t *testing.T) {
 	x := &index{mood: map[string]string{}, held: map[prefix.Key]string{key(1): "w"}}
-	run(t, x, func(s *Seeker, serving []*wire.Node) {
+	run(t, x, func(s *Client, serving []*wire.Node) {
 		x.set(serving[0].Addr, "hangs")
 		x.set(serving[1].Addr, "hangs")
-		from := s.clk.Now()
-		if m := s.Seek(context.Background(), keys(2), wait); m != nil || s.clk.Now()-from > wait {
-			t.Errorf("%v after %v", m, s.clk.Now()-from)
+		from := s.clock.Now()
+		if m := s.Lookup(context.Background(), keys(2), wait); m != nil || s.clock.Now()-from > wait {
+			t.Errorf("%v after %v", m, s.clock.Now()-from)
 		}
 		x.set(serving[0].Addr, "")
 		pass(time.Second)
-		if m := s.Seek(context.Background(), keys(2), wait); len(m[key(1)].GetHolders()) != 1 {
+		if m := s.Lookup(context.Background(), keys(2), wait); len(m[key(1)].GetHolders()) != 1 {
 			t.Errorf("the other holder wasn't asked in time: %v", m)
 		}
 		n := len(x.asked)
-		if s.Seek(context.Background(), keys(1), wait); x.asked[n] != serving[0].Addr || len(x.asked) != n+1 {
+		if s.Lookup(context.Background(), keys(1), wait); x.asked[n] != serving[0].Addr || len(x.asked) != n+1 {
 			t.Errorf("the one that was late was asked first: %v", x.asked[n:])
 		}
 	})
@@ -196,16 +196,16 @@
 func TestAnErrorOrAColdIndexIsMadeUpForByTheOther(t *testing.T) {
 	for _, mood := range []string{"errors", "cold"} {
 		x := &index{mood: map[string]string{}, held: map[prefix.Key]string{key(1): "w"}}
-		run(t, x, func(s *Seeker, serving []*wire.Node) {
+		run(t, x, func(s *Client, serving []*wire.Node) {
 			x.set(serving[1].Addr, mood)
-			if m := s.Seek(context.Background(), keys(2), wait); len(m[key(1)].GetHolders()) != 1 || len(x.asked) != 2 {
+			if m := s.Lookup(context.Background(), keys(2), wait); len(m[key(1)].GetHolders()) != 1 || len(x.asked) != 2 {
 				t.Errorf("%s: %v, asked %v", mood, m, x.asked)
 			}
 		})
 	}
-	run(t, &index{}, func(s *Seeker, _ []*wire.Node) {
+	run(t, &index{}, func(s *Client, _ []*wire.Node) {
 		s.nodes = func() []*wire.Node { return nil }
-		if m := s.Seek(context.Background(), keys(2), wait); m != nil {
+		if m := s.Lookup(context.Background(), keys(2), wait); m != nil {
 			t.Errorf("no index: %v", m)
 		}
 	})
@@ -215,50 +215,50 @@
 
 // What is counted goes to both holders in numbered batches; one that wasn't acknowledged is sent
 // again as it was.
-func TestCountsAreToldInNumberedBatches(t *testing.T) {
+func TestCountsAreSentInNumberedBatches(t *testing.T) {
 	x := &index{mood: map[string]string{}}
-	run(t, x, func(s *Seeker, serving []*wire.Node) {
+	run(t, x, func(s *Client, serving []*wire.Node) {
 		for range 3 {
 			s.Count("llm", part(1), "w1", "")
 		}
 		s.Count("llm", part(1), "w2", "store")
-		pass(s.b.Heal(tellPart))
+		pass(s.bounds.Heal(flushRatio))
 		for _, n := range serving {
-			l := x.told[n.Addr]
+			l := x.counts[n.Addr]
 			if len(l) != 1 || len(l[0].Accesses) != 1 || l[0].Number != 1 || l[0].Accesses[0].Count != 4 ||
 				!slices.Equal(l[0].Accesses[0].Presumed, []string{"w1", "w2", "store"}) || !l[0].Accesses[0].Head {
 				t.Fatalf("%s was told %v", n.Addr, l)
 			}
 		}
-		pass(s.b.Heal(3 * tellPart))
-		if len(x.told[serving[0].Addr]) != 1 {
+		pass(s.bounds.Heal(3 * flushRatio))
+		if len(x.counts[serving[0].Addr]) != 1 {
 			t.Error("told again though there was no news")
 		}
 		x.set(serving[0].Addr, "errors")
 		s.Count("llm", part(2), "w1", "")
-		pass(s.b.Heal(tellPart))
+		pass(s.bounds.Heal(flushRatio))
 		s.Count("llm", part(3), "w1", "")
 		x.set(serving[0].Addr, "")
-		pass(s.b.Heal(2 * tellPart))
-		l := x.told[serving[0].Addr][1:]
+		pass(s.bounds.Heal(2 * flushRatio))
+		l := x.counts[serving[0].Addr][1:]
 		if len(l) != 2 || l[0].Number != 2 || l[1].Number != 3 || string(l[0].Accesses[0].Key) != string(part(2)[0].Key[:]) {
 			t.Errorf("after an error: %v", l)
 		}
 	})
 }
 
-func TestAnIndexWithoutMemoryIsToldTheWindow(t *testing.T) {
+func TestRestartedIndexNodeGetsTheWindow(t *testing.T) {
 	x := &index{}
-	run(t, x, func(s *Seeker, serving []*wire.Node) {
+	run(t, x, func(s *Client, serving []*wire.Node) {
 		s.Count("llm", part(1), "w1", "")
-		pass(s.b.Heal(tellPart))
+		pass(s.bounds.Heal(flushRatio))
 		x.mu.Lock()
 		x.again = true
 		x.mu.Unlock()
 		s.Count("llm", part(2), "w1", "")
-		pass(s.b.Heal(2 * tellPart))
+		pass(s.bounds.Heal(2 * flushRatio))
 		n := 0
-		for _, l := range x.told {
+		for _, l := range x.counts {
 			if len(l) == 3 {
 				n++
 				if len(l[2].Accesses) != 2 || len(l[2].Accesses[0].Presumed) != 0 {
@@ -275,19 +275,19 @@
 // A node that serves no more and then serves again knows this edge's numbers: they go on.
 func TestNumbersGoOnWhenANodeComesBack(t *testing.T) {
 	x := &index{}
-	run(t, x, func(s *Seeker, serving []*wire.Node) {
+	run(t, x, func(s *Client, serving []*wire.Node) {
 		all := s.nodes()
 		s.Count("llm", part(1), "w1", "")
-		pass(s.b.Heal(tellPart))
+		pass(s.bounds.Heal(flushRatio))
 		without := slices.DeleteFunc(slices.Clone(all), func(n *wire.Node) bool { return n.Name == serving[0].Name })
-		swap := func(l []*wire.Node) { s.desk.Ask(func(*table) { s.nodes = func() []*wire.Node { return l } }) }
+		swap := func(l []*wire.Node) { s.actor.Ask(func(*table) { s.nodes = func() []*wire.Node { return l } }) }
 		swap(without)
 		s.Count("llm", part(2), "w1", "")
-		pass(s.b.Heal(2 * tellPart))
+		pass(s.bounds.Heal(2 * flushRatio))
 		swap(all)
 		s.Count("llm", part(3), "w1", "")
-		pass(s.b.Heal(2 * tellPart))
-		l := x.told[serving[0].Addr]
+		pass(s.bounds.Heal(2 * flushRatio))
+		l := x.counts[serving[0].Addr]
 		if len(l) != 2 || l[1].Number != 2 {
 			t.Errorf("told %v", l)
 		}
@@ -298,25 +298,25 @@
 // finds out whether they are back.
 func TestSilentNodesAreProbedNowAndThen(t *testing.T) {
 	x := &index{mood: map[string]string{}}
-	run(t, x, func(s *Seeker, serving []*wire.Node) {
+	run(t, x, func(s *Client, serving []*wire.Node) {
 		for _, n := range serving {
 			x.set(n.Addr, "hangs")
 		}
 		for range 3 {
-			s.Seek(context.Background(), keys(1), wait)
+			s.Lookup(context.Background(), keys(1), wait)
 		}
-		n, from := len(x.asked), s.clk.Now()
+		n, from := len(x.asked), s.clock.Now()
 		for range 20 {
-			s.Seek(context.Background(), keys(1), wait)
+			s.Lookup(context.Background(), keys(1), wait)
 		}
-		if len(x.asked) > n+len(serving) || s.clk.Now()-from > 2*wait {
-			t.Errorf("%d calls in %v", len(x.asked)-n, s.clk.Now()-from)
+		if len(x.asked) > n+len(serving) || s.clock.Now()-from > 2*wait {
+			t.Errorf("%d calls in %v", len(x.asked)-n, s.clock.Now()-from)
 		}
 		for _, n := range serving {
 			x.set(n.Addr, "")
 		}
-		pass(s.b.Heal(probePart))
-		if s.Seek(context.Background(), keys(1), wait) == nil {
+		pass(s.bounds.Heal(probeRatio))
+		if s.Lookup(context.Background(), keys(1), wait) == nil {
 			t.Error("they are back and aren't asked")
 		}
 	})
--- a/internal/data/indexclient/count.go
+++ b/internal/data/indexclient/count.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	maxCounts   = 4096 // keys counted and not told yet, of one index node
-	maxPresumed = 8    // holders of one key in one telling
+	maxCounts          = 4096 // counted keys pending for one index node
+	maxPresumedHolders = 8    // holders of one key in one batch
 )
 
-// counter holds what was counted and not told yet, an index node at a time, and the window that
-// is told again to one that has lost its memory.
-type counter struct {
-	to        map[string]*telling
-	past, old map[prefix.Key]*wire.Access
-	turn      time.Duration
+// accessCounter holds the counted accesses by index node until they are sent and acknowledged, and the
+// recent window that is sent again to a node that lost its memory.
+type accessCounter struct {
+	nodes              map[string]*nodeBatches
+	window, lastWindow map[prefix.Key]*wire.Access
+	windowStart        time.Duration
 }
 
-type telling struct {
-	number uint64
-	next   map[prefix.Key]*wire.Access
-	sent   *wire.CountAsk // not acknowledged yet: it is sent again under its number
-	busy   bool
+type nodeBatches struct {
+	number   uint64
+	pending  map[prefix.Key]*wire.Access
+	inFlight *wire.CountAsk // not acknowledged yet: it is sent again under the same number
+	sending  bool
 }
 
-func newCounter() counter {
-	return counter{to: map[string]*telling{}, past: map[prefix.Key]*wire.Access{}, old: map[prefix.Key]*wire.Access{}}
+func newAccessCounter() accessCounter {
+	return accessCounter{nodes: map[string]*nodeBatches{}, window: map[prefix.Key]*wire.Access{}, lastWindow: map[prefix.Key]*wire.Access{}}
 }
 
-// Count notes a request's accesses: its parts, who is presumed to hold them from now on, and the
-// store that they were handed to ("": none).
+// Count records a request's accesses: its parts, the worker that is presumed to hold them from now on,
+// and the store that they were handed to ("" if none).
 //
 // Example: s.Count("lectores", parts, worker.ID, "")
-func (s *Seeker) Count(service string, parts []prefix.Entry, holder, saved string) {
+func (s *Client) Count(service string, parts []prefix.Entry, holder, saved string) {
 	if len(parts) == 0 {
 		return
 	}
-	s.desk.TrySend(func(t *table) {
-		sh := t.lay()
+	s.actor.TrySend(func(t *table) {
+		sh := t.currentShards()
 		for i, e := range parts {
 			a := &wire.Access{Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
 			if saved != "" {
@@ -52,67 +52,67 @@
 				if n == "" || j == 1 && n == h[0] {
 					continue
 				}
-				x := t.to[n]
+				x := t.nodes[n]
 				if x == nil {
-					x = &telling{next: map[prefix.Key]*wire.Access{}}
-					t.to[n] = x
+					x = &nodeBatches{pending: map[prefix.Key]*wire.Access{}}
+					t.nodes[n] = x
 				}
-				merge(x.next, e.Key, a)
+				addAccess(x.pending, e.Key, a)
 			}
-			merge(t.past, e.Key, a)
+			addAccess(t.window, e.Key, a)
 		}
-		if now := s.clk.Now(); now-t.turn > s.b.Heal(pastPart) {
-			t.old, t.past, t.turn = t.past, map[prefix.Key]*wire.Access{}, now
+		if now := s.clock.Now(); now-t.windowStart > s.bounds.Heal(windowRatio) {
+			t.lastWindow, t.window, t.windowStart = t.window, map[prefix.Key]*wire.Access{}, now
 		}
 	})
 }
 
-// flush tells each index node what was counted. A batch keeps its number until it is
-// acknowledged, so a lost answer can't make it count twice.
-func (s *Seeker) flush() {
+// flush sends each index node its counts. A batch keeps its number until it is acknowledged, so a lost
+// response can't make it count twice.
+func (s *Client) flush() {
 	loads := s.loads()
-	s.desk.Ask(func(t *table) {
-		sh := t.lay()
-		for n, x := range t.to {
+	s.actor.Ask(func(t *table) {
+		sh := t.currentShards()
+		for n, x := range t.nodes {
 			addr := sh.Addr(n)
 			if addr == "" {
-				x.next, x.sent = map[prefix.Key]*wire.Access{}, nil // it serves no more; its number stays its own
+				x.pending, x.inFlight = map[prefix.Key]*wire.Access{}, nil // it no longer serves; its batch numbers continue later
 				continue
 			}
-			if x.busy || x.sent == nil && len(x.next) == 0 && len(loads.GetAt()) == 0 {
+			if x.sending || x.inFlight == nil && len(x.pending) == 0 && len(loads.GetAt()) == 0 {
 				continue
 			}
-			if x.sent == nil {
+			if x.inFlight == nil {
 				x.number++
-				x.sent = &wire.CountAsk{Teller: s.name, Incarnation: s.inc, Number: x.number}
-				for _, a := range x.next {
-					x.sent.Accesses = append(x.sent.Accesses, a)
+				x.inFlight = &wire.CountAsk{Teller: s.name, Incarnation: s.incarnation, Number: x.number}
+				for _, a := range x.pending {
+					x.inFlight.Accesses = append(x.inFlight.Accesses, a)
 				}
-				x.next = map[prefix.Key]*wire.Access{}
+				x.pending = map[prefix.Key]*wire.Access{}
 			}
-			x.busy, x.sent.Loads = true, loads // the newest word, also with a batch that is sent again
-			go s.tell(n, addr, x, x.sent)
+			x.sending, x.inFlight.Loads = true, loads // the newest loads, also with a batch that is sent again
+			go s.sendBatch(n, addr, x, x.inFlight)
 		}
 	})
 }
 
-func (s *Seeker) tell(n, addr string, x *telling, a *wire.CountAsk) {
-	ctx, end := context.WithTimeout(s.ctx, s.b.Heal(landPart))
+func (s *Client) sendBatch(n, addr string, x *nodeBatches, a *wire.CountAsk) {
+	ctx, end := context.WithTimeout(s.ctx, s.bounds.Heal(timeoutRatio))
 	defer end()
-	r, err := s.call(addr).Count(ctx, a)
-	s.desk.Ask(func(t *table) {
-		x.busy = false
-		if err != nil || x.sent != a {
+	r, err := s.client(addr).Count(ctx, a)
+	s.actor.Ask(func(t *table) {
+		x.sending = false
+		if err != nil || x.inFlight != a {
 			return
 		}
-		x.sent = nil
+		x.inFlight = nil
 		if !r.Again {
 			return
 		}
-		for _, m := range []map[prefix.Key]*wire.Access{t.old, t.past} { // it has lost its memory
+		for _, m := range []map[prefix.Key]*wire.Access{t.lastWindow, t.window} { // it has lost its memory
 			for k, p := range m {
-				if h := t.lay().Holders(k); h[0] == n || h[1] == n {
-					merge(x.next, k, &wire.Access{Count: p.Count, Tokens: p.Tokens, Service: p.Service, Head: p.Head})
+				if h := t.currentShards().Holders(k); h[0] == n || h[1] == n {
+					addAccess(x.pending, k, &wire.Access{Count: p.Count, Tokens: p.Tokens, Service: p.Service, Head: p.Head})
 				}
 			}
 		}
--- a/internal/data/indexclient/warm_test.go
+++ b/internal/data/indexclient/restart_test.go
@@ -12,18 +12,18 @@
 // answer.
 func TestAColdIndexKnowsOfNobody(t *testing.T) {
 	x := &index{held: map[prefix.Key]string{key(3): "w"}}
-	run(t, x, func(s *Seeker, serving []*wire.Node) {
+	run(t, x, func(s *Client, serving []*wire.Node) {
 		for _, n := range serving {
 			x.set(n.Addr, "cold")
 		}
-		if m := s.Seek(context.Background(), keys(5), wait); len(m) != 0 {
+		if m := s.Lookup(context.Background(), keys(5), wait); len(m) != 0 {
 			t.Errorf("%d answers from nodes that know nothing yet", len(m))
 		}
 		for _, n := range serving {
 			x.set(n.Addr, "")
 		}
-		pass(s.b.Heal(latePart))
-		if m := s.Seek(context.Background(), keys(5), wait); len(m) != 5 || len(m[key(3)].GetHolders()) != 1 {
+		pass(s.bounds.Heal(lateRatio))
+		if m := s.Lookup(context.Background(), keys(5), wait); len(m) != 5 || len(m[key(3)].GetHolders()) != 1 {
 			t.Errorf("warm again: %d answers", len(m))
 		}
 	})
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -12,70 +12,70 @@
 	"pebbleloom/internal/wire"
 )
 
-// kept is an answer that is gone by for a moment.
-type kept struct {
+// cachedAnswer is an answer that is reused for a short time.
+type cachedAnswer struct {
 	found *wire.Found
 	at    time.Duration
 }
 
-// leg is one call to one index node.
-type leg struct {
+// nodeCall is one call to one index node.
+type nodeCall struct {
 	node, addr string
 	keys       []prefix.Key
 }
 
-// table is a Seeker's memory: how the index is laid out, who was late, answers, counts.
+// table is a Client's memory: the layout of the index, late nodes, cached answers, counts.
 type table struct {
-	s      *Seeker
-	seen   []*wire.Node // that the layout was made of
-	laid   string
-	shards *promptindex.Shards
-	near   map[string]bool          // index nodes of this district
-	late   map[string]time.Duration // until then
-	probe  map[string]time.Duration // a late one isn't asked before
-	kept   map[prefix.Key]kept
-	counter
+	client     *Client
+	membership []*wire.Node // that the shards were laid out from
+	layout     string
+	shards     *promptindex.Shards
+	sameZone   map[string]bool          // index nodes of this zone
+	lateUntil  map[string]time.Duration // until then
+	probeAt    map[string]time.Duration // a late node isn't tried before
+	cached     map[prefix.Key]cachedAnswer
+	accessCounter
 }
 
-func newTable(s *Seeker) *table {
-	return &table{s: s, near: map[string]bool{}, late: map[string]time.Duration{}, probe: map[string]time.Duration{}, kept: map[prefix.Key]kept{}, counter: newCounter()}
+func newTable(s *Client) *table {
+	return &table{client: s, sameZone: map[string]bool{}, lateUntil: map[string]time.Duration{}, probeAt: map[string]time.Duration{}, cached: map[prefix.Key]cachedAnswer{}, accessCounter: newAccessCounter()}
 }
 
-// lay lays the shards out anew when the index nodes have changed.
-func (t *table) lay() *promptindex.Shards {
-	nodes := t.s.nodes()
-	if t.shards != nil && len(nodes) == len(t.seen) && (len(nodes) == 0 || &nodes[0] == &t.seen[0]) {
+// currentShards lays the shards out again if the index nodes have changed.
+func (t *table) currentShards() *promptindex.Shards {
+	nodes := t.client.nodes()
+	if t.shards != nil && len(nodes) == len(t.membership) && (len(nodes) == 0 || &nodes[0] == &t.membership[0]) {
 		return t.shards
 	}
-	t.seen = nodes
+	t.membership = nodes
 	serving := promptindex.Serving(nodes)
 	var now strings.Builder
 	for _, n := range serving {
 		fmt.Fprintf(&now, "%s %s\n", n.Name, n.Addr)
 	}
-	if t.shards != nil && now.String() == t.laid {
+	if t.shards != nil && now.String() == t.layout {
 		return t.shards
 	}
-	t.laid, t.shards = now.String(), promptindex.NewShards(serving)
-	clear(t.near)
-	clear(t.late)
-	clear(t.probe)
+	t.layout, t.shards = now.String(), promptindex.NewShards(serving)
+	clear(t.sameZone)
+	clear(t.lateUntil)
+	clear(t.probeAt)
 	for _, n := range serving {
-		t.near[n.Name] = n.District == t.s.home
+		t.sameZone[n.Name] = n.District == t.client.zone
 	}
 	return t.shards
 }
 
-// legs lays keys out over the fewest index nodes: one that was late is asked last and not each
-// time, one of this district first.
-func (t *table) legs(keys []prefix.Key, asked map[string]bool, now time.Duration) (l []leg) {
-	sh := t.lay()
+// planCalls distributes keys over the fewest index nodes: a node that was late is tried last and not
+// each time, one of this zone first.
+func (t *table) planCalls(keys []prefix.Key, asked map[string]bool, now time.Duration) (l []nodeCall) {
+	sh := t.currentShards()
 	for len(keys) > 0 {
 		by := map[string]int{}
 		for _, k := range keys {
 			h := sh.Holders(k)
 			for i, n := range h {
-				if n != "" && !asked[n] && (i == 0 || n != h[0]) && (t.late[n] <= now || t.probe[n] <= now) {
+				if n != "" && !asked[n] && (i == 0 || n != h[0]) && (t.lateUntil[n] <= now || t.probeAt[n] <= now) {
 					by[n]++
 				}
 			}
@@ -89,10 +89,10 @@
 		if best == "" {
 			return l
 		}
-		if t.late[best] > now {
-			t.probe[best] = now + t.s.b.Heal(probePart)
+		if t.lateUntil[best] > now {
+			t.probeAt[best] = now + t.client.bounds.Heal(probeRatio)
 		}
-		x := leg{node: best, addr: sh.Addr(best)}
+		x := nodeCall{node: best, addr: sh.Addr(best)}
 		var rest []prefix.Key
 		for _, k := range keys {
 			if h := sh.Holders(k); h[0] == best || h[1] == best {
@@ -107,31 +107,31 @@
 }
 
 func (t *table) better(a, b string, by map[string]int, now time.Duration) bool {
-	if x, y := t.late[a] > now, t.late[b] > now; x != y {
+	if x, y := t.lateUntil[a] > now, t.lateUntil[b] > now; x != y {
 		return y
 	}
 	if by[a] != by[b] {
 		return by[a] > by[b]
 	}
-	if t.near[a] != t.near[b] {
-		return t.near[a]
+	if t.sameZone[a] != t.sameZone[b] {
+		return t.sameZone[a]
 	}
-	return queue.Hash(t.s.name+a) > queue.Hash(t.s.name+b)
+	return queue.Hash(t.client.name+a) > queue.Hash(t.client.name+b)
 }
 
-func (t *table) mark(node string, good bool, now time.Duration) {
+func (t *table) recordResult(node string, good bool, now time.Duration) {
 	if good {
-		delete(t.late, node)
+		delete(t.lateUntil, node)
 	} else {
-		t.late[node] = now + t.s.b.Heal(latePart)
+		t.lateUntil[node] = now + t.client.bounds.Heal(lateRatio)
 	}
 }
 
-// recall gives the answers that are still gone by.
-func (t *table) recall(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
+// lookUpCache returns the cached answers that are still valid.
+func (t *table) lookUpCache(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
 	var m map[prefix.Key]*wire.Found
 	for _, k := range keys {
-		if x, ok := t.kept[k]; ok && now-x.at < t.s.b.Heal(keepPart) {
+		if x, ok := t.cached[k]; ok && now-x.at < t.client.bounds.Heal(cacheRatio) {
 			if m == nil {
 				m = make(map[prefix.Key]*wire.Found, len(keys))
 			}
@@ -141,27 +141,27 @@
 	return m
 }
 
-// keep remembers who holds what; that nobody does is asked anew.
-func (t *table) keep(got map[prefix.Key]*wire.Found, now time.Duration) {
-	if len(t.kept)+len(got) > maxKept {
-		for k, x := range t.kept {
-			if now-x.at >= t.s.b.Heal(keepPart) {
-				delete(t.kept, k)
+// cache stores found holders; that nobody holds a key isn't cached.
+func (t *table) cache(got map[prefix.Key]*wire.Found, now time.Duration) {
+	if len(t.cached)+len(got) > maxCached {
+		for k, x := range t.cached {
+			if now-x.at >= t.client.bounds.Heal(cacheRatio) {
+				delete(t.cached, k)
 			}
 		}
-		if len(t.kept)+len(got) > maxKept {
-			clear(t.kept)
+		if len(t.cached)+len(got) > maxCached {
+			clear(t.cached)
 		}
 	}
 	for k, f := range got {
 		if len(f.Holders) > 0 {
-			t.kept[k] = kept{f, now}
+			t.cached[k] = cachedAnswer{f, now}
 		}
 	}
 }
 
-// merge adds an access to what is to be told.
-func merge(m map[prefix.Key]*wire.Access, k prefix.Key, a *wire.Access) {
+// addAccess merges an access into the pending counts.
+func addAccess(m map[prefix.Key]*wire.Access, k prefix.Key, a *wire.Access) {
 	o := m[k]
 	if o == nil {
 		if len(m) < maxCounts {
@@ -171,7 +171,7 @@
 	}
 	o.Count += a.Count
 	for _, p := range a.Presumed {
-		if !slices.Contains(o.Presumed, p) && len(o.Presumed) < maxPresumed {
+		if !slices.Contains(o.Presumed, p) && len(o.Presumed) < maxPresumedHolders {
 			o.Presumed = append(o.Presumed, p)
 		}
 	}
--- /dev/null
+++ b/internal/data/nodeagent/agent.go
@@ -0,0 +1,373 @@
+package nodeagent
+
+import (
+	"context"
+	"math"
+	"net/http"
+	"time"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/operatorapi"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/updatestream"
+	"pebbleloom/internal/queue"
+	"pebbleloom/internal/wire"
+)
+
+// table is the state of a node agent; the actor's goroutine alone touches it.
+type table struct {
+	freshness  *Freshness
+	workers    *Workers
+	view       clustermembership.View
+	placements map[string]*wire.Document
+	config     *serviceconfig.Config
+	links      map[string]*wire.LinkSeen
+	// health is how a worker's recent attempts ended, as the proxy on this machine saw them.
+	health       map[string]*health
+	version      uint64 // of everything in an update
+	listsVersion uint64 // of workers, nodes, placements, stores and links
+	waiting      map[chan struct{}]bool
+	shownAt      uint64
+	rows         []*wire.Worker
+	decisions    []*wire.Decided // the latest decisions, oldest first
+}
+
+// Agent is the node agent of one machine.
+type Agent struct {
+	process  *daemon.Process
+	actor    *queue.Actor[table]
+	clock    clock.Clock
+	clients  *daemon.Clients
+	backends *contract.Backends
+	member   *clustermembership.Member
+}
+
+// Start runs the node agent.
+//
+// Example: daemon.Main("runner", "the agent on an edge machine", need, nodeagent.Start)
+func Start(process *daemon.Process) error {
+	b := process.Place.Bounds
+	a := &Agent{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial)}
+	process.OnStop(a.backends.Close)
+	ms := controlclient.Members(0, process.Place.Core)
+	// Versions start at random, so that a client can't mistake a new incarnation's for the old one's.
+	a.actor = queue.NewActor(&table{version: process.Seed(), listsVersion: process.Seed(), freshness: NewFreshness(), workers: NewWorkers(b), placements: map[string]*wire.Document{},
+		links: map[string]*wire.LinkSeen{}, health: map[string]*health{}, waiting: map[chan struct{}]bool{}}, 1024)
+	process.OnStop(a.actor.Stop)
+	a.member = clustermembership.Start(process.Ctx, process.Place, "runner", a.clock, process.Log, a.clients.Membership, func(v clustermembership.View) {
+		a.actor.TrySend(func(t *table) { t.view = v; t.listsChanged() })
+	})
+	for _, m := range ms {
+		process.Go(func() { a.followConfig(m) })
+	}
+	process.Every(b.Leave(0.15), a.refreshWorkers)
+	process.Every(b.Leave(0.15), a.probeWorkers)
+	process.Every(b.Heal(1.0/12), a.followPlacements)
+	process.Meter.Gauge("pebbleloom_workers_up", "workers that this machine sees up", func() (v float64) {
+		a.actor.Ask(func(t *table) {
+			for _, w := range t.rows {
+				if w.State == updatestream.WorkerUp {
+					v++
+				}
+			}
+		})
+		return v
+	})
+	process.Meter.Gauge("pebbleloom_nodes", "nodes that this machine doesn't see as gone", func() (v float64) {
+		for _, n := range a.member.View().Nodes {
+			if n.State != clustermembership.Gone {
+				v++
+			}
+		}
+		return v
+	})
+	mux := http.NewServeMux()
+	mux.Handle(wire.RunnerPathPrefix, wire.NewRunnerServer(a))
+	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(a.member))
+	if err := process.Serve(process.Place.Listen, mux); err != nil {
+		return err
+	}
+	view := func() clustermembership.View { return a.member.View() }
+	if err := operatorapi.Serve(process, controlclient.New(process.Place.Core, view, a.clients, b), view, a.clients); err != nil {
+		return err
+	}
+	process.Ready.Store(true)
+	return nil
+}
+
+func (t *table) changed() {
+	t.version++
+	for c := range t.waiting {
+		close(c)
+	}
+	clear(t.waiting)
+}
+
+// listsChanged records that the lists have changed.
+func (t *table) listsChanged() {
+	t.listsVersion++
+	t.changed()
+}
+
+// followConfig polls one member of the configuration's shard with the version it has.
+func (a *Agent) followConfig(member string) {
+	b := a.process.Place.Bounds
+	for a.process.Ctx.Err() == nil {
+		var have uint64
+		a.actor.Ask(func(t *table) { have = t.freshness.Version() })
+		asked := a.clock.Now()
+		var response *wire.WatchResponse
+		if addr, ok := a.member.View().Addr("archive/" + member); ok {
+			ctx, end := context.WithTimeout(a.process.Ctx, b.Config(0.3))
+			t, err := a.clients.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Config(0.15))})
+			end()
+			if err == nil {
+				response = t
+			}
+		}
+		if response == nil || response.Outcome == wire.OutcomeUnknown {
+			clock.Pause(a.process.Ctx, b.Config(0.05))
+			if response == nil {
+				continue
+			}
+		}
+		a.actor.Ask(func(t *table) { a.applyResponse(t, member, have, asked, response) })
+	}
+}
+
+func (a *Agent) applyResponse(t *table, member string, have uint64, asked time.Duration, response *wire.WatchResponse) {
+	if t.freshness.HandleResponse(member, have, asked, response) {
+		s, err := serviceconfig.Read(t.freshness.Document().Body)
+		if err != nil {
+			// The control state holds checked configurations only; an older program can still
+			// fail here. It runs without a configuration rather than with half of one.
+			a.process.Log.Error("configuration can't be read", "version", t.freshness.Document().Version, "error", err)
+		}
+		t.config = s
+		if s != nil && len(s.Seeds) == 3 {
+			a.member.SetSeeds(s.Seeds)
+		}
+		a.process.Log.Info("configuration adopted", "version", t.freshness.Document().Version)
+	}
+	t.changed()
+}
+
+func (a *Agent) refreshWorkers() {
+	asked := a.clock.Now()
+	ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Leave(0.3))
+	defer end()
+	l, err := a.backends.List(ctx, a.process.Place.Rank)
+	if err != nil {
+		a.process.Log.Debug("platform doesn't answer: the last list stays", "error", err)
+		return
+	}
+	a.actor.TrySend(func(t *table) { t.workers.Listed(l, asked); a.publishWorkers(t) })
+}
+
+func (a *Agent) probeWorkers() {
+	var l []contract.Listed
+	a.actor.Ask(func(t *table) { l = t.workers.Probe() })
+	for _, x := range l {
+		go func() {
+			asked := a.clock.Now()
+			ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Leave(0.25))
+			defer end()
+			s, err := a.backends.State(ctx, x.Addr)
+			a.actor.Ask(func(t *table) { t.workers.Probed(x, s, err == nil, asked, a.clock.Now()) })
+		}()
+	}
+	a.actor.TrySend(a.publishWorkers)
+}
+
+// publishWorkers wakes the waiting clients when the worker table has changed.
+func (a *Agent) publishWorkers(t *table) {
+	var drains map[string]bool
+	if t.config != nil {
+		drains = t.config.Drains
+	}
+	rows := t.workers.Table(drains, a.clock.Now())
+	for _, w := range rows { // published rows are never changed
+		if h := t.health[w.Name]; h != nil {
+			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
+			w.Ok, w.Bad = h.ok, h.failed
+		}
+	}
+	same := len(rows) == len(t.rows)
+	for i := 0; same && i < len(rows); i++ {
+		row, old := rows[i], t.rows[i]
+		same = row.Name == old.Name && row.Addr == old.Addr && row.State == old.State && row.Weights == old.Weights && row.Incarnation == old.Incarnation && row.Model == old.Model && sameLoaded(row.Loaded, old.Loaded)
+	}
+	t.rows = rows
+	t.listsVersion++ // a change of load alone wakes nobody
+	if !same {
+		t.changed()
+	}
+}
+
+// followPlacements polls for news of each service's placement.
+func (a *Agent) followPlacements() {
+	have := map[string]uint64{}
+	a.actor.Ask(func(t *table) {
+		if t.config == nil {
+			return
+		}
+		for _, w := range t.rows { // the others have no placement
+			if _, ok := t.config.Services[w.Service]; ok {
+				have[w.Service] = t.placements[w.Service].GetVersion()
+			}
+		}
+		for n := range t.placements {
+			if _, ok := t.config.Services[n]; !ok {
+				delete(t.placements, n)
+			}
+		}
+	})
+	for n, h := range have {
+		shard := controlclient.ShardOf(n)
+		ms := controlclient.Members(shard, a.process.Place.Core)
+		m := ms[int(a.clock.Now()/time.Second)%len(ms)]
+		addr, ok := a.member.View().Addr("archive/" + m)
+		if !ok {
+			continue
+		}
+		ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Heal(1.0/24))
+		response, err := a.clients.ControlNode(addr).News(ctx, &wire.WatchRequest{Shard: shard, Key: "placement/" + n, Have: h})
+		end()
+		if err == nil && response.Outcome == wire.OutcomeNews && response.Document.GetVersion() > h {
+			a.actor.TrySend(func(t *table) {
+				t.placements[n] = &wire.Document{Key: n, Body: response.Document.Body, Version: response.Document.Version}
+				t.listsChanged()
+			})
+		}
+	}
+}
+
+const maxDecisions = 1024
+
+// Explain returns what the proxy on this machine decided on a request.
+//
+// Example: wire.NewRunnerProtobufClient(url, h).Explain(ctx, &wire.ExplainAsk{Request: "r1"})
+func (a *Agent) Explain(_ context.Context, request *wire.ExplainAsk) (*wire.ExplainTell, error) {
+	t := &wire.ExplainTell{}
+	a.actor.Ask(func(x *table) {
+		for _, d := range x.decisions {
+			if d.Request == request.Request {
+				t.List = append(t.List, d)
+			}
+		}
+	})
+	return t, nil
+}
+
+// Feed responds to the processes on this machine: at once if there is news, else when the hold time is
+// over.
+//
+// Example: wire.NewRunnerProtobufClient(url, h).Feed(ctx, &wire.FeedAsk{Have: 9, HoldNs: 2e8})
+func (a *Agent) Feed(ctx context.Context, request *wire.FeedAsk) (*wire.FeedTell, error) {
+	end := time.NewTimer(time.Duration(min(request.HoldNs, uint64(10*time.Second))))
+	defer end.Stop()
+	first := true
+	for {
+		var response *wire.FeedTell
+		c := make(chan struct{})
+		over := false
+		select {
+		case <-end.C:
+			over = true
+		default:
+		}
+		ok := a.actor.Ask(func(t *table) {
+			if first {
+				a.recordAttempts(t, request.Goes)
+				t.decisions = append(t.decisions, request.Decided...)
+				t.decisions = t.decisions[max(0, len(t.decisions)-maxDecisions):]
+			}
+			if t.version != request.Have || over || request.HoldNs == 0 || len(t.waiting) > 64 {
+				response = a.newResponse(t, request)
+				return
+			}
+			t.waiting[c] = true
+		})
+		if !ok || response != nil {
+			if response == nil {
+				response = &wire.FeedTell{Number: request.Have}
+			}
+			return response, nil
+		}
+		first = false
+		select {
+		case <-c:
+		case <-end.C:
+			request.HoldNs = 0
+		case <-ctx.Done():
+			request.HoldNs = 0
+		}
+		a.actor.TrySend(func(t *table) { delete(t.waiting, c) })
+	}
+}
+
+// health is how a worker's goes have ended lately, as the dispatcher here saw them.
+type health struct {
+	ok, failed float64
+	at         time.Duration
+}
+
+func (h *health) decay(now, window time.Duration) {
+	f := math.Exp(-float64(now-h.at) / float64(window))
+	h.ok, h.failed, h.at = h.ok*f, h.failed*f, now
+}
+
+func (a *Agent) recordAttempts(t *table, l []*wire.GoReport) {
+	t.workers.RecordAttempts(l, a.clock.Now())
+	for _, g := range l {
+		if g.Ok+g.Errors > 0 && (t.health[g.Worker] != nil || len(t.health) < maxWorkers) {
+			h := t.health[g.Worker]
+			if h == nil {
+				h = &health{}
+				t.health[g.Worker] = h
+			}
+			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
+			h.ok, h.failed = h.ok+float64(g.Ok), h.failed+float64(g.Errors)
+		}
+		if g.LinkNs <= 0 || len(t.links) > 8 && t.links[g.From] == nil {
+			continue
+		}
+		s := t.links[g.From]
+		if s == nil {
+			s = &wire.LinkSeen{Class: g.From}
+			t.links[g.From] = s
+		}
+		s.Tokens, s.Ns = s.Tokens*0.98+g.LinkTokens, s.Ns*0.98+g.LinkNs // older fetches decay
+	}
+}
+
+// newResponse makes an update. What the client has isn't sent again.
+func (a *Agent) newResponse(t *table, request *wire.FeedAsk) *wire.FeedTell {
+	f := &wire.FeedTell{Number: t.version, View: t.listsVersion, ProofAt: uint64(t.freshness.Proof()), Setup: t.freshness.Document(), WorkersAt: uint64(t.workers.listed)}
+	if t.config == nil {
+		f.Setup, f.ProofAt = nil, 0 // an unreadable configuration is none
+	} else if f.Setup.GetVersion() == request.HaveSetup {
+		f.Setup = nil
+	}
+	if request.HaveView == t.listsVersion && t.listsVersion != 0 {
+		return f
+	}
+	f.Nodes, f.Workers = t.view.Nodes, t.rows
+	for _, n := range queue.Keys(t.placements) {
+		f.Placements = append(f.Placements, t.placements[n])
+	}
+	for _, n := range queue.Keys(t.links) {
+		s := t.links[n]
+		f.Links = append(f.Links, &wire.LinkSeen{Class: s.Class, Tokens: s.Tokens, Ns: s.Ns})
+	}
+	for _, w := range t.rows {
+		if w.Kind == "store" && w.State < 2 {
+			f.Stores = append(f.Stores, w.Addr)
+		}
+	}
+	return f
+}
--- a/internal/data/nodeagent/fresh_test.go
+++ b/internal/data/nodeagent/freshness_test.go
@@ -45,13 +45,13 @@
 	as := []answer{{"a", 1, 10, same()}, {"b", 1, 20, same()}, {"c", 1, 30, news(2, true)}, {"a", 1, 25, news(2, false)}, {"a", 2, 40, same()}, {"b", 1, 35, news(2, true)}}
 	adopted := 0
 	n := everyOrder(as, func(l []answer) {
-		f := NewFresh()
-		f.Hear("a", 0, 1, news(1, true))
-		f.Hear("b", 0, 2, news(1, true))
+		f := NewFreshness()
+		f.HandleResponse("a", 0, 1, news(1, true))
+		f.HandleResponse("b", 0, 2, news(1, true))
 		vouch := map[uint64]map[string]time.Duration{1: {"a": 1, "b": 2}, 2: {}}
 		seen := uint64(1)
 		for _, a := range l {
-			f.Hear(a.m, a.have, a.asked, a.t)
+			f.HandleResponse(a.m, a.have, a.asked, a.t)
 			if a.t.Outcome == wire.OutcomeNews {
 				seen = 2
 				if a.t.NothingNewer {
@@ -69,11 +69,11 @@
 				ts = append(ts, x)
 			}
 			sort.Slice(ts, func(i, j int) bool { return ts[i] > ts[j] })
-			if f.Doc().Version != use || f.Proof() != ts[1] {
-				t.Fatalf("after %v: epoch %d with proof %d, want %d with %d", l, f.Doc().Version, f.Proof(), use, ts[1])
+			if f.Document().Version != use || f.Proof() != ts[1] {
+				t.Fatalf("after %v: epoch %d with proof %d, want %d with %d", l, f.Document().Version, f.Proof(), use, ts[1])
 			}
 		}
-		if f.Doc().Version == 2 {
+		if f.Document().Version == 2 {
 			adopted++
 		}
 	})
@@ -83,13 +83,13 @@
 }
 
 func TestOneMemberIsNoProof(t *testing.T) {
-	f := NewFresh()
-	f.Hear("a", 0, 1, news(1, true))
+	f := NewFreshness()
+	f.HandleResponse("a", 0, 1, news(1, true))
 	for i := range 5 {
-		f.Hear("a", 1, time.Duration(10+i), same())
+		f.HandleResponse("a", 1, time.Duration(10+i), same())
 	}
-	f.Hear("b", 1, 20, &wire.WatchResponse{Outcome: wire.OutcomeUnknown})
-	if f.Proof() != 0 || f.Doc() != nil {
+	f.HandleResponse("b", 1, 20, &wire.WatchResponse{Outcome: wire.OutcomeUnknown})
+	if f.Proof() != 0 || f.Document() != nil {
 		t.Fatalf("one member's word was taken for a majority's: %d", f.Proof())
 	}
 }
@@ -125,9 +125,9 @@
 		{"not listed any more", func(w *Workers) { w.Listed(nil, at(0.1)) }, at(0.1), -1},
 		{"warned by the platform", func(w *Workers) { y := x; y.Draining = true; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
 		{"says itself that it drains", func(w *Workers) { s := ok; s.Draining = true; w.Probed(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
-		{"a go failed after its last probe", func(w *Workers) { w.Goes([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
+		{"a go failed after its last probe", func(w *Workers) { w.RecordAttempts([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
 		{"a good probe clears a failed go", func(w *Workers) {
-			w.Goes([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1))
+			w.RecordAttempts([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1))
 			w.Probed(x, ok, true, at(0.2), at(0.2))
 		}, at(0.2), int(updatestream.WorkerUp)},
 		{"a stranger at its address", func(w *Workers) { w.Probed(x, contract.State{Name: "cab-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -15,28 +15,28 @@
 const maxWorkers = 1024
 
 type worker struct {
-	l      contract.Listed
-	s      contract.State
-	probed time.Duration // last good probe, by when it was asked
-	since  time.Duration // when it was first listed
-	failed time.Duration // last failed go or probe
-	answer time.Duration // when the last good probe's answer was here
-	busy   bool
+	listed      contract.Listed
+	state       contract.State
+	probedAt    time.Duration // start of the last successful probe
+	listedAt    time.Duration // when it was first listed
+	failedAt    time.Duration // last failed attempt or probe
+	respondedAt time.Duration // end of the last successful probe
+	probing     bool
 }
 
-// Workers is the one table that listing, probes and failed goes feed.
+// Workers is the table that listing, probes and failed attempts feed.
 type Workers struct {
-	b      settings.Bounds
+	bounds settings.Bounds
 	all    map[string]*worker
 	listed time.Duration
 }
 
-// NewWorkers begins empty.
+// NewWorkers returns an empty table.
 //
-// Example: w := runner.NewWorkers(bounds)
-func NewWorkers(b settings.Bounds) *Workers { return &Workers{b: b, all: map[string]*worker{}} }
+// Example: w := nodeagent.NewWorkers(bounds)
+func NewWorkers(b settings.Bounds) *Workers { return &Workers{bounds: b, all: map[string]*worker{}} }
 
-// Listed takes the platform's list. Who isn't in it any more is gone at once.
+// Listed applies the platform's list. A worker that isn't in it is removed at once.
 //
 // Example: w.Listed(list, askedAt)
 func (w *Workers) Listed(l []contract.Listed, asked time.Duration) {
@@ -48,11 +48,11 @@
 		}
 		here[x.Name] = true
 		o := w.all[x.Name]
-		if o == nil || o.l.Addr != x.Addr {
-			o = &worker{since: asked} // another address is another life
+		if o == nil || o.listed.Addr != x.Addr {
+			o = &worker{listedAt: asked} // another address is another incarnation
 			w.all[x.Name] = o
 		}
-		o.l = x
+		o.listed = x
 	}
 	for n := range w.all {
 		if !here[n] {
@@ -61,15 +61,15 @@
 	}
 }
 
-// Probe gives whom to probe now; each is probed once at a time.
+// Probe returns the workers to probe now; each has at most one probe in flight.
 //
 // Example: for _, l := range w.Probe() { go probe(l) }
 func (w *Workers) Probe() []contract.Listed {
 	var l []contract.Listed
 	for _, n := range w.names() {
-		if x := w.all[n]; !x.busy {
-			x.busy = true
-			l = append(l, x.l)
+		if x := w.all[n]; !x.probing {
+			x.probing = true
+			l = append(l, x.listed)
 		}
 	}
 	return l
@@ -77,34 +77,34 @@
 
 func (w *Workers) names() []string { return queue.Keys(w.all) }
 
-// Probed takes the end of a probe. A stranger at the address counts as a failure.
+// Probed records the result of a probe. Another worker at the address counts as a failure.
 //
 // Example: w.Probed(listed, state, err == nil, askedAt, now)
 func (w *Workers) Probed(l contract.Listed, s contract.State, ok bool, asked, now time.Duration) {
 	x := w.all[l.Name]
-	if x == nil || x.l.Addr != l.Addr {
+	if x == nil || x.listed.Addr != l.Addr {
 		return
 	}
-	x.busy = false
+	x.probing = false
 	if ok && s.Name == l.Name {
-		x.s, x.probed, x.answer = s, asked, now
+		x.state, x.probedAt, x.respondedAt = s, asked, now
 		return
 	}
-	x.failed = now
+	x.failedAt = now
 }
 
-// Goes takes what the dispatcher beside it saw of its goes.
+// RecordAttempts records how the proxy's attempts ended.
 //
-// Example: w.Goes(reports, now)
-func (w *Workers) Goes(l []*wire.GoReport, now time.Duration) {
+// Example: w.RecordAttempts(reports, now)
+func (w *Workers) RecordAttempts(l []*wire.GoReport, now time.Duration) {
 	for _, g := range l {
 		if x := w.all[g.Worker]; x != nil && g.Errors > 0 {
-			x.failed = now
+			x.failedAt = now
 		}
 	}
 }
 
-// Table shows the workers as dispatchers are to see them.
+// Table returns the workers as proxies are to see them.
 //
 // Example: rows := w.Table(drains, now)
 func (w *Workers) Table(drains map[string]bool, now time.Duration) []*wire.Worker {
@@ -113,17 +113,17 @@
 		x := w.all[n]
 		st := updatestream.WorkerUp
 		switch {
-		case x.probed == 0 || now-x.probed > w.b.Leave(0.6):
-			st = updatestream.WorkerGone // never seen, or silent for too long: a silent cut looks like this
-		case x.l.Draining || x.s.Draining || drains[n]:
+		case x.probedAt == 0 || now-x.probedAt > w.bounds.Leave(0.6):
+			st = updatestream.WorkerGone // never seen, or silent for too long, as in a partition
+		case x.listed.Draining || x.state.Draining || drains[n]:
 			st = updatestream.WorkerDraining
-		case x.failed > x.probed:
+		case x.failedAt > x.probedAt:
 			st = updatestream.WorkerUnsure
 		}
-		l = append(l, &wire.Worker{Name: n, Addr: x.l.Addr, Service: x.l.Service, Model: x.s.Model, District: x.l.District,
-			Incarnation: x.s.Incarnation, State: st, Weights: x.s.Weights, Slots: uint32(x.s.Slots), Busy: uint32(x.s.Busy),
-			Queued: uint32(x.s.Queued), Kind: x.l.Kind, KvRoom: uint64(x.s.KvRoom),
-			ClockNs: uint64(x.s.ClockUs) * 1000, ClockAt: uint64(x.answer), Loaded: loaded(x.s)})
+		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, District: x.listed.District,
+			Incarnation: x.state.Incarnation, State: st, Weights: x.state.Weights, Slots: uint32(x.state.Slots), Busy: uint32(x.state.Busy),
+			Queued: uint32(x.state.Queued), Kind: x.listed.Kind, KvRoom: uint64(x.state.KvRoom),
+			ClockNs: uint64(x.state.ClockUs) * 1000, ClockAt: uint64(x.respondedAt), Loaded: loaded(x.state)})
 	}
 	return l
 }
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -1,4 +1,4 @@
-// Package promptindex is an index node: for every prefix of its shards, who holds it and how
+// Package promptindex is an index node: for every prefix of its shards, which workers hold it and how
 // hot it is. It holds no data and has no disk. Core is a pure state machine.
 package promptindex
 
@@ -13,157 +13,158 @@
 	"pebbleloom/internal/wire"
 )
 
-// How sure the index is of a holder.
+// How certain the index is of a holder.
 const (
 	Presumed  uint32 = iota + 1 // a request was routed there, or a save was ordered
-	Confirmed                   // the worker's own report says so
+	Confirmed                   // the worker reported it
 )
 
-type hold struct {
-	state  uint32
-	at     time.Duration
-	gen    uint32
-	tokens uint32 // kept of the entry's, where that was told; 0: all
+type holding struct {
+	state      uint32
+	at         time.Duration
+	generation uint32
+	tokens     uint32 // cached of the entry's, if reported; 0: all
 }
 
 type entry struct {
-	tokens  uint32
-	hot     float64
-	at      time.Duration
-	service string
-	head    bool // a prompt begins with it
-	holders map[string]hold
+	tokens    uint32
+	hotness   float64
+	decayedAt time.Duration
+	service   string
+	head      bool // a prompt begins with it
+	holders   map[string]holding
 }
 
 type worker struct {
-	inc    string
-	gen    uint32
-	number uint64
-	whole  bool // a full report is needed
-	heard  time.Duration
-	asked  bool   // it is one that reports are asked of
-	told   bool   // it has told all it holds
-	turn   uint64 // counts its leavings and its answers
+	incarnation string
+	generation  uint32
+	number      uint64
+	needsFull   bool // a full report is needed
+	heard       time.Duration
+	polled      bool   // it is polled for reports
+	complete    bool   // it has reported everything it holds
+	sequence    uint64 // counts its removals and its reports
 }
 
-type teller struct {
-	inc, number uint64
-	past        uint64 // the life before: its late batches aren't counted
-	heard       time.Duration
+type reporter struct {
+	incarnation, number uint64
+	previous            uint64 // the previous incarnation: its late batches aren't counted
+	heard               time.Duration
 }
 
 // Core is one index node's tables.
 type Core struct {
-	b       settings.Bounds
-	window  time.Duration
-	all     map[prefix.Key]*entry
-	workers map[string]*worker
-	tellers map[string]*teller
-	mine    func(prefix.Key) bool
-	slack   float64 // the share of those asked that may not have told all while the index is warm
-	loads   *Loads
-	Stats   Stats
+	bounds          settings.Bounds
+	window          time.Duration
+	entries         map[prefix.Key]*entry
+	workers         map[string]*worker
+	reporters       map[string]*reporter
+	isMine          func(prefix.Key) bool
+	incompleteShare float64 // share of polled workers that may be incomplete while the index is warm
+	loads           *Loads
+	// Stats counts what the index has done.
+	Stats Stats
 }
 
 // Stats counts what the index has done.
 type Stats struct{ Lapsed, Gaps, Wholes, Evicted, Repeats uint64 }
 
-// New makes an empty index; mine tells which keys are this node's.
+// New makes an empty index; isMine reports which keys are this node's.
 //
-// Example: c := catalogue.New(bounds, func(k prefix.Key) bool { return shards.Mine(k) })
+// Example: c := promptindex.New(bounds, func(k prefix.Key) bool { return shards.Holds(name, k) })
 func New(b settings.Bounds, mine func(prefix.Key) bool) *Core {
-	return &Core{b: b, window: 30 * time.Second, all: map[prefix.Key]*entry{}, workers: map[string]*worker{},
-		tellers: map[string]*teller{}, mine: mine, loads: NewLoads(b)}
+	return &Core{bounds: b, window: 30 * time.Second, entries: map[prefix.Key]*entry{}, workers: map[string]*worker{},
+		reporters: map[string]*reporter{}, isMine: mine, loads: NewLoads(b)}
 }
 
 func (c *Core) decay(e *entry, now time.Duration) {
-	if dt := now - e.at; dt > 0 {
-		e.hot *= math.Exp(-float64(dt) / float64(c.window))
-		e.at = now
+	if dt := now - e.decayedAt; dt > 0 {
+		e.hotness *= math.Exp(-float64(dt) / float64(c.window))
+		e.decayedAt = now
 	}
 }
 
 func (c *Core) entry(k prefix.Key, now time.Duration) *entry {
-	e := c.all[k]
+	e := c.entries[k]
 	if e == nil {
-		if len(c.all) >= c.b.Entries {
+		if len(c.entries) >= c.bounds.Entries {
 			c.evict(now)
 		}
-		e = &entry{at: now, holders: map[string]hold{}}
-		c.all[k] = e
+		e = &entry{decayedAt: now, holders: map[string]holding{}}
+		c.entries[k] = e
 	}
 	return e
 }
 
-// evict drops the coldest of a few: the table stays within its bound.
+// evict drops the coldest of a small sample, so that the table stays within its bound.
 func (c *Core) evict(now time.Duration) {
 	var cold prefix.Key
 	best, n := math.Inf(1), 0
-	for k, e := range c.all {
+	for k, e := range c.entries {
 		c.decay(e, now)
-		if e.hot < best {
-			best, cold = e.hot, k
+		if e.hotness < best {
+			best, cold = e.hotness, k
 		}
 		if n++; n >= 16 {
 			break
 		}
 	}
-	delete(c.all, cold)
+	delete(c.entries, cold)
 	c.Stats.Evicted++
 }
 
 func (c *Core) worker(name string) *worker {
 	w := c.workers[name]
 	if w == nil {
-		w = &worker{whole: true}
+		w = &worker{needsFull: true}
 		c.workers[name] = w
 	}
 	return w
 }
 
-// Want tells what to ask a worker for next.
+// NextReport returns the next request to a worker.
 //
-// Example: q := c.Want("cab-3"); reports := ask(q.After, q.Whole); c.Report(q, reports, now)
-func (c *Core) Want(name, service string) Question {
+// Example: q := c.NextReport("worker-3", "lectores"); reports := call(q.After, q.Whole); c.ApplyReport(q, reports, now)
+func (c *Core) NextReport(name, service string) ReportRequest {
 	w := c.worker(name)
-	w.asked = true
-	return Question{name, service, w.number, w.whole, w.turn}
+	w.polled = true
+	return ReportRequest{name, service, w.number, w.needsFull, w.sequence}
 }
 
-// Question is what a worker is asked for. An answer to one from before the worker left, or from
-// before another answer, tells of what may be gone.
-type Question struct {
+// ReportRequest is a request to a worker. A response to one from before the worker was removed, or
+// from before another response, is outdated.
+type ReportRequest struct {
 	Name, Service string
 	After         uint64
 	Whole         bool
-	turn          uint64
+	sequence      uint64
 }
 
-// Report takes a worker's answer. A gap in the numbers or another incarnation means that a
-// full report is asked for next; until then what is known stays, and lapses as it would.
+// ApplyReport applies a worker's response. After a gap in the numbers or a new incarnation a full
+// report is requested next; until then known holdings stay, and lapse as usual.
 //
-// Example: c.Report(question, r, now)
-func (c *Core) Report(q Question, r contract.Reports, now time.Duration) {
+// Example: c.ApplyReport(request, response, now)
+func (c *Core) ApplyReport(q ReportRequest, r contract.Reports, now time.Duration) {
 	name, service, w := q.Name, q.Service, c.worker(q.Name)
-	if q.turn != w.turn {
+	if q.sequence != w.sequence {
 		return
 	}
 	w.heard = now
-	w.turn++ // each question is answered once
-	if r.Incarnation != w.inc {
-		w.inc, w.number, w.whole = r.Incarnation, 0, true
-		w.gen++ // whatever the old life held is gone
+	w.sequence++ // each request is answered once
+	if r.Incarnation != w.incarnation {
+		w.incarnation, w.number, w.needsFull = r.Incarnation, 0, true
+		w.generation++ // the old incarnation's holdings are gone
 	}
 	if r.Whole {
-		w.gen++
+		w.generation++
 		c.Stats.Wholes++
 		for _, h := range r.Held {
-			c.add(name, service, w, h, now)
+			c.addHolding(name, service, w, h, now)
 		}
-		w.number, w.whole, w.told = r.Number, false, true
+		w.number, w.needsFull, w.complete = r.Number, false, true
 		return
 	}
-	if w.whole {
+	if w.needsFull {
 		return
 	}
 	for _, p := range r.List {
@@ -174,24 +175,24 @@
 			break
 		}
 		for _, h := range p.Added {
-			c.add(name, service, w, h, now)
+			c.addHolding(name, service, w, h, now)
 		}
 		for _, g := range p.Gone {
-			if k, ok := prefix.Parse(g); ok && c.all[k] != nil {
-				delete(c.all[k].holders, name)
+			if k, ok := prefix.Parse(g); ok && c.entries[k] != nil {
+				delete(c.entries[k].holders, name)
 			}
 		}
 		w.number = p.Number
 	}
 	if w.number != r.Number {
-		w.whole = true
+		w.needsFull = true
 		c.Stats.Gaps++
 	}
 }
 
-func (c *Core) add(name, service string, w *worker, h contract.Kept, now time.Duration) {
+func (c *Core) addHolding(name, service string, w *worker, h contract.Kept, now time.Duration) {
 	k, ok := prefix.Parse(h.Key)
-	if !ok || !c.mine(k) {
+	if !ok || !c.isMine(k) {
 		return
 	}
 	e := c.entry(k, now)
@@ -201,60 +202,60 @@
 	if e.service == "" {
 		e.service = service
 	}
-	e.holders[name] = hold{state: Confirmed, at: now, gen: w.gen}
+	e.holders[name] = holding{state: Confirmed, at: now, generation: w.generation}
 }
 
-// Leave forgets a worker that has gone.
+// RemoveWorker forgets a worker that has left.
 //
-// Example: c.Leave("cab-3")
-func (c *Core) Leave(name string) {
+// Example: c.RemoveWorker("worker-3")
+func (c *Core) RemoveWorker(name string) {
 	if w := c.workers[name]; w != nil {
-		w.gen++
-		w.turn++
-		w.inc, w.number, w.whole, w.asked, w.told = "", 0, true, false, false
+		w.generation++
+		w.sequence++
+		w.incarnation, w.number, w.needsFull, w.polled, w.complete = "", 0, true, false, false
 	}
 }
 
-// Reshard asks all workers for full reports, after this node's shards have changed.
+// Reshard requests full reports from all workers, after this node's shards have changed.
 //
 // Example: c.Reshard()
 func (c *Core) Reshard() {
 	for _, w := range c.workers {
-		w.whole, w.told = true, false
+		w.needsFull, w.complete = true, false
 	}
-	for k := range c.all {
-		if !c.mine(k) {
-			delete(c.all, k)
+	for k := range c.entries {
+		if !c.isMine(k) {
+			delete(c.entries, k)
 		}
 	}
 }
 
-// holds tells whether a holding still counts: presumed ones lapse unless confirmed, and
-// confirmed ones lapse when the worker hasn't reported for long.
-func (c *Core) holds(name string, h hold, now time.Duration) bool {
+// isValid reports whether a holding still counts: presumed ones lapse unless confirmed, and confirmed
+// ones lapse when the worker hasn't reported for long.
+func (c *Core) isValid(name string, h holding, now time.Duration) bool {
 	w := c.workers[name]
-	if w == nil || h.gen != w.gen {
+	if w == nil || h.generation != w.generation {
 		return false
 	}
 	if h.state == Presumed {
-		return now-h.at < c.b.Heal(0.5)
+		return now-h.at < c.bounds.Heal(0.5)
 	}
-	return now-max(w.heard, h.at) < c.b.Heal(2.5)
+	return now-max(w.heard, h.at) < c.bounds.Heal(2.5)
 }
 
-// Seek answers a batch of look-ups.
+// Lookup answers a batch of keys.
 //
-// Example: t := c.Seek(keys, now)
-func (c *Core) Seek(keys []prefix.Key, now time.Duration) []*wire.Found {
+// Example: found := c.Lookup(keys, now)
+func (c *Core) Lookup(keys []prefix.Key, now time.Duration) []*wire.Found {
 	l := make([]*wire.Found, 0, len(keys))
 	for _, k := range keys {
 		f := &wire.Found{}
-		if e := c.all[k]; e != nil {
+		if e := c.entries[k]; e != nil {
 			c.decay(e, now)
-			f.Hotness = e.hot
+			f.Hotness = e.hotness
 			for n, h := range e.holders {
-				if c.holds(n, h, now) {
-					if h.partial(e) {
+				if c.isValid(n, h, now) {
+					if h.isPartial(e) {
 						continue
 					}
 					f.Holders = append(f.Holders, &wire.Holding{Worker: n, State: h.state})
@@ -270,24 +271,24 @@
 	return l
 }
 
-// Count takes a teller's batch of accesses once: a repeated number isn't counted again. A
-// teller that this index has no memory of is asked to tell its whole window again.
+// Count applies a reporter's batch of accesses once: a repeated number isn't counted again. A reporter
+// that this index doesn't remember is asked to send its whole window again.
 //
 // Example: t := c.Count(ask, now)
 func (c *Core) Count(a *wire.CountAsk, now time.Duration) *wire.CountTell {
-	t := c.tellers[a.Teller]
+	t := c.reporters[a.Teller]
 	if t == nil {
-		if len(c.tellers) >= maxTellers && !c.forget(now) {
-			return &wire.CountTell{Number: a.Number} // not counted: better too cold than counted twice
+		if len(c.reporters) >= maxReporters && !c.dropOldestReporter(now) {
+			return &wire.CountTell{Number: a.Number} // not counted: undercounting is better than counting twice
 		}
-		t = &teller{}
-		c.tellers[a.Teller] = t
+		t = &reporter{}
+		c.reporters[a.Teller] = t
 	}
 	t.heard = now
-	if t.inc != a.Incarnation && t.past != a.Incarnation {
-		t.past, t.inc, t.number = t.inc, a.Incarnation, 0
+	if t.incarnation != a.Incarnation && t.previous != a.Incarnation {
+		t.previous, t.incarnation, t.number = t.incarnation, a.Incarnation, 0
 	}
-	if a.Number <= t.number || t.inc != a.Incarnation {
+	if a.Number <= t.number || t.incarnation != a.Incarnation {
 		c.Stats.Repeats++
 		return &wire.CountTell{Number: t.number}
 	}
@@ -298,41 +299,41 @@
 			continue
 		}
 		k := prefix.Key(x.Key)
-		if !c.mine(k) {
+		if !c.isMine(k) {
 			continue
 		}
 		e := c.entry(k, now)
 		c.decay(e, now)
-		e.hot += float64(x.Count)
+		e.hotness += float64(x.Count)
 		e.service, e.head = x.Service, e.head || x.Head
 		if x.Tokens > 0 {
 			e.tokens = x.Tokens
 		}
 		for _, p := range x.Presumed {
 			w := c.worker(p)
-			if h, ok := e.holders[p]; !ok || h.gen != w.gen || h.state == Presumed || h.partial(e) {
-				e.holders[p] = hold{state: Presumed, at: now, gen: w.gen}
+			if h, ok := e.holders[p]; !ok || h.generation != w.generation || h.state == Presumed || h.isPartial(e) {
+				e.holders[p] = holding{state: Presumed, at: now, generation: w.generation}
 			}
 		}
 	}
 	return &wire.CountTell{Number: t.number, Again: again}
 }
 
-const maxTellers = 1024
+const maxReporters = 1024
 
-// forget makes room by the teller that was silent longest, if that is longer than any batch is
-// sent again.
-func (c *Core) forget(now time.Duration) bool {
+// dropOldestReporter makes room by dropping the reporter that was silent longest, if that is longer
+// than any batch is retried.
+func (c *Core) dropOldestReporter(now time.Duration) bool {
 	name, at := "", now
-	for n, t := range c.tellers {
+	for n, t := range c.reporters {
 		if t.heard < at || t.heard == at && n < name {
 			name, at = n, t.heard
 		}
 	}
-	if now-at < c.b.Heal(1) {
+	if now-at < c.bounds.Heal(1) {
 		return false
 	}
-	delete(c.tellers, name)
+	delete(c.reporters, name)
 	return true
 }
 
@@ -341,17 +342,17 @@
 // Example: t := c.Hottest("appraisals", 1000, now)
 func (c *Core) Hottest(service string, limit int, now time.Duration) *wire.HotTell {
 	t := &wire.HotTell{Warm: c.Warm()}
-	for k, e := range c.all {
+	for k, e := range c.entries {
 		if e.service != service {
 			continue
 		}
 		c.decay(e, now)
-		if e.hot < 0.01 {
+		if e.hotness < 0.01 {
 			continue
 		}
 		t.Entries++
-		t.Total += e.hot
-		t.Hot = append(t.Hot, &wire.Hot{Key: k[:], Hotness: e.hot, Tokens: e.tokens, Holders: uint32(len(e.holders)), Head: e.head})
+		t.Total += e.hotness
+		t.Hot = append(t.Hot, &wire.Hot{Key: k[:], Hotness: e.hotness, Tokens: e.tokens, Holders: uint32(len(e.holders)), Head: e.head})
 	}
 	sort.Slice(t.Hot, func(i, j int) bool {
 		if t.Hot[i].Hotness != t.Hot[j].Hotness {
@@ -365,18 +366,19 @@
 	return t
 }
 
-// Warm tells whether every worker, or all but a few, has told all it holds since this index began.
+// Warm reports whether every worker, or all but a few, has reported everything it holds since this
+// index started.
 //
 // Example: if c.Warm() { … }
 func (c *Core) Warm() bool {
 	n, untold := 0, 0
 	for _, w := range c.workers {
-		if w.asked && !w.told {
+		if w.polled && !w.complete {
 			untold++
 		}
-		if w.told {
+		if w.complete {
 			n++
 		}
 	}
-	return n > 0 && float64(untold) <= c.slack*float64(n+untold)
+	return n > 0 && float64(untold) <= c.incompleteShare*float64(n+untold)
 }
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -19,7 +19,7 @@
 
 func holders(c *Core, n int, now time.Duration) string {
 	s := ""
-	for _, h := range c.Seek([]prefix.Key{key(n)}, now)[0].Holders {
+	for _, h := range c.Lookup([]prefix.Key{key(n)}, now)[0].Holders {
 		s += fmt.Sprintf("%s:%d ", h.Worker, h.State)
 	}
 	return s
@@ -27,7 +27,9 @@
 
 func all(prefix.Key) bool { return true }
 
-func tell(c *Core, r contract.Reports, now time.Duration) { c.Report(c.Want("cab", "s"), r, now) }
+func applyReport(c *Core, r contract.Reports, now time.Duration) {
+	c.ApplyReport(c.NextReport("cab", "s"), r, now)
+}
 
 // Four numbered reports come in every order, and each may be lost: the index either knows
 // exactly what the worker holds, or knows that it must ask for the whole.
@@ -44,14 +46,14 @@
 	walk = func(left, done []contract.Report) {
 		orders++
 		c := New(settings.Default(), all)
-		tell(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
+		applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
 		for _, r := range done {
-			tell(c, contract.Reports{Incarnation: "i", Number: r.Number, List: []contract.Report{r}}, 2)
+			applyReport(c, contract.Reports{Incarnation: "i", Number: r.Number, List: []contract.Report{r}}, 2)
 		}
-		tell(c, contract.Reports{Incarnation: "i", Number: 4}, 3) // nothing new: it stands at 4
-		if c.Want("cab", "s").Whole {
+		applyReport(c, contract.Reports{Incarnation: "i", Number: 4}, 3) // nothing new: it stands at 4
+		if c.NextReport("cab", "s").Whole {
 			asked++
-			tell(c, contract.Reports{Incarnation: "i", Number: 4, Whole: true, Held: []contract.Kept{kept(1)}}, 4)
+			applyReport(c, contract.Reports{Incarnation: "i", Number: 4, Whole: true, Held: []contract.Kept{kept(1)}}, 4)
 		}
 		if a, b, d := holders(c, 1, 5), holders(c, 2, 5), holders(c, 3, 5); a != truth || b+d != "" {
 			t.Fatalf("after %v: key 1 %q, key 2 %q, key 3 %q", done, a, b, d)
@@ -74,7 +76,7 @@
 		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", Presumed: []string{"cab"}}}}, now)
 	}
 	c := New(b, all)
-	tell(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
+	applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
 	presume(c, 1, 1)
 	if got := holders(c, 1, b.Heal(0.4)); got != "cab:1 " {
 		t.Errorf("presumed: %q", got)
@@ -82,19 +84,19 @@
 	if got := holders(c, 1, b.Heal(0.6)); got != "" {
 		t.Errorf("presumed and never confirmed: %q", got)
 	}
-	tell(c, contract.Reports{Incarnation: "i", Number: 1, List: []contract.Report{{Number: 1, Added: []contract.Kept{kept(1)}}}}, b.Heal(1))
+	applyReport(c, contract.Reports{Incarnation: "i", Number: 1, List: []contract.Report{{Number: 1, Added: []contract.Kept{kept(1)}}}}, b.Heal(1))
 	if got := holders(c, 1, b.Heal(3)); got != "cab:2 " {
 		t.Errorf("confirmed: %q", got)
 	}
 	if got := holders(c, 1, b.Heal(4)); got != "" {
 		t.Errorf("confirmed, and the worker fell silent long ago: %q", got)
 	}
-	tell(c, contract.Reports{Incarnation: "i", Whole: true, Number: 1, Held: []contract.Kept{kept(1)}}, b.Heal(4))
-	tell(c, contract.Reports{Incarnation: "j"}, b.Heal(4))
+	applyReport(c, contract.Reports{Incarnation: "i", Whole: true, Number: 1, Held: []contract.Kept{kept(1)}}, b.Heal(4))
+	applyReport(c, contract.Reports{Incarnation: "j"}, b.Heal(4))
 	if got := holders(c, 1, b.Heal(4)); got != "" {
 		t.Errorf("another incarnation holds what the last one held: %q", got)
 	}
-	if !c.Want("cab", "s").Whole {
+	if !c.NextReport("cab", "s").Whole {
 		t.Error("another incarnation isn't asked for the whole")
 	}
 }
@@ -112,7 +114,7 @@
 	}
 	c.Count(ask(1, 2), 1)
 	c.Count(ask(1, 1), 1)
-	if h := c.Seek([]prefix.Key{k}, 1)[0].Hotness; h != 10 {
+	if h := c.Lookup([]prefix.Key{k}, 1)[0].Hotness; h != 10 {
 		t.Errorf("hotness %v after two batches of 5", h)
 	}
 	if got := c.Count(ask(2, 1), 1); got.Again || got.Number != 1 {
@@ -121,7 +123,7 @@
 	if got := New(settings.Default(), all).Count(ask(1, 7), 1); !got.Again {
 		t.Error("an index without memory didn't ask for the window")
 	}
-	if h := c.Seek([]prefix.Key{k}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
+	if h := c.Lookup([]prefix.Key{k}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
 		t.Errorf("hotness %v a window later, from 15", h)
 	}
 }
@@ -133,7 +135,7 @@
 	ask := func(who string, inc, n uint64) *wire.CountAsk {
 		return &wire.CountAsk{Teller: who, Incarnation: inc, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s"}}}
 	}
-	hot := func(c *Core) float64 { return c.Seek([]prefix.Key{k}, 1)[0].Hotness }
+	hot := func(c *Core) float64 { return c.Lookup([]prefix.Key{k}, 1)[0].Hotness }
 	c := New(b, all)
 	for _, x := range [][2]uint64{{9, 1}, {4, 1}, {9, 1}, {9, 2}, {4, 1}, {4, 2}} { // a reboot may have made its life's number smaller
 		c.Count(ask("d", x[0], x[1]), 1)
@@ -143,14 +145,14 @@
 	}
 	c = New(b, all)
 	for range 2 {
-		for i := range maxTellers + 50 {
+		for i := range maxReporters + 50 {
 			c.Count(ask(fmt.Sprint("d", i), 1, 1), 1)
 		}
 	}
-	if h := hot(c); h != maxTellers || len(c.tellers) != maxTellers {
-		t.Errorf("hotness %v, %d tellers", h, len(c.tellers))
+	if h := hot(c); h != maxReporters || len(c.reporters) != maxReporters {
+		t.Errorf("hotness %v, %d tellers", h, len(c.reporters))
 	}
-	if c.Count(ask("new", 1, 1), b.Heal(2)); c.tellers["new"] == nil || len(c.tellers) != maxTellers {
+	if c.Count(ask("new", 1, 1), b.Heal(2)); c.reporters["new"] == nil || len(c.reporters) != maxReporters {
 		t.Error("who was silent for long made no room")
 	}
 }
@@ -168,19 +170,19 @@
 		if len(done) == len(events) {
 			n++
 			c := New(settings.Default(), all)
-			qs := map[string]Question{}
+			qs := map[string]ReportRequest{}
 			left := false
 			for _, e := range done {
 				switch e {
 				case "leave":
-					c.Leave("cab")
+					c.RemoveWorker("cab")
 					left = true
 				case "tell old":
-					c.Report(qs["ask old"], old, 1)
+					c.ApplyReport(qs["ask old"], old, 1)
 				case "tell new":
-					c.Report(qs["ask new"], next, 1)
+					c.ApplyReport(qs["ask new"], next, 1)
 				default:
-					qs[e] = c.Want("cab", "s")
+					qs[e] = c.NextReport("cab", "s")
 				}
 				if left && holders(c, 1, 1) != "" {
 					t.Fatalf("%v: after %s the old life's part counts", done, e)
@@ -212,14 +214,14 @@
 		k := key(i)
 		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1}}}, time.Duration(i))
 	}
-	if len(c.all) > 100 || c.Stats.Evicted != 900 {
-		t.Errorf("%d entries, %d evicted", len(c.all), c.Stats.Evicted)
+	if len(c.entries) > 100 || c.Stats.Evicted != 900 {
+		t.Errorf("%d entries, %d evicted", len(c.entries), c.Stats.Evicted)
 	}
 }
 
 // Two holders in different districts hold every key, and a node that leaves takes no
 // other node's keys along.
-func TestShardsHaveTwoHoldersInTwoDistricts(t *testing.T) {
+func TestShardsHaveTwoHoldersInTwoZones(t *testing.T) {
 	var ns []*wire.Node
 	for i := range 9 {
 		ns = append(ns, &wire.Node{Name: fmt.Sprintf("c-%d", i), Role: "catalogue", District: fmt.Sprint(i % 4), Addr: "x"})
@@ -257,7 +259,7 @@
 	before := heap()
 	c := New(b, all)
 	for w := range 3 {
-		c.Report(c.Want(fmt.Sprint("cab-", w), "s"), contract.Reports{Incarnation: "i", Whole: true}, 1)
+		c.ApplyReport(c.NextReport(fmt.Sprint("cab-", w), "s"), contract.Reports{Incarnation: "i", Whole: true}, 1)
 	}
 	for i := range b.Entries {
 		k := key(i)
@@ -265,9 +267,9 @@
 			Presumed: []string{"cab-0", "cab-1", "cab-2"}}}}, time.Duration(i))
 	}
 	mb := heap() - before
-	t.Logf("%d entries with 3 holders: %.1f MB", len(c.all), mb)
-	if len(c.all) != b.Entries || mb > 60 {
-		t.Errorf("%d entries take %.1f MB", len(c.all), mb)
+	t.Logf("%d entries with 3 holders: %.1f MB", len(c.entries), mb)
+	if len(c.entries) != b.Entries || mb > 60 {
+		t.Errorf("%d entries take %.1f MB", len(c.entries), mb)
 	}
 	runtime.KeepAlive(c)
 }
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -26,13 +26,15 @@
 
 func who(c *Core, part string, now time.Duration) string {
 	s := ""
-	for _, h := range c.Seek([]prefix.Key{KeyOf("s", part)}, now)[0].Holders {
+	for _, h := range c.Lookup([]prefix.Key{KeyOf("s", part)}, now)[0].Holders {
 		s += fmt.Sprintf("%s:%d ", h.Worker, h.State)
 	}
 	return s
 }
 
-func changed(c *Core, e backend.Events, now time.Duration) { c.Changes(c.Next("w", "llm"), e, now) }
+func changed(c *Core, e backend.Events, now time.Duration) {
+	c.ApplyEvents(c.NextEvents("w", "llm"), e, now)
+}
 
 func use(c *Core, part string, tokens uint32, n uint64, now time.Duration, holders ...string) {
 	k := KeyOf("s", part)
@@ -45,7 +47,7 @@
 	if KeyOf("a", "bc") == KeyOf("ab", "c") || KeyOf("a", "b") == KeyOf("a", "c") || KeyOf("1", "x") == KeyOf("2", "x") || UpKey("x") == KeyOf("", "x") {
 		t.Fatal("two keys are one")
 	}
-	long := string(make([]byte, 4*longest))
+	long := string(make([]byte, 4*keyBuffer))
 	if KeyOf(long, "a") == KeyOf(long, "b") || KeyOf(long, "a") != KeyOf(long, "a") {
 		t.Fatal("a long text's key")
 	}
@@ -57,7 +59,7 @@
 	if who(c, "a", 2) != "" || who(c, "b", 2) != "w:2 " || !c.Warm() {
 		t.Fatalf("a %q, b %q, warm %v", who(c, "a", 2), who(c, "b", 2), c.Warm())
 	}
-	if q := c.Next("w", "llm"); q.After != 3 || q.Whole {
+	if q := c.NextEvents("w", "llm"); q.After != 3 || q.Whole {
 		t.Fatalf("asks next for %+v", q)
 	}
 }
@@ -69,7 +71,7 @@
 	if who(c, "a", 3)+who(c, "b", 3) != "" {
 		t.Fatal("goes by numbers of another boot")
 	}
-	if q := c.Next("w", "llm"); q.After != 0 || q.Whole || c.Warm() {
+	if q := c.NextEvents("w", "llm"); q.After != 0 || q.Whole || c.Warm() {
 		t.Fatalf("asks next for %+v, warm %v", q, c.Warm())
 	}
 	changed(c, backend.Events{Boot: 2, Next: 9, List: []backend.Change{plus("c", 100), plus("b", 100)}}, 4)
@@ -82,18 +84,18 @@
 	c := New(settings.Default(), all)
 	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", 100)}}, 1)
 	changed(c, backend.Events{Boot: 1, Next: 90, Lost: true, List: []backend.Change{plus("b", 100)}}, 2)
-	q := c.Next("w", "llm")
+	q := c.NextEvents("w", "llm")
 	if !q.Whole || who(c, "a", 3) != "w:2 " || who(c, "b", 3) != "w:2 " || !c.Warm() {
 		t.Fatalf("%+v: a %q b %q", q, who(c, "a", 3), who(c, "b", 3))
 	}
 	// Until the list is asked for, changes are taken as they come.
 	q.Whole = false
-	c.Changes(q, backend.Events{Boot: 1, Next: 91, List: []backend.Change{plus("b", 0)}}, 4)
-	if q = c.Next("w", "llm"); !q.Whole || q.After != 91 || who(c, "b", 4) != "" {
+	c.ApplyEvents(q, backend.Events{Boot: 1, Next: 91, List: []backend.Change{plus("b", 0)}}, 4)
+	if q = c.NextEvents("w", "llm"); !q.Whole || q.After != 91 || who(c, "b", 4) != "" {
 		t.Fatalf("%+v: b %q", q, who(c, "b", 4))
 	}
-	c.Changes(q, backend.Events{Boot: 1, Next: 95, List: []backend.Change{plus("c", 100)}}, 5)
-	if q = c.Next("w", "llm"); q.Whole || who(c, "a", 6) != "" || who(c, "c", 6) != "w:2 " {
+	c.ApplyEvents(q, backend.Events{Boot: 1, Next: 95, List: []backend.Change{plus("c", 100)}}, 5)
+	if q = c.NextEvents("w", "llm"); q.Whole || who(c, "a", 6) != "" || who(c, "c", 6) != "w:2 " {
 		t.Fatalf("%+v: a %q c %q", q, who(c, "a", 6), who(c, "c", 6))
 	}
 }
@@ -124,22 +126,22 @@
 // An answer that comes twice, or after a later one, changes nothing.
 func TestLateAndDoubledAnswers(t *testing.T) {
 	c := New(settings.Default(), all)
-	q := c.Next("w", "llm")
+	q := c.NextEvents("w", "llm")
 	e := backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", 100)}}
-	c.Changes(q, e, 1)
+	c.ApplyEvents(q, e, 1)
 	changed(c, backend.Events{Boot: 1, Next: 2, List: []backend.Change{plus("a", 0)}}, 2)
-	c.Changes(q, e, 3)
-	if who(c, "a", 3) != "" || c.Next("w", "llm").After != 2 {
+	c.ApplyEvents(q, e, 3)
+	if who(c, "a", 3) != "" || c.NextEvents("w", "llm").After != 2 {
 		t.Fatal("an answer counted twice")
 	}
-	q = c.Next("w", "llm")
-	c.Leave("w")
-	c.Changes(q, e, 4)
+	q = c.NextEvents("w", "llm")
+	c.RemoveWorker("w")
+	c.ApplyEvents(q, e, 4)
 	if who(c, "a", 4) != "" {
 		t.Fatal("an answer from before the worker left counted")
 	}
 	changed(c, backend.Events{Full: true}, 5)
-	if q := c.Next("w", "llm"); q.After != 0 || c.Warm() {
+	if q := c.NextEvents("w", "llm"); q.After != 0 || c.Warm() {
 		t.Fatal("a worker that turned the call away told something")
 	}
 }
@@ -184,14 +186,14 @@
 func TestStoreThatAnswers(t *testing.T) {
 	b := settings.Default()
 	c := New(b, all)
-	up := func(now time.Duration) bool { return len(c.Seek([]prefix.Key{UpKey("d")}, now)[0].Holders) > 0 }
-	if c.Up("d", 1); !up(2) {
+	up := func(now time.Duration) bool { return len(c.Lookup([]prefix.Key{UpKey("d")}, now)[0].Holders) > 0 }
+	if c.StoreUp("d", 1); !up(2) {
 		t.Error("a store that answered is down")
 	}
-	if c.Down("d"); up(3) {
+	if c.StoreDown("d"); up(3) {
 		t.Error("a store that didn't answer is up")
 	}
-	if c.Up("d", 4); up(b.Heal(0.6)) {
+	if c.StoreUp("d", 4); up(b.Heal(0.6)) {
 		t.Error("a store that nobody asked for long is up")
 	}
 }
@@ -203,14 +205,14 @@
 	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("kept", 10)}}, 1)
 	use(c, "lapsed", 10, 2, 0, "x")
 	c.Sweep(map[string]bool{"w": true}, 2)
-	if len(c.all) != 3 {
-		t.Fatalf("%d entries, want 3", len(c.all))
+	if len(c.entries) != 3 {
+		t.Fatalf("%d entries, want 3", len(c.entries))
 	}
 	late := b.Heal(20)
 	changed(c, backend.Events{Boot: 1, Next: 1}, late)
 	c.Sweep(map[string]bool{"w": true}, late)
-	if len(c.all) != 1 || len(c.workers) != 1 {
-		t.Fatalf("%d entries and %d workers, want one of each", len(c.all), len(c.workers))
+	if len(c.entries) != 1 || len(c.workers) != 1 {
+		t.Fatalf("%d entries and %d workers, want one of each", len(c.entries), len(c.workers))
 	}
 }
 
@@ -327,7 +329,7 @@
 	b := settings.Default()
 	p := &platform{}
 	running(t, p, snapshot(catalogues("a")), func(n *Node) {
-		pass(10 * b.Heal(pacePart))
+		pass(10 * b.Heal(pollRatio))
 		for _, a := range []string{"1:1", "1:2", "2:1"} {
 			if p.events[a] < 9 || p.events[a] > 11 {
 				t.Errorf("%s was asked %d times in ten paces", a, p.events[a])
--- /dev/null
+++ b/internal/data/promptindex/follower.go
@@ -0,0 +1,212 @@
+package promptindex
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/fleet"
+	"pebbleloom/internal/queue"
+	"pebbleloom/internal/wire"
+)
+
+// Timing of the polls of a site's workers, as ratios of the heal bound: each call costs the worker.
+const (
+	tickRatio         = 1.0 / 48
+	pollRatio         = 1.0 / 24 // between two calls to one worker
+	firstPollRatio    = 1.0 / 96 // within which new workers are first polled
+	holdRatio         = 1.0 / 12 // how long a worker may hold a call until an event
+	responseRatio     = 1.0 / 12 // timeout beyond the hold time
+	fullListRatio     = 1.0 / 24 // between two full lists of any workers: they slow the workers down
+	workerListRatio   = 1.0      // between two full lists of one worker
+	sweepRatio        = 1.0
+	incompleteWorkers = 1.0 / 8 // of the workers: the index serves without them
+)
+
+// Serving selects the index nodes that a site's keys are assigned to: half of them, two at least, in
+// different zones if possible. The others stand by, and cost no calls.
+//
+// Example: s := promptindex.NewShards(promptindex.Serving(snapshot.Nodes))
+func Serving(nodes []*wire.Node) []*wire.Node {
+	by := map[string]*wire.Node{}
+	var names []string
+	for _, n := range nodes {
+		if n.Role == "catalogue" && n.State < 2 && by[n.Name] == nil {
+			by[n.Name] = n
+			names = append(names, n.Name)
+		}
+	}
+	want := max(2, (len(names)+1)/2)
+	var l []*wire.Node
+	taken, in := map[string]bool{}, map[string]bool{}
+	for pass := range 2 {
+		for _, name := range queue.Rendezvous("serving", names) {
+			n := by[name]
+			if len(l) == want || in[name] || pass == 0 && taken[n.District] {
+				continue
+			}
+			l = append(l, n)
+			taken[n.District], in[name] = true, true
+		}
+	}
+	return l
+}
+
+// pollTarget is a worker or store whose events are followed.
+type pollTarget struct{ name, service, addr string }
+
+func pollTargets(s *fleet.Snapshot) (l []pollTarget) {
+	engines := map[string]bool{}
+	for _, v := range s.Plan.Services {
+		engines[v.Name] = v.Engine != nil
+		if v.Store != nil {
+			l = append(l, pollTarget{v.Name, "", v.Store.Addr})
+		}
+	}
+	for _, w := range s.Workers {
+		if engines[w.Service] {
+			l = append(l, pollTarget{w.ID, w.Service, w.Addr})
+		}
+	}
+	return l
+}
+
+// follower follows the workers of a snapshot; its tables are owned by the actor.
+type follower struct {
+	node         *Node
+	calls        backend.Calls
+	snapshot     func() *fleet.Snapshot
+	nextPoll     map[string]time.Duration // by worker: the next poll
+	fullListAt   map[string]time.Duration // by worker: the last full list
+	lastFullList time.Duration
+	sweptAt      time.Duration
+	serves       bool
+}
+
+// StartSite runs an index node that follows the workers and stores of a snapshot. The caller serves
+// its Handler.
+//
+// Example: n, err := promptindex.StartSite(process, calls, agent.Now)
+func StartSite(l *daemon.Process, calls backend.Calls, snapshot func() *fleet.Snapshot) (*Node, error) {
+	n := &Node{process: l, clock: l.Clock, name: "catalogue/" + l.Place.Name, polling: map[string]bool{}, listed: map[string]bool{}}
+	c := New(l.Place.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
+	c.incompleteShare = incompleteWorkers
+	n.actor = queue.NewActor(c, 1024)
+	l.OnStop(n.actor.Stop)
+	s := newFollower(n, calls, snapshot)
+	l.Every(l.Place.Bounds.Heal(tickRatio), s.tick)
+	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", s.count(func(c *Core) float64 { return float64(len(c.entries)) }))
+	l.Meter.Count("pebbleloom_index_gaps_total", "gaps seen in workers' reports", s.count(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
+	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", s.count(func(c *Core) float64 { return float64(c.Stats.Wholes) }))
+	return n, nil
+}
+
+func newFollower(n *Node, calls backend.Calls, snapshot func() *fleet.Snapshot) *follower {
+	return &follower{node: n, calls: calls, snapshot: snapshot, nextPoll: map[string]time.Duration{}, fullListAt: map[string]time.Duration{}}
+}
+
+func (s *follower) count(f func(*Core) float64) func() float64 {
+	return func() (v float64) { s.node.actor.Ask(func(c *Core) { v = f(c) }); return v }
+}
+
+// Handler serves the calls of edge machines and the placement controller.
+//
+// Example: mux.Handle(wire.CataloguePathPrefix, n.Handler())
+func (n *Node) Handler() http.Handler { return wire.NewCatalogueServer(n) }
+
+// tick polls the workers that are due, if this node serves any shard.
+func (s *follower) tick() {
+	snap := s.snapshot()
+	if snap == nil || snap.Plan == nil {
+		return
+	}
+	serves := false
+	for _, n := range Serving(snap.Nodes) {
+		serves = serves || n.Name == s.node.name
+	}
+	l, now := pollTargets(snap), s.node.clock.Now()
+	s.node.actor.Ask(func(c *Core) {
+		if s.serves != serves {
+			s.serves = serves
+			c.MarkIncomplete()
+		}
+		if !serves {
+			return
+		}
+		here := make(map[string]bool, len(l))
+		for _, x := range l {
+			here[x.name] = true
+			s.poll(c, x, now)
+		}
+		for name := range s.node.listed {
+			if !here[name] {
+				c.RemoveWorker(name)
+				delete(s.nextPoll, name)
+				delete(s.fullListAt, name)
+			}
+		}
+		s.node.listed = here
+		if now-s.sweptAt > s.node.process.Place.Bounds.Heal(sweepRatio) {
+			s.sweptAt = now
+			c.Sweep(here, now)
+		}
+	})
+}
+
+// poll polls one worker if it is due. New workers are polled soon.
+func (s *follower) poll(c *Core, x pollTarget, now time.Duration) {
+	b := s.node.process.Place.Bounds
+	at, known := s.nextPoll[x.name]
+	if !known {
+		at = now + time.Duration(queue.Hash(s.node.name+x.name)%uint64(b.Heal(firstPollRatio)))
+		s.nextPoll[x.name] = at
+	}
+	if s.node.polling[x.name] || now < at {
+		return
+	}
+	q := c.NextEvents(x.name, x.service)
+	q.Whole = q.Whole && s.mayListAll(x.name, now)
+	if q.Whole {
+		s.lastFullList, s.fullListAt[x.name] = now, now
+	}
+	s.node.polling[x.name], s.nextPoll[x.name] = true, now+b.Heal(pollRatio)
+	go s.call(x, q)
+}
+
+// mayListAll reports whether a full list may be requested now.
+func (s *follower) mayListAll(name string, now time.Duration) bool {
+	b := s.node.process.Place.Bounds
+	at, listed := s.fullListAt[name]
+	return (s.lastFullList == 0 || now-s.lastFullList >= b.Heal(fullListRatio)) && (!listed || now-at >= b.Heal(workerListRatio))
+}
+
+func (s *follower) call(x pollTarget, q ReportRequest) {
+	b := s.node.process.Place.Bounds
+	ctx, end := context.WithTimeout(s.node.process.Ctx, b.Heal(holdRatio+responseRatio))
+	defer end()
+	var e backend.Events
+	var err error
+	if q.Whole {
+		e, err = s.calls.Kept(ctx, x.addr)
+	} else {
+		e, err = s.calls.Events(ctx, x.addr, q.After, b.Heal(holdRatio))
+	}
+	s.node.actor.Ask(func(c *Core) {
+		delete(s.node.polling, x.name)
+		now := s.node.clock.Now()
+		if err != nil || e.Full {
+			s.nextPoll[x.name] = now + b.Heal(pollRatio)
+			if err != nil && x.service == "" {
+				c.StoreDown(x.name)
+			}
+			return
+		}
+		c.ApplyEvents(q, e, now)
+		if x.service == "" {
+			c.StoreUp(x.name, now)
+		}
+	})
+}
