--- a/internal/data/promptindex/loads.go
+++ b/internal/data/promptindex/loads.go
@@ -8,81 +8,80 @@
 	"pebbleloom/internal/wire"
 )
 
-// loadPart of the heal bound is how long an edge machine's word on workers' load counts.
-const loadPart = 1.0 / 15
+// loadRatio is how long an edge machine's report on workers' load counts, as a ratio of the heal bound.
+const loadRatio = 1.0 / 15
 
-// Loads adds up what edge machines have at workers: each sees a small part of the traffic, and
-// none can tell from its own how loaded or how ill a worker is.
+// Loads adds up the loads that edge machines report: each sees a small share of the traffic, and can't
+// tell from its own how loaded or how unhealthy a worker is.
 type Loads struct {
-	b     settings.Bounds
-	by    map[string]*word
-	since time.Duration // words have come without a break
-	heard time.Duration // the last one
+	bounds        settings.Bounds
+	reports       map[string]*loadReport
+	completeSince time.Duration // reports have come without a break since then
+	lastReport    time.Duration // the last report
 }
 
-// word is the last one of an edge machine.
-type word struct {
-	l  *wire.Loads
-	at time.Duration
+// loadReport is the last report of an edge machine.
+type loadReport struct {
+	loads *wire.Loads
+	at    time.Duration
 }
 
-// NewLoads begins with nobody's word.
+// NewLoads starts without reports.
 //
-// Example: l := catalogue.NewLoads(bounds)
-func NewLoads(b settings.Bounds) *Loads { return &Loads{b: b, by: map[string]*word{}} }
+// Example: l := promptindex.NewLoads(bounds)
+func NewLoads(b settings.Bounds) *Loads { return &Loads{bounds: b, reports: map[string]*loadReport{}} }
 
-// Hear takes an edge machine's word in place of its last one. Words with arrays of unequal length
-// are none.
+// Record replaces an edge machine's last report. Reports with arrays of unequal length are ignored.
 //
-// Example: l.Hear("edge/edge-1", ask.Loads, now)
-func (l *Loads) Hear(teller string, w *wire.Loads, now time.Duration) {
+// Example: l.Record("edge/edge-1", request.Loads, now)
+func (l *Loads) Record(teller string, w *wire.Loads, now time.Duration) {
 	if n := len(w.GetAt()); w == nil || len(w.Active) != n || len(w.Unread) != n || len(w.Ok) != n || len(w.Bad) != n {
 		return
 	}
-	if l.by[teller] == nil && len(l.by) >= maxTellers {
-		for n, x := range l.by {
-			if now-x.at > l.b.Heal(loadPart) {
-				delete(l.by, n)
+	if l.reports[teller] == nil && len(l.reports) >= maxReporters {
+		for n, x := range l.reports {
+			if now-x.at > l.bounds.Heal(loadRatio) {
+				delete(l.reports, n)
 			}
 		}
-		if len(l.by) >= maxTellers {
+		if len(l.reports) >= maxReporters {
 			return
 		}
 	}
-	if len(l.by) == 0 || now-l.heard > l.b.Heal(loadPart) {
-		l.since = now
+	if len(l.reports) == 0 || now-l.lastReport > l.bounds.Heal(loadRatio) {
+		l.completeSince = now
 	}
-	l.heard = now
-	l.by[teller] = &word{w, now}
+	l.lastReport = now
+	l.reports[teller] = &loadReport{w, now}
 }
 
-// Others adds up what all but one edge machine told lately, of the same list of workers. While not
-// all of them can have told yet, it tells of nobody: half of the load is worse than none.
+// Others adds up the recent reports of all edge machines but one, on the same list of workers. While
+// some of them may not have reported yet it returns nothing: half of the load is worse than none.
 //
-// Example: tell.Loads = l.Others("edge/edge-1", ask.Loads.List, now)
+// Example: response.Loads = l.Others("edge/edge-1", request.Loads.List, now)
 func (l *Loads) Others(teller string, list uint64, now time.Duration) *wire.Loads {
 	type row struct{ active, unread, ok, bad uint32 }
 	sum := map[uint32]*row{}
 	t := &wire.Loads{List: list}
-	if now-l.since < l.b.Heal(loadPart) {
+	if now-l.completeSince < l.bounds.Heal(loadRatio) {
 		return t
 	}
-	for name, x := range l.by {
-		if name == teller || x.l.List != list || now-x.at > l.b.Heal(loadPart) {
+	for name, x := range l.reports {
+		if name == teller || x.loads.List != list || now-x.at > l.bounds.Heal(loadRatio) {
 			continue
 		}
 		t.Tellers++
-		for i, at := range x.l.At {
+		for i, at := range x.loads.At {
 			r := sum[at]
 			if r == nil {
 				r = &row{}
 				sum[at] = r
 				t.At = append(t.At, at)
 			}
-			r.active += x.l.Active[i]
-			r.unread += x.l.Unread[i]
-			r.ok += x.l.Ok[i]
-			r.bad += x.l.Bad[i]
+			r.active += x.loads.Active[i]
+			r.unread += x.loads.Unread[i]
+			r.ok += x.loads.Ok[i]
+			r.bad += x.loads.Bad[i]
 		}
 	}
 	sort.Slice(t.At, func(i, j int) bool { return t.At[i] < t.At[j] })
--- a/internal/data/promptindex/loads_test.go
+++ b/internal/data/promptindex/loads_test.go
@@ -9,30 +9,30 @@
 	"pebbleloom/internal/wire"
 )
 
-func told(list uint64, at, active, unread, ok, bad uint32) *wire.Loads {
+func newLoads(list uint64, at, active, unread, ok, bad uint32) *wire.Loads {
 	return &wire.Loads{List: list, At: []uint32{at}, Active: []uint32{active}, Unread: []uint32{unread}, Ok: []uint32{ok}, Bad: []uint32{bad}}
 }
 
 // warmLoads has heard words for long enough to tell of them.
 func warmLoads(now time.Duration) *Loads {
 	l := NewLoads(settings.Default())
-	l.Hear("before", told(0, 0, 0, 0, 0, 0), now-l.b.Heal(loadPart))
+	l.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-l.bounds.Heal(loadRatio))
 	return l
 }
 
 // An index node that has just begun, or wasn't told anything for a while, hasn't heard all yet.
-func TestHalfOfTheLoadIsNotTold(t *testing.T) {
+func TestPartialLoadIsNotReported(t *testing.T) {
 	b := settings.Default()
 	l, now := NewLoads(b), time.Hour
 	for i := range 3 {
-		at := now + time.Duration(i)*b.Heal(loadPart)/2
-		l.Hear("a", told(1, 7, 1, 10, 8, 0), at)
+		at := now + time.Duration(i)*b.Heal(loadRatio)/2
+		l.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 		if x := l.Others("c", 1, at); (x.Tellers > 0) != (i == 2) {
 			t.Errorf("%d: %d tellers", i, x.Tellers)
 		}
 	}
-	at := now + 3*b.Heal(loadPart)
-	l.Hear("a", told(1, 7, 1, 10, 8, 0), at)
+	at := now + 3*b.Heal(loadRatio)
+	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 	if x := l.Others("c", 1, at); x.Tellers > 0 {
 		t.Errorf("after a break: %d tellers", x.Tellers)
 	}
@@ -40,12 +40,12 @@
 
 func TestLoadsAreAddedUpOverAllOthers(t *testing.T) {
 	l, now := warmLoads(time.Hour), time.Hour
-	l.Hear("a", told(1, 7, 1, 10, 8, 0), now)
-	l.Hear("a", told(1, 7, 2, 20, 8, 0), now) // the last word counts alone
-	l.Hear("b", told(1, 7, 3, 30, 0, 8), now)
-	l.Hear("b2", told(1, 4, 1, 0, 16, 0), now)
-	l.Hear("c", told(1, 7, 50, 50, 0, 0), now) // the asker itself
-	l.Hear("d", told(2, 7, 50, 50, 0, 0), now) // of another list
+	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
+	l.Record("a", newLoads(1, 7, 2, 20, 8, 0), now) // the last word counts alone
+	l.Record("b", newLoads(1, 7, 3, 30, 0, 8), now)
+	l.Record("b2", newLoads(1, 4, 1, 0, 16, 0), now)
+	l.Record("c", newLoads(1, 7, 50, 50, 0, 0), now) // the asker itself
+	l.Record("d", newLoads(2, 7, 50, 50, 0, 0), now) // of another list
 	x := l.Others("c", 1, now)
 	if x.Tellers != 3 || x.List != 1 || !slices.Equal(x.At, []uint32{4, 7}) || !slices.Equal(x.Active, []uint32{1, 5}) ||
 		!slices.Equal(x.Unread, []uint32{0, 50}) || !slices.Equal(x.Ok, []uint32{16, 8}) || !slices.Equal(x.Bad, []uint32{0, 8}) {
@@ -56,19 +56,19 @@
 func TestAnOldWordOnLoadCountsNoMore(t *testing.T) {
 	b := settings.Default()
 	l, now := warmLoads(time.Hour), time.Hour
-	l.Hear("a", told(1, 7, 1, 10, 8, 0), now)
-	if x := l.Others("b", 1, now+b.Heal(loadPart)); x.Tellers != 1 {
+	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
+	if x := l.Others("b", 1, now+b.Heal(loadRatio)); x.Tellers != 1 {
 		t.Fatalf("told %v", x)
 	}
-	if x := l.Others("b", 1, now+b.Heal(loadPart)+1); x.Tellers != 0 || len(x.At) != 0 {
+	if x := l.Others("b", 1, now+b.Heal(loadRatio)+1); x.Tellers != 0 || len(x.At) != 0 {
 		t.Fatalf("told %v", x)
 	}
 }
 
 func TestABrokenWordOnLoadIsNone(t *testing.T) {
 	l, now := NewLoads(settings.Default()), time.Hour
-	l.Hear("a", &wire.Loads{List: 1, At: []uint32{1, 2}, Active: []uint32{1}}, now)
-	l.Hear("b", nil, now)
+	l.Record("a", &wire.Loads{List: 1, At: []uint32{1, 2}, Active: []uint32{1}}, now)
+	l.Record("b", nil, now)
 	if x := l.Others("c", 1, now); x.Tellers != 0 {
 		t.Fatalf("told %v", x)
 	}
@@ -78,15 +78,15 @@
 func TestLoadsOfManyNamesAreBounded(t *testing.T) {
 	b := settings.Default()
 	l, now := NewLoads(b), time.Hour
-	for i := range 3 * maxTellers {
-		l.Hear("x"+string(rune(i)), told(1, 0, 1, 0, 0, 0), now)
+	for i := range 3 * maxReporters {
+		l.Record("x"+string(rune(i)), newLoads(1, 0, 1, 0, 0, 0), now)
 	}
-	if len(l.by) > maxTellers {
-		t.Fatalf("%d words kept", len(l.by))
+	if len(l.reports) > maxReporters {
+		t.Fatalf("%d words kept", len(l.reports))
 	}
-	later := now + 3*b.Heal(loadPart)
-	l.Hear("old", told(1, 0, 1, 0, 0, 0), later-b.Heal(loadPart))
-	l.Hear("new", told(1, 0, 1, 0, 0, 0), later)
+	later := now + 3*b.Heal(loadRatio)
+	l.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(loadRatio))
+	l.Record("new", newLoads(1, 0, 1, 0, 0, 0), later)
 	if x := l.Others("c", 1, later); x.Tellers != 2 {
 		t.Fatalf("%d tellers", x.Tellers)
 	}
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -15,44 +15,44 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node is an index node: one thread owns the tables; others poll workers and serve.
+// Node is an index node: one goroutine owns the tables; others poll workers and serve.
 type Node struct {
-	life *daemon.Process
-	desk *queue.Actor[Core]
-	clk  clock.Clock
-	sh   atomic.Pointer[Shards]
-	name string
-	be   *contract.Backends
-	fol  *updatestream.Follower
-	busy map[string]bool // workers whose poll is under way; the desk's
-	seen map[string]bool
+	process  *daemon.Process
+	actor    *queue.Actor[Core]
+	clock    clock.Clock
+	shards   atomic.Pointer[Shards]
+	name     string
+	backends *contract.Backends
+	updates  *updatestream.Follower
+	polling  map[string]bool // workers with a poll in flight; owned by the actor
+	listed   map[string]bool
 }
 
 // Start runs an index node.
 //
-// Example: daemon.Main("catalogue", "index node", need, catalogue.Start)
+// Example: daemon.Main("catalogue", "index node", need, promptindex.Start)
 func Start(l *daemon.Process) error {
-	n := &Node{life: l, clk: l.Clock, name: "catalogue/" + l.Place.Name, be: contract.NewBackends(l.Dial),
-		busy: map[string]bool{}, seen: map[string]bool{}}
-	n.desk = queue.NewActor(New(l.Place.Bounds, func(k prefix.Key) bool {
-		s := n.sh.Load()
-		return s != nil && s.Mine(n.name, k)
+	n := &Node{process: l, clock: l.Clock, name: "catalogue/" + l.Place.Name, backends: contract.NewBackends(l.Dial),
+		polling: map[string]bool{}, listed: map[string]bool{}}
+	n.actor = queue.NewActor(New(l.Place.Bounds, func(k prefix.Key) bool {
+		s := n.shards.Load()
+		return s != nil && s.Holds(n.name, k)
 	}), 1024)
-	l.OnStop(n.desk.Stop)
-	l.OnStop(n.be.Close)
+	l.OnStop(n.actor.Stop)
+	l.OnStop(n.backends.Close)
 	calls := daemon.NewClients(l)
-	ros := clustermembership.Start(l.Ctx, l.Place, "catalogue", n.clk, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
-	n.fol = updatestream.Follow(l.Ctx, n.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.Seeds(ros.SetSeeds))
+	ros := clustermembership.Start(l.Ctx, l.Place, "catalogue", n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
+	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.Seeds(ros.SetSeeds))
 	l.Every(l.Place.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
-		return func() (v float64) { n.desk.Ask(func(c *Core) { v = f(c) }); return v }
+		return func() (v float64) { n.actor.Ask(func(c *Core) { v = f(c) }); return v }
 	}
 	l.Go(func() { <-l.Draining; ros.Leave() })
-	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", count(func(c *Core) float64 { return float64(len(c.all)) }))
+	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", count(func(c *Core) float64 { return float64(len(c.entries)) }))
 	l.Meter.Count("pebbleloom_index_gaps_total", "gaps seen in workers' reports", count(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
-	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports taken", count(func(c *Core) float64 { return float64(c.Stats.Wholes) }))
+	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", count(func(c *Core) float64 { return float64(c.Stats.Wholes) }))
 	l.Meter.Count("pebbleloom_index_evicted_total", "entries dropped for room", count(func(c *Core) float64 { return float64(c.Stats.Evicted) }))
-	l.Meter.Gauge("pebbleloom_index_warm", "1 once every worker has told all it holds", count(func(c *Core) float64 {
+	l.Meter.Gauge("pebbleloom_index_warm", "1 once every worker has reported everything it holds", count(func(c *Core) float64 {
 		if c.Warm() {
 			return 1
 		}
@@ -70,52 +70,52 @@
 
 func (n *Node) reshard(nodes []*wire.Node) {
 	s := NewShards(nodes)
-	if old := n.sh.Swap(s); !s.Same(old, n.name) {
-		n.desk.TrySend(func(c *Core) { c.Reshard() })
+	if old := n.shards.Swap(s); !s.SameFor(old, n.name) {
+		n.actor.TrySend(func(c *Core) { c.Reshard() })
 	}
 }
 
-// poll asks every listed worker, and the store, for what it has kept.
+// poll polls every listed worker, and the store, for what it caches.
 func (n *Node) poll() {
-	s := n.fol.Now()
+	s := n.updates.Now()
 	if s == nil {
 		return
 	}
-	n.desk.Ask(func(c *Core) {
+	n.actor.Ask(func(c *Core) {
 		here := map[string]bool{}
 		for _, w := range s.Workers {
 			if w.State == updatestream.WorkerGone || w.Kind == "app" {
 				continue
 			}
 			here[w.Name] = true
-			if n.busy[w.Name] {
+			if n.polling[w.Name] {
 				continue
 			}
-			n.busy[w.Name] = true
-			go n.ask(w.Addr, c.Want(w.Name, w.Service))
+			n.polling[w.Name] = true
+			go n.pollWorker(w.Addr, c.NextReport(w.Name, w.Service))
 		}
-		for name := range n.seen {
+		for name := range n.listed {
 			if !here[name] {
-				c.Leave(name)
+				c.RemoveWorker(name)
 			}
 		}
-		n.seen = here
+		n.listed = here
 	})
 }
 
-func (n *Node) ask(addr string, q Question) {
-	ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(1.0/6))
+func (n *Node) pollWorker(addr string, q ReportRequest) {
+	ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/6))
 	defer end()
-	r, err := n.be.Kept(ctx, addr, q.After, q.Whole)
-	n.desk.Ask(func(c *Core) {
-		delete(n.busy, q.Name)
+	r, err := n.backends.Kept(ctx, addr, q.After, q.Whole)
+	n.actor.Ask(func(c *Core) {
+		delete(n.polling, q.Name)
 		if err == nil {
-			c.Report(q, r, n.clk.Now())
+			c.ApplyReport(q, r, n.clock.Now())
 		}
 	})
 }
 
-// Seek answers look-ups.
+// Seek serves lookups.
 //
 // Example: wire.NewCatalogueProtobufClient(url, h).Seek(ctx, ask)
 func (n *Node) Seek(_ context.Context, a *wire.LookAsk) (*wire.LookTell, error) {
@@ -126,35 +126,35 @@
 			ks = append(ks, prefix.Key(k))
 		}
 	}
-	n.desk.Ask(func(c *Core) {
-		now := n.clk.Now()
-		t.Found, t.Warm = c.Seek(ks, now), c.Warm()
+	n.actor.Ask(func(c *Core) {
+		now := n.clock.Now()
+		t.Found, t.Warm = c.Lookup(ks, now), c.Warm()
 		if a.Loads != nil {
-			c.loads.Hear(a.Teller, a.Loads, now)
+			c.loads.Record(a.Teller, a.Loads, now)
 			t.Loads = c.loads.Others(a.Teller, a.Loads.List, now)
 		}
 	})
 	return t, nil
 }
 
-// Count takes accesses.
+// Count serves reports of accesses.
 //
 // Example: wire.NewCatalogueProtobufClient(url, h).Count(ctx, ask)
 func (n *Node) Count(_ context.Context, a *wire.CountAsk) (*wire.CountTell, error) {
 	t := &wire.CountTell{}
-	n.desk.Ask(func(c *Core) {
-		now := n.clk.Now()
-		c.loads.Hear(a.Teller, a.Loads, now)
+	n.actor.Ask(func(c *Core) {
+		now := n.clock.Now()
+		c.loads.Record(a.Teller, a.Loads, now)
 		t = c.Count(a, now)
 	})
 	return t, nil
 }
 
-// Hottest lists hot entries.
+// Hottest serves the hottest entries.
 //
 // Example: wire.NewCatalogueProtobufClient(url, h).Hottest(ctx, ask)
 func (n *Node) Hottest(_ context.Context, a *wire.HotAsk) (*wire.HotTell, error) {
 	t := &wire.HotTell{}
-	n.desk.Ask(func(c *Core) { t = c.Hottest(a.Service, int(a.Limit), n.clk.Now()) })
+	n.actor.Ask(func(c *Core) { t = c.Hottest(a.Service, int(a.Limit), n.clock.Now()) })
 	return t, nil
 }
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -14,65 +14,65 @@
 
 const slots = 256
 
-// Shards says which two index nodes hold each key: the nearest by weight, and the next
-// that stands in another district.
+// Shards maps each key to the two index nodes that hold it: the first by rendezvous hashing, and the
+// next one in another zone.
 type Shards struct {
-	at    [slots][2]string
-	addrs map[string]string
+	holders   [slots][2]string
+	addresses map[string]string
 }
 
-// NewShards lays the slots out over the living index nodes.
+// NewShards assigns the slots to the live index nodes.
 //
-// Example: s := catalogue.NewShards(snapshot.Nodes)
+// Example: s := promptindex.NewShards(snapshot.Nodes)
 func NewShards(nodes []*wire.Node) *Shards {
-	s := &Shards{addrs: map[string]string{}}
+	s := &Shards{addresses: map[string]string{}}
 	dist := map[string]string{}
 	var names []string
 	for _, n := range nodes {
 		if n.Role == "catalogue" && n.State < 2 {
 			names = append(names, n.Name)
-			s.addrs[n.Name], dist[n.Name] = n.Addr, n.District
+			s.addresses[n.Name], dist[n.Name] = n.Addr, n.District
 		}
 	}
 	sort.Strings(names)
-	for i := range s.at {
+	for i := range s.holders {
 		l := queue.Rendezvous(string([]byte{byte(i)}), names)
 		if len(l) == 0 {
 			continue
 		}
-		s.at[i][0] = l[0]
+		s.holders[i][0] = l[0]
 		for _, n := range l[1:] {
-			if s.at[i][1] == "" || dist[s.at[i][1]] == dist[l[0]] && dist[n] != dist[l[0]] {
-				s.at[i][1] = n
+			if s.holders[i][1] == "" || dist[s.holders[i][1]] == dist[l[0]] && dist[n] != dist[l[0]] {
+				s.holders[i][1] = n
 			}
 		}
 	}
 	return s
 }
 
-// Holders names the index nodes of a key.
+// Holders returns the index nodes of a key.
 //
 // Example: s.Holders(k)[0]
-func (s *Shards) Holders(k prefix.Key) [2]string { return s.at[k[0]] }
+func (s *Shards) Holders(k prefix.Key) [2]string { return s.holders[k[0]] }
 
-// Mine tells whether a node holds a key.
+// Holds reports whether a node holds a key.
 //
-// Example: s.Mine("catalogue/edge-1", k)
-func (s *Shards) Mine(name string, k prefix.Key) bool {
-	h := s.at[k[0]]
+// Example: s.Holds("catalogue/edge-1", k)
+func (s *Shards) Holds(name string, k prefix.Key) bool {
+	h := s.holders[k[0]]
 	return h[0] == name || h[1] == name
 }
 
-// Same tells whether two layouts are the same for a node.
+// SameFor reports whether two layouts are the same for a node.
 //
-// Example: if !old.Same(s, name) { core.Reshard() }
-func (s *Shards) Same(o *Shards, name string) bool {
+// Example: if !old.SameFor(s, name) { core.Reshard() }
+func (s *Shards) SameFor(o *Shards, name string) bool {
 	if o == nil {
 		return false
 	}
-	for i := range s.at {
-		a := s.at[i][0] == name || s.at[i][1] == name
-		b := o.at[i][0] == name || o.at[i][1] == name
+	for i := range s.holders {
+		a := s.holders[i][0] == name || s.holders[i][1] == name
+		b := o.holders[i][0] == name || o.holders[i][1] == name
 		if a != b {
 			return false
 		}
@@ -80,19 +80,18 @@
 	return true
 }
 
-// Seek looks keys up, one call a node, all at once. A holder that doesn't answer within the
-// time, or that isn't warm yet, is made up for by the other; a missing shard never fails a
-// request.
+// Lookup looks keys up, one call per node, all at once. If a holder doesn't answer in time, or isn't
+// warm yet, the other one is asked; a missing shard never fails a request.
 //
-// Example: found := s.Seek(ctx, keys, calls.Catalogue, 20*time.Millisecond)
-func (s *Shards) Seek(ctx context.Context, keys []prefix.Key, call func(string) wire.Catalogue, wait time.Duration) map[prefix.Key]*wire.Found {
+// Example: found := s.Lookup(ctx, keys, clients.PromptIndex, 20*time.Millisecond)
+func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, call func(string) wire.Catalogue, wait time.Duration) map[prefix.Key]*wire.Found {
 	got := make(map[prefix.Key]*wire.Found, len(keys))
 	sure := make(map[prefix.Key]bool, len(keys))
 	var mu sync.Mutex
 	for try := range 2 {
 		by := map[string][]prefix.Key{}
 		for _, k := range keys {
-			if h := s.at[k[0]][try]; !sure[k] && h != "" {
+			if h := s.holders[k[0]][try]; !sure[k] && h != "" {
 				by[h] = append(by[h], k)
 			}
 		}
@@ -107,14 +106,14 @@
 				for _, k := range ks {
 					a.Keys = append(a.Keys, k[:])
 				}
-				t, err := call(s.addrs[n]).Seek(one, a)
+				t, err := call(s.addresses[n]).Seek(one, a)
 				if err != nil || len(t.Found) != len(ks) {
 					return // a miss
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				for i, k := range ks {
-					got[k], sure[k] = join(got[k], t.Found[i]), t.Warm
+					got[k], sure[k] = MergeFound(got[k], t.Found[i]), t.Warm
 				}
 			})
 		}
@@ -124,8 +123,10 @@
 	return got
 }
 
-// join makes one finding of two holders' findings.
-func join(a, b *wire.Found) *wire.Found {
+// MergeFound combines the findings of two index nodes; either may be nil.
+//
+// Example: got[k] = promptindex.MergeFound(got[k], response.Found[i])
+func MergeFound(a, b *wire.Found) *wire.Found {
 	if a == nil {
 		return b
 	}
@@ -138,7 +139,27 @@
 	return f
 }
 
-// Addr is where an index node listens.
+// Addr returns the address of an index node.
 //
 // Example: addr := s.Addr("catalogue/edge-1")
-func (s *Shards) Addr(name string) string { return s.addrs[name] }
+func (s *Shards) Addr(name string) string { return s.addresses[name] }
+
+// MergeHot combines the hot entries that index nodes report. Two nodes hold each entry: the higher
+// count is taken. The result is sorted by key.
+//
+// Example: hot := promptindex.MergeHot(responses)
+func MergeHot(responses []*wire.HotTell) []*wire.Hot {
+	byKey := map[string]*wire.Hot{}
+	for _, r := range responses {
+		for _, h := range r.Hot {
+			if old := byKey[string(h.Key)]; old == nil || old.Hotness < h.Hotness {
+				byKey[string(h.Key)] = h
+			}
+		}
+	}
+	hot := make([]*wire.Hot, 0, len(byKey))
+	for _, k := range queue.Keys(byKey) {
+		hot = append(hot, byKey[k])
+	}
+	return hot
+}
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -301,7 +301,7 @@
 	}
 	l := daemon.NewIn(daemon.Environment{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", place)
 	snapshot := &fleet.Snapshot{Plan: routes(), ProofAt: clk.Now(), Edges: 1, Workers: workers}
-	s.d = newDoor(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Pick: s.p})
+	s.d = newDoor(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: s.p})
 	if err := s.d.open(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -54,7 +54,7 @@
 	if len(q.ask.Parts) == 0 {
 		return nil
 	}
-	return d.Pick.Look(q.ctx, d.Snapshot(), &q.ask)
+	return d.Selector.Lookup(q.ctx, d.Snapshot(), &q.ask)
 }
 
 // body is a request's body as net/http can't repeat it.
@@ -70,7 +70,7 @@
 	within := max(rt.Target/2, q.d.l.Place.Bounds.Leave(0.05))
 	ctx := context.WithValue(q.ctx, dialingKey{}, dialing{most: q.conns, within: within})
 	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.take}))
-	q.d.Pick.Sent(&q.ask, c)
+	q.d.Selector.Sent(&q.ask, c)
 	for n := 0; n < 4; n++ { // a kept line may have ended before it was used; then nothing has happened
 		a.exchange()
 		if a.aged {
@@ -298,5 +298,5 @@
 		a.line.stop(a)
 	}
 	a.cancel()
-	q.d.Pick.Done(&q.ask, a.c, a.ending, a.load, a.first)
+	q.d.Selector.Done(&q.ask, a.c, a.ending, a.load, a.first)
 }
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -27,7 +27,7 @@
 	Headers   Headers
 	ReadyPath string // where the platform asks whether this machine is ready
 	Snapshot  func() *fleet.Snapshot
-	Pick      selection.Picker
+	Selector  selection.Selector
 }
 
 // door takes requests and carries them.
@@ -59,7 +59,7 @@
 
 // Start opens the door and the page that tells whether it is ready.
 //
-// Example: err := forward.Start(life, forward.Config{Headers: platform.Headers(), ReadyPath: path, Snapshot: agent.Snapshot, Pick: picker})
+// Example: err := forward.Start(life, forward.Config{Headers: platform.Headers(), ReadyPath: path, Snapshot: agent.Snapshot, Selector: selector})
 func Start(l *daemon.Process, c Config) error { return newDoor(l, c).open() }
 
 // open listens, and serves until the program stops.
--- a/internal/data/proxy/pass.go
+++ b/internal/data/proxy/pass.go
@@ -35,7 +35,7 @@
 		}
 		if n > 0 && a.first == 0 {
 			a.first = max(q.d.l.Clock.Now()-a.began, 1)
-			q.d.Pick.Begun(&q.ask, a.c, a.load, a.first)
+			q.d.Selector.Begun(&q.ask, a.c, a.load, a.first)
 		}
 		if !a.hand(buf[:n], err == io.EOF, lively) {
 			return
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -54,7 +54,7 @@
 func (d *door) take(w http.ResponseWriter, r *http.Request) *request {
 	q := &request{d: d, w: w, rc: http.NewResponseController(w), r: r, at: d.l.Clock.Now(), tried: map[string]bool{},
 		unwrite: func() bool { return true }}
-	q.ask.ID, q.ask.District = r.Header.Get(d.Headers.ID), d.l.Place.Zone
+	q.ask.ID, q.ask.Zone = r.Header.Get(d.Headers.ID), d.l.Place.Zone
 	s := d.Snapshot()
 	if s == nil || s.Plan == nil {
 		q.deny(errs.NotRun, "no plan is known here yet", d.l.Place.Bounds.Config(0.1))
--- a/internal/data/proxy/serve.go
+++ b/internal/data/proxy/serve.go
@@ -32,9 +32,9 @@
 	d.budgets.first(q.ask.Service, s.Edges)
 	found := d.look(q)
 	for q.ctx.Err() == nil && q.left() > 0 {
-		c, ok := d.Pick.Pick(d.Snapshot(), &q.ask, found, q.tried)
+		c, ok := d.Selector.Select(d.Snapshot(), &q.ask, found, q.tried)
 		if !ok {
-			q.later = c.Again
+			q.later = c.RetryAfter
 			break
 		}
 		q.tried[c.Worker.ID] = true
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -168,11 +168,11 @@
 	dress   func(*selection.Choice)
 }
 
-func (p *picker) Look(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.Found {
+func (p *picker) Lookup(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.Found {
 	return nil
 }
 
-func (p *picker) Pick(s *fleet.Snapshot, r *selection.Request, _ map[prefix.Key]*wire.Found, tried map[string]bool) (selection.Choice, bool) {
+func (p *picker) Select(s *fleet.Snapshot, r *selection.Request, _ map[prefix.Key]*wire.Found, tried map[string]bool) (selection.Choice, bool) {
 	for _, w := range s.Workers {
 		if w.Service == r.Service && !w.Draining && !tried[w.ID] {
 			c := selection.Choice{Worker: w, Urgency: -1}
@@ -254,7 +254,7 @@
 			}
 		}
 		s.snap.Store(snap)
-		s.d = newDoor(s.l, Config{Headers: names(), ReadyPath: "/up", Snapshot: s.snap.Load, Pick: s.p})
+		s.d = newDoor(s.l, Config{Headers: names(), ReadyPath: "/up", Snapshot: s.snap.Load, Selector: s.p})
 		if err := s.d.open(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -14,7 +14,7 @@
 func TestAWorkerWhoseFirstPiecesAreLateIsSpared(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	e.tell("p", promptindex.Confirmed, h)
+	e.setHolders("p", promptindex.Confirmed, h)
 	r := e.ask("p", 13000)
 	c := e.must(t, r)
 	if c.Worker.ID != h {
@@ -32,7 +32,7 @@
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
 		t.Error("forgotten at once")
 	}
-	e.now += 8 * e.b.Heal(fadePart)
+	e.now += 8 * e.bounds.Heal(fadePart)
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
 		t.Errorf("%s, though %s is free again", c.Worker.ID, h)
 	}
@@ -42,7 +42,7 @@
 func TestLoadIsHeardAtTheFirstPiece(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	e.tell("p", promptindex.Confirmed, h)
+	e.setHolders("p", promptindex.Confirmed, h)
 	for i := range 4 { // what a prompt takes here is known by then
 		r := e.ask(fmt.Sprint("x", i), 13000)
 		e.serve(r, e.must(t, r), 150*time.Millisecond)
@@ -55,12 +55,12 @@
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
 		t.Errorf("%s is picked, though 30 wait there", h)
 	}
-	if x := e.v.groups["llm"].seats[e.v.groups["llm"].at[h]].st; x.under != 1 || len(x.unread) != 0 {
-		t.Errorf("%d under way, %d of them unread", x.under, len(x.unread))
+	if x := e.view.groups["llm"].candidates[e.view.groups["llm"].index[h]].stats; x.inFlight != 1 || len(x.unread) != 0 {
+		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.unread))
 	}
 	e.done(r, c, Served, nil, 40*time.Millisecond, e.now)
-	if x := e.v.groups["llm"].seats[e.v.groups["llm"].at[h]].st; x.under != 0 || len(x.unread) != 0 {
-		t.Errorf("%d under way, %d of them unread", x.under, len(x.unread))
+	if x := e.view.groups["llm"].candidates[e.view.groups["llm"].index[h]].stats; x.inFlight != 0 || len(x.unread) != 0 {
+		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.unread))
 	}
 }
 
@@ -73,7 +73,7 @@
 		s.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
 	e := newEdge(s)
-	e.born = start - time.Hour
+	e.startedAt = start - time.Hour
 	e.now += time.Second
 	newer := func(i int) bool {
 		r := e.ask(fmt.Sprint("p", i), 13000)
@@ -89,8 +89,8 @@
 	if drawn < 20 || drawn > 80 {
 		t.Errorf("%d of 100 are drawn to a third of the workers", drawn)
 	}
-	for _, x := range e.lay(s).groups["llm"].seats[:6] {
-		x.st.late, x.st.lateAt = 4*route.Target.Seconds()*1e3, e.now
+	for _, x := range e.layOut(s).groups["llm"].candidates[:6] {
+		x.stats.lateness, x.stats.latenessAt = 4*route.Target.Seconds()*1e3, e.now
 	}
 	for i := range 100 {
 		if newer(i) {
@@ -104,21 +104,21 @@
 func TestNoCopyIsMadeForAShortWait(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	e.must(t, e.ask("p", 13000))
-	var h *seat
-	for i := range e.v.groups["llm"].seats {
-		if x := &e.v.groups["llm"].seats[i]; x.w.Zone == "d0" && x.w.ID != e.home(t, "p") {
+	var h *candidate
+	for i := range e.view.groups["llm"].candidates {
+		if x := &e.view.groups["llm"].candidates[i]; x.worker.Zone == "d0" && x.worker.ID != e.home(t, "p") {
 			h = x
 		}
 	}
-	e.tell("p", promptindex.Confirmed, h.w.ID)
-	read := 13000 * h.st.h.b
-	h.st.late, h.st.lateAt = 0.3*read, e.now
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h.w.ID {
-		t.Errorf("%s, for a wait of %.0f ms where %.0f would be read", c.Worker.ID, h.st.late, read)
+	e.setHolders("p", promptindex.Confirmed, h.worker.ID)
+	read := 13000 * h.stats.service.b
+	h.stats.lateness, h.stats.latenessAt = 0.3*read, e.now
+	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h.worker.ID {
+		t.Errorf("%s, for a wait of %.0f ms where %.0f would be read", c.Worker.ID, h.stats.lateness, read)
 	}
-	h.st.late = 2 * read
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h.w.ID || c.Fetch != h.w.Addr {
-		t.Errorf("%s, fetching from %q, though %.0f ms wait at %s", c.Worker.ID, c.Fetch, h.st.late, h.w.ID)
+	h.stats.lateness = 2 * read
+	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h.worker.ID || c.Fetch != h.worker.Addr {
+		t.Errorf("%s, fetching from %q, though %.0f ms wait at %s", c.Worker.ID, c.Fetch, h.stats.lateness, h.worker.ID)
 	}
 }
 
@@ -131,16 +131,16 @@
 		s.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
 	e := newEdge(s)
-	e.born = start - time.Hour
+	e.startedAt = start - time.Hour
 	e.now += time.Second
-	for _, x := range e.lay(s).groups["llm"].seats[:12] {
-		x.st.late, x.st.lateAt = 2.5*13000*x.st.h.b, e.now
+	for _, x := range e.layOut(s).groups["llm"].candidates[:12] {
+		x.stats.lateness, x.stats.latenessAt = 2.5*13000*x.stats.service.b, e.now
 	}
 	for i := range 50 {
 		part := fmt.Sprint("p", i)
 		e.found[promptindex.KeyOf(salt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
 		if c := e.must(t, e.ask(part, 13000)); c.Weights != 1 {
-			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that keep the part are free", part, 2.5*13000*e.habits["llm"].b)
+			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that keep the part are free", part, 2.5*13000*e.services["llm"].b)
 		}
 	}
 }
--- a/internal/data/selection/health_test.go
+++ b/internal/data/selection/health_test.go
@@ -10,13 +10,13 @@
 	for _, n := range []int{1, 2, 3, 7, 18} {
 		for bad := range n + 1 {
 			e := newEdge(fleetOf(n))
-			g := e.lay(e.s).groups["llm"]
+			g := e.layOut(e.s).groups["llm"]
 			var l []int
 			for i := range n {
 				l = append(l, i)
 				if i < bad {
 					for range i%3 + 1 {
-						e.strike(g.seats[i].st, e.now)
+						e.recordFailure(g.candidates[i].stats, e.now)
 					}
 				}
 			}
@@ -33,32 +33,32 @@
 
 func TestBrokenWorkersAreAvoidedLongerEachTime(t *testing.T) {
 	e := newEdge(fleetOf(9))
-	x := e.lay(e.s).groups["llm"].seats[0].st
+	x := e.layOut(e.s).groups["llm"].candidates[0].stats
 	last := time.Duration(0)
 	for i := range 4 {
-		e.strike(x, e.now)
+		e.recordFailure(x, e.now)
 		if d := x.outUntil - e.now; d <= last {
 			t.Errorf("strike %d: out for %v after %v", i, d, last)
 		} else {
 			last = d
 		}
 		e.now = x.outUntil
-		if b := x.back(e.now); b <= 0 || x.back(e.now+x.outFor/2) >= b || x.back(e.now+x.outFor) != 0 {
+		if b := x.distrust(e.now); b <= 0 || x.distrust(e.now+x.outFor/2) >= b || x.distrust(e.now+x.outFor) != 0 {
 			t.Error("it isn't trusted again little by little")
 		}
 	}
 	for range 9 {
-		e.strike(x, e.now)
+		e.recordFailure(x, e.now)
 	}
-	if x.outUntil-e.now > e.b.Heal(outMost) {
+	if x.outUntil-e.now > e.bounds.Heal(outMost) {
 		t.Errorf("out for %v", x.outUntil-e.now)
 	}
 	e.now = x.outUntil + time.Minute
 	for range 20 {
-		e.fine(x, e.now)
+		e.recordSuccess(x, e.now)
 	}
-	if x.strikes != 0 || x.bad > 0.05 {
-		t.Errorf("%d strikes, %.2f bad after twenty good endings", x.strikes, x.bad)
+	if x.strikes != 0 || x.failureShare > 0.05 {
+		t.Errorf("%d strikes, %.2f bad after twenty good endings", x.strikes, x.failureShare)
 	}
 }
 
@@ -72,17 +72,17 @@
 		if d := e.must(t, e.ask("p", 13000)); (d.Worker.ID != c.Worker.ID) != avoided {
 			t.Errorf("ending %d: then %s after %s", e0, d.Worker.ID, c.Worker.ID)
 		}
-		if len(e.sent) != 0 || e.v.groups["llm"].seats[e.v.groups["llm"].at[c.Worker.ID]].st.under != 0 {
+		if len(e.sent) != 0 || e.view.groups["llm"].candidates[e.view.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
 			t.Errorf("ending %d leaves an attempt under way", e0)
 		}
 		e.done(r, c, e0, nil, 0, e.now) // told twice
-		if e.v.groups["llm"].seats[e.v.groups["llm"].at[c.Worker.ID]].st.under != 0 {
+		if e.view.groups["llm"].candidates[e.view.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
 			t.Errorf("ending %d counts twice", e0)
 		}
 	}
 }
 
-func TestSlowWorkersArePickedLess(t *testing.T) {
+func TestSlowWorkersAreSelectedLess(t *testing.T) {
 	e := newEdge(fleetOf(4))
 	at := map[string]int{}
 	for range 400 {
--- a/internal/data/selection/load.go
+++ b/internal/data/selection/load.go
@@ -7,20 +7,22 @@
 	"pebbleloom/internal/settings"
 )
 
-// habit is what this edge knows of a service's workers together.
-type habit struct {
-	pace   pace
-	a, b   float64 // ms to a first piece, and for each token read
-	a0, b0 float64 // believed before any came
-	tokens float64 // read for a request, lately
-	span   float64 // ms of an attempt, lately
-	told   bool    // the workers tell their load
-	mean   float64 // of what others have at a worker
+// serviceStats is what this edge machine knows of a service's workers together.
+type serviceStats struct {
+	// pace is a regression of the milliseconds from sending a prompt to its first event: a + b for each
+	// token read. Older samples count less; the prior stands for some samples.
+	pace           pace
+	a, b           float64 // ms to a first event, and for each token read
+	a0, b0         float64 // assumed before any came
+	readTokens     float64 // read for a request, recently
+	attemptMs      float64 // ms of an attempt, recently
+	reportsLoad    bool    // the workers report their load
+	meanOthersLoad float64 // of the others' load at a worker
 }
 
-func newHabit(b settings.Bounds) *habit {
-	h := &habit{a0: b.Heal(basePart).Seconds() * 1e3, b0: b.Heal(tokenPart).Seconds() * 1e3}
-	h.a, h.b, h.span = h.a0, h.b0, 10*h.a0
+func newServiceStats(b settings.Bounds) *serviceStats {
+	h := &serviceStats{a0: b.Heal(basePart).Seconds() * 1e3, b0: b.Heal(tokenPart).Seconds() * 1e3}
+	h.a, h.b, h.attemptMs = h.a0, h.b0, 10*h.a0
 	for range belief {
 		for _, n := range []float64{0, believedTokens} {
 			h.pace.add(n, h.a0+h.b0*n, 1)
@@ -29,40 +31,41 @@
 	return h
 }
 
-// stat is what this edge knows of one worker.
-type stat struct {
-	h                   *habit        // of its service
-	under               int           // attempts of this edge under way
-	busy                time.Duration // until then it reads prompts of this edge
-	head                float64       // what others had under way and waiting there, by its last word
-	headUnread          float64       // tokens that it had to read for them still
-	headAt              time.Duration
-	spoke               bool
-	tally               tally   // how attempts of this edge ended there
-	othersOK, othersBad float64 // and of the others
-	slow                float64 // its first pieces against the others', as a logarithm; 0: as fast
-	slowAt              time.Duration
-	bad                 float64 // share of bad endings, the last ones first
+// workerStats is what this edge machine knows of one worker.
+type workerStats struct {
+	service             *serviceStats // of its service
+	inFlight            int           // attempts of this edge machine in flight
+	readingUntil        time.Duration // until then it reads prompts of this edge machine
+	othersLoad          float64       // requests of others, by its last report
+	othersUnread        float64       // tokens that it still had to read for them
+	reportedAt          time.Duration
+	reported            bool
+	tally               tally   // how attempts of this edge machine ended there
+	othersOK, othersBad float64 // and those of the others
+	slowness            float64 // its time to the first event relative to the others', as a logarithm; 0: equal
+	slownessAt          time.Duration
+	failureShare        float64 // moving average of failures
 	strikes             int
-	outUntil            time.Duration // its attempts broke: avoided
+	outUntil            time.Duration // avoided after failures
 	outFor              time.Duration
-	full                time.Duration // until then: it had no place
-	loading             time.Duration // until then: it turned requests away for other weights
-	loadingV            uint64        // the version that its row told then
-	late                float64       // ms by which its last first piece was
-	lateAt              time.Duration
-	unread              []unread      // this edge's attempts there whose first piece hasn't come
-	moves               time.Duration // until then its link is taken, as far as this edge knows
+	fullUntil           time.Duration // until then: it had no free slot
+	loadingUntil        time.Duration // until then: it rejected requests for other weights
+	loadingVersion      uint64        // the version that its entry had then
+	lateness            float64       // ms by which its last first event was late
+	latenessAt          time.Duration
+	// unread is an attempt without a first event.
+	unread        []unread      // this edge machine's attempts there without a first event
+	linkBusyUntil time.Duration // until then its link is busy, as far as known here
 }
 
 // unread is an attempt whose first piece hasn't come.
 type unread struct {
-	k    ticket
+	k    attemptKey
 	at   time.Duration
-	want float64 // ms until it, if nothing waited
+	want float64 // expected ms until it, without a queue
 }
 
-// fade is how much a word of age d still says: about e to the power of -d, for less work.
+// fade is the weight of a report of age d: about e to the power of -d, but cheaper.
 func fade(d, over time.Duration) float64 {
 	x := float64(d) / float64(over)
 	if x > 8 {
@@ -71,7 +74,8 @@
 	return 1 / (1 + x*(1+x*(0.5+x/6)))
 }
 
-// towards moves a mean to a new value. It never gets so small that the processor is slow at it.
+// towards moves an average to a new value. It is cut off at tiny values, which are slow for the
+// processor.
 func towards(mean, v, part float64) float64 {
 	if mean += part * (v - mean); math.Abs(mean) < nothing {
 		return 0
@@ -79,29 +83,29 @@
 	return mean
 }
 
-// load is about how many requests a worker has, waiting ones included: its last word of what
-// others sent it, that fades into the mean of all, and this edge's own. Where workers tell no
-// load, the own ones stand for those of the other edges too.
-func (t *table) load(x *stat, edges int, now time.Duration) float64 {
-	if !x.h.told {
-		return float64(x.under * edges)
+// load is an estimate of a worker's requests, waiting ones included: its last report on those of
+// others, which fades into the mean, plus this edge machine's own. If workers report no load, the own
+// requests stand for those of the other edge machines too.
+func (t *table) load(x *workerStats, edges int, now time.Duration) float64 {
+	if !x.service.reportsLoad {
+		return float64(x.inFlight * edges)
 	}
 	a := 0.0
-	if x.spoke {
-		a = fade(now-x.headAt, t.b.Heal(fadePart))
+	if x.reported {
+		a = fade(now-x.reportedAt, t.bounds.Heal(fadePart))
 	}
-	return a*x.head + (1-a)*x.h.mean + float64(x.under)
+	return a*x.othersLoad + (1-a)*x.service.meanOthersLoad + float64(x.inFlight)
 }
 
-// heard takes a worker's word of its load.
-func (t *table) heard(x *stat, l *Load, now time.Duration) {
-	x.head = max(0, float64(l.Running+l.Waiting-x.under))
-	x.headUnread = max(0, min(float64(l.Waiting), x.head)) * x.h.tokens
-	x.headAt, x.spoke = now, true
-	if !x.h.told {
-		x.h.told, x.h.mean = true, x.head
+// recordLoad applies a worker's report of its load.
+func (t *table) recordLoad(x *workerStats, l *Load, now time.Duration) {
+	x.othersLoad = max(0, float64(l.Running+l.Waiting-x.inFlight))
+	x.othersUnread = max(0, min(float64(l.Waiting), x.othersLoad)) * x.service.readTokens
+	x.reportedAt, x.reported = now, true
+	if !x.service.reportsLoad {
+		x.service.reportsLoad, x.service.meanOthersLoad = true, x.othersLoad
 	}
-	x.h.mean = towards(x.h.mean, x.head, meanPart)
+	x.service.meanOthersLoad = towards(x.service.meanOthersLoad, x.othersLoad, meanPart)
 }
 
 // pace is what first pieces have shown: milliseconds from a prompt's sending to its first piece,
@@ -112,7 +116,7 @@
 	p.n, p.x, p.y, p.xx, p.xy = p.n*keep+1, p.x*keep+x, p.y*keep+y, p.xx*keep+x*x, p.xy*keep+x*y
 }
 
-// line fits it, within what is believable.
+// line fits it, within plausible limits.
 func (p *pace) line(a0, b0 float64) (a, b float64) {
 	a, b = a0, b0
 	if d := p.n*p.xx - p.x*p.x; d > 0 && p.n > 0 {
@@ -122,51 +126,52 @@
 	return a, b
 }
 
-// learn takes a first piece's time.
-func (t *table) learn(x *stat, tokens float64, first, now time.Duration) {
+// learn applies the time of a first event.
+func (t *table) learn(x *workerStats, tokens float64, first, now time.Duration) {
 	ms := first.Seconds() * 1e3
-	h := x.h
+	h := x.service
 	if want := h.a + h.b*tokens; want > 0 {
 		f := min(max(ms/want, 1/believe), believe)
-		old := x.slow * fade(now-x.slowAt, t.b.Heal(forgetPart))
-		if x.slow, x.slowAt = old+slowPart*(math.Log(f)-old), now; math.Abs(x.slow) < alike {
-			x.slow = 0
+		old := x.slowness * fade(now-x.slownessAt, t.bounds.Heal(forgetPart))
+		if x.slowness, x.slownessAt = old+slowPart*(math.Log(f)-old), now; math.Abs(x.slowness) < alike {
+			x.slowness = 0
 		}
 	}
 	h.pace.add(tokens, min(ms, (h.a+h.b*tokens)*believe), keepPart)
 	h.a, h.b = h.pace.line(h.a0, h.b0)
 }
 
-// slowness is a worker's first pieces against the others'; what is old is forgotten.
-func (t *table) slowness(x *stat, now time.Duration) float64 {
-	if x.slow == 0 {
+// slowness is a worker's time to the first event relative to the others'; old samples fade.
+func (t *table) slowness(x *workerStats, now time.Duration) float64 {
+	if x.slowness == 0 {
 		return 1
 	}
-	return math.Exp(x.slow * fade(now-x.slowAt, t.b.Heal(forgetPart)))
+	return math.Exp(x.slowness * fade(now-x.slownessAt, t.bounds.Heal(forgetPart)))
 }
 
-// strike notes a bad ending: the worker is avoided for a while that doubles with repeats and
-// grows with its share of bad endings.
-func (t *table) strike(x *stat, now time.Duration) {
-	x.bad = towards(x.bad, 1, badPart)
-	d := float64(t.b.Heal(outPart)) * math.Exp2(float64(min(x.strikes, 8))) * (1 + 2*x.bad)
+// recordFailure records a failure: the worker is avoided for a while that doubles with repeats and
+// grows with its share of failures.
+func (t *table) recordFailure(x *workerStats, now time.Duration) {
+	x.failureShare = towards(x.failureShare, 1, badPart)
+	d := float64(t.bounds.Heal(outPart)) * math.Exp2(float64(min(x.strikes, 8))) * (1 + 2*x.failureShare)
 	x.strikes++
-	x.outFor = time.Duration(min(d, float64(t.b.Heal(outMost))))
+	x.outFor = time.Duration(min(d, float64(t.bounds.Heal(outMost))))
 	x.outUntil = max(x.outUntil, now+x.outFor)
 }
 
-// fine notes a good one: its strikes are taken back one by one, once it isn't avoided any more.
-func (t *table) fine(x *stat, now time.Duration) {
-	x.bad = towards(x.bad, 0, badPart)
+// recordSuccess records a success: strikes are taken back one by one, once the worker is no longer
+// avoided.
+func (t *table) recordSuccess(x *workerStats, now time.Duration) {
+	x.failureShare = towards(x.failureShare, 0, badPart)
 	if now >= x.outUntil && x.strikes > 0 {
 		x.strikes--
 	}
 }
 
-// back is how far a worker is from being trusted again after it was avoided, 1 to 0.
-func (x *stat) back(now time.Duration) float64 {
+// distrust is how far a worker is from being trusted again after it was avoided, from 1 to 0.
+func (x *workerStats) distrust(now time.Duration) float64 {
 	if x.outFor <= 0 || now >= x.outUntil+x.outFor {
 		return 0
 	}
-	return min(1, float64(x.outUntil+x.outFor-now)/float64(x.outFor)) * x.bad
+	return min(1, float64(x.outUntil+x.outFor-now)/float64(x.outFor)) * x.failureShare
 }
--- a/internal/data/selection/once_test.go
+++ b/internal/data/selection/once_test.go
@@ -77,10 +77,10 @@
 func (h *hall) request(n int, things int, now time.Duration) {
 	e := h.edges[h.r.IntN(len(h.edges))]
 	e.s = h.s
-	r := &Request{ID: fmt.Sprint("r", n), Service: "llm", Route: route, District: fmt.Sprint("d", h.r.IntN(4)), Model: "m", In: 15000,
+	r := &Request{ID: fmt.Sprint("r", n), Service: "llm", Route: route, Zone: fmt.Sprint("d", h.r.IntN(4)), Model: "m", In: 15000,
 		Parts: []Part{{fmt.Sprint("t", h.r.IntN(things)), 13000}, {fmt.Sprint("own", n), 2000}}}
-	found := h.look(e.table.ask(h.s, r, now), now)
-	c, ok := e.pick(h.s, r, found, nil, now)
+	found := h.look(e.table.lookupKeys(h.s, r, now), now)
+	c, ok := e.selectWorker(h.s, r, found, nil, now)
 	if !ok {
 		return
 	}
@@ -177,14 +177,14 @@
 	}
 }
 
-func BenchmarkPickOf140(b *testing.B) {
+func BenchmarkSelectOf140(b *testing.B) {
 	e := newEdge(fleetOf(140))
 	for i := range 20 {
-		e.tell(fmt.Sprint("p", i), promptindex.Confirmed, fmt.Sprint("w", i), fmt.Sprint("w", 3*i), "depot")
+		e.setHolders(fmt.Sprint("p", i), promptindex.Confirmed, fmt.Sprint("w", i), fmt.Sprint("w", 3*i), "depot")
 	}
 	for i := range b.N {
 		r := e.ask(fmt.Sprint("p", i%20), 13000)
-		c, _ := e.pick(e.s, r, e.found, nil, e.now)
+		c, _ := e.selectWorker(e.s, r, e.found, nil, e.now)
 		e.send(r, c, e.now)
 		e.done(r, c, Served, &Load{Running: 3, Slots: 128}, 40*time.Millisecond, e.now)
 		e.now += time.Millisecond
--- a/internal/data/selection/recent.go
+++ b/internal/data/selection/recent.go
@@ -1,6 +1,6 @@
 package selection
 
-// recent is a bounded map in two halves: what isn't used any more goes with the older half.
+// recent is a bounded map in two generations: entries that aren't used leave with the older one.
 type recent[K comparable, V any] struct {
 	now, old map[K]V
 	max      int
--- a/internal/data/selection/news_test.go
+++ b/internal/data/selection/reports_test.go
@@ -16,8 +16,8 @@
 	first := e.must(t, r)
 	e.serve(r, first, 150*time.Millisecond)
 	holder := other(first.Worker.ID)
-	e.now += e.b.Heal(newsPart)
-	e.tell("p", promptindex.Confirmed, holder)
+	e.now += e.bounds.Heal(newsPart)
+	e.setHolders("p", promptindex.Confirmed, holder)
 	from := holder + ":1"
 	for range 30 {
 		c := e.must(t, e.ask("p", 13000))
@@ -36,7 +36,7 @@
 	r := e.ask("p", 13000)
 	first := e.must(t, r)
 	e.serve(r, first, 150*time.Millisecond)
-	e.now += e.b.Heal(newsPart)
+	e.now += e.bounds.Heal(newsPart)
 	e.found[promptindex.KeyOf(salt("m", 1, nil), "p")] = &wire.Found{}
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != first.Worker.ID && c.Fetch != first.Worker.Addr {
 		t.Errorf("%s, fetching from %q; %s read it", c.Worker.ID, c.Fetch, first.Worker.ID)
--- a/internal/data/selection/salt.go
+++ b/internal/data/selection/salt.go
@@ -7,8 +7,8 @@
 	"pebbleloom/internal/control/routingconfig"
 )
 
-// salt is the text under which workers keep the parts of a prompt: version, model and wall. Two
-// of them are the same only where all three are.
+// salt is the cache domain of a prompt's parts: version, model and isolation. Two of them are equal
+// only if all three are.
 func salt(model string, weights uint64, t *routingconfig.Tenant) string {
 	m := url.QueryEscape(model)
 	s := strconv.FormatUint(weights, 10) + "." + strconv.Itoa(len(m)) + "." + m
@@ -18,15 +18,15 @@
 	return s
 }
 
-// Text is the cache text of a model's weights behind a tenant's wall, for whoever looks up what
-// workers keep.
+// Text is the cache domain of a model's weights for a tenant, for callers that look up what workers
+// cache.
 //
-// Example: key := catalogue.KeyOf(pick.Text("daka", 2, tenant), part)
+// Example: key := promptindex.KeyOf(selection.Text("daka", 2, tenant), part)
 func Text(model string, weights uint64, t *routingconfig.Tenant) string {
 	return salt(model, weights, t)
 }
 
-// urgency is 0 to 9, 0 first: a tenant's priority goes before the route's.
+// urgency is 0 to 9, 0 first: a tenant's priority overrides the route's.
 func urgency(r *Request) int {
 	u := 0
 	if r.Route != nil {
--- a/internal/data/selection/pick_test.go
+++ b/internal/data/selection/selector_test.go
@@ -46,7 +46,7 @@
 
 func (e *edge) ask(shared string, tokens int) *Request {
 	e.n++
-	r := &Request{ID: fmt.Sprint("r", e.n), Service: "llm", Route: route, District: "d0", Model: "m", In: tokens + 1000}
+	r := &Request{ID: fmt.Sprint("r", e.n), Service: "llm", Route: route, Zone: "d0", Model: "m", In: tokens + 1000}
 	if shared != "" {
 		r.Parts = append(r.Parts, Part{shared, tokens})
 	}
@@ -60,7 +60,7 @@
 	for _, x := range tried {
 		m[x] = true
 	}
-	c, ok := e.pick(e.s, r, e.found, m, e.now)
+	c, ok := e.selectWorker(e.s, r, e.found, m, e.now)
 	if !ok {
 		t.Fatal("nobody was picked")
 	}
@@ -68,7 +68,7 @@
 }
 
 // tell lets the index tell who keeps a part.
-func (e *edge) tell(part string, state uint32, holders ...string) {
+func (e *edge) setHolders(part string, state uint32, holders ...string) {
 	f := &wire.Found{Hotness: 1}
 	for _, h := range holders {
 		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: state})
@@ -104,7 +104,7 @@
 			e := newEdge(s)
 			e.n = 100 * d
 			r := e.ask(part, 13000)
-			r.District = fmt.Sprint("d", d)
+			r.Zone = fmt.Sprint("d", d)
 			c := e.must(t, r)
 			if at != "" && at != c.Worker.ID {
 				t.Errorf("%s: %s and %s", part, at, c.Worker.ID)
@@ -118,16 +118,16 @@
 	}
 }
 
-func TestAHolderIsPicked(t *testing.T) {
+func TestAHolderIsSelected(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := other(e.home(t, "p"))
-	e.tell("p", promptindex.Confirmed, h)
+	e.setHolders("p", promptindex.Confirmed, h)
 	c := e.must(t, e.ask("p", 13000))
 	if c.Worker.ID == h && c.Fetch != "" || c.Worker.ID != h && c.Fetch != h+":1" {
 		t.Errorf("%s, fetching from %q; %s keeps it", c.Worker.ID, c.Fetch, h)
 	}
 	// What is only presumed may not be there yet: it isn't worth the risk.
-	e.tell("p", promptindex.Presumed, h)
+	e.setHolders("p", promptindex.Presumed, h)
 	if c = e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
 		t.Errorf("%s, though %s is reading it", c.Worker.ID, h)
 	}
@@ -136,7 +136,7 @@
 func TestALoadedHolderIsSpared(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	e.tell("p", promptindex.Confirmed, h)
+	e.setHolders("p", promptindex.Confirmed, h)
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h || c.Fetch != "" {
 		t.Fatalf("calm: %s, %q", c.Worker.ID, c.Fetch)
 	}
@@ -145,14 +145,14 @@
 		if w.ID == h {
 			l = Load{Running: 128, Waiting: 200, Slots: 128}
 		}
-		x := e.lay(e.s).groups["llm"].seats[e.v.groups["llm"].at[w.ID]]
-		e.heard(x.st, &l, e.now)
+		x := e.layOut(e.s).groups["llm"].candidates[e.view.groups["llm"].index[w.ID]]
+		e.recordLoad(x.stats, &l, e.now)
 	}
 	c := e.must(t, e.ask("p", 13000))
 	if c.Worker.ID == h || c.Fetch != h+":1" {
 		t.Errorf("loaded: %s, fetching from %q", c.Worker.ID, c.Fetch)
 	}
-	e.now += e.b.Heal(1) // an old word says nothing
+	e.now += e.bounds.Heal(1) // an old word says nothing
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
 		t.Errorf("later: %s", c.Worker.ID)
 	}
@@ -161,7 +161,7 @@
 func TestTheNearSourceIsTakenAndTheStoreLast(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	i := e.lay(e.s).groups["llm"].at[h]
+	i := e.layOut(e.s).groups["llm"].index[h]
 	near, far := "", ""
 	for j, w := range e.s.Workers {
 		switch {
@@ -177,12 +177,12 @@
 		want    string
 	}{{[]string{far, near, "depot"}, near + ":1"}, {[]string{"depot"}, "store:1"}}
 	for _, x := range cases {
-		e.tell("p", promptindex.Confirmed, x.holders...)
+		e.setHolders("p", promptindex.Confirmed, x.holders...)
 		tried := map[string]bool{}
 		for _, id := range append(x.holders, far, near) {
 			tried[id] = true
 		}
-		c, _ := e.pick(e.s, e.ask("p", 13000), e.found, tried, e.now)
+		c, _ := e.selectWorker(e.s, e.ask("p", 13000), e.found, tried, e.now)
 		if c.Worker.ID != h || c.Fetch != x.want {
 			t.Errorf("%v: %s fetches from %q, want %s from %q", x.holders, c.Worker.ID, c.Fetch, h, x.want)
 		}
@@ -201,18 +201,18 @@
 func TestABusySourceIsSpared(t *testing.T) {
 	e := newEdge(fleetOf(4))
 	h := e.home(t, "p")
-	e.tell("p", promptindex.Confirmed, other("w9"), "w0", "w1", "w2", "w3")
-	g := e.lay(e.s).groups["llm"]
-	q := &query{t: e.table, s: e.s, r: e.ask("p", 13000), g: g, m: g.serve("m"), h: e.habits["llm"], model: "m", found: e.found, now: e.now, cs: []int{g.at[h]}}
-	q.pick()
-	o := q.open(1)
+	e.setHolders("p", promptindex.Confirmed, other("w9"), "w0", "w1", "w2", "w3")
+	g := e.layOut(e.s).groups["llm"]
+	q := &query{table: e.table, snapshot: e.s, request: e.ask("p", 13000), group: g, serving: g.serve("m"), service: e.services["llm"], model: "m", found: e.found, now: e.now, usable: []int{g.index[h]}}
+	q.run()
+	o := q.promptState(1)
 	clear(e.maybe)
-	first := q.fetch(g.at[h], o, 0)
+	first := q.fetch(g.index[h], o, 0)
 	if first.from == nil {
 		t.Fatal("no source")
 	}
-	first.from.st.moves = e.now + time.Second
-	if second := q.fetch(g.at[h], o, 0); second.from == nil || second.from == first.from {
+	first.from.st.linkBusyUntil = e.now + time.Second
+	if second := q.fetch(g.index[h], o, 0); second.from == nil || second.from == first.from {
 		t.Errorf("again from %v", second.from)
 	}
 }
@@ -231,7 +231,7 @@
 	if c = e.must(t, e.ask("", 0)); c.Save != "" || c.Fetch != "" {
 		t.Errorf("an own part: save %q fetch %q", c.Save, c.Fetch)
 	}
-	e.tell("q", promptindex.Confirmed, "depot")
+	e.setHolders("q", promptindex.Confirmed, "depot")
 	if c = e.must(t, e.ask("q", 13000)); c.Save != "" {
 		t.Error("saved though the index knows that the store has it")
 	}
@@ -253,11 +253,11 @@
 	}
 }
 
-func TestDrainingTriedAndUnlistedAreNeverPicked(t *testing.T) {
+func TestDrainingTriedAndUnlistedAreNeverSelected(t *testing.T) {
 	s := fleetOf(4)
 	s.Workers[0].Draining = true
 	e := newEdge(s)
-	e.tell("p", promptindex.Confirmed, "w0", "gone")
+	e.setHolders("p", promptindex.Confirmed, "w0", "gone")
 	for range 20 {
 		c := e.must(t, e.ask("p", 13000), "w1")
 		if c.Worker.ID == "w0" || c.Worker.ID == "w1" {
@@ -267,10 +267,10 @@
 			t.Errorf("a draining worker still gives what it keeps: fetch %q", c.Fetch)
 		}
 	}
-	if _, ok := e.pick(s, e.ask("p", 100), nil, map[string]bool{"w1": true, "w2": true, "w3": true}, e.now); ok {
+	if _, ok := e.selectWorker(s, e.ask("p", 100), nil, map[string]bool{"w1": true, "w2": true, "w3": true}, e.now); ok {
 		t.Error("picked though all were tried or drain")
 	}
-	if _, ok := e.pick(s, &Request{ID: "x", Service: "none", Route: route}, nil, nil, e.now); ok {
+	if _, ok := e.selectWorker(s, &Request{ID: "x", Service: "none", Route: route}, nil, nil, e.now); ok {
 		t.Error("picked for a service that isn't there")
 	}
 }
@@ -284,7 +284,7 @@
 	s.Edges = 1
 	at := map[string]int{}
 	for i := range 12 {
-		r := &Request{ID: fmt.Sprint("x", i), Service: "app", Route: route, District: "d0"}
+		r := &Request{ID: fmt.Sprint("x", i), Service: "app", Route: route, Zone: "d0"}
 		c := e.must(t, r)
 		if c.Salt+c.Fetch+c.Save != "" || c.Urgency != -1 || c.Weights != 0 {
 			t.Fatalf("%+v", c)
@@ -303,7 +303,7 @@
 // What this edge saw itself lately needs no call to the index.
 func TestTheIndexIsAskedOnlyForWhatIsUnknown(t *testing.T) {
 	e := newEdge(fleetOf(6))
-	ask := func(r *Request) int { return len(e.table.ask(e.s, r, e.now)) }
+	ask := func(r *Request) int { return len(e.table.lookupKeys(e.s, r, e.now)) }
 	if ask(e.ask("", 0)) != 0 {
 		t.Error("asked for a prompt that shares nothing")
 	}
@@ -315,7 +315,7 @@
 	if n := ask(e.ask("p", 1000)); n != 0 {
 		t.Errorf("asked for %d keys of a part that was just read", n)
 	}
-	e.now += e.b.Heal(freshPart)
+	e.now += e.bounds.Heal(freshPart)
 	if ask(e.ask("p", 1000)) == 0 {
 		t.Error("goes by old memory")
 	}
--- a/internal/data/selection/share_test.go
+++ b/internal/data/selection/share_test.go
@@ -21,7 +21,7 @@
 func newRing(workers, edges int) *ring {
 	r := &ring{l: promptindex.NewLoads(settings.Default()), now: start + time.Minute}
 	for _, part := range []float64{1.0 / 15, 1.0 / 30} { // it has heard words for a while
-		r.l.Hear("before", &wire.Loads{}, r.now-settings.Default().Heal(part))
+		r.l.Record("before", &wire.Loads{}, r.now-settings.Default().Heal(part))
 	}
 	s := fleetOf(workers)
 	s.Edges = edges
@@ -37,11 +37,11 @@
 func (r *ring) share() {
 	for i, e := range r.edges {
 		e.now = r.now
-		e.lay(e.s)
-		r.l.Hear(fmt.Sprint(i), e.word(r.now), r.now)
+		e.layOut(e.s)
+		r.l.Record(fmt.Sprint(i), e.localLoads(r.now), r.now)
 	}
 	for i, e := range r.edges {
-		e.hear(r.l.Others(fmt.Sprint(i), e.v.list, r.now), r.now)
+		e.applyOthersLoads(r.l.Others(fmt.Sprint(i), e.view.list, r.now), r.now)
 	}
 }
 
@@ -55,7 +55,7 @@
 			tried[id] = true
 		}
 	}
-	c, ok := e.pick(e.s, r, nil, tried, e.now)
+	c, ok := e.selectWorker(e.s, r, nil, tried, e.now)
 	if !ok {
 		t.Fatal("nobody was picked")
 	}
@@ -63,12 +63,12 @@
 	return r, c
 }
 
-func (r *ring) picked(n int) map[string]int {
+func (r *ring) selected(n int) map[string]int {
 	m := map[string]int{}
 	for i := range n {
 		e := r.edges[i%len(r.edges)]
 		e.now = r.now
-		if c, ok := e.pick(e.s, e.ask("", 0), nil, nil, r.now); ok {
+		if c, ok := e.selectWorker(e.s, e.ask("", 0), nil, nil, r.now); ok {
 			m[c.Worker.ID]++
 		}
 	}
@@ -84,11 +84,11 @@
 		e.done(q, c, Unfit, nil, 0, r.now)
 	}
 	r.share()
-	if n := r.picked(300)["w3"]; n > 0 {
+	if n := r.selected(300)["w3"]; n > 0 {
 		t.Errorf("picked %d times", n)
 	}
 	r.now += settings.Default().Heal(2) // it comes back in the end
-	if n := r.picked(300)["w3"]; n == 0 {
+	if n := r.selected(300)["w3"]; n == 0 {
 		t.Error("never picked again")
 	}
 }
@@ -107,11 +107,11 @@
 	}
 	r.share()
 	for _, e := range r.edges {
-		for _, x := range e.stats {
+		for _, x := range e.workers {
 			x.outUntil = 0 // but for what the edge saw itself
 		}
-		e.hear(r.l.Others("none", e.v.list, r.now), r.now)
-		for id, x := range e.stats {
+		e.applyOthersLoads(r.l.Others("none", e.view.list, r.now), r.now)
+		for id, x := range e.workers {
 			if x.outUntil > r.now {
 				t.Fatalf("%s is out", id)
 			}
@@ -127,12 +127,12 @@
 		e.bound(t, "w3")
 	}
 	r.share()
-	if r.edges[9].stats["w3"].outUntil > r.now {
+	if r.edges[9].workers["w3"].outUntil > r.now {
 		t.Error("left out before anything was overdue")
 	}
 	r.now += route.Target + time.Millisecond
 	r.share()
-	if n := r.picked(300)["w3"]; n > 0 {
+	if n := r.selected(300)["w3"]; n > 0 {
 		t.Errorf("picked %d times", n)
 	}
 }
@@ -143,16 +143,16 @@
 	e := r.edges[0]
 	e.now = r.now
 	q, c := e.bound(t, "w1")
-	if w := e.word(r.now); len(w.At) != 1 || w.Unread[0] != 1000/unit || w.Active[0] != 1 {
+	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 1000/tokenUnit || w.Active[0] != 1 {
 		t.Fatalf("told %v", w)
 	}
 	e.begin(q, c, nil, time.Millisecond, r.now+time.Millisecond)
 	r.now += time.Minute / 2
-	if w := e.word(r.now); len(w.At) != 1 || w.Unread[0] != 0 || w.Bad[0] != 0 || w.Active[0] != 1 {
+	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 0 || w.Bad[0] != 0 || w.Active[0] != 1 {
 		t.Errorf("told %v", w)
 	}
 	e.done(q, c, Served, nil, time.Millisecond, r.now)
-	if w := e.word(r.now); len(w.At) != 1 || w.Active[0] != 0 || w.Ok[0] != eighth {
+	if w := e.localLoads(r.now); len(w.At) != 1 || w.Active[0] != 0 || w.Ok[0] != eighth {
 		t.Errorf("told %v", w)
 	}
 }
@@ -168,7 +168,7 @@
 			e := r.edges[rnd.IntN(80)]
 			e.now = r.now
 			q := e.ask("", 0)
-			if c, ok := e.pick(e.s, q, nil, nil, r.now); ok {
+			if c, ok := e.selectWorker(e.s, q, nil, nil, r.now); ok {
 				e.send(q, c, r.now)
 				n[c.Worker.ID]++
 			}
@@ -191,19 +191,19 @@
 func TestAWordOnAnotherListIsLeft(t *testing.T) {
 	r := newRing(4, 2)
 	e := r.edges[0]
-	e.lay(e.s)
+	e.layOut(e.s)
 	r.edges[1].bound(t, "w1")
-	w := r.edges[1].word(r.now)
+	w := r.edges[1].localLoads(r.now)
 	w.List++
 	w.Tellers = 1
-	e.hear(w, r.now)
-	if e.stats["w1"].head != 0 {
+	e.applyOthersLoads(w, r.now)
+	if e.workers["w1"].othersLoad != 0 {
 		t.Error("taken")
 	}
 	w.List--
 	w.Active = nil
-	e.hear(w, r.now)
-	if e.stats["w1"].head != 0 {
+	e.applyOthersLoads(w, r.now)
+	if e.workers["w1"].othersLoad != 0 {
 		t.Error("taken, though it is broken")
 	}
 }
--- a/internal/data/selection/shed_test.go
+++ b/internal/data/selection/shed_test.go
@@ -10,29 +10,29 @@
 // when there may be room. What was sent somewhere before is placed in any case.
 func TestAFullQueueAsksToComeAgain(t *testing.T) {
 	e := newEdge(fleetOf(18))
-	if _, ok := e.pick(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok {
+	if _, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok {
 		t.Fatal("calm, and nobody is picked")
 	}
 	behind := func(ms float64, n int) {
-		for _, x := range e.lay(e.s).groups["llm"].seats[:n] {
-			x.st.late, x.st.lateAt = ms, e.now
+		for _, x := range e.layOut(e.s).groups["llm"].candidates[:n] {
+			x.stats.lateness, x.stats.latenessAt = ms, e.now
 		}
 	}
 	long := 4 * route.Target.Seconds() * 1e3
 	behind(long, 17)
-	if c, ok := e.pick(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok || c.Worker.ID != "w17" {
+	if c, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok || c.Worker.ID != "w17" {
 		t.Errorf("one worker is free, and %q is picked", c.Worker.ID)
 	}
 	behind(long, 18)
-	c, ok := e.pick(e.s, e.ask("p", 13000), e.found, nil, e.now)
-	if want := 4 * route.Target; ok || c.Again < want/2 || c.Again > 2*want {
-		t.Errorf("picked %v %q, to come again after %v", ok, c.Worker.ID, c.Again)
+	c, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now)
+	if want := 4 * route.Target; ok || c.RetryAfter < want/2 || c.RetryAfter > 2*want {
+		t.Errorf("picked %v %q, to come again after %v", ok, c.Worker.ID, c.RetryAfter)
 	}
-	if _, ok := e.pick(e.s, e.ask("p", 13000), e.found, map[string]bool{"w3": true}, e.now); !ok {
+	if _, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, map[string]bool{"w3": true}, e.now); !ok {
 		t.Error("what was sent to a worker before is dropped")
 	}
-	e.now += 9 * e.b.Heal(fadePart) // nothing comes, so nothing is learnt: it is tried again
-	if _, ok := e.pick(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok {
+	e.now += 9 * e.bounds.Heal(fadePart) // nothing comes, so nothing is learnt: it is tried again
+	if _, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok {
 		t.Error("refuses for good")
 	}
 }
@@ -70,7 +70,7 @@
 			continue
 		}
 		r := e.ask(fmt.Sprint("new", i), 8000) // 90 ms each: three quarters of what they can read
-		c, ok := e.pick(e.s, r, e.found, nil, e.now)
+		c, ok := e.selectWorker(e.s, r, e.found, nil, e.now)
 		if i > 2800 {
 			asked++
 		}
--- a/internal/data/selection/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -35,7 +35,7 @@
 					tried[w.ID] = true
 				}
 			}
-			c, ok := e.pick(e.s, r, nil, tried, e.now)
+			c, ok := e.selectWorker(e.s, r, nil, tried, e.now)
 			if !ok || c.Save == "" || at != "" && c.Save != at {
 				t.Fatalf("part %d: %q, then %q", p, at, c.Save)
 			}
@@ -53,7 +53,7 @@
 	e := storesOf(3)
 	for i := range 3 {
 		part := fmt.Sprint("p", i)
-		e.tell(part, promptindex.Confirmed, fmt.Sprint("depot", i))
+		e.setHolders(part, promptindex.Confirmed, fmt.Sprint("depot", i))
 		if c := e.must(t, e.ask(part, 13000)); c.Save != "" || c.Fetch != fmt.Sprintf("store%d:1", i) {
 			t.Errorf("part %d: save %q, fetch %q", i, c.Save, c.Fetch)
 		}
@@ -67,7 +67,7 @@
 	first := e.must(t, r).Save
 	for i := range 3 {
 		if s := e.s.Plan.Services[2+i]; s.Store.Addr == first {
-			e.down[s.Name] = true
+			e.storesDown[s.Name] = true
 		}
 	}
 	e.now += time.Second
--- a/internal/data/selection/view.go
+++ b/internal/data/selection/view.go
@@ -1,6 +1,7 @@
 package selection
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -9,56 +10,56 @@
 	"pebbleloom/internal/queue"
 )
 
-// seat is one worker of a service, with what this edge knows of it.
-type seat struct {
-	w     *fleet.Worker
-	st    *stat
-	hash  uint64
-	index uint32 // in the list of all workers
+// candidate is one worker of a service, with what this edge machine knows of it.
+type candidate struct {
+	worker *fleet.Worker
+	stats  *workerStats
+	hash   uint64
+	index  uint32 // in the list of all workers
 }
 
-// group is a service's workers and the stores that keep parts.
+// group is a service's workers and the stores that cache parts.
 type group struct {
-	svc     *routingconfig.Service
-	seats   []seat
-	at      map[string]int // by the worker's ID
-	stores  []store
-	models  map[string]*serving
-	rolling []bool // set aside while they are brought to newer weights
+	service    *routingconfig.Service
+	candidates []candidate
+	index      map[string]int // by the worker's ID
+	stores     []store
+	models     map[string]*serving
+	rolling    []bool // set aside during a rollout of weights
 }
 
 type store struct {
-	svc *routingconfig.Service
-	st  *stat
+	service *routingconfig.Service
+	stats   *workerStats
 }
 
-// serving says which version of a model each seat serves; 0: none.
+// serving holds which version of a model each candidate serves; 0: none.
 type serving struct {
-	by     []uint64
-	all    []uint64 // the versions, newest first
-	listed bool     // some worker tells its versions
+	versions []uint64
+	distinct []uint64 // the versions, newest first
+	reported bool     // some worker reports its versions
 }
 
 // view is a snapshot laid out by service.
 type view struct {
-	snap   *fleet.Snapshot
-	list   uint64 // the number of its list of workers
-	groups map[string]*group
-	sizes  int // of prompts, that a rank is parted into
+	snapshot *fleet.Snapshot
+	list     uint64 // the number of its list of workers
+	groups   map[string]*group
+	sizes    int // classes of prompt size per rank
 }
 
 const (
-	ranks     = 10 // that a worker tells apart
+	ranks     = 10 // that a worker distinguishes
 	mostSizes = 3
 )
 
-// rank is 0 to 9, 0 first: by the plan's rank, and within it the shorter prompt first, as far as
-// the plan's ranks leave room for it. So most are in time where not all can be.
+// rank is 0 to 9, 0 first: by the plan's priority, and within it the shorter prompt first, as far as
+// the plan's priorities leave room. So most are in time when not all can be.
 func (v *view) rank(urgency, size int) int {
 	return min(urgency*v.sizes+min(size, v.sizes-1), ranks-1)
 }
 
-// partRanks finds how far each of the plan's ranks can be parted.
+// partRanks is into how many classes each of the plan's priorities can be divided.
 func partRanks(p *routingconfig.Plan) int {
 	top := 0
 	if p != nil {
@@ -72,27 +73,27 @@
 	return min(max(ranks/(top+1), 1), mostSizes)
 }
 
-const maxModels = 64 // downstreams name models as they like
+const maxModels = 64 // clients may name any model
 
-// lay lays a snapshot out; what is known of workers goes on under their IDs.
-func (t *table) lay(s *fleet.Snapshot) *view {
-	if t.v != nil && t.v.snap == s {
-		return t.v
+// layOut lays a snapshot out by service; statistics of workers are kept by ID.
+func (t *table) layOut(s *fleet.Snapshot) *view {
+	if t.view != nil && t.view.snapshot == s {
+		return t.view
 	}
-	v := &view{snap: s, list: t.listOf(s.Workers), groups: map[string]*group{}, sizes: partRanks(s.Plan)}
-	stats := make(map[string]*stat, len(s.Workers))
-	habits := map[string]*habit{}
-	stat := func(id, service string) *stat {
-		x := t.stats[id]
+	v := &view{snapshot: s, list: t.listOf(s.Workers), groups: map[string]*group{}, sizes: partRanks(s.Plan)}
+	stats := make(map[string]*workerStats, len(s.Workers))
+	habits := map[string]*serviceStats{}
+	stat := func(id, service string) *workerStats {
+		x := t.workers[id]
 		if x == nil {
-			x = &stat{}
+			x = &workerStats{}
 		}
 		if habits[service] == nil {
-			if habits[service] = t.habits[service]; habits[service] == nil {
-				habits[service] = newHabit(t.b)
+			if habits[service] = t.services[service]; habits[service] == nil {
+				habits[service] = newServiceStats(t.bounds)
 			}
 		}
-		x.h = habits[service]
+		x.service = habits[service]
 		stats[id] = x
 		return x
 	}
@@ -103,33 +104,33 @@
 			if x.Store != nil {
 				stores = append(stores, store{x, stat(x.Name, x.Name)})
 			} else {
-				v.groups[x.Name] = &group{svc: x, at: map[string]int{}, models: map[string]*serving{}}
+				v.groups[x.Name] = &group{service: x, index: map[string]int{}, models: map[string]*serving{}}
 			}
 		}
 	}
 	for i := range s.Workers {
 		w := &s.Workers[i]
 		if g := v.groups[w.Service]; g != nil {
-			g.at[w.ID] = len(g.seats)
-			g.seats = append(g.seats, seat{w, stat(w.ID, w.Service), queue.Hash(w.ID), uint32(i)})
+			g.index[w.ID] = len(g.candidates)
+			g.candidates = append(g.candidates, candidate{w, stat(w.ID, w.Service), queue.Hash(w.ID), uint32(i)})
 		}
 	}
 	for _, g := range v.groups {
 		g.stores = stores
-		g.rolling = make([]bool, len(g.seats))
-		if p := s.Placements[g.svc.Name]; p != nil {
-			for i, x := range g.seats {
-				g.rolling[i] = slices.Contains(p.Rolling, x.w.ID)
+		g.rolling = make([]bool, len(g.candidates))
+		if p := s.Placements[g.service.Name]; p != nil {
+			for i, x := range g.candidates {
+				g.rolling[i] = slices.Contains(p.Rolling, x.worker.ID)
 			}
 		}
 	}
-	t.stats, t.habits, t.v = stats, habits, v
+	t.workers, t.services, t.view = stats, habits, v
 	return v
 }
 
-// model is the one that a request means: where it names none and the service has one, that.
+// model is the model of a request: the service's only one if the request names none.
 func (g *group) model(r *Request) string {
-	if e := g.svc.Engine; r.Model == "" && e != nil && len(e.Models) == 1 {
+	if e := g.service.Engine; r.Model == "" && e != nil && len(e.Models) == 1 {
 		return e.Models[0]
 	}
 	return r.Model
@@ -140,49 +141,39 @@
 	if x := g.models[model]; x != nil {
 		return x
 	}
-	x := &serving{by: make([]uint64, len(g.seats))}
-	for i, s := range g.seats {
-		n, ok := s.w.Weights[model]
-		x.by[i] = n
-		x.listed = x.listed || ok
-		if !slices.Contains(x.all, n) {
-			x.all = append(x.all, n)
+	x := &serving{versions: make([]uint64, len(g.candidates))}
+	for i, s := range g.candidates {
+		n, ok := s.worker.Weights[model]
+		x.versions[i] = n
+		x.reported = x.reported || ok
+		if !slices.Contains(x.distinct, n) {
+			x.distinct = append(x.distinct, n)
 		}
 	}
-	slices.SortFunc(x.all, func(a, b uint64) int { return -cmpU(a, b) })
+	slices.SortFunc(x.distinct, func(a, b uint64) int { return cmp.Compare(b, a) }) // newest first
 	if len(g.models) < maxModels {
 		g.models[model] = x
 	}
 	return x
 }
 
-func cmpU(a, b uint64) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
-}
-
-// olderAllowed tells whether a request may still begin on weights older than the named ones. Who
-// has just begun isn't in touch yet, and the bound doesn't bind it. After that a version that was
-// named before this process began has its bound running already, half of it by the agent's word:
-// then the older one is picked only while nobody serves the newer.
+// olderAllowed reports whether a request may still start on weights older than the named ones. A
+// process that has just started isn't in contact yet, and the bound doesn't apply to it. After that,
+// the bound of a version that was named before this process started is running already, half of it as
+// the agent assumes: then the older version is selected only while no worker serves the newer one.
 func (t *table) olderAllowed(s *fleet.Snapshot, model string, m *serving, now time.Duration) bool {
 	named := s.Named[model]
 	if named == 0 {
 		return true
 	}
 	at, ok := s.NamedAt[model]
-	if !ok || now < t.free {
+	if !ok || now < t.unboundUntil {
 		return true
 	}
-	if at-t.born < t.b.Heal(inheritPart) {
-		if slices.ContainsFunc(m.all, func(v uint64) bool { return v >= named }) {
+	if at-t.startedAt < t.bounds.Heal(inheritPart) {
+		if slices.ContainsFunc(m.distinct, func(v uint64) bool { return v >= named }) {
 			return false
 		}
 	}
-	return now-at < t.b.Weights(olderPart)
+	return now-at < t.bounds.Weights(olderPart)
 }
--- a/internal/data/selection/weights_test.go
+++ b/internal/data/selection/weights_test.go
@@ -33,7 +33,7 @@
 	e := newEdge(s)
 	old := func() (n int) {
 		for range 60 {
-			if c, ok := e.pick(e.s, e.ask("p"+fmt.Sprint(e.n), 1000), nil, nil, e.now); ok && c.Weights < 2 {
+			if c, ok := e.selectWorker(e.s, e.ask("p"+fmt.Sprint(e.n), 1000), nil, nil, e.now); ok && c.Weights < 2 {
 				n++
 			}
 		}
@@ -53,16 +53,16 @@
 	if next(6); old() > 30 {
 		t.Errorf("most have the newest: %d of 60 on the old", old())
 	}
-	e.now = s.NamedAt["m"] + e.b.Weights(0.84)
+	e.now = s.NamedAt["m"] + e.bounds.Weights(0.84)
 	if next(1); old() == 0 {
 		t.Error("one has the newest: none on the old")
 	}
-	e.now = s.NamedAt["m"] + e.b.Weights(0.86)
+	e.now = s.NamedAt["m"] + e.bounds.Weights(0.86)
 	if n := old(); n != 0 {
 		t.Errorf("past the bound: %d of 60 on the old", n)
 	}
 	next(0)
-	if _, ok := e.pick(e.s, e.ask("p", 1000), nil, nil, e.now); ok {
+	if _, ok := e.selectWorker(e.s, e.ask("p", 1000), nil, nil, e.now); ok {
 		t.Error("past the bound nobody has the newest, and one was picked")
 	}
 	// A process that began later doesn't know how long the bound has run.
@@ -73,20 +73,20 @@
 		t.Error("a young process picked older weights though the newest are there")
 	}
 	// Not in touch yet, it picks by cost alone.
-	e.free = start + 2*time.Second
+	e.unboundUntil = start + 2*time.Second
 	if next(1); old() == 0 {
 		t.Error("a process that isn't in touch yet keeps away from older weights")
 	}
-	e.now = e.free
+	e.now = e.unboundUntil
 	if next(1); old() != 0 {
 		t.Error("in touch, it picked older weights though the newest are there")
 	}
 	// The agent counts half of the bound as gone: until the rest is, older ones are better than none.
-	s.NamedAt["m"] = start - e.b.Weights(0.5)
+	s.NamedAt["m"] = start - e.bounds.Weights(0.5)
 	next(0)
 	for part, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
-		e.now = start + e.b.Weights(part)
-		if _, ok := e.pick(e.s, e.ask("p", 1000), nil, nil, e.now); ok != want {
+		e.now = start + e.bounds.Weights(part)
+		if _, ok := e.selectWorker(e.s, e.ask("p", 1000), nil, nil, e.now); ok != want {
 			t.Errorf("nobody serves what was named before the start, %v of the bound later: picked %v", part, ok)
 		}
 	}
@@ -129,7 +129,7 @@
 		t.Errorf("its row changed: %s on %d", c.Worker.ID, c.Weights)
 	}
 	e.s = s
-	e.now += e.b.Heal(loadPart)
+	e.now += e.bounds.Heal(loadPart)
 	if m := at(); m["w3"] == 0 {
 		t.Errorf("its row may lag no longer: %v", m)
 	}
@@ -168,7 +168,7 @@
 // Memory of one wall is never offered to another, whatever the index and this edge know.
 func TestWallsAreNeverShared(t *testing.T) {
 	e := newEdge(fleetOf(6))
-	e.tell("p", promptindex.Confirmed, "w1", "w2", "depot")
+	e.setHolders("p", promptindex.Confirmed, "w1", "w2", "depot")
 	a := &routingconfig.Tenant{Name: "a", Isolated: true, Priority: -1}
 	r := e.ask("p", 13000)
 	e.serve(r, e.must(t, r), 10*time.Millisecond)
@@ -178,7 +178,7 @@
 	if c.Fetch != "" && c.Fetch != "store:1" || c.Salt == salt("m", 1, nil) || c.Save == "" {
 		t.Errorf("an isolated tenant: %+v", c)
 	}
-	for _, k := range e.table.plans.now {
+	for _, k := range e.table.chosen.now {
 		for _, x := range k.keys {
 			if e.found[x] != nil {
 				t.Error("looks under another wall's text")
--- a/internal/data/updatestream/feed_test.go
+++ b/internal/data/updatestream/follower_test.go
@@ -8,11 +8,11 @@
 	"pebbleloom/internal/wire"
 )
 
-func doc(epoch uint64, weights string) *wire.Document {
+func newDocument(epoch uint64, weights string) *wire.Document {
 	return &wire.Document{Version: epoch, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
 }
 
-func must(t *testing.T, tell *wire.FeedTell, old *Snapshot, now time.Duration) *Snapshot {
+func mustRead(t *testing.T, tell *wire.FeedTell, old *Snapshot, now time.Duration) *Snapshot {
 	t.Helper()
 	s, err := Read(tell, old, now)
 	if err != nil {
@@ -23,15 +23,15 @@
 
 // What an answer leaves out stays as it was; what it brings replaces it; and a snapshot
 // that is shared is never changed.
-func TestWhatIsLeftOutStays(t *testing.T) {
-	a := must(t, &wire.FeedTell{Number: 1, View: 7, ProofAt: 10, Setup: doc(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
+func TestOmittedFieldsStay(t *testing.T) {
+	a := mustRead(t, &wire.FeedTell{Number: 1, View: 7, ProofAt: 10, Setup: newDocument(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
-	b := must(t, &wire.FeedTell{Number: 2, View: 7, ProofAt: 20}, a, 200)
-	if b.Epoch != 3 || len(b.Workers) != 1 || b.Placements["s"] == nil || b.ProofAt != 20 || a.ProofAt != 10 {
+	b := mustRead(t, &wire.FeedTell{Number: 2, View: 7, ProofAt: 20}, a, 200)
+	if b.ConfigVersion != 3 || len(b.Workers) != 1 || b.Placements["s"] == nil || b.ProofAt != 20 || a.ProofAt != 10 {
 		t.Errorf("%+v after %+v", b, a)
 	}
-	c := must(t, &wire.FeedTell{Number: 3, View: 8, ProofAt: 30, Workers: []*wire.Worker{{Name: "x"}, {Name: "y"}}}, b, 300)
-	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.Epoch != 3 || len(b.Workers) != 1 {
+	c := mustRead(t, &wire.FeedTell{Number: 3, View: 8, ProofAt: 30, Workers: []*wire.Worker{{Name: "x"}, {Name: "y"}}}, b, 300)
+	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.ConfigVersion != 3 || len(b.Workers) != 1 {
 		t.Errorf("%+v after %+v", c, b)
 	}
 	if _, err := Read(&wire.FeedTell{Setup: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
@@ -40,13 +40,13 @@
 }
 
 // follow reads a chain of answers, each a setup epoch, a proof and the weights named.
-func follow(t *testing.T, l ...[3]uint64) (s *Snapshot) {
+func readChain(t *testing.T, l ...[3]uint64) (s *Snapshot) {
 	for _, x := range l {
 		tell := &wire.FeedTell{View: 1, ProofAt: x[1]}
 		if x[0] > 0 {
-			tell.Setup = doc(x[0], fmt.Sprint(x[2]))
+			tell.Setup = newDocument(x[0], fmt.Sprint(x[2]))
 		}
-		s = must(t, tell, s, time.Duration(x[1]+10))
+		s = mustRead(t, tell, s, time.Duration(x[1]+10))
 	}
 	return s
 }
@@ -54,7 +54,7 @@
 // Each superseded epoch has its own instant, however many are named after it: newer weights
 // can't have been acknowledged before the last proof of the older ones. A process that never
 // saw the older ones knows no such instant, and allows none of them.
-func TestSinceWhenWeightsAreNewer(t *testing.T) {
+func TestSinceWhenWeightsAreSuperseded(t *testing.T) {
 	for name, x := range map[string]struct {
 		chain [][3]uint64
 		since map[uint64]uint64 // zero: unknown
@@ -69,22 +69,22 @@
 		"anew without proof, renamed": {[][3]uint64{{1, 50, 1}, {2, 0, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 0}},
 		"put back at an earlier one":  {[][3]uint64{{1, 50, 1}, {2, 500, 2}, {3, 600, 1}, {4, 900, 2}}, map[uint64]uint64{1: 600}},
 	} {
-		s := follow(t, x.chain...)
+		s := readChain(t, x.chain...)
 		for w, want := range x.since {
 			if not, _, ok := s.WeightsAt["m"].Since(w); ok != (want > 0) || not != time.Duration(want) {
 				t.Errorf("%s: weights %d: %d %v, %d is due", name, w, not, ok, want)
 			}
 		}
 	}
-	a := follow(t, [3]uint64{1, 50, 1})
-	if must(t, &wire.FeedTell{View: 1, ProofAt: 500, Setup: doc(2, "2")}, a, 510); a.WeightsAt["m"].Weights != 1 {
+	a := readChain(t, [3]uint64{1, 50, 1})
+	if mustRead(t, &wire.FeedTell{View: 1, ProofAt: 500, Setup: newDocument(2, "2")}, a, 510); a.WeightsAt["m"].Weights != 1 {
 		t.Error("a shared snapshot was changed")
 	}
 	many := [][3]uint64{}
 	for i := uint64(1); i <= 20; i++ {
 		many = append(many, [3]uint64{i, 100 * i, i})
 	}
-	s := follow(t, many...).WeightsAt["m"]
+	s := readChain(t, many...).WeightsAt["m"]
 	if _, _, ok := s.Since(5); ok || len(s.Past) != maxPast {
 		t.Errorf("what was forgotten may start: %+v", s)
 	}
@@ -92,8 +92,8 @@
 
 func TestFreshness(t *testing.T) {
 	var none *Snapshot
-	s := must(t, &wire.FeedTell{View: 1, ProofAt: 100, Setup: doc(1, "1")}, nil, 0)
-	if none.Fresh(1, 10) || !s.Fresh(109, 10) || s.Fresh(110, 10) || (&Snapshot{Setup: s.Setup}).Fresh(1, 10) {
+	s := mustRead(t, &wire.FeedTell{View: 1, ProofAt: 100, Setup: newDocument(1, "1")}, nil, 0)
+	if none.Fresh(1, 10) || !s.Fresh(109, 10) || s.Fresh(110, 10) || (&Snapshot{Config: s.Config}).Fresh(1, 10) {
 		t.Error("freshness is judged wrongly")
 	}
 }
--- a/internal/data/updatestream/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// Seen is the weights epoch that a model's setup names, and those it named before.
-type Seen struct {
-	Weights uint64
-	First   time.Duration // this process first saw it named then
-	Until   time.Duration // it was still the newest then; zero: not proved
-	Past    []Seen        // what was named before, oldest first, Past left out
+// WeightsHistory is the weights version that the configuration names for a model, and those it named
+// before.
+type WeightsHistory struct {
+	Weights     uint64
+	FirstSeen   time.Duration    // when this process first saw it named
+	NewestUntil time.Duration    // it was proved to be the newest until then; zero: no proof
+	Past        []WeightsHistory // earlier versions, oldest first, without their Past
 }
 
-const maxPast = 8 // what is forgotten may not start any more
+const maxPast = 8 // requests may not start on forgotten versions
 
-// next goes on to what a newer setup names; proved is the latest instant at which the
-// setup before was still the newest.
-func (s Seen) next(weights uint64, proved, now time.Duration) Seen {
-	s.Until = max(s.Until, proved)
+// next extends the history with the version of a newer configuration; proved is the latest instant at
+// which the previous configuration was still the newest.
+func (s WeightsHistory) next(weights uint64, proved, now time.Duration) WeightsHistory {
+	s.NewestUntil = max(s.NewestUntil, proved)
 	switch {
 	case s.Weights == weights:
 		return s
-	case s.Weights == 0 || s.Weights > weights: // a model that is new here, or was put back
-		return Seen{Weights: weights, First: now}
+	case s.Weights == 0 || s.Weights > weights: // a new model, or one that was put back
+		return WeightsHistory{Weights: weights, FirstSeen: now}
 	}
-	p := append(slices.Clone(s.Past), Seen{Weights: s.Weights, First: s.First, Until: s.Until})
-	return Seen{Weights: weights, First: now, Past: p[max(0, len(p)-maxPast):]}
+	p := append(slices.Clone(s.Past), WeightsHistory{Weights: s.Weights, FirstSeen: s.FirstSeen, NewestUntil: s.NewestUntil})
+	return WeightsHistory{Weights: weights, FirstSeen: now, Past: p[max(0, len(p)-maxPast):]}
 }
 
-// Since tells when a weights epoch was superseded: nothing newer was acknowledged before
-// the first instant, and this process saw something newer at the second. Each epoch has its
-// own, however many were named after it. False: it is the newest, or nobody here knows.
+// Since returns when a weights version was superseded: nothing newer was acknowledged before the first
+// instant, and this process saw something newer at the second. False: it is the newest, or the time is
+// unknown.
 //
 // Example: not, seen, ok := s.WeightsAt["lector"].Since(3)
-func (s Seen) Since(weights uint64) (not, seen time.Duration, ok bool) {
-	if weights >= s.Weights { // the usual case, on every request's way
+func (s WeightsHistory) Since(weights uint64) (not, seen time.Duration, ok bool) {
+	if weights >= s.Weights { // the usual case, on the path of every request
 		return 0, 0, false
 	}
 	l := append(slices.Clone(s.Past), s)
@@ -43,10 +44,10 @@
 		if x.Weights <= weights {
 			continue
 		}
-		if i == 0 || l[i-1].Until == 0 {
-			return 0, x.First, false
+		if i == 0 || l[i-1].NewestUntil == 0 {
+			return 0, x.FirstSeen, false
 		}
-		return l[i-1].Until, x.First, true
+		return l[i-1].NewestUntil, x.FirstSeen, true
 	}
 	return 0, 0, false
 }
--- a/internal/runbook/book.go
+++ b/internal/runbook/book.go
@@ -1,5 +1,5 @@
-// Package runbook holds runbooks that can be executed: typed steps that look, wait, act
-// and ask, with a record of what was done that a later run goes on from.
+// Package runbook holds executable runbooks: typed steps that check, wait, act and ask for
+// confirmation, with a record of what was done from which a later run resumes.
 package runbook
 
 import (
@@ -16,7 +16,7 @@
 // Book is one runbook.
 type Book struct {
 	Name   string            `json:"name"`
-	When   string            `json:"when"`   // the trouble it is for
+	When   string            `json:"when"`   // the problem it is for
 	Params map[string]string `json:"params"` // name -> what it means
 	Steps  []Step            `json:"steps"`
 }
@@ -34,7 +34,7 @@
 	Args    map[string]string `json:"args,omitempty"`
 }
 
-// Views are what steps can look at.
+// Views are what steps can check.
 //
 // Example: slices.Contains(runbook.Views(), "nodes")
 func Views() []string {
@@ -52,7 +52,7 @@
 //go:embed books/*.json
 var files embed.FS
 
-// Shipped reads the runbooks that come with the programs.
+// Shipped reads the runbooks that are part of the programs.
 //
 // Example: l, err := runbook.Shipped()
 func Shipped() ([]Book, error) {
@@ -71,14 +71,14 @@
 			return nil, errs.Wrap(err, e.Name())
 		}
 		if b.Name+".json" != e.Name() {
-			return nil, errs.New(errs.BadInput, "runbook %s calls itself %q", e.Name(), b.Name)
+			return nil, errs.New(errs.BadInput, "runbook %s has the name %q", e.Name(), b.Name)
 		}
 		l = append(l, *b)
 	}
 	return l, nil
 }
 
-// Read decodes a runbook and notes every fault of it.
+// Read decodes and checks a runbook.
 //
 // Example: b, err := runbook.Read(raw)
 func Read(raw []byte) (*Book, error) {
@@ -161,9 +161,9 @@
 	return l
 }
 
-// Fill puts parameters in; missing and unknown ones are refused by name.
+// Fill substitutes parameters; missing and unknown ones are rejected by name.
 //
-// Example: b2, err := b.Fill(map[string]string{"worker": "cab-3"})
+// Example: b2, err := b.Fill(map[string]string{"worker": "worker-3"})
 func (b *Book) Fill(set map[string]string) (*Book, error) {
 	var f errs.Batch
 	for _, n := range queue.Keys(b.Params) {
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -10,9 +10,9 @@
 	"pebbleloom/internal/queue"
 )
 
-// World is what a run works on.
-type World interface {
-	Rows(view string) ([]map[string]string, error) // what a view shows
+// Environment is what a run works on.
+type Environment interface {
+	Rows(view string) ([]map[string]string, error) // the rows of a view
 	Do(action string, args map[string]string, token string) error
 	Confirm(text string) bool
 	Pause(second int) // one second of a wait passes
@@ -20,6 +20,9 @@
 
 // Line is one line of a run's record.
 type Line struct {
+	// Run executes a runbook from a step on. Every step is recorded as begun before, and as done after; a
+	// dry run only checks, and neither waits, acts nor asks. Each action has a token of its own, so that
+	// one whose response was lost isn't executed twice by resuming.
 	Run    string            `json:"run"`
 	Book   string            `json:"book"`
 	Set    map[string]string `json:"set,omitempty"`
@@ -36,7 +39,7 @@
 // token of its own, so that one whose answer was lost isn't made twice by going on.
 //
 // Example: err := runbook.Run(book, set, "r-1", 0, false, world, record)
-func Run(b *Book, set map[string]string, run string, from int, dry bool, w World, record func(Line) error) error {
+func Run(b *Book, set map[string]string, run string, from int, dry bool, w Environment, record func(Line) error) error {
 	f, err := b.Fill(set)
 	if err != nil {
 		return err
@@ -55,7 +58,7 @@
 			continue
 		}
 		if err := note("begun", ""); err != nil {
-			return err // what can't be recorded isn't done
+			return err // no step runs without its record
 		}
 		detail, err := s.step(w, fmt.Sprintf("%s/%d", run, i))
 		if err != nil {
@@ -79,7 +82,7 @@
 	return strings.Join(l, " ")
 }
 
-func (s *Step) step(w World, token string) (string, error) {
+func (s *Step) step(w Environment, token string) (string, error) {
 	switch s.Type {
 	case "confirm":
 		if !w.Confirm(s.Text) {
@@ -102,8 +105,8 @@
 	return "", errs.Wrap(err, fmt.Sprintf("waited %d s", s.WithinS))
 }
 
-// holds looks once: how many rows match, and whether that is as many as are due.
-func (s *Step) holds(w World) (string, error) {
+// holds checks once how many rows match, and whether that is the required number.
+func (s *Step) holds(w Environment) (string, error) {
 	rows, err := w.Rows(s.Of)
 	if err != nil {
 		return "", errs.Wrap(err, "look at "+s.Of)
@@ -142,8 +145,8 @@
 	return true
 }
 
-// Resume reads a record: where the run goes on. A step that was begun and not done is made
-// again; a record of another book, or one that is through, is refused.
+// Resume reads a record and returns where the run resumes. A step that was begun but not done is
+// repeated; a record of another runbook, or of a completed run, is rejected.
 //
 // Example: from, set, run, err := runbook.Resume(file, book)
 func Resume(r io.Reader, b *Book) (from int, set map[string]string, run string, err error) {
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -11,24 +11,27 @@
 )
 
 // stage is a world in which every wait comes true, and which counts what is done.
-type stage struct {
-	rows  map[string][]map[string]string
-	done  map[string]int // by token
-	asked int
-	deny  bool
-	looks int
-	after func(look int, s *stage)
+type fakeEnvironment struct {
+	rows   map[string][]map[string]string
+	done   map[string]int // by token
+	asked  int
+	reject bool
+	looks  int
+	after  func(look int, s *fakeEnvironment)
 }
 
-func (s *stage) Rows(v string) ([]map[string]string, error) {
+func (s *fakeEnvironment) Rows(v string) ([]map[string]string, error) {
 	if s.looks++; s.after != nil {
 		s.after(s.looks, s)
 	}
 	return s.rows[v], nil
 }
-func (s *stage) Do(a string, _ map[string]string, token string) error { s.done[token]++; return nil }
-func (s *stage) Confirm(string) bool                                  { s.asked++; return !s.deny }
-func (s *stage) Pause(int)                                            {}
+func (s *fakeEnvironment) Do(a string, _ map[string]string, token string) error {
+	s.done[token]++
+	return nil
+}
+func (s *fakeEnvironment) Confirm(string) bool { s.asked++; return !s.reject }
+func (s *fakeEnvironment) Pause(int)           {}
 
 func one(n int) *int { return &n }
 
@@ -40,8 +43,8 @@
 	{Type: "do", Text: "back", Action: "undrain", Args: map[string]string{"worker": "{worker}"}},
 }}
 
-func newStage() *stage {
-	return &stage{done: map[string]int{}, rows: map[string][]map[string]string{"workers": {{"name": "cab-3", "state": "draining"}, {"name": "cab-4", "state": "up"}}}}
+func newStage() *fakeEnvironment {
+	return &fakeEnvironment{done: map[string]int{}, rows: map[string][]map[string]string{"workers": {{"name": "cab-3", "state": "draining"}, {"name": "cab-4", "state": "up"}}}}
 }
 
 var set = map[string]string{"worker": "cab-3"}
@@ -105,7 +108,7 @@
 		t.Errorf("a check that fails: %v, done %v", err, s.done)
 	}
 	s = newStage()
-	s.deny = true
+	s.reject = true
 	if err := Run(book, set, "r", 0, false, s, quiet); errs.KindOf(err) != errs.NotAsDue || len(s.done) != 1 {
 		t.Errorf("not confirmed: %v, done %v", err, s.done)
 	}
@@ -114,7 +117,7 @@
 	if err := Run(book, set, "r", 0, false, s, quiet); err == nil || !strings.Contains(err.Error(), "waited 5 s") {
 		t.Errorf("a wait that doesn't come true: %v", err)
 	}
-	s.after = func(look int, s *stage) {
+	s.after = func(look int, s *fakeEnvironment) {
 		if look == 12 {
 			s.rows["workers"][0]["state"] = "draining"
 		}
