--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -158,7 +158,7 @@
 	const version, askedAt = 1, time.Second
 	p := agent.NewProof()
 	for _, v := range h.vouches {
-		p.Hear(&wire.FollowResponse{Member: v.member, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, NothingNewer: true}, version, askedAt)
+		p.AddResponse(&wire.FollowResponse{Member: v.member, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, NothingNewer: true}, version, askedAt)
 	}
 	if p.At(version) == 0 {
 		return ""
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -119,7 +119,7 @@
 			heard = max(heard, d.Version)
 		}
 		e.version = max(e.version, heard)
-		e.proof.Hear(x, heard, asked)
+		e.proof.AddResponse(x, heard, asked)
 		proven := e.proof.At(e.version)
 		version := e.version
 		e.mu.Unlock()
