--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -1,6 +1,6 @@
-// Package consensus is pebbleloom's own majority agreement: three colleagues keep one log of
-// a part's commands. Core is a pure state machine; whoever drives it persists first, then
-// sends, then applies.
+// Package consensus is Raft as pebbleloom uses it: the members of a shard, or of a group whose
+// membership is agreed data, replicate one log of commands. Core is a pure state machine; its driver
+// persists first, then sends, then applies.
 package consensus
 
 import (
@@ -9,22 +9,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// Config is what one member knows of its part.
+// Config is what one member knows of its shard.
 type Config struct {
 	Shard          uint32
 	Self           string
-	Members        []string // all three, Self among them; of a group none: its log tells
-	Group          bool     // membership is agreed data (group.go)
-	HeartbeatTicks int      // an owner speaks this often
-	ElectionTicks  int      // silence that makes a colleague stand, at least; at most twice as long
+	Members        []string // all three, Self among them; of a group none: they stand in its log
+	Group          bool     // membership is agreed data (membership.go)
+	HeartbeatTicks int      // between two heartbeats of a leader
+	ElectionTicks  int      // the least silence after which a follower campaigns; the longest is twice that
 	MaxBatchBytes  int      // of entries in one message, and of a snapshot's piece
 	TailBytes      int      // of compacted entries kept in memory for followers that lag, at least; 0: none
 	Rand           *rand.Rand
 }
 
-// Out is what a step asks of the driver, in this order: persist, send, apply.
+// Ready is what the steps so far ask of the driver, in this order: persist, send, apply.
 type Ready struct {
-	Install        *wire.Snapshot // replaces slot, state and log; Records then holds the log that stays
+	Install        *wire.Snapshot // replaces snapshot, state and log; Records then holds the log that stays
 	Records        []*wire.Record
 	Messages       []*wire.Message
 	Committed      []*wire.Entry
@@ -36,17 +36,17 @@
 
 const (
 	follower     role = iota
-	preCandidate      // asks whether it could win, before it takes a new term
+	preCandidate      // asks whether it would win, before it takes a new term
 	candidate
 	leader
 )
 
-// usedVote marks a term in which this member may have voted before it lost its disk.
+// unknownVote marks a term in which this member may have voted before it lost its disk.
 const unknownVote = "-"
 
 type pendingRead struct{ id, probe, index uint64 }
 
-// Core is one member of one part.
+// Core is one member of one shard.
 type Core struct {
 	cfg              Config
 	hardState        *wire.HardState
@@ -58,34 +58,34 @@
 	applied          uint64
 	role             role
 	leader           string
-	electionElapsed  int // ticks since an owner spoke
+	electionElapsed  int // ticks since a leader was heard
 	electionTimeout  int
 	heartbeatElapsed int
-	ticks            int // of this core, all in all
-	leaderHeardAt    int // the tick in which an owner spoke last
+	ticks            int // since this core was made
+	leaderHeardAt    int // tick in which a leader was heard last
 	votes            map[string]bool
 	peers            map[string]*progress
-	statesHeard      map[string]*wire.Message // states heard while blank
-	generationsHeard map[string]uint64        // generations of its name that the others have known, heard while blank
-	generation       uint64                   // the generation that it asks to be known under; 0: not picked yet
+	statesHeard      map[string]*wire.Message // states received while blank
+	generationsHeard map[string]uint64        // generations of its name that the others know, received while blank
+	generation       uint64                   // generation that it asks to be known under; 0: none yet
 	probe            uint64
 	reads            []pendingRead
 	readID           uint64
 	stuck            string
-	members          membership // the newest in the log; of fixed members always the same
-	learnerRounds    int        // beats since learners were fed
+	members          membership // the newest in the log; with fixed members always the same
+	learnerRounds    int        // heartbeats since learners were sent anything
 	ready            Ready
 }
 
-// New makes a member from what its shelf held. The slot must be there: a first start
-// writes one with a blank standing and a new incarnation.
+// New makes a member from what its disk held. There must be a snapshot: a first start stores a blank
+// one under a new incarnation.
 //
-// Example: c := ledger.New(cfg, slot, records)
-func New(cfg Config, slot *wire.Snapshot, rs []*wire.Record) *Core {
-	c := &Core{cfg: cfg, snapshot: slot, hardState: slot.HardState, commit: slot.Index, applied: slot.Index,
+// Example: c := consensus.New(cfg, snapshot, records)
+func New(cfg Config, snapshot *wire.Snapshot, records []*wire.Record) *Core {
+	c := &Core{cfg: cfg, snapshot: snapshot, hardState: snapshot.HardState, commit: snapshot.Index, applied: snapshot.Index,
 		peers: map[string]*progress{}, statesHeard: map[string]*wire.Message{}, generationsHeard: map[string]uint64{}}
 	c.reloadMembership()
-	for _, r := range rs {
+	for _, r := range records {
 		switch k := r.Kind.(type) {
 		case *wire.Record_HardState:
 			c.hardState = k.HardState
@@ -102,11 +102,11 @@
 	return c
 }
 
-// First is the slot of a disk that was empty.
+// BlankSnapshot is the first snapshot of a disk that was empty.
 //
-// Example: shelf.Turn(ledger.First("core-1/9f3a"), nil)
-func BlankSnapshot(inc string) *wire.Snapshot {
-	return &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: inc}}
+// Example: err := store.SaveSnapshot(consensus.BlankSnapshot("core-1/9f3a"), nil)
+func BlankSnapshot(incarnation string) *wire.Snapshot {
+	return &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: incarnation}}
 }
 
 func (c *Core) saveHardState(term uint64, vote string) {
@@ -114,12 +114,12 @@
 	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_HardState{HardState: c.hardState}})
 }
 
-func (c *Core) send(l *wire.Message) {
-	l.Shard, l.From, l.Incarnation, l.DiskState = c.cfg.Shard, c.cfg.Self, c.hardState.Incarnation, c.hardState.DiskState
-	if l.Term == 0 {
-		l.Term = c.hardState.Term
+func (c *Core) send(m *wire.Message) {
+	m.Shard, m.From, m.Incarnation, m.DiskState = c.cfg.Shard, c.cfg.Self, c.hardState.Incarnation, c.hardState.DiskState
+	if m.Term == 0 {
+		m.Term = c.hardState.Term
 	}
-	c.ready.Messages = append(c.ready.Messages, l)
+	c.ready.Messages = append(c.ready.Messages, m)
 }
 
 func (c *Core) eachPeer(f func(string)) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// most tells whether a majority of the members passes, this one counted where it is a member.
+// hasQuorum reports whether a majority of the members passes, this one counted where it is a member.
 func (c *Core) hasQuorum(pass func(m string) bool) bool {
 	n := 0
 	for _, m := range c.members.names {
@@ -147,7 +147,7 @@
 
 // Tick moves the member's time on by one.
 //
-// Example: c.Tick(); drive(c.Flush())
+// Example: c.Tick(); drive(c.Ready())
 func (c *Core) Tick() {
 	c.heartbeatElapsed++
 	c.ticks++
@@ -177,8 +177,8 @@
 	}
 }
 
-// follow falls back to following; a later term is persisted with its vote unused.
-func (c *Core) becomeFollower(term uint64, who string) {
+// becomeFollower follows a leader, or none yet; a later term is persisted with its vote unused.
+func (c *Core) becomeFollower(term uint64, leaderName string) {
 	if term > c.hardState.Term {
 		c.saveHardState(term, "")
 	}
@@ -191,27 +191,27 @@
 			p.transfer = nil // its snapshot is freed
 		}
 	}
-	if c.role != follower || who != "" {
+	if c.role != follower || leaderName != "" {
 		c.resetElectionTimer()
 	}
-	c.role, c.leader = follower, who
-	if who != "" {
+	c.role, c.leader = follower, leaderName
+	if leaderName != "" {
 		c.leaderHeardAt = c.ticks
 	}
 }
 
-// stand asks the colleagues for their votes: first whether it would win (sounding, which
-// changes nothing), then for real in a new term.
+// campaign asks the peers for their votes: first whether it would win (a pre-vote, which changes
+// nothing), then in a new term.
 func (c *Core) campaign(as role) {
 	c.resetElectionTimer()
 	c.role, c.leader, c.votes = as, "", map[string]bool{c.cfg.Self: true}
-	k, term := wire.MessageKind_PRE_VOTE_REQUEST, c.hardState.Term+1
+	kind, term := wire.MessageKind_PRE_VOTE_REQUEST, c.hardState.Term+1
 	if as == candidate {
-		k = wire.MessageKind_VOTE_REQUEST
+		kind = wire.MessageKind_VOTE_REQUEST
 		c.saveHardState(term, c.cfg.Self)
 	}
 	c.eachPeer(func(m string) {
-		c.send(&wire.Message{To: m, Kind: k, Term: term, Index: c.lastIndex(), LogTerm: c.lastTerm()})
+		c.send(&wire.Message{To: m, Kind: kind, Term: term, Index: c.lastIndex(), LogTerm: c.lastTerm()})
 	})
 	switch {
 	case !c.hasElectionQuorum(): // more votes are needed than its own
@@ -240,9 +240,9 @@
 	return e.Index
 }
 
-// Propose adds a command where this member owns the part; false elsewhere.
+// Propose adds a command where this member leads; false elsewhere.
 //
-// Example: i, ok := c.Propose(body)
+// Example: index, term, ok := c.Propose(body)
 func (c *Core) Propose(body []byte) (index, term uint64, ok bool) {
 	if c.role != leader {
 		return 0, 0, false
@@ -250,10 +250,10 @@
 	return c.proposeEntry(body, nil), c.hardState.Term, true
 }
 
-// Read begins a read that sees all that was acknowledged before it; its id comes back in
-// Out.Reads once a majority has confirmed that this member still owns the part.
+// RequestRead begins a read that sees all that was acknowledged before it; its id comes back in
+// Ready.ConfirmedReads once a quorum has confirmed that this member still leads.
 //
-// Example: id, ok := c.Read()
+// Example: id, ok := c.RequestRead()
 func (c *Core) RequestRead() (uint64, bool) {
 	if t, _ := c.termAt(c.commit); c.role != leader || t != c.hardState.Term {
 		return 0, false
@@ -265,9 +265,9 @@
 	return c.readID, true
 }
 
-// Flush hands over what the steps since the last Flush ask for.
+// Ready hands over what the steps since the last Ready ask for.
 //
-// Example: o := c.Flush()
+// Example: o := c.Ready()
 func (c *Core) Ready() Ready {
 	if c.commit > c.applied {
 		for _, e := range c.entriesFrom(c.applied + 1) {
--- a/internal/control/consensus/incarnations.go
+++ b/internal/control/consensus/incarnations.go
@@ -2,11 +2,11 @@
 
 import "pebbleloom/internal/wire"
 
-// A member that lost its disk, or a machine that was started under a name that another
-// still has, begins blank. It is let in by both others together: it asks which generation
-// of its name they know, picks the next one, and asks to be known under it. Each of them
-// writes that down before it tells its state, and from then on hears no older life of that
-// name. So of two machines under one name at most one counts, whatever wakes up later.
+// Fixed members only. A member that lost its disk, or a machine that was started under a name that
+// another still has, begins blank. Both others let it in together: it asks which generation of its
+// name they know, takes the next one, and asks to be known under it. Each of them persists that before
+// it sends its state, and from then on ignores every older incarnation of that name. So of two machines
+// under one name at most one counts, whichever wakes up later.
 
 func (c *Core) knownIncarnation(name string) *wire.KnownIncarnation {
 	for _, k := range c.hardState.KnownIncarnations {
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// know writes down which life of a colleague counts.
+// recordIncarnation persists which incarnation of a peer counts.
 func (c *Core) recordIncarnation(name, inc string, gen uint64) {
 	l := []*wire.KnownIncarnation{{Name: name, Incarnation: inc, Generation: gen}}
 	for _, k := range c.hardState.KnownIncarnations {
@@ -29,9 +29,9 @@
 	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_HardState{HardState: c.hardState}})
 }
 
-// Lives tells which life of each colleague counts here, and this member's own.
+// Incarnations returns this member's own incarnation and, of each peer, the one that counts here.
 //
-// Example: own, others := c.Lives()
+// Example: own, others := c.Incarnations()
 func (c *Core) Incarnations() (string, []*wire.KnownIncarnation) {
 	return c.hardState.Incarnation, c.hardState.KnownIncarnations
 }
@@ -42,8 +42,8 @@
 	})
 }
 
-// tellState answers a blank member: first which generation of its name is known here; then,
-// once that member is known under the generation it picked, the whole state.
+// handleStateRequest answers a blank member: first which generation of its name is known here; then,
+// once that member is known under the generation that it took, the whole state.
 func (c *Core) handleStateRequest(l *wire.Message) {
 	k := c.knownIncarnation(l.From)
 	r := &wire.Message{To: l.From, Kind: wire.MessageKind_STATE_RESPONSE, About: l.About, Generation: k.GetGeneration()}
@@ -62,8 +62,8 @@
 	c.send(r)
 }
 
-// hearState leads a blank member in. A first founding is told from a lost disk by the
-// others: founded colleagues with a log mean that there was a past.
+// handleStateResponse brings a blank member in. The others show whether its disk was lost or the shard
+// is new: founded peers with a log mean that there was a past.
 func (c *Core) handleStateResponse(l *wire.Message) {
 	if c.hardState.DiskState != wire.DiskState_DISK_BLANK || l.About != c.hardState.Incarnation {
 		return
@@ -80,7 +80,7 @@
 		return
 	}
 	if !l.Ok {
-		if l.Generation >= c.generation { // another life was quicker
+		if l.Generation >= c.generation { // another incarnation was quicker
 			c.restartRejoin()
 		}
 		return
@@ -100,8 +100,8 @@
 	clear(c.statesHeard)
 }
 
-// enter takes the more advanced of the two states it was told, once they are of lives that
-// count for each other.
+// rejoin takes the more advanced of the two states that it received, once they are of incarnations
+// that count for each other.
 func (c *Core) rejoin() {
 	var best *wire.Message
 	var term uint64
@@ -133,7 +133,7 @@
 		return
 	}
 	if blanks > 0 && best != nil && best.Index > 0 {
-		c.stuck = "a colleague is blank too, yet the part has a past: two disks are lost"
+		c.stuck = "a peer is blank too, yet the shard has a past: two disks are lost"
 		clear(c.statesHeard)
 		return
 	}
@@ -142,7 +142,7 @@
 	if term > 0 {
 		vote = unknownVote // it may have voted in that term before it lost its disk
 	}
-	for _, k := range c.hardState.KnownIncarnations { // lives that were let in here meanwhile
+	for _, k := range c.hardState.KnownIncarnations { // incarnations that were let in here meanwhile
 		for _, x := range known {
 			if x.Name == k.Name && k.Generation >= x.Generation {
 				x.Incarnation, x.Generation = k.Incarnation, k.Generation
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -71,12 +71,12 @@
 //
 // Example: snapshot, rest := c.Compact(state)
 func (c *Core) Compact(state []byte) (*wire.Snapshot, []*wire.Record) {
-	term, _ := c.termAt(c.applied)
+	t, _ := c.termAt(c.applied)
 	compacted := c.log[:c.applied-c.snapshot.Index]
 	stay := append([]*wire.Entry(nil), c.entriesFrom(c.applied+1)...)
 	at := c.membershipAt(c.applied)
 	c.keepTail(compacted, len(state))
-	c.snapshot = &wire.Snapshot{Format: 1, Index: c.applied, Term: term, HardState: c.hardState, State: state,
+	c.snapshot = &wire.Snapshot{Format: 1, Index: c.applied, Term: t, HardState: c.hardState, State: state,
 		Members: at.namesOnWire(c.cfg.Group), MembersIndex: at.index, MembersTerm: at.term}
 	c.log = stay
 	return c.snapshot, entryRecords(stay)
--- a/internal/control/consensus/messages.go
+++ b/internal/control/consensus/messages.go
@@ -2,9 +2,9 @@
 
 import "pebbleloom/internal/wire"
 
-// Take reads one letter. Letters may be lost, late, doubled or out of order.
+// Step reads one message. Messages may be lost, late, doubled or out of order.
 //
-// Example: c.Take(l); drive(c.Flush())
+// Example: c.Step(m); drive(c.Ready())
 func (c *Core) Step(l *wire.Message) {
 	if l.To != c.cfg.Self || l.Shard != c.cfg.Shard || l.From == c.cfg.Self || !c.cfg.Group && !c.IsVoter(l.From) {
 		return
@@ -12,7 +12,7 @@
 	switch l.Kind {
 	case wire.MessageKind_STATE_REQUEST:
 		if c.cfg.Group {
-			return // a group's lost disk comes back as another member
+			return // a disk that a group has lost comes back as another member
 		}
 		c.handleStateRequest(l)
 		return
@@ -21,16 +21,16 @@
 		return
 	}
 	if k := c.knownIncarnation(l.From); k != nil && k.Incarnation != l.Incarnation {
-		return // another life has taken that name: this one counts no more
+		return // another incarnation has taken that name: this one counts no more
 	}
 	switch l.Kind {
 	case wire.MessageKind_VOTE_RESPONSE, wire.MessageKind_PRE_VOTE_RESPONSE, wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
 		if l.About != c.hardState.Incarnation {
-			return // an answer to another life of this name
+			return // a response to another incarnation of this name
 		}
 	}
 	if c.hardState.DiskState == wire.DiskState_DISK_BLANK {
-		return // no vote and no acknowledgement until caught up from both others
+		return // no vote and no acknowledgement until both others have sent their states
 	}
 	if l.Kind == wire.MessageKind_PRE_VOTE_REQUEST {
 		ok := l.Term > c.hardState.Term && c.upToDate(l) && (c.leader == "" || c.role != leader && c.electionElapsed >= c.cfg.ElectionTicks)
@@ -79,8 +79,8 @@
 	return l.LogTerm > t || l.LogTerm == t && l.Index >= c.lastIndex()
 }
 
-// yields tells whether this member leaves standing to a colleague that asks at the same time: to
-// one whose log is ahead, or that comes first by name. Members that begin together would all stand.
+// yieldsTo reports whether this member leaves campaigning to a peer that asks at the same time: to one
+// whose log is ahead, or that comes first by name. Members that start together would all campaign.
 func (c *Core) yieldsTo(l *wire.Message) bool {
 	return l.From < c.cfg.Self || l.LogTerm > c.lastTerm() || l.Index > c.lastIndex()
 }
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -197,7 +197,7 @@
 // advanceCommit commits what a quorum holds, if it is of this term.
 func (c *Core) advanceCommit() {
 	for i := c.lastIndex(); i > c.commit; i-- {
-		if term, _ := c.termAt(i); term != c.hardState.Term {
+		if t, _ := c.termAt(i); t != c.hardState.Term {
 			return
 		}
 		if c.hasQuorum(func(m string) bool { return c.peers[m].match >= i }) {
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -87,7 +87,7 @@
 		return
 	}
 	var stay []*wire.Entry
-	if term, ok := c.termAt(s.Index); ok && term == s.Term {
+	if t, ok := c.termAt(s.Index); ok && t == s.Term {
 		stay = append(stay, c.entriesFrom(s.Index+1)...)
 	}
 	c.adoptSnapshot(s, stay)
