--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -25,9 +25,9 @@
 	return openShard(context.Background(), cfg, d, func() string { return "new" }, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
 }
 
-// A data folder that a core machine of the first release left behind is read as it was:
-// testdata/recorded-1 is such a folder, with the setup at epoch 4.
-func TestDataOfTheFirstReleaseIsRead(t *testing.T) {
+// openRecorded opens the data folder that a core machine of the first release left behind.
+func openRecorded(t *testing.T) *shard {
+	t.Helper()
 	d := newSimDisk()
 	fs, err := filepath.Glob("testdata/recorded-1/*")
 	if err != nil || len(fs) < 2 {
@@ -42,6 +42,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return p
+}
+
+// A data folder that a core machine of the first release left behind is read as it was:
+// testdata/recorded-1 is such a folder, with the setup at epoch 4.
+func TestDataOfTheFirstReleaseIsRead(t *testing.T) {
+	p := openRecorded(t)
 	s := p.core.Status()
 	if s.Blank || s.Last < 4 || s.Term == 0 {
 		t.Fatalf("%+v", s)
