--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/orders_again_test.go
@@ -215,7 +215,7 @@
 
 // An order whose base is proposed and not yet in force is neither refused nor proposed: it is asked for
 // again. One on a version that nobody has heard of is a conflict.
-func TestAnOrderOnABaseThatIsUnderWay(t *testing.T) {
+func TestAnOrderOnABaseThatIsProposed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newOrderCluster(t, otherKey)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -39,7 +39,7 @@
 // Two operators race on one epoch, each sends its change again under its token because an
 // answer was lost, and a third comes without an epoch to go by. In every order: one of the
 // racers wins, a change sent again is the same change, and no epoch is told twice.
-func TestEveryOrderOfRacingSetups(t *testing.T) {
+func TestEveryOrderOfRacingConfigurations(t *testing.T) {
 	cs := []*wire.Command{put("k", "a", "ta", 1), put("k", "a", "ta", 1), put("k", "b", "tb", 1), put("k", "b", "tb", 1), put("k", "c", "tc", 0)}
 	cs[4].GetPut().AnyVersion = true
 	cs[4].GetPut().Digest = digestOf(cs[4].GetPut(), false)
@@ -215,7 +215,7 @@
 }
 
 // The part's age is what its owners saw pass: none between owners, none twice.
-func TestAPartsAgeIsItsOwners(t *testing.T) {
+func TestTheAgeOfAShardIsThatOfItsLeaders(t *testing.T) {
 	h := &clock.Hand{T: time.Hour}
 	p := &shard{clock: h}
 	for _, x := range []struct {
--- a/internal/control/mutation/point2_test.go
+++ b/internal/control/mutation/point2_test.go
@@ -36,7 +36,7 @@
 		file:        "internal/control/controlstate/change.go",
 		original:    "put.IfVersion > old.GetVersion() && len(p.core.Unapplied()) > 0",
 		replacement: "put.IfVersion < old.GetVersion() && len(p.core.Unapplied()) > 0",
-		pkg:         "internal/control/controlstate", run: "TestAnOrderOnABaseThatIsUnderWay"},
+		pkg:         "internal/control/controlstate", run: "TestAnOrderOnABaseThatIsProposed"},
 	mutant{point: 2, name: "the version a change builds on is part of what makes it the same",
 		file:        "internal/control/controlstate/taken.go",
 		original:    `fmt.Fprintf(hash, "%q %v ", put.Key, patch)`,
