--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -1,7 +1,6 @@
 package callerproxy
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
@@ -10,9 +9,6 @@
 
 	"pebbleloom/api/caller"
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/contract"
-	"pebbleloom/internal/control/serviceconfig"
-	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
@@ -34,137 +30,212 @@
 	return denial{errs.New(k, format, a...), id, back}
 }
 
-// Answer carries one request: gate, index, choice, go, stream.
+// Answer carries one request: admission, claim, index, choice, attempt, stream.
 //
 // Example: POST /v1/answers {"request_id": "r1", "model": "lector", "parts": ["…"], "wait_ms": 8000}
 func (d *Dispatcher) Answer(ctx context.Context, q *caller.Ask, h caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
-	t0 := d.clk.Now()
-	back := d.b.Config(0.25)
-	s, err := d.pin(q.RequestID)
+	r, err := d.admit(ctx, q, h)
 	if err != nil {
 		return nil, err
 	}
-	wait := time.Duration(q.WaitMs) * time.Millisecond
-	if m := s.Config.WaitMaxMs; m > 0 {
-		wait = min(wait, time.Duration(m)*time.Millisecond)
+	if err := r.claim(); err != nil {
+		r.leave()
+		return nil, err
+	}
+	r.lookUp()
+	for {
+		out, err := r.attempt()
+		if out != nil {
+			out.leave = r.leave
+			return &caller.AnswerOKHeaders{XRequestID: q.RequestID, XWorker: out.worker, XSetupEpoch: fmt.Sprint(r.config.Epoch),
+				Response: caller.AnswerOK{Data: out}}, nil
+		}
+		if err != nil { // once an attempt may have run, no rejection says that it didn't
+			r.leave()
+			return nil, honest(err, r.mayHaveRun)
+		}
+	}
+}
+
+// request is one request on its way: what it was admitted under, and what became of its attempts.
+type request struct {
+	d      *Dispatcher
+	ask    *caller.Ask
+	key    string
+	tenant string
+	once   bool
+	ctx    context.Context // ends with its wait
+	cancel context.CancelFunc
+	began  time.Duration
+	wait   time.Duration
+
+	config     *updatestream.Snapshot // pinned: checked again right before each attempt starts
+	entries    map[uint64][]prefix.Entry
+	found      map[prefix.Key]*wire.Found
+	tried      map[string]bool // workers
+	counted    bool            // its first attempt has earned its share of a retry
+	nonce      uint64          // of its claim; 0: none
+	mayHaveRun bool
+}
+
+// admit takes a request in under the newest configuration, or says why not and when to come back.
+func (d *Dispatcher) admit(ctx context.Context, q *caller.Ask, h caller.AnswerParams) (*request, error) {
+	r := &request{d: d, ask: q, key: h.XTenantKey, once: q.Once.Or(false), began: d.clk.Now(), tried: map[string]bool{}}
+	var err error
+	if r.config, err = d.pin(q.RequestID); err != nil {
+		return nil, err
+	}
+	r.wait = time.Duration(q.WaitMs) * time.Millisecond
+	if m := r.config.Setup.WaitMaxMs; m > 0 {
+		r.wait = min(r.wait, time.Duration(m)*time.Millisecond)
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait)
 	size := 0
 	for _, p := range q.Parts {
 		size += len(p)
 	}
 	if size > d.b.BodyKB<<10 {
-		cancel()
 		return nil, deny(errs.TooBig, q.RequestID, 0, "parts: %d bytes, at most %d", size, d.b.BodyKB<<10)
 	}
-	tenant, t, ok := s.Config.Tenant(h.XTenantKey)
+	tenant, t, ok := r.config.Setup.Tenant(r.key)
 	if !ok {
-		cancel()
 		return nil, deny(errs.BadKey, q.RequestID, 0, "the key is not in force")
 	}
+	r.tenant = tenant
 	var why string
+	var back time.Duration
 	kind := errs.OverBudget
-	d.gate.Ask(func(g *gate) { kind, why, back = g.admit(tenant, t, d.b.Waiting, edges(s, false), t0) })
+	d.gate.Ask(func(g *gate) { kind, why, back = g.admit(tenant, t, d.b.Waiting, edges(r.config, false), r.began) })
 	if why != "" {
-		cancel()
 		return nil, deny(kind, q.RequestID, back, "%s", why)
 	}
-	mayHaveRun := false
-	var nonce uint64
-	leave := func() {
-		cancel()
-		d.gate.TrySend(func(g *gate) { g.leave(tenant) })
-		if nonce != 0 && !mayHaveRun {
-			d.claims.back(claimID(tenant, q.RequestID), nonce) // proved not to have run: the id may be sent again
-		}
+	r.ctx, r.cancel = context.WithTimeout(ctx, r.wait-(d.clk.Now()-r.began))
+	return r, nil
+}
+
+// leave gives back what the request held. A claim goes back only where it is proved that nothing
+// has run: then its id may be sent again.
+func (r *request) leave() {
+	r.cancel()
+	r.d.gate.TrySend(func(g *gate) { g.leave(r.tenant) })
+	if r.nonce != 0 && !r.mayHaveRun {
+		r.d.claims.back(claimID(r.tenant, r.ask.RequestID), r.nonce)
 	}
-	if q.Once.Or(false) {
-		var granted bool
-		if nonce, granted, err = d.claims.take(ctx, claimID(tenant, q.RequestID)); err != nil {
-			leave()
-			return nil, deny(errs.NotRun, q.RequestID, d.b.Heal(1.0/12), "its id can't be claimed now: %v", err)
-		} else if !granted {
-			nonce = 0
-			leave()
-			return nil, deny(errs.MayHaveRun, q.RequestID, 0, "a once-only request of this id was taken before")
-		}
+}
+
+// claim takes the id of a request that may run only once, before anything starts.
+func (r *request) claim() error {
+	if !r.once {
+		return nil
 	}
-	es := d.entries(s, q, tenant, nil)
-	found := d.index.seek(ctx, keysOf(es))
-	// Every end below goes through give: once a go may have run, no denial says that it didn't.
-	give := func(err error) (*caller.AnswerOKHeaders, error) { leave(); return nil, honest(err, mayHaveRun) }
-	tried := map[string]bool{}
-	for n := 0; ; {
-		// The pinned epoch is checked again right before every go starts.
-		if now, err := d.pin(q.RequestID); err != nil {
-			return give(err)
-		} else if now.ConfigVersion != s.ConfigVersion {
-			if s = now; !s.Config.KeyBelongsTo(h.XTenantKey, tenant) {
-				return give(deny(errs.BadKey, q.RequestID, 0, "the key was taken out of force"))
-			}
-			es = d.entries(s, q, tenant, nil)
-			found = d.index.seek(ctx, keysOf(es))
-		}
-		way, ok := s.Config.Routes[q.Model]
-		if !ok {
-			return give(deny(errs.NoModel, q.RequestID, 0, "no way leads to model %q", q.Model))
-		}
-		if on := target(s, q); !s.Config.Allows(on.Adapter, tenant) {
-			return give(deny(errs.NoModel, q.RequestID, 0, "adapter %q isn't for tenant %s", on.Adapter, tenant))
-		}
-		service := way.ServiceFor(q.RequestID)
-		c, err := d.pickWorker(s, q, tenant, service, es, found, tried)
-		if err != nil {
-			return give(err)
-		}
-		until := d.until(s, q, c.Worker)
-		if left := wait - (d.clk.Now() - t0); time.Duration(c.Wait)*time.Microsecond > left || ctx.Err() != nil {
-			d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
-			if left <= 0 || ctx.Err() != nil {
-				return give(deny(errs.NotRun, q.RequestID, back, "the wait was over before a go could start"))
-			}
-			return give(deny(errs.Overloaded, q.RequestID, time.Duration(c.Wait)*time.Microsecond, "a slot is free in %.0f ms, after the wait is over", c.Wait/1000))
-		}
-		if now := d.clk.Now(); now+time.Duration(c.Wait)*time.Microsecond > until { // it waits here, where it is looked at again
-			d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
-			clock.Pause(ctx, d.b.Config(0.02))
-			continue
-		}
-		if n == 0 {
-			n++
-			d.gate.TrySend(func(g *gate) { d.tries(g, service).First(d.allowance(g, s)) })
-		}
-		if !d.current(s) { // a new setup came while this was thought over
-			d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
-			continue
-		}
-		var out *stream
-		var notRun bool
-		out, notRun, err = d.start(ctx, s, q, tenant, service, c, wait-(d.clk.Now()-t0), until)
-		mayHaveRun = mayHaveRun || !notRun
-		if err == nil {
-			out.leave = leave
-			return &caller.AnswerOKHeaders{XRequestID: q.RequestID, XWorker: c.Worker.Name, XSetupEpoch: fmt.Sprint(s.ConfigVersion),
-				Response: caller.AnswerOK{Data: out}}, nil
-		}
-		tried[c.Worker.Name] = true
-		d.life.Log.Debug("go failed", "request", q.RequestID, "worker", c.Worker.Name, "not_run", notRun, "error", err)
-		again, late := false, ctx.Err() != nil
-		if (notRun || !q.Once.Or(false)) && !late {
-			d.gate.Ask(func(g *gate) { again = d.tries(g, service).Extra(d.allowance(g, s)) })
-		}
-		if again {
-			d.stats.extra.Add(1)
-			continue
+	nonce, granted, err := r.d.claims.take(r.ctx, claimID(r.tenant, r.ask.RequestID))
+	if err != nil {
+		r.nonce = nonce // it may have been granted
+		return deny(errs.NotRun, r.ask.RequestID, r.d.b.Heal(1.0/12), "its id can't be claimed now: %v", err)
+	}
+	if !granted {
+		return deny(errs.MayHaveRun, r.ask.RequestID, 0, "a once-only request of this id was taken before")
+	}
+	r.nonce = nonce
+	return nil
+}
+
+// lookUp asks the index who holds the prompt's prefixes.
+func (r *request) lookUp() {
+	r.entries = r.d.entries(r.config, r.ask, r.tenant, nil)
+	r.found = r.d.index.seek(r.ctx, keysOf(r.entries))
+}
+
+// attempt makes one attempt. Neither a stream nor an error: there may be another.
+func (r *request) attempt() (*stream, error) {
+	service, err := r.route()
+	if err != nil {
+		return nil, err
+	}
+	c, err := r.d.pickWorker(r.config, r.ask, r.tenant, service, r.entries, r.found, r.tried)
+	if err != nil {
+		return nil, err
+	}
+	until := r.d.until(r.config, r.ask, c.Worker)
+	if ready, pause, err := r.ready(c, service, until); !ready {
+		r.d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
+		if pause > 0 {
+			clock.Pause(r.ctx, pause)
 		}
-		switch {
-		case !mayHaveRun || !late && !q.Once.Or(false):
-			return give(deny(errs.NotRun, q.RequestID, d.b.Heal(1.0/24), "worker %s: %v", c.Worker.Name, err))
-		case q.Once.Or(false):
-			return give(deny(errs.MayHaveRun, q.RequestID, 0, "worker %s: %v", c.Worker.Name, err))
+		return nil, err
+	}
+	out, notRun, err := r.d.start(r.ctx, r.config, r.ask, r.tenant, service, c, r.left(), until)
+	r.mayHaveRun = r.mayHaveRun || !notRun
+	if err == nil {
+		return out, nil
+	}
+	r.tried[c.Worker.Name] = true
+	r.d.life.Log.Debug("attempt failed", "request", r.ask.RequestID, "worker", c.Worker.Name, "not_run", notRun, "error", err)
+	return nil, r.afterFailure(service, c.Worker.Name, notRun, err)
+}
+
+// route checks the pinned configuration again, and finds the service that the request goes to.
+func (r *request) route() (service string, err error) {
+	id := r.ask.RequestID
+	now, err := r.d.pin(id)
+	if err != nil {
+		return "", err
+	}
+	if now.Epoch != r.config.Epoch {
+		if r.config = now; !now.Setup.KeyBelongsTo(r.key, r.tenant) {
+			return "", deny(errs.BadKey, id, 0, "the key was taken out of force")
 		}
-		return give(deny(errs.Expired, q.RequestID, d.b.Heal(1.0/24), "worker %s didn't begin in time", c.Worker.Name))
+		r.lookUp()
 	}
+	route, ok := r.config.Setup.Routes[r.ask.Model]
+	if !ok {
+		return "", deny(errs.NoModel, id, 0, "no route leads to model %q", r.ask.Model)
+	}
+	if on := target(r.config, r.ask); !r.config.Setup.Allows(on.Adapter, r.tenant) {
+		return "", deny(errs.NoModel, id, 0, "adapter %q isn't for tenant %s", on.Adapter, r.tenant)
+	}
+	return route.ServiceFor(id), nil
+}
+
+// ready tells whether an attempt may start now: inside the request's wait, the bounds of what it
+// goes by, and the newest configuration. Without an error it is looked at again, after a pause.
+func (r *request) ready(c Choice, service string, until time.Duration) (ready bool, pause time.Duration, err error) {
+	d, queued := r.d, time.Duration(c.Wait)*time.Microsecond
+	if r.left() <= 0 || r.ctx.Err() != nil {
+		return false, 0, deny(errs.NotRun, r.ask.RequestID, 0, "the wait was over before an attempt could start")
+	}
+	if queued > r.left() {
+		return false, 0, deny(errs.Overloaded, r.ask.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", c.Wait/1000)
+	}
+	if d.clk.Now()+queued > until { // it waits here, where it is looked at again
+		return false, d.b.Config(0.02), nil
+	}
+	if !r.counted {
+		r.counted = true
+		d.gate.TrySend(func(g *gate) { d.retries(g, service).First(d.allowance(g, r.config)) })
+	}
+	return d.current(r.config), 0, nil // else a new one came while this was thought over
+}
+
+// left is how much of the wait is left.
+func (r *request) left() time.Duration { return r.wait - (r.d.clk.Now() - r.began) }
+
+// afterFailure gives the request's final error; nil where another attempt may be made.
+func (r *request) afterFailure(service, worker string, notRun bool, err error) error {
+	d, id := r.d, r.ask.RequestID
+	again, late := false, r.ctx.Err() != nil
+	if (notRun || !r.once) && !late {
+		d.gate.Ask(func(g *gate) { again = d.retries(g, service).Extra(d.allowance(g, r.config)) })
+	}
+	switch {
+	case again:
+		d.stats.extra.Add(1)
+		return nil
+	case !r.mayHaveRun || !late && !r.once:
+		return deny(errs.NotRun, id, d.b.Heal(1.0/24), "worker %s: %v", worker, err)
+	case r.once:
+		return deny(errs.MayHaveRun, id, 0, "worker %s: %v", worker, err)
+	}
+	return deny(errs.Expired, id, d.b.Heal(1.0/24), "worker %s didn't begin in time", worker)
 }
 
 // honest makes a denial that says "nothing ran" into one that says what is known.
@@ -195,7 +266,7 @@
 // current tells whether a pinned setup is still the newest, and proved so.
 func (d *Dispatcher) current(s *updatestream.Snapshot) bool {
 	n := d.fol.Now()
-	return n.ConfigVersion == s.ConfigVersion && n.Fresh(d.clk.Now(), d.b.Config(0.8))
+	return n.Epoch == s.Epoch && n.Fresh(d.clk.Now(), d.b.Config(0.8))
 }
 
 // entries names a prompt's prefixes under each weights epoch that may still start. Which
@@ -205,7 +276,7 @@
 	m := map[uint64][]prefix.Entry{}
 	on := target(s, q)
 	w := s.WeightsAt[on.Model]
-	service := s.Config.Routes[q.Model].ServiceFor(q.RequestID)
+	service := s.Setup.Routes[q.Model].ServiceFor(q.RequestID)
 	for _, x := range s.Workers {
 		if x.Service != service || x.State == updatestream.WorkerGone {
 			continue
@@ -249,7 +320,7 @@
 }
 
 // older tells how long superseded weights may still start; zero: no more.
-func (d *Dispatcher) older(w updatestream.WeightsHistory, weights uint64) time.Duration {
+func (d *Dispatcher) older(w updatestream.Seen, weights uint64) time.Duration {
 	not, _, ok := w.Since(weights)
 	if !ok || weights == 0 {
 		return 0
@@ -266,111 +337,3 @@
 	}
 	return ks
 }
-
-// pickWorker picks the worker of the next go.
-func (d *Dispatcher) pickWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
-	p, on := s.Placements[service], target(s, q)
-	u := Query{ID: q.RequestID, Mode: modeOf(s.Config, service), District: d.life.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
-		Tried: tried, Newest: s.WeightsAt[on.Model].Weights, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
-	if p != nil {
-		u.Curve = p.Prefill
-	}
-	now := d.clk.Now()
-	for _, w := range s.Workers {
-		if w.Kind == "store" && w.State == updatestream.WorkerUp {
-			u.Stores[w.Name] = w.Addr
-		}
-		if x := under(w, on); x != nil && w.Service == service && w.State <= updatestream.WorkerUnsure {
-			u.Workers = append(u.Workers, x)
-		}
-	}
-	var c Choice
-	ok := false
-	d.gate.Ask(func(g *gate) {
-		u.MeanUs = g.meanUs
-		var up []*wire.Worker
-		for _, w := range u.Workers {
-			// A worker that has just failed a go here waits for its next good probe.
-			if x := g.workers[w.Name]; x == nil || x.failed == 0 || now-x.failed > d.b.Leave(0.3) {
-				up = append(up, w)
-			}
-		}
-		u.Workers = up
-		loads := make(map[string]float64, len(up))
-		for _, w := range up {
-			loads[w.Name] = float64(w.Busy + w.Queued)
-			if x := g.workers[w.Name]; x != nil {
-				loads[w.Name] = max(loads[w.Name], float64(x.goes))
-			}
-		}
-		u.Load = func(n string) float64 { return loads[n] }
-		if c, ok = Pick(u); ok {
-			g.worker(c.Worker.Name).goes++
-		}
-	})
-	if !ok {
-		return c, deny(errs.NotRun, q.RequestID, d.b.Leave(0.3), "no worker of service %s can take it now", service)
-	}
-	return c, nil
-}
-
-func modeOf(s *serviceconfig.Config, service string) string {
-	if m := s.Services[service].Placement; m != "" {
-		return m
-	}
-	return "hrcs"
-}
-
-// start begins a go and waits for its first line. Where it fails, notRun is the proof that
-// the go never started.
-func (d *Dispatcher) start(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
-	ctx, stop := context.WithCancel(ctx)
-	w := c.Worker
-	o := &stream{d: d, id: q.RequestID, worker: w.Name, district: w.District, began: d.clk.Now(), stop: stop, snap: s}
-	watch := time.AfterFunc(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
-	o.watch = watch
-	hints := map[string]string{}
-	if c.Fetches != "" {
-		hints[contract.FetchFrom] = c.Fetches
-	}
-	if c.Saves != "" {
-		hints[contract.SaveTo], hints[contract.SaveUpto] = c.Saves, fmt.Sprint(c.SaveUpto)
-	}
-	on := target(s, q)
-	g := d.be.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.Domain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
-		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clk.Now()).Milliseconds()), Once: q.Once.Or(false),
-		Incarnation: w.Incarnation, BeginByUs: beginBy(w, until)}, hints)
-	if g.Err != nil {
-		o.end(false)
-		return nil, g.NotRun(), g.Err
-	}
-	d.index.count(service, c.Entries, w.Name, c.SaveTo, c.SaveUpto)
-	o.body, o.r, o.check = g.Body, bufio.NewReaderSize(g.Body, contract.MaxLine), contract.NewCheck(q.RequestID, w.Name)
-	if err := o.next(); err != nil {
-		o.end(false)
-		return nil, false, err
-	}
-	d.decided(q.RequestID, s, c)
-	return o, false, nil
-}
-
-// watch gives up a go whose worker has gone: its silence is not waited out.
-func (d *Dispatcher) watch(o *stream, w *wire.Worker, stop func()) {
-	for _, x := range d.fol.Now().Workers {
-		if x.Name == w.Name && x.Addr == w.Addr && x.State != updatestream.WorkerGone && (x.Incarnation == w.Incarnation || w.Incarnation == "") {
-			o.again(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
-			return
-		}
-	}
-	stop()
-}
-
-// PlacementFor gives the placement in use for a service, for those who explain choices.
-//
-// Example: p := d.PlacementFor("lector")
-func (d *Dispatcher) PlacementFor(service string) *placement.Placement {
-	if s := d.fol.Now(); s != nil {
-		return s.Placements[service]
-	}
-	return nil
-}
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -150,7 +150,11 @@
 	}
 	d := &Dispatcher{life: l, b: p.Bounds, clk: b.clk, be: contract.NewBackends((&net.Dialer{}).DialContext), curve: placement.Default(), log: queue.NewRing[*wire.Decided](8), claims: fakeClaims{b}}
 	d.gate = queue.NewActor(newGate(), 64)
-	d.gate.Ask(func(g *gate) { d.tries(g, "s").saved = 1 }) // as after a few requests
+	d.gate.Ask(func(g *gate) {
+		for range 100 / d.b.TryShare { // as after a few requests
+			d.retries(g, "s").First(1)
+		}
+	})
 	d.index = newIndex(l, b.clk)
 	d.fol = updatestream.Fixed(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snap })
 	srv, err := caller.NewServer(d, caller.WithErrorHandler(turnAway))
--- a/internal/data/callerproxy/dispatcher.go
+++ b/internal/data/callerproxy/dispatcher.go
@@ -17,6 +17,7 @@
 	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/data/retrybudget"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
@@ -129,21 +130,21 @@
 	}
 }
 
-// tries is a service's bucket of extra tries.
-func (d *Dispatcher) tries(g *gate, service string) *Tries {
-	t := g.tries[service]
-	if t == nil {
-		t = &Tries{Share: float64(d.b.TryShare) / 100}
-		g.tries[service] = t
+// retries is a service's budget of attempts beyond the first.
+func (d *Dispatcher) retries(g *gate, service string) *retrybudget.Budget {
+	b := g.retries[service]
+	if b == nil {
+		b = retrybudget.New(float64(d.b.TryShare) / 100)
+		g.retries[service] = b
 	}
-	return t
+	return b
 }
 
-// allowance is this edge's part of the extra tries that a service may save up. Edges that are
-// gone count too, as long as they are remembered: one that is only cut off has its part still.
+// allowance is this edge's share of the extra attempts that a service may save up. Edges that are
+// gone count too, as long as they are remembered: one that is only cut off has its share still.
 func (d *Dispatcher) allowance(g *gate, s *updatestream.Snapshot) float64 {
 	g.edges = max(g.edges, edges(s, true))
-	return part(float64(d.b.TryAllow), g.edges)
+	return retrybudget.Share(float64(d.b.TryAllow), g.edges)
 }
 
 // edges counts the edge machines that a snapshot knows; gone ones where asked for.
--- a/internal/data/callerproxy/gate.go
+++ b/internal/data/callerproxy/gate.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/retrybudget"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/wire"
 )
@@ -14,7 +15,7 @@
 	inflight int
 	tenants  map[string]*tenantState
 	workers  map[string]*workerState
-	tries    map[string]*Tries
+	retries  map[string]*retrybudget.Budget
 	meanUs   float64
 	goes     map[string]*wire.GoReport
 	edges    int // the most edge machines seen in this life
@@ -37,7 +38,7 @@
 
 func newGate() *gate {
 	return &gate{tenants: map[string]*tenantState{}, workers: map[string]*workerState{},
-		tries: map[string]*Tries{}, meanUs: 100000, goes: map[string]*wire.GoReport{}}
+		retries: map[string]*retrybudget.Budget{}, meanUs: 100000, goes: map[string]*wire.GoReport{}}
 }
 
 // admit takes a request in, or says why not and when to come back. A tenant's budget is the
@@ -54,7 +55,7 @@
 		s = &tenantState{tokens: 1, at: now}
 		g.tenants[tenant] = s
 	}
-	if t.Inflight > 0 && s.inflight >= int(part(float64(t.Inflight), edges)) {
+	if t.Inflight > 0 && s.inflight >= int(retrybudget.Share(float64(t.Inflight), edges)) {
 		return errs.OverBudget, "the tenant has as many requests under way as its budget allows", time.Duration(g.meanUs) * time.Microsecond
 	}
 	if rate := t.Rate / float64(max(1, edges)); rate > 0 {
--- a/internal/data/callerproxy/pick_test.go
+++ b/internal/data/callerproxy/pick_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"strings"
 	"testing"
 
@@ -152,55 +151,3 @@
 		}
 	})
 }
-
-// excess is by how much the extra goes of some window are over the share of its first goes
-// and an allowance: the most over all windows, wherever they begin and end.
-func excess(log []bool, share, allowance float64) float64 {
-	worst, run := 0.0, 0.0 // the heaviest run that ends here: first goes take, extra ones add
-	for _, extra := range log {
-		if extra {
-			run++
-		} else {
-			run = max(0, run-share)
-		}
-		worst = max(worst, run)
-	}
-	return worst - allowance
-}
-
-// In any window whatever, extra goes stay within the share of its first goes plus the
-// allowance: with traffic that falls, bursts and stops, many services' worth of seeds, a part
-// that shrinks as edges come, and restarts in the middle.
-func TestExtraTriesInEveryWindow(t *testing.T) {
-	if excess([]bool{false, true, true}, 0.2, 1) <= 0 || excess([]bool{true, false, false, false, false, false, true}, 0.2, 1) > tiny {
-		t.Fatal("the check itself can't tell one extra go too many")
-	}
-	for seed := range uint64(200) {
-		r := rand.New(rand.NewPCG(seed, 5))
-		x, most := &Tries{Share: 0.2}, part(10, 1+int(seed%12))
-		var log []bool
-		granted, denied := 0, 0
-		for range 40 {
-			firsts, tries := r.IntN(60), r.IntN(60) // a phase of traffic, from none to a burst
-			allowance := most / float64(1+r.IntN(2))
-			if r.IntN(10) == 0 {
-				x = &Tries{Share: 0.2}
-			}
-			for firsts+tries > 0 {
-				if firsts > 0 && r.IntN(firsts+tries) < firsts {
-					firsts--
-					x.First(max(1, allowance))
-					log = append(log, false)
-				} else if tries--; x.Extra(max(1, allowance)) {
-					granted++
-					log = append(log, true)
-				} else {
-					denied++
-				}
-			}
-		}
-		if e := excess(log, 0.2, most); e > 1e-6 || granted < 20 || denied < 20 {
-			t.Fatalf("seed %d: over by %g; granted %d, denied %d", seed, e, granted, denied)
-		}
-	}
-}
--- a/internal/data/proxy/budget.go
+++ b/internal/data/proxy/budget.go
@@ -1,47 +1,26 @@
 package proxy
 
-import "sync"
+import (
+	"sync"
 
-// tries bounds the extra attempts of one service: each first attempt earns a share of an extra
-// one, and no more than the allowance is ever saved up. So in any window, wherever it begins and
-// ends, extra attempts are at most the share of its first ones plus the allowance. It begins
-// empty, so that restarts add nothing.
-type tries struct{ saved float64 }
+	"pebbleloom/internal/data/retrybudget"
+)
 
-// tiny makes up for shares that have no exact binary form: five fifths are a whole.
-const tiny = 1e-9
-
-func (t *tries) first(share, allowance float64) { t.saved = min(allowance, t.saved+share) }
-
-func (t *tries) extra(allowance float64) bool {
-	t.saved = min(allowance, t.saved) // the part may have become smaller
-	if t.saved < 1-tiny {
-		return false
-	}
-	t.saved--
-	return true
-}
-
-// part is this machine's part of what the site may do. More machines than it has whole parts get
-// one each: less would be none.
-func part(whole float64, edges int) float64 {
-	if whole <= 0 {
-		return 0
-	}
-	return max(1, whole/float64(max(1, edges)))
-}
-
-// budgets are the tries of all services. Services are those of plans, so they are few.
+// budgets are the retry budgets of all services. Services are those of plans, so they are few.
 type budgets struct {
 	share, whole float64
 	mu           sync.Mutex
-	by           map[string]*tries
+	by           map[string]*retrybudget.Budget
+}
+
+func newBudgets(share, whole float64) *budgets {
+	return &budgets{share: share, whole: whole, by: map[string]*retrybudget.Budget{}}
 }
 
-func (b *budgets) of(service string) *tries {
+func (b *budgets) of(service string) *retrybudget.Budget {
 	t := b.by[service]
 	if t == nil {
-		t = &tries{}
+		t = retrybudget.New(b.share)
 		b.by[service] = t
 	}
 	return t
@@ -51,12 +30,12 @@
 func (b *budgets) first(service string, edges int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).first(b.share, part(b.whole, edges))
+	b.of(service).First(retrybudget.Share(b.whole, edges))
 }
 
 // extra tells whether one more attempt fits, and spends it if so.
 func (b *budgets) extra(service string, edges int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).extra(part(b.whole, edges))
+	return b.of(service).Extra(retrybudget.Share(b.whole, edges))
 }
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -36,7 +36,7 @@
 	l       *daemon.Process
 	site    *settings.Site
 	lines   *lines
-	budgets budgets
+	budgets *budgets
 	room    int64        // bytes that requests under way may hold
 	held    atomic.Int64 // of it
 	running atomic.Int64 // requests under way
@@ -81,7 +81,7 @@
 func newDoor(l *daemon.Process, c Config) *door {
 	b := l.Place.Bounds
 	d := &door{Config: c, l: l, site: l.Place.Site, lines: newLines(l), room: int64(l.Place.Site.MemoryMB) << 20 / holdPart}
-	d.budgets = budgets{share: float64(b.TryShare) / 100, whole: float64(b.TryAllow), by: map[string]*tries{}}
+	d.budgets = newBudgets(float64(b.TryShare)/100, float64(b.TryAllow))
 	d.buffers.New = func() any { p := make([]byte, 8<<10); return &p }
 	l.Meter.Gauge("pebbleloom_requests", "requests under way", func() float64 { return float64(d.running.Load()) })
 	l.Meter.Count("pebbleloom_extra_attempts_total", "attempts beyond the first of a request", func() float64 { return float64(d.extras.Load()) })
