--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -33,7 +33,7 @@
 
 // toRename are the packages from before that still have names hiding a standard term. They are
 // renamed as they are touched; nothing may be added here.
-var toRename = []string{"cli", "control/controlstate", "data/callerproxy", "data/placement"}
+var toRename = []string{"cli", "control/controlstate", "data/placement"}
 
 // named is one name that a file declares, with the name that a tag on it gives.
 type named struct{ name, tag string }
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -15,25 +15,25 @@
 	"pebbleloom/internal/wire"
 )
 
-// denial is an error with the time to come back.
-type denial struct {
+// rejection is an error with the time to come back.
+type rejection struct {
 	error
 	id   string
 	back time.Duration
 }
 
-func (d denial) Unwrap() error { return d.error }
+func (r rejection) Unwrap() error { return r.error }
 
-func deny(k *errs.Kind, id string, back time.Duration, format string, a ...any) error {
-	// A little spread, so that those who were denied together don't come back together.
+func reject(k *errs.Kind, id string, back time.Duration, format string, a ...any) error {
+	// A little spread, so that those who were rejected together don't come back together.
 	back += time.Duration(rand.Int64N(int64(back)/2 + int64(50*time.Millisecond)))
-	return denial{errs.New(k, format, a...), id, back}
+	return rejection{errs.New(k, format, a...), id, back}
 }
 
 // Answer carries one request: admission, claim, index, choice, attempt, stream.
 //
 // Example: POST /v1/answers {"request_id": "r1", "model": "lector", "parts": ["…"], "wait_ms": 8000}
-func (d *Dispatcher) Answer(ctx context.Context, q *caller.Ask, h caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
+func (d *Proxy) Answer(ctx context.Context, q *caller.Ask, h caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
 	r, err := d.admit(ctx, q, h)
 	if err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 		out, err := r.attempt()
 		if out != nil {
 			out.leave = r.leave
-			return &caller.AnswerOKHeaders{XRequestID: q.RequestID, XWorker: out.worker, XSetupEpoch: fmt.Sprint(r.config.Epoch),
+			return &caller.AnswerOKHeaders{XRequestID: q.RequestID, XWorker: out.worker, XSetupEpoch: fmt.Sprint(r.config.ConfigVersion),
 				Response: caller.AnswerOK{Data: out}}, nil
 		}
 		if err != nil { // once an attempt may have run, no rejection says that it didn't
@@ -59,7 +59,7 @@
 
 // request is one request on its way: what it was admitted under, and what became of its attempts.
 type request struct {
-	d      *Dispatcher
+	d      *Proxy
 	ask    *caller.Ask
 	key    string
 	tenant string
@@ -79,14 +79,14 @@
 }
 
 // admit takes a request in under the newest configuration, or says why not and when to come back.
-func (d *Dispatcher) admit(ctx context.Context, q *caller.Ask, h caller.AnswerParams) (*request, error) {
+func (d *Proxy) admit(ctx context.Context, q *caller.Ask, h caller.AnswerParams) (*request, error) {
 	r := &request{d: d, ask: q, key: h.XTenantKey, once: q.Once.Or(false), began: d.clk.Now(), tried: map[string]bool{}}
 	var err error
 	if r.config, err = d.pin(q.RequestID); err != nil {
 		return nil, err
 	}
 	r.wait = time.Duration(q.WaitMs) * time.Millisecond
-	if m := r.config.Setup.WaitMaxMs; m > 0 {
+	if m := r.config.Config.WaitMaxMs; m > 0 {
 		r.wait = min(r.wait, time.Duration(m)*time.Millisecond)
 	}
 	size := 0
@@ -94,11 +94,11 @@
 		size += len(p)
 	}
 	if size > d.b.BodyKB<<10 {
-		return nil, deny(errs.TooBig, q.RequestID, 0, "parts: %d bytes, at most %d", size, d.b.BodyKB<<10)
+		return nil, reject(errs.TooBig, q.RequestID, 0, "parts: %d bytes, at most %d", size, d.b.BodyKB<<10)
 	}
-	tenant, t, ok := r.config.Setup.Tenant(r.key)
+	tenant, t, ok := r.config.Config.Tenant(r.key)
 	if !ok {
-		return nil, deny(errs.BadKey, q.RequestID, 0, "the key is not in force")
+		return nil, reject(errs.BadKey, q.RequestID, 0, "the key is not in force")
 	}
 	r.tenant = tenant
 	var why string
@@ -106,7 +106,7 @@
 	kind := errs.OverBudget
 	d.gate.Ask(func(g *gate) { kind, why, back = g.admit(tenant, t, d.b.Waiting, edges(r.config, false), r.began) })
 	if why != "" {
-		return nil, deny(kind, q.RequestID, back, "%s", why)
+		return nil, reject(kind, q.RequestID, back, "%s", why)
 	}
 	r.ctx, r.cancel = context.WithTimeout(ctx, r.wait-(d.clk.Now()-r.began))
 	return r, nil
@@ -130,10 +130,10 @@
 	nonce, granted, err := r.d.claims.take(r.ctx, claimID(r.tenant, r.ask.RequestID))
 	if err != nil {
 		r.nonce = nonce // it may have been granted
-		return deny(errs.NotRun, r.ask.RequestID, r.d.b.Heal(1.0/12), "its id can't be claimed now: %v", err)
+		return reject(errs.NotRun, r.ask.RequestID, r.d.b.Heal(1.0/12), "its id can't be claimed now: %v", err)
 	}
 	if !granted {
-		return deny(errs.MayHaveRun, r.ask.RequestID, 0, "a once-only request of this id was taken before")
+		return reject(errs.MayHaveRun, r.ask.RequestID, 0, "a once-only request of this id was taken before")
 	}
 	r.nonce = nonce
 	return nil
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := r.d.pickWorker(r.config, r.ask, r.tenant, service, r.entries, r.found, r.tried)
+	c, err := r.d.selectWorker(r.config, r.ask, r.tenant, service, r.entries, r.found, r.tried)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 		return out, nil
 	}
 	r.tried[c.Worker.Name] = true
-	r.d.life.Log.Debug("attempt failed", "request", r.ask.RequestID, "worker", c.Worker.Name, "not_run", notRun, "error", err)
+	r.d.process.Log.Debug("attempt failed", "request", r.ask.RequestID, "worker", c.Worker.Name, "not_run", notRun, "error", err)
 	return nil, r.afterFailure(service, c.Worker.Name, notRun, err)
 }
 
@@ -180,31 +180,31 @@
 	if err != nil {
 		return "", err
 	}
-	if now.Epoch != r.config.Epoch {
-		if r.config = now; !now.Setup.KeyBelongsTo(r.key, r.tenant) {
-			return "", deny(errs.BadKey, id, 0, "the key was taken out of force")
+	if now.ConfigVersion != r.config.ConfigVersion {
+		if r.config = now; !now.Config.KeyBelongsTo(r.key, r.tenant) {
+			return "", reject(errs.BadKey, id, 0, "the key was taken out of force")
 		}
 		r.lookUp()
 	}
-	route, ok := r.config.Setup.Routes[r.ask.Model]
+	route, ok := r.config.Config.Routes[r.ask.Model]
 	if !ok {
-		return "", deny(errs.NoModel, id, 0, "no route leads to model %q", r.ask.Model)
+		return "", reject(errs.NoModel, id, 0, "no route leads to model %q", r.ask.Model)
 	}
-	if on := target(r.config, r.ask); !r.config.Setup.Allows(on.Adapter, r.tenant) {
-		return "", deny(errs.NoModel, id, 0, "adapter %q isn't for tenant %s", on.Adapter, r.tenant)
+	if on := target(r.config, r.ask); !r.config.Config.Allows(on.Adapter, r.tenant) {
+		return "", reject(errs.NoModel, id, 0, "adapter %q isn't for tenant %s", on.Adapter, r.tenant)
 	}
 	return route.ServiceFor(id), nil
 }
 
-// ready tells whether an attempt may start now: inside the request's wait, the bounds of what it
+// ready reports whether an attempt may start now: inside the request's wait, the bounds of what it
 // goes by, and the newest configuration. Without an error it is looked at again, after a pause.
 func (r *request) ready(c Choice, service string, until time.Duration) (ready bool, pause time.Duration, err error) {
 	d, queued := r.d, time.Duration(c.Wait)*time.Microsecond
 	if r.left() <= 0 || r.ctx.Err() != nil {
-		return false, 0, deny(errs.NotRun, r.ask.RequestID, 0, "the wait was over before an attempt could start")
+		return false, 0, reject(errs.NotRun, r.ask.RequestID, 0, "the wait was over before an attempt could start")
 	}
 	if queued > r.left() {
-		return false, 0, deny(errs.Overloaded, r.ask.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", c.Wait/1000)
+		return false, 0, reject(errs.Overloaded, r.ask.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", c.Wait/1000)
 	}
 	if d.clk.Now()+queued > until { // it waits here, where it is looked at again
 		return false, d.b.Config(0.02), nil
@@ -231,16 +231,16 @@
 		d.stats.extra.Add(1)
 		return nil
 	case !r.mayHaveRun || !late && !r.once:
-		return deny(errs.NotRun, id, d.b.Heal(1.0/24), "worker %s: %v", worker, err)
+		return reject(errs.NotRun, id, d.b.Heal(1.0/24), "worker %s: %v", worker, err)
 	case r.once:
-		return deny(errs.MayHaveRun, id, 0, "worker %s: %v", worker, err)
+		return reject(errs.MayHaveRun, id, 0, "worker %s: %v", worker, err)
 	}
-	return deny(errs.Expired, id, d.b.Heal(1.0/24), "worker %s didn't begin in time", worker)
+	return reject(errs.Expired, id, d.b.Heal(1.0/24), "worker %s didn't begin in time", worker)
 }
 
-// honest makes a denial that says "nothing ran" into one that says what is known.
+// honest makes a rejection that says "nothing ran" into one that says what is known.
 func honest(err error, mayHaveRun bool) error {
-	var x denial
+	var x rejection
 	if !mayHaveRun || !errors.As(err, &x) {
 		return err
 	}
@@ -248,35 +248,35 @@
 	case errs.Expired, errs.MayHaveRun:
 		return err
 	}
-	return denial{errs.New(errs.MayHaveRun, "an earlier go may have run; then: %v", x.error), x.id, x.back}
+	return rejection{errs.New(errs.MayHaveRun, "an earlier go may have run; then: %v", x.error), x.id, x.back}
 }
 
-// pin gives the newest setup if it is proved fresh enough to follow.
-func (d *Dispatcher) pin(id string) (*updatestream.Snapshot, error) {
+// pin gives the newest configuration if it is proved fresh enough to follow.
+func (d *Proxy) pin(id string) (*updatestream.Snapshot, error) {
 	s := d.fol.Now()
 	if d.stopping() {
-		return nil, deny(errs.NotRun, id, d.b.Config(0.1), "this dispatcher is draining: ask another")
+		return nil, reject(errs.NotRun, id, d.b.Config(0.1), "this dispatcher is draining: ask another")
 	}
 	if !s.Fresh(d.clk.Now(), d.b.Config(0.8)) {
-		return nil, deny(errs.NotRun, id, d.b.Config(0.25), "no proof that the setup is the newest")
+		return nil, reject(errs.NotRun, id, d.b.Config(0.25), "no proof that the setup is the newest")
 	}
 	return s, nil
 }
 
-// current tells whether a pinned setup is still the newest, and proved so.
-func (d *Dispatcher) current(s *updatestream.Snapshot) bool {
+// current reports whether a pinned configuration is still the newest, and proved so.
+func (d *Proxy) current(s *updatestream.Snapshot) bool {
 	n := d.fol.Now()
-	return n.Epoch == s.Epoch && n.Fresh(d.clk.Now(), d.b.Config(0.8))
+	return n.ConfigVersion == s.ConfigVersion && n.Fresh(d.clk.Now(), d.b.Config(0.8))
 }
 
 // entries names a prompt's prefixes under each weights epoch that may still start. Which
-// ones may is asked anew every time; the names in have, made under the same setup, are used
+// ones may is asked anew every time; the names in have, made under the same configuration, are used
 // again, since hashing a long prompt takes its time.
-func (d *Dispatcher) entries(s *updatestream.Snapshot, q *caller.Ask, tenant string, have map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
+func (d *Proxy) entries(s *updatestream.Snapshot, q *caller.Ask, tenant string, have map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
 	m := map[uint64][]prefix.Entry{}
 	on := target(s, q)
 	w := s.WeightsAt[on.Model]
-	service := s.Setup.Routes[q.Model].ServiceFor(q.RequestID)
+	service := s.Config.Routes[q.Model].ServiceFor(q.RequestID)
 	for _, x := range s.Workers {
 		if x.Service != service || x.State == updatestream.WorkerGone {
 			continue
@@ -298,10 +298,10 @@
 	return m
 }
 
-// until is the instant up to which a go may begin at a worker: the setup must be one that is
+// until is the instant up to which an attempt may begin at a worker: the configuration must be one that is
 // followed then, and the worker's weights ones that may start. The bounds themselves are a
 // little later; a worker that isn't told apart by its clock is held to them by the wait alone.
-func (d *Dispatcher) until(s *updatestream.Snapshot, q *caller.Ask, w *wire.Worker) time.Duration {
+func (d *Proxy) until(s *updatestream.Snapshot, q *caller.Ask, w *wire.Worker) time.Duration {
 	t := s.ProofAt + d.b.Config(0.95)
 	if not, _, ok := s.WeightsAt[target(s, q).Model].Since(w.Weights); ok {
 		t = min(t, not+d.b.Weights(0.95))
@@ -319,8 +319,8 @@
 	return int64(w.ClockNs/1000) + (until - time.Duration(w.ClockAt)).Microseconds()
 }
 
-// older tells how long superseded weights may still start; zero: no more.
-func (d *Dispatcher) older(w updatestream.Seen, weights uint64) time.Duration {
+// older reports how long superseded weights may still start; zero: no more.
+func (d *Proxy) older(w updatestream.WeightsHistory, weights uint64) time.Duration {
 	not, _, ok := w.Since(weights)
 	if !ok || weights == 0 {
 		return 0
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -29,17 +29,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// bench is one dispatcher with its real HTTP server, before workers that die at a chosen
+// bench is one proxy with its real HTTP server, before workers that die at a chosen
 // step. Nothing sleeps: the workers act on what they are asked.
 type bench struct {
-	d       *Dispatcher
+	d       *Proxy
 	edge    *httptest.Server
 	mu      sync.Mutex
-	starts  map[string]int // goes that reached a worker and began, by request
+	starts  map[string]int // attempts that reached a worker and began, by request
 	granted map[string]bool
 	snap    *updatestream.Snapshot
 	clk     *clock.Hand
-	started func() // called when a go has begun; mu is held
+	started func() // called when an attempt has begun; mu is held
 }
 
 type fakeClaims struct{ b *bench }
@@ -148,7 +148,7 @@
 		}
 		b.snap.Workers = append(b.snap.Workers, &wire.Worker{Name: n, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
 	}
-	d := &Dispatcher{life: l, b: p.Bounds, clk: b.clk, be: contract.NewBackends((&net.Dialer{}).DialContext), curve: placement.Default(), log: queue.NewRing[*wire.Decided](8), claims: fakeClaims{b}}
+	d := &Proxy{process: l, b: p.Bounds, clk: b.clk, be: contract.NewBackends((&net.Dialer{}).DialContext), curve: placement.Default(), log: queue.NewRing[*wire.Decided](8), claims: fakeClaims{b}}
 	d.gate = queue.NewActor(newGate(), 64)
 	d.gate.Ask(func(g *gate) {
 		for range 100 / d.b.TryShare { // as after a few requests
@@ -177,12 +177,12 @@
 	return loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
 }
 
-// A worker dies, refuses or misbehaves at every step of a go, and the other worker is well
+// A worker dies, refuses or misbehaves at every step of an attempt, and the other worker is well
 // or as bad. What the caller learns, and how often the request began, is said for each.
-func TestEveryStepOfAGo(t *testing.T) {
+func TestEveryStepOfAnAttempt(t *testing.T) {
 	for _, c := range []struct {
 		mode         string
-		once         string // sealed, broken, or the denial's kind
+		once         string // sealed, broken, or the rejection's kind
 		many         string
 		starts, more int // that began: once-only, repeatable
 	}{
@@ -252,9 +252,9 @@
 	}
 }
 
-// Without proof that the setup is the newest nothing starts; nor with a key or a way that
+// Without proof that the configuration is the newest nothing starts; nor with a key or a route that
 // was taken out of force. All of it is said at once.
-func TestWhatIsDeniedBeforeAGo(t *testing.T) {
+func TestWhatIsRejectedBeforeAnAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*bench)
 		kind string
@@ -281,9 +281,9 @@
 	}
 }
 
-// A go that may have run is followed by a denial for another reason: the caller still has to
+// An attempt that may have run is followed by a rejection for another reason: the caller still has to
 // hear that it may have run, and not a kind that says it didn't.
-func TestWhatMayHaveRunIsNeverDeniedAsNotRun(t *testing.T) {
+func TestWhatMayHaveRunIsNeverRejectedAsNotRun(t *testing.T) {
 	for name, change := range map[string]func(*updatestream.Snapshot){
 		"the key is taken out of force": func(s *updatestream.Snapshot) { s.Config = (&serviceconfig.Config{}).BuildIndex() },
 		"the way is taken away": func(s *updatestream.Snapshot) {
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -16,10 +16,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// pickWorker picks the worker of the next go.
-func (d *Dispatcher) pickWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
+// selectWorker selects the worker of the next attempt.
+func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], target(s, q)
-	u := Query{ID: q.RequestID, Mode: modeOf(s.Setup, service), District: d.life.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
+	u := Query{ID: q.RequestID, Mode: modeOf(s.Config, service), Zone: d.process.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
 		Tried: tried, Newest: s.WeightsAt[on.Model].Weights, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
 	if p != nil {
 		u.Curve = p.Prefill
@@ -39,7 +39,7 @@
 		u.MeanUs = g.meanUs
 		var up []*wire.Worker
 		for _, w := range u.Workers {
-			// A worker that has just failed a go here waits for its next good probe.
+			// A worker that has just failed an attempt here waits for its next good probe.
 			if x := g.workers[w.Name]; x == nil || x.failed == 0 || now-x.failed > d.b.Leave(0.3) {
 				up = append(up, w)
 			}
@@ -49,16 +49,16 @@
 		for _, w := range up {
 			loads[w.Name] = float64(w.Busy + w.Queued)
 			if x := g.workers[w.Name]; x != nil {
-				loads[w.Name] = max(loads[w.Name], float64(x.goes))
+				loads[w.Name] = max(loads[w.Name], float64(x.attempts))
 			}
 		}
 		u.Load = func(n string) float64 { return loads[n] }
-		if c, ok = Pick(u); ok {
-			g.worker(c.Worker.Name).goes++
+		if c, ok = Select(u); ok {
+			g.worker(c.Worker.Name).attempts++
 		}
 	})
 	if !ok {
-		return c, deny(errs.NotRun, q.RequestID, d.b.Leave(0.3), "no worker of service %s can take it now", service)
+		return c, reject(errs.NotRun, q.RequestID, d.b.Leave(0.3), "no worker of service %s can take it now", service)
 	}
 	return c, nil
 }
@@ -70,12 +70,12 @@
 	return "hrcs"
 }
 
-// start begins a go and waits for its first line. Where it fails, notRun is the proof that
-// the go never started.
-func (d *Dispatcher) start(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
+// start begins an attempt and waits for its first line. Where it fails, notRun is the proof that
+// the attempt never started.
+func (d *Proxy) start(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
 	ctx, stop := context.WithCancel(ctx)
 	w := c.Worker
-	o := &stream{d: d, id: q.RequestID, worker: w.Name, district: w.District, began: d.clk.Now(), stop: stop, snap: s}
+	o := &stream{d: d, id: q.RequestID, worker: w.Name, zone: w.District, began: d.clk.Now(), stop: stop, snap: s}
 	watch := time.AfterFunc(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
 	o.watch = watch
 	hints := map[string]string{}
@@ -86,7 +86,7 @@
 		hints[contract.SaveTo], hints[contract.SaveUpto] = c.Saves, fmt.Sprint(c.SaveUpto)
 	}
 	on := target(s, q)
-	g := d.be.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Setup.Domain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
+	g := d.be.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.Domain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
 		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clk.Now()).Milliseconds()), Once: q.Once.Or(false),
 		Incarnation: w.Incarnation, BeginByUs: beginBy(w, until)}, hints)
 	if g.Err != nil {
@@ -103,8 +103,8 @@
 	return o, false, nil
 }
 
-// watch gives up a go whose worker has gone: its silence is not waited out.
-func (d *Dispatcher) watch(o *stream, w *wire.Worker, stop func()) {
+// watch gives up an attempt whose worker has gone: its silence is not waited out.
+func (d *Proxy) watch(o *stream, w *wire.Worker, stop func()) {
 	for _, x := range d.fol.Now().Workers {
 		if x.Name == w.Name && x.Addr == w.Addr && x.State != updatestream.WorkerGone && (x.Incarnation == w.Incarnation || w.Incarnation == "") {
 			o.again(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
@@ -117,7 +117,7 @@
 // PlacementFor gives the placement in use for a service, for those who explain choices.
 //
 // Example: p := d.PlacementFor("lector")
-func (d *Dispatcher) PlacementFor(service string) *placement.Placement {
+func (d *Proxy) PlacementFor(service string) *placement.Placement {
 	if s := d.fol.Now(); s != nil {
 		return s.Placements[service]
 	}
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -12,7 +12,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Until when a go may begin is told in the worker's own clock, which may be ahead or behind by
+// Until when an attempt may begin is told in the worker's own clock, which may be ahead or behind by
 // any time. Wherever between question and answer that clock was read, the worker stops no later
 // than the instant meant here, and earlier by the probe's time at most.
 func TestBeginByHoldsOnAnyClock(t *testing.T) {
@@ -34,9 +34,9 @@
 	}
 }
 
-// The instant is the earliest of what the go depends on: the setup's proof, and the bound of
+// The instant is the earliest of what the attempt depends on: the configuration's proof, and the bound of
 // each superseded weights epoch.
-func TestUntilWhenAGoMayBegin(t *testing.T) {
+func TestUntilWhenAnAttemptMayBegin(t *testing.T) {
 	b := newBench(t, "well")
 	bounds, now := settings.Default(), b.clk.Now()
 	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Weights: 3, Past: []updatestream.WeightsHistory{{Weights: 1, NewestUntil: now - bounds.Weights(0.9)}, {Weights: 2, NewestUntil: now}}}}
@@ -51,7 +51,7 @@
 		}
 	}
 	// A queue that is longer than that is waited for here, and looked at again and again.
-	b.d.gate.Ask(func(g *gate) { g.worker("w0").goes, g.meanUs = 40, 200000 })
+	b.d.gate.Ask(func(g *gate) { g.worker("w0").attempts, g.meanUs = 40, 200000 })
 	b.started = func() { t.Error("it was sent off into a queue that outlasts its proof") }
 	b.snap.ProofAt = now - bounds.Config(0.7)
 	b.snap.Workers[0].Weights = 3
@@ -74,7 +74,7 @@
 // slower than the timer, as every machine's may, must not make a waiting request spin.
 func TestTheEndOfAWaitIsAnAnswer(t *testing.T) {
 	b := newBench(t, "well") // its clock stands still
-	b.d.gate.Ask(func(g *gate) { g.worker("w0").goes, g.meanUs = 40, 1000 })
+	b.d.gate.Ask(func(g *gate) { g.worker("w0").attempts, g.meanUs = 40, 1000 })
 	b.snap.ProofAt = b.clk.Now() - settings.Default().Config(0.799)
 	b.d.b.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
 	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -33,8 +33,8 @@
 }
 
 type claim struct {
-	c    *wire.Claim
-	tell chan claimed // nil: nobody waits
+	c      *wire.Claim
+	result chan claimed // nil: nobody waits
 }
 
 type claimed struct {
@@ -68,12 +68,12 @@
 // request must not start then.
 func (c *claimer) take(ctx context.Context, id []byte) (nonce uint64, granted bool, err error) {
 	nonce = c.last.Add(1)
-	tell := make(chan claimed, 1)
-	if !c.ring(id).Offer(claim{&wire.Claim{Id: id, Nonce: nonce}, tell}) {
+	result := make(chan claimed, 1)
+	if !c.ring(id).Offer(claim{&wire.Claim{Id: id, Nonce: nonce}, result}) {
 		return nonce, false, errs.New(errs.Overloaded, "too many claims wait")
 	}
 	select {
-	case r := <-tell:
+	case r := <-result:
 		return nonce, r.granted, r.err
 	case <-ctx.Done():
 		return nonce, false, errs.As(ctx.Err(), errs.Expired, "claim")
@@ -112,8 +112,8 @@
 				if err == nil && i < len(t.Full) && t.Full[i] {
 					r.err = errs.New(errs.Overloaded, "the part remembers as many once-only ids as it may")
 				}
-				if y.tell != nil {
-					y.tell <- r
+				if y.result != nil {
+					y.result <- r
 				}
 			}
 		}
--- a/internal/data/callerproxy/gate.go
+++ b/internal/data/callerproxy/gate.go
@@ -17,7 +17,7 @@
 	workers  map[string]*workerState
 	retries  map[string]*retrybudget.Budget
 	meanUs   float64
-	goes     map[string]*wire.GoReport
+	reports  map[string]*wire.GoReport
 	edges    int // the most edge machines seen in this life
 }
 
@@ -28,8 +28,8 @@
 }
 
 type workerState struct {
-	goes   int
-	failed time.Duration
+	attempts int
+	failed   time.Duration
 }
 
 const (
@@ -38,7 +38,7 @@
 
 func newGate() *gate {
 	return &gate{tenants: map[string]*tenantState{}, workers: map[string]*workerState{},
-		retries: map[string]*retrybudget.Budget{}, meanUs: 100000, goes: map[string]*wire.GoReport{}}
+		retries: map[string]*retrybudget.Budget{}, meanUs: 100000, reports: map[string]*wire.GoReport{}}
 }
 
 // admit takes a request in, or says why not and when to come back. A tenant's budget is the
@@ -90,23 +90,23 @@
 	return w
 }
 
-// release gives back a go that was never sent.
+// release gives back an attempt that was never sent.
 func (g *gate) release(name string) {
-	if w := g.worker(name); w.goes > 0 {
-		w.goes--
+	if w := g.worker(name); w.attempts > 0 {
+		w.attempts--
 	}
 }
 
-// ended notes how a go ended, for the choice of the next and for the runner's table.
+// ended notes how an attempt ended, for the choice of the next and for the runner's table.
 func (g *gate) ended(name string, ok bool, took time.Duration, now time.Duration) {
 	w := g.worker(name)
-	if w.goes > 0 {
-		w.goes--
+	if w.attempts > 0 {
+		w.attempts--
 	}
-	r := g.goes[name]
+	r := g.reports[name]
 	if r == nil {
 		r = &wire.GoReport{Worker: name}
-		g.goes[name] = r
+		g.reports[name] = r
 	}
 	if ok {
 		r.Ok++
@@ -119,10 +119,10 @@
 
 // link notes what a fetch has shown of a class of link.
 func (g *gate) link(class string, tokens int, took time.Duration) {
-	r := g.goes["link/"+class]
+	r := g.reports["link/"+class]
 	if r == nil {
 		r = &wire.GoReport{From: class}
-		g.goes["link/"+class] = r
+		g.reports["link/"+class] = r
 	}
 	r.LinkTokens += float64(tokens)
 	r.LinkNs += float64(took)
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -18,11 +18,11 @@
 )
 
 type question struct {
-	keys []prefix.Key
-	tell chan map[prefix.Key]*wire.Found
+	keys   []prefix.Key
+	result chan map[prefix.Key]*wire.Found
 }
 
-// index asks the catalogue in batches and feeds it the accesses that this dispatcher has seen.
+// index asks the catalogue in batches and feeds it the accesses that this proxy has seen.
 type index struct {
 	ring   *queue.Ring[question]
 	shards atomic.Pointer[promptindex.Shards]
@@ -87,7 +87,7 @@
 		return nil
 	}
 	select {
-	case m := <-q.tell:
+	case m := <-q.result:
 		return m
 	case <-ctx.Done():
 		return nil
@@ -130,7 +130,7 @@
 		m = s.Lookup(ctx, ks, x.calls.PromptIndex, x.wait)
 	}
 	for _, q := range qs {
-		q.tell <- m
+		q.result <- m
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 }
 
-// flush tells each holder what was counted. A batch keeps its number until it is
+// flush reports each holder what was counted. A batch keeps its number until it is
 // acknowledged, so a lost answer can't make it count twice.
 func (x *index) flush(ctx context.Context) {
 	s := x.shards.Load()
@@ -211,12 +211,12 @@
 				t.next = map[prefix.Key]*wire.Access{}
 			}
 			t.busy = true
-			go x.tell(ctx, h, addr, t.sent)
+			go x.send(ctx, h, addr, t.sent)
 		}
 	})
 }
 
-func (x *index) tell(ctx context.Context, h, addr string, a *wire.CountAsk) {
+func (x *index) send(ctx context.Context, h, addr string, a *wire.CountAsk) {
 	ctx, end := context.WithTimeout(ctx, x.b.Heal(1.0/24))
 	defer end()
 	r, err := x.calls.PromptIndex(addr).Count(ctx, a)
--- a/internal/data/callerproxy/meters.go
+++ b/internal/data/callerproxy/meters.go
@@ -2,8 +2,8 @@
 
 import "pebbleloom/internal/daemon"
 
-// meters shows what this dispatcher does.
-func (d *Dispatcher) meters(m *daemon.Meter) {
+// meters shows what this proxy does.
+func (d *Proxy) meters(m *daemon.Meter) {
 	m.Gauge("pebbleloom_inflight", "requests under way", func() float64 {
 		n := 0
 		d.gate.Ask(func(g *gate) { n = g.inflight })
--- a/internal/data/callerproxy/dispatcher.go
+++ b/internal/data/callerproxy/proxy.go
@@ -30,22 +30,22 @@
 func (r *rate) Load() float64   { return math.Float64frombits(r.v.Load()) }
 func (r *rate) Store(f float64) { r.v.Store(math.Float64bits(f)) }
 
-// Dispatcher is one edge proxy.
-type Dispatcher struct {
-	life   *daemon.Process
-	b      settings.Bounds
-	clk    clock.Clock
-	fol    *updatestream.Follower
-	gate   *queue.Actor[gate]
-	index  *index
-	claims claims
-	be     *contract.Backends
-	curve  placement.Curve
-	near   rate
-	far    rate
-	storeB rate
-	stats  stats
-	log    *queue.Ring[*wire.Decided]
+// Proxy is one edge proxy.
+type Proxy struct {
+	process *daemon.Process
+	b       settings.Bounds
+	clk     clock.Clock
+	fol     *updatestream.Follower
+	gate    *queue.Actor[gate]
+	index   *index
+	claims  claims
+	be      *contract.Backends
+	curve   placement.Curve
+	near    rate
+	far     rate
+	storeB  rate
+	stats   stats
+	log     *queue.Ring[*wire.Decided]
 }
 
 // stats counts what the sealed lines have said.
@@ -60,9 +60,9 @@
 
 // Start runs the edge proxy.
 //
-// Example: daemon.Main("dispatcher", "edge proxy", need, dispatcher.Start)
+// Example: daemon.Main("dispatcher", "edge proxy", need, callerproxy.Start)
 func Start(l *daemon.Process) error {
-	d := &Dispatcher{life: l, b: l.Place.Bounds, clk: l.Clock, be: contract.NewBackends(l.Dial), curve: placement.Default(), log: queue.NewRing[*wire.Decided](512)}
+	d := &Proxy{process: l, b: l.Place.Bounds, clk: l.Clock, be: contract.NewBackends(l.Dial), curve: placement.Default(), log: queue.NewRing[*wire.Decided](512)}
 	d.near.Store(50000)
 	d.far.Store(50000)
 	d.storeB.Store(50000)
@@ -71,7 +71,7 @@
 	l.OnStop(d.be.Close)
 	d.index = newIndex(l, d.clk)
 	calls := daemon.NewClients(l)
-	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, d.b.Config(0.1), d.goes, func(s *updatestream.Snapshot) {
+	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, d.b.Config(0.1), d.report, func(s *updatestream.Snapshot) {
 		d.index.follow(s.Nodes)
 		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Config(0.8)))
 	})
@@ -86,9 +86,9 @@
 	return l.Serve(l.Place.Listen, http.NewServeMux())
 }
 
-// open takes callers in once there is a proved setup with workers: before that they are
+// open takes callers in once there is a proved configuration with workers: before that they are
 // better refused a connection, and ask another edge.
-func (d *Dispatcher) open(h http.Handler) {
+func (d *Proxy) open(h http.Handler) {
 	t := clock.Every(d.b.Config(0.02))
 	defer t.Stop()
 	for {
@@ -97,17 +97,17 @@
 			break
 		}
 		select {
-		case <-d.life.Ctx.Done():
+		case <-d.process.Ctx.Done():
 			return
 		case <-t.C:
 		}
 	}
-	if err := d.life.Serve(d.life.Place.Public, h); err != nil {
-		d.life.Log.Error("callers can't be taken in", "error", errs.Text(err))
+	if err := d.process.Serve(d.process.Place.Public, h); err != nil {
+		d.process.Log.Error("callers can't be taken in", "error", errs.Text(err))
 	}
 }
 
-// up tells whether any service that a way leads to has a worker up.
+// up reports whether any service that a route leads to has a worker up.
 func up(s *updatestream.Snapshot) bool {
 	has := map[string]bool{}
 	for _, w := range s.Workers {
@@ -121,9 +121,9 @@
 	return false
 }
 
-func (d *Dispatcher) stopping() bool {
+func (d *Proxy) stopping() bool {
 	select {
-	case <-d.life.Draining:
+	case <-d.process.Draining:
 		return true
 	default:
 		return false
@@ -131,7 +131,7 @@
 }
 
 // retries is a service's budget of attempts beyond the first.
-func (d *Dispatcher) retries(g *gate, service string) *retrybudget.Budget {
+func (d *Proxy) retries(g *gate, service string) *retrybudget.Budget {
 	b := g.retries[service]
 	if b == nil {
 		b = retrybudget.New(float64(d.b.TryShare) / 100)
@@ -142,7 +142,7 @@
 
 // allowance is this edge's share of the extra attempts that a service may save up. Edges that are
 // gone count too, as long as they are remembered: one that is only cut off has its share still.
-func (d *Dispatcher) allowance(g *gate, s *updatestream.Snapshot) float64 {
+func (d *Proxy) allowance(g *gate, s *updatestream.Snapshot) float64 {
 	g.edges = max(g.edges, edges(s, true))
 	return retrybudget.Share(float64(d.b.TryAllow), g.edges)
 }
@@ -157,20 +157,20 @@
 	return n
 }
 
-// goes hands the runner what the goes since the last time have shown, and why they went
+// report hands the runner what the attempts since the last time have shown, and why they went
 // where they went.
-func (d *Dispatcher) goes(a *wire.FeedAsk) {
+func (d *Proxy) report(a *wire.FeedAsk) {
 	d.gate.Ask(func(g *gate) {
-		for k, r := range g.goes {
+		for k, r := range g.reports {
 			a.Goes = append(a.Goes, r)
-			delete(g.goes, k)
+			delete(g.reports, k)
 		}
 	})
 	a.Decided = d.log.Drain(256)
 }
 
 // learn takes what a fetch has shown of its link.
-func (d *Dispatcher) learn(g *gate, s *updatestream.Snapshot, p *contract.Piece, district string) {
+func (d *Proxy) learn(g *gate, s *updatestream.Snapshot, p *contract.Piece, zone string) {
 	class, to := "far", &d.far
 	for _, w := range s.Workers {
 		if w.Addr != p.FetchAddr {
@@ -178,7 +178,7 @@
 		}
 		if w.Kind == "store" {
 			class, to = "store", &d.storeB
-		} else if w.District == district {
+		} else if w.District == zone {
 			class, to = "near", &d.near
 		}
 	}
@@ -190,16 +190,16 @@
 // NewError turns an error into its typed answer, with the time to come back.
 //
 // Example: d.NewError(ctx, errs.New(errs.BadKey, "the key is not in force"))
-func (d *Dispatcher) NewError(_ context.Context, err error) *caller.DeniedStatusCodeWithHeaders {
+func (d *Proxy) NewError(_ context.Context, err error) *caller.DeniedStatusCodeWithHeaders {
 	t := typed(err)
-	d.life.Meter.Rejected(errs.Named(t.Response.Kind))
+	d.process.Meter.Rejected(errs.Named(t.Response.Kind))
 	return t
 }
 
 func typed(err error) *caller.DeniedStatusCodeWithHeaders {
 	k := errs.KindOf(err)
 	r := &caller.DeniedStatusCodeWithHeaders{StatusCode: k.HTTP, Response: caller.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
-	var x denial
+	var x rejection
 	if errors.As(err, &x) {
 		k = errs.KindOf(x.error)
 		r.StatusCode, r.Response.Kind, r.Response.Remedy = k.HTTP, k.Name, k.Remedy
@@ -264,7 +264,7 @@
 type Decision struct {
 	Request   string  `json:"request"`
 	Worker    string  `json:"worker"`
-	Setup     uint64  `json:"setup_epoch"`
+	Config    uint64  `json:"setup_epoch"`
 	Placement uint64  `json:"placement_epoch"`
 	Hit       int     `json:"hit_tokens"`
 	Fetch     int     `json:"fetch_tokens"`
@@ -278,9 +278,9 @@
 	SaveTo    string  `json:"save_to,omitempty"`
 }
 
-func (d *Dispatcher) decided(id string, s *updatestream.Snapshot, c Choice) {
-	x := Decision{Request: id, Worker: c.Worker.Name, Setup: s.ConfigVersion, Hit: c.Hit, Fetch: c.Fetch, WaitUs: c.Wait, CostUs: c.Cost, Hot: c.Hot, Home: c.Home, SaveTo: c.Saves,
-		Session: c.Session, Fetches: c.Fetches, Machine: d.life.Place.Name}
+func (d *Proxy) decided(id string, s *updatestream.Snapshot, c Choice) {
+	x := Decision{Request: id, Worker: c.Worker.Name, Config: s.ConfigVersion, Hit: c.Hit, Fetch: c.Fetch, WaitUs: c.Wait, CostUs: c.Cost, Hot: c.Hot, Home: c.Home, SaveTo: c.Saves,
+		Session: c.Session, Fetches: c.Fetches, Machine: d.process.Place.Name}
 	if p := s.Placements[c.Worker.Service]; p != nil {
 		x.Placement = p.Epoch
 	}
--- a/internal/data/callerproxy/pick.go
+++ b/internal/data/callerproxy/select.go
@@ -23,25 +23,25 @@
 type Query struct {
 	ID        string
 	Mode      string
-	District  string
+	Zone      string
 	Entries   map[uint64][]prefix.Entry // by weights epoch
 	Found     map[prefix.Key]*wire.Found
 	Workers   []*wire.Worker
-	Load      func(name string) float64 // goes under way or waiting, as known here
+	Load      func(name string) float64 // attempts under way or waiting, as known here
 	Tried     map[string]bool
-	Newest    uint64 // the weights that the setup names
+	Newest    uint64 // the weights that the configuration names
 	Placement *placement.Placement
 	Curve     placement.Curve
 	NearB     float64 // tokens a second
 	FarB      float64
-	MeanUs    float64           // how long a go takes, lately
+	MeanUs    float64           // how long an attempt takes, lately
 	Stores    map[string]string // name -> address
 	StoreB    float64
 
 	pressed bool // nobody else is left
 }
 
-// Choice is the worker picked and how the placement takes effect on the request.
+// Choice is the worker selected and how the placement takes effect on the request.
 type Choice struct {
 	Worker   *wire.Worker
 	Entries  []prefix.Entry
@@ -67,17 +67,17 @@
 	from     []string
 }
 
-// Pick chooses a worker: waiting, prefill of what is missing and fetch time, within the
+// Select chooses a worker: waiting, prefill of what is missing and fetch time, within the
 // worker's slots. Hot entries let load decide; tail entries lean to their shard worker, with
 // bounded load.
 //
-// Example: c, ok := dispatcher.Pick(q)
-func Pick(q Query) (Choice, bool) {
+// Example: c, ok := proxy.Select(q)
+func Select(q Query) (Choice, bool) {
 	holders := q.holders()
-	addr, district, names := map[string]string{}, map[string]string{}, []string{}
+	addr, zone, names := map[string]string{}, map[string]string{}, []string{}
 	mean, n := 0.0, 0
 	for _, w := range q.Workers {
-		addr[w.Name], district[w.Name] = w.Addr, w.District
+		addr[w.Name], zone[w.Name] = w.Addr, w.District
 		if w.State == updatestream.WorkerUp {
 			names = append(names, w.Name)
 			mean += q.Load(w.Name)
@@ -97,7 +97,7 @@
 		if !ok || q.Tried[w.Name] || w.State != updatestream.WorkerUp || q.aside(w) {
 			continue
 		}
-		o := q.weigh(w, es, holders, addr, district)
+		o := q.weigh(w, es, holders, addr, zone)
 		h, ok := homes[w.Weights]
 		if !ok {
 			h = q.home(es, names, mean)
@@ -112,7 +112,7 @@
 	}
 	if best == nil && !q.pressed && q.Placement != nil && len(q.Placement.Rolling) > 0 {
 		q.pressed = true // better one that is set aside than none
-		return Pick(q)
+		return Select(q)
 	}
 	if best == nil {
 		return Choice{}, false
@@ -144,7 +144,7 @@
 	return leaning{}
 }
 
-// aside tells whether a worker is set aside: it is about to load newer weights.
+// aside reports whether a worker is set aside: it is about to load newer weights.
 func (q *Query) aside(w *wire.Worker) bool {
 	return !q.pressed && q.Placement != nil && w.Weights < q.Newest && slices.Contains(q.Placement.Rolling, w.Name)
 }
@@ -153,7 +153,7 @@
 
 func prefixKey(id string) (k prefix.Key) { copy(k[:], id); return k }
 
-// holders tells who is known to hold each entry.
+// holders reports who is known to hold each entry.
 func (q *Query) holders() map[prefix.Key]map[string]bool {
 	m := map[prefix.Key]map[string]bool{}
 	if q.Mode == "no-index" {
@@ -201,7 +201,7 @@
 
 // weigh adds up what a request would cost on a worker. Holdings count as long as they run
 // on from the front; a fetch is planned only where it is cheaper than the prefill it saves.
-func (q *Query) weigh(w *wire.Worker, es []prefix.Entry, holders map[prefix.Key]map[string]bool, addr, district map[string]string) *option {
+func (q *Query) weigh(w *wire.Worker, es []prefix.Entry, holders map[prefix.Key]map[string]bool, addr, zone map[string]string) *option {
 	o := &option{w: w, es: es}
 	total := 0
 	if len(es) > 0 {
@@ -220,7 +220,7 @@
 			hb := q.FarB
 			if _, store := q.Stores[h]; store {
 				hb = q.StoreB
-			} else if district[h] == w.District {
+			} else if zone[h] == w.District {
 				hb = q.NearB
 			}
 			if a := addr[h]; a != "" && (hb > b || hb == b && a < from) {
--- a/internal/data/callerproxy/pick_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -40,31 +40,31 @@
 	return func(n string) float64 { return m[n] }
 }
 
-func TestPick(t *testing.T) {
+func TestSelect(t *testing.T) {
 	es := query(false, nil).Entries[1]
 	names := []string{"w0", "w1", "w2", "w3"}
 	home := placement.Home(es[0].Key, names)
 	t.Run("a tail entry goes home, and to the store once it is used again", func(t *testing.T) {
 		q := query(false, nil)
-		c, ok := Pick(q)
+		c, ok := Select(q)
 		if !ok || c.Worker.Name != home[0] || c.Hot || c.Saves != "d:1" {
 			t.Fatalf("%+v, home is %s", c, home[0])
 		}
 		q.Found[es[0].Key].Hotness = 1
-		if c, _ := Pick(q); c.Worker.Name != home[0] || c.Saves != "" {
+		if c, _ := Select(q); c.Worker.Name != home[0] || c.Saves != "" {
 			t.Fatalf("used once: %+v", c)
 		}
 	})
 	t.Run("a full home passes it on to the next", func(t *testing.T) {
 		q := query(false, nil)
 		q.Load = load(map[string]float64{home[0]: 6})
-		if c, _ := Pick(q); c.Worker.Name != home[1] {
+		if c, _ := Select(q); c.Worker.Name != home[1] {
 			t.Fatalf("picked %s, next home is %s", c.Worker.Name, home[1])
 		}
 	})
 	t.Run("who holds it beats who is idle", func(t *testing.T) {
 		q := query(true, map[string]string{home[2]: ""})
-		if c, _ := Pick(q); c.Worker.Name != home[2] || c.Hit != 1000 {
+		if c, _ := Select(q); c.Worker.Name != home[2] || c.Hit != 1000 {
 			t.Fatalf("picked %s with hit %d, held by %s", c.Worker.Name, c.Hit, home[2])
 		}
 	})
@@ -77,12 +77,12 @@
 		busy["w2"] = 0
 		q := query(true, held)
 		q.Load = load(busy)
-		if c, _ := Pick(q); c.Worker.Name != "w2" {
+		if c, _ := Select(q); c.Worker.Name != "w2" {
 			t.Fatalf("picked %s", c.Worker.Name)
 		}
 	})
 	t.Run("a hot entry is saved to one that lacks it, and to the store", func(t *testing.T) {
-		c, _ := Pick(query(true, map[string]string{"w0": ""}))
+		c, _ := Select(query(true, map[string]string{"w0": ""}))
 		if !c.Hot || c.SaveUpto != 1 || len(c.SaveTo) != 2 || !strings.Contains(c.Saves, "d:1") {
 			t.Fatalf("%+v", c)
 		}
@@ -90,19 +90,19 @@
 	t.Run("a fetch is planned only where it is cheaper than prefill", func(t *testing.T) {
 		q := query(true, map[string]string{"w0": ""})
 		q.Load = load(map[string]float64{"w0": 9})
-		c, _ := Pick(q) // 1000 tokens: 100 ms to prefill, 20 ms near, 50 ms far
+		c, _ := Select(q) // 1000 tokens: 100 ms to prefill, 20 ms near, 50 ms far
 		if c.Worker.Name != "w2" || c.Fetch != 1000 || c.Fetches != "0=w0:1" {
 			t.Fatalf("picked %s, fetch %d from %q", c.Worker.Name, c.Fetch, c.Fetches)
 		}
 		q.NearB, q.FarB = 5000, 5000
-		if c, _ = Pick(q); c.Fetch != 0 || c.Fetches != "" {
+		if c, _ = Select(q); c.Fetch != 0 || c.Fetches != "" {
 			t.Fatalf("slow links: fetch %d from %q", c.Fetch, c.Fetches)
 		}
 	})
 	t.Run("no index: nothing is known, nothing is hinted", func(t *testing.T) {
 		q := query(true, map[string]string{"w0": ""})
 		q.Mode = "no-index"
-		if c, _ := Pick(q); c.Hit != 0 || c.Fetches+c.Saves != "" {
+		if c, _ := Select(q); c.Hit != 0 || c.Fetches+c.Saves != "" {
 			t.Fatalf("%+v", c)
 		}
 	})
@@ -123,7 +123,7 @@
 			if c.want {
 				home = placement.Home(es[1].Key, names)[0]
 			}
-			if p, _ := Pick(q); p.Session != c.want || p.Worker.Name != home {
+			if p, _ := Select(q); p.Session != c.want || p.Worker.Name != home {
 				t.Errorf("%s: session %v, picked %s, home %s", c.name, p.Session, p.Worker.Name, home)
 			}
 		}
@@ -131,22 +131,22 @@
 	t.Run("who is set aside gets nothing as long as anybody else is there", func(t *testing.T) {
 		q := query(true, map[string]string{"w1": ""})
 		q.Newest, q.Placement.Rolling = 2, []string{"w1", "w2"}
-		if c, ok := Pick(q); !ok || c.Worker.Name == "w1" || c.Worker.Name == "w2" {
+		if c, ok := Select(q); !ok || c.Worker.Name == "w1" || c.Worker.Name == "w2" {
 			t.Errorf("picked %s", c.Worker.Name)
 		}
 		q.Workers = q.Workers[1:3]
-		if c, ok := Pick(q); !ok || c.Worker.Name != "w1" {
+		if c, ok := Select(q); !ok || c.Worker.Name != "w1" {
 			t.Errorf("of two set aside: %v %v", c.Worker, ok)
 		}
 	})
 	t.Run("workers on other weights, tried ones and unsure ones are left out", func(t *testing.T) {
 		q := query(true, nil)
 		q.Workers[0].Weights, q.Workers[1].State, q.Tried = 2, 1, map[string]bool{"w2": true}
-		if c, _ := Pick(q); c.Worker.Name != "w3" {
+		if c, _ := Select(q); c.Worker.Name != "w3" {
 			t.Fatalf("picked %s", c.Worker.Name)
 		}
 		q.Tried["w3"] = true
-		if _, ok := Pick(q); ok {
+		if _, ok := Select(q); ok {
 			t.Fatal("picked somebody")
 		}
 	})
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -15,19 +15,19 @@
 // stream passes a worker's lines on, one by one, each checked. It ends well only after the
 // worker's seal; anything else is an error, which breaks the caller's connection visibly.
 type stream struct {
-	d        *Dispatcher
-	id       string
-	worker   string
-	district string
-	snap     *updatestream.Snapshot
-	began    time.Duration
-	body     io.ReadCloser
-	r        *bufio.Reader
-	check    *contract.Check
-	line     []byte
-	stop     func()
-	leave    func()
-	bad      error
+	d      *Proxy
+	id     string
+	worker string
+	zone   string
+	snap   *updatestream.Snapshot
+	began  time.Duration
+	body   io.ReadCloser
+	r      *bufio.Reader
+	check  *contract.Check
+	line   []byte
+	stop   func()
+	leave  func()
+	bad    error
 
 	mu    sync.Mutex
 	watch *time.Timer
@@ -71,14 +71,14 @@
 	return n, nil
 }
 
-// Close ends the go, also where the caller hung up: the worker's side is cancelled.
+// Close ends the attempt, also where the caller hung up: the worker's side is cancelled.
 //
 // Example: defer s.Close()
 func (s *stream) Close() error {
 	ok := errors.Is(s.bad, io.EOF)
 	if !ok && s.bad != nil {
 		s.d.stats.broken.Add(1)
-		s.d.life.Log.Warn("stream ended broken", "request", s.id, "worker", s.worker, "error", s.bad)
+		s.d.process.Log.Warn("stream ended broken", "request", s.id, "worker", s.worker, "error", s.bad)
 	}
 	s.end(ok || s.bad == nil) // a caller that hung up is no fault of the worker's
 	if s.leave != nil {
@@ -104,7 +104,7 @@
 	s.d.gate.TrySend(func(g *gate) {
 		g.ended(s.worker, ok, took, s.d.clk.Now())
 		if last != nil && last.Fetched > 0 && last.FetchUs > 0 {
-			s.d.learn(g, s.snap, last, s.district)
+			s.d.learn(g, s.snap, last, s.zone)
 		}
 	})
 	if last != nil {
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -8,7 +8,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// target is the set of weights that answers a request under a setup; where no route leads there,
+// target is the set of weights that answers a request under a configuration; where no route leads there,
 // what was asked for.
 func target(s *updatestream.Snapshot, q *caller.Ask) serviceconfig.Target {
 	if t, ok := s.Config.Target(q.Model, q.RequestID); ok {
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -279,14 +279,14 @@
 // realSite is one edge machine with workers, all on real sockets.
 type realSite struct {
 	t     *testing.T
-	d     *door
-	p     *picker
+	d     *server
+	p     *selector
 	front string
 }
 
 func newRealSite(t *testing.T, workers ...fleet.Worker) *realSite {
 	t.Helper()
-	s := &realSite{t: t, p: &picker{}}
+	s := &realSite{t: t, p: &selector{}}
 	b := settings.Default()
 	b.TryShare, b.TryAllow = 100, 1000
 	place := settings.Place{Name: "e1", Zone: "d", Public: "front", Bounds: b, Extra: []string{"log=off"},
@@ -301,7 +301,7 @@
 	}
 	l := daemon.NewIn(daemon.Environment{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", place)
 	snapshot := &fleet.Snapshot{Plan: routes(), ProofAt: clk.Now(), Edges: 1, Workers: workers}
-	s.d = newDoor(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: s.p})
+	s.d = newServer(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: s.p})
 	if err := s.d.open(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -27,7 +27,7 @@
 	broken             // it may have run, and there is no whole answer
 	good               // an answer that may be handed on
 	whole              // it was handed on, whole
-	gone               // the downstream went away
+	gone               // the client went away
 )
 
 // attempt is one worker's part in a request.
@@ -36,8 +36,8 @@
 	c      selection.Choice
 	ctx    context.Context
 	cancel context.CancelFunc
-	line   *line
-	reused bool          // the line served before
+	conn   *workerConn
+	reused bool          // the connection served before
 	age    time.Duration // and lay idle since
 	aged   bool          // for too long
 	resp   *http.Response
@@ -50,7 +50,7 @@
 }
 
 // look asks the index for the prompt's parts.
-func (d *door) look(q *request) map[prefix.Key]*wire.Found {
+func (d *server) look(q *request) map[prefix.Key]*wire.Found {
 	if len(q.ask.Parts) == 0 {
 		return nil
 	}
@@ -71,7 +71,7 @@
 	ctx := context.WithValue(q.ctx, dialingKey{}, dialing{most: q.conns, within: within})
 	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.take}))
 	q.d.Selector.Sent(&q.ask, c)
-	for n := 0; n < 4; n++ { // a kept line may have ended before it was used; then nothing has happened
+	for n := 0; n < 4; n++ { // a kept connection may have ended before it was used; then nothing has happened
 		a.exchange()
 		if a.aged {
 			n-- // in the end there is none left but a new one
@@ -95,40 +95,40 @@
 	return a
 }
 
-// take makes a line the attempt's before a byte is written, or ends it where it can't be sure to
+// take makes a connection the attempt's before a byte is written, or ends it where it can't be sure to
 // carry this request and no other's answer: nothing of the request is on it then.
 func (a *attempt) take(i httptrace.GotConnInfo) {
-	a.line, a.reused, a.age = i.Conn.(*line), i.Reused, i.IdleTime
+	a.conn, a.reused, a.age = i.Conn.(*workerConn), i.Reused, i.IdleTime
 	if i.Reused {
-		a.line.settle()
+		a.conn.settle()
 	}
-	a.line.take(a)
+	a.conn.take(a)
 	switch {
 	case a.q.left() <= 0: // this machine stood still, or the connection took so long
-		a.line.stop(a)
+		a.conn.stop(a)
 	case i.Reused && !a.suits():
-		a.aged = a.line.stop(a) // another is taken
+		a.aged = a.conn.stop(a) // another is taken
 	}
 }
 
-// suits tells whether a line that served before may carry the request. Without an id no answer can
-// be told from another's, so such a request has a line of its own.
+// suits reports whether a connection that served before may carry the request. Without an id no answer can
+// be told apart from another's, so such a request has a connection of its own.
 func (a *attempt) suits() bool {
 	q := a.q
-	return q.ask.ID != "" && a.line.kept(a.age) && (q.repeatable() || q.d.lines.idle.fit(a.age) && !a.line.waiting())
+	return q.ask.ID != "" && a.conn.kept(a.age) && (q.repeatable() || q.d.conns.idle.fit(a.age) && !a.conn.waiting())
 }
 
 // exchange sends the request and waits for the head of an answer.
 func (a *attempt) exchange() {
-	a.line, a.reused, a.aged = nil, false, false
-	resp, err := a.q.d.lines.t.RoundTrip(a.message())
+	a.conn, a.reused, a.aged = nil, false, false
+	resp, err := a.q.d.conns.t.RoundTrip(a.message())
 	switch {
 	case err == nil:
 		a.resp, a.fate = resp, good
 		if a.reused {
-			a.q.d.lines.idle.stands(a.age)
+			a.q.d.conns.idle.stands(a.age)
 		}
-	case a.line == nil || a.line.stop(a):
+	case a.conn == nil || a.conn.stop(a):
 		a.fate, a.ending = unsent, selection.Unfit
 		if errs.KindOf(err) == errs.Overloaded { // this machine's share, not the worker's fault
 			a.ending = selection.Full
@@ -136,7 +136,7 @@
 	default:
 		a.fate, a.ending = broken, selection.Unfit
 		if a.reused && a.ctx.Err() == nil {
-			a.q.d.lines.idle.forgot(a.age)
+			a.q.d.conns.idle.forgot(a.age)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 	return m.WithContext(a.ctx)
 }
 
-// bodied tells which methods say that there is no body with a length of 0; net/http never sends
+// bodied reports which methods say that there is no body with a length of 0; net/http never sends
 // them twice.
 func bodied(method string) bool {
 	switch method {
@@ -189,17 +189,17 @@
 	said := len(head.Values(h.NotRun)) > 0
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		a.denied(selection.Moved)
+		a.notRun(selection.Moved)
 		if v := head.Get(h.Weights); a.c.Weights != 0 && v != "" && v != strconv.FormatUint(a.c.Weights, 10) {
 			a.ending = selection.Loading
 		}
 	case said && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
-		a.denied(selection.Full)
+		a.notRun(selection.Full)
 	case said && status == http.StatusBadRequest:
 		a.final = true
-		a.denied(selection.Unfit)
+		a.notRun(selection.Unfit)
 	case said || promise(status):
-		a.unfit() // it promises what it may not, or denies what it says it didn't run: no proof
+		a.unfit() // it promises what it may not, or contradicts what it says it didn't run: no proof
 	case status < 300 && head.Get(h.Seal) == "":
 		a.unfit()
 	case q.begun && (status != http.StatusOK || !a.eventful() || a.resp.ContentLength >= 0):
@@ -211,13 +211,13 @@
 	}
 }
 
-// own tells whether the answer names this request, and no other.
+// own reports whether the answer names this request, and no other.
 func (a *attempt) own() bool {
 	ids := a.resp.Header.Values(a.q.d.Headers.ID)
 	return len(ids) == 1 && ids[0] == a.q.ask.ID || len(ids) == 0 && a.q.ask.ID == ""
 }
 
-// promise tells which statuses say that a request has not run and never will.
+// promise reports which statuses say that a request has not run and never will.
 func promise(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -226,14 +226,14 @@
 	return false
 }
 
-// framed tells whether the end of the answer can be seen.
+// framed reports whether the end of the answer can be seen.
 func (a *attempt) framed() bool {
 	s := a.resp.StatusCode
 	return a.resp.ContentLength >= 0 || len(a.resp.TransferEncoding) > 0 || a.q.r.Method == http.MethodHead ||
 		s == http.StatusNoContent || s == http.StatusNotModified
 }
 
-// eventful tells whether the answer is a series of events.
+// eventful reports whether the answer is a series of events.
 func (a *attempt) eventful() bool {
 	t, _, err := mime.ParseMediaType(a.resp.Header.Get("Content-Type"))
 	return err == nil && t == "text/event-stream"
@@ -242,11 +242,11 @@
 // unfit ends an attempt with no answer of use: it may have run.
 func (a *attempt) unfit() {
 	a.fate, a.ending = broken, selection.Unfit
-	a.line.stop(a)
+	a.conn.stop(a)
 }
 
-// denied takes a worker at its word that it has not run the request.
-func (a *attempt) denied(e selection.Ending) {
+// notRun takes a worker at its word that it has not run the request.
+func (a *attempt) notRun(e selection.Ending) {
 	a.keep(false)
 	a.fate, a.ending = notRun, e
 }
@@ -265,24 +265,24 @@
 	a.fate, a.ending = broken, selection.Unfit
 	a.final = a.final || a.resp.StatusCode == http.StatusGatewayTimeout
 	if a.resp.StatusCode == http.StatusMisdirectedRequest || a.q.kept != nil && a.q.kept.ran && !ran {
-		return // not the downstream's business, or worth less than what is kept
+		return // not the client's business, or worth less than what is kept
 	}
 	a.q.kept = &kept{a.resp.StatusCode, a.resp.Header, all, ran}
 }
 
-// rest keeps the line for another attempt.
+// rest keeps the connection for another attempt.
 func (a *attempt) rest() {
 	_ = a.resp.Body.Close()
 	if a.q.ask.ID == "" {
-		a.line.stop(a)
-		a.line = nil
+		a.conn.stop(a)
+		a.conn = nil
 		return
 	}
-	a.line.rest(a, keeps(a.resp.Header, a.q.d.l.Place.Bounds.Leave(1)))
-	a.line = nil
+	a.conn.rest(a, keeps(a.resp.Header, a.q.d.l.Place.Bounds.Leave(1)))
+	a.conn = nil
 }
 
-// done tells the picker how it ended, and lets go of the worker.
+// done reports its end to the selector, and lets go of the worker.
 func (a *attempt) done() {
 	q := a.q
 	switch {
@@ -294,8 +294,8 @@
 	if a.fate != unsent && a.fate != notRun {
 		q.ran = true
 	}
-	if a.line != nil {
-		a.line.stop(a)
+	if a.conn != nil {
+		a.conn.stop(a)
 	}
 	a.cancel()
 	q.d.Selector.Done(&q.ask, a.c, a.ending, a.load, a.first)
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -40,7 +40,7 @@
 	}
 	l := daemon.NewIn(world, "edge", place)
 	snap := &fleet.Snapshot{Plan: routes(), ProofAt: clock.Boot().Now(), Edges: 1, Workers: []fleet.Worker{w.Worker}}
-	if err := Start(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &picker{}}); err != nil {
+	if err := Start(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &selector{}}); err != nil {
 		b.Fatal(err)
 	}
 	c, err := net.Dial("tcp", door.Addr().String())
--- a/internal/data/proxy/budget.go
+++ b/internal/data/proxy/budget.go
@@ -33,7 +33,7 @@
 	b.of(service).First(retrybudget.Share(b.whole, edges))
 }
 
-// extra tells whether one more attempt fits, and spends it if so.
+// extra reports whether one more attempt fits, and spends it if so.
 func (b *budgets) extra(service string, edges int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/data/proxy/line.go
+++ b/internal/data/proxy/conn.go
@@ -18,8 +18,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// lines are the connections from this machine to workers.
-type lines struct {
+// connPool holds the connections from this machine to workers.
+type connPool struct {
 	l    *daemon.Process
 	t    *http.Transport
 	mu   sync.Mutex
@@ -35,15 +35,15 @@
 
 type dialingKey struct{}
 
-func newLines(l *daemon.Process) *lines {
-	s := &lines{l: l, open: map[string]int{}}
+func newConnPool(l *daemon.Process) *connPool {
+	s := &connPool{l: l, open: map[string]int{}}
 	s.t = &http.Transport{DialContext: s.dial, DisableCompression: true, MaxIdleConnsPerHost: 1 << 10,
 		MaxResponseHeaderBytes: 64 << 10, ReadBufferSize: 4 << 10, WriteBufferSize: 4 << 10}
 	return s
 }
 
 // dial opens a connection, within this machine's share of what the worker takes.
-func (s *lines) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (s *connPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d, _ := ctx.Value(dialingKey{}).(dialing)
 	s.mu.Lock()
 	full := d.most > 0 && s.open[addr] >= d.most
@@ -65,10 +65,10 @@
 		return nil, err
 	}
 	s.tend(c)
-	return newLine(c, s.l.Place.Bounds.Leave(1), func() { s.shut(addr) }), nil
+	return newWorkerConn(c, s.l.Place.Bounds.Leave(1), func() { s.shut(addr) }), nil
 }
 
-func (s *lines) shut(addr string) {
+func (s *connPool) shut(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open[addr]--; s.open[addr] <= 0 {
@@ -78,16 +78,16 @@
 
 // tend sees to it that a machine that has gone dark is noticed while there is nothing to send, too;
 // what was sent and isn't acknowledged ends a connection of this world by itself.
-func (s *lines) tend(c net.Conn) {
+func (s *connPool) tend(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		b := s.l.Place.Bounds // where it can't be set, the request's own time is the bound
 		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: b.Leave(2.0 / 3), Interval: b.Leave(1.0 / 3), Count: 2})
 	}
 }
 
-// line is one connection to a worker, held by one attempt at a time. It knows whether anything of
+// workerConn is one connection to a worker, held by one attempt at a time. It knows whether anything of
 // an attempt ever left this machine, and lets no attempt have bytes that came before its own left.
-type line struct {
+type workerConn struct {
 	net.Conn
 	shut func()
 
@@ -103,14 +103,14 @@
 	once    sync.Once
 }
 
-func newLine(c net.Conn, keep time.Duration, shut func()) *line {
-	l := &line{Conn: c, shut: shut, keep: keep}
+func newWorkerConn(c net.Conn, keep time.Duration, shut func()) *workerConn {
+	l := &workerConn{Conn: c, shut: shut, keep: keep}
 	l.changed.L = &l.mu
 	return l
 }
 
-// Write hands bytes to the kernel, unless the line was stopped before.
-func (c *line) Write(p []byte) (int, error) {
+// Write hands bytes to the kernel, unless the connection was stopped before.
+func (c *workerConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.stopped {
 		c.mu.Unlock()
@@ -126,9 +126,9 @@
 	return n, err
 }
 
-// Read takes what the worker sends. What comes while nobody holds the line, or before a byte of the
-// holder's request has left, belongs to no request: the line ends with it.
-func (c *line) Read(p []byte) (int, error) {
+// Read takes what the worker sends. What comes while nobody holds the connection, or before a byte of the
+// holder's request has left, belongs to no request: the connection ends with it.
+func (c *workerConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.reading = true
 	c.changed.Broadcast()
@@ -145,8 +145,8 @@
 	return n, err
 }
 
-// Close ends the line.
-func (c *line) Close() error {
+// Close ends the connection.
+func (c *workerConn) Close() error {
 	c.mu.Lock()
 	c.stopped = true
 	c.changed.Broadcast()
@@ -158,8 +158,8 @@
 	return c.Conn.Close()
 }
 
-// take makes the line an attempt's.
-func (c *line) take(by any) {
+// take makes the connection an attempt's.
+func (c *workerConn) take(by any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.holder, c.sent = by, false
@@ -168,10 +168,10 @@
 	}
 }
 
-// settle waits until a line that served before is read from again, or has ended: then all that came
+// settle waits until a connection that served before is read from again, or has ended: then all that came
 // with the answer before has been looked at. net/http hands a connection on while bytes behind that
 // answer may still stand in its buffer; it finds them before it reads on, and ends the connection.
-func (c *line) settle() {
+func (c *workerConn) settle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for !c.reading && !c.stopped {
@@ -179,17 +179,17 @@
 	}
 }
 
-// kept tells whether the worker was sure to keep the line idle for that long. Its timer may be late:
+// kept reports whether the worker was sure to keep the connection idle for that long. Its timer may be late:
 // the process may have stood still.
-func (c *line) kept(age time.Duration) bool {
+func (c *workerConn) kept(age time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return age <= c.keep
 }
 
-// waiting tells whether something has come, bytes or the line's end, that nobody has read: after a
+// waiting reports whether something has come, bytes or the connection's end, that nobody has read: after a
 // pause of the process it stands in the kernel. A connection that can't be asked has nothing.
-func (c *line) waiting() (came bool) {
+func (c *workerConn) waiting() (came bool) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -205,9 +205,9 @@
 	return came || err != nil
 }
 
-// rest keeps the line for the next attempt, but no longer than the worker is sure to. The next may
+// rest keeps the connection for the next attempt, but no longer than the worker is sure to. The next may
 // hold it already.
-func (c *line) rest(by any, keep time.Duration) {
+func (c *workerConn) rest(by any, keep time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.holder != by {
@@ -221,7 +221,7 @@
 	}
 }
 
-func (c *line) lapse() {
+func (c *workerConn) lapse() {
 	c.mu.Lock()
 	idle := c.holder == nil
 	c.mu.Unlock()
@@ -230,10 +230,10 @@
 	}
 }
 
-// stop ends the line for good and tells whether the attempt that held it is proven not to have
-// left this machine: no byte was taken by the kernel, and none will be. A line that another holds
+// stop ends the connection for good and reports whether the attempt that held it is proven not to have
+// left this machine: no byte was taken by the kernel, and none will be. A connection that another holds
 // by now goes on.
-func (c *line) stop(by any) (untouched bool) {
+func (c *workerConn) stop(by any) (untouched bool) {
 	c.mu.Lock()
 	if c.holder != by {
 		c.mu.Unlock()
--- a/internal/data/proxy/line_test.go
+++ b/internal/data/proxy/conn_test.go
@@ -209,19 +209,19 @@
 func (f *fake) Close() error               { return nil }
 func (f *fake) Read(p []byte) (int, error) { return copy(p, "stray"), nil }
 
-// What comes while nobody holds a line, or before its holder has sent a byte, is never an answer.
+// What comes while nobody holds a connection, or before its holder has sent a byte, is never an answer.
 func TestBytesForNobody(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		do   func(l *line)
+		do   func(l *workerConn)
 		want bool
 	}{
-		{"its holder has sent", func(l *line) { l.take(1); _, _ = l.Write([]byte("x")) }, true},
-		{"its holder has sent nothing", func(l *line) { l.take(1) }, false},
-		{"nobody holds it", func(l *line) { l.take(1); _, _ = l.Write([]byte("x")); l.rest(1, time.Hour) }, false},
-		{"the next holder has sent nothing", func(l *line) { l.take(1); _, _ = l.Write([]byte("x")); l.rest(1, time.Hour); l.take(2) }, false},
+		{"its holder has sent", func(l *workerConn) { l.take(1); _, _ = l.Write([]byte("x")) }, true},
+		{"its holder has sent nothing", func(l *workerConn) { l.take(1) }, false},
+		{"nobody holds it", func(l *workerConn) { l.take(1); _, _ = l.Write([]byte("x")); l.rest(1, time.Hour) }, false},
+		{"the next holder has sent nothing", func(l *workerConn) { l.take(1); _, _ = l.Write([]byte("x")); l.rest(1, time.Hour); l.take(2) }, false},
 	} {
-		l := newLine(&fake{n: 9}, time.Hour, func() {})
+		l := newWorkerConn(&fake{n: 9}, time.Hour, func() {})
 		x.do(l)
 		n, err := l.Read(make([]byte, 9))
 		if got := n == 5 && err == nil && !l.stopped; got != x.want {
@@ -233,21 +233,21 @@
 	}
 }
 
-// A line is proof that nothing was sent only if the kernel took no byte and none can follow.
+// A connection is proof that nothing was sent only if the kernel took no byte and none can follow.
 func TestProofThatNothingWasSent(t *testing.T) {
 	bad := errors.New("bad")
 	for _, x := range []struct {
 		name string
 		f    fake
-		do   func(l *line)
+		do   func(l *workerConn)
 		want bool
 	}{
-		{"not written", fake{}, func(*line) {}, true},
-		{"none taken", fake{n: 0, err: bad}, func(l *line) { _, _ = l.Write([]byte("x")) }, true},
-		{"some taken", fake{n: 1, err: bad}, func(l *line) { _, _ = l.Write([]byte("xy")) }, false},
-		{"all taken", fake{n: 9}, func(l *line) { _, _ = l.Write([]byte("xy")) }, false},
+		{"not written", fake{}, func(*workerConn) {}, true},
+		{"none taken", fake{n: 0, err: bad}, func(l *workerConn) { _, _ = l.Write([]byte("x")) }, true},
+		{"some taken", fake{n: 1, err: bad}, func(l *workerConn) { _, _ = l.Write([]byte("xy")) }, false},
+		{"all taken", fake{n: 9}, func(l *workerConn) { _, _ = l.Write([]byte("xy")) }, false},
 	} {
-		l := newLine(&x.f, time.Hour, func() {})
+		l := newWorkerConn(&x.f, time.Hour, func() {})
 		l.take(1)
 		x.do(l)
 		if got := l.stop(1); got != x.want {
@@ -259,7 +259,7 @@
 	}
 	// A write under way may yet be taken.
 	f := &fake{n: 1, wait: make(chan struct{})}
-	l := newLine(f, time.Hour, func() {})
+	l := newWorkerConn(f, time.Hour, func() {})
 	l.take(1)
 	done := make(chan struct{})
 	go func() { defer close(done); _, _ = l.Write([]byte("x")) }()
@@ -275,9 +275,9 @@
 	<-done
 }
 
-// Who no longer holds a line neither ends nor rests it.
-func TestLineOfAnother(t *testing.T) {
-	l := newLine(&fake{n: 9}, time.Hour, func() {})
+// Who no longer holds a connection neither ends nor rests it.
+func TestConnectionOfAnother(t *testing.T) {
+	l := newWorkerConn(&fake{n: 9}, time.Hour, func() {})
 	l.take(1)
 	l.take(2)
 	l.rest(1, time.Nanosecond)
--- a/internal/data/proxy/events.go
+++ b/internal/data/proxy/events.go
@@ -10,7 +10,7 @@
 // events cuts a stream behind each event, so that what was passed on always ends with a whole
 // one, and remembers the last one's id: from there another worker may go on.
 type events struct {
-	last    string // id of the last event that was passed on, or that the downstream had before
+	last    string // id of the last event that was passed on, or that the client had before
 	exact   bool   // everything passed on ends with the event of that id
 	resumed bool   // another worker goes on: each event must prove that it follows
 	buf     []byte // holds rest
@@ -107,7 +107,7 @@
 
 func numeric(id string) bool { _, err := strconv.ParseUint(id, 10, 64); return err == nil }
 
-// rises tells whether an id may follow another.
+// rises reports whether an id may follow another.
 func rises(last, id string) bool {
 	a, err := strconv.ParseUint(last, 10, 64)
 	b, err2 := strconv.ParseUint(id, 10, 64)
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -1,5 +1,5 @@
-// Package proxy is a request's way: one front door that takes requests of any shape from
-// downstreams and carries each to a worker and its answer back. What a downstream is told about
+// Package proxy is a request's way: one front server that takes requests of any shape from
+// clients and carries each to a worker and its answer back. What a client is answered about
 // whether its request ran is always true: a promise that it didn't run needs proof.
 package proxy
 
@@ -22,7 +22,7 @@
 	"pebbleloom/internal/settings"
 )
 
-// Config is what the door is given beside its place.
+// Config is what the server is given beside its place.
 type Config struct {
 	Headers   Headers
 	ReadyPath string // where the platform asks whether this machine is ready
@@ -30,12 +30,12 @@
 	Selector  selection.Selector
 }
 
-// door takes requests and carries them.
-type door struct {
+// server takes requests and carries them.
+type server struct {
 	Config
 	l       *daemon.Process
 	site    *settings.Site
-	lines   *lines
+	conns   *connPool
 	budgets *budgets
 	room    int64        // bytes that requests under way may hold
 	held    atomic.Int64 // of it
@@ -54,16 +54,16 @@
 	drainPart  = 0.55 // of the grace: then what runs may end
 	holdPart   = 3    // a third of the memory is for requests
 	overhead   = 32 << 10
-	firstPlan  = 0.25 // of the setup bound: how long listening waits for the first plan's limits
+	firstPlan  = 0.25 // of the configuration bound: how long listening waits for the first plan's limits
 )
 
-// Start opens the door and the page that tells whether it is ready.
+// Start opens the server and the page that reports whether it is ready.
 //
 // Example: err := forward.Start(life, forward.Config{Headers: platform.Headers(), ReadyPath: path, Snapshot: agent.Snapshot, Selector: selector})
-func Start(l *daemon.Process, c Config) error { return newDoor(l, c).open() }
+func Start(l *daemon.Process, c Config) error { return newServer(l, c).open() }
 
 // open listens, and serves until the program stops.
-func (d *door) open() error {
+func (d *server) open() error {
 	l := d.l
 	front, err := l.Listen(l.Place.Public)
 	if err != nil {
@@ -78,9 +78,9 @@
 	return nil
 }
 
-func newDoor(l *daemon.Process, c Config) *door {
+func newServer(l *daemon.Process, c Config) *server {
 	b := l.Place.Bounds
-	d := &door{Config: c, l: l, site: l.Place.Site, lines: newLines(l), room: int64(l.Place.Site.MemoryMB) << 20 / holdPart}
+	d := &server{Config: c, l: l, site: l.Place.Site, conns: newConnPool(l), room: int64(l.Place.Site.MemoryMB) << 20 / holdPart}
 	d.budgets = newBudgets(float64(b.TryShare)/100, float64(b.TryAllow))
 	d.buffers.New = func() any { p := make([]byte, 8<<10); return &p }
 	l.Meter.Gauge("pebbleloom_requests", "requests under way", func() float64 { return float64(d.running.Load()) })
@@ -89,8 +89,8 @@
 	return d
 }
 
-// serve keeps the door open until the program stops, and then sees out what runs.
-func (d *door) serve(front, page net.Listener) {
+// serve keeps the server open until the program stops, and then sees out what runs.
+func (d *server) serve(front, page net.Listener) {
 	ready := &http.Server{Handler: http.HandlerFunc(d.ready), ReadHeaderTimeout: d.l.Place.Bounds.Heal(0.25), ErrorLog: quiet()}
 	d.l.Go(func() { d.run(ready, page) })
 	d.l.OnStop(func() { ready.Close() })
@@ -104,7 +104,7 @@
 	d.l.OnShutdown(func(ctx context.Context) { d.drain(ctx, <-opened) })
 }
 
-func (d *door) run(s *http.Server, ln net.Listener) {
+func (d *server) run(s *http.Server, ln net.Listener) {
 	if err := s.Serve(ln); err != http.ErrServerClosed {
 		d.l.Log.Error("server ended", "addr", ln.Addr().String(), "error", err)
 	}
@@ -113,8 +113,8 @@
 func quiet() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // limits are the first plan's, if it and its proof come soon; until then connections wait at the
-// listener: what would have to be denied is served a moment later.
-func (d *door) limits() routingconfig.Limits {
+// listener: what would have to be rejected is served a moment later.
+func (d *server) limits() routingconfig.Limits {
 	b := d.l.Place.Bounds
 	step := b.Config(firstPlan / 25)
 	for range 25 {
@@ -137,7 +137,7 @@
 	return routingconfig.Limits{HeaderBytes: 16 << 10, HeaderTime: b.Heal(0.25), IdleTime: b.Heal(1.25)}
 }
 
-func (d *door) plan() *routingconfig.Plan {
+func (d *server) plan() *routingconfig.Plan {
 	if s := d.Snapshot(); s != nil {
 		return s.Plan
 	}
@@ -146,7 +146,7 @@
 
 // drain leaves in order: not ready from now on, but taking requests until the platform has seen
 // it, then none, and what runs may end while the grace lasts.
-func (d *door) drain(ctx context.Context, s *http.Server) {
+func (d *server) drain(ctx context.Context, s *http.Server) {
 	d.leaving.Store(true)
 	clock.Pause(ctx, settings.Of(d.site.GraceMs, windowPart))
 	ctx, stop := context.WithTimeout(ctx, settings.Of(d.site.GraceMs, drainPart))
@@ -155,20 +155,20 @@
 		d.l.Log.Warn("cut at the end of the grace", "requests", d.running.Load())
 		s.Close()
 	}
-	d.lines.t.CloseIdleConnections()
+	d.conns.t.CloseIdleConnections()
 }
 
-// vouched tells whether nothing newer than this plan had been acknowledged shortly before a
+// vouched reports whether nothing newer than this plan had been acknowledged shortly before a
 // request was read.
 func vouched(s *fleet.Snapshot, at, bound time.Duration) bool {
 	return s.ProofAt > 0 && at-s.ProofAt < bound
 }
 
 // keyBound is how old the proof may be by which a key is taken for good.
-func (d *door) keyBound() time.Duration { return settings.Of(d.l.Place.Bounds.KeyMs, keyPart) }
+func (d *server) keyBound() time.Duration { return settings.Of(d.l.Place.Bounds.KeyMs, keyPart) }
 
 // ready answers whether this machine can serve.
-func (d *door) ready(w http.ResponseWriter, r *http.Request) {
+func (d *server) ready(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != d.ReadyPath {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -180,7 +180,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (d *door) able() bool {
+func (d *server) able() bool {
 	s := d.Snapshot()
 	if s == nil || s.Plan == nil || d.leaving.Load() {
 		return false
@@ -188,13 +188,13 @@
 	if d.site.Revokes && !vouched(s, d.l.Clock.Now(), d.keyBound()) {
 		return false
 	}
-	if !d.served.Load() && routed(s) { // once: workers that go are no reason to send downstreams away
+	if !d.served.Load() && routed(s) { // once: workers that go are no reason to send clients away
 		d.served.Store(true)
 	}
 	return d.served.Load()
 }
 
-// routed tells whether a worker of a routed service is known.
+// routed reports whether a worker of a routed service is known.
 func routed(s *fleet.Snapshot) bool {
 	has := map[string]bool{}
 	for i := range s.Workers {
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -14,8 +14,8 @@
 // gives them; every one has to be set.
 type Headers struct {
 	ID        string // of the attempt; goes both ways unchanged
-	Left      string // how much longer the downstream waits, and the worker may work
-	Tenant    string // whose key it was, told to the worker
+	Left      string // how much longer the client waits, and the worker may work
+	Tenant    string // whose key it was, sent to the worker
 	Expected  string // the life of a worker that alone may run the request
 	Version   string // of weights that alone may run the request
 	Urgency   string
@@ -83,7 +83,7 @@
 	return false
 }
 
-// towards is the header that goes to a worker with this choice. What a downstream may not say
+// towards is the header that goes to a worker with this choice. What a client may not say
 // itself is gone, whatever it sent.
 func (q *request) towards(c selection.Choice, left time.Duration) http.Header {
 	h := &q.d.Headers
@@ -129,7 +129,7 @@
 	return to
 }
 
-// key is what the downstream shows.
+// key is what the client shows.
 func (h *Headers) key(r *http.Request) string {
 	scheme, key, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, h.Scheme) {
--- a/internal/data/proxy/idle.go
+++ b/internal/data/proxy/idle.go
@@ -21,7 +21,7 @@
 	stood    = 8
 )
 
-// fit tells whether a connection of that idle age may carry a request that can't be repeated.
+// fit reports whether a connection of that idle age may carry a request that can't be repeated.
 func (x *idles) fit(age time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/data/proxy/idle_test.go
+++ b/internal/data/proxy/idle_test.go
@@ -52,7 +52,7 @@
 // However many idle connections are too old, the request gets a new one.
 func TestManyOldConnections(t *testing.T) {
 	open(t, []script{says(okay)}, func(s *site) {
-		s.d.lines.idle.forgot(time.Second)
+		s.d.conns.idle.forgot(time.Second)
 		done := make(chan reply)
 		for range 9 {
 			go func() { done <- s.call(post("once", "a1", "b")) }()
--- a/internal/data/proxy/leave_test.go
+++ b/internal/data/proxy/leave_test.go
@@ -142,9 +142,9 @@
 			{"never proved", true, time.Hour, b.Config(0.8 * firstPlan), b.Config(firstPlan)},
 			{"no proof is asked for", false, time.Hour, 0, 0},
 		} {
-			site := *s.d.site // the open door reads its own
+			site := *s.d.site // the open server reads its own
 			site.Revokes = x.revokes
-			d := &door{Config: s.d.Config, l: s.l, site: &site}
+			d := &server{Config: s.d.Config, l: s.l, site: &site}
 			if x.proof > 0 {
 				s.set(func(n *fleet.Snapshot) { n.ProofAt = 0 })
 			}
--- a/internal/data/proxy/pass.go
+++ b/internal/data/proxy/pass.go
@@ -64,7 +64,7 @@
 	return n, err
 }
 
-// hand gives bytes to the downstream; false: there is no sense in going on.
+// hand gives bytes to the client; false: there is no sense in going on.
 func (a *attempt) hand(p []byte, end, lively bool) bool {
 	q := a.q
 	var bad error
@@ -97,7 +97,7 @@
 	return true
 }
 
-// head begins the answer to the downstream. From here on the end of the request's time ends
+// head begins the answer to the client. From here on the end of the request's time ends
 // writing, too.
 func (q *request) head(resp *http.Response) {
 	q.begun = true
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -17,18 +17,18 @@
 	"pebbleloom/internal/settings"
 )
 
-// request is one attempt of a downstream, from its first byte to the last of its answer.
+// request is one attempt of a client, from its first byte to the last of its answer.
 type request struct {
-	d       *door
+	d       *server
 	w       http.ResponseWriter
 	rc      *http.ResponseController
 	r       *http.Request
-	ctx     context.Context // ends with the time that is left, or when the downstream goes away
+	ctx     context.Context // ends with the time that is left, or when the client goes away
 	cancel  context.CancelFunc
 	unwrite func() bool // takes back the end of writing that comes with the end of ctx
 
 	at      time.Duration // it was read
-	until   time.Duration // the downstream waits, and the route lets it
+	until   time.Duration // the client waits, and the route lets it
 	ask     selection.Request
 	conns   int // of one worker, from this machine
 	body    []byte
@@ -42,7 +42,7 @@
 	missed int           // attempts of which nothing left this machine
 	ran    bool          // a worker may have run it
 	kept   *kept         // what a worker said itself, where nothing better comes
-	begun  bool          // something of an answer has gone to the downstream
+	begun  bool          // something of an answer has gone to the client
 	events *events
 }
 
@@ -51,13 +51,13 @@
 
 // take reads a request and finds its route, tenant and service. What can't be taken is answered
 // at once, and nil comes back.
-func (d *door) take(w http.ResponseWriter, r *http.Request) *request {
+func (d *server) take(w http.ResponseWriter, r *http.Request) *request {
 	q := &request{d: d, w: w, rc: http.NewResponseController(w), r: r, at: d.l.Clock.Now(), tried: map[string]bool{},
 		unwrite: func() bool { return true }}
 	q.ask.ID, q.ask.Zone = r.Header.Get(d.Headers.ID), d.l.Place.Zone
 	s := d.Snapshot()
 	if s == nil || s.Plan == nil {
-		q.deny(errs.NotRun, "no plan is known here yet", d.l.Place.Bounds.Config(0.1))
+		q.reject(errs.NotRun, "no plan is known here yet", d.l.Place.Bounds.Config(0.1))
 		return nil
 	}
 	if !q.admit(s) || !q.read(s.Plan) {
@@ -98,7 +98,7 @@
 	q.ask.Route, q.ask.Tenant = route, nil
 	if !route.Public && len(s.Plan.Tenants) > 0 {
 		if d.site.Revokes && !known {
-			q.deny(errs.NotRun, "it can't be proven here that the key is still good", b.Config(0.1))
+			q.reject(errs.NotRun, "it can't be proven here that the key is still good", b.Config(0.1))
 			return false
 		}
 		if q.ask.Tenant, ok = s.Plan.Tenant(d.Headers.key(r)); !ok {
@@ -106,8 +106,8 @@
 		}
 	}
 	left := route.Timeout
-	if told, ok := d.Headers.ReadLeft(r.Header.Get(d.Headers.Left)); ok {
-		left = min(left, told)
+	if wait, ok := d.Headers.ReadLeft(r.Header.Get(d.Headers.Left)); ok {
+		left = min(left, wait)
 	}
 	q.until = q.at + left
 	q.ask.Service = route.Service(q.ask.ID)
@@ -118,13 +118,13 @@
 	return true
 }
 
-// unknown denies what the plan doesn't know. A plan that nobody vouches for can't say that.
+// unknown rejects what the plan doesn't know. A plan that nobody vouches for can't say that.
 func (q *request) unknown(known bool, k *errs.Kind, why string) bool {
 	if !known {
-		q.deny(errs.NotRun, "the plan known here may be old, and "+why, q.d.l.Place.Bounds.Config(0.1))
+		q.reject(errs.NotRun, "the plan known here may be old, and "+why, q.d.l.Place.Bounds.Config(0.1))
 		return false
 	}
-	q.deny(k, why, 0)
+	q.reject(k, why, 0)
 	return false
 }
 
@@ -137,7 +137,7 @@
 	n := q.r.ContentLength
 	if n > limit {
 		q.w.Header().Set("Connection", "close")
-		q.deny(errs.TooBig, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
+		q.reject(errs.TooBig, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
 		return false
 	}
 	q.chunked = n < 0
@@ -163,11 +163,11 @@
 	switch {
 	case err != nil:
 		q.w.Header().Set("Connection", "close")
-		q.deny(errs.NotRun, "the body didn't come whole in time", q.wait())
+		q.reject(errs.NotRun, "the body didn't come whole in time", q.wait())
 		return false
 	case int64(len(q.body)) > limit:
 		q.w.Header().Set("Connection", "close")
-		q.deny(errs.TooBig, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
+		q.reject(errs.TooBig, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
 		return false
 	}
 	return !q.chunked || q.hold(int64(len(q.body)))
@@ -179,11 +179,11 @@
 	if q.d.held.Add(n) <= q.d.room {
 		return true
 	}
-	q.deny(errs.Overloaded, "no memory for another request", q.wait())
+	q.reject(errs.Overloaded, "no memory for another request", q.wait())
 	return false
 }
 
-// prompt reads what the request tells of its prompt; most shapes tell nothing.
+// prompt reads what the request tells of its prompt; most shapes say nothing.
 func (q *request) prompt() {
 	h := &q.d.Headers
 	q.ask.Model = q.r.Header.Get(h.Model)
@@ -201,7 +201,7 @@
 // left is how much time there is still.
 func (q *request) left() time.Duration { return q.until - q.d.l.Clock.Now() }
 
-// wait is when a downstream that was denied may come again: soon enough to be served in time.
+// wait is when a client that was rejected may come again: soon enough to be served in time.
 func (q *request) wait() time.Duration {
 	if q.later > 0 {
 		return q.later
@@ -212,14 +212,14 @@
 	return q.ask.Route.Target / 4
 }
 
-// repeatable tells whether more than one worker may run it.
+// repeatable reports whether more than one worker may run it.
 func (q *request) repeatable() bool {
 	rt := q.ask.Route
 	return rt.Kind == routingconfig.Repeatable || rt.Kind == routingconfig.Stream && rt.Resumable
 }
 
-// deny answers a request in this machine's own words.
-func (q *request) deny(k *errs.Kind, why string, wait time.Duration) {
+// reject answers a request in this machine's own words.
+func (q *request) reject(k *errs.Kind, why string, wait time.Duration) {
 	h := q.w.Header()
 	q.parting()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// What only this machine may say is never a downstream's word, and nothing gets through by way of
+// What only this machine may say is never a client's word, and nothing gets through by way of
 // fields that concern one connection.
 func TestSmuggledHeaders(t *testing.T) {
 	open(t, []script{says(okay)}, func(s *site) {
@@ -126,7 +126,7 @@
 				t.Errorf("%s: %q reached the worker: want %q", k, v, want)
 			}
 		}
-		// On a public route there is no tenant, whatever the downstream says.
+		// On a public route there is no tenant, whatever the client says.
 		s.call(post("once", "a2", "b", "Go-Tenant: other", "Authorization: Bearer good"))
 		if h := s.ws[0].ran[1].Header; h.Get("Go-Tenant") != "" || h.Get("Authorization") != "" {
 			t.Errorf("%v", h)
@@ -154,7 +154,7 @@
 	})
 }
 
-// What a picker says takes effect on the request.
+// What a selector says takes effect on the request.
 func TestChoiceTakesEffect(t *testing.T) {
 	open(t, []script{says(strings.Replace(okay, "Go-Seal", "Go-Load: 3/1/8\r\nGo-Seal", 1))}, func(s *site) {
 		s.p.dress = func(c *selection.Choice) {
@@ -222,7 +222,7 @@
 }
 
 // What is denied before a worker is asked.
-func TestDeniedAtOnce(t *testing.T) {
+func TestRejectedAtOnce(t *testing.T) {
 	open(t, []script{says(okay)}, func(s *site) {
 		over := strings.Repeat("x", 100<<10+1)
 		for name, x := range map[string]struct {
@@ -282,7 +282,7 @@
 	}
 }
 
-// The route's own bound holds, however long the downstream would wait; and the worker is told what
+// The route's own bound holds, however long the client would wait; and the worker is told what
 // is left.
 func TestRouteBoundsTheTime(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
@@ -301,8 +301,8 @@
 	}
 }
 
-// A downstream that doesn't read is given up with its time, and visibly so.
-func TestDownstreamThatDoesNotRead(t *testing.T) {
+// A client that doesn't read is given up with its time, and visibly so.
+func TestClientThatDoesNotRead(t *testing.T) {
 	big := strings.Repeat("abcdefghij", 50000)
 	open(t, []script{says(fmt.Sprintf("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nGo-Seal: s\r\nContent-Length: %d\r\n\r\n%s", len(big), big))}, func(s *site) {
 		c := s.caller()
@@ -311,7 +311,7 @@
 		time.Sleep(5 * time.Second) // of the bubble
 		synctest.Wait()
 		if n := s.d.running.Load(); n != 0 {
-			t.Errorf("%d requests hang on a downstream that doesn't read", n)
+			t.Errorf("%d requests hang on a client that doesn't read", n)
 		}
 		if a := c.answer("POST"); a.err == nil {
 			t.Error("an answer that was given up looks whole")
--- a/internal/data/proxy/reuse_test.go
+++ b/internal/data/proxy/reuse_test.go
@@ -43,7 +43,7 @@
 		{"its reset", func(far *net.TCPConn) { _ = far.SetLinger(0); far.Close() }, true},
 	} {
 		near, far := pair(t)
-		l := newLine(near, time.Hour, func() {})
+		l := newWorkerConn(near, time.Hour, func() {})
 		x.do(far)
 		if got := l.waiting(); got != x.want {
 			t.Errorf("%s: %v", x.name, got)
@@ -57,18 +57,18 @@
 	here, there := net.Pipe()
 	defer here.Close()
 	defer there.Close()
-	if newLine(here, time.Hour, func() {}).waiting() {
+	if newWorkerConn(here, time.Hour, func() {}).waiting() {
 		t.Error("a connection that can't be asked")
 	}
 }
 
-// A line that served is taken only once it is read from again, or has ended: until then bytes behind
+// A connection that served is taken only once it is read from again, or has ended: until then bytes behind
 // the answer before may stand in net/http's buffer.
-func TestALineSettlesFirst(t *testing.T) {
+func TestAConnectionSettlesFirst(t *testing.T) {
 	for _, how := range []string{"read again", "ended"} {
 		synctest.Test(t, func(t *testing.T) {
 			near, far := net.Pipe()
-			l := newLine(near, time.Hour, func() {})
+			l := newWorkerConn(near, time.Hour, func() {})
 			settled := make(chan struct{})
 			go func() { l.settle(); close(settled) }()
 			synctest.Wait()
@@ -89,13 +89,13 @@
 	}
 }
 
-// captured notes the lines that a site's door opens.
-func captured(s *site) *[]*line {
-	var all []*line
-	dial := s.d.lines.t.DialContext
-	s.d.lines.t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+// captured notes the connections that a site's server opens.
+func captured(s *site) *[]*workerConn {
+	var all []*workerConn
+	dial := s.d.conns.t.DialContext
+	s.d.conns.t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		if l, ok := c.(*line); ok {
+		if l, ok := c.(*workerConn); ok {
 			all = append(all, l)
 		}
 		return c, err
@@ -103,26 +103,26 @@
 	return &all
 }
 
-// A process that stood still comes to its lines before their timers do: none is taken that its worker
+// A process that stood still comes to its connections before their timers do: none is taken that its worker
 // wasn't sure to keep so long.
-func TestALineOlderThanItsWorkerKeepsIt(t *testing.T) {
+func TestAConnectionOlderThanItsWorkerKeepsIt(t *testing.T) {
 	text := strings.Replace(okay, "Content-Length", "Keep-Alive: timeout=1\r\nContent-Length", 1)
 	for _, route := range []string{"once", "repeat"} {
 		open(t, []script{says(text)}, func(s *site) {
-			lines := captured(s)
+			conns := captured(s)
 			if a := s.call(post(route, "a1", "b")); a.status != 200 {
 				t.Fatal(a)
 			}
 			synctest.Wait()
-			(*lines)[0].mu.Lock()
-			(*lines)[0].timer.Stop() // it doesn't run while the process stands still
-			(*lines)[0].mu.Unlock()
+			(*conns)[0].mu.Lock()
+			(*conns)[0].timer.Stop() // it doesn't run while the process stands still
+			(*conns)[0].mu.Unlock()
 			time.Sleep(900 * time.Millisecond) // of the bubble; four fifths of the second are over
 			if a := s.call(post(route, "a2", "b")); a.status != 200 {
 				t.Fatal(a)
 			}
-			if len(*lines) != 2 || s.ws[0].runs() != 2 {
-				t.Errorf("%s: %d connections, ran %d times", route, len(*lines), s.ws[0].runs())
+			if len(*conns) != 2 || s.ws[0].runs() != 2 {
+				t.Errorf("%s: %d connections, ran %d times", route, len(*conns), s.ws[0].runs())
 			}
 		})
 	}
@@ -131,8 +131,8 @@
 // A request whose time went by while its connection came up isn't sent, and that is a promise.
 func TestNotSentOnceItsTimeIsOver(t *testing.T) {
 	open(t, []script{says(okay)}, func(s *site) {
-		dial := s.d.lines.t.DialContext
-		s.d.lines.t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		dial := s.d.conns.t.DialContext
+		s.d.conns.t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			time.Sleep(4*time.Second + time.Millisecond) // of the bubble: the process stands still
 			return dial(ctx, network, addr)
 		}
@@ -155,7 +155,7 @@
 			}
 		}
 	})
-	open(t, []script{says(okay)}, func(s *site) { // nor does one go on a line that served
+	open(t, []script{says(okay)}, func(s *site) { // nor does one go on a connection that served
 		if a := s.call(post("once", "a1", "b")); a.status != 200 {
 			t.Fatal(a)
 		}
--- a/internal/data/proxy/serve.go
+++ b/internal/data/proxy/serve.go
@@ -20,7 +20,7 @@
 // ServeHTTP is a request's whole way.
 //
 // Example: http.Server{Handler: d}
-func (d *door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.running.Add(1)
 	defer d.running.Add(-1)
 	q := d.take(w, r)
@@ -56,7 +56,7 @@
 	q.giveUp()
 }
 
-// again tells whether another worker may have the request.
+// again reports whether another worker may have the request.
 func (q *request) again(a *attempt) bool {
 	rt := q.ask.Route
 	if a.fate == gone || q.ctx.Err() != nil || q.left() < max(rt.Target/10, time.Millisecond) {
@@ -101,18 +101,18 @@
 	k := q.kept
 	switch {
 	case k != nil && (k.ran || !q.ran):
-		q.tell(k)
+		q.respond(k)
 	case q.ran && (q.ctx.Err() == context.DeadlineExceeded || q.left() <= 0):
-		q.deny(errs.Expired, "time ran out while a worker may have been at work", 0)
+		q.reject(errs.Expired, "time ran out while a worker may have been at work", 0)
 	case q.ran:
-		q.deny(errs.MayHaveRun, "a worker took the request and gave no whole answer", 0)
+		q.reject(errs.MayHaveRun, "a worker took the request and gave no whole answer", 0)
 	default:
-		q.deny(errs.NotRun, "no worker took the request", q.wait())
+		q.reject(errs.NotRun, "no worker took the request", q.wait())
 	}
 }
 
-// tell hands on an answer that was kept.
-func (q *request) tell(k *kept) {
+// respond hands on an answer that was kept.
+func (q *request) respond(k *kept) {
 	h := q.w.Header()
 	q.copyHead(k.head)
 	if h.Get("Retry-After") == "" && !k.ran && k.status != http.StatusBadRequest {
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// picker takes the first worker of the service that wasn't tried, and keeps a journal.
-type picker struct {
+// selector takes the first worker of the service that wasn't tried, and keeps a journal.
+type selector struct {
 	mu      sync.Mutex
 	endings []selection.Ending
 	loads   []selection.Load
@@ -168,11 +168,11 @@
 	dress   func(*selection.Choice)
 }
 
-func (p *picker) Lookup(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.Found {
+func (p *selector) Lookup(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.Found {
 	return nil
 }
 
-func (p *picker) Select(s *fleet.Snapshot, r *selection.Request, _ map[prefix.Key]*wire.Found, tried map[string]bool) (selection.Choice, bool) {
+func (p *selector) Select(s *fleet.Snapshot, r *selection.Request, _ map[prefix.Key]*wire.Found, tried map[string]bool) (selection.Choice, bool) {
 	for _, w := range s.Workers {
 		if w.Service == r.Service && !w.Draining && !tried[w.ID] {
 			c := selection.Choice{Worker: w, Urgency: -1}
@@ -185,15 +185,15 @@
 	return selection.Choice{}, false
 }
 
-func (p *picker) Sent(*selection.Request, selection.Choice) {
+func (p *selector) Sent(*selection.Request, selection.Choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
 }
 
-func (p *picker) Begun(*selection.Request, selection.Choice, *selection.Load, time.Duration) {}
+func (p *selector) Begun(*selection.Request, selection.Choice, *selection.Load, time.Duration) {}
 
-func (p *picker) Done(_ *selection.Request, _ selection.Choice, e selection.Ending, l *selection.Load, _ time.Duration) {
+func (p *selector) Done(_ *selection.Request, _ selection.Choice, e selection.Ending, l *selection.Load, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -203,13 +203,13 @@
 	}
 }
 
-// site is one edge machine with its workers and downstreams.
+// site is one edge machine with its workers and clients.
 type site struct {
 	t    *testing.T
 	w    *wires
 	l    *daemon.Process
-	d    *door
-	p    *picker
+	d    *server
+	p    *selector
 	once sync.Once
 	snap atomic.Pointer[fleet.Snapshot]
 	ws   []*worker
@@ -234,7 +234,7 @@
 func open(t *testing.T, scripts []script, f func(s *site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{t: t, w: &wires{at: map[string]*socket{}, to: map[string]int{}}, p: &picker{}}
+		s := &site{t: t, w: &wires{at: map[string]*socket{}, to: map[string]int{}}, p: &selector{}}
 		b := settings.Default()
 		b.TryShare, b.TryAllow = 100, 100
 		place := settings.Place{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Extra: []string{"log=off"},
@@ -254,7 +254,7 @@
 			}
 		}
 		s.snap.Store(snap)
-		s.d = newDoor(s.l, Config{Headers: names(), ReadyPath: "/up", Snapshot: s.snap.Load, Selector: s.p})
+		s.d = newServer(s.l, Config{Headers: names(), ReadyPath: "/up", Snapshot: s.snap.Load, Selector: s.p})
 		if err := s.d.open(); err != nil {
 			t.Fatal(err)
 		}
@@ -278,7 +278,7 @@
 	s.snap.Store(&n)
 }
 
-// reply is what a downstream has seen.
+// reply is what a client has seen.
 type reply struct {
 	status int
 	head   http.Header
@@ -287,7 +287,7 @@
 	closes bool  // the connection ends with it
 }
 
-// caller is one downstream's connection.
+// caller is one client's connection.
 type caller struct {
 	net.Conn
 	br *bufio.Reader
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// A downstream that goes away takes its attempt with it.
+// A client that goes away takes its attempt with it.
 func TestHangUpEndsTheAttempt(t *testing.T) {
 	for _, when := range []string{"before the head", "midway"} {
 		t.Run(when, func(t *testing.T) {
