--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -57,29 +57,29 @@
 func TestAChangeIsMadeOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		script []string // of core-3, which core-2 and core-4 name as the owner
+		script []string // of core-3, which core-2 and core-4 name as the leader
 		ask    *wire.ChangeRequest
 		kind   *errs.Kind // nil: done
 		asked  int        // how often core-3 was asked; 0: any number
 	}{
-		{"the owner does it", []string{"done"}, put("t", false), nil, 1},
+		{"the leader does it", []string{"done"}, put("t", false), nil, 1},
 		{"under a token a lost answer is asked for again", []string{"lost", "done"}, put("t", false), nil, 2},
 		{"without token or epoch it isn't", []string{"lost", "done"}, put("", false), errs.MayHaveRun, 1},
 		{"onto an epoch it is, and a conflict then proves nothing", []string{"lost", "epoch-conflict"}, put("", true), errs.MayHaveRun, 2},
 		{"a conflict with all answers heard is one", []string{"epoch-conflict"}, put("", true), errs.Conflict, 1},
 		{"lost for good", []string{"lost"}, put("t", false), errs.MayHaveRun, 0},
-		{"what the owner finds wrong", []string{"bad-input"}, put("t", false), errs.BadInput, 1},
+		{"what the leader finds wrong", []string{"bad-input"}, put("t", false), errs.BadInput, 1},
 		{"too busy, then done", []string{"overloaded", "overloaded", "done"}, put("t", false), nil, 3},
-		{"nobody owns it", []string{"core-4"}, put("t", false), errs.CantSay, 0},
+		{"nobody leads it", []string{"core-4"}, put("t", false), errs.CantSay, 0},
 	} {
-		owner := &member{script: c.script}
-		x := control(t, map[string]*member{"core-2": {script: []string{"core-3"}}, "core-3": owner, "core-4": {script: []string{"core-3"}}})
+		leader := &member{script: c.script}
+		x := control(t, map[string]*member{"core-2": {script: []string{"core-3"}}, "core-3": leader, "core-4": {script: []string{"core-3"}}})
 		r, err := x.Change(context.Background(), c.ask)
 		if c.kind == nil && (err != nil || r.Version != 7) || c.kind != nil && (err == nil || errs.KindOf(err) != c.kind) {
 			t.Errorf("%s: %v, %v", c.name, r, err)
 		}
-		if c.asked > 0 && owner.asked != c.asked {
-			t.Errorf("%s: asked %d times, want %d", c.name, owner.asked, c.asked)
+		if c.asked > 0 && leader.asked != c.asked {
+			t.Errorf("%s: asked %d times, want %d", c.name, leader.asked, c.asked)
 		}
 	}
 	if _, err := control(t, nil).Change(context.Background(), put("t", false)); errs.KindOf(err) != errs.CantSay {
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -15,34 +15,34 @@
 	"pebbleloom/internal/wire"
 )
 
-// seat is one core machine of a group, which may know who owns it.
+// seat is one core machine of a group, which may know who leads it.
 type seat struct {
 	wire.Archive
-	mu    *sync.Mutex // of all seats and the name
-	owner func() string
-	owns  bool
-	asked int
+	mu     *sync.Mutex // of all seats and the name
+	leader func() string
+	leads  bool
+	asked  int
 }
 
 func (s *seat) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked++
-	if s.owns {
+	if s.leads {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7}, nil
 	}
-	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: s.owner()}, nil
+	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: s.leader()}, nil
 }
 
-// The owner of a group is found by whom anybody names, by the roster and by the seeds; once
+// The leader of a group is found by whom anybody names, by the roster and by the seeds; once
 // found it is asked first; where nobody knows, that is said in time.
-func TestTheOwnerOfAGroupIsFound(t *testing.T) {
+func TestTheLeaderOfAGroupIsFound(t *testing.T) {
 	var addr [4]string
 	name := ""
 	var mu sync.Mutex
 	s := [4]*seat{}
 	for i := range s {
-		s[i] = &seat{mu: &mu, owner: func() string { return name }}
+		s[i] = &seat{mu: &mu, leader: func() string { return name }}
 		x := httptest.NewServer(wire.NewArchiveServer(s[i]))
 		defer x.Close()
 		addr[i] = x.Listener.Addr().String()
@@ -53,7 +53,7 @@
 	c := NewGroup([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
 	for _, x := range []struct {
 		what  string
-		owner int    // who owns it
+		leads int    // who leads it
 		named string // whom the others name
 		asked [4]int
 	}{
@@ -64,7 +64,7 @@
 	} {
 		mu.Lock()
 		for i := range s {
-			s[i].asked, s[i].owns = 0, i == x.owner
+			s[i].asked, s[i].leads = 0, i == x.leads
 		}
 		name = x.named
 		mu.Unlock()
@@ -77,13 +77,13 @@
 	}
 	mu.Lock()
 	for i := range s {
-		s[i].owns = false
+		s[i].leads = false
 	}
 	mu.Unlock()
 	ctx, end := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer end()
 	if _, err := c.Change(ctx, put("t", false)); err == nil || errs.KindOf(err) != errs.CantSay {
-		t.Errorf("nobody owns it: %v", err)
+		t.Errorf("nobody leads it: %v", err)
 	}
 	c.SetSeeds([]string{"127.0.0.1:2"})
 	if l := fmt.Sprint(c.Addresses()); l != fmt.Sprint([]string{addr[2], addr[1], "127.0.0.1:2"}) {
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -13,8 +13,8 @@
 // Lease is a lease as its holder sees it. It is counted from when it was requested, by a clock that
 // counts sleep; so it ends here before it can be granted to another.
 type Lease struct {
-	Duty   string
-	Part   uint32
+	Name   string // of the lease
+	Shard  uint32 // that keeps it
 	Holder string
 	TTL    time.Duration
 
@@ -28,8 +28,8 @@
 // NewLease prepares to hold a lease; nothing is requested yet.
 //
 // Example: l := controlclient.NewLease(ctl, clk, "appraise/lector", controlclient.ShardOf("lector"), "core-1/8f", 3*time.Second)
-func NewLease(ctl *Client, clk clock.Clock, duty string, part uint32, holder string, ttl time.Duration) *Lease {
-	return &Lease{Duty: duty, Part: part, Holder: holder, TTL: ttl, clk: clk, ctl: ctl}
+func NewLease(ctl *Client, clk clock.Clock, name string, shard uint32, holder string, ttl time.Duration) *Lease {
+	return &Lease{Name: name, Shard: shard, Holder: holder, TTL: ttl, clk: clk, ctl: ctl}
 }
 
 // Held gives the fence while the lease is held. Ask it right before acting.
@@ -47,7 +47,7 @@
 func (l *Lease) Ask() *wire.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &wire.Grant{Lease: l.Duty, Holder: l.Holder, TtlNs: uint64(l.TTL), IfFence: l.fence}
+	return &wire.Grant{Lease: l.Name, Holder: l.Holder, TtlNs: uint64(l.TTL), IfFence: l.fence}
 }
 
 // Tell takes the response to a grant requested at an instant. A fence never falls: a conflict under
@@ -78,7 +78,7 @@
 	ctx, end := context.WithTimeout(ctx, l.TTL/2)
 	defer end()
 	asked := l.clk.Now()
-	t, err := l.ctl.Change(ctx, &wire.ChangeRequest{Shard: l.Part, Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.Ask()}}})
+	t, err := l.ctl.Change(ctx, &wire.ChangeRequest{Shard: l.Shard, Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.Ask()}}})
 	l.Tell(asked, t)
 	return err
 }
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Duty, Fence: fence, Holder: c.holder}
+	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Name, Fence: fence, Holder: c.holder}
 	_, err = c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: shard, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err == nil {
 		c.process.Log.Info("calendar", "entry", e.Name, "service", e.Service, "state", e.State, "step", e.Step, "why", e.Why)
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -275,7 +275,7 @@
 	if err != nil {
 		return errs.Wrap(err, "write placement")
 	}
-	put := &wire.Put{Key: "placement/" + name, Body: body, IfVersion: svc.document.Version, Lease: svc.lease.Duty, Fence: fence, Holder: c.holder}
+	put := &wire.Put{Key: "placement/" + name, Body: body, IfVersion: svc.document.Version, Lease: svc.lease.Name, Fence: fence, Holder: c.holder}
 	t, err := c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(name), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
 		svc.document = nil // read it again before the next attempt
--- a/internal/control/placementcontroller/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -240,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Duty, Fence: fence, Holder: c.holder}
+	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Name, Fence: fence, Holder: c.holder}
 	_, err = c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err == nil && (was.State != r.State || was.Phase != r.Phase || was.Share != r.Share) {
 		held := ""
