--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -27,8 +27,8 @@
 }
 
 // How long one attempt may last, and the pause between two rounds, as ratios of the heal bound. A
-// body of attemptBytes makes an attempt as long again. Where nobody else has answered lately, this
-// process is probably the one that is cut off, and an attempt gets silentPart of that time.
+// body of attemptBytes makes an attempt as long again. Where a majority hasn't answered lately, this
+// process is probably the one that is cut off, and asking a silent one gets silentPart of that time.
 const (
 	attemptPart  = 1.0 / 24
 	attemptBytes = 256 << 10
@@ -154,23 +154,25 @@
 	return g.silent[addr]
 }
 
-// onlySilent tells whether every other address was silent the last time it was asked.
-func (g *groupAddresses) onlySilent(l []string) bool {
-	others := 0
-	for _, a := range l {
-		if g.isSelf(a) {
-			continue
-		}
-		if others++; !g.isSilent(a) {
-			return false
+// isUnreachable tells whether the leader probably can't be reached from here: a majority of the
+// members that this process knows was silent the last time, or all addresses where it knows none.
+func (g *groupAddresses) isUnreachable(addresses []string) bool {
+	needed := len(addresses)
+	if members := g.members.Load(); members != nil && len(*members) > 0 {
+		addresses, needed = *members, len(*members)/2+1
+	}
+	silent := 0
+	for _, a := range addresses {
+		if !g.isSelf(a) && g.isSilent(a) {
+			silent++
 		}
 	}
-	return others > 0
+	return silent > 0 && silent >= needed
 }
 
 // eachAddress asks the addresses in turn, whom one names as the leader right after it, until done
-// says so, the time is over, or a whole round shows that nobody else can be reached: then the
-// caller is told so while it can still ask elsewhere. size is that of the request's body.
+// says so, the time is over, or a whole round shows that the leader can't be reached from here: then
+// the caller hears so while it can still ask elsewhere. size is that of the request's body.
 func (c *Client) eachAddress(caller context.Context, size int, try func(context.Context, wire.Archive) outcome) bool {
 	ctx, end := context.WithTimeout(caller, c.bounds.Heal(0.5))
 	defer end()
@@ -178,7 +180,7 @@
 		if c.askRound(ctx, caller, size, try) {
 			return true
 		}
-		if c.group.onlySilent(c.Addresses()) {
+		if c.group.isUnreachable(c.Addresses()) {
 			return false
 		}
 		clock.Pause(ctx, c.bounds.Heal(pausePart))
@@ -189,17 +191,18 @@
 // askRound asks each address once.
 func (c *Client) askRound(ctx, caller context.Context, size int, try func(context.Context, wire.Archive) outcome) bool {
 	todo, asked := c.Addresses(), map[string]bool{}
-	limit := c.attemptTime(size)
-	least := time.Duration(float64(limit) * silentPart)
-	if c.group.onlySilent(todo) {
-		limit = least
-	}
+	whole, unreachable := c.attemptTime(size), c.group.isUnreachable(todo)
+	least := time.Duration(float64(whole) * silentPart)
 	for len(todo) > 0 && ctx.Err() == nil {
 		addr := todo[0]
 		if todo = todo[1:]; asked[addr] {
 			continue
 		}
 		asked[addr] = true
+		limit := whole
+		if unreachable && c.group.isSilent(addr) {
+			limit = least
+		}
 		waited := time.NewTimer(least)
 		attempt, stop := context.WithTimeout(caller, limit)
 		got := try(attempt, c.calls.ControlNode(addr))
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -34,6 +34,7 @@
 	restart   string // of the cut-off member, of another, or of all while the cut lasts
 	seeds     bool   // those restarted are told seeds that name the cut-off member alone
 	spare     bool   // a fourth machine waits to take a place
+	pair      bool   // two of five are cut off, and reach each other
 }
 
 func (r cutRow) String() string {
@@ -45,16 +46,24 @@
 	if r.spare {
 		s += ", a spare"
 	}
+	if r.pair {
+		s += ", two of five"
+	}
 	return s
 }
 
 func cutRows() (l []cutRow) {
 	for _, leader := range []bool{true, false} {
 		for _, direction := range []string{"both", "out", "in"} {
+			for _, restart := range []string{"none", "itself", "all"} {
+				l = append(l, cutRow{leader: leader, direction: direction, restart: restart, pair: true})
+			}
 			for _, spare := range []bool{false, true} {
-				l = append(l, cutRow{leader, direction, "none", false, spare})
+				l = append(l, cutRow{leader: leader, direction: direction, restart: "none", spare: spare})
 				for _, restart := range []string{"itself", "another", "all"} {
-					l = append(l, cutRow{leader, direction, restart, false, spare}, cutRow{leader, direction, restart, true, spare})
+					l = append(l,
+						cutRow{leader: leader, direction: direction, restart: restart, spare: spare},
+						cutRow{leader: leader, direction: direction, restart: restart, spare: spare, seeds: true})
 				}
 			}
 		}
@@ -101,15 +110,18 @@
 // play plays one row.
 func (w *cutWorld) play() {
 	t, ctx := w.t, context.Background()
-	machines := 3
+	machines, members := 3, 3
 	if w.row.spare {
 		machines = 4
 	}
+	if w.row.pair {
+		machines, members, w.bears = 5, 5, 2
+	}
 	for i := range machines {
 		w.start(i+1, true)
 	}
 	defer w.down()
-	w.until("a leader", 5*time.Second, func() bool { return len(w.members()) == 3 })
+	w.until("a whole group", 10*time.Second, func() bool { return len(w.members()) == members })
 	w.chooseVictim(machines)
 	for i := range uint64(2) {
 		if err := w.order(w.victim, i, body(i+1, "before")); err != nil {
@@ -138,7 +150,7 @@
 	begin := w.now()
 	w.duringCut(begin)
 	w.net.set(func(cut map[[2]string]bool) { clear(cut) })
-	w.afterCut()
+	w.afterCut(machines)
 }
 
 func (w *cutWorld) duringCut(begin time.Duration) {
@@ -195,14 +207,14 @@
 }
 
 // afterCut checks that the member is back: it takes orders, and what it serves is the newest.
-func (w *cutWorld) afterCut() {
+func (w *cutWorld) afterCut(machines int) {
 	w.until("orders at the member that was cut off", backWithin, func() bool {
 		w.mu.Lock()
 		base := w.version
 		w.mu.Unlock()
 		return w.order(w.victim, base, body(base+1, "after")) == nil
 	})
-	for i := range 3 {
+	for i := range machines {
 		w.until("a read", backWithin, func() bool { return w.read(i+1) == nil })
 	}
 }
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -21,7 +21,9 @@
 	t      *testing.T
 	row    cutRow
 	victim int
-	others []int
+	// companion is cut off together with the victim, and still reaches it; 0: there is none.
+	companion int
+	others    []int
 
 	mu      sync.Mutex
 	version uint64        // the newest acknowledged
@@ -52,18 +54,20 @@
 	return w.nodes[w.addr(i)]
 }
 
-// cutOff begins the cut.
+// cutOff begins the cut between the victim, with its companion if it has one, and all others.
 func (w *cutWorld) cutOff() {
 	w.net.set(func(cut map[[2]string]bool) {
-		for i := range 9 {
-			if i+1 == w.victim {
-				continue
-			}
-			if w.row.direction != "in" {
-				cut[[2]string{w.addr(w.victim), w.addr(i + 1)}] = true
-			}
-			if w.row.direction != "out" {
-				cut[[2]string{w.addr(i + 1), w.addr(w.victim)}] = true
+		for _, i := range []int{w.victim, w.companion} {
+			for j := range 9 {
+				if i == 0 || j+1 == w.victim || j+1 == w.companion {
+					continue
+				}
+				if w.row.direction != "in" {
+					cut[[2]string{w.addr(i), w.addr(j + 1)}] = true
+				}
+				if w.row.direction != "out" {
+					cut[[2]string{w.addr(j + 1), w.addr(i)}] = true
+				}
 			}
 		}
 	})
@@ -231,15 +235,15 @@
 	return w
 }
 
-// chooseVictim picks the member to cut off: the leader, or the first follower.
+// chooseVictim picks the member to cut off, the leader or a follower, and its companion.
 func (w *cutWorld) chooseVictim(machines int) {
-	for i := range 3 {
-		if w.victim == 0 && (i+1 == w.owner()) == w.row.leader {
-			w.victim = i + 1
-		}
-	}
 	for i := range machines {
-		if i+1 != w.victim {
+		switch isLeader := i+1 == w.owner(); {
+		case w.victim == 0 && isLeader == w.row.leader:
+			w.victim = i + 1
+		case w.row.pair && w.companion == 0 && !isLeader:
+			w.companion = i + 1
+		default:
 			w.others = append(w.others, i+1)
 		}
 	}
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -32,6 +32,7 @@
 	seeds []string
 	seed  uint64
 	net   *network // nil: pipes that lose what is sent while a machine is dark
+	bears int      // how many losses the site tolerates; 0: one
 }
 
 type pipes struct {
@@ -164,7 +165,7 @@
 	g.seed++
 	seed := g.seed
 	p := settings.Place{Name: fmt.Sprint("core-", i), Zone: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.Default(),
-		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: 1, IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
+		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: max(1, g.bears), IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
 	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk { return g.disks[addr] },
 		Listen: func(a string) (net.Listener, error) {
--- a/internal/control/mutation/point1_test.go
+++ b/internal/control/mutation/point1_test.go
@@ -68,7 +68,7 @@
 		pkg:         clientPackage, run: "TestAStaleConflictTakesNoLeaseAway"},
 	mutant{point: 1, name: "a process that reaches nobody asks on",
 		file:        "internal/control/controlclient/group.go",
-		original:    "		if c.group.onlySilent(c.Addresses()) {",
+		original:    "		if c.group.isUnreachable(c.Addresses()) {",
 		replacement: "		if len(c.Addresses()) < 0 {",
 		pkg:         clientPackage, run: "TestACutOffProcessSaysSoSoon"},
 	mutant{point: 1, name: "a silent member is asked first",
