--- a/internal/control/controlclient/cut_off_test.go
+++ b/internal/control/controlclient/cut_off_test.go
@@ -108,7 +108,7 @@
 		begun := clk.Now()
 		asked, err := l.play(c, func() { l.silent["a"], l.silent["b"], l.silent["c"] = true, true, true })
 		if d := clk.Now() - begun; err == nil || errs.KindOf(err).HTTP < 500 || d > most {
-			t.Errorf("order %d: %v after %v", i, err, d)
+			t.Fatalf("order %d: %v after %v", i, err, d)
 		}
 		if slices.Sort(asked); fmt.Sprint(asked) != "[a b c]" {
 			t.Errorf("order %d: asked %v", i, asked)
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -153,28 +153,41 @@
 	w.afterCut(machines)
 }
 
+// otherSide sends an order to the members that aren't cut off until one takes it.
+func (w *cutWorld) otherSide(base uint64, b []byte) {
+	sent, done := w.now(), false
+	for k := 0; !done && w.now()-sent < takesOver; k++ {
+		if done = w.order(w.others[k%2], base, b) == nil; !done {
+			clock.Pause(context.Background(), 100*time.Millisecond)
+		}
+	}
+	w.longest = max(w.longest, w.now()-sent)
+	if !done {
+		w.t.Errorf("%v: the other side takes no order within %v, restarted %v", w.now(), takesOver, w.restarted)
+	}
+}
+
 func (w *cutWorld) duringCut(begin time.Duration) {
 	t := w.t
 	for round := 0; w.now()-begin < cutFor; round++ {
+		moved := round == 0
 		if !w.restarted && w.row.restart != "none" && w.now()-begin > 3*time.Second {
 			w.restarts()
-			w.restarted = true
+			w.restarted, moved = true, true
 		}
 		w.mu.Lock()
 		base := w.version
 		w.mu.Unlock()
 		b := body(base+1, fmt.Sprintf("round %d", round))
-		w.atVictim(base, b, round, w.now()-begin > cutFor*3/4)
-		// The operator goes on to the other side with the very same order.
-		sent, done := w.now(), false
-		for k := 0; !done && w.now()-sent < takesOver; k++ {
-			done = w.order(w.others[k%2], base, b) == nil
-			if !done {
-				clock.Pause(context.Background(), 100*time.Millisecond)
-			}
+		// In the first moments the other side is asked beside; later the operator goes on to it with
+		// the very same order.
+		var beside sync.WaitGroup
+		if moved {
+			beside.Go(func() { w.otherSide(base, b) })
 		}
-		if !done {
-			t.Errorf("%v: the other side takes no order within %v, restarted %v", w.now(), takesOver, w.restarted)
+		w.atVictim(base, b, round, w.now()-begin > cutFor*3/4)
+		if beside.Wait(); !moved {
+			w.otherSide(base, b)
 		}
 		for _, i := range w.others[:2] {
 			_ = w.read(i) // never an old one
@@ -208,12 +221,13 @@
 
 // afterCut checks that the member is back: it takes orders, and what it serves is the newest.
 func (w *cutWorld) afterCut(machines int) {
-	w.until("orders at the member that was cut off", backWithin, func() bool {
+	back := w.until("orders at the member that was cut off", backWithin, func() bool {
 		w.mu.Lock()
 		base := w.version
 		w.mu.Unlock()
 		return w.order(w.victim, base, body(base+1, "after")) == nil
 	})
+	w.t.Logf("%s: the other side takes an order within %v, the cut-off member %v after the cut", w.row, w.longest.Round(time.Millisecond), back)
 	for i := range machines {
 		w.until("a read", backWithin, func() bool { return w.read(i+1) == nil })
 	}
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -31,6 +31,7 @@
 	edges   []*cutEdge
 	holders [2]*controlclient.Lease // one at the cut-off member, one at the others
 	held    [2]time.Duration        // when each was seen to hold the lease last
+	longest time.Duration           // that an order waited for the other side
 	// restarted tells whether the row's restarts are over.
 	restarted bool
 	begun     time.Time
