--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -141,7 +141,7 @@
 	seed := p.seed
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
 	site := &set.Site{First: true, Tolerate: 1, IP: ip(i), AckMs: 4000, GraceMs: 8000, BeatMs: 300, LeaseMs: 3000,
-		ListRate: 47, MemoryMB: 284, Files: 4100, Ports: [2]int{7360, 7375}, Revokes: true, SlackMs: 200}
+		ListRate: 47, MemoryMB: 284, Files: 4100, Ports: [2]int{7360, 7375}, Revokes: true}
 	place := set.Place{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.Default(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Extra: []string{"log=off"}, Site: site}
 	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -17,7 +17,6 @@
 	cores map[string]*Core // by address
 	down  map[string]bool
 	cut   func(a, b string) bool
-	due   []func()
 	sent  int
 	bytes int
 	limit int // highest machine number
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -23,21 +23,20 @@
 // catchUpWorld runs the real members (core, state, disk format, membership policy) of one group on
 // virtual time, over links of a bandwidth. It is for large configurations: what is sent isn't copied.
 type catchUpWorld struct {
-	t        testing.TB
-	r        *rand.Rand
-	now      time.Duration
-	nodes    []*catchUpNode
-	seeds    []string
-	queued   []catchUpMessage
-	sent     int
-	links    map[string]*simLink // from>to
-	rate     int                 // bytes a second of a link
-	cut      map[string]bool     // addresses that are cut off
-	acked    uint64              // version that was acknowledged last
-	bodies   map[uint64][]byte   // of each version, for as long as it may be seen
-	terms    map[uint64]string   // who led which term
-	compacts int
-	tail     int
+	t      testing.TB
+	r      *rand.Rand
+	now    time.Duration
+	nodes  []*catchUpNode
+	seeds  []string
+	queued []catchUpMessage
+	sent   int
+	links  map[string]*simLink // from>to
+	rate   int                 // bytes a second of a link
+	cut    map[string]bool     // addresses that are cut off
+	acked  uint64              // version that was acknowledged last
+	bodies map[uint64][]byte   // of each version, for as long as it may be seen
+	terms  map[uint64]string   // who led which term
+	tail   int
 }
 
 type catchUpNode struct {
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -31,7 +31,6 @@
 	version      uint64 // of everything in an update
 	listsVersion uint64 // of workers, nodes, placements, stores and links
 	waiting      map[chan struct{}]bool
-	shownAt      uint64
 	rows         []*wire.Worker
 	decisions    []*wire.Decided // the latest decisions, oldest first
 }
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -47,8 +47,8 @@
 	if KeyOf("a", "bc") == KeyOf("ab", "c") || KeyOf("a", "b") == KeyOf("a", "c") || KeyOf("1", "x") == KeyOf("2", "x") || UpKey("x") == KeyOf("", "x") {
 		t.Fatal("two keys are one")
 	}
-	long := string(make([]byte, 4*keyBuffer))
-	if KeyOf(long, "a") == KeyOf(long, "b") || KeyOf(long, "a") != KeyOf(long, "a") {
+	long, same := string(make([]byte, 4*keyBuffer)), string(make([]byte, 4*keyBuffer))
+	if KeyOf(long, "a") == KeyOf(long, "b") || KeyOf(long, "a") != KeyOf(same, "a") {
 		t.Fatal("a long text's key")
 	}
 }
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -52,10 +52,9 @@
 
 // wires are a site's links without a network: pipes, in a bubble of time.
 type wires struct {
-	mu  sync.Mutex
-	at  map[string]*socket
-	all int // connections made, by anyone
-	to  map[string]int
+	mu sync.Mutex
+	at map[string]*socket
+	to map[string]int
 }
 
 type socket struct {
@@ -124,7 +123,6 @@
 	ran  []*http.Request
 	got  []string // bodies
 	play script
-	conn chan struct{} // closed ends of connections, where a test asks
 }
 
 func (w *worker) runs() int { w.mu.Lock(); defer w.mu.Unlock(); return len(w.ran) }
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -23,15 +23,12 @@
 	Core      float64
 	BeatMs    int // between two heartbeats of the cluster membership
 	ListRate  float64
-	StretchMs int  // how much longer a plan's bound is while the control group is recovering
 	Revokes   bool // a revoked key is bounded by Bounds.KeyMs, even without contact
 	GraceMs   int  // from SIGTERM until the process is killed
 	LeaseMs   int  // duration of a lease
-	ThawMs    int
 	AckMs     int
 	ContactMs int
 	TransitMs int // an event is forwarded within this
-	SlackMs   int // requests in flight are cut no later than this around planned work
 }
 
 // The offsets of the processes' ports from the first of Site.Ports, the same on every machine.
--- a/internal/sim/clustersim/wire.go
+++ b/internal/sim/clustersim/wire.go
@@ -76,21 +76,21 @@
 }
 
 // take hands over what has arrived, or says how long to wait and for what.
-func (p *pipe) take(b []byte) (n int, err error, wait time.Duration, bell, link <-chan struct{}) {
+func (p *pipe) take(b []byte) (n int, wait time.Duration, bell, link <-chan struct{}, err error) {
 	r, changed := p.t.rule(p.from, p.to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	if r.Cut {
-		return 0, nil, 0, p.bell, changed
+		return 0, 0, p.bell, changed, nil
 	}
 	if p.rst && !now.Before(p.over) {
-		return 0, syscall.ECONNRESET, 0, nil, nil
+		return 0, 0, nil, nil, syscall.ECONNRESET
 	}
 	if len(p.segs) > 0 {
 		s := &p.segs[0]
 		if now.Before(s.at) {
-			return 0, nil, s.at.Sub(now), p.bell, changed
+			return 0, s.at.Sub(now), p.bell, changed, nil
 		}
 		n = copy(b, s.b)
 		if s.b = s.b[n:]; len(s.b) == 0 {
@@ -98,15 +98,15 @@
 		}
 		p.size -= n
 		p.ring()
-		return n, nil, 0, nil, nil
+		return n, 0, nil, nil, nil
 	}
 	if p.fin && !now.Before(p.over) {
-		return 0, io.EOF, 0, nil, nil
+		return 0, 0, nil, nil, io.EOF
 	}
 	if p.fin || p.rst {
 		wait = p.over.Sub(now)
 	}
-	return 0, nil, wait, p.bell, changed
+	return 0, wait, p.bell, changed, nil
 }
 
 func (p *pipe) broken() bool {
@@ -193,7 +193,7 @@
 		if len(b) == 0 {
 			return 0, nil
 		}
-		n, err, wait, bell, link := c.in.take(b)
+		n, wait, bell, link, err := c.in.take(b)
 		if n > 0 && c.p == c.p.t.people && c.p.t.tamper != nil {
 			n = copy(b, c.p.t.tamper(b[:n]))
 		}
