--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -114,12 +114,8 @@
 	return runCommand(args, in, out, bad, http.DefaultTransport)
 }
 
-// runCommand runs one command; transport carries its calls to a node.
-func runCommand(args []string, in io.Reader, out, bad io.Writer, by http.RoundTripper) int {
-	r := &request{node: os.Getenv("PEBBLELOOM_NODE"), ifEpoch: -1, bad: bad}
-	if r.node == "" {
-		r.node = "127.10.1.1:8090"
-	}
+// newParser declares the flags, which fill the request.
+func newParser(r *request) *flaggy.Parser {
 	ps := flaggy.NewParser("desk")
 	ps.Description = about
 	ps.ShowHelpOnUnexpected = false
@@ -147,6 +143,16 @@
 	ps.StringSlice(&r.set, "", "set", "a parameter, name=value")
 	ps.String(&r.request, "r", "request", "request id")
 	ps.StringSlice(&r.parts, "p", "part", "prompt part, in order")
+	return ps
+}
+
+// runCommand runs one command; transport carries its calls to a node.
+func runCommand(args []string, in io.Reader, out, bad io.Writer, by http.RoundTripper) int {
+	r := &request{node: os.Getenv("PEBBLELOOM_NODE"), ifEpoch: -1, bad: bad}
+	if r.node == "" {
+		r.node = "127.10.1.1:8090"
+	}
+	ps := newParser(r)
 	used := attach(ps)
 	fail := func(err error) int {
 		if r.asJSON {
--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -3,7 +3,6 @@
 package clustermembership
 
 import (
-	"slices"
 	"sort"
 	"time"
 
@@ -150,60 +149,6 @@
 	return k
 }
 
-type ringNode struct {
-	position uint64
-	node     *wire.Node
-}
-
-// ring lists all nodes that aren't gone, by position.
-func (c *Core) ring() []ringNode {
-	l := make([]ringNode, 0, len(c.entries)+1)
-	l = append(l, ringNode{queue.Hash(c.self.Name), c.self})
-	for _, e := range c.entries {
-		if e.node.State != Gone {
-			l = append(l, ringNode{e.position, e.node})
-		}
-	}
-	sort.Slice(l, func(i, j int) bool {
-		return l[i].position < l[j].position || l[i].position == l[j].position && l[i].node.Name < l[j].node.Name
-	})
-	return l
-}
-
-// ringOffsets are the distances on the ring to a node's observers: the next, and two farther ones so
-// that updates cross a large ring in few heartbeats.
-func ringOffsets(n int) []int {
-	if n < 2 {
-		return nil
-	}
-	far := 1
-	for far*far*far < n {
-		far++
-	}
-	var l []int
-	for _, d := range []int{1, far, far * far} {
-		if d %= n; d != 0 && !slices.Contains(l, d) {
-			l = append(l, d)
-		}
-	}
-	return l
-}
-
-// computeChecksum adds up names, incarnations and states, independent of their order.
-func (c *Core) computeChecksum() uint64 {
-	t := uint64(0)
-	add := func(n *wire.Node, place uint64) {
-		t += (place ^ n.Incarnation*0x9e3779b97f4a7c15) * uint64(n.State*2+3)
-	}
-	add(c.self, queue.Hash(c.self.Name))
-	for _, e := range c.entries {
-		if e.node.State != Gone { // nodes that are gone are removed at different times
-			add(e.node, e.position)
-		}
-	}
-	return t
-}
-
 // Call is a heartbeat to send to an address.
 type Call struct {
 	To        string
@@ -219,20 +164,38 @@
 	}
 	c.self.Beat++
 	ring := c.ring()
-	at, ds := 0, ringOffsets(len(ring))
+	at, offsets := 0, ringOffsets(len(ring))
 	for i, x := range ring {
 		if x.node == c.self {
 			at = i
 		}
 	}
 	watched := map[string]bool{}
-	for _, d := range ds {
+	for _, d := range offsets {
 		watched[ring[(at-d+len(ring))%len(ring)].node.Name] = true
 	}
+	c.detectFailures(watched, now)
+	c.checksum = c.computeChecksum()
+	var calls []Call
+	for _, d := range offsets {
+		if w := ring[(at+d)%len(ring)].node; w.State != Gone {
+			calls = append(calls, Call{w.Addr, c.newHeartbeat(c.period <= joiningBeats)})
+		}
+	}
+	calls = append(calls, c.distantCalls(len(calls) == 0)...)
+	for _, e := range c.entries {
+		if e.retransmits > 0 {
+			e.retransmits--
+		}
+	}
+	return calls
+}
+
+// detectFailures suspects the watched nodes that were silent, and removes those that stayed silent.
+func (c *Core) detectFailures(watched map[string]bool, now time.Duration) {
 	for _, e := range c.entries {
-		mine := watched[e.node.Name]
 		switch {
-		case e.node.State == Alive && !mine:
+		case e.node.State == Alive && !watched[e.node.Name]:
 			e.lastHeard = now // its timeout starts when this node becomes its observer
 		case e.node.State == Alive && now-e.lastHeard > c.bounds.Leave(0.35):
 			e.node.State, e.changedAt, e.retransmits = Suspect, now, c.retransmitCount()
@@ -245,42 +208,35 @@
 			c.version++
 		}
 	}
-	c.checksum = c.computeChecksum()
-	var l []Call
-	for _, d := range ds {
-		if w := ring[(at+d)%len(ring)].node; w.State != Gone {
-			l = append(l, Call{w.Addr, c.newHeartbeat(c.period <= joiningBeats)})
-		}
+}
+
+// distantCalls calls a seed or a gone node every fourth period, so that partitions heal; a node that is
+// alone calls two of them in every period.
+func (c *Core) distantCalls(alone bool) []Call {
+	if !alone && c.period%4 != 0 {
+		return nil
 	}
-	// Every fourth period a seed or a gone node is called, so that partitions heal.
-	alone := len(l) == 0
-	if alone || c.period%4 == 0 {
-		var far []string
-		for _, s := range c.seeds {
-			if s != c.self.Addr {
-				far = append(far, s)
-			}
-		}
-		for _, n := range c.Nodes() {
-			if n.State == Gone {
-				far = append(far, n.Addr)
-			}
-		}
-		if len(far) > 0 {
-			x := far[c.period/4%len(far)]
-			l = append(l, Call{x, c.newHeartbeat(alone || c.sendFull[x])})
-			delete(c.sendFull, x)
-			if alone && len(far) > 1 {
-				l = append(l, Call{far[(c.period+1)%len(far)], c.newHeartbeat(true)})
-			}
+	var addresses []string
+	for _, s := range c.seeds {
+		if s != c.self.Addr {
+			addresses = append(addresses, s)
 		}
 	}
-	for _, e := range c.entries {
-		if e.retransmits > 0 {
-			e.retransmits--
+	for _, n := range c.Nodes() {
+		if n.State == Gone {
+			addresses = append(addresses, n.Addr)
 		}
 	}
-	return l
+	if len(addresses) == 0 {
+		return nil
+	}
+	x := addresses[c.period/4%len(addresses)]
+	calls := []Call{{x, c.newHeartbeat(alone || c.sendFull[x])}}
+	delete(c.sendFull, x)
+	if alone && len(addresses) > 1 {
+		calls = append(calls, Call{addresses[(c.period+1)%len(addresses)], c.newHeartbeat(true)})
+	}
+	return calls
 }
 
 func (c *Core) newHeartbeat(whole bool) *wire.Beat {
--- a/internal/control/operatorapi/sitestatus.go
+++ b/internal/control/operatorapi/sitestatus.go
@@ -78,67 +78,57 @@
 	return l
 }
 
-// checkGroup reports the state of the consensus group, and whether one of the responding members leads
-// it.
-func (s *siteServer) checkGroup(ctx context.Context, view clustermembership.View, report *operator.Status, f *problems, fact func(string, string, ...any)) (hasLeader bool) {
-	l := s.queryControlNodes(ctx, view)
-	var members []string
-	var term, index uint64
-	nodeNames, incarnations := map[string]string{}, map[string]string{} // by address
-	heard := map[string]bool{}                                          // by address
+// groupView is the consensus group as its control nodes report it.
+type groupView struct {
+	nodes        []controlNode
+	members      []string          // of the newest membership that any node reported
+	incarnations map[string]string // member names by address
+	nodeNames    map[string]string // by address
+}
+
+func (s *siteServer) readGroup(ctx context.Context, view clustermembership.View) *groupView {
+	g := &groupView{nodes: s.queryControlNodes(ctx, view), incarnations: map[string]string{}, nodeNames: map[string]string{}}
 	for _, n := range view.Nodes {
-		if n.Role == "archive" && (nodeNames[n.Addr] == "" || n.State != clustermembership.Gone) { // the address may have been reused
-			nodeNames[n.Addr] = n.Name
-		}
-	}
-	for _, x := range l {
-		heard[x.node.Addr] = true
-		if t := x.membership; t != nil {
-			incarnations[x.node.Addr] = t.Member
-			if members == nil || t.MembersTerm > term || t.MembersTerm == term && t.MembersIndex > index {
-				members, term, index = t.Members, t.MembersTerm, t.MembersIndex
-			}
-		}
-	}
-	nameOf := func(member string) string {
-		if n := nodeNames[controlclient.Addr(member)]; n != "" {
-			return n
+		if n.Role == "archive" && (g.nodeNames[n.Addr] == "" || n.State != clustermembership.Gone) { // the address may have been reused
+			g.nodeNames[n.Addr] = n.Name
 		}
-		return member
 	}
-	for _, x := range l {
-		name := x.node.Name
-		if x.status == nil || x.membership == nil {
-			f.add("core-silent", name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
+	var term, index uint64
+	for _, x := range g.nodes {
+		t := x.membership
+		if t == nil {
 			continue
 		}
-		p, st := x.status, "follows"
-		switch {
-		case p.Failure != "":
-			st = "out"
-			f.add("member-out", name, p.Failure, errs.DiskBad.Remedy, "disk-full")
-		case !slices.Contains(members, x.membership.Member):
-			st = "learner"
-		case p.IsLeader:
-			st, hasLeader = "owns", true
+		g.incarnations[x.node.Addr] = t.Member
+		if g.members == nil || t.MembersTerm > term || t.MembersTerm == term && t.MembersIndex > index {
+			g.members, term, index = t.Members, t.MembersTerm, t.MembersIndex
 		}
-		report.Parts = append(report.Parts, operator.StatusPartsItem{Member: name, Owner: nameOf(p.Leader), State: st, Applied: int64(p.Applied),
-			Last: int64(p.Last), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
 	}
-	var names []string
-	for _, m := range members {
-		incarnation, answers := incarnations[controlclient.Addr(m)]
-		names = append(names, nameOf(m))
-		switch {
-		case answers && incarnation != m:
-			f.add("member-blank", nameOf(m), "it came back without its disk", "wait until it is added again; else see that the others reach it", "disk-lost")
-		case !answers && !heard[controlclient.Addr(m)]:
-			f.add("member-gone", nameOf(m), "a member whose machine isn't there", "start it again; else wait until a spare takes its place", "core-gone")
-		}
+	return g
+}
+
+// nameOf is the name of a member's node; the member itself if that isn't known.
+func (g *groupView) nameOf(member string) string {
+	if n := g.nodeNames[controlclient.Addr(member)]; n != "" {
+		return n
 	}
-	fact("members", "%s", strings.Join(names, " "))
-	if want := 2*s.site.Tolerate + 1; len(members) < want {
-		f.add("members-few", "site", fmt.Sprintf("%d members: %d are needed for the losses that the site tolerates", len(members), want), "see that as many core machines run and reach each other", "core-gone")
+	return member
+}
+
+// hears reports whether a node at an address is in the cluster membership.
+func (g *groupView) hears(addr string) bool {
+	return slices.ContainsFunc(g.nodes, func(x controlNode) bool { return x.node.Addr == addr })
+}
+
+// checkGroup reports the state of the consensus group, and whether one of the responding members leads it.
+func (s *siteServer) checkGroup(ctx context.Context, view clustermembership.View, report *operator.Status, f *problems, fact func(string, string, ...any)) (hasLeader bool) {
+	g := s.readGroup(ctx, view)
+	for _, x := range g.nodes {
+		hasLeader = g.checkNode(x, report, f) || hasLeader
+	}
+	g.checkMembers(f, fact)
+	if want := 2*s.site.Tolerate + 1; len(g.members) < want {
+		f.add("members-few", "site", fmt.Sprintf("%d members: %d are needed for the losses that the site tolerates", len(g.members), want), "see that as many core machines run and reach each other", "core-gone")
 	}
 	if !hasLeader {
 		f.add("part-unowned", "site", "no responding core machine leads the control state: nothing can be read or changed", "see that a majority of the members run and reach each other", "core-split")
@@ -146,6 +136,45 @@
 	return hasLeader
 }
 
+// checkNode reports the state of one control node, and whether it leads.
+func (g *groupView) checkNode(x controlNode, report *operator.Status, f *problems) (leads bool) {
+	name := x.node.Name
+	if x.status == nil || x.membership == nil {
+		f.add("core-silent", name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
+		return false
+	}
+	p, state := x.status, "follows"
+	switch {
+	case p.Failure != "":
+		state = "out"
+		f.add("member-out", name, p.Failure, errs.DiskBad.Remedy, "disk-full")
+	case !slices.Contains(g.members, x.membership.Member):
+		state = "learner"
+	case p.IsLeader:
+		state, leads = "owns", true
+	}
+	report.Parts = append(report.Parts, operator.StatusPartsItem{Member: name, Owner: g.nameOf(p.Leader), State: state, Applied: int64(p.Applied),
+		Last: int64(p.Last), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
+	return leads
+}
+
+// checkMembers reports members that are gone or lost their disk.
+func (g *groupView) checkMembers(f *problems, fact func(string, string, ...any)) {
+	var names []string
+	for _, m := range g.members {
+		addr := controlclient.Addr(m)
+		incarnation, answers := g.incarnations[addr]
+		names = append(names, g.nameOf(m))
+		switch {
+		case answers && incarnation != m:
+			f.add("member-blank", g.nameOf(m), "it came back without its disk", "wait until it is added again; else see that the others reach it", "disk-lost")
+		case !answers && !g.hears(addr):
+			f.add("member-gone", g.nameOf(m), "a member whose machine isn't there", "start it again; else wait until a spare takes its place", "core-gone")
+		}
+	}
+	fact("members", "%s", strings.Join(names, " "))
+}
+
 // checkIndex reports the index nodes.
 func (s *siteServer) checkIndex(view clustermembership.View, f *problems, fact func(string, string, ...any)) {
 	var serving []string
--- a/internal/control/retire/check.go
+++ b/internal/control/retire/check.go
@@ -121,6 +121,9 @@
 	return m
 }
 
+// faultFunc notes a fault of a field.
+type faultFunc func(field, format string, args ...any)
+
 // CheckConfig notes every fault of a retirement against the service configuration; each names the item
 // and the remedy, before anything moves.
 //
@@ -145,6 +148,13 @@
 			bad("service", "service %s has base model %s as well: hand it over first, so that one retirement holds for all its nodes", n, x.Model)
 		}
 	}
+	r.checkReplacements(s, bad)
+	r.checkRoutes(s, bad)
+	r.checkRoom(s, bad)
+}
+
+// checkReplacements notes every adapter on the old base without a fitting replacement on the new one.
+func (r *Retirement) checkReplacements(s *serviceconfig.Config, bad faultFunc) {
 	for _, n := range dependentAdapters(s, r.Service, r.From) {
 		if r.Replace[n] == "" {
 			bad("replace."+n, "adapter %s stands on %s and has no replacement: name the adapter that was built for %s", n, r.From, r.To)
@@ -181,7 +191,10 @@
 		}
 		taken[r.Replace[n]] = n
 	}
-	r.checkRoutes(s, bad)
+}
+
+// checkRoom notes missing memory sizes, and workers without room for both sets.
+func (r *Retirement) checkRoom(s *serviceconfig.Config, bad faultFunc) {
 	was, next := r.oldAndNewSets(s)
 	for _, x := range []Set{was, next} {
 		if x.Room == 0 {
@@ -193,13 +206,13 @@
 			}
 		}
 	}
-	if need := was.TotalRoom() + next.TotalRoom(); v.Room < need {
-		bad("services."+r.Service+".room", "%d MB a worker, and both sets take %d: give workers with that room, then say so there", v.Room, need)
+	if need, have := was.TotalRoom()+next.TotalRoom(), s.Services[r.Service].Room; have < need {
+		bad("services."+r.Service+".room", "%d MB a worker, and both sets take %d: give workers with that room, then say so there", have, need)
 	}
 }
 
 // checkRoutes notes every route that would be left without a model, including those of other services.
-func (r *Retirement) checkRoutes(s *serviceconfig.Config, bad func(f, format string, a ...any)) {
+func (r *Retirement) checkRoutes(s *serviceconfig.Config, bad faultFunc) {
 	m := r.routeMoves(s)
 	for _, n := range queue.Keys(s.Routes) {
 		v := s.Routes[n]
--- a/internal/control/serviceconfig/adapters.go
+++ b/internal/control/serviceconfig/adapters.go
@@ -59,63 +59,63 @@
 	return !ok || len(a.Tenants) == 0 || slices.Contains(a.Tenants, tenant)
 }
 
-func (s *Config) checkAdapters(bad func(path, format string, a ...any), word func(path, v string)) {
+func (s *Config) checkAdapters(f faults) {
 	for _, n := range queue.Keys(s.Models) {
 		if s.Models[n].Room < 0 {
-			bad("models."+n+".room", "%d: give what it takes of a worker's memory in MB", s.Models[n].Room)
+			f.add("models."+n+".room", "%d: give what it takes of a worker's memory in MB", s.Models[n].Room)
 		}
 	}
 	for _, n := range queue.Keys(s.Adapters) {
 		a, p := s.Adapters[n], "adapters."+n
-		word(p, n)
+		f.checkName(p, n)
 		if _, ok := s.Models[n]; ok {
-			bad(p, "a model has the same name: give each its own")
+			f.add(p, "a model has the same name: give each its own")
 		}
 		if _, ok := s.Models[a.Base]; !ok {
-			bad(p+".base", "%q is not among models: add it there or name another", a.Base)
+			f.add(p+".base", "%q is not among models: add it there or name another", a.Base)
 		}
 		if a.Build == 0 {
-			bad(p+".build", "missing: name the build, from 1")
+			f.add(p+".build", "missing: name the build, from 1")
 		}
 		if a.Room < 0 {
-			bad(p+".room", "%d: give what it takes of a worker's memory in MB", a.Room)
+			f.add(p+".room", "%d: give what it takes of a worker's memory in MB", a.Room)
 		}
 		for i, v := range a.Services {
 			if _, ok := s.Services[v]; !ok {
-				bad(p+".services", "%q is not among services: add it there or name another", v)
+				f.add(p+".services", "%q is not among services: add it there or name another", v)
 			}
 			if slices.Contains(a.Services[:i], v) {
-				bad(p+".services", "%q is named twice", v)
+				f.add(p+".services", "%q is named twice", v)
 			}
 		}
 		for _, v := range a.Tenants {
 			if _, ok := s.Tenants[v]; !ok {
-				bad(p+".tenants", "%q is not among tenants: add it there or name another", v)
+				f.add(p+".tenants", "%q is not among tenants: add it there or name another", v)
 			}
 		}
 	}
 }
 
 // checkUse notes a route whose target doesn't exist or isn't loaded on the route's workers.
-func (s *Config) checkUse(n string, bad func(path, format string, a ...any)) {
+func (s *Config) checkUse(n string, f faults) {
 	w, p := s.Routes[n], "ways."+n
 	if _, ok := s.Resolve(n); !ok && w.Use == "" {
-		bad(p, "no such model: a route is named by the model it serves")
+		f.add(p, "no such model: a route is named by the model it serves")
 	}
 	for _, x := range [][2]string{{".use", w.Use}, {".move", w.Move}} {
 		if _, ok := s.Resolve(x[1]); x[1] != "" && !ok {
-			bad(p+x[0], "%q is neither among models nor among adapters: add it there or name another", x[1])
+			f.add(p+x[0], "%q is neither among models nor among adapters: add it there or name another", x[1])
 		}
 	}
 	for _, v := range []string{w.AnsweredBy(n), w.Move} {
 		if a, ok := s.Adapters[v]; ok && !slices.Contains(a.Services, w.Service) {
-			bad(p, "adapter %s isn't held by service %s: add the service to adapters.%s.services", v, w.Service, v)
+			f.add(p, "adapter %s isn't held by service %s: add the service to adapters.%s.services", v, w.Service, v)
 		}
 	}
 	if w.Moved < 0 || w.Moved > 100 || w.Moved > 0 && w.Move == "" {
-		bad(p+".moved", "%d: give a percent, and in move where to", w.Moved)
+		f.add(p+".moved", "%d: give a percent, and in move where to", w.Moved)
 	}
 	if w.Move != "" && w.Next != "" {
-		bad(p, "it is handed over and moved at once: end one first")
+		f.add(p, "it is handed over and moved at once: end one first")
 	}
 }
--- a/internal/control/serviceconfig/config.go
+++ b/internal/control/serviceconfig/config.go
@@ -74,87 +74,107 @@
 	return Write(s)
 }
 
+// faults records the faults of a configuration, each with its path and remedy.
+type faults struct{ batch *errs.Batch }
+
+func (f faults) add(path, format string, args ...any) {
+	f.batch.Fault(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, args...))
+}
+
+// checkName notes a name that isn't a single word.
+func (f faults) checkName(path, name string) {
+	if name == "" || len(name) > 64 || strings.ContainsAny(name, " /\x00\n") {
+		f.add(path, "%q: give a word of 1 to 64 letters without spaces or slashes", name)
+	}
+}
+
 func (s *Config) check(b *errs.Batch) {
-	bad := func(path, format string, a ...any) {
-		b.Fault(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, a...))
+	f := faults{b}
+	s.checkTenants(f)
+	for _, n := range queue.Keys(s.Models) {
+		f.checkName("models."+n, n)
+		if s.Models[n].Weights == 0 {
+			f.add("models."+n+".weights", "missing: name the weights' version, from 1")
+		}
 	}
-	word := func(path, v string) {
-		if v == "" || len(v) > 64 || strings.ContainsAny(v, " /\x00\n") {
-			bad(path, "%q: give a word of 1 to 64 letters without spaces or slashes", v)
+	s.checkAdapters(f)
+	s.checkServices(f)
+	s.checkRoutes(f)
+	if n := len(s.Seeds); n != 0 && n != 3 {
+		f.add("seeds", "%d given: give three, or none to follow each machine's settings", n)
+	}
+	for i, a := range s.Seeds {
+		if x, err := netip.ParseAddrPort(a); err != nil || x.Port() == 0 {
+			f.add(fmt.Sprintf("seeds[%d]", i), "%q: give IP:port, by number", a)
 		}
 	}
-	seen := map[string]string{}
+	if s.WaitMaxMs < 0 || s.WaitMaxMs > 600000 {
+		f.add("wait_max_ms", "%d: give 0 (the default, 30000) to 600000", s.WaitMaxMs)
+	}
+}
+
+func (s *Config) checkTenants(f faults) {
+	owner := map[string]string{} // by key
 	for _, n := range queue.Keys(s.Tenants) {
 		t, p := s.Tenants[n], "tenants."+n
-		word(p, n)
+		f.checkName(p, n)
 		if t.Rate < 0 || t.Inflight < 0 {
-			bad(p, "rate and inflight: give 0 (no bound) or more")
+			f.add(p, "rate and inflight: give 0 (no bound) or more")
 		}
 		for i, k := range t.Keys {
 			if len(k) < 8 || len(k) > 128 {
-				bad(fmt.Sprintf("%s.keys[%d]", p, i), "%d letters: give 8 to 128", len(k))
+				f.add(fmt.Sprintf("%s.keys[%d]", p, i), "%d letters: give 8 to 128", len(k))
 			}
-			if o, ok := seen[k]; ok {
-				bad(fmt.Sprintf("%s.keys[%d]", p, i), "tenant %s has the same key: give each its own", o)
+			if o, ok := owner[k]; ok {
+				f.add(fmt.Sprintf("%s.keys[%d]", p, i), "tenant %s has the same key: give each its own", o)
 			}
-			seen[k] = n
+			owner[k] = n
 		}
 	}
-	for _, n := range queue.Keys(s.Models) {
-		word("models."+n, n)
-		if s.Models[n].Weights == 0 {
-			bad("models."+n+".weights", "missing: name the weights' version, from 1")
-		}
-	}
-	s.checkAdapters(bad, word)
+}
+
+func (s *Config) checkServices(f faults) {
 	for _, n := range queue.Keys(s.Services) {
 		v, p := s.Services[n], "services."+n
-		word(p, n)
+		f.checkName(p, n)
 		if _, ok := s.Models[v.Model]; !ok {
-			bad(p+".model", "%q is not among models: add it there or name another", v.Model)
+			f.add(p+".model", "%q is not among models: add it there or name another", v.Model)
 		}
 		if v.Alpha < 0 || v.Alpha > 10 {
-			bad(p+".alpha", "%g: give 0 (the default, 1) to 10", v.Alpha)
+			f.add(p+".alpha", "%g: give 0 (the default, 1) to 10", v.Alpha)
 		}
 		if v.Room < 0 {
-			bad(p+".room", "%d: give each worker's memory for weights in MB, or leave it out", v.Room)
+			f.add(p+".room", "%d: give each worker's memory for weights in MB, or leave it out", v.Room)
 		}
 		if v.WindowS < 0 || v.WindowS > 86400 {
-			bad(p+".window_s", "%d: give 0 (the default, 30) to 86400", v.WindowS)
+			f.add(p+".window_s", "%d: give 0 (the default, 30) to 86400", v.WindowS)
 		}
 		if v.RollOut != "" && v.RollOut != "paced" && v.RollOut != "at-once" {
-			bad(p+".roll_out", "%q: give paced or at-once", v.RollOut)
+			f.add(p+".roll_out", "%q: give paced or at-once", v.RollOut)
 		}
 		switch v.Placement {
 		case "", "hrcs", "all-replicated", "all-sharded", "no-index":
 		default:
-			bad(p+".placement", "%q: give hrcs, all-replicated, all-sharded or no-index", v.Placement)
+			f.add(p+".placement", "%q: give hrcs, all-replicated, all-sharded or no-index", v.Placement)
 		}
 	}
+}
+
+func (s *Config) checkRoutes(f faults) {
 	for _, n := range queue.Keys(s.Routes) {
-		if _, ok := s.Services[s.Routes[n].Service]; !ok {
-			bad("ways."+n+".service", "%q is not among services: add it there or name another", s.Routes[n].Service)
+		r := s.Routes[n]
+		if _, ok := s.Services[r.Service]; !ok {
+			f.add("ways."+n+".service", "%q is not among services: add it there or name another", r.Service)
 		}
-		if w := s.Routes[n]; w.Next != "" {
-			if v, ok := s.Services[w.Next]; !ok || v.Model != n {
-				bad("ways."+n+".next", "%q is no service of model %s: name one that is", w.Next, n)
+		if r.Next != "" {
+			if v, ok := s.Services[r.Next]; !ok || v.Model != n {
+				f.add("ways."+n+".next", "%q is no service of model %s: name one that is", r.Next, n)
 			}
 		}
-		if w := s.Routes[n]; w.Share < 0 || w.Share > 100 {
-			bad("ways."+n+".share", "%d: give a percent", w.Share)
+		if r.Share < 0 || r.Share > 100 {
+			f.add("ways."+n+".share", "%d: give a percent", r.Share)
 		}
-		s.checkUse(n, bad)
-	}
-	if n := len(s.Seeds); n != 0 && n != 3 {
-		bad("seeds", "%d given: give three, or none to follow each machine's settings", n)
-	}
-	for i, a := range s.Seeds {
-		if x, err := netip.ParseAddrPort(a); err != nil || x.Port() == 0 {
-			bad(fmt.Sprintf("seeds[%d]", i), "%q: give IP:port, by number", a)
-		}
-	}
-	if s.WaitMaxMs < 0 || s.WaitMaxMs > 600000 {
-		bad("wait_max_ms", "%d: give 0 (the default, 30000) to 600000", s.WaitMaxMs)
+		s.checkUse(n, f)
 	}
 }
 
--- a/internal/data/selection/query.go
+++ b/internal/data/selection/query.go
@@ -171,72 +171,26 @@
 	}
 }
 
+// storeHolders marks, by store, the parts that it holds for certain, and those that are on their way.
+type storeHolders struct{ sure, soon []uint64 }
+
 // promptState collects the holders of the prompt's parts under one version.
 func (q *query) promptState(v uint64) *promptState {
-	t, ps := q.table, q.request.parts()
+	ps := q.request.parts()
 	o := &promptState{weights: v, text: q.text(v), keys: make([]prefix.Key, len(ps)), home: -1, at: -1,
 		stores: make([]uint64, len(q.group.stores))}
-	storesSure, storesSoon := make([]uint64, len(q.group.stores)), make([]uint64, len(q.group.stores))
-	note := func(id string, bit uint64, sure, soon bool) {
-		if i, ok := q.group.index[id]; ok {
-			if q.serving.versions[i] != v {
-				return
-			}
-			t.maybe[i] |= bit
-			o.kept |= bit
-			if sure {
-				t.sure[i] |= bit
-			}
-			if soon {
-				t.soon[i] |= bit
-			}
-			return
-		}
-		for i, x := range q.group.stores {
-			if x.service.Name == id {
-				o.stores[i] |= bit
-				o.kept |= bit
-				if sure {
-					storesSure[i] |= bit
-				}
-				if soon {
-					storesSoon[i] |= bit
-				}
-			}
-		}
-	}
+	stores := storeHolders{make([]uint64, len(q.group.stores)), make([]uint64, len(q.group.stores))}
 	o.shared = max(0, len(ps)-1)
-	for i, p := range ps {
-		k := promptindex.KeyOf(o.text, p.ID)
-		o.keys[i] = k
-		bit := uint64(1) << i
-		f, told := q.found[k]
-		o.indexed = o.indexed || told
-		for _, h := range f.GetHolders() {
-			note(h.Worker, bit, h.State == promptindex.Confirmed, false)
-		}
-		m, mine := t.parts.get(k)
-		trust := t.bounds.Heal(memoPart)
-		if f.GetHotness() > 0 {
-			trust = t.bounds.Heal(newsPart) // the index knows older holdings better
-		}
-		for _, h := range m.holders {
-			if h.id != "" && q.now-h.at < trust {
-				note(h.id, bit, h.sure, !h.sure && q.now-h.at < t.bounds.Heal(soonPart))
-			}
-		}
-		if m.saved > 0 && q.now-m.saved < t.bounds.Heal(savedPart) {
-			note(m.store, bit, false, q.now-m.saved < t.bounds.Heal(soonPart))
-		}
-		if i == len(ps)-1 && (mine && m.by != q.request.ID || m.again || !q.retry && len(f.GetHolders()) > 0 || f.GetHotness() > 0) {
-			o.shared = len(ps) // a session's, or a repeated request
+	for i := range ps {
+		if q.collectHolders(o, stores, i) {
+			o.shared = len(ps)
 		}
 	}
 	o.at = len(ps) - 2
 	if o.at < 0 && o.shared > 0 {
 		o.at = 0
 	}
-	q.sources(o, storesSure, storesSoon)
+	q.sources(o, stores.sure, stores.soon)
 	if o.at >= 0 {
 		o.hot = q.snapshot.Placements[q.group.service.Name].Hot(o.keys[o.at])
 		need := uint64(1) << o.at
@@ -246,6 +200,65 @@
 	return o
 }
 
+// collectHolders notes the holders of one part, from the index and from this edge machine's memory. It
+// reports whether the part is the prompt's last and shared all the same: a session's, or a repeated request.
+func (q *query) collectHolders(o *promptState, stores storeHolders, i int) (lastIsShared bool) {
+	t, ps := q.table, q.request.parts()
+	k := promptindex.KeyOf(o.text, ps[i].ID)
+	o.keys[i] = k
+	bit := uint64(1) << i
+	f, found := q.found[k]
+	o.indexed = o.indexed || found
+	for _, h := range f.GetHolders() {
+		q.addHolder(o, stores, h.Worker, bit, h.State == promptindex.Confirmed, false)
+	}
+	m, mine := t.parts.get(k)
+	trust := t.bounds.Heal(memoPart)
+	if f.GetHotness() > 0 {
+		trust = t.bounds.Heal(newsPart) // the index knows older holdings better
+	}
+	for _, h := range m.holders {
+		if h.id != "" && q.now-h.at < trust {
+			q.addHolder(o, stores, h.id, bit, h.sure, !h.sure && q.now-h.at < t.bounds.Heal(soonPart))
+		}
+	}
+	if m.saved > 0 && q.now-m.saved < t.bounds.Heal(savedPart) {
+		q.addHolder(o, stores, m.store, bit, false, q.now-m.saved < t.bounds.Heal(soonPart))
+	}
+	return i == len(ps)-1 && (mine && m.by != q.request.ID || m.again || !q.retry && len(f.GetHolders()) > 0 || f.GetHotness() > 0)
+}
+
+// addHolder marks a part as held by a worker that serves the state's version, or by a store.
+func (q *query) addHolder(o *promptState, stores storeHolders, id string, bit uint64, sure, soon bool) {
+	t := q.table
+	if i, ok := q.group.index[id]; ok {
+		if q.serving.versions[i] != o.weights {
+			return
+		}
+		t.maybe[i] |= bit
+		o.kept |= bit
+		if sure {
+			t.sure[i] |= bit
+		}
+		if soon {
+			t.soon[i] |= bit
+		}
+		return
+	}
+	for i, x := range q.group.stores {
+		if x.service.Name == id {
+			o.stores[i] |= bit
+			o.kept |= bit
+			if sure {
+				stores.sure[i] |= bit
+			}
+			if soon {
+				stores.soon[i] |= bit
+			}
+		}
+	}
+}
+
 // text is the salt of the parts. Workers that don't report which of the named weights they serve can't
 // share any: each request has a salt of its own.
 func (q *query) text(v uint64) string {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -156,6 +156,16 @@
 			Decode(raw, file, &p, &b)
 		}
 	}
+	override(&p, f, seeds, core, extra)
+	if file == "" {
+		file = "flags"
+	}
+	Check(&p, need, file, &b)
+	return p, b.Look()
+}
+
+// override replaces settings by the flags that were given; lists are joined by commas.
+func override(p *Place, f Place, seeds, core, extra string) {
 	over := func(to *string, v string) {
 		if v != "" {
 			*to = v
@@ -177,11 +187,6 @@
 			*x.to = strings.Split(x.v, ",")
 		}
 	}
-	if file == "" {
-		file = "flags"
-	}
-	Check(&p, need, file, &b)
-	return p, b.Look()
 }
 
 // Decode reads a settings file; unknown keys and wrong types are noted one by one.
