--- a/bench/randomday/main.go
+++ b/bench/randomday/main.go
@@ -41,6 +41,9 @@
 	{kind: "bad_config", fields: "count = 3, gap_s = 0.8"},
 	{kind: "revoke", fields: "count = 3, gap_s = 1.5"},
 	{kind: "version_bump", fields: "count = 0"},
+	{kind: "version_bump", fields: "count = 0"}, // twice as often: one named before the roll-out of another is over
+	{kind: "release", fields: "share = 0.4, x = 2.0, gap_s = 1.0"},
+	{kind: "scale_in", how: []string{"", "spot"}, fields: "share = 0.15"},
 	{kind: "roll_term", how: []string{"", "busy", "leader"}, fields: `on = "core", x = 1.0, gap_s = 1.2`},
 	{kind: "replace_core", how: []string{"planned"}, fields: "count = 1, x = 1.0"},
 	{kind: "hup", fields: "share = 0.5, gap_s = 2.0"},
@@ -65,6 +68,11 @@
 	{kind: "node_cut", fields: "share = 0.15", shortest: 3, longest: 9},
 	{kind: "garble", how: []string{"extra", "extra late"}, fields: "share = 0.5, x = 0.03", shortest: 3, longest: 8},
 	{kind: "answer_lost", how: []string{"", "reset"}, fields: "share = 0.5, x = 0.05", shortest: 3, longest: 8},
+	{kind: "srv_crash", how: []string{"", "dark", "gone"}, fields: "share = 0.15", shortest: 2, longest: 6},
+	{kind: "srv_grey", how: []string{"errors", "shed", "busy", "hang", "reset", "mute", "slow"}, fields: "share = 0.15, x = 0.4", shortest: 3, longest: 8},
+	{kind: "srv_lying_health", how: []string{"errors", "hang", "reset", "bad"}, fields: "share = 0.12", shortest: 3, longest: 8},
+	{kind: "srv_flap", fields: "share = 0.12, gap_s = 1.5", shortest: 4, longest: 9},
+	{kind: "events_gap", fields: "share = 0.4", shortest: 3, longest: 8},
 	{kind: "replace_with_reuse", how: []string{"", "drain", "dark"}, fields: "share = 0.15", shortest: 3, longest: 6},
 }
 
--- a/bench/randomday/main_test.go
+++ b/bench/randomday/main_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	seen := map[string]bool{}
-	for seed := range uint64(200) {
+	for seed := range uint64(400) {
 		text, err := write(path, "scale-1", seed)
 		if err != nil {
 			t.Fatal(err)
@@ -70,7 +70,7 @@
 	}
 	for _, x := range append(plans, faults...) {
 		if !seen[x.kind] {
-			t.Errorf("%s never came in 200 days", x.kind)
+			t.Errorf("%s never came in 400 days", x.kind)
 		}
 	}
 	if _, err := write(path, "none", 1); err == nil || !strings.Contains(err.Error(), "no day") {
