--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/orders_again_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"os"
 	"slices"
 	"testing"
 	"testing/synctest"
@@ -20,8 +21,12 @@
 	newLeader
 	snapshotAndRestart
 	eventCount
+	secondNewLeader = eventCount // in the long search alone
 )
 
+// ordersLongVar, set to anything, adds a second change of leader to every order of events.
+const ordersLongVar = "ORDERS_LONG"
+
 // progressAfterSend is how many rounds of messages follow a copy: none (the quorum is being asked), two
 // (it is proposed), three (it is on other disks, uncommitted), or all that there are.
 var progressAfterSend = []int{0, 2, 3, 100}
@@ -49,10 +54,16 @@
 }
 
 func twoOrdersInEveryOrder(t *testing.T, key string) (runs int) {
-	orders(eventCount, func(sequence []int) {
-		if slices.Index(sequence, firstCopyA) > slices.Index(sequence, secondCopyA) || slices.Index(sequence, firstCopyB) > slices.Index(sequence, secondCopyB) ||
-			slices.Index(sequence, firstCopyA) > slices.Index(sequence, firstCopyB) { // by symmetry
-			return
+	events := eventCount
+	if os.Getenv(ordersLongVar) != "" {
+		events++
+	}
+	orders(events, func(sequence []int) {
+		inOrder := func(first, second int) bool {
+			return !slices.Contains(sequence, second) || slices.Index(sequence, first) < slices.Index(sequence, second)
+		}
+		if !inOrder(firstCopyA, secondCopyA) || !inOrder(firstCopyB, secondCopyB) || !inOrder(firstCopyA, firstCopyB) || !inOrder(newLeader, secondNewLeader) {
+			return // by symmetry
 		}
 		for i := range len(progressAfterSend) * len(progressAfterSend) {
 			progress := []int{progressAfterSend[i%len(progressAfterSend)], progressAfterSend[i/len(progressAfterSend)]}
@@ -60,7 +71,7 @@
 				runs++
 				synctest.Test(t, func(t *testing.T) {
 					if faults := twoOrders(t, key, sequence, progress, target); len(faults) > 0 {
-						t.Errorf("%s, %v, rounds %v, to %d: %v", key, sequence, progress, target, faults)
+						t.Errorf("run %d: %s, %v, rounds %v, to %d: %v", runs, key, sequence, progress, target, faults)
 					}
 				})
 				if t.Failed() {
@@ -85,11 +96,14 @@
 	c.orders = []*testOrder{a, b}
 	for _, event := range sequence {
 		switch event {
-		case newLeader:
+		case newLeader, secondNewLeader:
 			c.changeLeader()
 		case snapshotAndRestart:
 			c.restart()
 		default:
+			if c.leader() == nil { // one that was cut off is back, and has just stepped down
+				c.elect()
+			}
 			to := c.leader()
 			if target == toOneCutOff && c.cutOff != nil {
 				to = c.cutOff
@@ -102,9 +116,7 @@
 			}
 		}
 	}
-	c.cutOff = nil
-	c.elect()
-	c.settle()
+	c.heal()
 	if !a.acked && !b.acked && !a.inForce && !b.inForce { // all copies were lost
 		c.send(ctx, a, c.leader())
 		c.settle()
@@ -137,12 +149,7 @@
 	if !newest.acked || c.newest != newest.version {
 		c.fault("the newest order isn't acknowledged: %+v, newest is %d", *newest, c.newest)
 	}
-	for range 2 * heartbeatTicks { // the others hear what is committed
-		for _, m := range c.members {
-			m.p.core.Tick()
-		}
-		c.settle()
-	}
+	c.heal() // and the others hear what is committed
 	for _, m := range c.members {
 		if doc := m.p.state.docs[c.key]; doc.GetVersion() != newest.version || string(doc.GetBody()) != string(newest.body()) {
 			c.fault("what is read back is the newest that was acknowledged: %s holds %d %s", m.addr, doc.GetVersion(), doc.GetBody())
--- a/internal/control/controlstate/orders_cluster_test.go
+++ b/internal/control/controlstate/orders_cluster_test.go
@@ -191,6 +191,18 @@
 	c.t.Fatal("no leader")
 }
 
+// heal joins all members again, and lets time pass until no leader of the past is left.
+func (c *orderCluster) heal() {
+	c.cutOff = nil
+	for range 2 * heartbeatTicks {
+		for _, m := range c.members {
+			m.p.core.Tick()
+		}
+		c.settle()
+	}
+	c.elect()
+}
+
 // changeLeader cuts the leader off, if nobody is, and lets the others elect another: at the least
 // possible progress, so that the new leader hasn't applied what the old one replicated.
 func (c *orderCluster) changeLeader() {
