--- a/internal/control/mutation/point5_test.go
+++ b/internal/control/mutation/point5_test.go
@@ -37,4 +37,9 @@
 		original:    "case a.q.left() <= 0:",
 		replacement: "case false:",
 		pkg:         "internal/data/proxy", run: "TestNotSentOnceItsTimeIsOver"},
+	mutant{point: 5, name: "another version that is named lengthens the bound of the one before",
+		file:        "internal/data/selection/view.go",
+		original:    "oldest = max(oldest, v.Version)",
+		replacement: "_ = v",
+		pkg:         "internal/data/selection", run: "TestNamedAgainBeforeTheBoundIsOver"},
 )
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -152,14 +152,36 @@
 	if t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio) {
 		since = max(t.snapshot.ProofAt, now-t.bounds.Weights(0.5))
 	}
-	at := map[string]time.Duration{}
+	at, superseding := map[string]time.Duration{}, map[string][]fleet.NamedVersion{}
 	for m, v := range named {
-		at[m] = since
-		if old, ok := t.snapshot.Named[m]; ok && old == v {
+		at[m], superseding[m] = since, t.snapshot.Superseding[m]
+		old, ok := t.snapshot.Named[m]
+		switch {
+		case ok && old == v:
 			at[m] = t.snapshot.NamedAt[m]
+		case ok:
+			superseding[m] = t.superseded(superseding[m], fleet.NamedVersion{Version: old, At: t.snapshot.NamedAt[m]}, now)
 		}
 	}
-	t.snapshot.Named, t.snapshot.NamedAt = named, at
+	t.snapshot.Named, t.snapshot.NamedAt, t.snapshot.Superseding = named, at, superseding
+}
+
+// maxSuperseding bounds the versions that are kept of one model.
+const maxSuperseding = 8
+
+// superseded adds a version to those that were named before. Where one's bound has run out, the ones
+// before it say nothing more; where there are too many, the next takes over the oldest's time, which
+// is stricter.
+func (t *table) superseded(before []fleet.NamedVersion, v fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
+	all := append(slices.Clone(before), v)
+	for len(all) > 1 && now-all[1].At >= t.bounds.Weights(1) {
+		all = all[1:]
+	}
+	if len(all) > maxSuperseding {
+		all[1].At = all[0].At
+		all = all[1:]
+	}
+	return all
 }
 
 // applyView sets the cluster membership and counts the edge machines. It reports whether anything
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -152,7 +152,13 @@
 	if a := x.snapshot.NamedAt; a["m"] != now+1 || a["n"] != now+2 {
 		t.Fatalf("in touch: named at %v", a)
 	}
+	if l := x.snapshot.Superseding; len(l["m"]) != 1 || l["m"][0].Version != 1 || len(l["n"]) != 1 || l["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
+		t.Fatalf("superseding %v", l)
+	}
 	name(4, now+b.Config(2), map[string]uint64{"m": 3})
+	if l := x.snapshot.Superseding["m"]; len(l) != 2 || l[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
+		t.Fatalf("superseding %v", l)
+	}
 	if a := x.snapshot.NamedAt; a["m"] != now || len(a) != 1 {
 		t.Fatalf("out of touch since %v: named at %v", now, a)
 	}
@@ -160,6 +166,15 @@
 	if a := x.snapshot.NamedAt; a["m"] != now+b.Weights(2.5) {
 		t.Fatalf("out of touch for long: named at %v", a)
 	}
+	if l := x.snapshot.Superseding["m"]; len(l) != 1 || l[0].Version != 3 {
+		t.Fatalf("past the bound of version 3 those before say nothing: %v", l)
+	}
+	for v := uint64(5); v < 30; v++ { // one right after another: none gets more time than it had
+		name(v+1, now+b.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
+	}
+	if l := x.snapshot.Superseding["m"]; len(l) != maxSuperseding || l[0].At != now {
+		t.Fatalf("superseding %v", l)
+	}
 }
 
 func nodes(edges int, gone int) (v clustermembership.View) {
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -222,12 +222,12 @@
 
 // usable lists the candidates that may be selected: those to be avoided only if no other is left.
 func (t *table) usable(g *group, m *serving, r *Request, s *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
-	named, older := s.Named[model], t.olderAllowed(s, model, m, now)
+	named, oldest := s.Named[model], t.oldestAllowed(s, model, m, now)
 	least := loadingNow
 	l, level := t.list[:0], t.level[:0]
 	for i, x := range g.candidates {
 		v := m.versions[i]
-		if x.worker.Draining || m.reported && (v == 0 || v < named && !older) || tried[x.worker.ID] {
+		if x.worker.Draining || m.reported && (v == 0 || v < oldest) || tried[x.worker.ID] {
 			continue
 		}
 		at := welcome
--- a/internal/data/selection/view.go
+++ b/internal/data/selection/view.go
@@ -157,6 +157,20 @@
 	return x
 }
 
+// oldestAllowed is the oldest version on which a request may still start. Each version that was named
+// ends the use of those before it once its bound has run out, also where another was named meanwhile.
+func (t *table) oldestAllowed(s *fleet.Snapshot, model string, m *serving, now time.Duration) (oldest uint64) {
+	if !t.olderAllowed(s, model, m, now) {
+		return s.Named[model]
+	}
+	for _, v := range s.Superseding[model] {
+		if now >= t.unboundUntil && now-v.At >= t.bounds.Weights(olderPart) {
+			oldest = max(oldest, v.Version)
+		}
+	}
+	return oldest
+}
+
 // olderAllowed reports whether a request may still start on weights older than the named ones. A
 // process that has just started isn't in contact yet, and the bound doesn't apply to it. After that,
 // the bound of a version that was named before this process started is running already, half of it as
--- a/internal/data/selection/weights_test.go
+++ b/internal/data/selection/weights_test.go
@@ -11,6 +11,7 @@
 	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
+	"pebbleloom/internal/settings"
 )
 
 func TestWeightsAreThoseOfTheRow(t *testing.T) {
@@ -231,3 +232,36 @@
 		}
 	}
 }
+
+// Another version that is named before a bound is over doesn't lengthen it: what was superseded first
+// is left on time, and what was superseded by the newest alone has its own bound.
+func TestNamedAgainBeforeTheBoundIsOver(t *testing.T) {
+	s := fleetOf(4) // all of them have version 1
+	first, second := start+time.Minute, start+time.Minute+settings.Default().Weights(0.6)
+	s.Named["m"], s.NamedAt["m"] = 3, second
+	s.Superseding = map[string][]fleet.NamedVersion{"m": {{Version: 2, At: first}}}
+	s.Workers = append([]fleet.Worker(nil), s.Workers...)
+	s.Workers[0].Weights = map[string]uint64{"m": 2}
+	e := newEdge(s)
+	versions := func() map[uint64]int {
+		n := map[uint64]int{}
+		for range 60 {
+			if c, ok := e.selectWorker(e.s, e.ask("p"+fmt.Sprint(e.n), 1000), nil, nil, e.now); ok {
+				n[c.Weights]++
+			}
+		}
+		return n
+	}
+	e.now = first + e.bounds.Weights(0.84)
+	if n := versions(); n[1] == 0 {
+		t.Errorf("inside the first bound: %v", n)
+	}
+	e.now = first + e.bounds.Weights(0.86)
+	if n := versions(); n[1] != 0 || n[2] == 0 {
+		t.Errorf("past the first bound, inside the second: %v", n)
+	}
+	e.now = second + e.bounds.Weights(0.86)
+	if n := versions(); len(n) != 0 {
+		t.Errorf("past both: %v", n)
+	}
+}
