--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -57,7 +57,7 @@
 	p.bulkUntil = 0
 	if size >= bulkBytes {
 		if p.inFlight {
-			c.countLoss(p)
+			c.countLoss(m, p)
 		}
 		p.bulkUntil = c.ticks + c.bulkPause(size, p.bulkLosses)
 	}
@@ -82,9 +82,18 @@
 	return entries, size
 }
 
+// silentAfter is how many ticks go by without a response from a peer that is gone, and not from one
+// that responds to every heartbeat.
+func (c *Core) silentAfter(m string) int {
+	if c.IsVoter(m) {
+		return 2 * c.cfg.HeartbeatTicks
+	}
+	return 2 * learnerHeartbeats * c.cfg.HeartbeatTicks
+}
+
 // countLoss counts a large batch that was lost while the peer could be heard: its link is too slow.
-func (c *Core) countLoss(p *progress) {
-	if p.sinceHeard < c.cfg.ElectionTicks {
+func (c *Core) countLoss(m string, p *progress) {
+	if p.sinceHeard < max(c.silentAfter(m), c.cfg.ElectionTicks) {
 		p.bulkLosses++
 	}
 }
@@ -105,7 +114,7 @@
 		}
 	case len(m.Entries) > 0 && m.Entries[0].Index == p.next:
 		p.inFlight = false
-		c.countLoss(p)
+		c.countLoss(m.To, p)
 	}
 }
 
@@ -144,10 +153,10 @@
 		c.replicate(l.From, true)
 		return nil
 	}
-	if p.sinceHeard >= 2*c.cfg.HeartbeatTicks { // it is back: what was in flight is lost
+	if p.sinceHeard >= c.silentAfter(l.From) { // it is back: what was in flight is lost
 		p.inFlight, p.bulkUntil = false, 0
 	}
-	if p.sinceHeard >= c.cfg.ElectionTicks {
+	if p.sinceHeard >= max(c.silentAfter(l.From), c.cfg.ElectionTicks) {
 		p.bulkLosses = 0 // they were the peer's, not the link's
 	}
 	p.sinceHeard, p.responded = 0, true
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -379,3 +379,22 @@
 		t.Error("a whole snapshot of an older leader isn't installed")
 	}
 }
+
+// A learner gets a snapshot as a member does, each byte once, also over a link on which a piece takes
+// longer than the pause between two heartbeats to a learner.
+func TestLearnerGetsASnapshotOverASlowLink(t *testing.T) {
+	const size = 600 << 10
+	n, _ := emptied(t, 15, size, 0)
+	n.disks["d"] = &memoryDisk{snapshot: LearnerSnapshot("d")}
+	n.start("d")
+	n.slow, n.perTick, n.patience = "d", 2<<10, 100
+	if !n.leader().AddLearner("d") {
+		t.Fatal("no learner is taken")
+	}
+	n.drive(n.leader().cfg.Self)
+	took := n.until("the snapshot arrives", 3*size/n.perTick, func() bool { return bytes.Equal(n.states["d"], n.acked) })
+	if sent := n.sent[wire.MessageKind_SNAPSHOT_PIECE_REQUEST]; sent > size+size/10 {
+		t.Errorf("%d bytes were sent of a state of %d", sent, size)
+	}
+	t.Logf("%d ticks, %v bytes sent", took, n.sent)
+}
