--- a/internal/contract/surplus_test.go
+++ b/internal/contract/surplus_test.go
@@ -50,7 +50,7 @@
 	return ln.Addr().String(), func() int { return len(opened) }
 }
 
-func denialOf(id string) string {
+func rejectionOf(id string) string {
 	body, _ := json.Marshal(Denial{RequestID: id, NotRun: true, Reason: "full"})
 	return fmt.Sprintf("HTTP/1.1 409 Conflict\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -62,18 +62,18 @@
 		play   func(s Start, n int) string
 		second bool // the second start on a connection is proved not to have run
 	}{
-		{"its own", func(s Start, _ int) string { return denialOf(s.RequestID) }, true},
+		{"its own", func(s Start, _ int) string { return rejectionOf(s.RequestID) }, true},
 		{"of the request before", func(s Start, n int) string {
 			if n == 0 {
-				return denialOf(s.RequestID)
+				return rejectionOf(s.RequestID)
 			}
-			return denialOf("r1")
+			return rejectionOf("r1")
 		}, false},
 		{"of nobody, on a connection that served", func(s Start, n int) string {
 			if n == 0 {
-				return denialOf(s.RequestID)
+				return rejectionOf(s.RequestID)
 			}
-			return denialOf("")
+			return rejectionOf("")
 		}, false},
 		{"of nobody, on new connections", func(Start, int) string {
 			return "HTTP/1.1 409 Conflict\r\nConnection: close\r\nContent-Length: 33\r\n\r\n" + `{"not_run":true,"reason":"full"} `
