--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -191,13 +191,13 @@
 			p.transfer = nil // its snapshot is freed
 		}
 	}
+	if leaderName != "" {
+		c.leaderHeardAt = c.ticks // before the timer: one that hears a leader isn't in haste any more
+	}
 	if c.role != follower || leaderName != "" {
 		c.resetElectionTimer()
 	}
 	c.role, c.leader = follower, leaderName
-	if leaderName != "" {
-		c.leaderHeardAt = c.ticks
-	}
 }
 
 // campaign asks the peers for their votes: first whether it would win (a pre-vote, which changes
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -149,3 +149,23 @@
 		}
 	})
 }
+
+// A follower that was cut off comes back with a log as long as the leader's, and unseats nobody.
+func TestAFollowerThatReturnsUnseatsNobody(t *testing.T) {
+	for _, direction := range []string{"both", "out", "in"} {
+		synctest.Test(t, func(t *testing.T) {
+			w := cutOffMember(t, false)
+			defer w.healed()
+			w.net.set(func(cut map[[2]string]bool) { clear(cut) })
+			w.row.direction = direction
+			w.cutOff()
+			term, leader := w.term(), w.owner()
+			clock.Pause(context.Background(), cutFor)
+			w.net.set(func(cut map[[2]string]bool) { clear(cut) })
+			clock.Pause(context.Background(), backWithin)
+			if w.term() != term || w.owner() != leader {
+				t.Errorf("cut %s: the leader was %d of term %d, now it is %d of %d", direction, leader, term, w.owner(), w.term())
+			}
+		})
+	}
+}
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -147,10 +147,13 @@
 	}
 	clock.Pause(ctx, time.Second)
 	w.cutOff()
-	begin := w.now()
+	begin, term := w.now(), w.term()
 	w.duringCut(begin)
 	w.net.set(func(cut map[[2]string]bool) { clear(cut) })
 	w.afterCut(machines)
+	if now := w.term(); !w.row.leader && w.row.restart == "none" && now != term {
+		t.Errorf("a follower that was cut off unseated the leader: term %d, then %d", term, now)
+	}
 }
 
 // otherSide sends an order to the members that aren't cut off until one takes it.
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -236,6 +236,17 @@
 	return w
 }
 
+// term is the highest term that a machine is in.
+func (w *cutWorld) term() (term uint64) {
+	for i := range 5 {
+		if n := w.node(i + 1); n != nil {
+			p := n.shards[0]
+			term = max(term, query(context.Background(), p, 0, func() uint64 { return p.core.Status().Term }))
+		}
+	}
+	return term
+}
+
 // chooseVictim picks the member to cut off, the leader or a follower, and its companion.
 func (w *cutWorld) chooseVictim(machines int) {
 	for i := range machines {
