--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -130,8 +130,10 @@
 }
 
 // proposeAndWait proposes a command and waits for its outcome; committed tells that it is the log's.
-func (p *shard) proposeAndWait(ctx context.Context, request *wire.ChangeRequest, m *merged) (response *wire.ChangeResponse, committed bool) {
+func (p *shard) proposeAndWait(ctx context.Context, request *wire.ChangeRequest, m *merged) (_ *wire.ChangeResponse, committed bool) {
+	// Of these two nothing is read once do has failed: the shard's goroutine may still write them.
 	var pending pendingChange
+	var response *wire.ChangeResponse
 	if !p.do(ctx, func() { pending, response = p.propose(request, m) }) {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}, false
 	}
