--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -225,7 +225,7 @@
 func (c *Core) becomeLeader() {
 	c.role, c.leader, c.heartbeatElapsed, c.incoming = leader, c.cfg.Self, 0, nil
 	clear(c.peers)
-	c.eachPeer(func(m string) { c.peers[m] = c.newProgress(m) })
+	c.eachPeer(func(m string) { c.peers[m] = c.progressAtElection(m) })
 	c.proposeEntry(nil, c.members.namesOnWire(c.cfg.Group)) // an entry of its own term, so that earlier ones commit
 }
 
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -7,38 +7,38 @@
 )
 
 // Membership as agreed data. The members of a group stand in its log: an entry that names
-// members holds from the moment it is in a log, and no longer once it is cut off again. A
-// member's name holds its life; a lost disk comes back under another name, as another member,
-// so no member ever forgets a vote or an acknowledgement that counts.
+// members holds from the moment it is in a log, and no longer once it is truncated again. A
+// member's name holds its incarnation; a lost disk comes back under another name, as another
+// member, so no member ever forgets a vote or an acknowledgement that counts.
 //
-// Why no two owners and no lost commit:
+// Why no two leaders and no lost commit:
 //   - A change adds or removes one member, so every majority of the old membership meets every
 //     majority of the new one. It is added only when the one before it is committed and the
-//     owner has committed an entry of its own term. So of two memberships in force in any logs
-//     at once, neither is more than one change away from the last committed one, and an owner
+//     leader has committed an entry of its own term. So of two memberships in force in any logs
+//     at once, neither is more than one change away from the last committed one, and a leader
 //     of an older term can't commit a second line of changes beside a newer one's.
 //   - Whoever commits an entry has it on a majority of the newest membership in its log. Whoever
 //     wins later has the votes of a majority of the newest membership in its own log, which is
 //     the same or a neighbour of it: one voter has the entry, and votes for no shorter log. By
-//     induction over the terms between the two, every later owner has every committed entry.
+//     induction over the terms between the two, every later leader has every committed entry.
 //   - A member votes by its own log and vote alone, also where that log doesn't name it yet:
 //     only those whose log names it count it. Otherwise a half-added member could leave the
 //     rest without a majority.
-//   - Learners are fed what is committed and nothing else, and a removed member isn't told of
-//     its removal before that is committed: a log outside the group never denies its vote for
+//   - Learners are sent what is committed and nothing else, and a removed member isn't sent its
+//     removal before that is committed: a log outside the group never denies its vote for
 //     an entry that the group hasn't agreed on.
 //   - Whoever wins names the members once more in the first entry of its term. So "the newest
-//     membership" that a set of members tells (by term, then index) can't be that of a line of
+//     membership" that a set of members reports (by term, then index) can't be that of a line of
 //     changes that was given up: a majority of it holds nothing newer of a document, and says
 //     so, only if nothing newer was committed before they were asked.
 
-// membership is who keeps the log, and the entry that said so.
+// membership is the set of voters, and the entry that named them.
 type membership struct {
 	names       []string
 	index, term uint64
 }
 
-// tell is what an entry or a slot writes down of it.
+// namesOnWire is what an entry or a snapshot records of it.
 func (m membership) namesOnWire(group bool) []string {
 	if !group {
 		return nil
@@ -46,21 +46,22 @@
 	return m.names
 }
 
-// patience of a learner, in spans of ElectTicks: then it is fed no more until it asks again.
+// learnerTimeoutElections is the silence, in spans of ElectionTicks, after which a learner is
+// dropped; it is sent nothing more until it asks again.
 const learnerTimeoutElections = 6
 
-// caughtUp is how many committed entries a learner may lack when it is made a member.
+// caughtUpEntries is how many committed entries a learner may lack when it is made a voter.
 const caughtUpEntries = 8
 
-// learnerBeats is how many beats go by between two letters to a learner.
+// learnerHeartbeats is the number of heartbeats between two messages to a learner.
 const learnerHeartbeats = 3
 
 const maxLearners = 64
 
-// regroup looks up the newest membership in slot and log.
+// reloadMembership looks up the newest membership in snapshot and log.
 func (c *Core) reloadMembership() { c.members = c.membershipAt(c.lastIndex()) }
 
-// memberships is the newest membership up to an entry.
+// membershipAt is the newest membership up to an entry.
 func (c *Core) membershipAt(upto uint64) membership {
 	if !c.cfg.Group {
 		return membership{names: c.cfg.Members}
@@ -73,27 +74,29 @@
 	return membership{c.snapshot.Members, c.snapshot.MembersIndex, c.snapshot.MembersTerm}
 }
 
-// heed takes the membership of an entry that was added to the log.
+// applyMembership takes over the membership of an entry that was added to the log.
 func (c *Core) applyMembership(e *wire.Entry) {
 	if c.cfg.Group && len(e.Members) > 0 {
 		c.members = membership{e.Members, e.Index, e.Term}
 	}
 }
 
-// Founder is the slot of one of those that found a group together; each writes the same members.
+// FoundingSnapshot is the snapshot of one of the members that found a group together; each of them
+// writes the same members.
 //
-// Example: ledger.Founder("10.1.0.17:7360/0", []string{"10.1.0.17:7360/0", "10.2.0.24:7360/0", "10.3.0.38:7360/0"})
+// Example: consensus.FoundingSnapshot("10.1.0.17:7360/0", []string{"10.1.0.17:7360/0", "10.2.0.24:7360/0", "10.3.0.38:7360/0"})
 func FoundingSnapshot(self string, members []string) *wire.Snapshot {
 	l := slices.Sorted(slices.Values(members))
 	return &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: self, DiskState: wire.DiskState_DISK_FOUNDED}, Members: l}
 }
 
-// Learner is the slot of a disk that was empty: it holds what it is fed, and is no member.
+// LearnerSnapshot is the snapshot of a disk that was empty: its process keeps what it is sent, and
+// is no voter.
 //
-// Example: ledger.Learner("10.1.0.17:7360/8f3a")
+// Example: consensus.LearnerSnapshot("10.1.0.17:7360/8f3a")
 func LearnerSnapshot(self string) *wire.Snapshot { return FoundingSnapshot(self, nil) }
 
-// Members tells the newest membership in the log, committed or not.
+// Members returns the newest membership in the log, committed or not.
 //
 // Example: names, term, index := c.Members()
 func (c *Core) Members() (names []string, term, index uint64) {
@@ -103,12 +106,23 @@
 func (c *Core) newProgress(m string) *progress {
 	p := &progress{next: c.lastIndex() + 1}
 	if c.cfg.Group {
-		p.incarnation = m // a name is one life
+		p.incarnation = m // a name is one incarnation
 	}
 	return p
 }
 
-// ceiling is the last entry that a colleague may be fed.
+// progressAtElection is what a new leader knows of a peer. One that gave it no vote has been silent
+// for as long as there was no leader, as far as is known: a member that is gone isn't given its whole
+// time again by each election.
+func (c *Core) progressAtElection(m string) *progress {
+	p := c.newProgress(m)
+	if c.cfg.Group && !c.votes[m] {
+		p.sinceHeard = min(c.ticks-c.leaderHeardAt, c.cfg.ElectionTicks)
+	}
+	return p
+}
+
+// replicationLimit is the last entry that a peer may be sent.
 func (c *Core) replicationLimit(m string) uint64 {
 	if c.cfg.Group && !c.IsVoter(m) {
 		return c.commit
@@ -140,10 +154,10 @@
 	return l
 }
 
-// Learn has the owner feed one that isn't a member; false where this member isn't the owner
-// or feeds as many as it may.
+// AddLearner has the leader replicate to a process that is no voter; false where this member isn't
+// the leader or has as many learners as it may.
 //
-// Example: if c.Learn("10.1.0.17:7360/8f3a") { drive(c.Flush()) }
+// Example: if c.AddLearner("10.1.0.17:7360/8f3a") { drive(c.Ready()) }
 func (c *Core) AddLearner(name string) bool {
 	if c.role != leader || name == c.cfg.Self {
 		return false
@@ -160,18 +174,27 @@
 	return true
 }
 
-// Settled tells whether the owner may change the members: it has committed an entry of its own
-// term and the change before.
+// RemoveLearner has the leader replicate no more to a learner; a voter stays what it is.
 //
-// Example: if c.Settled() { c.Regroup(members) }
+// Example: c.RemoveLearner("10.1.0.17:7360/8f3a")
+func (c *Core) RemoveLearner(name string) {
+	if !c.IsVoter(name) {
+		delete(c.peers, name)
+	}
+}
+
+// MembershipSettled reports whether the leader may change the members: it has committed an entry of
+// its own term and the change before.
+//
+// Example: if c.MembershipSettled() { c.ProposeMembership(members) }
 func (c *Core) MembershipSettled() bool {
 	t, _ := c.termAt(c.commit)
 	return c.role == leader && t == c.hardState.Term && c.members.index <= c.commit
 }
 
-// Regroup proposes members that differ from those now by one; false where that may not be.
+// ProposeMembership proposes members that differ from those now by one; false where that may not be.
 //
-// Example: index, term, ok := c.Regroup(append(members, "10.4.0.9:7360/8f3a"))
+// Example: index, term, ok := c.ProposeMembership(append(members, "10.4.0.9:7360/8f3a"))
 func (c *Core) ProposeMembership(names []string) (index, term uint64, ok bool) {
 	l := slices.Compact(slices.Sorted(slices.Values(names)))
 	diff := 0
@@ -190,7 +213,7 @@
 	}
 	for _, m := range c.members.names {
 		if !slices.Contains(l, m) {
-			delete(c.peers, m) // it isn't told before that is committed
+			delete(c.peers, m) // it doesn't hear of it before that is committed
 		}
 	}
 	for _, m := range l {
@@ -201,23 +224,24 @@
 	return c.proposeEntry(nil, l), c.hardState.Term, true
 }
 
-// Seen is how the owner sees one that it feeds.
+// PeerStatus is how the leader sees a peer that it replicates to.
 type PeerStatus struct {
 	Name       string
 	IsVoter    bool
 	SinceHeard int  // ticks since it spoke
-	CaughtUp   bool // it holds all that is committed, or nearly
+	Answered   bool // it has spoken to this leader at all
+	CaughtUp   bool // it holds all that is committed, but for what fits into one message
 }
 
-// Sees tells whom the owner feeds, members and learners, by name.
+// PeerStatuses lists the peers that the leader replicates to, voters and learners, by name.
 //
-// Example: for _, x := range c.Sees() { fmt.Println(x.Name, x.Heard) }
+// Example: for _, x := range c.PeerStatuses() { fmt.Println(x.Name, x.SinceHeard) }
 func (c *Core) PeerStatuses() (l []PeerStatus) {
 	if c.role != leader {
 		return nil
 	}
 	for m, p := range c.peers {
-		l = append(l, PeerStatus{m, c.IsVoter(m), p.sinceHeard, p.match > 0 && p.match+caughtUpEntries >= c.commit})
+		l = append(l, PeerStatus{m, c.IsVoter(m), p.sinceHeard, p.responded, c.nearCommit(p.match)})
 	}
 	slices.SortFunc(l, func(a, b PeerStatus) int {
 		if a.Name < b.Name {
@@ -228,7 +252,52 @@
 	return l
 }
 
+// nearCommit reports whether a log that matches up to an entry lacks no more of what is committed
+// than one message brings: a few entries, not a snapshot, and no more bytes than a batch holds.
+func (c *Core) nearCommit(match uint64) bool {
+	if match == 0 || match+caughtUpEntries < c.commit {
+		return false
+	}
+	if match >= c.commit {
+		return true
+	}
+	if _, ok := c.termAt(match); !ok {
+		return false // only a snapshot goes on from there
+	}
+	missing := 0
+	for index := match + 1; index <= c.commit; index++ {
+		missing += entryBytes(c.entryAt(index))
+	}
+	return missing <= c.cfg.MaxBatchBytes
+}
+
+// HeldByLivePeers reports whether all that is committed is on the disk of each voter but one that has
+// spoken within so many ticks, and of one such voter at least beside that one.
+//
+// Example: if c.HeldByLivePeers("10.1.0.17:7360/8f3a", 12) { stop() }
+func (c *Core) HeldByLivePeers(except string, within int) bool {
+	holders := 0
+	for _, m := range c.members.names {
+		if m == except {
+			continue
+		}
+		if m == c.cfg.Self {
+			holders++
+			continue
+		}
+		p := c.peers[m]
+		if p == nil || p.sinceHeard >= within {
+			continue
+		}
+		if p.match < c.commit {
+			return false
+		}
+		holders++
+	}
+	return c.role == leader && holders > 0
+}
+
 // Self is this member's name.
 //
-// Example: c.Sits(c.Self())
+// Example: c.IsVoter(c.Self())
 func (c *Core) Self() string { return c.cfg.Self }
--- a/internal/control/consensus/status.go
+++ b/internal/control/consensus/status.go
@@ -6,35 +6,51 @@
 	"pebbleloom/internal/wire"
 )
 
-// HandOver asks a colleague that holds the whole log to stand at once; false when this
-// member doesn't own the part or nobody has caught up. The colleague still has to be
-// voted for: handing over changes who stands, not who may win.
+// TransferLeadership asks the peer that spoke last, of those that hold the whole log, to stand for
+// election at once; false when this member isn't the leader or no peer has caught up. That peer
+// still has to be voted for: a transfer changes who stands, not who may win.
 //
-// Example: if c.HandOver() { drive(c.Flush()) }
+// Example: if c.TransferLeadership() { drive(c.Ready()) }
 func (c *Core) TransferLeadership() bool {
+	return c.TransferLeadershipExcept(func(string) bool { return false })
+}
+
+// TransferLeadershipExcept is TransferLeadership to a peer that isn't excluded.
+//
+// Example: ok := c.TransferLeadershipExcept(isLeaving)
+func (c *Core) TransferLeadershipExcept(excluded func(name string) bool) bool {
 	if c.role != leader {
 		return false
 	}
+	to := ""
 	for _, m := range c.members.names {
-		if p := c.peers[m]; p != nil && p.match == c.lastIndex() && p.sinceHeard < c.cfg.ElectionTicks {
-			c.send(&wire.Message{To: m, Kind: wire.MessageKind_TRANSFER_LEADERSHIP, Index: c.lastIndex(), Commit: c.commit})
-			return true
+		p := c.peers[m]
+		if p == nil || excluded(m) || p.match != c.lastIndex() || p.sinceHeard >= c.cfg.ElectionTicks {
+			continue
 		}
+		if to == "" || p.sinceHeard < c.peers[to].sinceHeard {
+			to = m
+		}
+	}
+	if to == "" {
+		return false
 	}
-	return false
+	c.send(&wire.Message{To: to, Kind: wire.MessageKind_TRANSFER_LEADERSHIP, Index: c.lastIndex(), Commit: c.commit})
+	return true
 }
 
-// youngPart is the longest pause between two asks of a young member, as a part of ElectTicks.
+// eagerElectionPart: the longest pause between two pre-votes of a member that has just started is
+// this part of ElectionTicks.
 const eagerElectionPart = 3
 
-// young tells whether a member of a group has just begun and heard of no owner yet. It asks at once
-// whether it could win, and often: after all have begun anew nobody else will. Asking changes
-// nothing, and whoever hears an owner says no.
+// justStarted reports whether a member of a group has just started and heard of no leader yet. It
+// begins a pre-vote at once, and often: after all have restarted nobody else will. A pre-vote changes
+// nothing, and whoever hears a leader rejects it.
 func (c *Core) justStarted() bool {
 	return c.cfg.Group && c.leaderHeardAt == 0 && c.ticks < c.cfg.ElectionTicks
 }
 
-// rest lets time go by until this member stands, if no owner speaks before.
+// resetElectionTimer picks the time after which this member stands, if no leader speaks before.
 func (c *Core) resetElectionTimer() {
 	c.electionElapsed, c.electionTimeout = 0, c.cfg.ElectionTicks+c.cfg.Rand.IntN(c.cfg.ElectionTicks)
 	if c.justStarted() {
@@ -42,7 +58,7 @@
 	}
 }
 
-// Standing tells how the member stands: who owns the part, and why it can't vote, if so.
+// Status is who leads the shard, where this member's log stands, and why it can't vote, if so.
 type Status struct {
 	Leader      string
 	IsLeader    bool
@@ -52,34 +68,34 @@
 	Applied     uint64
 	Last        uint64
 	Log         int
-	SinceLeader int // ticks since an owner spoke
+	SinceLeader int // ticks since a leader spoke
 }
 
-// Stands tells how the member stands now.
+// Status returns the member's status now.
 //
-// Example: if c.Stands().Owns { … }
+// Example: if c.Status().IsLeader { … }
 func (c *Core) Status() Status {
 	return Status{c.leader, c.role == leader, c.hardState.Term, c.hardState.DiskState == wire.DiskState_DISK_BLANK, c.stuck, c.applied, c.lastIndex(), len(c.log), c.ticks - c.leaderHeardAt}
 }
 
-// Current tells whether this member owns the part and has applied all that earlier owners have
-// committed: an entry of its own term is applied.
+// AppliedOwnTerm reports whether this member is the leader and has applied all that earlier leaders
+// have committed: an entry of its own term is applied.
 //
-// Example: if c.Current() { judge(state) }
+// Example: if c.AppliedOwnTerm() { validate(state) }
 func (c *Core) AppliedOwnTerm() bool {
 	t, _ := c.termAt(c.applied)
 	return c.role == leader && t == c.hardState.Term
 }
 
-// Unsettled gives the entries in the log that aren't applied yet: any of them may turn
-// out to have been acknowledged.
+// Unapplied returns the entries in the log that aren't applied yet: any of them may turn out to have
+// been acknowledged.
 //
-// Example: for _, e := range c.Unsettled() { … }
+// Example: for _, e := range c.Unapplied() { … }
 func (c *Core) Unapplied() []*wire.Entry { return c.entriesFrom(c.applied + 1) }
 
-// Sits tells whether a name is a member of this part.
+// IsVoter reports whether a name is a member of this shard, by the newest membership in the log.
 //
-// Example: c.Sits("core-2")
+// Example: c.IsVoter("core-2")
 func (c *Core) IsVoter(name string) bool {
 	return slices.Contains(c.members.names, name)
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -1,16 +1,13 @@
 package controlstate
 
 import (
-	"context"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"slices"
-	"strings"
 
 	"google.golang.org/protobuf/proto"
 
-	"pebbleloom/internal/clock"
 	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/control/controlclient"
@@ -27,16 +24,12 @@
 // A group's time, as ratios of the heal bound and in ticks.
 const (
 	groupTick      = 1.0 / 120
-	joinPart       = 1.0 / 15 // between two asks to be taken in
-	leavePart      = 0.4      // of the grace time: the longest wait for another owner
 	retryOpenPart  = 1.0 / 12 // between two tries to open a disk that was bad
 	heartbeatTicks = 3
 	electionTicks  = 9
-
-	learnPatience = 2 * electionTicks // that one waits to be fed before it asks again
 )
 
-// group is what a part has beside, where its membership is agreed data.
+// group is what a shard has beside, where its membership is agreed data.
 type group struct {
 	codec          backend.Codec
 	cfg            consensus.Config
@@ -47,12 +40,15 @@
 	published      viewPublisher
 	ticks          int
 	retryOpenTicks int
+	leaving        map[string]int // the tick in which a process last said that it is to stop
+	stopping       bool           // this process is to stop
 }
 
-// openGroup makes the one part of a group. A disk that can't be opened leaves the part out
+// openGroup makes the one shard of a group. A disk that can't be opened leaves its member out
 // until it can.
 func openGroup(p *shard, g *group) *shard {
 	p.group, g.cfg.Group = g, true
+	g.leaving = map[string]int{}
 	p.core = consensus.New(g.cfg, consensus.LearnerSnapshot(""), nil)
 	p.failure = p.reopen()
 	p.publish(consensus.Ready{Install: &wire.Snapshot{}})
@@ -86,7 +82,7 @@
 	return nil
 }
 
-// mend opens a disk that was bad again; its member goes on as after a restart.
+// retryOpen opens a disk again that was bad; its member goes on as after a restart.
 func (p *shard) retryOpen() {
 	if p.ticks%p.retryOpenTicks != 0 {
 		return
@@ -104,7 +100,7 @@
 	p.publish(consensus.Ready{Install: &wire.Snapshot{}})
 }
 
-// watch is what a member of a group does at each tick.
+// tick is what a member of a group does at each tick beside the core's own time.
 func (p *shard) tick() {
 	if p.group == nil {
 		return
@@ -114,17 +110,26 @@
 		p.retryOpen()
 		return
 	}
-	if p.ticks%heartbeatTicks == 0 && p.core.MembershipSettled() {
-		ms, _, _ := p.core.Members()
-		if next := nextMembership(p.core.Status().Leader, ms, p.core.PeerStatuses(), p.targetSize, p.zoneOf); next != nil {
-			if _, _, ok := p.core.ProposeMembership(next); ok {
-				p.log.Info("members change", "from", ms, "to", next)
-			}
+	if next := p.nextMembership(); next != nil {
+		now, _, _ := p.core.Members()
+		if _, _, ok := p.core.ProposeMembership(next); ok {
+			p.log.Info("membership change", "from", now, "to", next)
 		}
 	}
 }
 
-// lay merges a plan, or named items of one, onto the one in force.
+// nextMembership is the membership that this member is to propose as the leader; nil: none now.
+func (p *shard) nextMembership() []string {
+	if !p.core.MembershipSettled() {
+		return nil
+	}
+	members, _, _ := p.core.Members()
+	v := membershipView{self: p.core.Self(), members: members, peers: p.core.PeerStatuses(), targetSize: p.targetSize,
+		zoneOf: p.zoneOf, isLeaving: p.isLeaving}
+	return v.next()
+}
+
+// mergePlan merges a plan, or named items of one, onto the one in force.
 func (p *shard) mergePlan(m *merged, old *wire.Document, u *wire.Put, part bool) {
 	m.body, m.version, m.err = p.codec.Merge(old.GetBody(), u.Body, part)
 	if m.err != nil && errs.KindOf(m.err) == errs.Inside {
@@ -137,7 +142,7 @@
 
 // StartGroup runs a control node whose membership is agreed data. The door serves operators.
 //
-// Example: err := archive.StartGroup(life, codec, func(n *archive.Node) http.Handler { return desk(n) })
+// Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
 func StartGroup(l *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
 	s, own := l.Place.Site, l.Place.AdvertisedAddr()
 	n := &Node{life: l, shards: map[uint32]*shard{}, calls: daemon.NewClients(l)}
@@ -157,7 +162,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(n))
 	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.roster))
-	// The door is closed first: what came in by it is finished while colleagues still get through.
+	// The door is closed first: what came in by it is finished while peers still get through.
 	for _, x := range []struct {
 		addr string
 		h    func() http.Handler
@@ -179,11 +184,11 @@
 	l.Go(func() { n.joinLoop() })
 	l.OnShutdown(n.leave)
 	l.Ready.Store(true)
-	l.Log.Info("serving", "life", n.incarnation)
+	l.Log.Info("serving", "incarnation", n.incarnation)
 	return nil
 }
 
-// district is where a core machine stands, as the roster tells it.
+// zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
 func (n *Node) zoneOf(addr string) string {
 	for _, x := range n.roster.View().Role("archive") {
 		if x.Addr == addr {
@@ -193,9 +198,9 @@
 	return ""
 }
 
-// begin is the first slot of an empty disk. At the first start of the whole system the seeds
-// found the group, each under a life that all know; any other empty disk has lost what it had,
-// or is new, and is taken in by those that hold the log.
+// firstSnapshot is the first snapshot of an empty disk. At the first start of the whole system the
+// seeds found the group, each under an incarnation that all know; any other empty disk has lost what
+// it had, or is new, and is taken in by those that hold the log.
 func firstSnapshot(first bool, own string, seeds []string, random func() uint64) *wire.Snapshot {
 	if first && slices.Contains(seeds, own) {
 		var ms []string
@@ -207,111 +212,8 @@
 	return consensus.LearnerSnapshot(fmt.Sprintf("%s/%016x", own, random()))
 }
 
-// leave hands the group over when the program was told to end, and waits until another owns it.
-func (n *Node) leave(ctx context.Context) {
-	p := n.shards[0]
-	ctx, end := context.WithTimeout(ctx, settings.Of(n.life.Place.Site.GraceMs, leavePart))
-	defer end()
-	for begun := false; ctx.Err() == nil; clock.Pause(ctx, n.life.Place.Bounds.Heal(groupTick/2)) {
-		at := query(ctx, p, transferProgress{gone: true}, p.transferLeadership)
-		if begun = begun || at.begun; at.gone || !begun && !at.isLeader {
-			break
-		}
-	}
-	n.roster.Leave()
-}
-
-// handing is how far a group is handed over.
-type transferProgress struct{ isLeader, begun, gone bool }
-
-// handOn asks a colleague to take the group; gone: another has it, or this member is out.
-func (p *shard) transferLeadership() transferProgress {
-	s := p.core.Status()
-	return transferProgress{isLeader: s.IsLeader, begun: p.failure == nil && s.IsLeader && p.core.TransferLeadership(), gone: p.failure != nil || !s.IsLeader && s.Leader != ""}
-}
-
-// join has this node taken in, and keeps it known while it isn't a member.
-func (n *Node) joinLoop() {
-	b, turn := n.life.Place.Bounds, 0
-	for p := n.shards[0]; n.life.Ctx.Err() == nil; clock.Pause(n.life.Ctx, b.Heal(joinPart)) {
-		ctx, end := context.WithTimeout(n.life.Ctx, b.Heal(1.0/24))
-		alone := query(ctx, p, false, p.needsToJoin)
-		end()
-		if g := p.published.current(); alone {
-			n.control.HintLeader(g.leader)
-			turn += n.requestJoin(g.self, g.members, turn)
-		}
-	}
-}
-
-// alone tells whether no owner feeds this one: it asks to be taken in. A member may just be
-// without an owner, or was removed while it was away.
-func (p *shard) needsToJoin() bool {
-	s, patience := p.core.Status(), learnPatience
-	if p.core.IsVoter(p.core.Self()) {
-		patience *= 2
-	} else if s.Leader == "" {
-		patience = 0
-	}
-	return p.failure == nil && !s.IsLeader && s.SinceLeader >= patience
-}
-
-// askIn asks a few of those that may know, whom they name right after them; it tells how many
-// were of no help.
-func (n *Node) requestJoin(self string, members []string, turn int) (vain int) {
-	all := n.control.Addresses()
-	for _, m := range members {
-		if a := controlclient.Addr(m); !slices.Contains(all, a) {
-			all = append(all, a)
-		}
-	}
-	own := controlclient.Addr(self)
-	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
-	for i := 0; i < 2 && len(all) > 0; i++ {
-		addr := all[(turn+i)%len(all)]
-		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
-			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(1.0/30))
-			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.life.Place.Zone})
-			end()
-			if err != nil {
-				break
-			}
-			if t.Outcome == wire.OutcomeDone {
-				n.control.HintLeader(addr)
-				return vain
-			}
-			addr = controlclient.Addr(t.Leader)
-		}
-		vain++
-	}
-	return vain
-}
-
-// Join takes one that isn't a member among those that are fed; a site whose core machines are
-// named in the settings takes nobody in.
-//
-// Example: t, err := a.Join(ctx, &wire.JoinAsk{Name: "10.1.0.17:7360/8f3a"})
-func (n *Node) Join(ctx context.Context, a *wire.JoinRequest) (*wire.JoinResponse, error) {
-	p, none := n.shards[0], &wire.JoinResponse{Outcome: wire.OutcomeUnknown}
-	if addr, life, ok := strings.Cut(a.Name, "/"); p == nil || p.group == nil || !ok || addr == "" || life == "" {
-		return none, nil
-	}
-	return query(ctx, p, none, func() *wire.JoinResponse { return p.handleJoin(a) }), nil
-}
-
-func (p *shard) handleJoin(a *wire.JoinRequest) *wire.JoinResponse {
-	s := p.core.Status()
-	switch {
-	case p.failure != nil || !s.IsLeader:
-		return &wire.JoinResponse{Outcome: wire.OutcomeNotLeader, Leader: s.Leader}
-	case !p.core.AddLearner(a.Name):
-		return &wire.JoinResponse{Outcome: wire.OutcomeOverloaded, Leader: s.Leader}
-	}
-	return &wire.JoinResponse{Outcome: wire.OutcomeDone, Leader: s.Leader}
-}
-
-// puts adds up what the entries that aren't applied yet may bring: by key the highest version,
-// the greatest number where that isn't told.
+// pendingVersions adds up what the entries that aren't applied yet may bring: by key the highest
+// version, the greatest number where an entry doesn't hold it.
 func pendingVersions(es []*wire.Entry) map[string]uint64 {
 	var l map[string]uint64
 	for _, e := range es {
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -152,14 +152,15 @@
 	}
 }
 
-// Whom the owner adds and removes, case by case.
-func TestWhomTheOwnerAddsAndRemoves(t *testing.T) {
+// Whom the leader adds and removes, case by case.
+func TestWhomTheLeaderAddsAndRemoves(t *testing.T) {
 	in := func(name string, heard int) consensus.PeerStatus {
 		return consensus.PeerStatus{Name: name, IsVoter: true, SinceHeard: heard, CaughtUp: true}
 	}
 	out := func(name string, heard int, caught bool) consensus.PeerStatus {
-		return consensus.PeerStatus{Name: name, SinceHeard: heard, CaughtUp: caught}
+		return consensus.PeerStatus{Name: name, SinceHeard: heard, Answered: true, CaughtUp: caught}
 	}
+	asked := func(name string) consensus.PeerStatus { return consensus.PeerStatus{Name: name} } // and never answered
 	where := map[string]string{"a": "north", "b": "south", "c": "east", "d": "north", "e": "west"}
 	abc := []string{"a/0", "b/0", "c/0"}
 	for _, x := range []struct {
@@ -177,6 +178,14 @@
 		{"one is silent, the spare too", abc, []consensus.PeerStatus{in("b/0", 1), in("c/0", replaceAfterTicks), out("d/1", 30, true)}, 3, "[]"},
 		{"two are silent: the rest is no majority", abc, []consensus.PeerStatus{in("b/0", 40), in("c/0", 40), out("d/1", 1, true)}, 3, "[]"},
 		{"a disk is lost", abc, []consensus.PeerStatus{in("b/0", 1), in("c/0", 3), out("c/7", 0, false)}, 3, "[a/0 b/0]"},
+		{"an ask of an incarnation that is gone", abc, []consensus.PeerStatus{in("b/0", 1), in("c/0", 3), asked("c/7")}, 3, "[]"},
+		{"an incarnation that spoke before the member did", []string{"a/0", "b/0", "c/8"}, []consensus.PeerStatus{in("b/0", 1), in("c/8", 3), out("c/7", 9, true)}, 3, "[]"},
+		{"two incarnations wait at one address", []string{"a/0", "b/0"}, []consensus.PeerStatus{in("b/0", 1), out("c/7", 9, true), out("c/8", 1, false)}, 3, "[]"},
+		{"the later of two incarnations is ready", []string{"a/0", "b/0"}, []consensus.PeerStatus{in("b/0", 1), out("c/7", 9, true), out("c/8", 1, true)}, 3, "[a/0 b/0 c/8]"},
+		{"one of four is silent, three are wanted", []string{"a/0", "b/0", "c/0", "d/0"},
+			[]consensus.PeerStatus{in("b/0", 1), in("c/0", 1), in("d/0", 40)}, 3, "[a/0 b/0 c/0]"},
+		{"four are there, three are wanted", []string{"a/0", "b/0", "c/0", "d/0"},
+			[]consensus.PeerStatus{in("b/0", 1), in("c/0", 1), in("d/0", 1)}, 3, "[]"},
 		{"a disk is lost, and the other is silent", abc, []consensus.PeerStatus{in("b/0", 40), in("c/0", 3), out("c/7", 0, false)}, 3, "[]"},
 		{"one is missing", []string{"a/0", "b/0"}, []consensus.PeerStatus{in("b/0", 1), out("c/7", 1, true)}, 3, "[a/0 b/0 c/7]"},
 		{"one is missing, another district is better", []string{"a/0", "b/0"}, []consensus.PeerStatus{in("b/0", 1), out("d/7", 1, true), out("e/7", 1, true)}, 3, "[a/0 b/0 e/7]"},
@@ -186,8 +195,9 @@
 			[]consensus.PeerStatus{in("b/0", 1), in("c/0", 40), in("d/0", 40), out("e/7", 1, true)}, 5, "[a/0 b/0 c/0 d/0 e/7]"},
 		{"the group is alone", abc, nil, 3, "[]"},
 	} {
-		next := nextMembership("a/0", slices.Clone(x.now), x.sees, x.want, func(a string) string { return where[a] })
-		if got := fmt.Sprint(next); got != x.next {
+		v := membershipView{self: "a/0", members: slices.Clone(x.now), peers: x.sees, targetSize: x.want,
+			zoneOf: func(a string) string { return where[a] }, isLeaving: func(string) bool { return false }}
+		if got := fmt.Sprint(v.next()); got != x.next {
 			t.Errorf("%s: %s, want %s", x.name, got, x.next)
 		}
 	}
--- /dev/null
+++ b/internal/control/controlstate/join.go
@@ -0,0 +1,195 @@
+package controlstate
+
+import (
+	"context"
+	"slices"
+	"strings"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// How processes come to a group and leave it: as ratios of the heal bound and of the grace time, and
+// in ticks.
+const (
+	joinPart        = 1.0 / 30       // of the heal bound: between two looks whether to ask to be taken in
+	joinTimeoutPart = 1.0 / 30       // of the heal bound: the longest wait for an answer to that
+	leavePart       = 0.4            // of the grace time: the longest wait until the others hold everything
+	leavingTicks    = heartbeatTicks // after which a process that said that it is to stop counts as stopped
+
+	learnerPatience = aliveTicks    // the silence of the leader after which a learner asks again
+	voterPatience   = electionTicks // the same for a voter, which may have been removed meanwhile
+)
+
+// leave waits, when the program is to stop, until the group does without this member: its
+// leadership is handed over, a spare has its place if there is one, and the others hold what it holds.
+func (n *Node) leave(ctx context.Context) {
+	ctx, end := context.WithTimeout(ctx, settings.Of(n.life.Place.Site.GraceMs, leavePart))
+	defer end()
+	for ctx.Err() == nil && !n.mayStop(ctx) {
+		clock.Pause(ctx, n.life.Place.Bounds.Heal(groupTick/2))
+	}
+	n.roster.Leave()
+}
+
+// mayStop does what there is to do before this member stops, and reports whether that was all.
+func (n *Node) mayStop(ctx context.Context) bool {
+	p := n.shards[0]
+	at := query(ctx, p, leaveProgress{done: true}, p.prepareToLeave)
+	if at.done || at.isLeader || at.leader == "" {
+		return at.done
+	}
+	ctx, end := context.WithTimeout(ctx, n.life.Place.Bounds.Heal(joinTimeoutPart))
+	defer end()
+	t, err := n.calls.ControlNode(controlclient.Addr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
+	return err == nil && t.Outcome == wire.OutcomeDone
+}
+
+// leaveProgress is how far a member is with leaving.
+type leaveProgress struct {
+	done, isLeader bool
+	self, leader   string
+}
+
+// prepareToLeave hands the leadership over once the others hold all that this member holds. A member
+// that is out, or a learner, has nothing that the group needs.
+func (p *shard) prepareToLeave() leaveProgress {
+	s, self := p.core.Status(), p.core.Self()
+	p.stopping = true
+	if p.failure != nil || !p.core.IsVoter(self) && s.Leader == "" {
+		return leaveProgress{done: true}
+	}
+	if !s.IsLeader {
+		return leaveProgress{self: self, leader: s.Leader}
+	}
+	p.leaving[self] = p.ticks
+	if p.mayGo(self) && !p.core.TransferLeadershipExcept(p.isLeaving) {
+		p.core.TransferLeadership() // all that are left are leaving
+	}
+	return leaveProgress{isLeader: true}
+}
+
+// mayGo reports whether the group has done what it can before a member stops: no change of the
+// membership is left to make, and the other voters that are alive hold the whole log.
+func (p *shard) mayGo(name string) bool {
+	if !p.core.MembershipSettled() {
+		return false
+	}
+	if !p.core.IsVoter(name) {
+		return true
+	}
+	return p.nextMembership() == nil && p.core.HeldByLivePeers(name, aliveTicks)
+}
+
+// isLeaving reports whether a process has said lately that it is to stop.
+func (p *shard) isLeaving(name string) bool {
+	at, ok := p.leaving[name]
+	return ok && p.ticks-at < leavingTicks
+}
+
+// joinLoop has this node taken in, and keeps it known while it isn't a member.
+func (n *Node) joinLoop() {
+	b, turn := n.life.Place.Bounds, 0
+	for p := n.shards[0]; n.life.Ctx.Err() == nil; clock.Pause(n.life.Ctx, b.Heal(joinPart)) {
+		ctx, end := context.WithTimeout(n.life.Ctx, b.Heal(1.0/24))
+		alone := query(ctx, p, false, p.needsToJoin)
+		end()
+		if g := p.published.current(); alone {
+			n.control.HintLeader(g.leader)
+			turn += n.requestJoin(g.self, g.members, turn)
+		}
+	}
+}
+
+// needsToJoin reports whether no leader sends this member entries, so that it asks to be taken in. A
+// voter may just be without a leader, or was removed while it was away: to ask does no harm.
+func (p *shard) needsToJoin() bool {
+	s, patience := p.core.Status(), learnerPatience
+	if p.core.IsVoter(p.core.Self()) {
+		patience = voterPatience
+	} else if s.Leader == "" {
+		patience = 0
+	}
+	return p.failure == nil && !p.stopping && !s.IsLeader && s.SinceLeader >= patience
+}
+
+// requestJoin asks a few of those that may know the leader, and whom they name right after them; it
+// returns how many were of no help.
+func (n *Node) requestJoin(self string, members []string, turn int) (vain int) {
+	all := n.control.Addresses()
+	for _, m := range members {
+		if a := controlclient.Addr(m); !slices.Contains(all, a) {
+			all = append(all, a)
+		}
+	}
+	own := controlclient.Addr(self)
+	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
+	for i := 0; i < 2 && len(all) > 0; i++ {
+		addr := all[(turn+i)%len(all)]
+		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
+			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(joinTimeoutPart))
+			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.life.Place.Zone})
+			end()
+			if err != nil {
+				break
+			}
+			if t.Outcome == wire.OutcomeDone {
+				n.control.HintLeader(addr)
+				return vain
+			}
+			addr = controlclient.Addr(t.Leader)
+		}
+		vain++
+	}
+	return vain
+}
+
+// Join has the leader replicate to a process that isn't a voter, or lets one go that is to stop; a
+// site whose core machines are named in the settings takes nobody in.
+//
+// Example: t, err := a.Join(ctx, &wire.JoinRequest{Name: "10.1.0.17:7360/8f3a"})
+func (n *Node) Join(ctx context.Context, a *wire.JoinRequest) (*wire.JoinResponse, error) {
+	p, none := n.shards[0], &wire.JoinResponse{Outcome: wire.OutcomeUnknown}
+	if addr, incarnation, ok := strings.Cut(a.Name, "/"); p == nil || p.group == nil || !ok || addr == "" || incarnation == "" {
+		return none, nil
+	}
+	return query(ctx, p, none, func() *wire.JoinResponse { return p.handleJoin(a) }), nil
+}
+
+func (p *shard) handleJoin(a *wire.JoinRequest) *wire.JoinResponse {
+	s := p.core.Status()
+	if p.failure != nil || !s.IsLeader {
+		return &wire.JoinResponse{Outcome: wire.OutcomeNotLeader, Leader: s.Leader}
+	}
+	ok := false
+	if a.Leaving {
+		ok = p.letGo(a.Name)
+	} else {
+		delete(p.leaving, a.Name)
+		ok = p.core.AddLearner(a.Name)
+	}
+	if !ok {
+		return &wire.JoinResponse{Outcome: wire.OutcomeOverloaded, Leader: s.Leader}
+	}
+	return &wire.JoinResponse{Outcome: wire.OutcomeDone, Leader: s.Leader}
+}
+
+// letGo notes that a process is to stop, and reports whether it may. A learner may at once. From then
+// on it counts as any other that may fall silent: a group that counted on it while a successor is
+// added would need that successor.
+func (p *shard) letGo(name string) bool {
+	for other, at := range p.leaving {
+		if p.ticks-at >= leavingTicks {
+			delete(p.leaving, other)
+		}
+	}
+	p.leaving[name] = p.ticks
+	p.core.RemoveLearner(name)
+	if !p.mayGo(name) {
+		return false
+	}
+	delete(p.leaving, name)
+	return true
+}
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -7,73 +7,165 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// In ticks of a group: how long a member may be silent before a spare takes its place, and for
-// how long after it spoke it counts as alive.
+// In ticks of a group: the silence after which a spare takes a member's place, and the silences up
+// to which a member counts as alive and a spare as ready.
 const (
 	replaceAfterTicks = int(1.0 / 6 / groupTick)
 	aliveTicks        = 4 * heartbeatTicks
 	spareFreshTicks   = 2 * electionTicks
 )
 
-// regroup is the owner's duty: the members that the group is to have next, one more or one
-// less than now; nil: as they are. It never leaves the group without a majority that is alive.
-func nextMembership(self string, now []string, sees []consensus.PeerStatus, want int, district func(addr string) string) []string {
-	by := map[string]consensus.PeerStatus{}
-	var ready []consensus.PeerStatus
-	for _, x := range sees {
-		if by[x.Name] = x; !x.IsVoter && x.CaughtUp && x.SinceHeard < spareFreshTicks {
-			ready = append(ready, x)
-		}
+// membershipView is what the leader's choice of the next membership rests on.
+type membershipView struct {
+	self       string
+	members    []string
+	peers      []consensus.PeerStatus // voters and learners that the leader replicates to
+	targetSize int
+	zoneOf     func(addr string) string
+	isLeaving  func(name string) bool // it is to stop
+}
+
+// next is the membership that the leader is to propose: one member more or one less than now; nil:
+// as it is. What it keeps to, by the table of docs/control.md, section 3:
+//   - A member whose disk is lost is removed at once: it can never vote again, so no quorum is lost
+//     with it.
+//   - A silent member may come back. It is removed only where a learner that holds all that is
+//     committed is ready to take its place, and before that one is added: the group never comes to
+//     need the newcomer, which may be the next to fail.
+//   - A member that leaves in order still votes. Its successor is added first, then it is removed:
+//     the group tolerates as many losses at each step as before.
+//   - No step leaves the group without a quorum that is alive.
+func (v *membershipView) next() []string {
+	if wiped := v.firstMember(v.isWiped); wiped != "" {
+		return v.without(wiped)
 	}
-	alive := func(m string) bool { x, ok := by[m]; return m == self || ok && x.SinceHeard < aliveTicks }
-	holds := func(l []string, more int) bool {
-		n := more
-		for _, m := range l {
-			if alive(m) {
-				n++
-			}
-		}
-		return 2*n > len(l)+more
+	if len(v.members) > v.targetSize {
+		return v.shrink()
 	}
-	without := func(m string) []string {
-		return slices.DeleteFunc(slices.Clone(now), func(o string) bool { return o == m })
+	spare := v.bestSpare()
+	switch {
+	case spare == "":
+		return nil
+	case len(v.members) < v.targetSize:
+		return v.with(spare)
 	}
-	at := func(addr string) bool {
-		return slices.ContainsFunc(now, func(m string) bool { return controlclient.Addr(m) == addr })
+	if silent := v.firstMember(v.isSilent); silent != "" {
+		return v.without(silent)
 	}
-	// A disk is gone once its address has asked to be taken in under another life.
-	for _, m := range now {
-		again := slices.ContainsFunc(sees, func(x consensus.PeerStatus) bool {
-			return !x.IsVoter && controlclient.Addr(x.Name) == controlclient.Addr(m)
-		})
-		if again && m != self && holds(without(m), 0) {
-			return without(m)
-		}
+	if slices.ContainsFunc(v.members, v.isLeaving) && v.allAlive() {
+		return v.with(spare)
 	}
-	ready = slices.DeleteFunc(ready, func(x consensus.PeerStatus) bool { return at(controlclient.Addr(x.Name)) })
-	if len(ready) == 0 {
-		return nil
+	return nil
+}
+
+// shrink takes out the member that the group has too many: one that leaves, or else a silent one.
+// While all are there and stay, a member more does no harm.
+func (v *membershipView) shrink() []string {
+	if leaving := v.firstMember(v.isLeaving); leaving != "" {
+		return v.without(leaving)
+	}
+	if silent := v.firstMember(v.isSilent); silent != "" {
+		return v.without(silent)
 	}
-	if len(now) < want {
-		near := func(x consensus.PeerStatus) bool { // another member stands in its district
-			d := district(controlclient.Addr(x.Name))
-			return slices.ContainsFunc(now, func(m string) bool { return d != "" && district(controlclient.Addr(m)) == d })
+	return nil
+}
+
+// firstMember is the first member beside the leader that passes, and without which the group has a
+// quorum alive; "" if none.
+func (v *membershipView) firstMember(pass func(name string) bool) string {
+	for _, m := range v.members {
+		if m != v.self && pass(m) && v.hasQuorum(v.without(m), 0) {
+			return m
 		}
-		best := ready[0]
-		for _, x := range ready[1:] {
-			if near(best) && !near(x) {
-				best = x
-			}
+	}
+	return ""
+}
+
+func (v *membershipView) status(name string) consensus.PeerStatus {
+	for _, p := range v.peers {
+		if p.Name == name {
+			return p
 		}
-		if holds(now, 1) {
-			return append(slices.Clone(now), best.Name)
+	}
+	return consensus.PeerStatus{Name: name, SinceHeard: replaceAfterTicks}
+}
+
+func (v *membershipView) isAlive(name string) bool {
+	return name == v.self || v.status(name).SinceHeard < aliveTicks
+}
+
+func (v *membershipView) isSilent(name string) bool {
+	return v.status(name).SinceHeard >= replaceAfterTicks
+}
+
+func (v *membershipView) allAlive() bool {
+	return !slices.ContainsFunc(v.members, func(m string) bool { return !v.isAlive(m) })
+}
+
+// isWiped reports whether the member's disk is lost: a learner at its address, under another
+// incarnation, has spoken since the member did. To have asked isn't enough: an ask may be late.
+func (v *membershipView) isWiped(name string) bool {
+	since := v.status(name).SinceHeard
+	return slices.ContainsFunc(v.peers, func(p consensus.PeerStatus) bool {
+		return !p.IsVoter && sameAddress(p.Name, name) && p.Answered && p.SinceHeard < since
+	})
+}
+
+func sameAddress(a, b string) bool { return controlclient.Addr(a) == controlclient.Addr(b) }
+
+// hasQuorum reports whether those alive among the members, and so many more, are a quorum of both.
+func (v *membershipView) hasQuorum(members []string, more int) bool {
+	alive := more
+	for _, m := range members {
+		if v.isAlive(m) {
+			alive++
 		}
+	}
+	return 2*alive > len(members)+more
+}
+
+func (v *membershipView) without(name string) []string {
+	return slices.DeleteFunc(slices.Clone(v.members), func(m string) bool { return m == name })
+}
+
+// with is the membership with a spare added; nil where its quorum wouldn't be alive.
+func (v *membershipView) with(spare string) []string {
+	if !v.hasQuorum(v.members, 1) {
 		return nil
 	}
-	for _, m := range now {
-		if m != self && by[m].SinceHeard >= replaceAfterTicks && holds(without(m), 0) {
-			return without(m)
+	return append(slices.Clone(v.members), spare)
+}
+
+// bestSpare is a learner that may become a member now, in a zone without a member if there is one;
+// "" if none.
+func (v *membershipView) bestSpare() string {
+	best := ""
+	for _, p := range v.peers {
+		if v.isReady(p) && (best == "" || v.sharesZone(best) && !v.sharesZone(p.Name)) {
+			best = p.Name
 		}
 	}
-	return nil
+	return best
+}
+
+// isReady reports whether a learner is there, holds what is committed, and is alone at its address:
+// neither a member nor a later incarnation stands there.
+func (v *membershipView) isReady(p consensus.PeerStatus) bool {
+	if p.IsVoter || !p.CaughtUp || p.SinceHeard >= spareFreshTicks {
+		return false
+	}
+	if slices.ContainsFunc(v.members, func(m string) bool { return sameAddress(m, p.Name) }) {
+		return false
+	}
+	return !slices.ContainsFunc(v.peers, func(o consensus.PeerStatus) bool {
+		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Answered && o.SinceHeard < p.SinceHeard
+	})
+}
+
+// sharesZone reports whether a member that stays is in a learner's zone.
+func (v *membershipView) sharesZone(name string) bool {
+	zone := v.zoneOf(controlclient.Addr(name))
+	return slices.ContainsFunc(v.members, func(m string) bool {
+		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.Addr(m)) == zone
+	})
 }
--- /dev/null
+++ b/internal/control/controlstate/second_loss_test.go
@@ -0,0 +1,251 @@
+package controlstate
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// run plays it and returns whether the second loss was within what the site tolerates, and how long it
+// took until a change was acknowledged again.
+func (r *lossRun) run() (within bool, took time.Duration) {
+	_, ok := r.until(12*time.Second, func() bool { return r.whole() && r.counts["acked"] > 2 })
+	if !ok {
+		r.fault("the group isn't whole at the start")
+		return false, 0
+	}
+	r.until(time.Second, func() bool { return false })
+	n := r.owner()
+	if r.x.firstAt == hitFollower {
+		n = r.follower()
+	}
+	if n == nil {
+		r.fault("nobody to strike")
+		return false, 0
+	}
+	origin := r.originOf(n)
+	r.margin = r.toleratedNow()
+	for struck := 0; struck < r.x.tolerate && n != nil; struck++ {
+		r.strike(r.x.first, n)
+		r.margin--
+		n = r.follower()
+	}
+	r.checkMargins = true
+	r.until(r.x.after, func() bool { return false })
+	r.checkMargins = false
+	if len(r.bad) > 0 {
+		return false, 0
+	}
+	hit := r.victim(origin)
+	if hit == nil {
+		r.counts["nobody to strike"]++ // no leader just then, or the successor is down
+		hit = r.follower()
+	}
+	if hit == nil {
+		return false, 0
+	}
+	r.strike(r.x.second, hit)
+	within = r.lostNow() <= r.x.tolerate
+	return within, r.recover(within)
+}
+
+func (r *lossRun) victim(origin string) *gsimNode {
+	switch r.x.target {
+	case hitLeader:
+		return r.owner()
+	case hitFollower:
+		return r.follower()
+	}
+	for _, n := range r.nodes {
+		if r.originOf(n) == origin && !n.lost && n.p != nil {
+			return n
+		}
+	}
+	return nil
+}
+
+// recover waits for a quorum where there has to be one: at once within what is tolerated, and after
+// all have returned where no more disks are lost than that.
+func (r *lossRun) recover(within bool) time.Duration {
+	begin := r.now
+	if within {
+		took, ok := r.until(quorumWithin, r.acknowledgedSince(begin))
+		if !ok {
+			r.stands()
+			r.fault("quorum-back: no change is acknowledged within %v of a loss that is tolerated", quorumWithin)
+		}
+		return took
+	}
+	r.until(max(0, r.lastReturn-r.now), func() bool { return false })
+	r.until(max(0, r.lastReturn-r.now), func() bool { return false }) // a leave may have taken longer
+	took, ok := r.until(2*quorumWithin, r.acknowledgedSince(r.now))
+	if !ok && r.destroyed <= r.x.tolerate {
+		r.stands()
+		r.fault("quorum-back-after-return: no change is acknowledged within %v of the last return, %d disks lost", 2*quorumWithin, r.destroyed)
+	}
+	if !ok {
+		r.counts["no quorum for good"]++
+	}
+	return took
+}
+
+// finish checks what was acknowledged against what is read at the end, and the history as a whole.
+func (r *lossRun) finish() {
+	if len(r.bad) > 0 {
+		return
+	}
+	r.until(time.Second, func() bool { return false }) // the reads check themselves
+	r.final()
+}
+
+// secondLosses lists the runs of a site: every pair of losses, every target, and the second loss at
+// every tick of the repair. `SECOND_LOSS=full` plays all of them, else one in so many is played.
+func secondLosses(machines, tolerate int) (l []secondLoss) {
+	every := 97
+	if os.Getenv("SECOND_LOSS") == "full" {
+		every = 1
+	}
+	n := 0
+	for _, first := range losses {
+		for _, second := range losses {
+			for _, target := range targets {
+				for _, firstAt := range []string{hitLeader, hitFollower} {
+					for after := time.Duration(0); after <= awayTime+catchUp+time.Second; after += time.Second / 10 {
+						if n++; n%every == 0 {
+							l = append(l, secondLoss{machines: machines, tolerate: tolerate, first: first, second: second, firstAt: firstAt,
+								target: target, after: after, seed: uint64(n)})
+						}
+					}
+				}
+			}
+		}
+	}
+	return l
+}
+
+// Each kind of loss strikes a whole group, and a second loss strikes at every step of the repair: no
+// acknowledged change is lost (the reads and the history say so), a change is acknowledged again
+// within quorumWithin where the losses are within what the site tolerates, and once all have returned
+// where no more disks are lost than that; and no step of the repair leaves less tolerance than there
+// was before it began. `SECOND_LOSS=full` strikes at each tick.
+func TestSecondLossAtEveryStep(t *testing.T) {
+	from, _ := simSeeds(t, 1)
+	for _, site := range []struct{ machines, tolerate int }{{3, 1}, {4, 1}, {5, 2}, {7, 2}} {
+		t.Run(fmt.Sprintf("%d machines", site.machines), func(t *testing.T) {
+			t.Parallel()
+			sum := map[string]int{}
+			runs, tolerated, longest := 0, 0, time.Duration(0)
+			for _, x := range secondLosses(site.machines, site.tolerate) {
+				x.seed += from
+				r := newLossRun(x)
+				within, took := r.run()
+				r.finish()
+				if len(r.bad) > 0 {
+					t.Fatalf("%v: %s\n%s", x, r.bad[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
+				}
+				if runs++; within {
+					tolerated++
+					longest = max(longest, took)
+				}
+				for k, v := range r.counts {
+					sum[k] += v
+				}
+			}
+			t.Logf("%d runs, %d of them within what is tolerated: a change is acknowledged after %v at the longest; %v", runs, tolerated, longest, sum)
+		})
+	}
+}
+
+// Planned replacement, SIGTERM, wipe and loss of power of all, one right after another and the leader
+// always the one that is hit: each strikes as soon as the one before has ended, or so much later. All
+// that was acknowledged is there, and a change is acknowledged again after the last return.
+func TestTheLeaderIsHitAgainAndAgain(t *testing.T) {
+	from, n := simSeeds(t, 4)
+	worst := time.Duration(0)
+	for _, site := range []struct{ machines, tolerate int }{{4, 1}, {7, 2}} {
+		for _, gap := range []time.Duration{0, 300 * time.Millisecond, time.Second, 2 * time.Second, catchUp} {
+			for seed := from; seed < from+n; seed++ {
+				r := newLossRun(secondLoss{machines: site.machines, tolerate: site.tolerate, seed: seed})
+				took := r.hitAgainAndAgain(gap)
+				worst = max(worst, took)
+				if r.finish(); len(r.bad) > 0 {
+					t.Fatalf("%d machines, gap %v, seed %d: %s\n%s", site.machines, gap, seed, r.bad[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
+				}
+			}
+		}
+	}
+	t.Logf("a change is acknowledged after %v at the longest from the last return", worst)
+}
+
+func (r *lossRun) hitAgainAndAgain(gap time.Duration) time.Duration {
+	r.until(12*time.Second, func() bool { return r.whole() && r.counts["acked"] > 2 })
+	r.until(time.Second, func() bool { return false })
+	for _, kind := range []string{lossPlanned, lossLeave, lossWipe} {
+		r.until(6*time.Second, func() bool { return r.owner() != nil })
+		hit := r.owner()
+		if hit == nil {
+			r.stands()
+			r.fault("quorum-back: no leader within 6 s before the %s", kind)
+			return 0
+		}
+		r.strike(kind, hit)
+		r.until(graceTime, func() bool { return hit.p == nil })
+		r.until(gap, func() bool { return false })
+	}
+	r.note("all lose power")
+	for _, n := range r.nodes {
+		r.kill(n, true, awayTime)
+	}
+	r.until(awayTime, func() bool { return false })
+	took, ok := r.until(2*quorumWithin, r.acknowledgedSince(r.now))
+	if !ok {
+		r.stands()
+		r.fault("quorum-back-after-return: no change is acknowledged within %v after all are back", 2*quorumWithin)
+	}
+	return took
+}
+
+// scale is how many times smaller the simulator's batches are than those of StartGroup; states and
+// links are scaled down as much, so that the times are the real ones.
+const scale = (256 << 10) / 4096
+
+// From the return of a machine without its disk, or the start of a replacement, the group is whole
+// again before that machine stops counting as lost, with states of some megabytes on a link of
+// 100 Mbit a second.
+func TestTheRepairEndsBeforeTheLossDoes(t *testing.T) {
+	for _, size := range []int{0, 1 << 20, 4 << 20} {
+		for _, kind := range []string{lossWipe, lossReplace} {
+			for _, machines := range []int{3, 4} {
+				worst := time.Duration(0)
+				for seed := range uint64(6) {
+					r := newLossRun(secondLoss{machines: machines, tolerate: 1, seed: seed})
+					r.bytesPerSecond = 100e6 / 8 / scale
+					took := r.repairTime(kind, size/scale)
+					if len(r.bad) > 0 {
+						t.Fatalf("%s, %d machines, %d bytes, seed %d: %s\n%s", kind, machines, size, seed, r.bad[0], strings.Join(r.trace[max(0, len(r.trace)-40):], "\n"))
+					}
+					worst = max(worst, took)
+				}
+				t.Logf("%-9s %d machines, state of %d KB: whole again after %v at the longest", kind, machines, size>>10, worst)
+			}
+		}
+	}
+}
+
+// repairTime is how long the group takes to be whole, from the return or the replacement's start.
+func (r *lossRun) repairTime(kind string, size int) time.Duration {
+	r.until(12*time.Second, func() bool { return r.whole() })
+	r.large(size)
+	r.until(4*time.Second, func() bool { return r.whole() })
+	r.until(time.Second, func() bool { return false })
+	r.strike(kind, r.owner())
+	r.until(max(0, r.lastReturn-r.now), func() bool { return false })
+	took, ok := r.until(wholeWithin, func() bool { return r.whole() && r.memberCount() == 3 })
+	if !ok {
+		r.stands()
+		r.fault("whole-within: the group isn't whole within %v of the return", wholeWithin)
+	}
+	return took
+}
