--- /dev/null
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -0,0 +1,314 @@
+package controlstate
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"pebbleloom/internal/control/consensus"
+)
+
+// repair is a group with a member to be replaced: A leads, X (and Y) are the first loss, N (and M) are
+// the newcomers, the other letters are followers.
+type repair struct {
+	members  string // one letter each
+	lost     string // X, or XY
+	first    string // how: firstWiped, firstSilent or firstLeaving
+	newcomer string // N, NM, or none
+}
+
+const (
+	firstWiped   = "disk lost"
+	firstSilent  = "silent, disk kept"
+	firstLeaving = "leaves in order"
+)
+
+// The orders that were weighed.
+const (
+	orderRemoveFirst = "remove, then add"
+	orderAddFirst    = "add, then remove"
+	orderJoint       = "joint change"
+	orderRemoveOnly  = "remove, nobody to add"
+	orderNone        = "no change"
+)
+
+// repairStep is one state of a repair: the memberships that may be the newest in the log of whoever
+// leads next, and, in a joint change, those whose majorities are needed together.
+type repairStep struct{ inForce [][]string }
+
+// steps are the states of a repair, before, in flight and committed, change by change.
+func (r repair) steps(order string) (l []repairStep) {
+	now := r.members
+	l = append(l, repairStep{[][]string{{now}}})
+	change := func(to string) {
+		l = append(l, repairStep{[][]string{{now}, {to}}}, repairStep{[][]string{{to}}})
+		now = to
+	}
+	for i, x := range strings.Split(r.lost, "") {
+		newcomer := ""
+		if i < len(r.newcomer) {
+			newcomer = r.newcomer[i : i+1]
+		}
+		switch order {
+		case orderRemoveFirst:
+			change(strings.Replace(now, x, "", 1))
+			change(now + newcomer)
+		case orderAddFirst:
+			change(now + newcomer)
+			change(strings.Replace(now, x, "", 1))
+		case orderRemoveOnly:
+			change(strings.Replace(now, x, "", 1))
+		case orderJoint:
+			to := strings.Replace(now, x, "", 1) + newcomer
+			l = append(l, repairStep{[][]string{{now}, {now, to}}}, repairStep{[][]string{{now, to}}},
+				repairStep{[][]string{{now, to}, {to}}}, repairStep{[][]string{{to}}})
+			now = to
+		}
+	}
+	return l
+}
+
+// hasQuorum reports whether the group can go on without those that are lost, whichever of the
+// memberships that are in flight the next leader's log holds.
+func (s repairStep) hasQuorum(lost string) bool {
+	for _, together := range s.inForce {
+		for _, members := range together {
+			alive := 0
+			for _, m := range members {
+				if !strings.ContainsRune(lost, m) {
+					alive++
+				}
+			}
+			if 2*alive <= len(members) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// tolerated is how many machines more may be lost, whichever they are.
+func (s repairStep) tolerated(lost string) int {
+	all := map[rune]bool{}
+	for _, together := range s.inForce {
+		for _, members := range together {
+			for _, m := range members {
+				all[m] = !strings.ContainsRune(lost, m)
+			}
+		}
+	}
+	var alive []rune
+	for m, is := range all {
+		if is {
+			alive = append(alive, m)
+		}
+	}
+	if !s.hasQuorum(lost) {
+		return -1
+	}
+	for k := 1; ; k++ {
+		if !everySubset(alive, k, lost, s.hasQuorum) {
+			return k - 1
+		}
+	}
+}
+
+// everySubset reports whether a test holds with any k of the alive added to the lost.
+func everySubset(alive []rune, k int, lost string, holds func(lost string) bool) bool {
+	if k == 0 {
+		return holds(lost)
+	}
+	if len(alive) < k {
+		return true // there is no such subset
+	}
+	return everySubset(alive[1:], k-1, lost+string(alive[0]), holds) && everySubset(alive[1:], k, lost, holds)
+}
+
+// repairRow is how a repair stands at each of its steps, as the page has it.
+type repairRow struct {
+	tolerated []int
+	without   map[string][]int // by second loss: the steps without a quorum
+}
+
+var secondLossColumns = []string{"the leader", "a follower", "the newcomer", "the leader, the first one back"}
+
+func (r repair) row(order string) repairRow {
+	row := repairRow{without: map[string][]int{}}
+	steps := r.steps(order)
+	if r.first == firstLeaving { // it is there until the change is done, then it stops
+		steps = append(steps, steps[len(steps)-1])
+	}
+	for i, s := range steps {
+		lost := r.lost
+		if r.first == firstLeaving && i < len(steps)-1 {
+			lost = ""
+		}
+		row.tolerated = append(row.tolerated, s.tolerated(lost))
+		for column, hit := range map[string]string{secondLossColumns[0]: lost + "A", secondLossColumns[1]: lost + "B", secondLossColumns[2]: lost + "N", secondLossColumns[3]: "A"} {
+			if !s.hasQuorum(hit) {
+				row.without[column] = append(row.without[column], i)
+			}
+		}
+	}
+	return row
+}
+
+type weighed struct {
+	repair
+	orders []string
+	chosen string
+}
+
+var allWeighed = []weighed{
+	{repair{"ABX", "X", firstWiped, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repair{"ABX", "X", firstSilent, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repair{"ABX", "X", firstLeaving, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderAddFirst},
+	{repair{"ABX", "X", firstSilent, ""}, []string{orderRemoveOnly, orderNone}, orderNone},
+	{repair{"ABCDX", "X", firstWiped, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repair{"ABCDX", "X", firstSilent, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repair{"ABCDX", "X", firstLeaving, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderAddFirst},
+	{repair{"ABCXY", "XY", firstWiped, "NM"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repair{"ABCXY", "XY", firstWiped, ""}, []string{orderRemoveOnly, orderNone}, orderRemoveOnly},
+	{repair{"ABCXY", "XY", firstSilent, "NM"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repair{"ABCXY", "XY", firstSilent, ""}, []string{orderRemoveOnly, orderNone}, orderNone},
+}
+
+// secondLossTable is the table of the page.
+func secondLossTable() string {
+	var b strings.Builder
+	b.WriteString("| members | first loss | newcomers | order | losses tolerated, step by step | no quorum if then lost: " + strings.Join(secondLossColumns, " | ") + " |\n")
+	b.WriteString("|---|---|---|---|---|---|---|---|---|\n")
+	for _, w := range allWeighed {
+		for _, order := range w.orders {
+			row := w.row(order)
+			name := order
+			if order == w.chosen {
+				name = "**" + order + "**"
+			}
+			var cells []string
+			for _, c := range secondLossColumns {
+				cells = append(cells, cell(row.without[c]))
+			}
+			if w.first != firstSilent {
+				cells[3] = "" // it doesn't come back
+			}
+			if w.newcomer == "" {
+				cells[2] = ""
+			}
+			fmt.Fprintf(&b, "| %d | %s: %s | %d | %s | %s | %s |\n", len(w.members), w.lost, w.first, len(w.newcomer), name,
+				strings.Trim(fmt.Sprint(row.tolerated), "[]"), strings.Join(cells, " | "))
+		}
+	}
+	return b.String()
+}
+
+func cell(steps []int) string {
+	if len(steps) == 0 {
+		return "never"
+	}
+	if steps[len(steps)-1]-steps[0] == len(steps)-1 && len(steps) > 1 {
+		return fmt.Sprintf("steps %d to %d", steps[0], steps[len(steps)-1])
+	}
+	return "step " + strings.ReplaceAll(strings.Trim(fmt.Sprint(steps), "[]"), " ", ", ")
+}
+
+// The page holds the table as it is computed here; and what was chosen by it holds: no step tolerates
+// less than there was tolerated before the repair, and for a member that is gone no step needs the
+// newcomer, which add-first does.
+func TestTheTableOfStepsAndSecondLosses(t *testing.T) {
+	table := secondLossTable()
+	page, err := os.ReadFile("../../../docs/control.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(string(page), table) {
+		t.Errorf("docs/control.md lacks this table:\n%s", table)
+	}
+	for _, w := range allWeighed {
+		row := w.row(w.chosen)
+		if w.chosen != orderNone && slices.Min(row.tolerated) < row.tolerated[0] {
+			t.Errorf("%+v, %s: %v are tolerated step by step", w.repair, w.chosen, row.tolerated)
+		}
+		if w.first != firstLeaving && len(row.without[secondLossColumns[2]]) > 0 {
+			t.Errorf("%+v, %s: the newcomer is needed at %v", w.repair, w.chosen, row.without[secondLossColumns[2]])
+		}
+	}
+	if len(allWeighed[0].row(orderAddFirst).without[secondLossColumns[2]]) == 0 {
+		t.Error("add-first doesn't need the newcomer: the table can't tell the orders apart")
+	}
+}
+
+// The policy takes the steps that were chosen, from any of them on, whatever was done before.
+func TestThePolicyTakesTheChosenSteps(t *testing.T) {
+	for _, w := range allWeighed {
+		members := strings.Split(w.members, "")
+		var got []string
+		for range 2 * len(w.lost) {
+			v := membershipView{self: "A/0", members: named(members), peers: w.peers(members), targetSize: len(w.members),
+				zoneOf: func(string) string { return "" }, isLeaving: func(m string) bool { return w.first == firstLeaving && m == "X/0" }}
+			next := v.next()
+			if next == nil {
+				break
+			}
+			members = members[:0:0]
+			for _, m := range next {
+				members = append(members, m[:1])
+			}
+			got = append(got, strings.Join(members, ""))
+		}
+		var want []string
+		for i, s := range w.steps(w.chosen) {
+			if i > 0 && i%2 == 0 {
+				want = append(want, s.inForce[0][0])
+			}
+		}
+		if w.first == firstWiped && len(w.lost) == 2 && w.newcomer != "" {
+			want = []string{"ABCY", "ABC", "ABCN", "ABCNM"} // both at once: neither can ever vote
+		}
+		if fmt.Sprint(sorted(got)) != fmt.Sprint(sorted(want)) {
+			t.Errorf("%+v: the policy's steps are %v, chosen are %v", w.repair, got, want)
+		}
+	}
+}
+
+func sorted(l []string) (out []string) {
+	for _, s := range l {
+		x := strings.Split(s, "")
+		slices.Sort(x)
+		out = append(out, strings.Join(x, ""))
+	}
+	return out
+}
+
+func named(members []string) (l []string) {
+	for _, m := range members {
+		l = append(l, m+"/0")
+	}
+	return l
+}
+
+// peers is how the leader sees the group: a wiped member's successor is at its address.
+func (w weighed) peers(members []string) (l []consensus.PeerStatus) {
+	for _, m := range members {
+		p := consensus.PeerStatus{Name: m + "/0", IsVoter: true, SinceHeard: 1, Answered: true, CaughtUp: true}
+		if strings.Contains(w.lost, m) && w.first != firstLeaving {
+			p.SinceHeard = replaceAfterTicks
+		}
+		if m != "A" {
+			l = append(l, p)
+		}
+	}
+	for _, m := range w.newcomer {
+		if !slices.Contains(members, string(m)) {
+			l = append(l, consensus.PeerStatus{Name: string(m) + "/0", SinceHeard: 2, Answered: true, CaughtUp: true})
+		}
+	}
+	if w.first == firstWiped {
+		for _, m := range w.lost {
+			l = append(l, consensus.PeerStatus{Name: string(m) + "/7", SinceHeard: 2, Answered: true})
+		}
+	}
+	return l
+}
