--- a/internal/control/mutation/mutation_test.go
+++ b/internal/control/mutation/mutation_test.go
@@ -40,6 +40,17 @@
 // searched is what a search prints of the rule that was broken and of how long it took to find that.
 var searched = regexp.MustCompile(`.*\n\s*found in .*`)
 
+// seedFound is the first seed of a simulator that failed, where one did, and what it saw.
+var seedFound = regexp.MustCompile(`seed \d+: .{0,160}`)
+
+// howFound is what the failing test says of its search: states or seeds.
+func howFound(out []byte) []byte {
+	if how := searched.Find(out); how != nil {
+		return how
+	}
+	return seedFound.Find(out)
+}
+
 // overlay writes the mutated file and the file that go test's -overlay reads.
 func overlay(t *testing.T, m mutant) string {
 	t.Helper()
@@ -85,7 +96,7 @@
 			if err == nil || !testFailed.Match(out) {
 				t.Fatalf("point %d: not found by %s of %s: %v\n%s", m.point, m.run, m.pkg, err, out)
 			}
-			t.Logf("point %d: found by %s after %v %s", m.point, m.run, time.Since(begun).Round(time.Millisecond), searched.Find(out))
+			t.Logf("point %d: found by %s after %v %s", m.point, m.run, time.Since(begun).Round(time.Millisecond), howFound(out))
 		})
 	}
 }
