--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -18,6 +18,15 @@
 	Gone
 )
 
+// The roles of nodes, as they stand in the cluster membership. A node's name is its role, a slash and the
+// name of its machine. Mixed releases share them, so they keep their first names.
+const (
+	RoleControlNode         = "archive"
+	RolePromptIndex         = "catalogue"
+	RolePlacementController = "appraiser"
+	RoleNodeAgent           = "runner"
+)
+
 const maxNodes = 4096
 
 // joiningBeats is how many heartbeats a node asks for full views: others may not have noticed that it
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -69,7 +69,7 @@
 		beat := siteBounds(p).Leave(heartbeatRatio)
 		for i := range n {
 			p.Name, p.Listen = strconv.Itoa(i), strconv.Itoa(i)
-			m := Start(ctx, p, "runner", clock.Ticking(), hclog.NewNullLogger(), d.call, nil)
+			m := Start(ctx, p, RoleNodeAgent, clock.Ticking(), hclog.NewNullLogger(), d.call, nil)
 			l = append(l, m)
 			d.put(p.Listen, m)
 			pass := time.NewTimer(beat / 4 / n)
@@ -78,7 +78,7 @@
 		pass := time.NewTimer(beat * 3 / 4)
 		<-pass.C
 		for i, m := range l {
-			if k := len(m.View().Role("runner")); k != n {
+			if k := len(m.View().Role(RoleNodeAgent)); k != n {
 				t.Errorf("%d knows %d nodes after a beat", i, k)
 			}
 		}
--- a/internal/control/controllers/lease.go
+++ b/internal/control/controllers/lease.go
@@ -65,8 +65,8 @@
 	defer n.mu.Unlock()
 	pace := n.ofTTL(renewRatio)
 	if m, _, ok := strings.Cut(n.holder, "/"); !held && n.holder != n.lease.Holder && ok && m != n.machine {
-		for _, x := range v.Role("catalogue") {
-			if x.State == clustermembership.Alive && x.Name == "catalogue/"+m {
+		for _, x := range v.Role(clustermembership.RolePromptIndex) {
+			if x.State == clustermembership.Alive && x.Name == clustermembership.RolePromptIndex+"/"+m {
 				pace = n.ofTTL(standbyPollRatio)
 			}
 		}
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -28,7 +28,7 @@
 		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
 	}
 	process.Place.Listen = process.Place.Site.Port(process.Place.Site.IP, settings.PortIndex)
-	a, err := agent.Start(process, codec, "catalogue")
+	a, err := agent.Start(process, codec, clustermembership.RolePromptIndex)
 	if err != nil {
 		return errs.Wrap(err, "agent")
 	}
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -43,7 +43,7 @@
 		}
 		var v clustermembership.View
 		for _, n := range []string{"a", "b", "c"} {
-			v.Nodes = append(v.Nodes, &wire.Node{Name: "catalogue/" + n, Role: "catalogue", Addr: n, District: n})
+			v.Nodes = append(v.Nodes, &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex, Addr: n, District: n})
 		}
 		ask := func(v clustermembership.View) map[string]float64 {
 			m := map[string]float64{}
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -29,7 +29,7 @@
 	callTimeoutRatio = 1.0 / 6  // of the leave bound: timeout of one order or report
 )
 
-// session runs the controllers under one fence. The actor's goroutine owns the fields below it.
+// session runs the controllers under one fence. The actor alone uses the fields below it.
 type session struct {
 	process    *daemon.Process
 	calls      backend.Calls
@@ -265,7 +265,7 @@
 	}
 }
 
-// setAside publishes in a service's placement which workers are out of service, and tells the rollout
+// setAside publishes in a service's placement which workers are out of service, and informs the rollout
 // once that is written.
 func (s *session) setAside(service string, rolling []string, ws []fleet.Worker, now time.Duration) {
 	p := s.placements[service]
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -152,7 +152,7 @@
 	defer s.mu.Unlock()
 	var v clustermembership.View
 	for _, n := range queue.Keys(s.processes) {
-		x := &wire.Node{Name: "catalogue/" + n, Role: "catalogue"}
+		x := &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex}
 		if at, ok := s.dead[n]; ok && s.clock.Now()-at > 4*time.Second {
 			x.State = clustermembership.Gone
 		}
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -218,7 +218,7 @@
 // Example: GET /v1/nodes
 func (s *Server) ListNodes(ctx context.Context) (*operator.NodeList, error) {
 	var b *wire.Beat
-	who, err := s.firstResponding("archive", func(addr string) (err error) {
+	who, err := s.firstResponding(clustermembership.RoleControlNode, func(addr string) (err error) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		defer end()
 		b, err = s.clients.Membership(addr).Hear(one, &wire.Beat{Epoch: 1, Whole: true})
@@ -239,7 +239,7 @@
 
 func (s *Server) readUpdates(ctx context.Context) (string, *updatestream.Snapshot, error) {
 	var t *wire.FeedTell
-	who, err := s.firstResponding("runner", func(addr string) (err error) {
+	who, err := s.firstResponding(clustermembership.RoleNodeAgent, func(addr string) (err error) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		defer end()
 		t, err = s.clients.NodeAgent(addr).Feed(one, &wire.FeedAsk{})
@@ -310,7 +310,7 @@
 
 // addExplanations adds what each edge machine knows of a request, and counts the silent ones.
 func (s *Server) addExplanations(ctx context.Context, request string, l *operator.Explained) (silent int) {
-	for _, n := range s.view().Role("runner") {
+	for _, n := range s.view().Role(clustermembership.RoleNodeAgent) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/24))
 		t, err := s.clients.NodeAgent(n.Addr).Explain(one, &wire.ExplainAsk{Request: request})
 		end()
--- a/internal/control/operatorapi/sitestatus.go
+++ b/internal/control/operatorapi/sitestatus.go
@@ -36,7 +36,7 @@
 	for _, n := range view.Nodes {
 		if n.State == clustermembership.Gone {
 			book := "edge-gone"
-			if n.Role != "runner" {
+			if n.Role != clustermembership.RoleNodeAgent {
 				book = "core-gone"
 			}
 			f.add("node-gone", n.Name, "no heartbeat reaches its observers", "start it again, or take its machine out for good", book)
@@ -57,7 +57,7 @@
 	defer end()
 	var l []controlNode
 	var all sync.WaitGroup
-	for _, n := range view.Role("archive") {
+	for _, n := range view.Role(clustermembership.RoleControlNode) {
 		l = append(l, controlNode{node: n})
 	}
 	for i := range l {
@@ -89,7 +89,7 @@
 func (s *siteServer) readGroup(ctx context.Context, view clustermembership.View) *groupView {
 	g := &groupView{nodes: s.queryControlNodes(ctx, view), incarnations: map[string]string{}, nodeNames: map[string]string{}}
 	for _, n := range view.Nodes {
-		if n.Role == "archive" && (g.nodeNames[n.Addr] == "" || n.State != clustermembership.Gone) { // the address may have been reused
+		if n.Role == clustermembership.RoleControlNode && (g.nodeNames[n.Addr] == "" || n.State != clustermembership.Gone) { // the address may have been reused
 			g.nodeNames[n.Addr] = n.Name
 		}
 	}
@@ -181,7 +181,7 @@
 	for _, n := range promptindex.Serving(view.Nodes) {
 		serving = append(serving, n.Name)
 	}
-	fact("index nodes", "%d, serving: %s", len(view.Role("catalogue")), strings.Join(serving, " "))
+	fact("index nodes", "%d, serving: %s", len(view.Role(clustermembership.RolePromptIndex)), strings.Join(serving, " "))
 	if len(serving) == 0 {
 		f.add("index-none", "site", "no index node is reachable: requests are routed without it", "start the index on the core machines", "core-gone")
 	}
@@ -213,8 +213,8 @@
 	for _, l := range w.leases {
 		m, _, _ := strings.Cut(l.Holder, "/")
 		fact("duties of the "+l.Name, "%s, fence %d", l.Holder, l.Fence)
-		for _, n := range view.Role("catalogue") {
-			held = held || m != "" && n.Name == "catalogue/"+m && n.State == clustermembership.Alive
+		for _, n := range view.Role(clustermembership.RolePromptIndex) {
+			held = held || m != "" && n.Name == clustermembership.RolePromptIndex+"/"+m && n.State == clustermembership.Alive
 		}
 	}
 	if !held {
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -6,6 +6,7 @@
 
 	"pebbleloom/api/operator"
 	"pebbleloom/internal/control/calendar"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
@@ -31,7 +32,7 @@
 	} else {
 		for _, n := range l.Nodes {
 			if n.State == "gone" {
-				book := map[string]string{"archive": "core-gone", "appraiser": "core-gone"}[n.Role]
+				book := map[string]string{clustermembership.RoleControlNode: "core-gone", clustermembership.RolePlacementController: "core-gone"}[n.Role]
 				if book == "" {
 					book = "edge-gone"
 				}
@@ -62,7 +63,7 @@
 // checkShards asks every control node for its status.
 func (s *Server) checkShards(ctx context.Context, report *operator.Status, f *problems) {
 	hasLeader := map[uint32]bool{}
-	for _, n := range s.view().Role("archive") {
+	for _, n := range s.view().Role(clustermembership.RoleControlNode) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		t, err := s.clients.ControlNode(n.Addr).Stand(one, &wire.StatusRequest{})
 		end()
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"pebbleloom/internal/control/calendar"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
@@ -48,7 +49,7 @@
 func (c *Controller) usage() usage {
 	all := usage{ok: map[string]float64{}, failed: map[string]float64{}}
 	sum := map[string]*wire.LinkSeen{}
-	queryAll(c, "runner", func(ctx context.Context, addr string) (*wire.FeedTell, error) {
+	queryAll(c, clustermembership.RoleNodeAgent, func(ctx context.Context, addr string) (*wire.FeedTell, error) {
 		return c.clients.NodeAgent(addr).Feed(ctx, &wire.FeedAsk{})
 	}, func(t *wire.FeedTell) {
 		for _, l := range t.Links {
@@ -72,7 +73,7 @@
 // that jumps moves nothing.
 func (c *Controller) wallClock() time.Time {
 	var l []int64
-	queryAll(c, "archive", func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
+	queryAll(c, clustermembership.RoleControlNode, func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
 		return c.clients.ControlNode(addr).Time(ctx, &wire.TimeRequest{})
 	}, func(t *wire.TimeResponse) { l = append(l, t.WallNs) })
 	return median(l, len(c.process.Place.Core))
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -63,7 +63,7 @@
 	c := &Controller{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial), services: map[string]*serviceController{}}
 	process.OnStop(c.backends.Close)
 	c.holder = fmt.Sprintf("%s/%x", process.Place.Name, c.clock.Now())
-	c.members = clustermembership.Start(process.Ctx, process.Place, "appraiser", c.clock, process.Log, c.clients.Membership, nil)
+	c.members = clustermembership.Start(process.Ctx, process.Place, clustermembership.RolePlacementController, c.clock, process.Log, c.clients.Membership, nil)
 	view := func() clustermembership.View { return c.members.View() }
 	c.control = controlclient.New(process.Place.Core, view, c.clients, process.Place.Bounds)
 	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, process.Place.Bounds.Heal(1.0/12), nil, updatestream.Seeds(c.members.SetSeeds))
@@ -83,7 +83,7 @@
 
 // nodeAgent returns any live node agent: workers are observed through it.
 func (c *Controller) nodeAgent() wire.Runner {
-	for _, n := range c.members.View().Role("runner") {
+	for _, n := range c.members.View().Role(clustermembership.RoleNodeAgent) {
 		if n.State == clustermembership.Alive {
 			return c.clients.NodeAgent(n.Addr)
 		}
@@ -306,7 +306,7 @@
 // hotEntries gathers the hottest entries of all index nodes; two hold each, the higher count is used.
 func (c *Controller) hotEntries(service string) []*wire.Hot {
 	var all []*wire.HotTell
-	queryAll(c, "catalogue", func(ctx context.Context, addr string) (*wire.HotTell, error) {
+	queryAll(c, clustermembership.RolePromptIndex, func(ctx context.Context, addr string) (*wire.HotTell, error) {
 		return c.clients.PromptIndex(addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: 1000})
 	}, func(t *wire.HotTell) { all = append(all, t) })
 	return promptindex.MergeHot(all)
--- a/internal/control/routingconfig/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -94,7 +94,7 @@
 	return found, found != nil
 }
 
-// Tenant returns the tenant that owns a key.
+// Tenant returns the tenant of a key.
 //
 // Example: t, ok := p.Tenant(key)
 func (p *Plan) Tenant(key string) (*Tenant, bool) {
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -21,7 +21,7 @@
 	names map[string]*Service
 }
 
-// Kind tells what may be repeated.
+// Kind is whether requests may be repeated.
 type Kind int
 
 // The kinds of a route.
@@ -90,7 +90,7 @@
 	Isolated bool
 }
 
-// Limits bound what a downstream may send.
+// Limits bound what a client may send.
 type Limits struct {
 	HeaderBytes, BodyBytes int
 	HeaderTime, IdleTime   time.Duration
--- a/internal/control/serviceconfig/config.go
+++ b/internal/control/serviceconfig/config.go
@@ -114,7 +114,7 @@
 }
 
 func (s *Config) checkTenants(f faults) {
-	owner := map[string]string{} // by key
+	tenantOf := map[string]string{} // by key
 	for _, n := range queue.Keys(s.Tenants) {
 		t, p := s.Tenants[n], "tenants."+n
 		f.checkName(p, n)
@@ -125,10 +125,10 @@
 			if len(k) < 8 || len(k) > 128 {
 				f.add(fmt.Sprintf("%s.keys[%d]", p, i), "%d letters: give 8 to 128", len(k))
 			}
-			if o, ok := owner[k]; ok {
+			if o, ok := tenantOf[k]; ok {
 				f.add(fmt.Sprintf("%s.keys[%d]", p, i), "tenant %s has the same key: give each its own", o)
 			}
-			owner[k] = n
+			tenantOf[k] = n
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	}
 }
 
-// Tenant returns the tenant that owns a key.
+// Tenant returns the tenant of a key.
 //
 // Example: name, t, ok := s.Tenant(key)
 func (s *Config) Tenant(key string) (string, Tenant, bool) {
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -29,7 +29,7 @@
 	Body []byte
 }
 
-// Origin tells where one value of a rendered service configuration comes from.
+// Origin is where one value of a rendered service configuration comes from.
 type Origin struct {
 	Path  string `json:"path"`
 	Value string `json:"value"`
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/settings"
@@ -291,7 +292,7 @@
 			}}
 		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Listen: "1:9", Bounds: settings.Default(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
-		a, err := Start(l, &numbers{}, "runner")
+		a, err := Start(l, &numbers{}, clustermembership.RoleNodeAgent)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/data/agent/proof.go
+++ b/internal/data/agent/proof.go
@@ -35,7 +35,7 @@
 //     shared with Q held n, which had cut M off its log for good, against (b). (Without (b) this
 //     case fails: from {1,2,3,4}, {a,3,4} of the lost {1,2,3,4,a} never meet {1,2} of {1,2,3}.)
 //
-// A proof tells of the past, so it stays when members change, and a proof for v is one for any
+// A proof is about the past, so it stays when members change, and a proof for v is one for any
 // newer plan. It never serves an older one: an attestation for v says nothing about plans
 // between u and v, so it doesn't count while u is in use.
 type Proof struct {
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -189,8 +189,8 @@
 func (t *table) applyView(v clustermembership.View, now time.Duration) bool {
 	alone := true
 	for _, n := range v.Nodes {
-		alone = alone && n.Role != "archive"
-		if n.Role == "runner" && n.State != clustermembership.Gone {
+		alone = alone && n.Role != clustermembership.RoleControlNode
+		if n.Role == clustermembership.RoleNodeAgent && n.State != clustermembership.Gone {
 			t.edgeSeenAt[n.Name] = now
 		}
 	}
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -178,9 +178,9 @@
 }
 
 func nodes(edges int, gone int) (v clustermembership.View) {
-	v.Nodes = append(v.Nodes, &wire.Node{Name: "archive/c", Role: "archive"})
+	v.Nodes = append(v.Nodes, &wire.Node{Name: "archive/c", Role: clustermembership.RoleControlNode})
 	for i := range edges {
-		n := &wire.Node{Name: "runner/" + strconv.Itoa(i), Role: "runner"}
+		n := &wire.Node{Name: clustermembership.RoleNodeAgent + "/" + strconv.Itoa(i), Role: clustermembership.RoleNodeAgent}
 		if i < gone {
 			n.State = clustermembership.Gone
 		}
@@ -191,7 +191,7 @@
 
 func TestEdgesAreCountedWithThoseLatelyGone(t *testing.T) {
 	x := fresh()
-	x.applyView(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: "runner"}}}, start+x.bounds.Leave(1))
+	x.applyView(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: clustermembership.RoleNodeAgent}}}, start+x.bounds.Leave(1))
 	if x.snapshot.Edges != assumedEdges {
 		t.Fatalf("alone: %d edges", x.snapshot.Edges)
 	}
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -52,7 +52,7 @@
 	ctx         context.Context
 	name        string
 	incarnation uint64
-	zone        string // district
+	zone        string // zone
 	loadSharing atomic.Pointer[loadSharing]
 	lookups     atomic.Uint64
 }
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/data/promptindex"
@@ -84,7 +85,7 @@
 
 func nodes() (l []*wire.Node) {
 	for i, d := range []string{"a", "b", "c", "d"} {
-		l = append(l, &wire.Node{Name: "catalogue/core-" + d, Role: "catalogue", District: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
+		l = append(l, &wire.Node{Name: "catalogue/core-" + d, Role: clustermembership.RolePromptIndex, District: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	return l
 }
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -57,7 +57,7 @@
 	a.actor = queue.NewActor(&table{version: process.Seed(), listsVersion: process.Seed(), freshness: NewFreshness(), workers: NewWorkers(b), placements: map[string]*wire.Document{},
 		links: map[string]*wire.LinkSeen{}, health: map[string]*health{}, waiting: map[chan struct{}]bool{}}, 1024)
 	process.OnStop(a.actor.Stop)
-	a.member = clustermembership.Start(process.Ctx, process.Place, "runner", a.clock, process.Log, a.clients.Membership, func(v clustermembership.View) {
+	a.member = clustermembership.Start(process.Ctx, process.Place, clustermembership.RoleNodeAgent, a.clock, process.Log, a.clients.Membership, func(v clustermembership.View) {
 		a.actor.TrySend(func(t *table) { t.view = v; t.listsChanged() })
 	})
 	for _, m := range ms {
@@ -120,7 +120,7 @@
 		a.actor.Ask(func(t *table) { have = t.freshness.Version() })
 		asked := a.clock.Now()
 		var response *wire.WatchResponse
-		if addr, ok := a.member.View().Addr("archive/" + member); ok {
+		if addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + member); ok {
 			ctx, end := context.WithTimeout(a.process.Ctx, b.Config(0.3))
 			t, err := a.clients.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Config(0.15))})
 			end()
@@ -229,7 +229,7 @@
 		shard := controlclient.ShardOf(n)
 		ms := controlclient.Members(shard, a.process.Place.Core)
 		m := ms[int(a.clock.Now()/time.Second)%len(ms)]
-		addr, ok := a.member.View().Addr("archive/" + m)
+		addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + m)
 		if !ok {
 			continue
 		}
@@ -309,7 +309,7 @@
 	}
 }
 
-// health is how a worker's goes have ended lately, as the dispatcher here saw them.
+// health is how a worker's recent attempts ended, as the proxy on this machine saw them.
 type health struct {
 	ok, failed float64
 	at         time.Duration
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
@@ -224,7 +225,7 @@
 func TestShardsHaveTwoHoldersInTwoZones(t *testing.T) {
 	var ns []*wire.Node
 	for i := range 9 {
-		ns = append(ns, &wire.Node{Name: fmt.Sprintf("c-%d", i), Role: "catalogue", District: fmt.Sprint(i % 4), Addr: "x"})
+		ns = append(ns, &wire.Node{Name: fmt.Sprintf("c-%d", i), Role: clustermembership.RolePromptIndex, District: fmt.Sprint(i % 4), Addr: "x"})
 	}
 	s, less := NewShards(ns), NewShards(ns[:8])
 	n := map[string]int{}
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/backend"
@@ -218,7 +219,7 @@
 
 func catalogues(districts ...string) (l []*wire.Node) {
 	for i, d := range districts {
-		l = append(l, &wire.Node{Name: fmt.Sprintf("catalogue/core-%d", i), Role: "catalogue", District: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
+		l = append(l, &wire.Node{Name: fmt.Sprintf("catalogue/core-%d", i), Role: clustermembership.RolePromptIndex, District: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	return l
 }
--- a/internal/data/promptindex/follower.go
+++ b/internal/data/promptindex/follower.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/backend"
 	"pebbleloom/internal/data/prefix"
@@ -34,7 +35,7 @@
 	by := map[string]*wire.Node{}
 	var names []string
 	for _, n := range nodes {
-		if n.Role == "catalogue" && n.State < 2 && by[n.Name] == nil {
+		if n.Role == clustermembership.RolePromptIndex && n.State < 2 && by[n.Name] == nil {
 			by[n.Name] = n
 			names = append(names, n.Name)
 		}
@@ -91,7 +92,7 @@
 //
 // Example: n, err := promptindex.StartSite(process, calls, agent.Now)
 func StartSite(l *daemon.Process, calls backend.Calls, snapshot func() *fleet.Snapshot) (*Node, error) {
-	n := &Node{process: l, clock: l.Clock, name: "catalogue/" + l.Place.Name, polling: map[string]bool{}, listed: map[string]bool{}}
+	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Place.Name, polling: map[string]bool{}, listed: map[string]bool{}}
 	c := New(l.Place.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
 	c.incompleteShare = incompleteWorkers
 	n.actor = queue.NewActor(c, 1024)
--- a/internal/data/promptindex/loads.go
+++ b/internal/data/promptindex/loads.go
@@ -12,7 +12,7 @@
 const loadRatio = 1.0 / 15
 
 // Loads adds up the loads that edge machines report: each sees a small share of the traffic, and can't
-// tell from its own how loaded or how unhealthy a worker is.
+// see from its own how loaded or how unhealthy a worker is.
 type Loads struct {
 	bounds        settings.Bounds
 	reports       map[string]*loadReport
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -15,7 +15,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node is an index node: one goroutine owns the tables; others poll workers and serve.
+// Node is an index node: one actor holds the tables; others poll workers and serve.
 type Node struct {
 	process  *daemon.Process
 	actor    *queue.Actor[Core]
@@ -32,7 +32,7 @@
 //
 // Example: daemon.Main("catalogue", "index node", need, promptindex.Start)
 func Start(l *daemon.Process) error {
-	n := &Node{process: l, clock: l.Clock, name: "catalogue/" + l.Place.Name, backends: contract.NewBackends(l.Dial),
+	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Place.Name, backends: contract.NewBackends(l.Dial),
 		polling: map[string]bool{}, listed: map[string]bool{}}
 	n.actor = queue.NewActor(New(l.Place.Bounds, func(k prefix.Key) bool {
 		s := n.shards.Load()
@@ -41,7 +41,7 @@
 	l.OnStop(n.actor.Stop)
 	l.OnStop(n.backends.Close)
 	calls := daemon.NewClients(l)
-	ros := clustermembership.Start(l.Ctx, l.Place, "catalogue", n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
+	ros := clustermembership.Start(l.Ctx, l.Place, clustermembership.RolePromptIndex, n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
 	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.Seeds(ros.SetSeeds))
 	l.Every(l.Place.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
@@ -29,7 +30,7 @@
 	dist := map[string]string{}
 	var names []string
 	for _, n := range nodes {
-		if n.Role == "catalogue" && n.State < 2 {
+		if n.Role == clustermembership.RolePromptIndex && n.State < 2 {
 			names = append(names, n.Name)
 			s.addresses[n.Name], dist[n.Name] = n.Addr, n.District
 		}
--- a/internal/data/selection/share.go
+++ b/internal/data/selection/share.go
@@ -9,14 +9,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// What edges tell each other of workers by way of the index, as ratios.
+// Ratios of the load reports that edge machines share through the index.
 const (
-	tallyRatio      = 0.1 // of the heal bound: how fast endings are forgotten
-	minFailures     = 1.5 // bad endings lately, of all edges, that make a worker suspect
+	tallyRatio      = 0.1 // of the heal bound: how fast endings decay
+	minFailures     = 1.5 // recent failures, of all edge machines, that make a worker suspect
 	minFailureShare = 0.2 // and their share of its endings,
-	failureMultiple = 3.0 // as a multiple of what the service's other workers have
+	failureMultiple = 3.0 // as a multiple of that of the service's other workers
 	suspectRatio    = 1.0 / 48
-	overdueMultiple = 4.0 // what a first piece was expected to take: it is overdue then, but not within the target
+	overdueMultiple = 4.0 // of the expected time of a first event: it is overdue then, but not within the target
 	tokenUnit       = 64  // tokens
 	eighth          = 8
 )
@@ -38,7 +38,7 @@
 	}
 }
 
-// listOf numbers a list of workers, so that the same rows can be told by their places.
+// listOf hashes a list of workers, so that reports can refer to workers by their position in it.
 func (t *table) listOf(ws []fleet.Worker) uint64 {
 	if t.view != nil && len(ws) > 0 && len(t.view.snapshot.Workers) == len(ws) && &t.view.snapshot.Workers[0] == &ws[0] {
 		return t.view.list
@@ -51,7 +51,7 @@
 	return h.Sum64()
 }
 
-// patience is how long an attempt's first piece may take before it counts as overdue.
+// firstEventTimeout is how long an attempt's first event may take before it counts as overdue.
 func (t *table) firstEventTimeout(w *attempt, r *Request, now time.Duration) time.Duration {
 	h := w.stats.service
 	d := time.Duration(overdueMultiple * (h.a + h.b*w.read + t.backlog(w.stats, now)) * float64(time.Millisecond))
@@ -61,8 +61,8 @@
 	return d
 }
 
-// judge counts an ending for or against its worker. A downstream that left says nothing, unless
-// the first piece was overdue then; nor does a worker that turns away what it has no place for.
+// judgeEnding counts an ending for or against its worker. A client that disconnected says nothing,
+// unless the first event was overdue then; nor does a worker that rejects requests for lack of a slot.
 func (t *table) judgeEnding(w *attempt, e Ending, now time.Duration) {
 	ok, bad := 0.0, 0.0
 	switch {
@@ -76,7 +76,7 @@
 	}
 }
 
-// word is what this edge has at workers now.
+// localLoads is the load of this edge machine at the workers now.
 func (t *table) localLoads(now time.Duration) *wire.Loads {
 	if t.view == nil {
 		return nil
@@ -108,7 +108,7 @@
 	return l
 }
 
-// hear takes what the other edges have at workers.
+// applyOthersLoads applies the loads of the other edge machines.
 func (t *table) applyOthersLoads(l *wire.Loads, now time.Duration) {
 	n := len(l.At)
 	if t.view == nil || l.List != t.view.list || l.Tellers == 0 || len(l.Active) != n || len(l.Unread) != n || len(l.Ok) != n || len(l.Bad) != n {
@@ -141,8 +141,8 @@
 	}
 }
 
-// suspect leaves out a worker that fails far more than the others of its service do, by what all
-// edges saw, for as long as that is so and a little longer.
+// suspect avoids a worker that fails far more often than the others of its service, by the reports of
+// all edge machines, for as long as that holds and a little longer.
 func (t *table) suspect(x *workerStats, ok, bad float64, now time.Duration) {
 	b, o := x.othersBad+x.tally.failed, x.othersOK+x.tally.ok
 	if b < minFailures {
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -27,7 +27,7 @@
 // Snapshot is everything that a request uses: it never changes once it is shared.
 type Snapshot struct {
 	Number        uint64
-	ConfigVersion uint64 // of the setup
+	ConfigVersion uint64 // of the configuration
 	View          uint64 // of workers, nodes, placements and stores
 	Config        *serviceconfig.Config
 	ProofAt       time.Duration // no configuration newer than ConfigVersion had been acknowledged then
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue has the bounded ring between goroutines, the actor that owns a table, and rendezvous
+// Package queue has the bounded ring between goroutines, the actor that guards a table, and rendezvous
 // hashing.
 package queue
 
@@ -56,7 +56,7 @@
 	return l
 }
 
-// Actor owns a table: commands run one by one on its own goroutine.
+// Actor guards a table: commands run one by one on its own goroutine.
 type Actor[T any] struct {
 	commands *Ring[func(*T)]
 	quit     chan struct{}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -108,7 +108,7 @@
 // Example: b.Try(1) is the whole window
 func (b Bounds) Try(r float64) time.Duration { return ms(b.TrySpan, r) }
 
-// Need tells which fields a program requires.
+// Need is which fields a program requires.
 type Need struct {
 	Seeds, Core, Data, Runner, Rank, Public, Operator bool
 }
