--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// What a node denies comes back under its kind, with that kind's exit code.
+// What a node rejects comes back under its kind, with that kind's exit code.
 func TestDenialsKeepTheirKind(t *testing.T) {
 	for _, k := range errs.Kinds() {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -132,7 +132,7 @@
 	return a
 }
 
-// has tells whether a status names a problem.
+// has reports whether a status names a problem.
 func (a answers) has(kind, where string) bool {
 	for _, x := range a.Problems {
 		if x.Kind == kind && strings.Contains(x.Where, where) {
@@ -180,7 +180,7 @@
 				t.Errorf("%s: %q, want %q", name, a.fact(name), says)
 			}
 		}
-		p.until("what workers keep", 20*time.Second, func() bool { // what they tell comes in turn
+		p.until("what workers keep", 20*time.Second, func() bool { // their events arrive one after another
 			_, out, _ := p.runOn(2, "", "index lookup --model daka --tenant t --part p1 --part p2")
 			return strings.Contains(out, "w1:confirmed") && strings.Contains(out, "w2:confirmed") && strings.Count(out, "\n") == 3
 		})
@@ -234,7 +234,7 @@
 		if code, out, bad := p.runOn(2, `{"version":3}`, "setup apply --file -"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
-		for _, i := range []int{2, 3, 4} { // killed, not told to end: nobody hands over
+		for _, i := range []int{2, 3, 4} { // killed without a shutdown: no hand-over
 			p.processes[fmt.Sprint("state", i)].Stop(0)
 			delete(p.processes, fmt.Sprint("state", i))
 		}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -207,7 +207,7 @@
 	all.Wait()
 }
 
-// desk gives a command to a core machine.
+// runOn sends a command to a core machine.
 func (p *testSite) runOn(i int, in, args string) (code int, out, bad string) {
 	return p.at(operatorAt(i), in, args)
 }
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// states tells how many of the living see a node in each state.
+// states counts how many of the living see a node in each state.
 func (s *site) states(name string) map[uint32]int {
 	m := map[uint32]int{}
 	for a, c := range s.cores {
@@ -210,8 +210,8 @@
 	}
 }
 
-// A machine that is back before anybody saw it go is told all again: its colleagues call it
-// before its own first beat, and know nothing that it would have to be told. Two of its
+// A machine that is back before anybody saw it go gets the full view again: its peers call it
+// before its own first beat, and have no news for it. Two of its
 // programs begin anew at once, while others come and go.
 func TestAQuickRestartLearnsAll(t *testing.T) {
 	for seed := range uint64(3) {
--- a/internal/control/controllers/controller_test.go
+++ b/internal/control/controllers/controller_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// begun is a site whose four core machines are up, whose table is written and whose weights
+// newRunningSite is a site whose four core machines are up, whose worker list is written and whose weights
 // have just been named anew.
 func newRunningSite(t *testing.T, n int) *testSite {
 	s := newTestSite(t, n)
@@ -122,7 +122,7 @@
 }
 
 // What the list shows is in force well within the bound on workers that left, also when the
-// holder of the duties dies just then; and while the list can't be had the table stays.
+// holder of the lease dies just then; and while the list can't be had the table stays.
 func TestWorkerListFollowsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRunningSite(t, 5)
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -229,7 +229,7 @@
 	return out, err
 }
 
-// flying counts a holder's orders that aren't answered yet.
+// countInFlight counts a holder's orders that aren't answered yet.
 func (m *machine) countInFlight(holder string, n int) {
 	m.s.mu.Lock()
 	defer m.s.mu.Unlock()
@@ -248,7 +248,7 @@
 	}
 	s.last[id] = sentOrder{o.Holder, o.Fence, now}
 	if at := s.setAsideAt[id]; at == 0 || now-at < s.bounds.Leave(leadRatio) {
-		s.t.Errorf("%s is ordered before edges were told to send it nothing new", id)
+		s.t.Errorf("%s is ordered before edges were reported to send it nothing new", id)
 	}
 	if o.Instance != id || o.Mode != backend.ModeAwait || o.Model != "daka" || o.Version > s.named["daka"] {
 		s.t.Errorf("%s: %+v", id, o)
--- a/internal/control/controllers/placement_test.go
+++ b/internal/control/controllers/placement_test.go
@@ -43,7 +43,7 @@
 	first := &servicePlacement{}
 	old, changed := nextPlacement(first, engine(10), head(20, 30), ws, time.Minute, whole)
 	if !changed || first.recomputedAt != time.Minute {
-		t.Fatal("the first isn't told")
+		t.Fatal("the first isn't reported")
 	}
 	old.Rolling = []string{"2"}
 	burst := append(head(20, 30), &wire.Hot{Key: []byte("new"), Hotness: 90, Tokens: 1000})
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -16,7 +16,7 @@
 	return b
 }
 
-// lone is one worker as a roll-out meets it, by hand.
+// singleWorker drives a rollout of one worker by hand.
 type singleWorker struct {
 	t       *testing.T
 	rollout *Rollout
@@ -58,7 +58,7 @@
 	}
 	old, new := map[string]uint64{"daka": 1}, map[string]uint64{"daka": 2}
 	orders := []answer{{name: "begun", out: backend.Begun}, {name: "holds", out: backend.Holds}, {name: "busy", out: backend.Busy},
-		{name: "lost", out: backend.Unknown}, {name: "denied", out: backend.Denied}, {name: "fenced", out: backend.Fenced},
+		{name: "lost", out: backend.Unknown}, {name: "rejected", out: backend.Denied}, {name: "fenced", out: backend.Fenced},
 		{name: "stranger", out: backend.Stranger}, {name: "too many", out: backend.TooMany}}
 	reports := []answer{{name: "loads", rep: backend.Report{Busy: true, Weights: old}}, {name: "old", rep: backend.Report{Weights: old}},
 		{name: "new", rep: backend.Report{Weights: new}}, {name: "silent", lost: true}}
@@ -112,7 +112,7 @@
 			switch {
 			case c.name == "new":
 				if has = true; v != 2 || m != "daka" {
-					t.Fatalf("%v: the new weights aren't told: %q %d", x.path, m, v)
+					t.Fatalf("%v: the new weights aren't reported: %q %d", x.path, m, v)
 				}
 				x.w.Weights = new
 			case c.name == "old" && x.now-asked >= bounds().Leave(staleReportRatio):
@@ -134,7 +134,7 @@
 		t.Fatalf("%+v", a)
 	}
 	if _, v := x.rollout.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 2 {
-		t.Error("not told")
+		t.Error("not reported")
 	}
 }
 
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -28,7 +28,7 @@
 
 var errLost = errors.New("no answer")
 
-// stand is a site made of test doubles: control state, list, workers and four core machines.
+// testSite is a site made of test doubles: control state, list, workers and four core machines.
 type testSite struct {
 	t          *testing.T
 	clock      clock.Clock
@@ -67,7 +67,7 @@
 	at     time.Duration
 }
 
-// hand is one worker.
+// testWorker is one worker.
 type testWorker struct {
 	w      fleet.Worker
 	fence  uint64
@@ -109,7 +109,7 @@
 
 func (s *testSite) core(name string) *Controller {
 	p := settings.Place{Name: name, Bounds: s.bounds, Extra: []string{"log=off"}, Site: &settings.Site{LeaseMs: 3000, ListRate: 47}}
-	l := daemon.NewIn(daemon.Environment{Clock: s.clock}, "duty", p)
+	l := daemon.NewIn(daemon.Environment{Clock: s.clock}, "controllers", p)
 	s.mu.Lock()
 	s.processes[name] = l
 	s.mu.Unlock()
@@ -140,7 +140,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := &fleet.Snapshot{Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
-		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, Room: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "desk"}}}}
+		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, Room: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
 	for m, v := range s.named {
 		x.Named[m], x.NamedAt[m] = v, s.since[m]
 	}
@@ -167,7 +167,7 @@
 	s.named[model], s.since[model] = v, s.clock.Now()
 }
 
-// settled tells whether the documents say that all have a version and nobody is set aside.
+// settled reports whether the documents say that all have a version and nobody is set aside.
 func (s *testSite) settled(version uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/controllers/slowload_test.go
+++ b/internal/control/controllers/slowload_test.go
@@ -10,7 +10,7 @@
 )
 
 // A load that takes a fifth of the bound is no reason for haste: the last ones may go on when the
-// older weights are picked no more. Until then a quarter of the workers is out at the most.
+// older weights are no longer selected. Until then a quarter of the workers is out at the most.
 func TestSlowLoadsDontRaiseConcurrency(t *testing.T) {
 	b := bounds()
 	b.WeightsMs = 15000
@@ -41,7 +41,7 @@
 			t.Fatalf("%d load at %v", busy, now)
 		}
 		if now == b.Weights(0.85)/(25*time.Millisecond)*(25*time.Millisecond) && old > n/3 {
-			t.Errorf("%d have old weights when those are picked no more", old)
+			t.Errorf("%d have old weights when those are selected no more", old)
 		}
 		for _, w := range a.Reports {
 			v := uint64(1)
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -91,7 +91,7 @@
 }
 
 // A roll-out sets a batch aside before it orders it, keeps two thirds serving, and is
-// through within the bound: also when the duty changes hands in the middle, when some
+// through within the bound: also when the lease changes hands in the middle, when some
 // workers don't obey the first order, and on both sites' bounds.
 func TestRolloutIsPaced(t *testing.T) {
 	for _, bound := range []int{20000, 25000} {
--- a/internal/control/placementcontroller/order_test.go
+++ b/internal/control/placementcontroller/order_test.go
@@ -30,7 +30,7 @@
 			<-time.After(b.Leave(1.0 / 3)) // a dial is given up by itself
 			return nil, errors.New("silence")
 		}}
-		l := daemon.NewIn(w, "appraiser", settings.Place{Name: "core-1", Bounds: b, Extra: []string{"log=off"}})
+		l := daemon.NewIn(w, "placement", settings.Place{Name: "core-1", Bounds: b, Extra: []string{"log=off"}})
 		defer l.Stop(0)
 		c := &Controller{process: l, clock: clk, backends: contract.NewBackends(l.Dial)}
 		ttl := b.Heal(settings.LeasePart)
--- a/internal/control/retire/retire_test.go
+++ b/internal/control/retire/retire_test.go
@@ -27,10 +27,10 @@
 		"one replacement for two":           {`{}`, func(r *Retirement) { r.Replace["fare"] = "rare-2" }, `replaces`},
 		"a replacement not held there":      {`{"adapters":{"rare-2":{"services":null}}}`, nil, `rare-2 isn't held by service s`},
 		"a replacement for fewer tenants":   {`{"tenants":{"t":{},"u":{}},"adapters":{"rare-2":{"tenants":["u"]}}}`, nil, `rare-2 isn't for tenant t`},
-		"no room told":                      {`{"services":{"s":{"room":null}}}`, nil, `services.s.room: 0 MB a worker, and both sets take 120`},
+		"no room reported":                  {`{"services":{"s":{"room":null}}}`, nil, `services.s.room: 0 MB a worker, and both sets take 120`},
 		"no room for both sets":             {`{"services":{"s":{"room":119}}}`, nil, `119 MB a worker, and both sets take 120: give workers with that room`},
-		"a base's room not told":            {`{"models":{"new":{"room":null}}}`, nil, `models.new.room: missing`},
-		"an adapter's room not told":        {`{"adapters":{"rare-2":{"room":null}}}`, nil, `adapters.rare-2.room: missing`},
+		"a base's room not reported":        {`{"models":{"new":{"room":null}}}`, nil, `models.new.room: missing`},
+		"an adapter's room not reported":    {`{"adapters":{"rare-2":{"room":null}}}`, nil, `adapters.rare-2.room: missing`},
 		"another base than the service's":   {`{}`, func(r *Retirement) { r.From, r.To = "new", "old" }, `from: service s has base model old`},
 		"an unknown base":                   {`{}`, func(r *Retirement) { r.To = "newest" }, `to: "newest" is not among models`},
 		"an unknown service":                {`{}`, func(r *Retirement) { r.Service = "x" }, `service: "x" is not among services`},
@@ -102,7 +102,7 @@
 			was := r.clone()
 			err := r.Request(v)
 			if err != nil && (r.State != was.State || r.Phase != was.Phase) {
-				t.Fatalf("%v: denied, yet it went from %s to %s", p, was.State, r.State)
+				t.Fatalf("%v: rejected, yet it went from %s to %s", p, was.State, r.State)
 			}
 			once := r.clone()
 			if err == nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// calm is a fleet without troubles.
+// calmFleet is a fleet without faults.
 func calmFleet(t *testing.T) *testFleet {
 	f := newFleet(t, 1, 0)
 	f.quiet, f.trouble = true, false
@@ -236,7 +236,7 @@
 	}
 }
 
-// held runs a calm retirement until it stands still, and gives who holds it up.
+// blockersAfter runs n steps of a retirement without faults and returns its blockers.
 func blockersAfter(f *testFleet, p *Planner, n int) []Blocker {
 	for range n {
 		f.step(p, 0)
@@ -278,7 +278,7 @@
 		if _, both := f.nodes[5].holds["old"]; both && f.nodes[5].loading != "" {
 			for _, n := range f.doc.Dropping {
 				if n == "w5" {
-					t.Fatal("a node that isn't caught up is told to drop the old base")
+					t.Fatal("a node that isn't caught up is reported to drop the old base")
 				}
 			}
 		}
@@ -321,7 +321,7 @@
 }
 
 // While nothing is retired a worker that came back empty, or with what was retired long ago, gets what
-// the setup names; a service without adapters is left alone.
+// the configuration names; a service without adapters is left alone.
 func TestRepair(t *testing.T) {
 	s, err := serviceconfig.Read(first)
 	if err != nil {
@@ -356,10 +356,10 @@
 	}
 }
 
-// A document reads back as it was written, and what it doesn't know is denied.
+// A document reads back as it was written, and what it doesn't know is rejected.
 func TestDocument(t *testing.T) {
 	r := newPlan()
-	r.RecordProof("w1", "life", SetOf(&serviceconfig.Config{}, "new", nil))
+	r.RecordProof("w1", "incarnation", SetOf(&serviceconfig.Config{}, "new", nil))
 	b, err := r.Write()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/retire/retirement.go
+++ b/internal/control/retire/retirement.go
@@ -166,9 +166,9 @@
 	}
 }
 
-// Clash says which of the other retirements can't stand beside this one; both are named.
+// ConflictWith returns a conflict with another active retirement; both are named.
 //
-// Example: if err := r.Clash(others); err != nil { return err }
+// Example: if err := r.ConflictWith(others); err != nil { return err }
 func (r *Retirement) ConflictWith(others []*Retirement) error {
 	for _, o := range others {
 		if o.Name == r.Name && o.Service == r.Service || !o.Active() || !r.Active() {
--- a/internal/control/retire/sim_test.go
+++ b/internal/control/retire/sim_test.go
@@ -83,7 +83,7 @@
 	return f
 }
 
-// befall brings troubles: nodes die, come back with the old set or empty, are replaced, join; two at most
+// injectFaults brings faults: nodes die, come back with the old set or empty, are replaced, join; two at most
 // are away or behind at once, as capacity planning has it.
 func (f *testFleet) injectFaults(luck *rand.Rand) {
 	away := 0
@@ -106,7 +106,7 @@
 		n.start(!empty)
 	case what == 9 && away < 2 && n.up: // replaced at once
 		n.start(!empty)
-	case what == 10: // another change of the setup
+	case what == 10: // another change of the configuration
 		f.patch([]byte(fmt.Sprintf(`{"wait_max_ms":%d}`, 1000+luck.IntN(1000))), f.version)
 	}
 }
@@ -157,7 +157,7 @@
 	})
 }
 
-// asBefore: once it is aborted the setup is what it was, and no node that answers has the new base, nor gets it later.
+// checkReverted: once it is aborted the configuration is what it was, and no node that answers has the new base, nor gets it later.
 func (f *testFleet) checkReverted() {
 	if f.abortedAt == 0 {
 		return
@@ -166,7 +166,7 @@
 	s.WaitMaxMs = 0
 	for n, v := range s.Routes {
 		if v.Move != "" || v.Moved != 0 || n != "fare" && v.Use != "" || n == "fare" && v.Use != "fare" {
-			f.fault(5, "route %s is %+v after the abort, the setup was %s", n, v, o)
+			f.fault(5, "route %s is %+v after the abort, the configuration was %s", n, v, o)
 		}
 	}
 	for _, n := range f.nodes {
--- a/internal/control/retire/size_test.go
+++ b/internal/control/retire/size_test.go
@@ -9,7 +9,7 @@
 	"pebbleloom/internal/control/serviceconfig"
 )
 
-// crowd is a service of so many nodes and adapters, each node ready up to its proof.
+// largeService is a service of so many nodes and adapters, each node ready up to its proof.
 func largeService(nodes, adapters int) (*Retirement, Observation) {
 	s := &serviceconfig.Config{Models: map[string]serviceconfig.Model{"old": {Weights: 1, Room: 50}, "new": {Weights: 1, Room: 50}}, Adapters: map[string]serviceconfig.Adapter{},
 		Services: map[string]serviceconfig.Service{"s": {Model: "old", Room: 1000}}, Routes: map[string]serviceconfig.Route{"old": {Service: "s"}}}
--- a/internal/control/retire/world_test.go
+++ b/internal/control/retire/world_test.go
@@ -15,7 +15,7 @@
 
 const (
 	tick   = 100 * time.Millisecond
-	follow = 10 // ticks that a dispatcher may follow an older setup
+	follow = 10 // ticks that a proxy may follow an older configuration
 	wait   = 40 // ticks that a request waits at most
 )
 
@@ -29,7 +29,7 @@
 		Shares: []int{30, 100}, SoakS: 1, AtOnce: 2, State: Planned}
 }
 
-// node is a worker as it really is.
+// testNode is the true state of a worker.
 type testNode struct {
 	name, incarnation string
 	up, listed        bool
@@ -38,9 +38,9 @@
 	loading           string
 	fence             uint64
 	steps             map[string]uint64
-	lies              bool // it says that it holds what it was told to load, and doesn't
+	lies              bool // it reports what it was ordered to load, and doesn't have it
 	fake              map[string]bool
-	answered          map[string]bool // life, set and adapter
+	answered          map[string]bool // incarnation, set and adapter
 }
 
 func (n *testNode) start(old bool) {
@@ -57,7 +57,7 @@
 	return ok && l.Weights == t.Weights && (t.Adapter == "" || l.Adapters[t.Adapter] == t.Build && !n.fake[t.Adapter])
 }
 
-// says is what it tells of itself; a boasting one tells more than is true, which fake notes.
+// report is what it reports of itself; a lying one reports more than is true, which fake notes.
 func (n *testNode) report() []contract.Loaded {
 	var l []contract.Loaded
 	for _, k := range queue.Keys(n.holds) {
@@ -77,7 +77,7 @@
 	tried   int
 }
 
-// fleet is the whole world of the simulation; everything happens in ticks, and whatever is sent
+// testFleet is the whole world of the simulation; everything happens in ticks, and whatever is sent
 // lands later, or never.
 type testFleet struct {
 	t             testing.TB
@@ -86,7 +86,7 @@
 	inbox         map[int][]func()
 	body          []byte
 	version       uint64
-	configHistory [][]byte // the setup by tick, for dispatchers that are behind
+	configHistory [][]byte // the configuration by tick, for proxies that are behind
 	doc           *Retirement
 	docAt         uint64
 	fence         uint64
@@ -156,7 +156,7 @@
 	return true
 }
 
-// barrier: every node that was listed has truly answered in the life that is written down.
+// barrier: every node that was listed has truly answered in the incarnation that is written down.
 func (f *testFleet) barrier() {
 	set := SetOf(f.config(), "new", []string{"rare-2", "fare-2"})
 	for _, n := range f.nodes {
@@ -165,7 +165,7 @@
 		}
 		for _, a := range append([]AdapterBuild{{}}, set.Adapters...) {
 			if p := f.doc.Proofs[n.name]; !n.answered[p.Incarnation+set.Fingerprint()+a.Name] {
-				f.fault(2, "the barrier is passed, and %s hasn't answered under %q in life %q", n.name, a.Name, p.Incarnation)
+				f.fault(2, "the barrier is passed, and %s hasn't answered under %q in incarnation %q", n.name, a.Name, p.Incarnation)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 	return true
 }
 
-// look is a holder's turn: read the setup, the retirement, the nodes; act; write. It may stall or die
+// holderStep is a holder's step: read the configuration, the retirement, the nodes; act; write. It may stall or die
 // between any two of these, and what it has sent lands all the same.
 func (f *testFleet) holderStep(h int) {
 	dies := func() bool { return f.trouble && f.r.IntN(25) == 0 }
@@ -302,7 +302,7 @@
 	return true
 }
 
-// ask sends a request: a dispatcher follows a setup that may be old, sees what nodes said a while ago,
+// sendRequest sends a request: a proxy follows a configuration that may be old, sees what nodes said a while ago,
 // and tries another where one proves that it didn't run.
 func (f *testFleet) sendRequest(q *request) {
 	if f.now >= q.until {
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// way is a proper route to a service named s.
+// route is a valid route to a service named s.
 func route(name, host, prefix string) Route {
 	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Split: []Share{{"s", 1}}}
 }
@@ -175,7 +175,7 @@
 	err := Check(p)
 	for _, w := range []string{"4 faults", "version", `route "a": timeout`, `route "b": service "gone"`, `host "h" and prefix "/a/"`} {
 		if err == nil || !strings.Contains(err.Error(), w) {
-			t.Errorf("%v: doesn't tell of %s", err, w)
+			t.Errorf("%v: doesn't name %s", err, w)
 		}
 	}
 }
--- a/internal/control/serviceconfig/config_test.go
+++ b/internal/control/serviceconfig/config_test.go
@@ -78,12 +78,12 @@
 		set  map[string]string
 		want string
 	}{
-		"missing":          {tmpl, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
-		"unknown":          {tmpl, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
-		"undescribed":      {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x}}"}}}}`, nil, "no such parameter"},
-		"a broken one":     {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x"}}}}`, nil, "ways.m.service"},
-		"not a good setup": {tmpl, map[string]string{"site": "x", "rate": "1", "weights": "0"}, "models.x-lm.weights"},
-		"no program in it": {`{"params":{"x":"y"},"setup":{"ways":{"m":{"service":"{{printf .x}}"}}}}`, map[string]string{"x": "1"}, "no such parameter"},
+		"missing":                  {tmpl, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
+		"unknown":                  {tmpl, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
+		"undescribed":              {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x}}"}}}}`, nil, "no such parameter"},
+		"a broken one":             {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x"}}}}`, nil, "ways.m.service"},
+		"not a good configuration": {tmpl, map[string]string{"site": "x", "rate": "1", "weights": "0"}, "models.x-lm.weights"},
+		"no program in it":         {`{"params":{"x":"y"},"setup":{"ways":{"m":{"service":"{{printf .x}}"}}}}`, map[string]string{"x": "1"}, "no such parameter"},
 	} {
 		if _, _, err := Render([]byte(c.tmpl), c.set, nil); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
@@ -91,7 +91,7 @@
 	}
 }
 
-// A model's weights don't go back, also where a whole setup names them.
+// A model's weights don't go back, also where a whole configuration names them.
 func TestWeightsDoNotGoBack(t *testing.T) {
 	at := func(w string) []byte {
 		return []byte(`{"models":{"m":{"weights":` + w + `}},"services":{"s":{"model":"m"}}}`)
--- a/internal/daemon/dial_test.go
+++ b/internal/daemon/dial_test.go
@@ -13,7 +13,7 @@
 )
 
 // far answers dials: those before an instant are lost without a word, the others succeed after a
-// while, or are told no.
+// while, or are refused.
 func far(up, takes time.Duration, no error, dials, open *atomic.Int64) dialFunc {
 	from := time.Now()
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -17,7 +17,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// core is a group of fake archives that all tell the same.
+// core is a group of fake control nodes with the same responses.
 type core struct {
 	wire.Archive
 	mu      sync.Mutex
@@ -100,7 +100,7 @@
 			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
 		a := newAgent(l, &numbers{}, func(addr string) wire.Archive { return seat{c, addr} })
 		if a.Now() == nil || a.Now().Plan != nil {
-			t.Fatal("a plan before any was told")
+			t.Fatal("a plan before any was reported")
 		}
 		a.actor.Ask(a.updateFollowed)
 		l.Every(l.Place.Bounds.Config(holdRatio), func() { a.actor.Ask(a.updateFollowed) })
@@ -139,7 +139,7 @@
 		select {
 		case <-changed:
 		default:
-			t.Fatal("nobody is told of the change")
+			t.Fatal("nobody is reported of the change")
 		}
 		if version(a) != 2 || before.Plan.Version != 1 {
 			t.Fatalf("plan %d, and the old snapshot says %d", version(a), before.Plan.Version)
@@ -233,7 +233,7 @@
 		if age := a.process.Clock.Now() - a.Now().ProofAt; version(a) != 9 || age > a.process.Place.Bounds.Config(1) {
 			t.Errorf("plan %d, proof %v old", version(a), age)
 		}
-		// All members are replaced while none of them can be heard: the seeds tell who they are.
+		// All members are replaced while none of them can be heard: the seeds name them.
 		c.change(func() {
 			c.members, c.index = []string{"2:1/x", "2:2/y", "9:9/z"}, 9
 			c.mood["1:2"], c.mood["1:3"], c.mood["1:4"] = "hangs", "hangs", "hangs"
@@ -301,7 +301,7 @@
 			t.Fatalf("%+v", s)
 		}
 		if a.Handler() == nil {
-			t.Fatal("nothing serves the roster's calls")
+			t.Fatal("nothing serves the cluster membership's calls")
 		}
 		l.Stop(time.Second)
 		until(10 * time.Second)
--- a/internal/data/agent/proof_test.go
+++ b/internal/data/agent/proof_test.go
@@ -38,7 +38,7 @@
 }
 
 // vouched is the latest instant that the answers heard so far vouch for, by the claim's own words:
-// a majority of one membership, all of whom told just that one and had nothing newer than v.
+// a majority of one membership, all of whom reported just that one and had nothing newer than v.
 func vouched(l []answer, v uint64) (best time.Duration) {
 	for _, x := range l {
 		need := len(x.response.Members)/2 + 1
@@ -69,7 +69,7 @@
 		{says(abc[1], 1, 1, abc...), 7, 20},
 		{says(abc[2], 1, 1, abc...), 7, 30},
 		{says(abc[0], 1, 9, four...), 7, 40},
-		{says(abc[1], 1, 9, four...), 8, 50}, // was told of a newer plan
+		{says(abc[1], 1, 9, four...), 8, 50}, // received a newer plan
 		{silent, 7, 60},
 		{says("1:4/d", 1, 9, four...), 7, 70},
 		{says(abc[2], 1, 9, four...), 7, 80},
@@ -105,7 +105,7 @@
 	if at := p.At(7); at != 0 {
 		t.Fatalf("one of three proves %v", at)
 	}
-	p.AddResponse(says("1:1/x", 1, 1, abc...), 7, 90) // the same address, another life: its disk was lost
+	p.AddResponse(says("1:1/x", 1, 1, abc...), 7, 90) // the same address, another incarnation: its disk was lost
 	p.AddResponse(says("9:9/z", 1, 1, abc...), 7, 95)
 	p.AddResponse(&wire.FollowResponse{Member: abc[1], NothingNewer: true}, 7, 99)
 	if at := p.At(7); at != 0 {
@@ -173,7 +173,7 @@
 	proof     *Proof
 	asks      []asked
 	have      uint64
-	blind     bool // planted: takes each answer as if it told the newest membership
+	blind     bool // planted: takes each answer as if it held the newest membership
 	wrong     bool
 	proofs    int
 }
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -49,8 +49,8 @@
 
 func fresh() *table { return newTable(settings.Default(), &numbers{}, start) }
 
-// In every order in which members tell plans, the one in use never goes back, nothing is read
-// twice, and a plan that was told is vouched for by its teller.
+// In every order in which members report plans, the one in use never goes back, nothing is read
+// twice, and a plan that was received is attested by its sender.
 func TestPlanNeverGoesBack(t *testing.T) {
 	type heard struct {
 		tell *wire.FollowResponse
@@ -80,7 +80,7 @@
 			}
 			top = max(top, told)
 			if top > 0 && x.snapshot.Plan.Version != top || x.versions[routingconfig.Key] != top || x.snapshot.ProofAt < proof {
-				t.Fatalf("%v: plan %v in use, %d told, proof %v after %v", l, x.snapshot.Plan, top, x.snapshot.ProofAt, proof)
+				t.Fatalf("%v: plan %v in use, %d reported, proof %v after %v", l, x.snapshot.Plan, top, x.snapshot.ProofAt, proof)
 			}
 			proof = x.snapshot.ProofAt
 		}
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -124,7 +124,7 @@
 
 const wait = 12 * time.Millisecond
 
-// All keys of a question go in one call, to the serving node of this district.
+// All keys of a question go in one call, to the serving node of this zone.
 func TestOneCallAQuestion(t *testing.T) {
 	x := &index{held: map[prefix.Key]string{key(3): "w"}}
 	run(t, x, func(s *Client, serving []*wire.Node) {
@@ -228,12 +228,12 @@
 			l := x.counts[n.Addr]
 			if len(l) != 1 || len(l[0].Accesses) != 1 || l[0].Number != 1 || l[0].Accesses[0].Count != 4 ||
 				!slices.Equal(l[0].Accesses[0].Presumed, []string{"w1", "w2", "store"}) || !l[0].Accesses[0].Head {
-				t.Fatalf("%s was told %v", n.Addr, l)
+				t.Fatalf("%s was reported %v", n.Addr, l)
 			}
 		}
 		pass(s.bounds.Heal(3 * flushRatio))
 		if len(x.counts[serving[0].Addr]) != 1 {
-			t.Error("told again though there was no news")
+			t.Error("reported again though there was no news")
 		}
 		x.set(serving[0].Addr, "errors")
 		s.Count("llm", part(2), "w1", "")
@@ -268,7 +268,7 @@
 			}
 		}
 		if n != 1 {
-			t.Errorf("%d nodes were told the window", n)
+			t.Errorf("%d nodes were reported the window", n)
 		}
 	})
 }
@@ -290,7 +290,7 @@
 		pass(s.bounds.Heal(2 * flushRatio))
 		l := x.counts[serving[0].Addr]
 		if len(l) != 2 || l[1].Number != 2 {
-			t.Errorf("told %v", l)
+			t.Errorf("reported %v", l)
 		}
 	})
 }
--- a/internal/data/nodeagent/freshness_test.go
+++ b/internal/data/nodeagent/freshness_test.go
@@ -39,7 +39,7 @@
 	return n
 }
 
-// Every order of six answers: a setup is in use only once two members vouch for it, its
+// Every order of six answers: a configuration is in use only once two members vouch for it, its
 // proof is never later than what two of them vouched for, and it never goes back.
 func TestEveryOrderOfAnswers(t *testing.T) {
 	as := []answer{{"a", 1, 10, same()}, {"b", 1, 20, same()}, {"c", 1, 30, news(2, true)}, {"a", 1, 25, news(2, false)}, {"a", 2, 40, same()}, {"b", 1, 35, news(2, true)}}
@@ -78,7 +78,7 @@
 		}
 	})
 	if n != 720 || adopted < n/2 {
-		t.Fatalf("%d orders, %d ended on the newer setup", n, adopted)
+		t.Fatalf("%d orders, %d ended on the newer configuration", n, adopted)
 	}
 }
 
@@ -94,11 +94,11 @@
 	}
 }
 
-// What feeds the worker table, and what dispatchers are shown for it.
+// What feeds the worker table, and what proxies are shown for it.
 func TestWorkerTable(t *testing.T) {
 	b := settings.Default()
-	x := contract.Listed{Name: "cab-1", Addr: "127.0.0.1:1", Kind: "lm", Service: "s"}
-	ok := contract.State{Name: "cab-1", Weights: 1, Slots: 4}
+	x := contract.Listed{Name: "worker-1", Addr: "127.0.0.1:1", Kind: "lm", Service: "s"}
+	ok := contract.State{Name: "worker-1", Weights: 1, Slots: 4}
 	at := func(f float64) time.Duration { return time.Second + b.Leave(f) }
 	fresh := func() *Workers {
 		w := NewWorkers(b)
@@ -125,13 +125,13 @@
 		{"not listed any more", func(w *Workers) { w.Listed(nil, at(0.1)) }, at(0.1), -1},
 		{"warned by the platform", func(w *Workers) { y := x; y.Draining = true; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
 		{"says itself that it drains", func(w *Workers) { s := ok; s.Draining = true; w.Probed(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
-		{"a go failed after its last probe", func(w *Workers) { w.RecordAttempts([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
+		{"a go failed after its last probe", func(w *Workers) { w.RecordAttempts([]*wire.GoReport{{Worker: "worker-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
 		{"a good probe clears a failed go", func(w *Workers) {
-			w.RecordAttempts([]*wire.GoReport{{Worker: "cab-1", Errors: 1}}, at(0.1))
+			w.RecordAttempts([]*wire.GoReport{{Worker: "worker-1", Errors: 1}}, at(0.1))
 			w.Probed(x, ok, true, at(0.2), at(0.2))
 		}, at(0.2), int(updatestream.WorkerUp)},
-		{"a stranger at its address", func(w *Workers) { w.Probed(x, contract.State{Name: "cab-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
-		{"listed at another address: another life", func(w *Workers) { y := x; y.Addr = "127.0.0.1:2"; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerGone)},
+		{"a stranger at its address", func(w *Workers) { w.Probed(x, contract.State{Name: "worker-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
+		{"listed at another address: another incarnation", func(w *Workers) { y := x; y.Addr = "127.0.0.1:2"; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerGone)},
 		{"an old address's probe comes late", func(w *Workers) {
 			y := x
 			y.Addr = "127.0.0.1:2"
@@ -145,8 +145,8 @@
 			t.Errorf("%s: state %d, want %d", c.name, got, c.want)
 		}
 	}
-	if got := state(fresh(), map[string]bool{"cab-1": true}, at(0.1)); got != int(updatestream.WorkerDraining) {
-		t.Errorf("drained by the setup: state %d", got)
+	if got := state(fresh(), map[string]bool{"worker-1": true}, at(0.1)); got != int(updatestream.WorkerDraining) {
+		t.Errorf("drained by the configuration: state %d", got)
 	}
 }
 
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -29,7 +29,7 @@
 func all(prefix.Key) bool { return true }
 
 func applyReport(c *Core, r contract.Reports, now time.Duration) {
-	c.ApplyReport(c.NextReport("cab", "s"), r, now)
+	c.ApplyReport(c.NextReport("worker", "s"), r, now)
 }
 
 // Four numbered reports come in every order, and each may be lost: the index either knows
@@ -41,7 +41,7 @@
 		{Number: 3, Added: []contract.Kept{kept(1)}},
 		{Number: 4, Gone: []string{key(2).String(), key(3).String()}},
 	}
-	truth := "cab:2 " // after all four: key 1 alone
+	truth := "worker:2 " // after all four: key 1 alone
 	orders, asked := 0, 0
 	var walk func(left []contract.Report, c []contract.Report)
 	walk = func(left, done []contract.Report) {
@@ -52,7 +52,7 @@
 			applyReport(c, contract.Reports{Incarnation: "i", Number: r.Number, List: []contract.Report{r}}, 2)
 		}
 		applyReport(c, contract.Reports{Incarnation: "i", Number: 4}, 3) // nothing new: it stands at 4
-		if c.NextReport("cab", "s").Whole {
+		if c.NextReport("worker", "s").Whole {
 			asked++
 			applyReport(c, contract.Reports{Incarnation: "i", Number: 4, Whole: true, Held: []contract.Kept{kept(1)}}, 4)
 		}
@@ -74,19 +74,19 @@
 	b := settings.Default()
 	k := key(1)
 	presume := func(c *Core, now time.Duration, n uint64) {
-		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", Presumed: []string{"cab"}}}}, now)
+		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", Presumed: []string{"worker"}}}}, now)
 	}
 	c := New(b, all)
 	applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
 	presume(c, 1, 1)
-	if got := holders(c, 1, b.Heal(0.4)); got != "cab:1 " {
+	if got := holders(c, 1, b.Heal(0.4)); got != "worker:1 " {
 		t.Errorf("presumed: %q", got)
 	}
 	if got := holders(c, 1, b.Heal(0.6)); got != "" {
 		t.Errorf("presumed and never confirmed: %q", got)
 	}
 	applyReport(c, contract.Reports{Incarnation: "i", Number: 1, List: []contract.Report{{Number: 1, Added: []contract.Kept{kept(1)}}}}, b.Heal(1))
-	if got := holders(c, 1, b.Heal(3)); got != "cab:2 " {
+	if got := holders(c, 1, b.Heal(3)); got != "worker:2 " {
 		t.Errorf("confirmed: %q", got)
 	}
 	if got := holders(c, 1, b.Heal(4)); got != "" {
@@ -97,7 +97,7 @@
 	if got := holders(c, 1, b.Heal(4)); got != "" {
 		t.Errorf("another incarnation holds what the last one held: %q", got)
 	}
-	if !c.NextReport("cab", "s").Whole {
+	if !c.NextReport("worker", "s").Whole {
 		t.Error("another incarnation isn't asked for the whole")
 	}
 }
@@ -119,7 +119,7 @@
 		t.Errorf("hotness %v after two batches of 5", h)
 	}
 	if got := c.Count(ask(2, 1), 1); got.Again || got.Number != 1 {
-		t.Errorf("a teller's new life: %v", got)
+		t.Errorf("a teller's new incarnation: %v", got)
 	}
 	if got := New(settings.Default(), all).Count(ask(1, 7), 1); !got.Again {
 		t.Error("an index without memory didn't ask for the window")
@@ -129,7 +129,7 @@
 	}
 }
 
-// A teller's late batches, of its life before, are never counted among those of the next; and a
+// A teller's late batches, of its previous incarnation, are never counted among those of the next; and a
 // table full of tellers makes none of them count twice.
 func TestNoBatchCountsTwice(t *testing.T) {
 	b, k := settings.Default(), key(1)
@@ -138,7 +138,7 @@
 	}
 	hot := func(c *Core) float64 { return c.Lookup([]prefix.Key{k}, 1)[0].Hotness }
 	c := New(b, all)
-	for _, x := range [][2]uint64{{9, 1}, {4, 1}, {9, 1}, {9, 2}, {4, 1}, {4, 2}} { // a reboot may have made its life's number smaller
+	for _, x := range [][2]uint64{{9, 1}, {4, 1}, {9, 1}, {9, 2}, {4, 1}, {4, 2}} { // a reboot may have made its incarnation number smaller
 		c.Count(ask("d", x[0], x[1]), 1)
 	}
 	if h := hot(c); h != 3 {
@@ -158,13 +158,13 @@
 	}
 }
 
-// A worker goes and returns under its name at another address, while answers of both lives are
-// under way: in every order, what the old life held counts for nothing once it was seen to go,
-// and what the new one holds is known once it was told.
+// A worker goes and returns under its name at another address, while answers of both incarnations are
+// under way: in every order, what the old incarnation held counts for nothing once it was seen to go,
+// and what the new one holds is known once it was reported.
 func TestEveryOrderOfAWorkerReturning(t *testing.T) {
 	old := contract.Reports{Incarnation: "a", Number: 3, Whole: true, Held: []contract.Kept{kept(1)}}
 	next := contract.Reports{Incarnation: "b", Number: 1, Whole: true, Held: []contract.Kept{kept(2)}}
-	events := []string{"ask old", "tell old", "leave", "ask new", "tell new"}
+	events := []string{"ask old", "report old", "leave", "ask new", "report new"}
 	n := 0
 	var walk func(done []string)
 	walk = func(done []string) {
@@ -176,27 +176,27 @@
 			for _, e := range done {
 				switch e {
 				case "leave":
-					c.RemoveWorker("cab")
+					c.RemoveWorker("worker")
 					left = true
-				case "tell old":
+				case "report old":
 					c.ApplyReport(qs["ask old"], old, 1)
-				case "tell new":
+				case "report new":
 					c.ApplyReport(qs["ask new"], next, 1)
 				default:
-					qs[e] = c.NextReport("cab", "s")
+					qs[e] = c.NextReport("worker", "s")
 				}
 				if left && holders(c, 1, 1) != "" {
-					t.Fatalf("%v: after %s the old life's part counts", done, e)
+					t.Fatalf("%v: after %s the old incarnation's part counts", done, e)
 				}
 			}
-			if got := holders(c, 2, 1); got != "cab:2 " {
-				t.Fatalf("%v: what the new life holds: %q", done, got)
+			if got := holders(c, 2, 1); got != "worker:2 " {
+				t.Fatalf("%v: what the new incarnation holds: %q", done, got)
 			}
 			return
 		}
 		for _, e := range events {
 			at := func(x string) bool { return slices.Contains(done, x) }
-			if at(e) || e == "tell old" && !at("ask old") || e == "tell new" && !at("ask new") || e == "ask new" && !at("leave") || e == "leave" && !at("ask old") {
+			if at(e) || e == "report old" && !at("ask old") || e == "report new" && !at("ask new") || e == "ask new" && !at("leave") || e == "leave" && !at("ask old") {
 				continue
 			}
 			walk(append(slices.Clone(done), e))
@@ -220,7 +220,7 @@
 	}
 }
 
-// Two holders in different districts hold every key, and a node that leaves takes no
+// Two holders in different zones hold every key, and a node that leaves takes no
 // other node's keys along.
 func TestShardsHaveTwoHoldersInTwoZones(t *testing.T) {
 	var ns []*wire.Node
@@ -260,12 +260,12 @@
 	before := heap()
 	c := New(b, all)
 	for w := range 3 {
-		c.ApplyReport(c.NextReport(fmt.Sprint("cab-", w), "s"), contract.Reports{Incarnation: "i", Whole: true}, 1)
+		c.ApplyReport(c.NextReport(fmt.Sprint("worker-", w), "s"), contract.Reports{Incarnation: "i", Whole: true}, 1)
 	}
 	for i := range b.Entries {
 		k := key(i)
 		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1, Tokens: 900, Service: "s",
-			Presumed: []string{"cab-0", "cab-1", "cab-2"}}}}, time.Duration(i))
+			Presumed: []string{"worker-0", "worker-1", "worker-2"}}}}, time.Duration(i))
 	}
 	mb := heap() - before
 	t.Logf("%d entries with 3 holders: %.1f MB", len(c.entries), mb)
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -143,7 +143,7 @@
 	}
 	changed(c, backend.Events{Full: true}, 5)
 	if q := c.NextEvents("w", "llm"); q.After != 0 || c.Warm() {
-		t.Fatal("a worker that turned the call away told something")
+		t.Fatal("a worker that turned the call away reported something")
 	}
 }
 
--- a/internal/data/promptindex/loads_test.go
+++ b/internal/data/promptindex/loads_test.go
@@ -13,14 +13,14 @@
 	return &wire.Loads{List: list, At: []uint32{at}, Active: []uint32{active}, Unread: []uint32{unread}, Ok: []uint32{ok}, Bad: []uint32{bad}}
 }
 
-// warmLoads has heard words for long enough to tell of them.
+// warmLoads has had reports for long enough to pass them on.
 func warmLoads(now time.Duration) *Loads {
 	l := NewLoads(settings.Default())
 	l.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-l.bounds.Heal(loadRatio))
 	return l
 }
 
-// An index node that has just begun, or wasn't told anything for a while, hasn't heard all yet.
+// An index node that has just started, or had no report for a while, doesn't have all reports yet.
 func TestPartialLoadIsNotReported(t *testing.T) {
 	b := settings.Default()
 	l, now := NewLoads(b), time.Hour
@@ -49,7 +49,7 @@
 	x := l.Others("c", 1, now)
 	if x.Tellers != 3 || x.List != 1 || !slices.Equal(x.At, []uint32{4, 7}) || !slices.Equal(x.Active, []uint32{1, 5}) ||
 		!slices.Equal(x.Unread, []uint32{0, 50}) || !slices.Equal(x.Ok, []uint32{16, 8}) || !slices.Equal(x.Bad, []uint32{0, 8}) {
-		t.Fatalf("told %v", x)
+		t.Fatalf("reported %v", x)
 	}
 }
 
@@ -58,10 +58,10 @@
 	l, now := warmLoads(time.Hour), time.Hour
 	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
 	if x := l.Others("b", 1, now+b.Heal(loadRatio)); x.Tellers != 1 {
-		t.Fatalf("told %v", x)
+		t.Fatalf("reported %v", x)
 	}
 	if x := l.Others("b", 1, now+b.Heal(loadRatio)+1); x.Tellers != 0 || len(x.At) != 0 {
-		t.Fatalf("told %v", x)
+		t.Fatalf("reported %v", x)
 	}
 }
 
@@ -70,7 +70,7 @@
 	l.Record("a", &wire.Loads{List: 1, At: []uint32{1, 2}, Active: []uint32{1}}, now)
 	l.Record("b", nil, now)
 	if x := l.Others("c", 1, now); x.Tellers != 0 {
-		t.Fatalf("told %v", x)
+		t.Fatalf("reported %v", x)
 	}
 }
 
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -10,7 +10,7 @@
 )
 
 // A worker whose first pieces don't come is behind, whatever it last said of its load: others are
-// picked, and what it keeps is fetched from it.
+// selected, and what it keeps is fetched from it.
 func TestAWorkerWhoseFirstPiecesAreLateIsSpared(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
@@ -53,7 +53,7 @@
 	e.now += 40 * time.Millisecond
 	e.begin(r, c, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, e.now)
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
-		t.Errorf("%s is picked, though 30 wait there", h)
+		t.Errorf("%s is selected, though 30 wait there", h)
 	}
 	if x := e.view.groups["llm"].candidates[e.view.groups["llm"].index[h]].stats; x.inFlight != 1 || len(x.unread) != 0 {
 		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.unread))
@@ -99,7 +99,7 @@
 	}
 }
 
-// A copy takes the room of another part: a holder is picked though a little waits there, and the
+// A copy takes the room of another part: a holder is selected though a little waits there, and the
 // part's home isn't there.
 func TestNoCopyIsMadeForAShortWait(t *testing.T) {
 	e := newEdge(fleetOf(18))
--- a/internal/data/selection/health_test.go
+++ b/internal/data/selection/health_test.go
@@ -75,7 +75,7 @@
 		if len(e.sent) != 0 || e.view.groups["llm"].candidates[e.view.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
 			t.Errorf("ending %d leaves an attempt under way", e0)
 		}
-		e.done(r, c, e0, nil, 0, e.now) // told twice
+		e.done(r, c, e0, nil, 0, e.now) // recorded twice
 		if e.view.groups["llm"].candidates[e.view.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
 			t.Errorf("ending %d counts twice", e0)
 		}
@@ -96,6 +96,6 @@
 		e.serve(r, c, first)
 	}
 	if at["w2"]*3 > at["w1"] {
-		t.Errorf("picked: %v", at)
+		t.Errorf("selected: %v", at)
 	}
 }
--- a/internal/data/selection/once_test.go
+++ b/internal/data/selection/once_test.go
@@ -61,8 +61,8 @@
 	m := map[prefix.Key]*wire.Found{}
 	for _, k := range keys {
 		f := &wire.Found{}
-		if k == promptindex.UpKey("depot") {
-			f.Holders = append(f.Holders, &wire.Holding{Worker: "depot", State: promptindex.Presumed})
+		if k == promptindex.UpKey("store") {
+			f.Holders = append(f.Holders, &wire.Holding{Worker: "store", State: promptindex.Presumed})
 		}
 		for id := range h.kept {
 			if h.keeps(id, k, now-h.lag) {
@@ -94,7 +94,7 @@
 	default:
 		from := ""
 		for id := range h.kept {
-			if c.Fetch != "" && (c.Fetch == id+":1" || c.Fetch == "store:1" && id == "depot") {
+			if c.Fetch != "" && (c.Fetch == id+":1" || c.Fetch == "store:1" && id == "store") {
 				from = id
 			}
 		}
@@ -112,7 +112,7 @@
 	}
 	if c.Save != "" {
 		h.saves[k]++
-		h.keep("depot", k, now+first)
+		h.keep("store", k, now+first)
 	}
 	h.at = append(h.at, now+2*first)
 	h.ending = append(h.ending, func() { e.done(r, c, Served, nil, first, now+2*first) })
@@ -168,7 +168,7 @@
 	h.play(4000, 250, 10*time.Millisecond)
 	most := 0
 	for id, m := range h.kept {
-		if id != "depot" {
+		if id != "store" {
 			most = max(most, len(m))
 		}
 	}
@@ -180,7 +180,7 @@
 func BenchmarkSelectOf140(b *testing.B) {
 	e := newEdge(fleetOf(140))
 	for i := range 20 {
-		e.setHolders(fmt.Sprint("p", i), promptindex.Confirmed, fmt.Sprint("w", i), fmt.Sprint("w", 3*i), "depot")
+		e.setHolders(fmt.Sprint("p", i), promptindex.Confirmed, fmt.Sprint("w", i), fmt.Sprint("w", 3*i), "store")
 	}
 	for i := range b.N {
 		r := e.ask(fmt.Sprint("p", i%20), 13000)
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -30,7 +30,7 @@
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, Room: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
 			{Name: "app"},
-			{Name: "depot", Store: &routingconfig.Store{Addr: "store:1", Zone: "d0", LinkMbps: 150000}}}}}
+			{Name: "store", Store: &routingconfig.Store{Addr: "store:1", Zone: "d0", LinkMbps: 150000}}}}}
 	for i := range n {
 		s.Workers = append(s.Workers, fleet.Worker{ID: fmt.Sprint("w", i), Service: "llm", Addr: fmt.Sprintf("w%d:1", i),
 			Zone: fmt.Sprint("d", i%4), Slots: 128, Weights: map[string]uint64{"m": 1}})
@@ -62,12 +62,12 @@
 	}
 	c, ok := e.selectWorker(e.s, r, e.found, m, e.now)
 	if !ok {
-		t.Fatal("nobody was picked")
+		t.Fatal("nobody was selected")
 	}
 	return c
 }
 
-// tell lets the index tell who keeps a part.
+// setHolders sets the index's holders of a part.
 func (e *edge) setHolders(part string, state uint32, holders ...string) {
 	f := &wire.Found{Hotness: 1}
 	for _, h := range holders {
@@ -94,7 +94,7 @@
 	return "w7"
 }
 
-// Several edges that know nothing of each other send a cold part to one worker, from any district.
+// Several edges that know nothing of each other send a cold part to one worker, from any zone.
 func TestAColdPartIsReadAtOnePlace(t *testing.T) {
 	s := fleetOf(18)
 	seen := map[string]bool{}
@@ -175,7 +175,7 @@
 	cases := []struct {
 		holders []string
 		want    string
-	}{{[]string{far, near, "depot"}, near + ":1"}, {[]string{"depot"}, "store:1"}}
+	}{{[]string{far, near, "store"}, near + ":1"}, {[]string{"store"}, "store:1"}}
 	for _, x := range cases {
 		e.setHolders("p", promptindex.Confirmed, x.holders...)
 		tried := map[string]bool{}
@@ -187,11 +187,11 @@
 			t.Errorf("%v: %s fetches from %q, want %s from %q", x.holders, c.Worker.ID, c.Fetch, h, x.want)
 		}
 	}
-	e.found[promptindex.UpKey("depot")] = &wire.Found{}
+	e.found[promptindex.UpKey("store")] = &wire.Found{}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "" || c.Save != "" {
 		t.Errorf("the store is down: fetch %q save %q", c.Fetch, c.Save)
 	}
-	e.found[promptindex.UpKey("depot")] = &wire.Found{Holders: []*wire.Holding{{Worker: "depot"}}}
+	e.found[promptindex.UpKey("store")] = &wire.Found{Holders: []*wire.Holding{{Worker: "store"}}}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "store:1" {
 		t.Errorf("the store is back: fetch %q", c.Fetch)
 	}
@@ -231,7 +231,7 @@
 	if c = e.must(t, e.ask("", 0)); c.Save != "" || c.Fetch != "" {
 		t.Errorf("an own part: save %q fetch %q", c.Save, c.Fetch)
 	}
-	e.setHolders("q", promptindex.Confirmed, "depot")
+	e.setHolders("q", promptindex.Confirmed, "store")
 	if c = e.must(t, e.ask("q", 13000)); c.Save != "" {
 		t.Error("saved though the index knows that the store has it")
 	}
@@ -261,17 +261,17 @@
 	for range 20 {
 		c := e.must(t, e.ask("p", 13000), "w1")
 		if c.Worker.ID == "w0" || c.Worker.ID == "w1" {
-			t.Fatalf("picked %s", c.Worker.ID)
+			t.Fatalf("selected %s", c.Worker.ID)
 		}
 		if c.Fetch != "w0:1" {
 			t.Errorf("a draining worker still gives what it keeps: fetch %q", c.Fetch)
 		}
 	}
 	if _, ok := e.selectWorker(s, e.ask("p", 100), nil, map[string]bool{"w1": true, "w2": true, "w3": true}, e.now); ok {
-		t.Error("picked though all were tried or drain")
+		t.Error("selected though all were tried or drain")
 	}
 	if _, ok := e.selectWorker(s, &Request{ID: "x", Service: "none", Route: route}, nil, nil, e.now); ok {
-		t.Error("picked for a service that isn't there")
+		t.Error("selected for a service that isn't there")
 	}
 }
 
@@ -296,7 +296,7 @@
 		}
 	}
 	if at["d0"] < 4 || at["d1"] == 0 {
-		t.Errorf("by district: %v", at)
+		t.Errorf("by zone: %v", at)
 	}
 }
 
--- a/internal/data/selection/share_test.go
+++ b/internal/data/selection/share_test.go
@@ -33,7 +33,7 @@
 	return r
 }
 
-// share lets every edge tell and hear.
+// share lets every edge machine send and receive.
 func (r *ring) share() {
 	for i, e := range r.edges {
 		e.now = r.now
@@ -57,7 +57,7 @@
 	}
 	c, ok := e.selectWorker(e.s, r, nil, tried, e.now)
 	if !ok {
-		t.Fatal("nobody was picked")
+		t.Fatal("nobody was selected")
 	}
 	e.send(r, c, e.now)
 	return r, c
@@ -85,11 +85,11 @@
 	}
 	r.share()
 	if n := r.selected(300)["w3"]; n > 0 {
-		t.Errorf("picked %d times", n)
+		t.Errorf("selected %d times", n)
 	}
 	r.now += settings.Default().Heal(2) // it comes back in the end
 	if n := r.selected(300)["w3"]; n == 0 {
-		t.Error("never picked again")
+		t.Error("never selected again")
 	}
 }
 
@@ -133,7 +133,7 @@
 	r.now += route.Target + time.Millisecond
 	r.share()
 	if n := r.selected(300)["w3"]; n > 0 {
-		t.Errorf("picked %d times", n)
+		t.Errorf("selected %d times", n)
 	}
 }
 
@@ -144,16 +144,16 @@
 	e.now = r.now
 	q, c := e.bound(t, "w1")
 	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 1000/tokenUnit || w.Active[0] != 1 {
-		t.Fatalf("told %v", w)
+		t.Fatalf("reported %v", w)
 	}
 	e.begin(q, c, nil, time.Millisecond, r.now+time.Millisecond)
 	r.now += time.Minute / 2
 	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 0 || w.Bad[0] != 0 || w.Active[0] != 1 {
-		t.Errorf("told %v", w)
+		t.Errorf("reported %v", w)
 	}
 	e.done(q, c, Served, nil, time.Millisecond, r.now)
 	if w := e.localLoads(r.now); len(w.At) != 1 || w.Active[0] != 0 || w.Ok[0] != eighth {
-		t.Errorf("told %v", w)
+		t.Errorf("reported %v", w)
 	}
 }
 
--- a/internal/data/selection/shed_test.go
+++ b/internal/data/selection/shed_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Where a prompt would wait long at the best worker it isn't sent into the queue: who asks is told
+// Where a prompt would wait long at the best worker it isn't sent into the queue: the client is asked
 // when there may be room. What was sent somewhere before is placed in any case.
 func TestAFullQueueAsksToComeAgain(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	if _, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok {
-		t.Fatal("calm, and nobody is picked")
+		t.Fatal("calm, and nobody is selected")
 	}
 	behind := func(ms float64, n int) {
 		for _, x := range e.layOut(e.s).groups["llm"].candidates[:n] {
@@ -21,12 +21,12 @@
 	long := 4 * route.Target.Seconds() * 1e3
 	behind(long, 17)
 	if c, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok || c.Worker.ID != "w17" {
-		t.Errorf("one worker is free, and %q is picked", c.Worker.ID)
+		t.Errorf("one worker is free, and %q is selected", c.Worker.ID)
 	}
 	behind(long, 18)
 	c, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now)
 	if want := 4 * route.Target; ok || c.RetryAfter < want/2 || c.RetryAfter > 2*want {
-		t.Errorf("picked %v %q, to come again after %v", ok, c.Worker.ID, c.RetryAfter)
+		t.Errorf("selected %v %q, to come again after %v", ok, c.Worker.ID, c.RetryAfter)
 	}
 	if _, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, map[string]bool{"w3": true}, e.now); !ok {
 		t.Error("what was sent to a worker before is dropped")
--- a/internal/data/selection/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -13,13 +13,13 @@
 	s := fleetOf(18)
 	s.Plan.Services = s.Plan.Services[:2]
 	for i := range n {
-		s.Plan.Services = append(s.Plan.Services, routingconfig.Service{Name: fmt.Sprint("depot", i),
+		s.Plan.Services = append(s.Plan.Services, routingconfig.Service{Name: fmt.Sprint("store", i),
 			Store: &routingconfig.Store{Addr: fmt.Sprintf("store%d:1", i), Zone: fmt.Sprint("d", i), LinkMbps: 150000}})
 	}
 	return newEdge(s)
 }
 
-// Where there are several stores, each part belongs into one of them, whatever the district of the
+// Where there are several stores, each part belongs into one of them, whatever the zone of the
 // worker that reads it, and they share the parts.
 func TestStoresShareTheParts(t *testing.T) {
 	n := map[string]int{}
@@ -30,7 +30,7 @@
 			e.n = 100 * d
 			r := e.ask(fmt.Sprint("p", p), 13000)
 			tried := map[string]bool{}
-			for i, w := range e.s.Workers { // only workers of one district are left
+			for i, w := range e.s.Workers { // only workers of one zone are left
 				if i%4 != d {
 					tried[w.ID] = true
 				}
@@ -53,7 +53,7 @@
 	e := storesOf(3)
 	for i := range 3 {
 		part := fmt.Sprint("p", i)
-		e.setHolders(part, promptindex.Confirmed, fmt.Sprint("depot", i))
+		e.setHolders(part, promptindex.Confirmed, fmt.Sprint("store", i))
 		if c := e.must(t, e.ask(part, 13000)); c.Save != "" || c.Fetch != fmt.Sprintf("store%d:1", i) {
 			t.Errorf("part %d: save %q, fetch %q", i, c.Save, c.Fetch)
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// A request that tells nothing of its prompt belongs into no store.
+// A request without prompt parts belongs into no store.
 func TestNoPartsNoStore(t *testing.T) {
 	e := storesOf(2)
 	r := e.ask("", 0)
--- a/internal/data/selection/weights_test.go
+++ b/internal/data/selection/weights_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Older weights are picked until a ratio of their bound; with time all goes to the newest.
+// Older weights are selected until a ratio of their bound; with time all goes to the newest.
 func TestOlderWeightsAreLeftInTime(t *testing.T) {
 	s := fleetOf(9)
 	s.Named["m"], s.NamedAt["m"] = 2, start+time.Minute
@@ -64,23 +64,23 @@
 	}
 	next(0)
 	if _, ok := e.selectWorker(e.s, e.ask("p", 1000), nil, nil, e.now); ok {
-		t.Error("past the bound nobody has the newest, and one was picked")
+		t.Error("past the bound nobody has the newest, and one was selected")
 	}
 	// A process that began later doesn't know how long the bound has run.
 	e = newEdge(s)
 	e.now = start + time.Second
 	s.NamedAt["m"] = start
 	if next(1); old() != 0 {
-		t.Error("a young process picked older weights though the newest are there")
+		t.Error("a young process selected older weights though the newest are there")
 	}
-	// Not in touch yet, it picks by cost alone.
+	// Not in touch yet, it selects by cost alone.
 	e.unboundUntil = start + 2*time.Second
 	if next(1); old() == 0 {
 		t.Error("a process that isn't in touch yet keeps away from older weights")
 	}
 	e.now = e.unboundUntil
 	if next(1); old() != 0 {
-		t.Error("in touch, it picked older weights though the newest are there")
+		t.Error("in touch, it selected older weights though the newest are there")
 	}
 	// The agent counts half of the bound as gone: until the rest is, older ones are better than none.
 	s.NamedAt["m"] = start - e.bounds.Weights(0.5)
@@ -88,7 +88,7 @@
 	for part, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
 		e.now = start + e.bounds.Weights(part)
 		if _, ok := e.selectWorker(e.s, e.ask("p", 1000), nil, nil, e.now); ok != want {
-			t.Errorf("nobody serves what was named before the start, %v of the bound later: picked %v", part, ok)
+			t.Errorf("nobody serves what was named before the start, %v of the bound later: selected %v", part, ok)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	r := e.ask("p", 1000)
 	c := e.must(t, r, "w0", "w1", "w2")
 	if c.Worker.ID != "w3" {
-		t.Fatalf("picked %s", c.Worker.ID)
+		t.Fatalf("selected %s", c.Worker.ID)
 	}
 	e.send(r, c, e.now)
 	e.done(r, c, Loading, nil, 0, e.now)
@@ -169,7 +169,7 @@
 // Memory of one wall is never offered to another, whatever the index and this edge know.
 func TestWallsAreNeverShared(t *testing.T) {
 	e := newEdge(fleetOf(6))
-	e.setHolders("p", promptindex.Confirmed, "w1", "w2", "depot")
+	e.setHolders("p", promptindex.Confirmed, "w1", "w2", "store")
 	a := &routingconfig.Tenant{Name: "a", Isolated: true, Priority: -1}
 	r := e.ask("p", 13000)
 	e.serve(r, e.must(t, r), 10*time.Millisecond)
@@ -186,7 +186,7 @@
 			}
 		}
 	}
-	// Workers that don't tell their version share nothing while versions are named.
+	// Workers that don't report their version share nothing while versions are named.
 	s := fleetOf(3)
 	for i := range s.Workers {
 		s.Workers[i].Weights = nil
--- a/internal/data/updatestream/follower_test.go
+++ b/internal/data/updatestream/follower_test.go
@@ -35,11 +35,11 @@
 		t.Errorf("%+v after %+v", c, b)
 	}
 	if _, err := Read(&wire.FeedTell{Setup: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
-		t.Error("half a setup was read")
+		t.Error("half a configuration was read")
 	}
 }
 
-// follow reads a chain of answers, each a setup epoch, a proof and the weights named.
+// readChain reads a chain of responses, each a configuration version, a proof and the weights named.
 func readChain(t *testing.T, l ...[3]uint64) (s *Snapshot) {
 	for _, x := range l {
 		tell := &wire.FeedTell{View: 1, ProofAt: x[1]}
--- a/internal/fleet/pack_test.go
+++ b/internal/fleet/pack_test.go
@@ -14,7 +14,7 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	var tab Table
 	for i := range 140 {
-		tab.Workers = append(tab.Workers, Worker{ID: fmt.Sprintf("i-%010x", r.Uint64()>>24), Service: "llm", Zone: fmt.Sprint("district-", i%4),
+		tab.Workers = append(tab.Workers, Worker{ID: fmt.Sprintf("i-%010x", r.Uint64()>>24), Service: "llm", Zone: fmt.Sprint("zone-", i%4),
 			Addr: fmt.Sprintf("10.%d.64.%d:8006", i%4, i), Slots: 24, Weights: map[string]uint64{"model": 1}})
 	}
 	body, err := json.Marshal(tab)
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// stage is a world in which every wait comes true, and which counts what is done.
+// fakeEnvironment is an environment in which every wait succeeds, and which counts the actions.
 type fakeEnvironment struct {
 	rows   map[string][]map[string]string
 	done   map[string]int // by token
@@ -44,10 +44,10 @@
 }}
 
 func newStage() *fakeEnvironment {
-	return &fakeEnvironment{done: map[string]int{}, rows: map[string][]map[string]string{"workers": {{"name": "cab-3", "state": "draining"}, {"name": "cab-4", "state": "up"}}}}
+	return &fakeEnvironment{done: map[string]int{}, rows: map[string][]map[string]string{"workers": {{"name": "worker-3", "state": "draining"}, {"name": "worker-4", "state": "up"}}}}
 }
 
-var set = map[string]string{"worker": "cab-3"}
+var set = map[string]string{"worker": "worker-3"}
 
 // The run is interrupted after every line of its record, in turn; going on from the record
 // makes every action, none under two tokens, and asks and waits as if nothing had been.
@@ -76,7 +76,7 @@
 			}
 			continue
 		}
-		if err != nil || from != n/2 || got["worker"] != "cab-3" {
+		if err != nil || from != n/2 || got["worker"] != "worker-3" {
 			t.Fatalf("after %d lines: from %d, %v, %v", n, from, got, err)
 		}
 		if err := Run(book, got, run, from, false, s, write); err != nil {
