--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -28,10 +28,10 @@
 (on a platform site: any core machine, at its third internal port)
 
   desk --node 127.10.1.1:8090 setup get
-  desk setup apply --file setup.json --if-epoch 7      whole configuration, only onto version 7
+  desk setup apply --file config.json --if-epoch 7      whole configuration, only onto version 7
   desk setup patch --file part.json                    partial configuration (null removes)
-  desk setup validate --file setup.json                checked, not applied
-  desk setup diff --file setup.json                    what apply would change
+  desk setup validate --file config.json                checked, not applied
+  desk setup diff --file config.json                    what apply would change
   desk setup render --file site.tmpl.json --set weights=3 --overlay night.json
   desk weights name --model lector --weights 4
   desk keys revoke --tenant hotline --key KEY
--- a/internal/cli/render.go
+++ b/internal/cli/render.go
@@ -19,8 +19,8 @@
 	Origins []serviceconfig.Origin `json:"origins"`
 }
 
-// render fills in a template and applies overlays; it calls no node. Its output can be applied: desk
-// setup render … --json | jq .setup | desk setup apply --file -
+// render fills in a template and applies overlays; it calls no node. Its output, with --json and the
+// field of that name taken out, can be applied.
 func render(_ context.Context, _ *operator.Client, r *request, in io.Reader) (any, error) {
 	raw, err := read(r, in)
 	if err != nil {
--- a/internal/codecheck/house_test.go
+++ b/internal/codecheck/rules_test.go
@@ -1,4 +1,4 @@
-// Package codecheck checks the house rules that a reader can't be trusted to keep in mind.
+// Package codecheck checks the project's rules that a reader can't be trusted to keep in mind.
 package codecheck
 
 import (
@@ -48,7 +48,7 @@
 
 func TestNoFileOver400Lines(t *testing.T) {
 	if !tooLong(bytes.Repeat([]byte("x\n"), 401)) || tooLong(bytes.Repeat([]byte("x\n"), 400)) {
-		t.Fatal("the check itself can't tell 401 lines from 400")
+		t.Fatal("the check itself can't distinguish 401 lines from 400")
 	}
 	for p, b := range files(t) {
 		if tooLong(b) {
@@ -118,8 +118,8 @@
 	return l, nil
 }
 
-// Decisions are made by clock.Clock. The wall clock is asked only by stand-ins, by the
-// desk's records, by a core machine that tells its own, and by the clock for tests.
+// Decisions are made by clock.Clock. The wall clock is asked only by simulators, by the
+// command line's records, by a core machine that reports its own, and by the clock for tests.
 func TestNoDecisionByTheWallClock(t *testing.T) {
 	if l, err := wall("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(l) != 2 {
 		t.Fatalf("the check itself finds %v, %v", l, err)
--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -6,7 +6,6 @@
 	"go/token"
 	"os"
 	"path"
-	"reflect"
 	"regexp"
 	"slices"
 	"strconv"
@@ -18,6 +17,7 @@
 var withdrawn = map[string]string{
 	"downstream": "client", "downstreams": "clients", "district": "zone", "districts": "zones",
 	"colleague": "peer", "colleagues": "peers", "deny": "reject", "denied": "rejected", "denies": "rejects", "denial": "rejection",
+	"archives": "control nodes", "appraisers": "placement controllers", "catalogues": "prompt indexes", "dispatchers": "proxies", "rosters": "cluster memberships",
 	"ledger": "consensus", "shelf": "storage", "archive": "control state", "glimpse": "published view", "council": "membership policy",
 	"regroup": "propose membership", "sounding": "pre-vote", "owner": "leader or holder", "owners": "leaders or holders", "owns": "is leader",
 	"yard": "test bed", "tabletop": "cluster simulation", "desk": "command line", "frontdesk": "operator API", "cab": "worker simulator",
@@ -35,48 +35,63 @@
 // renamed as they are touched; nothing may be added here.
 var toRename = []string{"cli", "control/controlstate", "data/placement"}
 
-// named is one name that a file declares, with the name that a tag on it gives.
-type named struct{ name, tag string }
-
-// declared lists the names of functions, types, fields, methods, constants and variables.
-func declared(file string, src []byte) ([]named, error) {
+// declared lists the names of functions, types, fields, methods, constants and variables that a file
+// declares outside functions; local lists those inside.
+func declared(file string, src []byte) (names, local []string, err error) {
 	f, err := parser.ParseFile(token.NewFileSet(), file, src, 0)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
-	var l []named
-	add := func(tag *ast.BasicLit, names ...*ast.Ident) {
-		for _, n := range names {
-			x := named{name: n.Name}
-			if tag != nil {
-				raw, _ := strconv.Unquote(tag.Value)
-				x.tag, _, _ = strings.Cut(reflect.StructTag(raw).Get("toml")+reflect.StructTag(raw).Get("json"), ",")
-			}
-			l = append(l, x)
+	for _, d := range f.Decls {
+		x, ok := d.(*ast.FuncDecl)
+		if !ok {
+			names = append(names, defined(d)...)
+			continue
 		}
+		names = append(names, x.Name.Name)
+		local = append(local, defined(x)...)
 	}
-	for _, d := range f.Decls {
-		switch x := d.(type) {
-		case *ast.FuncDecl:
-			add(nil, x.Name)
-		case *ast.GenDecl:
-			for _, s := range x.Specs {
-				switch s := s.(type) {
-				case *ast.ValueSpec:
-					add(nil, s.Names...)
-				case *ast.TypeSpec:
-					add(nil, s.Name)
-					ast.Inspect(s.Type, func(n ast.Node) bool {
-						if fl, ok := n.(*ast.Field); ok {
-							add(fl.Tag, fl.Names...)
-						}
-						return true
-					})
-				}
+	return names, local, nil
+}
+
+// defined lists the names that a declaration defines, wherever in it; a function's own name apart.
+func defined(d ast.Node) (names []string) {
+	add := func(l ...*ast.Ident) {
+		for _, n := range l {
+			names = append(names, n.Name)
+		}
+	}
+	ast.Inspect(d, func(n ast.Node) bool {
+		switch x := n.(type) {
+		case *ast.Field:
+			add(x.Names...)
+		case *ast.ValueSpec:
+			add(x.Names...)
+		case *ast.TypeSpec:
+			add(x.Name)
+		case *ast.LabeledStmt:
+			add(x.Label)
+		case *ast.AssignStmt:
+			if x.Tok == token.DEFINE {
+				add(identifiers(x.Lhs...)...)
+			}
+		case *ast.RangeStmt:
+			if x.Tok == token.DEFINE {
+				add(identifiers(x.Key, x.Value)...)
 			}
 		}
+		return true
+	})
+	return names
+}
+
+func identifiers(l ...ast.Expr) (names []*ast.Ident) {
+	for _, e := range l {
+		if n, ok := e.(*ast.Ident); ok {
+			names = append(names, n)
+		}
 	}
-	return l, nil
+	return names
 }
 
 var wordStart = regexp.MustCompile(`[A-Z]+[a-z0-9]*|[a-z][a-z0-9]*`)
@@ -100,29 +115,71 @@
 	return ""
 }
 
-// spoken tells whether a name is the users' platform's own word, which its folder has to speak: a
-// field whose tag is that word.
-func spoken(folder string, n named) bool {
-	return folder == "platform" && n.tag != "" && strings.EqualFold(n.tag, n.name)
-}
-
 func folderOf(file string) string {
 	return strings.TrimPrefix(path.Dir(strings.TrimPrefix(file, "../../")), "internal/")
 }
 
-// withdrawnIn counts the withdrawn words in the names that a file declares.
-func withdrawnIn(names []named) (found []string) {
+// withdrawnIn lists the names that hold a withdrawn word.
+func withdrawnIn(names []string) (found []string) {
 	for _, n := range names {
-		for _, w := range wordStart.FindAllString(n.name, -1) {
-			if withdrawn[strings.ToLower(w)] != "" {
-				found = append(found, n.name)
-				break
-			}
+		if holdsWithdrawn(n) {
+			found = append(found, n)
 		}
 	}
 	return found
 }
 
+func holdsWithdrawn(text string) bool {
+	return slices.ContainsFunc(wordStart.FindAllString(text, -1), func(w string) bool { return withdrawn[strings.ToLower(w)] != "" })
+}
+
+// wireForms are the places where a withdrawn word has to stand in a comment or a string: names that
+// mixed releases, operators' scripts and stored data share.
+var wireForms = regexp.MustCompile(strings.Join([]string{
+	`"(archive|catalogue|appraiser|dispatcher|district|setup|tell|owns|desk|cab|depot|not-owner)"`,             // roles, fields of settings and JSON, states, outcomes, programs
+	`\b(archive|catalogue|appraiser|dispatcher)/`, `\bpebbleloom/cmd/[a-z]+\b`, `\bProgram [a-z]+ (is|runs)\b`, // names of nodes and programs
+	"`(district|setup [a-z]+)", `--district\b`, `\bx\.json: district\b`, `\bsetup_ms\b`, `\\tDISTRICT\\t`, // settings, flags, a column
+	`\bdesk (--[a-z]+|%s|(setup|weights|keys|drain|status|nodes|workers|placement|calendar|retire|runbook|explain|index)\b)`, // commands
+	`\bdesk(: |-")`, `\bsee desk "`, `\bsetup (get|apply|patch|validate|render|diff|fly)\b`,
+	`/v1/setup\b`, `\.setup\b`, `\btestdata/setups\b`, `\bpebbleloom_denied_total\b`,
+	`\b(patch-setup|no-setup|setup-wrong|duties-unheld|duties of the)\b`,                              // kinds of problems, actions, names of facts and runbooks
+	`\b(New)?(Archive|Catalogue|Roster)(PathPrefix|Server|ProtobufClient)\b`, `\b(Get|Change)Setup\b`, // generated from the services on the wire
+}, "|"))
+
+// textsWithWithdrawn lists the comments and strings of a file that hold a withdrawn word. Imports and
+// fields' tags don't count.
+func textsWithWithdrawn(file string, src []byte) (found []string, err error) {
+	fs := token.NewFileSet()
+	f, err := parser.ParseFile(fs, file, src, parser.ParseComments)
+	if err != nil {
+		return nil, err
+	}
+	look := func(at token.Pos, text string) {
+		if holdsWithdrawn(wireForms.ReplaceAllString(text, "")) {
+			found = append(found, fs.Position(at).String()+": "+text)
+		}
+	}
+	for _, g := range f.Comments {
+		for _, c := range g.List {
+			look(c.Pos(), c.Text)
+		}
+	}
+	ast.Inspect(f, func(n ast.Node) bool {
+		switch x := n.(type) {
+		case *ast.ImportSpec:
+			return false
+		case *ast.Field:
+			x.Tag = nil
+		case *ast.BasicLit:
+			if x.Kind == token.STRING {
+				look(x.Pos(), x.Value)
+			}
+		}
+		return true
+	})
+	return found, nil
+}
+
 // remaining reads testdata/withdrawn.txt: for each folder, how many names still hold a withdrawn word.
 func remaining(t *testing.T) map[string]int {
 	t.Helper()
@@ -134,7 +191,7 @@
 	for line := range strings.Lines(string(raw)) {
 		fields := strings.Fields(line)
 		if len(fields) != 2 {
-			continue
+			t.Fatalf("testdata/withdrawn.txt: %q: a folder and how many names are left are needed", line)
 		}
 		n, err := strconv.Atoi(fields[1])
 		if err != nil || n <= 0 {
@@ -146,22 +203,27 @@
 }
 
 // The words of the earlier house style are withdrawn. A folder that is done holds none of them in its
-// names; the others hold exactly as many as testdata/withdrawn.txt says, so none comes back.
+// names, local ones included; the others hold exactly as many as testdata/withdrawn.txt says, so none
+// comes back.
 func TestWithdrawnWordsDoNotComeBack(t *testing.T) {
 	for name, want := range map[string]bool{"colleagueOf": true, "DistrictName": true, "askTold": true, "peer": false, "Client": false, "recab": false, "cabinet": false, "Picked": true} {
-		if got := len(withdrawnIn([]named{{name: name}})) > 0; got != want {
+		if got := len(withdrawnIn([]string{name})) > 0; got != want {
 			t.Fatalf("the check itself says %v about %s", got, name)
 		}
 	}
+	planted := "package x\ntype shelf struct{ cab int }\nvar v = func(owner int) {}\nfunc tell(desk int) (told error) {\n\tlife := 1\n\tfor duty, x := range y { z, heed := 1, 2 }\n\tvar yard int\nroster:\n\tfares = peer\n}\n"
+	if names, local, err := declared("x.go", []byte(planted)); err != nil || len(withdrawnIn(names)) != 4 || len(withdrawnIn(local)) != 7 {
+		t.Fatalf("the check itself finds %v and %v, %v", withdrawnIn(names), withdrawnIn(local), err)
+	}
 	left := remaining(t)
 	found := map[string][]string{}
 	for p, b := range files(t) {
-		names, err := declared(p, b)
+		names, local, err := declared(p, b)
 		if err != nil {
 			t.Fatal(err)
 		}
 		folder := folderOf(p)
-		found[folder] = append(found[folder], withdrawnIn(names)...)
+		found[folder] = append(found[folder], withdrawnIn(append(names, local...))...)
 	}
 	for folder, names := range found {
 		if n := left[folder]; len(names) > n {
@@ -177,6 +239,43 @@
 	}
 }
 
+// textsToDo are the folders whose comments and strings still hold withdrawn words. They are rewritten as
+// they are touched; nothing may be added here, and a new folder starts clean.
+var textsToDo = []string{"capacity", "contract", "control/calendar", "control/consensus", "control/controlclient", "control/controlstate",
+	"control/storage", "data/backend", "data/callerproxy", "data/proxy", "platform", "sim/clustersim", "sim/history",
+	"sim/loadgen", "sim/testbed", "sim/workersim"}
+
+// Comments, logs and messages use the field's terms too, but for what stands on the wire.
+func TestWithdrawnWordsInTexts(t *testing.T) {
+	planted := "package x\n\n// A colleague is told.\n//\n// Example: Start(\"archive\")\nimport \"pebbleloom/internal/sim/yard\"\n\ntype t struct { a int `json:\"district\"` } // a downstream\n\n" +
+		"var a = \"no district answers\"\nvar b = []string{\"district\", \"archive/core-1\", `desk setup get`, \"setup-wrong\", \"a client\", \"the desk is closed\", \"a setup in force\"}\n"
+	if l, err := textsWithWithdrawn("x.go", []byte(planted)); err != nil || len(l) != 5 {
+		t.Fatalf("the check itself finds %d, %v:\n%s", len(l), err, strings.Join(l, "\n"))
+	}
+	left := map[string]int{}
+	for p, b := range files(t) {
+		if strings.HasSuffix(p, "/codecheck/words_test.go") {
+			continue // it has to spell them out
+		}
+		l, err := textsWithWithdrawn(p, b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		folder := folderOf(p)
+		left[folder] += len(l)
+		if !slices.Contains(textsToDo, folder) {
+			for _, x := range l {
+				t.Errorf("%s: a withdrawn word: use the field's term", x)
+			}
+		}
+	}
+	for _, f := range textsToDo {
+		if left[f] == 0 {
+			t.Errorf("%s: nothing is left to rewrite: take it off the list", f)
+		}
+	}
+}
+
 // Standard terms: attempt, route, timer, deadline, version and error are the field's own, and no
 // name hides them behind a word of ours.
 func TestNoNameHidesAStandardTerm(t *testing.T) {
@@ -188,18 +287,18 @@
 	}
 	left := map[string]int{}
 	for p, b := range files(t) {
-		l, err := declared(p, b)
+		l, _, err := declared(p, b)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, n := range l {
-			term := hides(n.name)
+			term := hides(n)
 			if term == "" {
 				continue
 			}
 			left[folderOf(p)]++
 			if !slices.Contains(toRename, folderOf(p)) {
-				t.Errorf("%s: %s hides a standard term: say %s", p, n.name, term)
+				t.Errorf("%s: %s hides a standard term: say %s", p, n, term)
 			}
 		}
 	}
--- a/internal/data/agent/proof_test.go
+++ b/internal/data/agent/proof_test.go
@@ -289,18 +289,18 @@
 
 func (g *group) answer(q asked) {
 	h := g.hosts[q.name]
-	told := plans(h.log[:min(h.commit, len(h.log))])
+	reported := plans(h.log[:min(h.commit, len(h.log))])
 	at, ms := newest(h.log)
 	if ms == nil {
 		return
 	}
-	version := max(q.have, told)
-	tell := &wire.FollowResponse{Member: q.name, NothingNewer: plans(h.log) <= version, Members: ms, MembersIndex: uint64(at), MembersTerm: uint64(h.log[at].term)}
-	if p := g.proof; g.blind && (p.term > tell.MembersTerm || p.term == tell.MembersTerm && p.index > tell.MembersIndex) {
-		tell.Members, tell.MembersTerm, tell.MembersIndex = p.members, p.term, p.index
+	version := max(q.have, reported)
+	response := &wire.FollowResponse{Member: q.name, NothingNewer: plans(h.log) <= version, Members: ms, MembersIndex: uint64(at), MembersTerm: uint64(h.log[at].term)}
+	if p := g.proof; g.blind && (p.term > response.MembersTerm || p.term == response.MembersTerm && p.index > response.MembersIndex) {
+		response.Members, response.MembersTerm, response.MembersIndex = p.members, p.term, p.index
 	}
-	g.have = max(g.have, told)
-	g.proof.AddResponse(tell, version, time.Duration(q.at))
+	g.have = max(g.have, reported)
+	g.proof.AddResponse(response, version, time.Duration(q.at))
 	t := g.proof.At(g.have)
 	if t > 0 {
 		g.proofs++
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -53,9 +53,9 @@
 // twice, and a plan that was received is attested by its sender.
 func TestPlanNeverGoesBack(t *testing.T) {
 	type heard struct {
-		tell *wire.FollowResponse
-		had  uint64
-		at   time.Duration
+		response *wire.FollowResponse
+		had      uint64
+		at       time.Duration
 	}
 	l := []heard{
 		{newFollowResponse(abc[0], true, planDoc(2)), 0, start + 1},
@@ -70,15 +70,15 @@
 		top := uint64(0)
 		proof := time.Duration(0)
 		for _, h := range l {
-			news, err := x.applyResponse(h.tell, h.had, h.at, start+10)
-			told := uint64(0)
-			for _, d := range h.tell.Documents {
-				told = d.Version
+			news, err := x.applyResponse(h.response, h.had, h.at, start+10)
+			reported := uint64(0)
+			for _, d := range h.response.Documents {
+				reported = d.Version
 			}
-			if err != nil || news != (told > top) {
+			if err != nil || news != (reported > top) {
 				t.Fatalf("%v: news %v, %v", l, news, err)
 			}
-			top = max(top, told)
+			top = max(top, reported)
 			if top > 0 && x.snapshot.Plan.Version != top || x.versions[routingconfig.Key] != top || x.snapshot.ProofAt < proof {
 				t.Fatalf("%v: plan %v in use, %d reported, proof %v after %v", l, x.snapshot.Plan, top, x.snapshot.ProofAt, proof)
 			}
--- a/internal/data/placement/default.go
+++ b/internal/data/placement/default.go
@@ -8,7 +8,7 @@
 //go:embed curve.json
 var curveJSON []byte
 
-// Default is the curve fitted offline on the stand-in's data by `yard fit`.
+// Default is the curve fitted offline on the worker simulator's data by the test bed's `fit` command.
 //
 // Example: t := placement.Default().At(4000)
 func Default() Curve {
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/queue"
 )
 
-// Placement is what the appraiser decided for one service.
+// Placement is the placement controller's decision for one service.
 type Placement struct {
 	Epoch      uint64   `json:"-"`
 	Service    string   `json:"service"`
@@ -50,7 +50,7 @@
 	return p, nil
 }
 
-// Hot tells whether every worker shall hold a prefix.
+// Hot reports whether every worker should hold a prefix.
 //
 // Example: p.Hot(e.Key)
 func (p *Placement) Hot(k prefix.Key) bool {
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -217,15 +217,15 @@
 	}
 }
 
-func catalogues(districts ...string) (l []*wire.Node) {
-	for i, d := range districts {
+func indexNodes(zones ...string) (l []*wire.Node) {
+	for i, d := range zones {
 		l = append(l, &wire.Node{Name: fmt.Sprintf("catalogue/core-%d", i), Role: clustermembership.RolePromptIndex, District: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	return l
 }
 
 func TestHalfOfTheIndexNodesServe(t *testing.T) {
-	four := catalogues("a", "a", "b", "b")
+	four := indexNodes("a", "a", "b", "b")
 	l := Serving(append(four, &wire.Node{Name: "edge/1", Role: "edge"}))
 	if len(l) != 2 || l[0].District == l[1].District {
 		t.Fatalf("serving: %v", l)
@@ -240,10 +240,10 @@
 	if len(m) != 2 || m[0] != l[1] && m[1] != l[1] || m[0] == l[0] || m[1] == l[0] {
 		t.Fatal("when one is gone the other stays and a third steps in")
 	}
-	if n := len(Serving(catalogues("a", "a", "a", "a", "b", "b", "b", "b"))); n != 4 {
+	if n := len(Serving(indexNodes("a", "a", "a", "a", "b", "b", "b", "b"))); n != 4 {
 		t.Fatalf("%d of 8 serve", n)
 	}
-	if n := len(Serving(catalogues("a"))); n != 1 {
+	if n := len(Serving(indexNodes("a"))); n != 1 {
 		t.Fatalf("%d of 1 serve", n)
 	}
 }
@@ -329,7 +329,7 @@
 func TestWorkersAreAskedAtASlowPace(t *testing.T) {
 	b := settings.Default()
 	p := &platform{}
-	running(t, p, snapshot(catalogues("a")), func(n *Node) {
+	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
 		pass(10 * b.Heal(pollRatio))
 		for _, a := range []string{"1:1", "1:2", "2:1"} {
 			if p.events[a] < 9 || p.events[a] > 11 {
@@ -346,7 +346,7 @@
 		}
 	})
 	p = &platform{}
-	nodes := catalogues("a", "b", "c")
+	nodes := indexNodes("a", "b", "c")
 	serves := func() bool {
 		return slices.ContainsFunc(Serving(nodes), func(x *wire.Node) bool { return x.Name == "catalogue/core-0" })
 	}
@@ -362,7 +362,7 @@
 func TestWholeListsArePaced(t *testing.T) {
 	b := settings.Default()
 	p := &platform{lost: true}
-	running(t, p, snapshot(catalogues("a")), func(n *Node) {
+	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
 		pass(b.Heal(0.9))
 		if p.lists["1:1"] != 1 || p.lists["1:2"] != 1 || p.lists["2:1"] != 1 {
 			t.Errorf("whole lists: %v", p.lists)
@@ -373,7 +373,7 @@
 func TestStoreThatIsDown(t *testing.T) {
 	b := settings.Default()
 	p := &platform{dead: map[string]bool{"2:1": true}}
-	running(t, p, snapshot(catalogues("a")), func(n *Node) {
+	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
 		up := UpKey("d")
 		stands := func() bool {
 			a, _ := n.Seek(context.Background(), &wire.LookAsk{Keys: [][]byte{up[:]}})
--- a/internal/data/retrybudget/budget.go
+++ b/internal/data/retrybudget/budget.go
@@ -24,7 +24,7 @@
 // Example: b.First(retrybudget.Share(20, machines))
 func (b *Budget) First(allowance float64) { b.tokens = min(allowance, b.tokens+b.share) }
 
-// Extra tells whether one more attempt fits, and spends it if so.
+// Extra reports whether one more attempt fits, and spends it if so.
 //
 // Example: if !b.Extra(retrybudget.Share(20, machines)) { giveUp() }
 func (b *Budget) Extra(allowance float64) bool {
--- a/internal/data/retrybudget/budget_test.go
+++ b/internal/data/retrybudget/budget_test.go
@@ -79,13 +79,13 @@
 // that shrinks as edges come, and restarts in the middle.
 func TestExtraAttemptsInEveryWindow(t *testing.T) {
 	if excess([]bool{false, true, true}, 0.2, 1) <= 0 || excess([]bool{true, false, false, false, false, false, true}, 0.2, 1) > rounding {
-		t.Fatal("the check itself can't tell one extra attempt too many")
+		t.Fatal("the check itself can't distinguish one extra attempt too many")
 	}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		x, most := New(0.2), Share(10, 1+int(seed%12))
 		var log []bool
-		granted, denied := 0, 0
+		granted, rejected := 0, 0
 		for range 40 {
 			firsts, tries := r.IntN(60), r.IntN(60) // a phase of traffic, from none to a burst
 			allowance := most / float64(1+r.IntN(2))
@@ -101,12 +101,12 @@
 					granted++
 					log = append(log, true)
 				} else {
-					denied++
+					rejected++
 				}
 			}
 		}
-		if e := excess(log, 0.2, most); e > 1e-6 || granted < 20 || denied < 20 {
-			t.Fatalf("seed %d: over by %g; granted %d, denied %d", seed, e, granted, denied)
+		if e := excess(log, 0.2, most); e > 1e-6 || granted < 20 || rejected < 20 {
+			t.Fatalf("seed %d: over by %g; granted %d, rejected %d", seed, e, granted, rejected)
 		}
 	}
 }
--- a/internal/data/updatestream/follower_test.go
+++ b/internal/data/updatestream/follower_test.go
@@ -12,9 +12,9 @@
 	return &wire.Document{Version: epoch, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
 }
 
-func mustRead(t *testing.T, tell *wire.FeedTell, old *Snapshot, now time.Duration) *Snapshot {
+func mustRead(t *testing.T, response *wire.FeedTell, old *Snapshot, now time.Duration) *Snapshot {
 	t.Helper()
-	s, err := Read(tell, old, now)
+	s, err := Read(response, old, now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,11 +42,11 @@
 // readChain reads a chain of responses, each a configuration version, a proof and the weights named.
 func readChain(t *testing.T, l ...[3]uint64) (s *Snapshot) {
 	for _, x := range l {
-		tell := &wire.FeedTell{View: 1, ProofAt: x[1]}
+		response := &wire.FeedTell{View: 1, ProofAt: x[1]}
 		if x[0] > 0 {
-			tell.Setup = newDocument(x[0], fmt.Sprint(x[2]))
+			response.Setup = newDocument(x[0], fmt.Sprint(x[2]))
 		}
-		s = mustRead(t, tell, s, time.Duration(x[1]+10))
+		s = mustRead(t, response, s, time.Duration(x[1]+10))
 	}
 	return s
 }
--- a/internal/runbook/book.go
+++ b/internal/runbook/book.go
@@ -25,7 +25,7 @@
 type Step struct {
 	Type    string            `json:"type"`            // check, wait, do, confirm
 	Text    string            `json:"text"`            // for people
-	Of      string            `json:"of,omitempty"`    // check, wait: nodes, workers, parts, problems, setup, moves, retirements
+	Of      string            `json:"of,omitempty"`    // check, wait: one of Views
 	Match   map[string]string `json:"match,omitempty"` // rows whose fields are these; "!x" is: not x; "x*": begins with x
 	AtLeast *int              `json:"at_least,omitempty"`
 	AtMost  *int              `json:"at_most,omitempty"`
