--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	l := life("core-1", bounds(), t)
+	l := newProcess("core-1", bounds(), t)
 	defer l.Stop(time.Second)
 	s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: roll(1, 1),
 		Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", District: "district-0", Addr: t.addr()}}}
--- a/internal/capacity/follow.go
+++ b/internal/capacity/follow.go
@@ -30,7 +30,7 @@
 	}
 	b := bounds()
 	b.LeaveMs = 3000
-	l := life("core-1", b, t)
+	l := newProcess("core-1", b, t)
 	l.Place.Data, l.Place.Site.Control = dir, "127.0.0.1:0"
 	m := &member{t: t, end: func() { l.Stop(time.Second); os.RemoveAll(dir) }}
 	if err := controlstate.StartGroup(l, form{}, func(n *controlstate.Node) http.Handler { m.n = n; return http.NotFoundHandler() }); err != nil {
@@ -109,18 +109,18 @@
 	}); err != nil {
 		return err
 	}
-	if err := told(b, m, "put-nodes", "followers", b.sizes(43, 85, 170, 340), func(n float64) (int, int) { return int(n), 200 }); err != nil {
+	if err := measureDelivery(b, m, "put-nodes", "followers", b.sizes(43, 85, 170, 340), func(n float64) (int, int) { return int(n), 200 }); err != nil {
 		return err
 	}
 	nodes := 85
 	if b.quick {
 		nodes = 4
 	}
-	return told(b, m, "put-size", "routes", b.sizes(100, 200, 400, 800), func(n float64) (int, int) { return nodes, int(n) })
+	return measureDelivery(b, m, "put-size", "routes", b.sizes(100, 200, 400, 800), func(n float64) (int, int) { return nodes, int(n) })
 }
 
-// told measures a plan's way to so many followers of one member.
-func told(b *bench, m *member, name, factor string, sizes []float64, of func(n float64) (nodes, routes int)) error {
+// measureDelivery measures the delivery of a plan to so many followers of one member.
+func measureDelivery(b *bench, m *member, name, factor string, sizes []float64, of func(n float64) (nodes, routes int)) error {
 	return b.vary("follow", factor, sizes, []kind{
 		{name + "-server", "µs", "processor time of a member, from a plan's arrival until all followers were told it"},
 		{name + "-caller", "µs", "processor time of all followers together to receive it, not to read it"},
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -21,18 +21,18 @@
 
 // group measures what a real agent is told of one plan by a real group, by how many members it has.
 func group(b *bench) error {
-	told := float64(len(fleet.Pack(&wire.Document{Key: routingconfig.Key, Body: written(sample(2, 200, 0)), Version: 2}).Body))
+	packed := float64(len(fleet.Pack(&wire.Document{Key: routingconfig.Key, Body: written(sample(2, 200, 0)), Version: 2}).Body))
 	return b.vary("group", "members", []float64{1, 3, 5}, []kind{
 		{"told-bytes", "B", "bytes that a real agent's connections carried for one new plan of 200 routes, until all members of a real group had told what they had to"},
 		{"told-share", "plans", "the same, in plans as they are told, packed"},
 	}, func(n float64) ([]float64, error) {
-		bytes, err := toldBy(b, int(n))
-		return []float64{bytes, bytes / told}, err
+		bytes, err := bytesPerPlan(b, int(n))
+		return []float64{bytes, bytes / packed}, err
 	})
 }
 
-// toldBy is how many bytes one agent is told of a plan by a group of so many.
-func toldBy(b *bench, n int) (float64, error) {
+// bytesPerPlan is how many bytes one agent receives for a plan from a group of so many.
+func bytesPerPlan(b *bench, n int) (float64, error) {
 	dir, err := os.MkdirTemp("", "capacity-")
 	if err != nil {
 		return 0, err
@@ -54,7 +54,7 @@
 	}
 	var first *member
 	for i, t := range taps {
-		l := life(fmt.Sprintf("core-%d", i), limits, t)
+		l := newProcess(fmt.Sprintf("core-%d", i), limits, t)
 		l.Place.Data, l.Place.Seeds = filepath.Join(dir, l.Place.Name), seeds
 		l.Place.Site.Control, l.Place.Site.Tolerate = "127.0.0.1:0", n/2
 		defer l.Stop(time.Second)
@@ -69,7 +69,7 @@
 	if err := first.put(20); err != nil {
 		return 0, err
 	}
-	l := life("edge-1", limits, nil)
+	l := newProcess("edge-1", limits, nil)
 	defer l.Stop(time.Second)
 	l.Place.Seeds, l.Place.Bounds.ConfigMs = seeds, 60000
 	var bytes atomic.Int64
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -39,11 +39,11 @@
 
 // sum is what a hollow process has done since the last line.
 type sum struct {
-	Calls float64 `json:"calls"`
-	Docs  float64 `json:"docs"` // since its start
-	CPU   float64 `json:"cpu_us"`
-	Error string  `json:"error,omitempty"`
-	Told  string  `json:"told,omitempty"` // an address
+	Calls   float64 `json:"calls"`
+	Docs    float64 `json:"docs"` // since its start
+	CPU     float64 `json:"cpu_us"`
+	Error   string  `json:"error,omitempty"`
+	Address string  `json:"told,omitempty"` // an address
 }
 
 // Hollow does what HollowVariable says, until its standard input ends.
@@ -65,12 +65,12 @@
 		return errs.BadInput.Exit
 	}
 	enc := json.NewEncoder(out)
-	told, run, err := begin(ctx, t)
+	packed, run, err := begin(ctx, t)
 	if err != nil {
 		_ = enc.Encode(sum{Error: err.Error()})
 		return errs.Inside.Exit
 	}
-	_ = enc.Encode(sum{Told: told})
+	_ = enc.Encode(sum{Address: packed})
 	at := cpu()
 	for s := bufio.NewScanner(in); s.Scan(); {
 		n, docs, err := run()
@@ -86,10 +86,10 @@
 
 // far is a hollow process as its starter sees it.
 type far struct {
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	out  *json.Decoder
-	told string
+	cmd     *exec.Cmd
+	in      io.WriteCloser
+	out     *json.Decoder
+	address string
 }
 
 func start(t task) (*far, error) {
@@ -120,7 +120,7 @@
 		f.end()
 		return nil, errs.Wrap(err, "hollow "+t.Kind)
 	}
-	f.told = s.Told
+	f.address = s.Address
 	return f, nil
 }
 
@@ -146,7 +146,7 @@
 
 // callers are hollow edges that ask or tell an index node.
 func callers(ctx context.Context, t task) (string, func() (float64, float64, error), error) {
-	l := life("hollow", bounds(), nil)
+	l := newProcess("hollow", bounds(), nil)
 	c := daemon.NewClients(l).PromptIndex(t.Addr)
 	key := func(i int) []byte { k := promptindex.KeyOf(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
 	var number atomic.Uint64
@@ -198,7 +198,7 @@
 		up.Add(1)
 		go func() {
 			first := sync.OnceFunc(up.Done)
-			l := life(fmt.Sprintf("hollow-%d", i), bounds(), nil)
+			l := newProcess(fmt.Sprintf("hollow-%d", i), bounds(), nil)
 			c := daemon.NewClients(l).ControlNode(t.Addr)
 			have := map[string]uint64{}
 			for ctx.Err() == nil {
@@ -206,11 +206,11 @@
 				for _, k := range []string{routingconfig.Key, "workers", "weights", "placement/"} {
 					a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: have[k]})
 				}
-				tell, err := c.Follow(ctx, a)
+				response, err := c.Follow(ctx, a)
 				if err != nil {
 					continue
 				}
-				for _, d := range tell.Documents {
+				for _, d := range response.Documents {
 					have[d.Key] = d.Version
 					docs.Add(1)
 				}
--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -31,7 +31,7 @@
 	c := emptyIndex()
 	per := (parts + workers - 1) / workers
 	for w := range workers {
-		tell(c, w, 1, changes(w*per, max(0, min(per, parts-w*per)), 800), now)
+		applyEvents(c, w, 1, changes(w*per, max(0, min(per, parts-w*per)), 800), now)
 	}
 	return c
 }
@@ -42,7 +42,7 @@
 	return promptindex.New(b, func(prefix.Key) bool { return true })
 }
 
-func tell(c *promptindex.Core, w int, next uint64, l []backend.Change, now time.Duration) {
+func applyEvents(c *promptindex.Core, w int, next uint64, l []backend.Change, now time.Duration) {
 	q := c.NextEvents(fmt.Sprintf("i-%08x", w*40503), serviceName(0))
 	c.ApplyEvents(q, backend.Events{Boot: 7, Next: next, List: l}, now)
 }
@@ -97,7 +97,7 @@
 		was := heap()
 		c := emptyIndex()
 		for w := range int(n) {
-			tell(c, w, 1, changes(0, parts, 800), time.Hour)
+			applyEvents(c, w, 1, changes(0, parts, 800), time.Hour)
 		}
 		memory := (heap() - was) / float64(parts)
 		runtime.KeepAlive(c)
@@ -124,9 +124,9 @@
 		gone := changes(have, int(n)/2, 0)
 		table := b.spend(func() {
 			next++
-			tell(c, 0, next, add, now)
+			applyEvents(c, 0, next, add, now)
 			next++
-			tell(c, 0, next, gone, now)
+			applyEvents(c, 0, next, gone, now)
 		})
 		var s strings.Builder
 		for i, x := range add {
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -64,8 +64,8 @@
 			if to == nil {
 				continue // its machine is gone
 			}
-			if tell := r.carry(to.HandleHeartbeat(r.carry(x.Heartbeat, wired), r.now), wired); tell != nil {
-				c.HandleResponse(x.To, tell, r.now)
+			if response := r.carry(to.HandleHeartbeat(r.carry(x.Heartbeat, wired), r.now), wired); response != nil {
+				c.HandleResponse(x.To, response, r.now)
 			}
 		}
 	}
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -81,8 +81,8 @@
 	}
 	spent := (cpu() - at) / looks
 	body, err := json.Marshal(p)
-	told := fleet.Pack(&wire.Document{Key: fleet.PlacementKey + p.Service, Body: body, Version: 1})
-	return []float64{spent, float64(len(body)), float64(len(told.Body)), float64(changed) / looks}, err
+	packed := fleet.Pack(&wire.Document{Key: fleet.PlacementKey + p.Service, Body: body, Version: 1})
+	return []float64{spent, float64(len(body)), float64(len(packed.Body)), float64(changed) / looks}, err
 }
 
 // rate is how many accesses a service's hot parts get a second: 5,700 requests over 35 models.
--- a/internal/capacity/plans.go
+++ b/internal/capacity/plans.go
@@ -37,10 +37,10 @@
 			}
 			memory := heap() - was
 			doc := &wire.Document{Key: routingconfig.Key, Body: body, Version: 1}
-			told := fleet.Pack(doc)
+			packed := fleet.Pack(doc)
 			pack := b.spend(func() { fleet.Pack(doc) })
 			read := b.spend(func() {
-				if d, err := fleet.Unpack(told); err == nil {
+				if d, err := fleet.Unpack(packed); err == nil {
 					_, _ = form{}.Read(d.Body)
 				}
 			})
@@ -55,7 +55,7 @@
 				}
 			})
 			runtime.KeepAlive(p)
-			return []float64{float64(len(body)), float64(len(told.Body)), pack, read, max(1, memory), look}, nil
+			return []float64{float64(len(body)), float64(len(packed.Body)), pack, read, max(1, memory), look}, nil
 		}); err != nil {
 			return err
 		}
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -38,8 +38,8 @@
 	return l
 }
 
-// life is a program's life in this process; listen, if any, is where its connections are counted.
-func life(name string, b settings.Bounds, tap *tap) *daemon.Process {
+// newProcess makes a program's process runtime in this process; listen, if any, is where its connections are counted.
+func newProcess(name string, b settings.Bounds, tap *tap) *daemon.Process {
 	p := settings.Place{Name: name, Zone: "district-0", Listen: "127.0.0.1:0", Bounds: b, Extra: []string{"log=off"},
 		Site: &settings.Site{First: true, IP: "127.0.0.1", MemoryMB: 4096, Ready: "127.0.0.1:0", BeatMs: 1200, GraceMs: 100, LeaseMs: 3000, AckMs: 60000, TransitMs: 1000}}
 	w := daemon.RealEnvironment(p)
@@ -76,16 +76,16 @@
 			return nil, err
 		}
 		memory := heap() - was
-		told := fleet.Pack(&wire.Document{Key: fleet.WorkersKey, Body: body, Version: 1})
+		packed := fleet.Pack(&wire.Document{Key: fleet.WorkersKey, Body: body, Version: 1})
 		read := b.spend(func() {
 			var x fleet.Table
-			if d, err := fleet.Unpack(told); err == nil {
+			if d, err := fleet.Unpack(packed); err == nil {
 				_ = json.Unmarshal(d.Body, &x)
 			}
 		})
 		took := b.spend(func() { t.Merge(l, true); _, _ = json.Marshal(t.Document()) })
 		runtime.KeepAlive(x)
-		return []float64{float64(len(body)), float64(len(told.Body)), read, took, max(1, memory)}, nil
+		return []float64{float64(len(body)), float64(len(packed.Body)), read, took, max(1, memory)}, nil
 	}); err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 		{"pick-cpu", "µs", "processor time of one choice among so many workers of one service, noted as sent and as ended"},
 		{"pick-table", "µs", "the same where the table of workers has just changed"},
 	}, func(n float64) ([]float64, error) {
-		l := life("edge-1", bounds(), nil)
+		l := newProcess("edge-1", bounds(), nil)
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
 			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.Stream, Timeout: 8 * time.Second, Target: time.Second, Session: true, Attempts: 2, Split: []routingconfig.Share{{Service: serviceName(0), Weight: 1}}}}}
@@ -149,7 +149,7 @@
 		if b.quick {
 			short.HealMs = 240
 		}
-		l := life("core-1", short, nil)
+		l := newProcess("core-1", short, nil)
 		s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: roll(int(n), 1),
 			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", District: "district-0", Addr: "127.0.0.1:1"}}}
 		c := &idle{asked: make(chan struct{}, 1<<16)}
--- a/internal/contract/backend.go
+++ b/internal/contract/backend.go
@@ -111,16 +111,16 @@
 
 // Go is how one go began.
 type Go struct {
-	Body   io.ReadCloser // the stream, when it started
-	Denied *Denial       // the worker's word that it never started
-	Err    error
-	Unsent bool // nothing was sent: proof enough that it never started
+	Body     io.ReadCloser // the stream, when it started
+	Rejected *Rejection    // the worker's word that it never started
+	Err      error
+	Unsent   bool // nothing was sent: proof enough that it never started
 }
 
 // NotRun tells whether it is proved that the go never started.
 //
 // Example: if g.NotRun() { tryElsewhere() }
-func (g Go) NotRun() bool { return g.Unsent || g.Denied != nil && g.Denied.NotRun }
+func (g Go) NotRun() bool { return g.Unsent || g.Rejected != nil && g.Rejected.NotRun }
 
 // Begin starts a go. The hints are the X-Kv- headers.
 //
@@ -149,7 +149,7 @@
 		return Go{Body: r.Body}
 	}
 	defer r.Body.Close()
-	var f Denial
+	var f Rejection
 	raw, err = io.ReadAll(io.LimitReader(r.Body, 4096))
 	if err == nil {
 		err = json.Unmarshal(raw, &f)
@@ -160,7 +160,7 @@
 	if err != nil || !f.NotRun {
 		return Go{Err: errs.New(errs.Inside, "worker answered %d: %.200s", r.StatusCode, raw)}
 	}
-	return Go{Denied: &f, Err: errs.New(errs.NotRun, "worker denied: %s", f.Reason)}
+	return Go{Rejected: &f, Err: errs.New(errs.NotRun, "worker denied: %s", f.Reason)}
 }
 
 // Hints reads the X-Kv-Fetch-From header.
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -74,9 +74,9 @@
 	Build     uint64 `json:"build,omitempty"`
 }
 
-// Denial is a worker's proof that a go never started. One without the request's id proves it only on a
+// Rejection is a worker's proof that a go never started. One without the request's id proves it only on a
 // connection that served no other request: a surplus answer may stand in the slot of the next.
-type Denial struct {
+type Rejection struct {
 	RequestID string `json:"request_id,omitempty"`
 	NotRun    bool   `json:"not_run"`
 	Reason    string `json:"reason"` // weights, draining, full, model, adapter, late, incarnation, bad; of an order: fence, stale, room, busy
@@ -89,7 +89,7 @@
 	Incarnation string   `json:"incarnation"`
 	Service     string   `json:"service"`
 	Model       string   `json:"model"`
-	District    string   `json:"district"`
+	Zone        string   `json:"district"`
 	Weights     uint64   `json:"weights"`
 	Slots       int      `json:"slots"`
 	Busy        int      `json:"busy"`
@@ -168,7 +168,7 @@
 	Addr     string `json:"addr"`
 	Kind     string `json:"kind"` // lm, app, store
 	Service  string `json:"service"`
-	District string `json:"district"`
+	Zone     string `json:"district"`
 	Draining bool   `json:"draining"`
 }
 
@@ -245,10 +245,10 @@
 	return hex.EncodeToString(h[:12])
 }
 
-// Tell answers a call with JSON.
+// WriteJSON answers a call with JSON.
 //
-// Example: contract.Tell(w, 200, state)
-func Tell(w http.ResponseWriter, code int, v any) {
+// Example: contract.WriteJSON(w, 200, state)
+func WriteJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v) // a caller that hung up can't be told anything
--- a/internal/contract/surplus_test.go
+++ b/internal/contract/surplus_test.go
@@ -51,7 +51,7 @@
 }
 
 func denialOf(id string) string {
-	body, _ := json.Marshal(Denial{RequestID: id, NotRun: true, Reason: "full"})
+	body, _ := json.Marshal(Rejection{RequestID: id, NotRun: true, Reason: "full"})
 	return fmt.Sprintf("HTTP/1.1 409 Conflict\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
--- a/internal/control/mutation/point5_test.go
+++ b/internal/control/mutation/point5_test.go
@@ -62,7 +62,7 @@
 		original:    "l.stage, l.nextReport = stageUnknown, now+r.bounds.Leave(reportRatio)",
 		replacement: "l.stage = stageSetAside",
 		pkg:         "internal/control/controllers", run: "TestNoOrderIsGivenTwice"},
-	mutant{point: 5, name: "another request's denial is proof that this one hasn't run",
+	mutant{point: 5, name: "another request's rejection is proof that this one hasn't run",
 		file:        "internal/contract/backend.go",
 		original:    "if f.RequestID != s.RequestID && (f.RequestID != \"\" || reused) {",
 		replacement: "if reused && false {",
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -120,7 +120,7 @@
 		case x.failedAt > x.probedAt:
 			st = updatestream.WorkerUnsure
 		}
-		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, District: x.listed.District,
+		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, District: x.listed.Zone,
 			Incarnation: x.state.Incarnation, State: st, Weights: x.state.Weights, Slots: uint32(x.state.Slots), Busy: uint32(x.state.Busy),
 			Queued: uint32(x.state.Queued), Kind: x.listed.Kind, KvRoom: uint64(x.state.KvRoom),
 			ClockNs: uint64(x.state.ClockUs) * 1000, ClockAt: uint64(x.respondedAt), Loaded: loaded(x.state)})
--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -20,24 +20,24 @@
 	inc := fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
-		contract.Tell(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, Service: l.Place.Option("service", ""), Model: l.Place.Option("model", ""),
-			District: l.Place.Zone, Weights: 1, Slots: cap(slots), Busy: len(slots), ClockUs: l.Clock.Now().Microseconds()})
+		contract.WriteJSON(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, Service: l.Place.Option("service", ""), Model: l.Place.Option("model", ""),
+			Zone: l.Place.Zone, Weights: 1, Slots: cap(slots), Busy: len(slots), ClockUs: l.Clock.Now().Microseconds()})
 	})
 	mux.HandleFunc("POST /v1/start", func(w http.ResponseWriter, r *http.Request) {
 		var s contract.Start
 		if err := json.NewDecoder(io.LimitReader(r.Body, 1<<20)).Decode(&s); err != nil || s.RequestID == "" {
-			contract.Tell(w, 400, contract.Denial{RequestID: s.RequestID, NotRun: true, Reason: "bad"})
+			contract.WriteJSON(w, 400, contract.Rejection{RequestID: s.RequestID, NotRun: true, Reason: "bad"})
 			return
 		}
 		if why := s.Late(inc, l.Clock.Now()); why != "" {
-			contract.Tell(w, 409, contract.Denial{RequestID: s.RequestID, NotRun: true, Reason: why})
+			contract.WriteJSON(w, 409, contract.Rejection{RequestID: s.RequestID, NotRun: true, Reason: why})
 			return
 		}
 		select {
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		default:
-			contract.Tell(w, 409, contract.Denial{RequestID: s.RequestID, NotRun: true, Reason: "full"})
+			contract.WriteJSON(w, 409, contract.Rejection{RequestID: s.RequestID, NotRun: true, Reason: "full"})
 			return
 		}
 		w.Header().Set("Content-Type", "application/x-ndjson")
--- a/internal/sim/platformsim/rank.go
+++ b/internal/sim/platformsim/rank.go
@@ -67,7 +67,7 @@
 	}
 	p.mu.Unlock()
 	sort.Slice(ls, func(i, j int) bool { return ls[i].Name < ls[j].Name })
-	contract.Tell(w, 200, ls)
+	contract.WriteJSON(w, 200, ls)
 }
 
 func (p *platform) set(w http.ResponseWriter, r *http.Request) {
@@ -115,5 +115,5 @@
 func (p *platform) probes(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	contract.Tell(w, 200, p.probe)
+	contract.WriteJSON(w, 200, p.probe)
 }
--- a/internal/sim/storesim/depot.go
+++ b/internal/sim/storesim/depot.go
@@ -27,7 +27,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
 		used, room := kv.Used()
-		contract.Tell(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, District: l.Place.Zone, KvTokens: used, KvRoom: room})
+		contract.WriteJSON(w, 200, contract.State{Name: l.Place.Name, Incarnation: inc, Zone: l.Place.Zone, KvTokens: used, KvRoom: room})
 	})
 	mux.HandleFunc("GET /v1/kept", func(w http.ResponseWriter, r *http.Request) {
 		after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
@@ -36,23 +36,23 @@
 		}
 		rep := kv.Reports(after, r.URL.Query().Get("whole") == "true", l.Clock.Now())
 		rep.Incarnation = inc
-		contract.Tell(w, 200, rep)
+		contract.WriteJSON(w, 200, rep)
 	})
 	mux.HandleFunc("GET /kv/{key}", func(w http.ResponseWriter, r *http.Request) {
 		if n, ok := kv.Has(r.PathValue("key")); ok {
-			contract.Tell(w, 200, contract.Kept{Key: r.PathValue("key"), Tokens: n})
+			contract.WriteJSON(w, 200, contract.Kept{Key: r.PathValue("key"), Tokens: n})
 			return
 		}
-		contract.Tell(w, 404, map[string]string{"error": "not held"})
+		contract.WriteJSON(w, 404, map[string]string{"error": "not held"})
 	})
 	mux.HandleFunc("PUT /kv/{key}", func(w http.ResponseWriter, r *http.Request) {
 		var k contract.Kept
 		if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&k); err != nil || k.Key != r.PathValue("key") || k.Tokens <= 0 {
-			contract.Tell(w, 400, map[string]string{"error": "give k and n"})
+			contract.WriteJSON(w, 400, map[string]string{"error": "give k and n"})
 			return
 		}
 		kv.Keep(k.Key, k.Tokens)
-		contract.Tell(w, 200, k)
+		contract.WriteJSON(w, 200, k)
 	})
 	l.Every(500*time.Millisecond, func() { kv.Turn(false, l.Clock.Now()) })
 	if err := l.Serve(l.Place.Public, mux); err != nil {
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -117,14 +117,14 @@
 	for i := range 18 * times {
 		z := i%4 + 1
 		a, n, d := ip(z, 21+i/4), fmt.Sprintf("cab-%d", i+1), fmt.Sprintf("district-%d", z)
-		s.List = append(s.List, contract.Listed{Name: n, Addr: at(a, 9000), Kind: "lm", Service: lm + "-main", District: d})
+		s.List = append(s.List, contract.Listed{Name: n, Addr: at(a, 9000), Kind: "lm", Service: lm + "-main", Zone: d})
 		s.Cabs[n] = at(a, 9000)
 		add(n, "cab", settings.Place{Name: n, Zone: d, Listen: at(a, 9001), Public: at(a, 9000),
 			Extra: append([]string{"service=" + lm + "-main", "model=" + lm, link, far, fmt.Sprintf("weights=%d", weights),
 				"journal=" + filepath.Join(dir, n+".runs")}, cabWords...)})
 	}
-	s.List = append(s.List, contract.Listed{Name: "app-1", Addr: at(ip(2, 40), 9000), Kind: "app", Service: app + "-main", District: "district-2"},
-		contract.Listed{Name: "depot-1", Addr: at(ip(3, 40), 9000), Kind: "store", District: "district-3"})
+	s.List = append(s.List, contract.Listed{Name: "app-1", Addr: at(ip(2, 40), 9000), Kind: "app", Service: app + "-main", Zone: "district-2"},
+		contract.Listed{Name: "depot-1", Addr: at(ip(3, 40), 9000), Kind: "store", Zone: "district-3"})
 	add("app-1", "appservice", settings.Place{Name: "app-1", Zone: "district-2", Listen: at(ip(2, 40), 9001), Public: at(ip(2, 40), 9000), Extra: []string{"service=" + app + "-main", "model=" + app}})
 	add("depot-1", "depot", settings.Place{Name: "depot-1", Zone: "district-3", Listen: at(ip(3, 40), 9001), Public: at(ip(3, 40), 9000)})
 	add("rank-1", "rank", settings.Place{Name: "rank-1", Zone: "district-1", Listen: at(ip(9, 1), 9101), Public: rank, Extra: []string{"list=" + filepath.Join(dir, "list.json")}})
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -64,7 +64,7 @@
 			r := ask(s)
 			took := time.Since(t0)
 			first.Wait()
-			var d contract.Denial
+			var d contract.Rejection
 			_ = json.Unmarshal(r.Body.Bytes(), &d) // a stream isn't one: its lines are no denial
 			ran := 0
 			for _, y := range c.runs {
--- a/internal/sim/workersim/cab.go
+++ b/internal/sim/workersim/cab.go
@@ -156,15 +156,15 @@
 	defer c.mu.Unlock()
 	used, room := c.kv.Used()
 	return contract.State{Name: c.life.Place.Name, Incarnation: c.inc, Service: c.life.Place.Option("service", ""),
-		Loaded: c.holds(), Loading: c.loading, Room: c.total, Free: c.free(), Model: c.model, District: c.life.Place.Zone, Weights: c.weights, Slots: cap(c.slots),
+		Loaded: c.holds(), Loading: c.loading, Room: c.total, Free: c.free(), Model: c.model, Zone: c.life.Place.Zone, Weights: c.weights, Slots: cap(c.slots),
 		Busy: len(c.slots), Queued: c.waiting, Draining: c.drain, Fence: c.fence, ClockUs: c.life.Clock.Now().Microseconds(), KvTokens: used, KvRoom: room}
 }
 
-func (c *Cab) state(w http.ResponseWriter, _ *http.Request) { contract.Tell(w, 200, c.now()) }
+func (c *Cab) state(w http.ResponseWriter, _ *http.Request) { contract.WriteJSON(w, 200, c.now()) }
 
 func (c *Cab) kept(w http.ResponseWriter, r *http.Request) {
 	if c.mute {
-		contract.Tell(w, 503, map[string]string{"error": "no reports today"})
+		contract.WriteJSON(w, 503, map[string]string{"error": "no reports today"})
 		return
 	}
 	until := c.life.Clock.Now() - c.late
@@ -174,7 +174,7 @@
 	}
 	rep := c.kv.Reports(after, r.URL.Query().Get("whole") == "true", until)
 	rep.Incarnation = c.inc
-	contract.Tell(w, 200, rep)
+	contract.WriteJSON(w, 200, rep)
 }
 
 func (c *Cab) journal(w http.ResponseWriter, _ *http.Request) {
@@ -184,33 +184,33 @@
 		l = append(l, *r)
 	}
 	c.mu.Unlock()
-	contract.Tell(w, 200, l)
+	contract.WriteJSON(w, 200, l)
 }
 
 // order obeys the latest fence alone.
 func (c *Cab) order(w http.ResponseWriter, r *http.Request) {
 	var o contract.Order
 	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&o); err != nil {
-		contract.Tell(w, 400, contract.Denial{NotRun: true, Reason: "bad"})
+		contract.WriteJSON(w, 400, contract.Rejection{NotRun: true, Reason: "bad"})
 		return
 	}
 	c.mu.Lock()
 	if o.Fence < c.fence {
 		f := c.fence
 		c.mu.Unlock()
-		contract.Tell(w, 409, contract.Denial{NotRun: true, Reason: "fence", Fence: f})
+		contract.WriteJSON(w, 409, contract.Rejection{NotRun: true, Reason: "fence", Fence: f})
 		return
 	}
 	c.fence = o.Fence
 	if why := c.stale(&o); why != "" {
 		c.mu.Unlock()
-		contract.Tell(w, 409, contract.Denial{NotRun: true, Reason: why, Fence: o.Fence})
+		contract.WriteJSON(w, 409, contract.Rejection{NotRun: true, Reason: why, Fence: o.Fence})
 		return
 	}
 	_ = c.write(&Run{Weights: o.Weights, AtMs: c.life.Wall().UnixMilli(), Fence: o.Fence, Holder: o.Holder, Kind: o.Kind, Model: o.Model, Adapter: o.Adapter, Build: o.Build}) // logged there; the order is obeyed all the same
 	if why := c.remember(&o); why != "" {
 		c.mu.Unlock()
-		contract.Tell(w, 409, contract.Denial{NotRun: true, Reason: why, Fence: o.Fence})
+		contract.WriteJSON(w, 409, contract.Rejection{NotRun: true, Reason: why, Fence: o.Fence})
 		return
 	}
 	if o.Kind == "weights" && (o.Model == "" || o.Model == c.model) && o.Weights > c.weights && c.lie != "deaf" {
@@ -219,33 +219,33 @@
 		c.life.Log.Info("weights loaded", "weights", o.Weights)
 	}
 	c.mu.Unlock()
-	contract.Tell(w, 200, c.now())
+	contract.WriteJSON(w, 200, c.now())
 }
 
 func (c *Cab) give(w http.ResponseWriter, r *http.Request) {
 	n, ok := c.kv.Has(r.PathValue("key"))
 	if !ok {
-		contract.Tell(w, 404, map[string]string{"error": "not held"})
+		contract.WriteJSON(w, 404, map[string]string{"error": "not held"})
 		return
 	}
-	contract.Tell(w, 200, contract.Kept{Key: r.PathValue("key"), Tokens: n})
+	contract.WriteJSON(w, 200, contract.Kept{Key: r.PathValue("key"), Tokens: n})
 }
 
 func (c *Cab) take(w http.ResponseWriter, r *http.Request) {
 	var k contract.Kept
 	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&k); err != nil || k.Key != r.PathValue("key") || k.Tokens <= 0 {
-		contract.Tell(w, 400, map[string]string{"error": "give k and n"})
+		contract.WriteJSON(w, 400, map[string]string{"error": "give k and n"})
 		return
 	}
 	c.kv.Keep(k.Key, k.Tokens)
-	contract.Tell(w, 200, k)
+	contract.WriteJSON(w, 200, k)
 }
 
 // start is one go, from refusal to seal.
 func (c *Cab) start(w http.ResponseWriter, r *http.Request) {
 	var s contract.Start
 	deny := func(code int, why string) {
-		contract.Tell(w, code, contract.Denial{RequestID: s.RequestID, NotRun: true, Reason: why})
+		contract.WriteJSON(w, code, contract.Rejection{RequestID: s.RequestID, NotRun: true, Reason: why})
 	}
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&s); err != nil || len(s.Parts) == 0 || s.RequestID == "" {
 		deny(400, "bad")
--- a/internal/sim/workersim/cab_test.go
+++ b/internal/sim/workersim/cab_test.go
@@ -63,7 +63,7 @@
 	if err := be.Order(ctx, addr, contract.Order{Fence: 4, Kind: "weights", Weights: 3}); err == nil {
 		t.Error("an order under a lower fence was obeyed")
 	}
-	if g, _ := ask("d", 1, "shared"); !g.NotRun() || g.Denied.Reason != "weights" {
+	if g, _ := ask("d", 1, "shared"); !g.NotRun() || g.Rejected.Reason != "weights" {
 		t.Errorf("a start on older weights: %+v", g)
 	}
 	if _, c := ask("e", 2, "shared"); c.Last == nil || c.Last.Hit != 0 || c.Last.Weights != 2 {
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -35,7 +35,7 @@
 			return r
 		}
 		reason := func(r *httptest.ResponseRecorder) string {
-			var d contract.Denial
+			var d contract.Rejection
 			_ = json.Unmarshal(r.Body.Bytes(), &d) // a stream isn't one
 			return d.Reason
 		}
