--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -1,9 +1,11 @@
 package codecheck
 
 import (
+	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"maps"
 	"os"
 	"path"
 	"regexp"
@@ -308,3 +310,36 @@
 		}
 	}
 }
+
+// statusTable is what docs/status.md has to say of the names that are left.
+func statusTable(counts map[string]int) string {
+	folders := slices.Concat(slices.Collect(maps.Keys(counts)), textsToDo, toRename)
+	slices.Sort(folders)
+	var b strings.Builder
+	for _, f := range slices.Compact(folders) {
+		texts, hides := "clean", "no"
+		if slices.Contains(textsToDo, f) {
+			texts = "yes"
+		}
+		if slices.Contains(toRename, f) {
+			hides = "yes"
+		}
+		fmt.Fprintf(&b, "| `%s` | %d | %s | %s |\n", f, counts[f], texts, hides)
+	}
+	return b.String()
+}
+
+// The page says what is left as the lists say, and the lists are checked above.
+func TestStatusSaysWhatIsLeft(t *testing.T) {
+	raw, err := os.ReadFile("../../docs/status.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, page, _ := strings.Cut(string(raw), "## Names: what is left\n")
+	page, _, _ = strings.Cut(page, "\n## ")
+	_, table, _ := strings.Cut(page, "| --- | --- | --- | --- |\n")
+	table, _, _ = strings.Cut(table, "\n\n")
+	if want := statusTable(remaining(t)); table+"\n" != want {
+		t.Errorf("docs/status.md, names that are left: write\n%s", want)
+	}
+}
