--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -91,14 +91,14 @@
 func (n *Node) Follow(ctx context.Context, a *wire.FollowRequest) (*wire.FollowResponse, error) {
 	p := n.shards[0]
 	if p == nil || p.group == nil {
-		return &wire.FollowResponse{Member: n.life.Place.Name}, nil
+		return &wire.FollowResponse{Member: n.process.Place.Name}, nil
 	}
 	over := p.published.waiting.Add(1) > maxHolds
 	defer p.published.waiting.Add(-1)
 	hold := time.Duration(min(a.HoldNs, uint64(time.Minute)))
 	end := time.NewTimer(hold)
 	defer end.Stop()
-	draining := n.life.Draining
+	draining := n.process.Draining
 	for {
 		g := p.published.current()
 		if t := g.followResponse(a); over || len(t.Documents) > 0 {
@@ -112,7 +112,7 @@
 			over = true
 		case <-draining: // what is held now is answered soon; not at once, or it would come back at once
 			draining = nil
-			end.Reset(min(hold, n.life.Place.Bounds.Heal(groupTick)))
+			end.Reset(min(hold, n.process.Place.Bounds.Heal(groupTick)))
 		}
 	}
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -145,10 +145,10 @@
 // Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
 func StartGroup(l *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
 	s, own := l.Place.Site, l.Place.AdvertisedAddr()
-	n := &Node{life: l, shards: map[uint32]*shard{}, calls: daemon.NewClients(l)}
-	n.roster = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.calls.Membership, nil)
-	n.control = controlclient.NewGroup(l.Place.Seeds, n.roster.View, n.calls, l.Place.Bounds)
-	l.OnSettingsChanged(func(p settings.Place) { n.control.SetSeeds(p.Seeds); n.roster.SetSeeds(p.Seeds) })
+	n := &Node{process: l, shards: map[uint32]*shard{}, calls: daemon.NewClients(l)}
+	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.calls.Membership, nil)
+	n.control = controlclient.NewGroup(l.Place.Seeds, n.membership.View, n.calls, l.Place.Bounds)
+	l.OnSettingsChanged(func(p settings.Place) { n.control.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
 	n.transport = newTransport(l.Ctx, n)
 	tick := l.Place.Bounds.Heal(groupTick)
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
@@ -161,7 +161,7 @@
 	l.Go(func() { p.run(tick) })
 	mux := http.NewServeMux()
 	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(n))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.roster))
+	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.membership))
 	// The door is closed first: what came in by it is finished while peers still get through.
 	for _, x := range []struct {
 		addr string
@@ -175,7 +175,7 @@
 		}
 	}
 	if l.Place.Operator != "" {
-		if err := operatorapi.ServeSite(l, n.control, n.roster.View, n.calls, codec.Read); err != nil {
+		if err := operatorapi.ServeSite(l, n.control, n.membership.View, n.calls, codec.Read); err != nil {
 			return err
 		}
 	}
@@ -190,7 +190,7 @@
 
 // zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
 func (n *Node) zoneOf(addr string) string {
-	for _, x := range n.roster.View().Role("archive") {
+	for _, x := range n.membership.View().Role("archive") {
 		if x.Addr == addr {
 			return x.District
 		}
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -26,12 +26,12 @@
 // leave waits, when the program is to stop, until the group does without this member: its
 // leadership is handed over, a spare has its place if there is one, and the others hold what it holds.
 func (n *Node) leave(ctx context.Context) {
-	ctx, end := context.WithTimeout(ctx, settings.Of(n.life.Place.Site.GraceMs, leavePart))
+	ctx, end := context.WithTimeout(ctx, settings.Of(n.process.Place.Site.GraceMs, leavePart))
 	defer end()
 	for ctx.Err() == nil && !n.mayStop(ctx) {
-		clock.Pause(ctx, n.life.Place.Bounds.Heal(groupTick/2))
+		clock.Pause(ctx, n.process.Place.Bounds.Heal(groupTick/2))
 	}
-	n.roster.Leave()
+	n.membership.Leave()
 }
 
 // mayStop does what there is to do before this member stops, and reports whether that was all.
@@ -41,7 +41,7 @@
 	if at.done || at.isLeader || at.leader == "" {
 		return at.done
 	}
-	ctx, end := context.WithTimeout(ctx, n.life.Place.Bounds.Heal(joinTimeoutPart))
+	ctx, end := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutPart))
 	defer end()
 	t, err := n.calls.ControlNode(controlclient.Addr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
 	return err == nil && t.Outcome == wire.OutcomeDone
@@ -91,9 +91,9 @@
 
 // joinLoop has this node taken in, and keeps it known while it isn't a member.
 func (n *Node) joinLoop() {
-	b, turn := n.life.Place.Bounds, 0
-	for p := n.shards[0]; n.life.Ctx.Err() == nil; clock.Pause(n.life.Ctx, b.Heal(joinPart)) {
-		ctx, end := context.WithTimeout(n.life.Ctx, b.Heal(1.0/24))
+	b, turn := n.process.Place.Bounds, 0
+	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Pause(n.process.Ctx, b.Heal(joinPart)) {
+		ctx, end := context.WithTimeout(n.process.Ctx, b.Heal(1.0/24))
 		alone := query(ctx, p, false, p.needsToJoin)
 		end()
 		if g := p.published.current(); alone {
@@ -129,8 +129,8 @@
 	for i := 0; i < 2 && len(all) > 0; i++ {
 		addr := all[(turn+i)%len(all)]
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
-			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(joinTimeoutPart))
-			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.life.Place.Zone})
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutPart))
+			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
 			end()
 			if err != nil {
 				break
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -11,7 +11,7 @@
 func (n *Node) meters() {
 	sum := func(f func(*wire.ShardStatus) float64) func() float64 {
 		return func() (v float64) {
-			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(1.0/24))
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
 			defer end()
 			t, err := n.Stand(ctx, &wire.StatusRequest{})
 			if err != nil {
@@ -29,7 +29,7 @@
 		}
 		return 0
 	}
-	m := n.life.Meter
+	m := n.process.Meter
 	m.Gauge("pebbleloom_parts_owned", "shards that this node leads", sum(func(p *wire.ShardStatus) float64 { return is(p.IsLeader) }))
 	m.Gauge("pebbleloom_parts_out", "shards whose member here is out, blank or stuck", sum(func(p *wire.ShardStatus) float64 {
 		return is(p.Failure != "" || p.Blank || p.Stuck != "")
@@ -41,7 +41,7 @@
 
 // groupMeters shows the status of this member in a group whose membership is agreed data.
 func (n *Node) groupMeters(p *shard) {
-	m := n.life.Meter
+	m := n.process.Meter
 	m.Gauge("pebbleloom_group_members", "members of the newest membership that this one knows", func() float64 { return float64(len(p.published.current().members)) })
 	m.Gauge("pebbleloom_group_votes", "1 while this one is a member and its disk is well", func() float64 {
 		if p.published.current().votes {
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -25,10 +25,10 @@
 
 // Node is a control node: its shards, and the messages between it and its peers.
 type Node struct {
-	life        *daemon.Process
+	process     *daemon.Process
 	shards      map[uint32]*shard
 	out         map[string]*queue.Ring[*wire.Message]
-	roster      *clustermembership.Member
+	membership  *clustermembership.Member
 	calls       *daemon.Clients
 	core        []string
 	incarnation string
@@ -40,13 +40,13 @@
 //
 // Example: daemon.Main("archive", "control node", need, controlstate.Start)
 func Start(l *daemon.Process) error {
-	n := &Node{life: l, shards: map[uint32]*shard{}, out: map[string]*queue.Ring[*wire.Message]{}, calls: daemon.NewClients(l)}
+	n := &Node{process: l, shards: map[uint32]*shard{}, out: map[string]*queue.Ring[*wire.Message]{}, calls: daemon.NewClients(l)}
 	clk := l.Clock
 	core := append([]string(nil), l.Place.Core...)
 	sort.Strings(core)
 	fresh := func() string { return fmt.Sprintf("%s/%016x", l.Place.Name, l.Seed()) }
 	n.core, n.incarnation = core, fresh()
-	n.roster = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.calls.Membership, nil)
+	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.calls.Membership, nil)
 	for _, m := range core {
 		if m != l.Place.Name {
 			r := queue.NewRing[*wire.Message](1024)
@@ -74,12 +74,12 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(n))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.roster))
+	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.membership))
 	if err := l.Serve(l.Place.Listen, mux); err != nil {
 		return err
 	}
-	ctl := controlclient.New(core, func() clustermembership.View { return n.roster.View() }, n.calls, l.Place.Bounds)
-	if err := operatorapi.Serve(l, ctl, func() clustermembership.View { return n.roster.View() }, n.calls); err != nil {
+	ctl := controlclient.New(core, func() clustermembership.View { return n.membership.View() }, n.calls, l.Place.Bounds)
+	if err := operatorapi.Serve(l, ctl, func() clustermembership.View { return n.membership.View() }, n.calls); err != nil {
 		return err
 	}
 	l.Go(func() {
@@ -97,12 +97,12 @@
 
 // followSeeds takes the seeds that the configuration in force names.
 func (n *Node) followSeeds(ctl *controlclient.Client) {
-	t, err := ctl.Read(n.life.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
 	if err != nil || len(t.Documents) == 0 {
 		return // the seeds that are known stay
 	}
 	if s, err := serviceconfig.Read(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
-		n.roster.SetSeeds(s.Seeds)
+		n.membership.SetSeeds(s.Seeds)
 	}
 }
 
@@ -135,19 +135,19 @@
 func (n *Node) deliver(to string, r *queue.Ring[*wire.Message]) {
 	for {
 		select {
-		case <-n.life.Ctx.Done():
+		case <-n.process.Ctx.Done():
 			return
 		case l := <-r.Out():
 			ls := append([]*wire.Message{l}, r.Drain(127)...)
-			addr, ok := n.roster.View().Addr("archive/" + to)
+			addr, ok := n.membership.View().Addr("archive/" + to)
 			if !ok {
 				continue
 			}
-			ctx, end := context.WithTimeout(n.life.Ctx, n.life.Place.Bounds.Heal(1.0/24))
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
 			_, err := n.calls.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
 			end()
 			if err != nil {
-				n.life.Log.Debug("messages lost", "to", to, "messages", len(ls), "error", err)
+				n.process.Log.Debug("messages lost", "to", to, "messages", len(ls), "error", err)
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 
 // serveContext bounds the work on a request whose body has a size.
 func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.life.Place.Bounds.Heal(servePart*(1+float64(size)/waitBytes)))
+	return context.WithTimeout(ctx, n.process.Place.Bounds.Heal(servePart*(1+float64(size)/waitBytes)))
 }
 
 // Change carries out a change where this node leads the shard; elsewhere it names the leader.
@@ -212,7 +212,7 @@
 //
 // Example: response, err := n.Time(ctx, &wire.TimeRequest{})
 func (n *Node) Time(context.Context, *wire.TimeRequest) (*wire.TimeResponse, error) {
-	return &wire.TimeResponse{WallNs: n.life.Wall().UnixNano()}, nil
+	return &wire.TimeResponse{WallNs: n.process.Wall().UnixNano()}, nil
 }
 
 // Stand gives the status of this node's member in each of its shards.
@@ -223,15 +223,15 @@
 	for i := range uint32(controlclient.Shards) {
 		p := n.shards[i]
 		if p == nil {
-			if contains(controlclient.Members(i, n.core), n.life.Place.Name) {
-				t.Shards = append(t.Shards, &wire.ShardStatus{Shard: i, Member: n.life.Place.Name, Failure: "its folder can't be read: see the log at the start"})
+			if contains(controlclient.Members(i, n.core), n.process.Place.Name) {
+				t.Shards = append(t.Shards, &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its folder can't be read: see the log at the start"})
 			}
 			continue
 		}
-		x := &wire.ShardStatus{Shard: i, Member: n.life.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
+		x := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		t.Shards = append(t.Shards, query(ctx, p, x, func() *wire.ShardStatus {
 			s := p.core.Status()
-			y := &wire.ShardStatus{Shard: i, Member: n.life.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.Stuck, Applied: s.Applied,
+			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.Stuck, Applied: s.Applied,
 				Last: s.Last, Term: s.Term, StateBytes: uint64(p.state.bytes), LogBytes: uint64(p.store.Size())}
 			if p.failure != nil {
 				y.Failure = errs.Text(p.failure)
@@ -248,7 +248,7 @@
 func (n *Node) News(ctx context.Context, a *wire.WatchRequest) (*wire.WatchResponse, error) {
 	if p := n.shards[a.Shard]; p != nil {
 		a.HoldNs = min(a.HoldNs, uint64(time.Minute))
-		return p.watch(ctx, a, n.life.Place.Name), nil
+		return p.watch(ctx, a, n.process.Place.Name), nil
 	}
-	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.life.Place.Name}, nil
+	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Place.Name}, nil
 }
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -26,7 +26,7 @@
 
 // wait is how long a request with a body is worked on: then the operator asks elsewhere.
 func (n *Node) wait(size int) time.Duration {
-	return settings.Of(n.life.Place.Site.AckMs, waitPart*(1+float64(size)/waitBytes))
+	return settings.Of(n.process.Place.Site.AckMs, waitPart*(1+float64(size)/waitBytes))
 }
 
 // PutPlan lays a whole plan, or named items of one (part), over the version base. It returns
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -102,13 +102,13 @@
 
 // timeFor is how long a message of so many bytes may take.
 func (d *delivery) timeFor(size int) time.Duration {
-	return d.node.life.Place.Bounds.Heal(sendTimePart + megabytePart*float64(size)/(1<<20))
+	return d.node.process.Place.Bounds.Heal(sendTimePart + megabytePart*float64(size)/(1<<20))
 }
 
 func (d *delivery) post(ctx context.Context, messages []*wire.Message) error {
 	_, err := d.node.calls.ControlNode(d.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 	if err != nil {
-		d.node.life.Log.Debug("messages lost", "to", d.to, "messages", len(messages), "error", err)
+		d.node.process.Log.Debug("messages lost", "to", d.to, "messages", len(messages), "error", err)
 	}
 	return err
 }
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -74,7 +74,7 @@
 		server := &http.Server{Handler: wire.NewArchiveServer(member)}
 		go server.Serve(door)
 		s, _ := newTestMember(t)
-		n := &Node{life: l, shards: map[uint32]*shard{0: s}, calls: daemon.NewClients(l)}
+		n := &Node{process: l, shards: map[uint32]*shard{0: s}, calls: daemon.NewClients(l)}
 		f(newTransport(l.Ctx, n), s, member, g)
 		l.Stop(time.Second)
 		server.Close()
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -49,13 +49,13 @@
 
 func fresh() *table { return newTable(settings.Default(), &numbers{}, start) }
 
-// In every order in which members tell plans, the one in use never goes back, nothing is read
-// twice, and a plan that was told is vouched for by its teller.
+// In every order in which members report plans, the one in use never goes back, nothing is read
+// twice, and a plan that was received is attested by its sender.
 func TestPlanNeverGoesBack(t *testing.T) {
 	type heard struct {
-		tell *wire.FollowResponse
-		had  uint64
-		at   time.Duration
+		response *wire.FollowResponse
+		had      uint64
+		at       time.Duration
 	}
 	l := []heard{
 		{newFollowResponse(abc[0], true, planDoc(2)), 0, start + 1},
@@ -70,17 +70,17 @@
 		top := uint64(0)
 		proof := time.Duration(0)
 		for _, h := range l {
-			news, err := x.applyResponse(h.tell, h.had, h.at, start+10)
-			told := uint64(0)
-			for _, d := range h.tell.Documents {
-				told = d.Version
+			news, err := x.applyResponse(h.response, h.had, h.at, start+10)
+			reported := uint64(0)
+			for _, d := range h.response.Documents {
+				reported = d.Version
 			}
-			if err != nil || news != (told > top) {
+			if err != nil || news != (reported > top) {
 				t.Fatalf("%v: news %v, %v", l, news, err)
 			}
-			top = max(top, told)
+			top = max(top, reported)
 			if top > 0 && x.snapshot.Plan.Version != top || x.versions[routingconfig.Key] != top || x.snapshot.ProofAt < proof {
-				t.Fatalf("%v: plan %v in use, %d told, proof %v after %v", l, x.snapshot.Plan, top, x.snapshot.ProofAt, proof)
+				t.Fatalf("%v: plan %v in use, %d reported, proof %v after %v", l, x.snapshot.Plan, top, x.snapshot.ProofAt, proof)
 			}
 			proof = x.snapshot.ProofAt
 		}
@@ -178,9 +178,9 @@
 }
 
 func nodes(edges int, gone int) (v clustermembership.View) {
-	v.Nodes = append(v.Nodes, &wire.Node{Name: "archive/c", Role: "archive"})
+	v.Nodes = append(v.Nodes, &wire.Node{Name: "archive/c", Role: clustermembership.RoleControlNode})
 	for i := range edges {
-		n := &wire.Node{Name: "runner/" + strconv.Itoa(i), Role: "runner"}
+		n := &wire.Node{Name: clustermembership.RoleNodeAgent + "/" + strconv.Itoa(i), Role: clustermembership.RoleNodeAgent}
 		if i < gone {
 			n.State = clustermembership.Gone
 		}
@@ -191,7 +191,7 @@
 
 func TestEdgesAreCountedWithThoseLatelyGone(t *testing.T) {
 	x := fresh()
-	x.applyView(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: "runner"}}}, start+x.bounds.Leave(1))
+	x.applyView(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: clustermembership.RoleNodeAgent}}}, start+x.bounds.Leave(1))
 	if x.snapshot.Edges != assumedEdges {
 		t.Fatalf("alone: %d edges", x.snapshot.Edges)
 	}
--- a/internal/sim/testbed/settle.go
+++ b/internal/sim/testbed/settle.go
@@ -104,7 +104,7 @@
 			allowed = allowed || k == o.Denied
 		}
 		if !allowed || strings.HasPrefix(o.Denied, "untyped") {
-			p.fault("%s: denied as %s", o.Request.ID, o.Denied)
+			p.fault("%s: rejected as %s", o.Request.ID, o.Denied)
 		}
 	}
 	p.rep.Hits = [3]float64{before.share(), during.share(), after.share()}
@@ -139,7 +139,7 @@
 		}
 	}
 	bound := int64(p.f.Site.Processes[0].Place.Bounds.KeyMs)
-	late, denied := 0, 0
+	late, rejected := 0, 0
 	for _, o := range book.All() {
 		at, gone := p.revoked[o.Request.Key]
 		if !gone || o.SentMs < at+bound {
@@ -149,10 +149,10 @@
 			late++
 			p.fault("%s: a key revoked %d ms before was let in", o.Request.ID, o.SentMs-at)
 		} else if o.Denied == "bad-key" {
-			denied++
+			rejected++
 		}
 	}
-	if len(p.revoked) > 0 && late == 0 && denied == 0 {
+	if len(p.revoked) > 0 && late == 0 && rejected == 0 {
 		p.fault("no request came with the revoked key: the check saw nothing")
 	}
 }
