--- /dev/null
+++ b/internal/control/consensus/contact_test.go
@@ -0,0 +1,101 @@
+package consensus
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"pebbleloom/internal/wire"
+)
+
+// deafLeader is the leader of a group of three that has just been elected by b.
+func deafLeader(t *testing.T) *Core {
+	t.Helper()
+	members := []string{"a/0", "b/0", "c/0"}
+	cfg := Config{Self: "a/0", Group: true, HeartbeatTicks: 3, ElectionTicks: 9, MaxBatchBytes: 1 << 20, Rand: rand.New(rand.NewPCG(1, 1))}
+	c := New(cfg, FoundingSnapshot("a/0", members), nil)
+	c.campaign(candidate)
+	c.Step(&wire.Message{To: "a/0", From: "b/0", Incarnation: "b/0", DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: true, Term: 1, About: "a/0"})
+	c.Ready()
+	if !c.Status().IsLeader {
+		t.Fatal("a isn't the leader")
+	}
+	return c
+}
+
+// requestTo runs the leader's clock until it sends a peer a request, and returns that.
+func requestTo(t *testing.T, c *Core, peer string) *wire.Message {
+	t.Helper()
+	for range c.cfg.HeartbeatTicks {
+		c.Tick()
+		for _, m := range c.Ready().Messages {
+			if m.To == peer && m.Kind == wire.MessageKind_APPEND_REQUEST {
+				return m
+			}
+		}
+	}
+	t.Fatalf("no request to %s", peer)
+	return nil
+}
+
+func responseTo(request *wire.Message) *wire.Message {
+	return &wire.Message{To: request.From, From: request.To, Incarnation: request.To, DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_APPEND_RESPONSE,
+		Ok: true, Term: request.Term, Index: request.Index, About: request.Incarnation, SentTick: request.SentTick, AcceptsPieces: true}
+}
+
+func sinceHeard(t *testing.T, c *Core, peer string) int {
+	t.Helper()
+	for _, p := range c.PeerStatuses() {
+		if p.Name == peer {
+			return p.SinceHeard
+		}
+	}
+	t.Fatalf("no status of %s", peer)
+	return 0
+}
+
+// A response that comes late says that its peer was there when the request was sent, and no more: the
+// peer counts as old as that, and the leader stops leading as if nothing had come since.
+func TestALateResponseIsAsOldAsItsRequest(t *testing.T) {
+	for late := range 18 {
+		c := deafLeader(t)
+		request := requestTo(t, c, "c/0")
+		sent := c.ticks
+		for range late {
+			c.Tick()
+			c.Ready()
+		}
+		if !c.Status().IsLeader {
+			continue // nobody was heard for too long
+		}
+		c.Step(responseTo(request))
+		if got := sinceHeard(t, c, "c/0"); got != late {
+			t.Errorf("a response %d ticks after its request: the peer counts as heard %d ticks ago", late, got)
+		}
+		for c.Status().IsLeader && c.ticks < 100 {
+			c.Tick()
+			c.Ready()
+		}
+		if kept := c.ticks - sent; kept > 2*c.cfg.ElectionTicks {
+			t.Errorf("a response %d ticks late: the leader stayed for %d ticks after that request, at most %d may be", late, kept, 2*c.cfg.ElectionTicks)
+		}
+	}
+}
+
+// A release that doesn't give the tick back counts as heard when its response comes, and one that is
+// from the future, as no honest peer's is, too.
+func TestAResponseWithoutATickCountsAsNew(t *testing.T) {
+	for _, tick := range []uint64{0, 1 << 40} {
+		c := deafLeader(t)
+		request := requestTo(t, c, "c/0")
+		for range 5 {
+			c.Tick()
+			c.Ready()
+		}
+		response := responseTo(request)
+		response.SentTick = tick
+		c.Step(response)
+		if got := sinceHeard(t, c, "c/0"); got != 0 {
+			t.Errorf("tick %d: heard %d ticks ago", tick, got)
+		}
+	}
+}
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -160,8 +160,9 @@
 	if c.role == leader {
 		for _, p := range c.peers {
 			p.sinceHeard++
+			p.contactAge++
 		}
-		if !c.hasQuorum(func(m string) bool { return c.peers[m].sinceHeard < 2*c.cfg.ElectionTicks }) {
+		if !c.hasQuorum(func(m string) bool { return c.peers[m].contactAge < 2*c.cfg.ElectionTicks }) {
 			c.becomeFollower(c.hardState.Term, "")
 			return
 		}
--- a/internal/control/consensus/incarnations.go
+++ b/internal/control/consensus/incarnations.go
@@ -51,7 +51,7 @@
 		c.recordIncarnation(l.From, l.Incarnation, l.Generation)
 		if c.role == leader {
 			p := c.peers[l.From]
-			*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, sinceHeard: p.sinceHeard}
+			*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, sinceHeard: p.sinceHeard, contactAge: p.contactAge}
 		}
 		k = c.knownIncarnation(l.From)
 	}
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -118,6 +118,7 @@
 	p := c.newProgress(m)
 	if c.cfg.Group && !c.votes[m] {
 		p.sinceHeard = min(c.ticks-c.leaderHeardAt, c.cfg.ElectionTicks)
+		p.contactAge = p.sinceHeard
 	}
 	return p
 }
@@ -228,7 +229,7 @@
 type PeerStatus struct {
 	Name       string
 	IsVoter    bool
-	SinceHeard int  // ticks since it spoke
+	SinceHeard int  // ticks since the newest request was sent that it has responded to
 	Answered   bool // it has spoken to this leader at all
 	CaughtUp   bool // it holds all that is committed, but for what fits into one message
 }
@@ -241,7 +242,7 @@
 		return nil
 	}
 	for m, p := range c.peers {
-		l = append(l, PeerStatus{m, c.IsVoter(m), p.sinceHeard, p.responded, c.nearCommit(p.match)})
+		l = append(l, PeerStatus{m, c.IsVoter(m), p.contactAge, p.responded, c.nearCommit(p.match)})
 	}
 	slices.SortFunc(l, func(a, b PeerStatus) int {
 		if a.Name < b.Name {
@@ -286,7 +287,7 @@
 			continue
 		}
 		p := c.peers[m]
-		if p == nil || p.sinceHeard >= within {
+		if p == nil || p.contactAge >= within {
 			continue
 		}
 		if p.match < c.commit {
--- a/internal/control/consensus/messages.go
+++ b/internal/control/consensus/messages.go
@@ -98,7 +98,7 @@
 
 // respondToAppend answers a leader: ok says that this member holds the log up to index as it does.
 func (c *Core) respondToAppend(l *wire.Message, ok bool, index, probe uint64) {
-	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, About: l.Incarnation, AcceptsPieces: true})
+	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, About: l.Incarnation, AcceptsPieces: true, SentTick: l.SentTick})
 }
 
 func (c *Core) handleAppend(l *wire.Message) {
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -90,7 +90,7 @@
 	c.electionElapsed, c.electionTimeout = 0, c.cfg.ElectionTicks
 	c.heartbeatElapsed, c.learnerRounds = 0, 0
 	for _, p := range c.peers {
-		p.sinceHeard, p.snapshotSentAt, p.bulkUntil = 0, 0, 0
+		p.sinceHeard, p.contactAge, p.snapshotSentAt, p.bulkUntil = 0, 0, 0, 0
 		if p.transfer == nil {
 			p.inFlight = false // it only keeps a leader from sending what it may send at the next heartbeat
 			continue
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -8,6 +8,7 @@
 	incarnation    string // the incarnation that match was acknowledged by
 	probe          uint64 // highest probe it has echoed
 	sinceHeard     int    // ticks since it responded
+	contactAge     int    // ticks since the newest request was sent that it has responded to
 	responded      bool   // it has responded in this term
 	inFlight       bool
 	bulkUntil      int  // tick up to which a large batch in flight isn't sent again
@@ -66,7 +67,7 @@
 }
 
 func (c *Core) sendAppend(m string, prev, prevTerm uint64, entries []*wire.Entry) {
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.probe})
+	c.send(&wire.Message{To: m, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.probe, SentTick: c.sentTick()})
 }
 
 // batchFor returns the entries to send from an index on, one at least if there is one, and their size.
@@ -135,7 +136,7 @@
 	case p.snapshotSentAt > 0 && c.ticks-p.snapshotSentAt < c.cfg.ElectionTicks/2: // it is on its way
 	default:
 		p.snapshotSentAt, p.inFlight = c.ticks, true
-		c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.probe})
+		c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.probe, SentTick: c.sentTick()})
 	}
 }
 
@@ -149,7 +150,7 @@
 		return nil // removed, or a learner that isn't known any more: it asks again
 	}
 	if p.incarnation != l.Incarnation { // another disk: what the old one had acknowledged counts no more
-		*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, responded: true, acceptsPieces: l.AcceptsPieces}
+		*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, contactAge: c.ageOf(l), responded: true, acceptsPieces: l.AcceptsPieces}
 		c.replicate(l.From, true)
 		return nil
 	}
@@ -159,7 +160,7 @@
 	if p.sinceHeard >= max(c.silentAfter(l.From), c.cfg.ElectionTicks) {
 		p.bulkLosses = 0 // they were the peer's, not the link's
 	}
-	p.sinceHeard, p.responded = 0, true
+	p.sinceHeard, p.contactAge, p.responded = 0, min(p.contactAge, c.ageOf(l)), true
 	p.probe = max(p.probe, l.Probe)
 	return p
 }
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -52,7 +52,7 @@
 		c.respondToAppend(l, true, l.Snapshot.Index, l.Probe)
 		return
 	}
-	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: l.Snapshot.Index, LogTerm: l.Snapshot.Term, Probe: l.Probe, About: l.Incarnation,
+	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: l.Snapshot.Index, LogTerm: l.Snapshot.Term, Probe: l.Probe, About: l.Incarnation, SentTick: l.SentTick,
 		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.state)), Total: l.Piece.Total, StateChecksum: l.Piece.StateChecksum}})
 }
 
--- a/internal/control/consensus/snapshot_transfer.go
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -113,7 +113,7 @@
 func (c *Core) sendPiece(m string, t *outgoingTransfer, size int) {
 	end := min(t.offset+uint64(size), uint64(len(t.state)))
 	data := t.state[t.offset:end:end]
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.probe,
+	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.probe, SentTick: c.sentTick(),
 		Piece: &wire.SnapshotPiece{Offset: t.offset, Total: uint64(len(t.state)), Data: data, Checksum: crc32.Checksum(data, castagnoli), StateChecksum: t.checksum}})
 }
 
--- a/internal/control/consensus/status.go
+++ b/internal/control/consensus/status.go
@@ -25,10 +25,10 @@
 	to := ""
 	for _, m := range c.members.names {
 		p := c.peers[m]
-		if p == nil || excluded(m) || p.match != c.lastIndex() || p.sinceHeard >= c.cfg.ElectionTicks {
+		if p == nil || excluded(m) || p.match != c.lastIndex() || p.contactAge >= c.cfg.ElectionTicks {
 			continue
 		}
-		if to == "" || p.sinceHeard < c.peers[to].sinceHeard {
+		if to == "" || p.contactAge < c.peers[to].contactAge {
 			to = m
 		}
 	}
--- a/internal/control/mutation/point1_test.go
+++ b/internal/control/mutation/point1_test.go
@@ -20,7 +20,7 @@
 		pkg:         statePackage, run: cutLeader},
 	mutant{point: 1, name: "a leader without contact to a quorum leads on",
 		file:        "internal/control/consensus/core.go",
-		original:    "return c.peers[m].sinceHeard < 2*c.cfg.ElectionTicks",
+		original:    "return c.peers[m].contactAge < 2*c.cfg.ElectionTicks",
 		replacement: "return true",
 		pkg:         statePackage, run: "TestAMemberIsCutOff/leader_cut_in,_none_restarted$"},
 	mutant{point: 1, name: "one without a vote gives its word for a proof",
@@ -86,4 +86,9 @@
 		original:    "		case g.isSilent(a):\n			return 1",
 		replacement: "		case g.isSilent(a):\n			return 0",
 		pkg:         clientPackage, run: "TestASilentMemberIsAskedLast"},
+	mutant{point: 1, name: "a late response counts as heard when it comes",
+		file:        "internal/control/consensus/contact.go",
+		original:    "return int(now - response.SentTick)",
+		replacement: "return 0",
+		pkg:         "internal/control/consensus", run: "TestALateResponseIsAsOldAsItsRequest"},
 )
