--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -102,6 +102,10 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: 3}, nil
 }
 
+func (contested) Join(context.Context, *wire.JoinRequest) (*wire.JoinResponse, error) {
+	return &wire.JoinResponse{Outcome: wire.OutcomeNotLeader}, nil
+}
+
 // A naming of weights that loses to others until its time is over was not refused.
 func TestANamingThatLosesIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
