--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -23,6 +23,9 @@
 
 const groupStep = 5 * time.Millisecond
 
+// usualCompactAt is how long a log becomes before it is compacted, in bytes, where a run says nothing.
+const usualCompactAt = 3000
+
 // gsimNode is one control machine.
 type gsimNode struct {
 	addr     string
@@ -75,7 +78,7 @@
 	armed      map[string]func() // what strikes at the next event of a name
 	leaderWas  string
 	storm      *groupStorm
-	history    *history.History
+	history    history.History
 	edge       *gsimEdge
 	leases     []*simHolder
 	fences     map[uint64]string
@@ -100,12 +103,12 @@
 func newGroupSim(seed uint64, plant string) *gsim {
 	s := &gsim{seed: seed, r: rand.New(rand.NewPCG(seed, 2)), cut: map[string]bool{}, longCut: map[string]bool{}, counts: map[string]int{},
 		plant: plant, first: true, tolerate: 1, fences: map[uint64]string{}, edge: &gsimEdge{vouch: map[string]time.Duration{}},
-		armed: map[string]func(){}, history: &history.History{}}
+		armed: map[string]func(){}}
 	many := 3 + s.r.IntN(3)
 	if s.r.IntN(4) == 0 {
 		s.tolerate, many = 2, 6+s.r.IntN(2)
 	}
-	s.compactAt = [...]int{1500, 3000, 20000}[s.r.IntN(3)]
+	s.compactAt = [...]int{1500, usualCompactAt, 20000}[s.r.IntN(3)]
 	s.tailBytes = [...]int{0, 2000}[s.r.IntN(2)]
 	for i := range many {
 		n := s.machine()
@@ -158,7 +161,9 @@
 			s.send(m)
 		}
 	})
-	p.compactAt = s.compactAt
+	if p.compactAt = s.compactAt; p.compactAt == 0 {
+		p.compactAt = usualCompactAt
+	}
 	n.p = nil
 	openGroup(p, &group{codec: versions{}, disk: n.disk, targetSize: 2*s.tolerate + 1, retryOpenTicks: int(retryOpenPart / groupTick), zoneOf: func(string) string { return "" },
 		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TailBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(life)*1000+uint64(n.addr[1])))},
