--- a/internal/control/consensus/snapshot_transfer.go
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -19,6 +19,7 @@
 	firstPieceBytes = 32 << 10
 	leastPieceBytes = 4 << 10
 	maxOutgoing     = 2
+	piecePause      = 2 // heartbeats that a piece may take beside the time of its bytes
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -105,7 +106,7 @@
 func (c *Core) sendNextPiece(m string, p *progress) {
 	t := p.transfer
 	p.inFlight, t.sentAt = true, c.ticks
-	t.resendAt = c.ticks + c.bulkPause(t.pieceBytes, 0)
+	t.resendAt = c.ticks + piecePause*c.cfg.HeartbeatTicks + t.pieceBytes/bulkBytesPerTick
 	c.sendPiece(m, t, t.pieceBytes)
 }
 
