--- a/internal/tools/ciresult/main.go
+++ b/internal/tools/ciresult/main.go
@@ -37,6 +37,9 @@
 	}
 	r.printTimes(out)
 	faults := r.judge(known, out)
+	if r.printTotals(out) == 0 {
+		faults = append(faults, "no test passed: the runs of go test were empty")
+	}
 	for _, f := range faults {
 		fmt.Fprintln(errors, "ciresult:", f)
 	}
--- a/internal/tools/ciresult/results.go
+++ b/internal/tools/ciresult/results.go
@@ -196,6 +196,19 @@
 	}
 }
 
+// printTotals prints how the top-level tests of all runs ended, known failures among the failed ones, and
+// returns how many passed.
+func (r *results) printTotals(out io.Writer) (passed int) {
+	failed, skipped := 0, 0
+	for _, t := range r.tests {
+		passed += t.passed
+		failed += t.failed
+		skipped += t.skipped
+	}
+	fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", passed, failed, skipped)
+	return passed
+}
+
 // judge lists the reasons why CI doesn't pass; it prints the known failures.
 func (r *results) judge(known []knownFailure, out io.Writer) (faults []string) {
 	excused := map[string]bool{}
--- a/internal/tools/ciresult/results_test.go
+++ b/internal/tools/ciresult/results_test.go
@@ -24,12 +24,13 @@
 {"Action":"fail","Package":"pebbleloom/internal/b","Test":"TestBad","Elapsed":0.1}
 {"Action":"fail","Package":"pebbleloom/internal/b","Elapsed":2}
 `
-	other    = `{"Action":"run","Package":"pebbleloom/internal/b","Test":"TestWorse"}` + "\n" + `{"Action":"fail","Package":"pebbleloom/internal/b","Test":"TestWorse","Elapsed":0.1}` + "\n"
-	panicked = `{"Action":"run","Package":"pebbleloom/internal/b","Test":"TestCut"}` + "\n" + `{"Action":"fail","Package":"pebbleloom/internal/b","Elapsed":2}` + "\n"
-	setUp    = `{"Action":"output","Package":"pebbleloom/internal/c","Output":"exit status 2\n"}` + "\n" + `{"Action":"fail","Package":"pebbleloom/internal/c","Elapsed":0}` + "\n"
-	unbuilt  = `{"ImportPath":"pebbleloom/internal/d [pebbleloom/internal/d.test]","Action":"build-output","Output":"undefined: x\n"}` + "\n" + `{"ImportPath":"pebbleloom/internal/d [pebbleloom/internal/d.test]","Action":"build-fail"}` + "\n"
-	failed   = `{"Action":"exit","Elapsed":1}` + "\n"
-	listed   = "internal/b.TestBad, it loses an answer, issue 21\n"
+	other       = `{"Action":"run","Package":"pebbleloom/internal/b","Test":"TestWorse"}` + "\n" + `{"Action":"fail","Package":"pebbleloom/internal/b","Test":"TestWorse","Elapsed":0.1}` + "\n"
+	panicked    = `{"Action":"run","Package":"pebbleloom/internal/b","Test":"TestCut"}` + "\n" + `{"Action":"fail","Package":"pebbleloom/internal/b","Elapsed":2}` + "\n"
+	setUp       = `{"Action":"output","Package":"pebbleloom/internal/c","Output":"exit status 2\n"}` + "\n" + `{"Action":"fail","Package":"pebbleloom/internal/c","Elapsed":0}` + "\n"
+	unbuilt     = `{"ImportPath":"pebbleloom/internal/d [pebbleloom/internal/d.test]","Action":"build-output","Output":"undefined: x\n"}` + "\n" + `{"ImportPath":"pebbleloom/internal/d [pebbleloom/internal/d.test]","Action":"build-fail"}` + "\n"
+	skippedOnly = `{"Action":"run","Package":"pebbleloom/internal/a","Test":"TestSkipped"}` + "\n" + `{"Action":"skip","Package":"pebbleloom/internal/a","Test":"TestSkipped","Elapsed":0}` + "\n" + `{"Action":"pass","Package":"pebbleloom/internal/a","Elapsed":1}` + "\n"
+	failed      = `{"Action":"exit","Elapsed":1}` + "\n"
+	listed      = "internal/b.TestBad, it loses an answer, issue 21\n"
 )
 
 // Only a listed test may fail, and it has to: whatever else goes wrong ends CI.
@@ -49,6 +50,7 @@
 		"a package fails without a test":  {"", green + setUp, "internal/c failed outside its tests:\nexit status 2"},
 		"a package doesn't build":         {"", green + unbuilt, "internal/d failed outside its tests:\nundefined: x"},
 		"nothing ran":                     {"", failed, "no test ran"},
+		"nothing but skipped tests":       {"", skippedOnly, "no test passed"},
 		"an exit that nothing explains":   {"", green + failed, "no event explains"},
 		"something else than events":      {"", "FAIL\n", "not an event"},
 		"four are listed":                 {strings.Repeat(listed, 4), green + red, "at most 3"},
@@ -90,3 +92,18 @@
 		t.Errorf("without events: exit %d", code)
 	}
 }
+
+// The last line says how many tests passed, failed and were skipped.
+func TestTotalsArePrinted(t *testing.T) {
+	events := filepath.Join(t.TempDir(), "events")
+	if err := os.WriteFile(events, []byte(green+red+`{"Action":"exit","Elapsed":1}`+"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var out, errors bytes.Buffer
+	if code := run([]string{"none", events}, &out, &errors); code != 1 {
+		t.Errorf("exit code %d with a failed test", code)
+	}
+	if !strings.HasSuffix(out.String(), "\n1 passed, 1 failed, 1 skipped\n") {
+		t.Errorf("printed %q", out.String())
+	}
+}
