--- a/internal/control/controlstate/orders_cluster_test.go
+++ b/internal/control/controlstate/orders_cluster_test.go
@@ -259,8 +259,9 @@
 func (c *orderCluster) send(ctx context.Context, o *testOrder, to *orderMember) {
 	put := &wire.Put{Key: c.key, Body: o.body(), IfVersion: o.base, Token: o.name}
 	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}
+	p := to.p // as it is now: the member may be started again meanwhile
 	go func() {
-		response := to.p.change(ctx, request)
+		response := p.change(ctx, request)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
