--- a/internal/control/consensus/first_election_test.go
+++ b/internal/control/consensus/first_election_test.go
@@ -19,14 +19,14 @@
 		x.tick(1)
 		x.c[late] = c
 		x.tick(8)
-		owners := 0
+		leaders := 0
 		for _, c := range x.c {
 			if c.role == leader && c.commit > 0 {
-				owners++
+				leaders++
 			}
 		}
-		if owners != 1 {
-			t.Fatalf("seed %d: %d owners after a few ticks", seed, owners)
+		if leaders != 1 {
+			t.Fatalf("seed %d: %d leaders after a few ticks", seed, leaders)
 		}
 	}
 }
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -106,7 +106,7 @@
 
 func (x *band) stand(n string) { x.c[n].campaign(candidate); x.collect(n) }
 
-func (x *band) regroup(n, members string) bool {
+func (x *band) propose(n, members string) bool {
 	_, _, ok := x.c[n].ProposeMembership(strings.Fields(members))
 	x.collect(n)
 	return ok
@@ -146,11 +146,11 @@
 		t.Fatalf("a learner made a majority, or was told what isn't agreed on: %+v", s)
 	}
 	x.tick(10)
-	if !x.regroup("a", "a b c d") {
+	if !x.propose("a", "a b c d") {
 		t.Fatal("a caught-up learner isn't taken")
 	}
 	x.tick(10)
-	if !x.regroup("a", "a b d") {
+	if !x.propose("a", "a b d") {
 		t.Fatal("the next change isn't taken")
 	}
 	x.tick(10, "c")
@@ -175,7 +175,7 @@
 // One change at a time, by one member, and none before the owner has committed in its own term.
 func TestWhenMembersMayChange(t *testing.T) {
 	x := newBand(t, "a b c", "d e")
-	if x.regroup("a", "a b c d") {
+	if x.propose("a", "a b c d") {
 		t.Error("one that doesn't own the group changed it")
 	}
 	x.stand("a")
@@ -186,20 +186,20 @@
 			i++
 		}
 	}
-	if !x.c["a"].Status().IsLeader || x.c["a"].MembershipSettled() || x.regroup("a", "a b c d") {
+	if !x.c["a"].Status().IsLeader || x.c["a"].MembershipSettled() || x.propose("a", "a b c d") {
 		t.Error("members changed before an entry of the owner's own term was committed")
 	}
 	x.calm()
 	for _, ms := range []string{"a b c", "a b c d e", "a", "", "a b d e"} {
-		if x.regroup("a", ms) {
+		if x.propose("a", ms) {
 			t.Errorf("from a b c to %q at once", ms)
 		}
 	}
-	if !x.regroup("a", "a b c d") || x.regroup("a", "a b c d e") {
+	if !x.propose("a", "a b c d") || x.propose("a", "a b c d e") {
 		t.Error("one change, then no other before it is committed")
 	}
 	x.calm()
-	if !x.regroup("a", "b c d") {
+	if !x.propose("a", "b c d") {
 		t.Error("the owner can't be removed")
 	}
 	x.calm()
@@ -218,7 +218,7 @@
 	x := newBand(t, "a b c", "d")
 	x.stand("a")
 	x.calm()
-	x.regroup("a", "a b c d")
+	x.propose("a", "a b c d")
 	for i := 0; i < len(x.mail); {
 		if x.mail[i].To == "b" {
 			x.deliver(i)
@@ -240,7 +240,7 @@
 	x = newBand(t, "a b c", "d")
 	x.stand("a")
 	x.calm()
-	x.regroup("a", "a b c d")
+	x.propose("a", "a b c d")
 	x.calm()
 	x.put("a", "one")
 	x.calm()
@@ -275,7 +275,7 @@
 		x.c["a"].AddLearner(ms[len(ms)-1:])
 		x.collect("a")
 		x.tick(10)
-		if !x.regroup("a", ms) {
+		if !x.propose("a", ms) {
 			t.Fatalf("can't become %s", ms)
 		}
 		x.tick(10)
@@ -300,7 +300,7 @@
 				x.c["a"].AddLearner("d")
 				x.collect("a")
 				x.calm()
-				if !x.regroup("a", to) || !x.put("a", "one") {
+				if !x.propose("a", to) || !x.put("a", "one") {
 					t.Fatal("a doesn't own the group")
 				}
 				x.stand("b")
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -37,7 +37,7 @@
 	w.down()
 }
 
-// A leader that was cut off doesn't refuse by what it has applied: it can't tell, and says so.
+// A leader that was cut off doesn't refuse by what it has applied: it can't say, and says so.
 func TestACutOffLeaderRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := cutOffMember(t, true)
@@ -163,12 +163,12 @@
 			w.net.set(func(cut map[[2]string]bool) { clear(cut) })
 			w.row.direction = direction
 			w.cutOff()
-			term, leader := w.term(), w.owner()
+			term, leader := w.term(), w.leader()
 			clock.Pause(context.Background(), cutFor)
 			w.net.set(func(cut map[[2]string]bool) { clear(cut) })
 			clock.Pause(context.Background(), backWithin)
-			if w.term() != term || w.owner() != leader {
-				t.Errorf("cut %s: the leader was %d of term %d, now it is %d of %d", direction, leader, term, w.owner(), w.term())
+			if w.term() != term || w.leader() != leader {
+				t.Errorf("cut %s: the leader was %d of term %d, now it is %d of %d", direction, leader, term, w.leader(), w.term())
 			}
 		})
 	}
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -81,7 +81,7 @@
 	if d := time.Since(begun); late && d > knownWithin {
 		w.t.Errorf("%v: the cut-off member holds an order for %v though it has heard nobody for long", w.now(), d)
 	}
-	if base > 1 { // one that the true leader would refuse: it can't tell
+	if base > 1 { // one that the true leader would refuse: it can't say
 		if err := w.order(w.victim, base-1, body(base+1, "on an old base")); err == nil {
 			w.t.Errorf("%v: the cut-off member acknowledges an order on an old base", w.now())
 		}
@@ -96,7 +96,7 @@
 	}
 	switch err := w.node(w.victim).NameWeights(ctx, "m", 1); {
 	case err == nil:
-	case w.restarted && errs.KindOf(err).HTTP == 503: // after a restart it can't tell what was committed
+	case w.restarted && errs.KindOf(err).HTTP == 503: // after a restart it can't say what was committed
 	default:
 		w.t.Errorf("%v: what was named before the cut stays named: %v", w.now(), err)
 	}
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -75,7 +75,7 @@
 }
 
 func (w *cutWorld) kill(i int) {
-	l := w.lives[w.addr(i)]
+	l := w.processes[w.addr(i)]
 	w.ground.mu.Lock()
 	delete(w.nodes, w.addr(i))
 	w.ground.mu.Unlock()
@@ -250,7 +250,7 @@
 // chooseVictim picks the member to cut off, the leader or a follower, and its companion.
 func (w *cutWorld) chooseVictim(machines int) {
 	for i := range machines {
-		switch isLeader := i+1 == w.owner(); {
+		switch isLeader := i+1 == w.leader(); {
 		case w.victim == 0 && isLeader == w.row.leader:
 			w.victim = i + 1
 		case w.row.pair && w.companion == 0 && !isLeader:
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -69,21 +69,21 @@
 				tick(60)
 			}
 			a := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: fmt.Append(nil, i)}}}}
-			w, tell := p.propose(a, nil)
-			life := p
+			w, response := p.propose(a, nil)
+			incarnation := p
 			tick(1)
-			if tell == nil && life == p {
+			if response == nil && incarnation == p {
 				select {
-				case tell = <-w.answer:
+				case response = <-w.answer:
 				default:
 				}
 			}
-			if tell.GetOutcome() == wire.OutcomeDone {
+			if response.GetOutcome() == wire.OutcomeDone {
 				acked++
-				newest = tell.Version
+				newest = response.Version
 			}
-			if i%10 == 9 && (p.failure != nil || tell.GetOutcome() != wire.OutcomeDone && d.dieIn < 0 && life == p) {
-				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, tell)
+			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.dieIn < 0 && incarnation == p) {
+				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, response)
 			}
 			if e := p.state.docs["k"].GetVersion(); p.failure == nil && p.core.AppliedOwnTerm() && e < newest {
 				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, i, newest, e)
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -24,7 +24,7 @@
 	for i := range n {
 		g.start(i+1, true)
 	}
-	g.until("an owner", 5*time.Second, func() bool { return len(g.members()) == 3 })
+	g.until("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 }
 
 // A thread that waits for its disk keeps no question waiting beyond its time; what it answers
@@ -37,7 +37,7 @@
 		if _, err := g.nodes[g.addr(1)].PutPlan(ctx, 0, body(1, "x"), false); err != nil {
 			t.Fatal(err)
 		}
-		o := g.owner()
+		o := g.leader()
 		n, release := g.nodes[g.addr(o)], make(chan struct{})
 		g.disks[g.addr(o)].set(func(d *heldDisk) { d.hold = release })
 		at := time.Now()
@@ -76,7 +76,7 @@
 		g, ctx := newGround(t), context.Background()
 		g.found(3)
 		defer g.down()
-		o := g.owner()
+		o := g.leader()
 		n := g.nodes[g.addr(o)]
 		g.disks[g.addr(o)].set(func(d *heldDisk) { d.d.fail = true })
 		for v := range 3 {
@@ -107,7 +107,7 @@
 		g, ctx := newGround(t), context.Background()
 		g.found(3)
 		defer g.down()
-		o := g.owner()
+		o := g.leader()
 		for i := range 3 {
 			if i+1 != o {
 				g.quiet(i + 1)
@@ -135,7 +135,7 @@
 			g := newGround(t)
 			g.found(3)
 			defer g.down()
-			o := g.owner()
+			o := g.leader()
 			if alone {
 				for i := range 3 {
 					if i+1 != o {
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -28,7 +28,7 @@
 	return x.members
 }
 
-func (g *ground) owner() int {
+func (g *ground) leader() int {
 	for i := 1; i < 9; i++ {
 		if n := g.nodes[g.addr(i)]; n != nil && n.shards[0].published.current().isLeader {
 			return i
@@ -47,8 +47,8 @@
 			g.start(i+1, true)
 		}
 		defer g.down()
-		d := g.until("an owner", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		t.Log("an owner after", d)
+		d := g.until("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		t.Log("an leader after", d)
 		a, b, spare := g.nodes[g.addr(1)], g.nodes[g.addr(2)], g.nodes[g.addr(4)]
 		held := make(chan *wire.FollowResponse)
 		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, HoldNs: uint64(10 * time.Second), Proof: routingconfig.Key}
@@ -125,7 +125,7 @@
 			g.start(i+1, true)
 		}
 		defer func() { g.down() }()
-		g.until("an owner", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		g.until("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 		put := func(v uint64) {
 			t.Helper()
 			g.until("a plan", 6*time.Second, func() bool {
@@ -144,15 +144,15 @@
 			}
 		}
 		put(1)
-		o := g.owner()
+		o := g.leader()
 		d := g.until("planned end", 0, func() bool { g.stop(o); return true })
-		d += g.until("another owner", 2*time.Second, func() bool { return g.owner() > 0 })
-		t.Log("another owner after a planned end", d)
+		d += g.until("another leader", 2*time.Second, func() bool { return g.leader() > 0 })
+		t.Log("another leader after a planned end", d)
 		put(2)
 		t.Log("the spare's place", g.until("the spare has its place", 5*time.Second, has(g.addr(4), g.addr(o)+"/0")))
 		g.start(o, false)
 		// A disk is lost.
-		w := g.owner()
+		w := g.leader()
 		old := g.nodes[g.addr(w)].shards[0].published.current().self
 		g.stop(w)
 		g.disks[g.addr(w)] = nil
@@ -164,7 +164,7 @@
 		put(3)
 		// A machine is replaced for good, twice, so that there is no other spare.
 		for i := range 2 {
-			x := g.owner()
+			x := g.leader()
 			g.stop(x)
 			g.start(5+i, false)
 			g.until("three members", 8*time.Second, func() bool {
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -22,17 +22,17 @@
 
 // ground is a few machines in one test bubble: real nodes, pipes for connections, disks in memory.
 type ground struct {
-	t     *testing.T
-	mu    sync.Mutex
-	doors map[string]*pipes
-	disks map[string]*heldDisk
-	lives map[string]*daemon.Process
-	nodes map[string]*Node
-	dark  map[string]bool // an address that says nothing
-	seeds []string
-	seed  uint64
-	net   *network // nil: pipes that lose what is sent while a machine is dark
-	bears int      // how many losses the site tolerates; 0: one
+	t         *testing.T
+	mu        sync.Mutex
+	doors     map[string]*pipes
+	disks     map[string]*heldDisk
+	processes map[string]*daemon.Process
+	nodes     map[string]*Node
+	dark      map[string]bool // an address that says nothing
+	seeds     []string
+	seed      uint64
+	net       *network // nil: pipes that lose what is sent while a machine is dark
+	bears     int      // how many losses the site tolerates; 0: one
 }
 
 type pipes struct {
@@ -105,7 +105,7 @@
 
 // newGround lays out machines; the first three are the seeds.
 func newGround(t *testing.T) *ground {
-	g := &ground{t: t, doors: map[string]*pipes{}, disks: map[string]*heldDisk{}, lives: map[string]*daemon.Process{},
+	g := &ground{t: t, doors: map[string]*pipes{}, disks: map[string]*heldDisk{}, processes: map[string]*daemon.Process{},
 		nodes: map[string]*Node{}, dark: map[string]bool{}}
 	for i := range 3 {
 		g.seeds = append(g.seeds, g.addr(i+1))
@@ -183,18 +183,18 @@
 	if err := StartGroup(l, versions{}, func(x *Node) http.Handler { n = x; return http.NotFoundHandler() }); err != nil {
 		g.t.Fatal(err)
 	}
-	g.lives[addr], g.nodes[addr] = l, n
+	g.processes[addr], g.nodes[addr] = l, n
 	return n
 }
 
 func (g *ground) stop(i int) {
-	g.lives[g.addr(i)].Stop(time.Second)
+	g.processes[g.addr(i)].Stop(time.Second)
 	delete(g.nodes, g.addr(i))
 }
 
 func (g *ground) down() {
 	for a := range g.nodes {
-		g.lives[a].Stop(time.Second)
+		g.processes[a].Stop(time.Second)
 	}
 }
 
@@ -206,7 +206,7 @@
 		if time.Since(begin) > within {
 			for a, n := range g.nodes {
 				x := n.shards[0].published.current()
-				g.t.Logf("%s: %s owner %s members %v votes %v", a, x.self, x.leader, x.members, x.votes)
+				g.t.Logf("%s: %s leader %s members %v votes %v", a, x.self, x.leader, x.members, x.votes)
 			}
 			g.t.Fatalf("%s: not within %v", what, within)
 		}
--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/orders_again_test.go
@@ -159,7 +159,7 @@
 }
 
 // A document that isn't validated ahead: a leader of the past, cut off, is sent an order again that the
-// next leader took on top of others. It can't tell, and says so; its own state would have it refused.
+// next leader took on top of others. It can't say, and says so; its own state would have it refused.
 func TestALeaderOfThePastRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newOrderCluster(t, otherKey)
--- a/internal/control/controlstate/orders_search_test.go
+++ b/internal/control/controlstate/orders_search_test.go
@@ -201,7 +201,7 @@
 	for !s.over.Load() {
 		clock.Pause(s.ctx, time.Duration(200+r.IntN(1500))*time.Millisecond)
 		i := 1 + r.IntN(searchMachines)
-		if o := g.owner(); o > 0 && r.IntN(2) == 0 {
+		if o := g.leader(); o > 0 && r.IntN(2) == 0 {
 			i = o
 		}
 		switch r.IntN(5) {
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -63,7 +63,7 @@
 }
 
 // What a later release wrote is refused, not guessed at.
-func TestLaterShapesAreDenied(t *testing.T) {
+func TestLaterFormatsAreRejected(t *testing.T) {
 	state, err := proto.Marshal(&wire.ShardState{Format: 2})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/controlstate/second_loss_leave_test.go
+++ b/internal/control/controlstate/second_loss_leave_test.go
@@ -12,7 +12,7 @@
 func TestALeaverHoldsTheOnlyOtherCopy(t *testing.T) {
 	r := newLossRun(secondLoss{machines: 3, tolerate: 1, seed: 5})
 	r.until(12*time.Second, func() bool { return r.whole() && r.counts["acked"] > 2 })
-	leader, lagging := r.owner(), r.follower()
+	leader, lagging := r.leader(), r.follower()
 	leaver := r.other(leader, lagging)
 	r.cut[leader.addr+">"+lagging.addr] = true // for a moment: it still counts as alive
 	when := r.now
@@ -38,7 +38,7 @@
 func TestALeaverThatHasGoneIsNotCountedOn(t *testing.T) {
 	r := newLossRun(secondLoss{machines: 3, tolerate: 1, seed: 6})
 	r.until(12*time.Second, func() bool { return r.whole() && r.counts["acked"] > 2 })
-	leader, leaver := r.owner(), r.follower()
+	leader, leaver := r.leader(), r.follower()
 	r.until(time.Second, func() bool { return r.mayStop(leaver) })
 	r.kill(leaver, false, never)
 	newcomer := r.machine()
--- a/internal/control/controlstate/second_loss_net_test.go
+++ b/internal/control/controlstate/second_loss_net_test.go
@@ -21,8 +21,8 @@
 	for _, n := range r.nodes {
 		n.ask = never
 		j := r.joining[n]
-		if j == nil || j.incarnation != n.life {
-			j = &joinState{incarnation: n.life, silent: map[string]bool{}}
+		if j == nil || j.incarnation != n.incarnation {
+			j = &joinState{incarnation: n.incarnation, silent: map[string]bool{}}
 			r.joining[n] = j
 		}
 		if !r.well(n) || r.now < j.next {
@@ -76,7 +76,7 @@
 	put := &wire.Put{Key: fleet.PlacementKey + "large", Body: make([]byte, size), AnyVersion: true, Token: "large"}
 	acknowledged := false
 	r.until(4*time.Second, func() bool {
-		if n := r.owner(); n != nil && !acknowledged {
+		if n := r.leader(); n != nil && !acknowledged {
 			r.ask(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeResponse) {
 				acknowledged = acknowledged || t.Outcome == wire.OutcomeDone
 			})
@@ -93,11 +93,11 @@
 
 // throttle has each message take the time of its bytes on its sender's link, one after another.
 func (r *lossRun) throttle(n *gsimNode) {
-	if r.bytesPerSecond == 0 || n.p == nil || r.throttled[n] == n.life {
+	if r.bytesPerSecond == 0 || n.p == nil || r.throttled[n] == n.incarnation {
 		return
 	}
-	r.throttled[n] = n.life
-	direct, incarnation := n.p.send, n.life
+	r.throttled[n] = n.incarnation
+	direct, incarnation := n.p.send, n.incarnation
 	free := r.now
 	n.p.send = func(m *wire.Message) {
 		free = max(free, r.now) + time.Duration(float64(proto.Size(m))/r.bytesPerSecond*float64(time.Second))
@@ -107,7 +107,7 @@
 		}
 		m = proto.Clone(m).(*wire.Message)
 		r.at(free, func() {
-			if n.life == incarnation {
+			if n.incarnation == incarnation {
 				direct(m)
 			}
 		})
--- a/internal/control/controlstate/second_loss_node_test.go
+++ b/internal/control/controlstate/second_loss_node_test.go
@@ -25,7 +25,7 @@
 func (g *ground) spareKnown() {
 	g.t.Helper()
 	g.until("a spare", 6*time.Second, func() bool {
-		leader := g.owner()
+		leader := g.leader()
 		if leader == 0 {
 			return false
 		}
@@ -58,7 +58,7 @@
 			g.until("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 			g.put(1)
 			g.spareKnown()
-			leaver := g.owner()
+			leaver := g.leader()
 			if !leads {
 				leaver = leaver%3 + 1
 			}
@@ -72,13 +72,13 @@
 				t.Errorf("leads %v: after machine %d stopped the members are %v", leads, leaver, l)
 			}
 			// The next loss strikes at once, the leader first; its disk is gone for good.
-			next := g.owner()
+			next := g.leader()
 			g.quiet(next)
 			delete(g.nodes, g.addr(next))
 			t.Logf("leads %v: stopped after %v, the next leader lost, a plan after %v", leads, took,
-				g.until("another leader", 3*time.Second, func() bool { o := g.owner(); return o > 0 && o != next }))
+				g.until("another leader", 3*time.Second, func() bool { o := g.leader(); return o > 0 && o != next }))
 			g.put(2)
-			g.lives[g.addr(next)].Stop(time.Millisecond)
+			g.processes[g.addr(next)].Stop(time.Millisecond)
 		})
 	}
 }
@@ -136,7 +136,7 @@
 		begun := time.Now()
 		done := make(chan int)
 		for i := range 4 {
-			go func() { g.lives[g.addr(i+1)].Stop(time.Second); done <- i }()
+			go func() { g.processes[g.addr(i+1)].Stop(time.Second); done <- i }()
 		}
 		for range 4 {
 			<-done
@@ -169,9 +169,9 @@
 		g.until("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 		g.put(1)
 		g.spareKnown()
-		away := g.owner()%3 + 1
+		away := g.leader()%3 + 1
 		g.quiet(away)
-		g.lives[g.addr(away)].Stop(time.Millisecond)
+		g.processes[g.addr(away)].Stop(time.Millisecond)
 		delete(g.nodes, g.addr(away))
 		g.until("its place is taken", 6*time.Second, func() bool { return len(g.members()) == 3 && !g.isMember(away) })
 		g.mu.Lock()
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -236,7 +236,7 @@
 		}
 	}
 	if len(allWeighed[0].row(orderAddFirst).without[secondLossColumns[2]]) == 0 {
-		t.Error("add-first doesn't need the newcomer: the table can't tell the orders apart")
+		t.Error("add-first doesn't need the newcomer: the table can't say the orders apart")
 	}
 }
 
--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -17,7 +17,7 @@
 		return false, 0
 	}
 	r.until(time.Second, func() bool { return false })
-	n := r.owner()
+	n := r.leader()
 	if r.x.firstAt == hitFollower {
 		n = r.follower()
 	}
@@ -54,7 +54,7 @@
 func (r *lossRun) victim(origin string) *gsimNode {
 	switch r.x.target {
 	case hitLeader:
-		return r.owner()
+		return r.leader()
 	case hitFollower:
 		return r.follower()
 	}
@@ -183,8 +183,8 @@
 	r.until(12*time.Second, func() bool { return r.whole() && r.sparesReady() && r.counts["acked"] > 2 })
 	r.until(time.Second, func() bool { return false })
 	for _, kind := range []string{lossPlanned, lossLeave, lossWipe} {
-		r.until(6*time.Second, func() bool { return r.owner() != nil })
-		hit := r.owner()
+		r.until(6*time.Second, func() bool { return r.leader() != nil })
+		hit := r.leader()
 		if hit == nil {
 			r.stands()
 			r.fault("quorum-back: no leader within 6 s before the %s", kind)
@@ -240,7 +240,7 @@
 	r.large(size)
 	r.until(4*time.Second, func() bool { return r.whole() })
 	r.until(time.Second, func() bool { return false })
-	r.strike(kind, r.owner())
+	r.strike(kind, r.leader())
 	r.until(max(0, r.lastReturn-r.now), func() bool { return false })
 	took, ok := r.until(wholeWithin, func() bool { return r.whole() && r.memberCount() == 3 })
 	if !ok {
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -124,7 +124,7 @@
 	case 3:
 		r.read(r.nodes[r.gsim.r.IntN(len(r.nodes))])
 	case 4, 5:
-		if n := r.owner(); n != nil {
+		if n := r.leader(); n != nil {
 			r.read(n) // what an operator builds on
 		}
 	case 6, 7:
@@ -188,7 +188,7 @@
 
 // sparesReady reports whether each machine that isn't a member is a learner that has caught up.
 func (r *lossRun) sparesReady() bool {
-	leader := r.owner()
+	leader := r.leader()
 	if leader == nil {
 		return false
 	}
@@ -260,9 +260,9 @@
 
 // leave is what Node.leave does: it asks until it may stop, for so much of the grace time at most.
 func (r *lossRun) leave(n *gsimNode, stop func()) {
-	incarnation, end, next := n.life, r.now+time.Duration(leavePart*float64(graceTime)), r.now
+	incarnation, end, next := n.incarnation, r.now+time.Duration(leavePart*float64(graceTime)), r.now
 	r.open = append(r.open, func() bool {
-		if n.p == nil || n.life != incarnation {
+		if n.p == nil || n.incarnation != incarnation {
 			return false
 		}
 		if r.now < next {
@@ -272,7 +272,7 @@
 		if r.now < end && !r.mayStop(n) {
 			return true
 		}
-		if n.p == nil || n.life != incarnation {
+		if n.p == nil || n.incarnation != incarnation {
 			return false // it died in a write
 		}
 		r.note("%s stops", n.addr)
@@ -328,7 +328,7 @@
 }
 
 func (r *lossRun) follower() *gsimNode {
-	leader := r.owner()
+	leader := r.leader()
 	for _, m := range r.newestMembership() {
 		n := r.node(controlclient.Addr(m))
 		if n != leader && r.well(n) && n.p.core.Self() == m && r.lostUntil[r.originOf(n)] <= r.now {
--- a/internal/control/controlstate/sim_group_main_test.go
+++ b/internal/control/controlstate/sim_group_main_test.go
@@ -81,7 +81,7 @@
 // Planted faults are caught.
 func TestSimGroupCatchesPlantedFaults(t *testing.T) {
 	const batch, most = 3, 300
-	for plant, want := range map[string]string{"same-life": "", "vouch-open": "the proof says", "lease-late": "hold the duty"} {
+	for plant, want := range map[string]string{"same-incarnation": "", "vouch-open": "the proof says", "lease-late": "hold the duty"} {
 		caught := ""
 		for from := uint64(0); from < most && caught == ""; from += batch {
 			failed, _ := playGroups(from, batch, plant)
--- a/internal/control/controlstate/sim_group_operators_test.go
+++ b/internal/control/controlstate/sim_group_operators_test.go
@@ -32,13 +32,13 @@
 	if !s.well(n) {
 		return
 	}
-	begin, life, w := s.now, n.life, make(chan bool, 1)
+	begin, incarnation, w := s.now, n.incarnation, make(chan bool, 1)
 	n.p.beginRead(w)
 	s.after(n)
 	s.open = append(s.open, func() bool {
 		select {
 		case ok := <-w:
-			if ok && n.life == life && s.well(n) {
+			if ok && n.incarnation == incarnation && s.well(n) {
 				ds, _ := n.p.selectDocuments(&wire.ReadRequest{Key: routingconfig.Key})
 				if len(ds) == 0 {
 					then(0, "")
@@ -48,7 +48,7 @@
 			}
 			return false
 		default:
-			return n.life == life && s.now-begin < patience
+			return n.incarnation == incarnation && s.now-begin < patience
 		}
 	})
 }
@@ -101,17 +101,17 @@
 		return
 	}
 	w, response := n.p.propose(a, nil)
-	life, begin, lost, committed := n.life, s.now, s.r.Float64() < s.loss, response == nil
+	incarnation, begin, lost, committed := n.incarnation, s.now, s.r.Float64() < s.loss, response == nil
 	s.after(n)
 	s.open = append(s.open, func() bool {
 		if response == nil {
 			select {
 			case response = <-w.answer:
 			default:
-				return n.life == life && s.now-begin < patience
+				return n.incarnation == incarnation && s.now-begin < patience
 			}
 		}
-		if n.life == life && !lost && s.up(n) {
+		if n.incarnation == incarnation && !lost && s.up(n) {
 			done(response, committed)
 		}
 		return false
@@ -143,7 +143,7 @@
 // write is an operator's: a new one, or one that was sent before, unchanged, whatever became of it.
 func (s *gsim) write(acked func(*gsimNode)) {
 	n := s.anyone()
-	if l := s.owner(); l != nil && s.r.IntN(3) > 0 {
+	if l := s.leader(); l != nil && s.r.IntN(3) > 0 {
 		n = l
 	}
 	if o := s.oldOrder(); o != nil && s.r.IntN(3) == 0 {
@@ -178,7 +178,7 @@
 	s.count("eight at once")
 	for i := range uint64(many) {
 		n := s.anyone()
-		if n == s.owner() {
+		if n == s.leader() {
 			n = s.anyone()
 		}
 		o := s.oldOrder()
@@ -300,7 +300,7 @@
 	g := h.l.Ask()
 	h.busy = true
 	s.open = append(s.open, func() bool { h.busy = s.now-before < 1500*time.Millisecond; return h.busy })
-	n := s.owner()
+	n := s.leader()
 	if n == nil || s.r.IntN(8) == 0 {
 		n = s.anyone()
 	}
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -25,7 +25,7 @@
 // or both, with operators and readers on both sides. Members of either side may be restarted, with
 // seeds that name only those cut off; other troubles may come on top.
 func (s *gsim) longCutPhase() {
-	n := s.owner()
+	n := s.leader()
 	if s.r.IntN(3) > 0 && n != nil {
 		s.count("long cut: the leader")
 	} else {
@@ -101,7 +101,7 @@
 func (s *gsim) stormNext() {
 	const again, enough = 300 * time.Millisecond, 3
 	x := s.storm
-	l := s.owner()
+	l := s.leader()
 	if x == nil || l == nil || x.order != nil && x.order.end == 0 && s.now-x.sent < again {
 		return
 	}
@@ -151,7 +151,7 @@
 		if len(s.bad) > 0 || !s.whole() {
 			return
 		}
-		old := s.owner()
+		old := s.leader()
 		if s.r.IntN(3) == 0 {
 			old = s.anyone()
 		}
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// run is one seeded life of a group: common troubles, one of the worst days, losses of disks.
+// run is one seeded run of a group: common troubles, one of the worst days, losses of disks.
 func (s *gsim) run(rounds int) {
 	s.peace("at the start")
 	for range rounds {
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -40,12 +40,12 @@
 // reportLost has the sender's transport give up a message after its time, most often.
 func (s *gsim) reportLost(n *gsimNode, l *wire.Message) {
 	const sendTime = 500 * time.Millisecond
-	life, m := n.life, proto.Clone(l).(*wire.Message)
+	incarnation, m := n.incarnation, proto.Clone(l).(*wire.Message)
 	if !s.allTroubles || s.r.IntN(4) == 0 {
 		return
 	}
 	s.later(sendTime, func() {
-		if n.life == life && s.well(n) {
+		if n.incarnation == incarnation && s.well(n) {
 			s.count("message reported lost")
 			n.p.core.ReportLost(m)
 			s.after(n)
@@ -94,7 +94,7 @@
 			s.open = append(s.open, f)
 		}
 	}
-	if l := s.owner(); l != nil {
+	if l := s.leader(); l != nil {
 		if is := fmt.Sprint(l.addr, l.p.core.Status().Term); is != s.leaderWas {
 			s.leaderWas = is
 			s.event("new leader")
@@ -180,7 +180,7 @@
 	}
 }
 
-// gossip has a node and one that it knows tell each other whom they know.
+// gossip has a node and one that it knows exchange whom they know.
 func (s *gsim) gossip(n *gsimNode) {
 	l := queue.Keys(n.known)
 	m := s.node(l[s.r.IntN(len(l))])
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -28,19 +28,19 @@
 
 // gsimNode is one control machine.
 type gsimNode struct {
-	addr     string
-	disk     *cacheDisk
-	p        *shard // nil: it is down
-	clk      *clock.Hand
-	rate     float64
-	frozen   time.Duration // until
-	nextTick time.Duration
-	ask      time.Duration   // when it may ask again to be taken in
-	known    map[string]bool // addresses that it has heard of: the seeds, and what others told it
-	life     int             // counts its starts and ends
-	stall    time.Duration   // how long a write may take
-	lost     bool            // for good
-	down     time.Duration   // when it starts again
+	addr        string
+	disk        *cacheDisk
+	p           *shard // nil: it is down
+	clk         *clock.Hand
+	rate        float64
+	frozen      time.Duration // until
+	nextTick    time.Duration
+	ask         time.Duration   // when it may ask again to be taken in
+	known       map[string]bool // addresses that it has heard of: the seeds, and what others told it
+	incarnation int             // counts its starts and ends
+	stall       time.Duration   // how long a write may take
+	lost        bool            // for good
+	down        time.Duration   // when it starts again
 }
 
 // timer is something that happens at a moment.
@@ -152,8 +152,8 @@
 }
 
 func (s *gsim) boot(n *gsimNode) {
-	n.life++
-	life := n.life
+	n.incarnation++
+	incarnation := n.incarnation
 	n.disk.dieIn, n.disk.died = -1, false
 	n.clk.T = time.Duration(s.r.Int64N(int64(time.Hour)))
 	n.known = map[string]bool{}
@@ -161,7 +161,7 @@
 		n.known[a] = true
 	}
 	p := newShard(context.Background(), 0, n.clk, hclog.NewNullLogger(), func(m *wire.Message) {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			s.send(m)
 		}
 	})
@@ -170,9 +170,9 @@
 	}
 	n.p = nil
 	openGroup(p, &group{codec: versions{}, disk: n.disk, targetSize: 2*s.tolerate + 1, retryOpenTicks: int(retryOpenPart / groupTick), zoneOf: func(string) string { return "" },
-		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TailBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(life)*1000+uint64(n.addr[1])))},
+		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TailBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(n.addr[1])))},
 		first: func() *wire.Snapshot {
-			if s.plant == "same-life" && !s.first { // planted: a lost disk comes back as the member that it was
+			if s.plant == "same-incarnation" && !s.first { // planted: a lost disk comes back as the member that it was
 				return consensus.LearnerSnapshot(n.addr + "/0")
 			}
 			return firstSnapshot(s.first, n.addr, s.seeds, s.r.Uint64)
@@ -185,7 +185,7 @@
 	if n.lost {
 		return
 	}
-	n.p, n.life, n.down = nil, n.life+1, s.now+back
+	n.p, n.incarnation, n.down = nil, n.incarnation+1, s.now+back
 	if power {
 		n.disk.powerLost()
 	}
@@ -218,8 +218,8 @@
 	return s.blocked(a, b) || s.blocked(b, a) || s.r.Float64() < s.loss
 }
 
-// owner is the member that leads in the highest term; nil: none.
-func (s *gsim) owner() *gsimNode {
+// leader is the member that leads in the highest term; nil: none.
+func (s *gsim) leader() *gsimNode {
 	var l *gsimNode
 	for _, n := range s.nodes {
 		if s.well(n) && n.p.core.Status().IsLeader && (l == nil || n.p.core.Status().Term > l.p.core.Status().Term) {
@@ -231,7 +231,7 @@
 
 // whole tells whether the group has all the members it wants, and they hold all there is.
 func (s *gsim) whole() bool {
-	l := s.owner()
+	l := s.leader()
 	if l == nil || !l.p.core.MembershipSettled() {
 		return false
 	}
--- a/internal/control/controlstate/sim_group_troubles_test.go
+++ b/internal/control/controlstate/sim_group_troubles_test.go
@@ -84,7 +84,7 @@
 }
 
 func (s *gsim) killLeader(power bool) {
-	if l := s.owner(); l != nil {
+	if l := s.leader(); l != nil {
 		s.note("kill the leader %s, power %v", l.addr, power)
 		s.kill(l, power, s.between(3*time.Second))
 	}
@@ -122,7 +122,7 @@
 
 // cutLeaderOff cuts the leader off for a few seconds: it is heard or not, but hears nobody.
 func (s *gsim) cutLeaderOff() {
-	if l := s.owner(); l != nil {
+	if l := s.leader(); l != nil {
 		s.note("cut the leader %s off", l.addr)
 		s.cutOff(s.cut, l, true, s.r.IntN(2) == 0)
 		s.later(s.between(4*time.Second), func() { clear(s.cut) })
@@ -142,15 +142,15 @@
 // terminate ends a process in order, as Node.leave does: it asks until it may stop, for a while.
 func (s *gsim) terminate(n *gsimNode, back time.Duration) {
 	const wait, pause = 3 * time.Second, 50 * time.Millisecond
-	end, life := s.now+wait, n.life
+	end, incarnation := s.now+wait, n.incarnation
 	s.note("SIGTERM to %s", n.addr)
 	var leave func()
 	leave = func() {
-		if n.p == nil || n.life != life {
+		if n.p == nil || n.incarnation != incarnation {
 			return
 		}
 		stops := s.up(n) && (s.now >= end || s.mayLeave(n))
-		if n.p == nil || n.life != life {
+		if n.p == nil || n.incarnation != incarnation {
 			return // it died in a write
 		}
 		if stops {
@@ -185,18 +185,18 @@
 	{"all lose power", 1, func(s *gsim, _ *gsimNode) { s.killAll(true) }},
 	{"all lose power in turn", 1, func(s *gsim, _ *gsimNode) { s.powerInTurn() }},
 	{"SIGTERM to the leader", 1, func(s *gsim, _ *gsimNode) {
-		if l := s.owner(); l != nil {
+		if l := s.leader(); l != nil {
 			s.terminate(l, s.between(time.Second))
 		}
 	}},
 	{"freeze the leader", 1, func(s *gsim, _ *gsimNode) {
-		if l := s.owner(); l != nil {
+		if l := s.leader(); l != nil {
 			s.freeze(l, s.between(4*time.Second))
 		}
 	}},
 	{"cut the leader off", 1, func(s *gsim, _ *gsimNode) { s.cutLeaderOff() }},
 	{"the leader's disk stalls", 1, func(s *gsim, _ *gsimNode) {
-		if l := s.owner(); l != nil {
+		if l := s.leader(); l != nil {
 			l.stall = 2 * time.Second
 		}
 	}},
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -15,20 +15,20 @@
 	if !s.up(n) || s.r.Float64() < s.loss {
 		return
 	}
-	w, tell := n.p.propose(a, nil)
+	w, response := n.p.propose(a, nil)
 	n.p.step()
-	life, begin := n.life, s.now
+	incarnation, begin := n.incarnation, s.now
 	lost := s.r.Float64() < s.loss
 	s.open = append(s.open, func() bool {
-		if tell == nil {
+		if response == nil {
 			select {
-			case tell = <-w.answer:
+			case response = <-w.answer:
 			default:
-				return n.life == life && s.now-begin < 10*time.Second
+				return n.incarnation == incarnation && s.now-begin < 10*time.Second
 			}
 		}
-		if n.life == life && !lost && s.up(n) {
-			done(tell)
+		if n.incarnation == incarnation && !lost && s.up(n) {
+			done(response)
 		}
 		return false
 	})
@@ -57,10 +57,10 @@
 			w.epoch, w.end = t.Version, s.now
 			s.counts["acked"]++
 			s.note("acked %s epoch %d by %s", w.body, w.epoch, n.name)
-			if s.r.IntN(12) == 0 { // the owner dies right after it acknowledged; the others are asked for news
+			if s.r.IntN(12) == 0 { // the leader dies right after it acknowledged; the others are asked for news
 				s.note("kill %s right after", n.name)
 				s.counts["kill after ack"]++
-				n.p, n.life = nil, n.life+1
+				n.p, n.incarnation = nil, n.incarnation+1
 				if s.r.IntN(2) == 0 { // what it had sent meanwhile never left the machine
 					s.inFlight = slices.DeleteFunc(s.inFlight, func(m simMessage) bool { return m.l.From == n.name })
 				}
@@ -77,14 +77,14 @@
 	if !s.up(n) {
 		return
 	}
-	begin, life := s.now, n.life
+	begin, incarnation := s.now, n.incarnation
 	w := make(chan bool, 1)
 	n.p.beginRead(w)
 	n.p.step()
 	s.open = append(s.open, func() bool {
 		select {
 		case ok := <-w:
-			if ok && n.life == life && s.up(n) {
+			if ok && n.incarnation == incarnation && s.up(n) {
 				ds, _ := n.p.selectDocuments(&wire.ReadRequest{Key: "doc"})
 				x := &simRead{begin: begin, end: s.now}
 				if len(ds) > 0 {
@@ -99,7 +99,7 @@
 			}
 			return false
 		default:
-			return n.life == life && s.now-begin < 10*time.Second
+			return n.incarnation == incarnation && s.now-begin < 10*time.Second
 		}
 	})
 }
@@ -112,10 +112,10 @@
 	f := s.fresh.f
 	have, asked := f.Version(), s.now
 	wait := s.now + 300*time.Millisecond
-	life := n.life
+	incarnation := n.incarnation
 	s.open = append(s.open, func() bool {
-		if n.life != life || !s.up(n) {
-			return n.life == life
+		if n.incarnation != incarnation || !s.up(n) {
+			return n.incarnation == incarnation
 		}
 		t := n.p.newsNow(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
 		if s.plant == "vouch-unsettled" && s.now >= wait && n.p.state.docs["doc"].GetVersion() == have {
@@ -190,7 +190,7 @@
 	case 0:
 		s.note("kill %s", n.name)
 		s.counts["kill"]++
-		n.p, n.life = nil, n.life+1
+		n.p, n.incarnation = nil, n.incarnation+1
 	case 1:
 		n.frozen = s.now + time.Duration(s.r.Int64N(int64(4*time.Second)))
 		s.note("freeze %s", n.name)
@@ -233,7 +233,7 @@
 }
 
 // mend restarts what is down. One member at a time may come back without its disk, and
-// only when both others have a past to tell.
+// only when both others have a past that counts.
 func (s *sim) mend(all bool) {
 	if all || s.r.IntN(4) == 0 {
 		s.ghosts = nil // somebody has stopped it
@@ -253,7 +253,7 @@
 	}
 }
 
-// othersHold tells whether both others have a past to tell.
+// othersHold tells whether both others have a past that counts.
 func (s *sim) othersHold(n *simNode) bool {
 	for _, m := range s.nodes {
 		if m != n && m.blank {
@@ -279,7 +279,7 @@
 	}
 }
 
-// run is one seeded life of a part: ten virtual seconds of trouble at a time, then peace,
+// run is one seeded run of a part: ten virtual seconds of trouble at a time, then peace,
 // in which it must serve again within the bound.
 func (s *sim) run(rounds int) {
 	for range rounds {
--- a/internal/control/controlstate/sim_test.go
+++ b/internal/control/controlstate/sim_test.go
@@ -73,17 +73,17 @@
 func (d *simDisk) Cut(n string, s int) error       { d.f[n] = d.f[n][:s]; return nil }
 
 type simNode struct {
-	name   string
-	disk   *simDisk
-	p      *shard
-	clk    *clock.Hand
-	rate   float64
-	frozen time.Duration // until
-	next   time.Duration // its next tick
-	life   int
-	inc    string
-	stall  time.Duration // how long a write may take
-	blank  bool          // its disk isn't caught up yet
+	name        string
+	disk        *simDisk
+	p           *shard
+	clk         *clock.Hand
+	rate        float64
+	frozen      time.Duration // until
+	next        time.Duration // its next tick
+	incarnation int
+	inc         string
+	stall       time.Duration // how long a write may take
+	blank       bool          // its disk isn't caught up yet
 }
 
 type simMessage struct {
@@ -174,9 +174,9 @@
 
 // boot starts a member from its disk; its clock goes on from anywhere.
 func (s *sim) boot(n *simNode) {
-	n.life++
+	n.incarnation++
 	if len(n.disk.f) == 0 {
-		n.inc = fmt.Sprintf("%s/%d", n.name, n.life)
+		n.inc = fmt.Sprintf("%s/%d", n.name, n.incarnation)
 	}
 	n.disk.power, n.disk.fail = -1, false
 	n.disk.slow = func() { // the member does nothing else while a write takes its time
@@ -189,10 +189,10 @@
 	for _, m := range s.nodes {
 		ms = append(ms, m.name)
 	}
-	cfg := consensus.Config{Self: n.name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(n.life*10)))}
-	life := n.life
+	cfg := consensus.Config{Self: n.name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(n.incarnation*10)))}
+	incarnation := n.incarnation
 	p, err := openShard(context.Background(), cfg, n.disk, func() string { return n.inc }, n.clk, hclog.NewNullLogger(), func(l *wire.Message) {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			s.post(l)
 		}
 	})
@@ -275,7 +275,7 @@
 		for _, n := range s.nodes {
 			if n.p != nil && n.p.failure == nil {
 				x := n.p.core.Status()
-				k := fmt.Sprintf("%s owns %v term %d owner %s applied %d last %d blank %v", n.name, x.IsLeader, x.Term, x.Leader, x.Applied, x.Last, x.Blank)
+				k := fmt.Sprintf("%s owns %v term %d leader %s applied %d last %d blank %v", n.name, x.IsLeader, x.Term, x.Leader, x.Applied, x.Last, x.Blank)
 				if s.seen == nil {
 					s.seen = map[string]string{}
 				}
@@ -315,7 +315,7 @@
 // replace starts an empty machine under a name whose machine froze, and will wake.
 func (s *sim) replace(n *simNode) {
 	g := *n
-	g.life = 1 << 20
+	g.incarnation = 1 << 20
 	g.frozen = s.now + time.Duration(s.r.Int64N(int64(4*time.Second)))
 	disk := *n.disk
 	g.disk = &disk
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -197,7 +197,7 @@
 			t.Fatal("an id outlived its age")
 		}
 		if ok, _ := apply(x, 0, claim(7, 8)); ok {
-			t.Fatal("an id taken again goes by its first life's age")
+			t.Fatal("an id taken again goes by its first incarnation's age")
 		}
 	}
 	a, _ := s.save()
--- a/internal/control/controlstate/weights_again_test.go
+++ b/internal/control/controlstate/weights_again_test.go
@@ -23,7 +23,7 @@
 		defer func() { g.down() }()
 		var nodes []*Node
 		for i := range 5 {
-			if i+1 != g.owner() {
+			if i+1 != g.leader() {
 				nodes = append(nodes, g.nodes[g.addr(i+1)])
 			}
 		}
