--- a/internal/data/proxy/budget.go
+++ b/internal/data/proxy/budget.go
@@ -6,6 +6,15 @@
 	"pebbleloom/internal/data/retrybudget"
 )
 
+// After a worker that was another's (its address was used again) the next attempt may go to one more of
+// these: both arrive at a service that the request isn't for, beyond its own requests' retries. So attempts
+// after such an answer have a budget of their own beside the service's, for all services together.
+const (
+	misdirectedShare     = 0.1 // of the share of extra attempts
+	misdirectedAllowance = 0.5 // of the allowance
+	anyService           = ""
+)
+
 // budgets are the retry budgets of all services. Services are those of plans, so they are few.
 type budgets struct {
 	share, whole float64
--- a/internal/data/proxy/budget_test.go
+++ b/internal/data/proxy/budget_test.go
@@ -33,6 +33,7 @@
 	open(t, []script{full, full, full, full, says(okay)}, func(s *site) {
 		for range 100 {
 			s.d.budgets.first("s", 1)
+			s.d.misdirected.first(anyService, 1)
 		}
 		if a := s.call(post("once", "a", "b")); a.status != 503 {
 			t.Error(a)
@@ -44,3 +45,31 @@
 		}
 	})
 }
+
+// Workers whose addresses are another service's now turn every request away, and seem idle: attempts after
+// such an answer have a small budget of their own, however much is left of the service's.
+func TestMisdirectedAttemptsAreFew(t *testing.T) {
+	moved := says("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	open(t, []script{moved, moved, moved, moved}, func(s *site) {
+		const share, allowance = 0.2, 8.0
+		s.d.budgets = newBudgets(share, allowance)
+		s.d.misdirected = newBudgets(share*misdirectedShare, allowance*misdirectedAllowance)
+		for range 1000 {
+			s.d.budgets.first("s", 1)
+			s.d.misdirected.first(anyService, 1)
+		}
+		const requests = 100
+		for range requests {
+			if a := s.call(post("repeat", "a", "b")); a.status != 503 {
+				t.Fatalf("%+v: want 503", a)
+			}
+		}
+		arrivals := 0
+		for _, w := range s.ws {
+			arrivals += w.runs()
+		}
+		if extra, most := arrivals-requests, int(allowance*misdirectedAllowance+requests*share*misdirectedShare); extra < 1 || extra > most {
+			t.Errorf("%d attempts beyond the first of %d requests: at least 1, at most %d", extra, requests, most)
+		}
+	})
+}
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -33,18 +33,19 @@
 // server takes requests and carries them.
 type server struct {
 	Config
-	l       *daemon.Process
-	site    *settings.Site
-	conns   *connPool
-	budgets *budgets
-	room    int64        // bytes that requests under way may hold
-	held    atomic.Int64 // of it
-	running atomic.Int64 // requests under way
-	extras  atomic.Int64 // attempts beyond the first of a request
-	resumed atomic.Int64 // streams that another worker went on with
-	leaving atomic.Bool
-	served  atomic.Bool // was ready before
-	buffers sync.Pool
+	l           *daemon.Process
+	site        *settings.Site
+	conns       *connPool
+	budgets     *budgets
+	misdirected *budgets     // of attempts after a worker whose address is another's now
+	room        int64        // bytes that requests under way may hold
+	held        atomic.Int64 // of it
+	running     atomic.Int64 // requests under way
+	extras      atomic.Int64 // attempts beyond the first of a request
+	resumed     atomic.Int64 // streams that another worker went on with
+	leaving     atomic.Bool
+	served      atomic.Bool // was ready before
+	buffers     sync.Pool
 }
 
 // Ratios of bounds.
@@ -82,6 +83,7 @@
 	b := l.Place.Bounds
 	d := &server{Config: c, l: l, site: l.Place.Site, conns: newConnPool(l), room: int64(l.Place.Site.MemoryMB) << 20 / holdPart}
 	d.budgets = newBudgets(float64(b.TryShare)/100, float64(b.TryAllow))
+	d.misdirected = newBudgets(float64(b.TryShare)/100*misdirectedShare, float64(b.TryAllow)*misdirectedAllowance)
 	d.buffers.New = func() any { p := make([]byte, 8<<10); return &p }
 	l.Meter.Gauge("pebbleloom_requests", "requests under way", func() float64 { return float64(d.running.Load()) })
 	l.Meter.Count("pebbleloom_extra_attempts_total", "attempts beyond the first of a request", func() float64 { return float64(d.extras.Load()) })
--- a/internal/data/proxy/serve.go
+++ b/internal/data/proxy/serve.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"pebbleloom/internal/data/selection"
 	"pebbleloom/internal/errs"
 )
 
@@ -30,6 +31,7 @@
 	defer q.leave()
 	s := d.Snapshot()
 	d.budgets.first(q.ask.Service, s.Edges)
+	d.misdirected.first(anyService, s.Edges)
 	found := d.look(q)
 	for q.ctx.Err() == nil && q.left() > 0 {
 		c, ok := d.Selector.Select(d.Snapshot(), &q.ask, found, q.tried)
@@ -73,19 +75,26 @@
 	if q.begun && (q.events == nil || !q.events.exact) {
 		return false
 	}
+	if a.fate == notRun && a.ending == selection.Moved && !q.d.misdirected.extra(anyService, q.edges()) {
+		return false
+	}
 	return q.allowed()
 }
 
+// edges is the number of machines that share the budgets.
+func (q *request) edges() int {
+	if s := q.d.Snapshot(); s != nil {
+		return s.Edges
+	}
+	return 1
+}
+
 // allowed asks the budget for an attempt beyond the first, unless one is already paid for.
 func (q *request) allowed() bool {
 	if q.sent <= q.paid {
 		return true
 	}
-	edges := 1
-	if s := q.d.Snapshot(); s != nil {
-		edges = s.Edges
-	}
-	if !q.d.budgets.extra(q.ask.Service, edges) {
+	if !q.d.budgets.extra(q.ask.Service, q.edges()) {
 		return false
 	}
 	q.paid++
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -265,6 +265,7 @@
 				t.Errorf("%d attempts were never reported as done", s.p.open)
 			}
 		}()
+		s.d.misdirected = newBudgets(1, 100) // as the other budget: enough for one attempt more
 		f(s)
 	})
 }
