--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -27,6 +27,11 @@
 	clear(s.longCut)
 	clear(s.armed)
 	s.loss, s.isolated, s.timers = 0, "", nil
+	for _, n := range s.nodes { // a process that was told to stop does, also where its end was still to come
+		if n.p != nil && n.p.stopping {
+			s.kill(n, false, 0)
+		}
+	}
 	s.turnSeeds()
 	for _, n := range s.nodes {
 		n.frozen, n.stall, n.disk.fail, n.disk.dieIn = 0, 0, false, -1
