--- a/internal/capacity/follow.go
+++ b/internal/capacity/follow.go
@@ -45,7 +45,7 @@
 	body := written(sample(m.base+1, routes, 0))
 	var err error
 	if e := until("a plan is agreed on", func() bool {
-		_, err = m.n.PutPlan(context.Background(), m.base, body, false)
+		_, err = m.n.PutRoutingConfig(context.Background(), m.base, body, false)
 		return err == nil || errs.KindOf(err) != errs.CantSay && errs.KindOf(err) != errs.Overloaded
 	}); e != nil {
 		return e
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -68,7 +68,7 @@
 }
 
 func largeTime(size int) time.Duration {
-	return time.Duration(float64(catchUpHeal) * (sendTimePart + megabytePart*float64(size)/(1<<20)))
+	return time.Duration(float64(catchUpHeal) * (sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20)))
 }
 
 const (
@@ -142,10 +142,10 @@
 			w.post(m)
 		}
 	})
-	openGroup(p, &group{codec: textPlans{}, disk: n.disk, targetSize: 3, retryOpenTicks: int(retryOpenPart / groupTick), zoneOf: func(string) string { return "" },
-		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TailBytes: w.tail,
+	openGroup(p, &group{codec: textPlans{}, disk: n.disk, targetSize: 3, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TailBytes: w.tail,
 			Rand: rand.New(rand.NewPCG(w.r.Uint64(), 9))},
-		first: func() *wire.Snapshot { return firstSnapshot(first, n.addr, w.seeds, w.r.Uint64) }})
+		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(first, n.addr, w.seeds, w.r.Uint64) }})
 	n.p, n.next, n.version = p, w.now, 0
 }
 
@@ -185,13 +185,13 @@
 		return
 	}
 	q := catchUpMessage{at: w.now + linkDelay, starts: receiver.starts, m: m}
-	if size := payloadBytes(m); len(m.GetPiece().GetData()) > 0 || size >= largeBytes {
+	if size := payloadBytes(m); len(m.GetPiece().GetData()) > 0 || size >= largeMessageBytes {
 		l := w.links[from+">"+to]
 		if l == nil {
 			l = &simLink{}
 			w.links[from+">"+to] = l
 		}
-		if l.waiting > maxLarge {
+		if l.waiting > maxQueuedLarge {
 			return // the queue is full, one beside it is being sent
 		}
 		takes := time.Duration(float64(size) / float64(w.rate) * float64(time.Second))
@@ -239,9 +239,9 @@
 		if n.p.failure == nil {
 			n.p.core.Tick()
 		}
-		n.p.tick()
+		n.p.tickGroup()
 		w.after(n)
-		if w.well(n) && w.now >= n.joinAt && n.p.needsToJoin() {
+		if w.well(n) && w.now >= n.joinAt && n.p.needsJoin() {
 			n.joinAt = w.now + 800*time.Millisecond
 			w.join(n)
 		}
@@ -251,7 +251,7 @@
 // after lets a member act on what it was given, and checks what holds at any time.
 func (w *catchUpWorld) after(n *catchUpNode) {
 	before := n.p.core.Status()
-	n.p.step()
+	n.p.handleReady()
 	if n.p.failure != nil {
 		return
 	}
@@ -259,7 +259,7 @@
 	if s.Applied < before.Applied {
 		w.t.Fatalf("old snapshot never installed over newer state: %s went from %d to %d", n.addr, before.Applied, s.Applied)
 	}
-	d := n.p.state.docs[routingconfig.Key]
+	d := n.p.state.documents[routingconfig.Key]
 	if d.GetVersion() < n.version {
 		w.t.Fatalf("old snapshot never installed over newer state: %s went from version %d to %d", n.addr, n.version, d.GetVersion())
 	}
@@ -367,7 +367,7 @@
 		w.after(n)
 		for asked := w.now; response == nil && n.starts == starts && w.now-asked < 10*time.Second; {
 			select {
-			case response = <-pending.answer:
+			case response = <-pending.response:
 			default:
 				w.step()
 			}
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -70,7 +70,7 @@
 		if d := time.Since(begun); r.Outcome != wire.OutcomeUnknown || d > leadsAtMost {
 			t.Errorf("%v after %v", r, d)
 		}
-		if n := query(ctx, p, -1, func() int { return len(p.pending) }); n != 0 {
+		if n := query(ctx, p, -1, func() int { return len(p.pendingProposals) }); n != 0 {
 			t.Errorf("%d changes still wait", n)
 		}
 	})
@@ -120,9 +120,9 @@
 		server := &http.Server{Handler: wire.NewArchiveServer(contested{})}
 		go func() { _ = server.Serve(door) }()
 		defer server.Close()
-		n.control.HintLeader(w.addr(10))
+		n.controlClient.HintLeader(w.addr(10))
 		begun := time.Now()
-		err := n.NameWeights(context.Background(), "m", 2)
+		err := n.SetWeightsVersion(context.Background(), "m", 2)
 		if d := time.Since(begun); err == nil || errs.KindOf(err) != errs.CantSay || d > answerWithin {
 			t.Errorf("after %v: %v", d, err)
 		}
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -19,7 +19,7 @@
 const (
 	cutFor       = 20 * time.Second
 	answerWithin = 950 * time.Millisecond  // an operator moves on after about a second of silence
-	grantWithin  = 1600 * time.Millisecond // servePart of the heal bound, and a tick
+	grantWithin  = 1600 * time.Millisecond // serveTimeoutRatio of the heal bound, and a tick
 	knownWithin  = 450 * time.Millisecond  // once all others were silent: silentPart of an attempt for each
 	leadsAtMost  = 2300 * time.Millisecond // 2 election spans without a quorum, and some ticks
 	takesOver    = 6 * time.Second         // the step-down of a deaf leader, an election, a restart
@@ -90,11 +90,11 @@
 		w.t.Errorf("%v: the cut-off member serves a read", w.now())
 	}
 	begun = time.Now()
-	err := w.node(w.victim).NameWeights(ctx, "m", uint64(100+round))
+	err := w.node(w.victim).SetWeightsVersion(ctx, "m", uint64(100+round))
 	if d := time.Since(begun); err == nil || errs.KindOf(err).HTTP != 503 || d > answerWithin {
 		w.t.Errorf("%v: the cut-off member names weights after %v: %v", w.now(), d, err)
 	}
-	switch err := w.node(w.victim).NameWeights(ctx, "m", 1); {
+	switch err := w.node(w.victim).SetWeightsVersion(ctx, "m", 1); {
 	case err == nil:
 	case w.restarted && errs.KindOf(err).HTTP == 503: // after a restart it can't say what was committed
 	default:
@@ -128,7 +128,7 @@
 			t.Fatalf("before the cut: %v", err)
 		}
 	}
-	if err := w.node(w.victim).NameWeights(ctx, "m", 1); err != nil {
+	if err := w.node(w.victim).SetWeightsVersion(ctx, "m", 1); err != nil {
 		t.Fatalf("before the cut: %v", err)
 	}
 	background, stop := context.WithCancel(ctx)
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -152,7 +152,7 @@
 		}
 		for _, i := range near {
 			if n := w.node(i); n != nil {
-				r, _ = n.control.Change(one, ask)
+				r, _ = n.controlClient.Change(one, ask)
 				break
 			}
 		}
@@ -194,7 +194,7 @@
 // order sends one order to a machine, and says what came of it; it is never refused, nor held long.
 func (w *cutWorld) order(i int, base uint64, b []byte) error {
 	begun := time.Now()
-	v, err := w.node(i).PutPlan(context.Background(), base, b, false)
+	v, err := w.node(i).PutRoutingConfig(context.Background(), base, b, false)
 	if d := time.Since(begun); d > answerWithin {
 		w.t.Errorf("%v: machine %d answers an order after %v", w.now(), i, d)
 	}
@@ -213,7 +213,7 @@
 	least := w.version
 	w.mu.Unlock()
 	begun := time.Now()
-	_, v, err := w.node(i).ReadPlan(context.Background())
+	_, v, err := w.node(i).ReadRoutingConfig(context.Background())
 	if d := time.Since(begun); d > answerWithin {
 		w.t.Errorf("%v: machine %d answers a read after %v", w.now(), i, d)
 	}
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -27,11 +27,11 @@
 			boots, all = boots+1, all+1
 			d.died, d.dieIn = false, -1
 			p = newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
-			p.compactAt = 400
-			openGroup(p, &group{codec: versions{}, disk: d, targetSize: 1, retryOpenTicks: 3, zoneOf: func(string) string { return "" },
-				cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: r},
-				first: func() *wire.Snapshot {
-					return firstSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, r.Uint64)
+			p.compactThreshold = 400
+			openGroup(p, &group{codec: versions{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
+				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: r},
+				initialSnapshot: func() *wire.Snapshot {
+					return initialGroupSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, r.Uint64)
 				}})
 		}
 		tick := func(n int) {
@@ -39,8 +39,8 @@
 				if p.failure == nil {
 					p.core.Tick()
 				}
-				p.tick()
-				p.step()
+				p.tickGroup()
+				p.handleReady()
 				if d.died {
 					if ends++; r.IntN(2) == 0 {
 						d.powerLost()
@@ -74,7 +74,7 @@
 			tick(1)
 			if response == nil && incarnation == p {
 				select {
-				case response = <-w.answer:
+				case response = <-w.response:
 				default:
 				}
 			}
@@ -85,7 +85,7 @@
 			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.dieIn < 0 && incarnation == p) {
 				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, response)
 			}
-			if e := p.state.docs["k"].GetVersion(); p.failure == nil && p.core.AppliedOwnTerm() && e < newest {
+			if e := p.state.documents["k"].GetVersion(); p.failure == nil && p.core.AppliedOwnTerm() && e < newest {
 				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, i, newest, e)
 			}
 		}
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -34,14 +34,14 @@
 		g, ctx := newGround(t), context.Background()
 		g.found(3)
 		defer g.down()
-		if _, err := g.nodes[g.addr(1)].PutPlan(ctx, 0, body(1, "x"), false); err != nil {
+		if _, err := g.nodes[g.addr(1)].PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
 			t.Fatal(err)
 		}
 		o := g.leader()
 		n, release := g.nodes[g.addr(o)], make(chan struct{})
 		g.disks[g.addr(o)].set(func(d *heldDisk) { d.hold = release })
 		at := time.Now()
-		if _, err := n.PutPlan(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
+		if _, err := n.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
 			t.Errorf("a plan put where the disk stalls: %v", err)
 		}
 		if d := time.Since(at); d > 950*time.Millisecond {
@@ -55,7 +55,7 @@
 		g.until("the plan elsewhere", 5*time.Second, func() bool {
 			for i := range 3 {
 				if i+1 != o {
-					if _, err := g.nodes[g.addr(i+1)].PutPlan(ctx, 1, body(2, "x"), false); err == nil {
+					if _, err := g.nodes[g.addr(i+1)].PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil {
 						return true
 					}
 				}
@@ -65,7 +65,7 @@
 		g.disks[g.addr(o)].set(func(d *heldDisk) { d.hold = nil })
 		close(release)
 		g.until("the plan at the one that stalled", 5*time.Second, func() bool {
-			return n.shards[0].published.current().docs[routingconfig.Key].GetVersion() == 2
+			return n.shards[0].published.current().documents[routingconfig.Key].GetVersion() == 2
 		})
 	})
 }
@@ -82,7 +82,7 @@
 		for v := range 3 {
 			g.until("a plan", 6*time.Second, func() bool {
 				for _, m := range g.nodes {
-					if _, err := m.PutPlan(ctx, uint64(v), body(uint64(v+1), "x"), false); err == nil {
+					if _, err := m.PutRoutingConfig(ctx, uint64(v), body(uint64(v+1), "x"), false); err == nil {
 						return true
 					}
 				}
@@ -90,13 +90,13 @@
 			})
 		}
 		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 9}}, HoldNs: 3e8, Proof: routingconfig.Key})
-		if x.NothingNewer || n.shards[0].published.current().votes {
+		if x.NothingNewer || n.shards[0].published.current().isVoter {
 			t.Errorf("a member that is out vouches: %v", x)
 		}
 		g.disks[g.addr(o)].set(func(d *heldDisk) { d.d.fail = false })
 		g.until("the member back", 6*time.Second, func() bool {
 			s := n.shards[0].published.current()
-			return s.votes && s.docs[routingconfig.Key].GetVersion() == 3
+			return s.isVoter && s.documents[routingconfig.Key].GetVersion() == 3
 		})
 	})
 }
@@ -115,9 +115,9 @@
 		}
 		n := g.nodes[g.addr(o)]
 		for _, f := range []func() error{
-			func() error { _, err := n.PutPlan(ctx, 0, body(1, "x"), false); return err },
-			func() error { _, _, err := n.ReadPlan(ctx); return err },
-			func() error { return n.NameWeights(ctx, "m", 2) },
+			func() error { _, err := n.PutRoutingConfig(ctx, 0, body(1, "x"), false); return err },
+			func() error { _, _, err := n.ReadRoutingConfig(ctx); return err },
+			func() error { return n.SetWeightsVersion(ctx, "m", 2) },
 		} {
 			at := time.Now()
 			if err := f(); err == nil || errs.KindOf(err) != errs.CantSay || time.Since(at) > 950*time.Millisecond {
@@ -195,7 +195,7 @@
 			[]consensus.PeerStatus{in("b/0", 1), in("c/0", 40), in("d/0", 40), out("e/7", 1, true)}, 5, "[a/0 b/0 c/0 d/0 e/7]"},
 		{"the group is alone", abc, nil, 3, "[]"},
 	} {
-		v := membershipView{self: "a/0", members: slices.Clone(x.now), peers: x.sees, targetSize: x.want,
+		v := membershipPlanner{self: "a/0", members: slices.Clone(x.now), peers: x.sees, targetSize: x.want,
 			zoneOf: func(a string) string { return where[a] }, isLeaving: func(string) bool { return false }}
 		if got := fmt.Sprint(v.next()); got != x.next {
 			t.Errorf("%s: %s, want %s", x.name, got, x.next)
@@ -213,7 +213,7 @@
 		self  string
 		ms    string
 	}{{true, "a:1", "a:1/0", "[a:1/0 b:1/0 c:1/0]"}, {true, "d:1", "d:1/0000000000000abc", "[]"}, {false, "a:1", "a:1/0000000000000abc", "[]"}} {
-		s := firstSnapshot(x.first, x.own, seeds, random)
+		s := initialGroupSnapshot(x.first, x.own, seeds, random)
 		if s.HardState.Incarnation != x.self || fmt.Sprint(s.Members) != x.ms || s.HardState.DiskState != wire.DiskState_DISK_FOUNDED {
 			t.Errorf("%+v: %v", x, s)
 		}
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -54,7 +54,7 @@
 		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, HoldNs: uint64(10 * time.Second), Proof: routingconfig.Key}
 		go func() { x, _ := b.Follow(ctx, ask); held <- x }()
 		putPlan := func(i int, n *Node) {
-			if v, err := n.PutPlan(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || v != uint64(i*2+2) {
+			if v, err := n.PutRoutingConfig(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || v != uint64(i*2+2) {
 				t.Fatalf("plan %d: %d, %v", i, v, err)
 			}
 		}
@@ -65,10 +65,10 @@
 		putPlan(1, b)
 		putPlan(2, spare)
 		for _, n := range g.nodes {
-			if b, v, err := n.ReadPlan(ctx); err != nil || v != 6 || !strings.Contains(string(b), `"x+x+x"`) {
+			if b, v, err := n.ReadRoutingConfig(ctx); err != nil || v != 6 || !strings.Contains(string(b), `"x+x+x"`) {
 				t.Errorf("read back: %s, %d, %v", b, v, err)
 			}
-			if v, err := n.PutPlan(ctx, 2, body(4, "x"), true); err != nil || v != 4 {
+			if v, err := n.PutRoutingConfig(ctx, 2, body(4, "x"), true); err != nil || v != 4 {
 				t.Errorf("the same again, later: %d, %v", v, err)
 			}
 		}
@@ -78,7 +78,7 @@
 			kind *errs.Kind
 		}{{4, `{"version":9}`, errs.Conflict}, {9, `{"version":11}`, errs.Conflict}, {0, `{"version":11}`, errs.Conflict},
 			{6, `{"version":6}`, errs.BadInput}, {6, `{"version":9,"bad":true}`, errs.BadInput}, {6, `{`, errs.BadInput}} {
-			if _, err := spare.PutPlan(ctx, c.base, []byte(c.body), false); err == nil || errs.KindOf(err) != c.kind {
+			if _, err := spare.PutRoutingConfig(ctx, c.base, []byte(c.body), false); err == nil || errs.KindOf(err) != c.kind {
 				t.Errorf("%s on %d: %v", c.body, c.base, err)
 			}
 		}
@@ -86,11 +86,11 @@
 			n *Node
 			v uint64
 		}{{a, 2}, {spare, 3}, {b, 2}, {b, 3}} {
-			if err := x.n.NameWeights(ctx, "m", x.v); err != nil {
+			if err := x.n.SetWeightsVersion(ctx, "m", x.v); err != nil {
 				t.Errorf("weights %d: %v", x.v, err)
 			}
 		}
-		if err := a.NameWeights(ctx, "o", 1); err != nil {
+		if err := a.SetWeightsVersion(ctx, "o", 1); err != nil {
 			t.Error(err)
 		}
 		g.until("weights at the spare", 3*time.Second, func() bool {
@@ -99,7 +99,7 @@
 			return len(x.Documents) == 1 && json.Unmarshal(x.Documents[0].Body, &w) == nil && w.Named["m"] == 3 && w.Named["o"] == 1 && !x.NothingNewer
 		})
 		put := &wire.Put{Key: fleet.PlacementKey + "s", Body: []byte("{}"), AnyVersion: true, Token: "p1"}
-		if _, err := spare.control.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
+		if _, err := spare.controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
 			t.Error(err)
 		}
 		x, _ := a.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 6}, {Key: fleet.PlacementKey}}, HoldNs: 1e9, Proof: routingconfig.Key})
@@ -130,7 +130,7 @@
 			t.Helper()
 			g.until("a plan", 6*time.Second, func() bool {
 				for _, n := range g.nodes {
-					if _, err := n.PutPlan(ctx, v-1, body(v, "x"), false); err == nil {
+					if _, err := n.PutRoutingConfig(ctx, v-1, body(v, "x"), false); err == nil {
 						return true
 					}
 				}
@@ -183,7 +183,7 @@
 		}
 		put(6)
 		for _, n := range g.nodes {
-			if _, v, err := n.ReadPlan(ctx); err != nil || v != 6 {
+			if _, v, err := n.ReadRoutingConfig(ctx); err != nil || v != 6 {
 				t.Errorf("after all have started again: %d, %v", v, err)
 			}
 		}
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -206,7 +206,7 @@
 		if time.Since(begin) > within {
 			for a, n := range g.nodes {
 				x := n.shards[0].published.current()
-				g.t.Logf("%s: %s leader %s members %v votes %v", a, x.self, x.leader, x.members, x.votes)
+				g.t.Logf("%s: %s leader %s members %v votes %v", a, x.self, x.leader, x.members, x.isVoter)
 			}
 			g.t.Fatalf("%s: not within %v", what, within)
 		}
--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/orders_again_test.go
@@ -151,7 +151,7 @@
 	}
 	c.heal() // and the others hear what is committed
 	for _, m := range c.members {
-		if doc := m.p.state.docs[c.key]; doc.GetVersion() != newest.version || string(doc.GetBody()) != string(newest.body()) {
+		if doc := m.p.state.documents[c.key]; doc.GetVersion() != newest.version || string(doc.GetBody()) != string(newest.body()) {
 			c.fault("what is read back is the newest that was acknowledged: %s holds %d %s", m.addr, doc.GetVersion(), doc.GetBody())
 		}
 	}
--- a/internal/control/controlstate/orders_cluster_test.go
+++ b/internal/control/controlstate/orders_cluster_test.go
@@ -67,10 +67,10 @@
 	p := newShard(ctx, 0, &clock.Hand{}, hclog.NewNullLogger(), func(message *wire.Message) {
 		c.mail = append(c.mail, proto.Clone(message).(*wire.Message))
 	})
-	openGroup(p, &group{codec: versions{}, disk: m.disk, targetSize: 3, retryOpenTicks: 3, zoneOf: func(string) string { return "" },
-		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(uint64(m.addr[1]), 1))},
-		first: func() *wire.Snapshot {
-			return firstSnapshot(first, m.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
+	openGroup(p, &group{codec: versions{}, disk: m.disk, targetSize: 3, reopenTicks: 3, zoneOf: func(string) string { return "" },
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(uint64(m.addr[1]), 1))},
+		initialSnapshot: func() *wire.Snapshot {
+			return initialGroupSnapshot(first, m.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
 		}})
 	m.p = p
 }
@@ -86,8 +86,8 @@
 		}
 		break
 	}
-	m.p.step()
-	doc := m.p.state.docs[c.key]
+	m.p.handleReady()
+	doc := m.p.state.documents[c.key]
 	if doc.GetVersion() < m.seen {
 		c.fault("versions climb: %s goes from %d back to %d", m.addr, m.seen, doc.GetVersion())
 	}
@@ -268,7 +268,7 @@
 		case response.Outcome == wire.OutcomeDone:
 			o.acked = true
 			c.newest = max(c.newest, response.Version)
-		case judgedByState(response.Outcome):
+		case isDecidedByState(response.Outcome):
 			o.refused = true
 		}
 	}()
--- a/internal/control/controlstate/orders_search_test.go
+++ b/internal/control/controlstate/orders_search_test.go
@@ -112,7 +112,7 @@
 
 // send sends one copy of an order, and notes the answer unless it is lost.
 func (s *orderSearch) send(r *rand.Rand, o *sentOrder, n *Node, lost bool) (answered bool) {
-	version, err := n.PutPlan(s.ctx, o.base, body(o.version, o.text), o.part)
+	version, err := n.PutRoutingConfig(s.ctx, o.base, body(o.version, o.text), o.part)
 	kind := errs.KindOf(err)
 	refused := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooBig)
 	if lost {
@@ -179,7 +179,7 @@
 		}
 		var before uint64
 		s.locked(func() { before = max(s.acked, s.known) })
-		got, version, err := n.ReadPlan(s.ctx)
+		got, version, err := n.ReadRoutingConfig(s.ctx)
 		if err != nil {
 			continue
 		}
@@ -240,7 +240,7 @@
 
 func (s *orderSearch) start(i int, first bool) {
 	n := s.g.start(i, first)
-	n.shards[0].do(s.ctx, func() { n.shards[0].compactAt = 4000 })
+	n.shards[0].runOnLoop(s.ctx, func() { n.shards[0].compactThreshold = 4000 })
 	s.locked(func() { s.nodes[i] = n })
 }
 
@@ -261,7 +261,7 @@
 		byBase[o.base], acked[o.version] = o, o
 	}
 	for i, n := range s.nodes {
-		got, version, err := n.ReadPlan(s.ctx)
+		got, version, err := n.ReadRoutingConfig(s.ctx)
 		if err != nil || version < s.acked {
 			s.fault("what is read back is the newest that was acknowledged: %d gives %d, %v; %d was acknowledged", i, version, err, s.acked)
 			continue
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -54,11 +54,11 @@
 		t.Fatalf("%+v", s)
 	}
 	for _, e := range p.core.Unapplied() { // it commits with the colleagues; here it is enough that it is read
-		p.commit(e)
+		p.applyEntry(e)
 	}
-	x, err := serviceconfig.Read(p.state.docs[controlclient.SetupKey].GetBody())
-	if err != nil || p.state.docs[controlclient.SetupKey].Version != 4 || x.Models["gisa"].Weights != 4 || len(x.Tenants) != 8 {
-		t.Fatalf("epoch %d, %+v, %v", p.state.docs[controlclient.SetupKey].GetVersion(), x, err)
+	x, err := serviceconfig.Read(p.state.documents[controlclient.SetupKey].GetBody())
+	if err != nil || p.state.documents[controlclient.SetupKey].Version != 4 || x.Models["gisa"].Weights != 4 || len(x.Tenants) != 8 {
+		t.Fatalf("epoch %d, %+v, %v", p.state.documents[controlclient.SetupKey].GetVersion(), x, err)
 	}
 }
 
--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.state.docs[key] = &wire.Document{Key: key, Body: body, Version: 1}
+		p.state.documents[key] = &wire.Document{Key: key, Body: body, Version: 1}
 	}
 	ret := func(name, state string) *retire.Retirement {
 		return &retire.Retirement{Name: name, Service: "s", From: "a", To: "b", State: state}
@@ -54,7 +54,7 @@
 	if err := try(ret("spring", retire.Running)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
 		t.Errorf("begun beside a planned move: %v", err)
 	}
-	delete(p.state.docs, calendar.Key("s", "night"))
+	delete(p.state.documents, calendar.Key("s", "night"))
 	if err := try(ret("spring", retire.Running)); err != nil {
 		t.Errorf("begun: %v", err)
 	}
--- a/internal/control/controlstate/second_loss_net_test.go
+++ b/internal/control/controlstate/second_loss_net_test.go
@@ -28,9 +28,9 @@
 		if !r.well(n) || r.now < j.next {
 			continue
 		}
-		j.next = r.now + bounds.Heal(joinPart)
-		if n.p.needsToJoin() {
-			j.next += r.requestJoin(n, j, bounds.Heal(joinTimeoutPart))
+		j.next = r.now + bounds.Heal(joinIntervalRatio)
+		if n.p.needsJoin() {
+			j.next += r.requestJoin(n, j, bounds.Heal(joinTimeoutRatio))
 		}
 	}
 }
--- a/internal/control/controlstate/second_loss_node_test.go
+++ b/internal/control/controlstate/second_loss_node_test.go
@@ -13,7 +13,7 @@
 	g.t.Helper()
 	g.until("a plan", 6*time.Second, func() bool {
 		for _, n := range g.nodes {
-			if _, err := n.PutPlan(context.Background(), version-1, body(version, "x"), false); err == nil {
+			if _, err := n.PutRoutingConfig(context.Background(), version-1, body(version, "x"), false); err == nil {
 				return true
 			}
 		}
@@ -151,7 +151,7 @@
 			g.start(i+1, false)
 		}
 		g.until("the plan", 6*time.Second, func() bool {
-			_, v, err := g.nodes[g.addr(1)].ReadPlan(context.Background())
+			_, v, err := g.nodes[g.addr(1)].ReadRoutingConfig(context.Background())
 			return err == nil && v == 1
 		})
 	})
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -246,7 +246,7 @@
 		members := strings.Split(w.members, "")
 		var got []string
 		for range 2 * len(w.lost) {
-			v := membershipView{self: "A/0", members: named(members), peers: w.peers(members), targetSize: len(w.members),
+			v := membershipPlanner{self: "A/0", members: named(members), peers: w.peers(members), targetSize: len(w.members),
 				zoneOf: func(string) string { return "" }, isLeaving: func(m string) bool { return w.first == firstLeaving && m == "X/0" }}
 			next := v.next()
 			if next == nil {
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -260,7 +260,7 @@
 
 // leave is what Node.leave does: it asks until it may stop, for so much of the grace time at most.
 func (r *lossRun) leave(n *gsimNode, stop func()) {
-	incarnation, end, next := n.incarnation, r.now+time.Duration(leavePart*float64(graceTime)), r.now
+	incarnation, end, next := n.incarnation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
 	r.open = append(r.open, func() bool {
 		if n.p == nil || n.incarnation != incarnation {
 			return false
@@ -287,7 +287,7 @@
 // groupStepOfLeave is the pause of Node.leave between two looks.
 const groupStepOfLeave = 50 * time.Millisecond
 
-// mayStop is Node.mayStop over the simulated net.
+// mayStop is Node.tryLeave over the simulated net.
 func (r *lossRun) mayStop(n *gsimNode) bool {
 	at := n.p.prepareToLeave()
 	r.after(n)
--- a/internal/control/controlstate/shard_disk.go
+++ b/internal/control/controlstate/shard_disk.go
@@ -32,7 +32,7 @@
 	if err := checkFormat(l.Snapshot); err != nil {
 		return l, err
 	}
-	p.saved = len(l.Snapshot.State)
+	p.snapshotBytes = len(l.Snapshot.State)
 	return l, errs.As(p.state.load(l.Snapshot.State, p.clock.Now()), errs.DiskBad, "read the snapshot's state")
 }
 
@@ -63,7 +63,7 @@
 	if err := p.store.SaveSnapshot(s, rest); err != nil {
 		return err
 	}
-	*p.state, p.saved = *installed, len(s.State)
+	*p.state, p.snapshotBytes = *installed, len(s.State)
 	p.notifyWatchers()
 	return nil
 }
@@ -74,6 +74,6 @@
 	if err != nil {
 		return errs.Wrap(err, "save state")
 	}
-	p.saved = len(body)
+	p.snapshotBytes = len(body)
 	return p.store.SaveSnapshot(p.core.Compact(body))
 }
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -53,7 +53,7 @@
 		g := n.p.published.current()
 		if s.plant == "vouch-open" { // planted: what is in the log and not applied is overlooked
 			x := *g
-			x.unapplied, g = nil, &x
+			x.unappliedVersions, g = nil, &x
 		}
 		t := g.followResponse(ask)
 		if len(t.Documents) == 0 && s.now < end {
--- a/internal/control/controlstate/sim_group_operators_test.go
+++ b/internal/control/controlstate/sim_group_operators_test.go
@@ -106,7 +106,7 @@
 	s.open = append(s.open, func() bool {
 		if response == nil {
 			select {
-			case response = <-w.answer:
+			case response = <-w.response:
 			default:
 				return n.incarnation == incarnation && s.now-begin < patience
 			}
@@ -229,7 +229,7 @@
 func (s *gsim) change(n *gsimNode, a *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
 	s.readAt(n, func(uint64, string) {
 		s.command(n, a, func(t *wire.ChangeResponse, committed bool) {
-			if committed || !judgedByState(t.Outcome) {
+			if committed || !isDecidedByState(t.Outcome) {
 				done(t)
 				return
 			}
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -55,7 +55,7 @@
 
 // after lets a node act on what it was given, and dies with it where its disk says so.
 func (s *gsim) after(n *gsimNode) {
-	if n.p.step(); n.disk.died {
+	if n.p.handleReady(); n.disk.died {
 		s.note("%s dies in a write", n.addr)
 		s.count("died in a write")
 		s.kill(n, s.r.IntN(2) == 0, time.Duration(s.r.Int64N(int64(2*time.Second))))
@@ -160,7 +160,7 @@
 		n.p.core.Tick()
 	}
 	was, _, _ := n.p.core.Members()
-	n.p.tick()
+	n.p.tickGroup()
 	now, _, _ := n.p.core.Members()
 	changed := !slices.Equal(was, now)
 	if changed {
@@ -174,7 +174,7 @@
 	if s.allTroubles && s.up(n) && s.r.IntN(10) == 0 {
 		s.gossip(n)
 	}
-	if s.up(n) && s.now >= n.ask && n.p.needsToJoin() {
+	if s.up(n) && s.now >= n.ask && n.p.needsJoin() {
 		n.ask = s.now + 800*time.Millisecond
 		s.join(n)
 	}
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -165,17 +165,17 @@
 			s.send(m)
 		}
 	})
-	if p.compactAt = s.compactAt; p.compactAt == 0 {
-		p.compactAt = usualCompactAt
+	if p.compactThreshold = s.compactAt; p.compactThreshold == 0 {
+		p.compactThreshold = usualCompactAt
 	}
 	n.p = nil
-	openGroup(p, &group{codec: versions{}, disk: n.disk, targetSize: 2*s.tolerate + 1, retryOpenTicks: int(retryOpenPart / groupTick), zoneOf: func(string) string { return "" },
-		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TailBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(n.addr[1])))},
-		first: func() *wire.Snapshot {
+	openGroup(p, &group{codec: versions{}, disk: n.disk, targetSize: 2*s.tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TailBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(n.addr[1])))},
+		initialSnapshot: func() *wire.Snapshot {
 			if s.plant == "same-incarnation" && !s.first { // planted: a lost disk comes back as the member that it was
 				return consensus.LearnerSnapshot(n.addr + "/0")
 			}
-			return firstSnapshot(s.first, n.addr, s.seeds, s.r.Uint64)
+			return initialGroupSnapshot(s.first, n.addr, s.seeds, s.r.Uint64)
 		}})
 	n.p, n.nextTick, n.down = p, s.now, 0
 }
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -16,13 +16,13 @@
 		return
 	}
 	w, response := n.p.propose(a, nil)
-	n.p.step()
+	n.p.handleReady()
 	incarnation, begin := n.incarnation, s.now
 	lost := s.r.Float64() < s.loss
 	s.open = append(s.open, func() bool {
 		if response == nil {
 			select {
-			case response = <-w.answer:
+			case response = <-w.response:
 			default:
 				return n.incarnation == incarnation && s.now-begin < 10*time.Second
 			}
@@ -80,7 +80,7 @@
 	begin, incarnation := s.now, n.incarnation
 	w := make(chan bool, 1)
 	n.p.beginRead(w)
-	n.p.step()
+	n.p.handleReady()
 	s.open = append(s.open, func() bool {
 		select {
 		case ok := <-w:
@@ -117,8 +117,8 @@
 		if n.incarnation != incarnation || !s.up(n) {
 			return n.incarnation == incarnation
 		}
-		t := n.p.newsNow(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
-		if s.plant == "vouch-unsettled" && s.now >= wait && n.p.state.docs["doc"].GetVersion() == have {
+		t := n.p.watchResponse(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
+		if s.plant == "vouch-unsettled" && s.now >= wait && n.p.state.documents["doc"].GetVersion() == have {
 			t = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
 		}
 		if t == nil {
@@ -224,7 +224,7 @@
 		s.counts["stall"]++
 	case 9:
 		if s.up(n) && n.p.failure == nil && n.p.core.TransferLeadership() {
-			n.p.step()
+			n.p.handleReady()
 			s.counts["hand over"]++
 		}
 	case 8:
--- a/internal/control/controlstate/sim_test.go
+++ b/internal/control/controlstate/sim_test.go
@@ -200,7 +200,7 @@
 		s.fault("%s doesn't open: %v", n.name, err)
 		return
 	}
-	p.compactAt = 2000 // turn slots often
+	p.compactThreshold = 2000 // turn slots often
 	n.p, n.next = p, s.now
 	n.blank = p.core.Status().Blank
 	if s.plant == "vote-blank" && p.core.Status().Blank {
@@ -256,7 +256,7 @@
 		for _, n := range s.all() { // a name that two have reaches both
 			if n.name == m.l.To && s.up(n) && n.p.failure == nil {
 				n.p.core.Step(proto.Clone(m.l).(*wire.Message))
-				n.p.step()
+				n.p.handleReady()
 			}
 		}
 	}
@@ -266,7 +266,7 @@
 			n.next = s.now + time.Duration(float64(50*time.Millisecond)/n.rate)
 			if n.p.failure == nil {
 				n.p.core.Tick()
-				n.p.step()
+				n.p.handleReady()
 				n.blank = n.blank && n.p.core.Status().Blank
 			}
 		}
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -32,7 +32,7 @@
 
 func put(key, body, token string, epoch uint64) *wire.Command {
 	u := &wire.Put{Key: key, Body: []byte(body), IfVersion: epoch, Token: token}
-	u.Digest = digestOf(u, false)
+	u.Digest = requestDigest(u, false)
 	return &wire.Command{Kind: &wire.Command_Put{Put: u}}
 }
 
@@ -42,7 +42,7 @@
 func TestEveryOrderOfRacingConfigurations(t *testing.T) {
 	cs := []*wire.Command{put("k", "a", "ta", 1), put("k", "a", "ta", 1), put("k", "b", "tb", 1), put("k", "b", "tb", 1), put("k", "c", "tc", 0)}
 	cs[4].GetPut().AnyVersion = true
-	cs[4].GetPut().Digest = digestOf(cs[4].GetPut(), false)
+	cs[4].GetPut().Digest = requestDigest(cs[4].GetPut(), false)
 	n := orders(len(cs), func(o []int) {
 		s := newState()
 		s.apply(put("k", "first", "t0", 0), 0)
@@ -59,8 +59,8 @@
 		}
 		_, a := won[0]
 		_, b := won[1]
-		if won[2] == 0 || a && b || s.docs["k"].Version != uint64(1+len(won)) {
-			t.Fatalf("%v: won %v, epoch %d", o, won, s.docs["k"].Version)
+		if won[2] == 0 || a && b || s.documents["k"].Version != uint64(1+len(won)) {
+			t.Fatalf("%v: won %v, epoch %d", o, won, s.documents["k"].Version)
 		}
 	})
 	if n != 120 {
@@ -117,7 +117,7 @@
 		at   time.Duration
 		want bool
 	}{{"a", 11, true}, {"b", 11, false}, {"b", 18, false}, {"b", 19, false}, {"b", 20, true}} {
-		if got := s.free(g(c.h), c.at*time.Second); got != c.want {
+		if got := s.isGrantable(g(c.h), c.at*time.Second); got != c.want {
 			t.Errorf("%s at %d s: %v", c.h, c.at, got)
 		}
 	}
@@ -129,7 +129,7 @@
 	if err := o.load(body, 100*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if o.free(g("b"), 108*time.Second) {
+	if o.isGrantable(g("b"), 108*time.Second) {
 		t.Error("after a restart the lease isn't counted anew")
 	}
 }
@@ -137,16 +137,16 @@
 // Bounds: documents and tokens stay within theirs.
 func TestAPartsStateIsBounded(t *testing.T) {
 	s := newState()
-	for i := range maxDocs + 10 {
+	for i := range maxDocuments + 10 {
 		r := s.apply(put(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
-		if (r.Outcome == wire.OutcomeDone) != (i < maxDocs) {
+		if (r.Outcome == wire.OutcomeDone) != (i < maxDocuments) {
 			t.Fatalf("document %d: %s", i, r.Outcome)
 		}
 	}
-	if len(s.tokens) > maxTokens {
-		t.Errorf("%d tokens", len(s.tokens))
+	if len(s.recentTokens) > maxRecentTokens {
+		t.Errorf("%d tokens", len(s.recentTokens))
 	}
-	if r := s.apply(put("k0", string(make([]byte, maxState+1)), "", 1), 0); r.Outcome != wire.OutcomeTooBig {
+	if r := s.apply(put("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); r.Outcome != wire.OutcomeTooBig {
 		t.Errorf("a body over the bound: %s", r.Outcome)
 	}
 }
@@ -160,7 +160,7 @@
 // given back leave room at once, and the order of what was given back stays bounded.
 func TestOnceOnlyIdsGoByAge(t *testing.T) {
 	apply := func(s *state, passed time.Duration, c *wire.Claim) (bool, bool) {
-		r := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{c}, PassedNs: uint64(passed), KeepNs: uint64(defaultKeepIDs)}}}, 0)
+		r := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{c}, PassedNs: uint64(passed), KeepNs: uint64(defaultClaimRetention)}}}, 0)
 		return r.Granted[0], r.Full[0]
 	}
 	s := newState()
@@ -169,7 +169,7 @@
 			t.Fatalf("claim %d was denied", i)
 		}
 	}
-	if ok, full := apply(s, defaultKeepIDs-1, claim(maxClaims, 1)); ok || !full {
+	if ok, full := apply(s, defaultClaimRetention-1, claim(maxClaims, 1)); ok || !full {
 		t.Fatalf("a full part took one more: %v %v", ok, full)
 	}
 	if ok, _ := apply(s, 0, claim(0, 2)); ok {
@@ -210,7 +210,7 @@
 		apply(s, 0, &wire.Claim{Id: claim(3, 1).Id, Nonce: uint64(i + 100), Release: true})
 	}
 	if len(s.claims.order) > 2*maxClaims+2 {
-		t.Errorf("%d places for %d ids", len(s.claims.order), len(s.claims.by))
+		t.Errorf("%d places for %d ids", len(s.claims.order), len(s.claims.holders))
 	}
 }
 
@@ -223,7 +223,7 @@
 		want     time.Duration
 	}{{0, 1, 0}, {5, 1, 5}, {9, 2, 0}, {10, 2, 1}, {30, 4, 0}} {
 		h.T = time.Hour + time.Duration(x.at)
-		if got := p.passed(x.term); got != x.want {
+		if got := p.elapsedInTerm(x.term); got != x.want {
 			t.Errorf("%+v: %d", x, got)
 		}
 	}
--- a/internal/control/controlstate/step_again_test.go
+++ b/internal/control/controlstate/step_again_test.go
@@ -27,7 +27,7 @@
 	p.core = consensus.New(cfg, loaded.Snapshot, loaded.Records)
 	for range 3 * cfg.ElectionTicks {
 		p.core.Tick()
-		p.step()
+		p.handleReady()
 	}
 	return p
 }
@@ -35,8 +35,8 @@
 // makeChange proposes a change of the configuration and waits for its outcome.
 func (p *shard) makeChange(put *wire.Put, patch bool) *wire.ChangeResponse {
 	pending, response := p.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
-	if p.step(); response == nil {
-		response = <-pending.answer
+	if p.handleReady(); response == nil {
+		response = <-pending.response
 	}
 	return response
 }
@@ -52,7 +52,7 @@
 	}
 	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.Weights, Model: "gisa", Weights: 5, State: calendar.Planned}
 	next := func(e *calendar.Entry) (*calendar.Entry, calendar.Move, uint64) { // each time a new holder's
-		doc := p.state.docs[controlclient.SetupKey]
+		doc := p.state.documents[controlclient.SetupKey]
 		config, err := serviceconfig.Read(doc.Body)
 		if err != nil {
 			t.Fatal(err)
@@ -74,7 +74,7 @@
 	if version != 3 || again.Token != move.Token || r.Outcome != wire.OutcomeDone || r.Version != 2 || r.TokenReuse == "" {
 		t.Errorf("made again on version %d under %s: %v", version, again.Token, r)
 	}
-	if v := p.state.docs[controlclient.SetupKey].Version; v != 3 {
+	if v := p.state.documents[controlclient.SetupKey].Version; v != 3 {
 		t.Errorf("version %d is in force", v)
 	}
 }
@@ -84,7 +84,7 @@
 	t.Helper()
 	p := openRecorded(t)
 	for _, e := range p.core.Unapplied() {
-		p.commit(e)
+		p.applyEntry(e)
 	}
-	return p.state.docs[controlclient.SetupKey].GetBody()
+	return p.state.documents[controlclient.SetupKey].GetBody()
 }
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -27,7 +27,7 @@
 }
 
 func (s *stalledMember) Post(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
-	large := payloadBytes(b.Messages[0]) >= largeBytes
+	large := payloadBytes(b.Messages[0]) >= largeMessageBytes
 	s.mu.Lock()
 	hold := s.hold
 	if large {
@@ -74,7 +74,7 @@
 		server := &http.Server{Handler: wire.NewArchiveServer(member)}
 		go server.Serve(door)
 		s, _ := newTestMember(t)
-		n := &Node{process: l, shards: map[uint32]*shard{0: s}, calls: daemon.NewClients(l)}
+		n := &Node{process: l, shards: map[uint32]*shard{0: s}, clients: daemon.NewClients(l)}
 		f(newTransport(l.Ctx, n), s, member, g)
 		l.Stop(time.Second)
 		server.Close()
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -23,7 +23,7 @@
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
 	var others []*calendar.Entry
-	for k, d := range p.state.docs {
+	for k, d := range p.state.documents {
 		if strings.HasPrefix(k, "calendar/") {
 			o, err := calendar.Read(d.Body)
 			if b.Note(k, err); err == nil {
@@ -43,7 +43,7 @@
 }
 
 func (p *shard) retirements(b *errs.Batch) (l []*retire.Retirement) {
-	for k, d := range p.state.docs {
+	for k, d := range p.state.documents {
 		if strings.HasPrefix(k, "retire/") {
 			r, err := retire.Read(d.Body)
 			if b.Note(k, err); err == nil {
@@ -69,7 +69,7 @@
 	}
 	b.Note("retirement", r.ConflictWith(p.retirements(&b)))
 	if r.Active() && r.State != retire.Planned {
-		for k, d := range p.state.docs {
+		for k, d := range p.state.documents {
 			if !strings.HasPrefix(k, "calendar/") {
 				continue
 			}
--- a/internal/control/controlstate/weights_again_test.go
+++ b/internal/control/controlstate/weights_again_test.go
@@ -46,7 +46,7 @@
 		}
 		name := func(n *Node, model string, version uint64) {
 			for range 100 {
-				if n.NameWeights(ctx, model, version) == nil {
+				if n.SetWeightsVersion(ctx, model, version) == nil {
 					return
 				}
 			}
