--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -140,12 +140,12 @@
 	all.Go(func() { w.watchHolders(background) })
 	w.edges = []*cutEdge{{at: []int{w.victim}}, {at: append([]int{w.victim}, w.others...)}, {at: w.others}}
 	for _, e := range w.edges {
-		e.proof = agent.NewProof()
+		e.proof = agent.NewFreshnessProof()
 		for _, i := range e.at {
 			all.Go(func() { w.poll(background, e, i) })
 		}
 	}
-	clock.Pause(ctx, time.Second)
+	clock.Sleep(ctx, time.Second)
 	w.cutOff()
 	begin, term := w.now(), w.term()
 	w.duringCut(begin)
@@ -161,7 +161,7 @@
 	sent, done := w.now(), false
 	for k := 0; !done && w.now()-sent < takesOver; k++ {
 		if done = w.order(w.others[k%2], base, b) == nil; !done {
-			clock.Pause(context.Background(), 100*time.Millisecond)
+			clock.Sleep(context.Background(), 100*time.Millisecond)
 		}
 	}
 	w.longest = max(w.longest, w.now()-sent)
@@ -198,7 +198,7 @@
 		if x := w.node(w.victim).shards[0].published.current(); x.isLeader && w.now()-begin > leadsAtMost {
 			t.Errorf("%v: the cut-off member still leads", w.now())
 		}
-		clock.Pause(context.Background(), 300*time.Millisecond)
+		clock.Sleep(context.Background(), 300*time.Millisecond)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -211,13 +211,13 @@
 	cutEdge := w.edges[0]
 	cutEdge.mu.Lock()
 	defer cutEdge.mu.Unlock()
-	if p := cutEdge.proof.At(cutEdge.version); p > begin {
+	if p := cutEdge.proof.FreshUntil(cutEdge.version); p > begin {
 		t.Errorf("an edge that reaches the cut-off member alone has a proof up to %v, the cut began at %v", p, begin)
 	}
 	majority := w.edges[2]
 	majority.mu.Lock()
 	defer majority.mu.Unlock()
-	if p := majority.proof.At(majority.version); p < w.now()-time.Second {
+	if p := majority.proof.FreshUntil(majority.version); p < w.now()-time.Second {
 		t.Errorf("an edge that reaches the others has a proof up to %v alone, at %v", p, w.now())
 	}
 }
