--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -54,7 +54,7 @@
 	if err := l.Serve(t.addr(), mux); err != nil {
 		return err
 	}
-	k := promptindex.KeyOf(cacheText, partName(0))
+	k := promptindex.PartKey(cacheText, partName(0))
 	if err := until("the index has the worker's parts", func() bool {
 		x, err := node.Seek(l.Ctx, &wire.LookAsk{Keys: [][]byte{k[:]}})
 		return err == nil && len(x.Found[0].Holders) > 0
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -87,7 +87,7 @@
 	}
 	ctx := context.Background()
 	settled := limits.Heal(0.25) // members tell what is committed with their beats
-	if err := until("the agent has the first plan, proved", func() bool { s := a.Now(); return s.Plan != nil && s.Plan.Version == first.base }); err != nil {
+	if err := until("the agent has the first plan, proved", func() bool { s := a.Snapshot(); return s.Plan != nil && s.Plan.Version == first.base }); err != nil {
 		return 0, err
 	}
 	clock.Pause(ctx, settled)
@@ -95,7 +95,7 @@
 	if err := first.put(200); err != nil {
 		return 0, err
 	}
-	if err := until("the agent has the next plan", func() bool { return a.Now().Plan.Version == first.base }); err != nil {
+	if err := until("the agent has the next plan", func() bool { return a.Snapshot().Plan.Version == first.base }); err != nil {
 		return 0, err
 	}
 	clock.Pause(ctx, settled)
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -148,7 +148,7 @@
 func callers(ctx context.Context, t task) (string, func() (float64, float64, error), error) {
 	l := newProcess("hollow", bounds(), nil)
 	c := daemon.NewClients(l).PromptIndex(t.Addr)
-	key := func(i int) []byte { k := promptindex.KeyOf(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
+	key := func(i int) []byte { k := promptindex.PartKey(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
 	var number atomic.Uint64
 	one := func(i int) error {
 		if t.Kind == "seek" {
--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -39,7 +39,7 @@
 func emptyIndex() *promptindex.Core {
 	b := bounds()
 	b.Entries = 1 << 30 // as if nothing had to give way
-	return promptindex.New(b, func(prefix.Key) bool { return true })
+	return promptindex.NewCore(b, func(prefix.Key) bool { return true })
 }
 
 func applyEvents(c *promptindex.Core, w int, next uint64, l []backend.Change, now time.Duration) {
@@ -75,7 +75,7 @@
 		seek := b.spend(func() {
 			for j := range keys {
 				i++
-				keys[j] = promptindex.KeyOf(cacheText, partName(i*7919%int(n)))
+				keys[j] = promptindex.PartKey(cacheText, partName(i*7919%int(n)))
 			}
 			c.Lookup(keys, now)
 		}) / float64(len(keys))
@@ -136,10 +136,10 @@
 		read := b.spend(func() { _, _ = readChanges(body) })
 		a := &wire.CountAsk{Teller: "edge/edge-1", Incarnation: 1}
 		for i := range int(n) {
-			k := promptindex.KeyOf(cacheText, partName(i*31%have))
+			k := promptindex.PartKey(cacheText, partName(i*31%have))
 			a.Accesses = append(a.Accesses, &wire.Access{Key: k[:], Count: 2, Tokens: 800, Service: serviceName(0), Presumed: []string{"i-00000000"}})
 		}
-		count := b.spend(func() { a.Number++; c.Count(a, now) })
+		count := b.spend(func() { a.Number++; c.RecordAccesses(a, now) })
 		return []float64{table, read, float64(len(body)), count}, nil
 	})
 }
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -49,7 +49,7 @@
 	}
 	hot := make([]*wire.Hot, n)
 	for i := range hot {
-		k := promptindex.KeyOf(cacheText, partName(i))
+		k := promptindex.PartKey(cacheText, partName(i))
 		hot[i] = &wire.Hot{Key: k[:], Hotness: 30 * rate * weight[i] / total, Tokens: 8000, Head: true}
 	}
 	var ws []string
--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -34,9 +34,9 @@
 		},
 		WriteLeft: func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) },
 		ReadUsage: func(v string) (in, out int) { _, _ = fmt.Sscanf(v, "%d/%d", &in, &out); return },
-		ReadParts: func(v string) (l []selection.Part) {
+		ReadParts: func(v string) (l []selection.PromptPart) {
 			for _, s := range strings.Fields(v) {
-				l = append(l, selection.Part{ID: s, Tokens: 2500})
+				l = append(l, selection.PromptPart{ID: s, Tokens: 2500})
 			}
 			return l
 		},
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -110,11 +110,11 @@
 		i, d := 0, rand.New(rand.NewPCG(1, 2))
 		one := func(s *fleet.Snapshot) {
 			i++
-			q := &selection.Request{ID: fmt.Sprintf("%016x", i), Service: serviceName(0), Route: &x.Routes[0], Zone: "district-0", Model: modelName(0), In: 17000, Out: 450,
-				Parts: []selection.Part{{ID: fmt.Sprintf("%08x", d.IntN(8)), Tokens: 2500}, {ID: fmt.Sprintf("%08x", 100+d.IntN(290)), Tokens: 11000}, {ID: fmt.Sprintf("%08x", 1000+i), Tokens: 3500}}}
+			q := &selection.Request{ID: fmt.Sprintf("%016x", i), Service: serviceName(0), Route: &x.Routes[0], Zone: "district-0", Model: modelName(0), PromptTokens: 17000, MaxOutputTokens: 450,
+				Parts: []selection.PromptPart{{ID: fmt.Sprintf("%08x", d.IntN(8)), Tokens: 2500}, {ID: fmt.Sprintf("%08x", 100+d.IntN(290)), Tokens: 11000}, {ID: fmt.Sprintf("%08x", 1000+i), Tokens: 3500}}}
 			if c, ok := p.Select(s, q, nil, map[string]bool{}); ok {
-				p.Sent(q, c)
-				p.Done(q, c, selection.Served, &selection.Load{Running: 40, Slots: 128}, 300*time.Millisecond)
+				p.RecordSent(q, c)
+				p.RecordOutcome(q, c, selection.Completed, &selection.Load{Running: 40, Slots: 128}, 300*time.Millisecond)
 			}
 		}
 		steady := b.spend(func() { one(s) })
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -189,8 +189,8 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.RosterPathPrefix, a.Handler())
 	p.must(l.Serve(l.Place.Listen, mux))
-	s := indexclient.New(l, func() []*wire.Node { return a.Now().Nodes })
-	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Now, Selector: selection.New(l, s, l.Place.Name)}))
+	s := indexclient.New(l, func() []*wire.Node { return a.Snapshot().Nodes })
+	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s, l.Place.Name)}))
 }
 
 func (p *testSite) stop(who string) {
@@ -291,7 +291,7 @@
 func (p *testSite) Kept(_ context.Context, addr string) (backend.Events, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	text := selection.Text("daka", p.workerWeights[worker(addr)], nil)
+	text := selection.CacheSalt("daka", p.workerWeights[worker(addr)], nil)
 	return backend.Events{Boot: 1, Next: 1, List: []backend.Change{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
 }
 
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -156,11 +156,11 @@
 // though it wasn't.
 func (h history) wrongProof() string {
 	const version, askedAt = 1, time.Second
-	p := agent.NewProof()
+	p := agent.NewFreshnessProof()
 	for _, v := range h.vouches {
 		p.AddResponse(&wire.FollowResponse{Member: v.member, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, NothingNewer: true}, version, askedAt)
 	}
-	if p.At(version) == 0 {
+	if p.FreshUntil(version) == 0 {
 		return ""
 	}
 	return fmt.Sprintf("wrong proof of freshness: %v prove that %d changes are all, %d had been committed before they were asked", h.vouches, h.asked-1, h.asked)
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return errs.Wrap(err, "agent")
 	}
-	index, err := promptindex.StartSite(process, calls, a.Now)
+	index, err := promptindex.StartSite(process, calls, a.Snapshot)
 	if err != nil {
 		return errs.Wrap(err, "index")
 	}
@@ -43,7 +43,7 @@
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
-	Start(process, controlclient.NewGroup(process.Place.Seeds, a.View, clients, process.Place.Bounds), calls, a.Now, a.View, queryIndexNodes(process, a.View, clients.PromptIndex))
+	Start(process, controlclient.NewGroup(process.Place.Seeds, a.Membership, clients, process.Place.Bounds), calls, a.Snapshot, a.Membership, queryIndexNodes(process, a.Membership, clients.PromptIndex))
 	process.Ready.Store(true)
 	return nil
 }
@@ -54,7 +54,7 @@
 	return func(ctx context.Context, service string) []*wire.Hot {
 		ctx, end := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotTimeoutRatio))
 		defer end()
-		nodes := promptindex.Serving(view().Nodes)
+		nodes := promptindex.ServingNodes(view().Nodes)
 		responses := make(chan *wire.HotTell, len(nodes))
 		var wg sync.WaitGroup
 		for _, n := range nodes {
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -140,7 +140,7 @@
 	all.Go(func() { w.watchHolders(background) })
 	w.edges = []*cutEdge{{at: []int{w.victim}}, {at: append([]int{w.victim}, w.others...)}, {at: w.others}}
 	for _, e := range w.edges {
-		e.proof = agent.NewProof()
+		e.proof = agent.NewFreshnessProof()
 		for _, i := range e.at {
 			all.Go(func() { w.poll(background, e, i) })
 		}
@@ -211,13 +211,13 @@
 	cutEdge := w.edges[0]
 	cutEdge.mu.Lock()
 	defer cutEdge.mu.Unlock()
-	if p := cutEdge.proof.At(cutEdge.version); p > begin {
+	if p := cutEdge.proof.FreshUntil(cutEdge.version); p > begin {
 		t.Errorf("an edge that reaches the cut-off member alone has a proof up to %v, the cut began at %v", p, begin)
 	}
 	majority := w.edges[2]
 	majority.mu.Lock()
 	defer majority.mu.Unlock()
-	if p := majority.proof.At(majority.version); p < w.now()-time.Second {
+	if p := majority.proof.FreshUntil(majority.version); p < w.now()-time.Second {
 		t.Errorf("an edge that reaches the others has a proof up to %v alone, at %v", p, w.now())
 	}
 }
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -43,7 +43,7 @@
 type cutEdge struct {
 	at      []int // the machines that it reaches
 	mu      sync.Mutex
-	proof   *agent.Proof
+	proof   *agent.FreshnessProof
 	version uint64
 }
 
@@ -125,7 +125,7 @@
 		}
 		e.version = max(e.version, heard)
 		e.proof.AddResponse(x, heard, asked)
-		proven := e.proof.At(e.version)
+		proven := e.proof.FreshUntil(e.version)
 		version := e.version
 		e.mu.Unlock()
 		w.mu.Lock()
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -118,7 +118,7 @@
 }
 
 // followResponse is the answer that this view gives. NothingNewer is the word of a member that has a
-// vote, of its own disk alone: agent.Proof says what a majority of such words proves.
+// vote, of its own disk alone: agent.FreshnessProof says what a majority of such words proves.
 func (g *publishedView) followResponse(a *wire.FollowRequest) *wire.FollowResponse {
 	t := &wire.FollowResponse{Member: g.self, Members: g.members, MembersTerm: g.term, MembersIndex: g.index, Leader: g.leader}
 	have := make(map[string]uint64, len(a.Have))
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -110,7 +110,7 @@
 		return
 	}
 	f := s.fresh.f
-	have, asked := f.Version(), s.now
+	have, asked := f.LatestVersion(), s.now
 	wait := s.now + 300*time.Millisecond
 	incarnation := n.incarnation
 	s.open = append(s.open, func() bool {
@@ -128,7 +128,7 @@
 			t.NothingNewer = true
 		}
 		f.HandleResponse(n.name, have, asked, t)
-		proof := f.Proof()
+		proof := f.FreshUntil()
 		for _, w := range s.writes {
 			if w.end > 0 && w.end <= proof && w.epoch > f.Document().GetVersion() {
 				s.fault("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", f.Document().GetVersion(), proof, w.epoch, w.end)
--- a/internal/control/controlstate/sim_test.go
+++ b/internal/control/controlstate/sim_test.go
@@ -130,7 +130,7 @@
 
 // simRunner polls all members with the real Fresh.
 type simRunner struct {
-	f   *nodeagent.Freshness
+	f   *nodeagent.FreshnessProof
 	clk *clock.Hand
 }
 
@@ -154,7 +154,7 @@
 	for _, n := range s.nodes {
 		s.boot(n)
 	}
-	s.fresh = &simRunner{f: nodeagent.NewFreshness(), clk: &clock.Hand{}}
+	s.fresh = &simRunner{f: nodeagent.NewFreshnessProof(), clk: &clock.Hand{}}
 	for i := range 3 {
 		h := &simHolder{clk: &clock.Hand{}, rate: 0.97 + 0.06*s.r.Float64()}
 		h.l = controlclient.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -248,7 +248,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	snapshot, err := updatestream.Read(t, nil, 0)
+	snapshot, err := updatestream.ReadSnapshot(t, nil, 0)
 	return who, snapshot, err
 }
 
--- a/internal/control/operatorapi/sitestatus.go
+++ b/internal/control/operatorapi/sitestatus.go
@@ -178,7 +178,7 @@
 // checkIndex reports the index nodes.
 func (s *siteServer) checkIndex(view clustermembership.View, f *problems, fact func(string, string, ...any)) {
 	var serving []string
-	for _, n := range promptindex.Serving(view.Nodes) {
+	for _, n := range promptindex.ServingNodes(view.Nodes) {
 		serving = append(serving, n.Name)
 	}
 	fact("index nodes", "%d, serving: %s", len(view.Role(clustermembership.RolePromptIndex)), strings.Join(serving, " "))
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -66,7 +66,7 @@
 	c.members = clustermembership.Start(process.Ctx, process.Place, clustermembership.RolePlacementController, c.clock, process.Log, c.clients.Membership, nil)
 	view := func() clustermembership.View { return c.members.View() }
 	c.control = controlclient.New(process.Place.Core, view, c.clients, process.Place.Bounds)
-	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, process.Place.Bounds.Heal(1.0/12), nil, updatestream.Seeds(c.members.SetSeeds))
+	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, process.Place.Bounds.Heal(1.0/12), nil, updatestream.OnSeedsChanged(c.members.SetSeeds))
 	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", func() (v float64) {
 		c.heldUp.Range(func(_, n any) bool { v += float64(n.(int)); return true })
 		return v
@@ -95,7 +95,7 @@
 // goroutines, one that renews its lease and one that works: if one of them blocks, it delays neither
 // another service nor its own renewal.
 func (c *Controller) assignServices() {
-	s := c.updates.Now()
+	s := c.updates.Snapshot()
 	if s == nil || s.Config == nil {
 		return
 	}
@@ -142,7 +142,7 @@
 
 // step is one step of a service's work.
 func (c *Controller) step(svc *serviceController) {
-	s := c.updates.Now()
+	s := c.updates.Snapshot()
 	config, ok := s.Config.Services[svc.name]
 	fence, held := svc.lease.Held()
 	if !ok || !held {
@@ -182,10 +182,10 @@
 		return nil // the stored placement isn't read yet
 	}
 	svc.rollout.AllAtOnce = config.RollOut == "at-once"
-	since := func(w uint64) time.Duration { _, first, _ := seen.Since(w); return now - first }
-	order, changed := svc.rollout.Step(ws, seen.Weights, since, now, c.process.Place.Bounds)
+	since := func(w uint64) time.Duration { _, first, _ := seen.SupersededAt(w); return now - first }
+	order, changed := svc.rollout.Step(ws, seen.Version, since, now, c.process.Place.Bounds)
 	var b errs.Batch
-	b.Note("order", c.sendOrders(svc.lease, order, seen.Weights))
+	b.Note("order", c.sendOrders(svc.lease, order, seen.Version))
 	if changed {
 		p := *svc.placement
 		p.Rolling, p.Why = svc.rollout.Batch, "weights are being rolled out"
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -36,24 +36,24 @@
 	bounds     settings.Bounds
 	codec      backend.Codec
 	startedAt  time.Duration
-	proof      *Proof
+	proof      *FreshnessProof
 	versions   map[string]uint64 // by document: the newest version received, readable or not
 	edgeSeenAt map[string]time.Duration
 	snapshot   fleet.Snapshot
 }
 
 func newTable(b settings.Bounds, codec backend.Codec, now time.Duration) *table {
-	return &table{bounds: b, codec: codec, startedAt: now, proof: NewProof(), versions: map[string]uint64{},
+	return &table{bounds: b, codec: codec, startedAt: now, proof: NewFreshnessProof(), versions: map[string]uint64{},
 		edgeSeenAt: map[string]time.Duration{}, snapshot: fleet.Snapshot{Edges: assumedEdges}}
 }
 
-// hold is how long a request sent now may be held. An agent that was out of contact, or suspended,
+// longPollTime is how long a request sent now may be held. An agent that was out of contact, or suspended,
 // needs a proof before it can serve again: it asks for an immediate response.
-func (t *table) hold(now time.Duration) time.Duration {
+func (t *table) longPollTime(now time.Duration) time.Duration {
 	if t.snapshot.Plan != nil && (t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio)) {
 		return 0
 	}
-	return t.bounds.Config(holdRatio)
+	return t.bounds.Config(longPollRatio)
 }
 
 // newRequest makes the next request to a member.
@@ -98,7 +98,7 @@
 // updateProof sets how fresh the plan in use is.
 func (t *table) updateProof() {
 	if t.snapshot.Plan != nil {
-		t.snapshot.ProofAt = t.proof.At(t.snapshot.Plan.Version)
+		t.snapshot.ProofAt = t.proof.FreshUntil(t.snapshot.Plan.Version)
 	}
 }
 
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -253,7 +253,7 @@
 
 // pin gives the newest configuration if it is proved fresh enough to follow.
 func (d *Proxy) pin(id string) (*updatestream.Snapshot, error) {
-	s := d.fol.Now()
+	s := d.fol.Snapshot()
 	if d.stopping() {
 		return nil, reject(errs.NotRun, id, d.b.Config(0.1), "this dispatcher is draining: ask another")
 	}
@@ -265,7 +265,7 @@
 
 // current reports whether a pinned configuration is still the newest, and proved so.
 func (d *Proxy) current(s *updatestream.Snapshot) bool {
-	n := d.fol.Now()
+	n := d.fol.Snapshot()
 	return n.ConfigVersion == s.ConfigVersion && n.Fresh(d.clk.Now(), d.b.Config(0.8))
 }
 
@@ -287,7 +287,7 @@
 		if _, ok := m[x.Weights]; ok {
 			continue
 		}
-		if x.Weights == w.Weights || d.older(w, x.Weights) > 0 {
+		if x.Weights == w.Version || d.older(w, x.Weights) > 0 {
 			if es, ok := have[x.Weights]; ok {
 				m[x.Weights] = es
 				continue
@@ -303,7 +303,7 @@
 // little later; a worker that isn't told apart by its clock is held to them by the wait alone.
 func (d *Proxy) until(s *updatestream.Snapshot, q *caller.Ask, w *wire.Worker) time.Duration {
 	t := s.ProofAt + d.b.Config(0.95)
-	if not, _, ok := s.WeightsAt[target(s, q).Model].Since(w.Weights); ok {
+	if not, _, ok := s.WeightsAt[target(s, q).Model].SupersededAt(w.Weights); ok {
 		t = min(t, not+d.b.Weights(0.95))
 	}
 	return t
@@ -321,7 +321,7 @@
 
 // older reports how long superseded weights may still start; zero: no more.
 func (d *Proxy) older(w updatestream.WeightsHistory, weights uint64) time.Duration {
-	not, _, ok := w.Since(weights)
+	not, _, ok := w.SupersededAt(weights)
 	if !ok || weights == 0 {
 		return 0
 	}
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -128,7 +128,7 @@
 	p := settings.Place{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
 	b := &bench{starts: map[string]int{}, granted: map[string]bool{}, clk: &clock.Hand{T: time.Hour}}
-	b.snap = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Weights: 1}},
+	b.snap = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
 		Config: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
 			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
 	for i, m := range modes {
@@ -156,7 +156,7 @@
 		}
 	})
 	d.index = newIndex(l, b.clk)
-	d.fol = updatestream.Fixed(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snap })
+	d.fol = updatestream.NewFixedFollower(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snap })
 	srv, err := caller.NewServer(d, caller.WithErrorHandler(turnAway))
 	if err != nil {
 		t.Fatal(err)
@@ -265,7 +265,7 @@
 		"no way leads there":      {func(b *bench) { b.snap.Config.Routes = nil }, "no-such-model"},
 		"all workers are leaving": {func(b *bench) { b.snap.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
 		"older weights alone": {func(b *bench) {
-			b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Weights: 2}}
+			b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
 		b := newBench(t, "well")
@@ -275,7 +275,7 @@
 		}
 	}
 	b := newBench(t, "well")
-	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Weights: 2, Past: []updatestream.WeightsHistory{{Weights: 1, NewestUntil: time.Hour - time.Second}}}}
+	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: time.Hour - time.Second}}}}
 	if o := b.ask("r", true); !o.Sealed {
 		t.Errorf("older weights within their bound: %+v", o)
 	}
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -20,7 +20,7 @@
 func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], target(s, q)
 	u := Query{ID: q.RequestID, Mode: modeOf(s.Config, service), Zone: d.process.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
-		Tried: tried, Newest: s.WeightsAt[on.Model].Weights, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
+		Tried: tried, Newest: s.WeightsAt[on.Model].Version, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
 	if p != nil {
 		u.Curve = p.Prefill
 	}
@@ -29,7 +29,7 @@
 		if w.Kind == "store" && w.State == updatestream.WorkerUp {
 			u.Stores[w.Name] = w.Addr
 		}
-		if x := under(w, on); x != nil && w.Service == service && w.State <= updatestream.WorkerUnsure {
+		if x := under(w, on); x != nil && w.Service == service && w.State <= updatestream.WorkerSuspect {
 			u.Workers = append(u.Workers, x)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // watch gives up an attempt whose worker has gone: its silence is not waited out.
 func (d *Proxy) watch(o *stream, w *wire.Worker, stop func()) {
-	for _, x := range d.fol.Now().Workers {
+	for _, x := range d.fol.Snapshot().Workers {
 		if x.Name == w.Name && x.Addr == w.Addr && x.State != updatestream.WorkerGone && (x.Incarnation == w.Incarnation || w.Incarnation == "") {
 			o.again(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
 			return
@@ -118,7 +118,7 @@
 //
 // Example: p := d.PlacementFor("lector")
 func (d *Proxy) PlacementFor(service string) *placement.Placement {
-	if s := d.fol.Now(); s != nil {
+	if s := d.fol.Snapshot(); s != nil {
 		return s.Placements[service]
 	}
 	return nil
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -39,7 +39,7 @@
 func TestUntilWhenAnAttemptMayBegin(t *testing.T) {
 	b := newBench(t, "well")
 	bounds, now := settings.Default(), b.clk.Now()
-	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Weights: 3, Past: []updatestream.WeightsHistory{{Weights: 1, NewestUntil: now - bounds.Weights(0.9)}, {Weights: 2, NewestUntil: now}}}}
+	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: now - bounds.Weights(0.9)}, {Version: 2, NewestUntil: now}}}}
 	q := &caller.Ask{Model: "m"}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
@@ -57,7 +57,7 @@
 	b.snap.Workers[0].Weights = 3
 	none, looks := *b.snap, 0
 	none.Workers = nil
-	b.d.fol = updatestream.Fixed(func() *updatestream.Snapshot {
+	b.d.fol = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if looks++; looks > 10 { // the worker leaves while the request waits
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -146,7 +146,7 @@
 			if i < upto {
 				a.Presumed = append(a.Presumed, saved...)
 			}
-			for _, h := range s.Holders(e.Key) {
+			for _, h := range s.NodesOf(e.Key) {
 				if h == "" {
 					continue
 				}
@@ -233,7 +233,7 @@
 		if r.Again { // it has lost its memory: tell the window again
 			for _, m := range []map[prefix.Key]*wire.Access{c.old, c.past} {
 				for k, p := range m {
-					if s := x.shards.Load(); s.Holders(k)[0] == h || s.Holders(k)[1] == h {
+					if s := x.shards.Load(); s.NodesOf(k)[0] == h || s.NodesOf(k)[1] == h {
 						merge(t.next, k, &wire.Access{Key: p.Key, Count: p.Count, Tokens: p.Tokens, Service: p.Service, Head: p.Head})
 					}
 				}
--- a/internal/data/callerproxy/meters.go
+++ b/internal/data/callerproxy/meters.go
@@ -10,14 +10,14 @@
 		return float64(n)
 	})
 	m.Gauge("pebbleloom_proof_age_seconds", "age of the proof that the setup is the newest; -1: none", func() float64 {
-		s := d.fol.Now()
+		s := d.fol.Snapshot()
 		if s == nil || s.ProofAt == 0 {
 			return -1
 		}
 		return (d.clk.Now() - s.ProofAt).Seconds()
 	})
 	m.Gauge("pebbleloom_setup_epoch", "epoch of the setup in use", func() float64 {
-		if s := d.fol.Now(); s != nil {
+		if s := d.fol.Snapshot(); s != nil {
 			return float64(s.ConfigVersion)
 		}
 		return 0
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -75,7 +75,7 @@
 		d.index.follow(s.Nodes)
 		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Config(0.8)))
 	})
-	d.claims = newClaimer(l, d.fol.Now, calls, l.Seed())
+	d.claims = newClaimer(l, d.fol.Snapshot, calls, l.Seed())
 	srv, err := caller.NewServer(d, caller.WithErrorHandler(turnAway))
 	if err != nil {
 		return errs.Wrap(err, "caller API")
@@ -92,7 +92,7 @@
 	t := clock.Every(d.b.Config(0.02))
 	defer t.Stop()
 	for {
-		s := d.fol.Now()
+		s := d.fol.Snapshot()
 		if s.Fresh(d.clk.Now(), d.b.Config(0.8)) && up(s) {
 			break
 		}
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -44,7 +44,7 @@
 	began  time.Duration
 	first  time.Duration // until its first piece
 	fate   fate
-	ending selection.Ending
+	ending selection.Outcome
 	final  bool // no other worker would say otherwise
 	load   *selection.Load
 }
@@ -70,7 +70,7 @@
 	within := max(rt.Target/2, q.d.l.Place.Bounds.Leave(0.05))
 	ctx := context.WithValue(q.ctx, dialingKey{}, dialing{most: q.conns, within: within})
 	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.take}))
-	q.d.Selector.Sent(&q.ask, c)
+	q.d.Selector.RecordSent(&q.ask, c)
 	for n := 0; n < 4; n++ { // a kept connection may have ended before it was used; then nothing has happened
 		a.exchange()
 		if a.aged {
@@ -129,12 +129,12 @@
 			a.q.d.conns.idle.stands(a.age)
 		}
 	case a.conn == nil || a.conn.stop(a):
-		a.fate, a.ending = unsent, selection.Unfit
+		a.fate, a.ending = unsent, selection.Failed
 		if errs.KindOf(err) == errs.Overloaded { // this machine's share, not the worker's fault
-			a.ending = selection.Full
+			a.ending = selection.NoFreeSlot
 		}
 	default:
-		a.fate, a.ending = broken, selection.Unfit
+		a.fate, a.ending = broken, selection.Failed
 		if a.reused && a.ctx.Err() == nil {
 			a.q.d.conns.idle.forgot(a.age)
 		}
@@ -189,15 +189,15 @@
 	said := len(head.Values(h.NotRun)) > 0
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		a.notRun(selection.Moved)
+		a.notRun(selection.Misdirected)
 		if v := head.Get(h.Weights); a.c.Weights != 0 && v != "" && v != strconv.FormatUint(a.c.Weights, 10) {
-			a.ending = selection.Loading
+			a.ending = selection.NotReady
 		}
 	case said && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
-		a.notRun(selection.Full)
+		a.notRun(selection.NoFreeSlot)
 	case said && status == http.StatusBadRequest:
 		a.final = true
-		a.notRun(selection.Unfit)
+		a.notRun(selection.Failed)
 	case said || promise(status):
 		a.unfit() // it promises what it may not, or contradicts what it says it didn't run: no proof
 	case status < 300 && head.Get(h.Seal) == "":
@@ -207,7 +207,7 @@
 	case status >= 500 && a.resp.ContentLength <= short:
 		a.keep(true)
 	default:
-		a.ending = selection.Served
+		a.ending = selection.Completed
 	}
 }
 
@@ -241,12 +241,12 @@
 
 // unfit ends an attempt with no answer of use: it may have run.
 func (a *attempt) unfit() {
-	a.fate, a.ending = broken, selection.Unfit
+	a.fate, a.ending = broken, selection.Failed
 	a.conn.stop(a)
 }
 
 // notRun takes a worker at its word that it has not run the request.
-func (a *attempt) notRun(e selection.Ending) {
+func (a *attempt) notRun(e selection.Outcome) {
 	a.keep(false)
 	a.fate, a.ending = notRun, e
 }
@@ -262,7 +262,7 @@
 		return
 	}
 	a.rest()
-	a.fate, a.ending = broken, selection.Unfit
+	a.fate, a.ending = broken, selection.Failed
 	a.final = a.final || a.resp.StatusCode == http.StatusGatewayTimeout
 	if a.resp.StatusCode == http.StatusMisdirectedRequest || a.q.kept != nil && a.q.kept.ran && !ran {
 		return // not the client's business, or worth less than what is kept
@@ -287,9 +287,9 @@
 	q := a.q
 	switch {
 	case a.fate == gone || q.r.Context().Err() != nil && a.fate != whole:
-		a.ending = selection.Left
+		a.ending = selection.ClientGone
 	case q.ctx.Err() != nil && a.fate != whole && a.fate != notRun:
-		a.ending = selection.Unsure
+		a.ending = selection.TimedOut
 	}
 	if a.fate != unsent && a.fate != notRun {
 		q.ran = true
@@ -298,5 +298,5 @@
 		a.conn.stop(a)
 	}
 	a.cancel()
-	q.d.Selector.Done(&q.ask, a.c, a.ending, a.load, a.first)
+	q.d.Selector.RecordOutcome(&q.ask, a.c, a.ending, a.load, a.first)
 }
--- a/internal/data/proxy/conn_test.go
+++ b/internal/data/proxy/conn_test.go
@@ -168,7 +168,7 @@
 		if a := s.call(post("once", "a3", "b")); a.status != 503 || a.head.Get("Retry-After") == "" {
 			t.Errorf("%+v", a)
 		}
-		if s.ws[0].runs() != 2 || s.p.endings[0] != selection.Full {
+		if s.ws[0].runs() != 2 || s.p.endings[0] != selection.NoFreeSlot {
 			t.Errorf("ran %d, %v", s.ws[0].runs(), s.p.endings)
 		}
 		for _, c := range cs {
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -35,7 +35,7 @@
 	ReadLeft  func(v string) (time.Duration, bool)
 	WriteLeft func(left time.Duration) string
 	ReadUsage func(v string) (in, out int)
-	ReadParts func(v string) []selection.Part
+	ReadParts func(v string) []selection.PromptPart
 	ReadLoad  func(v string) (selection.Load, bool)
 }
 
--- a/internal/data/proxy/pass.go
+++ b/internal/data/proxy/pass.go
@@ -35,14 +35,14 @@
 		}
 		if n > 0 && a.first == 0 {
 			a.first = max(q.d.l.Clock.Now()-a.began, 1)
-			q.d.Selector.Begun(&q.ask, a.c, a.load, a.first)
+			q.d.Selector.RecordFirstEvent(&q.ask, a.c, a.load, a.first)
 		}
 		if !a.hand(buf[:n], err == io.EOF, lively) {
 			return
 		}
 		if err == io.EOF {
 			a.rest()
-			a.fate, a.ending = whole, selection.Served
+			a.fate, a.ending = whole, selection.Completed
 			return
 		}
 		if err != nil {
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -188,7 +188,7 @@
 	h := &q.d.Headers
 	q.ask.Model = q.r.Header.Get(h.Model)
 	if v := q.r.Header.Get(h.Usage); v != "" {
-		q.ask.In, q.ask.Out = h.ReadUsage(v)
+		q.ask.PromptTokens, q.ask.MaxOutputTokens = h.ReadUsage(v)
 	}
 	if v := q.r.Header.Get(h.Parts); v != "" {
 		q.ask.Parts = h.ReadParts(v)
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -169,7 +169,7 @@
 				t.Errorf("%s: %q", k, h.Get(k))
 			}
 		}
-		if len(s.p.loads) != 1 || s.p.loads[0] != (selection.Load{Running: 3, Waiting: 1, Slots: 8}) || s.p.endings[0] != selection.Served {
+		if len(s.p.loads) != 1 || s.p.loads[0] != (selection.Load{Running: 3, Waiting: 1, Slots: 8}) || s.p.endings[0] != selection.Completed {
 			t.Errorf("%v %v", s.p.loads, s.p.endings)
 		}
 	})
@@ -275,7 +275,7 @@
 			if d := s.l.Clock.Now() - began; a.status != 504 || d < 4*time.Second || d > 4*time.Second+100*time.Millisecond || s.ws[1].runs() != 0 {
 				t.Errorf("%s: %d after %v, second %d", route, a.status, d, s.ws[1].runs())
 			}
-			if s.p.endings[0] != selection.Unsure {
+			if s.p.endings[0] != selection.TimedOut {
 				t.Errorf("%s: ending %v", route, s.p.endings)
 			}
 		})
--- a/internal/data/proxy/serve.go
+++ b/internal/data/proxy/serve.go
@@ -75,7 +75,7 @@
 	if q.begun && (q.events == nil || !q.events.exact) {
 		return false
 	}
-	if a.fate == notRun && a.ending == selection.Moved && !q.d.misdirected.extra(anyService, q.edges()) {
+	if a.fate == notRun && a.ending == selection.Misdirected && !q.d.misdirected.extra(anyService, q.edges()) {
 		return false
 	}
 	return q.allowed()
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -38,9 +38,9 @@
 		},
 		WriteLeft: func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) },
 		ReadUsage: func(v string) (in, out int) { _, _ = fmt.Sscanf(v, "%d/%d", &in, &out); return },
-		ReadParts: func(v string) (l []selection.Part) {
+		ReadParts: func(v string) (l []selection.PromptPart) {
 			for _, s := range strings.Fields(v) {
-				l = append(l, selection.Part{ID: s, Tokens: len(s)})
+				l = append(l, selection.PromptPart{ID: s, Tokens: len(s)})
 			}
 			return l
 		},
@@ -160,7 +160,7 @@
 // selector takes the first worker of the service that wasn't tried, and keeps a journal.
 type selector struct {
 	mu      sync.Mutex
-	endings []selection.Ending
+	endings []selection.Outcome
 	loads   []selection.Load
 	open    int
 	dress   func(*selection.Choice)
@@ -183,15 +183,16 @@
 	return selection.Choice{}, false
 }
 
-func (p *selector) Sent(*selection.Request, selection.Choice) {
+func (p *selector) RecordSent(*selection.Request, selection.Choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
 }
 
-func (p *selector) Begun(*selection.Request, selection.Choice, *selection.Load, time.Duration) {}
+func (p *selector) RecordFirstEvent(*selection.Request, selection.Choice, *selection.Load, time.Duration) {
+}
 
-func (p *selector) Done(_ *selection.Request, _ selection.Choice, e selection.Ending, l *selection.Load, _ time.Duration) {
+func (p *selector) RecordOutcome(_ *selection.Request, _ selection.Choice, e selection.Outcome, l *selection.Load, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
--- a/internal/data/selection/shed_test.go
+++ b/internal/data/selection/shed_test.go
@@ -14,8 +14,8 @@
 		t.Fatal("calm, and nobody is selected")
 	}
 	behind := func(ms float64, n int) {
-		for _, x := range e.layOut(e.s).groups["llm"].candidates[:n] {
-			x.stats.lateness, x.stats.latenessAt = ms, e.now
+		for _, x := range e.layoutFor(e.s).groups["llm"].candidates[:n] {
+			x.stats.latenessMs, x.stats.latenessAt = ms, e.now
 		}
 	}
 	long := 4 * route.Target.Seconds() * 1e3
@@ -56,10 +56,10 @@
 		for _, u := range run {
 			switch {
 			case u.first <= e.now:
-				e.begin(u.r, u.c, &Load{Slots: 128}, u.first-u.at, e.now)
-				e.done(u.r, u.c, Served, nil, u.first-u.at, e.now)
+				e.recordFirstEvent(u.r, u.c, &Load{Slots: 128}, u.first-u.at, e.now)
+				e.recordOutcome(u.r, u.c, Completed, nil, u.first-u.at, e.now)
 			case e.now-u.at >= patience:
-				e.done(u.r, u.c, Left, nil, 0, e.now)
+				e.recordOutcome(u.r, u.c, ClientGone, nil, 0, e.now)
 			default:
 				rest = append(rest, u)
 			}
@@ -77,7 +77,7 @@
 		if !ok {
 			continue
 		}
-		e.send(r, c, e.now)
+		e.recordSent(r, c, e.now)
 		free[c.Worker.ID] = max(free[c.Worker.ID], e.now) + time.Duration(9000/rate)*time.Millisecond
 		first := free[c.Worker.ID] + 30*time.Millisecond
 		run = append(run, under{e.now, first, r, c})
