--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -81,7 +81,7 @@
 	}
 	spent := (cpu() - at) / looks
 	body, err := json.Marshal(p)
-	packed := fleet.Pack(&wire.Document{Key: fleet.PlacementKey + p.Service, Body: body, Version: 1})
+	packed := fleet.Compress(&wire.Document{Key: fleet.PlacementKey + p.Service, Body: body, Version: 1})
 	return []float64{spent, float64(len(body)), float64(len(packed.Body)), float64(changed) / looks}, err
 }
 
--- a/internal/capacity/plans.go
+++ b/internal/capacity/plans.go
@@ -37,10 +37,10 @@
 			}
 			memory := heap() - was
 			doc := &wire.Document{Key: routingconfig.Key, Body: body, Version: 1}
-			packed := fleet.Pack(doc)
-			pack := b.spend(func() { fleet.Pack(doc) })
+			packed := fleet.Compress(doc)
+			pack := b.spend(func() { fleet.Compress(doc) })
 			read := b.spend(func() {
-				if d, err := fleet.Unpack(packed); err == nil {
+				if d, err := fleet.Decompress(packed); err == nil {
 					_, _ = form{}.Read(d.Body)
 				}
 			})
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -65,21 +65,21 @@
 		{"table-memory", "B", "heap of the workers that a snapshot holds"},
 	}, func(n float64) ([]float64, error) {
 		l := roll(int(n), models)
-		t := controllers.NewWorkerList(fleet.Table{Workers: l})
+		t := controllers.NewWorkerList(fleet.WorkerList{Workers: l})
 		body, err := json.Marshal(t.Document())
 		if err != nil {
 			return nil, err
 		}
 		was := heap()
-		x := &fleet.Table{}
+		x := &fleet.WorkerList{}
 		if err := json.Unmarshal(body, x); err != nil {
 			return nil, err
 		}
 		memory := heap() - was
-		packed := fleet.Pack(&wire.Document{Key: fleet.WorkersKey, Body: body, Version: 1})
+		packed := fleet.Compress(&wire.Document{Key: fleet.WorkersKey, Body: body, Version: 1})
 		read := b.spend(func() {
-			var x fleet.Table
-			if d, err := fleet.Unpack(packed); err == nil {
+			var x fleet.WorkerList
+			if d, err := fleet.Decompress(packed); err == nil {
 				_ = json.Unmarshal(d.Body, &x)
 			}
 		})
@@ -178,8 +178,8 @@
 
 // until waits for something that comes soon.
 func until(what string, f func() bool) error {
-	clk, ctx := clock.Boot(), context.Background()
-	for end := clk.Now() + patience; !f(); clock.Pause(ctx, time.Millisecond) {
+	clk, ctx := clock.BootTime(), context.Background()
+	for end := clk.Now() + patience; !f(); clock.Sleep(ctx, time.Millisecond) {
 		if clk.Now() > end {
 			return errs.New(errs.Inside, "%s: not within %v", what, patience)
 		}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -102,7 +102,7 @@
 func (d *memory) Append(n string, b []byte) error {
 	return d.set(n, func(old []byte) []byte { return append(old, b...) })
 }
-func (d *memory) Cut(n string, s int) error {
+func (d *memory) Truncate(n string, s int) error {
 	return d.set(n, func(old []byte) []byte { return old[:s] })
 }
 
@@ -144,7 +144,7 @@
 		ListRate: 47, MemoryMB: 284, Files: 4100, Ports: [2]int{7360, 7375}, Revokes: true}
 	place := set.Place{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.Default(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Extra: []string{"log=off"}, Site: site}
-	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
 			if p.disks[at] == nil {
 				p.disks[at] = &memory{m: map[string][]byte{}}
@@ -220,7 +220,7 @@
 
 func (p *testSite) until(what string, within time.Duration, so func() bool) {
 	p.t.Helper()
-	for from := time.Now(); !so(); clock.Pause(context.Background(), 100*time.Millisecond) {
+	for from := time.Now(); !so(); clock.Sleep(context.Background(), 100*time.Millisecond) {
 		if time.Since(from) > within {
 			_, out, bad := p.runOn(1, "", "status")
 			p.t.Fatalf("%s: not within %v\n%s%s", what, within, out, bad)
@@ -284,7 +284,7 @@
 	if since == 0 {
 		return p.Kept(ctx, addr)
 	}
-	clock.Pause(ctx, wait)
+	clock.Sleep(ctx, wait)
 	return backend.Events{Boot: 1, Next: since}, ctx.Err()
 }
 
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -69,7 +69,7 @@
 		beat := siteBounds(p).Leave(heartbeatRatio)
 		for i := range n {
 			p.Name, p.Listen = strconv.Itoa(i), strconv.Itoa(i)
-			m := Start(ctx, p, RoleNodeAgent, clock.Ticking(), hclog.NewNullLogger(), d.call, nil)
+			m := Start(ctx, p, RoleNodeAgent, clock.Synctest(), hclog.NewNullLogger(), d.call, nil)
 			l = append(l, m)
 			d.put(p.Listen, m)
 			pass := time.NewTimer(beat / 4 / n)
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -89,22 +89,22 @@
 
 // The holder's lease ends before anyone may be granted the duty, and a conflict ends it at once.
 func TestTheHolderStopsFirst(t *testing.T) {
-	clk := &clock.Hand{T: time.Minute}
+	clk := &clock.Manual{Time: time.Minute}
 	l := NewLease(nil, clk, "d", 1, "a", 8*time.Second)
 	if _, ok := l.Held(); ok {
 		t.Fatal("held before it was asked for")
 	}
-	asked := clk.T
-	clk.T += time.Second // the answer takes a second: the lease is counted from the question
+	asked := clk.Time
+	clk.Time += time.Second // the answer takes a second: the lease is counted from the question
 	l.Tell(asked, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 3})
 	for at, want := range map[time.Duration]bool{0: true, 5 * time.Second: true, 6 * time.Second: false, time.Hour: false} {
-		clk.T = asked + time.Second + at
+		clk.Time = asked + time.Second + at
 		if f, ok := l.Held(); ok != want || f != 3 {
 			t.Errorf("%v after the answer: held %v, fence %d", at, ok, f)
 		}
 	}
-	clk.T = asked + 2*time.Second
-	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
+	clk.Time = asked + 2*time.Second
+	l.Tell(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
 	if _, ok := l.Held(); ok || l.Ask().IfFence != 4 {
 		t.Error("another holds it, yet it is held here")
 	}
--- a/internal/control/controlclient/cut_off_test.go
+++ b/internal/control/controlclient/cut_off_test.go
@@ -103,7 +103,7 @@
 // longer it is so; each of the others is still asked.
 func TestACutOffProcessSaysSoSoon(t *testing.T) {
 	l, c := newPeers(t, "a", "b", "c")
-	clk := clock.Boot()
+	clk := clock.BootTime()
 	for i, most := range []time.Duration{1200 * time.Millisecond, 600 * time.Millisecond} {
 		begun := clk.Now()
 		asked, err := l.play(c, func() { l.silent["a"], l.silent["b"], l.silent["c"] = true, true, true })
@@ -140,14 +140,14 @@
 
 // A conflict of the past, told by a member that was cut off, takes no lease away.
 func TestAStaleConflictTakesNoLeaseAway(t *testing.T) {
-	clk := &clock.Hand{T: time.Minute}
+	clk := &clock.Manual{Time: time.Minute}
 	l := NewLease(nil, clk, "d", 1, "a", 8*time.Second)
-	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 5})
-	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
+	l.Tell(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 5})
+	l.Tell(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
 	if fence, held := l.Held(); !held || fence != 5 || l.Ask().IfFence != 5 {
 		t.Errorf("held %v under fence %d", held, fence)
 	}
-	l.Tell(clk.T, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 6, Leader: "b"})
+	l.Tell(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 6, Leader: "b"})
 	if fence, held := l.Held(); held || fence != 6 {
 		t.Errorf("another holds it, yet: held %v under fence %d", held, fence)
 	}
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -193,7 +193,7 @@
 		if c.group.isUnreachable(c.Addresses()) {
 			return false
 		}
-		clock.Pause(ctx, c.bounds.Heal(pausePart))
+		clock.Sleep(ctx, c.bounds.Heal(pausePart))
 	}
 	return false
 }
--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -62,7 +62,7 @@
 }
 
 func (c *Controller) run() {
-	t := clock.Every(c.lease.ofTTL(pollRatio))
+	t := clock.NewTicker(c.lease.ofTTL(pollRatio))
 	defer t.Stop()
 	defer c.endSession()
 	for {
--- a/internal/control/controllers/documents.go
+++ b/internal/control/controllers/documents.go
@@ -115,7 +115,7 @@
 					if err != nil && ctx.Err() == nil {
 						log(err)
 					}
-					clock.Pause(ctx, p.bounds.Leave(writeRetryRatio))
+					clock.Sleep(ctx, p.bounds.Leave(writeRetryRatio))
 					break // take returns it again, or a newer body
 				}
 				w.onWritten[key]()
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -26,7 +26,7 @@
 // call is one call of the machine: it travels, does what it does, and the answer travels back.
 // Where the machine's time has come, it dies before or after that.
 func (m *machine) call(ctx context.Context, kind string, do func() error) error {
-	clock.Pause(ctx, callDelay)
+	clock.Sleep(ctx, callDelay)
 	s := m.s
 	s.mu.Lock()
 	if _, ok := s.dead[m.name]; ok || ctx.Err() != nil {
@@ -57,7 +57,7 @@
 		err = errLost
 	}
 	s.mu.Unlock()
-	clock.Pause(ctx, callDelay)
+	clock.Sleep(ctx, callDelay)
 	if ctx.Err() != nil {
 		return errLost
 	}
@@ -142,7 +142,7 @@
 }
 
 func (s *testSite) table() map[string]uint64 {
-	var doc fleet.Table
+	var doc fleet.WorkerList
 	if d := s.docs[fleet.WorkersKey]; d != nil {
 		if err := json.Unmarshal(d.Body, &doc); err != nil {
 			s.t.Error(err)
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -42,7 +42,7 @@
 				s.actor.Ask(func(*session) { s.updatePlacement(x, hot) })
 			}
 		}
-		clock.Pause(s.ctx, b.Heal(placementRatio))
+		clock.Sleep(s.ctx, b.Heal(placementRatio))
 	}
 }
 
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -98,10 +98,10 @@
 		all.Note("placements", err)
 		if err := all.Look(); err != nil {
 			s.warn("stored documents")(err)
-			clock.Pause(s.ctx, b.Leave(listRetryRatio))
+			clock.Sleep(s.ctx, b.Leave(listRetryRatio))
 			continue
 		}
-		var doc fleet.Table
+		var doc fleet.WorkerList
 		for _, d := range ws {
 			if err := json.Unmarshal(d.Body, &doc); err != nil {
 				s.warn("stored worker list")(err) // the platform's list restores it
@@ -135,7 +135,7 @@
 		if idle {
 			pause = b.Leave(rolloutIdleRatio)
 		}
-		clock.Pause(s.ctx, pause)
+		clock.Sleep(s.ctx, pause)
 	}
 }
 
@@ -146,7 +146,7 @@
 	for s.ctx.Err() == nil {
 		pause := b.Leave(listRatio)
 		if _, ok := s.held(); !ok {
-			clock.Pause(s.ctx, b.Leave(listRetryRatio))
+			clock.Sleep(s.ctx, b.Leave(listRetryRatio))
 			continue
 		}
 		list, pages, err := s.readWorkerList()
@@ -171,7 +171,7 @@
 			}
 			pause = min(pause*2, b.Leave(listRetryRatio)<<min(bad-1, 4))
 		}
-		clock.Pause(s.ctx, pause)
+		clock.Sleep(s.ctx, pause)
 	}
 }
 
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -94,7 +94,7 @@
 }
 
 func newTestSite(t *testing.T, n int) *testSite {
-	s := &testSite{t: t, clock: clock.Ticking(), bounds: bounds(), docs: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
+	s := &testSite{t: t, clock: clock.Synctest(), bounds: bounds(), docs: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
 		since: map[string]time.Duration{}, setAsideAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, dead: map[string]time.Duration{},
 		last: map[string]sentOrder{}, random: rand.New(rand.NewPCG(1, 2)), calls: map[string]int{}, inFlight: map[string]int{}}
 	for i := range n {
--- a/internal/control/controllers/workerlist.go
+++ b/internal/control/controllers/workerlist.go
@@ -19,8 +19,8 @@
 
 // NewWorkerList starts from the stored document.
 //
-// Example: t := controllers.NewWorkerList(fleet.Table{})
-func NewWorkerList(doc fleet.Table) *WorkerList {
+// Example: t := controllers.NewWorkerList(fleet.WorkerList{})
+func NewWorkerList(doc fleet.WorkerList) *WorkerList {
 	t := &WorkerList{rows: map[string]*row{}}
 	for _, w := range doc.Workers {
 		w.Weights = maps.Clone(w.Weights)
@@ -91,8 +91,8 @@
 // Document returns all workers, sorted by ID.
 //
 // Example: body, err := json.Marshal(t.Document())
-func (t *WorkerList) Document() fleet.Table {
-	d := fleet.Table{Workers: make([]fleet.Worker, 0, len(t.rows))}
+func (t *WorkerList) Document() fleet.WorkerList {
+	d := fleet.WorkerList{Workers: make([]fleet.Worker, 0, len(t.rows))}
 	for _, id := range queue.Keys(t.rows) {
 		d.Workers = append(d.Workers, t.rows[id].worker)
 	}
--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -126,7 +126,7 @@
 	c.t.Helper()
 	c.until("three members that are up to date", 30*time.Second, func() bool {
 		l := c.leader()
-		if l == nil || !l.p.core.MembershipSettled() {
+		if l == nil || !l.p.core.CanChangeMembership() {
 			return false
 		}
 		members, _, _ := l.p.core.Members()
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -43,7 +43,7 @@
 	addr     string
 	disk     *simDisk
 	p        *shard // nil: down
-	clk      *clock.Hand
+	clk      *clock.Manual
 	starts   int
 	next     time.Duration // its next tick
 	joinAt   time.Duration
@@ -128,7 +128,7 @@
 }
 
 func (w *catchUpWorld) machine() *catchUpNode {
-	n := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(w.nodes)+1), disk: newSimDisk(), clk: &clock.Hand{}}
+	n := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(w.nodes)+1), disk: newSimDisk(), clk: &clock.Manual{}}
 	w.nodes = append(w.nodes, n)
 	return n
 }
@@ -143,7 +143,7 @@
 		}
 	})
 	openGroup(p, &group{codec: textPlans{}, disk: n.disk, targetSize: 3, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TailBytes: w.tail,
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: w.tail,
 			Rand: rand.New(rand.NewPCG(w.r.Uint64(), 9))},
 		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(first, n.addr, w.seeds, w.r.Uint64) }})
 	n.p, n.next, n.version = p, w.now, 0
@@ -208,7 +208,7 @@
 func (w *catchUpWorld) step() {
 	w.now += catchUpStep
 	for _, n := range w.nodes {
-		n.clk.T += catchUpStep
+		n.clk.Time += catchUpStep
 	}
 	sort.SliceStable(w.queued, func(i, j int) bool { return w.queued[i].at < w.queued[j].at })
 	due := w.queued
@@ -224,7 +224,7 @@
 		}
 		if q.lost || n.p == nil || n.starts != q.starts || w.cut[n.addr] || w.cut[from.addr] {
 			if q.link != nil && w.well(from) {
-				from.p.core.ReportLost(q.m)
+				from.p.core.ReportSendFailure(q.m)
 			}
 		} else if w.well(n) {
 			n.p.core.Step(q.m)
@@ -276,7 +276,7 @@
 		w.t.Fatalf("one leader a term: %d has %s and %s", s.Term, who, n.p.core.Self())
 	}
 	w.terms[s.Term] = n.p.core.Self()
-	if n.p.core.AppliedOwnTerm() && s.Term >= w.highestTerm() && n.version < w.acked {
+	if n.p.core.HasAppliedCurrentTerm() && s.Term >= w.highestTerm() && n.version < w.acked {
 		w.t.Fatalf("never leads with old state: %s leads term %d with version %d, %d was acknowledged", n.addr, s.Term, n.version, w.acked)
 	}
 }
@@ -308,7 +308,7 @@
 func (w *catchUpWorld) leader() *catchUpNode {
 	var found *catchUpNode
 	for _, n := range w.nodes {
-		if w.well(n) && !w.cut[n.addr] && n.p.core.AppliedOwnTerm() && (found == nil || n.p.core.Status().Term > found.p.core.Status().Term) {
+		if w.well(n) && !w.cut[n.addr] && n.p.core.HasAppliedCurrentTerm() && (found == nil || n.p.core.Status().Term > found.p.core.Status().Term) {
 			found = n
 		}
 	}
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -26,7 +26,7 @@
 	if err := w.order(w.victim, 0, body(1, "before")); err != nil {
 		t.Fatal(err)
 	}
-	clock.Pause(context.Background(), time.Second)
+	clock.Sleep(context.Background(), time.Second)
 	w.cutOff()
 	return w
 }
@@ -93,12 +93,12 @@
 type contested struct{ wire.Archive }
 
 func (contested) Read(ctx context.Context, _ *wire.ReadRequest) (*wire.ReadResponse, error) {
-	clock.Pause(ctx, 50*time.Millisecond)
+	clock.Sleep(ctx, 50*time.Millisecond)
 	return &wire.ReadResponse{Outcome: wire.OutcomeDone}, nil
 }
 
 func (contested) Change(ctx context.Context, _ *wire.ChangeRequest) (*wire.ChangeResponse, error) {
-	clock.Pause(ctx, 50*time.Millisecond)
+	clock.Sleep(ctx, 50*time.Millisecond)
 	return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: 3}, nil
 }
 
@@ -164,9 +164,9 @@
 			w.row.direction = direction
 			w.cutOff()
 			term, leader := w.term(), w.leader()
-			clock.Pause(context.Background(), cutFor)
+			clock.Sleep(context.Background(), cutFor)
 			w.net.set(func(cut map[[2]string]bool) { clear(cut) })
-			clock.Pause(context.Background(), backWithin)
+			clock.Sleep(context.Background(), backWithin)
 			if w.term() != term || w.leader() != leader {
 				t.Errorf("cut %s: the leader was %d of term %d, now it is %d of %d", direction, leader, term, w.leader(), w.term())
 			}
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -145,7 +145,7 @@
 			all.Go(func() { w.poll(background, e, i) })
 		}
 	}
-	clock.Pause(ctx, time.Second)
+	clock.Sleep(ctx, time.Second)
 	w.cutOff()
 	begin, term := w.now(), w.term()
 	w.duringCut(begin)
@@ -161,7 +161,7 @@
 	sent, done := w.now(), false
 	for k := 0; !done && w.now()-sent < takesOver; k++ {
 		if done = w.order(w.others[k%2], base, b) == nil; !done {
-			clock.Pause(context.Background(), 100*time.Millisecond)
+			clock.Sleep(context.Background(), 100*time.Millisecond)
 		}
 	}
 	w.longest = max(w.longest, w.now()-sent)
@@ -198,7 +198,7 @@
 		if x := w.node(w.victim).shards[0].published.current(); x.isLeader && w.now()-begin > leadsAtMost {
 			t.Errorf("%v: the cut-off member still leads", w.now())
 		}
-		clock.Pause(context.Background(), 300*time.Millisecond)
+		clock.Sleep(context.Background(), 300*time.Millisecond)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -107,7 +107,7 @@
 	for ctx.Err() == nil {
 		n := w.node(i)
 		if n == nil {
-			clock.Pause(ctx, 50*time.Millisecond)
+			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
 		e.mu.Lock()
@@ -115,7 +115,7 @@
 		e.mu.Unlock()
 		x, err := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: have}}, HoldNs: uint64(300 * time.Millisecond), Proof: routingconfig.Key})
 		if err != nil {
-			clock.Pause(ctx, 50*time.Millisecond)
+			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
 		e.mu.Lock()
@@ -141,7 +141,7 @@
 // hold has a holder ask for the lease again and again, at the cut-off member or at the others.
 func (w *cutWorld) hold(ctx context.Context, k int) {
 	l := w.holders[k]
-	for ; ctx.Err() == nil; clock.Pause(ctx, leaseTTL*2/5) {
+	for ; ctx.Err() == nil; clock.Sleep(ctx, leaseTTL*2/5) {
 		asked := w.now() + time.Hour
 		ask := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.Ask()}}}
 		one, end := context.WithTimeout(ctx, leaseTTL)
@@ -163,7 +163,7 @@
 
 // watchHolders sees to it that nobody holds the lease beside another.
 func (w *cutWorld) watchHolders(ctx context.Context) {
-	for ; ctx.Err() == nil; clock.Pause(ctx, 20*time.Millisecond) {
+	for ; ctx.Err() == nil; clock.Sleep(ctx, 20*time.Millisecond) {
 		_, a := w.holders[0].Held()
 		_, b := w.holders[1].Held()
 		if a && b {
@@ -229,7 +229,7 @@
 func newCutWorld(t *testing.T, r cutRow) *cutWorld {
 	w := &cutWorld{ground: newGround(t), t: t, row: r, acks: map[uint64]at{}, begun: time.Now()}
 	w.net = newNetwork()
-	clk := clock.Ticking()
+	clk := clock.Synctest()
 	for k := range w.holders {
 		w.holders[k] = controlclient.NewLease(nil, clk, "site", 0, fmt.Sprintf("holder-%d", k), leaseTTL)
 	}
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -26,7 +26,7 @@
 		boot := func() {
 			boots, all = boots+1, all+1
 			d.died, d.dieIn = false, -1
-			p = newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
+			p = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 			p.compactThreshold = 400
 			openGroup(p, &group{codec: versions{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
 				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: r},
@@ -85,7 +85,7 @@
 			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.dieIn < 0 && incarnation == p) {
 				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, response)
 			}
-			if e := p.state.documents["k"].GetVersion(); p.failure == nil && p.core.AppliedOwnTerm() && e < newest {
+			if e := p.state.documents["k"].GetVersion(); p.failure == nil && p.core.HasAppliedCurrentTerm() && e < newest {
 				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, i, newest, e)
 			}
 		}
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -155,10 +155,10 @@
 // Whom the leader adds and removes, case by case.
 func TestWhomTheLeaderAddsAndRemoves(t *testing.T) {
 	in := func(name string, heard int) consensus.PeerStatus {
-		return consensus.PeerStatus{Name: name, IsVoter: true, SinceHeard: heard, CaughtUp: true}
+		return consensus.PeerStatus{Name: name, IsVoter: true, ContactAge: heard, CaughtUp: true}
 	}
 	out := func(name string, heard int, caught bool) consensus.PeerStatus {
-		return consensus.PeerStatus{Name: name, SinceHeard: heard, Answered: true, CaughtUp: caught}
+		return consensus.PeerStatus{Name: name, ContactAge: heard, Responded: true, CaughtUp: caught}
 	}
 	asked := func(name string) consensus.PeerStatus { return consensus.PeerStatus{Name: name} } // and never answered
 	where := map[string]string{"a": "north", "b": "south", "c": "east", "d": "north", "e": "west"}
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -101,7 +101,9 @@
 func (d *heldDisk) Append(n string, b []byte) error {
 	return d.change(func() error { return d.d.Append(n, b) })
 }
-func (d *heldDisk) Cut(n string, s int) error { return d.change(func() error { return d.d.Cut(n, s) }) }
+func (d *heldDisk) Truncate(n string, s int) error {
+	return d.change(func() error { return d.d.Truncate(n, s) })
+}
 
 // newGround lays out machines; the first three are the seeds.
 func newGround(t *testing.T) *ground {
@@ -166,7 +168,7 @@
 	seed := g.seed
 	p := settings.Place{Name: fmt.Sprint("core-", i), Zone: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.Default(),
 		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: max(1, g.bears), IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
-	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk { return g.disks[addr] },
 		Listen: func(a string) (net.Listener, error) {
 			l := &pipes{g: g, addr: a, c: make(chan net.Conn), end: make(chan struct{})}
@@ -210,7 +212,7 @@
 			}
 			g.t.Fatalf("%s: not within %v", what, within)
 		}
-		clock.Pause(context.Background(), 50*time.Millisecond)
+		clock.Sleep(context.Background(), 50*time.Millisecond)
 	}
 	return time.Since(begin)
 }
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -17,8 +17,8 @@
 func newTestMember(t *testing.T) (*shard, *simDisk) {
 	t.Helper()
 	d := newSimDisk()
-	p := newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
-	first := consensus.FoundingSnapshot("a", []string{"a", "b", "c"})
+	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	first := consensus.BootstrapSnapshot("a", []string{"a", "b", "c"})
 	s := newState()
 	s.applyPut(&wire.Put{Key: "k", Body: []byte("one"), AnyVersion: true})
 	first.State, _ = s.save()
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -29,7 +29,7 @@
 	ctx, end := context.WithTimeout(ctx, settings.Of(n.process.Place.Site.GraceMs, leaveTimeoutRatio))
 	defer end()
 	for ctx.Err() == nil && !n.tryLeave(ctx) {
-		clock.Pause(ctx, n.process.Place.Bounds.Heal(groupTick/2))
+		clock.Sleep(ctx, n.process.Place.Bounds.Heal(groupTick/2))
 	}
 	n.membership.Leave()
 }
@@ -74,13 +74,13 @@
 // canLeave reports whether the group has done what it can before a member stops: no change of the
 // membership is left to make, and the other voters that are alive hold the whole log.
 func (p *shard) canLeave(name string) bool {
-	if !p.core.MembershipSettled() {
+	if !p.core.CanChangeMembership() {
 		return false
 	}
 	if !p.core.IsVoter(name) {
 		return true
 	}
-	return p.nextMembership() == nil && p.core.HeldByLivePeers(name, aliveTicks)
+	return p.nextMembership() == nil && p.core.ReplicatedToLiveVoters(name, aliveTicks)
 }
 
 // isLeaving reports whether a process has said lately that it is to stop.
@@ -92,7 +92,7 @@
 // joinLoop has this node taken in, and keeps it known while it isn't a member.
 func (n *Node) joinLoop() {
 	b, turn := n.process.Place.Bounds, 0
-	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Pause(n.process.Ctx, b.Heal(joinIntervalRatio)) {
+	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, b.Heal(joinIntervalRatio)) {
 		ctx, end := context.WithTimeout(n.process.Ctx, b.Heal(1.0/24))
 		alone := query(ctx, p, false, p.needsJoin)
 		end()
@@ -112,7 +112,7 @@
 	} else if s.Leader == "" {
 		patience = 0
 	}
-	return p.failure == nil && !p.stopping && !s.IsLeader && s.SinceLeader >= patience
+	return p.failure == nil && !p.stopping && !s.IsLeader && s.TicksSinceLeader >= patience
 }
 
 // silentTurnInterval is how often a silent address is asked before others: each so many turns.
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -87,15 +87,15 @@
 			return p
 		}
 	}
-	return consensus.PeerStatus{Name: name, SinceHeard: replaceAfterTicks}
+	return consensus.PeerStatus{Name: name, ContactAge: replaceAfterTicks}
 }
 
 func (v *membershipPlanner) isAlive(name string) bool {
-	return name == v.self || v.status(name).SinceHeard < aliveTicks
+	return name == v.self || v.status(name).ContactAge < aliveTicks
 }
 
 func (v *membershipPlanner) isSilent(name string) bool {
-	return v.status(name).SinceHeard >= replaceAfterTicks
+	return v.status(name).ContactAge >= replaceAfterTicks
 }
 
 func (v *membershipPlanner) allAlive() bool {
@@ -105,9 +105,9 @@
 // hasLostDisk reports whether the member's disk is lost: a learner at its address, under another
 // incarnation, has spoken since the member did. To have asked isn't enough: an ask may be late.
 func (v *membershipPlanner) hasLostDisk(name string) bool {
-	since := v.status(name).SinceHeard
+	since := v.status(name).ContactAge
 	return slices.ContainsFunc(v.peers, func(p consensus.PeerStatus) bool {
-		return !p.IsVoter && sameAddress(p.Name, name) && p.Answered && p.SinceHeard < since
+		return !p.IsVoter && sameAddress(p.Name, name) && p.Responded && p.ContactAge < since
 	})
 }
 
@@ -151,14 +151,14 @@
 // isReady reports whether a learner is there, holds what is committed, and is alone at its address:
 // neither a member nor a later incarnation stands there.
 func (v *membershipPlanner) isReady(p consensus.PeerStatus) bool {
-	if p.IsVoter || !p.CaughtUp || p.SinceHeard >= spareFreshTicks {
+	if p.IsVoter || !p.CaughtUp || p.ContactAge >= spareFreshTicks {
 		return false
 	}
 	if slices.ContainsFunc(v.members, func(m string) bool { return sameAddress(m, p.Name) }) {
 		return false
 	}
 	return !slices.ContainsFunc(v.peers, func(o consensus.PeerStatus) bool {
-		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Answered && o.SinceHeard < p.SinceHeard
+		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Responded && o.ContactAge < p.ContactAge
 	})
 }
 
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -57,7 +57,7 @@
 	tick := l.Place.Bounds.Heal(1.0 / 240)
 	for i := range uint32(controlclient.Shards) {
 		ms := controlclient.Members(i, core)
-		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
+		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Place.Name)))}
 		if !containsName(ms, l.Place.Name) {
 			continue
@@ -119,7 +119,7 @@
 func openDisk(l *daemon.Process, folder string) storage.Disk {
 	d := l.Disk(filepath.Join(l.Place.Data, folder))
 	if f := l.Place.Option("faults", ""); f != "" {
-		return storage.Faulty(d, f)
+		return storage.WithFaults(d, f)
 	}
 	return d
 }
@@ -231,8 +231,8 @@
 		x := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		t.Shards = append(t.Shards, query(ctx, p, x, func() *wire.ShardStatus {
 			s := p.core.Status()
-			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.Stuck, Applied: s.Applied,
-				Last: s.Last, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.Size())}
+			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, Applied: s.Applied,
+				Last: s.LastIndex, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.LogBytes())}
 			if p.failure != nil {
 				y.Failure = errs.Text(p.failure)
 			}
--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/orders_again_test.go
@@ -201,7 +201,7 @@
 			c.send(ctx, first, c.leader())
 			c.settle()
 			c.send(ctx, second, c.leader())
-			for !slices.ContainsFunc(c.members, func(m *orderMember) bool { return m != c.leader() && len(m.p.core.Unapplied()) > 0 }) {
+			for !slices.ContainsFunc(c.members, func(m *orderMember) bool { return m != c.leader() && len(m.p.core.UnappliedEntries()) > 0 }) {
 				c.round()
 			}
 			c.changeLeader()
--- a/internal/control/controlstate/orders_cluster_test.go
+++ b/internal/control/controlstate/orders_cluster_test.go
@@ -64,7 +64,7 @@
 func (c *orderCluster) boot(m *orderMember, first bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop = stop
-	p := newShard(ctx, 0, &clock.Hand{}, hclog.NewNullLogger(), func(message *wire.Message) {
+	p := newShard(ctx, 0, &clock.Manual{}, hclog.NewNullLogger(), func(message *wire.Message) {
 		c.mail = append(c.mail, proto.Clone(message).(*wire.Message))
 	})
 	openGroup(p, &group{codec: versions{}, disk: m.disk, targetSize: 3, reopenTicks: 3, zoneOf: func(string) string { return "" },
@@ -188,7 +188,7 @@
 // elect lets time pass until a member leads that isn't cut off.
 func (c *orderCluster) elect() {
 	for range 10 * electionTicks {
-		if l := c.leader(); l != nil && l.p.core.AppliedOwnTerm() {
+		if l := c.leader(); l != nil && l.p.core.HasAppliedCurrentTerm() {
 			return
 		}
 		for _, m := range c.members {
--- a/internal/control/controlstate/orders_search_test.go
+++ b/internal/control/controlstate/orders_search_test.go
@@ -151,7 +151,7 @@
 		for tries := 0; tries < 8 && !s.over.Load(); tries++ {
 			n, twin := s.node(r), s.node(r)
 			if n == nil || twin == nil {
-				clock.Pause(s.ctx, 100*time.Millisecond)
+				clock.Sleep(s.ctx, 100*time.Millisecond)
 				continue
 			}
 			lost := r.IntN(5) == 0
@@ -163,16 +163,16 @@
 			if copies.Wait(); answered {
 				break
 			}
-			clock.Pause(s.ctx, time.Duration(10+r.IntN(200))*time.Millisecond)
+			clock.Sleep(s.ctx, time.Duration(10+r.IntN(200))*time.Millisecond)
 		}
-		clock.Pause(s.ctx, time.Duration(r.IntN(40))*time.Millisecond)
+		clock.Sleep(s.ctx, time.Duration(r.IntN(40))*time.Millisecond)
 	}
 }
 
 // read is one reader: versions climb, what was acknowledged before is there, and no refused order is.
 func (s *orderSearch) read(r *rand.Rand) {
 	for !s.over.Load() {
-		clock.Pause(s.ctx, 50*time.Millisecond)
+		clock.Sleep(s.ctx, 50*time.Millisecond)
 		n := s.node(r)
 		if n == nil {
 			continue
@@ -199,7 +199,7 @@
 func (s *orderSearch) troubles(r *rand.Rand) {
 	g := s.g
 	for !s.over.Load() {
-		clock.Pause(s.ctx, time.Duration(200+r.IntN(1500))*time.Millisecond)
+		clock.Sleep(s.ctx, time.Duration(200+r.IntN(1500))*time.Millisecond)
 		i := 1 + r.IntN(searchMachines)
 		if o := g.leader(); o > 0 && r.IntN(2) == 0 {
 			i = o
@@ -208,12 +208,12 @@
 		case 0, 1:
 			s.count("restarted")
 			s.stop(i)
-			clock.Pause(s.ctx, time.Duration(r.IntN(1000))*time.Millisecond)
+			clock.Sleep(s.ctx, time.Duration(r.IntN(1000))*time.Millisecond)
 			s.start(i, false)
 		case 2, 3:
 			s.count("dark")
 			s.dark(i, true)
-			clock.Pause(s.ctx, time.Duration(500+r.IntN(3000))*time.Millisecond)
+			clock.Sleep(s.ctx, time.Duration(500+r.IntN(3000))*time.Millisecond)
 			s.dark(i, false)
 		case 4:
 			s.count("all restarted")
@@ -294,10 +294,10 @@
 		own := rand.New(rand.NewPCG(seed, r.Uint64()))
 		all.Go(func() { s.operate(own, i) })
 	}
-	clock.Pause(s.ctx, searchFor)
+	clock.Sleep(s.ctx, searchFor)
 	s.over.Store(true)
 	all.Wait()
-	clock.Pause(s.ctx, settings.Default().Heal(1))
+	clock.Sleep(s.ctx, settings.Default().Heal(1))
 	s.final()
 	return s
 }
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -22,7 +22,7 @@
 func open(t *testing.T, d storage.Disk) (*shard, error) {
 	t.Helper()
 	cfg := consensus.Config{Self: "core-2", Members: []string{"core-2", "core-3", "core-4"}, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(1, 1))}
-	return openShard(context.Background(), cfg, d, func() string { return "new" }, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	return openShard(context.Background(), cfg, d, func() string { return "new" }, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 }
 
 // openRecorded opens the data folder that a core machine of the first release left behind.
@@ -50,10 +50,10 @@
 func TestDataOfTheFirstReleaseIsRead(t *testing.T) {
 	p := openRecorded(t)
 	s := p.core.Status()
-	if s.Blank || s.Last < 4 || s.Term == 0 {
+	if s.Blank || s.LastIndex < 4 || s.Term == 0 {
 		t.Fatalf("%+v", s)
 	}
-	for _, e := range p.core.Unapplied() { // it commits with the colleagues; here it is enough that it is read
+	for _, e := range p.core.UnappliedEntries() { // it commits with the colleagues; here it is enough that it is read
 		p.applyEntry(e)
 	}
 	x, err := serviceconfig.Read(p.state.documents[controlclient.SetupKey].GetBody())
--- a/internal/control/controlstate/second_loss_leave_test.go
+++ b/internal/control/controlstate/second_loss_leave_test.go
@@ -18,17 +18,17 @@
 	when := r.now
 	r.until(time.Second, r.acknowledgedSince(when))
 	committed := leader.p.core.Status().Applied
-	if held := lagging.p.core.Status().Last; held >= committed {
+	if held := lagging.p.core.Status().LastIndex; held >= committed {
 		t.Fatalf("the follower that lags holds %d of %d", held, committed)
 	}
 	if r.mayStop(leaver) {
-		t.Errorf("the leaver may stop while another voter holds %d of %d committed entries", lagging.p.core.Status().Last, committed)
+		t.Errorf("the leaver may stop while another voter holds %d of %d committed entries", lagging.p.core.Status().LastIndex, committed)
 	}
 	clear(r.cut)
 	if took, ok := r.until(time.Second, func() bool { return r.mayStop(leaver) }); !ok {
 		t.Errorf("the leaver has to wait for %v though all hold everything", took)
 	}
-	if held := lagging.p.core.Status().Last; held < committed {
+	if held := lagging.p.core.Status().LastIndex; held < committed {
 		t.Errorf("the leaver may stop while another voter holds %d of %d", held, committed)
 	}
 }
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -292,9 +292,9 @@
 // peers is how the leader sees the group: a wiped member's successor is at its address.
 func (w weighed) peers(members []string) (l []consensus.PeerStatus) {
 	for _, m := range members {
-		p := consensus.PeerStatus{Name: m + "/0", IsVoter: true, SinceHeard: 1, Answered: true, CaughtUp: true}
+		p := consensus.PeerStatus{Name: m + "/0", IsVoter: true, ContactAge: 1, Responded: true, CaughtUp: true}
 		if strings.Contains(w.lost, m) && w.first != firstLeaving {
-			p.SinceHeard = replaceAfterTicks
+			p.ContactAge = replaceAfterTicks
 		}
 		if m != "A" {
 			l = append(l, p)
@@ -302,12 +302,12 @@
 	}
 	for _, m := range w.newcomer {
 		if !slices.Contains(members, string(m)) {
-			l = append(l, consensus.PeerStatus{Name: string(m) + "/0", SinceHeard: 2, Answered: true, CaughtUp: true})
+			l = append(l, consensus.PeerStatus{Name: string(m) + "/0", ContactAge: 2, Responded: true, CaughtUp: true})
 		}
 	}
 	if w.first == firstWiped {
 		for _, m := range w.lost {
-			l = append(l, consensus.PeerStatus{Name: string(m) + "/7", SinceHeard: 2, Answered: true})
+			l = append(l, consensus.PeerStatus{Name: string(m) + "/7", ContactAge: 2, Responded: true})
 		}
 	}
 	return l
--- a/internal/control/controlstate/sim_group_disk_test.go
+++ b/internal/control/controlstate/sim_group_disk_test.go
@@ -67,7 +67,7 @@
 func (d *cacheDisk) Write(n string, b []byte) error  { return d.change(n, true, nil, b) }
 func (d *cacheDisk) Append(n string, b []byte) error { return d.change(n, false, d.cache[n], b) }
 
-func (d *cacheDisk) Cut(n string, s int) error {
+func (d *cacheDisk) Truncate(n string, s int) error {
 	if d.died {
 		return errDied
 	}
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -47,7 +47,7 @@
 	s.later(sendTime, func() {
 		if n.incarnation == incarnation && s.well(n) {
 			s.count("message reported lost")
-			n.p.core.ReportLost(m)
+			n.p.core.ReportSendFailure(m)
 			s.after(n)
 		}
 	})
@@ -79,7 +79,7 @@
 func (s *gsim) step() {
 	s.now += groupStep
 	for _, n := range s.nodes {
-		n.clk.T += time.Duration(float64(groupStep) * n.rate)
+		n.clk.Time += time.Duration(float64(groupStep) * n.rate)
 	}
 	s.checkHolders()
 	s.fire()
@@ -105,7 +105,7 @@
 func (s *gsim) checkHolders() {
 	held := 0
 	for _, h := range s.leases {
-		h.clk.T += time.Duration(float64(groupStep) * h.rate)
+		h.clk.Time += time.Duration(float64(groupStep) * h.rate)
 		if _, ok := h.l.Held(); ok {
 			held++
 		}
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -31,7 +31,7 @@
 	addr        string
 	disk        *cacheDisk
 	p           *shard // nil: it is down
-	clk         *clock.Hand
+	clk         *clock.Manual
 	rate        float64
 	frozen      time.Duration // until
 	nextTick    time.Duration
@@ -125,7 +125,7 @@
 	}
 	s.first = false
 	for i := range 2 {
-		h := &simHolder{clk: &clock.Hand{}, rate: 0.97 + 0.06*s.r.Float64()}
+		h := &simHolder{clk: &clock.Manual{}, rate: 0.97 + 0.06*s.r.Float64()}
 		h.l = controlclient.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
 		s.leases = append(s.leases, h)
 	}
@@ -133,7 +133,7 @@
 }
 
 func (s *gsim) machine() *gsimNode {
-	n := &gsimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clk: &clock.Hand{}, rate: 0.97 + 0.06*s.r.Float64()}
+	n := &gsimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clk: &clock.Manual{}, rate: 0.97 + 0.06*s.r.Float64()}
 	s.empty(n)
 	s.nodes = append(s.nodes, n)
 	return n
@@ -155,7 +155,7 @@
 	n.incarnation++
 	incarnation := n.incarnation
 	n.disk.dieIn, n.disk.died = -1, false
-	n.clk.T = time.Duration(s.r.Int64N(int64(time.Hour)))
+	n.clk.Time = time.Duration(s.r.Int64N(int64(time.Hour)))
 	n.known = map[string]bool{}
 	for _, a := range s.seeds {
 		n.known[a] = true
@@ -170,7 +170,7 @@
 	}
 	n.p = nil
 	openGroup(p, &group{codec: versions{}, disk: n.disk, targetSize: 2*s.tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TailBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(n.addr[1])))},
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TrailingLogBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(n.addr[1])))},
 		initialSnapshot: func() *wire.Snapshot {
 			if s.plant == "same-incarnation" && !s.first { // planted: a lost disk comes back as the member that it was
 				return consensus.LearnerSnapshot(n.addr + "/0")
@@ -232,7 +232,7 @@
 // whole tells whether the group has all the members it wants, and they hold all there is.
 func (s *gsim) whole() bool {
 	l := s.leader()
-	if l == nil || !l.p.core.MembershipSettled() {
+	if l == nil || !l.p.core.CanChangeMembership() {
 		return false
 	}
 	ms, _, _ := l.p.core.Members()
--- a/internal/control/controlstate/sim_test.go
+++ b/internal/control/controlstate/sim_test.go
@@ -70,13 +70,13 @@
 	return d.put(n, b)
 }
 func (d *simDisk) Append(n string, b []byte) error { return d.put(n, b) }
-func (d *simDisk) Cut(n string, s int) error       { d.f[n] = d.f[n][:s]; return nil }
+func (d *simDisk) Truncate(n string, s int) error  { d.f[n] = d.f[n][:s]; return nil }
 
 type simNode struct {
 	name        string
 	disk        *simDisk
 	p           *shard
-	clk         *clock.Hand
+	clk         *clock.Manual
 	rate        float64
 	frozen      time.Duration // until
 	next        time.Duration // its next tick
@@ -131,13 +131,13 @@
 // simRunner polls all members with the real Fresh.
 type simRunner struct {
 	f   *nodeagent.FreshnessProof
-	clk *clock.Hand
+	clk *clock.Manual
 }
 
 // simHolder wants the duty with the real Lease.
 type simHolder struct {
 	l    *controlclient.Lease
-	clk  *clock.Hand
+	clk  *clock.Manual
 	rate float64
 	busy bool
 	stop time.Duration
@@ -148,15 +148,15 @@
 func newSim(seed uint64, plant string) *sim {
 	s := &sim{seed: seed, r: rand.New(rand.NewPCG(seed, 1)), cut: map[string]bool{}, counts: map[string]int{}, claimed: map[byte]uint64{}, plant: plant}
 	for i := range 3 {
-		n := &simNode{name: fmt.Sprintf("core-%d", i+1), disk: newSimDisk(), clk: &clock.Hand{}, rate: 0.97 + 0.06*s.r.Float64()}
+		n := &simNode{name: fmt.Sprintf("core-%d", i+1), disk: newSimDisk(), clk: &clock.Manual{}, rate: 0.97 + 0.06*s.r.Float64()}
 		s.nodes = append(s.nodes, n)
 	}
 	for _, n := range s.nodes {
 		s.boot(n)
 	}
-	s.fresh = &simRunner{f: nodeagent.NewFreshnessProof(), clk: &clock.Hand{}}
+	s.fresh = &simRunner{f: nodeagent.NewFreshnessProof(), clk: &clock.Manual{}}
 	for i := range 3 {
-		h := &simHolder{clk: &clock.Hand{}, rate: 0.97 + 0.06*s.r.Float64()}
+		h := &simHolder{clk: &clock.Manual{}, rate: 0.97 + 0.06*s.r.Float64()}
 		h.l = controlclient.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
 		s.leases = append(s.leases, h)
 	}
@@ -184,7 +184,7 @@
 			n.frozen = max(n.frozen, s.now+time.Duration(s.r.Int64N(int64(n.stall))))
 		}
 	}
-	n.clk.T = time.Duration(s.r.Int64N(int64(time.Hour)))
+	n.clk.Time = time.Duration(s.r.Int64N(int64(time.Hour)))
 	var ms []string
 	for _, m := range s.nodes {
 		ms = append(ms, m.name)
@@ -236,12 +236,12 @@
 func (s *sim) step() {
 	s.now += simStep
 	for _, n := range s.all() {
-		n.clk.T += time.Duration(float64(simStep) * n.rate)
+		n.clk.Time += time.Duration(float64(simStep) * n.rate)
 	}
 	for _, h := range s.leases {
-		h.clk.T += time.Duration(float64(simStep) * h.rate)
+		h.clk.Time += time.Duration(float64(simStep) * h.rate)
 	}
-	s.fresh.clk.T = s.now
+	s.fresh.clk.Time = s.now
 	sort.SliceStable(s.inFlight, func(i, j int) bool {
 		return s.inFlight[i].at < s.inFlight[j].at || s.inFlight[i].at == s.inFlight[j].at && s.inFlight[i].n < s.inFlight[j].n
 	})
@@ -275,7 +275,7 @@
 		for _, n := range s.nodes {
 			if n.p != nil && n.p.failure == nil {
 				x := n.p.core.Status()
-				k := fmt.Sprintf("%s owns %v term %d leader %s applied %d last %d blank %v", n.name, x.IsLeader, x.Term, x.Leader, x.Applied, x.Last, x.Blank)
+				k := fmt.Sprintf("%s owns %v term %d leader %s applied %d last %d blank %v", n.name, x.IsLeader, x.Term, x.Leader, x.Applied, x.LastIndex, x.Blank)
 				if s.seen == nil {
 					s.seen = map[string]string{}
 				}
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -216,13 +216,13 @@
 
 // The part's age is what its owners saw pass: none between owners, none twice.
 func TestTheAgeOfAShardIsThatOfItsLeaders(t *testing.T) {
-	h := &clock.Hand{T: time.Hour}
+	h := &clock.Manual{Time: time.Hour}
 	p := &shard{clock: h}
 	for _, x := range []struct {
 		at, term uint64
 		want     time.Duration
 	}{{0, 1, 0}, {5, 1, 5}, {9, 2, 0}, {10, 2, 1}, {30, 4, 0}} {
-		h.T = time.Hour + time.Duration(x.at)
+		h.Time = time.Hour + time.Duration(x.at)
 		if got := p.elapsedInTerm(x.term); got != x.want {
 			t.Errorf("%+v: %d", x, got)
 		}
--- a/internal/control/controlstate/step_again_test.go
+++ b/internal/control/controlstate/step_again_test.go
@@ -18,8 +18,8 @@
 // aloneShard is a shard with one fixed member, which leads.
 func aloneShard(t *testing.T) *shard {
 	t.Helper()
-	p := newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
-	loaded, err := p.load(newSimDisk(), func() *wire.Snapshot { return consensus.FoundingSnapshot("core-1", nil) })
+	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	loaded, err := p.load(newSimDisk(), func() *wire.Snapshot { return consensus.BootstrapSnapshot("core-1", nil) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 func recordedConfiguration(t *testing.T) []byte {
 	t.Helper()
 	p := openRecorded(t)
-	for _, e := range p.core.Unapplied() {
+	for _, e := range p.core.UnappliedEntries() {
 		p.applyEntry(e)
 	}
 	return p.state.documents[controlclient.SetupKey].GetBody()
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGround(t)
 		p := settings.Place{Name: "core-1", Listen: g.addr(1), Bounds: settings.Default(), Extra: []string{"log=off"}}
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
 			Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return g.dial(ctx, g.addr(1), to) },
 			Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 		l := daemon.NewIn(w, "archive", p)
@@ -96,7 +96,7 @@
 		x.send(largeMessage())
 		for range 10 {
 			x.send(smallMessage())
-			clock.Pause(context.Background(), 100*time.Millisecond)
+			clock.Sleep(context.Background(), 100*time.Millisecond)
 		}
 		if small, large, begun := member.counts(); small != 10 || large != 0 || begun != 1 {
 			t.Errorf("%d small and %d large messages arrived, %d had begun", small, large, begun)
@@ -114,11 +114,11 @@
 	transportWorld(t, func(x *transport, s *shard, member *stalledMember, _ *ground) {
 		member.hold = make(chan struct{})
 		x.send(largeMessage())
-		clock.Pause(context.Background(), 5*time.Second) // 600 KB may take some 7.5 s of a heal bound of 12 s
+		clock.Sleep(context.Background(), 5*time.Second) // 600 KB may take some 7.5 s of a heal bound of 12 s
 		if s.commands.Len() != 0 {
 			t.Error("it was given up too early")
 		}
-		clock.Pause(context.Background(), 5*time.Second)
+		clock.Sleep(context.Background(), 5*time.Second)
 		if s.commands.Len() != 1 {
 			t.Errorf("%d reports to the core, one is due", s.commands.Len())
 		}
@@ -140,10 +140,10 @@
 		synctest.Wait()
 		set(true)
 		x.send(smallMessage())
-		clock.Pause(context.Background(), time.Second)
+		clock.Sleep(context.Background(), time.Second)
 		set(false)
 		x.send(smallMessage())
-		clock.Pause(context.Background(), time.Second)
+		clock.Sleep(context.Background(), time.Second)
 		if s.commands.Len() != 1 {
 			t.Errorf("%d reports to the core 2 s after the message was begun, one is due", s.commands.Len())
 		}
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -19,7 +19,7 @@
 	if e.Check(&b); calendar.Key(e.Service, e.Name) != u.Key {
 		b.Fault(errs.BadInput, "entry %q of service %q doesn't belong under %s", e.Name, e.Service, u.Key)
 	}
-	if len(p.core.Unapplied()) > 0 {
+	if len(p.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
 	var others []*calendar.Entry
@@ -64,7 +64,7 @@
 	if r.Check(&b); retire.Key(r.Service, r.Name) != u.Key {
 		b.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", r.Name, r.Service, u.Key)
 	}
-	if len(p.core.Unapplied()) > 0 {
+	if len(p.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
 	b.Note("retirement", r.ConflictWith(p.retirements(&b)))
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -143,7 +143,7 @@
 
 func (s *siteServer) readWorkers(ctx context.Context) (*workerState, error) {
 	state := &workerState{setAside: map[string]bool{}}
-	var t fleet.Table
+	var t fleet.WorkerList
 	var w fleet.Weights
 	var err error
 	if state.version, err = s.readJSON(ctx, fleet.WorkersKey, &t); err != nil {
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -128,7 +128,7 @@
 // repeat runs a step now and at every tick until ctx ends.
 func (c *Controller) repeat(ctx context.Context, step func()) {
 	c.process.Go(func() {
-		t := clock.Every(c.process.Place.Bounds.Heal(1.0 / 24))
+		t := clock.NewTicker(c.process.Place.Bounds.Heal(1.0 / 24))
 		defer t.Stop()
 		for ctx.Err() == nil {
 			step()
--- a/internal/control/placementcontroller/order_test.go
+++ b/internal/control/placementcontroller/order_test.go
@@ -23,7 +23,7 @@
 func TestSilentWorkersDelayNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := settings.Default()
-		clk := clock.Ticking()
+		clk := clock.Synctest()
 		sent := atomic.Int32{}
 		w := daemon.Environment{Clock: clk, Dial: func(context.Context, string, string) (net.Conn, error) {
 			sent.Add(1)
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -105,7 +105,7 @@
 // applyDocument takes a newer document into use. Members send committed documents only. One that this
 // program can't read leaves the previous one in use, and the plan's proof then stops growing.
 func (t *table) applyDocument(d *wire.Document, now time.Duration) error {
-	d, err := fleet.Unpack(d)
+	d, err := fleet.Decompress(d)
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 		p.Version = d.Version // the committed version counts
 		t.snapshot.Plan = p
 	case fleet.WorkersKey:
-		var w fleet.Table
+		var w fleet.WorkerList
 		if err := json.Unmarshal(d.Body, &w); err != nil {
 			return errs.As(err, errs.Inside, "not a table of workers")
 		}
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -111,7 +111,7 @@
 func TestDocumentsFindTheirPlace(t *testing.T) {
 	x := fresh()
 	before := x.snapshot
-	ws := fleet.Table{Workers: []fleet.Worker{{ID: "w1", Service: "s"}}}
+	ws := fleet.WorkerList{Workers: []fleet.Worker{{ID: "w1", Service: "s"}}}
 	place := doc(t, fleet.PlacementKey+"s", 4, map[string]any{})
 	if _, err := x.applyResponse(newFollowResponse(abc[0], true, doc(t, fleet.WorkersKey, 3, ws), place, doc(t, "strange", 9, 1), doc(t, fleet.PlacementKey, 9, 1)), 0, start, start); err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 		t.Fatalf("asks %v", a)
 	}
 	shown := x.snapshot
-	x.applyResponse(newFollowResponse(abc[0], true, doc(t, fleet.PlacementKey+"t", 1, map[string]any{}), doc(t, fleet.WorkersKey, 2, fleet.Table{})), 0, start, start)
+	x.applyResponse(newFollowResponse(abc[0], true, doc(t, fleet.PlacementKey+"t", 1, map[string]any{}), doc(t, fleet.WorkersKey, 2, fleet.WorkerList{})), 0, start, start)
 	if len(x.snapshot.Placements) != 2 || len(shown.Placements) != 1 || len(x.snapshot.Workers) != 1 {
 		t.Fatal("what was shown has changed, or workers went back")
 	}
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -159,7 +159,7 @@
 	if ready, pause, err := r.ready(c, service, until); !ready {
 		r.d.gate.TrySend(func(g *gate) { g.release(c.Worker.Name) })
 		if pause > 0 {
-			clock.Pause(r.ctx, pause)
+			clock.Sleep(r.ctx, pause)
 		}
 		return nil, err
 	}
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -38,7 +38,7 @@
 	starts  map[string]int // attempts that reached a worker and began, by request
 	granted map[string]bool
 	snap    *updatestream.Snapshot
-	clk     *clock.Hand
+	clk     *clock.Manual
 	started func() // called when an attempt has begun; mu is held
 }
 
@@ -127,7 +127,7 @@
 	t.Helper()
 	p := settings.Place{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
-	b := &bench{starts: map[string]int{}, granted: map[string]bool{}, clk: &clock.Hand{T: time.Hour}}
+	b := &bench{starts: map[string]int{}, granted: map[string]bool{}, clk: &clock.Manual{Time: time.Hour}}
 	b.snap = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
 		Config: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
 			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
@@ -259,7 +259,7 @@
 		do   func(*bench)
 		kind string
 	}{
-		"the proof is too old":    {func(b *bench) { b.clk.T += settings.Default().Config(0.81) }, "not-run"},
+		"the proof is too old":    {func(b *bench) { b.clk.Time += settings.Default().Config(0.81) }, "not-run"},
 		"there is no setup":       {func(b *bench) { b.snap = &updatestream.Snapshot{} }, "not-run"},
 		"the key is unknown":      {func(b *bench) { b.snap.Config.Tenants = nil; b.snap.Config.BuildIndex() }, "bad-key"},
 		"no way leads there":      {func(b *bench) { b.snap.Config.Routes = nil }, "no-such-model"},
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -89,7 +89,7 @@
 // open takes callers in once there is a proved configuration with workers: before that they are
 // better refused a connection, and ask another edge.
 func (d *Proxy) open(h http.Handler) {
-	t := clock.Every(d.b.Config(0.02))
+	t := clock.NewTicker(d.b.Config(0.02))
 	defer t.Stop()
 	for {
 		s := d.fol.Snapshot()
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -129,7 +129,7 @@
 			}
 		}
 		if response == nil || response.Outcome == wire.OutcomeUnknown {
-			clock.Pause(a.process.Ctx, b.Config(0.05))
+			clock.Sleep(a.process.Ctx, b.Config(0.05))
 			if response == nil {
 				continue
 			}
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -304,7 +304,7 @@
 		p.dead = map[string]bool{}
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "index", settings.Place{Name: "core-0", Bounds: settings.Default(), Extra: []string{"log=off"}})
 		n, err := StartSite(l, p, func() *fleet.Snapshot { return s })
 		if err != nil {
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -291,7 +291,7 @@
 	b.TryShare, b.TryAllow = 100, 1000
 	place := settings.Place{Name: "e1", Zone: "d", Public: "front", Bounds: b, Extra: []string{"log=off"},
 		Site: &settings.Site{Ready: "ready", MemoryMB: 256, GraceMs: 8000, TransitMs: 20}}
-	clk := clock.Boot()
+	clk := clock.BootTime()
 	listen := func(name string) (net.Listener, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err == nil && name == "front" {
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -39,7 +39,7 @@
 		return net.Listen("tcp", addr)
 	}
 	l := daemon.NewIn(world, "edge", place)
-	snap := &fleet.Snapshot{Plan: routes(), ProofAt: clock.Boot().Now(), Edges: 1, Workers: []fleet.Worker{w.Worker}}
+	snap := &fleet.Snapshot{Plan: routes(), ProofAt: clock.BootTime().Now(), Edges: 1, Workers: []fleet.Worker{w.Worker}}
 	if err := Start(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &selector{}}); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -131,7 +131,7 @@
 		case <-d.l.Draining:
 		case <-d.l.Ctx.Done():
 		default:
-			clock.Pause(d.l.Ctx, step)
+			clock.Sleep(d.l.Ctx, step)
 			continue
 		}
 		break
@@ -150,7 +150,7 @@
 // it, then none, and what runs may end while the grace lasts.
 func (d *server) drain(ctx context.Context, s *http.Server) {
 	d.leaving.Store(true)
-	clock.Pause(ctx, settings.Of(d.site.GraceMs, windowPart))
+	clock.Sleep(ctx, settings.Of(d.site.GraceMs, windowPart))
 	ctx, stop := context.WithTimeout(ctx, settings.Of(d.site.GraceMs, drainPart))
 	defer stop()
 	if err := s.Shutdown(ctx); err != nil {
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -238,7 +238,7 @@
 		b.TryShare, b.TryAllow = 100, 100
 		place := settings.Place{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Extra: []string{"log=off"},
 			Site: &settings.Site{Ready: readyAt, MemoryMB: 256, GraceMs: 8000, TransitMs: 120, Revokes: true}}
-		clk := clock.Ticking()
+		clk := clock.Synctest()
 		s.l = daemon.NewIn(daemon.Environment{Clock: clk, Listen: s.w.Listen, Dial: s.w.Dial}, "edge", place)
 		snap := &fleet.Snapshot{Plan: routes(), ProofAt: clk.Now(), Edges: 1}
 		for i, x := range scripts {
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -116,7 +116,7 @@
 		end()
 		if err != nil {
 			f.log.Debug("no update", "error", err)
-			clock.Pause(ctx, hold/2)
+			clock.Sleep(ctx, hold/2)
 			continue
 		}
 		f.apply(t)
