--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -247,7 +247,7 @@
 		s.t.Errorf("%s: %s orders %v after %s", id, o.Holder, now-x.at, x.holder)
 	}
 	s.last[id] = sentOrder{o.Holder, o.Fence, now}
-	if at := s.setAsideAt[id]; at == 0 || now-at < s.bounds.Leave(leadRatio) {
+	if at := s.setAsideAt[id]; at == 0 || now-at < s.bounds.Leave(cordonLeadRatio) {
 		s.t.Errorf("%s is ordered before edges were reported to send it nothing new", id)
 	}
 	if o.Instance != id || o.Mode != backend.ModeAwait || o.Model != "daka" || o.Version > s.named["daka"] {
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -34,7 +34,7 @@
 	b.Note("calendar", e.Clash(others))
 	if e.Active() {
 		for _, r := range p.retirements(&b) {
-			if r.Service == e.Service && r.Active() && r.State != retire.Planned {
+			if r.Service == e.Service && r.Active() && r.State != retire.StatePlanned {
 				b.Fault(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", e.Name, r.Name, r.State, e.Service)
 			}
 		}
@@ -61,14 +61,14 @@
 		return err
 	}
 	var b errs.Batch
-	if r.Check(&b); retire.Key(r.Service, r.Name) != u.Key {
+	if r.Validate(&b); retire.Key(r.Service, r.Name) != u.Key {
 		b.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", r.Name, r.Service, u.Key)
 	}
 	if len(p.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
-	b.Note("retirement", r.ConflictWith(p.retirements(&b)))
-	if r.Active() && r.State != retire.Planned {
+	b.Note("retirement", r.CheckConflicts(p.retirements(&b)))
+	if r.Active() && r.State != retire.StatePlanned {
 		for k, d := range p.state.documents {
 			if !strings.HasPrefix(k, "calendar/") {
 				continue
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -161,7 +161,7 @@
 		if err != nil {
 			return nil, errs.Wrap(err, x.Key)
 		}
-		for _, id := range p.Rolling {
+		for _, id := range p.Cordoned {
 			state.setAside[id] = true
 		}
 	}
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -22,7 +22,7 @@
 	u := Query{ID: q.RequestID, Mode: modeOf(s.Config, service), Zone: d.process.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
 		Tried: tried, Newest: s.WeightsAt[on.Model].Version, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
 	if p != nil {
-		u.Curve = p.Prefill
+		u.Curve = p.PrefillCurve
 	}
 	now := d.clk.Now()
 	for _, w := range s.Workers {
--- a/internal/data/callerproxy/select.go
+++ b/internal/data/callerproxy/select.go
@@ -110,7 +110,7 @@
 			best = o
 		}
 	}
-	if best == nil && !q.pressed && q.Placement != nil && len(q.Placement.Rolling) > 0 {
+	if best == nil && !q.pressed && q.Placement != nil && len(q.Placement.Cordoned) > 0 {
 		q.pressed = true // better one that is set aside than none
 		return Select(q)
 	}
@@ -133,10 +133,10 @@
 // leans to nobody.
 func (q *Query) home(es []prefix.Entry, names []string, mean float64) leaning {
 	k, i, _ := q.deciding(es)
-	if i < 0 || q.Placement.Hot(k) || q.Mode == "no-index" {
+	if i < 0 || q.Placement.IsReplicated(k) || q.Mode == "no-index" {
 		return leaning{}
 	}
-	for _, h := range placement.Home(k, names) {
+	for _, h := range placement.RankShardWorkers(k, names) {
 		if q.Load(h) <= boundLoad*mean+1 {
 			return leaning{h, es[i].Upto}
 		}
@@ -146,10 +146,12 @@
 
 // aside reports whether a worker is set aside: it is about to load newer weights.
 func (q *Query) aside(w *wire.Worker) bool {
-	return !q.pressed && q.Placement != nil && w.Weights < q.Newest && slices.Contains(q.Placement.Rolling, w.Name)
+	return !q.pressed && q.Placement != nil && w.Weights < q.Newest && slices.Contains(q.Placement.Cordoned, w.Name)
 }
 
-func less(id, a, b string) bool { return placement.Home(prefixKey(id), []string{a, b})[0] == a }
+func less(id, a, b string) bool {
+	return placement.RankShardWorkers(prefixKey(id), []string{a, b})[0] == a
+}
 
 func prefixKey(id string) (k prefix.Key) { copy(k[:], id); return k }
 
@@ -193,7 +195,7 @@
 	at = q.shared(es)
 	own := len(es) - 2
 	if own > at && q.Placement != nil && es[own].Upto-es[at].Upto >= es[at].Upto &&
-		q.Found[es[own].Key].GetHotness() > q.Placement.Floor {
+		q.Found[es[own].Key].GetHotness() > q.Placement.AdmissionFloor {
 		return es[own].Key, own, true
 	}
 	return es[at].Key, at, false
@@ -271,8 +273,8 @@
 	}
 	c.Session = session
 	again := session || q.Found[k].GetHotness() >= sharedHot // it is worth its way
-	if c.Hot = q.Placement.Hot(k); c.Hot {
-		for _, n := range placement.Home(prefixKey(q.ID), names) {
+	if c.Hot = q.Placement.IsReplicated(k); c.Hot {
+		for _, n := range placement.RankShardWorkers(prefixKey(q.ID), names) {
 			if !holders[k][n] && n != c.Worker.Name {
 				to(n)
 				break
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/wire"
 )
 
-var curve = placement.Curve{C: []float64{0, 100}} // 100 µs a token
+var curve = placement.Curve{Coefficients: []float64{0, 100}} // 100 µs a token
 
 func query(hot bool, held map[string]string) Query {
 	es := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", 4000), strings.Repeat("q", 40)})
@@ -43,7 +43,7 @@
 func TestSelect(t *testing.T) {
 	es := query(false, nil).Entries[1]
 	names := []string{"w0", "w1", "w2", "w3"}
-	home := placement.Home(es[0].Key, names)
+	home := placement.RankShardWorkers(es[0].Key, names)
 	t.Run("a tail entry goes home, and to the store once it is used again", func(t *testing.T) {
 		q := query(false, nil)
 		c, ok := Select(q)
@@ -118,10 +118,10 @@
 			q := query(false, nil)
 			q.Entries = map[uint64][]prefix.Entry{1: es}
 			q.Found = map[prefix.Key]*wire.Found{es[0].Key: {Hotness: 40}, es[1].Key: {Hotness: c.hot}}
-			q.Placement.Floor = c.floor
-			home := placement.Home(es[0].Key, names)[0]
+			q.Placement.AdmissionFloor = c.floor
+			home := placement.RankShardWorkers(es[0].Key, names)[0]
 			if c.want {
-				home = placement.Home(es[1].Key, names)[0]
+				home = placement.RankShardWorkers(es[1].Key, names)[0]
 			}
 			if p, _ := Select(q); p.Session != c.want || p.Worker.Name != home {
 				t.Errorf("%s: session %v, picked %s, home %s", c.name, p.Session, p.Worker.Name, home)
@@ -130,7 +130,7 @@
 	})
 	t.Run("who is set aside gets nothing as long as anybody else is there", func(t *testing.T) {
 		q := query(true, map[string]string{"w1": ""})
-		q.Newest, q.Placement.Rolling = 2, []string{"w1", "w2"}
+		q.Newest, q.Placement.Cordoned = 2, []string{"w1", "w2"}
 		if c, ok := Select(q); !ok || c.Worker.Name == "w1" || c.Worker.Name == "w2" {
 			t.Errorf("picked %s", c.Worker.Name)
 		}
--- a/internal/data/selection/query.go
+++ b/internal/data/selection/query.go
@@ -192,7 +192,7 @@
 	}
 	q.collectSources(o, stores.confirmed, stores.prefilling)
 	if o.decidingPart >= 0 {
-		o.hot = q.snapshot.Placements[q.group.service.Name].Hot(o.keys[o.decidingPart])
+		o.hot = q.snapshot.Placements[q.group.service.Name].IsReplicated(o.keys[o.decidingPart])
 		need := uint64(1) << o.decidingPart
 		o.cold = o.knownParts&need == 0
 		q.findHome(o)
