--- a/internal/control/mutation/point5_test.go
+++ b/internal/control/mutation/point5_test.go
@@ -71,5 +71,5 @@
 		file:        "internal/control/controlclient/client.go",
 		original:    "return attemptResult{done: lost && once, responded: err == nil}",
 		replacement: "return attemptResult{done: lost && once && false, responded: err == nil}",
-		pkg:         "internal/control/controlclient", run: "TestAChangeWithoutATokenIsSentOnce"},
+		pkg:         "internal/control/controlclient", run: "TestChangeWithoutTokenIsSentOnce"},
 )
