--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -13,8 +13,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// heartbeatRatio is the time between two heartbeats, as a ratio of the leave bound.
-const heartbeatRatio = 0.1
+// Timing of the heartbeats, as ratios of the leave bound.
+const (
+	heartbeatRatio        = 0.1 // between two heartbeats
+	heartbeatTimeoutRatio = 0.2 // of one heartbeat
+)
+
+// maxPendingCommands bounds the member's queue; heartbeats beyond it are dropped.
+const maxPendingCommands = 256
 
 // Member runs a Core: it sends and receives heartbeats and publishes the view.
 type Member struct {
@@ -25,16 +31,16 @@
 	client   func(addr string) wire.Roster
 	view     atomic.Pointer[View]
 	onChange func(View)
-	left     bool // owned by the actor
+	left     bool // no heartbeats are sent any more; owned by the actor
 }
 
-// View is what a member knew at one moment.
+// View is what a member knew at one instant.
 type View struct {
-	Version uint64
+	Version uint64 // grows with every change
 	Nodes   []*wire.Node
 }
 
-// Addr returns the address of a live node, suspects included.
+// Addr returns the address of a node by its name, unless it is dead; a suspect counts as alive.
 //
 // Example: a, ok := v.Addr("core-1")
 func (v View) Addr(name string) (string, bool) {
@@ -46,21 +52,21 @@
 	return "", false
 }
 
-// WithRole lists the nodes of a role that aren't gone.
+// WithRole lists the nodes of a role that aren't dead.
 //
-// Example: v.Role("catalogue")
-func (v View) WithRole(r string) []*wire.Node {
-	var l []*wire.Node
+// Example: v.WithRole("catalogue")
+func (v View) WithRole(role string) []*wire.Node {
+	var nodes []*wire.Node
 	for _, n := range v.Nodes {
-		if n.Role == r && n.State != Dead {
-			l = append(l, n)
+		if n.Role == role && n.State != Dead {
+			nodes = append(nodes, n)
 		}
 	}
-	return l
+	return nodes
 }
 
-// siteBounds are the process's bounds; a site with a slower heartbeat has a proportionally longer
-// timeout.
+// siteBounds returns the process's bounds; a site with a slower heartbeat has a proportionally longer
+// leave bound.
 func siteBounds(p settings.Place) settings.Bounds {
 	if p.Site != nil {
 		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.BeatMs)/heartbeatRatio))
@@ -68,15 +74,24 @@
 	return p.Bounds
 }
 
-// Start makes a member of the process's site; onChange is called with every changed view.
+// Start makes this process a member of its site in a role, until ctx ends. client returns the client
+// of the member at an address. onChange, unless it is nil, is called with every changed view; it must
+// not block.
 //
 // Example: m := clustermembership.Start(ctx, place, "runner", clock, log, client, nil)
 func Start(ctx context.Context, p settings.Place, role string, clk clock.Clock, log hclog.Logger,
-	call func(string) wire.Roster, hook func(View)) *Member {
+	client func(addr string) wire.Roster, onChange func(View)) *Member {
 	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, District: p.Zone,
 		Addr: p.AdvertisedAddr(), Operator: p.Operator}
-	p.Bounds = siteBounds(p)
-	m := &Member{actor: queue.NewActor(New(p.Bounds, self, p.Seeds), 256), clock: clk, bounds: p.Bounds, log: log, client: call, onChange: hook}
+	bounds := siteBounds(p)
+	m := &Member{
+		actor:    queue.NewActor(New(bounds, self, p.Seeds), maxPendingCommands),
+		clock:    clk,
+		bounds:   bounds,
+		log:      log,
+		client:   client,
+		onChange: onChange,
+	}
 	m.actor.Ask(func(c *Core) { m.publish(c) })
 	go m.run(ctx)
 	return m
@@ -85,8 +100,9 @@
 // SetSeeds changes the seeds at run time.
 //
 // Example: m.SetSeeds(config.Seeds)
-func (m *Member) SetSeeds(l []string) { m.actor.TrySend(func(c *Core) { c.SetSeeds(l) }) }
+func (m *Member) SetSeeds(seeds []string) { m.actor.TrySend(func(c *Core) { c.SetSeeds(seeds) }) }
 
+// publish makes the view visible to readers if it has changed.
 func (m *Member) publish(c *Core) {
 	if v := m.view.Load(); v != nil && v.Version == c.Version() {
 		return
@@ -100,7 +116,7 @@
 
 // View returns the current view.
 //
-// Example: m.View().Role("archive")
+// Example: m.View().WithRole("archive")
 func (m *Member) View() View { return *m.view.Load() }
 
 // Leave announces that this node stops; it sends no more heartbeats.
@@ -109,63 +125,73 @@
 func (m *Member) Leave() {
 	m.actor.Ask(func(c *Core) {
 		m.left = true
-		for _, x := range c.Leave() {
-			go m.send(context.Background(), x)
+		for _, outgoing := range c.Leave() {
+			go m.send(context.Background(), outgoing)
 		}
 	})
 }
 
+// run ticks the core once per heartbeat period, and faster while the node joins.
 func (m *Member) run(ctx context.Context) {
-	beat := m.bounds.Leave(heartbeatRatio)
+	period := m.bounds.Leave(heartbeatRatio)
 	next := time.NewTimer(0)
 	defer next.Stop()
-	for turn := 0; ; turn++ {
+	for ticks := 0; ; ticks++ {
 		select {
 		case <-ctx.Done():
 			m.actor.Stop()
 			return
 		case <-next.C:
 		}
-		if turn < joiningHeartbeats {
-			next.Reset(beat / joiningHeartbeats)
+		if ticks < joiningHeartbeats {
+			next.Reset(period / joiningHeartbeats)
 		} else {
-			next.Reset(beat)
+			next.Reset(period)
 		}
-		m.actor.TrySend(func(c *Core) {
-			if m.left {
-				return
-			}
-			if c.Replaced() {
-				m.left = true
-				m.log.Error("another machine has taken this name: this one stops its heartbeats", "remedy", "stop it, or give it a name of its own")
-				return
-			}
-			for _, x := range c.Tick(m.clock.Now()) {
-				go m.send(ctx, x)
-			}
-			m.publish(c)
-		})
+		m.actor.TrySend(func(c *Core) { m.tick(ctx, c) })
+	}
+}
+
+// tick sends the heartbeats of one period. A node whose name was reused sends none.
+func (m *Member) tick(ctx context.Context, c *Core) {
+	if m.left {
+		return
 	}
+	if c.Replaced() {
+		m.left = true
+		m.log.Error("another machine has taken this name: this one stops its heartbeats", "remedy", "stop it, or give it a name of its own")
+		return
+	}
+	for _, outgoing := range c.Tick(m.clock.Now()) {
+		go m.send(ctx, outgoing)
+	}
+	m.publish(c)
 }
 
-func (m *Member) send(ctx context.Context, x OutgoingHeartbeat) {
-	ctx, end := context.WithTimeout(ctx, m.bounds.Leave(0.2))
-	defer end()
-	t, err := m.client(x.Address).Hear(ctx, x.Heartbeat)
+func (m *Member) send(ctx context.Context, outgoing OutgoingHeartbeat) {
+	ctx, cancel := context.WithTimeout(ctx, m.bounds.Leave(heartbeatTimeoutRatio))
+	defer cancel()
+	response, err := m.client(outgoing.Address).Hear(ctx, outgoing.Heartbeat)
 	if err != nil {
-		return // the observers judge by silence
+		return // the observers detect the failure by their timeouts
 	}
-	m.actor.TrySend(func(c *Core) { c.HandleResponse(x.Address, t, m.clock.Now()); m.publish(c) })
+	m.actor.TrySend(func(c *Core) {
+		c.HandleResponse(outgoing.Address, response, m.clock.Now())
+		m.publish(c)
+	})
 }
 
 // Hear serves the heartbeats of other nodes.
 //
 // Example: srv := wire.NewRosterServer(m)
-func (m *Member) Hear(_ context.Context, b *wire.Beat) (*wire.Beat, error) {
-	var t *wire.Beat
-	m.actor.Ask(func(c *Core) { t = c.HandleHeartbeat(b, m.clock.Now()); m.publish(c) })
-	if t == nil {
-		t = &wire.Beat{Epoch: 1}
+func (m *Member) Hear(_ context.Context, heartbeat *wire.Beat) (*wire.Beat, error) {
+	var response *wire.Beat
+	m.actor.Ask(func(c *Core) {
+		response = c.HandleHeartbeat(heartbeat, m.clock.Now())
+		m.publish(c)
+	})
+	if response == nil { // the member has stopped
+		response = &wire.Beat{Epoch: formatVersion}
 	}
-	return t, nil
+	return response, nil
 }
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -15,41 +15,43 @@
 	"pebbleloom/internal/wire"
 )
 
-// A site says how often it beats; nobody is judged sooner for that.
+// A site's settings give its heartbeat period; a longer one stretches the leave bound, a shorter one
+// doesn't cut it.
 func TestSiteHeartbeatStretchesLeaveBound(t *testing.T) {
-	p := settings.Place{Bounds: settings.Default()}
-	if b := siteBounds(p); b != settings.Default() {
+	process := settings.Place{Bounds: settings.Default()}
+	if b := siteBounds(process); b != settings.Default() {
 		t.Errorf("without a site: %+v", b)
 	}
 	for ms, want := range map[int]time.Duration{100: 300 * time.Millisecond, 1200: 1200 * time.Millisecond} {
-		p.Site = &settings.Site{BeatMs: ms}
-		if b := siteBounds(p); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.Default().Heal(1) {
-			t.Errorf("beats of %d ms: %v", ms, b.Leave(heartbeatRatio))
+		process.Site = &settings.Site{BeatMs: ms}
+		if b := siteBounds(process); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.Default().Heal(1) {
+			t.Errorf("a heartbeat every %d ms: %v", ms, b.Leave(heartbeatRatio))
 		}
 	}
 }
 
 // memberNetwork lets members call each other by address.
 type memberNetwork struct {
-	mu sync.Mutex
-	at map[string]*Member
+	mu      sync.Mutex
+	members map[string]*Member
 }
 
-func (d *memberNetwork) put(addr string, m *Member) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.at[addr] = m
+func (n *memberNetwork) add(addr string, m *Member) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.members[addr] = m
 }
 
-func (d *memberNetwork) call(addr string) wire.Roster {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if m := d.at[addr]; m != nil {
+func (n *memberNetwork) client(addr string) wire.Roster {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if m := n.members[addr]; m != nil {
 		return m
 	}
 	return unreachableMember{}
 }
 
+// unreachableMember answers nothing until its caller gives up.
 type unreachableMember struct{}
 
 func (unreachableMember) Hear(ctx context.Context, _ *wire.Beat) (*wire.Beat, error) {
@@ -57,29 +59,27 @@
 	return nil, ctx.Err()
 }
 
-// Nodes that begin within a part of a beat know each other by its end.
+// Nodes that start within a quarter of a heartbeat period know each other by its end.
 func TestNodesStartedTogetherDiscoverEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
-		const n = 17
-		var l []*Member
-		d := &memberNetwork{at: map[string]*Member{}}
-		p := settings.Place{Bounds: settings.Default(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{BeatMs: 1200}}
-		beat := siteBounds(p).Leave(heartbeatRatio)
-		for i := range n {
-			p.Name, p.Listen = strconv.Itoa(i), strconv.Itoa(i)
-			m := Start(ctx, p, RoleNodeAgent, clock.Synctest(), hclog.NewNullLogger(), d.call, nil)
-			l = append(l, m)
-			d.put(p.Listen, m)
-			pass := time.NewTimer(beat / 4 / n)
-			<-pass.C
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		const nodes = 17
+		var members []*Member
+		network := &memberNetwork{members: map[string]*Member{}}
+		process := settings.Place{Bounds: settings.Default(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{BeatMs: 1200}}
+		period := siteBounds(process).Leave(heartbeatRatio)
+		for i := range nodes {
+			process.Name, process.Listen = strconv.Itoa(i), strconv.Itoa(i)
+			member := Start(ctx, process, RoleNodeAgent, clock.Synctest(), hclog.NewNullLogger(), network.client, nil)
+			members = append(members, member)
+			network.add(process.Listen, member)
+			<-time.NewTimer(period / 4 / nodes).C
 		}
-		pass := time.NewTimer(beat * 3 / 4)
-		<-pass.C
-		for i, m := range l {
-			if k := len(m.View().WithRole(RoleNodeAgent)); k != n {
-				t.Errorf("%d knows %d nodes after a beat", i, k)
+		<-time.NewTimer(period * 3 / 4).C
+		for i, member := range members {
+			if known := len(member.View().WithRole(RoleNodeAgent)); known != nodes {
+				t.Errorf("%d knows %d nodes after a heartbeat period", i, known)
 			}
 		}
 	})
--- a/internal/control/clustermembership/ring.go
+++ b/internal/control/clustermembership/ring.go
@@ -8,56 +8,72 @@
 	"pebbleloom/internal/wire"
 )
 
+// ringNode is a node at its position on the hash ring.
 type ringNode struct {
 	position uint64
 	node     *wire.Node
 }
 
-// ring lists all nodes that aren't gone, by position.
+// ring lists all nodes that aren't dead, by position.
 func (c *Core) ring() []ringNode {
-	l := make([]ringNode, 0, len(c.peers)+1)
-	l = append(l, ringNode{queue.Hash(c.self.Name), c.self})
-	for _, e := range c.peers {
-		if e.node.State != Dead {
-			l = append(l, ringNode{e.position, e.node})
+	ring := make([]ringNode, 0, len(c.peers)+1)
+	ring = append(ring, ringNode{queue.Hash(c.self.Name), c.self})
+	for _, p := range c.peers {
+		if p.node.State != Dead {
+			ring = append(ring, ringNode{p.position, p.node})
 		}
 	}
-	sort.Slice(l, func(i, j int) bool {
-		return l[i].position < l[j].position || l[i].position == l[j].position && l[i].node.Name < l[j].node.Name
+	sort.Slice(ring, func(i, j int) bool {
+		return ring[i].position < ring[j].position || ring[i].position == ring[j].position && ring[i].node.Name < ring[j].node.Name
 	})
-	return l
+	return ring
 }
 
-// ringOffsets are the distances on the ring to a node's observers: the next, and two farther ones so
-// that updates cross a large ring in few heartbeats.
-func ringOffsets(n int) []int {
+// neighbors returns the nodes that observe this one, nearest first, and the names of those that it
+// observes.
+func (c *Core) neighbors() (observers []*wire.Node, observed map[string]bool) {
+	ring := c.ring()
+	self := slices.IndexFunc(ring, func(r ringNode) bool { return r.node == c.self })
+	observed = map[string]bool{}
+	for _, offset := range observerOffsets(len(ring)) {
+		observers = append(observers, ring[(self+offset)%len(ring)].node)
+		observed[ring[(self-offset+len(ring))%len(ring)].node.Name] = true
+	}
+	return observers, observed
+}
+
+// observerOffsets are the distances on a ring of n nodes from a node to its observers: the next, and
+// two farther ones at the cube root of n and its square, so that gossip crosses a large ring in few
+// heartbeats.
+func observerOffsets(n int) []int {
 	if n < 2 {
 		return nil
 	}
-	far := 1
-	for far*far*far < n {
-		far++
+	root := 1
+	for root*root*root < n {
+		root++
 	}
-	var l []int
-	for _, d := range []int{1, far, far * far} {
-		if d %= n; d != 0 && !slices.Contains(l, d) {
-			l = append(l, d)
+	var offsets []int
+	for _, offset := range []int{1, root, root * root} {
+		if offset %= n; offset != 0 && !slices.Contains(offsets, offset) {
+			offsets = append(offsets, offset)
 		}
 	}
-	return l
+	return offsets
 }
 
 // computeChecksum adds up names, incarnations and states, independent of their order.
 func (c *Core) computeChecksum() uint64 {
-	t := uint64(0)
-	add := func(n *wire.Node, place uint64) {
-		t += (place ^ n.Incarnation*0x9e3779b97f4a7c15) * uint64(n.State*2+3)
+	const incarnationFactor = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio: spreads small numbers
+	sum := uint64(0)
+	add := func(n *wire.Node, position uint64) {
+		sum += (position ^ n.Incarnation*incarnationFactor) * uint64(n.State*2+3)
 	}
 	add(c.self, queue.Hash(c.self.Name))
-	for _, e := range c.peers {
-		if e.node.State != Dead { // nodes that are gone are removed at different times
-			add(e.node, e.position)
+	for _, p := range c.peers {
+		if p.node.State != Dead { // views forget dead nodes at different times
+			add(p.node, p.position)
 		}
 	}
-	return t
+	return sum
 }
