--- /dev/null
+++ b/internal/data/indexclient/batch.go
@@ -0,0 +1,141 @@
+package indexclient
+
+import (
+	"context"
+	"time"
+
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
+	"pebbleloom/internal/wire"
+)
+
+// run joins waiting lookups into batches; a few batches may be in flight at once.
+func (c *Client) run() {
+	inFlight := make(chan struct{}, maxConcurrentBatches)
+	for {
+		select {
+		case <-c.ctx.Done():
+			return
+		case first := <-c.lookups.Out():
+			select {
+			case inFlight <- struct{}{}:
+			case <-c.ctx.Done():
+				return
+			}
+			lookups := append([]pendingLookup{first}, c.lookups.Drain(maxBatchedLookups)...)
+			go func() {
+				defer func() { <-inFlight }()
+				c.lookUpBatch(lookups)
+			}()
+		}
+	}
+}
+
+// batchResult is what index nodes have responded to a batch.
+type batchResult struct {
+	found   map[prefix.Key]*wire.Found
+	isFinal map[prefix.Key]bool // by key of the batch: a warm index node has responded
+	asked   map[string]bool     // the index nodes that were asked
+}
+
+// lookUpBatch looks up the keys of all lookups: at the fewest index nodes that hold them all, then at
+// the other holders of what wasn't answered, or not by a warm node.
+func (c *Client) lookUpBatch(lookups []pendingLookup) {
+	result := &batchResult{found: map[prefix.Key]*wire.Found{}, isFinal: map[prefix.Key]bool{}, asked: map[string]bool{}}
+	keys, wait := joinKeys(lookups, result.isFinal)
+	ctx, cancel := context.WithTimeout(c.ctx, wait)
+	defer cancel()
+	for attempt := range 2 {
+		missing := result.missing(keys)
+		if len(missing) == 0 || ctx.Err() != nil {
+			break
+		}
+		var calls []nodeCall
+		c.actor.Ask(func(t *table) { calls = t.planCalls(missing, result.asked, c.clock.Now()) })
+		attemptCtx, cancelAttempt := ctx, func() {}
+		if attempt == 0 {
+			attemptCtx, cancelAttempt = context.WithTimeout(ctx, time.Duration(float64(wait)*firstAttemptRatio))
+		}
+		c.callNodes(attemptCtx, calls, result)
+		cancelAttempt()
+	}
+	c.actor.Ask(func(t *table) { t.cacheAnswers(result.found, c.clock.Now()) })
+	for _, lookup := range lookups {
+		if len(result.found) == 0 {
+			lookup.result <- nil
+			continue
+		}
+		lookup.result <- result.found // shared and read-only from here on
+	}
+}
+
+// joinKeys lists the keys of all lookups once each, enters them into isFinal, and returns the longest of
+// the lookups' waits.
+func joinKeys(lookups []pendingLookup, isFinal map[prefix.Key]bool) (keys []prefix.Key, wait time.Duration) {
+	for _, lookup := range lookups {
+		wait = max(wait, lookup.wait)
+		for _, key := range lookup.keys {
+			if _, isDuplicate := isFinal[key]; !isDuplicate {
+				isFinal[key] = false
+				keys = append(keys, key)
+			}
+		}
+	}
+	return keys, wait
+}
+
+// missing lists the keys that no warm index node has responded to.
+func (r *batchResult) missing(keys []prefix.Key) (missing []prefix.Key) {
+	for _, key := range keys {
+		if !r.isFinal[key] {
+			missing = append(missing, key)
+		}
+	}
+	return missing
+}
+
+// merge adds an index node's response, one entry for each key. One that isn't warm can't know yet that
+// nobody holds a key.
+func (r *batchResult) merge(keys []prefix.Key, response *wire.LookTell) {
+	for i, key := range keys {
+		if !response.Warm && len(response.Found[i].Holders) == 0 {
+			continue
+		}
+		r.found[key], r.isFinal[key] = promptindex.MergeFound(r.found[key], response.Found[i]), response.Warm
+	}
+}
+
+// nodeResponse is the result of one call to an index node.
+type nodeResponse struct {
+	call     nodeCall
+	response *wire.LookTell
+	err      error
+}
+
+// callNodes makes all calls at once and merges the responses into the result.
+func (c *Client) callNodes(ctx context.Context, calls []nodeCall, result *batchResult) {
+	responses := make(chan nodeResponse, len(calls))
+	for _, call := range calls {
+		result.asked[call.node] = true
+		c.lookupCalls.Add(1)
+		go func() {
+			request := &wire.LookAsk{Teller: c.name, Loads: c.loads()}
+			for i := range call.keys {
+				request.Keys = append(request.Keys, call.keys[i][:])
+			}
+			response, err := c.connect(call.addr).Seek(ctx, request)
+			responses <- nodeResponse{call, response, err}
+		}()
+	}
+	for range calls {
+		r := <-responses
+		isComplete := r.err == nil && r.response != nil && len(r.response.Found) == len(r.call.keys)
+		c.actor.Ask(func(t *table) { t.recordResult(r.call.node, isComplete && r.response.Warm, c.clock.Now()) })
+		if sharing := c.loadSharing.Load(); sharing != nil && r.err == nil && r.response.GetLoads() != nil {
+			sharing.receiveLoads(r.response.Loads)
+		}
+		if isComplete { // any other response is a miss
+			result.merge(r.call.keys, r.response)
+		}
+	}
+}
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -1,5 +1,5 @@
 // Package indexclient is an edge machine's client of the prompt index: it looks up the holders of
-// prompt parts and reports what was routed where. A late or missing response is a miss: no request
+// prompt parts and reports the accesses to them. A late or missing response is a miss: no request
 // waits for the index.
 package indexclient
 
@@ -12,238 +12,153 @@
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/prefix"
-	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
 
-// Ratios of the heal bound.
+// Timing, as ratios of the heal bound unless the comment says otherwise. Chosen, not measured.
 const (
-	flushRatio         = 1.0 / 60 // between two flushes of the counts
-	cacheLifetimeRatio = 1.0 / 48 // lifetime of a cached answer
-	lateNodeRatio      = 1.0 / 12 // how long an index node that was late, or isn't warm, is tried last
-	lateProbeRatio     = 1.0 / 96 // between two calls to one that was late
-	flushTimeoutRatio  = 1.0 / 24 // timeout of sending counts
-	resendWindowRatio  = 1.25     // half the window that is sent again
-	firstAttemptRatio  = 0.6      // of the wait, for the first holder
+	// flushRatio is the time between two flushes of counted accesses. Longer saves calls; shorter lets
+	// the other edge machines learn sooner where a part is cached.
+	flushRatio = 1.0 / 60
+	// flushTimeoutRatio is the timeout of sending one batch of accesses.
+	flushTimeoutRatio = 1.0 / 24
+	// resendWindowRatio is one half window of accesses that a node which lost its memory gets again.
+	resendWindowRatio = 1.25
+	// cacheLifetimeRatio is the lifetime of a cached answer. Longer saves calls; shorter notices sooner
+	// that a worker dropped a part.
+	cacheLifetimeRatio = 1.0 / 48
+	// lateNodeRatio is how long an index node that was late, or isn't warm, is asked last.
+	lateNodeRatio = 1.0 / 12
+	// lateProbeRatio is the least time between two calls to an index node that was late.
+	lateProbeRatio = 1.0 / 96
+	// firstAttemptRatio is the share of a lookup's wait that the first holder has to respond.
+	firstAttemptRatio = 0.6
 )
 
+// Bounds of memory and of calls in flight.
 const (
-	maxCachedAnswers     = 4096 // cached answers
-	maxBatchedLookups    = 63   // lookups that one batch takes beside its first
-	maxConcurrentBatches = 4    // batches
+	maxCachedAnswers     = 4096
+	maxBatchedLookups    = 63 // lookups that join the first one of a batch
+	maxConcurrentBatches = 4
+	maxConnections       = 64 // index nodes whose clients are kept
 )
 
-type pendingLookup struct {
-	keys   []prefix.Key
-	wait   time.Duration
-	result chan map[prefix.Key]*wire.Found
-}
-
-// Client looks up keys in batches and sends the accesses that this edge machine has seen.
+// Client looks up keys in batches and sends the accesses that this edge machine has seen. All methods
+// are safe for concurrent use.
 type Client struct {
-	ring        *queue.Ring[pendingLookup]
+	lookups     *queue.Ring[pendingLookup]
 	actor       *queue.Actor[table]
-	nodes       func() []*wire.Node
-	client      func(addr string) wire.Catalogue
+	nodes       func() []*wire.Node              // the cluster membership
+	connect     func(addr string) wire.Catalogue // the index node at an address
 	bounds      settings.Bounds
 	clock       clock.Clock
-	ctx         context.Context
+	ctx         context.Context // canceled when the process stops
 	name        string
-	incarnation uint64
-	zone        string // zone
+	zone        string
 	loadSharing atomic.Pointer[loadSharing]
-	lookups     atomic.Uint64
+	lookupCalls atomic.Uint64
+}
+
+// pendingLookup is a caller of Lookup that waits for a batch.
+type pendingLookup struct {
+	keys   []prefix.Key
+	wait   time.Duration
+	result chan map[prefix.Key]*wire.Found // buffered: a caller that stopped waiting blocks nobody
 }
 
 // New makes an edge machine's client of the index; nodes returns the cluster membership.
 //
-// Example: s := indexclient.New(process, func() []*wire.Node { return agent.Snapshot().Nodes })
-func New(l *daemon.Process, nodes func() []*wire.Node) *Client {
-	calls, links := daemon.NewClients(l), map[string]wire.Catalogue{}
-	var mu sync.Mutex
-	return start(l, nodes, func(addr string) wire.Catalogue {
+// Example: c := indexclient.New(process, func() []*wire.Node { return agent.Snapshot().Nodes })
+func New(process *daemon.Process, nodes func() []*wire.Node) *Client {
+	clients := daemon.NewClients(process)
+	connections := map[string]wire.Catalogue{}
+	var mu sync.Mutex // guards connections
+	return start(process, nodes, func(addr string) wire.Catalogue {
 		mu.Lock()
 		defer mu.Unlock()
-		c := links[addr]
-		if c == nil {
-			if len(links) > maxClients {
-				clear(links)
+		connection := connections[addr]
+		if connection == nil {
+			if len(connections) > maxConnections {
+				clear(connections)
 			}
-			c = calls.PromptIndex(addr)
-			links[addr] = c
+			connection = clients.PromptIndex(addr)
+			connections[addr] = connection
 		}
-		return c
+		return connection
 	})
 }
 
-const maxClients = 64
-
-func start(l *daemon.Process, nodes func() []*wire.Node, call func(string) wire.Catalogue) *Client {
-	s := &Client{ring: queue.NewRing[pendingLookup](l.Place.Bounds.Waiting), nodes: nodes, client: call, bounds: l.Place.Bounds,
-		clock: l.Clock, ctx: l.Ctx, name: "edge/" + l.Place.Name, incarnation: uint64(l.Clock.Now()), zone: l.Place.Zone}
-	s.actor = queue.NewActor(newTable(s), 1024)
-	l.OnStop(s.actor.Stop)
-	l.Go(s.run)
-	l.Every(l.Place.Bounds.Heal(flushRatio), s.flush)
-	l.Meter.Count("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(s.lookups.Load()) })
-	return s
+// start makes a client that reaches index nodes by connect, and starts its goroutines: the process ends
+// and waits for them.
+func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.Catalogue) *Client {
+	bounds := process.Place.Bounds
+	c := &Client{
+		lookups: queue.NewRing[pendingLookup](bounds.Waiting),
+		nodes:   nodes,
+		connect: connect,
+		bounds:  bounds,
+		clock:   process.Clock,
+		ctx:     process.Ctx,
+		name:    "edge/" + process.Place.Name,
+		zone:    process.Place.Zone,
+	}
+	incarnation := uint64(process.Clock.Now())
+	c.actor = queue.NewActor(newTable(c, incarnation), 1024)
+	process.OnStop(c.actor.Stop)
+	process.Go(c.run)
+	process.Every(bounds.Heal(flushRatio), c.flush)
+	process.Meter.Count("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(c.lookupCalls.Load()) })
+	return c
 }
 
-// Lookup looks keys up and waits no longer than wait; nil, or a missing key, is a miss.
+// Lookup looks keys up and waits no longer than wait; nil, or a missing key, is a miss. The result is
+// shared: it must not be changed.
 //
-// Example: found := s.Lookup(ctx, keys, 12*time.Millisecond)
-func (s *Client) Lookup(ctx context.Context, keys []prefix.Key, wait time.Duration) map[prefix.Key]*wire.Found {
+// Example: found := c.Lookup(ctx, keys, 12*time.Millisecond)
+func (c *Client) Lookup(ctx context.Context, keys []prefix.Key, wait time.Duration) map[prefix.Key]*wire.Found {
 	if len(keys) == 0 || wait <= 0 {
 		return nil
 	}
-	var kept map[prefix.Key]*wire.Found
-	s.actor.Ask(func(t *table) { kept = t.lookUpCache(keys, s.clock.Now()) })
-	if len(kept) == len(keys) {
-		return kept
+	var cached map[prefix.Key]*wire.Found
+	c.actor.Ask(func(t *table) { cached = t.cachedAnswers(keys, c.clock.Now()) })
+	if len(cached) == len(keys) {
+		return cached
 	}
-	q := pendingLookup{keys, wait, make(chan map[prefix.Key]*wire.Found, 1)}
-	if !s.ring.Offer(q) {
-		return kept
+	lookup := pendingLookup{keys, wait, make(chan map[prefix.Key]*wire.Found, 1)}
+	if !c.lookups.Offer(lookup) {
+		return cached
 	}
-	e := time.NewTimer(wait)
-	defer e.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
-	case m := <-q.result:
-		return m
-	case <-e.C:
+	case found := <-lookup.result:
+		return found
+	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return kept
-}
-
-// run joins waiting lookups into batches; a few batches may be in flight at once.
-func (s *Client) run() {
-	room := make(chan struct{}, maxConcurrentBatches)
-	for {
-		select {
-		case <-s.ctx.Done():
-			return
-		case q := <-s.ring.Out():
-			select {
-			case room <- struct{}{}:
-			case <-s.ctx.Done():
-				return
-			}
-			qs := append([]pendingLookup{q}, s.ring.Drain(maxBatchedLookups)...)
-			go func() {
-				defer func() { <-room }()
-				s.lookupBatch(qs)
-			}()
-		}
-	}
-}
-
-// lookupBatch looks up the keys of all lookups: at the fewest index nodes that hold them all, then at
-// the other holders of what wasn't answered or not for certain.
-func (s *Client) lookupBatch(qs []pendingLookup) {
-	got := map[prefix.Key]*wire.Found{}
-	sure := map[prefix.Key]bool{}
-	var all []prefix.Key
-	wait := time.Duration(0)
-	for _, q := range qs {
-		wait = max(wait, q.wait)
-		for _, k := range q.keys {
-			if _, dup := sure[k]; !dup {
-				sure[k] = false
-				all = append(all, k)
-			}
-		}
-	}
-	ctx, end := context.WithTimeout(s.ctx, wait)
-	defer end()
-	asked := map[string]bool{}
-	for try := range 2 {
-		var left []prefix.Key
-		for _, k := range all {
-			if !sure[k] {
-				left = append(left, k)
-			}
-		}
-		if len(left) == 0 || ctx.Err() != nil {
-			break
-		}
-		var plan []nodeCall
-		s.actor.Ask(func(t *table) { plan = t.planCalls(left, asked, s.clock.Now()) })
-		one, stop := ctx, func() {}
-		if try == 0 {
-			one, stop = context.WithTimeout(ctx, time.Duration(float64(wait)*firstAttemptRatio))
-		}
-		s.callNodes(one, plan, got, sure, asked)
-		stop()
-	}
-	s.actor.Ask(func(t *table) { t.cache(got, s.clock.Now()) })
-	for _, q := range qs {
-		if len(got) == 0 {
-			q.result <- nil
-			continue
-		}
-		q.result <- got // shared and read-only from here on
-	}
-}
-
-type nodeResponse struct {
-	call     nodeCall
-	response *wire.LookTell
-	err      error
-}
-
-func (s *Client) callNodes(ctx context.Context, plan []nodeCall, got map[prefix.Key]*wire.Found, sure map[prefix.Key]bool, asked map[string]bool) {
-	out := make(chan nodeResponse, len(plan))
-	for _, l := range plan {
-		asked[l.node] = true
-		s.lookups.Add(1)
-		go func() {
-			a := &wire.LookAsk{Teller: s.name, Loads: s.loads()}
-			for i := range l.keys {
-				a.Keys = append(a.Keys, l.keys[i][:])
-			}
-			t, err := s.client(l.addr).Seek(ctx, a)
-			out <- nodeResponse{l, t, err}
-		}()
-	}
-	for range plan {
-		r := <-out
-		ok := r.err == nil && r.response != nil && len(r.response.Found) == len(r.call.keys)
-		s.actor.Ask(func(t *table) { t.recordResult(r.call.node, ok && r.response.Warm, s.clock.Now()) })
-		if x := s.loadSharing.Load(); x != nil && r.err == nil && r.response.GetLoads() != nil {
-			x.receiveLoads(r.response.Loads)
-		}
-		if !ok {
-			continue // a miss
-		}
-		for i, k := range r.call.keys {
-			if !r.response.Warm && len(r.response.Found[i].Holders) == 0 {
-				continue // it can't know yet that nobody holds it
-			}
-			got[k], sure[k] = promptindex.MergeFound(got[k], r.response.Found[i]), r.response.Warm
-		}
-	}
+	return cached
 }
 
-// ShareLoads makes lookups carry this edge machine's loads at workers, and passes on those of the
-// others.
+// ShareLoads makes lookups and flushes carry this edge machine's load at the workers (localLoads), and
+// passes on what the index reports of the other edge machines (receiveLoads).
 //
-// Example: s.ShareLoads(p.loads, p.receiveLoads)
-func (s *Client) ShareLoads(give func() *wire.Loads, take func(*wire.Loads)) {
-	s.loadSharing.Store(&loadSharing{give, take})
+// Example: c.ShareLoads(selector.loads, selector.receiveLoads)
+func (c *Client) ShareLoads(localLoads func() *wire.Loads, receiveLoads func(*wire.Loads)) {
+	c.loadSharing.Store(&loadSharing{localLoads, receiveLoads})
 }
 
+// loadSharing is how a Client exchanges loads.
 type loadSharing struct {
 	localLoads   func() *wire.Loads
 	receiveLoads func(*wire.Loads)
 }
 
-// loads is this edge machine's report on the workers' load; nil if none.
-func (s *Client) loads() *wire.Loads {
-	if x := s.loadSharing.Load(); x != nil {
-		return x.localLoads()
+// loads is this edge machine's load at the workers; nil if it isn't shared.
+func (c *Client) loads() *wire.Loads {
+	if sharing := c.loadSharing.Load(); sharing != nil {
+		return sharing.localLoads()
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/data/indexclient/flush.go
@@ -0,0 +1,61 @@
+package indexclient
+
+import (
+	"context"
+
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/wire"
+)
+
+// RecordAccesses counts a request's accesses: its parts, the worker that is presumed to hold them from
+// now on, and the store that they were sent to ("" if none). It doesn't wait.
+//
+// Example: c.RecordAccesses("lectores", parts, worker.ID, "")
+func (c *Client) RecordAccesses(service string, parts []prefix.Entry, holder, store string) {
+	if len(parts) == 0 {
+		return
+	}
+	c.actor.TrySend(func(t *table) {
+		shards := t.currentShards()
+		for i, part := range parts {
+			access := &wire.Access{Count: 1, Tokens: uint32(part.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
+			if store != "" {
+				access.Presumed = append(access.Presumed, store)
+			}
+			t.accesses.Add(part.Key, shards.NodesOf(part.Key), access)
+		}
+		t.accesses.RotateWindow(c.clock.Now())
+	})
+}
+
+// flush sends each index node the accesses that were counted for it.
+func (c *Client) flush() {
+	loads := c.loads()
+	c.actor.Ask(func(t *table) {
+		shards := t.currentShards()
+		for _, node := range t.accesses.Nodes() {
+			addr := shards.Addr(node)
+			if addr == "" {
+				t.accesses.DropPending(node)
+				continue
+			}
+			if batch := t.accesses.NextBatch(node, loads); batch != nil {
+				go c.sendBatch(node, addr, batch)
+			}
+		}
+	})
+}
+
+// sendBatch sends one batch of accesses and records the result.
+func (c *Client) sendBatch(node, addr string, batch *wire.CountAsk) {
+	ctx, cancel := context.WithTimeout(c.ctx, c.bounds.Heal(flushTimeoutRatio))
+	defer cancel()
+	response, err := c.connect(addr).Count(ctx, batch)
+	c.actor.Ask(func(t *table) {
+		if err != nil {
+			t.accesses.RecordFailure(node)
+			return
+		}
+		t.accesses.Acknowledge(node, batch, response, func(key prefix.Key) bool { return t.currentShards().IsAssigned(node, key) })
+	})
+}
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"time"
 
@@ -12,6 +11,20 @@
 	"pebbleloom/internal/wire"
 )
 
+// table is a Client's memory: the layout of the index, late nodes, cached answers and counted accesses.
+// The actor owns it.
+type table struct {
+	client     *Client
+	membership []*wire.Node // that the shards were last checked against
+	layout     string       // names and addresses of the index nodes that the shards are assigned to
+	shards     *promptindex.Shards
+	sameZone   map[string]bool          // index nodes of this zone
+	lateUntil  map[string]time.Duration // by index node: until then it is asked last
+	probeAt    map[string]time.Duration // by late index node: it isn't asked before
+	cached     map[prefix.Key]cachedAnswer
+	accesses   *AccessCounter
+}
+
 // cachedAnswer is an answer that is reused for a short time.
 type cachedAnswer struct {
 	found *wire.Found
@@ -24,24 +37,19 @@
 	keys       []prefix.Key
 }
 
-// table is a Client's memory: the layout of the index, late nodes, cached answers, counts.
-type table struct {
-	client     *Client
-	membership []*wire.Node // that the shards were laid out from
-	layout     string
-	shards     *promptindex.Shards
-	sameZone   map[string]bool          // index nodes of this zone
-	lateUntil  map[string]time.Duration // until then
-	probeAt    map[string]time.Duration // a late node isn't tried before
-	cached     map[prefix.Key]cachedAnswer
-	AccessCounter
-}
-
-func newTable(s *Client) *table {
-	return &table{client: s, sameZone: map[string]bool{}, lateUntil: map[string]time.Duration{}, probeAt: map[string]time.Duration{}, cached: map[prefix.Key]cachedAnswer{}, AccessCounter: NewAccessCounter()}
+func newTable(client *Client, incarnation uint64) *table {
+	return &table{
+		client:    client,
+		sameZone:  map[string]bool{},
+		lateUntil: map[string]time.Duration{},
+		probeAt:   map[string]time.Duration{},
+		cached:    map[prefix.Key]cachedAnswer{},
+		accesses:  NewAccessCounter(client.name, incarnation, client.bounds.Heal(resendWindowRatio)),
+	}
 }
 
-// currentShards lays the shards out again if the index nodes have changed.
+// currentShards is the assignment of keys to index nodes. It is computed again if the index nodes have
+// changed; a slice of nodes is never changed once it is published, so the same slice has the same nodes.
 func (t *table) currentShards() *promptindex.Shards {
 	nodes := t.client.nodes()
 	if t.shards != nil && len(nodes) == len(t.membership) && (len(nodes) == 0 || &nodes[0] == &t.membership[0]) {
@@ -49,69 +57,85 @@
 	}
 	t.membership = nodes
 	serving := promptindex.ServingNodes(nodes)
-	var now strings.Builder
-	for _, n := range serving {
-		fmt.Fprintf(&now, "%s %s\n", n.Name, n.Addr)
+	var layout strings.Builder
+	for _, node := range serving {
+		fmt.Fprintf(&layout, "%s %s\n", node.Name, node.Addr)
 	}
-	if t.shards != nil && now.String() == t.layout {
+	if t.shards != nil && layout.String() == t.layout {
 		return t.shards
 	}
-	t.layout, t.shards = now.String(), promptindex.NewShards(serving)
+	t.layout, t.shards = layout.String(), promptindex.NewShards(serving)
 	clear(t.sameZone)
 	clear(t.lateUntil)
 	clear(t.probeAt)
-	for _, n := range serving {
-		t.sameZone[n.Name] = n.District == t.client.zone
+	for _, node := range serving {
+		t.sameZone[node.Name] = node.District == t.client.zone
 	}
 	return t.shards
 }
 
-// planCalls distributes keys over the fewest index nodes: a node that was late is tried last and not
-// each time, one of this zone first.
-func (t *table) planCalls(keys []prefix.Key, asked map[string]bool, now time.Duration) (l []nodeCall) {
-	sh := t.currentShards()
+// planCalls distributes keys over the fewest index nodes that haven't been asked yet. Index nodes that
+// were late come last, and only if their next probe is due; those of this zone come first.
+func (t *table) planCalls(keys []prefix.Key, asked map[string]bool, now time.Duration) (calls []nodeCall) {
+	shards := t.currentShards()
 	for len(keys) > 0 {
-		by := map[string]int{}
-		for _, k := range keys {
-			h := sh.NodesOf(k)
-			for i, n := range h {
-				if n != "" && !asked[n] && (i == 0 || n != h[0]) && (t.lateUntil[n] <= now || t.probeAt[n] <= now) {
-					by[n]++
-				}
-			}
-		}
-		best := ""
-		for _, n := range queue.Keys(by) {
-			if best == "" || t.better(n, best, by, now) {
-				best = n
-			}
+		node := t.bestNode(t.keysByNode(keys, asked, now), now)
+		if node == "" {
+			return calls
 		}
-		if best == "" {
-			return l
+		if t.lateUntil[node] > now {
+			t.probeAt[node] = now + t.client.bounds.Heal(lateProbeRatio)
 		}
-		if t.lateUntil[best] > now {
-			t.probeAt[best] = now + t.client.bounds.Heal(lateProbeRatio)
-		}
-		x := nodeCall{node: best, addr: sh.Addr(best)}
+		call := nodeCall{node: node, addr: shards.Addr(node)}
 		var rest []prefix.Key
-		for _, k := range keys {
-			if h := sh.NodesOf(k); h[0] == best || h[1] == best {
-				x.keys = append(x.keys, k)
+		for _, key := range keys {
+			if shards.IsAssigned(node, key) {
+				call.keys = append(call.keys, key)
 			} else {
-				rest = append(rest, k)
+				rest = append(rest, key)
 			}
 		}
-		l, keys = append(l, x), rest
+		calls, keys = append(calls, call), rest
 	}
-	return l
+	return calls
 }
 
-func (t *table) better(a, b string, by map[string]int, now time.Duration) bool {
-	if x, y := t.lateUntil[a] > now, t.lateUntil[b] > now; x != y {
-		return y
+// keysByNode counts, for each index node that may be asked now, the keys that it holds.
+func (t *table) keysByNode(keys []prefix.Key, asked map[string]bool, now time.Duration) map[string]int {
+	counts := map[string]int{}
+	for _, key := range keys {
+		holders := t.shards.NodesOf(key)
+		for i, node := range holders {
+			if node == "" || asked[node] || i > 0 && node == holders[0] {
+				continue
+			}
+			if t.lateUntil[node] <= now || t.probeAt[node] <= now {
+				counts[node]++
+			}
+		}
 	}
-	if by[a] != by[b] {
-		return by[a] > by[b]
+	return counts
+}
+
+// bestNode is the index node to ask next; "" if there is none.
+func (t *table) bestNode(keyCounts map[string]int, now time.Duration) (best string) {
+	for _, node := range queue.Keys(keyCounts) {
+		if best == "" || t.isPreferred(node, best, keyCounts, now) {
+			best = node
+		}
+	}
+	return best
+}
+
+// isPreferred reports whether index node a is asked before b: one that isn't late, that holds more of
+// the keys, that is in this zone; a hash decides between equals, so that edge machines don't all ask the
+// same one.
+func (t *table) isPreferred(a, b string, keyCounts map[string]int, now time.Duration) bool {
+	if aIsLate, bIsLate := t.lateUntil[a] > now, t.lateUntil[b] > now; aIsLate != bIsLate {
+		return bIsLate
+	}
+	if keyCounts[a] != keyCounts[b] {
+		return keyCounts[a] > keyCounts[b]
 	}
 	if t.sameZone[a] != t.sameZone[b] {
 		return t.sameZone[a]
@@ -119,60 +143,45 @@
 	return queue.Hash(t.client.name+a) > queue.Hash(t.client.name+b)
 }
 
-func (t *table) recordResult(node string, good bool, now time.Duration) {
-	if good {
+// recordResult records whether an index node responded in time, with all answers, and warm.
+func (t *table) recordResult(node string, succeeded bool, now time.Duration) {
+	if succeeded {
 		delete(t.lateUntil, node)
 	} else {
 		t.lateUntil[node] = now + t.client.bounds.Heal(lateNodeRatio)
 	}
 }
 
-// lookUpCache returns the cached answers that are still valid.
-func (t *table) lookUpCache(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
-	var m map[prefix.Key]*wire.Found
-	for _, k := range keys {
-		if x, ok := t.cached[k]; ok && now-x.at < t.client.bounds.Heal(cacheLifetimeRatio) {
-			if m == nil {
-				m = make(map[prefix.Key]*wire.Found, len(keys))
+// cachedAnswers returns the cached answers that are still valid; nil if there are none.
+func (t *table) cachedAnswers(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
+	var answers map[prefix.Key]*wire.Found
+	for _, key := range keys {
+		if answer, ok := t.cached[key]; ok && now-answer.at < t.client.bounds.Heal(cacheLifetimeRatio) {
+			if answers == nil {
+				answers = make(map[prefix.Key]*wire.Found, len(keys))
 			}
-			m[k] = x.found
+			answers[key] = answer.found
 		}
 	}
-	return m
+	return answers
 }
 
-// cache stores found holders; that nobody holds a key isn't cached.
-func (t *table) cache(got map[prefix.Key]*wire.Found, now time.Duration) {
-	if len(t.cached)+len(got) > maxCachedAnswers {
-		for k, x := range t.cached {
-			if now-x.at >= t.client.bounds.Heal(cacheLifetimeRatio) {
-				delete(t.cached, k)
+// cacheAnswers caches the holders that were found; that nobody holds a key isn't cached. A full cache
+// drops the answers that are no longer valid, or else all.
+func (t *table) cacheAnswers(found map[prefix.Key]*wire.Found, now time.Duration) {
+	if len(t.cached)+len(found) > maxCachedAnswers {
+		for key, answer := range t.cached {
+			if now-answer.at >= t.client.bounds.Heal(cacheLifetimeRatio) {
+				delete(t.cached, key)
 			}
 		}
-		if len(t.cached)+len(got) > maxCachedAnswers {
+		if len(t.cached)+len(found) > maxCachedAnswers {
 			clear(t.cached)
 		}
 	}
-	for k, f := range got {
+	for key, f := range found {
 		if len(f.Holders) > 0 {
-			t.cached[k] = cachedAnswer{f, now}
-		}
-	}
-}
-
-// mergeAccess merges an access into the pending counts.
-func mergeAccess(m map[prefix.Key]*wire.Access, k prefix.Key, a *wire.Access) {
-	o := m[k]
-	if o == nil {
-		if len(m) < maxCounts {
-			m[k] = &wire.Access{Key: k[:], Count: a.Count, Tokens: a.Tokens, Service: a.Service, Head: a.Head, Presumed: slices.Clone(a.Presumed)}
-		}
-		return
-	}
-	o.Count += a.Count
-	for _, p := range a.Presumed {
-		if !slices.Contains(o.Presumed, p) && len(o.Presumed) < maxPresumedHolders {
-			o.Presumed = append(o.Presumed, p)
+			t.cached[key] = cachedAnswer{f, now}
 		}
 	}
 }
