--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -24,9 +24,9 @@
 // configKey is the document that is merged and validated before it is proposed.
 func (p *shard) configKey() string {
 	if p.group != nil {
-		return routingconfig.Key
+		return routingconfig.DocumentKey
 	}
-	return controlclient.SetupKey
+	return controlclient.ConfigKey
 }
 
 // mergeConfig applies a configuration, whole or partial, to the one in force, and validates the result.
@@ -196,7 +196,7 @@
 	}
 	old := p.state.documents[put.Key]
 	if !put.AnyVersion && put.IfVersion != old.GetVersion() {
-		if put.IfVersion > old.GetVersion() && len(p.core.Unapplied()) > 0 {
+		if put.IfVersion > old.GetVersion() && len(p.core.UnappliedEntries()) > 0 {
 			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // its base, and its first copy, may be under way
 		}
 		return p.state.answerStaleBase(put)
@@ -218,12 +218,12 @@
 // prepareGrant decides whether a lease may be granted now.
 func (p *shard) prepareGrant(grant *wire.Grant) *wire.ChangeResponse {
 	// A new leader knows who holds a lease once it has applied what the terms before it granted.
-	if !p.core.AppliedOwnTerm() {
+	if !p.core.HasAppliedCurrentTerm() {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
 	// While a grant may be under way nobody else gets the lease.
 	l := p.state.leases[grant.Lease]
-	if l != nil && l.Holder != grant.Holder && len(p.core.Unapplied()) > 0 {
+	if l != nil && l.Holder != grant.Holder && len(p.core.UnappliedEntries()) > 0 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
 	if !p.state.isGrantable(grant, p.clock.Now()) {
@@ -241,7 +241,7 @@
 	if m.err != nil {
 		return &wire.ChangeResponse{Outcome: errs.KindOf(m.err).Name, Version: old.GetVersion(), Errors: []string{m.err.Error()}}
 	}
-	if put.AnyVersion && len(p.core.Unapplied()) > 0 { // it was validated against what another change may replace
+	if put.AnyVersion && len(p.core.UnappliedEntries()) > 0 { // it was validated against what another change may replace
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
 	put.NewVersion = m.version
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -44,20 +44,20 @@
 		return
 	}
 	old, s := p.published.current(), p.core.Status()
-	fresh := old == nil || o.Install != nil
+	fresh := old == nil || o.Snapshot != nil
 	isLeader := s.IsLeader && p.failure == nil
-	if !fresh && len(o.Records) == 0 && len(o.Committed) == 0 && old.leader == s.Leader && old.isLeader == isLeader && p.failure == nil {
+	if !fresh && len(o.Records) == 0 && len(o.CommittedEntries) == 0 && old.leader == s.Leader && old.isLeader == isLeader && p.failure == nil {
 		return
 	}
 	if isLeader && (old == nil || !old.isLeader) {
 		p.log.Info("leads the group", "term", s.Term)
 	}
-	g := &publishedView{leader: s.Leader, isLeader: isLeader, unappliedVersions: highestVersions(p.core.Unapplied())}
+	g := &publishedView{leader: s.Leader, isLeader: isLeader, unappliedVersions: highestVersions(p.core.UnappliedEntries())}
 	g.members, g.term, g.index = p.core.Members()
 	g.self = p.core.Self()
 	g.isVoter = p.failure == nil && p.core.IsVoter(g.self)
 	changed := fresh
-	for _, e := range o.Committed {
+	for _, e := range o.CommittedEntries {
 		changed = changed || len(e.Body) > 0
 	}
 	if changed {
@@ -155,7 +155,7 @@
 		if old != nil && old.documents[k] == d {
 			m[k] = old.packedDocuments[k]
 		} else {
-			m[k] = fleet.Pack(d)
+			m[k] = fleet.Compress(d)
 		}
 	}
 	return m
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -47,11 +47,11 @@
 // openGroup makes the one shard of a group. A disk that can't be opened leaves its member out
 // until it can.
 func openGroup(p *shard, g *group) *shard {
-	p.group, g.consensusConfig.Group = g, true
+	p.group, g.consensusConfig.DynamicMembership = g, true
 	g.leaving = map[string]int{}
 	p.core = consensus.New(g.consensusConfig, consensus.LearnerSnapshot(""), nil)
 	p.failure = p.reopen()
-	p.publish(consensus.Ready{Install: &wire.Snapshot{}})
+	p.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 	return p
 }
 
@@ -97,7 +97,7 @@
 	}
 	p.failure = nil
 	p.log.Info("the disk is well again")
-	p.publish(consensus.Ready{Install: &wire.Snapshot{}})
+	p.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 }
 
 // tickGroup is what a member of a group does at each tick beside the core's own time.
@@ -120,7 +120,7 @@
 
 // nextMembership is the membership that this member is to propose as the leader; nil: none now.
 func (p *shard) nextMembership() []string {
-	if !p.core.MembershipSettled() {
+	if !p.core.CanChangeMembership() {
 		return nil
 	}
 	members, _, _ := p.core.Members()
@@ -147,14 +147,14 @@
 	s, own := l.Place.Site, l.Place.AdvertisedAddr()
 	n := &Node{process: l, shards: map[uint32]*shard{}, clients: daemon.NewClients(l)}
 	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.clients.Membership, nil)
-	n.controlClient = controlclient.NewGroup(l.Place.Seeds, n.membership.View, n.clients, l.Place.Bounds)
+	n.controlClient = controlclient.NewGroupClient(l.Place.Seeds, n.membership.View, n.clients, l.Place.Bounds)
 	l.OnSettingsChanged(func(p settings.Place) { n.controlClient.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
 	n.transport = newTransport(l.Ctx, n)
 	tick := l.Place.Bounds.Heal(groupTick)
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
 	p.claimRetention, p.confirmTimeout = l.Place.Bounds.Once(1), settings.Of(s.AckMs, operatorTimeoutRatio*confirmTimeoutRatio)
 	openGroup(p, &group{codec: codec, disk: openDisk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.Tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Place.Name)))},
 		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(s.First, own, l.Place.Seeds, l.Seed) }})
 	n.shards[0], n.incarnation = p, p.published.current().self
@@ -190,7 +190,7 @@
 
 // zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
 func (n *Node) zoneOf(addr string) string {
-	for _, x := range n.membership.View().Role("archive") {
+	for _, x := range n.membership.View().WithRole("archive") {
 		if x.Addr == addr {
 			return x.District
 		}
@@ -207,7 +207,7 @@
 		for _, s := range seeds {
 			ms = append(ms, s+"/0")
 		}
-		return consensus.FoundingSnapshot(own+"/0", slices.Compact(slices.Sorted(slices.Values(ms))))
+		return consensus.BootstrapSnapshot(own+"/0", slices.Compact(slices.Sorted(slices.Values(ms))))
 	}
 	return consensus.LearnerSnapshot(fmt.Sprintf("%s/%016x", own, random()))
 }
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -17,12 +17,12 @@
 func newTestMember(t *testing.T) (*shard, *simDisk) {
 	t.Helper()
 	d := newSimDisk()
-	p := newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
-	first := consensus.FoundingSnapshot("a", []string{"a", "b", "c"})
+	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	first := consensus.BootstrapSnapshot("a", []string{"a", "b", "c"})
 	s := newState()
 	s.applyPut(&wire.Put{Key: "k", Body: []byte("one"), AnyVersion: true})
 	first.State, _ = s.save()
-	openGroup(p, &group{codec: versions{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
+	openGroup(p, &group{codec: versionCodec{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: testRand()},
 		initialSnapshot: func() *wire.Snapshot { return first }})
 	if p.failure != nil {
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -29,7 +29,7 @@
 	ctx, end := context.WithTimeout(ctx, settings.Of(n.process.Place.Site.GraceMs, leaveTimeoutRatio))
 	defer end()
 	for ctx.Err() == nil && !n.tryLeave(ctx) {
-		clock.Pause(ctx, n.process.Place.Bounds.Heal(groupTick/2))
+		clock.Sleep(ctx, n.process.Place.Bounds.Heal(groupTick/2))
 	}
 	n.membership.Leave()
 }
@@ -43,7 +43,7 @@
 	}
 	ctx, end := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
 	defer end()
-	t, err := n.clients.ControlNode(controlclient.Addr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
+	t, err := n.clients.ControlNode(controlclient.MemberAddr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
 	return err == nil && t.Outcome == wire.OutcomeDone
 }
 
@@ -74,13 +74,13 @@
 // canLeave reports whether the group has done what it can before a member stops: no change of the
 // membership is left to make, and the other voters that are alive hold the whole log.
 func (p *shard) canLeave(name string) bool {
-	if !p.core.MembershipSettled() {
+	if !p.core.CanChangeMembership() {
 		return false
 	}
 	if !p.core.IsVoter(name) {
 		return true
 	}
-	return p.nextMembership() == nil && p.core.HeldByLivePeers(name, aliveTicks)
+	return p.nextMembership() == nil && p.core.ReplicatedToLiveVoters(name, aliveTicks)
 }
 
 // isLeaving reports whether a process has said lately that it is to stop.
@@ -92,7 +92,7 @@
 // joinLoop has this node taken in, and keeps it known while it isn't a member.
 func (n *Node) joinLoop() {
 	b, turn := n.process.Place.Bounds, 0
-	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Pause(n.process.Ctx, b.Heal(joinIntervalRatio)) {
+	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, b.Heal(joinIntervalRatio)) {
 		ctx, end := context.WithTimeout(n.process.Ctx, b.Heal(1.0/24))
 		alone := query(ctx, p, false, p.needsJoin)
 		end()
@@ -112,7 +112,7 @@
 	} else if s.Leader == "" {
 		patience = 0
 	}
-	return p.failure == nil && !p.stopping && !s.IsLeader && s.SinceLeader >= patience
+	return p.failure == nil && !p.stopping && !s.IsLeader && s.TicksSinceLeader >= patience
 }
 
 // silentTurnInterval is how often a silent address is asked before others: each so many turns.
@@ -144,18 +144,18 @@
 func (n *Node) requestJoin(self string, members []string, turn int) (vain int) {
 	all := n.controlClient.Addresses()
 	for _, m := range members {
-		if a := controlclient.Addr(m); !slices.Contains(all, a) {
+		if a := controlclient.MemberAddr(m); !slices.Contains(all, a) {
 			all = append(all, a)
 		}
 	}
-	own := controlclient.Addr(self)
+	own := controlclient.MemberAddr(self)
 	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
-	for _, addr := range joinCandidates(all, n.controlClient.IsSilent, turn) {
+	for _, addr := range joinCandidates(all, n.controlClient.IsUnresponsive, turn) {
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
 			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
 			t, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
 			end()
-			n.controlClient.NoteAnswer(addr, err == nil)
+			n.controlClient.RecordResponse(addr, err == nil)
 			if err != nil {
 				break
 			}
@@ -163,7 +163,7 @@
 				n.controlClient.HintLeader(addr)
 				return vain
 			}
-			addr = controlclient.Addr(t.Leader)
+			addr = controlclient.MemberAddr(t.Leader)
 		}
 		vain++
 	}
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -87,15 +87,15 @@
 			return p
 		}
 	}
-	return consensus.PeerStatus{Name: name, SinceHeard: replaceAfterTicks}
+	return consensus.PeerStatus{Name: name, ContactAge: replaceAfterTicks}
 }
 
 func (v *membershipPlanner) isAlive(name string) bool {
-	return name == v.self || v.status(name).SinceHeard < aliveTicks
+	return name == v.self || v.status(name).ContactAge < aliveTicks
 }
 
 func (v *membershipPlanner) isSilent(name string) bool {
-	return v.status(name).SinceHeard >= replaceAfterTicks
+	return v.status(name).ContactAge >= replaceAfterTicks
 }
 
 func (v *membershipPlanner) allAlive() bool {
@@ -105,13 +105,13 @@
 // hasLostDisk reports whether the member's disk is lost: a learner at its address, under another
 // incarnation, has spoken since the member did. To have asked isn't enough: an ask may be late.
 func (v *membershipPlanner) hasLostDisk(name string) bool {
-	since := v.status(name).SinceHeard
+	since := v.status(name).ContactAge
 	return slices.ContainsFunc(v.peers, func(p consensus.PeerStatus) bool {
-		return !p.IsVoter && sameAddress(p.Name, name) && p.Answered && p.SinceHeard < since
+		return !p.IsVoter && sameAddress(p.Name, name) && p.Responded && p.ContactAge < since
 	})
 }
 
-func sameAddress(a, b string) bool { return controlclient.Addr(a) == controlclient.Addr(b) }
+func sameAddress(a, b string) bool { return controlclient.MemberAddr(a) == controlclient.MemberAddr(b) }
 
 // hasQuorum reports whether those alive among the members, and so many more, are a quorum of both.
 func (v *membershipPlanner) hasQuorum(members []string, more int) bool {
@@ -151,21 +151,21 @@
 // isReady reports whether a learner is there, holds what is committed, and is alone at its address:
 // neither a member nor a later incarnation stands there.
 func (v *membershipPlanner) isReady(p consensus.PeerStatus) bool {
-	if p.IsVoter || !p.CaughtUp || p.SinceHeard >= spareFreshTicks {
+	if p.IsVoter || !p.CaughtUp || p.ContactAge >= spareFreshTicks {
 		return false
 	}
 	if slices.ContainsFunc(v.members, func(m string) bool { return sameAddress(m, p.Name) }) {
 		return false
 	}
 	return !slices.ContainsFunc(v.peers, func(o consensus.PeerStatus) bool {
-		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Answered && o.SinceHeard < p.SinceHeard
+		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Responded && o.ContactAge < p.ContactAge
 	})
 }
 
 // sharesZone reports whether a member that stays is in a learner's zone.
 func (v *membershipPlanner) sharesZone(name string) bool {
-	zone := v.zoneOf(controlclient.Addr(name))
+	zone := v.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(v.members, func(m string) bool {
-		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.Addr(m)) == zone
+		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.MemberAddr(m)) == zone
 	})
 }
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -55,9 +55,9 @@
 		}
 	}
 	tick := l.Place.Bounds.Heal(1.0 / 240)
-	for i := range uint32(controlclient.Shards) {
+	for i := range uint32(controlclient.ShardCount) {
 		ms := controlclient.Members(i, core)
-		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
+		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Place.Name)))}
 		if !containsName(ms, l.Place.Name) {
 			continue
@@ -97,11 +97,11 @@
 
 // followSeeds takes the seeds that the configuration in force names.
 func (n *Node) followSeeds(ctl *controlclient.Client) {
-	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(t.Documents) == 0 {
 		return // the seeds that are known stay
 	}
-	if s, err := serviceconfig.Read(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
+	if s, err := serviceconfig.Decode(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
 		n.membership.SetSeeds(s.Seeds)
 	}
 }
@@ -119,7 +119,7 @@
 func openDisk(l *daemon.Process, folder string) storage.Disk {
 	d := l.Disk(filepath.Join(l.Place.Data, folder))
 	if f := l.Place.Option("faults", ""); f != "" {
-		return storage.Faulty(d, f)
+		return storage.WithFaults(d, f)
 	}
 	return d
 }
@@ -220,7 +220,7 @@
 // Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
 func (n *Node) Stand(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	t := &wire.StatusResponse{Incarnation: n.incarnation}
-	for i := range uint32(controlclient.Shards) {
+	for i := range uint32(controlclient.ShardCount) {
 		p := n.shards[i]
 		if p == nil {
 			if containsName(controlclient.Members(i, n.coreMembers), n.process.Place.Name) {
@@ -231,8 +231,8 @@
 		x := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		t.Shards = append(t.Shards, query(ctx, p, x, func() *wire.ShardStatus {
 			s := p.core.Status()
-			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.Stuck, Applied: s.Applied,
-				Last: s.Last, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.Size())}
+			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, Applied: s.Applied,
+				Last: s.LastIndex, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.LogBytes())}
 			if p.failure != nil {
 				y.Failure = errs.Text(p.failure)
 			}
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -63,7 +63,7 @@
 }
 
 func (p *shard) run(tick time.Duration) {
-	t := clock.Every(tick)
+	t := clock.NewTicker(tick)
 	defer t.Stop()
 	onTick := func() {
 		if p.failure == nil {
@@ -100,26 +100,26 @@
 		p.markFailed(err)
 		return
 	}
-	p.publish(consensus.Ready{Install: o.Install, Records: o.Records}) // before any message says that it is on this disk
+	p.publish(consensus.Ready{Snapshot: o.Snapshot, Records: o.Records}) // before any message says that it is on this disk
 	for _, m := range o.Messages {
 		p.send(m)
 	}
-	for _, e := range o.Committed {
+	for _, e := range o.CommittedEntries {
 		p.applyEntry(e)
 	}
 	for _, id := range o.ConfirmedReads {
 		p.completeRead(id, true)
 	}
-	for _, id := range o.LostReads {
+	for _, id := range o.AbortedReads {
 		p.completeRead(id, false)
 	}
 	p.releasePendingProposals()
-	if len(o.Committed) > 0 && p.failure == nil && p.store.Size() > max(p.compactThreshold, p.snapshotBytes) {
+	if len(o.CommittedEntries) > 0 && p.failure == nil && p.store.LogBytes() > max(p.compactThreshold, p.snapshotBytes) {
 		if err := p.compact(); err != nil {
 			p.markFailed(err)
 		}
 	}
-	p.publish(consensus.Ready{Committed: o.Committed})
+	p.publish(consensus.Ready{CommittedEntries: o.CommittedEntries})
 }
 
 func (p *shard) completeRead(id uint64, ok bool) {
@@ -179,7 +179,7 @@
 func (p *shard) reportLost(m *wire.Message) {
 	p.commands.Offer(func() {
 		if p.failure == nil {
-			p.core.ReportLost(m)
+			p.core.ReportSendFailure(m)
 		}
 	})
 }
@@ -237,7 +237,7 @@
 func (p *shard) beginRead(w chan bool) (id uint64, leader string) {
 	s := p.core.Status()
 	if p.failure == nil && s.IsLeader && len(p.pendingReads) < 1024 {
-		if i, ok := p.core.RequestRead(); ok {
+		if i, ok := p.core.ReadIndex(); ok {
 			p.pendingReads[i] = w
 			return i, "" // where it is lost, this member isn't the one to name
 		}
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -16,7 +16,7 @@
 	if p.failure != nil || s.Blank {
 		return false
 	}
-	for _, e := range p.core.Unapplied() {
+	for _, e := range p.core.UnappliedEntries() {
 		c := &wire.Command{}
 		if len(e.Body) > 0 && (proto.Unmarshal(e.Body, c) != nil || c.GetPut().GetKey() == key) {
 			return false
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -95,7 +95,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c.news = make(chan struct{}) // of this bubble
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Bounds: settings.Default(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
 		a := newAgent(l, &numbers{}, func(addr string) wire.Archive { return seat{c, addr} })
@@ -285,9 +285,9 @@
 // A process that reaches nobody starts, shows what it has, and ends.
 func TestStartAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 },
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 },
 			Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
-				clock.Pause(ctx, time.Second)
+				clock.Sleep(ctx, time.Second)
 				return nil, errs.New(errs.CantSay, "nobody is there")
 			}}
 		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Listen: "1:9", Bounds: settings.Default(),
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -47,7 +47,7 @@
 			pause = bounds.Config(minRetryDelayRatio)
 			continue
 		}
-		clock.Pause(ctx, pause)
+		clock.Sleep(ctx, pause)
 		pause = min(2*pause, bounds.Config(maxRetryDelayRatio))
 		if a.Snapshot().ProofAt == 0 && a.process.Clock.Now()-startedAt < bounds.Config(startPhaseRatio) { // the whole site may have restarted: retry soon
 			pause = min(pause, bounds.Config(startRetryDelayRatio))
@@ -58,7 +58,7 @@
 // requestedVersion is the version of the plan that a request was sent with.
 func requestedVersion(a *wire.FollowRequest) uint64 {
 	for _, h := range a.Have {
-		if h.Key == routingconfig.Key {
+		if h.Key == routingconfig.DocumentKey {
 			return h.Version
 		}
 	}
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ns := nodes()
 		serving := promptindex.ServingNodes(ns)
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "edge", settings.Place{Name: "edge-1", Zone: serving[1].District, Bounds: settings.Default(), Extra: []string{"log=off"}})
 		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.Catalogue { return node{x, addr} })
 		f(s, serving)
