--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -125,17 +125,17 @@
 
 // idle answers as workers do that have nothing new to tell.
 type idle struct {
-	backend.Calls
+	backend.Client
 	asked chan struct{}
 }
 
-func (c *idle) Events(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.Events, error) {
+func (c *idle) CacheEvents(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	c.asked <- struct{}{}
-	return backend.Events{Boot: 1, Next: since + 1}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: since + 1}, nil
 }
 
-func (c *idle) Kept(context.Context, string) (backend.Events, error) {
-	return backend.Events{Boot: 1, Next: 1}, nil
+func (c *idle) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
+	return backend.CacheEvents{BootID: 1, NextSequence: 1}, nil
 }
 
 // polls measures an index node's round over all workers, without the calls themselves: its bounds
--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -17,7 +17,7 @@
 type Controller struct {
 	process        *daemon.Process
 	store          stateStore
-	calls          backend.Calls
+	calls          backend.Client
 	latestSnapshot func() *fleet.Snapshot
 	view           func() clustermembership.View
 	hotEntries     HotEntriesFunc
@@ -30,7 +30,7 @@
 // Start campaigns for the lease and runs the controllers while it is held.
 //
 // Example: controllers.Start(process, control, calls, agent.Now, agent.View, hotEntries)
-func Start(process *daemon.Process, ctl stateStore, calls backend.Calls, snap func() *fleet.Snapshot, view func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
+func Start(process *daemon.Process, ctl stateStore, calls backend.Client, snap func() *fleet.Snapshot, view func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
 	c := &Controller{process: process, store: ctl, calls: calls, latestSnapshot: snap, view: view, hotEntries: hotEntries, released: make(chan struct{})}
 	c.lease = newSiteLease(process.Place.Name, process.Place.Site, process.Place.Bounds, process.Clock, ctl)
 	process.Meter.Gauge("pebbleloom_lease_held", "1 while this machine holds the site's lease", func() float64 {
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -23,7 +23,7 @@
 // an index node, and the site's controllers while this machine holds the lease.
 //
 // Example: err := controllers.StartProcess(process, codec, calls)
-func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Calls) error {
+func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Client) error {
 	if process.Place.Site == nil {
 		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
 	}
--- a/internal/control/controllers/rollout.go
+++ b/internal/control/controllers/rollout.go
@@ -286,7 +286,7 @@
 // HandleOrderOutcome takes the outcome of an order. It returns the version that the worker is known to have; zero
 // if unknown.
 //
-// Example: v := r.Ordered(order, backend.Begun, now)
+// Example: v := r.Ordered(order, backend.OutcomeStarted, now)
 func (r *Rollout) HandleOrderOutcome(o Order, out backend.Outcome, now time.Duration) uint64 {
 	l := r.loads[o.Worker.ID]
 	if l == nil || l.stage != stageOrdered || l.version != o.Version || l.model != o.Model {
@@ -294,13 +294,13 @@
 	}
 	l.callInFlight = false
 	switch out {
-	case backend.Begun:
+	case backend.OutcomeStarted:
 		l.stage, l.startConfirmed, l.nextReportAt = stageLoading, true, l.startedAt+max(r.bounds.Leave(reportIntervalRatio), time.Duration(float64(r.shortestLoad[l.model])*firstReportRatio))
-	case backend.Busy: // another order of this holder or a past one is running
+	case backend.OutcomeBusy: // another order of this holder or a past one is running
 		l.stage, l.startedAt, l.nextReportAt = stageLoading, now, now+r.bounds.Leave(reportIntervalRatio)
-	case backend.Unknown: // it may have been accepted
+	case backend.OutcomeUnknown: // it may have been accepted
 		l.stage, l.nextReportAt = stageUnknown, now+r.bounds.Leave(reportIntervalRatio)
-	case backend.Holds:
+	case backend.OutcomeAlreadyDone:
 		delete(r.loads, o.Worker.ID)
 		delete(r.maybeOrdered, o.Worker.ID)
 		return o.Version
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -57,9 +57,9 @@
 		lost bool
 	}
 	old, new := map[string]uint64{"daka": 1}, map[string]uint64{"daka": 2}
-	orders := []answer{{name: "begun", out: backend.Begun}, {name: "holds", out: backend.Holds}, {name: "busy", out: backend.Busy},
-		{name: "lost", out: backend.Unknown}, {name: "rejected", out: backend.Denied}, {name: "fenced", out: backend.Fenced},
-		{name: "stranger", out: backend.Stranger}, {name: "too many", out: backend.TooMany}}
+	orders := []answer{{name: "begun", out: backend.OutcomeStarted}, {name: "holds", out: backend.OutcomeAlreadyDone}, {name: "busy", out: backend.OutcomeBusy},
+		{name: "lost", out: backend.OutcomeUnknown}, {name: "rejected", out: backend.OutcomeRejected}, {name: "fenced", out: backend.OutcomeFenced},
+		{name: "stranger", out: backend.OutcomeWrongInstance}, {name: "too many", out: backend.OutcomeThrottled}}
 	reports := []answer{{name: "loads", rep: backend.Report{Busy: true, Weights: old}}, {name: "old", rep: backend.Report{Weights: old}},
 		{name: "new", rep: backend.Report{Weights: new}}, {name: "silent", lost: true}}
 	paths := 0
@@ -102,7 +102,7 @@
 			x.now += 20 * time.Millisecond
 			if len(a.Orders) > 0 {
 				asked = x.now
-				may = c.out == backend.Begun || c.out == backend.Busy || c.out == backend.Unknown
+				may = c.out == backend.OutcomeStarted || c.out == backend.OutcomeBusy || c.out == backend.OutcomeUnknown
 				if v := x.rollout.HandleOrderOutcome(a.Orders[0], c.out, x.now); v != 0 {
 					x.w.Weights, has = new, true
 				}
@@ -143,7 +143,7 @@
 func TestNamedAgainWhileItLoads(t *testing.T) {
 	x := newSingleWorker(t)
 	a := x.until(bounds().Weights(1))
-	x.rollout.HandleOrderOutcome(a.Orders[0], backend.Begun, x.now)
+	x.rollout.HandleOrderOutcome(a.Orders[0], backend.OutcomeStarted, x.now)
 	x.named = 3
 	x.step()
 	x.named = 4
@@ -164,7 +164,7 @@
 	if b := x.step(); len(b.Cordoned["reading"]) != 0 || !x.rollout.Idle() {
 		t.Errorf("%+v", b)
 	}
-	if v := x.rollout.HandleOrderOutcome(a.Orders[0], backend.Holds, x.now); v != 0 {
+	if v := x.rollout.HandleOrderOutcome(a.Orders[0], backend.OutcomeAlreadyDone, x.now); v != 0 {
 		t.Errorf("%d", v)
 	}
 	x.rollout.HandleUnsentOrder(a.Orders[0])
@@ -262,11 +262,11 @@
 						t.Fatalf("%s is ordered twice", o.Worker.ID)
 					}
 					if i < c.silent {
-						r.HandleOrderOutcome(o, backend.Unknown, now)
+						r.HandleOrderOutcome(o, backend.OutcomeUnknown, now)
 						continue
 					}
 					done[i] = now + 20*time.Millisecond + c.takes*time.Millisecond
-					r.HandleOrderOutcome(o, backend.Begun, now)
+					r.HandleOrderOutcome(o, backend.OutcomeStarted, now)
 				}
 				busy := 0
 				for i := range done {
--- a/internal/control/controllers/sequence_test.go
+++ b/internal/control/controllers/sequence_test.go
@@ -18,7 +18,7 @@
 			if first.Sequence != nil {
 				t.Error("the first names a number that nobody reported")
 			}
-			x.rollout.HandleOrderOutcome(first, backend.Unknown, x.now)
+			x.rollout.HandleOrderOutcome(first, backend.OutcomeUnknown, x.now)
 			if newer {
 				x.named = 3
 			}
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -32,7 +32,7 @@
 // session runs the controllers under one fence. The actor alone uses the fields below it.
 type session struct {
 	process        *daemon.Process
-	calls          backend.Calls
+	calls          backend.Client
 	latestSnapshot func() *fleet.Snapshot
 	hotEntries     HotEntriesFunc
 	lease          *siteLease
@@ -180,7 +180,7 @@
 	page := ""
 	for pages < maxPages {
 		ctx, end := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(pageTimeoutRatio))
-		ws, next, err := s.calls.List(ctx, page)
+		ws, next, err := s.calls.ListWorkers(ctx, page)
 		end()
 		if err != nil {
 			return nil, pages, errs.Wrap(err, "list of workers")
@@ -323,9 +323,9 @@
 		return ok && fence == s.fencingToken && s.process.Clock.Now() < deadline
 	})
 	out, err := s.calls.Order(ctx, o.Worker.Addr, backend.Order{Model: o.Model, Version: o.Version, Mode: backend.ModeAwait,
-		Holder: s.lease.lease.Holder, Fence: fence, Instance: o.Worker.ID, Sequence: o.Sequence})
+		LeaseHolder: s.lease.lease.Holder, FencingToken: fence, Instance: o.Worker.ID, Sequence: o.Sequence})
 	if err != nil {
-		out = backend.Unknown
+		out = backend.OutcomeUnknown
 	}
 	s.process.Log.Info("order", "worker", o.Worker.ID, "model", o.Model, "weights", o.Version, "fence", fence, "outcome", int(out))
 	s.actor.Ask(func(*session) {
--- a/internal/control/controllers/slowload_test.go
+++ b/internal/control/controllers/slowload_test.go
@@ -26,7 +26,7 @@
 		r.ConfirmCordoned(a.Cordoned["reading"], now)
 		for _, o := range a.Orders {
 			done[o.Worker.ID] = now + 2600*time.Millisecond
-			r.HandleOrderOutcome(o, backend.Begun, now)
+			r.HandleOrderOutcome(o, backend.OutcomeStarted, now)
 		}
 		busy, old := 0, 0
 		for i, w := range ws {
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -337,7 +337,7 @@
 	if !ok {
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
-	es := prefix.Chain(config.CacheDomain(q.Tenant), prefix.Under(t.Model, t.Adapter, t.Build), t.Weights, q.Parts)
+	es := prefix.Chain(config.CacheDomain(q.Tenant), prefix.QualifiedModel(t.Model, t.Adapter, t.Build), t.Weights, q.Parts)
 	var ks []prefix.Key
 	for _, e := range es {
 		ks = append(ks, e.Key)
