--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -22,7 +22,7 @@
 // for an index node that reports that it has lost its memory.
 //
 // It serves both senders of accesses: Client, and the index client of callerproxy (callerproxy/index.go).
-// It does no I/O and isn't safe for concurrent use: the sender's actor owns it, sends what NextBatch
+// It does no I/O and isn't safe for concurrent use: the sender's actor guards it, sends what NextBatch
 // returns and passes the result on to Acknowledge or RecordFailure.
 type AccessCounter struct {
 	sender         string
@@ -42,7 +42,7 @@
 	sending    bool
 }
 
-// NewAccessCounter makes an empty counter for the batches of one sender. The incarnation tells this
+// NewAccessCounter makes an empty counter for the batches of one sender. The incarnation distinguishes this
 // process's batch numbers from those of its predecessors; accesses are kept for two half windows at the
 // most.
 //
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -12,7 +12,7 @@
 )
 
 // table is a Client's memory: the layout of the index, late nodes, cached answers and counted accesses.
-// The actor owns it.
+// The actor guards it.
 type table struct {
 	client     *Client
 	membership []*wire.Node // that the shards were last checked against
