--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -30,7 +30,7 @@
 	return changesForAllFaults
 }
 
-// Each trouble comes once in changesForAllFaults changes, with fewChanges while a member is away; in a longer run
+// Each trouble comes once in allFaults changes, with fewChanges while a member is away; in a longer run
 // there are moreChanges.
 const (
 	changesForAllFaults = 135
