--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -141,7 +141,7 @@
 	seed := p.seed
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
 	site := &set.Site{FirstStart: true, ToleratedFailures: 1, IP: ip(i), AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, LeaseMs: 3000,
-		WorkerListRate: 47, MemoryLimitMB: 284, Files: 4100, PortRange: [2]int{7360, 7375}, EnforceRevocation: true}
+		WorkerListRate: 47, MemoryLimitMB: 284, PortRange: [2]int{7360, 7375}, EnforceRevocation: true}
 	place := set.Process{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.DefaultBounds(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Options: []string{"log=off"}, Site: site}
 	w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
--- /dev/null
+++ b/internal/settings/decode.go
@@ -0,0 +1,56 @@
+package settings
+
+import (
+	"encoding/json"
+	"strings"
+
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/queue"
+)
+
+// Decode reads a settings file into p. Each unknown key and each wrong type is added to faults.
+//
+// Example: settings.Decode(raw, "edge-1.json", &process, &faults)
+func Decode(raw []byte, file string, p *Process, faults *errs.Batch) {
+	var top map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &top); err != nil {
+		faults.Addf(errs.BadInput, "%s: not a JSON object (%v): write one with `name`, `district`, `listen`, `seeds`", file, err)
+		return
+	}
+	fields := map[string]any{"name": &p.Name, "district": &p.Zone, "listen": &p.Listen, "tell": &p.Advertise, "public": &p.Public,
+		"operator": &p.Operator, "operator_key": &p.OperatorKey, "seeds": &p.Seeds, "core": &p.Core, "data": &p.Data,
+		"runner": &p.NodeAgent, "rank": &p.WorkerList, "extra": &p.Options}
+	var bounds map[string]json.RawMessage
+	for _, key := range queue.Keys(top) {
+		if key == "bounds" {
+			if err := json.Unmarshal(top[key], &bounds); err != nil {
+				faults.Addf(errs.BadInput, "%s: bounds: not an object: write {\"setup_ms\": 2000, …}", file)
+			}
+			continue
+		}
+		field, known := fields[key]
+		if !known {
+			faults.Addf(errs.BadInput, "%s: %s: unknown field: remove it (known: %s)", file, key, strings.Join(queue.Keys(fields), " "))
+			continue
+		}
+		if err := json.Unmarshal(top[key], field); err != nil {
+			faults.Addf(errs.BadInput, "%s: %s: wrong type (%v): give what `docs/operate.md` shows", file, key, err)
+		}
+	}
+	decodeBounds(bounds, file, &p.Bounds, faults)
+}
+
+func decodeBounds(raw map[string]json.RawMessage, file string, b *Bounds, faults *errs.Batch) {
+	fields := map[string]*int{"setup_ms": &b.ConfigMs, "key_ms": &b.KeyRevocationMs, "leave_ms": &b.LeaveMs,
+		"weights_ms": &b.WeightsMs, "heal_ms": &b.HealMs, "try_share": &b.RetryPercent, "try_span_ms": &b.RetryWindowMs,
+		"try_allow": &b.RetryAllowance, "once_ms": &b.RequestIDRetentionMs, "body_kb": &b.MaxBodyKB,
+		"waiting": &b.MaxConcurrentRequests, "entries": &b.MaxIndexEntries}
+	for _, key := range queue.Keys(raw) {
+		field, known := fields[key]
+		if !known {
+			faults.Addf(errs.BadInput, "%s: bounds.%s: unknown field: remove it (known: %s)", file, key, strings.Join(queue.Keys(fields), " "))
+		} else if err := json.Unmarshal(raw[key], field); err != nil {
+			faults.Addf(errs.BadInput, "%s: bounds.%s: not a whole number: give one", file, key)
+		}
+	}
+}
--- /dev/null
+++ b/internal/settings/process_test.go
@@ -0,0 +1,66 @@
+package settings
+
+import (
+	"strings"
+	"testing"
+
+	"pebbleloom/internal/errs"
+)
+
+func TestEveryFaultIsListedAtOnce(t *testing.T) {
+	var faults errs.Batch
+	process := Process{Bounds: DefaultBounds()}
+	Decode([]byte(`{"name":"edge 1","listen":"localhost:80","seeds":["127.0.0.1:1"],"colour":"red","bounds":{"setup_ms":1,"leave":3},"core":7}`), "x.json", &process, &faults)
+	Validate(&process, Required{Seeds: true, Core: true, Data: true}, "x.json", &faults)
+	all := strings.Join(faults.Lines(), "\n")
+	for _, want := range []string{"x.json: name", "x.json: district", "x.json: listen", "x.json: seeds: 1 given", "x.json: colour: unknown field", "x.json: bounds.setup_ms",
+		"x.json: bounds.leave: unknown field", "x.json: core: wrong type", "x.json: core: 0 given", "x.json: data"} {
+		if !strings.Contains(all, want) {
+			t.Errorf("%q isn't among the faults:\n%s", want, all)
+		}
+	}
+	if errs.KindOf(faults.Err()) != errs.BadInput {
+		t.Errorf("kind %s", errs.KindOf(faults.Err()).Name)
+	}
+}
+
+// The keys of settings files and of their bounds are those that running sites use.
+func TestEveryKeyIsAccepted(t *testing.T) {
+	const file = `{"name":"edge-1","district":"d","listen":"127.0.0.1:1","tell":"127.0.0.1:2","public":"127.0.0.1:3","operator":"127.0.0.1:4",
+		"operator_key":"0123456789abcdef","seeds":["127.0.0.1:5","127.0.0.1:6","127.0.0.1:7"],"core":["a","b","c","d"],"data":"/d",
+		"runner":"127.0.0.1:8","rank":"127.0.0.1:9","extra":["k=v"],"bounds":{"setup_ms":2001,"key_ms":5001,"leave_ms":3001,"weights_ms":20001,
+		"heal_ms":12001,"try_share":21,"try_span_ms":10001,"try_allow":11,"once_ms":1800001,"body_kb":513,"waiting":257,"entries":60001}}`
+	var faults errs.Batch
+	process := Process{Bounds: DefaultBounds()}
+	Decode([]byte(file), "x.json", &process, &faults)
+	Validate(&process, Required{true, true, true, true, true, true, true}, "x.json", &faults)
+	if err := faults.Err(); err != nil {
+		t.Fatal(err)
+	}
+	if process.NodeAgent != "127.0.0.1:8" || process.WorkerList != "127.0.0.1:9" || process.AdvertisedAddr() != "127.0.0.1:2" || process.Option("k", "") != "v" {
+		t.Errorf("%+v", process)
+	}
+	want := Bounds{ConfigMs: 2001, KeyRevocationMs: 5001, LeaveMs: 3001, WeightsMs: 20001, HealMs: 12001, RetryPercent: 21, RetryWindowMs: 10001,
+		RetryAllowance: 11, RequestIDRetentionMs: 1800001, MaxBodyKB: 513, MaxConcurrentRequests: 257, MaxIndexEntries: 60001}
+	if process.Bounds != want {
+		t.Errorf("bounds %+v, want %+v", process.Bounds, want)
+	}
+}
+
+func TestFlagsOverrideTheFile(t *testing.T) {
+	process, err := Read("runner", "", []string{"--name", "edge-1", "--district", "d", "--listen", "127.0.0.1:1", "--seeds", "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3", "--extra", "slots=4,kv=9"}, Required{Seeds: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(process.Seeds) != 3 || process.Option("kv", "") != "9" || process.Option("none", "x") != "x" || process.Bounds.ConfigMs != 2000 {
+		t.Errorf("%+v", process)
+	}
+	for _, args := range [][]string{{"--nmae", "edge-1"}, {"--name"}, {"start"}, {"--name", "x", "y"}} {
+		if _, err := Read("runner", "", args, Required{}); errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), "flags") {
+			t.Errorf("%v: %v", args, err)
+		}
+	}
+	if _, err := Read("runner", "", []string{"--settings", "/nowhere"}, Required{}); errs.KindOf(err) != errs.BadInput {
+		t.Errorf("a missing file: %v", err)
+	}
+}
