--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -8,60 +8,63 @@
 	"pebbleloom/internal/settings"
 )
 
-// A SYN that meets a machine without power, a partition or a full queue is lost silently,
-// and the kernel retransmits it after a second or more. Between pebbleloom's own processes a new
-// connection is opened beside the first one sooner: the pauses grow from firstDialRatio on, a ratio of the
-// leave bound.
+// The kernel retransmits a SYN that was lost (a machine without power, a partition, a full queue) after
+// a second or more. Between pebbleloom's own processes another connection is opened sooner.
 const (
-	firstDialRatio    = 1.0 / 60
-	dialBackoffFactor = 1.5
+	firstDialRatio    = 1.0 / 60 // of the leave bound: when the second dial starts
+	dialBackoffFactor = 1.5      // from one pause to the next
 	maxDials          = 6
 )
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// hedgedDial dials again while there is no result; the first result counts, a refusal included.
-func hedgedDial(dial dialFunc, b settings.Bounds) dialFunc {
-	type end struct {
-		c   net.Conn
-		err error
-	}
+type dialResult struct {
+	conn net.Conn
+	err  error
+}
+
+// hedgedDial dials again while there is no result. The first result counts, also a refusal; connections
+// that come later are closed.
+func hedgedDial(dial dialFunc, bounds settings.Bounds) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		ctx, stop := context.WithCancel(ctx)
-		ends := make(chan end, maxDials)
-		begun, ended, pause := 0, 0, b.Leave(firstDialRatio)
-		again := time.NewTimer(pause)
-		defer again.Stop()
-		begin := func() {
-			begun++
+		ctx, cancel := context.WithCancel(ctx)
+		results := make(chan dialResult, maxDials)
+		started, ended, pause := 0, 0, bounds.Leave(firstDialRatio)
+		nextDial := time.NewTimer(pause)
+		defer nextDial.Stop()
+		start := func() {
+			started++
 			go func() {
-				c, err := dial(ctx, network, addr)
-				ends <- end{c, err}
+				conn, err := dial(ctx, network, addr)
+				results <- dialResult{conn, err}
 			}()
 		}
 		defer func() {
-			stop()
-			go func(left int) { // close late connections
-				for range left {
-					if e := <-ends; e.c != nil {
-						e.c.Close()
-					}
-				}
-			}(begun - ended)
+			cancel()
+			go closeLate(results, started-ended)
 		}()
-		begin()
+		start()
 		for {
 			select {
-			case e := <-ends:
+			case result := <-results:
 				ended++
-				return e.c, e.err
-			case <-again.C:
-				if begun < maxDials {
-					begin()
+				return result.conn, result.err
+			case <-nextDial.C:
+				if started < maxDials {
+					start()
 					pause = time.Duration(float64(pause) * dialBackoffFactor)
-					again.Reset(pause)
+					nextDial.Reset(pause)
 				}
 			}
 		}
 	}
 }
+
+// closeLate closes the connections of the dials that are still under way.
+func closeLate(results <-chan dialResult, pending int) {
+	for range pending {
+		if late := <-results; late.conn != nil {
+			late.conn.Close()
+		}
+	}
+}
--- /dev/null
+++ b/internal/daemon/metrics.go
@@ -0,0 +1,49 @@
+package daemon
+
+import (
+	"net/http"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/collectors"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"pebbleloom/internal/errs"
+)
+
+// Meter holds the Prometheus metrics that a program exports at /metrics. All label values come from fixed
+// lists, so the number of series is bounded.
+type Meter struct {
+	registry *prometheus.Registry
+	rejected *prometheus.CounterVec
+}
+
+func newMeter() *Meter {
+	m := &Meter{registry: prometheus.NewRegistry()}
+	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests rejected, by kind"}, []string{"kind"})
+	m.registry.MustRegister(m.rejected)
+	return m
+}
+
+// Gauge registers a value that goes up and down; read is called at every scrape.
+//
+// Example: process.Meter.Gauge("pebbleloom_inflight", "requests in flight", func() float64 { return n })
+func (m *Meter) Gauge(name, help string, read func() float64) {
+	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
+}
+
+// Counter registers a value that only grows; read is called at every scrape.
+//
+// Example: process.Meter.Counter("pebbleloom_sealed_total", "answers sealed", func() float64 { return n })
+func (m *Meter) Counter(name, help string, read func() float64) {
+	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
+}
+
+// Rejected counts one rejected request under its kind.
+//
+// Example: process.Meter.Rejected(errs.NotExecuted)
+func (m *Meter) Rejected(kind *errs.Kind) { m.rejected.WithLabelValues(kind.Name).Inc() }
+
+func (m *Meter) handler() http.Handler {
+	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
+}
