--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,5 +1,5 @@
-// Package errs wraps, types and collects errors. Every error that can reach a person carries a Kind
-// whose message names the remedy.
+// Package errs gives errors a Kind, which names the remedy and determines HTTP status and exit code, adds
+// context to them and collects several into one. An error that has no kind is of kind Internal.
 package errs
 
 import (
@@ -10,15 +10,15 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Kind is a type of error that people act on.
+// Kind is a class of errors with one remedy.
 type Kind struct {
-	Name       string // stable word, used in JSON and tests
-	Remedy     string // what to do about it
+	Name       string // stable: clients and scripts read it
+	Remedy     string // what a person should do
 	HTTPStatus int    // status towards clients and operators
 	ExitCode   int    // exit code of the command line
 }
 
-// The kinds in use. Exit codes are stable.
+// The kinds in use. Names and exit codes are stable; statuses are those towards clients and operators.
 var (
 	BadInput         = &Kind{"bad-input", "correct the named fields and send it again", 400, 2}
 	BadKey           = &Kind{"bad-key", "use a key that the configuration in force lists for the tenant", 401, 3}
@@ -39,36 +39,37 @@
 	Internal         = &Kind{"inside", "look at this process's log for the step named here", 500, 9}
 )
 
-// Kinds lists every kind, for documentation and for decoding a name.
+// Kinds returns every kind.
 //
-// Example: for _, k := range errs.Kinds() { fmt.Println(k.Name, k.Exit) }
+// Example: for _, kind := range errs.Kinds() { fmt.Println(kind.Name, kind.ExitCode) }
 func Kinds() []*Kind {
 	return []*Kind{BadInput, BadKey, BadOperatorKey, NoSuchModel, NotFound, Conflict, TooLarge, RateLimited, Overloaded,
 		DeadlineExceeded, NotExecuted, MayHaveExecuted, OutcomeUnknown, CheckFailed, NotSupported, DiskFailure, Internal}
 }
 
-// KindNamed returns the kind with that name, or Inside.
+// KindNamed returns the kind with that name, or Internal.
 //
-// Example: errs.Named("not-run") == errs.NotExecuted
-func KindNamed(s string) *Kind {
-	for _, k := range Kinds() {
-		if k.Name == s {
-			return k
+// Example: errs.KindNamed("not-run") == errs.NotExecuted
+func KindNamed(name string) *Kind {
+	for _, kind := range Kinds() {
+		if kind.Name == name {
+			return kind
 		}
 	}
 	return Internal
 }
 
+// kindKey is the key of the kind among an error's values.
 type kindKey struct{}
 
-// New makes an error of a kind.
+// New returns an error of a kind.
 //
-// Example: errs.New(errs.BadInput, "parts: %d given, at most %d taken", n, max)
-func New(k *Kind, format string, a ...any) error {
-	return merry.New(fmt.Sprintf(format, a...), merry.NoCaptureStack(), merry.WithValue(kindKey{}, k))
+// Example: errs.New(errs.BadInput, "parts: %d given, at most %d allowed", n, max)
+func New(kind *Kind, format string, args ...any) error {
+	return merry.New(fmt.Sprintf(format, args...), merry.NoCaptureStack(), merry.WithValue(kindKey{}, kind))
 }
 
-// Wrap prepends the step that an error came from; nil stays nil, the kind is kept.
+// Wrap prepends the step that failed to an error and keeps its kind; nil stays nil.
 //
 // Example: return errs.Wrap(err, "read snapshot")
 func Wrap(err error, step string) error {
@@ -78,55 +79,56 @@
 	return merry.Prepend(err, step, merry.NoCaptureStack())
 }
 
-// WrapAs wraps an error under a kind.
+// WrapAs prepends the step that failed to an error and gives it a kind; nil stays nil.
 //
-// Example: return errs.As(err, errs.DiskFailure, "sync log")
-func WrapAs(err error, k *Kind, step string) error {
+// Example: return errs.WrapAs(err, errs.DiskFailure, "sync log")
+func WrapAs(err error, kind *Kind, step string) error {
 	if err == nil {
 		return nil
 	}
-	return merry.Prepend(err, step, merry.NoCaptureStack(), merry.WithValue(kindKey{}, k))
+	return merry.Prepend(err, step, merry.NoCaptureStack(), merry.WithValue(kindKey{}, kind))
 }
 
-// KindOf returns an error's kind; Inside if none was set.
+// KindOf returns an error's kind; Internal if none was set.
 //
-// Example: os.Exit(errs.KindOf(err).Exit)
+// Example: os.Exit(errs.KindOf(err).ExitCode)
 func KindOf(err error) *Kind {
-	if k, ok := merry.Value(err, kindKey{}).(*Kind); ok {
-		return k
+	if kind, ok := merry.Value(err, kindKey{}).(*Kind); ok {
+		return kind
 	}
 	return Internal
 }
 
-// Text is an error's message with its remedy.
+// Text returns an error's message with its remedy.
 //
 // Example: fmt.Fprintln(os.Stderr, errs.Text(err))
 func Text(err error) string {
 	return err.Error() + " (remedy: " + KindOf(err).Remedy + ")"
 }
 
-// Batch collects the errors of one step; the step checks it once, at its end.
+// Batch collects the errors of one step, which returns them all at once. The zero value is empty.
 type Batch struct{ errors []error }
 
-// Add records an error, if it is one, under the name of the step.
+// Add adds an error, if it isn't nil, with the step that failed prepended.
 //
-// Example: b.Note("listen", err)
+// Example: faults.Add("listen", err)
 func (b *Batch) Add(step string, err error) {
 	if err != nil {
 		b.errors = append(b.errors, Wrap(err, step))
 	}
 }
 
-// Addf records a new error of a kind.
+// Addf adds a new error of a kind.
 //
-// Example: b.Fault(errs.BadInput, "%s: unknown zone", path)
-func (b *Batch) Addf(k *Kind, format string, a ...any) {
-	b.errors = append(b.errors, New(k, format, a...))
+// Example: faults.Addf(errs.BadInput, "%s: unknown zone", path)
+func (b *Batch) Addf(kind *Kind, format string, args ...any) {
+	b.errors = append(b.errors, New(kind, format, args...))
 }
 
-// Err returns nil if nothing was recorded, else one error that lists all under the first one's kind.
+// Err returns nil if the batch is empty, its error if it has one, and else one error that lists all and
+// has the kind of the first.
 //
-// Example: if err := b.Look(); err != nil { return err }
+// Example: if err := faults.Err(); err != nil { return err }
 func (b *Batch) Err() error {
 	if len(b.errors) == 0 {
 		return nil
@@ -137,13 +139,13 @@
 	return WrapAs(errors.New(strings.Join(b.Lines(), "; ")), KindOf(b.errors[0]), fmt.Sprintf("%d faults", len(b.errors)))
 }
 
-// Lines returns one line per error.
+// Lines returns the message of each error.
 //
-// Example: for _, l := range b.Lines() { fmt.Println(l) }
+// Example: for _, line := range faults.Lines() { fmt.Println(line) }
 func (b *Batch) Lines() []string {
-	l := make([]string, 0, len(b.errors))
-	for _, e := range b.errors {
-		l = append(l, e.Error())
+	lines := make([]string, 0, len(b.errors))
+	for _, err := range b.errors {
+		lines = append(lines, err.Error())
 	}
-	return l
+	return lines
 }
