--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -102,7 +102,7 @@
 	return process
 }
 
-// fileVersion tells two contents of a file apart. It is zero if the file can't be read.
+// fileVersion distinguishes contents of a file. It is zero if the file can't be read.
 type fileVersion struct {
 	size     int64
 	modified time.Time
