--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -154,7 +154,7 @@
 			Limits: routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTime: time.Minute, IdleTime: time.Minute}}
 		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Edges: 1,
 			Workers: []fleet.Worker{{ID: "i-0", Service: serviceName(0), Addr: f.address, Zone: "district-0", Slots: 128, Weights: map[string]uint64{modelName(0): 3}}}}
-		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }), "edge-1")
+		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }))
 		if err := proxy.Start(l, proxy.Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return s }, Selector: p}); err != nil {
 			return nil, err
 		}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -190,7 +190,7 @@
 	mux.Handle(wire.RosterPathPrefix, a.Handler())
 	p.must(l.Serve(l.Place.Listen, mux))
 	s := indexclient.New(l, func() []*wire.Node { return a.Snapshot().Nodes })
-	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s, l.Place.Name)}))
+	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s)}))
 }
 
 func (p *testSite) stop(who string) {
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -32,7 +32,7 @@
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
 		t.Error("forgotten at once")
 	}
-	e.now += 8 * e.bounds.Heal(fadePart)
+	e.now += 8 * e.bounds.Heal(loadTuning.fadeRatio)
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
 		t.Errorf("%s, though %s is free again", c.Worker.ID, h)
 	}
@@ -138,7 +138,7 @@
 	}
 	for i := range 50 {
 		part := fmt.Sprint("p", i)
-		e.found[promptindex.PartKey(salt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
+		e.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
 		if c := e.must(t, e.ask(part, 13000)); c.Weights != 1 {
 			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that keep the part are free", part, 2.5*13000*e.services["llm"].msPerToken)
 		}
--- /dev/null
+++ b/internal/data/selection/ejection.go
@@ -0,0 +1,106 @@
+package selection
+
+import (
+	"math"
+	"time"
+)
+
+// recordFailure ejects a worker for a time that doubles with each failure and grows with its ratio of
+// failures.
+func (t *table) recordFailure(w *workerStats, now time.Duration) {
+	w.failureRatio = movingAverage(w.failureRatio, 1, ejectionTuning.sampleWeight)
+	doublings := math.Exp2(float64(min(w.recentFailures, ejectionTuning.maxDoublings)))
+	ejectionTime := float64(t.bounds.Heal(ejectionTuning.baseTimeRatio)) * doublings * (1 + ejectionTuning.failureMultiple*w.failureRatio)
+	w.recentFailures++
+	w.ejectionTime = time.Duration(min(ejectionTime, float64(t.bounds.Heal(ejectionTuning.maxTimeRatio))))
+	w.ejectedUntil = max(w.ejectedUntil, now+w.ejectionTime)
+}
+
+// recordSuccess takes one failure back, once the worker is no longer ejected.
+func (t *table) recordSuccess(w *workerStats, now time.Duration) {
+	w.failureRatio = movingAverage(w.failureRatio, 0, ejectionTuning.sampleWeight)
+	if now >= w.ejectedUntil && w.recentFailures > 0 {
+		w.recentFailures--
+	}
+}
+
+// slowStartRatio is how far a worker is from its usual share of requests after an ejection: its ratio of
+// failures at the end of the ejection, and 0 once as much time has passed as it was ejected for.
+func (w *workerStats) slowStartRatio(now time.Duration) float64 {
+	end := w.ejectedUntil + w.ejectionTime
+	if w.ejectionTime <= 0 || now >= end {
+		return 0
+	}
+	return min(1, float64(end-now)/float64(w.ejectionTime)) * w.failureRatio
+}
+
+// outcomeCounts counts outcomes of attempts; old ones fade.
+type outcomeCounts struct {
+	succeeded, failed float64
+	updatedAt         time.Duration
+}
+
+// add lets the counts fade to an instant, and adds outcomes.
+func (c *outcomeCounts) add(succeeded, failed float64, now, fadeTime time.Duration) {
+	weight := decayWeight(now-c.updatedAt, fadeTime)
+	c.succeeded, c.failed, c.updatedAt = c.succeeded*weight+succeeded, c.failed*weight+failed, now
+	if c.succeeded < negligible {
+		c.succeeded = 0
+	}
+	if c.failed < negligible {
+		c.failed = 0
+	}
+}
+
+// firstEventTimeout is how long an attempt's first event may take before it counts as overdue.
+func (t *table) firstEventTimeout(sent *attempt, request *Request, now time.Duration) time.Duration {
+	stats := sent.stats
+	expectedMs := stats.service.expectedFirstEventMs(sent.prefillTokens) + t.backlogMs(stats, now)
+	timeout := fromMilliseconds(ejectionTuning.overdueMultiple * expectedMs)
+	if request.Route != nil {
+		timeout = max(timeout, request.Route.LatencyTarget)
+	}
+	return timeout
+}
+
+// countOutcome counts an outcome for or against its worker. A client that disconnected says nothing,
+// unless the first event was overdue then; nor does a worker that rejects requests for lack of a slot.
+func (t *table) countOutcome(ended *attempt, outcome Outcome, now time.Duration) {
+	isOverdue := !ended.firstEventSeen && now >= ended.firstEventDue
+	succeeded, failed := 0.0, 0.0
+	switch {
+	case outcome == Completed:
+		succeeded = 1
+	case outcome == Failed, (outcome == ClientGone || outcome == TimedOut) && isOverdue:
+		failed = 1
+	default:
+		return
+	}
+	ended.stats.outcomes.add(succeeded, failed, now, t.outcomeFadeTime())
+}
+
+func (t *table) outcomeFadeTime() time.Duration {
+	return t.bounds.Heal(ejectionTuning.outcomeFadeRatio)
+}
+
+// ejectIfSuspect ejects a worker that fails far more often than its peers, by the outcomes that all edge
+// machines share, for as long as that holds and a little longer. The totals are the service's, this
+// worker's included.
+func (t *table) ejectIfSuspect(w *workerStats, totalSucceeded, totalFailed float64, now time.Duration) {
+	failed, succeeded := w.othersFailed+w.outcomes.failed, w.othersSucceeded+w.outcomes.succeeded
+	if failed < ejectionTuning.minFailures {
+		return
+	}
+	peersRatio := 0.0
+	if peers := totalSucceeded + totalFailed - failed - succeeded; peers > 0 {
+		peersRatio = max(0, totalFailed-failed) / peers
+	}
+	ratio := failed / (failed + succeeded)
+	if ratio <= max(ejectionTuning.minFailureRatio, ejectionTuning.peerMultiple*peersRatio) {
+		return
+	}
+	suspectTime := t.bounds.Heal(ejectionTuning.suspectTimeRatio)
+	w.failureRatio = max(w.failureRatio, ratio)
+	w.ejectionTime = max(w.ejectionTime, suspectTime)
+	w.ejectedUntil = max(w.ejectedUntil, now+suspectTime)
+}
--- a/internal/data/selection/health_test.go
+++ b/internal/data/selection/health_test.go
@@ -20,7 +20,7 @@
 					}
 				}
 			}
-			in := e.eject(g, l, e.now)
+			in := withoutEjected(g, l, e.now)
 			if len(in) == 0 || n-len(in) > n/3 {
 				t.Errorf("%d of %d broke: %d left in", bad, n, len(in))
 			}
@@ -50,7 +50,7 @@
 	for range 9 {
 		e.recordFailure(x, e.now)
 	}
-	if x.ejectedUntil-e.now > e.bounds.Heal(outMost) {
+	if x.ejectedUntil-e.now > e.bounds.Heal(ejectionTuning.maxTimeRatio) {
 		t.Errorf("out for %v", x.ejectedUntil-e.now)
 	}
 	e.now = x.ejectedUntil + time.Minute
--- /dev/null
+++ b/internal/data/selection/loadsharing.go
@@ -0,0 +1,126 @@
+package selection
+
+import (
+	"hash/fnv"
+	"math"
+	"time"
+
+	"pebbleloom/internal/fleet"
+	"pebbleloom/internal/wire"
+)
+
+// Units of the loads on the wire: mixed releases share them.
+const (
+	pendingTokensUnit = 64 // tokens: pending tokens are sent as a number of these
+	outcomesPerCount  = 8  // counts of outcomes are sent in eighths
+)
+
+// workerListHash hashes a list of workers, so that reports can refer to workers by their position in it.
+func (t *table) workerListHash(workers []fleet.Worker) uint64 {
+	if t.layout != nil && isSameList(t.layout.snapshot.Workers, workers) {
+		return t.layout.workerListHash
+	}
+	hash := fnv.New64a()
+	for i := range workers {
+		_, _ = hash.Write([]byte(workers[i].ID))
+		_, _ = hash.Write([]byte{0})
+	}
+	return hash.Sum64()
+}
+
+// isSameList reports whether two lists are one in memory: lists in snapshots are never changed.
+func isSameList(a, b []fleet.Worker) bool {
+	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
+}
+
+// localLoads is the load of this edge machine at the workers now; workers without any are left out.
+func (t *table) localLoads(now time.Duration) *wire.Loads {
+	if t.layout == nil {
+		return nil
+	}
+	overdue, pendingTokens := t.pendingFirstEvents(now)
+	loads := &wire.Loads{List: t.layout.workerListHash}
+	for i := range t.layout.snapshot.Workers {
+		worker := t.workers[t.layout.snapshot.Workers[i].ID]
+		if worker == nil {
+			continue
+		}
+		worker.outcomes.add(0, 0, now, t.outcomeFadeTime())
+		succeeded := uint32(math.Round(worker.outcomes.succeeded * outcomesPerCount))
+		failed := uint32(math.Round((worker.outcomes.failed + overdue[worker]) * outcomesPerCount))
+		pending := uint32(pendingTokens[worker] / pendingTokensUnit)
+		if worker.inFlight <= 0 && pending == 0 && succeeded == 0 && failed == 0 {
+			continue
+		}
+		loads.At = append(loads.At, uint32(i))
+		loads.Active = append(loads.Active, uint32(max(0, worker.inFlight)))
+		loads.Unread = append(loads.Unread, pending)
+		loads.Ok = append(loads.Ok, succeeded)
+		loads.Bad = append(loads.Bad, failed)
+	}
+	return loads
+}
+
+// pendingFirstEvents counts, by worker, the attempts whose first event is overdue, and the tokens of all
+// those without a first event.
+func (t *table) pendingFirstEvents(now time.Duration) (overdue, tokens map[*workerStats]float64) {
+	overdue, tokens = map[*workerStats]float64{}, map[*workerStats]float64{}
+	for _, sent := range t.inFlight {
+		if sent.firstEventSeen {
+			continue
+		}
+		tokens[sent.stats] += sent.prefillTokens
+		if now >= sent.firstEventDue {
+			overdue[sent.stats]++
+		}
+	}
+	return overdue, tokens
+}
+
+// isValidLoads reports whether all arrays of a report have one element for each worker in it.
+func isValidLoads(loads *wire.Loads) bool {
+	count := len(loads.At)
+	return len(loads.Active) == count && len(loads.Unread) == count && len(loads.Ok) == count && len(loads.Bad) == count
+}
+
+// applyOthersLoads applies the loads of the other edge machines. They are ignored if they are on another
+// list of workers, or if no other edge machine reported any.
+func (t *table) applyOthersLoads(loads *wire.Loads, now time.Duration) {
+	if t.layout == nil || loads.List != t.layout.workerListHash || loads.Tellers == 0 || !isValidLoads(loads) {
+		return
+	}
+	rows := make(map[uint32]int, len(loads.At))
+	for i, index := range loads.At {
+		rows[index] = i
+	}
+	for _, group := range t.layout.groups {
+		t.applyGroupLoads(group, loads, rows, now)
+	}
+}
+
+// applyGroupLoads applies the loads at one service's workers; rows is the position of each worker in them.
+func (t *table) applyGroupLoads(group *serviceGroup, loads *wire.Loads, rows map[uint32]int, now time.Duration) {
+	totalLoad, totalSucceeded, totalFailed := 0.0, 0.0, 0.0
+	for i := range group.candidates {
+		worker := group.candidates[i].stats
+		worker.othersLoad, worker.othersPendingTokens, worker.othersSucceeded, worker.othersFailed = 0, 0, 0, 0
+		if row, isReported := rows[group.candidates[i].index]; isReported {
+			worker.othersLoad = float64(loads.Active[row])
+			worker.othersPendingTokens = float64(loads.Unread[row]) * pendingTokensUnit
+			worker.othersSucceeded = float64(loads.Ok[row]) / outcomesPerCount
+			worker.othersFailed = float64(loads.Bad[row]) / outcomesPerCount
+		}
+		worker.reportedAt, worker.hasReported = now, true
+		worker.outcomes.add(0, 0, now, t.outcomeFadeTime())
+		totalLoad += worker.othersLoad
+		totalSucceeded = totalSucceeded + worker.othersSucceeded + worker.outcomes.succeeded
+		totalFailed = totalFailed + worker.othersFailed + worker.outcomes.failed
+	}
+	if len(group.candidates) > 0 {
+		service := group.candidates[0].stats.service
+		service.reportsLoad, service.meanOthersLoad = true, totalLoad/float64(len(group.candidates))
+	}
+	for i := range group.candidates {
+		t.ejectIfSuspect(group.candidates[i].stats, totalSucceeded, totalFailed, now)
+	}
+}
--- a/internal/data/selection/reports_test.go
+++ b/internal/data/selection/reports_test.go
@@ -16,7 +16,7 @@
 	first := e.must(t, r)
 	e.serve(r, first, 150*time.Millisecond)
 	holder := other(first.Worker.ID)
-	e.now += e.bounds.Heal(newsPart)
+	e.now += e.bounds.Heal(recordTuning.indexLagRatio)
 	e.setHolders("p", promptindex.Confirmed, holder)
 	from := holder + ":1"
 	for range 30 {
@@ -36,8 +36,8 @@
 	r := e.ask("p", 13000)
 	first := e.must(t, r)
 	e.serve(r, first, 150*time.Millisecond)
-	e.now += e.bounds.Heal(newsPart)
-	e.found[promptindex.PartKey(salt("m", 1, nil), "p")] = &wire.Found{}
+	e.now += e.bounds.Heal(recordTuning.indexLagRatio)
+	e.found[promptindex.PartKey(CacheSalt("m", 1, nil), "p")] = &wire.Found{}
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != first.Worker.ID && c.Fetch != first.Worker.Addr {
 		t.Errorf("%s, fetching from %q; %s read it", c.Worker.ID, c.Fetch, first.Worker.ID)
 	}
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -73,7 +73,7 @@
 	for _, h := range holders {
 		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: state})
 	}
-	e.found[promptindex.PartKey(salt("m", 1, nil), part)] = f
+	e.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = f
 }
 
 func (e *edge) serve(r *Request, c Choice, first time.Duration) {
@@ -315,7 +315,7 @@
 	if n := ask(e.ask("p", 1000)); n != 0 {
 		t.Errorf("asked for %d keys of a part that was just read", n)
 	}
-	e.now += e.bounds.Heal(freshPart)
+	e.now += e.bounds.Heal(recordTuning.lookupRatio)
 	if ask(e.ask("p", 1000)) == 0 {
 		t.Error("goes by old memory")
 	}
--- a/internal/data/selection/share_test.go
+++ b/internal/data/selection/share_test.go
@@ -143,7 +143,7 @@
 	e := r.edges[0]
 	e.now = r.now
 	q, c := e.bound(t, "w1")
-	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 1000/tokenUnit || w.Active[0] != 1 {
+	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 1000/pendingTokensUnit || w.Active[0] != 1 {
 		t.Fatalf("reported %v", w)
 	}
 	e.recordFirstEvent(q, c, nil, time.Millisecond, r.now+time.Millisecond)
@@ -152,7 +152,7 @@
 		t.Errorf("reported %v", w)
 	}
 	e.recordOutcome(q, c, Completed, nil, time.Millisecond, r.now)
-	if w := e.localLoads(r.now); len(w.At) != 1 || w.Active[0] != 0 || w.Ok[0] != eighth {
+	if w := e.localLoads(r.now); len(w.At) != 1 || w.Active[0] != 0 || w.Ok[0] != outcomesPerCount {
 		t.Errorf("reported %v", w)
 	}
 }
--- a/internal/data/selection/shed_test.go
+++ b/internal/data/selection/shed_test.go
@@ -31,7 +31,7 @@
 	if _, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, map[string]bool{"w3": true}, e.now); !ok {
 		t.Error("what was sent to a worker before is dropped")
 	}
-	e.now += 9 * e.bounds.Heal(fadePart) // nothing comes, so nothing is learnt: it is tried again
+	e.now += 9 * e.bounds.Heal(loadTuning.fadeRatio) // nothing comes, so nothing is learnt: it is tried again
 	if _, ok := e.selectWorker(e.s, e.ask("p", 13000), e.found, nil, e.now); !ok {
 		t.Error("refuses for good")
 	}
--- a/internal/data/selection/weights_test.go
+++ b/internal/data/selection/weights_test.go
@@ -130,7 +130,7 @@
 		t.Errorf("its row changed: %s on %d", c.Worker.ID, c.Weights)
 	}
 	e.s = s
-	e.now += e.bounds.Heal(loadPart)
+	e.now += e.bounds.Heal(avoidanceTuning.notReadyRatio)
 	if m := at(); m["w3"] == 0 {
 		t.Errorf("its row may lag no longer: %v", m)
 	}
@@ -146,7 +146,7 @@
 	}
 	seen := map[string]wall{}
 	check := func(w wall, t0 *routingconfig.Tenant) {
-		s := salt(w.model, w.version, t0)
+		s := CacheSalt(w.model, w.version, t0)
 		if old, ok := seen[s]; ok && old != w {
 			t.Fatalf("%q is the text of %+v and %+v", s, old, w)
 		}
@@ -176,7 +176,7 @@
 	r = e.ask("p", 13000)
 	r.Tenant = a
 	c := e.must(t, r)
-	if c.Fetch != "" && c.Fetch != "store:1" || c.Salt == salt("m", 1, nil) || c.Save == "" {
+	if c.Fetch != "" && c.Fetch != "store:1" || c.Salt == CacheSalt("m", 1, nil) || c.Save == "" {
 		t.Errorf("an isolated tenant: %+v", c)
 	}
 	for _, k := range e.table.selected.current {
