--- a/internal/data/selection/api.go
+++ b/internal/data/selection/api.go
@@ -62,9 +62,9 @@
 type Selector interface {
 	// Lookup asks the prompt index for a prompt's parts. It waits only for a ratio of the route's target;
 	// nil is a miss on all of them.
-	Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.Found
+	Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.LookupResult
 	// Select selects among the service's workers that are neither draining nor tried; false: none.
-	Select(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, bool)
+	Select(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, bool)
 	// RecordSent records an attempt in flight.
 	RecordSent(request *Request, choice Choice)
 	// RecordFirstEvent records an attempt's first event, the worker's reported load (nil: none), and the
--- a/internal/data/selection/loadsharing.go
+++ b/internal/data/selection/loadsharing.go
@@ -34,12 +34,12 @@
 }
 
 // localLoads is the load of this edge machine at the workers now; workers without any are left out.
-func (t *table) localLoads(now time.Duration) *wire.Loads {
+func (t *table) localLoads(now time.Duration) *wire.WorkerLoads {
 	if t.layout == nil {
 		return nil
 	}
 	overdue, pendingTokens := t.pendingFirstEvents(now)
-	loads := &wire.Loads{List: t.layout.workerListHash}
+	loads := &wire.WorkerLoads{WorkerListHash: t.layout.workerListHash}
 	for i := range t.layout.snapshot.Workers {
 		worker := t.workers[t.layout.snapshot.Workers[i].ID]
 		if worker == nil {
@@ -52,11 +52,11 @@
 		if worker.inFlight <= 0 && pending == 0 && succeeded == 0 && failed == 0 {
 			continue
 		}
-		loads.At = append(loads.At, uint32(i))
-		loads.Active = append(loads.Active, uint32(max(0, worker.inFlight)))
-		loads.Unread = append(loads.Unread, pending)
-		loads.Ok = append(loads.Ok, succeeded)
-		loads.Bad = append(loads.Bad, failed)
+		loads.WorkerIndexes = append(loads.WorkerIndexes, uint32(i))
+		loads.InFlight = append(loads.InFlight, uint32(max(0, worker.inFlight)))
+		loads.PendingPrefill = append(loads.PendingPrefill, pending)
+		loads.Successes = append(loads.Successes, succeeded)
+		loads.Failures = append(loads.Failures, failed)
 	}
 	return loads
 }
@@ -78,19 +78,19 @@
 }
 
 // isValidLoads reports whether all arrays of a report have one element for each worker in it.
-func isValidLoads(loads *wire.Loads) bool {
-	count := len(loads.At)
-	return len(loads.Active) == count && len(loads.Unread) == count && len(loads.Ok) == count && len(loads.Bad) == count
+func isValidLoads(loads *wire.WorkerLoads) bool {
+	count := len(loads.WorkerIndexes)
+	return len(loads.InFlight) == count && len(loads.PendingPrefill) == count && len(loads.Successes) == count && len(loads.Failures) == count
 }
 
 // applyOthersLoads applies the loads of the other edge machines. They are ignored if they are on another
 // list of workers, or if no other edge machine reported any.
-func (t *table) applyOthersLoads(loads *wire.Loads, now time.Duration) {
-	if t.layout == nil || loads.List != t.layout.workerListHash || loads.Tellers == 0 || !isValidLoads(loads) {
+func (t *table) applyOthersLoads(loads *wire.WorkerLoads, now time.Duration) {
+	if t.layout == nil || loads.WorkerListHash != t.layout.workerListHash || loads.Reporters == 0 || !isValidLoads(loads) {
 		return
 	}
-	rows := make(map[uint32]int, len(loads.At))
-	for i, index := range loads.At {
+	rows := make(map[uint32]int, len(loads.WorkerIndexes))
+	for i, index := range loads.WorkerIndexes {
 		rows[index] = i
 	}
 	for _, group := range t.layout.groups {
@@ -99,16 +99,16 @@
 }
 
 // applyGroupLoads applies the loads at one service's workers; rows is the position of each worker in them.
-func (t *table) applyGroupLoads(group *serviceGroup, loads *wire.Loads, rows map[uint32]int, now time.Duration) {
+func (t *table) applyGroupLoads(group *serviceGroup, loads *wire.WorkerLoads, rows map[uint32]int, now time.Duration) {
 	totalLoad, totalSucceeded, totalFailed := 0.0, 0.0, 0.0
 	for i := range group.candidates {
 		worker := group.candidates[i].stats
 		worker.othersLoad, worker.othersPendingTokens, worker.othersSucceeded, worker.othersFailed = 0, 0, 0, 0
 		if row, isReported := rows[group.candidates[i].index]; isReported {
-			worker.othersLoad = float64(loads.Active[row])
-			worker.othersPendingTokens = float64(loads.Unread[row]) * pendingTokensUnit
-			worker.othersSucceeded = float64(loads.Ok[row]) / outcomesPerCount
-			worker.othersFailed = float64(loads.Bad[row]) / outcomesPerCount
+			worker.othersLoad = float64(loads.InFlight[row])
+			worker.othersPendingTokens = float64(loads.PendingPrefill[row]) * pendingTokensUnit
+			worker.othersSucceeded = float64(loads.Successes[row]) / outcomesPerCount
+			worker.othersFailed = float64(loads.Failures[row]) / outcomesPerCount
 		}
 		worker.reportedAt, worker.hasReported = now, true
 		worker.outcomes.add(0, 0, now, t.outcomeFadeTime())
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -21,7 +21,7 @@
 	versions *modelVersions
 	stats    *serviceStats
 	model    string
-	found    map[prefix.Key]*wire.Found // the index's response; nil: none
+	found    map[prefix.Key]*wire.LookupResult // the index's response; nil: none
 	now      time.Duration
 	usable   []int // candidates that may be selected
 	isRetry  bool
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -40,7 +40,7 @@
 // Lookup asks the index for a prompt's parts, unless this edge machine knows enough itself.
 //
 // Example: found := s.Lookup(ctx, snapshot, request)
-func (s *selector) Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.Found {
+func (s *selector) Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.LookupResult {
 	var keys []prefix.Key
 	s.actor.Ask(func(t *table) { keys = t.lookupKeys(snapshot, request, s.clock.Now()) })
 	if len(keys) == 0 {
@@ -57,7 +57,7 @@
 // Select selects a worker.
 //
 // Example: choice, ok := s.Select(snapshot, request, found, tried)
-func (s *selector) Select(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.Found, tried map[string]bool) (choice Choice, ok bool) {
+func (s *selector) Select(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (choice Choice, ok bool) {
 	s.actor.Ask(func(t *table) { choice, ok = t.selectWorker(snapshot, request, found, tried, s.clock.Now()) })
 	return choice, ok
 }
@@ -86,12 +86,12 @@
 }
 
 // localLoads is this edge machine's load at the workers, for the other edge machines.
-func (s *selector) localLoads() (loads *wire.Loads) {
+func (s *selector) localLoads() (loads *wire.WorkerLoads) {
 	s.actor.Ask(func(t *table) { loads = t.localLoads(s.clock.Now()) })
 	return loads
 }
 
 // applyOthersLoads applies the load of the other edge machines. It doesn't wait.
-func (s *selector) applyOthersLoads(loads *wire.Loads) {
+func (s *selector) applyOthersLoads(loads *wire.WorkerLoads) {
 	s.actor.TrySend(func(t *table) { t.applyOthersLoads(loads, s.clock.Now()) })
 }
--- a/internal/data/selection/table.go
+++ b/internal/data/selection/table.go
@@ -48,7 +48,7 @@
 
 // selectWorker selects a worker for a request; false if there is none, or if the request would wait too
 // long at the best one and wasn't sent anywhere yet.
-func (t *table) selectWorker(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.Found, tried map[string]bool, now time.Duration) (Choice, bool) {
+func (t *table) selectWorker(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool, now time.Duration) (Choice, bool) {
 	group := t.layoutFor(snapshot).groups[request.Service]
 	if group == nil || len(group.candidates) == 0 {
 		return Choice{}, false
