--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -81,7 +81,7 @@
 	}
 	t.lastSweep = now
 	for key, sent := range t.inFlight {
-		if now-sent.sentAt > t.bounds.Once(abandonedRatio) {
+		if now-sent.sentAt > t.bounds.RequestIDRetention(abandonedRatio) {
 			sent.stats.inFlight--
 			sent.stats.removePendingPrefill(key)
 			delete(t.inFlight, key)
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -27,11 +27,11 @@
 //
 // Example: s := selection.New(process, indexclient.New(process, nodes))
 func New(process *daemon.Process, index *indexclient.Client) Selector {
-	t := newTable(process.Place.Bounds, process.Clock.Now())
-	if site := process.Place.Site; site != nil {
-		t.unboundUntil = t.startedAt + settings.Of(site.ContactMs, rolloutTuning.contactRatio)
+	t := newTable(process.Settings.Bounds, process.Clock.Now())
+	if site := process.Settings.Site; site != nil {
+		t.unboundUntil = t.startedAt + settings.Fraction(site.ContactWindowMs, rolloutTuning.contactRatio)
 	}
-	s := &selector{clock: process.Clock, bounds: process.Place.Bounds, index: index, actor: queue.NewActor(t, 1024)}
+	s := &selector{clock: process.Clock, bounds: process.Settings.Bounds, index: index, actor: queue.NewActor(t, 1024)}
 	process.OnStop(s.actor.Stop)
 	index.ShareLoads(s.localLoads, s.applyOthersLoads)
 	return s
