--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -82,56 +82,56 @@
 	counts  map[string]int
 }
 
-func (c *catchUpRun) makeChanges(n int) {
-	c.t.Helper()
+func (r *catchUpRun) makeChanges(n int) {
+	r.t.Helper()
 	for range n {
-		c.change(c.routes, 20*time.Second)
+		r.change(r.routes, 20*time.Second)
 	}
 }
 
 // member is one that doesn't lead; or the one that leads.
-func (c *catchUpRun) member(leads bool) *catchUpNode {
-	c.t.Helper()
-	c.waitUntil("a leader", 10*time.Second, func() bool { return c.leader() != nil })
-	l := c.leader()
+func (r *catchUpRun) member(leads bool) *catchUpNode {
+	r.t.Helper()
+	r.waitUntil("a leader", 10*time.Second, func() bool { return r.leader() != nil })
+	leader := r.leader()
 	if leads {
-		return l
+		return leader
 	}
-	members, _, _ := l.shard.core.Members()
+	members, _, _ := leader.shard.core.Members()
 	for _, m := range members {
-		if n := c.node(controlclient.MemberAddr(m)); n != l && c.isHealthy(n) {
-			return n
+		if node := r.node(controlclient.MemberAddr(m)); node != leader && r.isHealthy(node) {
+			return node
 		}
 	}
-	return l
+	return leader
 }
 
 // awaitCaughtUp waits until a member is up to date, while changes go on.
-func (c *catchUpRun) awaitCaughtUp(what string, n *catchUpNode) {
-	c.t.Helper()
-	begin := c.now
-	bound := catchUpBound(len(c.bodies[c.ackedVersion]), c.bytesPerSecond)
-	for !c.caughtUp(n) {
-		if c.step(); c.now-begin > bound {
-			c.logStatus()
-			c.t.Fatalf("%s: %s isn't up to date within %v", what, n.addr, bound)
+func (r *catchUpRun) awaitCaughtUp(what string, node *catchUpNode) {
+	r.t.Helper()
+	begin := r.now
+	bound := catchUpBound(len(r.bodies[r.ackedVersion]), r.bytesPerSecond)
+	for !r.caughtUp(node) {
+		if r.step(); r.now-begin > bound {
+			r.logStatus()
+			r.t.Fatalf("%s: %s isn't up to date within %v", what, node.addr, bound)
 		}
 	}
-	c.longest[what], c.counts[what] = max(c.longest[what], c.now-begin), c.counts[what]+1
-	c.awaitComplete()
+	r.longest[what], r.counts[what] = max(r.longest[what], r.now-begin), r.counts[what]+1
+	r.awaitComplete()
 }
 
 // awaitComplete waits until the group has three members again that are all up to date.
-func (c *catchUpRun) awaitComplete() {
-	c.t.Helper()
-	c.waitUntil("three members that are up to date", 30*time.Second, func() bool {
-		l := c.leader()
-		if l == nil || !l.shard.core.CanChangeMembership() {
+func (r *catchUpRun) awaitComplete() {
+	r.t.Helper()
+	r.waitUntil("three members that are up to date", 30*time.Second, func() bool {
+		leader := r.leader()
+		if leader == nil || !leader.shard.core.CanChangeMembership() {
 			return false
 		}
-		members, _, _ := l.shard.core.Members()
+		members, _, _ := leader.shard.core.Members()
 		for _, m := range members {
-			if n := c.node(controlclient.MemberAddr(m)); !c.caughtUp(n) || n.shard.core.Self() != m {
+			if node := r.node(controlclient.MemberAddr(m)); !r.caughtUp(node) || node.shard.core.Self() != m {
 				return false
 			}
 		}
@@ -139,58 +139,58 @@
 	})
 }
 
-func (c *catchUpRun) injectFault(i int) {
-	c.t.Helper()
+func (r *catchUpRun) injectFault(i int) {
+	r.t.Helper()
 	leads := i%16 >= 8
-	n := c.member(leads)
+	node := r.member(leads)
 	what := map[bool]string{true: "leader "}[leads]
 	switch i % 8 {
 	case 0, 1:
-		c.kill(n, false)
-		c.makeChanges(changesPerFault())
-		c.start(n, false)
-		c.makeChanges(3)
-		c.awaitCaughtUp(what+"restarted", n)
+		r.kill(node, false)
+		r.makeChanges(changesPerFault())
+		r.start(node, false)
+		r.makeChanges(3)
+		r.awaitCaughtUp(what+"restarted", node)
 	case 2:
-		c.kill(n, true)
-		c.makeChanges(changesPerFault())
-		c.start(n, false)
-		c.makeChanges(3)
-		c.awaitCaughtUp("torn in a write", n)
+		r.kill(node, true)
+		r.makeChanges(changesPerFault())
+		r.start(node, false)
+		r.makeChanges(3)
+		r.awaitCaughtUp("torn in a write", node)
 	case 3:
-		c.wipe(n)
-		c.makeChanges(changesPerFault() / 2)
-		c.start(n, false)
-		c.makeChanges(3)
-		c.awaitCaughtUp("wiped", n)
+		r.wipe(node)
+		r.makeChanges(changesPerFault() / 2)
+		r.start(node, false)
+		r.makeChanges(3)
+		r.awaitCaughtUp("wiped", node)
 	case 4:
-		c.kill(n, false)
-		n.isRemoved = true
-		next := c.addNode()
-		c.start(next, false)
-		c.makeChanges(changesPerFault())
-		c.awaitCaughtUp("replaced", next)
+		r.kill(node, false)
+		node.isRemoved = true
+		next := r.addNode()
+		r.start(next, false)
+		r.makeChanges(changesPerFault())
+		r.awaitCaughtUp("replaced", next)
 	case 5, 6:
-		c.isolated[n.addr] = true
-		begin := c.now
-		c.makeChanges(changesPerFault())
-		c.advance(max(0, 20*time.Second-(c.now-begin)))
-		delete(c.isolated, n.addr)
-		c.makeChanges(3)
-		c.awaitCaughtUp(what+"cut off", n)
+		r.isolated[node.addr] = true
+		begin := r.now
+		r.makeChanges(changesPerFault())
+		r.advance(max(0, 20*time.Second-(r.now-begin)))
+		delete(r.isolated, node.addr)
+		r.makeChanges(3)
+		r.awaitCaughtUp(what+"cut off", node)
 	case 7:
-		for _, x := range c.nodes {
-			if !x.isRemoved {
-				c.kill(x, false)
+		for _, peer := range r.nodes {
+			if !peer.isRemoved {
+				r.kill(peer, false)
 			}
 		}
-		for _, x := range c.nodes {
-			if !x.isRemoved {
-				c.start(x, false)
+		for _, peer := range r.nodes {
+			if !peer.isRemoved {
+				r.start(peer, false)
 			}
 		}
-		c.makeChanges(3)
-		c.awaitCaughtUp("all restarted", n)
+		r.makeChanges(3)
+		r.awaitCaughtUp("all restarted", node)
 	}
 }
 
@@ -208,17 +208,17 @@
 				w := newCatchUpWorld(t, 1, 3, fastLinkRate)
 				w.change(routes, 10*time.Second)
 				w.advance(time.Second)
-				n := (&catchUpRun{catchUpWorld: w}).member(false)
-				w.kill(n, false)
+				node := (&catchUpRun{catchUpWorld: w}).member(false)
+				w.kill(node, false)
 				for range missed {
 					w.change(routes, 10*time.Second)
 				}
 				w.bytesPerSecond = rate
-				w.start(n, false)
-				n.receivedBytes = 0
+				w.start(node, false)
+				node.receivedBytes = 0
 				size := len(planText(w.ackedVersion, routes))
-				took := w.waitUntil("caught up", 2*catchUpBound(size, rate), func() bool { return w.caughtUp(n) })
-				t.Logf("%8d %10d %8d %12.3f %10d %12d", routes, size>>10, missed, float64(rate)/(1<<20), took.Milliseconds(), n.receivedBytes>>10)
+				took := w.waitUntil("caught up", 2*catchUpBound(size, rate), func() bool { return w.caughtUp(node) })
+				t.Logf("%8d %10d %8d %12.3f %10d %12d", routes, size>>10, missed, float64(rate)/(1<<20), took.Milliseconds(), node.receivedBytes>>10)
 			}
 		}
 	}
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -91,13 +91,13 @@
 }
 
 func (textPlanCodec) Read(b []byte) (*routingconfig.Plan, error) {
-	v, err := planVersion(b)
-	return &routingconfig.Plan{Version: v}, err
+	version, err := planVersion(b)
+	return &routingconfig.Plan{Version: version}, err
 }
 
 func (textPlanCodec) Merge(_, sent []byte, _ bool) ([]byte, uint64, error) {
-	v, err := planVersion(sent)
-	return sent, v, err
+	version, err := planVersion(sent)
+	return sent, version, err
 }
 
 // planText is a configuration of so many routes, about 300 bytes each; the hosts differ from version to
@@ -115,171 +115,171 @@
 	w := &catchUpWorld{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
 		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: tailBytes}
 	for range machines {
-		n := w.addNode()
+		node := w.addNode()
 		if len(w.seeds) < 3 {
-			w.seeds = append(w.seeds, n.addr)
+			w.seeds = append(w.seeds, node.addr)
 		}
 	}
-	for _, n := range w.nodes {
-		w.start(n, true)
+	for _, node := range w.nodes {
+		w.start(node, true)
 	}
 	w.waitUntil("a leader", 10*time.Second, func() bool { return w.leader() != nil })
 	return w
 }
 
 func (w *catchUpWorld) addNode() *catchUpNode {
-	n := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(w.nodes)+1), disk: newSimDisk(), clock: &clock.Manual{}}
-	w.nodes = append(w.nodes, n)
-	return n
+	node := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(w.nodes)+1), disk: newSimDisk(), clock: &clock.Manual{}}
+	w.nodes = append(w.nodes, node)
+	return node
 }
 
-func (w *catchUpWorld) start(n *catchUpNode, first bool) {
-	n.starts++
-	starts := n.starts
-	n.disk.powerBudget = -1
-	p := newShard(context.Background(), 0, n.clock, hclog.NewNullLogger(), func(m *wire.Message) {
-		if n.starts == starts {
-			w.send(m)
+func (w *catchUpWorld) start(node *catchUpNode, first bool) {
+	node.starts++
+	starts := node.starts
+	node.disk.powerBudget = -1
+	replica := newShard(context.Background(), 0, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
+		if node.starts == starts {
+			w.send(message)
 		}
 	})
-	openGroup(p, &group{codec: textPlanCodec{}, disk: n.disk, targetSize: 3, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
+	openGroup(replica, &group{codec: textPlanCodec{}, disk: node.disk, targetSize: 3, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: w.tailBytes,
 			Rand: rand.New(rand.NewPCG(w.random.Uint64(), 9))},
-		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(first, n.addr, w.seeds, w.random.Uint64) }})
-	n.shard, n.nextTick, n.version = p, w.now, 0
+		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(first, node.addr, w.seeds, w.random.Uint64) }})
+	node.shard, node.nextTick, node.version = replica, w.now, 0
 }
 
 // kill ends a process; in the middle of a write where torn says so.
-func (w *catchUpWorld) kill(n *catchUpNode, torn bool) {
-	if torn && n.shard != nil {
-		n.disk.powerBudget = w.random.IntN(1 << 20)
+func (w *catchUpWorld) kill(node *catchUpNode, torn bool) {
+	if torn && node.shard != nil {
+		node.disk.powerBudget = w.random.IntN(1 << 20)
 		for range 200 {
-			if w.step(); n.shard == nil || n.shard.failure != nil {
+			if w.step(); node.shard == nil || node.shard.failure != nil {
 				break
 			}
 		}
 	}
-	n.shard, n.starts = nil, n.starts+1
+	node.shard, node.starts = nil, node.starts+1
 }
 
-func (w *catchUpWorld) wipe(n *catchUpNode) {
-	w.kill(n, false)
-	n.disk = newSimDisk()
+func (w *catchUpWorld) wipe(node *catchUpNode) {
+	w.kill(node, false)
+	node.disk = newSimDisk()
 }
 
 func (w *catchUpWorld) node(addr string) *catchUpNode {
-	for _, n := range w.nodes {
-		if n.addr == addr {
-			return n
+	for _, node := range w.nodes {
+		if node.addr == addr {
+			return node
 		}
 	}
 	return nil
 }
 
-func (w *catchUpWorld) isHealthy(n *catchUpNode) bool {
-	return n != nil && n.shard != nil && n.shard.failure == nil
+func (w *catchUpWorld) isHealthy(node *catchUpNode) bool {
+	return node != nil && node.shard != nil && node.shard.failure == nil
 }
 
-func (w *catchUpWorld) send(m *wire.Message) {
-	from, to := controlclient.MemberAddr(m.From), controlclient.MemberAddr(m.To)
+func (w *catchUpWorld) send(message *wire.Message) {
+	from, to := controlclient.MemberAddr(message.From), controlclient.MemberAddr(message.To)
 	receiver := w.node(to)
 	if receiver == nil || w.isolated[from] || w.isolated[to] {
 		return
 	}
-	q := catchUpMessage{deliverAt: w.now + linkDelay, receiverStarts: receiver.starts, message: m}
-	if size := payloadBytes(m); len(m.GetPiece().GetData()) > 0 || size >= largeMessageBytes {
-		l := w.links[from+">"+to]
-		if l == nil {
-			l = &simLink{}
-			w.links[from+">"+to] = l
+	queued := catchUpMessage{deliverAt: w.now + linkDelay, receiverStarts: receiver.starts, message: message}
+	if size := payloadBytes(message); len(message.GetPiece().GetData()) > 0 || size >= largeMessageBytes {
+		link := w.links[from+">"+to]
+		if link == nil {
+			link = &simLink{}
+			w.links[from+">"+to] = link
 		}
-		if l.queuedMessages > maxQueuedLarge {
+		if link.queuedMessages > maxQueuedLarge {
 			return // the queue is full, one beside it is being sent
 		}
 		takes := time.Duration(float64(size) / float64(w.bytesPerSecond) * float64(time.Second))
 		receiver.receivedBytes += size
-		l.queuedMessages++
-		l.freeAt = max(l.freeAt, w.now) + min(takes, largeMessageTimeout(size))
-		q.deliverAt, q.isLost, q.link = l.freeAt+linkDelay, takes > largeMessageTimeout(size), l
+		link.queuedMessages++
+		link.freeAt = max(link.freeAt, w.now) + min(takes, largeMessageTimeout(size))
+		queued.deliverAt, queued.isLost, queued.link = link.freeAt+linkDelay, takes > largeMessageTimeout(size), link
 	}
 	w.sentMessages++
-	q.sequence = w.sentMessages
-	w.queued = append(w.queued, q)
+	queued.sequence = w.sentMessages
+	w.queued = append(w.queued, queued)
 }
 
 func (w *catchUpWorld) step() {
 	w.now += catchUpStep
-	for _, n := range w.nodes {
-		n.clock.Time += catchUpStep
+	for _, node := range w.nodes {
+		node.clock.Time += catchUpStep
 	}
 	sort.SliceStable(w.queued, func(i, j int) bool { return w.queued[i].deliverAt < w.queued[j].deliverAt })
 	due := w.queued
 	w.queued = nil
-	for i, q := range due {
-		if q.deliverAt > w.now {
+	for i, queued := range due {
+		if queued.deliverAt > w.now {
 			w.queued = append(w.queued, due[i:]...)
 			break
 		}
-		from, n := w.node(controlclient.MemberAddr(q.message.From)), w.node(controlclient.MemberAddr(q.message.To))
-		if q.link != nil {
-			q.link.queuedMessages--
+		from, node := w.node(controlclient.MemberAddr(queued.message.From)), w.node(controlclient.MemberAddr(queued.message.To))
+		if queued.link != nil {
+			queued.link.queuedMessages--
 		}
-		if q.isLost || n.shard == nil || n.starts != q.receiverStarts || w.isolated[n.addr] || w.isolated[from.addr] {
-			if q.link != nil && w.isHealthy(from) {
-				from.shard.core.ReportSendFailure(q.message)
+		if queued.isLost || node.shard == nil || node.starts != queued.receiverStarts || w.isolated[node.addr] || w.isolated[from.addr] {
+			if queued.link != nil && w.isHealthy(from) {
+				from.shard.core.ReportSendFailure(queued.message)
 			}
-		} else if w.isHealthy(n) {
-			n.shard.core.Step(q.message)
-			w.runStep(n)
+		} else if w.isHealthy(node) {
+			node.shard.core.Step(queued.message)
+			w.runStep(node)
 		}
 	}
-	for _, n := range w.nodes {
-		if n.shard == nil || w.now < n.nextTick {
+	for _, node := range w.nodes {
+		if node.shard == nil || w.now < node.nextTick {
 			continue
 		}
-		n.nextTick = w.now + catchUpTick
-		if n.shard.failure == nil {
-			n.shard.core.Tick()
+		node.nextTick = w.now + catchUpTick
+		if node.shard.failure == nil {
+			node.shard.core.Tick()
 		}
-		n.shard.tickGroup()
-		w.runStep(n)
-		if w.isHealthy(n) && w.now >= n.nextJoin && n.shard.needsJoin() {
-			n.nextJoin = w.now + 800*time.Millisecond
-			w.join(n)
+		node.shard.tickGroup()
+		w.runStep(node)
+		if w.isHealthy(node) && w.now >= node.nextJoin && node.shard.needsJoin() {
+			node.nextJoin = w.now + 800*time.Millisecond
+			w.join(node)
 		}
 	}
 }
 
 // runStep lets a member act on what it was given, and checks what holds at any time.
-func (w *catchUpWorld) runStep(n *catchUpNode) {
-	before := n.shard.core.Status()
-	n.shard.handleReady()
-	if n.shard.failure != nil {
+func (w *catchUpWorld) runStep(node *catchUpNode) {
+	before := node.shard.core.Status()
+	node.shard.handleReady()
+	if node.shard.failure != nil {
 		return
 	}
-	s := n.shard.core.Status()
-	if s.Applied < before.Applied {
-		w.t.Fatalf("old snapshot never installed over newer state: %s went from %d to %d", n.addr, before.Applied, s.Applied)
+	status := node.shard.core.Status()
+	if status.Applied < before.Applied {
+		w.t.Fatalf("old snapshot never installed over newer state: %s went from %d to %d", node.addr, before.Applied, status.Applied)
 	}
-	d := n.shard.state.documents[routingconfig.DocumentKey]
-	if d.GetVersion() < n.version {
-		w.t.Fatalf("old snapshot never installed over newer state: %s went from version %d to %d", n.addr, n.version, d.GetVersion())
+	document := node.shard.state.documents[routingconfig.DocumentKey]
+	if document.GetVersion() < node.version {
+		w.t.Fatalf("old snapshot never installed over newer state: %s went from version %d to %d", node.addr, node.version, document.GetVersion())
 	}
-	if d.GetVersion() > n.version {
-		if want := w.bodies[d.Version]; want != nil && !bytes.Equal(want, d.Body) {
-			w.t.Fatalf("%s holds another body under version %d", n.addr, d.Version)
+	if document.GetVersion() > node.version {
+		if want := w.bodies[document.Version]; want != nil && !bytes.Equal(want, document.Body) {
+			w.t.Fatalf("%s holds another body under version %d", node.addr, document.Version)
 		}
 	}
-	n.version = d.GetVersion()
-	if !s.IsLeader {
+	node.version = document.GetVersion()
+	if !status.IsLeader {
 		return
 	}
-	if who := w.termLeaders[s.Term]; who != "" && who != n.shard.core.Self() {
-		w.t.Fatalf("one leader a term: %d has %s and %s", s.Term, who, n.shard.core.Self())
+	if who := w.termLeaders[status.Term]; who != "" && who != node.shard.core.Self() {
+		w.t.Fatalf("one leader a term: %d has %s and %s", status.Term, who, node.shard.core.Self())
 	}
-	w.termLeaders[s.Term] = n.shard.core.Self()
-	if n.shard.core.HasAppliedCurrentTerm() && s.Term >= w.highestTerm() && n.version < w.ackedVersion {
-		w.t.Fatalf("never leads with old state: %s leads term %d with version %d, %d was acknowledged", n.addr, s.Term, n.version, w.ackedVersion)
+	w.termLeaders[status.Term] = node.shard.core.Self()
+	if node.shard.core.HasAppliedCurrentTerm() && status.Term >= w.highestTerm() && node.version < w.ackedVersion {
+		w.t.Fatalf("never leads with old state: %s leads term %d with version %d, %d was acknowledged", node.addr, status.Term, node.version, w.ackedVersion)
 	}
 }
 
@@ -290,28 +290,28 @@
 	return highest
 }
 
-func (w *catchUpWorld) join(n *catchUpNode) {
-	m := w.nodes[w.random.IntN(len(w.nodes))]
-	for m.isRemoved {
-		m = w.nodes[w.random.IntN(len(w.nodes))]
+func (w *catchUpWorld) join(node *catchUpNode) {
+	peer := w.nodes[w.random.IntN(len(w.nodes))]
+	for peer.isRemoved {
+		peer = w.nodes[w.random.IntN(len(w.nodes))]
 	}
 	for range 2 {
-		if m == nil || m == n || !w.isHealthy(m) || w.isolated[m.addr] || w.isolated[n.addr] {
+		if peer == nil || peer == node || !w.isHealthy(peer) || w.isolated[peer.addr] || w.isolated[node.addr] {
 			return
 		}
-		response := m.shard.handleJoin(&wire.JoinRequest{Name: n.shard.core.Self()})
-		if w.runStep(m); response.Outcome == wire.OutcomeDone {
+		response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
+		if w.runStep(peer); response.Outcome == wire.OutcomeDone {
 			return
 		}
-		m = w.node(controlclient.MemberAddr(response.Leader))
+		peer = w.node(controlclient.MemberAddr(response.Leader))
 	}
 }
 
 func (w *catchUpWorld) leader() *catchUpNode {
 	var found *catchUpNode
-	for _, n := range w.nodes {
-		if w.isHealthy(n) && !w.isolated[n.addr] && n.shard.core.HasAppliedCurrentTerm() && (found == nil || n.shard.core.Status().Term > found.shard.core.Status().Term) {
-			found = n
+	for _, node := range w.nodes {
+		if w.isHealthy(node) && !w.isolated[node.addr] && node.shard.core.HasAppliedCurrentTerm() && (found == nil || node.shard.core.Status().Term > found.shard.core.Status().Term) {
+			found = node
 		}
 	}
 	return found
@@ -336,10 +336,10 @@
 }
 
 func (w *catchUpWorld) logStatus() {
-	for _, n := range w.nodes {
-		if n.shard != nil {
-			members, _, _ := n.shard.core.Members()
-			w.t.Logf("%s: %+v members %v version %d failure %v", n.addr, n.shard.core.Status(), members, n.version, n.shard.failure)
+	for _, node := range w.nodes {
+		if node.shard != nil {
+			members, _, _ := node.shard.core.Members()
+			w.t.Logf("%s: %+v members %v version %d failure %v", node.addr, node.shard.core.Status(), members, node.version, node.shard.failure)
 		}
 	}
 }
@@ -356,18 +356,18 @@
 			w.logStatus()
 			w.t.Fatalf("version %d: not acknowledged within %v", next, within)
 		}
-		n := w.leader()
-		if n == nil {
+		node := w.leader()
+		if node == nil {
 			w.step()
 			continue
 		}
-		if n.version >= next { // a copy sent before was taken
+		if node.version >= next { // a copy sent before was taken
 			break
 		}
-		starts := n.starts
-		pending, response := n.shard.propose(&wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: sent, IfVersion: w.ackedVersion}}}}, nil)
-		w.runStep(n)
-		for asked := w.now; response == nil && n.starts == starts && w.now-asked < 10*time.Second; {
+		starts := node.starts
+		pending, response := node.shard.propose(&wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: sent, IfVersion: w.ackedVersion}}}}, nil)
+		w.runStep(node)
+		for asked := w.now; response == nil && node.starts == starts && w.now-asked < 10*time.Second; {
 			select {
 			case response = <-pending.response:
 			default:
@@ -383,6 +383,6 @@
 }
 
 // caughtUp tells whether a member has applied what was acknowledged.
-func (w *catchUpWorld) caughtUp(n *catchUpNode) bool {
-	return w.isHealthy(n) && n.version >= w.ackedVersion
+func (w *catchUpWorld) caughtUp(node *catchUpNode) bool {
+	return w.isHealthy(node) && node.version >= w.ackedVersion
 }
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -33,7 +33,7 @@
 
 // healAndStop ends the cut, so that nothing is under way when the machines stop.
 func (w *partitionWorld) healAndStop() {
-	w.network.update(func(cut map[[2]string]bool) { clear(cut) })
+	w.network.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 	w.stopAll()
 }
 
@@ -42,15 +42,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := isolateMember(t, true)
 		defer w.healAndStop()
-		for what, a := range map[string]*wire.ChangeRequest{
+		for what, request := range map[string]*wire.ChangeRequest{
 			"another version": {Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: fleet.WeightsKey, Body: []byte("{}"), IfVersion: 7}}}},
 			"a dry run":       {DryRun: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: fleet.WeightsKey, Body: []byte("{}")}}}},
 			"a plan":          {Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: body(9, "x"), IfVersion: 8}}}},
 		} {
 			begun := time.Now()
-			r, _ := w.node(w.victim).Change(context.Background(), a)
-			if d := time.Since(begun); r.Outcome != wire.OutcomeOverloaded && r.Outcome != wire.OutcomeNotLeader || d > answerWithin {
-				t.Errorf("%s: %v after %v", what, r, d)
+			response, _ := w.node(w.victim).Change(context.Background(), request)
+			if d := time.Since(begun); response.Outcome != wire.OutcomeOverloaded && response.Outcome != wire.OutcomeNotLeader || d > answerWithin {
+				t.Errorf("%s: %v after %v", what, response, d)
 			}
 		}
 	})
@@ -62,15 +62,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := isolateMember(t, true)
 		defer w.healAndStop()
-		p, begun := w.node(w.victim).shards[0], time.Now()
+		replica, begun := w.node(w.victim).shards[0], time.Now()
 		ctx, end := context.WithTimeout(context.Background(), partitionTime)
 		defer end()
 		grant := &wire.Grant{Lease: "site", Holder: "x", TtlNs: uint64(leaseTTL)}
-		r := p.change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}})
-		if d := time.Since(begun); r.Outcome != wire.OutcomeUnknown || d > stepDownWithin {
-			t.Errorf("%v after %v", r, d)
+		response := replica.change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}})
+		if d := time.Since(begun); response.Outcome != wire.OutcomeUnknown || d > stepDownWithin {
+			t.Errorf("%v after %v", response, d)
 		}
-		if n := query(ctx, p, -1, func() int { return len(p.pendingProposals) }); n != 0 {
+		if n := query(ctx, replica, -1, func() int { return len(replica.pendingProposals) }); n != 0 {
 			t.Errorf("%d changes still wait", n)
 		}
 	})
@@ -82,9 +82,9 @@
 		w := isolateMember(t, true)
 		defer w.healAndStop()
 		begun := time.Now()
-		r, _ := w.node(w.victim).Read(context.Background(), &wire.ReadRequest{Key: routingconfig.DocumentKey})
-		if d := time.Since(begun); r.Outcome == wire.OutcomeDone || d > grantWithin {
-			t.Errorf("a read: %v after %v", r, d)
+		response, _ := w.node(w.victim).Read(context.Background(), &wire.ReadRequest{Key: routingconfig.DocumentKey})
+		if d := time.Since(begun); response.Outcome == wire.OutcomeDone || d > grantWithin {
+			t.Errorf("a read: %v after %v", response, d)
 		}
 	})
 }
@@ -111,8 +111,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := isolateMember(t, false)
 		defer w.healAndStop()
-		n := w.node(w.victim)
-		w.waitUntil("no leader known", 5*time.Second, func() bool { return n.shards[0].published.current().leader == "" })
+		node := w.node(w.victim)
+		w.waitUntil("no leader known", 5*time.Second, func() bool { return node.shards[0].published.current().leader == "" })
 		door := &pipeListener{cluster: w.testCluster, addr: w.addr(10), connections: make(chan net.Conn), closed: make(chan struct{})}
 		w.testCluster.mu.Lock()
 		w.listeners[w.addr(10)] = door
@@ -120,9 +120,9 @@
 		server := &http.Server{Handler: wire.NewArchiveServer(contestedNode{})}
 		go func() { _ = server.Serve(door) }()
 		defer server.Close()
-		n.controlClient.HintLeader(w.addr(10))
+		node.controlClient.HintLeader(w.addr(10))
 		begun := time.Now()
-		err := n.SetWeightsVersion(context.Background(), "m", 2)
+		err := node.SetWeightsVersion(context.Background(), "m", 2)
 		if d := time.Since(begun); err == nil || errs.KindOf(err) != errs.CantSay || d > answerWithin {
 			t.Errorf("after %v: %v", d, err)
 		}
@@ -140,16 +140,16 @@
 		w.waitUntil("a leader", 5*time.Second, func() bool { return len(w.members()) == 3 })
 		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, Proof: routingconfig.DocumentKey}
 		w.waitUntil("a learner that is fed", 5*time.Second, func() bool {
-			x, _ := w.node(4).Follow(context.Background(), ask)
-			if x.NothingNewer {
+			response, _ := w.node(4).Follow(context.Background(), ask)
+			if response.NothingNewer {
 				t.Error("a learner says that there is nothing newer")
 			}
-			return len(x.Members) == 3
+			return len(response.Members) == 3
 		})
-		x, _ := w.node(4).Follow(context.Background(), ask)
-		y, _ := w.node(1).Follow(context.Background(), ask)
-		if x.NothingNewer || !y.NothingNewer {
-			t.Errorf("a learner: %v, a member: %v", x, y)
+		response, _ := w.node(4).Follow(context.Background(), ask)
+		memberResponse, _ := w.node(1).Follow(context.Background(), ask)
+		if response.NothingNewer || !memberResponse.NothingNewer {
+			t.Errorf("a learner: %v, a member: %v", response, memberResponse)
 		}
 	})
 }
@@ -160,12 +160,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := isolateMember(t, false)
 			defer w.healAndStop()
-			w.network.update(func(cut map[[2]string]bool) { clear(cut) })
+			w.network.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 			w.scenario.direction = direction
 			w.isolateVictim()
 			term, leader := w.term(), w.leader()
 			clock.Sleep(context.Background(), partitionTime)
-			w.network.update(func(cut map[[2]string]bool) { clear(cut) })
+			w.network.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 			clock.Sleep(context.Background(), recoverWithin)
 			if w.term() != term || w.leader() != leader {
 				t.Errorf("cut %s: the leader was %d of term %d, now it is %d of %d", direction, leader, term, w.leader(), w.term())
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -37,38 +37,38 @@
 	isolatesPair      bool   // two of five are cut off, and reach each other
 }
 
-func (r partitionScenario) String() string {
-	who := map[bool]string{true: "leader", false: "follower"}[r.isolatesLeader]
-	s := fmt.Sprintf("%s cut %s, %s restarted", who, r.direction, r.restarted)
-	if r.onlyIsolatedSeeds {
+func (scenario partitionScenario) String() string {
+	who := map[bool]string{true: "leader", false: "follower"}[scenario.isolatesLeader]
+	s := fmt.Sprintf("%s cut %s, %s restarted", who, scenario.direction, scenario.restarted)
+	if scenario.onlyIsolatedSeeds {
 		s += ", seeds cut off"
 	}
-	if r.withSpare {
+	if scenario.withSpare {
 		s += ", a spare"
 	}
-	if r.isolatesPair {
+	if scenario.isolatesPair {
 		s += ", two of five"
 	}
 	return s
 }
 
-func partitionScenarios() (l []partitionScenario) {
+func partitionScenarios() (scenarios []partitionScenario) {
 	for _, leader := range []bool{true, false} {
 		for _, direction := range []string{"both", "out", "in"} {
 			for _, restart := range []string{"none", "itself", "all"} {
-				l = append(l, partitionScenario{isolatesLeader: leader, direction: direction, restarted: restart, isolatesPair: true})
+				scenarios = append(scenarios, partitionScenario{isolatesLeader: leader, direction: direction, restarted: restart, isolatesPair: true})
 			}
 			for _, spare := range []bool{false, true} {
-				l = append(l, partitionScenario{isolatesLeader: leader, direction: direction, restarted: "none", withSpare: spare})
+				scenarios = append(scenarios, partitionScenario{isolatesLeader: leader, direction: direction, restarted: "none", withSpare: spare})
 				for _, restart := range []string{"itself", "another", "all"} {
-					l = append(l,
+					scenarios = append(scenarios,
 						partitionScenario{isolatesLeader: leader, direction: direction, restarted: restart, withSpare: spare},
 						partitionScenario{isolatesLeader: leader, direction: direction, restarted: restart, withSpare: spare, onlyIsolatedSeeds: true})
 				}
 			}
 		}
 	}
-	return l
+	return scenarios
 }
 
 // checkVictim is what is asked of the cut-off member in one round of the cut: nothing may be done.
@@ -101,9 +101,9 @@
 		w.t.Errorf("%v: what was named before the cut stays named: %v", w.elapsed(), err)
 	}
 	begun = time.Now()
-	r, _ := w.node(w.victim).Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "other", Holder: "x", TtlNs: uint64(leaseTTL)}}}})
-	if d := time.Since(begun); r.Outcome == wire.OutcomeDone || r.Outcome == wire.OutcomeConflict || d > grantWithin {
-		w.t.Errorf("%v: the cut-off member answers a lease request after %v: %v", w.elapsed(), d, r)
+	response, _ := w.node(w.victim).Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "other", Holder: "x", TtlNs: uint64(leaseTTL)}}}})
+	if d := time.Since(begun); response.Outcome == wire.OutcomeDone || response.Outcome == wire.OutcomeConflict || d > grantWithin {
+		w.t.Errorf("%v: the cut-off member answers a lease request after %v: %v", w.elapsed(), d, response)
 	}
 }
 
@@ -139,17 +139,17 @@
 	all.Go(func() { w.renewLease(background, 1) })
 	all.Go(func() { w.checkSingleHolder(background) })
 	w.edges = []*partitionEdge{{machines: []int{w.victim}}, {machines: append([]int{w.victim}, w.others...)}, {machines: w.others}}
-	for _, e := range w.edges {
-		e.proof = agent.NewFreshnessProof()
-		for _, i := range e.machines {
-			all.Go(func() { w.followMember(background, e, i) })
+	for _, edge := range w.edges {
+		edge.proof = agent.NewFreshnessProof()
+		for _, i := range edge.machines {
+			all.Go(func() { w.followMember(background, edge, i) })
 		}
 	}
 	clock.Sleep(ctx, time.Second)
 	w.isolateVictim()
 	begin, term := w.elapsed(), w.term()
 	w.checkDuringPartition(begin)
-	w.network.update(func(cut map[[2]string]bool) { clear(cut) })
+	w.network.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 	w.checkAfterPartition(machines)
 	if now := w.term(); !w.scenario.isolatesLeader && w.scenario.restarted == "none" && now != term {
 		t.Errorf("a follower that was cut off unseated the leader: term %d, then %d", term, now)
@@ -195,7 +195,7 @@
 		for _, i := range w.others[:2] {
 			_ = w.readPlan(i) // never an old one
 		}
-		if x := w.node(w.victim).shards[0].published.current(); x.isLeader && w.elapsed()-begin > stepDownWithin {
+		if view := w.node(w.victim).shards[0].published.current(); view.isLeader && w.elapsed()-begin > stepDownWithin {
 			t.Errorf("%v: the cut-off member still leads", w.elapsed())
 		}
 		clock.Sleep(context.Background(), 300*time.Millisecond)
@@ -240,11 +240,11 @@
 // read, grants and renews no lease, gives no proof, says so in time and never refuses; the others
 // take the very orders that it left open.
 func TestAMemberIsCutOff(t *testing.T) {
-	for _, r := range partitionScenarios() {
-		t.Run(r.String(), func(t *testing.T) {
+	for _, scenario := range partitionScenarios() {
+		t.Run(scenario.String(), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				w := newPartitionWorld(t, r)
+				w := newPartitionWorld(t, scenario)
 				w.run()
 			})
 		})
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -57,17 +57,17 @@
 
 // isolateVictim begins the cut between the victim, with its companion if it has one, and all others.
 func (w *partitionWorld) isolateVictim() {
-	w.network.update(func(cut map[[2]string]bool) {
+	w.network.update(func(partitioned map[[2]string]bool) {
 		for _, i := range []int{w.victim, w.companion} {
 			for j := range 9 {
 				if i == 0 || j+1 == w.victim || j+1 == w.companion {
 					continue
 				}
 				if w.scenario.direction != "in" {
-					cut[[2]string{w.addr(i), w.addr(j + 1)}] = true
+					partitioned[[2]string{w.addr(i), w.addr(j + 1)}] = true
 				}
 				if w.scenario.direction != "out" {
-					cut[[2]string{w.addr(j + 1), w.addr(i)}] = true
+					partitioned[[2]string{w.addr(j + 1), w.addr(i)}] = true
 				}
 			}
 		}
@@ -75,11 +75,11 @@
 }
 
 func (w *partitionWorld) kill(i int) {
-	l := w.processes[w.addr(i)]
+	process := w.processes[w.addr(i)]
 	w.testCluster.mu.Lock()
 	delete(w.nodes, w.addr(i))
 	w.testCluster.mu.Unlock()
-	l.Stop(0)
+	process.Stop(0)
 }
 
 // restartMachines restarts what the row says; those of the majority's side one after the other.
@@ -103,35 +103,35 @@
 }
 
 // followMember has an edge follow one member until the end.
-func (w *partitionWorld) followMember(ctx context.Context, e *partitionEdge, i int) {
+func (w *partitionWorld) followMember(ctx context.Context, edge *partitionEdge, i int) {
 	for ctx.Err() == nil {
-		n := w.node(i)
-		if n == nil {
+		node := w.node(i)
+		if node == nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
-		e.mu.Lock()
-		have, asked := e.version, w.elapsed()
-		e.mu.Unlock()
-		x, err := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, HoldNs: uint64(300 * time.Millisecond), Proof: routingconfig.DocumentKey})
+		edge.mu.Lock()
+		have, asked := edge.version, w.elapsed()
+		edge.mu.Unlock()
+		response, err := node.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, HoldNs: uint64(300 * time.Millisecond), Proof: routingconfig.DocumentKey})
 		if err != nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
-		e.mu.Lock()
+		edge.mu.Lock()
 		heard := have
-		for _, d := range x.Documents {
-			heard = max(heard, d.Version)
+		for _, document := range response.Documents {
+			heard = max(heard, document.Version)
 		}
-		e.version = max(e.version, heard)
-		e.proof.AddResponse(x, heard, asked)
-		proven := e.proof.FreshUntil(e.version)
-		version := e.version
-		e.mu.Unlock()
+		edge.version = max(edge.version, heard)
+		edge.proof.AddResponse(response, heard, asked)
+		proven := edge.proof.FreshUntil(edge.version)
+		version := edge.version
+		edge.mu.Unlock()
 		w.mu.Lock()
 		for v, when := range w.ackedAt {
 			if v > version && when.Sub(w.startedAt) < proven {
-				w.t.Errorf("%v: an edge of %v has the proof for version %d up to %v, yet %d was acknowledged at %v", w.elapsed(), e.machines, version, proven, v, when.Sub(w.startedAt))
+				w.t.Errorf("%v: an edge of %v has the proof for version %d up to %v, yet %d was acknowledged at %v", w.elapsed(), edge.machines, version, proven, v, when.Sub(w.startedAt))
 			}
 		}
 		w.mu.Unlock()
@@ -145,19 +145,19 @@
 		asked := w.elapsed() + time.Hour
 		ask := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.GrantRequest()}}}
 		one, end := context.WithTimeout(ctx, leaseTTL)
-		var r *wire.ChangeResponse
+		var response *wire.ChangeResponse
 		near := w.others
 		if k == 0 {
 			near = []int{w.victim}
 		}
 		for _, i := range near {
-			if n := w.node(i); n != nil {
-				r, _ = n.controlClient.Change(one, ask)
+			if node := w.node(i); node != nil {
+				response, _ = node.controlClient.Change(one, ask)
 				break
 			}
 		}
 		end()
-		l.HandleResponse(asked, r)
+		l.HandleResponse(asked, response)
 	}
 }
 
@@ -182,19 +182,19 @@
 }
 
 // recordAck notes an acknowledgement.
-func (w *partitionWorld) recordAck(v uint64) {
+func (w *partitionWorld) recordAck(version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ackedVersion = max(w.ackedVersion, v)
-	if _, ok := w.ackedAt[v]; !ok {
-		w.ackedAt[v] = time.Now()
+	w.ackedVersion = max(w.ackedVersion, version)
+	if _, ok := w.ackedAt[version]; !ok {
+		w.ackedAt[version] = time.Now()
 	}
 }
 
 // putPlan sends one order to a machine, and says what came of it; it is never refused, nor held long.
 func (w *partitionWorld) putPlan(i int, base uint64, b []byte) error {
 	begun := time.Now()
-	v, err := w.node(i).PutRoutingConfig(context.Background(), base, b, false)
+	version, err := w.node(i).PutRoutingConfig(context.Background(), base, b, false)
 	if d := time.Since(begun); d > answerWithin {
 		w.t.Errorf("%v: machine %d answers an order after %v", w.elapsed(), i, d)
 	}
@@ -202,7 +202,7 @@
 		w.t.Errorf("%v: machine %d refuses an order on version %d: %v", w.elapsed(), i, base, err)
 	}
 	if err == nil {
-		w.recordAck(v)
+		w.recordAck(version)
 	}
 	return err
 }
@@ -213,12 +213,12 @@
 	least := w.ackedVersion
 	w.mu.Unlock()
 	begun := time.Now()
-	_, v, err := w.node(i).ReadRoutingConfig(context.Background())
+	_, version, err := w.node(i).ReadRoutingConfig(context.Background())
 	if d := time.Since(begun); d > answerWithin {
 		w.t.Errorf("%v: machine %d answers a read after %v", w.elapsed(), i, d)
 	}
-	if err == nil && v < least {
-		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.elapsed(), i, v, least)
+	if err == nil && version < least {
+		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.elapsed(), i, version, least)
 	}
 	if err != nil && errs.KindOf(err).HTTP != 503 {
 		w.t.Errorf("%v: a read at machine %d: %v", w.elapsed(), i, err)
@@ -226,8 +226,8 @@
 	return err
 }
 
-func newPartitionWorld(t *testing.T, r partitionScenario) *partitionWorld {
-	w := &partitionWorld{testCluster: newTestCluster(t), t: t, scenario: r, ackedAt: map[uint64]at{}, startedAt: time.Now()}
+func newPartitionWorld(t *testing.T, scenario partitionScenario) *partitionWorld {
+	w := &partitionWorld{testCluster: newTestCluster(t), t: t, scenario: scenario, ackedAt: map[uint64]at{}, startedAt: time.Now()}
 	w.network = newSimNetwork()
 	clk := clock.Synctest()
 	for k := range w.leases {
@@ -239,9 +239,9 @@
 // term is the highest term that a machine is in.
 func (w *partitionWorld) term() (term uint64) {
 	for i := range 5 {
-		if n := w.node(i + 1); n != nil {
-			p := n.shards[0]
-			term = max(term, query(context.Background(), p, 0, func() uint64 { return p.core.Status().Term }))
+		if node := w.node(i + 1); node != nil {
+			replica := node.shards[0]
+			term = max(term, query(context.Background(), replica, 0, func() uint64 { return replica.core.Status().Term }))
 		}
 	}
 	return term
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -19,30 +19,30 @@
 func TestAcknowledgedMeansOnTheDisk(t *testing.T) {
 	acked, all, ends := uint64(0), 0, 0
 	for seed := range uint64(400) {
-		r := rand.New(rand.NewPCG(seed, 3))
-		d := newCacheDisk(r)
-		var p *shard
+		random := rand.New(rand.NewPCG(seed, 3))
+		d := newCacheDisk(random)
+		var replica *shard
 		newest, boots := uint64(0), 0
 		boot := func() {
 			boots, all = boots+1, all+1
 			d.crashed, d.writesUntilCrash = false, -1
-			p = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
-			p.compactThreshold = 400
-			openGroup(p, &group{codec: versionCodec{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
-				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: r},
+			replica = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+			replica.compactThreshold = 400
+			openGroup(replica, &group{codec: versionCodec{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
+				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: random},
 				initialSnapshot: func() *wire.Snapshot {
-					return initialGroupSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, r.Uint64)
+					return initialGroupSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, random.Uint64)
 				}})
 		}
 		tick := func(n int) {
 			for range n {
-				if p.failure == nil {
-					p.core.Tick()
+				if replica.failure == nil {
+					replica.core.Tick()
 				}
-				p.tickGroup()
-				p.handleReady()
+				replica.tickGroup()
+				replica.handleReady()
 				if d.crashed {
-					if ends++; r.IntN(2) == 0 {
+					if ends++; random.IntN(2) == 0 {
 						d.losePower()
 					}
 					boot()
@@ -51,30 +51,30 @@
 		}
 
 		boot()
-		for i := range 60 {
-			switch r.IntN(6) {
+		for index := range 60 {
+			switch random.IntN(6) {
 			case 0:
 				d.failWrites = !d.failWrites
 			case 1:
-				d.writesUntilCrash = r.IntN(4)
+				d.writesUntilCrash = random.IntN(4)
 			case 2:
-				if r.IntN(2) == 0 {
+				if random.IntN(2) == 0 {
 					d.losePower()
 				}
 				boot()
 			}
-			tick(1 + r.IntN(30))
-			if i%10 == 9 {
+			tick(1 + random.IntN(30))
+			if index%10 == 9 {
 				d.failWrites = false
 				tick(60)
 			}
-			a := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: fmt.Append(nil, i)}}}}
-			w, response := p.propose(a, nil)
-			incarnation := p
+			request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: fmt.Append(nil, index)}}}}
+			pending, response := replica.propose(request, nil)
+			incarnation := replica
 			tick(1)
-			if response == nil && incarnation == p {
+			if response == nil && incarnation == replica {
 				select {
-				case response = <-w.response:
+				case response = <-pending.response:
 				default:
 				}
 			}
@@ -82,11 +82,11 @@
 				acked++
 				newest = response.Version
 			}
-			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.writesUntilCrash < 0 && incarnation == p) {
-				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, response)
+			if index%10 == 9 && (replica.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.writesUntilCrash < 0 && incarnation == replica) {
+				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, replica.failure, response)
 			}
-			if e := p.state.documents["k"].GetVersion(); p.failure == nil && p.core.HasAppliedCurrentTerm() && e < newest {
-				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, i, newest, e)
+			if e := replica.state.documents["k"].GetVersion(); replica.failure == nil && replica.core.HasAppliedCurrentTerm() && e < newest {
+				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, index, newest, e)
 			}
 		}
 	}
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -14,58 +14,58 @@
 	"pebbleloom/internal/wire"
 )
 
-func (g *testCluster) makeUnreachable(i int) { // a machine without power says nothing, nor does it hear
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.unreachable[g.addr(i)] = true
+func (c *testCluster) makeUnreachable(i int) { // a machine without power says nothing, nor does it hear
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable[c.addr(i)] = true
 }
 
-func (g *testCluster) startFounders(n int) {
+func (c *testCluster) startFounders(n int) {
 	for i := range n {
-		g.start(i+1, true)
+		c.start(i+1, true)
 	}
-	g.waitUntil("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+	c.waitUntil("an leader", 5*time.Second, func() bool { return len(c.members()) == 3 })
 }
 
 // A thread that waits for its disk keeps no question waiting beyond its time; what it answers
 // meanwhile is what it held before, and a plan goes on without it.
 func TestAStalledDiskHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newTestCluster(t), context.Background()
-		g.startFounders(3)
-		defer g.stopAll()
-		if _, err := g.nodes[g.addr(1)].PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
+		cluster, ctx := newTestCluster(t), context.Background()
+		cluster.startFounders(3)
+		defer cluster.stopAll()
+		if _, err := cluster.nodes[cluster.addr(1)].PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
 			t.Fatal(err)
 		}
-		o := g.leader()
-		n, release := g.nodes[g.addr(o)], make(chan struct{})
-		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.stalled = release })
+		o := cluster.leader()
+		node, release := cluster.nodes[cluster.addr(o)], make(chan struct{})
+		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.stalled = release })
 		at := time.Now()
-		if _, err := n.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
+		if _, err := node.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
 			t.Errorf("a plan put where the disk stalls: %v", err)
 		}
 		if d := time.Since(at); d > 950*time.Millisecond {
 			t.Errorf("the operator waited %v", d)
 		}
 		at = time.Now()
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
-		if d := time.Since(at); d != 300*time.Millisecond || len(x.Documents) > 0 {
-			t.Errorf("after %v: %v", d, x)
+		response, _ := node.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
+		if d := time.Since(at); d != 300*time.Millisecond || len(response.Documents) > 0 {
+			t.Errorf("after %v: %v", d, response)
 		}
-		g.waitUntil("the plan elsewhere", 5*time.Second, func() bool {
+		cluster.waitUntil("the plan elsewhere", 5*time.Second, func() bool {
 			for i := range 3 {
 				if i+1 != o {
-					if _, err := g.nodes[g.addr(i+1)].PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil {
+					if _, err := cluster.nodes[cluster.addr(i+1)].PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil {
 						return true
 					}
 				}
 			}
 			return false
 		})
-		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.stalled = nil })
+		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.stalled = nil })
 		close(release)
-		g.waitUntil("the plan at the one that stalled", 5*time.Second, func() bool {
-			return n.shards[0].published.current().documents[routingconfig.DocumentKey].GetVersion() == 2
+		cluster.waitUntil("the plan at the one that stalled", 5*time.Second, func() bool {
+			return node.shards[0].published.current().documents[routingconfig.DocumentKey].GetVersion() == 2
 		})
 	})
 }
@@ -73,30 +73,30 @@
 // A disk that is full takes its member out, and the member comes back by itself once it isn't.
 func TestAFullDiskComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newTestCluster(t), context.Background()
-		g.startFounders(3)
-		defer g.stopAll()
-		o := g.leader()
-		n := g.nodes[g.addr(o)]
-		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.disk.failWrites = true })
+		cluster, ctx := newTestCluster(t), context.Background()
+		cluster.startFounders(3)
+		defer cluster.stopAll()
+		o := cluster.leader()
+		node := cluster.nodes[cluster.addr(o)]
+		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.disk.failWrites = true })
 		for v := range 3 {
-			g.waitUntil("a plan", 6*time.Second, func() bool {
-				for _, m := range g.nodes {
-					if _, err := m.PutRoutingConfig(ctx, uint64(v), body(uint64(v+1), "x"), false); err == nil {
+			cluster.waitUntil("a plan", 6*time.Second, func() bool {
+				for _, peer := range cluster.nodes {
+					if _, err := peer.PutRoutingConfig(ctx, uint64(v), body(uint64(v+1), "x"), false); err == nil {
 						return true
 					}
 				}
 				return false
 			})
 		}
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
-		if x.NothingNewer || n.shards[0].published.current().isVoter {
-			t.Errorf("a member that is out vouches: %v", x)
+		response, _ := node.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
+		if response.NothingNewer || node.shards[0].published.current().isVoter {
+			t.Errorf("a member that is out vouches: %v", response)
 		}
-		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.disk.failWrites = false })
-		g.waitUntil("the member back", 6*time.Second, func() bool {
-			s := n.shards[0].published.current()
-			return s.isVoter && s.documents[routingconfig.DocumentKey].GetVersion() == 3
+		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.disk.failWrites = false })
+		cluster.waitUntil("the member back", 6*time.Second, func() bool {
+			view := node.shards[0].published.current()
+			return view.isVoter && view.documents[routingconfig.DocumentKey].GetVersion() == 3
 		})
 	})
 }
@@ -104,20 +104,20 @@
 // Without a majority an operator hears so before it asks elsewhere; reads too.
 func TestWithoutAMajorityNobodyWaitsLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newTestCluster(t), context.Background()
-		g.startFounders(3)
-		defer g.stopAll()
-		o := g.leader()
+		cluster, ctx := newTestCluster(t), context.Background()
+		cluster.startFounders(3)
+		defer cluster.stopAll()
+		o := cluster.leader()
 		for i := range 3 {
 			if i+1 != o {
-				g.makeUnreachable(i + 1)
+				cluster.makeUnreachable(i + 1)
 			}
 		}
-		n := g.nodes[g.addr(o)]
+		node := cluster.nodes[cluster.addr(o)]
 		for _, f := range []func() error{
-			func() error { _, err := n.PutRoutingConfig(ctx, 0, body(1, "x"), false); return err },
-			func() error { _, _, err := n.ReadRoutingConfig(ctx); return err },
-			func() error { return n.SetWeightsVersion(ctx, "m", 2) },
+			func() error { _, err := node.PutRoutingConfig(ctx, 0, body(1, "x"), false); return err },
+			func() error { _, _, err := node.ReadRoutingConfig(ctx); return err },
+			func() error { return node.SetWeightsVersion(ctx, "m", 2) },
 		} {
 			at := time.Now()
 			if err := f(); err == nil || errs.KindOf(err) != errs.CantSay || time.Since(at) > 950*time.Millisecond {
@@ -132,19 +132,19 @@
 func TestAPlannedEndIsShort(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			g := newTestCluster(t)
-			g.startFounders(3)
-			defer g.stopAll()
-			o := g.leader()
+			cluster := newTestCluster(t)
+			cluster.startFounders(3)
+			defer cluster.stopAll()
+			o := cluster.leader()
 			if alone {
 				for i := range 3 {
 					if i+1 != o {
-						g.makeUnreachable(i + 1)
+						cluster.makeUnreachable(i + 1)
 					}
 				}
 			}
 			at := time.Now()
-			g.stop(o)
+			cluster.stop(o)
 			if d := time.Since(at); d > 4*time.Second || !alone && d > time.Second {
 				t.Errorf("alone %v: an end after %v", alone, d)
 			}
@@ -195,9 +195,9 @@
 			[]consensus.PeerStatus{in("b/0", 1), in("c/0", 40), in("d/0", 40), out("e/7", 1, true)}, 5, "[a/0 b/0 c/0 d/0 e/7]"},
 		{"the group is alone", abc, nil, 3, "[]"},
 	} {
-		v := membershipPlanner{self: "a/0", members: slices.Clone(x.now), peers: x.sees, targetSize: x.want,
+		planner := membershipPlanner{self: "a/0", members: slices.Clone(x.now), peers: x.sees, targetSize: x.want,
 			zoneOf: func(a string) string { return where[a] }, isLeaving: func(string) bool { return false }}
-		if got := fmt.Sprint(v.next()); got != x.next {
+		if got := fmt.Sprint(planner.next()); got != x.next {
 			t.Errorf("%s: %s, want %s", x.name, got, x.next)
 		}
 	}
@@ -213,9 +213,9 @@
 		self  string
 		ms    string
 	}{{true, "a:1", "a:1/0", "[a:1/0 b:1/0 c:1/0]"}, {true, "d:1", "d:1/0000000000000abc", "[]"}, {false, "a:1", "a:1/0000000000000abc", "[]"}} {
-		s := initialGroupSnapshot(x.first, x.own, seeds, random)
-		if s.HardState.Incarnation != x.self || fmt.Sprint(s.Members) != x.ms || s.HardState.DiskState != wire.DiskState_DISK_FOUNDED {
-			t.Errorf("%+v: %v", x, s)
+		snapshot := initialGroupSnapshot(x.first, x.own, seeds, random)
+		if snapshot.HardState.Incarnation != x.self || fmt.Sprint(snapshot.Members) != x.ms || snapshot.HardState.DiskState != wire.DiskState_DISK_FOUNDED {
+			t.Errorf("%+v: %v", x, snapshot)
 		}
 	}
 }
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -15,22 +15,22 @@
 	"pebbleloom/internal/wire"
 )
 
-func (g *testCluster) members() []string {
-	var x *publishedView
-	for _, n := range g.nodes {
-		if s := n.shards[0].published.current(); s.isLeader && (x == nil || s.term > x.term) {
-			x = s
+func (c *testCluster) members() []string {
+	var newest *publishedView
+	for _, node := range c.nodes {
+		if view := node.shards[0].published.current(); view.isLeader && (newest == nil || view.term > newest.term) {
+			newest = view
 		}
 	}
-	if x == nil {
+	if newest == nil {
 		return nil
 	}
-	return x.members
+	return newest.members
 }
 
-func (g *testCluster) leader() int {
+func (c *testCluster) leader() int {
 	for i := 1; i < 9; i++ {
-		if n := g.nodes[g.addr(i)]; n != nil && n.shards[0].published.current().isLeader {
+		if node := c.nodes[c.addr(i)]; node != nil && node.shards[0].published.current().isLeader {
 			return i
 		}
 	}
@@ -42,34 +42,34 @@
 // is a conflict, and what is invalid is named.
 func TestAGroupTakesPlans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newTestCluster(t), context.Background()
+		cluster, ctx := newTestCluster(t), context.Background()
 		for i := range 4 {
-			g.start(i+1, true)
+			cluster.start(i+1, true)
 		}
-		defer g.stopAll()
-		d := g.waitUntil("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		defer cluster.stopAll()
+		d := cluster.waitUntil("an leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
 		t.Log("an leader after", d)
-		a, b, spare := g.nodes[g.addr(1)], g.nodes[g.addr(2)], g.nodes[g.addr(4)]
+		first, second, spare := cluster.nodes[cluster.addr(1)], cluster.nodes[cluster.addr(2)], cluster.nodes[cluster.addr(4)]
 		held := make(chan *wire.FollowResponse)
 		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, HoldNs: uint64(10 * time.Second), Proof: routingconfig.DocumentKey}
-		go func() { x, _ := b.Follow(ctx, ask); held <- x }()
-		putPlan := func(i int, n *Node) {
-			if v, err := n.PutRoutingConfig(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || v != uint64(i*2+2) {
-				t.Fatalf("plan %d: %d, %v", i, v, err)
+		go func() { response, _ := second.Follow(ctx, ask); held <- response }()
+		putPlan := func(i int, node *Node) {
+			if version, err := node.PutRoutingConfig(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || version != uint64(i*2+2) {
+				t.Fatalf("plan %d: %d, %v", i, version, err)
 			}
 		}
-		putPlan(0, a)
-		if x := <-held; len(x.Documents) != 1 || x.Documents[0].Version != 2 || len(x.Members) != 3 {
-			t.Errorf("what a follower was told: %v", x)
+		putPlan(0, first)
+		if response := <-held; len(response.Documents) != 1 || response.Documents[0].Version != 2 || len(response.Members) != 3 {
+			t.Errorf("what a follower was told: %v", response)
 		}
-		putPlan(1, b)
+		putPlan(1, second)
 		putPlan(2, spare)
-		for _, n := range g.nodes {
-			if b, v, err := n.ReadRoutingConfig(ctx); err != nil || v != 6 || !strings.Contains(string(b), `"x+x+x"`) {
-				t.Errorf("read back: %s, %d, %v", b, v, err)
+		for _, node := range cluster.nodes {
+			if b, version, err := node.ReadRoutingConfig(ctx); err != nil || version != 6 || !strings.Contains(string(b), `"x+x+x"`) {
+				t.Errorf("read back: %s, %d, %v", b, version, err)
 			}
-			if v, err := n.PutRoutingConfig(ctx, 2, body(4, "x"), true); err != nil || v != 4 {
-				t.Errorf("the same again, later: %d, %v", v, err)
+			if version, err := node.PutRoutingConfig(ctx, 2, body(4, "x"), true); err != nil || version != 4 {
+				t.Errorf("the same again, later: %d, %v", version, err)
 			}
 		}
 		for _, c := range []struct {
@@ -85,32 +85,32 @@
 		for _, x := range []struct {
 			n *Node
 			v uint64
-		}{{a, 2}, {spare, 3}, {b, 2}, {b, 3}} {
+		}{{first, 2}, {spare, 3}, {second, 2}, {second, 3}} {
 			if err := x.n.SetWeightsVersion(ctx, "m", x.v); err != nil {
 				t.Errorf("weights %d: %v", x.v, err)
 			}
 		}
-		if err := a.SetWeightsVersion(ctx, "o", 1); err != nil {
+		if err := first.SetWeightsVersion(ctx, "o", 1); err != nil {
 			t.Error(err)
 		}
-		g.waitUntil("weights at the spare", 3*time.Second, func() bool {
-			w := fleet.Weights{}
-			x, _ := spare.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
-			return len(x.Documents) == 1 && json.Unmarshal(x.Documents[0].Body, &w) == nil && w.Named["m"] == 3 && w.Named["o"] == 1 && !x.NothingNewer
+		cluster.waitUntil("weights at the spare", 3*time.Second, func() bool {
+			weights := fleet.Weights{}
+			response, _ := spare.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
+			return len(response.Documents) == 1 && json.Unmarshal(response.Documents[0].Body, &weights) == nil && weights.Named["m"] == 3 && weights.Named["o"] == 1 && !response.NothingNewer
 		})
 		put := &wire.Put{Key: fleet.PlacementKey + "s", Body: []byte("{}"), AnyVersion: true, Token: "p1"}
 		if _, err := spare.controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
 			t.Error(err)
 		}
-		x, _ := a.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, HoldNs: 1e9, Proof: routingconfig.DocumentKey})
-		if len(x.Documents) != 1 || x.Documents[0].Key != fleet.PlacementKey+"s" || !x.NothingNewer || x.Member != g.addr(1)+"/0" {
-			t.Errorf("a placement is told: %v", x)
+		response, _ := first.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, HoldNs: 1e9, Proof: routingconfig.DocumentKey})
+		if len(response.Documents) != 1 || response.Documents[0].Key != fleet.PlacementKey+"s" || !response.NothingNewer || response.Member != cluster.addr(1)+"/0" {
+			t.Errorf("a placement is told: %v", response)
 		}
 		at := time.Now()
-		x, _ = a.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
+		response, _ = first.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
 			HoldNs: 5e8, Proof: routingconfig.DocumentKey})
-		if d := time.Since(at); d != 500*time.Millisecond || len(x.Documents) > 0 || !x.NothingNewer {
-			t.Errorf("no news: after %v %v", d, x)
+		if d := time.Since(at); d != 500*time.Millisecond || len(response.Documents) > 0 || !response.NothingNewer {
+			t.Errorf("no news: after %v %v", d, response)
 		}
 	})
 }
@@ -120,17 +120,17 @@
 // taken in at its new address; and all may start again at once.
 func TestAGroupChangesItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newTestCluster(t), context.Background()
+		cluster, ctx := newTestCluster(t), context.Background()
 		for i := range 4 {
-			g.start(i+1, true)
+			cluster.start(i+1, true)
 		}
-		defer func() { g.stopAll() }()
-		g.waitUntil("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		put := func(v uint64) {
+		defer func() { cluster.stopAll() }()
+		cluster.waitUntil("an leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
+		put := func(version uint64) {
 			t.Helper()
-			g.waitUntil("a plan", 6*time.Second, func() bool {
-				for _, n := range g.nodes {
-					if _, err := n.PutRoutingConfig(ctx, v-1, body(v, "x"), false); err == nil {
+			cluster.waitUntil("a plan", 6*time.Second, func() bool {
+				for _, node := range cluster.nodes {
+					if _, err := node.PutRoutingConfig(ctx, version-1, body(version, "x"), false); err == nil {
 						return true
 					}
 				}
@@ -139,52 +139,52 @@
 		}
 		has := func(addr, not string) func() bool {
 			return func() bool {
-				l := g.members()
+				l := cluster.members()
 				return len(l) == 3 && slices.ContainsFunc(l, func(m string) bool { return strings.HasPrefix(m, addr+"/") }) && !slices.Contains(l, not)
 			}
 		}
 		put(1)
-		o := g.leader()
-		d := g.waitUntil("planned end", 0, func() bool { g.stop(o); return true })
-		d += g.waitUntil("another leader", 2*time.Second, func() bool { return g.leader() > 0 })
+		o := cluster.leader()
+		d := cluster.waitUntil("planned end", 0, func() bool { cluster.stop(o); return true })
+		d += cluster.waitUntil("another leader", 2*time.Second, func() bool { return cluster.leader() > 0 })
 		t.Log("another leader after a planned end", d)
 		put(2)
-		t.Log("the spare's place", g.waitUntil("the spare has its place", 5*time.Second, has(g.addr(4), g.addr(o)+"/0")))
-		g.start(o, false)
+		t.Log("the spare's place", cluster.waitUntil("the spare has its place", 5*time.Second, has(cluster.addr(4), cluster.addr(o)+"/0")))
+		cluster.start(o, false)
 		// A disk is lost.
-		w := g.leader()
-		old := g.nodes[g.addr(w)].shards[0].published.current().self
-		g.stop(w)
-		g.disks[g.addr(w)] = nil
-		g.start(w, false)
-		g.waitUntil("a group without the lost disk", 8*time.Second, func() bool {
-			l := g.members()
+		w := cluster.leader()
+		old := cluster.nodes[cluster.addr(w)].shards[0].published.current().self
+		cluster.stop(w)
+		cluster.disks[cluster.addr(w)] = nil
+		cluster.start(w, false)
+		cluster.waitUntil("a group without the lost disk", 8*time.Second, func() bool {
+			l := cluster.members()
 			return len(l) == 3 && !slices.Contains(l, old)
 		})
 		put(3)
 		// A machine is replaced for good, twice, so that there is no other spare.
 		for i := range 2 {
-			x := g.leader()
-			g.stop(x)
-			g.start(5+i, false)
-			g.waitUntil("three members", 8*time.Second, func() bool {
-				l := g.members()
-				return len(l) == 3 && !slices.ContainsFunc(l, func(m string) bool { return strings.HasPrefix(m, g.addr(x)+"/") })
+			choice := cluster.leader()
+			cluster.stop(choice)
+			cluster.start(5+i, false)
+			cluster.waitUntil("three members", 8*time.Second, func() bool {
+				l := cluster.members()
+				return len(l) == 3 && !slices.ContainsFunc(l, func(m string) bool { return strings.HasPrefix(m, cluster.addr(choice)+"/") })
 			})
 			put(uint64(4 + i))
 		}
 		for i := range 8 {
-			if g.nodes[g.addr(i+1)] != nil {
-				g.stop(i + 1)
+			if cluster.nodes[cluster.addr(i+1)] != nil {
+				cluster.stop(i + 1)
 			}
 		}
 		for i := 1; i < 7; i++ {
-			g.start(i, false)
+			cluster.start(i, false)
 		}
 		put(6)
-		for _, n := range g.nodes {
-			if _, v, err := n.ReadRoutingConfig(ctx); err != nil || v != 6 {
-				t.Errorf("after all have started again: %d, %v", v, err)
+		for _, node := range cluster.nodes {
+			if _, version, err := node.ReadRoutingConfig(ctx); err != nil || version != 6 {
+				t.Errorf("after all have started again: %d, %v", version, err)
 			}
 		}
 	})
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -43,27 +43,27 @@
 	once        sync.Once
 }
 
-func (p *pipeListener) Accept() (net.Conn, error) {
+func (listener *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.connections:
-		return c, nil
-	case <-p.closed:
+	case conn := <-listener.connections:
+		return conn, nil
+	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *pipeListener) Close() error {
-	p.once.Do(func() {
-		close(p.closed)
-		p.cluster.mu.Lock()
-		defer p.cluster.mu.Unlock()
-		if p.cluster.listeners[p.addr] == p {
-			delete(p.cluster.listeners, p.addr)
+func (listener *pipeListener) Close() error {
+	listener.once.Do(func() {
+		close(listener.closed)
+		listener.cluster.mu.Lock()
+		defer listener.cluster.mu.Unlock()
+		if listener.cluster.listeners[listener.addr] == listener {
+			delete(listener.cluster.listeners, listener.addr)
 		}
 	})
 	return nil
 }
-func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (listener *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // stallingDisk is a disk in memory whose writes can be held up.
 type stallingDisk struct {
@@ -72,70 +72,70 @@
 	stalled chan struct{} // nil: it doesn't stall
 }
 
-func (d *stallingDisk) Read(n string) ([]byte, bool, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.disk.Read(n)
+func (disk *stallingDisk) Read(n string) ([]byte, bool, error) {
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	return disk.disk.Read(n)
 }
 
-func (d *stallingDisk) change(f func() error) error {
-	d.mu.Lock()
-	h := d.stalled
-	d.mu.Unlock()
+func (disk *stallingDisk) change(f func() error) error {
+	disk.mu.Lock()
+	h := disk.stalled
+	disk.mu.Unlock()
 	if h != nil {
 		<-h
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
 	return f()
 }
 
-func (d *stallingDisk) update(f func(*stallingDisk)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f(d)
+func (disk *stallingDisk) update(f func(*stallingDisk)) {
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	f(disk)
 }
-func (d *stallingDisk) Write(n string, b []byte) error {
-	return d.change(func() error { return d.disk.Write(n, b) })
+func (disk *stallingDisk) Write(n string, b []byte) error {
+	return disk.change(func() error { return disk.disk.Write(n, b) })
 }
-func (d *stallingDisk) Append(n string, b []byte) error {
-	return d.change(func() error { return d.disk.Append(n, b) })
+func (disk *stallingDisk) Append(n string, b []byte) error {
+	return disk.change(func() error { return disk.disk.Append(n, b) })
 }
-func (d *stallingDisk) Truncate(n string, s int) error {
-	return d.change(func() error { return d.disk.Truncate(n, s) })
+func (disk *stallingDisk) Truncate(n string, s int) error {
+	return disk.change(func() error { return disk.disk.Truncate(n, s) })
 }
 
 // newTestCluster lays out machines; the first three are the seeds.
 func newTestCluster(t *testing.T) *testCluster {
-	g := &testCluster{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*stallingDisk{}, processes: map[string]*daemon.Process{},
+	cluster := &testCluster{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*stallingDisk{}, processes: map[string]*daemon.Process{},
 		nodes: map[string]*Node{}, unreachable: map[string]bool{}}
 	for i := range 3 {
-		g.seeds = append(g.seeds, g.addr(i+1))
+		cluster.seeds = append(cluster.seeds, cluster.addr(i+1))
 	}
-	return g
+	return cluster
 }
 
-func (g *testCluster) addr(i int) string { return fmt.Sprintf("10.0.0.%d:7360", i) }
+func (c *testCluster) addr(i int) string { return fmt.Sprintf("10.0.0.%d:7360", i) }
 
-func (g *testCluster) dial(ctx context.Context, from, addr string) (net.Conn, error) {
-	if g.network != nil {
-		return g.network.dial(ctx, g, from, addr)
+func (c *testCluster) dial(ctx context.Context, from, addr string) (net.Conn, error) {
+	if c.network != nil {
+		return c.network.dial(ctx, c, from, addr)
 	}
-	g.mu.Lock()
-	p, dark := g.listeners[addr], g.unreachable[addr] || g.unreachable[from]
-	g.mu.Unlock()
+	c.mu.Lock()
+	listener, dark := c.listeners[addr], c.unreachable[addr] || c.unreachable[from]
+	c.mu.Unlock()
 	if dark {
 		return nil, errors.New("no answer")
 	}
-	if p == nil {
+	if listener == nil {
 		return nil, errors.New("connection refused")
 	}
 	x, y := net.Pipe()
-	a, b := &lossyConn{x, g, from, addr}, &lossyConn{y, g, from, addr}
+	a, b := &lossyConn{x, c, from, addr}, &lossyConn{y, c, from, addr}
 	select {
-	case p.connections <- b:
+	case listener.connections <- b:
 		return a, nil
-	case <-p.closed:
+	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	}
 }
@@ -147,70 +147,70 @@
 	from, to string
 }
 
-func (l *lossyConn) Write(b []byte) (int, error) {
-	l.cluster.mu.Lock()
-	dark := l.cluster.unreachable[l.from] || l.cluster.unreachable[l.to]
-	l.cluster.mu.Unlock()
+func (c *lossyConn) Write(b []byte) (int, error) {
+	c.cluster.mu.Lock()
+	dark := c.cluster.unreachable[c.from] || c.cluster.unreachable[c.to]
+	c.cluster.mu.Unlock()
 	if dark {
 		return len(b), nil
 	}
-	return l.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
 // start runs the machine's node; first: it is the first start of the whole site.
-func (g *testCluster) start(i int, first bool) *Node {
-	g.t.Helper()
-	addr := g.addr(i)
-	if g.disks[addr] == nil {
-		g.disks[addr] = &stallingDisk{disk: newSimDisk()}
+func (c *testCluster) start(index int, first bool) *Node {
+	c.t.Helper()
+	addr := c.addr(index)
+	if c.disks[addr] == nil {
+		c.disks[addr] = &stallingDisk{disk: newSimDisk()}
 	}
-	g.seed++
-	seed := g.seed
-	p := settings.Place{Name: fmt.Sprint("core-", i), Zone: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.Default(),
-		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: max(1, g.toleratedLosses), IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
-	w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
-		Disk: func(string) storage.Disk { return g.disks[addr] },
+	c.seed++
+	seed := c.seed
+	config := settings.Place{Name: fmt.Sprint("core-", index), Zone: fmt.Sprint("d", index), Listen: addr, Seeds: c.seeds, Data: "x", Bounds: settings.Default(),
+		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: max(1, c.toleratedLosses), IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
+	environment := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+		Disk: func(string) storage.Disk { return c.disks[addr] },
 		Listen: func(a string) (net.Listener, error) {
-			l := &pipeListener{cluster: g, addr: a, connections: make(chan net.Conn), closed: make(chan struct{})}
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			g.listeners[a] = l
-			return l, nil
+			listener := &pipeListener{cluster: c, addr: a, connections: make(chan net.Conn), closed: make(chan struct{})}
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.listeners[a] = listener
+			return listener, nil
 		},
-		Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return g.dial(ctx, addr, to) },
+		Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return c.dial(ctx, addr, to) },
 		Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
-	l := daemon.NewIn(w, "archive", p)
-	var n *Node
-	l.Place.Site.Control = fmt.Sprintf("10.0.0.%d:8683", i)
-	if err := StartGroup(l, versionCodec{}, func(x *Node) http.Handler { n = x; return http.NotFoundHandler() }); err != nil {
-		g.t.Fatal(err)
+	process := daemon.NewIn(environment, "archive", config)
+	var node *Node
+	process.Place.Site.Control = fmt.Sprintf("10.0.0.%d:8683", index)
+	if err := StartGroup(process, versionCodec{}, func(x *Node) http.Handler { node = x; return http.NotFoundHandler() }); err != nil {
+		c.t.Fatal(err)
 	}
-	g.processes[addr], g.nodes[addr] = l, n
-	return n
+	c.processes[addr], c.nodes[addr] = process, node
+	return node
 }
 
-func (g *testCluster) stop(i int) {
-	g.processes[g.addr(i)].Stop(time.Second)
-	delete(g.nodes, g.addr(i))
+func (c *testCluster) stop(i int) {
+	c.processes[c.addr(i)].Stop(time.Second)
+	delete(c.nodes, c.addr(i))
 }
 
-func (g *testCluster) stopAll() {
-	for a := range g.nodes {
-		g.processes[a].Stop(time.Second)
+func (c *testCluster) stopAll() {
+	for a := range c.nodes {
+		c.processes[a].Stop(time.Second)
 	}
 }
 
 // waitUntil waits in the bubble's time for something to hold.
-func (g *testCluster) waitUntil(what string, within time.Duration, f func() bool) time.Duration {
-	g.t.Helper()
+func (c *testCluster) waitUntil(what string, within time.Duration, f func() bool) time.Duration {
+	c.t.Helper()
 	begin := time.Now()
 	for !f() {
 		if time.Since(begin) > within {
-			for a, n := range g.nodes {
-				x := n.shards[0].published.current()
-				g.t.Logf("%s: %s leader %s members %v votes %v", a, x.self, x.leader, x.members, x.isVoter)
+			for a, node := range c.nodes {
+				view := node.shards[0].published.current()
+				c.t.Logf("%s: %s leader %s members %v votes %v", a, view.self, view.leader, view.members, view.isVoter)
 			}
-			g.t.Fatalf("%s: not within %v", what, within)
+			c.t.Fatalf("%s: not within %v", what, within)
 		}
 		clock.Sleep(context.Background(), 50*time.Millisecond)
 	}
@@ -227,27 +227,27 @@
 }
 
 func (versionCodec) Read(b []byte) (*routingconfig.Plan, error) {
-	v := versionBody{}
-	err := json.Unmarshal(b, &v)
-	return &routingconfig.Plan{Version: v.Version}, err
+	content := versionBody{}
+	err := json.Unmarshal(b, &content)
+	return &routingconfig.Plan{Version: content.Version}, err
 }
 
 func (versionCodec) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
-	var o, v versionBody
-	if err := json.Unmarshal(sent, &v); err != nil {
+	var previous, content versionBody
+	if err := json.Unmarshal(sent, &content); err != nil {
 		return nil, 0, err // of no kind
 	}
-	if v.Bad {
+	if content.Bad {
 		return nil, 0, errs.New(errs.BadInput, "route-7: names a service that isn't there")
 	}
 	if part && len(old) > 0 {
-		if err := json.Unmarshal(old, &o); err != nil {
+		if err := json.Unmarshal(old, &previous); err != nil {
 			return nil, 0, err
 		}
-		v.Text = o.Text + "+" + v.Text
+		content.Text = previous.Text + "+" + content.Text
 	}
-	b, err := json.Marshal(v)
-	return b, v.Version, err
+	b, err := json.Marshal(content)
+	return b, content.Version, err
 }
 
 func body(version uint64, text string) []byte {
--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/orders_again_test.go
@@ -92,8 +92,8 @@
 	if key == routingconfig.DocumentKey {
 		number = 2
 	}
-	a, b := &testChange{name: "a", newVersion: number}, &testChange{name: "b", newVersion: number}
-	c.changes = []*testChange{a, b}
+	first, second := &testChange{name: "a", newVersion: number}, &testChange{name: "b", newVersion: number}
+	c.changes = []*testChange{first, second}
 	for _, event := range sequence {
 		switch event {
 		case newLeader, secondNewLeader:
@@ -104,11 +104,11 @@
 			if c.leader() == nil { // one that was cut off is back, and has just stepped down
 				c.awaitLeader()
 			}
-			to := c.leader()
+			receiver := c.leader()
 			if target == toIsolatedMember && c.isolated != nil {
-				to = c.isolated
+				receiver = c.isolated
 			}
-			c.send(ctx, c.changes[event/2], to)
+			c.send(ctx, c.changes[event/2], receiver)
 			for range progress[event%2] { // of first copies, of second ones
 				if !c.deliverRound() {
 					break
@@ -117,20 +117,20 @@
 		}
 	}
 	c.heal()
-	if !a.acked && !b.acked && !a.inForce && !b.inForce { // all copies were lost
-		c.send(ctx, a, c.leader())
+	if !first.acked && !second.acked && !first.inForce && !second.inForce { // all copies were lost
+		c.send(ctx, first, c.leader())
 		c.deliverAll()
 	}
 	third := &testChange{name: "third", baseVersion: number, newVersion: 2 * number}
 	c.changes = append(c.changes, third)
 	c.send(ctx, third, c.leader())
 	c.deliverAll()
-	c.send(ctx, a, c.leader())
-	c.send(ctx, b, c.leader())
+	c.send(ctx, first, c.leader())
+	c.send(ctx, second, c.leader())
 	c.deliverAll()
 	c.checkFinal(third)
-	if a.inForce != a.acked || b.inForce != b.acked || a.acked == b.acked || a.rejected == b.rejected {
-		c.violationf("the one in force is acknowledged when it is sent again, the other one is refused: %+v, %+v", *a, *b)
+	if first.inForce != first.acked || second.inForce != second.acked || first.acked == second.acked || first.rejected == second.rejected {
+		c.violationf("the one in force is acknowledged when it is sent again, the other one is refused: %+v, %+v", *first, *second)
 	}
 	return c.violations
 }
@@ -138,8 +138,8 @@
 // stopAll ends what is under way.
 func (c *scriptedCluster) stopAll(cancel context.CancelFunc) {
 	cancel()
-	for _, m := range c.members {
-		m.stop()
+	for _, member := range c.members {
+		member.stop()
 	}
 	synctest.Wait()
 }
@@ -150,9 +150,9 @@
 		c.violationf("the newest order isn't acknowledged: %+v, newest is %d", *newest, c.newestAcked)
 	}
 	c.heal() // and the others hear what is committed
-	for _, m := range c.members {
-		if doc := m.shard.state.documents[c.key]; doc.GetVersion() != newest.newVersion || string(doc.GetBody()) != string(newest.body()) {
-			c.violationf("what is read back is the newest that was acknowledged: %s holds %d %s", m.addr, doc.GetVersion(), doc.GetBody())
+	for _, member := range c.members {
+		if doc := member.shard.state.documents[c.key]; doc.GetVersion() != newest.newVersion || string(doc.GetBody()) != string(newest.body()) {
+			c.violationf("what is read back is the newest that was acknowledged: %s holds %d %s", member.addr, doc.GetVersion(), doc.GetBody())
 		}
 	}
 	c.checkInvariants()
@@ -201,7 +201,9 @@
 			c.send(ctx, first, c.leader())
 			c.deliverAll()
 			c.send(ctx, second, c.leader())
-			for !slices.ContainsFunc(c.members, func(m *scriptedMember) bool { return m != c.leader() && len(m.shard.core.UnappliedEntries()) > 0 }) {
+			for !slices.ContainsFunc(c.members, func(member *scriptedMember) bool {
+				return member != c.leader() && len(member.shard.core.UnappliedEntries()) > 0
+			}) {
 				c.deliverRound()
 			}
 			c.changeLeader()
--- a/internal/control/controlstate/orders_cluster_test.go
+++ b/internal/control/controlstate/orders_cluster_test.go
@@ -55,43 +55,43 @@
 	for i := range 3 {
 		c.members = append(c.members, &scriptedMember{addr: fmt.Sprintf("m%d:1", i+1), disk: newSimDisk()})
 	}
-	for _, m := range c.members {
-		c.start(m, true)
+	for _, member := range c.members {
+		c.start(member, true)
 	}
 	return c
 }
 
-func (c *scriptedCluster) start(m *scriptedMember, first bool) {
+func (c *scriptedCluster) start(member *scriptedMember, first bool) {
 	ctx, stop := context.WithCancel(context.Background())
-	m.stop = stop
-	p := newShard(ctx, 0, &clock.Manual{}, hclog.NewNullLogger(), func(message *wire.Message) {
+	member.stop = stop
+	replica := newShard(ctx, 0, &clock.Manual{}, hclog.NewNullLogger(), func(message *wire.Message) {
 		c.inFlight = append(c.inFlight, proto.Clone(message).(*wire.Message))
 	})
-	openGroup(p, &group{codec: versionCodec{}, disk: m.disk, targetSize: 3, reopenTicks: 3, zoneOf: func(string) string { return "" },
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(uint64(m.addr[1]), 1))},
+	openGroup(replica, &group{codec: versionCodec{}, disk: member.disk, targetSize: 3, reopenTicks: 3, zoneOf: func(string) string { return "" },
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(uint64(member.addr[1]), 1))},
 		initialSnapshot: func() *wire.Snapshot {
-			return initialGroupSnapshot(first, m.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
+			return initialGroupSnapshot(first, member.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
 		}})
-	m.shard = p
+	member.shard = replica
 }
 
 // runMember lets a member do what it was asked to, and looks at what it applied.
-func (c *scriptedCluster) runMember(m *scriptedMember) {
+func (c *scriptedCluster) runMember(member *scriptedMember) {
 	for {
 		select {
-		case f := <-m.shard.commands.Out():
+		case f := <-member.shard.commands.Out():
 			f()
 			continue
 		default:
 		}
 		break
 	}
-	m.shard.handleReady()
-	doc := m.shard.state.documents[c.key]
-	if doc.GetVersion() < m.highestApplied {
-		c.violationf("versions climb: %s goes from %d back to %d", m.addr, m.highestApplied, doc.GetVersion())
+	member.shard.handleReady()
+	doc := member.shard.state.documents[c.key]
+	if doc.GetVersion() < member.highestApplied {
+		c.violationf("versions climb: %s goes from %d back to %d", member.addr, member.highestApplied, doc.GetVersion())
 	}
-	m.highestApplied = doc.GetVersion()
+	member.highestApplied = doc.GetVersion()
 	if doc == nil {
 		return
 	}
@@ -106,29 +106,29 @@
 func (c *scriptedCluster) recordApplied(doc *wire.Document) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range c.changes {
-		o.inForce = o.inForce || string(doc.Body) == string(o.body())
+	for _, change := range c.changes {
+		change.inForce = change.inForce || string(doc.Body) == string(change.body())
 	}
 }
 
-func (o *testChange) body() []byte { return body(o.newVersion, o.name) }
+func (change *testChange) body() []byte { return body(change.newVersion, change.name) }
 
 // checkInvariants looks at all orders: what was answered must hold together, at any moment.
 func (c *scriptedCluster) checkInvariants() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	byBase := map[uint64]string{}
-	for _, o := range c.changes {
-		if o.rejected && (o.acked || o.inForce) {
-			c.violationf("a refused order never comes into force, and an acknowledged one is never refused: %+v", *o)
+	for _, change := range c.changes {
+		if change.rejected && (change.acked || change.inForce) {
+			c.violationf("a refused order never comes into force, and an acknowledged one is never refused: %+v", *change)
 		}
-		if !o.acked {
+		if !change.acked {
 			continue
 		}
-		if other := byBase[o.baseVersion]; other != "" {
-			c.violationf("one acknowledged change a base: %s and %s on %d", other, o.name, o.baseVersion)
+		if other := byBase[change.baseVersion]; other != "" {
+			c.violationf("one acknowledged change a base: %s and %s on %d", other, change.name, change.baseVersion)
 		}
-		byBase[o.baseVersion] = o.name
+		byBase[change.baseVersion] = change.name
 	}
 }
 
@@ -141,20 +141,20 @@
 // deliverRound lets all members run, and delivers what was sent before; false: nothing was left to do.
 func (c *scriptedCluster) deliverRound() bool {
 	synctest.Wait()
-	for _, m := range c.members {
-		c.runMember(m)
+	for _, member := range c.members {
+		c.runMember(member)
 	}
 	due := c.inFlight
 	c.inFlight = nil
 	for _, message := range due {
-		from, to := c.member(message.From), c.member(message.To)
-		if to != nil && from != c.isolated && to != c.isolated {
-			to.shard.core.Step(message)
-			c.runMember(to)
+		from, receiver := c.member(message.From), c.member(message.To)
+		if receiver != nil && from != c.isolated && receiver != c.isolated {
+			receiver.shard.core.Step(message)
+			c.runMember(receiver)
 		}
 	}
 	synctest.Wait()
-	return len(due) > 0 || len(c.inFlight) > 0 || slices.ContainsFunc(c.members, func(m *scriptedMember) bool { return m.shard.commands.Len() > 0 })
+	return len(due) > 0 || len(c.inFlight) > 0 || slices.ContainsFunc(c.members, func(member *scriptedMember) bool { return member.shard.commands.Len() > 0 })
 }
 
 func (c *scriptedCluster) deliverAll() {
@@ -167,9 +167,9 @@
 }
 
 func (c *scriptedCluster) member(name string) *scriptedMember {
-	for _, m := range c.members {
-		if m.addr == controlclient.MemberAddr(name) {
-			return m
+	for _, member := range c.members {
+		if member.addr == controlclient.MemberAddr(name) {
+			return member
 		}
 	}
 	return nil
@@ -177,9 +177,9 @@
 
 // leader is the one of the highest term that isn't cut off.
 func (c *scriptedCluster) leader() (best *scriptedMember) {
-	for _, m := range c.members {
-		if s := m.shard.core.Status(); s.IsLeader && m != c.isolated && (best == nil || s.Term > best.shard.core.Status().Term) {
-			best = m
+	for _, member := range c.members {
+		if status := member.shard.core.Status(); status.IsLeader && member != c.isolated && (best == nil || status.Term > best.shard.core.Status().Term) {
+			best = member
 		}
 	}
 	return best
@@ -188,12 +188,12 @@
 // awaitLeader lets time pass until a member leads that isn't cut off.
 func (c *scriptedCluster) awaitLeader() {
 	for range 10 * electionTicks {
-		if l := c.leader(); l != nil && l.shard.core.HasAppliedCurrentTerm() {
+		if leader := c.leader(); leader != nil && leader.shard.core.HasAppliedCurrentTerm() {
 			return
 		}
-		for _, m := range c.members {
-			if m != c.isolated {
-				m.shard.core.Tick()
+		for _, member := range c.members {
+			if member != c.isolated {
+				member.shard.core.Tick()
 			}
 		}
 		c.deliverAll()
@@ -205,8 +205,8 @@
 func (c *scriptedCluster) heal() {
 	c.isolated = nil
 	for range 2 * heartbeatTicks {
-		for _, m := range c.members {
-			m.shard.core.Tick()
+		for _, member := range c.members {
+			member.shard.core.Tick()
 		}
 		c.deliverAll()
 	}
@@ -227,9 +227,9 @@
 		if c.leader() != nil {
 			return
 		}
-		for _, m := range c.members {
-			if m != c.isolated {
-				m.shard.core.Tick()
+		for _, member := range c.members {
+			if member != c.isolated {
+				member.shard.core.Tick()
 			}
 		}
 		c.deliverRound()
@@ -239,16 +239,16 @@
 
 // restart turns all logs into snapshots and starts all members again from their disks.
 func (c *scriptedCluster) restart() {
-	for _, m := range c.members {
-		saved, err := m.shard.state.save()
-		if err == nil && m.shard.core.Status().Applied > 0 {
-			err = m.shard.store.SaveSnapshot(m.shard.core.Compact(saved))
+	for _, member := range c.members {
+		saved, err := member.shard.state.save()
+		if err == nil && member.shard.core.Status().Applied > 0 {
+			err = member.shard.store.SaveSnapshot(member.shard.core.Compact(saved))
 		}
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		m.stop()
-		c.start(m, false)
+		member.stop()
+		c.start(member, false)
 	}
 	c.inFlight, c.isolated = nil, nil
 	synctest.Wait()
@@ -256,20 +256,20 @@
 }
 
 // send sends a copy of an order to a member; its answer is noted whenever it comes.
-func (c *scriptedCluster) send(ctx context.Context, o *testChange, to *scriptedMember) {
-	put := &wire.Put{Key: c.key, Body: o.body(), IfVersion: o.baseVersion, Token: o.name}
+func (c *scriptedCluster) send(ctx context.Context, change *testChange, receiver *scriptedMember) {
+	put := &wire.Put{Key: c.key, Body: change.body(), IfVersion: change.baseVersion, Token: change.name}
 	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}
-	p := to.shard // as it is now: the member may be started again meanwhile
+	replica := receiver.shard // as it is now: the member may be started again meanwhile
 	go func() {
-		response := p.change(ctx, request)
+		response := replica.change(ctx, request)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
 		case response.Outcome == wire.OutcomeDone:
-			o.acked = true
+			change.acked = true
 			c.newestAcked = max(c.newestAcked, response.Version)
 		case isDecidedByState(response.Outcome):
-			o.rejected = true
+			change.rejected = true
 		}
 	}()
 }
--- a/internal/control/controlstate/orders_search_test.go
+++ b/internal/control/controlstate/orders_search_test.go
@@ -38,8 +38,8 @@
 	attempts                int
 }
 
-func (o *sentChange) name() string {
-	return fmt.Sprintf("%d by %s", o.newVersion, o.text)
+func (change *sentChange) name() string {
+	return fmt.Sprintf("%d by %s", change.newVersion, change.text)
 }
 
 type changeSearch struct {
@@ -71,11 +71,11 @@
 func (s *changeSearch) count(what string) { s.locked(func() { s.counts[what]++ }) }
 
 // randomNode is one to send to: seldom the leader. Nil: none runs.
-func (s *changeSearch) randomNode(r *rand.Rand) (chosen *Node) {
+func (s *changeSearch) randomNode(random *rand.Rand) (chosen *Node) {
 	s.locked(func() {
 		for range 4 {
-			if n := s.nodes[1+r.IntN(searchMachines)]; n != nil {
-				if chosen = n; !n.shards[0].published.current().isLeader {
+			if node := s.nodes[1+random.IntN(searchMachines)]; node != nil {
+				if chosen = node; !node.shards[0].published.current().isLeader {
 					return
 				}
 			}
@@ -86,22 +86,22 @@
 
 // nextChange is the order that an operator sends now: a new one on the newest version it knows of, perhaps
 // under the number of another, or one that was sent before, whatever became of it.
-func (s *changeSearch) nextChange(r *rand.Rand, operator int) (order *sentChange) {
+func (s *changeSearch) nextChange(random *rand.Rand, operator int) (order *sentChange) {
 	s.locked(func() {
-		if n := len(s.changes); n > 0 && r.IntN(earlierChangeOdds) == 0 {
-			order = s.changes[r.IntN(n)]
+		if n := len(s.changes); n > 0 && random.IntN(earlierChangeOdds) == 0 {
+			order = s.changes[random.IntN(n)]
 			s.counts["sent again"]++
 			return
 		}
-		order = &sentChange{baseVersion: s.knownVersion, newVersion: s.knownVersion + 1 + r.Uint64N(2), partial: r.IntN(3) == 0}
+		order = &sentChange{baseVersion: s.knownVersion, newVersion: s.knownVersion + 1 + random.Uint64N(2), partial: random.IntN(3) == 0}
 		author := fmt.Sprint(operator)
-		if r.IntN(4) == 0 {
+		if random.IntN(4) == 0 {
 			author = "any" // two operators, one number, one content: the same order
 		}
 		order.text = fmt.Sprintf("%s on %d, part %v", author, order.baseVersion, order.partial) // no two orders make one body
-		for _, o := range s.changes {
-			if o.baseVersion == order.baseVersion && o.newVersion == order.newVersion && o.text == order.text {
-				order = o
+		for _, change := range s.changes {
+			if change.baseVersion == order.baseVersion && change.newVersion == order.newVersion && change.text == order.text {
+				order = change
 				return
 			}
 		}
@@ -111,75 +111,75 @@
 }
 
 // send sends one copy of an order, and notes the answer unless it is lost.
-func (s *changeSearch) send(r *rand.Rand, o *sentChange, n *Node, lost bool) (answered bool) {
-	version, err := n.PutRoutingConfig(s.ctx, o.baseVersion, body(o.newVersion, o.text), o.partial)
+func (s *changeSearch) send(random *rand.Rand, change *sentChange, node *Node, lost bool) (answered bool) {
+	version, err := node.PutRoutingConfig(s.ctx, change.baseVersion, body(change.newVersion, change.text), change.partial)
 	kind := errs.KindOf(err)
 	refused := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooBig)
 	if lost {
 		return false
 	}
 	s.locked(func() {
-		o.attempts++
+		change.attempts++
 		switch {
 		case err == nil:
-			if version != o.newVersion {
-				s.violationf("order %s is acknowledged as %d", o.name(), version)
+			if version != change.newVersion {
+				s.violationf("order %s is acknowledged as %d", change.name(), version)
 			}
-			if o.acked {
+			if change.acked {
 				s.counts["acknowledged again"]++
 			} else {
 				s.counts["acknowledged"]++
 			}
-			o.acked, s.knownVersion, s.ackedVersion = true, max(s.knownVersion, o.newVersion), max(s.ackedVersion, o.newVersion)
+			change.acked, s.knownVersion, s.ackedVersion = true, max(s.knownVersion, change.newVersion), max(s.ackedVersion, change.newVersion)
 		case refused:
 			s.counts["refused"]++
-			o.rejection = err
+			change.rejection = err
 		default:
 			s.counts["unclear"]++
 		}
-		if o.acked && o.rejection != nil {
-			s.violationf("an acknowledged order is never refused, a refused one never in force: %s: %v", o.name(), o.rejection)
+		if change.acked && change.rejection != nil {
+			s.violationf("an acknowledged order is never refused, a refused one never in force: %s: %v", change.name(), change.rejection)
 		}
 	})
 	return err == nil || refused
 }
 
 // runOperator is one operator: it sends an order until it has a clear answer, at times two copies at once.
-func (s *changeSearch) runOperator(r *rand.Rand, operator int) {
+func (s *changeSearch) runOperator(random *rand.Rand, operator int) {
 	for !s.stopped.Load() {
-		o := s.nextChange(r, operator)
+		change := s.nextChange(random, operator)
 		for tries := 0; tries < 8 && !s.stopped.Load(); tries++ {
-			n, twin := s.randomNode(r), s.randomNode(r)
-			if n == nil || twin == nil {
+			node, twin := s.randomNode(random), s.randomNode(random)
+			if node == nil || twin == nil {
 				clock.Sleep(s.ctx, 100*time.Millisecond)
 				continue
 			}
-			lost := r.IntN(5) == 0
+			lost := random.IntN(5) == 0
 			var copies sync.WaitGroup
-			if r.IntN(4) == 0 {
-				copies.Go(func() { s.send(r, o, twin, false) })
+			if random.IntN(4) == 0 {
+				copies.Go(func() { s.send(random, change, twin, false) })
 			}
-			answered := s.send(r, o, n, lost)
+			answered := s.send(random, change, node, lost)
 			if copies.Wait(); answered {
 				break
 			}
-			clock.Sleep(s.ctx, time.Duration(10+r.IntN(200))*time.Millisecond)
+			clock.Sleep(s.ctx, time.Duration(10+random.IntN(200))*time.Millisecond)
 		}
-		clock.Sleep(s.ctx, time.Duration(r.IntN(40))*time.Millisecond)
+		clock.Sleep(s.ctx, time.Duration(random.IntN(40))*time.Millisecond)
 	}
 }
 
 // runReader is one reader: versions climb, what was acknowledged before is there, and no refused order is.
-func (s *changeSearch) runReader(r *rand.Rand) {
+func (s *changeSearch) runReader(random *rand.Rand) {
 	for !s.stopped.Load() {
 		clock.Sleep(s.ctx, 50*time.Millisecond)
-		n := s.randomNode(r)
-		if n == nil {
+		node := s.randomNode(random)
+		if node == nil {
 			continue
 		}
 		var before uint64
 		s.locked(func() { before = max(s.ackedVersion, s.knownVersion) })
-		got, version, err := n.ReadRoutingConfig(s.ctx)
+		got, version, err := node.ReadRoutingConfig(s.ctx)
 		if err != nil {
 			continue
 		}
@@ -196,24 +196,24 @@
 
 // injectFaults stops, starts and darkens machines, one at a time, at times all; and has logs turned into
 // snapshots often.
-func (s *changeSearch) injectFaults(r *rand.Rand) {
-	g := s.cluster
+func (s *changeSearch) injectFaults(random *rand.Rand) {
+	cluster := s.cluster
 	for !s.stopped.Load() {
-		clock.Sleep(s.ctx, time.Duration(200+r.IntN(1500))*time.Millisecond)
-		i := 1 + r.IntN(searchMachines)
-		if o := g.leader(); o > 0 && r.IntN(2) == 0 {
+		clock.Sleep(s.ctx, time.Duration(200+random.IntN(1500))*time.Millisecond)
+		i := 1 + random.IntN(searchMachines)
+		if o := cluster.leader(); o > 0 && random.IntN(2) == 0 {
 			i = o
 		}
-		switch r.IntN(5) {
+		switch random.IntN(5) {
 		case 0, 1:
 			s.count("restarted")
 			s.stop(i)
-			clock.Sleep(s.ctx, time.Duration(r.IntN(1000))*time.Millisecond)
+			clock.Sleep(s.ctx, time.Duration(random.IntN(1000))*time.Millisecond)
 			s.start(i, false)
 		case 2, 3:
 			s.count("dark")
 			s.setUnreachable(i, true)
-			clock.Sleep(s.ctx, time.Duration(500+r.IntN(3000))*time.Millisecond)
+			clock.Sleep(s.ctx, time.Duration(500+random.IntN(3000))*time.Millisecond)
 			s.setUnreachable(i, false)
 		case 4:
 			s.count("all restarted")
@@ -239,47 +239,47 @@
 }
 
 func (s *changeSearch) start(i int, first bool) {
-	n := s.cluster.start(i, first)
-	n.shards[0].runOnLoop(s.ctx, func() { n.shards[0].compactThreshold = 4000 })
-	s.locked(func() { s.nodes[i] = n })
+	node := s.cluster.start(i, first)
+	node.shards[0].runOnLoop(s.ctx, func() { node.shards[0].compactThreshold = 4000 })
+	s.locked(func() { s.nodes[i] = node })
 }
 
 // checkFinal checks the whole history, and what is read back in the end.
 func (s *changeSearch) checkFinal() {
 	byBase := map[uint64]*sentChange{}
 	acked := map[uint64]*sentChange{}
-	for _, o := range s.changes {
-		if !o.acked {
+	for _, change := range s.changes {
+		if !change.acked {
 			continue
 		}
-		if other := byBase[o.baseVersion]; other != nil {
-			s.violationf("one acknowledged change a base: %s, %s", other.name(), o.name())
+		if other := byBase[change.baseVersion]; other != nil {
+			s.violationf("one acknowledged change a base: %s, %s", other.name(), change.name())
 		}
-		if other := acked[o.newVersion]; other != nil {
-			s.violationf("one acknowledged change a version: %s, %s", other.name(), o.name())
+		if other := acked[change.newVersion]; other != nil {
+			s.violationf("one acknowledged change a version: %s, %s", other.name(), change.name())
 		}
-		byBase[o.baseVersion], acked[o.newVersion] = o, o
+		byBase[change.baseVersion], acked[change.newVersion] = change, change
 	}
-	for i, n := range s.nodes {
-		got, version, err := n.ReadRoutingConfig(s.ctx)
+	for i, node := range s.nodes {
+		got, version, err := node.ReadRoutingConfig(s.ctx)
 		if err != nil || version < s.ackedVersion {
 			s.violationf("what is read back is the newest that was acknowledged: %d gives %d, %v; %d was acknowledged", i, version, err, s.ackedVersion)
 			continue
 		}
-		if o := acked[version]; o != nil && !o.partial && string(got) != string(body(o.newVersion, o.text)) {
-			s.violationf("%d gives %s as version %d, %s was acknowledged", i, got, version, o.name())
+		if change := acked[version]; change != nil && !change.partial && string(got) != string(body(change.newVersion, change.text)) {
+			s.violationf("%d gives %s as version %d, %s was acknowledged", i, got, version, change.name())
 		}
 		s.readBodies[string(got)] = true
 	}
-	for _, o := range s.changes {
-		if o.rejection != nil && s.readBodies[string(body(o.newVersion, o.text))] {
-			s.violationf("%s was refused, and was read as in force: %v", o.name(), o.rejection)
+	for _, change := range s.changes {
+		if change.rejection != nil && s.readBodies[string(body(change.newVersion, change.text))] {
+			s.violationf("%s was refused, and was read as in force: %v", change.name(), change.rejection)
 		}
 	}
 }
 
 func searchChanges(t *testing.T, seed uint64) *changeSearch {
-	r := rand.New(rand.NewPCG(seed, 22))
+	random := rand.New(rand.NewPCG(seed, 22))
 	s := &changeSearch{t: t, cluster: newTestCluster(t), ctx: t.Context(), nodes: map[int]*Node{}, counts: map[string]int{}, readBodies: map[string]bool{}}
 	s.cluster.seed = seed << 8
 	for i := range searchMachines {
@@ -291,7 +291,7 @@
 	all.Go(func() { s.runReader(rand.New(rand.NewPCG(seed, 23))) })
 	all.Go(func() { s.injectFaults(rand.New(rand.NewPCG(seed, 24))) })
 	for i := range searchOperators {
-		own := rand.New(rand.NewPCG(seed, r.Uint64()))
+		own := rand.New(rand.NewPCG(seed, random.Uint64()))
 		all.Go(func() { s.runOperator(own, i) })
 	}
 	clock.Sleep(s.ctx, searchTime)
--- a/internal/control/controlstate/partition_world_test.go
+++ b/internal/control/controlstate/partition_world_test.go
@@ -26,7 +26,7 @@
 	return &simNetwork{partitioned: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-func (n *simNetwork) update(f func(cut map[[2]string]bool)) {
+func (n *simNetwork) update(f func(partitioned map[[2]string]bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(n.partitioned)
@@ -41,7 +41,7 @@
 	return !n.partitioned[[2]string{from, to}], n.changed
 }
 
-func (n *simNetwork) dial(ctx context.Context, g *testCluster, from, to string) (net.Conn, error) {
+func (n *simNetwork) dial(ctx context.Context, cluster *testCluster, from, to string) (net.Conn, error) {
 	ctx, end := context.WithTimeout(ctx, dialTimeout)
 	defer end()
 	for {
@@ -56,17 +56,17 @@
 			return nil, ctx.Err()
 		}
 	}
-	g.mu.Lock()
-	p := g.listeners[to]
-	g.mu.Unlock()
-	if p == nil {
+	cluster.mu.Lock()
+	listener := cluster.listeners[to]
+	cluster.mu.Unlock()
+	if listener == nil {
 		return nil, errors.New("connection refused")
 	}
 	there, back := newHalfConn(n, from, to), newHalfConn(n, to, from)
 	select {
-	case p.connections <- &netConn{in: there, out: back}:
+	case listener.connections <- &netConn{in: there, out: back}:
 		return &netConn{in: back, out: there}, nil
-	case <-p.closed:
+	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -159,11 +159,11 @@
 	c.out.update(func() { c.out.senderClosed = true })
 	return nil
 }
-func (c *netConn) LocalAddr() net.Addr              { return &net.TCPAddr{} }
-func (c *netConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (c *netConn) SetWriteDeadline(time.Time) error { return nil }
-func (c *netConn) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
-func (c *netConn) SetReadDeadline(t time.Time) error {
-	c.in.update(func() { c.in.deadline = t })
+func (c *netConn) LocalAddr() net.Addr               { return &net.TCPAddr{} }
+func (c *netConn) RemoteAddr() net.Addr              { return &net.TCPAddr{} }
+func (c *netConn) SetWriteDeadline(time.Time) error  { return nil }
+func (c *netConn) SetDeadline(begun time.Time) error { return c.SetReadDeadline(begun) }
+func (c *netConn) SetReadDeadline(begun time.Time) error {
+	c.in.update(func() { c.in.deadline = begun })
 	return nil
 }
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -19,46 +19,46 @@
 	"pebbleloom/internal/wire"
 )
 
-func openTestShard(t *testing.T, d storage.Disk) (*shard, error) {
+func openTestShard(t *testing.T, disk storage.Disk) (*shard, error) {
 	t.Helper()
 	cfg := consensus.Config{Self: "core-2", Members: []string{"core-2", "core-3", "core-4"}, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(1, 1))}
-	return openShard(context.Background(), cfg, d, func() string { return "new" }, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	return openShard(context.Background(), cfg, disk, func() string { return "new" }, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 }
 
 // openRecorded opens the data folder that a core machine of the first release left behind.
 func openRecorded(t *testing.T) *shard {
 	t.Helper()
 	d := newSimDisk()
-	fs, err := filepath.Glob("testdata/recorded-1/*")
-	if err != nil || len(fs) < 2 {
-		t.Fatalf("%v, %v", fs, err)
+	files, err := filepath.Glob("testdata/recorded-1/*")
+	if err != nil || len(files) < 2 {
+		t.Fatalf("%v, %v", files, err)
 	}
-	for _, f := range fs {
+	for _, f := range files {
 		if d.files[filepath.Base(f)], err = os.ReadFile(f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p, err := openTestShard(t, d)
+	replica, err := openTestShard(t, d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return replica
 }
 
 // A data folder that a core machine of the first release left behind is read as it was:
 // testdata/recorded-1 is such a folder, with the setup at epoch 4.
 func TestDataOfTheFirstReleaseIsRead(t *testing.T) {
-	p := openRecorded(t)
-	s := p.core.Status()
-	if s.Blank || s.LastIndex < 4 || s.Term == 0 {
-		t.Fatalf("%+v", s)
+	replica := openRecorded(t)
+	status := replica.core.Status()
+	if status.Blank || status.LastIndex < 4 || status.Term == 0 {
+		t.Fatalf("%+v", status)
 	}
-	for _, e := range p.core.UnappliedEntries() { // it commits with the colleagues; here it is enough that it is read
-		p.applyEntry(e)
+	for _, entry := range replica.core.UnappliedEntries() { // it commits with the colleagues; here it is enough that it is read
+		replica.applyEntry(entry)
 	}
-	x, err := serviceconfig.Decode(p.state.documents[controlclient.ConfigKey].GetBody())
-	if err != nil || p.state.documents[controlclient.ConfigKey].Version != 4 || x.Models["gisa"].Weights != 4 || len(x.Tenants) != 8 {
-		t.Fatalf("epoch %d, %+v, %v", p.state.documents[controlclient.ConfigKey].GetVersion(), x, err)
+	config, err := serviceconfig.Decode(replica.state.documents[controlclient.ConfigKey].GetBody())
+	if err != nil || replica.state.documents[controlclient.ConfigKey].Version != 4 || config.Models["gisa"].Weights != 4 || len(config.Tenants) != 8 {
+		t.Fatalf("epoch %d, %+v, %v", replica.state.documents[controlclient.ConfigKey].GetVersion(), config, err)
 	}
 }
 
@@ -73,11 +73,11 @@
 		"a later state": {Format: 1, HardState: &wire.HardState{Incarnation: "x"}, State: state},
 	} {
 		d := newSimDisk()
-		sh, _, err := storage.Open(d)
+		store, _, err := storage.Open(d)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := sh.SaveSnapshot(slot, nil); err != nil {
+		if err := store.SaveSnapshot(slot, nil); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := openTestShard(t, d); errs.KindOf(err) != errs.DiskBad {
--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -13,7 +13,7 @@
 // A service's part takes a retirement only beside what it can stand beside: no other one of the base, no
 // move of the service that is under way; and no move once it has begun. Both are named.
 func TestRetirementsBesideOthers(t *testing.T) {
-	p, err := openTestShard(t, newSimDisk())
+	replica, err := openTestShard(t, newSimDisk())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,17 +22,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.state.documents[key] = &wire.Document{Key: key, Body: body, Version: 1}
+		replica.state.documents[key] = &wire.Document{Key: key, Body: body, Version: 1}
 	}
 	ret := func(name, state string) *retire.Retirement {
 		return &retire.Retirement{Name: name, Service: "s", OldBase: "a", NewBase: "b", State: state}
 	}
-	try := func(r *retire.Retirement) error {
-		b, err := r.Write()
+	try := func(retirement *retire.Retirement) error {
+		b, err := retirement.Write()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p.validateRetirement(&wire.Put{Key: retire.Key("s", r.Name), Body: b})
+		return replica.validateRetirement(&wire.Put{Key: retire.Key("s", retirement.Name), Body: b})
 	}
 	move := &calendar.Entry{Name: "night", Service: "s", Kind: calendar.KindRelease, State: calendar.StatePlanned}
 	if err := try(ret("spring", retire.StatePlanned)); err != nil {
@@ -43,10 +43,10 @@
 	if err := try(ret("summer", retire.StatePlanned)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
 		t.Errorf("two of one base: %v", err)
 	}
-	if err := p.validateRetirement(&wire.Put{Key: retire.Key("other", "spring"), Body: b}); errs.KindOf(err) != errs.BadInput {
+	if err := replica.validateRetirement(&wire.Put{Key: retire.Key("other", "spring"), Body: b}); errs.KindOf(err) != errs.BadInput {
 		t.Errorf("under another key: %v", err)
 	}
-	if err := p.validateRetirement(&wire.Put{Key: retire.Key("s", "spring"), Body: []byte(`{"odd":1}`)}); errs.KindOf(err) != errs.BadInput {
+	if err := replica.validateRetirement(&wire.Put{Key: retire.Key("s", "spring"), Body: []byte(`{"odd":1}`)}); errs.KindOf(err) != errs.BadInput {
 		t.Errorf("what can't be read: %v", err)
 	}
 	m, err := move.Encode()
@@ -54,13 +54,13 @@
 	if err := try(ret("spring", retire.StateRunning)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
 		t.Errorf("begun beside a planned move: %v", err)
 	}
-	delete(p.state.documents, calendar.Key("s", "night"))
+	delete(replica.state.documents, calendar.Key("s", "night"))
 	if err := try(ret("spring", retire.StateRunning)); err != nil {
 		t.Errorf("begun: %v", err)
 	}
 	b, err = ret("spring", retire.StateRunning).Write()
 	have(retire.Key("s", "spring"), b, err)
-	if err := p.validateCalendarEntry(&wire.Put{Key: calendar.Key("s", "night"), Body: m}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
+	if err := replica.validateCalendarEntry(&wire.Put{Key: calendar.Key("s", "night"), Body: m}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
 		t.Errorf("a move beside one that runs: %v", err)
 	}
 }
--- a/internal/control/controlstate/second_loss_leave_test.go
+++ b/internal/control/controlstate/second_loss_leave_test.go
@@ -51,10 +51,10 @@
 	}
 }
 
-func (r *lossRun) otherMember(a, b *groupSimNode) *groupSimNode {
-	for _, n := range r.nodes {
-		if n != a && n != b && r.isMember(n) {
-			return n
+func (r *lossRun) otherMember(first, second *groupSimNode) *groupSimNode {
+	for _, node := range r.nodes {
+		if node != first && node != second && r.isMember(node) {
+			return node
 		}
 	}
 	return nil
--- a/internal/control/controlstate/second_loss_net_test.go
+++ b/internal/control/controlstate/second_loss_net_test.go
@@ -18,53 +18,53 @@
 // they name; one that can't be reached costs the whole wait for an answer.
 func (r *lossRun) runJoinLoops() {
 	bounds := settings.Default()
-	for _, n := range r.nodes {
-		n.nextJoin = farFuture
-		j := r.joins[n]
-		if j == nil || j.generation != n.generation {
-			j = &joinState{generation: n.generation, silent: map[string]bool{}}
-			r.joins[n] = j
+	for _, node := range r.nodes {
+		node.nextJoin = farFuture
+		join := r.joins[node]
+		if join == nil || join.generation != node.generation {
+			join = &joinState{generation: node.generation, silent: map[string]bool{}}
+			r.joins[node] = join
 		}
-		if !r.isHealthy(n) || r.now < j.nextAttempt {
+		if !r.isHealthy(node) || r.now < join.nextAttempt {
 			continue
 		}
-		j.nextAttempt = r.now + bounds.Heal(joinIntervalRatio)
-		if n.shard.needsJoin() {
-			j.nextAttempt += r.requestJoin(n, j, bounds.Heal(joinTimeoutRatio))
+		join.nextAttempt = r.now + bounds.Heal(joinIntervalRatio)
+		if node.shard.needsJoin() {
+			join.nextAttempt += r.requestJoin(node, join, bounds.Heal(joinTimeoutRatio))
 		}
 	}
 }
 
-func (r *lossRun) requestJoin(n *groupSimNode, j *joinState, timeout time.Duration) (cost time.Duration) {
+func (r *lossRun) requestJoin(node *groupSimNode, join *joinState, timeout time.Duration) (cost time.Duration) {
 	var others []string
-	for _, m := range r.nodes {
-		if m != n {
-			others = append(others, m.addr)
+	for _, peer := range r.nodes {
+		if peer != node {
+			others = append(others, peer.addr)
 		}
 	}
 	vain := 0
-	for _, addr := range joinCandidates(others, func(a string) bool { return j.silent[a] }, j.turn) {
-		m := r.node(addr)
+	for _, addr := range joinCandidates(others, func(a string) bool { return join.silent[a] }, join.turn) {
+		peer := r.node(addr)
 		for range 2 {
-			if m == nil || m == n {
+			if peer == nil || peer == node {
 				break
 			}
-			if !r.isHealthy(m) || r.callFails(n.addr, m.addr) {
+			if !r.isHealthy(peer) || r.callFails(node.addr, peer.addr) {
 				cost += timeout
-				j.silent[m.addr] = true
+				join.silent[peer.addr] = true
 				break
 			}
-			delete(j.silent, m.addr)
-			t := m.shard.handleJoin(&wire.JoinRequest{Name: n.shard.core.Self()})
-			if r.runStep(m); t.Outcome == wire.OutcomeDone {
+			delete(join.silent, peer.addr)
+			response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
+			if r.runStep(peer); response.Outcome == wire.OutcomeDone {
 				r.counts["taken in"]++
 				return cost
 			}
-			m = r.node(controlclient.MemberAddr(t.Leader))
+			peer = r.node(controlclient.MemberAddr(response.Leader))
 		}
 		vain++
 	}
-	j.turn += vain
+	join.turn += vain
 	return cost
 }
 
@@ -76,9 +76,9 @@
 	put := &wire.Put{Key: fleet.PlacementKey + "large", Body: make([]byte, size), AnyVersion: true, Token: "large"}
 	acknowledged := false
 	r.waitUntil(4*time.Second, func() bool {
-		if n := r.leader(); n != nil && !acknowledged {
-			r.sendCommand(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeResponse) {
-				acknowledged = acknowledged || t.Outcome == wire.OutcomeDone
+		if node := r.leader(); node != nil && !acknowledged {
+			r.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(response *wire.ChangeResponse) {
+				acknowledged = acknowledged || response.Outcome == wire.OutcomeDone
 			})
 		}
 		r.waitUntil(500*time.Millisecond, func() bool { return acknowledged })
@@ -92,23 +92,23 @@
 func (r *lossRun) memberCount() int { return len(r.newestMembership()) }
 
 // throttle has each message take the time of its bytes on its sender's link, one after another.
-func (r *lossRun) throttle(n *groupSimNode) {
-	if r.bytesPerSecond == 0 || n.shard == nil || r.throttled[n] == n.generation {
+func (r *lossRun) throttle(node *groupSimNode) {
+	if r.bytesPerSecond == 0 || node.shard == nil || r.throttled[node] == node.generation {
 		return
 	}
-	r.throttled[n] = n.generation
-	direct, incarnation := n.shard.send, n.generation
+	r.throttled[node] = node.generation
+	direct, incarnation := node.shard.send, node.generation
 	free := r.now
-	n.shard.send = func(m *wire.Message) {
-		free = max(free, r.now) + time.Duration(float64(proto.Size(m))/r.bytesPerSecond*float64(time.Second))
+	node.shard.send = func(message *wire.Message) {
+		free = max(free, r.now) + time.Duration(float64(proto.Size(message))/r.bytesPerSecond*float64(time.Second))
 		if free-r.now < groupSimStep {
-			direct(m)
+			direct(message)
 			return
 		}
-		m = proto.Clone(m).(*wire.Message)
+		message = proto.Clone(message).(*wire.Message)
 		r.scheduleAt(free, func() {
-			if n.generation == incarnation {
-				direct(m)
+			if node.generation == incarnation {
+				direct(message)
 			}
 		})
 	}
--- a/internal/control/controlstate/second_loss_node_test.go
+++ b/internal/control/controlstate/second_loss_node_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-func (g *testCluster) putVersion(version uint64) {
-	g.t.Helper()
-	g.waitUntil("a plan", 6*time.Second, func() bool {
-		for _, n := range g.nodes {
-			if _, err := n.PutRoutingConfig(context.Background(), version-1, body(version, "x"), false); err == nil {
+func (c *testCluster) putVersion(version uint64) {
+	c.t.Helper()
+	c.waitUntil("a plan", 6*time.Second, func() bool {
+		for _, node := range c.nodes {
+			if _, err := node.PutRoutingConfig(context.Background(), version-1, body(version, "x"), false); err == nil {
 				return true
 			}
 		}
@@ -22,17 +22,17 @@
 }
 
 // awaitSpare waits until the leader replicates to a learner that it could add.
-func (g *testCluster) awaitSpare() {
-	g.t.Helper()
-	g.waitUntil("a spare", 6*time.Second, func() bool {
-		leader := g.leader()
+func (c *testCluster) awaitSpare() {
+	c.t.Helper()
+	c.waitUntil("a spare", 6*time.Second, func() bool {
+		leader := c.leader()
 		if leader == 0 {
 			return false
 		}
-		p := g.nodes[g.addr(leader)].shards[0]
-		return query(context.Background(), p, false, func() bool {
-			for _, x := range p.core.PeerStatuses() {
-				if !x.IsVoter && x.CaughtUp {
+		replica := c.nodes[c.addr(leader)].shards[0]
+		return query(context.Background(), replica, false, func() bool {
+			for _, peer := range replica.core.PeerStatuses() {
+				if !peer.IsVoter && peer.CaughtUp {
 					return true
 				}
 			}
@@ -41,8 +41,8 @@
 	})
 }
 
-func (g *testCluster) isMember(i int) bool {
-	return slices.ContainsFunc(g.members(), func(m string) bool { return strings.HasPrefix(m, g.addr(i)+"/") })
+func (c *testCluster) isMember(i int) bool {
+	return slices.ContainsFunc(c.members(), func(m string) bool { return strings.HasPrefix(m, c.addr(i)+"/") })
 }
 
 // A member that leaves in order has its place taken by the spare before it goes, be it the leader or a
@@ -50,35 +50,35 @@
 func TestAPlannedLeaveIsReplacedBeforeItGoes(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			g := newTestCluster(t)
+			cluster := newTestCluster(t)
 			for i := range 4 {
-				g.start(i+1, true)
+				cluster.start(i+1, true)
 			}
-			defer g.stopAll()
-			g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-			g.putVersion(1)
-			g.awaitSpare()
-			leaver := g.leader()
+			defer cluster.stopAll()
+			cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
+			cluster.putVersion(1)
+			cluster.awaitSpare()
+			leaver := cluster.leader()
 			if !leads {
 				leaver = leaver%3 + 1
 			}
 			begun := time.Now()
-			g.stop(leaver)
+			cluster.stop(leaver)
 			took := time.Since(begun)
 			if took > 1500*time.Millisecond {
 				t.Errorf("leads %v: to stop took %v", leads, took)
 			}
-			if l := g.members(); len(l) != 3 || g.isMember(leaver) {
+			if l := cluster.members(); len(l) != 3 || cluster.isMember(leaver) {
 				t.Errorf("leads %v: after machine %d stopped the members are %v", leads, leaver, l)
 			}
 			// The next loss strikes at once, the leader first; its disk is gone for good.
-			next := g.leader()
-			g.makeUnreachable(next)
-			delete(g.nodes, g.addr(next))
+			next := cluster.leader()
+			cluster.makeUnreachable(next)
+			delete(cluster.nodes, cluster.addr(next))
 			t.Logf("leads %v: stopped after %v, the next leader lost, a plan after %v", leads, took,
-				g.waitUntil("another leader", 3*time.Second, func() bool { o := g.leader(); return o > 0 && o != next }))
-			g.putVersion(2)
-			g.processes[g.addr(next)].Stop(time.Millisecond)
+				cluster.waitUntil("another leader", 3*time.Second, func() bool { o := cluster.leader(); return o > 0 && o != next }))
+			cluster.putVersion(2)
+			cluster.processes[cluster.addr(next)].Stop(time.Millisecond)
 		})
 	}
 }
@@ -87,24 +87,24 @@
 // the membership each, never more, and a plan is taken between any two of them at once.
 func TestARollingRestartChangesEachMemberOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newTestCluster(t)
+		cluster := newTestCluster(t)
 		for i := range 4 {
-			g.start(i+1, true)
+			cluster.start(i+1, true)
 		}
-		defer g.stopAll()
-		g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		g.putVersion(1)
-		g.awaitSpare()
+		defer cluster.stopAll()
+		cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
+		cluster.putVersion(1)
+		cluster.awaitSpare()
 		for i := range 4 {
-			before := g.membershipIndex()
+			before := cluster.membershipIndex()
 			begun := time.Now()
-			g.stop(i + 1)
+			cluster.stop(i + 1)
 			took := time.Since(begun)
-			g.start(i+1, false)
-			g.putVersion(uint64(i + 2))
-			g.awaitSpare()
-			t.Logf("machine %d stopped after %v; a spare is known after %v; the membership's entry went from %d to %d", i+1, took, time.Since(begun), before, g.membershipIndex())
-			if l := g.members(); len(l) != 3 {
+			cluster.start(i+1, false)
+			cluster.putVersion(uint64(i + 2))
+			cluster.awaitSpare()
+			t.Logf("machine %d stopped after %v; a spare is known after %v; the membership's entry went from %d to %d", i+1, took, time.Since(begun), before, cluster.membershipIndex())
+			if l := cluster.members(); len(l) != 3 {
 				t.Errorf("after machine %d the members are %v", i+1, l)
 			}
 			if took > 2*time.Second {
@@ -114,9 +114,9 @@
 	})
 }
 
-func (g *testCluster) membershipIndex() (index uint64) {
-	for _, n := range g.nodes {
-		index = max(index, n.shards[0].published.current().index)
+func (c *testCluster) membershipIndex() (index uint64) {
+	for _, node := range c.nodes {
+		index = max(index, node.shards[0].published.current().index)
 	}
 	return index
 }
@@ -125,18 +125,18 @@
 // acknowledged is there when they start again.
 func TestAllMachinesMayStopAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newTestCluster(t)
+		cluster := newTestCluster(t)
 		for i := range 4 {
-			g.start(i+1, true)
+			cluster.start(i+1, true)
 		}
-		defer g.stopAll()
-		g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		g.putVersion(1)
-		g.awaitSpare()
+		defer cluster.stopAll()
+		cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
+		cluster.putVersion(1)
+		cluster.awaitSpare()
 		begun := time.Now()
 		done := make(chan int)
 		for i := range 4 {
-			go func() { g.processes[g.addr(i+1)].Stop(time.Second); done <- i }()
+			go func() { cluster.processes[cluster.addr(i+1)].Stop(time.Second); done <- i }()
 		}
 		for range 4 {
 			<-done
@@ -146,13 +146,13 @@
 		} else {
 			t.Logf("all had stopped after %v", took)
 		}
-		clear(g.nodes)
+		clear(cluster.nodes)
 		for i := range 4 {
-			g.start(i+1, false)
+			cluster.start(i+1, false)
 		}
-		g.waitUntil("the plan", 6*time.Second, func() bool {
-			_, v, err := g.nodes[g.addr(1)].ReadRoutingConfig(context.Background())
-			return err == nil && v == 1
+		cluster.waitUntil("the plan", 6*time.Second, func() bool {
+			_, version, err := cluster.nodes[cluster.addr(1)].ReadRoutingConfig(context.Background())
+			return err == nil && version == 1
 		})
 	})
 }
@@ -161,27 +161,27 @@
 // well before the time after which it no longer counts as lost, though its log names it a voter.
 func TestARemovedMemberComesBackAsASpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newTestCluster(t)
+		cluster := newTestCluster(t)
 		for i := range 4 {
-			g.start(i+1, true)
+			cluster.start(i+1, true)
 		}
-		defer g.stopAll()
-		g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		g.putVersion(1)
-		g.awaitSpare()
-		away := g.leader()%3 + 1
-		g.makeUnreachable(away)
-		g.processes[g.addr(away)].Stop(time.Millisecond)
-		delete(g.nodes, g.addr(away))
-		g.waitUntil("its place is taken", 6*time.Second, func() bool { return len(g.members()) == 3 && !g.isMember(away) })
-		g.mu.Lock()
-		g.unreachable[g.addr(away)] = false
-		g.mu.Unlock()
-		g.start(away, false)
-		took := g.waitUntil("it is a spare again", 3*time.Second, func() bool {
-			p := g.nodes[g.addr(away)].shards[0]
-			return query(context.Background(), p, false, func() bool {
-				return !p.core.IsVoter(p.core.Self()) && p.core.Status().Leader != ""
+		defer cluster.stopAll()
+		cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
+		cluster.putVersion(1)
+		cluster.awaitSpare()
+		away := cluster.leader()%3 + 1
+		cluster.makeUnreachable(away)
+		cluster.processes[cluster.addr(away)].Stop(time.Millisecond)
+		delete(cluster.nodes, cluster.addr(away))
+		cluster.waitUntil("its place is taken", 6*time.Second, func() bool { return len(cluster.members()) == 3 && !cluster.isMember(away) })
+		cluster.mu.Lock()
+		cluster.unreachable[cluster.addr(away)] = false
+		cluster.mu.Unlock()
+		cluster.start(away, false)
+		took := cluster.waitUntil("it is a spare again", 3*time.Second, func() bool {
+			replica := cluster.nodes[cluster.addr(away)].shards[0]
+			return query(context.Background(), replica, false, func() bool {
+				return !replica.core.IsVoter(replica.core.Self()) && replica.core.Status().Leader != ""
 			})
 		})
 		t.Logf("a spare again after %v", took)
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -39,11 +39,11 @@
 type repairStep struct{ memberships [][]string }
 
 // steps are the states of a repair, before, in flight and committed, change by change.
-func (r repairCase) steps(order string) (l []repairStep) {
+func (r repairCase) steps(order string) (steps []repairStep) {
 	now := r.members
-	l = append(l, repairStep{[][]string{{now}}})
+	steps = append(steps, repairStep{[][]string{{now}}})
 	change := func(to string) {
-		l = append(l, repairStep{[][]string{{now}, {to}}}, repairStep{[][]string{{to}}})
+		steps = append(steps, repairStep{[][]string{{now}, {to}}}, repairStep{[][]string{{to}}})
 		now = to
 	}
 	for i, x := range strings.Split(r.lost, "") {
@@ -62,18 +62,18 @@
 			change(strings.Replace(now, x, "", 1))
 		case orderJoint:
 			to := strings.Replace(now, x, "", 1) + newcomer
-			l = append(l, repairStep{[][]string{{now}, {now, to}}}, repairStep{[][]string{{now, to}}},
+			steps = append(steps, repairStep{[][]string{{now}, {now, to}}}, repairStep{[][]string{{now, to}}},
 				repairStep{[][]string{{now, to}, {to}}}, repairStep{[][]string{{to}}})
 			now = to
 		}
 	}
-	return l
+	return steps
 }
 
 // hasQuorum reports whether the group can go on without those that are lost, whichever of the
 // memberships that are in flight the next leader's log holds.
-func (s repairStep) hasQuorum(lost string) bool {
-	for _, together := range s.memberships {
+func (step repairStep) hasQuorum(lost string) bool {
+	for _, together := range step.memberships {
 		for _, members := range together {
 			alive := 0
 			for _, m := range members {
@@ -90,9 +90,9 @@
 }
 
 // tolerated is how many machines more may be lost, whichever they are.
-func (s repairStep) tolerated(lost string) int {
+func (step repairStep) tolerated(lost string) int {
 	all := map[rune]bool{}
-	for _, together := range s.memberships {
+	for _, together := range step.memberships {
 		for _, members := range together {
 			for _, m := range members {
 				all[m] = !strings.ContainsRune(lost, m)
@@ -105,11 +105,11 @@
 			alive = append(alive, m)
 		}
 	}
-	if !s.hasQuorum(lost) {
+	if !step.hasQuorum(lost) {
 		return -1
 	}
 	for k := 1; ; k++ {
-		if !everySubset(alive, k, lost, s.hasQuorum) {
+		if !everySubset(alive, k, lost, step.hasQuorum) {
 			return k - 1
 		}
 	}
@@ -140,14 +140,14 @@
 	if r.failure == failureLeaving { // it is there until the change is done, then it stops
 		steps = append(steps, steps[len(steps)-1])
 	}
-	for i, s := range steps {
+	for i, step := range steps {
 		lost := r.lost
 		if r.failure == failureLeaving && i < len(steps)-1 {
 			lost = ""
 		}
-		row.tolerated = append(row.tolerated, s.tolerated(lost))
+		row.tolerated = append(row.tolerated, step.tolerated(lost))
 		for column, hit := range map[string]string{secondLossColumns[0]: lost + "A", secondLossColumns[1]: lost + "B", secondLossColumns[2]: lost + "N", secondLossColumns[3]: "A"} {
-			if !s.hasQuorum(hit) {
+			if !step.hasQuorum(hit) {
 				row.stepsWithoutQuorum[column] = append(row.stepsWithoutQuorum[column], i)
 			}
 		}
@@ -180,24 +180,24 @@
 	var b strings.Builder
 	b.WriteString("| members | first loss | newcomers | order | losses tolerated, step by step | no quorum if then lost: " + strings.Join(secondLossColumns, " | ") + " |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|\n")
-	for _, w := range evaluatedRepairs {
-		for _, order := range w.orders {
-			row := w.row(order)
+	for _, evaluated := range evaluatedRepairs {
+		for _, order := range evaluated.orders {
+			row := evaluated.row(order)
 			name := order
-			if order == w.chosenOrder {
+			if order == evaluated.chosenOrder {
 				name = "**" + order + "**"
 			}
 			var cells []string
 			for _, c := range secondLossColumns {
 				cells = append(cells, formatSteps(row.stepsWithoutQuorum[c]))
 			}
-			if w.failure != failureSilent {
+			if evaluated.failure != failureSilent {
 				cells[3] = "" // it doesn't come back
 			}
-			if w.newcomer == "" {
+			if evaluated.newcomer == "" {
 				cells[2] = ""
 			}
-			fmt.Fprintf(&b, "| %d | %s: %s | %d | %s | %s | %s |\n", len(w.members), w.lost, w.failure, len(w.newcomer), name,
+			fmt.Fprintf(&b, "| %d | %s: %s | %d | %s | %s | %s |\n", len(evaluated.members), evaluated.lost, evaluated.failure, len(evaluated.newcomer), name,
 				strings.Trim(fmt.Sprint(row.tolerated), "[]"), strings.Join(cells, " | "))
 		}
 	}
@@ -226,13 +226,13 @@
 	if !strings.Contains(string(page), table) {
 		t.Errorf("docs/control.md lacks this table:\n%s", table)
 	}
-	for _, w := range evaluatedRepairs {
-		row := w.row(w.chosenOrder)
-		if w.chosenOrder != orderNone && slices.Min(row.tolerated) < row.tolerated[0] {
-			t.Errorf("%+v, %s: %v are tolerated step by step", w.repairCase, w.chosenOrder, row.tolerated)
+	for _, evaluated := range evaluatedRepairs {
+		row := evaluated.row(evaluated.chosenOrder)
+		if evaluated.chosenOrder != orderNone && slices.Min(row.tolerated) < row.tolerated[0] {
+			t.Errorf("%+v, %s: %v are tolerated step by step", evaluated.repairCase, evaluated.chosenOrder, row.tolerated)
 		}
-		if w.failure != failureLeaving && len(row.stepsWithoutQuorum[secondLossColumns[2]]) > 0 {
-			t.Errorf("%+v, %s: the newcomer is needed at %v", w.repairCase, w.chosenOrder, row.stepsWithoutQuorum[secondLossColumns[2]])
+		if evaluated.failure != failureLeaving && len(row.stepsWithoutQuorum[secondLossColumns[2]]) > 0 {
+			t.Errorf("%+v, %s: the newcomer is needed at %v", evaluated.repairCase, evaluated.chosenOrder, row.stepsWithoutQuorum[secondLossColumns[2]])
 		}
 	}
 	if len(evaluatedRepairs[0].row(orderAddFirst).stepsWithoutQuorum[secondLossColumns[2]]) == 0 {
@@ -242,13 +242,13 @@
 
 // The policy takes the steps that were chosen, from any of them on, whatever was done before.
 func TestThePolicyTakesTheChosenSteps(t *testing.T) {
-	for _, w := range evaluatedRepairs {
-		members := strings.Split(w.members, "")
+	for _, evaluated := range evaluatedRepairs {
+		members := strings.Split(evaluated.members, "")
 		var got []string
-		for range 2 * len(w.lost) {
-			v := membershipPlanner{self: "A/0", members: memberNames(members), peers: w.peers(members), targetSize: len(w.members),
-				zoneOf: func(string) string { return "" }, isLeaving: func(m string) bool { return w.failure == failureLeaving && m == "X/0" }}
-			next := v.next()
+		for range 2 * len(evaluated.lost) {
+			planner := membershipPlanner{self: "A/0", members: memberNames(members), peers: evaluated.peers(members), targetSize: len(evaluated.members),
+				zoneOf: func(string) string { return "" }, isLeaving: func(m string) bool { return evaluated.failure == failureLeaving && m == "X/0" }}
+			next := planner.next()
 			if next == nil {
 				break
 			}
@@ -259,16 +259,16 @@
 			got = append(got, strings.Join(members, ""))
 		}
 		var want []string
-		for i, s := range w.steps(w.chosenOrder) {
+		for i, step := range evaluated.steps(evaluated.chosenOrder) {
 			if i > 0 && i%2 == 0 {
-				want = append(want, s.memberships[0][0])
+				want = append(want, step.memberships[0][0])
 			}
 		}
-		if w.failure == failureWiped && len(w.lost) == 2 && w.newcomer != "" {
+		if evaluated.failure == failureWiped && len(evaluated.lost) == 2 && evaluated.newcomer != "" {
 			want = []string{"ABCY", "ABC", "ABCN", "ABCNM"} // both at once: neither can ever vote
 		}
 		if fmt.Sprint(sortLetters(got)) != fmt.Sprint(sortLetters(want)) {
-			t.Errorf("%+v: the policy's steps are %v, chosen are %v", w.repairCase, got, want)
+			t.Errorf("%+v: the policy's steps are %v, chosen are %v", evaluated.repairCase, got, want)
 		}
 	}
 }
@@ -290,25 +290,25 @@
 }
 
 // peers is how the leader sees the group: a wiped member's successor is at its address.
-func (w evaluatedRepair) peers(members []string) (l []consensus.PeerStatus) {
+func (e evaluatedRepair) peers(members []string) (peers []consensus.PeerStatus) {
 	for _, m := range members {
-		p := consensus.PeerStatus{Name: m + "/0", IsVoter: true, ContactAge: 1, Responded: true, CaughtUp: true}
-		if strings.Contains(w.lost, m) && w.failure != failureLeaving {
-			p.ContactAge = replaceAfterTicks
+		peer := consensus.PeerStatus{Name: m + "/0", IsVoter: true, ContactAge: 1, Responded: true, CaughtUp: true}
+		if strings.Contains(e.lost, m) && e.failure != failureLeaving {
+			peer.ContactAge = replaceAfterTicks
 		}
 		if m != "A" {
-			l = append(l, p)
+			peers = append(peers, peer)
 		}
 	}
-	for _, m := range w.newcomer {
+	for _, m := range e.newcomer {
 		if !slices.Contains(members, string(m)) {
-			l = append(l, consensus.PeerStatus{Name: string(m) + "/0", ContactAge: 2, Responded: true, CaughtUp: true})
+			peers = append(peers, consensus.PeerStatus{Name: string(m) + "/0", ContactAge: 2, Responded: true, CaughtUp: true})
 		}
 	}
-	if w.failure == failureWiped {
-		for _, m := range w.lost {
-			l = append(l, consensus.PeerStatus{Name: string(m) + "/7", ContactAge: 2, Responded: true})
+	if e.failure == failureWiped {
+		for _, m := range e.lost {
+			peers = append(peers, consensus.PeerStatus{Name: string(m) + "/7", ContactAge: 2, Responded: true})
 		}
 	}
-	return l
+	return peers
 }
--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -17,20 +17,20 @@
 		return false, 0
 	}
 	r.waitUntil(time.Second, func() bool { return false })
-	n := r.leader()
+	node := r.leader()
 	if r.scenario.firstTarget == targetFollower {
-		n = r.follower()
+		node = r.follower()
 	}
-	if n == nil {
+	if node == nil {
 		r.violationf("nobody to strike")
 		return false, 0
 	}
-	origin := r.originOf(n)
+	origin := r.originOf(node)
 	r.initialTolerance = r.toleratedNow()
-	for struck := 0; struck < r.scenario.toleratedLosses && n != nil; struck++ {
-		r.injectLoss(r.scenario.first, n)
+	for struck := 0; struck < r.scenario.toleratedLosses && node != nil; struck++ {
+		r.injectLoss(r.scenario.first, node)
 		r.initialTolerance--
-		n = r.follower()
+		node = r.follower()
 	}
 	r.checkMargins = true
 	r.waitUntil(r.scenario.delay, func() bool { return false })
@@ -58,9 +58,9 @@
 	case targetFollower:
 		return r.follower()
 	}
-	for _, n := range r.nodes {
-		if r.originOf(n) == origin && !n.isRemoved && n.shard != nil {
-			return n
+	for _, node := range r.nodes {
+		if r.originOf(node) == origin && !node.isRemoved && node.shard != nil {
+			return node
 		}
 	}
 	return nil
@@ -102,7 +102,7 @@
 
 // secondLosses lists the runs of a site: every pair of losses, every target, and the second loss at
 // every tick of the repair. `SECOND_LOSS=full` plays all of them, else one in so many is played.
-func secondLosses(machines, tolerate int) (l []lossScenario) {
+func secondLosses(machines, tolerate int) (scenarios []lossScenario) {
 	every := 97
 	if os.Getenv("SECOND_LOSS") == "full" {
 		every = 1
@@ -114,7 +114,7 @@
 				for _, firstAt := range []string{targetLeader, targetFollower} {
 					for after := time.Duration(0); after <= awayTime+catchUpTime+time.Second; after += time.Second / 10 {
 						if n++; n%every == 0 {
-							l = append(l, lossScenario{machines: machines, toleratedLosses: tolerate, first: first, second: second, firstTarget: firstAt,
+							scenarios = append(scenarios, lossScenario{machines: machines, toleratedLosses: tolerate, first: first, second: second, firstTarget: firstAt,
 								secondTarget: target, delay: after, seed: uint64(n)})
 						}
 					}
@@ -122,7 +122,7 @@
 			}
 		}
 	}
-	return l
+	return scenarios
 }
 
 // Each kind of loss strikes a whole group, and a second loss strikes at every step of the repair: no
@@ -137,13 +137,13 @@
 			t.Parallel()
 			sum := map[string]int{}
 			runs, tolerated, longest := 0, 0, time.Duration(0)
-			for _, x := range secondLosses(site.machines, site.tolerate) {
-				x.seed += from
-				r := newLossRun(x)
+			for _, scenario := range secondLosses(site.machines, site.tolerate) {
+				scenario.seed += from
+				r := newLossRun(scenario)
 				within, took := r.runScenario()
 				r.checkEnd()
 				if len(r.violations) > 0 {
-					t.Fatalf("%v: %s\n%s", x, r.violations[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
+					t.Fatalf("%v: %s\n%s", scenario, r.violations[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
 				}
 				if runs++; within {
 					tolerated++
@@ -195,8 +195,8 @@
 		r.waitUntil(gap, func() bool { return false })
 	}
 	r.tracef("all lose power")
-	for _, n := range r.nodes {
-		r.kill(n, true, awayTime)
+	for _, node := range r.nodes {
+		r.kill(node, true, awayTime)
 	}
 	r.waitUntil(awayTime, func() bool { return false })
 	took, ok := r.waitUntil(2*quorumWithin, r.acknowledgedSince(r.now))
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -53,9 +53,9 @@
 	seed                      uint64
 }
 
-func (x lossScenario) String() string {
-	return fmt.Sprintf("%d machines, %d tolerated, seed %d: %s of the %s, after %v %s of the %s", x.machines, x.toleratedLosses, x.seed,
-		x.first, x.firstTarget, x.delay, x.second, x.secondTarget)
+func (scenario lossScenario) String() string {
+	return fmt.Sprintf("%d machines, %d tolerated, seed %d: %s of the %s, after %v %s of the %s", scenario.machines, scenario.toleratedLosses, scenario.seed,
+		scenario.first, scenario.firstTarget, scenario.delay, scenario.second, scenario.secondTarget)
 }
 
 // lossRun is the state of one run.
@@ -82,22 +82,22 @@
 	silent      map[string]bool // addresses that gave no answer the last time
 }
 
-func newLossRun(x lossScenario) *lossRun {
-	s := &groupSim{seed: x.seed, random: rand.New(rand.NewPCG(x.seed, 7)), partitioned: map[string]bool{}, counts: map[string]int{}, founding: true, toleratedLosses: x.toleratedLosses,
+func newLossRun(scenario lossScenario) *lossRun {
+	s := &groupSim{seed: scenario.seed, random: rand.New(rand.NewPCG(scenario.seed, 7)), partitioned: map[string]bool{}, counts: map[string]int{}, founding: true, toleratedLosses: scenario.toleratedLosses,
 		fencingTokenHolders: map[uint64]string{}, edge: &simEdge{confirmedAt: map[string]time.Duration{}},
 		longPartition: map[string]bool{}, eventHooks: map[string]func(){}, compactAt: lossCompactAt}
-	for i := range x.machines {
-		n := s.addNode()
+	for i := range scenario.machines {
+		node := s.addNode()
 		if i < 3 {
-			s.seeds = append(s.seeds, n.addr)
+			s.seeds = append(s.seeds, node.addr)
 		}
 	}
-	for _, n := range s.nodes {
-		s.start(n)
-		n.nextJoin = farFuture
+	for _, node := range s.nodes {
+		s.start(node)
+		node.nextJoin = farFuture
 	}
 	s.founding = false
-	return &lossRun{groupSim: s, scenario: x, lostUntil: map[string]time.Duration{}, originalAddrs: map[string]string{}, joins: map[*groupSimNode]*joinState{}, throttled: map[*groupSimNode]int{}}
+	return &lossRun{groupSim: s, scenario: scenario, lostUntil: map[string]time.Duration{}, originalAddrs: map[string]string{}, joins: map[*groupSimNode]*joinState{}, throttled: map[*groupSimNode]int{}}
 }
 
 // scheduleAt runs f once at a time; a run's own events go through s.open.
@@ -113,8 +113,8 @@
 
 // advance lets time pass under load: an operator, readers and an edge.
 func (r *lossRun) advance() {
-	for _, n := range r.nodes {
-		r.throttle(n)
+	for _, node := range r.nodes {
+		r.throttle(node)
 	}
 	r.step()
 	r.runJoinLoops()
@@ -124,8 +124,8 @@
 	case 3:
 		r.read(r.nodes[r.groupSim.random.IntN(len(r.nodes))])
 	case 4, 5:
-		if n := r.leader(); n != nil {
-			r.read(n) // what an operator builds on
+		if node := r.leader(); node != nil {
+			r.read(node) // what an operator builds on
 		}
 	case 6, 7:
 		r.poll(r.nodes[r.groupSim.random.IntN(len(r.nodes))], 300*time.Millisecond)
@@ -143,39 +143,39 @@
 	members := r.newestMembership()
 	alive := 0
 	for _, m := range members {
-		if n := r.node(controlclient.MemberAddr(m)); r.isHealthy(n) && n.shard.core.Self() == m && !r.isIsolated(n) {
+		if node := r.node(controlclient.MemberAddr(m)); r.isHealthy(node) && node.shard.core.Self() == m && !r.isIsolated(node) {
 			alive++
 		}
 	}
 	return alive - (len(members)/2 + 1)
 }
 
-func (r *lossRun) isIsolated(n *groupSimNode) bool {
-	return slices.ContainsFunc(r.nodes, func(o *groupSimNode) bool {
-		return o != n && r.partitioned[n.addr+">"+o.addr] && r.partitioned[o.addr+">"+n.addr]
+func (r *lossRun) isIsolated(node *groupSimNode) bool {
+	return slices.ContainsFunc(r.nodes, func(peer *groupSimNode) bool {
+		return peer != node && r.partitioned[node.addr+">"+peer.addr] && r.partitioned[peer.addr+">"+node.addr]
 	}) &&
-		r.lostUntil[r.originOf(n)] > r.now
+		r.lostUntil[r.originOf(node)] > r.now
 }
 
 // newestMembership is the newest in any log that is there, as the members count it.
 func (r *lossRun) newestMembership() (members []string) {
 	var term, index uint64
-	for _, n := range r.nodes {
-		if n.shard == nil {
+	for _, node := range r.nodes {
+		if node.shard == nil {
 			continue
 		}
-		if ms, t, i := n.shard.core.Members(); members == nil || t > term || t == term && i > index {
+		if ms, t, i := node.shard.core.Members(); members == nil || t > term || t == term && i > index {
 			members, term, index = ms, t, i
 		}
 	}
 	return members
 }
 
-func (r *lossRun) originOf(n *groupSimNode) string {
-	if o := r.originalAddrs[n.addr]; o != "" {
+func (r *lossRun) originOf(node *groupSimNode) string {
+	if o := r.originalAddrs[node.addr]; o != "" {
 		return o
 	}
-	return n.addr
+	return node.addr
 }
 
 // lostNow is how many machines count as lost, by the users' pages.
@@ -195,64 +195,64 @@
 		return false
 	}
 	ready := 0
-	for _, p := range leader.shard.core.PeerStatuses() {
-		if !p.IsVoter && p.CaughtUp {
+	for _, peer := range leader.shard.core.PeerStatuses() {
+		if !peer.IsVoter && peer.CaughtUp {
 			ready++
 		}
 	}
 	return ready >= len(r.nodes)-r.memberCount()
 }
 
-func (r *lossRun) isMember(n *groupSimNode) bool {
-	return n.shard != nil && slices.Contains(r.newestMembership(), n.shard.core.Self())
+func (r *lossRun) isMember(node *groupSimNode) bool {
+	return node.shard != nil && slices.Contains(r.newestMembership(), node.shard.core.Self())
 }
 
 // injectLoss brings a loss about. away ends at the return.
-func (r *lossRun) injectLoss(kind string, n *groupSimNode) {
+func (r *lossRun) injectLoss(kind string, node *groupSimNode) {
 	back := r.now + awayTime
-	r.tracef("STRIKE %s of %s", kind, n.addr)
+	r.tracef("STRIKE %s of %s", kind, node.addr)
 	r.counts["struck "+kind]++
 	switch kind {
 	case lossCrash:
-		r.kill(n, true, awayTime)
+		r.kill(node, true, awayTime)
 	case lossWipe:
-		if r.isMember(n) {
+		if r.isMember(node) {
 			r.destroyedVotes++
 		}
-		r.kill(n, true, awayTime)
-		r.wipeDisk(n)
+		r.kill(node, true, awayTime)
+		r.wipeDisk(node)
 	case lossPartition:
-		r.isolateUntil(n, back)
+		r.isolateUntil(node, back)
 	case lossShutdown:
-		r.shutDown(n, func() { r.kill(n, false, awayTime) })
+		r.shutDown(node, func() { r.kill(node, false, awayTime) })
 		back += graceTime
 	case lossReplace:
-		r.replace(n)
+		r.replace(node)
 		back = r.now
 	case lossPlannedReplace:
-		r.shutDown(n, func() { r.replace(n) })
+		r.shutDown(node, func() { r.replace(node) })
 		back += graceTime
 	}
-	r.lostUntil[r.originOf(n)] = back + catchUpTime
+	r.lostUntil[r.originOf(node)] = back + catchUpTime
 	r.lastReturn = max(r.lastReturn, back)
 }
 
-func (r *lossRun) replace(n *groupSimNode) {
-	if r.isMember(n) {
+func (r *lossRun) replace(node *groupSimNode) {
+	if r.isMember(node) {
 		r.destroyedVotes++
 	}
-	r.kill(n, true, 0)
-	n.isRemoved = true
-	m := r.addNode()
-	r.originalAddrs[m.addr] = r.originOf(n)
-	r.start(m)
+	r.kill(node, true, 0)
+	node.isRemoved = true
+	peer := r.addNode()
+	r.originalAddrs[peer.addr] = r.originOf(node)
+	r.start(peer)
 }
 
-func (r *lossRun) isolateUntil(n *groupSimNode, until time.Duration) {
+func (r *lossRun) isolateUntil(node *groupSimNode, until time.Duration) {
 	join := func(cut bool) {
-		for _, m := range r.nodes {
-			if m != n {
-				r.partitioned[m.addr+">"+n.addr], r.partitioned[n.addr+">"+m.addr] = cut, cut
+		for _, peer := range r.nodes {
+			if peer != node {
+				r.partitioned[peer.addr+">"+node.addr], r.partitioned[node.addr+">"+peer.addr] = cut, cut
 			}
 		}
 	}
@@ -261,25 +261,25 @@
 }
 
 // shutDown is what Node.leave does: it asks until it may stop, for so much of the grace time at most.
-func (r *lossRun) shutDown(n *groupSimNode, stop func()) {
-	incarnation, end, next := n.generation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
+func (r *lossRun) shutDown(node *groupSimNode, stop func()) {
+	incarnation, end, next := node.generation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
 	r.inProgress = append(r.inProgress, func() bool {
-		if n.shard == nil || n.generation != incarnation {
+		if node.shard == nil || node.generation != incarnation {
 			return false
 		}
 		if r.now < next {
 			return true
 		}
 		next = r.now + leavePollInterval
-		if r.now < end && !r.mayStop(n) {
+		if r.now < end && !r.mayStop(node) {
 			return true
 		}
-		if n.shard == nil || n.generation != incarnation {
+		if node.shard == nil || node.generation != incarnation {
 			return false // it died in a write
 		}
-		r.tracef("%s stops", n.addr)
+		r.tracef("%s stops", node.addr)
 		// What was a planned end until now counts as lost from here on.
-		r.lostUntil[r.originOf(n)] = r.now + awayTime + catchUpTime
+		r.lostUntil[r.originOf(node)] = r.now + awayTime + catchUpTime
 		r.lastReturn = r.now + awayTime
 		stop()
 		return false
@@ -290,19 +290,19 @@
 const leavePollInterval = 50 * time.Millisecond
 
 // mayStop is Node.tryLeave over the simulated net.
-func (r *lossRun) mayStop(n *groupSimNode) bool {
-	at := n.shard.prepareToLeave()
-	r.runStep(n)
+func (r *lossRun) mayStop(node *groupSimNode) bool {
+	at := node.shard.prepareToLeave()
+	r.runStep(node)
 	if at.done || at.isLeader || at.leader == "" {
 		return at.done
 	}
-	m := r.node(controlclient.MemberAddr(at.leader))
-	if !r.isHealthy(m) || r.callFails(n.addr, m.addr) {
+	peer := r.node(controlclient.MemberAddr(at.leader))
+	if !r.isHealthy(peer) || r.callFails(node.addr, peer.addr) {
 		return false
 	}
-	t := m.shard.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
-	r.runStep(m)
-	return t.Outcome == wire.OutcomeDone
+	response := peer.shard.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
+	r.runStep(peer)
+	return response.Outcome == wire.OutcomeDone
 }
 
 // waitUntil lets time pass until something holds, for so long at most.
@@ -321,7 +321,7 @@
 func (r *lossRun) acknowledgedSince(when time.Duration) func() bool {
 	return func() bool {
 		for i := len(r.changes) - 1; i >= 0 && i >= len(r.changes)-40; i-- {
-			if w := r.changes[i]; w.createdAt >= when && w.ackedAt > 0 {
+			if change := r.changes[i]; change.createdAt >= when && change.ackedAt > 0 {
 				return true
 			}
 		}
@@ -332,9 +332,9 @@
 func (r *lossRun) follower() *groupSimNode {
 	leader := r.leader()
 	for _, m := range r.newestMembership() {
-		n := r.node(controlclient.MemberAddr(m))
-		if n != leader && r.isHealthy(n) && n.shard.core.Self() == m && r.lostUntil[r.originOf(n)] <= r.now {
-			return n
+		node := r.node(controlclient.MemberAddr(m))
+		if node != leader && r.isHealthy(node) && node.shard.core.Self() == m && r.lostUntil[r.originOf(node)] <= r.now {
+			return node
 		}
 	}
 	return nil
--- a/internal/control/controlstate/sim_group_disk_test.go
+++ b/internal/control/controlstate/sim_group_disk_test.go
@@ -20,8 +20,8 @@
 	beforeWrite      func() // called before every write
 }
 
-func newCacheDisk(r *rand.Rand) *cacheDisk {
-	return &cacheDisk{cached: map[string][]byte{}, synced: map[string][]byte{}, syncFailed: map[string]bool{}, random: r, writesUntilCrash: -1}
+func newCacheDisk(random *rand.Rand) *cacheDisk {
+	return &cacheDisk{cached: map[string][]byte{}, synced: map[string][]byte{}, syncFailed: map[string]bool{}, random: random, writesUntilCrash: -1}
 }
 
 var errCrashed = errors.New("the process has died")
@@ -31,7 +31,7 @@
 	return bytes.Clone(b), ok, nil
 }
 
-func (d *cacheDisk) write(n string, whole bool, old, b []byte) error {
+func (d *cacheDisk) write(name string, whole bool, old, b []byte) error {
 	if d.crashed {
 		return errCrashed
 	}
@@ -42,24 +42,24 @@
 	switch {
 	case d.writesUntilCrash == 0:
 		d.crashed = true
-		d.cached[n] = append(bytes.Clone(old), b[:d.random.IntN(len(b)+1)]...)
+		d.cached[name] = append(bytes.Clone(old), b[:d.random.IntN(len(b)+1)]...)
 		return errCrashed
 	case d.failWrites:
-		d.cached[n], d.syncFailed[n] = to[:len(old)+len(b)/2], true
+		d.cached[name], d.syncFailed[name] = to[:len(old)+len(b)/2], true
 		if d.random.IntN(2) == 0 {
-			d.cached[n] = to // written, and the sync failed
+			d.cached[name] = to // written, and the sync failed
 		}
 		return errDiskFull
 	}
 	if d.writesUntilCrash > 0 {
 		d.writesUntilCrash--
 	}
-	d.cached[n] = to
+	d.cached[name] = to
 	if whole {
-		delete(d.syncFailed, n)
+		delete(d.syncFailed, name)
 	}
-	if !d.syncFailed[n] {
-		d.synced[n] = bytes.Clone(to)
+	if !d.syncFailed[name] {
+		d.synced[name] = bytes.Clone(to)
 	}
 	return nil
 }
@@ -81,29 +81,29 @@
 // losePower leaves what a loss of power leaves.
 func (d *cacheDisk) losePower() {
 	all := d.random.IntN(4) == 0 // at some, everything that wasn't synced is gone
-	var ns []string
+	var names []string
 	for n := range d.cached {
-		ns = append(ns, n)
+		names = append(names, n)
 	}
-	sort.Strings(ns)
-	for _, n := range ns {
-		c, s := d.cached[n], d.synced[n]
+	sort.Strings(names)
+	for _, name := range names {
+		c, s := d.cached[name], d.synced[name]
 		if bytes.Equal(c, s) {
 			continue
 		}
-		_, there := d.synced[n]
-		switch x := d.random.IntN(3); {
-		case (all || x == 0) && !there:
-			delete(d.cached, n)
-		case all || x == 0:
-			d.cached[n] = bytes.Clone(s)
-		case x == 1 && bytes.HasPrefix(c, s):
-			d.cached[n] = bytes.Clone(c[:len(s)+d.random.IntN(len(c)-len(s)+1)])
-		case x == 1:
-			d.cached[n] = bytes.Clone(c[:d.random.IntN(len(c)+1)])
+		_, there := d.synced[name]
+		switch choice := d.random.IntN(3); {
+		case (all || choice == 0) && !there:
+			delete(d.cached, name)
+		case all || choice == 0:
+			d.cached[name] = bytes.Clone(s)
+		case choice == 1 && bytes.HasPrefix(c, s):
+			d.cached[name] = bytes.Clone(c[:len(s)+d.random.IntN(len(c)-len(s)+1)])
+		case choice == 1:
+			d.cached[name] = bytes.Clone(c[:d.random.IntN(len(c)+1)])
 		}
-		if b, ok := d.cached[n]; ok {
-			d.synced[n] = bytes.Clone(b)
+		if b, ok := d.cached[name]; ok {
+			d.synced[name] = bytes.Clone(b)
 		}
 	}
 	clear(d.syncFailed)
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -15,17 +15,17 @@
 	confirmedAt                        map[string]time.Duration // when a member was asked that held nothing newer
 }
 
-func (e *simEdge) handleResponse(asked time.Duration, t *wire.FollowResponse) {
-	if len(t.Members) > 0 && (t.MembersTerm > e.membersTerm || t.MembersTerm == e.membersTerm && t.MembersIndex > e.membersIndex) {
-		e.members, e.membersTerm, e.membersIndex = t.Members, t.MembersTerm, t.MembersIndex
+func (e *simEdge) handleResponse(asked time.Duration, response *wire.FollowResponse) {
+	if len(response.Members) > 0 && (response.MembersTerm > e.membersTerm || response.MembersTerm == e.membersTerm && response.MembersIndex > e.membersIndex) {
+		e.members, e.membersTerm, e.membersIndex = response.Members, response.MembersTerm, response.MembersIndex
 	}
-	for _, d := range t.Documents {
-		if d.Key == routingconfig.DocumentKey {
-			e.version = max(e.version, d.Version)
+	for _, document := range response.Documents {
+		if document.Key == routingconfig.DocumentKey {
+			e.version = max(e.version, document.Version)
 		}
 	}
-	if t.NothingNewer {
-		e.confirmedAt[t.Member] = max(e.confirmedAt[t.Member], asked)
+	if response.NothingNewer {
+		e.confirmedAt[response.Member] = max(e.confirmedAt[response.Member], asked)
 	}
 }
 
@@ -43,30 +43,30 @@
 }
 
 // poll is an edge's long poll of one member, and the check of its proof.
-func (s *groupSim) poll(n *groupSimNode, hold time.Duration) {
-	e, asked, end, incarnation := s.edge, s.now, s.now+hold, n.generation
+func (s *groupSim) poll(node *groupSimNode, hold time.Duration) {
+	e, asked, end, incarnation := s.edge, s.now, s.now+hold, node.generation
 	ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: e.version}}, Proof: routingconfig.DocumentKey}
-	f := func() bool {
-		if n.shard == nil || n.generation != incarnation || hold > 0 && s.now < n.frozenUntil {
-			return n.generation == incarnation && n.shard != nil
+	poll := func() bool {
+		if node.shard == nil || node.generation != incarnation || hold > 0 && s.now < node.frozenUntil {
+			return node.generation == incarnation && node.shard != nil
 		}
-		g := n.shard.published.current()
+		view := node.shard.published.current()
 		if s.plantedFault == "vouch-open" { // planted: what is in the log and not applied is overlooked
-			x := *g
-			x.unappliedVersions, g = nil, &x
+			faulty := *view
+			faulty.unappliedVersions, view = nil, &faulty
 		}
-		t := g.followResponse(ask)
-		if len(t.Documents) == 0 && s.now < end {
+		response := view.followResponse(ask)
+		if len(response.Documents) == 0 && s.now < end {
 			return true
 		}
 		if s.random.Float64() < s.lossRate {
 			return false
 		}
-		e.handleResponse(asked, t)
+		e.handleResponse(asked, response)
 		p := e.proof()
-		for _, w := range s.changes {
-			if w.ackedAt > 0 && w.ackedAt <= p && w.newVersion > e.version {
-				s.violationf("the proof says that nothing newer than %d was acknowledged up to %v, yet %d was, at %v", e.version, p, w.newVersion, w.ackedAt)
+		for _, change := range s.changes {
+			if change.ackedAt > 0 && change.ackedAt <= p && change.newVersion > e.version {
+				s.violationf("the proof says that nothing newer than %d was acknowledged up to %v, yet %d was, at %v", e.version, p, change.newVersion, change.ackedAt)
 			}
 		}
 		if p > 0 {
@@ -74,7 +74,7 @@
 		}
 		return false
 	}
-	if f() {
-		s.inProgress = append(s.inProgress, f)
+	if poll() {
+		s.inProgress = append(s.inProgress, poll)
 	}
 }
--- a/internal/control/controlstate/sim_group_operators_test.go
+++ b/internal/control/controlstate/sim_group_operators_test.go
@@ -28,52 +28,52 @@
 }
 
 // readAt begins a read at a node; then is told what it gave.
-func (s *groupSim) readAt(n *groupSimNode, then func(version uint64, body string)) {
-	if !s.isHealthy(n) {
+func (s *groupSim) readAt(node *groupSimNode, then func(version uint64, body string)) {
+	if !s.isHealthy(node) {
 		return
 	}
-	begin, incarnation, w := s.now, n.generation, make(chan bool, 1)
-	n.shard.beginRead(w)
-	s.runStep(n)
+	begin, incarnation, confirmed := s.now, node.generation, make(chan bool, 1)
+	node.shard.beginRead(confirmed)
+	s.runStep(node)
 	s.inProgress = append(s.inProgress, func() bool {
 		select {
-		case ok := <-w:
-			if ok && n.generation == incarnation && s.isHealthy(n) {
-				ds, _ := n.shard.selectDocuments(&wire.ReadRequest{Key: routingconfig.DocumentKey})
-				if len(ds) == 0 {
+		case ok := <-confirmed:
+			if ok && node.generation == incarnation && s.isHealthy(node) {
+				documents, _ := node.shard.selectDocuments(&wire.ReadRequest{Key: routingconfig.DocumentKey})
+				if len(documents) == 0 {
 					then(0, "")
 				} else {
-					then(ds[0].Version, string(ds[0].Body))
+					then(documents[0].Version, string(documents[0].Body))
 				}
 			}
 			return false
 		default:
-			return n.generation == incarnation && s.now-begin < answerTimeout
+			return node.generation == incarnation && s.now-begin < answerTimeout
 		}
 	})
 }
 
 // read is a reader's question to a node, and the checks of its answer.
-func (s *groupSim) read(n *groupSimNode) {
+func (s *groupSim) read(node *groupSimNode) {
 	begin, query := s.now, s.history.BeginRead(routingconfig.DocumentKey)
-	s.readAt(n, func(version uint64, body string) {
+	s.readAt(node, func(version uint64, body string) {
 		query.Complete(version, body)
-		x := &simRead{sentAt: begin, answeredAt: s.now, version: version, body: body}
-		s.reads = append(s.reads, x)
+		read := &simRead{sentAt: begin, answeredAt: s.now, version: version, body: body}
+		s.reads = append(s.reads, read)
 		s.knownVersion = max(s.knownVersion, version)
 		s.count("read")
-		s.checkIsolated(n, begin, "answers a read")
-		for _, o := range s.changes {
-			if o.ackedAt > 0 && o.ackedAt < x.sentAt && o.newVersion > version {
-				s.violationf("read version %d after %d was acknowledged", version, o.newVersion)
+		s.checkIsolated(node, begin, "answers a read")
+		for _, change := range s.changes {
+			if change.ackedAt > 0 && change.ackedAt < read.sentAt && change.newVersion > version {
+				s.violationf("read version %d after %d was acknowledged", version, change.newVersion)
 			}
-			if o.ackedAt > 0 && o.newVersion == version && o.body != body {
+			if change.ackedAt > 0 && change.newVersion == version && change.body != body {
 				s.violationf("read another body under version %d", version)
 			}
 		}
-		for _, o := range s.reads {
-			if o.answeredAt < x.sentAt && o.version > version || o.version == version && o.body != body {
-				s.violationf("read version %d %q after %d %q", version, body, o.version, o.body)
+		for _, earlier := range s.reads {
+			if earlier.answeredAt < read.sentAt && earlier.version > version || earlier.version == version && earlier.body != body {
+				s.violationf("read version %d %q after %d %q", version, body, earlier.version, earlier.body)
 			}
 		}
 	})
@@ -81,37 +81,37 @@
 
 // checkIsolated sees to it that a node that nobody hears and that hears nobody serves nothing that
 // was asked since.
-func (s *groupSim) checkIsolated(n *groupSimNode, asked time.Duration, what string) {
-	if s.isolatedAddr != n.addr || asked <= s.isolatedSince || n.shard == nil {
+func (s *groupSim) checkIsolated(node *groupSimNode, asked time.Duration, what string) {
+	if s.isolatedAddr != node.addr || asked <= s.isolatedSince || node.shard == nil {
 		return
 	}
-	if members, _, _ := n.shard.core.Members(); len(members) > 1 { // else it is the whole group
-		s.violationf("%s, cut off since %v, %s of %v", n.addr, s.isolatedSince, what, asked)
+	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // else it is the whole group
+		s.violationf("%s, cut off since %v, %s of %v", node.addr, s.isolatedSince, what, asked)
 	}
 }
 
 // sendCommand sends a command to a node and follows it up; question or answer may be lost.
-func (s *groupSim) sendCommand(n *groupSimNode, a *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
-	s.proposeCommand(n, a, func(t *wire.ChangeResponse, _ bool) { done(t) })
+func (s *groupSim) sendCommand(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
+	s.proposeCommand(node, request, func(response *wire.ChangeResponse, _ bool) { done(response) })
 }
 
 // proposeCommand does what ask does, and tells whether the answer is the log's.
-func (s *groupSim) proposeCommand(n *groupSimNode, a *wire.ChangeRequest, done func(t *wire.ChangeResponse, committed bool)) {
-	if !s.isRunning(n) || s.random.Float64() < s.lossRate {
+func (s *groupSim) proposeCommand(node *groupSimNode, request *wire.ChangeRequest, done func(response *wire.ChangeResponse, committed bool)) {
+	if !s.isRunning(node) || s.random.Float64() < s.lossRate {
 		return
 	}
-	w, response := n.shard.propose(a, nil)
-	incarnation, begin, lost, committed := n.generation, s.now, s.random.Float64() < s.lossRate, response == nil
-	s.runStep(n)
+	pending, response := node.shard.propose(request, nil)
+	incarnation, begin, lost, committed := node.generation, s.now, s.random.Float64() < s.lossRate, response == nil
+	s.runStep(node)
 	s.inProgress = append(s.inProgress, func() bool {
 		if response == nil {
 			select {
-			case response = <-w.response:
+			case response = <-pending.response:
 			default:
-				return n.generation == incarnation && s.now-begin < answerTimeout
+				return node.generation == incarnation && s.now-begin < answerTimeout
 			}
 		}
-		if n.generation == incarnation && !lost && s.isRunning(n) {
+		if node.generation == incarnation && !lost && s.isRunning(node) {
 			done(response, committed)
 		}
 		return false
@@ -121,10 +121,10 @@
 // newChange is a change on the newest version that operators have heard of, under a number of the
 // operator's own.
 func (s *groupSim) newChange(number uint64) *groupChange {
-	o := &groupChange{name: fmt.Sprintf("w%d", len(s.changes)), baseVersion: s.knownVersion, newVersion: number, ackedBefore: s.ackedCount, createdAt: s.now}
-	o.body = string(body(number, o.name+s.bodyPadding))
-	s.changes = append(s.changes, o)
-	return o
+	change := &groupChange{name: fmt.Sprintf("w%d", len(s.changes)), baseVersion: s.knownVersion, newVersion: number, ackedBefore: s.ackedCount, createdAt: s.now}
+	change.body = string(body(number, change.name+s.bodyPadding))
+	s.changes = append(s.changes, change)
+	return change
 }
 
 // earlierChange is one that was sent before: of the last few, or of all.
@@ -142,33 +142,33 @@
 
 // writeChange is an operator's: a new one, or one that was sent before, unchanged, whatever became of it.
 func (s *groupSim) writeChange(acked func(*groupSimNode)) {
-	n := s.randomNode()
-	if l := s.leader(); l != nil && s.random.IntN(3) > 0 {
-		n = l
+	node := s.randomNode()
+	if leader := s.leader(); leader != nil && s.random.IntN(3) > 0 {
+		node = leader
 	}
-	if o := s.earlierChange(); o != nil && s.random.IntN(3) == 0 {
-		s.sendChange(o, n, acked)
+	if change := s.earlierChange(); change != nil && s.random.IntN(3) == 0 {
+		s.sendChange(change, node, acked)
 		return
 	}
 	next := s.knownVersion + 1 + s.random.Uint64N(3)
 	if !s.allFaults {
-		s.sendChange(s.newChange(next), n, acked)
+		s.sendChange(s.newChange(next), node, acked)
 		return
 	}
 	switch s.random.IntN(12) {
 	case 0: // two operators, one number, different content
 		s.count("one number, two contents")
 		s.sendChange(s.newChange(next), s.randomNode(), acked)
-		s.sendChange(s.newChange(next), n, acked)
+		s.sendChange(s.newChange(next), node, acked)
 	case 1: // two operators, one number, the same content
 		s.count("one number, one content")
-		o := s.newChange(next)
-		s.sendChange(o, s.randomNode(), acked)
-		s.sendChange(o, n, acked)
+		change := s.newChange(next)
+		s.sendChange(change, s.randomNode(), acked)
+		s.sendChange(change, node, acked)
 	case 2:
 		s.sendBurst(acked)
 	default:
-		s.sendChange(s.newChange(next), n, acked)
+		s.sendChange(s.newChange(next), node, acked)
 	}
 }
 
@@ -177,48 +177,48 @@
 	const many = 8
 	s.count("eight at once")
 	for i := range uint64(many) {
-		n := s.randomNode()
-		if n == s.leader() {
-			n = s.randomNode()
+		node := s.randomNode()
+		if node == s.leader() {
+			node = s.randomNode()
 		}
-		o := s.earlierChange()
-		if o == nil || s.random.IntN(4) > 0 {
-			o = s.newChange(s.knownVersion + 1 + i%3)
+		change := s.earlierChange()
+		if change == nil || s.random.IntN(4) > 0 {
+			change = s.newChange(s.knownVersion + 1 + i%3)
 		}
-		s.sendChange(o, n, acked)
+		s.sendChange(change, node, acked)
 	}
 }
 
 // sendChange sends an order to a node, which sends it on where another one leads.
-func (s *groupSim) sendChange(o *groupChange, n *groupSimNode, acked func(*groupSimNode)) {
-	attempt := s.history.BeginAttempt(history.Change{Key: routingconfig.DocumentKey, Token: o.body, BaseVersion: o.baseVersion, NewVersion: o.newVersion, Body: o.body})
-	if o.attempts++; o.attempts > 1 {
+func (s *groupSim) sendChange(change *groupChange, node *groupSimNode, acked func(*groupSimNode)) {
+	attempt := s.history.BeginAttempt(history.Change{Key: routingconfig.DocumentKey, Token: change.body, BaseVersion: change.baseVersion, NewVersion: change.newVersion, Body: change.body})
+	if change.attempts++; change.attempts > 1 {
 		s.count("sent again")
-		if s.ackedCount-o.ackedBefore >= lateAfter {
+		if s.ackedCount-change.ackedBefore >= lateAfter {
 			s.count("sent again late")
 		}
-		if s.ackedCount-o.ackedBefore >= veryLateAfter {
+		if s.ackedCount-change.ackedBefore >= veryLateAfter {
 			s.count("sent again very late")
 		}
 	}
 	s.fireEvent("order sent")
-	leader := s.forwardTarget(n)
-	if leader == nil || s.isPartitioned(n.addr, leader.addr) {
+	leader := s.forwardTarget(node)
+	if leader == nil || s.isPartitioned(node.addr, leader.addr) {
 		return
 	}
-	if leader != n {
+	if leader != node {
 		s.count("by a node that doesn't lead")
 	}
-	a := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: []byte(o.body), IfVersion: o.baseVersion, Token: o.body}}}}
-	sent, before := s.now, o.ackedAt
-	s.executeChange(leader, a, func(t *wire.ChangeResponse) {
-		if leader != n && s.callFails(n.addr, leader.addr) {
+	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: []byte(change.body), IfVersion: change.baseVersion, Token: change.body}}}}
+	sent, before := s.now, change.ackedAt
+	s.executeChange(leader, request, func(response *wire.ChangeResponse) {
+		if leader != node && s.callFails(node.addr, leader.addr) {
 			s.count("answer lost")
 			return
 		}
-		s.checkIsolated(leader, sent, "answers "+string(t.Outcome)+" to an order")
-		s.handleAnswer(o, attempt, leader, t, before > 0)
-		if t.Outcome == wire.OutcomeDone && acked != nil {
+		s.checkIsolated(leader, sent, "answers "+string(response.Outcome)+" to an order")
+		s.handleAnswer(change, attempt, leader, response, before > 0)
+		if response.Outcome == wire.OutcomeDone && acked != nil {
 			acked(leader)
 		}
 	})
@@ -226,15 +226,15 @@
 
 // executeChange does what shard.change does, step by step: it confirms that the node leads, proposes, and
 // judges a refusal that isn't the log's once more after another confirmation.
-func (s *groupSim) executeChange(n *groupSimNode, a *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
-	s.readAt(n, func(uint64, string) {
-		s.proposeCommand(n, a, func(t *wire.ChangeResponse, committed bool) {
-			if committed || !isDecidedByState(t.Outcome) {
-				done(t)
+func (s *groupSim) executeChange(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
+	s.readAt(node, func(uint64, string) {
+		s.proposeCommand(node, request, func(response *wire.ChangeResponse, committed bool) {
+			if committed || !isDecidedByState(response.Outcome) {
+				done(response)
 				return
 			}
-			s.readAt(n, func(uint64, string) {
-				s.sendCommand(n, a, done)
+			s.readAt(node, func(uint64, string) {
+				s.sendCommand(node, request, done)
 			})
 		})
 	})
@@ -242,80 +242,83 @@
 
 // forwardTarget is where a node sends an order: to itself where it leads, or to whom it knows as leader.
 // Without all troubles it sends nothing on.
-func (s *groupSim) forwardTarget(n *groupSimNode) *groupSimNode {
-	if !s.isRunning(n) {
+func (s *groupSim) forwardTarget(node *groupSimNode) *groupSimNode {
+	if !s.isRunning(node) {
 		return nil
 	}
-	v := n.shard.published.current()
-	if v.isLeader || !s.allFaults {
-		return n
+	view := node.shard.published.current()
+	if view.isLeader || !s.allFaults {
+		return node
 	}
-	return s.node(controlclient.MemberAddr(v.leader))
+	return s.node(controlclient.MemberAddr(view.leader))
 }
 
 // handleAnswer notes what an operator was told.
-func (s *groupSim) handleAnswer(o *groupChange, attempt *history.Attempt, by *groupSimNode, t *wire.ChangeResponse, wasAcked bool) {
-	switch t.Outcome {
+func (s *groupSim) handleAnswer(change *groupChange, attempt *history.Attempt, struckNode *groupSimNode, response *wire.ChangeResponse, wasAcked bool) {
+	switch response.Outcome {
 	case wire.OutcomeDone:
-		attempt.Complete(history.Acknowledged, t.Version)
-		if t.Version != o.newVersion {
-			s.violationf("version %d is acknowledged as %d", o.newVersion, t.Version)
+		attempt.Complete(history.Acknowledged, response.Version)
+		if response.Version != change.newVersion {
+			s.violationf("version %d is acknowledged as %d", change.newVersion, response.Version)
 		}
-		if o.ackedAt == 0 {
-			o.ackedAt = s.now
+		if change.ackedAt == 0 {
+			change.ackedAt = s.now
 			s.ackedCount++
 			s.count("acked")
 		} else {
 			s.count("done again")
 		}
-		s.knownVersion = max(s.knownVersion, t.Version)
-		s.tracef("acked %s on %d as %d by %s", o.name, o.baseVersion, o.newVersion, by.addr)
+		s.knownVersion = max(s.knownVersion, response.Version)
+		s.tracef("acked %s on %d as %d by %s", change.name, change.baseVersion, change.newVersion, struckNode.addr)
 		s.fireEvent("acknowledged")
 	case wire.OutcomeConflict:
-		attempt.Complete(history.Rejected, t.Version)
-		s.knownVersion = max(s.knownVersion, t.Version)
+		attempt.Complete(history.Rejected, response.Version)
+		s.knownVersion = max(s.knownVersion, response.Version)
 		s.count("refused")
 	case wire.OutcomeBadInput:
-		attempt.Complete(history.Rejected, t.Version)
+		attempt.Complete(history.Rejected, response.Version)
 		s.count("refused")
 	case wire.OutcomeNotLeader, wire.OutcomeOverloaded:
 		attempt.Complete(history.NotExecuted, 0)
 		s.count("not taken")
 	}
-	if wasAcked && (t.Outcome == wire.OutcomeConflict || t.Outcome == wire.OutcomeBadInput) {
-		s.violationf("%s was acknowledged, and is %s when it is sent again", o.name, t.Outcome)
+	if wasAcked && (response.Outcome == wire.OutcomeConflict || response.Outcome == wire.OutcomeBadInput) {
+		s.violationf("%s was acknowledged, and is %s when it is sent again", change.name, response.Outcome)
 	}
 }
 
 // requestLease has a holder ask for the duty.
 func (s *groupSim) requestLease() {
-	h := s.leaseHolders[s.random.IntN(len(s.leaseHolders))]
-	if h.pausedUntil > s.now || h.requestPending {
+	holder := s.leaseHolders[s.random.IntN(len(s.leaseHolders))]
+	if holder.pausedUntil > s.now || holder.requestPending {
 		return
 	}
 	if s.random.IntN(40) == 0 {
-		h.pausedUntil = s.now + time.Duration(s.random.Int64N(int64(8*time.Second)))
+		holder.pausedUntil = s.now + time.Duration(s.random.Int64N(int64(8*time.Second)))
 	}
-	asked, before := h.clock.Now(), s.now
-	g := h.lease.GrantRequest()
-	h.requestPending = true
-	s.inProgress = append(s.inProgress, func() bool { h.requestPending = s.now-before < 1500*time.Millisecond; return h.requestPending })
-	n := s.leader()
-	if n == nil || s.random.IntN(8) == 0 {
-		n = s.randomNode()
+	asked, before := holder.clock.Now(), s.now
+	grant := holder.lease.GrantRequest()
+	holder.requestPending = true
+	s.inProgress = append(s.inProgress, func() bool {
+		holder.requestPending = s.now-before < 1500*time.Millisecond
+		return holder.requestPending
+	})
+	node := s.leader()
+	if node == nil || s.random.IntN(8) == 0 {
+		node = s.randomNode()
 	}
-	s.sendCommand(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}}, func(t *wire.ChangeResponse) {
+	s.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}}, func(response *wire.ChangeResponse) {
 		if s.plantedFault == "lease-late" {
-			asked = h.clock.Now() + 2*time.Second // planted: counted from the answer, and more
+			asked = holder.clock.Now() + 2*time.Second // planted: counted from the answer, and more
 		}
-		if h.lease.HandleResponse(asked, t); t.Outcome != wire.OutcomeDone {
+		if holder.lease.HandleResponse(asked, response); response.Outcome != wire.OutcomeDone {
 			return
 		}
 		s.count("granted")
-		s.checkIsolated(n, before, "grants a lease")
-		if o := s.fencingTokenHolders[t.Fence]; o != "" && o != g.Holder {
-			s.violationf("fence %d is of %s and of %s", t.Fence, o, g.Holder)
+		s.checkIsolated(node, before, "grants a lease")
+		if o := s.fencingTokenHolders[response.Fence]; o != "" && o != grant.Holder {
+			s.violationf("fence %d is of %s and of %s", response.Fence, o, grant.Holder)
 		}
-		s.fencingTokenHolders[t.Fence] = g.Holder
+		s.fencingTokenHolders[response.Fence] = grant.Holder
 	})
 }
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -25,15 +25,15 @@
 // or both, with operators and readers on both sides. Members of either side may be restarted, with
 // seeds that name only those cut off; other troubles may come on top.
 func (s *groupSim) longPartitionPhase() {
-	n := s.leader()
-	if s.random.IntN(3) > 0 && n != nil {
+	node := s.leader()
+	if s.random.IntN(3) > 0 && node != nil {
 		s.count("long cut: the leader")
 	} else {
-		n = s.randomNode()
+		node = s.randomNode()
 	}
 	way := s.random.IntN(4)
-	s.isolate(s.longPartition, n, way != 1, way != 2)
-	s.tracef("%s is cut off for long, way %d", n.addr, way)
+	s.isolate(s.longPartition, node, way != 1, way != 2)
+	s.tracef("%s is cut off for long, way %d", node.addr, way)
 	switch way {
 	case 1:
 		s.count("long cut: not heard")
@@ -41,11 +41,11 @@
 		s.count("long cut: hears nothing")
 	default:
 		s.count("long cut: both ways")
-		s.isolatedAddr, s.isolatedSince = n.addr, s.now
+		s.isolatedAddr, s.isolatedSince = node.addr, s.now
 	}
 	calm := s.random.IntN(3) == 0
 	if !calm {
-		s.scheduleRestarts(n)
+		s.scheduleRestarts(node)
 	}
 	begin, acked, served := s.now, s.ackedCount, time.Duration(0)
 	for s.now-begin < longPartitionTime && len(s.violations) == 0 {
@@ -60,30 +60,30 @@
 	const bound = 8 * time.Second
 	if calm && (served == 0 || served > bound) {
 		s.traceStatus()
-		s.violationf("with %s cut off the others acknowledged after %v (0: never)", n.addr, served)
+		s.violationf("with %s cut off the others acknowledged after %v (0: never)", node.addr, served)
 	}
 	clear(s.longPartition)
 	s.isolatedAddr = ""
 }
 
 // scheduleRestarts restarts those cut off, or some of the others, at moments of the cut.
-func (s *groupSim) scheduleRestarts(n *groupSimNode) {
+func (s *groupSim) scheduleRestarts(node *groupSimNode) {
 	if s.random.IntN(2) == 0 {
 		s.count("seeds name only those cut off")
-		s.seeds = []string{n.addr}
+		s.seeds = []string{node.addr}
 	}
 	if s.random.IntN(2) == 0 {
 		s.schedule(s.randomDuration(longPartitionTime), func() {
 			s.count("restarted on the cut side")
-			s.kill(n, s.random.IntN(2) == 0, s.randomDuration(time.Second))
+			s.kill(node, s.random.IntN(2) == 0, s.randomDuration(time.Second))
 		})
 	}
 	if s.random.IntN(2) == 0 {
 		s.schedule(s.randomDuration(longPartitionTime), func() {
 			s.count("restarted on the other side")
-			for _, m := range s.nodes {
-				if m != n && s.random.IntN(2) == 0 {
-					s.kill(m, s.random.IntN(2) == 0, s.randomDuration(time.Second))
+			for _, peer := range s.nodes {
+				if peer != node && s.random.IntN(2) == 0 {
+					s.kill(peer, s.random.IntN(2) == 0, s.randomDuration(time.Second))
 				}
 			}
 		})
@@ -100,21 +100,21 @@
 // next sends the storm's next change; one that isn't acknowledged is sent again for a while.
 func (s *groupSim) continueStorm() {
 	const again, enough = 300 * time.Millisecond, 3
-	x := s.storm
-	l := s.leader()
-	if x == nil || l == nil || x.change != nil && x.change.ackedAt == 0 && s.now-x.sentAt < again {
+	storm := s.storm
+	leader := s.leader()
+	if storm == nil || leader == nil || storm.change != nil && storm.change.ackedAt == 0 && s.now-storm.sentAt < again {
 		return
 	}
-	if x.change == nil || x.change.ackedAt > 0 || x.change.baseVersion != s.knownVersion || x.change.attempts > enough {
-		if x.remaining--; x.remaining < 0 {
+	if storm.change == nil || storm.change.ackedAt > 0 || storm.change.baseVersion != s.knownVersion || storm.change.attempts > enough {
+		if storm.remaining--; storm.remaining < 0 {
 			s.storm = nil
 			return
 		}
 		s.count("changes of storms")
-		x.change = s.newChange(s.knownVersion + 1)
+		storm.change = s.newChange(s.knownVersion + 1)
 	}
-	x.sentAt = s.now
-	s.sendChange(x.change, l, nil)
+	storm.sentAt = s.now
+	s.sendChange(storm.change, leader, nil)
 }
 
 // stormPhase makes some hundred changes, with logs that are compacted often, while members restart;
@@ -137,10 +137,10 @@
 	s.storm, s.bodyPadding = nil, ""
 	s.awaitRecovery("after a storm")
 	if len(s.violations) == 0 && s.isComplete() {
-		n := s.randomNode()
+		node := s.randomNode()
 		s.count("wiped after a storm")
-		s.kill(n, false, s.randomDuration(time.Second))
-		s.wipeDisk(n)
+		s.kill(node, false, s.randomDuration(time.Second))
+		s.wipeDisk(node)
 	}
 }
 
@@ -181,12 +181,12 @@
 
 // rollingRestartPhase tells all to end, one after the other, and starts each again.
 func (s *groupSim) rollingRestartPhase() {
-	for _, n := range s.nodes {
-		if n.isRemoved || n.shard == nil {
+	for _, node := range s.nodes {
+		if node.isRemoved || node.shard == nil {
 			continue
 		}
 		s.count("SIGTERM in turn")
-		s.terminate(n, s.randomDuration(time.Second))
+		s.terminate(node, s.randomDuration(time.Second))
 		s.runFor(s.randomDuration(1500 * time.Millisecond))
 		if s.random.IntN(6) == 0 {
 			s.injectFault()
@@ -198,8 +198,8 @@
 func (s *groupSim) updateSeeds() {
 	s.seeds = nil
 	for _, i := range s.random.Perm(len(s.nodes)) {
-		if n := s.nodes[i]; !n.isRemoved && len(s.seeds) < 3 {
-			s.seeds = append(s.seeds, n.addr)
+		if node := s.nodes[i]; !node.isRemoved && len(s.seeds) < 3 {
+			s.seeds = append(s.seeds, node.addr)
 		}
 	}
 }
@@ -211,12 +211,12 @@
 	struck := false
 	s.slowAddr = s.randomNode().addr // it holds the newest a little later than a majority
 	defer func() { s.slowAddr = "" }()
-	strike := func(by *groupSimNode) {
+	strike := func(struckNode *groupSimNode) {
 		if struck {
 			return
 		}
 		struck = true
-		s.destroyDisks(by)
+		s.destroyDisks(struckNode)
 		if s.random.IntN(3) > 0 {
 			s.armSecondFault()
 		}
@@ -233,36 +233,36 @@
 	s.runFor(s.randomDuration(6 * time.Second))
 }
 
-func (s *groupSim) destroyDisks(by *groupSimNode) {
+func (s *groupSim) destroyDisks(struckNode *groupSimNode) {
 	power, replace := s.random.IntN(2) == 0, s.random.IntN(3) == 0
 	var hit []*groupSimNode
 	for range s.toleratedLosses {
-		n := s.randomNode()
+		node := s.randomNode()
 		if s.random.IntN(2) == 0 && len(hit) == 0 {
-			n = by
+			node = struckNode
 		}
-		hit = append(hit, n)
+		hit = append(hit, node)
 	}
-	for _, n := range s.nodes {
+	for _, node := range s.nodes {
 		if power {
-			s.kill(n, true, s.randomDuration(time.Second))
+			s.kill(node, true, s.randomDuration(time.Second))
 		}
 	}
-	for _, n := range hit {
-		if n.isRemoved {
+	for _, node := range hit {
+		if node.isRemoved {
 			continue
 		}
-		s.kill(n, true, s.randomDuration(3*time.Second))
+		s.kill(node, true, s.randomDuration(3*time.Second))
 		if replace {
-			s.tracef("%s is lost for good, power %v", n.addr, power)
+			s.tracef("%s is lost for good, power %v", node.addr, power)
 			s.count("replaced")
-			n.isRemoved = true
+			node.isRemoved = true
 			s.updateSeeds()
 			s.start(s.addNode())
 			continue
 		}
-		s.tracef("%s loses its disk, power %v", n.addr, power)
+		s.tracef("%s loses its disk, power %v", node.addr, power)
 		s.count("lost disk")
-		s.wipeDisk(n)
+		s.wipeDisk(node)
 	}
 }
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -27,16 +27,16 @@
 	clear(s.longPartition)
 	clear(s.eventHooks)
 	s.lossRate, s.isolatedAddr, s.timers = 0, "", nil
-	for _, n := range s.nodes { // a process that was told to stop does, also where its end was still to come
-		if n.shard != nil && n.shard.stopping {
-			s.kill(n, false, 0)
+	for _, node := range s.nodes { // a process that was told to stop does, also where its end was still to come
+		if node.shard != nil && node.shard.stopping {
+			s.kill(node, false, 0)
 		}
 	}
 	s.updateSeeds()
-	for _, n := range s.nodes {
-		n.frozenUntil, n.maxWriteTime, n.disk.failWrites, n.disk.writesUntilCrash = 0, 0, false, -1
-		if n.shard == nil && !n.isRemoved {
-			n.restartAt = min(n.restartAt, s.now+time.Second)
+	for _, node := range s.nodes {
+		node.frozenUntil, node.maxWriteTime, node.disk.failWrites, node.disk.writesUntilCrash = 0, 0, false, -1
+		if node.shard == nil && !node.isRemoved {
+			node.restartAt = min(node.restartAt, s.now+time.Second)
 		}
 	}
 	acked, served, begin := s.counts["acked"], time.Duration(0), s.now
@@ -105,21 +105,21 @@
 // checkHistory checks the acknowledged history as a whole.
 func (s *groupSim) checkHistory() {
 	base, version := map[uint64]string{}, map[uint64]string{}
-	for _, o := range s.changes {
-		if o.ackedAt == 0 {
+	for _, change := range s.changes {
+		if change.ackedAt == 0 {
 			continue
 		}
-		if b := base[o.baseVersion]; b != "" && b != o.name {
-			s.violationf("%s and %s were both acknowledged on version %d", b, o.name, o.baseVersion)
+		if b := base[change.baseVersion]; b != "" && b != change.name {
+			s.violationf("%s and %s were both acknowledged on version %d", b, change.name, change.baseVersion)
 		}
-		if b := version[o.newVersion]; b != "" && b != o.name {
-			s.violationf("%s and %s were both acknowledged as version %d", b, o.name, o.newVersion)
+		if b := version[change.newVersion]; b != "" && b != change.name {
+			s.violationf("%s and %s were both acknowledged as version %d", b, change.name, change.newVersion)
 		}
-		base[o.baseVersion], version[o.newVersion] = o.name, o.name
+		base[change.baseVersion], version[change.newVersion] = change.name, change.name
 	}
-	v := s.history.Check(historyCheckTimeout)
-	s.counts["operations judged"], s.counts["without a clear answer"] = v.Operations, v.Indeterminate
-	for _, f := range v.Violations {
+	result := s.history.Check(historyCheckTimeout)
+	s.counts["operations judged"], s.counts["without a clear answer"] = result.Operations, result.Indeterminate
+	for _, f := range result.Violations {
 		s.violationf("%s", f)
 	}
 }
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -14,10 +14,10 @@
 )
 
 // send puts a message on its way: it may be lost, late, doubled, out of order.
-func (s *groupSim) send(l *wire.Message) {
-	from, to := controlclient.MemberAddr(l.From), controlclient.MemberAddr(l.To)
+func (s *groupSim) send(message *wire.Message) {
+	from, to := controlclient.MemberAddr(message.From), controlclient.MemberAddr(message.To)
 	if s.isPartitioned(from, to) || s.random.Float64() < s.lossRate {
-		s.reportLost(s.node(from), l)
+		s.reportLost(s.node(from), message)
 		return
 	}
 	d := time.Duration(s.random.Int64N(int64(4 * time.Millisecond)))
@@ -27,38 +27,38 @@
 	if to == s.slowAddr {
 		d += 100 * time.Millisecond
 	}
-	if n := s.node(from); n.frozenUntil > s.now {
-		d += n.frozenUntil - s.now
+	if node := s.node(from); node.frozenUntil > s.now {
+		d += node.frozenUntil - s.now
 	}
 	for range 1 + s.random.IntN(50)/49 {
 		s.sentMessages++
-		s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + d, s.sentMessages, proto.Clone(l).(*wire.Message)})
+		s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + d, s.sentMessages, proto.Clone(message).(*wire.Message)})
 		d *= 2
 	}
 }
 
 // reportLost has the sender's transport give up a message after its time, most often.
-func (s *groupSim) reportLost(n *groupSimNode, l *wire.Message) {
+func (s *groupSim) reportLost(node *groupSimNode, message *wire.Message) {
 	const sendTime = 500 * time.Millisecond
-	incarnation, m := n.generation, proto.Clone(l).(*wire.Message)
+	generation, lost := node.generation, proto.Clone(message).(*wire.Message)
 	if !s.allFaults || s.random.IntN(4) == 0 {
 		return
 	}
 	s.schedule(sendTime, func() {
-		if n.generation == incarnation && s.isHealthy(n) {
+		if node.generation == generation && s.isHealthy(node) {
 			s.count("message reported lost")
-			n.shard.core.ReportSendFailure(m)
-			s.runStep(n)
+			node.shard.core.ReportSendFailure(lost)
+			s.runStep(node)
 		}
 	})
 }
 
 // runStep lets a node act on what it was given, and dies with it where its disk says so.
-func (s *groupSim) runStep(n *groupSimNode) {
-	if n.shard.handleReady(); n.disk.crashed {
-		s.tracef("%s dies in a write", n.addr)
+func (s *groupSim) runStep(node *groupSimNode) {
+	if node.shard.handleReady(); node.disk.crashed {
+		s.tracef("%s dies in a write", node.addr)
 		s.count("died in a write")
-		s.kill(n, s.random.IntN(2) == 0, time.Duration(s.random.Int64N(int64(2*time.Second))))
+		s.kill(node, s.random.IntN(2) == 0, time.Duration(s.random.Int64N(int64(2*time.Second))))
 	}
 }
 
@@ -78,14 +78,14 @@
 // step moves the whole world on.
 func (s *groupSim) step() {
 	s.now += groupSimStep
-	for _, n := range s.nodes {
-		n.clock.Time += time.Duration(float64(groupSimStep) * n.clockRate)
+	for _, node := range s.nodes {
+		node.clock.Time += time.Duration(float64(groupSimStep) * node.clockRate)
 	}
 	s.checkLeaseHolders()
 	s.runTimers()
 	s.deliver()
-	for _, n := range s.nodes {
-		s.tick(n)
+	for _, node := range s.nodes {
+		s.tick(node)
 	}
 	open := s.inProgress
 	s.inProgress = nil
@@ -94,8 +94,8 @@
 			s.inProgress = append(s.inProgress, f)
 		}
 	}
-	if l := s.leader(); l != nil {
-		if is := fmt.Sprint(l.addr, l.shard.core.Status().Term); is != s.lastLeader {
+	if leader := s.leader(); leader != nil {
+		if is := fmt.Sprint(leader.addr, leader.shard.core.Status().Term); is != s.lastLeader {
 			s.lastLeader = is
 			s.fireEvent("new leader")
 		}
@@ -104,9 +104,9 @@
 
 func (s *groupSim) checkLeaseHolders() {
 	held := 0
-	for _, h := range s.leaseHolders {
-		h.clock.Time += time.Duration(float64(groupSimStep) * h.clockRate)
-		if _, ok := h.lease.FencingToken(); ok {
+	for _, holder := range s.leaseHolders {
+		holder.clock.Time += time.Duration(float64(groupSimStep) * holder.clockRate)
+		if _, ok := holder.lease.FencingToken(); ok {
 			held++
 		}
 	}
@@ -118,11 +118,11 @@
 func (s *groupSim) runTimers() {
 	due := s.timers
 	s.timers = nil
-	for _, t := range due {
-		if t.at > s.now {
-			s.timers = append(s.timers, t)
+	for _, timer := range due {
+		if timer.at > s.now {
+			s.timers = append(s.timers, timer)
 		} else {
-			t.run()
+			timer.run()
 		}
 	}
 }
@@ -134,87 +134,87 @@
 	due := s.inFlight
 	s.inFlight = nil
 	var stay []simMessage
-	for _, m := range due {
-		n := s.node(controlclient.MemberAddr(m.message.To))
-		if m.deliverAt > s.now || n.shard != nil && !s.isRunning(n) { // a frozen machine's messages wait
-			stay = append(stay, m)
-		} else if s.isHealthy(n) {
-			n.shard.core.Step(m.message)
-			s.runStep(n)
+	for _, sent := range due {
+		node := s.node(controlclient.MemberAddr(sent.message.To))
+		if sent.deliverAt > s.now || node.shard != nil && !s.isRunning(node) { // a frozen machine's messages wait
+			stay = append(stay, sent)
+		} else if s.isHealthy(node) {
+			node.shard.core.Step(sent.message)
+			s.runStep(node)
 		}
 	}
 	s.inFlight = append(stay, s.inFlight...)
 }
 
 // tick is what a node does ten times a second, and its start once it is due.
-func (s *groupSim) tick(n *groupSimNode) {
-	if n.shard == nil && !n.isRemoved && n.restartAt > 0 && s.now >= n.restartAt {
-		s.tracef("boot %s", n.addr)
-		s.start(n)
+func (s *groupSim) tick(node *groupSimNode) {
+	if node.shard == nil && !node.isRemoved && node.restartAt > 0 && s.now >= node.restartAt {
+		s.tracef("boot %s", node.addr)
+		s.start(node)
 	}
-	if !s.isRunning(n) || s.now < n.nextTick {
+	if !s.isRunning(node) || s.now < node.nextTick {
 		return
 	}
-	n.nextTick = s.now + time.Duration(float64(100*time.Millisecond)/n.clockRate)
-	if n.shard.failure == nil {
-		n.shard.core.Tick()
+	node.nextTick = s.now + time.Duration(float64(100*time.Millisecond)/node.clockRate)
+	if node.shard.failure == nil {
+		node.shard.core.Tick()
 	}
-	was, _, _ := n.shard.core.Members()
-	n.shard.tickGroup()
-	now, _, _ := n.shard.core.Members()
+	was, _, _ := node.shard.core.Members()
+	node.shard.tickGroup()
+	now, _, _ := node.shard.core.Members()
 	changed := !slices.Equal(was, now)
 	if changed {
 		s.count("members change")
-		s.tracef("%s changes members %v to %v", n.addr, was, now)
+		s.tracef("%s changes members %v to %v", node.addr, was, now)
 	}
-	s.runStep(n)
+	s.runStep(node)
 	if changed {
 		s.fireEvent("members change")
 	}
-	if s.allFaults && s.isRunning(n) && s.random.IntN(10) == 0 {
-		s.gossip(n)
+	if s.allFaults && s.isRunning(node) && s.random.IntN(10) == 0 {
+		s.gossip(node)
 	}
-	if s.isRunning(n) && s.now >= n.nextJoin && n.shard.needsJoin() {
-		n.nextJoin = s.now + 800*time.Millisecond
-		s.join(n)
+	if s.isRunning(node) && s.now >= node.nextJoin && node.shard.needsJoin() {
+		node.nextJoin = s.now + 800*time.Millisecond
+		s.join(node)
 	}
 }
 
 // gossip has a node and one that it knows exchange whom they know.
-func (s *groupSim) gossip(n *groupSimNode) {
-	l := queue.Keys(n.knownAddrs)
-	m := s.node(l[s.random.IntN(len(l))])
-	if m == n || !s.isRunning(m) || s.callFails(n.addr, m.addr) {
+func (s *groupSim) gossip(node *groupSimNode) {
+	l := queue.Keys(node.knownAddrs)
+	peer := s.node(l[s.random.IntN(len(l))])
+	if peer == node || !s.isRunning(peer) || s.callFails(node.addr, peer.addr) {
 		return
 	}
-	n.knownAddrs[m.addr], m.knownAddrs[n.addr] = true, true
-	for a := range n.knownAddrs {
-		m.knownAddrs[a] = true
+	node.knownAddrs[peer.addr], peer.knownAddrs[node.addr] = true, true
+	for a := range node.knownAddrs {
+		peer.knownAddrs[a] = true
 	}
-	for a := range m.knownAddrs {
-		n.knownAddrs[a] = true
+	for a := range peer.knownAddrs {
+		node.knownAddrs[a] = true
 	}
 }
 
 // join asks somebody that the node knows of, and the leader that is named, to be taken in.
-func (s *groupSim) join(n *groupSimNode) {
-	all := queue.Keys(n.knownAddrs)
-	members, _, _ := n.shard.core.Members()
+func (s *groupSim) join(node *groupSimNode) {
+	all := queue.Keys(node.knownAddrs)
+	members, _, _ := node.shard.core.Members()
 	for _, m := range members {
 		all = append(all, controlclient.MemberAddr(m))
 	}
-	m := s.node(all[s.random.IntN(len(all))])
+	peer := s.node(all[s.random.IntN(len(all))])
 	for range 2 {
-		if m == nil || m == n || !s.isHealthy(m) || s.callFails(n.addr, m.addr) {
+		if peer == nil || peer == node || !s.isHealthy(peer) || s.callFails(node.addr, peer.addr) {
 			return
 		}
-		n.knownAddrs[m.addr], m.knownAddrs[n.addr] = true, true
-		t := m.shard.handleJoin(&wire.JoinRequest{Name: n.shard.core.Self()})
-		if s.runStep(m); t.Outcome == wire.OutcomeDone {
+		node.knownAddrs[peer.addr], peer.knownAddrs[node.addr] = true, true
+		response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
+		if s.runStep(peer); response.Outcome == wire.OutcomeDone {
 			s.count("taken in")
 			s.fireEvent("taken in")
 			return
 		}
-		m = s.node(controlclient.MemberAddr(t.Leader))
+		peer = s.node(controlclient.MemberAddr(response.Leader))
 	}
 }
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -115,89 +115,89 @@
 	s.compactAt = [...]int{1500, defaultCompactAt, 20000}[s.random.IntN(3)]
 	s.tailBytes = [...]int{0, 2000}[s.random.IntN(2)]
 	for i := range many {
-		n := s.addNode()
+		node := s.addNode()
 		if i < 3 {
-			s.seeds = append(s.seeds, n.addr)
+			s.seeds = append(s.seeds, node.addr)
 		}
 	}
-	for _, n := range s.nodes {
-		s.start(n)
+	for _, node := range s.nodes {
+		s.start(node)
 	}
 	s.founding = false
 	for i := range 2 {
-		h := &simLeaseHolder{clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
-		h.lease = controlclient.NewLease(nil, h.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
-		s.leaseHolders = append(s.leaseHolders, h)
+		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+		holder.lease = controlclient.NewLease(nil, holder.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
+		s.leaseHolders = append(s.leaseHolders, holder)
 	}
 	return s
 }
 
 func (s *groupSim) addNode() *groupSimNode {
-	n := &groupSimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
-	s.wipeDisk(n)
-	s.nodes = append(s.nodes, n)
-	return n
+	node := &groupSimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+	s.wipeDisk(node)
+	s.nodes = append(s.nodes, node)
+	return node
 }
 
 // wipeDisk gives a machine an empty disk.
-func (s *groupSim) wipeDisk(n *groupSimNode) {
+func (s *groupSim) wipeDisk(node *groupSimNode) {
 	d := newCacheDisk(s.random)
 	d.beforeWrite = func() { // the thread does nothing else meanwhile; questions are answered all the same
-		if n.maxWriteTime > 0 && n.shard != nil {
-			s.poll(n, 0)
-			n.frozenUntil = max(n.frozenUntil, s.now+time.Duration(s.random.Int64N(int64(n.maxWriteTime))))
+		if node.maxWriteTime > 0 && node.shard != nil {
+			s.poll(node, 0)
+			node.frozenUntil = max(node.frozenUntil, s.now+time.Duration(s.random.Int64N(int64(node.maxWriteTime))))
 		}
 	}
-	n.disk = d
+	node.disk = d
 }
 
-func (s *groupSim) start(n *groupSimNode) {
-	n.generation++
-	incarnation := n.generation
-	n.disk.writesUntilCrash, n.disk.crashed = -1, false
-	n.clock.Time = time.Duration(s.random.Int64N(int64(time.Hour)))
-	n.knownAddrs = map[string]bool{}
+func (s *groupSim) start(node *groupSimNode) {
+	node.generation++
+	incarnation := node.generation
+	node.disk.writesUntilCrash, node.disk.crashed = -1, false
+	node.clock.Time = time.Duration(s.random.Int64N(int64(time.Hour)))
+	node.knownAddrs = map[string]bool{}
 	for _, a := range s.seeds {
-		n.knownAddrs[a] = true
+		node.knownAddrs[a] = true
 	}
-	p := newShard(context.Background(), 0, n.clock, hclog.NewNullLogger(), func(m *wire.Message) {
-		if n.generation == incarnation {
-			s.send(m)
+	replica := newShard(context.Background(), 0, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
+		if node.generation == incarnation {
+			s.send(message)
 		}
 	})
-	if p.compactThreshold = s.compactAt; p.compactThreshold == 0 {
-		p.compactThreshold = defaultCompactAt
+	if replica.compactThreshold = s.compactAt; replica.compactThreshold == 0 {
+		replica.compactThreshold = defaultCompactAt
 	}
-	n.shard = nil
-	openGroup(p, &group{codec: versionCodec{}, disk: n.disk, targetSize: 2*s.toleratedLosses + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TrailingLogBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(n.addr[1])))},
+	node.shard = nil
+	openGroup(replica, &group{codec: versionCodec{}, disk: node.disk, targetSize: 2*s.toleratedLosses + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TrailingLogBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(node.addr[1])))},
 		initialSnapshot: func() *wire.Snapshot {
 			if s.plantedFault == "same-incarnation" && !s.founding { // planted: a lost disk comes back as the member that it was
-				return consensus.LearnerSnapshot(n.addr + "/0")
+				return consensus.LearnerSnapshot(node.addr + "/0")
 			}
-			return initialGroupSnapshot(s.founding, n.addr, s.seeds, s.random.Uint64)
+			return initialGroupSnapshot(s.founding, node.addr, s.seeds, s.random.Uint64)
 		}})
-	n.shard, n.nextTick, n.restartAt = p, s.now, 0
+	node.shard, node.nextTick, node.restartAt = replica, s.now, 0
 }
 
 // kill ends a machine's process; power: the machine loses that, too.
-func (s *groupSim) kill(n *groupSimNode, power bool, back time.Duration) {
-	if n.isRemoved {
+func (s *groupSim) kill(node *groupSimNode, power bool, back time.Duration) {
+	if node.isRemoved {
 		return
 	}
-	n.shard, n.generation, n.restartAt = nil, n.generation+1, s.now+back
+	node.shard, node.generation, node.restartAt = nil, node.generation+1, s.now+back
 	if power {
-		n.disk.losePower()
+		node.disk.losePower()
 	}
 	if s.random.IntN(2) == 0 { // what it had sent meanwhile never left the machine
-		s.inFlight = slices.DeleteFunc(s.inFlight, func(m simMessage) bool { return controlclient.MemberAddr(m.message.From) == n.addr })
+		s.inFlight = slices.DeleteFunc(s.inFlight, func(sent simMessage) bool { return controlclient.MemberAddr(sent.message.From) == node.addr })
 	}
 }
 
 func (s *groupSim) node(addr string) *groupSimNode {
-	for _, n := range s.nodes {
-		if n.addr == addr {
-			return n
+	for _, node := range s.nodes {
+		if node.addr == addr {
+			return node
 		}
 	}
 	return nil
@@ -205,10 +205,12 @@
 
 func (s *groupSim) randomNode() *groupSimNode { return s.nodes[s.random.IntN(len(s.nodes))] }
 
-func (s *groupSim) isRunning(n *groupSimNode) bool {
-	return n != nil && n.shard != nil && s.now >= n.frozenUntil
+func (s *groupSim) isRunning(node *groupSimNode) bool {
+	return node != nil && node.shard != nil && s.now >= node.frozenUntil
+}
+func (s *groupSim) isHealthy(node *groupSimNode) bool {
+	return s.isRunning(node) && node.shard.failure == nil
 }
-func (s *groupSim) isHealthy(n *groupSimNode) bool { return s.isRunning(n) && n.shard.failure == nil }
 
 // isPartitioned tells whether nothing gets from one address to another.
 func (s *groupSim) isPartitioned(from, to string) bool {
@@ -222,45 +224,45 @@
 
 // leader is the member that leads in the highest term; nil: none.
 func (s *groupSim) leader() *groupSimNode {
-	var l *groupSimNode
-	for _, n := range s.nodes {
-		if s.isHealthy(n) && n.shard.core.Status().IsLeader && (l == nil || n.shard.core.Status().Term > l.shard.core.Status().Term) {
-			l = n
+	var leader *groupSimNode
+	for _, node := range s.nodes {
+		if s.isHealthy(node) && node.shard.core.Status().IsLeader && (leader == nil || node.shard.core.Status().Term > leader.shard.core.Status().Term) {
+			leader = node
 		}
 	}
-	return l
+	return leader
 }
 
 // isComplete tells whether the group has all the members it wants, and they hold all there is.
 func (s *groupSim) isComplete() bool {
-	l := s.leader()
-	if l == nil || !l.shard.core.CanChangeMembership() {
+	leader := s.leader()
+	if leader == nil || !leader.shard.core.CanChangeMembership() {
 		return false
 	}
-	ms, _, _ := l.shard.core.Members()
-	for _, m := range ms {
-		n := s.node(controlclient.MemberAddr(m))
-		if !s.isHealthy(n) || n.shard.core.Self() != m || n.shard.core.Status().Applied+2 < l.shard.core.Status().Applied {
+	members, _, _ := leader.shard.core.Members()
+	for _, m := range members {
+		node := s.node(controlclient.MemberAddr(m))
+		if !s.isHealthy(node) || node.shard.core.Self() != m || node.shard.core.Status().Applied+2 < leader.shard.core.Status().Applied {
 			return false
 		}
 	}
 	alive := 0
-	for _, n := range s.nodes {
-		if !n.isRemoved {
+	for _, node := range s.nodes {
+		if !node.isRemoved {
 			alive++
 		}
 	}
-	return len(ms) >= min(2*s.toleratedLosses+1, alive)
+	return len(members) >= min(2*s.toleratedLosses+1, alive)
 }
 
 // traceStatus notes how all machines stand.
 func (s *groupSim) traceStatus() {
-	for _, n := range s.nodes {
-		if n.shard == nil {
-			s.tracef("%s is down, gone %v", n.addr, n.isRemoved)
+	for _, node := range s.nodes {
+		if node.shard == nil {
+			s.tracef("%s is down, gone %v", node.addr, node.isRemoved)
 			continue
 		}
-		ms, term, index := n.shard.core.Members()
-		s.tracef("%s is %s, bad %v, %+v, members %v of %d/%d, sees %+v", n.addr, n.shard.core.Self(), n.shard.failure, n.shard.core.Status(), ms, term, index, n.shard.core.PeerStatuses())
+		members, term, index := node.shard.core.Members()
+		s.tracef("%s is %s, bad %v, %+v, members %v of %d/%d, sees %+v", node.addr, node.shard.core.Self(), node.shard.failure, node.shard.core.Status(), members, term, index, node.shard.core.PeerStatuses())
 	}
 }
