--- a/internal/control/controlstate/sim_group_troubles_test.go
+++ b/internal/control/controlstate/sim_group_troubles_test.go
@@ -25,13 +25,13 @@
 }
 
 var simFaults = []simFault{
-	{"kill", 2, func(s *groupSim, n *groupSimNode) {
-		s.tracef("kill %s", n.addr)
-		s.kill(n, s.random.IntN(2) == 0, s.randomDuration(4*time.Second))
+	{"kill", 2, func(s *groupSim, node *groupSimNode) {
+		s.tracef("kill %s", node.addr)
+		s.kill(node, s.random.IntN(2) == 0, s.randomDuration(4*time.Second))
 	}},
 	{"all killed", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(s.random.IntN(2) == 0) }},
 	{"leader first, then all", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
-	{"killed soon after an order", 1, func(s *groupSim, n *groupSimNode) {
+	{"killed soon after an order", 1, func(s *groupSim, node *groupSimNode) {
 		s.eventHooks["order sent"] = func() { s.schedule(s.eventDelay(), func() { s.killLeader(s.random.IntN(2) == 0) }) }
 	}},
 	{"all lose power soon after an order", 1, func(s *groupSim, _ *groupSimNode) {
@@ -40,37 +40,37 @@
 	{"cut off as an order is under way", 2, func(s *groupSim, _ *groupSimNode) {
 		s.eventHooks["order sent"] = func() { s.schedule(s.randomDuration(20*time.Millisecond), s.isolateLeader) }
 	}},
-	{"freeze", 1, func(s *groupSim, n *groupSimNode) { s.freeze(n, s.randomDuration(5*time.Second)) }},
-	{"cut one way", 1, func(s *groupSim, n *groupSimNode) { s.partitioned[n.addr+">"+s.randomNode().addr] = true }},
-	{"cut off", 1, func(s *groupSim, n *groupSimNode) {
-		s.tracef("cut off %s", n.addr)
-		s.isolate(s.partitioned, n, true, true)
+	{"freeze", 1, func(s *groupSim, node *groupSimNode) { s.freeze(node, s.randomDuration(5*time.Second)) }},
+	{"cut one way", 1, func(s *groupSim, node *groupSimNode) { s.partitioned[node.addr+">"+s.randomNode().addr] = true }},
+	{"cut off", 1, func(s *groupSim, node *groupSimNode) {
+		s.tracef("cut off %s", node.addr)
+		s.isolate(s.partitioned, node, true, true)
 	}},
 	{"cuts end", 2, func(s *groupSim, _ *groupSimNode) { clear(s.partitioned) }},
-	{"dies in a write", 1, func(s *groupSim, n *groupSimNode) { n.disk.writesUntilCrash = s.random.IntN(6) }},
-	{"full disk", 1, func(s *groupSim, n *groupSimNode) {
-		s.tracef("the disk of %s is full, or is no longer", n.addr)
-		n.disk.failWrites = !n.disk.failWrites
+	{"dies in a write", 1, func(s *groupSim, node *groupSimNode) { node.disk.writesUntilCrash = s.random.IntN(6) }},
+	{"full disk", 1, func(s *groupSim, node *groupSimNode) {
+		s.tracef("the disk of %s is full, or is no longer", node.addr)
+		node.disk.failWrites = !node.disk.failWrites
 	}},
-	{"slow disk", 1, func(s *groupSim, n *groupSimNode) { n.maxWriteTime = 30 * time.Millisecond }},
-	{"stalled disk", 1, func(s *groupSim, n *groupSimNode) { n.maxWriteTime = 2 * time.Second }},
-	{"disks are well", 1, func(s *groupSim, n *groupSimNode) { n.maxWriteTime = 0 }},
+	{"slow disk", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 30 * time.Millisecond }},
+	{"stalled disk", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 2 * time.Second }},
+	{"disks are well", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 0 }},
 	{"hand over", 1, func(s *groupSim, _ *groupSimNode) { s.transferLeadership() }},
-	{"SIGTERM", 1, func(s *groupSim, n *groupSimNode) { s.terminate(n, s.randomDuration(time.Second)) }},
+	{"SIGTERM", 1, func(s *groupSim, node *groupSimNode) { s.terminate(node, s.randomDuration(time.Second)) }},
 	{"messages lost", 1, func(s *groupSim, _ *groupSimNode) { s.lossRate = [...]float64{0, 0.05, 0.3}[s.random.IntN(3)] }},
 }
 
 // injectFault brings one failure about.
 func (s *groupSim) injectFault() {
 	sum := 0
-	for _, t := range simFaults {
-		sum += t.weight
+	for _, fault := range simFaults {
+		sum += fault.weight
 	}
 	k := s.random.IntN(sum)
-	for _, t := range simFaults {
-		if k -= t.weight; k < 0 {
-			s.count(t.name)
-			t.inject(s, s.randomNode())
+	for _, fault := range simFaults {
+		if k -= fault.weight; k < 0 {
+			s.count(fault.name)
+			fault.inject(s, s.randomNode())
 			return
 		}
 	}
@@ -78,15 +78,15 @@
 
 func (s *groupSim) killAll(power bool) {
 	s.tracef("all are killed, power %v", power)
-	for _, n := range s.nodes {
-		s.kill(n, power, s.randomDuration(time.Second))
+	for _, node := range s.nodes {
+		s.kill(node, power, s.randomDuration(time.Second))
 	}
 }
 
 func (s *groupSim) killLeader(power bool) {
-	if l := s.leader(); l != nil {
-		s.tracef("kill the leader %s, power %v", l.addr, power)
-		s.kill(l, power, s.randomDuration(3*time.Second))
+	if leader := s.leader(); leader != nil {
+		s.tracef("kill the leader %s, power %v", leader.addr, power)
+		s.kill(leader, power, s.randomDuration(3*time.Second))
 	}
 }
 
@@ -94,67 +94,67 @@
 func (s *groupSim) powerOffInTurn() {
 	s.killLeader(true)
 	at := time.Duration(0)
-	for _, n := range s.nodes {
+	for _, node := range s.nodes {
 		at += s.randomDuration(100 * time.Millisecond)
-		s.schedule(at, func() { s.kill(n, true, s.randomDuration(time.Second)) })
+		s.schedule(at, func() { s.kill(node, true, s.randomDuration(time.Second)) })
 	}
 }
 
-func (s *groupSim) freeze(n *groupSimNode, d time.Duration) {
-	n.frozenUntil = s.now + d
-	s.tracef("freeze %s until %v", n.addr, n.frozenUntil)
+func (s *groupSim) freeze(node *groupSimNode, d time.Duration) {
+	node.frozenUntil = s.now + d
+	s.tracef("freeze %s until %v", node.addr, node.frozenUntil)
 }
 
 // isolate cuts a machine off from all others, in one way or both.
-func (s *groupSim) isolate(cut map[string]bool, n *groupSimNode, hears, isHeard bool) {
-	for _, m := range s.nodes {
-		if m == n {
+func (s *groupSim) isolate(cut map[string]bool, node *groupSimNode, hears, isHeard bool) {
+	for _, peer := range s.nodes {
+		if peer == node {
 			continue
 		}
 		if hears {
-			cut[m.addr+">"+n.addr] = true
+			cut[peer.addr+">"+node.addr] = true
 		}
 		if isHeard {
-			cut[n.addr+">"+m.addr] = true
+			cut[node.addr+">"+peer.addr] = true
 		}
 	}
 }
 
 // isolateLeader cuts the leader off for a few seconds: it is heard or not, but hears nobody.
 func (s *groupSim) isolateLeader() {
-	if l := s.leader(); l != nil {
-		s.tracef("cut the leader %s off", l.addr)
-		s.isolate(s.partitioned, l, true, s.random.IntN(2) == 0)
+	if leader := s.leader(); leader != nil {
+		s.tracef("cut the leader %s off", leader.addr)
+		s.isolate(s.partitioned, leader, true, s.random.IntN(2) == 0)
 		s.schedule(s.randomDuration(4*time.Second), func() { clear(s.partitioned) })
 	}
 }
 
 // transferLeadership has whoever leads hand the group over.
 func (s *groupSim) transferLeadership() {
-	for _, n := range s.nodes {
-		if s.isHealthy(n) && n.shard.core.TransferLeadership() {
-			s.runStep(n)
+	for _, node := range s.nodes {
+		if s.isHealthy(node) && node.shard.core.TransferLeadership() {
+			s.runStep(node)
 			s.count("handed over")
 		}
 	}
 }
 
 // terminate ends a process in order, as Node.leave does: it asks until it may stop, for a while.
-func (s *groupSim) terminate(n *groupSimNode, back time.Duration) {
+func (s *groupSim) terminate(node *groupSimNode, back time.Duration) {
 	const wait, pause = 3 * time.Second, 50 * time.Millisecond
-	end, incarnation := s.now+wait, n.generation
-	s.tracef("SIGTERM to %s", n.addr)
+	end, incarnation := s.now+wait, node.generation
+	s.tracef("SIGTERM to %s", node.addr)
 	var leave func()
 	leave = func() {
-		if n.shard == nil || n.generation != incarnation {
+		if node.shard == nil || node.generation != incarnation {
 			return
 		}
-		stops := s.isRunning(n) && (s.now >= end || s.mayLeave(n))
-		if n.shard == nil || n.generation != incarnation {
+		stops := s.isRunning(node) && (s.now >= end || s.mayLeave(node))
+		if node.shard == nil || node.generation != incarnation {
 			return // it died in a write
 		}
 		if stops {
-			s.kill(n, false, back)
+			s.kill(node, false, back)
 			return
 		}
 		s.schedule(pause, leave)
@@ -163,19 +163,19 @@
 }
 
 // mayLeave asks the member, and the leader that it knows, whether it may stop.
-func (s *groupSim) mayLeave(n *groupSimNode) bool {
-	at := n.shard.prepareToLeave()
-	s.runStep(n)
+func (s *groupSim) mayLeave(node *groupSimNode) bool {
+	at := node.shard.prepareToLeave()
+	s.runStep(node)
 	if at.done || at.isLeader || at.leader == "" {
 		return at.done
 	}
-	l := s.node(controlclient.MemberAddr(at.leader))
-	if !s.isHealthy(l) || s.callFails(n.addr, l.addr) {
+	leader := s.node(controlclient.MemberAddr(at.leader))
+	if !s.isHealthy(leader) || s.callFails(node.addr, leader.addr) {
 		return false
 	}
-	t := l.shard.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
-	s.runStep(l)
-	return t.Outcome == wire.OutcomeDone
+	response := leader.shard.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
+	s.runStep(leader)
+	return response.Outcome == wire.OutcomeDone
 }
 
 // secondFaults are what may hit while a repair or a replacement is under way. None takes a disk.
@@ -185,22 +185,22 @@
 	{"all lose power", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(true) }},
 	{"all lose power in turn", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
 	{"SIGTERM to the leader", 1, func(s *groupSim, _ *groupSimNode) {
-		if l := s.leader(); l != nil {
-			s.terminate(l, s.randomDuration(time.Second))
+		if leader := s.leader(); leader != nil {
+			s.terminate(leader, s.randomDuration(time.Second))
 		}
 	}},
 	{"freeze the leader", 1, func(s *groupSim, _ *groupSimNode) {
-		if l := s.leader(); l != nil {
-			s.freeze(l, s.randomDuration(4*time.Second))
+		if leader := s.leader(); leader != nil {
+			s.freeze(leader, s.randomDuration(4*time.Second))
 		}
 	}},
 	{"cut the leader off", 1, func(s *groupSim, _ *groupSimNode) { s.isolateLeader() }},
 	{"the leader's disk stalls", 1, func(s *groupSim, _ *groupSimNode) {
-		if l := s.leader(); l != nil {
-			l.maxWriteTime = 2 * time.Second
+		if leader := s.leader(); leader != nil {
+			leader.maxWriteTime = 2 * time.Second
 		}
 	}},
-	{"kill another", 1, func(s *groupSim, n *groupSimNode) { s.kill(n, false, s.randomDuration(3*time.Second)) }},
+	{"kill another", 1, func(s *groupSim, node *groupSimNode) { s.kill(node, false, s.randomDuration(3*time.Second)) }},
 }
 
 // secondFaultEvents are the steps of a repair at which a second strike may come.
@@ -208,7 +208,7 @@
 
 // armSecondFault has a failure come at a step of what goes on, or a moment after it.
 func (s *groupSim) armSecondFault() {
-	at, x := secondFaultEvents[s.random.IntN(len(secondFaultEvents))], secondFaults[s.random.IntN(len(secondFaults))]
+	at, fault := secondFaultEvents[s.random.IntN(len(secondFaultEvents))], secondFaults[s.random.IntN(len(secondFaults))]
 	delay := time.Duration(0)
 	if s.random.IntN(2) == 0 {
 		delay = s.eventDelay()
@@ -216,7 +216,7 @@
 	s.eventHooks[at] = func() {
 		s.secondFaultInjected = true
 		s.count("second strike: " + at)
-		s.tracef("second strike at %q: %s, after %v", at, x.name, delay)
-		s.schedule(delay, func() { x.inject(s, s.randomNode()) })
+		s.tracef("second strike at %q: %s, after %v", at, fault.name, delay)
+		s.schedule(delay, func() { fault.inject(s, s.randomNode()) })
 	}
 }
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -11,23 +11,23 @@
 
 // sendCommand sends a command to a node and follows it up until it is answered; the answer may be
 // lost on the way back, as may the question.
-func (s *shardSim) sendCommand(n *shardSimNode, a *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
-	if !s.isRunning(n) || s.random.Float64() < s.lossRate {
+func (s *shardSim) sendCommand(node *shardSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
+	if !s.isRunning(node) || s.random.Float64() < s.lossRate {
 		return
 	}
-	w, response := n.shard.propose(a, nil)
-	n.shard.handleReady()
-	incarnation, begin := n.generation, s.now
+	pending, response := node.shard.propose(request, nil)
+	node.shard.handleReady()
+	incarnation, begin := node.generation, s.now
 	lost := s.random.Float64() < s.lossRate
 	s.inProgress = append(s.inProgress, func() bool {
 		if response == nil {
 			select {
-			case response = <-w.response:
+			case response = <-pending.response:
 			default:
-				return n.generation == incarnation && s.now-begin < 10*time.Second
+				return node.generation == incarnation && s.now-begin < 10*time.Second
 			}
 		}
-		if n.generation == incarnation && !lost && s.isRunning(n) {
+		if node.generation == incarnation && !lost && s.isRunning(node) {
 			done(response)
 		}
 		return false
@@ -36,36 +36,36 @@
 
 // write is an operator's compare-and-set on the epoch it last read.
 func (s *shardSim) write() {
-	n := s.randomNode()
+	node := s.randomNode()
 	var base uint64
-	for _, w := range s.writes {
-		if w.ackedAt > 0 {
-			base = max(base, w.version)
+	for _, write := range s.writes {
+		if write.ackedAt > 0 {
+			base = max(base, write.version)
 		}
 	}
-	for _, x := range s.reads {
-		base = max(base, x.version)
+	for _, read := range s.reads {
+		base = max(base, read.version)
 	}
-	w := &simWrite{body: fmt.Sprintf("body-%d", len(s.writes)), sentAt: s.now}
-	s.writes = append(s.writes, w)
-	put := &wire.Put{Key: "doc", Body: []byte(w.body), IfVersion: base}
+	write := &simWrite{body: fmt.Sprintf("body-%d", len(s.writes)), sentAt: s.now}
+	s.writes = append(s.writes, write)
+	put := &wire.Put{Key: "doc", Body: []byte(write.body), IfVersion: base}
 	if s.random.IntN(4) == 0 {
 		put.AnyVersion = true
 	}
-	s.sendCommand(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeResponse) {
-		if t.Outcome == wire.OutcomeDone {
-			w.version, w.ackedAt = t.Version, s.now
+	s.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(response *wire.ChangeResponse) {
+		if response.Outcome == wire.OutcomeDone {
+			write.version, write.ackedAt = response.Version, s.now
 			s.counts["acked"]++
-			s.tracef("acked %s epoch %d by %s", w.body, w.version, n.name)
+			s.tracef("acked %s epoch %d by %s", write.body, write.version, node.name)
 			if s.random.IntN(12) == 0 { // the leader dies right after it acknowledged; the others are asked for news
-				s.tracef("kill %s right after", n.name)
+				s.tracef("kill %s right after", node.name)
 				s.counts["kill after ack"]++
-				n.shard, n.generation = nil, n.generation+1
+				node.shard, node.generation = nil, node.generation+1
 				if s.random.IntN(2) == 0 { // what it had sent meanwhile never left the machine
-					s.inFlight = slices.DeleteFunc(s.inFlight, func(m simMessage) bool { return m.message.From == n.name })
+					s.inFlight = slices.DeleteFunc(s.inFlight, func(sent simMessage) bool { return sent.message.From == node.name })
 				}
-				for _, m := range s.nodes {
-					s.poll(m)
+				for _, peer := range s.nodes {
+					s.poll(peer)
 				}
 			}
 		}
@@ -73,65 +73,65 @@
 }
 
 func (s *shardSim) read() {
-	n := s.randomNode()
-	if !s.isRunning(n) {
+	node := s.randomNode()
+	if !s.isRunning(node) {
 		return
 	}
-	begin, incarnation := s.now, n.generation
-	w := make(chan bool, 1)
-	n.shard.beginRead(w)
-	n.shard.handleReady()
+	begin, incarnation := s.now, node.generation
+	confirmed := make(chan bool, 1)
+	node.shard.beginRead(confirmed)
+	node.shard.handleReady()
 	s.inProgress = append(s.inProgress, func() bool {
 		select {
-		case ok := <-w:
-			if ok && n.generation == incarnation && s.isRunning(n) {
-				ds, _ := n.shard.selectDocuments(&wire.ReadRequest{Key: "doc"})
-				x := &simRead{sentAt: begin, answeredAt: s.now}
-				if len(ds) > 0 {
-					x.version, x.body = ds[0].Version, string(ds[0].Body)
+		case ok := <-confirmed:
+			if ok && node.generation == incarnation && s.isRunning(node) {
+				documents, _ := node.shard.selectDocuments(&wire.ReadRequest{Key: "doc"})
+				read := &simRead{sentAt: begin, answeredAt: s.now}
+				if len(documents) > 0 {
+					read.version, read.body = documents[0].Version, string(documents[0].Body)
 				}
-				s.reads = append(s.reads, x)
+				s.reads = append(s.reads, read)
 				s.counts["read"]++
 				if s.debug {
-					s.tracef("read epoch %d by %s begun %v", x.version, n.name, begin)
+					s.tracef("read epoch %d by %s begun %v", read.version, node.name, begin)
 				}
-				s.checkRead(x)
+				s.checkRead(read)
 			}
 			return false
 		default:
-			return n.generation == incarnation && s.now-begin < 10*time.Second
+			return node.generation == incarnation && s.now-begin < 10*time.Second
 		}
 	})
 }
 
 // poll is the runner's long poll of one member, and the check of its proof.
-func (s *shardSim) poll(n *shardSimNode) {
-	if !s.isRunning(n) {
+func (s *shardSim) poll(node *shardSimNode) {
+	if !s.isRunning(node) {
 		return
 	}
 	f := s.watcher.freshness
 	have, asked := f.LatestVersion(), s.now
 	wait := s.now + 300*time.Millisecond
-	incarnation := n.generation
+	incarnation := node.generation
 	s.inProgress = append(s.inProgress, func() bool {
-		if n.generation != incarnation || !s.isRunning(n) {
-			return n.generation == incarnation
+		if node.generation != incarnation || !s.isRunning(node) {
+			return node.generation == incarnation
 		}
-		t := n.shard.watchResponse(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
-		if s.plantedFault == "vouch-unsettled" && s.now >= wait && n.shard.state.documents["doc"].GetVersion() == have {
-			t = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
+		response := node.shard.watchResponse(&wire.WatchRequest{Key: "doc", Have: have}, node.name, s.now >= wait)
+		if s.plantedFault == "vouch-unsettled" && s.now >= wait && node.shard.state.documents["doc"].GetVersion() == have {
+			response = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
 		}
-		if t == nil {
+		if response == nil {
 			return true
 		}
 		if s.plantedFault == "vouch-unsettled" {
-			t.NothingNewer = true
+			response.NothingNewer = true
 		}
-		f.HandleResponse(n.name, have, asked, t)
+		f.HandleResponse(node.name, have, asked, response)
 		proof := f.FreshUntil()
-		for _, w := range s.writes {
-			if w.ackedAt > 0 && w.ackedAt <= proof && w.version > f.Document().GetVersion() {
-				s.violationf("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", f.Document().GetVersion(), proof, w.version, w.ackedAt)
+		for _, write := range s.writes {
+			if write.ackedAt > 0 && write.ackedAt <= proof && write.version > f.Document().GetVersion() {
+				s.violationf("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", f.Document().GetVersion(), proof, write.version, write.ackedAt)
 			}
 		}
 		if proof > 0 {
@@ -146,9 +146,9 @@
 	id := make([]byte, 16)
 	id[0] = byte(s.random.IntN(40))
 	nonce := uint64(s.random.IntN(3) + 1)
-	c := &wire.Claims{List: []*wire.Claim{{Id: id, Nonce: nonce}}}
-	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: c}}}, func(t *wire.ChangeResponse) {
-		if t.Outcome != wire.OutcomeDone || !t.Granted[0] {
+	claims := &wire.Claims{List: []*wire.Claim{{Id: id, Nonce: nonce}}}
+	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: claims}}}, func(response *wire.ChangeResponse) {
+		if response.Outcome != wire.OutcomeDone || !response.Granted[0] {
 			return
 		}
 		s.counts["claimed"]++
@@ -160,24 +160,27 @@
 }
 
 func (s *shardSim) requestLease() {
-	h := s.leaseHolders[s.random.IntN(len(s.leaseHolders))]
-	if h.pausedUntil > s.now || h.requestPending {
+	holder := s.leaseHolders[s.random.IntN(len(s.leaseHolders))]
+	if holder.pausedUntil > s.now || holder.requestPending {
 		return
 	}
 	if s.random.IntN(40) == 0 {
-		h.pausedUntil = s.now + time.Duration(s.random.Int64N(int64(8*time.Second))) // it freezes: asks no more for a while
+		holder.pausedUntil = s.now + time.Duration(s.random.Int64N(int64(8*time.Second))) // it freezes: asks no more for a while
 	}
-	asked := h.clock.Now()
-	g := h.lease.GrantRequest()
-	h.requestPending = true
+	asked := holder.clock.Now()
+	grant := holder.lease.GrantRequest()
+	holder.requestPending = true
 	before := s.now
-	s.inProgress = append(s.inProgress, func() bool { h.requestPending = s.now-before < 1500*time.Millisecond; return h.requestPending })
-	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}}, func(t *wire.ChangeResponse) {
+	s.inProgress = append(s.inProgress, func() bool {
+		holder.requestPending = s.now-before < 1500*time.Millisecond
+		return holder.requestPending
+	})
+	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}}, func(response *wire.ChangeResponse) {
 		if s.plantedFault == "lease-late" {
-			asked = h.clock.Now() + 2*time.Second // planted: counted from the answer, and more
+			asked = holder.clock.Now() + 2*time.Second // planted: counted from the answer, and more
 		}
-		h.lease.HandleResponse(asked, t)
-		if t.Outcome == wire.OutcomeDone {
+		holder.lease.HandleResponse(asked, response)
+		if response.Outcome == wire.OutcomeDone {
 			s.counts["granted"]++
 		}
 	})
@@ -185,46 +188,46 @@
 
 // injectFault brings one failure about.
 func (s *shardSim) injectFault() {
-	n := s.nodes[s.random.IntN(3)]
+	node := s.nodes[s.random.IntN(3)]
 	switch s.random.IntN(12) {
 	case 0:
-		s.tracef("kill %s", n.name)
+		s.tracef("kill %s", node.name)
 		s.counts["kill"]++
-		n.shard, n.generation = nil, n.generation+1
+		node.shard, node.generation = nil, node.generation+1
 	case 1:
-		n.frozenUntil = s.now + time.Duration(s.random.Int64N(int64(4*time.Second)))
-		s.tracef("freeze %s", n.name)
+		node.frozenUntil = s.now + time.Duration(s.random.Int64N(int64(4*time.Second)))
+		s.tracef("freeze %s", node.name)
 		s.counts["freeze"]++
 	case 2:
 		a, b := s.nodes[s.random.IntN(3)], s.nodes[s.random.IntN(3)]
 		s.partitioned[a.name+">"+b.name] = true
 		s.counts["cut"]++
 	case 3:
-		for _, m := range s.nodes {
-			if m != n {
-				s.partitioned[m.name+">"+n.name], s.partitioned[n.name+">"+m.name] = true, true
+		for _, peer := range s.nodes {
+			if peer != node {
+				s.partitioned[peer.name+">"+node.name], s.partitioned[node.name+">"+peer.name] = true, true
 			}
 		}
-		s.tracef("cut off %s", n.name)
+		s.tracef("cut off %s", node.name)
 		s.counts["cut"]++
 	case 4, 5:
 		clear(s.partitioned)
 	case 6:
-		n.disk.powerBudget = s.random.IntN(3000)
+		node.disk.powerBudget = s.random.IntN(3000)
 		s.counts["power"]++
 	case 7:
-		n.disk.failWrites = true
+		node.disk.failWrites = true
 		s.counts["full"]++
 	case 11:
-		if s.isRunning(n) && n.shard.failure == nil && !n.isBlank && s.othersCaughtUp(n) && len(s.zombies) == 0 && s.counts["acked"] > 0 {
-			s.replace(n)
+		if s.isRunning(node) && node.shard.failure == nil && !node.isBlank && s.othersCaughtUp(node) && len(s.zombies) == 0 && s.counts["acked"] > 0 {
+			s.replace(node)
 		}
 	case 10:
-		n.maxWriteTime = [...]time.Duration{0, 30 * time.Millisecond, 2 * time.Second}[s.random.IntN(3)]
+		node.maxWriteTime = [...]time.Duration{0, 30 * time.Millisecond, 2 * time.Second}[s.random.IntN(3)]
 		s.counts["stall"]++
 	case 9:
-		if s.isRunning(n) && n.shard.failure == nil && n.shard.core.TransferLeadership() {
-			n.shard.handleReady()
+		if s.isRunning(node) && node.shard.failure == nil && node.shard.core.TransferLeadership() {
+			node.shard.handleReady()
 			s.counts["hand over"]++
 		}
 	case 8:
@@ -238,43 +241,43 @@
 	if all || s.random.IntN(4) == 0 {
 		s.zombies = nil // somebody has stopped it
 	}
-	for _, n := range s.nodes {
-		down := n.shard == nil || n.shard.failure != nil
+	for _, node := range s.nodes {
+		down := node.shard == nil || node.shard.failure != nil
 		if !down || !all && s.random.IntN(3) > 0 {
 			continue
 		}
-		if s.othersCaughtUp(n) && s.random.IntN(3) == 0 && s.counts["acked"] > 0 && !all {
-			n.disk = newSimDisk()
+		if s.othersCaughtUp(node) && s.random.IntN(3) == 0 && s.counts["acked"] > 0 && !all {
+			node.disk = newSimDisk()
 			s.counts["lost disk"]++
-			s.tracef("%s loses its disk", n.name)
+			s.tracef("%s loses its disk", node.name)
 		}
-		s.tracef("boot %s", n.name)
-		s.start(n)
+		s.tracef("boot %s", node.name)
+		s.start(node)
 	}
 }
 
 // othersCaughtUp tells whether both others have a past that counts.
-func (s *shardSim) othersCaughtUp(n *shardSimNode) bool {
-	for _, m := range s.nodes {
-		if m != n && m.isBlank {
+func (s *shardSim) othersCaughtUp(node *shardSimNode) bool {
+	for _, peer := range s.nodes {
+		if peer != node && peer.isBlank {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *shardSim) checkRead(x *simRead) {
-	for _, w := range s.writes {
-		if w.ackedAt > 0 && w.ackedAt < x.sentAt && w.version > x.version {
-			s.violationf("read epoch %d after epoch %d was acknowledged", x.version, w.version)
+func (s *shardSim) checkRead(read *simRead) {
+	for _, write := range s.writes {
+		if write.ackedAt > 0 && write.ackedAt < read.sentAt && write.version > read.version {
+			s.violationf("read epoch %d after epoch %d was acknowledged", read.version, write.version)
 		}
-		if w.ackedAt > 0 && w.version == x.version && w.body != x.body {
-			s.violationf("read another body under epoch %d", x.version)
+		if write.ackedAt > 0 && write.version == read.version && write.body != read.body {
+			s.violationf("read another body under epoch %d", read.version)
 		}
 	}
-	for _, o := range s.reads {
-		if o.answeredAt < x.sentAt && o.version > x.version || o.version == x.version && o.body != x.body {
-			s.violationf("read epoch %d %q after a read of epoch %d %q", x.version, x.body, o.version, o.body)
+	for _, earlier := range s.reads {
+		if earlier.answeredAt < read.sentAt && earlier.version > read.version || earlier.version == read.version && earlier.body != read.body {
+			s.violationf("read epoch %d %q after a read of epoch %d %q", read.version, read.body, earlier.version, earlier.body)
 		}
 	}
 }
@@ -312,8 +315,8 @@
 		}
 		clear(s.partitioned)
 		s.lossRate = 0
-		for _, n := range s.nodes {
-			n.frozenUntil, n.maxWriteTime, n.disk.failWrites = 0, 0, false
+		for _, node := range s.nodes {
+			node.frozenUntil, node.maxWriteTime, node.disk.failWrites = 0, 0, false
 		}
 		s.restartNodes(true)
 		acked, healed := s.counts["acked"], false
@@ -323,8 +326,8 @@
 				s.write()
 				s.read()
 			}
-			for _, n := range s.nodes {
-				if n.shard == nil || n.shard.failure != nil {
+			for _, node := range s.nodes {
+				if node.shard == nil || node.shard.failure != nil {
 					s.restartNodes(true) // a torn power setting may strike in peace, once
 				}
 			}
@@ -343,9 +346,9 @@
 // checkHistory checks the acknowledged history as a whole.
 func (s *shardSim) checkHistory() {
 	ack := []*simWrite{}
-	for _, w := range s.writes {
-		if w.ackedAt > 0 {
-			ack = append(ack, w)
+	for _, write := range s.writes {
+		if write.ackedAt > 0 {
+			ack = append(ack, write)
 		}
 	}
 	sort.Slice(ack, func(i, j int) bool { return ack[i].version < ack[j].version })
@@ -354,10 +357,10 @@
 			s.violationf("two writes were acknowledged under epoch %d", ack[i].version)
 		}
 	}
-	for i, w := range ack {
-		for _, o := range ack[i+1:] {
-			if o.ackedAt < w.sentAt {
-				s.violationf("epoch %d was acknowledged before epoch %d began", o.version, w.version)
+	for i, write := range ack {
+		for _, later := range ack[i+1:] {
+			if later.ackedAt < write.sentAt {
+				s.violationf("epoch %d was acknowledged before epoch %d began", later.version, write.version)
 			}
 		}
 	}
--- a/internal/control/controlstate/sim_test.go
+++ b/internal/control/controlstate/sim_test.go
@@ -148,17 +148,17 @@
 func newShardSim(seed uint64, plant string) *shardSim {
 	s := &shardSim{seed: seed, random: rand.New(rand.NewPCG(seed, 1)), partitioned: map[string]bool{}, counts: map[string]int{}, grantedNonces: map[byte]uint64{}, plantedFault: plant}
 	for i := range 3 {
-		n := &shardSimNode{name: fmt.Sprintf("core-%d", i+1), disk: newSimDisk(), clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
-		s.nodes = append(s.nodes, n)
+		node := &shardSimNode{name: fmt.Sprintf("core-%d", i+1), disk: newSimDisk(), clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+		s.nodes = append(s.nodes, node)
 	}
-	for _, n := range s.nodes {
-		s.start(n)
+	for _, node := range s.nodes {
+		s.start(node)
 	}
 	s.watcher = &simWatcher{freshness: nodeagent.NewFreshnessProof(), clock: &clock.Manual{}}
 	for i := range 3 {
-		h := &simLeaseHolder{clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
-		h.lease = controlclient.NewLease(nil, h.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
-		s.leaseHolders = append(s.leaseHolders, h)
+		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+		holder.lease = controlclient.NewLease(nil, holder.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
+		s.leaseHolders = append(s.leaseHolders, holder)
 	}
 	return s
 }
@@ -173,73 +173,75 @@
 }
 
 // start starts a member from its disk; its clock goes on from anywhere.
-func (s *shardSim) start(n *shardSimNode) {
-	n.generation++
-	if len(n.disk.files) == 0 {
-		n.incarnation = fmt.Sprintf("%s/%d", n.name, n.generation)
+func (s *shardSim) start(node *shardSimNode) {
+	node.generation++
+	if len(node.disk.files) == 0 {
+		node.incarnation = fmt.Sprintf("%s/%d", node.name, node.generation)
 	}
-	n.disk.powerBudget, n.disk.failWrites = -1, false
-	n.disk.beforeWrite = func() { // the member does nothing else while a write takes its time
-		if n.maxWriteTime > 0 {
-			n.frozenUntil = max(n.frozenUntil, s.now+time.Duration(s.random.Int64N(int64(n.maxWriteTime))))
+	node.disk.powerBudget, node.disk.failWrites = -1, false
+	node.disk.beforeWrite = func() { // the member does nothing else while a write takes its time
+		if node.maxWriteTime > 0 {
+			node.frozenUntil = max(node.frozenUntil, s.now+time.Duration(s.random.Int64N(int64(node.maxWriteTime))))
 		}
 	}
-	n.clock.Time = time.Duration(s.random.Int64N(int64(time.Hour)))
-	var ms []string
-	for _, m := range s.nodes {
-		ms = append(ms, m.name)
+	node.clock.Time = time.Duration(s.random.Int64N(int64(time.Hour)))
+	var members []string
+	for _, peer := range s.nodes {
+		members = append(members, peer.name)
 	}
-	cfg := consensus.Config{Self: n.name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(n.generation*10)))}
-	incarnation := n.generation
-	p, err := openShard(context.Background(), cfg, n.disk, func() string { return n.incarnation }, n.clock, hclog.NewNullLogger(), func(l *wire.Message) {
-		if n.generation == incarnation {
-			s.send(l)
+	cfg := consensus.Config{Self: node.name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(node.generation*10)))}
+	incarnation := node.generation
+	replica, err := openShard(context.Background(), cfg, node.disk, func() string { return node.incarnation }, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
+		if node.generation == incarnation {
+			s.send(message)
 		}
 	})
 	if err != nil {
-		s.violationf("%s doesn't open: %v", n.name, err)
+		s.violationf("%s doesn't open: %v", node.name, err)
 		return
 	}
-	p.compactThreshold = 2000 // turn slots often
-	n.shard, n.nextTick = p, s.now
-	n.isBlank = p.core.Status().Blank
-	if s.plantedFault == "vote-blank" && p.core.Status().Blank {
+	replica.compactThreshold = 2000 // turn slots often
+	node.shard, node.nextTick = replica, s.now
+	node.isBlank = replica.core.Status().Blank
+	if s.plantedFault == "vote-blank" && replica.core.Status().Blank {
 		// Planted: a lost disk is taken for a first start, and votes at once.
-		slot := consensus.BlankSnapshot(n.incarnation)
+		slot := consensus.BlankSnapshot(node.incarnation)
 		slot.HardState.DiskState = wire.DiskState_DISK_FOUNDED
-		p.core = consensus.New(cfg, slot, nil)
+		replica.core = consensus.New(cfg, slot, nil)
 	}
 }
 
-func (s *shardSim) send(l *wire.Message) {
-	if s.partitioned[l.From+">"+l.To] || s.random.Float64() < s.lossRate {
+func (s *shardSim) send(message *wire.Message) {
+	if s.partitioned[message.From+">"+message.To] || s.random.Float64() < s.lossRate {
 		return
 	}
 	d := time.Duration(s.random.Int64N(int64(8 * time.Millisecond)))
 	if s.random.Float64() < 0.02 {
 		d += time.Duration(s.random.Int64N(int64(time.Second)))
 	}
-	if n := s.node(l.From); n.frozenUntil > s.now {
-		d += n.frozenUntil - s.now // it is sent once the write is through
+	if node := s.node(message.From); node.frozenUntil > s.now {
+		d += node.frozenUntil - s.now // it is sent once the write is through
 	}
 	s.sentMessages++
-	s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + d, s.sentMessages, l})
+	s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + d, s.sentMessages, message})
 	if s.random.Float64() < 0.02 {
 		s.sentMessages++
-		s.inFlight = append(s.inFlight, simMessage{s.now + 2*d + time.Millisecond, s.sentMessages, l})
+		s.inFlight = append(s.inFlight, simMessage{s.now + 2*d + time.Millisecond, s.sentMessages, message})
 	}
 }
 
-func (s *shardSim) isRunning(n *shardSimNode) bool { return n.shard != nil && s.now >= n.frozenUntil }
+func (s *shardSim) isRunning(node *shardSimNode) bool {
+	return node.shard != nil && s.now >= node.frozenUntil
+}
 
 // step moves virtual time on, delivers what is due and lets everyone act.
 func (s *shardSim) step() {
 	s.now += shardSimStep
-	for _, n := range s.allNodes() {
-		n.clock.Time += time.Duration(float64(shardSimStep) * n.clockRate)
+	for _, node := range s.allNodes() {
+		node.clock.Time += time.Duration(float64(shardSimStep) * node.clockRate)
 	}
-	for _, h := range s.leaseHolders {
-		h.clock.Time += time.Duration(float64(shardSimStep) * h.clockRate)
+	for _, holder := range s.leaseHolders {
+		holder.clock.Time += time.Duration(float64(shardSimStep) * holder.clockRate)
 	}
 	s.watcher.clock.Time = s.now
 	sort.SliceStable(s.inFlight, func(i, j int) bool {
@@ -248,39 +250,39 @@
 	var stay []simMessage
 	due := s.inFlight
 	s.inFlight = nil
-	for _, m := range due {
-		if n := s.node(m.message.To); m.deliverAt > s.now || n.shard != nil && !s.isRunning(n) { // a frozen machine's letters wait
-			stay = append(stay, m)
+	for _, sent := range due {
+		if node := s.node(sent.message.To); sent.deliverAt > s.now || node.shard != nil && !s.isRunning(node) { // a frozen machine's letters wait
+			stay = append(stay, sent)
 			continue
 		}
-		for _, n := range s.allNodes() { // a name that two have reaches both
-			if n.name == m.message.To && s.isRunning(n) && n.shard.failure == nil {
-				n.shard.core.Step(proto.Clone(m.message).(*wire.Message))
-				n.shard.handleReady()
+		for _, node := range s.allNodes() { // a name that two have reaches both
+			if node.name == sent.message.To && s.isRunning(node) && node.shard.failure == nil {
+				node.shard.core.Step(proto.Clone(sent.message).(*wire.Message))
+				node.shard.handleReady()
 			}
 		}
 	}
 	s.inFlight = append(stay, s.inFlight...)
-	for _, n := range s.allNodes() {
-		if s.isRunning(n) && s.now >= n.nextTick {
-			n.nextTick = s.now + time.Duration(float64(50*time.Millisecond)/n.clockRate)
-			if n.shard.failure == nil {
-				n.shard.core.Tick()
-				n.shard.handleReady()
-				n.isBlank = n.isBlank && n.shard.core.Status().Blank
+	for _, node := range s.allNodes() {
+		if s.isRunning(node) && s.now >= node.nextTick {
+			node.nextTick = s.now + time.Duration(float64(50*time.Millisecond)/node.clockRate)
+			if node.shard.failure == nil {
+				node.shard.core.Tick()
+				node.shard.handleReady()
+				node.isBlank = node.isBlank && node.shard.core.Status().Blank
 			}
 		}
 	}
 	if s.debug {
-		for _, n := range s.nodes {
-			if n.shard != nil && n.shard.failure == nil {
-				x := n.shard.core.Status()
-				k := fmt.Sprintf("%s owns %v term %d leader %s applied %d last %d blank %v", n.name, x.IsLeader, x.Term, x.Leader, x.Applied, x.LastIndex, x.Blank)
+		for _, node := range s.nodes {
+			if node.shard != nil && node.shard.failure == nil {
+				status := node.shard.core.Status()
+				k := fmt.Sprintf("%s owns %v term %d leader %s applied %d last %d blank %v", node.name, status.IsLeader, status.Term, status.Leader, status.Applied, status.LastIndex, status.Blank)
 				if s.lastStatus == nil {
 					s.lastStatus = map[string]string{}
 				}
-				if s.lastStatus[n.name] != k {
-					s.lastStatus[n.name] = k
+				if s.lastStatus[node.name] != k {
+					s.lastStatus[node.name] = k
 					s.tracef("%s", k)
 				}
 			}
@@ -294,8 +296,8 @@
 	}
 	s.inProgress = open
 	held := 0
-	for _, h := range s.leaseHolders {
-		if _, ok := h.lease.FencingToken(); ok {
+	for _, holder := range s.leaseHolders {
+		if _, ok := holder.lease.FencingToken(); ok {
 			held++
 		}
 	}
@@ -310,33 +312,33 @@
 
 // randomNode picks a machine to ask: one whose name was taken, too.
 func (s *shardSim) randomNode() *shardSimNode {
-	l := s.allNodes()
-	return l[s.random.IntN(len(l))]
+	nodes := s.allNodes()
+	return nodes[s.random.IntN(len(nodes))]
 }
 
 // replace starts an empty machine under a name whose machine froze, and will wake.
-func (s *shardSim) replace(n *shardSimNode) {
-	g := *n
-	g.generation = 1 << 20
-	g.frozenUntil = s.now + time.Duration(s.random.Int64N(int64(4*time.Second)))
-	disk := *n.disk
-	g.disk = &disk
-	g.disk.beforeWrite = nil
-	clk := *n.clock
-	g.clock = &clk
-	g.shard.clock = g.clock
-	g.shard.send = s.send
-	s.zombies = append(s.zombies, &g)
-	n.disk = newSimDisk()
-	s.tracef("%s is replaced by an empty machine while it is frozen", n.name)
+func (s *shardSim) replace(node *shardSimNode) {
+	zombie := *node
+	zombie.generation = 1 << 20
+	zombie.frozenUntil = s.now + time.Duration(s.random.Int64N(int64(4*time.Second)))
+	disk := *node.disk
+	zombie.disk = &disk
+	zombie.disk.beforeWrite = nil
+	clk := *node.clock
+	zombie.clock = &clk
+	zombie.shard.clock = zombie.clock
+	zombie.shard.send = s.send
+	s.zombies = append(s.zombies, &zombie)
+	node.disk = newSimDisk()
+	s.tracef("%s is replaced by an empty machine while it is frozen", node.name)
 	s.counts["replaced"]++
-	s.start(n)
+	s.start(node)
 }
 
 func (s *shardSim) node(name string) *shardSimNode {
-	for _, n := range s.nodes {
-		if n.name == name {
-			return n
+	for _, node := range s.nodes {
+		if node.name == name {
+			return node
 		}
 	}
 	return nil
--- a/internal/control/controlstate/snapshot_cost_test.go
+++ b/internal/control/controlstate/snapshot_cost_test.go
@@ -14,12 +14,12 @@
 // stateOf is a state of documents that are configurations, of so many bytes in all.
 func stateOf(bytes int) *state {
 	s := newState()
-	r := rand.New(rand.NewPCG(1, 6))
+	random := rand.New(rand.NewPCG(1, 6))
 	const document = 512 << 10
 	for i := 0; s.documentBytes+document <= bytes; i++ {
 		body := make([]byte, document)
 		for j := range body {
-			body[j] = byte('a' + r.IntN(26))
+			body[j] = byte('a' + random.IntN(26))
 		}
 		s.applyPut(&wire.Put{Key: fmt.Sprint("document-", i), Body: body, AnyVersion: true})
 	}
@@ -58,7 +58,7 @@
 func BenchmarkStoreSaveAndOpen(b *testing.B) {
 	for _, size := range []int{1 << 20, 4 << 20, 8 << 20} {
 		body, _ := stateOf(size).save()
-		s := &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}, State: body}
+		snapshot := &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}, State: body}
 		d := newSimDisk()
 		store, _, err := storage.Open(d)
 		if err != nil {
@@ -67,7 +67,7 @@
 		b.Run(fmt.Sprint("save ", size>>20, "MB"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if err := store.SaveSnapshot(s, nil); err != nil {
+				if err := store.SaveSnapshot(snapshot, nil); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -31,40 +31,40 @@
 }
 
 func putCommand(key, body, token string, epoch uint64) *wire.Command {
-	u := &wire.Put{Key: key, Body: []byte(body), IfVersion: epoch, Token: token}
-	u.Digest = requestDigest(u, false)
-	return &wire.Command{Kind: &wire.Command_Put{Put: u}}
+	put := &wire.Put{Key: key, Body: []byte(body), IfVersion: epoch, Token: token}
+	put.Digest = requestDigest(put, false)
+	return &wire.Command{Kind: &wire.Command_Put{Put: put}}
 }
 
 // Two operators race on one epoch, each sends its change again under its token because an
 // answer was lost, and a third comes without an epoch to go by. In every order: one of the
 // racers wins, a change sent again is the same change, and no epoch is told twice.
 func TestEveryOrderOfRacingConfigurations(t *testing.T) {
-	cs := []*wire.Command{putCommand("k", "a", "ta", 1), putCommand("k", "a", "ta", 1), putCommand("k", "b", "tb", 1), putCommand("k", "b", "tb", 1), putCommand("k", "c", "tc", 0)}
-	cs[4].GetPut().AnyVersion = true
-	cs[4].GetPut().Digest = requestDigest(cs[4].GetPut(), false)
-	n := permutations(len(cs), func(o []int) {
-		s := newState()
-		s.apply(putCommand("k", "first", "t0", 0), 0)
+	commands := []*wire.Command{putCommand("k", "a", "ta", 1), putCommand("k", "a", "ta", 1), putCommand("k", "b", "tb", 1), putCommand("k", "b", "tb", 1), putCommand("k", "c", "tc", 0)}
+	commands[4].GetPut().AnyVersion = true
+	commands[4].GetPut().Digest = requestDigest(commands[4].GetPut(), false)
+	count := permutations(len(commands), func(order []int) {
+		state := newState()
+		state.apply(putCommand("k", "first", "t0", 0), 0)
 		won, epochs := map[int]uint64{}, map[uint64]string{}
-		for _, i := range o {
-			r := s.apply(proto.Clone(cs[i]).(*wire.Command), 0)
-			if r.Outcome == wire.OutcomeDone {
-				body := string(cs[i].GetPut().Body)
-				if b, ok := epochs[r.Version]; ok && b != body {
-					t.Fatalf("%v: epoch %d was told for %s and for %s", o, r.Version, b, body)
+		for _, i := range order {
+			response := state.apply(proto.Clone(commands[i]).(*wire.Command), 0)
+			if response.Outcome == wire.OutcomeDone {
+				body := string(commands[i].GetPut().Body)
+				if b, ok := epochs[response.Version]; ok && b != body {
+					t.Fatalf("%v: epoch %d was told for %s and for %s", order, response.Version, b, body)
 				}
-				epochs[r.Version], won[i/2] = body, r.Version
+				epochs[response.Version], won[i/2] = body, response.Version
 			}
 		}
 		_, a := won[0]
 		_, b := won[1]
-		if won[2] == 0 || a && b || s.documents["k"].Version != uint64(1+len(won)) {
-			t.Fatalf("%v: won %v, epoch %d", o, won, s.documents["k"].Version)
+		if won[2] == 0 || a && b || state.documents["k"].Version != uint64(1+len(won)) {
+			t.Fatalf("%v: won %v, epoch %d", order, won, state.documents["k"].Version)
 		}
 	})
-	if n != 120 {
-		t.Fatalf("%d orders", n)
+	if count != 120 {
+		t.Fatalf("%d orders", count)
 	}
 }
 
@@ -76,33 +76,33 @@
 		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, GiveUp: up}}}
 	}
 	write := func(h string, fence uint64) *wire.Command {
-		c := putCommand("p", h, "", 0)
-		u := c.GetPut()
-		u.AnyVersion, u.Lease, u.Fence, u.Holder = true, "d", fence, h
-		return c
+		command := putCommand("p", h, "", 0)
+		put := command.GetPut()
+		put.AnyVersion, put.Lease, put.Fence, put.Holder = true, "d", fence, h
+		return command
 	}
-	cs := []*wire.Command{grant("a", 1, false), write("a", 1), grant("b", 1, false), write("b", 2), grant("a", 1, true), write("a", 2)}
-	n := permutations(len(cs), func(o []int) {
+	commands := []*wire.Command{grant("a", 1, false), write("a", 1), grant("b", 1, false), write("b", 2), grant("a", 1, true), write("a", 2)}
+	count := permutations(len(commands), func(order []int) {
 		s := newState()
 		s.apply(grant("a", 0, false), 0)
 		last, by := uint64(1), map[uint64]string{}
-		for _, i := range o {
-			r := s.apply(cs[i], 0)
+		for _, i := range order {
+			response := s.apply(commands[i], 0)
 			f := s.leases["d"].Fence
 			if f < last {
-				t.Fatalf("%v: the fence fell from %d to %d", o, last, f)
+				t.Fatalf("%v: the fence fell from %d to %d", order, last, f)
 			}
 			last = f
-			if u := cs[i].GetPut(); u != nil && r.Outcome == wire.OutcomeDone {
-				if u.Fence != f || by[f] != "" && by[f] != u.Holder {
-					t.Fatalf("%v: %s wrote under fence %d, %d is in force, %q wrote under it", o, u.Holder, u.Fence, f, by[f])
+			if put := commands[i].GetPut(); put != nil && response.Outcome == wire.OutcomeDone {
+				if put.Fence != f || by[f] != "" && by[f] != put.Holder {
+					t.Fatalf("%v: %s wrote under fence %d, %d is in force, %q wrote under it", order, put.Holder, put.Fence, f, by[f])
 				}
-				by[f] = u.Holder
+				by[f] = put.Holder
 			}
 		}
 	})
-	if n != 720 {
-		t.Fatalf("%d orders", n)
+	if count != 720 {
+		t.Fatalf("%d orders", count)
 	}
 }
 
@@ -138,16 +138,16 @@
 func TestAPartsStateIsBounded(t *testing.T) {
 	s := newState()
 	for i := range maxDocuments + 10 {
-		r := s.apply(putCommand(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
-		if (r.Outcome == wire.OutcomeDone) != (i < maxDocuments) {
-			t.Fatalf("document %d: %s", i, r.Outcome)
+		response := s.apply(putCommand(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
+		if (response.Outcome == wire.OutcomeDone) != (i < maxDocuments) {
+			t.Fatalf("document %d: %s", i, response.Outcome)
 		}
 	}
 	if len(s.recentTokens) > maxRecentTokens {
 		t.Errorf("%d tokens", len(s.recentTokens))
 	}
-	if r := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); r.Outcome != wire.OutcomeTooBig {
-		t.Errorf("a body over the bound: %s", r.Outcome)
+	if response := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); response.Outcome != wire.OutcomeTooBig {
+		t.Errorf("a body over the bound: %s", response.Outcome)
 	}
 }
 
@@ -159,9 +159,9 @@
 // part takes no more. Ids go by age alone, the same at every member, also through a slot; ids
 // given back leave room at once, and the order of what was given back stays bounded.
 func TestOnceOnlyIdsGoByAge(t *testing.T) {
-	apply := func(s *state, passed time.Duration, c *wire.Claim) (bool, bool) {
-		r := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{c}, PassedNs: uint64(passed), KeepNs: uint64(defaultClaimRetention)}}}, 0)
-		return r.Granted[0], r.Full[0]
+	apply := func(s *state, passed time.Duration, request *wire.Claim) (bool, bool) {
+		response := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{request}, PassedNs: uint64(passed), KeepNs: uint64(defaultClaimRetention)}}}, 0)
+		return response.Granted[0], response.Full[0]
 	}
 	s := newState()
 	for i := range maxClaims {
@@ -216,14 +216,14 @@
 
 // The part's age is what its owners saw pass: none between owners, none twice.
 func TestTheAgeOfAShardIsThatOfItsLeaders(t *testing.T) {
-	h := &clock.Manual{Time: time.Hour}
-	p := &shard{clock: h}
+	clock := &clock.Manual{Time: time.Hour}
+	replica := &shard{clock: clock}
 	for _, x := range []struct {
 		at, term uint64
 		want     time.Duration
 	}{{0, 1, 0}, {5, 1, 5}, {9, 2, 0}, {10, 2, 1}, {30, 4, 0}} {
-		h.Time = time.Hour + time.Duration(x.at)
-		if got := p.elapsedInTerm(x.term); got != x.want {
+		clock.Time = time.Hour + time.Duration(x.at)
+		if got := replica.elapsedInTerm(x.term); got != x.want {
 			t.Errorf("%+v: %d", x, got)
 		}
 	}
--- a/internal/control/controlstate/step_again_test.go
+++ b/internal/control/controlstate/step_again_test.go
@@ -18,24 +18,24 @@
 // singleMemberShard is a shard with one fixed member, which leads.
 func singleMemberShard(t *testing.T) *shard {
 	t.Helper()
-	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
-	loaded, err := p.load(newSimDisk(), func() *wire.Snapshot { return consensus.BootstrapSnapshot("core-1", nil) })
+	replica := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	loaded, err := replica.load(newSimDisk(), func() *wire.Snapshot { return consensus.BootstrapSnapshot("core-1", nil) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg := consensus.Config{Self: "core-1", Members: []string{"core-1"}, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(1, 1))}
-	p.core = consensus.New(cfg, loaded.Snapshot, loaded.Records)
+	replica.core = consensus.New(cfg, loaded.Snapshot, loaded.Records)
 	for range 3 * cfg.ElectionTicks {
-		p.core.Tick()
-		p.handleReady()
+		replica.core.Tick()
+		replica.handleReady()
 	}
-	return p
+	return replica
 }
 
 // makeChange proposes a change of the configuration and waits for its outcome.
-func (p *shard) makeChange(put *wire.Put, patch bool) *wire.ChangeResponse {
-	pending, response := p.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
-	if p.handleReady(); response == nil {
+func (replica *shard) makeChange(put *wire.Put, patch bool) *wire.ChangeResponse {
+	pending, response := replica.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
+	if replica.handleReady(); response == nil {
 		response = <-pending.response
 	}
 	return response
@@ -45,46 +45,46 @@
 // Somebody else changes the configuration meanwhile. The next holder makes the move again, under the
 // same token and on a later version: it is acknowledged as done, and changes nothing.
 func TestAStepThatTheNextHolderMakesAgainIsDone(t *testing.T) {
-	p := singleMemberShard(t)
+	replica := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
-	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); r.Outcome != wire.OutcomeDone {
-		t.Fatal(r)
+	if response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); response.Outcome != wire.OutcomeDone {
+		t.Fatal(response)
 	}
 	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
-	next := func(e *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each time a new holder's
-		doc := p.state.documents[controlclient.ConfigKey]
+	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each time a new holder's
+		doc := replica.state.documents[controlclient.ConfigKey]
 		config, err := serviceconfig.Decode(doc.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, move, _ := calendar.NewPlanner().Next(e, calendar.Observation{ConfigVersion: doc.Version, EntryVersion: 3, Config: config})
-		return e, move, doc.Version
+		entry, move, _ := calendar.NewPlanner().Next(entry, calendar.Observation{ConfigVersion: doc.Version, EntryVersion: 3, Config: config})
+		return entry, move, doc.Version
 	}
 	entry, _, _ = next(entry)
 	entry, _, _ = next(entry)
 	_, move, version := next(entry)
-	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); r.Outcome != wire.OutcomeDone || r.Version != 2 {
-		t.Fatal(r)
+	if response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); response.Outcome != wire.OutcomeDone || response.Version != 2 {
+		t.Fatal(response)
 	}
-	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); r.Outcome != wire.OutcomeDone {
-		t.Fatal(r)
+	if response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); response.Outcome != wire.OutcomeDone {
+		t.Fatal(response)
 	}
 	_, again, version := next(entry)
-	r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
-	if version != 3 || again.Token != move.Token || r.Outcome != wire.OutcomeDone || r.Version != 2 || r.TokenReuse == "" {
-		t.Errorf("made again on version %d under %s: %v", version, again.Token, r)
+	response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
+	if version != 3 || again.Token != move.Token || response.Outcome != wire.OutcomeDone || response.Version != 2 || response.TokenReuse == "" {
+		t.Errorf("made again on version %d under %s: %v", version, again.Token, response)
 	}
-	if v := p.state.documents[controlclient.ConfigKey].Version; v != 3 {
-		t.Errorf("version %d is in force", v)
+	if version := replica.state.documents[controlclient.ConfigKey].Version; version != 3 {
+		t.Errorf("version %d is in force", version)
 	}
 }
 
 // recordedConfiguration is the one that a core machine of the first release left behind.
 func recordedConfiguration(t *testing.T) []byte {
 	t.Helper()
-	p := openRecorded(t)
-	for _, e := range p.core.UnappliedEntries() {
-		p.applyEntry(e)
+	replica := openRecorded(t)
+	for _, entry := range replica.core.UnappliedEntries() {
+		replica.applyEntry(entry)
 	}
-	return p.state.documents[controlclient.ConfigKey].GetBody()
+	return replica.state.documents[controlclient.ConfigKey].GetBody()
 }
--- a/internal/control/controlstate/taken_test.go
+++ b/internal/control/controlstate/taken_test.go
@@ -32,8 +32,8 @@
 	t.Helper()
 	s := newState()
 	for n := 1; n <= changes; n++ {
-		if r := s.apply(planChange(n), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*n) {
-			t.Fatalf("change %d: %v", n, r)
+		if response := s.apply(planChange(n), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*n) {
+			t.Fatalf("change %d: %v", n, response)
 		}
 	}
 	return s
@@ -61,12 +61,12 @@
 	}
 	for name, s := range map[string]*state{"by the log": s, "by a snapshot": reloaded(t, s)} {
 		for n := 1; n <= configChangesPerDay; n++ {
-			if r := s.apply(planChange(n), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*n) {
-				t.Fatalf("%s: change %d sent again: %v", name, n, r)
+			if response := s.apply(planChange(n), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*n) {
+				t.Fatalf("%s: change %d sent again: %v", name, n, response)
 			}
 		}
-		if v := s.documents[routingconfig.DocumentKey].Version; v != 2*configChangesPerDay {
-			t.Errorf("%s: version %d is in force", name, v)
+		if version := s.documents[routingconfig.DocumentKey].Version; version != 2*configChangesPerDay {
+			t.Errorf("%s: version %d is in force", name, version)
 		}
 	}
 }
@@ -82,12 +82,12 @@
 			if n <= past {
 				want, fresh = wire.OutcomeUnknown, wire.OutcomeUnknown
 			}
-			if r := s.apply(planChange(n), 0); r.Outcome != want {
-				t.Fatalf("%s: change %d sent again: %v, want %s", name, n, r, want)
+			if response := s.apply(planChange(n), 0); response.Outcome != want {
+				t.Fatalf("%s: change %d sent again: %v, want %s", name, n, response, want)
 			}
 			rival := changeCommand(routingconfig.DocumentKey, "another", fmt.Sprint("rival ", n), uint64(2*n-2), uint64(2*n))
-			if r := s.apply(rival, 0); r.Outcome != fresh {
-				t.Fatalf("%s: another change on the base of %d: %v, want %s", name, n, r, fresh)
+			if response := s.apply(rival, 0); response.Outcome != fresh {
+				t.Fatalf("%s: another change on the base of %d: %v, want %s", name, n, response, fresh)
 			}
 		}
 	}
@@ -143,19 +143,19 @@
 }
 
 func (e *earlierRelease) put(put *wire.Put) {
-	for _, t := range e.tokens {
-		if put.Token != "" && t.Token == put.Token {
+	for _, token := range e.tokens {
+		if put.Token != "" && token.Token == put.Token {
 			return
 		}
 	}
-	d := e.docs[put.Key]
-	if !put.AnyVersion && put.IfVersion != d.GetVersion() || put.NewVersion > 0 && put.NewVersion <= d.GetVersion() {
+	document := e.docs[put.Key]
+	if !put.AnyVersion && put.IfVersion != document.GetVersion() || put.NewVersion > 0 && put.NewVersion <= document.GetVersion() {
 		return
 	}
-	d = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, d.GetVersion()+1)}
-	e.docs[put.Key] = d
+	document = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, document.GetVersion()+1)}
+	e.docs[put.Key] = document
 	if put.Token != "" {
-		e.tokens = append(e.tokens, &wire.ChangeToken{Token: put.Token, Key: put.Key, Version: d.Version, Digest: put.Digest})
+		e.tokens = append(e.tokens, &wire.ChangeToken{Token: put.Token, Key: put.Key, Version: document.Version, Digest: put.Digest})
 		if len(e.tokens) > 256 {
 			e.tokens = e.tokens[1:]
 		}
@@ -166,36 +166,36 @@
 // leaders of either put into it; and what an earlier release reads of a snapshot is what it would hold.
 func TestAnEarlierReleaseMakesTheSameState(t *testing.T) {
 	for seed := range uint64(20) {
-		r := rand.New(rand.NewPCG(seed, 17))
-		s, earlier := newState(), &earlierRelease{docs: map[string]*wire.Document{}}
+		random := rand.New(rand.NewPCG(seed, 17))
+		state, earlier := newState(), &earlierRelease{docs: map[string]*wire.Document{}}
 		var sent []*wire.Command
 		for i := range 1500 {
-			key := []string{routingconfig.DocumentKey, controlclient.ConfigKey, "other"}[r.IntN(3)]
-			c := changeCommand(key, fmt.Sprint(r.IntN(3)), fmt.Sprint("t", i), s.documents[key].GetVersion(), 0)
-			switch r.IntN(6) {
+			key := []string{routingconfig.DocumentKey, controlclient.ConfigKey, "other"}[random.IntN(3)]
+			command := changeCommand(key, fmt.Sprint(random.IntN(3)), fmt.Sprint("t", i), state.documents[key].GetVersion(), 0)
+			switch random.IntN(6) {
 			case 0:
-				c.GetPut().IfVersion -= min(c.GetPut().IfVersion, uint64(r.IntN(3)))
+				command.GetPut().IfVersion -= min(command.GetPut().IfVersion, uint64(random.IntN(3)))
 			case 1:
-				c.GetPut().AnyVersion = true
+				command.GetPut().AnyVersion = true
 			case 2:
-				c.GetPut().Token = fmt.Sprint("t", r.IntN(i+1)) // of another change, perhaps forgotten
+				command.GetPut().Token = fmt.Sprint("t", random.IntN(i+1)) // of another change, perhaps forgotten
 			}
-			if r.IntN(2) == 0 {
-				c.GetPut().ContentDigest = nil // an earlier release proposed it
+			if random.IntN(2) == 0 {
+				command.GetPut().ContentDigest = nil // an earlier release proposed it
 			}
-			if sent = append(sent, c); r.IntN(3) == 0 {
-				c = sent[r.IntN(len(sent))]
+			if sent = append(sent, command); random.IntN(3) == 0 {
+				command = sent[random.IntN(len(sent))]
 			}
-			if s.apply(proto.Clone(c).(*wire.Command), 0); r.IntN(100) == 0 {
-				s = reloaded(t, s)
+			if state.apply(proto.Clone(command).(*wire.Command), 0); random.IntN(100) == 0 {
+				state = reloaded(t, state)
 			}
-			earlier.put(c.GetPut())
+			earlier.put(command.GetPut())
 		}
-		same := slices.EqualFunc(s.recentTokens, earlier.tokens, func(a, b *wire.ChangeToken) bool { return proto.Equal(a, b) })
-		for key, d := range earlier.docs {
-			same = same && proto.Equal(d, s.documents[key])
+		same := slices.EqualFunc(state.recentTokens, earlier.tokens, func(a, b *wire.ChangeToken) bool { return proto.Equal(a, b) })
+		for key, document := range earlier.docs {
+			same = same && proto.Equal(document, state.documents[key])
 		}
-		if !same || len(s.documents) != len(earlier.docs) {
+		if !same || len(state.documents) != len(earlier.docs) {
 			t.Fatalf("seed %d: the documents or the newest tokens differ", seed)
 		}
 	}
@@ -209,25 +209,25 @@
 		first   wire.Outcome // what becomes of the first change, sent again
 		fresh   wire.Outcome // and of another one on its base
 	}{{maxRecentTokens - 1, wire.OutcomeDone, wire.OutcomeConflict}, {maxRecentTokens + 44, wire.OutcomeUnknown, wire.OutcomeUnknown}} {
-		s := newState()
+		state := newState()
 		for n := 1; n <= x.changes; n++ {
-			c := planChange(n)
-			c.GetPut().ContentDigest = nil
-			s.apply(c, 0)
+			command := planChange(n)
+			command.GetPut().ContentDigest = nil
+			state.apply(command, 0)
 		}
-		s.idempotency = nil // as an earlier release writes it
-		s = reloaded(t, s)
-		if r := s.apply(planChange(1), 0); r.Outcome != x.first {
-			t.Errorf("%d changes: the first sent again: %v, want %s", x.changes, r, x.first)
+		state.idempotency = nil // as an earlier release writes it
+		state = reloaded(t, state)
+		if response := state.apply(planChange(1), 0); response.Outcome != x.first {
+			t.Errorf("%d changes: the first sent again: %v, want %s", x.changes, response, x.first)
 		}
-		if r := s.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); r.Outcome != x.fresh {
-			t.Errorf("%d changes: another on the first base: %v, want %s", x.changes, r, x.fresh)
+		if response := state.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); response.Outcome != x.fresh {
+			t.Errorf("%d changes: another on the first base: %v, want %s", x.changes, response, x.fresh)
 		}
-		if r := s.apply(planChange(x.changes), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*x.changes) {
-			t.Errorf("%d changes: the last sent again: %v", x.changes, r)
+		if response := state.apply(planChange(x.changes), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*x.changes) {
+			t.Errorf("%d changes: the last sent again: %v", x.changes, response)
 		}
-		if r := s.apply(planChange(x.changes+1), 0); r.Outcome != wire.OutcomeDone {
-			t.Errorf("%d changes: the next: %v", x.changes, r)
+		if response := state.apply(planChange(x.changes+1), 0); response.Outcome != wire.OutcomeDone {
+			t.Errorf("%d changes: the next: %v", x.changes, response)
 		}
 	}
 }
@@ -235,9 +235,9 @@
 // The same change under its token is done again on whatever version it is sent; another one under that
 // token is refused, on this document or on any other.
 func TestATokenIsOneChange(t *testing.T) {
-	s := newState()
-	s.apply(changeCommand("k", "step", "token", 0, 0), 0)
-	s.apply(changeCommand("k", "later", "", 1, 0), 0)
+	state := newState()
+	state.apply(changeCommand("k", "step", "token", 0, 0), 0)
+	state.apply(changeCommand("k", "later", "", 1, 0), 0)
 	for _, x := range []struct {
 		name    string
 		command *wire.Command
@@ -249,11 +249,11 @@
 		{"another document", changeCommand("l", "step", "token", 0, 0), wire.OutcomeBadInput},
 		{"another token", changeCommand("k", "step", "token 2", 0, 0), wire.OutcomeConflict},
 	} {
-		if r := s.apply(x.command, 0); r.Outcome != x.want {
-			t.Errorf("%s: %v, want %s", x.name, r, x.want)
+		if response := state.apply(x.command, 0); response.Outcome != x.want {
+			t.Errorf("%s: %v, want %s", x.name, response, x.want)
 		}
 	}
-	if v := s.documents["k"].Version; v != 2 {
-		t.Errorf("version %d is in force", v)
+	if version := state.documents["k"].Version; version != 2 {
+		t.Errorf("version %d is in force", version)
 	}
 }
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -62,21 +62,23 @@
 // runTransportTest is a transport and the member that it sends to, in a test's bubble.
 func runTransportTest(t *testing.T, f func(*transport, *shard, *stalledMember, *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newTestCluster(t)
-		p := settings.Place{Name: "core-1", Listen: g.addr(1), Bounds: settings.Default(), Extra: []string{"log=off"}}
-		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
-			Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return g.dial(ctx, g.addr(1), to) },
+		cluster := newTestCluster(t)
+		config := settings.Place{Name: "core-1", Listen: cluster.addr(1), Bounds: settings.Default(), Extra: []string{"log=off"}}
+		environment := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
+			Dial: func(ctx context.Context, _, to string) (net.Conn, error) {
+				return cluster.dial(ctx, cluster.addr(1), to)
+			},
 			Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
-		l := daemon.NewIn(w, "archive", p)
+		process := daemon.NewIn(environment, "archive", config)
 		member := &stalledMember{}
-		door := &pipeListener{cluster: g, addr: stalledAddress, connections: make(chan net.Conn), closed: make(chan struct{})}
-		g.listeners[stalledAddress] = door
+		door := &pipeListener{cluster: cluster, addr: stalledAddress, connections: make(chan net.Conn), closed: make(chan struct{})}
+		cluster.listeners[stalledAddress] = door
 		server := &http.Server{Handler: wire.NewArchiveServer(member)}
 		go server.Serve(door)
-		s, _ := newTestMember(t)
-		n := &Node{process: l, shards: map[uint32]*shard{0: s}, clients: daemon.NewClients(l)}
-		f(newTransport(l.Ctx, n), s, member, g)
-		l.Stop(time.Second)
+		replica, _ := newTestMember(t)
+		node := &Node{process: process, shards: map[uint32]*shard{0: replica}, clients: daemon.NewClients(process)}
+		f(newTransport(process.Ctx, node), replica, member, cluster)
+		process.Stop(time.Second)
 		server.Close()
 	})
 }
@@ -91,11 +93,11 @@
 
 // Heartbeats pass beside a large message that hangs.
 func TestHeartbeatsPassBesideALargeMessage(t *testing.T) {
-	runTransportTest(t, func(x *transport, _ *shard, member *stalledMember, _ *testCluster) {
+	runTransportTest(t, func(sender *transport, _ *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
-		x.send(largeMessage())
+		sender.send(largeMessage())
 		for range 10 {
-			x.send(smallMessage())
+			sender.send(smallMessage())
 			clock.Sleep(context.Background(), 100*time.Millisecond)
 		}
 		if small, large, begun := member.counts(); small != 10 || large != 0 || begun != 1 {
@@ -111,16 +113,16 @@
 
 // A large message has time by its size; what is given up is reported to the core.
 func TestLostLargeMessageIsReported(t *testing.T) {
-	runTransportTest(t, func(x *transport, s *shard, member *stalledMember, _ *testCluster) {
+	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
-		x.send(largeMessage())
+		sender.send(largeMessage())
 		clock.Sleep(context.Background(), 5*time.Second) // 600 KB may take some 7.5 s of a heal bound of 12 s
-		if s.commands.Len() != 0 {
+		if replica.commands.Len() != 0 {
 			t.Error("it was given up too early")
 		}
 		clock.Sleep(context.Background(), 5*time.Second)
-		if s.commands.Len() != 1 {
-			t.Errorf("%d reports to the core, one is due", s.commands.Len())
+		if replica.commands.Len() != 1 {
+			t.Errorf("%d reports to the core, one is due", replica.commands.Len())
 		}
 		close(member.stalled)
 	})
@@ -129,23 +131,23 @@
 // A large message that was begun while its address said nothing ends as soon as the address answers
 // again, so that what it carries is sent anew at once.
 func TestLargeMessageEndsWhenItsAddressIsBack(t *testing.T) {
-	runTransportTest(t, func(x *transport, s *shard, member *stalledMember, g *testCluster) {
+	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, cluster *testCluster) {
 		set := func(dark bool) {
-			g.mu.Lock()
-			g.unreachable[stalledAddress] = dark
-			g.mu.Unlock()
+			cluster.mu.Lock()
+			cluster.unreachable[stalledAddress] = dark
+			cluster.mu.Unlock()
 		}
 		member.stalled = make(chan struct{})
-		x.send(largeMessage())
+		sender.send(largeMessage())
 		synctest.Wait()
 		set(true)
-		x.send(smallMessage())
+		sender.send(smallMessage())
 		clock.Sleep(context.Background(), time.Second)
 		set(false)
-		x.send(smallMessage())
+		sender.send(smallMessage())
 		clock.Sleep(context.Background(), time.Second)
-		if s.commands.Len() != 1 {
-			t.Errorf("%d reports to the core 2 s after the message was begun, one is due", s.commands.Len())
+		if replica.commands.Len() != 1 {
+			t.Errorf("%d reports to the core 2 s after the message was begun, one is due", replica.commands.Len())
 		}
 		close(member.stalled)
 	})
--- a/internal/control/controlstate/weights_again_test.go
+++ b/internal/control/controlstate/weights_again_test.go
@@ -18,35 +18,35 @@
 // never falls, and the highest of each model is named in the end.
 func TestNamingWeightsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newTestCluster(t), context.Background()
-		g.startFounders(5)
-		defer func() { g.stopAll() }()
+		cluster, ctx := newTestCluster(t), context.Background()
+		cluster.startFounders(5)
+		defer func() { cluster.stopAll() }()
 		var nodes []*Node
 		for i := range 5 {
-			if i+1 != g.leader() {
-				nodes = append(nodes, g.nodes[g.addr(i+1)])
+			if i+1 != cluster.leader() {
+				nodes = append(nodes, cluster.nodes[cluster.addr(i+1)])
 			}
 		}
 		named := map[string]uint64{}
 		follow := func() {
-			x, err := nodes[0].Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
-			if err != nil || len(x.Documents) == 0 {
+			response, err := nodes[0].Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
+			if err != nil || len(response.Documents) == 0 {
 				return
 			}
-			w := fleet.Weights{}
-			if err := json.Unmarshal(x.Documents[0].Body, &w); err != nil {
+			weights := fleet.Weights{}
+			if err := json.Unmarshal(response.Documents[0].Body, &weights); err != nil {
 				t.Error(err)
 			}
 			for model, version := range named {
-				if w.Named[model] < version {
-					t.Errorf("weights of %s fall from %d to %d", model, version, w.Named[model])
+				if weights.Named[model] < version {
+					t.Errorf("weights of %s fall from %d to %d", model, version, weights.Named[model])
 				}
 			}
-			named = w.Named
+			named = weights.Named
 		}
-		name := func(n *Node, model string, version uint64) {
+		name := func(node *Node, model string, version uint64) {
 			for range 100 {
-				if n.SetWeightsVersion(ctx, model, version) == nil {
+				if node.SetWeightsVersion(ctx, model, version) == nil {
 					return
 				}
 			}
@@ -64,13 +64,13 @@
 			follow()
 		}
 		for i := range 5 {
-			g.stop(i + 1)
+			cluster.stop(i + 1)
 		}
 		for i := range 5 {
-			g.start(i+1, false)
+			cluster.start(i+1, false)
 		}
-		nodes = []*Node{g.nodes[g.addr(1)]}
+		nodes = []*Node{cluster.nodes[cluster.addr(1)]}
 		name(nodes[0], "m0", 2) // a lower one, again
-		g.waitUntil("the highest of each", 3*time.Second, func() bool { follow(); return named["m0"] == 6 && named["m1"] == 6 })
+		cluster.waitUntil("the highest of each", 3*time.Second, func() bool { follow(); return named["m0"] == 6 && named["m1"] == 6 })
 	})
 }
--- a/internal/sim/history/history_test.go
+++ b/internal/sim/history/history_test.go
@@ -19,11 +19,11 @@
 // scriptedHistory builds a history step by step.
 type scriptedHistory struct{ history *History }
 
-func (s scriptedHistory) acknowledge(o Change) {
-	s.history.BeginAttempt(o).Complete(Acknowledged, o.NewVersion)
+func (s scriptedHistory) acknowledge(change Change) {
+	s.history.BeginAttempt(change).Complete(Acknowledged, change.NewVersion)
 }
-func (s scriptedHistory) reject(o Change, at uint64) {
-	s.history.BeginAttempt(o).Complete(Rejected, at)
+func (s scriptedHistory) reject(change Change, at uint64) {
+	s.history.BeginAttempt(change).Complete(Rejected, at)
 }
 func (s scriptedHistory) read(v uint64, body string) { s.history.BeginRead(key).Complete(v, body) }
 func (s scriptedHistory) chain(names string) {
@@ -42,9 +42,9 @@
 		{"nothing happened", true, func(s scriptedHistory) { s.read(0, "") }},
 		{"one after the other", true, func(s scriptedHistory) { s.chain("a b"); s.read(2, "b") }},
 		{"of two on one base one is refused", true, func(s scriptedHistory) {
-			x, y := s.history.BeginAttempt(newChange("a", 0, 1)), s.history.BeginAttempt(newChange("b", 0, 1))
-			x.Complete(Rejected, 1)
-			y.Complete(Acknowledged, 1)
+			first, second := s.history.BeginAttempt(newChange("a", 0, 1)), s.history.BeginAttempt(newChange("b", 0, 1))
+			first.Complete(Rejected, 1)
+			second.Complete(Acknowledged, 1)
 			s.read(1, "b")
 		}},
 		{"two are acknowledged on one base", false, func(s scriptedHistory) { s.acknowledge(newChange("a", 0, 1)); s.acknowledge(newChange("b", 0, 2)) }},
@@ -52,16 +52,16 @@
 		{"a stale read", false, func(s scriptedHistory) { s.chain("a b"); s.read(1, "a") }},
 		{"a read beside a change sees either", true, func(s scriptedHistory) {
 			s.chain("a")
-			q, w := s.history.BeginRead(key), s.history.BeginAttempt(newChange("b", 1, 2))
-			w.Complete(Acknowledged, 2)
-			q.Complete(1, "a")
+			read, write := s.history.BeginRead(key), s.history.BeginAttempt(newChange("b", 1, 2))
+			write.Complete(Acknowledged, 2)
+			read.Complete(1, "a")
 		}},
 		{"reads go back beside one change", false, func(s scriptedHistory) {
 			s.chain("a")
-			w := s.history.BeginAttempt(newChange("b", 1, 2))
+			write := s.history.BeginAttempt(newChange("b", 1, 2))
 			s.read(2, "b")
 			s.read(1, "a")
-			w.Complete(Acknowledged, 2)
+			write.Complete(Acknowledged, 2)
 		}},
 		{"an acknowledged change is lost", false, func(s scriptedHistory) { s.chain("a b"); s.acknowledge(newChange("c", 1, 2)); s.read(2, "c") }},
 		{"a read finds another body", false, func(s scriptedHistory) { s.chain("a"); s.read(1, "x") }},
@@ -122,9 +122,9 @@
 			s.read(1, "a")
 		}},
 		{"patches on any version count up", true, func(s scriptedHistory) {
-			x, y := s.history.BeginAttempt(Change{Key: key, Token: "a", AnyVersion: true}), s.history.BeginAttempt(Change{Key: key, Token: "b", AnyVersion: true})
-			x.Complete(Acknowledged, 2)
-			y.Complete(Acknowledged, 1)
+			first, second := s.history.BeginAttempt(Change{Key: key, Token: "a", AnyVersion: true}), s.history.BeginAttempt(Change{Key: key, Token: "b", AnyVersion: true})
+			first.Complete(Acknowledged, 2)
+			second.Complete(Acknowledged, 1)
 			s.read(2, "ba")
 			s.read(2, "ba")
 		}},
@@ -140,8 +140,8 @@
 	} {
 		s := scriptedHistory{&History{}}
 		x.play(s)
-		if v := s.history.Check(limit); (len(v.Violations) == 0) != x.good {
-			t.Errorf("%s: %+v", x.name, v)
+		if result := s.history.Check(limit); (len(result.Violations) == 0) != x.good {
+			t.Errorf("%s: %+v", x.name, result)
 		}
 	}
 }
@@ -153,9 +153,9 @@
 		s.history.BeginAttempt(Change{Key: key, AnyVersion: true})
 	}
 	s.acknowledge(newChange("z", 100, 101))
-	v := s.history.Check(50 * time.Millisecond)
-	if len(v.Violations) != 1 || !strings.Contains(v.Violations[0], "wasn't judged") {
-		t.Errorf("%+v", v)
+	result := s.history.Check(50 * time.Millisecond)
+	if len(result.Violations) != 1 || !strings.Contains(result.Violations[0], "wasn't judged") {
+		t.Errorf("%+v", result)
 	}
 }
 
@@ -164,9 +164,9 @@
 
 // No program of the product links the checker.
 func TestNoProductProgramLinksTheChecker(t *testing.T) {
-	c := exec.Command("go", "list", "-f", `{{.ImportPath}}{{range .Deps}} {{.}}{{end}}`, "./cmd/...", "./platform/...")
-	c.Dir = "../../.."
-	out, err := c.Output()
+	command := exec.Command("go", "list", "-f", `{{.ImportPath}}{{range .Deps}} {{.}}{{end}}`, "./cmd/...", "./platform/...")
+	command.Dir = "../../.."
+	out, err := command.Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sim/history/operations_test.go
+++ b/internal/sim/history/operations_test.go
@@ -10,31 +10,31 @@
 )
 
 // randomHistory plays a few operators and readers on one register, and now and then has it lie.
-func randomHistory(r *rand.Rand) *History {
-	h := &History{}
+func randomHistory(random *rand.Rand) *History {
+	history := &History{}
 	state := register{bodyKnown: true}
 	var orders []Change
 	var open []func()
-	lies := r.IntN(3) > 0
-	for range 10 + r.IntN(14) {
-		switch r.IntN(5) {
+	lies := random.IntN(3) > 0
+	for range 10 + random.IntN(14) {
+		switch random.IntN(5) {
 		case 0, 1:
-			o := newChange(fmt.Sprint("t", len(orders)), state.version, state.version+1+r.Uint64N(2))
-			if len(orders) > 0 && r.IntN(3) == 0 {
-				o = orders[r.IntN(len(orders))]
+			change := newChange(fmt.Sprint("t", len(orders)), state.version, state.version+1+random.Uint64N(2))
+			if len(orders) > 0 && random.IntN(3) == 0 {
+				change = orders[random.IntN(len(orders))]
 			}
-			orders = append(orders, o)
-			open = append(open, attempt(r, h, &state, o, lies)...)
+			orders = append(orders, change)
+			open = append(open, attempt(random, history, &state, change, lies)...)
 		case 2:
-			q := h.BeginRead(key)
+			read := history.BeginRead(key)
 			v, b := state.version, state.body
-			if lies && r.IntN(12) == 0 && v > 0 {
+			if lies && random.IntN(12) == 0 && v > 0 {
 				v--
 			}
-			open = append(open, func() { q.Complete(v, b) })
+			open = append(open, func() { read.Complete(v, b) })
 		default:
 			if len(open) > 0 {
-				i := r.IntN(len(open))
+				i := random.IntN(len(open))
 				open[i]()
 				open = append(open[:i], open[i+1:]...)
 			}
@@ -43,42 +43,42 @@
 	for _, f := range open {
 		f()
 	}
-	return h
+	return history
 }
 
 // attempt sends an order; what is left to do is its answer, if it gets one.
-func attempt(r *rand.Rand, h *History, state *register, o Change, lies bool) []func() {
-	a := h.BeginAttempt(o)
-	version, found := state.applied.find(o.Token)
+func attempt(random *rand.Rand, history *History, state *register, change Change, lies bool) []func() {
+	attempt := history.BeginAttempt(change)
+	version, found := state.applied.find(change.Token)
 	outcome := Acknowledged
 	switch {
 	case found:
-	case state.isApplicable(&o) && r.IntN(6) > 0:
-		*state = state.apply(&o)
+	case state.isApplicable(&change) && random.IntN(6) > 0:
+		*state = state.apply(&change)
 		version = state.version
-	case state.isApplicable(&o):
+	case state.isApplicable(&change):
 		return nil // lost on its way
 	default:
 		outcome, version = Rejected, state.version
 	}
-	if lies && r.IntN(10) == 0 {
+	if lies && random.IntN(10) == 0 {
 		outcome = Acknowledged + Rejected - outcome
 	}
-	if r.IntN(4) == 0 {
+	if random.IntN(4) == 0 {
 		return nil
 	}
-	return []func(){func() { a.Complete(outcome, version) }}
+	return []func(){func() { attempt.Complete(outcome, version) }}
 }
 
 // What is left out of a history never changes the verdict.
 func TestReductionKeepsTheVerdict(t *testing.T) {
 	const limit, runs = 5 * time.Second, 3000
-	r := rand.New(rand.NewPCG(17, 1))
+	random := rand.New(rand.NewPCG(17, 1))
 	good, bad, fewer := 0, 0, 0
 	for i := range runs {
-		h := randomHistory(r)
-		whole, _ := operations(h.observations, false)
-		part, _ := operations(h.observations, true)
+		history := randomHistory(random)
+		whole, _ := operations(history.observations, false)
+		part, _ := operations(history.observations, true)
 		x, y := porcupine.CheckOperationsTimeout(model(), whole, limit), porcupine.CheckOperationsTimeout(model(), part, limit)
 		if x != y {
 			t.Fatalf("history %d: %s whole, %s reduced: %s", i, x, y, explain(model(), whole, limit))
