--- a/internal/control/controlstate/orders_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -17,7 +17,7 @@
 	"pebbleloom/internal/settings"
 )
 
-// The search of TestEightOrdersAtOnce: operators of a group of real nodes, with real requests between
+// The search of TestEightConcurrentChanges: operators of a group of real nodes, with real requests between
 // them, while machines stop, start, go dark and lose their leadership.
 const (
 	searchOperators   = 8 // as many orders are under way at once
@@ -306,7 +306,7 @@
 // lost, two copies at once, copies of orders long overtaken, and machines that stop, go dark and begin
 // anew: at most one change is acknowledged on a version, what was acknowledged is never refused, what
 // was refused never comes into force, versions climb, and the newest acknowledged is read back.
-func TestEightOrdersAtOnce(t *testing.T) {
+func TestEightConcurrentChanges(t *testing.T) {
 	seeds := searchSeeds
 	if n, err := strconv.Atoi(os.Getenv(searchSeedsVar)); err == nil {
 		seeds = n
--- a/internal/control/controlstate/orders_door_test.go
+++ b/internal/control/controlstate/forgotten_change_test.go
@@ -13,7 +13,7 @@
 
 // At the operators' door: an order that may have been forgotten gets no clear answer, at the leader and
 // elsewhere, before the operator's patience ends; what is remembered is done again or a conflict.
-func TestAForgottenOrderAtTheDoor(t *testing.T) {
+func TestForgottenChangeAtTheOperatorAPI(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(4)
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -16,7 +16,7 @@
 // A group of one has nothing but its disk. Whatever becomes of the process, of the machine's power
 // and of single writes and syncs, what it acknowledged is there once it runs again; and it takes
 // changes again as soon as the disk does.
-func TestAcknowledgedMeansOnTheDisk(t *testing.T) {
+func TestAcknowledgedChangesAreDurable(t *testing.T) {
 	acked, all, ends := uint64(0), 0, 0
 	for seed := range uint64(400) {
 		random := rand.New(rand.NewPCG(seed, 3))
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -29,7 +29,7 @@
 
 // A thread that waits for its disk keeps no question waiting beyond its time; what it answers
 // meanwhile is what it held before, and a plan goes on without it.
-func TestAStalledDiskHoldsNobodyUp(t *testing.T) {
+func TestStalledDiskBlocksNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(3)
@@ -71,7 +71,7 @@
 }
 
 // A disk that is full takes its member out, and the member comes back by itself once it isn't.
-func TestAFullDiskComesBack(t *testing.T) {
+func TestMemberRecoversFromAFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(3)
@@ -102,7 +102,7 @@
 }
 
 // Without a majority an operator hears so before it asks elsewhere; reads too.
-func TestWithoutAMajorityNobodyWaitsLong(t *testing.T) {
+func TestRequestsFailFastWithoutAQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(3)
@@ -129,7 +129,7 @@
 
 // A program that is told to end hands the group over and is done well within its time, also
 // where nobody can take the group.
-func TestAPlannedEndIsShort(t *testing.T) {
+func TestShutdownIsShort(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t)
@@ -153,7 +153,7 @@
 }
 
 // Whom the leader adds and removes, case by case.
-func TestWhomTheLeaderAddsAndRemoves(t *testing.T) {
+func TestMembershipPlannerDecisions(t *testing.T) {
 	in := func(name string, heard int) consensus.PeerStatus {
 		return consensus.PeerStatus{Name: name, IsVoter: true, ContactAge: heard, CaughtUp: true}
 	}
@@ -204,7 +204,7 @@
 }
 
 // What an empty disk begins as: only the seeds of the first start found a group.
-func TestWhatAnEmptyDiskBeginsAs(t *testing.T) {
+func TestInitialSnapshotOfAnEmptyDisk(t *testing.T) {
 	seeds := []string{"b:1", "a:1", "c:1"}
 	random := func() uint64 { return 0xabc }
 	for _, x := range []struct {
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -40,7 +40,7 @@
 // Three found the group, a fourth waits; a plan is taken at any of them, read back at any of
 // them, and told to whoever follows. The same again is done again, another body on an old base
 // is a conflict, and what is invalid is named.
-func TestAGroupTakesPlans(t *testing.T) {
+func TestGroupAcceptsRoutingConfigs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		for i := range 4 {
@@ -118,7 +118,7 @@
 // A member that stays away gives its place to the spare; one that comes back without its disk
 // is another member, and the one that it was is removed; a machine that replaces one for good is
 // taken in at its new address; and all may start again at once.
-func TestAGroupChangesItsMembers(t *testing.T) {
+func TestGroupReplacesItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		for i := range 4 {
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -37,7 +37,7 @@
 
 // A snapshot whose state can't be read, or that a later release wrote, is never stored in place of
 // what is held: the member is out, and its disk opens with what it held before.
-func TestSnapshotThatCannotBeReadIsNotStored(t *testing.T) {
+func TestUnreadableSnapshotIsNotStored(t *testing.T) {
 	later, _ := (&state{}).save()
 	for what, snapshot := range map[string]*wire.Snapshot{
 		"torn state":         {Format: 1, Index: 9, Term: 5, State: []byte("\x12\xffnot a state"), Members: []string{"a", "b", "c"}},
@@ -61,7 +61,7 @@
 
 // A change that was under way when a snapshot of another leader passed it gets an unknown outcome at
 // once, and its place among the pending changes is free again.
-func TestSnapshotAnswersTheChangesItPasses(t *testing.T) {
+func TestSnapshotCompletesTheChangesItSupersedes(t *testing.T) {
 	replica, _ := newTestMember(t)
 	passed := pendingProposal{1, make(chan *wire.ChangeResponse, 1)}
 	replica.pendingProposals[9] = passed
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/isolation_requests_test.go
@@ -38,7 +38,7 @@
 }
 
 // A leader that was cut off doesn't refuse by what it has applied: it can't say, and says so.
-func TestACutOffLeaderRefusesNothing(t *testing.T) {
+func TestIsolatedLeaderRejectsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := isolateMember(t, true)
 		defer w.healAndStop()
@@ -58,7 +58,7 @@
 
 // Those whose change waits for its commit are let go when the leader stops leading, however long
 // they would wait; nothing of them stays behind.
-func TestWhoWaitsIsLetGoAtTheStepDown(t *testing.T) {
+func TestStepDownReleasesPendingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := isolateMember(t, true)
 		defer w.healAndStop()
@@ -77,7 +77,7 @@
 }
 
 // A request of a caller that has gone away is worked on for a bounded time.
-func TestARequestIsServedForABoundedTime(t *testing.T) {
+func TestRequestsHaveABoundedServingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := isolateMember(t, true)
 		defer w.healAndStop()
@@ -107,7 +107,7 @@
 }
 
 // A naming of weights that loses to others until its time is over was not refused.
-func TestANamingThatLosesIsNotRefused(t *testing.T) {
+func TestContestedWeightsVersionIsNotRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := isolateMember(t, false)
 		defer w.healAndStop()
@@ -130,7 +130,7 @@
 }
 
 // A machine that has no vote gives no word that counts for a proof, whatever it holds.
-func TestWhoHasNoVoteProvesNothing(t *testing.T) {
+func TestLearnerProvesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newPartitionWorld(t, partitionScenario{isolatesLeader: true, direction: "both", withSpare: true})
 		for i := range 4 {
@@ -155,7 +155,7 @@
 }
 
 // A follower that was cut off comes back with a log as long as the leader's, and unseats nobody.
-func TestAFollowerThatReturnsUnseatsNobody(t *testing.T) {
+func TestReturningFollowerDeposesNobody(t *testing.T) {
 	for _, direction := range []string{"both", "out", "in"} {
 		synctest.Test(t, func(t *testing.T) {
 			w := isolateMember(t, false)
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -239,7 +239,7 @@
 // One member is cut off for twenty seconds, in every combination: it acknowledges nothing, serves no
 // read, grants and renews no lease, gives no proof, says so in time and never refuses; the others
 // take the very orders that it left open.
-func TestAMemberIsCutOff(t *testing.T) {
+func TestIsolatedMember(t *testing.T) {
 	for _, scenario := range partitionScenarios() {
 		t.Run(scenario.String(), func(t *testing.T) {
 			t.Parallel()
--- a/internal/control/controlstate/join_test.go
+++ b/internal/control/controlstate/join_test.go
@@ -7,7 +7,7 @@
 
 // A machine that asks to be taken in asks those that answered the last time in rotation, and a silent
 // one where there are fewer than two, or each fourth turn: a silent one may be the leader that is back.
-func TestWhomAMachineAsksToBeTakenIn(t *testing.T) {
+func TestJoinCandidates(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
 	for _, x := range []struct {
 		silent string
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -47,7 +47,7 @@
 
 // A data folder that a core machine of the first release left behind is read as it was:
 // testdata/recorded-1 is such a folder, with the setup at epoch 4.
-func TestDataOfTheFirstReleaseIsRead(t *testing.T) {
+func TestFirstReleaseDataIsReadable(t *testing.T) {
 	replica := openRecorded(t)
 	status := replica.core.Status()
 	if status.Blank || status.LastIndex < 4 || status.Term == 0 {
--- a/internal/control/controlstate/step_again_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -44,7 +44,7 @@
 // A holder of the lease makes a calendar step's move and ends before it writes the step as done.
 // Somebody else changes the configuration meanwhile. The next holder makes the move again, under the
 // same token and on a later version: it is acknowledged as done, and changes nothing.
-func TestAStepThatTheNextHolderMakesAgainIsDone(t *testing.T) {
+func TestRepeatedCalendarStepIsAcknowledged(t *testing.T) {
 	replica := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
 	if response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); response.Outcome != wire.OutcomeDone {
--- a/internal/control/controlstate/weights_again_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -16,7 +16,7 @@
 // Names of weights, eight at once by nodes that aren't the leader, each sent twice, a lower version
 // after a higher one, across a restart of all: each ends acknowledged, the named version of a model
 // never falls, and the highest of each model is named in the end.
-func TestNamingWeightsAgain(t *testing.T) {
+func TestRepeatedWeightsVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(5)
--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -12,7 +12,7 @@
 
 // A service's part takes a retirement only beside what it can stand beside: no other one of the base, no
 // move of the service that is under way; and no move once it has begun. Both are named.
-func TestRetirementsBesideOthers(t *testing.T) {
+func TestConflictingRetirementsAreRejected(t *testing.T) {
 	replica, err := openTestShard(t, newSimDisk())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/controlstate/second_loss_leave_test.go
+++ b/internal/control/controlstate/second_loss_leave_test.go
@@ -9,7 +9,7 @@
 
 // A member that leaves while another voter lags holds the only other copy of what was acknowledged
 // meanwhile: it stays until that voter has caught up.
-func TestALeaverHoldsTheOnlyOtherCopy(t *testing.T) {
+func TestLeaverWaitsForALaggingVoter(t *testing.T) {
 	r := newLossRun(lossScenario{machines: 3, toleratedLosses: 1, seed: 5})
 	r.waitUntil(12*time.Second, func() bool { return r.isComplete() && r.counts["acked"] > 2 })
 	leader, lagging := r.leader(), r.follower()
@@ -35,7 +35,7 @@
 
 // A leaver that was let go isn't counted on any more: a newcomer that comes right then isn't added
 // before the silent one is removed, or the group would need that newcomer.
-func TestALeaverThatHasGoneIsNotCountedOn(t *testing.T) {
+func TestDepartedLeaverIsNotCountedForTheQuorum(t *testing.T) {
 	r := newLossRun(lossScenario{machines: 3, toleratedLosses: 1, seed: 6})
 	r.waitUntil(12*time.Second, func() bool { return r.isComplete() && r.counts["acked"] > 2 })
 	leader, leaver := r.leader(), r.follower()
--- a/internal/control/controlstate/second_loss_node_test.go
+++ b/internal/control/controlstate/second_loss_node_test.go
@@ -47,7 +47,7 @@
 
 // A member that leaves in order has its place taken by the spare before it goes, be it the leader or a
 // follower: the group has all its members the moment it stops, so that the next loss finds a quorum.
-func TestAPlannedLeaveIsReplacedBeforeItGoes(t *testing.T) {
+func TestLeaverIsReplacedBeforeItStops(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t)
@@ -85,7 +85,7 @@
 
 // Machines that are stopped and started in turn, disks kept, are each replaced in order: two changes of
 // the membership each, never more, and a plan is taken between any two of them at once.
-func TestARollingRestartChangesEachMemberOnce(t *testing.T) {
+func TestRollingRestartReplacesEachMemberOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		for i := range 4 {
@@ -123,7 +123,7 @@
 
 // When all machines are told to stop at once, each is done well within its time, and all that was
 // acknowledged is there when they start again.
-func TestAllMachinesMayStopAtOnce(t *testing.T) {
+func TestAllMachinesCanStopAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		for i := range 4 {
@@ -159,7 +159,7 @@
 
 // A member that was removed while it was away, and comes back with its old disk, is taken in again
 // well before the time after which it no longer counts as lost, though its log names it a voter.
-func TestARemovedMemberComesBackAsASpare(t *testing.T) {
+func TestRemovedMemberRejoinsAsSpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		for i := range 4 {
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -217,7 +217,7 @@
 // The page holds the table as it is computed here; and what was chosen by it holds: no step tolerates
 // less than there was tolerated before the repair, and for a member that is gone no step needs the
 // newcomer, which add-first does.
-func TestTheTableOfStepsAndSecondLosses(t *testing.T) {
+func TestSecondLossTableMatchesTheDocs(t *testing.T) {
 	table := secondLossTable()
 	page, err := os.ReadFile("../../../docs/control.md")
 	if err != nil {
@@ -241,7 +241,7 @@
 }
 
 // The policy takes the steps that were chosen, from any of them on, whatever was done before.
-func TestThePolicyTakesTheChosenSteps(t *testing.T) {
+func TestPlannerTakesTheChosenSteps(t *testing.T) {
 	for _, evaluated := range evaluatedRepairs {
 		members := strings.Split(evaluated.members, "")
 		var got []string
--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -161,7 +161,7 @@
 // Planned replacement, SIGTERM, wipe and loss of power of all, one right after another and the leader
 // always the one that is hit: each strikes as soon as the one before has ended, or so much later. All
 // that was acknowledged is there, and a change is acknowledged again after the last return.
-func TestTheLeaderIsHitAgainAndAgain(t *testing.T) {
+func TestRepeatedLossOfTheLeader(t *testing.T) {
 	from, n := seedsFromEnv(t, 4)
 	worst := time.Duration(0)
 	for _, site := range []struct{ machines, tolerate int }{{4, 1}, {7, 2}} {
@@ -214,7 +214,7 @@
 // From the return of a machine without its disk, or the start of a replacement, the group is whole
 // again before that machine stops counting as lost, with states of some megabytes on a link of
 // 100 Mbit a second.
-func TestTheRepairEndsBeforeTheLossDoes(t *testing.T) {
+func TestRepairEndsBeforeTheLossDoes(t *testing.T) {
 	for _, size := range []int{0, 1 << 20, 4 << 20} {
 		for _, kind := range []string{lossWipe, lossReplace} {
 			for _, machines := range []int{3, 4} {
--- a/internal/control/controlstate/sim_main_test.go
+++ b/internal/control/controlstate/sim_shard_main_test.go
@@ -30,14 +30,14 @@
 // holder has the duty at a time, a proof of freshness is never wrong, and service is back
 // within the bound. `SIM_SEEDS=5000 go test ./internal/control/controlstate -run Sim` runs wide;
 // `SIM_SEED=17 SIM_SEEDS=1` replays one.
-func TestSimPart(t *testing.T) {
+func TestSimShard(t *testing.T) {
 	from, n := seedsFromEnv(t, 60)
 	sum := map[string]int{}
 	for seed := from; seed < from+n; seed++ {
 		s := newShardSim(seed, "")
 		s.run(3)
 		if len(s.violations) > 0 {
-			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimPart\n%s", seed,
+			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimShard\n%s", seed,
 				s.violations[0], seed, strings.Join(s.trace[max(0, len(s.trace)-25):], "\n"))
 		}
 		for k, v := range s.counts {
@@ -53,7 +53,7 @@
 }
 
 // The same seed gives the same trace.
-func TestSimIsRepeatable(t *testing.T) {
+func TestSimIsDeterministic(t *testing.T) {
 	a, b := newShardSim(3, ""), newShardSim(3, "")
 	a.run(1)
 	b.run(1)
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -39,7 +39,7 @@
 // Two operators race on one epoch, each sends its change again under its token because an
 // answer was lost, and a third comes without an epoch to go by. In every order: one of the
 // racers wins, a change sent again is the same change, and no epoch is told twice.
-func TestEveryOrderOfRacingConfigurations(t *testing.T) {
+func TestRacingChangesInEveryOrder(t *testing.T) {
 	commands := []*wire.Command{putCommand("k", "a", "ta", 1), putCommand("k", "a", "ta", 1), putCommand("k", "b", "tb", 1), putCommand("k", "b", "tb", 1), putCommand("k", "c", "tc", 0)}
 	commands[4].GetPut().AnyVersion = true
 	commands[4].GetPut().Digest = requestDigest(commands[4].GetPut(), false)
@@ -71,7 +71,7 @@
 // A lease passes from one holder to another while renewals and late writes of the first
 // are under way, in every order: fences only rise, a write under an older fence is denied,
 // and both are never let write under one fence.
-func TestEveryOrderOfALeasePassingOn(t *testing.T) {
+func TestLeaseHandoverInEveryOrder(t *testing.T) {
 	grant := func(h string, fence uint64, up bool) *wire.Command {
 		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, GiveUp: up}}}
 	}
@@ -108,7 +108,7 @@
 
 // A duty is free for another only when the lease has run out by the member's own clock,
 // with a margin; for its holder always.
-func TestWhenADutyIsFree(t *testing.T) {
+func TestWhenALeaseIsGrantable(t *testing.T) {
 	s := newState()
 	g := func(h string) *wire.Grant { return &wire.Grant{Lease: "d", Holder: h, TtlNs: uint64(8 * time.Second)} }
 	s.apply(&wire.Command{Kind: &wire.Command_Grant{Grant: g("a")}}, 10*time.Second)
@@ -135,7 +135,7 @@
 }
 
 // Bounds: documents and tokens stay within theirs.
-func TestAPartsStateIsBounded(t *testing.T) {
+func TestStateIsBounded(t *testing.T) {
 	s := newState()
 	for i := range maxDocuments + 10 {
 		response := s.apply(putCommand(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
@@ -158,7 +158,7 @@
 // A flood of ids never makes an old one runnable again while its caller may repeat it: a full
 // part takes no more. Ids go by age alone, the same at every member, also through a slot; ids
 // given back leave room at once, and the order of what was given back stays bounded.
-func TestOnceOnlyIdsGoByAge(t *testing.T) {
+func TestClaimsAreReleasedByAge(t *testing.T) {
 	apply := func(s *state, passed time.Duration, request *wire.Claim) (bool, bool) {
 		response := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{request}, PassedNs: uint64(passed), KeepNs: uint64(defaultClaimRetention)}}}, 0)
 		return response.Granted[0], response.Full[0]
@@ -215,7 +215,7 @@
 }
 
 // The part's age is what its owners saw pass: none between owners, none twice.
-func TestTheAgeOfAShardIsThatOfItsLeaders(t *testing.T) {
+func TestShardAgeCountsLeadershipTime(t *testing.T) {
 	clock := &clock.Manual{Time: time.Hour}
 	replica := &shard{clock: clock}
 	for _, x := range []struct {
--- a/internal/control/controlstate/taken_test.go
+++ b/internal/control/controlstate/taken_test.go
@@ -54,7 +54,7 @@
 
 // A change sent again after a day's changes, or after hundreds to other documents, was taken and is
 // acknowledged again, also by a member that got the state by a snapshot.
-func TestAnOrderSentAgainLateIsDone(t *testing.T) {
+func TestLateRetryIsAcknowledged(t *testing.T) {
 	s := stateAfter(t, configChangesPerDay)
 	for i := range 2 * maxRecentTokens {
 		s.apply(changeCommand("other", "x", fmt.Sprint("o", i), uint64(i), 0), 0)
@@ -73,7 +73,7 @@
 
 // Past the bound a change may have been taken or not: it is left without a clear answer. One on a base
 // that is remembered and wasn't taken is a conflict.
-func TestAForgottenOrderHasNoClearAnswer(t *testing.T) {
+func TestForgottenChangeHasUnknownOutcome(t *testing.T) {
 	const past = 50
 	s := stateAfter(t, maxConfigRecords+past)
 	for name, s := range map[string]*state{"by the log": s, "by a snapshot": reloaded(t, s)} {
@@ -94,7 +94,7 @@
 }
 
 // All members forget the same, whenever each of them read a snapshot.
-func TestMembersForgetTheSame(t *testing.T) {
+func TestMembersForgetTheSameChanges(t *testing.T) {
 	s := stateAfter(t, maxConfigRecords-20)
 	other := reloaded(t, s)
 	for n := maxConfigRecords - 19; n <= maxConfigRecords+40; n++ {
@@ -112,7 +112,7 @@
 }
 
 // What the record costs, at a day's changes of the target size and at its bound.
-func TestWhatTheRecordCosts(t *testing.T) {
+func TestIdempotencyRecordSize(t *testing.T) {
 	size := func(changes int) int {
 		s := stateAfter(t, changes)
 		s.recentTokens = nil // what earlier releases go by has a bound of its own
@@ -164,7 +164,7 @@
 
 // Members of an earlier release and of this one make the same documents of the same log, whatever
 // leaders of either put into it; and what an earlier release reads of a snapshot is what it would hold.
-func TestAnEarlierReleaseMakesTheSameState(t *testing.T) {
+func TestEarlierReleaseAppliesTheSameState(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 17))
 		state, earlier := newState(), &earlierRelease{docs: map[string]*wire.Document{}}
@@ -203,7 +203,7 @@
 
 // A snapshot of an earlier release holds the newest changes alone. What it may have forgotten has no
 // clear answer; where it can't have forgotten any, an unknown change is a conflict.
-func TestASnapshotOfAnEarlierReleaseIsRead(t *testing.T) {
+func TestSnapshotOfEarlierReleaseIsReadable(t *testing.T) {
 	for _, x := range []struct {
 		changes int
 		first   wire.Outcome // what becomes of the first change, sent again
@@ -234,7 +234,7 @@
 
 // The same change under its token is done again on whatever version it is sent; another one under that
 // token is refused, on this document or on any other.
-func TestATokenIsOneChange(t *testing.T) {
+func TestTokenIdentifiesOneChange(t *testing.T) {
 	state := newState()
 	state.apply(changeCommand("k", "step", "token", 0, 0), 0)
 	state.apply(changeCommand("k", "later", "", 1, 0), 0)
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -92,7 +92,7 @@
 }
 
 // Heartbeats pass beside a large message that hangs.
-func TestHeartbeatsPassBesideALargeMessage(t *testing.T) {
+func TestHeartbeatsBypassLargeMessages(t *testing.T) {
 	runTransportTest(t, func(sender *transport, _ *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
 		sender.send(largeMessage())
@@ -130,7 +130,7 @@
 
 // A large message that was begun while its address said nothing ends as soon as the address answers
 // again, so that what it carries is sent anew at once.
-func TestLargeMessageEndsWhenItsAddressIsBack(t *testing.T) {
+func TestLargeMessageAbortsWhenThePeerAnswersAgain(t *testing.T) {
 	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, cluster *testCluster) {
 		set := func(dark bool) {
 			cluster.mu.Lock()
--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/control/routingconfig"
 )
 
-// The events of TestTwoOrdersInEveryOrder: two operators send a change each, on the same version and
+// The events of TestTwoChangesInEveryOrder: two operators send a change each, on the same version and
 // under the same number, and each sends it again; the leader changes, and all members go through a
 // snapshot and a restart.
 const (
@@ -45,7 +45,7 @@
 // Two orders on one version, two copies each, a change of leader, a snapshot and a restart, in every
 // order, each copy left wherever it stands when the next event comes. At the end a third change is made
 // on top, and both are sent once more.
-func TestTwoOrdersInEveryOrder(t *testing.T) {
+func TestTwoChangesInEveryOrder(t *testing.T) {
 	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		t.Run(key, func(t *testing.T) {
 			t.Logf("%d runs", playEveryOrder(t, key))
@@ -160,7 +160,7 @@
 
 // A document that isn't validated ahead: a leader of the past, cut off, is sent an order again that the
 // next leader took on top of others. It can't say, and says so; its own state would have it refused.
-func TestALeaderOfThePastRefusesNothing(t *testing.T) {
+func TestDeposedLeaderRejectsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newScriptedCluster(t, otherKey)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -189,7 +189,7 @@
 
 // A new leader holds two orders that the one before had replicated, and has applied neither. The second
 // one, sent again, builds on a version that isn't in force yet: it is taken a little later, not refused.
-func TestANewLeaderRefusesNothingThatIsInItsLog(t *testing.T) {
+func TestNewLeaderRejectsNothingInItsLog(t *testing.T) {
 	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newScriptedCluster(t, key)
@@ -224,7 +224,7 @@
 
 // An order whose base is proposed and not yet in force is neither refused nor proposed: it is asked for
 // again. One on a version that nobody has heard of is a conflict.
-func TestAnOrderOnABaseThatIsProposed(t *testing.T) {
+func TestChangeOnAProposedBaseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newScriptedCluster(t, otherKey)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/control/mutation/point1_test.go
+++ b/internal/control/mutation/point1_test.go
@@ -3,7 +3,7 @@
 const (
 	statePackage  = "internal/control/controlstate"
 	clientPackage = "internal/control/controlclient"
-	cutLeader     = "TestAMemberIsCutOff/leader_cut_both,_none_restarted$"
+	cutLeader     = "TestIsolatedMember/leader_cut_both,_none_restarted$"
 )
 
 // A member that was cut off must not act as leader on what it still holds, nor keep anybody waiting.
@@ -22,12 +22,12 @@
 		file:        "internal/control/consensus/core.go",
 		original:    "return c.peers[m].contactAge < 2*c.cfg.ElectionTicks",
 		replacement: "return true",
-		pkg:         statePackage, run: "TestAMemberIsCutOff/leader_cut_in,_none_restarted$"},
+		pkg:         statePackage, run: "TestIsolatedMember/leader_cut_in,_none_restarted$"},
 	mutant{point: 1, name: "one without a vote gives its word for a proof",
 		file:        "internal/control/controlstate/follow.go",
 		original:    `a.Proof != "" && g.isVoter && `,
 		replacement: `a.Proof != "" && `,
-		pkg:         statePackage, run: "TestWhoHasNoVoteProvesNothing"},
+		pkg:         statePackage, run: "TestLearnerProvesNothing"},
 	mutant{point: 1, name: "a proof needs half of the members",
 		file:        "internal/data/agent/proof.go",
 		original:    "need := len(p.members)/2 + 1",
@@ -45,7 +45,7 @@
 		file:        "internal/control/controlstate/state.go",
 		original:    "return now-s.grantedAt[g.Lease] > ttl+time.Duration(float64(ttl)*settings.MarginPart)",
 		replacement: "return now-s.grantedAt[g.Lease] >= 0*(ttl+time.Duration(float64(ttl)*settings.MarginPart))",
-		pkg:         statePackage, run: "TestAMemberIsCutOff/follower_cut_both,_none_restarted$"},
+		pkg:         statePackage, run: "TestIsolatedMember/follower_cut_both,_none_restarted$"},
 	mutant{point: 1, name: "a plan is judged by a leader that nobody confirmed",
 		file:        "internal/control/controlstate/change.go",
 		original:    "	switch read := p.read(ctx, &wire.ReadRequest{}); read.Outcome {",
@@ -55,12 +55,12 @@
 		file:        "internal/control/controlstate/change.go",
 		original:    "|| !isDecidedByState(response.Outcome) {",
 		replacement: "|| !isDecidedByState(response.Outcome) || true {",
-		pkg:         statePackage, run: "TestACutOffLeaderRefusesNothing"},
+		pkg:         statePackage, run: "TestIsolatedLeaderRejectsNothing"},
 	mutant{point: 1, name: "a change waits on though its leader has stepped down",
 		file:        "internal/control/controlstate/contact.go",
 		original:    "if len(p.pendingProposals) == 0 || p.core.Status().IsLeader {",
 		replacement: "if len(p.pendingProposals) >= 0 || p.core.Status().IsLeader {",
-		pkg:         statePackage, run: "TestWhoWaitsIsLetGoAtTheStepDown"},
+		pkg:         statePackage, run: "TestStepDownReleasesPendingChanges"},
 	mutant{point: 1, name: "a pre-vote is given to whoever asks, though a leader is heard",
 		file:        "internal/control/consensus/messages.go",
 		original:    `(c.leader == "" || c.role != leader && c.electionElapsed >= c.cfg.ElectionTicks)`,
@@ -70,7 +70,7 @@
 		file:        "internal/control/controlstate/node.go",
 		original:    "n.process.Place.Bounds.Heal(serveTimeoutRatio*",
 		replacement: "n.process.Place.Bounds.Heal(5*",
-		pkg:         statePackage, run: "TestARequestIsServedForABoundedTime"},
+		pkg:         statePackage, run: "TestRequestsHaveABoundedServingTime"},
 	mutant{point: 1, name: "a stale conflict takes a lease away",
 		file:        "internal/control/controlclient/lease.go",
 		original:    "if t.Fence < l.fencingToken {",
--- a/internal/sim/history/history_test.go
+++ b/internal/sim/history/history_test.go
@@ -33,7 +33,7 @@
 }
 
 // The checker itself: histories that are known good and known bad.
-func TestTheCheckerSeparatesGoodFromBad(t *testing.T) {
+func TestCheckerOnKnownHistories(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		good bool
@@ -147,7 +147,7 @@
 }
 
 // A check that isn't done in time is a failure, not a pass.
-func TestACheckThatIsNotDoneIsAFailure(t *testing.T) {
+func TestCheckTimeoutIsAViolation(t *testing.T) {
 	s := scriptedHistory{&History{}}
 	for range 40 {
 		s.history.BeginAttempt(Change{Key: key, AnyVersion: true})
--- a/internal/sim/history/operations_test.go
+++ b/internal/sim/history/operations_test.go
@@ -71,7 +71,7 @@
 }
 
 // What is left out of a history never changes the verdict.
-func TestReductionKeepsTheVerdict(t *testing.T) {
+func TestReductionKeepsTheResult(t *testing.T) {
 	const limit, runs = 5 * time.Second, 3000
 	random := rand.New(rand.NewPCG(17, 1))
 	good, bad, fewer := 0, 0, 0
