--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -187,7 +187,7 @@
 		return
 	}
 	queued := catchUpMessage{deliverAt: w.now + linkDelay, receiverStarts: receiver.starts, message: message}
-	if size := payloadBytes(message); len(message.GetPiece().GetData()) > 0 || size >= largeMessageBytes {
+	if size := payloadBytes(message); len(message.GetChunk().GetData()) > 0 || size >= largeMessageBytes {
 		link := w.links[from+">"+to]
 		if link == nil {
 			link = &simLink{}
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("the operator waited %v", d)
 		}
 		at = time.Now()
-		response, _ := node.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
+		response, _ := node.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, MaxWaitNs: 3e8, ProofKey: routingconfig.DocumentKey})
 		if d := time.Since(at); d != 300*time.Millisecond || len(response.Documents) > 0 {
 			t.Errorf("after %v: %v", d, response)
 		}
@@ -89,7 +89,7 @@
 				return false
 			})
 		}
-		response, _ := node.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
+		response, _ := node.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, MaxWaitNs: 3e8, ProofKey: routingconfig.DocumentKey})
 		if response.NothingNewer || node.shards[0].published.current().isVoter {
 			t.Errorf("a member that is out vouches: %v", response)
 		}
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -51,7 +51,7 @@
 		t.Log("an leader after", d)
 		first, second, spare := cluster.nodes[cluster.addr(1)], cluster.nodes[cluster.addr(2)], cluster.nodes[cluster.addr(4)]
 		held := make(chan *wire.FollowResponse)
-		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, HoldNs: uint64(10 * time.Second), Proof: routingconfig.DocumentKey}
+		ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, MaxWaitNs: uint64(10 * time.Second), ProofKey: routingconfig.DocumentKey}
 		go func() { response, _ := second.Follow(ctx, ask); held <- response }()
 		putPlan := func(i int, node *Node) {
 			if version, err := node.PutRoutingConfig(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || version != uint64(i*2+2) {
@@ -95,20 +95,20 @@
 		}
 		cluster.waitUntil("weights at the spare", 3*time.Second, func() bool {
 			weights := fleet.Weights{}
-			response, _ := spare.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
+			response, _ := spare.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
 			return len(response.Documents) == 1 && json.Unmarshal(response.Documents[0].Body, &weights) == nil && weights.Named["m"] == 3 && weights.Named["o"] == 1 && !response.NothingNewer
 		})
 		put := &wire.Put{Key: fleet.PlacementKey + "s", Body: []byte("{}"), AnyVersion: true, Token: "p1"}
 		if _, err := spare.controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
 			t.Error(err)
 		}
-		response, _ := first.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, HoldNs: 1e9, Proof: routingconfig.DocumentKey})
+		response, _ := first.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, MaxWaitNs: 1e9, ProofKey: routingconfig.DocumentKey})
 		if len(response.Documents) != 1 || response.Documents[0].Key != fleet.PlacementKey+"s" || !response.NothingNewer || response.Member != cluster.addr(1)+"/0" {
 			t.Errorf("a placement is told: %v", response)
 		}
 		at := time.Now()
-		response, _ = first.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
-			HoldNs: 5e8, Proof: routingconfig.DocumentKey})
+		response, _ = first.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
+			MaxWaitNs: 5e8, ProofKey: routingconfig.DocumentKey})
 		if d := time.Since(at); d != 500*time.Millisecond || len(response.Documents) > 0 || !response.NothingNewer {
 			t.Errorf("no news: after %v %v", d, response)
 		}
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -113,7 +113,7 @@
 		edge.mu.Lock()
 		have, asked := edge.version, w.elapsed()
 		edge.mu.Unlock()
-		response, err := node.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, HoldNs: uint64(300 * time.Millisecond), Proof: routingconfig.DocumentKey})
+		response, err := node.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.DocumentKey})
 		if err != nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
--- a/internal/control/controlstate/repeated_weights_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -29,7 +29,7 @@
 		}
 		named := map[string]uint64{}
 		follow := func() {
-			response, err := nodes[0].Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
+			response, err := nodes[0].Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
 			if err != nil || len(response.Documents) == 0 {
 				return
 			}
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -45,7 +45,7 @@
 // poll is an edge's long poll of one member, and the check of its proof.
 func (s *groupSim) poll(node *groupSimNode, hold time.Duration) {
 	e, asked, end, incarnation := s.edge, s.now, s.now+hold, node.generation
-	ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: e.version}}, Proof: routingconfig.DocumentKey}
+	ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: e.version}}, ProofKey: routingconfig.DocumentKey}
 	poll := func() bool {
 		if node.shard == nil || node.generation != incarnation || hold > 0 && s.now < node.frozenUntil {
 			return node.generation == incarnation && node.shard != nil
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -117,7 +117,7 @@
 		if node.generation != incarnation || !s.isRunning(node) {
 			return node.generation == incarnation
 		}
-		response := node.shard.watchResponse(&wire.WatchRequest{Key: "doc", Have: have}, node.name, s.now >= wait)
+		response := node.shard.watchResponse(&wire.WatchRequest{Key: "doc", KnownVersion: have}, node.name, s.now >= wait)
 		if s.plantedFault == "vouch-unsettled" && s.now >= wait && node.shard.state.documents["doc"].GetVersion() == have {
 			response = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
 		}
@@ -146,7 +146,7 @@
 	id := make([]byte, 16)
 	id[0] = byte(s.random.IntN(40))
 	nonce := uint64(s.random.IntN(3) + 1)
-	claims := &wire.Claims{List: []*wire.Claim{{Id: id, Nonce: nonce}}}
+	claims := &wire.Claims{Claims: []*wire.Claim{{Id: id, Nonce: nonce}}}
 	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: claims}}}, func(response *wire.ChangeResponse) {
 		if response.Outcome != wire.OutcomeDone || !response.Granted[0] {
 			return
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -73,7 +73,7 @@
 // and both are never let write under one fence.
 func TestLeaseHandoverInEveryOrder(t *testing.T) {
 	grant := func(h string, fence uint64, up bool) *wire.Command {
-		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, GiveUp: up}}}
+		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, Release: up}}}
 	}
 	write := func(h string, fence uint64) *wire.Command {
 		command := putCommand("p", h, "", 0)
@@ -160,7 +160,7 @@
 // given back leave room at once, and the order of what was given back stays bounded.
 func TestClaimsAreReleasedByAge(t *testing.T) {
 	apply := func(s *state, passed time.Duration, request *wire.Claim) (bool, bool) {
-		response := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{request}, PassedNs: uint64(passed), KeepNs: uint64(defaultClaimRetention)}}}, 0)
+		response := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{Claims: []*wire.Claim{request}, ElapsedNs: uint64(passed), RetentionNs: uint64(defaultClaimRetention)}}}, 0)
 		return response.Granted[0], response.Full[0]
 	}
 	s := newState()
