--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -114,7 +114,7 @@
 func (s *changeSearch) send(random *rand.Rand, change *sentChange, node *Node, lost bool) (answered bool) {
 	version, err := node.PutRoutingConfig(s.ctx, change.baseVersion, body(change.newVersion, change.text), change.partial)
 	kind := errs.KindOf(err)
-	refused := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooBig)
+	refused := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooLarge)
 	if lost {
 		return false
 	}
@@ -297,7 +297,7 @@
 	clock.Sleep(s.ctx, searchTime)
 	s.stopped.Store(true)
 	all.Wait()
-	clock.Sleep(s.ctx, settings.Default().Heal(1))
+	clock.Sleep(s.ctx, settings.DefaultBounds().Heal(1))
 	s.checkFinal()
 	return s
 }
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -41,7 +41,7 @@
 		node, release := cluster.nodes[cluster.addr(o)], make(chan struct{})
 		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.stalled = release })
 		at := time.Now()
-		if _, err := node.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
+		if _, err := node.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
 			t.Errorf("a plan put where the disk stalls: %v", err)
 		}
 		if d := time.Since(at); d > 950*time.Millisecond {
@@ -120,7 +120,7 @@
 			func() error { return node.SetWeightsVersion(ctx, "m", 2) },
 		} {
 			at := time.Now()
-			if err := f(); err == nil || errs.KindOf(err) != errs.CantSay || time.Since(at) > 950*time.Millisecond {
+			if err := f(); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || time.Since(at) > 950*time.Millisecond {
 				t.Errorf("after %v: %v", time.Since(at), err)
 			}
 		}
--- a/internal/control/controlstate/isolation_requests_test.go
+++ b/internal/control/controlstate/isolation_requests_test.go
@@ -123,7 +123,7 @@
 		node.controlClient.HintLeader(w.addr(10))
 		begun := time.Now()
 		err := node.SetWeightsVersion(context.Background(), "m", 2)
-		if d := time.Since(begun); err == nil || errs.KindOf(err) != errs.CantSay || d > answerWithin {
+		if d := time.Since(begun); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || d > answerWithin {
 			t.Errorf("after %v: %v", d, err)
 		}
 	})
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -119,7 +119,7 @@
 		}
 		response := node.shard.watchResponse(&wire.WatchRequest{Key: "doc", KnownVersion: have}, node.name, s.now >= wait)
 		if s.plantedFault == "vouch-unsettled" && s.now >= wait && node.shard.state.documents["doc"].GetVersion() == have {
-			response = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
+			response = &wire.WatchResponse{Outcome: wire.OutcomeUnchanged} // planted: what is in the log, not applied, is overlooked
 		}
 		if response == nil {
 			return true
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -146,7 +146,7 @@
 	if len(s.recentTokens) > maxRecentTokens {
 		t.Errorf("%d tokens", len(s.recentTokens))
 	}
-	if response := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); response.Outcome != wire.OutcomeTooBig {
+	if response := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); response.Outcome != wire.OutcomeTooLarge {
 		t.Errorf("a body over the bound: %s", response.Outcome)
 	}
 }
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -166,9 +166,9 @@
 	}
 	c.seed++
 	seed := c.seed
-	config := settings.Place{Name: fmt.Sprint("core-", index), Zone: fmt.Sprint("d", index), Listen: addr, Seeds: c.seeds, Data: "x", Bounds: settings.Default(),
-		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: max(1, c.toleratedLosses), IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
-	environment := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	config := settings.Process{Name: fmt.Sprint("core-", index), Zone: fmt.Sprint("d", index), Listen: addr, Seeds: c.seeds, Data: "x", Bounds: settings.DefaultBounds(),
+		Options: []string{"log=off"}, Site: &settings.Site{FirstStart: first, ToleratedFailures: max(1, c.toleratedLosses), IP: addr, AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, PortRange: [2]int{7360, 7375}}}
+	environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk { return c.disks[addr] },
 		Listen: func(a string) (net.Listener, error) {
 			listener := &pipeListener{cluster: c, addr: a, connections: make(chan net.Conn), closed: make(chan struct{})}
@@ -181,7 +181,7 @@
 		Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 	process := daemon.NewIn(environment, "archive", config)
 	var node *Node
-	process.Place.Site.Control = fmt.Sprintf("10.0.0.%d:8683", index)
+	process.Settings.Site.ControlPlaneListen = fmt.Sprintf("10.0.0.%d:8683", index)
 	if err := StartGroup(process, versionCodec{}, func(x *Node) http.Handler { node = x; return http.NotFoundHandler() }); err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -63,8 +63,8 @@
 func runTransportTest(t *testing.T, f func(*transport, *shard, *stalledMember, *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
-		config := settings.Place{Name: "core-1", Listen: cluster.addr(1), Bounds: settings.Default(), Extra: []string{"log=off"}}
-		environment := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
+		config := settings.Process{Name: "core-1", Listen: cluster.addr(1), Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
+		environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
 			Dial: func(ctx context.Context, _, to string) (net.Conn, error) {
 				return cluster.dial(ctx, cluster.addr(1), to)
 			},
