--- a/internal/control/mutation/point2_test.go
+++ b/internal/control/mutation/point2_test.go
@@ -46,5 +46,5 @@
 		file:        "internal/control/calendar/step.go",
 		original:    "e.Service, e.Name, w.EntryVersion, e.CurrentStep, suffix)",
 		replacement: "e.Service, e.Name, 0, e.CurrentStep, suffix)",
-		pkg:         "internal/control/calendar", run: "TestTheTokenOfAStep"},
+		pkg:         "internal/control/calendar", run: "TestStepTokenIsStableAcrossHolders"},
 )
