--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -54,8 +54,8 @@
 	maxConnsTried = 4
 )
 
-// send sends the request to a worker, and waits for the header of its response.
-func (req *request) send(choice selection.Choice) *attempt {
+// sendTo sends the request to a worker, and waits for the header of its response.
+func (req *request) sendTo(choice selection.Choice) *attempt {
 	a := &attempt{request: req, choice: choice, startedAt: req.server.process.Clock.Now()}
 	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(a.dialContext(), &httptrace.ClientTrace{GotConn: a.gotConn}))
 	req.server.Selector.RecordSent(&req.selection, choice)
--- a/internal/data/proxy/handler.go
+++ b/internal/data/proxy/handler.go
@@ -56,7 +56,7 @@
 
 // makeAttempt sends the request to the selected worker and relays its response, if that can be relayed.
 func (req *request) makeAttempt(choice selection.Choice) *attempt {
-	a := req.send(choice)
+	a := req.sendTo(choice)
 	if a.outcome == responded {
 		a.relayResponse()
 	}
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -282,7 +282,7 @@
 	}
 }
 
-// The route's own bound holds, however long the client would wait; and the worker is clientWait what
+// The route's own bound holds, however long the client would wait; and the worker receives what
 // is left.
 func TestRouteBoundsTheTime(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
@@ -295,7 +295,7 @@
 			}
 			synctest.Wait()
 			if left := s.workers[0].requests[0].Header.Get("Go-Left"); left != fmt.Sprint(want.Milliseconds()) {
-				t.Errorf("%q: the worker was clientWait %s", clientWait, left)
+				t.Errorf("%q: the worker received %s", clientWait, left)
 			}
 		})
 	}
