--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -13,7 +13,7 @@
 // A service's part takes a retirement only beside what it can stand beside: no other one of the base, no
 // move of the service that is under way; and no move once it has begun. Both are named.
 func TestRetirementsBesideOthers(t *testing.T) {
-	p, err := open(t, newSimDisk())
+	p, err := openTestShard(t, newSimDisk())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/controlstate/step_again_test.go
+++ b/internal/control/controlstate/step_again_test.go
@@ -15,8 +15,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// aloneShard is a shard with one fixed member, which leads.
-func aloneShard(t *testing.T) *shard {
+// singleMemberShard is a shard with one fixed member, which leads.
+func singleMemberShard(t *testing.T) *shard {
 	t.Helper()
 	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 	loaded, err := p.load(newSimDisk(), func() *wire.Snapshot { return consensus.BootstrapSnapshot("core-1", nil) })
@@ -45,7 +45,7 @@
 // Somebody else changes the configuration meanwhile. The next holder makes the move again, under the
 // same token and on a later version: it is acknowledged as done, and changes nothing.
 func TestAStepThatTheNextHolderMakesAgainIsDone(t *testing.T) {
-	p := aloneShard(t)
+	p := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
 	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); r.Outcome != wire.OutcomeDone {
 		t.Fatal(r)
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -281,7 +281,7 @@
 	l.acquire(1)
 	l.acquire(2)
 	l.release(1, time.Nanosecond)
-	if l.discard(1) || l.holder != 2 || l.idleTimer != nil {
+	if l.discard(1) || l.owner != 2 || l.idleTimer != nil {
 		t.Error("the line was the first one's still")
 	}
 	if n, err := l.Write([]byte("x")); n == 0 || err != nil {
