--- a/internal/data/proxy/handler.go
+++ b/internal/data/proxy/handler.go
@@ -65,7 +65,7 @@
 }
 
 // lookUpPrefixes asks the prompt index which workers hold the prompt's parts; nil if it names none.
-func (req *request) lookUpPrefixes() map[prefix.Key]*wire.Found {
+func (req *request) lookUpPrefixes() map[prefix.Key]*wire.LookupResult {
 	if len(req.selection.Parts) == 0 {
 		return nil
 	}
