--- a/internal/data/proxy/admission.go
+++ b/internal/data/proxy/admission.go
@@ -40,8 +40,8 @@
 	if req.selection.Route.Public || len(plan.Tenants) == 0 {
 		return true
 	}
-	if req.server.siteSettings.Revokes && !planIsFresh {
-		req.reject(errs.NotRun, "it can't be proven here that the key is still good", req.server.planRetryAfter())
+	if req.server.siteSettings.EnforceRevocation && !planIsFresh {
+		req.reject(errs.NotExecuted, "it can't be proven here that the key is still good", req.server.planRetryAfter())
 		return false
 	}
 	tenant, ok := plan.TenantByKey(req.server.Headers.bearerKey(req.incoming))
@@ -76,7 +76,7 @@
 // replaced that isn't certain: the client is asked to come again instead. It returns false.
 func (req *request) rejectUnknown(planIsFresh bool, kind *errs.Kind, reason string) bool {
 	if !planIsFresh {
-		req.reject(errs.NotRun, "the plan known here may be old, and "+reason, req.server.planRetryAfter())
+		req.reject(errs.NotExecuted, "the plan known here may be old, and "+reason, req.server.planRetryAfter())
 		return false
 	}
 	req.reject(kind, reason, 0)
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -73,7 +73,7 @@
 // dialContext is the request's context with the limits of a connection that is dialed for this attempt.
 func (a *attempt) dialContext() context.Context {
 	req := a.request
-	timeout := max(req.selection.Route.LatencyTarget/dialTimeoutDivisor, req.server.process.Place.Bounds.Leave(minDialTimeoutRatio))
+	timeout := max(req.selection.Route.LatencyTarget/dialTimeoutDivisor, req.server.process.Settings.Bounds.Leave(minDialTimeoutRatio))
 	return context.WithValue(req.ctx, dialLimitsKey{}, dialLimits{maxConns: req.maxConns, timeout: timeout})
 }
 
@@ -174,7 +174,7 @@
 		a.conn = nil
 		return
 	}
-	defaultKeepAlive := a.request.server.process.Place.Bounds.Leave(1)
+	defaultKeepAlive := a.request.server.process.Settings.Bounds.Leave(1)
 	a.conn.release(a, parseKeepAlive(a.response.Header, defaultKeepAlive))
 	a.conn = nil
 }
--- a/internal/data/proxy/body.go
+++ b/internal/data/proxy/body.go
@@ -16,7 +16,7 @@
 func (req *request) readBody(plan *routingconfig.Plan) bool {
 	limit := int64(plan.Limits.BodyBytes)
 	if limit <= 0 {
-		limit = int64(req.server.process.Place.Bounds.BodyKB) << 10
+		limit = int64(req.server.process.Settings.Bounds.MaxBodyKB) << 10
 	}
 	length := req.incoming.ContentLength // below 0: unknown
 	if length > limit {
@@ -32,7 +32,7 @@
 	}
 	if err := req.readBodyInTime(length, limit); err != nil {
 		req.writer.Header().Set("Connection", "close")
-		req.reject(errs.NotRun, "the body didn't come completely in time", req.retryAfter())
+		req.reject(errs.NotExecuted, "the body didn't come completely in time", req.retryAfter())
 		return false
 	}
 	if int64(len(req.body)) > limit {
@@ -55,14 +55,14 @@
 		_, err = io.ReadFull(req.incoming.Body, req.body)
 	}
 	if !timer.Stop() {
-		err = errors.Join(err, errs.New(errs.Expired, "read body"))
+		err = errors.Join(err, errs.New(errs.DeadlineExceeded, "read body"))
 	}
 	return err
 }
 
 func (req *request) rejectTooLarge(limit int64) {
 	req.writer.Header().Set("Connection", "close")
-	req.reject(errs.TooBig, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
+	req.reject(errs.TooLarge, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
 }
 
 // reserveMemory counts bytes that the request keeps until its release. It answers a request that the
--- a/internal/data/proxy/connpool.go
+++ b/internal/data/proxy/connpool.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	p.setKeepAlive(conn)
-	return newWorkerConn(conn, p.process.Place.Bounds.Leave(1), func() { p.connClosed(addr) }), nil
+	return newWorkerConn(conn, p.process.Settings.Bounds.Leave(1), func() { p.connClosed(addr) }), nil
 }
 
 // reserve counts a connection to a worker; false if there are as many already as there may be.
@@ -103,7 +103,7 @@
 	if !ok {
 		return
 	}
-	bounds := p.process.Place.Bounds
+	bounds := p.process.Settings.Bounds
 	_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{
 		Enable:   true,
 		Idle:     bounds.Leave(tcpKeepAliveIdleRatio),
--- a/internal/data/proxy/eventsplitter.go
+++ b/internal/data/proxy/eventsplitter.go
@@ -61,7 +61,7 @@
 	}
 	s.passthrough, s.canResume = true, false
 	if s.resuming {
-		return s.consume(complete), errs.New(errs.MayHaveRun, "bytes after event %q that aren't events", s.lastID)
+		return s.consume(complete), errs.New(errs.MayHaveExecuted, "bytes after event %q that aren't events", s.lastID)
 	}
 	return s.consume(len(s.pending)), nil
 }
@@ -126,7 +126,7 @@
 	case id != "" && (s.lastID == "" || idIncreases(s.lastID, id)):
 		s.lastID, s.canResume = id, isNumericID(id)
 	case s.resuming:
-		return errs.New(errs.MayHaveRun, "event %q after %q: the worker didn't continue the stream from there", id, s.lastID)
+		return errs.New(errs.MayHaveExecuted, "event %q after %q: the worker didn't continue the stream from there", id, s.lastID)
 	case id != "":
 		s.passthrough = true
 	default:
--- a/internal/data/proxy/readiness.go
+++ b/internal/data/proxy/readiness.go
@@ -15,7 +15,7 @@
 
 // maxKeyProofAge is how old the proof may be under which a key is accepted.
 func (s *server) maxKeyProofAge() time.Duration {
-	return settings.Of(s.process.Place.Bounds.KeyMs, keyProofRatio)
+	return settings.Fraction(s.process.Settings.Bounds.KeyRevocationMs, keyProofRatio)
 }
 
 // proofIsFresh reports whether the snapshot's plan was proven to be the newest less than maxAge before
@@ -45,7 +45,7 @@
 	if snapshot == nil || snapshot.Plan == nil || s.draining.Load() {
 		return false
 	}
-	if s.siteSettings.Revokes && !proofIsFresh(snapshot, s.process.Clock.Now(), s.maxKeyProofAge()) {
+	if s.siteSettings.EnforceRevocation && !proofIsFresh(snapshot, s.process.Clock.Now(), s.maxKeyProofAge()) {
 		return false
 	}
 	if !s.wasReady.Load() && hasRoutedWorker(snapshot) {
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -60,7 +60,7 @@
 	req := s.newRequest(w, r)
 	snapshot := s.Snapshot()
 	if snapshot == nil || snapshot.Plan == nil {
-		req.reject(errs.NotRun, "no plan is known here yet", s.planRetryAfter())
+		req.reject(errs.NotExecuted, "no plan is known here yet", s.planRetryAfter())
 		return nil
 	}
 	if !req.admit(snapshot) || !req.readBody(snapshot.Plan) {
@@ -73,7 +73,7 @@
 		return nil
 	}
 	req.readPromptHeaders()
-	timeout := req.deadline - req.receivedAt + settings.Of(s.siteSettings.TransitMs, transitRatio)
+	timeout := req.deadline - req.receivedAt + settings.Fraction(s.siteSettings.TransitMs, transitRatio)
 	req.ctx, req.cancel = context.WithTimeout(r.Context(), timeout)
 	return req
 }
@@ -88,7 +88,7 @@
 		tried:             map[string]bool{},
 		stopWriteDeadline: func() bool { return true },
 	}
-	req.selection.ID, req.selection.Zone = r.Header.Get(s.Headers.ID), s.process.Place.Zone
+	req.selection.ID, req.selection.Zone = r.Header.Get(s.Headers.ID), s.process.Settings.Zone
 	return req
 }
 
--- a/internal/data/proxy/response.go
+++ b/internal/data/proxy/response.go
@@ -45,11 +45,11 @@
 	case fallback != nil && (fallback.executed || !req.mayHaveExecuted):
 		req.respondBuffered(fallback)
 	case req.mayHaveExecuted && (req.ctx.Err() == context.DeadlineExceeded || req.timeRemaining() <= 0):
-		req.reject(errs.Expired, "the deadline passed while a worker may have been executing the request", 0)
+		req.reject(errs.DeadlineExceeded, "the deadline passed while a worker may have been executing the request", 0)
 	case req.mayHaveExecuted:
-		req.reject(errs.MayHaveRun, "a worker accepted the request and gave no complete response", 0)
+		req.reject(errs.MayHaveExecuted, "a worker accepted the request and gave no complete response", 0)
 	default:
-		req.reject(errs.NotRun, "no worker accepted the request", req.retryAfter())
+		req.reject(errs.NotExecuted, "no worker accepted the request", req.retryAfter())
 	}
 }
 
@@ -75,13 +75,13 @@
 	if req.selection.ID != "" {
 		header.Set(req.server.Headers.ID, req.selection.ID)
 	}
-	if retryAfter > 0 && kind.HTTP == http.StatusServiceUnavailable {
+	if retryAfter > 0 && kind.HTTPStatus == http.StatusServiceUnavailable {
 		header.Set("Retry-After", formatRetryAfter(retryAfter))
 	}
 	req.server.process.Meter.Rejected(kind)
 	text := errs.Text(errs.New(kind, "%s", reason)) + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(text)))
-	req.writer.WriteHeader(kind.HTTP)
+	req.writer.WriteHeader(kind.HTTPStatus)
 	_, _ = io.WriteString(req.writer, text)
 }
 
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -107,8 +107,8 @@
 func Start(process *daemon.Process, config Config) error { return newServer(process, config).start() }
 
 func newServer(process *daemon.Process, config Config) *server {
-	bounds, site := process.Place.Bounds, process.Place.Site
-	retryRatio, retryAllowance := float64(bounds.TryShare)/100, float64(bounds.TryAllow)
+	bounds, site := process.Settings.Bounds, process.Settings.Site
+	retryRatio, retryAllowance := float64(bounds.RetryPercent)/100, float64(bounds.RetryAllowance)
 	s := &server{
 		Config:            config,
 		process:           process,
@@ -116,7 +116,7 @@
 		conns:             newConnPool(process),
 		retryBudgets:      retrybudget.NewByService(retryRatio, retryAllowance),
 		misdirectedBudget: retrybudget.NewShared(retryRatio*misdirectedRatio, retryAllowance*misdirectedAllowanceRatio),
-		memoryLimit:       int64(site.MemoryMB) << 20 / requestMemoryDivisor,
+		memoryLimit:       int64(site.MemoryLimitMB) << 20 / requestMemoryDivisor,
 	}
 	s.bufferPool.New = func() any { buffer := make([]byte, relayBufferBytes); return &buffer }
 	s.registerMetrics(process.Meter)
@@ -125,20 +125,20 @@
 
 func (s *server) registerMetrics(meter *daemon.Meter) {
 	meter.Gauge("pebbleloom_requests", "requests in flight", func() float64 { return float64(s.inFlight.Load()) })
-	meter.Count("pebbleloom_extra_attempts_total", "attempts beyond the first of a request", func() float64 { return float64(s.retries.Load()) })
-	meter.Count("pebbleloom_resumed_total", "streams that another worker continued", func() float64 { return float64(s.resumedStreams.Load()) })
+	meter.Counter("pebbleloom_extra_attempts_total", "attempts beyond the first of a request", func() float64 { return float64(s.retries.Load()) })
+	meter.Counter("pebbleloom_resumed_total", "streams that another worker continued", func() float64 { return float64(s.resumedStreams.Load()) })
 }
 
 // start opens both listeners and serves in the background until the process stops.
 func (s *server) start() error {
-	front, err := s.process.Listen(s.process.Place.Public)
+	front, err := s.process.Listen(s.process.Settings.Public)
 	if err != nil {
-		return errs.As(err, errs.BadInput, "listen at "+s.process.Place.Public)
+		return errs.WrapAs(err, errs.BadInput, "listen at "+s.process.Settings.Public)
 	}
-	ready, err := s.process.Listen(s.siteSettings.Ready)
+	ready, err := s.process.Listen(s.siteSettings.ReadinessListen)
 	if err != nil {
 		front.Close()
-		return errs.As(err, errs.BadInput, "listen at "+s.siteSettings.Ready)
+		return errs.WrapAs(err, errs.BadInput, "listen at "+s.siteSettings.ReadinessListen)
 	}
 	s.serveReadinessAt(ready)
 	s.serveClientsAt(front)
@@ -149,7 +149,7 @@
 func (s *server) serveReadinessAt(listener net.Listener) {
 	ready := &http.Server{
 		Handler:           http.HandlerFunc(s.serveReadiness),
-		ReadHeaderTimeout: s.process.Place.Bounds.Heal(readyHeaderTimeoutRatio),
+		ReadHeaderTimeout: s.process.Settings.Bounds.Heal(readyHeaderTimeoutRatio),
 		ErrorLog:          discardLogger(),
 	}
 	s.process.Go(func() { s.serveHTTP(ready, listener) })
@@ -187,10 +187,10 @@
 // revoked. Until then connections wait at the listener: a request that would have to be rejected now is
 // served a moment later.
 func (s *server) awaitLimits() routingconfig.Limits {
-	bounds := s.process.Place.Bounds
+	bounds := s.process.Settings.Bounds
 	pause := bounds.Config(firstPlanRatio / firstPlanChecks)
 	for range firstPlanChecks {
-		if plan := s.currentPlan(); plan != nil && (!s.siteSettings.Revokes || s.Snapshot().ProofAt > 0) {
+		if plan := s.currentPlan(); plan != nil && (!s.siteSettings.EnforceRevocation || s.Snapshot().ProofAt > 0) {
 			limits := plan.Limits
 			if limits.HeaderBytes > 0 && limits.HeaderTime > 0 && limits.IdleTime > 0 {
 				return limits
@@ -232,8 +232,8 @@
 // the lame-duck period and then no more, and those in flight may end within the drain period.
 func (s *server) drain(ctx context.Context, front *http.Server) {
 	s.draining.Store(true)
-	clock.Sleep(ctx, settings.Of(s.siteSettings.GraceMs, lameDuckRatio))
-	ctx, cancel := context.WithTimeout(ctx, settings.Of(s.siteSettings.GraceMs, drainRatio))
+	clock.Sleep(ctx, settings.Fraction(s.siteSettings.GraceMs, lameDuckRatio))
+	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(s.siteSettings.GraceMs, drainRatio))
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
 		s.process.Log.Warn("proxy: requests aborted at the end of the grace period", "requests", s.inFlight.Load())
@@ -247,5 +247,5 @@
 const planRetryAfterRatio = 0.1
 
 func (s *server) planRetryAfter() time.Duration {
-	return s.process.Place.Bounds.Config(planRetryAfterRatio)
+	return s.process.Settings.Bounds.Config(planRetryAfterRatio)
 }
