--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -1,61 +1,49 @@
-// Package controlclient is the client of the control state: it finds the leader of a shard, goes on
-// to another member when one is lost, and says plainly when the outcome is unknown.
+// Package controlclient is the client of the replicated control state. It finds the leader of a
+// shard, retries at other members when one fails, and returns a typed error where the outcome of a
+// change is unknown. It also holds the lease client, which counts a lease's time at its holder.
 package controlclient
 
 import (
 	"context"
-	"sort"
 	"strings"
 	"time"
 
 	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
 
-// ShardCount is how many shards the control state is cut into. Shard 0 holds the configuration.
-const ShardCount = 8
+// requestRatio is how long a request goes on to start attempts, as a ratio of the heal bound. An
+// attempt that has started has its own timeout, so that its response isn't lost when this time ends.
+const requestRatio = 0.5
 
-// ConfigKey is the document that holds the site's configuration, in shard 0.
-const ConfigKey = "setup"
-
-// ShardOf gives the shard of a service.
-//
-// Example: controlclient.ShardOf("appraisals")
-func ShardOf(service string) uint32 { return 1 + uint32(queue.Hash(service)%(ShardCount-1)) }
-
-// Members names the three of the four core machines that replicate a shard.
-//
-// Example: controlclient.Members(0, core)
-func Members(shard uint32, core []string) []string {
-	l := append([]string(nil), core...)
-	sort.Strings(l)
-	if len(l) < 4 {
-		return l
-	}
-	i := int(shard) % len(l)
-	return append(l[:i:i], l[i+1:]...)
-}
+// Attempts at the members that the settings name, as ratios of the heal bound.
+const (
+	fixedAttemptRatio = 1.0 / 8   // timeout of one attempt
+	fixedPauseRatio   = 1.0 / 120 // pause once all members were tried
+)
 
-// Client sends requests to the leaders of the shards.
+// Client sends requests to the leaders of the shards. It is safe for concurrent use.
 type Client struct {
-	controlNodes []string
+	controlNodes []string // machines that the settings name; none for a group
 	view         func() clustermembership.View
 	clients      *daemon.Clients
 	bounds       settings.Bounds
-	group        *groupAddresses // nil where the core machines are named
+	group        *groupAddresses // nil where the settings name the members
 }
 
-// New makes a client of the shards that the named core machines replicate.
+// New makes a client of the shards that the control nodes on the named machines replicate.
 //
 // Example: c := controlclient.New(place.Core, member.View, calls, place.Bounds)
-func New(core []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
-	return &Client{controlNodes: core, view: view, clients: calls, bounds: b}
+func New(controlNodes []string, view func() clustermembership.View, clients *daemon.Clients, bounds settings.Bounds) *Client {
+	return &Client{controlNodes: controlNodes, view: view, clients: clients, bounds: bounds}
 }
 
+// attemptFunc sends a request to one control node.
+type attemptFunc func(ctx context.Context, node wire.Archive) attemptResult
+
 // attemptResult is what one attempt came to.
 type attemptResult struct {
 	done      bool   // no further attempt is needed, or none may be made
@@ -63,108 +51,127 @@
 	leader    string // whom the response names as the leader
 }
 
-// tryMembers asks a shard's members in turn, whom one names as the leader right after it, until done
-// says so or the time is over. size is that of the request's body.
-func (c *Client) tryMembers(ctx context.Context, shard uint32, size int, try func(context.Context, wire.Archive) attemptResult) bool {
-	// The whole time bounds when an attempt may begin; one that has begun has its own, so that the
-	// end of the whole doesn't leave an answer unheard.
+// tryMembers tries a shard's members until one attempt is done or the time is over, and reports
+// whether one was. bodySize is that of the request, in bytes.
+func (c *Client) tryMembers(ctx context.Context, shard uint32, bodySize int, attempt attemptFunc) bool {
 	if c.group != nil {
-		return c.tryGroup(ctx, size, try)
+		return c.tryGroup(ctx, bodySize, attempt)
 	}
-	caller := ctx
-	ctx, end := context.WithTimeout(ctx, c.bounds.Heal(0.5))
-	defer end()
+	return c.tryFixedMembers(ctx, shard, attempt)
+}
+
+// tryFixedMembers tries the members that the settings name, in turn; one that is named as the leader
+// comes right after the one that named it.
+func (c *Client) tryFixedMembers(caller context.Context, shard uint32, attempt attemptFunc) bool {
+	ctx, cancel := context.WithTimeout(caller, c.bounds.Heal(requestRatio))
+	defer cancel()
 	members := Members(shard, c.controlNodes)
-	next := ""
+	named := ""
 	for i := 0; ctx.Err() == nil; i++ {
-		m := members[i%len(members)]
-		if next != "" {
-			m, next = next, ""
+		member := members[i%len(members)]
+		if named != "" {
+			member, named = named, ""
 		}
-		if addr, ok := c.view().Addr("archive/" + m); ok {
-			attempt, stop := context.WithTimeout(caller, c.bounds.Heal(1.0/8))
-			got := try(attempt, c.clients.ControlNode(addr))
-			stop()
-			if got.done {
+		if addr, ok := c.view().Addr(clustermembership.RoleControlNode + "/" + member); ok {
+			result := c.tryOne(caller, c.bounds.Heal(fixedAttemptRatio), addr, attempt)
+			if result.done {
 				return true
 			}
-			if got.leader != m {
-				next = got.leader
+			if result.leader != member {
+				named = result.leader
 			}
 		}
 		if i%len(members) == len(members)-1 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(c.bounds.Heal(1.0 / 120)):
+			case <-time.After(c.bounds.Heal(fixedPauseRatio)):
 			}
 		}
 	}
 	return false
 }
 
-// Change makes a change once. A put without a token isn't asked again after an answer was
-// lost, so that it can't happen twice.
+func (c *Client) tryOne(ctx context.Context, timeout time.Duration, addr string, attempt attemptFunc) attemptResult {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	return attempt(ctx, c.clients.ControlNode(addr))
+}
+
+// Change makes a change at most once. A change that may come again without effect, because it has a
+// token or names the version it changes, is retried after a lost response; any other isn't.
+//
+// Errors: errs.MayHaveRun if the change was sent and its outcome isn't known, the kind that the
+// leader names if it rejects the change, and errs.CantSay if no leader was found.
 //
 // Example: response, err := c.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
-func (c *Client) Change(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
-	var got *wire.ChangeResponse
-	lost := false
-	put := a.Command.GetPut()
+func (c *Client) Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+	var final *wire.ChangeResponse
+	lost := false // a response was lost: the change may have been made
+	put := request.Command.GetPut()
 	once := put != nil && put.Token == "" && put.AnyVersion
-	guarded := put != nil && put.Token == "" && !put.AnyVersion
-	c.tryMembers(ctx, a.Shard, len(put.GetBody()), func(ctx context.Context, n wire.Archive) attemptResult {
-		t, err := n.Change(ctx, a)
-		if err != nil || t.Outcome == wire.OutcomeUnknown {
-			// A refused connection proves that it never began; anything else doesn't.
-			lost = lost || err == nil || !strings.Contains(err.Error(), "connection refused")
+	versioned := put != nil && put.Token == "" && !put.AnyVersion
+	c.tryMembers(ctx, request.Shard, len(put.GetBody()), func(ctx context.Context, node wire.Archive) attemptResult {
+		response, err := node.Change(ctx, request)
+		if err != nil || response.Outcome == wire.OutcomeUnknown {
+			lost = lost || err == nil || !isConnectionRefused(err)
 			return attemptResult{done: lost && once, responded: err == nil}
 		}
-		if t.Outcome == wire.OutcomeNotLeader || t.Outcome == wire.OutcomeOverloaded {
-			return attemptResult{responded: true, leader: t.Leader}
+		if response.Outcome == wire.OutcomeNotLeader || response.Outcome == wire.OutcomeOverloaded {
+			return attemptResult{responded: true, leader: response.Leader}
 		}
-		got = t
+		final = response
 		return attemptResult{done: true, responded: true}
 	})
-	if got == nil && lost && !a.DryRun {
-		return nil, errs.New(errs.MayHaveRun, "the change was sent, and no answer came")
-	}
-	if got == nil {
-		return nil, errs.New(errs.CantSay, "shard %d has no leader that answers", a.Shard)
-	}
-	if got.Outcome == wire.OutcomeConflict && lost && guarded {
-		return nil, errs.New(errs.MayHaveRun, "an answer was lost, and version %d is in force now: read it back", got.Version)
+	switch {
+	case final == nil && lost && !request.DryRun:
+		return nil, errs.New(errs.MayHaveRun, "the change was sent, and no response came")
+	case final == nil:
+		return nil, noLeader(request.Shard)
+	case final.Outcome == wire.OutcomeConflict && lost && versioned:
+		// The conflict may be with the change itself.
+		return nil, errs.New(errs.MayHaveRun, "a response was lost, and version %d is in force now: read it back", final.Version)
 	}
-	return got, ErrorOf(got)
+	return final, ErrorOf(final)
+}
+
+// isConnectionRefused reports whether an error proves that a request was never sent. The RPC library
+// passes on the text of a network error, not its type.
+func isConnectionRefused(err error) bool {
+	return strings.Contains(err.Error(), "connection refused")
+}
+
+func noLeader(shard uint32) error {
+	return errs.New(errs.CantSay, "shard %d has no leader that responds", shard)
 }
 
-// ErrorOf is the error that the response to a change amounts to; nil where it was made.
+// ErrorOf is the error that the response to a change amounts to; nil if it was made, or is valid.
 //
 // Example: err := controlclient.ErrorOf(response)
-func ErrorOf(t *wire.ChangeResponse) error {
-	switch t.Outcome {
+func ErrorOf(response *wire.ChangeResponse) error {
+	switch response.Outcome {
 	case wire.OutcomeDone, wire.OutcomeValid:
 		return nil
 	case wire.OutcomeConflict:
-		return errs.New(errs.Conflict, "version or fence in force: %d/%d %s", t.Version, t.Fence, t.Leader)
+		return errs.New(errs.Conflict, "version or fence in force: %d/%d %s", response.Version, response.Fence, response.Leader)
 	}
-	return errs.New(errs.Named(t.Outcome), "%s", strings.Join(t.Errors, "; "))
+	return errs.New(errs.Named(response.Outcome), "%s", strings.Join(response.Errors, "; "))
 }
 
-// Read reads what was acknowledged, or says that it can't tell.
+// Read reads acknowledged state by majority, or returns errs.CantSay if no leader was found.
 //
 // Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.ConfigKey})
-func (c *Client) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
-	var got *wire.ReadResponse
-	c.tryMembers(ctx, a.Shard, 0, func(ctx context.Context, n wire.Archive) attemptResult {
-		t, err := n.Read(ctx, a)
-		if err != nil || t.Outcome != wire.OutcomeDone {
-			return attemptResult{responded: err == nil, leader: t.GetLeader()}
+func (c *Client) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
+	var final *wire.ReadResponse
+	c.tryMembers(ctx, request.Shard, 0, func(ctx context.Context, node wire.Archive) attemptResult {
+		response, err := node.Read(ctx, request)
+		if err != nil || response.Outcome != wire.OutcomeDone {
+			return attemptResult{responded: err == nil, leader: response.GetLeader()}
 		}
-		got = t
+		final = response
 		return attemptResult{done: true, responded: true}
 	})
-	if got == nil {
-		return nil, errs.New(errs.CantSay, "shard %d has no leader that answers", a.Shard)
+	if final == nil {
+		return nil, noLeader(request.Shard)
 	}
-	return got, nil
+	return final, nil
 }
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -3,93 +3,88 @@
 import (
 	"context"
 	"fmt"
-	"net/http/httptest"
 	"sync"
 	"testing"
 	"time"
 
 	"pebbleloom/internal/control/clustermembership"
-	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
 
-// groupMember is one core machine of a group, which may know who leads it.
+// groupMember is a control node of a group; the name of the leader that it knows is shared by all.
 type groupMember struct {
 	wire.Archive
-	mu     *sync.Mutex // of all seats and the name
-	leader func() string
-	leads  bool
-	asked  int
+	mu       *sync.Mutex // guards the fields of all members
+	leader   *string
+	isLeader bool
+	attempts int
 }
 
-func (s *groupMember) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeResponse, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.asked++
-	if s.leads {
+func (m *groupMember) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.attempts++
+	if m.isLeader {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7}, nil
 	}
-	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: s.leader()}, nil
+	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: *m.leader}, nil
 }
 
-// The leader of a group is found by whom anybody names, by the roster and by the seeds; once
-// found it is asked first; where nobody knows, that is said in time.
+// The leader of a group is found through members that name it, the cluster membership and the seeds;
+// it is then tried first. An error is returned in time if no member is the leader.
 func TestGroupLeaderIsFound(t *testing.T) {
 	var addr [4]string
-	name := ""
+	var members [4]*groupMember
+	leader := ""
 	var mu sync.Mutex
-	s := [4]*groupMember{}
-	for i := range s {
-		s[i] = &groupMember{mu: &mu, leader: func() string { return name }}
-		x := httptest.NewServer(wire.NewArchiveServer(s[i]))
-		defer x.Close()
-		addr[i] = x.Listener.Addr().String()
+	for i := range members {
+		members[i] = &groupMember{mu: &mu, leader: &leader}
+		addr[i] = serve(t, members[i])
 	}
-	b := settings.Default()
-	b.HealMs = 60000 // so long that a busy machine makes no try too late
+	bounds := boundsWithHeal(60000) // so long that no attempt starts too late on a busy machine
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-2", Role: "archive", Addr: addr[1]}, {Name: "runner/e", Role: "runner", Addr: addr[0]}}}
-	c := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
-	for _, x := range []struct {
-		what  string
-		leads int    // who leads it
-		named string // whom the others name
-		asked [4]int
+	client := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, newTestClients(bounds), bounds)
+	for _, test := range []struct {
+		name     string
+		leader   int
+		named    string // whom the others name as the leader
+		attempts [4]int
 	}{
-		{"named by one of the roster", 3, addr[3] + "/8f3a", [4]int{0, 1, 0, 1}},
-		{"asked first the next time", 3, "", [4]int{0, 0, 0, 1}},
-		{"it has passed on, which the one before knows", 1, addr[1] + "/0", [4]int{0, 1, 0, 1}},
-		{"it has passed on, and nobody names it", 2, "", [4]int{0, 1, 1, 0}},
+		{"named by a node of the cluster membership", 3, addr[3] + "/8f3a", [4]int{0, 1, 0, 1}},
+		{"tried first the next time", 3, "", [4]int{0, 0, 0, 1}},
+		{"another leads, and the one before names it", 1, addr[1] + "/0", [4]int{0, 1, 0, 1}},
+		{"another leads, and none names it", 2, "", [4]int{0, 1, 1, 0}},
 	} {
 		mu.Lock()
-		for i := range s {
-			s[i].asked, s[i].leads = 0, i == x.leads
+		for i, member := range members {
+			member.attempts, member.isLeader = 0, i == test.leader
 		}
-		name = x.named
+		leader = test.named
 		mu.Unlock()
-		r, err := c.Change(context.Background(), newPut("t", false))
+		response, err := client.Change(context.Background(), newPut("t", false))
 		mu.Lock()
-		if got := [4]int{s[0].asked, s[1].asked, s[2].asked, s[3].asked}; err != nil || r.Version != 7 || got != x.asked {
-			t.Errorf("%s: %v, %v, asked %v, want %v", x.what, r, err, got, x.asked)
+		attempts := [4]int{members[0].attempts, members[1].attempts, members[2].attempts, members[3].attempts}
+		if err != nil || response.Version != 7 || attempts != test.attempts {
+			t.Errorf("%s: %v, %v, attempts %v, want %v", test.name, response, err, attempts, test.attempts)
 		}
 		mu.Unlock()
 	}
 	mu.Lock()
-	for i := range s {
-		s[i].leads = false
+	for _, member := range members {
+		member.isLeader = false
 	}
 	mu.Unlock()
-	ctx, end := context.WithTimeout(context.Background(), 200*time.Millisecond)
-	defer end()
-	if _, err := c.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.CantSay {
-		t.Errorf("nobody leads it: %v", err)
+	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	defer cancel()
+	if _, err := client.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.CantSay {
+		t.Errorf("no member is the leader: %v", err)
 	}
-	c.SetSeeds([]string{"127.0.0.1:2"})
-	if l := fmt.Sprint(c.Addresses()); l != fmt.Sprint([]string{addr[2], addr[1], "127.0.0.1:2"}) {
-		t.Errorf("seats: %s", l)
+	client.SetSeeds([]string{"127.0.0.1:2"})
+	if got, want := fmt.Sprint(client.Addresses()), fmt.Sprint([]string{addr[2], addr[1], "127.0.0.1:2"}); got != want {
+		t.Errorf("addresses: %s, want %s", got, want)
 	}
 	if MemberAddr("10.1.0.17:7360/8f3a") != "10.1.0.17:7360" || MemberAddr("10.1.0.17:7360") != "10.1.0.17:7360" {
-		t.Error("the address of a name")
+		t.Error("the address in a member's name")
 	}
 }
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -10,75 +10,79 @@
 	"pebbleloom/internal/wire"
 )
 
-// Lease is a lease as its holder sees it. It is counted from when it was requested, by a clock that
-// counts sleep; so it ends here before it can be granted to another.
+// Lease is a lease as its holder sees it. Its time is counted from when it was requested, by a clock
+// that counts sleep: it ends here before it can be granted to another holder.
 type Lease struct {
-	Name   string // of the lease
-	Shard  uint32 // that keeps it
+	Name   string
+	Shard  uint32 // that grants it
 	Holder string
 	TTL    time.Duration
 
 	mu           sync.Mutex
 	clock        clock.Clock
 	client       *Client
-	fencingToken uint64
-	expiresAt    time.Duration
+	fencingToken uint64 // the highest known
+	deadline     time.Duration
 }
 
 // NewLease prepares to hold a lease; nothing is requested yet.
 //
-// Example: l := controlclient.NewLease(ctl, clk, "appraise/lector", controlclient.ShardOf("lector"), "core-1/8f", 3*time.Second)
-func NewLease(ctl *Client, clk clock.Clock, name string, shard uint32, holder string, ttl time.Duration) *Lease {
-	return &Lease{Name: name, Shard: shard, Holder: holder, TTL: ttl, clock: clk, client: ctl}
+// Example: l := controlclient.NewLease(client, clk, "appraise/lector", controlclient.ShardOf("lector"), "core-1/8f", 3*time.Second)
+func NewLease(client *Client, clk clock.Clock, name string, shard uint32, holder string, ttl time.Duration) *Lease {
+	return &Lease{Name: name, Shard: shard, Holder: holder, TTL: ttl, clock: clk, client: client}
 }
 
-// FencingToken gives the fence while the lease is held. Ask it right before acting.
+// FencingToken returns the lease's fencing token, and whether the lease is held now. Call it right
+// before acting under the lease.
 //
-// Example: if fence, ok := l.Held(); ok { order(fence) }
-func (l *Lease) FencingToken() (uint64, bool) {
+// Example: if token, held := l.FencingToken(); held { order(token) }
+func (l *Lease) FencingToken() (token uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fencingToken, l.clock.Now() < l.expiresAt
+	return l.fencingToken, l.clock.Now() < l.deadline
 }
 
-// GrantRequest is the grant to request at an instant.
+// GrantRequest returns the command that requests or renews the lease.
 //
-// Example: g := l.Ask()
+// Example: grant := l.GrantRequest()
 func (l *Lease) GrantRequest() *wire.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return &wire.Grant{Lease: l.Name, Holder: l.Holder, TtlNs: uint64(l.TTL), IfFence: l.fencingToken}
 }
 
-// HandleResponse takes the response to a grant requested at an instant. A fence never falls: a conflict under
-// a lower one than is known here is of a member that was cut off, and says nothing about now.
+// HandleResponse records the response to a grant that was requested at an instant. Fencing tokens
+// never decrease: a conflict under a lower one than is known here comes from a member that was
+// partitioned, and is ignored.
 //
-// Example: l.Tell(requestedAt, response)
-func (l *Lease) HandleResponse(asked time.Duration, t *wire.ChangeResponse) {
+// Example: l.HandleResponse(requestedAt, response)
+func (l *Lease) HandleResponse(requestedAt time.Duration, response *wire.ChangeResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch t.GetOutcome() {
+	switch response.GetOutcome() {
 	case wire.OutcomeDone:
-		l.fencingToken, l.expiresAt = t.Fence, max(l.expiresAt, asked+l.TTL-time.Duration(float64(l.TTL)*settings.MarginPart))
+		margin := time.Duration(float64(l.TTL) * settings.MarginPart)
+		l.fencingToken = response.Fence
+		l.deadline = max(l.deadline, requestedAt+l.TTL-margin)
 	case wire.OutcomeConflict:
-		if t.Fence < l.fencingToken {
+		if response.Fence < l.fencingToken {
 			return
 		}
-		// Another holds it, or an earlier response was lost: learn the fence and ask again later.
-		if l.fencingToken = t.Fence; t.Leader != l.Holder {
-			l.expiresAt = 0
+		// Another process holds it, or an earlier response was lost: the next request names this token.
+		if l.fencingToken = response.Fence; response.Leader != l.Holder {
+			l.deadline = 0
 		}
 	}
 }
 
-// Renew requests the lease, or more of it.
+// Renew requests the lease, or extends it.
 //
 // Example: err := l.Renew(ctx)
 func (l *Lease) Renew(ctx context.Context) error {
-	ctx, end := context.WithTimeout(ctx, l.TTL/2)
-	defer end()
-	asked := l.clock.Now()
-	t, err := l.client.Change(ctx, &wire.ChangeRequest{Shard: l.Shard, Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.GrantRequest()}}})
-	l.HandleResponse(asked, t)
+	ctx, cancel := context.WithTimeout(ctx, l.TTL/2)
+	defer cancel()
+	requestedAt := l.clock.Now()
+	response, err := l.client.Change(ctx, &wire.ChangeRequest{Shard: l.Shard, Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.GrantRequest()}}})
+	l.HandleResponse(requestedAt, response)
 	return err
 }
