--- a/internal/control/serviceconfig/model_easyjson.go
+++ b/internal/control/serviceconfig/model_easyjson.go
@@ -17,7 +17,279 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonC80ae7adDecodePebbleloomInternalSetup(in *jlexer.Lexer, out *Route) {
+func easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig(in *jlexer.Lexer, out *Tenant) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "keys":
+			if in.IsNull() {
+				in.Skip()
+				out.Keys = nil
+			} else {
+				in.Delim('[')
+				if out.Keys == nil {
+					if !in.IsDelim(']') {
+						out.Keys = make([]string, 0, 4)
+					} else {
+						out.Keys = []string{}
+					}
+				} else {
+					out.Keys = (out.Keys)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v1 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v1 = string(in.String())
+					}
+					out.Keys = append(out.Keys, v1)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "walled":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Isolated = bool(in.Bool())
+			}
+		case "rate":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.RequestsPerSecond = float64(in.Float64())
+			}
+		case "inflight":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.MaxInFlight = int(in.Int())
+			}
+		default:
+			in.AddError(&jlexer.LexerError{
+				Offset: in.GetPos(),
+				Reason: "unknown field",
+				Data:   key,
+			})
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig(out *jwriter.Writer, in Tenant) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	if len(in.Keys) != 0 {
+		const prefix string = ",\"keys\":"
+		first = false
+		out.RawString(prefix[1:])
+		{
+			out.RawByte('[')
+			for v2, v3 := range in.Keys {
+				if v2 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v3))
+			}
+			out.RawByte(']')
+		}
+	}
+	if in.Isolated {
+		const prefix string = ",\"walled\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Bool(bool(in.Isolated))
+	}
+	if in.RequestsPerSecond != 0 {
+		const prefix string = ",\"rate\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Float64(float64(in.RequestsPerSecond))
+	}
+	if in.MaxInFlight != 0 {
+		const prefix string = ",\"inflight\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int(int(in.MaxInFlight))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v Tenant) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v Tenant) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *Tenant) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *Tenant) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig(l, v)
+}
+func easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig1(in *jlexer.Lexer, out *Service) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "model":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Model = string(in.String())
+			}
+		case "alpha":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.FetchToPrefillRatio = float64(in.Float64())
+			}
+		case "window_s":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.HotnessWindowS = int(in.Int())
+			}
+		case "placement":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Placement = string(in.String())
+			}
+		case "roll_out":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Rollout = string(in.String())
+			}
+		case "room":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.WorkerMemoryMB = int(in.Int())
+			}
+		default:
+			in.AddError(&jlexer.LexerError{
+				Offset: in.GetPos(),
+				Reason: "unknown field",
+				Data:   key,
+			})
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig1(out *jwriter.Writer, in Service) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"model\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.Model))
+	}
+	if in.FetchToPrefillRatio != 0 {
+		const prefix string = ",\"alpha\":"
+		out.RawString(prefix)
+		out.Float64(float64(in.FetchToPrefillRatio))
+	}
+	if in.HotnessWindowS != 0 {
+		const prefix string = ",\"window_s\":"
+		out.RawString(prefix)
+		out.Int(int(in.HotnessWindowS))
+	}
+	if in.Placement != "" {
+		const prefix string = ",\"placement\":"
+		out.RawString(prefix)
+		out.String(string(in.Placement))
+	}
+	if in.Rollout != "" {
+		const prefix string = ",\"roll_out\":"
+		out.RawString(prefix)
+		out.String(string(in.Rollout))
+	}
+	if in.WorkerMemoryMB != 0 {
+		const prefix string = ",\"room\":"
+		out.RawString(prefix)
+		out.Int(int(in.WorkerMemoryMB))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v Service) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig1(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig1(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *Service) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig1(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig1(l, v)
+}
+func easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig2(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -81,7 +353,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC80ae7adEncodePebbleloomInternalSetup(out *jwriter.Writer, in Route) {
+func easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig2(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -121,27 +393,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC80ae7adEncodePebbleloomInternalSetup(&w, v)
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC80ae7adEncodePebbleloomInternalSetup(w, v)
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC80ae7adDecodePebbleloomInternalSetup(&r, v)
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC80ae7adDecodePebbleloomInternalSetup(l, v)
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig2(l, v)
 }
-func easyjsonC80ae7adDecodePebbleloomInternalSetup1(in *jlexer.Lexer, out *Tenant) {
+func easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig3(in *jlexer.Lexer, out *Model) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -155,50 +427,17 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "keys":
-			if in.IsNull() {
-				in.Skip()
-				out.Keys = nil
-			} else {
-				in.Delim('[')
-				if out.Keys == nil {
-					if !in.IsDelim(']') {
-						out.Keys = make([]string, 0, 4)
-					} else {
-						out.Keys = []string{}
-					}
-				} else {
-					out.Keys = (out.Keys)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v1 = string(in.String())
-					}
-					out.Keys = append(out.Keys, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "walled":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Isolated = bool(in.Bool())
-			}
-		case "rate":
+		case "weights":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.RequestsPerSecond = float64(in.Float64())
+				out.Weights = uint64(in.Uint64())
 			}
-		case "inflight":
+		case "room":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.MaxInFlight = int(in.Int())
+				out.MemoryMB = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -214,82 +453,47 @@
 		in.Consumed()
 	}
 }
-func easyjsonC80ae7adEncodePebbleloomInternalSetup1(out *jwriter.Writer, in Tenant) {
+func easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig3(out *jwriter.Writer, in Model) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if len(in.Keys) != 0 {
-		const prefix string = ",\"keys\":"
-		first = false
+	{
+		const prefix string = ",\"weights\":"
 		out.RawString(prefix[1:])
-		{
-			out.RawByte('[')
-			for v2, v3 := range in.Keys {
-				if v2 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v3))
-			}
-			out.RawByte(']')
-		}
-	}
-	if in.Isolated {
-		const prefix string = ",\"walled\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Bool(bool(in.Isolated))
-	}
-	if in.RequestsPerSecond != 0 {
-		const prefix string = ",\"rate\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Float64(float64(in.RequestsPerSecond))
+		out.Uint64(uint64(in.Weights))
 	}
-	if in.MaxInFlight != 0 {
-		const prefix string = ",\"inflight\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Int(int(in.MaxInFlight))
+	if in.MemoryMB != 0 {
+		const prefix string = ",\"room\":"
+		out.RawString(prefix)
+		out.Int(int(in.MemoryMB))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Tenant) MarshalJSON() ([]byte, error) {
+func (v Model) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC80ae7adEncodePebbleloomInternalSetup1(&w, v)
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Tenant) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC80ae7adEncodePebbleloomInternalSetup1(w, v)
+func (v Model) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Tenant) UnmarshalJSON(data []byte) error {
+func (v *Model) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC80ae7adDecodePebbleloomInternalSetup1(&r, v)
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Tenant) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC80ae7adDecodePebbleloomInternalSetup1(l, v)
+func (v *Model) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig3(l, v)
 }
-func easyjsonC80ae7adDecodePebbleloomInternalSetup2(in *jlexer.Lexer, out *Config) {
+func easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig4(in *jlexer.Lexer, out *Config) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -494,7 +698,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC80ae7adEncodePebbleloomInternalSetup2(out *jwriter.Writer, in Config) {
+func easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig4(out *jwriter.Writer, in Config) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -673,231 +877,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Config) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC80ae7adEncodePebbleloomInternalSetup2(&w, v)
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Config) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC80ae7adEncodePebbleloomInternalSetup2(w, v)
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Config) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC80ae7adDecodePebbleloomInternalSetup2(&r, v)
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Config) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC80ae7adDecodePebbleloomInternalSetup2(l, v)
-}
-func easyjsonC80ae7adDecodePebbleloomInternalSetup3(in *jlexer.Lexer, out *Service) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "model":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Model = string(in.String())
-			}
-		case "alpha":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.FetchToPrefillRatio = float64(in.Float64())
-			}
-		case "window_s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.HotnessWindowS = int(in.Int())
-			}
-		case "placement":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Placement = string(in.String())
-			}
-		case "roll_out":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Rollout = string(in.String())
-			}
-		case "room":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.WorkerMemoryMB = int(in.Int())
-			}
-		default:
-			in.AddError(&jlexer.LexerError{
-				Offset: in.GetPos(),
-				Reason: "unknown field",
-				Data:   key,
-			})
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonC80ae7adEncodePebbleloomInternalSetup3(out *jwriter.Writer, in Service) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"model\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Model))
-	}
-	if in.FetchToPrefillRatio != 0 {
-		const prefix string = ",\"alpha\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.FetchToPrefillRatio))
-	}
-	if in.HotnessWindowS != 0 {
-		const prefix string = ",\"window_s\":"
-		out.RawString(prefix)
-		out.Int(int(in.HotnessWindowS))
-	}
-	if in.Placement != "" {
-		const prefix string = ",\"placement\":"
-		out.RawString(prefix)
-		out.String(string(in.Placement))
-	}
-	if in.Rollout != "" {
-		const prefix string = ",\"roll_out\":"
-		out.RawString(prefix)
-		out.String(string(in.Rollout))
-	}
-	if in.WorkerMemoryMB != 0 {
-		const prefix string = ",\"room\":"
-		out.RawString(prefix)
-		out.Int(int(in.WorkerMemoryMB))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Service) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonC80ae7adEncodePebbleloomInternalSetup3(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC80ae7adEncodePebbleloomInternalSetup3(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Service) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonC80ae7adDecodePebbleloomInternalSetup3(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC80ae7adDecodePebbleloomInternalSetup3(l, v)
-}
-func easyjsonC80ae7adDecodePebbleloomInternalSetup4(in *jlexer.Lexer, out *Model) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "weights":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Weights = uint64(in.Uint64())
-			}
-		case "room":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MemoryMB = int(in.Int())
-			}
-		default:
-			in.AddError(&jlexer.LexerError{
-				Offset: in.GetPos(),
-				Reason: "unknown field",
-				Data:   key,
-			})
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonC80ae7adEncodePebbleloomInternalSetup4(out *jwriter.Writer, in Model) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"weights\":"
-		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Weights))
-	}
-	if in.MemoryMB != 0 {
-		const prefix string = ",\"room\":"
-		out.RawString(prefix)
-		out.Int(int(in.MemoryMB))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Model) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonC80ae7adEncodePebbleloomInternalSetup4(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Model) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC80ae7adEncodePebbleloomInternalSetup4(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Model) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonC80ae7adDecodePebbleloomInternalSetup4(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Model) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC80ae7adDecodePebbleloomInternalSetup4(l, v)
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig4(l, v)
 }
-func easyjsonC80ae7adDecodePebbleloomInternalSetup5(in *jlexer.Lexer, out *Adapter) {
+func easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig5(in *jlexer.Lexer, out *Adapter) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -997,7 +997,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC80ae7adEncodePebbleloomInternalSetup5(out *jwriter.Writer, in Adapter) {
+func easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig5(out *jwriter.Writer, in Adapter) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1050,23 +1050,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Adapter) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonC80ae7adEncodePebbleloomInternalSetup5(&w, v)
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Adapter) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonC80ae7adEncodePebbleloomInternalSetup5(w, v)
+	easyjsonC80ae7adEncodePebbleloomInternalControlServiceconfig5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Adapter) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonC80ae7adDecodePebbleloomInternalSetup5(&r, v)
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Adapter) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonC80ae7adDecodePebbleloomInternalSetup5(l, v)
+	easyjsonC80ae7adDecodePebbleloomInternalControlServiceconfig5(l, v)
 }
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -22,8 +22,8 @@
 	Config map[string]any    `json:"setup"`
 }
 
-// Overlay is one overlay, a partial service configuration, with the name under which origins refer to
-// it.
+// Overlay is a partial service configuration that is merged into a rendered one. Origins refer to it by its
+// name.
 type Overlay struct {
 	Name string
 	Body []byte
@@ -37,164 +37,215 @@
 }
 
 // Render fills in a template, applies overlays in order, and checks the result like any service
-// configuration. Missing and unknown parameters are rejected by name.
+// configuration. Missing and unknown parameters are rejected by name, with errs.BadInput.
 //
-// Example: body, origins, err := serviceconfig.Render(raw, map[string]string{"weights": "3"}, layers)
-func Render(raw []byte, set map[string]string, layers []Overlay) ([]byte, []Origin, error) {
-	var t Template
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	d.UseNumber()
-	if err := d.Decode(&t); err != nil {
-		return nil, nil, errs.As(err, errs.BadInput, "template")
-	}
-	var b errs.Batch
-	for _, n := range queue.Keys(t.Params) {
-		if _, ok := set[n]; !ok {
-			b.Fault(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", n, t.Params[n], n)
-		}
-	}
-	for _, n := range queue.Keys(set) {
-		if _, ok := t.Params[n]; !ok {
-			b.Fault(errs.BadInput, "parameter %s is unknown: this template takes %v", n, queue.Keys(t.Params))
-		}
-	}
-	from := map[string]string{}
-	filled := renderValue(t.Config, "", set, t.Params, from, &b)
-	if err := b.Look(); err != nil {
+// Example: body, origins, err := serviceconfig.Render(raw, map[string]string{"weights": "3"}, overlays)
+func Render(raw []byte, parameters map[string]string, overlays []Overlay) ([]byte, []Origin, error) {
+	source, err := decodeTemplate(raw)
+	if err != nil {
 		return nil, nil, err
 	}
-	body, err := json.Marshal(filled)
+	r := &renderer{parameters: parameters, known: source.Params, origins: map[string]string{}}
+	body, err := r.fill(source)
 	if err != nil {
-		return nil, nil, errs.Wrap(err, "encode rendered service configuration")
+		return nil, nil, err
 	}
-	at := map[string]string{}
-	flatten(body, at)
-	for _, l := range layers {
-		next, err := jsonpatch.MergePatch(body, l.Body)
-		if err != nil {
-			return nil, nil, errs.As(err, errs.BadInput, "overlay "+l.Name)
-		}
-		now := map[string]string{}
-		flatten(next, now)
-		said := map[string]string{}
-		flatten(l.Body, said)
-		for p, v := range now {
-			if _, own := said[p]; own || at[p] != v {
-				from[p] = "overlay " + l.Name
-			}
-		}
-		body, at = next, now
+	if body, err = r.applyOverlays(body, overlays); err != nil {
+		return nil, nil, err
 	}
 	if body, err = Merge(nil, body); err != nil {
 		return nil, nil, err
 	}
-	final := map[string]string{}
-	flatten(body, final)
-	var os []Origin
-	for p, v := range final {
-		f := from[p]
-		if f == "" {
-			f = "template"
+	return body, r.listOrigins(body), nil
+}
+
+func decodeTemplate(raw []byte) (*Template, error) {
+	var source Template
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	decoder.UseNumber()
+	if err := decoder.Decode(&source); err != nil {
+		return nil, errs.As(err, errs.BadInput, "template")
+	}
+	return &source, nil
+}
+
+// renderer renders one template.
+type renderer struct {
+	parameters map[string]string // values by name
+	known      map[string]string // the template's descriptions by name
+	origins    map[string]string // by path; none: the template
+	faults     errs.Batch
+}
+
+// fill returns the template's configuration with all parameters replaced.
+func (r *renderer) fill(source *Template) ([]byte, error) {
+	r.checkParameters()
+	filled := r.renderValue(source.Config, "", r.origins)
+	if err := r.faults.Look(); err != nil {
+		return nil, err
+	}
+	body, err := json.Marshal(filled)
+	return body, errs.Wrap(err, "encode rendered service configuration")
+}
+
+func (r *renderer) checkParameters() {
+	for _, name := range queue.Keys(r.known) {
+		if _, ok := r.parameters[name]; !ok {
+			r.faults.Fault(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", name, r.known[name], name)
+		}
+	}
+	for _, name := range queue.Keys(r.parameters) {
+		if _, ok := r.known[name]; !ok {
+			r.faults.Fault(errs.BadInput, "parameter %s is unknown: this template takes %v", name, queue.Keys(r.known))
 		}
-		os = append(os, Origin{p, v, f})
 	}
-	sort.Slice(os, func(i, j int) bool { return os[i].Path < os[j].Path })
-	return body, os, nil
 }
 
-// renderValue executes every string of the template.
-func renderValue(v any, path string, set, known map[string]string, from map[string]string, b *errs.Batch) any {
-	switch x := v.(type) {
+// renderValue renders every string of a value, keys included, and records the origins of its values.
+func (r *renderer) renderValue(value any, path string, origins map[string]string) any {
+	switch v := value.(type) {
 	case map[string]any:
-		m := map[string]any{}
-		for k, y := range x {
-			key, ok := renderValue(k, path+" (key)", set, known, map[string]string{}, b).(string)
-			if !ok {
-				b.Fault(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
-				key = k
-			}
-			m[key] = renderValue(y, strings.TrimPrefix(path+"."+key, "."), set, known, from, b)
-		}
-		return m
+		return r.renderObject(v, path, origins)
 	case []any:
-		var l []any
-		for i, y := range x {
-			l = append(l, renderValue(y, fmt.Sprintf("%s[%d]", path, i), set, known, from, b))
+		var elements []any
+		for i, element := range v {
+			elements = append(elements, r.renderValue(element, elementPath(path, i), origins))
 		}
-		return l
+		return elements
 	case string:
-		return renderString(x, path, set, known, from, b)
+		return r.renderString(v, path, origins)
 	}
-	return v
+	return value
 }
 
-func renderString(s, path string, set, known, from map[string]string, b *errs.Batch) any {
-	t, err := template.New(path).Option("missingkey=error").Parse(s)
+func (r *renderer) renderObject(fields map[string]any, path string, origins map[string]string) map[string]any {
+	rendered := map[string]any{}
+	for field, value := range fields {
+		keyOrigins := map[string]string{} // a key has no origin of its own
+		key, ok := r.renderValue(field, path+" (key)", keyOrigins).(string)
+		if !ok {
+			r.faults.Fault(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
+			key = field
+		}
+		rendered[key] = r.renderValue(value, fieldPath(path, key), origins)
+	}
+	return rendered
+}
+
+func (r *renderer) renderString(text, path string, origins map[string]string) any {
+	parsed, err := template.New(path).Option("missingkey=error").Parse(text)
 	if err != nil {
-		b.Note(path, errs.As(err, errs.BadInput, "template"))
-		return s
+		r.faults.Note(path, errs.As(err, errs.BadInput, "template"))
+		return text
 	}
 	var used []string
-	alone := len(t.Root.Nodes) == 1
-	for _, n := range t.Root.Nodes {
-		a, ok := n.(*parse.ActionNode)
+	for _, node := range parsed.Root.Nodes {
+		action, ok := node.(*parse.ActionNode)
 		if !ok {
 			continue
 		}
-		name := strings.TrimPrefix(a.Pipe.String(), ".")
-		if _, ok := known[name]; !ok {
-			b.Fault(errs.BadInput, "%s: {{%s}}: no such parameter: describe it under params", path, a.Pipe)
-			return s
+		name := strings.TrimPrefix(action.Pipe.String(), ".")
+		if _, ok := r.known[name]; !ok {
+			r.faults.Fault(errs.BadInput, "%s: {{%s}}: no such parameter: describe it under params", path, action.Pipe)
+			return text
 		}
 		used = append(used, name)
 	}
 	if len(used) == 0 {
-		return s
-	}
-	from[path] = "parameter " + strings.Join(used, ", ")
-	var o bytes.Buffer
-	if err := t.Execute(&o, set); err != nil {
-		return s // a missing parameter is reported already
-	}
-	var v any
-	d := json.NewDecoder(bytes.NewReader(o.Bytes()))
-	d.UseNumber()
-	if alone && d.Decode(&v) == nil && !d.More() {
-		switch v.(type) {
-		case json.Number, bool:
-			return v
+		return text
+	}
+	origins[path] = "parameter " + strings.Join(used, ", ")
+	var output bytes.Buffer
+	if err := parsed.Execute(&output, r.parameters); err != nil {
+		return text // a missing parameter is reported already
+	}
+	if len(parsed.Root.Nodes) == 1 {
+		if scalar, ok := decodeScalar(output.Bytes()); ok {
+			return scalar
 		}
 	}
-	return o.String()
+	return output.String()
 }
 
-// flatten lists the values of a document by their paths.
-func flatten(body []byte, to map[string]string) {
-	var v any
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.UseNumber()
-	if d.Decode(&v) != nil {
-		return
-	}
-	var walk func(string, any)
-	walk = func(p string, v any) {
-		switch x := v.(type) {
-		case map[string]any:
-			for k, y := range x {
-				walk(strings.TrimPrefix(p+"."+k, "."), y)
-			}
-		case []any:
-			for i, y := range x {
-				walk(fmt.Sprintf("%s[%d]", p, i), y)
-			}
-		default:
-			raw, err := json.Marshal(x)
-			if err != nil {
-				raw = []byte(err.Error())
+// decodeScalar decodes a text that is one JSON number or boolean.
+func decodeScalar(text []byte) (any, bool) {
+	var value any
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if decoder.Decode(&value) != nil || decoder.More() {
+		return nil, false
+	}
+	switch value.(type) {
+	case json.Number, bool:
+		return value, true
+	}
+	return nil, false
+}
+
+// applyOverlays merges the overlays into a body, in order. An overlay is the origin of all values that
+// it names or changes.
+func (r *renderer) applyOverlays(body []byte, overlays []Overlay) ([]byte, error) {
+	before := flatten(body)
+	for _, overlay := range overlays {
+		merged, err := jsonpatch.MergePatch(body, overlay.Body)
+		if err != nil {
+			return nil, errs.As(err, errs.BadInput, "overlay "+overlay.Name)
+		}
+		after, named := flatten(merged), flatten(overlay.Body)
+		for path, value := range after {
+			if _, ok := named[path]; ok || before[path] != value {
+				r.origins[path] = "overlay " + overlay.Name
 			}
-			to[p] = string(raw)
 		}
+		body, before = merged, after
+	}
+	return body, nil
+}
+
+// listOrigins lists the origins of a body's values by path.
+func (r *renderer) listOrigins(body []byte) []Origin {
+	var list []Origin
+	for path, value := range flatten(body) {
+		from := r.origins[path]
+		if from == "" {
+			from = "template"
+		}
+		list = append(list, Origin{path, value, from})
+	}
+	sort.Slice(list, func(i, j int) bool { return list[i].Path < list[j].Path })
+	return list
+}
+
+// flatten returns the JSON of a body's scalar values by their paths; nothing if the body isn't JSON.
+func flatten(body []byte) map[string]string {
+	values := map[string]string{}
+	var root any
+	if decodeJSON(body, &root) == nil {
+		flattenInto(values, "", root)
+	}
+	return values
+}
+
+func flattenInto(values map[string]string, path string, value any) {
+	switch v := value.(type) {
+	case map[string]any:
+		for key, field := range v {
+			flattenInto(values, fieldPath(path, key), field)
+		}
+	case []any:
+		for i, element := range v {
+			flattenInto(values, elementPath(path, i), element)
+		}
+	default:
+		raw, err := json.Marshal(v)
+		if err != nil {
+			raw = []byte(err.Error())
+		}
+		values[path] = string(raw)
 	}
-	walk("", v)
 }
+
+func fieldPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
+
+func elementPath(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
--- a/internal/control/serviceconfig/successor.go
+++ b/internal/control/serviceconfig/successor.go
@@ -5,27 +5,29 @@
 	"pebbleloom/internal/queue"
 )
 
-// CheckSuccessor checks a service configuration against the one in force: a model's weights never go
-// back, else a request could start on weights that were superseded long before.
+// CheckSuccessor checks an encoded service configuration against the one in force: the version of a
+// model's weights never decreases, otherwise a request could start on weights that were superseded
+// long before. Nothing in force (no bytes) allows any successor.
 //
-// Example: if err := serviceconfig.CheckSuccessor(old.Body, body); err != nil { reject() }
-func CheckSuccessor(old, next []byte) error {
-	if len(old) == 0 {
+// Example: if err := serviceconfig.CheckSuccessor(inForce.Body, body); err != nil { reject() }
+func CheckSuccessor(inForce, next []byte) error {
+	if len(inForce) == 0 {
 		return nil
 	}
-	o, err := Decode(old)
+	oldConfig, err := Decode(inForce)
 	if err != nil {
 		return errs.Wrap(err, "service configuration in force")
 	}
-	n, err := Decode(next)
+	newConfig, err := Decode(next)
 	if err != nil {
 		return err
 	}
-	var b errs.Batch
-	for _, k := range queue.Keys(n.Models) {
-		if was := o.Models[k].Weights; n.Models[k].Weights < was {
-			b.Fault(errs.BadInput, "models.%s.weights: %d are older than %d in force: name a later version", k, n.Models[k].Weights, was)
+	var faults errs.Batch
+	for _, name := range queue.Keys(newConfig.Models) {
+		oldWeights, newWeights := oldConfig.Models[name].Weights, newConfig.Models[name].Weights
+		if newWeights < oldWeights {
+			faults.Fault(errs.BadInput, "models.%s.weights: %d are older than %d in force: name a later version", name, newWeights, oldWeights)
 		}
 	}
-	return b.Look()
+	return faults.Look()
 }
