--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -42,7 +42,7 @@
 }
 
 // attemptFunc sends a request to one control node.
-type attemptFunc func(ctx context.Context, node wire.Archive) attemptResult
+type attemptFunc func(ctx context.Context, node wire.ControlNode) attemptResult
 
 // attemptResult is what one attempt came to.
 type attemptResult struct {
@@ -110,7 +110,7 @@
 	put := request.Command.GetPut()
 	once := put != nil && put.Token == "" && put.AnyVersion
 	versioned := put != nil && put.Token == "" && !put.AnyVersion
-	c.tryMembers(ctx, request.Shard, len(put.GetBody()), func(ctx context.Context, node wire.Archive) attemptResult {
+	c.tryMembers(ctx, request.Shard, len(put.GetBody()), func(ctx context.Context, node wire.ControlNode) attemptResult {
 		response, err := node.Change(ctx, request)
 		if err != nil || response.Outcome == wire.OutcomeUnknown {
 			lost = lost || err == nil || !isConnectionRefused(err)
@@ -162,7 +162,7 @@
 // Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.ConfigKey})
 func (c *Client) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
 	var final *wire.ReadResponse
-	c.tryMembers(ctx, request.Shard, 0, func(ctx context.Context, node wire.Archive) attemptResult {
+	c.tryMembers(ctx, request.Shard, 0, func(ctx context.Context, node wire.ControlNode) attemptResult {
 		response, err := node.Read(ctx, request)
 		if err != nil || response.Outcome != wire.OutcomeDone {
 			return attemptResult{responded: err == nil, leader: response.GetLeader()}
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -20,7 +20,7 @@
 // scriptedMember is a control node that responds to changes by a script: each step is an outcome, the
 // name of the leader, or lostResponse. The last step repeats.
 type scriptedMember struct {
-	wire.Archive
+	wire.ControlNode
 	script   []string
 	attempts int
 }
@@ -38,9 +38,9 @@
 }
 
 // serve serves a control node on a local address until the test ends.
-func serve(t *testing.T, node wire.Archive) (addr string) {
+func serve(t *testing.T, node wire.ControlNode) (addr string) {
 	t.Helper()
-	server := httptest.NewServer(wire.NewArchiveServer(node))
+	server := httptest.NewServer(wire.NewControlNodeServer(node))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -14,7 +14,7 @@
 
 // groupMember is a control node of a group; the name of the leader that it knows is shared by all.
 type groupMember struct {
-	wire.Archive
+	wire.ControlNode
 	mu       *sync.Mutex // guards the fields of all members
 	leader   *string
 	isLeader bool
--- a/internal/control/controlclient/partition_test.go
+++ b/internal/control/controlclient/partition_test.go
@@ -17,7 +17,7 @@
 // silenceableMember is a member of a testGroup. One that is partitioned doesn't respond until its
 // caller gives up.
 type silenceableMember struct {
-	wire.Archive
+	wire.ControlNode
 	name  string
 	group *testGroup
 }
