--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -100,8 +100,8 @@
 // Change makes a change at most once. A change that may come again without effect, because it has a
 // token or names the version it changes, is retried after a lost response; any other isn't.
 //
-// Errors: errs.MayHaveRun if the change was sent and its outcome isn't known, the kind that the
-// leader names if it rejects the change, and errs.CantSay if no leader was found.
+// Errors: errs.MayHaveExecuted if the change was sent and its outcome isn't known, the kind that the
+// leader names if it rejects the change, and errs.OutcomeUnknown if no leader was found.
 //
 // Example: response, err := c.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
 func (c *Client) Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
@@ -124,12 +124,12 @@
 	})
 	switch {
 	case final == nil && lost && !request.DryRun:
-		return nil, errs.New(errs.MayHaveRun, "the change was sent, and no response came")
+		return nil, errs.New(errs.MayHaveExecuted, "the change was sent, and no response came")
 	case final == nil:
 		return nil, noLeader(request.Shard)
 	case final.Outcome == wire.OutcomeConflict && lost && versioned:
 		// The conflict may be with the change itself.
-		return nil, errs.New(errs.MayHaveRun, "a response was lost, and version %d is in force now: read it back", final.Version)
+		return nil, errs.New(errs.MayHaveExecuted, "a response was lost, and version %d is in force now: read it back", final.Version)
 	}
 	return final, ErrorOf(final)
 }
@@ -141,7 +141,7 @@
 }
 
 func noLeader(shard uint32) error {
-	return errs.New(errs.CantSay, "shard %d has no leader that responds", shard)
+	return errs.New(errs.OutcomeUnknown, "shard %d has no leader that responds", shard)
 }
 
 // ErrorOf is the error that the response to a change amounts to; nil if it was made, or is valid.
@@ -154,10 +154,10 @@
 	case wire.OutcomeConflict:
 		return errs.New(errs.Conflict, "version or fence in force: %d/%d %s", response.Version, response.Fence, response.Leader)
 	}
-	return errs.New(errs.Named(response.Outcome), "%s", strings.Join(response.Errors, "; "))
+	return errs.New(errs.KindNamed(response.Outcome), "%s", strings.Join(response.Errors, "; "))
 }
 
-// Read reads acknowledged state by majority, or returns errs.CantSay if no leader was found.
+// Read reads acknowledged state by majority, or returns errs.OutcomeUnknown if no leader was found.
 //
 // Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.ConfigKey})
 func (c *Client) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -48,13 +48,13 @@
 // boundsWithHeal are the default bounds with another heal bound; all of a client's waits are ratios
 // of it.
 func boundsWithHeal(ms int) settings.Bounds {
-	bounds := settings.Default()
+	bounds := settings.DefaultBounds()
 	bounds.HealMs = ms
 	return bounds
 }
 
 func newTestClients(bounds settings.Bounds) *daemon.Clients {
-	return daemon.NewClients(daemon.New("test", settings.Place{Bounds: bounds}))
+	return daemon.NewClients(daemon.New("test", settings.Process{Bounds: bounds}))
 }
 
 // newTestClient makes a client of four named control nodes, of which those given run.
@@ -84,13 +84,13 @@
 	}{
 		{"the leader makes it", []string{"done"}, newPut("t", false), nil, 1},
 		{"with a token it is retried after a lost response", []string{lostResponse, "done"}, newPut("t", false), nil, 2},
-		{"without a token or version it isn't", []string{lostResponse, "done"}, newPut("", false), errs.MayHaveRun, 1},
-		{"with a version it is, and a conflict then proves nothing", []string{lostResponse, "epoch-conflict"}, newPut("", true), errs.MayHaveRun, 2},
+		{"without a token or version it isn't", []string{lostResponse, "done"}, newPut("", false), errs.MayHaveExecuted, 1},
+		{"with a version it is, and a conflict then proves nothing", []string{lostResponse, "epoch-conflict"}, newPut("", true), errs.MayHaveExecuted, 2},
 		{"a conflict with no response lost is one", []string{"epoch-conflict"}, newPut("", true), errs.Conflict, 1},
-		{"all responses are lost", []string{lostResponse}, newPut("t", false), errs.MayHaveRun, 0},
+		{"all responses are lost", []string{lostResponse}, newPut("t", false), errs.MayHaveExecuted, 0},
 		{"the leader rejects it", []string{"bad-input"}, newPut("t", false), errs.BadInput, 1},
 		{"overloaded, then done", []string{"overloaded", "overloaded", "done"}, newPut("t", false), nil, 3},
-		{"no member is the leader", []string{"core-4"}, newPut("t", false), errs.CantSay, 0},
+		{"no member is the leader", []string{"core-4"}, newPut("t", false), errs.OutcomeUnknown, 0},
 	} {
 		leader := &scriptedMember{script: test.script}
 		client := newTestClient(t, map[string]*scriptedMember{"core-2": {script: []string{"core-3"}}, "core-3": leader, "core-4": {script: []string{"core-3"}}})
@@ -102,7 +102,7 @@
 			t.Errorf("%s: %d attempts, want %d", test.name, leader.attempts, test.attempts)
 		}
 	}
-	if _, err := newTestClient(t, nil).Change(context.Background(), newPut("t", false)); errs.KindOf(err) != errs.CantSay {
+	if _, err := newTestClient(t, nil).Change(context.Background(), newPut("t", false)); errs.KindOf(err) != errs.OutcomeUnknown {
 		t.Errorf("no member is known: %v", err)
 	}
 }
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -77,7 +77,7 @@
 	mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := client.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.CantSay {
+	if _, err := client.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
 		t.Errorf("no member is the leader: %v", err)
 	}
 	client.SetSeeds([]string{"127.0.0.1:2"})
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -61,7 +61,7 @@
 	defer l.mu.Unlock()
 	switch response.GetOutcome() {
 	case wire.OutcomeDone:
-		margin := time.Duration(float64(l.TTL) * settings.MarginPart)
+		margin := time.Duration(float64(l.TTL) * settings.LeaseMarginRatio)
 		l.fencingToken = response.Fence
 		l.deadline = max(l.deadline, requestedAt+l.TTL-margin)
 	case wire.OutcomeConflict:
--- a/internal/control/controlclient/partition_test.go
+++ b/internal/control/controlclient/partition_test.go
@@ -106,7 +106,7 @@
 		tried, err := group.change(client, func() {
 			group.partitioned["a"], group.partitioned["b"], group.partitioned["c"] = true, true, true
 		})
-		if elapsed := clk.Now() - start; err == nil || errs.KindOf(err).HTTP < 500 || elapsed > limit {
+		if elapsed := clk.Now() - start; err == nil || errs.KindOf(err).HTTPStatus < 500 || elapsed > limit {
 			t.Fatalf("change %d: %v after %v", i, err, elapsed)
 		}
 		if slices.Sort(tried); fmt.Sprint(tried) != "[a b c]" {
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -178,7 +178,7 @@
 	if token == "" && received > 1 {
 		t.Errorf("received %d times", received)
 	}
-	if err == nil && received == 0 || err != nil && errs.KindOf(err) != errs.MayHaveRun {
+	if err == nil && received == 0 || err != nil && errs.KindOf(err) != errs.MayHaveExecuted {
 		t.Errorf("%v, received %d times", err, received)
 	}
 	if token != "" && err != nil {
--- a/internal/control/serviceconfig/check.go
+++ b/internal/control/serviceconfig/check.go
@@ -33,7 +33,7 @@
 type faultRecorder struct{ batch *errs.Batch }
 
 func (f faultRecorder) add(path, format string, args ...any) {
-	f.batch.Fault(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, args...))
+	f.batch.Addf(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, args...))
 }
 
 // checkName reports a name that isn't a single word.
--- a/internal/control/serviceconfig/codec.go
+++ b/internal/control/serviceconfig/codec.go
@@ -18,20 +18,20 @@
 const MaxBytes = 1 << 20
 
 // Decode decodes and checks a service configuration. The error lists all faults, each with its path
-// and remedy; its kind is errs.TooBig or errs.BadInput.
+// and remedy; its kind is errs.TooLarge or errs.BadInput.
 //
 // Example: config, err := serviceconfig.Decode(body)
 func Decode(body []byte) (*Config, error) {
 	config := &Config{}
 	if len(body) > MaxBytes {
-		return nil, errs.New(errs.TooBig, "service configuration: %d bytes, at most %d", len(body), MaxBytes)
+		return nil, errs.New(errs.TooLarge, "service configuration: %d bytes, at most %d", len(body), MaxBytes)
 	}
 	if err := easyjson.Unmarshal(body, config); err != nil {
-		return nil, errs.As(err, errs.BadInput, "service configuration")
+		return nil, errs.WrapAs(err, errs.BadInput, "service configuration")
 	}
 	var faults errs.Batch
 	config.check(&faults)
-	return config, faults.Look()
+	return config, faults.Err()
 }
 
 // Encode encodes a service configuration in its one canonical form.
@@ -68,7 +68,7 @@
 	}
 	merged, err := jsonpatch.MergePatch(document, patch)
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "merge partial service configuration")
+		return nil, errs.WrapAs(err, errs.BadInput, "merge partial service configuration")
 	}
 	config, err := Decode(merged)
 	if err != nil {
--- a/internal/control/serviceconfig/fuzz_test.go
+++ b/internal/control/serviceconfig/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Fuzz(func(t *testing.T, document, patch []byte) {
 		encoded, err := Merge(nil, document)
 		if err != nil {
-			if errs.KindOf(err) == errs.Inside {
+			if errs.KindOf(err) == errs.Internal {
 				t.Fatalf("rejected without a type: %v", err)
 			}
 			return
@@ -32,7 +32,7 @@
 			if _, err := Decode(merged); err != nil {
 				t.Fatalf("the merged configuration isn't decoded: %v", err)
 			}
-		} else if errs.KindOf(err) == errs.Inside {
+		} else if errs.KindOf(err) == errs.Internal {
 			t.Fatalf("rejected without a type: %v", err)
 		}
 	})
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -65,7 +65,7 @@
 	decoder.DisallowUnknownFields()
 	decoder.UseNumber()
 	if err := decoder.Decode(&source); err != nil {
-		return nil, errs.As(err, errs.BadInput, "template")
+		return nil, errs.WrapAs(err, errs.BadInput, "template")
 	}
 	return &source, nil
 }
@@ -82,7 +82,7 @@
 func (r *renderer) fill(source *Template) ([]byte, error) {
 	r.checkParameters()
 	filled := r.renderValue(source.Config, "", r.origins)
-	if err := r.faults.Look(); err != nil {
+	if err := r.faults.Err(); err != nil {
 		return nil, err
 	}
 	body, err := json.Marshal(filled)
@@ -92,12 +92,12 @@
 func (r *renderer) checkParameters() {
 	for _, name := range queue.Keys(r.known) {
 		if _, ok := r.parameters[name]; !ok {
-			r.faults.Fault(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", name, r.known[name], name)
+			r.faults.Addf(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", name, r.known[name], name)
 		}
 	}
 	for _, name := range queue.Keys(r.parameters) {
 		if _, ok := r.known[name]; !ok {
-			r.faults.Fault(errs.BadInput, "parameter %s is unknown: this template takes %v", name, queue.Keys(r.known))
+			r.faults.Addf(errs.BadInput, "parameter %s is unknown: this template takes %v", name, queue.Keys(r.known))
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		keyOrigins := map[string]string{} // a key has no origin of its own
 		key, ok := r.renderValue(field, path+" (key)", keyOrigins).(string)
 		if !ok {
-			r.faults.Fault(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
+			r.faults.Addf(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
 			key = field
 		}
 		rendered[key] = r.renderValue(value, fieldPath(path, key), origins)
@@ -136,7 +136,7 @@
 func (r *renderer) renderString(text, path string, origins map[string]string) any {
 	parsed, err := template.New(path).Option("missingkey=error").Parse(text)
 	if err != nil {
-		r.faults.Note(path, errs.As(err, errs.BadInput, "template"))
+		r.faults.Add(path, errs.WrapAs(err, errs.BadInput, "template"))
 		return text
 	}
 	var used []string
@@ -147,7 +147,7 @@
 		}
 		name := strings.TrimPrefix(action.Pipe.String(), ".")
 		if _, ok := r.known[name]; !ok {
-			r.faults.Fault(errs.BadInput, "%s: {{%s}}: no such parameter: describe it under params", path, action.Pipe)
+			r.faults.Addf(errs.BadInput, "%s: {{%s}}: no such parameter: describe it under params", path, action.Pipe)
 			return text
 		}
 		used = append(used, name)
@@ -190,7 +190,7 @@
 	for _, overlay := range overlays {
 		merged, err := jsonpatch.MergePatch(body, overlay.Body)
 		if err != nil {
-			return nil, errs.As(err, errs.BadInput, "overlay "+overlay.Name)
+			return nil, errs.WrapAs(err, errs.BadInput, "overlay "+overlay.Name)
 		}
 		after, named := flatten(merged), flatten(overlay.Body)
 		for path, value := range after {
--- a/internal/control/serviceconfig/successor.go
+++ b/internal/control/serviceconfig/successor.go
@@ -26,8 +26,8 @@
 	for _, name := range queue.Keys(newConfig.Models) {
 		oldWeights, newWeights := oldConfig.Models[name].Weights, newConfig.Models[name].Weights
 		if newWeights < oldWeights {
-			faults.Fault(errs.BadInput, "models.%s.weights: %d are older than %d in force: name a later version", name, newWeights, oldWeights)
+			faults.Addf(errs.BadInput, "models.%s.weights: %d are older than %d in force: name a later version", name, newWeights, oldWeights)
 		}
 	}
-	return faults.Look()
+	return faults.Err()
 }
