--- a/cmd/fares/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,4 @@
-// Program fares is the stand-in for a site's callers: it sends to a site that is up.
+// Command loadgen generates a site's traffic against a site that is up, and checks every byte.
 package main
 
 import (
--- a/cmd/desk/main.go
+++ b/cmd/pebblectl/main.go
@@ -1,4 +1,4 @@
-// Program desk is the operator's command line. It talks to any node.
+// Command pebblectl is the operator's command line. It talks to any node.
 package main
 
 import (
--- /dev/null
+++ b/cmd/platform-sim/main.go
@@ -0,0 +1,13 @@
+// Command platform-sim simulates the platform that lists workers and probes edge nodes.
+package main
+
+import (
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/programs"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/sim/platformsim"
+)
+
+func main() {
+	daemon.Main(programs.PlatformSim, "a simulated platform that lists workers and probes edge nodes", settings.Need{Public: true}, platformsim.Start)
+}
--- /dev/null
+++ b/cmd/store-sim/main.go
@@ -0,0 +1,13 @@
+// Command store-sim simulates the prompt store.
+package main
+
+import (
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/programs"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/sim/storesim"
+)
+
+func main() {
+	daemon.Main(programs.StoreSim, "a simulated prompt store", settings.Need{Public: true}, storesim.Start)
+}
--- a/cmd/yard/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Program yard runs a whole site on this machine.
+// Command testbed runs a whole site on this machine: every program as a process of its own.
 package main
 
 import (
--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -156,7 +156,7 @@
 		}
 		return nil, errs.New(errs.BadInput, "part %q: give one of %s", part, strings.Join(l, ", "))
 	}
-	return &Measured{Command: "yard capacity", Machine: machine(), Series: b.out}, nil
+	return &Measured{Command: "testbed capacity", Machine: machine(), Series: b.out}, nil
 }
 
 // threads is how many a measurement uses at once.
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -156,7 +156,7 @@
 	name := strings.Trim(lit.Value, `"`)
 	l := s.lines[name]
 	if l == nil {
-		return 0, errs.New(errs.BadInput, "series %q: it wasn't measured: run yard capacity", name)
+		return 0, errs.New(errs.BadInput, "series %q: it wasn't measured: run testbed capacity", name)
 	}
 	s.used[name] = true
 	switch {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if d := Differs(string(read(t, pageFile)), want); d != "" {
-		t.Errorf("docs/%s: %s (remedy: bin/yard capacity --part page)", pageFile, d)
+		t.Errorf("docs/%s: %s (remedy: bin/testbed capacity --part page)", pageFile, d)
 	}
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 )
 
 func run(in string, args ...string) (code int, out, bad string) {
@@ -25,16 +26,16 @@
 	for args, code := range map[string]int{
 		"":                               2,
 		"fly":                            2,
-		"setup":                          2,
-		"setup fly":                      2,
+		"config":                         2,
+		"config fly":                     2,
 		"nodes --odd":                    2,
-		"setup apply":                    2,
-		"setup apply --file /none":       2,
-		"setup patch --file -":           2, // what comes in isn't JSON
-		"setup validate":                 2,
-		"setup diff":                     2,
-		"setup render":                   2,
-		"setup apply --if-epoch x":       2,
+		"config apply":                   2,
+		"config apply --file /none":      2,
+		"config patch --file -":          2, // what comes in isn't JSON
+		"config validate":                2,
+		"config diff":                    2,
+		"config render":                  2,
+		"config apply --if-epoch x":      2,
 		"weights name":                   2,
 		"weights name --model m":         2,
 		"keys revoke":                    2,
@@ -55,7 +56,7 @@
 		"runbook run --name worker-gone --set worker=a --set b=c": 2,
 		"runbook run --name worker-gone --set worker":             2,
 		"runbook run --name store-empty --resume /none":           2,
-		"setup get":     8,
+		"config get":    8,
 		"nodes":         8,
 		"workers":       8,
 		"status":        8,
@@ -75,14 +76,14 @@
 		a := append([]string{"--node", "127.0.0.1:1"}, strings.Fields(args)...)
 		got, out, bad := run("{not json", a...)
 		if got != code || out != "" || !strings.Contains(bad, "remedy") {
-			t.Errorf("desk %s: exit %d, want %d; %q %q", args, got, code, out, bad)
+			t.Errorf("pebblectl %s: exit %d, want %d; %q %q", args, got, code, out, bad)
 		}
 		if got, _, bad = run("{not json", append(a, "--json")...); got != code {
-			t.Errorf("desk %s --json: exit %d, want %d; %q", args, got, code, bad)
+			t.Errorf("pebblectl %s --json: exit %d, want %d; %q", args, got, code, bad)
 		} else {
 			var d struct{ Kind, Message, Remedy string }
 			if err := json.Unmarshal([]byte(bad), &d); err != nil || d.Kind == "" || d.Remedy == "" {
-				t.Errorf("desk %s --json: %q: %v", args, bad, err)
+				t.Errorf("pebblectl %s --json: %q: %v", args, bad, err)
 			}
 		}
 	}
@@ -96,7 +97,7 @@
 			w.WriteHeader(k.HTTP)
 			fmt.Fprintf(w, `{"kind":%q,"message":"m","remedy":"r"}`, k.Name)
 		}))
-		if code, _, bad := run("", "--node", s.Listener.Addr().String(), "setup", "get"); code != k.Exit || !strings.Contains(bad, k.Remedy) {
+		if code, _, bad := run("", "--node", s.Listener.Addr().String(), "config", "get"); code != k.Exit || !strings.Contains(bad, k.Remedy) {
 			t.Errorf("%s: exit %d, want %d; %q", k.Name, code, k.Exit, bad)
 		}
 		s.Close()
@@ -111,7 +112,7 @@
 			t.Fatal(err)
 		}
 	}
-	code, out, bad := run("", "setup", "render", "--file", f, "--overlay", o, "--set", "w=5")
+	code, out, bad := run("", "config", "render", "--file", f, "--overlay", o, "--set", "w=5")
 	if code != 0 || !strings.Contains(out, "parameter w") || !strings.Contains(out, "overlay "+o) {
 		t.Errorf("exit %d: %s%s", code, out, bad)
 	}
@@ -119,3 +120,37 @@
 		t.Errorf("exit %d: %s", code, out)
 	}
 }
+
+// Commands that were renamed answer by their first names as before, and say what to use.
+func TestFirstNamesOfCommandsAnswerAsBefore(t *testing.T) {
+	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Type", "application/json")
+		fmt.Fprint(w, `{"epoch":7,"setup":{"version":7},"outcome":"done"}`)
+	}))
+	defer node.Close()
+	for _, renamed := range programs.Commands() {
+		for _, c := range commands() {
+			group, command, _ := strings.Cut(c.path, " ")
+			if group != renamed.Name {
+				continue
+			}
+			for _, flags := range []string{"", "--file -", "--file - --if-epoch 3 --token t", "--odd"} {
+				t.Run(command+" "+flags, func(t *testing.T) {
+					arguments := append([]string{"--node", node.Listener.Addr().String()}, strings.Fields(flags)...)
+					code, out, bad := run(`{"version":8}`, append([]string{renamed.Name, command}, arguments...)...)
+					firstCode, firstOut, firstBad := run(`{"version":8}`, append([]string{renamed.First, command}, arguments...)...)
+					if firstCode != code || firstOut != out {
+						t.Errorf("exit %d and %q by the first name, %d and %q by the present one", firstCode, firstOut, code, out)
+					}
+					if !strings.HasSuffix(firstBad, bad) || flags != "--odd" && !strings.Contains(firstBad, "`"+c.path+"`") {
+						t.Errorf("%q by the first name doesn't say what to use; %q by the present one", firstBad, bad)
+					}
+					_, _, bad = run(`{"version":8}`, append([]string{renamed.Name, command, "--json"}, arguments...)...)
+					if _, _, firstBad = run(`{"version":8}`, append([]string{renamed.First, command, "--json"}, arguments...)...); firstBad != bad {
+						t.Errorf("with --json: %q by the first name, %q by the present one", firstBad, bad)
+					}
+				})
+			}
+		}
+	}
+}
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -219,7 +219,7 @@
 			fmt.Fprintf(w, "%s:\t%s\n", f.Name, f.Value)
 		}
 		for _, p := range x.Problems {
-			fmt.Fprintf(w, "%s\t%s\t%s\n\tdo:\t%s (desk runbook run %s)\n", p.Kind, p.Where, p.Text, p.Remedy, p.Runbook)
+			fmt.Fprintf(w, "%s\t%s\t%s\n\tdo:\t%s (pebblectl runbook run %s)\n", p.Kind, p.Where, p.Text, p.Remedy, p.Runbook)
 		}
 	case *operator.NodeList:
 		fmt.Fprintf(w, "NAME\tROLE\tDISTRICT\tADDRESS\tSTATE\tOPERATOR\n")
--- /dev/null
+++ b/internal/cli/parse.go
@@ -0,0 +1,174 @@
+package cli
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+
+	"github.com/integrii/flaggy"
+
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
+	set "pebbleloom/internal/settings"
+)
+
+// newParser declares the flags, which fill the request.
+func newParser(r *request) *flaggy.Parser {
+	ps := flaggy.NewParser("pebblectl")
+	ps.Description = about
+	ps.ShowHelpOnUnexpected = false
+	ps.DisableShowVersionWithVersion()
+	ps.ShowCompletion = false
+	ps.String(&r.node, "n", "node", "operator address of any node (also PEBBLELOOM_NODE)")
+	ps.String(&r.keyFile, "", "operator-key", "file with the operators' key (or the key itself in PEBBLELOOM_KEY)")
+	ps.Bool(&r.asJSON, "j", "json", "answer in JSON")
+	ps.String(&r.file, "f", "file", "file to read (- for standard input)")
+	ps.Int64(&r.ifEpoch, "e", "if-epoch", "only onto this version")
+	ps.String(&r.token, "t", "token", "idempotency token of the change")
+	ps.String(&r.model, "m", "model", "model")
+	ps.Int64(&r.weights, "w", "weights", "version of the weights")
+	ps.String(&r.tenant, "", "tenant", "tenant")
+	ps.String(&r.key, "k", "key", "tenant's key")
+	ps.String(&r.worker, "", "worker", "worker")
+	ps.Bool(&r.back, "b", "back", "with drain: take the worker into use again")
+	ps.String(&r.service, "s", "service", "service")
+	ps.String(&r.name, "", "name", "name of a planned move or a runbook")
+	ps.String(&r.record, "", "record", "where a run's record is kept")
+	ps.String(&r.resume, "", "resume", "the record to resume from")
+	ps.Bool(&r.dry, "", "dry-run", "check only: no waiting, actions or prompts")
+	ps.Bool(&r.yes, "y", "yes", "confirm everything")
+	ps.StringSlice(&r.overlays, "", "overlay", "with setup render: a partial configuration to merge in; repeatable")
+	ps.StringSlice(&r.set, "", "set", "a parameter, name=value")
+	ps.String(&r.request, "r", "request", "request id")
+	ps.StringSlice(&r.parts, "p", "part", "prompt part, in order")
+	return ps
+}
+
+// parseCommand fills the request from the flags and returns the command.
+func parseCommand(args []string, r *request) (*command, error) {
+	parser := newParser(r)
+	tree := newCommandTree(parser)
+	words, err := set.ParseStrict(parser, args)
+	if err == nil {
+		err = errs.As(parser.ParseArgs(args), errs.BadInput, "flags")
+	}
+	if err != nil {
+		return nil, err
+	}
+	c, path := tree.used()
+	if c == nil {
+		return nil, errs.New(errs.BadInput, "no such command: see pebblectl --help")
+	}
+	if strings.Join(words, " ") != path {
+		return nil, errs.New(errs.BadInput, "%q: pebblectl %s takes flags alone: see pebblectl --help", words, c.path)
+	}
+	if path != c.path && !r.asJSON {
+		fmt.Fprintf(r.bad, "pebblectl: `%s` is now `%s`; the first name still works\n", path, c.path)
+	}
+	return c, nil
+}
+
+// commandTree finds the command that a parsed command line used.
+type commandTree struct {
+	leaves map[string]*flaggy.Subcommand // by the command's path, first names too
+}
+
+// newCommandTree declares every command to the parser, also under its group's first name.
+func newCommandTree(parser *flaggy.Parser) *commandTree {
+	tree := &commandTree{map[string]*flaggy.Subcommand{}}
+	groups := map[string]*flaggy.Subcommand{}
+	for _, c := range commands() {
+		tree.add(parser, groups, c.path, c.about, false)
+		if first := firstPath(c.path); first != c.path {
+			tree.add(parser, groups, first, c.about, true)
+		}
+	}
+	return tree
+}
+
+// add declares one command under one path: a group alone, or a group and a command in it.
+func (t *commandTree) add(parser *flaggy.Parser, groups map[string]*flaggy.Subcommand, path, about string, hidden bool) {
+	group, command, inGroup := strings.Cut(path, " ")
+	if groups[group] == nil {
+		groups[group] = flaggy.NewSubcommand(group)
+		groups[group].Description = about
+		groups[group].Hidden = hidden
+		if inGroup {
+			groups[group].Description = "see pebblectl " + group + " --help"
+		}
+		parser.AttachSubcommand(groups[group], 1)
+	}
+	t.leaves[path] = groups[group]
+	if inGroup {
+		leaf := flaggy.NewSubcommand(command)
+		leaf.Description = about
+		groups[group].AttachSubcommand(leaf, 1)
+		t.leaves[path] = leaf
+	}
+}
+
+// used returns the command that was given and the path it was given by; nil if there is none.
+func (t *commandTree) used() (*command, string) {
+	for _, c := range commands() {
+		for _, path := range []string{c.path, firstPath(c.path)} {
+			if t.leaves[path].Used {
+				return &c, path
+			}
+		}
+	}
+	return nil, ""
+}
+
+// firstPath is a command's path by the first name of its group.
+func firstPath(path string) string {
+	group, command, _ := strings.Cut(path, " ")
+	for _, renamed := range programs.Commands() {
+		if renamed.Name == group {
+			return renamed.First + " " + command
+		}
+	}
+	return path
+}
+
+func token(r *request) string {
+	if r.token != "" {
+		return r.token
+	}
+	b := make([]byte, 8)
+	_, _ = rand.Read(b) // never fails, as its documentation says
+	return "pebblectl-" + hex.EncodeToString(b)
+}
+
+func need(pairs ...string) error {
+	var b errs.Batch
+	for i := 0; i+1 < len(pairs); i += 2 {
+		if pairs[i+1] == "" {
+			b.Fault(errs.BadInput, "--%s is missing: give it", pairs[i])
+		}
+	}
+	return b.Look()
+}
+
+func read(r *request, in io.Reader) ([]byte, error) {
+	if r.file == "" {
+		return nil, errs.New(errs.BadInput, "--file is missing: name a file, or - for standard input")
+	}
+	var b []byte
+	var err error
+	if r.file == "-" {
+		b, err = io.ReadAll(io.LimitReader(in, 4<<20))
+	} else {
+		b, err = os.ReadFile(r.file)
+	}
+	if err != nil {
+		return nil, errs.As(err, errs.BadInput, "read file")
+	}
+	if !json.Valid(b) {
+		return nil, errs.New(errs.BadInput, "%s isn't JSON: correct it first", r.file)
+	}
+	return b, nil
+}
--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -53,7 +53,7 @@
 			}
 		}
 		if r.name != "" && len(x.Retirements) == 0 {
-			return nil, errs.New(errs.NotFound, "no retirement %q: desk retire status lists all", r.name)
+			return nil, errs.New(errs.NotFound, "no retirement %q: pebblectl retire status lists all", r.name)
 		}
 		return x, nil
 	}
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -50,7 +50,7 @@
 			return &b, nil
 		}
 	}
-	return nil, errs.New(errs.NotFound, "no runbook %q: see desk runbook list, or name a .json file", name)
+	return nil, errs.New(errs.NotFound, "no runbook %q: see pebblectl runbook list, or name a .json file", name)
 }
 
 func listBooks(context.Context, *operator.Client, *request, io.Reader) (any, error) {
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -24,7 +24,7 @@
 	p.until("a group", 10*time.Second, func() bool {
 		for i := 1; i <= 4; i++ {
 			_, nodes, _ := p.runOn(i, "", "nodes")
-			if code, _, _ := p.runOn(i, "", "setup get"); code != 4 || strings.Count(nodes, "alive") != 9 {
+			if code, _, _ := p.runOn(i, "", "config get"); code != 4 || strings.Count(nodes, "alive") != 9 {
 				return false
 			}
 		}
@@ -47,37 +47,37 @@
 			code     int
 			says     string // in the answer, or in what is wrong
 		}{
-			{"setup get", "", 4, "no service configuration has been applied yet"},
+			{"config get", "", 4, "no service configuration has been applied yet"},
 			{"status", "", 1, "no plan is in force"},
-			{"setup validate --file -", `{"version":0}`, 2, "version: missing"},
-			{"setup validate --file -", first, 0, "valid"},
-			{"setup apply --file - --if-epoch 0", first, 0, "done, epoch 7"},
-			{"setup apply --file - --if-epoch 0", `{"version":8}`, 5, "in force: 7"},
-			{"setup apply --file -", `{"version":6}`, 2, "isn't above 7"},
-			{"setup patch --file - --if-epoch 7 --token t1", `{"version":9,"routes":[{"name":"b","to":"reading"}]}`, 0, "done, epoch 9"},
-			{"setup patch --file - --if-epoch 7 --token t1", `{"version":9,"routes":[{"name":"b","to":"reading"}]}`, 0, "done, epoch 9"},
-			{"setup get", "", 0, "epoch 9"},
-			{"setup diff --file -", `{"version":9,"routes":[{"name":"a","to":"writing"},{"name":"b","to":"reading"}]}`, 0, "routes.a.to"},
+			{"config validate --file -", `{"version":0}`, 2, "version: missing"},
+			{"config validate --file -", first, 0, "valid"},
+			{"config apply --file - --if-epoch 0", first, 0, "done, epoch 7"},
+			{"config apply --file - --if-epoch 0", `{"version":8}`, 5, "in force: 7"},
+			{"config apply --file -", `{"version":6}`, 2, "isn't above 7"},
+			{"config patch --file - --if-epoch 7 --token t1", `{"version":9,"routes":[{"name":"b","to":"reading"}]}`, 0, "done, epoch 9"},
+			{"config patch --file - --if-epoch 7 --token t1", `{"version":9,"routes":[{"name":"b","to":"reading"}]}`, 0, "done, epoch 9"},
+			{"config get", "", 0, "epoch 9"},
+			{"config diff --file -", `{"version":9,"routes":[{"name":"a","to":"writing"},{"name":"b","to":"reading"}]}`, 0, "routes.a.to"},
 			{"nodes", "", 0, operatorAt(2)},
 			{"weights name --model daka --weights 0", "", 2, "--weights"},
 			{"placement show --service none", "", 4, "no placement"},
 			{"placement show", "", 2, "--service"},
-			{"keys revoke --tenant t --key k", "", 10, "desk setup patch"},
-			{"drain --worker w1", "", 10, "desk workers"},
-			{"calendar list", "", 10, "desk weights name"},
-			{"calendar write --file -", `{"name":"x"}`, 10, "desk weights name"},
-			{"calendar check --file -", `{"name":"x"}`, 10, "desk weights name"},
-			{"calendar pause --service s --name n", "", 10, "desk weights name"},
-			{"calendar resume --service s --name n", "", 10, "desk weights name"},
-			{"calendar cancel --service s --name n", "", 10, "desk weights name"},
-			{"calendar undo --service s --name n", "", 10, "desk weights name"},
-			{"retire plan --file -", `{"name":"x"}`, 10, "desk setup patch"},
-			{"retire status", "", 10, "desk setup patch"},
-			{"retire history", "", 10, "desk setup patch"},
-			{"retire start --service s --name n", "", 10, "desk setup patch"},
-			{"retire pause --service s --name n", "", 10, "desk setup patch"},
-			{"retire resume --service s --name n", "", 10, "desk setup patch"},
-			{"retire abort --service s --name n", "", 10, "desk setup patch"},
+			{"keys revoke --tenant t --key k", "", 10, "pebblectl config patch"},
+			{"drain --worker w1", "", 10, "pebblectl workers"},
+			{"calendar list", "", 10, "pebblectl weights name"},
+			{"calendar write --file -", `{"name":"x"}`, 10, "pebblectl weights name"},
+			{"calendar check --file -", `{"name":"x"}`, 10, "pebblectl weights name"},
+			{"calendar pause --service s --name n", "", 10, "pebblectl weights name"},
+			{"calendar resume --service s --name n", "", 10, "pebblectl weights name"},
+			{"calendar cancel --service s --name n", "", 10, "pebblectl weights name"},
+			{"calendar undo --service s --name n", "", 10, "pebblectl weights name"},
+			{"retire plan --file -", `{"name":"x"}`, 10, "pebblectl config patch"},
+			{"retire status", "", 10, "pebblectl config patch"},
+			{"retire history", "", 10, "pebblectl config patch"},
+			{"retire start --service s --name n", "", 10, "pebblectl config patch"},
+			{"retire pause --service s --name n", "", 10, "pebblectl config patch"},
+			{"retire resume --service s --name n", "", 10, "pebblectl config patch"},
+			{"retire abort --service s --name n", "", 10, "pebblectl config patch"},
 			{"workers", "", 0, "as seen by the control state"},
 			{"explain --request r1", "", 10, "/metrics"},
 			{"index lookup --model daka --tenant t --part x", "", 0, "HOTNESS"},
@@ -87,19 +87,19 @@
 			tried += c.args + "\n"
 			node := 1 + i%4
 			if code, out, bad := p.runOn(node, c.in, c.args); code != c.code || !strings.Contains(out+bad, c.says) || code > 1 && !strings.Contains(bad, "remedy") {
-				t.Errorf("desk %s: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
+				t.Errorf("pebblectl %s: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
 			}
 			if strings.Contains(c.args, "apply") || strings.Contains(c.args, "patch") {
 				continue // a change that was made isn't made again
 			}
 			code, out, bad := p.runOn(node, c.in, c.args+" --json")
 			if code != c.code || !json.Valid([]byte(out+bad)) {
-				t.Errorf("desk %s --json: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
+				t.Errorf("pebblectl %s --json: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
 			}
 		}
 		for _, c := range commands() { // whoever adds one says what it does here
-			if !strings.Contains("\n"+tried, "\n"+c.path) && c.path != "setup render" && !strings.HasPrefix(c.path, "runbook ") {
-				t.Errorf("desk %s: not tried", c.path)
+			if !strings.Contains("\n"+tried, "\n"+c.path) && c.path != "config render" && !strings.HasPrefix(c.path, "runbook ") {
+				t.Errorf("pebblectl %s: not tried", c.path)
 			}
 		}
 	})
@@ -127,7 +127,7 @@
 func (p *testSite) query(i int, args string) (a answers) {
 	_, out, bad := p.runOn(i, "", args+" --json")
 	if err := json.Unmarshal([]byte(out+bad), &a); err != nil {
-		p.t.Fatalf("desk %s: %v: %s%s", args, err, out, bad)
+		p.t.Fatalf("pebblectl %s: %v: %s%s", args, err, out, bad)
 	}
 	return a
 }
@@ -166,7 +166,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := whole(t)
 		defer p.down()
-		if code, out, bad := p.runOn(2, `{"version":3}`, "setup apply --file -"); code != 0 {
+		if code, out, bad := p.runOn(2, `{"version":3}`, "config apply --file -"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
 		p.until("all is well", 20*time.Second, func() bool { return p.query(3, "status").Ok })
@@ -231,19 +231,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := whole(t)
 		defer p.down()
-		if code, out, bad := p.runOn(2, `{"version":3}`, "setup apply --file -"); code != 0 {
+		if code, out, bad := p.runOn(2, `{"version":3}`, "config apply --file -"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
 		for _, i := range []int{2, 3, 4} { // killed without a shutdown: no hand-over
 			p.processes[fmt.Sprint("state", i)].Stop(0)
 			delete(p.processes, fmt.Sprint("state", i))
 		}
-		for args, code := range map[string]int{"setup get": 8, "workers": 8, "placement show --service reading": 8, "weights name --model daka --weights 5": 8,
-			"setup diff --file -": 8, "setup validate --file -": 8, "nodes": 0, "status": 1} {
+		for args, code := range map[string]int{"config get": 8, "workers": 8, "placement show --service reading": 8, "weights name --model daka --weights 5": 8,
+			"config diff --file -": 8, "config validate --file -": 8, "nodes": 0, "status": 1} {
 			from := time.Now()
 			got, out, bad := p.runOn(1, `{"version":4}`, args)
 			if d := time.Since(from); got != code || d > set.Default().Heal(0.75) {
-				t.Errorf("desk %s: exit %d after %v, want %d; %s%s", args, got, d, code, out, bad)
+				t.Errorf("pebblectl %s: exit %d after %v, want %d; %s%s", args, got, d, code, out, bad)
 			}
 		}
 		if a := p.query(1, "status"); !a.has("part-unowned", "site") || a.has("plan-unknown", "") {
@@ -288,9 +288,9 @@
 			}
 		}
 		for _, addr := range []string{ip(1) + ":7360", ip(1) + ":7361", ip(1) + ":8683", ip(5) + ":7360", ip(5) + ":8689", ip(5) + ":8687", "10.0.0.9:1"} {
-			for _, args := range []string{"status", "setup get", "nodes --json", "weights name --model m --weights 3"} {
+			for _, args := range []string{"status", "config get", "nodes --json", "weights name --model m --weights 3"} {
 				if code, out, bad := p.at(addr, "", args); code != 2 || !strings.Contains(bad, "something else answers there") {
-					t.Errorf("desk --node %s %s: exit %d; %s%s", addr, args, code, out, bad)
+					t.Errorf("pebblectl --node %s %s: exit %d; %s%s", addr, args, code, out, bad)
 				}
 			}
 		}
--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -256,8 +256,8 @@
 	}
 	left := map[string]int{}
 	for p, b := range files(t) {
-		if strings.HasSuffix(p, "/codecheck/words_test.go") {
-			continue // it has to spell them out
+		if strings.HasSuffix(p, "/codecheck/words_test.go") || strings.HasSuffix(p, "/programs/programs.go") {
+			continue // they have to spell them out: the list itself, and the table of first names
 		}
 		l, err := textsWithWithdrawn(p, b)
 		if err != nil {
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -239,17 +239,17 @@
 //
 // Example: POST /v1/keys/revoke answers not-here
 func (s *siteServer) RevokeKey(context.Context, *operator.Revoke) (*operator.Changed, error) {
-	return nil, unsupported("command for one key", "send the tenant without the key: desk setup patch --file PART --if-epoch N")
+	return nil, unsupported("command for one key", "send the tenant without the key: pebblectl config patch --file PART --if-epoch N")
 }
 
 // Drain isn't supported here.
 //
 // Example: POST /v1/drain answers not-here
 func (s *siteServer) Drain(context.Context, *operator.Drain) (*operator.Changed, error) {
-	return nil, unsupported("drain of its own", "have the platform's list of workers mark the worker, and see desk workers")
+	return nil, unsupported("drain of its own", "have the platform's list of workers mark the worker, and see pebblectl workers")
 }
 
-const insteadOfMoves = "name weights with desk weights name, change the plan with desk setup patch"
+const insteadOfMoves = "name weights with pebblectl weights name, change the plan with pebblectl config patch"
 
 // ListMoves isn't supported here.
 //
@@ -272,7 +272,7 @@
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-const insteadOfRetirements = "name the new model's weights with desk weights name, and move its routes with desk setup patch"
+const insteadOfRetirements = "name the new model's weights with pebblectl weights name, and move its routes with pebblectl config patch"
 
 // ListRetirements isn't supported here.
 //
@@ -299,5 +299,5 @@
 //
 // Example: GET /v1/explain/r1 answers not-here
 func (s *siteServer) Explain(context.Context, operator.ExplainParams) (*operator.Explained, error) {
-	return nil, unsupported("memory of single requests", "see the edges' logs and /metrics at their internal address (desk nodes)")
+	return nil, unsupported("memory of single requests", "see the edges' logs and /metrics at their internal address (pebblectl nodes)")
 }
--- a/internal/control/operatorapi/sitestatus.go
+++ b/internal/control/operatorapi/sitestatus.go
@@ -195,7 +195,7 @@
 		return
 	}
 	if x == nil {
-		f.add("no-setup", "site", "no plan is in force", "send one: desk setup apply --file …", "setup-wrong")
+		f.add("no-setup", "site", "no plan is in force", "send one: pebblectl config apply --file …", "setup-wrong")
 	} else {
 		fact("plan", "version %d, %d bytes", x.Version, len(x.Body))
 	}
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -99,7 +99,7 @@
 
 func checkWorkers(snap *updatestream.Snapshot, f *problems) {
 	if snap.Config == nil {
-		f.add("no-setup", "site", "no service configuration is in force", "apply one: desk setup apply --file …", "setup-wrong")
+		f.add("no-setup", "site", "no service configuration is in force", "apply one: pebblectl config apply --file …", "setup-wrong")
 	}
 	stores, all := 0, 0
 	old := map[string]int{}
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -351,7 +351,7 @@
 // dropOldBase unloads the old base from the nodes, a few at once.
 func (s *step) dropOldBase(clear bool) {
 	if m := s.retirement.routeMoves(s.observed.Config); len(m) > 0 {
-		s.block(queue.Keys(m)[0], "this route is answered on the old base again, which is leaving", "lead it to "+s.retirement.To+": desk setup patch")
+		s.block(queue.Keys(m)[0], "this route is answered on the old base again, which is leaving", "lead it to "+s.retirement.To+": pebblectl config patch")
 		return
 	}
 	having := map[string]*Node{}
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -32,7 +32,7 @@
 	Expired    = &Kind{"expired", "ask again with a longer wait, or when load is lower", 504, 6}
 	NotRun     = &Kind{"not-run", "nothing ran: ask again after Retry-After", 503, 6}
 	MayHaveRun = &Kind{"may-have-run", "find out whether it took effect before asking again", 502, 7}
-	CantSay    = &Kind{"cant-say", "no majority of the shard answers: check the core machines with `desk nodes`", 503, 8}
+	CantSay    = &Kind{"cant-say", "no majority of the shard answers: check the core machines with `pebblectl nodes`", 503, 8}
 	NotAsDue   = &Kind{"not-as-due", "do what the step says, then go on with --resume", 409, 1}
 	NotHere    = &Kind{"not-here", "this kind of site has no such thing: use what the message names instead", 501, 10}
 	DiskBad    = &Kind{"disk-bad", "free or replace the disk, clear the data folder, restart the member", 500, 9}
--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -14,7 +14,7 @@
 
 // Start runs the application service.
 //
-// Example: daemon.Main("appservice", "stand-in for the application service", need, appservice.Start)
+// Example: daemon.Main(programs.AppServiceSim, "a simulated application service", need, appservicesim.Start)
 func Start(l *daemon.Process) error {
 	slots := make(chan struct{}, 8)
 	inc := fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano())
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/sim/testbed"
 )
 
@@ -42,7 +43,7 @@
 						continue
 					}
 					for i := range s.Processes {
-						if s.Processes[i].Program == "cab" { // the first word of a name counts
+						if s.Processes[i].Program == programs.WorkerSim { // the first word of a name counts
 							s.Processes[i].Place.Extra = append([]string{w}, s.Processes[i].Place.Extra...)
 						}
 					}
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/sim/testbed"
 )
@@ -22,7 +23,7 @@
 func lie(s *testbed.Site, word string, every int) {
 	n := 0
 	for i := range s.Processes {
-		if p := &s.Processes[i].Place; s.Processes[i].Program == "cab" {
+		if p := &s.Processes[i].Place; s.Processes[i].Program == programs.WorkerSim {
 			if n++; n%every == 0 {
 				p.Extra = append(p.Extra, "lie="+word)
 			}
@@ -41,7 +42,7 @@
 	cores := "core-1 core-2 core-3 core-4"
 	cut := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
 	stale := func(s *testbed.Site) { // edges that follow what they have, however old
-		lax(s, "dispatcher", func(b *settings.Bounds) { b.ConfigMs = 60000 })
+		lax(s, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
 	}
 	for _, x := range []struct {
 		point, want string
@@ -59,12 +60,12 @@
 		{"a drained worker gets requests", "after it was drained", cut, 2000, stale, nil},
 		{"older weights start", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(s *testbed.Site) {
 			lie(s, "deaf", 2)
-			lax(s, "dispatcher", func(b *settings.Bounds) { b.WeightsMs = 600000 })
+			lax(s, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
 		}, nil},
 		{"another tenant's cache", "under its tenant", nil, 1000, func(s *testbed.Site) { lie(s, "walls", 1) }, nil},
 		{"too many extra tries", "extra runs on", nil, 12000, func(s *testbed.Site) {
 			lie(s, "dies", 2)
-			lax(s, "dispatcher", func(b *settings.Bounds) { b.TryShare, b.TryAllow = 100, 10000 })
+			lax(s, programs.Proxy, func(b *settings.Bounds) { b.TryShare, b.TryAllow = 100, 10000 })
 		}, nil},
 		{"an acknowledged setup is lost", "doesn't read the setup back", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
 		{"service isn't back", "service is not back", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/table.go
@@ -1,6 +1,6 @@
 // Package clustersim is a whole site in one test process, on virtual time. The programs are the
 // real ones; network, clocks, disks, journals and chance are swapped through the seam that they
-// take at their start (daemon.World), and the yard's scenarios and checks are used as they are.
+// take at their start (daemon.World), and the test bed's scenarios and checks are used as they are.
 //
 // What repeats under a seed: the site, its traffic, the script and its instants, clocks, drift
 // and what the disks do. Which of several threads that are ready at one instant goes first is
@@ -28,6 +28,7 @@
 	"pebbleloom/internal/data/nodeagent"
 	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/sim/appservicesim"
@@ -38,8 +39,8 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-var programs = map[string]func(*daemon.Process) error{"archive": controlstate.Start, "appraiser": placementcontroller.Start, "runner": nodeagent.Start,
-	"catalogue": promptindex.Start, "dispatcher": callerproxy.Start, "cab": workersim.Start, "appservice": appservicesim.Start, "depot": storesim.Start, "rank": platformsim.Start}
+var starts = map[string]func(*daemon.Process) error{programs.ControlNode: controlstate.Start, programs.PlacementController: placementcontroller.Start, programs.NodeAgent: nodeagent.Start,
+	programs.PromptIndex: promptindex.Start, programs.Proxy: callerproxy.Start, programs.WorkerSim: workersim.Start, programs.AppServiceSim: appservicesim.Start, programs.StoreSim: storesim.Start, programs.PlatformSim: platformsim.Start}
 
 // Table is the ground of a site on virtual time.
 type Table struct {
@@ -240,7 +241,7 @@
 	p.life = daemon.NewIn(p.world(), q.Program, place)
 	t.wg.Go(func() {
 		defer close(p.started)
-		if err := programs[q.Program](p.life); err != nil {
+		if err := starts[q.Program](p.life); err != nil {
 			p.life.Log.Error("start failed", "error", errs.Text(err))
 		}
 	})
--- a/internal/sim/clustersim/table_test.go
+++ b/internal/sim/clustersim/table_test.go
@@ -46,7 +46,7 @@
 	return rep
 }
 
-// The scenarios of the yard, on virtual time. `TABLE_SCENARIO=all go test ./internal/sim/clustersim -run
+// The scenarios of the test bed, on virtual time. `TABLE_SCENARIO=all go test ./internal/sim/clustersim -run
 // TestScenarios -timeout 2h` plays them all; TABLE_SITE, TABLE_SEED and TABLE_SEEDS say where and
 // with which seeds.
 func TestScenarios(t *testing.T) {
--- a/internal/sim/history/history_test.go
+++ b/internal/sim/history/history_test.go
@@ -156,7 +156,7 @@
 }
 
 // testPrograms drive the test bed; they are no part of the product.
-var testPrograms = []string{"pebbleloom/cmd/yard", "pebbleloom/cmd/fares"}
+var testPrograms = []string{"pebbleloom/cmd/testbed", "pebbleloom/cmd/loadgen"}
 
 // No program of the product links the checker.
 func TestNoProductProgramLinksTheChecker(t *testing.T) {
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -58,7 +58,7 @@
 // Read checks a stream to its end. A stream that ends broken is no fault as long as it
 // looks broken; one that looks whole must be whole, and nothing but the answer to this request.
 //
-// Example: out := fares.Read(req, "cab-3", resp.Body)
+// Example: out := loadgen.Read(req, "cab-3", resp.Body)
 func Read(q Request, worker string, r io.Reader) Outcome {
 	o := Outcome{Request: q, Worker: worker}
 	c := contract.NewCheck(q.ID, worker)
@@ -284,7 +284,7 @@
 
 // NotRun tells whether a denial's kind says that nothing ran.
 //
-// Example: fares.NotRun("over-budget")
+// Example: loadgen.NotRun("over-budget")
 func NotRun(kind string) bool {
 	switch kind {
 	case refused, "not-run", "overloaded", "over-budget", "bad-key", "no-such-model", "too-big", "bad-input":
--- a/internal/sim/loadgen/fares.go
+++ b/internal/sim/loadgen/fares.go
@@ -68,7 +68,7 @@
 
 // NewSource makes the stream of requests of a seed: the same seed gives the same prompts.
 //
-// Example: s := fares.NewSource(traffic, 7, "a")
+// Example: s := loadgen.NewSource(traffic, 7, "a")
 func NewSource(t Traffic, seed uint64, run string) *source {
 	s := &source{t: t, r: rand.New(rand.NewPCG(seed, 99)), seed: seed, run: run}
 	for _, k := range t.Kinds {
@@ -147,14 +147,14 @@
 
 // NewCaller makes a caller of some edge addresses.
 //
-// Example: c := fares.NewCaller([]string{"127.10.1.1:8080"})
+// Example: c := loadgen.NewCaller([]string{"127.10.1.1:8080"})
 func NewCaller(edges []string) *Caller {
 	return NewCallerIn((&net.Dialer{Timeout: time.Second}).DialContext, edges)
 }
 
 // NewCallerIn makes a caller that connects as it is told to.
 //
-// Example: c := fares.NewCallerIn(world.Dial, []string{"127.10.1.1:8080"})
+// Example: c := loadgen.NewCallerIn(world.Dial, []string{"127.10.1.1:8080"})
 func NewCallerIn(dial func(ctx context.Context, network, addr string) (net.Conn, error), edges []string) *Caller {
 	return &Caller{edges, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: dial}}}
 }
@@ -234,7 +234,7 @@
 // Drive sends traffic at its rate until the context ends or n requests were sent, spread
 // over all edges.
 //
-// Example: fares.Drive(ctx, traffic, caller, 7, "a", 1000, book)
+// Example: loadgen.Drive(ctx, traffic, caller, 7, "a", 1000, book)
 func Drive(ctx context.Context, t Traffic, c *Caller, seed uint64, run string, n int, book *Book) {
 	s := NewSource(t, seed, run)
 	var wg sync.WaitGroup
@@ -259,7 +259,7 @@
 // ReadJournal reads the journal that a worker has kept on disk; a line cut off by a kill
 // is its last.
 //
-// Example: runs, err := fares.ReadJournal(file)
+// Example: runs, err := loadgen.ReadJournal(file)
 func ReadJournal(f io.Reader) ([]workersim.Run, error) {
 	var l []workersim.Run
 	for d := json.NewDecoder(f); ; {
@@ -275,7 +275,7 @@
 
 // Journals asks workers what they ran.
 //
-// Example: js, err := fares.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
+// Example: js, err := loadgen.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
 func Journals(ctx context.Context, addrs map[string]string) (map[string][]workersim.Run, error) {
 	m := map[string][]workersim.Run{}
 	var b errs.Batch
--- a/internal/sim/platformsim/rank.go
+++ b/internal/sim/platformsim/rank.go
@@ -25,7 +25,7 @@
 
 // Start runs the platform; its first list is a file named by the word `list`.
 //
-// Example: daemon.Main("rank", "stand-in for the platform", need, rank.Start)
+// Example: daemon.Main(programs.PlatformSim, "a simulated platform", need, platformsim.Start)
 func Start(l *daemon.Process) error {
 	p := &platform{list: map[string]contract.Listed{}, probe: map[string]string{},
 		h: &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: l.Dial}}}
--- a/internal/sim/storesim/depot.go
+++ b/internal/sim/storesim/depot.go
@@ -17,7 +17,7 @@
 
 // Start runs the store.
 //
-// Example: daemon.Main("depot", "stand-in for the prompt store", need, storesim.Start)
+// Example: daemon.Main(programs.StoreSim, "a simulated prompt store", need, storesim.Start)
 func Start(l *daemon.Process) error {
 	room, err := strconv.Atoi(l.Place.Option("kv", "400000"))
 	if err != nil {
--- a/internal/sim/testbed/callers.go
+++ b/internal/sim/testbed/callers.go
@@ -16,10 +16,10 @@
 
 // Callers is the command line of the callers: they send to a site that is up.
 //
-// Example: os.Exit(yard.Callers([]string{"--site", "paramo", "--seconds", "10"}, os.Stdout, os.Stderr))
+// Example: os.Exit(testbed.Callers([]string{"--site", "paramo", "--seconds", "10"}, os.Stdout, os.Stderr))
 func Callers(args []string, out, bad io.Writer) int {
 	site, seconds, net, seed := "paramo", 10, 10, uint64(1)
-	ps := flaggy.NewParser("fares")
+	ps := flaggy.NewParser("loadgen")
 	ps.Description = "sends a site's traffic and checks every answer"
 	ps.ShowHelpOnUnexpected = false
 	ps.DisableShowVersionWithVersion()
@@ -29,7 +29,7 @@
 	ps.Int(&net, "n", "net", "second byte of the site's loopback addresses")
 	ps.UInt64(&seed, "e", "seed", "seed")
 	fail := func(err error) int {
-		fmt.Fprintln(bad, "fares: "+errs.Text(err))
+		fmt.Fprintln(bad, "loadgen: "+errs.Text(err))
 		return errs.KindOf(err).Exit
 	}
 	_, err := settings.ParseStrict(ps, args)
--- a/internal/sim/testbed/compare.go
+++ b/internal/sim/testbed/compare.go
@@ -15,13 +15,13 @@
 
 // Modes are the placements that can be compared.
 //
-// Example: for _, m := range yard.Modes() { run(m) }
+// Example: for _, m := range testbed.Modes() { run(m) }
 func Modes() []string { return []string{"hrcs", "all-replicated", "all-sharded", "no-index"} }
 
 // Compare runs a site under each placement in turn, seed by seed, so that a slow minute of
 // the machine hits all alike, and prints medians with their spread.
 //
-// Example: err := yard.Compare(ctx, yard.Options{Site: "paramo", Seconds: 20, Seeds: 3, Seed: 1}, os.Stdout)
+// Example: err := testbed.Compare(ctx, testbed.Options{Site: "paramo", Seconds: 20, Seeds: 3, Seed: 1}, os.Stdout)
 func Compare(ctx context.Context, o Options, out io.Writer) error {
 	got := map[string][]loadgen.Sum{}
 	base := o.Dir
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -16,7 +16,7 @@
 // Fit starts one worker, has it prefill prompts of many lengths that it doesn't hold, and
 // fits the curve that the placement estimates prefill time with.
 //
-// Example: c, err := yard.Fit(ctx, yard.Options{Site: "paramo", Dir: dir, Bin: "bin", Net: 10})
+// Example: c, err := testbed.Fit(ctx, testbed.Options{Site: "paramo", Dir: dir, Bin: "bin", Net: 10})
 func Fit(ctx context.Context, o Options) (placement.Curve, error) {
 	s, err := Plan(o.Site, o.Dir, o.Net, []string{"piece_us=1"})
 	if err != nil {
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -28,7 +28,7 @@
 
 // Up starts every process of a site on this machine, and waits until it serves its first setup.
 //
-// Example: f, err := yard.Up(ctx, site, "/tmp/run", "bin")
+// Example: f, err := testbed.Up(ctx, site, "/tmp/run", "bin")
 func Up(ctx context.Context, s *Site, dir, bin string) (*Fleet, error) {
 	return raise(ctx, s, dir, newMachines(dir, bin), 0)
 }
--- a/internal/sim/testbed/ground.go
+++ b/internal/sim/testbed/ground.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/sim/loadgen"
 	"pebbleloom/internal/sim/workersim"
 )
@@ -53,7 +54,7 @@
 	if bin == "" {
 		bin = m.bin
 	}
-	c := exec.Command(filepath.Join(bin, p.Program), "--settings", filepath.Join(m.dir, p.Name+".json"))
+	c := exec.Command(programs.Find(bin, p.Program), "--settings", filepath.Join(m.dir, p.Name+".json"))
 	c.Stdout, c.Stderr = log, log
 	// Small machines: two threads at once, and a heap that stays within 200 MB a machine.
 	c.Env = append(os.Environ(), "GOMAXPROCS=2", "GOMEMLIMIT=60MiB")
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -31,7 +31,7 @@
 
 // NewLinks makes links without rules.
 //
-// Example: l := yard.NewLinks()
+// Example: l := testbed.NewLinks()
 func NewLinks() *Links {
 	return &Links{rules: map[[2]string]Rule{}, wake: make(chan struct{}), names: map[netip.Addr]string{}, quit: make(chan struct{})}
 }
@@ -47,7 +47,7 @@
 
 // Set puts a rule on the way from one machine to another; "*" is any.
 //
-// Example: l.Set("edge-1", "core-2", yard.Rule{Cut: true})
+// Example: l.Set("edge-1", "core-2", testbed.Rule{Cut: true})
 func (l *Links) Set(from, to string, r Rule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -20,7 +20,7 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Options are what the yard's commands take.
+// Options are what the test bed's commands take.
 type Options struct {
 	Site, Dir, Bin, Mode string
 	Old                  string // folder of an earlier release's programs
@@ -33,16 +33,16 @@
 	Rate                 float64
 }
 
-// Main is the command line of the yard.
+// Main is the command line of the test bed.
 //
-// Example: os.Exit(yard.Main([]string{"up", "--site", "paramo"}, os.Stdout, os.Stderr))
+// Example: os.Exit(testbed.Main([]string{"up", "--site", "paramo"}, os.Stdout, os.Stderr))
 func Main(args []string, out, bad io.Writer) int {
-	if os.Getenv(capacity.HollowVariable) != "" { // the far end of another yard's measurement
+	if os.Getenv(capacity.HollowVariable) != "" { // the far end of another test bed's measurement
 		return capacity.Hollow(os.Stdin, out)
 	}
 	o := Options{Seconds: 20, Seed: 1, Net: 10}
-	ps := flaggy.NewParser("yard")
-	ps.Description = "runs a whole site on this machine\n\n  yard up --site paramo              run until interrupted\n  yard run --site daegu --seconds 20  run with callers, check, report, stop\n  yard fit > curve.json               fit the prefill curve on a worker"
+	ps := flaggy.NewParser("testbed")
+	ps.Description = "runs a whole site on this machine\n\n  testbed up --site paramo              run until interrupted\n  testbed run --site daegu --seconds 20  run with callers, check, report, stop\n  testbed fit > curve.json               fit the prefill curve on a worker"
 	ps.ShowHelpOnUnexpected = false
 	ps.DisableShowVersionWithVersion()
 	ps.ShowCompletion = false
@@ -50,10 +50,10 @@
 	for _, c := range [][2]string{{"up", "start a site and keep it until interrupted"}, {"run", "start a site, send callers' traffic, check it all, stop"},
 		{"compare", "run a site under each placement in turn, over several seeds, and print a table"},
 		{"scenarios", "list the runs with failures"},
-		{"mix", "draw troubles by the seed and run them: yard mix --seed 7 --seeds 10"},
-		{"play", "run one scenario, or all: yard play --scenario owner-killed"},
+		{"mix", "draw troubles by the seed and run them: testbed mix --seed 7 --seeds 10"},
+		{"play", "run one scenario, or all: testbed play --scenario owner-killed"},
 		{"tally", "draw a table from the lines of many runs, which come in on standard input"},
-		{"upgrade", "bring a site of an earlier release to this one and back: yard upgrade --old /tmp/old-bin"},
+		{"upgrade", "bring a site of an earlier release to this one and back: testbed upgrade --old /tmp/old-bin"},
 		{"capacity", "measure what each role costs as the fleet grows (docs/CAPACITY.md)"},
 		{"fit", "measure a worker's prefill and fit the curve (JSON, to be kept as internal/data/placement/curve.json)"}} {
 		s := flaggy.NewSubcommand(c[0])
@@ -77,7 +77,7 @@
 		sub[c[0]] = s
 	}
 	fail := func(err error) int {
-		fmt.Fprintln(bad, "yard: "+errs.Text(err))
+		fmt.Fprintln(bad, "testbed: "+errs.Text(err))
 		return errs.KindOf(err).Exit
 	}
 	words, err := settings.ParseStrict(ps, args)
@@ -113,7 +113,7 @@
 		o.Bin = filepath.Dir(exe)
 	}
 	if o.Dir == "" {
-		d, err := os.MkdirTemp("", "yard-")
+		d, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
 			return fail(errs.Wrap(err, "make folder"))
 		}
@@ -213,7 +213,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	fmt.Fprintf(out, "site %s is up: %d processes, logs and settings in %s\nask at      http://%s/v1/answers\noperate at  desk --node %s\n",
+	fmt.Fprintf(out, "site %s is up: %d processes, logs and settings in %s\nask at      http://%s/v1/answers\noperate at  pebblectl --node %s\n",
 		o.Site, len(f.Site.Processes), o.Dir, f.Site.Edges[0], f.Site.Operators[0])
 	<-ctx.Done()
 	f.Down()
@@ -222,7 +222,7 @@
 
 // Run runs a site with callers for a while, and settles what they saw with what ran.
 //
-// Example: sum, err := yard.Run(ctx, yard.Options{Site: "daegu", Seconds: 10, Seed: 1})
+// Example: sum, err := testbed.Run(ctx, testbed.Options{Site: "daegu", Seconds: 10, Seed: 1})
 func Run(ctx context.Context, o Options) (Ran, error) {
 	f, err := o.start(ctx)
 	if err != nil {
@@ -260,7 +260,7 @@
 		return 0
 	}
 	if len(l) == 0 {
-		fmt.Fprintln(bad, "yard: no scenario "+o.Scenario+": see yard scenarios")
+		fmt.Fprintln(bad, "testbed: no scenario "+o.Scenario+": see testbed scenarios")
 		return errs.NotFound.Exit
 	}
 	return plays(ctx, o, out, fail, func(uint64) []Scenario { return l })
@@ -299,6 +299,6 @@
 	if len(rep.Faults) == 0 {
 		return 0
 	}
-	fmt.Fprintf(out, "  steps: %s\n  replay: yard %s --site %s --seed %d (logs in %s)\n", strings.Join(rep.Steps, "; "), how, rep.Site, rep.Seed, dir)
+	fmt.Fprintf(out, "  steps: %s\n  replay: testbed %s --site %s --seed %d (logs in %s)\n", strings.Join(rep.Steps, "; "), how, rep.Site, rep.Seed, dir)
 	return 1
 }
--- a/internal/sim/testbed/mix.go
+++ b/internal/sim/testbed/mix.go
@@ -202,7 +202,7 @@
 // Mix draws the troubles of a seed: three to seven kinds of the brief's list, within what a
 // site must bear at once.
 //
-// Example: sc := yard.Script("paramo", 7, yard.Mix(7))
+// Example: sc := testbed.Script("paramo", 7, testbed.Mix(7))
 func Mix(seed uint64) (l []Trouble) {
 	r := rand.New(rand.NewPCG(seed, 41))
 	m := &mixer{r: r, busy: map[string]bool{}, kinds: map[string]bool{}}
@@ -223,7 +223,7 @@
 
 // Script makes a scenario of troubles.
 //
-// Example: rep, err := yard.Play(ctx, yard.Script("daegu", 7, yard.Mix(7)), o)
+// Example: rep, err := testbed.Play(ctx, testbed.Script("daegu", 7, testbed.Mix(7)), o)
 func Script(site string, seed uint64, l []Trouble) Scenario {
 	sc := Scenario{Name: fmt.Sprintf("mix-%d", seed), Site: site, Rate: 15, ReadAll: true, Least: 0.3}
 	var names []string
--- a/internal/sim/testbed/operate.go
+++ b/internal/sim/testbed/operate.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
@@ -54,7 +55,7 @@
 // owner names the core machine that owns the setup's part.
 func (f *Fleet) owner(ctx context.Context) (string, error) {
 	for _, p := range f.Site.Processes {
-		if p.Program != "archive" {
+		if p.Program != programs.ControlNode {
 			continue
 		}
 		one, end := context.WithTimeout(ctx, time.Second)
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -12,6 +12,7 @@
 	"pebbleloom/internal/control/retire"
 	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/sim/workersim"
 )
@@ -47,7 +48,7 @@
 		words = append(words, k.Name+"@1")
 	}
 	for i := range s.Processes {
-		if p := &s.Processes[i]; p.Program == "cab" {
+		if p := &s.Processes[i]; p.Program == programs.WorkerSim {
 			p.Place.Extra = append(p.Place.Extra, "memory=260", "model_room=100", "adapter_room=10", "adapters="+strings.Join(words, ","))
 		}
 	}
--- a/internal/sim/testbed/retire_test.go
+++ b/internal/sim/testbed/retire_test.go
@@ -14,7 +14,7 @@
 	"pebbleloom/internal/control/retire"
 )
 
-// retireAtTheDesk retires a site's base model by the desk's commands alone, with their exit codes. In the
+// retireAtTheDesk retires a site's base model by the pebblectl's commands alone, with their exit codes. In the
 // middle somebody holds it up, which trouble brings about and a runbook ends.
 func retireAtTheDesk(t *testing.T, f *Fleet, node string, trouble func(held string)) {
 	t.Helper()
@@ -22,7 +22,7 @@
 		t.Helper()
 		var out, bad bytes.Buffer
 		if code := cli.Main(append([]string{"--node", node}, args...), strings.NewReader(""), &out, &bad); code != want {
-			t.Fatalf("desk %v: exit %d, want %d: %s%s", args, code, want, out.String(), bad.String())
+			t.Fatalf("pebblectl %v: exit %d, want %d: %s%s", args, code, want, out.String(), bad.String())
 		}
 		return out.String() + bad.String()
 	}
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/cli"
 )
 
-// hand is the person at the desk: asked to confirm, it does what the book says first.
+// hand is the person at the pebblectl: asked to confirm, it does what the book says first.
 type hand struct{ do func() }
 
 func (h *hand) Read(p []byte) (int, error) {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	s.adapt(true)
-	f, err := Up(context.Background(), s, dir, programs(t))
+	f, err := Up(context.Background(), s, dir, builtPrograms(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/sim/history"
 	"pebbleloom/internal/sim/loadgen"
 )
@@ -55,7 +56,7 @@
 
 // Scenarios reads all scenario files, by name.
 //
-// Example: l, err := yard.Scenarios()
+// Example: l, err := testbed.Scenarios()
 func Scenarios() ([]Scenario, error) {
 	es, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
@@ -103,13 +104,13 @@
 
 // Play runs a scenario and gives its report.
 //
-// Example: rep, err := yard.Play(ctx, scenario, yard.Options{Seed: 1, Net: 10, Dir: dir, Bin: "bin"})
+// Example: rep, err := testbed.Play(ctx, scenario, testbed.Options{Seed: 1, Net: 10, Dir: dir, Bin: "bin"})
 func Play(ctx context.Context, sc Scenario, o Options) (*Report, error) {
 	return PlayOn(ctx, sc, o, func(s *Site) (Ground, error) {
 		m := newMachines(o.Dir, o.Bin)
 		for i := range s.Processes {
 			p := &s.Processes[i]
-			if p.Program == "archive" {
+			if p.Program == programs.ControlNode {
 				p.Place.Extra = append(p.Place.Extra, "faults="+filepath.Join(o.Dir, p.Place.Name+".fault"), "wall="+filepath.Join(o.Dir, p.Place.Name+".wall"))
 			}
 		}
@@ -123,7 +124,7 @@
 
 // PlayOn runs a scenario on a ground that is made for its site.
 //
-// Example: rep, err := yard.PlayOn(ctx, scenario, o, func(s *yard.Site) (yard.Ground, error) { return table, nil })
+// Example: rep, err := testbed.PlayOn(ctx, scenario, o, func(s *testbed.Site) (testbed.Ground, error) { return table, nil })
 func PlayOn(ctx context.Context, sc Scenario, o Options, on func(*Site) (Ground, error)) (*Report, error) {
 	if o.Site != "" {
 		sc.Site = o.Site
--- a/internal/sim/testbed/settle.go
+++ b/internal/sim/testbed/settle.go
@@ -9,6 +9,7 @@
 	"strings"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/sim/loadgen"
 	"pebbleloom/internal/sim/workersim"
 )
@@ -273,7 +274,7 @@
 		b.Note("relay", l.Relay(to(p.Listen), p.Listen, p.Name))
 		p.Advertise = to(p.Listen)
 		switch s.Processes[i].Program {
-		case "cab", "depot", "appservice", "rank":
+		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
 			b.Note("relay", l.Relay(to(p.Public), p.Public, p.Name))
 		}
 		for j := range p.Seeds {
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -11,6 +11,7 @@
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/sim/loadgen"
 )
@@ -37,13 +38,13 @@
 
 // Sites names the sites that can be run.
 //
-// Example: for _, n := range yard.Sites() { fmt.Println(n) }
+// Example: for _, n := range testbed.Sites() { fmt.Println(n) }
 func Sites() []string { return []string{"paramo", "daegu"} }
 
 // Plan lays a site out. net is the second byte of its loopback addresses; extra words go
 // to every cab.
 //
-// Example: s, err := yard.Plan("paramo", "/tmp/run", 10, nil)
+// Example: s, err := testbed.Plan("paramo", "/tmp/run", 10, nil)
 func Plan(name, dir string, net int, cabWords []string) (*Site, error) {
 	return PlanTimes(name, dir, net, cabWords, 1)
 }
@@ -51,7 +52,7 @@
 // PlanTimes lays a site out at several times today's size: edge machines, workers and
 // traffic grow, the four core machines stay.
 //
-// Example: s, err := yard.PlanTimes("daegu", "/tmp/run", 10, nil, 4)
+// Example: s, err := testbed.PlanTimes("daegu", "/tmp/run", 10, nil, 4)
 func PlanTimes(name, dir string, net int, cabWords []string, times int) (*Site, error) {
 	if times < 1 || times > 4 {
 		return nil, errs.New(errs.BadInput, "times %d: give 1 to 4", times)
@@ -102,16 +103,16 @@
 	}
 	for z := 1; z <= 4; z++ {
 		a, n, d := ip(z, 1), core[z-1], fmt.Sprintf("district-%d", z)
-		add("archive-"+n, "archive", settings.Place{Name: n, Zone: d, Listen: at(a, 7003), Operator: at(a, 8090), Data: filepath.Join(dir, "data", n)})
-		add("appraiser-"+n, "appraiser", settings.Place{Name: n, Zone: d, Listen: at(a, 7004)})
+		add("archive-"+n, programs.ControlNode, settings.Place{Name: n, Zone: d, Listen: at(a, 7003), Operator: at(a, 8090), Data: filepath.Join(dir, "data", n)})
+		add("appraiser-"+n, programs.PlacementController, settings.Place{Name: n, Zone: d, Listen: at(a, 7004)})
 		s.Operators = append(s.Operators, at(a, 8090))
 	}
 	for i := range 9 * times {
 		z := i%4 + 1
 		a, n, d := ip(z, 11+i/4), fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("district-%d", z)
-		add("runner-"+n, "runner", settings.Place{Name: n, Zone: d, Listen: at(a, 7000), Operator: at(a, 8090)})
-		add("catalogue-"+n, "catalogue", settings.Place{Name: n, Zone: d, Listen: at(a, 7002), Runner: at(a, 7000)})
-		add("dispatcher-"+n, "dispatcher", settings.Place{Name: n, Zone: d, Listen: at(a, 7001), Public: at(a, 8080), Runner: at(a, 7000)})
+		add("runner-"+n, programs.NodeAgent, settings.Place{Name: n, Zone: d, Listen: at(a, 7000), Operator: at(a, 8090)})
+		add("catalogue-"+n, programs.PromptIndex, settings.Place{Name: n, Zone: d, Listen: at(a, 7002), Runner: at(a, 7000)})
+		add("dispatcher-"+n, programs.Proxy, settings.Place{Name: n, Zone: d, Listen: at(a, 7001), Public: at(a, 8080), Runner: at(a, 7000)})
 		s.Edges, s.Operators = append(s.Edges, at(a, 8080)), append(s.Operators, at(a, 8090))
 	}
 	for i := range 18 * times {
@@ -119,15 +120,15 @@
 		a, n, d := ip(z, 21+i/4), fmt.Sprintf("cab-%d", i+1), fmt.Sprintf("district-%d", z)
 		s.List = append(s.List, contract.Listed{Name: n, Addr: at(a, 9000), Kind: "lm", Service: lm + "-main", Zone: d})
 		s.Cabs[n] = at(a, 9000)
-		add(n, "cab", settings.Place{Name: n, Zone: d, Listen: at(a, 9001), Public: at(a, 9000),
+		add(n, programs.WorkerSim, settings.Place{Name: n, Zone: d, Listen: at(a, 9001), Public: at(a, 9000),
 			Extra: append([]string{"service=" + lm + "-main", "model=" + lm, link, far, fmt.Sprintf("weights=%d", weights),
 				"journal=" + filepath.Join(dir, n+".runs")}, cabWords...)})
 	}
 	s.List = append(s.List, contract.Listed{Name: "app-1", Addr: at(ip(2, 40), 9000), Kind: "app", Service: app + "-main", Zone: "district-2"},
 		contract.Listed{Name: "depot-1", Addr: at(ip(3, 40), 9000), Kind: "store", Zone: "district-3"})
-	add("app-1", "appservice", settings.Place{Name: "app-1", Zone: "district-2", Listen: at(ip(2, 40), 9001), Public: at(ip(2, 40), 9000), Extra: []string{"service=" + app + "-main", "model=" + app}})
-	add("depot-1", "depot", settings.Place{Name: "depot-1", Zone: "district-3", Listen: at(ip(3, 40), 9001), Public: at(ip(3, 40), 9000)})
-	add("rank-1", "rank", settings.Place{Name: "rank-1", Zone: "district-1", Listen: at(ip(9, 1), 9101), Public: rank, Extra: []string{"list=" + filepath.Join(dir, "list.json")}})
+	add("app-1", programs.AppServiceSim, settings.Place{Name: "app-1", Zone: "district-2", Listen: at(ip(2, 40), 9001), Public: at(ip(2, 40), 9000), Extra: []string{"service=" + app + "-main", "model=" + app}})
+	add("depot-1", programs.StoreSim, settings.Place{Name: "depot-1", Zone: "district-3", Listen: at(ip(3, 40), 9001), Public: at(ip(3, 40), 9000)})
+	add("rank-1", programs.PlatformSim, settings.Place{Name: "rank-1", Zone: "district-1", Listen: at(ip(9, 1), 9101), Public: rank, Extra: []string{"list=" + filepath.Join(dir, "list.json")}})
 	return s, nil
 }
 
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -15,7 +15,7 @@
 
 // Line is a run in one line, as Tally reads it again.
 //
-// Example: fmt.Println(yard.Line(rep))
+// Example: fmt.Println(testbed.Line(rep))
 func Line(r *Report) string {
 	return fmt.Sprintf("%-16s %-7s seed %d: sealed %d of %d, during %.3f, after healing %.3f, hit share %.2f %.2f %.2f, extra runs %d, denied %v, broken %d, faults %d",
 		r.Scenario, r.Site, r.Seed, r.Sum.Sealed, r.Sum.Requests, r.During, r.Healed, r.Hits[0], r.Hits[1], r.Hits[2], r.Extra, r.Sum.Denied, r.Sum.Broken, len(r.Faults))
@@ -29,7 +29,7 @@
 // Tally draws a table from the lines of many runs: how many, the median and the worst of what
 // was sealed, and every fault. Mixtures count as one row a site.
 //
-// Example: err := yard.Tally(os.Stdin, os.Stdout)
+// Example: err := testbed.Tally(os.Stdin, os.Stdout)
 func Tally(in io.Reader, out io.Writer) error {
 	rows := map[string][]run{}
 	b := bufio.NewScanner(in)
@@ -59,7 +59,7 @@
 		return errs.Wrap(err, "read lines")
 	}
 	if len(rows) == 0 {
-		return errs.New(errs.BadInput, "no line of a run comes in: give what `yard play` or the table printed")
+		return errs.New(errs.BadInput, "no line of a run comes in: give what `testbed play` or the table printed")
 	}
 	fmt.Fprintln(out, "| scenario | site | runs | faults | sealed | during | after | extra runs |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, k := range queue.Keys(rows) {
--- a/internal/sim/testbed/upgrade.go
+++ b/internal/sim/testbed/upgrade.go
@@ -61,7 +61,7 @@
 // Upgrade runs a site of an earlier release, brings it to the present one machine by machine
 // under traffic, and back: core machines first on the way up, and last on the way down.
 //
-// Example: rep, err := yard.Upgrade(ctx, yard.Options{Site: "paramo", Bin: "bin", Old: "/tmp/old-bin", Dir: dir, Net: 10})
+// Example: rep, err := testbed.Upgrade(ctx, testbed.Options{Site: "paramo", Bin: "bin", Old: "/tmp/old-bin", Dir: dir, Net: 10})
 func Upgrade(ctx context.Context, o Options) (*Report, error) {
 	sc := Scenario{Name: "upgrade", About: "an earlier release is upgraded machine by machine, and back", Site: o.Site, Rate: 25, ReadAll: true, Least: 0.97}
 	var ms []string
--- a/internal/sim/testbed/yard_test.go
+++ b/internal/sim/testbed/yard_test.go
@@ -34,8 +34,8 @@
 	os.Exit(code)
 }
 
-// programs builds all programs once for the fleet tests.
-func programs(t *testing.T) string {
+// builtPrograms builds all programs once for the fleet tests.
+func builtPrograms(t *testing.T) string {
 	t.Helper()
 	bin, err := built()
 	if err != nil {
@@ -47,7 +47,7 @@
 // A short run of each whole site, as separate processes: all is streamed, sealed, checked
 // and reconciled, and the placement has a say in where requests go.
 func TestWholeSites(t *testing.T) {
-	bin := programs(t)
+	bin := builtPrograms(t)
 	for i, site := range Sites() {
 		t.Run(site, func(t *testing.T) {
 			dir := t.TempDir()
@@ -74,7 +74,7 @@
 }
 
 // Every scenario file can be read and names only steps and processes that there are; one
-// of them is played here, the others by `yard play`.
+// of them is played here, the others by `testbed play`.
 func TestScenarios(t *testing.T) {
 	l, err := Scenarios()
 	if err != nil || len(l) < 20 {
@@ -85,7 +85,7 @@
 			continue
 		}
 		sc.Rate, sc.TailMs = 12, 2000
-		rep, err := Play(context.Background(), sc, Options{Dir: t.TempDir(), Bin: programs(t), Net: 33, Seed: 1})
+		rep, err := Play(context.Background(), sc, Options{Dir: t.TempDir(), Bin: builtPrograms(t), Net: 33, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sim/workersim/cab.go
+++ b/internal/sim/workersim/cab.go
@@ -93,7 +93,7 @@
 
 // Start runs a worker.
 //
-// Example: daemon.Main("cab", "stand-in for a language-model worker", need, cab.Start)
+// Example: daemon.Main(programs.WorkerSim, "a simulated worker", need, workersim.Start)
 func Start(l *daemon.Process) error {
 	c, err := open(l)
 	if err != nil {
