--- a/internal/capacity/follow.go
+++ b/internal/capacity/follow.go
@@ -45,7 +45,7 @@
 	body := written(sample(m.base+1, routes, 0))
 	var err error
 	if e := until("a plan is agreed on", func() bool {
-		_, err = m.n.PutPlan(context.Background(), m.base, body, false)
+		_, err = m.n.PutRoutingConfig(context.Background(), m.base, body, false)
 		return err == nil || errs.KindOf(err) != errs.CantSay && errs.KindOf(err) != errs.Overloaded
 	}); e != nil {
 		return e
@@ -72,10 +72,10 @@
 	if b.quick {
 		hold, span = 50, 200*time.Millisecond
 	}
-	clk := clock.Boot()
+	clk := clock.BootTime()
 	// What the member spends without anybody is taken off.
 	at, from := cpu(), clk.Now()
-	clock.Pause(context.Background(), span)
+	clock.Sleep(context.Background(), span)
 	idle := (cpu() - at) / (clk.Now() - from).Seconds()
 	own := m.t.open.Load() // the member's way to itself
 	if err := b.vary("follow", "followers", b.sizes(43, 85, 170, 340), []kind{
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 		at, from, bytes := cpu(), clk.Now(), m.t.bytes.Load()
-		clock.Pause(context.Background(), span)
+		clock.Sleep(context.Background(), span)
 		x, err := f.run()
 		if err != nil {
 			return nil, err
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -21,7 +21,7 @@
 
 // group measures what a real agent is told of one plan by a real group, by how many members it has.
 func group(b *bench) error {
-	packed := float64(len(fleet.Pack(&wire.Document{Key: routingconfig.Key, Body: written(sample(2, 200, 0)), Version: 2}).Body))
+	packed := float64(len(fleet.Compress(&wire.Document{Key: routingconfig.DocumentKey, Body: written(sample(2, 200, 0)), Version: 2}).Body))
 	return b.vary("group", "members", []float64{1, 3, 5}, []kind{
 		{"told-bytes", "B", "bytes that a real agent's connections carried for one new plan of 200 routes, until all members of a real group had told what they had to"},
 		{"told-share", "plans", "the same, in plans as they are told, packed"},
@@ -87,17 +87,17 @@
 	}
 	ctx := context.Background()
 	settled := limits.Heal(0.25) // members tell what is committed with their beats
-	if err := until("the agent has the first plan, proved", func() bool { s := a.Now(); return s.Plan != nil && s.Plan.Version == first.base }); err != nil {
+	if err := until("the agent has the first plan, proved", func() bool { s := a.Snapshot(); return s.Plan != nil && s.Plan.Version == first.base }); err != nil {
 		return 0, err
 	}
-	clock.Pause(ctx, settled)
+	clock.Sleep(ctx, settled)
 	at := bytes.Load()
 	if err := first.put(200); err != nil {
 		return 0, err
 	}
-	if err := until("the agent has the next plan", func() bool { return a.Now().Plan.Version == first.base }); err != nil {
+	if err := until("the agent has the next plan", func() bool { return a.Snapshot().Plan.Version == first.base }); err != nil {
 		return 0, err
 	}
-	clock.Pause(ctx, settled)
+	clock.Sleep(ctx, settled)
 	return float64(bytes.Load() - at), nil
 }
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -148,7 +148,7 @@
 func callers(ctx context.Context, t task) (string, func() (float64, float64, error), error) {
 	l := newProcess("hollow", bounds(), nil)
 	c := daemon.NewClients(l).PromptIndex(t.Addr)
-	key := func(i int) []byte { k := promptindex.KeyOf(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
+	key := func(i int) []byte { k := promptindex.PartKey(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
 	var number atomic.Uint64
 	one := func(i int) error {
 		if t.Kind == "seek" {
@@ -202,8 +202,8 @@
 			c := daemon.NewClients(l).ControlNode(t.Addr)
 			have := map[string]uint64{}
 			for ctx.Err() == nil {
-				a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.Key, Packed: true}
-				for _, k := range []string{routingconfig.Key, "workers", "weights", "placement/"} {
+				a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.DocumentKey, Packed: true}
+				for _, k := range []string{routingconfig.DocumentKey, "workers", "weights", "placement/"} {
 					a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: have[k]})
 				}
 				response, err := c.Follow(ctx, a)
--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -18,10 +18,10 @@
 
 // changes are so many parts that a worker began to keep, from one on; each kind of removal is the
 // same with no tokens.
-func changes(from, n, tokens int) []backend.Change {
-	l := make([]backend.Change, n)
+func changes(from, n, tokens int) []backend.CacheChange {
+	l := make([]backend.CacheChange, n)
 	for i := range l {
-		l[i] = backend.Change{Salt: cacheText, Part: partName(from + i), Model: modelName(0), Tokens: tokens}
+		l[i] = backend.CacheChange{Salt: cacheText, Part: partName(from + i), Model: modelName(0), Tokens: tokens}
 	}
 	return l
 }
@@ -39,12 +39,12 @@
 func emptyIndex() *promptindex.Core {
 	b := bounds()
 	b.Entries = 1 << 30 // as if nothing had to give way
-	return promptindex.New(b, func(prefix.Key) bool { return true })
+	return promptindex.NewCore(b, func(prefix.Key) bool { return true })
 }
 
-func applyEvents(c *promptindex.Core, w int, next uint64, l []backend.Change, now time.Duration) {
+func applyEvents(c *promptindex.Core, w int, next uint64, l []backend.CacheChange, now time.Duration) {
 	q := c.NextEvents(fmt.Sprintf("i-%08x", w*40503), serviceName(0))
-	c.ApplyEvents(q, backend.Events{Boot: 7, Next: next, List: l}, now)
+	c.ApplyEvents(q, backend.CacheEvents{BootID: 7, NextSequence: next, Changes: l}, now)
 }
 
 // kept measures the index: by how many parts are kept, how many workers keep each, and how many
@@ -75,7 +75,7 @@
 		seek := b.spend(func() {
 			for j := range keys {
 				i++
-				keys[j] = promptindex.KeyOf(cacheText, partName(i*7919%int(n)))
+				keys[j] = promptindex.PartKey(cacheText, partName(i*7919%int(n)))
 			}
 			c.Lookup(keys, now)
 		}) / float64(len(keys))
@@ -136,10 +136,10 @@
 		read := b.spend(func() { _, _ = readChanges(body) })
 		a := &wire.CountAsk{Teller: "edge/edge-1", Incarnation: 1}
 		for i := range int(n) {
-			k := promptindex.KeyOf(cacheText, partName(i*31%have))
+			k := promptindex.PartKey(cacheText, partName(i*31%have))
 			a.Accesses = append(a.Accesses, &wire.Access{Key: k[:], Count: 2, Tokens: 800, Service: serviceName(0), Presumed: []string{"i-00000000"}})
 		}
-		count := b.spend(func() { a.Number++; c.Count(a, now) })
+		count := b.spend(func() { a.Number++; c.RecordAccesses(a, now) })
 		return []float64{table, read, float64(len(body)), count}, nil
 	})
 }
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -52,7 +52,7 @@
 }
 
 func engine() *routingconfig.Engine {
-	return &routingconfig.Engine{Slots: 128, Room: 320000, TokenBytes: 18432, LinkMbps: 370000, Polls: 4}
+	return &routingconfig.Engine{Slots: 128, CapacityTokens: 320000, TokenBytes: 18432, LinkMbps: 370000, MaxPolls: 4}
 }
 
 // workers measures what grows with how many workers there are.
@@ -65,21 +65,21 @@
 		{"table-memory", "B", "heap of the workers that a snapshot holds"},
 	}, func(n float64) ([]float64, error) {
 		l := roll(int(n), models)
-		t := controllers.NewWorkerList(fleet.Table{Workers: l})
+		t := controllers.NewWorkerList(fleet.WorkerList{Workers: l})
 		body, err := json.Marshal(t.Document())
 		if err != nil {
 			return nil, err
 		}
 		was := heap()
-		x := &fleet.Table{}
+		x := &fleet.WorkerList{}
 		if err := json.Unmarshal(body, x); err != nil {
 			return nil, err
 		}
 		memory := heap() - was
-		packed := fleet.Pack(&wire.Document{Key: fleet.WorkersKey, Body: body, Version: 1})
+		packed := fleet.Compress(&wire.Document{Key: fleet.WorkersKey, Body: body, Version: 1})
 		read := b.spend(func() {
-			var x fleet.Table
-			if d, err := fleet.Unpack(packed); err == nil {
+			var x fleet.WorkerList
+			if d, err := fleet.Decompress(packed); err == nil {
 				_ = json.Unmarshal(d.Body, &x)
 			}
 		})
@@ -104,17 +104,17 @@
 		l := newProcess("edge-1", bounds(), nil)
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
-			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.Stream, Timeout: 8 * time.Second, Target: time.Second, Session: true, Attempts: 2, Split: []routingconfig.Share{{Service: serviceName(0), Weight: 1}}}}}
+			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.EventStream, Timeout: 8 * time.Second, LatencyTarget: time.Second, NamesPromptParts: true, MaxAttempts: 2, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}}}
 		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Workers: roll(int(n), 1), Edges: 340}
 		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }), "edge-1")
 		i, d := 0, rand.New(rand.NewPCG(1, 2))
 		one := func(s *fleet.Snapshot) {
 			i++
-			q := &selection.Request{ID: fmt.Sprintf("%016x", i), Service: serviceName(0), Route: &x.Routes[0], Zone: "district-0", Model: modelName(0), In: 17000, Out: 450,
-				Parts: []selection.Part{{ID: fmt.Sprintf("%08x", d.IntN(8)), Tokens: 2500}, {ID: fmt.Sprintf("%08x", 100+d.IntN(290)), Tokens: 11000}, {ID: fmt.Sprintf("%08x", 1000+i), Tokens: 3500}}}
+			q := &selection.Request{ID: fmt.Sprintf("%016x", i), Service: serviceName(0), Route: &x.Routes[0], Zone: "district-0", Model: modelName(0), PromptTokens: 17000, MaxOutputTokens: 450,
+				Parts: []selection.PromptPart{{ID: fmt.Sprintf("%08x", d.IntN(8)), Tokens: 2500}, {ID: fmt.Sprintf("%08x", 100+d.IntN(290)), Tokens: 11000}, {ID: fmt.Sprintf("%08x", 1000+i), Tokens: 3500}}}
 			if c, ok := p.Select(s, q, nil, map[string]bool{}); ok {
-				p.Sent(q, c)
-				p.Done(q, c, selection.Served, &selection.Load{Running: 40, Slots: 128}, 300*time.Millisecond)
+				p.RecordSent(q, c)
+				p.RecordOutcome(q, c, selection.Completed, &selection.Load{Running: 40, Slots: 128}, 300*time.Millisecond)
 			}
 		}
 		steady := b.spend(func() { one(s) })
@@ -125,17 +125,17 @@
 
 // idle answers as workers do that have nothing new to tell.
 type idle struct {
-	backend.Calls
+	backend.Client
 	asked chan struct{}
 }
 
-func (c *idle) Events(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.Events, error) {
+func (c *idle) CacheEvents(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	c.asked <- struct{}{}
-	return backend.Events{Boot: 1, Next: since + 1}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: since + 1}, nil
 }
 
-func (c *idle) Kept(context.Context, string) (backend.Events, error) {
-	return backend.Events{Boot: 1, Next: 1}, nil
+func (c *idle) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
+	return backend.CacheEvents{BootID: 1, NextSequence: 1}, nil
 }
 
 // polls measures an index node's round over all workers, without the calls themselves: its bounds
@@ -178,8 +178,8 @@
 
 // until waits for something that comes soon.
 func until(what string, f func() bool) error {
-	clk, ctx := clock.Boot(), context.Background()
-	for end := clk.Now() + patience; !f(); clock.Pause(ctx, time.Millisecond) {
+	clk, ctx := clock.BootTime(), context.Background()
+	for end := clk.Now() + patience; !f(); clock.Sleep(ctx, time.Millisecond) {
 		if clk.Now() > end {
 			return errs.New(errs.Inside, "%s: not within %v", what, patience)
 		}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -102,7 +102,7 @@
 func (d *memory) Append(n string, b []byte) error {
 	return d.set(n, func(old []byte) []byte { return append(old, b...) })
 }
-func (d *memory) Cut(n string, s int) error {
+func (d *memory) Truncate(n string, s int) error {
 	return d.set(n, func(old []byte) []byte { return old[:s] })
 }
 
@@ -144,7 +144,7 @@
 		ListRate: 47, MemoryMB: 284, Files: 4100, Ports: [2]int{7360, 7375}, Revokes: true}
 	place := set.Place{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.Default(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Extra: []string{"log=off"}, Site: site}
-	w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
 			if p.disks[at] == nil {
 				p.disks[at] = &memory{m: map[string][]byte{}}
@@ -189,8 +189,8 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.RosterPathPrefix, a.Handler())
 	p.must(l.Serve(l.Place.Listen, mux))
-	s := indexclient.New(l, func() []*wire.Node { return a.Now().Nodes })
-	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Now, Selector: selection.New(l, s, l.Place.Name)}))
+	s := indexclient.New(l, func() []*wire.Node { return a.Snapshot().Nodes })
+	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s, l.Place.Name)}))
 }
 
 func (p *testSite) stop(who string) {
@@ -220,7 +220,7 @@
 
 func (p *testSite) until(what string, within time.Duration, so func() bool) {
 	p.t.Helper()
-	for from := time.Now(); !so(); clock.Pause(context.Background(), 100*time.Millisecond) {
+	for from := time.Now(); !so(); clock.Sleep(context.Background(), 100*time.Millisecond) {
 		if time.Since(from) > within {
 			_, out, bad := p.runOn(1, "", "status")
 			p.t.Fatalf("%s: not within %v\n%s%s", what, within, out, bad)
@@ -246,9 +246,9 @@
 	return names, series
 }
 
-// The workers: pond implements backend.Calls.
+// The workers: pond implements backend.Client.
 
-func (p *testSite) List(context.Context, string) (l []fleet.Worker, next string, err error) {
+func (p *testSite) ListWorkers(context.Context, string) (l []fleet.Worker, next string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := 1; i <= len(p.workerWeights); i++ {
@@ -273,26 +273,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ordersRejected {
-		return backend.Denied, nil
+		return backend.OutcomeRejected, nil
 	}
 	p.workerWeights[worker(addr)] = o.Version
-	return backend.Begun, nil
+	return backend.OutcomeStarted, nil
 }
 
-// Events: all workers keep part p1 of the weights that they serve, from the start.
-func (p *testSite) Events(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.Events, error) {
+// CacheEvents: all workers keep part p1 of the weights that they serve, from the start.
+func (p *testSite) CacheEvents(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	if since == 0 {
-		return p.Kept(ctx, addr)
+		return p.CachedPrefixes(ctx, addr)
 	}
-	clock.Pause(ctx, wait)
-	return backend.Events{Boot: 1, Next: since}, ctx.Err()
+	clock.Sleep(ctx, wait)
+	return backend.CacheEvents{BootID: 1, NextSequence: since}, ctx.Err()
 }
 
-func (p *testSite) Kept(_ context.Context, addr string) (backend.Events, error) {
+func (p *testSite) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	text := selection.Text("daka", p.workerWeights[worker(addr)], nil)
-	return backend.Events{Boot: 1, Next: 1, List: []backend.Change{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
+	text := selection.CacheSalt("daka", p.workerWeights[worker(addr)], nil)
+	return backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
 }
 
 // pondPlans is a form of plans: {"version": 7, "routes": [{"name": "a", "to": "reading"}]}.
@@ -307,7 +307,7 @@
 	v := pondPlan{}
 	err := json.Unmarshal(b, &v)
 	x := &routingconfig.Plan{Version: v.Version, Tenants: []routingconfig.Tenant{{Name: "t", Priority: -1}, {Name: "walled", Priority: -1, Isolated: true}}, Services: []routingconfig.Service{{Name: "reading", MaxConns: 100,
-		Engine: &routingconfig.Engine{Slots: 8, Room: 10000, TokenBytes: 18432, LinkMbps: 370000, Polls: 4, Models: []string{"daka"}}}}}
+		Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000, MaxPolls: 4, Models: []string{"daka"}}}}}
 	return x.BuildIndex(), err
 }
 
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -12,9 +12,9 @@
 // Clock returns instants as the time since an origin of its own.
 type Clock interface{ Now() time.Duration }
 
-type boot struct{}
+type bootTime struct{}
 
-func (boot) Now() time.Duration {
+func (bootTime) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// Linux has it since 2.6.39; without it no bound can be guaranteed.
@@ -23,41 +23,43 @@
 	return time.Duration(ts.Nano())
 }
 
-// Boot is the time since the machine booted, suspend included.
+// BootTime is the time since the machine booted, suspend included.
 //
 // Example: t0 := clock.Boot().Now()
-func Boot() Clock { return boot{} }
+func BootTime() Clock { return bootTime{} }
 
-// Hand is a clock that tests and simulators set by hand.
-type Hand struct{ T time.Duration }
+// Manual is a clock that tests and simulators set by hand.
+type Manual struct{ Time time.Duration }
 
 // Now returns the time that was set.
 //
-// Example: (&clock.Hand{T: time.Second}).Now() == time.Second
-func (h *Hand) Now() time.Duration { return h.T }
+// Example: (&clock.Manual{T: time.Second}).Now() == time.Second
+func (m *Manual) Now() time.Duration { return m.Time }
 
-type ticking struct{ from time.Time }
+type synctestClock struct{ start time.Time }
 
-func (k ticking) Now() time.Duration { return time.Hour + time.Since(k.from) }
+func (c synctestClock) Now() time.Duration { return time.Hour + time.Since(c.start) }
 
-// Ticking follows the fake time of a synctest bubble, starting at one hour.
+// Synctest follows the fake time of a synctest bubble, starting at one hour.
 //
 // Example: clk := clock.Ticking()
-func Ticking() Clock { return ticking{time.Now()} }
+func Synctest() Clock { return synctestClock{time.Now()} }
 
-// Pause waits for a while, or until the context ends.
+// Sleep waits for a while, or until the context ends.
 //
 // Example: clock.Pause(ctx, 40*time.Millisecond)
-func Pause(ctx context.Context, d time.Duration) {
-	e := time.NewTimer(d)
-	defer e.Stop()
+func Sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-e.C:
+	case <-timer.C:
 	}
 }
 
-// Every is a ticker.
+// NewTicker is a ticker.
 //
 // Example: t := clock.Every(time.Second); defer t.Stop(); <-t.C
-func Every(d time.Duration) *time.Ticker { return time.NewTicker(max(d, time.Millisecond)) }
+func NewTicker(interval time.Duration) *time.Ticker {
+	return time.NewTicker(max(interval, time.Millisecond))
+}
--- a/internal/control/consensus/contact.go
+++ b/internal/control/consensus/contact.go
@@ -10,9 +10,9 @@
 // sentTick is what a request of the leader carries for its response to give back; never 0.
 func (c *Core) sentTick() uint64 { return uint64(c.ticks) + 1 }
 
-// ageOf is how many ticks ago the request was sent that a response of this term answers; 0 where the
+// requestAge is how many ticks ago the request was sent that a response of this term answers; 0 where the
 // peer's release doesn't give that back.
-func (c *Core) ageOf(response *wire.Message) int {
+func (c *Core) requestAge(response *wire.Message) int {
 	now := c.sentTick()
 	if response.SentTick == 0 || response.SentTick > now {
 		return 0
--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -7,12 +7,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// deafLeader is the leader of a group of three that has just been elected by b.
-func deafLeader(t *testing.T) *Core {
+// newElectedLeader is the leader of a group of three that has just been elected by b.
+func newElectedLeader(t *testing.T) *Core {
 	t.Helper()
 	members := []string{"a/0", "b/0", "c/0"}
-	cfg := Config{Self: "a/0", Group: true, HeartbeatTicks: 3, ElectionTicks: 9, MaxBatchBytes: 1 << 20, Rand: rand.New(rand.NewPCG(1, 1))}
-	c := New(cfg, FoundingSnapshot("a/0", members), nil)
+	cfg := Config{Self: "a/0", DynamicMembership: true, HeartbeatTicks: 3, ElectionTicks: 9, MaxBatchBytes: 1 << 20, Rand: rand.New(rand.NewPCG(1, 1))}
+	c := New(cfg, BootstrapSnapshot("a/0", members), nil)
 	c.campaign(candidate)
 	c.Step(&wire.Message{To: "a/0", From: "b/0", Incarnation: "b/0", DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: true, Term: 1, About: "a/0"})
 	c.Ready()
@@ -22,8 +22,8 @@
 	return c
 }
 
-// requestTo runs the leader's clock until it sends a peer a request, and returns that.
-func requestTo(t *testing.T, c *Core, peer string) *wire.Message {
+// nextAppendTo runs the leader's clock until it sends a peer a request, and returns that.
+func nextAppendTo(t *testing.T, c *Core, peer string) *wire.Message {
 	t.Helper()
 	for range c.cfg.HeartbeatTicks {
 		c.Tick()
@@ -37,16 +37,16 @@
 	return nil
 }
 
-func responseTo(request *wire.Message) *wire.Message {
+func appendResponseTo(request *wire.Message) *wire.Message {
 	return &wire.Message{To: request.From, From: request.To, Incarnation: request.To, DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_APPEND_RESPONSE,
 		Ok: true, Term: request.Term, Index: request.Index, About: request.Incarnation, SentTick: request.SentTick, AcceptsPieces: true}
 }
 
-func sinceHeard(t *testing.T, c *Core, peer string) int {
+func contactAgeOf(t *testing.T, c *Core, peer string) int {
 	t.Helper()
 	for _, p := range c.PeerStatuses() {
 		if p.Name == peer {
-			return p.SinceHeard
+			return p.ContactAge
 		}
 	}
 	t.Fatalf("no status of %s", peer)
@@ -55,10 +55,10 @@
 
 // A response that comes late says that its peer was there when the request was sent, and no more: the
 // peer counts as old as that, and the leader stops leading as if nothing had come since.
-func TestALateResponseIsAsOldAsItsRequest(t *testing.T) {
+func TestContactAgeOfLateResponseIsThatOfItsRequest(t *testing.T) {
 	for late := range 18 {
-		c := deafLeader(t)
-		request := requestTo(t, c, "c/0")
+		c := newElectedLeader(t)
+		request := nextAppendTo(t, c, "c/0")
 		sent := c.ticks
 		for range late {
 			c.Tick()
@@ -67,8 +67,8 @@
 		if !c.Status().IsLeader {
 			continue // nobody was heard for too long
 		}
-		c.Step(responseTo(request))
-		if got := sinceHeard(t, c, "c/0"); got != late {
+		c.Step(appendResponseTo(request))
+		if got := contactAgeOf(t, c, "c/0"); got != late {
 			t.Errorf("a response %d ticks after its request: the peer counts as heard %d ticks ago", late, got)
 		}
 		for c.Status().IsLeader && c.ticks < 100 {
@@ -83,18 +83,18 @@
 
 // A release that doesn't give the tick back counts as heard when its response comes, and one that is
 // from the future, as no honest peer's is, too.
-func TestAResponseWithoutATickCountsAsNew(t *testing.T) {
+func TestResponseWithoutSentTickCountsAsFresh(t *testing.T) {
 	for _, tick := range []uint64{0, 1 << 40} {
-		c := deafLeader(t)
-		request := requestTo(t, c, "c/0")
+		c := newElectedLeader(t)
+		request := nextAppendTo(t, c, "c/0")
 		for range 5 {
 			c.Tick()
 			c.Ready()
 		}
-		response := responseTo(request)
+		response := appendResponseTo(request)
 		response.SentTick = tick
 		c.Step(response)
-		if got := sinceHeard(t, c, "c/0"); got != 0 {
+		if got := contactAgeOf(t, c, "c/0"); got != 0 {
 			t.Errorf("tick %d: heard %d ticks ago", tick, got)
 		}
 	}
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -11,25 +11,25 @@
 
 // Config is what one member knows of its shard.
 type Config struct {
-	Shard          uint32
-	Self           string
-	Members        []string // all three, Self among them; of a group none: they stand in its log
-	Group          bool     // membership is agreed data (membership.go)
-	HeartbeatTicks int      // between two heartbeats of a leader
-	ElectionTicks  int      // the least silence after which a follower campaigns; the longest is twice that
-	MaxBatchBytes  int      // of entries in one message, and of a snapshot's piece
-	TailBytes      int      // of compacted entries kept in memory for followers that lag, at least; 0: none
-	Rand           *rand.Rand
+	Shard             uint32
+	Self              string
+	Members           []string // all three, Self among them; of a group none: they stand in its log
+	DynamicMembership bool     // membership is agreed data (membership.go)
+	HeartbeatTicks    int      // between two heartbeats of a leader
+	ElectionTicks     int      // the least silence after which a follower campaigns; the longest is twice that
+	MaxBatchBytes     int      // of entries in one message, and of a snapshot's piece
+	TrailingLogBytes  int      // of compacted entries kept in memory for followers that lag, at least; 0: none
+	Rand              *rand.Rand
 }
 
 // Ready is what the steps so far ask of the driver, in this order: persist, send, apply.
 type Ready struct {
-	Install        *wire.Snapshot // replaces snapshot, state and log; Records then holds the log that stays
-	Records        []*wire.Record
-	Messages       []*wire.Message
-	Committed      []*wire.Entry
-	ConfirmedReads []uint64 // reads that may now be answered from the applied state
-	LostReads      []uint64 // reads that can't be answered here any more
+	Snapshot         *wire.Snapshot // replaces snapshot, state and log; Records then holds the log that stays
+	Records          []*wire.Record
+	Messages         []*wire.Message
+	CommittedEntries []*wire.Entry
+	ConfirmedReads   []uint64 // reads that may now be answered from the applied state
+	AbortedReads     []uint64 // reads that can't be answered here any more
 }
 
 type role int
@@ -44,37 +44,37 @@
 // unknownVote marks a term in which this member may have voted before it lost its disk.
 const unknownVote = "-"
 
-type pendingRead struct{ id, probe, index uint64 }
+type pendingRead struct{ id, sequence, index uint64 }
 
 // Core is one member of one shard.
 type Core struct {
-	cfg              Config
-	hardState        *wire.HardState
-	snapshot         *wire.Snapshot
-	log              []*wire.Entry // what follows the snapshot
-	tail             []*wire.Entry // entries up to the snapshot that are still kept for followers
-	incoming         *incomingSnapshot
-	commit           uint64
-	applied          uint64
-	role             role
-	leader           string
-	electionElapsed  int // ticks since a leader was heard
-	electionTimeout  int
-	heartbeatElapsed int
-	ticks            int // since this core was made
-	leaderHeardAt    int // tick in which a leader was heard last
-	votes            map[string]bool
-	peers            map[string]*progress
-	statesHeard      map[string]*wire.Message // states received while blank
-	generationsHeard map[string]uint64        // generations of its name that the others know, received while blank
-	generation       uint64                   // generation that it asks to be known under; 0: none yet
-	probe            uint64
-	reads            []pendingRead
-	readID           uint64
-	stuck            string
-	members          membership // the newest in the log; with fixed members always the same
-	learnerRounds    int        // heartbeats since learners were sent anything
-	ready            Ready
+	cfg                   Config
+	hardState             *wire.HardState
+	snapshot              *wire.Snapshot
+	log                   []*wire.Entry // what follows the snapshot
+	trailing              []*wire.Entry // entries up to the snapshot that are still kept for followers
+	incoming              *incomingSnapshot
+	commit                uint64
+	applied               uint64
+	role                  role
+	leader                string
+	electionElapsed       int // ticks since a leader was heard
+	electionTimeout       int
+	heartbeatElapsed      int
+	ticks                 int // since this core was made
+	lastLeaderContact     int // tick in which a leader was heard last
+	votes                 map[string]bool
+	peers                 map[string]*progress
+	peerStates            map[string]*wire.Message // states received while blank
+	peerGenerations       map[string]uint64        // generations of its name that the others know, received while blank
+	generation            uint64                   // generation that it asks to be known under; 0: none yet
+	readSequence          uint64
+	pendingReads          []pendingRead
+	lastReadID            uint64
+	rejoinFailure         string
+	members               membership // the newest in the log; with fixed members always the same
+	learnerHeartbeatCount int        // heartbeats since learners were sent anything
+	ready                 Ready
 }
 
 // New makes a member from what its disk held. There must be a snapshot: a first start stores a blank
@@ -83,7 +83,7 @@
 // Example: c := consensus.New(cfg, snapshot, records)
 func New(cfg Config, snapshot *wire.Snapshot, records []*wire.Record) *Core {
 	c := &Core{cfg: cfg, snapshot: snapshot, hardState: snapshot.HardState, commit: snapshot.Index, applied: snapshot.Index,
-		peers: map[string]*progress{}, statesHeard: map[string]*wire.Message{}, generationsHeard: map[string]uint64{}}
+		peers: map[string]*progress{}, peerStates: map[string]*wire.Message{}, peerGenerations: map[string]uint64{}}
 	c.reloadMembership()
 	for _, r := range records {
 		switch k := r.Kind.(type) {
@@ -122,7 +122,7 @@
 	c.ready.Messages = append(c.ready.Messages, m)
 }
 
-func (c *Core) eachPeer(f func(string)) {
+func (c *Core) forEachPeer(f func(string)) {
 	for _, m := range c.members.names {
 		if m != c.cfg.Self {
 			f(m)
@@ -159,7 +159,7 @@
 	}
 	if c.role == leader {
 		for _, p := range c.peers {
-			p.sinceHeard++
+			p.ticksSinceResponse++
 			p.contactAge++
 		}
 		if !c.hasQuorum(func(m string) bool { return c.peers[m].contactAge < 2*c.cfg.ElectionTicks }) {
@@ -168,7 +168,7 @@
 		}
 		if c.heartbeatElapsed >= c.cfg.HeartbeatTicks {
 			c.heartbeatElapsed = 0
-			c.eachPeer(func(m string) { c.replicate(m, true) })
+			c.forEachPeer(func(m string) { c.replicate(m, true) })
 			c.replicateToLearners()
 		}
 		return
@@ -184,16 +184,16 @@
 		c.saveHardState(term, "")
 	}
 	if c.role == leader {
-		for _, r := range c.reads {
-			c.ready.LostReads = append(c.ready.LostReads, r.id)
+		for _, r := range c.pendingReads {
+			c.ready.AbortedReads = append(c.ready.AbortedReads, r.id)
 		}
-		c.reads = nil
+		c.pendingReads = nil
 		for _, p := range c.peers {
 			p.transfer = nil // its snapshot is freed
 		}
 	}
 	if leaderName != "" {
-		c.leaderHeardAt = c.ticks // before the timer: one that hears a leader isn't in haste any more
+		c.lastLeaderContact = c.ticks // before the timer: one that hears a leader isn't in haste any more
 	}
 	if c.role != follower || leaderName != "" {
 		c.resetElectionTimer()
@@ -211,7 +211,7 @@
 		kind = wire.MessageKind_VOTE_REQUEST
 		c.saveHardState(term, c.cfg.Self)
 	}
-	c.eachPeer(func(m string) {
+	c.forEachPeer(func(m string) {
 		c.send(&wire.Message{To: m, Kind: kind, Term: term, Index: c.lastIndex(), LogTerm: c.lastTerm()})
 	})
 	switch {
@@ -226,15 +226,15 @@
 func (c *Core) becomeLeader() {
 	c.role, c.leader, c.heartbeatElapsed, c.incoming = leader, c.cfg.Self, 0, nil
 	clear(c.peers)
-	c.eachPeer(func(m string) { c.peers[m] = c.progressAtElection(m) })
-	c.proposeEntry(nil, c.members.namesOnWire(c.cfg.Group)) // an entry of its own term, so that earlier ones commit
+	c.forEachPeer(func(m string) { c.peers[m] = c.progressAtElection(m) })
+	c.proposeEntry(nil, c.members.namesOnWire(c.cfg.DynamicMembership)) // an entry of its own term, so that earlier ones commit
 }
 
 func (c *Core) proposeEntry(body []byte, members []string) uint64 {
 	e := &wire.Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Body: body, Members: members}
 	c.appendEntry(e)
 	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
-	c.eachPeer(func(m string) { c.replicate(m, false) })
+	c.forEachPeer(func(m string) { c.replicate(m, false) })
 	if len(c.members.names) == 1 {
 		c.advanceCommit() // nobody else is asked
 	}
@@ -251,19 +251,19 @@
 	return c.proposeEntry(body, nil), c.hardState.Term, true
 }
 
-// RequestRead begins a read that sees all that was acknowledged before it; its id comes back in
+// ReadIndex begins a read that sees all that was acknowledged before it; its id comes back in
 // Ready.ConfirmedReads once a quorum has confirmed that this member still leads.
 //
-// Example: id, ok := c.RequestRead()
-func (c *Core) RequestRead() (uint64, bool) {
+// Example: id, ok := c.ReadIndex()
+func (c *Core) ReadIndex() (uint64, bool) {
 	if t, _ := c.termAt(c.commit); c.role != leader || t != c.hardState.Term {
 		return 0, false
 	}
-	c.readID++
-	c.probe++
-	c.reads = append(c.reads, pendingRead{c.readID, c.probe, c.commit})
-	c.eachPeer(func(m string) { c.replicate(m, true) })
-	return c.readID, true
+	c.lastReadID++
+	c.readSequence++
+	c.pendingReads = append(c.pendingReads, pendingRead{c.lastReadID, c.readSequence, c.commit})
+	c.forEachPeer(func(m string) { c.replicate(m, true) })
+	return c.lastReadID, true
 }
 
 // Ready hands over what the steps since the last Ready ask for.
@@ -275,7 +275,7 @@
 			if e.Index > c.commit {
 				break
 			}
-			c.ready.Committed = append(c.ready.Committed, e)
+			c.ready.CommittedEntries = append(c.ready.CommittedEntries, e)
 		}
 		c.applied = c.commit
 	}
@@ -287,12 +287,12 @@
 
 func (c *Core) confirmReads() {
 	var stay []pendingRead
-	for _, r := range c.reads {
-		if c.applied >= r.index && c.hasQuorum(func(m string) bool { return c.peers[m].probe >= r.probe }) {
+	for _, r := range c.pendingReads {
+		if c.applied >= r.index && c.hasQuorum(func(m string) bool { return c.peers[m].ackedReadSequence >= r.sequence }) {
 			c.ready.ConfirmedReads = append(c.ready.ConfirmedReads, r.id)
 		} else {
 			stay = append(stay, r)
 		}
 	}
-	c.reads = stay
+	c.pendingReads = stay
 }
--- a/internal/control/consensus/incarnations.go
+++ b/internal/control/consensus/incarnations.go
@@ -37,7 +37,7 @@
 }
 
 func (c *Core) requestState() {
-	c.eachPeer(func(m string) {
+	c.forEachPeer(func(m string) {
 		c.send(&wire.Message{To: m, Kind: wire.MessageKind_STATE_REQUEST, About: c.hardState.Incarnation, Generation: c.generation})
 	})
 }
@@ -51,7 +51,7 @@
 		c.recordIncarnation(l.From, l.Incarnation, l.Generation)
 		if c.role == leader {
 			p := c.peers[l.From]
-			*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, sinceHeard: p.sinceHeard, contactAge: p.contactAge}
+			*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, ticksSinceResponse: p.ticksSinceResponse, contactAge: p.contactAge}
 		}
 		k = c.knownIncarnation(l.From)
 	}
@@ -69,13 +69,13 @@
 		return
 	}
 	if c.generation == 0 {
-		if c.generationsHeard[l.From] = l.Generation; len(c.generationsHeard) < len(c.cfg.Members)-1 {
+		if c.peerGenerations[l.From] = l.Generation; len(c.peerGenerations) < len(c.cfg.Members)-1 {
 			return
 		}
-		for _, g := range c.generationsHeard {
+		for _, g := range c.peerGenerations {
 			c.generation = max(c.generation, g+1)
 		}
-		clear(c.statesHeard)
+		clear(c.peerStates)
 		c.requestState()
 		return
 	}
@@ -88,7 +88,7 @@
 	if l.Generation != c.generation {
 		return
 	}
-	if c.statesHeard[l.From] = l; len(c.statesHeard) < len(c.cfg.Members)-1 {
+	if c.peerStates[l.From] = l; len(c.peerStates) < len(c.cfg.Members)-1 {
 		return
 	}
 	c.rejoin()
@@ -96,8 +96,8 @@
 
 func (c *Core) restartRejoin() {
 	c.generation = 0
-	clear(c.generationsHeard)
-	clear(c.statesHeard)
+	clear(c.peerGenerations)
+	clear(c.peerStates)
 }
 
 // rejoin takes the more advanced of the two states that it received, once they are of incarnations
@@ -107,11 +107,11 @@
 	var term uint64
 	var known []*wire.KnownIncarnation
 	blanks, strangers := 0, false
-	c.eachPeer(func(m string) {
-		t := c.statesHeard[m]
+	c.forEachPeer(func(m string) {
+		t := c.peerStates[m]
 		k := &wire.KnownIncarnation{Name: m, Incarnation: t.Incarnation}
-		c.eachPeer(func(o string) {
-			for _, x := range c.statesHeard[o].KnownIncarnations {
+		c.forEachPeer(func(o string) {
+			for _, x := range c.peerStates[o].KnownIncarnations {
 				if x.Name == m {
 					strangers = strangers || x.Incarnation != t.Incarnation
 					k.Generation = x.Generation
@@ -133,11 +133,11 @@
 		return
 	}
 	if blanks > 0 && best != nil && best.Index > 0 {
-		c.stuck = "a peer is blank too, yet the shard has a past: two disks are lost"
-		clear(c.statesHeard)
+		c.rejoinFailure = "a peer is blank too, yet the shard has a past: two disks are lost"
+		clear(c.peerStates)
 		return
 	}
-	c.stuck = ""
+	c.rejoinFailure = ""
 	vote := ""
 	if term > 0 {
 		vote = unknownVote // it may have voted in that term before it lost its disk
@@ -153,7 +153,7 @@
 	if best == nil {
 		best = &wire.Message{Snapshot: BlankSnapshot(c.hardState.Incarnation)}
 	}
-	c.adoptSnapshot(best.Snapshot, best.Entries)
-	clear(c.statesHeard)
+	c.restoreSnapshot(best.Snapshot, best.Entries)
+	clear(c.peerStates)
 	c.resetElectionTimer()
 }
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -22,8 +22,8 @@
 		return 0, false
 	case index > c.snapshot.Index:
 		return c.log[index-c.snapshot.Index-1].Term, true
-	case len(c.tail) > 0 && index >= c.tail[0].Index:
-		return c.tail[index-c.tail[0].Index].Term, true
+	case len(c.trailing) > 0 && index >= c.trailing[0].Index:
+		return c.trailing[index-c.trailing[0].Index].Term, true
 	}
 	return 0, false
 }
@@ -45,8 +45,8 @@
 		return nil
 	case index > c.snapshot.Index:
 		return c.log[index-c.snapshot.Index-1]
-	case len(c.tail) > 0 && index >= c.tail[0].Index:
-		return c.tail[index-c.tail[0].Index]
+	case len(c.trailing) > 0 && index >= c.trailing[0].Index:
+		return c.trailing[index-c.trailing[0].Index]
 	}
 	return nil
 }
@@ -75,21 +75,21 @@
 	compacted := c.log[:c.applied-c.snapshot.Index]
 	stay := append([]*wire.Entry(nil), c.entriesFrom(c.applied+1)...)
 	at := c.membershipAt(c.applied)
-	c.keepTail(compacted, len(state))
+	c.retainTrailingLog(compacted, len(state))
 	c.snapshot = &wire.Snapshot{Format: 1, Index: c.applied, Term: t, HardState: c.hardState, State: state,
-		Members: at.namesOnWire(c.cfg.Group), MembersIndex: at.index, MembersTerm: at.term}
+		Members: at.namesOnWire(c.cfg.DynamicMembership), MembersIndex: at.index, MembersTerm: at.term}
 	c.log = stay
 	return c.snapshot, entryRecords(stay)
 }
 
-// keepTail keeps the newest compacted entries, up to TailBytes or the size of the state, whichever
+// retainTrailingLog keeps the newest compacted entries, up to TrailingLogBytes or the size of the state, whichever
 // is more: what a link carries while it carries the state then still has its entries here.
-func (c *Core) keepTail(compacted []*wire.Entry, stateBytes int) {
-	if c.cfg.TailBytes == 0 {
+func (c *Core) retainTrailingLog(compacted []*wire.Entry, stateBytes int) {
+	if c.cfg.TrailingLogBytes == 0 {
 		return
 	}
-	all := append(append([]*wire.Entry(nil), c.tail...), compacted...)
-	limit, size, first := max(c.cfg.TailBytes, stateBytes), 0, len(all)
+	all := append(append([]*wire.Entry(nil), c.trailing...), compacted...)
+	limit, size, first := max(c.cfg.TrailingLogBytes, stateBytes), 0, len(all)
 	for first > 0 {
 		size += entryBytes(all[first-1])
 		if size > limit {
@@ -97,7 +97,7 @@
 		}
 		first--
 	}
-	c.tail = append([]*wire.Entry(nil), all[first:]...) // a copy, so that the others are freed
+	c.trailing = append([]*wire.Entry(nil), all[first:]...) // a copy, so that the others are freed
 }
 
 // entryOverhead is about what an entry takes beside its body.
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -64,7 +64,7 @@
 
 // membershipAt is the newest membership up to an entry.
 func (c *Core) membershipAt(upto uint64) membership {
-	if !c.cfg.Group {
+	if !c.cfg.DynamicMembership {
 		return membership{names: c.cfg.Members}
 	}
 	for i := len(c.log) - 1; i >= 0; i-- {
@@ -77,16 +77,16 @@
 
 // applyMembership takes over the membership of an entry that was added to the log.
 func (c *Core) applyMembership(e *wire.Entry) {
-	if c.cfg.Group && len(e.Members) > 0 {
+	if c.cfg.DynamicMembership && len(e.Members) > 0 {
 		c.members = membership{e.Members, e.Index, e.Term}
 	}
 }
 
-// FoundingSnapshot is the snapshot of one of the members that found a group together; each of them
+// BootstrapSnapshot is the snapshot of one of the members that found a group together; each of them
 // writes the same members.
 //
-// Example: consensus.FoundingSnapshot("10.1.0.17:7360/0", []string{"10.1.0.17:7360/0", "10.2.0.24:7360/0", "10.3.0.38:7360/0"})
-func FoundingSnapshot(self string, members []string) *wire.Snapshot {
+// Example: consensus.BootstrapSnapshot("10.1.0.17:7360/0", []string{"10.1.0.17:7360/0", "10.2.0.24:7360/0", "10.3.0.38:7360/0"})
+func BootstrapSnapshot(self string, members []string) *wire.Snapshot {
 	l := slices.Sorted(slices.Values(members))
 	return &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: self, DiskState: wire.DiskState_DISK_FOUNDED}, Members: l}
 }
@@ -95,7 +95,7 @@
 // is no voter.
 //
 // Example: consensus.LearnerSnapshot("10.1.0.17:7360/8f3a")
-func LearnerSnapshot(self string) *wire.Snapshot { return FoundingSnapshot(self, nil) }
+func LearnerSnapshot(self string) *wire.Snapshot { return BootstrapSnapshot(self, nil) }
 
 // Members returns the newest membership in the log, committed or not.
 //
@@ -106,7 +106,7 @@
 
 func (c *Core) newProgress(m string) *progress {
 	p := &progress{next: c.lastIndex() + 1}
-	if c.cfg.Group {
+	if c.cfg.DynamicMembership {
 		p.incarnation = m // a name is one incarnation
 	}
 	return p
@@ -117,30 +117,30 @@
 // time again by each election.
 func (c *Core) progressAtElection(m string) *progress {
 	p := c.newProgress(m)
-	if c.cfg.Group && !c.votes[m] {
-		p.sinceHeard = min(c.ticks-c.leaderHeardAt, c.cfg.ElectionTicks)
-		p.contactAge = p.sinceHeard
+	if c.cfg.DynamicMembership && !c.votes[m] {
+		p.ticksSinceResponse = min(c.ticks-c.lastLeaderContact, c.cfg.ElectionTicks)
+		p.contactAge = p.ticksSinceResponse
 	}
 	return p
 }
 
 // replicationLimit is the last entry that a peer may be sent.
 func (c *Core) replicationLimit(m string) uint64 {
-	if c.cfg.Group && !c.IsVoter(m) {
+	if c.cfg.DynamicMembership && !c.IsVoter(m) {
 		return c.commit
 	}
 	return c.lastIndex()
 }
 
 func (c *Core) replicateToLearners() {
-	if !c.cfg.Group {
+	if !c.cfg.DynamicMembership {
 		return
 	}
-	c.learnerRounds++
+	c.learnerHeartbeatCount++
 	for _, m := range c.learners() {
-		if c.peers[m].sinceHeard > learnerTimeoutElections*c.cfg.ElectionTicks {
+		if c.peers[m].ticksSinceResponse > learnerTimeoutElections*c.cfg.ElectionTicks {
 			delete(c.peers, m)
-		} else if c.learnerRounds%learnerHeartbeats == 0 || !c.nearCommit(c.peers[m].match) {
+		} else if c.learnerHeartbeatCount%learnerHeartbeats == 0 || !c.isNearCommit(c.peers[m].match) {
 			c.replicate(m, true)
 		}
 	}
@@ -185,11 +185,11 @@
 	}
 }
 
-// MembershipSettled reports whether the leader may change the members: it has committed an entry of
+// CanChangeMembership reports whether the leader may change the members: it has committed an entry of
 // its own term and the change before.
 //
-// Example: if c.MembershipSettled() { c.ProposeMembership(members) }
-func (c *Core) MembershipSettled() bool {
+// Example: if c.CanChangeMembership() { c.ProposeMembership(members) }
+func (c *Core) CanChangeMembership() bool {
 	t, _ := c.termAt(c.commit)
 	return c.role == leader && t == c.hardState.Term && c.members.index <= c.commit
 }
@@ -210,7 +210,7 @@
 			diff++
 		}
 	}
-	if !c.cfg.Group || !c.MembershipSettled() || diff != 1 || len(l) == 0 {
+	if !c.cfg.DynamicMembership || !c.CanChangeMembership() || diff != 1 || len(l) == 0 {
 		return 0, 0, false
 	}
 	for _, m := range c.members.names {
@@ -230,20 +230,20 @@
 type PeerStatus struct {
 	Name       string
 	IsVoter    bool
-	SinceHeard int  // ticks since the newest request was sent that it has responded to
-	Answered   bool // it has spoken to this leader at all
+	ContactAge int  // ticks since the newest request was sent that it has responded to
+	Responded  bool // it has spoken to this leader at all
 	CaughtUp   bool // it holds all that is committed, but for what fits into one message
 }
 
 // PeerStatuses lists the peers that the leader replicates to, voters and learners, by name.
 //
-// Example: for _, x := range c.PeerStatuses() { fmt.Println(x.Name, x.SinceHeard) }
+// Example: for _, x := range c.PeerStatuses() { fmt.Println(x.Name, x.ContactAge) }
 func (c *Core) PeerStatuses() (l []PeerStatus) {
 	if c.role != leader {
 		return nil
 	}
 	for m, p := range c.peers {
-		l = append(l, PeerStatus{m, c.IsVoter(m), p.contactAge, p.responded, c.nearCommit(p.match)})
+		l = append(l, PeerStatus{m, c.IsVoter(m), p.contactAge, p.responded, c.isNearCommit(p.match)})
 	}
 	slices.SortFunc(l, func(a, b PeerStatus) int {
 		if a.Name < b.Name {
@@ -254,9 +254,9 @@
 	return l
 }
 
-// nearCommit reports whether a log that matches up to an entry lacks no more of what is committed
+// isNearCommit reports whether a log that matches up to an entry lacks no more of what is committed
 // than one message brings: a few entries, not a snapshot, and no more bytes than a batch holds.
-func (c *Core) nearCommit(match uint64) bool {
+func (c *Core) isNearCommit(match uint64) bool {
 	if match == 0 || match+caughtUpEntries < c.commit {
 		return false
 	}
@@ -273,11 +273,11 @@
 	return missing <= c.cfg.MaxBatchBytes
 }
 
-// HeldByLivePeers reports whether all that is committed is on the disk of each voter but one that has
+// ReplicatedToLiveVoters reports whether all that is committed is on the disk of each voter but one that has
 // spoken within so many ticks, and of one such voter at least beside that one.
 //
-// Example: if c.HeldByLivePeers("10.1.0.17:7360/8f3a", 12) { stop() }
-func (c *Core) HeldByLivePeers(except string, within int) bool {
+// Example: if c.ReplicatedToLiveVoters("10.1.0.17:7360/8f3a", 12) { stop() }
+func (c *Core) ReplicatedToLiveVoters(except string, within int) bool {
 	holders := 0
 	for _, m := range c.members.names {
 		if m == except {
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -12,159 +12,159 @@
 	"pebbleloom/internal/wire"
 )
 
-// band is the cores of a group and the letters between them; persisting is immediate. It holds
+// testGroup is the cores of a group and the letters between them; persisting is immediate. It holds
 // against every step that a term has one owner and that all commit the same.
-type band struct {
-	c    map[string]*Core
-	mail []*wire.Message
-	won  map[uint64]string
-	log  []string            // what was committed, by index
-	seen map[string][]uint64 // indexes that each has committed
-	t    testing.TB
+type testGroup struct {
+	cores        map[string]*Core
+	inFlight     []*wire.Message
+	leaderOfTerm map[uint64]string
+	committed    []string            // what was committed, by index
+	seen         map[string][]uint64 // indexes that each has committed
+	t            testing.TB
 }
 
-func coreOf(s *wire.Snapshot, seed uint64) *Core {
-	return New(Config{Self: s.HardState.Incarnation, Group: true, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(1, seed))}, s, nil)
+func newTestCore(s *wire.Snapshot, seed uint64) *Core {
+	return New(Config{Self: s.HardState.Incarnation, DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(1, seed))}, s, nil)
 }
 
-func newBand(t testing.TB, founders, learners string) *band {
-	x := &band{c: map[string]*Core{}, won: map[uint64]string{}, seen: map[string][]uint64{}, t: t}
+func newTestGroup(t testing.TB, founders, learners string) *testGroup {
+	x := &testGroup{cores: map[string]*Core{}, leaderOfTerm: map[uint64]string{}, seen: map[string][]uint64{}, t: t}
 	ms := strings.Fields(founders)
 	for i, n := range ms {
-		x.c[n] = coreOf(FoundingSnapshot(n, ms), uint64(i))
+		x.cores[n] = newTestCore(BootstrapSnapshot(n, ms), uint64(i))
 	}
 	for i, n := range strings.Fields(learners) {
-		x.c[n] = coreOf(LearnerSnapshot(n), uint64(i+10))
+		x.cores[n] = newTestCore(LearnerSnapshot(n), uint64(i+10))
 	}
 	return x
 }
 
-func (x *band) collect(n string) {
-	c := x.c[n]
+func (g *testGroup) collect(n string) {
+	c := g.cores[n]
 	o := c.Ready()
-	x.mail = append(x.mail, o.Messages...)
+	g.inFlight = append(g.inFlight, o.Messages...)
 	if c.role == leader {
-		if w, ok := x.won[c.hardState.Term]; ok && w != n {
-			x.t.Fatalf("term %d is owned by %s and by %s", c.hardState.Term, w, n)
+		if w, ok := g.leaderOfTerm[c.hardState.Term]; ok && w != n {
+			g.t.Fatalf("term %d is owned by %s and by %s", c.hardState.Term, w, n)
 		}
-		x.won[c.hardState.Term] = n
+		g.leaderOfTerm[c.hardState.Term] = n
 	}
-	for _, e := range o.Committed {
+	for _, e := range o.CommittedEntries {
 		s := fmt.Sprintf("%d %q %v", e.Term, e.Body, e.Members)
-		for uint64(len(x.log)) < e.Index {
-			x.log = append(x.log, "")
+		for uint64(len(g.committed)) < e.Index {
+			g.committed = append(g.committed, "")
 		}
-		if was := x.log[e.Index-1]; was != "" && was != s {
-			x.t.Fatalf("entry %d is committed as %s and, at %s, as %s", e.Index, was, n, s)
+		if was := g.committed[e.Index-1]; was != "" && was != s {
+			g.t.Fatalf("entry %d is committed as %s and, at %s, as %s", e.Index, was, n, s)
 		}
-		x.log[e.Index-1] = s
+		g.committed[e.Index-1] = s
 	}
 }
 
-func (x *band) drop(i int) *wire.Message {
-	l := x.mail[i]
-	x.mail = append(append([]*wire.Message(nil), x.mail[:i]...), x.mail[i+1:]...)
+func (g *testGroup) drop(i int) *wire.Message {
+	l := g.inFlight[i]
+	g.inFlight = append(append([]*wire.Message(nil), g.inFlight[:i]...), g.inFlight[i+1:]...)
 	return l
 }
 
-func (x *band) deliver(i int) {
-	l := x.drop(i)
-	if c := x.c[l.To]; c != nil {
+func (g *testGroup) deliver(i int) {
+	l := g.drop(i)
+	if c := g.cores[l.To]; c != nil {
 		c.Step(proto.Clone(l).(*wire.Message))
-		x.collect(l.To)
+		g.collect(l.To)
 	}
 }
 
-// calm delivers all that is under way, except to and from those that are off.
-func (x *band) calm(off ...string) {
-	for n := 0; len(x.mail) > 0 && n < 2000; n++ {
-		if l := x.mail[0]; slices.Contains(off, l.To) || slices.Contains(off, l.From) {
-			x.drop(0)
+// deliverAll delivers all that is under way, except to and from those that are off.
+func (g *testGroup) deliverAll(off ...string) {
+	for n := 0; len(g.inFlight) > 0 && n < 2000; n++ {
+		if l := g.inFlight[0]; slices.Contains(off, l.To) || slices.Contains(off, l.From) {
+			g.drop(0)
 			continue
 		}
-		x.deliver(0)
+		g.deliver(0)
 	}
 }
 
-func (x *band) tick(n int, off ...string) {
+func (g *testGroup) tick(n int, off ...string) {
 	for range n {
 		for _, m := range slices.Sorted(func(yield func(string) bool) {
-			for k := range x.c {
+			for k := range g.cores {
 				if !yield(k) {
 					return
 				}
 			}
 		}) {
 			if !slices.Contains(off, m) {
-				x.c[m].Tick()
-				x.collect(m)
+				g.cores[m].Tick()
+				g.collect(m)
 			}
 		}
-		x.calm(off...)
+		g.deliverAll(off...)
 	}
 }
 
-func (x *band) stand(n string) { x.c[n].campaign(candidate); x.collect(n) }
+func (g *testGroup) campaign(n string) { g.cores[n].campaign(candidate); g.collect(n) }
 
-func (x *band) propose(n, members string) bool {
-	_, _, ok := x.c[n].ProposeMembership(strings.Fields(members))
-	x.collect(n)
+func (g *testGroup) proposeMembership(n, members string) bool {
+	_, _, ok := g.cores[n].ProposeMembership(strings.Fields(members))
+	g.collect(n)
 	return ok
 }
 
-func (x *band) put(n, body string) bool {
-	_, _, ok := x.c[n].Propose([]byte(body))
-	x.collect(n)
+func (g *testGroup) propose(n, body string) bool {
+	_, _, ok := g.cores[n].Propose([]byte(body))
+	g.collect(n)
 	return ok
 }
 
-func (x *band) members(n string) string {
-	l, _, _ := x.c[n].Members()
+func (g *testGroup) members(n string) string {
+	l, _, _ := g.cores[n].Members()
 	return strings.Join(l, " ")
 }
 
 // A learner is fed and counts for nothing: it doesn't stand, it makes no majority, and it isn't
 // told what isn't committed. Once it is added it does, and the one removed no longer does.
-func TestALearnerCountsOnceItIsAMember(t *testing.T) {
-	x := newBand(t, "a b c", "d")
+func TestLearnerJoinsQuorumOnlyOnceAdded(t *testing.T) {
+	x := newTestGroup(t, "a b c", "d")
 	x.tick(60, "a", "b", "c")
-	if s := x.c["d"].Status(); s.IsLeader || s.Term > 0 {
+	if s := x.cores["d"].Status(); s.IsLeader || s.Term > 0 {
 		t.Fatalf("a learner stood: %+v", s)
 	}
-	x.stand("a")
-	x.calm()
-	x.c["a"].AddLearner("d")
+	x.campaign("a")
+	x.deliverAll()
+	x.cores["a"].AddLearner("d")
 	x.collect("a")
 	x.tick(12)
-	if x.members("d") != "a b c" || x.c["d"].IsVoter("d") {
+	if x.members("d") != "a b c" || x.cores["d"].IsVoter("d") {
 		t.Fatalf("what a learner holds: %s", x.members("d"))
 	}
-	x.put("a", "one")
-	x.calm("b", "c")
+	x.propose("a", "one")
+	x.deliverAll("b", "c")
 	x.tick(8, "b", "c")
-	if s := x.c["a"].Status(); s.Applied == s.Last || x.c["d"].lastIndex() == s.Last {
+	if s := x.cores["a"].Status(); s.Applied == s.LastIndex || x.cores["d"].lastIndex() == s.LastIndex {
 		t.Fatalf("a learner made a majority, or was told what isn't agreed on: %+v", s)
 	}
 	x.tick(10)
-	if !x.propose("a", "a b c d") {
+	if !x.proposeMembership("a", "a b c d") {
 		t.Fatal("a caught-up learner isn't taken")
 	}
 	x.tick(10)
-	if !x.propose("a", "a b d") {
+	if !x.proposeMembership("a", "a b d") {
 		t.Fatal("the next change isn't taken")
 	}
 	x.tick(10, "c")
-	x.put("a", "two")
+	x.propose("a", "two")
 	x.tick(10, "b", "c") // a and d are a majority of a b d
-	if s := x.c["a"].Status(); s.Applied != s.Last || x.members("b") != "a b d" {
+	if s := x.cores["a"].Status(); s.Applied != s.LastIndex || x.members("b") != "a b d" {
 		t.Fatalf("%+v, %s", s, x.members("b"))
 	}
 	// c doesn't know that it was removed: it stands, disturbs nobody, and wins nothing.
 	x.tick(60)
-	if !x.c["a"].Status().IsLeader || x.c["c"].Status().IsLeader {
+	if !x.cores["a"].Status().IsLeader || x.cores["c"].Status().IsLeader {
 		t.Fatal("a removed member has disturbed the group")
 	}
-	x.c["a"].AddLearner("c")
+	x.cores["a"].AddLearner("c")
 	x.collect("a")
 	x.tick(10)
 	if x.members("c") != "a b d" {
@@ -173,54 +173,54 @@
 }
 
 // One change at a time, by one member, and none before the owner has committed in its own term.
-func TestWhenMembersMayChange(t *testing.T) {
-	x := newBand(t, "a b c", "d e")
-	if x.propose("a", "a b c d") {
+func TestMembershipChangePreconditions(t *testing.T) {
+	x := newTestGroup(t, "a b c", "d e")
+	if x.proposeMembership("a", "a b c d") {
 		t.Error("one that doesn't own the group changed it")
 	}
-	x.stand("a")
-	for i := 0; i < len(x.mail); {
-		if vote(x.mail[i]) {
+	x.campaign("a")
+	for i := 0; i < len(x.inFlight); {
+		if isVoteMessage(x.inFlight[i]) {
 			x.deliver(i)
 		} else {
 			i++
 		}
 	}
-	if !x.c["a"].Status().IsLeader || x.c["a"].MembershipSettled() || x.propose("a", "a b c d") {
+	if !x.cores["a"].Status().IsLeader || x.cores["a"].CanChangeMembership() || x.proposeMembership("a", "a b c d") {
 		t.Error("members changed before an entry of the owner's own term was committed")
 	}
-	x.calm()
+	x.deliverAll()
 	for _, ms := range []string{"a b c", "a b c d e", "a", "", "a b d e"} {
-		if x.propose("a", ms) {
+		if x.proposeMembership("a", ms) {
 			t.Errorf("from a b c to %q at once", ms)
 		}
 	}
-	if !x.propose("a", "a b c d") || x.propose("a", "a b c d e") {
+	if !x.proposeMembership("a", "a b c d") || x.proposeMembership("a", "a b c d e") {
 		t.Error("one change, then no other before it is committed")
 	}
-	x.calm()
-	if !x.propose("a", "b c d") {
+	x.deliverAll()
+	if !x.proposeMembership("a", "b c d") {
 		t.Error("the owner can't be removed")
 	}
-	x.calm()
-	if s := x.c["a"].Status(); s.IsLeader || x.members("b") != "b c d" {
+	x.deliverAll()
+	if s := x.cores["a"].Status(); s.IsLeader || x.members("b") != "b c d" {
 		t.Errorf("the owner didn't step back once its removal was agreed on: %+v", s)
 	}
 	x.tick(60)
-	if x.c["a"].Status().IsLeader || x.c["a"].Status().Leader == "" && x.c["b"].Status().Leader == "" {
-		t.Errorf("%+v", x.c["b"].Status())
+	if x.cores["a"].Status().IsLeader || x.cores["a"].Status().Leader == "" && x.cores["b"].Status().Leader == "" {
+		t.Errorf("%+v", x.cores["b"].Status())
 	}
 }
 
 // A membership that was in a log and is cut off again holds no more; a slot and a new start keep
 // the one that was applied.
-func TestMembershipGoesWithTheLog(t *testing.T) {
-	x := newBand(t, "a b c", "d")
-	x.stand("a")
-	x.calm()
-	x.propose("a", "a b c d")
-	for i := 0; i < len(x.mail); {
-		if x.mail[i].To == "b" {
+func TestMembershipFollowsTruncationAndCompaction(t *testing.T) {
+	x := newTestGroup(t, "a b c", "d")
+	x.campaign("a")
+	x.deliverAll()
+	x.proposeMembership("a", "a b c d")
+	for i := 0; i < len(x.inFlight); {
+		if x.inFlight[i].To == "b" {
 			x.deliver(i)
 		} else {
 			i++
@@ -230,57 +230,57 @@
 		t.Fatal(x.members("a"), x.members("b"), x.members("c"))
 	}
 	// c goes on without them in a later term, as if b had never heard of it.
-	x.mail = nil
-	b := x.c["b"]
+	x.inFlight = nil
+	b := x.cores["b"]
 	b.Step(&wire.Message{From: "c", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 9, Index: 1, LogTerm: 1, Entries: []*wire.Entry{{Index: 2, Term: 9, Members: []string{"a", "b", "c"}}}})
 	b.Ready()
 	if x.members("b") != "a b c" {
 		t.Fatalf("a membership outlived its entry: %s", x.members("b"))
 	}
-	x = newBand(t, "a b c", "d")
-	x.stand("a")
-	x.calm()
-	x.propose("a", "a b c d")
-	x.calm()
-	x.put("a", "one")
-	x.calm()
-	x.c["a"].Ready()
-	s, rest := x.c["a"].Compact([]byte("state"))
-	again := New(Config{Self: "a", Group: true, HeartbeatTicks: 2, ElectionTicks: 10, Rand: rand.New(rand.NewPCG(1, 1))}, s, rest)
+	x = newTestGroup(t, "a b c", "d")
+	x.campaign("a")
+	x.deliverAll()
+	x.proposeMembership("a", "a b c d")
+	x.deliverAll()
+	x.propose("a", "one")
+	x.deliverAll()
+	x.cores["a"].Ready()
+	s, rest := x.cores["a"].Compact([]byte("state"))
+	again := New(Config{Self: "a", DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, Rand: rand.New(rand.NewPCG(1, 1))}, s, rest)
 	ms, term, index := again.Members()
 	if fmt.Sprint(ms) != "[a b c d]" || term != 1 || index != 2 || len(rest) != 0 {
 		t.Fatalf("after a slot: %v of %d/%d", ms, term, index)
 	}
 	// A learner that is too far behind is fed the slot.
-	x.c["e"] = coreOf(LearnerSnapshot("e"), 3)
-	x.c["a"].AddLearner("e")
+	x.cores["e"] = newTestCore(LearnerSnapshot("e"), 3)
+	x.cores["a"].AddLearner("e")
 	x.collect("a")
 	x.tick(20)
-	if ms, _, _ := x.c["e"].Members(); fmt.Sprint(ms) != "[a b c d]" || x.c["e"].lastIndex() != x.c["a"].lastIndex() {
+	if ms, _, _ := x.cores["e"].Members(); fmt.Sprint(ms) != "[a b c d]" || x.cores["e"].lastIndex() != x.cores["a"].lastIndex() {
 		t.Fatalf("fed by a slot: %v", ms)
 	}
 }
 
 // A group of one agrees with itself, and grows.
-func TestAGroupOfOne(t *testing.T) {
-	x := newBand(t, "a", "b c")
+func TestSingleMemberGroup(t *testing.T) {
+	x := newTestGroup(t, "a", "b c")
 	x.tick(30)
-	if !x.put("a", "one") || x.c["a"].Status().Applied != x.c["a"].Status().Last {
-		t.Fatalf("%+v", x.c["a"].Status())
+	if !x.propose("a", "one") || x.cores["a"].Status().Applied != x.cores["a"].Status().LastIndex {
+		t.Fatalf("%+v", x.cores["a"].Status())
 	}
-	if _, ok := x.c["a"].RequestRead(); !ok || len(x.c["a"].Ready().ConfirmedReads) != 1 {
+	if _, ok := x.cores["a"].ReadIndex(); !ok || len(x.cores["a"].Ready().ConfirmedReads) != 1 {
 		t.Error("one can't be read from")
 	}
 	for _, ms := range []string{"a b", "a b c"} {
-		x.c["a"].AddLearner(ms[len(ms)-1:])
+		x.cores["a"].AddLearner(ms[len(ms)-1:])
 		x.collect("a")
 		x.tick(10)
-		if !x.propose("a", ms) {
+		if !x.proposeMembership("a", ms) {
 			t.Fatalf("can't become %s", ms)
 		}
 		x.tick(10)
 	}
-	if x.put("a", "two"); x.members("c") != "a b c" || x.c["a"].Status().Applied == x.c["a"].Status().Last {
+	if x.propose("a", "two"); x.members("c") != "a b c" || x.cores["a"].Status().Applied == x.cores["a"].Status().LastIndex {
 		t.Fatal("three agree without each other")
 	}
 }
@@ -288,22 +288,22 @@
 // A member is added, or removed, while another stands under the membership before. Every order of
 // the first letters is tried, and each with one of them lost: a term has one owner, all commit
 // the same, and in the end one membership holds and commands are taken again.
-func TestEveryOrderOfAChangeAndACandidate(t *testing.T) {
+func TestEveryOrderOfMembershipChangeAndElection(t *testing.T) {
 	for _, to := range []string{"a b c d", "a c", "a b"} {
 		all, won := 0, 0
 		for lost := -1; lost < 3; lost++ {
 			ends, orders := map[string]int{}, 0
-			replay := func(path []int) *band {
-				x := newBand(t, "a b c", "d")
-				x.stand("a")
-				x.calm()
-				x.c["a"].AddLearner("d")
+			replay := func(path []int) *testGroup {
+				x := newTestGroup(t, "a b c", "d")
+				x.campaign("a")
+				x.deliverAll()
+				x.cores["a"].AddLearner("d")
 				x.collect("a")
-				x.calm()
-				if !x.propose("a", to) || !x.put("a", "one") {
+				x.deliverAll()
+				if !x.proposeMembership("a", to) || !x.propose("a", "one") {
 					t.Fatal("a doesn't own the group")
 				}
-				x.stand("b")
+				x.campaign("b")
 				for n, i := range path {
 					if n == lost {
 						x.drop(i)
@@ -316,8 +316,8 @@
 			var walk func(path []int)
 			walk = func(path []int) {
 				x := replay(path)
-				if deep := map[string]int{"a b c d": 4, "a c": 6, "a b": 6}[to]; len(path) < deep && len(x.mail) > 0 {
-					for i := range x.mail {
+				if deep := map[string]int{"a b c d": 4, "a c": 6, "a b": 6}[to]; len(path) < deep && len(x.inFlight) > 0 {
+					for i := range x.inFlight {
 						if i < 6 {
 							walk(append(slices.Clone(path), i))
 						}
@@ -325,13 +325,13 @@
 					return
 				}
 				orders++
-				x.calm()
+				x.deliverAll()
 				x.tick(70)
 				done := ""
 				for _, n := range []string{"a", "b", "c", "d"} {
-					if s := x.c[n].Status(); s.IsLeader && x.c[n].MembershipSettled() && x.put(n, "two") {
-						x.calm()
-						if x.c[n].Status().Applied == x.c[n].Status().Last {
+					if s := x.cores[n].Status(); s.IsLeader && x.cores[n].CanChangeMembership() && x.propose(n, "two") {
+						x.deliverAll()
+						if x.cores[n].Status().Applied == x.cores[n].Status().LastIndex {
 							done = x.members(n)
 						}
 					}
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -10,44 +10,44 @@
 	"pebbleloom/internal/wire"
 )
 
-// trio is three cores and the letters between them; persisting is immediate.
-type trio struct {
-	c    map[string]*Core
-	mail []*wire.Message
-	won  map[uint64]string
-	t    testing.TB
+// fixedGroup is three cores and the letters between them; persisting is immediate.
+type fixedGroup struct {
+	cores        map[string]*Core
+	inFlight     []*wire.Message
+	leaderOfTerm map[uint64]string
+	t            testing.TB
 }
 
-func newTrio(t testing.TB) *trio {
-	x := &trio{c: map[string]*Core{}, won: map[uint64]string{}, t: t}
+func newFixedGroup(t testing.TB) *fixedGroup {
+	x := &fixedGroup{cores: map[string]*Core{}, leaderOfTerm: map[uint64]string{}, t: t}
 	for i, n := range []string{"a", "b", "c"} {
 		s := BlankSnapshot(n + "/1")
 		s.HardState.DiskState = wire.DiskState_DISK_FOUNDED
-		x.c[n] = New(Config{Self: n, Members: []string{"a", "b", "c"}, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(1, uint64(i)))}, s, nil)
+		x.cores[n] = New(Config{Self: n, Members: []string{"a", "b", "c"}, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(1, uint64(i)))}, s, nil)
 	}
 	return x
 }
 
 // collect takes what a core wants to send, and watches who owns which term.
-func (x *trio) collect(n string) {
-	c := x.c[n]
-	x.mail = append(x.mail, c.Ready().Messages...)
+func (g *fixedGroup) collect(n string) {
+	c := g.cores[n]
+	g.inFlight = append(g.inFlight, c.Ready().Messages...)
 	if c.role == leader {
-		if o, ok := x.won[c.hardState.Term]; ok && o != n {
-			x.t.Fatalf("term %d is owned by %s and by %s", c.hardState.Term, o, n)
+		if o, ok := g.leaderOfTerm[c.hardState.Term]; ok && o != n {
+			g.t.Fatalf("term %d is owned by %s and by %s", c.hardState.Term, o, n)
 		}
-		x.won[c.hardState.Term] = n
+		g.leaderOfTerm[c.hardState.Term] = n
 	}
 }
 
-func (x *trio) deliver(i int) {
-	l := x.mail[i]
-	x.mail = append(append([]*wire.Message(nil), x.mail[:i]...), x.mail[i+1:]...)
-	x.c[l.To].Step(proto.Clone(l).(*wire.Message))
-	x.collect(l.To)
+func (g *fixedGroup) deliver(i int) {
+	l := g.inFlight[i]
+	g.inFlight = append(append([]*wire.Message(nil), g.inFlight[:i]...), g.inFlight[i+1:]...)
+	g.cores[l.To].Step(proto.Clone(l).(*wire.Message))
+	g.collect(l.To)
 }
 
-func vote(l *wire.Message) bool {
+func isVoteMessage(l *wire.Message) bool {
 	return l.Kind == wire.MessageKind_VOTE_REQUEST || l.Kind == wire.MessageKind_VOTE_RESPONSE
 }
 
@@ -58,15 +58,15 @@
 	for lost := -1; lost < 8; lost++ {
 		orders, wins := 0, map[string]int{}
 		var walk func(path []int)
-		replay := func(path []int) *trio {
-			x := newTrio(t)
-			x.c["a"].campaign(candidate)
+		replay := func(path []int) *fixedGroup {
+			x := newFixedGroup(t)
+			x.cores["a"].campaign(candidate)
 			x.collect("a")
-			x.c["b"].campaign(candidate)
+			x.cores["b"].campaign(candidate)
 			x.collect("b")
 			for n, i := range path {
 				if n == lost {
-					x.mail = append(append([]*wire.Message(nil), x.mail[:i]...), x.mail[i+1:]...)
+					x.inFlight = append(append([]*wire.Message(nil), x.inFlight[:i]...), x.inFlight[i+1:]...)
 					continue
 				}
 				x.deliver(i)
@@ -76,8 +76,8 @@
 		walk = func(path []int) {
 			x := replay(path)
 			more := false
-			for i, l := range x.mail {
-				if vote(l) {
+			for i, l := range x.inFlight {
+				if isVoteMessage(l) {
 					more = true
 					walk(append(append([]int(nil), path...), i))
 				}
@@ -86,10 +86,10 @@
 				return
 			}
 			orders++
-			for n := 0; len(x.mail) > 0 && n < 200; n++ {
+			for n := 0; len(x.inFlight) > 0 && n < 200; n++ {
 				x.deliver(0)
 			}
-			wins[x.won[1]]++
+			wins[x.leaderOfTerm[1]]++
 		}
 		walk(nil)
 		if orders < 300 || wins["a"] == 0 || wins["b"] == 0 {
@@ -107,43 +107,43 @@
 	orders := 0
 	var walk func(path []int)
 	replay := func(path []int) (left int, got map[string][]string) {
-		x := newTrio(t)
-		x.c["a"].campaign(candidate)
+		x := newFixedGroup(t)
+		x.cores["a"].campaign(candidate)
 		x.collect("a")
-		for len(x.mail) > 0 {
+		for len(x.inFlight) > 0 {
 			x.deliver(0)
 		}
 		got = map[string][]string{}
 		see := func(n string) {
-			o := x.c[n].Ready()
-			x.mail = append(x.mail, o.Messages...)
-			for _, e := range o.Committed {
+			o := x.cores[n].Ready()
+			x.inFlight = append(x.inFlight, o.Messages...)
+			for _, e := range o.CommittedEntries {
 				if len(e.Body) > 0 {
 					got[n] = append(got[n], string(e.Body))
 				}
 			}
 		}
 		for _, b := range []string{"one", "two"} {
-			if _, _, ok := x.c["a"].Propose([]byte(b)); !ok {
+			if _, _, ok := x.cores["a"].Propose([]byte(b)); !ok {
 				t.Fatal("a doesn't own the part")
 			}
 		}
 		see("a")
-		x.mail = append(x.mail, x.mail[0]) // one letter comes twice
+		x.inFlight = append(x.inFlight, x.inFlight[0]) // one letter comes twice
 		for _, i := range path {
-			l := x.mail[i]
-			x.mail = append(append([]*wire.Message(nil), x.mail[:i]...), x.mail[i+1:]...)
-			x.c[l.To].Step(proto.Clone(l).(*wire.Message))
+			l := x.inFlight[i]
+			x.inFlight = append(append([]*wire.Message(nil), x.inFlight[:i]...), x.inFlight[i+1:]...)
+			x.cores[l.To].Step(proto.Clone(l).(*wire.Message))
 			see(l.To)
 		}
-		left = len(x.mail)
+		left = len(x.inFlight)
 		for range 4 {
-			x.c["a"].Tick()
+			x.cores["a"].Tick()
 			see("a")
-			for n := 0; len(x.mail) > 0 && n < 200; n++ {
-				l := x.mail[0]
-				x.mail = x.mail[1:]
-				x.c[l.To].Step(l)
+			for n := 0; len(x.inFlight) > 0 && n < 200; n++ {
+				l := x.inFlight[0]
+				x.inFlight = x.inFlight[1:]
+				x.cores[l.To].Step(l)
 				see(l.To)
 			}
 		}
@@ -172,9 +172,9 @@
 
 // An owner's past life has letters under way. What denies them under the new term must not
 // pass for the answer to a question of the new life: a read would be confirmed by it.
-func TestADenialOfThePastConfirmsNoRead(t *testing.T) {
-	x := newTrio(t)
-	b := x.c["b"]
+func TestRejectionOfOldTermConfirmsNoRead(t *testing.T) {
+	x := newFixedGroup(t)
+	b := x.cores["b"]
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_VOTE_REQUEST, Term: 6})
 	b.Ready()
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 5, Probe: 50})
--- a/internal/control/consensus/messages.go
+++ b/internal/control/consensus/messages.go
@@ -6,12 +6,12 @@
 //
 // Example: c.Step(m); drive(c.Ready())
 func (c *Core) Step(l *wire.Message) {
-	if l.To != c.cfg.Self || l.Shard != c.cfg.Shard || l.From == c.cfg.Self || !c.cfg.Group && !c.IsVoter(l.From) {
+	if l.To != c.cfg.Self || l.Shard != c.cfg.Shard || l.From == c.cfg.Self || !c.cfg.DynamicMembership && !c.IsVoter(l.From) {
 		return
 	}
 	switch l.Kind {
 	case wire.MessageKind_STATE_REQUEST:
-		if c.cfg.Group {
+		if c.cfg.DynamicMembership {
 			return // a disk that a group has lost comes back as another member
 		}
 		c.handleStateRequest(l)
@@ -33,8 +33,8 @@
 		return // no vote and no acknowledgement until both others have sent their states
 	}
 	if l.Kind == wire.MessageKind_PRE_VOTE_REQUEST {
-		ok := l.Term > c.hardState.Term && c.upToDate(l) && (c.leader == "" || c.role != leader && c.electionElapsed >= c.cfg.ElectionTicks)
-		if ok && c.cfg.Group && c.role == preCandidate && c.yieldsTo(l) {
+		ok := l.Term > c.hardState.Term && c.isLogUpToDate(l) && (c.leader == "" || c.role != leader && c.electionElapsed >= c.cfg.ElectionTicks)
+		if ok && c.cfg.DynamicMembership && c.role == preCandidate && c.yieldsTo(l) {
 			c.role = follower
 			c.resetElectionTimer()
 		}
@@ -52,7 +52,7 @@
 			}
 		}
 	case wire.MessageKind_VOTE_REQUEST:
-		c.handleVote(l)
+		c.handleVoteRequest(l)
 	case wire.MessageKind_VOTE_RESPONSE:
 		if c.role == candidate && l.Ok && l.Term == c.hardState.Term {
 			if c.votes[l.From] = true; c.hasElectionQuorum() {
@@ -60,13 +60,13 @@
 			}
 		}
 	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST:
-		c.handleAppend(l)
+		c.handleAppendRequest(l)
 	case wire.MessageKind_SNAPSHOT_PIECE_REQUEST:
-		c.handlePiece(l)
+		c.handleChunkRequest(l)
 	case wire.MessageKind_APPEND_RESPONSE:
 		c.handleAppendResponse(l)
 	case wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
-		c.handlePieceResponse(l)
+		c.handleChunkResponse(l)
 	case wire.MessageKind_TRANSFER_LEADERSHIP:
 		if l.Term == c.hardState.Term && l.From == c.leader && c.role == follower && c.IsVoter(c.cfg.Self) {
 			c.campaign(candidate)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (c *Core) upToDate(l *wire.Message) bool {
+func (c *Core) isLogUpToDate(l *wire.Message) bool {
 	t := c.lastTerm()
 	return l.LogTerm > t || l.LogTerm == t && l.Index >= c.lastIndex()
 }
@@ -85,8 +85,8 @@
 	return l.From < c.cfg.Self || l.LogTerm > c.lastTerm() || l.Index > c.lastIndex()
 }
 
-func (c *Core) handleVote(l *wire.Message) {
-	ok := l.Term == c.hardState.Term && (c.hardState.Vote == "" || c.hardState.Vote == l.From) && c.upToDate(l)
+func (c *Core) handleVoteRequest(l *wire.Message) {
+	ok := l.Term == c.hardState.Term && (c.hardState.Vote == "" || c.hardState.Vote == l.From) && c.isLogUpToDate(l)
 	if ok {
 		if c.hardState.Vote == "" {
 			c.saveHardState(c.hardState.Term, l.From)
@@ -96,48 +96,48 @@
 	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: ok, About: l.Incarnation})
 }
 
-// respondToAppend answers a leader: ok says that this member holds the log up to index as it does.
-func (c *Core) respondToAppend(l *wire.Message, ok bool, index, probe uint64) {
+// sendAppendResponse answers a leader: ok says that this member holds the log up to index as it does.
+func (c *Core) sendAppendResponse(l *wire.Message, ok bool, index, probe uint64) {
 	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, About: l.Incarnation, AcceptsPieces: true, SentTick: l.SentTick})
 }
 
-func (c *Core) handleAppend(l *wire.Message) {
+func (c *Core) handleAppendRequest(l *wire.Message) {
 	if l.Term < c.hardState.Term {
 		// A leader of the past: the response's term says so. It may reach a later incarnation of that
 		// leader, whose reads it must not confirm.
-		c.respondToAppend(l, false, c.lastIndex(), 0)
+		c.sendAppendResponse(l, false, c.lastIndex(), 0)
 		return
 	}
 	c.becomeFollower(l.Term, l.From)
 	if l.Kind == wire.MessageKind_SNAPSHOT_REQUEST {
 		c.installSnapshot(l.Snapshot)
-		c.respondToAppend(l, true, l.Snapshot.Index, l.Probe)
+		c.sendAppendResponse(l, true, l.Snapshot.Index, l.Probe)
 		return
 	}
 	prev, prevTerm, entries := l.Index, l.LogTerm, l.Entries
 	if prev < c.snapshot.Index { // its front is compacted here already
 		skip := c.snapshot.Index - prev
 		if skip > uint64(len(entries)) {
-			c.respondToAppend(l, true, c.snapshot.Index, l.Probe)
+			c.sendAppendResponse(l, true, c.snapshot.Index, l.Probe)
 			return
 		}
 		prev, prevTerm, entries = c.snapshot.Index, c.snapshot.Term, entries[skip:]
 	}
 	if term, ok := c.termAt(prev); !ok || term != prevTerm {
-		c.respondToAppend(l, false, min(c.lastIndex(), prev-1), l.Probe)
+		c.sendAppendResponse(l, false, min(c.lastIndex(), prev-1), l.Probe)
 		return
 	}
-	c.storeEntries(entries)
+	c.appendFromLeader(entries)
 	last := prev + uint64(len(entries))
 	c.commit = max(c.commit, min(l.Commit, last))
 	if c.incoming != nil && c.incoming.snapshot.Index <= c.commit {
 		c.incoming = nil // the log has brought what it was to bring
 	}
-	c.respondToAppend(l, true, last, l.Probe)
+	c.sendAppendResponse(l, true, last, l.Probe)
 }
 
-// storeEntries adds a leader's entries to the log; those that differ from them are cut off.
-func (c *Core) storeEntries(entries []*wire.Entry) {
+// appendFromLeader adds a leader's entries to the log; those that differ from them are cut off.
+func (c *Core) appendFromLeader(entries []*wire.Entry) {
 	for _, e := range entries {
 		term, ok := c.termAt(e.Index)
 		if ok && term == e.Term {
--- a/internal/control/consensus/model_encoding_test.go
+++ b/internal/control/consensus/model_encoding_test.go
@@ -208,11 +208,11 @@
 // depend on the order of its messages.
 type fingerprint struct{ high, low uint64 }
 
-func (f fingerprint) plus(g fingerprint) fingerprint {
+func (f fingerprint) add(g fingerprint) fingerprint {
 	return fingerprint{f.high + g.high, f.low + g.low}
 }
 
-func (f fingerprint) minus(g fingerprint) fingerprint {
+func (f fingerprint) subtract(g fingerprint) fingerprint {
 	return fingerprint{f.high - g.high, f.low - g.low}
 }
 
@@ -258,7 +258,7 @@
 // The copy shares nothing that the core changes, the encoding sees every field, and kinds that can't
 // be copied or encoded aren't passed over.
 func TestModelCopiesAndEncodesEveryField(t *testing.T) {
-	c := coreOf(FoundingSnapshot("a", []string{"a", "b", "c"}), 1)
+	c := newTestCore(BootstrapSnapshot("a", []string{"a", "b", "c"}), 1)
 	c.campaign(candidate)
 	before := encodingOf(nil, "core", c)
 	copied := cloneCore(c)
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	question eventKind = 100 + iota // an agent asks all members whether there is anything newer
-	answer                          // one of them vouches that there isn't
+	queryFreshness  eventKind = 100 + iota // an agent asks all members whether there is anything newer
+	attestFreshness                        // one of them vouches that there isn't
 )
 
-// commitment is an entry that a member has committed, and the least term in which one did.
-type commitment struct {
+// committedEntry is an entry that a member has committed, and the least term in which one did.
+type committedEntry struct {
 	entry *wire.Entry
 	term  uint64
 }
 
-// vouch is a member's answer to the agent: its disk holds nothing newer, and this is its membership.
-type vouch struct {
+// attestation is a member's answer to the agent: its disk holds nothing newer, and this is its membership.
+type attestation struct {
 	member      string
 	members     []string
 	term, index uint64
@@ -30,16 +30,16 @@
 
 // history is what an observer has seen that the members may have forgotten.
 type history struct {
-	committed []commitment
-	asked     int // how many changes were committed when the agent asked; 0: it hasn't
-	vouches   []vouch
-	votes     map[string]ballot // the latest of each incarnation
+	committed          []committedEntry
+	committedWhenAsked int // how many changes were committed when the agent asked; 0: it hasn't
+	attestations       []attestation
+	votes              map[string]castVote // the latest of each incarnation
 }
 
-// ballot is a vote that was given, to oneself included.
-type ballot struct {
-	term uint64
-	to   string
+// castVote is a vote that was given, to oneself included.
+type castVote struct {
+	term      uint64
+	candidate string
 }
 
 // bodies are the changes that were committed, one letter each.
@@ -51,34 +51,34 @@
 	return l
 }
 
-type seenKey struct {
+type historyKey struct {
 	history int32
 	step    *stepResult
 }
 
-type seenStep struct {
+type historyResult struct {
 	history int32
 	fault   string
 }
 
-// remember adds what a step committed, and the votes that it gave, to the history.
-func (s *space) remember(id int32, r *stepResult) (now int32, fault string) {
-	key := seenKey{id, r}
-	old, known := s.seen[key]
+// recordStep adds what a step committed, and the votes that it gave, to the history.
+func (s *space) recordStep(id int32, r *stepResult) (now int32, fault string) {
+	key := historyKey{id, r}
+	old, known := s.historyCache[key]
 	if !known {
-		old.history, old.fault = s.extend(id, r)
-		s.seen[key] = old
+		old.history, old.fault = s.extendHistory(id, r)
+		s.historyCache[key] = old
 	}
 	return old.history, old.fault
 }
 
-func (s *space) extend(id int32, r *stepResult) (now int32, fault string) {
+func (s *space) extendHistory(id int32, r *stepResult) (now int32, fault string) {
 	h := s.histories[id].history
 	h.committed = slices.Clip(h.committed)
 	changed, fault := h.addVotes(s, r)
 	for _, e := range r.committed {
 		if e.Index == uint64(len(h.committed))+1 {
-			h.committed = append(h.committed, commitment{e, r.term})
+			h.committed = append(h.committed, committedEntry{e, r.term})
 		}
 	}
 	if len(h.committed) == len(s.histories[id].committed) && !changed {
@@ -92,7 +92,7 @@
 func (h *history) addVotes(s *space, r *stepResult) (changed bool, fault string) {
 	votes := maps.Clone(h.votes)
 	if votes == nil {
-		votes = map[string]ballot{}
+		votes = map[string]castVote{}
 	}
 	for _, id := range r.messages {
 		m := s.messages[id]
@@ -100,12 +100,12 @@
 			continue
 		}
 		was, voted := votes[m.Incarnation]
-		if voted && (was.term > m.Term || was.term == m.Term && was.to != m.votesFor) {
-			fault = fmt.Sprintf("two votes: %s votes for %s in term %d, and has voted for %s in term %d", m.From, m.votesFor, m.Term, was.to, was.term)
+		if voted && (was.term > m.Term || was.term == m.Term && was.candidate != m.votesFor) {
+			fault = fmt.Sprintf("two votes: %s votes for %s in term %d, and has voted for %s in term %d", m.From, m.votesFor, m.Term, was.candidate, was.term)
 		}
-		votes[m.Incarnation] = ballot{m.Term, m.votesFor}
+		votes[m.Incarnation] = castVote{m.Term, m.votesFor}
 	}
-	if n := s.nodes[r.node]; !n.gone {
+	if n := s.nodes[r.node]; !n.wiped {
 		incarnation := n.core.hardState.Incarnation
 		if v, voted := votes[incarnation]; voted && n.disk.term() > v.term {
 			delete(votes, incarnation)
@@ -118,58 +118,58 @@
 	return true, fault
 }
 
-// ask notes that the agent begins to ask, with a plan that is one change older than what is committed.
-func (s *space) ask(id int32) int32 {
+// beginFreshnessQuery notes that the agent begins to ask, with a plan that is one change older than what is committed.
+func (s *space) beginFreshnessQuery(id int32) int32 {
 	h := s.histories[id].history
-	if h.asked > 0 || h.bodies() == "" {
+	if h.committedWhenAsked > 0 || h.bodies() == "" {
 		return id
 	}
-	h.asked = len(h.bodies())
+	h.committedWhenAsked = len(h.bodies())
 	return s.internHistory(h)
 }
 
-// vouchOf notes the answer of a member, where it vouches that its disk holds no newer plan.
-func (s *space) vouchOf(id int32, n nodeEntry) int32 {
+// attest notes the answer of a member, where it vouches that its disk holds no newer plan.
+func (s *space) attest(id int32, n nodeEntry) int32 {
 	h := s.histories[id].history
-	if h.asked == 0 || !n.core.IsVoter(n.name) || n.pending() {
+	if h.committedWhenAsked == 0 || !n.core.IsVoter(n.name) || n.pending() {
 		return id
 	}
 	newest := len(n.app)
-	for _, e := range n.core.Unapplied() {
+	for _, e := range n.core.UnappliedEntries() {
 		newest += len(e.Body)
 	}
-	if newest >= h.asked {
+	if newest >= h.committedWhenAsked {
 		return id
 	}
-	v := vouch{member: n.name}
+	v := attestation{member: n.name}
 	v.members, v.term, v.index = n.core.Members()
-	for _, old := range h.vouches {
+	for _, old := range h.attestations {
 		if old.member == v.member && old.term == v.term && old.index == v.index {
 			return id
 		}
 	}
-	h.vouches = append(slices.Clip(h.vouches), v)
+	h.attestations = append(slices.Clip(h.attestations), v)
 	return s.internHistory(h)
 }
 
-// wrongProof tells whether the answers prove to the agent that its plan was the newest when it asked,
+// checkFreshnessProof tells whether the answers prove to the agent that its plan was the newest when it asked,
 // though it wasn't.
-func (h history) wrongProof() string {
+func (h history) checkFreshnessProof() string {
 	const version, askedAt = 1, time.Second
-	p := agent.NewProof()
-	for _, v := range h.vouches {
+	p := agent.NewFreshnessProof()
+	for _, v := range h.attestations {
 		p.AddResponse(&wire.FollowResponse{Member: v.member, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, NothingNewer: true}, version, askedAt)
 	}
-	if p.At(version) == 0 {
+	if p.FreshUntil(version) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("wrong proof of freshness: %v prove that %d changes are all, %d had been committed before they were asked", h.vouches, h.asked-1, h.asked)
+	return fmt.Sprintf("wrong proof of freshness: %v prove that %d changes are all, %d had been committed before they were asked", h.attestations, h.committedWhenAsked-1, h.committedWhenAsked)
 }
 
 // checkStep holds the invariants against a step of one slot: those that tell of the step itself.
 func (s *space) checkStep(x *state, a action, before int32, r *stepResult) string {
 	slot := int(a.slot)
-	for _, fault := range []string{r.fault, s.agreement(s.histories[x.history].history, r), s.quorumHolds(x, slot, before, r), s.learnerLeads(slot, before, r), s.termFalls(before, r), s.stateFalls(a, before, r), s.termSynced(r)} {
+	for _, fault := range []string{r.fault, s.checkAgreement(s.histories[x.history].history, r), s.checkCommitQuorum(x, slot, before, r), s.checkLeaderIsVoter(slot, before, r), s.checkTermMonotonic(before, r), s.checkAppliedMonotonic(a, before, r), s.checkTermSynced(r)} {
 		if fault != "" {
 			return fault
 		}
@@ -180,7 +180,7 @@
 // checkState holds the invariants against a state.
 func (s *space) checkState(x *state) string {
 	h := s.histories[x.history].history
-	for _, fault := range []string{s.oneLeader(x), s.lostCommit(x, h), s.membershipSteps(x, h), s.appliedState(x, h), h.wrongProof()} {
+	for _, fault := range []string{s.checkElectionSafety(x), s.checkLeaderCompleteness(x, h), s.checkMembershipSteps(x, h), s.checkAppliedState(x, h), h.checkFreshnessProof()} {
 		if fault != "" {
 			return fault
 		}
@@ -188,8 +188,8 @@
 	return ""
 }
 
-// termSynced: whatever a member sends, but for asking whether it could win, is of a term that is on its disk.
-func (s *space) termSynced(r *stepResult) string {
+// checkTermSynced: whatever a member sends, but for asking whether it could win, is of a term that is on its disk.
+func (s *space) checkTermSynced(r *stepResult) string {
 	n := s.nodes[r.node]
 	for _, id := range r.messages {
 		if m := s.messages[id]; m.Kind != wire.MessageKind_PRE_VOTE_REQUEST && m.Term > n.disk.term() {
@@ -199,29 +199,29 @@
 	return ""
 }
 
-// stateFalls: what a member has applied goes back only where it starts again.
-func (s *space) stateFalls(a action, before int32, r *stepResult) string {
+// checkAppliedMonotonic: what a member has applied goes back only where it starts again.
+func (s *space) checkAppliedMonotonic(a action, before int32, r *stepResult) string {
 	was, is := s.nodes[before], s.nodes[r.node]
-	if a.kind == restart || a.kind == wipe || is.gone || is.core.applied >= was.core.applied {
+	if a.kind == restart || a.kind == wipe || is.wiped || is.core.applied >= was.core.applied {
 		return ""
 	}
 	return fmt.Sprintf("old state: %s goes back from entry %d to entry %d", is.name, was.core.applied, is.core.applied)
 }
 
-// termFalls: the term on an incarnation's disk never falls.
-func (s *space) termFalls(before int32, r *stepResult) string {
+// checkTermMonotonic: the term on an incarnation's disk never falls.
+func (s *space) checkTermMonotonic(before int32, r *stepResult) string {
 	was, is := s.nodes[before], s.nodes[r.node]
-	if is.gone || was.core.hardState.Incarnation != is.core.hardState.Incarnation || is.disk.term() >= was.disk.term() {
+	if is.wiped || was.core.hardState.Incarnation != is.core.hardState.Incarnation || is.disk.term() >= was.disk.term() {
 		return ""
 	}
-	if is.core.cfg.Group || was.core.hardState.DiskState == is.core.hardState.DiskState { // of fixed members a blank one is let in
+	if is.core.cfg.DynamicMembership || was.core.hardState.DiskState == is.core.hardState.DiskState { // of fixed members a blank one is let in
 		return fmt.Sprintf("the term on the disk of %s falls from %d to %d", is.name, was.disk.term(), is.disk.term())
 	}
 	return ""
 }
 
-// agreement: no two members commit different entries at one index.
-func (s *space) agreement(h history, r *stepResult) string {
+// checkAgreement: no two members commit different entries at one index.
+func (s *space) checkAgreement(h history, r *stepResult) string {
 	for _, e := range r.committed {
 		if e.Index > uint64(len(h.committed)) {
 			return fmt.Sprintf("lost commit: %s commits entry %d though those before it aren't committed", s.nodes[r.node].name, e.Index)
@@ -233,12 +233,12 @@
 	return ""
 }
 
-// quorumHolds: what a leader commits is on the disks of a majority of the members that its log names.
+// checkCommitQuorum: what a leader commits is on the disks of a majority of the members that its log names.
 // A wiped member may have held it, and of steps that sync together an earlier one may have committed
 // it under other members, so this is told only where there are none.
-func (s *space) quorumHolds(x *state, slot int, before int32, r *stepResult) string {
+func (s *space) checkCommitQuorum(x *state, slot int, before int32, r *stepResult) string {
 	after := s.nodes[r.node]
-	if len(r.committed) == 0 || after.gone || x.used[wipes] > 0 || s.nodes[before].pending() || s.nodes[before].core.role != leader || s.nodes[before].core.applied >= after.core.applied {
+	if len(r.committed) == 0 || after.wiped || x.used[wipes] > 0 || s.nodes[before].pending() || s.nodes[before].core.role != leader || s.nodes[before].core.applied >= after.core.applied {
 		return ""
 	}
 	last := r.committed[len(r.committed)-1]
@@ -257,30 +257,30 @@
 	return fmt.Sprintf("no overlapping majority: %s commits entry %d, which %d of %v hold", slotNames[slot], last.Index, holders, names)
 }
 
-// learnerLeads: whoever becomes leader is a voter by its own log.
-func (s *space) learnerLeads(slot int, before int32, r *stepResult) string {
+// checkLeaderIsVoter: whoever becomes leader is a voter by its own log.
+func (s *space) checkLeaderIsVoter(slot int, before int32, r *stepResult) string {
 	was, is := s.nodes[before], s.nodes[r.node]
-	if is.gone || is.core.role != leader || was.core.role == leader || is.core.IsVoter(is.name) {
+	if is.wiped || is.core.role != leader || was.core.role == leader || is.core.IsVoter(is.name) {
 		return ""
 	}
 	return fmt.Sprintf("learner in the quorum: %s leads and is no member", slotNames[slot])
 }
 
-// oneLeader: a term has one leader, and nobody else ever sent entries in it.
-func (s *space) oneLeader(x *state) string {
+// checkElectionSafety: a term has one leader, and nobody else ever sent entries in it.
+func (s *space) checkElectionSafety(x *state) string {
 	for _, id := range x.nodes {
 		n := s.nodes[id]
-		if n.gone || n.core.role != leader {
+		if n.wiped || n.core.role != leader {
 			continue
 		}
 		term := n.core.hardState.Term
 		for _, other := range x.nodes {
-			if o := s.nodes[other]; !o.gone && o.name != n.name && o.core.role == leader && o.core.hardState.Term == term {
+			if o := s.nodes[other]; !o.wiped && o.name != n.name && o.core.role == leader && o.core.hardState.Term == term {
 				return fmt.Sprintf("two leaders of term %d: %s and %s", term, n.name, o.name)
 			}
 		}
-		for _, sent := range x.net {
-			if m := s.messages[sent]; m.leads && m.Term == term && m.From != n.name {
+		for _, sent := range x.inFlight {
+			if m := s.messages[sent]; m.fromLeader && m.Term == term && m.From != n.name {
 				return fmt.Sprintf("two leaders of term %d: %s, and %s was", term, n.name, m.From)
 			}
 		}
@@ -288,11 +288,11 @@
 	return ""
 }
 
-// lostCommit: every leader of a later term has what was committed.
-func (s *space) lostCommit(x *state, h history) string {
+// checkLeaderCompleteness: every leader of a later term has what was committed.
+func (s *space) checkLeaderCompleteness(x *state, h history) string {
 	for _, id := range x.nodes {
 		n := s.nodes[id]
-		if n.gone || n.core.role != leader {
+		if n.wiped || n.core.role != leader {
 			continue
 		}
 		for _, c := range h.committed {
@@ -307,11 +307,11 @@
 	return ""
 }
 
-// membershipSteps: in no leader's log do members change by more than one, or twice beyond what is committed.
-func (s *space) membershipSteps(x *state, h history) string {
+// checkMembershipSteps: in no leader's log do members change by more than one, or twice beyond what is committed.
+func (s *space) checkMembershipSteps(x *state, h history) string {
 	for _, id := range x.nodes {
 		n := s.nodes[id]
-		if n.gone || n.core.role != leader || s.fixed {
+		if n.wiped || n.core.role != leader || s.fixed {
 			continue
 		}
 		now, open := n.core.snapshot.Members, 0
@@ -347,11 +347,11 @@
 	return n
 }
 
-// appliedState: what a member has applied is what was committed up to there.
-func (s *space) appliedState(x *state, h history) string {
+// checkAppliedState: what a member has applied is what was committed up to there.
+func (s *space) checkAppliedState(x *state, h history) string {
 	for _, id := range x.nodes {
 		n := s.nodes[id]
-		if n.gone || n.core.ready.Install != nil { // or the driver hasn't loaded the snapshot yet
+		if n.wiped || n.core.ready.Snapshot != nil { // or the driver hasn't loaded the snapshot yet
 			continue
 		}
 		if n.core.applied > uint64(len(h.committed)) {
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -7,8 +7,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// settledTicks is how old every core of the model is: past its start, with a leader's word just heard.
-const settledTicks = 1000
+// steadyTicks is how old every core of the model is: past its start, with a leader's word just heard.
+const steadyTicks = 1000
 
 // modelRand replaces a core's randomness, which only sets timers that the model abstracts from.
 type modelRand struct{}
@@ -24,7 +24,7 @@
 // node is one member: its disk, its core, the state that it has applied, and the reads it was asked.
 type node struct {
 	name  string
-	gone  bool // wiped and never started again under this name
+	wiped bool // wiped and never started again under this name
 	disk  disk
 	core  *Core
 	app   string           // the bodies it has applied, one letter each
@@ -61,9 +61,9 @@
 
 // event is what happens at a node. Equal events at equal nodes have equal results.
 type event struct {
-	kind eventKind
-	arg  int32 // deliver: the message; members: the index of the name; propose: the body; reads: what was committed
-	hold bool  // the driver doesn't persist and send yet
+	kind       eventKind
+	arg        int32 // deliver: the message; members: the index of the name; propose: the body; reads: what was committed
+	delayFlush bool  // the driver doesn't persist and send yet
 }
 
 // outcome is what an event makes of a node.
@@ -86,16 +86,16 @@
 // normalize sets the clocks of a core to one value: time is an event of its own in the model.
 func (n *node) normalize() {
 	c := n.core
-	c.ticks, c.leaderHeardAt = settledTicks, settledTicks
+	c.ticks, c.lastLeaderContact = steadyTicks, steadyTicks
 	c.electionElapsed, c.electionTimeout = 0, c.cfg.ElectionTicks
-	c.heartbeatElapsed, c.learnerRounds = 0, 0
+	c.heartbeatElapsed, c.learnerHeartbeatCount = 0, 0
 	for _, p := range c.peers {
-		p.sinceHeard, p.contactAge, p.snapshotSentAt, p.bulkUntil = 0, 0, 0, 0
+		p.ticksSinceResponse, p.contactAge, p.snapshotSentAt, p.batchRetryAt = 0, 0, 0, 0
 		if p.transfer == nil {
 			p.inFlight = false // it only keeps a leader from sending what it may send at the next heartbeat
 			continue
 		}
-		p.transfer.sentAt, p.transfer.resendAt = settledTicks, settledTicks
+		p.transfer.sentAt, p.transfer.retryAt = steadyTicks, steadyTicks
 	}
 }
 
@@ -110,7 +110,7 @@
 }
 
 func (n *node) encoding(names renaming) string {
-	if n.gone {
+	if n.wiped {
 		return encodingOf(names, "gone", n.name)
 	}
 	return encodingOf(names, "node", n.core, n.disk, n.app, n.reads)
@@ -139,7 +139,7 @@
 
 // step makes an event happen at a copy of the node; nil where it can't happen there.
 func (n *node) step(e event, m *wire.Message, names []string) *outcome {
-	if n.gone {
+	if n.wiped {
 		return nil
 	}
 	after := n.clone()
@@ -158,19 +158,19 @@
 		}
 		after.core.Step(m)
 	default:
-		if !after.act(e, names) {
+		if !after.applyLocalEvent(e, names) {
 			return nil
 		}
 	}
-	if e.hold {
+	if e.delayFlush {
 		after.normalize()
 		return &outcome{node: after}
 	}
 	return after.flush()
 }
 
-// act is a step of the core that no message brings about; false where the core refuses it.
-func (n *node) act(e event, names []string) bool {
+// applyLocalEvent is a step of the core that no message brings about; false where the core refuses it.
+func (n *node) applyLocalEvent(e event, names []string) bool {
 	c := n.core
 	switch e.kind {
 	case electionTimeout:
@@ -185,7 +185,7 @@
 		c.electionTimeout = 1
 		c.Tick()
 	case heartbeat:
-		c.heartbeatElapsed, c.learnerRounds = c.cfg.HeartbeatTicks-1, learnerHeartbeats-1
+		c.heartbeatElapsed, c.learnerHeartbeatCount = c.cfg.HeartbeatTicks-1, learnerHeartbeats-1
 		if c.hardState.DiskState == wire.DiskState_DISK_BLANK {
 			c.heartbeatElapsed = 0 // it asks for the others' states
 		} else if c.role != leader {
@@ -197,7 +197,7 @@
 			return false
 		}
 		for _, p := range c.peers {
-			p.sinceHeard = 2 * c.cfg.ElectionTicks
+			p.ticksSinceResponse = 2 * c.cfg.ElectionTicks
 		}
 		c.Tick()
 	case propose:
@@ -219,12 +219,12 @@
 	case transfer:
 		for m, p := range c.peers {
 			if m != names[e.arg] {
-				p.sinceHeard = c.cfg.ElectionTicks
+				p.ticksSinceResponse = c.cfg.ElectionTicks
 			}
 		}
 		return c.TransferLeadership()
 	case requestRead:
-		id, ok := c.RequestRead()
+		id, ok := c.ReadIndex()
 		if ok {
 			n.reads[id] = uint8(e.arg)
 		}
@@ -236,13 +236,13 @@
 // flush does what the driver does after a step: persist, send, apply.
 func (n *node) flush() *outcome {
 	ready := n.core.Ready()
-	if ready.Install != nil {
-		n.disk = disk{snapshot: ready.Install}
-		n.app = string(ready.Install.State)
+	if ready.Snapshot != nil {
+		n.disk = disk{snapshot: ready.Snapshot}
+		n.app = string(ready.Snapshot.State)
 	}
 	n.disk.persist(n.core.cfg, ready.Records)
-	out := &outcome{node: n, messages: ready.Messages, committed: ready.Committed, term: n.core.hardState.Term}
-	for _, e := range ready.Committed {
+	out := &outcome{node: n, messages: ready.Messages, committed: ready.CommittedEntries, term: n.core.hardState.Term}
+	for _, e := range ready.CommittedEntries {
 		n.app += string(e.Body)
 	}
 	for _, id := range ready.ConfirmedReads {
@@ -251,7 +251,7 @@
 		}
 		delete(n.reads, id)
 	}
-	for _, id := range ready.LostReads {
+	for _, id := range ready.AbortedReads {
 		delete(n.reads, id)
 	}
 	n.normalize()
@@ -271,14 +271,14 @@
 // pending tells whether steps were taken that the driver hasn't flushed.
 func (n *node) pending() bool {
 	r := n.core.ready
-	return r.Install != nil || len(r.Records)+len(r.Messages)+len(r.LostReads) > 0 || n.core.commit > n.core.applied
+	return r.Snapshot != nil || len(r.Records)+len(r.Messages)+len(r.AbortedReads) > 0 || n.core.commit > n.core.applied
 }
 
 // loseDisk is a member after its disk was lost. In a group its name is gone for good, and the machine
 // comes back under another; of fixed members it begins blank under a new incarnation.
 func (n *node) loseDisk() *node {
-	if n.core.cfg.Group {
-		return &node{name: n.name, gone: true}
+	if n.core.cfg.DynamicMembership {
+		return &node{name: n.name, wiped: true}
 	}
 	incarnation := n.core.hardState.Incarnation
 	last := len(incarnation) - 1
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -18,7 +18,7 @@
 type report struct {
 	states, transitions, depth int
 	nodes, messages            int // different ones
-	took                       time.Duration
+	elapsed                    time.Duration
 	fault                      string // empty: every invariant holds in every state
 	trace                      []string
 	limited                    bool // it was cut off before all states were visited
@@ -26,7 +26,7 @@
 
 func (r report) String() string {
 	return fmt.Sprintf("%d states, %d transitions, depth %d, %v (%d different members, %d different messages)",
-		r.states, r.transitions, r.depth, r.took.Round(10*time.Millisecond), r.nodes, r.messages)
+		r.states, r.transitions, r.depth, r.elapsed.Round(10*time.Millisecond), r.nodes, r.messages)
 }
 
 // search visits every state within the bounds, breadth first, and stops at the first that breaks an
@@ -34,7 +34,7 @@
 func search(b bounds, limit int) (r report) {
 	begun := time.Now()
 	s := newSpace(b)
-	first := s.start()
+	first := s.initialState()
 	seen := map[fingerprint]struct{}{s.fingerprint(first): {}}
 	path := []pathStep{{from: -1}}
 	level := []*state{first}
@@ -42,7 +42,7 @@
 		var next []*state
 		for _, x := range level {
 			for _, a := range s.actions(x) {
-				y, changed, fault := s.apply(x, a)
+				y, changed, fault := s.applyAction(x, a)
 				if !changed {
 					continue
 				}
@@ -70,12 +70,12 @@
 		level = next
 	}
 	if r.fault == "" {
-		r.fault = s.verifyMeaningless()
+		r.fault = s.verifyNoEffect()
 	}
 	if r.fault == "" {
 		r.fault = s.verifyUnchanged()
 	}
-	r.states, r.nodes, r.messages, r.took = len(path), len(s.nodes), len(s.messages), time.Since(begun)
+	r.states, r.nodes, r.messages, r.elapsed = len(path), len(s.nodes), len(s.messages), time.Since(begun)
 	return r
 }
 
@@ -90,16 +90,16 @@
 func (s *space) describe(a action) string {
 	name := slotNames[a.slot]
 	held := ""
-	if a.hold {
+	if a.delayFlush {
 		held = ", and hasn't synced yet"
 	}
 	switch a.kind {
 	case deliver:
 		m := s.messages[a.arg]
 		return fmt.Sprintf("%s takes from %s: %s%s", name, m.From, describeMessage(m.Message), held)
-	case question:
+	case queryFreshness:
 		return "an agent asks whether there is anything newer"
-	case answer:
+	case attestFreshness:
 		return name + " vouches that its disk holds nothing newer"
 	case addLearner, addMember, removeMember, replaceMember, transfer:
 		return fmt.Sprintf("%s %s %s", name, eventNames[a.kind], slotNames[a.arg])
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -25,12 +25,12 @@
 	compactions
 	reads
 	heartbeats
-	timeouts   // silence of the quorum, noticed by a leader
-	elections  // that members stand for
-	duplicates // messages that are delivered and come again
-	holds      // steps that the driver doesn't flush at once
-	questions
-	answers // to the question for a proof of freshness
+	timeouts       // silence of the quorum, noticed by a leader
+	elections      // that members stand for
+	duplicates     // messages that are delivered and come again
+	delayedFlushes // steps that the driver doesn't flush at once
+	freshnessQueries
+	freshnessAttestations // to the question for a proof of freshness
 	budgets
 )
 
@@ -39,27 +39,27 @@
 
 // bounds limit a search. Every state within them is visited; what isn't bounded here is free.
 type bounds struct {
-	fixed    bool // members that are fixed by configuration, in place of a group
-	disputed bool // begins later: an entry that a proposed in term 1 is on a alone, b was elected for term 2, and a for term 3
-	led      bool // begins with a as the leader of term 1, its first entry committed on all, no message left
-	learner  bool // d exists
-	late     bool // a request may also come when its receiver has left its term behind, and be rejected
-	small    bool // one entry or byte of a snapshot a message, in place of all
-	preVotes bool // elections begin with pre-votes; else any member may stand at any time
-	terms    uint64
-	most     [budgets]uint8
+	fixed         bool // members that are fixed by configuration, in place of a group
+	contested     bool // begins later: an entry that a proposed in term 1 is on a alone, b was elected for term 2, and a for term 3
+	elected       bool // begins with a as the leader of term 1, its first entry committed on all, no message left
+	learner       bool // d exists
+	lateRequests  bool // a request may also come when its receiver has left its term behind, and be rejected
+	smallMessages bool // one entry or byte of a snapshot a message, in place of all
+	preVotes      bool // elections begin with pre-votes; else any member may stand at any time
+	terms         uint64
+	limits        [budgets]uint8
 }
 
 // state is a state of the whole group: its members, every message that was ever sent, and what an
 // observer has to remember of the past. A message may be delivered at any time, again, or never: that
 // is every order, loss, delay, duplicate and cut.
 type state struct {
-	nodes   [slots]int32
-	history int32
-	used    [budgets]uint8
-	net     []int32 // in the order of their numbers
-	netSum  fingerprints
-	number  int32 // in the order of discovery
+	nodes       [slots]int32
+	history     int32
+	used        [budgets]uint8
+	inFlight    []int32 // in the order of their numbers
+	inFlightSum fingerprints
+	number      int32 // in the order of discovery
 }
 
 type nodeEntry struct {
@@ -69,10 +69,10 @@
 
 type messageEntry struct {
 	*wire.Message
-	prints   fingerprints
-	to       int
-	leads    bool   // only a leader of its term sends it
-	votesFor string // whom its sender has voted for, to send it
+	prints     fingerprints
+	to         int
+	fromLeader bool   // only a leader of its term sends it
+	votesFor   string // whom its sender has voted for, to send it
 }
 
 type historyEntry struct {
@@ -83,15 +83,15 @@
 // space holds every part of a state once, and remembers what each event makes of each node.
 type space struct {
 	bounds
-	nodes      []nodeEntry
-	messages   []messageEntry
-	histories  []historyEntry
-	nodeIDs    map[string]int32
-	messageIDs map[string]int32
-	historyIDs map[string]int32
-	steps      map[stepKey]*stepResult
-	seen       map[seenKey]seenStep
-	usedPrints [budgets][256]fingerprint
+	nodes        []nodeEntry
+	messages     []messageEntry
+	histories    []historyEntry
+	nodeIDs      map[string]int32
+	messageIDs   map[string]int32
+	historyIDs   map[string]int32
+	steps        map[stepKey]*stepResult
+	historyCache map[historyKey]historyResult
+	usedPrints   [budgets][256]fingerprint
 }
 
 type stepKey struct {
@@ -106,7 +106,7 @@
 }
 
 func newSpace(b bounds) *space {
-	s := &space{bounds: b, nodeIDs: map[string]int32{}, messageIDs: map[string]int32{}, historyIDs: map[string]int32{}, steps: map[stepKey]*stepResult{}, seen: map[seenKey]seenStep{}}
+	s := &space{bounds: b, nodeIDs: map[string]int32{}, messageIDs: map[string]int32{}, historyIDs: map[string]int32{}, steps: map[stepKey]*stepResult{}, historyCache: map[historyKey]historyResult{}}
 	for i := range s.usedPrints {
 		for n := range s.usedPrints[i] {
 			s.usedPrints[i][n] = hashOf([]byte{byte(i), byte(n)})
@@ -138,7 +138,7 @@
 	entry := messageEntry{Message: m, prints: fingerprintsOf(encode), to: slices.Index(slotNames[:], m.To)}
 	switch m.Kind {
 	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST, wire.MessageKind_TRANSFER_LEADERSHIP:
-		entry.leads = true
+		entry.fromLeader = true
 	case wire.MessageKind_VOTE_REQUEST:
 		entry.votesFor = m.From
 	case wire.MessageKind_VOTE_RESPONSE:
@@ -193,14 +193,14 @@
 func (s *space) fingerprint(x *state) fingerprint {
 	var used fingerprint
 	for i, n := range x.used {
-		used = used.plus(s.usedPrints[i][n])
+		used = used.add(s.usedPrints[i][n])
 	}
 	var least fingerprint
 	for i := range founderRenamings {
-		sum := used.plus(x.netSum[i]).plus(s.histories[x.history].prints[i])
+		sum := used.add(x.inFlightSum[i]).add(s.histories[x.history].prints[i])
 		for slot, id := range x.nodes {
 			if slot < 3 || s.learner {
-				sum = sum.plus(s.nodes[id].prints[i])
+				sum = sum.add(s.nodes[id].prints[i])
 			}
 		}
 		if i == 0 || sum.less(least) {
@@ -213,57 +213,57 @@
 	return least
 }
 
-// send adds messages to those that were sent, and forgets those to a slot that mean nothing there any more.
+// updateInFlight adds messages to those that were sent, and forgets those to a slot that mean nothing there any more.
 // One that was delivered for the last time is forgotten, too.
-func (s *space) send(x *state, a action, sent []int32) {
+func (s *space) updateInFlight(x *state, a action, sent []int32) {
 	slot := int(a.slot)
-	kept := make([]int32, 0, len(x.net)+len(sent))
-	for _, id := range x.net {
-		if id == a.arg && a.kind == deliver && !a.stays || s.messages[id].to == slot && s.forgotten(x.nodes[slot], id) {
-			s.sum(x, id, fingerprint.minus)
+	kept := make([]int32, 0, len(x.inFlight)+len(sent))
+	for _, id := range x.inFlight {
+		if id == a.arg && a.kind == deliver && !a.duplicated || s.messages[id].to == slot && s.isDropped(x.nodes[slot], id) {
+			s.updateInFlightSum(x, id, fingerprint.subtract)
 		} else {
 			kept = append(kept, id)
 		}
 	}
 	for _, id := range sent {
 		at, known := slices.BinarySearch(kept, id)
-		if known || s.forgotten(x.nodes[s.messages[id].to], id) {
+		if known || s.isDropped(x.nodes[s.messages[id].to], id) {
 			continue
 		}
 		kept = slices.Insert(kept, at, id)
-		s.sum(x, id, fingerprint.plus)
+		s.updateInFlightSum(x, id, fingerprint.add)
 	}
-	if !slices.Equal(kept, x.net) {
-		x.net = kept
+	if !slices.Equal(kept, x.inFlight) {
+		x.inFlight = kept
 	}
 }
 
-func (s *space) sum(x *state, id int32, with func(a, b fingerprint) fingerprint) {
-	for i := range x.netSum {
-		x.netSum[i] = with(x.netSum[i], s.messages[id].prints[i])
+func (s *space) updateInFlightSum(x *state, id int32, with func(a, b fingerprint) fingerprint) {
+	for i := range x.inFlightSum {
+		x.inFlightSum[i] = with(x.inFlightSum[i], s.messages[id].prints[i])
 	}
 }
 
-// forgotten tells whether a message is delivered no more: it means nothing any more, or it is a late
+// isDropped tells whether a message is delivered no more: it means nothing any more, or it is a late
 // request where the bounds don't let one through.
-func (s *space) forgotten(node, id int32) bool {
+func (s *space) isDropped(node, id int32) bool {
 	n, m := s.nodes[node], s.messages[id]
-	if s.meaningless(node, id) {
+	if s.hasNoEffect(node, id) {
 		return true
 	}
 	switch m.Kind {
 	case wire.MessageKind_VOTE_REQUEST, wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST:
-		return !s.late && m.Term < n.core.hardState.Term
+		return !s.lateRequests && m.Term < n.core.hardState.Term
 	}
 	return false
 }
 
-// meaningless tells whether a message changes nothing at a member, now and at any later time: it is
+// hasNoEffect tells whether a message changes nothing at a member, now and at any later time: it is
 // gone, or the answer belongs to a term or an incarnation that it has left behind, or to a candidacy
-// or leadership of this term that it has given up. verifyMeaningless holds the core to it.
-func (s *space) meaningless(node, id int32) bool {
+// or leadership of this term that it has given up. verifyNoEffect holds the core to it.
+func (s *space) hasNoEffect(node, id int32) bool {
 	n, m := s.nodes[node], s.messages[id]
-	if n.gone {
+	if n.wiped {
 		return true
 	}
 	term := n.core.hardState.Term
@@ -280,12 +280,12 @@
 	return false
 }
 
-// verifyMeaningless delivers to every member that was met every message that was forgotten on its way there.
-func (s *space) verifyMeaningless() string {
+// verifyNoEffect delivers to every member that was met every message that was forgotten on its way there.
+func (s *space) verifyNoEffect() string {
 	for node := range s.nodes {
 		for id := range s.messages {
 			n, m := s.nodes[node], s.messages[id]
-			if n.gone || m.To != n.name || !s.meaningless(int32(node), int32(id)) {
+			if n.wiped || m.To != n.name || !s.hasNoEffect(int32(node), int32(id)) {
 				continue
 			}
 			if r := s.step(int32(node), event{kind: deliver, arg: int32(id)}); r.node != int32(node) && !n.pending() || len(r.messages) > 0 && !n.pending() {
--- a/internal/control/consensus/prevote_test.go
+++ b/internal/control/consensus/prevote_test.go
@@ -10,10 +10,10 @@
 // A member that comes back from a cut asks whether it could win: who hears a leader says no, however
 // long the asker's log is, and says yes once it has heard none for an election span. The leader itself
 // says no. Asking changes no term.
-func TestWhoHearsALeaderSaysNo(t *testing.T) {
+func TestPreVoteIsRejectedWhileLeaderIsKnown(t *testing.T) {
 	members := []string{"a/0", "b/0", "c/0"}
-	cfg := Config{Self: "b/0", Group: true, HeartbeatTicks: 3, ElectionTicks: 9, MaxBatchBytes: 1 << 10, Rand: rand.New(rand.NewPCG(1, 1))}
-	c := New(cfg, FoundingSnapshot("b/0", members), nil)
+	cfg := Config{Self: "b/0", DynamicMembership: true, HeartbeatTicks: 3, ElectionTicks: 9, MaxBatchBytes: 1 << 10, Rand: rand.New(rand.NewPCG(1, 1))}
+	c := New(cfg, BootstrapSnapshot("b/0", members), nil)
 	ask := &wire.Message{To: "b/0", From: "c/0", Incarnation: "c/0", Kind: wire.MessageKind_PRE_VOTE_REQUEST, Term: 9, Index: 99, LogTerm: 8}
 	answer := func() *wire.Message {
 		c.Ready()
--- a/internal/control/consensus/second_loss_test.go
+++ b/internal/control/consensus/second_loss_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// peer is how the leader sees one peer.
-func (x *band) peer(leader, name string) PeerStatus {
-	for _, p := range x.c[leader].PeerStatuses() {
+// peerStatus is how the leader sees one peer.
+func (g *testGroup) peerStatus(leader, name string) PeerStatus {
+	for _, p := range g.cores[leader].PeerStatuses() {
 		if p.Name == name {
 			return p
 		}
@@ -19,87 +19,87 @@
 
 // A learner is caught up only when what it lacks comes with one message: neither a snapshot nor large
 // entries may be outstanding, however few they are.
-func TestALearnerThatLacksLargeEntriesIsNotCaughtUp(t *testing.T) {
+func TestLearnerLackingLargeEntriesIsNotCaughtUp(t *testing.T) {
 	for _, lacks := range []struct {
 		what     string
 		size     int
 		compact  bool
 		caughtUp bool
 	}{{"two small entries", 10, false, true}, {"two large entries", 1 << 16, false, false}, {"a snapshot", 10, true, false}} {
-		x := newBand(t, "a b c", "d")
-		x.stand("a")
-		x.calm()
-		x.c["a"].AddLearner("d")
+		x := newTestGroup(t, "a b c", "d")
+		x.campaign("a")
+		x.deliverAll()
+		x.cores["a"].AddLearner("d")
 		x.collect("a")
-		x.calm()
+		x.deliverAll()
 		x.tick(6)
-		if p := x.peer("a", "d"); !p.CaughtUp || !p.Answered {
+		if p := x.peerStatus("a", "d"); !p.CaughtUp || !p.Responded {
 			t.Fatalf("%s: the learner holds all there is, and counts as %+v", lacks.what, p)
 		}
 		for range 2 {
-			x.put("a", string(bytes.Repeat([]byte("x"), lacks.size)))
-			x.calm("d")
+			x.propose("a", string(bytes.Repeat([]byte("x"), lacks.size)))
+			x.deliverAll("d")
 		}
-		x.c["a"].Ready()
+		x.cores["a"].Ready()
 		if lacks.compact {
-			x.c["a"].Compact(nil)
+			x.cores["a"].Compact(nil)
 		}
-		if p := x.peer("a", "d"); p.CaughtUp != lacks.caughtUp {
+		if p := x.peerStatus("a", "d"); p.CaughtUp != lacks.caughtUp {
 			t.Errorf("a learner that lacks %s counts as %+v", lacks.what, p)
 		}
 	}
 }
 
 // A learner that has only been named, and never spoke, is told apart from one that is there.
-func TestALearnerThatNeverSpokeHasNotAnswered(t *testing.T) {
-	x := newBand(t, "a b c", "")
-	x.stand("a")
-	x.calm()
-	x.c["a"].AddLearner("d")
+func TestSilentLearnerHasNotResponded(t *testing.T) {
+	x := newTestGroup(t, "a b c", "")
+	x.campaign("a")
+	x.deliverAll()
+	x.cores["a"].AddLearner("d")
 	x.tick(9)
-	if p := x.peer("a", "d"); p.Name != "d" || p.Answered {
+	if p := x.peerStatus("a", "d"); p.Name != "d" || p.Responded {
 		t.Errorf("a learner that never spoke: %+v", p)
 	}
-	if p := x.peer("a", "b"); !p.Answered {
+	if p := x.peerStatus("a", "b"); !p.Responded {
 		t.Errorf("a voter that speaks: %+v", p)
 	}
 }
 
 // A new leader doesn't give a member that is gone its whole time again: the silence before the
 // election counts, up to the time of an election, and one that voted has just spoken.
-func TestANewLeaderKnowsWhoWasSilentBefore(t *testing.T) {
-	x := newBand(t, "a b c", "")
-	x.stand("a")
-	x.calm()
+func TestNewLeaderCountsSilenceBeforeElection(t *testing.T) {
+	x := newTestGroup(t, "a b c", "")
+	x.campaign("a")
+	x.deliverAll()
 	x.tick(20)
-	for n := 0; n < 100 && !x.c["b"].Status().IsLeader && !x.c["c"].Status().IsLeader; n++ {
+	for n := 0; n < 100 && !x.cores["b"].Status().IsLeader && !x.cores["c"].Status().IsLeader; n++ {
 		x.tick(1, "a")
 	}
 	leader, other := "b", "c"
-	if x.c["c"].Status().IsLeader {
+	if x.cores["c"].Status().IsLeader {
 		leader, other = "c", "b"
 	}
-	if p := x.peer(leader, "a"); p.SinceHeard < 9 {
-		t.Errorf("the leader of before has been silent for an election's time, and counts as heard %d ticks ago", p.SinceHeard)
+	if p := x.peerStatus(leader, "a"); p.ContactAge < 9 {
+		t.Errorf("the leader of before has been silent for an election's time, and counts as heard %d ticks ago", p.ContactAge)
 	}
-	if p := x.peer(leader, other); p.SinceHeard > 1 {
-		t.Errorf("the member that voted counts as heard %d ticks ago", p.SinceHeard)
+	if p := x.peerStatus(leader, other); p.ContactAge > 1 {
+		t.Errorf("the member that voted counts as heard %d ticks ago", p.ContactAge)
 	}
 }
 
 // A member that stops is waited for by nobody once each live voter holds what is committed, and not
 // before; a voter that is down is not waited for.
-func TestALeaverWaitsForTheLiveVoters(t *testing.T) {
-	x := newBand(t, "a b c", "")
-	x.stand("a")
-	x.calm()
+func TestReplicatedToLiveVotersIgnoresVotersThatAreDown(t *testing.T) {
+	x := newTestGroup(t, "a b c", "")
+	x.campaign("a")
+	x.deliverAll()
 	x.tick(4)
-	held := func() bool { return x.c["a"].HeldByLivePeers("b", 12) }
+	held := func() bool { return x.cores["a"].ReplicatedToLiveVoters("b", 12) }
 	if !held() {
 		t.Error("all hold everything, and b has to wait")
 	}
-	x.put("a", "x")
-	x.calm("c")
+	x.propose("a", "x")
+	x.deliverAll("c")
 	if held() {
 		t.Error("c lacks what was committed with b's vote, and b may stop")
 	}
@@ -107,24 +107,24 @@
 	if !held() {
 		t.Error("c is down, a holds all, and b has to wait")
 	}
-	if x.c["b"].HeldByLivePeers("c", 12) {
+	if x.cores["b"].ReplicatedToLiveVoters("c", 12) {
 		t.Error("a follower says what the peers hold")
 	}
 }
 
 // Leadership goes to the peer that spoke last, not to the first by name, which may just have failed;
 // and to none that is excluded.
-func TestLeadershipGoesToThePeerThatSpokeLast(t *testing.T) {
-	x := newBand(t, "a b c", "")
-	x.stand("a")
-	x.calm()
+func TestLeadershipIsTransferredToMostRecentContact(t *testing.T) {
+	x := newTestGroup(t, "a b c", "")
+	x.campaign("a")
+	x.deliverAll()
 	x.tick(4)
 	x.tick(4, "b")
 	to := func(excluded string) string {
-		if !x.c["a"].TransferLeadershipExcept(func(m string) bool { return strings.Contains(excluded, m) }) {
+		if !x.cores["a"].TransferLeadershipExcept(func(m string) bool { return strings.Contains(excluded, m) }) {
 			return ""
 		}
-		messages := x.c["a"].Ready().Messages
+		messages := x.cores["a"].Ready().Messages
 		return messages[len(messages)-1].To
 	}
 	if got := fmt.Sprint(to(""), to("c"), to("bc")); got != "cb" {
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -14,68 +14,68 @@
 // incomingSnapshot is what a member holds of a snapshot that it gets in pieces. There is at most one.
 type incomingSnapshot struct {
 	snapshot   *wire.Snapshot // without state
-	total      uint64
+	totalBytes uint64
 	checksum   uint32 // of the whole state
-	state      []byte // its front
+	received   []byte // its front
 	leaderTerm uint64 // of the leader that sent a piece of it last
 }
 
 func (s *incomingSnapshot) matches(l *wire.Message) bool {
 	return s != nil && s.snapshot.Index == l.Snapshot.Index && s.snapshot.Term == l.Snapshot.Term &&
-		s.total == l.Piece.Total && s.checksum == l.Piece.StateChecksum
+		s.totalBytes == l.Piece.Total && s.checksum == l.Piece.StateChecksum
 }
 
-// handlePiece adds a piece to what is held of its snapshot, and installs that once it is whole.
-func (c *Core) handlePiece(l *wire.Message) {
+// handleChunkRequest adds a piece to what is held of its snapshot, and installs that once it is whole.
+func (c *Core) handleChunkRequest(l *wire.Message) {
 	if l.Snapshot == nil || l.Piece == nil || l.Piece.Total > maxSnapshotBytes {
 		return
 	}
 	if l.Term < c.hardState.Term {
-		c.respondToAppend(l, false, c.lastIndex(), 0) // a leader of the past: the response's term says so
+		c.sendAppendResponse(l, false, c.lastIndex(), 0) // a leader of the past: the response's term says so
 		return
 	}
 	c.becomeFollower(l.Term, l.From)
 	if l.Snapshot.Index <= c.commit { // its entries are held: nothing of it is lacking
 		c.incoming = nil
-		c.respondToAppend(l, true, l.Snapshot.Index, l.Probe)
+		c.sendAppendResponse(l, true, l.Snapshot.Index, l.Probe)
 		return
 	}
 	if !c.incoming.matches(l) {
 		if c.incoming != nil && c.incoming.leaderTerm == l.Term && c.incoming.snapshot.Index >= l.Snapshot.Index {
 			return // late, of a transfer that this leader has given up
 		}
-		c.incoming = &incomingSnapshot{snapshot: l.Snapshot, total: l.Piece.Total, checksum: l.Piece.StateChecksum}
+		c.incoming = &incomingSnapshot{snapshot: l.Snapshot, totalBytes: l.Piece.Total, checksum: l.Piece.StateChecksum}
 	}
 	c.incoming.leaderTerm = l.Term
-	c.incoming.add(l.Piece)
-	if c.incoming.whole() && c.installIncoming() {
-		c.respondToAppend(l, true, l.Snapshot.Index, l.Probe)
+	c.incoming.addChunk(l.Piece)
+	if c.incoming.isComplete() && c.installIncoming() {
+		c.sendAppendResponse(l, true, l.Snapshot.Index, l.Probe)
 		return
 	}
 	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: l.Snapshot.Index, LogTerm: l.Snapshot.Term, Probe: l.Probe, About: l.Incarnation, SentTick: l.SentTick,
-		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.state)), Total: l.Piece.Total, StateChecksum: l.Piece.StateChecksum}})
+		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.received)), Total: l.Piece.Total, StateChecksum: l.Piece.StateChecksum}})
 }
 
-// add takes a piece that continues what is held. Any other is a duplicate, or one was lost before it.
-func (s *incomingSnapshot) add(piece *wire.SnapshotPiece) {
-	held := uint64(len(s.state))
-	if piece.Offset != held || held+uint64(len(piece.Data)) > s.total || crc32.Checksum(piece.Data, castagnoli) != piece.Checksum {
+// addChunk takes a piece that continues what is held. Any other is a duplicate, or one was lost before it.
+func (s *incomingSnapshot) addChunk(piece *wire.SnapshotPiece) {
+	held := uint64(len(s.received))
+	if piece.Offset != held || held+uint64(len(piece.Data)) > s.totalBytes || crc32.Checksum(piece.Data, castagnoliTable) != piece.Checksum {
 		return
 	}
-	s.state = append(s.state, piece.Data...)
+	s.received = append(s.received, piece.Data...)
 }
 
-func (s *incomingSnapshot) whole() bool { return uint64(len(s.state)) == s.total }
+func (s *incomingSnapshot) isComplete() bool { return uint64(len(s.received)) == s.totalBytes }
 
 // installIncoming installs a whole snapshot; false if its checksum is wrong: it is gathered anew.
 func (c *Core) installIncoming() bool {
 	s := c.incoming
-	if crc32.Checksum(s.state, castagnoli) != s.checksum {
-		s.state = nil
+	if crc32.Checksum(s.received, castagnoliTable) != s.checksum {
+		s.received = nil
 		return false
 	}
 	whole := proto.Clone(s.snapshot).(*wire.Snapshot)
-	whole.State = s.state
+	whole.State = s.received
 	c.installSnapshot(whole)
 	return true
 }
@@ -90,16 +90,16 @@
 	if t, ok := c.termAt(s.Index); ok && t == s.Term {
 		stay = append(stay, c.entriesFrom(s.Index+1)...)
 	}
-	c.adoptSnapshot(s, stay)
+	c.restoreSnapshot(s, stay)
 }
 
-// adoptSnapshot goes by a snapshot and the entries behind it; the member keeps its own hard state.
-func (c *Core) adoptSnapshot(s *wire.Snapshot, stay []*wire.Entry) {
+// restoreSnapshot goes by a snapshot and the entries behind it; the member keeps its own hard state.
+func (c *Core) restoreSnapshot(s *wire.Snapshot, stay []*wire.Entry) {
 	own := &wire.Snapshot{Format: s.Format, Index: s.Index, Term: s.Term, State: s.State, HardState: c.hardState,
 		Members: s.Members, MembersIndex: s.MembersIndex, MembersTerm: s.MembersTerm}
-	c.snapshot, c.log, c.tail, c.incoming = own, stay, nil, nil
+	c.snapshot, c.log, c.trailing, c.incoming = own, stay, nil, nil
 	c.commit, c.applied = own.Index, own.Index
 	c.reloadMembership()
 	// What this step has persisted so far is in the snapshot's hard state and the log that stays.
-	c.ready.Install, c.ready.Records, c.ready.Committed = own, entryRecords(stay), nil
+	c.ready.Snapshot, c.ready.Records, c.ready.CommittedEntries = own, entryRecords(stay), nil
 }
--- a/internal/control/consensus/snapshot_transfer.go
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -12,41 +12,41 @@
 // is lost, so a slow link carries them within the driver's time for a message.
 //
 // A transfer under way keeps its snapshot when the leader compacts again: a stream of compactions
-// can't start it anew for ever. The leader keeps at most maxOutgoing of such snapshots beside its
+// can't start it anew for ever. The leader keeps at most maxOutgoingSnapshots of such snapshots beside its
 // newest one.
 
 const (
-	firstPieceBytes = 32 << 10
-	leastPieceBytes = 4 << 10
-	maxOutgoing     = 2
-	piecePause      = 2 // heartbeats that a piece may take beside the time of its bytes
+	initialChunkBytes      = 32 << 10
+	minChunkBytes          = 4 << 10
+	maxOutgoingSnapshots   = 2
+	chunkTimeoutHeartbeats = 2 // heartbeats that a piece may take beside the time of its bytes
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // outgoingTransfer is a snapshot on its way to one peer.
 type outgoingTransfer struct {
-	snapshot   *wire.Snapshot // without state
-	state      []byte         // shared by all transfers of it
-	checksum   uint32         // of state
-	offset     uint64         // what the peer holds
-	pieceBytes int
-	sentAt     int // tick in which the piece in flight was sent
-	resendAt   int // tick from which on it counts as lost
+	snapshot    *wire.Snapshot // without state
+	state       []byte         // shared by all transfers of it
+	checksum    uint32         // of state
+	ackedOffset uint64         // what the peer holds
+	chunkBytes  int
+	sentAt      int // tick in which the piece in flight was sent
+	retryAt     int // tick from which on it counts as lost
 }
 
 // beginTransfer asks a peer how much it holds of the snapshot that it is to get.
 func (c *Core) beginTransfer(m string, p *progress) {
 	p.transfer = c.newTransfer()
 	p.inFlight = false
-	c.sendPiece(m, p.transfer, 0)
+	c.sendChunk(m, p.transfer, 0)
 }
 
 // newTransfer is of the newest snapshot; where as many older ones as may be are on their way, of the
 // newest of these.
 func (c *Core) newTransfer() *outgoingTransfer {
 	active := c.activeTransfers()
-	if len(active) >= maxOutgoing {
+	if len(active) >= maxOutgoingSnapshots {
 		c.dropSilentTransfers()
 		active = c.activeTransfers()
 	}
@@ -62,12 +62,12 @@
 	switch {
 	case current != nil:
 		newest = current
-	case len(active) < maxOutgoing:
+	case len(active) < maxOutgoingSnapshots:
 		s := c.snapshot
 		header := &wire.Snapshot{Format: s.Format, Index: s.Index, Term: s.Term, Members: s.Members, MembersIndex: s.MembersIndex, MembersTerm: s.MembersTerm}
-		newest = &outgoingTransfer{snapshot: header, state: s.State, checksum: crc32.Checksum(s.State, castagnoli)}
+		newest = &outgoingTransfer{snapshot: header, state: s.State, checksum: crc32.Checksum(s.State, castagnoliTable)}
 	}
-	return &outgoingTransfer{snapshot: newest.snapshot, state: newest.state, checksum: newest.checksum, pieceBytes: min(firstPieceBytes, c.cfg.MaxBatchBytes)}
+	return &outgoingTransfer{snapshot: newest.snapshot, state: newest.state, checksum: newest.checksum, chunkBytes: min(initialChunkBytes, c.cfg.MaxBatchBytes)}
 }
 
 // activeTransfers returns a transfer of each snapshot that is on its way, by index.
@@ -84,7 +84,7 @@
 // dropSilentTransfers gives up those to peers that are silent; they begin anew once they respond.
 func (c *Core) dropSilentTransfers() {
 	for _, p := range c.peers {
-		if p.transfer != nil && p.sinceHeard >= 2*c.cfg.ElectionTicks {
+		if p.transfer != nil && p.ticksSinceResponse >= 2*c.cfg.ElectionTicks {
 			p.transfer, p.inFlight, p.responded = nil, false, false
 		}
 	}
@@ -95,32 +95,32 @@
 func (c *Core) continueTransfer(m string, p *progress, heartbeat bool) {
 	t := p.transfer
 	switch {
-	case p.inFlight && c.ticks >= t.resendAt:
-		t.pieceBytes = max(t.pieceBytes/2, min(leastPieceBytes, c.cfg.MaxBatchBytes))
-		c.sendNextPiece(m, p)
+	case p.inFlight && c.ticks >= t.retryAt:
+		t.chunkBytes = max(t.chunkBytes/2, min(minChunkBytes, c.cfg.MaxBatchBytes))
+		c.sendNextChunk(m, p)
 	case heartbeat:
-		c.sendPiece(m, t, 0)
+		c.sendChunk(m, t, 0)
 	}
 }
 
-func (c *Core) sendNextPiece(m string, p *progress) {
+func (c *Core) sendNextChunk(m string, p *progress) {
 	t := p.transfer
 	p.inFlight, t.sentAt = true, c.ticks
-	t.resendAt = c.ticks + piecePause*c.cfg.HeartbeatTicks + t.pieceBytes/bulkBytesPerTick
-	c.sendPiece(m, t, t.pieceBytes)
+	t.retryAt = c.ticks + chunkTimeoutHeartbeats*c.cfg.HeartbeatTicks + t.chunkBytes/assumedLinkBytesPerTick
+	c.sendChunk(m, t, t.chunkBytes)
 }
 
-// sendPiece sends up to so many bytes from what the peer holds on; none: a question how much it holds.
-func (c *Core) sendPiece(m string, t *outgoingTransfer, size int) {
-	end := min(t.offset+uint64(size), uint64(len(t.state)))
-	data := t.state[t.offset:end:end]
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.probe, SentTick: c.sentTick(),
-		Piece: &wire.SnapshotPiece{Offset: t.offset, Total: uint64(len(t.state)), Data: data, Checksum: crc32.Checksum(data, castagnoli), StateChecksum: t.checksum}})
+// sendChunk sends up to so many bytes from what the peer holds on; none: a question how much it holds.
+func (c *Core) sendChunk(m string, t *outgoingTransfer, size int) {
+	end := min(t.ackedOffset+uint64(size), uint64(len(t.state)))
+	data := t.state[t.ackedOffset:end:end]
+	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick(),
+		Piece: &wire.SnapshotPiece{Offset: t.ackedOffset, Total: uint64(len(t.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: t.checksum}})
 }
 
-// handlePieceResponse goes on behind what a follower says that it holds.
-func (c *Core) handlePieceResponse(l *wire.Message) {
-	p := c.heardFrom(l)
+// handleChunkResponse goes on behind what a follower says that it holds.
+func (c *Core) handleChunkResponse(l *wire.Message) {
+	p := c.recordResponse(l)
 	if p == nil || p.transfer == nil || l.Piece == nil {
 		return
 	}
@@ -128,12 +128,12 @@
 	if l.Index != t.snapshot.Index || l.LogTerm != t.snapshot.Term || l.Piece.StateChecksum != t.checksum || l.Piece.Offset > uint64(len(t.state)) {
 		return // of another snapshot
 	}
-	if p.inFlight && l.Piece.Offset == t.offset {
+	if p.inFlight && l.Piece.Offset == t.ackedOffset {
 		return // the piece is still on its way
 	}
-	if p.inFlight && l.Piece.Offset > t.offset && c.ticks-t.sentAt <= c.cfg.HeartbeatTicks {
-		t.pieceBytes = min(2*t.pieceBytes, c.cfg.MaxBatchBytes)
+	if p.inFlight && l.Piece.Offset > t.ackedOffset && c.ticks-t.sentAt <= c.cfg.HeartbeatTicks {
+		t.chunkBytes = min(2*t.chunkBytes, c.cfg.MaxBatchBytes)
 	}
-	t.offset = l.Piece.Offset
-	c.sendNextPiece(l.From, p)
+	t.ackedOffset = l.Piece.Offset
+	c.sendNextChunk(l.From, p)
 }
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -35,7 +35,7 @@
 // for long; nobody there is no hot entry at all.
 func TestHotEntriesOfIndexNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := daemon.NewIn(daemon.Environment{Clock: clock.Ticking()}, "controllers", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
+		l := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
 		nodes := map[string]indexNode{
 			"a": {hot: []*wire.Hot{{Key: []byte("x"), Hotness: 3}, {Key: []byte("y"), Hotness: 1}}},
 			"b": {hot: []*wire.Hot{{Key: []byte("x"), Hotness: 5}, {Key: []byte("z"), Hotness: 2}}},
@@ -67,7 +67,7 @@
 				}
 			}
 		}
-		if d := l.Clock.Now() - from; d > 2*bounds().Heal(hotTimeoutRatio) {
+		if d := l.Clock.Now() - from; d > 2*bounds().Heal(hotEntriesTimeoutRatio) {
 			t.Errorf("waited %v for silent nodes", d)
 		}
 		if got := ask(clustermembership.View{}); len(got) != 0 {
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -94,7 +94,7 @@
 }
 
 func newTestSite(t *testing.T, n int) *testSite {
-	s := &testSite{t: t, clock: clock.Ticking(), bounds: bounds(), docs: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
+	s := &testSite{t: t, clock: clock.Synctest(), bounds: bounds(), docs: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
 		since: map[string]time.Duration{}, setAsideAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, dead: map[string]time.Duration{},
 		last: map[string]sentOrder{}, random: rand.New(rand.NewPCG(1, 2)), calls: map[string]int{}, inFlight: map[string]int{}}
 	for i := range n {
@@ -140,7 +140,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := &fleet.Snapshot{Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
-		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, Room: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
+		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
 	for m, v := range s.named {
 		x.Named[m], x.NamedAt[m] = v, s.since[m]
 	}
@@ -154,7 +154,7 @@
 	for _, n := range queue.Keys(s.processes) {
 		x := &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex}
 		if at, ok := s.dead[n]; ok && s.clock.Now()-at > 4*time.Second {
-			x.State = clustermembership.Gone
+			x.State = clustermembership.Dead
 		}
 		v.Nodes = append(v.Nodes, x)
 	}
--- a/internal/control/controllers/workerlist_test.go
+++ b/internal/control/controllers/workerlist_test.go
@@ -34,7 +34,7 @@
 		{"one is gone", []fleet.Worker{b}, true, true, 1},
 		{"one may have slipped between two pages", []fleet.Worker{b}, false, false, 2},
 	} {
-		x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
+		x := NewWorkerList(fleet.WorkerList{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
 		if got := x.Merge(c.list, c.sure); got != c.changed || len(x.Document().Workers) != c.left {
 			t.Errorf("%s: changed %v, %d left", c.name, got, len(x.Document().Workers))
 		}
@@ -42,7 +42,7 @@
 }
 
 func TestGoneAfterTwoReadingsOfManyPages(t *testing.T) {
-	x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
+	x := NewWorkerList(fleet.WorkerList{Workers: []fleet.Worker{worker("1", 1), worker("2", 1)}})
 	if x.Merge([]fleet.Worker{worker("2", 1)}, false) {
 		t.Error("gone at the first")
 	}
@@ -67,7 +67,7 @@
 	}
 	var run func(done []int)
 	run = func(done []int) {
-		x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 1)}})
+		x := NewWorkerList(fleet.WorkerList{Workers: []fleet.Worker{worker("1", 1)}})
 		top := uint64(1)
 		for _, i := range done {
 			before := x.Document()
@@ -92,7 +92,7 @@
 }
 
 func TestNewIncarnationHasItsOwnWeights(t *testing.T) {
-	x := NewWorkerList(fleet.Table{Workers: []fleet.Worker{worker("1", 5)}})
+	x := NewWorkerList(fleet.WorkerList{Workers: []fleet.Worker{worker("1", 5)}})
 	y := worker("1b", 4)
 	y.Addr = worker("1", 5).Addr
 	x.Merge([]fleet.Worker{y}, true)
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -13,27 +13,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// merged is a configuration that was merged and validated before it is proposed.
-type merged struct {
-	base    uint64 // the version it was merged onto
-	body    []byte
-	version uint64 // what the document's version becomes; 0: the next one
-	err     error
+// mergedConfig is a configuration that was merged and validated before it is proposed.
+type mergedConfig struct {
+	baseVersion uint64 // the version it was merged onto
+	body        []byte
+	version     uint64 // what the document's version becomes; 0: the next one
+	err         error
 }
 
-// validatedKey is the document that is merged and validated before it is proposed.
-func (p *shard) validatedKey() string {
+// configKey is the document that is merged and validated before it is proposed.
+func (p *shard) configKey() string {
 	if p.group != nil {
-		return routingconfig.Key
+		return routingconfig.DocumentKey
 	}
-	return controlclient.SetupKey
+	return controlclient.ConfigKey
 }
 
-// merge applies a configuration, whole or partial, to the one in force, and validates the result.
-func (p *shard) merge(old *wire.Document, put *wire.Put, patch bool) *merged {
-	m := &merged{base: old.GetVersion()}
+// mergeConfig applies a configuration, whole or partial, to the one in force, and validates the result.
+func (p *shard) mergeConfig(old *wire.Document, put *wire.Put, patch bool) *mergedConfig {
+	m := &mergedConfig{baseVersion: old.GetVersion()}
 	if p.group != nil {
-		p.mergePlan(m, old, put, patch)
+		p.mergeRoutingConfig(m, old, put, patch)
 		return m
 	}
 	if patch {
@@ -47,12 +47,12 @@
 	return m
 }
 
-// mergeAhead merges and validates a configuration on the caller's goroutine, one at a time: a large
+// mergeBeforeProposal merges and validates a configuration on the caller's goroutine, one at a time: a large
 // one takes long, and the shard's goroutine has heartbeats to send. Nil: there is nothing to merge.
 // The caller calls release once its change is done; not ok: it never began.
-func (p *shard) mergeAhead(ctx context.Context, request *wire.ChangeRequest) (m *merged, release func(), ok bool) {
+func (p *shard) mergeBeforeProposal(ctx context.Context, request *wire.ChangeRequest) (m *mergedConfig, release func(), ok bool) {
 	put := request.Command.GetPut()
-	if put.GetKey() != p.validatedKey() {
+	if put.GetKey() != p.configKey() {
 		return nil, func() {}, true
 	}
 	select {
@@ -65,15 +65,15 @@
 	release = func() { <-p.mergeLock }
 	var old *wire.Document
 	useful := false // else propose answers at once
-	if !p.do(ctx, func() {
-		old = p.state.docs[put.Key]
+	if !p.runOnLoop(ctx, func() {
+		old = p.state.documents[put.Key]
 		useful = p.failure == nil && p.core.Status().IsLeader && (put.AnyVersion || put.IfVersion == old.GetVersion())
 	}) {
 		release()
 		return nil, nil, false
 	}
 	if useful {
-		m = p.merge(old, put, request.Patch)
+		m = p.mergeConfig(old, put, request.Patch)
 	}
 	return m, release, true
 }
@@ -86,28 +86,28 @@
 // has applied all that was acknowledged before: a leader of the past, or one whose log holds the first
 // copy unapplied, would refuse what another leader took.
 func (p *shard) change(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
-	if response := p.confirmLeadership(ctx, request); response != nil {
+	if response := p.confirmBeforeMerge(ctx, request); response != nil {
 		return response
 	}
-	m, release, ok := p.mergeAhead(ctx, request)
+	m, release, ok := p.mergeBeforeProposal(ctx, request)
 	if !ok {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // it never began
 	}
 	defer release()
 	response, committed := p.proposeAndWait(ctx, request, m)
-	if committed || request.Command.GetPut() == nil || !judgedByState(response.Outcome) {
+	if committed || request.Command.GetPut() == nil || !isDecidedByState(response.Outcome) {
 		return response
 	}
-	if response := p.confirmState(ctx, request); response != nil {
+	if response := p.confirmAppliedState(ctx, request); response != nil {
 		return response
 	}
 	response, _ = p.proposeAndWait(ctx, request, m)
 	return response
 }
 
-// judgedByState tells whether an outcome ends a change for good, or says of a dry run what would
+// isDecidedByState tells whether an outcome ends a change for good, or says of a dry run what would
 // come of it: both are judged by the applied state.
-func judgedByState(outcome wire.Outcome) bool {
+func isDecidedByState(outcome wire.Outcome) bool {
 	switch outcome {
 	case wire.OutcomeDone, wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
 		return false
@@ -115,9 +115,9 @@
 	return true
 }
 
-// confirmState returns nil once a quorum has confirmed that this member is the leader and its applied
+// confirmAppliedState returns nil once a quorum has confirmed that this member is the leader and its applied
 // state holds all that was acknowledged before the call; otherwise the answer to a change that never began.
-func (p *shard) confirmState(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
+func (p *shard) confirmAppliedState(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
 	ctx, end := p.confirmContext(ctx, len(request.Command.GetPut().GetBody()))
 	defer end()
 	switch read := p.read(ctx, &wire.ReadRequest{}); read.Outcome {
@@ -130,18 +130,18 @@
 }
 
 // proposeAndWait proposes a command and waits for its outcome; committed tells that it is the log's.
-func (p *shard) proposeAndWait(ctx context.Context, request *wire.ChangeRequest, m *merged) (_ *wire.ChangeResponse, committed bool) {
+func (p *shard) proposeAndWait(ctx context.Context, request *wire.ChangeRequest, m *mergedConfig) (_ *wire.ChangeResponse, committed bool) {
 	// Of these two nothing is read once do has failed: the shard's goroutine may still write them.
-	var pending pendingChange
+	var pending pendingProposal
 	var response *wire.ChangeResponse
-	if !p.do(ctx, func() { pending, response = p.propose(request, m) }) {
+	if !p.runOnLoop(ctx, func() { pending, response = p.propose(request, m) }) {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}, false
 	}
 	if response != nil {
 		return response, false
 	}
 	select {
-	case response = <-pending.answer:
+	case response = <-pending.response:
 		return response, true
 	case <-ctx.Done():
 	case <-p.ctx.Done():
@@ -149,64 +149,64 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}, false
 }
 
-// maxPending is how many changes a leader has under way at once.
-const maxPending = 256
+// maxPendingProposals is how many changes a leader has under way at once.
+const maxPendingProposals = 256
 
 // propose appends a command to the log, where this member is the leader; otherwise, or where it needs
 // no log, it answers at once.
-func (p *shard) propose(request *wire.ChangeRequest, m *merged) (pendingChange, *wire.ChangeResponse) {
+func (p *shard) propose(request *wire.ChangeRequest, m *mergedConfig) (pendingProposal, *wire.ChangeResponse) {
 	status := p.core.Status()
 	if p.failure != nil || !status.IsLeader {
-		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: status.Leader}
+		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: status.Leader}
 	}
 	command := proto.Clone(request.Command).(*wire.Command)
 	if response := p.prepare(command, request, m); response != nil {
-		return pendingChange{}, response
+		return pendingProposal{}, response
 	}
 	body, err := proto.Marshal(command)
 	if err != nil || len(body) > serviceconfig.MaxBytes*2 {
-		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"command can't be written"}}
+		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"command can't be written"}}
 	}
-	if len(p.pending) >= maxPending {
-		return pendingChange{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
+	if len(p.pendingProposals) >= maxPendingProposals {
+		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
 	index, term, _ := p.core.Propose(body) // it is the leader, so it takes it
-	pending := pendingChange{term, make(chan *wire.ChangeResponse, 1)}
-	p.pending[index] = pending
+	pending := pendingProposal{term, make(chan *wire.ChangeResponse, 1)}
+	p.pendingProposals[index] = pending
 	return pending, nil
 }
 
 // prepare checks a command against the applied state, and merges and validates configurations. Nil
 // means: propose it.
-func (p *shard) prepare(command *wire.Command, request *wire.ChangeRequest, m *merged) *wire.ChangeResponse {
+func (p *shard) prepare(command *wire.Command, request *wire.ChangeRequest, m *mergedConfig) *wire.ChangeResponse {
 	if grant := command.GetGrant(); grant != nil {
 		return p.prepareGrant(grant)
 	}
 	if c := command.GetClaims(); c != nil && len(c.List) > 0 && len(c.List) <= 1024 {
-		c.PassedNs, c.KeepNs = uint64(p.passed(p.core.Status().Term)), uint64(p.keepIDs)
+		c.PassedNs, c.KeepNs = uint64(p.elapsedInTerm(p.core.Status().Term)), uint64(p.claimRetention)
 		return nil
 	}
 	put := command.GetPut()
 	if put == nil || put.Key == "" || len(put.Key) > 256 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"no command: give a put or a grant"}}
 	}
-	put.Digest, put.ContentDigest = digestOf(put, request.Patch), contentDigest(put, request.Patch)
-	if response := p.state.repeated(put); response != nil {
+	put.Digest, put.ContentDigest = requestDigest(put, request.Patch), contentDigest(put, request.Patch)
+	if response := p.state.answerRepeated(put); response != nil {
 		return response
 	}
-	old := p.state.docs[put.Key]
+	old := p.state.documents[put.Key]
 	if !put.AnyVersion && put.IfVersion != old.GetVersion() {
-		if put.IfVersion > old.GetVersion() && len(p.core.Unapplied()) > 0 {
+		if put.IfVersion > old.GetVersion() && len(p.core.UnappliedEntries()) > 0 {
 			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // its base, and its first copy, may be under way
 		}
-		return p.state.overtaken(put)
+		return p.state.answerStaleBase(put)
 	}
-	if put.Key == p.validatedKey() {
-		if response := p.prepareConfiguration(put, request, m); response != nil {
+	if put.Key == p.configKey() {
+		if response := p.prepareConfig(put, request, m); response != nil {
 			return response
 		}
 	}
-	if err := p.validate(put); err != nil {
+	if err := p.validateDocument(put); err != nil {
 		return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: old.GetVersion(), Errors: []string{err.Error()}}
 	}
 	if request.DryRun {
@@ -218,30 +218,30 @@
 // prepareGrant decides whether a lease may be granted now.
 func (p *shard) prepareGrant(grant *wire.Grant) *wire.ChangeResponse {
 	// A new leader knows who holds a lease once it has applied what the terms before it granted.
-	if !p.core.AppliedOwnTerm() {
+	if !p.core.HasAppliedCurrentTerm() {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
 	// While a grant may be under way nobody else gets the lease.
 	l := p.state.leases[grant.Lease]
-	if l != nil && l.Holder != grant.Holder && len(p.core.Unapplied()) > 0 {
+	if l != nil && l.Holder != grant.Holder && len(p.core.UnappliedEntries()) > 0 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
-	if !p.state.free(grant, p.clock.Now()) {
+	if !p.state.isGrantable(grant, p.clock.Now()) {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()}
 	}
 	return nil
 }
 
-// prepareConfiguration puts the merged configuration in place of what was sent.
-func (p *shard) prepareConfiguration(put *wire.Put, request *wire.ChangeRequest, m *merged) *wire.ChangeResponse {
-	old := p.state.docs[put.Key]
-	if m == nil || m.base != old.GetVersion() { // it wasn't merged ahead, or another change came between
-		m = p.merge(old, put, request.Patch)
+// prepareConfig puts the merged configuration in place of what was sent.
+func (p *shard) prepareConfig(put *wire.Put, request *wire.ChangeRequest, m *mergedConfig) *wire.ChangeResponse {
+	old := p.state.documents[put.Key]
+	if m == nil || m.baseVersion != old.GetVersion() { // it wasn't merged ahead, or another change came between
+		m = p.mergeConfig(old, put, request.Patch)
 	}
 	if m.err != nil {
 		return &wire.ChangeResponse{Outcome: errs.KindOf(m.err).Name, Version: old.GetVersion(), Errors: []string{m.err.Error()}}
 	}
-	if put.AnyVersion && len(p.core.Unapplied()) > 0 { // it was validated against what another change may replace
+	if put.AnyVersion && len(p.core.UnappliedEntries()) > 0 { // it was validated against what another change may replace
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
 	put.NewVersion = m.version
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// validate checks a calendar entry or a retirement against the others; any other document passes.
-func (p *shard) validate(put *wire.Put) error {
+// validateDocument checks a calendar entry or a retirement against the others; any other document passes.
+func (p *shard) validateDocument(put *wire.Put) error {
 	switch {
 	case strings.HasPrefix(put.Key, "calendar/"):
 		return p.validateCalendarEntry(put)
--- a/internal/control/controlstate/claims.go
+++ b/internal/control/controlstate/claims.go
@@ -7,98 +7,101 @@
 	"pebbleloom/internal/wire"
 )
 
-// claims remembers who claimed which once-only id. Ids are forgotten by age, never by count: a
+// claimTable remembers who claimed which once-only id. Ids are forgotten by age, never by count: a
 // flood can't make an id runnable again whose caller may still repeat it. The age is the shard's
 // own: each leader adds the time that it saw pass, so between leaders it stands still, and ids are
 // kept a little longer. It is in the log, so every member forgets the same.
-type claims struct {
-	by    map[[16]byte]claimHolder
-	order []claimedAt // the oldest first; ids that were given back may still stand in it
-	age   uint64      // of the shard, in nanoseconds
+type claimTable struct {
+	holders map[[16]byte]claimHolder
+	order   []claimOrderEntry // the oldest first; ids that were given back may still stand in it
+	age     uint64            // of the shard, in nanoseconds
 }
 
 // claimHolder is who holds an id, and the shard's age when it was claimed.
-type claimHolder struct{ nonce, at uint64 }
+type claimHolder struct{ nonce, claimedAge uint64 }
 
-// claimedAt is an id's place in the order of age.
-type claimedAt struct {
-	id [16]byte
-	at uint64
+// claimOrderEntry is an id's place in the order of age.
+type claimOrderEntry struct {
+	id         [16]byte
+	claimedAge uint64
 }
 
-func newClaims() claims { return claims{by: map[[16]byte]claimHolder{}} }
+func newClaimTable() claimTable { return claimTable{holders: map[[16]byte]claimHolder{}} }
 
-// pass adds to the shard's age, and forgets what is older than keep.
-func (c *claims) pass(passed, keep uint64) {
+// advanceAge adds to the shard's age, and forgets what is older than keep.
+func (c *claimTable) advanceAge(passed, keep uint64) {
 	c.age += passed
 	n := 0
-	for n < len(c.order) && c.order[n].at+keep <= c.age {
-		if oldest := c.order[n]; c.by[oldest.id].at == oldest.at {
-			delete(c.by, oldest.id)
+	for n < len(c.order) && c.order[n].claimedAge+keep <= c.age {
+		if oldest := c.order[n]; c.holders[oldest.id].claimedAge == oldest.claimedAge {
+			delete(c.holders, oldest.id)
 		}
 		n++
 	}
 	c.order = c.order[n:]
 	if len(c.order) > 2*maxClaims { // places of ids that were given back
-		c.order = slices.DeleteFunc(c.order, func(o claimedAt) bool { held, ok := c.by[o.id]; return !ok || held.at != o.at })
+		c.order = slices.DeleteFunc(c.order, func(o claimOrderEntry) bool {
+			held, ok := c.holders[o.id]
+			return !ok || held.claimedAge != o.claimedAge
+		})
 	}
 }
 
-// take gives an id to the first that claims it; a claim asked for again by the same is
+// claim gives an id to the first that claims it; a claim asked for again by the same is
 // granted again, since its answer may have been lost. Whoever holds an id may give it back.
 // A table full of young ids takes no more: full is true, and nothing was claimed.
-func (c *claims) take(request *wire.Claim) (granted, full bool) {
+func (c *claimTable) claim(request *wire.Claim) (granted, full bool) {
 	if len(request.Id) != 16 {
 		return false, false
 	}
 	id := [16]byte(request.Id)
-	holder, held := c.by[id]
+	holder, held := c.holders[id]
 	switch {
 	case request.Release:
 		if held && holder.nonce == request.Nonce {
-			delete(c.by, id) // its place in the order is passed over when it comes up
+			delete(c.holders, id) // its place in the order is passed over when it comes up
 		}
 		return held && holder.nonce == request.Nonce, false
 	case held:
 		return holder.nonce == request.Nonce, false
-	case len(c.by) >= maxClaims:
+	case len(c.holders) >= maxClaims:
 		return false, true
 	}
-	c.put(id, claimHolder{request.Nonce, c.age})
+	c.insert(id, claimHolder{request.Nonce, c.age})
 	return true, false
 }
 
-func (c *claims) put(id [16]byte, holder claimHolder) {
-	c.by[id] = holder
-	c.order = append(c.order, claimedAt{id, holder.at})
+func (c *claimTable) insert(id [16]byte, holder claimHolder) {
+	c.holders[id] = holder
+	c.order = append(c.order, claimOrderEntry{id, holder.claimedAge})
 }
 
-func (c *claims) save() (all []*wire.Claim) {
+func (c *claimTable) save() (all []*wire.Claim) {
 	for _, o := range c.order {
-		if holder, ok := c.by[o.id]; ok && holder.at == o.at {
-			all = append(all, &wire.Claim{Id: o.id[:], Nonce: holder.nonce, AtNs: holder.at})
+		if holder, ok := c.holders[o.id]; ok && holder.claimedAge == o.claimedAge {
+			all = append(all, &wire.Claim{Id: o.id[:], Nonce: holder.nonce, AtNs: holder.claimedAge})
 		}
 	}
 	return all
 }
 
 // load reads what a snapshot holds. What has no age counts as young: its release knew none.
-func (c *claims) load(all []*wire.Claim, age uint64) {
+func (c *claimTable) load(all []*wire.Claim, age uint64) {
 	c.age = age
 	for _, saved := range all {
 		if len(saved.Id) == 16 {
-			c.put([16]byte(saved.Id), claimHolder{saved.Nonce, saved.AtNs})
+			c.insert([16]byte(saved.Id), claimHolder{saved.Nonce, saved.AtNs})
 		}
 	}
 }
 
-// passed is how long the leader has seen pass since its last claims of this term. Time that is
+// elapsedInTerm is how long the leader has seen pass since its last claims of this term. Time that is
 // lost, with a command or between leaders, only makes the shard seem younger.
-func (p *shard) passed(term uint64) (d time.Duration) {
+func (p *shard) elapsedInTerm(term uint64) (d time.Duration) {
 	now := p.clock.Now()
-	if p.agedTerm == term {
-		d = max(0, now-p.agedAt)
+	if p.ageRecordedTerm == term {
+		d = max(0, now-p.ageRecordedAt)
 	}
-	p.agedTerm, p.agedAt = term, now
+	p.ageRecordedTerm, p.ageRecordedAt = term, now
 	return d
 }
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -16,26 +16,26 @@
 // before any peer hears so; so whoever reads the view sees all that this member has acknowledged
 // to hold, also while its thread waits for the disk.
 type publishedView struct {
-	self      string
-	docs      map[string]*wire.Document
-	packed    map[string]*wire.Document // the same, for those that take them so
-	unapplied map[string]uint64         // what entries that aren't applied yet may bring
-	members   []string
-	term      uint64
-	index     uint64
-	votes     bool // it is a member, and its disk is well
-	leader    string
-	isLeader  bool
-	changed   chan struct{} // closed once there is news
+	self              string
+	documents         map[string]*wire.Document
+	packedDocuments   map[string]*wire.Document // the same, for those that take them so
+	unappliedVersions map[string]uint64         // what entries that aren't applied yet may bring
+	members           []string
+	term              uint64
+	index             uint64
+	isVoter           bool // it is a member, and its disk is well
+	leader            string
+	isLeader          bool
+	changed           chan struct{} // closed once there is news
 }
 
 // viewPublisher holds the newest view.
 type viewPublisher struct {
-	p       atomic.Pointer[publishedView]
-	waiting atomic.Int64 // requests that are held
+	view      atomic.Pointer[publishedView]
+	longPolls atomic.Int64 // requests that are held
 }
 
-func (g *viewPublisher) current() *publishedView { return g.p.Load() }
+func (g *viewPublisher) current() *publishedView { return g.view.Load() }
 
 // publish makes a new view where a step has changed what it shows. It wakes the requests that are
 // held only when there is something to answer.
@@ -44,33 +44,33 @@
 		return
 	}
 	old, s := p.published.current(), p.core.Status()
-	fresh := old == nil || o.Install != nil
+	fresh := old == nil || o.Snapshot != nil
 	isLeader := s.IsLeader && p.failure == nil
-	if !fresh && len(o.Records) == 0 && len(o.Committed) == 0 && old.leader == s.Leader && old.isLeader == isLeader && p.failure == nil {
+	if !fresh && len(o.Records) == 0 && len(o.CommittedEntries) == 0 && old.leader == s.Leader && old.isLeader == isLeader && p.failure == nil {
 		return
 	}
 	if isLeader && (old == nil || !old.isLeader) {
 		p.log.Info("leads the group", "term", s.Term)
 	}
-	g := &publishedView{leader: s.Leader, isLeader: isLeader, unapplied: pendingVersions(p.core.Unapplied())}
+	g := &publishedView{leader: s.Leader, isLeader: isLeader, unappliedVersions: highestVersions(p.core.UnappliedEntries())}
 	g.members, g.term, g.index = p.core.Members()
 	g.self = p.core.Self()
-	g.votes = p.failure == nil && p.core.IsVoter(g.self)
+	g.isVoter = p.failure == nil && p.core.IsVoter(g.self)
 	changed := fresh
-	for _, e := range o.Committed {
+	for _, e := range o.CommittedEntries {
 		changed = changed || len(e.Body) > 0
 	}
 	if changed {
-		g.docs = maps.Clone(p.state.docs)
-		g.packed = packed(g.docs, old)
+		g.documents = maps.Clone(p.state.documents)
+		g.packedDocuments = packDocuments(g.documents, old)
 	} else {
-		g.docs, g.packed = old.docs, old.packed
+		g.documents, g.packedDocuments = old.documents, old.packedDocuments
 	}
 	if old != nil {
 		g.changed = old.changed
-		news := g.term != old.term || g.index != old.index || g.votes != old.votes
-		for k, d := range g.docs {
-			news = news || old.docs[k] != d
+		news := g.term != old.term || g.index != old.index || g.isVoter != old.isVoter
+		for k, d := range g.documents {
+			news = news || old.documents[k] != d
 		}
 		if news {
 			g.changed = make(chan struct{})
@@ -79,11 +79,11 @@
 	} else {
 		g.changed = make(chan struct{})
 	}
-	p.published.p.Store(g)
+	p.published.view.Store(g)
 }
 
-// maxHolds is how many requests are held at once; more are answered without being held.
-const maxHolds = 1024
+// maxLongPolls is how many requests are held at once; more are answered without being held.
+const maxLongPolls = 1024
 
 // Follow answers a long poll over several documents.
 //
@@ -93,8 +93,8 @@
 	if p == nil || p.group == nil {
 		return &wire.FollowResponse{Member: n.process.Place.Name}, nil
 	}
-	over := p.published.waiting.Add(1) > maxHolds
-	defer p.published.waiting.Add(-1)
+	over := p.published.longPolls.Add(1) > maxLongPolls
+	defer p.published.longPolls.Add(-1)
 	hold := time.Duration(min(a.HoldNs, uint64(time.Minute)))
 	end := time.NewTimer(hold)
 	defer end.Stop()
@@ -118,7 +118,7 @@
 }
 
 // followResponse is the answer that this view gives. NothingNewer is the word of a member that has a
-// vote, of its own disk alone: agent.Proof says what a majority of such words proves.
+// vote, of its own disk alone: agent.FreshnessProof says what a majority of such words proves.
 func (g *publishedView) followResponse(a *wire.FollowRequest) *wire.FollowResponse {
 	t := &wire.FollowResponse{Member: g.self, Members: g.members, MembersTerm: g.term, MembersIndex: g.index, Leader: g.leader}
 	have := make(map[string]uint64, len(a.Have))
@@ -126,9 +126,9 @@
 		have[h.Key] = h.Version
 	}
 	known := have[a.Proof]
-	docs := g.docs
+	docs := g.documents
 	if a.Packed {
-		docs = g.packed
+		docs = g.packedDocuments
 	}
 	for _, h := range a.Have {
 		if strings.HasSuffix(h.Key, "/") {
@@ -144,18 +144,18 @@
 			}
 		}
 	}
-	t.NothingNewer = a.Proof != "" && g.votes && g.docs[a.Proof].GetVersion() <= known && g.unapplied[a.Proof] <= known && g.unapplied[""] == 0
+	t.NothingNewer = a.Proof != "" && g.isVoter && g.documents[a.Proof].GetVersion() <= known && g.unappliedVersions[a.Proof] <= known && g.unappliedVersions[""] == 0
 	return t
 }
 
-// packed packs documents; those that the view before held already aren't packed again.
-func packed(docs map[string]*wire.Document, old *publishedView) map[string]*wire.Document {
+// packDocuments packs documents; those that the view before held already aren't packed again.
+func packDocuments(docs map[string]*wire.Document, old *publishedView) map[string]*wire.Document {
 	m := make(map[string]*wire.Document, len(docs))
 	for k, d := range docs {
-		if old != nil && old.docs[k] == d {
-			m[k] = old.packed[k]
+		if old != nil && old.documents[k] == d {
+			m[k] = old.packedDocuments[k]
 		} else {
-			m[k] = fleet.Pack(d)
+			m[k] = fleet.Compress(d)
 		}
 	}
 	return m
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -23,35 +23,35 @@
 
 // A group's time, as ratios of the heal bound and in ticks.
 const (
-	groupTick      = 1.0 / 120
-	retryOpenPart  = 1.0 / 12 // between two tries to open a disk that was bad
-	heartbeatTicks = 3
-	electionTicks  = 9
+	groupTick           = 1.0 / 120
+	reopenIntervalRatio = 1.0 / 12 // between two tries to open a disk that was bad
+	heartbeatTicks      = 3
+	electionTicks       = 9
 )
 
 // group is what a shard has beside, where its membership is agreed data.
 type group struct {
-	codec          backend.Codec
-	cfg            consensus.Config
-	disk           storage.Disk
-	first          func() *wire.Snapshot
-	targetSize     int // members
-	zoneOf         func(addr string) string
-	published      viewPublisher
-	ticks          int
-	retryOpenTicks int
-	leaving        map[string]int // the tick in which a process last said that it is to stop
-	stopping       bool           // this process is to stop
+	codec           backend.Codec
+	consensusConfig consensus.Config
+	disk            storage.Disk
+	initialSnapshot func() *wire.Snapshot
+	targetSize      int // members
+	zoneOf          func(addr string) string
+	published       viewPublisher
+	ticks           int
+	reopenTicks     int
+	leaving         map[string]int // the tick in which a process last said that it is to stop
+	stopping        bool           // this process is to stop
 }
 
 // openGroup makes the one shard of a group. A disk that can't be opened leaves its member out
 // until it can.
 func openGroup(p *shard, g *group) *shard {
-	p.group, g.cfg.Group = g, true
+	p.group, g.consensusConfig.DynamicMembership = g, true
 	g.leaving = map[string]int{}
-	p.core = consensus.New(g.cfg, consensus.LearnerSnapshot(""), nil)
+	p.core = consensus.New(g.consensusConfig, consensus.LearnerSnapshot(""), nil)
 	p.failure = p.reopen()
-	p.publish(consensus.Ready{Install: &wire.Snapshot{}})
+	p.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 	return p
 }
 
@@ -69,45 +69,45 @@
 		}
 	}
 	p.state = newState()
-	l, err := p.load(p.disk, p.first)
+	l, err := p.load(p.disk, p.initialSnapshot)
 	if err != nil {
 		return err
 	}
 	if err := p.store.SaveSnapshot(l.Snapshot, l.Records); err != nil {
 		return errs.Wrap(err, "write what was read anew")
 	}
-	cfg := p.cfg
+	cfg := p.consensusConfig
 	cfg.Self = l.Snapshot.HardState.Incarnation
 	p.core = consensus.New(cfg, l.Snapshot, l.Records)
 	return nil
 }
 
-// retryOpen opens a disk again that was bad; its member goes on as after a restart.
-func (p *shard) retryOpen() {
-	if p.ticks%p.retryOpenTicks != 0 {
+// retryReopen opens a disk again that was bad; its member goes on as after a restart.
+func (p *shard) retryReopen() {
+	if p.ticks%p.reopenTicks != 0 {
 		return
 	}
 	if err := p.reopen(); err != nil {
 		p.log.Debug("the disk is still bad", "error", errs.Text(err))
 		return
 	}
-	for i, w := range p.pending {
-		w.answer <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
-		delete(p.pending, i)
+	for i, w := range p.pendingProposals {
+		w.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
+		delete(p.pendingProposals, i)
 	}
 	p.failure = nil
 	p.log.Info("the disk is well again")
-	p.publish(consensus.Ready{Install: &wire.Snapshot{}})
+	p.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 }
 
-// tick is what a member of a group does at each tick beside the core's own time.
-func (p *shard) tick() {
+// tickGroup is what a member of a group does at each tick beside the core's own time.
+func (p *shard) tickGroup() {
 	if p.group == nil {
 		return
 	}
 	p.ticks++
 	if p.failure != nil {
-		p.retryOpen()
+		p.retryReopen()
 		return
 	}
 	if next := p.nextMembership(); next != nil {
@@ -120,17 +120,17 @@
 
 // nextMembership is the membership that this member is to propose as the leader; nil: none now.
 func (p *shard) nextMembership() []string {
-	if !p.core.MembershipSettled() {
+	if !p.core.CanChangeMembership() {
 		return nil
 	}
 	members, _, _ := p.core.Members()
-	v := membershipView{self: p.core.Self(), members: members, peers: p.core.PeerStatuses(), targetSize: p.targetSize,
+	v := membershipPlanner{self: p.core.Self(), members: members, peers: p.core.PeerStatuses(), targetSize: p.targetSize,
 		zoneOf: p.zoneOf, isLeaving: p.isLeaving}
 	return v.next()
 }
 
-// mergePlan merges a plan, or named items of one, onto the one in force.
-func (p *shard) mergePlan(m *merged, old *wire.Document, u *wire.Put, part bool) {
+// mergeRoutingConfig merges a plan, or named items of one, onto the one in force.
+func (p *shard) mergeRoutingConfig(m *mergedConfig, old *wire.Document, u *wire.Put, part bool) {
 	m.body, m.version, m.err = p.codec.Merge(old.GetBody(), u.Body, part)
 	if m.err != nil && errs.KindOf(m.err) == errs.Inside {
 		m.err = errs.As(m.err, errs.BadInput, "plan")
@@ -145,18 +145,18 @@
 // Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
 func StartGroup(l *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
 	s, own := l.Place.Site, l.Place.AdvertisedAddr()
-	n := &Node{process: l, shards: map[uint32]*shard{}, calls: daemon.NewClients(l)}
-	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.calls.Membership, nil)
-	n.control = controlclient.NewGroup(l.Place.Seeds, n.membership.View, n.calls, l.Place.Bounds)
-	l.OnSettingsChanged(func(p settings.Place) { n.control.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
+	n := &Node{process: l, shards: map[uint32]*shard{}, clients: daemon.NewClients(l)}
+	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.clients.Membership, nil)
+	n.controlClient = controlclient.NewGroupClient(l.Place.Seeds, n.membership.View, n.clients, l.Place.Bounds)
+	l.OnSettingsChanged(func(p settings.Place) { n.controlClient.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
 	n.transport = newTransport(l.Ctx, n)
 	tick := l.Place.Bounds.Heal(groupTick)
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
-	p.keepIDs, p.confirmTime = l.Place.Bounds.Once(1), settings.Of(s.AckMs, waitPart*confirmPart)
-	openGroup(p, &group{codec: codec, disk: disk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.Tolerate + 1, retryOpenTicks: int(retryOpenPart / groupTick),
-		cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
+	p.claimRetention, p.confirmTimeout = l.Place.Bounds.Once(1), settings.Of(s.AckMs, operatorTimeoutRatio*confirmTimeoutRatio)
+	openGroup(p, &group{codec: codec, disk: openDisk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.Tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Place.Name)))},
-		first: func() *wire.Snapshot { return firstSnapshot(s.First, own, l.Place.Seeds, l.Seed) }})
+		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(s.First, own, l.Place.Seeds, l.Seed) }})
 	n.shards[0], n.incarnation = p, p.published.current().self
 	l.Go(func() { p.run(tick) })
 	mux := http.NewServeMux()
@@ -175,12 +175,12 @@
 		}
 	}
 	if l.Place.Operator != "" {
-		if err := operatorapi.ServeSite(l, n.control, n.membership.View, n.calls, codec.Read); err != nil {
+		if err := operatorapi.ServeSite(l, n.controlClient, n.membership.View, n.clients, codec.Read); err != nil {
 			return err
 		}
 	}
-	n.meters()
-	n.groupMeters(p)
+	n.registerMetrics()
+	n.registerGroupMetrics(p)
 	l.Go(func() { n.joinLoop() })
 	l.OnShutdown(n.leave)
 	l.Ready.Store(true)
@@ -190,7 +190,7 @@
 
 // zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
 func (n *Node) zoneOf(addr string) string {
-	for _, x := range n.membership.View().Role("archive") {
+	for _, x := range n.membership.View().WithRole("archive") {
 		if x.Addr == addr {
 			return x.District
 		}
@@ -198,23 +198,23 @@
 	return ""
 }
 
-// firstSnapshot is the first snapshot of an empty disk. At the first start of the whole system the
+// initialGroupSnapshot is the first snapshot of an empty disk. At the first start of the whole system the
 // seeds found the group, each under an incarnation that all know; any other empty disk has lost what
 // it had, or is new, and is taken in by those that hold the log.
-func firstSnapshot(first bool, own string, seeds []string, random func() uint64) *wire.Snapshot {
+func initialGroupSnapshot(first bool, own string, seeds []string, random func() uint64) *wire.Snapshot {
 	if first && slices.Contains(seeds, own) {
 		var ms []string
 		for _, s := range seeds {
 			ms = append(ms, s+"/0")
 		}
-		return consensus.FoundingSnapshot(own+"/0", slices.Compact(slices.Sorted(slices.Values(ms))))
+		return consensus.BootstrapSnapshot(own+"/0", slices.Compact(slices.Sorted(slices.Values(ms))))
 	}
 	return consensus.LearnerSnapshot(fmt.Sprintf("%s/%016x", own, random()))
 }
 
-// pendingVersions adds up what the entries that aren't applied yet may bring: by key the highest
+// highestVersions adds up what the entries that aren't applied yet may bring: by key the highest
 // version, the greatest number where an entry doesn't hold it.
-func pendingVersions(es []*wire.Entry) map[string]uint64 {
+func highestVersions(es []*wire.Entry) map[string]uint64 {
 	var l map[string]uint64
 	for _, e := range es {
 		c := &wire.Command{}
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -25,13 +25,13 @@
 		newest, boots := uint64(0), 0
 		boot := func() {
 			boots, all = boots+1, all+1
-			d.died, d.dieIn = false, -1
-			p = newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
-			p.compactAt = 400
-			openGroup(p, &group{codec: versions{}, disk: d, targetSize: 1, retryOpenTicks: 3, zoneOf: func(string) string { return "" },
-				cfg: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: r},
-				first: func() *wire.Snapshot {
-					return firstSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, r.Uint64)
+			d.crashed, d.writesUntilCrash = false, -1
+			p = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+			p.compactThreshold = 400
+			openGroup(p, &group{codec: versionCodec{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
+				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: r},
+				initialSnapshot: func() *wire.Snapshot {
+					return initialGroupSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, r.Uint64)
 				}})
 		}
 		tick := func(n int) {
@@ -39,11 +39,11 @@
 				if p.failure == nil {
 					p.core.Tick()
 				}
-				p.tick()
-				p.step()
-				if d.died {
+				p.tickGroup()
+				p.handleReady()
+				if d.crashed {
 					if ends++; r.IntN(2) == 0 {
-						d.powerLost()
+						d.losePower()
 					}
 					boot()
 				}
@@ -54,18 +54,18 @@
 		for i := range 60 {
 			switch r.IntN(6) {
 			case 0:
-				d.fail = !d.fail
+				d.failWrites = !d.failWrites
 			case 1:
-				d.dieIn = r.IntN(4)
+				d.writesUntilCrash = r.IntN(4)
 			case 2:
 				if r.IntN(2) == 0 {
-					d.powerLost()
+					d.losePower()
 				}
 				boot()
 			}
 			tick(1 + r.IntN(30))
 			if i%10 == 9 {
-				d.fail = false
+				d.failWrites = false
 				tick(60)
 			}
 			a := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: fmt.Append(nil, i)}}}}
@@ -74,7 +74,7 @@
 			tick(1)
 			if response == nil && incarnation == p {
 				select {
-				case response = <-w.answer:
+				case response = <-w.response:
 				default:
 				}
 			}
@@ -82,10 +82,10 @@
 				acked++
 				newest = response.Version
 			}
-			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.dieIn < 0 && incarnation == p) {
+			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.writesUntilCrash < 0 && incarnation == p) {
 				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, response)
 			}
-			if e := p.state.docs["k"].GetVersion(); p.failure == nil && p.core.AppliedOwnTerm() && e < newest {
+			if e := p.state.documents["k"].GetVersion(); p.failure == nil && p.core.HasAppliedCurrentTerm() && e < newest {
 				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, i, newest, e)
 			}
 		}
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -14,58 +14,58 @@
 	"pebbleloom/internal/wire"
 )
 
-func (g *ground) quiet(i int) { // a machine without power says nothing, nor does it hear
+func (g *testCluster) makeUnreachable(i int) { // a machine without power says nothing, nor does it hear
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dark[g.addr(i)] = true
+	g.unreachable[g.addr(i)] = true
 }
 
-func (g *ground) found(n int) {
+func (g *testCluster) startFounders(n int) {
 	for i := range n {
 		g.start(i+1, true)
 	}
-	g.until("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+	g.waitUntil("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 }
 
 // A thread that waits for its disk keeps no question waiting beyond its time; what it answers
 // meanwhile is what it held before, and a plan goes on without it.
 func TestAStalledDiskHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(3)
-		defer g.down()
-		if _, err := g.nodes[g.addr(1)].PutPlan(ctx, 0, body(1, "x"), false); err != nil {
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(3)
+		defer g.stopAll()
+		if _, err := g.nodes[g.addr(1)].PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
 			t.Fatal(err)
 		}
 		o := g.leader()
 		n, release := g.nodes[g.addr(o)], make(chan struct{})
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.hold = release })
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.stalled = release })
 		at := time.Now()
-		if _, err := n.PutPlan(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
+		if _, err := n.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
 			t.Errorf("a plan put where the disk stalls: %v", err)
 		}
 		if d := time.Since(at); d > 950*time.Millisecond {
 			t.Errorf("the operator waited %v", d)
 		}
 		at = time.Now()
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 1}}, HoldNs: 3e8, Proof: routingconfig.Key})
+		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
 		if d := time.Since(at); d != 300*time.Millisecond || len(x.Documents) > 0 {
 			t.Errorf("after %v: %v", d, x)
 		}
-		g.until("the plan elsewhere", 5*time.Second, func() bool {
+		g.waitUntil("the plan elsewhere", 5*time.Second, func() bool {
 			for i := range 3 {
 				if i+1 != o {
-					if _, err := g.nodes[g.addr(i+1)].PutPlan(ctx, 1, body(2, "x"), false); err == nil {
+					if _, err := g.nodes[g.addr(i+1)].PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil {
 						return true
 					}
 				}
 			}
 			return false
 		})
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.hold = nil })
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.stalled = nil })
 		close(release)
-		g.until("the plan at the one that stalled", 5*time.Second, func() bool {
-			return n.shards[0].published.current().docs[routingconfig.Key].GetVersion() == 2
+		g.waitUntil("the plan at the one that stalled", 5*time.Second, func() bool {
+			return n.shards[0].published.current().documents[routingconfig.DocumentKey].GetVersion() == 2
 		})
 	})
 }
@@ -73,30 +73,30 @@
 // A disk that is full takes its member out, and the member comes back by itself once it isn't.
 func TestAFullDiskComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(3)
-		defer g.down()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(3)
+		defer g.stopAll()
 		o := g.leader()
 		n := g.nodes[g.addr(o)]
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.d.fail = true })
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.disk.failWrites = true })
 		for v := range 3 {
-			g.until("a plan", 6*time.Second, func() bool {
+			g.waitUntil("a plan", 6*time.Second, func() bool {
 				for _, m := range g.nodes {
-					if _, err := m.PutPlan(ctx, uint64(v), body(uint64(v+1), "x"), false); err == nil {
+					if _, err := m.PutRoutingConfig(ctx, uint64(v), body(uint64(v+1), "x"), false); err == nil {
 						return true
 					}
 				}
 				return false
 			})
 		}
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 9}}, HoldNs: 3e8, Proof: routingconfig.Key})
-		if x.NothingNewer || n.shards[0].published.current().votes {
+		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
+		if x.NothingNewer || n.shards[0].published.current().isVoter {
 			t.Errorf("a member that is out vouches: %v", x)
 		}
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.d.fail = false })
-		g.until("the member back", 6*time.Second, func() bool {
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.disk.failWrites = false })
+		g.waitUntil("the member back", 6*time.Second, func() bool {
 			s := n.shards[0].published.current()
-			return s.votes && s.docs[routingconfig.Key].GetVersion() == 3
+			return s.isVoter && s.documents[routingconfig.DocumentKey].GetVersion() == 3
 		})
 	})
 }
@@ -104,20 +104,20 @@
 // Without a majority an operator hears so before it asks elsewhere; reads too.
 func TestWithoutAMajorityNobodyWaitsLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(3)
-		defer g.down()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(3)
+		defer g.stopAll()
 		o := g.leader()
 		for i := range 3 {
 			if i+1 != o {
-				g.quiet(i + 1)
+				g.makeUnreachable(i + 1)
 			}
 		}
 		n := g.nodes[g.addr(o)]
 		for _, f := range []func() error{
-			func() error { _, err := n.PutPlan(ctx, 0, body(1, "x"), false); return err },
-			func() error { _, _, err := n.ReadPlan(ctx); return err },
-			func() error { return n.NameWeights(ctx, "m", 2) },
+			func() error { _, err := n.PutRoutingConfig(ctx, 0, body(1, "x"), false); return err },
+			func() error { _, _, err := n.ReadRoutingConfig(ctx); return err },
+			func() error { return n.SetWeightsVersion(ctx, "m", 2) },
 		} {
 			at := time.Now()
 			if err := f(); err == nil || errs.KindOf(err) != errs.CantSay || time.Since(at) > 950*time.Millisecond {
@@ -132,14 +132,14 @@
 func TestAPlannedEndIsShort(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGround(t)
-			g.found(3)
-			defer g.down()
+			g := newTestCluster(t)
+			g.startFounders(3)
+			defer g.stopAll()
 			o := g.leader()
 			if alone {
 				for i := range 3 {
 					if i+1 != o {
-						g.quiet(i + 1)
+						g.makeUnreachable(i + 1)
 					}
 				}
 			}
@@ -155,10 +155,10 @@
 // Whom the leader adds and removes, case by case.
 func TestWhomTheLeaderAddsAndRemoves(t *testing.T) {
 	in := func(name string, heard int) consensus.PeerStatus {
-		return consensus.PeerStatus{Name: name, IsVoter: true, SinceHeard: heard, CaughtUp: true}
+		return consensus.PeerStatus{Name: name, IsVoter: true, ContactAge: heard, CaughtUp: true}
 	}
 	out := func(name string, heard int, caught bool) consensus.PeerStatus {
-		return consensus.PeerStatus{Name: name, SinceHeard: heard, Answered: true, CaughtUp: caught}
+		return consensus.PeerStatus{Name: name, ContactAge: heard, Responded: true, CaughtUp: caught}
 	}
 	asked := func(name string) consensus.PeerStatus { return consensus.PeerStatus{Name: name} } // and never answered
 	where := map[string]string{"a": "north", "b": "south", "c": "east", "d": "north", "e": "west"}
@@ -195,7 +195,7 @@
 			[]consensus.PeerStatus{in("b/0", 1), in("c/0", 40), in("d/0", 40), out("e/7", 1, true)}, 5, "[a/0 b/0 c/0 d/0 e/7]"},
 		{"the group is alone", abc, nil, 3, "[]"},
 	} {
-		v := membershipView{self: "a/0", members: slices.Clone(x.now), peers: x.sees, targetSize: x.want,
+		v := membershipPlanner{self: "a/0", members: slices.Clone(x.now), peers: x.sees, targetSize: x.want,
 			zoneOf: func(a string) string { return where[a] }, isLeaving: func(string) bool { return false }}
 		if got := fmt.Sprint(v.next()); got != x.next {
 			t.Errorf("%s: %s, want %s", x.name, got, x.next)
@@ -213,7 +213,7 @@
 		self  string
 		ms    string
 	}{{true, "a:1", "a:1/0", "[a:1/0 b:1/0 c:1/0]"}, {true, "d:1", "d:1/0000000000000abc", "[]"}, {false, "a:1", "a:1/0000000000000abc", "[]"}} {
-		s := firstSnapshot(x.first, x.own, seeds, random)
+		s := initialGroupSnapshot(x.first, x.own, seeds, random)
 		if s.HardState.Incarnation != x.self || fmt.Sprint(s.Members) != x.ms || s.HardState.DiskState != wire.DiskState_DISK_FOUNDED {
 			t.Errorf("%+v: %v", x, s)
 		}
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -17,14 +17,14 @@
 func newTestMember(t *testing.T) (*shard, *simDisk) {
 	t.Helper()
 	d := newSimDisk()
-	p := newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
-	first := consensus.FoundingSnapshot("a", []string{"a", "b", "c"})
+	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	first := consensus.BootstrapSnapshot("a", []string{"a", "b", "c"})
 	s := newState()
-	s.put(&wire.Put{Key: "k", Body: []byte("one"), AnyVersion: true})
+	s.applyPut(&wire.Put{Key: "k", Body: []byte("one"), AnyVersion: true})
 	first.State, _ = s.save()
-	openGroup(p, &group{codec: versions{}, disk: d, targetSize: 3, retryOpenTicks: 1, zoneOf: func(string) string { return "" },
-		cfg:   consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: testRand()},
-		first: func() *wire.Snapshot { return first }})
+	openGroup(p, &group{codec: versionCodec{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: testRand()},
+		initialSnapshot: func() *wire.Snapshot { return first }})
 	if p.failure != nil {
 		t.Fatal(p.failure)
 	}
@@ -45,7 +45,7 @@
 	} {
 		p, d := newTestMember(t)
 		p.core.Step(snapshotMessage(s))
-		if p.step(); p.failure == nil {
+		if p.handleReady(); p.failure == nil {
 			t.Errorf("%s: the member goes on", what)
 		}
 		_, l, err := storage.Open(d)
@@ -53,8 +53,8 @@
 			t.Errorf("%s: the disk holds snapshot %d, %v", what, l.Snapshot.GetIndex(), err)
 		}
 		p.ticks = 0
-		if p.tick(); p.failure != nil || p.state.docs["k"].GetVersion() != 1 {
-			t.Errorf("%s: opened again: %v, %v", what, p.failure, p.state.docs["k"])
+		if p.tickGroup(); p.failure != nil || p.state.documents["k"].GetVersion() != 1 {
+			t.Errorf("%s: opened again: %v, %v", what, p.failure, p.state.documents["k"])
 		}
 	}
 }
@@ -63,23 +63,23 @@
 // once, and its place among the pending changes is free again.
 func TestSnapshotAnswersTheChangesItPasses(t *testing.T) {
 	p, _ := newTestMember(t)
-	passed := pendingChange{1, make(chan *wire.ChangeResponse, 1)}
-	p.pending[9] = passed
+	passed := pendingProposal{1, make(chan *wire.ChangeResponse, 1)}
+	p.pendingProposals[9] = passed
 	body, _ := newState().save()
 	p.core.Step(snapshotMessage(&wire.Snapshot{Format: 1, Index: 9, Term: 5, State: body, Members: []string{"a", "b", "c"}}))
-	if p.step(); p.failure != nil {
+	if p.handleReady(); p.failure != nil {
 		t.Fatal(p.failure)
 	}
 	select {
-	case r := <-passed.answer:
+	case r := <-passed.response:
 		if r.Outcome != wire.OutcomeUnknown {
 			t.Errorf("the change that was passed is %s", r.Outcome)
 		}
 	default:
 		t.Error("the change that was passed isn't answered")
 	}
-	if len(p.pending) != 0 {
-		t.Errorf("%d changes are pending", len(p.pending))
+	if len(p.pendingProposals) != 0 {
+		t.Errorf("%d changes are pending", len(p.pendingProposals))
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 	body, _ := newState().save()
 	p.core.Step(snapshotMessage(&wire.Snapshot{Format: 1, Index: 9, Term: 5, State: body, Members: []string{"a", "b", "c"}}))
-	if p.step(); acknowledged != 1 || p.failure != nil {
+	if p.handleReady(); acknowledged != 1 || p.failure != nil {
 		t.Errorf("%d acknowledgements, %v", acknowledged, p.failure)
 	}
 }
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -14,36 +14,36 @@
 // How processes come to a group and leave it: as ratios of the heal bound and of the grace time, and
 // in ticks.
 const (
-	joinPart        = 1.0 / 30       // of the heal bound: between two looks whether to ask to be taken in
-	joinTimeoutPart = 1.0 / 30       // of the heal bound: the longest wait for an answer to that
-	leavePart       = 0.4            // of the grace time: the longest wait until the others hold everything
-	leavingTicks    = heartbeatTicks // after which a process that said that it is to stop counts as stopped
+	joinIntervalRatio = 1.0 / 30       // of the heal bound: between two looks whether to ask to be taken in
+	joinTimeoutRatio  = 1.0 / 30       // of the heal bound: the longest wait for an answer to that
+	leaveTimeoutRatio = 0.4            // of the grace time: the longest wait until the others hold everything
+	leaveNoticeTicks  = heartbeatTicks // after which a process that said that it is to stop counts as stopped
 
-	learnerPatience = aliveTicks    // the silence of the leader after which a learner asks again
-	voterPatience   = electionTicks // the same for a voter, which may have been removed meanwhile
+	learnerJoinTicks = aliveTicks    // the silence of the leader after which a learner asks again
+	voterJoinTicks   = electionTicks // the same for a voter, which may have been removed meanwhile
 )
 
 // leave waits, when the program is to stop, until the group does without this member: its
 // leadership is handed over, a spare has its place if there is one, and the others hold what it holds.
 func (n *Node) leave(ctx context.Context) {
-	ctx, end := context.WithTimeout(ctx, settings.Of(n.process.Place.Site.GraceMs, leavePart))
+	ctx, end := context.WithTimeout(ctx, settings.Of(n.process.Place.Site.GraceMs, leaveTimeoutRatio))
 	defer end()
-	for ctx.Err() == nil && !n.mayStop(ctx) {
-		clock.Pause(ctx, n.process.Place.Bounds.Heal(groupTick/2))
+	for ctx.Err() == nil && !n.tryLeave(ctx) {
+		clock.Sleep(ctx, n.process.Place.Bounds.Heal(groupTick/2))
 	}
 	n.membership.Leave()
 }
 
-// mayStop does what there is to do before this member stops, and reports whether that was all.
-func (n *Node) mayStop(ctx context.Context) bool {
+// tryLeave does what there is to do before this member stops, and reports whether that was all.
+func (n *Node) tryLeave(ctx context.Context) bool {
 	p := n.shards[0]
 	at := query(ctx, p, leaveProgress{done: true}, p.prepareToLeave)
 	if at.done || at.isLeader || at.leader == "" {
 		return at.done
 	}
-	ctx, end := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutPart))
+	ctx, end := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
 	defer end()
-	t, err := n.calls.ControlNode(controlclient.Addr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
+	t, err := n.clients.ControlNode(controlclient.MemberAddr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
 	return err == nil && t.Outcome == wire.OutcomeDone
 }
 
@@ -65,67 +65,67 @@
 		return leaveProgress{self: self, leader: s.Leader}
 	}
 	p.leaving[self] = p.ticks
-	if p.mayGo(self) && !p.core.TransferLeadershipExcept(p.isLeaving) {
+	if p.canLeave(self) && !p.core.TransferLeadershipExcept(p.isLeaving) {
 		p.core.TransferLeadership() // all that are left are leaving
 	}
 	return leaveProgress{isLeader: true}
 }
 
-// mayGo reports whether the group has done what it can before a member stops: no change of the
+// canLeave reports whether the group has done what it can before a member stops: no change of the
 // membership is left to make, and the other voters that are alive hold the whole log.
-func (p *shard) mayGo(name string) bool {
-	if !p.core.MembershipSettled() {
+func (p *shard) canLeave(name string) bool {
+	if !p.core.CanChangeMembership() {
 		return false
 	}
 	if !p.core.IsVoter(name) {
 		return true
 	}
-	return p.nextMembership() == nil && p.core.HeldByLivePeers(name, aliveTicks)
+	return p.nextMembership() == nil && p.core.ReplicatedToLiveVoters(name, aliveTicks)
 }
 
 // isLeaving reports whether a process has said lately that it is to stop.
 func (p *shard) isLeaving(name string) bool {
 	at, ok := p.leaving[name]
-	return ok && p.ticks-at < leavingTicks
+	return ok && p.ticks-at < leaveNoticeTicks
 }
 
 // joinLoop has this node taken in, and keeps it known while it isn't a member.
 func (n *Node) joinLoop() {
 	b, turn := n.process.Place.Bounds, 0
-	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Pause(n.process.Ctx, b.Heal(joinPart)) {
+	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, b.Heal(joinIntervalRatio)) {
 		ctx, end := context.WithTimeout(n.process.Ctx, b.Heal(1.0/24))
-		alone := query(ctx, p, false, p.needsToJoin)
+		alone := query(ctx, p, false, p.needsJoin)
 		end()
 		if g := p.published.current(); alone {
-			n.control.HintLeader(g.leader)
+			n.controlClient.HintLeader(g.leader)
 			turn += n.requestJoin(g.self, g.members, turn)
 		}
 	}
 }
 
-// needsToJoin reports whether no leader sends this member entries, so that it asks to be taken in. A
+// needsJoin reports whether no leader sends this member entries, so that it asks to be taken in. A
 // voter may just be without a leader, or was removed while it was away: to ask does no harm.
-func (p *shard) needsToJoin() bool {
-	s, patience := p.core.Status(), learnerPatience
+func (p *shard) needsJoin() bool {
+	s, patience := p.core.Status(), learnerJoinTicks
 	if p.core.IsVoter(p.core.Self()) {
-		patience = voterPatience
+		patience = voterJoinTicks
 	} else if s.Leader == "" {
 		patience = 0
 	}
-	return p.failure == nil && !p.stopping && !s.IsLeader && s.SinceLeader >= patience
+	return p.failure == nil && !p.stopping && !s.IsLeader && s.TicksSinceLeader >= patience
 }
 
-// silentTurn is how often a silent address is asked before others: each so many turns.
-const silentTurn = 4
+// silentTurnInterval is how often a silent address is asked before others: each so many turns.
+const silentTurnInterval = 4
 
 // joinCandidates are the two addresses that a turn asks: those that answered the last time in rotation,
 // and a silent one where there are fewer, or it is its turn.
 func joinCandidates(addresses []string, isSilent func(addr string) bool, turn int) []string {
 	answering := slices.DeleteFunc(slices.Clone(addresses), isSilent)
 	silent := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return !isSilent(a) })
-	ordered := append(rotated(answering, turn), rotated(silent, turn/silentTurn)...)
-	if turn%silentTurn == silentTurn-1 && len(silent) > 0 && len(answering) > 1 {
-		ordered[1] = silent[turn/silentTurn%len(silent)]
+	ordered := append(rotated(answering, turn), rotated(silent, turn/silentTurnInterval)...)
+	if turn%silentTurnInterval == silentTurnInterval-1 && len(silent) > 0 && len(answering) > 1 {
+		ordered[1] = silent[turn/silentTurnInterval%len(silent)]
 	}
 	return ordered[:min(len(ordered), 2)]
 }
@@ -142,28 +142,28 @@
 // requestJoin asks a few of those that may know the leader, and whom they name right after them; it
 // returns how many were of no help.
 func (n *Node) requestJoin(self string, members []string, turn int) (vain int) {
-	all := n.control.Addresses()
+	all := n.controlClient.Addresses()
 	for _, m := range members {
-		if a := controlclient.Addr(m); !slices.Contains(all, a) {
+		if a := controlclient.MemberAddr(m); !slices.Contains(all, a) {
 			all = append(all, a)
 		}
 	}
-	own := controlclient.Addr(self)
+	own := controlclient.MemberAddr(self)
 	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
-	for _, addr := range joinCandidates(all, n.control.IsSilent, turn) {
+	for _, addr := range joinCandidates(all, n.controlClient.IsUnresponsive, turn) {
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutPart))
-			t, err := n.calls.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
+			t, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
 			end()
-			n.control.NoteAnswer(addr, err == nil)
+			n.controlClient.RecordResponse(addr, err == nil)
 			if err != nil {
 				break
 			}
 			if t.Outcome == wire.OutcomeDone {
-				n.control.HintLeader(addr)
+				n.controlClient.HintLeader(addr)
 				return vain
 			}
-			addr = controlclient.Addr(t.Leader)
+			addr = controlclient.MemberAddr(t.Leader)
 		}
 		vain++
 	}
@@ -189,7 +189,7 @@
 	}
 	ok := false
 	if a.Leaving {
-		ok = p.letGo(a.Name)
+		ok = p.handleLeave(a.Name)
 	} else {
 		delete(p.leaving, a.Name)
 		ok = p.core.AddLearner(a.Name)
@@ -200,18 +200,18 @@
 	return &wire.JoinResponse{Outcome: wire.OutcomeDone, Leader: s.Leader}
 }
 
-// letGo notes that a process is to stop, and reports whether it may. A learner may at once. From then
+// handleLeave notes that a process is to stop, and reports whether it may. A learner may at once. From then
 // on it counts as any other that may fall silent: a group that counted on it while a successor is
 // added would need that successor.
-func (p *shard) letGo(name string) bool {
+func (p *shard) handleLeave(name string) bool {
 	for other, at := range p.leaving {
-		if p.ticks-at >= leavingTicks {
+		if p.ticks-at >= leaveNoticeTicks {
 			delete(p.leaving, other)
 		}
 	}
 	p.leaving[name] = p.ticks
 	p.core.RemoveLearner(name)
-	if !p.mayGo(name) {
+	if !p.canLeave(name) {
 		return false
 	}
 	delete(p.leaving, name)
