--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -15,8 +15,8 @@
 	spareFreshTicks   = 2 * electionTicks
 )
 
-// membershipView is what the leader's choice of the next membership rests on.
-type membershipView struct {
+// membershipPlanner is what the leader's choice of the next membership rests on.
+type membershipPlanner struct {
 	self       string
 	members    []string
 	peers      []consensus.PeerStatus // voters and learners that the leader replicates to
@@ -35,8 +35,8 @@
 //   - A member that leaves in order still votes. Its successor is added first, then it is removed:
 //     the group tolerates as many losses at each step as before.
 //   - No step leaves the group without a quorum that is alive.
-func (v *membershipView) next() []string {
-	if wiped := v.firstMember(v.isWiped); wiped != "" {
+func (v *membershipPlanner) next() []string {
+	if wiped := v.firstMember(v.hasLostDisk); wiped != "" {
 		return v.without(wiped)
 	}
 	if len(v.members) > v.targetSize {
@@ -60,7 +60,7 @@
 
 // shrink takes out the member that the group has too many: one that leaves, or else a silent one.
 // While all are there and stay, a member more does no harm.
-func (v *membershipView) shrink() []string {
+func (v *membershipPlanner) shrink() []string {
 	if leaving := v.firstMember(v.isLeaving); leaving != "" {
 		return v.without(leaving)
 	}
@@ -72,7 +72,7 @@
 
 // firstMember is the first member beside the leader that passes, and without which the group has a
 // quorum alive; "" if none.
-func (v *membershipView) firstMember(pass func(name string) bool) string {
+func (v *membershipPlanner) firstMember(pass func(name string) bool) string {
 	for _, m := range v.members {
 		if m != v.self && pass(m) && v.hasQuorum(v.without(m), 0) {
 			return m
@@ -81,40 +81,40 @@
 	return ""
 }
 
-func (v *membershipView) status(name string) consensus.PeerStatus {
+func (v *membershipPlanner) status(name string) consensus.PeerStatus {
 	for _, p := range v.peers {
 		if p.Name == name {
 			return p
 		}
 	}
-	return consensus.PeerStatus{Name: name, SinceHeard: replaceAfterTicks}
+	return consensus.PeerStatus{Name: name, ContactAge: replaceAfterTicks}
 }
 
-func (v *membershipView) isAlive(name string) bool {
-	return name == v.self || v.status(name).SinceHeard < aliveTicks
+func (v *membershipPlanner) isAlive(name string) bool {
+	return name == v.self || v.status(name).ContactAge < aliveTicks
 }
 
-func (v *membershipView) isSilent(name string) bool {
-	return v.status(name).SinceHeard >= replaceAfterTicks
+func (v *membershipPlanner) isSilent(name string) bool {
+	return v.status(name).ContactAge >= replaceAfterTicks
 }
 
-func (v *membershipView) allAlive() bool {
+func (v *membershipPlanner) allAlive() bool {
 	return !slices.ContainsFunc(v.members, func(m string) bool { return !v.isAlive(m) })
 }
 
-// isWiped reports whether the member's disk is lost: a learner at its address, under another
+// hasLostDisk reports whether the member's disk is lost: a learner at its address, under another
 // incarnation, has spoken since the member did. To have asked isn't enough: an ask may be late.
-func (v *membershipView) isWiped(name string) bool {
-	since := v.status(name).SinceHeard
+func (v *membershipPlanner) hasLostDisk(name string) bool {
+	since := v.status(name).ContactAge
 	return slices.ContainsFunc(v.peers, func(p consensus.PeerStatus) bool {
-		return !p.IsVoter && sameAddress(p.Name, name) && p.Answered && p.SinceHeard < since
+		return !p.IsVoter && sameAddress(p.Name, name) && p.Responded && p.ContactAge < since
 	})
 }
 
-func sameAddress(a, b string) bool { return controlclient.Addr(a) == controlclient.Addr(b) }
+func sameAddress(a, b string) bool { return controlclient.MemberAddr(a) == controlclient.MemberAddr(b) }
 
 // hasQuorum reports whether those alive among the members, and so many more, are a quorum of both.
-func (v *membershipView) hasQuorum(members []string, more int) bool {
+func (v *membershipPlanner) hasQuorum(members []string, more int) bool {
 	alive := more
 	for _, m := range members {
 		if v.isAlive(m) {
@@ -124,12 +124,12 @@
 	return 2*alive > len(members)+more
 }
 
-func (v *membershipView) without(name string) []string {
+func (v *membershipPlanner) without(name string) []string {
 	return slices.DeleteFunc(slices.Clone(v.members), func(m string) bool { return m == name })
 }
 
 // with is the membership with a spare added; nil where its quorum wouldn't be alive.
-func (v *membershipView) with(spare string) []string {
+func (v *membershipPlanner) with(spare string) []string {
 	if !v.hasQuorum(v.members, 1) {
 		return nil
 	}
@@ -138,7 +138,7 @@
 
 // bestSpare is a learner that may become a member now, in a zone without a member if there is one;
 // "" if none.
-func (v *membershipView) bestSpare() string {
+func (v *membershipPlanner) bestSpare() string {
 	best := ""
 	for _, p := range v.peers {
 		if v.isReady(p) && (best == "" || v.sharesZone(best) && !v.sharesZone(p.Name)) {
@@ -150,22 +150,22 @@
 
 // isReady reports whether a learner is there, holds what is committed, and is alone at its address:
 // neither a member nor a later incarnation stands there.
-func (v *membershipView) isReady(p consensus.PeerStatus) bool {
-	if p.IsVoter || !p.CaughtUp || p.SinceHeard >= spareFreshTicks {
+func (v *membershipPlanner) isReady(p consensus.PeerStatus) bool {
+	if p.IsVoter || !p.CaughtUp || p.ContactAge >= spareFreshTicks {
 		return false
 	}
 	if slices.ContainsFunc(v.members, func(m string) bool { return sameAddress(m, p.Name) }) {
 		return false
 	}
 	return !slices.ContainsFunc(v.peers, func(o consensus.PeerStatus) bool {
-		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Answered && o.SinceHeard < p.SinceHeard
+		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Responded && o.ContactAge < p.ContactAge
 	})
 }
 
 // sharesZone reports whether a member that stays is in a learner's zone.
-func (v *membershipView) sharesZone(name string) bool {
-	zone := v.zoneOf(controlclient.Addr(name))
+func (v *membershipPlanner) sharesZone(name string) bool {
+	zone := v.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(v.members, func(m string) bool {
-		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.Addr(m)) == zone
+		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.MemberAddr(m)) == zone
 	})
 }
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -7,8 +7,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// meters shows the status of this node, summed over its shards.
-func (n *Node) meters() {
+// registerMetrics shows the status of this node, summed over its shards.
+func (n *Node) registerMetrics() {
 	sum := func(f func(*wire.ShardStatus) float64) func() float64 {
 		return func() (v float64) {
 			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
@@ -39,17 +39,17 @@
 	m.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(p *wire.ShardStatus) float64 { return float64(p.Last - p.Applied) }))
 }
 
-// groupMeters shows the status of this member in a group whose membership is agreed data.
-func (n *Node) groupMeters(p *shard) {
+// registerGroupMetrics shows the status of this member in a group whose membership is agreed data.
+func (n *Node) registerGroupMetrics(p *shard) {
 	m := n.process.Meter
 	m.Gauge("pebbleloom_group_members", "members of the newest membership that this one knows", func() float64 { return float64(len(p.published.current().members)) })
 	m.Gauge("pebbleloom_group_votes", "1 while this one is a member and its disk is well", func() float64 {
-		if p.published.current().votes {
+		if p.published.current().isVoter {
 			return 1
 		}
 		return 0
 	})
 	m.Gauge("pebbleloom_plan_version", "version of the plan that this one holds", func() float64 {
-		return float64(p.published.current().docs[routingconfig.Key].GetVersion())
+		return float64(p.published.current().documents[routingconfig.DocumentKey].GetVersion())
 	})
 }
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -25,50 +25,50 @@
 
 // Node is a control node: its shards, and the messages between it and its peers.
 type Node struct {
-	process     *daemon.Process
-	shards      map[uint32]*shard
-	out         map[string]*queue.Ring[*wire.Message]
-	membership  *clustermembership.Member
-	calls       *daemon.Clients
-	core        []string
-	incarnation string
-	control     *controlclient.Client // of a group
-	transport   *transport
+	process       *daemon.Process
+	shards        map[uint32]*shard
+	outgoing      map[string]*queue.Ring[*wire.Message]
+	membership    *clustermembership.Member
+	clients       *daemon.Clients
+	coreMembers   []string
+	incarnation   string
+	controlClient *controlclient.Client // of a group
+	transport     *transport
 }
 
 // Start runs a control node.
 //
 // Example: daemon.Main("archive", "control node", need, controlstate.Start)
 func Start(l *daemon.Process) error {
-	n := &Node{process: l, shards: map[uint32]*shard{}, out: map[string]*queue.Ring[*wire.Message]{}, calls: daemon.NewClients(l)}
+	n := &Node{process: l, shards: map[uint32]*shard{}, outgoing: map[string]*queue.Ring[*wire.Message]{}, clients: daemon.NewClients(l)}
 	clk := l.Clock
 	core := append([]string(nil), l.Place.Core...)
 	sort.Strings(core)
 	fresh := func() string { return fmt.Sprintf("%s/%016x", l.Place.Name, l.Seed()) }
-	n.core, n.incarnation = core, fresh()
-	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.calls.Membership, nil)
+	n.coreMembers, n.incarnation = core, fresh()
+	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.clients.Membership, nil)
 	for _, m := range core {
 		if m != l.Place.Name {
 			r := queue.NewRing[*wire.Message](1024)
-			n.out[m] = r
+			n.outgoing[m] = r
 			l.Go(func() { n.deliver(m, r) })
 		}
 	}
 	tick := l.Place.Bounds.Heal(1.0 / 240)
-	for i := range uint32(controlclient.Shards) {
+	for i := range uint32(controlclient.ShardCount) {
 		ms := controlclient.Members(i, core)
-		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TailBytes: tailBytes,
+		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Place.Name)))}
-		if !contains(ms, l.Place.Name) {
+		if !containsName(ms, l.Place.Name) {
 			continue
 		}
-		p, err := openShard(l.Ctx, cfg, disk(l, fmt.Sprintf("part-%d", i)), fresh, clk, l.Log, n.send)
+		p, err := openShard(l.Ctx, cfg, openDisk(l, fmt.Sprintf("part-%d", i)), fresh, clk, l.Log, n.send)
 		if err != nil {
 			// One shard's bad disk doesn't take the others out.
 			l.Log.Error("shard stays closed", "shard", i, "error", errs.Text(err))
 			continue
 		}
-		p.keepIDs, p.confirmTime = l.Place.Bounds.Once(1), l.Place.Bounds.Heal(servePart*confirmPart)
+		p.claimRetention, p.confirmTimeout = l.Place.Bounds.Once(1), l.Place.Bounds.Heal(serveTimeoutRatio*confirmTimeoutRatio)
 		n.shards[i] = p
 		l.Go(func() { p.run(tick) })
 	}
@@ -78,17 +78,17 @@
 	if err := l.Serve(l.Place.Listen, mux); err != nil {
 		return err
 	}
-	ctl := controlclient.New(core, func() clustermembership.View { return n.membership.View() }, n.calls, l.Place.Bounds)
-	if err := operatorapi.Serve(l, ctl, func() clustermembership.View { return n.membership.View() }, n.calls); err != nil {
+	ctl := controlclient.New(core, func() clustermembership.View { return n.membership.View() }, n.clients, l.Place.Bounds)
+	if err := operatorapi.Serve(l, ctl, func() clustermembership.View { return n.membership.View() }, n.clients); err != nil {
 		return err
 	}
 	l.Go(func() {
 		<-l.Draining
 		for _, p := range n.shards {
-			p.beginTransfer()
+			p.transferLeadership()
 		}
 	})
-	n.meters()
+	n.registerMetrics()
 	l.Every(l.Place.Bounds.Heal(0.25), func() { n.followSeeds(ctl) })
 	l.Ready.Store(true)
 	l.Log.Info("serving", "shards", len(n.shards), "incarnation", n.incarnation)
@@ -97,16 +97,16 @@
 
 // followSeeds takes the seeds that the configuration in force names.
 func (n *Node) followSeeds(ctl *controlclient.Client) {
-	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(t.Documents) == 0 {
 		return // the seeds that are known stay
 	}
-	if s, err := serviceconfig.Read(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
+	if s, err := serviceconfig.Decode(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
 		n.membership.SetSeeds(s.Seeds)
 	}
 }
 
-func contains(l []string, s string) bool {
+func containsName(l []string, s string) bool {
 	for _, x := range l {
 		if x == s {
 			return true
@@ -115,11 +115,11 @@
 	return false
 }
 
-// disk is a shard's folder; where the place names a switch, faults can be brought about.
-func disk(l *daemon.Process, folder string) storage.Disk {
+// openDisk is a shard's folder; where the place names a switch, faults can be brought about.
+func openDisk(l *daemon.Process, folder string) storage.Disk {
 	d := l.Disk(filepath.Join(l.Place.Data, folder))
 	if f := l.Place.Option("faults", ""); f != "" {
-		return storage.Faulty(d, f)
+		return storage.WithFaults(d, f)
 	}
 	return d
 }
@@ -127,7 +127,7 @@
 // send hands a message to the thread that carries messages to its receiver. A full ring
 // drops it: messages may be lost.
 func (n *Node) send(l *wire.Message) {
-	if r := n.out[l.To]; r != nil {
+	if r := n.outgoing[l.To]; r != nil {
 		r.Offer(l)
 	}
 }
@@ -144,7 +144,7 @@
 				continue
 			}
 			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
-			_, err := n.calls.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
+			_, err := n.clients.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
 			end()
 			if err != nil {
 				n.process.Log.Debug("messages lost", "to", to, "messages", len(ls), "error", err)
@@ -172,14 +172,14 @@
 	return &wire.BatchReceipt{Format: 1}, nil
 }
 
-// servePart is how long this node works on a change or a read that a peer or a client sent, as a
+// serveTimeoutRatio is how long this node works on a change or a read that a peer or a client sent, as a
 // ratio of the heal bound. A caller that was cut off meanwhile ends nothing here: without a bound its
 // request would hold up those behind it.
-const servePart = 1.0 / 8
+const serveTimeoutRatio = 1.0 / 8
 
 // serveContext bounds the work on a request whose body has a size.
 func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.process.Place.Bounds.Heal(servePart*(1+float64(size)/waitBytes)))
+	return context.WithTimeout(ctx, n.process.Place.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
 }
 
 // Change carries out a change where this node leads the shard; elsewhere it names the leader.
@@ -220,10 +220,10 @@
 // Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
 func (n *Node) Stand(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	t := &wire.StatusResponse{Incarnation: n.incarnation}
-	for i := range uint32(controlclient.Shards) {
+	for i := range uint32(controlclient.ShardCount) {
 		p := n.shards[i]
 		if p == nil {
-			if contains(controlclient.Members(i, n.core), n.process.Place.Name) {
+			if containsName(controlclient.Members(i, n.coreMembers), n.process.Place.Name) {
 				t.Shards = append(t.Shards, &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its folder can't be read: see the log at the start"})
 			}
 			continue
@@ -231,8 +231,8 @@
 		x := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		t.Shards = append(t.Shards, query(ctx, p, x, func() *wire.ShardStatus {
 			s := p.core.Status()
-			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.Stuck, Applied: s.Applied,
-				Last: s.Last, Term: s.Term, StateBytes: uint64(p.state.bytes), LogBytes: uint64(p.store.Size())}
+			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, Applied: s.Applied,
+				Last: s.LastIndex, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.LogBytes())}
 			if p.failure != nil {
 				y.Failure = errs.Text(p.failure)
 			}
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -20,66 +20,66 @@
 // many more bytes of a plan make that as long again. It is less than the second of silence after
 // which an operator goes on to another node.
 const (
-	waitPart  = 0.22
-	waitBytes = 256 << 10
+	operatorTimeoutRatio = 0.22
+	timeoutBodyBytes     = 256 << 10
 )
 
-// wait is how long a request with a body is worked on: then the operator asks elsewhere.
-func (n *Node) wait(size int) time.Duration {
-	return settings.Of(n.process.Place.Site.AckMs, waitPart*(1+float64(size)/waitBytes))
+// operatorTimeout is how long a request with a body is worked on: then the operator asks elsewhere.
+func (n *Node) operatorTimeout(size int) time.Duration {
+	return settings.Of(n.process.Place.Site.AckMs, operatorTimeoutRatio*(1+float64(size)/timeoutBodyBytes))
 }
 
-// PutPlan lays a whole plan, or named items of one (part), over the version base. It returns
+// PutRoutingConfig lays a whole plan, or named items of one (part), over the version base. It returns
 // once that is acknowledged: on the disks of a quorum, and in force. The same request sent again is
 // acknowledged again.
 //
-// Example: version, err := n.PutPlan(ctx, 5, body, false)
-func (n *Node) PutPlan(ctx context.Context, base uint64, body []byte, part bool) (uint64, error) {
-	ctx, end := context.WithTimeout(ctx, n.wait(len(body)))
+// Example: version, err := n.PutRoutingConfig(ctx, 5, body, false)
+func (n *Node) PutRoutingConfig(ctx context.Context, base uint64, body []byte, part bool) (uint64, error) {
+	ctx, end := context.WithTimeout(ctx, n.operatorTimeout(len(body)))
 	defer end()
 	h := sha256.New()
 	fmt.Fprintf(h, "%d %v ", base, part)
 	h.Write(body)
-	t, err := n.change(ctx, &wire.ChangeRequest{Patch: part, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
-		Key: routingconfig.Key, Body: body, IfVersion: base, Token: hex.EncodeToString(h.Sum(nil)[:16])}}}})
+	t, err := n.changeOnLeader(ctx, &wire.ChangeRequest{Patch: part, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
+		Key: routingconfig.DocumentKey, Body: body, IfVersion: base, Token: hex.EncodeToString(h.Sum(nil)[:16])}}}})
 	return t.GetVersion(), err
 }
 
-// ReadPlan reads the plan in force, and its version: never older than what was acknowledged
+// ReadRoutingConfig reads the plan in force, and its version: never older than what was acknowledged
 // before. No plan yet: no body, version 0.
 //
-// Example: body, version, err := n.ReadPlan(ctx)
-func (n *Node) ReadPlan(ctx context.Context) ([]byte, uint64, error) {
-	ctx, end := context.WithTimeout(ctx, n.wait(0))
+// Example: body, version, err := n.ReadRoutingConfig(ctx)
+func (n *Node) ReadRoutingConfig(ctx context.Context) ([]byte, uint64, error) {
+	ctx, end := context.WithTimeout(ctx, n.operatorTimeout(0))
 	defer end()
-	d, err := n.readDoc(ctx, routingconfig.Key)
+	d, err := n.readDocument(ctx, routingconfig.DocumentKey)
 	return d.GetBody(), d.GetVersion(), err
 }
 
-// NameWeights names a version of a model's weights. An older one than is named is superseded
+// SetWeightsVersion names a version of a model's weights. An older one than is named is superseded
 // already, and so is done.
 //
-// Example: err := n.NameWeights(ctx, "daka510000", 2)
-func (n *Node) NameWeights(ctx context.Context, model string, version uint64) error {
+// Example: err := n.SetWeightsVersion(ctx, "daka510000", 2)
+func (n *Node) SetWeightsVersion(ctx context.Context, model string, version uint64) error {
 	if model == "" || version == 0 {
 		return errs.New(errs.BadInput, "model %q, version %d: give a model and a version from 1 on", model, version)
 	}
-	ctx, end := context.WithTimeout(ctx, n.wait(0))
+	ctx, end := context.WithTimeout(ctx, n.operatorTimeout(0))
 	defer end()
 	// What is applied here was agreed on: it stays named.
-	if w := (fleet.Weights{}); json.Unmarshal(n.shards[0].published.current().docs[fleet.WeightsKey].GetBody(), &w) == nil && w.Named[model] >= version {
+	if w := (fleet.Weights{}); json.Unmarshal(n.shards[0].published.current().documents[fleet.WeightsKey].GetBody(), &w) == nil && w.Named[model] >= version {
 		return nil
 	}
 	for ctx.Err() == nil {
-		d, err := n.readDoc(ctx, fleet.WeightsKey)
+		d, err := n.readDocument(ctx, fleet.WeightsKey)
 		if err != nil {
 			return err
 		}
-		body, err := withWeights(d.GetBody(), model, version)
+		body, err := addWeightsVersion(d.GetBody(), model, version)
 		if err != nil || body == nil {
 			return err
 		}
-		_, err = n.change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
+		_, err = n.changeOnLeader(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
 			Key: fleet.WeightsKey, Body: body, IfVersion: d.GetVersion()}}}})
 		if err == nil || errs.KindOf(err) != errs.Conflict {
 			return err
@@ -89,8 +89,8 @@
 	return errs.New(errs.CantSay, "other namings came first until the time was over: the same again is safe")
 }
 
-// withWeights gives the named weights with one more; nil where that is named already.
-func withWeights(old []byte, model string, version uint64) ([]byte, error) {
+// addWeightsVersion gives the named weights with one more; nil where that is named already.
+func addWeightsVersion(old []byte, model string, version uint64) ([]byte, error) {
 	w := fleet.Weights{}
 	if len(old) > 0 {
 		if err := json.Unmarshal(old, &w); err != nil {
@@ -111,33 +111,33 @@
 // leaderView is the newest published view, after the client was told whom it names.
 func (n *Node) leaderView() *publishedView {
 	v := n.shards[0].published.current()
-	n.control.SetMembers(v.self, v.members)
+	n.controlClient.SetMembers(v.self, v.members)
 	if !v.isLeader {
-		n.control.HintLeader(v.leader)
+		n.controlClient.HintLeader(v.leader)
 	}
 	return v
 }
 
-// change makes a change here where this member leads the group, or else wherever the leader is.
-func (n *Node) change(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+// changeOnLeader makes a change here where this member leads the group, or else wherever the leader is.
+func (n *Node) changeOnLeader(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	if n.leaderView().isLeader {
 		t := n.shards[0].change(ctx, a)
 		switch t.Outcome {
 		case wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
-			n.control.HintLeader(t.Leader)
+			n.controlClient.HintLeader(t.Leader)
 		default:
 			return t, controlclient.ErrorOf(t)
 		}
 	}
-	t, err := n.control.Change(ctx, a)
+	t, err := n.controlClient.Change(ctx, a)
 	if errs.KindOf(err) == errs.MayHaveRun && err != nil {
 		err = errs.As(err, errs.CantSay, "the same again is safe")
 	}
 	return t, err
 }
 
-// readDoc reads one document; nil: there is none.
-func (n *Node) readDoc(ctx context.Context, key string) (*wire.Document, error) {
+// readDocument reads one document; nil: there is none.
+func (n *Node) readDocument(ctx context.Context, key string) (*wire.Document, error) {
 	a := &wire.ReadRequest{Key: key}
 	var t *wire.ReadResponse
 	if n.leaderView().isLeader {
@@ -147,7 +147,7 @@
 	}
 	if t.GetOutcome() != wire.OutcomeDone {
 		var err error
-		if t, err = n.control.Read(ctx, a); err != nil {
+		if t, err = n.controlClient.Read(ctx, a); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/control/controlstate/orders_door_test.go
+++ b/internal/control/controlstate/orders_door_test.go
@@ -15,21 +15,21 @@
 // elsewhere, before the operator's patience ends; what is remembered is done again or a conflict.
 func TestAForgottenOrderAtTheDoor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(4)
-		defer g.down()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(4)
+		defer g.stopAll()
 		for v := range uint64(5) {
-			if _, err := g.nodes[g.addr(1)].PutPlan(ctx, v, body(v+1, "x"), false); err != nil {
+			if _, err := g.nodes[g.addr(1)].PutRoutingConfig(ctx, v, body(v+1, "x"), false); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, n := range g.nodes {
 			p := n.shards[0]
-			p.do(ctx, func() {
-				record := p.state.takenOf(routingconfig.Key)
-				record.forgotten = 3
-				record.changes = slices.DeleteFunc(record.changes, func(c takenChange) bool { return c.version <= record.forgotten })
-				p.state.tokens = nil
+			p.runOnLoop(ctx, func() {
+				record := p.state.recordsOf(routingconfig.DocumentKey)
+				record.forgottenVersion = 3
+				record.records = slices.DeleteFunc(record.records, func(c idempotencyRecord) bool { return c.version <= record.forgottenVersion })
+				p.state.recentTokens = nil
 			})
 		}
 		for i := range 4 {
@@ -40,7 +40,7 @@
 				kind *errs.Kind // nil: done
 			}{{0, "x", errs.CantSay}, {2, "x", errs.CantSay}, {2, "y", errs.CantSay}, {3, "x", nil}, {4, "x", nil}, {3, "y", errs.Conflict}, {4, "y", errs.Conflict}} {
 				at := time.Now()
-				_, err := n.PutPlan(ctx, x.base, body(x.base+1, x.text), false)
+				_, err := n.PutRoutingConfig(ctx, x.base, body(x.base+1, x.text), false)
 				if (err != nil) != (x.kind != nil) || err != nil && errs.KindOf(err) != x.kind {
 					t.Errorf("node %d: %q on %d: %v", i+1, x.text, x.base, err)
 				}
--- a/internal/control/controlstate/shard_disk.go
+++ b/internal/control/controlstate/shard_disk.go
@@ -15,7 +15,7 @@
 )
 
 // load reads the disk, state included; an empty disk gets a first snapshot.
-func (p *shard) load(d storage.Disk, first func() *wire.Snapshot) (l storage.Loaded, err error) {
+func (p *shard) load(d storage.Disk, first func() *wire.Snapshot) (l storage.Recovered, err error) {
 	if p.store, l, err = storage.Open(d); err != nil {
 		return l, errs.Wrap(err, "open shard")
 	}
@@ -26,13 +26,13 @@
 		}
 		p.log.Info("empty disk: a new incarnation begins", "incarnation", l.Snapshot.HardState.Incarnation, "members", l.Snapshot.Members)
 	}
-	if l.Torn > 0 {
-		p.log.Warn("torn tail cut off", "bytes", l.Torn)
+	if l.TornBytes > 0 {
+		p.log.Warn("torn tail cut off", "bytes", l.TornBytes)
 	}
 	if err := checkFormat(l.Snapshot); err != nil {
 		return l, err
 	}
-	p.saved = len(l.Snapshot.State)
+	p.snapshotBytes = len(l.Snapshot.State)
 	return l, errs.As(p.state.load(l.Snapshot.State, p.clock.Now()), errs.DiskBad, "read the snapshot's state")
 }
 
@@ -44,10 +44,10 @@
 }
 
 func (p *shard) persist(o consensus.Ready) error {
-	if o.Install == nil {
+	if o.Snapshot == nil {
 		return errs.Wrap(p.store.Append(o.Records), "persist")
 	}
-	return errs.Wrap(p.install(o.Install, o.Records), "install")
+	return errs.Wrap(p.install(o.Snapshot, o.Records), "install")
 }
 
 // install replaces state and disk by a leader's snapshot. The snapshot is read before it is stored:
@@ -63,7 +63,7 @@
 	if err := p.store.SaveSnapshot(s, rest); err != nil {
 		return err
 	}
-	*p.state, p.saved = *installed, len(s.State)
+	*p.state, p.snapshotBytes = *installed, len(s.State)
 	p.notifyWatchers()
 	return nil
 }
@@ -74,6 +74,6 @@
 	if err != nil {
 		return errs.Wrap(err, "save state")
 	}
-	p.saved = len(body)
+	p.snapshotBytes = len(body)
 	return p.store.SaveSnapshot(p.core.Compact(body))
 }
--- a/internal/control/controlstate/snapshot_cost_test.go
+++ b/internal/control/controlstate/snapshot_cost_test.go
@@ -16,12 +16,12 @@
 	s := newState()
 	r := rand.New(rand.NewPCG(1, 6))
 	const document = 512 << 10
-	for i := 0; s.bytes+document <= bytes; i++ {
+	for i := 0; s.documentBytes+document <= bytes; i++ {
 		body := make([]byte, document)
 		for j := range body {
 			body[j] = byte('a' + r.IntN(26))
 		}
-		s.put(&wire.Put{Key: fmt.Sprint("document-", i), Body: body, AnyVersion: true})
+		s.applyPut(&wire.Put{Key: fmt.Sprint("document-", i), Body: body, AnyVersion: true})
 	}
 	return s
 }
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -13,32 +13,32 @@
 	"pebbleloom/internal/wire"
 )
 
-// defaultKeepIDs is how long once-only ids are remembered where the settings say nothing.
-const defaultKeepIDs = 30 * time.Minute
+// defaultClaimRetention is how long once-only ids are remembered where the settings say nothing.
+const defaultClaimRetention = 30 * time.Minute
 
 // Bounds of one shard's state.
 const (
-	maxDocs   = 512
-	maxLeases = 64
-	maxTokens = 256 // the newest changes of all documents, as earlier releases keep them
-	maxState  = 8 << 20
-	maxClaims = 1 << 16 // once-only ids of a shard; more than this at once are rejected, not forgotten
+	maxDocuments    = 512
+	maxLeases       = 64
+	maxRecentTokens = 256 // the newest changes of all documents, as earlier releases keep them
+	maxStateBytes   = 8 << 20
+	maxClaims       = 1 << 16 // once-only ids of a shard; more than this at once are rejected, not forgotten
 )
 
 // state is what a shard's log adds up to. It is changed by apply alone, in log order, and
 // every member gets the same from the same log.
 type state struct {
-	docs      map[string]*wire.Document
-	leases    map[string]*wire.Lease
-	tokens    []*wire.ChangeToken      // the newest of all documents
-	taken     map[string]*takenChanges // by document
-	grantedAt map[string]time.Duration // when this member saw the lease granted; not in the log
-	claims    claims
-	bytes     int
+	documents     map[string]*wire.Document
+	leases        map[string]*wire.Lease
+	recentTokens  []*wire.ChangeToken            // the newest of all documents
+	idempotency   map[string]*idempotencyRecords // by document
+	grantedAt     map[string]time.Duration       // when this member saw the lease granted; not in the log
+	claims        claimTable
+	documentBytes int
 }
 
 func newState() *state {
-	return &state{docs: map[string]*wire.Document{}, leases: map[string]*wire.Lease{}, taken: map[string]*takenChanges{}, grantedAt: map[string]time.Duration{}, claims: newClaims()}
+	return &state{documents: map[string]*wire.Document{}, leases: map[string]*wire.Lease{}, idempotency: map[string]*idempotencyRecords{}, grantedAt: map[string]time.Duration{}, claims: newClaimTable()}
 }
 
 func (s *state) load(b []byte, now time.Duration) error {
@@ -51,22 +51,22 @@
 	}
 	*s = *newState()
 	for _, d := range p.Documents {
-		s.docs[d.Key] = d
-		s.bytes += len(d.Body)
+		s.documents[d.Key] = d
+		s.documentBytes += len(d.Body)
 	}
 	for _, l := range p.Leases {
 		s.leases[l.Name], s.grantedAt[l.Name] = l, now
 	}
-	s.tokens = p.Tokens
-	s.loadTaken(p.Taken)
+	s.recentTokens = p.Tokens
+	s.loadIdempotency(p.Taken)
 	s.claims.load(p.Claims, p.AgeNs)
 	return nil
 }
 
 func (s *state) save() ([]byte, error) {
-	p := &wire.ShardState{Format: 1, Tokens: s.tokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveTaken()}
-	for _, k := range queue.Keys(s.docs) {
-		p.Documents = append(p.Documents, s.docs[k])
+	p := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}
+	for _, k := range queue.Keys(s.documents) {
+		p.Documents = append(p.Documents, s.documents[k])
 	}
 	for _, k := range queue.Keys(s.leases) {
 		p.Leases = append(p.Leases, s.leases[k])
@@ -78,16 +78,16 @@
 func (s *state) apply(c *wire.Command, now time.Duration) *wire.ChangeResponse {
 	switch k := c.GetKind().(type) {
 	case *wire.Command_Put:
-		return s.put(k.Put)
+		return s.applyPut(k.Put)
 	case *wire.Command_Grant:
-		return s.grant(k.Grant, now)
+		return s.applyGrant(k.Grant, now)
 	case *wire.Command_Claims:
 		response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 		if k.Claims.KeepNs > 0 { // zero: of a release that sent no age
-			s.claims.pass(k.Claims.PassedNs, k.Claims.KeepNs)
+			s.claims.advanceAge(k.Claims.PassedNs, k.Claims.KeepNs)
 		}
 		for _, c := range k.Claims.List {
-			granted, full := s.claims.take(c)
+			granted, full := s.claims.claim(c)
 			response.Granted, response.Full = append(response.Granted, granted), append(response.Full, full)
 		}
 		return response
@@ -95,41 +95,41 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 }
 
-// put applies a change of a document. Whether it changes the state is decided as in all releases
+// applyPut applies a change of a document. Whether it changes the state is decided as in all releases
 // before, so that members of several releases make the same state of one log.
-func (s *state) put(put *wire.Put) *wire.ChangeResponse {
-	if s.tokenIsRecent(put.Token) {
-		return s.repeated(put)
+func (s *state) applyPut(put *wire.Put) *wire.ChangeResponse {
+	if s.isRecentToken(put.Token) {
+		return s.answerRepeated(put)
 	}
 	if l := s.leases[put.Lease]; put.Lease != "" && (l == nil || l.Fence != put.Fence || l.Holder != put.Holder) {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()} // the lease has passed on
 	}
-	d := s.docs[put.Key]
+	d := s.documents[put.Key]
 	if d == nil {
-		if len(s.docs) >= maxDocs {
+		if len(s.documents) >= maxDocuments {
 			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many documents as it may"}}
 		}
 		d = &wire.Document{Key: put.Key}
 	}
 	if !put.AnyVersion && put.IfVersion != d.Version {
-		return s.overtaken(put)
+		return s.answerStaleBase(put)
 	}
 	if put.NewVersion > 0 && put.NewVersion <= d.Version {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.Version}
 	}
-	if s.bytes-len(d.Body)+len(put.Body) > maxState {
+	if s.documentBytes-len(d.Body)+len(put.Body) > maxStateBytes {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: d.Version, Errors: []string{"the shard holds as many bytes as it may"}}
 	}
-	s.bytes += len(put.Body) - len(d.Body)
+	s.documentBytes += len(put.Body) - len(d.Body)
 	d = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, d.Version+1)}
-	s.docs[put.Key] = d
-	s.remember(put, d.Version)
+	s.documents[put.Key] = d
+	s.recordChange(put, d.Version)
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: d.Version}
 }
 
-// grant gives, renews or takes back a lease. That the old one has run out was judged by
+// applyGrant gives, renews or takes back a lease. That the old one has run out was judged by
 // the leader before it proposed (free); here only the fence decides.
-func (s *state) grant(g *wire.Grant, now time.Duration) *wire.ChangeResponse {
+func (s *state) applyGrant(g *wire.Grant, now time.Duration) *wire.ChangeResponse {
 	l := s.leases[g.Lease]
 	if l == nil {
 		if len(s.leases) >= maxLeases {
@@ -150,9 +150,9 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: n.Fence, Leader: n.Holder}
 }
 
-// free tells whether a lease may be granted to a holder now. The holder counts its lease
+// isGrantable tells whether a lease may be granted to a holder now. The holder counts its lease
 // from when it asked, which was before any member saw the grant: so it stops first.
-func (s *state) free(g *wire.Grant, now time.Duration) bool {
+func (s *state) isGrantable(g *wire.Grant, now time.Duration) bool {
 	l := s.leases[g.Lease]
 	if g.GiveUp {
 		return l != nil && l.Holder == g.Holder
--- a/internal/control/controlstate/step_again_test.go
+++ b/internal/control/controlstate/step_again_test.go
@@ -15,11 +15,11 @@
 	"pebbleloom/internal/wire"
 )
 
-// aloneShard is a shard with one fixed member, which leads.
-func aloneShard(t *testing.T) *shard {
+// singleMemberShard is a shard with one fixed member, which leads.
+func singleMemberShard(t *testing.T) *shard {
 	t.Helper()
-	p := newShard(context.Background(), 0, &clock.Hand{}, hclog.NewNullLogger(), func(*wire.Message) {})
-	loaded, err := p.load(newSimDisk(), func() *wire.Snapshot { return consensus.FoundingSnapshot("core-1", nil) })
+	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	loaded, err := p.load(newSimDisk(), func() *wire.Snapshot { return consensus.BootstrapSnapshot("core-1", nil) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	p.core = consensus.New(cfg, loaded.Snapshot, loaded.Records)
 	for range 3 * cfg.ElectionTicks {
 		p.core.Tick()
-		p.step()
+		p.handleReady()
 	}
 	return p
 }
@@ -35,8 +35,8 @@
 // makeChange proposes a change of the configuration and waits for its outcome.
 func (p *shard) makeChange(put *wire.Put, patch bool) *wire.ChangeResponse {
 	pending, response := p.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
-	if p.step(); response == nil {
-		response = <-pending.answer
+	if p.handleReady(); response == nil {
+		response = <-pending.response
 	}
 	return response
 }
@@ -45,36 +45,36 @@
 // Somebody else changes the configuration meanwhile. The next holder makes the move again, under the
 // same token and on a later version: it is acknowledged as done, and changes nothing.
 func TestAStepThatTheNextHolderMakesAgainIsDone(t *testing.T) {
-	p := aloneShard(t)
+	p := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
-	if r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: recorded}, false); r.Outcome != wire.OutcomeDone {
+	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); r.Outcome != wire.OutcomeDone {
 		t.Fatal(r)
 	}
-	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.Weights, Model: "gisa", Weights: 5, State: calendar.Planned}
-	next := func(e *calendar.Entry) (*calendar.Entry, calendar.Move, uint64) { // each time a new holder's
-		doc := p.state.docs[controlclient.SetupKey]
-		config, err := serviceconfig.Read(doc.Body)
+	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
+	next := func(e *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each time a new holder's
+		doc := p.state.documents[controlclient.ConfigKey]
+		config, err := serviceconfig.Decode(doc.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, move, _ := calendar.NewPacer().Next(e, calendar.World{Version: doc.Version, EntryVersion: 3, Config: config})
+		e, move, _ := calendar.NewPlanner().Next(e, calendar.Observation{ConfigVersion: doc.Version, EntryVersion: 3, Config: config})
 		return e, move, doc.Version
 	}
 	entry, _, _ = next(entry)
 	entry, _, _ = next(entry)
 	_, move, version := next(entry)
-	if r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); r.Outcome != wire.OutcomeDone || r.Version != 2 {
+	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); r.Outcome != wire.OutcomeDone || r.Version != 2 {
 		t.Fatal(r)
 	}
-	if r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); r.Outcome != wire.OutcomeDone {
+	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); r.Outcome != wire.OutcomeDone {
 		t.Fatal(r)
 	}
 	_, again, version := next(entry)
-	r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
+	r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
 	if version != 3 || again.Token != move.Token || r.Outcome != wire.OutcomeDone || r.Version != 2 || r.TokenReuse == "" {
 		t.Errorf("made again on version %d under %s: %v", version, again.Token, r)
 	}
-	if v := p.state.docs[controlclient.SetupKey].Version; v != 3 {
+	if v := p.state.documents[controlclient.ConfigKey].Version; v != 3 {
 		t.Errorf("version %d is in force", v)
 	}
 }
@@ -83,8 +83,8 @@
 func recordedConfiguration(t *testing.T) []byte {
 	t.Helper()
 	p := openRecorded(t)
-	for _, e := range p.core.Unapplied() {
-		p.commit(e)
+	for _, e := range p.core.UnappliedEntries() {
+		p.applyEntry(e)
 	}
-	return p.state.docs[controlclient.SetupKey].GetBody()
+	return p.state.documents[controlclient.ConfigKey].GetBody()
 }
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -28,13 +28,13 @@
 
 // Bounds of the transport. Time is in parts of the heal bound.
 const (
-	maxOutboxes  = 16 // addresses that get messages at once; the one that got none for longest gives way
-	maxSmall     = 64 // queued messages for one address
-	maxLarge     = 2
-	maxBatch     = 16
-	largeBytes   = 16 << 10
-	sendTimePart = 1.0 / 24
-	megabytePart = 1.0 // beside that, for each megabyte
+	maxOutboxes          = 16 // addresses that get messages at once; the one that got none for longest gives way
+	maxQueuedSmall       = 64 // queued messages for one address
+	maxQueuedLarge       = 2
+	maxBatchMessages     = 16
+	largeMessageBytes    = 16 << 10
+	sendTimeoutRatio     = 1.0 / 24
+	megabyteTimeoutRatio = 1.0 // beside that, for each megabyte
 )
 
 func newTransport(ctx context.Context, n *Node) *transport {
@@ -44,17 +44,17 @@
 // send queues a message for the address in its receiver's name. A full queue drops it: messages may
 // be lost.
 func (t *transport) send(m *wire.Message) {
-	to := controlclient.Addr(m.To)
+	to := controlclient.MemberAddr(m.To)
 	b := t.outboxes[to]
 	if b == nil {
 		if len(t.outboxes) >= maxOutboxes {
-			t.dropOldest()
+			t.closeLeastRecentlyUsed()
 		}
 		b = t.open(to)
 	}
 	t.sent++
 	b.lastUsed = t.sent
-	if len(m.GetPiece().GetData()) > 0 || payloadBytes(m) >= largeBytes {
+	if len(m.GetPiece().GetData()) > 0 || payloadBytes(m) >= largeMessageBytes {
 		b.large.Offer(m)
 	} else {
 		b.small.Offer(m)
@@ -63,15 +63,15 @@
 
 func (t *transport) open(to string) *outbox {
 	ctx, stop := context.WithCancel(t.ctx)
-	b := &outbox{small: queue.NewRing[*wire.Message](maxSmall), large: queue.NewRing[*wire.Message](maxLarge), stop: stop}
+	b := &outbox{small: queue.NewRing[*wire.Message](maxQueuedSmall), large: queue.NewRing[*wire.Message](maxQueuedLarge), stop: stop}
 	t.outboxes[to] = b
-	d := &delivery{node: t.node, to: to}
+	d := &peerSender{node: t.node, to: to}
 	go d.sendSmall(ctx, b.small)
 	go d.sendLarge(ctx, b.large)
 	return b
 }
 
-func (t *transport) dropOldest() {
+func (t *transport) closeLeastRecentlyUsed() {
 	oldest := ""
 	for addr, b := range t.outboxes {
 		if oldest == "" || b.lastUsed < t.outboxes[oldest].lastUsed {
@@ -91,61 +91,61 @@
 	return size
 }
 
-// delivery sends one address its messages.
-type delivery struct {
-	node       *Node
-	to         string
-	mu         sync.Mutex         // guards what follows
-	failed     bool               // the last small message didn't arrive
-	abortLarge context.CancelFunc // ends the large message that is being sent; nil: none is
+// peerSender sends one address its messages.
+type peerSender struct {
+	node            *Node
+	to              string
+	mu              sync.Mutex         // guards what follows
+	lastSmallFailed bool               // the last small message didn't arrive
+	abortLarge      context.CancelFunc // ends the large message that is being sent; nil: none is
 }
 
-// timeFor is how long a message of so many bytes may take.
-func (d *delivery) timeFor(size int) time.Duration {
-	return d.node.process.Place.Bounds.Heal(sendTimePart + megabytePart*float64(size)/(1<<20))
+// timeout is how long a message of so many bytes may take.
+func (d *peerSender) timeout(size int) time.Duration {
+	return d.node.process.Place.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
-func (d *delivery) post(ctx context.Context, messages []*wire.Message) error {
-	_, err := d.node.calls.ControlNode(d.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
+func (d *peerSender) post(ctx context.Context, messages []*wire.Message) error {
+	_, err := d.node.clients.ControlNode(d.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 	if err != nil {
 		d.node.process.Log.Debug("messages lost", "to", d.to, "messages", len(messages), "error", err)
 	}
 	return err
 }
 
-func (d *delivery) sendSmall(ctx context.Context, queued *queue.Ring[*wire.Message]) {
+func (d *peerSender) sendSmall(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-queued.Out():
-			one, end := context.WithTimeout(ctx, d.timeFor(0))
-			err := d.post(one, append([]*wire.Message{m}, queued.Drain(maxBatch-1)...))
+			one, end := context.WithTimeout(ctx, d.timeout(0))
+			err := d.post(one, append([]*wire.Message{m}, queued.Drain(maxBatchMessages-1)...))
 			end()
-			d.noteSmall(err != nil)
+			d.recordSmallResult(err != nil)
 		}
 	}
 }
 
-// noteSmall ends a large message that was begun before its address could be reached again: its
+// recordSmallResult ends a large message that was begun before its address could be reached again: its
 // connection may stay silent for long.
-func (d *delivery) noteSmall(failed bool) {
+func (d *peerSender) recordSmallResult(failed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.failed && !failed && d.abortLarge != nil {
+	if d.lastSmallFailed && !failed && d.abortLarge != nil {
 		d.abortLarge()
 	}
-	d.failed = failed
+	d.lastSmallFailed = failed
 }
 
 // sendLarge sends large messages one by one; the core hears of each that is lost.
-func (d *delivery) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
+func (d *peerSender) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-queued.Out():
-			one, end := context.WithTimeout(ctx, d.timeFor(payloadBytes(m)))
+			one, end := context.WithTimeout(ctx, d.timeout(payloadBytes(m)))
 			d.setAbort(end)
 			err := d.post(one, []*wire.Message{m})
 			d.setAbort(nil)
@@ -156,7 +156,7 @@
 	}
 }
 
-func (d *delivery) setAbort(abort context.CancelFunc) {
+func (d *peerSender) setAbort(abort context.CancelFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.abortLarge = abort
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -9,14 +9,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// nothingNewer tells whether this member's log holds no newer document of a key than what it has
+// hasNothingNewer tells whether this member's log holds no newer document of a key than what it has
 // applied: then none was ever acknowledged with its help.
-func (p *shard) nothingNewer(key string) bool {
+func (p *shard) hasNothingNewer(key string) bool {
 	s := p.core.Status()
 	if p.failure != nil || s.Blank {
 		return false
 	}
-	for _, e := range p.core.Unapplied() {
+	for _, e := range p.core.UnappliedEntries() {
 		c := &wire.Command{}
 		if len(e.Body) > 0 && (proto.Unmarshal(e.Body, c) != nil || c.GetPut().GetKey() == key) {
 			return false
@@ -34,8 +34,8 @@
 	defer end.Stop()
 	for over := false; ; {
 		var c chan struct{}
-		ok := p.do(ctx, func() {
-			if t = p.newsNow(a, member, over); t == nil {
+		ok := p.runOnLoop(ctx, func() {
+			if t = p.watchResponse(a, member, over); t == nil {
 				c = make(chan struct{})
 				p.watchers[c] = true
 			}
@@ -59,21 +59,21 @@
 	}
 }
 
-// newsNow gives the response that can be given now; nil means: wait.
-func (p *shard) newsNow(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
-	t := p.newsHere(a, member, over)
+// watchResponse gives the response that can be given now; nil means: wait.
+func (p *shard) watchResponse(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
+	t := p.documentResponse(a, member, over)
 	if t != nil {
 		t.Incarnation, t.KnownIncarnations = p.core.Incarnations()
 	}
 	return t
 }
 
-func (p *shard) newsHere(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
-	d := p.state.docs[a.Key]
+func (p *shard) documentResponse(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
+	d := p.state.documents[a.Key]
 	switch {
 	case p.failure == nil && d.GetVersion() > a.Have:
-		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: d, Member: member, NothingNewer: p.nothingNewer(a.Key)}
-	case over && p.nothingNewer(a.Key) && d.GetVersion() == a.Have:
+		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: d, Member: member, NothingNewer: p.hasNothingNewer(a.Key)}
+	case over && p.hasNothingNewer(a.Key) && d.GetVersion() == a.Have:
 		return &wire.WatchResponse{Outcome: wire.OutcomeSame, Member: member}
 	case over || p.failure != nil || len(p.watchers) >= 1024:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -7,18 +7,25 @@
 // took is logged, and stands in docs/control.md.
 var _ = register(
 	mutant{point: 2, name: "an order is acknowledged before it is committed",
-		file:        "internal/control/controlstate/change.go",
-		original:    "	p.pending[index] = pending\n	return pending, nil",
-		replacement: "	if u := command.GetPut(); u != nil {\n		pending.answer <- &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: u.NewVersion}\n	} else {\n		p.pending[index] = pending\n	}\n	return pending, nil",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
+		file: "internal/control/controlstate/change.go",
+		original: `	p.pendingProposals[index] = pending
+	return pending, nil`,
+		replacement: `	if u := command.GetPut(); u != nil {
+		pendingProposals.response <- &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: u.NewVersion}
+	} else {
+		p.pendingProposals[index] = pendingProposals
+	}
+	return pendingProposals, nil`,
+		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 1, name: "a read is answered from the applied state without a quorum",
-		file:        "internal/control/controlstate/shard.go",
-		original:    "			p.reads[i] = w\n",
+		file: "internal/control/controlstate/shard.go",
+		original: `			p.pendingReads[i] = w
+`,
 		replacement: "			w <- true\n",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "a snapshot forgets the orders that were taken",
 		file:        "internal/control/controlstate/state.go",
-		original:    "Tokens: s.tokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveTaken()}",
+		original:    "Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}",
 		replacement: "Claims: s.claims.save(), AgeNs: s.claims.age}",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 1, name: "a lease is granted before the last one has run out",
@@ -28,8 +35,8 @@
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "an order under way is refused when its leader stops leading",
 		file:        "internal/control/controlstate/contact.go",
-		original:    "w.answer <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
-		replacement: "w.answer <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: p.state.docs[p.validatedKey()].GetVersion()}",
+		original:    "w.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
+		replacement: "w.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: p.state.docs[p.configKey()].GetVersion()}",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 4, name: "a vote isn't synced",
 		file:        "internal/control/consensus/core.go",
--- a/internal/control/mutation/model_test.go
+++ b/internal/control/mutation/model_test.go
@@ -56,7 +56,7 @@
 		replacement: "diff > 2 || len(l) == 0",
 		pkg:         consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
 	mutant{name: "a read is confirmed without asking a quorum", file: coreFile,
-		original:    "return c.peers[m].probe >= r.probe",
+		original:    "return c.peers[m].ackedReadSequence >= r.sequence",
 		replacement: "return true",
 		pkg:         consensusPkg, run: modelSearches + "reads_and_leader_transfer"},
 	mutant{name: "a read is taken before the leader has committed in its term", file: coreFile,
@@ -81,8 +81,12 @@
 		pkg:         consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a snapshot is installed over newer state", file: installFile,
 		original: "if l.Snapshot.Index <= c.commit {",
-		replacement: "if l.Snapshot.Index < c.commit && uint64(len(l.Piece.Data)) == l.Piece.Total {\n\t\tolder := proto.Clone(l.Snapshot).(*wire.Snapshot)\n\t\t" +
-			"older.State = l.Piece.Data\n\t\tc.adoptSnapshot(older, nil)\n\t}\n\tif l.Snapshot.Index <= c.commit {",
+		replacement: `if l.Snapshot.Index < c.commit && uint64(len(l.Piece.Data)) == l.Piece.Total {
+		older := proto.Clone(l.Snapshot).(*wire.Snapshot)
+		older.State = l.Piece.Data
+		c.restoreSnapshot(older, nil)
+	}
+	if l.Snapshot.Index <= c.commit {`,
 		pkg: consensusPkg, run: modelSearches + "snapshot_to_a_learner"},
 	mutant{name: "a removed leader counts itself", file: coreFile,
 		original:    "func (c *Core) hasQuorum(pass func(m string) bool) bool {\n\tn := 0",
--- a/internal/control/operatorapi/lookup.go
+++ b/internal/control/operatorapi/lookup.go
@@ -45,12 +45,12 @@
 			weights = max(weights, x.Weights[q.Model])
 		}
 	}
-	text := selection.Text(q.Model, weights, &p.Tenants[i])
+	text := selection.CacheSalt(q.Model, weights, &p.Tenants[i])
 	ks := make([]prefix.Key, len(q.Parts))
 	for i, id := range q.Parts {
-		ks[i] = promptindex.KeyOf(text, id)
+		ks[i] = promptindex.PartKey(text, id)
 	}
-	got := promptindex.NewShards(promptindex.Serving(s.view().Nodes)).Lookup(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
+	got := promptindex.NewShards(promptindex.ServingNodes(s.view().Nodes)).Lookup(ctx, ks, s.clients.PromptIndex, s.bounds.Heal(1.0/24))
 	f := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, k := range ks {
 		x := operator.FoundPrefixesItem{Key: k.String(), Holders: []string{}}
--- a/internal/control/placementcontroller/order_test.go
+++ b/internal/control/placementcontroller/order_test.go
@@ -23,7 +23,7 @@
 func TestSilentWorkersDelayNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := settings.Default()
-		clk := clock.Ticking()
+		clk := clock.Synctest()
 		sent := atomic.Int32{}
 		w := daemon.Environment{Clock: clk, Dial: func(context.Context, string, string) (net.Conn, error) {
 			sent.Add(1)
@@ -36,7 +36,7 @@
 		ttl := b.Heal(settings.LeasePart)
 		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", ttl)
 		asked := clk.Now()
-		lease.Tell(asked, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
+		lease.HandleResponse(asked, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
 		var ws []*wire.Worker
 		for i := range 18 {
 			ws = append(ws, &wire.Worker{Name: fmt.Sprint("w", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1)})
--- a/internal/control/storage/big_snapshot_test.go
+++ b/internal/control/storage/big_snapshot_test.go
@@ -10,9 +10,9 @@
 
 const largeBody = 200 << 10
 
-// largeScript saves snapshots of 200 KB with large records between; acked is the index that was
+// runLargeWorkload saves snapshots of 200 KB with large records between; acked is the index that was
 // acknowledged last.
-func largeScript(d Disk, body []byte) (acked int) {
+func runLargeWorkload(d Disk, body []byte) (acked int) {
 	s, _, err := Open(d)
 	if err != nil {
 		return 0
@@ -37,17 +37,17 @@
 // The power is cut within snapshots and records of 200 KB: around where each write begins and ends, and
 // at bytes drawn between. What was acknowledged is there, whole, and nothing is read as
 // corrupted.
-func TestPowerLostWithinLargeSnapshots(t *testing.T) {
+func TestPowerLossDuringLargeSnapshots(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 7))
 	body := make([]byte, largeBody)
 	for i := range body {
 		body[i] = byte(r.Uint32())
 	}
-	whole := &mem{f: map[string][]byte{}, left: 1 << 30}
-	if largeScript(whole, body) != 5 {
+	whole := &memoryDisk{files: map[string][]byte{}, writeBudget: 1 << 30}
+	if runLargeWorkload(whole, body) != 5 {
 		t.Fatal("the script doesn't run through")
 	}
-	total := 1<<30 - whole.left
+	total := 1<<30 - whole.writeBudget
 	var cuts []int
 	for at := 0; at < total; at += largeBody { // writes begin and end a little behind these
 		for n := at; n < min(at+300, total); n += 3 {
@@ -58,14 +58,14 @@
 		cuts = append(cuts, r.IntN(total))
 	}
 	for _, n := range cuts {
-		m := &mem{f: map[string][]byte{}, left: n}
-		acked := largeScript(m, body)
-		m.left = -1
+		m := &memoryDisk{files: map[string][]byte{}, writeBudget: n}
+		acked := runLargeWorkload(m, body)
+		m.writeBudget = -1
 		_, l, err := Open(m)
 		if err != nil {
 			t.Fatalf("cut after %d bytes: %v", n, err)
 		}
-		if got := held(l); got < acked || got > acked+1 {
+		if got := lastIndex(l); got < acked || got > acked+1 {
 			t.Fatalf("cut after %d bytes: %d acknowledged, %d held", n, acked, got)
 		}
 		if s := l.Snapshot; s != nil && s.Index > 0 && !bytes.Equal(s.State, body) {
--- a/internal/control/storage/faulty.go
+++ b/internal/control/storage/faulty.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-type faulty struct {
+type faultyDisk struct {
 	Disk
-	file string
+	switchFile string
 }
 
-// Faulty is a Disk whose faults a file switches: "full", "sync" (every sync fails) or
+// WithFaults is a Disk whose faults a file switches: "full", "sync" (every sync fails) or
 // "stall MS" (every write takes that long). Failure tests write the file; no file, no fault.
 //
 // Example: d := storage.Faulty(storage.Folder(dir), "/tmp/run/core-1.fault")
-func Faulty(d Disk, file string) Disk { return faulty{d, file} }
+func WithFaults(d Disk, file string) Disk { return faultyDisk{d, file} }
 
 var errSync = errors.New("sync failed (switched on by a failure test)")
 
-func (f faulty) fault() error {
-	b, err := os.ReadFile(f.file)
+func (d faultyDisk) fault() error {
+	b, err := os.ReadFile(d.switchFile)
 	if err != nil {
 		return nil // no switch, no fault
 	}
-	stall, err := Fault(string(b))
+	stall, err := ParseFault(string(b))
 	time.Sleep(stall)
 	return err
 }
 
-// Fault reads what a disk suffers from: how long a write stalls, or the error that it fails with.
+// ParseFault reads what a disk suffers from: how long a write stalls, or the error that it fails with.
 //
 // Example: stall, err := storage.Fault("stall 800")
-func Fault(word string) (stall time.Duration, err error) {
+func ParseFault(word string) (stall time.Duration, err error) {
 	w, n, _ := strings.Cut(strings.TrimSpace(word), " ")
 	switch w {
 	case "full":
@@ -50,16 +50,16 @@
 	return 0, nil
 }
 
-func (f faulty) Write(name string, b []byte) error {
-	if err := f.fault(); err != nil {
+func (d faultyDisk) Write(name string, b []byte) error {
+	if err := d.fault(); err != nil {
 		return err
 	}
-	return f.Disk.Write(name, b)
+	return d.Disk.Write(name, b)
 }
 
-func (f faulty) Append(name string, b []byte) error {
-	if err := f.fault(); err != nil {
+func (d faultyDisk) Append(name string, b []byte) error {
+	if err := d.fault(); err != nil {
 		return err
 	}
-	return f.Disk.Append(name, b)
+	return d.Disk.Append(name, b)
 }
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -24,42 +24,42 @@
 	Read(name string) (b []byte, there bool, err error)
 	Write(name string, b []byte) error
 	Append(name string, b []byte) error
-	Cut(name string, size int) error
+	Truncate(name string, size int) error
 }
 
 const (
-	magic    = 0x50424c31 // "PBL1": the format of both kinds of file; a later format gets another
-	headSize = 20         // of a log
-	recHead  = 12         // of a record in it
-	maxRec   = 16 << 20
-	slotHead = 12 // of a snapshot file: magic and generation
-	slotFoot = 4  // its checksum
+	formatMagic           = 0x50424c31 // "PBL1": the format of both kinds of file; a later format gets another
+	logHeaderBytes        = 20         // of a log
+	recordHeaderBytes     = 12         // of a record in it
+	maxRecordBytes        = 16 << 20
+	snapshotHeaderBytes   = 12 // of a snapshot file: magic and generation
+	snapshotChecksumBytes = 4  // its checksum
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Store writes a shard's files. After a failed write it refuses every other.
 type Store struct {
 	disk       Disk
 	generation uint64
-	size       int // bytes of the log in force
+	logBytes   int // bytes of the log in force
 	failure    error
 }
 
-// Loaded is what a disk held when it was opened.
-type Loaded struct {
-	Snapshot *wire.Snapshot // nil on an empty disk
-	Records  []*wire.Record
-	Torn     int // bytes of a torn tail that were cut off
+// Recovered is what a disk held when it was opened.
+type Recovered struct {
+	Snapshot  *wire.Snapshot // nil on an empty disk
+	Records   []*wire.Record
+	TornBytes int // bytes of a torn tail that were cut off
 }
 
 // Open reads what the disk holds. An empty disk gives a nil snapshot; a disk that can't be trusted
 // gives an error of kind DiskBad.
 //
 // Example: s, l, err := storage.Open(storage.Folder("/var/lib/pebbleloom/part-0"))
-func Open(d Disk) (*Store, Loaded, error) {
+func Open(d Disk) (*Store, Recovered, error) {
 	s := &Store{disk: d}
-	var l Loaded
+	var l Recovered
 	var logs [2][]byte
 	var there [4]bool
 	var slots [2]*wire.Snapshot
@@ -70,12 +70,12 @@
 		raw, ok, err := d.Read(fmt.Sprintf("slot-%d", i))
 		b.Note("slot", errs.As(err, errs.DiskBad, "read"))
 		there[i] = ok
-		slots[i], gens[i] = readSlot(raw)
+		slots[i], gens[i] = decodeSnapshot(raw)
 		lg, ok, err := d.Read(fmt.Sprintf("log-%d", i))
 		b.Note("log", errs.As(err, errs.DiskBad, "read"))
 		there[2+i] = ok
-		if lgens[i], rest[i], ok = readHead(lg); ok {
-			logs[i] = lg[headSize:]
+		if lgens[i], rest[i], ok = decodeLogHeader(lg); ok {
+			logs[i] = lg[logHeaderBytes:]
 		}
 	}
 	if err := b.Look(); err != nil {
@@ -98,31 +98,31 @@
 		return nil, l, errs.New(errs.DiskBad, "no snapshot can be read, though the folder holds state: restore or empty the disk")
 	}
 	o := 1 - at
-	if lgens[o] > gens[at] && len(records(logs[o]).list) > rest[o] {
+	if lgens[o] > gens[at] && len(scanLog(logs[o]).records) > rest[o] {
 		return nil, l, errs.New(errs.DiskBad, "slot-%d is corrupted: its log of generation %d went on after it was written: empty the disk, it is taken in anew", o, lgens[o])
 	}
 	s.generation, l.Snapshot = gens[at], slots[at]
 	if lgens[at] != s.generation {
 		return nil, l, errs.New(errs.DiskBad, "log-%d is of generation %d, its snapshot of %d: empty the disk, it is taken in anew", at, lgens[at], s.generation)
 	}
-	sc := records(logs[at])
+	sc := scanLog(logs[at])
 	if sc.corrupted {
 		return nil, l, errs.New(errs.DiskBad, "log-%d is corrupted at byte %d, whole records follow: empty the disk, it is taken in anew", at, sc.end)
 	}
-	if len(sc.list) < rest[at] {
-		return nil, l, errs.New(errs.DiskBad, "log-%d holds %d records of the %d it began with: empty the disk, it is taken in anew", at, len(sc.list), rest[at])
+	if len(sc.records) < rest[at] {
+		return nil, l, errs.New(errs.DiskBad, "log-%d holds %d records of the %d it began with: empty the disk, it is taken in anew", at, len(sc.records), rest[at])
 	}
-	l.Records, l.Torn = sc.list, len(logs[at])-sc.end
-	s.size = headSize + sc.end
-	if l.Torn > 0 {
-		if err := d.Cut(s.log(), s.size); err != nil {
+	l.Records, l.TornBytes = sc.records, len(logs[at])-sc.end
+	s.logBytes = logHeaderBytes + sc.end
+	if l.TornBytes > 0 {
+		if err := d.Truncate(s.logName(), s.logBytes); err != nil {
 			return nil, l, errs.As(err, errs.DiskBad, "cut torn tail")
 		}
 	}
 	return s, l, nil
 }
 
-func (s *Store) log() string { return fmt.Sprintf("log-%d", s.generation%2) }
+func (s *Store) logName() string { return fmt.Sprintf("log-%d", s.generation%2) }
 
 // Append puts records behind the log and returns once they are synced.
 //
@@ -134,12 +134,12 @@
 	if len(rs) == 0 {
 		return nil
 	}
-	b := pack(rs)
-	if err := s.disk.Append(s.log(), b); err != nil {
+	b := encodeRecords(rs)
+	if err := s.disk.Append(s.logName(), b); err != nil {
 		s.failure = errs.As(err, errs.DiskBad, "append to log")
 		return s.failure
 	}
-	s.size += len(b)
+	s.logBytes += len(b)
 	return nil
 }
 
@@ -151,13 +151,13 @@
 		return s.failure
 	}
 	g := s.generation + 1
-	h := make([]byte, headSize)
-	binary.LittleEndian.PutUint32(h, magic)
+	h := make([]byte, logHeaderBytes)
+	binary.LittleEndian.PutUint32(h, formatMagic)
 	binary.LittleEndian.PutUint64(h[4:], g)
 	binary.LittleEndian.PutUint32(h[12:], uint32(len(rest)))
-	binary.LittleEndian.PutUint32(h[16:], crc32.Checksum(h[:16], table))
-	log := append(h, pack(rest)...)
-	file, err := packSnapshot(snapshot, g)
+	binary.LittleEndian.PutUint32(h[16:], crc32.Checksum(h[:16], castagnoliTable))
+	log := append(h, encodeRecords(rest)...)
+	file, err := encodeSnapshot(snapshot, g)
 	if err == nil {
 		err = s.disk.Write(fmt.Sprintf("log-%d", g%2), log)
 	}
@@ -168,102 +168,102 @@
 		s.failure = errs.As(err, errs.DiskBad, "save snapshot")
 		return s.failure
 	}
-	s.generation, s.size = g, len(log)
+	s.generation, s.logBytes = g, len(log)
 	return nil
 }
 
-// packSnapshot gives the bytes of a snapshot file. A snapshot may be large: it is copied once.
-func packSnapshot(snapshot *wire.Snapshot, generation uint64) ([]byte, error) {
-	file := make([]byte, slotHead, slotHead+proto.Size(snapshot)+slotFoot)
-	binary.LittleEndian.PutUint32(file, magic)
+// encodeSnapshot gives the bytes of a snapshot file. A snapshot may be large: it is copied once.
+func encodeSnapshot(snapshot *wire.Snapshot, generation uint64) ([]byte, error) {
+	file := make([]byte, snapshotHeaderBytes, snapshotHeaderBytes+proto.Size(snapshot)+snapshotChecksumBytes)
+	binary.LittleEndian.PutUint32(file, formatMagic)
 	binary.LittleEndian.PutUint64(file[4:], generation)
 	file, err := proto.MarshalOptions{}.MarshalAppend(file, snapshot)
 	if err != nil {
 		return nil, err
 	}
-	return binary.LittleEndian.AppendUint32(file, crc32.Checksum(file, table)), nil
+	return binary.LittleEndian.AppendUint32(file, crc32.Checksum(file, castagnoliTable)), nil
 }
 
-// Size is how long the log in force is, in bytes.
+// LogBytes is how long the log in force is, in bytes.
 //
 // Example: if s.Size() > 1<<20 { compact() }
-func (s *Store) Size() int { return s.size }
+func (s *Store) LogBytes() int { return s.logBytes }
 
-func readSlot(b []byte) (*wire.Snapshot, uint64) {
-	if len(b) < slotHead+slotFoot || binary.LittleEndian.Uint32(b) != magic {
+func decodeSnapshot(b []byte) (*wire.Snapshot, uint64) {
+	if len(b) < snapshotHeaderBytes+snapshotChecksumBytes || binary.LittleEndian.Uint32(b) != formatMagic {
 		return nil, 0
 	}
-	n := len(b) - slotFoot
-	if crc32.Checksum(b[:n], table) != binary.LittleEndian.Uint32(b[n:]) {
+	n := len(b) - snapshotChecksumBytes
+	if crc32.Checksum(b[:n], castagnoliTable) != binary.LittleEndian.Uint32(b[n:]) {
 		return nil, 0
 	}
 	s := &wire.Snapshot{}
-	if proto.Unmarshal(b[slotHead:n], s) != nil {
+	if proto.Unmarshal(b[snapshotHeaderBytes:n], s) != nil {
 		return nil, 0
 	}
 	return s, binary.LittleEndian.Uint64(b[4:])
 }
 
-func readHead(b []byte) (gen uint64, rest int, ok bool) {
-	if len(b) < headSize || binary.LittleEndian.Uint32(b) != magic ||
-		crc32.Checksum(b[:16], table) != binary.LittleEndian.Uint32(b[16:]) {
+func decodeLogHeader(b []byte) (gen uint64, rest int, ok bool) {
+	if len(b) < logHeaderBytes || binary.LittleEndian.Uint32(b) != formatMagic ||
+		crc32.Checksum(b[:16], castagnoliTable) != binary.LittleEndian.Uint32(b[16:]) {
 		return 0, 0, false
 	}
 	return binary.LittleEndian.Uint64(b[4:]), int(binary.LittleEndian.Uint32(b[12:])), true
 }
 
-func pack(rs []*wire.Record) []byte {
+func encodeRecords(rs []*wire.Record) []byte {
 	var b []byte
 	for _, r := range rs {
 		body, err := proto.Marshal(r)
 		if err != nil {
 			panic("storage: a record that can't be marshalled: " + err.Error())
 		}
-		h := make([]byte, recHead)
+		h := make([]byte, recordHeaderBytes)
 		binary.LittleEndian.PutUint32(h, uint32(len(body)))
-		binary.LittleEndian.PutUint32(h[4:], crc32.Checksum(h[:4], table))
-		binary.LittleEndian.PutUint32(h[8:], crc32.Checksum(body, table))
+		binary.LittleEndian.PutUint32(h[4:], crc32.Checksum(h[:4], castagnoliTable))
+		binary.LittleEndian.PutUint32(h[8:], crc32.Checksum(body, castagnoliTable))
 		b = append(append(b, h...), body...)
 	}
 	return b
 }
 
-// scan is what could be read of a log.
-type scan struct {
-	list      []*wire.Record
+// logScan is what could be read of a log.
+type logScan struct {
+	records   []*wire.Record
 	end       int
 	corrupted bool
 }
 
-// one reads the record at the front of b. The length is 0 when the record isn't whole.
-func one(b []byte) (*wire.Record, int) {
-	if len(b) < recHead || crc32.Checksum(b[:4], table) != binary.LittleEndian.Uint32(b[4:]) {
+// decodeRecord reads the record at the front of b. The length is 0 when the record isn't whole.
+func decodeRecord(b []byte) (*wire.Record, int) {
+	if len(b) < recordHeaderBytes || crc32.Checksum(b[:4], castagnoliTable) != binary.LittleEndian.Uint32(b[4:]) {
 		return nil, 0
 	}
 	n := int(binary.LittleEndian.Uint32(b))
-	if n > maxRec || len(b) < recHead+n || crc32.Checksum(b[recHead:recHead+n], table) != binary.LittleEndian.Uint32(b[8:]) {
+	if n > maxRecordBytes || len(b) < recordHeaderBytes+n || crc32.Checksum(b[recordHeaderBytes:recordHeaderBytes+n], castagnoliTable) != binary.LittleEndian.Uint32(b[8:]) {
 		return nil, 0
 	}
 	r := &wire.Record{}
-	if proto.Unmarshal(b[recHead:recHead+n], r) != nil {
+	if proto.Unmarshal(b[recordHeaderBytes:recordHeaderBytes+n], r) != nil {
 		return nil, 0
 	}
-	return r, recHead + n
+	return r, recordHeaderBytes + n
 }
 
-// records reads up to the first record that isn't whole. Where a whole one follows, the log is
+// scanLog reads up to the first record that isn't whole. Where a whole one follows, the log is
 // corrupted in the middle, which the torn end that a crash leaves is not.
-func records(b []byte) scan {
-	var s scan
+func scanLog(b []byte) logScan {
+	var s logScan
 	for s.end < len(b) {
-		r, n := one(b[s.end:])
+		r, n := decodeRecord(b[s.end:])
 		if n == 0 {
 			break
 		}
-		s.list, s.end = append(s.list, r), s.end+n
+		s.records, s.end = append(s.records, r), s.end+n
 	}
 	for i := s.end + 1; i < len(b); i++ {
-		if r, n := one(b[i:]); n > recHead && r.Kind != nil {
+		if r, n := decodeRecord(b[i:]); n > recordHeaderBytes && r.Kind != nil {
 			s.corrupted = true
 			break
 		}
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -10,42 +10,45 @@
 	"pebbleloom/internal/wire"
 )
 
-// mem is a disk in memory that can be cut at any written byte.
-type mem struct {
-	f    map[string][]byte
-	left int // bytes that may still be written; below zero: no bound
+// memoryDisk is a disk in memory that can be cut at any written byte.
+type memoryDisk struct {
+	files       map[string][]byte
+	writeBudget int // bytes that may still be written; below zero: no bound
 }
 
-func (m *mem) Read(n string) ([]byte, bool, error) { b, ok := m.f[n]; return bytes.Clone(b), ok, nil }
+func (d *memoryDisk) Read(n string) ([]byte, bool, error) {
+	b, ok := d.files[n]
+	return bytes.Clone(b), ok, nil
+}
 
-func (m *mem) put(n string, b []byte) error {
-	if m.left >= 0 && len(b) > m.left {
-		m.f[n], m.left = append(m.f[n], b[:m.left]...), 0
+func (d *memoryDisk) append(n string, b []byte) error {
+	if d.writeBudget >= 0 && len(b) > d.writeBudget {
+		d.files[n], d.writeBudget = append(d.files[n], b[:d.writeBudget]...), 0
 		return errors.New("power lost")
 	}
-	m.f[n] = append(m.f[n], b...)
-	if m.left >= 0 {
-		m.left -= len(b)
+	d.files[n] = append(d.files[n], b...)
+	if d.writeBudget >= 0 {
+		d.writeBudget -= len(b)
 	}
 	return nil
 }
 
-func (m *mem) Write(n string, b []byte) error {
-	if m.left == 0 {
+func (d *memoryDisk) Write(n string, b []byte) error {
+	if d.writeBudget == 0 {
 		return errors.New("power lost")
 	}
-	m.f[n] = nil
-	return m.put(n, b)
+	d.files[n] = nil
+	return d.append(n, b)
 }
-func (m *mem) Append(n string, b []byte) error { return m.put(n, b) }
-func (m *mem) Cut(n string, size int) error    { m.f[n] = m.f[n][:size]; return nil }
+func (d *memoryDisk) Append(n string, b []byte) error   { return d.append(n, b) }
+func (d *memoryDisk) Truncate(n string, size int) error { d.files[n] = d.files[n][:size]; return nil }
 
-func rec(i int) *wire.Record {
+func newRecord(i int) *wire.Record {
 	return &wire.Record{Kind: &wire.Record_Entry{Entry: &wire.Entry{Index: uint64(i), Term: 1, Body: []byte(fmt.Sprint("body ", i))}}}
 }
 
-// script appends and turns; acked is how far it got before the power went.
-func script(d Disk) (acked int) {
+// runWorkload appends and turns; acked is how far it got before the power went.
+func runWorkload(d Disk) (acked int) {
 	s, _, err := Open(d)
 	if err != nil {
 		return 0
@@ -54,11 +57,11 @@
 		return 0
 	}
 	for i := 1; i <= 14; i++ {
-		if s.Append([]*wire.Record{rec(i)}) != nil {
+		if s.Append([]*wire.Record{newRecord(i)}) != nil {
 			return i - 1
 		}
 		if i%4 == 0 { // the slot swallows all but the last
-			if s.SaveSnapshot(&wire.Snapshot{Format: 1, Index: uint64(i - 1), HardState: &wire.HardState{Incarnation: "a"}}, []*wire.Record{rec(i)}) != nil {
+			if s.SaveSnapshot(&wire.Snapshot{Format: 1, Index: uint64(i - 1), HardState: &wire.HardState{Incarnation: "a"}}, []*wire.Record{newRecord(i)}) != nil {
 				return i
 			}
 		}
@@ -66,7 +69,7 @@
 	return 14
 }
 
-func held(l Loaded) int {
+func lastIndex(l Recovered) int {
 	n := 0
 	if l.Snapshot != nil {
 		n = int(l.Snapshot.Index)
@@ -79,51 +82,51 @@
 
 // The power is cut after every single byte that the script writes: whatever was
 // acknowledged is there again, whole.
-func TestPowerLostAtEveryByte(t *testing.T) {
-	whole := &mem{f: map[string][]byte{}, left: 1 << 30}
-	if script(whole) != 14 {
+func TestPowerLossAtEveryByte(t *testing.T) {
+	whole := &memoryDisk{files: map[string][]byte{}, writeBudget: 1 << 30}
+	if runWorkload(whole) != 14 {
 		t.Fatal("the script doesn't run through")
 	}
-	total := 1<<30 - whole.left
+	total := 1<<30 - whole.writeBudget
 	for n := range total {
-		m := &mem{f: map[string][]byte{}, left: n}
-		acked := script(m)
-		m.left = -1
+		m := &memoryDisk{files: map[string][]byte{}, writeBudget: n}
+		acked := runWorkload(m)
+		m.writeBudget = -1
 		_, l, err := Open(m)
 		if err != nil {
 			t.Fatalf("cut after %d bytes: %v", n, err)
 		}
-		if got := held(l); got < acked || got > acked+1 {
+		if got := lastIndex(l); got < acked || got > acked+1 {
 			t.Fatalf("cut after %d bytes: %d acknowledged, %d held", n, acked, got)
 		}
 	}
 }
 
 // Every bit that rots is either without effect on what is held, or refused as DiskBad.
-func TestRotIsNeverReadSilently(t *testing.T) {
-	good := &mem{f: map[string][]byte{}, left: -1}
-	want := script(good)
+func TestBitRotIsDetected(t *testing.T) {
+	good := &memoryDisk{files: map[string][]byte{}, writeBudget: -1}
+	want := runWorkload(good)
 	refused, torn := 0, 0
-	for name, b := range good.f {
+	for name, b := range good.files {
 		for i := range b {
-			m := &mem{f: map[string][]byte{}, left: -1}
-			for k, v := range good.f {
-				m.f[k] = bytes.Clone(v)
+			m := &memoryDisk{files: map[string][]byte{}, writeBudget: -1}
+			for k, v := range good.files {
+				m.files[k] = bytes.Clone(v)
 			}
-			m.f[name][i] ^= 0x10
+			m.files[name][i] ^= 0x10
 			_, l, err := Open(m)
 			switch {
 			case err != nil && errs.KindOf(err) != errs.DiskBad:
 				t.Fatalf("%s byte %d: kind %s", name, i, errs.KindOf(err).Name)
 			case err != nil:
 				refused++
-			case l.Torn > 0: // in the very last record, rot and a torn write look alike
+			case l.TornBytes > 0: // in the very last record, rot and a torn write look alike
 				torn++
-				if held(l) != want-1 {
-					t.Fatalf("%s byte %d: holds %d", name, i, held(l))
+				if lastIndex(l) != want-1 {
+					t.Fatalf("%s byte %d: holds %d", name, i, lastIndex(l))
 				}
-			case held(l) != want:
-				t.Fatalf("%s byte %d: holds %d of %d and says nothing", name, i, held(l), want)
+			case lastIndex(l) != want:
+				t.Fatalf("%s byte %d: holds %d of %d and says nothing", name, i, lastIndex(l), want)
 			}
 		}
 	}
@@ -133,8 +136,8 @@
 }
 
 // A failed write takes the shelf out for good.
-func TestNothingIsWrittenAfterAnError(t *testing.T) {
-	m := &mem{f: map[string][]byte{}, left: -1}
+func TestWritesFailAfterAnError(t *testing.T) {
+	m := &memoryDisk{files: map[string][]byte{}, writeBudget: -1}
 	s, _, err := Open(m)
 	if err != nil {
 		t.Fatal(err)
@@ -142,12 +145,12 @@
 	if err := s.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	m.left = 3
-	if s.Append([]*wire.Record{rec(1)}) == nil {
+	m.writeBudget = 3
+	if s.Append([]*wire.Record{newRecord(1)}) == nil {
 		t.Fatal("a full disk took a record")
 	}
-	m.left = -1
-	if err := s.Append([]*wire.Record{rec(2)}); errs.KindOf(err) != errs.DiskBad {
+	m.writeBudget = -1
+	if err := s.Append([]*wire.Record{newRecord(2)}); errs.KindOf(err) != errs.DiskBad {
 		t.Fatalf("after a failure: %v", err)
 	}
 }
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -42,7 +42,7 @@
 	if p.Site != nil {
 		dial = siteDialer(p).DialContext
 	}
-	return Environment{Clock: clock.Boot(), Wall: wall, Dial: dial, Disk: storage.Folder, Seed: rand.Uint64,
+	return Environment{Clock: clock.BootTime(), Wall: wall, Dial: dial, Disk: storage.Directory, Seed: rand.Uint64,
 		Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) },
 		Journal: func(file string) (io.Writer, error) {
 			return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -39,7 +39,7 @@
 		l.Log.Error("start failed", "error", errs.Text(err))
 		os.Exit(errs.KindOf(err).Exit)
 	}
-	t := clock.Every(p.Bounds.Config(lookPart))
+	t := clock.NewTicker(p.Bounds.Config(lookPart))
 	defer t.Stop()
 	was := stamp(file)
 	again := func() {
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -49,17 +49,17 @@
 	process.OnSettingsChanged(func(p settings.Place) { a.member.SetSeeds(p.Seeds) })
 	process.Go(func() { <-process.Draining; a.member.Leave() })
 	process.Meter.Gauge("pebbleloom_plan_version", "version of the plan in use", func() float64 {
-		if p := a.Now().Plan; p != nil {
+		if p := a.Snapshot().Plan; p != nil {
 			return float64(p.Version)
 		}
 		return 0
 	})
 	process.Meter.Gauge("pebbleloom_proof_age_seconds", "age of the proof that the plan in use is the newest", func() float64 {
-		return (process.Clock.Now() - a.Now().ProofAt).Seconds()
+		return (process.Clock.Now() - a.Snapshot().ProofAt).Seconds()
 	})
-	process.Meter.Gauge("pebbleloom_workers_known", "workers in the snapshot in use", func() float64 { return float64(len(a.Now().Workers)) })
+	process.Meter.Gauge("pebbleloom_workers_known", "workers in the snapshot in use", func() float64 { return float64(len(a.Snapshot().Workers)) })
 	a.actor.Ask(a.updateFollowed)
-	process.Every(process.Place.Bounds.Config(holdRatio), func() { a.actor.Ask(a.updateFollowed) })
+	process.Every(process.Place.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
 	return a, nil
 }
 
@@ -75,10 +75,10 @@
 	return a
 }
 
-// Now returns the current snapshot; its Plan is nil before the first one.
+// Snapshot returns the current snapshot; its Plan is nil before the first one.
 //
 // Example: s := a.Now(); if s.Plan == nil { return notReady }
-func (a *Agent) Now() *fleet.Snapshot { return a.published.Load().snapshot }
+func (a *Agent) Snapshot() *fleet.Snapshot { return a.published.Load().snapshot }
 
 // Changed is closed on news other than a later proof. Take it before Now, so that nothing is missed in
 // between.
@@ -86,10 +86,10 @@
 // Example: c := a.Changed(); use(a.Now()); <-c
 func (a *Agent) Changed() <-chan struct{} { return a.published.Load().replaced }
 
-// View returns the current cluster membership.
+// Membership returns the current cluster membership.
 //
 // Example: for _, n := range a.View().Role("catalogue") { ask(n.Addr) }
-func (a *Agent) View() clustermembership.View { return a.member.View() }
+func (a *Agent) Membership() clustermembership.View { return a.member.View() }
 
 // Handler serves the calls of the cluster membership; the caller mounts it where this process listens.
 //
@@ -127,7 +127,7 @@
 			want[s] = true
 		}
 		for _, n := range t.snapshot.Nodes {
-			if n.Role == clustermembership.RoleControlNode && n.State != clustermembership.Gone {
+			if n.Role == clustermembership.RoleControlNode && n.State != clustermembership.Dead {
 				want[n.Addr] = true
 			}
 		}
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -95,15 +95,15 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c.news = make(chan struct{}) // of this bubble
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Bounds: settings.Default(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
 		a := newAgent(l, &numbers{}, func(addr string) wire.Archive { return seat{c, addr} })
-		if a.Now() == nil || a.Now().Plan != nil {
+		if a.Snapshot() == nil || a.Snapshot().Plan != nil {
 			t.Fatal("a plan before any was reported")
 		}
 		a.actor.Ask(a.updateFollowed)
-		l.Every(l.Place.Bounds.Config(holdRatio), func() { a.actor.Ask(a.updateFollowed) })
+		l.Every(l.Place.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
 		f(t, a)
 		l.Stop(time.Second)
 		synctest.Wait()
@@ -118,7 +118,7 @@
 }
 
 func version(a *Agent) uint64 {
-	if p := a.Now().Plan; p != nil {
+	if p := a.Snapshot().Plan; p != nil {
 		return p.Version
 	}
 	return 0
@@ -133,7 +133,7 @@
 			t.Fatalf("plan %d", version(a))
 		}
 		until(10*time.Second + 100*time.Millisecond)
-		changed, before := a.Changed(), a.Now()
+		changed, before := a.Changed(), a.Snapshot()
 		c.change(func() { c.version = 2 })
 		synctest.Wait()
 		select {
@@ -144,7 +144,7 @@
 		if version(a) != 2 || before.Plan.Version != 1 {
 			t.Fatalf("plan %d, and the old snapshot says %d", version(a), before.Plan.Version)
 		}
-		if age := a.process.Clock.Now() - a.Now().ProofAt; a.Now().ProofAt == 0 || age > a.process.Place.Bounds.Config(1.1) {
+		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; a.Snapshot().ProofAt == 0 || age > a.process.Place.Bounds.Config(1.1) {
 			t.Fatalf("the proof is %v old", age)
 		}
 	})
@@ -160,7 +160,7 @@
 		before, strange := c.count("1:3"), c.count("9:9")
 		for range 100 {
 			until(100 * time.Millisecond)
-			if age := a.process.Clock.Now() - a.Now().ProofAt; age > a.process.Place.Bounds.Config(2*holdRatio) {
+			if age := a.process.Clock.Now() - a.Snapshot().ProofAt; age > a.process.Place.Bounds.Config(2*longPollRatio) {
 				t.Fatalf("the proof is %v old", age)
 			}
 		}
@@ -192,25 +192,25 @@
 			t.Fatal("no plan a second after two answer again")
 		}
 		until(time.Second)
-		if a.Now().ProofAt == 0 {
+		if a.Snapshot().ProofAt == 0 {
 			t.Fatal("no proof two seconds after two answer again")
 		}
 		// A majority falls silent: the proof stands still, and the plan stays.
 		c.change(func() { c.mood["1:3"] = "hangs" })
 		until(2 * time.Second)
-		at, n := a.Now().ProofAt, c.count("1:2")
+		at, n := a.Snapshot().ProofAt, c.count("1:2")
 		until(10 * time.Second)
-		if a.Now().ProofAt != at || version(a) != 1 {
-			t.Fatalf("one of three moved the proof from %v to %v", at, a.Now().ProofAt)
+		if a.Snapshot().ProofAt != at || version(a) != 1 {
+			t.Fatalf("one of three moved the proof from %v to %v", at, a.Snapshot().ProofAt)
 		}
 		if n = c.count("1:2") - n; n < 20 || n > 40 {
 			t.Errorf("the one that answers was asked %d times in ten seconds", n)
 		}
 		// Once a majority can be heard again, there is a proof without waiting for a hold.
 		c.change(func() { c.mood["1:3"] = "" })
-		until(a.process.Place.Bounds.Config(graceRatio+maxPauseRatio) + time.Millisecond) // the last one that hangs
-		if a.Now().ProofAt <= at {
-			t.Errorf("no proof yet: %v old", a.process.Clock.Now()-a.Now().ProofAt)
+		until(a.process.Place.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // the last one that hangs
+		if a.Snapshot().ProofAt <= at {
+			t.Errorf("no proof yet: %v old", a.process.Clock.Now()-a.Snapshot().ProofAt)
 		}
 	})
 }
@@ -230,7 +230,7 @@
 		if c.count("1:1") != n || c.held("1:1") != 0 || c.held("1:4") != 1 {
 			t.Errorf("asked of the one removed: %d then %d; under way: %d", n, c.count("1:1"), c.held("1:4"))
 		}
-		if age := a.process.Clock.Now() - a.Now().ProofAt; version(a) != 9 || age > a.process.Place.Bounds.Config(1) {
+		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; version(a) != 9 || age > a.process.Place.Bounds.Config(1) {
 			t.Errorf("plan %d, proof %v old", version(a), age)
 		}
 		// All members are replaced while none of them can be heard: the seeds name them.
@@ -239,7 +239,7 @@
 			c.mood["1:2"], c.mood["1:3"], c.mood["1:4"] = "hangs", "hangs", "hangs"
 		})
 		until(10 * time.Second)
-		if age := a.process.Clock.Now() - a.Now().ProofAt; age > a.process.Place.Bounds.Config(1) {
+		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; age > a.process.Place.Bounds.Config(1) {
 			t.Errorf("the new members aren't found: proof %v old", age)
 		}
 	})
@@ -257,8 +257,8 @@
 		if had := c.count("1:1"); had > 12 {
 			t.Errorf("the one behind was asked %d times", had)
 		}
-		if a.Now().Plan == nil || a.Now().Plan.Version != 1 {
-			t.Errorf("plan %v", a.Now().Plan)
+		if a.Snapshot().Plan == nil || a.Snapshot().Plan.Version != 1 {
+			t.Errorf("plan %v", a.Snapshot().Plan)
 		}
 	})
 }
@@ -269,15 +269,15 @@
 	c.mood["1:1"], c.mood["1:2"], c.mood["9:9"] = "hangs", "errs", "hangs"
 	run(t, c, func(t *testing.T, a *Agent) {
 		until(5 * time.Second)
-		if a.Now().Plan != nil {
+		if a.Snapshot().Plan != nil {
 			t.Fatal("a plan from nowhere")
 		}
 		p := a.process.Place
 		p.Seeds = []string{"2:3", "8:8", "8:9"}
 		a.process.ApplySettings(p)
 		until(2 * time.Second)
-		if version(a) != 1 || a.Now().ProofAt == 0 {
-			t.Fatalf("plan %d, proof at %v", version(a), a.Now().ProofAt)
+		if version(a) != 1 || a.Snapshot().ProofAt == 0 {
+			t.Fatalf("plan %d, proof at %v", version(a), a.Snapshot().ProofAt)
 		}
 	})
 }
@@ -285,9 +285,9 @@
 // A process that reaches nobody starts, shows what it has, and ends.
 func TestStartAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 },
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 },
 			Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
-				clock.Pause(ctx, time.Second)
+				clock.Sleep(ctx, time.Second)
 				return nil, errs.New(errs.CantSay, "nobody is there")
 			}}
 		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Listen: "1:9", Bounds: settings.Default(),
@@ -297,7 +297,7 @@
 			t.Fatal(err)
 		}
 		until(10 * time.Second)
-		if s := a.Now(); s.Plan != nil || s.ProofAt != 0 || s.Edges != assumedEdges || len(s.Nodes) != 1 || a.View().Nodes[0].Name != "runner/edge-1" {
+		if s := a.Snapshot(); s.Plan != nil || s.ProofAt != 0 || s.Edges != assumedEdges || len(s.Nodes) != 1 || a.Membership().Nodes[0].Name != "runner/edge-1" {
 			t.Fatalf("%+v", s)
 		}
 		if a.Handler() == nil {
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -14,12 +14,12 @@
 // counts as silent: ratios of the configuration bound. News comes at once; the hold only bounds how often
 // a quiet site is polled. A proof is at most two holds old while nothing fails.
 const (
-	holdRatio       = 1.0 / 2
-	graceRatio      = 1.0 / 4
-	minPauseRatio   = 1.0 / 40 // after an error, or an early response without news
-	maxPauseRatio   = 1.0 / 5
-	startPauseRatio = 1.0 / 25 // the maximum just after the start
-	startRatio      = 1.0 / 2
+	longPollRatio        = 1.0 / 2
+	responseGraceRatio   = 1.0 / 4
+	minRetryDelayRatio   = 1.0 / 40 // after an error, or an early response without news
+	maxRetryDelayRatio   = 1.0 / 5
+	startRetryDelayRatio = 1.0 / 25 // the maximum just after the start
+	startPhaseRatio      = 1.0 / 2
 )
 
 // address is where a member listens: its name without its incarnation.
@@ -32,25 +32,25 @@
 // news.
 func (a *Agent) follow(ctx context.Context, addr string) {
 	bounds := a.process.Place.Bounds
-	hold := bounds.Config(holdRatio)
+	hold := bounds.Config(longPollRatio)
 	client, startedAt := a.controlNode(addr), a.process.Clock.Now()
-	for pause := bounds.Config(minPauseRatio); ctx.Err() == nil; {
+	for pause := bounds.Config(minRetryDelayRatio); ctx.Err() == nil; {
 		var request *wire.FollowRequest
 		asked := a.process.Clock.Now()
-		if !a.actor.Ask(func(t *table) { request = t.newRequest(t.hold(asked)) }) {
+		if !a.actor.Ask(func(t *table) { request = t.newRequest(t.longPollTime(asked)) }) {
 			return
 		}
-		call, end := context.WithTimeout(ctx, time.Duration(request.HoldNs)+bounds.Config(graceRatio))
+		call, end := context.WithTimeout(ctx, time.Duration(request.HoldNs)+bounds.Config(responseGraceRatio))
 		response, err := client.Follow(call, request)
 		end()
 		if err == nil && (a.handleResponse(response, requestedVersion(request), asked) || a.process.Clock.Now()-asked >= hold/2) {
-			pause = bounds.Config(minPauseRatio)
+			pause = bounds.Config(minRetryDelayRatio)
 			continue
 		}
-		clock.Pause(ctx, pause)
-		pause = min(2*pause, bounds.Config(maxPauseRatio))
-		if a.Now().ProofAt == 0 && a.process.Clock.Now()-startedAt < bounds.Config(startRatio) { // the whole site may have restarted: retry soon
-			pause = min(pause, bounds.Config(startPauseRatio))
+		clock.Sleep(ctx, pause)
+		pause = min(2*pause, bounds.Config(maxRetryDelayRatio))
+		if a.Snapshot().ProofAt == 0 && a.process.Clock.Now()-startedAt < bounds.Config(startPhaseRatio) { // the whole site may have restarted: retry soon
+			pause = min(pause, bounds.Config(startRetryDelayRatio))
 		}
 	}
 }
@@ -58,7 +58,7 @@
 // requestedVersion is the version of the plan that a request was sent with.
 func requestedVersion(a *wire.FollowRequest) uint64 {
 	for _, h := range a.Have {
-		if h.Key == routingconfig.Key {
+		if h.Key == routingconfig.DocumentKey {
 			return h.Version
 		}
 	}
--- a/internal/data/agent/proof.go
+++ b/internal/data/agent/proof.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Proof shows by majority up to which instant no newer plan had been acknowledged, in a group
+// FreshnessProof shows by majority up to which instant no newer plan had been acknowledged, in a group
 // whose members change one at a time.
 //
 // The claim: let M be a membership, and let each of a majority Q of M have answered a request
@@ -38,7 +38,7 @@
 // A proof is about the past, so it stays when members change, and a proof for v is one for any
 // newer plan. It never serves an older one: an attestation for v says nothing about plans
 // between u and v, so it doesn't count while u is in use.
-type Proof struct {
+type FreshnessProof struct {
 	term, index  uint64 // of the newest membership that any member reported
 	members      []string
 	attestations map[string]attestation
@@ -52,21 +52,23 @@
 	term, index uint64 // of the newest membership on its disk
 }
 
-// NewProof starts without members.
+// NewFreshnessProof starts without members.
 //
-// Example: p := agent.NewProof()
-func NewProof() *Proof { return &Proof{attestations: map[string]attestation{}} }
+// Example: p := agent.NewFreshnessProof()
+func NewFreshnessProof() *FreshnessProof {
+	return &FreshnessProof{attestations: map[string]attestation{}}
+}
 
 // Members is the newest known membership; nil before the first.
 //
 // Example: for _, m := range p.Members() { follow(m) }
-func (p *Proof) Members() []string { return p.members }
+func (p *FreshnessProof) Members() []string { return p.members }
 
 // AddResponse records a response to a request that was sent at the instant asked. version is the
 // newest plan that the member was sent or returned.
 //
 // Example: p.AddResponse(response, 7, askedAt)
-func (p *Proof) AddResponse(response *wire.FollowResponse, version uint64, asked time.Duration) {
+func (p *FreshnessProof) AddResponse(response *wire.FollowResponse, version uint64, asked time.Duration) {
 	if len(response.Members) == 0 {
 		return // it knows no group
 	}
@@ -84,11 +86,11 @@
 	p.attestations[response.Member] = attestation{asked, version, response.MembersTerm, response.MembersIndex}
 }
 
-// At is the instant up to which nothing newer than the version in use had been acknowledged; zero
+// FreshUntil is the instant up to which nothing newer than the version in use had been acknowledged; zero
 // without a proof. It never decreases while the versions in use only grow.
 //
 // Example: if now-p.At(7) > bound { reject() }
-func (p *Proof) At(version uint64) time.Duration {
+func (p *FreshnessProof) FreshUntil(version uint64) time.Duration {
 	var l []time.Duration
 	for _, m := range p.members {
 		if v, ok := p.attestations[m]; ok && v.version <= version && v.term == p.term && v.index == p.index {
--- a/internal/data/agent/proof_test.go
+++ b/internal/data/agent/proof_test.go
@@ -75,11 +75,11 @@
 		{says(abc[2], 1, 9, four...), 7, 80},
 	}
 	n := everyOrder(as, func(l []answer) {
-		p := NewProof()
+		p := NewFreshnessProof()
 		before := time.Duration(0)
 		for i, a := range l {
 			p.AddResponse(a.response, a.version, a.asked)
-			at := p.At(7)
+			at := p.FreshUntil(7)
 			if at < before || at > vouched(l[:i+1], 7) {
 				t.Fatalf("%v: proof at %v, vouched for at %v, before it %v", l[:i+1], at, vouched(l[:i+1], 7), before)
 			}
@@ -88,7 +88,7 @@
 		if before != 40 {
 			t.Fatalf("%v: proof at %v in the end", l, before)
 		}
-		if at := p.At(8); at != 50 {
+		if at := p.FreshUntil(8); at != 50 {
 			t.Fatalf("%v: proof of the newer plan at %v", l, at)
 		}
 	})
@@ -98,34 +98,34 @@
 }
 
 func TestMinorityProvesNothing(t *testing.T) {
-	p := NewProof()
+	p := NewFreshnessProof()
 	for i := range 5 {
 		p.AddResponse(says(abc[0], 1, 1, abc...), 7, time.Duration(10+i))
 	}
-	if at := p.At(7); at != 0 {
+	if at := p.FreshUntil(7); at != 0 {
 		t.Fatalf("one of three proves %v", at)
 	}
 	p.AddResponse(says("1:1/x", 1, 1, abc...), 7, 90) // the same address, another incarnation: its disk was lost
 	p.AddResponse(says("9:9/z", 1, 1, abc...), 7, 95)
 	p.AddResponse(&wire.FollowResponse{Member: abc[1], NothingNewer: true}, 7, 99)
-	if at := p.At(7); at != 0 {
+	if at := p.FreshUntil(7); at != 0 {
 		t.Fatalf("strangers and one who knows no members prove %v", at)
 	}
 }
 
 func TestRemovedMemberVouchesForNothing(t *testing.T) {
 	four := append(slices.Clone(abc), "1:4/d")
-	p := NewProof()
+	p := NewFreshnessProof()
 	p.AddResponse(says(abc[0], 1, 1, four...), 7, 10)
 	p.AddResponse(says("1:4/d", 1, 1, four...), 7, 20)
 	p.AddResponse(says(abc[0], 1, 5, abc...), 7, 30) // d was taken out
 	p.AddResponse(says("1:4/d", 1, 1, four...), 7, 40)
 	p.AddResponse(says(abc[1], 1, 1, four...), 7, 50) // hasn't heard of that
-	if at := p.At(7); at != 0 {
+	if at := p.FreshUntil(7); at != 0 {
 		t.Fatalf("a removed member, and one behind, prove %v", at)
 	}
 	p.AddResponse(says(abc[1], 1, 5, abc...), 7, 60)
-	if at := p.At(7); at != 30 {
+	if at := p.FreshUntil(7); at != 30 {
 		t.Fatalf("two of three prove %v", at)
 	}
 }
@@ -133,12 +133,12 @@
 // {a,3,4} of a membership that will never be committed don't outvote {1,2} of a committed one.
 func TestMembershipThatWasLost(t *testing.T) {
 	old, lost := []string{"1", "2", "3", "4"}, []string{"1", "2", "3", "4", "a"}
-	p := NewProof()
+	p := NewFreshnessProof()
 	p.AddResponse(says("a", 2, 5, lost...), 7, 10)
 	p.AddResponse(says("4", 2, 5, lost...), 7, 10)
 	// 3 has heard from the leader of term 3, which cut the lost membership off its log.
 	p.AddResponse(says("3", 1, 1, old...), 7, 20)
-	if at := p.At(7); at != 0 {
+	if at := p.FreshUntil(7); at != 0 {
 		t.Fatalf("proof at %v, while {1,2} of {1,2,3} may have acknowledged a newer plan", at)
 	}
 }
@@ -170,7 +170,7 @@
 	leaders   []*leader
 	committed map[uint64]int // when each plan was
 	born      int
-	proof     *Proof
+	proof     *FreshnessProof
 	asks      []asked
 	have      uint64
 	blind     bool // planted: takes each answer as if it held the newest membership
@@ -301,7 +301,7 @@
 	}
 	g.have = max(g.have, reported)
 	g.proof.AddResponse(response, version, time.Duration(q.at))
-	t := g.proof.At(g.have)
+	t := g.proof.FreshUntil(g.have)
 	if t > 0 {
 		g.proofs++
 	}
@@ -311,7 +311,7 @@
 }
 
 func walk(seed uint64, blind bool) *group {
-	g := &group{r: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*host{}, committed: map[uint64]int{}, proof: NewProof(), blind: blind}
+	g := &group{r: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*host{}, committed: map[uint64]int{}, proof: NewFreshnessProof(), blind: blind}
 	first := []line{{term: 1, members: []string{"a", "b", "c", "d"}[:3+g.r.IntN(2)]}}
 	g.names = slices.Clone(first[0].members)
 	for _, m := range first[0].members {
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -36,30 +36,30 @@
 	bounds     settings.Bounds
 	codec      backend.Codec
 	startedAt  time.Duration
-	proof      *Proof
+	proof      *FreshnessProof
 	versions   map[string]uint64 // by document: the newest version received, readable or not
 	edgeSeenAt map[string]time.Duration
 	snapshot   fleet.Snapshot
 }
 
 func newTable(b settings.Bounds, codec backend.Codec, now time.Duration) *table {
-	return &table{bounds: b, codec: codec, startedAt: now, proof: NewProof(), versions: map[string]uint64{},
+	return &table{bounds: b, codec: codec, startedAt: now, proof: NewFreshnessProof(), versions: map[string]uint64{},
 		edgeSeenAt: map[string]time.Duration{}, snapshot: fleet.Snapshot{Edges: assumedEdges}}
 }
 
-// hold is how long a request sent now may be held. An agent that was out of contact, or suspended,
+// longPollTime is how long a request sent now may be held. An agent that was out of contact, or suspended,
 // needs a proof before it can serve again: it asks for an immediate response.
-func (t *table) hold(now time.Duration) time.Duration {
+func (t *table) longPollTime(now time.Duration) time.Duration {
 	if t.snapshot.Plan != nil && (t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio)) {
 		return 0
 	}
-	return t.bounds.Config(holdRatio)
+	return t.bounds.Config(longPollRatio)
 }
 
 // newRequest makes the next request to a member.
 func (t *table) newRequest(hold time.Duration) *wire.FollowRequest {
-	a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.Key, Packed: true}
-	for _, k := range []string{routingconfig.Key, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
+	a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.DocumentKey, Packed: true}
+	for _, k := range []string{routingconfig.DocumentKey, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
 		a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.versions[k]})
 	}
 	for _, k := range queue.Keys(t.versions) {
@@ -76,7 +76,7 @@
 	var b errs.Batch
 	version := requested
 	for _, d := range response.Documents {
-		if d.GetKey() == routingconfig.Key {
+		if d.GetKey() == routingconfig.DocumentKey {
 			version = max(version, d.GetVersion())
 		}
 		if t.isFollowed(d.GetKey()) && d.GetVersion() > t.versions[d.GetKey()] {
@@ -91,26 +91,26 @@
 }
 
 func (t *table) isFollowed(key string) bool {
-	return key == routingconfig.Key || key == fleet.WorkersKey || key == fleet.WeightsKey ||
+	return key == routingconfig.DocumentKey || key == fleet.WorkersKey || key == fleet.WeightsKey ||
 		strings.HasPrefix(key, fleet.PlacementKey) && key != fleet.PlacementKey
 }
 
 // updateProof sets how fresh the plan in use is.
 func (t *table) updateProof() {
 	if t.snapshot.Plan != nil {
-		t.snapshot.ProofAt = t.proof.At(t.snapshot.Plan.Version)
+		t.snapshot.ProofAt = t.proof.FreshUntil(t.snapshot.Plan.Version)
 	}
 }
 
 // applyDocument takes a newer document into use. Members send committed documents only. One that this
 // program can't read leaves the previous one in use, and the plan's proof then stops growing.
 func (t *table) applyDocument(d *wire.Document, now time.Duration) error {
-	d, err := fleet.Unpack(d)
+	d, err := fleet.Decompress(d)
 	if err != nil {
 		return err
 	}
 	switch d.Key {
-	case routingconfig.Key:
+	case routingconfig.DocumentKey:
 		p, err := t.codec.Read(d.Body)
 		if err != nil {
 			return err
@@ -118,7 +118,7 @@
 		p.Version = d.Version // the committed version counts
 		t.snapshot.Plan = p
 	case fleet.WorkersKey:
-		var w fleet.Table
+		var w fleet.WorkerList
 		if err := json.Unmarshal(d.Body, &w); err != nil {
 			return errs.As(err, errs.Inside, "not a table of workers")
 		}
@@ -190,7 +190,7 @@
 	alone := true
 	for _, n := range v.Nodes {
 		alone = alone && n.Role != clustermembership.RoleControlNode
-		if n.Role == clustermembership.RoleNodeAgent && n.State != clustermembership.Gone {
+		if n.Role == clustermembership.RoleNodeAgent && n.State != clustermembership.Dead {
 			t.edgeSeenAt[n.Name] = now
 		}
 	}
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -20,22 +20,22 @@
 
 // Ratios of the heal bound.
 const (
-	flushRatio        = 1.0 / 60 // between two flushes of the counts
-	cacheRatio        = 1.0 / 48 // lifetime of a cached answer
-	lateRatio         = 1.0 / 12 // how long an index node that was late, or isn't warm, is tried last
-	probeRatio        = 1.0 / 96 // between two calls to one that was late
-	timeoutRatio      = 1.0 / 24 // timeout of sending counts
-	windowRatio       = 1.25     // half the window that is sent again
-	firstAttemptRatio = 0.6      // of the wait, for the first holder
+	flushRatio         = 1.0 / 60 // between two flushes of the counts
+	cacheLifetimeRatio = 1.0 / 48 // lifetime of a cached answer
+	lateNodeRatio      = 1.0 / 12 // how long an index node that was late, or isn't warm, is tried last
+	lateProbeRatio     = 1.0 / 96 // between two calls to one that was late
+	flushTimeoutRatio  = 1.0 / 24 // timeout of sending counts
+	resendWindowRatio  = 1.25     // half the window that is sent again
+	firstAttemptRatio  = 0.6      // of the wait, for the first holder
 )
 
 const (
-	maxCached  = 4096 // cached answers
-	maxJoined  = 63   // lookups that one batch takes beside its first
-	maxBatches = 4    // batches
+	maxCachedAnswers     = 4096 // cached answers
+	maxBatchedLookups    = 63   // lookups that one batch takes beside its first
+	maxConcurrentBatches = 4    // batches
 )
 
-type lookup struct {
+type pendingLookup struct {
 	keys   []prefix.Key
 	wait   time.Duration
 	result chan map[prefix.Key]*wire.Found
@@ -43,7 +43,7 @@
 
 // Client looks up keys in batches and sends the accesses that this edge machine has seen.
 type Client struct {
-	ring        *queue.Ring[lookup]
+	ring        *queue.Ring[pendingLookup]
 	actor       *queue.Actor[table]
 	nodes       func() []*wire.Node
 	client      func(addr string) wire.Catalogue
@@ -81,7 +81,7 @@
 const maxClients = 64
 
 func start(l *daemon.Process, nodes func() []*wire.Node, call func(string) wire.Catalogue) *Client {
-	s := &Client{ring: queue.NewRing[lookup](l.Place.Bounds.Waiting), nodes: nodes, client: call, bounds: l.Place.Bounds,
+	s := &Client{ring: queue.NewRing[pendingLookup](l.Place.Bounds.Waiting), nodes: nodes, client: call, bounds: l.Place.Bounds,
 		clock: l.Clock, ctx: l.Ctx, name: "edge/" + l.Place.Name, incarnation: uint64(l.Clock.Now()), zone: l.Place.Zone}
 	s.actor = queue.NewActor(newTable(s), 1024)
 	l.OnStop(s.actor.Stop)
@@ -103,7 +103,7 @@
 	if len(kept) == len(keys) {
 		return kept
 	}
-	q := lookup{keys, wait, make(chan map[prefix.Key]*wire.Found, 1)}
+	q := pendingLookup{keys, wait, make(chan map[prefix.Key]*wire.Found, 1)}
 	if !s.ring.Offer(q) {
 		return kept
 	}
@@ -120,7 +120,7 @@
 
 // run joins waiting lookups into batches; a few batches may be in flight at once.
 func (s *Client) run() {
-	room := make(chan struct{}, maxBatches)
+	room := make(chan struct{}, maxConcurrentBatches)
 	for {
 		select {
 		case <-s.ctx.Done():
@@ -131,7 +131,7 @@
 			case <-s.ctx.Done():
 				return
 			}
-			qs := append([]lookup{q}, s.ring.Drain(maxJoined)...)
+			qs := append([]pendingLookup{q}, s.ring.Drain(maxBatchedLookups)...)
 			go func() {
 				defer func() { <-room }()
 				s.lookupBatch(qs)
@@ -142,7 +142,7 @@
 
 // lookupBatch looks up the keys of all lookups: at the fewest index nodes that hold them all, then at
 // the other holders of what wasn't answered or not for certain.
-func (s *Client) lookupBatch(qs []lookup) {
+func (s *Client) lookupBatch(qs []pendingLookup) {
 	got := map[prefix.Key]*wire.Found{}
 	sure := map[prefix.Key]bool{}
 	var all []prefix.Key
@@ -175,7 +175,7 @@
 		if try == 0 {
 			one, stop = context.WithTimeout(ctx, time.Duration(float64(wait)*firstAttemptRatio))
 		}
-		s.query(one, plan, got, sure, asked)
+		s.callNodes(one, plan, got, sure, asked)
 		stop()
 	}
 	s.actor.Ask(func(t *table) { t.cache(got, s.clock.Now()) })
@@ -194,7 +194,7 @@
 	err      error
 }
 
-func (s *Client) query(ctx context.Context, plan []nodeCall, got map[prefix.Key]*wire.Found, sure map[prefix.Key]bool, asked map[string]bool) {
+func (s *Client) callNodes(ctx context.Context, plan []nodeCall, got map[prefix.Key]*wire.Found, sure map[prefix.Key]bool, asked map[string]bool) {
 	out := make(chan nodeResponse, len(plan))
 	for _, l := range plan {
 		asked[l.node] = true
@@ -213,7 +213,7 @@
 		ok := r.err == nil && r.response != nil && len(r.response.Found) == len(r.call.keys)
 		s.actor.Ask(func(t *table) { t.recordResult(r.call.node, ok && r.response.Warm, s.clock.Now()) })
 		if x := s.loadSharing.Load(); x != nil && r.err == nil && r.response.GetLoads() != nil {
-			x.take(r.response.Loads)
+			x.receiveLoads(r.response.Loads)
 		}
 		if !ok {
 			continue // a miss
@@ -236,14 +236,14 @@
 }
 
 type loadSharing struct {
-	give func() *wire.Loads
-	take func(*wire.Loads)
+	localLoads   func() *wire.Loads
+	receiveLoads func(*wire.Loads)
 }
 
 // loads is this edge machine's report on the workers' load; nil if none.
 func (s *Client) loads() *wire.Loads {
 	if x := s.loadSharing.Load(); x != nil {
-		return x.give()
+		return x.localLoads()
 	}
 	return nil
 }
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -98,8 +98,8 @@
 	x.counts = map[string][]*wire.CountAsk{}
 	synctest.Test(t, func(t *testing.T) {
 		ns := nodes()
-		serving := promptindex.Serving(ns)
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		serving := promptindex.ServingNodes(ns)
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "edge", settings.Place{Name: "edge-1", Zone: serving[1].District, Bounds: settings.Default(), Extra: []string{"log=off"}})
 		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.Catalogue { return node{x, addr} })
 		f(s, serving)
@@ -113,7 +113,7 @@
 	synctest.Wait()
 }
 
-func key(i int) prefix.Key { return promptindex.KeyOf("s", fmt.Sprint(i)) }
+func key(i int) prefix.Key { return promptindex.PartKey("s", fmt.Sprint(i)) }
 
 func keys(n int) (l []prefix.Key) {
 	for i := range n {
@@ -138,7 +138,7 @@
 		if m = s.Lookup(context.Background(), []prefix.Key{key(3)}, wait); len(m) != 1 || len(x.asked) != 1 {
 			t.Errorf("asked again at once: %v", x.asked)
 		}
-		pass(s.bounds.Heal(cacheRatio))
+		pass(s.bounds.Heal(cacheLifetimeRatio))
 		if s.Lookup(context.Background(), []prefix.Key{key(3)}, wait); len(x.asked) != 2 {
 			t.Errorf("an old answer was gone by: %v", x.asked)
 		}
@@ -158,16 +158,16 @@
 			wg.Go(func() { s.Lookup(context.Background(), []prefix.Key{key(i), key(0)}, s.bounds.Heal(1)) })
 			synctest.Wait()
 		}
-		for i := range maxBatches + 21 {
+		for i := range maxConcurrentBatches + 21 {
 			ask(i)
 		}
-		if len(x.asked) != maxBatches {
+		if len(x.asked) != maxConcurrentBatches {
 			t.Errorf("%d calls under way", len(x.asked))
 		}
 		close(x.gate)
 		wg.Wait()
 		// One question had been taken out of the ring already while the others waited in it.
-		if len(x.asked) != maxBatches+1 || x.keys != 2*maxBatches-1+22 {
+		if len(x.asked) != maxConcurrentBatches+1 || x.keys != 2*maxConcurrentBatches-1+22 {
 			t.Errorf("%d calls with %d keys", len(x.asked), x.keys)
 		}
 	})
@@ -220,9 +220,9 @@
 	x := &index{mood: map[string]string{}}
 	run(t, x, func(s *Client, serving []*wire.Node) {
 		for range 3 {
-			s.Count("llm", part(1), "w1", "")
+			s.RecordAccesses("llm", part(1), "w1", "")
 		}
-		s.Count("llm", part(1), "w2", "store")
+		s.RecordAccesses("llm", part(1), "w2", "store")
 		pass(s.bounds.Heal(flushRatio))
 		for _, n := range serving {
 			l := x.counts[n.Addr]
@@ -236,9 +236,9 @@
 			t.Error("reported again though there was no news")
 		}
 		x.set(serving[0].Addr, "errors")
-		s.Count("llm", part(2), "w1", "")
+		s.RecordAccesses("llm", part(2), "w1", "")
 		pass(s.bounds.Heal(flushRatio))
-		s.Count("llm", part(3), "w1", "")
+		s.RecordAccesses("llm", part(3), "w1", "")
 		x.set(serving[0].Addr, "")
 		pass(s.bounds.Heal(2 * flushRatio))
 		l := x.counts[serving[0].Addr][1:]
@@ -251,12 +251,12 @@
 func TestRestartedIndexNodeGetsTheWindow(t *testing.T) {
 	x := &index{}
 	run(t, x, func(s *Client, serving []*wire.Node) {
-		s.Count("llm", part(1), "w1", "")
+		s.RecordAccesses("llm", part(1), "w1", "")
 		pass(s.bounds.Heal(flushRatio))
 		x.mu.Lock()
 		x.again = true
 		x.mu.Unlock()
-		s.Count("llm", part(2), "w1", "")
+		s.RecordAccesses("llm", part(2), "w1", "")
 		pass(s.bounds.Heal(2 * flushRatio))
 		n := 0
 		for _, l := range x.counts {
@@ -278,15 +278,15 @@
 	x := &index{}
 	run(t, x, func(s *Client, serving []*wire.Node) {
 		all := s.nodes()
-		s.Count("llm", part(1), "w1", "")
+		s.RecordAccesses("llm", part(1), "w1", "")
 		pass(s.bounds.Heal(flushRatio))
 		without := slices.DeleteFunc(slices.Clone(all), func(n *wire.Node) bool { return n.Name == serving[0].Name })
 		swap := func(l []*wire.Node) { s.actor.Ask(func(*table) { s.nodes = func() []*wire.Node { return l } }) }
 		swap(without)
-		s.Count("llm", part(2), "w1", "")
+		s.RecordAccesses("llm", part(2), "w1", "")
 		pass(s.bounds.Heal(2 * flushRatio))
 		swap(all)
-		s.Count("llm", part(3), "w1", "")
+		s.RecordAccesses("llm", part(3), "w1", "")
 		pass(s.bounds.Heal(2 * flushRatio))
 		l := x.counts[serving[0].Addr]
 		if len(l) != 2 || l[1].Number != 2 {
@@ -316,7 +316,7 @@
 		for _, n := range serving {
 			x.set(n.Addr, "")
 		}
-		pass(s.bounds.Heal(probeRatio))
+		pass(s.bounds.Heal(lateProbeRatio))
 		if s.Lookup(context.Background(), keys(1), wait) == nil {
 			t.Error("they are back and aren't asked")
 		}
--- a/internal/data/indexclient/count.go
+++ b/internal/data/indexclient/count.go
@@ -13,30 +13,30 @@
 	maxPresumedHolders = 8    // holders of one key in one batch
 )
 
-// accessCounter holds the counted accesses by index node until they are sent and acknowledged, and the
+// AccessCounter holds the counted accesses by index node until they are sent and acknowledged, and the
 // recent window that is sent again to a node that lost its memory.
-type accessCounter struct {
-	nodes              map[string]*nodeBatches
+type AccessCounter struct {
+	nodes              map[string]*nodeQueue
 	window, lastWindow map[prefix.Key]*wire.Access
 	windowStart        time.Duration
 }
 
-type nodeBatches struct {
+type nodeQueue struct {
 	number   uint64
 	pending  map[prefix.Key]*wire.Access
 	inFlight *wire.CountAsk // not acknowledged yet: it is sent again under the same number
 	sending  bool
 }
 
-func newAccessCounter() accessCounter {
-	return accessCounter{nodes: map[string]*nodeBatches{}, window: map[prefix.Key]*wire.Access{}, lastWindow: map[prefix.Key]*wire.Access{}}
+func NewAccessCounter() AccessCounter {
+	return AccessCounter{nodes: map[string]*nodeQueue{}, window: map[prefix.Key]*wire.Access{}, lastWindow: map[prefix.Key]*wire.Access{}}
 }
 
-// Count records a request's accesses: its parts, the worker that is presumed to hold them from now on,
+// RecordAccesses records a request's accesses: its parts, the worker that is presumed to hold them from now on,
 // and the store that they were handed to ("" if none).
 //
 // Example: s.Count("lectores", parts, worker.ID, "")
-func (s *Client) Count(service string, parts []prefix.Entry, holder, saved string) {
+func (s *Client) RecordAccesses(service string, parts []prefix.Entry, holder, saved string) {
 	if len(parts) == 0 {
 		return
 	}
@@ -47,21 +47,21 @@
 			if saved != "" {
 				a.Presumed = append(a.Presumed, saved)
 			}
-			h := sh.Holders(e.Key)
+			h := sh.NodesOf(e.Key)
 			for j, n := range h {
 				if n == "" || j == 1 && n == h[0] {
 					continue
 				}
 				x := t.nodes[n]
 				if x == nil {
-					x = &nodeBatches{pending: map[prefix.Key]*wire.Access{}}
+					x = &nodeQueue{pending: map[prefix.Key]*wire.Access{}}
 					t.nodes[n] = x
 				}
-				addAccess(x.pending, e.Key, a)
+				mergeAccess(x.pending, e.Key, a)
 			}
-			addAccess(t.window, e.Key, a)
+			mergeAccess(t.window, e.Key, a)
 		}
-		if now := s.clock.Now(); now-t.windowStart > s.bounds.Heal(windowRatio) {
+		if now := s.clock.Now(); now-t.windowStart > s.bounds.Heal(resendWindowRatio) {
 			t.lastWindow, t.window, t.windowStart = t.window, map[prefix.Key]*wire.Access{}, now
 		}
 	})
@@ -96,8 +96,8 @@
 	})
 }
 
-func (s *Client) sendBatch(n, addr string, x *nodeBatches, a *wire.CountAsk) {
-	ctx, end := context.WithTimeout(s.ctx, s.bounds.Heal(timeoutRatio))
+func (s *Client) sendBatch(n, addr string, x *nodeQueue, a *wire.CountAsk) {
+	ctx, end := context.WithTimeout(s.ctx, s.bounds.Heal(flushTimeoutRatio))
 	defer end()
 	r, err := s.client(addr).Count(ctx, a)
 	s.actor.Ask(func(t *table) {
@@ -111,8 +111,8 @@
 		}
 		for _, m := range []map[prefix.Key]*wire.Access{t.lastWindow, t.window} { // it has lost its memory
 			for k, p := range m {
-				if h := t.currentShards().Holders(k); h[0] == n || h[1] == n {
-					addAccess(x.pending, k, &wire.Access{Count: p.Count, Tokens: p.Tokens, Service: p.Service, Head: p.Head})
+				if h := t.currentShards().NodesOf(k); h[0] == n || h[1] == n {
+					mergeAccess(x.pending, k, &wire.Access{Count: p.Count, Tokens: p.Tokens, Service: p.Service, Head: p.Head})
 				}
 			}
 		}
--- a/internal/data/indexclient/restart_test.go
+++ b/internal/data/indexclient/restart_test.go
@@ -22,7 +22,7 @@
 		for _, n := range serving {
 			x.set(n.Addr, "")
 		}
-		pass(s.bounds.Heal(lateRatio))
+		pass(s.bounds.Heal(lateNodeRatio))
 		if m := s.Lookup(context.Background(), keys(5), wait); len(m) != 5 || len(m[key(3)].GetHolders()) != 1 {
 			t.Errorf("warm again: %d answers", len(m))
 		}
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -34,11 +34,11 @@
 	lateUntil  map[string]time.Duration // until then
 	probeAt    map[string]time.Duration // a late node isn't tried before
 	cached     map[prefix.Key]cachedAnswer
-	accessCounter
+	AccessCounter
 }
 
 func newTable(s *Client) *table {
-	return &table{client: s, sameZone: map[string]bool{}, lateUntil: map[string]time.Duration{}, probeAt: map[string]time.Duration{}, cached: map[prefix.Key]cachedAnswer{}, accessCounter: newAccessCounter()}
+	return &table{client: s, sameZone: map[string]bool{}, lateUntil: map[string]time.Duration{}, probeAt: map[string]time.Duration{}, cached: map[prefix.Key]cachedAnswer{}, AccessCounter: NewAccessCounter()}
 }
 
 // currentShards lays the shards out again if the index nodes have changed.
@@ -48,7 +48,7 @@
 		return t.shards
 	}
 	t.membership = nodes
-	serving := promptindex.Serving(nodes)
+	serving := promptindex.ServingNodes(nodes)
 	var now strings.Builder
 	for _, n := range serving {
 		fmt.Fprintf(&now, "%s %s\n", n.Name, n.Addr)
@@ -73,7 +73,7 @@
 	for len(keys) > 0 {
 		by := map[string]int{}
 		for _, k := range keys {
-			h := sh.Holders(k)
+			h := sh.NodesOf(k)
 			for i, n := range h {
 				if n != "" && !asked[n] && (i == 0 || n != h[0]) && (t.lateUntil[n] <= now || t.probeAt[n] <= now) {
 					by[n]++
@@ -90,12 +90,12 @@
 			return l
 		}
 		if t.lateUntil[best] > now {
-			t.probeAt[best] = now + t.client.bounds.Heal(probeRatio)
+			t.probeAt[best] = now + t.client.bounds.Heal(lateProbeRatio)
 		}
 		x := nodeCall{node: best, addr: sh.Addr(best)}
 		var rest []prefix.Key
 		for _, k := range keys {
-			if h := sh.Holders(k); h[0] == best || h[1] == best {
+			if h := sh.NodesOf(k); h[0] == best || h[1] == best {
 				x.keys = append(x.keys, k)
 			} else {
 				rest = append(rest, k)
@@ -123,7 +123,7 @@
 	if good {
 		delete(t.lateUntil, node)
 	} else {
-		t.lateUntil[node] = now + t.client.bounds.Heal(lateRatio)
+		t.lateUntil[node] = now + t.client.bounds.Heal(lateNodeRatio)
 	}
 }
 
@@ -131,7 +131,7 @@
 func (t *table) lookUpCache(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
 	var m map[prefix.Key]*wire.Found
 	for _, k := range keys {
-		if x, ok := t.cached[k]; ok && now-x.at < t.client.bounds.Heal(cacheRatio) {
+		if x, ok := t.cached[k]; ok && now-x.at < t.client.bounds.Heal(cacheLifetimeRatio) {
 			if m == nil {
 				m = make(map[prefix.Key]*wire.Found, len(keys))
 			}
@@ -143,13 +143,13 @@
 
 // cache stores found holders; that nobody holds a key isn't cached.
 func (t *table) cache(got map[prefix.Key]*wire.Found, now time.Duration) {
-	if len(t.cached)+len(got) > maxCached {
+	if len(t.cached)+len(got) > maxCachedAnswers {
 		for k, x := range t.cached {
-			if now-x.at >= t.client.bounds.Heal(cacheRatio) {
+			if now-x.at >= t.client.bounds.Heal(cacheLifetimeRatio) {
 				delete(t.cached, k)
 			}
 		}
-		if len(t.cached)+len(got) > maxCached {
+		if len(t.cached)+len(got) > maxCachedAnswers {
 			clear(t.cached)
 		}
 	}
@@ -160,8 +160,8 @@
 	}
 }
 
-// addAccess merges an access into the pending counts.
-func addAccess(m map[prefix.Key]*wire.Access, k prefix.Key, a *wire.Access) {
+// mergeAccess merges an access into the pending counts.
+func mergeAccess(m map[prefix.Key]*wire.Access, k prefix.Key, a *wire.Access) {
 	o := m[k]
 	if o == nil {
 		if len(m) < maxCounts {
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -20,14 +20,14 @@
 
 // table is the state of a node agent; the actor's goroutine alone touches it.
 type table struct {
-	freshness  *Freshness
-	workers    *Workers
+	freshness  *FreshnessProof
+	workers    *WorkerTable
 	view       clustermembership.View
 	placements map[string]*wire.Document
 	config     *serviceconfig.Config
 	links      map[string]*wire.LinkSeen
 	// health is how a worker's recent attempts ended, as the proxy on this machine saw them.
-	health       map[string]*health
+	health       map[string]*recentOutcomes
 	version      uint64 // of everything in an update
 	listsVersion uint64 // of workers, nodes, placements, stores and links
 	waiting      map[chan struct{}]bool
@@ -54,11 +54,11 @@
 	process.OnStop(a.backends.Close)
 	ms := controlclient.Members(0, process.Place.Core)
 	// Versions start at random, so that a client can't mistake a new incarnation's for the old one's.
-	a.actor = queue.NewActor(&table{version: process.Seed(), listsVersion: process.Seed(), freshness: NewFreshness(), workers: NewWorkers(b), placements: map[string]*wire.Document{},
-		links: map[string]*wire.LinkSeen{}, health: map[string]*health{}, waiting: map[chan struct{}]bool{}}, 1024)
+	a.actor = queue.NewActor(&table{version: process.Seed(), listsVersion: process.Seed(), freshness: NewFreshnessProof(), workers: NewWorkerTable(b), placements: map[string]*wire.Document{},
+		links: map[string]*wire.LinkSeen{}, health: map[string]*recentOutcomes{}, waiting: map[chan struct{}]bool{}}, 1024)
 	process.OnStop(a.actor.Stop)
 	a.member = clustermembership.Start(process.Ctx, process.Place, clustermembership.RoleNodeAgent, a.clock, process.Log, a.clients.Membership, func(v clustermembership.View) {
-		a.actor.TrySend(func(t *table) { t.view = v; t.listsChanged() })
+		a.actor.TrySend(func(t *table) { t.view = v; t.notifyListsChanged() })
 	})
 	for _, m := range ms {
 		process.Go(func() { a.followConfig(m) })
@@ -78,7 +78,7 @@
 	})
 	process.Meter.Gauge("pebbleloom_nodes", "nodes that this machine doesn't see as gone", func() (v float64) {
 		for _, n := range a.member.View().Nodes {
-			if n.State != clustermembership.Gone {
+			if n.State != clustermembership.Dead {
 				v++
 			}
 		}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (t *table) changed() {
+func (t *table) notifyWaiting() {
 	t.version++
 	for c := range t.waiting {
 		close(c)
@@ -106,10 +106,10 @@
 	clear(t.waiting)
 }
 
-// listsChanged records that the lists have changed.
-func (t *table) listsChanged() {
+// notifyListsChanged records that the lists have changed.
+func (t *table) notifyListsChanged() {
 	t.listsVersion++
-	t.changed()
+	t.notifyWaiting()
 }
 
 // followConfig polls one member of the configuration's shard with the version it has.
@@ -117,19 +117,19 @@
 	b := a.process.Place.Bounds
 	for a.process.Ctx.Err() == nil {
 		var have uint64
-		a.actor.Ask(func(t *table) { have = t.freshness.Version() })
+		a.actor.Ask(func(t *table) { have = t.freshness.LatestVersion() })
 		asked := a.clock.Now()
 		var response *wire.WatchResponse
 		if addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + member); ok {
 			ctx, end := context.WithTimeout(a.process.Ctx, b.Config(0.3))
-			t, err := a.clients.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, Have: have, HoldNs: uint64(b.Config(0.15))})
+			t, err := a.clients.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.ConfigKey, Have: have, HoldNs: uint64(b.Config(0.15))})
 			end()
 			if err == nil {
 				response = t
 			}
 		}
 		if response == nil || response.Outcome == wire.OutcomeUnknown {
-			clock.Pause(a.process.Ctx, b.Config(0.05))
+			clock.Sleep(a.process.Ctx, b.Config(0.05))
 			if response == nil {
 				continue
 			}
@@ -140,7 +140,7 @@
 
 func (a *Agent) applyResponse(t *table, member string, have uint64, asked time.Duration, response *wire.WatchResponse) {
 	if t.freshness.HandleResponse(member, have, asked, response) {
-		s, err := serviceconfig.Read(t.freshness.Document().Body)
+		s, err := serviceconfig.Decode(t.freshness.Document().Body)
 		if err != nil {
 			// The control state holds checked configurations only; an older program can still
 			// fail here. It runs without a configuration rather than with half of one.
@@ -152,7 +152,7 @@
 		}
 		a.process.Log.Info("configuration adopted", "version", t.freshness.Document().Version)
 	}
-	t.changed()
+	t.notifyWaiting()
 }
 
 func (a *Agent) refreshWorkers() {
@@ -164,19 +164,19 @@
 		a.process.Log.Debug("platform doesn't answer: the last list stays", "error", err)
 		return
 	}
-	a.actor.TrySend(func(t *table) { t.workers.Listed(l, asked); a.publishWorkers(t) })
+	a.actor.TrySend(func(t *table) { t.workers.ApplyList(l, asked); a.publishWorkers(t) })
 }
 
 func (a *Agent) probeWorkers() {
 	var l []contract.Listed
-	a.actor.Ask(func(t *table) { l = t.workers.Probe() })
+	a.actor.Ask(func(t *table) { l = t.workers.StartProbes() })
 	for _, x := range l {
 		go func() {
 			asked := a.clock.Now()
 			ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Leave(0.25))
 			defer end()
 			s, err := a.backends.State(ctx, x.Addr)
-			a.actor.Ask(func(t *table) { t.workers.Probed(x, s, err == nil, asked, a.clock.Now()) })
+			a.actor.Ask(func(t *table) { t.workers.RecordProbe(x, s, err == nil, asked, a.clock.Now()) })
 		}()
 	}
 	a.actor.TrySend(a.publishWorkers)
@@ -186,13 +186,13 @@
 func (a *Agent) publishWorkers(t *table) {
 	var drains map[string]bool
 	if t.config != nil {
-		drains = t.config.Drains
+		drains = t.config.Draining
 	}
-	rows := t.workers.Table(drains, a.clock.Now())
+	rows := t.workers.Rows(drains, a.clock.Now())
 	for _, w := range rows { // published rows are never changed
 		if h := t.health[w.Name]; h != nil {
 			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
-			w.Ok, w.Bad = h.ok, h.failed
+			w.Ok, w.Bad = h.succeeded, h.failed
 		}
 	}
 	same := len(rows) == len(t.rows)
@@ -203,7 +203,7 @@
 	t.rows = rows
 	t.listsVersion++ // a change of load alone wakes nobody
 	if !same {
-		t.changed()
+		t.notifyWaiting()
 	}
 }
 
@@ -239,7 +239,7 @@
 		if err == nil && response.Outcome == wire.OutcomeNews && response.Document.GetVersion() > h {
 			a.actor.TrySend(func(t *table) {
 				t.placements[n] = &wire.Document{Key: n, Body: response.Document.Body, Version: response.Document.Version}
-				t.listsChanged()
+				t.notifyListsChanged()
 			})
 		}
 	}
@@ -309,15 +309,15 @@
 	}
 }
 
-// health is how a worker's recent attempts ended, as the proxy on this machine saw them.
-type health struct {
-	ok, failed float64
-	at         time.Duration
+// recentOutcomes is how a worker's recent attempts ended, as the proxy on this machine saw them.
+type recentOutcomes struct {
+	succeeded, failed float64
+	updatedAt         time.Duration
 }
 
-func (h *health) decay(now, window time.Duration) {
-	f := math.Exp(-float64(now-h.at) / float64(window))
-	h.ok, h.failed, h.at = h.ok*f, h.failed*f, now
+func (h *recentOutcomes) decay(now, window time.Duration) {
+	f := math.Exp(-float64(now-h.updatedAt) / float64(window))
+	h.succeeded, h.failed, h.updatedAt = h.succeeded*f, h.failed*f, now
 }
 
 func (a *Agent) recordAttempts(t *table, l []*wire.GoReport) {
@@ -326,11 +326,11 @@
 		if g.Ok+g.Errors > 0 && (t.health[g.Worker] != nil || len(t.health) < maxWorkers) {
 			h := t.health[g.Worker]
 			if h == nil {
-				h = &health{}
+				h = &recentOutcomes{}
 				t.health[g.Worker] = h
 			}
 			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
-			h.ok, h.failed = h.ok+float64(g.Ok), h.failed+float64(g.Errors)
+			h.succeeded, h.failed = h.succeeded+float64(g.Ok), h.failed+float64(g.Errors)
 		}
 		if g.LinkNs <= 0 || len(t.links) > 8 && t.links[g.From] == nil {
 			continue
@@ -346,7 +346,7 @@
 
 // newResponse makes an update. What the client has isn't sent again.
 func (a *Agent) newResponse(t *table, request *wire.FeedAsk) *wire.FeedTell {
-	f := &wire.FeedTell{Number: t.version, View: t.listsVersion, ProofAt: uint64(t.freshness.Proof()), Setup: t.freshness.Document(), WorkersAt: uint64(t.workers.listed)}
+	f := &wire.FeedTell{Number: t.version, View: t.listsVersion, ProofAt: uint64(t.freshness.FreshUntil()), Setup: t.freshness.Document(), WorkersAt: uint64(t.workers.listedAt)}
 	if t.config == nil {
 		f.Setup, f.ProofAt = nil, 0 // an unreadable configuration is none
 	} else if f.Setup.GetVersion() == request.HaveSetup {
--- a/internal/data/nodeagent/freshness.go
+++ b/internal/data/nodeagent/freshness.go
@@ -9,12 +9,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// Freshness proves by majority that no newer configuration was acknowledged. An acknowledged
+// FreshnessProof proves by majority that no newer configuration was acknowledged. An acknowledged
 // configuration is synced on two of the three members; so once two of the three have stated, after an
 // instant, that their disks hold nothing newer, nothing newer was acknowledged before it. A newer
 // configuration is taken into use as soon as two members attest it as well. Until then the old one is
 // used as long as its own proof holds: that is what its bound is for.
-type Freshness struct{ current, next candidate }
+type FreshnessProof struct{ current, next candidate }
 
 // candidate is a configuration with the members that attest it.
 type candidate struct {
@@ -25,14 +25,14 @@
 // attestation is one member's statement: when it was asked, which incarnation answered, and which
 // incarnations of the others it accepts.
 type attestation struct {
-	asked       time.Duration
-	incarnation string
-	known       []*wire.KnownIncarnation
+	asked                time.Duration
+	incarnation          string
+	acceptedIncarnations []*wire.KnownIncarnation
 }
 
-// knows reports whether another member's incarnation is accepted.
-func (v attestation) knows(name, inc string) bool {
-	for _, k := range v.known {
+// accepts reports whether another member's incarnation is accepted.
+func (v attestation) accepts(name, inc string) bool {
+	for _, k := range v.acceptedIncarnations {
 		if k.Name == name {
 			return k.Incarnation == inc
 		}
@@ -40,17 +40,17 @@
 	return true
 }
 
-// NewFreshness starts without a configuration.
+// NewFreshnessProof starts without a configuration.
 //
-// Example: f := nodeagent.NewFreshness()
-func NewFreshness() *Freshness {
-	return &Freshness{current: candidate{attestations: map[string]attestation{}}}
+// Example: f := nodeagent.NewFreshnessProof()
+func NewFreshnessProof() *FreshnessProof {
+	return &FreshnessProof{current: candidate{attestations: map[string]attestation{}}}
 }
 
-// Version is the newest version received, in use already or not; the next request carries it.
+// LatestVersion is the newest version received, in use already or not; the next request carries it.
 //
 // Example: request.Have = f.Version()
-func (f *Freshness) Version() uint64 {
+func (f *FreshnessProof) LatestVersion() uint64 {
 	return max(f.current.document.GetVersion(), f.next.document.GetVersion())
 }
 
@@ -58,14 +58,14 @@
 // version have. It reports whether the configuration in use has changed.
 //
 // Example: changed := f.HandleResponse("core-1", 7, askedAt, response)
-func (f *Freshness) HandleResponse(member string, have uint64, asked time.Duration, t *wire.WatchResponse) bool {
+func (f *FreshnessProof) HandleResponse(member string, have uint64, asked time.Duration, t *wire.WatchResponse) bool {
 	top := &f.current
 	if f.next.document != nil {
 		top = &f.next
 	}
 	switch t.Outcome {
 	case wire.OutcomeNews:
-		if t.Document.GetVersion() > f.Version() {
+		if t.Document.GetVersion() > f.LatestVersion() {
 			f.next = candidate{t.Document, map[string]attestation{}}
 			top = &f.next
 		}
@@ -77,7 +77,7 @@
 			top.add(member, asked, t)
 		}
 	}
-	if f.next.document != nil && f.proofOf(f.next) > 0 {
+	if f.next.document != nil && f.provenUntil(f.next) > 0 {
 		f.current, f.next = f.next, candidate{}
 		return true
 	}
@@ -90,13 +90,13 @@
 	}
 }
 
-// proofOf is the earlier request of the best two of three members that accept each other: a machine
+// provenUntil is the earlier request of the best two of three members that accept each other: a machine
 // whose name was taken over attests nothing.
-func (f *Freshness) proofOf(v candidate) time.Duration {
+func (f *FreshnessProof) provenUntil(v candidate) time.Duration {
 	best := time.Duration(0)
 	for m, x := range v.attestations {
 		for n, y := range v.attestations {
-			if m < n && x.knows(n, y.incarnation) && y.knows(m, x.incarnation) {
+			if m < n && x.accepts(n, y.incarnation) && y.accepts(m, x.incarnation) {
 				best = max(best, min(x.asked, y.asked))
 			}
 		}
@@ -104,13 +104,13 @@
 	return best
 }
 
-// Proof is the instant up to which nothing newer than the configuration in use had been acknowledged;
+// FreshUntil is the instant up to which nothing newer than the configuration in use had been acknowledged;
 // zero without a proof.
 //
 // Example: if now-f.Proof() > bound { reject() }
-func (f *Freshness) Proof() time.Duration { return f.proofOf(f.current) }
+func (f *FreshnessProof) FreshUntil() time.Duration { return f.provenUntil(f.current) }
 
 // Document is the configuration document in use.
 //
 // Example: config, err := serviceconfig.Read(f.Document().Body)
-func (f *Freshness) Document() *wire.Document { return f.current.document }
+func (f *FreshnessProof) Document() *wire.Document { return f.current.document }
--- a/internal/data/nodeagent/freshness_test.go
+++ b/internal/data/nodeagent/freshness_test.go
@@ -45,7 +45,7 @@
 	as := []answer{{"a", 1, 10, same()}, {"b", 1, 20, same()}, {"c", 1, 30, news(2, true)}, {"a", 1, 25, news(2, false)}, {"a", 2, 40, same()}, {"b", 1, 35, news(2, true)}}
 	adopted := 0
 	n := everyOrder(as, func(l []answer) {
-		f := NewFreshness()
+		f := NewFreshnessProof()
 		f.HandleResponse("a", 0, 1, news(1, true))
 		f.HandleResponse("b", 0, 2, news(1, true))
 		vouch := map[uint64]map[string]time.Duration{1: {"a": 1, "b": 2}, 2: {}}
@@ -69,8 +69,8 @@
 				ts = append(ts, x)
 			}
 			sort.Slice(ts, func(i, j int) bool { return ts[i] > ts[j] })
-			if f.Document().Version != use || f.Proof() != ts[1] {
-				t.Fatalf("after %v: epoch %d with proof %d, want %d with %d", l, f.Document().Version, f.Proof(), use, ts[1])
+			if f.Document().Version != use || f.FreshUntil() != ts[1] {
+				t.Fatalf("after %v: epoch %d with proof %d, want %d with %d", l, f.Document().Version, f.FreshUntil(), use, ts[1])
 			}
 		}
 		if f.Document().Version == 2 {
@@ -83,14 +83,14 @@
 }
 
 func TestOneMemberIsNoProof(t *testing.T) {
-	f := NewFreshness()
+	f := NewFreshnessProof()
 	f.HandleResponse("a", 0, 1, news(1, true))
 	for i := range 5 {
 		f.HandleResponse("a", 1, time.Duration(10+i), same())
 	}
 	f.HandleResponse("b", 1, 20, &wire.WatchResponse{Outcome: wire.OutcomeUnknown})
-	if f.Proof() != 0 || f.Document() != nil {
-		t.Fatalf("one member's word was taken for a majority's: %d", f.Proof())
+	if f.FreshUntil() != 0 || f.Document() != nil {
+		t.Fatalf("one member's word was taken for a majority's: %d", f.FreshUntil())
 	}
 }
 
@@ -100,15 +100,15 @@
 	x := contract.Listed{Name: "worker-1", Addr: "127.0.0.1:1", Kind: "lm", Service: "s"}
 	ok := contract.State{Name: "worker-1", Weights: 1, Slots: 4}
 	at := func(f float64) time.Duration { return time.Second + b.Leave(f) }
-	fresh := func() *Workers {
-		w := NewWorkers(b)
-		w.Listed([]contract.Listed{x}, time.Second)
-		w.Probe()
-		w.Probed(x, ok, true, time.Second, time.Second)
+	fresh := func() *WorkerTable {
+		w := NewWorkerTable(b)
+		w.ApplyList([]contract.Listed{x}, time.Second)
+		w.StartProbes()
+		w.RecordProbe(x, ok, true, time.Second, time.Second)
 		return w
 	}
-	state := func(w *Workers, drains map[string]bool, now time.Duration) int {
-		rows := w.Table(drains, now)
+	state := func(w *WorkerTable, drains map[string]bool, now time.Duration) int {
+		rows := w.Rows(drains, now)
 		if len(rows) == 0 {
 			return -1
 		}
@@ -116,27 +116,27 @@
 	}
 	for _, c := range []struct {
 		name string
-		do   func(*Workers)
+		do   func(*WorkerTable)
 		now  time.Duration
 		want int
 	}{
-		{"listed and probed", func(*Workers) {}, at(0.1), int(updatestream.WorkerUp)},
-		{"silent for longer than the ratio", func(*Workers) {}, at(0.7), int(updatestream.WorkerGone)},
-		{"not listed any more", func(w *Workers) { w.Listed(nil, at(0.1)) }, at(0.1), -1},
-		{"warned by the platform", func(w *Workers) { y := x; y.Draining = true; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
-		{"says itself that it drains", func(w *Workers) { s := ok; s.Draining = true; w.Probed(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
-		{"a go failed after its last probe", func(w *Workers) { w.RecordAttempts([]*wire.GoReport{{Worker: "worker-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
-		{"a good probe clears a failed go", func(w *Workers) {
+		{"listed and probed", func(*WorkerTable) {}, at(0.1), int(updatestream.WorkerUp)},
+		{"silent for longer than the ratio", func(*WorkerTable) {}, at(0.7), int(updatestream.WorkerGone)},
+		{"not listed any more", func(w *WorkerTable) { w.ApplyList(nil, at(0.1)) }, at(0.1), -1},
+		{"warned by the platform", func(w *WorkerTable) { y := x; y.Draining = true; w.ApplyList([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
+		{"says itself that it drains", func(w *WorkerTable) { s := ok; s.Draining = true; w.RecordProbe(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
+		{"a go failed after its last probe", func(w *WorkerTable) { w.RecordAttempts([]*wire.GoReport{{Worker: "worker-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerSuspect)},
+		{"a good probe clears a failed go", func(w *WorkerTable) {
 			w.RecordAttempts([]*wire.GoReport{{Worker: "worker-1", Errors: 1}}, at(0.1))
-			w.Probed(x, ok, true, at(0.2), at(0.2))
+			w.RecordProbe(x, ok, true, at(0.2), at(0.2))
 		}, at(0.2), int(updatestream.WorkerUp)},
-		{"a stranger at its address", func(w *Workers) { w.Probed(x, contract.State{Name: "worker-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerUnsure)},
-		{"listed at another address: another incarnation", func(w *Workers) { y := x; y.Addr = "127.0.0.1:2"; w.Listed([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerGone)},
-		{"an old address's probe comes late", func(w *Workers) {
+		{"a stranger at its address", func(w *WorkerTable) { w.RecordProbe(x, contract.State{Name: "worker-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerSuspect)},
+		{"listed at another address: another incarnation", func(w *WorkerTable) { y := x; y.Addr = "127.0.0.1:2"; w.ApplyList([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerGone)},
+		{"an old address's probe comes late", func(w *WorkerTable) {
 			y := x
 			y.Addr = "127.0.0.1:2"
-			w.Listed([]contract.Listed{y}, at(0.1))
-			w.Probed(x, ok, true, at(0.1), at(0.1))
+			w.ApplyList([]contract.Listed{y}, at(0.1))
+			w.RecordProbe(x, ok, true, at(0.1), at(0.1))
 		}, at(0.1), int(updatestream.WorkerGone)},
 	} {
 		w := fresh()
@@ -167,12 +167,12 @@
 			return
 		}
 		n++
-		w, now := NewWorkers(b), time.Second
-		w.Listed([]contract.Listed{x}, now)
-		w.Probe()
-		w.Probed(x, contract.State{Name: "w", Weights: 1}, true, now, now)
+		w, now := NewWorkerTable(b), time.Second
+		w.ApplyList([]contract.Listed{x}, now)
+		w.StartProbes()
+		w.RecordProbe(x, contract.State{Name: "w", Weights: 1}, true, now, now)
 		var drains map[string]bool
-		if w.Table(drains, now)[0].State != updatestream.WorkerUp {
+		if w.Rows(drains, now)[0].State != updatestream.WorkerUp {
 			t.Fatal("it isn't up to begin with")
 		}
 		l, s, unlisted := x, contract.State{Name: "w", Weights: 1}, false
@@ -189,12 +189,12 @@
 				unlisted = true
 			}
 			if !unlisted {
-				w.Listed([]contract.Listed{l}, now)
+				w.ApplyList([]contract.Listed{l}, now)
 			} else {
-				w.Listed(nil, now)
+				w.ApplyList(nil, now)
 			}
-			w.Probed(l, s, true, now, now)
-			rows := w.Table(drains, now)
+			w.RecordProbe(l, s, true, now, now)
+			rows := w.Rows(drains, now)
 			if unlisted != (len(rows) == 0) || !unlisted && rows[0].State != updatestream.WorkerDraining {
 				t.Fatalf("after %v, at %d: %v", done, i, rows)
 			}
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -15,59 +15,61 @@
 const maxWorkers = 1024
 
 type worker struct {
-	listed      contract.Listed
-	state       contract.State
-	probedAt    time.Duration // start of the last successful probe
-	listedAt    time.Duration // when it was first listed
-	failedAt    time.Duration // last failed attempt or probe
-	respondedAt time.Duration // end of the last successful probe
-	probing     bool
+	listed        contract.Listed
+	state         contract.State
+	probedAt      time.Duration // start of the last successful probe
+	firstListedAt time.Duration // when it was first listed
+	failedAt      time.Duration // last failed attempt or probe
+	respondedAt   time.Duration // end of the last successful probe
+	probing       bool
 }
 
-// Workers is the table that listing, probes and failed attempts feed.
-type Workers struct {
-	bounds settings.Bounds
-	all    map[string]*worker
-	listed time.Duration
+// WorkerTable is the table that listing, probes and failed attempts feed.
+type WorkerTable struct {
+	bounds   settings.Bounds
+	workers  map[string]*worker
+	listedAt time.Duration
 }
 
-// NewWorkers returns an empty table.
+// NewWorkerTable returns an empty table.
 //
-// Example: w := nodeagent.NewWorkers(bounds)
-func NewWorkers(b settings.Bounds) *Workers { return &Workers{bounds: b, all: map[string]*worker{}} }
+// Example: w := nodeagent.NewWorkerTable(bounds)
+func NewWorkerTable(b settings.Bounds) *WorkerTable {
+	return &WorkerTable{bounds: b, workers: map[string]*worker{}}
+}
 
-// Listed applies the platform's list. A worker that isn't in it is removed at once.
+// ApplyList applies the platform's list. A worker that isn't in it is removed at once.
 //
 // Example: w.Listed(list, askedAt)
-func (w *Workers) Listed(l []contract.Listed, asked time.Duration) {
-	w.listed = asked
+func (w *WorkerTable) ApplyList(l []contract.Listed, asked time.Duration) {
+	w.listedAt = asked
 	here := map[string]bool{}
 	for _, x := range l {
 		if len(here) >= maxWorkers {
 			break
 		}
 		here[x.Name] = true
-		o := w.all[x.Name]
+		o := w.workers[x.Name]
 		if o == nil || o.listed.Addr != x.Addr {
-			o = &worker{listedAt: asked} // another address is another incarnation
-			w.all[x.Name] = o
+			o = &worker{firstListedAt: asked} // another address is another incarnation
+			w.workers[x.Name] = o
 		}
 		o.listed = x
 	}
-	for n := range w.all {
+	for n := range w.workers {
 		if !here[n] {
-			delete(w.all, n)
+			delete(w.workers, n)
 		}
 	}
 }
 
-// Probe returns the workers to probe now; each has at most one probe in flight.
+// StartProbes returns the workers to probe now; each has at most one probe in flight.
 //
 // Example: for _, l := range w.Probe() { go probe(l) }
-func (w *Workers) Probe() []contract.Listed {
+func (w *WorkerTable) StartProbes() []contract.Listed {
 	var l []contract.Listed
 	for _, n := range w.names() {
-		if x := w.all[n]; !x.probing {
+		if x := w.workers[n]; !x.probing {
 			x.probing = true
 			l = append(l, x.listed)
 		}
@@ -75,13 +77,13 @@
 	return l
 }
 
-func (w *Workers) names() []string { return queue.Keys(w.all) }
+func (w *WorkerTable) names() []string { return queue.Keys(w.workers) }
 
-// Probed records the result of a probe. Another worker at the address counts as a failure.
+// RecordProbe records the result of a probe. Another worker at the address counts as a failure.
 //
 // Example: w.Probed(listed, state, err == nil, askedAt, now)
-func (w *Workers) Probed(l contract.Listed, s contract.State, ok bool, asked, now time.Duration) {
-	x := w.all[l.Name]
+func (w *WorkerTable) RecordProbe(l contract.Listed, s contract.State, ok bool, asked, now time.Duration) {
+	x := w.workers[l.Name]
 	if x == nil || x.listed.Addr != l.Addr {
 		return
 	}
@@ -96,21 +98,21 @@
 // RecordAttempts records how the proxy's attempts ended.
 //
 // Example: w.RecordAttempts(reports, now)
-func (w *Workers) RecordAttempts(l []*wire.GoReport, now time.Duration) {
+func (w *WorkerTable) RecordAttempts(l []*wire.GoReport, now time.Duration) {
 	for _, g := range l {
-		if x := w.all[g.Worker]; x != nil && g.Errors > 0 {
+		if x := w.workers[g.Worker]; x != nil && g.Errors > 0 {
 			x.failedAt = now
 		}
 	}
 }
 
-// Table returns the workers as proxies are to see them.
+// Rows returns the workers as proxies are to see them.
 //
 // Example: rows := w.Table(drains, now)
-func (w *Workers) Table(drains map[string]bool, now time.Duration) []*wire.Worker {
+func (w *WorkerTable) Rows(drains map[string]bool, now time.Duration) []*wire.Worker {
 	var l []*wire.Worker
 	for _, n := range w.names() {
-		x := w.all[n]
+		x := w.workers[n]
 		st := updatestream.WorkerUp
 		switch {
 		case x.probedAt == 0 || now-x.probedAt > w.bounds.Leave(0.6):
@@ -118,7 +120,7 @@
 		case x.listed.Draining || x.state.Draining || drains[n]:
 			st = updatestream.WorkerDraining
 		case x.failedAt > x.probedAt:
-			st = updatestream.WorkerUnsure
+			st = updatestream.WorkerSuspect
 		}
 		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, District: x.listed.Zone,
 			Incarnation: x.state.Incarnation, State: st, Weights: x.state.Weights, Slots: uint32(x.state.Slots), Busy: uint32(x.state.Busy),
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -20,10 +20,10 @@
 )
 
 type holding struct {
-	state      uint32
-	at         time.Duration
-	generation uint32
-	tokens     uint32 // cached of the entry's, if reported; 0: all
+	certainty    uint32
+	updatedAt    time.Duration
+	generation   uint32
+	cachedTokens uint32 // cached of the entry's, if reported; 0: all
 }
 
 type entry struct {
@@ -31,55 +31,55 @@
 	hotness   float64
 	decayedAt time.Duration
 	service   string
-	head      bool // a prompt begins with it
+	isHead    bool // a prompt begins with it
 	holders   map[string]holding
 }
 
 type worker struct {
 	incarnation string
 	generation  uint32
-	number      uint64
+	lastNumber  uint64
 	needsFull   bool // a full report is needed
-	heard       time.Duration
+	lastHeardAt time.Duration
 	polled      bool   // it is polled for reports
 	complete    bool   // it has reported everything it holds
 	sequence    uint64 // counts its removals and its reports
 }
 
 type reporter struct {
-	incarnation, number uint64
-	previous            uint64 // the previous incarnation: its late batches aren't counted
-	heard               time.Duration
+	incarnation, lastNumber uint64
+	previous                uint64 // the previous incarnation: its late batches aren't counted
+	lastHeardAt             time.Duration
 }
 
 // Core is one index node's tables.
 type Core struct {
-	bounds          settings.Bounds
-	window          time.Duration
-	entries         map[prefix.Key]*entry
-	workers         map[string]*worker
-	reporters       map[string]*reporter
-	isMine          func(prefix.Key) bool
-	incompleteShare float64 // share of polled workers that may be incomplete while the index is warm
-	loads           *Loads
+	bounds             settings.Bounds
+	hotnessWindow      time.Duration
+	entries            map[prefix.Key]*entry
+	workers            map[string]*worker
+	reporters          map[string]*reporter
+	isAssigned         func(prefix.Key) bool
+	maxIncompleteRatio float64 // share of polled workers that may be incomplete while the index is warm
+	loads              *LoadAggregator
 	// Stats counts what the index has done.
 	Stats Stats
 }
 
 // Stats counts what the index has done.
-type Stats struct{ Lapsed, Gaps, Wholes, Evicted, Repeats uint64 }
+type Stats struct{ Lapsed, Gaps, FullReports, Evicted, Duplicates uint64 }
 
-// New makes an empty index; isMine reports which keys are this node's.
+// NewCore makes an empty index; isAssigned reports which keys are this node's.
 //
 // Example: c := promptindex.New(bounds, func(k prefix.Key) bool { return shards.Holds(name, k) })
-func New(b settings.Bounds, mine func(prefix.Key) bool) *Core {
-	return &Core{bounds: b, window: 30 * time.Second, entries: map[prefix.Key]*entry{}, workers: map[string]*worker{},
-		reporters: map[string]*reporter{}, isMine: mine, loads: NewLoads(b)}
+func NewCore(b settings.Bounds, mine func(prefix.Key) bool) *Core {
+	return &Core{bounds: b, hotnessWindow: 30 * time.Second, entries: map[prefix.Key]*entry{}, workers: map[string]*worker{},
+		reporters: map[string]*reporter{}, isAssigned: mine, loads: NewLoadAggregator(b)}
 }
 
 func (c *Core) decay(e *entry, now time.Duration) {
 	if dt := now - e.decayedAt; dt > 0 {
-		e.hotness *= math.Exp(-float64(dt) / float64(c.window))
+		e.hotness *= math.Exp(-float64(dt) / float64(c.hotnessWindow))
 		e.decayedAt = now
 	}
 }
@@ -128,7 +128,7 @@
 func (c *Core) NextReport(name, service string) ReportRequest {
 	w := c.worker(name)
 	w.polled = true
-	return ReportRequest{name, service, w.number, w.needsFull, w.sequence}
+	return ReportRequest{name, service, w.lastNumber, w.needsFull, w.sequence}
 }
 
 // ReportRequest is a request to a worker. A response to one from before the worker was removed, or
@@ -136,7 +136,7 @@
 type ReportRequest struct {
 	Name, Service string
 	After         uint64
-	Whole         bool
+	Full          bool
 	sequence      uint64
 }
 
@@ -149,29 +149,29 @@
 	if q.sequence != w.sequence {
 		return
 	}
-	w.heard = now
+	w.lastHeardAt = now
 	w.sequence++ // each request is answered once
 	if r.Incarnation != w.incarnation {
-		w.incarnation, w.number, w.needsFull = r.Incarnation, 0, true
+		w.incarnation, w.lastNumber, w.needsFull = r.Incarnation, 0, true
 		w.generation++ // the old incarnation's holdings are gone
 	}
 	if r.Whole {
 		w.generation++
-		c.Stats.Wholes++
+		c.Stats.FullReports++
 		for _, h := range r.Held {
 			c.addHolding(name, service, w, h, now)
 		}
-		w.number, w.needsFull, w.complete = r.Number, false, true
+		w.lastNumber, w.needsFull, w.complete = r.Number, false, true
 		return
 	}
 	if w.needsFull {
 		return
 	}
 	for _, p := range r.List {
-		if p.Number <= w.number {
+		if p.Number <= w.lastNumber {
 			continue
 		}
-		if p.Number != w.number+1 {
+		if p.Number != w.lastNumber+1 {
 			break
 		}
 		for _, h := range p.Added {
@@ -182,9 +182,9 @@
 				delete(c.entries[k].holders, name)
 			}
 		}
-		w.number = p.Number
+		w.lastNumber = p.Number
 	}
-	if w.number != r.Number {
+	if w.lastNumber != r.Number {
 		w.needsFull = true
 		c.Stats.Gaps++
 	}
@@ -192,7 +192,7 @@
 
 func (c *Core) addHolding(name, service string, w *worker, h contract.Kept, now time.Duration) {
 	k, ok := prefix.Parse(h.Key)
-	if !ok || !c.isMine(k) {
+	if !ok || !c.isAssigned(k) {
 		return
 	}
 	e := c.entry(k, now)
@@ -202,7 +202,7 @@
 	if e.service == "" {
 		e.service = service
 	}
-	e.holders[name] = holding{state: Confirmed, at: now, generation: w.generation}
+	e.holders[name] = holding{certainty: Confirmed, updatedAt: now, generation: w.generation}
 }
 
 // RemoveWorker forgets a worker that has left.
@@ -212,7 +212,7 @@
 	if w := c.workers[name]; w != nil {
 		w.generation++
 		w.sequence++
-		w.incarnation, w.number, w.needsFull, w.polled, w.complete = "", 0, true, false, false
+		w.incarnation, w.lastNumber, w.needsFull, w.polled, w.complete = "", 0, true, false, false
 	}
 }
 
@@ -224,7 +224,7 @@
 		w.needsFull, w.complete = true, false
 	}
 	for k := range c.entries {
-		if !c.isMine(k) {
+		if !c.isAssigned(k) {
 			delete(c.entries, k)
 		}
 	}
@@ -237,10 +237,10 @@
 	if w == nil || h.generation != w.generation {
 		return false
 	}
-	if h.state == Presumed {
-		return now-h.at < c.bounds.Heal(0.5)
+	if h.certainty == Presumed {
+		return now-h.updatedAt < c.bounds.Heal(0.5)
 	}
-	return now-max(w.heard, h.at) < c.bounds.Heal(2.5)
+	return now-max(w.lastHeardAt, h.updatedAt) < c.bounds.Heal(2.5)
 }
 
 // Lookup answers a batch of keys.
@@ -258,7 +258,7 @@
 					if h.isPartial(e) {
 						continue
 					}
-					f.Holders = append(f.Holders, &wire.Holding{Worker: n, State: h.state})
+					f.Holders = append(f.Holders, &wire.Holding{Worker: n, State: h.certainty})
 				} else {
 					delete(e.holders, n)
 					c.Stats.Lapsed++
@@ -271,11 +271,11 @@
 	return l
 }
 
-// Count applies a reporter's batch of accesses once: a repeated number isn't counted again. A reporter
+// RecordAccesses applies a reporter's batch of accesses once: a repeated number isn't counted again. A reporter
 // that this index doesn't remember is asked to send its whole window again.
 //
 // Example: t := c.Count(ask, now)
-func (c *Core) Count(a *wire.CountAsk, now time.Duration) *wire.CountTell {
+func (c *Core) RecordAccesses(a *wire.CountAsk, now time.Duration) *wire.CountTell {
 	t := c.reporters[a.Teller]
 	if t == nil {
 		if len(c.reporters) >= maxReporters && !c.dropOldestReporter(now) {
@@ -284,39 +284,39 @@
 		t = &reporter{}
 		c.reporters[a.Teller] = t
 	}
-	t.heard = now
+	t.lastHeardAt = now
 	if t.incarnation != a.Incarnation && t.previous != a.Incarnation {
-		t.previous, t.incarnation, t.number = t.incarnation, a.Incarnation, 0
+		t.previous, t.incarnation, t.lastNumber = t.incarnation, a.Incarnation, 0
 	}
-	if a.Number <= t.number || t.incarnation != a.Incarnation {
-		c.Stats.Repeats++
-		return &wire.CountTell{Number: t.number}
+	if a.Number <= t.lastNumber || t.incarnation != a.Incarnation {
+		c.Stats.Duplicates++
+		return &wire.CountTell{Number: t.lastNumber}
 	}
-	again := t.number == 0 && a.Number > 1
-	t.number = a.Number
+	again := t.lastNumber == 0 && a.Number > 1
+	t.lastNumber = a.Number
 	for _, x := range a.Accesses {
 		if len(x.Key) != len(prefix.Key{}) {
 			continue
 		}
 		k := prefix.Key(x.Key)
-		if !c.isMine(k) {
+		if !c.isAssigned(k) {
 			continue
 		}
 		e := c.entry(k, now)
 		c.decay(e, now)
 		e.hotness += float64(x.Count)
-		e.service, e.head = x.Service, e.head || x.Head
+		e.service, e.isHead = x.Service, e.isHead || x.Head
 		if x.Tokens > 0 {
 			e.tokens = x.Tokens
 		}
 		for _, p := range x.Presumed {
 			w := c.worker(p)
-			if h, ok := e.holders[p]; !ok || h.generation != w.generation || h.state == Presumed || h.isPartial(e) {
-				e.holders[p] = holding{state: Presumed, at: now, generation: w.generation}
+			if h, ok := e.holders[p]; !ok || h.generation != w.generation || h.certainty == Presumed || h.isPartial(e) {
+				e.holders[p] = holding{certainty: Presumed, updatedAt: now, generation: w.generation}
 			}
 		}
 	}
-	return &wire.CountTell{Number: t.number, Again: again}
+	return &wire.CountTell{Number: t.lastNumber, Again: again}
 }
 
 const maxReporters = 1024
@@ -326,8 +326,8 @@
 func (c *Core) dropOldestReporter(now time.Duration) bool {
 	name, at := "", now
 	for n, t := range c.reporters {
-		if t.heard < at || t.heard == at && n < name {
-			name, at = n, t.heard
+		if t.lastHeardAt < at || t.lastHeardAt == at && n < name {
+			name, at = n, t.lastHeardAt
 		}
 	}
 	if now-at < c.bounds.Heal(1) {
@@ -352,7 +352,7 @@
 		}
 		t.Entries++
 		t.Total += e.hotness
-		t.Hot = append(t.Hot, &wire.Hot{Key: k[:], Hotness: e.hotness, Tokens: e.tokens, Holders: uint32(len(e.holders)), Head: e.head})
+		t.Hot = append(t.Hot, &wire.Hot{Key: k[:], Hotness: e.hotness, Tokens: e.tokens, Holders: uint32(len(e.holders)), Head: e.isHead})
 	}
 	sort.Slice(t.Hot, func(i, j int) bool {
 		if t.Hot[i].Hotness != t.Hot[j].Hotness {
@@ -380,5 +380,5 @@
 			n++
 		}
 	}
-	return n > 0 && float64(untold) <= c.incompleteShare*float64(n+untold)
+	return n > 0 && float64(untold) <= c.maxIncompleteRatio*float64(n+untold)
 }
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -46,13 +46,13 @@
 	var walk func(left []contract.Report, c []contract.Report)
 	walk = func(left, done []contract.Report) {
 		orders++
-		c := New(settings.Default(), all)
+		c := NewCore(settings.Default(), all)
 		applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
 		for _, r := range done {
 			applyReport(c, contract.Reports{Incarnation: "i", Number: r.Number, List: []contract.Report{r}}, 2)
 		}
 		applyReport(c, contract.Reports{Incarnation: "i", Number: 4}, 3) // nothing new: it stands at 4
-		if c.NextReport("worker", "s").Whole {
+		if c.NextReport("worker", "s").Full {
 			asked++
 			applyReport(c, contract.Reports{Incarnation: "i", Number: 4, Whole: true, Held: []contract.Kept{kept(1)}}, 4)
 		}
@@ -74,9 +74,9 @@
 	b := settings.Default()
 	k := key(1)
 	presume := func(c *Core, now time.Duration, n uint64) {
-		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", Presumed: []string{"worker"}}}}, now)
+		c.RecordAccesses(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", Presumed: []string{"worker"}}}}, now)
 	}
-	c := New(b, all)
+	c := NewCore(b, all)
 	applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
 	presume(c, 1, 1)
 	if got := holders(c, 1, b.Heal(0.4)); got != "worker:1 " {
@@ -97,7 +97,7 @@
 	if got := holders(c, 1, b.Heal(4)); got != "" {
 		t.Errorf("another incarnation holds what the last one held: %q", got)
 	}
-	if !c.NextReport("worker", "s").Whole {
+	if !c.NextReport("worker", "s").Full {
 		t.Error("another incarnation isn't asked for the whole")
 	}
 }
@@ -109,19 +109,19 @@
 	ask := func(inc, n uint64) *wire.CountAsk {
 		return &wire.CountAsk{Teller: "d", Incarnation: inc, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 5, Service: "s"}}}
 	}
-	c := New(settings.Default(), all)
+	c := NewCore(settings.Default(), all)
 	for range 3 {
-		c.Count(ask(1, 1), 1)
+		c.RecordAccesses(ask(1, 1), 1)
 	}
-	c.Count(ask(1, 2), 1)
-	c.Count(ask(1, 1), 1)
+	c.RecordAccesses(ask(1, 2), 1)
+	c.RecordAccesses(ask(1, 1), 1)
 	if h := c.Lookup([]prefix.Key{k}, 1)[0].Hotness; h != 10 {
 		t.Errorf("hotness %v after two batches of 5", h)
 	}
-	if got := c.Count(ask(2, 1), 1); got.Again || got.Number != 1 {
+	if got := c.RecordAccesses(ask(2, 1), 1); got.Again || got.Number != 1 {
 		t.Errorf("a teller's new incarnation: %v", got)
 	}
-	if got := New(settings.Default(), all).Count(ask(1, 7), 1); !got.Again {
+	if got := NewCore(settings.Default(), all).RecordAccesses(ask(1, 7), 1); !got.Again {
 		t.Error("an index without memory didn't ask for the window")
 	}
 	if h := c.Lookup([]prefix.Key{k}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
@@ -137,23 +137,23 @@
 		return &wire.CountAsk{Teller: who, Incarnation: inc, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s"}}}
 	}
 	hot := func(c *Core) float64 { return c.Lookup([]prefix.Key{k}, 1)[0].Hotness }
-	c := New(b, all)
+	c := NewCore(b, all)
 	for _, x := range [][2]uint64{{9, 1}, {4, 1}, {9, 1}, {9, 2}, {4, 1}, {4, 2}} { // a reboot may have made its incarnation number smaller
-		c.Count(ask("d", x[0], x[1]), 1)
+		c.RecordAccesses(ask("d", x[0], x[1]), 1)
 	}
 	if h := hot(c); h != 3 {
 		t.Errorf("hotness %v after three batches", h)
 	}
-	c = New(b, all)
+	c = NewCore(b, all)
 	for range 2 {
 		for i := range maxReporters + 50 {
-			c.Count(ask(fmt.Sprint("d", i), 1, 1), 1)
+			c.RecordAccesses(ask(fmt.Sprint("d", i), 1, 1), 1)
 		}
 	}
 	if h := hot(c); h != maxReporters || len(c.reporters) != maxReporters {
 		t.Errorf("hotness %v, %d tellers", h, len(c.reporters))
 	}
-	if c.Count(ask("new", 1, 1), b.Heal(2)); c.reporters["new"] == nil || len(c.reporters) != maxReporters {
+	if c.RecordAccesses(ask("new", 1, 1), b.Heal(2)); c.reporters["new"] == nil || len(c.reporters) != maxReporters {
 		t.Error("who was silent for long made no room")
 	}
 }
@@ -170,7 +170,7 @@
 	walk = func(done []string) {
 		if len(done) == len(events) {
 			n++
-			c := New(settings.Default(), all)
+			c := NewCore(settings.Default(), all)
 			qs := map[string]ReportRequest{}
 			left := false
 			for _, e := range done {
@@ -210,10 +210,10 @@
 func TestTheTableIsBounded(t *testing.T) {
 	b := settings.Default()
 	b.Entries = 100
-	c := New(b, all)
+	c := NewCore(b, all)
 	for i := range 1000 {
 		k := key(i)
-		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1}}}, time.Duration(i))
+		c.RecordAccesses(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1}}}, time.Duration(i))
 	}
 	if len(c.entries) > 100 || c.Stats.Evicted != 900 {
 		t.Errorf("%d entries, %d evicted", len(c.entries), c.Stats.Evicted)
@@ -231,7 +231,7 @@
 	n := map[string]int{}
 	for i := range 2000 {
 		k := key(i)
-		h, l := s.Holders(k), less.Holders(k)
+		h, l := s.NodesOf(k), less.NodesOf(k)
 		if h[0] == "" || h[1] == "" || h[0][2:] == h[1][2:] || (h[0][2]-'0')%4 == (h[1][2]-'0')%4 {
 			t.Fatalf("holders %v", h)
 		}
@@ -258,13 +258,13 @@
 		return float64(m.HeapAlloc) / (1 << 20)
 	}
 	before := heap()
-	c := New(b, all)
+	c := NewCore(b, all)
 	for w := range 3 {
 		c.ApplyReport(c.NextReport(fmt.Sprint("worker-", w), "s"), contract.Reports{Incarnation: "i", Whole: true}, 1)
 	}
 	for i := range b.Entries {
 		k := key(i)
-		c.Count(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1, Tokens: 900, Service: "s",
+		c.RecordAccesses(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1, Tokens: 900, Service: "s",
 			Presumed: []string{"worker-0", "worker-1", "worker-2"}}}}, time.Duration(i))
 	}
 	mb := heap() - before
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	completeShare = 0.9 // of a part's tokens: a worker with fewer doesn't count as a holder
-	blockTokens   = 16  // tokens of a worker's cache block: it caches whole blocks
-	minHotness    = 0.05
-	keyBuffer     = 256 // bytes of a salt and part that are hashed without an allocation
+	minHolderRatio = 0.9 // of a part's tokens: a worker with fewer doesn't count as a holder
+	blockTokens    = 16  // tokens of a worker's cache block: it caches whole blocks
+	minHotness     = 0.05
+	keyBuffer      = 256 // bytes of a salt and part that are hashed without an allocation
 )
 
-// KeyOf is the key of one part as it is cached under a salt. A part's ID stands for the whole prefix
+// PartKey is the key of one part as it is cached under a salt. A part's ID stands for the whole prefix
 // up to it; the salt for isolation, model and version.
 //
-// Example: k := promptindex.KeyOf("1.2.m0", "5c1e07a2")
-func KeyOf(salt, part string) (k prefix.Key) {
+// Example: k := promptindex.PartKey("1.2.m0", "5c1e07a2")
+func PartKey(salt, part string) (k prefix.Key) {
 	var a [keyBuffer]byte
 	b := strconv.AppendInt(a[:0], int64(len(salt)), 10)
 	b = append(append(append(b, ' '), salt...), part...)
@@ -29,14 +29,14 @@
 	return k
 }
 
-// UpKey is held by a store for as long as it answers.
+// StoreHealthKey is held by a store for as long as it answers.
 //
-// Example: up := len(found[promptindex.UpKey("cartons")].GetHolders()) > 0
-func UpKey(store string) prefix.Key { return KeyOf("\x00up", store) }
+// Example: up := len(found[promptindex.StoreHealthKey("cartons")].GetHolders()) > 0
+func StoreHealthKey(store string) prefix.Key { return PartKey("\x00up", store) }
 
 // isPartial reports whether too little of an entry is held to count.
 func (h holding) isPartial(e *entry) bool {
-	return h.tokens > 0 && h.tokens+blockTokens <= e.tokens && float64(h.tokens) < completeShare*float64(e.tokens)
+	return h.cachedTokens > 0 && h.cachedTokens+blockTokens <= e.tokens && float64(h.cachedTokens) < minHolderRatio*float64(e.tokens)
 }
 
 // NextEvents returns the next request to a worker or store of a site. One that never answered is asked
@@ -45,7 +45,7 @@
 // Example: q := c.NextEvents(w.ID, w.Service); e, err := calls.Events(ctx, w.Addr, q.After, wait)
 func (c *Core) NextEvents(name, service string) ReportRequest {
 	q := c.NextReport(name, service)
-	q.Whole = q.Whole && c.worker(name).incarnation != ""
+	q.Full = q.Full && c.worker(name).incarnation != ""
 	return q
 }
 
@@ -54,44 +54,44 @@
 // whole cache.
 //
 // Example: c.ApplyEvents(q, events, now)
-func (c *Core) ApplyEvents(q ReportRequest, e backend.Events, now time.Duration) {
+func (c *Core) ApplyEvents(q ReportRequest, e backend.CacheEvents, now time.Duration) {
 	w := c.worker(q.Name)
-	if q.sequence != w.sequence || e.Full {
+	if q.sequence != w.sequence || e.Throttled {
 		return
 	}
-	w.heard = now
+	w.lastHeardAt = now
 	w.sequence++ // each request is answered once
-	if boot := strconv.FormatUint(e.Boot, 10); boot != w.incarnation {
+	if boot := strconv.FormatUint(e.BootID, 10); boot != w.incarnation {
 		old := w.incarnation
 		w.incarnation, w.needsFull = boot, false
 		if old != "" {
 			w.generation++ // the old boot's holdings are gone
 		}
-		if !q.Whole && q.After > 0 && old != "" {
-			w.number, w.complete = 0, false
+		if !q.Full && q.After > 0 && old != "" {
+			w.lastNumber, w.complete = 0, false
 			return // requested with another boot's number: start again
 		}
 	}
-	if q.Whole {
+	if q.Full {
 		w.generation++
-		c.Stats.Wholes++
-	} else if e.Lost {
+		c.Stats.FullReports++
+	} else if e.Gap {
 		w.needsFull = true
 		c.Stats.Gaps++
 	}
-	for _, x := range e.List {
+	for _, x := range e.Changes {
 		c.applyChange(q, w, x, now)
 	}
-	w.number = e.Next
-	if q.Whole {
+	w.lastNumber = e.NextSequence
+	if q.Full {
 		w.needsFull = false
 	}
-	w.complete = w.complete || !e.Lost || q.Whole
+	w.complete = w.complete || !e.Gap || q.Full
 }
 
-func (c *Core) applyChange(q ReportRequest, w *worker, x backend.Change, now time.Duration) {
-	k := KeyOf(x.Salt, x.Part)
-	if !c.isMine(k) {
+func (c *Core) applyChange(q ReportRequest, w *worker, x backend.CacheChange, now time.Duration) {
+	k := PartKey(x.Salt, x.Part)
+	if !c.isAssigned(k) {
 		return
 	}
 	if x.Tokens <= 0 {
@@ -113,14 +113,14 @@
 //
 // Example: c.StoreUp("cartons", now)
 func (c *Core) StoreUp(store string, now time.Duration) {
-	c.entry(UpKey(store), now).holders[store] = holding{state: Presumed, at: now, generation: c.worker(store).generation}
+	c.entry(StoreHealthKey(store), now).holders[store] = holding{certainty: Presumed, updatedAt: now, generation: c.worker(store).generation}
 }
 
 // StoreDown records that a store doesn't answer. Its holdings stay known: only the path to it may be
 // broken.
 //
 // Example: c.StoreDown("cartons")
-func (c *Core) StoreDown(store string) { delete(c.entries, UpKey(store)) }
+func (c *Core) StoreDown(store string) { delete(c.entries, StoreHealthKey(store)) }
 
 // dropIfUnused removes an entry without holders and requests.
 func (c *Core) dropIfUnused(k prefix.Key, e *entry, now time.Duration) bool {
@@ -146,7 +146,7 @@
 		c.dropIfUnused(k, e, now)
 	}
 	for n, w := range c.workers {
-		if !listed[n] && now-w.heard > c.bounds.Heal(2.5) {
+		if !listed[n] && now-w.lastHeardAt > c.bounds.Heal(2.5) {
 			delete(c.workers, n)
 		}
 	}
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -21,100 +21,100 @@
 	"pebbleloom/internal/wire"
 )
 
-func plus(part string, tokens int) backend.Change {
-	return backend.Change{Salt: "s", Part: part, Model: "m", Tokens: tokens}
+func plus(part string, tokens int) backend.CacheChange {
+	return backend.CacheChange{Salt: "s", Part: part, Model: "m", Tokens: tokens}
 }
 
 func who(c *Core, part string, now time.Duration) string {
 	s := ""
-	for _, h := range c.Lookup([]prefix.Key{KeyOf("s", part)}, now)[0].Holders {
+	for _, h := range c.Lookup([]prefix.Key{PartKey("s", part)}, now)[0].Holders {
 		s += fmt.Sprintf("%s:%d ", h.Worker, h.State)
 	}
 	return s
 }
 
-func changed(c *Core, e backend.Events, now time.Duration) {
+func changed(c *Core, e backend.CacheEvents, now time.Duration) {
 	c.ApplyEvents(c.NextEvents("w", "llm"), e, now)
 }
 
 func use(c *Core, part string, tokens uint32, n uint64, now time.Duration, holders ...string) {
-	k := KeyOf("s", part)
-	c.Count(&wire.CountAsk{Teller: "e", Incarnation: 1, Number: n, Accesses: []*wire.Access{
+	k := PartKey("s", part)
+	c.RecordAccesses(&wire.CountAsk{Teller: "e", Incarnation: 1, Number: n, Accesses: []*wire.Access{
 		{Key: k[:], Count: 1, Tokens: tokens, Service: "llm", Presumed: holders}}}, now)
 }
 
 // Text and part can't be shifted into each other.
 func TestKeysOfTextsAndPartsDiffer(t *testing.T) {
-	if KeyOf("a", "bc") == KeyOf("ab", "c") || KeyOf("a", "b") == KeyOf("a", "c") || KeyOf("1", "x") == KeyOf("2", "x") || UpKey("x") == KeyOf("", "x") {
+	if PartKey("a", "bc") == PartKey("ab", "c") || PartKey("a", "b") == PartKey("a", "c") || PartKey("1", "x") == PartKey("2", "x") || StoreHealthKey("x") == PartKey("", "x") {
 		t.Fatal("two keys are one")
 	}
 	long, same := string(make([]byte, 4*keyBuffer)), string(make([]byte, 4*keyBuffer))
-	if KeyOf(long, "a") == KeyOf(long, "b") || KeyOf(long, "a") != KeyOf(same, "a") {
+	if PartKey(long, "a") == PartKey(long, "b") || PartKey(long, "a") != PartKey(same, "a") {
 		t.Fatal("a long text's key")
 	}
 }
 
 func TestChangesSinceTheBeginningAreAll(t *testing.T) {
-	c := New(settings.Default(), all)
-	changed(c, backend.Events{Boot: 1, Next: 3, List: []backend.Change{plus("a", 100), plus("b", 50), plus("a", 0)}}, 1)
+	c := NewCore(settings.Default(), all)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{plus("a", 100), plus("b", 50), plus("a", 0)}}, 1)
 	if who(c, "a", 2) != "" || who(c, "b", 2) != "w:2 " || !c.Warm() {
 		t.Fatalf("a %q, b %q, warm %v", who(c, "a", 2), who(c, "b", 2), c.Warm())
 	}
-	if q := c.NextEvents("w", "llm"); q.After != 3 || q.Whole {
+	if q := c.NextEvents("w", "llm"); q.After != 3 || q.Full {
 		t.Fatalf("asks next for %+v", q)
 	}
 }
 
 func TestAnotherBootHasDroppedAll(t *testing.T) {
-	c := New(settings.Default(), all)
-	changed(c, backend.Events{Boot: 1, Next: 3, List: []backend.Change{plus("a", 100)}}, 1)
-	changed(c, backend.Events{Boot: 2, Next: 9, List: []backend.Change{plus("b", 100)}}, 2)
+	c := NewCore(settings.Default(), all)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{plus("a", 100)}}, 1)
+	changed(c, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{plus("b", 100)}}, 2)
 	if who(c, "a", 3)+who(c, "b", 3) != "" {
 		t.Fatal("goes by numbers of another boot")
 	}
-	if q := c.NextEvents("w", "llm"); q.After != 0 || q.Whole || c.Warm() {
+	if q := c.NextEvents("w", "llm"); q.After != 0 || q.Full || c.Warm() {
 		t.Fatalf("asks next for %+v, warm %v", q, c.Warm())
 	}
-	changed(c, backend.Events{Boot: 2, Next: 9, List: []backend.Change{plus("c", 100), plus("b", 100)}}, 4)
+	changed(c, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{plus("c", 100), plus("b", 100)}}, 4)
 	if who(c, "c", 5) != "w:2 " || who(c, "a", 5) != "" || !c.Warm() {
 		t.Fatalf("c %q a %q", who(c, "c", 5), who(c, "a", 5))
 	}
 }
 
 func TestAfterAGapAllIsAskedFor(t *testing.T) {
-	c := New(settings.Default(), all)
-	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", 100)}}, 1)
-	changed(c, backend.Events{Boot: 1, Next: 90, Lost: true, List: []backend.Change{plus("b", 100)}}, 2)
+	c := NewCore(settings.Default(), all)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", 100)}}, 1)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 90, Gap: true, Changes: []backend.CacheChange{plus("b", 100)}}, 2)
 	q := c.NextEvents("w", "llm")
-	if !q.Whole || who(c, "a", 3) != "w:2 " || who(c, "b", 3) != "w:2 " || !c.Warm() {
+	if !q.Full || who(c, "a", 3) != "w:2 " || who(c, "b", 3) != "w:2 " || !c.Warm() {
 		t.Fatalf("%+v: a %q b %q", q, who(c, "a", 3), who(c, "b", 3))
 	}
 	// Until the list is asked for, changes are taken as they come.
-	q.Whole = false
-	c.ApplyEvents(q, backend.Events{Boot: 1, Next: 91, List: []backend.Change{plus("b", 0)}}, 4)
-	if q = c.NextEvents("w", "llm"); !q.Whole || q.After != 91 || who(c, "b", 4) != "" {
+	q.Full = false
+	c.ApplyEvents(q, backend.CacheEvents{BootID: 1, NextSequence: 91, Changes: []backend.CacheChange{plus("b", 0)}}, 4)
+	if q = c.NextEvents("w", "llm"); !q.Full || q.After != 91 || who(c, "b", 4) != "" {
 		t.Fatalf("%+v: b %q", q, who(c, "b", 4))
 	}
-	c.ApplyEvents(q, backend.Events{Boot: 1, Next: 95, List: []backend.Change{plus("c", 100)}}, 5)
-	if q = c.NextEvents("w", "llm"); q.Whole || who(c, "a", 6) != "" || who(c, "c", 6) != "w:2 " {
+	c.ApplyEvents(q, backend.CacheEvents{BootID: 1, NextSequence: 95, Changes: []backend.CacheChange{plus("c", 100)}}, 5)
+	if q = c.NextEvents("w", "llm"); q.Full || who(c, "a", 6) != "" || who(c, "c", 6) != "w:2 " {
 		t.Fatalf("%+v: a %q c %q", q, who(c, "a", 6), who(c, "c", 6))
 	}
 }
 
 func TestTooLittleOfAPartIsNotHolding(t *testing.T) {
-	c := New(settings.Default(), all)
+	c := NewCore(settings.Default(), all)
 	use(c, "a", 1000, 1, 1)
 	for _, x := range []struct {
 		kept int
 		want string
 	}{{1000, "w:2 "}, {992, "w:2 "}, {900, "w:2 "}, {880, ""}, {16, ""}} {
-		changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", x.kept)}}, 2)
+		changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", x.kept)}}, 2)
 		if got := who(c, "a", 2); got != x.want {
 			t.Errorf("%d of 1000 kept: %q, want %q", x.kept, got, x.want)
 		}
 	}
 	use(c, "b", 20, 2, 1) // whole blocks of 16 are all that is kept of it
-	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("b", 16)}}, 2)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("b", 16)}}, 2)
 	if who(c, "b", 2) != "w:2 " {
 		t.Error("a short part kept but for its last block isn't held")
 	}
@@ -126,11 +126,11 @@
 
 // An answer that comes twice, or after a later one, changes nothing.
 func TestLateAndDoubledAnswers(t *testing.T) {
-	c := New(settings.Default(), all)
+	c := NewCore(settings.Default(), all)
 	q := c.NextEvents("w", "llm")
-	e := backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", 100)}}
+	e := backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", 100)}}
 	c.ApplyEvents(q, e, 1)
-	changed(c, backend.Events{Boot: 1, Next: 2, List: []backend.Change{plus("a", 0)}}, 2)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 2, Changes: []backend.CacheChange{plus("a", 0)}}, 2)
 	c.ApplyEvents(q, e, 3)
 	if who(c, "a", 3) != "" || c.NextEvents("w", "llm").After != 2 {
 		t.Fatal("an answer counted twice")
@@ -141,7 +141,7 @@
 	if who(c, "a", 4) != "" {
 		t.Fatal("an answer from before the worker left counted")
 	}
-	changed(c, backend.Events{Full: true}, 5)
+	changed(c, backend.CacheEvents{Throttled: true}, 5)
 	if q := c.NextEvents("w", "llm"); q.After != 0 || c.Warm() {
 		t.Fatal("a worker that turned the call away reported something")
 	}
@@ -150,14 +150,14 @@
 // Three changes of one part come in one to three answers, split in every manner, one of which may be
 // marked as a gap: the last change is what counts.
 func TestEverySplitOfChanges(t *testing.T) {
-	l := []backend.Change{plus("a", 100), plus("a", 0), plus("a", 200)}
+	l := []backend.CacheChange{plus("a", 100), plus("a", 0), plus("a", 200)}
 	for cuts := range 4 {
 		for lost := range 4 {
-			c := New(settings.Default(), all)
+			c := NewCore(settings.Default(), all)
 			from := 0
 			for i := 1; i <= len(l); i++ {
 				if i == len(l) || cuts>>(i-1)&1 == 1 {
-					changed(c, backend.Events{Boot: 7, Next: uint64(i), Lost: lost == i, List: l[from:i]}, time.Duration(i))
+					changed(c, backend.CacheEvents{BootID: 7, NextSequence: uint64(i), Gap: lost == i, Changes: l[from:i]}, time.Duration(i))
 					from = i
 				}
 			}
@@ -170,12 +170,12 @@
 
 func TestPresumedBeforeTheFirstAnswer(t *testing.T) {
 	b := settings.Default()
-	c := New(b, all)
+	c := NewCore(b, all)
 	use(c, "a", 100, 1, 1, "w", "store")
 	if got := who(c, "a", 2); got != "store:1 w:1 " {
 		t.Fatalf("presumed: %q", got)
 	}
-	changed(c, backend.Events{Boot: 1, Next: 0}, 3)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 0}, 3)
 	if got := who(c, "a", 4); got != "store:1 w:1 " {
 		t.Fatalf("the first answer dropped what was presumed: %q", got)
 	}
@@ -186,8 +186,10 @@
 
 func TestStoreThatAnswers(t *testing.T) {
 	b := settings.Default()
-	c := New(b, all)
-	up := func(now time.Duration) bool { return len(c.Lookup([]prefix.Key{UpKey("d")}, now)[0].Holders) > 0 }
+	c := NewCore(b, all)
+	up := func(now time.Duration) bool {
+		return len(c.Lookup([]prefix.Key{StoreHealthKey("d")}, now)[0].Holders) > 0
+	}
 	if c.StoreUp("d", 1); !up(2) {
 		t.Error("a store that answered is down")
 	}
@@ -201,16 +203,16 @@
 
 func TestSweepLeavesWhatCounts(t *testing.T) {
 	b := settings.Default()
-	c := New(b, all)
+	c := NewCore(b, all)
 	use(c, "hot", 10, 1, 0)
-	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("kept", 10)}}, 1)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("kept", 10)}}, 1)
 	use(c, "lapsed", 10, 2, 0, "x")
 	c.Sweep(map[string]bool{"w": true}, 2)
 	if len(c.entries) != 3 {
 		t.Fatalf("%d entries, want 3", len(c.entries))
 	}
 	late := b.Heal(20)
-	changed(c, backend.Events{Boot: 1, Next: 1}, late)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1}, late)
 	c.Sweep(map[string]bool{"w": true}, late)
 	if len(c.entries) != 1 || len(c.workers) != 1 {
 		t.Fatalf("%d entries and %d workers, want one of each", len(c.entries), len(c.workers))
@@ -226,31 +228,31 @@
 
 func TestHalfOfTheIndexNodesServe(t *testing.T) {
 	four := indexNodes("a", "a", "b", "b")
-	l := Serving(append(four, &wire.Node{Name: "edge/1", Role: "edge"}))
+	l := ServingNodes(append(four, &wire.Node{Name: "edge/1", Role: "edge"}))
 	if len(l) != 2 || l[0].District == l[1].District {
 		t.Fatalf("serving: %v", l)
 	}
 	back := slices.Clone(four)
 	slices.Reverse(back)
-	if m := Serving(back); m[0].Name != l[0].Name || m[1].Name != l[1].Name {
+	if m := ServingNodes(back); m[0].Name != l[0].Name || m[1].Name != l[1].Name {
 		t.Fatal("another order of nodes, others serve")
 	}
 	l[0].State = 2
-	m := Serving(four)
+	m := ServingNodes(four)
 	if len(m) != 2 || m[0] != l[1] && m[1] != l[1] || m[0] == l[0] || m[1] == l[0] {
 		t.Fatal("when one is gone the other stays and a third steps in")
 	}
-	if n := len(Serving(indexNodes("a", "a", "a", "a", "b", "b", "b", "b"))); n != 4 {
+	if n := len(ServingNodes(indexNodes("a", "a", "a", "a", "b", "b", "b", "b"))); n != 4 {
 		t.Fatalf("%d of 8 serve", n)
 	}
-	if n := len(Serving(indexNodes("a"))); n != 1 {
+	if n := len(ServingNodes(indexNodes("a"))); n != 1 {
 		t.Fatalf("%d of 1 serve", n)
 	}
 }
 
 // platform stands in for the workers' side of the calls.
 type platform struct {
-	backend.Calls
+	backend.Client
 	mu     sync.Mutex
 	events map[string]int
 	lists  map[string]int
@@ -276,23 +278,23 @@
 
 func (p *platform) leave(addr string) { p.mu.Lock(); p.under[addr]--; p.mu.Unlock() }
 
-func (p *platform) Events(_ context.Context, addr string, since uint64, wait time.Duration) (backend.Events, error) {
+func (p *platform) CacheEvents(_ context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	defer p.leave(addr)
 	if err := p.enter(addr, p.events); err != nil {
-		return backend.Events{}, err
+		return backend.CacheEvents{}, err
 	}
 	p.mu.Lock()
 	p.waits = append(p.waits, wait)
 	p.mu.Unlock()
-	return backend.Events{Boot: 1, Next: 5, Lost: p.lost && since == 0, Full: p.full, List: []backend.Change{plus("a", 10)}}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: 5, Gap: p.lost && since == 0, Throttled: p.full, Changes: []backend.CacheChange{plus("a", 10)}}, nil
 }
 
-func (p *platform) Kept(_ context.Context, addr string) (backend.Events, error) {
+func (p *platform) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
 	defer p.leave(addr)
 	if err := p.enter(addr, p.lists); err != nil {
-		return backend.Events{}, err
+		return backend.CacheEvents{}, err
 	}
-	return backend.Events{Boot: 1, Next: 6, List: []backend.Change{plus("a", 10), plus("b", 10)}}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: 6, Changes: []backend.CacheChange{plus("a", 10), plus("b", 10)}}, nil
 }
 
 func running(t *testing.T, p *platform, s *fleet.Snapshot, f func(n *Node)) {
@@ -302,7 +304,7 @@
 		p.dead = map[string]bool{}
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.Environment{Clock: clock.Ticking(), Wall: time.Now, Seed: func() uint64 { return 1 }}
+		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "index", settings.Place{Name: "core-0", Bounds: settings.Default(), Extra: []string{"log=off"}})
 		n, err := StartSite(l, p, func() *fleet.Snapshot { return s })
 		if err != nil {
@@ -321,7 +323,7 @@
 
 func snapshot(nodes []*wire.Node) *fleet.Snapshot {
 	return &fleet.Snapshot{Nodes: nodes, Workers: []fleet.Worker{{ID: "w1", Service: "llm", Addr: "1:1"}, {ID: "w2", Service: "llm", Addr: "1:2"}, {ID: "p", Service: "app", Addr: "1:9"}},
-		Plan: &routingconfig.Plan{Services: []routingconfig.Service{{Name: "llm", Engine: &routingconfig.Engine{Polls: 12}}, {Name: "app"}, {Name: "d", Store: &routingconfig.Store{Addr: "2:1"}}}}}
+		Plan: &routingconfig.Plan{Services: []routingconfig.Service{{Name: "llm", Engine: &routingconfig.Engine{MaxPolls: 12}}, {Name: "app"}, {Name: "d", Store: &routingconfig.Store{Addr: "2:1"}}}}}
 }
 
 // Each call has its price: one a worker and pace, none to plain workers, none by a node that only
@@ -339,7 +341,7 @@
 		if p.events["1:9"] != 0 || len(p.lists) != 0 || p.most != 1 {
 			t.Errorf("plain worker %d, whole lists %v, at once %d", p.events["1:9"], p.lists, p.most)
 		}
-		k, up := KeyOf("s", "a"), UpKey("d")
+		k, up := PartKey("s", "a"), StoreHealthKey("d")
 		a, err := n.Seek(context.Background(), &wire.LookAsk{Keys: [][]byte{k[:], up[:]}})
 		if err != nil || len(a.Found) != 2 || !a.Warm || len(a.Found[0].Holders) != 3 || len(a.Found[1].Holders) != 1 {
 			t.Errorf("%v, %v", a, err)
@@ -348,7 +350,7 @@
 	p = &platform{}
 	nodes := indexNodes("a", "b", "c")
 	serves := func() bool {
-		return slices.ContainsFunc(Serving(nodes), func(x *wire.Node) bool { return x.Name == "catalogue/core-0" })
+		return slices.ContainsFunc(ServingNodes(nodes), func(x *wire.Node) bool { return x.Name == "catalogue/core-0" })
 	}
 	for i := 0; serves(); i++ {
 		nodes[1].Name, nodes[2].Name = fmt.Sprintf("catalogue/b-%d", i), fmt.Sprintf("catalogue/c-%d", i)
@@ -374,7 +376,7 @@
 	b := settings.Default()
 	p := &platform{dead: map[string]bool{"2:1": true}}
 	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
-		up := UpKey("d")
+		up := StoreHealthKey("d")
 		stands := func() bool {
 			a, _ := n.Seek(context.Background(), &wire.LookAsk{Keys: [][]byte{up[:]}})
 			return len(a.Found[0].Holders) > 0
--- a/internal/data/promptindex/follower.go
+++ b/internal/data/promptindex/follower.go
@@ -16,22 +16,22 @@
 
 // Timing of the polls of a site's workers, as ratios of the heal bound: each call costs the worker.
 const (
-	tickRatio         = 1.0 / 48
-	pollRatio         = 1.0 / 24 // between two calls to one worker
-	firstPollRatio    = 1.0 / 96 // within which new workers are first polled
-	holdRatio         = 1.0 / 12 // how long a worker may hold a call until an event
-	responseRatio     = 1.0 / 12 // timeout beyond the hold time
-	fullListRatio     = 1.0 / 24 // between two full lists of any workers: they slow the workers down
-	workerListRatio   = 1.0      // between two full lists of one worker
-	sweepRatio        = 1.0
-	incompleteWorkers = 1.0 / 8 // of the workers: the index serves without them
+	tickRatio           = 1.0 / 48
+	pollRatio           = 1.0 / 24 // between two calls to one worker
+	firstPollRatio      = 1.0 / 96 // within which new workers are first polled
+	longPollRatio       = 1.0 / 12 // how long a worker may hold a call until an event
+	responseGraceRatio  = 1.0 / 12 // timeout beyond the hold time
+	fullListRatio       = 1.0 / 24 // between two full lists of any workers: they slow the workers down
+	workerFullListRatio = 1.0      // between two full lists of one worker
+	sweepRatio          = 1.0
+	maxIncompleteRatio  = 1.0 / 8 // of the workers: the index serves without them
 )
 
-// Serving selects the index nodes that a site's keys are assigned to: half of them, two at least, in
+// ServingNodes selects the index nodes that a site's keys are assigned to: half of them, two at least, in
 // different zones if possible. The others stand by, and cost no calls.
 //
 // Example: s := promptindex.NewShards(promptindex.Serving(snapshot.Nodes))
-func Serving(nodes []*wire.Node) []*wire.Node {
+func ServingNodes(nodes []*wire.Node) []*wire.Node {
 	by := map[string]*wire.Node{}
 	var names []string
 	for _, n := range nodes {
@@ -75,41 +75,41 @@
 	return l
 }
 
-// follower follows the workers of a snapshot; its tables are owned by the actor.
-type follower struct {
+// eventFollower follows the workers of a snapshot; its tables are owned by the actor.
+type eventFollower struct {
 	node         *Node
-	calls        backend.Calls
+	calls        backend.Client
 	snapshot     func() *fleet.Snapshot
 	nextPoll     map[string]time.Duration // by worker: the next poll
 	fullListAt   map[string]time.Duration // by worker: the last full list
 	lastFullList time.Duration
 	sweptAt      time.Duration
-	serves       bool
+	isServing    bool
 }
 
 // StartSite runs an index node that follows the workers and stores of a snapshot. The caller serves
 // its Handler.
 //
 // Example: n, err := promptindex.StartSite(process, calls, agent.Now)
-func StartSite(l *daemon.Process, calls backend.Calls, snapshot func() *fleet.Snapshot) (*Node, error) {
+func StartSite(l *daemon.Process, calls backend.Client, snapshot func() *fleet.Snapshot) (*Node, error) {
 	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Place.Name, polling: map[string]bool{}, listed: map[string]bool{}}
-	c := New(l.Place.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
-	c.incompleteShare = incompleteWorkers
+	c := NewCore(l.Place.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
+	c.maxIncompleteRatio = maxIncompleteRatio
 	n.actor = queue.NewActor(c, 1024)
 	l.OnStop(n.actor.Stop)
-	s := newFollower(n, calls, snapshot)
+	s := newEventFollower(n, calls, snapshot)
 	l.Every(l.Place.Bounds.Heal(tickRatio), s.tick)
-	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", s.count(func(c *Core) float64 { return float64(len(c.entries)) }))
-	l.Meter.Count("pebbleloom_index_gaps_total", "gaps seen in workers' reports", s.count(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
-	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", s.count(func(c *Core) float64 { return float64(c.Stats.Wholes) }))
+	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", s.coreMetric(func(c *Core) float64 { return float64(len(c.entries)) }))
+	l.Meter.Count("pebbleloom_index_gaps_total", "gaps seen in workers' reports", s.coreMetric(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
+	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", s.coreMetric(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
 	return n, nil
 }
 
-func newFollower(n *Node, calls backend.Calls, snapshot func() *fleet.Snapshot) *follower {
-	return &follower{node: n, calls: calls, snapshot: snapshot, nextPoll: map[string]time.Duration{}, fullListAt: map[string]time.Duration{}}
+func newEventFollower(n *Node, calls backend.Client, snapshot func() *fleet.Snapshot) *eventFollower {
+	return &eventFollower{node: n, calls: calls, snapshot: snapshot, nextPoll: map[string]time.Duration{}, fullListAt: map[string]time.Duration{}}
 }
 
-func (s *follower) count(f func(*Core) float64) func() float64 {
+func (s *eventFollower) coreMetric(f func(*Core) float64) func() float64 {
 	return func() (v float64) { s.node.actor.Ask(func(c *Core) { v = f(c) }); return v }
 }
 
@@ -119,19 +119,19 @@
 func (n *Node) Handler() http.Handler { return wire.NewCatalogueServer(n) }
 
 // tick polls the workers that are due, if this node serves any shard.
-func (s *follower) tick() {
+func (s *eventFollower) tick() {
 	snap := s.snapshot()
 	if snap == nil || snap.Plan == nil {
 		return
 	}
 	serves := false
-	for _, n := range Serving(snap.Nodes) {
+	for _, n := range ServingNodes(snap.Nodes) {
 		serves = serves || n.Name == s.node.name
 	}
 	l, now := pollTargets(snap), s.node.clock.Now()
 	s.node.actor.Ask(func(c *Core) {
-		if s.serves != serves {
-			s.serves = serves
+		if s.isServing != serves {
+			s.isServing = serves
 			c.MarkIncomplete()
 		}
 		if !serves {
@@ -158,7 +158,7 @@
 }
 
 // poll polls one worker if it is due. New workers are polled soon.
-func (s *follower) poll(c *Core, x pollTarget, now time.Duration) {
+func (s *eventFollower) poll(c *Core, x pollTarget, now time.Duration) {
 	b := s.node.process.Place.Bounds
 	at, known := s.nextPoll[x.name]
 	if !known {
@@ -169,36 +169,36 @@
 		return
 	}
 	q := c.NextEvents(x.name, x.service)
-	q.Whole = q.Whole && s.mayListAll(x.name, now)
-	if q.Whole {
+	q.Full = q.Full && s.mayRequestFullList(x.name, now)
+	if q.Full {
 		s.lastFullList, s.fullListAt[x.name] = now, now
 	}
 	s.node.polling[x.name], s.nextPoll[x.name] = true, now+b.Heal(pollRatio)
 	go s.call(x, q)
 }
 
-// mayListAll reports whether a full list may be requested now.
-func (s *follower) mayListAll(name string, now time.Duration) bool {
+// mayRequestFullList reports whether a full list may be requested now.
+func (s *eventFollower) mayRequestFullList(name string, now time.Duration) bool {
 	b := s.node.process.Place.Bounds
 	at, listed := s.fullListAt[name]
-	return (s.lastFullList == 0 || now-s.lastFullList >= b.Heal(fullListRatio)) && (!listed || now-at >= b.Heal(workerListRatio))
+	return (s.lastFullList == 0 || now-s.lastFullList >= b.Heal(fullListRatio)) && (!listed || now-at >= b.Heal(workerFullListRatio))
 }
 
-func (s *follower) call(x pollTarget, q ReportRequest) {
+func (s *eventFollower) call(x pollTarget, q ReportRequest) {
 	b := s.node.process.Place.Bounds
-	ctx, end := context.WithTimeout(s.node.process.Ctx, b.Heal(holdRatio+responseRatio))
+	ctx, end := context.WithTimeout(s.node.process.Ctx, b.Heal(longPollRatio+responseGraceRatio))
 	defer end()
-	var e backend.Events
+	var e backend.CacheEvents
 	var err error
-	if q.Whole {
-		e, err = s.calls.Kept(ctx, x.addr)
+	if q.Full {
+		e, err = s.calls.CachedPrefixes(ctx, x.addr)
 	} else {
-		e, err = s.calls.Events(ctx, x.addr, q.After, b.Heal(holdRatio))
+		e, err = s.calls.CacheEvents(ctx, x.addr, q.After, b.Heal(longPollRatio))
 	}
 	s.node.actor.Ask(func(c *Core) {
 		delete(s.node.polling, x.name)
 		now := s.node.clock.Now()
-		if err != nil || e.Full {
+		if err != nil || e.Throttled {
 			s.nextPoll[x.name] = now + b.Heal(pollRatio)
 			if err != nil && x.service == "" {
 				c.StoreDown(x.name)
--- a/internal/data/promptindex/loads.go
+++ b/internal/data/promptindex/loads.go
@@ -8,12 +8,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// loadRatio is how long an edge machine's report on workers' load counts, as a ratio of the heal bound.
-const loadRatio = 1.0 / 15
+// reportLifetimeRatio is how long an edge machine's report on workers' load counts, as a ratio of the heal bound.
+const reportLifetimeRatio = 1.0 / 15
 
-// Loads adds up the loads that edge machines report: each sees a small share of the traffic, and can't
+// LoadAggregator adds up the loads that edge machines report: each sees a small share of the traffic, and can't
 // see from its own how loaded or how unhealthy a worker is.
-type Loads struct {
+type LoadAggregator struct {
 	bounds        settings.Bounds
 	reports       map[string]*loadReport
 	completeSince time.Duration // reports have come without a break since then
@@ -26,21 +26,23 @@
 	at    time.Duration
 }
 
-// NewLoads starts without reports.
+// NewLoadAggregator starts without reports.
 //
-// Example: l := promptindex.NewLoads(bounds)
-func NewLoads(b settings.Bounds) *Loads { return &Loads{bounds: b, reports: map[string]*loadReport{}} }
+// Example: l := promptindex.NewLoadAggregator(bounds)
+func NewLoadAggregator(b settings.Bounds) *LoadAggregator {
+	return &LoadAggregator{bounds: b, reports: map[string]*loadReport{}}
+}
 
 // Record replaces an edge machine's last report. Reports with arrays of unequal length are ignored.
 //
 // Example: l.Record("edge/edge-1", request.Loads, now)
-func (l *Loads) Record(teller string, w *wire.Loads, now time.Duration) {
+func (l *LoadAggregator) Record(teller string, w *wire.Loads, now time.Duration) {
 	if n := len(w.GetAt()); w == nil || len(w.Active) != n || len(w.Unread) != n || len(w.Ok) != n || len(w.Bad) != n {
 		return
 	}
 	if l.reports[teller] == nil && len(l.reports) >= maxReporters {
 		for n, x := range l.reports {
-			if now-x.at > l.bounds.Heal(loadRatio) {
+			if now-x.at > l.bounds.Heal(reportLifetimeRatio) {
 				delete(l.reports, n)
 			}
 		}
@@ -48,7 +50,7 @@
 			return
 		}
 	}
-	if len(l.reports) == 0 || now-l.lastReport > l.bounds.Heal(loadRatio) {
+	if len(l.reports) == 0 || now-l.lastReport > l.bounds.Heal(reportLifetimeRatio) {
 		l.completeSince = now
 	}
 	l.lastReport = now
@@ -59,15 +61,15 @@
 // some of them may not have reported yet it returns nothing: half of the load is worse than none.
 //
 // Example: response.Loads = l.Others("edge/edge-1", request.Loads.List, now)
-func (l *Loads) Others(teller string, list uint64, now time.Duration) *wire.Loads {
+func (l *LoadAggregator) Others(teller string, list uint64, now time.Duration) *wire.Loads {
 	type row struct{ active, unread, ok, bad uint32 }
 	sum := map[uint32]*row{}
 	t := &wire.Loads{List: list}
-	if now-l.completeSince < l.bounds.Heal(loadRatio) {
+	if now-l.completeSince < l.bounds.Heal(reportLifetimeRatio) {
 		return t
 	}
 	for name, x := range l.reports {
-		if name == teller || x.loads.List != list || now-x.at > l.bounds.Heal(loadRatio) {
+		if name == teller || x.loads.List != list || now-x.at > l.bounds.Heal(reportLifetimeRatio) {
 			continue
 		}
 		t.Tellers++
--- a/internal/data/promptindex/loads_test.go
+++ b/internal/data/promptindex/loads_test.go
@@ -14,24 +14,24 @@
 }
 
 // warmLoads has had reports for long enough to pass them on.
-func warmLoads(now time.Duration) *Loads {
-	l := NewLoads(settings.Default())
-	l.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-l.bounds.Heal(loadRatio))
+func warmLoads(now time.Duration) *LoadAggregator {
+	l := NewLoadAggregator(settings.Default())
+	l.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-l.bounds.Heal(reportLifetimeRatio))
 	return l
 }
 
 // An index node that has just started, or had no report for a while, doesn't have all reports yet.
 func TestPartialLoadIsNotReported(t *testing.T) {
 	b := settings.Default()
-	l, now := NewLoads(b), time.Hour
+	l, now := NewLoadAggregator(b), time.Hour
 	for i := range 3 {
-		at := now + time.Duration(i)*b.Heal(loadRatio)/2
+		at := now + time.Duration(i)*b.Heal(reportLifetimeRatio)/2
 		l.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 		if x := l.Others("c", 1, at); (x.Tellers > 0) != (i == 2) {
 			t.Errorf("%d: %d tellers", i, x.Tellers)
 		}
 	}
-	at := now + 3*b.Heal(loadRatio)
+	at := now + 3*b.Heal(reportLifetimeRatio)
 	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 	if x := l.Others("c", 1, at); x.Tellers > 0 {
 		t.Errorf("after a break: %d tellers", x.Tellers)
@@ -57,16 +57,16 @@
 	b := settings.Default()
 	l, now := warmLoads(time.Hour), time.Hour
 	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
-	if x := l.Others("b", 1, now+b.Heal(loadRatio)); x.Tellers != 1 {
+	if x := l.Others("b", 1, now+b.Heal(reportLifetimeRatio)); x.Tellers != 1 {
 		t.Fatalf("reported %v", x)
 	}
-	if x := l.Others("b", 1, now+b.Heal(loadRatio)+1); x.Tellers != 0 || len(x.At) != 0 {
+	if x := l.Others("b", 1, now+b.Heal(reportLifetimeRatio)+1); x.Tellers != 0 || len(x.At) != 0 {
 		t.Fatalf("reported %v", x)
 	}
 }
 
 func TestABrokenWordOnLoadIsNone(t *testing.T) {
-	l, now := NewLoads(settings.Default()), time.Hour
+	l, now := NewLoadAggregator(settings.Default()), time.Hour
 	l.Record("a", &wire.Loads{List: 1, At: []uint32{1, 2}, Active: []uint32{1}}, now)
 	l.Record("b", nil, now)
 	if x := l.Others("c", 1, now); x.Tellers != 0 {
@@ -77,15 +77,15 @@
 // However many names call, the memory for them is bounded, and those that still talk are heard.
 func TestLoadsOfManyNamesAreBounded(t *testing.T) {
 	b := settings.Default()
-	l, now := NewLoads(b), time.Hour
+	l, now := NewLoadAggregator(b), time.Hour
 	for i := range 3 * maxReporters {
 		l.Record("x"+string(rune(i)), newLoads(1, 0, 1, 0, 0, 0), now)
 	}
 	if len(l.reports) > maxReporters {
 		t.Fatalf("%d words kept", len(l.reports))
 	}
-	later := now + 3*b.Heal(loadRatio)
-	l.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(loadRatio))
+	later := now + 3*b.Heal(reportLifetimeRatio)
+	l.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(reportLifetimeRatio))
 	l.Record("new", newLoads(1, 0, 1, 0, 0, 0), later)
 	if x := l.Others("c", 1, later); x.Tellers != 2 {
 		t.Fatalf("%d tellers", x.Tellers)
