--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -34,15 +34,15 @@
 func Start(l *daemon.Process) error {
 	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Place.Name, backends: contract.NewBackends(l.Dial),
 		polling: map[string]bool{}, listed: map[string]bool{}}
-	n.actor = queue.NewActor(New(l.Place.Bounds, func(k prefix.Key) bool {
+	n.actor = queue.NewActor(NewCore(l.Place.Bounds, func(k prefix.Key) bool {
 		s := n.shards.Load()
-		return s != nil && s.Holds(n.name, k)
+		return s != nil && s.IsAssigned(n.name, k)
 	}), 1024)
 	l.OnStop(n.actor.Stop)
 	l.OnStop(n.backends.Close)
 	calls := daemon.NewClients(l)
 	ros := clustermembership.Start(l.Ctx, l.Place, clustermembership.RolePromptIndex, n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
-	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.Seeds(ros.SetSeeds))
+	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.OnSeedsChanged(ros.SetSeeds))
 	l.Every(l.Place.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
 		return func() (v float64) { n.actor.Ask(func(c *Core) { v = f(c) }); return v }
@@ -50,7 +50,7 @@
 	l.Go(func() { <-l.Draining; ros.Leave() })
 	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", count(func(c *Core) float64 { return float64(len(c.entries)) }))
 	l.Meter.Count("pebbleloom_index_gaps_total", "gaps seen in workers' reports", count(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
-	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", count(func(c *Core) float64 { return float64(c.Stats.Wholes) }))
+	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", count(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
 	l.Meter.Count("pebbleloom_index_evicted_total", "entries dropped for room", count(func(c *Core) float64 { return float64(c.Stats.Evicted) }))
 	l.Meter.Gauge("pebbleloom_index_warm", "1 once every worker has reported everything it holds", count(func(c *Core) float64 {
 		if c.Warm() {
@@ -70,14 +70,14 @@
 
 func (n *Node) reshard(nodes []*wire.Node) {
 	s := NewShards(nodes)
-	if old := n.shards.Swap(s); !s.SameFor(old, n.name) {
+	if old := n.shards.Swap(s); !s.SameAssignment(old, n.name) {
 		n.actor.TrySend(func(c *Core) { c.Reshard() })
 	}
 }
 
 // poll polls every listed worker, and the store, for what it caches.
 func (n *Node) poll() {
-	s := n.updates.Now()
+	s := n.updates.Snapshot()
 	if s == nil {
 		return
 	}
@@ -106,7 +106,7 @@
 func (n *Node) pollWorker(addr string, q ReportRequest) {
 	ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/6))
 	defer end()
-	r, err := n.backends.Kept(ctx, addr, q.After, q.Whole)
+	r, err := n.backends.Kept(ctx, addr, q.After, q.Full)
 	n.actor.Ask(func(c *Core) {
 		delete(n.polling, q.Name)
 		if err == nil {
@@ -145,7 +145,7 @@
 	n.actor.Ask(func(c *Core) {
 		now := n.clock.Now()
 		c.loads.Record(a.Teller, a.Loads, now)
-		t = c.Count(a, now)
+		t = c.RecordAccesses(a, now)
 	})
 	return t, nil
 }
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -13,12 +13,12 @@
 	"pebbleloom/internal/wire"
 )
 
-const slots = 256
+const shardCount = 256
 
 // Shards maps each key to the two index nodes that hold it: the first by rendezvous hashing, and the
 // next one in another zone.
 type Shards struct {
-	holders   [slots][2]string
+	nodes     [shardCount][2]string
 	addresses map[string]string
 }
 
@@ -36,44 +36,44 @@
 		}
 	}
 	sort.Strings(names)
-	for i := range s.holders {
+	for i := range s.nodes {
 		l := queue.Rendezvous(string([]byte{byte(i)}), names)
 		if len(l) == 0 {
 			continue
 		}
-		s.holders[i][0] = l[0]
+		s.nodes[i][0] = l[0]
 		for _, n := range l[1:] {
-			if s.holders[i][1] == "" || dist[s.holders[i][1]] == dist[l[0]] && dist[n] != dist[l[0]] {
-				s.holders[i][1] = n
+			if s.nodes[i][1] == "" || dist[s.nodes[i][1]] == dist[l[0]] && dist[n] != dist[l[0]] {
+				s.nodes[i][1] = n
 			}
 		}
 	}
 	return s
 }
 
-// Holders returns the index nodes of a key.
+// NodesOf returns the index nodes of a key.
 //
 // Example: s.Holders(k)[0]
-func (s *Shards) Holders(k prefix.Key) [2]string { return s.holders[k[0]] }
+func (s *Shards) NodesOf(k prefix.Key) [2]string { return s.nodes[k[0]] }
 
-// Holds reports whether a node holds a key.
+// IsAssigned reports whether a node holds a key.
 //
 // Example: s.Holds("catalogue/edge-1", k)
-func (s *Shards) Holds(name string, k prefix.Key) bool {
-	h := s.holders[k[0]]
+func (s *Shards) IsAssigned(name string, k prefix.Key) bool {
+	h := s.nodes[k[0]]
 	return h[0] == name || h[1] == name
 }
 
-// SameFor reports whether two layouts are the same for a node.
+// SameAssignment reports whether two layouts are the same for a node.
 //
-// Example: if !old.SameFor(s, name) { core.Reshard() }
-func (s *Shards) SameFor(o *Shards, name string) bool {
+// Example: if !old.SameAssignment(s, name) { core.Reshard() }
+func (s *Shards) SameAssignment(o *Shards, name string) bool {
 	if o == nil {
 		return false
 	}
-	for i := range s.holders {
-		a := s.holders[i][0] == name || s.holders[i][1] == name
-		b := o.holders[i][0] == name || o.holders[i][1] == name
+	for i := range s.nodes {
+		a := s.nodes[i][0] == name || s.nodes[i][1] == name
+		b := o.nodes[i][0] == name || o.nodes[i][1] == name
 		if a != b {
 			return false
 		}
@@ -92,7 +92,7 @@
 	for try := range 2 {
 		by := map[string][]prefix.Key{}
 		for _, k := range keys {
-			if h := s.holders[k[0]][try]; !sure[k] && h != "" {
+			if h := s.nodes[k[0]][try]; !sure[k] && h != "" {
 				by[h] = append(by[h], k)
 			}
 		}
--- a/internal/data/selection/api.go
+++ b/internal/data/selection/api.go
@@ -14,18 +14,18 @@
 
 // Request is the input of a selection.
 type Request struct {
-	ID      string // of the attempt
-	Service string
-	Route   *routingconfig.Route
-	Tenant  *routingconfig.Tenant // nil on a public route
-	Zone    string                // of this edge machine
-	Model   string                // "" if the request names none
-	In, Out int                   // tokens: of the prompt, and the output limit
-	Parts   []Part                // of the prompt, in order; the last is the request's own or its session's
+	ID                            string // of the attempt
+	Service                       string
+	Route                         *routingconfig.Route
+	Tenant                        *routingconfig.Tenant // nil on a public route
+	Zone                          string                // of this edge machine
+	Model                         string                // "" if the request names none
+	PromptTokens, MaxOutputTokens int                   // tokens: of the prompt, and the output limit
+	Parts                         []PromptPart          // of the prompt, in order; the last is the request's own or its session's
 }
 
-// Part is one part of a prompt.
-type Part struct {
+// PromptPart is one part of a prompt.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -44,18 +44,18 @@
 // Load is what a worker reports of itself in a response.
 type Load struct{ Running, Waiting, Slots int }
 
-// Ending is how an attempt ended, as input of the next selection.
-type Ending int
+// Outcome is how an attempt ended, as input of the next selection.
+type Outcome int
 
 // The endings.
 const (
-	Served  Ending = iota // a complete response
-	Full                  // rejected: no free slot; nothing ran
-	Loading               // rejected: other weights, or an order in progress; nothing ran
-	Moved                 // another worker has that address; nothing ran
-	Unfit                 // the worker failed the request, or its connection broke
-	Left                  // the client disconnected: says nothing about the worker
-	Unsure                // time ran out
+	Completed   Outcome = iota // a complete response
+	NoFreeSlot                 // rejected: no free slot; nothing ran
+	NotReady                   // rejected: other weights, or an order in progress; nothing ran
+	Misdirected                // another worker has that address; nothing ran
+	Failed                     // the worker failed the request, or its connection broke
+	ClientGone                 // the client disconnected: says nothing about the worker
+	TimedOut                   // time ran out
 )
 
 // Selector is one edge machine's view of load, errors and holders. All methods are safe for concurrent
@@ -69,7 +69,7 @@
 	// Sent records an attempt in flight; Begun its first event, the worker's reported
 	// load (nil: none) and how long that took; Done how it ended, and the same again
 	// (0: no event came).
-	Sent(r *Request, c Choice)
-	Begun(r *Request, c Choice, l *Load, first time.Duration)
-	Done(r *Request, c Choice, e Ending, l *Load, first time.Duration)
+	RecordSent(r *Request, c Choice)
+	RecordFirstEvent(r *Request, c Choice, l *Load, first time.Duration)
+	RecordOutcome(r *Request, c Choice, e Outcome, l *Load, first time.Duration)
 }
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -20,15 +20,15 @@
 	if c.Worker.ID != h {
 		t.Fatalf("%s, not its home %s", c.Worker.ID, h)
 	}
-	e.send(r, c, e.now)
-	e.now += 2 * route.Target
+	e.recordSent(r, c, e.now)
+	e.now += 2 * route.LatencyTarget
 	for range 10 {
 		if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h || c.Fetch != h+":1" {
 			t.Fatalf("%s, fetching from %q, though %s is late", c.Worker.ID, c.Fetch, h)
 		}
 	}
 	// Once it has come, how late it was still counts for a while.
-	e.begin(r, c, &Load{Running: 2, Slots: 128}, 2*route.Target, e.now)
+	e.recordFirstEvent(r, c, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, e.now)
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
 		t.Error("forgotten at once")
 	}
@@ -49,18 +49,18 @@
 	}
 	r := e.ask("p", 13000)
 	c := e.must(t, r)
-	e.send(r, c, e.now)
+	e.recordSent(r, c, e.now)
 	e.now += 40 * time.Millisecond
-	e.begin(r, c, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, e.now)
+	e.recordFirstEvent(r, c, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, e.now)
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
 		t.Errorf("%s is selected, though 30 wait there", h)
 	}
-	if x := e.view.groups["llm"].candidates[e.view.groups["llm"].index[h]].stats; x.inFlight != 1 || len(x.unread) != 0 {
-		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.unread))
+	if x := e.layout.groups["llm"].candidates[e.layout.groups["llm"].index[h]].stats; x.inFlight != 1 || len(x.pendingPrefills) != 0 {
+		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.pendingPrefills))
 	}
-	e.done(r, c, Served, nil, 40*time.Millisecond, e.now)
-	if x := e.view.groups["llm"].candidates[e.view.groups["llm"].index[h]].stats; x.inFlight != 0 || len(x.unread) != 0 {
-		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.unread))
+	e.recordOutcome(r, c, Completed, nil, 40*time.Millisecond, e.now)
+	if x := e.layout.groups["llm"].candidates[e.layout.groups["llm"].index[h]].stats; x.inFlight != 0 || len(x.pendingPrefills) != 0 {
+		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.pendingPrefills))
 	}
 }
 
@@ -89,8 +89,8 @@
 	if drawn < 20 || drawn > 80 {
 		t.Errorf("%d of 100 are drawn to a third of the workers", drawn)
 	}
-	for _, x := range e.layOut(s).groups["llm"].candidates[:6] {
-		x.stats.lateness, x.stats.latenessAt = 4*route.Target.Seconds()*1e3, e.now
+	for _, x := range e.layoutFor(s).groups["llm"].candidates[:6] {
+		x.stats.latenessMs, x.stats.latenessAt = 4*route.LatencyTarget.Seconds()*1e3, e.now
 	}
 	for i := range 100 {
 		if newer(i) {
@@ -105,20 +105,20 @@
 	e := newEdge(fleetOf(18))
 	e.must(t, e.ask("p", 13000))
 	var h *candidate
-	for i := range e.view.groups["llm"].candidates {
-		if x := &e.view.groups["llm"].candidates[i]; x.worker.Zone == "d0" && x.worker.ID != e.home(t, "p") {
+	for i := range e.layout.groups["llm"].candidates {
+		if x := &e.layout.groups["llm"].candidates[i]; x.worker.Zone == "d0" && x.worker.ID != e.home(t, "p") {
 			h = x
 		}
 	}
 	e.setHolders("p", promptindex.Confirmed, h.worker.ID)
-	read := 13000 * h.stats.service.b
-	h.stats.lateness, h.stats.latenessAt = 0.3*read, e.now
+	read := 13000 * h.stats.service.msPerToken
+	h.stats.latenessMs, h.stats.latenessAt = 0.3*read, e.now
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h.worker.ID {
-		t.Errorf("%s, for a wait of %.0f ms where %.0f would be read", c.Worker.ID, h.stats.lateness, read)
+		t.Errorf("%s, for a wait of %.0f ms where %.0f would be read", c.Worker.ID, h.stats.latenessMs, read)
 	}
-	h.stats.lateness = 2 * read
+	h.stats.latenessMs = 2 * read
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h.worker.ID || c.Fetch != h.worker.Addr {
-		t.Errorf("%s, fetching from %q, though %.0f ms wait at %s", c.Worker.ID, c.Fetch, h.stats.lateness, h.worker.ID)
+		t.Errorf("%s, fetching from %q, though %.0f ms wait at %s", c.Worker.ID, c.Fetch, h.stats.latenessMs, h.worker.ID)
 	}
 }
 
@@ -133,14 +133,14 @@
 	e := newEdge(s)
 	e.startedAt = start - time.Hour
 	e.now += time.Second
-	for _, x := range e.layOut(s).groups["llm"].candidates[:12] {
-		x.stats.lateness, x.stats.latenessAt = 2.5*13000*x.stats.service.b, e.now
+	for _, x := range e.layoutFor(s).groups["llm"].candidates[:12] {
+		x.stats.latenessMs, x.stats.latenessAt = 2.5*13000*x.stats.service.msPerToken, e.now
 	}
 	for i := range 50 {
 		part := fmt.Sprint("p", i)
-		e.found[promptindex.KeyOf(salt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
+		e.found[promptindex.PartKey(salt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
 		if c := e.must(t, e.ask(part, 13000)); c.Weights != 1 {
-			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that keep the part are free", part, 2.5*13000*e.services["llm"].b)
+			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that keep the part are free", part, 2.5*13000*e.services["llm"].msPerToken)
 		}
 	}
 }
--- a/internal/data/selection/cost.go
+++ b/internal/data/selection/cost.go
@@ -10,36 +10,36 @@
 
 // workerCost is the cost of a request on one worker, in ms of its target.
 type workerCost struct {
-	cost  float64
-	read  float64 // tokens
-	moved float64 // ms of its links
-	from  *source
+	totalMs       float64
+	prefillTokens float64 // tokens
+	transferMs    float64 // ms of its links
+	source        *source
 }
 
-// run is how many parts in a row are cached from one on.
-func run(parts uint64, from int) int { return bits.TrailingZeros64(^(parts >> from)) }
+// consecutiveParts is how many parts in a row are cached from one on.
+func consecutiveParts(parts uint64, from int) int { return bits.TrailingZeros64(^(parts >> from)) }
 
-// weigh adds up waiting, reading of missing parts, fetching of parts cached elsewhere, the slowdown by
+// score adds up waiting, reading of missing parts, fetching of parts cached elsewhere, the slowdown by
 // load, and the cost of reading again and of distance beside their time. It stops early for a worker
 // that can't cost less than the least so far.
-func (q *query) weigh(i int, o *promptState, least float64) workerCost {
+func (q *scorer) score(i int, o *promptState, least float64) workerCost {
 	var opt workerCost
 	t, x := q.table, &q.group.candidates[i]
-	ps := len(q.upto) - 1
-	held := min(run(t.maybe[i], 0), ps)
-	missing := q.upto[ps] - q.upto[held] + q.own
+	ps := len(q.tokensUpTo) - 1
+	held := min(consecutiveParts(t.presumedParts[i], 0), ps)
+	missing := q.tokensUpTo[ps] - q.tokensUpTo[held] + q.ownTokens
 	slots := float64(max(1, x.worker.Slots))
 	load := t.loads[i]
-	c := crowd*q.service.attemptMs*load/slots + noise*q.target*float64(mix(q.hash^x.hash)>>11)/(1<<53)
+	c := crowd*q.stats.meanAttemptMs*load/slots + noise*q.targetMs*float64(mix(q.requestHash^x.hash)>>11)/(1<<53)
 	if load >= slots {
-		c += (load - slots + 1) / slots * q.service.attemptMs
+		c += (load - slots + 1) / slots * q.stats.meanAttemptMs
 	}
 	if x.worker.Zone != q.request.Zone {
-		c += afarPart * q.target * rereadPart * float64(q.request.In)
+		c += afarPart * q.targetMs * rereadPart * float64(q.request.PromptTokens)
 	}
-	if o.at >= 0 && !o.hot {
+	if o.decidingPart >= 0 && !o.hot {
 		lean := 0.0
-		if !o.cold && t.maybe[i]>>o.at&1 == 0 {
+		if !o.cold && t.presumedParts[i]>>o.decidingPart&1 == 0 {
 			lean += leanKept // a copy displaces another part
 		}
 		if o.home >= 0 && o.home != i && lean > 0 {
@@ -47,53 +47,53 @@
 		} else if o.home >= 0 && o.home != i && o.cold {
 			lean += leanCold
 		}
-		c += lean * (q.read + q.service.b) * q.upto[o.at+1]
+		c += lean * (q.rereadCost + q.stats.msPerToken) * q.tokensUpTo[o.decidingPart+1]
 	}
-	c += x.stats.distrust(q.now) * backCost * q.target
-	if o.weights < q.drawn {
-		c += drawCost * q.service.b * q.upto[o.shared]
+	c += x.stats.slowStartRatio(q.now) * backCost * q.targetMs
+	if o.version < q.assignedVersion {
+		c += drawCost * q.stats.msPerToken * q.tokensUpTo[o.sharedParts]
 	}
 	slow := t.slowness(x.stats, q.now)
-	c += slow * (q.service.a + t.backlog(x.stats, q.now))
-	shared := max(0, q.upto[min(o.shared, ps)]-q.upto[held])
-	if could := c + slow*q.service.b*(missing-shared); could >= least {
-		return workerCost{cost: could}
+	c += slow * (q.stats.firstEventMs + t.backlog(x.stats, q.now))
+	shared := max(0, q.tokensUpTo[min(o.sharedParts, ps)]-q.tokensUpTo[held])
+	if could := c + slow*q.stats.msPerToken*(missing-shared); could >= least {
+		return workerCost{totalMs: could}
 	}
 	if shared > 0 {
-		opt = q.fetch(i, o, held)
-		missing, shared = missing-opt.read, shared-opt.read
+		opt = q.bestSource(i, o, held)
+		missing, shared = missing-opt.prefillTokens, shared-opt.prefillTokens
 	}
-	c += slow*q.service.b*missing + opt.cost
-	if shared > 0 && o.kept>>held&1 == 1 {
-		c += q.read * shared // it is cached elsewhere, and would be read once more
+	c += slow*q.stats.msPerToken*missing + opt.totalMs
+	if shared > 0 && o.knownParts>>held&1 == 1 {
+		c += q.rereadCost * shared // it is cached elsewhere, and would be read once more
 	}
-	return workerCost{cost: c, read: missing, moved: opt.moved, from: opt.from}
+	return workerCost{totalMs: c, prefillTokens: missing, transferMs: opt.transferMs, source: opt.source}
 }
 
-// fetch finds the one source that saves a worker the most. Its read is what needn't be read.
-func (q *query) fetch(i int, o *promptState, held int) (best workerCost) {
+// bestSource finds the one source that saves a worker the most. Its read is what needn't be read.
+func (q *scorer) bestSource(i int, o *promptState, held int) (best workerCost) {
 	w := &q.group.candidates[i]
 	gain := 0.0
-	for j := range o.from {
-		s := &o.from[j]
-		if s.seat == i {
+	for j := range o.sources {
+		s := &o.sources[j]
+		if s.candidate == i {
 			continue
 		}
-		n := min(run(s.parts, held), o.shared-held)
+		n := min(consecutiveParts(s.presumedParts, held), o.sharedParts-held)
 		if n <= 0 {
 			continue
 		}
-		tokens := q.upto[held+n] - q.upto[held]
-		ms := tokens * s.pipe
+		tokens := q.tokensUpTo[held+n] - q.tokensUpTo[held]
+		ms := tokens * s.msPerToken
 		if s.zone != w.worker.Zone {
 			ms *= distant
 		}
-		cost := ms + max(0, max(s.st.linkBusyUntil, w.stats.linkBusyUntil)-q.now).Seconds()*1e3 + tokens*q.read*movePart
-		if sure := min(run(s.sure, held), n); sure < n {
-			cost += risk * (q.read + q.service.b) * (q.upto[held+n] - q.upto[held+sure])
+		cost := ms + max(0, max(s.stats.linkBusyUntil, w.stats.linkBusyUntil)-q.now).Seconds()*1e3 + tokens*q.rereadCost*movePart
+		if sure := min(consecutiveParts(s.confirmedParts, held), n); sure < n {
+			cost += risk * (q.rereadCost + q.stats.msPerToken) * (q.tokensUpTo[held+n] - q.tokensUpTo[held+sure])
 		}
-		if g := tokens*(q.service.b+q.read) - cost; g > gain {
-			gain, best = g, workerCost{cost: cost, read: tokens, moved: ms, from: s}
+		if g := tokens*(q.stats.msPerToken+q.rereadCost) - cost; g > gain {
+			gain, best = g, workerCost{totalMs: cost, prefillTokens: tokens, transferMs: ms, source: s}
 		}
 	}
 	return best
@@ -103,63 +103,65 @@
 // machine's own prompts there, by those of others, by how late the last first event was, and by how
 // late the next one is already.
 func (t *table) backlog(x *workerStats, now time.Duration) float64 {
-	ms := max(0, x.readingUntil-now).Seconds() * 1e3
+	ms := max(0, x.prefillUntil-now).Seconds() * 1e3
 	if x.reported {
-		ms = max(ms, fade(now-x.reportedAt, t.bounds.Heal(fadePart))*x.othersUnread*x.service.b)
+		ms = max(ms, decayWeight(now-x.reportedAt, t.bounds.Heal(fadePart))*x.othersPendingTokens*x.service.msPerToken)
 	}
-	ms = max(ms, fade(now-x.latenessAt, t.bounds.Heal(fadePart))*x.lateness)
-	for _, p := range x.unread {
-		ms = max(ms, (now-p.at).Seconds()*1e3-p.want)
+	ms = max(ms, decayWeight(now-x.latenessAt, t.bounds.Heal(fadePart))*x.latenessMs)
+	for _, p := range x.pendingPrefills {
+		ms = max(ms, (now-p.sentAt).Seconds()*1e3-p.expectedMs)
 	}
 	return ms
 }
 
 // newChoice applies the placement to the selected worker.
-func (q *query) newChoice(o *promptState, i int, x workerCost) Choice {
+func (q *scorer) newChoice(o *promptState, i int, x workerCost) Choice {
 	t, w := q.table, q.group.candidates[i]
-	c := Choice{Worker: *w.worker, Weights: o.weights, Salt: o.text, Urgency: t.view.rank(urgency(q.request), q.size(x.read))}
-	p := attempt{stats: w.stats, read: x.read, keys: o.keys, kept: q.request.In > 0}
-	if x.from != nil {
-		c.Fetch, p.from, p.moved = x.from.addr, x.from.st, x.moved
+	c := Choice{Worker: *w.worker, Weights: o.version, Salt: o.salt, Urgency: t.layout.priorityLevel(urgency(q.request), q.promptSizeClass(x.prefillTokens))}
+	p := attempt{stats: w.stats, prefillTokens: x.prefillTokens, keys: o.keys, usesCache: q.request.PromptTokens > 0}
+	if x.source != nil {
+		c.Fetch, p.source, p.transferMs = x.source.addr, x.source.stats, x.transferMs
 	}
-	for j, k := range o.keys[:o.shared] {
-		p.uses = append(p.uses, prefix.Entry{Key: k, Tokens: int(q.upto[j+1] - q.upto[j]), Upto: int(q.upto[j+1])})
+	for j, k := range o.keys[:o.sharedParts] {
+		p.sharedParts = append(p.sharedParts, prefix.Entry{Key: k, Tokens: int(q.tokensUpTo[j+1] - q.tokensUpTo[j]), CumulativeTokens: int(q.tokensUpTo[j+1])})
 	}
-	if at := q.store(o); at >= 0 {
+	if at := q.storeFor(o); at >= 0 {
 		s := q.group.stores[at].service
-		if q.upto[o.shared] >= leastSaved && !q.stored(o) {
+		if q.tokensUpTo[o.sharedParts] >= leastSaved && !q.storedCompletely(o) {
 			c.Save, p.store = s.Store.Addr, s.Name
 		}
-		if held := run(t.maybe[i], 0); c.Fetch == "" && held < o.shared && (!o.indexed || q.used(o)) && q.upto[o.shared]-q.upto[held] >= 2*leastSaved {
+		if held := consecutiveParts(t.presumedParts[i], 0); c.Fetch == "" && held < o.sharedParts && (!o.indexed || q.recentlyUsed(o)) && q.tokensUpTo[o.sharedParts]-q.tokensUpTo[held] >= 2*leastSaved {
 			c.Fetch = s.Store.Addr // it probably has it: a miss costs next to nothing
 		}
 	}
-	t.chosen.put(attemptKey{q.request.ID, w.worker.ID}, p)
+	t.selected.put(attemptKey{q.request.ID, w.worker.ID}, p)
 	return c
 }
 
-// used reports whether the deciding part was used recently, though no holder is known.
-func (q *query) used(o *promptState) bool { return o.at >= 0 && q.found[o.keys[o.at]].GetHotness() > 0 }
+// recentlyUsed reports whether the deciding part was used recently, though no holder is known.
+func (q *scorer) recentlyUsed(o *promptState) bool {
+	return o.decidingPart >= 0 && q.found[o.keys[o.decidingPart]].GetHotness() > 0
+}
 
-// store is the store that a prompt's shared parts belong to, of those that answer; -1 if there is
+// storeFor is the store that a prompt's shared parts belong to, of those that answer; -1 if there is
 // none, or nothing is shared. Each part has one store, so that together they cache as much as
 // possible.
-func (q *query) store(o *promptState) int {
-	if o.shared == 0 {
+func (q *scorer) storeFor(o *promptState) int {
+	if o.sharedParts == 0 {
 		return -1
 	}
-	at, top, h := -1, uint64(0), number(o.keys[max(0, o.at)])
+	at, top, h := -1, uint64(0), hashPrefix(o.keys[max(0, o.decidingPart)])
 	for i, x := range q.group.stores {
-		if w := mix(h ^ queue.Hash(x.service.Name)); !q.table.storesDown[x.service.Name] && (at < 0 || w > top) {
+		if w := mix(h ^ queue.Hash(x.service.Name)); !q.table.unavailableStores[x.service.Name] && (at < 0 || w > top) {
 			at, top = i, w
 		}
 	}
 	return at
 }
 
-// size is 0 for a prompt that is read in a small share of its target, 1 in some of it, 2 in more.
-func (q *query) size(read float64) int {
-	switch part := read * q.service.b / q.target; {
+// promptSizeClass is 0 for a prompt that is read in a small share of its target, 1 in some of it, 2 in more.
+func (q *scorer) promptSizeClass(read float64) int {
+	switch part := read * q.stats.msPerToken / q.targetMs; {
 	case part < 1.0/16:
 		return 0
 	case part < 3.0/16:
@@ -168,11 +170,11 @@
 	return 2
 }
 
-// stored reports whether a store that answers has all shared parts.
-func (q *query) stored(o *promptState) bool {
-	all := uint64(1)<<o.shared - 1
+// storedCompletely reports whether a store that answers has all shared parts.
+func (q *scorer) storedCompletely(o *promptState) bool {
+	all := uint64(1)<<o.sharedParts - 1
 	for i, x := range q.group.stores {
-		if o.stores[i]&all == all && !q.table.storesDown[x.service.Name] {
+		if o.storeParts[i]&all == all && !q.table.unavailableStores[x.service.Name] {
 			return true
 		}
 	}
--- a/internal/data/selection/health_test.go
+++ b/internal/data/selection/health_test.go
@@ -10,7 +10,7 @@
 	for _, n := range []int{1, 2, 3, 7, 18} {
 		for bad := range n + 1 {
 			e := newEdge(fleetOf(n))
-			g := e.layOut(e.s).groups["llm"]
+			g := e.layoutFor(e.s).groups["llm"]
 			var l []int
 			for i := range n {
 				l = append(l, i)
@@ -33,50 +33,50 @@
 
 func TestBrokenWorkersAreAvoidedLongerEachTime(t *testing.T) {
 	e := newEdge(fleetOf(9))
-	x := e.layOut(e.s).groups["llm"].candidates[0].stats
+	x := e.layoutFor(e.s).groups["llm"].candidates[0].stats
 	last := time.Duration(0)
 	for i := range 4 {
 		e.recordFailure(x, e.now)
-		if d := x.outUntil - e.now; d <= last {
+		if d := x.ejectedUntil - e.now; d <= last {
 			t.Errorf("strike %d: out for %v after %v", i, d, last)
 		} else {
 			last = d
 		}
-		e.now = x.outUntil
-		if b := x.distrust(e.now); b <= 0 || x.distrust(e.now+x.outFor/2) >= b || x.distrust(e.now+x.outFor) != 0 {
+		e.now = x.ejectedUntil
+		if b := x.slowStartRatio(e.now); b <= 0 || x.slowStartRatio(e.now+x.ejectionTime/2) >= b || x.slowStartRatio(e.now+x.ejectionTime) != 0 {
 			t.Error("it isn't trusted again little by little")
 		}
 	}
 	for range 9 {
 		e.recordFailure(x, e.now)
 	}
-	if x.outUntil-e.now > e.bounds.Heal(outMost) {
-		t.Errorf("out for %v", x.outUntil-e.now)
+	if x.ejectedUntil-e.now > e.bounds.Heal(outMost) {
+		t.Errorf("out for %v", x.ejectedUntil-e.now)
 	}
-	e.now = x.outUntil + time.Minute
+	e.now = x.ejectedUntil + time.Minute
 	for range 20 {
 		e.recordSuccess(x, e.now)
 	}
-	if x.strikes != 0 || x.failureShare > 0.05 {
-		t.Errorf("%d strikes, %.2f bad after twenty good endings", x.strikes, x.failureShare)
+	if x.recentFailures != 0 || x.failureRatio > 0.05 {
+		t.Errorf("%d strikes, %.2f bad after twenty good endings", x.recentFailures, x.failureRatio)
 	}
 }
 
 func TestEndingsSayWhatTheySay(t *testing.T) {
-	for e0, avoided := range map[Ending]bool{Served: false, Full: true, Loading: true, Moved: true, Unfit: true, Left: false, Unsure: true} {
+	for e0, avoided := range map[Outcome]bool{Completed: false, NoFreeSlot: true, NotReady: true, Misdirected: true, Failed: true, ClientGone: false, TimedOut: true} {
 		e := newEdge(fleetOf(6))
 		r := e.ask("p", 13000)
 		c := e.must(t, r)
-		e.send(r, c, e.now)
-		e.done(r, c, e0, nil, 0, e.now)
+		e.recordSent(r, c, e.now)
+		e.recordOutcome(r, c, e0, nil, 0, e.now)
 		if d := e.must(t, e.ask("p", 13000)); (d.Worker.ID != c.Worker.ID) != avoided {
 			t.Errorf("ending %d: then %s after %s", e0, d.Worker.ID, c.Worker.ID)
 		}
-		if len(e.sent) != 0 || e.view.groups["llm"].candidates[e.view.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
+		if len(e.inFlight) != 0 || e.layout.groups["llm"].candidates[e.layout.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
 			t.Errorf("ending %d leaves an attempt under way", e0)
 		}
-		e.done(r, c, e0, nil, 0, e.now) // recorded twice
-		if e.view.groups["llm"].candidates[e.view.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
+		e.recordOutcome(r, c, e0, nil, 0, e.now) // recorded twice
+		if e.layout.groups["llm"].candidates[e.layout.groups["llm"].index[c.Worker.ID]].stats.inFlight != 0 {
 			t.Errorf("ending %d counts twice", e0)
 		}
 	}
--- a/internal/data/selection/once_test.go
+++ b/internal/data/selection/once_test.go
@@ -61,7 +61,7 @@
 	m := map[prefix.Key]*wire.Found{}
 	for _, k := range keys {
 		f := &wire.Found{}
-		if k == promptindex.UpKey("store") {
+		if k == promptindex.StoreHealthKey("store") {
 			f.Holders = append(f.Holders, &wire.Holding{Worker: "store", State: promptindex.Presumed})
 		}
 		for id := range h.kept {
@@ -77,15 +77,15 @@
 func (h *hall) request(n int, things int, now time.Duration) {
 	e := h.edges[h.r.IntN(len(h.edges))]
 	e.s = h.s
-	r := &Request{ID: fmt.Sprint("r", n), Service: "llm", Route: route, Zone: fmt.Sprint("d", h.r.IntN(4)), Model: "m", In: 15000,
-		Parts: []Part{{fmt.Sprint("t", h.r.IntN(things)), 13000}, {fmt.Sprint("own", n), 2000}}}
+	r := &Request{ID: fmt.Sprint("r", n), Service: "llm", Route: route, Zone: fmt.Sprint("d", h.r.IntN(4)), Model: "m", PromptTokens: 15000,
+		Parts: []PromptPart{{fmt.Sprint("t", h.r.IntN(things)), 13000}, {fmt.Sprint("own", n), 2000}}}
 	found := h.look(e.table.lookupKeys(h.s, r, now), now)
 	c, ok := e.selectWorker(h.s, r, found, nil, now)
 	if !ok {
 		return
 	}
-	e.send(r, c, now)
-	k := promptindex.KeyOf(c.Salt, r.Parts[0].ID)
+	e.recordSent(r, c, now)
+	k := promptindex.PartKey(c.Salt, r.Parts[0].ID)
 	first := 30 * time.Millisecond
 	switch at, ok := h.kept[c.Worker.ID][k]; {
 	case ok && at <= now:
@@ -115,7 +115,7 @@
 		h.keep("store", k, now+first)
 	}
 	h.at = append(h.at, now+2*first)
-	h.ending = append(h.ending, func() { e.done(r, c, Served, nil, first, now+2*first) })
+	h.ending = append(h.ending, func() { e.recordOutcome(r, c, Completed, nil, first, now+2*first) })
 }
 
 func (h *hall) play(requests, things int, every time.Duration) {
@@ -185,8 +185,8 @@
 	for i := range b.N {
 		r := e.ask(fmt.Sprint("p", i%20), 13000)
 		c, _ := e.selectWorker(e.s, r, e.found, nil, e.now)
-		e.send(r, c, e.now)
-		e.done(r, c, Served, &Load{Running: 3, Slots: 128}, 40*time.Millisecond, e.now)
+		e.recordSent(r, c, e.now)
+		e.recordOutcome(r, c, Completed, &Load{Running: 3, Slots: 128}, 40*time.Millisecond, e.now)
 		e.now += time.Millisecond
 	}
 }
--- a/internal/data/selection/partmemory.go
+++ b/internal/data/selection/partmemory.go
@@ -9,28 +9,28 @@
 	"pebbleloom/internal/fleet"
 )
 
-// partMemory is what this edge machine itself knows of a part.
-type partMemory struct {
-	holders [holders]recentHolder // the latest first
-	by      string                // the request that used it last
-	again   bool                  // another request used it before
-	saved   time.Duration         // when it was saved in a store; 0: never
-	store   string
+// partRecord is what this edge machine itself knows of a part.
+type partRecord struct {
+	holders     [maxRecentHolders]recentHolder // the latest first
+	lastRequest string                         // the request that used it last
+	isReused    bool                           // another request used it before
+	savedAt     time.Duration                  // when it was saved in a store; 0: never
+	savedIn     string
 }
 
-const holders = 3
+const maxRecentHolders = 3
 
 type recentHolder struct {
-	id   string
-	at   time.Duration
-	sure bool // its first event came
+	worker     string
+	recordedAt time.Duration
+	confirmed  bool // its first event came
 }
 
-func (m *partMemory) hold(id string, sure bool, now time.Duration) {
-	at := holders - 1
+func (m *partRecord) addHolder(id string, sure bool, now time.Duration) {
+	at := maxRecentHolders - 1
 	for i, h := range m.holders {
-		if h.id == id {
-			at, sure = i, sure || h.sure
+		if h.worker == id {
+			at, sure = i, sure || h.confirmed
 			break
 		}
 	}
@@ -38,11 +38,11 @@
 	m.holders[0] = recentHolder{id, now, sure}
 }
 
-func (m *partMemory) drop(id string) {
+func (m *partRecord) removePresumedHolder(id string) {
 	for i, h := range m.holders {
-		if h.id == id && !h.sure {
+		if h.worker == id && !h.confirmed {
 			copy(m.holders[i:], m.holders[i+1:])
-			m.holders[holders-1] = recentHolder{}
+			m.holders[maxRecentHolders-1] = recentHolder{}
 			return
 		}
 	}
@@ -50,44 +50,44 @@
 
 // lookupKeys lists the keys to look up for a request; none if this edge machine knows enough.
 func (t *table) lookupKeys(s *fleet.Snapshot, r *Request, now time.Duration) []prefix.Key {
-	g := t.layOut(s).groups[r.Service]
+	g := t.layoutFor(s).groups[r.Service]
 	if g == nil || g.service.Engine == nil || len(r.Parts) == 0 {
 		return nil
 	}
-	model := g.model(r)
-	m := g.serve(model)
+	model := g.modelOf(r)
+	m := g.versionsOf(model)
 	var cs []int
 	for i, x := range g.candidates {
 		if !x.worker.Draining {
 			cs = append(cs, i)
 		}
 	}
-	q := &query{table: t, snapshot: s, request: r, group: g, serving: m, model: model, now: now, usable: cs}
-	q.draw()
-	vs := q.weights()
+	q := &scorer{table: t, snapshot: s, request: r, group: g, versions: m, model: model, now: now, usable: cs}
+	q.assignToNewestVersion()
+	vs := q.servedVersions()
 	var keys []prefix.Key
 	for _, v := range vs[:min(2, len(vs))] {
-		text := q.text(v)
+		text := q.cacheSalt(v)
 		ks := make([]prefix.Key, len(r.parts()))
 		for i, x := range r.parts() {
-			ks[i] = promptindex.KeyOf(text, x.ID)
+			ks[i] = promptindex.PartKey(text, x.ID)
 		}
-		if !t.knows(q, v, ks) {
+		if !t.knowsHolder(q, v, ks) {
 			keys = append(keys, ks...)
 		}
 	}
 	if len(keys) > 0 {
-		keys = append(keys, upKeys(g)...)
+		keys = append(keys, storeHealthKeys(g)...)
 	}
 	return keys
 }
 
-// knows reports whether a prompt needs no lookup: it has nothing shared, or this edge machine recently
+// knowsHolder reports whether a prompt needs no lookup: it has nothing shared, or this edge machine recently
 // saw a worker that caches everything shared.
-func (t *table) knows(q *query, v uint64, ks []prefix.Key) bool {
+func (t *table) knowsHolder(q *scorer, v uint64, ks []prefix.Key) bool {
 	last, _ := t.parts.get(ks[len(ks)-1])
 	d := len(ks) - 2
-	if last.by != "" {
+	if last.lastRequest != "" {
 		d = len(ks) - 1 // a session's
 	}
 	if d < 0 {
@@ -97,155 +97,155 @@
 	if !ok {
 		return false
 	}
-	if len(q.group.stores) > 0 && (x.saved == 0 || q.now-x.saved > t.bounds.Heal(savedPart)) {
+	if len(q.group.stores) > 0 && (x.savedAt == 0 || q.now-x.savedAt > t.bounds.Heal(savedPart)) {
 		return false
 	}
 	for _, h := range x.holders {
-		if i, ok := q.group.index[h.id]; ok && h.sure && q.now-h.at < t.bounds.Heal(freshPart) && q.serving.versions[i] == v && q.now >= q.group.candidates[i].stats.outUntil {
+		if i, ok := q.group.index[h.worker]; ok && h.confirmed && q.now-h.recordedAt < t.bounds.Heal(freshPart) && q.versions.versions[i] == v && q.now >= q.group.candidates[i].stats.ejectedUntil {
 			return true
 		}
 	}
 	return false
 }
 
-// send records an attempt in flight and returns what its selection expected.
-func (t *table) send(r *Request, c Choice, now time.Duration) attempt {
+// recordSent records an attempt in flight and returns what its selection expected.
+func (t *table) recordSent(r *Request, c Choice, now time.Duration) attempt {
 	k := attemptKey{r.ID, c.Worker.ID}
-	w, ok := t.chosen.get(k)
-	if _, dup := t.sent[k]; !ok || dup {
+	w, ok := t.selected.get(k)
+	if _, dup := t.inFlight[k]; !ok || dup {
 		return attempt{}
 	}
-	t.chosen.drop(k)
-	w.at = now
+	t.selected.remove(k)
+	w.sentAt = now
 	w.stats.inFlight++
-	w.reading = time.Duration(w.read * w.stats.service.b * float64(time.Millisecond))
-	w.stats.readingUntil = max(w.stats.readingUntil, now) + w.reading
-	if w.from != nil {
-		d := time.Duration(w.moved * float64(time.Millisecond))
-		w.from.linkBusyUntil = max(w.from.linkBusyUntil, now) + d
+	w.prefillTime = time.Duration(w.prefillTokens * w.stats.service.msPerToken * float64(time.Millisecond))
+	w.stats.prefillUntil = max(w.stats.prefillUntil, now) + w.prefillTime
+	if w.source != nil {
+		d := time.Duration(w.transferMs * float64(time.Millisecond))
+		w.source.linkBusyUntil = max(w.source.linkBusyUntil, now) + d
 		w.stats.linkBusyUntil = max(w.stats.linkBusyUntil, now) + d
 	}
-	w.due = now + t.firstEventTimeout(&w, r, now)
-	t.sent[k] = w
-	if w.kept {
-		w.stats.unread = append(w.stats.unread, unread{k, now, w.stats.service.a + w.stats.service.b*w.read + w.moved})
+	w.firstEventDue = now + t.firstEventTimeout(&w, r, now)
+	t.inFlight[k] = w
+	if w.usesCache {
+		w.stats.pendingPrefills = append(w.stats.pendingPrefills, pendingPrefill{k, now, w.stats.service.firstEventMs + w.stats.service.msPerToken*w.prefillTokens + w.transferMs})
 	}
 	for _, key := range w.keys {
 		m, _ := t.parts.get(key)
-		m.again = m.again || m.by != "" && m.by != r.ID
-		m.by = r.ID
-		m.hold(c.Worker.ID, false, now)
+		m.isReused = m.isReused || m.lastRequest != "" && m.lastRequest != r.ID
+		m.lastRequest = r.ID
+		m.addHolder(c.Worker.ID, false, now)
 		if w.store != "" {
-			m.saved, m.store = now, w.store
+			m.savedAt, m.savedIn = now, w.store
 		}
 		t.parts.put(key, m)
 	}
-	t.forget(now)
+	t.dropAbandoned(now)
 	return w
 }
 
-// forget drops attempts whose ending was never recorded.
-func (t *table) forget(now time.Duration) {
-	if now-t.sweep < t.bounds.Heal(memoPart) {
+// dropAbandoned drops attempts whose ending was never recorded.
+func (t *table) dropAbandoned(now time.Duration) {
+	if now-t.lastSweep < t.bounds.Heal(memoPart) {
 		return
 	}
-	t.sweep = now
-	for k, w := range t.sent {
-		if now-w.at > t.bounds.Once(1.0/2) {
+	t.lastSweep = now
+	for k, w := range t.inFlight {
+		if now-w.sentAt > t.bounds.Once(1.0/2) {
 			w.stats.inFlight--
-			w.stats.unread = slices.DeleteFunc(w.stats.unread, func(u unread) bool { return u.k == k })
-			delete(t.sent, k)
+			w.stats.pendingPrefills = slices.DeleteFunc(w.stats.pendingPrefills, func(u pendingPrefill) bool { return u.attempt == k })
+			delete(t.inFlight, k)
 		}
 	}
 }
 
-// begin records an attempt's first event: the prompt is read and cached.
-func (t *table) begin(r *Request, c Choice, l *Load, first, now time.Duration) {
+// recordFirstEvent records an attempt's first event: the prompt is read and cached.
+func (t *table) recordFirstEvent(r *Request, c Choice, l *Load, first, now time.Duration) {
 	k := attemptKey{r.ID, c.Worker.ID}
-	w, ok := t.sent[k]
-	if !ok || w.begun {
+	w, ok := t.inFlight[k]
+	if !ok || w.firstEventSeen {
 		return
 	}
-	w.begun = true
-	t.read(&w, k, now)
-	t.sent[k] = w
+	w.firstEventSeen = true
+	t.recordPrefillEnd(&w, k, now)
+	t.inFlight[k] = w
 	if l != nil {
 		t.recordLoad(w.stats, l, now)
 	}
-	t.confirm(c, w, now)
-	if !w.kept {
+	t.confirmHolder(c, w, now)
+	if !w.usesCache {
 		return
 	}
-	w.stats.service.readTokens = towards(w.stats.service.readTokens, w.read, meanPart)
-	w.stats.lateness, w.stats.latenessAt = max(0, first.Seconds()*1e3-w.stats.service.a-w.stats.service.b*w.read), now
+	w.stats.service.meanPrefillTokens = movingAverage(w.stats.service.meanPrefillTokens, w.prefillTokens, meanPart)
+	w.stats.latenessMs, w.stats.latenessAt = max(0, first.Seconds()*1e3-w.stats.service.firstEventMs-w.stats.service.msPerToken*w.prefillTokens), now
 	if l == nil || l.Waiting == 0 { // waiting for others says nothing about the time of reading
-		t.learn(w.stats, w.read, first, now)
+		t.learnFirstEvent(w.stats, w.prefillTokens, first, now)
 	}
 }
 
-// read records that a worker has stopped reading a prompt.
-func (t *table) read(w *attempt, k attemptKey, now time.Duration) {
-	w.stats.unread = slices.DeleteFunc(w.stats.unread, func(u unread) bool { return u.k == k })
-	if left := w.reading - (now - w.at); left > 0 {
-		w.stats.readingUntil -= left
+// recordPrefillEnd records that a worker has stopped reading a prompt.
+func (t *table) recordPrefillEnd(w *attempt, k attemptKey, now time.Duration) {
+	w.stats.pendingPrefills = slices.DeleteFunc(w.stats.pendingPrefills, func(u pendingPrefill) bool { return u.attempt == k })
+	if left := w.prefillTime - (now - w.sentAt); left > 0 {
+		w.stats.prefillUntil -= left
 	}
-	w.reading = 0
+	w.prefillTime = 0
 }
 
-// done records an attempt's ending.
-func (t *table) done(r *Request, c Choice, e Ending, l *Load, first, now time.Duration) {
+// recordOutcome records an attempt's ending.
+func (t *table) recordOutcome(r *Request, c Choice, e Outcome, l *Load, first, now time.Duration) {
 	k := attemptKey{r.ID, c.Worker.ID}
 	if first > 0 {
-		t.begin(r, c, l, first, now)
+		t.recordFirstEvent(r, c, l, first, now)
 	}
-	w, ok := t.sent[k]
+	w, ok := t.inFlight[k]
 	if !ok {
 		return
 	}
-	t.read(&w, k, now)
-	delete(t.sent, k)
+	t.recordPrefillEnd(&w, k, now)
+	delete(t.inFlight, k)
 	w.stats.inFlight--
-	if l != nil && !w.begun {
+	if l != nil && !w.firstEventSeen {
 		t.recordLoad(w.stats, l, now)
 	}
-	t.judgeEnding(&w, e, now)
-	if w.begun || e == Served {
-		t.confirm(c, w, now)
-	} else if e != Left && e != Unsure {
+	t.countOutcome(&w, e, now)
+	if w.firstEventSeen || e == Completed {
+		t.confirmHolder(c, w, now)
+	} else if e != ClientGone && e != TimedOut {
 		for _, key := range w.keys {
 			if m, ok := t.parts.get(key); ok {
-				m.drop(c.Worker.ID)
-				if w.store != "" && m.saved == w.at {
-					m.saved = 0
+				m.removePresumedHolder(c.Worker.ID)
+				if w.store != "" && m.savedAt == w.sentAt {
+					m.savedAt = 0
 				}
 				t.parts.put(key, m)
 			}
 		}
 	}
 	switch e {
-	case Served:
+	case Completed:
 		t.recordSuccess(w.stats, now)
-		w.stats.service.attemptMs = towards(w.stats.service.attemptMs, (now-w.at).Seconds()*1e3, meanPart)
-	case Full:
-		w.stats.fullUntil = now + t.bounds.Heal(fullPart)
-	case Loading:
-		w.stats.loadingUntil, w.stats.loadingVersion = now+t.bounds.Heal(loadPart), c.Weights
-	case Moved:
-		w.stats.outUntil = max(w.stats.outUntil, now+t.bounds.Heal(movedPart))
-	case Unfit:
+		w.stats.service.meanAttemptMs = movingAverage(w.stats.service.meanAttemptMs, (now-w.sentAt).Seconds()*1e3, meanPart)
+	case NoFreeSlot:
+		w.stats.noFreeSlotUntil = now + t.bounds.Heal(fullPart)
+	case NotReady:
+		w.stats.notReadyUntil, w.stats.notReadyVersion = now+t.bounds.Heal(loadPart), c.Weights
+	case Misdirected:
+		w.stats.ejectedUntil = max(w.stats.ejectedUntil, now+t.bounds.Heal(movedPart))
+	case Failed:
 		t.recordFailure(w.stats, now)
-	case Unsure:
+	case TimedOut:
 		if first == 0 {
 			t.recordFailure(w.stats, now)
 		}
 	}
 }
 
-// confirm records that a worker caches what it was sent: its first event came.
-func (t *table) confirm(c Choice, w attempt, now time.Duration) {
+// confirmHolder records that a worker caches what it was sent: its first event came.
+func (t *table) confirmHolder(c Choice, w attempt, now time.Duration) {
 	for _, key := range w.keys {
 		m, _ := t.parts.get(key)
-		m.hold(c.Worker.ID, true, now)
+		m.addHolder(c.Worker.ID, true, now)
 		t.parts.put(key, m)
 	}
 }
--- a/internal/data/selection/query.go
+++ b/internal/data/selection/query.go
@@ -14,63 +14,63 @@
 	"pebbleloom/internal/wire"
 )
 
-// query is one selection among the workers of an engine's service.
-type query struct {
-	table    *table
-	service  *serviceStats
-	snapshot *fleet.Snapshot
-	request  *Request
-	group    *group
-	serving  *serving
-	model    string
-	found    map[prefix.Key]*wire.Found
-	now      time.Duration
-	usable   []int
-	retry    bool
-	target   float64 // ms
-	upto     []float64
-	own      float64 // tokens beside the parts
-	mean     float64 // load
-	read     float64 // cost of reading a token again, in ms of a target
-	hash     uint64  // of the request
-	drawn    uint64  // version that the prompt is drawn to; 0: none
+// scorer is one selection among the workers of an engine's service.
+type scorer struct {
+	table           *table
+	stats           *serviceStats
+	snapshot        *fleet.Snapshot
+	request         *Request
+	group           *serviceGroup
+	versions        *modelVersions
+	model           string
+	found           map[prefix.Key]*wire.Found
+	now             time.Duration
+	usable          []int
+	isRetry         bool
+	targetMs        float64 // ms
+	tokensUpTo      []float64
+	ownTokens       float64 // tokens beside the parts
+	meanLoad        float64 // load
+	rereadCost      float64 // cost of reading a token again, in ms of a target
+	requestHash     uint64  // of the request
+	assignedVersion uint64  // version that the prompt is drawn to; 0: none
 }
 
-// promptState is a prompt under one version of the weights, with its holders.
+// newPromptState is a prompt under one version of the weights, with its holders.
 type promptState struct {
-	weights uint64
-	text    string
-	keys    []prefix.Key
-	shared  int  // parts that other requests use too
-	at      int  // the part that decides on its home; -1: none
-	cold    bool // that part has no known holder
-	indexed bool // the index answered for it
-	hot     bool
-	home    int
-	from    []source
-	stores  []uint64
-	kept    uint64 // parts that are known to be cached or being read
+	version      uint64
+	salt         string
+	keys         []prefix.Key
+	sharedParts  int  // parts that other requests use too
+	decidingPart int  // the part that decides on its home; -1: none
+	cold         bool // that part has no known holder
+	indexed      bool // the index answered for it
+	hot          bool
+	home         int
+	sources      []source
+	storeParts   []uint64
+	knownParts   uint64 // parts that are known to be cached or being read
 }
 
 // source is a worker or store that caches some of the parts.
 type source struct {
-	st    *workerStats
-	seat  int // -1: a store
-	addr  string
-	zone  string
-	parts uint64
-	sure  uint64
-	pipe  float64 // ms a token
+	stats          *workerStats
+	candidate      int // -1: a store
+	addr           string
+	zone           string
+	presumedParts  uint64
+	confirmedParts uint64
+	msPerToken     float64 // ms a token
 }
 
-func (r *Request) parts() []Part { return r.Parts[:min(len(r.Parts), maxParts)] }
+func (r *Request) parts() []PromptPart { return r.Parts[:min(len(r.Parts), maxParts)] }
 
-// draw assigns the request to the workers on the newest version, for as large a share of prompts as
+// assignToNewestVersion assigns the request to the workers on the newest version, for as large a share of prompts as
 // they can take: so the older ones drain. All edge machines draw the same prompts.
-func (q *query) draw() {
+func (q *scorer) assignToNewestVersion() {
 	newest, n := uint64(0), 0
 	for _, i := range q.usable {
-		switch v := q.serving.versions[i]; {
+		switch v := q.versions.versions[i]; {
 		case v > newest:
 			newest, n = v, 1
 		case v == newest:
@@ -88,14 +88,14 @@
 	if float64(queue.Hash(id)>>11)/(1<<53) >= f*drawPart {
 		return
 	}
-	q.drawn = newest
+	q.assignedVersion = newest
 }
 
-// weights lists the versions that the usable candidates serve, newest first.
-func (q *query) weights() (l []uint64) {
-	for _, v := range q.serving.distinct {
+// servedVersions lists the versions that the usable candidates serve, newest first.
+func (q *scorer) servedVersions() (l []uint64) {
+	for _, v := range q.versions.distinct {
 		for _, i := range q.usable {
-			if q.serving.versions[i] == v {
+			if q.versions.versions[i] == v {
 				l = append(l, v)
 				break
 			}
@@ -104,37 +104,37 @@
 	return l
 }
 
-func (q *query) run() Choice {
-	q.draw()
-	q.target = q.table.bounds.Heal(1.0/30).Seconds() * 1e3
-	if q.request.Route != nil && q.request.Route.Target > 0 {
-		q.target = q.request.Route.Target.Seconds() * 1e3
+func (q *scorer) selectBest() Choice {
+	q.assignToNewestVersion()
+	q.targetMs = q.table.bounds.Heal(1.0/30).Seconds() * 1e3
+	if q.request.Route != nil && q.request.Route.LatencyTarget > 0 {
+		q.targetMs = q.request.Route.LatencyTarget.Seconds() * 1e3
 	}
-	q.read = q.target * rereadPart
+	q.rereadCost = q.targetMs * rereadPart
 	ps := q.request.parts()
-	q.upto = make([]float64, len(ps)+1)
+	q.tokensUpTo = make([]float64, len(ps)+1)
 	for i, p := range ps {
-		q.upto[i+1] = q.upto[i] + float64(max(0, p.Tokens))
+		q.tokensUpTo[i+1] = q.tokensUpTo[i] + float64(max(0, p.Tokens))
 	}
-	q.own = max(0, float64(q.request.In)-q.upto[len(ps)])
-	q.stores()
+	q.ownTokens = max(0, float64(q.request.PromptTokens)-q.tokensUpTo[len(ps)])
+	q.updateStoreHealth()
 	t := q.table
-	t.sure, t.maybe, t.soon = scratch(t.sure, len(q.group.candidates)), scratch(t.maybe, len(q.group.candidates)), scratch(t.soon, len(q.group.candidates))
+	t.confirmedParts, t.presumedParts, t.prefillingParts = scratch(t.confirmedParts, len(q.group.candidates)), scratch(t.presumedParts, len(q.group.candidates)), scratch(t.prefillingParts, len(q.group.candidates))
 	t.loads = scratch(t.loads, len(q.group.candidates))
 	for _, i := range q.usable {
-		t.loads[i] = t.load(q.group.candidates[i].stats, q.snapshot.Edges, q.now)
-		q.mean += t.loads[i] / float64(len(q.usable))
+		t.loads[i] = t.estimatedLoad(q.group.candidates[i].stats, q.snapshot.Edges, q.now)
+		q.meanLoad += t.loads[i] / float64(len(q.usable))
 	}
 	var os []*promptState
 	by := map[uint64]*promptState{}
-	for _, v := range q.weights() {
-		o := q.promptState(v)
+	for _, v := range q.servedVersions() {
+		o := q.newPromptState(v)
 		os, by[v] = append(os, o), o
 	}
-	best, at := workerCost{cost: math.Inf(1)}, -1
-	q.hash = queue.Hash(q.request.ID)
+	best, at := workerCost{totalMs: math.Inf(1)}, -1
+	q.requestHash = queue.Hash(q.request.ID)
 	try := func(i int) {
-		if x := q.weigh(i, by[q.serving.versions[i]], best.cost); x.cost < best.cost {
+		if x := q.score(i, by[q.versions.versions[i]], best.totalMs); x.totalMs < best.totalMs {
 			best, at = x, i
 		}
 	}
@@ -146,8 +146,8 @@
 	for _, i := range q.usable {
 		try(i)
 	}
-	c := q.newChoice(by[q.serving.versions[at]], at, best)
-	if wait := t.backlog(q.group.candidates[at].stats, q.now); wait > shed*q.target {
+	c := q.newChoice(by[q.versions.versions[at]], at, best)
+	if wait := t.backlog(q.group.candidates[at].stats, q.now); wait > shed*q.targetMs {
 		c.RetryAfter = time.Duration(wait * float64(time.Millisecond))
 	}
 	return c
@@ -162,39 +162,39 @@
 	return l
 }
 
-// stores updates which stores answer, from the index.
-func (q *query) stores() {
+// updateStoreHealth updates which stores answer, from the index.
+func (q *scorer) updateStoreHealth() {
 	for _, x := range q.group.stores {
-		if f, ok := q.found[promptindex.UpKey(x.service.Name)]; ok {
-			q.table.storesDown[x.service.Name] = len(f.GetHolders()) == 0
+		if f, ok := q.found[promptindex.StoreHealthKey(x.service.Name)]; ok {
+			q.table.unavailableStores[x.service.Name] = len(f.GetHolders()) == 0
 		}
 	}
 }
 
 // storeHolders marks, by store, the parts that it holds for certain, and those that are on their way.
-type storeHolders struct{ sure, soon []uint64 }
+type storeHolders struct{ confirmed, prefilling []uint64 }
 
-// promptState collects the holders of the prompt's parts under one version.
-func (q *query) promptState(v uint64) *promptState {
+// newPromptState collects the holders of the prompt's parts under one version.
+func (q *scorer) newPromptState(v uint64) *promptState {
 	ps := q.request.parts()
-	o := &promptState{weights: v, text: q.text(v), keys: make([]prefix.Key, len(ps)), home: -1, at: -1,
-		stores: make([]uint64, len(q.group.stores))}
+	o := &promptState{version: v, salt: q.cacheSalt(v), keys: make([]prefix.Key, len(ps)), home: -1, decidingPart: -1,
+		storeParts: make([]uint64, len(q.group.stores))}
 	stores := storeHolders{make([]uint64, len(q.group.stores)), make([]uint64, len(q.group.stores))}
-	o.shared = max(0, len(ps)-1)
+	o.sharedParts = max(0, len(ps)-1)
 	for i := range ps {
 		if q.collectHolders(o, stores, i) {
-			o.shared = len(ps)
+			o.sharedParts = len(ps)
 		}
 	}
-	o.at = len(ps) - 2
-	if o.at < 0 && o.shared > 0 {
-		o.at = 0
+	o.decidingPart = len(ps) - 2
+	if o.decidingPart < 0 && o.sharedParts > 0 {
+		o.decidingPart = 0
 	}
-	q.sources(o, stores.sure, stores.soon)
-	if o.at >= 0 {
-		o.hot = q.snapshot.Placements[q.group.service.Name].Hot(o.keys[o.at])
-		need := uint64(1) << o.at
-		o.cold = o.kept&need == 0
+	q.collectSources(o, stores.confirmed, stores.prefilling)
+	if o.decidingPart >= 0 {
+		o.hot = q.snapshot.Placements[q.group.service.Name].IsReplicated(o.keys[o.decidingPart])
+		need := uint64(1) << o.decidingPart
+		o.cold = o.knownParts&need == 0
 		q.findHome(o)
 	}
 	return o
@@ -202,9 +202,9 @@
 
 // collectHolders notes the holders of one part, from the index and from this edge machine's memory. It
 // reports whether the part is the prompt's last and shared all the same: a session's, or a repeated request.
-func (q *query) collectHolders(o *promptState, stores storeHolders, i int) (lastIsShared bool) {
+func (q *scorer) collectHolders(o *promptState, stores storeHolders, i int) (lastIsShared bool) {
 	t, ps := q.table, q.request.parts()
-	k := promptindex.KeyOf(o.text, ps[i].ID)
+	k := promptindex.PartKey(o.salt, ps[i].ID)
 	o.keys[i] = k
 	bit := uint64(1) << i
 	f, found := q.found[k]
@@ -218,106 +218,106 @@
 		trust = t.bounds.Heal(newsPart) // the index knows older holdings better
 	}
 	for _, h := range m.holders {
-		if h.id != "" && q.now-h.at < trust {
-			q.addHolder(o, stores, h.id, bit, h.sure, !h.sure && q.now-h.at < t.bounds.Heal(soonPart))
+		if h.worker != "" && q.now-h.recordedAt < trust {
+			q.addHolder(o, stores, h.worker, bit, h.confirmed, !h.confirmed && q.now-h.recordedAt < t.bounds.Heal(soonPart))
 		}
 	}
-	if m.saved > 0 && q.now-m.saved < t.bounds.Heal(savedPart) {
-		q.addHolder(o, stores, m.store, bit, false, q.now-m.saved < t.bounds.Heal(soonPart))
+	if m.savedAt > 0 && q.now-m.savedAt < t.bounds.Heal(savedPart) {
+		q.addHolder(o, stores, m.savedIn, bit, false, q.now-m.savedAt < t.bounds.Heal(soonPart))
 	}
-	return i == len(ps)-1 && (mine && m.by != q.request.ID || m.again || !q.retry && len(f.GetHolders()) > 0 || f.GetHotness() > 0)
+	return i == len(ps)-1 && (mine && m.lastRequest != q.request.ID || m.isReused || !q.isRetry && len(f.GetHolders()) > 0 || f.GetHotness() > 0)
 }
 
 // addHolder marks a part as held by a worker that serves the state's version, or by a store.
-func (q *query) addHolder(o *promptState, stores storeHolders, id string, bit uint64, sure, soon bool) {
+func (q *scorer) addHolder(o *promptState, stores storeHolders, id string, bit uint64, sure, soon bool) {
 	t := q.table
 	if i, ok := q.group.index[id]; ok {
-		if q.serving.versions[i] != o.weights {
+		if q.versions.versions[i] != o.version {
 			return
 		}
-		t.maybe[i] |= bit
-		o.kept |= bit
+		t.presumedParts[i] |= bit
+		o.knownParts |= bit
 		if sure {
-			t.sure[i] |= bit
+			t.confirmedParts[i] |= bit
 		}
 		if soon {
-			t.soon[i] |= bit
+			t.prefillingParts[i] |= bit
 		}
 		return
 	}
 	for i, x := range q.group.stores {
 		if x.service.Name == id {
-			o.stores[i] |= bit
-			o.kept |= bit
+			o.storeParts[i] |= bit
+			o.knownParts |= bit
 			if sure {
-				stores.sure[i] |= bit
+				stores.confirmed[i] |= bit
 			}
 			if soon {
-				stores.soon[i] |= bit
+				stores.prefilling[i] |= bit
 			}
 		}
 	}
 }
 
-// text is the salt of the parts. Workers that don't report which of the named weights they serve can't
+// cacheSalt is the salt of the parts. Workers that don't report which of the named weights they serve can't
 // share any: each request has a salt of its own.
-func (q *query) text(v uint64) string {
+func (q *scorer) cacheSalt(v uint64) string {
 	s := salt(q.model, v, q.request.Tenant)
-	if !q.serving.reported && q.snapshot.Named[q.model] > 0 {
+	if !q.versions.reported && q.snapshot.Named[q.model] > 0 {
 		s += "/" + url.QueryEscape(q.request.ID)
 	}
 	return s
 }
 
-// sources lists the holders of any part, few enough to compare all with all.
-func (q *query) sources(o *promptState, sure, soon []uint64) {
+// collectSources lists the holders of any part, few enough to compare all with all.
+func (q *scorer) collectSources(o *promptState, sure, soon []uint64) {
 	t, e := q.table, q.group.service.Engine
 	for i, x := range q.group.candidates {
-		parts := t.maybe[i] &^ (t.soon[i] &^ t.sure[i]) // parts that are still being read can't be fetched
-		if parts == 0 || q.serving.versions[i] != o.weights || q.now < x.stats.outUntil {
+		parts := t.presumedParts[i] &^ (t.prefillingParts[i] &^ t.confirmedParts[i]) // parts that are still being read can't be fetched
+		if parts == 0 || q.versions.versions[i] != o.version || q.now < x.stats.ejectedUntil {
 			continue
 		}
-		s := source{st: x.stats, seat: i, addr: x.worker.Addr, zone: x.worker.Zone, parts: parts, sure: t.sure[i], pipe: pipe(e, e.LinkMbps)}
-		if len(o.from) < sources {
-			o.from = append(o.from, s)
+		s := source{stats: x.stats, candidate: i, addr: x.worker.Addr, zone: x.worker.Zone, presumedParts: parts, confirmedParts: t.confirmedParts[i], msPerToken: transferMsPerToken(e, e.LinkMbps)}
+		if len(o.sources) < sources {
+			o.sources = append(o.sources, s)
 			continue
 		}
 		worst := 0
-		for j := range o.from {
-			if q.better(o.from[worst], o.from[j]) {
+		for j := range o.sources {
+			if q.isBetterSource(o.sources[worst], o.sources[j]) {
 				worst = j
 			}
 		}
-		if q.better(s, o.from[worst]) {
-			o.from[worst] = s
+		if q.isBetterSource(s, o.sources[worst]) {
+			o.sources[worst] = s
 		}
 	}
 	for i, x := range q.group.stores {
-		if parts := o.stores[i] &^ (soon[i] &^ sure[i]); parts != 0 && !t.storesDown[x.service.Name] {
-			o.from = append(o.from, source{st: x.stats, seat: -1, addr: x.service.Store.Addr, zone: x.service.Store.Zone,
-				parts: parts, sure: sure[i], pipe: pipe(e, x.service.Store.LinkMbps)})
+		if parts := o.storeParts[i] &^ (soon[i] &^ sure[i]); parts != 0 && !t.unavailableStores[x.service.Name] {
+			o.sources = append(o.sources, source{stats: x.stats, candidate: -1, addr: x.service.Store.Addr, zone: x.service.Store.Zone,
+				presumedParts: parts, confirmedParts: sure[i], msPerToken: transferMsPerToken(e, x.service.Store.LinkMbps)})
 		}
 	}
 }
 
-func (q *query) better(a, b source) bool {
-	if x, y := bits.TrailingZeros64(^a.parts), bits.TrailingZeros64(^b.parts); x != y {
+func (q *scorer) isBetterSource(a, b source) bool {
+	if x, y := bits.TrailingZeros64(^a.presumedParts), bits.TrailingZeros64(^b.presumedParts); x != y {
 		return x > y
 	}
 	if x, y := a.zone == q.request.Zone, b.zone == q.request.Zone; x != y {
 		return x
 	}
-	return a.st.linkBusyUntil < b.st.linkBusyUntil
+	return a.stats.linkBusyUntil < b.stats.linkBusyUntil
 }
 
 // findHome finds the home of the deciding part: the first candidate by rendezvous hashing that isn't
 // loaded beyond the bound.
-func (q *query) findHome(o *promptState) {
-	h := number(o.keys[o.at])
+func (q *scorer) findHome(o *promptState) {
+	h := hashPrefix(o.keys[o.decidingPart])
 	top := uint64(0)
 	for _, i := range q.usable {
 		x := q.group.candidates[i]
-		if q.serving.versions[i] != o.weights || q.table.loads[i] > boundLoad*q.mean+1+slotRoom*float64(x.worker.Slots) {
+		if q.versions.versions[i] != o.version || q.table.loads[i] > boundLoad*q.meanLoad+1+slotRoom*float64(x.worker.Slots) {
 			continue
 		}
 		if w := mix(h ^ x.hash); o.home < 0 || w > top {
@@ -326,8 +326,8 @@
 	}
 }
 
-// number is a key's first bytes: keys are hashes.
-func number(k prefix.Key) uint64 { return binary.BigEndian.Uint64(k[:]) }
+// hashPrefix is a key's first bytes: keys are hashes.
+func hashPrefix(k prefix.Key) uint64 { return binary.BigEndian.Uint64(k[:]) }
 
 func mix(x uint64) uint64 {
 	x ^= x >> 33
--- a/internal/data/selection/recent.go
+++ b/internal/data/selection/recent.go
@@ -1,31 +1,31 @@
 package selection
 
-// recent is a bounded map in two generations: entries that aren't used leave with the older one.
-type recent[K comparable, V any] struct {
-	now, old map[K]V
-	max      int
+// recentMap is a bounded map in two generations: entries that aren't used leave with the older one.
+type recentMap[K comparable, V any] struct {
+	current, previous map[K]V
+	limit             int
 }
 
-func newRecent[K comparable, V any](n int) *recent[K, V] {
-	return &recent[K, V]{now: map[K]V{}, old: map[K]V{}, max: n}
+func newRecentMap[K comparable, V any](n int) *recentMap[K, V] {
+	return &recentMap[K, V]{current: map[K]V{}, previous: map[K]V{}, limit: n}
 }
 
-func (r *recent[K, V]) get(k K) (v V, ok bool) {
-	if v, ok = r.now[k]; ok {
+func (r *recentMap[K, V]) get(k K) (v V, ok bool) {
+	if v, ok = r.current[k]; ok {
 		return v, true
 	}
-	v, ok = r.old[k]
+	v, ok = r.previous[k]
 	return v, ok
 }
 
-func (r *recent[K, V]) put(k K, v V) {
-	if len(r.now) >= r.max {
-		r.old, r.now = r.now, map[K]V{}
+func (r *recentMap[K, V]) put(k K, v V) {
+	if len(r.current) >= r.limit {
+		r.previous, r.current = r.current, map[K]V{}
 	}
-	r.now[k] = v
+	r.current[k] = v
 }
 
-func (r *recent[K, V]) drop(k K) {
-	delete(r.now, k)
-	delete(r.old, k)
+func (r *recentMap[K, V]) remove(k K) {
+	delete(r.current, k)
+	delete(r.previous, k)
 }
--- a/internal/data/selection/salt.go
+++ b/internal/data/selection/salt.go
@@ -18,11 +18,11 @@
 	return s
 }
 
-// Text is the cache domain of a model's weights for a tenant, for callers that look up what workers
+// CacheSalt is the cache domain of a model's weights for a tenant, for callers that look up what workers
 // cache.
 //
 // Example: key := promptindex.KeyOf(selection.Text("daka", 2, tenant), part)
-func Text(model string, weights uint64, t *routingconfig.Tenant) string {
+func CacheSalt(model string, weights uint64, t *routingconfig.Tenant) string {
 	return salt(model, weights, t)
 }
 
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -84,43 +84,43 @@
 )
 
 // attemptKey identifies one attempt at one worker.
-type attemptKey struct{ id, worker string }
+type attemptKey struct{ request, worker string }
 
 // attempt is what a selection expected, and its ending is judged against.
 type attempt struct {
-	read    float64 // tokens to be read
-	moved   float64
-	keys    []prefix.Key
-	uses    []prefix.Entry // the shared parts
-	stats   *workerStats
-	from    *workerStats
-	store   string // the store that gets the parts
-	at      time.Duration
-	reading time.Duration // of its worker's time
-	kept    bool          // an engine, and a prompt to read
-	begun   bool          // its first event came
-	due     time.Duration // deadline of the first event
+	prefillTokens  float64 // tokens to be read
+	transferMs     float64
+	keys           []prefix.Key
+	sharedParts    []prefix.Entry // the shared parts
+	stats          *workerStats
+	source         *workerStats
+	store          string // the store that gets the parts
+	sentAt         time.Duration
+	prefillTime    time.Duration // of its worker's time
+	usesCache      bool          // an engine, and a prompt to read
+	firstEventSeen bool          // its first event came
+	firstEventDue  time.Duration // deadline of the first event
 }
 
 // table is one edge machine's memory for selections.
 type table struct {
-	bounds       settings.Bounds
-	startedAt    time.Duration
-	unboundUntil time.Duration // until then the bound on weights doesn't apply
-	view         *view
-	workers      map[string]*workerStats
-	parts        *recent[prefix.Key, partMemory]
-	chosen       *recent[attemptKey, attempt]
-	sent         map[attemptKey]attempt
-	storesDown   map[string]bool          // stores that don't answer
-	services     map[string]*serviceStats // by service
-	sweep        time.Duration
-	sure         []uint64 // scratch, by candidate: cached parts
-	maybe        []uint64 // presumed ones included
-	soon         []uint64 // being read for this edge machine
-	loads        []float64
-	list         []int
-	level        []int
+	bounds            settings.Bounds
+	startedAt         time.Duration
+	unboundUntil      time.Duration // until then the bound on weights doesn't apply
+	layout            *layout
+	workers           map[string]*workerStats
+	parts             *recentMap[prefix.Key, partRecord]
+	selected          *recentMap[attemptKey, attempt]
+	inFlight          map[attemptKey]attempt
+	unavailableStores map[string]bool          // stores that don't answer
+	services          map[string]*serviceStats // by service
+	lastSweep         time.Duration
+	confirmedParts    []uint64 // scratch, by candidate: cached parts
+	presumedParts     []uint64 // presumed ones included
+	prefillingParts   []uint64 // being read for this edge machine
+	loads             []float64
+	usableScratch     []int
+	avoidanceScratch  []int
 }
 
 type selector struct {
@@ -145,8 +145,8 @@
 }
 
 func newTable(b settings.Bounds, now time.Duration) *table {
-	t := &table{bounds: b, startedAt: now, workers: map[string]*workerStats{}, parts: newRecent[prefix.Key, partMemory](maxMemo),
-		chosen: newRecent[attemptKey, attempt](maxTicket), sent: map[attemptKey]attempt{}, storesDown: map[string]bool{}, services: map[string]*serviceStats{}}
+	t := &table{bounds: b, startedAt: now, workers: map[string]*workerStats{}, parts: newRecentMap[prefix.Key, partRecord](maxMemo),
+		selected: newRecentMap[attemptKey, attempt](maxTicket), inFlight: map[attemptKey]attempt{}, unavailableStores: map[string]bool{}, services: map[string]*serviceStats{}}
 	return t
 }
 
@@ -160,8 +160,8 @@
 		return nil
 	}
 	wait := p.bounds.Heal(waitMost)
-	if r.Route != nil && r.Route.Target > 0 {
-		wait = time.Duration(float64(r.Route.Target) * waitPart)
+	if r.Route != nil && r.Route.LatencyTarget > 0 {
+		wait = time.Duration(float64(r.Route.LatencyTarget) * waitPart)
 	}
 	return p.index.Lookup(ctx, keys, min(max(wait, p.bounds.Heal(waitLeast)), p.bounds.Heal(waitMost)))
 }
@@ -174,98 +174,98 @@
 	return c, ok
 }
 
-// Sent records an attempt in flight.
+// RecordSent records an attempt in flight.
 //
 // Example: p.Sent(request, choice)
-func (p *selector) Sent(r *Request, c Choice) {
+func (p *selector) RecordSent(r *Request, c Choice) {
 	var w attempt
-	p.actor.Ask(func(t *table) { w = t.send(r, c, p.clock.Now()) })
-	p.index.Count(r.Service, w.uses, c.Worker.ID, w.store)
+	p.actor.Ask(func(t *table) { w = t.recordSent(r, c, p.clock.Now()) })
+	p.index.RecordAccesses(r.Service, w.sharedParts, c.Worker.ID, w.store)
 }
 
-// Begun records its first event.
+// RecordFirstEvent records its first event.
 //
 // Example: p.Begun(request, choice, &load, 80*time.Millisecond)
-func (p *selector) Begun(r *Request, c Choice, l *Load, first time.Duration) {
-	p.actor.Ask(func(t *table) { t.begin(r, c, l, first, p.clock.Now()) })
+func (p *selector) RecordFirstEvent(r *Request, c Choice, l *Load, first time.Duration) {
+	p.actor.Ask(func(t *table) { t.recordFirstEvent(r, c, l, first, p.clock.Now()) })
 }
 
-// Done records how it ended.
+// RecordOutcome records how it ended.
 //
-// Example: p.Done(request, choice, selection.Served, &load, 80*time.Millisecond)
-func (p *selector) Done(r *Request, c Choice, e Ending, l *Load, first time.Duration) {
-	p.actor.Ask(func(t *table) { t.done(r, c, e, l, first, p.clock.Now()) })
+// Example: p.Done(request, choice, selection.Completed, &load, 80*time.Millisecond)
+func (p *selector) RecordOutcome(r *Request, c Choice, e Outcome, l *Load, first time.Duration) {
+	p.actor.Ask(func(t *table) { t.recordOutcome(r, c, e, l, first, p.clock.Now()) })
 }
 
 func (t *table) selectWorker(s *fleet.Snapshot, r *Request, found map[prefix.Key]*wire.Found, tried map[string]bool, now time.Duration) (Choice, bool) {
-	g := t.layOut(s).groups[r.Service]
+	g := t.layoutFor(s).groups[r.Service]
 	if g == nil || len(g.candidates) == 0 {
 		return Choice{}, false
 	}
-	model := g.model(r)
-	m := g.serve(model)
+	model := g.modelOf(r)
+	m := g.versionsOf(model)
 	cs := t.usable(g, m, r, s, model, tried, now)
 	if len(cs) == 0 {
 		return Choice{}, false
 	}
 	if g.service.Engine == nil {
-		return t.selectPlain(g, cs, r, s, now), true
+		return t.selectLeastLoaded(g, cs, r, s, now), true
 	}
-	q := &query{table: t, snapshot: s, request: r, group: g, serving: m, model: model, service: t.services[r.Service], found: found, now: now, usable: cs, retry: len(tried) > 0}
-	c := q.run()
+	q := &scorer{table: t, snapshot: s, request: r, group: g, versions: m, model: model, stats: t.services[r.Service], found: found, now: now, usable: cs, isRetry: len(tried) > 0}
+	c := q.selectBest()
 	if c.RetryAfter > 0 && len(tried) == 0 {
-		t.chosen.drop(attemptKey{r.ID, c.Worker.ID})
+		t.selected.remove(attemptKey{r.ID, c.Worker.ID})
 		return Choice{RetryAfter: c.RetryAfter}, false
 	}
 	return c, true
 }
 
 // usable lists the candidates that may be selected: those to be avoided only if no other is left.
-func (t *table) usable(g *group, m *serving, r *Request, s *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
+func (t *table) usable(g *serviceGroup, m *modelVersions, r *Request, s *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
 	named, oldest := s.Named[model], t.oldestAllowed(s, model, m, now)
-	least := loadingNow
-	l, level := t.list[:0], t.level[:0]
+	least := avoidNotReady
+	l, level := t.usableScratch[:0], t.avoidanceScratch[:0]
 	for i, x := range g.candidates {
 		v := m.versions[i]
 		if x.worker.Draining || m.reported && (v == 0 || v < oldest) || tried[x.worker.ID] {
 			continue
 		}
-		at := welcome
+		at := notAvoided
 		switch {
-		case now < x.stats.loadingUntil && x.stats.loadingVersion == v:
-			at = loadingNow
+		case now < x.stats.notReadyUntil && x.stats.notReadyVersion == v:
+			at = avoidNotReady
 		case g.rolling[i] && v < named:
-			at = aside
-		case now < x.stats.fullUntil:
-			at = fullNow
+			at = avoidRolling
+		case now < x.stats.noFreeSlotUntil:
+			at = avoidNoFreeSlot
 		}
 		least = min(least, at)
 		l, level = append(l, i), append(level, at)
 	}
-	t.level = level
+	t.avoidanceScratch = level
 	in := l[:0]
 	for j, i := range l {
 		if level[j] <= least {
 			in = append(in, i)
 		}
 	}
-	t.list = l[:0]
+	t.usableScratch = l[:0]
 	return t.eject(g, in, now)
 }
 
 // Reasons to avoid a worker, from the weakest to the strongest.
 const (
-	welcome = iota
-	fullNow
-	aside
-	loadingNow
+	notAvoided = iota
+	avoidNoFreeSlot
+	avoidRolling
+	avoidNotReady
 )
 
 // eject leaves out workers with recent failures: never more than a third, never all.
-func (t *table) eject(g *group, l []int, now time.Duration) []int {
+func (t *table) eject(g *serviceGroup, l []int, now time.Duration) []int {
 	n := 0
 	for _, i := range l {
-		if now < g.candidates[i].stats.outUntil {
+		if now < g.candidates[i].stats.ejectedUntil {
 			n++
 		}
 	}
@@ -277,30 +277,30 @@
 	for n > most {
 		next := time.Duration(0)
 		for _, i := range l {
-			if u := g.candidates[i].stats.outUntil; u > now && u > until && (next == 0 || u < next) {
+			if u := g.candidates[i].stats.ejectedUntil; u > now && u > until && (next == 0 || u < next) {
 				next = u
 			}
 		}
 		until = next
 		n = 0
 		for _, i := range l {
-			if g.candidates[i].stats.outUntil > max(now, until) {
+			if g.candidates[i].stats.ejectedUntil > max(now, until) {
 				n++
 			}
 		}
 	}
 	var in []int
 	for _, i := range l {
-		if g.candidates[i].stats.outUntil <= max(now, until) {
+		if g.candidates[i].stats.ejectedUntil <= max(now, until) {
 			in = append(in, i)
 		}
 	}
 	return in
 }
 
-// selectPlain selects for a service without a prompt cache: the less loaded of two, of this zone while
+// selectLeastLoaded selects for a service without a prompt cache: the less loaded of two, of this zone while
 // they have free slots.
-func (t *table) selectPlain(g *group, cs []int, r *Request, s *fleet.Snapshot, now time.Duration) Choice {
+func (t *table) selectLeastLoaded(g *serviceGroup, cs []int, r *Request, s *fleet.Snapshot, now time.Duration) Choice {
 	var near []int
 	for _, i := range cs {
 		if g.candidates[i].worker.Zone == r.Zone {
@@ -311,7 +311,7 @@
 		h := queue.Hash(r.ID)
 		a := l[h%uint64(len(l))]
 		b := l[(h>>32)%uint64(len(l))]
-		la, lb := t.strained(g.candidates[a], s.Edges, now), t.strained(g.candidates[b], s.Edges, now)
+		la, lb := t.effectiveLoad(g.candidates[a], s.Edges, now), t.effectiveLoad(g.candidates[b], s.Edges, now)
 		if lb < la {
 			return b, lb
 		}
@@ -327,25 +327,25 @@
 		}
 	}
 	w := g.candidates[at].worker
-	t.chosen.put(attemptKey{r.ID, w.ID}, attempt{stats: g.candidates[at].stats})
+	t.selected.put(attemptKey{r.ID, w.ID}, attempt{stats: g.candidates[at].stats})
 	return Choice{Worker: *w, Urgency: -1}
 }
 
-// strained is a worker's load, increased after recent failures.
-func (t *table) strained(x candidate, edges int, now time.Duration) float64 {
-	return t.load(x.stats, edges, now) + x.stats.distrust(now)*float64(max(1, x.worker.Slots))
+// effectiveLoad is a worker's load, increased after recent failures.
+func (t *table) effectiveLoad(x candidate, edges int, now time.Duration) float64 {
+	return t.estimatedLoad(x.stats, edges, now) + x.stats.slowStartRatio(now)*float64(max(1, x.worker.Slots))
 }
 
-// upKeys are looked up beside a prompt's parts: they show which stores answer.
-func upKeys(g *group) (l []prefix.Key) {
+// storeHealthKeys are looked up beside a prompt's parts: they show which stores answer.
+func storeHealthKeys(g *serviceGroup) (l []prefix.Key) {
 	for _, x := range g.stores {
-		l = append(l, promptindex.UpKey(x.service.Name))
+		l = append(l, promptindex.StoreHealthKey(x.service.Name))
 	}
 	return l
 }
 
-// pipe is how long one token takes over the slower of two links, in ms.
-func pipe(e *routingconfig.Engine, mbps float64) float64 {
+// transferMsPerToken is how long one token takes over the slower of two links, in ms.
+func transferMsPerToken(e *routingconfig.Engine, mbps float64) float64 {
 	if e.LinkMbps <= 0 || mbps <= 0 {
 		return 0
 	}
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -28,7 +28,7 @@
 func fleetOf(n int) *fleet.Snapshot {
 	s := &fleet.Snapshot{Edges: 9, Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{
-			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, Room: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
+			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, CapacityTokens: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
 			{Name: "app"},
 			{Name: "store", Store: &routingconfig.Store{Addr: "store:1", Zone: "d0", LinkMbps: 150000}}}}}
 	for i := range n {
@@ -42,15 +42,15 @@
 	return &edge{table: newTable(settings.Default(), start), s: s, now: start + time.Minute, found: map[prefix.Key]*wire.Found{}}
 }
 
-var route = &routingconfig.Route{Kind: routingconfig.Stream, Target: 400 * time.Millisecond, Priority: 4, Session: true}
+var route = &routingconfig.Route{Kind: routingconfig.EventStream, LatencyTarget: 400 * time.Millisecond, Priority: 4, NamesPromptParts: true}
 
 func (e *edge) ask(shared string, tokens int) *Request {
 	e.n++
-	r := &Request{ID: fmt.Sprint("r", e.n), Service: "llm", Route: route, Zone: "d0", Model: "m", In: tokens + 1000}
+	r := &Request{ID: fmt.Sprint("r", e.n), Service: "llm", Route: route, Zone: "d0", Model: "m", PromptTokens: tokens + 1000}
 	if shared != "" {
-		r.Parts = append(r.Parts, Part{shared, tokens})
+		r.Parts = append(r.Parts, PromptPart{shared, tokens})
 	}
-	r.Parts = append(r.Parts, Part{fmt.Sprint("own", e.n), 1000})
+	r.Parts = append(r.Parts, PromptPart{fmt.Sprint("own", e.n), 1000})
 	return r
 }
 
@@ -73,13 +73,13 @@
 	for _, h := range holders {
 		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: state})
 	}
-	e.found[promptindex.KeyOf(salt("m", 1, nil), part)] = f
+	e.found[promptindex.PartKey(salt("m", 1, nil), part)] = f
 }
 
 func (e *edge) serve(r *Request, c Choice, first time.Duration) {
-	e.send(r, c, e.now)
+	e.recordSent(r, c, e.now)
 	e.now += first
-	e.done(r, c, Served, nil, first, e.now)
+	e.recordOutcome(r, c, Completed, nil, first, e.now)
 }
 
 // home is where a cold part is read.
@@ -145,7 +145,7 @@
 		if w.ID == h {
 			l = Load{Running: 128, Waiting: 200, Slots: 128}
 		}
-		x := e.layOut(e.s).groups["llm"].candidates[e.view.groups["llm"].index[w.ID]]
+		x := e.layoutFor(e.s).groups["llm"].candidates[e.layout.groups["llm"].index[w.ID]]
 		e.recordLoad(x.stats, &l, e.now)
 	}
 	c := e.must(t, e.ask("p", 13000))
@@ -161,7 +161,7 @@
 func TestTheNearSourceIsTakenAndTheStoreLast(t *testing.T) {
 	e := newEdge(fleetOf(18))
 	h := e.home(t, "p")
-	i := e.layOut(e.s).groups["llm"].index[h]
+	i := e.layoutFor(e.s).groups["llm"].index[h]
 	near, far := "", ""
 	for j, w := range e.s.Workers {
 		switch {
@@ -187,11 +187,11 @@
 			t.Errorf("%v: %s fetches from %q, want %s from %q", x.holders, c.Worker.ID, c.Fetch, h, x.want)
 		}
 	}
-	e.found[promptindex.UpKey("store")] = &wire.Found{}
+	e.found[promptindex.StoreHealthKey("store")] = &wire.Found{}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "" || c.Save != "" {
 		t.Errorf("the store is down: fetch %q save %q", c.Fetch, c.Save)
 	}
-	e.found[promptindex.UpKey("store")] = &wire.Found{Holders: []*wire.Holding{{Worker: "store"}}}
+	e.found[promptindex.StoreHealthKey("store")] = &wire.Found{Holders: []*wire.Holding{{Worker: "store"}}}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "store:1" {
 		t.Errorf("the store is back: fetch %q", c.Fetch)
 	}
@@ -202,18 +202,18 @@
 	e := newEdge(fleetOf(4))
 	h := e.home(t, "p")
 	e.setHolders("p", promptindex.Confirmed, other("w9"), "w0", "w1", "w2", "w3")
-	g := e.layOut(e.s).groups["llm"]
-	q := &query{table: e.table, snapshot: e.s, request: e.ask("p", 13000), group: g, serving: g.serve("m"), service: e.services["llm"], model: "m", found: e.found, now: e.now, usable: []int{g.index[h]}}
-	q.run()
-	o := q.promptState(1)
-	clear(e.maybe)
-	first := q.fetch(g.index[h], o, 0)
-	if first.from == nil {
+	g := e.layoutFor(e.s).groups["llm"]
+	q := &scorer{table: e.table, snapshot: e.s, request: e.ask("p", 13000), group: g, versions: g.versionsOf("m"), stats: e.services["llm"], model: "m", found: e.found, now: e.now, usable: []int{g.index[h]}}
+	q.selectBest()
+	o := q.newPromptState(1)
+	clear(e.presumedParts)
+	first := q.bestSource(g.index[h], o, 0)
+	if first.source == nil {
 		t.Fatal("no source")
 	}
-	first.from.st.linkBusyUntil = e.now + time.Second
-	if second := q.fetch(g.index[h], o, 0); second.from == nil || second.from == first.from {
-		t.Errorf("again from %v", second.from)
+	first.source.stats.linkBusyUntil = e.now + time.Second
+	if second := q.bestSource(g.index[h], o, 0); second.source == nil || second.source == first.source {
+		t.Errorf("again from %v", second.source)
 	}
 }
 
@@ -246,8 +246,8 @@
 	// An attempt that never ran saved nothing.
 	f := e.ask("z", 13000)
 	c = e.must(t, f)
-	e.send(f, c, e.now)
-	e.done(f, c, Full, nil, 0, e.now)
+	e.recordSent(f, c, e.now)
+	e.recordOutcome(f, c, NoFreeSlot, nil, 0, e.now)
 	if c = e.must(t, e.ask("z", 13000)); c.Save == "" {
 		t.Error("a refused attempt counts as saved")
 	}
@@ -289,7 +289,7 @@
 		if c.Salt+c.Fetch+c.Save != "" || c.Urgency != -1 || c.Weights != 0 {
 			t.Fatalf("%+v", c)
 		}
-		e.send(r, c, e.now)
+		e.recordSent(r, c, e.now)
 		at[c.Worker.Zone]++
 		if i < 2 && c.Worker.Zone != "d0" {
 			t.Errorf("request %d goes to %s", i, c.Worker.Zone)
--- a/internal/data/selection/share.go
+++ b/internal/data/selection/share.go
@@ -21,27 +21,27 @@
 	eighth          = 8
 )
 
-// tally counts endings, the old ones less and less.
-type tally struct {
-	ok, failed float64
-	at         time.Duration
+// outcomeCounts counts endings, the old ones less and less.
+type outcomeCounts struct {
+	succeeded, failed float64
+	updatedAt         time.Duration
 }
 
-func (x *tally) add(ok, bad float64, now, over time.Duration) {
-	f := fade(now-x.at, over)
-	x.ok, x.failed, x.at = x.ok*f+ok, x.failed*f+bad, now
-	if x.ok < nothing {
-		x.ok = 0
+func (x *outcomeCounts) add(ok, bad float64, now, over time.Duration) {
+	f := decayWeight(now-x.updatedAt, over)
+	x.succeeded, x.failed, x.updatedAt = x.succeeded*f+ok, x.failed*f+bad, now
+	if x.succeeded < nothing {
+		x.succeeded = 0
 	}
 	if x.failed < nothing {
 		x.failed = 0
 	}
 }
 
-// listOf hashes a list of workers, so that reports can refer to workers by their position in it.
-func (t *table) listOf(ws []fleet.Worker) uint64 {
-	if t.view != nil && len(ws) > 0 && len(t.view.snapshot.Workers) == len(ws) && &t.view.snapshot.Workers[0] == &ws[0] {
-		return t.view.list
+// workerListHash hashes a list of workers, so that reports can refer to workers by their position in it.
+func (t *table) workerListHash(ws []fleet.Worker) uint64 {
+	if t.layout != nil && len(ws) > 0 && len(t.layout.snapshot.Workers) == len(ws) && &t.layout.snapshot.Workers[0] == &ws[0] {
+		return t.layout.workerListHash
 	}
 	h := fnv.New64a()
 	for i := range ws {
@@ -54,50 +54,50 @@
 // firstEventTimeout is how long an attempt's first event may take before it counts as overdue.
 func (t *table) firstEventTimeout(w *attempt, r *Request, now time.Duration) time.Duration {
 	h := w.stats.service
-	d := time.Duration(overdueMultiple * (h.a + h.b*w.read + t.backlog(w.stats, now)) * float64(time.Millisecond))
+	d := time.Duration(overdueMultiple * (h.firstEventMs + h.msPerToken*w.prefillTokens + t.backlog(w.stats, now)) * float64(time.Millisecond))
 	if r.Route != nil {
-		d = max(d, r.Route.Target)
+		d = max(d, r.Route.LatencyTarget)
 	}
 	return d
 }
 
-// judgeEnding counts an ending for or against its worker. A client that disconnected says nothing,
+// countOutcome counts an ending for or against its worker. A client that disconnected says nothing,
 // unless the first event was overdue then; nor does a worker that rejects requests for lack of a slot.
-func (t *table) judgeEnding(w *attempt, e Ending, now time.Duration) {
+func (t *table) countOutcome(w *attempt, e Outcome, now time.Duration) {
 	ok, bad := 0.0, 0.0
 	switch {
-	case e == Served:
+	case e == Completed:
 		ok = 1
-	case e == Unfit, (e == Left || e == Unsure) && !w.begun && now >= w.due:
+	case e == Failed, (e == ClientGone || e == TimedOut) && !w.firstEventSeen && now >= w.firstEventDue:
 		bad = 1
 	}
 	if ok+bad > 0 {
-		w.stats.tally.add(ok, bad, now, t.bounds.Heal(tallyRatio))
+		w.stats.outcomes.add(ok, bad, now, t.bounds.Heal(tallyRatio))
 	}
 }
 
 // localLoads is the load of this edge machine at the workers now.
 func (t *table) localLoads(now time.Duration) *wire.Loads {
-	if t.view == nil {
+	if t.layout == nil {
 		return nil
 	}
 	late, tokens := map[*workerStats]float64{}, map[*workerStats]float64{}
-	for _, w := range t.sent {
-		if w.begun {
+	for _, w := range t.inFlight {
+		if w.firstEventSeen {
 			continue
 		}
-		if tokens[w.stats] += w.read; now >= w.due {
+		if tokens[w.stats] += w.prefillTokens; now >= w.firstEventDue {
 			late[w.stats]++
 		}
 	}
-	l := &wire.Loads{List: t.view.list}
-	for i := range t.view.snapshot.Workers {
-		x := t.workers[t.view.snapshot.Workers[i].ID]
+	l := &wire.Loads{List: t.layout.workerListHash}
+	for i := range t.layout.snapshot.Workers {
+		x := t.workers[t.layout.snapshot.Workers[i].ID]
 		if x == nil {
 			continue
 		}
-		x.tally.add(0, 0, now, t.bounds.Heal(tallyRatio))
-		ok, bad := uint32(math.Round(x.tally.ok*eighth)), uint32(math.Round((x.tally.failed+late[x])*eighth))
+		x.outcomes.add(0, 0, now, t.bounds.Heal(tallyRatio))
+		ok, bad := uint32(math.Round(x.outcomes.succeeded*eighth)), uint32(math.Round((x.outcomes.failed+late[x])*eighth))
 		unread := uint32(tokens[x] / tokenUnit)
 		if x.inFlight <= 0 && unread == 0 && ok == 0 && bad == 0 {
 			continue
@@ -111,40 +111,40 @@
 // applyOthersLoads applies the loads of the other edge machines.
 func (t *table) applyOthersLoads(l *wire.Loads, now time.Duration) {
 	n := len(l.At)
-	if t.view == nil || l.List != t.view.list || l.Tellers == 0 || len(l.Active) != n || len(l.Unread) != n || len(l.Ok) != n || len(l.Bad) != n {
+	if t.layout == nil || l.List != t.layout.workerListHash || l.Tellers == 0 || len(l.Active) != n || len(l.Unread) != n || len(l.Ok) != n || len(l.Bad) != n {
 		return
 	}
 	row := make(map[uint32]int, n)
 	for i, at := range l.At {
 		row[at] = i
 	}
-	for _, g := range t.view.groups {
+	for _, g := range t.layout.groups {
 		sum, ok, bad := 0.0, 0.0, 0.0
 		for i := range g.candidates {
 			x := g.candidates[i].stats
-			x.othersLoad, x.othersUnread, x.othersOK, x.othersBad = 0, 0, 0, 0
+			x.othersLoad, x.othersPendingTokens, x.othersSucceeded, x.othersFailed = 0, 0, 0, 0
 			if j, has := row[g.candidates[i].index]; has {
-				x.othersLoad, x.othersUnread = float64(l.Active[j]), float64(l.Unread[j])*tokenUnit
-				x.othersOK, x.othersBad = float64(l.Ok[j])/eighth, float64(l.Bad[j])/eighth
+				x.othersLoad, x.othersPendingTokens = float64(l.Active[j]), float64(l.Unread[j])*tokenUnit
+				x.othersSucceeded, x.othersFailed = float64(l.Ok[j])/eighth, float64(l.Bad[j])/eighth
 			}
 			x.reportedAt, x.reported = now, true
-			x.tally.add(0, 0, now, t.bounds.Heal(tallyRatio))
-			sum, ok, bad = sum+x.othersLoad, ok+x.othersOK+x.tally.ok, bad+x.othersBad+x.tally.failed
+			x.outcomes.add(0, 0, now, t.bounds.Heal(tallyRatio))
+			sum, ok, bad = sum+x.othersLoad, ok+x.othersSucceeded+x.outcomes.succeeded, bad+x.othersFailed+x.outcomes.failed
 		}
 		if len(g.candidates) > 0 {
 			h := g.candidates[0].stats.service
 			h.reportsLoad, h.meanOthersLoad = true, sum/float64(len(g.candidates))
 		}
 		for i := range g.candidates {
-			t.suspect(g.candidates[i].stats, ok, bad, now)
+			t.ejectIfSuspect(g.candidates[i].stats, ok, bad, now)
 		}
 	}
 }
 
-// suspect avoids a worker that fails far more often than the others of its service, by the reports of
+// ejectIfSuspect avoids a worker that fails far more often than the others of its service, by the reports of
 // all edge machines, for as long as that holds and a little longer.
-func (t *table) suspect(x *workerStats, ok, bad float64, now time.Duration) {
-	b, o := x.othersBad+x.tally.failed, x.othersOK+x.tally.ok
+func (t *table) ejectIfSuspect(x *workerStats, ok, bad float64, now time.Duration) {
+	b, o := x.othersFailed+x.outcomes.failed, x.othersSucceeded+x.outcomes.succeeded
 	if b < minFailures {
 		return
 	}
@@ -153,9 +153,9 @@
 		rest = max(0, bad-b) / n
 	}
 	if share := b / (b + o); share > max(minFailureShare, failureMultiple*rest) {
-		x.failureShare = max(x.failureShare, share)
-		x.outFor = max(x.outFor, t.bounds.Heal(suspectRatio))
-		x.outUntil = max(x.outUntil, now+t.bounds.Heal(suspectRatio))
+		x.failureRatio = max(x.failureRatio, share)
+		x.ejectionTime = max(x.ejectionTime, t.bounds.Heal(suspectRatio))
+		x.ejectedUntil = max(x.ejectedUntil, now+t.bounds.Heal(suspectRatio))
 	}
 }
 
--- a/internal/data/selection/share_test.go
+++ b/internal/data/selection/share_test.go
@@ -13,13 +13,13 @@
 
 // ring is some edges that share what they see by way of one index node.
 type ring struct {
-	l     *promptindex.Loads
+	l     *promptindex.LoadAggregator
 	edges []*edge
 	now   time.Duration
 }
 
 func newRing(workers, edges int) *ring {
-	r := &ring{l: promptindex.NewLoads(settings.Default()), now: start + time.Minute}
+	r := &ring{l: promptindex.NewLoadAggregator(settings.Default()), now: start + time.Minute}
 	for _, part := range []float64{1.0 / 15, 1.0 / 30} { // it has heard words for a while
 		r.l.Record("before", &wire.Loads{}, r.now-settings.Default().Heal(part))
 	}
@@ -37,11 +37,11 @@
 func (r *ring) share() {
 	for i, e := range r.edges {
 		e.now = r.now
-		e.layOut(e.s)
+		e.layoutFor(e.s)
 		r.l.Record(fmt.Sprint(i), e.localLoads(r.now), r.now)
 	}
 	for i, e := range r.edges {
-		e.applyOthersLoads(r.l.Others(fmt.Sprint(i), e.view.list, r.now), r.now)
+		e.applyOthersLoads(r.l.Others(fmt.Sprint(i), e.layout.workerListHash, r.now), r.now)
 	}
 }
 
@@ -59,7 +59,7 @@
 	if !ok {
 		t.Fatal("nobody was selected")
 	}
-	e.send(r, c, e.now)
+	e.recordSent(r, c, e.now)
 	return r, c
 }
 
@@ -81,7 +81,7 @@
 	for _, e := range r.edges[:3] {
 		e.now = r.now
 		q, c := e.bound(t, "w3")
-		e.done(q, c, Unfit, nil, 0, r.now)
+		e.recordOutcome(q, c, Failed, nil, 0, r.now)
 	}
 	r.share()
 	if n := r.selected(300)["w3"]; n > 0 {
@@ -100,19 +100,19 @@
 		e.now = r.now
 		for k := range 4 {
 			q, c := e.bound(t, fmt.Sprint("w", (i+k)%12))
-			e.done(q, c, Unfit, nil, 0, r.now)
+			e.recordOutcome(q, c, Failed, nil, 0, r.now)
 			q, c = e.bound(t, fmt.Sprint("w", (i+k)%12))
-			e.done(q, c, Served, nil, 40*time.Millisecond, r.now)
+			e.recordOutcome(q, c, Completed, nil, 40*time.Millisecond, r.now)
 		}
 	}
 	r.share()
 	for _, e := range r.edges {
 		for _, x := range e.workers {
-			x.outUntil = 0 // but for what the edge saw itself
+			x.ejectedUntil = 0 // but for what the edge saw itself
 		}
-		e.applyOthersLoads(r.l.Others("none", e.view.list, r.now), r.now)
+		e.applyOthersLoads(r.l.Others("none", e.layout.workerListHash, r.now), r.now)
 		for id, x := range e.workers {
-			if x.outUntil > r.now {
+			if x.ejectedUntil > r.now {
 				t.Fatalf("%s is out", id)
 			}
 		}
@@ -127,10 +127,10 @@
 		e.bound(t, "w3")
 	}
 	r.share()
-	if r.edges[9].workers["w3"].outUntil > r.now {
+	if r.edges[9].workers["w3"].ejectedUntil > r.now {
 		t.Error("left out before anything was overdue")
 	}
-	r.now += route.Target + time.Millisecond
+	r.now += route.LatencyTarget + time.Millisecond
 	r.share()
 	if n := r.selected(300)["w3"]; n > 0 {
 		t.Errorf("selected %d times", n)
@@ -146,12 +146,12 @@
 	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 1000/tokenUnit || w.Active[0] != 1 {
 		t.Fatalf("reported %v", w)
 	}
-	e.begin(q, c, nil, time.Millisecond, r.now+time.Millisecond)
+	e.recordFirstEvent(q, c, nil, time.Millisecond, r.now+time.Millisecond)
 	r.now += time.Minute / 2
 	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 0 || w.Bad[0] != 0 || w.Active[0] != 1 {
 		t.Errorf("reported %v", w)
 	}
-	e.done(q, c, Served, nil, time.Millisecond, r.now)
+	e.recordOutcome(q, c, Completed, nil, time.Millisecond, r.now)
 	if w := e.localLoads(r.now); len(w.At) != 1 || w.Active[0] != 0 || w.Ok[0] != eighth {
 		t.Errorf("reported %v", w)
 	}
@@ -169,7 +169,7 @@
 			e.now = r.now
 			q := e.ask("", 0)
 			if c, ok := e.selectWorker(e.s, q, nil, nil, r.now); ok {
-				e.send(q, c, r.now)
+				e.recordSent(q, c, r.now)
 				n[c.Worker.ID]++
 			}
 			if r.now += time.Millisecond; shared && i%10 == 9 {
@@ -191,7 +191,7 @@
 func TestAWordOnAnotherListIsLeft(t *testing.T) {
 	r := newRing(4, 2)
 	e := r.edges[0]
-	e.layOut(e.s)
+	e.layoutFor(e.s)
 	r.edges[1].bound(t, "w1")
 	w := r.edges[1].localLoads(r.now)
 	w.List++
--- a/internal/data/selection/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -67,7 +67,7 @@
 	first := e.must(t, r).Save
 	for i := range 3 {
 		if s := e.s.Plan.Services[2+i]; s.Store.Addr == first {
-			e.storesDown[s.Name] = true
+			e.unavailableStores[s.Name] = true
 		}
 	}
 	e.now += time.Second
--- a/internal/data/selection/view.go
+++ b/internal/data/selection/view.go
@@ -18,49 +18,49 @@
 	index  uint32 // in the list of all workers
 }
 
-// group is a service's workers and the stores that cache parts.
-type group struct {
+// serviceGroup is a service's workers and the stores that cache parts.
+type serviceGroup struct {
 	service    *routingconfig.Service
 	candidates []candidate
 	index      map[string]int // by the worker's ID
-	stores     []store
-	models     map[string]*serving
+	stores     []storeCandidate
+	models     map[string]*modelVersions
 	rolling    []bool // set aside during a rollout of weights
 }
 
-type store struct {
+type storeCandidate struct {
 	service *routingconfig.Service
 	stats   *workerStats
 }
 
-// serving holds which version of a model each candidate serves; 0: none.
-type serving struct {
+// modelVersions holds which version of a model each candidate serves; 0: none.
+type modelVersions struct {
 	versions []uint64
 	distinct []uint64 // the versions, newest first
 	reported bool     // some worker reports its versions
 }
 
-// view is a snapshot laid out by service.
-type view struct {
-	snapshot *fleet.Snapshot
-	list     uint64 // the number of its list of workers
-	groups   map[string]*group
-	sizes    int // classes of prompt size per rank
+// layout is a snapshot laid out by service.
+type layout struct {
+	snapshot       *fleet.Snapshot
+	workerListHash uint64 // the number of its list of workers
+	groups         map[string]*serviceGroup
+	sizeClasses    int // classes of prompt size per rank
 }
 
 const (
-	ranks     = 10 // that a worker distinguishes
-	mostSizes = 3
+	maxPriorityLevels = 10 // that a worker distinguishes
+	maxSizeClasses    = 3
 )
 
-// rank is 0 to 9, 0 first: by the plan's priority, and within it the shorter prompt first, as far as
+// priorityLevel is 0 to 9, 0 first: by the plan's priority, and within it the shorter prompt first, as far as
 // the plan's priorities leave room. So most are in time when not all can be.
-func (v *view) rank(urgency, size int) int {
-	return min(urgency*v.sizes+min(size, v.sizes-1), ranks-1)
+func (v *layout) priorityLevel(urgency, size int) int {
+	return min(urgency*v.sizeClasses+min(size, v.sizeClasses-1), maxPriorityLevels-1)
 }
 
-// partRanks is into how many classes each of the plan's priorities can be divided.
-func partRanks(p *routingconfig.Plan) int {
+// sizeClassesOf is into how many classes each of the plan's priorities can be divided.
+func sizeClassesOf(p *routingconfig.Plan) int {
 	top := 0
 	if p != nil {
 		for i := range p.Routes {
@@ -70,17 +70,17 @@
 			top = max(top, p.Tenants[i].Priority)
 		}
 	}
-	return min(max(ranks/(top+1), 1), mostSizes)
+	return min(max(maxPriorityLevels/(top+1), 1), maxSizeClasses)
 }
 
 const maxModels = 64 // clients may name any model
 
-// layOut lays a snapshot out by service; statistics of workers are kept by ID.
-func (t *table) layOut(s *fleet.Snapshot) *view {
-	if t.view != nil && t.view.snapshot == s {
-		return t.view
+// layoutFor lays a snapshot out by service; statistics of workers are kept by ID.
+func (t *table) layoutFor(s *fleet.Snapshot) *layout {
+	if t.layout != nil && t.layout.snapshot == s {
+		return t.layout
 	}
-	v := &view{snapshot: s, list: t.listOf(s.Workers), groups: map[string]*group{}, sizes: partRanks(s.Plan)}
+	v := &layout{snapshot: s, workerListHash: t.workerListHash(s.Workers), groups: map[string]*serviceGroup{}, sizeClasses: sizeClassesOf(s.Plan)}
 	stats := make(map[string]*workerStats, len(s.Workers))
 	habits := map[string]*serviceStats{}
 	stat := func(id, service string) *workerStats {
@@ -97,14 +97,14 @@
 		stats[id] = x
 		return x
 	}
-	var stores []store
+	var stores []storeCandidate
 	if s.Plan != nil {
 		for i := range s.Plan.Services {
 			x := &s.Plan.Services[i]
 			if x.Store != nil {
-				stores = append(stores, store{x, stat(x.Name, x.Name)})
+				stores = append(stores, storeCandidate{x, stat(x.Name, x.Name)})
 			} else {
-				v.groups[x.Name] = &group{service: x, index: map[string]int{}, models: map[string]*serving{}}
+				v.groups[x.Name] = &serviceGroup{service: x, index: map[string]int{}, models: map[string]*modelVersions{}}
 			}
 		}
 	}
@@ -120,28 +120,28 @@
 		g.rolling = make([]bool, len(g.candidates))
 		if p := s.Placements[g.service.Name]; p != nil {
 			for i, x := range g.candidates {
-				g.rolling[i] = slices.Contains(p.Rolling, x.worker.ID)
+				g.rolling[i] = slices.Contains(p.Cordoned, x.worker.ID)
 			}
 		}
 	}
-	t.workers, t.services, t.view = stats, habits, v
+	t.workers, t.services, t.layout = stats, habits, v
 	return v
 }
 
-// model is the model of a request: the service's only one if the request names none.
-func (g *group) model(r *Request) string {
+// modelOf is the model of a request: the service's only one if the request names none.
+func (g *serviceGroup) modelOf(r *Request) string {
 	if e := g.service.Engine; r.Model == "" && e != nil && len(e.Models) == 1 {
 		return e.Models[0]
 	}
 	return r.Model
 }
 
-// serve lists which version of a model each worker serves.
-func (g *group) serve(model string) *serving {
+// versionsOf lists which version of a model each worker serves.
+func (g *serviceGroup) versionsOf(model string) *modelVersions {
 	if x := g.models[model]; x != nil {
 		return x
 	}
-	x := &serving{versions: make([]uint64, len(g.candidates))}
+	x := &modelVersions{versions: make([]uint64, len(g.candidates))}
 	for i, s := range g.candidates {
 		n, ok := s.worker.Weights[model]
 		x.versions[i] = n
@@ -159,7 +159,7 @@
 
 // oldestAllowed is the oldest version on which a request may still start. Each version that was named
 // ends the use of those before it once its bound has run out, also where another was named meanwhile.
-func (t *table) oldestAllowed(s *fleet.Snapshot, model string, m *serving, now time.Duration) (oldest uint64) {
+func (t *table) oldestAllowed(s *fleet.Snapshot, model string, m *modelVersions, now time.Duration) (oldest uint64) {
 	if !t.olderAllowed(s, model, m, now) {
 		return s.Named[model]
 	}
@@ -175,7 +175,7 @@
 // process that has just started isn't in contact yet, and the bound doesn't apply to it. After that,
 // the bound of a version that was named before this process started is running already, half of it as
 // the agent assumes: then the older version is selected only while no worker serves the newer one.
-func (t *table) olderAllowed(s *fleet.Snapshot, model string, m *serving, now time.Duration) bool {
+func (t *table) olderAllowed(s *fleet.Snapshot, model string, m *modelVersions, now time.Duration) bool {
 	named := s.Named[model]
 	if named == 0 {
 		return true
--- a/internal/data/selection/weights_test.go
+++ b/internal/data/selection/weights_test.go
@@ -96,7 +96,7 @@
 func TestRollingAndLoadingWorkersAreAvoided(t *testing.T) {
 	s := fleetOf(4)
 	s.Named["m"], s.NamedAt["m"] = 2, start+time.Minute
-	s.Placements["llm"] = &placement.Placement{Rolling: []string{"w0", "w1"}}
+	s.Placements["llm"] = &placement.Placement{Cordoned: []string{"w0", "w1"}}
 	e := newEdge(s)
 	at := func() map[string]int {
 		m := map[string]int{}
@@ -113,8 +113,8 @@
 	if c.Worker.ID != "w3" {
 		t.Fatalf("selected %s", c.Worker.ID)
 	}
-	e.send(r, c, e.now)
-	e.done(r, c, Loading, nil, 0, e.now)
+	e.recordSent(r, c, e.now)
+	e.recordOutcome(r, c, NotReady, nil, 0, e.now)
 	if m := at(); m["w3"] != 0 {
 		t.Errorf("a loading one: %v", m)
 	}
@@ -179,7 +179,7 @@
 	if c.Fetch != "" && c.Fetch != "store:1" || c.Salt == salt("m", 1, nil) || c.Save == "" {
 		t.Errorf("an isolated tenant: %+v", c)
 	}
-	for _, k := range e.table.chosen.now {
+	for _, k := range e.table.selected.current {
 		for _, x := range k.keys {
 			if e.found[x] != nil {
 				t.Error("looks under another wall's text")
@@ -222,7 +222,7 @@
 			for i, tokens := range []int{500, 5000, 30000} {
 				r := e.ask(fmt.Sprint("p", rank, i), tokens)
 				rt := *route
-				rt.Priority, r.Route, r.In = rank, &rt, tokens
+				rt.Priority, r.Route, r.PromptTokens = rank, &rt, tokens
 				u := e.must(t, r).Urgency
 				if u < last || u > 9 || i == 0 && u <= last || top < 3 && u <= last {
 					t.Errorf("%d ranks: %d tokens of rank %d get %d after %d", top+1, tokens, rank, u, last)
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -19,7 +19,7 @@
 // The states of a worker.
 const (
 	WorkerUp uint32 = iota
-	WorkerUnsure
+	WorkerSuspect
 	WorkerDraining
 	WorkerGone
 )
@@ -28,7 +28,7 @@
 type Snapshot struct {
 	Number        uint64
 	ConfigVersion uint64 // of the configuration
-	View          uint64 // of workers, nodes, placements and stores
+	ListsVersion  uint64 // of workers, nodes, placements and stores
 	Config        *serviceconfig.Config
 	ProofAt       time.Duration // no configuration newer than ConfigVersion had been acknowledged then
 	LatestProof   time.Duration // the latest such instant known, also after a restart of the node agent
@@ -69,10 +69,10 @@
 	return f
 }
 
-// Seeds makes an OnSnapshot callback that passes the configuration's seeds on when they change.
+// OnSeedsChanged makes an OnSnapshot callback that passes the configuration's seeds on when they change.
 //
 // Example: updatestream.Follow(ctx, clock, log, link, hold, nil, updatestream.Seeds(member.SetSeeds))
-func Seeds(set func([]string)) func(*Snapshot) {
+func OnSeedsChanged(set func([]string)) func(*Snapshot) {
 	var version uint64
 	return func(s *Snapshot) {
 		if s.Config != nil && s.ConfigVersion != version && len(s.Config.Seeds) == 3 {
@@ -82,26 +82,26 @@
 	}
 }
 
-// Now returns the newest snapshot; nil before the first.
+// Snapshot returns the newest snapshot; nil before the first.
 //
 // Example: s := f.Now()
-func (f *Follower) Now() *Snapshot {
+func (f *Follower) Snapshot() *Snapshot {
 	if f.fixed != nil {
 		return f.fixed()
 	}
 	return f.current.Load()
 }
 
-// Fixed returns a follower of fixed snapshots, for tests.
+// NewFixedFollower returns a follower of fixed snapshots, for tests.
 //
 // Example: f := updatestream.Fixed(func() *updatestream.Snapshot { return snap })
-func Fixed(now func() *Snapshot) *Follower { return &Follower{fixed: now} }
+func NewFixedFollower(now func() *Snapshot) *Follower { return &Follower{fixed: now} }
 
 func (f *Follower) run(ctx context.Context, link func() wire.Runner, hold time.Duration) {
 	for ctx.Err() == nil {
 		a := &wire.FeedAsk{HoldNs: uint64(hold)}
 		if s := f.current.Load(); s != nil {
-			a.Have, a.HaveSetup, a.HaveView = s.Number, s.ConfigVersion, s.View
+			a.Have, a.HaveSetup, a.HaveView = s.Number, s.ConfigVersion, s.ListsVersion
 		}
 		if f.addReports != nil {
 			f.addReports(a)
@@ -116,7 +116,7 @@
 		end()
 		if err != nil {
 			f.log.Debug("no update", "error", err)
-			clock.Pause(ctx, hold/2)
+			clock.Sleep(ctx, hold/2)
 			continue
 		}
 		f.apply(t)
@@ -125,7 +125,7 @@
 
 func (f *Follower) apply(t *wire.FeedTell) {
 	old := f.current.Load()
-	s, err := Read(t, old, f.clock.Now())
+	s, err := ReadSnapshot(t, old, f.clock.Now())
 	if err != nil {
 		f.log.Error("update can't be read", "error", errs.Text(err))
 		return
@@ -136,17 +136,17 @@
 	}
 }
 
-// Read makes a snapshot of a node agent's response, reusing what hasn't changed.
+// ReadSnapshot makes a snapshot of a node agent's response, reusing what hasn't changed.
 //
 // Example: s, err := updatestream.Read(response, old, clock.Now())
-func Read(t *wire.FeedTell, old *Snapshot, now time.Duration) (*Snapshot, error) {
-	if old != nil && t.View == old.View && t.View != 0 {
+func ReadSnapshot(t *wire.FeedTell, old *Snapshot, now time.Duration) (*Snapshot, error) {
+	if old != nil && t.View == old.ListsVersion && t.View != 0 {
 		o := *old // the lists are the same; shared data is never changed
 		s := &o
 		s.Number, s.ProofAt, s.WorkersAt = t.Number, time.Duration(t.ProofAt), time.Duration(t.WorkersAt)
 		return s, s.applyConfig(t, old, now)
 	}
-	s := &Snapshot{Number: t.Number, View: t.View, ProofAt: time.Duration(t.ProofAt), WorkersAt: time.Duration(t.WorkersAt), Workers: t.Workers,
+	s := &Snapshot{Number: t.Number, ListsVersion: t.View, ProofAt: time.Duration(t.ProofAt), WorkersAt: time.Duration(t.WorkersAt), Workers: t.Workers,
 		Nodes: t.Nodes, Stores: t.Stores, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]WeightsHistory{}}
 	if err := s.applyConfig(t, old, now); err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 		s.ConfigVersion, s.Config, s.WeightsAt = old.ConfigVersion, old.Config, old.WeightsAt
 		s.LatestProof = max(old.LatestProof, s.ProofAt) // a proof of this version stays valid
 	} else if t.Setup != nil {
-		v, err := serviceconfig.Read(t.Setup.Body)
+		v, err := serviceconfig.Decode(t.Setup.Body)
 		if err != nil {
 			return errs.Wrap(err, "configuration in update")
 		}
--- a/internal/data/updatestream/follower_test.go
+++ b/internal/data/updatestream/follower_test.go
@@ -14,7 +14,7 @@
 
 func mustRead(t *testing.T, response *wire.FeedTell, old *Snapshot, now time.Duration) *Snapshot {
 	t.Helper()
-	s, err := Read(response, old, now)
+	s, err := ReadSnapshot(response, old, now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.ConfigVersion != 3 || len(b.Workers) != 1 {
 		t.Errorf("%+v after %+v", c, b)
 	}
-	if _, err := Read(&wire.FeedTell{Setup: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
+	if _, err := ReadSnapshot(&wire.FeedTell{Setup: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
 		t.Error("half a configuration was read")
 	}
 }
@@ -71,13 +71,13 @@
 	} {
 		s := readChain(t, x.chain...)
 		for w, want := range x.since {
-			if not, _, ok := s.WeightsAt["m"].Since(w); ok != (want > 0) || not != time.Duration(want) {
+			if not, _, ok := s.WeightsAt["m"].SupersededAt(w); ok != (want > 0) || not != time.Duration(want) {
 				t.Errorf("%s: weights %d: %d %v, %d is due", name, w, not, ok, want)
 			}
 		}
 	}
 	a := readChain(t, [3]uint64{1, 50, 1})
-	if mustRead(t, &wire.FeedTell{View: 1, ProofAt: 500, Setup: newDocument(2, "2")}, a, 510); a.WeightsAt["m"].Weights != 1 {
+	if mustRead(t, &wire.FeedTell{View: 1, ProofAt: 500, Setup: newDocument(2, "2")}, a, 510); a.WeightsAt["m"].Version != 1 {
 		t.Error("a shared snapshot was changed")
 	}
 	many := [][3]uint64{}
@@ -85,7 +85,7 @@
 		many = append(many, [3]uint64{i, 100 * i, i})
 	}
 	s := readChain(t, many...).WeightsAt["m"]
-	if _, _, ok := s.Since(5); ok || len(s.Past) != maxPast {
+	if _, _, ok := s.SupersededAt(5); ok || len(s.Past) != maxPast {
 		t.Errorf("what was forgotten may start: %+v", s)
 	}
 }
--- a/internal/data/updatestream/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -8,7 +8,7 @@
 // WeightsHistory is the weights version that the configuration names for a model, and those it named
 // before.
 type WeightsHistory struct {
-	Weights     uint64
+	Version     uint64
 	FirstSeen   time.Duration    // when this process first saw it named
 	NewestUntil time.Duration    // it was proved to be the newest until then; zero: no proof
 	Past        []WeightsHistory // earlier versions, oldest first, without their Past
@@ -21,27 +21,27 @@
 func (s WeightsHistory) next(weights uint64, proved, now time.Duration) WeightsHistory {
 	s.NewestUntil = max(s.NewestUntil, proved)
 	switch {
-	case s.Weights == weights:
+	case s.Version == weights:
 		return s
-	case s.Weights == 0 || s.Weights > weights: // a new model, or one that was put back
-		return WeightsHistory{Weights: weights, FirstSeen: now}
+	case s.Version == 0 || s.Version > weights: // a new model, or one that was put back
+		return WeightsHistory{Version: weights, FirstSeen: now}
 	}
-	p := append(slices.Clone(s.Past), WeightsHistory{Weights: s.Weights, FirstSeen: s.FirstSeen, NewestUntil: s.NewestUntil})
-	return WeightsHistory{Weights: weights, FirstSeen: now, Past: p[max(0, len(p)-maxPast):]}
+	p := append(slices.Clone(s.Past), WeightsHistory{Version: s.Version, FirstSeen: s.FirstSeen, NewestUntil: s.NewestUntil})
+	return WeightsHistory{Version: weights, FirstSeen: now, Past: p[max(0, len(p)-maxPast):]}
 }
 
-// Since returns when a weights version was superseded: nothing newer was acknowledged before the first
+// SupersededAt returns when a weights version was superseded: nothing newer was acknowledged before the first
 // instant, and this process saw something newer at the second. False: it is the newest, or the time is
 // unknown.
 //
 // Example: not, seen, ok := s.WeightsAt["lector"].Since(3)
-func (s WeightsHistory) Since(weights uint64) (not, seen time.Duration, ok bool) {
-	if weights >= s.Weights { // the usual case, on the path of every request
+func (s WeightsHistory) SupersededAt(weights uint64) (not, seen time.Duration, ok bool) {
+	if weights >= s.Version { // the usual case, on the path of every request
 		return 0, 0, false
 	}
 	l := append(slices.Clone(s.Past), s)
 	for i, x := range l {
-		if x.Weights <= weights {
+		if x.Version <= weights {
 			continue
 		}
 		if i == 0 || l[i-1].NewestUntil == 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,8 +29,8 @@
 	Weights  map[string]uint64 `json:"weights,omitempty"` // by model: the version it serves
 }
 
-// Table is the document with the list of workers.
-type Table struct {
+// WorkerList is the document with the list of workers.
+type WorkerList struct {
 	Workers []Worker `json:"workers"`
 }
 
--- a/internal/fleet/pack.go
+++ b/internal/fleet/pack.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	packLeast = 512      // bytes: a shorter body isn't packed
-	packMost  = 64 << 20 // bytes: the limit of an unpacked body
+	minCompressBytes     = 512      // bytes: a shorter body isn't packed
+	maxDecompressedBytes = 64 << 20 // bytes: the limit of an unpacked body
 )
 
-// packers are reused: one is as large as many documents.
-var packers = sync.Pool{New: func() any { w, _ := flate.NewWriter(io.Discard, flate.BestSpeed); return w }}
+// flateWriters are reused: one is as large as many documents.
+var flateWriters = sync.Pool{New: func() any { w, _ := flate.NewWriter(io.Discard, flate.BestSpeed); return w }}
 
-// Pack returns a document with its body deflated, if that makes it shorter: lists of workers and
+// Compress returns a document with its body deflated, if that makes it shorter: lists of workers and
 // routes are repetitive, and every node of a site gets them.
 //
 // Example: response.Docs = append(response.Docs, fleet.Pack(d))
-func Pack(d *wire.Document) *wire.Document {
-	if len(d.GetBody()) < packLeast || d.Packed {
-		return d
+func Compress(document *wire.Document) *wire.Document {
+	if len(document.GetBody()) < minCompressBytes || document.Packed {
+		return document
 	}
-	var b bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
-	w.Reset(&b)
-	if _, err := w.Write(d.Body); err != nil || w.Close() != nil || b.Len() >= len(d.Body) {
-		return d
+	var compressed bytes.Buffer
+	writer := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(writer)
+	writer.Reset(&compressed)
+	if _, err := writer.Write(document.Body); err != nil || writer.Close() != nil || compressed.Len() >= len(document.Body) {
+		return document
 	}
-	return &wire.Document{Key: d.Key, Body: b.Bytes(), Version: d.Version, Packed: true}
+	return &wire.Document{Key: document.Key, Body: compressed.Bytes(), Version: document.Version, Packed: true}
 }
 
-// Unpack returns a document as it was before it was packed.
+// Decompress returns a document as it was before it was packed.
 //
 // Example: d, err := fleet.Unpack(response.Docs[0])
-func Unpack(d *wire.Document) (*wire.Document, error) {
-	if !d.GetPacked() {
-		return d, nil
+func Decompress(document *wire.Document) (*wire.Document, error) {
+	if !document.GetPacked() {
+		return document, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(d.Body)), packMost+1))
-	if err != nil || len(body) > packMost {
-		return nil, errs.New(errs.Inside, "document %s can't be unpacked", d.Key)
+	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(document.Body)), maxDecompressedBytes+1))
+	if err != nil || len(body) > maxDecompressedBytes {
+		return nil, errs.New(errs.Inside, "document %s can't be unpacked", document.Key)
 	}
-	return &wire.Document{Key: d.Key, Body: body, Version: d.Version}, nil
+	return &wire.Document{Key: document.Key, Body: body, Version: document.Version}, nil
 }
--- a/internal/fleet/pack_test.go
+++ b/internal/fleet/pack_test.go
@@ -10,9 +10,9 @@
 	"pebbleloom/internal/wire"
 )
 
-func TestAListOfWorkersPacksToAFifth(t *testing.T) {
+func TestWorkerListCompressesToAFifth(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	var tab Table
+	var tab WorkerList
 	for i := range 140 {
 		tab.Workers = append(tab.Workers, Worker{ID: fmt.Sprintf("i-%010x", r.Uint64()>>24), Service: "llm", Zone: fmt.Sprint("zone-", i%4),
 			Addr: fmt.Sprintf("10.%d.64.%d:8006", i%4, i), Slots: 24, Weights: map[string]uint64{"model": 1}})
@@ -22,20 +22,20 @@
 		t.Fatal(err)
 	}
 	d := &wire.Document{Key: WorkersKey, Body: body, Version: 7}
-	p := Pack(d)
+	p := Compress(d)
 	if !p.Packed || 5*len(p.Body) > len(body) || p.Key != d.Key || p.Version != 7 {
 		t.Fatalf("%d bytes of %d", len(p.Body), len(body))
 	}
-	u, err := Unpack(p)
+	u, err := Decompress(p)
 	if err != nil || u.Packed || u.Key != d.Key || u.Version != 7 || !bytes.Equal(u.Body, body) {
 		t.Fatalf("unpacked: %v", err)
 	}
-	if Pack(p) != p {
+	if Compress(p) != p {
 		t.Error("packed twice")
 	}
 }
 
-func TestWhatPackingDoesNotShortenStays(t *testing.T) {
+func TestIncompressibleDocumentIsUnchanged(t *testing.T) {
 	short := &wire.Document{Key: "k", Body: []byte("{}")}
 	noise := &wire.Document{Key: "k", Body: make([]byte, 4096)}
 	r := rand.New(rand.NewPCG(3, 4))
@@ -43,18 +43,18 @@
 		noise.Body[i] = byte(r.Uint32())
 	}
 	for _, d := range []*wire.Document{short, noise} {
-		if Pack(d) != d {
+		if Compress(d) != d {
 			t.Errorf("%d bytes packed", len(d.Body))
 		}
-		if u, err := Unpack(d); err != nil || u != d {
+		if u, err := Decompress(d); err != nil || u != d {
 			t.Error(err)
 		}
 	}
 }
 
-func TestABrokenPackedDocumentIsAnError(t *testing.T) {
+func TestCorruptDocumentIsAnError(t *testing.T) {
 	for _, b := range [][]byte{nil, {1}, []byte("no deflated bytes")} {
-		if _, err := Unpack(&wire.Document{Key: "k", Body: b, Packed: true}); err == nil {
+		if _, err := Decompress(&wire.Document{Key: "k", Body: b, Packed: true}); err == nil {
 			t.Errorf("%q unpacked", b)
 		}
 	}
--- a/internal/sim/clustersim/proc.go
+++ b/internal/sim/clustersim/proc.go
@@ -251,7 +251,7 @@
 	if !d.p.pass() {
 		return errDead
 	}
-	stall, err := storage.Fault(d.p.m.fault())
+	stall, err := storage.ParseFault(d.p.m.fault())
 	if err != nil {
 		return err
 	}
@@ -283,9 +283,9 @@
 	return d.change(name, b, func(old, b []byte) []byte { return append(append([]byte(nil), old...), b...) })
 }
 
-// Cut shortens a file.
+// Truncate shortens a file.
 //
 // Example: err := d.Cut("log-0", 128)
-func (d *disk) Cut(name string, size int) error {
+func (d *disk) Truncate(name string, size int) error {
 	return d.change(name, nil, func(old, _ []byte) []byte { return old[:min(size, len(old))] })
 }
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -35,7 +35,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			w := daemon.RealEnvironment(settings.Place{})
-			w.Clock, w.Wall = clock.Ticking(), time.Now
+			w.Clock, w.Wall = clock.Synctest(), time.Now
 			l := daemon.NewIn(w, "cab", settings.Place{Name: "cab-1", Bounds: settings.Default(),
 				Extra: []string{"log=off", "model=m", "slots=1", "fixed_us=5000000", "token_us=0", "square_us=0"}})
 			defer l.Stop(0)
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := daemon.RealEnvironment(settings.Place{})
-		w.Clock, w.Wall = clock.Ticking(), time.Now
+		w.Clock, w.Wall = clock.Synctest(), time.Now
 		l := daemon.NewIn(w, "cab", settings.Place{Name: "cab-1", Bounds: settings.Default(),
 			Extra: append([]string{"log=off", "model=m", "slots=4", "fixed_us=1000", "load_ms=400", "adapter_ms=100", "memory=100", "model_room=40", "adapter_room=5", "adapters=a@1"}, words...)})
 		defer l.Stop(0)
