--- a/cmd/appservice-sim/main.go
+++ b/cmd/appservice-sim/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.AppServiceSim, "a simulated application service", settings.Need{Public: true}, appservicesim.Start)
+	daemon.Main(programs.AppServiceSim, "a simulated application service", settings.Required{Public: true}, appservicesim.Start)
 }
--- a/cmd/control-node/main.go
+++ b/cmd/control-node/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.ControlNode, "the control node: shards of the control state, replicated by consensus and kept on disk", settings.Need{Seeds: true, Core: true, Data: true, Operator: true}, controlstate.Start)
+	daemon.Main(programs.ControlNode, "the control node: shards of the control state, replicated by consensus and kept on disk", settings.Required{Seeds: true, Core: true, Data: true, Operator: true}, controlstate.Start)
 }
--- a/cmd/node-agent/main.go
+++ b/cmd/node-agent/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.NodeAgent, "the agent on an edge machine: configuration, proof of freshness, workers, heartbeats", settings.Need{Seeds: true, Core: true, Rank: true, Operator: true}, nodeagent.Start)
+	daemon.Main(programs.NodeAgent, "the agent on an edge machine: configuration, proof of freshness, workers, heartbeats", settings.Required{Seeds: true, Core: true, WorkerList: true, Operator: true}, nodeagent.Start)
 }
--- a/cmd/placement-controller/main.go
+++ b/cmd/placement-controller/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.PlacementController, "placement under a lease: what every worker holds, and how the long tail is spread", settings.Need{Seeds: true, Core: true}, placementcontroller.Start)
+	daemon.Main(programs.PlacementController, "placement under a lease: what every worker holds, and how the long tail is spread", settings.Required{Seeds: true, Core: true}, placementcontroller.Start)
 }
--- a/cmd/platform-sim/main.go
+++ b/cmd/platform-sim/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.PlatformSim, "a simulated platform that lists workers and probes edge nodes", settings.Need{Public: true}, platformsim.Start)
+	daemon.Main(programs.PlatformSim, "a simulated platform that lists workers and probes edge nodes", settings.Required{Public: true}, platformsim.Start)
 }
--- a/cmd/prompt-index/main.go
+++ b/cmd/prompt-index/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.PromptIndex, "an index node: which workers hold each prompt prefix, and how hot it is", settings.Need{Seeds: true, Runner: true}, promptindex.Start)
+	daemon.Main(programs.PromptIndex, "an index node: which workers hold each prompt prefix, and how hot it is", settings.Required{Seeds: true, NodeAgent: true}, promptindex.Start)
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.Proxy, "the edge proxy: forwards a request to a worker and streams the sealed response back", settings.Need{Public: true, Runner: true, Core: true}, callerproxy.Start)
+	daemon.Main(programs.Proxy, "the edge proxy: forwards a request to a worker and streams the sealed response back", settings.Required{Public: true, NodeAgent: true, Core: true}, callerproxy.Start)
 }
--- a/cmd/store-sim/main.go
+++ b/cmd/store-sim/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.StoreSim, "a simulated prompt store", settings.Need{Public: true}, storesim.Start)
+	daemon.Main(programs.StoreSim, "a simulated prompt store", settings.Required{Public: true}, storesim.Start)
 }
--- a/cmd/worker-sim/main.go
+++ b/cmd/worker-sim/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	daemon.Main(programs.WorkerSim, "a simulated language-model worker", settings.Need{Public: true}, workersim.Start)
+	daemon.Main(programs.WorkerSim, "a simulated language-model worker", settings.Required{Public: true}, workersim.Start)
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -125,7 +125,7 @@
 	}
 	if err != nil {
 		writeError(bad, r.asJSON, err)
-		return errs.KindOf(err).Exit
+		return errs.KindOf(err).ExitCode
 	}
 	if needsAttention(result) {
 		return exitWrong
@@ -148,7 +148,7 @@
 	}
 	client, err := operator.NewClient("http://"+r.node, operator.WithClient(&http.Client{Transport: keyTransport{key, transport}}))
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "node "+r.node)
+		return nil, errs.WrapAs(err, errs.BadInput, "node "+r.node)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -54,7 +54,7 @@
 	tree := newCommandTree(parser)
 	words, err := set.ParseStrict(parser, args)
 	if err == nil {
-		err = errs.As(parser.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
 		return nil, err
@@ -147,10 +147,10 @@
 	var b errs.Batch
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if pairs[i+1] == "" {
-			b.Fault(errs.BadInput, "--%s is missing: give it", pairs[i])
+			b.Addf(errs.BadInput, "--%s is missing: give it", pairs[i])
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
 
 func read(r *request, in io.Reader) ([]byte, error) {
@@ -165,7 +165,7 @@
 		b, err = os.ReadFile(r.file)
 	}
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "read file")
+		return nil, errs.WrapAs(err, errs.BadInput, "read file")
 	}
 	if !json.Valid(b) {
 		return nil, errs.New(errs.BadInput, "%s isn't JSON: correct it first", r.file)
--- a/internal/cli/transport.go
+++ b/internal/cli/transport.go
@@ -36,30 +36,30 @@
 		return os.Getenv("PEBBLELOOM_KEY"), nil
 	}
 	raw, err := os.ReadFile(r.keyFile)
-	return strings.TrimSpace(string(raw)), errs.As(err, errs.BadInput, "--operator-key")
+	return strings.TrimSpace(string(raw)), errs.WrapAs(err, errs.BadInput, "--operator-key")
 }
 
 // typedError restores the kind of an error in a response.
 func typedError(err error, node string) error {
 	var d *operator.DeniedStatusCode
 	if errors.As(err, &d) {
-		return errs.New(errs.Named(d.Response.Kind), "%s", d.Response.Message)
+		return errs.New(errs.KindNamed(d.Response.Kind), "%s", d.Response.Message)
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return errs.New(errs.CantSay, "node %s can't be reached: name another with --node", node)
+		return errs.New(errs.OutcomeUnknown, "node %s can't be reached: name another with --node", node)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return errs.New(errs.MayHaveRun, "node %s gave no answer in time", node)
+		return errs.New(errs.MayHaveExecuted, "node %s gave no answer in time", node)
 	}
 	if strings.Contains(err.Error(), "decode response: ") || strings.Contains(err.Error(), "malformed HTTP") {
-		return errs.As(err, errs.BadInput, "--node "+node+": something else answers there: give an operator address, as `pebblectl nodes` lists them (on a platform site: a core machine's third internal port)")
+		return errs.WrapAs(err, errs.BadInput, "--node "+node+": something else answers there: give an operator address, as `pebblectl nodes` lists them (on a platform site: a core machine's third internal port)")
 	}
 	if u := (*url.Error)(nil); errors.As(err, &u) {
-		return errs.As(err, errs.MayHaveRun, "node "+node+" broke off")
+		return errs.WrapAs(err, errs.MayHaveExecuted, "node "+node+" broke off")
 	}
-	if errs.KindOf(err) == errs.Inside && strings.Contains(err.Error(), "encode request: validate") {
-		return errs.As(err, errs.BadInput, "command")
+	if errs.KindOf(err) == errs.Internal && strings.Contains(err.Error(), "encode request: validate") {
+		return errs.WrapAs(err, errs.BadInput, "command")
 	}
 	return err
 }
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -44,7 +44,7 @@
 					}
 					for i := range s.Processes {
 						if s.Processes[i].Program == programs.WorkerSim { // the first word of a name counts
-							s.Processes[i].Place.Extra = append([]string{w}, s.Processes[i].Place.Extra...)
+							s.Processes[i].Place.Options = append([]string{w}, s.Processes[i].Place.Options...)
 						}
 					}
 				}
