--- a/internal/data/proxy/conn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -276,7 +276,7 @@
 }
 
 // Who no longer holds a connection neither ends nor rests it.
-func TestFormerOwnerNeitherClosesNorReleases(t *testing.T) {
+func TestFormerHolderNeitherClosesNorReleases(t *testing.T) {
 	l := newWorkerConn(&fakeConn{n: 9}, time.Hour, func() {})
 	l.acquire(1)
 	l.acquire(2)
