--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -351,7 +351,7 @@
 // dropOldBase unloads the old base from the nodes, a few at once.
 func (s *evaluation) dropOldBase(clear bool) {
 	if m := s.retirement.routeMoves(s.observed.Config); len(m) > 0 {
-		s.addBlocker(queue.Keys(m)[0], "this route is answered on the old base again, which is leaving", "lead it to "+s.retirement.NewBase+": desk setup patch")
+		s.addBlocker(queue.Keys(m)[0], "this route is answered on the old base again, which is leaving", "lead it to "+s.retirement.NewBase+": pebblectl config patch")
 		return
 	}
 	having := map[string]*Node{}
