--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -9,143 +9,142 @@
 	"pebbleloom/internal/wire"
 )
 
-// A worker whose first pieces don't come is behind, whatever it last said of its load: others are
-// selected, and what it keeps is fetched from it.
-func TestAWorkerWhoseFirstPiecesAreLateIsSpared(t *testing.T) {
-	e := newEdge(fleetOf(18))
-	h := e.home(t, "p")
-	e.setHolders("p", promptindex.Confirmed, h)
-	r := e.ask("p", 13000)
-	c := e.must(t, r)
-	if c.Worker.ID != h {
-		t.Fatalf("%s, not its home %s", c.Worker.ID, h)
-	}
-	e.recordSent(r, c, e.now)
-	e.now += 2 * route.LatencyTarget
+// A worker whose first events are late is backlogged, whatever load it reported last: others are selected,
+// and fetch from it what it caches.
+func TestWorkerWithLateFirstEventsIsAvoided(t *testing.T) {
+	edge := newEdge(newFleet(18))
+	home := edge.homeOf(t, "p")
+	edge.setHolders("p", promptindex.Confirmed, home)
+	request := edge.newRequest("p", 13000)
+	choice := edge.mustSelect(t, request)
+	if choice.Worker.ID != home {
+		t.Fatalf("%s, not its home %s", choice.Worker.ID, home)
+	}
+	edge.recordSent(request, choice, edge.now)
+	edge.now += 2 * route.LatencyTarget
 	for range 10 {
-		if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h || c.Fetch != h+":1" {
-			t.Fatalf("%s, fetching from %q, though %s is late", c.Worker.ID, c.Fetch, h)
+		if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home || choice.Fetch != home+":1" {
+			t.Fatalf("%s, fetching from %q, though %s is late", choice.Worker.ID, choice.Fetch, home)
 		}
 	}
-	// Once it has come, how late it was still counts for a while.
-	e.recordFirstEvent(r, c, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, e.now)
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
-		t.Error("forgotten at once")
+	// Once it has come, its lateness still counts for a while.
+	edge.recordFirstEvent(request, choice, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, edge.now)
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
+		t.Error("the lateness doesn't count after the first event")
 	}
-	e.now += 8 * e.bounds.Heal(loadTuning.fadeRatio)
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
-		t.Errorf("%s, though %s is free again", c.Worker.ID, h)
+	edge.now += 8 * edge.bounds.Heal(loadTuning.fadeRatio)
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
+		t.Errorf("%s, though %s is free again", choice.Worker.ID, home)
 	}
 }
 
-// What a worker says of its load counts from its first piece on, not from its answer's end.
-func TestLoadIsHeardAtTheFirstPiece(t *testing.T) {
-	e := newEdge(fleetOf(18))
-	h := e.home(t, "p")
-	e.setHolders("p", promptindex.Confirmed, h)
-	for i := range 4 { // what a prompt takes here is known by then
-		r := e.ask(fmt.Sprint("x", i), 13000)
-		e.serve(r, e.must(t, r), 150*time.Millisecond)
-	}
-	r := e.ask("p", 13000)
-	c := e.must(t, r)
-	e.recordSent(r, c, e.now)
-	e.now += 40 * time.Millisecond
-	e.recordFirstEvent(r, c, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, e.now)
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h {
-		t.Errorf("%s is selected, though 30 wait there", h)
-	}
-	if x := e.layout.groups["llm"].candidates[e.layout.groups["llm"].index[h]].stats; x.inFlight != 1 || len(x.pendingPrefills) != 0 {
-		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.pendingPrefills))
-	}
-	e.recordOutcome(r, c, Completed, nil, 40*time.Millisecond, e.now)
-	if x := e.layout.groups["llm"].candidates[e.layout.groups["llm"].index[h]].stats; x.inFlight != 0 || len(x.pendingPrefills) != 0 {
-		t.Errorf("%d under way, %d of them unread", x.inFlight, len(x.pendingPrefills))
+// The load that a worker reports counts from the attempt's first event on, not from its end.
+func TestLoadCountsFromTheFirstEvent(t *testing.T) {
+	edge := newEdge(newFleet(18))
+	home := edge.homeOf(t, "p")
+	edge.setHolders("p", promptindex.Confirmed, home)
+	for i := range 4 { // the time of prefill is known by then
+		request := edge.newRequest(fmt.Sprint("x", i), 13000)
+		edge.serve(request, edge.mustSelect(t, request), 150*time.Millisecond)
+	}
+	request := edge.newRequest("p", 13000)
+	choice := edge.mustSelect(t, request)
+	edge.recordSent(request, choice, edge.now)
+	edge.now += 40 * time.Millisecond
+	edge.recordFirstEvent(request, choice, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, edge.now)
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
+		t.Errorf("%s is selected, though 30 wait there", home)
+	}
+	if x := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; x.inFlight != 1 || len(x.pendingPrefills) != 0 {
+		t.Errorf("%d in flight, %d without a first event", x.inFlight, len(x.pendingPrefills))
+	}
+	edge.recordOutcome(request, choice, Completed, nil, 40*time.Millisecond, edge.now)
+	if x := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; x.inFlight != 0 || len(x.pendingPrefills) != 0 {
+		t.Errorf("%d in flight, %d without a first event", x.inFlight, len(x.pendingPrefills))
 	}
 }
 
-// While weights are rolled out, prompts are drawn to the newer ones, but not into a queue: where
-// those workers are behind, the older ones go on.
-func TestPromptsAreNotDrawnIntoAQueue(t *testing.T) {
-	s := fleetOf(18)
-	s.Named["m"], s.NamedAt["m"] = 2, start+time.Minute
+// During a rollout prompts are assigned to the newer weights, but not into a queue: if those workers are
+// backlogged, the older ones are selected.
+func TestPromptsAreNotAssignedToBackloggedWorkers(t *testing.T) {
+	snapshot := newFleet(18)
+	snapshot.Named["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	for i := range 6 {
-		s.Workers[i].Weights = map[string]uint64{"m": 2}
+		snapshot.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
-	e := newEdge(s)
-	e.startedAt = start - time.Hour
-	e.now += time.Second
-	newer := func(i int) bool {
-		r := e.ask(fmt.Sprint("p", i), 13000)
-		c := e.must(t, r)
-		return c.Weights == 2
+	edge := newEdge(snapshot)
+	edge.startedAt = processStart - time.Hour
+	edge.now += time.Second
+	isAssigned := func(i int) bool {
+		request := edge.newRequest(fmt.Sprint("p", i), 13000)
+		choice := edge.mustSelect(t, request)
+		return choice.Weights == 2
 	}
-	drawn := 0
+	assigned := 0
 	for i := range 100 {
-		if newer(i) {
-			drawn++
+		if isAssigned(i) {
+			assigned++
 		}
 	}
-	if drawn < 20 || drawn > 80 {
-		t.Errorf("%d of 100 are drawn to a third of the workers", drawn)
+	if assigned < 20 || assigned > 80 {
+		t.Errorf("%d of 100 are assigned to a third of the workers", assigned)
 	}
-	for _, x := range e.layoutFor(s).groups["llm"].candidates[:6] {
-		x.stats.latenessMs, x.stats.latenessAt = 4*route.LatencyTarget.Seconds()*1e3, e.now
+	for _, x := range edge.layoutFor(snapshot).groups["llm"].candidates[:6] {
+		x.stats.latenessMs, x.stats.latenessAt = 4*route.LatencyTarget.Seconds()*1e3, edge.now
 	}
 	for i := range 100 {
-		if newer(i) {
-			t.Fatal("drawn to workers that are behind")
+		if isAssigned(i) {
+			t.Fatal("assigned to backlogged workers")
 		}
 	}
 }
 
-// A copy takes the room of another part: a holder is selected though a little waits there, and the
-// part's home isn't there.
-func TestNoCopyIsMadeForAShortWait(t *testing.T) {
-	e := newEdge(fleetOf(18))
-	e.must(t, e.ask("p", 13000))
-	var h *candidate
-	for i := range e.layout.groups["llm"].candidates {
-		if x := &e.layout.groups["llm"].candidates[i]; x.worker.Zone == "d0" && x.worker.ID != e.home(t, "p") {
-			h = x
+// A copy evicts another part: a holder that isn't the part's home is selected despite a short wait.
+func TestHolderWithShortWaitIsPreferredToCopy(t *testing.T) {
+	edge := newEdge(newFleet(18))
+	edge.mustSelect(t, edge.newRequest("p", 13000))
+	var holder *candidate
+	for i := range edge.layout.groups["llm"].candidates {
+		if x := &edge.layout.groups["llm"].candidates[i]; x.worker.Zone == "d0" && x.worker.ID != edge.homeOf(t, "p") {
+			holder = x
 		}
 	}
-	e.setHolders("p", promptindex.Confirmed, h.worker.ID)
-	read := 13000 * h.stats.service.msPerToken
-	h.stats.latenessMs, h.stats.latenessAt = 0.3*read, e.now
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h.worker.ID {
-		t.Errorf("%s, for a wait of %.0f ms where %.0f would be read", c.Worker.ID, h.stats.latenessMs, read)
+	edge.setHolders("p", promptindex.Confirmed, holder.worker.ID)
+	prefillMs := 13000 * holder.stats.service.msPerToken
+	holder.stats.latenessMs, holder.stats.latenessAt = 0.3*prefillMs, edge.now
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != holder.worker.ID {
+		t.Errorf("%s, for a wait of %.0f ms where prefill takes %.0f", choice.Worker.ID, holder.stats.latenessMs, prefillMs)
 	}
-	h.stats.latenessMs = 2 * read
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID == h.worker.ID || c.Fetch != h.worker.Addr {
-		t.Errorf("%s, fetching from %q, though %.0f ms wait at %s", c.Worker.ID, c.Fetch, h.stats.latenessMs, h.worker.ID)
+	holder.stats.latenessMs = 2 * prefillMs
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == holder.worker.ID || choice.Fetch != holder.worker.Addr {
+		t.Errorf("%s, fetching from %q, despite a wait of %.0f ms at %s", choice.Worker.ID, choice.Fetch, holder.stats.latenessMs, holder.worker.ID)
 	}
 }
 
-// Being drawn to newer weights costs an older worker no more than the time of reading the shared
-// parts there: the first reading under new weights has no other price.
-func TestADrawWeighsNoMoreThanReading(t *testing.T) {
-	s := fleetOf(18)
-	s.Named["m"], s.NamedAt["m"] = 2, start+time.Minute
+// The assignment to newer weights costs an older worker no more than the time of prefilling the shared
+// parts: the first prefill under new weights has no cost beside its time.
+func TestAssignmentToNewWeightsCostsNoMoreThanPrefill(t *testing.T) {
+	snapshot := newFleet(18)
+	snapshot.Named["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	for i := range 12 {
-		s.Workers[i].Weights = map[string]uint64{"m": 2}
+		snapshot.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
-	e := newEdge(s)
-	e.startedAt = start - time.Hour
-	e.now += time.Second
-	for _, x := range e.layoutFor(s).groups["llm"].candidates[:12] {
-		x.stats.latenessMs, x.stats.latenessAt = 2.5*13000*x.stats.service.msPerToken, e.now
+	edge := newEdge(snapshot)
+	edge.startedAt = processStart - time.Hour
+	edge.now += time.Second
+	for _, x := range edge.layoutFor(snapshot).groups["llm"].candidates[:12] {
+		x.stats.latenessMs, x.stats.latenessAt = 2.5*13000*x.stats.service.msPerToken, edge.now
 	}
 	for i := range 50 {
 		part := fmt.Sprint("p", i)
-		e.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = found("w13", "w14", "w15", "w16", "w17")
-		if c := e.must(t, e.ask(part, 13000)); c.Weights != 1 {
-			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that keep the part are free", part, 2.5*13000*e.services["llm"].msPerToken)
+		edge.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = confirmedAt("w13", "w14", "w15", "w16", "w17")
+		if choice := edge.mustSelect(t, edge.newRequest(part, 13000)); choice.Weights != 1 {
+			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that cache the part are free", part, 2.5*13000*edge.services["llm"].msPerToken)
 		}
 	}
 }
 
-func found(holders ...string) *wire.LookupResult {
+func confirmedAt(holders ...string) *wire.LookupResult {
 	f := &wire.LookupResult{Hotness: 1}
 	for _, h := range holders {
 		f.Holders = append(f.Holders, &wire.Holder{Worker: h, State: promptindex.Confirmed})
--- /dev/null
+++ b/internal/data/selection/cachesimulation_test.go
@@ -0,0 +1,192 @@
+package selection
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/promptindex"
+	"pebbleloom/internal/fleet"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// cacheSimulation simulates workers that cache what they prefill, a store, an index that learns of it late,
+// and edge machines that look up in it. Its clock is moved by hand.
+type cacheSimulation struct {
+	snapshot         *fleet.Snapshot
+	random           *rand.Rand
+	edges            []*testEdge
+	cachedAt         map[string]map[prefix.Key]time.Duration // by worker or store: cached from then on
+	everPrefilled    map[prefix.Key]bool
+	prefills         int
+	repeatedPrefills int
+	savesByKey       map[prefix.Key]int
+	indexLag         time.Duration
+	lostLookupRatio  float64 // share of lookups without a response
+	pendingOutcomes  []func()
+	outcomesAt       []time.Duration
+}
+
+func newCacheSimulation(n, edges int, seed uint64) *cacheSimulation {
+	simulation := &cacheSimulation{snapshot: newFleet(n), random: rand.New(rand.NewPCG(seed, 3)), cachedAt: map[string]map[prefix.Key]time.Duration{}, everPrefilled: map[prefix.Key]bool{},
+		savesByKey: map[prefix.Key]int{}, indexLag: time.Second}
+	for range edges {
+		simulation.edges = append(simulation.edges, &testEdge{table: newTable(settings.DefaultBounds(), processStart), snapshot: simulation.snapshot})
+	}
+	return simulation
+}
+
+func (simulation *cacheSimulation) isCached(id string, k prefix.Key, now time.Duration) bool {
+	at, ok := simulation.cachedAt[id][k]
+	return ok && at <= now
+}
+
+func (simulation *cacheSimulation) cache(id string, k prefix.Key, now time.Duration) {
+	if simulation.cachedAt[id] == nil {
+		simulation.cachedAt[id] = map[prefix.Key]time.Duration{}
+	}
+	if _, ok := simulation.cachedAt[id][k]; !ok {
+		simulation.cachedAt[id][k] = now
+	}
+}
+
+// lookUp responds as the index would: with what was cached a while ago.
+func (simulation *cacheSimulation) lookUp(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
+	if len(keys) == 0 || simulation.random.Float64() < simulation.lostLookupRatio {
+		return nil
+	}
+	results := map[prefix.Key]*wire.LookupResult{}
+	for _, key := range keys {
+		result := &wire.LookupResult{}
+		if key == promptindex.StoreHealthKey("store") {
+			result.Holders = append(result.Holders, &wire.Holder{Worker: "store", State: promptindex.Presumed})
+		}
+		for id := range simulation.cachedAt {
+			if simulation.isCached(id, key, now-simulation.indexLag) {
+				result.Holders = append(result.Holders, &wire.Holder{Worker: id, State: promptindex.Confirmed})
+			}
+		}
+		results[key] = result
+	}
+	return results
+}
+
+func (simulation *cacheSimulation) sendRequest(number int, partCount int, now time.Duration) {
+	edge := simulation.edges[simulation.random.IntN(len(simulation.edges))]
+	edge.snapshot = simulation.snapshot
+	request := &Request{ID: fmt.Sprint("r", number), Service: "llm", Route: route, Zone: fmt.Sprint("d", simulation.random.IntN(4)), Model: "m", PromptTokens: 15000,
+		Parts: []PromptPart{{fmt.Sprint("t", simulation.random.IntN(partCount)), 13000}, {fmt.Sprint("own", number), 2000}}}
+	found := simulation.lookUp(edge.table.lookupKeys(simulation.snapshot, request, now), now)
+	choice, ok := edge.selectWorker(simulation.snapshot, request, found, nil, now)
+	if !ok {
+		return
+	}
+	edge.recordSent(request, choice, now)
+	key := promptindex.PartKey(choice.Salt, request.Parts[0].ID)
+	firstEvent := 30 * time.Millisecond
+	switch cachedFrom, ok := simulation.cachedAt[choice.Worker.ID][key]; {
+	case ok && cachedFrom <= now:
+	case ok:
+		firstEvent += cachedFrom - now // it is still prefilling the part for another request
+	default:
+		source := ""
+		for id := range simulation.cachedAt {
+			if choice.Fetch != "" && (choice.Fetch == id+":1" || choice.Fetch == "store:1" && id == "store") {
+				source = id
+			}
+		}
+		if source != "" && simulation.isCached(source, key, now) {
+			firstEvent += 10 * time.Millisecond
+		} else {
+			firstEvent += 100 * time.Millisecond
+			simulation.prefills++
+			if simulation.everPrefilled[key] {
+				simulation.repeatedPrefills++
+			}
+			simulation.everPrefilled[key] = true
+		}
+		simulation.cache(choice.Worker.ID, key, now+firstEvent)
+	}
+	if choice.Save != "" {
+		simulation.savesByKey[key]++
+		simulation.cache("store", key, now+firstEvent)
+	}
+	simulation.outcomesAt = append(simulation.outcomesAt, now+2*firstEvent)
+	simulation.pendingOutcomes = append(simulation.pendingOutcomes, func() { edge.recordOutcome(request, choice, Completed, nil, firstEvent, now+2*firstEvent) })
+}
+
+func (simulation *cacheSimulation) run(requests, partCount int, interval time.Duration) {
+	now := processStart + time.Minute
+	for n := range requests {
+		for i := 0; i < len(simulation.outcomesAt); i++ {
+			if simulation.outcomesAt[i] <= now {
+				simulation.pendingOutcomes[i]()
+				simulation.outcomesAt, simulation.pendingOutcomes = append(simulation.outcomesAt[:i:i], simulation.outcomesAt[i+1:]...), append(simulation.pendingOutcomes[:i:i], simulation.pendingOutcomes[i+1:]...)
+				i--
+			}
+		}
+		simulation.sendRequest(n, partCount, now)
+		now += interval
+	}
+}
+
+// Nine edge machines know of each other by an index that is a second late: a shared part is prefilled once
+// and hardly ever again, and saved in the store about once.
+func TestSharedPartsArePrefilledOnce(t *testing.T) {
+	for seed := range uint64(5) {
+		simulation := newCacheSimulation(18, 9, seed)
+		simulation.run(4000, 250, 10*time.Millisecond)
+		if simulation.prefills < 200 || simulation.repeatedPrefills*50 > simulation.prefills {
+			t.Errorf("seed %d: %d prefills, %d of them repeated", seed, simulation.prefills, simulation.repeatedPrefills)
+		}
+		n := 0
+		for _, x := range simulation.savesByKey {
+			n += x
+		}
+		if len(simulation.savesByKey) < 200 || n > 2*len(simulation.savesByKey) {
+			t.Errorf("seed %d: %d parts saved in the store %d times", seed, len(simulation.savesByKey), n)
+		}
+	}
+}
+
+// The same if a third of the lookups gets no response.
+func TestSharedPartsArePrefilledOnceDespiteLostLookups(t *testing.T) {
+	simulation := newCacheSimulation(18, 9, 9)
+	simulation.lostLookupRatio = 1.0 / 3
+	simulation.run(4000, 250, 10*time.Millisecond)
+	if simulation.repeatedPrefills*20 > simulation.prefills {
+		t.Errorf("%d prefills, %d of them repeated", simulation.prefills, simulation.repeatedPrefills)
+	}
+}
+
+// No worker prefills more than three times the mean.
+func TestSharedPartsSpreadOverWorkers(t *testing.T) {
+	simulation := newCacheSimulation(18, 9, 4)
+	simulation.run(4000, 250, 10*time.Millisecond)
+	greatest := 0
+	for id, m := range simulation.cachedAt {
+		if id != "store" {
+			greatest = max(greatest, len(m))
+		}
+	}
+	if greatest > 3*simulation.prefills/18+5 {
+		t.Errorf("one worker caches %d of %d parts", greatest, simulation.prefills)
+	}
+}
+
+func BenchmarkSelectOf140(b *testing.B) {
+	edge := newEdge(newFleet(140))
+	for i := range 20 {
+		edge.setHolders(fmt.Sprint("p", i), promptindex.Confirmed, fmt.Sprint("w", i), fmt.Sprint("w", 3*i), "store")
+	}
+	for i := range b.N {
+		request := edge.newRequest(fmt.Sprint("p", i%20), 13000)
+		choice, _ := edge.selectWorker(edge.snapshot, request, edge.found, nil, edge.now)
+		edge.recordSent(request, choice, edge.now)
+		edge.recordOutcome(request, choice, Completed, &Load{Running: 3, Slots: 128}, 40*time.Millisecond, edge.now)
+		edge.now += time.Millisecond
+	}
+}
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -14,102 +14,102 @@
 	"pebbleloom/internal/wire"
 )
 
-const start = time.Hour
+const processStart = time.Hour
 
-// edge is one edge machine's table with a clock moved by hand.
-type edge struct {
+// testEdge is one edge machine's table with a clock moved by hand.
+type testEdge struct {
 	*table
-	s     *fleet.Snapshot
-	now   time.Duration
-	found map[prefix.Key]*wire.LookupResult
-	n     int
+	snapshot     *fleet.Snapshot
+	now          time.Duration
+	found        map[prefix.Key]*wire.LookupResult
+	requestCount int
 }
 
-func fleetOf(n int) *fleet.Snapshot {
-	s := &fleet.Snapshot{Edges: 9, Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
+func newFleet(n int) *fleet.Snapshot {
+	snapshot := &fleet.Snapshot{Edges: 9, Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, CapacityTokens: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
 			{Name: "app"},
 			{Name: "store", Store: &routingconfig.Store{Addr: "store:1", Zone: "d0", LinkMbps: 150000}}}}}
 	for i := range n {
-		s.Workers = append(s.Workers, fleet.Worker{ID: fmt.Sprint("w", i), Service: "llm", Addr: fmt.Sprintf("w%d:1", i),
+		snapshot.Workers = append(snapshot.Workers, fleet.Worker{ID: fmt.Sprint("w", i), Service: "llm", Addr: fmt.Sprintf("w%d:1", i),
 			Zone: fmt.Sprint("d", i%4), Slots: 128, Weights: map[string]uint64{"m": 1}})
 	}
-	return s
+	return snapshot
 }
 
-func newEdge(s *fleet.Snapshot) *edge {
-	return &edge{table: newTable(settings.DefaultBounds(), start), s: s, now: start + time.Minute, found: map[prefix.Key]*wire.LookupResult{}}
+func newEdge(snapshot *fleet.Snapshot) *testEdge {
+	return &testEdge{table: newTable(settings.DefaultBounds(), processStart), snapshot: snapshot, now: processStart + time.Minute, found: map[prefix.Key]*wire.LookupResult{}}
 }
 
 var route = &routingconfig.Route{Kind: routingconfig.EventStream, LatencyTarget: 400 * time.Millisecond, Priority: 4, NamesPromptParts: true}
 
-func (e *edge) ask(shared string, tokens int) *Request {
-	e.n++
-	r := &Request{ID: fmt.Sprint("r", e.n), Service: "llm", Route: route, Zone: "d0", Model: "m", PromptTokens: tokens + 1000}
+func (edge *testEdge) newRequest(shared string, tokens int) *Request {
+	edge.requestCount++
+	request := &Request{ID: fmt.Sprint("r", edge.requestCount), Service: "llm", Route: route, Zone: "d0", Model: "m", PromptTokens: tokens + 1000}
 	if shared != "" {
-		r.Parts = append(r.Parts, PromptPart{shared, tokens})
+		request.Parts = append(request.Parts, PromptPart{shared, tokens})
 	}
-	r.Parts = append(r.Parts, PromptPart{fmt.Sprint("own", e.n), 1000})
-	return r
+	request.Parts = append(request.Parts, PromptPart{fmt.Sprint("own", edge.requestCount), 1000})
+	return request
 }
 
-func (e *edge) must(t *testing.T, r *Request, tried ...string) Choice {
+func (edge *testEdge) mustSelect(t *testing.T, request *Request, tried ...string) Choice {
 	t.Helper()
-	m := map[string]bool{}
-	for _, x := range tried {
-		m[x] = true
+	triedWorkers := map[string]bool{}
+	for _, id := range tried {
+		triedWorkers[id] = true
 	}
-	c, ok := e.selectWorker(e.s, r, e.found, m, e.now)
+	choice, ok := edge.selectWorker(edge.snapshot, request, edge.found, triedWorkers, edge.now)
 	if !ok {
-		t.Fatal("nobody was selected")
+		t.Fatal("none was selected")
 	}
-	return c
+	return choice
 }
 
 // setHolders sets the index's holders of a part.
-func (e *edge) setHolders(part string, state uint32, holders ...string) {
-	f := &wire.LookupResult{Hotness: 1}
-	for _, h := range holders {
-		f.Holders = append(f.Holders, &wire.Holder{Worker: h, State: state})
+func (edge *testEdge) setHolders(part string, certainty uint32, holders ...string) {
+	found := &wire.LookupResult{Hotness: 1}
+	for _, holder := range holders {
+		found.Holders = append(found.Holders, &wire.Holder{Worker: holder, State: certainty})
 	}
-	e.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = f
+	edge.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = found
 }
 
-func (e *edge) serve(r *Request, c Choice, first time.Duration) {
-	e.recordSent(r, c, e.now)
-	e.now += first
-	e.recordOutcome(r, c, Completed, nil, first, e.now)
+func (edge *testEdge) serve(request *Request, choice Choice, firstEvent time.Duration) {
+	edge.recordSent(request, choice, edge.now)
+	edge.now += firstEvent
+	edge.recordOutcome(request, choice, Completed, nil, firstEvent, edge.now)
 }
 
-// home is where a cold part is read.
-func (e *edge) home(t *testing.T, part string) string {
-	return newEdge(e.s).must(t, e.ask(part, 13000)).Worker.ID
+// homeOf is the worker that prefills a cold part.
+func (edge *testEdge) homeOf(t *testing.T, part string) string {
+	return newEdge(edge.snapshot).mustSelect(t, edge.newRequest(part, 13000)).Worker.ID
 }
 
-func other(id string) string {
+func otherWorker(id string) string {
 	if id == "w7" {
 		return "w8"
 	}
 	return "w7"
 }
 
-// Several edges that know nothing of each other send a cold part to one worker, from any zone.
-func TestAColdPartIsReadAtOnePlace(t *testing.T) {
-	s := fleetOf(18)
+// Edge machines that know nothing of each other send a cold part to one worker, from any zone.
+func TestColdPartIsPrefilledAtOneWorker(t *testing.T) {
+	snapshot := newFleet(18)
 	seen := map[string]bool{}
 	for p := range 40 {
 		part, at := fmt.Sprint("p", p), ""
 		for d := range 4 {
-			e := newEdge(s)
-			e.n = 100 * d
-			r := e.ask(part, 13000)
-			r.Zone = fmt.Sprint("d", d)
-			c := e.must(t, r)
-			if at != "" && at != c.Worker.ID {
-				t.Errorf("%s: %s and %s", part, at, c.Worker.ID)
+			edge := newEdge(snapshot)
+			edge.requestCount = 100 * d
+			request := edge.newRequest(part, 13000)
+			request.Zone = fmt.Sprint("d", d)
+			choice := edge.mustSelect(t, request)
+			if at != "" && at != choice.Worker.ID {
+				t.Errorf("%s: %s and %s", part, at, choice.Worker.ID)
 			}
-			at = c.Worker.ID
+			at = choice.Worker.ID
 		}
 		seen[at] = true
 	}
@@ -118,52 +118,52 @@
 	}
 }
 
-func TestAHolderIsSelected(t *testing.T) {
-	e := newEdge(fleetOf(18))
-	h := other(e.home(t, "p"))
-	e.setHolders("p", promptindex.Confirmed, h)
-	c := e.must(t, e.ask("p", 13000))
-	if c.Worker.ID == h && c.Fetch != "" || c.Worker.ID != h && c.Fetch != h+":1" {
-		t.Errorf("%s, fetching from %q; %s keeps it", c.Worker.ID, c.Fetch, h)
-	}
-	// What is only presumed may not be there yet: it isn't worth the risk.
-	e.setHolders("p", promptindex.Presumed, h)
-	if c = e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
-		t.Errorf("%s, though %s is reading it", c.Worker.ID, h)
+func TestHolderIsSelected(t *testing.T) {
+	edge := newEdge(newFleet(18))
+	holder := otherWorker(edge.homeOf(t, "p"))
+	edge.setHolders("p", promptindex.Confirmed, holder)
+	choice := edge.mustSelect(t, edge.newRequest("p", 13000))
+	if choice.Worker.ID == holder && choice.Fetch != "" || choice.Worker.ID != holder && choice.Fetch != holder+":1" {
+		t.Errorf("%s, fetching from %q; %s caches it", choice.Worker.ID, choice.Fetch, holder)
+	}
+	// A presumed part may not be cached yet: fetching it isn't worth the risk.
+	edge.setHolders("p", promptindex.Presumed, holder)
+	if choice = edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != holder {
+		t.Errorf("%s, though %s is prefilling it", choice.Worker.ID, holder)
 	}
 }
 
-func TestALoadedHolderIsSpared(t *testing.T) {
-	e := newEdge(fleetOf(18))
-	h := e.home(t, "p")
-	e.setHolders("p", promptindex.Confirmed, h)
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h || c.Fetch != "" {
-		t.Fatalf("calm: %s, %q", c.Worker.ID, c.Fetch)
-	}
-	for _, w := range e.s.Workers {
-		l := Load{Running: 10, Slots: 128}
-		if w.ID == h {
-			l = Load{Running: 128, Waiting: 200, Slots: 128}
+func TestLoadedHolderIsAvoided(t *testing.T) {
+	edge := newEdge(newFleet(18))
+	home := edge.homeOf(t, "p")
+	edge.setHolders("p", promptindex.Confirmed, home)
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home || choice.Fetch != "" {
+		t.Fatalf("no load: %s, %q", choice.Worker.ID, choice.Fetch)
+	}
+	for _, worker := range edge.snapshot.Workers {
+		load := Load{Running: 10, Slots: 128}
+		if worker.ID == home {
+			load = Load{Running: 128, Waiting: 200, Slots: 128}
 		}
-		x := e.layoutFor(e.s).groups["llm"].candidates[e.layout.groups["llm"].index[w.ID]]
-		e.recordLoad(x.stats, &l, e.now)
+		loaded := edge.layoutFor(edge.snapshot).groups["llm"].candidates[edge.layout.groups["llm"].index[worker.ID]]
+		edge.recordLoad(loaded.stats, &load, edge.now)
 	}
-	c := e.must(t, e.ask("p", 13000))
-	if c.Worker.ID == h || c.Fetch != h+":1" {
-		t.Errorf("loaded: %s, fetching from %q", c.Worker.ID, c.Fetch)
+	choice := edge.mustSelect(t, edge.newRequest("p", 13000))
+	if choice.Worker.ID == home || choice.Fetch != home+":1" {
+		t.Errorf("loaded: %s, fetching from %q", choice.Worker.ID, choice.Fetch)
 	}
-	e.now += e.bounds.Heal(1) // an old word says nothing
-	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != h {
-		t.Errorf("later: %s", c.Worker.ID)
+	edge.now += edge.bounds.Heal(1) // an old report has faded
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
+		t.Errorf("later: %s", choice.Worker.ID)
 	}
 }
 
-func TestTheNearSourceIsTakenAndTheStoreLast(t *testing.T) {
-	e := newEdge(fleetOf(18))
-	h := e.home(t, "p")
-	i := e.layoutFor(e.s).groups["llm"].index[h]
+func TestSourceInZoneIsPreferredAndStoreComesLast(t *testing.T) {
+	edge := newEdge(newFleet(18))
+	home := edge.homeOf(t, "p")
+	i := edge.layoutFor(edge.snapshot).groups["llm"].index[home]
 	near, far := "", ""
-	for j, w := range e.s.Workers {
+	for j, w := range edge.snapshot.Workers {
 		switch {
 		case j == i:
 		case j%4 == i%4:
@@ -176,150 +176,150 @@
 		holders []string
 		want    string
 	}{{[]string{far, near, "store"}, near + ":1"}, {[]string{"store"}, "store:1"}}
-	for _, x := range cases {
-		e.setHolders("p", promptindex.Confirmed, x.holders...)
+	for _, test := range cases {
+		edge.setHolders("p", promptindex.Confirmed, test.holders...)
 		tried := map[string]bool{}
-		for _, id := range append(x.holders, far, near) {
+		for _, id := range append(test.holders, far, near) {
 			tried[id] = true
 		}
-		c, _ := e.selectWorker(e.s, e.ask("p", 13000), e.found, tried, e.now)
-		if c.Worker.ID != h || c.Fetch != x.want {
-			t.Errorf("%v: %s fetches from %q, want %s from %q", x.holders, c.Worker.ID, c.Fetch, h, x.want)
+		choice, _ := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, tried, edge.now)
+		if choice.Worker.ID != home || choice.Fetch != test.want {
+			t.Errorf("%v: %s fetches from %q, want %s from %q", test.holders, choice.Worker.ID, choice.Fetch, home, test.want)
 		}
 	}
-	e.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{}
-	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "" || c.Save != "" {
-		t.Errorf("the store is down: fetch %q save %q", c.Fetch, c.Save)
+	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{}
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "" || choice.Save != "" {
+		t.Errorf("the store is down: fetch %q save %q", choice.Fetch, choice.Save)
 	}
-	e.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{Holders: []*wire.Holder{{Worker: "store"}}}
-	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "store:1" {
-		t.Errorf("the store is back: fetch %q", c.Fetch)
+	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{Holders: []*wire.Holder{{Worker: "store"}}}
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "store:1" {
+		t.Errorf("the store is back: fetch %q", choice.Fetch)
 	}
 }
 
-// A worker's moves run one after another: the next comes from elsewhere.
-func TestABusySourceIsSpared(t *testing.T) {
-	e := newEdge(fleetOf(4))
-	h := e.home(t, "p")
-	e.setHolders("p", promptindex.Confirmed, other("w9"), "w0", "w1", "w2", "w3")
-	g := e.layoutFor(e.s).groups["llm"]
-	q := &scorer{table: e.table, snapshot: e.s, request: e.ask("p", 13000), group: g, versions: g.versionsOf("m"), stats: e.services["llm"], model: "m", found: e.found, now: e.now, usable: []int{g.index[h]}}
-	q.selectBest()
-	o := q.newPromptState(1)
-	clear(e.presumedParts)
-	first := q.bestSource(g.index[h], o, 0)
+// A worker's transfers run one after another: the next one comes from elsewhere.
+func TestSourceWithBusyLinkIsAvoided(t *testing.T) {
+	edge := newEdge(newFleet(4))
+	home := edge.homeOf(t, "p")
+	edge.setHolders("p", promptindex.Confirmed, otherWorker("w9"), "w0", "w1", "w2", "w3")
+	group := edge.layoutFor(edge.snapshot).groups["llm"]
+	s := &scorer{table: edge.table, snapshot: edge.snapshot, request: edge.newRequest("p", 13000), group: group, versions: group.versionsOf("m"), stats: edge.services["llm"], model: "m", found: edge.found, now: edge.now, usable: []int{group.index[home]}}
+	s.selectBest()
+	prompt := s.newPromptState(1)
+	clear(edge.presumedParts)
+	first := s.bestSource(group.index[home], prompt, 0)
 	if first.source == nil {
 		t.Fatal("no source")
 	}
-	first.source.stats.linkBusyUntil = e.now + time.Second
-	if second := q.bestSource(g.index[h], o, 0); second.source == nil || second.source == first.source {
-		t.Errorf("again from %v", second.source)
+	first.source.stats.linkBusyUntil = edge.now + time.Second
+	if second := s.bestSource(group.index[home], prompt, 0); second.source == nil || second.source == first.source {
+		t.Errorf("fetches from %v again", second.source)
 	}
 }
 
 func TestSharedPartsAreSavedOnceAndOwnOnesNever(t *testing.T) {
-	e := newEdge(fleetOf(18))
-	r := e.ask("p", 13000)
-	c := e.must(t, r)
-	if c.Save != "store:1" {
-		t.Fatalf("a cold shared part: save %q", c.Save)
-	}
-	e.serve(r, c, 100*time.Millisecond)
-	if c = e.must(t, e.ask("p", 13000)); c.Save != "" {
+	edge := newEdge(newFleet(18))
+	request := edge.newRequest("p", 13000)
+	choice := edge.mustSelect(t, request)
+	if choice.Save != "store:1" {
+		t.Fatalf("a cold shared part: save %q", choice.Save)
+	}
+	edge.serve(request, choice, 100*time.Millisecond)
+	if choice = edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Save != "" {
 		t.Error("saved twice")
 	}
-	if c = e.must(t, e.ask("", 0)); c.Save != "" || c.Fetch != "" {
-		t.Errorf("an own part: save %q fetch %q", c.Save, c.Fetch)
+	if choice = edge.mustSelect(t, edge.newRequest("", 0)); choice.Save != "" || choice.Fetch != "" {
+		t.Errorf("a part that isn't shared: save %q fetch %q", choice.Save, choice.Fetch)
 	}
-	e.setHolders("q", promptindex.Confirmed, "store")
-	if c = e.must(t, e.ask("q", 13000)); c.Save != "" {
+	edge.setHolders("q", promptindex.Confirmed, "store")
+	if choice = edge.mustSelect(t, edge.newRequest("q", 13000)); choice.Save != "" {
 		t.Error("saved though the index knows that the store has it")
 	}
-	// What comes again is a session's: then it is worth keeping.
-	a := e.ask("", 0)
-	e.serve(a, e.must(t, a), 50*time.Millisecond)
-	b := e.ask("", 0)
-	b.Parts[0].ID = a.Parts[0].ID
-	if c := e.must(t, b); c.Save != "store:1" {
-		t.Errorf("a session's part: save %q", c.Save)
-	}
-	// An attempt that never ran saved nothing.
-	f := e.ask("z", 13000)
-	c = e.must(t, f)
-	e.recordSent(f, c, e.now)
-	e.recordOutcome(f, c, NoFreeSlot, nil, 0, e.now)
-	if c = e.must(t, e.ask("z", 13000)); c.Save == "" {
-		t.Error("a refused attempt counts as saved")
+	// A last part that is repeated is a session's: then it is worth saving.
+	first := edge.newRequest("", 0)
+	edge.serve(first, edge.mustSelect(t, first), 50*time.Millisecond)
+	repeated := edge.newRequest("", 0)
+	repeated.Parts[0].ID = first.Parts[0].ID
+	if choice := edge.mustSelect(t, repeated); choice.Save != "store:1" {
+		t.Errorf("a session's part: save %q", choice.Save)
+	}
+	// An attempt that wasn't executed saved nothing.
+	rejected := edge.newRequest("z", 13000)
+	choice = edge.mustSelect(t, rejected)
+	edge.recordSent(rejected, choice, edge.now)
+	edge.recordOutcome(rejected, choice, NoFreeSlot, nil, 0, edge.now)
+	if choice = edge.mustSelect(t, edge.newRequest("z", 13000)); choice.Save == "" {
+		t.Error("a rejected attempt counts as saved")
 	}
 }
 
 func TestDrainingTriedAndUnlistedAreNeverSelected(t *testing.T) {
-	s := fleetOf(4)
-	s.Workers[0].Draining = true
-	e := newEdge(s)
-	e.setHolders("p", promptindex.Confirmed, "w0", "gone")
+	snapshot := newFleet(4)
+	snapshot.Workers[0].Draining = true
+	edge := newEdge(snapshot)
+	edge.setHolders("p", promptindex.Confirmed, "w0", "gone")
 	for range 20 {
-		c := e.must(t, e.ask("p", 13000), "w1")
-		if c.Worker.ID == "w0" || c.Worker.ID == "w1" {
-			t.Fatalf("selected %s", c.Worker.ID)
+		choice := edge.mustSelect(t, edge.newRequest("p", 13000), "w1")
+		if choice.Worker.ID == "w0" || choice.Worker.ID == "w1" {
+			t.Fatalf("selected %s", choice.Worker.ID)
 		}
-		if c.Fetch != "w0:1" {
-			t.Errorf("a draining worker still gives what it keeps: fetch %q", c.Fetch)
+		if choice.Fetch != "w0:1" {
+			t.Errorf("a draining worker is still a source: fetch %q", choice.Fetch)
 		}
 	}
-	if _, ok := e.selectWorker(s, e.ask("p", 100), nil, map[string]bool{"w1": true, "w2": true, "w3": true}, e.now); ok {
-		t.Error("selected though all were tried or drain")
+	if _, ok := edge.selectWorker(snapshot, edge.newRequest("p", 100), nil, map[string]bool{"w1": true, "w2": true, "w3": true}, edge.now); ok {
+		t.Error("selected though all were tried or are draining")
 	}
-	if _, ok := e.selectWorker(s, &Request{ID: "x", Service: "none", Route: route}, nil, nil, e.now); ok {
+	if _, ok := edge.selectWorker(snapshot, &Request{ID: "x", Service: "none", Route: route}, nil, nil, edge.now); ok {
 		t.Error("selected for a service that isn't there")
 	}
 }
 
-func TestPlainServices(t *testing.T) {
-	s := fleetOf(0)
+func TestServicesWithoutPromptCacheSelectTheLessLoaded(t *testing.T) {
+	snapshot := newFleet(0)
 	for i := range 8 {
-		s.Workers = append(s.Workers, fleet.Worker{ID: fmt.Sprint("a", i), Service: "app", Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("d", i%2), Slots: 2})
+		snapshot.Workers = append(snapshot.Workers, fleet.Worker{ID: fmt.Sprint("a", i), Service: "app", Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("d", i%2), Slots: 2})
 	}
-	e := newEdge(s)
-	s.Edges = 1
-	at := map[string]int{}
+	edge := newEdge(snapshot)
+	snapshot.Edges = 1
+	byZone := map[string]int{}
 	for i := range 12 {
-		r := &Request{ID: fmt.Sprint("x", i), Service: "app", Route: route, Zone: "d0"}
-		c := e.must(t, r)
-		if c.Salt+c.Fetch+c.Save != "" || c.Urgency != -1 || c.Weights != 0 {
-			t.Fatalf("%+v", c)
+		request := &Request{ID: fmt.Sprint("x", i), Service: "app", Route: route, Zone: "d0"}
+		choice := edge.mustSelect(t, request)
+		if choice.Salt+choice.Fetch+choice.Save != "" || choice.Urgency != -1 || choice.Weights != 0 {
+			t.Fatalf("%+v", choice)
 		}
-		e.recordSent(r, c, e.now)
-		at[c.Worker.Zone]++
-		if i < 2 && c.Worker.Zone != "d0" {
-			t.Errorf("request %d goes to %s", i, c.Worker.Zone)
+		edge.recordSent(request, choice, edge.now)
+		byZone[choice.Worker.Zone]++
+		if i < 2 && choice.Worker.Zone != "d0" {
+			t.Errorf("request %d goes to %s", i, choice.Worker.Zone)
 		}
 	}
-	if at["d0"] < 4 || at["d1"] == 0 {
-		t.Errorf("by zone: %v", at)
+	if byZone["d0"] < 4 || byZone["d1"] == 0 {
+		t.Errorf("by zone: %v", byZone)
 	}
 }
 
-// What this edge saw itself lately needs no call to the index.
-func TestTheIndexIsAskedOnlyForWhatIsUnknown(t *testing.T) {
-	e := newEdge(fleetOf(6))
-	ask := func(r *Request) int { return len(e.table.lookupKeys(e.s, r, e.now)) }
-	if ask(e.ask("", 0)) != 0 {
-		t.Error("asked for a prompt that shares nothing")
-	}
-	r := e.ask("p", 1000)
-	if ask(r) != 3 { // both parts, and whether the store answers
-		t.Errorf("asked for %d keys", ask(r))
-	}
-	e.serve(r, e.must(t, r), 50*time.Millisecond)
-	if n := ask(e.ask("p", 1000)); n != 0 {
-		t.Errorf("asked for %d keys of a part that was just read", n)
-	}
-	e.now += e.bounds.Heal(recordTuning.lookupRatio)
-	if ask(e.ask("p", 1000)) == 0 {
-		t.Error("goes by old memory")
-	}
-	if ask(&Request{ID: "x", Service: "app", Route: route, Parts: r.Parts}) != 0 {
-		t.Error("asked for a service that keeps nothing")
+// A part that this edge machine sent lately needs no lookup.
+func TestLookupOnlyForUnknownParts(t *testing.T) {
+	edge := newEdge(newFleet(6))
+	lookupCount := func(request *Request) int { return len(edge.table.lookupKeys(edge.snapshot, request, edge.now)) }
+	if lookupCount(edge.newRequest("", 0)) != 0 {
+		t.Error("looked up a prompt that shares nothing")
+	}
+	request := edge.newRequest("p", 1000)
+	if lookupCount(request) != 3 { // both parts, and whether the store responds
+		t.Errorf("looked up %d keys", lookupCount(request))
+	}
+	edge.serve(request, edge.mustSelect(t, request), 50*time.Millisecond)
+	if n := lookupCount(edge.newRequest("p", 1000)); n != 0 {
+		t.Errorf("looked up %d keys of a part that was just prefilled", n)
+	}
+	edge.now += edge.bounds.Heal(recordTuning.lookupRatio)
+	if lookupCount(edge.newRequest("p", 1000)) == 0 {
+		t.Error("relies on an old record")
+	}
+	if lookupCount(&Request{ID: "x", Service: "app", Route: route, Parts: request.Parts}) != 0 {
+		t.Error("looked up for a service without a prompt cache")
 	}
 }
--- a/internal/data/selection/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -9,79 +9,79 @@
 	"pebbleloom/internal/data/promptindex"
 )
 
-func storesOf(n int) *edge {
-	s := fleetOf(18)
-	s.Plan.Services = s.Plan.Services[:2]
+func newEdgeWithStores(n int) *testEdge {
+	snapshot := newFleet(18)
+	snapshot.Plan.Services = snapshot.Plan.Services[:2]
 	for i := range n {
-		s.Plan.Services = append(s.Plan.Services, routingconfig.Service{Name: fmt.Sprint("store", i),
+		snapshot.Plan.Services = append(snapshot.Plan.Services, routingconfig.Service{Name: fmt.Sprint("store", i),
 			Store: &routingconfig.Store{Addr: fmt.Sprintf("store%d:1", i), Zone: fmt.Sprint("d", i), LinkMbps: 150000}})
 	}
-	return newEdge(s)
+	return newEdge(snapshot)
 }
 
-// Where there are several stores, each part belongs into one of them, whatever the zone of the
-// worker that reads it, and they share the parts.
-func TestStoresShareTheParts(t *testing.T) {
-	n := map[string]int{}
+// Each part belongs to one of several stores, whatever the zone of the worker that prefills it, and the
+// parts are distributed over the stores.
+func TestPartsAreDistributedOverStores(t *testing.T) {
+	partsByStore := map[string]int{}
 	for p := range 60 {
-		at := ""
+		store := ""
 		for d := range 3 {
-			e := storesOf(3)
-			e.n = 100 * d
-			r := e.ask(fmt.Sprint("p", p), 13000)
+			edge := newEdgeWithStores(3)
+			edge.requestCount = 100 * d
+			request := edge.newRequest(fmt.Sprint("p", p), 13000)
 			tried := map[string]bool{}
-			for i, w := range e.s.Workers { // only workers of one zone are left
+			for i, w := range edge.snapshot.Workers { // only workers of one zone are left
 				if i%4 != d {
 					tried[w.ID] = true
 				}
 			}
-			c, ok := e.selectWorker(e.s, r, nil, tried, e.now)
-			if !ok || c.Save == "" || at != "" && c.Save != at {
-				t.Fatalf("part %d: %q, then %q", p, at, c.Save)
+			choice, ok := edge.selectWorker(edge.snapshot, request, nil, tried, edge.now)
+			if !ok || choice.Save == "" || store != "" && choice.Save != store {
+				t.Fatalf("part %d: %q, then %q", p, store, choice.Save)
 			}
-			at = c.Save
+			store = choice.Save
 		}
-		n[at]++
+		partsByStore[store]++
 	}
-	if len(n) != 3 || n["store0:1"] < 10 || n["store1:1"] < 10 || n["store2:1"] < 10 {
-		t.Errorf("60 parts: %v", n)
+	if len(partsByStore) != 3 || partsByStore["store0:1"] < 10 || partsByStore["store1:1"] < 10 || partsByStore["store2:1"] < 10 {
+		t.Errorf("60 parts: %v", partsByStore)
 	}
 }
 
-// What any store has isn't handed to another.
-func TestOneStoreIsEnoughForAPart(t *testing.T) {
-	e := storesOf(3)
+// A part that any store has isn't saved in another.
+func TestPartInAnyStoreIsNotSavedAgain(t *testing.T) {
+	edge := newEdgeWithStores(3)
 	for i := range 3 {
 		part := fmt.Sprint("p", i)
-		e.setHolders(part, promptindex.Confirmed, fmt.Sprint("store", i))
-		if c := e.must(t, e.ask(part, 13000)); c.Save != "" || c.Fetch != fmt.Sprintf("store%d:1", i) {
-			t.Errorf("part %d: save %q, fetch %q", i, c.Save, c.Fetch)
+		edge.setHolders(part, promptindex.Confirmed, fmt.Sprint("store", i))
+		if choice := edge.mustSelect(t, edge.newRequest(part, 13000)); choice.Save != "" || choice.Fetch != fmt.Sprintf("store%d:1", i) {
+			t.Errorf("part %d: save %q, fetch %q", i, choice.Save, choice.Fetch)
 		}
 	}
 }
 
-// When a store doesn't answer, its parts are handed to the others.
-func TestAnotherStoreStandsIn(t *testing.T) {
-	e := storesOf(3)
-	r := e.ask("p", 13000)
-	first := e.must(t, r).Save
+// The parts of a store that doesn't respond are saved in the others.
+func TestUnavailableStoreIsReplaced(t *testing.T) {
+	edge := newEdgeWithStores(3)
+	request := edge.newRequest("p", 13000)
+	first := edge.mustSelect(t, request).Save
 	for i := range 3 {
-		if s := e.s.Plan.Services[2+i]; s.Store.Addr == first {
-			e.unavailableStores[s.Name] = true
+		if s := edge.snapshot.Plan.Services[2+i]; s.Store.Addr == first {
+			edge.unavailableStores[s.Name] = true
 		}
 	}
-	e.now += time.Second
-	if c := e.must(t, e.ask("p", 13000)); c.Save == "" || c.Save == first {
-		t.Errorf("%q, then %q", first, c.Save)
+	edge.now += time.Second
+	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Save == "" || choice.Save == first {
+		t.Errorf("%q, then %q", first, choice.Save)
 	}
 }
 
-// A request without prompt parts belongs into no store.
-func TestNoPartsNoStore(t *testing.T) {
-	e := storesOf(2)
-	r := e.ask("", 0)
-	r.Parts = nil
-	if c := e.must(t, r); c.Save != "" || c.Fetch != "" {
-		t.Errorf("save %q fetch %q", c.Save, c.Fetch)
+// A request without prompt parts uses no store.
+func TestRequestWithoutPartsUsesNoStore(t *testing.T) {
+	edge := newEdgeWithStores(2)
+	request := edge.newRequest("", 0)
+	request.Parts = nil
+	if choice := edge.mustSelect(t, request); choice.Save != "" || choice.Fetch != "" {
+		t.Errorf("save %q fetch %q", choice.Save, choice.Fetch)
 	}
 }
