--- a/internal/control/controlstate/claims.go
+++ b/internal/control/controlstate/claim_table.go
@@ -29,20 +29,20 @@
 func newClaimTable() claimTable { return claimTable{holders: map[[16]byte]claimHolder{}} }
 
 // advanceAge adds to the shard's age, and forgets what is older than keep.
-func (c *claimTable) advanceAge(passed, keep uint64) {
-	c.age += passed
-	n := 0
-	for n < len(c.order) && c.order[n].claimedAge+keep <= c.age {
-		if oldest := c.order[n]; c.holders[oldest.id].claimedAge == oldest.claimedAge {
+func (c *claimTable) advanceAge(elapsed, retention uint64) {
+	c.age += elapsed
+	expired := 0
+	for expired < len(c.order) && c.order[expired].claimedAge+retention <= c.age {
+		if oldest := c.order[expired]; c.holders[oldest.id].claimedAge == oldest.claimedAge {
 			delete(c.holders, oldest.id)
 		}
-		n++
+		expired++
 	}
-	c.order = c.order[n:]
+	c.order = c.order[expired:]
 	if len(c.order) > 2*maxClaims { // places of ids that were given back
-		c.order = slices.DeleteFunc(c.order, func(o claimOrderEntry) bool {
-			held, ok := c.holders[o.id]
-			return !ok || held.claimedAge != o.claimedAge
+		c.order = slices.DeleteFunc(c.order, func(entry claimOrderEntry) bool {
+			holder, ok := c.holders[entry.id]
+			return !ok || holder.claimedAge != entry.claimedAge
 		})
 	}
 }
@@ -55,14 +55,14 @@
 		return false, false
 	}
 	id := [16]byte(request.Id)
-	holder, held := c.holders[id]
+	holder, isHeld := c.holders[id]
 	switch {
 	case request.Release:
-		if held && holder.nonce == request.Nonce {
+		if isHeld && holder.nonce == request.Nonce {
 			delete(c.holders, id) // its place in the order is passed over when it comes up
 		}
-		return held && holder.nonce == request.Nonce, false
-	case held:
+		return isHeld && holder.nonce == request.Nonce, false
+	case isHeld:
 		return holder.nonce == request.Nonce, false
 	case len(c.holders) >= maxClaims:
 		return false, true
@@ -77,9 +77,9 @@
 }
 
 func (c *claimTable) save() (all []*wire.Claim) {
-	for _, o := range c.order {
-		if holder, ok := c.holders[o.id]; ok && holder.claimedAge == o.claimedAge {
-			all = append(all, &wire.Claim{Id: o.id[:], Nonce: holder.nonce, AtNs: holder.claimedAge})
+	for _, entry := range c.order {
+		if holder, ok := c.holders[entry.id]; ok && holder.claimedAge == entry.claimedAge {
+			all = append(all, &wire.Claim{Id: entry.id[:], Nonce: holder.nonce, AtNs: holder.claimedAge})
 		}
 	}
 	return all
@@ -97,11 +97,11 @@
 
 // elapsedInTerm is how long the leader has seen pass since its last claims of this term. Time that is
 // lost, with a command or between leaders, only makes the shard seem younger.
-func (p *shard) elapsedInTerm(term uint64) (d time.Duration) {
-	now := p.clock.Now()
-	if p.ageRecordedTerm == term {
-		d = max(0, now-p.ageRecordedAt)
+func (s *shard) elapsedInTerm(term uint64) (elapsed time.Duration) {
+	now := s.clock.Now()
+	if s.ageRecordedTerm == term {
+		elapsed = max(0, now-s.ageRecordedAt)
 	}
-	p.ageRecordedTerm, p.ageRecordedAt = term, now
-	return d
+	s.ageRecordedTerm, s.ageRecordedAt = term, now
+	return elapsed
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -2,22 +2,12 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
-	"net/http"
 	"slices"
 
-	"google.golang.org/protobuf/proto"
-
-	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/consensus"
-	"pebbleloom/internal/control/controlclient"
-	"pebbleloom/internal/control/operatorapi"
 	"pebbleloom/internal/control/storage"
-	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/backend"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/queue"
-	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
 
@@ -46,195 +36,99 @@
 
 // openGroup makes the one shard of a group. A disk that can't be opened leaves its member out
 // until it can.
-func openGroup(p *shard, g *group) *shard {
-	p.group, g.consensusConfig.DynamicMembership = g, true
-	g.leaving = map[string]int{}
-	p.core = consensus.New(g.consensusConfig, consensus.LearnerSnapshot(""), nil)
-	p.failure = p.reopen()
-	p.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
-	return p
+func openGroup(shard *shard, groupState *group) *shard {
+	shard.group, groupState.consensusConfig.DynamicMembership = groupState, true
+	groupState.leaving = map[string]int{}
+	shard.core = consensus.New(groupState.consensusConfig, consensus.LearnerSnapshot(""), nil)
+	shard.failure = shard.reopen()
+	shard.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
+	return shard
 }
 
 // reopen reads the disk as a new start does. What was read may have been written by a process
 // that died before its sync, or behind a sync that failed: all of it is written anew before this
 // member goes by it.
-func (p *shard) reopen() error {
-	for _, f := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
-		if _, there, err := p.disk.Read(f); err != nil {
+func (s *shard) reopen() error {
+	for _, file := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
+		if _, exists, err := s.disk.Read(file); err != nil {
 			return errs.As(err, errs.DiskBad, "read")
-		} else if there {
-			if err := p.disk.Append(f, nil); err != nil {
+		} else if exists {
+			if err := s.disk.Append(file, nil); err != nil {
 				return errs.As(err, errs.DiskBad, "sync what was read")
 			}
 		}
 	}
-	p.state = newState()
-	l, err := p.load(p.disk, p.initialSnapshot)
+	s.state = newState()
+	loaded, err := s.load(s.disk, s.initialSnapshot)
 	if err != nil {
 		return err
 	}
-	if err := p.store.SaveSnapshot(l.Snapshot, l.Records); err != nil {
+	if err := s.store.SaveSnapshot(loaded.Snapshot, loaded.Records); err != nil {
 		return errs.Wrap(err, "write what was read anew")
 	}
-	cfg := p.consensusConfig
-	cfg.Self = l.Snapshot.HardState.Incarnation
-	p.core = consensus.New(cfg, l.Snapshot, l.Records)
+	config := s.consensusConfig
+	config.Self = loaded.Snapshot.HardState.Incarnation
+	s.core = consensus.New(config, loaded.Snapshot, loaded.Records)
 	return nil
 }
 
 // retryReopen opens a disk again that was bad; its member goes on as after a restart.
-func (p *shard) retryReopen() {
-	if p.ticks%p.reopenTicks != 0 {
+func (s *shard) retryReopen() {
+	if s.ticks%s.reopenTicks != 0 {
 		return
 	}
-	if err := p.reopen(); err != nil {
-		p.log.Debug("the disk is still bad", "error", errs.Text(err))
+	if err := s.reopen(); err != nil {
+		s.log.Debug("the disk is still bad", "error", errs.Text(err))
 		return
 	}
-	for i, w := range p.pendingProposals {
-		w.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
-		delete(p.pendingProposals, i)
+	for index, proposal := range s.pendingProposals {
+		proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
+		delete(s.pendingProposals, index)
 	}
-	p.failure = nil
-	p.log.Info("the disk is well again")
-	p.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
+	s.failure = nil
+	s.log.Info("the disk is well again")
+	s.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 }
 
 // tickGroup is what a member of a group does at each tick beside the core's own time.
-func (p *shard) tickGroup() {
-	if p.group == nil {
+func (s *shard) tickGroup() {
+	if s.group == nil {
 		return
 	}
-	p.ticks++
-	if p.failure != nil {
-		p.retryReopen()
+	s.ticks++
+	if s.failure != nil {
+		s.retryReopen()
 		return
 	}
-	if next := p.nextMembership(); next != nil {
-		now, _, _ := p.core.Members()
-		if _, _, ok := p.core.ProposeMembership(next); ok {
-			p.log.Info("membership change", "from", now, "to", next)
+	if next := s.nextMembership(); next != nil {
+		now, _, _ := s.core.Members()
+		if _, _, ok := s.core.ProposeMembership(next); ok {
+			s.log.Info("membership change", "from", now, "to", next)
 		}
 	}
 }
 
 // nextMembership is the membership that this member is to propose as the leader; nil: none now.
-func (p *shard) nextMembership() []string {
-	if !p.core.CanChangeMembership() {
+func (s *shard) nextMembership() []string {
+	if !s.core.CanChangeMembership() {
 		return nil
 	}
-	members, _, _ := p.core.Members()
-	v := membershipPlanner{self: p.core.Self(), members: members, peers: p.core.PeerStatuses(), targetSize: p.targetSize,
-		zoneOf: p.zoneOf, isLeaving: p.isLeaving}
-	return v.next()
-}
-
-// mergeRoutingConfig merges a plan, or named items of one, onto the one in force.
-func (p *shard) mergeRoutingConfig(m *mergedConfig, old *wire.Document, u *wire.Put, part bool) {
-	m.body, m.version, m.err = p.codec.Merge(old.GetBody(), u.Body, part)
-	if m.err != nil && errs.KindOf(m.err) == errs.Inside {
-		m.err = errs.As(m.err, errs.BadInput, "plan")
-	}
-	if m.err == nil && m.version <= old.GetVersion() {
-		m.err = errs.New(errs.BadInput, "version %d isn't above %d, which is in force", m.version, old.GetVersion())
-	}
-}
-
-// StartGroup runs a control node whose membership is agreed data. The door serves operators.
-//
-// Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
-func StartGroup(l *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
-	s, own := l.Place.Site, l.Place.AdvertisedAddr()
-	n := &Node{process: l, shards: map[uint32]*shard{}, clients: daemon.NewClients(l)}
-	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.clients.Membership, nil)
-	n.controlClient = controlclient.NewGroup(l.Place.Seeds, n.membership.View, n.clients, l.Place.Bounds)
-	l.OnSettingsChanged(func(p settings.Place) { n.controlClient.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
-	n.transport = newTransport(l.Ctx, n)
-	tick := l.Place.Bounds.Heal(groupTick)
-	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
-	p.claimRetention, p.confirmTimeout = l.Place.Bounds.Once(1), settings.Of(s.AckMs, operatorTimeoutRatio*confirmTimeoutRatio)
-	openGroup(p, &group{codec: codec, disk: openDisk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.Tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
-			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Place.Name)))},
-		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(s.First, own, l.Place.Seeds, l.Seed) }})
-	n.shards[0], n.incarnation = p, p.published.current().self
-	l.Go(func() { p.run(tick) })
-	mux := http.NewServeMux()
-	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(n))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.membership))
-	// The door is closed first: what came in by it is finished while peers still get through.
-	for _, x := range []struct {
-		addr string
-		h    func() http.Handler
-	}{{s.Control, func() http.Handler { return door(n) }}, {l.Place.Listen, func() http.Handler { return mux }}} {
-		if x.addr == "" {
-			continue
-		}
-		if err := l.Serve(x.addr, x.h()); err != nil {
-			return err
-		}
-	}
-	if l.Place.Operator != "" {
-		if err := operatorapi.ServeSite(l, n.controlClient, n.membership.View, n.clients, codec.Read); err != nil {
-			return err
-		}
-	}
-	n.registerMetrics()
-	n.registerGroupMetrics(p)
-	l.Go(func() { n.joinLoop() })
-	l.OnShutdown(n.leave)
-	l.Ready.Store(true)
-	l.Log.Info("serving", "incarnation", n.incarnation)
-	return nil
-}
-
-// zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
-func (n *Node) zoneOf(addr string) string {
-	for _, x := range n.membership.View().Role("archive") {
-		if x.Addr == addr {
-			return x.District
-		}
-	}
-	return ""
+	members, _, _ := s.core.Members()
+	planner := membershipPlanner{self: s.core.Self(), members: members, peers: s.core.PeerStatuses(), targetSize: s.targetSize,
+		zoneOf: s.zoneOf, isLeaving: s.isLeaving}
+	return planner.next()
 }
 
 // initialGroupSnapshot is the first snapshot of an empty disk. At the first start of the whole system the
 // seeds found the group, each under an incarnation that all know; any other empty disk has lost what
 // it had, or is new, and is taken in by those that hold the log.
-func initialGroupSnapshot(first bool, own string, seeds []string, random func() uint64) *wire.Snapshot {
-	if first && slices.Contains(seeds, own) {
-		var ms []string
-		for _, s := range seeds {
-			ms = append(ms, s+"/0")
-		}
-		return consensus.BootstrapSnapshot(own+"/0", slices.Compact(slices.Sorted(slices.Values(ms))))
-	}
-	return consensus.LearnerSnapshot(fmt.Sprintf("%s/%016x", own, random()))
-}
-
-// highestVersions adds up what the entries that aren't applied yet may bring: by key the highest
-// version, the greatest number where an entry doesn't hold it.
-func highestVersions(es []*wire.Entry) map[string]uint64 {
-	var l map[string]uint64
-	for _, e := range es {
-		c := &wire.Command{}
-		if len(e.Body) == 0 {
-			continue
-		}
-		k, v := "", ^uint64(0) // can't be read: it may be anything
-		if proto.Unmarshal(e.Body, c) == nil {
-			u := c.GetPut()
-			if u == nil {
-				continue
-			}
-			if k = u.Key; u.NewVersion > 0 {
-				v = u.NewVersion
-			}
-		}
-		if l == nil {
-			l = map[string]uint64{}
+func initialGroupSnapshot(isFirstStart bool, self string, seeds []string, random func() uint64) *wire.Snapshot {
+	if isFirstStart && slices.Contains(seeds, self) {
+		var members []string
+		for _, seed := range seeds {
+			members = append(members, seed+"/0")
 		}
-		l[k] = max(l[k], v)
+		return consensus.BootstrapSnapshot(self+"/0", slices.Compact(slices.Sorted(slices.Values(members))))
 	}
-	return l
+	return consensus.LearnerSnapshot(fmt.Sprintf("%s/%016x", self, random()))
 }
--- a/internal/control/controlstate/taken.go
+++ b/internal/control/controlstate/idempotency.go
@@ -82,34 +82,34 @@
 }
 
 // isSameChange tells whether a request under the same token asks for the change that was taken.
-func (c idempotencyRecord) isSameChange(put *wire.Put) bool {
+func (r idempotencyRecord) isSameChange(put *wire.Put) bool {
 	digest := put.ContentDigest
-	if c.digestWithBase {
+	if r.digestWithBase {
 		digest = put.Digest
 	}
 	var start [digestBytes]byte
 	copy(start[:], digest)
-	return start == c.digest
+	return start == r.digest
 }
 
 // add remembers a change, and forgets the oldest where that makes too many.
-func (t *idempotencyRecords) add(change idempotencyRecord, limit int) {
-	t.records = append(t.records, change)
-	for len(t.records) > limit {
-		t.forgottenVersion = t.records[0].version
-		t.records = t.records[1:]
+func (r *idempotencyRecords) add(change idempotencyRecord, limit int) {
+	r.records = append(r.records, change)
+	for len(r.records) > limit {
+		r.forgottenVersion = r.records[0].version
+		r.records = r.records[1:]
 	}
 }
 
 // find looks a token up, the newest changes first.
-func (t *idempotencyRecords) find(token string) (idempotencyRecord, bool) {
-	if t == nil || token == "" {
+func (r *idempotencyRecords) find(token string) (idempotencyRecord, bool) {
+	if r == nil || token == "" {
 		return idempotencyRecord{}, false
 	}
 	hash := tokenHash(token)
-	for i := len(t.records) - 1; i >= 0; i-- {
-		if t.records[i].token == hash {
-			return t.records[i], true
+	for i := len(r.records) - 1; i >= 0; i-- {
+		if r.records[i].token == hash {
+			return r.records[i], true
 		}
 	}
 	return idempotencyRecord{}, false
@@ -117,8 +117,8 @@
 
 // mayHaveForgotten tells whether a change that isn't remembered may have been taken all the same. A
 // change on version v makes a version above v; all those above forgotten are remembered.
-func (t *idempotencyRecords) mayHaveForgotten(put *wire.Put) bool {
-	return t != nil && put.Token != "" && !put.AnyVersion && put.IfVersion < t.forgottenVersion
+func (r *idempotencyRecords) mayHaveForgotten(put *wire.Put) bool {
+	return r != nil && put.Token != "" && !put.AnyVersion && put.IfVersion < r.forgottenVersion
 }
 
 // recordChange notes a change under a token: in the record of its document, and among the newest of all
@@ -173,11 +173,11 @@
 // saveIdempotency writes the records of all documents, in the order of their keys.
 func (s *state) saveIdempotency() (all []*wire.TakenChanges) {
 	for _, key := range queue.Keys(s.idempotency) {
-		record := s.idempotency[key]
-		saved := &wire.TakenChanges{Key: key, ForgottenVersion: record.forgottenVersion}
-		for i := range record.records {
-			c := &record.records[i]
-			saved.Changes = append(saved.Changes, &wire.TakenChange{Token: c.token[:], Digest: c.digest[:], Version: c.version, DigestWithBase: c.digestWithBase})
+		records := s.idempotency[key]
+		saved := &wire.TakenChanges{Key: key, ForgottenVersion: records.forgottenVersion}
+		for i := range records.records {
+			change := &records.records[i]
+			saved.Changes = append(saved.Changes, &wire.TakenChange{Token: change.token[:], Digest: change.digest[:], Version: change.version, DigestWithBase: change.digestWithBase})
 		}
 		all = append(all, saved)
 	}
@@ -188,30 +188,30 @@
 // of all documents, and where these are as many as it keeps, older ones were forgotten.
 func (s *state) loadIdempotency(all []*wire.TakenChanges) {
 	for _, saved := range all {
-		record := s.recordsOf(saved.Key)
-		record.forgottenVersion = saved.ForgottenVersion
-		for _, c := range saved.Changes {
-			change := idempotencyRecord{version: c.Version, digestWithBase: c.DigestWithBase}
-			copy(change.token[:], c.Token)
-			copy(change.digest[:], c.Digest)
-			record.records = append(record.records, change)
+		records := s.recordsOf(saved.Key)
+		records.forgottenVersion = saved.ForgottenVersion
+		for _, savedRecord := range saved.Changes {
+			record := idempotencyRecord{version: savedRecord.Version, digestWithBase: savedRecord.DigestWithBase}
+			copy(record.token[:], savedRecord.Token)
+			copy(record.digest[:], savedRecord.Digest)
+			records.records = append(records.records, record)
 		}
 	}
 	if len(all) > 0 {
 		return
 	}
-	for _, t := range s.recentTokens {
-		put := &wire.Put{Token: t.Token, Digest: t.Digest}
-		s.recordsOf(t.Key).add(newIdempotencyRecord(put, t.Version), maxRecords(t.Key))
+	for _, token := range s.recentTokens {
+		put := &wire.Put{Token: token.Token, Digest: token.Digest}
+		s.recordsOf(token.Key).add(newIdempotencyRecord(put, token.Version), maxRecords(token.Key))
 	}
 	if len(s.recentTokens) < maxRecentTokens {
 		return
 	}
-	for key, doc := range s.documents {
-		record := s.recordsOf(key)
-		record.forgottenVersion = doc.Version
-		if len(record.records) > 0 {
-			record.forgottenVersion = record.records[0].version - 1
+	for key, document := range s.documents {
+		records := s.recordsOf(key)
+		records.forgottenVersion = document.Version
+		if len(records.records) > 0 {
+			records.forgottenVersion = records.records[0].version - 1
 		}
 	}
 }
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -35,114 +35,114 @@
 //   - A member that leaves in order still votes. Its successor is added first, then it is removed:
 //     the group tolerates as many losses at each step as before.
 //   - No step leaves the group without a quorum that is alive.
-func (v *membershipPlanner) next() []string {
-	if wiped := v.firstMember(v.hasLostDisk); wiped != "" {
-		return v.without(wiped)
+func (p *membershipPlanner) next() []string {
+	if wiped := p.firstMember(p.hasLostDisk); wiped != "" {
+		return p.without(wiped)
 	}
-	if len(v.members) > v.targetSize {
-		return v.shrink()
+	if len(p.members) > p.targetSize {
+		return p.shrink()
 	}
-	spare := v.bestSpare()
+	spare := p.bestSpare()
 	switch {
 	case spare == "":
 		return nil
-	case len(v.members) < v.targetSize:
-		return v.with(spare)
+	case len(p.members) < p.targetSize:
+		return p.with(spare)
 	}
-	if silent := v.firstMember(v.isSilent); silent != "" {
-		return v.without(silent)
+	if silent := p.firstMember(p.isSilent); silent != "" {
+		return p.without(silent)
 	}
-	if slices.ContainsFunc(v.members, v.isLeaving) && v.allAlive() {
-		return v.with(spare)
+	if slices.ContainsFunc(p.members, p.isLeaving) && p.allAlive() {
+		return p.with(spare)
 	}
 	return nil
 }
 
 // shrink takes out the member that the group has too many: one that leaves, or else a silent one.
 // While all are there and stay, a member more does no harm.
-func (v *membershipPlanner) shrink() []string {
-	if leaving := v.firstMember(v.isLeaving); leaving != "" {
-		return v.without(leaving)
+func (p *membershipPlanner) shrink() []string {
+	if leaving := p.firstMember(p.isLeaving); leaving != "" {
+		return p.without(leaving)
 	}
-	if silent := v.firstMember(v.isSilent); silent != "" {
-		return v.without(silent)
+	if silent := p.firstMember(p.isSilent); silent != "" {
+		return p.without(silent)
 	}
 	return nil
 }
 
 // firstMember is the first member beside the leader that passes, and without which the group has a
 // quorum alive; "" if none.
-func (v *membershipPlanner) firstMember(pass func(name string) bool) string {
-	for _, m := range v.members {
-		if m != v.self && pass(m) && v.hasQuorum(v.without(m), 0) {
-			return m
+func (p *membershipPlanner) firstMember(pass func(name string) bool) string {
+	for _, member := range p.members {
+		if member != p.self && pass(member) && p.hasQuorum(p.without(member), 0) {
+			return member
 		}
 	}
 	return ""
 }
 
-func (v *membershipPlanner) status(name string) consensus.PeerStatus {
-	for _, p := range v.peers {
-		if p.Name == name {
-			return p
+func (p *membershipPlanner) status(name string) consensus.PeerStatus {
+	for _, peer := range p.peers {
+		if peer.Name == name {
+			return peer
 		}
 	}
 	return consensus.PeerStatus{Name: name, ContactAge: replaceAfterTicks}
 }
 
-func (v *membershipPlanner) isAlive(name string) bool {
-	return name == v.self || v.status(name).ContactAge < aliveTicks
+func (p *membershipPlanner) isAlive(name string) bool {
+	return name == p.self || p.status(name).ContactAge < aliveTicks
 }
 
-func (v *membershipPlanner) isSilent(name string) bool {
-	return v.status(name).ContactAge >= replaceAfterTicks
+func (p *membershipPlanner) isSilent(name string) bool {
+	return p.status(name).ContactAge >= replaceAfterTicks
 }
 
-func (v *membershipPlanner) allAlive() bool {
-	return !slices.ContainsFunc(v.members, func(m string) bool { return !v.isAlive(m) })
+func (p *membershipPlanner) allAlive() bool {
+	return !slices.ContainsFunc(p.members, func(member string) bool { return !p.isAlive(member) })
 }
 
 // hasLostDisk reports whether the member's disk is lost: a learner at its address, under another
 // incarnation, has spoken since the member did. To have asked isn't enough: an ask may be late.
-func (v *membershipPlanner) hasLostDisk(name string) bool {
-	since := v.status(name).ContactAge
-	return slices.ContainsFunc(v.peers, func(p consensus.PeerStatus) bool {
-		return !p.IsVoter && sameAddress(p.Name, name) && p.Responded && p.ContactAge < since
+func (p *membershipPlanner) hasLostDisk(name string) bool {
+	since := p.status(name).ContactAge
+	return slices.ContainsFunc(p.peers, func(peer consensus.PeerStatus) bool {
+		return !peer.IsVoter && sameAddress(peer.Name, name) && peer.Responded && peer.ContactAge < since
 	})
 }
 
 func sameAddress(a, b string) bool { return controlclient.Addr(a) == controlclient.Addr(b) }
 
 // hasQuorum reports whether those alive among the members, and so many more, are a quorum of both.
-func (v *membershipPlanner) hasQuorum(members []string, more int) bool {
-	alive := more
-	for _, m := range members {
-		if v.isAlive(m) {
+func (p *membershipPlanner) hasQuorum(members []string, additional int) bool {
+	alive := additional
+	for _, member := range members {
+		if p.isAlive(member) {
 			alive++
 		}
 	}
-	return 2*alive > len(members)+more
+	return 2*alive > len(members)+additional
 }
 
-func (v *membershipPlanner) without(name string) []string {
-	return slices.DeleteFunc(slices.Clone(v.members), func(m string) bool { return m == name })
+func (p *membershipPlanner) without(name string) []string {
+	return slices.DeleteFunc(slices.Clone(p.members), func(member string) bool { return member == name })
 }
 
 // with is the membership with a spare added; nil where its quorum wouldn't be alive.
-func (v *membershipPlanner) with(spare string) []string {
-	if !v.hasQuorum(v.members, 1) {
+func (p *membershipPlanner) with(spare string) []string {
+	if !p.hasQuorum(p.members, 1) {
 		return nil
 	}
-	return append(slices.Clone(v.members), spare)
+	return append(slices.Clone(p.members), spare)
 }
 
 // bestSpare is a learner that may become a member now, in a zone without a member if there is one;
 // "" if none.
-func (v *membershipPlanner) bestSpare() string {
+func (p *membershipPlanner) bestSpare() string {
 	best := ""
-	for _, p := range v.peers {
-		if v.isReady(p) && (best == "" || v.sharesZone(best) && !v.sharesZone(p.Name)) {
-			best = p.Name
+	for _, peer := range p.peers {
+		if p.isReady(peer) && (best == "" || p.sharesZone(best) && !p.sharesZone(peer.Name)) {
+			best = peer.Name
 		}
 	}
 	return best
@@ -150,22 +150,22 @@
 
 // isReady reports whether a learner is there, holds what is committed, and is alone at its address:
 // neither a member nor a later incarnation stands there.
-func (v *membershipPlanner) isReady(p consensus.PeerStatus) bool {
-	if p.IsVoter || !p.CaughtUp || p.ContactAge >= spareFreshTicks {
+func (p *membershipPlanner) isReady(peer consensus.PeerStatus) bool {
+	if peer.IsVoter || !peer.CaughtUp || peer.ContactAge >= spareFreshTicks {
 		return false
 	}
-	if slices.ContainsFunc(v.members, func(m string) bool { return sameAddress(m, p.Name) }) {
+	if slices.ContainsFunc(p.members, func(member string) bool { return sameAddress(member, peer.Name) }) {
 		return false
 	}
-	return !slices.ContainsFunc(v.peers, func(o consensus.PeerStatus) bool {
-		return o.Name != p.Name && sameAddress(o.Name, p.Name) && o.Responded && o.ContactAge < p.ContactAge
+	return !slices.ContainsFunc(p.peers, func(other consensus.PeerStatus) bool {
+		return other.Name != peer.Name && sameAddress(other.Name, peer.Name) && other.Responded && other.ContactAge < peer.ContactAge
 	})
 }
 
 // sharesZone reports whether a member that stays is in a learner's zone.
-func (v *membershipPlanner) sharesZone(name string) bool {
-	zone := v.zoneOf(controlclient.Addr(name))
-	return slices.ContainsFunc(v.members, func(m string) bool {
-		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.Addr(m)) == zone
+func (p *membershipPlanner) sharesZone(name string) bool {
+	zone := p.zoneOf(controlclient.Addr(name))
+	return slices.ContainsFunc(p.members, func(member string) bool {
+		return zone != "" && !p.isLeaving(member) && p.zoneOf(controlclient.Addr(member)) == zone
 	})
 }
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -9,47 +9,47 @@
 
 // registerMetrics shows the status of this node, summed over its shards.
 func (n *Node) registerMetrics() {
-	sum := func(f func(*wire.ShardStatus) float64) func() float64 {
-		return func() (v float64) {
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
-			defer end()
-			t, err := n.Stand(ctx, &wire.StatusRequest{})
+	sum := func(value func(*wire.ShardStatus) float64) func() float64 {
+		return func() (total float64) {
+			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
+			defer cancel()
+			response, err := n.Stand(ctx, &wire.StatusRequest{})
 			if err != nil {
 				return -1
 			}
-			for _, p := range t.Shards {
-				v += f(p)
+			for _, shard := range response.Shards {
+				total += value(shard)
 			}
-			return v
+			return total
 		}
 	}
-	is := func(b bool) float64 {
-		if b {
+	boolGauge := func(condition bool) float64 {
+		if condition {
 			return 1
 		}
 		return 0
 	}
-	m := n.process.Meter
-	m.Gauge("pebbleloom_parts_owned", "shards that this node leads", sum(func(p *wire.ShardStatus) float64 { return is(p.IsLeader) }))
-	m.Gauge("pebbleloom_parts_out", "shards whose member here is out, blank or stuck", sum(func(p *wire.ShardStatus) float64 {
-		return is(p.Failure != "" || p.Blank || p.Stuck != "")
+	meter := n.process.Meter
+	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", sum(func(shard *wire.ShardStatus) float64 { return boolGauge(shard.IsLeader) }))
+	meter.Gauge("pebbleloom_parts_out", "shards whose member here is out, blank or stuck", sum(func(shard *wire.ShardStatus) float64 {
+		return boolGauge(shard.Failure != "" || shard.Blank || shard.Stuck != "")
 	}))
-	m.Gauge("pebbleloom_state_bytes", "bytes of state kept", sum(func(p *wire.ShardStatus) float64 { return float64(p.StateBytes) }))
-	m.Gauge("pebbleloom_log_bytes", "bytes of the logs in force", sum(func(p *wire.ShardStatus) float64 { return float64(p.LogBytes) }))
-	m.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(p *wire.ShardStatus) float64 { return float64(p.Last - p.Applied) }))
+	meter.Gauge("pebbleloom_state_bytes", "bytes of state kept", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.StateBytes) }))
+	meter.Gauge("pebbleloom_log_bytes", "bytes of the logs in force", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.LogBytes) }))
+	meter.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.Last - shard.Applied) }))
 }
 
 // registerGroupMetrics shows the status of this member in a group whose membership is agreed data.
-func (n *Node) registerGroupMetrics(p *shard) {
-	m := n.process.Meter
-	m.Gauge("pebbleloom_group_members", "members of the newest membership that this one knows", func() float64 { return float64(len(p.published.current().members)) })
-	m.Gauge("pebbleloom_group_votes", "1 while this one is a member and its disk is well", func() float64 {
-		if p.published.current().isVoter {
+func (n *Node) registerGroupMetrics(shard *shard) {
+	meter := n.process.Meter
+	meter.Gauge("pebbleloom_group_members", "members of the newest membership that this one knows", func() float64 { return float64(len(shard.published.current().members)) })
+	meter.Gauge("pebbleloom_group_votes", "1 while this one is a member and its disk is well", func() float64 {
+		if shard.published.current().isVoter {
 			return 1
 		}
 		return 0
 	})
-	m.Gauge("pebbleloom_plan_version", "version of the plan that this one holds", func() float64 {
-		return float64(p.published.current().documents[routingconfig.Key].GetVersion())
+	meter.Gauge("pebbleloom_plan_version", "version of the plan that this one holds", func() float64 {
+		return float64(shard.published.current().documents[routingconfig.Key].GetVersion())
 	})
 }
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -2,21 +2,12 @@
 
 import (
 	"context"
-	"fmt"
-	"math/rand/v2"
-	"net/http"
-	"path/filepath"
-	"sort"
 	"time"
 
 	"github.com/twitchtv/twirp"
 
 	"pebbleloom/internal/control/clustermembership"
-	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/control/controlclient"
-	"pebbleloom/internal/control/operatorapi"
-	"pebbleloom/internal/control/serviceconfig"
-	"pebbleloom/internal/control/storage"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
@@ -36,135 +27,18 @@
 	transport     *transport
 }
 
-// Start runs a control node.
-//
-// Example: daemon.Main("archive", "control node", need, controlstate.Start)
-func Start(l *daemon.Process) error {
-	n := &Node{process: l, shards: map[uint32]*shard{}, outgoing: map[string]*queue.Ring[*wire.Message]{}, clients: daemon.NewClients(l)}
-	clk := l.Clock
-	core := append([]string(nil), l.Place.Core...)
-	sort.Strings(core)
-	fresh := func() string { return fmt.Sprintf("%s/%016x", l.Place.Name, l.Seed()) }
-	n.coreMembers, n.incarnation = core, fresh()
-	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.clients.Membership, nil)
-	for _, m := range core {
-		if m != l.Place.Name {
-			r := queue.NewRing[*wire.Message](1024)
-			n.outgoing[m] = r
-			l.Go(func() { n.deliver(m, r) })
-		}
-	}
-	tick := l.Place.Bounds.Heal(1.0 / 240)
-	for i := range uint32(controlclient.Shards) {
-		ms := controlclient.Members(i, core)
-		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
-			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Place.Name)))}
-		if !containsName(ms, l.Place.Name) {
-			continue
-		}
-		p, err := openShard(l.Ctx, cfg, openDisk(l, fmt.Sprintf("part-%d", i)), fresh, clk, l.Log, n.send)
-		if err != nil {
-			// One shard's bad disk doesn't take the others out.
-			l.Log.Error("shard stays closed", "shard", i, "error", errs.Text(err))
-			continue
-		}
-		p.claimRetention, p.confirmTimeout = l.Place.Bounds.Once(1), l.Place.Bounds.Heal(serveTimeoutRatio*confirmTimeoutRatio)
-		n.shards[i] = p
-		l.Go(func() { p.run(tick) })
-	}
-	mux := http.NewServeMux()
-	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(n))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.membership))
-	if err := l.Serve(l.Place.Listen, mux); err != nil {
-		return err
-	}
-	ctl := controlclient.New(core, func() clustermembership.View { return n.membership.View() }, n.clients, l.Place.Bounds)
-	if err := operatorapi.Serve(l, ctl, func() clustermembership.View { return n.membership.View() }, n.clients); err != nil {
-		return err
-	}
-	l.Go(func() {
-		<-l.Draining
-		for _, p := range n.shards {
-			p.transferLeadership()
-		}
-	})
-	n.registerMetrics()
-	l.Every(l.Place.Bounds.Heal(0.25), func() { n.followSeeds(ctl) })
-	l.Ready.Store(true)
-	l.Log.Info("serving", "shards", len(n.shards), "incarnation", n.incarnation)
-	return nil
-}
-
-// followSeeds takes the seeds that the configuration in force names.
-func (n *Node) followSeeds(ctl *controlclient.Client) {
-	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
-	if err != nil || len(t.Documents) == 0 {
-		return // the seeds that are known stay
-	}
-	if s, err := serviceconfig.Read(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
-		n.membership.SetSeeds(s.Seeds)
-	}
-}
-
-func containsName(l []string, s string) bool {
-	for _, x := range l {
-		if x == s {
-			return true
-		}
-	}
-	return false
-}
-
-// openDisk is a shard's folder; where the place names a switch, faults can be brought about.
-func openDisk(l *daemon.Process, folder string) storage.Disk {
-	d := l.Disk(filepath.Join(l.Place.Data, folder))
-	if f := l.Place.Option("faults", ""); f != "" {
-		return storage.WithFaults(d, f)
-	}
-	return d
-}
-
-// send hands a message to the thread that carries messages to its receiver. A full ring
-// drops it: messages may be lost.
-func (n *Node) send(l *wire.Message) {
-	if r := n.outgoing[l.To]; r != nil {
-		r.Offer(l)
-	}
-}
-
-func (n *Node) deliver(to string, r *queue.Ring[*wire.Message]) {
-	for {
-		select {
-		case <-n.process.Ctx.Done():
-			return
-		case l := <-r.Out():
-			ls := append([]*wire.Message{l}, r.Drain(127)...)
-			addr, ok := n.membership.View().Addr("archive/" + to)
-			if !ok {
-				continue
-			}
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
-			_, err := n.clients.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
-			end()
-			if err != nil {
-				n.process.Log.Debug("messages lost", "to", to, "messages", len(ls), "error", err)
-			}
-		}
-	}
-}
-
 // Post takes messages from a peer.
 //
 // Example: receipt, err := wire.NewArchiveProtobufClient(url, h).Post(ctx, batch)
-func (n *Node) Post(_ context.Context, p *wire.MessageBatch) (*wire.BatchReceipt, error) {
-	if p.Format != 1 {
+func (n *Node) Post(_ context.Context, batch *wire.MessageBatch) (*wire.BatchReceipt, error) {
+	if batch.Format != 1 {
 		return nil, twirp.InvalidArgumentError("epoch", "this node reads format 1: bring both programs to one release")
 	}
-	for _, l := range p.Messages {
-		if pt := n.shards[l.Shard]; pt != nil {
-			pt.commands.Offer(func() {
-				if pt.failure == nil {
-					pt.core.Step(l)
+	for _, message := range batch.Messages {
+		if shard := n.shards[message.Shard]; shard != nil {
+			shard.commands.Offer(func() {
+				if shard.failure == nil {
+					shard.core.Step(message)
 				}
 			})
 		}
@@ -185,27 +59,27 @@
 // Change carries out a change where this node leads the shard; elsewhere it names the leader.
 //
 // Example: response, err := n.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
-func (n *Node) Change(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
-	p := n.shards[a.Shard]
-	if p == nil {
+func (n *Node) Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+	shard := n.shards[request.Shard]
+	if shard == nil {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader}, nil
 	}
-	ctx, end := n.serveContext(ctx, len(a.Command.GetPut().GetBody()))
-	defer end()
-	return p.change(ctx, a), nil
+	ctx, cancel := n.serveContext(ctx, len(request.Command.GetPut().GetBody()))
+	defer cancel()
+	return shard.change(ctx, request), nil
 }
 
 // Read reads what was acknowledged, where this node leads the shard.
 //
 // Example: response, err := n.Read(ctx, &wire.ReadRequest{Shard: 0, Key: "setup"})
-func (n *Node) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
-	p := n.shards[a.Shard]
-	if p == nil {
+func (n *Node) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
+	shard := n.shards[request.Shard]
+	if shard == nil {
 		return &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}, nil
 	}
-	ctx, end := n.serveContext(ctx, 0)
-	defer end()
-	return p.read(ctx, a), nil
+	ctx, cancel := n.serveContext(ctx, 0)
+	defer cancel()
+	return shard.read(ctx, request), nil
 }
 
 // Time gives this machine's wall clock.
@@ -219,36 +93,36 @@
 //
 // Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
 func (n *Node) Stand(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
-	t := &wire.StatusResponse{Incarnation: n.incarnation}
-	for i := range uint32(controlclient.Shards) {
-		p := n.shards[i]
-		if p == nil {
-			if containsName(controlclient.Members(i, n.coreMembers), n.process.Place.Name) {
-				t.Shards = append(t.Shards, &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its folder can't be read: see the log at the start"})
+	response := &wire.StatusResponse{Incarnation: n.incarnation}
+	for shardID := range uint32(controlclient.Shards) {
+		shard := n.shards[shardID]
+		if shard == nil {
+			if containsName(controlclient.Members(shardID, n.coreMembers), n.process.Place.Name) {
+				response.Shards = append(response.Shards, &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Failure: "its folder can't be read: see the log at the start"})
 			}
 			continue
 		}
-		x := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
-		t.Shards = append(t.Shards, query(ctx, p, x, func() *wire.ShardStatus {
-			s := p.core.Status()
-			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, Applied: s.Applied,
-				Last: s.LastIndex, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.LogBytes())}
-			if p.failure != nil {
-				y.Failure = errs.Text(p.failure)
+		unanswered := &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
+		response.Shards = append(response.Shards, query(ctx, shard, unanswered, func() *wire.ShardStatus {
+			coreStatus := shard.core.Status()
+			status := &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Leader: coreStatus.Leader, IsLeader: coreStatus.IsLeader, Blank: coreStatus.Blank, Stuck: coreStatus.RejoinFailure, Applied: coreStatus.Applied,
+				Last: coreStatus.LastIndex, Term: coreStatus.Term, StateBytes: uint64(shard.state.documentBytes), LogBytes: uint64(shard.store.LogBytes())}
+			if shard.failure != nil {
+				status.Failure = errs.Text(shard.failure)
 			}
-			return y
+			return status
 		}))
 	}
-	return t, nil
+	return response, nil
 }
 
 // News answers a long poll: a newer document, or this member's word that it has none.
 //
 // Example: response, err := n.News(ctx, &wire.WatchRequest{Key: "setup", Have: 7, HoldNs: 3e8})
-func (n *Node) News(ctx context.Context, a *wire.WatchRequest) (*wire.WatchResponse, error) {
-	if p := n.shards[a.Shard]; p != nil {
-		a.HoldNs = min(a.HoldNs, uint64(time.Minute))
-		return p.watch(ctx, a, n.process.Place.Name), nil
+func (n *Node) News(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
+	if shard := n.shards[request.Shard]; shard != nil {
+		request.HoldNs = min(request.HoldNs, uint64(time.Minute))
+		return shard.watch(ctx, request, n.process.Place.Name), nil
 	}
 	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Place.Name}, nil
 }
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -34,15 +34,15 @@
 // acknowledged again.
 //
 // Example: version, err := n.PutRoutingConfig(ctx, 5, body, false)
-func (n *Node) PutRoutingConfig(ctx context.Context, base uint64, body []byte, part bool) (uint64, error) {
-	ctx, end := context.WithTimeout(ctx, n.operatorTimeout(len(body)))
-	defer end()
-	h := sha256.New()
-	fmt.Fprintf(h, "%d %v ", base, part)
-	h.Write(body)
-	t, err := n.changeOnLeader(ctx, &wire.ChangeRequest{Patch: part, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
-		Key: routingconfig.Key, Body: body, IfVersion: base, Token: hex.EncodeToString(h.Sum(nil)[:16])}}}})
-	return t.GetVersion(), err
+func (n *Node) PutRoutingConfig(ctx context.Context, base uint64, body []byte, patch bool) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, n.operatorTimeout(len(body)))
+	defer cancel()
+	hash := sha256.New()
+	fmt.Fprintf(hash, "%d %v ", base, patch)
+	hash.Write(body)
+	response, err := n.changeOnLeader(ctx, &wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
+		Key: routingconfig.Key, Body: body, IfVersion: base, Token: hex.EncodeToString(hash.Sum(nil)[:16])}}}})
+	return response.GetVersion(), err
 }
 
 // ReadRoutingConfig reads the plan in force, and its version: never older than what was acknowledged
@@ -50,10 +50,10 @@
 //
 // Example: body, version, err := n.ReadRoutingConfig(ctx)
 func (n *Node) ReadRoutingConfig(ctx context.Context) ([]byte, uint64, error) {
-	ctx, end := context.WithTimeout(ctx, n.operatorTimeout(0))
-	defer end()
-	d, err := n.readDocument(ctx, routingconfig.Key)
-	return d.GetBody(), d.GetVersion(), err
+	ctx, cancel := context.WithTimeout(ctx, n.operatorTimeout(0))
+	defer cancel()
+	document, err := n.readDocument(ctx, routingconfig.Key)
+	return document.GetBody(), document.GetVersion(), err
 }
 
 // SetWeightsVersion names a version of a model's weights. An older one than is named is superseded
@@ -64,23 +64,23 @@
 	if model == "" || version == 0 {
 		return errs.New(errs.BadInput, "model %q, version %d: give a model and a version from 1 on", model, version)
 	}
-	ctx, end := context.WithTimeout(ctx, n.operatorTimeout(0))
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, n.operatorTimeout(0))
+	defer cancel()
 	// What is applied here was agreed on: it stays named.
-	if w := (fleet.Weights{}); json.Unmarshal(n.shards[0].published.current().documents[fleet.WeightsKey].GetBody(), &w) == nil && w.Named[model] >= version {
+	if weights := (fleet.Weights{}); json.Unmarshal(n.shards[0].published.current().documents[fleet.WeightsKey].GetBody(), &weights) == nil && weights.Named[model] >= version {
 		return nil
 	}
 	for ctx.Err() == nil {
-		d, err := n.readDocument(ctx, fleet.WeightsKey)
+		document, err := n.readDocument(ctx, fleet.WeightsKey)
 		if err != nil {
 			return err
 		}
-		body, err := addWeightsVersion(d.GetBody(), model, version)
+		body, err := addWeightsVersion(document.GetBody(), model, version)
 		if err != nil || body == nil {
 			return err
 		}
 		_, err = n.changeOnLeader(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
-			Key: fleet.WeightsKey, Body: body, IfVersion: d.GetVersion()}}}})
+			Key: fleet.WeightsKey, Body: body, IfVersion: document.GetVersion()}}}})
 		if err == nil || errs.KindOf(err) != errs.Conflict {
 			return err
 		}
@@ -91,69 +91,69 @@
 
 // addWeightsVersion gives the named weights with one more; nil where that is named already.
 func addWeightsVersion(old []byte, model string, version uint64) ([]byte, error) {
-	w := fleet.Weights{}
+	weights := fleet.Weights{}
 	if len(old) > 0 {
-		if err := json.Unmarshal(old, &w); err != nil {
+		if err := json.Unmarshal(old, &weights); err != nil {
 			return nil, errs.Wrap(err, "read the weights that are named")
 		}
 	}
-	if w.Named[model] >= version {
+	if weights.Named[model] >= version {
 		return nil, nil
 	}
-	if w.Named == nil {
-		w.Named = map[string]uint64{}
+	if weights.Named == nil {
+		weights.Named = map[string]uint64{}
 	}
-	w.Named[model] = version
-	body, err := json.Marshal(w)
+	weights.Named[model] = version
+	body, err := json.Marshal(weights)
 	return body, errs.Wrap(err, "write the weights that are named")
 }
 
 // leaderView is the newest published view, after the client was told whom it names.
 func (n *Node) leaderView() *publishedView {
-	v := n.shards[0].published.current()
-	n.controlClient.SetMembers(v.self, v.members)
-	if !v.isLeader {
-		n.controlClient.HintLeader(v.leader)
+	view := n.shards[0].published.current()
+	n.controlClient.SetMembers(view.self, view.members)
+	if !view.isLeader {
+		n.controlClient.HintLeader(view.leader)
 	}
-	return v
+	return view
 }
 
 // changeOnLeader makes a change here where this member leads the group, or else wherever the leader is.
-func (n *Node) changeOnLeader(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+func (n *Node) changeOnLeader(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	if n.leaderView().isLeader {
-		t := n.shards[0].change(ctx, a)
-		switch t.Outcome {
+		response := n.shards[0].change(ctx, request)
+		switch response.Outcome {
 		case wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
-			n.controlClient.HintLeader(t.Leader)
+			n.controlClient.HintLeader(response.Leader)
 		default:
-			return t, controlclient.ErrorOf(t)
+			return response, controlclient.ErrorOf(response)
 		}
 	}
-	t, err := n.controlClient.Change(ctx, a)
+	response, err := n.controlClient.Change(ctx, request)
 	if errs.KindOf(err) == errs.MayHaveRun && err != nil {
 		err = errs.As(err, errs.CantSay, "the same again is safe")
 	}
-	return t, err
+	return response, err
 }
 
 // readDocument reads one document; nil: there is none.
 func (n *Node) readDocument(ctx context.Context, key string) (*wire.Document, error) {
-	a := &wire.ReadRequest{Key: key}
-	var t *wire.ReadResponse
+	request := &wire.ReadRequest{Key: key}
+	var response *wire.ReadResponse
 	if n.leaderView().isLeader {
-		here, end := n.shards[0].confirmContext(ctx, 0)
-		t = n.shards[0].read(here, a)
-		end()
+		confirmed, cancel := n.shards[0].confirmContext(ctx, 0)
+		response = n.shards[0].read(confirmed, request)
+		cancel()
 	}
-	if t.GetOutcome() != wire.OutcomeDone {
+	if response.GetOutcome() != wire.OutcomeDone {
 		var err error
-		if t, err = n.controlClient.Read(ctx, a); err != nil {
+		if response, err = n.controlClient.Read(ctx, request); err != nil {
 			return nil, err
 		}
 	}
-	for _, d := range t.Documents {
-		if d.Key == key {
-			return d, nil
+	for _, document := range response.Documents {
+		if document.Key == key {
+			return document, nil
 		}
 	}
 	return nil, nil
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -15,11 +15,6 @@
 	"pebbleloom/internal/wire"
 )
 
-type pendingProposal struct {
-	term     uint64
-	response chan *wire.ChangeResponse
-}
-
 // shard runs one member of one shard: one goroutine has core, state and store to itself.
 type shard struct {
 	id               uint32
@@ -46,148 +41,132 @@
 }
 
 // openShard reads the disk and makes the member; an empty disk begins blank under a new incarnation.
-func openShard(ctx context.Context, cfg consensus.Config, d storage.Disk, inc func() string, clk clock.Clock, log hclog.Logger, post func(*wire.Message)) (*shard, error) {
-	p := newShard(ctx, cfg.Shard, clk, log, post)
-	l, err := p.load(d, func() *wire.Snapshot { return consensus.BlankSnapshot(inc()) }) // what was here before counts no more, under any name
+func openShard(ctx context.Context, config consensus.Config, disk storage.Disk, newIncarnation func() string, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) (*shard, error) {
+	shard := newShard(ctx, config.Shard, clk, log, send)
+	loaded, err := shard.load(disk, func() *wire.Snapshot { return consensus.BlankSnapshot(newIncarnation()) }) // what was here before counts no more, under any name
 	if err != nil {
 		return nil, err
 	}
-	p.core = consensus.New(cfg, l.Snapshot, l.Records)
-	return p, nil
+	shard.core = consensus.New(config, loaded.Snapshot, loaded.Records)
+	return shard, nil
 }
 
-func newShard(ctx context.Context, n uint32, clk clock.Clock, log hclog.Logger, post func(*wire.Message)) *shard {
-	return &shard{id: n, state: newState(), clock: clk, log: log.With("shard", n), send: post, ctx: ctx,
+func newShard(ctx context.Context, id uint32, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) *shard {
+	return &shard{id: id, state: newState(), clock: clk, log: log.With("shard", id), send: send, ctx: ctx,
 		commands: queue.NewRing[func()](512), pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan bool{},
 		watchers: map[chan struct{}]bool{}, compactThreshold: compactBytes, claimRetention: defaultClaimRetention, mergeLock: make(chan struct{}, 1)}
 }
 
-func (p *shard) run(tick time.Duration) {
-	t := clock.NewTicker(tick)
-	defer t.Stop()
+func (s *shard) run(tick time.Duration) {
+	ticker := clock.NewTicker(tick)
+	defer ticker.Stop()
 	onTick := func() {
-		if p.failure == nil {
-			p.core.Tick()
+		if s.failure == nil {
+			s.core.Tick()
 		}
-		p.tickGroup()
+		s.tickGroup()
 	}
 	onTick() // a member that has just started doesn't wait for the first tick
-	p.handleReady()
+	s.handleReady()
 	for {
 		select {
-		case <-p.ctx.Done():
+		case <-s.ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 			onTick()
-		case f := <-p.commands.Out():
-			f()
-			for _, g := range p.commands.Drain(63) {
-				g()
+		case command := <-s.commands.Out():
+			command()
+			for _, command := range s.commands.Drain(63) {
+				command()
 			}
 		}
-		p.handleReady()
+		s.handleReady()
 	}
 }
 
 // handleReady persists, then sends, then applies what the core asks for. A failed sync takes the
 // member out: it acknowledges and sends nothing more.
-func (p *shard) handleReady() {
-	if p.failure != nil {
+func (s *shard) handleReady() {
+	if s.failure != nil {
 		return
 	}
-	o := p.core.Ready()
-	if err := p.persist(o); err != nil {
-		p.markFailed(err)
+	ready := s.core.Ready()
+	if err := s.persist(ready); err != nil {
+		s.markFailed(err)
 		return
 	}
-	p.publish(consensus.Ready{Snapshot: o.Snapshot, Records: o.Records}) // before any message says that it is on this disk
-	for _, m := range o.Messages {
-		p.send(m)
+	s.publish(consensus.Ready{Snapshot: ready.Snapshot, Records: ready.Records}) // before any message says that it is on this disk
+	for _, message := range ready.Messages {
+		s.send(message)
 	}
-	for _, e := range o.CommittedEntries {
-		p.applyEntry(e)
+	for _, entry := range ready.CommittedEntries {
+		s.applyEntry(entry)
 	}
-	for _, id := range o.ConfirmedReads {
-		p.completeRead(id, true)
+	for _, id := range ready.ConfirmedReads {
+		s.completeRead(id, true)
 	}
-	for _, id := range o.AbortedReads {
-		p.completeRead(id, false)
+	for _, id := range ready.AbortedReads {
+		s.completeRead(id, false)
 	}
-	p.releasePendingProposals()
-	if len(o.CommittedEntries) > 0 && p.failure == nil && p.store.LogBytes() > max(p.compactThreshold, p.snapshotBytes) {
-		if err := p.compact(); err != nil {
-			p.markFailed(err)
+	s.releasePendingProposals()
+	if len(ready.CommittedEntries) > 0 && s.failure == nil && s.store.LogBytes() > max(s.compactThreshold, s.snapshotBytes) {
+		if err := s.compact(); err != nil {
+			s.markFailed(err)
 		}
 	}
-	p.publish(consensus.Ready{CommittedEntries: o.CommittedEntries})
+	s.publish(consensus.Ready{CommittedEntries: ready.CommittedEntries})
 }
 
-func (p *shard) completeRead(id uint64, ok bool) {
-	if c := p.pendingReads[id]; c != nil {
-		c <- ok
-		delete(p.pendingReads, id)
+func (s *shard) markFailed(err error) {
+	s.failure = err
+	s.log.Error("member is out", "error", errs.Text(err))
+	for id := range s.pendingReads {
+		s.completeRead(id, false)
 	}
+	s.notifyWatchers()
+	s.publish(consensus.Ready{})
 }
 
-func (p *shard) markFailed(err error) {
-	p.failure = err
-	p.log.Error("member is out", "error", errs.Text(err))
-	for id := range p.pendingReads {
-		p.completeRead(id, false)
-	}
-	p.notifyWatchers()
-	p.publish(consensus.Ready{})
-}
-
-func (p *shard) notifyWatchers() {
-	for c := range p.watchers {
+func (s *shard) notifyWatchers() {
+	for c := range s.watchers {
 		close(c)
 	}
-	clear(p.watchers)
+	clear(s.watchers)
 }
 
-func (p *shard) applyEntry(e *wire.Entry) {
+func (s *shard) applyEntry(entry *wire.Entry) {
 	response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
-	if len(e.Body) > 0 {
-		c := &wire.Command{}
-		if err := proto.Unmarshal(e.Body, c); err != nil {
-			p.markFailed(errs.As(err, errs.DiskBad, "read committed entry"))
+	if len(entry.Body) > 0 {
+		command := &wire.Command{}
+		if err := proto.Unmarshal(entry.Body, command); err != nil {
+			s.markFailed(errs.As(err, errs.DiskBad, "read committed entry"))
 			return
 		}
-		response = p.state.apply(c, p.clock.Now())
+		response = s.state.apply(command, s.clock.Now())
 	}
-	p.notifyWatchers()
-	if w, ok := p.pendingProposals[e.Index]; ok {
-		delete(p.pendingProposals, e.Index)
-		if w.term != e.Term {
+	s.notifyWatchers()
+	if proposal, ok := s.pendingProposals[entry.Index]; ok {
+		delete(s.pendingProposals, entry.Index)
+		if proposal.term != entry.Term {
 			response = &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader} // another entry took its place: it never ran
 		}
-		w.response <- response
+		proposal.response <- response
 	}
 }
 
-// transferLeadership asks a peer that has caught up to lead, before this node stops.
-func (p *shard) transferLeadership() {
-	p.commands.Offer(func() {
-		if p.failure == nil && p.core.TransferLeadership() {
-			p.log.Info("leadership transfer asked for")
-		}
-	})
-}
-
 // reportLost says to the core that a message of its own wasn't sent.
-func (p *shard) reportLost(m *wire.Message) {
-	p.commands.Offer(func() {
-		if p.failure == nil {
-			p.core.ReportSendFailure(m)
+func (s *shard) reportLost(message *wire.Message) {
+	s.commands.Offer(func() {
+		if s.failure == nil {
+			s.core.ReportSendFailure(message)
 		}
 	})
 }
 
 // runOnLoop runs f on the shard's goroutine; false when the shard is too busy or ending.
-func (p *shard) runOnLoop(ctx context.Context, f func()) bool {
+func (s *shard) runOnLoop(ctx context.Context, command func()) bool {
 	done := make(chan struct{})
-	if !p.commands.Offer(func() { f(); close(done) }) {
+	if !s.commands.Offer(func() { command(); close(done) }) {
 		return false
 	}
 	select {
@@ -195,67 +174,16 @@
 		return true
 	case <-ctx.Done():
 		return false
-	case <-p.ctx.Done():
+	case <-s.ctx.Done():
 		return false
 	}
 }
 
 // query asks for a value on the shard's goroutine; or is the value where no answer comes in time.
-func query[T any](ctx context.Context, p *shard, or T, f func() T) T {
-	c := make(chan T, 1) // nobody waits for an answer that comes late
-	if p.runOnLoop(ctx, func() { c <- f() }) {
-		return <-c
-	}
-	return or
-}
-
-// read answers from the applied state, once a quorum confirms that this member leads the shard.
-func (p *shard) read(ctx context.Context, a *wire.ReadRequest) *wire.ReadResponse {
-	w := make(chan bool, 1)
-	t := &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}
-	var id uint64
-	if !p.runOnLoop(ctx, func() { id, t.Leader = p.beginRead(w) }) {
-		return &wire.ReadResponse{Outcome: wire.OutcomeUnknown}
-	}
-	ok := false
-	select {
-	case ok = <-w:
-	case <-ctx.Done():
-		p.commands.Offer(func() { delete(p.pendingReads, id) })
-		return &wire.ReadResponse{Outcome: wire.OutcomeUnknown}
-	}
-	if !ok {
-		return t
-	}
-	if !p.runOnLoop(ctx, func() { t.Outcome = wire.OutcomeDone; t.Documents, t.Leases = p.selectDocuments(a) }) {
-		return &wire.ReadResponse{Outcome: wire.OutcomeUnknown}
-	}
-	return t
-}
-
-// beginRead begins a read; w receives whether it may be answered from here.
-func (p *shard) beginRead(w chan bool) (id uint64, leader string) {
-	s := p.core.Status()
-	if p.failure == nil && s.IsLeader && len(p.pendingReads) < 1024 {
-		if i, ok := p.core.ReadIndex(); ok {
-			p.pendingReads[i] = w
-			return i, "" // where it is lost, this member isn't the one to name
-		}
-	}
-	w <- false
-	return 0, s.Leader
-}
-
-func (p *shard) selectDocuments(a *wire.ReadRequest) ([]*wire.Document, []*wire.Lease) {
-	var ds []*wire.Document
-	var ls []*wire.Lease
-	for _, k := range queue.Keys(p.state.documents) {
-		if k == a.Key || a.Prefix && len(k) >= len(a.Key) && k[:len(a.Key)] == a.Key {
-			ds = append(ds, p.state.documents[k])
-		}
-	}
-	for _, k := range queue.Keys(p.state.leases) {
-		ls = append(ls, p.state.leases[k])
+func query[T any](ctx context.Context, shard *shard, fallback T, read func() T) T {
+	result := make(chan T, 1) // nobody waits for an answer that comes late
+	if shard.runOnLoop(ctx, func() { result <- read() }) {
+		return <-result
 	}
-	return ds, ls
+	return fallback
 }
--- /dev/null
+++ b/internal/control/controlstate/start.go
@@ -0,0 +1,173 @@
+package controlstate
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"path/filepath"
+	"sort"
+
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/consensus"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/operatorapi"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/control/storage"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/queue"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// StartGroup runs a control node whose membership is agreed data. The door serves operators.
+//
+// Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
+func StartGroup(process *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
+	site, address := process.Place.Site, process.Place.AdvertisedAddr()
+	node := &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
+	node.membership = clustermembership.Start(process.Ctx, process.Place, "archive", process.Clock, process.Log, node.clients.Membership, nil)
+	node.controlClient = controlclient.NewGroup(process.Place.Seeds, node.membership.View, node.clients, process.Place.Bounds)
+	process.OnSettingsChanged(func(shard settings.Place) {
+		node.controlClient.SetSeeds(shard.Seeds)
+		node.membership.SetSeeds(shard.Seeds)
+	})
+	node.transport = newTransport(process.Ctx, node)
+	tick := process.Place.Bounds.Heal(groupTick)
+	shard := newShard(process.Ctx, 0, process.Clock, process.Log, node.transport.send)
+	shard.claimRetention, shard.confirmTimeout = process.Place.Bounds.Once(1), settings.Of(site.AckMs, operatorTimeoutRatio*confirmTimeoutRatio)
+	openGroup(shard, &group{codec: codec, disk: openDisk(process, "part-0"), zoneOf: node.zoneOf, targetSize: 2*site.Tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+			Rand: rand.New(rand.NewPCG(process.Seed(), queue.Hash(process.Place.Name)))},
+		initialSnapshot: func() *wire.Snapshot {
+			return initialGroupSnapshot(site.First, address, process.Place.Seeds, process.Seed)
+		}})
+	node.shards[0], node.incarnation = shard, shard.published.current().self
+	process.Go(func() { shard.run(tick) })
+	mux := http.NewServeMux()
+	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(node))
+	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(node.membership))
+	// The door is closed first: what came in by it is finished while peers still get through.
+	for _, server := range []struct {
+		addr string
+		h    func() http.Handler
+	}{{site.Control, func() http.Handler { return door(node) }}, {process.Place.Listen, func() http.Handler { return mux }}} {
+		if server.addr == "" {
+			continue
+		}
+		if err := process.Serve(server.addr, server.h()); err != nil {
+			return err
+		}
+	}
+	if process.Place.Operator != "" {
+		if err := operatorapi.ServeSite(process, node.controlClient, node.membership.View, node.clients, codec.Read); err != nil {
+			return err
+		}
+	}
+	node.registerMetrics()
+	node.registerGroupMetrics(shard)
+	process.Go(func() { node.joinLoop() })
+	process.OnShutdown(node.leave)
+	process.Ready.Store(true)
+	process.Log.Info("serving", "incarnation", node.incarnation)
+	return nil
+}
+
+// zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
+func (n *Node) zoneOf(addr string) string {
+	for _, member := range n.membership.View().Role("archive") {
+		if member.Addr == addr {
+			return member.District
+		}
+	}
+	return ""
+}
+
+// Start runs a control node.
+//
+// Example: daemon.Main("archive", "control node", need, controlstate.Start)
+func Start(process *daemon.Process) error {
+	node := &Node{process: process, shards: map[uint32]*shard{}, outgoing: map[string]*queue.Ring[*wire.Message]{}, clients: daemon.NewClients(process)}
+	clk := process.Clock
+	core := append([]string(nil), process.Place.Core...)
+	sort.Strings(core)
+	newIncarnation := func() string { return fmt.Sprintf("%s/%016x", process.Place.Name, process.Seed()) }
+	node.coreMembers, node.incarnation = core, newIncarnation()
+	node.membership = clustermembership.Start(process.Ctx, process.Place, "archive", clk, process.Log, node.clients.Membership, nil)
+	for _, member := range core {
+		if member != process.Place.Name {
+			messages := queue.NewRing[*wire.Message](1024)
+			node.outgoing[member] = messages
+			process.Go(func() { node.deliver(member, messages) })
+		}
+	}
+	tick := process.Place.Bounds.Heal(1.0 / 240)
+	for shardID := range uint32(controlclient.Shards) {
+		members := controlclient.Members(shardID, core)
+		config := consensus.Config{Shard: shardID, Self: process.Place.Name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+			Rand: rand.New(rand.NewPCG(process.Seed(), uint64(shardID)+queue.Hash(process.Place.Name)))}
+		if !containsName(members, process.Place.Name) {
+			continue
+		}
+		shard, err := openShard(process.Ctx, config, openDisk(process, fmt.Sprintf("part-%d", shardID)), newIncarnation, clk, process.Log, node.send)
+		if err != nil {
+			// One shard's bad disk doesn't take the others out.
+			process.Log.Error("shard stays closed", "shard", shardID, "error", errs.Text(err))
+			continue
+		}
+		shard.claimRetention, shard.confirmTimeout = process.Place.Bounds.Once(1), process.Place.Bounds.Heal(serveTimeoutRatio*confirmTimeoutRatio)
+		node.shards[shardID] = shard
+		process.Go(func() { shard.run(tick) })
+	}
+	mux := http.NewServeMux()
+	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(node))
+	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(node.membership))
+	if err := process.Serve(process.Place.Listen, mux); err != nil {
+		return err
+	}
+	client := controlclient.New(core, func() clustermembership.View { return node.membership.View() }, node.clients, process.Place.Bounds)
+	if err := operatorapi.Serve(process, client, func() clustermembership.View { return node.membership.View() }, node.clients); err != nil {
+		return err
+	}
+	process.Go(func() {
+		<-process.Draining
+		for _, shard := range node.shards {
+			shard.transferLeadership()
+		}
+	})
+	node.registerMetrics()
+	process.Every(process.Place.Bounds.Heal(0.25), func() { node.followSeeds(client) })
+	process.Ready.Store(true)
+	process.Log.Info("serving", "shards", len(node.shards), "incarnation", node.incarnation)
+	return nil
+}
+
+// followSeeds takes the seeds that the configuration in force names.
+func (n *Node) followSeeds(client *controlclient.Client) {
+	response, err := client.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	if err != nil || len(response.Documents) == 0 {
+		return // the seeds that are known stay
+	}
+	if config, err := serviceconfig.Read(response.Documents[0].Body); err == nil && len(config.Seeds) == 3 {
+		n.membership.SetSeeds(config.Seeds)
+	}
+}
+
+// openDisk is a shard's folder; where the place names a switch, faults can be brought about.
+func openDisk(process *daemon.Process, folder string) storage.Disk {
+	disk := process.Disk(filepath.Join(process.Place.Data, folder))
+	if faults := process.Place.Option("faults", ""); faults != "" {
+		return storage.WithFaults(disk, faults)
+	}
+	return disk
+}
+
+func containsName(names []string, name string) bool {
+	for _, candidate := range names {
+		if candidate == name {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -41,42 +41,42 @@
 	return &state{documents: map[string]*wire.Document{}, leases: map[string]*wire.Lease{}, idempotency: map[string]*idempotencyRecords{}, grantedAt: map[string]time.Duration{}, claims: newClaimTable()}
 }
 
-func (s *state) load(b []byte, now time.Duration) error {
-	p := &wire.ShardState{}
-	if err := proto.Unmarshal(b, p); err != nil {
+func (s *state) load(encoded []byte, now time.Duration) error {
+	saved := &wire.ShardState{}
+	if err := proto.Unmarshal(encoded, saved); err != nil {
 		return err
 	}
-	if p.Format > 1 {
-		return fmt.Errorf("state of format %d: this program reads format 1: start the newer program", p.Format)
+	if saved.Format > 1 {
+		return fmt.Errorf("state of format %d: this program reads format 1: start the newer program", saved.Format)
 	}
 	*s = *newState()
-	for _, d := range p.Documents {
-		s.documents[d.Key] = d
-		s.documentBytes += len(d.Body)
+	for _, document := range saved.Documents {
+		s.documents[document.Key] = document
+		s.documentBytes += len(document.Body)
 	}
-	for _, l := range p.Leases {
-		s.leases[l.Name], s.grantedAt[l.Name] = l, now
+	for _, lease := range saved.Leases {
+		s.leases[lease.Name], s.grantedAt[lease.Name] = lease, now
 	}
-	s.recentTokens = p.Tokens
-	s.loadIdempotency(p.Taken)
-	s.claims.load(p.Claims, p.AgeNs)
+	s.recentTokens = saved.Tokens
+	s.loadIdempotency(saved.Taken)
+	s.claims.load(saved.Claims, saved.AgeNs)
 	return nil
 }
 
 func (s *state) save() ([]byte, error) {
-	p := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}
-	for _, k := range queue.Keys(s.documents) {
-		p.Documents = append(p.Documents, s.documents[k])
+	saved := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}
+	for _, key := range queue.Keys(s.documents) {
+		saved.Documents = append(saved.Documents, s.documents[key])
 	}
-	for _, k := range queue.Keys(s.leases) {
-		p.Leases = append(p.Leases, s.leases[k])
+	for _, key := range queue.Keys(s.leases) {
+		saved.Leases = append(saved.Leases, s.leases[key])
 	}
-	return proto.MarshalOptions{Deterministic: true}.Marshal(p)
+	return proto.MarshalOptions{Deterministic: true}.Marshal(saved)
 }
 
 // apply carries out one committed command and returns its outcome.
-func (s *state) apply(c *wire.Command, now time.Duration) *wire.ChangeResponse {
-	switch k := c.GetKind().(type) {
+func (s *state) apply(command *wire.Command, now time.Duration) *wire.ChangeResponse {
+	switch k := command.GetKind().(type) {
 	case *wire.Command_Put:
 		return s.applyPut(k.Put)
 	case *wire.Command_Grant:
@@ -86,8 +86,8 @@
 		if k.Claims.KeepNs > 0 { // zero: of a release that sent no age
 			s.claims.advanceAge(k.Claims.PassedNs, k.Claims.KeepNs)
 		}
-		for _, c := range k.Claims.List {
-			granted, full := s.claims.claim(c)
+		for _, command := range k.Claims.List {
+			granted, full := s.claims.claim(command)
 			response.Granted, response.Full = append(response.Granted, granted), append(response.Full, full)
 		}
 		return response
@@ -101,65 +101,65 @@
 	if s.isRecentToken(put.Token) {
 		return s.answerRepeated(put)
 	}
-	if l := s.leases[put.Lease]; put.Lease != "" && (l == nil || l.Fence != put.Fence || l.Holder != put.Holder) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.GetFence(), Leader: l.GetHolder()} // the lease has passed on
+	if lease := s.leases[put.Lease]; put.Lease != "" && (lease == nil || lease.Fence != put.Fence || lease.Holder != put.Holder) {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the lease has passed on
 	}
-	d := s.documents[put.Key]
-	if d == nil {
+	document := s.documents[put.Key]
+	if document == nil {
 		if len(s.documents) >= maxDocuments {
 			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many documents as it may"}}
 		}
-		d = &wire.Document{Key: put.Key}
+		document = &wire.Document{Key: put.Key}
 	}
-	if !put.AnyVersion && put.IfVersion != d.Version {
+	if !put.AnyVersion && put.IfVersion != document.Version {
 		return s.answerStaleBase(put)
 	}
-	if put.NewVersion > 0 && put.NewVersion <= d.Version {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.Version}
+	if put.NewVersion > 0 && put.NewVersion <= document.Version {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: document.Version}
 	}
-	if s.documentBytes-len(d.Body)+len(put.Body) > maxStateBytes {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: d.Version, Errors: []string{"the shard holds as many bytes as it may"}}
+	if s.documentBytes-len(document.Body)+len(put.Body) > maxStateBytes {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: document.Version, Errors: []string{"the shard holds as many bytes as it may"}}
 	}
-	s.documentBytes += len(put.Body) - len(d.Body)
-	d = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, d.Version+1)}
-	s.documents[put.Key] = d
-	s.recordChange(put, d.Version)
-	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: d.Version}
+	s.documentBytes += len(put.Body) - len(document.Body)
+	document = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, document.Version+1)}
+	s.documents[put.Key] = document
+	s.recordChange(put, document.Version)
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: document.Version}
 }
 
 // applyGrant gives, renews or takes back a lease. That the old one has run out was judged by
 // the leader before it proposed (free); here only the fence decides.
-func (s *state) applyGrant(g *wire.Grant, now time.Duration) *wire.ChangeResponse {
-	l := s.leases[g.Lease]
-	if l == nil {
+func (s *state) applyGrant(grant *wire.Grant, now time.Duration) *wire.ChangeResponse {
+	lease := s.leases[grant.Lease]
+	if lease == nil {
 		if len(s.leases) >= maxLeases {
 			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many leases as it may"}}
 		}
-		l = &wire.Lease{Name: g.Lease}
+		lease = &wire.Lease{Name: grant.Lease}
 	}
-	if g.IfFence != l.Fence {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.Fence, Leader: l.Holder}
+	if grant.IfFence != lease.Fence {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.Fence, Leader: lease.Holder}
 	}
-	n := &wire.Lease{Name: g.Lease, Holder: g.Holder, Fence: l.Fence, TtlNs: g.TtlNs}
-	if g.GiveUp {
-		n.Holder = ""
-	} else if l.Holder != g.Holder {
-		n.Fence++
+	granted := &wire.Lease{Name: grant.Lease, Holder: grant.Holder, Fence: lease.Fence, TtlNs: grant.TtlNs}
+	if grant.GiveUp {
+		granted.Holder = ""
+	} else if lease.Holder != grant.Holder {
+		granted.Fence++
 	}
-	s.leases[g.Lease], s.grantedAt[g.Lease] = n, now
-	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: n.Fence, Leader: n.Holder}
+	s.leases[grant.Lease], s.grantedAt[grant.Lease] = granted, now
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: granted.Fence, Leader: granted.Holder}
 }
 
 // isGrantable tells whether a lease may be granted to a holder now. The holder counts its lease
 // from when it asked, which was before any member saw the grant: so it stops first.
-func (s *state) isGrantable(g *wire.Grant, now time.Duration) bool {
-	l := s.leases[g.Lease]
-	if g.GiveUp {
-		return l != nil && l.Holder == g.Holder
+func (s *state) isGrantable(grant *wire.Grant, now time.Duration) bool {
+	lease := s.leases[grant.Lease]
+	if grant.GiveUp {
+		return lease != nil && lease.Holder == grant.Holder
 	}
-	if l == nil || l.Holder == "" || l.Holder == g.Holder {
+	if lease == nil || lease.Holder == "" || lease.Holder == grant.Holder {
 		return true
 	}
-	ttl := time.Duration(l.TtlNs)
-	return now-s.grantedAt[g.Lease] > ttl+time.Duration(float64(ttl)*settings.MarginPart)
+	ttl := time.Duration(lease.TtlNs)
+	return now-s.grantedAt[grant.Lease] > ttl+time.Duration(float64(ttl)*settings.MarginPart)
 }
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -43,38 +43,38 @@
 
 // send queues a message for the address in its receiver's name. A full queue drops it: messages may
 // be lost.
-func (t *transport) send(m *wire.Message) {
-	to := controlclient.Addr(m.To)
-	b := t.outboxes[to]
-	if b == nil {
+func (t *transport) send(message *wire.Message) {
+	to := controlclient.Addr(message.To)
+	box := t.outboxes[to]
+	if box == nil {
 		if len(t.outboxes) >= maxOutboxes {
 			t.closeLeastRecentlyUsed()
 		}
-		b = t.open(to)
+		box = t.open(to)
 	}
 	t.sent++
-	b.lastUsed = t.sent
-	if len(m.GetPiece().GetData()) > 0 || payloadBytes(m) >= largeMessageBytes {
-		b.large.Offer(m)
+	box.lastUsed = t.sent
+	if len(message.GetPiece().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes {
+		box.large.Offer(message)
 	} else {
-		b.small.Offer(m)
+		box.small.Offer(message)
 	}
 }
 
 func (t *transport) open(to string) *outbox {
 	ctx, stop := context.WithCancel(t.ctx)
-	b := &outbox{small: queue.NewRing[*wire.Message](maxQueuedSmall), large: queue.NewRing[*wire.Message](maxQueuedLarge), stop: stop}
-	t.outboxes[to] = b
-	d := &peerSender{node: t.node, to: to}
-	go d.sendSmall(ctx, b.small)
-	go d.sendLarge(ctx, b.large)
-	return b
+	box := &outbox{small: queue.NewRing[*wire.Message](maxQueuedSmall), large: queue.NewRing[*wire.Message](maxQueuedLarge), stop: stop}
+	t.outboxes[to] = box
+	sender := &peerSender{node: t.node, to: to}
+	go sender.sendSmall(ctx, box.small)
+	go sender.sendLarge(ctx, box.large)
+	return box
 }
 
 func (t *transport) closeLeastRecentlyUsed() {
 	oldest := ""
-	for addr, b := range t.outboxes {
-		if oldest == "" || b.lastUsed < t.outboxes[oldest].lastUsed {
+	for addr, box := range t.outboxes {
+		if oldest == "" || box.lastUsed < t.outboxes[oldest].lastUsed {
 			oldest = addr
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // payloadBytes is about how large a message is.
-func payloadBytes(m *wire.Message) int {
-	size := len(m.GetSnapshot().GetState()) + len(m.GetPiece().GetData())
-	for _, e := range m.Entries {
-		size += len(e.Body)
+func payloadBytes(message *wire.Message) int {
+	size := len(message.GetSnapshot().GetState()) + len(message.GetPiece().GetData())
+	for _, entry := range message.Entries {
+		size += len(entry.Body)
 	}
 	return size
 }
@@ -101,63 +101,63 @@
 }
 
 // timeout is how long a message of so many bytes may take.
-func (d *peerSender) timeout(size int) time.Duration {
-	return d.node.process.Place.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
+func (p *peerSender) timeout(size int) time.Duration {
+	return p.node.process.Place.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
-func (d *peerSender) post(ctx context.Context, messages []*wire.Message) error {
-	_, err := d.node.clients.ControlNode(d.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
+func (p *peerSender) post(ctx context.Context, messages []*wire.Message) error {
+	_, err := p.node.clients.ControlNode(p.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 	if err != nil {
-		d.node.process.Log.Debug("messages lost", "to", d.to, "messages", len(messages), "error", err)
+		p.node.process.Log.Debug("messages lost", "to", p.to, "messages", len(messages), "error", err)
 	}
 	return err
 }
 
-func (d *peerSender) sendSmall(ctx context.Context, queued *queue.Ring[*wire.Message]) {
+func (p *peerSender) sendSmall(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-queued.Out():
-			one, end := context.WithTimeout(ctx, d.timeout(0))
-			err := d.post(one, append([]*wire.Message{m}, queued.Drain(maxBatchMessages-1)...))
-			end()
-			d.recordSmallResult(err != nil)
+		case message := <-queued.Out():
+			sendCtx, cancel := context.WithTimeout(ctx, p.timeout(0))
+			err := p.post(sendCtx, append([]*wire.Message{message}, queued.Drain(maxBatchMessages-1)...))
+			cancel()
+			p.recordSmallResult(err != nil)
 		}
 	}
 }
 
 // recordSmallResult ends a large message that was begun before its address could be reached again: its
 // connection may stay silent for long.
-func (d *peerSender) recordSmallResult(failed bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lastSmallFailed && !failed && d.abortLarge != nil {
-		d.abortLarge()
+func (p *peerSender) recordSmallResult(failed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.lastSmallFailed && !failed && p.abortLarge != nil {
+		p.abortLarge()
 	}
-	d.lastSmallFailed = failed
+	p.lastSmallFailed = failed
 }
 
 // sendLarge sends large messages one by one; the core hears of each that is lost.
-func (d *peerSender) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
+func (p *peerSender) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-queued.Out():
-			one, end := context.WithTimeout(ctx, d.timeout(payloadBytes(m)))
-			d.setAbort(end)
-			err := d.post(one, []*wire.Message{m})
-			d.setAbort(nil)
-			if end(); err != nil {
-				d.node.shards[m.Shard].reportLost(m)
+		case message := <-queued.Out():
+			sendCtx, cancel := context.WithTimeout(ctx, p.timeout(payloadBytes(message)))
+			p.setAbort(cancel)
+			err := p.post(sendCtx, []*wire.Message{message})
+			p.setAbort(nil)
+			if cancel(); err != nil {
+				p.node.shards[message.Shard].reportLost(message)
 			}
 		}
 	}
 }
 
-func (d *peerSender) setAbort(abort context.CancelFunc) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.abortLarge = abort
+func (p *peerSender) setAbort(abort context.CancelFunc) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.abortLarge = abort
 }
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -10,73 +10,84 @@
 )
 
 // validateCalendarEntry checks a calendar entry against the others of its service.
-func (p *shard) validateCalendarEntry(u *wire.Put) error {
-	e, err := calendar.Read(u.Body)
+func (s *shard) validateCalendarEntry(put *wire.Put) error {
+	entry, err := calendar.Read(put.Body)
 	if err != nil {
 		return err
 	}
-	var b errs.Batch
-	if e.Check(&b); calendar.Key(e.Service, e.Name) != u.Key {
-		b.Fault(errs.BadInput, "entry %q of service %q doesn't belong under %s", e.Name, e.Service, u.Key)
+	var faults errs.Batch
+	if entry.Check(&faults); calendar.Key(entry.Service, entry.Name) != put.Key {
+		faults.Fault(errs.BadInput, "entry %q of service %q doesn't belong under %s", entry.Name, entry.Service, put.Key)
 	}
-	if len(p.core.UnappliedEntries()) > 0 {
+	if len(s.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
 	var others []*calendar.Entry
-	for k, d := range p.state.documents {
-		if strings.HasPrefix(k, "calendar/") {
-			o, err := calendar.Read(d.Body)
-			if b.Note(k, err); err == nil {
-				others = append(others, o)
+	for key, document := range s.state.documents {
+		if strings.HasPrefix(key, "calendar/") {
+			other, err := calendar.Read(document.Body)
+			if faults.Note(key, err); err == nil {
+				others = append(others, other)
 			}
 		}
 	}
-	b.Note("calendar", e.Clash(others))
-	if e.Active() {
-		for _, r := range p.retirements(&b) {
-			if r.Service == e.Service && r.Active() && r.State != retire.Planned {
-				b.Fault(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", e.Name, r.Name, r.State, e.Service)
+	faults.Note("calendar", entry.Clash(others))
+	if entry.Active() {
+		for _, retirement := range s.retirements(&faults) {
+			if retirement.Service == entry.Service && retirement.Active() && retirement.State != retire.Planned {
+				faults.Fault(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", entry.Name, retirement.Name, retirement.State, entry.Service)
 			}
 		}
 	}
-	return b.Look()
+	return faults.Look()
 }
 
-func (p *shard) retirements(b *errs.Batch) (l []*retire.Retirement) {
-	for k, d := range p.state.documents {
-		if strings.HasPrefix(k, "retire/") {
-			r, err := retire.Read(d.Body)
-			if b.Note(k, err); err == nil {
-				l = append(l, r)
+func (s *shard) retirements(faults *errs.Batch) (retirements []*retire.Retirement) {
+	for key, document := range s.state.documents {
+		if strings.HasPrefix(key, "retire/") {
+			retirement, err := retire.Read(document.Body)
+			if faults.Note(key, err); err == nil {
+				retirements = append(retirements, retirement)
 			}
 		}
 	}
-	return l
+	return retirements
 }
 
 // validateRetirement checks a retirement against the others and the calendar of its service.
-func (p *shard) validateRetirement(u *wire.Put) error {
-	r, err := retire.Read(u.Body)
+func (s *shard) validateRetirement(put *wire.Put) error {
+	retirement, err := retire.Read(put.Body)
 	if err != nil {
 		return err
 	}
-	var b errs.Batch
-	if r.Check(&b); retire.Key(r.Service, r.Name) != u.Key {
-		b.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", r.Name, r.Service, u.Key)
+	var faults errs.Batch
+	if retirement.Check(&faults); retire.Key(retirement.Service, retirement.Name) != put.Key {
+		faults.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", retirement.Name, retirement.Service, put.Key)
 	}
-	if len(p.core.UnappliedEntries()) > 0 {
+	if len(s.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
-	b.Note("retirement", r.ConflictWith(p.retirements(&b)))
-	if r.Active() && r.State != retire.Planned {
-		for k, d := range p.state.documents {
-			if !strings.HasPrefix(k, "calendar/") {
+	faults.Note("retirement", retirement.ConflictWith(s.retirements(&faults)))
+	if retirement.Active() && retirement.State != retire.Planned {
+		for key, document := range s.state.documents {
+			if !strings.HasPrefix(key, "calendar/") {
 				continue
 			}
-			if e, err := calendar.Read(d.Body); err == nil && e.Active() && e.Service == r.Service {
-				b.Fault(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", r.Name, e.Name, e.State, e.Service)
+			if entry, err := calendar.Read(document.Body); err == nil && entry.Active() && entry.Service == retirement.Service {
+				faults.Fault(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", retirement.Name, entry.Name, entry.State, entry.Service)
 			}
 		}
 	}
-	return b.Look()
+	return faults.Look()
+}
+
+// validateDocument checks a calendar entry or a retirement against the others; any other document passes.
+func (s *shard) validateDocument(put *wire.Put) error {
+	switch {
+	case strings.HasPrefix(put.Key, "calendar/"):
+		return s.validateCalendarEntry(put)
+	case strings.HasPrefix(put.Key, "retire/"):
+		return s.validateRetirement(put)
+	}
+	return nil
 }
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -11,14 +11,14 @@
 
 // hasNothingNewer tells whether this member's log holds no newer document of a key than what it has
 // applied: then none was ever acknowledged with its help.
-func (p *shard) hasNothingNewer(key string) bool {
-	s := p.core.Status()
-	if p.failure != nil || s.Blank {
+func (s *shard) hasNothingNewer(key string) bool {
+	status := s.core.Status()
+	if s.failure != nil || status.Blank {
 		return false
 	}
-	for _, e := range p.core.UnappliedEntries() {
-		c := &wire.Command{}
-		if len(e.Body) > 0 && (proto.Unmarshal(e.Body, c) != nil || c.GetPut().GetKey() == key) {
+	for _, entry := range s.core.UnappliedEntries() {
+		command := &wire.Command{}
+		if len(entry.Body) > 0 && (proto.Unmarshal(entry.Body, command) != nil || command.GetPut().GetKey() == key) {
 			return false
 		}
 	}
@@ -28,54 +28,54 @@
 // watch holds the request until there is a newer document or its time is over. OutcomeSame is this
 // member's word that its disk holds nothing newer; what a majority of such words proves is the
 // caller's to say.
-func (p *shard) watch(ctx context.Context, a *wire.WatchRequest, member string) *wire.WatchResponse {
-	t := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
-	end := time.NewTimer(time.Duration(a.HoldNs))
-	defer end.Stop()
-	for over := false; ; {
-		var c chan struct{}
-		ok := p.runOnLoop(ctx, func() {
-			if t = p.watchResponse(a, member, over); t == nil {
-				c = make(chan struct{})
-				p.watchers[c] = true
+func (s *shard) watch(ctx context.Context, request *wire.WatchRequest, member string) *wire.WatchResponse {
+	response := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
+	timer := time.NewTimer(time.Duration(request.HoldNs))
+	defer timer.Stop()
+	for expired := false; ; {
+		var changed chan struct{}
+		ok := s.runOnLoop(ctx, func() {
+			if response = s.watchResponse(request, member, expired); response == nil {
+				changed = make(chan struct{})
+				s.watchers[changed] = true
 			}
 		})
 		if !ok {
 			return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 		}
-		if t != nil {
-			return t
+		if response != nil {
+			return response
 		}
 		select {
-		case <-c:
-		case <-end.C:
-			over = true
+		case <-changed:
+		case <-timer.C:
+			expired = true
 		case <-ctx.Done():
-			over = true
-		case <-p.ctx.Done():
+			expired = true
+		case <-s.ctx.Done():
 			return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 		}
-		p.commands.Offer(func() { delete(p.watchers, c) })
+		s.commands.Offer(func() { delete(s.watchers, changed) })
 	}
 }
 
 // watchResponse gives the response that can be given now; nil means: wait.
-func (p *shard) watchResponse(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
-	t := p.documentResponse(a, member, over)
-	if t != nil {
-		t.Incarnation, t.KnownIncarnations = p.core.Incarnations()
+func (s *shard) watchResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
+	response := s.documentResponse(request, member, expired)
+	if response != nil {
+		response.Incarnation, response.KnownIncarnations = s.core.Incarnations()
 	}
-	return t
+	return response
 }
 
-func (p *shard) documentResponse(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
-	d := p.state.documents[a.Key]
+func (s *shard) documentResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
+	document := s.state.documents[request.Key]
 	switch {
-	case p.failure == nil && d.GetVersion() > a.Have:
-		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: d, Member: member, NothingNewer: p.hasNothingNewer(a.Key)}
-	case over && p.hasNothingNewer(a.Key) && d.GetVersion() == a.Have:
+	case s.failure == nil && document.GetVersion() > request.Have:
+		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: document, Member: member, NothingNewer: s.hasNothingNewer(request.Key)}
+	case expired && s.hasNothingNewer(request.Key) && document.GetVersion() == request.Have:
 		return &wire.WatchResponse{Outcome: wire.OutcomeSame, Member: member}
-	case over || p.failure != nil || len(p.watchers) >= 1024:
+	case expired || s.failure != nil || len(s.watchers) >= 1024:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	}
 	return nil
--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -7,22 +7,23 @@
 // took is logged, and stands in docs/control.md.
 var _ = register(
 	mutant{point: 2, name: "an order is acknowledged before it is committed",
-		file: "internal/control/controlstate/change.go",
-		original: `	p.pendingProposals[index] = pending
-	return pending, nil`,
+		file: "internal/control/controlstate/propose.go",
+		original: `	s.pendingProposals[index] = proposal
+	return proposal, nil`,
 		replacement: `	if u := command.GetPut(); u != nil {
 		pendingProposals.response <- &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: u.NewVersion}
 	} else {
-		p.pendingProposals[index] = pendingProposals
+		s.pendingProposals[index] = pendingProposals
 	}
 	return pendingProposals, nil`,
 		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 1, name: "a read is answered from the applied state without a quorum",
-		file: "internal/control/controlstate/shard.go",
-		original: `			p.pendingReads[i] = w
+		file: "internal/control/controlstate/read.go",
+		original: `			s.pendingReads[readID] = result
 `,
-		replacement: "			w <- true\n",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
+		replacement: `			result <- true
+`,
+		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "a snapshot forgets the orders that were taken",
 		file:        "internal/control/controlstate/state.go",
 		original:    "Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}",
@@ -34,9 +35,9 @@
 		replacement: "> time.Duration(float64(ttl)*settings.MarginPart)",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "an order under way is refused when its leader stops leading",
-		file:        "internal/control/controlstate/contact.go",
-		original:    "w.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
-		replacement: "w.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: p.state.docs[p.configKey()].GetVersion()}",
+		file:        "internal/control/controlstate/propose.go",
+		original:    "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
+		replacement: "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: p.state.docs[p.configKey()].GetVersion()}",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 4, name: "a vote isn't synced",
 		file:        "internal/control/consensus/core.go",
--- a/internal/control/mutation/point3_test.go
+++ b/internal/control/mutation/point3_test.go
@@ -9,8 +9,8 @@
 		pkg:         "internal/control/consensus", run: "Member|Change|Group"},
 	mutant{point: 3, name: "a silent member is removed before its replacement has caught up",
 		file:        "internal/control/controlstate/membership.go",
-		original:    "if p.IsVoter || !p.CaughtUp || p.ContactAge >= spareFreshTicks {",
-		replacement: "if p.IsVoter || p.ContactAge >= spareFreshTicks {",
+		original:    "if peer.IsVoter || !peer.CaughtUp || peer.ContactAge >= spareFreshTicks {",
+		replacement: "if peer.IsVoter || peer.ContactAge >= spareFreshTicks {",
 		pkg:         "internal/control/controlstate", run: "TestWhomTheLeaderAddsAndRemoves"},
 	mutant{point: 3, name: "a learner that lacks large entries is made a voter",
 		file:        "internal/control/consensus/membership.go",
@@ -18,31 +18,38 @@
 		replacement: "return true",
 		pkg:         "internal/control/consensus", run: "TestALearnerThatLacksLargeEntriesIsNotCaughtUp"},
 	mutant{point: 3, name: "a member that is gone is replaced by adding first",
-		file:        "internal/control/controlstate/membership.go",
-		original:    "	if silent := v.firstMember(v.isSilent); silent != \"\" {\n		return v.without(silent)\n	}\n	if slices",
-		replacement: "	if silent := v.firstMember(v.isSilent); silent != \"\" {\n		return v.with(spare)\n	}\n	if slices",
-		pkg:         "internal/control/controlstate", run: "TestThePolicyTakesTheChosenSteps"},
+		file: "internal/control/controlstate/membership.go",
+		original: `	if silent := p.firstMember(p.isSilent); silent != "" {
+		return p.without(silent)
+	}
+	if slices`,
+		replacement: `	if silent := p.firstMember(p.isSilent); silent != "" {
+		return p.with(spare)
+	}
+	if slices`,
+		pkg: "internal/control/controlstate", run: "TestThePolicyTakesTheChosenSteps"},
 	mutant{point: 3, name: "a leaver doesn't wait for its successor",
-		file: "internal/control/controlstate/join.go",
-		original: `	if !p.canLeave(name) {
+		file: "internal/control/controlstate/leave.go",
+		original: `	if !s.canLeave(name) {
 		return false
 	}`,
 		replacement: "",
 		pkg:         "internal/control/controlstate", run: "TestAPlannedLeaveIsReplacedBeforeItGoes"},
 	mutant{point: 3, name: "a leaver doesn't wait until the others hold what was acknowledged",
-		file:        "internal/control/controlstate/join.go",
-		original:    "return p.nextMembership() == nil && p.core.ReplicatedToLiveVoters(name, aliveTicks)",
-		replacement: "return p.nextMembership() == nil",
+		file:        "internal/control/controlstate/leave.go",
+		original:    "return s.nextMembership() == nil && s.core.ReplicatedToLiveVoters(name, aliveTicks)",
+		replacement: "return s.nextMembership() == nil",
 		pkg:         "internal/control/controlstate", run: "TestALeaverHoldsTheOnlyOtherCopy"},
 	mutant{point: 3, name: "a leaver that has gone still counts as one that votes",
-		file:        "internal/control/controlstate/join.go",
-		original:    "	delete(p.leaving, name)\n	return true",
+		file: "internal/control/controlstate/leave.go",
+		original: `	delete(s.leaving, name)
+	return true`,
 		replacement: "	return true",
 		pkg:         "internal/control/controlstate", run: "TestALeaverThatHasGoneIsNotCountedOn"},
 	mutant{point: 3, name: "a late ask of an earlier incarnation has the live member removed",
 		file:        "internal/control/controlstate/membership.go",
-		original:    "sameAddress(p.Name, name) && p.Responded && p.ContactAge < since",
-		replacement: "sameAddress(p.Name, name) && since >= 0",
+		original:    "sameAddress(peer.Name, name) && peer.Responded && peer.ContactAge < since",
+		replacement: "sameAddress(peer.Name, name) && since >= 0",
 		pkg:         "internal/control/controlstate", run: "TestWhomTheLeaderAddsAndRemoves"},
 	mutant{point: 3, name: "each election gives a member that is gone its whole time again",
 		file:        "internal/control/consensus/membership.go",
--- a/internal/control/mutation/point4_test.go
+++ b/internal/control/mutation/point4_test.go
@@ -46,23 +46,29 @@
 		replacement: "l.Commit",
 		pkg:         "internal/control/consensus", run: "TestEntryTooLargeForTheLinkArrivesInASnapshot"},
 	mutant{point: 4, name: "a snapshot that can't be read is stored",
-		file:        "internal/control/controlstate/shard_disk.go",
-		original:    "	if err := checkFormat(s); err != nil {\n		return err\n	}\n	installed",
+		file: "internal/control/controlstate/persistence.go",
+		original: `	if err := checkFormat(snapshot); err != nil {
+		return err
+	}
+	installed`,
 		replacement: "	installed",
 		pkg:         "internal/control/controlstate", run: "TestSnapshotThatCannotBeReadIsNotStored"},
 	mutant{point: 4, name: "a snapshot is acknowledged that the disk doesn't hold",
-		file:        "internal/control/controlstate/shard_disk.go",
-		original:    "	if err := p.store.SaveSnapshot(s, rest); err != nil {\n		return err\n	}\n	*p.state",
-		replacement: "	*p.state",
+		file: "internal/control/controlstate/persistence.go",
+		original: `	if err := s.store.SaveSnapshot(snapshot, records); err != nil {
+		return err
+	}
+	*s.state`,
+		replacement: `	*s.state`,
 		pkg:         "internal/control/controlstate", run: "TestSnapshotIsStoredBeforeItIsAcknowledged"},
 	mutant{point: 4, name: "heartbeats wait behind a large message",
 		file:        "internal/control/controlstate/transport.go",
-		original:    "if len(m.GetPiece().GetData()) > 0 || payloadBytes(m) >= largeMessageBytes {",
+		original:    "if len(message.GetPiece().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes {",
 		replacement: "if false {",
 		pkg:         "internal/control/controlstate", run: "TestHeartbeatsPassBesideALargeMessage"},
 	mutant{point: 4, name: "a message that hangs outlives the silence of its address",
 		file:        "internal/control/controlstate/transport.go",
-		original:    "if d.lastSmallFailed && !failed && d.abortLarge != nil {",
+		original:    "if p.lastSmallFailed && !failed && p.abortLarge != nil {",
 		replacement: "if false {",
 		pkg:         "internal/control/controlstate", run: "TestLargeMessageEndsWhenItsAddressIsBack"},
 )
