--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -202,8 +202,8 @@
 			c := daemon.NewClients(l).ControlNode(t.Addr)
 			have := map[string]uint64{}
 			for ctx.Err() == nil {
-				a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.Key, Packed: true}
-				for _, k := range []string{routingconfig.Key, "workers", "weights", "placement/"} {
+				a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.DocumentKey, Packed: true}
+				for _, k := range []string{routingconfig.DocumentKey, "workers", "weights", "placement/"} {
 					a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: have[k]})
 				}
 				response, err := c.Follow(ctx, a)
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -77,18 +77,18 @@
 func (n *Node) requestJoin(self string, members []string, turn int) (unhelpful int) {
 	addresses := n.controlClient.Addresses()
 	for _, member := range members {
-		if address := controlclient.Addr(member); !slices.Contains(addresses, address) {
+		if address := controlclient.MemberAddr(member); !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
 	}
-	own := controlclient.Addr(self)
+	own := controlclient.MemberAddr(self)
 	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == own })
-	for _, addr := range joinCandidates(addresses, n.controlClient.IsSilent, turn) {
+	for _, addr := range joinCandidates(addresses, n.controlClient.IsUnresponsive, turn) {
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
 			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
 			response, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
 			end()
-			n.controlClient.NoteAnswer(addr, err == nil)
+			n.controlClient.RecordResponse(addr, err == nil)
 			if err != nil {
 				break
 			}
@@ -96,7 +96,7 @@
 				n.controlClient.HintLeader(addr)
 				return unhelpful
 			}
-			addr = controlclient.Addr(response.Leader)
+			addr = controlclient.MemberAddr(response.Leader)
 		}
 		unhelpful++
 	}
--- a/internal/control/controlstate/leave.go
+++ b/internal/control/controlstate/leave.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
 	defer cancel()
-	response, err := n.clients.ControlNode(controlclient.Addr(progress.leader)).Join(ctx, &wire.JoinRequest{Name: progress.self, Leaving: true})
+	response, err := n.clients.ControlNode(controlclient.MemberAddr(progress.leader)).Join(ctx, &wire.JoinRequest{Name: progress.self, Leaving: true})
 	return err == nil && response.Outcome == wire.OutcomeDone
 }
 
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -111,7 +111,7 @@
 	})
 }
 
-func sameAddress(a, b string) bool { return controlclient.Addr(a) == controlclient.Addr(b) }
+func sameAddress(a, b string) bool { return controlclient.MemberAddr(a) == controlclient.MemberAddr(b) }
 
 // hasQuorum reports whether those alive among the members, and so many more, are a quorum of both.
 func (p *membershipPlanner) hasQuorum(members []string, additional int) bool {
@@ -164,8 +164,8 @@
 
 // sharesZone reports whether a member that stays is in a learner's zone.
 func (p *membershipPlanner) sharesZone(name string) bool {
-	zone := p.zoneOf(controlclient.Addr(name))
+	zone := p.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(p.members, func(member string) bool {
-		return zone != "" && !p.isLeaving(member) && p.zoneOf(controlclient.Addr(member)) == zone
+		return zone != "" && !p.isLeaving(member) && p.zoneOf(controlclient.MemberAddr(member)) == zone
 	})
 }
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -94,7 +94,7 @@
 // Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
 func (n *Node) Stand(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	response := &wire.StatusResponse{Incarnation: n.incarnation}
-	for shardID := range uint32(controlclient.Shards) {
+	for shardID := range uint32(controlclient.ShardCount) {
 		shard := n.shards[shardID]
 		if shard == nil {
 			if containsName(controlclient.Members(shardID, n.coreMembers), n.process.Place.Name) {
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -41,7 +41,7 @@
 	fmt.Fprintf(hash, "%d %v ", base, patch)
 	hash.Write(body)
 	response, err := n.changeOnLeader(ctx, &wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
-		Key: routingconfig.Key, Body: body, IfVersion: base, Token: hex.EncodeToString(hash.Sum(nil)[:16])}}}})
+		Key: routingconfig.DocumentKey, Body: body, IfVersion: base, Token: hex.EncodeToString(hash.Sum(nil)[:16])}}}})
 	return response.GetVersion(), err
 }
 
@@ -52,7 +52,7 @@
 func (n *Node) ReadRoutingConfig(ctx context.Context) ([]byte, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.operatorTimeout(0))
 	defer cancel()
-	document, err := n.readDocument(ctx, routingconfig.Key)
+	document, err := n.readDocument(ctx, routingconfig.DocumentKey)
 	return document.GetBody(), document.GetVersion(), err
 }
 
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -28,7 +28,7 @@
 	site, address := process.Place.Site, process.Place.AdvertisedAddr()
 	node := &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
 	node.membership = clustermembership.Start(process.Ctx, process.Place, "archive", process.Clock, process.Log, node.clients.Membership, nil)
-	node.controlClient = controlclient.NewGroup(process.Place.Seeds, node.membership.View, node.clients, process.Place.Bounds)
+	node.controlClient = controlclient.NewGroupClient(process.Place.Seeds, node.membership.View, node.clients, process.Place.Bounds)
 	process.OnSettingsChanged(func(shard settings.Place) {
 		node.controlClient.SetSeeds(shard.Seeds)
 		node.membership.SetSeeds(shard.Seeds)
@@ -76,7 +76,7 @@
 
 // zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
 func (n *Node) zoneOf(addr string) string {
-	for _, member := range n.membership.View().Role("archive") {
+	for _, member := range n.membership.View().WithRole("archive") {
 		if member.Addr == addr {
 			return member.District
 		}
@@ -103,7 +103,7 @@
 		}
 	}
 	tick := process.Place.Bounds.Heal(1.0 / 240)
-	for shardID := range uint32(controlclient.Shards) {
+	for shardID := range uint32(controlclient.ShardCount) {
 		members := controlclient.Members(shardID, core)
 		config := consensus.Config{Shard: shardID, Self: process.Place.Name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(process.Seed(), uint64(shardID)+queue.Hash(process.Place.Name)))}
@@ -145,11 +145,11 @@
 
 // followSeeds takes the seeds that the configuration in force names.
 func (n *Node) followSeeds(client *controlclient.Client) {
-	response, err := client.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	response, err := client.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(response.Documents) == 0 {
 		return // the seeds that are known stay
 	}
-	if config, err := serviceconfig.Read(response.Documents[0].Body); err == nil && len(config.Seeds) == 3 {
+	if config, err := serviceconfig.Decode(response.Documents[0].Body); err == nil && len(config.Seeds) == 3 {
 		n.membership.SetSeeds(config.Seeds)
 	}
 }
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -44,7 +44,7 @@
 // send queues a message for the address in its receiver's name. A full queue drops it: messages may
 // be lost.
 func (t *transport) send(message *wire.Message) {
-	to := controlclient.Addr(message.To)
+	to := controlclient.MemberAddr(message.To)
 	box := t.outboxes[to]
 	if box == nil {
 		if len(t.outboxes) >= maxOutboxes {
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -11,7 +11,7 @@
 
 // validateCalendarEntry checks a calendar entry against the others of its service.
 func (s *shard) validateCalendarEntry(put *wire.Put) error {
-	entry, err := calendar.Read(put.Body)
+	entry, err := calendar.Decode(put.Body)
 	if err != nil {
 		return err
 	}
@@ -25,16 +25,16 @@
 	var others []*calendar.Entry
 	for key, document := range s.state.documents {
 		if strings.HasPrefix(key, "calendar/") {
-			other, err := calendar.Read(document.Body)
+			other, err := calendar.Decode(document.Body)
 			if faults.Note(key, err); err == nil {
 				others = append(others, other)
 			}
 		}
 	}
-	faults.Note("calendar", entry.Clash(others))
+	faults.Note("calendar", entry.ConflictWith(others))
 	if entry.Active() {
 		for _, retirement := range s.retirements(&faults) {
-			if retirement.Service == entry.Service && retirement.Active() && retirement.State != retire.Planned {
+			if retirement.Service == entry.Service && retirement.Active() && retirement.State != retire.StatePlanned {
 				faults.Fault(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", entry.Name, retirement.Name, retirement.State, entry.Service)
 			}
 		}
@@ -61,19 +61,19 @@
 		return err
 	}
 	var faults errs.Batch
-	if retirement.Check(&faults); retire.Key(retirement.Service, retirement.Name) != put.Key {
+	if retirement.Validate(&faults); retire.Key(retirement.Service, retirement.Name) != put.Key {
 		faults.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", retirement.Name, retirement.Service, put.Key)
 	}
 	if len(s.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
-	faults.Note("retirement", retirement.ConflictWith(s.retirements(&faults)))
-	if retirement.Active() && retirement.State != retire.Planned {
+	faults.Note("retirement", retirement.CheckConflicts(s.retirements(&faults)))
+	if retirement.Active() && retirement.State != retire.StatePlanned {
 		for key, document := range s.state.documents {
 			if !strings.HasPrefix(key, "calendar/") {
 				continue
 			}
-			if entry, err := calendar.Read(document.Body); err == nil && entry.Active() && entry.Service == retirement.Service {
+			if entry, err := calendar.Decode(document.Body); err == nil && entry.Active() && entry.Service == retirement.Service {
 				faults.Fault(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", retirement.Name, entry.Name, entry.State, entry.Service)
 			}
 		}
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -171,7 +171,7 @@
 		s.ConfigVersion, s.Config, s.WeightsAt = old.ConfigVersion, old.Config, old.WeightsAt
 		s.LatestProof = max(old.LatestProof, s.ProofAt) // a proof of this version stays valid
 	} else if t.Setup != nil {
-		v, err := serviceconfig.Read(t.Setup.Body)
+		v, err := serviceconfig.Decode(t.Setup.Body)
 		if err != nil {
 			return errs.Wrap(err, "configuration in update")
 		}
