--- a/internal/control/mutation/point1_test.go
+++ b/internal/control/mutation/point1_test.go
@@ -80,7 +80,7 @@
 		file:        "internal/control/controlclient/group.go",
 		original:    `		if c.group.leaderUnreachable(c.Addresses()) {`,
 		replacement: "		if len(c.Addresses()) < 0 {",
-		pkg:         clientPackage, run: "TestACutOffProcessSaysSoSoon"},
+		pkg:         clientPackage, run: "TestPartitionedClientFailsFast"},
 	mutant{point: 1, name: "a silent member is asked first",
 		file: "internal/control/controlclient/group.go",
 		original: `		case g.isUnresponsive(a):
