--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -120,7 +120,7 @@
 // OutgoingHeartbeat is a heartbeat to send to an address.
 type OutgoingHeartbeat struct {
 	Address   string
-	Heartbeat *wire.Beat
+	Heartbeat *wire.Heartbeat
 }
 
 // Tick runs one heartbeat period: it checks the observed nodes for failures, then returns the
@@ -131,7 +131,7 @@
 	if c.ticks++; c.ticks == 1 {
 		c.startedAt = now
 	}
-	c.self.Beat++
+	c.self.Heartbeat++
 	observers, observed := c.neighbors()
 	c.detectFailures(observed, now)
 	c.checksum = c.computeChecksum()
@@ -191,12 +191,12 @@
 //
 // Example: for _, outgoing := range c.Leave() { send(outgoing) }
 func (c *Core) Leave() []OutgoingHeartbeat {
-	c.self.Beat++
+	c.self.Heartbeat++
 	c.self.State = Dead
 	var heartbeats []OutgoingHeartbeat
 	for _, p := range c.peers {
 		if p.node.State == Alive && len(heartbeats) < maxLeaveAnnouncements {
-			heartbeats = append(heartbeats, OutgoingHeartbeat{p.node.Addr, &wire.Beat{Epoch: formatVersion, From: clone(c.self)}})
+			heartbeats = append(heartbeats, OutgoingHeartbeat{p.node.Addr, &wire.Heartbeat{Format: formatVersion, From: clone(c.self)}})
 		}
 	}
 	return heartbeats
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -49,7 +49,7 @@
 
 // add starts machine i with a new incarnation.
 func (s *simulatedSite) add(i int, incarnation uint64) {
-	self := &wire.Node{Name: nodeName(i), Incarnation: incarnation, Role: "x", District: fmt.Sprint(i % 4), Addr: addr(i)}
+	self := &wire.Node{Name: nodeName(i), Incarnation: incarnation, Role: "x", Zone: fmt.Sprint(i % 4), Addr: addr(i)}
 	s.cores[addr(i)] = New(settings.Default(), self, seedAddrs())
 	delete(s.down, addr(i))
 }
--- a/internal/control/clustermembership/exchange.go
+++ b/internal/control/clustermembership/exchange.go
@@ -15,11 +15,11 @@
 )
 
 // newHeartbeat returns a heartbeat with the recent changes of state, or with the full view.
-func (c *Core) newHeartbeat(full bool) *wire.Beat {
-	heartbeat := &wire.Beat{Epoch: formatVersion, From: clone(c.self), Whole: full, Sum: c.checksum}
+func (c *Core) newHeartbeat(full bool) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{Format: formatVersion, From: clone(c.self), FullView: full, ViewChecksum: c.checksum}
 	for _, p := range c.peers {
 		if full || p.transmitsLeft > 0 {
-			heartbeat.News = append(heartbeat.News, clone(p.node))
+			heartbeat.Updates = append(heartbeat.Updates, clone(p.node))
 		}
 	}
 	return heartbeat
@@ -29,9 +29,9 @@
 // full view if the two views differ.
 //
 // Example: response := c.HandleHeartbeat(heartbeat, clock.Now())
-func (c *Core) HandleHeartbeat(heartbeat *wire.Beat, now time.Duration) *wire.Beat {
-	if heartbeat.GetEpoch() != formatVersion {
-		return &wire.Beat{Epoch: formatVersion, From: clone(c.self)}
+func (c *Core) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Duration) *wire.Heartbeat {
+	if heartbeat.GetFormat() != formatVersion {
+		return &wire.Heartbeat{Format: formatVersion, From: clone(c.self)}
 	}
 	if heartbeat.GetFrom() == nil {
 		return c.newHeartbeat(true) // the sender only reads the view; it is no node itself
@@ -40,9 +40,9 @@
 	known := c.peers[sender]
 	isNew := known == nil || known.node.State == Dead
 	c.mergeHeartbeat(heartbeat, now)
-	response := c.newHeartbeat(heartbeat.Whole || isNew || c.needsFullView(heartbeat, now))
+	response := c.newHeartbeat(heartbeat.FullView || isNew || c.needsFullView(heartbeat, now))
 	if p := c.peers[sender]; p != nil && p.node.Incarnation > heartbeat.From.Incarnation {
-		response.News = append(response.News, clone(p.node)) // the sender learns that its name was reused
+		response.Updates = append(response.Updates, clone(p.node)) // the sender learns that its name was reused
 	}
 	return response
 }
@@ -52,18 +52,18 @@
 // node's full view.
 //
 // Example: c.HandleResponse(address, response, clock.Now())
-func (c *Core) HandleResponse(address string, response *wire.Beat, now time.Duration) {
+func (c *Core) HandleResponse(address string, response *wire.Heartbeat, now time.Duration) {
 	c.mergeHeartbeat(response, now)
-	if response.GetWhole() && response.Sum != c.checksum && len(c.sendFull) < maxDiverged {
+	if response.GetFullView() && response.ViewChecksum != c.checksum && len(c.sendFull) < maxDiverged {
 		c.sendFull[address] = true
 	}
 }
 
 // mergeHeartbeat merges the sender's own state and the changes that it reports.
-func (c *Core) mergeHeartbeat(heartbeat *wire.Beat, now time.Duration) {
+func (c *Core) mergeHeartbeat(heartbeat *wire.Heartbeat, now time.Duration) {
 	version := c.version
 	c.merge(heartbeat.GetFrom(), now, true)
-	for _, report := range heartbeat.GetNews() {
+	for _, report := range heartbeat.GetUpdates() {
 		c.merge(report, now, false)
 	}
 	if c.version != version {
@@ -73,9 +73,9 @@
 
 // needsFullView reports whether a sender's view differs from this one and no update in flight will
 // fix that: there is none, or the views have differed for long.
-func (c *Core) needsFullView(heartbeat *wire.Beat, now time.Duration) bool {
+func (c *Core) needsFullView(heartbeat *wire.Heartbeat, now time.Duration) bool {
 	sender := heartbeat.From.Name
-	if heartbeat.Sum == c.checksum {
+	if heartbeat.ViewChecksum == c.checksum {
 		delete(c.divergedAt, sender)
 		return false
 	}
@@ -90,7 +90,7 @@
 		c.divergedAt[sender] = now // sent once, and again if that didn't help
 		return true
 	}
-	return len(heartbeat.News) == 0 && c.isStable(now)
+	return len(heartbeat.Updates) == 0 && c.isStable(now)
 }
 
 // isStable reports whether no update is in flight here: views that differ then will not converge by
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -28,7 +28,7 @@
 	clock    clock.Clock
 	bounds   settings.Bounds
 	log      hclog.Logger
-	client   func(addr string) wire.Roster
+	client   func(addr string) wire.Membership
 	view     atomic.Pointer[View]
 	onChange func(View)
 	left     bool // no heartbeats are sent any more; owned by the actor
@@ -80,8 +80,8 @@
 //
 // Example: m := clustermembership.Start(ctx, place, "runner", clock, log, client, nil)
 func Start(ctx context.Context, p settings.Place, role string, clk clock.Clock, log hclog.Logger,
-	client func(addr string) wire.Roster, onChange func(View)) *Member {
-	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, District: p.Zone,
+	client func(addr string) wire.Membership, onChange func(View)) *Member {
+	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, Zone: p.Zone,
 		Addr: p.AdvertisedAddr(), Operator: p.Operator}
 	bounds := siteBounds(p)
 	m := &Member{
@@ -171,7 +171,7 @@
 func (m *Member) send(ctx context.Context, outgoing OutgoingHeartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, m.bounds.Leave(heartbeatTimeoutRatio))
 	defer cancel()
-	response, err := m.client(outgoing.Address).Hear(ctx, outgoing.Heartbeat)
+	response, err := m.client(outgoing.Address).Exchange(ctx, outgoing.Heartbeat)
 	if err != nil {
 		return // the observers detect the failure by their timeouts
 	}
@@ -181,17 +181,17 @@
 	})
 }
 
-// Hear serves the heartbeats of other nodes.
+// Exchange serves the heartbeats of other nodes.
 //
 // Example: srv := wire.NewRosterServer(m)
-func (m *Member) Hear(_ context.Context, heartbeat *wire.Beat) (*wire.Beat, error) {
-	var response *wire.Beat
+func (m *Member) Exchange(_ context.Context, heartbeat *wire.Heartbeat) (*wire.Heartbeat, error) {
+	var response *wire.Heartbeat
 	m.actor.Ask(func(c *Core) {
 		response = c.HandleHeartbeat(heartbeat, m.clock.Now())
 		m.publish(c)
 	})
 	if response == nil { // the member has stopped
-		response = &wire.Beat{Epoch: formatVersion}
+		response = &wire.Heartbeat{Format: formatVersion}
 	}
 	return response, nil
 }
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -42,7 +42,7 @@
 	n.members[addr] = m
 }
 
-func (n *memberNetwork) client(addr string) wire.Roster {
+func (n *memberNetwork) client(addr string) wire.Membership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if m := n.members[addr]; m != nil {
@@ -54,7 +54,7 @@
 // unreachableMember answers nothing until its caller gives up.
 type unreachableMember struct{}
 
-func (unreachableMember) Hear(ctx context.Context, _ *wire.Beat) (*wire.Beat, error) {
+func (unreachableMember) Exchange(ctx context.Context, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
--- a/internal/control/clustermembership/merge.go
+++ b/internal/control/clustermembership/merge.go
@@ -32,15 +32,15 @@
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
-	if a.Beat != b.Beat {
-		return a.Beat > b.Beat
+	if a.Heartbeat != b.Heartbeat {
+		return a.Heartbeat > b.Heartbeat
 	}
 	return a.State > b.State
 }
 
 func clone(n *wire.Node) *wire.Node {
-	return &wire.Node{Name: n.Name, Incarnation: n.Incarnation, Role: n.Role, District: n.District,
-		Addr: n.Addr, State: n.State, Beat: n.Beat, Operator: n.Operator}
+	return &wire.Node{Name: n.Name, Incarnation: n.Incarnation, Role: n.Role, Zone: n.Zone,
+		Addr: n.Addr, State: n.State, Heartbeat: n.Heartbeat, Operator: n.Operator}
 }
 
 // merge takes a report of a node's state into the view; direct says that the node itself sent it.
@@ -60,8 +60,8 @@
 // of it, by a higher heartbeat counter or incarnation.
 func (c *Core) mergeSelf(report *wire.Node, now time.Duration) {
 	switch {
-	case report.State != Alive && report.Incarnation == c.self.Incarnation && report.Beat >= c.self.Beat:
-		c.self.Beat = report.Beat + 1
+	case report.State != Alive && report.Incarnation == c.self.Incarnation && report.Heartbeat >= c.self.Heartbeat:
+		c.self.Heartbeat = report.Heartbeat + 1
 	case report.Incarnation > c.self.Incarnation:
 		if report.Addr != c.self.Addr && report.State == Alive && c.ticks > 0 && now-c.startedAt > c.bounds.Leave(replacementAgeRatio) {
 			c.nameReused = true // another machine took this name while this one was suspended
@@ -92,7 +92,7 @@
 		existing.lastContact = now
 	}
 	if !isNewer(report, known) {
-		if report.State != Alive && known.State == Alive && known.Beat > report.Beat && report.Incarnation == known.Incarnation {
+		if report.State != Alive && known.State == Alive && known.Heartbeat > report.Heartbeat && report.Incarnation == known.Incarnation {
 			existing.transmitsLeft = c.retransmitLimit() // a later heartbeat is known here: refute the report
 		}
 		return
--- a/internal/control/controllers/lease.go
+++ b/internal/control/controllers/lease.go
@@ -139,7 +139,7 @@
 		return nil
 	}
 	g := n.lease.GrantRequest()
-	g.GiveUp = true
+	g.Release = true
 	n.lease.HandleResponse(0, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: g.IfFence}) // no longer held here
 	_, err := n.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}})
 	return err
--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -27,7 +27,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
-			_, err := n.clients.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: batch})
+			_, err := n.clients.ControlNode(addr).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: batch})
 			cancel()
 			if err != nil {
 				n.process.Log.Debug("messages lost", "to", to, "messages", len(batch), "error", err)
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -21,7 +21,7 @@
 	}
 	expired := shard.published.longPolls.Add(1) > maxLongPolls
 	defer shard.published.longPolls.Add(-1)
-	hold := time.Duration(min(request.HoldNs, uint64(time.Minute)))
+	hold := time.Duration(min(request.MaxWaitNs, uint64(time.Minute)))
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	draining := n.process.Draining
@@ -47,16 +47,16 @@
 // vote, of its own disk alone: agent.FreshnessProof says what a majority of such words proves.
 func (v *publishedView) followResponse(request *wire.FollowRequest) *wire.FollowResponse {
 	response := &wire.FollowResponse{Member: v.self, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, Leader: v.leader}
-	known := make(map[string]uint64, len(request.Have))
-	for _, item := range request.Have {
+	known := make(map[string]uint64, len(request.Known))
+	for _, item := range request.Known {
 		known[item.Key] = item.Version
 	}
-	proven := known[request.Proof]
+	proven := known[request.ProofKey]
 	docs := v.documents
-	if request.Packed {
+	if request.AcceptsCompressed {
 		docs = v.packedDocuments
 	}
-	for _, item := range request.Have {
+	for _, item := range request.Known {
 		if strings.HasSuffix(item.Key, "/") {
 			for key, document := range docs {
 				if _, listed := known[key]; !listed && strings.HasPrefix(key, item.Key) {
@@ -65,11 +65,11 @@
 			}
 		} else if document := docs[item.Key]; document.GetVersion() > item.Version {
 			response.Documents = append(response.Documents, document)
-			if item.Key == request.Proof {
+			if item.Key == request.ProofKey {
 				proven = document.Version
 			}
 		}
 	}
-	response.NothingNewer = request.Proof != "" && v.isVoter && v.documents[request.Proof].GetVersion() <= proven && v.unappliedVersions[request.Proof] <= proven && v.unappliedVersions[""] == 0
+	response.NothingNewer = request.ProofKey != "" && v.isVoter && v.documents[request.ProofKey].GetVersion() <= proven && v.unappliedVersions[request.ProofKey] <= proven && v.unappliedVersions[""] == 0
 	return response
 }
--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -171,13 +171,13 @@
 }
 
 // saveIdempotency writes the records of all documents, in the order of their keys.
-func (s *state) saveIdempotency() (all []*wire.TakenChanges) {
+func (s *state) saveIdempotency() (all []*wire.AcceptedChanges) {
 	for _, key := range queue.Keys(s.idempotency) {
 		records := s.idempotency[key]
-		saved := &wire.TakenChanges{Key: key, ForgottenVersion: records.forgottenVersion}
+		saved := &wire.AcceptedChanges{Key: key, ForgottenVersion: records.forgottenVersion}
 		for i := range records.records {
 			change := &records.records[i]
-			saved.Changes = append(saved.Changes, &wire.TakenChange{Token: change.token[:], Digest: change.digest[:], Version: change.version, DigestWithBase: change.digestWithBase})
+			saved.Changes = append(saved.Changes, &wire.AcceptedChange{Token: change.token[:], Digest: change.digest[:], Version: change.version, DigestWithBase: change.digestWithBase})
 		}
 		all = append(all, saved)
 	}
@@ -186,7 +186,7 @@
 
 // loadIdempotency reads the records. A snapshot of an earlier release has none: it holds the newest changes
 // of all documents, and where these are as many as it keeps, older ones were forgotten.
-func (s *state) loadIdempotency(all []*wire.TakenChanges) {
+func (s *state) loadIdempotency(all []*wire.AcceptedChanges) {
 	for _, saved := range all {
 		records := s.recordsOf(saved.Key)
 		records.forgottenVersion = saved.ForgottenVersion
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -13,7 +13,7 @@
 		return func() (total float64) {
 			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
 			defer cancel()
-			response, err := n.Stand(ctx, &wire.StatusRequest{})
+			response, err := n.Status(ctx, &wire.StatusRequest{})
 			if err != nil {
 				return -1
 			}
@@ -36,7 +36,7 @@
 	}))
 	meter.Gauge("pebbleloom_state_bytes", "bytes of state kept", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.StateBytes) }))
 	meter.Gauge("pebbleloom_log_bytes", "bytes of the logs in force", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.LogBytes) }))
-	meter.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.Last - shard.Applied) }))
+	meter.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.LastIndex - shard.AppliedIndex) }))
 }
 
 // registerGroupMetrics shows the status of this member in a group whose membership is agreed data.
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -27,10 +27,10 @@
 	transport     *transport
 }
 
-// Post takes messages from a peer.
+// Deliver takes messages from a peer.
 //
 // Example: receipt, err := wire.NewArchiveProtobufClient(url, h).Post(ctx, batch)
-func (n *Node) Post(_ context.Context, batch *wire.MessageBatch) (*wire.BatchReceipt, error) {
+func (n *Node) Deliver(_ context.Context, batch *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	if batch.Format != 1 {
 		return nil, twirp.InvalidArgumentError("epoch", "this node reads format 1: bring both programs to one release")
 	}
@@ -89,10 +89,10 @@
 	return &wire.TimeResponse{WallNs: n.process.Wall().UnixNano()}, nil
 }
 
-// Stand gives the status of this node's member in each of its shards.
+// Status gives the status of this node's member in each of its shards.
 //
 // Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
-func (n *Node) Stand(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
+func (n *Node) Status(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	response := &wire.StatusResponse{Incarnation: n.incarnation}
 	for shardID := range uint32(controlclient.ShardCount) {
 		shard := n.shards[shardID]
@@ -105,8 +105,8 @@
 		unanswered := &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		response.Shards = append(response.Shards, query(ctx, shard, unanswered, func() *wire.ShardStatus {
 			coreStatus := shard.core.Status()
-			status := &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Leader: coreStatus.Leader, IsLeader: coreStatus.IsLeader, Blank: coreStatus.Blank, Stuck: coreStatus.RejoinFailure, Applied: coreStatus.Applied,
-				Last: coreStatus.LastIndex, Term: coreStatus.Term, StateBytes: uint64(shard.state.documentBytes), LogBytes: uint64(shard.store.LogBytes())}
+			status := &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Leader: coreStatus.Leader, IsLeader: coreStatus.IsLeader, Blank: coreStatus.Blank, Stuck: coreStatus.RejoinFailure, AppliedIndex: coreStatus.Applied,
+				LastIndex: coreStatus.LastIndex, Term: coreStatus.Term, StateBytes: uint64(shard.state.documentBytes), LogBytes: uint64(shard.store.LogBytes())}
 			if shard.failure != nil {
 				status.Failure = errs.Text(shard.failure)
 			}
@@ -116,12 +116,12 @@
 	return response, nil
 }
 
-// News answers a long poll: a newer document, or this member's word that it has none.
+// Watch answers a long poll: a newer document, or this member's word that it has none.
 //
 // Example: response, err := n.News(ctx, &wire.WatchRequest{Key: "setup", Have: 7, HoldNs: 3e8})
-func (n *Node) News(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
+func (n *Node) Watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
 	if shard := n.shards[request.Shard]; shard != nil {
-		request.HoldNs = min(request.HoldNs, uint64(time.Minute))
+		request.MaxWaitNs = min(request.MaxWaitNs, uint64(time.Minute))
 		return shard.watch(ctx, request, n.process.Place.Name), nil
 	}
 	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Place.Name}, nil
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -100,8 +100,8 @@
 	if grant := command.GetGrant(); grant != nil {
 		return s.prepareGrant(grant)
 	}
-	if claims := command.GetClaims(); claims != nil && len(claims.List) > 0 && len(claims.List) <= 1024 {
-		claims.PassedNs, claims.KeepNs = uint64(s.elapsedInTerm(s.core.Status().Term)), uint64(s.claimRetention)
+	if claims := command.GetClaims(); claims != nil && len(claims.Claims) > 0 && len(claims.Claims) <= 1024 {
+		claims.ElapsedNs, claims.RetentionNs = uint64(s.elapsedInTerm(s.core.Status().Term)), uint64(s.claimRetention)
 		return nil
 	}
 	put := command.GetPut()
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -46,8 +46,8 @@
 	node.shards[0], node.incarnation = shard, shard.published.current().self
 	process.Go(func() { shard.run(tick) })
 	mux := http.NewServeMux()
-	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(node))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(node.membership))
+	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(node))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(node.membership))
 	// The door is closed first: what came in by it is finished while peers still get through.
 	for _, server := range []struct {
 		addr string
@@ -78,7 +78,7 @@
 func (n *Node) zoneOf(addr string) string {
 	for _, member := range n.membership.View().WithRole("archive") {
 		if member.Addr == addr {
-			return member.District
+			return member.Zone
 		}
 	}
 	return ""
@@ -121,8 +121,8 @@
 		process.Go(func() { shard.run(tick) })
 	}
 	mux := http.NewServeMux()
-	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(node))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(node.membership))
+	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(node))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(node.membership))
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -58,13 +58,13 @@
 		s.leases[lease.Name], s.grantedAt[lease.Name] = lease, now
 	}
 	s.recentTokens = saved.Tokens
-	s.loadIdempotency(saved.Taken)
+	s.loadIdempotency(saved.Accepted)
 	s.claims.load(saved.Claims, saved.AgeNs)
 	return nil
 }
 
 func (s *state) save() ([]byte, error) {
-	saved := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}
+	saved := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}
 	for _, key := range queue.Keys(s.documents) {
 		saved.Documents = append(saved.Documents, s.documents[key])
 	}
@@ -83,10 +83,10 @@
 		return s.applyGrant(k.Grant, now)
 	case *wire.Command_Claims:
 		response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
-		if k.Claims.KeepNs > 0 { // zero: of a release that sent no age
-			s.claims.advanceAge(k.Claims.PassedNs, k.Claims.KeepNs)
+		if k.Claims.RetentionNs > 0 { // zero: of a release that sent no age
+			s.claims.advanceAge(k.Claims.ElapsedNs, k.Claims.RetentionNs)
 		}
-		for _, command := range k.Claims.List {
+		for _, command := range k.Claims.Claims {
 			granted, full := s.claims.claim(command)
 			response.Granted, response.Full = append(response.Granted, granted), append(response.Full, full)
 		}
@@ -141,7 +141,7 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.Fence, Leader: lease.Holder}
 	}
 	granted := &wire.Lease{Name: grant.Lease, Holder: grant.Holder, Fence: lease.Fence, TtlNs: grant.TtlNs}
-	if grant.GiveUp {
+	if grant.Release {
 		granted.Holder = ""
 	} else if lease.Holder != grant.Holder {
 		granted.Fence++
@@ -154,7 +154,7 @@
 // from when it asked, which was before any member saw the grant: so it stops first.
 func (s *state) isGrantable(grant *wire.Grant, now time.Duration) bool {
 	lease := s.leases[grant.Lease]
-	if grant.GiveUp {
+	if grant.Release {
 		return lease != nil && lease.Holder == grant.Holder
 	}
 	if lease == nil || lease.Holder == "" || lease.Holder == grant.Holder {
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -54,7 +54,7 @@
 	}
 	t.sent++
 	box.lastUsed = t.sent
-	if len(message.GetPiece().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes {
+	if len(message.GetChunk().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes {
 		box.large.Offer(message)
 	} else {
 		box.small.Offer(message)
@@ -84,7 +84,7 @@
 
 // payloadBytes is about how large a message is.
 func payloadBytes(message *wire.Message) int {
-	size := len(message.GetSnapshot().GetState()) + len(message.GetPiece().GetData())
+	size := len(message.GetSnapshot().GetState()) + len(message.GetChunk().GetData())
 	for _, entry := range message.Entries {
 		size += len(entry.Body)
 	}
@@ -106,7 +106,7 @@
 }
 
 func (p *peerSender) post(ctx context.Context, messages []*wire.Message) error {
-	_, err := p.node.clients.ControlNode(p.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
+	_, err := p.node.clients.ControlNode(p.to).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 	if err != nil {
 		p.node.process.Log.Debug("messages lost", "to", p.to, "messages", len(messages), "error", err)
 	}
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -30,7 +30,7 @@
 // caller's to say.
 func (s *shard) watch(ctx context.Context, request *wire.WatchRequest, member string) *wire.WatchResponse {
 	response := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
-	timer := time.NewTimer(time.Duration(request.HoldNs))
+	timer := time.NewTimer(time.Duration(request.MaxWaitNs))
 	defer timer.Stop()
 	for expired := false; ; {
 		var changed chan struct{}
@@ -71,9 +71,9 @@
 func (s *shard) documentResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
 	document := s.state.documents[request.Key]
 	switch {
-	case s.failure == nil && document.GetVersion() > request.Have:
+	case s.failure == nil && document.GetVersion() > request.KnownVersion:
 		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: document, Member: member, NothingNewer: s.hasNothingNewer(request.Key)}
-	case expired && s.hasNothingNewer(request.Key) && document.GetVersion() == request.Have:
+	case expired && s.hasNothingNewer(request.Key) && document.GetVersion() == request.KnownVersion:
 		return &wire.WatchResponse{Outcome: wire.OutcomeSame, Member: member}
 	case expired || s.failure != nil || len(s.watchers) >= 1024:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
--- a/internal/control/mutation/point4_test.go
+++ b/internal/control/mutation/point4_test.go
@@ -63,7 +63,7 @@
 		pkg:         "internal/control/controlstate", run: "TestSnapshotIsStoredBeforeItIsAcknowledged"},
 	mutant{point: 4, name: "heartbeats wait behind a large message",
 		file:        "internal/control/controlstate/transport.go",
-		original:    "if len(message.GetPiece().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes {",
+		original:    "if len(message.GetChunk().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes {",
 		replacement: "if false {",
 		pkg:         "internal/control/controlstate", run: "TestHeartbeatsPassBesideALargeMessage"},
 	mutant{point: 4, name: "a message that hangs outlives the silence of its address",
--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -38,7 +38,7 @@
 type nodeQueue struct {
 	lastNumber uint64
 	pending    map[prefix.Key]*wire.Access
-	inFlight   *wire.CountAsk // not acknowledged yet: it is sent again under the same number
+	inFlight   *wire.CountRequest // not acknowledged yet: it is sent again under the same number
 	sending    bool
 }
 
@@ -96,17 +96,17 @@
 // those of this instant, also in a batch that is sent again; they are sent without accesses as well.
 //
 // Example: if batch := c.NextBatch(node, loads); batch != nil { go send(node, batch) }
-func (c *AccessCounter) NextBatch(node string, loads *wire.Loads) *wire.CountAsk {
+func (c *AccessCounter) NextBatch(node string, loads *wire.WorkerLoads) *wire.CountRequest {
 	queue := c.queues[node]
 	if queue == nil || queue.sending {
 		return nil
 	}
-	if queue.inFlight == nil && len(queue.pending) == 0 && len(loads.GetAt()) == 0 {
+	if queue.inFlight == nil && len(queue.pending) == 0 && len(loads.GetWorkerIndexes()) == 0 {
 		return nil
 	}
 	if queue.inFlight == nil {
 		queue.lastNumber++
-		queue.inFlight = &wire.CountAsk{Teller: c.sender, Incarnation: c.incarnation, Number: queue.lastNumber}
+		queue.inFlight = &wire.CountRequest{Reporter: c.sender, Incarnation: c.incarnation, Sequence: queue.lastNumber}
 		for _, access := range queue.pending {
 			queue.inFlight.Accesses = append(queue.inFlight.Accesses, access)
 		}
@@ -120,7 +120,7 @@
 // is queued again: the keys that are assigned to it, without presumed holders.
 //
 // Example: c.Acknowledge(node, batch, response, func(k prefix.Key) bool { return shards.IsAssigned(node, k) })
-func (c *AccessCounter) Acknowledge(node string, batch *wire.CountAsk, response *wire.CountTell, isAssigned func(prefix.Key) bool) {
+func (c *AccessCounter) Acknowledge(node string, batch *wire.CountRequest, response *wire.CountResponse, isAssigned func(prefix.Key) bool) {
 	queue := c.queues[node]
 	if queue == nil {
 		return
@@ -130,7 +130,7 @@
 		return // its accesses were dropped meanwhile
 	}
 	queue.inFlight = nil
-	if !response.Again {
+	if !response.ResendWindow {
 		return
 	}
 	for _, window := range []map[prefix.Key]*wire.Access{c.previousWindow, c.window} {
@@ -167,14 +167,14 @@
 	if merged == nil {
 		if len(pending) < maxPendingKeys {
 			pending[key] = &wire.Access{Key: key[:], Count: access.Count, Tokens: access.Tokens, Service: access.Service,
-				Head: access.Head, Presumed: slices.Clone(access.Presumed)}
+				Head: access.Head, PresumedHolders: slices.Clone(access.PresumedHolders)}
 		}
 		return
 	}
 	merged.Count += access.Count
-	for _, holder := range access.Presumed {
-		if !slices.Contains(merged.Presumed, holder) && len(merged.Presumed) < maxPresumedHolders {
-			merged.Presumed = append(merged.Presumed, holder)
+	for _, holder := range access.PresumedHolders {
+		if !slices.Contains(merged.PresumedHolders, holder) && len(merged.PresumedHolders) < maxPresumedHolders {
+			merged.PresumedHolders = append(merged.PresumedHolders, holder)
 		}
 	}
 }
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -33,7 +33,7 @@
 
 // batchResult is what index nodes have responded to a batch.
 type batchResult struct {
-	found   map[prefix.Key]*wire.Found
+	found   map[prefix.Key]*wire.LookupResult
 	isFinal map[prefix.Key]bool // by key of the batch: a warm index node has responded
 	asked   map[string]bool     // the index nodes that were asked
 }
@@ -41,7 +41,7 @@
 // lookUpBatch looks up the keys of all lookups: at the fewest index nodes that hold them all, then at
 // the other holders of what wasn't answered, or not by a warm node.
 func (c *Client) lookUpBatch(lookups []pendingLookup) {
-	result := &batchResult{found: map[prefix.Key]*wire.Found{}, isFinal: map[prefix.Key]bool{}, asked: map[string]bool{}}
+	result := &batchResult{found: map[prefix.Key]*wire.LookupResult{}, isFinal: map[prefix.Key]bool{}, asked: map[string]bool{}}
 	keys, wait := joinKeys(lookups, result.isFinal)
 	ctx, cancel := context.WithTimeout(c.ctx, wait)
 	defer cancel()
@@ -96,19 +96,19 @@
 
 // merge adds an index node's response, one entry for each key. One that isn't warm can't know yet that
 // nobody holds a key.
-func (r *batchResult) merge(keys []prefix.Key, response *wire.LookTell) {
+func (r *batchResult) merge(keys []prefix.Key, response *wire.LookupResponse) {
 	for i, key := range keys {
-		if !response.Warm && len(response.Found[i].Holders) == 0 {
+		if !response.Warm && len(response.Results[i].Holders) == 0 {
 			continue
 		}
-		r.found[key], r.isFinal[key] = promptindex.MergeFound(r.found[key], response.Found[i]), response.Warm
+		r.found[key], r.isFinal[key] = promptindex.MergeFound(r.found[key], response.Results[i]), response.Warm
 	}
 }
 
 // nodeResponse is the result of one call to an index node.
 type nodeResponse struct {
 	call     nodeCall
-	response *wire.LookTell
+	response *wire.LookupResponse
 	err      error
 }
 
@@ -119,17 +119,17 @@
 		result.asked[call.node] = true
 		c.lookupCalls.Add(1)
 		go func() {
-			request := &wire.LookAsk{Teller: c.name, Loads: c.loads()}
+			request := &wire.LookupRequest{Reporter: c.name, Loads: c.loads()}
 			for i := range call.keys {
 				request.Keys = append(request.Keys, call.keys[i][:])
 			}
-			response, err := c.connect(call.addr).Seek(ctx, request)
+			response, err := c.connect(call.addr).Lookup(ctx, request)
 			responses <- nodeResponse{call, response, err}
 		}()
 	}
 	for range calls {
 		r := <-responses
-		isComplete := r.err == nil && r.response != nil && len(r.response.Found) == len(r.call.keys)
+		isComplete := r.err == nil && r.response != nil && len(r.response.Results) == len(r.call.keys)
 		c.actor.Ask(func(t *table) { t.recordResult(r.call.node, isComplete && r.response.Warm, c.clock.Now()) })
 		if sharing := c.loadSharing.Load(); sharing != nil && r.err == nil && r.response.GetLoads() != nil {
 			sharing.receiveLoads(r.response.Loads)
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -50,8 +50,8 @@
 type Client struct {
 	lookups     *queue.Ring[pendingLookup]
 	actor       *queue.Actor[table]
-	nodes       func() []*wire.Node              // the cluster membership
-	connect     func(addr string) wire.Catalogue // the index node at an address
+	nodes       func() []*wire.Node                // the cluster membership
+	connect     func(addr string) wire.PromptIndex // the index node at an address
 	bounds      settings.Bounds
 	clock       clock.Clock
 	ctx         context.Context // canceled when the process stops
@@ -65,7 +65,7 @@
 type pendingLookup struct {
 	keys   []prefix.Key
 	wait   time.Duration
-	result chan map[prefix.Key]*wire.Found // buffered: a caller that stopped waiting blocks nobody
+	result chan map[prefix.Key]*wire.LookupResult // buffered: a caller that stopped waiting blocks nobody
 }
 
 // New makes an edge machine's client of the index; nodes returns the cluster membership.
@@ -73,9 +73,9 @@
 // Example: c := indexclient.New(process, func() []*wire.Node { return agent.Snapshot().Nodes })
 func New(process *daemon.Process, nodes func() []*wire.Node) *Client {
 	clients := daemon.NewClients(process)
-	connections := map[string]wire.Catalogue{}
+	connections := map[string]wire.PromptIndex{}
 	var mu sync.Mutex // guards connections
-	return start(process, nodes, func(addr string) wire.Catalogue {
+	return start(process, nodes, func(addr string) wire.PromptIndex {
 		mu.Lock()
 		defer mu.Unlock()
 		connection := connections[addr]
@@ -92,7 +92,7 @@
 
 // start makes a client that reaches index nodes by connect, and starts its goroutines: the process ends
 // and waits for them.
-func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.Catalogue) *Client {
+func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.PromptIndex) *Client {
 	bounds := process.Place.Bounds
 	c := &Client{
 		lookups: queue.NewRing[pendingLookup](bounds.Waiting),
@@ -117,16 +117,16 @@
 // shared: it must not be changed.
 //
 // Example: found := c.Lookup(ctx, keys, 12*time.Millisecond)
-func (c *Client) Lookup(ctx context.Context, keys []prefix.Key, wait time.Duration) map[prefix.Key]*wire.Found {
+func (c *Client) Lookup(ctx context.Context, keys []prefix.Key, wait time.Duration) map[prefix.Key]*wire.LookupResult {
 	if len(keys) == 0 || wait <= 0 {
 		return nil
 	}
-	var cached map[prefix.Key]*wire.Found
+	var cached map[prefix.Key]*wire.LookupResult
 	c.actor.Ask(func(t *table) { cached = t.cachedAnswers(keys, c.clock.Now()) })
 	if len(cached) == len(keys) {
 		return cached
 	}
-	lookup := pendingLookup{keys, wait, make(chan map[prefix.Key]*wire.Found, 1)}
+	lookup := pendingLookup{keys, wait, make(chan map[prefix.Key]*wire.LookupResult, 1)}
 	if !c.lookups.Offer(lookup) {
 		return cached
 	}
@@ -145,18 +145,18 @@
 // passes on what the index reports of the other edge machines (receiveLoads).
 //
 // Example: c.ShareLoads(selector.loads, selector.receiveLoads)
-func (c *Client) ShareLoads(localLoads func() *wire.Loads, receiveLoads func(*wire.Loads)) {
+func (c *Client) ShareLoads(localLoads func() *wire.WorkerLoads, receiveLoads func(*wire.WorkerLoads)) {
 	c.loadSharing.Store(&loadSharing{localLoads, receiveLoads})
 }
 
 // loadSharing is how a Client exchanges loads.
 type loadSharing struct {
-	localLoads   func() *wire.Loads
-	receiveLoads func(*wire.Loads)
+	localLoads   func() *wire.WorkerLoads
+	receiveLoads func(*wire.WorkerLoads)
 }
 
 // loads is this edge machine's load at the workers; nil if it isn't shared.
-func (c *Client) loads() *wire.Loads {
+func (c *Client) loads() *wire.WorkerLoads {
 	if sharing := c.loadSharing.Load(); sharing != nil {
 		return sharing.localLoads()
 	}
--- a/internal/data/indexclient/flush.go
+++ b/internal/data/indexclient/flush.go
@@ -18,9 +18,9 @@
 	c.actor.TrySend(func(t *table) {
 		shards := t.currentShards()
 		for i, part := range parts {
-			access := &wire.Access{Count: 1, Tokens: uint32(part.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
+			access := &wire.Access{Count: 1, Tokens: uint32(part.Tokens), Service: service, Head: i == 0, PresumedHolders: []string{holder}}
 			if store != "" {
-				access.Presumed = append(access.Presumed, store)
+				access.PresumedHolders = append(access.PresumedHolders, store)
 			}
 			t.accesses.Add(part.Key, shards.NodesOf(part.Key), access)
 		}
@@ -47,7 +47,7 @@
 }
 
 // sendBatch sends one batch of accesses and records the result.
-func (c *Client) sendBatch(node, addr string, batch *wire.CountAsk) {
+func (c *Client) sendBatch(node, addr string, batch *wire.CountRequest) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.bounds.Heal(flushTimeoutRatio))
 	defer cancel()
 	response, err := c.connect(addr).Count(ctx, batch)
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -27,7 +27,7 @@
 
 // cachedAnswer is an answer that is reused for a short time.
 type cachedAnswer struct {
-	found *wire.Found
+	found *wire.LookupResult
 	at    time.Duration
 }
 
@@ -69,7 +69,7 @@
 	clear(t.lateUntil)
 	clear(t.probeAt)
 	for _, node := range serving {
-		t.sameZone[node.Name] = node.District == t.client.zone
+		t.sameZone[node.Name] = node.Zone == t.client.zone
 	}
 	return t.shards
 }
@@ -153,12 +153,12 @@
 }
 
 // cachedAnswers returns the cached answers that are still valid; nil if there are none.
-func (t *table) cachedAnswers(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
-	var answers map[prefix.Key]*wire.Found
+func (t *table) cachedAnswers(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
+	var answers map[prefix.Key]*wire.LookupResult
 	for _, key := range keys {
 		if answer, ok := t.cached[key]; ok && now-answer.at < t.client.bounds.Heal(cacheLifetimeRatio) {
 			if answers == nil {
-				answers = make(map[prefix.Key]*wire.Found, len(keys))
+				answers = make(map[prefix.Key]*wire.LookupResult, len(keys))
 			}
 			answers[key] = answer.found
 		}
@@ -168,7 +168,7 @@
 
 // cacheAnswers caches the holders that were found; that nobody holds a key isn't cached. A full cache
 // drops the answers that are no longer valid, or else all.
-func (t *table) cacheAnswers(found map[prefix.Key]*wire.Found, now time.Duration) {
+func (t *table) cacheAnswers(found map[prefix.Key]*wire.LookupResult, now time.Duration) {
 	if len(t.cached)+len(found) > maxCachedAnswers {
 		for key, answer := range t.cached {
 			if now-answer.at >= t.client.bounds.Heal(cacheLifetimeRatio) {
