--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -50,7 +50,7 @@
 // add starts machine i with a new incarnation.
 func (s *simulatedSite) add(i int, incarnation uint64) {
 	self := &wire.Node{Name: nodeName(i), Incarnation: incarnation, Role: "x", Zone: fmt.Sprint(i % 4), Addr: addr(i)}
-	s.cores[addr(i)] = New(settings.Default(), self, seedAddrs())
+	s.cores[addr(i)] = New(settings.DefaultBounds(), self, seedAddrs())
 	delete(s.down, addr(i))
 }
 
@@ -58,11 +58,11 @@
 // so its incarnation is 0.
 func (s *simulatedSite) addElsewhere(i, number int) {
 	self := &wire.Node{Name: nodeName(i), Incarnation: 0, Role: "x", Addr: addr(number)}
-	s.cores[addr(number)] = New(settings.Default(), self, seedAddrs())
+	s.cores[addr(number)] = New(settings.DefaultBounds(), self, seedAddrs())
 }
 
 func (s *simulatedSite) run(d time.Duration) {
-	period := settings.Default().Leave(0.1)
+	period := settings.DefaultBounds().Leave(0.1)
 	for end := s.now + d; s.now < end; s.now += period {
 		for i := range s.maxNumber {
 			s.tick(addr(i))
@@ -140,7 +140,7 @@
 		s.run(4 * time.Second)
 		s.heartbeats = 0
 		s.down[addr(5)] = true
-		s.run(settings.Default().Leave(1))
+		s.run(settings.DefaultBounds().Leave(1))
 		if got := s.states(nodeName(5)); got[Dead] != n-1 {
 			t.Errorf("%d nodes: the dead one is seen as %v after the bound", n, got)
 		}
@@ -181,7 +181,7 @@
 		s.cores[outgoing.Address].HandleHeartbeat(outgoing.Heartbeat, s.now)
 	}
 	s.down[addr(7)] = true
-	s.run(settings.Default().Leave(0.4))
+	s.run(settings.DefaultBounds().Leave(0.4))
 	if got := s.states(nodeName(7)); got[Dead] != 25 {
 		t.Fatalf("the node that left is seen as %v", got)
 	}
@@ -227,7 +227,7 @@
 		t.Fatalf("partitioned: n-12 is seen as %v", got)
 	}
 	site.linkDown = noPartition
-	site.run(settings.Default().Heal(0.5))
+	site.run(settings.DefaultBounds().Heal(0.5))
 	for i := range 13 {
 		if got := site.states(nodeName(i)); got[Alive] != 13 {
 			t.Fatalf("healed: n-%d is seen as %v", i, got)
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -67,9 +67,9 @@
 
 // siteBounds returns the process's bounds; a site with a slower heartbeat has a proportionally longer
 // leave bound.
-func siteBounds(p settings.Place) settings.Bounds {
+func siteBounds(p settings.Process) settings.Bounds {
 	if p.Site != nil {
-		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.BeatMs)/heartbeatRatio))
+		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.HeartbeatMs)/heartbeatRatio))
 	}
 	return p.Bounds
 }
@@ -79,7 +79,7 @@
 // not block.
 //
 // Example: m := clustermembership.Start(ctx, place, "runner", clock, log, client, nil)
-func Start(ctx context.Context, p settings.Place, role string, clk clock.Clock, log hclog.Logger,
+func Start(ctx context.Context, p settings.Process, role string, clk clock.Clock, log hclog.Logger,
 	client func(addr string) wire.Membership, onChange func(View)) *Member {
 	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, Zone: p.Zone,
 		Addr: p.AdvertisedAddr(), Operator: p.Operator}
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -18,13 +18,13 @@
 // A site's settings give its heartbeat period; a longer one stretches the leave bound, a shorter one
 // doesn't cut it.
 func TestSiteHeartbeatStretchesLeaveBound(t *testing.T) {
-	process := settings.Place{Bounds: settings.Default()}
-	if b := siteBounds(process); b != settings.Default() {
+	process := settings.Process{Bounds: settings.DefaultBounds()}
+	if b := siteBounds(process); b != settings.DefaultBounds() {
 		t.Errorf("without a site: %+v", b)
 	}
 	for ms, want := range map[int]time.Duration{100: 300 * time.Millisecond, 1200: 1200 * time.Millisecond} {
-		process.Site = &settings.Site{BeatMs: ms}
-		if b := siteBounds(process); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.Default().Heal(1) {
+		process.Site = &settings.Site{HeartbeatMs: ms}
+		if b := siteBounds(process); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.DefaultBounds().Heal(1) {
 			t.Errorf("a heartbeat every %d ms: %v", ms, b.Leave(heartbeatRatio))
 		}
 	}
@@ -67,7 +67,7 @@
 		const nodes = 17
 		var members []*Member
 		network := &memberNetwork{members: map[string]*Member{}}
-		process := settings.Place{Bounds: settings.Default(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{BeatMs: 1200}}
+		process := settings.Process{Bounds: settings.DefaultBounds(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{HeartbeatMs: 1200}}
 		period := siteBounds(process).Leave(heartbeatRatio)
 		for i := range nodes {
 			process.Name, process.Listen = strconv.Itoa(i), strconv.Itoa(i)
--- a/internal/control/clustermembership/traffic_test.go
+++ b/internal/control/clustermembership/traffic_test.go
@@ -13,7 +13,7 @@
 // What a node sends at 1, 4 and 16 times today's 26 nodes, at rest and while ten fail: the heartbeats
 // per second don't grow, and a heartbeat's size is bounded by the number of recent changes.
 func TestTrafficPerNodeStaysBounded(t *testing.T) {
-	period := settings.Default().Leave(0.1)
+	period := settings.DefaultBounds().Leave(0.1)
 	sizes := []int{26, 104}
 	if os.Getenv("GROWTH") != "" { // slow under the race detector
 		sizes = append(sizes, 416)
--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -26,7 +26,7 @@
 			if !known {
 				continue
 			}
-			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
+			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(1.0/24))
 			_, err := n.clients.ControlNode(addr).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: batch})
 			cancel()
 			if err != nil {
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -17,7 +17,7 @@
 func (n *Node) Follow(ctx context.Context, request *wire.FollowRequest) (*wire.FollowResponse, error) {
 	shard := n.shards[0]
 	if shard == nil || shard.group == nil {
-		return &wire.FollowResponse{Member: n.process.Place.Name}, nil
+		return &wire.FollowResponse{Member: n.process.Settings.Name}, nil
 	}
 	expired := shard.published.longPolls.Add(1) > maxLongPolls
 	defer shard.published.longPolls.Add(-1)
@@ -38,7 +38,7 @@
 			expired = true
 		case <-draining: // what is held now is answered soon; not at once, or it would come back at once
 			draining = nil
-			timer.Reset(min(hold, n.process.Place.Bounds.Heal(groupTick)))
+			timer.Reset(min(hold, n.process.Settings.Bounds.Heal(groupTick)))
 		}
 	}
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -51,10 +51,10 @@
 func (s *shard) reopen() error {
 	for _, file := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
 		if _, exists, err := s.disk.Read(file); err != nil {
-			return errs.As(err, errs.DiskBad, "read")
+			return errs.WrapAs(err, errs.DiskFailure, "read")
 		} else if exists {
 			if err := s.disk.Append(file, nil); err != nil {
-				return errs.As(err, errs.DiskBad, "sync what was read")
+				return errs.WrapAs(err, errs.DiskFailure, "sync what was read")
 			}
 		}
 	}
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -24,7 +24,7 @@
 
 // joinLoop has this node taken in, and keeps it known while it isn't a member.
 func (n *Node) joinLoop() {
-	bounds, turn := n.process.Place.Bounds, 0
+	bounds, turn := n.process.Settings.Bounds, 0
 	for shard := n.shards[0]; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, bounds.Heal(joinIntervalRatio)) {
 		ctx, end := context.WithTimeout(n.process.Ctx, bounds.Heal(1.0/24))
 		isAlone := query(ctx, shard, false, shard.needsJoin)
@@ -85,8 +85,8 @@
 	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == own })
 	for _, addr := range joinCandidates(addresses, n.controlClient.IsUnresponsive, turn) {
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
-			response, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
+			response, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Settings.Zone})
 			end()
 			n.controlClient.RecordResponse(addr, err == nil)
 			if err != nil {
--- a/internal/control/controlstate/leave.go
+++ b/internal/control/controlstate/leave.go
@@ -12,10 +12,10 @@
 // leave waits, when the program is to stop, until the group does without this member: its
 // leadership is handed over, a spare has its place if there is one, and the others hold what it holds.
 func (n *Node) leave(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, settings.Of(n.process.Place.Site.GraceMs, leaveTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(n.process.Settings.Site.GraceMs, leaveTimeoutRatio))
 	defer cancel()
 	for ctx.Err() == nil && !n.tryLeave(ctx) {
-		clock.Sleep(ctx, n.process.Place.Bounds.Heal(groupTick/2))
+		clock.Sleep(ctx, n.process.Settings.Bounds.Heal(groupTick/2))
 	}
 	n.membership.Leave()
 }
@@ -27,7 +27,7 @@
 	if progress.done || progress.isLeader || progress.leader == "" {
 		return progress.done
 	}
-	ctx, cancel := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
 	defer cancel()
 	response, err := n.clients.ControlNode(controlclient.MemberAddr(progress.leader)).Join(ctx, &wire.JoinRequest{Name: progress.self, Leaving: true})
 	return err == nil && response.Outcome == wire.OutcomeDone
--- a/internal/control/controlstate/merge.go
+++ b/internal/control/controlstate/merge.go
@@ -97,8 +97,8 @@
 // mergeRoutingConfig merges a plan, or named items of one, onto the one in force.
 func (s *shard) mergeRoutingConfig(result *mergedConfig, old *wire.Document, put *wire.Put, patch bool) {
 	result.body, result.version, result.err = s.codec.Merge(old.GetBody(), put.Body, patch)
-	if result.err != nil && errs.KindOf(result.err) == errs.Inside {
-		result.err = errs.As(result.err, errs.BadInput, "plan")
+	if result.err != nil && errs.KindOf(result.err) == errs.Internal {
+		result.err = errs.WrapAs(result.err, errs.BadInput, "plan")
 	}
 	if result.err == nil && result.version <= old.GetVersion() {
 		result.err = errs.New(errs.BadInput, "version %d isn't above %d, which is in force", result.version, old.GetVersion())
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -11,7 +11,7 @@
 func (n *Node) registerMetrics() {
 	sum := func(value func(*wire.ShardStatus) float64) func() float64 {
 		return func() (total float64) {
-			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
+			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(1.0/24))
 			defer cancel()
 			response, err := n.Status(ctx, &wire.StatusRequest{})
 			if err != nil {
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -53,7 +53,7 @@
 
 // serveContext bounds the work on a request whose body has a size.
 func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.process.Place.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
+	return context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
 }
 
 // Change carries out a change where this node leads the shard; elsewhere it names the leader.
@@ -86,7 +86,7 @@
 //
 // Example: response, err := n.Time(ctx, &wire.TimeRequest{})
 func (n *Node) Time(context.Context, *wire.TimeRequest) (*wire.TimeResponse, error) {
-	return &wire.TimeResponse{WallNs: n.process.Wall().UnixNano()}, nil
+	return &wire.TimeResponse{WallNs: n.process.WallClock().UnixNano()}, nil
 }
 
 // Status gives the status of this node's member in each of its shards.
@@ -97,15 +97,15 @@
 	for shardID := range uint32(controlclient.ShardCount) {
 		shard := n.shards[shardID]
 		if shard == nil {
-			if containsName(controlclient.Members(shardID, n.coreMembers), n.process.Place.Name) {
-				response.Shards = append(response.Shards, &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Failure: "its folder can't be read: see the log at the start"})
+			if containsName(controlclient.Members(shardID, n.coreMembers), n.process.Settings.Name) {
+				response.Shards = append(response.Shards, &wire.ShardStatus{Shard: shardID, Member: n.process.Settings.Name, Failure: "its folder can't be read: see the log at the start"})
 			}
 			continue
 		}
-		unanswered := &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
+		unanswered := &wire.ShardStatus{Shard: shardID, Member: n.process.Settings.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		response.Shards = append(response.Shards, query(ctx, shard, unanswered, func() *wire.ShardStatus {
 			coreStatus := shard.core.Status()
-			status := &wire.ShardStatus{Shard: shardID, Member: n.process.Place.Name, Leader: coreStatus.Leader, IsLeader: coreStatus.IsLeader, Blank: coreStatus.Blank, Stuck: coreStatus.RejoinFailure, AppliedIndex: coreStatus.Applied,
+			status := &wire.ShardStatus{Shard: shardID, Member: n.process.Settings.Name, Leader: coreStatus.Leader, IsLeader: coreStatus.IsLeader, Blank: coreStatus.Blank, Stuck: coreStatus.RejoinFailure, AppliedIndex: coreStatus.Applied,
 				LastIndex: coreStatus.LastIndex, Term: coreStatus.Term, StateBytes: uint64(shard.state.documentBytes), LogBytes: uint64(shard.store.LogBytes())}
 			if shard.failure != nil {
 				status.Failure = errs.Text(shard.failure)
@@ -122,7 +122,7 @@
 func (n *Node) Watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
 	if shard := n.shards[request.Shard]; shard != nil {
 		request.MaxWaitNs = min(request.MaxWaitNs, uint64(time.Minute))
-		return shard.watch(ctx, request, n.process.Place.Name), nil
+		return shard.watch(ctx, request, n.process.Settings.Name), nil
 	}
-	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Place.Name}, nil
+	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Settings.Name}, nil
 }
--- a/internal/control/controlstate/persistence.go
+++ b/internal/control/controlstate/persistence.go
@@ -33,12 +33,12 @@
 		return loaded, err
 	}
 	s.snapshotBytes = len(loaded.Snapshot.State)
-	return loaded, errs.As(s.state.load(loaded.Snapshot.State, s.clock.Now()), errs.DiskBad, "read the snapshot's state")
+	return loaded, errs.WrapAs(s.state.load(loaded.Snapshot.State, s.clock.Now()), errs.DiskFailure, "read the snapshot's state")
 }
 
 func checkFormat(snapshot *wire.Snapshot) error {
 	if snapshot.Format != 1 {
-		return errs.New(errs.DiskBad, "snapshot of format %d: this program reads format 1: start the newer program", snapshot.Format)
+		return errs.New(errs.DiskFailure, "snapshot of format %d: this program reads format 1: start the newer program", snapshot.Format)
 	}
 	return nil
 }
@@ -58,7 +58,7 @@
 	}
 	installed := newState()
 	if err := installed.load(snapshot.State, s.clock.Now()); err != nil {
-		return errs.As(err, errs.DiskBad, "read the snapshot's state")
+		return errs.WrapAs(err, errs.DiskFailure, "read the snapshot's state")
 	}
 	if err := s.store.SaveSnapshot(snapshot, records); err != nil {
 		return err
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -83,7 +83,7 @@
 	}
 	body, err := proto.Marshal(command)
 	if err != nil || len(body) > serviceconfig.MaxBytes*2 {
-		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"command can't be written"}}
+		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"command can't be written"}}
 	}
 	if len(s.pendingProposals) >= maxPendingProposals {
 		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -139,7 +139,7 @@
 	if len(entry.Body) > 0 {
 		command := &wire.Command{}
 		if err := proto.Unmarshal(entry.Body, command); err != nil {
-			s.markFailed(errs.As(err, errs.DiskBad, "read committed entry"))
+			s.markFailed(errs.WrapAs(err, errs.DiskFailure, "read committed entry"))
 			return
 		}
 		response = s.state.apply(command, s.clock.Now())
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -25,23 +25,23 @@
 //
 // Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
 func StartGroup(process *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
-	site, address := process.Place.Site, process.Place.AdvertisedAddr()
+	site, address := process.Settings.Site, process.Settings.AdvertisedAddr()
 	node := &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
-	node.membership = clustermembership.Start(process.Ctx, process.Place, "archive", process.Clock, process.Log, node.clients.Membership, nil)
-	node.controlClient = controlclient.NewGroupClient(process.Place.Seeds, node.membership.View, node.clients, process.Place.Bounds)
-	process.OnSettingsChanged(func(shard settings.Place) {
+	node.membership = clustermembership.Start(process.Ctx, process.Settings, "archive", process.Clock, process.Log, node.clients.Membership, nil)
+	node.controlClient = controlclient.NewGroupClient(process.Settings.Seeds, node.membership.View, node.clients, process.Settings.Bounds)
+	process.OnSettingsChanged(func(shard settings.Process) {
 		node.controlClient.SetSeeds(shard.Seeds)
 		node.membership.SetSeeds(shard.Seeds)
 	})
 	node.transport = newTransport(process.Ctx, node)
-	tick := process.Place.Bounds.Heal(groupTick)
+	tick := process.Settings.Bounds.Heal(groupTick)
 	shard := newShard(process.Ctx, 0, process.Clock, process.Log, node.transport.send)
-	shard.claimRetention, shard.confirmTimeout = process.Place.Bounds.Once(1), settings.Of(site.AckMs, operatorTimeoutRatio*confirmTimeoutRatio)
-	openGroup(shard, &group{codec: codec, disk: openDisk(process, "part-0"), zoneOf: node.zoneOf, targetSize: 2*site.Tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
+	shard.claimRetention, shard.confirmTimeout = process.Settings.Bounds.RequestIDRetention(1), settings.Fraction(site.AckTimeoutMs, operatorTimeoutRatio*confirmTimeoutRatio)
+	openGroup(shard, &group{codec: codec, disk: openDisk(process, "part-0"), zoneOf: node.zoneOf, targetSize: 2*site.ToleratedFailures + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
-			Rand: rand.New(rand.NewPCG(process.Seed(), queue.Hash(process.Place.Name)))},
+			Rand: rand.New(rand.NewPCG(process.Seed(), queue.Hash(process.Settings.Name)))},
 		initialSnapshot: func() *wire.Snapshot {
-			return initialGroupSnapshot(site.First, address, process.Place.Seeds, process.Seed)
+			return initialGroupSnapshot(site.FirstStart, address, process.Settings.Seeds, process.Seed)
 		}})
 	node.shards[0], node.incarnation = shard, shard.published.current().self
 	process.Go(func() { shard.run(tick) })
@@ -52,7 +52,7 @@
 	for _, server := range []struct {
 		addr string
 		h    func() http.Handler
-	}{{site.Control, func() http.Handler { return door(node) }}, {process.Place.Listen, func() http.Handler { return mux }}} {
+	}{{site.ControlPlaneListen, func() http.Handler { return door(node) }}, {process.Settings.Listen, func() http.Handler { return mux }}} {
 		if server.addr == "" {
 			continue
 		}
@@ -60,7 +60,7 @@
 			return err
 		}
 	}
-	if process.Place.Operator != "" {
+	if process.Settings.Operator != "" {
 		if err := operatorapi.ServeSite(process, node.controlClient, node.membership.View, node.clients, codec.Read); err != nil {
 			return err
 		}
@@ -90,24 +90,24 @@
 func Start(process *daemon.Process) error {
 	node := &Node{process: process, shards: map[uint32]*shard{}, outgoing: map[string]*queue.Ring[*wire.Message]{}, clients: daemon.NewClients(process)}
 	clk := process.Clock
-	core := append([]string(nil), process.Place.Core...)
+	core := append([]string(nil), process.Settings.Core...)
 	sort.Strings(core)
-	newIncarnation := func() string { return fmt.Sprintf("%s/%016x", process.Place.Name, process.Seed()) }
+	newIncarnation := func() string { return fmt.Sprintf("%s/%016x", process.Settings.Name, process.Seed()) }
 	node.coreMembers, node.incarnation = core, newIncarnation()
-	node.membership = clustermembership.Start(process.Ctx, process.Place, "archive", clk, process.Log, node.clients.Membership, nil)
+	node.membership = clustermembership.Start(process.Ctx, process.Settings, "archive", clk, process.Log, node.clients.Membership, nil)
 	for _, member := range core {
-		if member != process.Place.Name {
+		if member != process.Settings.Name {
 			messages := queue.NewRing[*wire.Message](1024)
 			node.outgoing[member] = messages
 			process.Go(func() { node.deliver(member, messages) })
 		}
 	}
-	tick := process.Place.Bounds.Heal(1.0 / 240)
+	tick := process.Settings.Bounds.Heal(1.0 / 240)
 	for shardID := range uint32(controlclient.ShardCount) {
 		members := controlclient.Members(shardID, core)
-		config := consensus.Config{Shard: shardID, Self: process.Place.Name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
-			Rand: rand.New(rand.NewPCG(process.Seed(), uint64(shardID)+queue.Hash(process.Place.Name)))}
-		if !containsName(members, process.Place.Name) {
+		config := consensus.Config{Shard: shardID, Self: process.Settings.Name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+			Rand: rand.New(rand.NewPCG(process.Seed(), uint64(shardID)+queue.Hash(process.Settings.Name)))}
+		if !containsName(members, process.Settings.Name) {
 			continue
 		}
 		shard, err := openShard(process.Ctx, config, openDisk(process, fmt.Sprintf("part-%d", shardID)), newIncarnation, clk, process.Log, node.send)
@@ -116,17 +116,17 @@
 			process.Log.Error("shard stays closed", "shard", shardID, "error", errs.Text(err))
 			continue
 		}
-		shard.claimRetention, shard.confirmTimeout = process.Place.Bounds.Once(1), process.Place.Bounds.Heal(serveTimeoutRatio*confirmTimeoutRatio)
+		shard.claimRetention, shard.confirmTimeout = process.Settings.Bounds.RequestIDRetention(1), process.Settings.Bounds.Heal(serveTimeoutRatio*confirmTimeoutRatio)
 		node.shards[shardID] = shard
 		process.Go(func() { shard.run(tick) })
 	}
 	mux := http.NewServeMux()
 	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(node))
 	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(node.membership))
-	if err := process.Serve(process.Place.Listen, mux); err != nil {
+	if err := process.Serve(process.Settings.Listen, mux); err != nil {
 		return err
 	}
-	client := controlclient.New(core, func() clustermembership.View { return node.membership.View() }, node.clients, process.Place.Bounds)
+	client := controlclient.New(core, func() clustermembership.View { return node.membership.View() }, node.clients, process.Settings.Bounds)
 	if err := operatorapi.Serve(process, client, func() clustermembership.View { return node.membership.View() }, node.clients); err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 		}
 	})
 	node.registerMetrics()
-	process.Every(process.Place.Bounds.Heal(0.25), func() { node.followSeeds(client) })
+	process.Every(process.Settings.Bounds.Heal(0.25), func() { node.followSeeds(client) })
 	process.Ready.Store(true)
 	process.Log.Info("serving", "shards", len(node.shards), "incarnation", node.incarnation)
 	return nil
@@ -156,8 +156,8 @@
 
 // openDisk is a shard's folder; where the place names a switch, faults can be brought about.
 func openDisk(process *daemon.Process, folder string) storage.Disk {
-	disk := process.Disk(filepath.Join(process.Place.Data, folder))
-	if faults := process.Place.Option("faults", ""); faults != "" {
+	disk := process.Disk(filepath.Join(process.Settings.Data, folder))
+	if faults := process.Settings.Option("faults", ""); faults != "" {
 		return storage.WithFaults(disk, faults)
 	}
 	return disk
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -107,7 +107,7 @@
 	document := s.documents[put.Key]
 	if document == nil {
 		if len(s.documents) >= maxDocuments {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many documents as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"the shard holds as many documents as it may"}}
 		}
 		document = &wire.Document{Key: put.Key}
 	}
@@ -118,7 +118,7 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: document.Version}
 	}
 	if s.documentBytes-len(document.Body)+len(put.Body) > maxStateBytes {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: document.Version, Errors: []string{"the shard holds as many bytes as it may"}}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Version: document.Version, Errors: []string{"the shard holds as many bytes as it may"}}
 	}
 	s.documentBytes += len(put.Body) - len(document.Body)
 	document = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, document.Version+1)}
@@ -133,7 +133,7 @@
 	lease := s.leases[grant.Lease]
 	if lease == nil {
 		if len(s.leases) >= maxLeases {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many leases as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"the shard holds as many leases as it may"}}
 		}
 		lease = &wire.Lease{Name: grant.Lease}
 	}
@@ -161,5 +161,5 @@
 		return true
 	}
 	ttl := time.Duration(lease.TtlNs)
-	return now-s.grantedAt[grant.Lease] > ttl+time.Duration(float64(ttl)*settings.MarginPart)
+	return now-s.grantedAt[grant.Lease] > ttl+time.Duration(float64(ttl)*settings.LeaseMarginRatio)
 }
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -17,7 +17,7 @@
 	}
 	var faults errs.Batch
 	if entry.Check(&faults); calendar.Key(entry.Service, entry.Name) != put.Key {
-		faults.Fault(errs.BadInput, "entry %q of service %q doesn't belong under %s", entry.Name, entry.Service, put.Key)
+		faults.Addf(errs.BadInput, "entry %q of service %q doesn't belong under %s", entry.Name, entry.Service, put.Key)
 	}
 	if len(s.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
@@ -26,27 +26,27 @@
 	for key, document := range s.state.documents {
 		if strings.HasPrefix(key, "calendar/") {
 			other, err := calendar.Decode(document.Body)
-			if faults.Note(key, err); err == nil {
+			if faults.Add(key, err); err == nil {
 				others = append(others, other)
 			}
 		}
 	}
-	faults.Note("calendar", entry.ConflictWith(others))
+	faults.Add("calendar", entry.ConflictWith(others))
 	if entry.Active() {
 		for _, retirement := range s.retirements(&faults) {
 			if retirement.Service == entry.Service && retirement.Active() && retirement.State != retire.StatePlanned {
-				faults.Fault(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", entry.Name, retirement.Name, retirement.State, entry.Service)
+				faults.Addf(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", entry.Name, retirement.Name, retirement.State, entry.Service)
 			}
 		}
 	}
-	return faults.Look()
+	return faults.Err()
 }
 
 func (s *shard) retirements(faults *errs.Batch) (retirements []*retire.Retirement) {
 	for key, document := range s.state.documents {
 		if strings.HasPrefix(key, "retire/") {
 			retirement, err := retire.Read(document.Body)
-			if faults.Note(key, err); err == nil {
+			if faults.Add(key, err); err == nil {
 				retirements = append(retirements, retirement)
 			}
 		}
@@ -62,23 +62,23 @@
 	}
 	var faults errs.Batch
 	if retirement.Validate(&faults); retire.Key(retirement.Service, retirement.Name) != put.Key {
-		faults.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", retirement.Name, retirement.Service, put.Key)
+		faults.Addf(errs.BadInput, "retirement %q of service %q doesn't belong under %s", retirement.Name, retirement.Service, put.Key)
 	}
 	if len(s.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
-	faults.Note("retirement", retirement.CheckConflicts(s.retirements(&faults)))
+	faults.Add("retirement", retirement.CheckConflicts(s.retirements(&faults)))
 	if retirement.Active() && retirement.State != retire.StatePlanned {
 		for key, document := range s.state.documents {
 			if !strings.HasPrefix(key, "calendar/") {
 				continue
 			}
 			if entry, err := calendar.Decode(document.Body); err == nil && entry.Active() && entry.Service == retirement.Service {
-				faults.Fault(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", retirement.Name, entry.Name, entry.State, entry.Service)
+				faults.Addf(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", retirement.Name, entry.Name, entry.State, entry.Service)
 			}
 		}
 	}
-	return faults.Look()
+	return faults.Err()
 }
 
 // validateDocument checks a calendar entry or a retirement against the others; any other document passes.
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -72,9 +72,9 @@
 	document := s.state.documents[request.Key]
 	switch {
 	case s.failure == nil && document.GetVersion() > request.KnownVersion:
-		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: document, Member: member, NothingNewer: s.hasNothingNewer(request.Key)}
+		return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, Document: document, Member: member, NothingNewer: s.hasNothingNewer(request.Key)}
 	case expired && s.hasNothingNewer(request.Key) && document.GetVersion() == request.KnownVersion:
-		return &wire.WatchResponse{Outcome: wire.OutcomeSame, Member: member}
+		return &wire.WatchResponse{Outcome: wire.OutcomeUnchanged, Member: member}
 	case expired || s.failure != nil || len(s.watchers) >= 1024:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	}
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -93,23 +93,23 @@
 // start makes a client that reaches index nodes by connect, and starts its goroutines: the process ends
 // and waits for them.
 func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.PromptIndex) *Client {
-	bounds := process.Place.Bounds
+	bounds := process.Settings.Bounds
 	c := &Client{
-		lookups: queue.NewRing[pendingLookup](bounds.Waiting),
+		lookups: queue.NewRing[pendingLookup](bounds.MaxConcurrentRequests),
 		nodes:   nodes,
 		connect: connect,
 		bounds:  bounds,
 		clock:   process.Clock,
 		ctx:     process.Ctx,
-		name:    "edge/" + process.Place.Name,
-		zone:    process.Place.Zone,
+		name:    "edge/" + process.Settings.Name,
+		zone:    process.Settings.Zone,
 	}
 	incarnation := uint64(process.Clock.Now())
 	c.actor = queue.NewActor(newTable(c, incarnation), 1024)
 	process.OnStop(c.actor.Stop)
 	process.Go(c.run)
 	process.Every(bounds.Heal(flushRatio), c.flush)
-	process.Meter.Count("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(c.lookupCalls.Load()) })
+	process.Meter.Counter("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(c.lookupCalls.Load()) })
 	return c
 }
 
