--- /dev/null
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -0,0 +1,256 @@
+package controlstate
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/control/storage"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/settings"
+)
+
+// testCluster is a few machines in one test bubble: real nodes, pipes for connections, disks in memory.
+type testCluster struct {
+	t               *testing.T
+	mu              sync.Mutex
+	listeners       map[string]*pipeListener
+	disks           map[string]*stallingDisk
+	processes       map[string]*daemon.Process
+	nodes           map[string]*Node
+	unreachable     map[string]bool // an address that says nothing
+	seeds           []string
+	seed            uint64
+	network         *simNetwork // nil: pipes that lose what is sent while a machine is dark
+	toleratedLosses int         // how many losses the site tolerates; 0: one
+}
+
+type pipeListener struct {
+	cluster     *testCluster
+	addr        string
+	connections chan net.Conn
+	closed      chan struct{}
+	once        sync.Once
+}
+
+func (listener *pipeListener) Accept() (net.Conn, error) {
+	select {
+	case conn := <-listener.connections:
+		return conn, nil
+	case <-listener.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (listener *pipeListener) Close() error {
+	listener.once.Do(func() {
+		close(listener.closed)
+		listener.cluster.mu.Lock()
+		defer listener.cluster.mu.Unlock()
+		if listener.cluster.listeners[listener.addr] == listener {
+			delete(listener.cluster.listeners, listener.addr)
+		}
+	})
+	return nil
+}
+func (listener *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// stallingDisk is a disk in memory whose writes can be held up.
+type stallingDisk struct {
+	mu      sync.Mutex
+	disk    *simDisk
+	stalled chan struct{} // nil: it doesn't stall
+}
+
+func (disk *stallingDisk) Read(n string) ([]byte, bool, error) {
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	return disk.disk.Read(n)
+}
+
+func (disk *stallingDisk) change(f func() error) error {
+	disk.mu.Lock()
+	h := disk.stalled
+	disk.mu.Unlock()
+	if h != nil {
+		<-h
+	}
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	return f()
+}
+
+func (disk *stallingDisk) update(f func(*stallingDisk)) {
+	disk.mu.Lock()
+	defer disk.mu.Unlock()
+	f(disk)
+}
+func (disk *stallingDisk) Write(n string, b []byte) error {
+	return disk.change(func() error { return disk.disk.Write(n, b) })
+}
+func (disk *stallingDisk) Append(n string, b []byte) error {
+	return disk.change(func() error { return disk.disk.Append(n, b) })
+}
+func (disk *stallingDisk) Truncate(n string, s int) error {
+	return disk.change(func() error { return disk.disk.Truncate(n, s) })
+}
+
+// newTestCluster lays out machines; the first three are the seeds.
+func newTestCluster(t *testing.T) *testCluster {
+	cluster := &testCluster{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*stallingDisk{}, processes: map[string]*daemon.Process{},
+		nodes: map[string]*Node{}, unreachable: map[string]bool{}}
+	for i := range 3 {
+		cluster.seeds = append(cluster.seeds, cluster.addr(i+1))
+	}
+	return cluster
+}
+
+func (c *testCluster) addr(i int) string { return fmt.Sprintf("10.0.0.%d:7360", i) }
+
+func (c *testCluster) dial(ctx context.Context, from, addr string) (net.Conn, error) {
+	if c.network != nil {
+		return c.network.dial(ctx, c, from, addr)
+	}
+	c.mu.Lock()
+	listener, dark := c.listeners[addr], c.unreachable[addr] || c.unreachable[from]
+	c.mu.Unlock()
+	if dark {
+		return nil, errors.New("no answer")
+	}
+	if listener == nil {
+		return nil, errors.New("connection refused")
+	}
+	x, y := net.Pipe()
+	a, b := &lossyConn{x, c, from, addr}, &lossyConn{y, c, from, addr}
+	select {
+	case listener.connections <- b:
+		return a, nil
+	case <-listener.closed:
+		return nil, errors.New("connection refused")
+	}
+}
+
+// lossyConn is one end of a connection; where either machine is dark, what is sent is lost.
+type lossyConn struct {
+	net.Conn
+	cluster  *testCluster
+	from, to string
+}
+
+func (c *lossyConn) Write(b []byte) (int, error) {
+	c.cluster.mu.Lock()
+	dark := c.cluster.unreachable[c.from] || c.cluster.unreachable[c.to]
+	c.cluster.mu.Unlock()
+	if dark {
+		return len(b), nil
+	}
+	return c.Conn.Write(b)
+}
+
+// start runs the machine's node; first: it is the first start of the whole site.
+func (c *testCluster) start(index int, first bool) *Node {
+	c.t.Helper()
+	addr := c.addr(index)
+	if c.disks[addr] == nil {
+		c.disks[addr] = &stallingDisk{disk: newSimDisk()}
+	}
+	c.seed++
+	seed := c.seed
+	config := settings.Process{Name: fmt.Sprint("core-", index), Zone: fmt.Sprint("d", index), Listen: addr, Seeds: c.seeds, Data: "x", Bounds: settings.DefaultBounds(),
+		Options: []string{"log=off"}, Site: &settings.Site{FirstStart: first, ToleratedFailures: max(1, c.toleratedLosses), IP: addr, AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, PortRange: [2]int{7360, 7375}}}
+	environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+		Disk: func(string) storage.Disk { return c.disks[addr] },
+		Listen: func(a string) (net.Listener, error) {
+			listener := &pipeListener{cluster: c, addr: a, connections: make(chan net.Conn), closed: make(chan struct{})}
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.listeners[a] = listener
+			return listener, nil
+		},
+		Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return c.dial(ctx, addr, to) },
+		Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
+	process := daemon.NewIn(environment, "archive", config)
+	var node *Node
+	process.Settings.Site.ControlPlaneListen = fmt.Sprintf("10.0.0.%d:8683", index)
+	if err := StartGroup(process, versionCodec{}, func(x *Node) http.Handler { node = x; return http.NotFoundHandler() }); err != nil {
+		c.t.Fatal(err)
+	}
+	c.processes[addr], c.nodes[addr] = process, node
+	return node
+}
+
+func (c *testCluster) stop(i int) {
+	c.processes[c.addr(i)].Stop(time.Second)
+	delete(c.nodes, c.addr(i))
+}
+
+func (c *testCluster) stopAll() {
+	for a := range c.nodes {
+		c.processes[a].Stop(time.Second)
+	}
+}
+
+// waitUntil waits in the bubble's time for something to hold.
+func (c *testCluster) waitUntil(what string, within time.Duration, f func() bool) time.Duration {
+	c.t.Helper()
+	begin := time.Now()
+	for !f() {
+		if time.Since(begin) > within {
+			for a, node := range c.nodes {
+				view := node.shards[0].published.current()
+				c.t.Logf("%s: %s leader %s members %v votes %v", a, view.self, view.leader, view.members, view.isVoter)
+			}
+			c.t.Fatalf("%s: not within %v", what, within)
+		}
+		clock.Sleep(context.Background(), 50*time.Millisecond)
+	}
+	return time.Since(begin)
+}
+
+// versionCodec is a form of plans for tests: {"version": 7, "text": "…", "bad": false}.
+type versionCodec struct{}
+
+type versionBody struct {
+	Version uint64 `json:"version"`
+	Text    string `json:"text"`
+	Bad     bool   `json:"bad,omitempty"`
+}
+
+func (versionCodec) Read(b []byte) (*routingconfig.Plan, error) {
+	content := versionBody{}
+	err := json.Unmarshal(b, &content)
+	return &routingconfig.Plan{Version: content.Version}, err
+}
+
+func (versionCodec) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
+	var previous, content versionBody
+	if err := json.Unmarshal(sent, &content); err != nil {
+		return nil, 0, err // of no kind
+	}
+	if content.Bad {
+		return nil, 0, errs.New(errs.BadInput, "route-7: names a service that isn't there")
+	}
+	if part && len(old) > 0 {
+		if err := json.Unmarshal(old, &previous); err != nil {
+			return nil, 0, err
+		}
+		content.Text = previous.Text + "+" + content.Text
+	}
+	b, err := json.Marshal(content)
+	return b, content.Version, err
+}
+
+func body(version uint64, text string) []byte {
+	b, _ := json.Marshal(versionBody{Version: version, Text: text})
+	return b
+}
--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -11,11 +11,11 @@
 		original: `	s.pendingProposals[index] = proposal
 	return proposal, nil`,
 		replacement: `	if u := command.GetPut(); u != nil {
-		pendingProposals.response <- &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: u.NewVersion}
+		proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: u.NewVersion}
 	} else {
-		s.pendingProposals[index] = pendingProposals
+		s.pendingProposals[index] = proposal
 	}
-	return pendingProposals, nil`,
+	return proposal, nil`,
 		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 1, name: "a read is answered from the applied state without a quorum",
 		file: "internal/control/controlstate/read.go",
@@ -37,7 +37,7 @@
 	mutant{point: 2, name: "an order under way is refused when its leader stops leading",
 		file:        "internal/control/controlstate/propose.go",
 		original:    "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
-		replacement: "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: p.state.docs[p.configKey()].GetVersion()}",
+		replacement: "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: s.state.documents[s.configKey()].GetVersion()}",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 4, name: "a vote isn't synced",
 		file:        "internal/control/consensus/core.go",
--- a/internal/control/mutation/point4_test.go
+++ b/internal/control/mutation/point4_test.go
@@ -52,7 +52,7 @@
 	}
 	installed`,
 		replacement: "	installed",
-		pkg:         "internal/control/controlstate", run: "TestSnapshotThatCannotBeReadIsNotStored"},
+		pkg:         "internal/control/controlstate", run: "TestUnreadableSnapshotIsNotStored"},
 	mutant{point: 4, name: "a snapshot is acknowledged that the disk doesn't hold",
 		file: "internal/control/controlstate/persistence.go",
 		original: `	if err := s.store.SaveSnapshot(snapshot, records); err != nil {
@@ -65,10 +65,10 @@
 		file:        "internal/control/controlstate/transport.go",
 		original:    "if len(message.GetChunk().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes {",
 		replacement: "if false {",
-		pkg:         "internal/control/controlstate", run: "TestHeartbeatsPassBesideALargeMessage"},
+		pkg:         "internal/control/controlstate", run: "TestHeartbeatsBypassLargeMessages"},
 	mutant{point: 4, name: "a message that hangs outlives the silence of its address",
 		file:        "internal/control/controlstate/transport.go",
 		original:    "if p.lastSmallFailed && !failed && p.abortLarge != nil {",
 		replacement: "if false {",
-		pkg:         "internal/control/controlstate", run: "TestLargeMessageEndsWhenItsAddressIsBack"},
+		pkg:         "internal/control/controlstate", run: "TestLargeMessageAbortsWhenThePeerAnswersAgain"},
 )
