--- a/internal/control/mutation/point1_test.go
+++ b/internal/control/mutation/point1_test.go
@@ -65,7 +65,7 @@
 		file:        "internal/control/consensus/messages.go",
 		original:    `(c.leader == "" || c.role != leader && c.electionElapsed >= c.cfg.ElectionTicks)`,
 		replacement: "true",
-		pkg:         "internal/control/consensus", run: "TestWhoHearsALeaderSaysNo"},
+		pkg:         "internal/control/consensus", run: "TestPreVoteIsRejectedWhileLeaderIsKnown"},
 	mutant{point: 1, name: "a request of a caller that has gone is served on",
 		file:        "internal/control/controlstate/node.go",
 		original:    "n.process.Place.Bounds.Heal(serveTimeoutRatio*",
@@ -90,5 +90,5 @@
 		file:        "internal/control/consensus/contact.go",
 		original:    "return int(now - response.SentTick)",
 		replacement: "return 0",
-		pkg:         "internal/control/consensus", run: "TestALateResponseIsAsOldAsItsRequest"},
+		pkg:         "internal/control/consensus", run: "TestContactAgeOfLateResponseIsThatOfItsRequest"},
 )
