--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -27,9 +27,9 @@
 	t.Helper()
 	for range c.cfg.HeartbeatTicks {
 		c.Tick()
-		for _, m := range c.Ready().Messages {
-			if m.To == peer && m.Kind == wire.MessageKind_APPEND_REQUEST {
-				return m
+		for _, message := range c.Ready().Messages {
+			if message.To == peer && message.Kind == wire.MessageKind_APPEND_REQUEST {
+				return message
 			}
 		}
 	}
@@ -57,26 +57,26 @@
 // peer counts as old as that, and the leader stops leading as if nothing had come since.
 func TestContactAgeOfLateResponseIsThatOfItsRequest(t *testing.T) {
 	for late := range 18 {
-		c := newElectedLeader(t)
-		request := nextAppendTo(t, c, "c/0")
-		sent := c.ticks
+		core := newElectedLeader(t)
+		request := nextAppendTo(t, core, "c/0")
+		sent := core.ticks
 		for range late {
-			c.Tick()
-			c.Ready()
+			core.Tick()
+			core.Ready()
 		}
-		if !c.Status().IsLeader {
+		if !core.Status().IsLeader {
 			continue // nobody was heard for too long
 		}
-		c.Step(appendResponseTo(request))
-		if got := contactAgeOf(t, c, "c/0"); got != late {
+		core.Step(appendResponseTo(request))
+		if got := contactAgeOf(t, core, "c/0"); got != late {
 			t.Errorf("a response %d ticks after its request: the peer counts as heard %d ticks ago", late, got)
 		}
-		for c.Status().IsLeader && c.ticks < 100 {
-			c.Tick()
-			c.Ready()
+		for core.Status().IsLeader && core.ticks < 100 {
+			core.Tick()
+			core.Ready()
 		}
-		if kept := c.ticks - sent; kept > 2*c.cfg.ElectionTicks {
-			t.Errorf("a response %d ticks late: the leader stayed for %d ticks after that request, at most %d may be", late, kept, 2*c.cfg.ElectionTicks)
+		if kept := core.ticks - sent; kept > 2*core.cfg.ElectionTicks {
+			t.Errorf("a response %d ticks late: the leader stayed for %d ticks after that request, at most %d may be", late, kept, 2*core.cfg.ElectionTicks)
 		}
 	}
 }
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -64,7 +64,7 @@
 	ticks                 int // since this core was made
 	lastLeaderContact     int // tick in which a leader was heard last
 	votes                 map[string]bool
-	peers                 map[string]*progress
+	peers                 map[string]*peerProgress
 	peerStates            map[string]*wire.Message // states received while blank
 	peerGenerations       map[string]uint64        // generations of its name that the others know, received while blank
 	generation            uint64                   // generation that it asks to be known under; 0: none yet
@@ -72,8 +72,8 @@
 	pendingReads          []pendingRead
 	lastReadID            uint64
 	rejoinFailure         string
-	members               membership // the newest in the log; with fixed members always the same
-	learnerHeartbeatCount int        // heartbeats since learners were sent anything
+	voters                voterSet // the newest in the log; with fixed members always the same
+	learnerHeartbeatCount int      // heartbeats since learners were sent anything
 	ready                 Ready
 }
 
@@ -83,7 +83,7 @@
 // Example: c := consensus.New(cfg, snapshot, records)
 func New(cfg Config, snapshot *wire.Snapshot, records []*wire.Record) *Core {
 	c := &Core{cfg: cfg, snapshot: snapshot, hardState: snapshot.HardState, commit: snapshot.Index, applied: snapshot.Index,
-		peers: map[string]*progress{}, peerStates: map[string]*wire.Message{}, peerGenerations: map[string]uint64{}}
+		peers: map[string]*peerProgress{}, peerStates: map[string]*wire.Message{}, peerGenerations: map[string]uint64{}}
 	c.reloadMembership()
 	for _, r := range records {
 		switch k := r.Kind.(type) {
@@ -114,35 +114,35 @@
 	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_HardState{HardState: c.hardState}})
 }
 
-func (c *Core) send(m *wire.Message) {
-	m.Shard, m.From, m.Incarnation, m.DiskState = c.cfg.Shard, c.cfg.Self, c.hardState.Incarnation, c.hardState.DiskState
-	if m.Term == 0 {
-		m.Term = c.hardState.Term
+func (c *Core) send(message *wire.Message) {
+	message.Shard, message.From, message.Incarnation, message.DiskState = c.cfg.Shard, c.cfg.Self, c.hardState.Incarnation, c.hardState.DiskState
+	if message.Term == 0 {
+		message.Term = c.hardState.Term
 	}
-	c.ready.Messages = append(c.ready.Messages, m)
+	c.ready.Messages = append(c.ready.Messages, message)
 }
 
 func (c *Core) forEachPeer(f func(string)) {
-	for _, m := range c.members.names {
-		if m != c.cfg.Self {
-			f(m)
+	for _, peer := range c.voters.names {
+		if peer != c.cfg.Self {
+			f(peer)
 		}
 	}
 }
 
 // hasQuorum reports whether a majority of the members passes, this one counted where it is a member.
-func (c *Core) hasQuorum(pass func(m string) bool) bool {
+func (c *Core) hasQuorum(pass func(peer string) bool) bool {
 	n := 0
-	for _, m := range c.members.names {
-		if m == c.cfg.Self || pass(m) {
+	for _, peer := range c.voters.names {
+		if peer == c.cfg.Self || pass(peer) {
 			n++
 		}
 	}
-	return 2*n > len(c.members.names)
+	return 2*n > len(c.voters.names)
 }
 
 func (c *Core) hasElectionQuorum() bool {
-	return c.hasQuorum(func(m string) bool { return c.votes[m] })
+	return c.hasQuorum(func(peer string) bool { return c.votes[peer] })
 }
 
 // Tick moves the member's time on by one.
@@ -158,17 +158,17 @@
 		return
 	}
 	if c.role == leader {
-		for _, p := range c.peers {
-			p.ticksSinceResponse++
-			p.contactAge++
+		for _, progress := range c.peers {
+			progress.ticksSinceResponse++
+			progress.contactAge++
 		}
-		if !c.hasQuorum(func(m string) bool { return c.peers[m].contactAge < 2*c.cfg.ElectionTicks }) {
+		if !c.hasQuorum(func(peer string) bool { return c.peers[peer].contactAge < 2*c.cfg.ElectionTicks }) {
 			c.becomeFollower(c.hardState.Term, "")
 			return
 		}
 		if c.heartbeatElapsed >= c.cfg.HeartbeatTicks {
 			c.heartbeatElapsed = 0
-			c.forEachPeer(func(m string) { c.replicate(m, true) })
+			c.forEachPeer(func(peer string) { c.replicate(peer, true) })
 			c.replicateToLearners()
 		}
 		return
@@ -188,8 +188,8 @@
 			c.ready.AbortedReads = append(c.ready.AbortedReads, r.id)
 		}
 		c.pendingReads = nil
-		for _, p := range c.peers {
-			p.transfer = nil // its snapshot is freed
+		for _, progress := range c.peers {
+			progress.transfer = nil // its snapshot is freed
 		}
 	}
 	if leaderName != "" {
@@ -211,8 +211,8 @@
 		kind = wire.MessageKind_VOTE_REQUEST
 		c.saveHardState(term, c.cfg.Self)
 	}
-	c.forEachPeer(func(m string) {
-		c.send(&wire.Message{To: m, Kind: kind, Term: term, Index: c.lastIndex(), LogTerm: c.lastTerm()})
+	c.forEachPeer(func(peer string) {
+		c.send(&wire.Message{To: peer, Kind: kind, Term: term, Index: c.lastIndex(), LogTerm: c.lastTerm()})
 	})
 	switch {
 	case !c.hasElectionQuorum(): // more votes are needed than its own
@@ -226,19 +226,19 @@
 func (c *Core) becomeLeader() {
 	c.role, c.leader, c.heartbeatElapsed, c.incoming = leader, c.cfg.Self, 0, nil
 	clear(c.peers)
-	c.forEachPeer(func(m string) { c.peers[m] = c.progressAtElection(m) })
-	c.proposeEntry(nil, c.members.namesOnWire(c.cfg.DynamicMembership)) // an entry of its own term, so that earlier ones commit
+	c.forEachPeer(func(peer string) { c.peers[peer] = c.progressAtElection(peer) })
+	c.proposeEntry(nil, c.voters.namesOnWire(c.cfg.DynamicMembership)) // an entry of its own term, so that earlier ones commit
 }
 
 func (c *Core) proposeEntry(body []byte, members []string) uint64 {
-	e := &wire.Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Body: body, Members: members}
-	c.appendEntry(e)
-	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
-	c.forEachPeer(func(m string) { c.replicate(m, false) })
-	if len(c.members.names) == 1 {
+	entry := &wire.Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Body: body, Members: members}
+	c.appendEntry(entry)
+	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: entry}})
+	c.forEachPeer(func(peer string) { c.replicate(peer, false) })
+	if len(c.voters.names) == 1 {
 		c.advanceCommit() // nobody else is asked
 	}
-	return e.Index
+	return entry.Index
 }
 
 // Propose adds a command where this member leads; false elsewhere.
@@ -262,7 +262,7 @@
 	c.lastReadID++
 	c.readSequence++
 	c.pendingReads = append(c.pendingReads, pendingRead{c.lastReadID, c.readSequence, c.commit})
-	c.forEachPeer(func(m string) { c.replicate(m, true) })
+	c.forEachPeer(func(peer string) { c.replicate(peer, true) })
 	return c.lastReadID, true
 }
 
@@ -271,24 +271,24 @@
 // Example: o := c.Ready()
 func (c *Core) Ready() Ready {
 	if c.commit > c.applied {
-		for _, e := range c.entriesFrom(c.applied + 1) {
-			if e.Index > c.commit {
+		for _, entry := range c.entriesFrom(c.applied + 1) {
+			if entry.Index > c.commit {
 				break
 			}
-			c.ready.CommittedEntries = append(c.ready.CommittedEntries, e)
+			c.ready.CommittedEntries = append(c.ready.CommittedEntries, entry)
 		}
 		c.applied = c.commit
 	}
 	c.confirmReads()
-	o := c.ready
+	ready := c.ready
 	c.ready = Ready{}
-	return o
+	return ready
 }
 
 func (c *Core) confirmReads() {
 	var stay []pendingRead
 	for _, r := range c.pendingReads {
-		if c.applied >= r.index && c.hasQuorum(func(m string) bool { return c.peers[m].ackedReadSequence >= r.sequence }) {
+		if c.applied >= r.index && c.hasQuorum(func(peer string) bool { return c.peers[peer].ackedReadSequence >= r.sequence }) {
 			c.ready.ConfirmedReads = append(c.ready.ConfirmedReads, r.id)
 		} else {
 			stay = append(stay, r)
--- a/internal/control/consensus/first_election_test.go
+++ b/internal/control/consensus/first_election_test.go
@@ -9,18 +9,18 @@
 // begins last; nobody waits for a silence that nobody can break.
 func TestLeaderIsElectedSoonAfterFullRestart(t *testing.T) {
 	for seed := range uint64(200) {
-		x := newTestGroup(t, "a b c", "")
-		for n, c := range x.cores {
+		group := newTestGroup(t, "a b c", "")
+		for n, c := range group.cores {
 			c.cfg.Rand = rand.New(rand.NewPCG(seed, uint64(n[0])))
 		}
 		late := string("abc"[seed%3])
-		c := x.cores[late]
-		delete(x.cores, late)
-		x.tick(1)
-		x.cores[late] = c
-		x.tick(8)
+		c := group.cores[late]
+		delete(group.cores, late)
+		group.tick(1)
+		group.cores[late] = c
+		group.tick(8)
 		leaders := 0
-		for _, c := range x.cores {
+		for _, c := range group.cores {
 			if c.role == leader && c.commit > 0 {
 				leaders++
 			}
@@ -34,16 +34,16 @@
 // One that begins anew beside an owner asks, is told no, and follows.
 func TestRestartedMemberDoesNotDisruptLeader(t *testing.T) {
 	for seed := range uint64(50) {
-		x := newTestGroup(t, "a b c", "")
-		x.campaign("a")
-		x.deliverAll()
-		x.tick(30)
-		term := x.cores["a"].hardState.Term
-		s, rest := x.cores["b"].Compact([]byte("state"))
-		x.cores["b"] = New(Config{Self: "b", DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(seed, 2))}, s, rest)
-		x.tick(40)
-		if x.cores["a"].role != leader || x.cores["b"].leader != "a" || x.cores["a"].hardState.Term != term {
-			t.Fatalf("seed %d: %+v in term %d before", seed, x.cores["b"].Status(), term)
+		group := newTestGroup(t, "a b c", "")
+		group.campaign("a")
+		group.deliverAll()
+		group.tick(30)
+		term := group.cores["a"].hardState.Term
+		snapshot, rest := group.cores["b"].Compact([]byte("state"))
+		group.cores["b"] = New(Config{Self: "b", DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(seed, 2))}, snapshot, rest)
+		group.tick(40)
+		if group.cores["a"].role != leader || group.cores["b"].leader != "a" || group.cores["a"].hardState.Term != term {
+			t.Fatalf("seed %d: %+v in term %d before", seed, group.cores["b"].Status(), term)
 		}
 	}
 }
@@ -54,16 +54,16 @@
 	won := 0
 	const walks = 300
 	for seed := range uint64(walks) {
-		r := rand.New(rand.NewPCG(seed, 3))
-		x := newTestGroup(t, "a b c", "")
+		random := rand.New(rand.NewPCG(seed, 3))
+		group := newTestGroup(t, "a b c", "")
 		for _, n := range []string{"a", "b", "c"} {
-			x.cores[n].Tick()
-			x.collect(n)
+			group.cores[n].Tick()
+			group.collect(n)
 		}
-		for len(x.inFlight) > 0 {
-			x.deliver(r.IntN(len(x.inFlight)))
+		for len(group.inFlight) > 0 {
+			group.deliver(random.IntN(len(group.inFlight)))
 		}
-		for _, c := range x.cores {
+		for _, c := range group.cores {
 			if c.role == leader {
 				won++
 			}
--- a/internal/control/consensus/incarnations.go
+++ b/internal/control/consensus/incarnations.go
@@ -9,20 +9,20 @@
 // under one name at most one counts, whichever wakes up later.
 
 func (c *Core) knownIncarnation(name string) *wire.KnownIncarnation {
-	for _, k := range c.hardState.KnownIncarnations {
-		if k.Name == name {
-			return k
+	for _, known := range c.hardState.KnownIncarnations {
+		if known.Name == name {
+			return known
 		}
 	}
 	return nil
 }
 
 // recordIncarnation persists which incarnation of a peer counts.
-func (c *Core) recordIncarnation(name, inc string, gen uint64) {
-	l := []*wire.KnownIncarnation{{Name: name, Incarnation: inc, Generation: gen}}
-	for _, k := range c.hardState.KnownIncarnations {
-		if k.Name != name {
-			l = append(l, k)
+func (c *Core) recordIncarnation(name, incarnation string, generation uint64) {
+	l := []*wire.KnownIncarnation{{Name: name, Incarnation: incarnation, Generation: generation}}
+	for _, known := range c.hardState.KnownIncarnations {
+		if known.Name != name {
+			l = append(l, known)
 		}
 	}
 	c.hardState = &wire.HardState{Term: c.hardState.Term, Vote: c.hardState.Vote, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState, KnownIncarnations: l}
@@ -37,26 +37,26 @@
 }
 
 func (c *Core) requestState() {
-	c.forEachPeer(func(m string) {
-		c.send(&wire.Message{To: m, Kind: wire.MessageKind_STATE_REQUEST, About: c.hardState.Incarnation, Generation: c.generation})
+	c.forEachPeer(func(peer string) {
+		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_STATE_REQUEST, About: c.hardState.Incarnation, Generation: c.generation})
 	})
 }
 
 // handleStateRequest answers a blank member: first which generation of its name is known here; then,
 // once that member is known under the generation that it took, the whole state.
-func (c *Core) handleStateRequest(l *wire.Message) {
-	k := c.knownIncarnation(l.From)
-	r := &wire.Message{To: l.From, Kind: wire.MessageKind_STATE_RESPONSE, About: l.About, Generation: k.GetGeneration()}
-	if l.Generation > 0 && l.Generation > k.GetGeneration() {
-		c.recordIncarnation(l.From, l.Incarnation, l.Generation)
+func (c *Core) handleStateRequest(message *wire.Message) {
+	known := c.knownIncarnation(message.From)
+	r := &wire.Message{To: message.From, Kind: wire.MessageKind_STATE_RESPONSE, About: message.About, Generation: known.GetGeneration()}
+	if message.Generation > 0 && message.Generation > known.GetGeneration() {
+		c.recordIncarnation(message.From, message.Incarnation, message.Generation)
 		if c.role == leader {
-			p := c.peers[l.From]
-			*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, ticksSinceResponse: p.ticksSinceResponse, contactAge: p.contactAge}
+			progress := c.peers[message.From]
+			*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, ticksSinceResponse: progress.ticksSinceResponse, contactAge: progress.contactAge}
 		}
-		k = c.knownIncarnation(l.From)
+		known = c.knownIncarnation(message.From)
 	}
-	if l.Generation > 0 && k.Generation == l.Generation && k.Incarnation == l.Incarnation {
-		r.Ok, r.Generation, r.Index, r.LogTerm, r.KnownIncarnations = true, l.Generation, c.lastIndex(), c.lastTerm(), c.hardState.KnownIncarnations
+	if message.Generation > 0 && known.Generation == message.Generation && known.Incarnation == message.Incarnation {
+		r.Ok, r.Generation, r.Index, r.LogTerm, r.KnownIncarnations = true, message.Generation, c.lastIndex(), c.lastTerm(), c.hardState.KnownIncarnations
 		r.Snapshot, r.Entries = c.snapshot, append([]*wire.Entry(nil), c.log...)
 	}
 	c.send(r)
@@ -64,12 +64,12 @@
 
 // handleStateResponse brings a blank member in. The others show whether its disk was lost or the shard
 // is new: founded peers with a log mean that there was a past.
-func (c *Core) handleStateResponse(l *wire.Message) {
-	if c.hardState.DiskState != wire.DiskState_DISK_BLANK || l.About != c.hardState.Incarnation {
+func (c *Core) handleStateResponse(message *wire.Message) {
+	if c.hardState.DiskState != wire.DiskState_DISK_BLANK || message.About != c.hardState.Incarnation {
 		return
 	}
 	if c.generation == 0 {
-		if c.peerGenerations[l.From] = l.Generation; len(c.peerGenerations) < len(c.cfg.Members)-1 {
+		if c.peerGenerations[message.From] = message.Generation; len(c.peerGenerations) < len(c.cfg.Members)-1 {
 			return
 		}
 		for _, g := range c.peerGenerations {
@@ -79,16 +79,16 @@
 		c.requestState()
 		return
 	}
-	if !l.Ok {
-		if l.Generation >= c.generation { // another incarnation was quicker
+	if !message.Ok {
+		if message.Generation >= c.generation { // another incarnation was quicker
 			c.restartRejoin()
 		}
 		return
 	}
-	if l.Generation != c.generation {
+	if message.Generation != c.generation {
 		return
 	}
-	if c.peerStates[l.From] = l; len(c.peerStates) < len(c.cfg.Members)-1 {
+	if c.peerStates[message.From] = message; len(c.peerStates) < len(c.cfg.Members)-1 {
 		return
 	}
 	c.rejoin()
@@ -105,20 +105,20 @@
 func (c *Core) rejoin() {
 	var best *wire.Message
 	var term uint64
-	var known []*wire.KnownIncarnation
+	var knownIncarnations []*wire.KnownIncarnation
 	blanks, strangers := 0, false
-	c.forEachPeer(func(m string) {
-		t := c.peerStates[m]
-		k := &wire.KnownIncarnation{Name: m, Incarnation: t.Incarnation}
+	c.forEachPeer(func(peer string) {
+		t := c.peerStates[peer]
+		known := &wire.KnownIncarnation{Name: peer, Incarnation: t.Incarnation}
 		c.forEachPeer(func(o string) {
 			for _, x := range c.peerStates[o].KnownIncarnations {
-				if x.Name == m {
+				if x.Name == peer {
 					strangers = strangers || x.Incarnation != t.Incarnation
-					k.Generation = x.Generation
+					known.Generation = x.Generation
 				}
 			}
 		})
-		known = append(known, k)
+		knownIncarnations = append(knownIncarnations, known)
 		if t.DiskState == wire.DiskState_DISK_BLANK {
 			blanks++
 			return
@@ -142,14 +142,14 @@
 	if term > 0 {
 		vote = unknownVote // it may have voted in that term before it lost its disk
 	}
-	for _, k := range c.hardState.KnownIncarnations { // incarnations that were let in here meanwhile
-		for _, x := range known {
-			if x.Name == k.Name && k.Generation >= x.Generation {
-				x.Incarnation, x.Generation = k.Incarnation, k.Generation
+	for _, known := range c.hardState.KnownIncarnations { // incarnations that were let in here meanwhile
+		for _, x := range knownIncarnations {
+			if x.Name == known.Name && known.Generation >= x.Generation {
+				x.Incarnation, x.Generation = known.Incarnation, known.Generation
 			}
 		}
 	}
-	c.hardState = &wire.HardState{Term: term, Vote: vote, Incarnation: c.hardState.Incarnation, DiskState: wire.DiskState_DISK_FOUNDED, KnownIncarnations: known}
+	c.hardState = &wire.HardState{Term: term, Vote: vote, Incarnation: c.hardState.Incarnation, DiskState: wire.DiskState_DISK_FOUNDED, KnownIncarnations: knownIncarnations}
 	if best == nil {
 		best = &wire.Message{Snapshot: BlankSnapshot(c.hardState.Incarnation)}
 	}
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -51,10 +51,10 @@
 	return nil
 }
 
-func (c *Core) appendEntry(e *wire.Entry) {
-	if e.Index == c.lastIndex()+1 {
-		c.log = append(c.log, e)
-		c.applyMembership(e)
+func (c *Core) appendEntry(entry *wire.Entry) {
+	if entry.Index == c.lastIndex()+1 {
+		c.log = append(c.log, entry)
+		c.applyMembership(entry)
 	}
 }
 
@@ -103,12 +103,12 @@
 // entryOverhead is about what an entry takes beside its body.
 const entryOverhead = 16
 
-func entryBytes(e *wire.Entry) int { return len(e.Body) + entryOverhead }
+func entryBytes(entry *wire.Entry) int { return len(entry.Body) + entryOverhead }
 
 func entryRecords(entries []*wire.Entry) []*wire.Record {
 	records := make([]*wire.Record, 0, len(entries))
-	for _, e := range entries {
-		records = append(records, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
+	for _, entry := range entries {
+		records = append(records, &wire.Record{Kind: &wire.Record_Entry{Entry: entry}})
 	}
 	return records
 }
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -32,14 +32,14 @@
 //     changes that was given up: a majority of it holds nothing newer of a document, and says
 //     so, only if nothing newer was committed before they were asked.
 
-// membership is the set of voters, and the entry that named them.
-type membership struct {
+// voterSet is the set of voters, and the entry that named them.
+type voterSet struct {
 	names       []string
 	index, term uint64
 }
 
 // namesOnWire is what an entry or a snapshot records of it.
-func (m membership) namesOnWire(group bool) []string {
+func (m voterSet) namesOnWire(group bool) []string {
 	if !group {
 		return nil
 	}
@@ -60,25 +60,25 @@
 const maxLearners = 64
 
 // reloadMembership looks up the newest membership in snapshot and log.
-func (c *Core) reloadMembership() { c.members = c.membershipAt(c.lastIndex()) }
+func (c *Core) reloadMembership() { c.voters = c.membershipAt(c.lastIndex()) }
 
 // membershipAt is the newest membership up to an entry.
-func (c *Core) membershipAt(upto uint64) membership {
+func (c *Core) membershipAt(upto uint64) voterSet {
 	if !c.cfg.DynamicMembership {
-		return membership{names: c.cfg.Members}
+		return voterSet{names: c.cfg.Members}
 	}
 	for i := len(c.log) - 1; i >= 0; i-- {
-		if e := c.log[i]; e.Index <= upto && len(e.Members) > 0 {
-			return membership{e.Members, e.Index, e.Term}
+		if entry := c.log[i]; entry.Index <= upto && len(entry.Members) > 0 {
+			return voterSet{entry.Members, entry.Index, entry.Term}
 		}
 	}
-	return membership{c.snapshot.Members, c.snapshot.MembersIndex, c.snapshot.MembersTerm}
+	return voterSet{c.snapshot.Members, c.snapshot.MembersIndex, c.snapshot.MembersTerm}
 }
 
 // applyMembership takes over the membership of an entry that was added to the log.
-func (c *Core) applyMembership(e *wire.Entry) {
-	if c.cfg.DynamicMembership && len(e.Members) > 0 {
-		c.members = membership{e.Members, e.Index, e.Term}
+func (c *Core) applyMembership(entry *wire.Entry) {
+	if c.cfg.DynamicMembership && len(entry.Members) > 0 {
+		c.voters = voterSet{entry.Members, entry.Index, entry.Term}
 	}
 }
 
@@ -101,32 +101,32 @@
 //
 // Example: names, term, index := c.Members()
 func (c *Core) Members() (names []string, term, index uint64) {
-	return c.members.names, c.members.term, c.members.index
+	return c.voters.names, c.voters.term, c.voters.index
 }
 
-func (c *Core) newProgress(m string) *progress {
-	p := &progress{next: c.lastIndex() + 1}
+func (c *Core) newProgress(peer string) *peerProgress {
+	progress := &peerProgress{next: c.lastIndex() + 1}
 	if c.cfg.DynamicMembership {
-		p.incarnation = m // a name is one incarnation
+		progress.incarnation = peer // a name is one incarnation
 	}
-	return p
+	return progress
 }
 
 // progressAtElection is what a new leader knows of a peer. One that gave it no vote has been silent
 // for as long as there was no leader, as far as is known: a member that is gone isn't given its whole
 // time again by each election.
-func (c *Core) progressAtElection(m string) *progress {
-	p := c.newProgress(m)
-	if c.cfg.DynamicMembership && !c.votes[m] {
-		p.ticksSinceResponse = min(c.ticks-c.lastLeaderContact, c.cfg.ElectionTicks)
-		p.contactAge = p.ticksSinceResponse
+func (c *Core) progressAtElection(peer string) *peerProgress {
+	progress := c.newProgress(peer)
+	if c.cfg.DynamicMembership && !c.votes[peer] {
+		progress.ticksSinceResponse = min(c.ticks-c.lastLeaderContact, c.cfg.ElectionTicks)
+		progress.contactAge = progress.ticksSinceResponse
 	}
-	return p
+	return progress
 }
 
 // replicationLimit is the last entry that a peer may be sent.
-func (c *Core) replicationLimit(m string) uint64 {
-	if c.cfg.DynamicMembership && !c.IsVoter(m) {
+func (c *Core) replicationLimit(peer string) uint64 {
+	if c.cfg.DynamicMembership && !c.IsVoter(peer) {
 		return c.commit
 	}
 	return c.lastIndex()
@@ -137,19 +137,19 @@
 		return
 	}
 	c.learnerHeartbeatCount++
-	for _, m := range c.learners() {
-		if c.peers[m].ticksSinceResponse > learnerTimeoutElections*c.cfg.ElectionTicks {
-			delete(c.peers, m)
-		} else if c.learnerHeartbeatCount%learnerHeartbeats == 0 || !c.isNearCommit(c.peers[m].match) {
-			c.replicate(m, true)
+	for _, peer := range c.learners() {
+		if c.peers[peer].ticksSinceResponse > learnerTimeoutElections*c.cfg.ElectionTicks {
+			delete(c.peers, peer)
+		} else if c.learnerHeartbeatCount%learnerHeartbeats == 0 || !c.isNearCommit(c.peers[peer].match) {
+			c.replicate(peer, true)
 		}
 	}
 }
 
 func (c *Core) learners() (l []string) {
-	for m := range c.peers {
-		if !c.IsVoter(m) {
-			l = append(l, m)
+	for peer := range c.peers {
+		if !c.IsVoter(peer) {
+			l = append(l, peer)
 		}
 	}
 	slices.Sort(l)
@@ -168,9 +168,9 @@
 		if len(c.learners()) >= maxLearners {
 			return false
 		}
-		p := c.newProgress(name)
-		p.next = c.commit + 1
-		c.peers[name] = p
+		progress := c.newProgress(name)
+		progress.next = c.commit + 1
+		c.peers[name] = progress
 		c.replicate(name, true)
 	}
 	return true
@@ -191,7 +191,7 @@
 // Example: if c.CanChangeMembership() { c.ProposeMembership(members) }
 func (c *Core) CanChangeMembership() bool {
 	t, _ := c.termAt(c.commit)
-	return c.role == leader && t == c.hardState.Term && c.members.index <= c.commit
+	return c.role == leader && t == c.hardState.Term && c.voters.index <= c.commit
 }
 
 // ProposeMembership proposes members that differ from those now by one; false where that may not be.
@@ -200,27 +200,27 @@
 func (c *Core) ProposeMembership(names []string) (index, term uint64, ok bool) {
 	l := slices.Compact(slices.Sorted(slices.Values(names)))
 	diff := 0
-	for _, m := range l {
-		if !c.IsVoter(m) {
+	for _, peer := range l {
+		if !c.IsVoter(peer) {
 			diff++
 		}
 	}
-	for _, m := range c.members.names {
-		if !slices.Contains(l, m) {
+	for _, peer := range c.voters.names {
+		if !slices.Contains(l, peer) {
 			diff++
 		}
 	}
 	if !c.cfg.DynamicMembership || !c.CanChangeMembership() || diff != 1 || len(l) == 0 {
 		return 0, 0, false
 	}
-	for _, m := range c.members.names {
-		if !slices.Contains(l, m) {
-			delete(c.peers, m) // it doesn't hear of it before that is committed
+	for _, peer := range c.voters.names {
+		if !slices.Contains(l, peer) {
+			delete(c.peers, peer) // it doesn't hear of it before that is committed
 		}
 	}
-	for _, m := range l {
-		if m != c.cfg.Self && c.peers[m] == nil {
-			c.peers[m] = c.newProgress(m)
+	for _, peer := range l {
+		if peer != c.cfg.Self && c.peers[peer] == nil {
+			c.peers[peer] = c.newProgress(peer)
 		}
 	}
 	return c.proposeEntry(nil, l), c.hardState.Term, true
@@ -242,8 +242,8 @@
 	if c.role != leader {
 		return nil
 	}
-	for m, p := range c.peers {
-		l = append(l, PeerStatus{m, c.IsVoter(m), p.contactAge, p.responded, c.isNearCommit(p.match)})
+	for peer, progress := range c.peers {
+		l = append(l, PeerStatus{peer, c.IsVoter(peer), progress.contactAge, progress.responded, c.isNearCommit(progress.match)})
 	}
 	slices.SortFunc(l, func(a, b PeerStatus) int {
 		if a.Name < b.Name {
@@ -279,19 +279,19 @@
 // Example: if c.ReplicatedToLiveVoters("10.1.0.17:7360/8f3a", 12) { stop() }
 func (c *Core) ReplicatedToLiveVoters(except string, within int) bool {
 	holders := 0
-	for _, m := range c.members.names {
-		if m == except {
+	for _, peer := range c.voters.names {
+		if peer == except {
 			continue
 		}
-		if m == c.cfg.Self {
+		if peer == c.cfg.Self {
 			holders++
 			continue
 		}
-		p := c.peers[m]
-		if p == nil || p.contactAge >= within {
+		progress := c.peers[peer]
+		if progress == nil || progress.contactAge >= within {
 			continue
 		}
-		if p.match < c.commit {
+		if progress.match < c.commit {
 			return false
 		}
 		holders++
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -19,13 +19,13 @@
 }
 
 func newFixedGroup(t testing.TB) *fixedGroup {
-	x := &fixedGroup{cores: map[string]*Core{}, leaderOfTerm: map[uint64]string{}, t: t}
+	group := &fixedGroup{cores: map[string]*Core{}, leaderOfTerm: map[uint64]string{}, t: t}
 	for i, n := range []string{"a", "b", "c"} {
-		s := BlankSnapshot(n + "/1")
-		s.HardState.DiskState = wire.DiskState_DISK_FOUNDED
-		x.cores[n] = New(Config{Self: n, Members: []string{"a", "b", "c"}, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(1, uint64(i)))}, s, nil)
+		snapshot := BlankSnapshot(n + "/1")
+		snapshot.HardState.DiskState = wire.DiskState_DISK_FOUNDED
+		group.cores[n] = New(Config{Self: n, Members: []string{"a", "b", "c"}, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(1, uint64(i)))}, snapshot, nil)
 	}
-	return x
+	return group
 }
 
 // collect takes what a core wants to send, and watches who owns which term.
@@ -41,14 +41,14 @@
 }
 
 func (g *fixedGroup) deliver(i int) {
-	l := g.inFlight[i]
+	message := g.inFlight[i]
 	g.inFlight = append(append([]*wire.Message(nil), g.inFlight[:i]...), g.inFlight[i+1:]...)
-	g.cores[l.To].Step(proto.Clone(l).(*wire.Message))
-	g.collect(l.To)
+	g.cores[message.To].Step(proto.Clone(message).(*wire.Message))
+	g.collect(message.To)
 }
 
-func isVoteMessage(l *wire.Message) bool {
-	return l.Kind == wire.MessageKind_VOTE_REQUEST || l.Kind == wire.MessageKind_VOTE_RESPONSE
+func isVoteMessage(message *wire.Message) bool {
+	return message.Kind == wire.MessageKind_VOTE_REQUEST || message.Kind == wire.MessageKind_VOTE_RESPONSE
 }
 
 // Two members stand in the same term. Every order in which the votes asked for and given
@@ -59,25 +59,25 @@
 		orders, wins := 0, map[string]int{}
 		var walk func(path []int)
 		replay := func(path []int) *fixedGroup {
-			x := newFixedGroup(t)
-			x.cores["a"].campaign(candidate)
-			x.collect("a")
-			x.cores["b"].campaign(candidate)
-			x.collect("b")
+			group := newFixedGroup(t)
+			group.cores["a"].campaign(candidate)
+			group.collect("a")
+			group.cores["b"].campaign(candidate)
+			group.collect("b")
 			for n, i := range path {
 				if n == lost {
-					x.inFlight = append(append([]*wire.Message(nil), x.inFlight[:i]...), x.inFlight[i+1:]...)
+					group.inFlight = append(append([]*wire.Message(nil), group.inFlight[:i]...), group.inFlight[i+1:]...)
 					continue
 				}
-				x.deliver(i)
+				group.deliver(i)
 			}
-			return x
+			return group
 		}
 		walk = func(path []int) {
-			x := replay(path)
+			group := replay(path)
 			more := false
-			for i, l := range x.inFlight {
-				if isVoteMessage(l) {
+			for i, message := range group.inFlight {
+				if isVoteMessage(message) {
 					more = true
 					walk(append(append([]int(nil), path...), i))
 				}
@@ -86,10 +86,10 @@
 				return
 			}
 			orders++
-			for n := 0; len(x.inFlight) > 0 && n < 200; n++ {
-				x.deliver(0)
+			for n := 0; len(group.inFlight) > 0 && n < 200; n++ {
+				group.deliver(0)
 			}
-			wins[x.leaderOfTerm[1]]++
+			wins[group.leaderOfTerm[1]]++
 		}
 		walk(nil)
 		if orders < 300 || wins["a"] == 0 || wins["b"] == 0 {
@@ -107,44 +107,44 @@
 	orders := 0
 	var walk func(path []int)
 	replay := func(path []int) (left int, got map[string][]string) {
-		x := newFixedGroup(t)
-		x.cores["a"].campaign(candidate)
-		x.collect("a")
-		for len(x.inFlight) > 0 {
-			x.deliver(0)
+		group := newFixedGroup(t)
+		group.cores["a"].campaign(candidate)
+		group.collect("a")
+		for len(group.inFlight) > 0 {
+			group.deliver(0)
 		}
 		got = map[string][]string{}
 		see := func(n string) {
-			o := x.cores[n].Ready()
-			x.inFlight = append(x.inFlight, o.Messages...)
-			for _, e := range o.CommittedEntries {
-				if len(e.Body) > 0 {
-					got[n] = append(got[n], string(e.Body))
+			ready := group.cores[n].Ready()
+			group.inFlight = append(group.inFlight, ready.Messages...)
+			for _, entry := range ready.CommittedEntries {
+				if len(entry.Body) > 0 {
+					got[n] = append(got[n], string(entry.Body))
 				}
 			}
 		}
 		for _, b := range []string{"one", "two"} {
-			if _, _, ok := x.cores["a"].Propose([]byte(b)); !ok {
+			if _, _, ok := group.cores["a"].Propose([]byte(b)); !ok {
 				t.Fatal("a doesn't own the part")
 			}
 		}
 		see("a")
-		x.inFlight = append(x.inFlight, x.inFlight[0]) // one letter comes twice
+		group.inFlight = append(group.inFlight, group.inFlight[0]) // one letter comes twice
 		for _, i := range path {
-			l := x.inFlight[i]
-			x.inFlight = append(append([]*wire.Message(nil), x.inFlight[:i]...), x.inFlight[i+1:]...)
-			x.cores[l.To].Step(proto.Clone(l).(*wire.Message))
-			see(l.To)
+			message := group.inFlight[i]
+			group.inFlight = append(append([]*wire.Message(nil), group.inFlight[:i]...), group.inFlight[i+1:]...)
+			group.cores[message.To].Step(proto.Clone(message).(*wire.Message))
+			see(message.To)
 		}
-		left = len(x.inFlight)
+		left = len(group.inFlight)
 		for range 4 {
-			x.cores["a"].Tick()
+			group.cores["a"].Tick()
 			see("a")
-			for n := 0; len(x.inFlight) > 0 && n < 200; n++ {
-				l := x.inFlight[0]
-				x.inFlight = x.inFlight[1:]
-				x.cores[l.To].Step(l)
-				see(l.To)
+			for n := 0; len(group.inFlight) > 0 && n < 200; n++ {
+				message := group.inFlight[0]
+				group.inFlight = group.inFlight[1:]
+				group.cores[message.To].Step(message)
+				see(message.To)
 			}
 		}
 		return left, got
@@ -173,14 +173,14 @@
 // An owner's past life has letters under way. What denies them under the new term must not
 // pass for the answer to a question of the new life: a read would be confirmed by it.
 func TestRejectionOfOldTermConfirmsNoRead(t *testing.T) {
-	x := newFixedGroup(t)
-	b := x.cores["b"]
+	group := newFixedGroup(t)
+	b := group.cores["b"]
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_VOTE_REQUEST, Term: 6})
 	b.Ready()
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 5, Probe: 50})
-	for _, l := range b.Ready().Messages {
-		if l.Kind != wire.MessageKind_APPEND_RESPONSE || l.Ok || l.Term != 6 || l.Probe != 0 {
-			t.Errorf("a letter of term 5 was answered by %v", l)
+	for _, message := range b.Ready().Messages {
+		if message.Kind != wire.MessageKind_APPEND_RESPONSE || message.Ok || message.Term != 6 || message.Probe != 0 {
+			t.Errorf("a letter of term 5 was answered by %v", message)
 		}
 	}
 }
--- a/internal/control/consensus/model_actions_test.go
+++ b/internal/control/consensus/model_actions_test.go
@@ -8,8 +8,8 @@
 )
 
 // initialState is the first state of a search.
-func (s *space) initialState() *state {
-	x := &state{history: s.internHistory(history{})}
+func (s *space) initialState() *groupState {
+	state := &groupState{history: s.internHistory(observedHistory{})}
 	for slot, name := range slotNames {
 		first := BootstrapSnapshot(name, slotNames[:3])
 		switch {
@@ -19,15 +19,15 @@
 		case slot == 3:
 			first = LearnerSnapshot(name)
 		}
-		x.nodes[slot] = s.internNode(startNode(s.config(name), disk{snapshot: first}))
+		state.nodes[slot] = s.internNode(startNode(s.config(name), modelDisk{snapshot: first}))
 	}
 	if s.elected || s.contested {
-		s.electFirstLeader(x)
+		s.electFirstLeader(state)
 	}
 	if s.contested {
-		s.contestLog(x)
+		s.contestLog(state)
 	}
-	return x
+	return state
 }
 
 func (s *space) config(self string) Config {
@@ -42,44 +42,44 @@
 }
 
 // applyEvent makes an event happen on the way to the first state, and gives the messages that it sends.
-func (s *space) applyEvent(x *state, slot int, e event) []int32 {
-	r := s.step(x.nodes[slot], e)
-	x.nodes[slot] = r.node
-	x.history, _ = s.recordStep(x.history, r)
-	return r.messages
+func (s *space) applyEvent(state *groupState, slot int, event modelEvent) []int32 {
+	result := s.step(state.nodes[slot], event)
+	state.nodes[slot] = result.node
+	state.history, _ = s.recordStep(state.history, result)
+	return result.messages
 }
 
 // electFirstLeader brings the group to where a leads and nothing is under way.
-func (s *space) electFirstLeader(x *state) {
-	under := s.applyEvent(x, 0, event{kind: electionTimeout})
+func (s *space) electFirstLeader(state *groupState) {
+	under := s.applyEvent(state, 0, modelEvent{kind: electionTimeout})
 	for len(under) > 0 {
 		id := under[0]
-		under = append(under[1:], s.applyEvent(x, s.messages[id].to, event{kind: deliver, arg: id})...)
+		under = append(under[1:], s.applyEvent(state, s.messages[id].to, modelEvent{kind: deliver, arg: id})...)
 	}
 }
 
 // contestLog has a propose an entry that nobody hears of, c elect b for term 2, and then a for term 3.
-func (s *space) contestLog(x *state) {
-	s.applyEvent(x, 0, event{kind: propose, arg: '0'})
-	s.runElection(x, 1)
-	for _, id := range s.runElection(x, 0) {
-		s.updateInFlight(x, action{}, []int32{id})
+func (s *space) contestLog(state *groupState) {
+	s.applyEvent(state, 0, modelEvent{kind: propose, arg: '0'})
+	s.runElection(state, 1)
+	for _, id := range s.runElection(state, 0) {
+		s.updateInFlight(state, modelAction{}, []int32{id})
 	}
 }
 
 // runElection has a member ask all for their votes; it gives what it sends once it leads.
-func (s *space) runElection(x *state, slot int) (sent []int32) {
-	for _, request := range s.applyEvent(x, slot, event{kind: electionTimeout}) {
-		for _, response := range s.applyEvent(x, s.messages[request].to, event{kind: deliver, arg: request}) {
-			sent = append(sent, s.applyEvent(x, slot, event{kind: deliver, arg: response})...)
+func (s *space) runElection(state *groupState, slot int) (sent []int32) {
+	for _, request := range s.applyEvent(state, slot, modelEvent{kind: electionTimeout}) {
+		for _, response := range s.applyEvent(state, s.messages[request].to, modelEvent{kind: deliver, arg: request}) {
+			sent = append(sent, s.applyEvent(state, slot, modelEvent{kind: deliver, arg: response})...)
 		}
 	}
 	return sent
 }
 
-// action is an event at one of the slots, or a question or answer of an agent.
-type action struct {
-	event
+// modelAction is an event at one of the slots, or a question or answer of an agent.
+type modelAction struct {
+	modelEvent
 	slot       int8
 	budget     budget
 	cost       uint8
@@ -87,101 +87,102 @@
 }
 
 // actions lists all that may happen next.
-func (s *space) actions(x *state) (l []action) {
-	free := func(slot int, e event) { l = append(l, action{event: e, slot: int8(slot)}) }
-	paid := func(slot int, b budget, e event) {
+func (s *space) actions(state *groupState) (l []modelAction) {
+	free := func(slot int, event modelEvent) { l = append(l, modelAction{modelEvent: event, slot: int8(slot)}) }
+	paid := func(slot int, b budget, event modelEvent) {
 		switch {
 		case s.limits[b] == unlimited:
-			free(slot, e)
-		case x.used[b] < s.limits[b]:
-			l = append(l, action{event: e, slot: int8(slot), budget: b, cost: 1})
+			free(slot, event)
+		case state.used[b] < s.limits[b]:
+			l = append(l, modelAction{modelEvent: event, slot: int8(slot), budget: b, cost: 1})
 		}
 	}
-	bodies := s.histories[x.history].bodies()
+	bodies := s.histories[state.history].bodies()
 	for slot := range slots {
-		n := s.nodes[x.nodes[slot]]
-		if n.wiped || slot == 3 && !s.learner {
+		node := s.nodes[state.nodes[slot]]
+		if node.wiped || slot == 3 && !s.learner {
 			continue
 		}
-		if n.pending() {
-			free(slot, event{kind: flush})
+		if node.pending() {
+			free(slot, modelEvent{kind: flush})
 		}
-		if n.core.hardState.Term < s.terms {
+		if node.core.hardState.Term < s.terms {
 			kind := electionTimeout
 			if s.preVotes {
 				kind = preVoteTimeout
 			}
-			paid(slot, elections, event{kind: kind})
+			paid(slot, elections, modelEvent{kind: kind})
 			for other := range slots {
-				paid(slot, transfers, event{kind: transfer, arg: int32(other)})
+				paid(slot, transfers, modelEvent{kind: transfer, arg: int32(other)})
 			}
 		}
-		paid(slot, heartbeats, event{kind: heartbeat})
-		paid(slot, timeouts, event{kind: quorumSilent})
-		paid(slot, restarts, event{kind: restart})
-		paid(slot, wipes, event{kind: wipe})
-		paid(slot, compactions, event{kind: compact})
-		paid(slot, reads, event{kind: requestRead, arg: int32(len(s.histories[x.history].committed))})
-		body := int32('1' + x.used[proposals])
-		paid(slot, proposals, event{kind: propose, arg: body})
+		paid(slot, heartbeats, modelEvent{kind: heartbeat})
+		paid(slot, timeouts, modelEvent{kind: quorumSilent})
+		paid(slot, restarts, modelEvent{kind: restart})
+		paid(slot, wipes, modelEvent{kind: wipe})
+		paid(slot, compactions, modelEvent{kind: compact})
+		paid(slot, reads, modelEvent{kind: requestRead, arg: int32(len(s.histories[state.history].committed))})
+		body := int32('1' + state.used[proposals])
+		paid(slot, proposals, modelEvent{kind: propose, arg: body})
 		if s.learner {
-			paid(slot, learners, event{kind: addLearner, arg: 3})
-			paid(slot, changes, event{kind: addMember, arg: 3})
+			paid(slot, learners, modelEvent{kind: addLearner, arg: 3})
+			paid(slot, changes, modelEvent{kind: addMember, arg: 3})
 		}
 		for other := range slots {
-			paid(slot, changes, event{kind: removeMember, arg: int32(other)})
+			paid(slot, changes, modelEvent{kind: removeMember, arg: int32(other)})
 			if s.learner {
-				paid(slot, changes, event{kind: replaceMember, arg: int32(other)})
+				paid(slot, changes, modelEvent{kind: replaceMember, arg: int32(other)})
 			}
 		}
-		paid(slot, freshnessAttestations, event{kind: attestFreshness})
+		paid(slot, freshnessAttestations, modelEvent{kind: attestFreshness})
 	}
 	if len(bodies) > 0 {
-		paid(0, freshnessQueries, event{kind: queryFreshness})
+		paid(0, freshnessQueries, modelEvent{kind: queryFreshness})
 	}
-	for _, id := range x.inFlight {
+	for _, id := range state.inFlight {
 		to := s.messages[id].to
-		if s.nodes[x.nodes[to]].wiped {
+		if s.nodes[state.nodes[to]].wiped {
 			continue
 		}
 		if s.limits[duplicates] == unlimited {
-			l = append(l, action{event: event{kind: deliver, arg: id}, slot: int8(to), duplicated: true})
+			l = append(l, modelAction{modelEvent: modelEvent{kind: deliver, arg: id}, slot: int8(to), duplicated: true})
 		} else {
-			free(to, event{kind: deliver, arg: id})
-			if x.used[duplicates] < s.limits[duplicates] {
-				l = append(l, action{event: event{kind: deliver, arg: id}, slot: int8(to), budget: duplicates, cost: 1, duplicated: true})
+			free(to, modelEvent{kind: deliver, arg: id})
+			if state.used[duplicates] < s.limits[duplicates] {
+				l = append(l, modelAction{modelEvent: modelEvent{kind: deliver, arg: id}, slot: int8(to), budget: duplicates, cost: 1, duplicated: true})
 			}
 		}
-		if !s.nodes[x.nodes[to]].pending() {
-			paid(to, delayedFlushes, event{kind: deliver, arg: id, delayFlush: true})
+		if !s.nodes[state.nodes[to]].pending() {
+			paid(to, delayedFlushes, modelEvent{kind: deliver, arg: id, delayFlush: true})
 		}
 	}
 	return l
 }
 
 // applyAction makes a copy of a state in which an action has happened; changed is false where it does nothing.
-func (s *space) applyAction(x *state, a action) (y *state, changed bool, fault string) {
-	next := *x
-	next.used[a.budget] += a.cost
-	slot := int(a.slot)
-	before := x.nodes[slot]
-	switch a.kind {
+func (s *space) applyAction(state *groupState, action modelAction) (next *groupState, changed bool, fault string) {
+	copied := *state
+	next = &copied
+	next.used[action.budget] += action.cost
+	slot := int(action.slot)
+	before := state.nodes[slot]
+	switch action.kind {
 	case queryFreshness:
-		next.history = s.beginFreshnessQuery(x.history)
+		next.history = s.beginFreshnessQuery(state.history)
 	case attestFreshness:
-		next.history = s.attest(x.history, s.nodes[before])
+		next.history = s.attest(state.history, s.nodes[before])
 	default:
-		r := s.step(before, a.event)
-		if r == nil {
+		result := s.step(before, action.modelEvent)
+		if result == nil {
 			return nil, false, ""
 		}
-		next.nodes[slot] = r.node
-		next.history, fault = s.recordStep(x.history, r)
-		s.updateInFlight(&next, a, r.messages)
+		next.nodes[slot] = result.node
+		next.history, fault = s.recordStep(state.history, result)
+		s.updateInFlight(next, action, result.messages)
 		if fault == "" {
-			fault = s.checkStep(&next, a, before, r)
+			fault = s.checkStep(next, action, before, result)
 		}
 	}
-	changed = next.nodes != x.nodes || next.history != x.history || !slices.Equal(next.inFlight, x.inFlight)
-	return &next, changed || fault != "", fault
+	changed = next.nodes != state.nodes || next.history != state.history || !slices.Equal(next.inFlight, state.inFlight)
+	return next, changed || fault != "", fault
 }
--- a/internal/control/consensus/model_encoding_test.go
+++ b/internal/control/consensus/model_encoding_test.go
@@ -26,8 +26,8 @@
 )
 
 // accessible gives a value that may be read and set although its field isn't exported.
-func accessible(v reflect.Value) reflect.Value {
-	return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
+func accessible(value reflect.Value) reflect.Value {
+	return reflect.NewAt(value.Type(), unsafe.Pointer(value.UnsafeAddr())).Elem()
 }
 
 // cloneCore is a deep copy. Protocol messages are shared: the core replaces them and never changes one,
@@ -39,45 +39,45 @@
 }
 
 // detach replaces every map, slice and pointer below a value by a copy of its own.
-func detach(v reflect.Value) {
-	switch v.Kind() {
+func detach(value reflect.Value) {
+	switch value.Kind() {
 	case reflect.Bool, reflect.Int, reflect.Int32, reflect.Int64, reflect.Uint8, reflect.Uint32, reflect.Uint64, reflect.String:
 	case reflect.Struct:
-		for i := range v.NumField() {
-			detach(accessible(v.Field(i)))
+		for i := range value.NumField() {
+			detach(accessible(value.Field(i)))
 		}
 	case reflect.Slice:
-		if v.IsNil() {
+		if value.IsNil() {
 			return
 		}
-		l := reflect.MakeSlice(v.Type(), v.Len(), v.Len())
-		reflect.Copy(l, v)
+		l := reflect.MakeSlice(value.Type(), value.Len(), value.Len())
+		reflect.Copy(l, value)
 		for i := range l.Len() {
 			detach(l.Index(i))
 		}
-		v.Set(l)
+		value.Set(l)
 	case reflect.Map:
-		if v.IsNil() {
+		if value.IsNil() {
 			return
 		}
-		m := reflect.MakeMap(v.Type())
-		for _, k := range v.MapKeys() {
-			e := reflect.New(v.Type().Elem()).Elem()
-			e.Set(v.MapIndex(k))
+		m := reflect.MakeMap(value.Type())
+		for _, k := range value.MapKeys() {
+			e := reflect.New(value.Type().Elem()).Elem()
+			e.Set(value.MapIndex(k))
 			detach(e)
 			m.SetMapIndex(k, e)
 		}
-		v.Set(m)
+		value.Set(m)
 	case reflect.Pointer:
-		if v.IsNil() || v.Type() == randType || v.Type().Implements(protoType) {
+		if value.IsNil() || value.Type() == randType || value.Type().Implements(protoType) {
 			return
 		}
-		p := reflect.New(v.Type().Elem())
-		p.Elem().Set(v.Elem())
+		p := reflect.New(value.Type().Elem())
+		p.Elem().Set(value.Elem())
 		detach(p.Elem())
-		v.Set(p)
+		value.Set(p)
 	default:
-		panic(fmt.Sprintf("the model checker can't copy a field of type %s", v.Type()))
+		panic(fmt.Sprintf("the model checker can't copy a field of type %s", value.Type()))
 	}
 }
 
@@ -92,58 +92,58 @@
 	return string(r[s[0]]) + s[1:]
 }
 
-// encoder writes the canonical form of values under a renaming of the members.
-type encoder struct {
+// canonicalEncoder writes the canonical form of values under a renaming of the members.
+type canonicalEncoder struct {
 	bytes.Buffer
 	names renaming
 }
 
-func (e *encoder) number(n uint64) {
+func (encoder *canonicalEncoder) number(n uint64) {
 	var b [binary.MaxVarintLen64]byte
-	e.Write(b[:binary.PutUvarint(b[:], n)])
+	encoder.Write(b[:binary.PutUvarint(b[:], n)])
 }
 
-func (e *encoder) text(s string) {
-	s = e.names.apply(s)
-	e.number(uint64(len(s)))
-	e.WriteString(s)
+func (encoder *canonicalEncoder) text(s string) {
+	s = encoder.names.apply(s)
+	encoder.number(uint64(len(s)))
+	encoder.WriteString(s)
 }
 
-func (e *encoder) value(v reflect.Value) {
-	switch v.Kind() {
+func (encoder *canonicalEncoder) value(value reflect.Value) {
+	switch value.Kind() {
 	case reflect.Bool:
-		if v.Bool() {
-			e.number(1)
+		if value.Bool() {
+			encoder.number(1)
 		} else {
-			e.number(0)
+			encoder.number(0)
 		}
 	case reflect.Int, reflect.Int32, reflect.Int64:
-		e.number(uint64(v.Int()))
+		encoder.number(uint64(value.Int()))
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
-		e.number(v.Uint())
+		encoder.number(value.Uint())
 	case reflect.String:
-		e.text(v.String())
+		encoder.text(value.String())
 	case reflect.Struct:
-		e.fields(v)
+		encoder.fields(value)
 	case reflect.Slice:
-		e.list(v)
+		encoder.list(value)
 	case reflect.Map:
-		e.mapping(v)
+		encoder.mapping(value)
 	case reflect.Pointer, reflect.Interface:
-		if v.Type() == randType {
+		if value.Type() == randType {
 			return
 		}
-		if v.IsNil() {
-			e.number(0)
+		if value.IsNil() {
+			encoder.number(0)
 			return
 		}
-		e.number(1)
-		if v.Kind() == reflect.Interface {
-			e.text(v.Elem().Type().String())
+		encoder.number(1)
+		if value.Kind() == reflect.Interface {
+			encoder.text(value.Elem().Type().String())
 		}
-		e.value(v.Elem())
+		encoder.value(value.Elem())
 	default:
-		panic(fmt.Sprintf("the model checker can't encode a field of type %s", v.Type()))
+		panic(fmt.Sprintf("the model checker can't encode a field of type %s", value.Type()))
 	}
 }
 
@@ -166,41 +166,41 @@
 	return l
 }
 
-func (e *encoder) fields(v reflect.Value) {
-	for _, i := range fieldsOf(v.Type()) {
-		e.value(v.Field(i))
+func (encoder *canonicalEncoder) fields(value reflect.Value) {
+	for _, i := range fieldsOf(value.Type()) {
+		encoder.value(value.Field(i))
 	}
 }
 
 // list encodes a slice. Lists of strings are sets of members, whose order means nothing.
-func (e *encoder) list(v reflect.Value) {
-	e.number(uint64(v.Len()))
-	if v.Type().Elem().Kind() != reflect.String {
-		for i := range v.Len() {
-			e.value(v.Index(i))
+func (encoder *canonicalEncoder) list(value reflect.Value) {
+	encoder.number(uint64(value.Len()))
+	if value.Type().Elem().Kind() != reflect.String {
+		for i := range value.Len() {
+			encoder.value(value.Index(i))
 		}
 		return
 	}
-	names := make([]string, v.Len())
+	names := make([]string, value.Len())
 	for i := range names {
-		names[i] = e.names.apply(v.Index(i).String())
+		names[i] = encoder.names.apply(value.Index(i).String())
 	}
 	slices.Sort(names)
-	e.WriteString(strings.Join(names, ","))
+	encoder.WriteString(strings.Join(names, ","))
 }
 
-func (e *encoder) mapping(v reflect.Value) {
+func (encoder *canonicalEncoder) mapping(value reflect.Value) {
 	var pairs []string
-	for _, k := range v.MapKeys() {
-		pair := encoder{names: e.names}
+	for _, k := range value.MapKeys() {
+		pair := canonicalEncoder{names: encoder.names}
 		pair.value(k)
-		pair.value(v.MapIndex(k))
+		pair.value(value.MapIndex(k))
 		pairs = append(pairs, pair.String())
 	}
 	slices.Sort(pairs)
-	e.number(uint64(len(pairs)))
+	encoder.number(uint64(len(pairs)))
 	for _, p := range pairs {
-		e.WriteString(p)
+		encoder.WriteString(p)
 	}
 }
 
@@ -240,7 +240,7 @@
 
 // encodingOf is the canonical form of values of a kind.
 func encodingOf(names renaming, kind string, values ...any) string {
-	e := encoder{names: names}
+	e := canonicalEncoder{names: names}
 	e.text(kind)
 	for _, v := range values {
 		e.value(reflect.ValueOf(v))
@@ -258,21 +258,21 @@
 // The copy shares nothing that the core changes, the encoding sees every field, and kinds that can't
 // be copied or encoded aren't passed over.
 func TestModelCopiesAndEncodesEveryField(t *testing.T) {
-	c := newTestCore(BootstrapSnapshot("a", []string{"a", "b", "c"}), 1)
-	c.campaign(candidate)
-	before := encodingOf(nil, "core", c)
-	copied := cloneCore(c)
+	core := newTestCore(BootstrapSnapshot("a", []string{"a", "b", "c"}), 1)
+	core.campaign(candidate)
+	before := encodingOf(nil, "core", core)
+	copied := cloneCore(core)
 	copied.votes["b"] = true
 	copied.Propose(nil)
 	copied.becomeLeader()
-	if after := encodingOf(nil, "core", c); after != before {
+	if after := encodingOf(nil, "core", core); after != before {
 		t.Fatal("a step of the copy changed the original")
 	}
 	if other := encodingOf(nil, "core", copied); other == before {
 		t.Fatal("another state has the same encoding")
 	}
 	for i := range reflect.TypeFor[Core]().NumField() {
-		changed := cloneCore(c)
+		changed := cloneCore(core)
 		f := accessible(reflect.ValueOf(changed).Elem().Field(i))
 		name := reflect.TypeFor[Core]().Field(i).Name
 		switch f.Kind() {
@@ -286,7 +286,7 @@
 			f.SetString(f.String() + "x")
 		default:
 			f.SetZero()
-			if accessible(reflect.ValueOf(c).Elem().Field(i)).IsZero() || f.Kind() == reflect.Map || f.Kind() == reflect.Slice {
+			if accessible(reflect.ValueOf(core).Elem().Field(i)).IsZero() || f.Kind() == reflect.Map || f.Kind() == reflect.Slice {
 				continue // empty already
 			}
 		}
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -15,17 +15,17 @@
 
 func (modelRand) Uint64() uint64 { return 0x5555555555555555 }
 
-// disk is what a member has synced: its snapshot, then the records since.
-type disk struct {
+// modelDisk is what a member has synced: its snapshot, then the records since.
+type modelDisk struct {
 	snapshot *wire.Snapshot
 	records  []*wire.Record
 }
 
-// node is one member: its disk, its core, the state that it has applied, and the reads it was asked.
-type node struct {
+// modelNode is one member: its disk, its core, the state that it has applied, and the reads it was asked.
+type modelNode struct {
 	name  string
 	wiped bool // wiped and never started again under this name
-	disk  disk
+	disk  modelDisk
 	core  *Core
 	app   string           // the bodies it has applied, one letter each
 	reads map[uint64]uint8 // by id: how many entries had been committed when it was asked
@@ -59,16 +59,16 @@
 	replaceMember: "proposes to replace", transfer: "transfers leadership to", compact: "compacts its log",
 	requestRead: "begins a read", flush: "syncs and sends what it held back"}
 
-// event is what happens at a node. Equal events at equal nodes have equal results.
-type event struct {
+// modelEvent is what happens at a node. Equal events at equal nodes have equal results.
+type modelEvent struct {
 	kind       eventKind
 	arg        int32 // deliver: the message; members: the index of the name; propose: the body; reads: what was committed
 	delayFlush bool  // the driver doesn't persist and send yet
 }
 
-// outcome is what an event makes of a node.
-type outcome struct {
-	node      *node
+// eventOutcome is what an event makes of a node.
+type eventOutcome struct {
+	node      *modelNode
 	messages  []*wire.Message
 	committed []*wire.Entry
 	term      uint64 // in which the node committed them
@@ -76,60 +76,60 @@
 }
 
 // startNode makes a member from its disk, as a start of the process does.
-func startNode(cfg Config, d disk) *node {
-	n := &node{name: cfg.Self, disk: d, reads: map[uint64]uint8{}, app: string(d.snapshot.State)}
-	n.core = New(cfg, d.snapshot, d.records)
-	n.normalize()
-	return n
+func startNode(cfg Config, disk modelDisk) *modelNode {
+	node := &modelNode{name: cfg.Self, disk: disk, reads: map[uint64]uint8{}, app: string(disk.snapshot.State)}
+	node.core = New(cfg, disk.snapshot, disk.records)
+	node.normalize()
+	return node
 }
 
 // normalize sets the clocks of a core to one value: time is an event of its own in the model.
-func (n *node) normalize() {
-	c := n.core
+func (node *modelNode) normalize() {
+	c := node.core
 	c.ticks, c.lastLeaderContact = steadyTicks, steadyTicks
 	c.electionElapsed, c.electionTimeout = 0, c.cfg.ElectionTicks
 	c.heartbeatElapsed, c.learnerHeartbeatCount = 0, 0
-	for _, p := range c.peers {
-		p.ticksSinceResponse, p.contactAge, p.snapshotSentAt, p.batchRetryAt = 0, 0, 0, 0
-		if p.transfer == nil {
-			p.inFlight = false // it only keeps a leader from sending what it may send at the next heartbeat
+	for _, progress := range c.peers {
+		progress.ticksSinceResponse, progress.contactAge, progress.snapshotSentAt, progress.batchRetryAt = 0, 0, 0, 0
+		if progress.transfer == nil {
+			progress.inFlight = false // it only keeps a leader from sending what it may send at the next heartbeat
 			continue
 		}
-		p.transfer.sentAt, p.transfer.retryAt = steadyTicks, steadyTicks
+		progress.transfer.sentAt, progress.transfer.retryAt = steadyTicks, steadyTicks
 	}
 }
 
-func (n *node) clone() *node {
-	copied := *n
-	copied.core = cloneCore(n.core)
+func (node *modelNode) clone() *modelNode {
+	copied := *node
+	copied.core = cloneCore(node.core)
 	copied.reads = map[uint64]uint8{}
-	for id, bodies := range n.reads {
+	for id, bodies := range node.reads {
 		copied.reads[id] = bodies
 	}
 	return &copied
 }
 
-func (n *node) encoding(names renaming) string {
-	if n.wiped {
-		return encodingOf(names, "gone", n.name)
+func (node *modelNode) encoding(names renaming) string {
+	if node.wiped {
+		return encodingOf(names, "gone", node.name)
 	}
-	return encodingOf(names, "node", n.core, n.disk, n.app, n.reads)
+	return encodingOf(names, "node", node.core, node.disk, node.app, node.reads)
 }
 
 // persist adds records to the disk. The disk is kept as what a restart reads from it.
-func (d *disk) persist(cfg Config, records []*wire.Record) {
+func (disk *modelDisk) persist(cfg Config, records []*wire.Record) {
 	if len(records) == 0 {
 		return
 	}
-	all := append(slices.Clip(d.records), records...)
-	read := New(cfg, d.snapshot, all)
-	d.records = append([]*wire.Record{{Kind: &wire.Record_HardState{HardState: read.hardState}}}, entryRecords(read.log)...)
+	all := append(slices.Clip(disk.records), records...)
+	read := New(cfg, disk.snapshot, all)
+	disk.records = append([]*wire.Record{{Kind: &wire.Record_HardState{HardState: read.hardState}}}, entryRecords(read.log)...)
 }
 
 // term is the one that a restart reads.
-func (d disk) term() uint64 {
-	term := d.snapshot.HardState.Term
-	for _, r := range d.records {
+func (disk modelDisk) term() uint64 {
+	term := disk.snapshot.HardState.Term
+	for _, r := range disk.records {
 		if h := r.GetHardState(); h != nil {
 			term = h.Term
 		}
@@ -138,95 +138,95 @@
 }
 
 // step makes an event happen at a copy of the node; nil where it can't happen there.
-func (n *node) step(e event, m *wire.Message, names []string) *outcome {
-	if n.wiped {
+func (node *modelNode) step(event modelEvent, message *wire.Message, names []string) *eventOutcome {
+	if node.wiped {
 		return nil
 	}
-	after := n.clone()
-	switch e.kind {
+	after := node.clone()
+	switch event.kind {
 	case restart:
-		return &outcome{node: startNode(n.core.cfg, n.disk)}
+		return &eventOutcome{node: startNode(node.core.cfg, node.disk)}
 	case wipe:
-		return &outcome{node: after.loseDisk()}
+		return &eventOutcome{node: after.loseDisk()}
 	case compact:
 		return after.compact()
 	case flush:
 		return after.flush()
 	case deliver:
-		if n.core.role != leader {
+		if node.core.role != leader {
 			after.core.electionElapsed = after.core.cfg.ElectionTicks // long enough to grant a pre-vote
 		}
-		after.core.Step(m)
+		after.core.Step(message)
 	default:
-		if !after.applyLocalEvent(e, names) {
+		if !after.applyLocalEvent(event, names) {
 			return nil
 		}
 	}
-	if e.delayFlush {
+	if event.delayFlush {
 		after.normalize()
-		return &outcome{node: after}
+		return &eventOutcome{node: after}
 	}
 	return after.flush()
 }
 
 // applyLocalEvent is a step of the core that no message brings about; false where the core refuses it.
-func (n *node) applyLocalEvent(e event, names []string) bool {
-	c := n.core
-	switch e.kind {
+func (node *modelNode) applyLocalEvent(event modelEvent, names []string) bool {
+	core := node.core
+	switch event.kind {
 	case electionTimeout:
-		if c.role == leader || !c.IsVoter(n.name) || c.hardState.DiskState == wire.DiskState_DISK_BLANK {
+		if core.role == leader || !core.IsVoter(node.name) || core.hardState.DiskState == wire.DiskState_DISK_BLANK {
 			return false
 		}
-		c.campaign(candidate)
+		core.campaign(candidate)
 	case preVoteTimeout:
-		if c.role == leader {
+		if core.role == leader {
 			return false
 		}
-		c.electionTimeout = 1
-		c.Tick()
+		core.electionTimeout = 1
+		core.Tick()
 	case heartbeat:
-		c.heartbeatElapsed, c.learnerHeartbeatCount = c.cfg.HeartbeatTicks-1, learnerHeartbeats-1
-		if c.hardState.DiskState == wire.DiskState_DISK_BLANK {
-			c.heartbeatElapsed = 0 // it asks for the others' states
-		} else if c.role != leader {
+		core.heartbeatElapsed, core.learnerHeartbeatCount = core.cfg.HeartbeatTicks-1, learnerHeartbeats-1
+		if core.hardState.DiskState == wire.DiskState_DISK_BLANK {
+			core.heartbeatElapsed = 0 // it asks for the others' states
+		} else if core.role != leader {
 			return false
 		}
-		c.Tick()
+		core.Tick()
 	case quorumSilent:
-		if c.role != leader {
+		if core.role != leader {
 			return false
 		}
-		for _, p := range c.peers {
-			p.ticksSinceResponse = 2 * c.cfg.ElectionTicks
+		for _, progress := range core.peers {
+			progress.ticksSinceResponse = 2 * core.cfg.ElectionTicks
 		}
-		c.Tick()
+		core.Tick()
 	case propose:
-		_, _, ok := c.Propose([]byte{byte(e.arg)})
+		_, _, ok := core.Propose([]byte{byte(event.arg)})
 		return ok
 	case addLearner:
-		return !c.IsVoter(names[e.arg]) && c.peers[names[e.arg]] == nil && c.AddLearner(names[e.arg])
+		return !core.IsVoter(names[event.arg]) && core.peers[names[event.arg]] == nil && core.AddLearner(names[event.arg])
 	case addMember:
-		_, _, ok := c.ProposeMembership(append(slices.Clone(c.members.names), names[e.arg]))
-		return ok && c.IsVoter(names[e.arg])
+		_, _, ok := core.ProposeMembership(append(slices.Clone(core.voters.names), names[event.arg]))
+		return ok && core.IsVoter(names[event.arg])
 	case removeMember:
-		others := slices.DeleteFunc(slices.Clone(c.members.names), func(m string) bool { return m == names[e.arg] })
-		_, _, ok := c.ProposeMembership(others)
+		others := slices.DeleteFunc(slices.Clone(core.voters.names), func(peer string) bool { return peer == names[event.arg] })
+		_, _, ok := core.ProposeMembership(others)
 		return ok
 	case replaceMember:
-		others := slices.DeleteFunc(slices.Clone(c.members.names), func(m string) bool { return m == names[e.arg] })
-		_, _, ok := c.ProposeMembership(append(others, names[len(names)-1]))
+		others := slices.DeleteFunc(slices.Clone(core.voters.names), func(peer string) bool { return peer == names[event.arg] })
+		_, _, ok := core.ProposeMembership(append(others, names[len(names)-1]))
 		return ok
 	case transfer:
-		for m, p := range c.peers {
-			if m != names[e.arg] {
-				p.ticksSinceResponse = c.cfg.ElectionTicks
+		for peer, progress := range core.peers {
+			if peer != names[event.arg] {
+				progress.ticksSinceResponse = core.cfg.ElectionTicks
 			}
 		}
-		return c.TransferLeadership()
+		return core.TransferLeadership()
 	case requestRead:
-		id, ok := c.ReadIndex()
+		id, ok := core.ReadIndex()
 		if ok {
-			n.reads[id] = uint8(e.arg)
+			node.reads[id] = uint8(event.arg)
 		}
 		return ok
 	}
@@ -234,54 +234,54 @@
 }
 
 // flush does what the driver does after a step: persist, send, apply.
-func (n *node) flush() *outcome {
-	ready := n.core.Ready()
+func (node *modelNode) flush() *eventOutcome {
+	ready := node.core.Ready()
 	if ready.Snapshot != nil {
-		n.disk = disk{snapshot: ready.Snapshot}
-		n.app = string(ready.Snapshot.State)
+		node.disk = modelDisk{snapshot: ready.Snapshot}
+		node.app = string(ready.Snapshot.State)
 	}
-	n.disk.persist(n.core.cfg, ready.Records)
-	out := &outcome{node: n, messages: ready.Messages, committed: ready.CommittedEntries, term: n.core.hardState.Term}
-	for _, e := range ready.CommittedEntries {
-		n.app += string(e.Body)
+	node.disk.persist(node.core.cfg, ready.Records)
+	out := &eventOutcome{node: node, messages: ready.Messages, committed: ready.CommittedEntries, term: node.core.hardState.Term}
+	for _, entry := range ready.CommittedEntries {
+		node.app += string(entry.Body)
 	}
 	for _, id := range ready.ConfirmedReads {
-		if asked := n.reads[id]; n.core.applied < uint64(asked) {
-			out.fault = fmt.Sprintf("old state served as new: %s confirms a read with %d of the %d entries that were committed before it began", n.name, n.core.applied, asked)
+		if asked := node.reads[id]; node.core.applied < uint64(asked) {
+			out.fault = fmt.Sprintf("old state served as new: %s confirms a read with %d of the %d entries that were committed before it began", node.name, node.core.applied, asked)
 		}
-		delete(n.reads, id)
+		delete(node.reads, id)
 	}
 	for _, id := range ready.AbortedReads {
-		delete(n.reads, id)
+		delete(node.reads, id)
 	}
-	n.normalize()
+	node.normalize()
 	return out
 }
 
 // compact lets the snapshot take in what is applied, once nothing is left to flush.
-func (n *node) compact() *outcome {
-	if n.core.applied <= n.core.snapshot.Index || n.pending() {
+func (node *modelNode) compact() *eventOutcome {
+	if node.core.applied <= node.core.snapshot.Index || node.pending() {
 		return nil
 	}
-	n.disk.snapshot, n.disk.records = n.core.Compact([]byte(n.app))
-	n.normalize()
-	return &outcome{node: n}
+	node.disk.snapshot, node.disk.records = node.core.Compact([]byte(node.app))
+	node.normalize()
+	return &eventOutcome{node: node}
 }
 
 // pending tells whether steps were taken that the driver hasn't flushed.
-func (n *node) pending() bool {
-	r := n.core.ready
-	return r.Snapshot != nil || len(r.Records)+len(r.Messages)+len(r.AbortedReads) > 0 || n.core.commit > n.core.applied
+func (node *modelNode) pending() bool {
+	r := node.core.ready
+	return r.Snapshot != nil || len(r.Records)+len(r.Messages)+len(r.AbortedReads) > 0 || node.core.commit > node.core.applied
 }
 
 // loseDisk is a member after its disk was lost. In a group its name is gone for good, and the machine
 // comes back under another; of fixed members it begins blank under a new incarnation.
-func (n *node) loseDisk() *node {
-	if n.core.cfg.DynamicMembership {
-		return &node{name: n.name, wiped: true}
+func (node *modelNode) loseDisk() *modelNode {
+	if node.core.cfg.DynamicMembership {
+		return &modelNode{name: node.name, wiped: true}
 	}
-	incarnation := n.core.hardState.Incarnation
+	incarnation := node.core.hardState.Incarnation
 	last := len(incarnation) - 1
 	next := incarnation[:last] + string(incarnation[last]+1)
-	return startNode(n.core.cfg, disk{snapshot: BlankSnapshot(next)})
+	return startNode(node.core.cfg, modelDisk{snapshot: BlankSnapshot(next)})
 }
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -11,7 +11,7 @@
 // pathStep leads from an earlier state to a new one.
 type pathStep struct {
 	from int32
-	action
+	modelAction
 }
 
 // report is what a search has covered.
@@ -24,100 +24,100 @@
 	limited                    bool // it was cut off before all states were visited
 }
 
-func (r report) String() string {
+func (result report) String() string {
 	return fmt.Sprintf("%d states, %d transitions, depth %d, %v (%d different members, %d different messages)",
-		r.states, r.transitions, r.depth, r.elapsed.Round(10*time.Millisecond), r.nodes, r.messages)
+		result.states, result.transitions, result.depth, result.elapsed.Round(10*time.Millisecond), result.nodes, result.messages)
 }
 
 // search visits every state within the bounds, breadth first, and stops at the first that breaks an
 // invariant: no shorter path leads to one.
-func search(b bounds, limit int) (r report) {
+func search(limits bounds, limit int) (result report) {
 	begun := time.Now()
-	s := newSpace(b)
-	first := s.initialState()
-	seen := map[fingerprint]struct{}{s.fingerprint(first): {}}
+	space := newSpace(limits)
+	first := space.initialState()
+	seen := map[fingerprint]struct{}{space.fingerprint(first): {}}
 	path := []pathStep{{from: -1}}
-	level := []*state{first}
-	for ; len(level) > 0 && r.fault == "" && !r.limited; r.depth++ {
-		var next []*state
-		for _, x := range level {
-			for _, a := range s.actions(x) {
-				y, changed, fault := s.applyAction(x, a)
+	level := []*groupState{first}
+	for ; len(level) > 0 && result.fault == "" && !result.limited; result.depth++ {
+		var nextLevel []*groupState
+		for _, state := range level {
+			for _, action := range space.actions(state) {
+				next, changed, fault := space.applyAction(state, action)
 				if !changed {
 					continue
 				}
-				r.transitions++
-				key := s.fingerprint(y)
+				result.transitions++
+				key := space.fingerprint(next)
 				if _, known := seen[key]; known && fault == "" {
 					continue
 				}
 				seen[key] = struct{}{}
-				y.number = int32(len(path))
-				path = append(path, pathStep{x.number, a})
-				next = append(next, y)
+				next.number = int32(len(path))
+				path = append(path, pathStep{state.number, action})
+				nextLevel = append(nextLevel, next)
 				if fault == "" {
-					fault = s.checkState(y)
+					fault = space.checkState(next)
 				}
 				if fault != "" {
-					r.fault, r.trace = fault, s.trace(path)
+					result.fault, result.trace = fault, space.trace(path)
 					break
 				}
 			}
-			if r.limited = limit > 0 && len(path) > limit; r.limited || r.fault != "" {
+			if result.limited = limit > 0 && len(path) > limit; result.limited || result.fault != "" {
 				break
 			}
 		}
-		level = next
+		level = nextLevel
 	}
-	if r.fault == "" {
-		r.fault = s.verifyNoEffect()
+	if result.fault == "" {
+		result.fault = space.verifyNoEffect()
 	}
-	if r.fault == "" {
-		r.fault = s.verifyUnchanged()
+	if result.fault == "" {
+		result.fault = space.verifyUnchanged()
 	}
-	r.states, r.nodes, r.messages, r.elapsed = len(path), len(s.nodes), len(s.messages), time.Since(begun)
-	return r
+	result.states, result.nodes, result.messages, result.elapsed = len(path), len(space.nodes), len(space.messages), time.Since(begun)
+	return result
 }
 
 // trace tells the steps from the start to the last state of a path.
 func (s *space) trace(path []pathStep) (l []string) {
 	for at := int32(len(path) - 1); at > 0; at = path[at].from {
-		l = append([]string{s.describe(path[at].action)}, l...)
+		l = append([]string{s.describe(path[at].modelAction)}, l...)
 	}
 	return l
 }
 
-func (s *space) describe(a action) string {
-	name := slotNames[a.slot]
+func (s *space) describe(action modelAction) string {
+	name := slotNames[action.slot]
 	held := ""
-	if a.delayFlush {
+	if action.delayFlush {
 		held = ", and hasn't synced yet"
 	}
-	switch a.kind {
+	switch action.kind {
 	case deliver:
-		m := s.messages[a.arg]
-		return fmt.Sprintf("%s takes from %s: %s%s", name, m.From, describeMessage(m.Message), held)
+		message := s.messages[action.arg]
+		return fmt.Sprintf("%s takes from %s: %s%s", name, message.From, describeMessage(message.Message), held)
 	case queryFreshness:
 		return "an agent asks whether there is anything newer"
 	case attestFreshness:
 		return name + " vouches that its disk holds nothing newer"
 	case addLearner, addMember, removeMember, replaceMember, transfer:
-		return fmt.Sprintf("%s %s %s", name, eventNames[a.kind], slotNames[a.arg])
+		return fmt.Sprintf("%s %s %s", name, eventNames[action.kind], slotNames[action.arg])
 	case propose:
-		return fmt.Sprintf("%s proposes %c%s", name, a.arg, held)
+		return fmt.Sprintf("%s proposes %c%s", name, action.arg, held)
 	}
-	return name + " " + eventNames[a.kind]
+	return name + " " + eventNames[action.kind]
 }
 
-func describeMessage(m *wire.Message) string {
+func describeMessage(message *wire.Message) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s of term %d, index %d/%d", m.Kind, m.Term, m.LogTerm, m.Index)
-	for _, e := range m.Entries {
-		fmt.Fprintf(&b, ", entry %d/%d %s%v", e.Term, e.Index, e.Body, e.Members)
+	fmt.Fprintf(&b, "%s of term %d, index %d/%d", message.Kind, message.Term, message.LogTerm, message.Index)
+	for _, entry := range message.Entries {
+		fmt.Fprintf(&b, ", entry %d/%d %s%v", entry.Term, entry.Index, entry.Body, entry.Members)
 	}
-	if m.Snapshot != nil {
-		fmt.Fprintf(&b, ", snapshot %d/%d", m.Snapshot.Term, m.Snapshot.Index)
+	if message.Snapshot != nil {
+		fmt.Fprintf(&b, ", snapshot %d/%d", message.Snapshot.Term, message.Snapshot.Index)
 	}
-	fmt.Fprintf(&b, ", commit %d, ok %v, probe %d", m.Commit, m.Ok, m.Probe)
+	fmt.Fprintf(&b, ", commit %d, ok %v, probe %d", message.Commit, message.Ok, message.Probe)
 	return b.String()
 }
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -50,10 +50,10 @@
 	limits        [budgets]uint8
 }
 
-// state is a state of the whole group: its members, every message that was ever sent, and what an
+// groupState is a state of the whole group: its members, every message that was ever sent, and what an
 // observer has to remember of the past. A message may be delivered at any time, again, or never: that
 // is every order, loss, delay, duplicate and cut.
-type state struct {
+type groupState struct {
 	nodes       [slots]int32
 	history     int32
 	used        [budgets]uint8
@@ -63,7 +63,7 @@
 }
 
 type nodeEntry struct {
-	*node
+	*modelNode
 	prints fingerprints
 }
 
@@ -76,7 +76,7 @@
 }
 
 type historyEntry struct {
-	history
+	observedHistory
 	prints fingerprints
 }
 
@@ -96,17 +96,17 @@
 
 type stepKey struct {
 	node int32
-	event
+	modelEvent
 }
 
 type stepResult struct {
-	outcome
+	eventOutcome
 	node     int32
 	messages []int32
 }
 
-func newSpace(b bounds) *space {
-	s := &space{bounds: b, nodeIDs: map[string]int32{}, messageIDs: map[string]int32{}, historyIDs: map[string]int32{}, steps: map[stepKey]*stepResult{}, historyCache: map[historyKey]historyResult{}}
+func newSpace(limits bounds) *space {
+	s := &space{bounds: limits, nodeIDs: map[string]int32{}, messageIDs: map[string]int32{}, historyIDs: map[string]int32{}, steps: map[stepKey]*stepResult{}, historyCache: map[historyKey]historyResult{}}
 	for i := range s.usedPrints {
 		for n := range s.usedPrints[i] {
 			s.usedPrints[i][n] = hashOf([]byte{byte(i), byte(n)})
@@ -115,19 +115,19 @@
 	return s
 }
 
-func (s *space) internNode(n *node) int32 {
-	encoding := n.encoding(nil)
+func (s *space) internNode(node *modelNode) int32 {
+	encoding := node.encoding(nil)
 	id, known := s.nodeIDs[encoding]
 	if !known {
 		id = int32(len(s.nodes))
 		s.nodeIDs[encoding] = id
-		s.nodes = append(s.nodes, nodeEntry{n, fingerprintsOf(n.encoding)})
+		s.nodes = append(s.nodes, nodeEntry{node, fingerprintsOf(node.encoding)})
 	}
 	return id
 }
 
-func (s *space) internMessage(m *wire.Message) int32 {
-	encode := func(names renaming) string { return encodingOf(names, "message", m) }
+func (s *space) internMessage(message *wire.Message) int32 {
+	encode := func(names renaming) string { return encodingOf(names, "message", message) }
 	encoding := encode(nil)
 	id, known := s.messageIDs[encoding]
 	if known {
@@ -135,70 +135,70 @@
 	}
 	id = int32(len(s.messages))
 	s.messageIDs[encoding] = id
-	entry := messageEntry{Message: m, prints: fingerprintsOf(encode), to: slices.Index(slotNames[:], m.To)}
-	switch m.Kind {
+	entry := messageEntry{Message: message, prints: fingerprintsOf(encode), to: slices.Index(slotNames[:], message.To)}
+	switch message.Kind {
 	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST, wire.MessageKind_TRANSFER_LEADERSHIP:
 		entry.fromLeader = true
 	case wire.MessageKind_VOTE_REQUEST:
-		entry.votesFor = m.From
+		entry.votesFor = message.From
 	case wire.MessageKind_VOTE_RESPONSE:
-		if m.Ok {
-			entry.votesFor = m.To
+		if message.Ok {
+			entry.votesFor = message.To
 		}
 	}
 	s.messages = append(s.messages, entry)
 	return id
 }
 
-func (s *space) internHistory(h history) int32 {
-	encode := func(names renaming) string { return encodingOf(names, "history", h) }
+func (s *space) internHistory(history observedHistory) int32 {
+	encode := func(names renaming) string { return encodingOf(names, "history", history) }
 	encoding := encode(nil)
 	id, known := s.historyIDs[encoding]
 	if !known {
 		id = int32(len(s.histories))
 		s.historyIDs[encoding] = id
-		s.histories = append(s.histories, historyEntry{h, fingerprintsOf(encode)})
+		s.histories = append(s.histories, historyEntry{history, fingerprintsOf(encode)})
 	}
 	return id
 }
 
 // step looks up, or finds out, what an event makes of a node; nil: it can't happen there.
-func (s *space) step(id int32, e event) *stepResult {
-	key := stepKey{id, e}
-	if r, known := s.steps[key]; known {
-		return r
+func (s *space) step(id int32, event modelEvent) *stepResult {
+	key := stepKey{id, event}
+	if result, known := s.steps[key]; known {
+		return result
 	}
-	var m *wire.Message
-	if e.kind == deliver {
-		m = s.messages[e.arg].Message
+	var message *wire.Message
+	if event.kind == deliver {
+		message = s.messages[event.arg].Message
 	}
-	out := s.nodes[id].step(e, m, slotNames[:])
+	out := s.nodes[id].step(event, message, slotNames[:])
 	if out == nil {
 		s.steps[key] = nil
 		return nil
 	}
-	r := &stepResult{outcome: *out, node: s.internNode(out.node)}
-	for _, m := range out.messages {
-		if !slices.Contains(slotNames[:], m.To) {
-			panic(fmt.Sprintf("a message to %q, whom the model doesn't know", m.To))
+	result := &stepResult{eventOutcome: *out, node: s.internNode(out.node)}
+	for _, message := range out.messages {
+		if !slices.Contains(slotNames[:], message.To) {
+			panic(fmt.Sprintf("a message to %q, whom the model doesn't know", message.To))
 		}
-		r.messages = append(r.messages, s.internMessage(m))
+		result.messages = append(result.messages, s.internMessage(message))
 	}
-	s.steps[key] = r
-	return r
+	s.steps[key] = result
+	return result
 }
 
 // fingerprint tells states apart, but for the names of the founders: of all their permutations it is
 // the least.
-func (s *space) fingerprint(x *state) fingerprint {
+func (s *space) fingerprint(state *groupState) fingerprint {
 	var used fingerprint
-	for i, n := range x.used {
+	for i, n := range state.used {
 		used = used.add(s.usedPrints[i][n])
 	}
 	var least fingerprint
 	for i := range founderRenamings {
-		sum := used.add(x.inFlightSum[i]).add(s.histories[x.history].prints[i])
-		for slot, id := range x.nodes {
+		sum := used.add(state.inFlightSum[i]).add(s.histories[state.history].prints[i])
+		for slot, id := range state.nodes {
 			if slot < 3 || s.learner {
 				sum = sum.add(s.nodes[id].prints[i])
 			}
@@ -215,45 +215,45 @@
 
 // updateInFlight adds messages to those that were sent, and forgets those to a slot that mean nothing there any more.
 // One that was delivered for the last time is forgotten, too.
-func (s *space) updateInFlight(x *state, a action, sent []int32) {
-	slot := int(a.slot)
-	kept := make([]int32, 0, len(x.inFlight)+len(sent))
-	for _, id := range x.inFlight {
-		if id == a.arg && a.kind == deliver && !a.duplicated || s.messages[id].to == slot && s.isDropped(x.nodes[slot], id) {
-			s.updateInFlightSum(x, id, fingerprint.subtract)
+func (s *space) updateInFlight(state *groupState, action modelAction, sent []int32) {
+	slot := int(action.slot)
+	kept := make([]int32, 0, len(state.inFlight)+len(sent))
+	for _, id := range state.inFlight {
+		if id == action.arg && action.kind == deliver && !action.duplicated || s.messages[id].to == slot && s.isDropped(state.nodes[slot], id) {
+			s.updateInFlightSum(state, id, fingerprint.subtract)
 		} else {
 			kept = append(kept, id)
 		}
 	}
 	for _, id := range sent {
 		at, known := slices.BinarySearch(kept, id)
-		if known || s.isDropped(x.nodes[s.messages[id].to], id) {
+		if known || s.isDropped(state.nodes[s.messages[id].to], id) {
 			continue
 		}
 		kept = slices.Insert(kept, at, id)
-		s.updateInFlightSum(x, id, fingerprint.add)
+		s.updateInFlightSum(state, id, fingerprint.add)
 	}
-	if !slices.Equal(kept, x.inFlight) {
-		x.inFlight = kept
+	if !slices.Equal(kept, state.inFlight) {
+		state.inFlight = kept
 	}
 }
 
-func (s *space) updateInFlightSum(x *state, id int32, with func(a, b fingerprint) fingerprint) {
-	for i := range x.inFlightSum {
-		x.inFlightSum[i] = with(x.inFlightSum[i], s.messages[id].prints[i])
+func (s *space) updateInFlightSum(state *groupState, id int32, with func(a, b fingerprint) fingerprint) {
+	for i := range state.inFlightSum {
+		state.inFlightSum[i] = with(state.inFlightSum[i], s.messages[id].prints[i])
 	}
 }
 
 // isDropped tells whether a message is delivered no more: it means nothing any more, or it is a late
 // request where the bounds don't let one through.
-func (s *space) isDropped(node, id int32) bool {
-	n, m := s.nodes[node], s.messages[id]
-	if s.hasNoEffect(node, id) {
+func (s *space) isDropped(nodeID, messageID int32) bool {
+	node, message := s.nodes[nodeID], s.messages[messageID]
+	if s.hasNoEffect(nodeID, messageID) {
 		return true
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case wire.MessageKind_VOTE_REQUEST, wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST:
-		return !s.lateRequests && m.Term < n.core.hardState.Term
+		return !s.lateRequests && message.Term < node.core.hardState.Term
 	}
 	return false
 }
@@ -261,35 +261,35 @@
 // hasNoEffect tells whether a message changes nothing at a member, now and at any later time: it is
 // gone, or the answer belongs to a term or an incarnation that it has left behind, or to a candidacy
 // or leadership of this term that it has given up. verifyNoEffect holds the core to it.
-func (s *space) hasNoEffect(node, id int32) bool {
-	n, m := s.nodes[node], s.messages[id]
-	if n.wiped {
+func (s *space) hasNoEffect(nodeID, messageID int32) bool {
+	node, message := s.nodes[nodeID], s.messages[messageID]
+	if node.wiped {
 		return true
 	}
-	term := n.core.hardState.Term
-	switch m.Kind {
+	term := node.core.hardState.Term
+	switch message.Kind {
 	case wire.MessageKind_VOTE_RESPONSE:
-		return m.About != n.core.hardState.Incarnation || m.Term < term || m.Term == term && (n.core.role != candidate || !m.Ok)
+		return message.About != node.core.hardState.Incarnation || message.Term < term || message.Term == term && (node.core.role != candidate || !message.Ok)
 	case wire.MessageKind_TRANSFER_LEADERSHIP:
-		return m.Term < term
+		return message.Term < term
 	case wire.MessageKind_STATE_RESPONSE:
-		return m.About != n.core.hardState.Incarnation || n.core.hardState.DiskState != wire.DiskState_DISK_BLANK
+		return message.About != node.core.hardState.Incarnation || node.core.hardState.DiskState != wire.DiskState_DISK_BLANK
 	case wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
-		return m.About != n.core.hardState.Incarnation || m.Term < term || m.Term == term && n.core.role != leader && n.core.role != candidate
+		return message.About != node.core.hardState.Incarnation || message.Term < term || message.Term == term && node.core.role != leader && node.core.role != candidate
 	}
 	return false
 }
 
 // verifyNoEffect delivers to every member that was met every message that was forgotten on its way there.
 func (s *space) verifyNoEffect() string {
-	for node := range s.nodes {
-		for id := range s.messages {
-			n, m := s.nodes[node], s.messages[id]
-			if n.wiped || m.To != n.name || !s.hasNoEffect(int32(node), int32(id)) {
+	for nodeID := range s.nodes {
+		for messageID := range s.messages {
+			node, message := s.nodes[nodeID], s.messages[messageID]
+			if node.wiped || message.To != node.name || !s.hasNoEffect(int32(nodeID), int32(messageID)) {
 				continue
 			}
-			if r := s.step(int32(node), event{kind: deliver, arg: int32(id)}); r.node != int32(node) && !n.pending() || len(r.messages) > 0 && !n.pending() {
-				return fmt.Sprintf("an answer that is out of date has an effect on %s in term %d: %s from %s", n.name, n.core.hardState.Term, describeMessage(m.Message), m.From)
+			if result := s.step(int32(nodeID), modelEvent{kind: deliver, arg: int32(messageID)}); result.node != int32(nodeID) && !node.pending() || len(result.messages) > 0 && !node.pending() {
+				return fmt.Sprintf("an answer that is out of date has an effect on %s in term %d: %s from %s", node.name, node.core.hardState.Term, describeMessage(message.Message), message.From)
 			}
 		}
 	}
@@ -299,13 +299,13 @@
 // verifyUnchanged finds out whether a step has changed a member or a message that others share.
 func (s *space) verifyUnchanged() string {
 	for encoding, id := range s.nodeIDs {
-		if n := s.nodes[id]; n.encoding(nil) != encoding {
-			return fmt.Sprintf("a step of another state changed %s", n.name)
+		if node := s.nodes[id]; node.encoding(nil) != encoding {
+			return fmt.Sprintf("a step of another state changed %s", node.name)
 		}
 	}
 	for encoding, id := range s.messageIDs {
-		if m := s.messages[id].Message; encodingOf(nil, "message", m) != encoding {
-			return "a message was changed after it was sent: " + describeMessage(m)
+		if message := s.messages[id].Message; encodingOf(nil, "message", message) != encoding {
+			return "a message was changed after it was sent: " + describeMessage(message)
 		}
 	}
 	return ""
--- a/internal/control/consensus/model_test.go
+++ b/internal/control/consensus/model_test.go
@@ -80,18 +80,18 @@
 	for _, m := range modelSearches {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			b := m.ci
+			limits := m.ci
 			if os.Getenv(wideSearches) == "wide" {
-				b = m.wide
+				limits = m.wide
 			}
-			r := search(b, modelLimit)
-			if r.fault != "" {
-				t.Fatalf("%s\nfound in %v\n\t%s", r.fault, r, strings.Join(r.trace, "\n\t"))
+			result := search(limits, modelLimit)
+			if result.fault != "" {
+				t.Fatalf("%s\nfound in %v\n\t%s", result.fault, result, strings.Join(result.trace, "\n\t"))
 			}
-			if r.limited {
-				t.Fatalf("not covered: %v", r)
+			if result.limited {
+				t.Fatalf("not covered: %v", result)
 			}
-			t.Logf("%s: %v", m.name, r)
+			t.Logf("%s: %v", m.name, result)
 		})
 	}
 }
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -2,8 +2,8 @@
 
 import "pebbleloom/internal/wire"
 
-// progress is what the leader knows of a member or learner that it replicates to.
-type progress struct {
+// peerProgress is what the leader knows of a member or learner that it replicates to.
+type peerProgress struct {
 	next, match        uint64
 	incarnation        string // the incarnation that match was acknowledged by
 	ackedReadSequence  uint64 // highest probe it has echoed
@@ -35,67 +35,67 @@
 }
 
 // replicate sends a peer what it lacks; at a heartbeat also when it lacks nothing.
-func (c *Core) replicate(m string, heartbeat bool) {
-	p := c.peers[m]
-	if p.inFlight && !heartbeat {
+func (c *Core) replicate(peer string, heartbeat bool) {
+	progress := c.peers[peer]
+	if progress.inFlight && !heartbeat {
 		return
 	}
-	if p.transfer != nil {
-		c.continueTransfer(m, p, heartbeat)
+	if progress.transfer != nil {
+		c.continueTransfer(peer, progress, heartbeat)
 		return
 	}
-	prev := p.next - 1
+	prev := progress.next - 1
 	prevTerm, ok := c.termAt(prev)
-	if !ok || c.tooLargeForLink(p) {
-		c.sendSnapshot(m, p)
+	if !ok || c.tooLargeForLink(progress) {
+		c.sendSnapshot(peer, progress)
 		return
 	}
-	if p.inFlight && c.ticks < p.batchRetryAt {
-		c.sendAppend(m, prev, prevTerm, nil)
+	if progress.inFlight && c.ticks < progress.batchRetryAt {
+		c.sendAppend(peer, prev, prevTerm, nil)
 		return
 	}
-	entries, size := c.batchFor(m, p.next)
-	p.batchRetryAt = 0
+	entries, size := c.batchFor(peer, progress.next)
+	progress.batchRetryAt = 0
 	if size >= largeBatchBytes {
-		if p.inFlight {
-			c.countBatchLoss(m, p)
+		if progress.inFlight {
+			c.countBatchLoss(peer, progress)
 		}
-		p.batchRetryAt = c.ticks + c.batchTimeout(size, p.batchLosses)
+		progress.batchRetryAt = c.ticks + c.batchTimeout(size, progress.batchLosses)
 	}
-	p.inFlight = len(entries) > 0
-	c.sendAppend(m, prev, prevTerm, entries)
+	progress.inFlight = len(entries) > 0
+	c.sendAppend(peer, prev, prevTerm, entries)
 }
 
-func (c *Core) sendAppend(m string, prev, prevTerm uint64, entries []*wire.Entry) {
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
+func (c *Core) sendAppend(peer string, prev, prevTerm uint64, entries []*wire.Entry) {
+	c.send(&wire.Message{To: peer, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 }
 
 // batchFor returns the entries to send from an index on, one at least if there is one, and their size.
-func (c *Core) batchFor(m string, from uint64) (entries []*wire.Entry, size int) {
-	for index := from; index <= c.replicationLimit(m); index++ {
-		e := c.entryAt(index)
-		if size+entryBytes(e) > c.cfg.MaxBatchBytes && len(entries) > 0 {
+func (c *Core) batchFor(peer string, from uint64) (entries []*wire.Entry, size int) {
+	for index := from; index <= c.replicationLimit(peer); index++ {
+		entry := c.entryAt(index)
+		if size+entryBytes(entry) > c.cfg.MaxBatchBytes && len(entries) > 0 {
 			break
 		}
-		size += entryBytes(e)
-		entries = append(entries, e)
+		size += entryBytes(entry)
+		entries = append(entries, entry)
 	}
 	return entries, size
 }
 
 // responseTimeout is how many ticks go by without a response from a peer that is gone, and not from one
 // that responds to every heartbeat.
-func (c *Core) responseTimeout(m string) int {
-	if c.IsVoter(m) {
+func (c *Core) responseTimeout(peer string) int {
+	if c.IsVoter(peer) {
 		return 2 * c.cfg.HeartbeatTicks
 	}
 	return 2 * learnerHeartbeats * c.cfg.HeartbeatTicks
 }
 
 // countBatchLoss counts a large batch that was lost while the peer could be heard: its link is too slow.
-func (c *Core) countBatchLoss(m string, p *progress) {
-	if p.ticksSinceResponse < max(c.responseTimeout(m), c.cfg.ElectionTicks) {
-		p.batchLosses++
+func (c *Core) countBatchLoss(peer string, progress *peerProgress) {
+	if progress.ticksSinceResponse < max(c.responseTimeout(peer), c.cfg.ElectionTicks) {
+		progress.batchLosses++
 	}
 }
 
@@ -103,105 +103,105 @@
 // next heartbeat, a snapshot in smaller pieces.
 //
 // Example: c.ReportSendFailure(m); drive(c.Ready())
-func (c *Core) ReportSendFailure(m *wire.Message) {
-	p := c.peers[m.To]
-	if c.role != leader || p == nil || m.Term != c.hardState.Term || !p.inFlight {
+func (c *Core) ReportSendFailure(message *wire.Message) {
+	progress := c.peers[message.To]
+	if c.role != leader || progress == nil || message.Term != c.hardState.Term || !progress.inFlight {
 		return
 	}
 	switch {
-	case p.transfer != nil:
-		if m.Piece != nil && m.Piece.Offset == p.transfer.ackedOffset {
-			p.transfer.retryAt = c.ticks
+	case progress.transfer != nil:
+		if message.Piece != nil && message.Piece.Offset == progress.transfer.ackedOffset {
+			progress.transfer.retryAt = c.ticks
 		}
-	case len(m.Entries) > 0 && m.Entries[0].Index == p.next:
-		p.inFlight = false
-		c.countBatchLoss(m.To, p)
+	case len(message.Entries) > 0 && message.Entries[0].Index == progress.next:
+		progress.inFlight = false
+		c.countBatchLoss(message.To, progress)
 	}
 }
 
 // tooLargeForLink tells whether a batch was lost so often that the link can't carry it whole; the
 // snapshot holds it already, and is sent in pieces.
-func (c *Core) tooLargeForLink(p *progress) bool {
-	return p.batchLosses >= batchLossesBeforeSnapshot && p.acceptsChunks && p.next <= c.snapshot.Index
+func (c *Core) tooLargeForLink(progress *peerProgress) bool {
+	return progress.batchLosses >= batchLossesBeforeSnapshot && progress.acceptsChunks && progress.next <= c.snapshot.Index
 }
 
 // sendSnapshot begins to bring a peer up to the snapshot, because the entries that it lacks
 // are in the log no more.
-func (c *Core) sendSnapshot(m string, p *progress) {
+func (c *Core) sendSnapshot(peer string, progress *peerProgress) {
 	switch {
-	case !p.responded: // it may be dead, or of an older release: its response says
-		c.sendAppend(m, c.snapshot.Index, c.snapshot.Term, nil)
-	case p.acceptsChunks:
-		c.beginTransfer(m, p)
-	case p.snapshotSentAt > 0 && c.ticks-p.snapshotSentAt < c.cfg.ElectionTicks/2: // it is on its way
+	case !progress.responded: // it may be dead, or of an older release: its response says
+		c.sendAppend(peer, c.snapshot.Index, c.snapshot.Term, nil)
+	case progress.acceptsChunks:
+		c.beginTransfer(peer, progress)
+	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // it is on its way
 	default:
-		p.snapshotSentAt, p.inFlight = c.ticks, true
-		c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
+		progress.snapshotSentAt, progress.inFlight = c.ticks, true
+		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 	}
 }
 
 // recordResponse notes a response of this term; nil if it doesn't count.
-func (c *Core) recordResponse(l *wire.Message) *progress {
-	if c.role != leader || l.Term != c.hardState.Term {
+func (c *Core) recordResponse(message *wire.Message) *peerProgress {
+	if c.role != leader || message.Term != c.hardState.Term {
 		return nil
 	}
-	p := c.peers[l.From]
-	if p == nil {
+	progress := c.peers[message.From]
+	if progress == nil {
 		return nil // removed, or a learner that isn't known any more: it asks again
 	}
-	if p.incarnation != l.Incarnation { // another disk: what the old one had acknowledged counts no more
-		*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, contactAge: c.requestAge(l), responded: true, acceptsChunks: l.AcceptsPieces}
-		c.replicate(l.From, true)
+	if progress.incarnation != message.Incarnation { // another disk: what the old one had acknowledged counts no more
+		*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, contactAge: c.requestAge(message), responded: true, acceptsChunks: message.AcceptsPieces}
+		c.replicate(message.From, true)
 		return nil
 	}
-	if p.ticksSinceResponse >= c.responseTimeout(l.From) { // it is back: what was in flight is lost
-		p.inFlight, p.batchRetryAt = false, 0
+	if progress.ticksSinceResponse >= c.responseTimeout(message.From) { // it is back: what was in flight is lost
+		progress.inFlight, progress.batchRetryAt = false, 0
 	}
-	if p.ticksSinceResponse >= max(c.responseTimeout(l.From), c.cfg.ElectionTicks) {
-		p.batchLosses = 0 // they were the peer's, not the link's
+	if progress.ticksSinceResponse >= max(c.responseTimeout(message.From), c.cfg.ElectionTicks) {
+		progress.batchLosses = 0 // they were the peer's, not the link's
 	}
-	p.ticksSinceResponse, p.contactAge, p.responded = 0, min(p.contactAge, c.requestAge(l)), true
-	p.ackedReadSequence = max(p.ackedReadSequence, l.Probe)
-	return p
+	progress.ticksSinceResponse, progress.contactAge, progress.responded = 0, min(progress.contactAge, c.requestAge(message)), true
+	progress.ackedReadSequence = max(progress.ackedReadSequence, message.Probe)
+	return progress
 }
 
-func (c *Core) handleAppendResponse(l *wire.Message) {
-	p := c.recordResponse(l)
-	if p == nil {
+func (c *Core) handleAppendResponse(message *wire.Message) {
+	progress := c.recordResponse(message)
+	if progress == nil {
 		return
 	}
-	p.acceptsChunks = l.AcceptsPieces
-	if !l.Ok {
-		c.handleRejection(l, p)
+	progress.acceptsChunks = message.AcceptsPieces
+	if !message.Ok {
+		c.handleRejection(message, progress)
 		return
 	}
-	advanced := l.Index > p.match
-	p.match = max(p.match, l.Index)
-	p.next = max(p.next, p.match+1)
-	if p.transfer != nil && p.match >= p.transfer.snapshot.Index {
-		p.transfer, p.inFlight, p.batchLosses = nil, false, 0
+	advanced := message.Index > progress.match
+	progress.match = max(progress.match, message.Index)
+	progress.next = max(progress.next, progress.match+1)
+	if progress.transfer != nil && progress.match >= progress.transfer.snapshot.Index {
+		progress.transfer, progress.inFlight, progress.batchLosses = nil, false, 0
 	}
-	if advanced || c.ticks >= p.batchRetryAt {
-		p.inFlight, p.batchLosses = false, 0
+	if advanced || c.ticks >= progress.batchRetryAt {
+		progress.inFlight, progress.batchLosses = false, 0
 	}
 	c.advanceCommit()
-	if p.next <= c.replicationLimit(l.From) {
-		c.replicate(l.From, false)
+	if progress.next <= c.replicationLimit(message.From) {
+		c.replicate(message.From, false)
 	}
 }
 
 // handleRejection steps back to an entry that the peer may hold.
-func (c *Core) handleRejection(l *wire.Message, p *progress) {
-	if p.transfer != nil {
+func (c *Core) handleRejection(message *wire.Message, progress *peerProgress) {
+	if progress.transfer != nil {
 		return // the transfer brings it up
 	}
-	p.inFlight = false
-	if c.cfg.DynamicMembership && l.Index < p.match {
+	progress.inFlight = false
+	if c.cfg.DynamicMembership && message.Index < progress.match {
 		return // it has lost what it had acknowledged, which nobody may: asked again at the next heartbeat, not at once
 	}
-	p.next = max(p.match+1, min(p.next-1, l.Index+1))
-	p.batchRetryAt = 0
-	c.replicate(l.From, true)
+	progress.next = max(progress.match+1, min(progress.next-1, message.Index+1))
+	progress.batchRetryAt = 0
+	c.replicate(message.From, true)
 }
 
 // advanceCommit commits what a quorum holds, if it is of this term.
@@ -210,10 +210,10 @@
 		if t, _ := c.termAt(i); t != c.hardState.Term {
 			return
 		}
-		if c.hasQuorum(func(m string) bool { return c.peers[m].match >= i }) {
+		if c.hasQuorum(func(peer string) bool { return c.peers[peer].match >= i }) {
 			c.commit = i
-			c.forEachPeer(func(m string) { c.replicate(m, true) })
-			if !c.IsVoter(c.cfg.Self) && c.members.index <= c.commit {
+			c.forEachPeer(func(peer string) { c.replicate(peer, true) })
+			if !c.IsVoter(c.cfg.Self) && c.voters.index <= c.commit {
 				c.becomeFollower(c.hardState.Term, "") // its own removal is done
 			}
 			return
--- a/internal/control/consensus/second_loss_test.go
+++ b/internal/control/consensus/second_loss_test.go
@@ -26,25 +26,25 @@
 		compact  bool
 		caughtUp bool
 	}{{"two small entries", 10, false, true}, {"two large entries", 1 << 16, false, false}, {"a snapshot", 10, true, false}} {
-		x := newTestGroup(t, "a b c", "d")
-		x.campaign("a")
-		x.deliverAll()
-		x.cores["a"].AddLearner("d")
-		x.collect("a")
-		x.deliverAll()
-		x.tick(6)
-		if p := x.peerStatus("a", "d"); !p.CaughtUp || !p.Responded {
+		group := newTestGroup(t, "a b c", "d")
+		group.campaign("a")
+		group.deliverAll()
+		group.cores["a"].AddLearner("d")
+		group.collect("a")
+		group.deliverAll()
+		group.tick(6)
+		if p := group.peerStatus("a", "d"); !p.CaughtUp || !p.Responded {
 			t.Fatalf("%s: the learner holds all there is, and counts as %+v", lacks.what, p)
 		}
 		for range 2 {
-			x.propose("a", string(bytes.Repeat([]byte("x"), lacks.size)))
-			x.deliverAll("d")
+			group.propose("a", string(bytes.Repeat([]byte("x"), lacks.size)))
+			group.deliverAll("d")
 		}
-		x.cores["a"].Ready()
+		group.cores["a"].Ready()
 		if lacks.compact {
-			x.cores["a"].Compact(nil)
+			group.cores["a"].Compact(nil)
 		}
-		if p := x.peerStatus("a", "d"); p.CaughtUp != lacks.caughtUp {
+		if p := group.peerStatus("a", "d"); p.CaughtUp != lacks.caughtUp {
 			t.Errorf("a learner that lacks %s counts as %+v", lacks.what, p)
 		}
 	}
@@ -52,15 +52,15 @@
 
 // A learner that has only been named, and never spoke, is told apart from one that is there.
 func TestSilentLearnerHasNotResponded(t *testing.T) {
-	x := newTestGroup(t, "a b c", "")
-	x.campaign("a")
-	x.deliverAll()
-	x.cores["a"].AddLearner("d")
-	x.tick(9)
-	if p := x.peerStatus("a", "d"); p.Name != "d" || p.Responded {
+	group := newTestGroup(t, "a b c", "")
+	group.campaign("a")
+	group.deliverAll()
+	group.cores["a"].AddLearner("d")
+	group.tick(9)
+	if p := group.peerStatus("a", "d"); p.Name != "d" || p.Responded {
 		t.Errorf("a learner that never spoke: %+v", p)
 	}
-	if p := x.peerStatus("a", "b"); !p.Responded {
+	if p := group.peerStatus("a", "b"); !p.Responded {
 		t.Errorf("a voter that speaks: %+v", p)
 	}
 }
@@ -68,21 +68,21 @@
 // A new leader doesn't give a member that is gone its whole time again: the silence before the
 // election counts, up to the time of an election, and one that voted has just spoken.
 func TestNewLeaderCountsSilenceBeforeElection(t *testing.T) {
-	x := newTestGroup(t, "a b c", "")
-	x.campaign("a")
-	x.deliverAll()
-	x.tick(20)
-	for n := 0; n < 100 && !x.cores["b"].Status().IsLeader && !x.cores["c"].Status().IsLeader; n++ {
-		x.tick(1, "a")
+	group := newTestGroup(t, "a b c", "")
+	group.campaign("a")
+	group.deliverAll()
+	group.tick(20)
+	for n := 0; n < 100 && !group.cores["b"].Status().IsLeader && !group.cores["c"].Status().IsLeader; n++ {
+		group.tick(1, "a")
 	}
 	leader, other := "b", "c"
-	if x.cores["c"].Status().IsLeader {
+	if group.cores["c"].Status().IsLeader {
 		leader, other = "c", "b"
 	}
-	if p := x.peerStatus(leader, "a"); p.ContactAge < 9 {
+	if p := group.peerStatus(leader, "a"); p.ContactAge < 9 {
 		t.Errorf("the leader of before has been silent for an election's time, and counts as heard %d ticks ago", p.ContactAge)
 	}
-	if p := x.peerStatus(leader, other); p.ContactAge > 1 {
+	if p := group.peerStatus(leader, other); p.ContactAge > 1 {
 		t.Errorf("the member that voted counts as heard %d ticks ago", p.ContactAge)
 	}
 }
@@ -90,24 +90,24 @@
 // A member that stops is waited for by nobody once each live voter holds what is committed, and not
 // before; a voter that is down is not waited for.
 func TestReplicatedToLiveVotersIgnoresVotersThatAreDown(t *testing.T) {
-	x := newTestGroup(t, "a b c", "")
-	x.campaign("a")
-	x.deliverAll()
-	x.tick(4)
-	held := func() bool { return x.cores["a"].ReplicatedToLiveVoters("b", 12) }
+	group := newTestGroup(t, "a b c", "")
+	group.campaign("a")
+	group.deliverAll()
+	group.tick(4)
+	held := func() bool { return group.cores["a"].ReplicatedToLiveVoters("b", 12) }
 	if !held() {
 		t.Error("all hold everything, and b has to wait")
 	}
-	x.propose("a", "x")
-	x.deliverAll("c")
+	group.propose("a", "x")
+	group.deliverAll("c")
 	if held() {
 		t.Error("c lacks what was committed with b's vote, and b may stop")
 	}
-	x.tick(15, "c")
+	group.tick(15, "c")
 	if !held() {
 		t.Error("c is down, a holds all, and b has to wait")
 	}
-	if x.cores["b"].ReplicatedToLiveVoters("c", 12) {
+	if group.cores["b"].ReplicatedToLiveVoters("c", 12) {
 		t.Error("a follower says what the peers hold")
 	}
 }
@@ -115,16 +115,16 @@
 // Leadership goes to the peer that spoke last, not to the first by name, which may just have failed;
 // and to none that is excluded.
 func TestLeadershipIsTransferredToMostRecentContact(t *testing.T) {
-	x := newTestGroup(t, "a b c", "")
-	x.campaign("a")
-	x.deliverAll()
-	x.tick(4)
-	x.tick(4, "b")
+	group := newTestGroup(t, "a b c", "")
+	group.campaign("a")
+	group.deliverAll()
+	group.tick(4)
+	group.tick(4, "b")
 	to := func(excluded string) string {
-		if !x.cores["a"].TransferLeadershipExcept(func(m string) bool { return strings.Contains(excluded, m) }) {
+		if !group.cores["a"].TransferLeadershipExcept(func(peer string) bool { return strings.Contains(excluded, peer) }) {
 			return ""
 		}
-		messages := x.cores["a"].Ready().Messages
+		messages := group.cores["a"].Ready().Messages
 		return messages[len(messages)-1].To
 	}
 	if got := fmt.Sprint(to(""), to("c"), to("bc")); got != "cb" {
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -20,40 +20,40 @@
 	leaderTerm uint64 // of the leader that sent a piece of it last
 }
 
-func (s *incomingSnapshot) matches(l *wire.Message) bool {
-	return s != nil && s.snapshot.Index == l.Snapshot.Index && s.snapshot.Term == l.Snapshot.Term &&
-		s.totalBytes == l.Piece.Total && s.checksum == l.Piece.StateChecksum
+func (s *incomingSnapshot) matches(message *wire.Message) bool {
+	return s != nil && s.snapshot.Index == message.Snapshot.Index && s.snapshot.Term == message.Snapshot.Term &&
+		s.totalBytes == message.Piece.Total && s.checksum == message.Piece.StateChecksum
 }
 
 // handleChunkRequest adds a piece to what is held of its snapshot, and installs that once it is whole.
-func (c *Core) handleChunkRequest(l *wire.Message) {
-	if l.Snapshot == nil || l.Piece == nil || l.Piece.Total > maxSnapshotBytes {
+func (c *Core) handleChunkRequest(message *wire.Message) {
+	if message.Snapshot == nil || message.Piece == nil || message.Piece.Total > maxSnapshotBytes {
 		return
 	}
-	if l.Term < c.hardState.Term {
-		c.sendAppendResponse(l, false, c.lastIndex(), 0) // a leader of the past: the response's term says so
+	if message.Term < c.hardState.Term {
+		c.sendAppendResponse(message, false, c.lastIndex(), 0) // a leader of the past: the response's term says so
 		return
 	}
-	c.becomeFollower(l.Term, l.From)
-	if l.Snapshot.Index <= c.commit { // its entries are held: nothing of it is lacking
+	c.becomeFollower(message.Term, message.From)
+	if message.Snapshot.Index <= c.commit { // its entries are held: nothing of it is lacking
 		c.incoming = nil
-		c.sendAppendResponse(l, true, l.Snapshot.Index, l.Probe)
+		c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
 		return
 	}
-	if !c.incoming.matches(l) {
-		if c.incoming != nil && c.incoming.leaderTerm == l.Term && c.incoming.snapshot.Index >= l.Snapshot.Index {
+	if !c.incoming.matches(message) {
+		if c.incoming != nil && c.incoming.leaderTerm == message.Term && c.incoming.snapshot.Index >= message.Snapshot.Index {
 			return // late, of a transfer that this leader has given up
 		}
-		c.incoming = &incomingSnapshot{snapshot: l.Snapshot, totalBytes: l.Piece.Total, checksum: l.Piece.StateChecksum}
+		c.incoming = &incomingSnapshot{snapshot: message.Snapshot, totalBytes: message.Piece.Total, checksum: message.Piece.StateChecksum}
 	}
-	c.incoming.leaderTerm = l.Term
-	c.incoming.addChunk(l.Piece)
+	c.incoming.leaderTerm = message.Term
+	c.incoming.addChunk(message.Piece)
 	if c.incoming.isComplete() && c.installIncoming() {
-		c.sendAppendResponse(l, true, l.Snapshot.Index, l.Probe)
+		c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
 		return
 	}
-	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: l.Snapshot.Index, LogTerm: l.Snapshot.Term, Probe: l.Probe, About: l.Incarnation, SentTick: l.SentTick,
-		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.received)), Total: l.Piece.Total, StateChecksum: l.Piece.StateChecksum}})
+	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: message.Snapshot.Index, LogTerm: message.Snapshot.Term, Probe: message.Probe, About: message.Incarnation, SentTick: message.SentTick,
+		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.received)), Total: message.Piece.Total, StateChecksum: message.Piece.StateChecksum}})
 }
 
 // addChunk takes a piece that continues what is held. Any other is a duplicate, or one was lost before it.
@@ -82,21 +82,21 @@
 
 // installSnapshot replaces snapshot, state and log by those of a leader. One that holds no more than
 // what is committed here is ignored: this member has all of it, and perhaps newer state.
-func (c *Core) installSnapshot(s *wire.Snapshot) {
-	if s.Index <= c.commit {
+func (c *Core) installSnapshot(snapshot *wire.Snapshot) {
+	if snapshot.Index <= c.commit {
 		return
 	}
 	var stay []*wire.Entry
-	if t, ok := c.termAt(s.Index); ok && t == s.Term {
-		stay = append(stay, c.entriesFrom(s.Index+1)...)
+	if t, ok := c.termAt(snapshot.Index); ok && t == snapshot.Term {
+		stay = append(stay, c.entriesFrom(snapshot.Index+1)...)
 	}
-	c.restoreSnapshot(s, stay)
+	c.restoreSnapshot(snapshot, stay)
 }
 
 // restoreSnapshot goes by a snapshot and the entries behind it; the member keeps its own hard state.
-func (c *Core) restoreSnapshot(s *wire.Snapshot, stay []*wire.Entry) {
-	own := &wire.Snapshot{Format: s.Format, Index: s.Index, Term: s.Term, State: s.State, HardState: c.hardState,
-		Members: s.Members, MembersIndex: s.MembersIndex, MembersTerm: s.MembersTerm}
+func (c *Core) restoreSnapshot(snapshot *wire.Snapshot, stay []*wire.Entry) {
+	own := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, State: snapshot.State, HardState: c.hardState,
+		Members: snapshot.Members, MembersIndex: snapshot.MembersIndex, MembersTerm: snapshot.MembersTerm}
 	c.snapshot, c.log, c.trailing, c.incoming = own, stay, nil, nil
 	c.commit, c.applied = own.Index, own.Index
 	c.reloadMembership()
--- a/internal/control/consensus/snapshot_transfer.go
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -36,10 +36,10 @@
 }
 
 // beginTransfer asks a peer how much it holds of the snapshot that it is to get.
-func (c *Core) beginTransfer(m string, p *progress) {
-	p.transfer = c.newTransfer()
-	p.inFlight = false
-	c.sendChunk(m, p.transfer, 0)
+func (c *Core) beginTransfer(peer string, progress *peerProgress) {
+	progress.transfer = c.newTransfer()
+	progress.inFlight = false
+	c.sendChunk(peer, progress.transfer, 0)
 }
 
 // newTransfer is of the newest snapshot; where as many older ones as may be are on their way, of the
@@ -51,21 +51,21 @@
 		active = c.activeTransfers()
 	}
 	newest, current := (*outgoingTransfer)(nil), (*outgoingTransfer)(nil)
-	for _, t := range active {
-		if newest == nil || t.snapshot.Index > newest.snapshot.Index {
-			newest = t
+	for _, transfer := range active {
+		if newest == nil || transfer.snapshot.Index > newest.snapshot.Index {
+			newest = transfer
 		}
-		if t.snapshot.Index == c.snapshot.Index {
-			current = t
+		if transfer.snapshot.Index == c.snapshot.Index {
+			current = transfer
 		}
 	}
 	switch {
 	case current != nil:
 		newest = current
 	case len(active) < maxOutgoingSnapshots:
-		s := c.snapshot
-		header := &wire.Snapshot{Format: s.Format, Index: s.Index, Term: s.Term, Members: s.Members, MembersIndex: s.MembersIndex, MembersTerm: s.MembersTerm}
-		newest = &outgoingTransfer{snapshot: header, state: s.State, checksum: crc32.Checksum(s.State, castagnoliTable)}
+		snapshot := c.snapshot
+		header := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members, MembersIndex: snapshot.MembersIndex, MembersTerm: snapshot.MembersTerm}
+		newest = &outgoingTransfer{snapshot: header, state: snapshot.State, checksum: crc32.Checksum(snapshot.State, castagnoliTable)}
 	}
 	return &outgoingTransfer{snapshot: newest.snapshot, state: newest.state, checksum: newest.checksum, chunkBytes: min(initialChunkBytes, c.cfg.MaxBatchBytes)}
 }
@@ -73,9 +73,9 @@
 // activeTransfers returns a transfer of each snapshot that is on its way, by index.
 func (c *Core) activeTransfers() map[uint64]*outgoingTransfer {
 	found := map[uint64]*outgoingTransfer{}
-	for _, p := range c.peers {
-		if p.transfer != nil {
-			found[p.transfer.snapshot.Index] = p.transfer
+	for _, progress := range c.peers {
+		if progress.transfer != nil {
+			found[progress.transfer.snapshot.Index] = progress.transfer
 		}
 	}
 	return found
@@ -83,57 +83,57 @@
 
 // dropSilentTransfers gives up those to peers that are silent; they begin anew once they respond.
 func (c *Core) dropSilentTransfers() {
-	for _, p := range c.peers {
-		if p.transfer != nil && p.ticksSinceResponse >= 2*c.cfg.ElectionTicks {
-			p.transfer, p.inFlight, p.responded = nil, false, false
+	for _, progress := range c.peers {
+		if progress.transfer != nil && progress.ticksSinceResponse >= 2*c.cfg.ElectionTicks {
+			progress.transfer, progress.inFlight, progress.responded = nil, false, false
 		}
 	}
 }
 
 // continueTransfer sends the piece in flight again where it wasn't acknowledged in time; otherwise, at
 // a heartbeat, it asks how much the peer holds.
-func (c *Core) continueTransfer(m string, p *progress, heartbeat bool) {
-	t := p.transfer
+func (c *Core) continueTransfer(peer string, progress *peerProgress, heartbeat bool) {
+	transfer := progress.transfer
 	switch {
-	case p.inFlight && c.ticks >= t.retryAt:
-		t.chunkBytes = max(t.chunkBytes/2, min(minChunkBytes, c.cfg.MaxBatchBytes))
-		c.sendNextChunk(m, p)
+	case progress.inFlight && c.ticks >= transfer.retryAt:
+		transfer.chunkBytes = max(transfer.chunkBytes/2, min(minChunkBytes, c.cfg.MaxBatchBytes))
+		c.sendNextChunk(peer, progress)
 	case heartbeat:
-		c.sendChunk(m, t, 0)
+		c.sendChunk(peer, transfer, 0)
 	}
 }
 
-func (c *Core) sendNextChunk(m string, p *progress) {
-	t := p.transfer
-	p.inFlight, t.sentAt = true, c.ticks
-	t.retryAt = c.ticks + chunkTimeoutHeartbeats*c.cfg.HeartbeatTicks + t.chunkBytes/assumedLinkBytesPerTick
-	c.sendChunk(m, t, t.chunkBytes)
+func (c *Core) sendNextChunk(peer string, progress *peerProgress) {
+	transfer := progress.transfer
+	progress.inFlight, transfer.sentAt = true, c.ticks
+	transfer.retryAt = c.ticks + chunkTimeoutHeartbeats*c.cfg.HeartbeatTicks + transfer.chunkBytes/assumedLinkBytesPerTick
+	c.sendChunk(peer, transfer, transfer.chunkBytes)
 }
 
 // sendChunk sends up to so many bytes from what the peer holds on; none: a question how much it holds.
-func (c *Core) sendChunk(m string, t *outgoingTransfer, size int) {
-	end := min(t.ackedOffset+uint64(size), uint64(len(t.state)))
-	data := t.state[t.ackedOffset:end:end]
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick(),
-		Piece: &wire.SnapshotPiece{Offset: t.ackedOffset, Total: uint64(len(t.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: t.checksum}})
+func (c *Core) sendChunk(peer string, transfer *outgoingTransfer, size int) {
+	end := min(transfer.ackedOffset+uint64(size), uint64(len(transfer.state)))
+	data := transfer.state[transfer.ackedOffset:end:end]
+	c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: transfer.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick(),
+		Piece: &wire.SnapshotPiece{Offset: transfer.ackedOffset, Total: uint64(len(transfer.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: transfer.checksum}})
 }
 
 // handleChunkResponse goes on behind what a follower says that it holds.
-func (c *Core) handleChunkResponse(l *wire.Message) {
-	p := c.recordResponse(l)
-	if p == nil || p.transfer == nil || l.Piece == nil {
+func (c *Core) handleChunkResponse(message *wire.Message) {
+	progress := c.recordResponse(message)
+	if progress == nil || progress.transfer == nil || message.Piece == nil {
 		return
 	}
-	t := p.transfer
-	if l.Index != t.snapshot.Index || l.LogTerm != t.snapshot.Term || l.Piece.StateChecksum != t.checksum || l.Piece.Offset > uint64(len(t.state)) {
+	transfer := progress.transfer
+	if message.Index != transfer.snapshot.Index || message.LogTerm != transfer.snapshot.Term || message.Piece.StateChecksum != transfer.checksum || message.Piece.Offset > uint64(len(transfer.state)) {
 		return // of another snapshot
 	}
-	if p.inFlight && l.Piece.Offset == t.ackedOffset {
+	if progress.inFlight && message.Piece.Offset == transfer.ackedOffset {
 		return // the piece is still on its way
 	}
-	if p.inFlight && l.Piece.Offset > t.ackedOffset && c.ticks-t.sentAt <= c.cfg.HeartbeatTicks {
-		t.chunkBytes = min(2*t.chunkBytes, c.cfg.MaxBatchBytes)
+	if progress.inFlight && message.Piece.Offset > transfer.ackedOffset && c.ticks-transfer.sentAt <= c.cfg.HeartbeatTicks {
+		transfer.chunkBytes = min(2*transfer.chunkBytes, c.cfg.MaxBatchBytes)
 	}
-	t.ackedOffset = l.Piece.Offset
-	c.sendNextChunk(l.From, p)
+	transfer.ackedOffset = message.Piece.Offset
+	c.sendNextChunk(message.From, progress)
 }
--- a/internal/control/consensus/status.go
+++ b/internal/control/consensus/status.go
@@ -23,13 +23,13 @@
 		return false
 	}
 	to := ""
-	for _, m := range c.members.names {
-		p := c.peers[m]
-		if p == nil || excluded(m) || p.match != c.lastIndex() || p.contactAge >= c.cfg.ElectionTicks {
+	for _, peer := range c.voters.names {
+		progress := c.peers[peer]
+		if progress == nil || excluded(peer) || progress.match != c.lastIndex() || progress.contactAge >= c.cfg.ElectionTicks {
 			continue
 		}
-		if to == "" || p.contactAge < c.peers[to].contactAge {
-			to = m
+		if to == "" || progress.contactAge < c.peers[to].contactAge {
+			to = peer
 		}
 	}
 	if to == "" {
@@ -97,5 +97,5 @@
 //
 // Example: c.IsVoter("core-2")
 func (c *Core) IsVoter(name string) bool {
-	return slices.Contains(c.members.names, name)
+	return slices.Contains(c.voters.names, name)
 }
--- a/internal/control/mutation/model_test.go
+++ b/internal/control/mutation/model_test.go
@@ -20,15 +20,15 @@
 // failing test prints the trace and how many states it took.
 var _ = register(
 	mutant{name: "a vote isn't persisted", file: messagesFile,
-		original:    "c.saveHardState(c.hardState.Term, l.From)",
-		replacement: "c.hardState = &wire.HardState{Term: c.hardState.Term, Vote: l.From, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
+		original:    "c.saveHardState(c.hardState.Term, message.From)",
+		replacement: "c.hardState = &wire.HardState{Term: c.hardState.Term, Vote: message.From, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
 		pkg:         consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a vote is given to a shorter log", file: messagesFile,
-		original:    "l.LogTerm == t && l.Index >= c.lastIndex()",
-		replacement: "l.LogTerm == t",
+		original:    "message.LogTerm == t && message.Index >= c.lastIndex()",
+		replacement: "message.LogTerm == t",
 		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
 	mutant{name: "a second vote is given in a term", file: messagesFile,
-		original:    `(c.hardState.Vote == "" || c.hardState.Vote == l.From) && `,
+		original:    `(c.hardState.Vote == "" || c.hardState.Vote == message.From) && `,
 		replacement: "",
 		pkg:         consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "an entry of an older term is committed by counting", file: leaderFile,
@@ -40,15 +40,15 @@
 		replacement: "c.hardState = &wire.HardState{Term: term, Vote: c.cfg.Self, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
 		pkg:         consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a record of a cut log is forgotten", file: messagesFile,
-		original:    "c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: e.Index}})",
+		original:    "c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: entry.Index}})",
 		replacement: "_ = ok",
 		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
 	mutant{name: "an answer to another incarnation is counted", file: messagesFile,
-		original:    "if l.About != c.hardState.Incarnation {",
-		replacement: "if l.About == \"\" {",
+		original:    "if message.About != c.hardState.Incarnation {",
+		replacement: `if message.About == "" {`,
 		pkg:         consensusPkg, run: modelSearches + "fixed_members_and_a_lost_disk"},
 	mutant{name: "members change before the last change is committed", file: memberFile,
-		original:    "return c.role == leader && t == c.hardState.Term && c.members.index <= c.commit",
+		original:    "return c.role == leader && t == c.hardState.Term && c.voters.index <= c.commit",
 		replacement: "return c.role == leader && t == c.hardState.Term",
 		pkg:         consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
 	mutant{name: "two members are added or removed at once", file: memberFile,
@@ -56,7 +56,7 @@
 		replacement: "diff > 2 || len(l) == 0",
 		pkg:         consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
 	mutant{name: "a read is confirmed without asking a quorum", file: coreFile,
-		original:    "return c.peers[m].ackedReadSequence >= r.sequence",
+		original:    "return c.peers[peer].ackedReadSequence >= r.sequence",
 		replacement: "return true",
 		pkg:         consensusPkg, run: modelSearches + "reads_and_leader_transfer"},
 	mutant{name: "a read is taken before the leader has committed in its term", file: coreFile,
@@ -76,22 +76,29 @@
 		replacement: "c.hardState = &wire.HardState{Term: term, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
 		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
 	mutant{name: "a leader goes on in a term that it only heard of", file: messagesFile,
-		original:    "if l.Term > c.hardState.Term {\n\t\tc.becomeFollower(l.Term, \"\")",
-		replacement: "if l.Term > c.hardState.Term {\n\t\tc.saveHardState(l.Term, \"\")",
-		pkg:         consensusPkg, run: modelSearches + "elections$"},
+		original: `if message.Term > c.hardState.Term {
+		c.becomeFollower(message.Term, "")`,
+		replacement: `if message.Term > c.hardState.Term {
+		c.saveHardState(message.Term, "")`,
+		pkg: consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a snapshot is installed over newer state", file: installFile,
-		original: "if l.Snapshot.Index <= c.commit {",
-		replacement: `if l.Snapshot.Index < c.commit && uint64(len(l.Piece.Data)) == l.Piece.Total {
-		older := proto.Clone(l.Snapshot).(*wire.Snapshot)
-		older.State = l.Piece.Data
+		original: "if message.Snapshot.Index <= c.commit {",
+		replacement: `if message.Snapshot.Index < c.commit && uint64(len(message.Piece.Data)) == message.Piece.Total {
+		older := proto.Clone(message.Snapshot).(*wire.Snapshot)
+		older.State = message.Piece.Data
 		c.restoreSnapshot(older, nil)
 	}
-	if l.Snapshot.Index <= c.commit {`,
+	if message.Snapshot.Index <= c.commit {`,
 		pkg: consensusPkg, run: modelSearches + "snapshot_to_a_learner"},
 	mutant{name: "a removed leader counts itself", file: coreFile,
-		original:    "func (c *Core) hasQuorum(pass func(m string) bool) bool {\n\tn := 0",
-		replacement: "func (c *Core) hasQuorum(pass func(m string) bool) bool {\n\tn := 0\n\tif !c.IsVoter(c.cfg.Self) {\n\t\tn = 1\n\t}",
-		pkg:         consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
+		original: `func (c *Core) hasQuorum(pass func(peer string) bool) bool {
+	n := 0`,
+		replacement: `func (c *Core) hasQuorum(pass func(peer string) bool) bool {
+	n := 0
+	if !c.IsVoter(c.cfg.Self) {
+		n = 1
+	}`,
+		pkg: consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
 	mutant{name: "what isn't applied is left out of a vouch", file: statusFile,
 		original:    "return c.entriesFrom(c.applied + 1) }",
 		replacement: "return nil }",
--- a/internal/control/mutation/point3_test.go
+++ b/internal/control/mutation/point3_test.go
@@ -4,7 +4,7 @@
 var _ = register(
 	mutant{point: 3, name: "the members are changed before the last change is committed",
 		file:        "internal/control/consensus/membership.go",
-		original:    "return c.role == leader && t == c.hardState.Term && c.members.index <= c.commit",
+		original:    "return c.role == leader && t == c.hardState.Term && c.voters.index <= c.commit",
 		replacement: "return c.role == leader && t == c.hardState.Term",
 		pkg:         "internal/control/consensus", run: "Member|Change|Group"},
 	mutant{point: 3, name: "a silent member is removed before its replacement has caught up",
@@ -46,7 +46,7 @@
 		pkg:         "internal/control/controlstate", run: "TestWhomTheLeaderAddsAndRemoves"},
 	mutant{point: 3, name: "each election gives a member that is gone its whole time again",
 		file:        "internal/control/consensus/membership.go",
-		original:    "if c.cfg.DynamicMembership && !c.votes[m] {",
+		original:    "if c.cfg.DynamicMembership && !c.votes[peer] {",
 		replacement: "if false {",
 		pkg:         "internal/control/consensus", run: "TestNewLeaderCountsSilenceBeforeElection"},
 	mutant{point: 3, name: "a member that was removed while it was away waits long before it asks",
--- a/internal/control/mutation/point4_test.go
+++ b/internal/control/mutation/point4_test.go
@@ -5,8 +5,8 @@
 var _ = register(
 	mutant{point: 4, name: "an old snapshot is installed over newer state",
 		file:        "internal/control/consensus/snapshot_receive.go",
-		original:    "if s.Index <= c.commit {",
-		replacement: "if s.Index == 0 {",
+		original:    "if snapshot.Index <= c.commit {",
+		replacement: "if snapshot.Index == 0 {",
 		pkg:         "internal/control/consensus", run: "TestDelayedSnapshotMessagesChangeNothing"},
 	mutant{point: 4, name: "a piece is taken out of order",
 		file:        "internal/control/consensus/snapshot_receive.go",
@@ -20,19 +20,22 @@
 		pkg:         "internal/control/consensus", run: "TestCorruptSnapshotIsNotInstalled"},
 	mutant{point: 4, name: "a late piece of an older snapshot replaces a newer partial one",
 		file:        "internal/control/consensus/snapshot_receive.go",
-		original:    "c.incoming.snapshot.Index >= l.Snapshot.Index {",
-		replacement: "c.incoming.snapshot.Index == l.Snapshot.Index {",
+		original:    "c.incoming.snapshot.Index >= message.Snapshot.Index {",
+		replacement: "c.incoming.snapshot.Index == message.Snapshot.Index {",
 		pkg:         "internal/control/consensus", run: "TestNewerSnapshotReplacesPartialOne"},
 	mutant{point: 4, name: "each compaction starts a transfer anew",
-		file:        "internal/control/consensus/snapshot_transfer.go",
-		original:    "	case heartbeat:\n",
-		replacement: "	case heartbeat && t.snapshot.Index < c.snapshot.Index:\n		c.beginTransfer(m, p)\n	case heartbeat:\n",
-		pkg:         "internal/control/consensus", run: "TestSnapshotTransferIsNotRestartedByCompactions"},
+		file:     "internal/control/consensus/snapshot_transfer.go",
+		original: "	case heartbeat:\n",
+		replacement: `	case heartbeat && transfer.snapshot.Index < c.snapshot.Index:
+		c.beginTransfer(peer, progress)
+	case heartbeat:
+`,
+		pkg: "internal/control/consensus", run: "TestSnapshotTransferIsNotRestartedByCompactions"},
 	mutant{point: 4, name: "a whole snapshot is sent in one message",
 		file: "internal/control/consensus/replication.go",
-		original: `	case p.acceptsChunks:
+		original: `	case progress.acceptsChunks:
 `,
-		replacement: `	case p.acceptsChunks && len(c.snapshot.State) == 0:
+		replacement: `	case progress.acceptsChunks && len(c.snapshot.State) == 0:
 `,
 		pkg: "internal/control/consensus", run: "TestSnapshotTransferOverSlowLink"},
 	mutant{point: 4, name: "the log's tail is dropped at a compaction",
@@ -42,8 +45,8 @@
 		pkg:         "internal/control/consensus", run: "TestLaggingFollowerCatchesUpFromTrailingLog"},
 	mutant{point: 4, name: "commit is taken beyond what is held",
 		file:        "internal/control/consensus/messages.go",
-		original:    "min(l.Commit, last)",
-		replacement: "l.Commit",
+		original:    "min(message.Commit, last)",
+		replacement: "message.Commit",
 		pkg:         "internal/control/consensus", run: "TestEntryTooLargeForLinkIsSentAsSnapshot"},
 	mutant{point: 4, name: "a snapshot that can't be read is stored",
 		file:        "internal/control/controlstate/shard_disk.go",
