--- /dev/null
+++ b/internal/control/consensus/append.go
@@ -0,0 +1,75 @@
+package consensus
+
+import "pebbleloom/internal/wire"
+
+// handleAppendRequest appends a leader's entries where they continue this log, and advances the commit
+// index (paper, section 5.3).
+func (c *Core) handleAppendRequest(message *wire.Message) {
+	if !c.followSender(message) {
+		return
+	}
+	prev, prevTerm, entries := message.Index, message.LogTerm, message.Entries
+	if prev < c.snapshot.Index { // the first entries are compacted here
+		skip := c.snapshot.Index - prev
+		if skip > uint64(len(entries)) {
+			c.sendAppendResponse(message, true, c.snapshot.Index, message.Probe)
+			return
+		}
+		prev, prevTerm, entries = c.snapshot.Index, c.snapshot.Term, entries[skip:]
+	}
+	if term, ok := c.termAt(prev); !ok || term != prevTerm {
+		c.sendAppendResponse(message, false, min(c.lastIndex(), prev-1), message.Probe)
+		return
+	}
+	c.appendFromLeader(entries)
+	last := prev + uint64(len(entries))
+	c.commit = max(c.commit, min(message.Commit, last))
+	if c.incoming != nil && c.incoming.snapshot.Index <= c.commit {
+		c.incoming = nil // the log holds all that the snapshot would bring
+	}
+	c.sendAppendResponse(message, true, last, message.Probe)
+}
+
+// handleSnapshotRequest installs a snapshot that came in one message, as older releases send it.
+func (c *Core) handleSnapshotRequest(message *wire.Message) {
+	if !c.followSender(message) {
+		return
+	}
+	c.installSnapshot(message.Snapshot)
+	c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
+}
+
+// followSender makes this member a follower of the leader that sent a request; false where the request
+// is of an earlier term. It is rejected then, so that its sender learns the newer term. That rejection
+// may reach a later incarnation of the sender, whose reads it must not confirm: it echoes no probe.
+func (c *Core) followSender(message *wire.Message) bool {
+	if message.Term < c.hardState.Term {
+		c.sendAppendResponse(message, false, c.lastIndex(), 0)
+		return false
+	}
+	c.becomeFollower(message.Term, message.From)
+	return true
+}
+
+// appendFromLeader appends a leader's entries. From the first entry that conflicts with them on, this
+// log is truncated; entries that match are kept, since the request may be a late one (paper, section 5.3).
+func (c *Core) appendFromLeader(entries []*wire.Entry) {
+	for _, entry := range entries {
+		term, exists := c.termAt(entry.Index)
+		if exists && term == entry.Term {
+			continue
+		}
+		if exists {
+			c.truncate(entry.Index)
+			c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: entry.Index}})
+		}
+		c.appendEntry(entry)
+		c.persistEntry(entry)
+	}
+}
+
+// sendAppendResponse responds to a leader. With ok the log matches the leader's up to index; without,
+// index is where the leader may try next. probe echoes the request's, and confirms the reads up to it.
+func (c *Core) sendAppendResponse(request *wire.Message, ok bool, index, probe uint64) {
+	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, About: request.Incarnation, AcceptsPieces: true, SentTick: request.SentTick})
+}
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -1,6 +1,16 @@
-// Package consensus is Raft as pebbleloom uses it: the members of a shard, or of a group whose
-// membership is agreed data, replicate one log of commands. Core is a pure state machine; its driver
-// persists first, then sends, then applies.
+// Package consensus implements Raft: the voters of a shard, or of a group whose membership is itself
+// replicated, agree on one log of commands.
+//
+// Core is a deterministic state machine without I/O, clock or goroutines. Its driver calls Step for each
+// received message and Tick at fixed intervals, and after each of them carries out what Ready asks for in
+// the order persist, send, apply. Section numbers in comments refer to "In Search of an Understandable
+// Consensus Algorithm" (Ongaro and Ousterhout, extended version: "paper") and to "Consensus: Bridging
+// Theory and Practice" (Ongaro: "thesis").
+//
+// One concern stands in one file: step.go dispatches messages, election.go holds roles, votes and
+// elections, replication.go the leader's side of replication and append.go the follower's, log.go the
+// log in memory, read_index.go linearizable reads, snapshot_send.go and snapshot_receive.go snapshot
+// transfer, membership.go membership changes, learner.go learners and rejoin.go lost disks of fixed members.
 package consensus
 
 import (
@@ -9,92 +19,82 @@
 	"pebbleloom/internal/wire"
 )
 
-// Config is what one member knows of its shard.
+// Config is the configuration of one Core. All fields but Members and TrailingLogBytes are required.
 type Config struct {
-	Shard             uint32
-	Self              string
-	Members           []string // all three, Self among them; of a group none: they stand in its log
-	DynamicMembership bool     // membership is agreed data (membership.go)
-	HeartbeatTicks    int      // between two heartbeats of a leader
-	ElectionTicks     int      // the least silence after which a follower campaigns; the longest is twice that
-	MaxBatchBytes     int      // of entries in one message, and of a snapshot's piece
-	TrailingLogBytes  int      // of compacted entries kept in memory for followers that lag, at least; 0: none
-	Rand              *rand.Rand
+	Shard             uint32     // number of the shard; messages of other shards are ignored
+	Self              string     // name of this member
+	Members           []string   // fixed voters, Self among them; empty with DynamicMembership
+	DynamicMembership bool       // voters are named by log entries (see membership.go)
+	HeartbeatTicks    int        // ticks between two heartbeats of a leader
+	ElectionTicks     int        // minimum election timeout in ticks; the maximum is twice as long
+	MaxBatchBytes     int        // limit of the entries in one append request, and of one snapshot chunk
+	TrailingLogBytes  int        // minimum of compacted entries kept in memory for lagging followers; 0 keeps none
+	Rand              *rand.Rand // source of randomized election timeouts
 }
 
-// Ready is what the steps so far ask of the driver, in this order: persist, send, apply.
+// Ready holds what the driver has to do for the steps taken so far. The order is binding: Snapshot and
+// Records must be on disk before any of Messages is sent, and CommittedEntries are applied after that.
 type Ready struct {
-	Snapshot         *wire.Snapshot // replaces snapshot, state and log; Records then holds the log that stays
-	Records          []*wire.Record
-	Messages         []*wire.Message
-	CommittedEntries []*wire.Entry
-	ConfirmedReads   []uint64 // reads that may now be answered from the applied state
-	AbortedReads     []uint64 // reads that can't be answered here any more
+	Snapshot         *wire.Snapshot  // replaces the stored snapshot and log and the applied state; nil: none
+	Records          []*wire.Record  // records to append to the log, after Snapshot if there is one
+	Messages         []*wire.Message // messages to send once Snapshot and Records are on disk
+	CommittedEntries []*wire.Entry   // entries to apply, in the order of the log
+	ConfirmedReads   []uint64        // ids of reads that may be served from the state after CommittedEntries
+	AbortedReads     []uint64        // ids of reads that this member can no longer confirm
 }
 
-type role int
+// Core is the Raft state machine of one member. It isn't safe for concurrent use.
+//
+// Invariants: snapshot.Index <= applied <= commit <= lastIndex(); hardState is what the last record
+// of it says; log holds the entries snapshot.Index+1 to lastIndex() without a gap.
+type Core struct {
+	cfg Config
 
-const (
-	follower     role = iota
-	preCandidate      // asks whether it would win, before it takes a new term
-	candidate
-	leader
-)
+	// Persistent state, as the records in ready leave it (paper, figure 2).
+	hardState *wire.HardState
+	snapshot  *wire.Snapshot
+	log       []*wire.Entry // entries after snapshot
 
-// unknownVote marks a term in which this member may have voted before it lost its disk.
-const unknownVote = "-"
+	trailing []*wire.Entry     // entries up to snapshot.Index that are kept for lagging followers
+	incoming *incomingSnapshot // snapshot that is being received; nil: none
+	commit   uint64            // highest index known to be committed
+	applied  uint64            // highest index handed to the driver
 
-type pendingRead struct{ id, sequence, index uint64 }
+	role              role
+	leader            string // name of the leader of the current term; empty: unknown
+	ticks             int    // calls of Tick since New
+	electionElapsed   int    // ticks since the election timer was reset
+	electionTimeout   int    // randomized timeout that electionElapsed is compared with
+	heartbeatElapsed  int    // ticks since the last heartbeat
+	lastLeaderContact int    // value of ticks at the last contact with a leader
+	votes             map[string]bool
 
-// Core is one member of one shard.
-type Core struct {
-	cfg                   Config
-	hardState             *wire.HardState
-	snapshot              *wire.Snapshot
-	log                   []*wire.Entry // what follows the snapshot
-	trailing              []*wire.Entry // entries up to the snapshot that are still kept for followers
-	incoming              *incomingSnapshot
-	commit                uint64
-	applied               uint64
-	role                  role
-	leader                string
-	electionElapsed       int // ticks since a leader was heard
-	electionTimeout       int
-	heartbeatElapsed      int
-	ticks                 int // since this core was made
-	lastLeaderContact     int // tick in which a leader was heard last
-	votes                 map[string]bool
-	peers                 map[string]*peerProgress
-	peerStates            map[string]*wire.Message // states received while blank
-	peerGenerations       map[string]uint64        // generations of its name that the others know, received while blank
-	generation            uint64                   // generation that it asks to be known under; 0: none yet
-	readSequence          uint64
-	pendingReads          []pendingRead
-	lastReadID            uint64
-	rejoinFailure         string
-	voters                voterSet // the newest in the log; with fixed members always the same
-	learnerHeartbeatCount int      // heartbeats since learners were sent anything
-	ready                 Ready
+	voters                voterSet                 // the newest in the log, committed or not
+	peers                 map[string]*peerProgress // of a leader: its voters but itself, and its learners
+	learnerHeartbeatCount int                      // heartbeats of this leader, for the ones that learners get
+
+	readSequence uint64 // sequence number of the newest read, carried by every append request
+	pendingReads []pendingRead
+	lastReadID   uint64
+
+	// Rejoining after a lost disk, with fixed members only (rejoin.go).
+	generation      uint64                   // generation that this member rejoins under; 0: not chosen yet
+	peerGenerations map[string]uint64        // by peer: the generation of this member's name that it knows
+	peerStates      map[string]*wire.Message // by peer: its state, sent under the chosen generation
+	rejoinFailure   string                   // why rejoining can't complete; empty: it can
+
+	ready Ready
 }
 
-// New makes a member from what its disk held. There must be a snapshot: a first start stores a blank
-// one under a new incarnation.
+// New returns the core of a member whose disk holds a snapshot and the records after it. The snapshot
+// must not be nil: on first start the driver stores a BlankSnapshot, BootstrapSnapshot or LearnerSnapshot.
 //
 // Example: c := consensus.New(cfg, snapshot, records)
 func New(cfg Config, snapshot *wire.Snapshot, records []*wire.Record) *Core {
 	c := &Core{cfg: cfg, snapshot: snapshot, hardState: snapshot.HardState, commit: snapshot.Index, applied: snapshot.Index,
 		peers: map[string]*peerProgress{}, peerStates: map[string]*wire.Message{}, peerGenerations: map[string]uint64{}}
-	c.reloadMembership()
-	for _, r := range records {
-		switch k := r.Kind.(type) {
-		case *wire.Record_HardState:
-			c.hardState = k.HardState
-		case *wire.Record_Entry:
-			c.appendEntry(k.Entry)
-		case *wire.Record_Cut:
-			c.truncate(k.Cut)
-		}
-	}
+	c.reloadVoters()
+	c.replay(records)
 	c.resetElectionTimer()
 	if c.justStarted() {
 		c.electionTimeout = 1
@@ -102,146 +102,72 @@
 	return c
 }
 
-// BlankSnapshot is the first snapshot of a disk that was empty.
-//
-// Example: err := store.SaveSnapshot(consensus.BlankSnapshot("core-1/9f3a"), nil)
-func BlankSnapshot(incarnation string) *wire.Snapshot {
-	return &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: incarnation}}
-}
-
-func (c *Core) saveHardState(term uint64, vote string) {
-	c.hardState = &wire.HardState{Term: term, Vote: vote, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState, KnownIncarnations: c.hardState.KnownIncarnations}
-	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_HardState{HardState: c.hardState}})
-}
-
-func (c *Core) send(message *wire.Message) {
-	message.Shard, message.From, message.Incarnation, message.DiskState = c.cfg.Shard, c.cfg.Self, c.hardState.Incarnation, c.hardState.DiskState
-	if message.Term == 0 {
-		message.Term = c.hardState.Term
-	}
-	c.ready.Messages = append(c.ready.Messages, message)
-}
-
-func (c *Core) forEachPeer(f func(string)) {
-	for _, peer := range c.voters.names {
-		if peer != c.cfg.Self {
-			f(peer)
-		}
-	}
-}
-
-// hasQuorum reports whether a majority of the members passes, this one counted where it is a member.
-func (c *Core) hasQuorum(pass func(peer string) bool) bool {
-	n := 0
-	for _, peer := range c.voters.names {
-		if peer == c.cfg.Self || pass(peer) {
-			n++
+// replay applies the records of a log to the hard state and the log in memory.
+func (c *Core) replay(records []*wire.Record) {
+	for _, record := range records {
+		switch kind := record.Kind.(type) {
+		case *wire.Record_HardState:
+			c.hardState = kind.HardState
+		case *wire.Record_Entry:
+			c.appendEntry(kind.Entry)
+		case *wire.Record_Cut:
+			c.truncate(kind.Cut)
 		}
 	}
-	return 2*n > len(c.voters.names)
 }
 
-func (c *Core) hasElectionQuorum() bool {
-	return c.hasQuorum(func(peer string) bool { return c.votes[peer] })
+// BlankSnapshot returns the first snapshot of a fixed member whose disk was empty. The incarnation tells
+// it apart from earlier members of its name; the member doesn't vote before it has rejoined.
+//
+// Example: err := store.SaveSnapshot(consensus.BlankSnapshot("core-1/9f3a"), nil)
+func BlankSnapshot(incarnation string) *wire.Snapshot {
+	return &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: incarnation}}
 }
 
-// Tick moves the member's time on by one.
+// Tick advances the member's logical clock by one.
 //
 // Example: c.Tick(); drive(c.Ready())
 func (c *Core) Tick() {
 	c.heartbeatElapsed++
 	c.ticks++
-	if c.hardState.DiskState == wire.DiskState_DISK_BLANK {
-		if c.heartbeatElapsed%(2*c.cfg.HeartbeatTicks) == 1 {
-			c.requestState()
-		}
-		return
-	}
-	if c.role == leader {
-		for _, progress := range c.peers {
-			progress.ticksSinceResponse++
-			progress.contactAge++
-		}
-		if !c.hasQuorum(func(peer string) bool { return c.peers[peer].contactAge < 2*c.cfg.ElectionTicks }) {
-			c.becomeFollower(c.hardState.Term, "")
-			return
-		}
-		if c.heartbeatElapsed >= c.cfg.HeartbeatTicks {
-			c.heartbeatElapsed = 0
-			c.forEachPeer(func(peer string) { c.replicate(peer, true) })
-			c.replicateToLearners()
-		}
-		return
-	}
-	if c.electionElapsed++; c.electionElapsed >= c.electionTimeout && c.IsVoter(c.cfg.Self) {
-		c.campaign(preCandidate)
+	switch {
+	case c.isBlank():
+		c.tickBlank()
+	case c.role == leader:
+		c.tickLeader()
+	default:
+		c.tickElection()
 	}
 }
 
-// becomeFollower follows a leader, or none yet; a later term is persisted with its vote unused.
-func (c *Core) becomeFollower(term uint64, leaderName string) {
-	if term > c.hardState.Term {
-		c.saveHardState(term, "")
-	}
-	if c.role == leader {
-		for _, r := range c.pendingReads {
-			c.ready.AbortedReads = append(c.ready.AbortedReads, r.id)
-		}
-		c.pendingReads = nil
-		for _, progress := range c.peers {
-			progress.transfer = nil // its snapshot is freed
-		}
-	}
-	if leaderName != "" {
-		c.lastLeaderContact = c.ticks // before the timer: one that hears a leader isn't in haste any more
-	}
-	if c.role != follower || leaderName != "" {
-		c.resetElectionTimer()
+// tickLeader sends heartbeats. A leader that a quorum hasn't responded to for two election timeouts
+// steps down, so that its clients turn to a leader that can commit (thesis, section 6.2).
+func (c *Core) tickLeader() {
+	for _, progress := range c.peers {
+		progress.ticksSinceResponse++
+		progress.contactAge++
 	}
-	c.role, c.leader = follower, leaderName
-}
-
-// campaign asks the peers for their votes: first whether it would win (a pre-vote, which changes
-// nothing), then in a new term.
-func (c *Core) campaign(as role) {
-	c.resetElectionTimer()
-	c.role, c.leader, c.votes = as, "", map[string]bool{c.cfg.Self: true}
-	kind, term := wire.MessageKind_PRE_VOTE_REQUEST, c.hardState.Term+1
-	if as == candidate {
-		kind = wire.MessageKind_VOTE_REQUEST
-		c.saveHardState(term, c.cfg.Self)
+	if !c.hasQuorum(func(voter string) bool { return c.peers[voter].contactAge < 2*c.cfg.ElectionTicks }) {
+		c.becomeFollower(c.hardState.Term, "")
+		return
 	}
-	c.forEachPeer(func(peer string) {
-		c.send(&wire.Message{To: peer, Kind: kind, Term: term, Index: c.lastIndex(), LogTerm: c.lastTerm()})
-	})
-	switch {
-	case !c.hasElectionQuorum(): // more votes are needed than its own
-	case as == preCandidate:
-		c.campaign(candidate)
-	default:
-		c.becomeLeader()
+	if c.heartbeatElapsed >= c.cfg.HeartbeatTicks {
+		c.heartbeatElapsed = 0
+		c.forEachPeer(func(peer string) { c.replicate(peer, true) })
+		c.replicateToLearners()
 	}
 }
 
-func (c *Core) becomeLeader() {
-	c.role, c.leader, c.heartbeatElapsed, c.incoming = leader, c.cfg.Self, 0, nil
-	clear(c.peers)
-	c.forEachPeer(func(peer string) { c.peers[peer] = c.progressAtElection(peer) })
-	c.proposeEntry(nil, c.voters.namesOnWire(c.cfg.DynamicMembership)) // an entry of its own term, so that earlier ones commit
-}
-
-func (c *Core) proposeEntry(body []byte, members []string) uint64 {
-	entry := &wire.Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Body: body, Members: members}
-	c.appendEntry(entry)
-	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: entry}})
-	c.forEachPeer(func(peer string) { c.replicate(peer, false) })
-	if len(c.voters.names) == 1 {
-		c.advanceCommit() // nobody else is asked
+// tickElection starts a pre-vote once the election timer has run out.
+func (c *Core) tickElection() {
+	if c.electionElapsed++; c.electionElapsed >= c.electionTimeout && c.IsVoter(c.cfg.Self) {
+		c.campaign(preCandidate)
 	}
-	return entry.Index
 }
 
-// Propose adds a command where this member leads; false elsewhere.
+// Propose appends a command to the log of a leader. It returns the entry's index and term; ok is false
+// where this member isn't the leader. The command is committed once an entry of that index and term is
+// among Ready.CommittedEntries; an entry of another term in its place means that it was overwritten.
 //
 // Example: index, term, ok := c.Propose(body)
 func (c *Core) Propose(body []byte) (index, term uint64, ok bool) {
@@ -251,24 +177,22 @@
 	return c.proposeEntry(body, nil), c.hardState.Term, true
 }
 
-// ReadIndex begins a read that sees all that was acknowledged before it; its id comes back in
-// Ready.ConfirmedReads once a quorum has confirmed that this member still leads.
-//
-// Example: id, ok := c.ReadIndex()
-func (c *Core) ReadIndex() (uint64, bool) {
-	if t, _ := c.termAt(c.commit); c.role != leader || t != c.hardState.Term {
-		return 0, false
+// proposeEntry appends an entry with a command or a voter set to the leader's log and replicates it.
+func (c *Core) proposeEntry(body []byte, members []string) uint64 {
+	entry := &wire.Entry{Index: c.lastIndex() + 1, Term: c.hardState.Term, Body: body, Members: members}
+	c.appendEntry(entry)
+	c.persistEntry(entry)
+	c.forEachPeer(func(peer string) { c.replicate(peer, false) })
+	if len(c.voters.names) == 1 {
+		c.advanceCommit() // no response will trigger it
 	}
-	c.lastReadID++
-	c.readSequence++
-	c.pendingReads = append(c.pendingReads, pendingRead{c.lastReadID, c.readSequence, c.commit})
-	c.forEachPeer(func(peer string) { c.replicate(peer, true) })
-	return c.lastReadID, true
+	return entry.Index
 }
 
-// Ready hands over what the steps since the last Ready ask for.
+// Ready returns what the steps since the last call ask of the driver, which has to carry it out
+// completely before the next Step, Tick or proposal.
 //
-// Example: o := c.Ready()
+// Example: ready := c.Ready()
 func (c *Core) Ready() Ready {
 	if c.commit > c.applied {
 		for _, entry := range c.entriesFrom(c.applied + 1) {
@@ -285,14 +209,48 @@
 	return ready
 }
 
-func (c *Core) confirmReads() {
-	var stay []pendingRead
-	for _, r := range c.pendingReads {
-		if c.applied >= r.index && c.hasQuorum(func(peer string) bool { return c.peers[peer].ackedReadSequence >= r.sequence }) {
-			c.ready.ConfirmedReads = append(c.ready.ConfirmedReads, r.id)
-		} else {
-			stay = append(stay, r)
+// saveHardState persists a term and the vote given in it.
+func (c *Core) saveHardState(term uint64, vote string) {
+	c.persistHardState(&wire.HardState{Term: term, Vote: vote, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState, KnownIncarnations: c.hardState.KnownIncarnations})
+}
+
+func (c *Core) persistHardState(hardState *wire.HardState) {
+	c.hardState = hardState
+	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_HardState{HardState: hardState}})
+}
+
+func (c *Core) persistEntry(entry *wire.Entry) {
+	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: entry}})
+}
+
+// send queues a message under this member's name and incarnation, in the current term unless the message
+// has a term of its own.
+func (c *Core) send(message *wire.Message) {
+	message.Shard, message.From, message.Incarnation, message.DiskState = c.cfg.Shard, c.cfg.Self, c.hardState.Incarnation, c.hardState.DiskState
+	if message.Term == 0 {
+		message.Term = c.hardState.Term
+	}
+	c.ready.Messages = append(c.ready.Messages, message)
+}
+
+// forEachPeer calls f for each voter but this member.
+func (c *Core) forEachPeer(f func(peer string)) {
+	for _, voter := range c.voters.names {
+		if voter != c.cfg.Self {
+			f(voter)
+		}
+	}
+}
+
+// hasQuorum reports whether a majority of the voters satisfies a condition. This member does by
+// definition, but counts only where it is a voter: a leader that has proposed its own removal doesn't
+// (thesis, section 4.2.2).
+func (c *Core) hasQuorum(satisfies func(voter string) bool) bool {
+	count := 0
+	for _, voter := range c.voters.names {
+		if voter == c.cfg.Self || satisfies(voter) {
+			count++
 		}
 	}
-	c.pendingReads = stay
+	return 2*count > len(c.voters.names)
 }
--- /dev/null
+++ b/internal/control/consensus/learner.go
@@ -0,0 +1,93 @@
+package consensus
+
+import (
+	"slices"
+
+	"pebbleloom/internal/wire"
+)
+
+// Learners receive the committed entries without being voters (thesis, section 4.2.1). A process joins a
+// group as a learner, and stays one as a spare until the driver proposes it as a voter.
+
+const (
+	// learnerTimeoutElections is the time without a response after which the leader drops a learner,
+	// in election timeouts. A dropped learner has to join again.
+	learnerTimeoutElections = 6
+
+	// learnerHeartbeats is the number of heartbeats between two requests to a learner that has caught
+	// up. To one that hasn't, which a membership change may wait for, requests go at each heartbeat.
+	learnerHeartbeats = 3
+
+	// maxLearners bounds the learners of a leader, and so what it sends.
+	maxLearners = 64
+)
+
+// LearnerSnapshot returns the first snapshot of a process that joins a group with an empty disk.
+//
+// Example: consensus.LearnerSnapshot("10.1.0.17:7360/8f3a")
+func LearnerSnapshot(self string) *wire.Snapshot { return BootstrapSnapshot(self, nil) }
+
+// AddLearner makes the leader replicate to a process that isn't a voter. It returns false where this
+// member isn't the leader, or has the maximum of learners.
+//
+// Example: if c.AddLearner("10.1.0.17:7360/8f3a") { drive(c.Ready()) }
+func (c *Core) AddLearner(name string) bool {
+	if c.role != leader || name == c.cfg.Self {
+		return false
+	}
+	if c.peers[name] != nil {
+		return true
+	}
+	if len(c.learners()) >= maxLearners {
+		return false
+	}
+	progress := c.newProgress(name)
+	progress.next = c.commit + 1
+	c.peers[name] = progress
+	c.replicate(name, true)
+	return true
+}
+
+// RemoveLearner stops replication to a learner. It has no effect on voters.
+//
+// Example: c.RemoveLearner("10.1.0.17:7360/8f3a")
+func (c *Core) RemoveLearner(name string) {
+	if !c.IsVoter(name) {
+		delete(c.peers, name)
+	}
+}
+
+// replicationLimit returns the index of the last entry that a peer may be sent: to learners only
+// committed ones.
+func (c *Core) replicationLimit(peer string) uint64 {
+	if c.cfg.DynamicMembership && !c.IsVoter(peer) {
+		return c.commit
+	}
+	return c.lastIndex()
+}
+
+// replicateToLearners sends the learners their share of a heartbeat, and drops silent ones.
+func (c *Core) replicateToLearners() {
+	if !c.cfg.DynamicMembership {
+		return
+	}
+	c.learnerHeartbeatCount++
+	for _, learner := range c.learners() {
+		if c.peers[learner].ticksSinceResponse > learnerTimeoutElections*c.cfg.ElectionTicks {
+			delete(c.peers, learner)
+		} else if c.learnerHeartbeatCount%learnerHeartbeats == 0 || !c.isNearCommit(c.peers[learner].match) {
+			c.replicate(learner, true)
+		}
+	}
+}
+
+// learners returns the names of the learners, sorted.
+func (c *Core) learners() (names []string) {
+	for peer := range c.peers {
+		if !c.IsVoter(peer) {
+			names = append(names, peer)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -2,10 +2,11 @@
 
 import "pebbleloom/internal/wire"
 
-// The log in memory is a tail of entries that the snapshot already holds, then the entries behind
-// the snapshot. The tail serves followers that lag a little: without it every compaction would send
-// each of them a whole snapshot. It is not stored; a member begins without one after a restart.
+// The log in memory consists of trailing entries, which the snapshot includes already, and the entries
+// after the snapshot. The trailing entries serve followers that lag a little: without them each
+// compaction would send every such follower a snapshot. They aren't stored; after a restart there are none.
 
+// lastIndex returns the index of the last entry, or of the snapshot where none follows it.
 func (c *Core) lastIndex() uint64 {
 	if n := len(c.log); n > 0 {
 		return c.log[n-1].Index
@@ -13,32 +14,24 @@
 	return c.snapshot.Index
 }
 
-// termAt returns the term of the entry at an index; false if it is neither in the log nor in the tail.
+// lastTerm returns the term of the last entry.
+func (c *Core) lastTerm() uint64 {
+	term, _ := c.termAt(c.lastIndex())
+	return term
+}
+
+// termAt returns the term of the entry at an index; false if it is compacted or not in the log yet.
 func (c *Core) termAt(index uint64) (uint64, bool) {
-	switch {
-	case index == c.snapshot.Index:
+	if index == c.snapshot.Index {
 		return c.snapshot.Term, true
-	case index > c.lastIndex():
-		return 0, false
-	case index > c.snapshot.Index:
-		return c.log[index-c.snapshot.Index-1].Term, true
-	case len(c.trailing) > 0 && index >= c.trailing[0].Index:
-		return c.trailing[index-c.trailing[0].Index].Term, true
 	}
-	return 0, false
-}
-
-func (c *Core) lastTerm() uint64 { term, _ := c.termAt(c.lastIndex()); return term }
-
-// entriesFrom returns the entries from an index on that follow the snapshot.
-func (c *Core) entriesFrom(index uint64) []*wire.Entry {
-	if index > c.lastIndex() {
-		return nil
+	if entry := c.entryAt(index); entry != nil {
+		return entry.Term, true
 	}
-	return c.log[index-c.snapshot.Index-1:]
+	return 0, false
 }
 
-// entryAt returns an entry of the tail or the log; nil if neither holds it.
+// entryAt returns the entry at an index from the log or the trailing entries; nil if neither has it.
 func (c *Core) entryAt(index uint64) *wire.Entry {
 	switch {
 	case index > c.lastIndex():
@@ -51,40 +44,51 @@
 	return nil
 }
 
+// entriesFrom returns the entries from an index on. The index must be after the snapshot.
+func (c *Core) entriesFrom(index uint64) []*wire.Entry {
+	if index > c.lastIndex() {
+		return nil
+	}
+	return c.log[index-c.snapshot.Index-1:]
+}
+
+// appendEntry appends an entry in memory; one that doesn't continue the log is ignored. A voter set that
+// it names takes effect at once (thesis, section 4.1).
 func (c *Core) appendEntry(entry *wire.Entry) {
 	if entry.Index == c.lastIndex()+1 {
 		c.log = append(c.log, entry)
-		c.applyMembership(entry)
+		c.applyVoters(entry)
 	}
 }
 
+// truncate removes the entries from an index on, and with them the voter sets that they name.
 func (c *Core) truncate(index uint64) {
 	if index > c.snapshot.Index && index <= c.lastIndex() {
 		end := index - c.snapshot.Index - 1
-		c.log = c.log[:end:end]
-		c.reloadMembership()
+		c.log = c.log[:end:end] // so that an append doesn't overwrite entries that messages share
+		c.reloadVoters()
 	}
 }
 
-// Compact replaces the log up to what is applied by a snapshot of the state; the driver stores the
-// snapshot with the records that stay.
+// Compact replaces the applied entries by a snapshot of the state that results from them (paper, section
+// 7). The driver must store the snapshot together with the records that remain.
 //
-// Example: snapshot, rest := c.Compact(state)
+// Example: snapshot, records := c.Compact(state)
 func (c *Core) Compact(state []byte) (*wire.Snapshot, []*wire.Record) {
-	t, _ := c.termAt(c.applied)
+	term, _ := c.termAt(c.applied)
 	compacted := c.log[:c.applied-c.snapshot.Index]
-	stay := append([]*wire.Entry(nil), c.entriesFrom(c.applied+1)...)
-	at := c.membershipAt(c.applied)
-	c.retainTrailingLog(compacted, len(state))
-	c.snapshot = &wire.Snapshot{Format: 1, Index: c.applied, Term: t, HardState: c.hardState, State: state,
-		Members: at.namesOnWire(c.cfg.DynamicMembership), MembersIndex: at.index, MembersTerm: at.term}
-	c.log = stay
-	return c.snapshot, entryRecords(stay)
+	remaining := append([]*wire.Entry(nil), c.entriesFrom(c.applied+1)...)
+	voters := c.votersAt(c.applied)
+	c.retainTrailing(compacted, len(state))
+	c.snapshot = &wire.Snapshot{Format: 1, Index: c.applied, Term: term, HardState: c.hardState, State: state,
+		Members: voters.namesOnWire(c.cfg.DynamicMembership), MembersIndex: voters.index, MembersTerm: voters.term}
+	c.log = remaining
+	return c.snapshot, entryRecords(remaining)
 }
 
-// retainTrailingLog keeps the newest compacted entries, up to TrailingLogBytes or the size of the state, whichever
-// is more: what a link carries while it carries the state then still has its entries here.
-func (c *Core) retainTrailingLog(compacted []*wire.Entry, stateBytes int) {
+// retainTrailing keeps the newest compacted entries, up to TrailingLogBytes or the size of the state,
+// whichever is more: a follower that has just been sent the state then finds the entries after it here.
+func (c *Core) retainTrailing(compacted []*wire.Entry, stateBytes int) {
 	if c.cfg.TrailingLogBytes == 0 {
 		return
 	}
@@ -97,14 +101,16 @@
 		}
 		first--
 	}
-	c.trailing = append([]*wire.Entry(nil), all[first:]...) // a copy, so that the others are freed
+	c.trailing = append([]*wire.Entry(nil), all[first:]...) // copied, so that the others can be collected
 }
 
-// entryOverhead is about what an entry takes beside its body.
-const entryOverhead = 16
+// entryOverheadBytes is the approximate size of an entry in addition to its body.
+const entryOverheadBytes = 16
 
-func entryBytes(entry *wire.Entry) int { return len(entry.Body) + entryOverhead }
+// entryBytes returns the approximate size of an entry on the wire.
+func entryBytes(entry *wire.Entry) int { return len(entry.Body) + entryOverheadBytes }
 
+// entryRecords returns the records that store entries.
 func entryRecords(entries []*wire.Entry) []*wire.Record {
 	records := make([]*wire.Record, 0, len(entries))
 	for _, entry := range entries {
--- /dev/null
+++ b/internal/control/consensus/progress.go
@@ -0,0 +1,80 @@
+package consensus
+
+import "pebbleloom/internal/wire"
+
+// peerProgress is the leader's view of a voter or learner that it replicates to.
+//
+// Invariant: match < next.
+type peerProgress struct {
+	next  uint64 // index of the next entry to send
+	match uint64 // highest index up to which the peer's log is known to match
+
+	incarnation       string // incarnation that match was acknowledged by
+	ackedReadSequence uint64 // highest readSequence that the peer has echoed
+	acceptsChunks     bool   // its release receives snapshots in chunks
+
+	responded          bool // it has responded in this term
+	ticksSinceResponse int  // ticks since the last response came
+	contactAge         int  // ticks since the newest request was sent that it has responded to
+
+	inFlight       bool // entries or a chunk were sent and not acknowledged yet
+	batchRetryAt   int  // tick from which a large batch in flight may be sent again
+	batchLosses    int  // consecutive large batches that weren't acknowledged in time
+	transfer       *outgoingTransfer
+	snapshotSentAt int // tick in which a snapshot was last sent in one message; 0: never
+}
+
+// newProgress returns the progress of a peer that hasn't responded yet.
+func (c *Core) newProgress(peer string) *peerProgress {
+	progress := &peerProgress{next: c.lastIndex() + 1}
+	if c.cfg.DynamicMembership {
+		progress.incarnation = peer // in a group each incarnation has its own name
+	}
+	return progress
+}
+
+// progressAtElection returns what a new leader knows of a peer. A peer that didn't vote for it counts as
+// silent since the last contact with a leader, so that elections don't postpone the replacement of a
+// member that is down.
+func (c *Core) progressAtElection(peer string) *peerProgress {
+	progress := c.newProgress(peer)
+	if c.cfg.DynamicMembership && !c.votes[peer] {
+		progress.ticksSinceResponse = min(c.ticks-c.lastLeaderContact, c.cfg.ElectionTicks)
+		progress.contactAge = progress.ticksSinceResponse
+	}
+	return progress
+}
+
+// recordResponse updates a peer's progress by a response. It returns nil where the response doesn't count.
+func (c *Core) recordResponse(message *wire.Message) *peerProgress {
+	if c.role != leader || message.Term != c.hardState.Term {
+		return nil
+	}
+	progress := c.peers[message.From]
+	if progress == nil {
+		return nil // removed, or a learner that was dropped: it has to join again
+	}
+	if progress.incarnation != message.Incarnation { // another disk: acknowledgements of the old one are void
+		*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, contactAge: c.requestAge(message), responded: true, acceptsChunks: message.AcceptsPieces}
+		c.replicate(message.From, true)
+		return nil
+	}
+	if progress.ticksSinceResponse >= c.responseTimeout(message.From) { // it was down: what was in flight is lost
+		progress.inFlight, progress.batchRetryAt = false, 0
+	}
+	if progress.ticksSinceResponse >= max(c.responseTimeout(message.From), c.cfg.ElectionTicks) {
+		progress.batchLosses = 0 // they were caused by the peer, not by its link
+	}
+	progress.ticksSinceResponse, progress.contactAge, progress.responded = 0, min(progress.contactAge, c.requestAge(message)), true
+	progress.ackedReadSequence = max(progress.ackedReadSequence, message.Probe)
+	return progress
+}
+
+// responseTimeout returns the ticks without a response after which a peer counts as down. A peer that
+// responds to every heartbeat never reaches it.
+func (c *Core) responseTimeout(peer string) int {
+	if c.IsVoter(peer) {
+		return 2 * c.cfg.HeartbeatTicks
+	}
+	return 2 * learnerHeartbeats * c.cfg.HeartbeatTicks
+}
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -2,39 +2,35 @@
 
 import "pebbleloom/internal/wire"
 
-// peerProgress is what the leader knows of a member or learner that it replicates to.
-type peerProgress struct {
-	next, match        uint64
-	incarnation        string // the incarnation that match was acknowledged by
-	ackedReadSequence  uint64 // highest probe it has echoed
-	ticksSinceResponse int    // ticks since it responded
-	contactAge         int    // ticks since the newest request was sent that it has responded to
-	responded          bool   // it has responded in this term
-	inFlight           bool
-	batchRetryAt       int  // tick up to which a large batch in flight isn't sent again
-	batchLosses        int  // large batches that got no response in time, one after another
-	acceptsChunks      bool // its release takes snapshots in pieces
-	transfer           *outgoingTransfer
-	snapshotSentAt     int // tick in which a whole snapshot was sent last, to an older release; 0: never
-}
-
-// A batch of entries of largeBatchBytes or more isn't sent again at each heartbeat, but once the driver says
-// that it was lost or no response has come in the time that a link of assumedLinkBytesPerTick takes, longer
-// after each loss: on a slow link copies would queue up faster than they leave.
+// Large batches aren't sent again at each heartbeat, as small ones are: on a slow link duplicates would
+// be queued faster than they are transmitted. A large batch is retried once the driver reports it as
+// lost, or after batchTimeout without a response.
 const (
-	largeBatchBytes           = 16 << 10
-	assumedLinkBytesPerTick   = 8 << 10
-	maxBatchTimeoutElections  = 8 // times ElectionTicks
+	// largeBatchBytes is the size from which a batch counts as large. A smaller one takes less than
+	// a heartbeat even on a slow link.
+	largeBatchBytes = 16 << 10
+
+	// assumedLinkBytesPerTick is the throughput of the slowest link that time-outs are made for, in bytes
+	// per tick. Larger values detect losses earlier, and send duplicates on slower links.
+	assumedLinkBytesPerTick = 8 << 10
+
+	// maxBatchTimeoutElections bounds batchTimeout, in election timeouts.
+	maxBatchTimeoutElections = 8
+
+	// batchLossesBeforeSnapshot is the number of consecutive losses after which the entries are
+	// replaced by a snapshot, which is sent in chunks.
 	batchLossesBeforeSnapshot = 2
 )
 
-// batchTimeout is how many ticks a response to so many bytes may take.
+// batchTimeout returns how many ticks a response to a batch of size bytes may take. It doubles with
+// each consecutive loss.
 func (c *Core) batchTimeout(size, losses int) int {
-	pause := (c.cfg.ElectionTicks + size/assumedLinkBytesPerTick) << min(losses, maxBatchTimeoutElections)
-	return min(pause, maxBatchTimeoutElections*c.cfg.ElectionTicks)
+	timeout := (c.cfg.ElectionTicks + size/assumedLinkBytesPerTick) << min(losses, maxBatchTimeoutElections)
+	return min(timeout, maxBatchTimeoutElections*c.cfg.ElectionTicks)
 }
 
-// replicate sends a peer what it lacks; at a heartbeat also when it lacks nothing.
+// replicate sends a peer the entries that it lacks, or a snapshot where they are compacted. At a heartbeat
+// it sends a request in any case, otherwise only if nothing is in flight.
 func (c *Core) replicate(peer string, heartbeat bool) {
 	progress := c.peers[peer]
 	if progress.inFlight && !heartbeat {
@@ -66,11 +62,13 @@
 	c.sendAppend(peer, prev, prevTerm, entries)
 }
 
+// sendAppend sends an append request (paper, section 5.3); without entries it is a heartbeat.
 func (c *Core) sendAppend(peer string, prev, prevTerm uint64, entries []*wire.Entry) {
 	c.send(&wire.Message{To: peer, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 }
 
-// batchFor returns the entries to send from an index on, one at least if there is one, and their size.
+// batchFor returns the entries to send from an index on, at least one if there is any, and their size in
+// bytes.
 func (c *Core) batchFor(peer string, from uint64) (entries []*wire.Entry, size int) {
 	for index := from; index <= c.replicationLimit(peer); index++ {
 		entry := c.entryAt(index)
@@ -83,26 +81,23 @@
 	return entries, size
 }
 
-// responseTimeout is how many ticks go by without a response from a peer that is gone, and not from one
-// that responds to every heartbeat.
-func (c *Core) responseTimeout(peer string) int {
-	if c.IsVoter(peer) {
-		return 2 * c.cfg.HeartbeatTicks
-	}
-	return 2 * learnerHeartbeats * c.cfg.HeartbeatTicks
-}
-
-// countBatchLoss counts a large batch that was lost while the peer could be heard: its link is too slow.
+// countBatchLoss counts a large batch that was lost although the peer responds: its link is too slow.
 func (c *Core) countBatchLoss(peer string, progress *peerProgress) {
 	if progress.ticksSinceResponse < max(c.responseTimeout(peer), c.cfg.ElectionTicks) {
 		progress.batchLosses++
 	}
 }
 
-// ReportSendFailure says that the driver gave up sending a message. What it carried is sent again at the
-// next heartbeat, a snapshot in smaller pieces.
+// tooLargeForLink reports whether large batches to a peer were lost so often that its link can't carry
+// them, and the snapshot, which is sent in chunks, has their entries.
+func (c *Core) tooLargeForLink(progress *peerProgress) bool {
+	return progress.batchLosses >= batchLossesBeforeSnapshot && progress.acceptsChunks && progress.next <= c.snapshot.Index
+}
+
+// ReportSendFailure tells the core that the driver has given up sending a message. Its content is sent
+// again at the next heartbeat, a snapshot in smaller chunks.
 //
-// Example: c.ReportSendFailure(m); drive(c.Ready())
+// Example: c.ReportSendFailure(message); drive(c.Ready())
 func (c *Core) ReportSendFailure(message *wire.Message) {
 	progress := c.peers[message.To]
 	if c.role != leader || progress == nil || message.Term != c.hardState.Term || !progress.inFlight {
@@ -119,52 +114,23 @@
 	}
 }
 
-// tooLargeForLink tells whether a batch was lost so often that the link can't carry it whole; the
-// snapshot holds it already, and is sent in pieces.
-func (c *Core) tooLargeForLink(progress *peerProgress) bool {
-	return progress.batchLosses >= batchLossesBeforeSnapshot && progress.acceptsChunks && progress.next <= c.snapshot.Index
-}
-
-// sendSnapshot begins to bring a peer up to the snapshot, because the entries that it lacks
-// are in the log no more.
+// sendSnapshot brings a peer up to the snapshot, because the entries that it lacks are compacted. A peer
+// that hasn't responded is sent a heartbeat first: it may be down, and its response says whether its
+// release receives chunks. Older releases get the snapshot in one message.
 func (c *Core) sendSnapshot(peer string, progress *peerProgress) {
 	switch {
-	case !progress.responded: // it may be dead, or of an older release: its response says
+	case !progress.responded:
 		c.sendAppend(peer, c.snapshot.Index, c.snapshot.Term, nil)
 	case progress.acceptsChunks:
 		c.beginTransfer(peer, progress)
-	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // it is on its way
+	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // still in flight
 	default:
 		progress.snapshotSentAt, progress.inFlight = c.ticks, true
 		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 	}
 }
 
-// recordResponse notes a response of this term; nil if it doesn't count.
-func (c *Core) recordResponse(message *wire.Message) *peerProgress {
-	if c.role != leader || message.Term != c.hardState.Term {
-		return nil
-	}
-	progress := c.peers[message.From]
-	if progress == nil {
-		return nil // removed, or a learner that isn't known any more: it asks again
-	}
-	if progress.incarnation != message.Incarnation { // another disk: what the old one had acknowledged counts no more
-		*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, contactAge: c.requestAge(message), responded: true, acceptsChunks: message.AcceptsPieces}
-		c.replicate(message.From, true)
-		return nil
-	}
-	if progress.ticksSinceResponse >= c.responseTimeout(message.From) { // it is back: what was in flight is lost
-		progress.inFlight, progress.batchRetryAt = false, 0
-	}
-	if progress.ticksSinceResponse >= max(c.responseTimeout(message.From), c.cfg.ElectionTicks) {
-		progress.batchLosses = 0 // they were the peer's, not the link's
-	}
-	progress.ticksSinceResponse, progress.contactAge, progress.responded = 0, min(progress.contactAge, c.requestAge(message)), true
-	progress.ackedReadSequence = max(progress.ackedReadSequence, message.Probe)
-	return progress
-}
-
+// handleAppendResponse advances a peer's progress and the commit index, and sends what follows.
 func (c *Core) handleAppendResponse(message *wire.Message) {
 	progress := c.recordResponse(message)
 	if progress == nil {
@@ -190,31 +156,34 @@
 	}
 }
 
-// handleRejection steps back to an entry that the peer may hold.
+// handleRejection moves next back to where the peer's log may match, and retries from there (paper,
+// section 5.3).
 func (c *Core) handleRejection(message *wire.Message, progress *peerProgress) {
 	if progress.transfer != nil {
-		return // the transfer brings it up
+		return // the transfer will bring it up to the snapshot
 	}
 	progress.inFlight = false
 	if c.cfg.DynamicMembership && message.Index < progress.match {
-		return // it has lost what it had acknowledged, which nobody may: asked again at the next heartbeat, not at once
+		return // it has lost entries that it had acknowledged, which must not happen: retried at the next heartbeat, not in a loop
 	}
 	progress.next = max(progress.match+1, min(progress.next-1, message.Index+1))
 	progress.batchRetryAt = 0
 	c.replicate(message.From, true)
 }
 
-// advanceCommit commits what a quorum holds, if it is of this term.
+// advanceCommit commits the highest entry of the current term that a quorum has. Entries of earlier
+// terms are only committed along with it (paper, section 5.4.2). A leader that isn't a voter any more
+// steps down once its removal is committed (thesis, section 4.2.2).
 func (c *Core) advanceCommit() {
-	for i := c.lastIndex(); i > c.commit; i-- {
-		if t, _ := c.termAt(i); t != c.hardState.Term {
+	for index := c.lastIndex(); index > c.commit; index-- {
+		if term, _ := c.termAt(index); term != c.hardState.Term {
 			return
 		}
-		if c.hasQuorum(func(peer string) bool { return c.peers[peer].match >= i }) {
-			c.commit = i
+		if c.hasQuorum(func(voter string) bool { return c.peers[voter].match >= index }) {
+			c.commit = index
 			c.forEachPeer(func(peer string) { c.replicate(peer, true) })
 			if !c.IsVoter(c.cfg.Self) && c.voters.index <= c.commit {
-				c.becomeFollower(c.hardState.Term, "") // its own removal is done
+				c.becomeFollower(c.hardState.Term, "")
 			}
 			return
 		}
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -8,41 +8,55 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxSnapshotBytes bounds what a member gathers of a snapshot: the state's own bound, twice.
+// maxSnapshotBytes bounds the memory for a snapshot that is being received. It is twice the bound that
+// the driver sets on its state.
 const maxSnapshotBytes = 16 << 20
 
-// incomingSnapshot is what a member holds of a snapshot that it gets in pieces. There is at most one.
+// incomingSnapshot is a snapshot that is being received in chunks (paper, section 7). A member receives at
+// most one at a time.
 type incomingSnapshot struct {
-	snapshot   *wire.Snapshot // without state
-	totalBytes uint64
-	checksum   uint32 // of the whole state
-	received   []byte // its front
-	leaderTerm uint64 // of the leader that sent a piece of it last
+	snapshot   *wire.Snapshot // without its state
+	totalBytes uint64         // size of the state
+	checksum   uint32         // CRC-32C of the state
+	received   []byte         // the first bytes of the state
+	leaderTerm uint64         // term of the leader that sent the last chunk
 }
 
-func (s *incomingSnapshot) matches(message *wire.Message) bool {
-	return s != nil && s.snapshot.Index == message.Snapshot.Index && s.snapshot.Term == message.Snapshot.Term &&
-		s.totalBytes == message.Piece.Total && s.checksum == message.Piece.StateChecksum
+// matches reports whether a request carries a chunk of this snapshot.
+func (s *incomingSnapshot) matches(request *wire.Message) bool {
+	return s != nil && s.snapshot.Index == request.Snapshot.Index && s.snapshot.Term == request.Snapshot.Term &&
+		s.totalBytes == request.Piece.Total && s.checksum == request.Piece.StateChecksum
 }
 
-// handleChunkRequest adds a piece to what is held of its snapshot, and installs that once it is whole.
+// addChunk appends a chunk that continues the received bytes. Any other is a duplicate, or follows one
+// that was lost.
+func (s *incomingSnapshot) addChunk(chunk *wire.SnapshotPiece) {
+	offset := uint64(len(s.received))
+	if chunk.Offset != offset || offset+uint64(len(chunk.Data)) > s.totalBytes || crc32.Checksum(chunk.Data, castagnoliTable) != chunk.Checksum {
+		return
+	}
+	s.received = append(s.received, chunk.Data...)
+}
+
+func (s *incomingSnapshot) isComplete() bool { return uint64(len(s.received)) == s.totalBytes }
+
+// handleChunkRequest receives a chunk of a snapshot, installs the snapshot once it is complete, and
+// responds how much of it is here.
 func (c *Core) handleChunkRequest(message *wire.Message) {
 	if message.Snapshot == nil || message.Piece == nil || message.Piece.Total > maxSnapshotBytes {
 		return
 	}
-	if message.Term < c.hardState.Term {
-		c.sendAppendResponse(message, false, c.lastIndex(), 0) // a leader of the past: the response's term says so
+	if !c.followSender(message) {
 		return
 	}
-	c.becomeFollower(message.Term, message.From)
-	if message.Snapshot.Index <= c.commit { // its entries are held: nothing of it is lacking
+	if message.Snapshot.Index <= c.commit { // the log, or a newer snapshot, holds all of it
 		c.incoming = nil
 		c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
 		return
 	}
 	if !c.incoming.matches(message) {
 		if c.incoming != nil && c.incoming.leaderTerm == message.Term && c.incoming.snapshot.Index >= message.Snapshot.Index {
-			return // late, of a transfer that this leader has given up
+			return // delayed, of a transfer that this leader has given up
 		}
 		c.incoming = &incomingSnapshot{snapshot: message.Snapshot, totalBytes: message.Piece.Total, checksum: message.Piece.StateChecksum}
 	}
@@ -52,54 +66,52 @@
 		c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
 		return
 	}
-	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: message.Snapshot.Index, LogTerm: message.Snapshot.Term, Probe: message.Probe, About: message.Incarnation, SentTick: message.SentTick,
-		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.received)), Total: message.Piece.Total, StateChecksum: message.Piece.StateChecksum}})
+	c.sendChunkResponse(message)
 }
 
-// addChunk takes a piece that continues what is held. Any other is a duplicate, or one was lost before it.
-func (s *incomingSnapshot) addChunk(piece *wire.SnapshotPiece) {
-	held := uint64(len(s.received))
-	if piece.Offset != held || held+uint64(len(piece.Data)) > s.totalBytes || crc32.Checksum(piece.Data, castagnoliTable) != piece.Checksum {
-		return
-	}
-	s.received = append(s.received, piece.Data...)
+// sendChunkResponse responds how many bytes of a snapshot have been received: the next chunk begins there.
+func (c *Core) sendChunkResponse(request *wire.Message) {
+	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: request.Snapshot.Index, LogTerm: request.Snapshot.Term,
+		Probe: request.Probe, About: request.Incarnation, SentTick: request.SentTick,
+		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.received)), Total: request.Piece.Total, StateChecksum: request.Piece.StateChecksum}})
 }
 
-func (s *incomingSnapshot) isComplete() bool { return uint64(len(s.received)) == s.totalBytes }
-
-// installIncoming installs a whole snapshot; false if its checksum is wrong: it is gathered anew.
+// installIncoming installs the snapshot that was received. It returns false if the checksum of the state
+// is wrong, and the state is then received again from its beginning.
 func (c *Core) installIncoming() bool {
 	s := c.incoming
 	if crc32.Checksum(s.received, castagnoliTable) != s.checksum {
 		s.received = nil
 		return false
 	}
-	whole := proto.Clone(s.snapshot).(*wire.Snapshot)
-	whole.State = s.received
-	c.installSnapshot(whole)
+	complete := proto.Clone(s.snapshot).(*wire.Snapshot)
+	complete.State = s.received
+	c.installSnapshot(complete)
 	return true
 }
 
-// installSnapshot replaces snapshot, state and log by those of a leader. One that holds no more than
-// what is committed here is ignored: this member has all of it, and perhaps newer state.
+// installSnapshot replaces snapshot, state and log by a leader's. A snapshot that ends at or before the
+// commit index is ignored: all of it is here, and the applied state may be newer. Entries after the
+// snapshot are kept if the log matches it (paper, section 7).
 func (c *Core) installSnapshot(snapshot *wire.Snapshot) {
 	if snapshot.Index <= c.commit {
 		return
 	}
-	var stay []*wire.Entry
-	if t, ok := c.termAt(snapshot.Index); ok && t == snapshot.Term {
-		stay = append(stay, c.entriesFrom(snapshot.Index+1)...)
+	var kept []*wire.Entry
+	if term, ok := c.termAt(snapshot.Index); ok && term == snapshot.Term {
+		kept = append(kept, c.entriesFrom(snapshot.Index+1)...)
 	}
-	c.restoreSnapshot(snapshot, stay)
+	c.restoreSnapshot(snapshot, kept)
 }
 
-// restoreSnapshot goes by a snapshot and the entries behind it; the member keeps its own hard state.
-func (c *Core) restoreSnapshot(snapshot *wire.Snapshot, stay []*wire.Entry) {
-	own := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, State: snapshot.State, HardState: c.hardState,
+// restoreSnapshot makes a snapshot and the entries after it this member's log. The hard state remains its
+// own. Records of the current step are dropped: the new snapshot has the hard state, and the records
+// that replace them the log.
+func (c *Core) restoreSnapshot(snapshot *wire.Snapshot, entries []*wire.Entry) {
+	restored := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, State: snapshot.State, HardState: c.hardState,
 		Members: snapshot.Members, MembersIndex: snapshot.MembersIndex, MembersTerm: snapshot.MembersTerm}
-	c.snapshot, c.log, c.trailing, c.incoming = own, stay, nil, nil
-	c.commit, c.applied = own.Index, own.Index
-	c.reloadMembership()
-	// What this step has persisted so far is in the snapshot's hard state and the log that stays.
-	c.ready.Snapshot, c.ready.Records, c.ready.CommittedEntries = own, entryRecords(stay), nil
+	c.snapshot, c.log, c.trailing, c.incoming = restored, entries, nil, nil
+	c.commit, c.applied = restored.Index, restored.Index
+	c.reloadVoters()
+	c.ready.Snapshot, c.ready.Records, c.ready.CommittedEntries = restored, entryRecords(entries), nil
 }
--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -40,7 +40,7 @@
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 4, name: "a vote isn't synced",
 		file:        "internal/control/consensus/core.go",
-		original:    "	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_HardState{HardState: c.hardState}})",
-		replacement: "	_ = &wire.Record{}",
+		original:    "	c.persistHardState(&wire.HardState{Term: term, Vote: vote,",
+		replacement: "	c.hardState = (&wire.HardState{Term: term, Vote: vote,",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 )
--- a/internal/control/mutation/point4_test.go
+++ b/internal/control/mutation/point4_test.go
@@ -10,7 +10,7 @@
 		pkg:         "internal/control/consensus", run: "TestDelayedSnapshotMessagesChangeNothing"},
 	mutant{point: 4, name: "a piece is taken out of order",
 		file:        "internal/control/consensus/snapshot_receive.go",
-		original:    "if piece.Offset != held || ",
+		original:    "if chunk.Offset != offset || ",
 		replacement: "if ",
 		pkg:         "internal/control/consensus", run: "TestNonContiguousChunkIsIgnored"},
 	mutant{point: 4, name: "a torn snapshot is accepted",
@@ -24,7 +24,7 @@
 		replacement: "c.incoming.snapshot.Index == message.Snapshot.Index {",
 		pkg:         "internal/control/consensus", run: "TestNewerSnapshotReplacesPartialOne"},
 	mutant{point: 4, name: "each compaction starts a transfer anew",
-		file:     "internal/control/consensus/snapshot_transfer.go",
+		file:     "internal/control/consensus/snapshot_send.go",
 		original: "	case heartbeat:\n",
 		replacement: `	case heartbeat && transfer.snapshot.Index < c.snapshot.Index:
 		c.beginTransfer(peer, progress)
@@ -44,7 +44,7 @@
 		replacement: "c.trailing = nil",
 		pkg:         "internal/control/consensus", run: "TestLaggingFollowerCatchesUpFromTrailingLog"},
 	mutant{point: 4, name: "commit is taken beyond what is held",
-		file:        "internal/control/consensus/messages.go",
+		file:        "internal/control/consensus/append.go",
 		original:    "min(message.Commit, last)",
 		replacement: "message.Commit",
 		pkg:         "internal/control/consensus", run: "TestEntryTooLargeForLinkIsSentAsSnapshot"},
