--- a/internal/control/consensus/append.go
+++ b/internal/control/consensus/append.go
@@ -61,7 +61,7 @@
 		}
 		if exists {
 			c.truncate(entry.Index)
-			c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: entry.Index}})
+			c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_TruncateFrom{TruncateFrom: entry.Index}})
 		}
 		c.appendEntry(entry)
 		c.persistEntry(entry)
@@ -71,5 +71,5 @@
 // sendAppendResponse responds to a leader. With ok the log matches the leader's up to index; without,
 // index is where the leader may try next. probe echoes the request's, and confirms the reads up to it.
 func (c *Core) sendAppendResponse(request *wire.Message, ok bool, index, probe uint64) {
-	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, About: request.Incarnation, AcceptsPieces: true, SentTick: request.SentTick})
+	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, AboutIncarnation: request.Incarnation, AcceptsChunks: true, SentTick: request.SentTick})
 }
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -110,8 +110,8 @@
 			c.hardState = kind.HardState
 		case *wire.Record_Entry:
 			c.appendEntry(kind.Entry)
-		case *wire.Record_Cut:
-			c.truncate(kind.Cut)
+		case *wire.Record_TruncateFrom:
+			c.truncate(kind.TruncateFrom)
 		}
 	}
 }
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -112,7 +112,7 @@
 		c.role = follower
 		c.resetElectionTimer()
 	}
-	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_PRE_VOTE_RESPONSE, Ok: ok, Probe: message.Term, About: message.Incarnation})
+	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_PRE_VOTE_RESPONSE, Ok: ok, Probe: message.Term, AboutIncarnation: message.Incarnation})
 }
 
 // yieldsTo reports whether this pre-candidate leaves campaigning to another one: to one whose log is
@@ -142,7 +142,7 @@
 		}
 		c.resetElectionTimer()
 	}
-	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: ok, About: message.Incarnation})
+	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: ok, AboutIncarnation: message.Incarnation})
 }
 
 // handleVoteResponse counts a vote of the current term.
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -137,7 +137,7 @@
 	s.messageIDs[encoding] = id
 	entry := messageEntry{Message: message, prints: fingerprintsOf(encode), to: slices.Index(slotNames[:], message.To)}
 	switch message.Kind {
-	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST, wire.MessageKind_TRANSFER_LEADERSHIP:
+	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_CHUNK_REQUEST, wire.MessageKind_TRANSFER_LEADERSHIP:
 		entry.fromLeader = true
 	case wire.MessageKind_VOTE_REQUEST:
 		entry.votesFor = message.From
@@ -252,7 +252,7 @@
 		return true
 	}
 	switch message.Kind {
-	case wire.MessageKind_VOTE_REQUEST, wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST:
+	case wire.MessageKind_VOTE_REQUEST, wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_CHUNK_REQUEST:
 		return !s.lateRequests && message.Term < node.core.hardState.Term
 	}
 	return false
@@ -269,13 +269,13 @@
 	term := node.core.hardState.Term
 	switch message.Kind {
 	case wire.MessageKind_VOTE_RESPONSE:
-		return message.About != node.core.hardState.Incarnation || message.Term < term || message.Term == term && (node.core.role != candidate || !message.Ok)
+		return message.AboutIncarnation != node.core.hardState.Incarnation || message.Term < term || message.Term == term && (node.core.role != candidate || !message.Ok)
 	case wire.MessageKind_TRANSFER_LEADERSHIP:
 		return message.Term < term
 	case wire.MessageKind_STATE_RESPONSE:
-		return message.About != node.core.hardState.Incarnation || node.core.hardState.DiskState != wire.DiskState_DISK_BLANK
-	case wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
-		return message.About != node.core.hardState.Incarnation || message.Term < term || message.Term == term && node.core.role != leader && node.core.role != candidate
+		return message.AboutIncarnation != node.core.hardState.Incarnation || node.core.hardState.DiskState != wire.DiskState_DISK_BLANK
+	case wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE:
+		return message.AboutIncarnation != node.core.hardState.Incarnation || message.Term < term || message.Term == term && node.core.role != leader && node.core.role != candidate
 	}
 	return false
 }
--- a/internal/control/consensus/progress.go
+++ b/internal/control/consensus/progress.go
@@ -55,7 +55,7 @@
 		return nil // removed, or a learner that was dropped: it has to join again
 	}
 	if progress.incarnation != message.Incarnation { // another disk: acknowledgements of the old one are void
-		*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, contactAge: c.requestAge(message), responded: true, acceptsChunks: message.AcceptsPieces}
+		*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, contactAge: c.requestAge(message), responded: true, acceptsChunks: message.AcceptsChunks}
 		c.replicate(message.From, true)
 		return nil
 	}
--- a/internal/control/consensus/rejoin.go
+++ b/internal/control/consensus/rejoin.go
@@ -48,7 +48,7 @@
 
 func (c *Core) requestState() {
 	c.forEachPeer(func(peer string) {
-		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_STATE_REQUEST, About: c.hardState.Incarnation, Generation: c.generation})
+		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_STATE_REQUEST, AboutIncarnation: c.hardState.Incarnation, Generation: c.generation})
 	})
 }
 
@@ -59,7 +59,7 @@
 		return
 	}
 	known := c.knownIncarnation(message.From)
-	response := &wire.Message{To: message.From, Kind: wire.MessageKind_STATE_RESPONSE, About: message.About, Generation: known.GetGeneration()}
+	response := &wire.Message{To: message.From, Kind: wire.MessageKind_STATE_RESPONSE, AboutIncarnation: message.AboutIncarnation, Generation: known.GetGeneration()}
 	if message.Generation > 0 && message.Generation > known.GetGeneration() {
 		c.recordIncarnation(message.From, message.Incarnation, message.Generation)
 		if c.role == leader {
@@ -84,7 +84,7 @@
 // handleStateResponse collects the responses of both peers: first the generations that they know, from
 // which it chooses its own, then their states.
 func (c *Core) handleStateResponse(message *wire.Message) {
-	if !c.isBlank() || message.About != c.hardState.Incarnation {
+	if !c.isBlank() || message.AboutIncarnation != c.hardState.Incarnation {
 		return
 	}
 	switch {
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -105,7 +105,7 @@
 	}
 	switch {
 	case progress.transfer != nil:
-		if message.Piece != nil && message.Piece.Offset == progress.transfer.ackedOffset {
+		if message.Chunk != nil && message.Chunk.Offset == progress.transfer.ackedOffset {
 			progress.transfer.retryAt = c.ticks
 		}
 	case len(message.Entries) > 0 && message.Entries[0].Index == progress.next:
@@ -136,7 +136,7 @@
 	if progress == nil {
 		return
 	}
-	progress.acceptsChunks = message.AcceptsPieces
+	progress.acceptsChunks = message.AcceptsChunks
 	if !message.Ok {
 		c.handleRejection(message, progress)
 		return
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -25,12 +25,12 @@
 // matches reports whether a request carries a chunk of this snapshot.
 func (s *incomingSnapshot) matches(request *wire.Message) bool {
 	return s != nil && s.snapshot.Index == request.Snapshot.Index && s.snapshot.Term == request.Snapshot.Term &&
-		s.totalBytes == request.Piece.Total && s.checksum == request.Piece.StateChecksum
+		s.totalBytes == request.Chunk.Total && s.checksum == request.Chunk.StateChecksum
 }
 
 // addChunk appends a chunk that continues the received bytes. Any other is a duplicate, or follows one
 // that was lost.
-func (s *incomingSnapshot) addChunk(chunk *wire.SnapshotPiece) {
+func (s *incomingSnapshot) addChunk(chunk *wire.SnapshotChunk) {
 	offset := uint64(len(s.received))
 	if chunk.Offset != offset || offset+uint64(len(chunk.Data)) > s.totalBytes || crc32.Checksum(chunk.Data, castagnoliTable) != chunk.Checksum {
 		return
@@ -43,7 +43,7 @@
 // handleChunkRequest receives a chunk of a snapshot, installs the snapshot once it is complete, and
 // responds how much of it is here.
 func (c *Core) handleChunkRequest(message *wire.Message) {
-	if message.Snapshot == nil || message.Piece == nil || message.Piece.Total > maxSnapshotBytes {
+	if message.Snapshot == nil || message.Chunk == nil || message.Chunk.Total > maxSnapshotBytes {
 		return
 	}
 	if !c.followSender(message) {
@@ -58,10 +58,10 @@
 		if c.incoming != nil && c.incoming.leaderTerm == message.Term && c.incoming.snapshot.Index >= message.Snapshot.Index {
 			return // delayed, of a transfer that this leader has given up
 		}
-		c.incoming = &incomingSnapshot{snapshot: message.Snapshot, totalBytes: message.Piece.Total, checksum: message.Piece.StateChecksum}
+		c.incoming = &incomingSnapshot{snapshot: message.Snapshot, totalBytes: message.Chunk.Total, checksum: message.Chunk.StateChecksum}
 	}
 	c.incoming.leaderTerm = message.Term
-	c.incoming.addChunk(message.Piece)
+	c.incoming.addChunk(message.Chunk)
 	if c.incoming.isComplete() && c.installIncoming() {
 		c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
 		return
@@ -71,9 +71,9 @@
 
 // sendChunkResponse responds how many bytes of a snapshot have been received: the next chunk begins there.
 func (c *Core) sendChunkResponse(request *wire.Message) {
-	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: request.Snapshot.Index, LogTerm: request.Snapshot.Term,
-		Probe: request.Probe, About: request.Incarnation, SentTick: request.SentTick,
-		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.received)), Total: request.Piece.Total, StateChecksum: request.Piece.StateChecksum}})
+	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE, Index: request.Snapshot.Index, LogTerm: request.Snapshot.Term,
+		Probe: request.Probe, AboutIncarnation: request.Incarnation, SentTick: request.SentTick,
+		Chunk: &wire.SnapshotChunk{Offset: uint64(len(c.incoming.received)), Total: request.Chunk.Total, StateChecksum: request.Chunk.StateChecksum}})
 }
 
 // installIncoming installs the snapshot that was received. It returns false if the checksum of the state
--- a/internal/control/consensus/snapshot_send.go
+++ b/internal/control/consensus/snapshot_send.go
@@ -134,8 +134,8 @@
 func (c *Core) sendChunk(peer string, transfer *outgoingTransfer, size int) {
 	end := min(transfer.ackedOffset+uint64(size), uint64(len(transfer.state)))
 	data := transfer.state[transfer.ackedOffset:end:end]
-	c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: transfer.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick(),
-		Piece: &wire.SnapshotPiece{Offset: transfer.ackedOffset, Total: uint64(len(transfer.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: transfer.checksum}})
+	c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_CHUNK_REQUEST, Snapshot: transfer.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick(),
+		Chunk: &wire.SnapshotChunk{Offset: transfer.ackedOffset, Total: uint64(len(transfer.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: transfer.checksum}})
 }
 
 // handleChunkResponse sends the chunk after what a peer says that it has received.
@@ -144,7 +144,7 @@
 	if progress == nil || progress.transfer == nil || !progress.transfer.isResponse(message) {
 		return
 	}
-	transfer, offset := progress.transfer, message.Piece.Offset
+	transfer, offset := progress.transfer, message.Chunk.Offset
 	if progress.inFlight && offset == transfer.ackedOffset {
 		return // the chunk in flight hasn't arrived yet
 	}
@@ -157,6 +157,6 @@
 
 // isResponse reports whether a response is about the snapshot of this transfer, and its offset is valid.
 func (t *outgoingTransfer) isResponse(message *wire.Message) bool {
-	return message.Piece != nil && message.Index == t.snapshot.Index && message.LogTerm == t.snapshot.Term &&
-		message.Piece.StateChecksum == t.checksum && message.Piece.Offset <= uint64(len(t.state))
+	return message.Chunk != nil && message.Index == t.snapshot.Index && message.LogTerm == t.snapshot.Term &&
+		message.Chunk.StateChecksum == t.checksum && message.Chunk.Offset <= uint64(len(t.state))
 }
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -74,7 +74,7 @@
 }
 
 func payloadBytes(message *wire.Message) int {
-	size := len(message.GetSnapshot().GetState()) + len(message.GetPiece().GetData())
+	size := len(message.GetSnapshot().GetState()) + len(message.GetChunk().GetData())
 	for _, entry := range message.Entries {
 		size += len(entry.Body)
 	}
@@ -119,14 +119,14 @@
 	if network.random.Float64() < network.lossProbability {
 		return
 	}
-	if message.To == network.olderRelease && message.Piece != nil {
+	if message.To == network.olderRelease && message.Chunk != nil {
 		network.unknownChunks++
 	}
 	if message.Snapshot != nil {
 		network.recorded = append(network.recorded, message)
 	}
 	if message.From == network.olderRelease {
-		message.AcceptsPieces = false
+		message.AcceptsChunks = false
 	}
 	at, size := network.tick, payloadBytes(message)
 	if message.To == network.slowPeer {
@@ -334,14 +334,14 @@
 		in := network.cores[lagging].incoming
 		return in != nil && len(in.received) > size/2
 	})
-	before := network.bytesSent[wire.MessageKind_SNAPSHOT_PIECE_REQUEST]
+	before := network.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST]
 	network.cores[first].TransferLeadership()
 	network.drive(first)
 	network.runUntil("it catches up", 300, func() bool { return bytes.Equal(network.states[lagging], network.acknowledged) })
 	if now := network.leader().cfg.Self; now != second {
 		t.Fatalf("%s leads, not %s", now, second)
 	}
-	if again := network.bytesSent[wire.MessageKind_SNAPSHOT_PIECE_REQUEST] - before; again > size*3/4 {
+	if again := network.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST] - before; again > size*3/4 {
 		t.Errorf("%d bytes were sent after the change of leader: it began anew", again)
 	}
 }
@@ -393,7 +393,7 @@
 	}
 	network.drive(network.leader().cfg.Self)
 	took := network.runUntil("the snapshot arrives", 3*size/network.bytesPerTick, func() bool { return bytes.Equal(network.states["d"], network.acknowledged) })
-	if sent := network.bytesSent[wire.MessageKind_SNAPSHOT_PIECE_REQUEST]; sent > size+size/10 {
+	if sent := network.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST]; sent > size+size/10 {
 		t.Errorf("%d bytes were sent of a state of %d", sent, size)
 	}
 	t.Logf("%d ticks, %v bytes sent", took, network.bytesSent)
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -26,8 +26,8 @@
 	wire.MessageKind_APPEND_RESPONSE: {handle: (*Core).handleAppendResponse, isResponse: true},
 
 	wire.MessageKind_SNAPSHOT_REQUEST:        {handle: (*Core).handleSnapshotRequest},
-	wire.MessageKind_SNAPSHOT_PIECE_REQUEST:  {handle: (*Core).handleChunkRequest},
-	wire.MessageKind_SNAPSHOT_PIECE_RESPONSE: {handle: (*Core).handleChunkResponse, isResponse: true},
+	wire.MessageKind_SNAPSHOT_CHUNK_REQUEST:  {handle: (*Core).handleChunkRequest},
+	wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE: {handle: (*Core).handleChunkResponse, isResponse: true},
 }
 
 // Step handles one received message. Messages may be lost, delayed, duplicated and reordered; those of
@@ -47,7 +47,7 @@
 	if c.isFromSupersededIncarnation(message) {
 		return
 	}
-	if handler.isResponse && message.About != c.hardState.Incarnation {
+	if handler.isResponse && message.AboutIncarnation != c.hardState.Incarnation {
 		return
 	}
 	if c.isBlank() {
--- a/internal/control/controlclient/cut_off_test.go
+++ b/internal/control/controlclient/cut_off_test.go
@@ -19,7 +19,7 @@
 
 // peer is a member that answers, or that is cut off and says nothing until its caller gives up.
 type peer struct {
-	wire.Archive
+	wire.ControlNode
 	name string
 	all  *peers
 }
@@ -53,7 +53,7 @@
 	l := &peers{silent: map[string]bool{}, addr: map[string]string{}}
 	var seeds []string
 	for _, n := range names {
-		s := httptest.NewServer(wire.NewArchiveServer(&peer{name: n, all: l}))
+		s := httptest.NewServer(wire.NewControlNodeServer(&peer{name: n, all: l}))
 		t.Cleanup(s.Close)
 		l.addr[n] = s.Listener.Addr().String()
 		seeds = append(seeds, l.addr[n])
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -183,7 +183,7 @@
 // eachAddress asks the addresses in turn, whom one names as the leader right after it, until done
 // says so, the time is over, or a whole round shows that the leader can't be reached from here: then
 // the caller hears so while it can still ask elsewhere. size is that of the request's body.
-func (c *Client) eachAddress(caller context.Context, size int, try func(context.Context, wire.Archive) outcome) bool {
+func (c *Client) eachAddress(caller context.Context, size int, try func(context.Context, wire.ControlNode) outcome) bool {
 	ctx, end := context.WithTimeout(caller, c.bounds.Heal(0.5))
 	defer end()
 	for ctx.Err() == nil {
@@ -199,7 +199,7 @@
 }
 
 // askRound asks each address once.
-func (c *Client) askRound(ctx, caller context.Context, size int, try func(context.Context, wire.Archive) outcome) bool {
+func (c *Client) askRound(ctx, caller context.Context, size int, try func(context.Context, wire.ControlNode) outcome) bool {
 	todo, asked := c.Addresses(), map[string]bool{}
 	whole, unreachable := c.attemptTime(size), c.group.isUnreachable(todo)
 	least := time.Duration(float64(whole) * silentPart)
--- a/internal/control/controllers/lease.go
+++ b/internal/control/controllers/lease.go
@@ -137,7 +137,7 @@
 		return nil
 	}
 	g := n.lease.Ask()
-	g.GiveUp = true
+	g.Release = true
 	n.lease.Tell(0, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: g.IfFence}) // no longer held here
 	_, err := n.control.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}})
 	return err
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -20,7 +20,7 @@
 )
 
 // HotEntries asks the prompt index for a service's hot entries.
-type HotEntries func(ctx context.Context, service string) []*wire.Hot
+type HotEntries func(ctx context.Context, service string) []*wire.HotPrefix
 
 // servicePlacement is the placement of one service.
 type servicePlacement struct {
@@ -48,7 +48,7 @@
 
 // updatePlacement computes one service's placement and writes it if it changed. It runs on the actor's
 // goroutine.
-func (s *session) updatePlacement(x routingconfig.Service, hot []*wire.Hot) {
+func (s *session) updatePlacement(x routingconfig.Service, hot []*wire.HotPrefix) {
 	if len(hot) == 0 {
 		return // no index node answers, or there was no request yet
 	}
@@ -67,7 +67,7 @@
 }
 
 // nextPlacement computes the next placement, and whether the change is worth publishing.
-func nextPlacement(p *servicePlacement, x routingconfig.Service, hot []*wire.Hot, workers []string, now, whole time.Duration) (*placement.Placement, bool) {
+func nextPlacement(p *servicePlacement, x routingconfig.Service, hot []*wire.HotPrefix, workers []string, now, whole time.Duration) (*placement.Placement, bool) {
 	old := p.wanted
 	if old != nil && p.recomputedAt > 0 && now-p.recomputedAt < whole && slices.Equal(workers, old.Workers) {
 		return placementcontroller.Swap(old, hot)
@@ -84,12 +84,12 @@
 }
 
 // placementFacts are the inputs of the placement: the engine's own link and the prefill curve.
-func placementFacts(x routingconfig.Service, hot []*wire.Hot, workers []string) placementcontroller.Inputs {
+func placementFacts(x routingconfig.Service, hot []*wire.HotPrefix, workers []string) placementcontroller.Inputs {
 	f := placementcontroller.Inputs{Service: x.Name, Mode: "hrcs", Alpha: 1, Workers: workers, Room: x.Engine.Room, Hot: hot, Curve: placement.Default()}
 	if x.Engine.LinkMbps > 0 && x.Engine.TokenBytes > 0 {
 		const span = 1000 * time.Second // long enough to outweigh the initial estimate
 		b := x.Engine.LinkMbps * 1e6 / 8 / float64(x.Engine.TokenBytes)
-		f.Links = []*wire.LinkSeen{{Class: "plan", Tokens: b * span.Seconds(), Ns: float64(span)}}
+		f.Links = []*wire.LinkThroughput{{Class: "plan", Tokens: b * span.Seconds(), ElapsedNs: float64(span)}}
 	}
 	return f
 }
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -38,8 +38,8 @@
 	}
 	clients := daemon.NewClients(process)
 	mux := http.NewServeMux()
-	mux.Handle(wire.RosterPathPrefix, a.Handler())
-	mux.Handle(wire.CataloguePathPrefix, index.Handler())
+	mux.Handle(wire.MembershipPathPrefix, a.Handler())
+	mux.Handle(wire.PromptIndexPathPrefix, index.Handler())
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
@@ -50,23 +50,23 @@
 
 // queryIndexNodes asks all serving index nodes at once, each with a short timeout. Two hold each
 // entry: the higher count is taken.
-func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.Catalogue) HotEntries {
-	return func(ctx context.Context, service string) []*wire.Hot {
+func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.PromptIndex) HotEntries {
+	return func(ctx context.Context, service string) []*wire.HotPrefix {
 		ctx, end := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotTimeoutRatio))
 		defer end()
 		nodes := promptindex.ServingNodes(view().Nodes)
-		responses := make(chan *wire.HotTell, len(nodes))
+		responses := make(chan *wire.HottestResponse, len(nodes))
 		var wg sync.WaitGroup
 		for _, n := range nodes {
 			wg.Go(func() {
-				if t, err := node(n.Addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: maxHotEntries}); err == nil {
+				if t, err := node(n.Addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: maxHotEntries}); err == nil {
 					responses <- t
 				}
 			})
 		}
 		wg.Wait()
 		close(responses)
-		var all []*wire.HotTell
+		var all []*wire.HottestResponse
 		for t := range responses {
 			all = append(all, t)
 		}
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -185,7 +185,7 @@
 		return
 	}
 	q := catchUpMessage{at: w.now + linkDelay, starts: receiver.starts, m: m}
-	if size := payloadBytes(m); len(m.GetPiece().GetData()) > 0 || size >= largeMessageBytes {
+	if size := payloadBytes(m); len(m.GetChunk().GetData()) > 0 || size >= largeMessageBytes {
 		l := w.links[from+">"+to]
 		if l == nil {
 			l = &simLink{}
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -90,7 +90,7 @@
 }
 
 // contested is a control node where every change loses to another one.
-type contested struct{ wire.Archive }
+type contested struct{ wire.ControlNode }
 
 func (contested) Read(ctx context.Context, _ *wire.ReadRequest) (*wire.ReadResponse, error) {
 	clock.Sleep(ctx, 50*time.Millisecond)
@@ -117,7 +117,7 @@
 		w.ground.mu.Lock()
 		w.doors[w.addr(10)] = door
 		w.ground.mu.Unlock()
-		server := &http.Server{Handler: wire.NewArchiveServer(contested{})}
+		server := &http.Server{Handler: wire.NewControlNodeServer(contested{})}
 		go func() { _ = server.Serve(door) }()
 		defer server.Close()
 		n.controlClient.HintLeader(w.addr(10))
@@ -138,7 +138,7 @@
 		}
 		defer w.healed()
 		w.until("a leader", 5*time.Second, func() bool { return len(w.members()) == 3 })
-		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 9}}, Proof: routingconfig.Key}
+		ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 9}}, ProofKey: routingconfig.Key}
 		w.until("a learner that is fed", 5*time.Second, func() bool {
 			x, _ := w.node(4).Follow(context.Background(), ask)
 			if x.NothingNewer {
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -113,7 +113,7 @@
 		e.mu.Lock()
 		have, asked := e.version, w.now()
 		e.mu.Unlock()
-		x, err := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: have}}, HoldNs: uint64(300 * time.Millisecond), Proof: routingconfig.Key})
+		x, err := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: have}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.Key})
 		if err != nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -45,7 +45,7 @@
 // poll is an edge's long poll of one member, and the check of its proof.
 func (s *gsim) poll(n *gsimNode, hold time.Duration) {
 	e, asked, end, incarnation := s.edge, s.now, s.now+hold, n.incarnation
-	ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.Key, Version: e.version}}, Proof: routingconfig.Key}
+	ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: e.version}}, ProofKey: routingconfig.Key}
 	f := func() bool {
 		if n.p == nil || n.incarnation != incarnation || hold > 0 && s.now < n.frozen {
 			return n.incarnation == incarnation && n.p != nil
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -117,7 +117,7 @@
 		if n.incarnation != incarnation || !s.up(n) {
 			return n.incarnation == incarnation
 		}
-		t := n.p.watchResponse(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
+		t := n.p.watchResponse(&wire.WatchRequest{Key: "doc", KnownVersion: have}, n.name, s.now >= wait)
 		if s.plant == "vouch-unsettled" && s.now >= wait && n.p.state.documents["doc"].GetVersion() == have {
 			t = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
 		}
@@ -146,7 +146,7 @@
 	id := make([]byte, 16)
 	id[0] = byte(s.r.IntN(40))
 	nonce := uint64(s.r.IntN(3) + 1)
-	c := &wire.Claims{List: []*wire.Claim{{Id: id, Nonce: nonce}}}
+	c := &wire.Claims{Claims: []*wire.Claim{{Id: id, Nonce: nonce}}}
 	s.ask(s.anyone(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: c}}}, func(t *wire.ChangeResponse) {
 		if t.Outcome != wire.OutcomeDone || !t.Granted[0] {
 			return
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -19,14 +19,14 @@
 
 // stalledMember takes small messages, and holds large ones while it is told to.
 type stalledMember struct {
-	wire.Archive
+	wire.ControlNode
 	mu           sync.Mutex
 	hold         chan struct{}
 	small, large int
 	begun        int // large messages that have begun to arrive
 }
 
-func (s *stalledMember) Post(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
+func (s *stalledMember) Deliver(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	large := payloadBytes(b.Messages[0]) >= largeMessageBytes
 	s.mu.Lock()
 	hold := s.hold
@@ -71,7 +71,7 @@
 		member := &stalledMember{}
 		door := &pipes{g: g, addr: stalledAddress, c: make(chan net.Conn), end: make(chan struct{})}
 		g.doors[stalledAddress] = door
-		server := &http.Server{Handler: wire.NewArchiveServer(member)}
+		server := &http.Server{Handler: wire.NewControlNodeServer(member)}
 		go server.Serve(door)
 		s, _ := newTestMember(t)
 		n := &Node{process: l, shards: map[uint32]*shard{0: s}, clients: daemon.NewClients(l)}
--- a/internal/control/mutation/model_test.go
+++ b/internal/control/mutation/model_test.go
@@ -42,12 +42,12 @@
 		replacement: "c.hardState = &wire.HardState{Term: term, Vote: c.cfg.Self, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
 		pkg:         consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a record of a cut log is forgotten", file: appendFile,
-		original:    "c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: entry.Index}})",
+		original:    "c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_TruncateFrom{TruncateFrom: entry.Index}})",
 		replacement: "_ = exists",
 		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
 	mutant{name: "an answer to another incarnation is counted", file: stepFile,
-		original:    "if handler.isResponse && message.About != c.hardState.Incarnation {",
-		replacement: `if handler.isResponse && message.About == "" {`,
+		original:    "if handler.isResponse && message.AboutIncarnation != c.hardState.Incarnation {",
+		replacement: `if handler.isResponse && message.AboutIncarnation == "" {`,
 		pkg:         consensusPkg, run: modelSearches + "fixed_members_and_a_lost_disk"},
 	mutant{name: "members change before the last change is committed", file: memberFile,
 		original:    "return c.role == leader && term == c.hardState.Term && c.voters.index <= c.commit",
@@ -85,9 +85,9 @@
 		pkg: consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a snapshot is installed over newer state", file: installFile,
 		original: "if message.Snapshot.Index <= c.commit {",
-		replacement: `if message.Snapshot.Index < c.commit && uint64(len(message.Piece.Data)) == message.Piece.Total {
+		replacement: `if message.Snapshot.Index < c.commit && uint64(len(message.Chunk.Data)) == message.Chunk.Total {
 		older := proto.Clone(message.Snapshot).(*wire.Snapshot)
-		older.State = message.Piece.Data
+		older.State = message.Chunk.Data
 		c.restoreSnapshot(older, nil)
 	}
 	if message.Snapshot.Index <= c.commit {`,
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -27,8 +27,8 @@
 	Alpha   float64
 	Workers []string
 	Room    int // tokens, of the smallest worker
-	Hot     []*wire.Hot
-	Links   []*wire.LinkSeen
+	Hot     []*wire.HotPrefix
+	Links   []*wire.LinkThroughput
 	Curve   placement.Curve
 }
 
@@ -80,7 +80,7 @@
 // anything changed.
 //
 // Example: next, changed := placementcontroller.Swap(old, hot)
-func Swap(old *placement.Placement, hot []*wire.Hot) (*placement.Placement, bool) {
+func Swap(old *placement.Placement, hot []*wire.HotPrefix) (*placement.Placement, bool) {
 	fs, _, _ := frequencies(hot)
 	at := map[string]placement.Freq{}
 	for _, x := range fs {
@@ -110,7 +110,7 @@
 	return &n, changed
 }
 
-func frequencies(hot []*wire.Hot) (fs []placement.Freq, requests, tokens float64) {
+func frequencies(hot []*wire.HotPrefix) (fs []placement.Freq, requests, tokens float64) {
 	for _, h := range hot {
 		fs = append(fs, placement.Freq{Key: hex.EncodeToString(h.Key), F: h.Hotness, Tokens: int(h.Tokens)})
 		if h.Head {
@@ -125,7 +125,7 @@
 
 // admissionFloor is the hotness of the coldest cached entry that no prompt begins with: a session's
 // prefix has to be hotter to be admitted.
-func admissionFloor(hot []*wire.Hot) float64 {
+func admissionFloor(hot []*wire.HotPrefix) float64 {
 	least := -1.0
 	for _, h := range hot {
 		if !h.Head && h.Holders > 0 && (least < 0 || h.Hotness < least) {
@@ -137,11 +137,11 @@
 
 // bandwidth is the measured rate of fetches from other workers, in tokens a second; an initial value
 // until there are any.
-func bandwidth(l []*wire.LinkSeen) float64 {
+func bandwidth(l []*wire.LinkThroughput) float64 {
 	tok, ns := initialBandwidth*initialSeconds, initialSeconds*float64(time.Second)
 	for _, x := range l {
 		if x.Class != "store" {
-			tok, ns = tok+x.Tokens, ns+x.Ns
+			tok, ns = tok+x.Tokens, ns+x.ElapsedNs
 		}
 	}
 	return tok / ns * float64(time.Second)
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -148,7 +148,7 @@
 		}
 		b.snap.Workers = append(b.snap.Workers, &wire.Worker{Name: n, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
 	}
-	d := &Proxy{process: l, b: p.Bounds, clk: b.clk, be: contract.NewBackends((&net.Dialer{}).DialContext), curve: placement.Default(), log: queue.NewRing[*wire.Decided](8), claims: fakeClaims{b}}
+	d := &Proxy{process: l, b: p.Bounds, clk: b.clk, be: contract.NewBackends((&net.Dialer{}).DialContext), curve: placement.Default(), log: queue.NewRing[*wire.Decision](8), claims: fakeClaims{b}}
 	d.gate = queue.NewActor(newGate(), 64)
 	d.gate.Ask(func(g *gate) {
 		for range 100 / d.b.TryShare { // as after a few requests
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -17,7 +17,7 @@
 )
 
 // selectWorker selects the worker of the next attempt.
-func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
+func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], target(s, q)
 	u := Query{ID: q.RequestID, Mode: modeOf(s.Config, service), Zone: d.process.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
 		Tried: tried, Newest: s.WeightsAt[on.Model].Version, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
@@ -75,7 +75,7 @@
 func (d *Proxy) start(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
 	ctx, stop := context.WithCancel(ctx)
 	w := c.Worker
-	o := &stream{d: d, id: q.RequestID, worker: w.Name, zone: w.District, began: d.clk.Now(), stop: stop, snap: s}
+	o := &stream{d: d, id: q.RequestID, worker: w.Name, zone: w.Zone, began: d.clk.Now(), stop: stop, snap: s}
 	watch := time.AfterFunc(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
 	o.watch = watch
 	hints := map[string]string{}
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -99,7 +99,7 @@
 			l := append([]claim{x}, c.rings[part].Drain(255)...)
 			cs := &wire.Claims{}
 			for _, y := range l {
-				cs.List = append(cs.List, y.c)
+				cs.Claims = append(cs.Claims, y.c)
 			}
 			one, end := context.WithTimeout(ctx, c.hold)
 			t, err := c.ctl.Change(one, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
--- a/internal/data/callerproxy/gate.go
+++ b/internal/data/callerproxy/gate.go
@@ -17,7 +17,7 @@
 	workers  map[string]*workerState
 	retries  map[string]*retrybudget.Budget
 	meanUs   float64
-	reports  map[string]*wire.GoReport
+	reports  map[string]*wire.AttemptReport
 	edges    int // the most edge machines seen in this life
 }
 
@@ -38,7 +38,7 @@
 
 func newGate() *gate {
 	return &gate{tenants: map[string]*tenantState{}, workers: map[string]*workerState{},
-		retries: map[string]*retrybudget.Budget{}, meanUs: 100000, reports: map[string]*wire.GoReport{}}
+		retries: map[string]*retrybudget.Budget{}, meanUs: 100000, reports: map[string]*wire.AttemptReport{}}
 }
 
 // admit takes a request in, or says why not and when to come back. A tenant's budget is the
@@ -105,15 +105,15 @@
 	}
 	r := g.reports[name]
 	if r == nil {
-		r = &wire.GoReport{Worker: name}
+		r = &wire.AttemptReport{Worker: name}
 		g.reports[name] = r
 	}
 	if ok {
-		r.Ok++
+		r.Successes++
 		g.meanUs = 0.95*g.meanUs + 0.05*float64(took.Microseconds())
 		return
 	}
-	r.Errors++
+	r.Failures++
 	w.failed = now
 }
 
@@ -121,7 +121,7 @@
 func (g *gate) link(class string, tokens int, took time.Duration) {
 	r := g.reports["link/"+class]
 	if r == nil {
-		r = &wire.GoReport{From: class}
+		r = &wire.AttemptReport{LinkClass: class}
 		g.reports["link/"+class] = r
 	}
 	r.LinkTokens += float64(tokens)
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -19,7 +19,7 @@
 
 type question struct {
 	keys   []prefix.Key
-	result chan map[prefix.Key]*wire.Found
+	result chan map[prefix.Key]*wire.LookupResult
 }
 
 // index asks the catalogue in batches and feeds it the accesses that this proxy has seen.
@@ -50,7 +50,7 @@
 type telling struct {
 	number uint64
 	next   map[prefix.Key]*wire.Access
-	sent   *wire.CountAsk // not acknowledged yet: it is sent again under its number
+	sent   *wire.CountRequest // not acknowledged yet: it is sent again under its number
 	busy   bool
 }
 
@@ -81,8 +81,8 @@
 }
 
 // seek looks keys up; nil is a miss on all of them.
-func (x *index) seek(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.Found {
-	q := question{keys, make(chan map[prefix.Key]*wire.Found, 1)}
+func (x *index) seek(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.LookupResult {
+	q := question{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)}
 	if !x.ring.Offer(q) {
 		return nil
 	}
@@ -123,7 +123,7 @@
 			}
 		}
 	}
-	var m map[prefix.Key]*wire.Found
+	var m map[prefix.Key]*wire.LookupResult
 	if s := x.shards.Load(); s != nil {
 		x.asked.Add(1)
 		x.keys.Add(uint64(len(ks)))
@@ -142,9 +142,9 @@
 	}
 	x.counts.TrySend(func(c *counter) {
 		for i, e := range es {
-			a := &wire.Access{Key: e.Key[:], Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
+			a := &wire.Access{Key: e.Key[:], Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, PresumedHolders: []string{holder}}
 			if i < upto {
-				a.Presumed = append(a.Presumed, saved...)
+				a.PresumedHolders = append(a.PresumedHolders, saved...)
 			}
 			for _, h := range s.NodesOf(e.Key) {
 				if h == "" {
@@ -169,18 +169,18 @@
 	o := m[k]
 	if o == nil {
 		if len(m) < maxCounts {
-			m[k] = &wire.Access{Key: a.Key, Count: a.Count, Tokens: a.Tokens, Service: a.Service, Head: a.Head, Presumed: append([]string(nil), a.Presumed...)}
+			m[k] = &wire.Access{Key: a.Key, Count: a.Count, Tokens: a.Tokens, Service: a.Service, Head: a.Head, PresumedHolders: append([]string(nil), a.PresumedHolders...)}
 		}
 		return
 	}
 	o.Count += a.Count
-	for _, p := range a.Presumed {
+	for _, p := range a.PresumedHolders {
 		has := false
-		for _, q := range o.Presumed {
+		for _, q := range o.PresumedHolders {
 			has = has || p == q
 		}
-		if !has && len(o.Presumed) < 8 {
-			o.Presumed = append(o.Presumed, p)
+		if !has && len(o.PresumedHolders) < 8 {
+			o.PresumedHolders = append(o.PresumedHolders, p)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 			}
 			if t.sent == nil {
 				t.number++
-				t.sent = &wire.CountAsk{Teller: x.name, Incarnation: x.inc, Number: t.number}
+				t.sent = &wire.CountRequest{Reporter: x.name, Incarnation: x.inc, Sequence: t.number}
 				for _, a := range t.next {
 					t.sent.Accesses = append(t.sent.Accesses, a)
 				}
@@ -216,7 +216,7 @@
 	})
 }
 
-func (x *index) send(ctx context.Context, h, addr string, a *wire.CountAsk) {
+func (x *index) send(ctx context.Context, h, addr string, a *wire.CountRequest) {
 	ctx, end := context.WithTimeout(ctx, x.b.Heal(1.0/24))
 	defer end()
 	r, err := x.calls.PromptIndex(addr).Count(ctx, a)
@@ -230,7 +230,7 @@
 			return
 		}
 		t.sent = nil
-		if r.Again { // it has lost its memory: tell the window again
+		if r.ResendWindow { // it has lost its memory: tell the window again
 			for _, m := range []map[prefix.Key]*wire.Access{c.old, c.past} {
 				for k, p := range m {
 					if s := x.shards.Load(); s.NodesOf(k)[0] == h || s.NodesOf(k)[1] == h {
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -45,7 +45,7 @@
 	far     rate
 	storeB  rate
 	stats   stats
-	log     *queue.Ring[*wire.Decided]
+	log     *queue.Ring[*wire.Decision]
 }
 
 // stats counts what the sealed lines have said.
@@ -62,7 +62,7 @@
 //
 // Example: daemon.Main("dispatcher", "edge proxy", need, callerproxy.Start)
 func Start(l *daemon.Process) error {
-	d := &Proxy{process: l, b: l.Place.Bounds, clk: l.Clock, be: contract.NewBackends(l.Dial), curve: placement.Default(), log: queue.NewRing[*wire.Decided](512)}
+	d := &Proxy{process: l, b: l.Place.Bounds, clk: l.Clock, be: contract.NewBackends(l.Dial), curve: placement.Default(), log: queue.NewRing[*wire.Decision](512)}
 	d.near.Store(50000)
 	d.far.Store(50000)
 	d.storeB.Store(50000)
@@ -71,7 +71,7 @@
 	l.OnStop(d.be.Close)
 	d.index = newIndex(l, d.clk)
 	calls := daemon.NewClients(l)
-	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, d.b.Config(0.1), d.report, func(s *updatestream.Snapshot) {
+	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Place.Runner) }, d.b.Config(0.1), d.report, func(s *updatestream.Snapshot) {
 		d.index.follow(s.Nodes)
 		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Config(0.8)))
 	})
@@ -159,14 +159,14 @@
 
 // report hands the runner what the attempts since the last time have shown, and why they went
 // where they went.
-func (d *Proxy) report(a *wire.FeedAsk) {
+func (d *Proxy) report(a *wire.FeedRequest) {
 	d.gate.Ask(func(g *gate) {
 		for k, r := range g.reports {
-			a.Goes = append(a.Goes, r)
+			a.Attempts = append(a.Attempts, r)
 			delete(g.reports, k)
 		}
 	})
-	a.Decided = d.log.Drain(256)
+	a.Decisions = d.log.Drain(256)
 }
 
 // learn takes what a fetch has shown of its link.
@@ -178,7 +178,7 @@
 		}
 		if w.Kind == "store" {
 			class, to = "store", &d.storeB
-		} else if w.District == zone {
+		} else if w.Zone == zone {
 			class, to = "near", &d.near
 		}
 	}
@@ -286,6 +286,6 @@
 	}
 	body, err := json.Marshal(x)
 	if err == nil {
-		d.log.Offer(&wire.Decided{Request: id, Body: body}) // when it is full, this one isn't explained
+		d.log.Offer(&wire.Decision{RequestId: id, Body: body}) // when it is full, this one isn't explained
 	}
 }
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -14,15 +14,15 @@
 
 func query(hot bool, held map[string]string) Query {
 	es := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", 4000), strings.Repeat("q", 40)})
-	q := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: es}, Found: map[prefix.Key]*wire.Found{}, Curve: curve, NearB: 50000, FarB: 20000, StoreB: 20000,
+	q := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: es}, Found: map[prefix.Key]*wire.LookupResult{}, Curve: curve, NearB: 50000, FarB: 20000, StoreB: 20000,
 		MeanUs: 100000, Tried: map[string]bool{}, Load: func(string) float64 { return 0 }, Stores: map[string]string{"depot": "d:1"}}
-	f := &wire.Found{Hotness: 5}
+	f := &wire.LookupResult{Hotness: 5}
 	for n := range held {
-		f.Holders = append(f.Holders, &wire.Holding{Worker: n, State: 2})
+		f.Holders = append(f.Holders, &wire.Holder{Worker: n, State: 2})
 	}
 	q.Found[es[0].Key] = f
 	for i := range 4 {
-		q.Workers = append(q.Workers, &wire.Worker{Name: fmt.Sprintf("w%d", i), Addr: fmt.Sprintf("w%d:1", i), District: fmt.Sprint(i % 2), Weights: 1, Slots: 2})
+		q.Workers = append(q.Workers, &wire.Worker{Name: fmt.Sprintf("w%d", i), Addr: fmt.Sprintf("w%d:1", i), Zone: fmt.Sprint(i % 2), Weights: 1, Slots: 2})
 	}
 	p := &placement.Placement{Mode: "hrcs"}
 	if hot {
@@ -117,7 +117,7 @@
 			es := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", c.opening), strings.Repeat("s", 2000), "question"})
 			q := query(false, nil)
 			q.Entries = map[uint64][]prefix.Entry{1: es}
-			q.Found = map[prefix.Key]*wire.Found{es[0].Key: {Hotness: 40}, es[1].Key: {Hotness: c.hot}}
+			q.Found = map[prefix.Key]*wire.LookupResult{es[0].Key: {Hotness: 40}, es[1].Key: {Hotness: c.hot}}
 			q.Placement.Floor = c.floor
 			home := placement.Home(es[0].Key, names)[0]
 			if c.want {
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -50,7 +50,7 @@
 }
 
 // look asks the index for the prompt's parts.
-func (d *server) look(q *request) map[prefix.Key]*wire.Found {
+func (d *server) look(q *request) map[prefix.Key]*wire.LookupResult {
 	if len(q.ask.Parts) == 0 {
 		return nil
 	}
