--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -14,20 +14,20 @@
 
 // keeper is one worker that keeps many parts, told at once.
 type keeper struct {
-	backend.Calls
+	backend.Client
 	parts int
 }
 
-func (k *keeper) Events(_ context.Context, _ string, since uint64, _ time.Duration) (backend.Events, error) {
-	e := backend.Events{Boot: 1, Next: 2}
+func (k *keeper) CacheEvents(_ context.Context, _ string, since uint64, _ time.Duration) (backend.CacheEvents, error) {
+	e := backend.CacheEvents{BootID: 1, NextSequence: 2}
 	if since == 0 {
-		e.List = changes(0, k.parts, 800)
+		e.Changes = changes(0, k.parts, 800)
 	}
 	return e, nil
 }
 
-func (k *keeper) Kept(context.Context, string) (backend.Events, error) {
-	return backend.Events{Boot: 1, Next: 2, List: changes(0, k.parts, 800)}, nil
+func (k *keeper) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
+	return backend.CacheEvents{BootID: 1, NextSequence: 2, Changes: changes(0, k.parts, 800)}, nil
 }
 
 // calls measures the edges' calls to an index node over real connections, by how many keys a call
--- a/internal/capacity/form.go
+++ b/internal/capacity/form.go
@@ -26,10 +26,10 @@
 			split = append(split, m{"takingService": s.Service, "weight": s.Weight})
 		}
 		routes = append(routes, m{"name": r.Name, "hostname": r.Host, "prefixOfPath": r.Prefix, "kindOfRoute": int(r.Kind), "longestMs": r.Timeout.Milliseconds(),
-			"latencyWantedMs": r.Target.Milliseconds(), "gapWantedMs": r.Gap.Milliseconds(), "priority": r.Priority, "mostTries": r.Attempts, "public": r.Public, "sessionDrawn": r.Session, "resumable": r.Resumable, "split": split})
+			"latencyWantedMs": r.LatencyTarget.Milliseconds(), "gapWantedMs": r.MaxEventGap.Milliseconds(), "priority": r.Priority, "mostTries": r.MaxAttempts, "public": r.Public, "sessionDrawn": r.NamesPromptParts, "resumable": r.Resumable, "split": split})
 	}
 	for _, s := range p.Services {
-		services = append(services, m{"name": s.Name, "healthAt": s.Health, "mostConnections": s.MaxConns, "slots": s.Engine.Slots, "room": s.Engine.Room, "tokenBytes": s.Engine.TokenBytes, "models": s.Engine.Models})
+		services = append(services, m{"name": s.Name, "healthAt": s.Health, "mostConnections": s.MaxConns, "slots": s.Engine.Slots, "room": s.Engine.CapacityTokens, "tokenBytes": s.Engine.TokenBytes, "models": s.Engine.Models})
 	}
 	for _, t := range p.Tenants {
 		tenants = append(tenants, m{"name": t.Name, "keysHeld": t.Keys, "priority": t.Priority, "isolated": t.Isolated})
@@ -109,21 +109,21 @@
 		case "longestMs":
 			return millis(d, &r.Timeout)
 		case "latencyWantedMs":
-			return millis(d, &r.Target)
+			return millis(d, &r.LatencyTarget)
 		case "gapWantedMs":
-			return millis(d, &r.Gap)
+			return millis(d, &r.MaxEventGap)
 		case "priority":
 			return whole(d, &r.Priority)
 		case "mostTries":
-			return whole(d, &r.Attempts)
+			return whole(d, &r.MaxAttempts)
 		case "public":
 			return flag(d, &r.Public)
 		case "sessionDrawn":
-			return flag(d, &r.Session)
+			return flag(d, &r.NamesPromptParts)
 		case "resumable":
 			return flag(d, &r.Resumable)
 		case "split":
-			return each(d, &r.Split, func(d *jx.Decoder, s *routingconfig.Share) error {
+			return each(d, &r.Split, func(d *jx.Decoder, s *routingconfig.WeightedService) error {
 				return object(d, func(d *jx.Decoder, key string) error {
 					if key == "weight" {
 						return whole(d, &s.Weight)
@@ -149,7 +149,7 @@
 		case "slots":
 			return whole(d, &s.Engine.Slots)
 		case "room":
-			return whole(d, &s.Engine.Room)
+			return whole(d, &s.Engine.CapacityTokens)
 		case "tokenBytes":
 			return whole(d, &s.Engine.TokenBytes)
 		case "models":
@@ -203,11 +203,11 @@
 		hosts[i] = letters(d, 6) + ".example"
 	}
 	for i := range models {
-		p.Services = append(p.Services, routingconfig.Service{Name: serviceName(i), Health: "/health", MaxConns: 630, Engine: &routingconfig.Engine{Slots: 128, Room: 320000, TokenBytes: 18432, Models: []string{modelName(i)}}})
+		p.Services = append(p.Services, routingconfig.Service{Name: serviceName(i), Health: "/health", MaxConns: 630, Engine: &routingconfig.Engine{Slots: 128, CapacityTokens: 320000, TokenBytes: 18432, Models: []string{modelName(i)}}})
 	}
 	for i := range routes {
-		p.Routes = append(p.Routes, routingconfig.Route{Name: "r-" + letters(d, 7), Host: hosts[i%len(hosts)], Prefix: fmt.Sprintf("/%s%d/", letters(d, 6), i), Kind: routingconfig.Stream,
-			Timeout: 8 * time.Second, Target: 600 * time.Millisecond, Gap: 250 * time.Millisecond, Priority: i % 3, Attempts: 2, Session: true, Resumable: true, Split: []routingconfig.Share{{Service: serviceName(i % models), Weight: 100}}})
+		p.Routes = append(p.Routes, routingconfig.Route{Name: "r-" + letters(d, 7), Host: hosts[i%len(hosts)], Prefix: fmt.Sprintf("/%s%d/", letters(d, 6), i), Kind: routingconfig.EventStream,
+			Timeout: 8 * time.Second, LatencyTarget: 600 * time.Millisecond, MaxEventGap: 250 * time.Millisecond, Priority: i % 3, MaxAttempts: 2, NamesPromptParts: true, Resumable: true, Split: []routingconfig.WeightedService{{Service: serviceName(i % models), Weight: 100}}})
 	}
 	for i := range tenants {
 		p.Tenants = append(p.Tenants, routingconfig.Tenant{Name: fmt.Sprintf("%s%d", letters(d, 5), i), Keys: []string{letters(d, 20)}, Priority: i % 3, Isolated: i%4 == 0})
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -21,7 +21,7 @@
 
 // group measures what a real agent is told of one plan by a real group, by how many members it has.
 func group(b *bench) error {
-	packed := float64(len(fleet.Compress(&wire.Document{Key: routingconfig.Key, Body: written(sample(2, 200, 0)), Version: 2}).Body))
+	packed := float64(len(fleet.Compress(&wire.Document{Key: routingconfig.DocumentKey, Body: written(sample(2, 200, 0)), Version: 2}).Body))
 	return b.vary("group", "members", []float64{1, 3, 5}, []kind{
 		{"told-bytes", "B", "bytes that a real agent's connections carried for one new plan of 200 routes, until all members of a real group had told what they had to"},
 		{"told-share", "plans", "the same, in plans as they are told, packed"},
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -202,8 +202,8 @@
 			c := daemon.NewClients(l).ControlNode(t.Addr)
 			have := map[string]uint64{}
 			for ctx.Err() == nil {
-				a := &wire.FollowRequest{MaxWaitNs: uint64(hold), ProofKey: routingconfig.Key, AcceptsCompressed: true}
-				for _, k := range []string{routingconfig.Key, "workers", "weights", "placement/"} {
+				a := &wire.FollowRequest{MaxWaitNs: uint64(hold), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true}
+				for _, k := range []string{routingconfig.DocumentKey, "workers", "weights", "placement/"} {
 					a.Known = append(a.Known, &wire.KnownVersion{Key: k, Version: have[k]})
 				}
 				response, err := c.Follow(ctx, a)
--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -18,10 +18,10 @@
 
 // changes are so many parts that a worker began to keep, from one on; each kind of removal is the
 // same with no tokens.
-func changes(from, n, tokens int) []backend.Change {
-	l := make([]backend.Change, n)
+func changes(from, n, tokens int) []backend.CacheChange {
+	l := make([]backend.CacheChange, n)
 	for i := range l {
-		l[i] = backend.Change{Salt: cacheText, Part: partName(from + i), Model: modelName(0), Tokens: tokens}
+		l[i] = backend.CacheChange{Salt: cacheText, Part: partName(from + i), Model: modelName(0), Tokens: tokens}
 	}
 	return l
 }
@@ -42,9 +42,9 @@
 	return promptindex.NewCore(b, func(prefix.Key) bool { return true })
 }
 
-func applyEvents(c *promptindex.Core, w int, next uint64, l []backend.Change, now time.Duration) {
+func applyEvents(c *promptindex.Core, w int, next uint64, l []backend.CacheChange, now time.Duration) {
 	q := c.NextEvents(fmt.Sprintf("i-%08x", w*40503), serviceName(0))
-	c.ApplyEvents(q, backend.Events{Boot: 7, Next: next, List: l}, now)
+	c.ApplyEvents(q, backend.CacheEvents{BootID: 7, NextSequence: next, Changes: l}, now)
 }
 
 // kept measures the index: by how many parts are kept, how many workers keep each, and how many
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -60,12 +60,12 @@
 		}
 		for _, x := range c.Tick(r.now) {
 			r.calls++
-			to := r.all[x.To]
+			to := r.all[x.Address]
 			if to == nil {
 				continue // its machine is gone
 			}
 			if response := r.carry(to.HandleHeartbeat(r.carry(x.Heartbeat, wired), r.now), wired); response != nil {
-				c.HandleResponse(x.To, response, r.now)
+				c.HandleResponse(x.Address, response, r.now)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 func (r *ring) gone(name string) bool {
 	for _, c := range r.all {
 		for _, n := range c.Nodes() {
-			if n.Name == name && n.State != clustermembership.Gone {
+			if n.Name == name && n.State != clustermembership.Dead {
 				return false
 			}
 		}
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -58,7 +58,7 @@
 	}
 	const span = 1000.0
 	tokens := mbps * 1e6 / 8 / float64(engine().TokenBytes)
-	f := placementcontroller.Inputs{Service: serviceName(0), Mode: "hrcs", Alpha: 1, Workers: ws, Room: 320000, Hot: hot, Curve: placement.Default(),
+	f := placementcontroller.Inputs{Service: serviceName(0), Mode: "hrcs", FetchTolerance: 1, Workers: ws, CapacityTokens: 320000, HotEntries: hot, PrefillCurve: placement.Default(),
 		Links: []*wire.LinkThroughput{{Class: "plan", Tokens: tokens * span, ElapsedNs: span * 1e9}}}
 	p := placementcontroller.Compute(f, nil)
 	changed := 0
@@ -71,9 +71,9 @@
 		var moved bool
 		if i%4 == 3 { // the whole is computed once in four looks
 			next = placementcontroller.Compute(f, p)
-			moved = !slices.Equal(next.Replicated, p.Replicated) || next.Mode != p.Mode || math.Abs(next.Floor-p.Floor) > 0.25*p.Floor+0.05
+			moved = !slices.Equal(next.Replicated, p.Replicated) || next.Mode != p.Mode || math.Abs(next.AdmissionFloor-p.AdmissionFloor) > 0.25*p.AdmissionFloor+0.05
 		} else {
-			next, moved = placementcontroller.Swap(p, hot)
+			next, moved = placementcontroller.SwapInBurst(p, hot)
 		}
 		if p = next; moved {
 			changed++
--- a/internal/capacity/plans.go
+++ b/internal/capacity/plans.go
@@ -36,7 +36,7 @@
 				return nil, err
 			}
 			memory := heap() - was
-			doc := &wire.Document{Key: routingconfig.Key, Body: body, Version: 1}
+			doc := &wire.Document{Key: routingconfig.DocumentKey, Body: body, Version: 1}
 			packed := fleet.Compress(doc)
 			pack := b.spend(func() { fleet.Compress(doc) })
 			read := b.spend(func() {
@@ -49,9 +49,9 @@
 				i++
 				if len(p.Routes) > 0 {
 					r := &p.Routes[i%len(p.Routes)]
-					p.Route(r.Host, r.Prefix+"some/more/path")
+					p.MatchRoute(r.Host, r.Prefix+"some/more/path")
 				} else {
-					p.Tenant(p.Tenants[i%len(p.Tenants)].Keys[0])
+					p.TenantByKey(p.Tenants[i%len(p.Tenants)].Keys[0])
 				}
 			})
 			runtime.KeepAlive(p)
--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -24,23 +24,23 @@
 
 // names are the header names of the hollow workers and callers.
 func names() proxy.Headers {
-	return proxy.Headers{ID: "Go-Id", Left: "Go-Left", Tenant: "Go-Tenant", Expected: "Go-Life", Version: "Go-Version",
-		Urgency: "Go-Urgency", Salt: "Go-Salt", Fetch: "Go-Fetch", Save: "Go-Save", Model: "Go-Model", Usage: "Go-Usage",
-		Parts: "Go-Parts", LastEvent: "Last-Event-Id", NotRun: "Go-Not-Run", Seal: "Go-Seal", Load: "Go-Load",
-		Weights: "Go-Weights", Scheme: "Bearer",
-		ReadLeft: func(v string) (time.Duration, bool) {
+	return proxy.Headers{ID: "Go-Id", TimeRemaining: "Go-Left", Tenant: "Go-Tenant", ExpectedInstance: "Go-Life", ExpectedVersion: "Go-Version",
+		Priority: "Go-Urgency", CacheSalt: "Go-Salt", FetchFrom: "Go-Fetch", SaveTo: "Go-Save", Model: "Go-Model", TokenUsage: "Go-Usage",
+		PromptParts: "Go-Parts", LastEventID: "Last-Event-Id", NotExecuted: "Go-Not-Run", Seal: "Go-Seal", Load: "Go-Load",
+		WeightVersions: "Go-Weights", AuthScheme: "Bearer",
+		ParseTimeRemaining: func(v string) (time.Duration, bool) {
 			n, err := strconv.Atoi(v)
 			return time.Duration(n) * time.Millisecond, err == nil
 		},
-		WriteLeft: func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) },
-		ReadUsage: func(v string) (in, out int) { _, _ = fmt.Sscanf(v, "%d/%d", &in, &out); return },
-		ReadParts: func(v string) (l []selection.PromptPart) {
+		FormatTimeRemaining: func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) },
+		ParseTokenUsage:     func(v string) (in, out int) { _, _ = fmt.Sscanf(v, "%d/%d", &in, &out); return },
+		ParsePromptParts: func(v string) (l []selection.PromptPart) {
 			for _, s := range strings.Fields(v) {
 				l = append(l, selection.PromptPart{ID: s, Tokens: 2500})
 			}
 			return l
 		},
-		ReadLoad: func(v string) (l selection.Load, ok bool) {
+		ParseLoad: func(v string) (l selection.Load, ok bool) {
 			n, _ := fmt.Sscanf(v, "%d/%d/%d", &l.Running, &l.Waiting, &l.Slots)
 			return l, n == 3
 		}}
@@ -62,7 +62,7 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header()["Date"] = nil
 		w.Header().Set("Content-Type", "text/event-stream")
-		for k, v := range map[string]string{h.ID: r.Header.Get(h.ID), h.Seal: "3e1b.07.5a2.600.0.c9f2a4d1", h.Load: "40/0/128", h.Weights: "3"} {
+		for k, v := range map[string]string{h.ID: r.Header.Get(h.ID), h.Seal: "3e1b.07.5a2.600.0.c9f2a4d1", h.Load: "40/0/128", h.WeightVersions: "3"} {
 			w.Header().Set(k, v)
 		}
 		out := http.NewResponseController(w)
@@ -150,7 +150,7 @@
 		l.Place.Public = door.addr()
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
-			Routes: []routingconfig.Route{{Name: "r", Host: "host.example", Prefix: "/pre/", Kind: routingconfig.Stream, Timeout: time.Minute, Target: time.Minute, Public: true, Session: true, Resumable: true, Attempts: 1, Split: []routingconfig.Share{{Service: serviceName(0), Weight: 1}}}},
+			Routes: []routingconfig.Route{{Name: "r", Host: "host.example", Prefix: "/pre/", Kind: routingconfig.EventStream, Timeout: time.Minute, LatencyTarget: time.Minute, Public: true, NamesPromptParts: true, Resumable: true, MaxAttempts: 1, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}},
 			Limits: routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTime: time.Minute, IdleTime: time.Minute}}
 		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Edges: 1,
 			Workers: []fleet.Worker{{ID: "i-0", Service: serviceName(0), Addr: f.address, Zone: "district-0", Slots: 128, Weights: map[string]uint64{modelName(0): 3}}}}
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -52,7 +52,7 @@
 }
 
 func engine() *routingconfig.Engine {
-	return &routingconfig.Engine{Slots: 128, Room: 320000, TokenBytes: 18432, LinkMbps: 370000, Polls: 4}
+	return &routingconfig.Engine{Slots: 128, CapacityTokens: 320000, TokenBytes: 18432, LinkMbps: 370000, MaxPolls: 4}
 }
 
 // workers measures what grows with how many workers there are.
@@ -104,7 +104,7 @@
 		l := newProcess("edge-1", bounds(), nil)
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
-			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.Stream, Timeout: 8 * time.Second, Target: time.Second, Session: true, Attempts: 2, Split: []routingconfig.Share{{Service: serviceName(0), Weight: 1}}}}}
+			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.EventStream, Timeout: 8 * time.Second, LatencyTarget: time.Second, NamesPromptParts: true, MaxAttempts: 2, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}}}
 		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Workers: roll(int(n), 1), Edges: 340}
 		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }), "edge-1")
 		i, d := 0, rand.New(rand.NewPCG(1, 2))
@@ -125,17 +125,17 @@
 
 // idle answers as workers do that have nothing new to tell.
 type idle struct {
-	backend.Calls
+	backend.Client
 	asked chan struct{}
 }
 
-func (c *idle) Events(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.Events, error) {
+func (c *idle) CacheEvents(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	c.asked <- struct{}{}
-	return backend.Events{Boot: 1, Next: since + 1}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: since + 1}, nil
 }
 
-func (c *idle) Kept(context.Context, string) (backend.Events, error) {
-	return backend.Events{Boot: 1, Next: 1}, nil
+func (c *idle) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
+	return backend.CacheEvents{BootID: 1, NextSequence: 1}, nil
 }
 
 // polls measures an index node's round over all workers, without the calls themselves: its bounds
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := serviceconfig.Read(have.Setup); err == nil { // a plan of another format is compared as it was sent
+	if _, err := serviceconfig.Decode(have.Setup); err == nil { // a plan of another format is compared as it was sent
 		if b, err = serviceconfig.Merge(nil, b); err != nil {
 			return nil, err
 		}
--- a/internal/cli/moves.go
+++ b/internal/cli/moves.go
@@ -39,16 +39,16 @@
 func formatMoves(w io.Writer, l *operator.Moves) {
 	fmt.Fprintf(w, "SERVICE\tNAME\tKIND\tSTATE\tSTEP\tWHY\n")
 	for _, m := range l.Moves {
-		e, err := calendar.Read(m)
+		e, err := calendar.Decode(m)
 		if err != nil {
 			fmt.Fprintf(w, "?\t?\t?\t?\t?\t%s\n", errs.Text(err))
 			continue
 		}
-		step := fmt.Sprintf("%d of %d", e.Step, len(e.Steps))
-		if e.Step < len(e.Steps) {
-			s := e.Steps[e.Step]
-			step += ": " + s.Do + " " + strings.Join(s.On, " ")
+		step := fmt.Sprintf("%d of %d", e.CurrentStep, len(e.Steps))
+		if e.CurrentStep < len(e.Steps) {
+			s := e.Steps[e.CurrentStep]
+			step += ": " + s.Kind + " " + strings.Join(s.Workers, " ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", e.Service, e.Name, e.Kind, e.State, step, e.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", e.Service, e.Name, e.Kind, e.State, step, e.Reason)
 	}
 }
--- a/internal/cli/render.go
+++ b/internal/cli/render.go
@@ -30,13 +30,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var ls []serviceconfig.Layer
+	var ls []serviceconfig.Overlay
 	for _, f := range r.overlays {
 		b, err := os.ReadFile(f)
 		if err != nil {
 			return nil, errs.As(err, errs.BadInput, "overlay")
 		}
-		ls = append(ls, serviceconfig.Layer{Name: f, Body: b})
+		ls = append(ls, serviceconfig.Overlay{Name: f, Body: b})
 	}
 	body, os, err := serviceconfig.Render(raw, set, ls)
 	return &Rendered{body, os}, err
--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -65,7 +65,7 @@
 // Example: if x.Wrong() { return 1 }
 func (x *Retired) Wrong() bool {
 	for _, r := range x.Retirements {
-		if r.State == retire.Paused || r.Stuck() {
+		if r.State == retire.StatePaused || r.NeedsOperator() {
 			return !x.history
 		}
 	}
@@ -75,7 +75,7 @@
 func formatRetirements(w io.Writer, x *Retired) {
 	if x.history {
 		for _, r := range x.Retirements {
-			for _, l := range r.Log {
+			for _, l := range r.History {
 				fmt.Fprintf(w, "%s\t%s\t%s\n", r.Service, r.Name, l)
 			}
 		}
@@ -83,9 +83,9 @@
 	}
 	fmt.Fprintf(w, "SERVICE\tNAME\tFROM\tTO\tSTATE\tPROGRESS\tWHY\n")
 	for _, r := range x.Retirements {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Service, r.Name, r.From, r.To, r.State, r.Progress(), r.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Service, r.Name, r.OldBase, r.NewBase, r.State, r.Progress(), r.Reason)
 		for _, h := range r.Blockers {
-			fmt.Fprintf(w, "\theld by %s:\t%s\n\tdo:\t%s\n", h.Node, h.Why, h.Remedy)
+			fmt.Fprintf(w, "\theld by %s:\t%s\n\tdo:\t%s\n", h.Node, h.Reason, h.Remedy)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l = append(l, map[string]string{"name": r.Name, "service": r.Service, "state": r.State, "phase": r.Phase, "held": fmt.Sprint(r.Stuck())})
+		l = append(l, map[string]string{"name": r.Name, "service": r.Service, "state": r.State, "phase": r.Phase, "held": fmt.Sprint(r.NeedsOperator())})
 	}
 	return l, nil
 }
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -199,7 +199,7 @@
 			return nil, typedError(err, "")
 		}
 		for _, x := range m.Moves {
-			e, err := calendar.Read(x)
+			e, err := calendar.Decode(x)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -246,9 +246,9 @@
 	return names, series
 }
 
-// The workers: pond implements backend.Calls.
+// The workers: pond implements backend.Client.
 
-func (p *testSite) List(context.Context, string) (l []fleet.Worker, next string, err error) {
+func (p *testSite) ListWorkers(context.Context, string) (l []fleet.Worker, next string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := 1; i <= len(p.workerWeights); i++ {
@@ -273,26 +273,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ordersRejected {
-		return backend.Denied, nil
+		return backend.OutcomeRejected, nil
 	}
 	p.workerWeights[worker(addr)] = o.Version
-	return backend.Begun, nil
+	return backend.OutcomeStarted, nil
 }
 
-// Events: all workers keep part p1 of the weights that they serve, from the start.
-func (p *testSite) Events(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.Events, error) {
+// CacheEvents: all workers keep part p1 of the weights that they serve, from the start.
+func (p *testSite) CacheEvents(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	if since == 0 {
-		return p.Kept(ctx, addr)
+		return p.CachedPrefixes(ctx, addr)
 	}
 	clock.Sleep(ctx, wait)
-	return backend.Events{Boot: 1, Next: since}, ctx.Err()
+	return backend.CacheEvents{BootID: 1, NextSequence: since}, ctx.Err()
 }
 
-func (p *testSite) Kept(_ context.Context, addr string) (backend.Events, error) {
+func (p *testSite) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	text := selection.CacheSalt("daka", p.workerWeights[worker(addr)], nil)
-	return backend.Events{Boot: 1, Next: 1, List: []backend.Change{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
 }
 
 // pondPlans is a form of plans: {"version": 7, "routes": [{"name": "a", "to": "reading"}]}.
@@ -307,7 +307,7 @@
 	v := pondPlan{}
 	err := json.Unmarshal(b, &v)
 	x := &routingconfig.Plan{Version: v.Version, Tenants: []routingconfig.Tenant{{Name: "t", Priority: -1}, {Name: "walled", Priority: -1, Isolated: true}}, Services: []routingconfig.Service{{Name: "reading", MaxConns: 100,
-		Engine: &routingconfig.Engine{Slots: 8, Room: 10000, TokenBytes: 18432, LinkMbps: 370000, Polls: 4, Models: []string{"daka"}}}}}
+		Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000, MaxPolls: 4, Models: []string{"daka"}}}}}
 	return x.BuildIndex(), err
 }
 
--- a/internal/contract/backend.go
+++ b/internal/contract/backend.go
@@ -34,7 +34,7 @@
 //
 // Example: be := contract.NewBackends(life.Dial)
 func NewBackends(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Backends {
-	return &Backends{backend.NewClient(dial, idleStates, mostConns), backend.NewClient(dial, idleStarts, mostConns), backend.NewSingleUseClient(dial)}
+	return &Backends{backend.NewHTTPClient(dial, idleStates, mostConns), backend.NewHTTPClient(dial, idleStarts, mostConns), backend.NewSingleUseHTTPClient(dial)}
 }
 
 // Close lets go of idle connections.
--- a/internal/control/calendar/step.go
+++ b/internal/control/calendar/step.go
@@ -13,36 +13,36 @@
 type Worker struct {
 	Name, Incarnation string
 	Weights           uint64
-	Up                bool // takes requests
-	Here              bool // answers probes, draining or not
+	AcceptsRequests   bool // takes requests
+	Reachable         bool // answers probes, draining or not
 	Busy              int
 }
 
-// World is what is known when a step is decided.
-type World struct {
-	Wall         time.Time // the median of the core machines' clocks; zero: no majority sent its own
-	Clock        time.Duration
-	Version      uint64 // of the configuration
-	EntryVersion uint64 // of the entry's document, as it was read
-	Config       *serviceconfig.Config
-	Workers      []Worker
-	Ok, Bad      float64 // attempts of the service, lately
+// Observation is what is known when a step is decided.
+type Observation struct {
+	WallTime          time.Time // the median of the core machines' clocks; zero: no majority sent its own
+	Now               time.Duration
+	ConfigVersion     uint64 // of the configuration
+	EntryVersion      uint64 // of the entry's document, as it was read
+	Config            *serviceconfig.Config
+	Workers           []Worker
+	Succeeded, Failed float64 // attempts of the service, lately
 }
 
-// Move is what is to be done now: a partial setup under a token, or nothing.
-type Move struct {
+// Action is what is to be done now: a partial setup under a token, or nothing.
+type Action struct {
 	Patch []byte // null: nothing to do
 	Token string
 }
 
-// Pacer carries one entry on. Between calls it remembers only when a soak began, by the
+// Planner carries one entry on. Between calls it remembers only when a soak began, by the
 // holder's own clock; a new holder soaks anew.
-type Pacer struct{ soak map[string]time.Duration }
+type Planner struct{ soakStarted map[string]time.Duration }
 
-// NewPacer begins to pace.
+// NewPlanner begins to pace.
 //
-// Example: p := calendar.NewPacer()
-func NewPacer() *Pacer { return &Pacer{map[string]time.Duration{}} }
+// Example: p := calendar.NewPlanner()
+func NewPlanner() *Planner { return &Planner{map[string]time.Duration{}} }
 
 // Next says what an entry does now. It returns the entry as it is to be written (changed
 // tells whether it is), and the move to make once that is written. A step that acts is
@@ -51,63 +51,63 @@
 // on whatever version of the configuration is in force then: the control state answers that it is done.
 //
 // Example: e2, move, changed := p.Next(e, world)
-func (p *Pacer) Next(old *Entry, w World) (e *Entry, m Move, changed bool) {
+func (p *Planner) Next(old *Entry, w Observation) (e *Entry, m Action, changed bool) {
 	e = clone(old)
 	switch e.State {
-	case Planned:
-		return e, m, p.begin(e, w)
-	case Running:
-		if why := e.stop(w); why != "" {
-			e.State, e.Why = Paused, why
+	case StatePlanned:
+		return e, m, p.start(e, w)
+	case StateRunning:
+		if why := e.stopReason(w); why != "" {
+			e.State, e.Reason = StatePaused, why
 			return e, m, true
 		}
-	case Undoing:
+	case StateUndoing:
 	default:
 		return e, m, false
 	}
-	if e.State == Undoing {
+	if e.State == StateUndoing {
 		return p.undo(e, w)
 	}
-	if e.Step >= len(e.Steps) {
-		e.State, e.Why = Done, ""
+	if e.CurrentStep >= len(e.Steps) {
+		e.State, e.Reason = StateDone, ""
 		return e, m, true
 	}
-	s := &e.Steps[e.Step]
+	s := &e.Steps[e.CurrentStep]
 	if s.State == "todo" {
-		if why := e.wait(s, w); why != "" {
-			changed = e.Why != why
-			e.Why = why
+		if why := e.unmetPrecondition(s, w); why != "" {
+			changed = e.Reason != why
+			e.Reason = why
 			return e, m, changed
 		}
-		s.State, e.Why = "doing", ""
+		s.State, e.Reason = "doing", ""
 		s.Incarnations = incarnations(s, w)
 		return e, m, true
 	}
 	if patch := e.patch(s); patch != nil {
-		return e, Move{patch, token(e, w, "")}, false // Acted writes it as done
+		return e, Action{patch, actionToken(e, w, "")}, false // Acted writes it as done
 	}
-	if why := p.await(e, s, w); why != "" {
-		changed = e.Why != why
-		e.Why = why
+	if why := p.unmetCompletion(e, s, w); why != "" {
+		changed = e.Reason != why
+		e.Reason = why
 		return e, m, changed
 	}
-	s.State, e.Why = "done", ""
-	e.Step++
+	s.State, e.Reason = "done", ""
+	e.CurrentStep++
 	return e, m, true
 }
 
-// Acted writes down that the move of the step in hand was acknowledged.
+// RecordAction writes down that the move of the step in hand was acknowledged.
 //
 // Example: e2 := calendar.Acted(e)
-func Acted(old *Entry) *Entry {
+func RecordAction(old *Entry) *Entry {
 	e := clone(old)
-	if e.State == Undoing {
-		e.State, e.Why = Undone, ""
+	if e.State == StateUndoing {
+		e.State, e.Reason = StateUndone, ""
 		return e
 	}
-	if e.Step < len(e.Steps) {
-		e.Steps[e.Step].State = "done"
-		e.Step++
+	if e.CurrentStep < len(e.Steps) {
+		e.Steps[e.CurrentStep].State = "done"
+		e.CurrentStep++
 	}
 	return e
 }
@@ -118,18 +118,18 @@
 	return &c
 }
 
-// begin plans the steps once the time has come by a majority's clocks.
-func (p *Pacer) begin(e *Entry, w World) bool {
-	if e.At != "" {
-		at, err := time.Parse(time.RFC3339, e.At)
-		if err != nil || w.Wall.IsZero() || w.Wall.Before(at) {
+// start plans the steps once the time has come by a majority's clocks.
+func (p *Planner) start(e *Entry, w Observation) bool {
+	if e.NotBefore != "" {
+		at, err := time.Parse(time.RFC3339, e.NotBefore)
+		if err != nil || w.WallTime.IsZero() || w.WallTime.Before(at) {
 			return false
 		}
 	}
 	switch e.Kind {
-	case Weights:
-		e.Steps = []StepInfo{{Do: "name", State: "todo"}, {Do: "see", State: "todo"}}
-	case Release:
+	case KindWeights:
+		e.Steps = []Step{{Kind: "name", State: "todo"}, {Kind: "see", State: "todo"}}
+	case KindRelease:
 		names := e.Workers
 		if len(names) == 0 {
 			for _, x := range w.Workers {
@@ -140,42 +140,42 @@
 		if len(names) == 0 {
 			return false
 		}
-		for n := max(1, e.AtOnce); len(names) > 0; {
+		for n := max(1, e.BatchSize); len(names) > 0; {
 			b := names[:min(n, len(names))]
 			names = names[len(b):]
-			e.Steps = append(e.Steps, StepInfo{Do: "drain", On: b, State: "todo"}, StepInfo{Do: "replaced", On: b, State: "todo"}, StepInfo{Do: "back", On: b, State: "todo"})
+			e.Steps = append(e.Steps, Step{Kind: "drain", Workers: b, State: "todo"}, Step{Kind: "replaced", Workers: b, State: "todo"}, Step{Kind: "back", Workers: b, State: "todo"})
 		}
-	case Handover:
-		shares := e.Shares
+	case KindHandover:
+		shares := e.Percents
 		if len(shares) == 0 {
 			shares = []int{10, 50, 100}
 		}
 		for _, s := range shares {
-			e.Steps = append(e.Steps, StepInfo{Do: "share", Share: s, State: "todo"}, StepInfo{Do: "soak", Share: s, State: "todo"})
+			e.Steps = append(e.Steps, Step{Kind: "share", Percent: s, State: "todo"}, Step{Kind: "soak", Percent: s, State: "todo"})
 		}
 	}
-	e.State = Running
+	e.State = StateRunning
 	return true
 }
 
-// stop is the stop condition on failures.
-func (e *Entry) stop(w World) string {
-	at := e.StopAt
+// stopReason is the stop condition on failures.
+func (e *Entry) stopReason(w Observation) string {
+	at := e.MaxFailureRatio
 	if at == 0 {
 		at = 0.2
 	}
-	if n := w.Ok + w.Bad; n >= 20 && w.Bad/n > at {
-		return fmt.Sprintf("stopped: %.0f of %.0f attempts failed lately: find out why, then resume or undo", w.Bad, n)
+	if n := w.Succeeded + w.Failed; n >= 20 && w.Failed/n > at {
+		return fmt.Sprintf("stopped: %.0f of %.0f attempts failed lately: find out why, then resume or undo", w.Failed, n)
 	}
 	return ""
 }
 
-// wait is a step's precondition: why it can't begin yet.
-func (e *Entry) wait(s *StepInfo, w World) string {
+// unmetPrecondition is a step's precondition: why it can't begin yet.
+func (e *Entry) unmetPrecondition(s *Step, w Observation) string {
 	if w.Config == nil {
 		return "no configuration is known"
 	}
-	switch s.Do {
+	switch s.Kind {
 	case "name":
 		if m, ok := w.Config.Models[e.Model]; !ok {
 			return "model " + e.Model + " isn't in the configuration"
@@ -185,37 +185,37 @@
 	case "drain":
 		up, stay := 0, 0
 		for _, x := range w.Workers {
-			if x.Up {
-				if up++; !slices.Contains(s.On, x.Name) {
+			if x.AcceptsRequests {
+				if up++; !slices.Contains(s.Workers, x.Name) {
 					stay++
 				}
 			}
 		}
-		if need := e.Keep * float64(len(w.Workers)); stay < 1 || float64(stay) < need {
+		if need := e.MinUpRatio * float64(len(w.Workers)); stay < 1 || float64(stay) < need {
 			return fmt.Sprintf("waits for capacity: %d workers would stay up, %.0f are to", stay, max(1, need))
 		}
 	case "share":
-		if _, ok := w.Config.Services[e.To]; !ok {
-			return "service " + e.To + " isn't in the configuration"
+		if _, ok := w.Config.Services[e.ToService]; !ok {
+			return "service " + e.ToService + " isn't in the configuration"
 		}
 	}
 	return ""
 }
 
-func incarnations(s *StepInfo, w World) map[string]string {
-	if s.Do != "drain" {
+func incarnations(s *Step, w Observation) map[string]string {
+	if s.Kind != "drain" {
 		return nil
 	}
 	m := map[string]string{}
 	for _, x := range w.Workers {
-		if slices.Contains(s.On, x.Name) {
+		if slices.Contains(s.Workers, x.Name) {
 			m[x.Name] = x.Incarnation
 		}
 	}
 	return m
 }
 
-func raw(v any) []byte {
+func marshalPatch(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic("calendar: a patch of plain values can't be written: " + err.Error())
@@ -226,30 +226,30 @@
 type object = map[string]any
 
 // patch is the partial configuration of a step that acts; nil for one that waits.
-func (e *Entry) patch(s *StepInfo) []byte {
-	switch s.Do {
+func (e *Entry) patch(s *Step) []byte {
+	switch s.Kind {
 	case "name":
-		return raw(object{"models": object{e.Model: object{"weights": e.Weights}}})
+		return marshalPatch(object{"models": object{e.Model: object{"weights": e.Weights}}})
 	case "drain", "back":
 		d := object{}
-		for _, n := range s.On {
-			if d[n] = any(true); s.Do == "back" {
+		for _, n := range s.Workers {
+			if d[n] = any(true); s.Kind == "back" {
 				d[n] = nil
 			}
 		}
-		return raw(object{"drains": d})
+		return marshalPatch(object{"drains": d})
 	case "share":
-		if s.Share == 100 {
-			return raw(object{"ways": object{e.Model: object{"service": e.To, "next": nil, "share": nil}}})
+		if s.Percent == 100 {
+			return marshalPatch(object{"ways": object{e.Model: object{"service": e.ToService, "next": nil, "share": nil}}})
 		}
-		return raw(object{"ways": object{e.Model: object{"service": e.Service, "next": e.To, "share": s.Share}}})
+		return marshalPatch(object{"ways": object{e.Model: object{"service": e.Service, "next": e.ToService, "share": s.Percent}}})
 	}
 	return nil
 }
 
-// await is why a step that waits isn't over.
-func (p *Pacer) await(e *Entry, s *StepInfo, w World) string {
-	switch s.Do {
+// unmetCompletion is why a step that waits isn't over.
+func (p *Planner) unmetCompletion(e *Entry, s *Step, w Observation) string {
+	switch s.Kind {
 	case "see":
 		old := 0
 		for _, x := range w.Workers {
@@ -261,59 +261,59 @@
 			return fmt.Sprintf("%d of %d workers are on older weights", old, len(w.Workers))
 		}
 	case "replaced":
-		before := e.Steps[e.Step-1].Incarnations
-		for _, n := range s.On {
+		before := e.Steps[e.CurrentStep-1].Incarnations
+		for _, n := range s.Workers {
 			here := false
 			for _, x := range w.Workers {
-				here = here || x.Name == n && x.Here && x.Incarnation != "" && x.Incarnation != before[n]
+				here = here || x.Name == n && x.Reachable && x.Incarnation != "" && x.Incarnation != before[n]
 			}
 			if !here {
 				return "waits for " + n + " to come back as a new incarnation"
 			}
 		}
 	case "soak":
-		k := fmt.Sprintf("%s/%d", e.Name, e.Step)
-		at, ok := p.soak[k]
+		k := fmt.Sprintf("%s/%d", e.Name, e.CurrentStep)
+		at, ok := p.soakStarted[k]
 		if !ok {
-			p.soak[k] = w.Clock
-			at = w.Clock
+			p.soakStarted[k] = w.Now
+			at = w.Now
 		}
-		if w.Clock-at < time.Duration(e.SoakS)*time.Second {
-			return fmt.Sprintf("holds %d percent for %d s", s.Share, e.SoakS)
+		if w.Now-at < time.Duration(e.SoakS)*time.Second {
+			return fmt.Sprintf("holds %d percent for %d s", s.Percent, e.SoakS)
 		}
-		delete(p.soak, k)
+		delete(p.soakStarted, k)
 	}
 	return ""
 }
 
 // undo takes back what was done, in one change.
-func (p *Pacer) undo(e *Entry, w World) (*Entry, Move, bool) {
+func (p *Planner) undo(e *Entry, w Observation) (*Entry, Action, bool) {
 	switch e.Kind {
-	case Release:
+	case KindRelease:
 		d := object{}
 		for _, s := range e.Steps {
-			for _, n := range s.On {
+			for _, n := range s.Workers {
 				if s.State != "todo" {
 					d[n] = nil
 				}
 			}
 		}
 		if len(d) > 0 {
-			return e, Move{raw(object{"drains": d}), token(e, w, "undo")}, false
+			return e, Action{marshalPatch(object{"drains": d}), actionToken(e, w, "undo")}, false
 		}
-	case Handover:
+	case KindHandover:
 		if len(e.Steps) > 0 {
-			return e, Move{raw(object{"ways": object{e.Model: object{"service": e.Service, "next": nil, "share": nil}}}), token(e, w, "undo")}, false
+			return e, Action{marshalPatch(object{"ways": object{e.Model: object{"service": e.Service, "next": nil, "share": nil}}}), actionToken(e, w, "undo")}, false
 		}
 	}
-	e.State = Undone
-	return e, Move{}, true
+	e.State = StateUndone
+	return e, Action{}, true
 }
 
-// token names one step's move, the same for every holder: nobody writes the entry between the step's
+// actionToken names one step's move, the same for every holder: nobody writes the entry between the step's
 // beginning and its end. The version of the entry tells it from a later entry of the same name, whose
 // moves would else count as made; a step that is resumed after a pause is made anew, which changes
 // nothing where it was made before.
-func token(e *Entry, w World, suffix string) string {
-	return fmt.Sprintf("calendar/%s/%s/%d/%d%s", e.Service, e.Name, w.EntryVersion, e.Step, suffix)
+func actionToken(e *Entry, w Observation, suffix string) string {
+	return fmt.Sprintf("calendar/%s/%s/%d/%d%s", e.Service, e.Name, w.EntryVersion, e.CurrentStep, suffix)
 }
--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -15,7 +15,7 @@
 const (
 	Alive uint32 = iota
 	Suspect
-	Gone
+	Dead
 )
 
 // The roles of nodes, as they stand in the cluster membership. A node's name is its role, a slash and the
@@ -29,25 +29,25 @@
 
 const maxNodes = 4096
 
-// joiningBeats is how many heartbeats a node asks for full views: others may not have noticed that it
+// joiningHeartbeats is how many heartbeats a node asks for full views: others may not have noticed that it
 // was away, and have no reason to send it everything. These heartbeats fill the first period, so that
 // nodes that start together find each other soon.
-const joiningBeats = 8
+const joiningHeartbeats = 8
 
 // divergenceRatio is how long views may differ, as a ratio of the leave bound, before a full view is
 // sent although updates are still in flight.
 const divergenceRatio = 0.5
 
-// settledRatio is the age of a node, as a ratio of the leave bound and sleep included, from which a
+// replacementAgeRatio is the age of a node, as a ratio of the leave bound and sleep included, from which a
 // newer incarnation of its name elsewhere is its successor and not its own past.
-const settledRatio = 2
+const replacementAgeRatio = 2
 
-type entry struct {
-	node        *wire.Node
-	position    uint64        // on the ring
-	changedAt   time.Duration // when this state began
-	lastHeard   time.Duration
-	retransmits int // how many more heartbeats carry it
+type peer struct {
+	node          *wire.Node
+	position      uint64        // on the ring
+	changedAt     time.Duration // when this state began
+	lastContact   time.Duration
+	transmitsLeft int // how many more heartbeats carry it
 }
 
 // Core is one node's view of all nodes.
@@ -55,11 +55,11 @@
 	bounds     settings.Bounds
 	self       *wire.Node
 	seeds      []string
-	entries    map[string]*entry
-	period     int
+	peers      map[string]*peer
+	ticks      int
 	version    uint64
 	checksum   uint64 // checksum of the view
-	replaced   bool
+	nameReused bool
 	startedAt  time.Duration            // its first tick
 	sendFull   map[string]bool          // addresses whose view differs: they get a full view
 	divergedAt map[string]time.Duration // by caller: since when its view differs from this one
@@ -69,13 +69,13 @@
 //
 // Example: c := clustermembership.New(bounds, self, seeds)
 func New(b settings.Bounds, self *wire.Node, seeds []string) *Core {
-	return &Core{bounds: b, self: self, seeds: seeds, entries: map[string]*entry{}, version: 1, sendFull: map[string]bool{}, divergedAt: map[string]time.Duration{}}
+	return &Core{bounds: b, self: self, seeds: seeds, peers: map[string]*peer{}, version: 1, sendFull: map[string]bool{}, divergedAt: map[string]time.Duration{}}
 }
 
 // Replaced reports whether another machine has taken this node's name: the node has to stop.
 //
 // Example: if c.Replaced() { stop() }
-func (c *Core) Replaced() bool { return c.replaced }
+func (c *Core) Replaced() bool { return c.nameReused }
 
 // Version grows whenever the view changes.
 //
@@ -113,62 +113,62 @@
 		if n.State != Alive && n.Incarnation == c.self.Incarnation && n.Heartbeat >= c.self.Heartbeat {
 			c.self.Heartbeat = n.Heartbeat + 1
 		} else if n.Incarnation > c.self.Incarnation {
-			if n.Addr != c.self.Addr && n.State == Alive && c.period > 0 && now-c.startedAt > c.bounds.Leave(settledRatio) {
-				c.replaced = true // another machine took this name while this one was suspended
+			if n.Addr != c.self.Addr && n.State == Alive && c.ticks > 0 && now-c.startedAt > c.bounds.Leave(replacementAgeRatio) {
+				c.nameReused = true // another machine took this name while this one was suspended
 				return
 			}
 			c.self.Incarnation = n.Incarnation + 1
 		}
 		return
 	}
-	e := c.entries[n.Name]
+	e := c.peers[n.Name]
 	if e == nil {
-		if len(c.entries) >= maxNodes || n.State == Gone {
+		if len(c.peers) >= maxNodes || n.State == Dead {
 			return
 		}
-		c.entries[n.Name] = &entry{node: clone(n), position: queue.Hash(n.Name), changedAt: now, lastHeard: now, retransmits: c.retransmitCount()}
+		c.peers[n.Name] = &peer{node: clone(n), position: queue.Hash(n.Name), changedAt: now, lastContact: now, transmitsLeft: c.retransmitLimit()}
 		c.version++
 		return
 	}
 	if direct && n.Incarnation >= e.node.Incarnation {
-		e.lastHeard = now
+		e.lastContact = now
 	}
 	if !isNewer(n, e.node) {
 		if n.State != Alive && e.node.State == Alive && e.node.Heartbeat > n.Heartbeat && n.Incarnation == e.node.Incarnation {
-			e.retransmits = c.retransmitCount() // it was heard since: refute that
+			e.transmitsLeft = c.retransmitLimit() // it was heard since: refute that
 		}
 		return
 	}
 	changed := n.State != e.node.State || n.Incarnation != e.node.Incarnation || n.Addr != e.node.Addr
 	e.node = clone(n)
 	if changed {
-		e.changedAt, e.retransmits = now, c.retransmitCount()
+		e.changedAt, e.transmitsLeft = now, c.retransmitLimit()
 		if n.State == Alive {
-			e.lastHeard = now
+			e.lastContact = now
 		}
 		c.version++
 	}
 }
 
-func (c *Core) retransmitCount() int {
+func (c *Core) retransmitLimit() int {
 	k := 3
-	for n := len(c.entries); n > 1; n /= 2 {
+	for n := len(c.peers); n > 1; n /= 2 {
 		k += 2
 	}
 	return k
 }
 
-// Call is a heartbeat to send to an address.
-type Call struct {
-	To        string
+// OutgoingHeartbeat is a heartbeat to send to an address.
+type OutgoingHeartbeat struct {
+	Address   string
 	Heartbeat *wire.Heartbeat
 }
 
 // Tick is one period: judge the observed nodes, then return the heartbeats to send.
 //
 // Example: for _, x := range c.Tick(clock.Now()) { send(x) }
-func (c *Core) Tick(now time.Duration) []Call {
-	if c.period++; c.period == 1 {
+func (c *Core) Tick(now time.Duration) []OutgoingHeartbeat {
+	if c.ticks++; c.ticks == 1 {
 		c.startedAt = now
 	}
 	c.self.Heartbeat++
@@ -185,16 +185,16 @@
 	}
 	c.detectFailures(watched, now)
 	c.checksum = c.computeChecksum()
-	var calls []Call
+	var calls []OutgoingHeartbeat
 	for _, d := range offsets {
-		if w := ring[(at+d)%len(ring)].node; w.State != Gone {
-			calls = append(calls, Call{w.Addr, c.newHeartbeat(c.period <= joiningBeats)})
+		if w := ring[(at+d)%len(ring)].node; w.State != Dead {
+			calls = append(calls, OutgoingHeartbeat{w.Addr, c.newHeartbeat(c.ticks <= joiningHeartbeats)})
 		}
 	}
-	calls = append(calls, c.distantCalls(len(calls) == 0)...)
-	for _, e := range c.entries {
-		if e.retransmits > 0 {
-			e.retransmits--
+	calls = append(calls, c.reconnectHeartbeats(len(calls) == 0)...)
+	for _, e := range c.peers {
+		if e.transmitsLeft > 0 {
+			e.transmitsLeft--
 		}
 	}
 	return calls
@@ -202,27 +202,27 @@
 
 // detectFailures suspects the watched nodes that were silent, and removes those that stayed silent.
 func (c *Core) detectFailures(watched map[string]bool, now time.Duration) {
-	for _, e := range c.entries {
+	for _, e := range c.peers {
 		switch {
 		case e.node.State == Alive && !watched[e.node.Name]:
-			e.lastHeard = now // its timeout starts when this node becomes its observer
-		case e.node.State == Alive && now-e.lastHeard > c.bounds.Leave(0.35):
-			e.node.State, e.changedAt, e.retransmits = Suspect, now, c.retransmitCount()
+			e.lastContact = now // its timeout starts when this node becomes its observer
+		case e.node.State == Alive && now-e.lastContact > c.bounds.Leave(0.35):
+			e.node.State, e.changedAt, e.transmitsLeft = Suspect, now, c.retransmitLimit()
 			c.version++
 		case e.node.State == Suspect && now-e.changedAt > c.bounds.Leave(0.25):
-			e.node.State, e.changedAt, e.retransmits = Gone, now, c.retransmitCount()
+			e.node.State, e.changedAt, e.transmitsLeft = Dead, now, c.retransmitLimit()
 			c.version++
-		case e.node.State == Gone && now-e.changedAt > c.bounds.Heal(10):
-			delete(c.entries, e.node.Name)
+		case e.node.State == Dead && now-e.changedAt > c.bounds.Heal(10):
+			delete(c.peers, e.node.Name)
 			c.version++
 		}
 	}
 }
 
-// distantCalls calls a seed or a gone node every fourth period, so that partitions heal; a node that is
+// reconnectHeartbeats calls a seed or a gone node every fourth period, so that partitions heal; a node that is
 // alone calls two of them in every period.
-func (c *Core) distantCalls(alone bool) []Call {
-	if !alone && c.period%4 != 0 {
+func (c *Core) reconnectHeartbeats(alone bool) []OutgoingHeartbeat {
+	if !alone && c.ticks%4 != 0 {
 		return nil
 	}
 	var addresses []string
@@ -232,26 +232,26 @@
 		}
 	}
 	for _, n := range c.Nodes() {
-		if n.State == Gone {
+		if n.State == Dead {
 			addresses = append(addresses, n.Addr)
 		}
 	}
 	if len(addresses) == 0 {
 		return nil
 	}
-	x := addresses[c.period/4%len(addresses)]
-	calls := []Call{{x, c.newHeartbeat(alone || c.sendFull[x])}}
+	x := addresses[c.ticks/4%len(addresses)]
+	calls := []OutgoingHeartbeat{{x, c.newHeartbeat(alone || c.sendFull[x])}}
 	delete(c.sendFull, x)
 	if alone && len(addresses) > 1 {
-		calls = append(calls, Call{addresses[(c.period+1)%len(addresses)], c.newHeartbeat(true)})
+		calls = append(calls, OutgoingHeartbeat{addresses[(c.ticks+1)%len(addresses)], c.newHeartbeat(true)})
 	}
 	return calls
 }
 
 func (c *Core) newHeartbeat(whole bool) *wire.Heartbeat {
 	b := &wire.Heartbeat{Format: 1, From: clone(c.self), FullView: whole, ViewChecksum: c.checksum}
-	for _, e := range c.entries {
-		if whole || e.retransmits > 0 {
+	for _, e := range c.peers {
+		if whole || e.transmitsLeft > 0 {
 			b.Updates = append(b.Updates, clone(e.node))
 		}
 	}
@@ -262,13 +262,13 @@
 // its silence.
 //
 // Example: for _, x := range c.Leave() { send(x) }
-func (c *Core) Leave() []Call {
+func (c *Core) Leave() []OutgoingHeartbeat {
 	c.self.Heartbeat++
-	c.self.State = Gone
-	var l []Call
-	for _, e := range c.entries {
+	c.self.State = Dead
+	var l []OutgoingHeartbeat
+	for _, e := range c.peers {
 		if e.node.State == Alive && len(l) < 8 {
-			l = append(l, Call{e.node.Addr, &wire.Heartbeat{Format: 1, From: clone(c.self)}})
+			l = append(l, OutgoingHeartbeat{e.node.Addr, &wire.Heartbeat{Format: 1, From: clone(c.self)}})
 		}
 	}
 	return l
@@ -285,8 +285,8 @@
 	if b.GetFrom() == nil {
 		return c.newHeartbeat(true) // an observer without a node of its own
 	}
-	old := c.entries[b.From.Name]
-	fresh := old == nil || old.node.State == Gone
+	old := c.peers[b.From.Name]
+	fresh := old == nil || old.node.State == Dead
 	was := c.version
 	c.merge(b.From, now, true)
 	for _, n := range b.Updates {
@@ -296,7 +296,7 @@
 		c.checksum = c.computeChecksum()
 	}
 	t := c.newHeartbeat(b.FullView || fresh || c.needsFullView(b, now))
-	if e := c.entries[b.From.Name]; e != nil && e.node.Incarnation > b.From.Incarnation {
+	if e := c.peers[b.From.Name]; e != nil && e.node.Incarnation > b.From.Incarnation {
 		t.Updates = append(t.Updates, clone(e.node)) // a newer incarnation of that name is known here
 	}
 	return t
@@ -326,8 +326,8 @@
 // isStable reports whether no update is in flight here: views that differ then will not converge by
 // themselves.
 func (c *Core) isStable(now time.Duration) bool {
-	for _, e := range c.entries {
-		if e.retransmits > 0 || now-e.changedAt < c.bounds.Leave(0.3) {
+	for _, e := range c.peers {
+		if e.transmitsLeft > 0 || now-e.changedAt < c.bounds.Leave(0.3) {
 			return false
 		}
 	}
@@ -357,7 +357,7 @@
 // Example: for _, n := range c.Nodes() { fmt.Println(n.Name, n.State) }
 func (c *Core) Nodes() []*wire.Node {
 	l := []*wire.Node{clone(c.self)}
-	for _, e := range c.entries {
+	for _, e := range c.peers {
 		l = append(l, clone(e.node))
 	}
 	sort.Slice(l, func(i, j int) bool { return l[i].Name < l[j].Name })
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -10,8 +10,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// site is many cores on virtual time; a call takes up to 10 ms each way.
-type site struct {
+// simulatedSite is many cores on virtual time; a call takes up to 10 ms each way.
+type simulatedSite struct {
 	r     *rand.Rand
 	now   time.Duration
 	cores map[string]*Core // by address
@@ -22,8 +22,8 @@
 	limit int // highest machine number
 }
 
-func newSite(n int, seed uint64) *site {
-	s := &site{r: rand.New(rand.NewPCG(seed, 5)), cores: map[string]*Core{}, down: map[string]bool{}, cut: func(_, _ string) bool { return false }, limit: 400}
+func newSite(n int, seed uint64) *simulatedSite {
+	s := &simulatedSite{r: rand.New(rand.NewPCG(seed, 5)), cores: map[string]*Core{}, down: map[string]bool{}, cut: func(_, _ string) bool { return false }, limit: 400}
 	for i := range n {
 		s.add(i, 1)
 	}
@@ -32,13 +32,13 @@
 
 func addr(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-func (s *site) add(i int, inc uint64) {
+func (s *simulatedSite) add(i int, inc uint64) {
 	self := &wire.Node{Name: fmt.Sprintf("n-%d", i), Incarnation: inc, Role: "x", Zone: fmt.Sprint(i % 4), Addr: addr(i)}
 	s.cores[addr(i)] = New(settings.Default(), self, []string{addr(0), addr(1), addr(2)})
 	delete(s.down, addr(i))
 }
 
-func (s *site) run(d time.Duration) {
+func (s *simulatedSite) run(d time.Duration) {
 	beat := settings.Default().Leave(0.1)
 	for end := s.now + d; s.now < end; s.now += beat {
 		for i := range s.limit {
@@ -48,16 +48,16 @@
 				continue
 			}
 			for _, x := range c.Tick(s.now) {
-				to := s.cores[x.To]
+				to := s.cores[x.Address]
 				s.sent++
 				s.bytes += size(x.Heartbeat)
-				if to == nil || s.down[x.To] || s.cut(a, x.To) {
+				if to == nil || s.down[x.Address] || s.cut(a, x.Address) {
 					continue
 				}
 				t := to.HandleHeartbeat(x.Heartbeat, s.now)
 				s.bytes += size(t)
-				if !s.cut(x.To, a) {
-					c.HandleResponse(x.To, t, s.now)
+				if !s.cut(x.Address, a) {
+					c.HandleResponse(x.Address, t, s.now)
 				}
 			}
 		}
@@ -65,7 +65,7 @@
 }
 
 // states counts how many of the living see a node in each state.
-func (s *site) states(name string) map[uint32]int {
+func (s *simulatedSite) states(name string) map[uint32]int {
 	m := map[uint32]int{}
 	for a, c := range s.cores {
 		if s.down[a] {
@@ -82,7 +82,7 @@
 	return m
 }
 
-func TestAllFindEachOtherThroughThreeSeeds(t *testing.T) {
+func TestNodesDiscoverEachOtherThroughSeeds(t *testing.T) {
 	for _, n := range []int{13, 26, 104} {
 		s := newSite(n, 1)
 		s.run(3 * time.Second)
@@ -96,18 +96,18 @@
 
 // A node that dies is gone for all within the bound; nobody else is, and the beats a node
 // sends don't grow with the site.
-func TestTheDeadAreGoneWithinTheBound(t *testing.T) {
+func TestDeadNodeIsDetectedWithinLeaveBound(t *testing.T) {
 	for _, n := range []int{13, 26, 104} {
 		s := newSite(n, 2)
 		s.run(4 * time.Second)
 		s.sent = 0
 		s.down[addr(5)] = true
 		s.run(settings.Default().Leave(1))
-		if got := s.states("n-5"); got[Gone] != n-1 {
+		if got := s.states("n-5"); got[Dead] != n-1 {
 			t.Errorf("%d nodes: the dead one is seen as %v after the bound", n, got)
 		}
 		for i := range n {
-			if got := s.states(fmt.Sprintf("n-%d", i)); i != 5 && got[Gone]+got[Suspect] > 0 {
+			if got := s.states(fmt.Sprintf("n-%d", i)); i != 5 && got[Dead]+got[Suspect] > 0 {
 				t.Errorf("%d nodes: living n-%d is seen as %v", n, i, got)
 			}
 		}
@@ -118,7 +118,7 @@
 }
 
 // One broken link, either way or both, condemns nobody: another watcher has heard the node.
-func TestOneBrokenLinkCondemnsNobody(t *testing.T) {
+func TestOneBrokenLinkCausesNoFalseDetection(t *testing.T) {
 	for from := range 13 {
 		for to := range 13 {
 			s := newSite(13, 3)
@@ -126,7 +126,7 @@
 			s.cut = func(a, b string) bool { return a == addr(from) && b == addr(to) }
 			s.run(6 * time.Second)
 			for i := range 13 {
-				if got := s.states(fmt.Sprintf("n-%d", i)); got[Gone] > 0 {
+				if got := s.states(fmt.Sprintf("n-%d", i)); got[Dead] > 0 {
 					t.Fatalf("link %d>%d cut: n-%d is seen as %v", from, to, i, got)
 				}
 			}
@@ -136,22 +136,22 @@
 
 // A node that leaves is gone for all within a few beats, not after a silence; and what it
 // hears of itself meanwhile doesn't bring it back.
-func TestWhoLeavesIsGoneAtOnce(t *testing.T) {
+func TestGracefulLeaveNeedsNoTimeout(t *testing.T) {
 	s := newSite(26, 6)
 	s.run(4 * time.Second)
 	for _, x := range s.cores[addr(7)].Leave() {
-		s.cores[x.To].HandleHeartbeat(x.Heartbeat, s.now)
+		s.cores[x.Address].HandleHeartbeat(x.Heartbeat, s.now)
 	}
 	s.down[addr(7)] = true
 	s.run(settings.Default().Leave(0.4))
-	if got := s.states("n-7"); got[Gone] != 25 {
+	if got := s.states("n-7"); got[Dead] != 25 {
 		t.Fatalf("who left is seen as %v", got)
 	}
 }
 
 // A machine freezes, another one is started under its name at another address, and the
 // first one wakes: it steps back, and all see the new one.
-func TestWhoseNameWasTakenStepsBack(t *testing.T) {
+func TestReplacedNodeStops(t *testing.T) {
 	s := newSite(13, 8)
 	s.run(2 * time.Second) // it was young when it froze: its sleep counts
 	s.down[addr(3)] = true
@@ -179,13 +179,13 @@
 
 // Halves that were cut apart find each other again, and a machine that returns empty at
 // a new address under its old name is taken for what it is.
-func TestHalvesHealAndNamesMove(t *testing.T) {
+func TestPartitionHealsAndNameMovesToNewAddress(t *testing.T) {
 	s := newSite(13, 4)
 	s.run(3 * time.Second)
 	half := func(a string) bool { var i int; fmt.Sscanf(a, "10.0.0.%d", &i); return i < 6 }
 	s.cut = func(a, b string) bool { return half(a) != half(b) }
 	s.run(10 * time.Second)
-	if got := s.states("n-12"); got[Gone] != 6 {
+	if got := s.states("n-12"); got[Dead] != 6 {
 		t.Fatalf("cut apart: n-12 is seen as %v", got)
 	}
 	s.cut = func(_, _ string) bool { return false }
@@ -213,7 +213,7 @@
 // A machine that is back before anybody saw it go gets the full view again: its peers call it
 // before its own first beat, and have no news for it. Two of its
 // programs begin anew at once, while others come and go.
-func TestAQuickRestartLearnsAll(t *testing.T) {
+func TestQuickRestartReceivesFullView(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSite(26, seed)
 		s.run(6 * time.Second)
@@ -226,8 +226,8 @@
 			for a, c := range s.cores { // those who watch over it call first
 				if a != addr(i) && a != addr(j) {
 					for _, x := range c.Tick(s.now) {
-						if x.To == addr(i) || x.To == addr(j) {
-							s.cores[x.To].HandleHeartbeat(x.Heartbeat, s.now)
+						if x.Address == addr(i) || x.Address == addr(j) {
+							s.cores[x.Address].HandleHeartbeat(x.Heartbeat, s.now)
 						}
 					}
 				}
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -39,20 +39,20 @@
 // Example: a, ok := v.Addr("core-1")
 func (v View) Addr(name string) (string, bool) {
 	for _, n := range v.Nodes {
-		if n.Name == name && n.State != Gone {
+		if n.Name == name && n.State != Dead {
 			return n.Addr, true
 		}
 	}
 	return "", false
 }
 
-// Role lists the nodes of a role that aren't gone.
+// WithRole lists the nodes of a role that aren't gone.
 //
 // Example: v.Role("catalogue")
-func (v View) Role(r string) []*wire.Node {
+func (v View) WithRole(r string) []*wire.Node {
 	var l []*wire.Node
 	for _, n := range v.Nodes {
-		if n.Role == r && n.State != Gone {
+		if n.Role == r && n.State != Dead {
 			l = append(l, n)
 		}
 	}
@@ -126,8 +126,8 @@
 			return
 		case <-next.C:
 		}
-		if turn < joiningBeats {
-			next.Reset(beat / joiningBeats)
+		if turn < joiningHeartbeats {
+			next.Reset(beat / joiningHeartbeats)
 		} else {
 			next.Reset(beat)
 		}
@@ -148,14 +148,14 @@
 	}
 }
 
-func (m *Member) send(ctx context.Context, x Call) {
+func (m *Member) send(ctx context.Context, x OutgoingHeartbeat) {
 	ctx, end := context.WithTimeout(ctx, m.bounds.Leave(0.2))
 	defer end()
-	t, err := m.client(x.To).Exchange(ctx, x.Heartbeat)
+	t, err := m.client(x.Address).Exchange(ctx, x.Heartbeat)
 	if err != nil {
 		return // the observers judge by silence
 	}
-	m.actor.TrySend(func(c *Core) { c.HandleResponse(x.To, t, m.clock.Now()); m.publish(c) })
+	m.actor.TrySend(func(c *Core) { c.HandleResponse(x.Address, t, m.clock.Now()); m.publish(c) })
 }
 
 // Exchange serves the heartbeats of other nodes.
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -16,7 +16,7 @@
 )
 
 // A site says how often it beats; nobody is judged sooner for that.
-func TestASiteSetsThePace(t *testing.T) {
+func TestSiteHeartbeatStretchesLeaveBound(t *testing.T) {
 	p := settings.Place{Bounds: settings.Default()}
 	if b := siteBounds(p); b != settings.Default() {
 		t.Errorf("without a site: %+v", b)
@@ -29,42 +29,42 @@
 	}
 }
 
-// direct lets members call each other by address.
-type direct struct {
+// memberNetwork lets members call each other by address.
+type memberNetwork struct {
 	mu sync.Mutex
 	at map[string]*Member
 }
 
-func (d *direct) put(addr string, m *Member) {
+func (d *memberNetwork) put(addr string, m *Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.at[addr] = m
 }
 
-func (d *direct) call(addr string) wire.Membership {
+func (d *memberNetwork) call(addr string) wire.Membership {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m := d.at[addr]; m != nil {
 		return m
 	}
-	return dark{}
+	return unreachableMember{}
 }
 
-type dark struct{}
+type unreachableMember struct{}
 
-func (dark) Exchange(ctx context.Context, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
+func (unreachableMember) Exchange(ctx context.Context, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
 // Nodes that begin within a part of a beat know each other by its end.
-func TestNodesThatBeginTogetherKnowEachOtherSoon(t *testing.T) {
+func TestNodesStartedTogetherDiscoverEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		const n = 17
 		var l []*Member
-		d := &direct{at: map[string]*Member{}}
+		d := &memberNetwork{at: map[string]*Member{}}
 		p := settings.Place{Bounds: settings.Default(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{BeatMs: 1200}}
 		beat := siteBounds(p).Leave(heartbeatRatio)
 		for i := range n {
@@ -78,7 +78,7 @@
 		pass := time.NewTimer(beat * 3 / 4)
 		<-pass.C
 		for i, m := range l {
-			if k := len(m.View().Role(RoleNodeAgent)); k != n {
+			if k := len(m.View().WithRole(RoleNodeAgent)); k != n {
 				t.Errorf("%d knows %d nodes after a beat", i, k)
 			}
 		}
--- a/internal/control/clustermembership/ring.go
+++ b/internal/control/clustermembership/ring.go
@@ -15,10 +15,10 @@
 
 // ring lists all nodes that aren't gone, by position.
 func (c *Core) ring() []ringNode {
-	l := make([]ringNode, 0, len(c.entries)+1)
+	l := make([]ringNode, 0, len(c.peers)+1)
 	l = append(l, ringNode{queue.Hash(c.self.Name), c.self})
-	for _, e := range c.entries {
-		if e.node.State != Gone {
+	for _, e := range c.peers {
+		if e.node.State != Dead {
 			l = append(l, ringNode{e.position, e.node})
 		}
 	}
@@ -54,8 +54,8 @@
 		t += (place ^ n.Incarnation*0x9e3779b97f4a7c15) * uint64(n.State*2+3)
 	}
 	add(c.self, queue.Hash(c.self.Name))
-	for _, e := range c.entries {
-		if e.node.State != Gone { // nodes that are gone are removed at different times
+	for _, e := range c.peers {
+		if e.node.State != Dead { // nodes that are gone are removed at different times
 			add(e.node, e.position)
 		}
 	}
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -16,16 +16,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// Shards is how many shards the control state is cut into. Shard 0 holds the configuration.
-const Shards = 8
+// ShardCount is how many shards the control state is cut into. Shard 0 holds the configuration.
+const ShardCount = 8
 
-// SetupKey is the document that holds the site's configuration, in shard 0.
-const SetupKey = "setup"
+// ConfigKey is the document that holds the site's configuration, in shard 0.
+const ConfigKey = "setup"
 
 // ShardOf gives the shard of a service.
 //
 // Example: controlclient.ShardOf("appraisals")
-func ShardOf(service string) uint32 { return 1 + uint32(queue.Hash(service)%(Shards-1)) }
+func ShardOf(service string) uint32 { return 1 + uint32(queue.Hash(service)%(ShardCount-1)) }
 
 // Members names the three of the four core machines that replicate a shard.
 //
@@ -42,39 +42,39 @@
 
 // Client sends requests to the leaders of the shards.
 type Client struct {
-	core   []string
-	view   func() clustermembership.View
-	calls  *daemon.Clients
-	bounds settings.Bounds
-	group  *groupAddresses // nil where the core machines are named
+	controlNodes []string
+	view         func() clustermembership.View
+	clients      *daemon.Clients
+	bounds       settings.Bounds
+	group        *groupAddresses // nil where the core machines are named
 }
 
 // New makes a client of the shards that the named core machines replicate.
 //
 // Example: c := controlclient.New(place.Core, member.View, calls, place.Bounds)
 func New(core []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
-	return &Client{core: core, view: view, calls: calls, bounds: b}
+	return &Client{controlNodes: core, view: view, clients: calls, bounds: b}
 }
 
-// outcome is what one attempt came to.
-type outcome struct {
-	done     bool   // no further attempt is needed, or none may be made
-	answered bool   // a response came, whatever it says
-	leader   string // whom the response names as the leader
+// attemptResult is what one attempt came to.
+type attemptResult struct {
+	done      bool   // no further attempt is needed, or none may be made
+	responded bool   // a response came, whatever it says
+	leader    string // whom the response names as the leader
 }
 
-// eachMember asks a shard's members in turn, whom one names as the leader right after it, until done
+// tryMembers asks a shard's members in turn, whom one names as the leader right after it, until done
 // says so or the time is over. size is that of the request's body.
-func (c *Client) eachMember(ctx context.Context, shard uint32, size int, try func(context.Context, wire.ControlNode) outcome) bool {
+func (c *Client) tryMembers(ctx context.Context, shard uint32, size int, try func(context.Context, wire.ControlNode) attemptResult) bool {
 	// The whole time bounds when an attempt may begin; one that has begun has its own, so that the
 	// end of the whole doesn't leave an answer unheard.
 	if c.group != nil {
-		return c.eachAddress(ctx, size, try)
+		return c.tryGroup(ctx, size, try)
 	}
 	caller := ctx
 	ctx, end := context.WithTimeout(ctx, c.bounds.Heal(0.5))
 	defer end()
-	members := Members(shard, c.core)
+	members := Members(shard, c.controlNodes)
 	next := ""
 	for i := 0; ctx.Err() == nil; i++ {
 		m := members[i%len(members)]
@@ -83,7 +83,7 @@
 		}
 		if addr, ok := c.view().Addr("archive/" + m); ok {
 			attempt, stop := context.WithTimeout(caller, c.bounds.Heal(1.0/8))
-			got := try(attempt, c.calls.ControlNode(addr))
+			got := try(attempt, c.clients.ControlNode(addr))
 			stop()
 			if got.done {
 				return true
@@ -112,18 +112,18 @@
 	put := a.Command.GetPut()
 	once := put != nil && put.Token == "" && put.AnyVersion
 	guarded := put != nil && put.Token == "" && !put.AnyVersion
-	c.eachMember(ctx, a.Shard, len(put.GetBody()), func(ctx context.Context, n wire.ControlNode) outcome {
+	c.tryMembers(ctx, a.Shard, len(put.GetBody()), func(ctx context.Context, n wire.ControlNode) attemptResult {
 		t, err := n.Change(ctx, a)
 		if err != nil || t.Outcome == wire.OutcomeUnknown {
 			// A refused connection proves that it never began; anything else doesn't.
 			lost = lost || err == nil || !strings.Contains(err.Error(), "connection refused")
-			return outcome{done: lost && once, answered: err == nil}
+			return attemptResult{done: lost && once, responded: err == nil}
 		}
 		if t.Outcome == wire.OutcomeNotLeader || t.Outcome == wire.OutcomeOverloaded {
-			return outcome{answered: true, leader: t.Leader}
+			return attemptResult{responded: true, leader: t.Leader}
 		}
 		got = t
-		return outcome{done: true, answered: true}
+		return attemptResult{done: true, responded: true}
 	})
 	if got == nil && lost && !a.DryRun {
 		return nil, errs.New(errs.MayHaveRun, "the change was sent, and no answer came")
@@ -152,16 +152,16 @@
 
 // Read reads what was acknowledged, or says that it can't tell.
 //
-// Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.SetupKey})
+// Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.ConfigKey})
 func (c *Client) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
 	var got *wire.ReadResponse
-	c.eachMember(ctx, a.Shard, 0, func(ctx context.Context, n wire.ControlNode) outcome {
+	c.tryMembers(ctx, a.Shard, 0, func(ctx context.Context, n wire.ControlNode) attemptResult {
 		t, err := n.Read(ctx, a)
 		if err != nil || t.Outcome != wire.OutcomeDone {
-			return outcome{answered: err == nil, leader: t.GetLeader()}
+			return attemptResult{responded: err == nil, leader: t.GetLeader()}
 		}
 		got = t
-		return outcome{done: true, answered: true}
+		return attemptResult{done: true, responded: true}
 	})
 	if got == nil {
 		return nil, errs.New(errs.CantSay, "shard %d has no leader that answers", a.Shard)
--- a/internal/control/controlclient/cut_off_test.go
+++ b/internal/control/controlclient/cut_off_test.go
@@ -17,15 +17,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// peer is a member that answers, or that is cut off and says nothing until its caller gives up.
-type peer struct {
+// silenceableMember is a member that answers, or that is cut off and says nothing until its caller gives up.
+type silenceableMember struct {
 	wire.ControlNode
 	name string
-	all  *peers
+	all  *testGroup
 }
 
-// peers are the members of a group; the fields say how each answers.
-type peers struct {
+// testGroup are the members of a group; the fields say how each answers.
+type testGroup struct {
 	mu     sync.Mutex
 	silent map[string]bool
 	leader string // who leads it
@@ -34,7 +34,7 @@
 	addr   map[string]string
 }
 
-func (p *peer) Change(ctx context.Context, _ *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+func (p *silenceableMember) Change(ctx context.Context, _ *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	p.all.mu.Lock()
 	p.all.asked = append(p.all.asked, p.name)
 	silent, leads, named := p.all.silent[p.name], p.all.leader == p.name, p.all.addr[p.all.named]
@@ -49,11 +49,11 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: named}, nil
 }
 
-func newPeers(t *testing.T, names ...string) (*peers, *Client) {
-	l := &peers{silent: map[string]bool{}, addr: map[string]string{}}
+func newTestGroup(t *testing.T, names ...string) (*testGroup, *Client) {
+	l := &testGroup{silent: map[string]bool{}, addr: map[string]string{}}
 	var seeds []string
 	for _, n := range names {
-		s := httptest.NewServer(wire.NewControlNodeServer(&peer{name: n, all: l}))
+		s := httptest.NewServer(wire.NewControlNodeServer(&silenceableMember{name: n, all: l}))
 		t.Cleanup(s.Close)
 		l.addr[n] = s.Listener.Addr().String()
 		seeds = append(seeds, l.addr[n])
@@ -61,16 +61,16 @@
 	b := settings.Default()
 	b.HealMs = 6000 // an attempt lasts 250 ms
 	view := func() clustermembership.View { return clustermembership.View{} }
-	return l, NewGroup(seeds, view, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
+	return l, NewGroupClient(seeds, view, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
 }
 
-// play sends one change under new circumstances, and tells who was asked.
-func (l *peers) play(c *Client, f func()) (asked []string, err error) {
+// change sends one change under new circumstances, and tells who was asked.
+func (l *testGroup) change(c *Client, f func()) (asked []string, err error) {
 	l.mu.Lock()
 	f()
 	l.asked = nil
 	l.mu.Unlock()
-	_, err = c.Change(context.Background(), put("t", false))
+	_, err = c.Change(context.Background(), newPut("t", false))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.asked, err
@@ -78,8 +78,8 @@
 
 // A member that gave no answer is asked after all others, also where one of them still names it as
 // the leader; once it has answered it counts as before.
-func TestASilentMemberIsAskedLast(t *testing.T) {
-	l, c := newPeers(t, "a", "b", "c")
+func TestUnresponsiveMemberIsTriedLast(t *testing.T) {
+	l, c := newTestGroup(t, "a", "b", "c")
 	for _, x := range []struct {
 		what string
 		f    func()
@@ -92,7 +92,7 @@
 		{"a is back and leads", func() { l.silent["a"], l.leader = false, "a" }, "[c b a]"},
 		{"a counts again", func() {}, "[a]"},
 	} {
-		asked, err := l.play(c, x.f)
+		asked, err := l.change(c, x.f)
 		if got := fmt.Sprint(asked); err != nil || got != x.want {
 			t.Errorf("%s: asked %s, want %s: %v", x.what, got, x.want, err)
 		}
@@ -101,12 +101,12 @@
 
 // A process that reaches nobody says so long before its caller's time is over, and the sooner the
 // longer it is so; each of the others is still asked.
-func TestACutOffProcessSaysSoSoon(t *testing.T) {
-	l, c := newPeers(t, "a", "b", "c")
+func TestPartitionedClientFailsFast(t *testing.T) {
+	l, c := newTestGroup(t, "a", "b", "c")
 	clk := clock.BootTime()
 	for i, most := range []time.Duration{1200 * time.Millisecond, 600 * time.Millisecond} {
 		begun := clk.Now()
-		asked, err := l.play(c, func() { l.silent["a"], l.silent["b"], l.silent["c"] = true, true, true })
+		asked, err := l.change(c, func() { l.silent["a"], l.silent["b"], l.silent["c"] = true, true, true })
 		if d := clk.Now() - begun; err == nil || errs.KindOf(err).HTTP < 500 || d > most {
 			t.Fatalf("order %d: %v after %v", i, err, d)
 		}
@@ -118,37 +118,37 @@
 
 // A member that was restarted knows its peers from its log, where its seeds are cut off; its own
 // address is the last.
-func TestMembersOfTheLogAreAsked(t *testing.T) {
-	l, c := newPeers(t, "a", "b")
+func TestMembersFromLogAreTried(t *testing.T) {
+	l, c := newTestGroup(t, "a", "b")
 	c.SetSeeds([]string{l.addr["a"]})
 	c.SetMembers(l.addr["a"]+"/0", []string{l.addr["a"] + "/0", l.addr["b"] + "/7"})
 	if got := fmt.Sprint(c.Addresses()); got != fmt.Sprint([]string{l.addr["b"], l.addr["a"]}) {
 		t.Errorf("addresses: %v", got)
 	}
-	if asked, err := l.play(c, func() { l.leader = "b" }); err != nil || fmt.Sprint(asked) != "[b]" {
+	if asked, err := l.change(c, func() { l.leader = "b" }); err != nil || fmt.Sprint(asked) != "[b]" {
 		t.Errorf("asked %v: %v", asked, err)
 	}
 }
 
 // A large body has more time in each attempt.
-func TestALargeBodyHasMoreTime(t *testing.T) {
-	_, c := newPeers(t, "a")
-	if a, b := c.attemptTime(0), c.attemptTime(attemptBytes); b != 2*a || a != 250*time.Millisecond {
+func TestLargeBodyHasLongerTimeout(t *testing.T) {
+	_, c := newTestGroup(t, "a")
+	if a, b := c.attemptTimeout(0), c.attemptTimeout(attemptDoublingBytes); b != 2*a || a != 250*time.Millisecond {
 		t.Errorf("%v and %v", a, b)
 	}
 }
 
 // A conflict of the past, told by a member that was cut off, takes no lease away.
-func TestAStaleConflictTakesNoLeaseAway(t *testing.T) {
+func TestStaleConflictDoesNotEndLease(t *testing.T) {
 	clk := &clock.Manual{Time: time.Minute}
 	l := NewLease(nil, clk, "d", 1, "a", 8*time.Second)
-	l.Tell(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 5})
-	l.Tell(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
-	if fence, held := l.Held(); !held || fence != 5 || l.Ask().IfFence != 5 {
+	l.HandleResponse(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 5})
+	l.HandleResponse(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 4, Leader: "b"})
+	if fence, held := l.FencingToken(); !held || fence != 5 || l.GrantRequest().IfFence != 5 {
 		t.Errorf("held %v under fence %d", held, fence)
 	}
-	l.Tell(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 6, Leader: "b"})
-	if fence, held := l.Held(); held || fence != 6 {
+	l.HandleResponse(clk.Time, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: 6, Leader: "b"})
+	if fence, held := l.FencingToken(); held || fence != 6 {
 		t.Errorf("another holds it, yet: held %v under fence %d", held, fence)
 	}
 }
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -22,28 +22,28 @@
 	leader  atomic.Pointer[string]   // the address that led the group the last time
 	self    atomic.Pointer[string]   // this process's own address, where it is a member itself
 
-	mu     sync.Mutex
-	silent map[string]bool // addresses that gave no answer the last time
+	mu           sync.Mutex
+	unresponsive map[string]bool // addresses that gave no answer the last time
 }
 
 // How long one attempt may last, and the pause between two rounds, as ratios of the heal bound. A
-// body of attemptBytes makes an attempt as long again. Where a majority hasn't answered lately, this
-// process is probably the one that is cut off, and asking a silent one gets silentPart of that time.
+// body of attemptDoublingBytes makes an attempt as long again. Where a majority hasn't answered lately, this
+// process is probably the one that is cut off, and asking a silent one gets shortAttemptRatio of that time.
 const (
-	attemptPart  = 1.0 / 24
-	attemptBytes = 256 << 10
-	silentPart   = 1.0 / 4
-	pausePart    = 1.0 / 80
+	attemptRatio         = 1.0 / 24
+	attemptDoublingBytes = 256 << 10
+	shortAttemptRatio    = 1.0 / 4
+	retryPauseRatio      = 1.0 / 80
 )
 
-// maxSilent bounds how many silent addresses are remembered.
-const maxSilent = 256
+// maxUnresponsive bounds how many silent addresses are remembered.
+const maxUnresponsive = 256
 
-// NewGroup makes a client of the one group of a site whose core machines nobody names.
+// NewGroupClient makes a client of the one group of a site whose core machines nobody names.
 //
-// Example: c := controlclient.NewGroup(place.Seeds, member.View, calls, place.Bounds)
-func NewGroup(seeds []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
-	c := &Client{view: view, calls: calls, bounds: b, group: &groupAddresses{silent: map[string]bool{}}}
+// Example: c := controlclient.NewGroupClient(place.Seeds, member.View, calls, place.Bounds)
+func NewGroupClient(seeds []string, view func() clustermembership.View, calls *daemon.Clients, b settings.Bounds) *Client {
+	c := &Client{view: view, clients: calls, bounds: b, group: &groupAddresses{unresponsive: map[string]bool{}}}
 	c.SetSeeds(seeds)
 	return c
 }
@@ -60,17 +60,17 @@
 func (c *Client) SetMembers(self string, members []string) {
 	addresses := make([]string, 0, len(members))
 	for _, m := range members {
-		addresses = append(addresses, Addr(m))
+		addresses = append(addresses, MemberAddr(m))
 	}
-	own := Addr(self)
+	own := MemberAddr(self)
 	c.group.members.Store(&addresses)
 	c.group.self.Store(&own)
 }
 
-// Addr is the address inside a member's name, "IP:PORT/INCARNATION".
+// MemberAddr is the address inside a member's name, "IP:PORT/INCARNATION".
 //
 // Example: controlclient.Addr("10.1.0.17:7360/8f3a") == "10.1.0.17:7360"
-func Addr(member string) string {
+func MemberAddr(member string) string {
 	a, _, _ := strings.Cut(member, "/")
 	return a
 }
@@ -79,7 +79,7 @@
 //
 // Example: c.HintLeader("10.1.0.17:7360/8f3a")
 func (c *Client) HintLeader(leader string) {
-	if a := Addr(leader); a != "" {
+	if a := MemberAddr(leader); a != "" {
 		c.group.leader.Store(&a)
 	}
 }
@@ -100,7 +100,7 @@
 	if o := c.group.leader.Load(); o != nil {
 		add(*o)
 	}
-	for _, n := range c.view().Role("archive") {
+	for _, n := range c.view().WithRole("archive") {
 		add(n.Addr)
 	}
 	if ms := c.group.members.Load(); ms != nil {
@@ -111,16 +111,16 @@
 	for _, s := range *c.group.seeds.Load() {
 		add(s)
 	}
-	return c.group.silentLast(l)
+	return c.group.unresponsiveLast(l)
 }
 
-// silentLast orders the addresses by how likely they are to answer.
-func (g *groupAddresses) silentLast(l []string) []string {
+// unresponsiveLast orders the addresses by how likely they are to answer.
+func (g *groupAddresses) unresponsiveLast(l []string) []string {
 	rank := func(a string) int {
 		switch {
 		case g.isSelf(a):
 			return 2
-		case g.isSilent(a):
+		case g.isUnresponsive(a):
 			return 1
 		}
 		return 0
@@ -134,75 +134,75 @@
 	return own != nil && *own == addr
 }
 
-// NoteAnswer remembers whether an address has answered a call that this client didn't make.
+// RecordResponse remembers whether an address has answered a call that this client didn't make.
 //
-// Example: c.NoteAnswer(addr, err == nil)
-func (c *Client) NoteAnswer(addr string, answered bool) { c.group.note(addr, answered) }
+// Example: c.RecordResponse(addr, err == nil)
+func (c *Client) RecordResponse(addr string, answered bool) { c.group.record(addr, answered) }
 
-// IsSilent reports whether an address gave no answer the last time it was asked.
+// IsUnresponsive reports whether an address gave no answer the last time it was asked.
 //
-// Example: if !c.IsSilent(addr) { ask(addr) }
-func (c *Client) IsSilent(addr string) bool { return c.group.isSilent(addr) }
+// Example: if !c.IsUnresponsive(addr) { ask(addr) }
+func (c *Client) IsUnresponsive(addr string) bool { return c.group.isUnresponsive(addr) }
 
-// note remembers whether an address has answered.
-func (g *groupAddresses) note(addr string, answered bool) {
+// record remembers whether an address has answered.
+func (g *groupAddresses) record(addr string, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if answered {
-		delete(g.silent, addr)
+		delete(g.unresponsive, addr)
 		return
 	}
-	if len(g.silent) >= maxSilent {
-		clear(g.silent) // it is only an order to ask in
+	if len(g.unresponsive) >= maxUnresponsive {
+		clear(g.unresponsive) // it is only an order to ask in
 	}
-	g.silent[addr] = true
+	g.unresponsive[addr] = true
 }
 
-func (g *groupAddresses) isSilent(addr string) bool {
+func (g *groupAddresses) isUnresponsive(addr string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.silent[addr]
+	return g.unresponsive[addr]
 }
 
-// isUnreachable tells whether the leader probably can't be reached from here: a majority of the
+// leaderUnreachable tells whether the leader probably can't be reached from here: a majority of the
 // members that this process knows was silent the last time, or all addresses where it knows none.
-func (g *groupAddresses) isUnreachable(addresses []string) bool {
+func (g *groupAddresses) leaderUnreachable(addresses []string) bool {
 	needed := len(addresses)
 	if members := g.members.Load(); members != nil && len(*members) > 0 {
 		addresses, needed = *members, len(*members)/2+1
 	}
 	silent := 0
 	for _, a := range addresses {
-		if !g.isSelf(a) && g.isSilent(a) {
+		if !g.isSelf(a) && g.isUnresponsive(a) {
 			silent++
 		}
 	}
 	return silent > 0 && silent >= needed
 }
 
-// eachAddress asks the addresses in turn, whom one names as the leader right after it, until done
+// tryGroup asks the addresses in turn, whom one names as the leader right after it, until done
 // says so, the time is over, or a whole round shows that the leader can't be reached from here: then
 // the caller hears so while it can still ask elsewhere. size is that of the request's body.
-func (c *Client) eachAddress(caller context.Context, size int, try func(context.Context, wire.ControlNode) outcome) bool {
+func (c *Client) tryGroup(caller context.Context, size int, try func(context.Context, wire.ControlNode) attemptResult) bool {
 	ctx, end := context.WithTimeout(caller, c.bounds.Heal(0.5))
 	defer end()
 	for ctx.Err() == nil {
-		if c.askRound(ctx, caller, size, try) {
+		if c.tryEachAddress(ctx, caller, size, try) {
 			return true
 		}
-		if c.group.isUnreachable(c.Addresses()) {
+		if c.group.leaderUnreachable(c.Addresses()) {
 			return false
 		}
-		clock.Sleep(ctx, c.bounds.Heal(pausePart))
+		clock.Sleep(ctx, c.bounds.Heal(retryPauseRatio))
 	}
 	return false
 }
 
-// askRound asks each address once.
-func (c *Client) askRound(ctx, caller context.Context, size int, try func(context.Context, wire.ControlNode) outcome) bool {
+// tryEachAddress asks each address once.
+func (c *Client) tryEachAddress(ctx, caller context.Context, size int, try func(context.Context, wire.ControlNode) attemptResult) bool {
 	todo, asked := c.Addresses(), map[string]bool{}
-	whole, unreachable := c.attemptTime(size), c.group.isUnreachable(todo)
-	least := time.Duration(float64(whole) * silentPart)
+	whole, unreachable := c.attemptTimeout(size), c.group.leaderUnreachable(todo)
+	least := time.Duration(float64(whole) * shortAttemptRatio)
 	for len(todo) > 0 && ctx.Err() == nil {
 		addr := todo[0]
 		if todo = todo[1:]; asked[addr] {
@@ -210,15 +210,15 @@
 		}
 		asked[addr] = true
 		limit := whole
-		if unreachable && c.group.isSilent(addr) {
+		if unreachable && c.group.isUnresponsive(addr) {
 			limit = least
 		}
 		waited := time.NewTimer(least)
 		attempt, stop := context.WithTimeout(caller, limit)
-		got := try(attempt, c.calls.ControlNode(addr))
+		got := try(attempt, c.clients.ControlNode(addr))
 		stop()
-		if got.answered || fired(waited) { // a refused connection or the caller's own end proves nothing
-			c.group.note(addr, got.answered)
+		if got.responded || stopExpired(waited) { // a refused connection or the caller's own end proves nothing
+			c.group.record(addr, got.responded)
 		}
 		if got.done {
 			c.HintLeader(addr)
@@ -228,7 +228,7 @@
 			continue
 		}
 		c.HintLeader(got.leader)
-		if named := Addr(got.leader); c.group.isSilent(named) {
+		if named := MemberAddr(got.leader); c.group.isUnresponsive(named) {
 			todo = append(todo, named) // others first: it may be the one that is cut off
 		} else {
 			todo = append([]string{named}, todo...)
@@ -237,8 +237,8 @@
 	return false
 }
 
-// fired stops a timer and tells whether its time is over.
-func fired(t *time.Timer) bool {
+// stopExpired stops a timer and tells whether its time is over.
+func stopExpired(t *time.Timer) bool {
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -248,7 +248,7 @@
 	}
 }
 
-// attemptTime is how long one attempt may last for a body of a size.
-func (c *Client) attemptTime(size int) time.Duration {
-	return c.bounds.Heal(attemptPart * (1 + float64(size)/attemptBytes))
+// attemptTimeout is how long one attempt may last for a body of a size.
+func (c *Client) attemptTimeout(size int) time.Duration {
+	return c.bounds.Heal(attemptRatio * (1 + float64(size)/attemptDoublingBytes))
 }
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -15,8 +15,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// seat is one core machine of a group, which may know who leads it.
-type seat struct {
+// groupMember is one core machine of a group, which may know who leads it.
+type groupMember struct {
 	wire.ControlNode
 	mu     *sync.Mutex // of all seats and the name
 	leader func() string
@@ -24,7 +24,7 @@
 	asked  int
 }
 
-func (s *seat) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+func (s *groupMember) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked++
@@ -36,13 +36,13 @@
 
 // The leader of a group is found by whom anybody names, by the roster and by the seeds; once
 // found it is asked first; where nobody knows, that is said in time.
-func TestTheLeaderOfAGroupIsFound(t *testing.T) {
+func TestGroupLeaderIsFound(t *testing.T) {
 	var addr [4]string
 	name := ""
 	var mu sync.Mutex
-	s := [4]*seat{}
+	s := [4]*groupMember{}
 	for i := range s {
-		s[i] = &seat{mu: &mu, leader: func() string { return name }}
+		s[i] = &groupMember{mu: &mu, leader: func() string { return name }}
 		x := httptest.NewServer(wire.NewControlNodeServer(s[i]))
 		defer x.Close()
 		addr[i] = x.Listener.Addr().String()
@@ -50,7 +50,7 @@
 	b := settings.Default()
 	b.HealMs = 60000 // so long that a busy machine makes no try too late
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-2", Role: "archive", Addr: addr[1]}, {Name: "runner/e", Role: "runner", Addr: addr[0]}}}
-	c := NewGroup([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
+	c := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
 	for _, x := range []struct {
 		what  string
 		leads int    // who leads it
@@ -68,7 +68,7 @@
 		}
 		name = x.named
 		mu.Unlock()
-		r, err := c.Change(context.Background(), put("t", false))
+		r, err := c.Change(context.Background(), newPut("t", false))
 		mu.Lock()
 		if got := [4]int{s[0].asked, s[1].asked, s[2].asked, s[3].asked}; err != nil || r.Version != 7 || got != x.asked {
 			t.Errorf("%s: %v, %v, asked %v, want %v", x.what, r, err, got, x.asked)
@@ -82,14 +82,14 @@
 	mu.Unlock()
 	ctx, end := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer end()
-	if _, err := c.Change(ctx, put("t", false)); err == nil || errs.KindOf(err) != errs.CantSay {
+	if _, err := c.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.CantSay {
 		t.Errorf("nobody leads it: %v", err)
 	}
 	c.SetSeeds([]string{"127.0.0.1:2"})
 	if l := fmt.Sprint(c.Addresses()); l != fmt.Sprint([]string{addr[2], addr[1], "127.0.0.1:2"}) {
 		t.Errorf("seats: %s", l)
 	}
-	if Addr("10.1.0.17:7360/8f3a") != "10.1.0.17:7360" || Addr("10.1.0.17:7360") != "10.1.0.17:7360" {
+	if MemberAddr("10.1.0.17:7360/8f3a") != "10.1.0.17:7360" || MemberAddr("10.1.0.17:7360") != "10.1.0.17:7360" {
 		t.Error("the address of a name")
 	}
 }
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -21,35 +21,35 @@
 
 // What a control member does wrong, and when.
 const (
-	silence = iota
-	reset
-	finish
-	garbage
-	memberFaults
+	faultTimeout = iota
+	faultReset
+	faultClose
+	faultGarbage
+	faultCount
 )
 
 const (
-	onceConnected = iota
-	onceBodyRead
-	onceHalfAnswered
-	onceAnswered // the next change finds the connection so
-	memberSteps
+	stepConnected = iota
+	stepBodyRead
+	stepHalfResponded
+	stepResponded // the next change finds the connection so
+	stepCount
 )
 
-// rawMember is a control member on a real socket: it answers each change, counts those it has read
+// faultyMember is a control member on a real socket: it answers each change, counts those it has read
 // whole, and misbehaves at one step of its second one.
-type rawMember struct {
+type faultyMember struct {
 	addr string
 	mu   sync.Mutex
 	ran  map[string]int // by key of the put
 }
 
-func newRawMember(t *testing.T, at, fault int) *rawMember {
+func newFaultyMember(t *testing.T, at, fault int) *faultyMember {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &rawMember{addr: ln.Addr().String(), ran: map[string]int{}}
+	m := &faultyMember{addr: ln.Addr().String(), ran: map[string]int{}}
 	t.Cleanup(func() { ln.Close() })
 	var once sync.Once
 	go func() {
@@ -65,28 +65,28 @@
 	return m
 }
 
-func (m *rawMember) serve(c net.Conn, at, fault int, once *sync.Once) {
+func (m *faultyMember) serve(c net.Conn, at, fault int, once *sync.Once) {
 	br := bufio.NewReader(c)
 	for n := 0; ; n++ {
 		do := func(step int) (gone bool) {
-			if n == 1 && step == at || n == 0 && step == onceAnswered && at == onceAnswered {
+			if n == 1 && step == at || n == 0 && step == stepResponded && at == stepResponded {
 				once.Do(func() { gone = true })
 			}
 			if !gone {
 				return false
 			}
 			switch fault {
-			case silence:
+			case faultTimeout:
 				_, _ = io.Copy(io.Discard, c)
-			case reset:
+			case faultReset:
 				_ = c.(*net.TCPConn).SetLinger(0)
-			case garbage:
+			case faultGarbage:
 				_, _ = io.WriteString(c, "\x00garbage\r\n\r\n")
 			}
 			return true
 		}
 		if n == 1 {
-			if _, err := br.Peek(1); err != nil || do(onceConnected) {
+			if _, err := br.Peek(1); err != nil || do(stepConnected) {
 				return
 			}
 		}
@@ -102,15 +102,15 @@
 		m.mu.Lock()
 		m.ran[a.Command.GetPut().GetKey()]++
 		m.mu.Unlock()
-		if do(onceBodyRead) {
+		if do(stepBodyRead) {
 			return
 		}
 		body, _ := proto.Marshal(&wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7})
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		if _, err := io.WriteString(c, answer[:len(answer)/2]); err != nil || do(onceHalfAnswered) {
+		if _, err := io.WriteString(c, answer[:len(answer)/2]); err != nil || do(stepHalfResponded) {
 			return
 		}
-		if _, err := io.WriteString(c, answer[len(answer)/2:]); err != nil || do(onceAnswered) {
+		if _, err := io.WriteString(c, answer[len(answer)/2:]); err != nil || do(stepResponded) {
 			return
 		}
 	}
@@ -118,13 +118,13 @@
 
 // A change without a token is sent once, whatever becomes of its connection, net/http's own repeats
 // on connections that served before included; under a token it may come again, and says the same.
-func TestAChangeWithoutATokenIsSentOnce(t *testing.T) {
-	for at := range memberSteps {
-		for fault := range memberFaults {
+func TestChangeWithoutTokenIsSentOnce(t *testing.T) {
+	for at := range stepCount {
+		for fault := range faultCount {
 			for _, token := range []string{"", "t"} {
 				t.Run(fmt.Sprintf("%d/%d/%q", at, fault, token), func(t *testing.T) {
 					t.Parallel()
-					m := newRawMember(t, at, fault)
+					m := newFaultyMember(t, at, fault)
 					b := settings.Default()
 					b.HealMs = 6000 // all waits are ratios of it
 					v := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-1", Addr: m.addr}}}
--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -15,32 +15,32 @@
 
 // Controller runs on every core machine. Only the holder of the lease has a session.
 type Controller struct {
-	process     *daemon.Process
-	control     control
-	calls       backend.Calls
-	snap        func() *fleet.Snapshot
-	view        func() clustermembership.View
-	hotEntries  HotEntries
-	lease       *siteLease
-	session     *session
-	sessionDone chan struct{} // closed once the session's goroutines have ended
-	released    chan struct{} // closed once the lease has been released
+	process        *daemon.Process
+	store          stateStore
+	calls          backend.Client
+	latestSnapshot func() *fleet.Snapshot
+	view           func() clustermembership.View
+	hotEntries     HotEntriesFunc
+	lease          *siteLease
+	session        *session
+	sessionDone    chan struct{} // closed once the session's goroutines have ended
+	released       chan struct{} // closed once the lease has been released
 }
 
 // Start campaigns for the lease and runs the controllers while it is held.
 //
 // Example: controllers.Start(process, control, calls, agent.Now, agent.View, hotEntries)
-func Start(process *daemon.Process, ctl control, calls backend.Calls, snap func() *fleet.Snapshot, view func() clustermembership.View, hotEntries HotEntries) *Controller {
-	c := &Controller{process: process, control: ctl, calls: calls, snap: snap, view: view, hotEntries: hotEntries, released: make(chan struct{})}
+func Start(process *daemon.Process, ctl stateStore, calls backend.Client, snap func() *fleet.Snapshot, view func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
+	c := &Controller{process: process, store: ctl, calls: calls, latestSnapshot: snap, view: view, hotEntries: hotEntries, released: make(chan struct{})}
 	c.lease = newSiteLease(process.Place.Name, process.Place.Site, process.Place.Bounds, process.Clock, ctl)
 	process.Meter.Gauge("pebbleloom_lease_held", "1 while this machine holds the site's lease", func() float64 {
-		if c.Holds() {
+		if c.HoldsLease() {
 			return 1
 		}
 		return 0
 	})
 	process.Meter.Gauge("pebbleloom_lease_fence", "the newest fencing token that this machine knows", func() float64 {
-		fence, _ := c.lease.held()
+		fence, _ := c.lease.currentToken()
 		return float64(fence)
 	})
 	process.Go(c.run)
@@ -53,20 +53,20 @@
 	return c
 }
 
-// Holds reports whether this machine holds the lease now.
+// HoldsLease reports whether this machine holds the lease now.
 //
 // Example: if d.Holds() { … }
-func (c *Controller) Holds() bool {
-	_, ok := c.lease.held()
+func (c *Controller) HoldsLease() bool {
+	_, ok := c.lease.currentToken()
 	return ok
 }
 
 func (c *Controller) run() {
-	t := clock.NewTicker(c.lease.ofTTL(pollRatio))
+	t := clock.NewTicker(c.lease.fractionOfTTL(pollRatio))
 	defer t.Stop()
 	defer c.endSession()
 	for {
-		c.step()
+		c.reconcileLease()
 		select {
 		case <-c.process.Ctx.Done():
 			return
@@ -78,16 +78,16 @@
 	}
 }
 
-// step renews the lease when that is due, and starts or ends a session according to the response.
-func (c *Controller) step() {
+// reconcileLease renews the lease when that is due, and starts or ends a session according to the response.
+func (c *Controller) reconcileLease() {
 	if !c.lease.renewalDue(c.process.Clock.Now(), c.view()) {
 		return
 	}
 	if err := c.lease.renew(c.process.Ctx); err != nil && errs.KindOf(err) != errs.Conflict {
 		c.process.Log.Debug("no lease", "error", err)
 	}
-	fence, held := c.lease.held()
-	if c.session != nil && fence != c.session.fence {
+	fence, held := c.lease.currentToken()
+	if c.session != nil && fence != c.session.fencingToken {
 		c.endSession() // another holder came in between
 	}
 	if !held || c.session != nil {
@@ -113,7 +113,7 @@
 	if c.session != nil {
 		c.session.stopOrders()
 	}
-	ctx, end := context.WithTimeout(context.Background(), c.process.Place.Bounds.Leave(releaseRatio))
+	ctx, end := context.WithTimeout(context.Background(), c.process.Place.Bounds.Leave(releaseTimeoutRatio))
 	defer end()
 	if err := c.lease.release(ctx); err != nil {
 		c.process.Log.Warn("the lease can't be released: it expires by itself", "error", errs.Text(err))
--- a/internal/control/controllers/documents.go
+++ b/internal/control/controllers/documents.go
@@ -19,33 +19,33 @@
 type storedDocument struct {
 	version uint64
 	body    []byte
-	known   bool
+	current bool
 }
 
 // documentWriter writes the documents of one session: under its fence, and conditional on the version
 // that it read, so that a past holder changes nothing.
 type documentWriter struct {
-	control control
-	held    func() (uint64, bool)
-	holder  string
-	bounds  settings.Bounds
-	stored  map[string]*storedDocument
+	store        stateStore
+	currentToken func() (uint64, bool)
+	holder       string
+	bounds       settings.Bounds
+	stored       map[string]*storedDocument
 }
 
-func newDocumentWriter(ctl control, held func() (uint64, bool), holder string, b settings.Bounds) *documentWriter {
-	return &documentWriter{control: ctl, held: held, holder: holder, bounds: b, stored: map[string]*storedDocument{}}
+func newDocumentWriter(ctl stateStore, held func() (uint64, bool), holder string, b settings.Bounds) *documentWriter {
+	return &documentWriter{store: ctl, currentToken: held, holder: holder, bounds: b, stored: map[string]*storedDocument{}}
 }
 
 // read fetches a document, or all documents whose keys have the prefix.
 func (p *documentWriter) read(ctx context.Context, key string, prefix bool) ([]*wire.Document, error) {
 	ctx, end := context.WithTimeout(ctx, p.bounds.Leave(0.5))
 	defer end()
-	t, err := p.control.Read(ctx, &wire.ReadRequest{Key: key, Prefix: prefix})
+	t, err := p.store.Read(ctx, &wire.ReadRequest{Key: key, Prefix: prefix})
 	if err != nil {
 		return nil, errs.Wrap(err, "read "+key)
 	}
 	if !prefix {
-		p.stored[key] = &storedDocument{known: true}
+		p.stored[key] = &storedDocument{current: true}
 	}
 	for _, d := range t.Documents {
 		p.stored[d.Key] = &storedDocument{d.Version, d.Body, true}
@@ -56,7 +56,7 @@
 // write replaces a document's body; false if the lease is no longer held.
 func (p *documentWriter) write(ctx context.Context, key string, body []byte) (bool, error) {
 	f := p.stored[key]
-	if f == nil || !f.known {
+	if f == nil || !f.current {
 		if _, err := p.read(ctx, key, false); err != nil {
 			return true, err
 		}
@@ -65,16 +65,16 @@
 	if bytes.Equal(f.body, body) {
 		return true, nil
 	}
-	fence, ok := p.held()
+	fence, ok := p.currentToken()
 	if !ok {
 		return false, nil
 	}
 	ctx, end := context.WithTimeout(ctx, p.bounds.Leave(0.5))
 	defer end()
 	put := &wire.Put{Key: key, Body: body, IfVersion: f.version, Lease: LeaseName, Fence: fence, Holder: p.holder}
-	t, err := p.control.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	t, err := p.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
-		f.known = false // read it again before the next attempt
+		f.current = false // read it again before the next attempt
 		return true, errs.Wrap(err, "write "+key)
 	}
 	f.version, f.body = t.Version, body
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -170,7 +170,7 @@
 	return t, err
 }
 
-func (m *machine) List(ctx context.Context, page string) (ws []fleet.Worker, next string, err error) {
+func (m *machine) ListWorkers(ctx context.Context, page string) (ws []fleet.Worker, next string, err error) {
 	err = m.call(ctx, "list", func() error {
 		s := m.s
 		if s.reads++; s.listDown {
@@ -216,8 +216,8 @@
 }
 
 func (m *machine) Order(ctx context.Context, addr string, o backend.Order) (out backend.Outcome, err error) {
-	m.countInFlight(o.Holder, 1)
-	defer m.countInFlight(o.Holder, -1)
+	m.countInFlight(o.LeaseHolder, 1)
+	defer m.countInFlight(o.LeaseHolder, -1)
 	err = m.call(ctx, "order", func() error {
 		h := m.workerAt(addr)
 		if h == nil {
@@ -240,28 +240,28 @@
 func (s *testSite) order(h *testWorker, o backend.Order) backend.Outcome {
 	now, id := s.clock.Now(), h.w.ID
 	s.orders++
-	if x, ok := s.last[id]; ok && (x.fence > o.Fence || x.fence == o.Fence && x.holder != o.Holder) {
-		s.t.Errorf("%s: fence %d of %s after %d of %s", id, o.Fence, o.Holder, x.fence, x.holder)
+	if x, ok := s.last[id]; ok && (x.fence > o.FencingToken || x.fence == o.FencingToken && x.holder != o.LeaseHolder) {
+		s.t.Errorf("%s: fence %d of %s after %d of %s", id, o.FencingToken, o.LeaseHolder, x.fence, x.holder)
 	}
-	if x, ok := s.last[id]; ok && x.holder != o.Holder && now-x.at < 3*time.Second { // the rule is a worker's
-		s.t.Errorf("%s: %s orders %v after %s", id, o.Holder, now-x.at, x.holder)
+	if x, ok := s.last[id]; ok && x.holder != o.LeaseHolder && now-x.at < 3*time.Second { // the rule is a worker's
+		s.t.Errorf("%s: %s orders %v after %s", id, o.LeaseHolder, now-x.at, x.holder)
 	}
-	s.last[id] = sentOrder{o.Holder, o.Fence, now}
-	if at := s.setAsideAt[id]; at == 0 || now-at < s.bounds.Leave(leadRatio) {
+	s.last[id] = sentOrder{o.LeaseHolder, o.FencingToken, now}
+	if at := s.setAsideAt[id]; at == 0 || now-at < s.bounds.Leave(cordonLeadRatio) {
 		s.t.Errorf("%s is ordered before edges were reported to send it nothing new", id)
 	}
 	if o.Instance != id || o.Mode != backend.ModeAwait || o.Model != "daka" || o.Version > s.named["daka"] {
 		s.t.Errorf("%s: %+v", id, o)
 	}
 	switch x := h.at(now); {
-	case o.Fence < h.fence:
-		return backend.Fenced
+	case o.FencingToken < h.fence:
+		return backend.OutcomeFenced
 	case x.busy || o.Sequence != nil && *o.Sequence != x.sequence:
-		return backend.Busy
+		return backend.OutcomeBusy
 	case x.has >= o.Version:
-		return backend.Holds
+		return backend.OutcomeAlreadyDone
 	}
-	h.fence = o.Fence
+	h.fence = o.FencingToken
 	busy := 1
 	for _, x := range s.workers {
 		if x.at(now).busy {
@@ -278,13 +278,13 @@
 	}
 	old := h.at(now)
 	h.states = append(h.states, state{now, true, old.has, old.sequence + 1}, state{now + drainTime + takes, false, o.Version, old.sequence + 1})
-	return backend.Begun
+	return backend.OutcomeStarted
 }
 
-func (m *machine) Events(context.Context, string, uint64, time.Duration) (backend.Events, error) {
-	return backend.Events{}, errLost
+func (m *machine) CacheEvents(context.Context, string, uint64, time.Duration) (backend.CacheEvents, error) {
+	return backend.CacheEvents{}, errLost
 }
 
-func (m *machine) Kept(context.Context, string) (backend.Events, error) {
-	return backend.Events{}, errLost
+func (m *machine) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
+	return backend.CacheEvents{}, errLost
 }
--- a/internal/control/controllers/namedweights.go
+++ b/internal/control/controllers/namedweights.go
@@ -23,14 +23,14 @@
 		if v <= n.versions[m] {
 			continue
 		}
-		if at, ok := s.NamedAt[m]; ok && !n.isLacking(m, ws) {
+		if at, ok := s.NamedAt[m]; ok && !n.anyWorkerLacks(m, ws) {
 			n.namedAt[m] = at
 		}
 		n.versions[m] = v
 	}
 }
 
-func (n *namedWeights) isLacking(model string, ws []fleet.Worker) bool {
+func (n *namedWeights) anyWorkerLacks(model string, ws []fleet.Worker) bool {
 	for _, w := range ws {
 		if v, ok := w.Weights[model]; ok && v < n.versions[model] && !w.Draining {
 			return true
--- a/internal/control/controllers/placement_test.go
+++ b/internal/control/controllers/placement_test.go
@@ -13,7 +13,7 @@
 )
 
 func engine(mbps float64) routingconfig.Service {
-	return routingconfig.Service{Name: "reading", Engine: &routingconfig.Engine{Room: 100000, TokenBytes: 18432, LinkMbps: mbps}}
+	return routingconfig.Service{Name: "reading", Engine: &routingconfig.Engine{CapacityTokens: 100000, TokenBytes: 18432, LinkMbps: mbps}}
 }
 
 // head gives n entries whose hotness falls from f by one each.
@@ -26,12 +26,12 @@
 
 // The bandwidth is the engine's own link, whatever is believed before anything is known.
 func TestBandwidthIsThePlans(t *testing.T) {
-	p := placementcontroller.Compute(placementFacts(engine(370000), head(20, 30), []string{"1", "2", "3"}), nil)
+	p := placementcontroller.Compute(placementInputs(engine(370000), head(20, 30), []string{"1", "2", "3"}), nil)
 	want := 370000e6 / 8 / 18432
-	if p.B < 0.99*want || p.B > 1.01*want {
-		t.Errorf("%v, want %v", p.B, want)
+	if p.FetchBandwidth < 0.99*want || p.FetchBandwidth > 1.01*want {
+		t.Errorf("%v, want %v", p.FetchBandwidth, want)
 	}
-	slow := placementcontroller.Compute(placementFacts(engine(10), head(20, 30), []string{"1", "2", "3"}), nil)
+	slow := placementcontroller.Compute(placementInputs(engine(10), head(20, 30), []string{"1", "2", "3"}), nil)
 	if len(slow.Replicated) <= len(p.Replicated) {
 		t.Errorf("slow links replicate %d, fast ones %d", len(slow.Replicated), len(p.Replicated))
 	}
@@ -45,7 +45,7 @@
 	if !changed || first.recomputedAt != time.Minute {
 		t.Fatal("the first isn't reported")
 	}
-	old.Rolling = []string{"2"}
+	old.Cordoned = []string{"2"}
 	burst := append(head(20, 30), &wire.HotPrefix{Key: []byte("new"), Hotness: 90, Tokens: 1000})
 	for _, c := range []struct {
 		name    string
@@ -60,17 +60,17 @@
 		{"a burst", burst, ws, time.Second, true, false},
 		{"another worker", head(20, 30), []string{"1", "2", "3"}, time.Second, true, true},
 	} {
-		p := &servicePlacement{wanted: old, recomputedAt: time.Minute}
+		p := &servicePlacement{desired: old, recomputedAt: time.Minute}
 		next, changed := nextPlacement(p, engine(10), c.hot, c.workers, time.Minute+c.after, whole)
 		if changed != c.changed || (p.recomputedAt != time.Minute) != c.whole {
 			t.Errorf("%s: changed %v, computed at %v", c.name, changed, p.recomputedAt)
 		}
-		if !slices.Equal(next.Rolling, old.Rolling) {
+		if !slices.Equal(next.Cordoned, old.Cordoned) {
 			t.Errorf("%s: who is set aside got lost", c.name)
 		}
 	}
 	var none *placement.Placement
-	if next, changed := nextPlacement(&servicePlacement{wanted: none}, engine(10), head(20, 30), ws, time.Minute, whole); !changed || next.Mode != "hrcs" {
+	if next, changed := nextPlacement(&servicePlacement{desired: none}, engine(10), head(20, 30), ws, time.Minute, whole); !changed || next.Mode != "hrcs" {
 		t.Errorf("%+v", next)
 	}
 }
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -16,14 +16,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// hotTimeoutRatio is the timeout of the index nodes' responses, as a ratio of the heal bound.
-const hotTimeoutRatio = 1.0 / 48
+// hotEntriesTimeoutRatio is the timeout of the index nodes' responses, as a ratio of the heal bound.
+const hotEntriesTimeoutRatio = 1.0 / 48
 
 // StartProcess runs a core machine's index and placement process: a cluster member in the index role,
 // an index node, and the site's controllers while this machine holds the lease.
 //
 // Example: err := controllers.StartProcess(process, codec, calls)
-func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Calls) error {
+func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Client) error {
 	if process.Place.Site == nil {
 		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
 	}
@@ -43,23 +43,23 @@
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
-	Start(process, controlclient.NewGroup(process.Place.Seeds, a.Membership, clients, process.Place.Bounds), calls, a.Snapshot, a.Membership, queryIndexNodes(process, a.Membership, clients.PromptIndex))
+	Start(process, controlclient.NewGroupClient(process.Place.Seeds, a.Membership, clients, process.Place.Bounds), calls, a.Snapshot, a.Membership, queryIndexNodes(process, a.Membership, clients.PromptIndex))
 	process.Ready.Store(true)
 	return nil
 }
 
 // queryIndexNodes asks all serving index nodes at once, each with a short timeout. Two hold each
 // entry: the higher count is taken.
-func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.PromptIndex) HotEntries {
+func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.PromptIndex) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.HotPrefix {
-		ctx, end := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotTimeoutRatio))
+		ctx, end := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotEntriesTimeoutRatio))
 		defer end()
 		nodes := promptindex.ServingNodes(view().Nodes)
 		responses := make(chan *wire.HottestResponse, len(nodes))
 		var wg sync.WaitGroup
 		for _, n := range nodes {
 			wg.Go(func() {
-				if t, err := node(n.Addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: maxHotEntries}); err == nil {
+				if t, err := node(n.Addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: hotEntriesLimit}); err == nil {
 					responses <- t
 				}
 			})
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -67,7 +67,7 @@
 				}
 			}
 		}
-		if d := l.Clock.Now() - from; d > 2*bounds().Heal(hotTimeoutRatio) {
+		if d := l.Clock.Now() - from; d > 2*bounds().Heal(hotEntriesTimeoutRatio) {
 			t.Errorf("waited %v for silent nodes", d)
 		}
 		if got := ask(clustermembership.View{}); len(got) != 0 {
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -30,21 +30,21 @@
 	return &singleWorker{t: t, rollout: NewRollout(bounds(), rolling), w: worker("1", 1), named: 2, now: time.Minute}
 }
 
-func (x *singleWorker) step() Acts {
-	return x.rollout.Step(Facts{Now: x.now, Workers: []fleet.Worker{x.w}, Named: map[string]uint64{"daka": x.named},
-		Since: map[string]time.Duration{"daka": time.Minute}, Engines: map[string]bool{"reading": true}})
+func (x *singleWorker) step() RolloutActions {
+	return x.rollout.Step(RolloutInputs{Now: x.now, Workers: []fleet.Worker{x.w}, NamedVersions: map[string]uint64{"daka": x.named},
+		NamedAt: map[string]time.Duration{"daka": time.Minute}, UpdatedServices: map[string]bool{"reading": true}})
 }
 
 // until steps until the roll-out wants something of the worker, or span is over.
-func (x *singleWorker) until(span time.Duration) Acts {
+func (x *singleWorker) until(span time.Duration) RolloutActions {
 	for end := x.now + span; x.now < end; x.now += 50 * time.Millisecond {
 		a := x.step()
-		x.rollout.SetAside(a.Rolling["reading"], x.now)
+		x.rollout.ConfirmCordoned(a.Cordoned["reading"], x.now)
 		if len(a.Orders)+len(a.Reports) > 0 {
 			return a
 		}
 	}
-	return Acts{}
+	return RolloutActions{}
 }
 
 // Every order of a worker's answers to what it is sent, lost ones and strange ones included: it
@@ -57,9 +57,9 @@
 		lost bool
 	}
 	old, new := map[string]uint64{"daka": 1}, map[string]uint64{"daka": 2}
-	orders := []answer{{name: "begun", out: backend.Begun}, {name: "holds", out: backend.Holds}, {name: "busy", out: backend.Busy},
-		{name: "lost", out: backend.Unknown}, {name: "rejected", out: backend.Denied}, {name: "fenced", out: backend.Fenced},
-		{name: "stranger", out: backend.Stranger}, {name: "too many", out: backend.TooMany}}
+	orders := []answer{{name: "begun", out: backend.OutcomeStarted}, {name: "holds", out: backend.OutcomeAlreadyDone}, {name: "busy", out: backend.OutcomeBusy},
+		{name: "lost", out: backend.OutcomeUnknown}, {name: "rejected", out: backend.OutcomeRejected}, {name: "fenced", out: backend.OutcomeFenced},
+		{name: "stranger", out: backend.OutcomeWrongInstance}, {name: "too many", out: backend.OutcomeThrottled}}
 	reports := []answer{{name: "loads", rep: backend.Report{Busy: true, Weights: old}}, {name: "old", rep: backend.Report{Weights: old}},
 		{name: "new", rep: backend.Report{Weights: new}}, {name: "silent", lost: true}}
 	paths := 0
@@ -102,20 +102,20 @@
 			x.now += 20 * time.Millisecond
 			if len(a.Orders) > 0 {
 				asked = x.now
-				may = c.out == backend.Begun || c.out == backend.Busy || c.out == backend.Unknown
-				if v := x.rollout.Ordered(a.Orders[0], c.out, x.now); v != 0 {
+				may = c.out == backend.OutcomeStarted || c.out == backend.OutcomeBusy || c.out == backend.OutcomeUnknown
+				if v := x.rollout.HandleOrderOutcome(a.Orders[0], c.out, x.now); v != 0 {
 					x.w.Weights, has = new, true
 				}
 				continue
 			}
-			m, v := x.rollout.Reported("1", c.rep, !c.lost, x.now)
+			m, v := x.rollout.HandleReport("1", c.rep, !c.lost, x.now)
 			switch {
 			case c.name == "new":
 				if has = true; v != 2 || m != "daka" {
 					t.Fatalf("%v: the new weights aren't reported: %q %d", x.path, m, v)
 				}
 				x.w.Weights = new
-			case c.name == "old" && x.now-asked >= bounds().Leave(staleReportRatio):
+			case c.name == "old" && x.now-asked >= bounds().Leave(maxReportAgeRatio):
 				may = false // it would show by now
 			}
 		}
@@ -133,7 +133,7 @@
 	if len(a.Orders) != 0 || len(a.Reports) != 1 {
 		t.Fatalf("%+v", a)
 	}
-	if _, v := x.rollout.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 2 {
+	if _, v := x.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 2 {
 		t.Error("not reported")
 	}
 }
@@ -143,15 +143,15 @@
 func TestNamedAgainWhileItLoads(t *testing.T) {
 	x := newSingleWorker(t)
 	a := x.until(bounds().Weights(1))
-	x.rollout.Ordered(a.Orders[0], backend.Begun, x.now)
+	x.rollout.HandleOrderOutcome(a.Orders[0], backend.OutcomeStarted, x.now)
 	x.named = 3
 	x.step()
 	x.named = 4
 	a = x.until(bounds().Weights(1))
-	x.rollout.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now)
+	x.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now)
 	x.w = worker("1", 2)
 	a = x.step()
-	if len(a.Orders) != 1 || a.Orders[0].Weights != 4 || len(a.Rolling["reading"]) != 1 {
+	if len(a.Orders) != 1 || a.Orders[0].Version != 4 || len(a.Cordoned["reading"]) != 1 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -161,14 +161,14 @@
 	x := newSingleWorker(t)
 	a := x.until(bounds().Weights(1))
 	x.w.Draining = true
-	if b := x.step(); len(b.Rolling["reading"]) != 0 || !x.rollout.Idle() {
+	if b := x.step(); len(b.Cordoned["reading"]) != 0 || !x.rollout.Idle() {
 		t.Errorf("%+v", b)
 	}
-	if v := x.rollout.Ordered(a.Orders[0], backend.Holds, x.now); v != 0 {
+	if v := x.rollout.HandleOrderOutcome(a.Orders[0], backend.OutcomeAlreadyDone, x.now); v != 0 {
 		t.Errorf("%d", v)
 	}
-	x.rollout.Unsent(a.Orders[0])
-	if _, v := x.rollout.Reported("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 0 {
+	x.rollout.HandleUnsentOrder(a.Orders[0])
+	if _, v := x.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, x.now); v != 0 {
 		t.Errorf("%d", v)
 	}
 }
@@ -185,27 +185,27 @@
 		r, b := NewRollout(bounds(), c.past), bounds()
 		first, set := time.Duration(-1), time.Duration(-1)
 		for now := time.Duration(0); now < 5*time.Second; now += 10 * time.Millisecond {
-			a := r.Step(Facts{Now: now, Workers: []fleet.Worker{worker("1", c.version)}, Named: map[string]uint64{"daka": 3},
-				Engines: map[string]bool{"reading": true}, From: 3 * time.Second})
-			r.SetAside(a.Rolling["reading"], now)
-			if len(a.Rolling["reading"]) > 0 && set < 0 {
+			a := r.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", c.version)}, NamedVersions: map[string]uint64{"daka": 3},
+				UpdatedServices: map[string]bool{"reading": true}, EarliestOrder: 3 * time.Second})
+			r.ConfirmCordoned(a.Cordoned["reading"], now)
+			if len(a.Cordoned["reading"]) > 0 && set < 0 {
 				set = now
 			}
 			if len(a.Orders) > 0 && first < 0 {
 				first = now
 			}
 		}
-		if set < c.from-b.Leave(leadRatio) || first < c.from || first-set < b.Leave(leadRatio) || first > c.from+2*b.Leave(leadRatio) {
+		if set < c.from-b.Leave(cordonLeadRatio) || first < c.from || first-set < b.Leave(cordonLeadRatio) || first > c.from+2*b.Leave(cordonLeadRatio) {
 			t.Errorf("%+v: set aside at %v, ordered at %v", c, set, first)
 		}
 	}
 	r := NewRollout(bounds(), []string{"1"}) // one that was set aside may have had an order
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
-		a := r.Step(Facts{Now: now, Workers: []fleet.Worker{worker("1", 1)}, Named: map[string]uint64{"daka": 2},
-			Engines: map[string]bool{"reading": true}, From: 3 * time.Second})
-		r.SetAside(a.Rolling["reading"], now)
+		a := r.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", 1)}, NamedVersions: map[string]uint64{"daka": 2},
+			UpdatedServices: map[string]bool{"reading": true}, EarliestOrder: 3 * time.Second})
+		r.ConfirmCordoned(a.Cordoned["reading"], now)
 		for _, w := range a.Reports {
-			r.Reported(w.ID, backend.Report{Weights: map[string]uint64{"daka": 1}}, true, now)
+			r.HandleReport(w.ID, backend.Report{Weights: map[string]uint64{"daka": 1}}, true, now)
 		}
 		if len(a.Orders) > 0 {
 			t.Fatalf("ordered at %v", now)
@@ -224,11 +224,11 @@
 		{18, 18, -b.Weights(0.5), 6}, {18, 14, -b.Weights(0.2), 3}, {18, 2, -b.Weights(0.5), 3}, {112, 112, -b.Weights(0.6), 37}, // the bound presses
 		{18, 1, -b.Weights(2), 3}, {2, 2, -b.Weights(2), 1},
 	} {
-		if got := r.maxConcurrent(Facts{Now: time.Minute}, c.all, c.left, time.Minute+c.since, "daka"); got != c.want {
+		if got := r.maxConcurrent(RolloutInputs{Now: time.Minute}, c.all, c.left, time.Minute+c.since, "daka"); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
-	if got := r.maxConcurrent(Facts{}, 18, 18, -1, "daka"); got != 3 {
+	if got := r.maxConcurrent(RolloutInputs{}, 18, 18, -1, "daka"); got != 3 {
 		t.Errorf("not known since when: %d", got)
 	}
 }
@@ -253,20 +253,20 @@
 			}
 			const late = 200 * time.Millisecond // reports are as old
 			for now := time.Duration(0); now < b.Weights(1); now += 25 * time.Millisecond {
-				a := r.Step(Facts{Now: now, Workers: ws, Named: map[string]uint64{"daka": 2}, Since: map[string]time.Duration{"daka": 0},
-					Engines: map[string]bool{"reading": true}})
-				r.SetAside(a.Rolling["reading"], now)
+				a := r.Step(RolloutInputs{Now: now, Workers: ws, NamedVersions: map[string]uint64{"daka": 2}, NamedAt: map[string]time.Duration{"daka": 0},
+					UpdatedServices: map[string]bool{"reading": true}})
+				r.ConfirmCordoned(a.Cordoned["reading"], now)
 				for _, o := range a.Orders {
 					i := at[o.Worker.ID]
 					if done[i] != 0 {
 						t.Fatalf("%s is ordered twice", o.Worker.ID)
 					}
 					if i < c.silent {
-						r.Ordered(o, backend.Unknown, now)
+						r.HandleOrderOutcome(o, backend.OutcomeUnknown, now)
 						continue
 					}
 					done[i] = now + 20*time.Millisecond + c.takes*time.Millisecond
-					r.Ordered(o, backend.Begun, now)
+					r.HandleOrderOutcome(o, backend.OutcomeStarted, now)
 				}
 				busy := 0
 				for i := range done {
@@ -283,11 +283,11 @@
 					if done[i] != 0 && now-late >= done[i] {
 						v, loads = 2, false
 					}
-					if _, v := r.Reported(w.ID, backend.Report{Busy: loads, Weights: map[string]uint64{"daka": v}}, i >= c.silent, now); v > 0 {
+					if _, v := r.HandleReport(w.ID, backend.Report{Busy: loads, Weights: map[string]uint64{"daka": v}}, i >= c.silent, now); v > 0 {
 						ws[i] = worker(w.ID, v)
 					}
 				}
-				for _, id := range a.Rolling["reading"] {
+				for _, id := range a.Cordoned["reading"] {
 					out[at[id]] += 25 * time.Millisecond
 				}
 			}
--- a/internal/control/controllers/sequence_test.go
+++ b/internal/control/controllers/sequence_test.go
@@ -18,7 +18,7 @@
 			if first.Sequence != nil {
 				t.Error("the first names a number that nobody reported")
 			}
-			x.rollout.Ordered(first, backend.Unknown, x.now)
+			x.rollout.HandleOrderOutcome(first, backend.OutcomeUnknown, x.now)
 			if newer {
 				x.named = 3
 			}
@@ -29,7 +29,7 @@
 					second = &a.Orders[0]
 				}
 				for range a.Reports {
-					x.rollout.Reported("1", backend.Report{Sequence: 4, Weights: map[string]uint64{"daka": 1}}, true, x.now)
+					x.rollout.HandleReport("1", backend.Report{Sequence: 4, Weights: map[string]uint64{"daka": 1}}, true, x.now)
 				}
 				x.now += 50 * time.Millisecond
 			}
@@ -39,12 +39,12 @@
 			sequence, taken, version := uint64(4), 0, uint64(0)
 			take := func(o Order) {
 				if o.Sequence == nil || *o.Sequence == sequence {
-					if o.Weights > version { // what it has already, it only confirms
+					if o.Version > version { // what it has already, it only confirms
 						taken++
-					} else if o.Weights < version {
-						t.Errorf("set back from %d to %d", version, o.Weights)
+					} else if o.Version < version {
+						t.Errorf("set back from %d to %d", version, o.Version)
 					}
-					sequence, version = sequence+1, o.Weights
+					sequence, version = sequence+1, o.Version
 				}
 			}
 			if lateFirst {
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -140,7 +140,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := &fleet.Snapshot{Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
-		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, Room: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
+		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
 	for m, v := range s.named {
 		x.Named[m], x.NamedAt[m] = v, s.since[m]
 	}
@@ -154,7 +154,7 @@
 	for _, n := range queue.Keys(s.processes) {
 		x := &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex}
 		if at, ok := s.dead[n]; ok && s.clock.Now()-at > 4*time.Second {
-			x.State = clustermembership.Gone
+			x.State = clustermembership.Dead
 		}
 		v.Nodes = append(v.Nodes, x)
 	}
--- a/internal/control/controllers/slowload_test.go
+++ b/internal/control/controllers/slowload_test.go
@@ -22,11 +22,11 @@
 	}
 	done := map[string]time.Duration{}
 	for now := time.Duration(0); now < b.Weights(1.2); now += 25 * time.Millisecond {
-		a := r.Step(Facts{Now: now, Workers: ws, Named: map[string]uint64{"daka": 2}, Since: map[string]time.Duration{"daka": 0}, Engines: map[string]bool{"reading": true}})
-		r.SetAside(a.Rolling["reading"], now)
+		a := r.Step(RolloutInputs{Now: now, Workers: ws, NamedVersions: map[string]uint64{"daka": 2}, NamedAt: map[string]time.Duration{"daka": 0}, UpdatedServices: map[string]bool{"reading": true}})
+		r.ConfirmCordoned(a.Cordoned["reading"], now)
 		for _, o := range a.Orders {
 			done[o.Worker.ID] = now + 2600*time.Millisecond
-			r.Ordered(o, backend.Begun, now)
+			r.HandleOrderOutcome(o, backend.OutcomeStarted, now)
 		}
 		busy, old := 0, 0
 		for i, w := range ws {
@@ -48,7 +48,7 @@
 			if now >= done[w.ID] {
 				v = 2
 			}
-			if _, v := r.Reported(w.ID, backend.Report{Busy: v == 1, Weights: map[string]uint64{"daka": v}}, true, now); v > 0 {
+			if _, v := r.HandleReport(w.ID, backend.Report{Busy: v == 1, Weights: map[string]uint64{"daka": v}}, true, now); v > 0 {
 				for i := range ws {
 					if ws[i].ID == w.ID {
 						ws[i] = worker(w.ID, v)
--- a/internal/control/controllers/workerlist.go
+++ b/internal/control/controllers/workerlist.go
@@ -10,21 +10,21 @@
 
 // WorkerList is the site's list of workers, as its document holds it. It follows the platform's list,
 // which lags: the weights of one incarnation of a worker never go back to an older version.
-type WorkerList struct{ rows map[string]*row }
+type WorkerList struct{ entries map[string]*listEntry }
 
-type row struct {
-	worker fleet.Worker
-	missed int // consecutive reads of the list without it
+type listEntry struct {
+	worker      fleet.Worker
+	missedReads int // consecutive reads of the list without it
 }
 
 // NewWorkerList starts from the stored document.
 //
 // Example: t := controllers.NewWorkerList(fleet.WorkerList{})
 func NewWorkerList(doc fleet.WorkerList) *WorkerList {
-	t := &WorkerList{rows: map[string]*row{}}
+	t := &WorkerList{entries: map[string]*listEntry{}}
 	for _, w := range doc.Workers {
 		w.Weights = maps.Clone(w.Weights)
-		t.rows[w.ID] = &row{worker: w}
+		t.entries[w.ID] = &listEntry{worker: w}
 	}
 	return t
 }
@@ -41,34 +41,34 @@
 			continue
 		}
 		here[w.ID] = true
-		r := t.rows[w.ID]
+		r := t.entries[w.ID]
 		if r == nil {
-			r = &row{}
-			t.rows[w.ID], changed = r, true
+			r = &listEntry{}
+			t.entries[w.ID], changed = r, true
 		}
-		r.missed = 0
+		r.missedReads = 0
 		w.Weights = mergeVersions(r.worker.Weights, w.Weights)
-		changed = changed || !sameWorker(r.worker, w)
+		changed = changed || !equalWorkers(r.worker, w)
 		r.worker = w
 	}
-	for id, r := range t.rows {
+	for id, r := range t.entries {
 		if here[id] {
 			continue
 		}
-		if r.missed++; sure || r.missed > 1 {
-			delete(t.rows, id)
+		if r.missedReads++; sure || r.missedReads > 1 {
+			delete(t.entries, id)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Unsure reports whether a worker was missing in the last read and is kept for now.
+// HasUnconfirmedRemovals reports whether a worker was missing in the last read and is kept for now.
 //
 // Example: if t.Unsure() { readAgainSoon() }
-func (t *WorkerList) Unsure() bool {
-	for _, r := range t.rows {
-		if r.missed > 0 {
+func (t *WorkerList) HasUnconfirmedRemovals() bool {
+	for _, r := range t.entries {
+		if r.missedReads > 0 {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 //
 // Example: changed := t.SetWeights("i-7f3a", "daka", 2)
 func (t *WorkerList) SetWeights(id, model string, version uint64) bool {
-	r := t.rows[id]
+	r := t.entries[id]
 	if r == nil || r.worker.Weights[model] >= version {
 		return false
 	}
@@ -92,9 +92,9 @@
 //
 // Example: body, err := json.Marshal(t.Document())
 func (t *WorkerList) Document() fleet.WorkerList {
-	d := fleet.WorkerList{Workers: make([]fleet.Worker, 0, len(t.rows))}
-	for _, id := range queue.Keys(t.rows) {
-		d.Workers = append(d.Workers, t.rows[id].worker)
+	d := fleet.WorkerList{Workers: make([]fleet.Worker, 0, len(t.entries))}
+	for _, id := range queue.Keys(t.entries) {
+		d.Workers = append(d.Workers, t.entries[id].worker)
 	}
 	return d
 }
@@ -108,13 +108,13 @@
 	return m
 }
 
-func sameWorker(a, b fleet.Worker) bool {
+func equalWorkers(a, b fleet.Worker) bool {
 	return a.ID == b.ID && a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone &&
 		a.Slots == b.Slots && a.Draining == b.Draining && maps.Equal(a.Weights, b.Weights)
 }
 
-// workerIDs returns the sorted IDs of one service's workers that aren't draining.
-func workerIDs(ws []fleet.Worker, service string) []string {
+// serviceWorkerIDs returns the sorted IDs of one service's workers that aren't draining.
+func serviceWorkerIDs(ws []fleet.Worker, service string) []string {
 	l := []string{}
 	for _, w := range ws {
 		if w.Service == service && !w.Draining {
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -24,9 +24,9 @@
 // configKey is the document that is merged and validated before it is proposed.
 func (p *shard) configKey() string {
 	if p.group != nil {
-		return routingconfig.Key
+		return routingconfig.DocumentKey
 	}
-	return controlclient.SetupKey
+	return controlclient.ConfigKey
 }
 
 // mergeConfig applies a configuration, whole or partial, to the one in force, and validates the result.
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -15,58 +15,58 @@
 	"pebbleloom/internal/wire"
 )
 
-// cutWorld is one row being played: real nodes, operators, an edge and two lease holders.
-type cutWorld struct {
-	*ground
-	t      *testing.T
-	row    cutRow
-	victim int
+// partitionWorld is one row being played: real nodes, operators, an edge and two lease holders.
+type partitionWorld struct {
+	*testCluster
+	t        *testing.T
+	scenario partitionScenario
+	victim   int
 	// companion is cut off together with the victim, and still reaches it; 0: there is none.
 	companion int
 	others    []int
 
-	mu      sync.Mutex
-	version uint64        // the newest acknowledged
-	acks    map[uint64]at // when each version was acknowledged
-	edges   []*cutEdge
-	holders [2]*controlclient.Lease // one at the cut-off member, one at the others
-	held    [2]time.Duration        // when each was seen to hold the lease last
-	longest time.Duration           // that an order waited for the other side
+	mu           sync.Mutex
+	ackedVersion uint64        // the newest acknowledged
+	ackedAt      map[uint64]at // when each version was acknowledged
+	edges        []*partitionEdge
+	leases       [2]*controlclient.Lease // one at the cut-off member, one at the others
+	lastHeld     [2]time.Duration        // when each was seen to hold the lease last
+	longestWait  time.Duration           // that an order waited for the other side
 	// restarted tells whether the row's restarts are over.
 	restarted bool
-	begun     time.Time
+	startedAt time.Time
 }
 
 type at = time.Time
 
-// cutEdge follows some members by long polls, as an edge's agent does.
-type cutEdge struct {
-	at      []int // the machines that it reaches
-	mu      sync.Mutex
-	proof   *agent.FreshnessProof
-	version uint64
+// partitionEdge follows some members by long polls, as an edge's agent does.
+type partitionEdge struct {
+	machines []int // the machines that it reaches
+	mu       sync.Mutex
+	proof    *agent.FreshnessProof
+	version  uint64
 }
 
-func (w *cutWorld) now() time.Duration { return time.Since(w.begun) }
+func (w *partitionWorld) elapsed() time.Duration { return time.Since(w.startedAt) }
 
-func (w *cutWorld) node(i int) *Node {
-	w.ground.mu.Lock()
-	defer w.ground.mu.Unlock()
+func (w *partitionWorld) node(i int) *Node {
+	w.testCluster.mu.Lock()
+	defer w.testCluster.mu.Unlock()
 	return w.nodes[w.addr(i)]
 }
 
-// cutOff begins the cut between the victim, with its companion if it has one, and all others.
-func (w *cutWorld) cutOff() {
-	w.net.set(func(cut map[[2]string]bool) {
+// isolateVictim begins the cut between the victim, with its companion if it has one, and all others.
+func (w *partitionWorld) isolateVictim() {
+	w.network.update(func(cut map[[2]string]bool) {
 		for _, i := range []int{w.victim, w.companion} {
 			for j := range 9 {
 				if i == 0 || j+1 == w.victim || j+1 == w.companion {
 					continue
 				}
-				if w.row.direction != "in" {
+				if w.scenario.direction != "in" {
 					cut[[2]string{w.addr(i), w.addr(j + 1)}] = true
 				}
-				if w.row.direction != "out" {
+				if w.scenario.direction != "out" {
 					cut[[2]string{w.addr(j + 1), w.addr(i)}] = true
 				}
 			}
@@ -74,18 +74,18 @@
 	})
 }
 
-func (w *cutWorld) kill(i int) {
+func (w *partitionWorld) kill(i int) {
 	l := w.processes[w.addr(i)]
-	w.ground.mu.Lock()
+	w.testCluster.mu.Lock()
 	delete(w.nodes, w.addr(i))
-	w.ground.mu.Unlock()
+	w.testCluster.mu.Unlock()
 	l.Stop(0)
 }
 
-// restarts restarts what the row says; those of the majority's side one after the other.
-func (w *cutWorld) restarts() {
+// restartMachines restarts what the row says; those of the majority's side one after the other.
+func (w *partitionWorld) restartMachines() {
 	var l []int
-	switch w.row.restart {
+	switch w.scenario.restarted {
 	case "itself":
 		l = []int{w.victim}
 	case "another":
@@ -93,7 +93,7 @@
 	case "all":
 		l = append([]int{w.victim}, w.others[:2]...)
 	}
-	if w.row.seeds {
+	if w.scenario.onlyIsolatedSeeds {
 		w.seeds = []string{w.addr(w.victim)}
 	}
 	for _, i := range l {
@@ -102,8 +102,8 @@
 	}
 }
 
-// poll has an edge follow one member until the end.
-func (w *cutWorld) poll(ctx context.Context, e *cutEdge, i int) {
+// followMember has an edge follow one member until the end.
+func (w *partitionWorld) followMember(ctx context.Context, e *partitionEdge, i int) {
 	for ctx.Err() == nil {
 		n := w.node(i)
 		if n == nil {
@@ -111,9 +111,9 @@
 			continue
 		}
 		e.mu.Lock()
-		have, asked := e.version, w.now()
+		have, asked := e.version, w.elapsed()
 		e.mu.Unlock()
-		x, err := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: have}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.Key})
+		x, err := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.DocumentKey})
 		if err != nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
@@ -129,21 +129,21 @@
 		version := e.version
 		e.mu.Unlock()
 		w.mu.Lock()
-		for v, when := range w.acks {
-			if v > version && when.Sub(w.begun) < proven {
-				w.t.Errorf("%v: an edge of %v has the proof for version %d up to %v, yet %d was acknowledged at %v", w.now(), e.at, version, proven, v, when.Sub(w.begun))
+		for v, when := range w.ackedAt {
+			if v > version && when.Sub(w.startedAt) < proven {
+				w.t.Errorf("%v: an edge of %v has the proof for version %d up to %v, yet %d was acknowledged at %v", w.elapsed(), e.machines, version, proven, v, when.Sub(w.startedAt))
 			}
 		}
 		w.mu.Unlock()
 	}
 }
 
-// hold has a holder ask for the lease again and again, at the cut-off member or at the others.
-func (w *cutWorld) hold(ctx context.Context, k int) {
-	l := w.holders[k]
+// renewLease has a holder ask for the lease again and again, at the cut-off member or at the others.
+func (w *partitionWorld) renewLease(ctx context.Context, k int) {
+	l := w.leases[k]
 	for ; ctx.Err() == nil; clock.Sleep(ctx, leaseTTL*2/5) {
-		asked := w.now() + time.Hour
-		ask := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.Ask()}}}
+		asked := w.elapsed() + time.Hour
+		ask := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.GrantRequest()}}}
 		one, end := context.WithTimeout(ctx, leaseTTL)
 		var r *wire.ChangeResponse
 		near := w.others
@@ -157,87 +157,87 @@
 			}
 		}
 		end()
-		l.Tell(asked, r)
+		l.HandleResponse(asked, r)
 	}
 }
 
-// watchHolders sees to it that nobody holds the lease beside another.
-func (w *cutWorld) watchHolders(ctx context.Context) {
+// checkSingleHolder sees to it that nobody holds the lease beside another.
+func (w *partitionWorld) checkSingleHolder(ctx context.Context) {
 	for ; ctx.Err() == nil; clock.Sleep(ctx, 20*time.Millisecond) {
-		_, a := w.holders[0].Held()
-		_, b := w.holders[1].Held()
+		_, a := w.leases[0].FencingToken()
+		_, b := w.leases[1].FencingToken()
 		if a && b {
-			w.t.Errorf("%v: two hold the lease at once", w.now())
+			w.t.Errorf("%v: two hold the lease at once", w.elapsed())
 			return
 		}
 		w.mu.Lock()
 		if a {
-			w.held[0] = w.now()
+			w.lastHeld[0] = w.elapsed()
 		}
 		if b {
-			w.held[1] = w.now()
+			w.lastHeld[1] = w.elapsed()
 		}
 		w.mu.Unlock()
 	}
 }
 
-// acked notes an acknowledgement.
-func (w *cutWorld) acked(v uint64) {
+// recordAck notes an acknowledgement.
+func (w *partitionWorld) recordAck(v uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.version = max(w.version, v)
-	if _, ok := w.acks[v]; !ok {
-		w.acks[v] = time.Now()
+	w.ackedVersion = max(w.ackedVersion, v)
+	if _, ok := w.ackedAt[v]; !ok {
+		w.ackedAt[v] = time.Now()
 	}
 }
 
-// order sends one order to a machine, and says what came of it; it is never refused, nor held long.
-func (w *cutWorld) order(i int, base uint64, b []byte) error {
+// putPlan sends one order to a machine, and says what came of it; it is never refused, nor held long.
+func (w *partitionWorld) putPlan(i int, base uint64, b []byte) error {
 	begun := time.Now()
 	v, err := w.node(i).PutRoutingConfig(context.Background(), base, b, false)
 	if d := time.Since(begun); d > answerWithin {
-		w.t.Errorf("%v: machine %d answers an order after %v", w.now(), i, d)
+		w.t.Errorf("%v: machine %d answers an order after %v", w.elapsed(), i, d)
 	}
 	if err != nil && errs.KindOf(err).HTTP != 503 {
-		w.t.Errorf("%v: machine %d refuses an order on version %d: %v", w.now(), i, base, err)
+		w.t.Errorf("%v: machine %d refuses an order on version %d: %v", w.elapsed(), i, base, err)
 	}
 	if err == nil {
-		w.acked(v)
+		w.recordAck(v)
 	}
 	return err
 }
 
-// read reads the plan at a machine, never older than what was acknowledged before.
-func (w *cutWorld) read(i int) error {
+// readPlan reads the plan at a machine, never older than what was acknowledged before.
+func (w *partitionWorld) readPlan(i int) error {
 	w.mu.Lock()
-	least := w.version
+	least := w.ackedVersion
 	w.mu.Unlock()
 	begun := time.Now()
 	_, v, err := w.node(i).ReadRoutingConfig(context.Background())
 	if d := time.Since(begun); d > answerWithin {
-		w.t.Errorf("%v: machine %d answers a read after %v", w.now(), i, d)
+		w.t.Errorf("%v: machine %d answers a read after %v", w.elapsed(), i, d)
 	}
 	if err == nil && v < least {
-		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.now(), i, v, least)
+		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.elapsed(), i, v, least)
 	}
 	if err != nil && errs.KindOf(err).HTTP != 503 {
-		w.t.Errorf("%v: a read at machine %d: %v", w.now(), i, err)
+		w.t.Errorf("%v: a read at machine %d: %v", w.elapsed(), i, err)
 	}
 	return err
 }
 
-func newCutWorld(t *testing.T, r cutRow) *cutWorld {
-	w := &cutWorld{ground: newGround(t), t: t, row: r, acks: map[uint64]at{}, begun: time.Now()}
-	w.net = newNetwork()
+func newPartitionWorld(t *testing.T, r partitionScenario) *partitionWorld {
+	w := &partitionWorld{testCluster: newTestCluster(t), t: t, scenario: r, ackedAt: map[uint64]at{}, startedAt: time.Now()}
+	w.network = newSimNetwork()
 	clk := clock.Synctest()
-	for k := range w.holders {
-		w.holders[k] = controlclient.NewLease(nil, clk, "site", 0, fmt.Sprintf("holder-%d", k), leaseTTL)
+	for k := range w.leases {
+		w.leases[k] = controlclient.NewLease(nil, clk, "site", 0, fmt.Sprintf("holder-%d", k), leaseTTL)
 	}
 	return w
 }
 
 // term is the highest term that a machine is in.
-func (w *cutWorld) term() (term uint64) {
+func (w *partitionWorld) term() (term uint64) {
 	for i := range 5 {
 		if n := w.node(i + 1); n != nil {
 			p := n.shards[0]
@@ -248,12 +248,12 @@
 }
 
 // chooseVictim picks the member to cut off, the leader or a follower, and its companion.
-func (w *cutWorld) chooseVictim(machines int) {
+func (w *partitionWorld) chooseVictim(machines int) {
 	for i := range machines {
 		switch isLeader := i+1 == w.leader(); {
-		case w.victim == 0 && isLeader == w.row.leader:
+		case w.victim == 0 && isLeader == w.scenario.isolatesLeader:
 			w.victim = i + 1
-		case w.row.pair && w.companion == 0 && !isLeader:
+		case w.scenario.isolatesPair && w.companion == 0 && !isLeader:
 			w.companion = i + 1
 		default:
 			w.others = append(w.others, i+1)
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -147,7 +147,7 @@
 	s, own := l.Place.Site, l.Place.AdvertisedAddr()
 	n := &Node{process: l, shards: map[uint32]*shard{}, clients: daemon.NewClients(l)}
 	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.clients.Membership, nil)
-	n.controlClient = controlclient.NewGroup(l.Place.Seeds, n.membership.View, n.clients, l.Place.Bounds)
+	n.controlClient = controlclient.NewGroupClient(l.Place.Seeds, n.membership.View, n.clients, l.Place.Bounds)
 	l.OnSettingsChanged(func(p settings.Place) { n.controlClient.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
 	n.transport = newTransport(l.Ctx, n)
 	tick := l.Place.Bounds.Heal(groupTick)
@@ -190,7 +190,7 @@
 
 // zoneOf is the zone of a core machine by the cluster membership; "" where it isn't known.
 func (n *Node) zoneOf(addr string) string {
-	for _, x := range n.membership.View().Role("archive") {
+	for _, x := range n.membership.View().WithRole("archive") {
 		if x.Addr == addr {
 			return x.Zone
 		}
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -25,10 +25,10 @@
 		newest, boots := uint64(0), 0
 		boot := func() {
 			boots, all = boots+1, all+1
-			d.died, d.dieIn = false, -1
+			d.crashed, d.writesUntilCrash = false, -1
 			p = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 			p.compactThreshold = 400
-			openGroup(p, &group{codec: versions{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
+			openGroup(p, &group{codec: versionCodec{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
 				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: r},
 				initialSnapshot: func() *wire.Snapshot {
 					return initialGroupSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, r.Uint64)
@@ -41,9 +41,9 @@
 				}
 				p.tickGroup()
 				p.handleReady()
-				if d.died {
+				if d.crashed {
 					if ends++; r.IntN(2) == 0 {
-						d.powerLost()
+						d.losePower()
 					}
 					boot()
 				}
@@ -54,18 +54,18 @@
 		for i := range 60 {
 			switch r.IntN(6) {
 			case 0:
-				d.fail = !d.fail
+				d.failWrites = !d.failWrites
 			case 1:
-				d.dieIn = r.IntN(4)
+				d.writesUntilCrash = r.IntN(4)
 			case 2:
 				if r.IntN(2) == 0 {
-					d.powerLost()
+					d.losePower()
 				}
 				boot()
 			}
 			tick(1 + r.IntN(30))
 			if i%10 == 9 {
-				d.fail = false
+				d.failWrites = false
 				tick(60)
 			}
 			a := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: fmt.Append(nil, i)}}}}
@@ -82,7 +82,7 @@
 				acked++
 				newest = response.Version
 			}
-			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.dieIn < 0 && incarnation == p) {
+			if i%10 == 9 && (p.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.writesUntilCrash < 0 && incarnation == p) {
 				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, p.failure, response)
 			}
 			if e := p.state.documents["k"].GetVersion(); p.failure == nil && p.core.HasAppliedCurrentTerm() && e < newest {
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -14,32 +14,32 @@
 	"pebbleloom/internal/wire"
 )
 
-func (g *ground) quiet(i int) { // a machine without power says nothing, nor does it hear
+func (g *testCluster) makeUnreachable(i int) { // a machine without power says nothing, nor does it hear
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dark[g.addr(i)] = true
+	g.unreachable[g.addr(i)] = true
 }
 
-func (g *ground) found(n int) {
+func (g *testCluster) startFounders(n int) {
 	for i := range n {
 		g.start(i+1, true)
 	}
-	g.until("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+	g.waitUntil("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 }
 
 // A thread that waits for its disk keeps no question waiting beyond its time; what it answers
 // meanwhile is what it held before, and a plan goes on without it.
 func TestAStalledDiskHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(3)
-		defer g.down()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(3)
+		defer g.stopAll()
 		if _, err := g.nodes[g.addr(1)].PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
 			t.Fatal(err)
 		}
 		o := g.leader()
 		n, release := g.nodes[g.addr(o)], make(chan struct{})
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.hold = release })
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.stalled = release })
 		at := time.Now()
 		if _, err := n.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
 			t.Errorf("a plan put where the disk stalls: %v", err)
@@ -48,11 +48,11 @@
 			t.Errorf("the operator waited %v", d)
 		}
 		at = time.Now()
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 1}}, MaxWaitNs: 3e8, ProofKey: routingconfig.Key})
+		x, _ := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, MaxWaitNs: 3e8, ProofKey: routingconfig.DocumentKey})
 		if d := time.Since(at); d != 300*time.Millisecond || len(x.Documents) > 0 {
 			t.Errorf("after %v: %v", d, x)
 		}
-		g.until("the plan elsewhere", 5*time.Second, func() bool {
+		g.waitUntil("the plan elsewhere", 5*time.Second, func() bool {
 			for i := range 3 {
 				if i+1 != o {
 					if _, err := g.nodes[g.addr(i+1)].PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil {
@@ -62,10 +62,10 @@
 			}
 			return false
 		})
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.hold = nil })
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.stalled = nil })
 		close(release)
-		g.until("the plan at the one that stalled", 5*time.Second, func() bool {
-			return n.shards[0].published.current().documents[routingconfig.Key].GetVersion() == 2
+		g.waitUntil("the plan at the one that stalled", 5*time.Second, func() bool {
+			return n.shards[0].published.current().documents[routingconfig.DocumentKey].GetVersion() == 2
 		})
 	})
 }
@@ -73,14 +73,14 @@
 // A disk that is full takes its member out, and the member comes back by itself once it isn't.
 func TestAFullDiskComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(3)
-		defer g.down()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(3)
+		defer g.stopAll()
 		o := g.leader()
 		n := g.nodes[g.addr(o)]
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.d.fail = true })
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.disk.failWrites = true })
 		for v := range 3 {
-			g.until("a plan", 6*time.Second, func() bool {
+			g.waitUntil("a plan", 6*time.Second, func() bool {
 				for _, m := range g.nodes {
 					if _, err := m.PutRoutingConfig(ctx, uint64(v), body(uint64(v+1), "x"), false); err == nil {
 						return true
@@ -89,14 +89,14 @@
 				return false
 			})
 		}
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 9}}, MaxWaitNs: 3e8, ProofKey: routingconfig.Key})
+		x, _ := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, MaxWaitNs: 3e8, ProofKey: routingconfig.DocumentKey})
 		if x.NothingNewer || n.shards[0].published.current().isVoter {
 			t.Errorf("a member that is out vouches: %v", x)
 		}
-		g.disks[g.addr(o)].set(func(d *heldDisk) { d.d.fail = false })
-		g.until("the member back", 6*time.Second, func() bool {
+		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.disk.failWrites = false })
+		g.waitUntil("the member back", 6*time.Second, func() bool {
 			s := n.shards[0].published.current()
-			return s.isVoter && s.documents[routingconfig.Key].GetVersion() == 3
+			return s.isVoter && s.documents[routingconfig.DocumentKey].GetVersion() == 3
 		})
 	})
 }
@@ -104,13 +104,13 @@
 // Without a majority an operator hears so before it asks elsewhere; reads too.
 func TestWithoutAMajorityNobodyWaitsLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(3)
-		defer g.down()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(3)
+		defer g.stopAll()
 		o := g.leader()
 		for i := range 3 {
 			if i+1 != o {
-				g.quiet(i + 1)
+				g.makeUnreachable(i + 1)
 			}
 		}
 		n := g.nodes[g.addr(o)]
@@ -132,14 +132,14 @@
 func TestAPlannedEndIsShort(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGround(t)
-			g.found(3)
-			defer g.down()
+			g := newTestCluster(t)
+			g.startFounders(3)
+			defer g.stopAll()
 			o := g.leader()
 			if alone {
 				for i := range 3 {
 					if i+1 != o {
-						g.quiet(i + 1)
+						g.makeUnreachable(i + 1)
 					}
 				}
 			}
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -15,7 +15,7 @@
 	"pebbleloom/internal/wire"
 )
 
-func (g *ground) members() []string {
+func (g *testCluster) members() []string {
 	var x *publishedView
 	for _, n := range g.nodes {
 		if s := n.shards[0].published.current(); s.isLeader && (x == nil || s.term > x.term) {
@@ -28,7 +28,7 @@
 	return x.members
 }
 
-func (g *ground) leader() int {
+func (g *testCluster) leader() int {
 	for i := 1; i < 9; i++ {
 		if n := g.nodes[g.addr(i)]; n != nil && n.shards[0].published.current().isLeader {
 			return i
@@ -42,16 +42,16 @@
 // is a conflict, and what is invalid is named.
 func TestAGroupTakesPlans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
+		g, ctx := newTestCluster(t), context.Background()
 		for i := range 4 {
 			g.start(i+1, true)
 		}
-		defer g.down()
-		d := g.until("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		defer g.stopAll()
+		d := g.waitUntil("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 		t.Log("an leader after", d)
 		a, b, spare := g.nodes[g.addr(1)], g.nodes[g.addr(2)], g.nodes[g.addr(4)]
 		held := make(chan *wire.FollowResponse)
-		ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, MaxWaitNs: uint64(10 * time.Second), ProofKey: routingconfig.Key}
+		ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, MaxWaitNs: uint64(10 * time.Second), ProofKey: routingconfig.DocumentKey}
 		go func() { x, _ := b.Follow(ctx, ask); held <- x }()
 		putPlan := func(i int, n *Node) {
 			if v, err := n.PutRoutingConfig(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || v != uint64(i*2+2) {
@@ -93,7 +93,7 @@
 		if err := a.SetWeightsVersion(ctx, "o", 1); err != nil {
 			t.Error(err)
 		}
-		g.until("weights at the spare", 3*time.Second, func() bool {
+		g.waitUntil("weights at the spare", 3*time.Second, func() bool {
 			w := fleet.Weights{}
 			x, _ := spare.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
 			return len(x.Documents) == 1 && json.Unmarshal(x.Documents[0].Body, &w) == nil && w.Named["m"] == 3 && w.Named["o"] == 1 && !x.NothingNewer
@@ -102,13 +102,13 @@
 		if _, err := spare.controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
 			t.Error(err)
 		}
-		x, _ := a.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 6}, {Key: fleet.PlacementKey}}, MaxWaitNs: 1e9, ProofKey: routingconfig.Key})
+		x, _ := a.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, MaxWaitNs: 1e9, ProofKey: routingconfig.DocumentKey})
 		if len(x.Documents) != 1 || x.Documents[0].Key != fleet.PlacementKey+"s" || !x.NothingNewer || x.Member != g.addr(1)+"/0" {
 			t.Errorf("a placement is told: %v", x)
 		}
 		at := time.Now()
-		x, _ = a.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
-			MaxWaitNs: 5e8, ProofKey: routingconfig.Key})
+		x, _ = a.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
+			MaxWaitNs: 5e8, ProofKey: routingconfig.DocumentKey})
 		if d := time.Since(at); d != 500*time.Millisecond || len(x.Documents) > 0 || !x.NothingNewer {
 			t.Errorf("no news: after %v %v", d, x)
 		}
@@ -120,15 +120,15 @@
 // taken in at its new address; and all may start again at once.
 func TestAGroupChangesItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
+		g, ctx := newTestCluster(t), context.Background()
 		for i := range 4 {
 			g.start(i+1, true)
 		}
-		defer func() { g.down() }()
-		g.until("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		defer func() { g.stopAll() }()
+		g.waitUntil("an leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
 		put := func(v uint64) {
 			t.Helper()
-			g.until("a plan", 6*time.Second, func() bool {
+			g.waitUntil("a plan", 6*time.Second, func() bool {
 				for _, n := range g.nodes {
 					if _, err := n.PutRoutingConfig(ctx, v-1, body(v, "x"), false); err == nil {
 						return true
@@ -145,11 +145,11 @@
 		}
 		put(1)
 		o := g.leader()
-		d := g.until("planned end", 0, func() bool { g.stop(o); return true })
-		d += g.until("another leader", 2*time.Second, func() bool { return g.leader() > 0 })
+		d := g.waitUntil("planned end", 0, func() bool { g.stop(o); return true })
+		d += g.waitUntil("another leader", 2*time.Second, func() bool { return g.leader() > 0 })
 		t.Log("another leader after a planned end", d)
 		put(2)
-		t.Log("the spare's place", g.until("the spare has its place", 5*time.Second, has(g.addr(4), g.addr(o)+"/0")))
+		t.Log("the spare's place", g.waitUntil("the spare has its place", 5*time.Second, has(g.addr(4), g.addr(o)+"/0")))
 		g.start(o, false)
 		// A disk is lost.
 		w := g.leader()
@@ -157,7 +157,7 @@
 		g.stop(w)
 		g.disks[g.addr(w)] = nil
 		g.start(w, false)
-		g.until("a group without the lost disk", 8*time.Second, func() bool {
+		g.waitUntil("a group without the lost disk", 8*time.Second, func() bool {
 			l := g.members()
 			return len(l) == 3 && !slices.Contains(l, old)
 		})
@@ -167,7 +167,7 @@
 			x := g.leader()
 			g.stop(x)
 			g.start(5+i, false)
-			g.until("three members", 8*time.Second, func() bool {
+			g.waitUntil("three members", 8*time.Second, func() bool {
 				l := g.members()
 				return len(l) == 3 && !slices.ContainsFunc(l, func(m string) bool { return strings.HasPrefix(m, g.addr(x)+"/") })
 			})
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -22,7 +22,7 @@
 	s := newState()
 	s.applyPut(&wire.Put{Key: "k", Body: []byte("one"), AnyVersion: true})
 	first.State, _ = s.save()
-	openGroup(p, &group{codec: versions{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
+	openGroup(p, &group{codec: versionCodec{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: testRand()},
 		initialSnapshot: func() *wire.Snapshot { return first }})
 	if p.failure != nil {
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -43,7 +43,7 @@
 	}
 	ctx, end := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
 	defer end()
-	t, err := n.clients.ControlNode(controlclient.Addr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
+	t, err := n.clients.ControlNode(controlclient.MemberAddr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
 	return err == nil && t.Outcome == wire.OutcomeDone
 }
 
@@ -144,18 +144,18 @@
 func (n *Node) requestJoin(self string, members []string, turn int) (vain int) {
 	all := n.controlClient.Addresses()
 	for _, m := range members {
-		if a := controlclient.Addr(m); !slices.Contains(all, a) {
+		if a := controlclient.MemberAddr(m); !slices.Contains(all, a) {
 			all = append(all, a)
 		}
 	}
-	own := controlclient.Addr(self)
+	own := controlclient.MemberAddr(self)
 	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
-	for _, addr := range joinCandidates(all, n.controlClient.IsSilent, turn) {
+	for _, addr := range joinCandidates(all, n.controlClient.IsUnresponsive, turn) {
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
 			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
 			t, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
 			end()
-			n.controlClient.NoteAnswer(addr, err == nil)
+			n.controlClient.RecordResponse(addr, err == nil)
 			if err != nil {
 				break
 			}
@@ -163,7 +163,7 @@
 				n.controlClient.HintLeader(addr)
 				return vain
 			}
-			addr = controlclient.Addr(t.Leader)
+			addr = controlclient.MemberAddr(t.Leader)
 		}
 		vain++
 	}
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -111,7 +111,7 @@
 	})
 }
 
-func sameAddress(a, b string) bool { return controlclient.Addr(a) == controlclient.Addr(b) }
+func sameAddress(a, b string) bool { return controlclient.MemberAddr(a) == controlclient.MemberAddr(b) }
 
 // hasQuorum reports whether those alive among the members, and so many more, are a quorum of both.
 func (v *membershipPlanner) hasQuorum(members []string, more int) bool {
@@ -164,8 +164,8 @@
 
 // sharesZone reports whether a member that stays is in a learner's zone.
 func (v *membershipPlanner) sharesZone(name string) bool {
-	zone := v.zoneOf(controlclient.Addr(name))
+	zone := v.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(v.members, func(m string) bool {
-		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.Addr(m)) == zone
+		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.MemberAddr(m)) == zone
 	})
 }
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -50,6 +50,6 @@
 		return 0
 	})
 	m.Gauge("pebbleloom_plan_version", "version of the plan that this one holds", func() float64 {
-		return float64(p.published.current().documents[routingconfig.Key].GetVersion())
+		return float64(p.published.current().documents[routingconfig.DocumentKey].GetVersion())
 	})
 }
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -55,7 +55,7 @@
 		}
 	}
 	tick := l.Place.Bounds.Heal(1.0 / 240)
-	for i := range uint32(controlclient.Shards) {
+	for i := range uint32(controlclient.ShardCount) {
 		ms := controlclient.Members(i, core)
 		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Place.Name)))}
@@ -97,11 +97,11 @@
 
 // followSeeds takes the seeds that the configuration in force names.
 func (n *Node) followSeeds(ctl *controlclient.Client) {
-	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(t.Documents) == 0 {
 		return // the seeds that are known stay
 	}
-	if s, err := serviceconfig.Read(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
+	if s, err := serviceconfig.Decode(t.Documents[0].Body); err == nil && len(s.Seeds) == 3 {
 		n.membership.SetSeeds(s.Seeds)
 	}
 }
@@ -220,7 +220,7 @@
 // Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
 func (n *Node) Status(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	t := &wire.StatusResponse{Incarnation: n.incarnation}
-	for i := range uint32(controlclient.Shards) {
+	for i := range uint32(controlclient.ShardCount) {
 		p := n.shards[i]
 		if p == nil {
 			if containsName(controlclient.Members(i, n.coreMembers), n.process.Place.Name) {
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -41,7 +41,7 @@
 	fmt.Fprintf(h, "%d %v ", base, part)
 	h.Write(body)
 	t, err := n.changeOnLeader(ctx, &wire.ChangeRequest{Patch: part, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{
-		Key: routingconfig.Key, Body: body, IfVersion: base, Token: hex.EncodeToString(h.Sum(nil)[:16])}}}})
+		Key: routingconfig.DocumentKey, Body: body, IfVersion: base, Token: hex.EncodeToString(h.Sum(nil)[:16])}}}})
 	return t.GetVersion(), err
 }
 
@@ -52,7 +52,7 @@
 func (n *Node) ReadRoutingConfig(ctx context.Context) ([]byte, uint64, error) {
 	ctx, end := context.WithTimeout(ctx, n.operatorTimeout(0))
 	defer end()
-	d, err := n.readDocument(ctx, routingconfig.Key)
+	d, err := n.readDocument(ctx, routingconfig.DocumentKey)
 	return d.GetBody(), d.GetVersion(), err
 }
 
--- a/internal/control/controlstate/orders_again_test.go
+++ b/internal/control/controlstate/orders_again_test.go
@@ -14,29 +14,29 @@
 // under the same number, and each sends it again; the leader changes, and all members go through a
 // snapshot and a restart.
 const (
-	firstCopyA = iota
-	secondCopyA
-	firstCopyB
-	secondCopyB
+	firstAttemptA = iota
+	secondAttemptA
+	firstAttemptB
+	secondAttemptB
 	newLeader
 	snapshotAndRestart
 	eventCount
 	secondNewLeader = eventCount // in the long search alone
 )
 
-// ordersLongVar, set to anything, adds a second change of leader to every order of events.
-const ordersLongVar = "ORDERS_LONG"
+// longSearchVar, set to anything, adds a second change of leader to every order of events.
+const longSearchVar = "ORDERS_LONG"
 
-// progressAfterSend is how many rounds of messages follow a copy: none (the quorum is being asked), two
+// roundsAfterSend is how many rounds of messages follow a copy: none (the quorum is being asked), two
 // (it is proposed), three (it is on other disks, uncommitted), or all that there are.
-var progressAfterSend = []int{0, 2, 3, 100}
+var roundsAfterSend = []int{0, 2, 3, 100}
 
-// sendsTo is whom a copy is sent to.
-type sendsTo int
+// sendTarget is whom a copy is sent to.
+type sendTarget int
 
 const (
-	toTheLeader sendsTo = iota
-	toOneCutOff         // as long as one is, else to the leader
+	toLeader         sendTarget = iota
+	toIsolatedMember            // as long as one is, else to the leader
 )
 
 // otherKey is a document that is neither merged nor validated ahead.
@@ -46,31 +46,31 @@
 // order, each copy left wherever it stands when the next event comes. At the end a third change is made
 // on top, and both are sent once more.
 func TestTwoOrdersInEveryOrder(t *testing.T) {
-	for _, key := range []string{otherKey, routingconfig.Key} {
+	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		t.Run(key, func(t *testing.T) {
-			t.Logf("%d runs", twoOrdersInEveryOrder(t, key))
+			t.Logf("%d runs", playEveryOrder(t, key))
 		})
 	}
 }
 
-func twoOrdersInEveryOrder(t *testing.T, key string) (runs int) {
+func playEveryOrder(t *testing.T, key string) (runs int) {
 	events := eventCount
-	if os.Getenv(ordersLongVar) != "" {
+	if os.Getenv(longSearchVar) != "" {
 		events++
 	}
-	orders(events, func(sequence []int) {
+	permutations(events, func(sequence []int) {
 		inOrder := func(first, second int) bool {
 			return !slices.Contains(sequence, second) || slices.Index(sequence, first) < slices.Index(sequence, second)
 		}
-		if !inOrder(firstCopyA, secondCopyA) || !inOrder(firstCopyB, secondCopyB) || !inOrder(firstCopyA, firstCopyB) || !inOrder(newLeader, secondNewLeader) {
+		if !inOrder(firstAttemptA, secondAttemptA) || !inOrder(firstAttemptB, secondAttemptB) || !inOrder(firstAttemptA, firstAttemptB) || !inOrder(newLeader, secondNewLeader) {
 			return // by symmetry
 		}
-		for i := range len(progressAfterSend) * len(progressAfterSend) {
-			progress := []int{progressAfterSend[i%len(progressAfterSend)], progressAfterSend[i/len(progressAfterSend)]}
-			for _, target := range []sendsTo{toTheLeader, toOneCutOff} {
+		for i := range len(roundsAfterSend) * len(roundsAfterSend) {
+			progress := []int{roundsAfterSend[i%len(roundsAfterSend)], roundsAfterSend[i/len(roundsAfterSend)]}
+			for _, target := range []sendTarget{toLeader, toIsolatedMember} {
 				runs++
 				synctest.Test(t, func(t *testing.T) {
-					if faults := twoOrders(t, key, sequence, progress, target); len(faults) > 0 {
+					if faults := playTwoChanges(t, key, sequence, progress, target); len(faults) > 0 {
 						t.Errorf("run %d: %s, %v, rounds %v, to %d: %v", runs, key, sequence, progress, target, faults)
 					}
 				})
@@ -83,17 +83,17 @@
 	return runs
 }
 
-func twoOrders(t *testing.T, key string, sequence []int, progress []int, target sendsTo) []string {
-	c := newOrderCluster(t, key)
+func playTwoChanges(t *testing.T, key string, sequence []int, progress []int, target sendTarget) []string {
+	c := newScriptedCluster(t, key)
 	ctx, cancel := context.WithCancel(t.Context())
-	defer c.stop(cancel)
-	c.elect()
+	defer c.stopAll(cancel)
+	c.awaitLeader()
 	number := uint64(1) // any document counts its versions itself, the configuration bears its own number
-	if key == routingconfig.Key {
+	if key == routingconfig.DocumentKey {
 		number = 2
 	}
-	a, b := &testOrder{name: "a", version: number}, &testOrder{name: "b", version: number}
-	c.orders = []*testOrder{a, b}
+	a, b := &testChange{name: "a", newVersion: number}, &testChange{name: "b", newVersion: number}
+	c.changes = []*testChange{a, b}
 	for _, event := range sequence {
 		switch event {
 		case newLeader, secondNewLeader:
@@ -102,15 +102,15 @@
 			c.restart()
 		default:
 			if c.leader() == nil { // one that was cut off is back, and has just stepped down
-				c.elect()
+				c.awaitLeader()
 			}
 			to := c.leader()
-			if target == toOneCutOff && c.cutOff != nil {
-				to = c.cutOff
+			if target == toIsolatedMember && c.isolated != nil {
+				to = c.isolated
 			}
-			c.send(ctx, c.orders[event/2], to)
+			c.send(ctx, c.changes[event/2], to)
 			for range progress[event%2] { // of first copies, of second ones
-				if !c.round() {
+				if !c.deliverRound() {
 					break
 				}
 			}
@@ -119,24 +119,24 @@
 	c.heal()
 	if !a.acked && !b.acked && !a.inForce && !b.inForce { // all copies were lost
 		c.send(ctx, a, c.leader())
-		c.settle()
+		c.deliverAll()
 	}
-	third := &testOrder{name: "third", base: number, version: 2 * number}
-	c.orders = append(c.orders, third)
+	third := &testChange{name: "third", baseVersion: number, newVersion: 2 * number}
+	c.changes = append(c.changes, third)
 	c.send(ctx, third, c.leader())
-	c.settle()
+	c.deliverAll()
 	c.send(ctx, a, c.leader())
 	c.send(ctx, b, c.leader())
-	c.settle()
-	c.final(third)
-	if a.inForce != a.acked || b.inForce != b.acked || a.acked == b.acked || a.refused == b.refused {
-		c.fault("the one in force is acknowledged when it is sent again, the other one is refused: %+v, %+v", *a, *b)
+	c.deliverAll()
+	c.checkFinal(third)
+	if a.inForce != a.acked || b.inForce != b.acked || a.acked == b.acked || a.rejected == b.rejected {
+		c.violationf("the one in force is acknowledged when it is sent again, the other one is refused: %+v, %+v", *a, *b)
 	}
-	return c.faults
+	return c.violations
 }
 
-// stop ends what is under way.
-func (c *orderCluster) stop(cancel context.CancelFunc) {
+// stopAll ends what is under way.
+func (c *scriptedCluster) stopAll(cancel context.CancelFunc) {
 	cancel()
 	for _, m := range c.members {
 		m.stop()
@@ -144,44 +144,44 @@
 	synctest.Wait()
 }
 
-// final checks that the newest order that was acknowledged is what members read back.
-func (c *orderCluster) final(newest *testOrder) {
-	if !newest.acked || c.newest != newest.version {
-		c.fault("the newest order isn't acknowledged: %+v, newest is %d", *newest, c.newest)
+// checkFinal checks that the newest order that was acknowledged is what members read back.
+func (c *scriptedCluster) checkFinal(newest *testChange) {
+	if !newest.acked || c.newestAcked != newest.newVersion {
+		c.violationf("the newest order isn't acknowledged: %+v, newest is %d", *newest, c.newestAcked)
 	}
 	c.heal() // and the others hear what is committed
 	for _, m := range c.members {
-		if doc := m.p.state.documents[c.key]; doc.GetVersion() != newest.version || string(doc.GetBody()) != string(newest.body()) {
-			c.fault("what is read back is the newest that was acknowledged: %s holds %d %s", m.addr, doc.GetVersion(), doc.GetBody())
+		if doc := m.shard.state.documents[c.key]; doc.GetVersion() != newest.newVersion || string(doc.GetBody()) != string(newest.body()) {
+			c.violationf("what is read back is the newest that was acknowledged: %s holds %d %s", m.addr, doc.GetVersion(), doc.GetBody())
 		}
 	}
-	c.check()
+	c.checkInvariants()
 }
 
 // A document that isn't validated ahead: a leader of the past, cut off, is sent an order again that the
 // next leader took on top of others. It can't say, and says so; its own state would have it refused.
 func TestALeaderOfThePastRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newOrderCluster(t, otherKey)
+		c := newScriptedCluster(t, otherKey)
 		ctx, cancel := context.WithCancel(t.Context())
-		defer c.stop(cancel)
-		c.elect()
-		c.send(ctx, &testOrder{name: "1"}, c.leader())
-		c.settle()
+		defer c.stopAll(cancel)
+		c.awaitLeader()
+		c.send(ctx, &testChange{name: "1"}, c.leader())
+		c.deliverAll()
 		past := c.leader()
 		c.changeLeader()
-		c.elect()
-		taken := &testOrder{name: "3", base: 2}
-		c.send(ctx, &testOrder{name: "2", base: 1}, c.leader())
-		c.settle()
+		c.awaitLeader()
+		taken := &testChange{name: "3", baseVersion: 2}
+		c.send(ctx, &testChange{name: "2", baseVersion: 1}, c.leader())
+		c.deliverAll()
 		c.send(ctx, taken, c.leader())
-		c.settle()
-		if !taken.acked || !past.p.core.Status().IsLeader {
+		c.deliverAll()
+		if !taken.acked || !past.shard.core.Status().IsLeader {
 			t.Fatalf("the order was to be taken, and the old leader to believe in itself: %+v", *taken)
 		}
 		c.send(ctx, taken, past)
-		c.settle()
-		if cancel(); taken.refused {
+		c.deliverAll()
+		if cancel(); taken.rejected {
 			t.Errorf("the old leader refuses what was taken: %+v", *taken)
 		}
 	})
@@ -190,31 +190,31 @@
 // A new leader holds two orders that the one before had replicated, and has applied neither. The second
 // one, sent again, builds on a version that isn't in force yet: it is taken a little later, not refused.
 func TestANewLeaderRefusesNothingThatIsInItsLog(t *testing.T) {
-	for _, key := range []string{otherKey, routingconfig.Key} {
+	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newOrderCluster(t, key)
+			c := newScriptedCluster(t, key)
 			ctx, cancel := context.WithCancel(t.Context())
-			defer c.stop(cancel)
-			c.elect()
-			first, second := &testOrder{name: "1", version: 1}, &testOrder{name: "2", base: 1, version: 2}
-			c.orders = append(c.orders, first, second)
+			defer c.stopAll(cancel)
+			c.awaitLeader()
+			first, second := &testChange{name: "1", newVersion: 1}, &testChange{name: "2", baseVersion: 1, newVersion: 2}
+			c.changes = append(c.changes, first, second)
 			c.send(ctx, first, c.leader())
-			c.settle()
+			c.deliverAll()
 			c.send(ctx, second, c.leader())
-			for !slices.ContainsFunc(c.members, func(m *orderMember) bool { return m != c.leader() && len(m.p.core.UnappliedEntries()) > 0 }) {
-				c.round()
+			for !slices.ContainsFunc(c.members, func(m *scriptedMember) bool { return m != c.leader() && len(m.shard.core.UnappliedEntries()) > 0 }) {
+				c.deliverRound()
 			}
 			c.changeLeader()
 			c.send(ctx, second, c.leader())
-			c.round()
-			c.elect()
+			c.deliverRound()
+			c.awaitLeader()
 			c.send(ctx, second, c.leader())
-			c.settle()
-			if !second.acked || second.refused {
+			c.deliverAll()
+			if !second.acked || second.rejected {
 				t.Errorf("%s: %+v", key, *second)
 			}
-			if c.check(); len(c.faults) > 0 {
-				t.Error(c.faults)
+			if c.checkInvariants(); len(c.violations) > 0 {
+				t.Error(c.violations)
 			}
 		})
 	}
@@ -224,23 +224,23 @@
 // again. One on a version that nobody has heard of is a conflict.
 func TestAnOrderOnABaseThatIsProposed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newOrderCluster(t, otherKey)
+		c := newScriptedCluster(t, otherKey)
 		ctx, cancel := context.WithCancel(t.Context())
-		defer c.stop(cancel)
-		c.elect()
-		next, early := &testOrder{name: "2", base: 1}, &testOrder{name: "9", base: 8}
-		c.send(ctx, &testOrder{name: "1"}, c.leader())
-		c.round()
+		defer c.stopAll(cancel)
+		c.awaitLeader()
+		next, early := &testChange{name: "2", baseVersion: 1}, &testChange{name: "9", baseVersion: 8}
+		c.send(ctx, &testChange{name: "1"}, c.leader())
+		c.deliverRound()
 		c.send(ctx, next, c.leader())
-		c.settle()
-		if next.refused || next.acked {
+		c.deliverAll()
+		if next.rejected || next.acked {
 			t.Errorf("its base was under way: %+v", *next)
 		}
 		c.send(ctx, next, c.leader())
-		c.settle()
+		c.deliverAll()
 		c.send(ctx, early, c.leader()) // nothing is under way now that its base might come from
-		c.settle()
-		if !next.acked || next.refused || !early.refused {
+		c.deliverAll()
+		if !next.acked || next.rejected || !early.rejected {
 			t.Errorf("%+v, %+v", *next, *early)
 		}
 	})
--- a/internal/control/controlstate/orders_door_test.go
+++ b/internal/control/controlstate/orders_door_test.go
@@ -15,9 +15,9 @@
 // elsewhere, before the operator's patience ends; what is remembered is done again or a conflict.
 func TestAForgottenOrderAtTheDoor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(4)
-		defer g.down()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(4)
+		defer g.stopAll()
 		for v := range uint64(5) {
 			if _, err := g.nodes[g.addr(1)].PutRoutingConfig(ctx, v, body(v+1, "x"), false); err != nil {
 				t.Fatal(err)
@@ -26,7 +26,7 @@
 		for _, n := range g.nodes {
 			p := n.shards[0]
 			p.runOnLoop(ctx, func() {
-				record := p.state.recordsOf(routingconfig.Key)
+				record := p.state.recordsOf(routingconfig.DocumentKey)
 				record.forgottenVersion = 3
 				record.records = slices.DeleteFunc(record.records, func(c idempotencyRecord) bool { return c.version <= record.forgottenVersion })
 				p.state.recentTokens = nil
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -19,7 +19,7 @@
 	"pebbleloom/internal/wire"
 )
 
-func open(t *testing.T, d storage.Disk) (*shard, error) {
+func openTestShard(t *testing.T, d storage.Disk) (*shard, error) {
 	t.Helper()
 	cfg := consensus.Config{Self: "core-2", Members: []string{"core-2", "core-3", "core-4"}, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(1, 1))}
 	return openShard(context.Background(), cfg, d, func() string { return "new" }, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
@@ -34,11 +34,11 @@
 		t.Fatalf("%v, %v", fs, err)
 	}
 	for _, f := range fs {
-		if d.f[filepath.Base(f)], err = os.ReadFile(f); err != nil {
+		if d.files[filepath.Base(f)], err = os.ReadFile(f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p, err := open(t, d)
+	p, err := openTestShard(t, d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,9 +56,9 @@
 	for _, e := range p.core.UnappliedEntries() { // it commits with the colleagues; here it is enough that it is read
 		p.applyEntry(e)
 	}
-	x, err := serviceconfig.Read(p.state.documents[controlclient.SetupKey].GetBody())
-	if err != nil || p.state.documents[controlclient.SetupKey].Version != 4 || x.Models["gisa"].Weights != 4 || len(x.Tenants) != 8 {
-		t.Fatalf("epoch %d, %+v, %v", p.state.documents[controlclient.SetupKey].GetVersion(), x, err)
+	x, err := serviceconfig.Decode(p.state.documents[controlclient.ConfigKey].GetBody())
+	if err != nil || p.state.documents[controlclient.ConfigKey].Version != 4 || x.Models["gisa"].Weights != 4 || len(x.Tenants) != 8 {
+		t.Fatalf("epoch %d, %+v, %v", p.state.documents[controlclient.ConfigKey].GetVersion(), x, err)
 	}
 }
 
@@ -80,7 +80,7 @@
 		if err := sh.SaveSnapshot(slot, nil); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := open(t, d); errs.KindOf(err) != errs.DiskBad {
+		if _, err := openTestShard(t, d); errs.KindOf(err) != errs.DiskBad {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -13,7 +13,7 @@
 // A service's part takes a retirement only beside what it can stand beside: no other one of the base, no
 // move of the service that is under way; and no move once it has begun. Both are named.
 func TestRetirementsBesideOthers(t *testing.T) {
-	p, err := open(t, newSimDisk())
+	p, err := openTestShard(t, newSimDisk())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 		p.state.documents[key] = &wire.Document{Key: key, Body: body, Version: 1}
 	}
 	ret := func(name, state string) *retire.Retirement {
-		return &retire.Retirement{Name: name, Service: "s", From: "a", To: "b", State: state}
+		return &retire.Retirement{Name: name, Service: "s", OldBase: "a", NewBase: "b", State: state}
 	}
 	try := func(r *retire.Retirement) error {
 		b, err := r.Write()
@@ -34,13 +34,13 @@
 		}
 		return p.validateRetirement(&wire.Put{Key: retire.Key("s", r.Name), Body: b})
 	}
-	move := &calendar.Entry{Name: "night", Service: "s", Kind: calendar.Release, State: calendar.Planned}
-	if err := try(ret("spring", retire.Planned)); err != nil {
+	move := &calendar.Entry{Name: "night", Service: "s", Kind: calendar.KindRelease, State: calendar.StatePlanned}
+	if err := try(ret("spring", retire.StatePlanned)); err != nil {
 		t.Errorf("alone: %v", err)
 	}
-	b, err := ret("spring", retire.Planned).Write()
+	b, err := ret("spring", retire.StatePlanned).Write()
 	have(retire.Key("s", "spring"), b, err)
-	if err := try(ret("summer", retire.Planned)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
+	if err := try(ret("summer", retire.StatePlanned)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
 		t.Errorf("two of one base: %v", err)
 	}
 	if err := p.validateRetirement(&wire.Put{Key: retire.Key("other", "spring"), Body: b}); errs.KindOf(err) != errs.BadInput {
@@ -49,16 +49,16 @@
 	if err := p.validateRetirement(&wire.Put{Key: retire.Key("s", "spring"), Body: []byte(`{"odd":1}`)}); errs.KindOf(err) != errs.BadInput {
 		t.Errorf("what can't be read: %v", err)
 	}
-	m, err := move.Write()
+	m, err := move.Encode()
 	have(calendar.Key("s", "night"), m, err)
-	if err := try(ret("spring", retire.Running)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
+	if err := try(ret("spring", retire.StateRunning)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
 		t.Errorf("begun beside a planned move: %v", err)
 	}
 	delete(p.state.documents, calendar.Key("s", "night"))
-	if err := try(ret("spring", retire.Running)); err != nil {
+	if err := try(ret("spring", retire.StateRunning)); err != nil {
 		t.Errorf("begun: %v", err)
 	}
-	b, err = ret("spring", retire.Running).Write()
+	b, err = ret("spring", retire.StateRunning).Write()
 	have(retire.Key("s", "spring"), b, err)
 	if err := p.validateCalendarEntry(&wire.Put{Key: calendar.Key("s", "night"), Body: m}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
 		t.Errorf("a move beside one that runs: %v", err)
--- a/internal/control/controlstate/second_loss_net_test.go
+++ b/internal/control/controlstate/second_loss_net_test.go
@@ -11,31 +11,31 @@
 	"pebbleloom/internal/wire"
 )
 
-// never is past the end of every run.
-const never = time.Hour
+// farFuture is past the end of every run.
+const farFuture = time.Hour
 
-// join is Node.joinLoop and Node.requestJoin over the simulated net: two addresses each time, and whom
+// runJoinLoops is Node.joinLoop and Node.requestJoin over the simulated net: two addresses each time, and whom
 // they name; one that can't be reached costs the whole wait for an answer.
-func (r *lossRun) join() {
+func (r *lossRun) runJoinLoops() {
 	bounds := settings.Default()
 	for _, n := range r.nodes {
-		n.ask = never
-		j := r.joining[n]
-		if j == nil || j.incarnation != n.incarnation {
-			j = &joinState{incarnation: n.incarnation, silent: map[string]bool{}}
-			r.joining[n] = j
+		n.nextJoin = farFuture
+		j := r.joins[n]
+		if j == nil || j.generation != n.generation {
+			j = &joinState{generation: n.generation, silent: map[string]bool{}}
+			r.joins[n] = j
 		}
-		if !r.well(n) || r.now < j.next {
+		if !r.isHealthy(n) || r.now < j.nextAttempt {
 			continue
 		}
-		j.next = r.now + bounds.Heal(joinIntervalRatio)
-		if n.p.needsJoin() {
-			j.next += r.requestJoin(n, j, bounds.Heal(joinTimeoutRatio))
+		j.nextAttempt = r.now + bounds.Heal(joinIntervalRatio)
+		if n.shard.needsJoin() {
+			j.nextAttempt += r.requestJoin(n, j, bounds.Heal(joinTimeoutRatio))
 		}
 	}
 }
 
-func (r *lossRun) requestJoin(n *gsimNode, j *joinState, timeout time.Duration) (cost time.Duration) {
+func (r *lossRun) requestJoin(n *groupSimNode, j *joinState, timeout time.Duration) (cost time.Duration) {
 	var others []string
 	for _, m := range r.nodes {
 		if m != n {
@@ -49,18 +49,18 @@
 			if m == nil || m == n {
 				break
 			}
-			if !r.well(m) || r.apart(n.addr, m.addr) {
+			if !r.isHealthy(m) || r.callFails(n.addr, m.addr) {
 				cost += timeout
 				j.silent[m.addr] = true
 				break
 			}
 			delete(j.silent, m.addr)
-			t := m.p.handleJoin(&wire.JoinRequest{Name: n.p.core.Self()})
-			if r.after(m); t.Outcome == wire.OutcomeDone {
+			t := m.shard.handleJoin(&wire.JoinRequest{Name: n.shard.core.Self()})
+			if r.runStep(m); t.Outcome == wire.OutcomeDone {
 				r.counts["taken in"]++
 				return cost
 			}
-			m = r.node(controlclient.Addr(t.Leader))
+			m = r.node(controlclient.MemberAddr(t.Leader))
 		}
 		vain++
 	}
@@ -68,46 +68,46 @@
 	return cost
 }
 
-// large puts a document of so many bytes beside the configuration.
-func (r *lossRun) large(size int) {
+// putLargeDocument puts a document of so many bytes beside the configuration.
+func (r *lossRun) putLargeDocument(size int) {
 	if size == 0 {
 		return
 	}
 	put := &wire.Put{Key: fleet.PlacementKey + "large", Body: make([]byte, size), AnyVersion: true, Token: "large"}
 	acknowledged := false
-	r.until(4*time.Second, func() bool {
+	r.waitUntil(4*time.Second, func() bool {
 		if n := r.leader(); n != nil && !acknowledged {
-			r.ask(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeResponse) {
+			r.sendCommand(n, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(t *wire.ChangeResponse) {
 				acknowledged = acknowledged || t.Outcome == wire.OutcomeDone
 			})
 		}
-		r.until(500*time.Millisecond, func() bool { return acknowledged })
+		r.waitUntil(500*time.Millisecond, func() bool { return acknowledged })
 		return acknowledged
 	})
 	if !acknowledged {
-		r.fault("the large document isn't taken")
+		r.violationf("the large document isn't taken")
 	}
 }
 
 func (r *lossRun) memberCount() int { return len(r.newestMembership()) }
 
 // throttle has each message take the time of its bytes on its sender's link, one after another.
-func (r *lossRun) throttle(n *gsimNode) {
-	if r.bytesPerSecond == 0 || n.p == nil || r.throttled[n] == n.incarnation {
+func (r *lossRun) throttle(n *groupSimNode) {
+	if r.bytesPerSecond == 0 || n.shard == nil || r.throttled[n] == n.generation {
 		return
 	}
-	r.throttled[n] = n.incarnation
-	direct, incarnation := n.p.send, n.incarnation
+	r.throttled[n] = n.generation
+	direct, incarnation := n.shard.send, n.generation
 	free := r.now
-	n.p.send = func(m *wire.Message) {
+	n.shard.send = func(m *wire.Message) {
 		free = max(free, r.now) + time.Duration(float64(proto.Size(m))/r.bytesPerSecond*float64(time.Second))
-		if free-r.now < groupStep {
+		if free-r.now < groupSimStep {
 			direct(m)
 			return
 		}
 		m = proto.Clone(m).(*wire.Message)
-		r.at(free, func() {
-			if n.incarnation == incarnation {
+		r.scheduleAt(free, func() {
+			if n.generation == incarnation {
 				direct(m)
 			}
 		})
--- a/internal/control/controlstate/second_loss_node_test.go
+++ b/internal/control/controlstate/second_loss_node_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-func (g *ground) put(version uint64) {
+func (g *testCluster) putVersion(version uint64) {
 	g.t.Helper()
-	g.until("a plan", 6*time.Second, func() bool {
+	g.waitUntil("a plan", 6*time.Second, func() bool {
 		for _, n := range g.nodes {
 			if _, err := n.PutRoutingConfig(context.Background(), version-1, body(version, "x"), false); err == nil {
 				return true
@@ -21,10 +21,10 @@
 	})
 }
 
-// spareKnown waits until the leader replicates to a learner that it could add.
-func (g *ground) spareKnown() {
+// awaitSpare waits until the leader replicates to a learner that it could add.
+func (g *testCluster) awaitSpare() {
 	g.t.Helper()
-	g.until("a spare", 6*time.Second, func() bool {
+	g.waitUntil("a spare", 6*time.Second, func() bool {
 		leader := g.leader()
 		if leader == 0 {
 			return false
@@ -41,7 +41,7 @@
 	})
 }
 
-func (g *ground) isMember(i int) bool {
+func (g *testCluster) isMember(i int) bool {
 	return slices.ContainsFunc(g.members(), func(m string) bool { return strings.HasPrefix(m, g.addr(i)+"/") })
 }
 
@@ -50,14 +50,14 @@
 func TestAPlannedLeaveIsReplacedBeforeItGoes(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGround(t)
+			g := newTestCluster(t)
 			for i := range 4 {
 				g.start(i+1, true)
 			}
-			defer g.down()
-			g.until("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-			g.put(1)
-			g.spareKnown()
+			defer g.stopAll()
+			g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+			g.putVersion(1)
+			g.awaitSpare()
 			leaver := g.leader()
 			if !leads {
 				leaver = leaver%3 + 1
@@ -73,11 +73,11 @@
 			}
 			// The next loss strikes at once, the leader first; its disk is gone for good.
 			next := g.leader()
-			g.quiet(next)
+			g.makeUnreachable(next)
 			delete(g.nodes, g.addr(next))
 			t.Logf("leads %v: stopped after %v, the next leader lost, a plan after %v", leads, took,
-				g.until("another leader", 3*time.Second, func() bool { o := g.leader(); return o > 0 && o != next }))
-			g.put(2)
+				g.waitUntil("another leader", 3*time.Second, func() bool { o := g.leader(); return o > 0 && o != next }))
+			g.putVersion(2)
 			g.processes[g.addr(next)].Stop(time.Millisecond)
 		})
 	}
@@ -87,22 +87,22 @@
 // the membership each, never more, and a plan is taken between any two of them at once.
 func TestARollingRestartChangesEachMemberOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGround(t)
+		g := newTestCluster(t)
 		for i := range 4 {
 			g.start(i+1, true)
 		}
-		defer g.down()
-		g.until("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		g.put(1)
-		g.spareKnown()
+		defer g.stopAll()
+		g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		g.putVersion(1)
+		g.awaitSpare()
 		for i := range 4 {
 			before := g.membershipIndex()
 			begun := time.Now()
 			g.stop(i + 1)
 			took := time.Since(begun)
 			g.start(i+1, false)
-			g.put(uint64(i + 2))
-			g.spareKnown()
+			g.putVersion(uint64(i + 2))
+			g.awaitSpare()
 			t.Logf("machine %d stopped after %v; a spare is known after %v; the membership's entry went from %d to %d", i+1, took, time.Since(begun), before, g.membershipIndex())
 			if l := g.members(); len(l) != 3 {
 				t.Errorf("after machine %d the members are %v", i+1, l)
@@ -114,7 +114,7 @@
 	})
 }
 
-func (g *ground) membershipIndex() (index uint64) {
+func (g *testCluster) membershipIndex() (index uint64) {
 	for _, n := range g.nodes {
 		index = max(index, n.shards[0].published.current().index)
 	}
@@ -125,14 +125,14 @@
 // acknowledged is there when they start again.
 func TestAllMachinesMayStopAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGround(t)
+		g := newTestCluster(t)
 		for i := range 4 {
 			g.start(i+1, true)
 		}
-		defer g.down()
-		g.until("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		g.put(1)
-		g.spareKnown()
+		defer g.stopAll()
+		g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		g.putVersion(1)
+		g.awaitSpare()
 		begun := time.Now()
 		done := make(chan int)
 		for i := range 4 {
@@ -150,7 +150,7 @@
 		for i := range 4 {
 			g.start(i+1, false)
 		}
-		g.until("the plan", 6*time.Second, func() bool {
+		g.waitUntil("the plan", 6*time.Second, func() bool {
 			_, v, err := g.nodes[g.addr(1)].ReadRoutingConfig(context.Background())
 			return err == nil && v == 1
 		})
@@ -161,24 +161,24 @@
 // well before the time after which it no longer counts as lost, though its log names it a voter.
 func TestARemovedMemberComesBackAsASpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGround(t)
+		g := newTestCluster(t)
 		for i := range 4 {
 			g.start(i+1, true)
 		}
-		defer g.down()
-		g.until("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
-		g.put(1)
-		g.spareKnown()
+		defer g.stopAll()
+		g.waitUntil("a leader", 5*time.Second, func() bool { return len(g.members()) == 3 })
+		g.putVersion(1)
+		g.awaitSpare()
 		away := g.leader()%3 + 1
-		g.quiet(away)
+		g.makeUnreachable(away)
 		g.processes[g.addr(away)].Stop(time.Millisecond)
 		delete(g.nodes, g.addr(away))
-		g.until("its place is taken", 6*time.Second, func() bool { return len(g.members()) == 3 && !g.isMember(away) })
+		g.waitUntil("its place is taken", 6*time.Second, func() bool { return len(g.members()) == 3 && !g.isMember(away) })
 		g.mu.Lock()
-		g.dark[g.addr(away)] = false
+		g.unreachable[g.addr(away)] = false
 		g.mu.Unlock()
 		g.start(away, false)
-		took := g.until("it is a spare again", 3*time.Second, func() bool {
+		took := g.waitUntil("it is a spare again", 3*time.Second, func() bool {
 			p := g.nodes[g.addr(away)].shards[0]
 			return query(context.Background(), p, false, func() bool {
 				return !p.core.IsVoter(p.core.Self()) && p.core.Status().Leader != ""
