--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -10,19 +10,19 @@
 	"pebbleloom/internal/control/consensus"
 )
 
-// repair is a group with a member to be replaced: A leads, X (and Y) are the first loss, N (and M) are
+// repairCase is a group with a member to be replaced: A leads, X (and Y) are the first loss, N (and M) are
 // the newcomers, the other letters are followers.
-type repair struct {
+type repairCase struct {
 	members  string // one letter each
 	lost     string // X, or XY
-	first    string // how: firstWiped, firstSilent or firstLeaving
+	failure  string // how: failureWiped, failureSilent or failureLeaving
 	newcomer string // N, NM, or none
 }
 
 const (
-	firstWiped   = "disk lost"
-	firstSilent  = "silent, disk kept"
-	firstLeaving = "leaves in order"
+	failureWiped   = "disk lost"
+	failureSilent  = "silent, disk kept"
+	failureLeaving = "leaves in order"
 )
 
 // The orders that were weighed.
@@ -36,10 +36,10 @@
 
 // repairStep is one state of a repair: the memberships that may be the newest in the log of whoever
 // leads next, and, in a joint change, those whose majorities are needed together.
-type repairStep struct{ inForce [][]string }
+type repairStep struct{ memberships [][]string }
 
 // steps are the states of a repair, before, in flight and committed, change by change.
-func (r repair) steps(order string) (l []repairStep) {
+func (r repairCase) steps(order string) (l []repairStep) {
 	now := r.members
 	l = append(l, repairStep{[][]string{{now}}})
 	change := func(to string) {
@@ -73,7 +73,7 @@
 // hasQuorum reports whether the group can go on without those that are lost, whichever of the
 // memberships that are in flight the next leader's log holds.
 func (s repairStep) hasQuorum(lost string) bool {
-	for _, together := range s.inForce {
+	for _, together := range s.memberships {
 		for _, members := range together {
 			alive := 0
 			for _, m := range members {
@@ -92,7 +92,7 @@
 // tolerated is how many machines more may be lost, whichever they are.
 func (s repairStep) tolerated(lost string) int {
 	all := map[rune]bool{}
-	for _, together := range s.inForce {
+	for _, together := range s.memberships {
 		for _, members := range together {
 			for _, m := range members {
 				all[m] = !strings.ContainsRune(lost, m)
@@ -128,51 +128,51 @@
 
 // repairRow is how a repair stands at each of its steps, as the page has it.
 type repairRow struct {
-	tolerated []int
-	without   map[string][]int // by second loss: the steps without a quorum
+	tolerated          []int
+	stepsWithoutQuorum map[string][]int // by second loss: the steps without a quorum
 }
 
 var secondLossColumns = []string{"the leader", "a follower", "the newcomer", "the leader, the first one back"}
 
-func (r repair) row(order string) repairRow {
-	row := repairRow{without: map[string][]int{}}
+func (r repairCase) row(order string) repairRow {
+	row := repairRow{stepsWithoutQuorum: map[string][]int{}}
 	steps := r.steps(order)
-	if r.first == firstLeaving { // it is there until the change is done, then it stops
+	if r.failure == failureLeaving { // it is there until the change is done, then it stops
 		steps = append(steps, steps[len(steps)-1])
 	}
 	for i, s := range steps {
 		lost := r.lost
-		if r.first == firstLeaving && i < len(steps)-1 {
+		if r.failure == failureLeaving && i < len(steps)-1 {
 			lost = ""
 		}
 		row.tolerated = append(row.tolerated, s.tolerated(lost))
 		for column, hit := range map[string]string{secondLossColumns[0]: lost + "A", secondLossColumns[1]: lost + "B", secondLossColumns[2]: lost + "N", secondLossColumns[3]: "A"} {
 			if !s.hasQuorum(hit) {
-				row.without[column] = append(row.without[column], i)
+				row.stepsWithoutQuorum[column] = append(row.stepsWithoutQuorum[column], i)
 			}
 		}
 	}
 	return row
 }
 
-type weighed struct {
-	repair
-	orders []string
-	chosen string
+type evaluatedRepair struct {
+	repairCase
+	orders      []string
+	chosenOrder string
 }
 
-var allWeighed = []weighed{
-	{repair{"ABX", "X", firstWiped, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
-	{repair{"ABX", "X", firstSilent, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
-	{repair{"ABX", "X", firstLeaving, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderAddFirst},
-	{repair{"ABX", "X", firstSilent, ""}, []string{orderRemoveOnly, orderNone}, orderNone},
-	{repair{"ABCDX", "X", firstWiped, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
-	{repair{"ABCDX", "X", firstSilent, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
-	{repair{"ABCDX", "X", firstLeaving, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderAddFirst},
-	{repair{"ABCXY", "XY", firstWiped, "NM"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
-	{repair{"ABCXY", "XY", firstWiped, ""}, []string{orderRemoveOnly, orderNone}, orderRemoveOnly},
-	{repair{"ABCXY", "XY", firstSilent, "NM"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
-	{repair{"ABCXY", "XY", firstSilent, ""}, []string{orderRemoveOnly, orderNone}, orderNone},
+var evaluatedRepairs = []evaluatedRepair{
+	{repairCase{"ABX", "X", failureWiped, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repairCase{"ABX", "X", failureSilent, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repairCase{"ABX", "X", failureLeaving, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderAddFirst},
+	{repairCase{"ABX", "X", failureSilent, ""}, []string{orderRemoveOnly, orderNone}, orderNone},
+	{repairCase{"ABCDX", "X", failureWiped, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repairCase{"ABCDX", "X", failureSilent, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repairCase{"ABCDX", "X", failureLeaving, "N"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderAddFirst},
+	{repairCase{"ABCXY", "XY", failureWiped, "NM"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repairCase{"ABCXY", "XY", failureWiped, ""}, []string{orderRemoveOnly, orderNone}, orderRemoveOnly},
+	{repairCase{"ABCXY", "XY", failureSilent, "NM"}, []string{orderRemoveFirst, orderAddFirst, orderJoint, orderNone}, orderRemoveFirst},
+	{repairCase{"ABCXY", "XY", failureSilent, ""}, []string{orderRemoveOnly, orderNone}, orderNone},
 }
 
 // secondLossTable is the table of the page.
@@ -180,31 +180,31 @@
 	var b strings.Builder
 	b.WriteString("| members | first loss | newcomers | order | losses tolerated, step by step | no quorum if then lost: " + strings.Join(secondLossColumns, " | ") + " |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|\n")
-	for _, w := range allWeighed {
+	for _, w := range evaluatedRepairs {
 		for _, order := range w.orders {
 			row := w.row(order)
 			name := order
-			if order == w.chosen {
+			if order == w.chosenOrder {
 				name = "**" + order + "**"
 			}
 			var cells []string
 			for _, c := range secondLossColumns {
-				cells = append(cells, cell(row.without[c]))
+				cells = append(cells, formatSteps(row.stepsWithoutQuorum[c]))
 			}
-			if w.first != firstSilent {
+			if w.failure != failureSilent {
 				cells[3] = "" // it doesn't come back
 			}
 			if w.newcomer == "" {
 				cells[2] = ""
 			}
-			fmt.Fprintf(&b, "| %d | %s: %s | %d | %s | %s | %s |\n", len(w.members), w.lost, w.first, len(w.newcomer), name,
+			fmt.Fprintf(&b, "| %d | %s: %s | %d | %s | %s | %s |\n", len(w.members), w.lost, w.failure, len(w.newcomer), name,
 				strings.Trim(fmt.Sprint(row.tolerated), "[]"), strings.Join(cells, " | "))
 		}
 	}
 	return b.String()
 }
 
-func cell(steps []int) string {
+func formatSteps(steps []int) string {
 	if len(steps) == 0 {
 		return "never"
 	}
@@ -226,28 +226,28 @@
 	if !strings.Contains(string(page), table) {
 		t.Errorf("docs/control.md lacks this table:\n%s", table)
 	}
-	for _, w := range allWeighed {
-		row := w.row(w.chosen)
-		if w.chosen != orderNone && slices.Min(row.tolerated) < row.tolerated[0] {
-			t.Errorf("%+v, %s: %v are tolerated step by step", w.repair, w.chosen, row.tolerated)
+	for _, w := range evaluatedRepairs {
+		row := w.row(w.chosenOrder)
+		if w.chosenOrder != orderNone && slices.Min(row.tolerated) < row.tolerated[0] {
+			t.Errorf("%+v, %s: %v are tolerated step by step", w.repairCase, w.chosenOrder, row.tolerated)
 		}
-		if w.first != firstLeaving && len(row.without[secondLossColumns[2]]) > 0 {
-			t.Errorf("%+v, %s: the newcomer is needed at %v", w.repair, w.chosen, row.without[secondLossColumns[2]])
+		if w.failure != failureLeaving && len(row.stepsWithoutQuorum[secondLossColumns[2]]) > 0 {
+			t.Errorf("%+v, %s: the newcomer is needed at %v", w.repairCase, w.chosenOrder, row.stepsWithoutQuorum[secondLossColumns[2]])
 		}
 	}
-	if len(allWeighed[0].row(orderAddFirst).without[secondLossColumns[2]]) == 0 {
+	if len(evaluatedRepairs[0].row(orderAddFirst).stepsWithoutQuorum[secondLossColumns[2]]) == 0 {
 		t.Error("add-first doesn't need the newcomer: the table can't say the orders apart")
 	}
 }
 
 // The policy takes the steps that were chosen, from any of them on, whatever was done before.
 func TestThePolicyTakesTheChosenSteps(t *testing.T) {
-	for _, w := range allWeighed {
+	for _, w := range evaluatedRepairs {
 		members := strings.Split(w.members, "")
 		var got []string
 		for range 2 * len(w.lost) {
-			v := membershipPlanner{self: "A/0", members: named(members), peers: w.peers(members), targetSize: len(w.members),
-				zoneOf: func(string) string { return "" }, isLeaving: func(m string) bool { return w.first == firstLeaving && m == "X/0" }}
+			v := membershipPlanner{self: "A/0", members: memberNames(members), peers: w.peers(members), targetSize: len(w.members),
+				zoneOf: func(string) string { return "" }, isLeaving: func(m string) bool { return w.failure == failureLeaving && m == "X/0" }}
 			next := v.next()
 			if next == nil {
 				break
@@ -259,21 +259,21 @@
 			got = append(got, strings.Join(members, ""))
 		}
 		var want []string
-		for i, s := range w.steps(w.chosen) {
+		for i, s := range w.steps(w.chosenOrder) {
 			if i > 0 && i%2 == 0 {
-				want = append(want, s.inForce[0][0])
+				want = append(want, s.memberships[0][0])
 			}
 		}
-		if w.first == firstWiped && len(w.lost) == 2 && w.newcomer != "" {
+		if w.failure == failureWiped && len(w.lost) == 2 && w.newcomer != "" {
 			want = []string{"ABCY", "ABC", "ABCN", "ABCNM"} // both at once: neither can ever vote
 		}
-		if fmt.Sprint(sorted(got)) != fmt.Sprint(sorted(want)) {
-			t.Errorf("%+v: the policy's steps are %v, chosen are %v", w.repair, got, want)
+		if fmt.Sprint(sortLetters(got)) != fmt.Sprint(sortLetters(want)) {
+			t.Errorf("%+v: the policy's steps are %v, chosen are %v", w.repairCase, got, want)
 		}
 	}
 }
 
-func sorted(l []string) (out []string) {
+func sortLetters(l []string) (out []string) {
 	for _, s := range l {
 		x := strings.Split(s, "")
 		slices.Sort(x)
@@ -282,7 +282,7 @@
 	return out
 }
 
-func named(members []string) (l []string) {
+func memberNames(members []string) (l []string) {
 	for _, m := range members {
 		l = append(l, m+"/0")
 	}
@@ -290,10 +290,10 @@
 }
 
 // peers is how the leader sees the group: a wiped member's successor is at its address.
-func (w weighed) peers(members []string) (l []consensus.PeerStatus) {
+func (w evaluatedRepair) peers(members []string) (l []consensus.PeerStatus) {
 	for _, m := range members {
 		p := consensus.PeerStatus{Name: m + "/0", IsVoter: true, ContactAge: 1, Responded: true, CaughtUp: true}
-		if strings.Contains(w.lost, m) && w.first != firstLeaving {
+		if strings.Contains(w.lost, m) && w.failure != failureLeaving {
 			p.ContactAge = replaceAfterTicks
 		}
 		if m != "A" {
@@ -305,7 +305,7 @@
 			l = append(l, consensus.PeerStatus{Name: string(m) + "/0", ContactAge: 2, Responded: true, CaughtUp: true})
 		}
 	}
-	if w.first == firstWiped {
+	if w.failure == failureWiped {
 		for _, m := range w.lost {
 			l = append(l, consensus.PeerStatus{Name: string(m) + "/7", ContactAge: 2, Responded: true})
 		}
--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// run plays it and returns whether the second loss was within what the site tolerates, and how long it
+// runScenario plays it and returns whether the second loss was within what the site tolerates, and how long it
 // took until a change was acknowledged again.
-func (r *lossRun) run() (within bool, took time.Duration) {
-	_, ok := r.until(12*time.Second, func() bool { return r.whole() && r.counts["acked"] > 2 })
+func (r *lossRun) runScenario() (within bool, took time.Duration) {
+	_, ok := r.waitUntil(12*time.Second, func() bool { return r.isComplete() && r.counts["acked"] > 2 })
 	if !ok {
-		r.fault("the group isn't whole at the start")
+		r.violationf("the group isn't whole at the start")
 		return false, 0
 	}
-	r.until(time.Second, func() bool { return false })
+	r.waitUntil(time.Second, func() bool { return false })
 	n := r.leader()
-	if r.x.firstAt == hitFollower {
+	if r.scenario.firstTarget == targetFollower {
 		n = r.follower()
 	}
 	if n == nil {
-		r.fault("nobody to strike")
+		r.violationf("nobody to strike")
 		return false, 0
 	}
 	origin := r.originOf(n)
-	r.margin = r.toleratedNow()
-	for struck := 0; struck < r.x.tolerate && n != nil; struck++ {
-		r.strike(r.x.first, n)
-		r.margin--
+	r.initialTolerance = r.toleratedNow()
+	for struck := 0; struck < r.scenario.toleratedLosses && n != nil; struck++ {
+		r.injectLoss(r.scenario.first, n)
+		r.initialTolerance--
 		n = r.follower()
 	}
 	r.checkMargins = true
-	r.until(r.x.after, func() bool { return false })
+	r.waitUntil(r.scenario.delay, func() bool { return false })
 	r.checkMargins = false
-	if len(r.bad) > 0 {
+	if len(r.violations) > 0 {
 		return false, 0
 	}
-	hit := r.victim(origin)
+	hit := r.secondVictim(origin)
 	if hit == nil {
 		r.counts["nobody to strike"]++ // no leader just then, or the successor is down
 		hit = r.follower()
@@ -46,44 +46,44 @@
 	if hit == nil {
 		return false, 0
 	}
-	r.strike(r.x.second, hit)
-	within = r.lostNow() <= r.x.tolerate
-	return within, r.recover(within)
+	r.injectLoss(r.scenario.second, hit)
+	within = r.lostNow() <= r.scenario.toleratedLosses
+	return within, r.awaitQuorum(within)
 }
 
-func (r *lossRun) victim(origin string) *gsimNode {
-	switch r.x.target {
-	case hitLeader:
+func (r *lossRun) secondVictim(origin string) *groupSimNode {
+	switch r.scenario.secondTarget {
+	case targetLeader:
 		return r.leader()
-	case hitFollower:
+	case targetFollower:
 		return r.follower()
 	}
 	for _, n := range r.nodes {
-		if r.originOf(n) == origin && !n.lost && n.p != nil {
+		if r.originOf(n) == origin && !n.isRemoved && n.shard != nil {
 			return n
 		}
 	}
 	return nil
 }
 
-// recover waits for a quorum where there has to be one: at once within what is tolerated, and after
+// awaitQuorum waits for a quorum where there has to be one: at once within what is tolerated, and after
 // all have returned where no more disks are lost than that.
-func (r *lossRun) recover(within bool) time.Duration {
+func (r *lossRun) awaitQuorum(within bool) time.Duration {
 	begin := r.now
 	if within {
-		took, ok := r.until(quorumWithin, r.acknowledgedSince(begin))
+		took, ok := r.waitUntil(quorumWithin, r.acknowledgedSince(begin))
 		if !ok {
-			r.stands()
-			r.fault("quorum-back: no change is acknowledged within %v of a loss that is tolerated", quorumWithin)
+			r.traceStatus()
+			r.violationf("quorum-back: no change is acknowledged within %v of a loss that is tolerated", quorumWithin)
 		}
 		return took
 	}
-	r.until(max(0, r.lastReturn-r.now), func() bool { return false })
-	r.until(max(0, r.lastReturn-r.now), func() bool { return false }) // a leave may have taken longer
-	took, ok := r.until(2*quorumWithin, r.acknowledgedSince(r.now))
-	if !ok && r.destroyed <= r.x.tolerate {
-		r.stands()
-		r.fault("quorum-back-after-return: no change is acknowledged within %v of the last return, %d disks lost", 2*quorumWithin, r.destroyed)
+	r.waitUntil(max(0, r.lastReturn-r.now), func() bool { return false })
+	r.waitUntil(max(0, r.lastReturn-r.now), func() bool { return false }) // a leave may have taken longer
+	took, ok := r.waitUntil(2*quorumWithin, r.acknowledgedSince(r.now))
+	if !ok && r.destroyedVotes <= r.scenario.toleratedLosses {
+		r.traceStatus()
+		r.violationf("quorum-back-after-return: no change is acknowledged within %v of the last return, %d disks lost", 2*quorumWithin, r.destroyedVotes)
 	}
 	if !ok {
 		r.counts["no quorum for good"]++
@@ -91,18 +91,18 @@
 	return took
 }
 
-// finish checks what was acknowledged against what is read at the end, and the history as a whole.
-func (r *lossRun) finish() {
-	if len(r.bad) > 0 {
+// checkEnd checks what was acknowledged against what is read at the end, and the history as a whole.
+func (r *lossRun) checkEnd() {
+	if len(r.violations) > 0 {
 		return
 	}
-	r.until(time.Second, func() bool { return false }) // the reads check themselves
-	r.final()
+	r.waitUntil(time.Second, func() bool { return false }) // the reads check themselves
+	r.checkHistory()
 }
 
 // secondLosses lists the runs of a site: every pair of losses, every target, and the second loss at
 // every tick of the repair. `SECOND_LOSS=full` plays all of them, else one in so many is played.
-func secondLosses(machines, tolerate int) (l []secondLoss) {
+func secondLosses(machines, tolerate int) (l []lossScenario) {
 	every := 97
 	if os.Getenv("SECOND_LOSS") == "full" {
 		every = 1
@@ -111,11 +111,11 @@
 	for _, first := range losses {
 		for _, second := range losses {
 			for _, target := range targets {
-				for _, firstAt := range []string{hitLeader, hitFollower} {
-					for after := time.Duration(0); after <= awayTime+catchUp+time.Second; after += time.Second / 10 {
+				for _, firstAt := range []string{targetLeader, targetFollower} {
+					for after := time.Duration(0); after <= awayTime+catchUpTime+time.Second; after += time.Second / 10 {
 						if n++; n%every == 0 {
-							l = append(l, secondLoss{machines: machines, tolerate: tolerate, first: first, second: second, firstAt: firstAt,
-								target: target, after: after, seed: uint64(n)})
+							l = append(l, lossScenario{machines: machines, toleratedLosses: tolerate, first: first, second: second, firstTarget: firstAt,
+								secondTarget: target, delay: after, seed: uint64(n)})
 						}
 					}
 				}
@@ -131,7 +131,7 @@
 // where no more disks are lost than that; and no step of the repair leaves less tolerance than there
 // was before it began. `SECOND_LOSS=full` strikes at each tick.
 func TestSecondLossAtEveryStep(t *testing.T) {
-	from, _ := simSeeds(t, 1)
+	from, _ := seedsFromEnv(t, 1)
 	for _, site := range []struct{ machines, tolerate int }{{3, 1}, {4, 1}, {5, 2}, {7, 2}} {
 		t.Run(fmt.Sprintf("%d machines", site.machines), func(t *testing.T) {
 			t.Parallel()
@@ -140,10 +140,10 @@
 			for _, x := range secondLosses(site.machines, site.tolerate) {
 				x.seed += from
 				r := newLossRun(x)
-				within, took := r.run()
-				r.finish()
-				if len(r.bad) > 0 {
-					t.Fatalf("%v: %s\n%s", x, r.bad[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
+				within, took := r.runScenario()
+				r.checkEnd()
+				if len(r.violations) > 0 {
+					t.Fatalf("%v: %s\n%s", x, r.violations[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
 				}
 				if runs++; within {
 					tolerated++
@@ -162,16 +162,16 @@
 // always the one that is hit: each strikes as soon as the one before has ended, or so much later. All
 // that was acknowledged is there, and a change is acknowledged again after the last return.
 func TestTheLeaderIsHitAgainAndAgain(t *testing.T) {
-	from, n := simSeeds(t, 4)
+	from, n := seedsFromEnv(t, 4)
 	worst := time.Duration(0)
 	for _, site := range []struct{ machines, tolerate int }{{4, 1}, {7, 2}} {
-		for _, gap := range []time.Duration{0, 300 * time.Millisecond, time.Second, 2 * time.Second, catchUp} {
+		for _, gap := range []time.Duration{0, 300 * time.Millisecond, time.Second, 2 * time.Second, catchUpTime} {
 			for seed := from; seed < from+n; seed++ {
-				r := newLossRun(secondLoss{machines: site.machines, tolerate: site.tolerate, seed: seed})
-				took := r.hitAgainAndAgain(gap)
+				r := newLossRun(lossScenario{machines: site.machines, toleratedLosses: site.tolerate, seed: seed})
+				took := r.faultLeaderRepeatedly(gap)
 				worst = max(worst, took)
-				if r.finish(); len(r.bad) > 0 {
-					t.Fatalf("%d machines, gap %v, seed %d: %s\n%s", site.machines, gap, seed, r.bad[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
+				if r.checkEnd(); len(r.violations) > 0 {
+					t.Fatalf("%d machines, gap %v, seed %d: %s\n%s", site.machines, gap, seed, r.violations[0], strings.Join(r.trace[max(0, len(r.trace)-60):], "\n"))
 				}
 			}
 		}
@@ -179,37 +179,37 @@
 	t.Logf("a change is acknowledged after %v at the longest from the last return", worst)
 }
 
-func (r *lossRun) hitAgainAndAgain(gap time.Duration) time.Duration {
-	r.until(12*time.Second, func() bool { return r.whole() && r.sparesReady() && r.counts["acked"] > 2 })
-	r.until(time.Second, func() bool { return false })
-	for _, kind := range []string{lossPlanned, lossLeave, lossWipe} {
-		r.until(6*time.Second, func() bool { return r.leader() != nil })
+func (r *lossRun) faultLeaderRepeatedly(gap time.Duration) time.Duration {
+	r.waitUntil(12*time.Second, func() bool { return r.isComplete() && r.sparesReady() && r.counts["acked"] > 2 })
+	r.waitUntil(time.Second, func() bool { return false })
+	for _, kind := range []string{lossPlannedReplace, lossShutdown, lossWipe} {
+		r.waitUntil(6*time.Second, func() bool { return r.leader() != nil })
 		hit := r.leader()
 		if hit == nil {
-			r.stands()
-			r.fault("quorum-back: no leader within 6 s before the %s", kind)
+			r.traceStatus()
+			r.violationf("quorum-back: no leader within 6 s before the %s", kind)
 			return 0
 		}
-		r.strike(kind, hit)
-		r.until(graceTime, func() bool { return hit.p == nil })
-		r.until(gap, func() bool { return false })
+		r.injectLoss(kind, hit)
+		r.waitUntil(graceTime, func() bool { return hit.shard == nil })
+		r.waitUntil(gap, func() bool { return false })
 	}
-	r.note("all lose power")
+	r.tracef("all lose power")
 	for _, n := range r.nodes {
 		r.kill(n, true, awayTime)
 	}
-	r.until(awayTime, func() bool { return false })
-	took, ok := r.until(2*quorumWithin, r.acknowledgedSince(r.now))
+	r.waitUntil(awayTime, func() bool { return false })
+	took, ok := r.waitUntil(2*quorumWithin, r.acknowledgedSince(r.now))
 	if !ok {
-		r.stands()
-		r.fault("quorum-back-after-return: no change is acknowledged within %v after all are back", 2*quorumWithin)
+		r.traceStatus()
+		r.violationf("quorum-back-after-return: no change is acknowledged within %v after all are back", 2*quorumWithin)
 	}
 	return took
 }
 
-// scale is how many times smaller the simulator's batches are than those of StartGroup; states and
+// linkScale is how many times smaller the simulator's batches are than those of StartGroup; states and
 // links are scaled down as much, so that the times are the real ones.
-const scale = (256 << 10) / 4096
+const linkScale = (256 << 10) / 4096
 
 // From the return of a machine without its disk, or the start of a replacement, the group is whole
 // again before that machine stops counting as lost, with states of some megabytes on a link of
@@ -220,11 +220,11 @@
 			for _, machines := range []int{3, 4} {
 				worst := time.Duration(0)
 				for seed := range uint64(6) {
-					r := newLossRun(secondLoss{machines: machines, tolerate: 1, seed: seed})
-					r.bytesPerSecond = 100e6 / 8 / scale
-					took := r.repairTime(kind, size/scale)
-					if len(r.bad) > 0 {
-						t.Fatalf("%s, %d machines, %d bytes, seed %d: %s\n%s", kind, machines, size, seed, r.bad[0], strings.Join(r.trace[max(0, len(r.trace)-40):], "\n"))
+					r := newLossRun(lossScenario{machines: machines, toleratedLosses: 1, seed: seed})
+					r.bytesPerSecond = 100e6 / 8 / linkScale
+					took := r.measureRepair(kind, size/linkScale)
+					if len(r.violations) > 0 {
+						t.Fatalf("%s, %d machines, %d bytes, seed %d: %s\n%s", kind, machines, size, seed, r.violations[0], strings.Join(r.trace[max(0, len(r.trace)-40):], "\n"))
 					}
 					worst = max(worst, took)
 				}
@@ -234,18 +234,18 @@
 	}
 }
 
-// repairTime is how long the group takes to be whole, from the return or the replacement's start.
-func (r *lossRun) repairTime(kind string, size int) time.Duration {
-	r.until(12*time.Second, func() bool { return r.whole() })
-	r.large(size)
-	r.until(4*time.Second, func() bool { return r.whole() })
-	r.until(time.Second, func() bool { return false })
-	r.strike(kind, r.leader())
-	r.until(max(0, r.lastReturn-r.now), func() bool { return false })
-	took, ok := r.until(wholeWithin, func() bool { return r.whole() && r.memberCount() == 3 })
+// measureRepair is how long the group takes to be whole, from the return or the replacement's start.
+func (r *lossRun) measureRepair(kind string, size int) time.Duration {
+	r.waitUntil(12*time.Second, func() bool { return r.isComplete() })
+	r.putLargeDocument(size)
+	r.waitUntil(4*time.Second, func() bool { return r.isComplete() })
+	r.waitUntil(time.Second, func() bool { return false })
+	r.injectLoss(kind, r.leader())
+	r.waitUntil(max(0, r.lastReturn-r.now), func() bool { return false })
+	took, ok := r.waitUntil(completeWithin, func() bool { return r.isComplete() && r.memberCount() == 3 })
 	if !ok {
-		r.stands()
-		r.fault("whole-within: the group isn't whole within %v of the return", wholeWithin)
+		r.traceStatus()
+		r.violationf("whole-within: the group isn't whole within %v of the return", completeWithin)
 	}
 	return took
 }
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -12,97 +12,97 @@
 
 // What a loss is, in the words of the table in docs/control.md, section 3.
 const (
-	lossCrash   = "crash"           // power loss; back with its disk
-	lossWipe    = "wipe"            // back with an empty disk
-	lossCut     = "cut off"         // both ways; joined again later
-	lossLeave   = "SIGTERM"         // planned; back with its disk
-	lossReplace = "replaced"        // gone for good, a new machine starts
-	lossPlanned = "planned replace" // SIGTERM, gone for good, a new machine starts
+	lossCrash          = "crash"           // power loss; back with its disk
+	lossWipe           = "wipe"            // back with an empty disk
+	lossPartition      = "cut off"         // both ways; joined again later
+	lossShutdown       = "SIGTERM"         // planned; back with its disk
+	lossReplace        = "replaced"        // gone for good, a new machine starts
+	lossPlannedReplace = "planned replace" // SIGTERM, gone for good, a new machine starts
 )
 
-var losses = []string{lossCrash, lossWipe, lossCut, lossLeave, lossReplace, lossPlanned}
+var losses = []string{lossCrash, lossWipe, lossPartition, lossShutdown, lossReplace, lossPlannedReplace}
 
 // lossCompactAt is the size in bytes above which a member compacts its log here.
 const lossCompactAt = 3000
 
 // Whom the second loss hits.
 const (
-	hitLeader    = "leader"
-	hitSuccessor = "successor" // the machine that was hit first, or its replacement
-	hitFollower  = "follower"
+	targetLeader    = "leader"
+	targetSuccessor = "successor" // the machine that was hit first, or its replacement
+	targetFollower  = "follower"
 )
 
-var targets = []string{hitLeader, hitSuccessor, hitFollower}
+var targets = []string{targetLeader, targetSuccessor, targetFollower}
 
 // Times of the users' pages for the small sites, and the bounds that follow from them.
 const (
-	catchUp      = 4 * time.Second
-	awayTime     = 1500 * time.Millisecond // from a loss to the return
-	graceTime    = 8 * time.Second
-	quorumWithin = 4 * time.Second // a change is acknowledged again
-	wholeWithin  = catchUp         // the group has all its members again
+	catchUpTime    = 4 * time.Second
+	awayTime       = 1500 * time.Millisecond // from a loss to the return
+	graceTime      = 8 * time.Second
+	quorumWithin   = 4 * time.Second // a change is acknowledged again
+	completeWithin = catchUpTime     // the group has all its members again
 )
 
-// secondLoss is one run: a whole group, one loss, and another so much later.
-type secondLoss struct {
-	machines, tolerate int
-	first, second      string
-	firstAt            string // leader or follower; where two are tolerated, a follower beside it
-	target             string
-	after              time.Duration
-	seed               uint64
+// lossScenario is one run: a whole group, one loss, and another so much later.
+type lossScenario struct {
+	machines, toleratedLosses int
+	first, second             string
+	firstTarget               string // leader or follower; where two are tolerated, a follower beside it
+	secondTarget              string
+	delay                     time.Duration
+	seed                      uint64
 }
 
-func (x secondLoss) String() string {
-	return fmt.Sprintf("%d machines, %d tolerated, seed %d: %s of the %s, after %v %s of the %s", x.machines, x.tolerate, x.seed,
-		x.first, x.firstAt, x.after, x.second, x.target)
+func (x lossScenario) String() string {
+	return fmt.Sprintf("%d machines, %d tolerated, seed %d: %s of the %s, after %v %s of the %s", x.machines, x.toleratedLosses, x.seed,
+		x.first, x.firstTarget, x.delay, x.second, x.secondTarget)
 }
 
 // lossRun is the state of one run.
 type lossRun struct {
-	*gsim
-	x            secondLoss
-	lostUntil    map[string]time.Duration // by the address that it had at the start
-	origin       map[string]string        // of a replacement: the address at the start
-	destroyed    int                      // votes that can never be given again and were counted when they went
-	checkMargins bool
-	margin       int // losses that the group tolerated when the repair began
-	lastReturn   time.Duration
-	joining      map[*gsimNode]*joinState
+	*groupSim
+	scenario         lossScenario
+	lostUntil        map[string]time.Duration // by the address that it had at the start
+	originalAddrs    map[string]string        // of a replacement: the address at the start
+	destroyedVotes   int                      // votes that can never be given again and were counted when they went
+	checkMargins     bool
+	initialTolerance int // losses that the group tolerated when the repair began
+	lastReturn       time.Duration
+	joins            map[*groupSimNode]*joinState
 
 	bytesPerSecond float64 // of each machine's link; 0: no limit
-	throttled      map[*gsimNode]int
+	throttled      map[*groupSimNode]int
 }
 
 // joinState is where a machine's joinLoop stands.
 type joinState struct {
-	incarnation int
-	next        time.Duration
+	generation  int
+	nextAttempt time.Duration
 	turn        int
 	silent      map[string]bool // addresses that gave no answer the last time
 }
 
-func newLossRun(x secondLoss) *lossRun {
-	s := &gsim{seed: x.seed, r: rand.New(rand.NewPCG(x.seed, 7)), cut: map[string]bool{}, counts: map[string]int{}, first: true, tolerate: x.tolerate,
-		fences: map[uint64]string{}, edge: &gsimEdge{vouch: map[string]time.Duration{}},
-		longCut: map[string]bool{}, armed: map[string]func(){}, compactAt: lossCompactAt}
+func newLossRun(x lossScenario) *lossRun {
+	s := &groupSim{seed: x.seed, random: rand.New(rand.NewPCG(x.seed, 7)), partitioned: map[string]bool{}, counts: map[string]int{}, founding: true, toleratedLosses: x.toleratedLosses,
+		fencingTokenHolders: map[uint64]string{}, edge: &simEdge{confirmedAt: map[string]time.Duration{}},
+		longPartition: map[string]bool{}, eventHooks: map[string]func(){}, compactAt: lossCompactAt}
 	for i := range x.machines {
-		n := s.machine()
+		n := s.addNode()
 		if i < 3 {
 			s.seeds = append(s.seeds, n.addr)
 		}
 	}
 	for _, n := range s.nodes {
-		s.boot(n)
-		n.ask = never
+		s.start(n)
+		n.nextJoin = farFuture
 	}
-	s.first = false
-	return &lossRun{gsim: s, x: x, lostUntil: map[string]time.Duration{}, origin: map[string]string{}, joining: map[*gsimNode]*joinState{}, throttled: map[*gsimNode]int{}}
+	s.founding = false
+	return &lossRun{groupSim: s, scenario: x, lostUntil: map[string]time.Duration{}, originalAddrs: map[string]string{}, joins: map[*groupSimNode]*joinState{}, throttled: map[*groupSimNode]int{}}
 }
 
-// at runs f once at a time; a run's own events go through s.open.
-func (r *lossRun) at(when time.Duration, f func()) {
-	r.open = append(r.open, func() bool {
+// scheduleAt runs f once at a time; a run's own events go through s.open.
+func (r *lossRun) scheduleAt(when time.Duration, f func()) {
+	r.inProgress = append(r.inProgress, func() bool {
 		if r.now < when {
 			return true
 		}
@@ -117,22 +117,22 @@
 		r.throttle(n)
 	}
 	r.step()
-	r.join()
-	switch r.gsim.r.IntN(60) {
+	r.runJoinLoops()
+	switch r.groupSim.random.IntN(60) {
 	case 0, 1, 2:
-		r.write(nil)
+		r.writeChange(nil)
 	case 3:
-		r.read(r.nodes[r.gsim.r.IntN(len(r.nodes))])
+		r.read(r.nodes[r.groupSim.random.IntN(len(r.nodes))])
 	case 4, 5:
 		if n := r.leader(); n != nil {
 			r.read(n) // what an operator builds on
 		}
 	case 6, 7:
-		r.poll(r.nodes[r.gsim.r.IntN(len(r.nodes))], 300*time.Millisecond)
+		r.poll(r.nodes[r.groupSim.random.IntN(len(r.nodes))], 300*time.Millisecond)
 	}
 	if r.checkMargins {
-		if m := r.toleratedNow(); m < r.margin {
-			r.fault("tolerance-never-lower: %d losses are tolerated in the midst of the repair, %d were before it", m, r.margin)
+		if m := r.toleratedNow(); m < r.initialTolerance {
+			r.violationf("tolerance-never-lower: %d losses are tolerated in the midst of the repair, %d were before it", m, r.initialTolerance)
 		}
 	}
 }
@@ -143,15 +143,17 @@
 	members := r.newestMembership()
 	alive := 0
 	for _, m := range members {
-		if n := r.node(controlclient.Addr(m)); r.well(n) && n.p.core.Self() == m && !r.isCutOff(n) {
+		if n := r.node(controlclient.MemberAddr(m)); r.isHealthy(n) && n.shard.core.Self() == m && !r.isIsolated(n) {
 			alive++
 		}
 	}
 	return alive - (len(members)/2 + 1)
 }
 
-func (r *lossRun) isCutOff(n *gsimNode) bool {
-	return slices.ContainsFunc(r.nodes, func(o *gsimNode) bool { return o != n && r.cut[n.addr+">"+o.addr] && r.cut[o.addr+">"+n.addr] }) &&
+func (r *lossRun) isIsolated(n *groupSimNode) bool {
+	return slices.ContainsFunc(r.nodes, func(o *groupSimNode) bool {
+		return o != n && r.partitioned[n.addr+">"+o.addr] && r.partitioned[o.addr+">"+n.addr]
+	}) &&
 		r.lostUntil[r.originOf(n)] > r.now
 }
 
@@ -159,18 +161,18 @@
 func (r *lossRun) newestMembership() (members []string) {
 	var term, index uint64
 	for _, n := range r.nodes {
-		if n.p == nil {
+		if n.shard == nil {
 			continue
 		}
-		if ms, t, i := n.p.core.Members(); members == nil || t > term || t == term && i > index {
+		if ms, t, i := n.shard.core.Members(); members == nil || t > term || t == term && i > index {
 			members, term, index = ms, t, i
 		}
 	}
 	return members
 }
 
-func (r *lossRun) originOf(n *gsimNode) string {
-	if o := r.origin[n.addr]; o != "" {
+func (r *lossRun) originOf(n *groupSimNode) string {
+	if o := r.originalAddrs[n.addr]; o != "" {
 		return o
 	}
 	return n.addr
@@ -193,7 +195,7 @@
 		return false
 	}
 	ready := 0
-	for _, p := range leader.p.core.PeerStatuses() {
+	for _, p := range leader.shard.core.PeerStatuses() {
 		if !p.IsVoter && p.CaughtUp {
 			ready++
 		}
@@ -201,112 +203,112 @@
 	return ready >= len(r.nodes)-r.memberCount()
 }
 
-func (r *lossRun) isMember(n *gsimNode) bool {
-	return n.p != nil && slices.Contains(r.newestMembership(), n.p.core.Self())
+func (r *lossRun) isMember(n *groupSimNode) bool {
+	return n.shard != nil && slices.Contains(r.newestMembership(), n.shard.core.Self())
 }
 
-// strike brings a loss about. away ends at the return.
-func (r *lossRun) strike(kind string, n *gsimNode) {
+// injectLoss brings a loss about. away ends at the return.
+func (r *lossRun) injectLoss(kind string, n *groupSimNode) {
 	back := r.now + awayTime
-	r.note("STRIKE %s of %s", kind, n.addr)
+	r.tracef("STRIKE %s of %s", kind, n.addr)
 	r.counts["struck "+kind]++
 	switch kind {
 	case lossCrash:
 		r.kill(n, true, awayTime)
 	case lossWipe:
 		if r.isMember(n) {
-			r.destroyed++
+			r.destroyedVotes++
 		}
 		r.kill(n, true, awayTime)
-		r.empty(n)
-	case lossCut:
-		r.cutOff(n, back)
-	case lossLeave:
-		r.leave(n, func() { r.kill(n, false, awayTime) })
+		r.wipeDisk(n)
+	case lossPartition:
+		r.isolateUntil(n, back)
+	case lossShutdown:
+		r.shutDown(n, func() { r.kill(n, false, awayTime) })
 		back += graceTime
 	case lossReplace:
 		r.replace(n)
 		back = r.now
-	case lossPlanned:
-		r.leave(n, func() { r.replace(n) })
+	case lossPlannedReplace:
+		r.shutDown(n, func() { r.replace(n) })
 		back += graceTime
 	}
-	r.lostUntil[r.originOf(n)] = back + catchUp
+	r.lostUntil[r.originOf(n)] = back + catchUpTime
 	r.lastReturn = max(r.lastReturn, back)
 }
 
-func (r *lossRun) replace(n *gsimNode) {
+func (r *lossRun) replace(n *groupSimNode) {
 	if r.isMember(n) {
-		r.destroyed++
+		r.destroyedVotes++
 	}
 	r.kill(n, true, 0)
-	n.lost = true
-	m := r.machine()
-	r.origin[m.addr] = r.originOf(n)
-	r.boot(m)
+	n.isRemoved = true
+	m := r.addNode()
+	r.originalAddrs[m.addr] = r.originOf(n)
+	r.start(m)
 }
 
-func (r *lossRun) cutOff(n *gsimNode, until time.Duration) {
+func (r *lossRun) isolateUntil(n *groupSimNode, until time.Duration) {
 	join := func(cut bool) {
 		for _, m := range r.nodes {
 			if m != n {
-				r.cut[m.addr+">"+n.addr], r.cut[n.addr+">"+m.addr] = cut, cut
+				r.partitioned[m.addr+">"+n.addr], r.partitioned[n.addr+">"+m.addr] = cut, cut
 			}
 		}
 	}
 	join(true)
-	r.at(until, func() { join(false) })
+	r.scheduleAt(until, func() { join(false) })
 }
 
-// leave is what Node.leave does: it asks until it may stop, for so much of the grace time at most.
-func (r *lossRun) leave(n *gsimNode, stop func()) {
-	incarnation, end, next := n.incarnation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
-	r.open = append(r.open, func() bool {
-		if n.p == nil || n.incarnation != incarnation {
+// shutDown is what Node.leave does: it asks until it may stop, for so much of the grace time at most.
+func (r *lossRun) shutDown(n *groupSimNode, stop func()) {
+	incarnation, end, next := n.generation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
+	r.inProgress = append(r.inProgress, func() bool {
+		if n.shard == nil || n.generation != incarnation {
 			return false
 		}
 		if r.now < next {
 			return true
 		}
-		next = r.now + groupStepOfLeave
+		next = r.now + leavePollInterval
 		if r.now < end && !r.mayStop(n) {
 			return true
 		}
-		if n.p == nil || n.incarnation != incarnation {
+		if n.shard == nil || n.generation != incarnation {
 			return false // it died in a write
 		}
-		r.note("%s stops", n.addr)
+		r.tracef("%s stops", n.addr)
 		// What was a planned end until now counts as lost from here on.
-		r.lostUntil[r.originOf(n)] = r.now + awayTime + catchUp
+		r.lostUntil[r.originOf(n)] = r.now + awayTime + catchUpTime
 		r.lastReturn = r.now + awayTime
 		stop()
 		return false
 	})
 }
 
-// groupStepOfLeave is the pause of Node.leave between two looks.
-const groupStepOfLeave = 50 * time.Millisecond
+// leavePollInterval is the pause of Node.leave between two looks.
+const leavePollInterval = 50 * time.Millisecond
 
 // mayStop is Node.tryLeave over the simulated net.
-func (r *lossRun) mayStop(n *gsimNode) bool {
-	at := n.p.prepareToLeave()
-	r.after(n)
+func (r *lossRun) mayStop(n *groupSimNode) bool {
+	at := n.shard.prepareToLeave()
+	r.runStep(n)
 	if at.done || at.isLeader || at.leader == "" {
 		return at.done
 	}
-	m := r.node(controlclient.Addr(at.leader))
-	if !r.well(m) || r.apart(n.addr, m.addr) {
+	m := r.node(controlclient.MemberAddr(at.leader))
+	if !r.isHealthy(m) || r.callFails(n.addr, m.addr) {
 		return false
 	}
-	t := m.p.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
-	r.after(m)
+	t := m.shard.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
+	r.runStep(m)
 	return t.Outcome == wire.OutcomeDone
 }
 
-// until lets time pass until something holds, for so long at most.
-func (r *lossRun) until(within time.Duration, holds func() bool) (time.Duration, bool) {
+// waitUntil lets time pass until something holds, for so long at most.
+func (r *lossRun) waitUntil(within time.Duration, holds func() bool) (time.Duration, bool) {
 	begin := r.now
-	for r.now-begin < within && len(r.bad) == 0 {
+	for r.now-begin < within && len(r.violations) == 0 {
 		if holds() {
 			return r.now - begin, true
 		}
@@ -318,8 +320,8 @@
 // acknowledgedSince reports whether a change that began after a time was acknowledged.
 func (r *lossRun) acknowledgedSince(when time.Duration) func() bool {
 	return func() bool {
-		for i := len(r.writes) - 1; i >= 0 && i >= len(r.writes)-40; i-- {
-			if w := r.writes[i]; w.begin >= when && w.end > 0 {
+		for i := len(r.changes) - 1; i >= 0 && i >= len(r.changes)-40; i-- {
+			if w := r.changes[i]; w.createdAt >= when && w.ackedAt > 0 {
 				return true
 			}
 		}
@@ -327,11 +329,11 @@
 	}
 }
 
-func (r *lossRun) follower() *gsimNode {
+func (r *lossRun) follower() *groupSimNode {
 	leader := r.leader()
 	for _, m := range r.newestMembership() {
-		n := r.node(controlclient.Addr(m))
-		if n != leader && r.well(n) && n.p.core.Self() == m && r.lostUntil[r.originOf(n)] <= r.now {
+		n := r.node(controlclient.MemberAddr(m))
+		if n != leader && r.isHealthy(n) && n.shard.core.Self() == m && r.lostUntil[r.originOf(n)] <= r.now {
 			return n
 		}
 	}
--- a/internal/control/controlstate/sim_group_disk_test.go
+++ b/internal/control/controlstate/sim_group_disk_test.go
@@ -11,100 +11,100 @@
 // also when the process dies; a loss of power leaves each such file as it was, whole, or torn.
 // A sync that failed is told once: later ones of that file say nothing more and help nothing.
 type cacheDisk struct {
-	cache, safe map[string][]byte
-	lame        map[string]bool
-	r           *rand.Rand
-	fail        bool
-	dieIn       int // writes until the process dies in one; below zero: never
-	died        bool
-	slow        func() // called before every write
+	cached, synced   map[string][]byte
+	syncFailed       map[string]bool
+	random           *rand.Rand
+	failWrites       bool
+	writesUntilCrash int // writes until the process dies in one; below zero: never
+	crashed          bool
+	beforeWrite      func() // called before every write
 }
 
 func newCacheDisk(r *rand.Rand) *cacheDisk {
-	return &cacheDisk{cache: map[string][]byte{}, safe: map[string][]byte{}, lame: map[string]bool{}, r: r, dieIn: -1}
+	return &cacheDisk{cached: map[string][]byte{}, synced: map[string][]byte{}, syncFailed: map[string]bool{}, random: r, writesUntilCrash: -1}
 }
 
-var errDied = errors.New("the process has died")
+var errCrashed = errors.New("the process has died")
 
 func (d *cacheDisk) Read(n string) ([]byte, bool, error) {
-	b, ok := d.cache[n]
+	b, ok := d.cached[n]
 	return bytes.Clone(b), ok, nil
 }
 
-func (d *cacheDisk) change(n string, whole bool, old, b []byte) error {
-	if d.died {
-		return errDied
+func (d *cacheDisk) write(n string, whole bool, old, b []byte) error {
+	if d.crashed {
+		return errCrashed
 	}
-	if d.slow != nil {
-		d.slow()
+	if d.beforeWrite != nil {
+		d.beforeWrite()
 	}
 	to := append(bytes.Clone(old), b...)
 	switch {
-	case d.dieIn == 0:
-		d.died = true
-		d.cache[n] = append(bytes.Clone(old), b[:d.r.IntN(len(b)+1)]...)
-		return errDied
-	case d.fail:
-		d.cache[n], d.lame[n] = to[:len(old)+len(b)/2], true
-		if d.r.IntN(2) == 0 {
-			d.cache[n] = to // written, and the sync failed
+	case d.writesUntilCrash == 0:
+		d.crashed = true
+		d.cached[n] = append(bytes.Clone(old), b[:d.random.IntN(len(b)+1)]...)
+		return errCrashed
+	case d.failWrites:
+		d.cached[n], d.syncFailed[n] = to[:len(old)+len(b)/2], true
+		if d.random.IntN(2) == 0 {
+			d.cached[n] = to // written, and the sync failed
 		}
-		return errFull
+		return errDiskFull
 	}
-	if d.dieIn > 0 {
-		d.dieIn--
+	if d.writesUntilCrash > 0 {
+		d.writesUntilCrash--
 	}
-	d.cache[n] = to
+	d.cached[n] = to
 	if whole {
-		delete(d.lame, n)
+		delete(d.syncFailed, n)
 	}
-	if !d.lame[n] {
-		d.safe[n] = bytes.Clone(to)
+	if !d.syncFailed[n] {
+		d.synced[n] = bytes.Clone(to)
 	}
 	return nil
 }
 
-func (d *cacheDisk) Write(n string, b []byte) error  { return d.change(n, true, nil, b) }
-func (d *cacheDisk) Append(n string, b []byte) error { return d.change(n, false, d.cache[n], b) }
+func (d *cacheDisk) Write(n string, b []byte) error  { return d.write(n, true, nil, b) }
+func (d *cacheDisk) Append(n string, b []byte) error { return d.write(n, false, d.cached[n], b) }
 
 func (d *cacheDisk) Truncate(n string, s int) error {
-	if d.died {
-		return errDied
+	if d.crashed {
+		return errCrashed
 	}
-	d.cache[n] = d.cache[n][:s:s]
-	if !d.lame[n] {
-		d.safe[n] = bytes.Clone(d.cache[n])
+	d.cached[n] = d.cached[n][:s:s]
+	if !d.syncFailed[n] {
+		d.synced[n] = bytes.Clone(d.cached[n])
 	}
 	return nil
 }
 
-// powerLost leaves what a loss of power leaves.
-func (d *cacheDisk) powerLost() {
-	all := d.r.IntN(4) == 0 // at some, everything that wasn't synced is gone
+// losePower leaves what a loss of power leaves.
+func (d *cacheDisk) losePower() {
+	all := d.random.IntN(4) == 0 // at some, everything that wasn't synced is gone
 	var ns []string
-	for n := range d.cache {
+	for n := range d.cached {
 		ns = append(ns, n)
 	}
 	sort.Strings(ns)
 	for _, n := range ns {
-		c, s := d.cache[n], d.safe[n]
+		c, s := d.cached[n], d.synced[n]
 		if bytes.Equal(c, s) {
 			continue
 		}
-		_, there := d.safe[n]
-		switch x := d.r.IntN(3); {
+		_, there := d.synced[n]
+		switch x := d.random.IntN(3); {
 		case (all || x == 0) && !there:
-			delete(d.cache, n)
+			delete(d.cached, n)
 		case all || x == 0:
-			d.cache[n] = bytes.Clone(s)
+			d.cached[n] = bytes.Clone(s)
 		case x == 1 && bytes.HasPrefix(c, s):
-			d.cache[n] = bytes.Clone(c[:len(s)+d.r.IntN(len(c)-len(s)+1)])
+			d.cached[n] = bytes.Clone(c[:len(s)+d.random.IntN(len(c)-len(s)+1)])
 		case x == 1:
-			d.cache[n] = bytes.Clone(c[:d.r.IntN(len(c)+1)])
+			d.cached[n] = bytes.Clone(c[:d.random.IntN(len(c)+1)])
 		}
-		if b, ok := d.cache[n]; ok {
-			d.safe[n] = bytes.Clone(b)
+		if b, ok := d.cached[n]; ok {
+			d.synced[n] = bytes.Clone(b)
 		}
 	}
-	clear(d.lame)
+	clear(d.syncFailed)
 }
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -8,32 +8,32 @@
 	"pebbleloom/internal/wire"
 )
 
-// gsimEdge follows all members by the real answers, and counts its proof as an edge does.
-type gsimEdge struct {
-	version, index, term uint64
-	members              []string
-	vouch                map[string]time.Duration // when a member was asked that held nothing newer
+// simEdge follows all members by the real answers, and counts its proof as an edge does.
+type simEdge struct {
+	version, membersIndex, membersTerm uint64
+	members                            []string
+	confirmedAt                        map[string]time.Duration // when a member was asked that held nothing newer
 }
 
-func (e *gsimEdge) hear(asked time.Duration, t *wire.FollowResponse) {
-	if len(t.Members) > 0 && (t.MembersTerm > e.term || t.MembersTerm == e.term && t.MembersIndex > e.index) {
-		e.members, e.term, e.index = t.Members, t.MembersTerm, t.MembersIndex
+func (e *simEdge) handleResponse(asked time.Duration, t *wire.FollowResponse) {
+	if len(t.Members) > 0 && (t.MembersTerm > e.membersTerm || t.MembersTerm == e.membersTerm && t.MembersIndex > e.membersIndex) {
+		e.members, e.membersTerm, e.membersIndex = t.Members, t.MembersTerm, t.MembersIndex
 	}
 	for _, d := range t.Documents {
-		if d.Key == routingconfig.Key {
+		if d.Key == routingconfig.DocumentKey {
 			e.version = max(e.version, d.Version)
 		}
 	}
 	if t.NothingNewer {
-		e.vouch[t.Member] = max(e.vouch[t.Member], asked)
+		e.confirmedAt[t.Member] = max(e.confirmedAt[t.Member], asked)
 	}
 }
 
 // proof is up to when nothing newer can have been acknowledged; zero: none.
-func (e *gsimEdge) proof() time.Duration {
+func (e *simEdge) proof() time.Duration {
 	var l []time.Duration
 	for _, m := range e.members {
-		l = append(l, e.vouch[m])
+		l = append(l, e.confirmedAt[m])
 	}
 	if len(l) == 0 {
 		return 0
@@ -43,15 +43,15 @@
 }
 
 // poll is an edge's long poll of one member, and the check of its proof.
-func (s *gsim) poll(n *gsimNode, hold time.Duration) {
-	e, asked, end, incarnation := s.edge, s.now, s.now+hold, n.incarnation
-	ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.Key, Version: e.version}}, ProofKey: routingconfig.Key}
+func (s *groupSim) poll(n *groupSimNode, hold time.Duration) {
+	e, asked, end, incarnation := s.edge, s.now, s.now+hold, n.generation
+	ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: e.version}}, ProofKey: routingconfig.DocumentKey}
 	f := func() bool {
-		if n.p == nil || n.incarnation != incarnation || hold > 0 && s.now < n.frozen {
-			return n.incarnation == incarnation && n.p != nil
+		if n.shard == nil || n.generation != incarnation || hold > 0 && s.now < n.frozenUntil {
+			return n.generation == incarnation && n.shard != nil
 		}
-		g := n.p.published.current()
-		if s.plant == "vouch-open" { // planted: what is in the log and not applied is overlooked
+		g := n.shard.published.current()
+		if s.plantedFault == "vouch-open" { // planted: what is in the log and not applied is overlooked
 			x := *g
 			x.unappliedVersions, g = nil, &x
 		}
@@ -59,14 +59,14 @@
 		if len(t.Documents) == 0 && s.now < end {
 			return true
 		}
-		if s.r.Float64() < s.loss {
+		if s.random.Float64() < s.lossRate {
 			return false
 		}
-		e.hear(asked, t)
+		e.handleResponse(asked, t)
 		p := e.proof()
-		for _, w := range s.writes {
-			if w.end > 0 && w.end <= p && w.version > e.version {
-				s.fault("the proof says that nothing newer than %d was acknowledged up to %v, yet %d was, at %v", e.version, p, w.version, w.end)
+		for _, w := range s.changes {
+			if w.ackedAt > 0 && w.ackedAt <= p && w.newVersion > e.version {
+				s.violationf("the proof says that nothing newer than %d was acknowledged up to %v, yet %d was, at %v", e.version, p, w.newVersion, w.ackedAt)
 			}
 		}
 		if p > 0 {
@@ -75,6 +75,6 @@
 		return false
 	}
 	if f() {
-		s.open = append(s.open, f)
+		s.inProgress = append(s.inProgress, f)
 	}
 }
--- a/internal/control/controlstate/sim_group_main_test.go
+++ b/internal/control/controlstate/sim_group_main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// groupTroubles must each happen often in thirty runs.
-var groupTroubles = []string{"acked", "done again", "read", "proof", "granted", "refused", "sent again late", "sent again very late", "answer lost", "by a node that doesn't lead",
+// groupSimEvents must each happen often in thirty runs.
+var groupSimEvents = []string{"acked", "done again", "read", "proof", "granted", "refused", "sent again late", "sent again very late", "answer lost", "by a node that doesn't lead",
 	"one number, two contents", "one number, one content", "eight at once",
 	"kill", "all killed", "leader first, then all", "killed soon after an order", "all lose power soon after an order",
 	"cut off as an order is under way", "freeze", "cut one way", "cut off", "full disk", "slow disk", "stalled disk", "handed over", "SIGTERM", "died in a write",
@@ -21,14 +21,14 @@
 	"lost disk", "replaced", "taken in", "members change", "loss timed by an order's sending",
 	"second strike: order sent", "second strike: acknowledged", "second strike: taken in", "second strike: members change", "second strike: new leader"}
 
-// often is how many times each of them must happen there.
-const often = 3
+// minOccurrences is how many times each of them must happen there.
+const minOccurrences = 3
 
-// wide is a search of so many seeds that it goes on after a failure, to find all there are.
-const wide = 200
+// wideSearchSeeds is a search of so many seeds that it goes on after a failure, to find all there are.
+const wideSearchSeeds = 200
 
-// playGroups plays seeds side by side, and gives those that failed, by seed, and the sums of counts.
-func playGroups(from, n uint64, plant string) (failed []*gsim, sum map[string]int) {
+// runGroupSims plays seeds side by side, and gives those that failed, by seed, and the sums of counts.
+func runGroupSims(from, n uint64, plant string) (failed []*groupSim, sum map[string]int) {
 	var next atomic.Uint64
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -39,11 +39,11 @@
 				s := newGroupSim(seed, plant)
 				s.run(2)
 				mu.Lock()
-				enough := n < wide && len(failed) > 0
+				enough := n < wideSearchSeeds && len(failed) > 0
 				for k, v := range s.counts {
 					sum[k] += v
 				}
-				if len(s.bad) > 0 {
+				if len(s.violations) > 0 {
 					failed = append(failed, s)
 				}
 				mu.Unlock()
@@ -54,7 +54,7 @@
 		})
 	}
 	wg.Wait()
-	slices.SortFunc(failed, func(a, b *gsim) int { return int(a.seed) - int(b.seed) })
+	slices.SortFunc(failed, func(a, b *groupSim) int { return int(a.seed) - int(b.seed) })
 	return failed, sum
 }
 
@@ -62,17 +62,17 @@
 // `SIM_SEEDS=10000 go test -timeout 3h ./internal/control/controlstate -run 'TestSimGroup$' -v` runs
 // wide; `SIM_SEED=17 SIM_SEEDS=1` replays one.
 func TestSimGroup(t *testing.T) {
-	from, n := simSeeds(t, groupSeeds)
-	failed, sum := playGroups(from, n, "")
+	from, n := seedsFromEnv(t, groupSeeds)
+	failed, sum := runGroupSims(from, n, "")
 	for i, s := range failed {
-		t.Errorf("seed %d: %s", s.seed, s.bad[0])
+		t.Errorf("seed %d: %s", s.seed, s.violations[0])
 		if i == 0 {
 			t.Errorf("replay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimGroup\n%s", s.seed, strings.Join(s.trace[max(0, len(s.trace)-40):], "\n"))
 		}
 	}
 	t.Logf("%d seeds, %d failed: %v", n, len(failed), sum)
-	for _, k := range groupTroubles {
-		if n >= 30 && len(failed) == 0 && sum[k] < often {
+	for _, k := range groupSimEvents {
+		if n >= 30 && len(failed) == 0 && sum[k] < minOccurrences {
 			t.Errorf("%s happened only %d times: the simulator doesn't reach it", k, sum[k])
 		}
 	}
@@ -84,10 +84,10 @@
 	for plant, want := range map[string]string{"same-incarnation": "", "vouch-open": "the proof says", "lease-late": "hold the duty"} {
 		caught := ""
 		for from := uint64(0); from < most && caught == ""; from += batch {
-			failed, _ := playGroups(from, batch, plant)
+			failed, _ := runGroupSims(from, batch, plant)
 			for _, s := range failed {
-				if strings.Contains(s.bad[0], want) && caught == "" {
-					caught = fmt.Sprintf("seed %d: %s", s.seed, s.bad[0])
+				if strings.Contains(s.violations[0], want) && caught == "" {
+					caught = fmt.Sprintf("seed %d: %s", s.seed, s.violations[0])
 				}
 			}
 		}
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// longCutTime is how long a member stays cut off in the phase that is about that.
-const longCutTime = 20 * time.Second
+// longPartitionTime is how long a member stays cut off in the phase that is about that.
+const longPartitionTime = 20 * time.Second
 
-// phases are the worst days of a group; each run has two of them, between its common troubles. The
+// groupSimPhases are the worst days of a group; each run has two of them, between its common troubles. The
 // first stands twice, so that all its forms come often enough.
-var phases = []struct {
+var groupSimPhases = []struct {
 	name string
-	play func(*gsim)
+	play func(*groupSim)
 }{
-	{"cut off for 20 s", (*gsim).longCutPhase},
-	{"cut off for 20 s", (*gsim).longCutPhase},
-	{"storm of changes", (*gsim).stormPhase},
-	{"planned replacements", (*gsim).replacePhase},
-	{"SIGTERM in turn", (*gsim).rollPhase},
+	{"cut off for 20 s", (*groupSim).longPartitionPhase},
+	{"cut off for 20 s", (*groupSim).longPartitionPhase},
+	{"storm of changes", (*groupSim).stormPhase},
+	{"planned replacements", (*groupSim).plannedReplacementPhase},
+	{"SIGTERM in turn", (*groupSim).rollingRestartPhase},
 }
 
-// longCutPhase cuts one member, the leader more often than not, off for twenty seconds, in one way
+// longPartitionPhase cuts one member, the leader more often than not, off for twenty seconds, in one way
 // or both, with operators and readers on both sides. Members of either side may be restarted, with
 // seeds that name only those cut off; other troubles may come on top.
-func (s *gsim) longCutPhase() {
+func (s *groupSim) longPartitionPhase() {
 	n := s.leader()
-	if s.r.IntN(3) > 0 && n != nil {
+	if s.random.IntN(3) > 0 && n != nil {
 		s.count("long cut: the leader")
 	} else {
-		n = s.anyone()
+		n = s.randomNode()
 	}
-	way := s.r.IntN(4)
-	s.cutOff(s.longCut, n, way != 1, way != 2)
-	s.note("%s is cut off for long, way %d", n.addr, way)
+	way := s.random.IntN(4)
+	s.isolate(s.longPartition, n, way != 1, way != 2)
+	s.tracef("%s is cut off for long, way %d", n.addr, way)
 	switch way {
 	case 1:
 		s.count("long cut: not heard")
@@ -41,228 +41,228 @@
 		s.count("long cut: hears nothing")
 	default:
 		s.count("long cut: both ways")
-		s.isolated, s.isolatedAt = n.addr, s.now
+		s.isolatedAddr, s.isolatedSince = n.addr, s.now
 	}
-	calm := s.r.IntN(3) == 0
+	calm := s.random.IntN(3) == 0
 	if !calm {
-		s.restartsBesideCut(n)
+		s.scheduleRestarts(n)
 	}
 	begin, acked, served := s.now, s.ackedCount, time.Duration(0)
-	for s.now-begin < longCutTime && len(s.bad) == 0 {
-		s.act(nil)
+	for s.now-begin < longPartitionTime && len(s.violations) == 0 {
+		s.actOnce(nil)
 		if served == 0 && s.ackedCount > acked+2 {
 			served = s.now - begin
 		}
-		if !calm && s.r.IntN(500) == 0 {
-			s.trouble()
+		if !calm && s.random.IntN(500) == 0 {
+			s.injectFault()
 		}
 	}
 	const bound = 8 * time.Second
 	if calm && (served == 0 || served > bound) {
-		s.stands()
-		s.fault("with %s cut off the others acknowledged after %v (0: never)", n.addr, served)
+		s.traceStatus()
+		s.violationf("with %s cut off the others acknowledged after %v (0: never)", n.addr, served)
 	}
-	clear(s.longCut)
-	s.isolated = ""
+	clear(s.longPartition)
+	s.isolatedAddr = ""
 }
 
-// restartsBesideCut restarts those cut off, or some of the others, at moments of the cut.
-func (s *gsim) restartsBesideCut(n *gsimNode) {
-	if s.r.IntN(2) == 0 {
+// scheduleRestarts restarts those cut off, or some of the others, at moments of the cut.
+func (s *groupSim) scheduleRestarts(n *groupSimNode) {
+	if s.random.IntN(2) == 0 {
 		s.count("seeds name only those cut off")
 		s.seeds = []string{n.addr}
 	}
-	if s.r.IntN(2) == 0 {
-		s.later(s.between(longCutTime), func() {
+	if s.random.IntN(2) == 0 {
+		s.schedule(s.randomDuration(longPartitionTime), func() {
 			s.count("restarted on the cut side")
-			s.kill(n, s.r.IntN(2) == 0, s.between(time.Second))
+			s.kill(n, s.random.IntN(2) == 0, s.randomDuration(time.Second))
 		})
 	}
-	if s.r.IntN(2) == 0 {
-		s.later(s.between(longCutTime), func() {
+	if s.random.IntN(2) == 0 {
+		s.schedule(s.randomDuration(longPartitionTime), func() {
 			s.count("restarted on the other side")
 			for _, m := range s.nodes {
-				if m != n && s.r.IntN(2) == 0 {
-					s.kill(m, s.r.IntN(2) == 0, s.between(time.Second))
+				if m != n && s.random.IntN(2) == 0 {
+					s.kill(m, s.random.IntN(2) == 0, s.randomDuration(time.Second))
 				}
 			}
 		})
 	}
 }
 
-// groupStorm is a run of changes, each sent as soon as the one before is acknowledged.
-type groupStorm struct {
-	left  int
-	order *groupOrder
-	sent  time.Duration
+// changeStorm is a run of changes, each sent as soon as the one before is acknowledged.
+type changeStorm struct {
+	remaining int
+	change    *groupChange
+	sentAt    time.Duration
 }
 
 // next sends the storm's next change; one that isn't acknowledged is sent again for a while.
-func (s *gsim) stormNext() {
+func (s *groupSim) continueStorm() {
 	const again, enough = 300 * time.Millisecond, 3
 	x := s.storm
 	l := s.leader()
-	if x == nil || l == nil || x.order != nil && x.order.end == 0 && s.now-x.sent < again {
+	if x == nil || l == nil || x.change != nil && x.change.ackedAt == 0 && s.now-x.sentAt < again {
 		return
 	}
-	if x.order == nil || x.order.end > 0 || x.order.base != s.known || x.order.attempts > enough {
-		if x.left--; x.left < 0 {
+	if x.change == nil || x.change.ackedAt > 0 || x.change.baseVersion != s.knownVersion || x.change.attempts > enough {
+		if x.remaining--; x.remaining < 0 {
 			s.storm = nil
 			return
 		}
 		s.count("changes of storms")
-		x.order = s.newOrder(s.known + 1)
+		x.change = s.newChange(s.knownVersion + 1)
 	}
-	x.sent = s.now
-	s.sendOrder(x.order, l, nil)
+	x.sentAt = s.now
+	s.sendChange(x.change, l, nil)
 }
 
 // stormPhase makes some hundred changes, with logs that are compacted often, while members restart;
 // then one loses its disk, and must catch up.
-func (s *gsim) stormPhase() {
+func (s *groupSim) stormPhase() {
 	const least, most, longest = 100, 160, 25 * time.Second
-	s.filler = strings.Repeat("x", s.r.IntN(200))
-	s.storm = &groupStorm{left: least + s.r.IntN(most-least)}
-	for end := s.now + longest; s.storm != nil && s.now < end && len(s.bad) == 0; {
-		s.act(nil)
-		switch s.r.IntN(400) {
+	s.bodyPadding = strings.Repeat("x", s.random.IntN(200))
+	s.storm = &changeStorm{remaining: least + s.random.IntN(most-least)}
+	for end := s.now + longest; s.storm != nil && s.now < end && len(s.violations) == 0; {
+		s.actOnce(nil)
+		switch s.random.IntN(400) {
 		case 0:
 			s.count("restart in a storm")
-			s.kill(s.anyone(), s.r.IntN(2) == 0, s.between(time.Second))
+			s.kill(s.randomNode(), s.random.IntN(2) == 0, s.randomDuration(time.Second))
 		case 1:
 			s.count("stall in a storm")
-			s.anyone().stall = [...]time.Duration{0, 30 * time.Millisecond}[s.r.IntN(2)]
+			s.randomNode().maxWriteTime = [...]time.Duration{0, 30 * time.Millisecond}[s.random.IntN(2)]
 		}
 	}
-	s.storm, s.filler = nil, ""
-	s.peace("after a storm")
-	if len(s.bad) == 0 && s.whole() {
-		n := s.anyone()
+	s.storm, s.bodyPadding = nil, ""
+	s.awaitRecovery("after a storm")
+	if len(s.violations) == 0 && s.isComplete() {
+		n := s.randomNode()
 		s.count("wiped after a storm")
-		s.kill(n, false, s.between(time.Second))
-		s.empty(n)
+		s.kill(n, false, s.randomDuration(time.Second))
+		s.wipeDisk(n)
 	}
 }
 
-// replacePhase replaces a machine as planned: a new one starts first, then the old one is told to
+// plannedReplacementPhase replaces a machine as planned: a new one starts first, then the old one is told to
 // end, and is gone for good. The next one follows as soon as the group is whole again.
-func (s *gsim) replacePhase() {
-	for range 1 + s.r.IntN(2) {
-		if len(s.bad) > 0 || !s.whole() {
+func (s *groupSim) plannedReplacementPhase() {
+	for range 1 + s.random.IntN(2) {
+		if len(s.violations) > 0 || !s.isComplete() {
 			return
 		}
 		old := s.leader()
-		if s.r.IntN(3) == 0 {
-			old = s.anyone()
+		if s.random.IntN(3) == 0 {
+			old = s.randomNode()
 		}
-		if old.lost || old.p == nil {
+		if old.isRemoved || old.shard == nil {
 			return
 		}
-		s.boot(s.machine())
+		s.start(s.addNode())
 		s.count("planned replacement")
-		s.note("%s is to be replaced", old.addr)
-		s.calm(s.between(2 * time.Second))
-		s.struck = false
-		if s.r.IntN(2) == 0 {
-			s.armSecondStrike()
+		s.tracef("%s is to be replaced", old.addr)
+		s.runFor(s.randomDuration(2 * time.Second))
+		s.secondFaultInjected = false
+		if s.random.IntN(2) == 0 {
+			s.armSecondFault()
 		}
 		s.terminate(old, time.Hour)
-		s.calm(3 * time.Second)
-		if old.p != nil { // it is still handing over, or frozen: the platform's patience ends
+		s.runFor(3 * time.Second)
+		if old.shard != nil { // it is still handing over, or frozen: the platform's patience ends
 			s.kill(old, true, time.Hour)
 		}
-		if old.lost = !s.struck; s.struck { // with another loss at once it isn't taken away yet: a site bears one
+		if old.isRemoved = !s.secondFaultInjected; s.secondFaultInjected { // with another loss at once it isn't taken away yet: a site bears one
 			s.count("planned replacement called off")
 		}
-		s.turnSeeds()
-		s.peace("after a planned replacement")
+		s.updateSeeds()
+		s.awaitRecovery("after a planned replacement")
 	}
 }
 
-// rollPhase tells all to end, one after the other, and starts each again.
-func (s *gsim) rollPhase() {
+// rollingRestartPhase tells all to end, one after the other, and starts each again.
+func (s *groupSim) rollingRestartPhase() {
 	for _, n := range s.nodes {
-		if n.lost || n.p == nil {
+		if n.isRemoved || n.shard == nil {
 			continue
 		}
 		s.count("SIGTERM in turn")
-		s.terminate(n, s.between(time.Second))
-		s.calm(s.between(1500 * time.Millisecond))
-		if s.r.IntN(6) == 0 {
-			s.trouble()
+		s.terminate(n, s.randomDuration(time.Second))
+		s.runFor(s.randomDuration(1500 * time.Millisecond))
+		if s.random.IntN(6) == 0 {
+			s.injectFault()
 		}
 	}
 }
 
-// turnSeeds has the seeds name machines that there are.
-func (s *gsim) turnSeeds() {
+// updateSeeds has the seeds name machines that there are.
+func (s *groupSim) updateSeeds() {
 	s.seeds = nil
-	for _, i := range s.r.Perm(len(s.nodes)) {
-		if n := s.nodes[i]; !n.lost && len(s.seeds) < 3 {
+	for _, i := range s.random.Perm(len(s.nodes)) {
+		if n := s.nodes[i]; !n.isRemoved && len(s.seeds) < 3 {
 			s.seeds = append(s.seeds, n.addr)
 		}
 	}
 }
 
-// lose takes as many machines or disks as a site bears at once, out of a whole group: wiped as
+// loseMachines takes as many machines or disks as a site bears at once, out of a whole group: wiped as
 // soon as a change is acknowledged, or a moment after one was sent; or replaced by empty machines
 // at other addresses. A second strike, which takes no disk, comes at some step of the repair.
-func (s *gsim) lose() {
+func (s *groupSim) loseMachines() {
 	struck := false
-	s.far = s.anyone().addr // it holds the newest a little later than a majority
-	defer func() { s.far = "" }()
-	strike := func(by *gsimNode) {
+	s.slowAddr = s.randomNode().addr // it holds the newest a little later than a majority
+	defer func() { s.slowAddr = "" }()
+	strike := func(by *groupSimNode) {
 		if struck {
 			return
 		}
 		struck = true
-		s.loseDisks(by)
-		if s.r.IntN(3) > 0 {
-			s.armSecondStrike()
+		s.destroyDisks(by)
+		if s.random.IntN(3) > 0 {
+			s.armSecondFault()
 		}
 	}
 	acked := strike
-	if s.r.IntN(3) == 0 {
+	if s.random.IntN(3) == 0 {
 		s.count("loss timed by an order's sending")
 		acked = nil
-		s.armed["order sent"] = func() { s.later(s.soon(), func() { strike(s.anyone()) }) }
+		s.eventHooks["order sent"] = func() { s.schedule(s.eventDelay(), func() { strike(s.randomNode()) }) }
 	}
-	for end := s.now + 5*time.Second; !struck && s.now < end && len(s.bad) == 0; {
-		s.act(acked)
+	for end := s.now + 5*time.Second; !struck && s.now < end && len(s.violations) == 0; {
+		s.actOnce(acked)
 	}
-	s.calm(s.between(6 * time.Second))
+	s.runFor(s.randomDuration(6 * time.Second))
 }
 
-func (s *gsim) loseDisks(by *gsimNode) {
-	power, replace := s.r.IntN(2) == 0, s.r.IntN(3) == 0
-	var hit []*gsimNode
-	for range s.tolerate {
-		n := s.anyone()
-		if s.r.IntN(2) == 0 && len(hit) == 0 {
+func (s *groupSim) destroyDisks(by *groupSimNode) {
+	power, replace := s.random.IntN(2) == 0, s.random.IntN(3) == 0
+	var hit []*groupSimNode
+	for range s.toleratedLosses {
+		n := s.randomNode()
+		if s.random.IntN(2) == 0 && len(hit) == 0 {
 			n = by
 		}
 		hit = append(hit, n)
 	}
 	for _, n := range s.nodes {
 		if power {
-			s.kill(n, true, s.between(time.Second))
+			s.kill(n, true, s.randomDuration(time.Second))
 		}
 	}
 	for _, n := range hit {
-		if n.lost {
+		if n.isRemoved {
 			continue
 		}
-		s.kill(n, true, s.between(3*time.Second))
+		s.kill(n, true, s.randomDuration(3*time.Second))
 		if replace {
-			s.note("%s is lost for good, power %v", n.addr, power)
+			s.tracef("%s is lost for good, power %v", n.addr, power)
 			s.count("replaced")
-			n.lost = true
-			s.turnSeeds()
-			s.boot(s.machine())
+			n.isRemoved = true
+			s.updateSeeds()
+			s.start(s.addNode())
 			continue
 		}
-		s.note("%s loses its disk, power %v", n.addr, power)
+		s.tracef("%s loses its disk, power %v", n.addr, power)
 		s.count("lost disk")
-		s.empty(n)
+		s.wipeDisk(n)
 	}
 }
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -21,180 +21,180 @@
 // frozen, lose power and disks, and are replaced by empty ones at other addresses. What operators
 // and readers see is recorded and judged for linearizability.
 
-const groupStep = 5 * time.Millisecond
+const groupSimStep = 5 * time.Millisecond
 
-// usualCompactAt is how long a log becomes before it is compacted, in bytes, where a run says nothing.
-const usualCompactAt = 3000
+// defaultCompactAt is how long a log becomes before it is compacted, in bytes, where a run says nothing.
+const defaultCompactAt = 3000
 
-// gsimNode is one control machine.
-type gsimNode struct {
-	addr        string
-	disk        *cacheDisk
-	p           *shard // nil: it is down
-	clk         *clock.Manual
-	rate        float64
-	frozen      time.Duration // until
-	nextTick    time.Duration
-	ask         time.Duration   // when it may ask again to be taken in
-	known       map[string]bool // addresses that it has heard of: the seeds, and what others told it
-	incarnation int             // counts its starts and ends
-	stall       time.Duration   // how long a write may take
-	lost        bool            // for good
-	down        time.Duration   // when it starts again
+// groupSimNode is one control machine.
+type groupSimNode struct {
+	addr         string
+	disk         *cacheDisk
+	shard        *shard // nil: it is down
+	clock        *clock.Manual
+	clockRate    float64
+	frozenUntil  time.Duration // until
+	nextTick     time.Duration
+	nextJoin     time.Duration   // when it may ask again to be taken in
+	knownAddrs   map[string]bool // addresses that it has heard of: the seeds, and what others told it
+	generation   int             // counts its starts and ends
+	maxWriteTime time.Duration   // how long a write may take
+	isRemoved    bool            // for good
+	restartAt    time.Duration   // when it starts again
 }
 
-// timer is something that happens at a moment.
-type timer struct {
-	at time.Duration
-	do func()
+// simTimer is something that happens at a moment.
+type simTimer struct {
+	at  time.Duration
+	run func()
 }
 
-// gsim is one seeded run.
-type gsim struct {
-	seed       uint64
-	r          *rand.Rand
-	now        time.Duration
-	first      bool
-	tolerate   int
-	seeds      []string
-	nodes      []*gsimNode
-	inFlight   []simMessage
-	sent       int
-	cut        map[string]bool // "a>b", until some trouble ends
-	longCut    map[string]bool // the same, for the whole of a phase
-	isolated   string          // the address that hears nobody and that nobody hears
-	isolatedAt time.Duration
-	loss       float64
-	far        string // messages to this address take long
-	compactAt  int
-	tailBytes  int
-	filler     string // makes every order's content longer
-	writes     []*groupOrder
-	known      uint64 // the newest version that operators have heard of
-	ackedCount int
-	reads      []*simRead
-	open       []func() bool // questions under way; false when settled
-	timers     []timer
-	armed      map[string]func() // what strikes at the next event of a name
-	struck     bool              // a second strike has come
-	leaderWas  string
-	storm      *groupStorm
-	history    history.History
-	edge       *gsimEdge
-	leases     []*simHolder
-	fences     map[uint64]string
-	trace      []string
-	bad        []string
-	counts     map[string]int
-	plant      string
+// groupSim is one seeded run.
+type groupSim struct {
+	seed                uint64
+	random              *rand.Rand
+	now                 time.Duration
+	founding            bool
+	toleratedLosses     int
+	seeds               []string
+	nodes               []*groupSimNode
+	inFlight            []simMessage
+	sentMessages        int
+	partitioned         map[string]bool // "a>b", until some trouble ends
+	longPartition       map[string]bool // the same, for the whole of a phase
+	isolatedAddr        string          // the address that hears nobody and that nobody hears
+	isolatedSince       time.Duration
+	lossRate            float64
+	slowAddr            string // messages to this address take long
+	compactAt           int
+	tailBytes           int
+	bodyPadding         string // makes every order's content longer
+	changes             []*groupChange
+	knownVersion        uint64 // the newest version that operators have heard of
+	ackedCount          int
+	reads               []*simRead
+	inProgress          []func() bool // questions under way; false when settled
+	timers              []simTimer
+	eventHooks          map[string]func() // what strikes at the next event of a name
+	secondFaultInjected bool              // a second strike has come
+	lastLeader          string
+	storm               *changeStorm
+	history             history.History
+	edge                *simEdge
+	leaseHolders        []*simLeaseHolder
+	fencingTokenHolders map[uint64]string
+	trace               []string
+	violations          []string
+	counts              map[string]int
+	plantedFault        string
 	// Operators race, send bursts and very old orders, and transports report what they lost; without it,
 	// one operator after the other sends an order.
-	allTroubles bool
+	allFaults bool
 }
 
-func (s *gsim) note(format string, a ...any) {
+func (s *groupSim) tracef(format string, a ...any) {
 	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-func (s *gsim) count(what string) { s.counts[what]++ }
+func (s *groupSim) count(what string) { s.counts[what]++ }
 
-func (s *gsim) fault(format string, a ...any) {
-	s.note("FAULT "+format, a...)
-	s.bad = append(s.bad, fmt.Sprintf(format, a...))
+func (s *groupSim) violationf(format string, a ...any) {
+	s.tracef("FAULT "+format, a...)
+	s.violations = append(s.violations, fmt.Sprintf(format, a...))
 }
 
 // newGroupSim is a site of a few control machines; which, the seed says.
-func newGroupSim(seed uint64, plant string) *gsim {
-	s := &gsim{seed: seed, r: rand.New(rand.NewPCG(seed, 2)), cut: map[string]bool{}, longCut: map[string]bool{}, counts: map[string]int{},
-		plant: plant, first: true, tolerate: 1, fences: map[uint64]string{}, edge: &gsimEdge{vouch: map[string]time.Duration{}},
-		armed: map[string]func(){}, allTroubles: true}
-	many := 3 + s.r.IntN(3)
-	if s.r.IntN(4) == 0 {
-		s.tolerate, many = 2, 6+s.r.IntN(2)
+func newGroupSim(seed uint64, plant string) *groupSim {
+	s := &groupSim{seed: seed, random: rand.New(rand.NewPCG(seed, 2)), partitioned: map[string]bool{}, longPartition: map[string]bool{}, counts: map[string]int{},
+		plantedFault: plant, founding: true, toleratedLosses: 1, fencingTokenHolders: map[uint64]string{}, edge: &simEdge{confirmedAt: map[string]time.Duration{}},
+		eventHooks: map[string]func(){}, allFaults: true}
+	many := 3 + s.random.IntN(3)
+	if s.random.IntN(4) == 0 {
+		s.toleratedLosses, many = 2, 6+s.random.IntN(2)
 	}
-	s.compactAt = [...]int{1500, usualCompactAt, 20000}[s.r.IntN(3)]
-	s.tailBytes = [...]int{0, 2000}[s.r.IntN(2)]
+	s.compactAt = [...]int{1500, defaultCompactAt, 20000}[s.random.IntN(3)]
+	s.tailBytes = [...]int{0, 2000}[s.random.IntN(2)]
 	for i := range many {
-		n := s.machine()
+		n := s.addNode()
 		if i < 3 {
 			s.seeds = append(s.seeds, n.addr)
 		}
 	}
 	for _, n := range s.nodes {
-		s.boot(n)
+		s.start(n)
 	}
-	s.first = false
+	s.founding = false
 	for i := range 2 {
-		h := &simHolder{clk: &clock.Manual{}, rate: 0.97 + 0.06*s.r.Float64()}
-		h.l = controlclient.NewLease(nil, h.clk, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
-		s.leases = append(s.leases, h)
+		h := &simLeaseHolder{clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+		h.lease = controlclient.NewLease(nil, h.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
+		s.leaseHolders = append(s.leaseHolders, h)
 	}
 	return s
 }
 
-func (s *gsim) machine() *gsimNode {
-	n := &gsimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clk: &clock.Manual{}, rate: 0.97 + 0.06*s.r.Float64()}
-	s.empty(n)
+func (s *groupSim) addNode() *groupSimNode {
+	n := &groupSimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+	s.wipeDisk(n)
 	s.nodes = append(s.nodes, n)
 	return n
 }
 
-// empty gives a machine an empty disk.
-func (s *gsim) empty(n *gsimNode) {
-	d := newCacheDisk(s.r)
-	d.slow = func() { // the thread does nothing else meanwhile; questions are answered all the same
-		if n.stall > 0 && n.p != nil {
+// wipeDisk gives a machine an empty disk.
+func (s *groupSim) wipeDisk(n *groupSimNode) {
+	d := newCacheDisk(s.random)
+	d.beforeWrite = func() { // the thread does nothing else meanwhile; questions are answered all the same
+		if n.maxWriteTime > 0 && n.shard != nil {
 			s.poll(n, 0)
-			n.frozen = max(n.frozen, s.now+time.Duration(s.r.Int64N(int64(n.stall))))
+			n.frozenUntil = max(n.frozenUntil, s.now+time.Duration(s.random.Int64N(int64(n.maxWriteTime))))
 		}
 	}
 	n.disk = d
 }
 
-func (s *gsim) boot(n *gsimNode) {
-	n.incarnation++
-	incarnation := n.incarnation
-	n.disk.dieIn, n.disk.died = -1, false
-	n.clk.Time = time.Duration(s.r.Int64N(int64(time.Hour)))
-	n.known = map[string]bool{}
+func (s *groupSim) start(n *groupSimNode) {
+	n.generation++
+	incarnation := n.generation
+	n.disk.writesUntilCrash, n.disk.crashed = -1, false
+	n.clock.Time = time.Duration(s.random.Int64N(int64(time.Hour)))
+	n.knownAddrs = map[string]bool{}
 	for _, a := range s.seeds {
-		n.known[a] = true
+		n.knownAddrs[a] = true
 	}
-	p := newShard(context.Background(), 0, n.clk, hclog.NewNullLogger(), func(m *wire.Message) {
-		if n.incarnation == incarnation {
+	p := newShard(context.Background(), 0, n.clock, hclog.NewNullLogger(), func(m *wire.Message) {
+		if n.generation == incarnation {
 			s.send(m)
 		}
 	})
 	if p.compactThreshold = s.compactAt; p.compactThreshold == 0 {
-		p.compactThreshold = usualCompactAt
+		p.compactThreshold = defaultCompactAt
 	}
-	n.p = nil
-	openGroup(p, &group{codec: versions{}, disk: n.disk, targetSize: 2*s.tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
+	n.shard = nil
+	openGroup(p, &group{codec: versionCodec{}, disk: n.disk, targetSize: 2*s.toleratedLosses + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TrailingLogBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(n.addr[1])))},
 		initialSnapshot: func() *wire.Snapshot {
-			if s.plant == "same-incarnation" && !s.first { // planted: a lost disk comes back as the member that it was
+			if s.plantedFault == "same-incarnation" && !s.founding { // planted: a lost disk comes back as the member that it was
 				return consensus.LearnerSnapshot(n.addr + "/0")
 			}
-			return initialGroupSnapshot(s.first, n.addr, s.seeds, s.r.Uint64)
+			return initialGroupSnapshot(s.founding, n.addr, s.seeds, s.random.Uint64)
 		}})
-	n.p, n.nextTick, n.down = p, s.now, 0
+	n.shard, n.nextTick, n.restartAt = p, s.now, 0
 }
 
 // kill ends a machine's process; power: the machine loses that, too.
-func (s *gsim) kill(n *gsimNode, power bool, back time.Duration) {
-	if n.lost {
+func (s *groupSim) kill(n *groupSimNode, power bool, back time.Duration) {
+	if n.isRemoved {
 		return
 	}
-	n.p, n.incarnation, n.down = nil, n.incarnation+1, s.now+back
+	n.shard, n.generation, n.restartAt = nil, n.generation+1, s.now+back
 	if power {
-		n.disk.powerLost()
+		n.disk.losePower()
 	}
-	if s.r.IntN(2) == 0 { // what it had sent meanwhile never left the machine
-		s.inFlight = slices.DeleteFunc(s.inFlight, func(m simMessage) bool { return controlclient.Addr(m.l.From) == n.addr })
+	if s.random.IntN(2) == 0 { // what it had sent meanwhile never left the machine
+		s.inFlight = slices.DeleteFunc(s.inFlight, func(m simMessage) bool { return controlclient.MemberAddr(m.message.From) == n.addr })
 	}
 }
 
-func (s *gsim) node(addr string) *gsimNode {
+func (s *groupSim) node(addr string) *groupSimNode {
 	for _, n := range s.nodes {
 		if n.addr == addr {
 			return n
@@ -203,62 +203,64 @@
 	return nil
 }
 
-func (s *gsim) anyone() *gsimNode { return s.nodes[s.r.IntN(len(s.nodes))] }
+func (s *groupSim) randomNode() *groupSimNode { return s.nodes[s.random.IntN(len(s.nodes))] }
 
-func (s *gsim) up(n *gsimNode) bool   { return n != nil && n.p != nil && s.now >= n.frozen }
-func (s *gsim) well(n *gsimNode) bool { return s.up(n) && n.p.failure == nil }
+func (s *groupSim) isRunning(n *groupSimNode) bool {
+	return n != nil && n.shard != nil && s.now >= n.frozenUntil
+}
+func (s *groupSim) isHealthy(n *groupSimNode) bool { return s.isRunning(n) && n.shard.failure == nil }
 
-// blocked tells whether nothing gets from one address to another.
-func (s *gsim) blocked(from, to string) bool {
-	return s.cut[from+">"+to] || s.longCut[from+">"+to]
+// isPartitioned tells whether nothing gets from one address to another.
+func (s *groupSim) isPartitioned(from, to string) bool {
+	return s.partitioned[from+">"+to] || s.longPartition[from+">"+to]
 }
 
-// apart tells whether a call between two addresses fails.
-func (s *gsim) apart(a, b string) bool {
-	return s.blocked(a, b) || s.blocked(b, a) || s.r.Float64() < s.loss
+// callFails tells whether a call between two addresses fails.
+func (s *groupSim) callFails(a, b string) bool {
+	return s.isPartitioned(a, b) || s.isPartitioned(b, a) || s.random.Float64() < s.lossRate
 }
 
 // leader is the member that leads in the highest term; nil: none.
-func (s *gsim) leader() *gsimNode {
-	var l *gsimNode
+func (s *groupSim) leader() *groupSimNode {
+	var l *groupSimNode
 	for _, n := range s.nodes {
-		if s.well(n) && n.p.core.Status().IsLeader && (l == nil || n.p.core.Status().Term > l.p.core.Status().Term) {
+		if s.isHealthy(n) && n.shard.core.Status().IsLeader && (l == nil || n.shard.core.Status().Term > l.shard.core.Status().Term) {
 			l = n
 		}
 	}
 	return l
 }
 
-// whole tells whether the group has all the members it wants, and they hold all there is.
-func (s *gsim) whole() bool {
+// isComplete tells whether the group has all the members it wants, and they hold all there is.
+func (s *groupSim) isComplete() bool {
 	l := s.leader()
-	if l == nil || !l.p.core.CanChangeMembership() {
+	if l == nil || !l.shard.core.CanChangeMembership() {
 		return false
 	}
-	ms, _, _ := l.p.core.Members()
+	ms, _, _ := l.shard.core.Members()
 	for _, m := range ms {
-		n := s.node(controlclient.Addr(m))
-		if !s.well(n) || n.p.core.Self() != m || n.p.core.Status().Applied+2 < l.p.core.Status().Applied {
+		n := s.node(controlclient.MemberAddr(m))
+		if !s.isHealthy(n) || n.shard.core.Self() != m || n.shard.core.Status().Applied+2 < l.shard.core.Status().Applied {
 			return false
 		}
 	}
 	alive := 0
 	for _, n := range s.nodes {
-		if !n.lost {
+		if !n.isRemoved {
 			alive++
 		}
 	}
-	return len(ms) >= min(2*s.tolerate+1, alive)
+	return len(ms) >= min(2*s.toleratedLosses+1, alive)
 }
 
-// stands notes how all machines stand.
-func (s *gsim) stands() {
+// traceStatus notes how all machines stand.
+func (s *groupSim) traceStatus() {
 	for _, n := range s.nodes {
-		if n.p == nil {
-			s.note("%s is down, gone %v", n.addr, n.lost)
+		if n.shard == nil {
+			s.tracef("%s is down, gone %v", n.addr, n.isRemoved)
 			continue
 		}
-		ms, term, index := n.p.core.Members()
-		s.note("%s is %s, bad %v, %+v, members %v of %d/%d, sees %+v", n.addr, n.p.core.Self(), n.p.failure, n.p.core.Status(), ms, term, index, n.p.core.PeerStatuses())
+		ms, term, index := n.shard.core.Members()
+		s.tracef("%s is %s, bad %v, %+v, members %v of %d/%d, sees %+v", n.addr, n.shard.core.Self(), n.shard.failure, n.shard.core.Status(), ms, term, index, n.shard.core.PeerStatuses())
 	}
 }
--- a/internal/control/controlstate/sim_main_test.go
+++ b/internal/control/controlstate/sim_main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func simSeeds(t *testing.T, def int) (from, n uint64) {
+func seedsFromEnv(t *testing.T, def int) (from, n uint64) {
 	t.Helper()
 	n = uint64(def)
 	for _, e := range []struct {
@@ -31,14 +31,14 @@
 // within the bound. `SIM_SEEDS=5000 go test ./internal/control/controlstate -run Sim` runs wide;
 // `SIM_SEED=17 SIM_SEEDS=1` replays one.
 func TestSimPart(t *testing.T) {
-	from, n := simSeeds(t, 60)
+	from, n := seedsFromEnv(t, 60)
 	sum := map[string]int{}
 	for seed := from; seed < from+n; seed++ {
-		s := newSim(seed, "")
+		s := newShardSim(seed, "")
 		s.run(3)
-		if len(s.bad) > 0 {
+		if len(s.violations) > 0 {
 			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimPart\n%s", seed,
-				s.bad[0], seed, strings.Join(s.trace[max(0, len(s.trace)-25):], "\n"))
+				s.violations[0], seed, strings.Join(s.trace[max(0, len(s.trace)-25):], "\n"))
 		}
 		for k, v := range s.counts {
 			sum[k] += v
@@ -54,7 +54,7 @@
 
 // The same seed gives the same trace.
 func TestSimIsRepeatable(t *testing.T) {
-	a, b := newSim(3, ""), newSim(3, "")
+	a, b := newShardSim(3, ""), newShardSim(3, "")
 	a.run(1)
 	b.run(1)
 	if x, y := strings.Join(a.trace, "\n"), strings.Join(b.trace, "\n"); x != y || len(a.trace) == 0 {
@@ -67,10 +67,10 @@
 	for plant, want := range map[string]string{"vote-blank": "", "vouch-unsettled": "the proof says", "lease-late": "hold the duty"} {
 		caught := ""
 		for seed := uint64(0); seed < 400 && caught == ""; seed++ {
-			s := newSim(seed, plant)
+			s := newShardSim(seed, plant)
 			s.run(3)
-			if len(s.bad) > 0 && strings.Contains(s.bad[0], want) {
-				caught = fmt.Sprintf("seed %d: %s", seed, s.bad[0])
+			if len(s.violations) > 0 && strings.Contains(s.violations[0], want) {
+				caught = fmt.Sprintf("seed %d: %s", seed, s.violations[0])
 			}
 		}
 		if caught == "" {
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -11,8 +11,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// orders calls f with every order of 0…n-1.
-func orders(n int, f func([]int)) (count int) {
+// permutations calls f with every order of 0…n-1.
+func permutations(n int, f func([]int)) (count int) {
 	var walk func(done []int, used int)
 	walk = func(done []int, used int) {
 		if len(done) == n {
@@ -30,7 +30,7 @@
 	return count
 }
 
-func put(key, body, token string, epoch uint64) *wire.Command {
+func putCommand(key, body, token string, epoch uint64) *wire.Command {
 	u := &wire.Put{Key: key, Body: []byte(body), IfVersion: epoch, Token: token}
 	u.Digest = requestDigest(u, false)
 	return &wire.Command{Kind: &wire.Command_Put{Put: u}}
@@ -40,12 +40,12 @@
 // answer was lost, and a third comes without an epoch to go by. In every order: one of the
 // racers wins, a change sent again is the same change, and no epoch is told twice.
 func TestEveryOrderOfRacingConfigurations(t *testing.T) {
-	cs := []*wire.Command{put("k", "a", "ta", 1), put("k", "a", "ta", 1), put("k", "b", "tb", 1), put("k", "b", "tb", 1), put("k", "c", "tc", 0)}
+	cs := []*wire.Command{putCommand("k", "a", "ta", 1), putCommand("k", "a", "ta", 1), putCommand("k", "b", "tb", 1), putCommand("k", "b", "tb", 1), putCommand("k", "c", "tc", 0)}
 	cs[4].GetPut().AnyVersion = true
 	cs[4].GetPut().Digest = requestDigest(cs[4].GetPut(), false)
-	n := orders(len(cs), func(o []int) {
+	n := permutations(len(cs), func(o []int) {
 		s := newState()
-		s.apply(put("k", "first", "t0", 0), 0)
+		s.apply(putCommand("k", "first", "t0", 0), 0)
 		won, epochs := map[int]uint64{}, map[uint64]string{}
 		for _, i := range o {
 			r := s.apply(proto.Clone(cs[i]).(*wire.Command), 0)
@@ -76,13 +76,13 @@
 		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, Release: up}}}
 	}
 	write := func(h string, fence uint64) *wire.Command {
-		c := put("p", h, "", 0)
+		c := putCommand("p", h, "", 0)
 		u := c.GetPut()
 		u.AnyVersion, u.Lease, u.Fence, u.Holder = true, "d", fence, h
 		return c
 	}
 	cs := []*wire.Command{grant("a", 1, false), write("a", 1), grant("b", 1, false), write("b", 2), grant("a", 1, true), write("a", 2)}
-	n := orders(len(cs), func(o []int) {
+	n := permutations(len(cs), func(o []int) {
 		s := newState()
 		s.apply(grant("a", 0, false), 0)
 		last, by := uint64(1), map[uint64]string{}
@@ -138,7 +138,7 @@
 func TestAPartsStateIsBounded(t *testing.T) {
 	s := newState()
 	for i := range maxDocuments + 10 {
-		r := s.apply(put(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
+		r := s.apply(putCommand(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
 		if (r.Outcome == wire.OutcomeDone) != (i < maxDocuments) {
 			t.Fatalf("document %d: %s", i, r.Outcome)
 		}
@@ -146,12 +146,12 @@
 	if len(s.recentTokens) > maxRecentTokens {
 		t.Errorf("%d tokens", len(s.recentTokens))
 	}
-	if r := s.apply(put("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); r.Outcome != wire.OutcomeTooBig {
+	if r := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); r.Outcome != wire.OutcomeTooBig {
 		t.Errorf("a body over the bound: %s", r.Outcome)
 	}
 }
 
-func claim(i int, nonce uint64) *wire.Claim {
+func claimOf(i int, nonce uint64) *wire.Claim {
 	return &wire.Claim{Id: fmt.Appendf(nil, "%016d", i), Nonce: nonce}
 }
 
@@ -165,17 +165,17 @@
 	}
 	s := newState()
 	for i := range maxClaims {
-		if ok, full := apply(s, 0, claim(i, 1)); !ok || full {
+		if ok, full := apply(s, 0, claimOf(i, 1)); !ok || full {
 			t.Fatalf("claim %d was denied", i)
 		}
 	}
-	if ok, full := apply(s, defaultClaimRetention-1, claim(maxClaims, 1)); ok || !full {
+	if ok, full := apply(s, defaultClaimRetention-1, claimOf(maxClaims, 1)); ok || !full {
 		t.Fatalf("a full part took one more: %v %v", ok, full)
 	}
-	if ok, _ := apply(s, 0, claim(0, 2)); ok {
+	if ok, _ := apply(s, 0, claimOf(0, 2)); ok {
 		t.Fatal("the oldest id was given away while it was young")
 	}
-	if ok, _ := apply(s, 0, claim(0, 1)); !ok {
+	if ok, _ := apply(s, 0, claimOf(0, 1)); !ok {
 		t.Fatal("a claim asked for again by its holder was denied")
 	}
 	body, err := s.save()
@@ -187,16 +187,16 @@
 		t.Fatal(err)
 	}
 	for _, x := range []*state{s, o} {
-		if ok, _ := apply(x, 0, &wire.Claim{Id: claim(7, 1).Id, Nonce: 1, Release: true}); !ok {
+		if ok, _ := apply(x, 0, &wire.Claim{Id: claimOf(7, 1).Id, Nonce: 1, Release: true}); !ok {
 			t.Fatal("an id can't be given back")
 		}
-		if ok, _ := apply(x, 0, claim(7, 9)); !ok {
+		if ok, _ := apply(x, 0, claimOf(7, 9)); !ok {
 			t.Fatal("an id that was given back can't be taken")
 		}
-		if ok, _ := apply(x, 1, claim(0, 2)); !ok {
+		if ok, _ := apply(x, 1, claimOf(0, 2)); !ok {
 			t.Fatal("an id outlived its age")
 		}
-		if ok, _ := apply(x, 0, claim(7, 8)); ok {
+		if ok, _ := apply(x, 0, claimOf(7, 8)); ok {
 			t.Fatal("an id taken again goes by its first incarnation's age")
 		}
 	}
@@ -206,8 +206,8 @@
 		t.Error("members that read a slot differ from those that applied the log")
 	}
 	for i := range 4 * maxClaims {
-		apply(s, 0, claim(3, uint64(i+100)))
-		apply(s, 0, &wire.Claim{Id: claim(3, 1).Id, Nonce: uint64(i + 100), Release: true})
+		apply(s, 0, claimOf(3, uint64(i+100)))
+		apply(s, 0, &wire.Claim{Id: claimOf(3, 1).Id, Nonce: uint64(i + 100), Release: true})
 	}
 	if len(s.claims.order) > 2*maxClaims+2 {
 		t.Errorf("%d places for %d ids", len(s.claims.order), len(s.claims.holders))
--- a/internal/control/controlstate/step_again_test.go
+++ b/internal/control/controlstate/step_again_test.go
@@ -15,8 +15,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// aloneShard is a shard with one fixed member, which leads.
-func aloneShard(t *testing.T) *shard {
+// singleMemberShard is a shard with one fixed member, which leads.
+func singleMemberShard(t *testing.T) *shard {
 	t.Helper()
 	p := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 	loaded, err := p.load(newSimDisk(), func() *wire.Snapshot { return consensus.BootstrapSnapshot("core-1", nil) })
@@ -45,36 +45,36 @@
 // Somebody else changes the configuration meanwhile. The next holder makes the move again, under the
 // same token and on a later version: it is acknowledged as done, and changes nothing.
 func TestAStepThatTheNextHolderMakesAgainIsDone(t *testing.T) {
-	p := aloneShard(t)
+	p := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
-	if r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: recorded}, false); r.Outcome != wire.OutcomeDone {
+	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); r.Outcome != wire.OutcomeDone {
 		t.Fatal(r)
 	}
-	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.Weights, Model: "gisa", Weights: 5, State: calendar.Planned}
-	next := func(e *calendar.Entry) (*calendar.Entry, calendar.Move, uint64) { // each time a new holder's
-		doc := p.state.documents[controlclient.SetupKey]
-		config, err := serviceconfig.Read(doc.Body)
+	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
+	next := func(e *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each time a new holder's
+		doc := p.state.documents[controlclient.ConfigKey]
+		config, err := serviceconfig.Decode(doc.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, move, _ := calendar.NewPacer().Next(e, calendar.World{Version: doc.Version, EntryVersion: 3, Config: config})
+		e, move, _ := calendar.NewPlanner().Next(e, calendar.Observation{ConfigVersion: doc.Version, EntryVersion: 3, Config: config})
 		return e, move, doc.Version
 	}
 	entry, _, _ = next(entry)
 	entry, _, _ = next(entry)
 	_, move, version := next(entry)
-	if r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); r.Outcome != wire.OutcomeDone || r.Version != 2 {
+	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); r.Outcome != wire.OutcomeDone || r.Version != 2 {
 		t.Fatal(r)
 	}
-	if r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); r.Outcome != wire.OutcomeDone {
+	if r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); r.Outcome != wire.OutcomeDone {
 		t.Fatal(r)
 	}
 	_, again, version := next(entry)
-	r := p.makeChange(&wire.Put{Key: controlclient.SetupKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
+	r := p.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
 	if version != 3 || again.Token != move.Token || r.Outcome != wire.OutcomeDone || r.Version != 2 || r.TokenReuse == "" {
 		t.Errorf("made again on version %d under %s: %v", version, again.Token, r)
 	}
-	if v := p.state.documents[controlclient.SetupKey].Version; v != 3 {
+	if v := p.state.documents[controlclient.ConfigKey].Version; v != 3 {
 		t.Errorf("version %d is in force", v)
 	}
 }
@@ -86,5 +86,5 @@
 	for _, e := range p.core.UnappliedEntries() {
 		p.applyEntry(e)
 	}
-	return p.state.documents[controlclient.SetupKey].GetBody()
+	return p.state.documents[controlclient.ConfigKey].GetBody()
 }
--- a/internal/control/controlstate/taken.go
+++ b/internal/control/controlstate/taken.go
@@ -40,7 +40,7 @@
 
 // maxRecords is how many changes of a document are remembered.
 func maxRecords(key string) int {
-	if key == routingconfig.Key || key == controlclient.SetupKey {
+	if key == routingconfig.DocumentKey || key == controlclient.ConfigKey {
 		return maxConfigRecords
 	}
 	return maxDocumentRecords
--- a/internal/control/controlstate/taken_test.go
+++ b/internal/control/controlstate/taken_test.go
@@ -14,17 +14,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// order is a change as a leader proposes it.
-func order(key, content, token string, base, version uint64) *wire.Command {
+// changeCommand is a change as a leader proposes it.
+func changeCommand(key, content, token string, base, version uint64) *wire.Command {
 	put := &wire.Put{Key: key, Body: []byte(content), IfVersion: base, Token: token}
 	put.Digest, put.ContentDigest = requestDigest(put, false), contentDigest(put, false)
 	put.NewVersion = version
 	return &wire.Command{Kind: &wire.Command_Put{Put: put}}
 }
 
-// planOrder is the n-th change of the plan, the first is 1: it makes version 2n on version 2n-2.
-func planOrder(n int) *wire.Command {
-	return order(routingconfig.Key, fmt.Sprint("plan ", n), fmt.Sprintf("%032x", n), uint64(2*n-2), uint64(2*n))
+// planChange is the n-th change of the plan, the first is 1: it makes version 2n on version 2n-2.
+func planChange(n int) *wire.Command {
+	return changeCommand(routingconfig.DocumentKey, fmt.Sprint("plan ", n), fmt.Sprintf("%032x", n), uint64(2*n-2), uint64(2*n))
 }
 
 // stateAfter is a state in which that many changes of the plan were taken.
@@ -32,7 +32,7 @@
 	t.Helper()
 	s := newState()
 	for n := 1; n <= changes; n++ {
-		if r := s.apply(planOrder(n), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*n) {
+		if r := s.apply(planChange(n), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*n) {
 			t.Fatalf("change %d: %v", n, r)
 		}
 	}
@@ -57,15 +57,15 @@
 func TestAnOrderSentAgainLateIsDone(t *testing.T) {
 	s := stateAfter(t, configChangesPerDay)
 	for i := range 2 * maxRecentTokens {
-		s.apply(order("other", "x", fmt.Sprint("o", i), uint64(i), 0), 0)
+		s.apply(changeCommand("other", "x", fmt.Sprint("o", i), uint64(i), 0), 0)
 	}
 	for name, s := range map[string]*state{"by the log": s, "by a snapshot": reloaded(t, s)} {
 		for n := 1; n <= configChangesPerDay; n++ {
-			if r := s.apply(planOrder(n), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*n) {
+			if r := s.apply(planChange(n), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*n) {
 				t.Fatalf("%s: change %d sent again: %v", name, n, r)
 			}
 		}
-		if v := s.documents[routingconfig.Key].Version; v != 2*configChangesPerDay {
+		if v := s.documents[routingconfig.DocumentKey].Version; v != 2*configChangesPerDay {
 			t.Errorf("%s: version %d is in force", name, v)
 		}
 	}
@@ -82,10 +82,10 @@
 			if n <= past {
 				want, fresh = wire.OutcomeUnknown, wire.OutcomeUnknown
 			}
-			if r := s.apply(planOrder(n), 0); r.Outcome != want {
+			if r := s.apply(planChange(n), 0); r.Outcome != want {
 				t.Fatalf("%s: change %d sent again: %v, want %s", name, n, r, want)
 			}
-			rival := order(routingconfig.Key, "another", fmt.Sprint("rival ", n), uint64(2*n-2), uint64(2*n))
+			rival := changeCommand(routingconfig.DocumentKey, "another", fmt.Sprint("rival ", n), uint64(2*n-2), uint64(2*n))
 			if r := s.apply(rival, 0); r.Outcome != fresh {
 				t.Fatalf("%s: another change on the base of %d: %v, want %s", name, n, r, fresh)
 			}
@@ -98,8 +98,8 @@
 	s := stateAfter(t, maxConfigRecords-20)
 	other := reloaded(t, s)
 	for n := maxConfigRecords - 19; n <= maxConfigRecords+40; n++ {
-		s.apply(planOrder(n), 0)
-		other.apply(planOrder(n), 0)
+		s.apply(planChange(n), 0)
+		other.apply(planChange(n), 0)
 		if n%7 == 0 {
 			other = reloaded(t, other)
 		}
@@ -170,8 +170,8 @@
 		s, earlier := newState(), &earlierRelease{docs: map[string]*wire.Document{}}
 		var sent []*wire.Command
 		for i := range 1500 {
-			key := []string{routingconfig.Key, controlclient.SetupKey, "other"}[r.IntN(3)]
-			c := order(key, fmt.Sprint(r.IntN(3)), fmt.Sprint("t", i), s.documents[key].GetVersion(), 0)
+			key := []string{routingconfig.DocumentKey, controlclient.ConfigKey, "other"}[r.IntN(3)]
+			c := changeCommand(key, fmt.Sprint(r.IntN(3)), fmt.Sprint("t", i), s.documents[key].GetVersion(), 0)
 			switch r.IntN(6) {
 			case 0:
 				c.GetPut().IfVersion -= min(c.GetPut().IfVersion, uint64(r.IntN(3)))
@@ -211,22 +211,22 @@
 	}{{maxRecentTokens - 1, wire.OutcomeDone, wire.OutcomeConflict}, {maxRecentTokens + 44, wire.OutcomeUnknown, wire.OutcomeUnknown}} {
 		s := newState()
 		for n := 1; n <= x.changes; n++ {
-			c := planOrder(n)
+			c := planChange(n)
 			c.GetPut().ContentDigest = nil
 			s.apply(c, 0)
 		}
 		s.idempotency = nil // as an earlier release writes it
 		s = reloaded(t, s)
-		if r := s.apply(planOrder(1), 0); r.Outcome != x.first {
+		if r := s.apply(planChange(1), 0); r.Outcome != x.first {
 			t.Errorf("%d changes: the first sent again: %v, want %s", x.changes, r, x.first)
 		}
-		if r := s.apply(order(routingconfig.Key, "another", "rival", 0, 2), 0); r.Outcome != x.fresh {
+		if r := s.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); r.Outcome != x.fresh {
 			t.Errorf("%d changes: another on the first base: %v, want %s", x.changes, r, x.fresh)
 		}
-		if r := s.apply(planOrder(x.changes), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*x.changes) {
+		if r := s.apply(planChange(x.changes), 0); r.Outcome != wire.OutcomeDone || r.Version != uint64(2*x.changes) {
 			t.Errorf("%d changes: the last sent again: %v", x.changes, r)
 		}
-		if r := s.apply(planOrder(x.changes+1), 0); r.Outcome != wire.OutcomeDone {
+		if r := s.apply(planChange(x.changes+1), 0); r.Outcome != wire.OutcomeDone {
 			t.Errorf("%d changes: the next: %v", x.changes, r)
 		}
 	}
@@ -236,18 +236,18 @@
 // token is refused, on this document or on any other.
 func TestATokenIsOneChange(t *testing.T) {
 	s := newState()
-	s.apply(order("k", "step", "token", 0, 0), 0)
-	s.apply(order("k", "later", "", 1, 0), 0)
+	s.apply(changeCommand("k", "step", "token", 0, 0), 0)
+	s.apply(changeCommand("k", "later", "", 1, 0), 0)
 	for _, x := range []struct {
 		name    string
 		command *wire.Command
 		want    wire.Outcome
 	}{
-		{"on its own base", order("k", "step", "token", 0, 0), wire.OutcomeDone},
-		{"on the version in force", order("k", "step", "token", 2, 0), wire.OutcomeDone},
-		{"another content", order("k", "another", "token", 2, 0), wire.OutcomeBadInput},
-		{"another document", order("l", "step", "token", 0, 0), wire.OutcomeBadInput},
-		{"another token", order("k", "step", "token 2", 0, 0), wire.OutcomeConflict},
+		{"on its own base", changeCommand("k", "step", "token", 0, 0), wire.OutcomeDone},
+		{"on the version in force", changeCommand("k", "step", "token", 2, 0), wire.OutcomeDone},
+		{"another content", changeCommand("k", "another", "token", 2, 0), wire.OutcomeBadInput},
+		{"another document", changeCommand("l", "step", "token", 0, 0), wire.OutcomeBadInput},
+		{"another token", changeCommand("k", "step", "token 2", 0, 0), wire.OutcomeConflict},
 	} {
 		if r := s.apply(x.command, 0); r.Outcome != x.want {
 			t.Errorf("%s: %v, want %s", x.name, r, x.want)
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -44,7 +44,7 @@
 // send queues a message for the address in its receiver's name. A full queue drops it: messages may
 // be lost.
 func (t *transport) send(m *wire.Message) {
-	to := controlclient.Addr(m.To)
+	to := controlclient.MemberAddr(m.To)
 	b := t.outboxes[to]
 	if b == nil {
 		if len(t.outboxes) >= maxOutboxes {
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -20,18 +20,18 @@
 // stalledMember takes small messages, and holds large ones while it is told to.
 type stalledMember struct {
 	wire.ControlNode
-	mu           sync.Mutex
-	hold         chan struct{}
-	small, large int
-	begun        int // large messages that have begun to arrive
+	mu                           sync.Mutex
+	stalled                      chan struct{}
+	smallMessages, largeMessages int
+	largeBegun                   int // large messages that have begun to arrive
 }
 
 func (s *stalledMember) Deliver(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	large := payloadBytes(b.Messages[0]) >= largeMessageBytes
 	s.mu.Lock()
-	hold := s.hold
+	hold := s.stalled
 	if large {
-		s.begun++
+		s.largeBegun++
 	}
 	s.mu.Unlock()
 	if large && hold != nil {
@@ -44,9 +44,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if large {
-		s.large++
+		s.largeMessages++
 	} else {
-		s.small += len(b.Messages)
+		s.smallMessages += len(b.Messages)
 	}
 	return &wire.BatchReceipt{Format: 1}, nil
 }
@@ -54,23 +54,23 @@
 func (s *stalledMember) counts() (small, large, begun int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.small, s.large, s.begun
+	return s.smallMessages, s.largeMessages, s.largeBegun
 }
 
 const stalledAddress = "10.0.0.2:7360"
 
-// transportWorld is a transport and the member that it sends to, in a test's bubble.
-func transportWorld(t *testing.T, f func(*transport, *shard, *stalledMember, *ground)) {
+// runTransportTest is a transport and the member that it sends to, in a test's bubble.
+func runTransportTest(t *testing.T, f func(*transport, *shard, *stalledMember, *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGround(t)
+		g := newTestCluster(t)
 		p := settings.Place{Name: "core-1", Listen: g.addr(1), Bounds: settings.Default(), Extra: []string{"log=off"}}
 		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
 			Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return g.dial(ctx, g.addr(1), to) },
 			Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 		l := daemon.NewIn(w, "archive", p)
 		member := &stalledMember{}
-		door := &pipes{g: g, addr: stalledAddress, c: make(chan net.Conn), end: make(chan struct{})}
-		g.doors[stalledAddress] = door
+		door := &pipeListener{cluster: g, addr: stalledAddress, connections: make(chan net.Conn), closed: make(chan struct{})}
+		g.listeners[stalledAddress] = door
 		server := &http.Server{Handler: wire.NewControlNodeServer(member)}
 		go server.Serve(door)
 		s, _ := newTestMember(t)
@@ -91,8 +91,8 @@
 
 // Heartbeats pass beside a large message that hangs.
 func TestHeartbeatsPassBesideALargeMessage(t *testing.T) {
-	transportWorld(t, func(x *transport, _ *shard, member *stalledMember, _ *ground) {
-		member.hold = make(chan struct{})
+	runTransportTest(t, func(x *transport, _ *shard, member *stalledMember, _ *testCluster) {
+		member.stalled = make(chan struct{})
 		x.send(largeMessage())
 		for range 10 {
 			x.send(smallMessage())
@@ -101,7 +101,7 @@
 		if small, large, begun := member.counts(); small != 10 || large != 0 || begun != 1 {
 			t.Errorf("%d small and %d large messages arrived, %d had begun", small, large, begun)
 		}
-		close(member.hold)
+		close(member.stalled)
 		synctest.Wait()
 		if _, large, _ := member.counts(); large != 1 {
 			t.Errorf("%d large messages arrived", large)
@@ -111,8 +111,8 @@
 
 // A large message has time by its size; what is given up is reported to the core.
 func TestLostLargeMessageIsReported(t *testing.T) {
-	transportWorld(t, func(x *transport, s *shard, member *stalledMember, _ *ground) {
-		member.hold = make(chan struct{})
+	runTransportTest(t, func(x *transport, s *shard, member *stalledMember, _ *testCluster) {
+		member.stalled = make(chan struct{})
 		x.send(largeMessage())
 		clock.Sleep(context.Background(), 5*time.Second) // 600 KB may take some 7.5 s of a heal bound of 12 s
 		if s.commands.Len() != 0 {
@@ -122,20 +122,20 @@
 		if s.commands.Len() != 1 {
 			t.Errorf("%d reports to the core, one is due", s.commands.Len())
 		}
-		close(member.hold)
+		close(member.stalled)
 	})
 }
 
 // A large message that was begun while its address said nothing ends as soon as the address answers
 // again, so that what it carries is sent anew at once.
 func TestLargeMessageEndsWhenItsAddressIsBack(t *testing.T) {
-	transportWorld(t, func(x *transport, s *shard, member *stalledMember, g *ground) {
+	runTransportTest(t, func(x *transport, s *shard, member *stalledMember, g *testCluster) {
 		set := func(dark bool) {
 			g.mu.Lock()
-			g.dark[stalledAddress] = dark
+			g.unreachable[stalledAddress] = dark
 			g.mu.Unlock()
 		}
-		member.hold = make(chan struct{})
+		member.stalled = make(chan struct{})
 		x.send(largeMessage())
 		synctest.Wait()
 		set(true)
@@ -147,6 +147,6 @@
 		if s.commands.Len() != 1 {
 			t.Errorf("%d reports to the core 2 s after the message was begun, one is due", s.commands.Len())
 		}
-		close(member.hold)
+		close(member.stalled)
 	})
 }
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -11,7 +11,7 @@
 
 // validateCalendarEntry checks a calendar entry against the others of its service.
 func (p *shard) validateCalendarEntry(u *wire.Put) error {
-	e, err := calendar.Read(u.Body)
+	e, err := calendar.Decode(u.Body)
 	if err != nil {
 		return err
 	}
@@ -25,16 +25,16 @@
 	var others []*calendar.Entry
 	for k, d := range p.state.documents {
 		if strings.HasPrefix(k, "calendar/") {
-			o, err := calendar.Read(d.Body)
+			o, err := calendar.Decode(d.Body)
 			if b.Note(k, err); err == nil {
 				others = append(others, o)
 			}
 		}
 	}
-	b.Note("calendar", e.Clash(others))
+	b.Note("calendar", e.ConflictWith(others))
 	if e.Active() {
 		for _, r := range p.retirements(&b) {
-			if r.Service == e.Service && r.Active() && r.State != retire.Planned {
+			if r.Service == e.Service && r.Active() && r.State != retire.StatePlanned {
 				b.Fault(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", e.Name, r.Name, r.State, e.Service)
 			}
 		}
@@ -61,19 +61,19 @@
 		return err
 	}
 	var b errs.Batch
-	if r.Check(&b); retire.Key(r.Service, r.Name) != u.Key {
+	if r.Validate(&b); retire.Key(r.Service, r.Name) != u.Key {
 		b.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", r.Name, r.Service, u.Key)
 	}
 	if len(p.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
-	b.Note("retirement", r.ConflictWith(p.retirements(&b)))
-	if r.Active() && r.State != retire.Planned {
+	b.Note("retirement", r.CheckConflicts(p.retirements(&b)))
+	if r.Active() && r.State != retire.StatePlanned {
 		for k, d := range p.state.documents {
 			if !strings.HasPrefix(k, "calendar/") {
 				continue
 			}
-			if e, err := calendar.Read(d.Body); err == nil && e.Active() && e.Service == r.Service {
+			if e, err := calendar.Decode(d.Body); err == nil && e.Active() && e.Service == r.Service {
 				b.Fault(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", r.Name, e.Name, e.State, e.Service)
 			}
 		}
--- a/internal/control/controlstate/weights_again_test.go
+++ b/internal/control/controlstate/weights_again_test.go
@@ -18,9 +18,9 @@
 // never falls, and the highest of each model is named in the end.
 func TestNamingWeightsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, ctx := newGround(t), context.Background()
-		g.found(5)
-		defer func() { g.down() }()
+		g, ctx := newTestCluster(t), context.Background()
+		g.startFounders(5)
+		defer func() { g.stopAll() }()
 		var nodes []*Node
 		for i := range 5 {
 			if i+1 != g.leader() {
@@ -71,6 +71,6 @@
 		}
 		nodes = []*Node{g.nodes[g.addr(1)]}
 		name(nodes[0], "m0", 2) // a lower one, again
-		g.until("the highest of each", 3*time.Second, func() bool { follow(); return named["m0"] == 6 && named["m1"] == 6 })
+		g.waitUntil("the highest of each", 3*time.Second, func() bool { follow(); return named["m0"] == 6 && named["m1"] == 6 })
 	})
 }
--- a/internal/control/mutation/point2_test.go
+++ b/internal/control/mutation/point2_test.go
@@ -15,7 +15,7 @@
 	mutant{point: 2, name: "a taken change that was overtaken is judged by its base",
 		file:        "internal/control/controlstate/taken.go",
 		original:    "ok && change.isSameChange(put) {",
-		replacement: "ok && change.isSameChange(put) && put.IfVersion == s.documents[put.Key].GetVersion() {",
+		replacement: "ok && change.isSameChange(put) && put.IfVersion == s.documents[put.DocumentKey].GetVersion() {",
 		pkg:         "internal/control/controlstate", run: "TestTwoOrdersInEveryOrder/plan"},
 	mutant{point: 2, name: "two changes on one version are both taken",
 		file:        "internal/control/controlstate/state.go",
@@ -44,7 +44,7 @@
 		pkg:         "internal/control/controlstate", run: "TestAStepThatTheNextHolderMakesAgainIsDone"},
 	mutant{point: 2, name: "two calendar entries of one name share their tokens",
 		file:        "internal/control/calendar/step.go",
-		original:    "e.Service, e.Name, w.EntryVersion, e.Step, suffix)",
-		replacement: "e.Service, e.Name, 0, e.Step, suffix)",
+		original:    "e.Service, e.Name, w.EntryVersion, e.CurrentStep, suffix)",
+		replacement: "e.Service, e.Name, 0, e.CurrentStep, suffix)",
 		pkg:         "internal/control/calendar", run: "TestTheTokenOfAStep"},
 )
--- a/internal/control/operatorapi/key_test.go
+++ b/internal/control/operatorapi/key_test.go
@@ -9,7 +9,7 @@
 
 // If the settings name an operators' key, the operator's API rejects every request
 // without it; if they name none, all requests pass.
-func TestOperatorsKey(t *testing.T) {
+func TestOperatorKeyIsRequired(t *testing.T) {
 	const key = "a-key-of-16-letters-or-more"
 	for _, x := range []struct {
 		set, shown string
--- a/internal/control/operatorapi/moves.go
+++ b/internal/control/operatorapi/moves.go
@@ -13,10 +13,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// moves reads all entries of the calendar, shard by shard, each by majority.
-func (s *Server) moves(ctx context.Context) ([]*wire.Document, error) {
+// readCalendar reads all entries of the calendar, shard by shard, each by majority.
+func (s *Server) readCalendar(ctx context.Context) ([]*wire.Document, error) {
 	var l []*wire.Document
-	for p := range uint32(controlclient.Shards) {
+	for p := range uint32(controlclient.ShardCount) {
 		t, err := s.control.Read(ctx, &wire.ReadRequest{Shard: p, Key: "calendar/", Prefix: true})
 		if err != nil {
 			return nil, errs.Wrap(err, "read calendar")
@@ -30,7 +30,7 @@
 //
 // Example: GET /v1/calendar
 func (s *Server) ListMoves(ctx context.Context) (*operator.Moves, error) {
-	ds, err := s.moves(ctx)
+	ds, err := s.readCalendar(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -46,12 +46,12 @@
 //
 // Example: POST /v1/calendar {"move": {"name": "spring", "service": "lector-main", "kind": "weights", "model": "lector", "weights": 4}}
 func (s *Server) WriteMove(ctx context.Context, q *operator.NewMove) (*operator.Changed, error) {
-	e, err := calendar.Read(q.Move)
+	e, err := calendar.Decode(q.Move)
 	if err != nil {
 		return nil, err
 	}
-	e.State, e.Why, e.Steps, e.Step = calendar.Planned, "", nil, 0
-	ds, err := s.moves(ctx)
+	e.State, e.Reason, e.Steps, e.CurrentStep = calendar.StatePlanned, "", nil, 0
+	ds, err := s.readCalendar(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 	var others []*calendar.Entry
 	old := uint64(0)
 	for _, x := range ds {
-		o, err := calendar.Read(x.Body)
+		o, err := calendar.Decode(x.Body)
 		if b.Note(x.Key, err); err != nil {
 			continue
 		}
@@ -72,15 +72,15 @@
 		}
 		others = append(others, o)
 	}
-	b.Note("calendar", e.Clash(others))
+	b.Note("calendar", e.ConflictWith(others))
 	if err := b.Look(); err != nil {
 		return nil, err
 	}
-	return s.putMove(ctx, e, old, q.Dry.Or(false))
+	return s.putEntry(ctx, e, old, q.Dry.Or(false))
 }
 
-func (s *Server) putMove(ctx context.Context, e *calendar.Entry, epoch uint64, dry bool) (*operator.Changed, error) {
-	body, err := e.Write()
+func (s *Server) putEntry(ctx context.Context, e *calendar.Entry, epoch uint64, dry bool) (*operator.Changed, error) {
+	body, err := e.Encode()
 	if err != nil {
 		return nil, err
 	}
@@ -106,14 +106,14 @@
 		if len(t.Documents) == 0 {
 			return nil, errs.New(errs.NotFound, "service %q has no entry %q", q.Service, q.Name)
 		}
-		e, err := calendar.Read(t.Documents[0].Body)
+		e, err := calendar.Decode(t.Documents[0].Body)
 		if err != nil {
 			return nil, err
 		}
-		if err := e.Ask(string(q.Verb)); err != nil {
+		if err := e.Request(string(q.Verb)); err != nil {
 			return nil, err
 		}
-		c, err := s.putMove(ctx, e, t.Documents[0].Version, false)
+		c, err := s.putEntry(ctx, e, t.Documents[0].Version, false)
 		if errs.KindOf(err) != errs.Conflict || err == nil {
 			return c, err
 		}
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -13,10 +13,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// retirements reads all retirements, shard by shard, each by majority.
-func (s *Server) retirements(ctx context.Context) ([]*wire.Document, error) {
+// readRetirements reads all retirements, shard by shard, each by majority.
+func (s *Server) readRetirements(ctx context.Context) ([]*wire.Document, error) {
 	var l []*wire.Document
-	for p := range uint32(controlclient.Shards) {
+	for p := range uint32(controlclient.ShardCount) {
 		t, err := s.control.Read(ctx, &wire.ReadRequest{Shard: p, Key: "retire/", Prefix: true})
 		if err != nil {
 			return nil, errs.Wrap(err, "read retirements")
@@ -30,7 +30,7 @@
 //
 // Example: GET /v1/retirements
 func (s *Server) ListRetirements(ctx context.Context) (*operator.Retirements, error) {
-	ds, err := s.retirements(ctx)
+	ds, err := s.readRetirements(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -50,14 +50,14 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &retire.Retirement{Name: r.Name, Service: r.Service, From: r.From, To: r.To, Replace: r.Replace, Shares: r.Shares, SoakS: r.SoakS,
-		AtOnce: r.AtOnce, AbortAt: r.AbortAt, State: retire.Planned}
-	ds, err := s.retirements(ctx)
+	x := &retire.Retirement{Name: r.Name, Service: r.Service, OldBase: r.OldBase, NewBase: r.NewBase, Replacements: r.Replacements, TrafficPercents: r.TrafficPercents, SoakSeconds: r.SoakSeconds,
+		MaxConcurrent: r.MaxConcurrent, AbortFailureRatio: r.AbortFailureRatio, State: retire.StatePlanned}
+	ds, err := s.readRetirements(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var b errs.Batch
-	x.Check(&b)
+	x.Validate(&b)
 	var others []*retire.Retirement
 	old := uint64(0)
 	for _, y := range ds {
@@ -73,7 +73,7 @@
 		}
 		others = append(others, o)
 	}
-	b.Note("retirement", x.ConflictWith(others))
+	b.Note("retirement", x.CheckConflicts(others))
 	b.Note("retirement", s.checkAgainstConfig(ctx, x))
 	if err := b.Look(); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 		return err
 	}
 	var b errs.Batch
-	r.CheckConfig(config, &b)
+	r.ValidateConfig(config, &b)
 	return b.Look()
 }
 
@@ -125,19 +125,19 @@
 			return nil, err
 		}
 		was := r.State
-		if err := r.Request(string(q.Verb)); err != nil {
+		if err := r.ApplyVerb(string(q.Verb)); err != nil {
 			return nil, err
 		}
 		if r.State == was {
 			return &operator.Changed{Epoch: int64(t.Documents[0].Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(r.State)}, nil
 		}
-		if was == retire.Planned && r.State == retire.Running {
+		if was == retire.StatePlanned && r.State == retire.StateRunning {
 			if err := s.checkAgainstConfig(ctx, r); err != nil {
 				return nil, err
 			}
 		}
 		c, err := s.putRetirement(ctx, r, t.Documents[0].Version, false)
-		if errs.KindOf(err) != errs.Conflict || err == nil || was == retire.Planned {
+		if errs.KindOf(err) != errs.Conflict || err == nil || was == retire.StatePlanned {
 			return c, err
 		}
 		last = err
@@ -146,8 +146,8 @@
 }
 
 // checkRetirements reports retirements that need an operator, and what blocks them.
-func (s *Server) checkRetirements(ctx context.Context, f *problems) {
-	ds, err := s.retirements(ctx)
+func (s *Server) checkRetirements(ctx context.Context, f *problemList) {
+	ds, err := s.readRetirements(ctx)
 	if err != nil {
 		f.add("retirements-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-gone")
 		return
@@ -157,12 +157,12 @@
 		if err != nil || !r.Active() {
 			continue
 		}
-		if r.State == retire.Paused {
-			f.add("retirement-paused", r.Service+"/"+r.Name, r.Why, "find out why, then resume or abort it", "retirement-held")
+		if r.State == retire.StatePaused {
+			f.add("retirement-paused", r.Service+"/"+r.Name, r.Reason, "find out why, then resume or abort it", "retirement-held")
 		}
 		for _, h := range r.Blockers {
-			if h.Stuck {
-				f.add("retirement-held", r.Service+"/"+r.Name, h.Node+": "+h.Why, h.Remedy, "retirement-held")
+			if h.NeedsOperator {
+				f.add("retirement-held", r.Service+"/"+r.Name, h.Node+": "+h.Reason, h.Remedy, "retirement-held")
 			}
 		}
 	}
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -40,7 +40,7 @@
 //
 // Example: err := operatorapi.Serve(process, control, member.View, clients)
 func Serve(process *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients) error {
-	s := &Server{ctl, view, calls, process.Place.Bounds, controlclient.SetupKey}
+	s := &Server{ctl, view, calls, process.Place.Bounds, controlclient.ConfigKey}
 	api, err := operator.NewServer(s)
 	if err != nil {
 		return errs.Wrap(err, "operator API")
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	config, err := serviceconfig.Read(doc.Body)
+	config, err := serviceconfig.Decode(doc.Body)
 	return doc, config, errs.Wrap(err, "read service configuration")
 }
 
@@ -205,7 +205,7 @@
 
 // firstResponding returns the first node of a role, by name, that answers.
 func (s *Server) firstResponding(role string, ask func(addr string) error) (string, error) {
-	for _, n := range s.view().Role(role) {
+	for _, n := range s.view().WithRole(role) {
 		if n.State == clustermembership.Alive && ask(n.Addr) == nil {
 			return n.Name, nil
 		}
@@ -310,7 +310,7 @@
 
 // addExplanations adds what each edge machine knows of a request, and counts the silent ones.
 func (s *Server) addExplanations(ctx context.Context, request string, l *operator.Explained) (silent int) {
-	for _, n := range s.view().Role(clustermembership.RoleNodeAgent) {
+	for _, n := range s.view().WithRole(clustermembership.RoleNodeAgent) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/24))
 		t, err := s.clients.NodeAgent(n.Addr).Explain(one, &wire.ExplainRequest{RequestId: request})
 		end()
@@ -333,11 +333,11 @@
 	if err != nil {
 		return nil, err
 	}
-	t, ok := config.Resolve(config.Routes[q.Model].AnsweredBy(q.Model))
+	t, ok := config.Resolve(config.Routes[q.Model].DefaultTarget(q.Model))
 	if !ok {
 		return nil, errs.New(errs.NoModel, "model %q", q.Model)
 	}
-	es := prefix.Chain(config.Domain(q.Tenant), prefix.Under(t.Model, t.Adapter, t.Build), t.Weights, q.Parts)
+	es := prefix.Chain(config.CacheDomain(q.Tenant), prefix.QualifiedModel(t.Model, t.Adapter, t.Build), t.Weights, q.Parts)
 	var ks []prefix.Key
 	for _, e := range es {
 		ks = append(ks, e.Key)
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -39,7 +39,7 @@
 //
 // Example: err := operatorapi.ServeSite(process, control, member.View, clients, codec.Read)
 func ServeSite(process *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients, read func([]byte) (*routingconfig.Plan, error)) error {
-	s := &siteServer{&Server{ctl, view, calls, process.Place.Bounds, routingconfig.Key}, process.Place.Site, clustermembership.RoleControlNode + "/" + process.Place.Name, read}
+	s := &siteServer{&Server{ctl, view, calls, process.Place.Bounds, routingconfig.DocumentKey}, process.Place.Site, clustermembership.RoleControlNode + "/" + process.Place.Name, read}
 	api := sync.OnceValues(func() (http.Handler, error) {
 		handler, err := operator.NewServer(s)
 		return http.MaxBytesHandler(handler, 2*serviceconfig.MaxBytes), err
@@ -161,7 +161,7 @@
 		if err != nil {
 			return nil, errs.Wrap(err, x.Key)
 		}
-		for _, id := range p.Rolling {
+		for _, id := range p.Cordoned {
 			state.setAside[id] = true
 		}
 	}
--- a/internal/control/operatorapi/sitestatus.go
+++ b/internal/control/operatorapi/sitestatus.go
@@ -27,14 +27,14 @@
 //
 // Example: GET /v1/status
 func (s *siteServer) GetStatus(ctx context.Context) (*operator.Status, error) {
-	f := &problems{list: []operator.StatusProblemsItem{}}
+	f := &problemList{items: []operator.StatusProblemsItem{}}
 	status := &operator.Status{Parts: []operator.StatusPartsItem{}, Facts: []operator.StatusFactsItem{}}
 	fact := func(name, format string, a ...any) {
 		status.Facts = append(status.Facts, operator.StatusFactsItem{Name: name, Value: fmt.Sprintf(format, a...)})
 	}
 	view := s.view()
 	for _, n := range view.Nodes {
-		if n.State == clustermembership.Gone {
+		if n.State == clustermembership.Dead {
 			book := "edge-gone"
 			if n.Role != clustermembership.RoleNodeAgent {
 				book = "core-gone"
@@ -47,7 +47,7 @@
 	if hasLeader { // without a leader a read would wait in vain
 		s.checkDocuments(ctx, view, f, fact)
 	}
-	status.Problems, status.Ok = f.list, len(f.list) == 0
+	status.Problems, status.Ok = f.items, len(f.items) == 0
 	return status, nil
 }
 
@@ -57,7 +57,7 @@
 	defer end()
 	var l []controlNode
 	var all sync.WaitGroup
-	for _, n := range view.Role(clustermembership.RoleControlNode) {
+	for _, n := range view.WithRole(clustermembership.RoleControlNode) {
 		l = append(l, controlNode{node: n})
 	}
 	for i := range l {
@@ -89,7 +89,7 @@
 func (s *siteServer) readGroup(ctx context.Context, view clustermembership.View) *groupView {
 	g := &groupView{nodes: s.queryControlNodes(ctx, view), incarnations: map[string]string{}, nodeNames: map[string]string{}}
 	for _, n := range view.Nodes {
-		if n.Role == clustermembership.RoleControlNode && (g.nodeNames[n.Addr] == "" || n.State != clustermembership.Gone) { // the address may have been reused
+		if n.Role == clustermembership.RoleControlNode && (g.nodeNames[n.Addr] == "" || n.State != clustermembership.Dead) { // the address may have been reused
 			g.nodeNames[n.Addr] = n.Name
 		}
 	}
@@ -109,19 +109,19 @@
 
 // nameOf is the name of a member's node; the member itself if that isn't known.
 func (g *groupView) nameOf(member string) string {
-	if n := g.nodeNames[controlclient.Addr(member)]; n != "" {
+	if n := g.nodeNames[controlclient.MemberAddr(member)]; n != "" {
 		return n
 	}
 	return member
 }
 
-// hears reports whether a node at an address is in the cluster membership.
-func (g *groupView) hears(addr string) bool {
+// hasNodeAt reports whether a node at an address is in the cluster membership.
+func (g *groupView) hasNodeAt(addr string) bool {
 	return slices.ContainsFunc(g.nodes, func(x controlNode) bool { return x.node.Addr == addr })
 }
 
 // checkGroup reports the state of the consensus group, and whether one of the responding members leads it.
-func (s *siteServer) checkGroup(ctx context.Context, view clustermembership.View, report *operator.Status, f *problems, fact func(string, string, ...any)) (hasLeader bool) {
+func (s *siteServer) checkGroup(ctx context.Context, view clustermembership.View, report *operator.Status, f *problemList, fact func(string, string, ...any)) (hasLeader bool) {
 	g := s.readGroup(ctx, view)
 	for _, x := range g.nodes {
 		hasLeader = g.checkNode(x, report, f) || hasLeader
@@ -137,7 +137,7 @@
 }
 
 // checkNode reports the state of one control node, and whether it leads.
-func (g *groupView) checkNode(x controlNode, report *operator.Status, f *problems) (leads bool) {
+func (g *groupView) checkNode(x controlNode, report *operator.Status, f *problemList) (leads bool) {
 	name := x.node.Name
 	if x.status == nil || x.membership == nil {
 		f.add("core-silent", name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
@@ -159,16 +159,16 @@
 }
 
 // checkMembers reports members that are gone or lost their disk.
-func (g *groupView) checkMembers(f *problems, fact func(string, string, ...any)) {
+func (g *groupView) checkMembers(f *problemList, fact func(string, string, ...any)) {
 	var names []string
 	for _, m := range g.members {
-		addr := controlclient.Addr(m)
+		addr := controlclient.MemberAddr(m)
 		incarnation, answers := g.incarnations[addr]
 		names = append(names, g.nameOf(m))
 		switch {
 		case answers && incarnation != m:
 			f.add("member-blank", g.nameOf(m), "it came back without its disk", "wait until it is added again; else see that the others reach it", "disk-lost")
-		case !answers && !g.hears(addr):
+		case !answers && !g.hasNodeAt(addr):
 			f.add("member-gone", g.nameOf(m), "a member whose machine isn't there", "start it again; else wait until a spare takes its place", "core-gone")
 		}
 	}
@@ -176,19 +176,19 @@
 }
 
 // checkIndex reports the index nodes.
-func (s *siteServer) checkIndex(view clustermembership.View, f *problems, fact func(string, string, ...any)) {
+func (s *siteServer) checkIndex(view clustermembership.View, f *problemList, fact func(string, string, ...any)) {
 	var serving []string
 	for _, n := range promptindex.ServingNodes(view.Nodes) {
 		serving = append(serving, n.Name)
 	}
-	fact("index nodes", "%d, serving: %s", len(view.Role(clustermembership.RolePromptIndex)), strings.Join(serving, " "))
+	fact("index nodes", "%d, serving: %s", len(view.WithRole(clustermembership.RolePromptIndex)), strings.Join(serving, " "))
 	if len(serving) == 0 {
 		f.add("index-none", "site", "no index node is reachable: requests are routed without it", "start the index on the core machines", "core-gone")
 	}
 }
 
 // checkDocuments reports the documents in force.
-func (s *siteServer) checkDocuments(ctx context.Context, view clustermembership.View, f *problems, fact func(string, string, ...any)) {
+func (s *siteServer) checkDocuments(ctx context.Context, view clustermembership.View, f *problemList, fact func(string, string, ...any)) {
 	x, _, err := s.readDocument(ctx, s.configKey)
 	if err != nil { // then nothing else can be read either
 		f.add("plan-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-split")
@@ -203,7 +203,7 @@
 }
 
 // checkControllers reports who holds the site's leases, and the state of the workers.
-func (s *siteServer) checkControllers(ctx context.Context, view clustermembership.View, f *problems, fact func(string, string, ...any)) {
+func (s *siteServer) checkControllers(ctx context.Context, view clustermembership.View, f *problemList, fact func(string, string, ...any)) {
 	w, err := s.readWorkers(ctx)
 	if err != nil {
 		f.add("workers-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-split")
@@ -213,7 +213,7 @@
 	for _, l := range w.leases {
 		m, _, _ := strings.Cut(l.Holder, "/")
 		fact("duties of the "+l.Name, "%s, fence %d", l.Holder, l.Fence)
-		for _, n := range view.Role(clustermembership.RolePromptIndex) {
+		for _, n := range view.WithRole(clustermembership.RolePromptIndex) {
 			held = held || m != "" && n.Name == clustermembership.RolePromptIndex+"/"+m && n.State == clustermembership.Alive
 		}
 	}
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -14,18 +14,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// problems collects what is wrong.
-type problems struct{ list []operator.StatusProblemsItem }
+// problemList collects what is wrong.
+type problemList struct{ items []operator.StatusProblemsItem }
 
-func (f *problems) add(kind, where, text, remedy, book string) {
-	f.list = append(f.list, operator.StatusProblemsItem{Kind: kind, Where: where, Text: text, Remedy: remedy, Runbook: book})
+func (f *problemList) add(kind, where, text, remedy, book string) {
+	f.items = append(f.items, operator.StatusProblemsItem{Kind: kind, Where: where, Text: text, Remedy: remedy, Runbook: book})
 }
 
 // GetStatus checks everything and reports what is wrong, with remedies.
 //
 // Example: GET /v1/status
 func (s *Server) GetStatus(ctx context.Context) (*operator.Status, error) {
-	f := &problems{list: []operator.StatusProblemsItem{}}
+	f := &problemList{items: []operator.StatusProblemsItem{}}
 	status := &operator.Status{Parts: []operator.StatusPartsItem{}}
 	if l, err := s.ListNodes(ctx); err != nil {
 		f.add("nodes-unknown", "site", err.Error(), "see whether any core machine runs", "core-gone")
@@ -46,24 +46,24 @@
 	} else {
 		checkWorkers(snap, f)
 	}
-	if ds, err := s.moves(ctx); err != nil {
+	if ds, err := s.readCalendar(ctx); err != nil {
 		f.add("calendar-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-gone")
 	} else {
 		for _, x := range ds {
-			if e, err := calendar.Read(x.Body); err == nil && e.State == calendar.Paused {
-				f.add("move-paused", e.Service+"/"+e.Name, e.Why, "find out why, then resume or undo it", "move-paused")
+			if e, err := calendar.Decode(x.Body); err == nil && e.State == calendar.StatePaused {
+				f.add("move-paused", e.Service+"/"+e.Name, e.Reason, "find out why, then resume or undo it", "move-paused")
 			}
 		}
 	}
 	s.checkRetirements(ctx, f)
-	status.Problems, status.Ok = f.list, len(f.list) == 0
+	status.Problems, status.Ok = f.items, len(f.items) == 0
 	return status, nil
 }
 
 // checkShards asks every control node for its status.
-func (s *Server) checkShards(ctx context.Context, report *operator.Status, f *problems) {
+func (s *Server) checkShards(ctx context.Context, report *operator.Status, f *problemList) {
 	hasLeader := map[uint32]bool{}
-	for _, n := range s.view().Role(clustermembership.RoleControlNode) {
+	for _, n := range s.view().WithRole(clustermembership.RoleControlNode) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		t, err := s.clients.ControlNode(n.Addr).Status(one, &wire.StatusRequest{})
 		end()
@@ -90,14 +90,14 @@
 				Last: int64(p.LastIndex), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
 		}
 	}
-	for p := range uint32(controlclient.Shards) {
+	for p := range uint32(controlclient.ShardCount) {
 		if !hasLeader[p] {
 			f.add("part-unowned", fmt.Sprintf("shard %d", p), "no responding core machine is its leader", "see that two of its three members run and reach each other", "core-split")
 		}
 	}
 }
 
-func checkWorkers(snap *updatestream.Snapshot, f *problems) {
+func checkWorkers(snap *updatestream.Snapshot, f *problemList) {
 	if snap.Config == nil {
 		f.add("no-setup", "site", "no service configuration is in force", "apply one: desk setup apply --file …", "setup-wrong")
 	}
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -14,18 +14,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// usage is what all proxies together have seen recently.
+// collectUsage is what all proxies together have seen recently.
 type usage struct {
-	links      []*wire.LinkThroughput
-	ok, failed map[string]float64 // by worker
+	links             []*wire.LinkThroughput
+	succeeded, failed map[string]float64 // by worker
 }
 
-// queryAll calls all nodes of a role at once with a short timeout, and passes their responses on one
+// queryRole calls all nodes of a role at once with a short timeout, and passes their responses on one
 // by one. A node that doesn't answer is left out and delays no other.
-func queryAll[T any](c *Controller, role string, ask func(ctx context.Context, addr string) (T, error), take func(T)) {
+func queryRole[T any](c *Controller, role string, ask func(ctx context.Context, addr string) (T, error), take func(T)) {
 	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(1.0/48))
 	defer end()
-	ns := c.members.View().Role(role)
+	ns := c.members.View().WithRole(role)
 	got := make(chan T, len(ns))
 	var wg sync.WaitGroup
 	room := make(chan struct{}, 16)
@@ -45,11 +45,11 @@
 	}
 }
 
-// usage adds up what the node agents report of their proxies.
-func (c *Controller) usage() usage {
-	all := usage{ok: map[string]float64{}, failed: map[string]float64{}}
+// collectUsage adds up what the node agents report of their proxies.
+func (c *Controller) collectUsage() usage {
+	all := usage{succeeded: map[string]float64{}, failed: map[string]float64{}}
 	sum := map[string]*wire.LinkThroughput{}
-	queryAll(c, clustermembership.RoleNodeAgent, func(ctx context.Context, addr string) (*wire.FeedResponse, error) {
+	queryRole(c, clustermembership.RoleNodeAgent, func(ctx context.Context, addr string) (*wire.FeedResponse, error) {
 		return c.clients.NodeAgent(addr).Feed(ctx, &wire.FeedRequest{})
 	}, func(t *wire.FeedResponse) {
 		for _, l := range t.Links {
@@ -62,24 +62,24 @@
 			s.Tokens, s.ElapsedNs = s.Tokens+l.Tokens, s.ElapsedNs+l.ElapsedNs
 		}
 		for _, w := range t.Workers {
-			all.ok[w.Name] += w.Successes
+			all.succeeded[w.Name] += w.Successes
 			all.failed[w.Name] += w.Failures
 		}
 	})
 	return all
 }
 
-// wallClock is the median of the core machines' clocks, if a majority reports: one machine's clock
+// medianWallClock is the median of the core machines' clocks, if a majority reports: one machine's clock
 // that jumps moves nothing.
-func (c *Controller) wallClock() time.Time {
+func (c *Controller) medianWallClock() time.Time {
 	var l []int64
-	queryAll(c, clustermembership.RoleControlNode, func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
+	queryRole(c, clustermembership.RoleControlNode, func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
 		return c.clients.ControlNode(addr).Time(ctx, &wire.TimeRequest{})
 	}, func(t *wire.TimeResponse) { l = append(l, t.WallNs) })
-	return median(l, len(c.process.Place.Core))
+	return majorityMedian(l, len(c.process.Place.Core))
 }
 
-func median(l []int64, of int) time.Time {
+func majorityMedian(l []int64, of int) time.Time {
 	if 2*len(l) <= of {
 		return time.Time{}
 	}
@@ -92,76 +92,76 @@
 // configuration's version: a holder that comes late changes nothing.
 func (c *Controller) stepCalendar(svc *serviceController, s *updatestream.Snapshot, name string) error {
 	shard := controlclient.ShardOf(name)
-	t, err := c.control.Read(c.process.Ctx, &wire.ReadRequest{Shard: shard, Key: "calendar/" + name + "/", Prefix: true})
+	t, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: shard, Key: "calendar/" + name + "/", Prefix: true})
 	if err != nil {
 		return errs.Wrap(err, "read calendar")
 	}
 	var b errs.Batch
-	lately := sync.OnceValue(c.usage) // at most once a step, and only when a move needs it
+	lately := sync.OnceValue(c.collectUsage) // at most once a step, and only when a move needs it
 	for _, doc := range t.Documents {
-		e, err := calendar.Read(doc.Body)
-		if b.Note(doc.Key, err); err != nil || !e.Active() || e.State == calendar.Paused {
+		e, err := calendar.Decode(doc.Body)
+		if b.Note(doc.Key, err); err != nil || !e.Active() || e.State == calendar.StatePaused {
 			continue
 		}
-		w := c.calendarWorld(s, name, e, lately)
+		w := c.observeCalendar(s, name, e, lately)
 		w.EntryVersion = doc.Version
-		next, move, changed := svc.calendar.Next(e, w)
+		next, move, changed := svc.calendarPacer.Next(e, w)
 		if move.Patch != nil {
-			if _, ok := svc.lease.Held(); !ok {
+			if _, ok := svc.lease.FencingToken(); !ok {
 				return b.Look()
 			}
-			put := &wire.Put{Key: controlclient.SetupKey, Body: move.Patch, IfVersion: w.Version, Token: move.Token}
-			_, err := c.control.Change(c.process.Ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+			put := &wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: w.ConfigVersion, Token: move.Token}
+			_, err := c.store.Change(c.process.Ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			if errs.KindOf(err) == errs.BadInput && err != nil { // an operator must correct it
 				next = e
-				next.State, next.Why, changed = calendar.Paused, "stopped: "+err.Error(), true
+				next.State, next.Reason, changed = calendar.StatePaused, "stopped: "+err.Error(), true
 			} else if err != nil {
 				b.Note("move of "+e.Name, err)
 				continue
 			} else {
-				next, changed = calendar.Acted(e), true
+				next, changed = calendar.RecordAction(e), true
 			}
 		}
 		if changed {
-			b.Note("write "+e.Name, c.writeEntry(svc, shard, doc, next))
+			b.Note("write "+e.Name, c.writeCalendarEntry(svc, shard, doc, next))
 		}
 	}
 	return b.Look()
 }
 
-func (c *Controller) writeEntry(svc *serviceController, shard uint32, doc *wire.Document, e *calendar.Entry) error {
-	fence, ok := svc.lease.Held()
+func (c *Controller) writeCalendarEntry(svc *serviceController, shard uint32, doc *wire.Document, e *calendar.Entry) error {
+	fence, ok := svc.lease.FencingToken()
 	if !ok {
 		return nil
 	}
-	body, err := e.Write()
+	body, err := e.Encode()
 	if err != nil {
 		return err
 	}
 	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Name, Fence: fence, Holder: c.holder}
-	_, err = c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: shard, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	_, err = c.store.Change(c.process.Ctx, &wire.ChangeRequest{Shard: shard, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err == nil {
-		c.process.Log.Info("calendar", "entry", e.Name, "service", e.Service, "state", e.State, "step", e.Step, "why", e.Why)
+		c.process.Log.Info("calendar", "entry", e.Name, "service", e.Service, "state", e.State, "step", e.CurrentStep, "why", e.Reason)
 	}
 	return errs.Wrap(err, "write entry")
 }
 
-func (c *Controller) calendarWorld(s *updatestream.Snapshot, name string, e *calendar.Entry, lately func() usage) calendar.World {
-	w := calendar.World{Clock: c.clock.Now(), Version: s.ConfigVersion, Config: s.Config}
-	if e.State == calendar.Planned && e.At != "" {
-		w.Wall = c.wallClock()
+func (c *Controller) observeCalendar(s *updatestream.Snapshot, name string, e *calendar.Entry, lately func() usage) calendar.Observation {
+	w := calendar.Observation{Now: c.clock.Now(), ConfigVersion: s.ConfigVersion, Config: s.Config}
+	if e.State == calendar.StatePlanned && e.NotBefore != "" {
+		w.WallTime = c.medianWallClock()
 	}
 	all := lately()
 	for _, x := range s.Workers {
 		if x.Service != name {
-			if e.Kind == calendar.Handover && x.Service == e.To { // the new service's failures stop it too
-				w.Ok, w.Bad = w.Ok+all.ok[x.Name], w.Bad+all.failed[x.Name]
+			if e.Kind == calendar.KindHandover && x.Service == e.ToService { // the new service's failures stop it too
+				w.Succeeded, w.Failed = w.Succeeded+all.succeeded[x.Name], w.Failed+all.failed[x.Name]
 			}
 			continue
 		}
 		w.Workers = append(w.Workers, calendar.Worker{Name: x.Name, Incarnation: x.Incarnation, Weights: x.Weights,
-			Up: x.State == updatestream.WorkerUp, Here: x.State < updatestream.WorkerGone, Busy: int(x.Busy)})
-		w.Ok, w.Bad = w.Ok+all.ok[x.Name], w.Bad+all.failed[x.Name]
+			AcceptsRequests: x.State == updatestream.WorkerUp, Reachable: x.State < updatestream.WorkerGone, Busy: int(x.Busy)})
+		w.Succeeded, w.Failed = w.Succeeded+all.succeeded[x.Name], w.Failed+all.failed[x.Name]
 	}
 	return w
 }
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -19,14 +19,14 @@
 }
 
 func testInputs(f ...float64) Inputs {
-	return Inputs{Service: "s", Mode: "hrcs", Alpha: 0.5, Workers: []string{"a", "b", "c", "d"}, Room: 1 << 20, Hot: hotEntries(f...), Curve: placement.Curve{C: []float64{0, 40}}}
+	return Inputs{Service: "s", Mode: "hrcs", FetchTolerance: 0.5, Workers: []string{"a", "b", "c", "d"}, CapacityTokens: 1 << 20, HotEntries: hotEntries(f...), PrefillCurve: placement.Curve{Coefficients: []float64{0, 40}}}
 }
 
 // By hand: 1000 shared tokens a request take 40 ms; B is the starting 50000 tokens a
 // second; α·t·B·(N−1)/(S·N) = 0.5·0.04·50000·3/(1000·4) = 0.75. The scan stops at 0.25.
 func TestComputeByHand(t *testing.T) {
 	p := Compute(testInputs(50, 30, 20), nil)
-	if p.RMax < 0.7499 || p.RMax > 0.7501 || len(p.Replicated) != 1 || p.Replicated[0] != "00" || p.MeanLen != 1000 {
+	if p.RMax < 0.7499 || p.RMax > 0.7501 || len(p.Replicated) != 1 || p.Replicated[0] != "00" || p.MeanSharedTokens != 1000 {
 		t.Errorf("%+v", p)
 	}
 	f := testInputs(50, 30, 20)
@@ -35,7 +35,7 @@
 		t.Errorf("links seen to be slow, the store's left out: R_max %v, %d replicated", p.RMax, len(p.Replicated))
 	}
 	f = testInputs(50, 30, 20)
-	f.Alpha, f.Room = 0.01, 4500
+	f.FetchTolerance, f.CapacityTokens = 0.01, 4500
 	if p = Compute(f, nil); len(p.Replicated) != 2 {
 		t.Errorf("half of 4500 tokens of room hold %d entries of 1000", len(p.Replicated))
 	}
@@ -43,7 +43,7 @@
 	if p = Compute(f, nil); p.RMax != 0 {
 		t.Errorf("one worker: R_max %v", p.RMax)
 	}
-	if p = Compute(testInputs(), nil); len(p.Replicated) != 0 || p.Ratio != 0 {
+	if p = Compute(testInputs(), nil); len(p.Replicated) != 0 || p.ReplicatedRatio != 0 {
 		t.Errorf("no accesses: %+v", p)
 	}
 }
@@ -51,7 +51,7 @@
 // Counts that swing round the edge of the set don't make it flap.
 func TestReplicatedSetDoesntFlap(t *testing.T) {
 	f := testInputs(40, 30, 16, 14)
-	f.Alpha = 0.15 // R_max 0.225: three of four
+	f.FetchTolerance = 0.15 // R_max 0.225: three of four
 	p := Compute(f, nil)
 	if len(p.Replicated) != 3 {
 		t.Fatalf("%+v", p)
@@ -63,12 +63,12 @@
 			x, y = 14, 16
 		}
 		g := f
-		g.Hot = hotEntries(40, 30, x, y)
+		g.HotEntries = hotEntries(40, 30, x, y)
 		n := Compute(g, p)
 		if fmt.Sprint(len(n.Replicated)) != fmt.Sprint(len(p.Replicated)) {
 			changes++
 		}
-		if _, swapped := Swap(n, g.Hot); swapped {
+		if _, swapped := SwapInBurst(n, g.HotEntries); swapped {
 			changes++
 		}
 		p = n
@@ -81,11 +81,11 @@
 func TestABurstSwapsIn(t *testing.T) {
 	p := Compute(testInputs(40, 30, 16, 14), nil)
 	n := len(p.Replicated)
-	q, changed := Swap(p, hotEntries(40, 30, 16, 90))
+	q, changed := SwapInBurst(p, hotEntries(40, 30, 16, 90))
 	if !changed || len(q.Replicated) != n || q.Replicated[0] != "03" {
 		t.Errorf("%v after %v", q.Replicated, p.Replicated)
 	}
-	if _, changed = Swap(q, hotEntries(40, 30, 16, 90)); changed {
+	if _, changed = SwapInBurst(q, hotEntries(40, 30, 16, 90)); changed {
 		t.Error("swapped again with nothing new")
 	}
 }
@@ -105,7 +105,7 @@
 		asideAt := map[string]time.Duration{}
 		for at := time.Duration(0); at < 30*time.Second; at += 500 * time.Millisecond {
 			if at == 4*time.Second {
-				r = &Rollout{Batch: r.Batch, SetAsideAt: at} // another holder goes on from the placement in force
+				r = &Rollout{Batch: r.Batch, CordonedAt: at} // another holder goes on from the placement in force
 			}
 			l, changed := r.Step(ws, 2, func(uint64) time.Duration { return at }, at, b)
 			if changed {
@@ -115,7 +115,7 @@
 			}
 			most = max(most, len(r.Batch))
 			for _, w := range l {
-				if at-asideAt[w.Name] < b.Heal(setAsideRatio) {
+				if at-asideAt[w.Name] < b.Heal(cordonRatio) {
 					t.Fatalf("%s was ordered %v after it was set aside", w.Name, at-asideAt[w.Name])
 				}
 				if orders[w.Name]++; w.Name != "w03" || orders[w.Name] > 2 {
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -29,31 +29,31 @@
 
 // Controller runs on every core machine; each service's lease is held by one of them.
 type Controller struct {
-	process  *daemon.Process
-	clock    clock.Clock
-	members  *clustermembership.Member
-	clients  *daemon.Clients
-	control  *controlclient.Client
-	backends *contract.Backends
-	holder   string
-	services map[string]*serviceController
-	updates  *updatestream.Follower
-	heldUp   sync.Map // service -> how many nodes block its retirement
+	process      *daemon.Process
+	clock        clock.Clock
+	members      *clustermembership.Member
+	clients      *daemon.Clients
+	store        *controlclient.Client
+	backends     *contract.Backends
+	holder       string
+	services     map[string]*serviceController
+	updates      *updatestream.Follower
+	blockedNodes sync.Map // service -> how many nodes block its retirement
 }
 
 // serviceController is the work on one service under its lease.
 type serviceController struct {
-	name         string
-	cancel       context.CancelFunc
-	lease        *controlclient.Lease
-	document     *wire.Document
-	placement    *placement.Placement
-	recomputedAt time.Duration // the last full computation
-	fence        uint64
-	rollout      Rollout
-	calendar     *calendar.Pacer
-	retirement   *retire.Planner
-	repairedAt   time.Duration // the last repair while nothing is being retired
+	name              string
+	cancel            context.CancelFunc
+	lease             *controlclient.Lease
+	document          *wire.Document
+	placement         *placement.Placement
+	recomputedAt      time.Duration // the last full computation
+	fencingToken      uint64
+	rollout           Rollout
+	calendarPacer     *calendar.Planner
+	retirementPlanner *retire.Planner
+	repairedAt        time.Duration // the last repair while nothing is being retired
 }
 
 // Start runs the controller.
@@ -65,10 +65,10 @@
 	c.holder = fmt.Sprintf("%s/%x", process.Place.Name, c.clock.Now())
 	c.members = clustermembership.Start(process.Ctx, process.Place, clustermembership.RolePlacementController, c.clock, process.Log, c.clients.Membership, nil)
 	view := func() clustermembership.View { return c.members.View() }
-	c.control = controlclient.New(process.Place.Core, view, c.clients, process.Place.Bounds)
+	c.store = controlclient.New(process.Place.Core, view, c.clients, process.Place.Bounds)
 	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, process.Place.Bounds.Heal(1.0/12), nil, updatestream.OnSeedsChanged(c.members.SetSeeds))
 	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", func() (v float64) {
-		c.heldUp.Range(func(_, n any) bool { v += float64(n.(int)); return true })
+		c.blockedNodes.Range(func(_, n any) bool { v += float64(n.(int)); return true })
 		return v
 	})
 	mux := http.NewServeMux()
@@ -83,7 +83,7 @@
 
 // nodeAgent returns any live node agent: workers are observed through it.
 func (c *Controller) nodeAgent() wire.NodeAgent {
-	for _, n := range c.members.View().Role(clustermembership.RoleNodeAgent) {
+	for _, n := range c.members.View().WithRole(clustermembership.RoleNodeAgent) {
 		if n.State == clustermembership.Alive {
 			return c.clients.NodeAgent(n.Addr)
 		}
@@ -107,14 +107,14 @@
 		if c.services[name] == nil && served[name] {
 			ctx, end := context.WithCancel(c.process.Ctx)
 			b := c.process.Place.Bounds
-			svc := &serviceController{name: name, cancel: end, lease: controlclient.NewLease(c.control, c.clock, "appraise/"+name, controlclient.ShardOf(name), c.holder, b.Heal(settings.LeasePart)), calendar: calendar.NewPacer(), retirement: retire.NewPlanner()}
+			svc := &serviceController{name: name, cancel: end, lease: controlclient.NewLease(c.store, c.clock, "appraise/"+name, controlclient.ShardOf(name), c.holder, b.Heal(settings.LeasePart)), calendarPacer: calendar.NewPlanner(), retirementPlanner: retire.NewPlanner()}
 			c.services[name] = svc
-			c.repeat(ctx, func() {
+			c.runPeriodically(ctx, func() {
 				if err := svc.lease.Renew(ctx); err != nil {
 					c.process.Log.Debug("no lease", "service", name, "error", err)
 				}
 			})
-			c.repeat(ctx, func() { c.step(svc) })
+			c.runPeriodically(ctx, func() { c.reconcileService(svc) })
 		}
 	}
 	for name, svc := range c.services {
@@ -125,8 +125,8 @@
 	}
 }
 
-// repeat runs a step now and at every tick until ctx ends.
-func (c *Controller) repeat(ctx context.Context, step func()) {
+// runPeriodically runs a step now and at every tick until ctx ends.
+func (c *Controller) runPeriodically(ctx context.Context, step func()) {
 	c.process.Go(func() {
 		t := clock.NewTicker(c.process.Place.Bounds.Heal(1.0 / 24))
 		defer t.Stop()
@@ -140,18 +140,18 @@
 	})
 }
 
-// step is one step of a service's work.
-func (c *Controller) step(svc *serviceController) {
+// reconcileService is one step of a service's work.
+func (c *Controller) reconcileService(svc *serviceController) {
 	s := c.updates.Snapshot()
 	config, ok := s.Config.Services[svc.name]
-	fence, held := svc.lease.Held()
+	fence, held := svc.lease.FencingToken()
 	if !ok || !held {
 		svc.document = nil
 		return
 	}
-	if fence != svc.fence {
+	if fence != svc.fencingToken {
 		c.process.Log.Info("lease acquired", "service", svc.name, "fence", fence)
-		svc.fence, svc.document, svc.retirement = fence, nil, retire.NewPlanner()
+		svc.fencingToken, svc.document, svc.retirementPlanner = fence, nil, retire.NewPlanner()
 	}
 	var b errs.Batch
 	b.Note("roll out weights", c.stepRollout(svc, s, svc.name, config))
@@ -163,7 +163,7 @@
 	}
 }
 
-func languageWorkers(s *updatestream.Snapshot, name string) []*wire.Worker {
+func languageModelWorkers(s *updatestream.Snapshot, name string) []*wire.Worker {
 	var l []*wire.Worker
 	for _, w := range s.Workers {
 		if w.Service == name && w.Kind == "lm" && w.State < updatestream.WorkerDraining {
@@ -175,20 +175,20 @@
 
 // stepRollout advances the service to the named weights.
 func (c *Controller) stepRollout(svc *serviceController, s *updatestream.Snapshot, name string, config serviceconfig.Service) error {
-	ws := slices.DeleteFunc(languageWorkers(s, name), func(w *wire.Worker) bool { return w.Model != config.Model && w.Model != "" }) // others have another base model
+	ws := slices.DeleteFunc(languageModelWorkers(s, name), func(w *wire.Worker) bool { return w.Model != config.Model && w.Model != "" }) // others have another base model
 	seen := s.WeightsAt[config.Model]
 	now := c.clock.Now()
 	if svc.placement == nil {
 		return nil // the stored placement isn't read yet
 	}
-	svc.rollout.AllAtOnce = config.RollOut == "at-once"
+	svc.rollout.AllAtOnce = config.Rollout == "at-once"
 	since := func(w uint64) time.Duration { _, first, _ := seen.SupersededAt(w); return now - first }
 	order, changed := svc.rollout.Step(ws, seen.Version, since, now, c.process.Place.Bounds)
 	var b errs.Batch
 	b.Note("order", c.sendOrders(svc.lease, order, seen.Version))
 	if changed {
 		p := *svc.placement
-		p.Rolling, p.Why = svc.rollout.Batch, "weights are being rolled out"
+		p.Cordoned, p.Reason = svc.rollout.Batch, "weights are being rolled out"
 		b.Note("set aside", c.publishPlacement(svc, name, &p))
 	}
 	return b.Look()
@@ -203,7 +203,7 @@
 	got := make(chan error, len(ws))
 	for _, w := range ws {
 		go func() {
-			fence, ok := lease.Held()
+			fence, ok := lease.FencingToken()
 			if !ok {
 				got <- nil // another may hold it soon
 				return
@@ -222,7 +222,7 @@
 	now := c.clock.Now()
 	b := c.process.Place.Bounds
 	if svc.document == nil { // a new holder: resume from the stored placement
-		t, err := c.control.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: "placement/" + name})
+		t, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: "placement/" + name})
 		if err != nil {
 			return errs.Wrap(err, "read placement")
 		}
@@ -232,10 +232,10 @@
 			if svc.placement, err = placement.Read(svc.document.Body, svc.document.Version); err != nil {
 				return errs.Wrap(err, "stored placement")
 			}
-			svc.rollout = Rollout{Batch: svc.placement.Rolling, SetAsideAt: now}
+			svc.rollout = Rollout{Batch: svc.placement.Cordoned, CordonedAt: now}
 		}
 	}
-	ws := languageWorkers(s, name)
+	ws := languageModelWorkers(s, name)
 	if len(ws) == 0 {
 		return nil
 	}
@@ -243,21 +243,21 @@
 	var p *placement.Placement
 	changed := true
 	if names := workerNames(ws); svc.placement == nil || now-svc.recomputedAt > b.Heal(0.5) || !reflect.DeepEqual(names, svc.placement.Workers) || svc.placement.Mode != placementMode(config) {
-		f := Inputs{Service: name, Mode: placementMode(config), Alpha: config.Alpha, Workers: names, Hot: hot, Curve: placement.Default(), Links: c.usage().links}
-		if f.Alpha == 0 {
-			f.Alpha = 1
+		f := Inputs{Service: name, Mode: placementMode(config), FetchTolerance: config.FetchToPrefillRatio, Workers: names, HotEntries: hot, PrefillCurve: placement.Default(), Links: c.collectUsage().links}
+		if f.FetchTolerance == 0 {
+			f.FetchTolerance = 1
 		}
 		for _, w := range ws {
-			if f.Room == 0 || int(w.KvCapacity) < f.Room {
-				f.Room = int(w.KvCapacity)
+			if f.CapacityTokens == 0 || int(w.KvCapacity) < f.CapacityTokens {
+				f.CapacityTokens = int(w.KvCapacity)
 			}
 		}
 		p = Compute(f, svc.placement)
-		p.Rolling = svc.rollout.Batch
+		p.Cordoned = svc.rollout.Batch
 		svc.recomputedAt = now
-		changed = svc.placement == nil || !reflect.DeepEqual(p.Replicated, svc.placement.Replicated) || !reflect.DeepEqual(p.Workers, svc.placement.Workers) || p.Mode != svc.placement.Mode || math.Abs(p.Floor-svc.placement.Floor) > 0.25*svc.placement.Floor+0.05
+		changed = svc.placement == nil || !reflect.DeepEqual(p.Replicated, svc.placement.Replicated) || !reflect.DeepEqual(p.Workers, svc.placement.Workers) || p.Mode != svc.placement.Mode || math.Abs(p.AdmissionFloor-svc.placement.AdmissionFloor) > 0.25*svc.placement.AdmissionFloor+0.05
 	} else {
-		p, changed = Swap(svc.placement, hot)
+		p, changed = SwapInBurst(svc.placement, hot)
 	}
 	if !changed {
 		return nil
@@ -266,17 +266,17 @@
 }
 
 func (c *Controller) publishPlacement(svc *serviceController, name string, p *placement.Placement) error {
-	fence, ok := svc.lease.Held()
+	fence, ok := svc.lease.FencingToken()
 	if !ok {
 		return nil // the lease expired during the computation
 	}
-	p.Fence = fence
+	p.FencingToken = fence
 	body, err := json.Marshal(p)
 	if err != nil {
 		return errs.Wrap(err, "write placement")
 	}
 	put := &wire.Put{Key: "placement/" + name, Body: body, IfVersion: svc.document.Version, Lease: svc.lease.Name, Fence: fence, Holder: c.holder}
-	t, err := c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(name), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	t, err := c.store.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(name), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
 		svc.document = nil // read it again before the next attempt
 		return errs.Wrap(err, "publish placement")
@@ -284,7 +284,7 @@
 	p.Epoch = t.Version
 	svc.document, svc.placement = &wire.Document{Body: body, Version: t.Version}, p
 	c.process.Log.Info("placement", "service", name, "epoch", t.Version, "fence", fence, "replicated", len(p.Replicated),
-		"entries", p.Entries, "r_max", p.RMax, "b", p.B, "why", p.Why)
+		"entries", p.Entries, "r_max", p.RMax, "b", p.FetchBandwidth, "why", p.Reason)
 	return nil
 }
 
@@ -306,7 +306,7 @@
 // hotEntries gathers the hottest entries of all index nodes; two hold each, the higher count is used.
 func (c *Controller) hotEntries(service string) []*wire.HotPrefix {
 	var all []*wire.HottestResponse
-	queryAll(c, clustermembership.RolePromptIndex, func(ctx context.Context, addr string) (*wire.HottestResponse, error) {
+	queryRole(c, clustermembership.RolePromptIndex, func(ctx context.Context, addr string) (*wire.HottestResponse, error) {
 		return c.clients.PromptIndex(addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: 1000})
 	}, func(t *wire.HottestResponse) { all = append(all, t) })
 	return promptindex.MergeHot(all)
--- a/internal/control/placementcontroller/order_test.go
+++ b/internal/control/placementcontroller/order_test.go
@@ -36,7 +36,7 @@
 		ttl := b.Heal(settings.LeasePart)
 		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", ttl)
 		asked := clk.Now()
-		lease.Tell(asked, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
+		lease.HandleResponse(asked, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
 		var ws []*wire.Worker
 		for i := range 18 {
 			ws = append(ws, &wire.Worker{Name: fmt.Sprint("w", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1)})
--- a/internal/control/placementcontroller/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -23,13 +23,13 @@
 // proofDomain is the cache domain of proofs: no other request reads what they leave in a cache.
 const proofDomain = "retire"
 
-// repairRatio is the interval of repairs while nothing is being retired, as a ratio of the heal bound.
-const repairRatio = 1.0 / 6
+// repairIntervalRatio is the interval of repairs while nothing is being retired, as a ratio of the heal bound.
+const repairIntervalRatio = 1.0 / 6
 
 // activeRetirement reads the service's retirements and returns the active one with its document, or
 // else the base models that were retired before.
 func (c *Controller) activeRetirement(name string) (r *retire.Retirement, doc *wire.Document, gone []string, err error) {
-	t, err := c.control.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: retire.Key(name, ""), Prefix: true})
+	t, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: retire.Key(name, ""), Prefix: true})
 	if err != nil {
 		return nil, nil, nil, errs.Wrap(err, "read retirements")
 	}
@@ -38,11 +38,11 @@
 		if err != nil {
 			return nil, nil, nil, errs.Wrap(err, svc.Key)
 		}
-		if x.Active() && x.State != retire.Planned {
+		if x.Active() && x.State != retire.StatePlanned {
 			return x, svc, nil, nil
 		}
-		if x.State == retire.Done {
-			gone = append(gone, x.From)
+		if x.State == retire.StateDone {
+			gone = append(gone, x.OldBase)
 		}
 	}
 	return nil, nil, gone, nil
@@ -57,18 +57,18 @@
 		return err
 	}
 	if r == nil {
-		c.heldUp.Delete(name)
+		c.blockedNodes.Delete(name)
 		return c.repairWorkers(svc, s, name, gone)
 	}
-	c.heldUp.Store(name, r.Nodes-r.Ready)
-	if r.State == retire.Paused {
+	c.blockedNodes.Store(name, r.Nodes-r.Ready)
+	if r.State == retire.StatePaused {
 		return nil
 	}
-	t, err := c.control.Read(c.process.Ctx, &wire.ReadRequest{Key: controlclient.SetupKey})
+	t, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(t.Documents) == 0 {
 		return errs.Wrap(err, "read service configuration")
 	}
-	now, err := serviceconfig.Read(t.Documents[0].Body)
+	now, err := serviceconfig.Decode(t.Documents[0].Body)
 	if err != nil {
 		return errs.Wrap(err, "service configuration in force")
 	}
@@ -76,16 +76,16 @@
 	if err != nil || r == nil {
 		return err
 	}
-	w := retire.Observation{Version: doc.Version, Config: now, ConfigBound: c.process.Place.Bounds.Config(1)}
+	w := retire.Observation{Version: doc.Version, Config: now, MaxConfigAge: c.process.Place.Bounds.Config(1)}
 	var addr map[string]string
-	w.Nodes, addr, w.Listed = c.workerStates(name)
-	w.Clock = c.clock.Now()
-	all := c.usage()
+	w.Nodes, addr, w.WorkersListed = c.observeWorkers(name)
+	w.Now = c.clock.Now()
+	all := c.collectUsage()
 	for n := range addr {
-		w.Ok, w.Failed = w.Ok+all.ok[n], w.Failed+all.failed[n]
+		w.Succeeded, w.Failed = w.Succeeded+all.succeeded[n], w.Failed+all.failed[n]
 	}
-	next, acts, changed := svc.retirement.Next(r, w)
-	done, err := c.execute(svc, next, acts, t.Documents[0].Version, addr)
+	next, acts, changed := svc.retirementPlanner.Next(r, w)
+	done, err := c.executeActions(svc, next, acts, t.Documents[0].Version, addr)
 	var b errs.Batch
 	b.Note("act", err)
 	if changed || done {
@@ -98,21 +98,21 @@
 // being retired, and unloads what was retired.
 func (c *Controller) repairWorkers(svc *serviceController, s *updatestream.Snapshot, name string, gone []string) error {
 	now := c.clock.Now()
-	if len(s.Config.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < c.process.Place.Bounds.Heal(repairRatio) {
+	if len(s.Config.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < c.process.Place.Bounds.Heal(repairIntervalRatio) {
 		return nil
 	}
 	svc.repairedAt = now
-	nodes, addr, listed := c.workerStates(name)
+	nodes, addr, listed := c.observeWorkers(name)
 	if !listed {
 		return nil
 	}
-	_, err := c.execute(svc, nil, retire.Repair(s.Config, name, nodes, gone), 0, addr)
+	_, err := c.executeActions(svc, nil, retire.Repair(s.Config, name, nodes, gone), 0, addr)
 	return err
 }
 
-// workerStates asks the platform for the service's workers, and each of them for its state, all at
+// observeWorkers asks the platform for the service's workers, and each of them for its state, all at
 // once.
-func (c *Controller) workerStates(name string) (l []retire.Node, addr map[string]string, listed bool) {
+func (c *Controller) observeWorkers(name string) (l []retire.Node, addr map[string]string, listed bool) {
 	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(1.0/48))
 	defer end()
 	all, err := c.backends.List(ctx, c.process.Place.Rank)
@@ -131,8 +131,8 @@
 			st, err := c.backends.State(ctx, x.Addr)
 			n := retire.Node{Name: x.Name}
 			if err == nil && st.Name == x.Name {
-				n = retire.Node{Name: x.Name, Incarnation: st.Incarnation, Answers: true, Draining: st.Draining || x.Draining, Loaded: st.Holds(),
-					Loading: st.Loading, Room: st.Room, Free: st.Free}
+				n = retire.Node{Name: x.Name, Incarnation: st.Incarnation, Reachable: true, Draining: st.Draining || x.Draining, Loaded: st.Holds(),
+					Loading: st.Loading, MemoryMB: st.Room, FreeMB: st.Free}
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -143,10 +143,10 @@
 	return l, addr, true
 }
 
-// execute performs the actions, those on nodes all at once, and records in the retirement what was
+// executeActions performs the actions, those on nodes all at once, and records in the retirement what was
 // acknowledged; done reports whether there was any. The lease is checked right before each action, and
 // none may take longer than an order.
-func (c *Controller) execute(svc *serviceController, r *retire.Retirement, acts []retire.Action, version uint64, addr map[string]string) (done bool, err error) {
+func (c *Controller) executeActions(svc *serviceController, r *retire.Retirement, acts []retire.Action, version uint64, addr map[string]string) (done bool, err error) {
 	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(settings.OrderPart))
 	defer end()
 	var wg sync.WaitGroup
@@ -154,33 +154,33 @@
 	var b errs.Batch
 	for _, x := range acts {
 		wg.Go(func() {
-			fence, ok := svc.lease.Held()
+			fence, ok := svc.lease.FencingToken()
 			if !ok {
 				return // another machine may hold it soon
 			}
 			var err error
 			switch {
 			case x.Patch != nil:
-				put := &wire.Put{Key: controlclient.SetupKey, Body: x.Patch, IfVersion: version}
-				_, err = c.control.Change(ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+				put := &wire.Put{Key: controlclient.ConfigKey, Body: x.Patch, IfVersion: version}
+				_, err = c.store.Change(ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			case x.Order != nil:
 				x.Order.Fence, x.Order.Holder = fence, svc.lease.Holder
 				err = c.backends.Order(ctx, addr[x.Node], *x.Order)
 			default:
-				err = c.prove(ctx, r, x, addr[x.Node])
+				err = c.proveNode(ctx, r, x, addr[x.Node])
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case err != nil && x.Prove != nil:
-				svc.retirement.RecordFailedProof(x.Node, err.Error())
+			case err != nil && x.ProofSet != nil:
+				svc.retirementPlanner.RecordFailedProof(x.Node, err.Error())
 			case err != nil:
 				b.Note("retire "+x.Node, err)
 			case x.Patch != nil:
 				r.RecordPatch()
 				done = true
-			case x.Prove != nil:
-				r.RecordProof(x.Node, x.Incarnation, *x.Prove)
+			case x.ProofSet != nil:
+				r.RecordProof(x.Node, x.Incarnation, *x.ProofSet)
 				done = true
 			case r != nil && x.Order.Kind == "unload":
 				r.RecordUnload(x.Node, x.Order.Incarnation)
@@ -192,21 +192,21 @@
 	return done, b.Look()
 }
 
-// prove sends a node one real request under its base and each adapter, and checks every answer to its
+// proveNode sends a node one real request under its base and each adapter, and checks every answer to its
 // seal, which names the weights that answered.
-func (c *Controller) prove(ctx context.Context, r *retire.Retirement, x retire.Action, addr string) error {
-	for i, l := range append([]retire.AdapterBuild{{}}, x.Prove.Adapters...) {
-		s := contract.Start{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, c.clock.Now(), i), Domain: proofDomain, Model: x.Prove.Base, Weights: x.Prove.Weights,
+func (c *Controller) proveNode(ctx context.Context, r *retire.Retirement, x retire.Action, addr string) error {
+	for i, l := range append([]retire.AdapterBuild{{}}, x.ProofSet.Adapters...) {
+		s := contract.Start{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, c.clock.Now(), i), Domain: proofDomain, Model: x.ProofSet.Base, Weights: x.ProofSet.Weights,
 			Adapter: l.Name, Build: l.Build, Parts: []string{"proof"}, Pieces: 1, WaitMs: int(c.process.Place.Bounds.Heal(settings.OrderPart) / time.Millisecond), Incarnation: x.Incarnation}
-		if err := c.checkAnswer(ctx, addr, x.Node, s); err != nil {
-			return errs.Wrap(err, strings.TrimSpace("base model "+x.Prove.Base+" "+l.Name))
+		if err := c.verifyAnswer(ctx, addr, x.Node, s); err != nil {
+			return errs.Wrap(err, strings.TrimSpace("base model "+x.ProofSet.Base+" "+l.Name))
 		}
 	}
 	return nil
 }
 
-// checkAnswer sends one request and checks the answer to its seal.
-func (c *Controller) checkAnswer(ctx context.Context, addr, node string, s contract.Start) error {
+// verifyAnswer sends one request and checks the answer to its seal.
+func (c *Controller) verifyAnswer(ctx context.Context, addr, node string, s contract.Start) error {
 	g := c.backends.Begin(ctx, addr, s, nil)
 	if g.Err != nil {
 		return g.Err
@@ -232,7 +232,7 @@
 }
 
 func (c *Controller) writeRetirement(svc *serviceController, doc *wire.Document, was, r *retire.Retirement) error {
-	fence, ok := svc.lease.Held()
+	fence, ok := svc.lease.FencingToken()
 	if !ok {
 		return nil
 	}
@@ -241,13 +241,13 @@
 		return err
 	}
 	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Name, Fence: fence, Holder: c.holder}
-	_, err = c.control.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
-	if err == nil && (was.State != r.State || was.Phase != r.Phase || was.Share != r.Share) {
+	_, err = c.store.Change(c.process.Ctx, &wire.ChangeRequest{Shard: controlclient.ShardOf(r.Service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	if err == nil && (was.State != r.State || was.Phase != r.Phase || was.TrafficStep != r.TrafficStep) {
 		held := ""
 		for _, h := range r.Blockers[:min(1, len(r.Blockers))] {
-			held = h.Node + ": " + h.Why
+			held = h.Node + ": " + h.Reason
 		}
-		c.process.Log.Info("retirement", "name", r.Name, "service", r.Service, "state", r.State, "phase", r.Phase, "ready", r.Ready, "nodes", r.Nodes, "why", r.Why, "held_by", held)
+		c.process.Log.Info("retirement", "name", r.Name, "service", r.Service, "state", r.State, "phase", r.Phase, "ready", r.Ready, "nodes", r.Nodes, "why", r.Reason, "held_by", held)
 	}
 	return errs.Wrap(err, "write retirement")
 }
--- a/internal/control/placementcontroller/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -10,10 +10,10 @@
 
 // Timing and concurrency of a rollout, as ratios.
 const (
-	setAsideRatio = 0.125     // of the heal bound: from setting a batch aside to its orders
-	batchRatio    = 0.25      // of the heal bound: how long an ordered batch may take
-	spanRatio     = 0.6       // of the weights bound: all batches fit into it
-	maxOutShare   = 1.0 / 3.0 // of the workers that may be out at once
+	cordonRatio         = 0.125     // of the heal bound: from setting a batch aside to its orders
+	batchTimeoutRatio   = 0.25      // of the heal bound: how long an ordered batch may take
+	rolloutSpanRatio    = 0.6       // of the weights bound: all batches fit into it
+	maxConcurrencyRatio = 1.0 / 3.0 // of the workers that may be out at once
 )
 
 // Rollout brings workers to named weights batch by batch. A batch is first set aside in the placement,
@@ -21,7 +21,7 @@
 // resumes from the stored placement when the lease changes hands.
 type Rollout struct {
 	Batch      []string
-	SetAsideAt time.Duration // when the batch was set aside
+	CordonedAt time.Duration // when the batch was set aside
 	AllAtOnce  bool          // all at once, for comparison
 }
 
@@ -44,8 +44,8 @@
 		}
 	}
 	if len(r.Batch) > 0 {
-		if len(mine) > 0 && now-r.SetAsideAt < b.Heal(batchRatio) {
-			if now-r.SetAsideAt >= b.Heal(setAsideRatio) {
+		if len(mine) > 0 && now-r.CordonedAt < b.Heal(batchTimeoutRatio) {
+			if now-r.CordonedAt >= b.Heal(cordonRatio) {
 				return mine, false
 			}
 			return nil, false
@@ -58,13 +58,13 @@
 	sort.Slice(old, func(i, j int) bool { // the oldest weights first
 		return old[i].Weights < old[j].Weights || old[i].Weights == old[j].Weights && old[i].Name < old[j].Name
 	})
-	left := b.Weights(spanRatio) - since(old[0].Weights)
-	rounds := max(1, int(left/b.Heal(batchRatio)))
-	n := min((len(old)+rounds-1)/rounds, max(1, int(float64(len(ws))*maxOutShare)))
+	left := b.Weights(rolloutSpanRatio) - since(old[0].Weights)
+	rounds := max(1, int(left/b.Heal(batchTimeoutRatio)))
+	n := min((len(old)+rounds-1)/rounds, max(1, int(float64(len(ws))*maxConcurrencyRatio)))
 	if r.AllAtOnce {
 		n = len(old)
 	}
-	r.SetAsideAt = now
+	r.CordonedAt = now
 	for _, w := range old[:min(n, len(old))] {
 		r.Batch = append(r.Batch, w.Name)
 	}
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -18,31 +18,31 @@
 type Node struct {
 	Name        string
 	Incarnation string
-	Answers     bool
+	Reachable   bool
 	Draining    bool
 	Loaded      []contract.Loaded
 	Loading     string
-	Room        int // MB; 0: unknown
-	Free        int
+	MemoryMB    int // MB; 0: unknown
+	FreeMB      int
 }
 
 // Observation is the input of a step. The service configuration was read by majority before the
 // retirement was, the nodes after it: so whatever this holder does late meets a later version.
 type Observation struct {
-	Clock       time.Duration
-	Version     uint64 // of the retirement's document
-	Config      *serviceconfig.Config
-	Listed      bool // the platform's list was read just now
-	Nodes       []Node
-	Ok, Failed  float64       // recent attempts of the service
-	ConfigBound time.Duration // how long a proxy may use an older configuration
+	Now               time.Duration
+	Version           uint64 // of the retirement's document
+	Config            *serviceconfig.Config
+	WorkersListed     bool // the platform's list was read just now
+	Nodes             []Node
+	Succeeded, Failed float64       // recent attempts of the service
+	MaxConfigAge      time.Duration // how long a proxy may use an older configuration
 }
 
 // Action is one thing to do now; exactly one of Patch, Order and Prove is set.
 type Action struct {
 	Patch       []byte          // a partial service configuration
 	Order       *contract.Order // to the node
-	Prove       *Set            // send the node a request under each of these
+	ProofSet    *WeightSet      // send the node a request under each of these
 	Node        string
 	Incarnation string // of the node that gets the requests
 }
@@ -50,8 +50,8 @@
 // Planner advances one retirement. Between calls it remembers only since when conditions hold, by the
 // holder's own clock, and why proofs failed; a new holder starts without both.
 type Planner struct {
-	since  map[string]time.Duration
-	failed map[string]string
+	conditionSince map[string]time.Duration
+	failedProofs   map[string]string
 }
 
 // NewPlanner returns a planner without memory.
@@ -67,29 +67,29 @@
 // Example: r2, acts, changed := p.Next(r, world)
 func (p *Planner) Next(old *Retirement, w Observation) (r *Retirement, acts []Action, changed bool) {
 	r = old.clone()
-	if r.State != Running && r.State != Aborting {
+	if r.State != StateRunning && r.State != StateAborting {
 		return r, nil, false
 	}
 	switch {
-	case w.Config == nil || !w.Listed:
+	case w.Config == nil || !w.WorkersListed:
 		r.Blockers = []Blocker{{"platform", "its list of workers, or the service configuration, can't be read", "see that the placement controllers' rank address answers, and the core machines", true}}
 		return r, nil, !slices.Equal(old.Blockers, r.Blockers)
 	case len(w.Nodes) == 0:
 		r.Blockers = []Blocker{{r.Service, "the platform lists no worker of it", "see the platform's list", true}}
 		return r, nil, !slices.Equal(old.Blockers, r.Blockers)
 	}
-	if r.State == Running && r.checkStop(w) {
+	if r.State == StateRunning && r.stopOnFailures(w) {
 		return r, nil, true
 	}
 	slices.SortFunc(w.Nodes, func(a, b Node) int { return strings.Compare(a.Name, b.Name) })
-	s := &step{Planner: p, retirement: r, observed: w}
-	s.old, s.next = r.oldAndNewSets(w.Config)
-	s.fingerprint = s.next.Fingerprint()
+	s := &evaluation{Planner: p, retirement: r, observed: w}
+	s.oldSet, s.newSet = r.oldAndNewSets(w.Config)
+	s.newFingerprint = s.newSet.Fingerprint()
 	s.pruneProofs()
-	if r.State == Running {
-		s.runPhase()
+	if r.State == StateRunning {
+		s.advance()
 	} else {
-		s.runAbort()
+		s.advanceAbort()
 	}
 	if r.Phase == old.Phase && r.State == old.State {
 		s.recordBlockers()
@@ -102,9 +102,9 @@
 // RecordProof records that a node's incarnation has answered under every element of a set.
 //
 // Example: r.RecordProof("worker-3", incarnation, set)
-func (r *Retirement) RecordProof(node, incarnation string, x Set) {
+func (r *Retirement) RecordProof(node, incarnation string, x WeightSet) {
 	n := 1
-	if r.Phase == Barrier || r.PastBarrier() {
+	if r.Phase == PhaseBarrier || r.PastBarrier() {
 		n = 2
 	}
 	if r.Proofs == nil {
@@ -116,7 +116,7 @@
 // RecordFailedProof remembers why a node's proof failed, for the list of blockers.
 //
 // Example: p.RecordFailedProof("worker-3", err.Error())
-func (p *Planner) RecordFailedProof(node, why string) { p.failed[node] = why }
+func (p *Planner) RecordFailedProof(node, why string) { p.failedProofs[node] = why }
 
 // RecordPatch records that the change of the service configuration was acknowledged.
 //
@@ -127,7 +127,7 @@
 //
 // Example: r.RecordUnload("worker-3", incarnation)
 func (r *Retirement) RecordUnload(node, incarnation string) {
-	if r.State != Aborting || r.Phase != Clean {
+	if r.State != StateAborting || r.Phase != PhaseRevertUnload {
 		return
 	}
 	if r.Unloaded == nil {
@@ -136,17 +136,17 @@
 	r.Unloaded[node] = incarnation
 }
 
-// checkStop aborts or pauses a retirement on its own account: a service configuration that no longer
+// stopOnFailures aborts or pauses a retirement on its own account: a service configuration that no longer
 // fits, or too many failed attempts.
-func (r *Retirement) checkStop(w Observation) bool {
-	at := r.AbortAt
+func (r *Retirement) stopOnFailures(w Observation) bool {
+	at := r.AbortFailureRatio
 	if at == 0 {
 		at = 0.2
 	}
-	if n := w.Ok + w.Failed; n >= 20 && w.Failed/n > at {
+	if n := w.Succeeded + w.Failed; n >= 20 && w.Failed/n > at {
 		why := fmt.Sprintf("stopped: %.0f of %.0f attempts failed lately: find out why", w.Failed, n)
 		if r.PastBarrier() {
-			r.transition(Paused, r.Phase, why+", then resume")
+			r.transition(StatePaused, r.Phase, why+", then resume")
 		} else {
 			r.abort(why + ", then plan it anew")
 		}
@@ -156,42 +156,42 @@
 		return false
 	}
 	var b errs.Batch
-	r.CheckConfig(w.Config, &b)
+	r.ValidateConfig(w.Config, &b)
 	if err := b.Look(); err != nil {
-		r.transition(Paused, r.Phase, "stopped: "+err.Error())
+		r.transition(StatePaused, r.Phase, "stopped: "+err.Error())
 		return true
 	}
 	return false
 }
 
-// step is one evaluation of an active retirement.
-type step struct {
+// evaluation is one evaluation of an active retirement.
+type evaluation struct {
 	*Planner
-	retirement  *Retirement
-	observed    Observation
-	old, next   Set
-	fingerprint string // of the next set
-	actions     []Action
-	blockers    []Blocker
-	changed     bool
+	retirement     *Retirement
+	observed       Observation
+	oldSet, newSet WeightSet
+	newFingerprint string // of the next set
+	actions        []Action
+	blockers       []Blocker
+	changed        bool
 }
 
 // pruneProofs drops proofs of past incarnations; a node that doesn't answer keeps its own.
-func (s *step) pruneProofs() {
+func (s *evaluation) pruneProofs() {
 	incarnations := map[string]string{}
 	for _, n := range s.observed.Nodes {
 		incarnations[n.Name] = n.Incarnation
-		if !n.Answers {
+		if !n.Reachable {
 			incarnations[n.Name] = s.retirement.Proofs[n.Name].Incarnation
 		}
 	}
 	n := len(s.retirement.Proofs)
-	maps.DeleteFunc(s.retirement.Proofs, func(k string, p Proof) bool { return incarnations[k] != p.Incarnation || p.Set != s.fingerprint })
+	maps.DeleteFunc(s.retirement.Proofs, func(k string, p Proof) bool { return incarnations[k] != p.Incarnation || p.Set != s.newFingerprint })
 	s.changed = s.changed || n != len(s.retirement.Proofs)
 }
 
 // recordBlockers copies the blockers into the retirement.
-func (s *step) recordBlockers() {
+func (s *evaluation) recordBlockers() {
 	s.retirement.Nodes, s.retirement.Ready = len(s.observed.Nodes), len(s.observed.Nodes)
 	held := map[string]bool{}
 	for _, h := range s.blockers {
@@ -205,71 +205,71 @@
 	s.retirement.Blockers = s.blockers[:min(len(s.blockers), maxBlockers)]
 }
 
-func (s *step) block(node, why, remedy string) {
-	s.blockers = append(s.blockers, Blocker{node, why, remedy, !strings.HasPrefix(remedy, noAction)})
+func (s *evaluation) addBlocker(node, why, remedy string) {
+	s.blockers = append(s.blockers, Blocker{node, why, remedy, !strings.HasPrefix(remedy, noActionPrefix)})
 }
 
-const noAction = "nothing to do" // prefix of a remedy that needs no operator
+const noActionPrefix = "nothing to do" // prefix of a remedy that needs no operator
 
-// enter starts the next phase, or ends the retirement.
-func (s *step) enter(state, phase string) {
+// enterPhase starts the next phase, or ends the retirement.
+func (s *evaluation) enterPhase(state, phase string) {
 	s.retirement.ChangeStarted, s.retirement.ChangeAcked = false, false
 	s.retirement.transition(state, phase, "")
 	s.changed = true
-	clear(s.since)
-	clear(s.failed)
+	clear(s.conditionSince)
+	clear(s.failedProofs)
 }
 
-// heldFor reports whether a condition has held for d, by this holder's clock.
-func (s *step) heldFor(what string, d time.Duration) bool {
-	at, ok := s.since[what]
+// conditionLasted reports whether a condition has held for d, by this holder's clock.
+func (s *evaluation) conditionLasted(what string, d time.Duration) bool {
+	at, ok := s.conditionSince[what]
 	if !ok {
-		at = s.observed.Clock
-		s.since[what] = at
+		at = s.observed.Now
+		s.conditionSince[what] = at
 	}
-	return s.observed.Clock-at >= d
+	return s.observed.Now-at >= d
 }
 
-func (s *step) runPhase() {
+func (s *evaluation) advance() {
 	level, round := 2, 1
 	switch s.retirement.Phase {
-	case LoadBase:
+	case PhaseLoadBase:
 		level = 0
-	case LoadAdapters:
+	case PhaseLoadAdapters:
 		level = 1
-	case Barrier, Drop, Finish:
+	case PhaseBarrier, PhaseDrop, PhaseFinish:
 		round = 2
 	}
-	s.catchUp(s.next, level, round)
+	s.catchUp(s.newSet, level, round)
 	clear := len(s.blockers) == 0
 	switch s.retirement.Phase {
-	case LoadBase, LoadAdapters, Prove:
+	case PhaseLoadBase, PhaseLoadAdapters, PhaseProve:
 		if clear {
-			s.enter(Running, phases[slices.Index(phases, s.retirement.Phase)+1])
+			s.enterPhase(StateRunning, phases[slices.Index(phases, s.retirement.Phase)+1])
 		}
-	case Move:
+	case PhaseMove:
 		s.moveRoutes(clear)
-	case Drain:
-		if s.isIdle(s.retirement.From) && clear && s.allMoved() && s.heldFor(Drain, s.observed.ConfigBound) {
-			s.enter(Running, Barrier)
+	case PhaseDrain:
+		if s.noRequestsOn(s.retirement.OldBase) && clear && s.allRoutesMoved() && s.conditionLasted(PhaseDrain, s.observed.MaxConfigAge) {
+			s.enterPhase(StateRunning, PhaseBarrier)
 		}
-	case Barrier:
-		if clear && s.allMoved() {
-			s.enter(Running, Drop)
+	case PhaseBarrier:
+		if clear && s.allRoutesMoved() {
+			s.enterPhase(StateRunning, PhaseDrop)
 		}
-	case Drop:
+	case PhaseDrop:
 		s.dropOldBase(clear)
-	case Finish:
-		s.changeConfig(clear, object{"services": object{s.retirement.Service: object{"model": s.retirement.To}}}, func() { s.enter(Done, "") })
+	case PhaseFinish:
+		s.applyConfigChange(clear, jsonObject{"services": jsonObject{s.retirement.Service: jsonObject{"model": s.retirement.NewBase}}}, func() { s.enterPhase(StateDone, "") })
 	}
 }
 
-type object = map[string]any
+type jsonObject = map[string]any
 
-// changeConfig makes the phase's change of the service configuration: recorded as started, made,
+// applyConfigChange makes the phase's change of the service configuration: recorded as started, made,
 // recorded as acknowledged. Repeating it is harmless, and makes any change that an earlier holder
 // still has in flight meet a later version.
-func (s *step) changeConfig(clear bool, patch object, then func()) {
+func (s *evaluation) applyConfigChange(clear bool, patch jsonObject, then func()) {
 	switch {
 	case s.retirement.ChangeAcked:
 		then()
@@ -286,48 +286,48 @@
 }
 
 // moveRoutes moves requests to the new base, share by share; each is held for its soak time.
-func (s *step) moveRoutes(clear bool) {
-	l := s.retirement.shares()
-	if s.retirement.Share >= len(l) {
-		s.enter(Running, Drain)
+func (s *evaluation) moveRoutes(clear bool) {
+	l := s.retirement.trafficSteps()
+	if s.retirement.TrafficStep >= len(l) {
+		s.enterPhase(StateRunning, PhaseDrain)
 		return
 	}
-	ways, share := object{}, l[s.retirement.Share]
+	ways, share := jsonObject{}, l[s.retirement.TrafficStep]
 	for n, to := range s.retirement.routeMoves(s.observed.Config) {
-		ways[n] = object{"move": to, "moved": share}
+		ways[n] = jsonObject{"move": to, "moved": share}
 		if share == 100 {
-			ways[n] = object{"use": to, "move": nil, "moved": nil}
+			ways[n] = jsonObject{"use": to, "move": nil, "moved": nil}
 		}
-		if _, ok := s.retirement.PreviousUse[n]; !ok && !s.retirement.ChangeStarted {
-			if s.retirement.PreviousUse == nil {
-				s.retirement.PreviousUse = map[string]string{}
+		if _, ok := s.retirement.PreviousTargets[n]; !ok && !s.retirement.ChangeStarted {
+			if s.retirement.PreviousTargets == nil {
+				s.retirement.PreviousTargets = map[string]string{}
 			}
-			s.retirement.PreviousUse[n] = s.observed.Config.Routes[n].Use
+			s.retirement.PreviousTargets[n] = s.observed.Config.Routes[n].ServedBy
 			s.changed = true
 		}
 	}
 	if s.retirement.ChangeStarted && !s.retirement.ChangeAcked {
 		for n := range ways {
-			if _, ok := s.retirement.PreviousUse[n]; !ok { // a new route: its previous use is recorded first
+			if _, ok := s.retirement.PreviousTargets[n]; !ok { // a new route: its previous use is recorded first
 				s.retirement.ChangeStarted, s.changed = false, true
 				return
 			}
 		}
 	}
-	s.changeConfig(clear, object{"ways": ways}, func() {
-		if s.heldFor(fmt.Sprint(Move, s.retirement.Share), time.Duration(s.retirement.SoakS)*time.Second) && clear {
-			s.retirement.Share++
+	s.applyConfigChange(clear, jsonObject{"ways": ways}, func() {
+		if s.conditionLasted(fmt.Sprint(PhaseMove, s.retirement.TrafficStep), time.Duration(s.retirement.SoakSeconds)*time.Second) && clear {
+			s.retirement.TrafficStep++
 			s.retirement.ChangeStarted, s.retirement.ChangeAcked, s.changed = false, false, true
 		}
 	})
 }
 
-// isIdle reports whether no request runs or waits under a base.
-func (s *step) isIdle(base string) bool {
+// noRequestsOn reports whether no request runs or waits under a base.
+func (s *evaluation) noRequestsOn(base string) bool {
 	for _, n := range s.observed.Nodes {
 		for _, l := range n.Loaded {
 			if l.Model == base && l.Busy > 0 {
-				s.block(n.Name, fmt.Sprintf("%d requests still run under %s", l.Busy, base), "nothing to do: they end within their wait")
+				s.addBlocker(n.Name, fmt.Sprintf("%d requests still run under %s", l.Busy, base), "nothing to do: they end within their wait")
 				return false
 			}
 		}
@@ -335,28 +335,28 @@
 	return true
 }
 
-// allMoved reports whether no route leads to the old base. A route that was pointed there meanwhile is
+// allRoutesMoved reports whether no route leads to the old base. A route that was pointed there meanwhile is
 // moved as well.
-func (s *step) allMoved() bool {
+func (s *evaluation) allRoutesMoved() bool {
 	m := s.retirement.routeMoves(s.observed.Config)
 	if len(m) == 0 {
 		return true
 	}
-	s.block(queue.Keys(m)[0], "this route is answered on the old base again", "nothing to do: it is moved as well")
-	s.enter(Running, Move)
-	s.retirement.Share = len(s.retirement.shares()) - 1
+	s.addBlocker(queue.Keys(m)[0], "this route is answered on the old base again", "nothing to do: it is moved as well")
+	s.enterPhase(StateRunning, PhaseMove)
+	s.retirement.TrafficStep = len(s.retirement.trafficSteps()) - 1
 	return false
 }
 
 // dropOldBase unloads the old base from the nodes, a few at once.
-func (s *step) dropOldBase(clear bool) {
+func (s *evaluation) dropOldBase(clear bool) {
 	if m := s.retirement.routeMoves(s.observed.Config); len(m) > 0 {
-		s.block(queue.Keys(m)[0], "this route is answered on the old base again, which is leaving", "lead it to "+s.retirement.To+": desk setup patch")
+		s.addBlocker(queue.Keys(m)[0], "this route is answered on the old base again, which is leaving", "lead it to "+s.retirement.NewBase+": desk setup patch")
 		return
 	}
 	having := map[string]*Node{}
 	for i, n := range s.observed.Nodes {
-		if !n.Answers || holdsModel(n, s.retirement.From) {
+		if !n.Reachable || hasModelLoaded(n, s.retirement.OldBase) {
 			having[n.Name] = &s.observed.Nodes[i]
 		}
 	}
@@ -367,15 +367,15 @@
 		return // a node that joined or restarted is caught up first
 	}
 	if len(having) == 0 {
-		s.enter(Running, Finish)
+		s.enterPhase(StateRunning, PhaseFinish)
 		return
 	}
 	for _, g := range s.retirement.Dropping {
-		s.block(g, "it drops the old base", "nothing to do; if it stays so, see the worker's log")
-		s.order(*having[g], contract.Order{Kind: "unload", Model: s.retirement.From})
+		s.addBlocker(g, "it drops the old base", "nothing to do; if it stays so, see the worker's log")
+		s.addOrder(*having[g], contract.Order{Kind: "unload", Model: s.retirement.OldBase})
 	}
 	for _, g := range queue.Keys(having) {
-		if len(s.retirement.Dropping) >= s.retirement.atOnce() {
+		if len(s.retirement.Dropping) >= s.retirement.concurrency() {
 			break
 		}
 		if !slices.Contains(s.retirement.Dropping, g) {
