--- a/internal/control/retire/retire_test.go
+++ b/internal/control/retire/retire_test.go
@@ -21,18 +21,18 @@
 		want   string
 	}{
 		"nothing wrong":                     {`{}`, nil, ""},
-		"an adapter without a replacement":  {`{}`, func(r *Retirement) { delete(r.Replace, "rare") }, `replace.rare: adapter rare stands on old and has no replacement: name the adapter that was built for new`},
-		"a replacement that isn't there":    {`{}`, func(r *Retirement) { r.Replace["rare"] = "gone" }, `replace.rare: "gone" is not among adapters`},
+		"an adapter without a replacement":  {`{}`, func(r *Retirement) { delete(r.Replacements, "rare") }, `replace.rare: adapter rare stands on old and has no replacement: name the adapter that was built for new`},
+		"a replacement that isn't there":    {`{}`, func(r *Retirement) { r.Replacements["rare"] = "gone" }, `replace.rare: "gone" is not among adapters`},
 		"a replacement for another base":    {`{"models":{"third":{"weights":1}},"adapters":{"rare-2":{"base":"third"}}}`, nil, `rare-2 was built for third: name one that was built for new`},
-		"one replacement for two":           {`{}`, func(r *Retirement) { r.Replace["fare"] = "rare-2" }, `replaces`},
+		"one replacement for two":           {`{}`, func(r *Retirement) { r.Replacements["fare"] = "rare-2" }, `replaces`},
 		"a replacement not held there":      {`{"adapters":{"rare-2":{"services":null}}}`, nil, `rare-2 isn't held by service s`},
 		"a replacement for fewer tenants":   {`{"tenants":{"t":{},"u":{}},"adapters":{"rare-2":{"tenants":["u"]}}}`, nil, `rare-2 isn't for tenant t`},
 		"no room reported":                  {`{"services":{"s":{"room":null}}}`, nil, `services.s.room: 0 MB a worker, and both sets take 120`},
 		"no room for both sets":             {`{"services":{"s":{"room":119}}}`, nil, `119 MB a worker, and both sets take 120: give workers with that room`},
 		"a base's room not reported":        {`{"models":{"new":{"room":null}}}`, nil, `models.new.room: missing`},
 		"an adapter's room not reported":    {`{"adapters":{"rare-2":{"room":null}}}`, nil, `adapters.rare-2.room: missing`},
-		"another base than the service's":   {`{}`, func(r *Retirement) { r.From, r.To = "new", "old" }, `from: service s has base model old`},
-		"an unknown base":                   {`{}`, func(r *Retirement) { r.To = "newest" }, `to: "newest" is not among models`},
+		"another base than the service's":   {`{}`, func(r *Retirement) { r.OldBase, r.NewBase = "new", "old" }, `from: service s has base model old`},
+		"an unknown base":                   {`{}`, func(r *Retirement) { r.NewBase = "newest" }, `to: "newest" is not among models`},
 		"an unknown service":                {`{}`, func(r *Retirement) { r.Service = "x" }, `service: "x" is not among services`},
 		"a base that serves elsewhere":      {`{"services":{"s2":{"model":"old"}}}`, nil, `service s2 has base model old as well: hand it over first`},
 		"an adapter that nobody holds":      {`{"adapters":{"odd":{"base":"old","build":1,"room":1}}}`, nil, `adapter odd stands on old and is held by no worker of s`},
@@ -44,7 +44,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		s, err := serviceconfig.Read(body)
+		s, err := serviceconfig.Decode(body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,24 +53,24 @@
 			x.change(r)
 		}
 		var b errs.Batch
-		r.Check(&b)
-		r.CheckConfig(s, &b)
+		r.Validate(&b)
+		r.ValidateConfig(s, &b)
 		err = b.Look()
 		if (err == nil) != (x.want == "") || err != nil && (!strings.Contains(err.Error(), x.want) || errs.KindOf(err) != errs.BadInput) {
 			t.Errorf("%s: %v\nwant %q", name, err, x.want)
 		}
 	}
 	var b errs.Batch
-	(&Retirement{Name: "a b", Service: "s", From: "x", To: "x", Shares: []int{5, 4}, SoakS: -1, AtOnce: -1, AbortAt: 2}).Check(&b)
+	(&Retirement{Name: "a b", Service: "s", OldBase: "x", NewBase: "x", TrafficPercents: []int{5, 4}, SoakSeconds: -1, MaxConcurrent: -1, AbortFailureRatio: 2}).Validate(&b)
 	if n := len(b.Lines()); n != 7 {
 		t.Errorf("%d faults: %v", n, b.Lines())
 	}
 	a, o := newPlan(), newPlan()
-	o.Name, o.Service, o.State = "other", "s9", Running
-	if err := a.ConflictWith([]*Retirement{o}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) || !strings.Contains(err.Error(), `"other"`) {
+	o.Name, o.Service, o.State = "other", "s9", StateRunning
+	if err := a.CheckConflicts([]*Retirement{o}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) || !strings.Contains(err.Error(), `"other"`) {
 		t.Errorf("two retirements of one base: %v", err)
 	}
-	if o.State = Done; a.ConflictWith([]*Retirement{o}) != nil {
+	if o.State = StateDone; a.CheckConflicts([]*Retirement{o}) != nil {
 		t.Error("clashes with one that is over")
 	}
 }
@@ -93,30 +93,30 @@
 		r, past, over := newPlan(), false, ""
 		for _, v := range p {
 			if v == "barrier" {
-				if r.State == Running {
-					r.transition(Running, Drop, "")
+				if r.State == StateRunning {
+					r.transition(StateRunning, PhaseDrop, "")
 					past = true
 				}
 				continue
 			}
 			was := r.clone()
-			err := r.Request(v)
+			err := r.ApplyVerb(v)
 			if err != nil && (r.State != was.State || r.Phase != was.Phase) {
 				t.Fatalf("%v: rejected, yet it went from %s to %s", p, was.State, r.State)
 			}
 			once := r.clone()
 			if err == nil {
-				if err := r.Request(v); err != nil || r.State != once.State || r.Phase != once.Phase || len(r.Log) != len(once.Log) {
+				if err := r.ApplyVerb(v); err != nil || r.State != once.State || r.Phase != once.Phase || len(r.History) != len(once.History) {
 					t.Fatalf("%v: %s again: %v, %s after %s", p, v, err, r.State, once.State)
 				}
 			}
-			if past && (r.State == Aborting || r.State == Aborted) {
+			if past && (r.State == StateAborting || r.State == StateAborted) {
 				t.Fatalf("%v: aborted after the barrier", p)
 			}
 			if over != "" && r.State != over {
 				t.Fatalf("%v: %s after it was %s", p, r.State, over)
 			}
-			if !r.Active() || r.State == Aborting {
+			if !r.Active() || r.State == StateAborting {
 				over = r.State
 			}
 		}
@@ -136,9 +136,9 @@
 // step makes one turn of a holder in the calm fleet; stop says after which of its effects it dies.
 func (f *testFleet) step(p *Planner, stop int) (effects int) {
 	r, s, version, at := f.doc.clone(), f.config(), f.version, f.docAt
-	w := Observation{Clock: time.Duration(f.now) * time.Second, Version: at, Config: s, Listed: true, ConfigBound: time.Second}
+	w := Observation{Now: time.Duration(f.now) * time.Second, Version: at, Config: s, WorkersListed: true, MaxConfigAge: time.Second}
 	for _, n := range f.nodes {
-		w.Nodes = append(w.Nodes, Node{Name: n.name, Incarnation: n.incarnation, Answers: n.up, Loaded: n.report(), Loading: n.loading, Room: 130, Free: 130 - 60*len(n.holds)})
+		w.Nodes = append(w.Nodes, Node{Name: n.name, Incarnation: n.incarnation, Reachable: n.up, Loaded: n.report(), Loading: n.loading, MemoryMB: 130, FreeMB: 130 - 60*len(n.holds)})
 	}
 	next, acts, changed := p.Next(r, w)
 	for _, x := range acts {
@@ -159,7 +159,7 @@
 			}
 		default:
 			if f.prove(n, x) {
-				next.RecordProof(x.Node, x.Incarnation, *x.Prove)
+				next.RecordProof(x.Node, x.Incarnation, *x.ProofSet)
 			}
 		}
 		changed = true
@@ -189,7 +189,7 @@
 		whole := 0
 		for die := 1; ; die++ {
 			f, p, done := calmFleet(t), NewPlanner(), 0
-			if err := f.doc.Request("start"); err != nil {
+			if err := f.doc.ApplyVerb("start"); err != nil {
 				t.Fatal(err)
 			}
 			for f.now < 3000 && f.doc.Active() {
@@ -201,8 +201,8 @@
 				if done += n; stop > 0 && n == stop {
 					p = NewPlanner() // it died; another one takes over
 				}
-				if abort && f.doc.Phase == Drain {
-					if err := f.doc.Request("abort"); err != nil {
+				if abort && f.doc.Phase == PhaseDrain {
+					if err := f.doc.ApplyVerb("abort"); err != nil {
 						t.Fatal(err)
 					}
 					f.docAt++
@@ -210,9 +210,9 @@
 				f.tick()
 			}
 			f.checkRevertedIf(abort)
-			want := map[bool]string{false: Done, true: Aborted}[abort]
+			want := map[bool]string{false: StateDone, true: StateAborted}[abort]
 			if f.doc.State != want || len(f.faults) > 0 {
-				t.Fatalf("abort %v, death after effect %d: %s %s, %v\n%s", abort, die, f.doc.State, f.doc.Phase, f.faults, strings.Join(f.doc.Log, "\n"))
+				t.Fatalf("abort %v, death after effect %d: %s %s, %v\n%s", abort, die, f.doc.State, f.doc.Phase, f.faults, strings.Join(f.doc.History, "\n"))
 			}
 			for _, n := range f.nodes {
 				if _, old := n.holds["old"]; old != abort {
@@ -249,29 +249,29 @@
 // it no more, and one that comes in late with old weights alone is caught up first.
 func TestBlockersAreNamed(t *testing.T) {
 	f, p := calmFleet(t), NewPlanner()
-	if err := f.doc.Request("start"); err != nil {
+	if err := f.doc.ApplyVerb("start"); err != nil {
 		t.Fatal(err)
 	}
 	f.nodes[3].up = false
-	if l := blockersAfter(f, p, 200); len(l) != 1 || l[0].Node != "w3" || !l[0].Stuck || !strings.Contains(l[0].Remedy, "take it out of its list") || f.doc.Phase != LoadBase {
+	if l := blockersAfter(f, p, 200); len(l) != 1 || l[0].Node != "w3" || !l[0].NeedsOperator || !strings.Contains(l[0].Remedy, "take it out of its list") || f.doc.Phase != PhaseLoadBase {
 		t.Fatalf("a silent node: %s, %+v", f.doc.Phase, l)
 	}
-	if !f.doc.Stuck() || !strings.Contains(f.doc.Progress(), "5 of 6 nodes ready") {
+	if !f.doc.NeedsOperator() || !strings.Contains(f.doc.Progress(), "5 of 6 nodes ready") {
 		t.Errorf("%s", f.doc.Progress())
 	}
 	f.nodes[3].start(true)
 	f.nodes[3].lies = true
 	blockersAfter(f, p, 200)
-	if l := f.doc.Blockers; f.doc.Phase != Prove || len(l) != 1 || l[0].Node != "w3" {
+	if l := f.doc.Blockers; f.doc.Phase != PhaseProve || len(l) != 1 || l[0].Node != "w3" {
 		t.Fatalf("a boasting node: %s, %+v", f.doc.Phase, l)
 	}
 	f.nodes[3].start(true)
 	f.nodes[3].lies = false
-	for f.doc.Phase != Drop && f.now < 2000 {
+	for f.doc.Phase != PhaseDrop && f.now < 2000 {
 		blockersAfter(f, p, 1)
 	}
 	f.nodes[5].start(true) // it is replaced right after the barrier: old weights alone
-	if l := blockersAfter(f, p, 2); f.doc.Phase != Drop || len(l) == 0 {
+	if l := blockersAfter(f, p, 2); f.doc.Phase != PhaseDrop || len(l) == 0 {
 		t.Fatalf("%s %+v", f.doc.Phase, l)
 	}
 	for f.doc.Active() && f.now < 3000 {
@@ -284,7 +284,7 @@
 		}
 		blockersAfter(f, p, 1)
 	}
-	if f.doc.State != Done || len(f.faults) > 0 {
+	if f.doc.State != StateDone || len(f.faults) > 0 {
 		t.Fatalf("%s %s %+v %v", f.doc.State, f.doc.Phase, f.doc.Blockers, f.faults)
 	}
 }
@@ -293,28 +293,28 @@
 func TestAbortLine(t *testing.T) {
 	f, p := calmFleet(t), NewPlanner()
 	r := newPlan()
-	if err := r.Request("start"); err != nil {
+	if err := r.ApplyVerb("start"); err != nil {
 		t.Fatal(err)
 	}
-	w := Observation{Config: f.config(), Listed: true, Nodes: []Node{{Name: "w"}}, Ok: 70, Failed: 30}
-	if x, _, ch := p.Next(r, w); !ch || x.State != Aborting || x.Phase != Settle || !strings.Contains(x.Why, "30 of 100 attempts failed") {
+	w := Observation{Config: f.config(), WorkersListed: true, Nodes: []Node{{Name: "w"}}, Succeeded: 70, Failed: 30}
+	if x, _, ch := p.Next(r, w); !ch || x.State != StateAborting || x.Phase != PhaseRevertDrain || !strings.Contains(x.Reason, "30 of 100 attempts failed") {
 		t.Errorf("%+v", x)
 	}
-	r.transition(Running, Move, "")
-	if x, _, _ := p.Next(r, w); x.State != Aborting || x.Phase != Return {
+	r.transition(StateRunning, PhaseMove, "")
+	if x, _, _ := p.Next(r, w); x.State != StateAborting || x.Phase != PhaseRevertRoutes {
 		t.Errorf("%+v", x)
 	}
-	r.transition(Running, Drop, "")
-	if x, _, _ := p.Next(r, w); x.State != Paused || x.Phase != Drop {
+	r.transition(StateRunning, PhaseDrop, "")
+	if x, _, _ := p.Next(r, w); x.State != StatePaused || x.Phase != PhaseDrop {
 		t.Errorf("%+v", x)
 	}
-	w.Ok, w.Failed = 99, 1
-	w.Listed = false
-	r.transition(Running, Prove, "")
+	w.Succeeded, w.Failed = 99, 1
+	w.WorkersListed = false
+	r.transition(StateRunning, PhaseProve, "")
 	if x, acts, _ := p.Next(r, w); len(acts) > 0 || len(x.Blockers) != 1 || x.Blockers[0].Node != "platform" {
 		t.Errorf("without the platform's list: %+v %v", x, acts)
 	}
-	w.Listed, w.Nodes = true, nil
+	w.WorkersListed, w.Nodes = true, nil
 	if x, acts, _ := p.Next(r, w); len(acts) > 0 || len(x.Blockers) != 1 {
 		t.Errorf("without a node: %+v %v", x, acts)
 	}
@@ -323,13 +323,13 @@
 // While nothing is retired a worker that came back empty, or with what was retired long ago, gets what
 // the configuration names; a service without adapters is left alone.
 func TestRepair(t *testing.T) {
-	s, err := serviceconfig.Read(first)
+	s, err := serviceconfig.Decode(first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	full := contract.Loaded{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1, "fare": 4}}
-	nodes := []Node{{Name: "a", Answers: true, Loaded: []contract.Loaded{full}}, {Name: "b", Answers: true, Incarnation: "b/2"},
-		{Name: "c", Answers: true, Loaded: []contract.Loaded{{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1}}}}, {Name: "d"}, {Name: "e", Answers: true, Loading: "old"}}
+	nodes := []Node{{Name: "a", Reachable: true, Loaded: []contract.Loaded{full}}, {Name: "b", Reachable: true, Incarnation: "b/2"},
+		{Name: "c", Reachable: true, Loaded: []contract.Loaded{{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1}}}}, {Name: "d"}, {Name: "e", Reachable: true, Loading: "old"}}
 	got := ""
 	for _, x := range Repair(s, "s", nodes, []string{"old", "older"}) {
 		got += fmt.Sprintf("%s %s%s@%d ", x.Node, x.Order.Model, x.Order.Adapter, x.Order.Build)
@@ -337,7 +337,7 @@
 	if got != "b old@0 c oldfare@4 " {
 		t.Errorf("%q", got)
 	}
-	back := Node{Name: "f", Answers: true, Loaded: []contract.Loaded{{Model: "older", Weights: 9}, full}}
+	back := Node{Name: "f", Reachable: true, Loaded: []contract.Loaded{{Model: "older", Weights: 9}, full}}
 	if l := Repair(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "unload" || l[0].Order.Model != "older" {
 		t.Errorf("what was retired came back: %+v", l)
 	}
@@ -359,7 +359,7 @@
 // A document reads back as it was written, and what it doesn't know is rejected.
 func TestDocument(t *testing.T) {
 	r := newPlan()
-	r.RecordProof("w1", "incarnation", SetOf(&serviceconfig.Config{}, "new", nil))
+	r.RecordProof("w1", "incarnation", NewWeightSet(&serviceconfig.Config{}, "new", nil))
 	b, err := r.Write()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/retire/sim_test.go
+++ b/internal/control/retire/sim_test.go
@@ -56,7 +56,7 @@
 			if f.now%3 == 0 {
 				f.holderStep(f.r.IntN(3))
 			}
-			if f.doc.State == Aborted {
+			if f.doc.State == StateAborted {
 				f.checkReverted()
 			}
 		}
@@ -88,7 +88,7 @@
 func (f *testFleet) injectFaults(luck *rand.Rand) {
 	away := 0
 	for _, n := range f.nodes {
-		if !n.up || f.doc.Phase != "" && f.doc.Phase != LoadBase && len(n.holds) < 2 && f.doc.State == Running && !f.doc.PastBarrier() || len(n.holds) == 0 {
+		if !n.up || f.doc.Phase != "" && f.doc.Phase != PhaseLoadBase && len(n.holds) < 2 && f.doc.State == StateRunning && !f.doc.PastBarrier() || len(n.holds) == 0 {
 			away++
 		}
 	}
@@ -132,7 +132,7 @@
 func (f *testFleet) operate(luck *rand.Rand, abortAt int) {
 	verb := ""
 	switch x := luck.IntN(120); {
-	case f.now == 20 || f.now == 22 || f.quiet && f.doc.State == Planned:
+	case f.now == 20 || f.now == 22 || f.quiet && f.doc.State == StatePlanned:
 		verb = "start"
 	case abortAt > 0 && (f.now == abortAt || f.now == abortAt+3):
 		verb = "abort"
@@ -145,12 +145,12 @@
 		return
 	}
 	r, at := f.doc.clone(), f.docAt
-	if r.Request(verb) != nil {
+	if r.ApplyVerb(verb) != nil {
 		return
 	}
 	f.deliver(3, func() {
 		if !f.put(r, at, 0) && (verb == "abort" || verb == "start") { // it crossed with a step: made again on what is there
-			if r, at := f.doc.clone(), f.docAt; r.Request(verb) == nil {
+			if r, at := f.doc.clone(), f.docAt; r.ApplyVerb(verb) == nil {
 				f.put(r, at, 0)
 			}
 		}
@@ -163,9 +163,9 @@
 		return
 	}
 	s, o := f.config(), first
-	s.WaitMaxMs = 0
+	s.MaxWaitMs = 0
 	for n, v := range s.Routes {
-		if v.Move != "" || v.Moved != 0 || n != "fare" && v.Use != "" || n == "fare" && v.Use != "fare" {
+		if v.MoveTo != "" || v.MovedPercent != 0 || n != "fare" && v.ServedBy != "" || n == "fare" && v.ServedBy != "fare" {
 			f.fault(5, "route %s is %+v after the abort, the configuration was %s", n, v, o)
 		}
 	}
@@ -196,11 +196,11 @@
 		ends[f.doc.State]++
 		lateWith, lateWithout, all = lateWith+f.late, lateWithout+o.late, all+len(f.all)
 		if len(f.faults) > 0 {
-			t.Fatalf("seed %d:\n%s\n%s", seed, strings.Join(f.faults, "\n"), strings.Join(f.doc.Log, "\n"))
+			t.Fatalf("seed %d:\n%s\n%s", seed, strings.Join(f.faults, "\n"), strings.Join(f.doc.History, "\n"))
 		}
 	}
 	t.Logf("%v, late %d with and %d without of %d", ends, lateWith, lateWithout, all)
-	if ends[Done] == 0 || ends[Aborted] == 0 {
+	if ends[StateDone] == 0 || ends[StateAborted] == 0 {
 		t.Errorf("the seeds show too little: %v", ends)
 	}
 	if float64(lateWith) > float64(lateWithout)*1.1+0.001*float64(all) {
--- a/internal/control/retire/size_test.go
+++ b/internal/control/retire/size_test.go
@@ -11,21 +11,21 @@
 
 // largeService is a service of so many nodes and adapters, each node ready up to its proof.
 func largeService(nodes, adapters int) (*Retirement, Observation) {
-	s := &serviceconfig.Config{Models: map[string]serviceconfig.Model{"old": {Weights: 1, Room: 50}, "new": {Weights: 1, Room: 50}}, Adapters: map[string]serviceconfig.Adapter{},
-		Services: map[string]serviceconfig.Service{"s": {Model: "old", Room: 1000}}, Routes: map[string]serviceconfig.Route{"old": {Service: "s"}}}
-	r := &Retirement{Name: "spring", Service: "s", From: "old", To: "new", Replace: map[string]string{}, AtOnce: max(1, nodes/20), State: Running, Phase: Prove}
+	s := &serviceconfig.Config{Models: map[string]serviceconfig.Model{"old": {Weights: 1, MemoryMB: 50}, "new": {Weights: 1, MemoryMB: 50}}, Adapters: map[string]serviceconfig.Adapter{},
+		Services: map[string]serviceconfig.Service{"s": {Model: "old", WorkerMemoryMB: 1000}}, Routes: map[string]serviceconfig.Route{"old": {Service: "s"}}}
+	r := &Retirement{Name: "spring", Service: "s", OldBase: "old", NewBase: "new", Replacements: map[string]string{}, MaxConcurrent: max(1, nodes/20), State: StateRunning, Phase: PhaseProve}
 	was, next := map[string]uint64{}, map[string]uint64{}
 	for i := range adapters {
 		n := fmt.Sprintf("adapter-%d", i)
-		s.Adapters[n] = serviceconfig.Adapter{Base: "old", Build: 1, Room: 1, Services: []string{"s"}}
-		s.Adapters[n+"-2"] = serviceconfig.Adapter{Base: "new", Build: 1, Room: 1, Services: []string{"s"}}
+		s.Adapters[n] = serviceconfig.Adapter{BaseModel: "old", Build: 1, MemoryMB: 1, Services: []string{"s"}}
+		s.Adapters[n+"-2"] = serviceconfig.Adapter{BaseModel: "new", Build: 1, MemoryMB: 1, Services: []string{"s"}}
 		s.Routes[n] = serviceconfig.Route{Service: "s"}
-		r.Replace[n], was[n], next[n+"-2"] = n+"-2", 1, 1
+		r.Replacements[n], was[n], next[n+"-2"] = n+"-2", 1, 1
 	}
-	w := Observation{Clock: time.Hour, Version: 7, Config: s, Listed: true, ConfigBound: time.Second}
+	w := Observation{Now: time.Hour, Version: 7, Config: s, WorkersListed: true, MaxConfigAge: time.Second}
 	for i := range nodes {
 		name := fmt.Sprintf("worker-%03d", i)
-		w.Nodes = append(w.Nodes, Node{Name: name, Incarnation: name + "/18a3b2c4d5e6f708", Answers: true,
+		w.Nodes = append(w.Nodes, Node{Name: name, Incarnation: name + "/18a3b2c4d5e6f708", Reachable: true,
 			Loaded: []contract.Loaded{{Model: "old", Weights: 1, Adapters: was}, {Model: "new", Weights: 1, Adapters: next}}})
 	}
 	return r, w
@@ -38,13 +38,13 @@
 	for _, n := range w.Nodes {
 		r.RecordProof(n.Name, n.Incarnation, next)
 	}
-	for range 3 * maxLog {
-		r.transition(Paused, r.Phase, "by an operator")
-		r.transition(Running, r.Phase, "")
+	for range 3 * maxHistory {
+		r.transition(StatePaused, r.Phase, "by an operator")
+		r.transition(StateRunning, r.Phase, "")
 	}
 	b, err := r.Write()
-	if err != nil || len(b) > 256<<10 || len(r.Log) > maxLog {
-		t.Errorf("%d bytes, %d lines of history, %v", len(b), len(r.Log), err)
+	if err != nil || len(b) > 256<<10 || len(r.History) > maxHistory {
+		t.Errorf("%d bytes, %d lines of history, %v", len(b), len(r.History), err)
 	}
 }
 
--- a/internal/control/retire/world_test.go
+++ b/internal/control/retire/world_test.go
@@ -25,8 +25,8 @@
  "services":{"s":{"model":"old","room":130}},"ways":{"old":{"service":"s"},"rare":{"service":"s"},"fare":{"service":"s","use":"fare"}}}`)
 
 func newPlan() *Retirement {
-	return &Retirement{Name: "spring", Service: "s", From: "old", To: "new", Replace: map[string]string{"rare": "rare-2", "fare": "fare-2"},
-		Shares: []int{30, 100}, SoakS: 1, AtOnce: 2, State: Planned}
+	return &Retirement{Name: "spring", Service: "s", OldBase: "old", NewBase: "new", Replacements: map[string]string{"rare": "rare-2", "fare": "fare-2"},
+		TrafficPercents: []int{30, 100}, SoakSeconds: 1, MaxConcurrent: 2, State: StatePlanned}
 }
 
 // testNode is the true state of a worker.
@@ -121,7 +121,7 @@
 }
 
 func (f *testFleet) config() *serviceconfig.Config {
-	s, err := serviceconfig.Read(f.body)
+	s, err := serviceconfig.Decode(f.body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	if !was.PastBarrier() && r.PastBarrier() {
 		f.barrier()
 	}
-	if was.State != Aborted && r.State == Aborted && was.State != Planned {
+	if was.State != StateAborted && r.State == StateAborted && was.State != StatePlanned {
 		f.abortedAt = f.now
 	}
 	return true
@@ -158,7 +158,7 @@
 
 // barrier: every node that was listed has truly answered in the incarnation that is written down.
 func (f *testFleet) barrier() {
-	set := SetOf(f.config(), "new", []string{"rare-2", "fare-2"})
+	set := NewWeightSet(f.config(), "new", []string{"rare-2", "fare-2"})
 	for _, n := range f.nodes {
 		if !n.listed || n.up && n.starts > 1 && f.doc.Proofs[n.name].Incarnation != n.incarnation && !f.quiet {
 			continue // it came back, or came in, after the holder looked: it is caught up first
@@ -236,20 +236,20 @@
 		}
 		r, at := f.doc.clone(), f.docAt
 		f.deliver(2, func() {
-			w := Observation{Clock: time.Duration(f.now) * tick, Version: at, Config: s, Listed: f.r.IntN(20) > 0, ConfigBound: follow * tick}
+			w := Observation{Now: time.Duration(f.now) * tick, Version: at, Config: s, WorkersListed: f.r.IntN(20) > 0, MaxConfigAge: follow * tick}
 			by := map[string]*testNode{}
 			for _, n := range f.nodes {
 				if n.listed {
 					by[n.name] = n
 					x := Node{Name: n.name}
 					if n.up {
-						x = Node{Name: n.name, Incarnation: n.incarnation, Answers: true, Loaded: n.report(), Loading: n.loading, Room: 130, Free: 130 - 60*len(n.holds)}
+						x = Node{Name: n.name, Incarnation: n.incarnation, Reachable: true, Loaded: n.report(), Loading: n.loading, MemoryMB: 130, FreeMB: 130 - 60*len(n.holds)}
 					}
 					w.Nodes = append(w.Nodes, x)
 				}
 			}
 			next, acts, changed := f.planners[h].Next(r, w)
-			if f.planted == 1 && r.Phase == Drain {
+			if f.planted == 1 && r.Phase == PhaseDrain {
 				acts = append(acts, Action{Node: w.Nodes[0].Name, Order: &contract.Order{Kind: "unload", Model: "old", Incarnation: w.Nodes[0].Incarnation, Step: at, Plan: "x"}})
 			}
 			acked := false
@@ -261,7 +261,7 @@
 				f.deliver(2, func() {
 					switch {
 					case x.Patch != nil:
-						if f.planted == 5 && r.State == Aborting || f.patch(x.Patch, version) {
+						if f.planted == 5 && r.State == StateAborting || f.patch(x.Patch, version) {
 							next.RecordPatch()
 							acked = true
 						}
@@ -272,7 +272,7 @@
 						}
 					default:
 						if f.prove(by[x.Node], x) {
-							next.RecordProof(x.Node, x.Incarnation, *x.Prove)
+							next.RecordProof(x.Node, x.Incarnation, *x.ProofSet)
 							acked = true
 						} else {
 							f.planners[h].RecordFailedProof(x.Node, "adapter")
@@ -292,9 +292,9 @@
 }
 
 func (f *testFleet) prove(n *testNode, x Action) bool {
-	for _, a := range append([]AdapterBuild{{}}, x.Prove.Adapters...) {
-		if n.up && n.incarnation == x.Incarnation && n.has(serviceconfig.Target{Model: x.Prove.Base, Weights: x.Prove.Weights, Adapter: a.Name, Build: a.Build}) {
-			n.answered[n.incarnation+x.Prove.Fingerprint()+a.Name] = true
+	for _, a := range append([]AdapterBuild{{}}, x.ProofSet.Adapters...) {
+		if n.up && n.incarnation == x.Incarnation && n.has(serviceconfig.Target{Model: x.ProofSet.Base, Weights: x.ProofSet.Weights, Adapter: a.Name, Build: a.Build}) {
+			n.answered[n.incarnation+x.ProofSet.Fingerprint()+a.Name] = true
 		} else if f.planted != 2 { // else its word is taken
 			return false
 		}
@@ -309,7 +309,7 @@
 		return
 	}
 	lag := f.r.IntN(follow)
-	s, err := serviceconfig.Read(f.configHistory[max(0, len(f.configHistory)-1-lag)])
+	s, err := serviceconfig.Decode(f.configHistory[max(0, len(f.configHistory)-1-lag)])
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/control/routingconfig/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -9,8 +9,8 @@
 // than the longest prefix: its cost doesn't depend on the number of routes.
 type hostRoutes struct {
 	longestPrefix int
-	slashed       map[string]*Route // by prefix, those that end with a slash
-	prefixes      []*Route          // longest first; usually none
+	withSlash     map[string]*Route // by prefix, those that end with a slash
+	withoutSlash  []*Route          // longest first; usually none
 }
 
 // BuildIndex builds the lookup tables, unless they exist. It has to be called before the plan is
@@ -18,39 +18,39 @@
 //
 // Example: snapshot.Plan = p.BuildIndex()
 func (p *Plan) BuildIndex() *Plan {
-	if p.hosts != nil {
+	if p.routesByHost != nil {
 		return p
 	}
-	p.hosts = map[string]*hostRoutes{}
-	p.keys = make(map[string]*Tenant, 2*len(p.Tenants))
-	p.names = make(map[string]*Service, len(p.Services))
+	p.routesByHost = map[string]*hostRoutes{}
+	p.tenantsByKey = make(map[string]*Tenant, 2*len(p.Tenants))
+	p.servicesByName = make(map[string]*Service, len(p.Services))
 	for i := range p.Routes {
 		r := &p.Routes[i]
 		name := hostname(r.Host)
-		h := p.hosts[name]
+		h := p.routesByHost[name]
 		if h == nil {
-			h = &hostRoutes{slashed: map[string]*Route{}}
-			p.hosts[name] = h
+			h = &hostRoutes{withSlash: map[string]*Route{}}
+			p.routesByHost[name] = h
 		}
 		h.longestPrefix = max(h.longestPrefix, len(r.Prefix))
 		if strings.HasSuffix(r.Prefix, "/") {
-			h.slashed[r.Prefix] = r
+			h.withSlash[r.Prefix] = r
 		} else {
-			h.prefixes = append(h.prefixes, r)
+			h.withoutSlash = append(h.withoutSlash, r)
 		}
 	}
-	for _, h := range p.hosts {
-		slices.SortStableFunc(h.prefixes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, h := range p.routesByHost {
+		slices.SortStableFunc(h.withoutSlash, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range p.Tenants {
 		for _, k := range p.Tenants[i].Keys {
 			if k != "" {
-				p.keys[k] = &p.Tenants[i]
+				p.tenantsByKey[k] = &p.Tenants[i]
 			}
 		}
 	}
 	for i := range p.Services {
-		p.names[p.Services[i].Name] = &p.Services[i]
+		p.servicesByName[p.Services[i].Name] = &p.Services[i]
 	}
 	return p
 }
@@ -63,11 +63,11 @@
 	return strings.ToLower(s)
 }
 
-// Route finds the route of that host whose prefix begins the path and is longest.
+// MatchRoute finds the route of that host whose prefix begins the path and is longest.
 //
 // Example: r, ok := p.Route(req.Host, req.URL.EscapedPath())
-func (p *Plan) Route(name, path string) (*Route, bool) {
-	h := p.hosts[hostname(name)]
+func (p *Plan) MatchRoute(name, path string) (*Route, bool) {
+	h := p.routesByHost[hostname(name)]
 	if h == nil {
 		return nil, false
 	}
@@ -77,13 +77,13 @@
 		if i < 0 {
 			break
 		}
-		if r := h.slashed[rest[:i+1]]; r != nil {
+		if r := h.withSlash[rest[:i+1]]; r != nil {
 			found = r
 			break
 		}
 		rest = rest[:i]
 	}
-	for _, r := range h.prefixes {
+	for _, r := range h.withoutSlash {
 		if found != nil && len(found.Prefix) > len(r.Prefix) {
 			break
 		}
@@ -94,28 +94,28 @@
 	return found, found != nil
 }
 
-// Tenant returns the tenant of a key.
+// TenantByKey returns the tenant of a key.
 //
 // Example: t, ok := p.Tenant(key)
-func (p *Plan) Tenant(key string) (*Tenant, bool) {
-	t, ok := p.keys[key]
+func (p *Plan) TenantByKey(key string) (*Tenant, bool) {
+	t, ok := p.tenantsByKey[key]
 	return t, ok
 }
 
-// ServiceNamed returns a service; of two with the same name, the last.
+// ServiceByName returns a service; of two with the same name, the last.
 //
-// Example: s, ok := p.ServiceNamed(route.Service(id))
-func (p *Plan) ServiceNamed(service string) (*Service, bool) {
-	s, ok := p.names[service]
+// Example: s, ok := p.ServiceByName(route.Service(id))
+func (p *Plan) ServiceByName(service string) (*Service, bool) {
+	s, ok := p.servicesByName[service]
 	return s, ok
 }
 
-// Service returns which of the route's services takes an attempt: a hash of its ID selects among the
+// SelectService returns which of the route's services takes an attempt: a hash of its ID selects among the
 // weights, so the same ID leads to the same service on every machine. A service named twice has the
 // sum of its weights.
 //
 // Example: name := r.Service(attemptID)
-func (r *Route) Service(id string) string {
+func (r *Route) SelectService(id string) string {
 	sum := r.weight()
 	if sum == 0 {
 		return ""
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Key is the document that holds the plan, in shard 0; its version is the plan's own.
-const Key = "plan"
+// DocumentKey is the document that holds the plan, in shard 0; its version is the plan's own.
+const DocumentKey = "plan"
 
 // Plan is one whole version of the routing configuration.
 type Plan struct {
@@ -16,9 +16,9 @@
 	// Limits bound what a client may send.
 	Limits Limits
 
-	hosts map[string]*hostRoutes
-	keys  map[string]*Tenant
-	names map[string]*Service
+	routesByHost   map[string]*hostRoutes
+	tenantsByKey   map[string]*Tenant
+	servicesByName map[string]*Service
 }
 
 // Kind is whether requests may be repeated.
@@ -26,9 +26,9 @@
 
 // The kinds of a route.
 const (
-	Repeatable Kind = iota // may run more than once
-	Once                   // at most once an attempt
-	Stream                 // a series of events; once, unless it may be resumed
+	Idempotent  Kind = iota // may run more than once
+	AtMostOnce              // at most once an attempt
+	EventStream             // a series of events; once, unless it may be resumed
 )
 
 // Route sends requests of a host and prefix to services.
@@ -36,18 +36,18 @@
 	Name, Host, Prefix string
 	Kind               Kind
 	Timeout            time.Duration // the longest duration of an attempt
-	Target             time.Duration // a response within this counts in full
-	Gap                time.Duration // the longest gap between events that is in time
+	LatencyTarget      time.Duration // a response within this counts in full
+	MaxEventGap        time.Duration // the longest gap between events that is in time
 	Priority           int           // 0 is highest
-	Split              []Share
-	Attempts           int // the most workers that one request may be sent to
+	Split              []WeightedService
+	MaxAttempts        int // the most workers that one request may be sent to
 	Public             bool
-	Session            bool // requests name the parts of their prompt
+	NamesPromptParts   bool // requests name the parts of their prompt
 	Resumable          bool
 }
 
-// Share is one service's weight among those of a route.
-type Share struct {
+// WeightedService is one service's weight among those of a route.
+type WeightedService struct {
 	// Service is a group of workers, or a store of cached prompts.
 	Service string
 	Weight  int
@@ -66,20 +66,20 @@
 
 // Engine is what a service's model workers are like.
 type Engine struct {
-	Slots      int
-	Room       int     // tokens that running requests and cached parts share
-	TokenBytes int     // of a cached token
-	LinkMbps   float64 // transfers of cached parts
-	Polls      int     // calls for events that one worker holds at once, from all callers
-	Models     []string
+	Slots          int
+	CapacityTokens int     // tokens that running requests and cached parts share
+	TokenBytes     int     // of a cached token
+	LinkMbps       float64 // transfers of cached parts
+	MaxPolls       int     // calls for events that one worker holds at once, from all callers
+	Models         []string
 }
 
 // Store keeps parts that workers hand it.
 type Store struct {
-	Addr, Zone string
-	Room       int // tokens
-	LinkMbps   float64
-	Polls      int
+	Addr, Zone     string
+	CapacityTokens int // tokens
+	LinkMbps       float64
+	MaxPolls       int
 }
 
 // Tenant is one user's tenant with its keys.
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -10,19 +10,19 @@
 	"pebbleloom/internal/errs"
 )
 
-// route is a valid route to a service named s.
-func route(name, host, prefix string) Route {
-	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Split: []Share{{"s", 1}}}
+// newRoute is a valid route to a service named s.
+func newRoute(name, host, prefix string) Route {
+	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Split: []WeightedService{{"s", 1}}}
 }
 
-func sample(routes ...Route) *Plan {
+func newPlan(routes ...Route) *Plan {
 	return &Plan{Version: 1, Routes: routes, Services: []Service{{Name: "s"}, {Name: "u"}}}
 }
 
-func TestTheLongestPrefixWins(t *testing.T) {
-	p := sample(route("a", "one.example", "/a/"), route("ab", "one.example", "/a/b/"), route("abc", "one.example", "/a/b/c/d/"),
-		route("root", "two.example", "/"), route("bare", "two.example", "/x"), route("bare2", "two.example", "/x/yy"), route("x", "two.example", "/x/"),
-		route("big", "Three.Example:80", "/A/")).BuildIndex()
+func TestLongestPrefixWins(t *testing.T) {
+	p := newPlan(newRoute("a", "one.example", "/a/"), newRoute("ab", "one.example", "/a/b/"), newRoute("abc", "one.example", "/a/b/c/d/"),
+		newRoute("root", "two.example", "/"), newRoute("bare", "two.example", "/x"), newRoute("bare2", "two.example", "/x/yy"), newRoute("x", "two.example", "/x/"),
+		newRoute("big", "Three.Example:80", "/A/")).BuildIndex()
 	for _, c := range []struct{ host, path, name string }{
 		{"one.example", "/a/", "a"}, {"one.example", "/a/1", "a"}, {"one.example", "/a", ""}, {"one.example", "/", ""}, {"one.example", "", ""},
 		{"one.example", "/a/b", "a"}, {"one.example", "/a/b/", "ab"}, {"one.example", "/a/b/c/d", "ab"}, {"one.example", "/a/b/c/d/e/f", "abc"},
@@ -32,18 +32,18 @@
 		{"two.example", "/x/y", "x"}, {"two.example", "/x/yyy", "bare2"}, {"two.example", "", ""}, {"two.example", "*", ""},
 		{"three.example", "/A/b", "big"}, {"three.example:81", "/a/b", ""},
 	} {
-		r, ok := p.Route(c.host, c.path)
+		r, ok := p.MatchRoute(c.host, c.path)
 		if ok != (c.name != "") || ok && r.Name != c.name {
 			t.Errorf("%s%s: %v, want %q", c.host, c.path, r, c.name)
 		}
 	}
-	if _, ok := sample(route("a", "one.example", "/a/")).Route("one.example", "/a/"); ok {
+	if _, ok := newPlan(newRoute("a", "one.example", "/a/")).MatchRoute("one.example", "/a/"); ok {
 		t.Error("a plan that isn't ready finds a route")
 	}
 }
 
 // What a look-up finds is what a walk over all routes finds.
-func TestALookUpIsAWalkOverAll(t *testing.T) {
+func TestLookupMatchesLinearScan(t *testing.T) {
 	parts := []string{"/", "a", "/b", "/a/", "b/"}
 	var all []string
 	for _, x := range parts {
@@ -54,12 +54,12 @@
 		}
 	}
 	for seed := range 200 {
-		p := sample()
+		p := newPlan()
 		taken := map[string]bool{}
 		for i := range 12 {
 			if x := all[(seed*31+i*i*7+i*13)%len(all)]; !taken[x] {
 				taken[x] = true
-				p.Routes = append(p.Routes, route(x, "h", x))
+				p.Routes = append(p.Routes, newRoute(x, "h", x))
 			}
 		}
 		p.BuildIndex()
@@ -70,44 +70,44 @@
 					want = r.Prefix
 				}
 			}
-			if r, ok := p.Route("h", path); ok != (want != "") || ok && r.Prefix != want {
+			if r, ok := p.MatchRoute("h", path); ok != (want != "") || ok && r.Prefix != want {
 				t.Fatalf("%s among %v: %v, want %q", path, taken, r, want)
 			}
 		}
 	}
 }
 
-func TestKeysAndServicesAreFound(t *testing.T) {
-	p := sample()
+func TestTenantAndServiceLookup(t *testing.T) {
+	p := newPlan()
 	p.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2", ""}}, {Name: "two", Keys: []string{"k3"}}}
 	p.Services = append(p.Services, Service{Name: "s", Health: "/last"})
 	p.BuildIndex()
 	for k, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "k": "", "": ""} {
-		if x, ok := p.Tenant(k); ok != (want != "") || ok && x.Name != want {
+		if x, ok := p.TenantByKey(k); ok != (want != "") || ok && x.Name != want {
 			t.Errorf("key %q: %v", k, x)
 		}
 	}
-	if s, ok := p.ServiceNamed("s"); !ok || s.Health != "/last" {
+	if s, ok := p.ServiceByName("s"); !ok || s.Health != "/last" {
 		t.Errorf("of two services with one name: %v", s)
 	}
-	if _, ok := p.ServiceNamed("none"); ok {
+	if _, ok := p.ServiceByName("none"); ok {
 		t.Error("a service that isn't there was found")
 	}
-	if p.BuildIndex() != p || len(p.hosts) != 0 {
+	if p.BuildIndex() != p || len(p.routesByHost) != 0 {
 		t.Error("a ready plan was built anew")
 	}
 }
 
-func TestASplitFollowsItsWeights(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	for _, c := range []struct {
-		split []Share
+		split []WeightedService
 		want  map[string]float64
 	}{
-		{[]Share{{"s", 3}}, map[string]float64{"s": 1}},
-		{[]Share{{"s", 90}, {"u", 10}}, map[string]float64{"s": 0.9, "u": 0.1}},
-		{[]Share{{"s", 50}, {"u", 25}, {"s", 25}}, map[string]float64{"s": 0.75, "u": 0.25}},
-		{[]Share{{"u", 0}, {"s", 1}, {"u", 0}}, map[string]float64{"s": 1}},
-		{[]Share{{"u", -5}, {"s", 1}}, map[string]float64{"s": 1}},
+		{[]WeightedService{{"s", 3}}, map[string]float64{"s": 1}},
+		{[]WeightedService{{"s", 90}, {"u", 10}}, map[string]float64{"s": 0.9, "u": 0.1}},
+		{[]WeightedService{{"s", 50}, {"u", 25}, {"s", 25}}, map[string]float64{"s": 0.75, "u": 0.25}},
+		{[]WeightedService{{"u", 0}, {"s", 1}, {"u", 0}}, map[string]float64{"s": 1}},
+		{[]WeightedService{{"u", -5}, {"s", 1}}, map[string]float64{"s": 1}},
 		{nil, map[string]float64{"": 1}},
 	} {
 		r := Route{Split: c.split}
@@ -115,8 +115,8 @@
 		const n = 40000
 		for i := range n {
 			id := fmt.Sprintf("%016x", i)
-			name := r.Service(id)
-			if r.Service(id) != name {
+			name := r.SelectService(id)
+			if r.SelectService(id) != name {
 				t.Fatal("one id, two services")
 			}
 			got[name] += 1.0 / n
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestWhatMakesAPlanInvalid(t *testing.T) {
+func TestCheckRejectsInvalidPlans(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(p *Plan)
 		says   string // none: it is valid
@@ -140,10 +140,10 @@
 		"as it is":                      {func(*Plan) {}, ""},
 		"no version":                    {func(p *Plan) { p.Version = 0 }, "version"},
 		"unknown service":               {func(p *Plan) { p.Routes[1].Split[0].Service = "gone" }, `route "b": service "gone"`},
-		"unknown service of weight 0":   {func(p *Plan) { p.Routes[1].Split = []Share{{"s", 1}, {"gone", 0}} }, `route "b": service "gone"`},
+		"unknown service of weight 0":   {func(p *Plan) { p.Routes[1].Split = []WeightedService{{"s", 1}, {"gone", 0}} }, `route "b": service "gone"`},
 		"no service at all":             {func(p *Plan) { p.Routes[0].Split = nil }, `route "a": its weights`},
-		"weights of 0":                  {func(p *Plan) { p.Routes[0].Split = []Share{{"s", 0}, {"u", 0}} }, `route "a": its weights`},
-		"one weight of 0":               {func(p *Plan) { p.Routes[0].Split = []Share{{"s", 0}, {"u", 1}} }, ""},
+		"weights of 0":                  {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 0}} }, `route "a": its weights`},
+		"one weight of 0":               {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 1}} }, ""},
 		"no timeout":                    {func(p *Plan) { p.Routes[1].Timeout = 0 }, `route "b": timeout`},
 		"same host and prefix":          {func(p *Plan) { p.Routes[1].Prefix = "/a/" }, `those of route "a"`},
 		"same host in capitals":         {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "H" }, `those of route "a"`},
@@ -156,7 +156,7 @@
 		"no tenants":                    {func(p *Plan) { p.Tenants = nil }, ""},
 		"no routes, no services at all": {func(p *Plan) { *p = Plan{Version: 3} }, ""},
 	} {
-		p := sample(route("a", "h", "/a/"), route("b", "h", "/b/"))
+		p := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/b/"))
 		p.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2"}}, {Name: "two", Keys: []string{"k3"}}}
 		c.change(p)
 		err := Check(p)
@@ -169,8 +169,8 @@
 	}
 }
 
-func TestEveryFaultIsListed(t *testing.T) {
-	p := sample(route("a", "h", "/a/"), route("b", "h", "/a/"))
+func TestCheckReportsEveryFault(t *testing.T) {
+	p := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/a/"))
 	p.Version, p.Routes[0].Timeout, p.Routes[1].Split[0].Service = 0, 0, "gone"
 	err := Check(p)
 	for _, w := range []string{"4 faults", "version", `route "a": timeout`, `route "b": service "gone"`, `host "h" and prefix "/a/"`} {
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestVersionsRise(t *testing.T) {
+func TestVersionMustIncrease(t *testing.T) {
 	for _, c := range []struct {
 		old, next uint64
 		ok        bool
@@ -191,21 +191,21 @@
 	}
 }
 
-// many is a plan of n routes at a handful of hosts.
-func many(n int) *Plan {
-	p := sample()
+// newLargePlan is a plan of n routes at a handful of hosts.
+func newLargePlan(n int) *Plan {
+	p := newPlan()
 	for i := range n {
-		p.Routes = append(p.Routes, route(fmt.Sprint("r", i), fmt.Sprintf("h%d.example", i%5), fmt.Sprintf("/p%d/", i)))
+		p.Routes = append(p.Routes, newRoute(fmt.Sprint("r", i), fmt.Sprintf("h%d.example", i%5), fmt.Sprintf("/p%d/", i)))
 	}
 	return p
 }
 
 // A look-up takes no memory, and as long among thousands of routes as among a few.
-func TestALookUpTakesNoMemory(t *testing.T) {
-	p := many(3500).BuildIndex()
+func TestLookupDoesNotAllocate(t *testing.T) {
+	p := newLargePlan(3500).BuildIndex()
 	path := "/p3000/" + strings.Repeat("a/", 8000) // no slash beyond the longest prefix is looked at
 	if n := testing.AllocsPerRun(100, func() {
-		if r, ok := p.Route("h0.example:8080", path); !ok || r.Name != "r3000" {
+		if r, ok := p.MatchRoute("h0.example:8080", path); !ok || r.Name != "r3000" {
 			t.Fatal(r)
 		}
 	}); n != 0 {
@@ -215,11 +215,11 @@
 
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{10, 350, 3500} {
-		p := many(n).BuildIndex()
+		p := newLargePlan(n).BuildIndex()
 		last := p.Routes[n-1]
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				if _, ok := p.Route(last.Host, last.Prefix+"some/thing"); !ok {
+				if _, ok := p.MatchRoute(last.Host, last.Prefix+"some/thing"); !ok {
 					b.Fatal("not found")
 				}
 			}
@@ -227,16 +227,16 @@
 	}
 }
 
-func BenchmarkReady350(b *testing.B) {
-	p := many(350)
+func BenchmarkBuildIndex350(b *testing.B) {
+	p := newLargePlan(350)
 	for b.Loop() {
-		p.hosts = nil
+		p.routesByHost = nil
 		p.BuildIndex()
 	}
 }
 
 func BenchmarkCheck350(b *testing.B) {
-	p := many(350)
+	p := newLargePlan(350)
 	for b.Loop() {
 		if err := Check(p); err != nil {
 			b.Fatal(err)
--- a/internal/control/serviceconfig/adapters.go
+++ b/internal/control/serviceconfig/adapters.go
@@ -23,19 +23,19 @@
 	if !ok {
 		return Target{}, false
 	}
-	name := w.AnsweredBy(route)
-	if w.Move != "" && int(queue.Hash("move/"+request)%100) < w.Moved {
-		name = w.Move
+	name := w.DefaultTarget(route)
+	if w.MoveTo != "" && int(queue.Hash("move/"+request)%100) < w.MovedPercent {
+		name = w.MoveTo
 	}
 	return s.Resolve(name)
 }
 
-// AnsweredBy is the model or adapter that answers a route's requests, except those that were moved.
+// DefaultTarget is the model or adapter that answers a route's requests, except those that were moved.
 //
-// Example: config.Routes["rare"].AnsweredBy("rare")
-func (w Route) AnsweredBy(route string) string {
-	if w.Use != "" {
-		return w.Use
+// Example: config.Routes["rare"].DefaultTarget("rare")
+func (w Route) DefaultTarget(route string) string {
+	if w.ServedBy != "" {
+		return w.ServedBy
 	}
 	return route
 }
@@ -48,7 +48,7 @@
 		return Target{Model: name, Weights: m.Weights}, true
 	}
 	a, ok := s.Adapters[name]
-	return Target{Model: a.Base, Weights: s.Models[a.Base].Weights, Adapter: name, Build: a.Build}, ok
+	return Target{Model: a.BaseModel, Weights: s.Models[a.BaseModel].Weights, Adapter: name, Build: a.Build}, ok
 }
 
 // Allows reports whether a tenant may name an adapter; models are open to all.
@@ -59,10 +59,10 @@
 	return !ok || len(a.Tenants) == 0 || slices.Contains(a.Tenants, tenant)
 }
 
-func (s *Config) checkAdapters(f faults) {
+func (s *Config) checkAdapters(f faultRecorder) {
 	for _, n := range queue.Keys(s.Models) {
-		if s.Models[n].Room < 0 {
-			f.add("models."+n+".room", "%d: give what it takes of a worker's memory in MB", s.Models[n].Room)
+		if s.Models[n].MemoryMB < 0 {
+			f.add("models."+n+".room", "%d: give what it takes of a worker's memory in MB", s.Models[n].MemoryMB)
 		}
 	}
 	for _, n := range queue.Keys(s.Adapters) {
@@ -71,14 +71,14 @@
 		if _, ok := s.Models[n]; ok {
 			f.add(p, "a model has the same name: give each its own")
 		}
-		if _, ok := s.Models[a.Base]; !ok {
-			f.add(p+".base", "%q is not among models: add it there or name another", a.Base)
+		if _, ok := s.Models[a.BaseModel]; !ok {
+			f.add(p+".base", "%q is not among models: add it there or name another", a.BaseModel)
 		}
 		if a.Build == 0 {
 			f.add(p+".build", "missing: name the build, from 1")
 		}
-		if a.Room < 0 {
-			f.add(p+".room", "%d: give what it takes of a worker's memory in MB", a.Room)
+		if a.MemoryMB < 0 {
+			f.add(p+".room", "%d: give what it takes of a worker's memory in MB", a.MemoryMB)
 		}
 		for i, v := range a.Services {
 			if _, ok := s.Services[v]; !ok {
@@ -96,26 +96,26 @@
 	}
 }
 
-// checkUse notes a route whose target doesn't exist or isn't loaded on the route's workers.
-func (s *Config) checkUse(n string, f faults) {
+// checkTargets notes a route whose target doesn't exist or isn't loaded on the route's workers.
+func (s *Config) checkTargets(n string, f faultRecorder) {
 	w, p := s.Routes[n], "ways."+n
-	if _, ok := s.Resolve(n); !ok && w.Use == "" {
+	if _, ok := s.Resolve(n); !ok && w.ServedBy == "" {
 		f.add(p, "no such model: a route is named by the model it serves")
 	}
-	for _, x := range [][2]string{{".use", w.Use}, {".move", w.Move}} {
+	for _, x := range [][2]string{{".use", w.ServedBy}, {".move", w.MoveTo}} {
 		if _, ok := s.Resolve(x[1]); x[1] != "" && !ok {
 			f.add(p+x[0], "%q is neither among models nor among adapters: add it there or name another", x[1])
 		}
 	}
-	for _, v := range []string{w.AnsweredBy(n), w.Move} {
+	for _, v := range []string{w.DefaultTarget(n), w.MoveTo} {
 		if a, ok := s.Adapters[v]; ok && !slices.Contains(a.Services, w.Service) {
 			f.add(p, "adapter %s isn't held by service %s: add the service to adapters.%s.services", v, w.Service, v)
 		}
 	}
-	if w.Moved < 0 || w.Moved > 100 || w.Moved > 0 && w.Move == "" {
-		f.add(p+".moved", "%d: give a percent, and in move where to", w.Moved)
+	if w.MovedPercent < 0 || w.MovedPercent > 100 || w.MovedPercent > 0 && w.MoveTo == "" {
+		f.add(p+".moved", "%d: give a percent, and in move where to", w.MovedPercent)
 	}
-	if w.Move != "" && w.Next != "" {
+	if w.MoveTo != "" && w.HandoverTo != "" {
 		f.add(p, "it is handed over and moved at once: end one first")
 	}
 }
--- a/internal/control/serviceconfig/config.go
+++ b/internal/control/serviceconfig/config.go
@@ -20,10 +20,10 @@
 // MaxBytes bounds a whole service configuration.
 const MaxBytes = 1 << 20
 
-// Read decodes and checks a whole service configuration; the faults name paths and remedies.
+// Decode decodes and checks a whole service configuration; the faults name paths and remedies.
 //
 // Example: config, err := serviceconfig.Read(body)
-func Read(body []byte) (*Config, error) {
+func Decode(body []byte) (*Config, error) {
 	s := &Config{}
 	if len(body) > MaxBytes {
 		return nil, errs.New(errs.TooBig, "service configuration: %d bytes, at most %d", len(body), MaxBytes)
@@ -36,10 +36,10 @@
 	return s, b.Look()
 }
 
-// Write encodes a service configuration in its one canonical form.
+// Encode encodes a service configuration in its one canonical form.
 //
 // Example: body, err := serviceconfig.Write(config)
-func Write(s *Config) ([]byte, error) {
+func Encode(s *Config) ([]byte, error) {
 	b, err := easyjson.Marshal(s)
 	if err != nil {
 		return nil, errs.Wrap(err, "encode service configuration")
@@ -67,29 +67,29 @@
 	if err != nil {
 		return nil, errs.As(err, errs.BadInput, "merge partial service configuration")
 	}
-	s, err := Read(m)
+	s, err := Decode(m)
 	if err != nil {
 		return nil, err
 	}
-	return Write(s)
+	return Encode(s)
 }
 
-// faults records the faults of a configuration, each with its path and remedy.
-type faults struct{ batch *errs.Batch }
+// faultRecorder records the faults of a configuration, each with its path and remedy.
+type faultRecorder struct{ batch *errs.Batch }
 
-func (f faults) add(path, format string, args ...any) {
+func (f faultRecorder) add(path, format string, args ...any) {
 	f.batch.Fault(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, args...))
 }
 
 // checkName notes a name that isn't a single word.
-func (f faults) checkName(path, name string) {
+func (f faultRecorder) checkName(path, name string) {
 	if name == "" || len(name) > 64 || strings.ContainsAny(name, " /\x00\n") {
 		f.add(path, "%q: give a word of 1 to 64 letters without spaces or slashes", name)
 	}
 }
 
 func (s *Config) check(b *errs.Batch) {
-	f := faults{b}
+	f := faultRecorder{b}
 	s.checkTenants(f)
 	for _, n := range queue.Keys(s.Models) {
 		f.checkName("models."+n, n)
@@ -108,17 +108,17 @@
 			f.add(fmt.Sprintf("seeds[%d]", i), "%q: give IP:port, by number", a)
 		}
 	}
-	if s.WaitMaxMs < 0 || s.WaitMaxMs > 600000 {
-		f.add("wait_max_ms", "%d: give 0 (the default, 30000) to 600000", s.WaitMaxMs)
+	if s.MaxWaitMs < 0 || s.MaxWaitMs > 600000 {
+		f.add("wait_max_ms", "%d: give 0 (the default, 30000) to 600000", s.MaxWaitMs)
 	}
 }
 
-func (s *Config) checkTenants(f faults) {
+func (s *Config) checkTenants(f faultRecorder) {
 	tenantOf := map[string]string{} // by key
 	for _, n := range queue.Keys(s.Tenants) {
 		t, p := s.Tenants[n], "tenants."+n
 		f.checkName(p, n)
-		if t.Rate < 0 || t.Inflight < 0 {
+		if t.RequestsPerSecond < 0 || t.MaxInFlight < 0 {
 			f.add(p, "rate and inflight: give 0 (no bound) or more")
 		}
 		for i, k := range t.Keys {
@@ -133,24 +133,24 @@
 	}
 }
 
-func (s *Config) checkServices(f faults) {
+func (s *Config) checkServices(f faultRecorder) {
 	for _, n := range queue.Keys(s.Services) {
 		v, p := s.Services[n], "services."+n
 		f.checkName(p, n)
 		if _, ok := s.Models[v.Model]; !ok {
 			f.add(p+".model", "%q is not among models: add it there or name another", v.Model)
 		}
-		if v.Alpha < 0 || v.Alpha > 10 {
-			f.add(p+".alpha", "%g: give 0 (the default, 1) to 10", v.Alpha)
+		if v.FetchToPrefillRatio < 0 || v.FetchToPrefillRatio > 10 {
+			f.add(p+".alpha", "%g: give 0 (the default, 1) to 10", v.FetchToPrefillRatio)
 		}
-		if v.Room < 0 {
-			f.add(p+".room", "%d: give each worker's memory for weights in MB, or leave it out", v.Room)
+		if v.WorkerMemoryMB < 0 {
+			f.add(p+".room", "%d: give each worker's memory for weights in MB, or leave it out", v.WorkerMemoryMB)
 		}
-		if v.WindowS < 0 || v.WindowS > 86400 {
-			f.add(p+".window_s", "%d: give 0 (the default, 30) to 86400", v.WindowS)
+		if v.HotnessWindowS < 0 || v.HotnessWindowS > 86400 {
+			f.add(p+".window_s", "%d: give 0 (the default, 30) to 86400", v.HotnessWindowS)
 		}
-		if v.RollOut != "" && v.RollOut != "paced" && v.RollOut != "at-once" {
-			f.add(p+".roll_out", "%q: give paced or at-once", v.RollOut)
+		if v.Rollout != "" && v.Rollout != "paced" && v.Rollout != "at-once" {
+			f.add(p+".roll_out", "%q: give paced or at-once", v.Rollout)
 		}
 		switch v.Placement {
 		case "", "hrcs", "all-replicated", "all-sharded", "no-index":
@@ -160,21 +160,21 @@
 	}
 }
 
-func (s *Config) checkRoutes(f faults) {
+func (s *Config) checkRoutes(f faultRecorder) {
 	for _, n := range queue.Keys(s.Routes) {
 		r := s.Routes[n]
 		if _, ok := s.Services[r.Service]; !ok {
 			f.add("ways."+n+".service", "%q is not among services: add it there or name another", r.Service)
 		}
-		if r.Next != "" {
-			if v, ok := s.Services[r.Next]; !ok || v.Model != n {
-				f.add("ways."+n+".next", "%q is no service of model %s: name one that is", r.Next, n)
+		if r.HandoverTo != "" {
+			if v, ok := s.Services[r.HandoverTo]; !ok || v.Model != n {
+				f.add("ways."+n+".next", "%q is no service of model %s: name one that is", r.HandoverTo, n)
 			}
 		}
-		if r.Share < 0 || r.Share > 100 {
-			f.add("ways."+n+".share", "%d: give a percent", r.Share)
+		if r.HandoverPercent < 0 || r.HandoverPercent > 100 {
+			f.add("ways."+n+".share", "%d: give a percent", r.HandoverPercent)
 		}
-		s.checkUse(n, f)
+		s.checkTargets(n, f)
 	}
 }
 
@@ -182,7 +182,7 @@
 //
 // Example: name, t, ok := s.Tenant(key)
 func (s *Config) Tenant(key string) (string, Tenant, bool) {
-	n, ok := s.byKey[key]
+	n, ok := s.tenantByKey[key]
 	return n, s.Tenants[n], ok
 }
 
@@ -190,7 +190,7 @@
 //
 // Example: if !config.KeyBelongsTo(key, tenant) { reject() }
 func (s *Config) KeyBelongsTo(key, tenant string) bool {
-	n, ok := s.byKey[key]
+	n, ok := s.tenantByKey[key]
 	return ok && n == tenant
 }
 
@@ -198,19 +198,19 @@
 //
 // Example: config.BuildIndex()
 func (s *Config) BuildIndex() *Config {
-	s.byKey = map[string]string{}
+	s.tenantByKey = map[string]string{}
 	for n, t := range s.Tenants {
 		for _, k := range t.Keys {
-			s.byKey[k] = n
+			s.tenantByKey[k] = n
 		}
 	}
 	return s
 }
 
-// Domain is the cache domain of a tenant: its own if isolated, the shared one otherwise.
+// CacheDomain is the cache domain of a tenant: its own if isolated, the shared one otherwise.
 //
 // Example: s.Domain("hospital-norte")
-func (s *Config) Domain(tenant string) string {
+func (s *Config) CacheDomain(tenant string) string {
 	if s.Tenants[tenant].Isolated {
 		return "t:" + tenant
 	}
--- a/internal/control/serviceconfig/config_test.go
+++ b/internal/control/serviceconfig/config_test.go
@@ -29,17 +29,17 @@
 }
 
 // A configuration has one canonical form, whatever order its maps are walked in.
-func TestOneForm(t *testing.T) {
+func TestEncodingIsCanonical(t *testing.T) {
 	s := &Config{Models: map[string]Model{}}
 	for i := range 20 {
 		s.Models[fmt.Sprint("m", i)] = Model{Weights: 1<<63 + uint64(i)}
 	}
-	a, err := Write(s)
+	a, err := Encode(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 20 {
-		if b, err := Write(s); err != nil || string(a) != string(b) {
+		if b, err := Encode(s); err != nil || string(a) != string(b) {
 			t.Fatalf("%s\n%s\n%v", a, b, err)
 		}
 	}
@@ -48,19 +48,19 @@
 	}
 }
 
-const tmpl = `{"params":{"site":"its name","weights":"the epoch","rate":"of tenants"},
+const siteTemplate = `{"params":{"site":"its name","weights":"the epoch","rate":"of tenants"},
  "setup":{"models":{"{{.site}}-lm":{"weights":"{{.weights}}"}},"services":{"main":{"model":"{{.site}}-lm"}},"ways":{"{{.site}}-lm":{"service":"main"}},
  "tenants":{"t1":{"keys":["key-{{.site}}-t1"],"rate":"{{.rate}}"}}}}`
 
 func TestRender(t *testing.T) {
 	set := map[string]string{"site": "daegu", "weights": "7", "rate": "2.5"}
-	over := []Layer{{"night.json", []byte(`{"tenants":{"t1":{"rate":1}},"wait_max_ms":9000}`)}, {"day.json", []byte(`{"tenants":{"t1":{"rate":1}}}`)}}
-	body, os, err := Render([]byte(tmpl), set, over)
+	over := []Overlay{{"night.json", []byte(`{"tenants":{"t1":{"rate":1}},"wait_max_ms":9000}`)}, {"day.json", []byte(`{"tenants":{"t1":{"rate":1}}}`)}}
+	body, os, err := Render([]byte(siteTemplate), set, over)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Read(body)
-	if err != nil || s.Models["daegu-lm"].Weights != 7 || s.Tenants["t1"].Rate != 1 || s.WaitMaxMs != 9000 {
+	s, err := Decode(body)
+	if err != nil || s.Models["daegu-lm"].Weights != 7 || s.Tenants["t1"].RequestsPerSecond != 1 || s.MaxWaitMs != 9000 {
 		t.Errorf("%s %v", body, err)
 	}
 	from := map[string]string{}
@@ -78,11 +78,11 @@
 		set  map[string]string
 		want string
 	}{
-		"missing":                  {tmpl, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
-		"unknown":                  {tmpl, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
+		"missing":                  {siteTemplate, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
+		"unknown":                  {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
 		"undescribed":              {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x}}"}}}}`, nil, "no such parameter"},
 		"a broken one":             {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x"}}}}`, nil, "ways.m.service"},
-		"not a good configuration": {tmpl, map[string]string{"site": "x", "rate": "1", "weights": "0"}, "models.x-lm.weights"},
+		"not a good configuration": {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "0"}, "models.x-lm.weights"},
 		"no program in it":         {`{"params":{"x":"y"},"setup":{"ways":{"m":{"service":"{{printf .x}}"}}}}`, map[string]string{"x": "1"}, "no such parameter"},
 	} {
 		if _, _, err := Render([]byte(c.tmpl), c.set, nil); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -92,7 +92,7 @@
 }
 
 // A model's weights don't go back, also where a whole configuration names them.
-func TestWeightsDoNotGoBack(t *testing.T) {
+func TestWeightsVersionNeverDecreases(t *testing.T) {
 	at := func(w string) []byte {
 		return []byte(`{"models":{"m":{"weights":` + w + `}},"services":{"s":{"model":"m"}}}`)
 	}
--- a/internal/control/serviceconfig/fuzz_test.go
+++ b/internal/control/serviceconfig/fuzz_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("a configuration is no successor of itself: %v", err)
 		}
 		if b, err := Merge(a, part); err == nil {
-			if _, err := Read(b); err != nil {
+			if _, err := Decode(b); err != nil {
 				t.Fatalf("what was merged isn't read: %v", err)
 			}
 		} else if errs.KindOf(err) == errs.Inside {
--- a/internal/control/serviceconfig/model_easyjson.go
+++ b/internal/control/serviceconfig/model_easyjson.go
@@ -41,31 +41,31 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Next = string(in.String())
+				out.HandoverTo = string(in.String())
 			}
 		case "share":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Share = int(in.Int())
+				out.HandoverPercent = int(in.Int())
 			}
 		case "use":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Use = string(in.String())
+				out.ServedBy = string(in.String())
 			}
 		case "move":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Move = string(in.String())
+				out.MoveTo = string(in.String())
 			}
 		case "moved":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Moved = int(in.Int())
+				out.MovedPercent = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -90,30 +90,30 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Service))
 	}
-	if in.Next != "" {
+	if in.HandoverTo != "" {
 		const prefix string = ",\"next\":"
 		out.RawString(prefix)
-		out.String(string(in.Next))
+		out.String(string(in.HandoverTo))
 	}
-	if in.Share != 0 {
+	if in.HandoverPercent != 0 {
 		const prefix string = ",\"share\":"
 		out.RawString(prefix)
-		out.Int(int(in.Share))
+		out.Int(int(in.HandoverPercent))
 	}
-	if in.Use != "" {
+	if in.ServedBy != "" {
 		const prefix string = ",\"use\":"
 		out.RawString(prefix)
-		out.String(string(in.Use))
+		out.String(string(in.ServedBy))
 	}
-	if in.Move != "" {
+	if in.MoveTo != "" {
 		const prefix string = ",\"move\":"
 		out.RawString(prefix)
-		out.String(string(in.Move))
+		out.String(string(in.MoveTo))
 	}
-	if in.Moved != 0 {
+	if in.MovedPercent != 0 {
 		const prefix string = ",\"moved\":"
 		out.RawString(prefix)
-		out.Int(int(in.Moved))
+		out.Int(int(in.MovedPercent))
 	}
 	out.RawByte('}')
 }
@@ -192,13 +192,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rate = float64(in.Float64())
+				out.RequestsPerSecond = float64(in.Float64())
 			}
 		case "inflight":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Inflight = int(in.Int())
+				out.MaxInFlight = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -243,7 +243,7 @@
 		}
 		out.Bool(bool(in.Isolated))
 	}
-	if in.Rate != 0 {
+	if in.RequestsPerSecond != 0 {
 		const prefix string = ",\"rate\":"
 		if first {
 			first = false
@@ -251,9 +251,9 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Float64(float64(in.Rate))
+		out.Float64(float64(in.RequestsPerSecond))
 	}
-	if in.Inflight != 0 {
+	if in.MaxInFlight != 0 {
 		const prefix string = ",\"inflight\":"
 		if first {
 			first = false
@@ -261,7 +261,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int(int(in.Inflight))
+		out.Int(int(in.MaxInFlight))
 	}
 	out.RawByte('}')
 }
@@ -429,9 +429,9 @@
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Drains = make(map[string]bool)
+					out.Draining = make(map[string]bool)
 				} else {
-					out.Drains = nil
+					out.Draining = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
@@ -442,7 +442,7 @@
 					} else {
 						v9 = bool(in.Bool())
 					}
-					(out.Drains)[key] = v9
+					(out.Draining)[key] = v9
 					in.WantComma()
 				}
 				in.Delim('}')
@@ -478,7 +478,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.WaitMaxMs = int(in.Int())
+				out.MaxWaitMs = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -614,7 +614,7 @@
 			out.RawByte('}')
 		}
 	}
-	if len(in.Drains) != 0 {
+	if len(in.Draining) != 0 {
 		const prefix string = ",\"drains\":"
 		if first {
 			first = false
@@ -625,7 +625,7 @@
 		{
 			out.RawByte('{')
 			v16First := true
-			for v16Name, v16Value := range in.Drains {
+			for v16Name, v16Value := range in.Draining {
 				if v16First {
 					v16First = false
 				} else {
@@ -657,7 +657,7 @@
 			out.RawByte(']')
 		}
 	}
-	if in.WaitMaxMs != 0 {
+	if in.MaxWaitMs != 0 {
 		const prefix string = ",\"wait_max_ms\":"
 		if first {
 			first = false
@@ -665,7 +665,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int(int(in.WaitMaxMs))
+		out.Int(int(in.MaxWaitMs))
 	}
 	out.RawByte('}')
 }
@@ -717,13 +717,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Alpha = float64(in.Float64())
+				out.FetchToPrefillRatio = float64(in.Float64())
 			}
 		case "window_s":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.WindowS = int(in.Int())
+				out.HotnessWindowS = int(in.Int())
 			}
 		case "placement":
 			if in.IsNull() {
@@ -735,13 +735,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.RollOut = string(in.String())
+				out.Rollout = string(in.String())
 			}
 		case "room":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Room = int(in.Int())
+				out.WorkerMemoryMB = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -766,30 +766,30 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Model))
 	}
-	if in.Alpha != 0 {
+	if in.FetchToPrefillRatio != 0 {
 		const prefix string = ",\"alpha\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Alpha))
+		out.Float64(float64(in.FetchToPrefillRatio))
 	}
-	if in.WindowS != 0 {
+	if in.HotnessWindowS != 0 {
 		const prefix string = ",\"window_s\":"
 		out.RawString(prefix)
-		out.Int(int(in.WindowS))
+		out.Int(int(in.HotnessWindowS))
 	}
 	if in.Placement != "" {
 		const prefix string = ",\"placement\":"
 		out.RawString(prefix)
 		out.String(string(in.Placement))
 	}
-	if in.RollOut != "" {
+	if in.Rollout != "" {
 		const prefix string = ",\"roll_out\":"
 		out.RawString(prefix)
-		out.String(string(in.RollOut))
+		out.String(string(in.Rollout))
 	}
-	if in.Room != 0 {
+	if in.WorkerMemoryMB != 0 {
 		const prefix string = ",\"room\":"
 		out.RawString(prefix)
-		out.Int(int(in.Room))
+		out.Int(int(in.WorkerMemoryMB))
 	}
 	out.RawByte('}')
 }
@@ -841,7 +841,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Room = int(in.Int())
+				out.MemoryMB = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -866,10 +866,10 @@
 		out.RawString(prefix[1:])
 		out.Uint64(uint64(in.Weights))
 	}
-	if in.Room != 0 {
+	if in.MemoryMB != 0 {
 		const prefix string = ",\"room\":"
 		out.RawString(prefix)
-		out.Int(int(in.Room))
+		out.Int(int(in.MemoryMB))
 	}
 	out.RawByte('}')
 }
@@ -915,7 +915,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Base = string(in.String())
+				out.BaseModel = string(in.String())
 			}
 		case "build":
 			if in.IsNull() {
@@ -981,7 +981,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Room = int(in.Int())
+				out.MemoryMB = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -1004,7 +1004,7 @@
 	{
 		const prefix string = ",\"base\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Base))
+		out.String(string(in.BaseModel))
 	}
 	{
 		const prefix string = ",\"build\":"
@@ -1039,10 +1039,10 @@
 			out.RawByte(']')
 		}
 	}
-	if in.Room != 0 {
+	if in.MemoryMB != 0 {
 		const prefix string = ",\"room\":"
 		out.RawString(prefix)
-		out.Int(int(in.Room))
+		out.Int(int(in.MemoryMB))
 	}
 	out.RawByte('}')
 }
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -22,9 +22,9 @@
 	Config map[string]any    `json:"setup"`
 }
 
-// Layer is one overlay, a partial service configuration, with the name under which origins refer to
+// Overlay is one overlay, a partial service configuration, with the name under which origins refer to
 // it.
-type Layer struct {
+type Overlay struct {
 	Name string
 	Body []byte
 }
@@ -40,7 +40,7 @@
 // configuration. Missing and unknown parameters are rejected by name.
 //
 // Example: body, origins, err := serviceconfig.Render(raw, map[string]string{"weights": "3"}, layers)
-func Render(raw []byte, set map[string]string, layers []Layer) ([]byte, []Origin, error) {
+func Render(raw []byte, set map[string]string, layers []Overlay) ([]byte, []Origin, error) {
 	var t Template
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
--- a/internal/control/serviceconfig/successor.go
+++ b/internal/control/serviceconfig/successor.go
@@ -13,11 +13,11 @@
 	if len(old) == 0 {
 		return nil
 	}
-	o, err := Read(old)
+	o, err := Decode(old)
 	if err != nil {
 		return errs.Wrap(err, "service configuration in force")
 	}
-	n, err := Read(next)
+	n, err := Decode(next)
 	if err != nil {
 		return err
 	}
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -127,7 +127,7 @@
 			want[s] = true
 		}
 		for _, n := range t.snapshot.Nodes {
-			if n.Role == clustermembership.RoleControlNode && n.State != clustermembership.Gone {
+			if n.Role == clustermembership.RoleControlNode && n.State != clustermembership.Dead {
 				want[n.Addr] = true
 			}
 		}
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -58,7 +58,7 @@
 // requestedVersion is the version of the plan that a request was sent with.
 func requestedVersion(a *wire.FollowRequest) uint64 {
 	for _, h := range a.Known {
-		if h.Key == routingconfig.Key {
+		if h.Key == routingconfig.DocumentKey {
 			return h.Version
 		}
 	}
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -58,8 +58,8 @@
 
 // newRequest makes the next request to a member.
 func (t *table) newRequest(hold time.Duration) *wire.FollowRequest {
-	a := &wire.FollowRequest{MaxWaitNs: uint64(hold), ProofKey: routingconfig.Key, AcceptsCompressed: true}
-	for _, k := range []string{routingconfig.Key, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
+	a := &wire.FollowRequest{MaxWaitNs: uint64(hold), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true}
+	for _, k := range []string{routingconfig.DocumentKey, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
 		a.Known = append(a.Known, &wire.KnownVersion{Key: k, Version: t.versions[k]})
 	}
 	for _, k := range queue.Keys(t.versions) {
@@ -76,7 +76,7 @@
 	var b errs.Batch
 	version := requested
 	for _, d := range response.Documents {
-		if d.GetKey() == routingconfig.Key {
+		if d.GetKey() == routingconfig.DocumentKey {
 			version = max(version, d.GetVersion())
 		}
 		if t.isFollowed(d.GetKey()) && d.GetVersion() > t.versions[d.GetKey()] {
@@ -91,7 +91,7 @@
 }
 
 func (t *table) isFollowed(key string) bool {
-	return key == routingconfig.Key || key == fleet.WorkersKey || key == fleet.WeightsKey ||
+	return key == routingconfig.DocumentKey || key == fleet.WorkersKey || key == fleet.WeightsKey ||
 		strings.HasPrefix(key, fleet.PlacementKey) && key != fleet.PlacementKey
 }
 
@@ -110,7 +110,7 @@
 		return err
 	}
 	switch d.Key {
-	case routingconfig.Key:
+	case routingconfig.DocumentKey:
 		p, err := t.codec.Read(d.Body)
 		if err != nil {
 			return err
@@ -190,7 +190,7 @@
 	alone := true
 	for _, n := range v.Nodes {
 		alone = alone && n.Role != clustermembership.RoleControlNode
-		if n.Role == clustermembership.RoleNodeAgent && n.State != clustermembership.Gone {
+		if n.Role == clustermembership.RoleNodeAgent && n.State != clustermembership.Dead {
 			t.edgeSeenAt[n.Name] = now
 		}
 	}
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -29,7 +29,7 @@
 func (*numbers) Merge(_, sent []byte, _ bool) ([]byte, uint64, error) { return sent, 0, nil }
 
 func planDoc(v uint64) *wire.Document {
-	return &wire.Document{Key: routingconfig.Key, Version: v, Body: []byte(strconv.FormatUint(v, 10))}
+	return &wire.Document{Key: routingconfig.DocumentKey, Version: v, Body: []byte(strconv.FormatUint(v, 10))}
 }
 
 func doc(t *testing.T, key string, v uint64, body any) *wire.Document {
@@ -79,7 +79,7 @@
 				t.Fatalf("%v: news %v, %v", l, news, err)
 			}
 			top = max(top, reported)
-			if top > 0 && x.snapshot.Plan.Version != top || x.versions[routingconfig.Key] != top || x.snapshot.ProofAt < proof {
+			if top > 0 && x.snapshot.Plan.Version != top || x.versions[routingconfig.DocumentKey] != top || x.snapshot.ProofAt < proof {
 				t.Fatalf("%v: plan %v in use, %d reported, proof %v after %v", l, x.snapshot.Plan, top, x.snapshot.ProofAt, proof)
 			}
 			proof = x.snapshot.ProofAt
@@ -94,14 +94,14 @@
 	x := fresh()
 	x.applyResponse(newFollowResponse(abc[0], true, planDoc(2)), 0, start+1, start+1)
 	x.applyResponse(newFollowResponse(abc[1], true), 2, start+2, start+2)
-	bad := &wire.Document{Key: routingconfig.Key, Version: 3, Body: []byte("?")}
+	bad := &wire.Document{Key: routingconfig.DocumentKey, Version: 3, Body: []byte("?")}
 	if news, err := x.applyResponse(newFollowResponse(abc[0], true, bad), 2, start+3, start+3); !news || err == nil {
 		t.Fatalf("news %v, error %v", news, err)
 	}
 	x.applyResponse(newFollowResponse(abc[1], true, bad), 2, start+4, start+4)
 	x.applyResponse(newFollowResponse(abc[2], true), 3, start+5, start+5)
-	if x.snapshot.Plan.Version != 2 || x.snapshot.ProofAt != start+1 || x.versions[routingconfig.Key] != 3 {
-		t.Fatalf("plan %d, proof %v, asks with %d", x.snapshot.Plan.Version, x.snapshot.ProofAt, x.versions[routingconfig.Key])
+	if x.snapshot.Plan.Version != 2 || x.snapshot.ProofAt != start+1 || x.versions[routingconfig.DocumentKey] != 3 {
+		t.Fatalf("plan %d, proof %v, asks with %d", x.snapshot.Plan.Version, x.snapshot.ProofAt, x.versions[routingconfig.DocumentKey])
 	}
 	if r := x.codec.(*numbers).reads; r != 2 {
 		t.Fatalf("%d reads", r)
@@ -124,7 +124,7 @@
 	for _, h := range a.Known {
 		got[h.Key] = h.Version
 	}
-	if len(a.Known) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || a.ProofKey != routingconfig.Key || a.MaxWaitNs != 1e9 {
+	if len(a.Known) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || a.ProofKey != routingconfig.DocumentKey || a.MaxWaitNs != 1e9 {
 		t.Fatalf("asks %v", a)
 	}
 	shown := x.snapshot
@@ -182,7 +182,7 @@
 	for i := range edges {
 		n := &wire.Node{Name: clustermembership.RoleNodeAgent + "/" + strconv.Itoa(i), Role: clustermembership.RoleNodeAgent}
 		if i < gone {
-			n.State = clustermembership.Gone
+			n.State = clustermembership.Dead
 		}
 		v.Nodes = append(v.Nodes, n)
 	}
--- a/internal/data/backend/client.go
+++ b/internal/data/backend/client.go
@@ -39,13 +39,13 @@
 	return context.WithValue(ctx, guardKey{}, guard)
 }
 
-// NewClient makes a client that has at most so many connections to one address (0: any number), and
+// NewHTTPClient makes a client that has at most so many connections to one address (0: any number), and
 // keeps as many idle ones for later calls. It follows no redirect: an answer that names another
 // address is an answer like any other.
 //
-// Example: reports := backend.NewClient(life.Dial, 2, 0)
-func NewClient(dial Dial, idle, most int) *http.Client {
-	return &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{DialContext: marked(dial), DisableCompression: true,
+// Example: reports := backend.NewHTTPClient(life.Dial, 2, 0)
+func NewHTTPClient(dial Dial, idle, most int) *http.Client {
+	return &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{DialContext: markNotSent(dial), DisableCompression: true,
 		MaxIdleConnsPerHost: idle, MaxConnsPerHost: most, IdleConnTimeout: idleTimeout}}
 }
 
@@ -54,7 +54,7 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-func marked(dial Dial) Dial {
+func markNotSent(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err != nil {
@@ -64,14 +64,14 @@
 	}
 }
 
-// NewSingleUseClient makes a client for calls whose answers bear no id and that may take effect only
+// NewSingleUseHTTPClient makes a client for calls whose answers bear no id and that may take effect only
 // once: orders. Each call has a connection of its own, so that no answer of an earlier call can be
 // taken for this one's, and net/http has no reused connection on which it would send a call again.
 // What the kernel hasn't delivered when a call is given up is discarded.
 //
-// Example: orders := backend.NewSingleUseClient(life.Dial)
-func NewSingleUseClient(dial Dial) *http.Client {
-	dial = marked(dial)
+// Example: orders := backend.NewSingleUseHTTPClient(life.Dial)
+func NewSingleUseHTTPClient(dial Dial) *http.Client {
+	dial = markNotSent(dial)
 	return &http.Client{CheckRedirect: noRedirect, Transport: singleUse{&http.Transport{
 		DisableKeepAlives: true, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -101,17 +101,17 @@
 // singleUseConn is one call's connection. One thread writes to it.
 type singleUseConn struct {
 	net.Conn
-	guard func() bool // nil: none
-	begun bool
+	guard   func() bool // nil: none
+	started bool
 }
 
 // Write asks the guard before the first byte.
 //
 // Example: n, err := c.Write(request)
 func (c *singleUseConn) Write(p []byte) (int, error) {
-	if !c.begun && c.guard != nil && !c.guard() {
+	if !c.started && c.guard != nil && !c.guard() {
 		return 0, &notSentError{errs.New(errs.NotRun, "its sender may not send it any more")}
 	}
-	c.begun = true
+	c.started = true
 	return c.Conn.Write(p)
 }
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -29,39 +29,39 @@
 	"pebbleloom/internal/wire"
 )
 
-// bench is one proxy with its real HTTP server, before workers that die at a chosen
+// testProxy is one proxy with its real HTTP server, before workers that die at a chosen
 // step. Nothing sleeps: the workers act on what they are asked.
-type bench struct {
-	d       *Proxy
-	edge    *httptest.Server
-	mu      sync.Mutex
-	starts  map[string]int // attempts that reached a worker and began, by request
-	granted map[string]bool
-	snap    *updatestream.Snapshot
-	clk     *clock.Manual
-	started func() // called when an attempt has begun; mu is held
+type testProxy struct {
+	proxy    *Proxy
+	edge     *httptest.Server
+	mu       sync.Mutex
+	starts   map[string]int // attempts that reached a worker and began, by request
+	granted  map[string]bool
+	snapshot *updatestream.Snapshot
+	clock    *clock.Manual
+	started  func() // called when an attempt has begun; mu is held
 }
 
-type fakeClaims struct{ b *bench }
+type fakeClaims struct{ testProxy *testProxy }
 
-func (f fakeClaims) take(_ context.Context, id []byte) (uint64, bool, error) {
-	f.b.mu.Lock()
-	defer f.b.mu.Unlock()
-	if f.b.granted[string(id)] {
+func (f fakeClaims) acquire(_ context.Context, id []byte) (uint64, bool, error) {
+	f.testProxy.mu.Lock()
+	defer f.testProxy.mu.Unlock()
+	if f.testProxy.granted[string(id)] {
 		return 1, false, nil
 	}
-	f.b.granted[string(id)] = true
+	f.testProxy.granted[string(id)] = true
 	return 1, true, nil
 }
 
-func (f fakeClaims) back(id []byte, _ uint64) {
-	f.b.mu.Lock()
-	defer f.b.mu.Unlock()
-	delete(f.b.granted, string(id))
+func (f fakeClaims) release(id []byte, _ uint64) {
+	f.testProxy.mu.Lock()
+	defer f.testProxy.mu.Unlock()
+	delete(f.testProxy.granted, string(id))
 }
 
 // worker answers a start as its mode says.
-func (b *bench) worker(name, mode string) http.HandlerFunc {
+func (b *testProxy) worker(name, mode string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var s contract.Start
 		if json.NewDecoder(r.Body).Decode(&s) != nil {
@@ -123,12 +123,12 @@
 	}
 }
 
-func newBench(t *testing.T, modes ...string) *bench {
+func newTestProxy(t *testing.T, modes ...string) *testProxy {
 	t.Helper()
 	p := settings.Place{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
-	b := &bench{starts: map[string]int{}, granted: map[string]bool{}, clk: &clock.Manual{Time: time.Hour}}
-	b.snap = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
+	b := &testProxy{starts: map[string]int{}, granted: map[string]bool{}, clock: &clock.Manual{Time: time.Hour}}
+	b.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
 		Config: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
 			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
 	for i, m := range modes {
@@ -146,33 +146,33 @@
 			t.Cleanup(s.Close)
 			addr = s.Listener.Addr().String()
 		}
-		b.snap.Workers = append(b.snap.Workers, &wire.Worker{Name: n, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
+		b.snapshot.Workers = append(b.snapshot.Workers, &wire.Worker{Name: n, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
 	}
-	d := &Proxy{process: l, b: p.Bounds, clk: b.clk, be: contract.NewBackends((&net.Dialer{}).DialContext), curve: placement.Default(), log: queue.NewRing[*wire.Decision](8), claims: fakeClaims{b}}
-	d.gate = queue.NewActor(newGate(), 64)
-	d.gate.Ask(func(g *gate) {
-		for range 100 / d.b.TryShare { // as after a few requests
-			d.retries(g, "s").First(1)
+	d := &Proxy{process: l, bounds: p.Bounds, clock: b.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{b}}
+	d.traffic = queue.NewActor(newTrafficTable(), 64)
+	d.traffic.Ask(func(g *trafficTable) {
+		for range 100 / d.bounds.TryShare { // as after a few requests
+			d.retryBudget(g, "s").Deposit(1)
 		}
 	})
-	d.index = newIndex(l, b.clk)
-	d.fol = updatestream.NewFixedFollower(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snap })
-	srv, err := caller.NewServer(d, caller.WithErrorHandler(turnAway))
+	d.index = newPromptIndex(l, b.clock)
+	d.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snapshot })
+	srv, err := caller.NewServer(d, caller.WithErrorHandler(handleRequestError))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.d, b.edge = d, httptest.NewServer(http.MaxBytesHandler(flushing(srv), 1<<20))
-	t.Cleanup(func() { b.edge.Close(); l.Stop(time.Second); d.gate.Stop() })
+	b.proxy, b.edge = d, httptest.NewServer(http.MaxBytesHandler(flushEveryWrite(srv), 1<<20))
+	t.Cleanup(func() { b.edge.Close(); l.Stop(time.Second); d.traffic.Stop() })
 	return b
 }
 
-func (b *bench) began(id string) int {
+func (b *testProxy) attemptsStarted(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.starts[id]
 }
 
-func (b *bench) ask(id string, once bool) loadgen.Outcome {
+func (b *testProxy) ask(id string, once bool) loadgen.Outcome {
 	q := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
 	return loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
 }
@@ -200,7 +200,7 @@
 		{"forges", "broken", "broken", 1, 1},
 	} {
 		for _, once := range []bool{true, false} {
-			b := newBench(t, c.mode, c.mode)
+			b := newTestProxy(t, c.mode, c.mode)
 			o := b.ask("r", once)
 			want, starts := c.many, c.more
 			if once {
@@ -212,8 +212,8 @@
 			} else if o.Broken != "" {
 				got = "broken"
 			}
-			if got != want || b.began("r") != starts || len(o.Faults) > 0 {
-				t.Errorf("%s, once %v: %s after %d starts, want %s after %d; faults %v, %s", c.mode, once, got, b.began("r"), want, starts, o.Faults, o.Message)
+			if got != want || b.attemptsStarted("r") != starts || len(o.Faults) > 0 {
+				t.Errorf("%s, once %v: %s after %d starts, want %s after %d; faults %v, %s", c.mode, once, got, b.attemptsStarted("r"), want, starts, o.Faults, o.Message)
 			}
 			if strings.HasPrefix(got, "not") && o.BackMs <= 0 {
 				t.Errorf("%s, once %v: no time to come back", c.mode, once)
@@ -223,13 +223,13 @@
 }
 
 // A once-only go is made again on proof alone, and then runs once.
-func TestProofLeadsToTheOtherWorker(t *testing.T) {
+func TestProofAllowsARetryOfAOnceOnlyRequest(t *testing.T) {
 	for _, mode := range []string{"gone", "refuse"} {
 		for i := range 6 { // whichever of the two is asked first
-			b := newBench(t, mode, "well")
+			b := newTestProxy(t, mode, "well")
 			id := fmt.Sprint("r", i)
-			if o := b.ask(id, true); !o.Sealed || b.began(id) != 1 {
-				t.Errorf("%s: %+v after %d starts", mode, o, b.began(id))
+			if o := b.ask(id, true); !o.Sealed || b.attemptsStarted(id) != 1 {
+				t.Errorf("%s: %+v after %d starts", mode, o, b.attemptsStarted(id))
 			}
 		}
 	}
@@ -237,14 +237,14 @@
 
 // The same once-only id again: refused while it may have run, let in when it is proved not to have.
 func TestOnceOnlyIdsAgain(t *testing.T) {
-	b := newBench(t, "well")
+	b := newTestProxy(t, "well")
 	if o := b.ask("r", true); !o.Sealed {
 		t.Fatalf("%+v", o)
 	}
-	if o := b.ask("r", true); o.Denied != "may-have-run" || b.began("r") != 1 {
-		t.Errorf("%+v after %d starts", o, b.began("r"))
+	if o := b.ask("r", true); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
+		t.Errorf("%+v after %d starts", o, b.attemptsStarted("r"))
 	}
-	b = newBench(t, "refuse")
+	b = newTestProxy(t, "refuse")
 	for range 2 {
 		if o := b.ask("r", true); o.Denied != "not-run" {
 			t.Errorf("%+v", o)
@@ -256,26 +256,26 @@
 // was taken out of force. All of it is said at once.
 func TestWhatIsRejectedBeforeAnAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*bench)
+		do   func(*testProxy)
 		kind string
 	}{
-		"the proof is too old":    {func(b *bench) { b.clk.Time += settings.Default().Config(0.81) }, "not-run"},
-		"there is no setup":       {func(b *bench) { b.snap = &updatestream.Snapshot{} }, "not-run"},
-		"the key is unknown":      {func(b *bench) { b.snap.Config.Tenants = nil; b.snap.Config.BuildIndex() }, "bad-key"},
-		"no way leads there":      {func(b *bench) { b.snap.Config.Routes = nil }, "no-such-model"},
-		"all workers are leaving": {func(b *bench) { b.snap.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
-		"older weights alone": {func(b *bench) {
-			b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
+		"the proof is too old":    {func(b *testProxy) { b.clock.Time += settings.Default().Config(0.81) }, "not-run"},
+		"there is no setup":       {func(b *testProxy) { b.snapshot = &updatestream.Snapshot{} }, "not-run"},
+		"the key is unknown":      {func(b *testProxy) { b.snapshot.Config.Tenants = nil; b.snapshot.Config.BuildIndex() }, "bad-key"},
+		"no way leads there":      {func(b *testProxy) { b.snapshot.Config.Routes = nil }, "no-such-model"},
+		"all workers are leaving": {func(b *testProxy) { b.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
+		"older weights alone": {func(b *testProxy) {
+			b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
-		b := newBench(t, "well")
+		b := newTestProxy(t, "well")
 		c.do(b)
-		if o := b.ask("r", true); o.Denied != c.kind || b.began("r") > 0 {
-			t.Errorf("%s: %+v after %d starts", name, o, b.began("r"))
+		if o := b.ask("r", true); o.Denied != c.kind || b.attemptsStarted("r") > 0 {
+			t.Errorf("%s: %+v after %d starts", name, o, b.attemptsStarted("r"))
 		}
 	}
-	b := newBench(t, "well")
-	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: time.Hour - time.Second}}}}
+	b := newTestProxy(t, "well")
+	b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: time.Hour - time.Second}}}}
 	if o := b.ask("r", true); !o.Sealed {
 		t.Errorf("older weights within their bound: %+v", o)
 	}
@@ -294,22 +294,22 @@
 		"the proof gets too old": func(s *updatestream.Snapshot) { s.ProofAt = time.Minute },
 		"the workers leave":      func(s *updatestream.Snapshot) { s.Workers = nil },
 	} {
-		b := newBench(t, "dies-before", "dies-before")
+		b := newTestProxy(t, "dies-before", "dies-before")
 		b.started = func() {
-			s := *b.snap
+			s := *b.snapshot
 			s.ConfigVersion++
 			change(&s)
-			b.snap = &s
+			b.snapshot = &s
 		}
-		if o := b.ask("r", false); o.Denied != "may-have-run" || b.began("r") != 1 {
-			t.Errorf("%s: %s (%s) after %d starts", name, o.Denied, o.Message, b.began("r"))
+		if o := b.ask("r", false); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
+			t.Errorf("%s: %s (%s) after %d starts", name, o.Denied, o.Message, b.attemptsStarted("r"))
 		}
 	}
 }
 
 // A caller that hangs up ends the worker's side, and its place at the gate is free again.
-func TestHangingUpReachesTheWorker(t *testing.T) {
-	b := newBench(t, "hangs")
+func TestCallerDisconnectReachesTheWorker(t *testing.T) {
+	b := newTestProxy(t, "hangs")
 	ctx, hangUp := context.WithCancel(context.Background())
 	raw := `{"request_id":"r","model":"m","parts":["x"],"wait_ms":60000}`
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, b.edge.URL+"/v1/answers", strings.NewReader(raw))
@@ -320,7 +320,7 @@
 	q.Header.Set("Content-Type", "application/json")
 	done := make(chan error, 1)
 	go func() { _, err := http.DefaultClient.Do(q); done <- err }()
-	for b.began("r") == 0 {
+	for b.attemptsStarted("r") == 0 {
 		runtime.Gosched()
 	}
 	hangUp()
@@ -330,7 +330,7 @@
 	// The worker's handler waits for its own caller's end; closing the edge waits for it.
 	b.edge.Close()
 	left := -1
-	b.d.gate.Ask(func(g *gate) { left = g.inflight })
+	b.proxy.traffic.Ask(func(g *trafficTable) { left = g.inFlight })
 	if left != 0 {
 		t.Errorf("%d still under way at the gate", left)
 	}
@@ -338,9 +338,9 @@
 
 // A caller that reads nothing holds up neither the others nor the memory: its stream waits
 // in the connection, line by line.
-func TestASlowCallerStallsNobody(t *testing.T) {
-	b := newBench(t, "well")
-	b.snap.Workers[0].Slots = 64
+func TestSlowCallerDelaysNobody(t *testing.T) {
+	b := newTestProxy(t, "well")
+	b.snapshot.Workers[0].Slots = 64
 	c, err := net.Dial("tcp", b.edge.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -348,7 +348,7 @@
 	defer c.Close()
 	body := `{"request_id":"slow","model":"m","parts":["x"],"wait_ms":60000,"pieces":512}`
 	fmt.Fprintf(c, "POST /v1/answers HTTP/1.1\r\nHost: x\r\nX-Tenant-Key: key-of-t\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	for b.began("slow") == 0 {
+	for b.attemptsStarted("slow") == 0 {
 		runtime.Gosched()
 	}
 	for i := range 20 {
@@ -359,7 +359,7 @@
 }
 
 func TestBadRequestsAreTyped(t *testing.T) {
-	b := newBench(t, "well")
+	b := newTestProxy(t, "well")
 	for body, kind := range map[string]string{
 		`{`: "bad-input", `{}`: "bad-input", `{"request_id":"r","model":"m","parts":[],"wait_ms":1}`: "bad-input",
 		`{"request_id":"r r","model":"m","parts":["x"],"wait_ms":1}`: "bad-input", `{"request_id":"r","model":"m","parts":["x"],"wait_ms":1,"odd":1}`: "bad-input",
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -18,29 +18,29 @@
 
 // selectWorker selects the worker of the next attempt.
 func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, error) {
-	p, on := s.Placements[service], target(s, q)
-	u := Query{ID: q.RequestID, Mode: modeOf(s.Config, service), Zone: d.process.Place.Zone, Entries: d.entries(s, q, tenant, es), Found: found,
-		Tried: tried, Newest: s.WeightsAt[on.Model].Version, Placement: p, Curve: d.curve, NearB: d.near.Load(), FarB: d.far.Load(), StoreB: d.storeB.Load(), Stores: map[string]string{}}
+	p, on := s.Placements[service], weightsFor(s, q)
+	u := Query{ID: q.RequestID, Mode: placementMode(s.Config, service), Zone: d.process.Place.Zone, Entries: d.prefixEntries(s, q, tenant, es), Found: found,
+		Tried: tried, NewestWeights: s.WeightsAt[on.Model].Version, Placement: p, PrefillCurve: d.prefillCurve, NearBandwidth: d.nearBandwidth.Load(), FarBandwidth: d.farBandwidth.Load(), StoreBandwidth: d.storeBandwidth.Load(), Stores: map[string]string{}}
 	if p != nil {
-		u.Curve = p.Prefill
+		u.PrefillCurve = p.PrefillCurve
 	}
-	now := d.clk.Now()
+	now := d.clock.Now()
 	for _, w := range s.Workers {
 		if w.Kind == "store" && w.State == updatestream.WorkerUp {
 			u.Stores[w.Name] = w.Addr
 		}
-		if x := under(w, on); x != nil && w.Service == service && w.State <= updatestream.WorkerSuspect {
+		if x := viewForTarget(w, on); x != nil && w.Service == service && w.State <= updatestream.WorkerSuspect {
 			u.Workers = append(u.Workers, x)
 		}
 	}
 	var c Choice
 	ok := false
-	d.gate.Ask(func(g *gate) {
-		u.MeanUs = g.meanUs
+	d.traffic.Ask(func(g *trafficTable) {
+		u.MeanAttemptUs = g.meanAttemptUs
 		var up []*wire.Worker
 		for _, w := range u.Workers {
 			// A worker that has just failed an attempt here waits for its next good probe.
-			if x := g.workers[w.Name]; x == nil || x.failed == 0 || now-x.failed > d.b.Leave(0.3) {
+			if x := g.workers[w.Name]; x == nil || x.failedAt == 0 || now-x.failedAt > d.bounds.Leave(0.3) {
 				up = append(up, w)
 			}
 		}
@@ -58,56 +58,56 @@
 		}
 	})
 	if !ok {
-		return c, reject(errs.NotRun, q.RequestID, d.b.Leave(0.3), "no worker of service %s can take it now", service)
+		return c, reject(errs.NotRun, q.RequestID, d.bounds.Leave(0.3), "no worker of service %s can take it now", service)
 	}
 	return c, nil
 }
 
-func modeOf(s *serviceconfig.Config, service string) string {
+func placementMode(s *serviceconfig.Config, service string) string {
 	if m := s.Services[service].Placement; m != "" {
 		return m
 	}
 	return "hrcs"
 }
 
-// start begins an attempt and waits for its first line. Where it fails, notRun is the proof that
+// startAttempt begins an attempt and waits for its first line. Where it fails, notRun is the proof that
 // the attempt never started.
-func (d *Proxy) start(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
+func (d *Proxy) startAttempt(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
 	ctx, stop := context.WithCancel(ctx)
 	w := c.Worker
-	o := &stream{d: d, id: q.RequestID, worker: w.Name, zone: w.Zone, began: d.clk.Now(), stop: stop, snap: s}
-	watch := time.AfterFunc(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
+	o := &stream{proxy: d, id: q.RequestID, worker: w.Name, zone: w.Zone, startedAt: d.clock.Now(), cancel: stop, snapshot: s}
+	watch := time.AfterFunc(d.bounds.Leave(0.2), func() { d.watchWorker(o, w, stop) })
 	o.watch = watch
 	hints := map[string]string{}
-	if c.Fetches != "" {
-		hints[contract.FetchFrom] = c.Fetches
+	if c.FetchFrom != "" {
+		hints[contract.FetchFrom] = c.FetchFrom
 	}
-	if c.Saves != "" {
-		hints[contract.SaveTo], hints[contract.SaveUpto] = c.Saves, fmt.Sprint(c.SaveUpto)
+	if c.SaveAddrs != "" {
+		hints[contract.SaveTo], hints[contract.SaveUpto] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
 	}
-	on := target(s, q)
-	g := d.be.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.Domain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
-		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clk.Now()).Milliseconds()), Once: q.Once.Or(false),
-		Incarnation: w.Incarnation, BeginByUs: beginBy(w, until)}, hints)
+	on := weightsFor(s, q)
+	g := d.backends.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.CacheDomain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
+		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clock.Now()).Milliseconds()), Once: q.Once.Or(false),
+		Incarnation: w.Incarnation, BeginByUs: workerStartDeadline(w, until)}, hints)
 	if g.Err != nil {
-		o.end(false)
+		o.finish(false)
 		return nil, g.NotRun(), g.Err
 	}
-	d.index.count(service, c.Entries, w.Name, c.SaveTo, c.SaveUpto)
-	o.body, o.r, o.check = g.Body, bufio.NewReaderSize(g.Body, contract.MaxLine), contract.NewCheck(q.RequestID, w.Name)
-	if err := o.next(); err != nil {
-		o.end(false)
+	d.index.recordAccesses(service, c.Entries, w.Name, c.SaveNames, c.SaveEntries)
+	o.body, o.reader, o.checker = g.Body, bufio.NewReaderSize(g.Body, contract.MaxLine), contract.NewCheck(q.RequestID, w.Name)
+	if err := o.readLine(); err != nil {
+		o.finish(false)
 		return nil, false, err
 	}
-	d.decided(q.RequestID, s, c)
+	d.logDecision(q.RequestID, s, c)
 	return o, false, nil
 }
 
-// watch gives up an attempt whose worker has gone: its silence is not waited out.
-func (d *Proxy) watch(o *stream, w *wire.Worker, stop func()) {
-	for _, x := range d.fol.Snapshot().Workers {
+// watchWorker gives up an attempt whose worker has gone: its silence is not waited out.
+func (d *Proxy) watchWorker(o *stream, w *wire.Worker, stop func()) {
+	for _, x := range d.follower.Snapshot().Workers {
 		if x.Name == w.Name && x.Addr == w.Addr && x.State != updatestream.WorkerGone && (x.Incarnation == w.Incarnation || w.Incarnation == "") {
-			o.again(d.b.Leave(0.2), func() { d.watch(o, w, stop) })
+			o.rescheduleWatch(d.bounds.Leave(0.2), func() { d.watchWorker(o, w, stop) })
 			return
 		}
 	}
@@ -118,7 +118,7 @@
 //
 // Example: p := d.PlacementFor("lector")
 func (d *Proxy) PlacementFor(service string) *placement.Placement {
-	if s := d.fol.Snapshot(); s != nil {
+	if s := d.follower.Snapshot(); s != nil {
 		return s.Placements[service]
 	}
 	return nil
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -15,55 +15,55 @@
 // Until when an attempt may begin is told in the worker's own clock, which may be ahead or behind by
 // any time. Wherever between question and answer that clock was read, the worker stops no later
 // than the instant meant here, and earlier by the probe's time at most.
-func TestBeginByHoldsOnAnyClock(t *testing.T) {
+func TestWorkerStartDeadlineHoldsOnAnyClock(t *testing.T) {
 	const until = 100 * time.Second
 	for _, ahead := range []time.Duration{-time.Hour, 0, 90 * time.Hour} {
 		for _, probe := range []time.Duration{0, time.Millisecond, 700 * time.Millisecond} {
 			for _, read := range []time.Duration{0, probe / 2, probe} {
 				asked := 98 * time.Second
 				w := &wire.Worker{ClockNs: uint64(200*time.Hour + asked + read + ahead), ClockReadAt: uint64(asked + probe)}
-				here := time.Duration(beginBy(w, until))*time.Microsecond - 200*time.Hour - ahead
+				here := time.Duration(workerStartDeadline(w, until))*time.Microsecond - 200*time.Hour - ahead
 				if here > until || here < until-probe {
 					t.Errorf("ahead %v, probe %v read after %v: it may begin until %v, %v is meant", ahead, probe, read, here, until)
 				}
 			}
 		}
 	}
-	if beginBy(&wire.Worker{}, until) != 0 {
+	if workerStartDeadline(&wire.Worker{}, until) != 0 {
 		t.Error("a worker that tells no clock was given a time")
 	}
 }
 
 // The instant is the earliest of what the attempt depends on: the configuration's proof, and the bound of
 // each superseded weights epoch.
-func TestUntilWhenAnAttemptMayBegin(t *testing.T) {
-	b := newBench(t, "well")
-	bounds, now := settings.Default(), b.clk.Now()
-	b.snap.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: now - bounds.Weights(0.9)}, {Version: 2, NewestUntil: now}}}}
+func TestStartDeadline(t *testing.T) {
+	b := newTestProxy(t, "well")
+	bounds, now := settings.Default(), b.clock.Now()
+	b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: now - bounds.Weights(0.9)}, {Version: 2, NewestUntil: now}}}}
 	q := &caller.Ask{Model: "m"}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
 		2: now + bounds.Config(0.95),
 		3: now + bounds.Config(0.95),
 	} {
-		if got := b.d.until(b.snap, q, &wire.Worker{Weights: weights}); got != want {
+		if got := b.proxy.startDeadline(b.snapshot, q, &wire.Worker{Weights: weights}); got != want {
 			t.Errorf("weights %d: until %v, %v is due", weights, got-now, want-now)
 		}
 	}
 	// A queue that is longer than that is waited for here, and looked at again and again.
-	b.d.gate.Ask(func(g *gate) { g.worker("w0").attempts, g.meanUs = 40, 200000 })
+	b.proxy.traffic.Ask(func(g *trafficTable) { g.worker("w0").attempts, g.meanAttemptUs = 40, 200000 })
 	b.started = func() { t.Error("it was sent off into a queue that outlasts its proof") }
-	b.snap.ProofAt = now - bounds.Config(0.7)
-	b.snap.Workers[0].Weights = 3
-	none, looks := *b.snap, 0
+	b.snapshot.ProofAt = now - bounds.Config(0.7)
+	b.snapshot.Workers[0].Weights = 3
+	none, looks := *b.snapshot, 0
 	none.Workers = nil
-	b.d.fol = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
+	b.proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if looks++; looks > 10 { // the worker leaves while the request waits
 			return &none
 		}
-		return b.snap
+		return b.snapshot
 	})
 	if o := b.ask("r", true); o.Denied != "not-run" || looks <= 10 {
 		t.Errorf("denied as %s after %d looks", o.Denied, looks)
@@ -72,14 +72,14 @@
 
 // The end of the caller's wait is an answer whatever the clocks say: one that runs a little
 // slower than the timer, as every machine's may, must not make a waiting request spin.
-func TestTheEndOfAWaitIsAnAnswer(t *testing.T) {
-	b := newBench(t, "well") // its clock stands still
-	b.d.gate.Ask(func(g *gate) { g.worker("w0").attempts, g.meanUs = 40, 1000 })
-	b.snap.ProofAt = b.clk.Now() - settings.Default().Config(0.799)
-	b.d.b.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
+func TestExpiredWaitIsAnswered(t *testing.T) {
+	b := newTestProxy(t, "well") // its clock stands still
+	b.proxy.traffic.Ask(func(g *trafficTable) { g.worker("w0").attempts, g.meanAttemptUs = 40, 1000 })
+	b.snapshot.ProofAt = b.clock.Now() - settings.Default().Config(0.799)
+	b.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
 	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
 	o := loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
-	if o.Denied != "not-run" || b.began("r") > 0 {
+	if o.Denied != "not-run" || b.attemptsStarted("r") > 0 {
 		t.Errorf("%s %s", o.Denied, o.Message)
 	}
 }
--- a/internal/data/callerproxy/budget_test.go
+++ b/internal/data/callerproxy/budget_test.go
@@ -15,9 +15,9 @@
 	const all, rate, inflight = 9, 30.0, 45
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		gates, up, seen := make([]*gate, all), make([]bool, all), all
+		gates, up, seen := make([]*trafficTable, all), make([]bool, all), all
 		for i := range gates {
-			gates[i], up[i] = newGate(), true
+			gates[i], up[i] = newTrafficTable(), true
 		}
 		living, in, let, overUntil := all, 0, []time.Duration{}, time.Duration(0)
 		held := make([]int, all)
@@ -25,7 +25,7 @@
 			if r.IntN(300) == 0 {
 				i := r.IntN(all)
 				up[i] = !up[i] // what it held has ended with it
-				gates[i], in, held[i] = newGate(), in-held[i], 0
+				gates[i], in, held[i] = newTrafficTable(), in-held[i], 0
 				living = 0
 				for _, u := range up {
 					if u {
@@ -41,14 +41,14 @@
 			if !up[i] || living == 0 {
 				continue
 			}
-			k, _, back := gates[i].admit("t", serviceconfig.Tenant{Rate: rate, Inflight: inflight}, 256, max(1, seen), now)
+			k, _, back := gates[i].admit("t", serviceconfig.Tenant{RequestsPerSecond: rate, MaxInFlight: inflight}, 256, max(1, seen), now)
 			if k == nil {
 				let, in, held[i] = append(let, now), in+1, held[i]+1
 			} else if back <= 0 {
 				t.Fatal("denied without a time to come back")
 			}
 			if r.IntN(2) == 0 && held[i] > 0 {
-				gates[i].leave("t")
+				gates[i].endRequest("t")
 				in, held[i] = in-1, held[i]-1
 			}
 			if held[i] > inflight/max(1, seen) && k == nil {
@@ -74,10 +74,10 @@
 			t.Fatalf("seed %d: only %d let in", seed, len(let))
 		}
 	}
-	one := newGate() // alone, the whole rate is this edge's
+	one := newTrafficTable() // alone, the whole rate is this edge's
 	n := 0
 	for now := time.Second; now < 11*time.Second; now += 10 * time.Millisecond {
-		if k, _, _ := one.admit("t", serviceconfig.Tenant{Rate: rate}, 1000, 1, now); k == nil {
+		if k, _, _ := one.admit("t", serviceconfig.Tenant{RequestsPerSecond: rate}, 1000, 1, now); k == nil {
 			n++
 		}
 	}
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -16,34 +16,34 @@
 	"pebbleloom/internal/wire"
 )
 
-// claims is what a request needs of the claimer.
-type claims interface {
-	take(ctx context.Context, id []byte) (nonce uint64, granted bool, err error)
-	back(id []byte, nonce uint64)
+// onceClaims is what a request needs of the claimer.
+type onceClaims interface {
+	acquire(ctx context.Context, id []byte) (nonce uint64, granted bool, err error)
+	release(id []byte, nonce uint64)
 }
 
 // claimer takes once-only ids at the control state before anything starts, so that one id
 // can't run through two dispatchers. Ids are spread over the parts; what waits for a part
 // goes into one command.
 type claimer struct {
-	ctl   *controlclient.Client
-	rings [controlclient.Shards]*queue.Ring[claim]
-	last  atomic.Uint64
-	hold  time.Duration
+	control   *controlclient.Client
+	queues    [controlclient.ShardCount]*queue.Ring[pendingClaim]
+	lastNonce atomic.Uint64
+	timeout   time.Duration
 }
 
-type claim struct {
-	c      *wire.Claim
-	result chan claimed // nil: nobody waits
+type pendingClaim struct {
+	claim  *wire.Claim
+	result chan claimResult // nil: nobody waits
 }
 
-type claimed struct {
+type claimResult struct {
 	granted bool
 	err     error
 }
 
 // Claim ids are told apart by tenant and request id.
-func claimID(tenant, request string) []byte {
+func onceID(tenant, request string) []byte {
 	h := sha256.Sum256([]byte(tenant + "\x00" + request))
 	return h[:16]
 }
@@ -55,21 +55,21 @@
 		}
 		return clustermembership.View{}
 	}
-	c := &claimer{ctl: controlclient.New(l.Place.Core, view, calls, l.Place.Bounds), hold: l.Place.Bounds.Heal(1.0 / 6)}
-	c.last.Store(inc) // a nonce is never used again, also not by a later life
-	for i := range c.rings {
-		c.rings[i] = queue.NewRing[claim](l.Place.Bounds.Waiting)
-		l.Go(func() { c.run(l.Ctx, uint32(i)) })
+	c := &claimer{control: controlclient.New(l.Place.Core, view, calls, l.Place.Bounds), timeout: l.Place.Bounds.Heal(1.0 / 6)}
+	c.lastNonce.Store(inc) // a nonce is never used again, also not by a later life
+	for i := range c.queues {
+		c.queues[i] = queue.NewRing[pendingClaim](l.Place.Bounds.Waiting)
+		l.Go(func() { c.runShard(l.Ctx, uint32(i)) })
 	}
 	return c
 }
 
-// take claims an id. An error means that it isn't known whether the claim was granted; the
+// acquire claims an id. An error means that it isn't known whether the claim was granted; the
 // request must not start then.
-func (c *claimer) take(ctx context.Context, id []byte) (nonce uint64, granted bool, err error) {
-	nonce = c.last.Add(1)
-	result := make(chan claimed, 1)
-	if !c.ring(id).Offer(claim{&wire.Claim{Id: id, Nonce: nonce}, result}) {
+func (c *claimer) acquire(ctx context.Context, id []byte) (nonce uint64, granted bool, err error) {
+	nonce = c.lastNonce.Add(1)
+	result := make(chan claimResult, 1)
+	if !c.queueOf(id).Offer(pendingClaim{&wire.Claim{Id: id, Nonce: nonce}, result}) {
 		return nonce, false, errs.New(errs.Overloaded, "too many claims wait")
 	}
 	select {
@@ -80,35 +80,35 @@
 	}
 }
 
-// back gives an id back whose request is proved not to have run.
-func (c *claimer) back(id []byte, nonce uint64) {
-	c.ring(id).Offer(claim{c: &wire.Claim{Id: id, Nonce: nonce, Release: true}}) // when full, the id stays taken: safe
+// release gives an id back whose request is proved not to have run.
+func (c *claimer) release(id []byte, nonce uint64) {
+	c.queueOf(id).Offer(pendingClaim{claim: &wire.Claim{Id: id, Nonce: nonce, Release: true}}) // when full, the id stays taken: safe
 }
 
-func (c *claimer) ring(id []byte) *queue.Ring[claim] {
-	return c.rings[1+binary.LittleEndian.Uint64(id)%(controlclient.Shards-1)]
+func (c *claimer) queueOf(id []byte) *queue.Ring[pendingClaim] {
+	return c.queues[1+binary.LittleEndian.Uint64(id)%(controlclient.ShardCount-1)]
 }
 
-// run carries one part's claims, one command at a time; what comes meanwhile joins the next.
-func (c *claimer) run(ctx context.Context, part uint32) {
+// runShard carries one part's claims, one command at a time; what comes meanwhile joins the next.
+func (c *claimer) runShard(ctx context.Context, part uint32) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case x := <-c.rings[part].Out():
-			l := append([]claim{x}, c.rings[part].Drain(255)...)
+		case x := <-c.queues[part].Out():
+			l := append([]pendingClaim{x}, c.queues[part].Drain(255)...)
 			cs := &wire.Claims{}
 			for _, y := range l {
-				cs.Claims = append(cs.Claims, y.c)
+				cs.Claims = append(cs.Claims, y.claim)
 			}
-			one, end := context.WithTimeout(ctx, c.hold)
-			t, err := c.ctl.Change(one, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
+			one, end := context.WithTimeout(ctx, c.timeout)
+			t, err := c.control.Change(one, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
 			end()
 			if err == nil && len(t.Granted) != len(l) {
 				err = errs.New(errs.Inside, "%d claims, %d answers", len(l), len(t.Granted))
 			}
 			for i, y := range l {
-				r := claimed{err == nil && t.Granted[i], err}
+				r := claimResult{err == nil && t.Granted[i], err}
 				if err == nil && i < len(t.Full) && t.Full[i] {
 					r.err = errs.New(errs.Overloaded, "the part remembers as many once-only ids as it may")
 				}
--- a/internal/data/callerproxy/gate.go
+++ b/internal/data/callerproxy/gate.go
@@ -10,119 +10,119 @@
 	"pebbleloom/internal/wire"
 )
 
-// gate is the one table of what is under way here, by tenant and by worker.
-type gate struct {
-	inflight int
-	tenants  map[string]*tenantState
-	workers  map[string]*workerState
-	retries  map[string]*retrybudget.Budget
-	meanUs   float64
-	reports  map[string]*wire.AttemptReport
-	edges    int // the most edge machines seen in this life
+// trafficTable is the one table of what is under way here, by tenant and by worker.
+type trafficTable struct {
+	inFlight      int
+	tenants       map[string]*tenantState
+	workers       map[string]*workerState
+	retryBudgets  map[string]*retrybudget.Budget
+	meanAttemptUs float64
+	reports       map[string]*wire.AttemptReport
+	maxEdgeNodes  int // the most edge machines seen in this life
 }
 
 type tenantState struct {
-	inflight int
-	tokens   float64
-	at       time.Duration
+	inFlight   int
+	tokens     float64
+	refilledAt time.Duration
 }
 
 type workerState struct {
 	attempts int
-	failed   time.Duration
+	failedAt time.Duration
 }
 
 const (
 	maxTenants = 4096
 )
 
-func newGate() *gate {
-	return &gate{tenants: map[string]*tenantState{}, workers: map[string]*workerState{},
-		retries: map[string]*retrybudget.Budget{}, meanUs: 100000, reports: map[string]*wire.AttemptReport{}}
+func newTrafficTable() *trafficTable {
+	return &trafficTable{tenants: map[string]*tenantState{}, workers: map[string]*workerState{},
+		retryBudgets: map[string]*retrybudget.Budget{}, meanAttemptUs: 100000, reports: map[string]*wire.AttemptReport{}}
 }
 
 // admit takes a request in, or says why not and when to come back. A tenant's budget is the
 // site's: each of the living edges has its part of it.
-func (g *gate) admit(tenant string, t serviceconfig.Tenant, most, edges int, now time.Duration) (k *errs.Kind, why string, back time.Duration) {
-	if g.inflight >= most {
-		return errs.Overloaded, "this dispatcher holds as many requests as it may", time.Duration(g.meanUs) * time.Microsecond
+func (t *trafficTable) admit(tenant string, limits serviceconfig.Tenant, maxInFlight, edgeNodes int, now time.Duration) (kind *errs.Kind, why string, retryAfter time.Duration) {
+	if t.inFlight >= maxInFlight {
+		return errs.Overloaded, "this dispatcher holds as many requests as it may", time.Duration(t.meanAttemptUs) * time.Microsecond
 	}
-	s := g.tenants[tenant]
-	if s == nil {
-		if len(g.tenants) >= maxTenants {
-			maps.DeleteFunc(g.tenants, func(_ string, x *tenantState) bool { return x.inflight == 0 })
+	state := t.tenants[tenant]
+	if state == nil {
+		if len(t.tenants) >= maxTenants {
+			maps.DeleteFunc(t.tenants, func(_ string, x *tenantState) bool { return x.inFlight == 0 })
 		}
-		s = &tenantState{tokens: 1, at: now}
-		g.tenants[tenant] = s
+		state = &tenantState{tokens: 1, refilledAt: now}
+		t.tenants[tenant] = state
 	}
-	if t.Inflight > 0 && s.inflight >= int(retrybudget.Share(float64(t.Inflight), edges)) {
-		return errs.OverBudget, "the tenant has as many requests under way as its budget allows", time.Duration(g.meanUs) * time.Microsecond
+	if limits.MaxInFlight > 0 && state.inFlight >= int(retrybudget.PerNode(float64(limits.MaxInFlight), edgeNodes)) {
+		return errs.OverBudget, "the tenant has as many requests under way as its budget allows", time.Duration(t.meanAttemptUs) * time.Microsecond
 	}
-	if rate := t.Rate / float64(max(1, edges)); rate > 0 {
-		s.tokens = min(max(rate, 1), s.tokens+rate*(now-s.at).Seconds())
-		s.at = now
-		if s.tokens < 1 {
-			return errs.OverBudget, "the tenant's rate is over its budget", time.Duration((1-s.tokens)/rate*float64(time.Second)) + time.Millisecond
+	if rate := limits.RequestsPerSecond / float64(max(1, edgeNodes)); rate > 0 {
+		state.tokens = min(max(rate, 1), state.tokens+rate*(now-state.refilledAt).Seconds())
+		state.refilledAt = now
+		if state.tokens < 1 {
+			return errs.OverBudget, "the tenant's rate is over its budget", time.Duration((1-state.tokens)/rate*float64(time.Second)) + time.Millisecond
 		}
-		s.tokens--
+		state.tokens--
 	}
-	s.inflight++
-	g.inflight++
+	state.inFlight++
+	t.inFlight++
 	return nil, "", 0
 }
 
-func (g *gate) leave(tenant string) {
-	g.inflight--
-	if s := g.tenants[tenant]; s != nil && s.inflight > 0 {
-		s.inflight--
+func (t *trafficTable) endRequest(tenant string) {
+	t.inFlight--
+	if s := t.tenants[tenant]; s != nil && s.inFlight > 0 {
+		s.inFlight--
 	}
 }
 
-func (g *gate) worker(name string) *workerState {
-	w := g.workers[name]
+func (t *trafficTable) worker(name string) *workerState {
+	w := t.workers[name]
 	if w == nil {
-		if len(g.workers) > 2048 {
-			clear(g.workers)
+		if len(t.workers) > 2048 {
+			clear(t.workers)
 		}
 		w = &workerState{}
-		g.workers[name] = w
+		t.workers[name] = w
 	}
 	return w
 }
 
-// release gives back an attempt that was never sent.
-func (g *gate) release(name string) {
-	if w := g.worker(name); w.attempts > 0 {
+// cancelAttempt gives back an attempt that was never sent.
+func (t *trafficTable) cancelAttempt(name string) {
+	if w := t.worker(name); w.attempts > 0 {
 		w.attempts--
 	}
 }
 
-// ended notes how an attempt ended, for the choice of the next and for the runner's table.
-func (g *gate) ended(name string, ok bool, took time.Duration, now time.Duration) {
-	w := g.worker(name)
+// endAttempt notes how an attempt ended, for the choice of the next and for the runner's table.
+func (t *trafficTable) endAttempt(name string, ok bool, took time.Duration, now time.Duration) {
+	w := t.worker(name)
 	if w.attempts > 0 {
 		w.attempts--
 	}
-	r := g.reports[name]
+	r := t.reports[name]
 	if r == nil {
 		r = &wire.AttemptReport{Worker: name}
-		g.reports[name] = r
+		t.reports[name] = r
 	}
 	if ok {
 		r.Successes++
-		g.meanUs = 0.95*g.meanUs + 0.05*float64(took.Microseconds())
+		t.meanAttemptUs = 0.95*t.meanAttemptUs + 0.05*float64(took.Microseconds())
 		return
 	}
 	r.Failures++
-	w.failed = now
+	w.failedAt = now
 }
 
-// link notes what a fetch has shown of a class of link.
-func (g *gate) link(class string, tokens int, took time.Duration) {
-	r := g.reports["link/"+class]
+// recordTransfer notes what a fetch has shown of a class of link.
+func (t *trafficTable) recordTransfer(class string, tokens int, took time.Duration) {
+	r := t.reports["link/"+class]
 	if r == nil {
 		r = &wire.AttemptReport{LinkClass: class}
-		g.reports["link/"+class] = r
+		t.reports["link/"+class] = r
 	}
 	r.LinkTokens += float64(tokens)
 	r.LinkNs += float64(took)
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -17,73 +17,73 @@
 	"pebbleloom/internal/wire"
 )
 
-type question struct {
+type lookup struct {
 	keys   []prefix.Key
 	result chan map[prefix.Key]*wire.LookupResult
 }
 
-// index asks the catalogue in batches and feeds it the accesses that this proxy has seen.
-type index struct {
-	ring   *queue.Ring[question]
-	shards atomic.Pointer[promptindex.Shards]
-	calls  *daemon.Clients
-	b      settings.Bounds
-	wait   time.Duration
-	laid   string // the index nodes that the shards are laid out over
-	counts *queue.Actor[counter]
-	name   string
-	inc    uint64
-	clk    clock.Clock
-	asked  atomic.Uint64 // look-up calls
-	keys   atomic.Uint64 // keys looked up
+// promptIndex asks the catalogue in batches and feeds it the accesses that this proxy has seen.
+type promptIndex struct {
+	lookups       *queue.Ring[lookup]
+	shards        atomic.Pointer[promptindex.Shards]
+	clients       *daemon.Clients
+	bounds        settings.Bounds
+	lookupTimeout time.Duration
+	layout        string // the index nodes that the shards are laid out over
+	counter       *queue.Actor[accessCounter]
+	name          string
+	incarnation   uint64
+	clock         clock.Clock
+	lookupBatches atomic.Uint64 // look-up calls
+	lookupKeys    atomic.Uint64 // keys looked up
 }
 
-// counter holds what was counted and not told yet, a holder at a time, and the window that
+// accessCounter holds what was counted and not told yet, a holder at a time, and the window that
 // is told again to a holder that has lost its memory.
-type counter struct {
-	to   map[string]*telling
-	past map[prefix.Key]*wire.Access
-	old  map[prefix.Key]*wire.Access
-	turn time.Duration
+type accessCounter struct {
+	nodes       map[string]*nodeBatches
+	window      map[prefix.Key]*wire.Access
+	lastWindow  map[prefix.Key]*wire.Access
+	windowStart time.Duration
 }
 
-type telling struct {
-	number uint64
-	next   map[prefix.Key]*wire.Access
-	sent   *wire.CountRequest // not acknowledged yet: it is sent again under its number
-	busy   bool
+type nodeBatches struct {
+	number   uint64
+	pending  map[prefix.Key]*wire.Access
+	inFlight *wire.CountRequest // not acknowledged yet: it is sent again under its number
+	sending  bool
 }
 
 const maxCounts = 4096
 
-func newIndex(l *daemon.Process, clk clock.Clock) *index {
-	x := &index{ring: queue.NewRing[question](l.Place.Bounds.Waiting), calls: daemon.NewClients(l), b: l.Place.Bounds,
-		wait: l.Place.Bounds.Heal(1.0 / 400), name: "dispatcher/" + l.Place.Name, inc: uint64(clk.Now()), clk: clk}
-	x.counts = queue.NewActor(&counter{to: map[string]*telling{}, past: map[prefix.Key]*wire.Access{}, old: map[prefix.Key]*wire.Access{}}, 1024)
-	l.OnStop(x.counts.Stop)
-	l.Go(func() { x.run(l.Ctx) })
-	l.Every(l.Place.Bounds.Heal(1.0/48), func() { x.flush(l.Ctx) })
+func newPromptIndex(l *daemon.Process, clk clock.Clock) *promptIndex {
+	x := &promptIndex{lookups: queue.NewRing[lookup](l.Place.Bounds.Waiting), clients: daemon.NewClients(l), bounds: l.Place.Bounds,
+		lookupTimeout: l.Place.Bounds.Heal(1.0 / 400), name: "dispatcher/" + l.Place.Name, incarnation: uint64(clk.Now()), clock: clk}
+	x.counter = queue.NewActor(&accessCounter{nodes: map[string]*nodeBatches{}, window: map[prefix.Key]*wire.Access{}, lastWindow: map[prefix.Key]*wire.Access{}}, 1024)
+	l.OnStop(x.counter.Stop)
+	l.Go(func() { x.runLookups(l.Ctx) })
+	l.Every(l.Place.Bounds.Heal(1.0/48), func() { x.flushCounts(l.Ctx) })
 	return x
 }
 
-// follow lays the shards out anew when the index nodes have changed.
-func (x *index) follow(nodes []*wire.Node) {
+// updateShards lays the shards out anew when the index nodes have changed.
+func (i *promptIndex) updateShards(nodes []*wire.Node) {
 	var now []string
 	for _, n := range nodes {
 		if n.Role == "catalogue" {
-			now = append(now, fmt.Sprintf("%s %s %v", n.Name, n.Addr, n.State < clustermembership.Gone))
+			now = append(now, fmt.Sprintf("%s %s %v", n.Name, n.Addr, n.State < clustermembership.Dead))
 		}
 	}
-	if s := strings.Join(now, "\n"); s != x.laid {
-		x.laid = s
-		x.shards.Store(promptindex.NewShards(nodes))
+	if s := strings.Join(now, "\n"); s != i.layout {
+		i.layout = s
+		i.shards.Store(promptindex.NewShards(nodes))
 	}
 }
 
-// seek looks keys up; nil is a miss on all of them.
-func (x *index) seek(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.LookupResult {
-	q := question{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)}
-	if !x.ring.Offer(q) {
+// lookUp looks keys up; nil is a miss on all of them.
+func (i *promptIndex) lookUp(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.LookupResult {
+	q := lookup{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)}
+	if !i.lookups.Offer(q) {
 		return nil
 	}
 	select {
@@ -94,25 +94,25 @@
 	}
 }
 
-// run joins what waits into one batch; a handful of batches may be under way at once.
-func (x *index) run(ctx context.Context) {
+// runLookups joins what waits into one batch; a handful of batches may be under way at once.
+func (i *promptIndex) runLookups(ctx context.Context) {
 	room := make(chan struct{}, 8)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case q := <-x.ring.Out():
+		case q := <-i.lookups.Out():
 			room <- struct{}{}
-			qs := append([]question{q}, x.ring.Drain(63)...)
+			qs := append([]lookup{q}, i.lookups.Drain(63)...)
 			go func() {
 				defer func() { <-room }()
-				x.batch(ctx, qs)
+				i.lookUpBatch(ctx, qs)
 			}()
 		}
 	}
 }
 
-func (x *index) batch(ctx context.Context, qs []question) {
+func (i *promptIndex) lookUpBatch(ctx context.Context, qs []lookup) {
 	seen := map[prefix.Key]bool{}
 	var ks []prefix.Key
 	for _, q := range qs {
@@ -124,23 +124,23 @@
 		}
 	}
 	var m map[prefix.Key]*wire.LookupResult
-	if s := x.shards.Load(); s != nil {
-		x.asked.Add(1)
-		x.keys.Add(uint64(len(ks)))
-		m = s.Lookup(ctx, ks, x.calls.PromptIndex, x.wait)
+	if s := i.shards.Load(); s != nil {
+		i.lookupBatches.Add(1)
+		i.lookupKeys.Add(uint64(len(ks)))
+		m = s.Lookup(ctx, ks, i.clients.PromptIndex, i.lookupTimeout)
 	}
 	for _, q := range qs {
 		q.result <- m
 	}
 }
 
-// count notes a request's accesses: which entries, and who is presumed to hold them now.
-func (x *index) count(service string, es []prefix.Entry, holder string, saved []string, upto int) {
-	s := x.shards.Load()
+// recordAccesses notes a request's accesses: which entries, and who is presumed to hold them now.
+func (i *promptIndex) recordAccesses(service string, es []prefix.Entry, holder string, saved []string, upto int) {
+	s := i.shards.Load()
 	if s == nil {
 		return
 	}
-	x.counts.TrySend(func(c *counter) {
+	i.counter.TrySend(func(c *accessCounter) {
 		for i, e := range es {
 			a := &wire.Access{Key: e.Key[:], Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, PresumedHolders: []string{holder}}
 			if i < upto {
@@ -150,22 +150,22 @@
 				if h == "" {
 					continue
 				}
-				t := c.to[h]
+				t := c.nodes[h]
 				if t == nil {
-					t = &telling{next: map[prefix.Key]*wire.Access{}}
-					c.to[h] = t
+					t = &nodeBatches{pending: map[prefix.Key]*wire.Access{}}
+					c.nodes[h] = t
 				}
-				merge(t.next, e.Key, a)
+				addAccess(t.pending, e.Key, a)
 			}
-			merge(c.past, e.Key, a)
+			addAccess(c.window, e.Key, a)
 		}
-		if now := x.clk.Now(); now-c.turn > x.b.Heal(1.25) { // half a window
-			c.old, c.past, c.turn = c.past, map[prefix.Key]*wire.Access{}, now
+		if now := i.clock.Now(); now-c.windowStart > i.bounds.Heal(1.25) { // half a window
+			c.lastWindow, c.window, c.windowStart = c.window, map[prefix.Key]*wire.Access{}, now
 		}
 	})
 }
 
-func merge(m map[prefix.Key]*wire.Access, k prefix.Key, a *wire.Access) {
+func addAccess(m map[prefix.Key]*wire.Access, k prefix.Key, a *wire.Access) {
 	o := m[k]
 	if o == nil {
 		if len(m) < maxCounts {
@@ -185,56 +185,56 @@
 	}
 }
 
-// flush reports each holder what was counted. A batch keeps its number until it is
+// flushCounts reports each holder what was counted. A batch keeps its number until it is
 // acknowledged, so a lost answer can't make it count twice.
-func (x *index) flush(ctx context.Context) {
-	s := x.shards.Load()
+func (i *promptIndex) flushCounts(ctx context.Context) {
+	s := i.shards.Load()
 	if s == nil {
 		return
 	}
-	x.counts.Ask(func(c *counter) {
-		for h, t := range c.to {
+	i.counter.Ask(func(c *accessCounter) {
+		for h, t := range c.nodes {
 			addr := s.Addr(h)
 			if addr == "" {
-				delete(c.to, h) // it has left; its shards have new holders
+				delete(c.nodes, h) // it has left; its shards have new holders
 				continue
 			}
-			if t.busy || t.sent == nil && len(t.next) == 0 {
+			if t.sending || t.inFlight == nil && len(t.pending) == 0 {
 				continue
 			}
-			if t.sent == nil {
+			if t.inFlight == nil {
 				t.number++
-				t.sent = &wire.CountRequest{Reporter: x.name, Incarnation: x.inc, Sequence: t.number}
-				for _, a := range t.next {
-					t.sent.Accesses = append(t.sent.Accesses, a)
+				t.inFlight = &wire.CountRequest{Reporter: i.name, Incarnation: i.incarnation, Sequence: t.number}
+				for _, a := range t.pending {
+					t.inFlight.Accesses = append(t.inFlight.Accesses, a)
 				}
-				t.next = map[prefix.Key]*wire.Access{}
+				t.pending = map[prefix.Key]*wire.Access{}
 			}
-			t.busy = true
-			go x.send(ctx, h, addr, t.sent)
+			t.sending = true
+			go i.sendBatch(ctx, h, addr, t.inFlight)
 		}
 	})
 }
 
-func (x *index) send(ctx context.Context, h, addr string, a *wire.CountRequest) {
-	ctx, end := context.WithTimeout(ctx, x.b.Heal(1.0/24))
+func (i *promptIndex) sendBatch(ctx context.Context, h, addr string, a *wire.CountRequest) {
+	ctx, end := context.WithTimeout(ctx, i.bounds.Heal(1.0/24))
 	defer end()
-	r, err := x.calls.PromptIndex(addr).Count(ctx, a)
-	x.counts.Ask(func(c *counter) {
-		t := c.to[h]
+	r, err := i.clients.PromptIndex(addr).Count(ctx, a)
+	i.counter.Ask(func(c *accessCounter) {
+		t := c.nodes[h]
 		if t == nil {
 			return
 		}
-		t.busy = false
+		t.sending = false
 		if err != nil {
 			return
 		}
-		t.sent = nil
+		t.inFlight = nil
 		if r.ResendWindow { // it has lost its memory: tell the window again
-			for _, m := range []map[prefix.Key]*wire.Access{c.old, c.past} {
+			for _, m := range []map[prefix.Key]*wire.Access{c.lastWindow, c.window} {
 				for k, p := range m {
-					if s := x.shards.Load(); s.NodesOf(k)[0] == h || s.NodesOf(k)[1] == h {
-						merge(t.next, k, &wire.Access{Key: p.Key, Count: p.Count, Tokens: p.Tokens, Service: p.Service, Head: p.Head})
+					if s := i.shards.Load(); s.NodesOf(k)[0] == h || s.NodesOf(k)[1] == h {
+						addAccess(t.pending, k, &wire.Access{Key: p.Key, Count: p.Count, Tokens: p.Tokens, Service: p.Service, Head: p.Head})
 					}
 				}
 			}
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -25,75 +25,75 @@
 	"pebbleloom/internal/wire"
 )
 
-type rate struct{ v atomic.Uint64 }
+type atomicFloat struct{ v atomic.Uint64 }
 
-func (r *rate) Load() float64   { return math.Float64frombits(r.v.Load()) }
-func (r *rate) Store(f float64) { r.v.Store(math.Float64bits(f)) }
+func (r *atomicFloat) Load() float64   { return math.Float64frombits(r.v.Load()) }
+func (r *atomicFloat) Store(f float64) { r.v.Store(math.Float64bits(f)) }
 
 // Proxy is one edge proxy.
 type Proxy struct {
-	process *daemon.Process
-	b       settings.Bounds
-	clk     clock.Clock
-	fol     *updatestream.Follower
-	gate    *queue.Actor[gate]
-	index   *index
-	claims  claims
-	be      *contract.Backends
-	curve   placement.Curve
-	near    rate
-	far     rate
-	storeB  rate
-	stats   stats
-	log     *queue.Ring[*wire.Decision]
+	process        *daemon.Process
+	bounds         settings.Bounds
+	clock          clock.Clock
+	follower       *updatestream.Follower
+	traffic        *queue.Actor[trafficTable]
+	index          *promptIndex
+	claims         onceClaims
+	backends       *contract.Backends
+	prefillCurve   placement.Curve
+	nearBandwidth  atomicFloat
+	farBandwidth   atomicFloat
+	storeBandwidth atomicFloat
+	stats          stats
+	decisions      *queue.Ring[*wire.Decision]
 }
 
 // stats counts what the sealed lines have said.
-type stats struct{ sealed, hit, fetched, prefilled, extra, broken atomic.Int64 }
+type stats struct{ sealed, hitTokens, fetchedTokens, prefilledTokens, retries, interrupted atomic.Int64 }
 
 func (s *stats) add(p *contract.Piece) {
 	s.sealed.Add(1)
-	s.hit.Add(int64(p.Hit))
-	s.fetched.Add(int64(p.Fetched))
-	s.prefilled.Add(int64(p.Prefilled))
+	s.hitTokens.Add(int64(p.Hit))
+	s.fetchedTokens.Add(int64(p.Fetched))
+	s.prefilledTokens.Add(int64(p.Prefilled))
 }
 
 // Start runs the edge proxy.
 //
 // Example: daemon.Main("dispatcher", "edge proxy", need, callerproxy.Start)
 func Start(l *daemon.Process) error {
-	d := &Proxy{process: l, b: l.Place.Bounds, clk: l.Clock, be: contract.NewBackends(l.Dial), curve: placement.Default(), log: queue.NewRing[*wire.Decision](512)}
-	d.near.Store(50000)
-	d.far.Store(50000)
-	d.storeB.Store(50000)
-	d.gate = queue.NewActor(newGate(), 4096)
-	l.OnStop(d.gate.Stop)
-	l.OnStop(d.be.Close)
-	d.index = newIndex(l, d.clk)
+	d := &Proxy{process: l, bounds: l.Place.Bounds, clock: l.Clock, backends: contract.NewBackends(l.Dial), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](512)}
+	d.nearBandwidth.Store(50000)
+	d.farBandwidth.Store(50000)
+	d.storeBandwidth.Store(50000)
+	d.traffic = queue.NewActor(newTrafficTable(), 4096)
+	l.OnStop(d.traffic.Stop)
+	l.OnStop(d.backends.Close)
+	d.index = newPromptIndex(l, d.clock)
 	calls := daemon.NewClients(l)
-	d.fol = updatestream.Follow(l.Ctx, d.clk, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Place.Runner) }, d.b.Config(0.1), d.report, func(s *updatestream.Snapshot) {
-		d.index.follow(s.Nodes)
-		l.Ready.Store(s.Fresh(d.clk.Now(), d.b.Config(0.8)))
+	d.follower = updatestream.Follow(l.Ctx, d.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Place.Runner) }, d.bounds.Config(0.1), d.fillReport, func(s *updatestream.Snapshot) {
+		d.index.updateShards(s.Nodes)
+		l.Ready.Store(s.Fresh(d.clock.Now(), d.bounds.Config(0.8)))
 	})
-	d.claims = newClaimer(l, d.fol.Snapshot, calls, l.Seed())
-	srv, err := caller.NewServer(d, caller.WithErrorHandler(turnAway))
+	d.claims = newClaimer(l, d.follower.Snapshot, calls, l.Seed())
+	srv, err := caller.NewServer(d, caller.WithErrorHandler(handleRequestError))
 	if err != nil {
 		return errs.Wrap(err, "caller API")
 	}
-	body := int64(d.b.BodyKB)<<10 + int64(d.b.BodyKB)<<9 // JSON escapes take room
-	l.Go(func() { d.open(http.MaxBytesHandler(flushing(srv), body)) })
-	d.meters(l.Meter)
+	body := int64(d.bounds.BodyKB)<<10 + int64(d.bounds.BodyKB)<<9 // JSON escapes take room
+	l.Go(func() { d.serveCallers(http.MaxBytesHandler(flushEveryWrite(srv), body)) })
+	d.registerMetrics(l.Meter)
 	return l.Serve(l.Place.Listen, http.NewServeMux())
 }
 
-// open takes callers in once there is a proved configuration with workers: before that they are
+// serveCallers takes callers in once there is a proved configuration with workers: before that they are
 // better refused a connection, and ask another edge.
-func (d *Proxy) open(h http.Handler) {
-	t := clock.NewTicker(d.b.Config(0.02))
+func (d *Proxy) serveCallers(h http.Handler) {
+	t := clock.NewTicker(d.bounds.Config(0.02))
 	defer t.Stop()
 	for {
-		s := d.fol.Snapshot()
-		if s.Fresh(d.clk.Now(), d.b.Config(0.8)) && up(s) {
+		s := d.follower.Snapshot()
+		if s.Fresh(d.clock.Now(), d.bounds.Config(0.8)) && hasRoutedWorker(s) {
 			break
 		}
 		select {
@@ -107,8 +107,8 @@
 	}
 }
 
-// up reports whether any service that a route leads to has a worker up.
-func up(s *updatestream.Snapshot) bool {
+// hasRoutedWorker reports whether any service that a route leads to has a worker up.
+func hasRoutedWorker(s *updatestream.Snapshot) bool {
 	has := map[string]bool{}
 	for _, w := range s.Workers {
 		has[w.Service] = has[w.Service] || w.State == updatestream.WorkerUp
@@ -121,7 +121,7 @@
 	return false
 }
 
-func (d *Proxy) stopping() bool {
+func (d *Proxy) isDraining() bool {
 	select {
 	case <-d.process.Draining:
 		return true
@@ -130,60 +130,60 @@
 	}
 }
 
-// retries is a service's budget of attempts beyond the first.
-func (d *Proxy) retries(g *gate, service string) *retrybudget.Budget {
-	b := g.retries[service]
+// retryBudget is a service's budget of attempts beyond the first.
+func (d *Proxy) retryBudget(g *trafficTable, service string) *retrybudget.Budget {
+	b := g.retryBudgets[service]
 	if b == nil {
-		b = retrybudget.New(float64(d.b.TryShare) / 100)
-		g.retries[service] = b
+		b = retrybudget.New(float64(d.bounds.TryShare) / 100)
+		g.retryBudgets[service] = b
 	}
 	return b
 }
 
-// allowance is this edge's share of the extra attempts that a service may save up. Edges that are
+// retryAllowance is this edge's share of the extra attempts that a service may save up. Edges that are
 // gone count too, as long as they are remembered: one that is only cut off has its share still.
-func (d *Proxy) allowance(g *gate, s *updatestream.Snapshot) float64 {
-	g.edges = max(g.edges, edges(s, true))
-	return retrybudget.Share(float64(d.b.TryAllow), g.edges)
+func (d *Proxy) retryAllowance(g *trafficTable, s *updatestream.Snapshot) float64 {
+	g.maxEdgeNodes = max(g.maxEdgeNodes, countEdgeNodes(s, true))
+	return retrybudget.PerNode(float64(d.bounds.TryAllow), g.maxEdgeNodes)
 }
 
-// edges counts the edge machines that a snapshot knows; gone ones where asked for.
-func edges(s *updatestream.Snapshot, gone bool) (n int) {
+// countEdgeNodes counts the edge machines that a snapshot knows; gone ones where asked for.
+func countEdgeNodes(s *updatestream.Snapshot, gone bool) (n int) {
 	for _, x := range s.Nodes {
-		if x.Role == "runner" && (gone || x.State < clustermembership.Gone) {
+		if x.Role == "runner" && (gone || x.State < clustermembership.Dead) {
 			n++
 		}
 	}
 	return n
 }
 
-// report hands the runner what the attempts since the last time have shown, and why they went
+// fillReport hands the runner what the attempts since the last time have shown, and why they went
 // where they went.
-func (d *Proxy) report(a *wire.FeedRequest) {
-	d.gate.Ask(func(g *gate) {
+func (d *Proxy) fillReport(a *wire.FeedRequest) {
+	d.traffic.Ask(func(g *trafficTable) {
 		for k, r := range g.reports {
 			a.Attempts = append(a.Attempts, r)
 			delete(g.reports, k)
 		}
 	})
-	a.Decisions = d.log.Drain(256)
+	a.Decisions = d.decisions.Drain(256)
 }
 
-// learn takes what a fetch has shown of its link.
-func (d *Proxy) learn(g *gate, s *updatestream.Snapshot, p *contract.Piece, zone string) {
-	class, to := "far", &d.far
+// learnBandwidth takes what a fetch has shown of its link.
+func (d *Proxy) learnBandwidth(g *trafficTable, s *updatestream.Snapshot, p *contract.Piece, zone string) {
+	class, to := "far", &d.farBandwidth
 	for _, w := range s.Workers {
 		if w.Addr != p.FetchAddr {
 			continue
 		}
 		if w.Kind == "store" {
-			class, to = "store", &d.storeB
+			class, to = "store", &d.storeBandwidth
 		} else if w.Zone == zone {
-			class, to = "near", &d.near
+			class, to = "near", &d.nearBandwidth
 		}
 	}
 	took := time.Duration(p.FetchUs) * time.Microsecond
-	g.link(class, p.Fetched, took)
+	g.recordTransfer(class, p.Fetched, took)
 	to.Store(0.9*to.Load() + 0.1*float64(p.Fetched)/took.Seconds())
 }
 
@@ -191,30 +191,30 @@
 //
 // Example: d.NewError(ctx, errs.New(errs.BadKey, "the key is not in force"))
 func (d *Proxy) NewError(_ context.Context, err error) *caller.DeniedStatusCodeWithHeaders {
-	t := typed(err)
+	t := errorResponse(err)
 	d.process.Meter.Rejected(errs.Named(t.Response.Kind))
 	return t
 }
 
-func typed(err error) *caller.DeniedStatusCodeWithHeaders {
+func errorResponse(err error) *caller.DeniedStatusCodeWithHeaders {
 	k := errs.KindOf(err)
 	r := &caller.DeniedStatusCodeWithHeaders{StatusCode: k.HTTP, Response: caller.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
 	var x rejection
 	if errors.As(err, &x) {
 		k = errs.KindOf(x.error)
 		r.StatusCode, r.Response.Kind, r.Response.Remedy = k.HTTP, k.Name, k.Remedy
-		r.Response.RequestID = caller.NewOptString(x.id)
-		if x.back > 0 {
-			r.Response.RetryAfterMs = int(x.back.Milliseconds())
-			r.RetryAfter = caller.NewOptInt(int(math.Ceil(x.back.Seconds())))
+		r.Response.RequestID = caller.NewOptString(x.requestID)
+		if x.retryAfter > 0 {
+			r.Response.RetryAfterMs = int(x.retryAfter.Milliseconds())
+			r.RetryAfter = caller.NewOptInt(int(math.Ceil(x.retryAfter.Seconds())))
 		}
 	}
 	return r
 }
 
-// turnAway answers what never reached Answer, and breaks what had begun.
-func turnAway(ctx context.Context, w http.ResponseWriter, r *http.Request, err error) {
-	if f, ok := ctx.Value(flusher{}).(*flusher); ok && f.begun {
+// handleRequestError answers what never reached Answer, and breaks what had begun.
+func handleRequestError(ctx context.Context, w http.ResponseWriter, r *http.Request, err error) {
+	if f, ok := ctx.Value(flushingWriter{}).(*flushingWriter); ok && f.started {
 		panic(http.ErrAbortHandler) // the caller must see that the stream is broken
 	}
 	k := errs.BadInput
@@ -224,28 +224,28 @@
 	} else if ogenerrors.ErrorCode(err) >= 500 {
 		k = errs.Inside
 	}
-	t := typed(errs.As(err, k, "request"))
+	t := errorResponse(errs.As(err, k, "request"))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(t.StatusCode)
 	_ = json.NewEncoder(w).Encode(&t.Response) // a caller that hung up can't be told
 }
 
-// flusher sends every piece on as it comes.
-type flusher struct {
+// flushingWriter sends every piece on as it comes.
+type flushingWriter struct {
 	http.ResponseWriter
-	begun bool
+	started bool
 }
 
 // WriteHeader notes that the answer has begun.
 //
 // Example: w.WriteHeader(200)
-func (f *flusher) WriteHeader(c int) { f.begun = true; f.ResponseWriter.WriteHeader(c) }
+func (f *flushingWriter) WriteHeader(c int) { f.started = true; f.ResponseWriter.WriteHeader(c) }
 
 // Write writes and flushes.
 //
 // Example: w.Write(line)
-func (f *flusher) Write(p []byte) (int, error) {
-	f.begun = true
+func (f *flushingWriter) Write(p []byte) (int, error) {
+	f.started = true
 	n, err := f.ResponseWriter.Write(p)
 	if err == nil {
 		err = http.NewResponseController(f.ResponseWriter).Flush()
@@ -253,10 +253,10 @@
 	return n, err
 }
 
-func flushing(h http.Handler) http.Handler {
+func flushEveryWrite(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f := &flusher{ResponseWriter: w} // others may wrap it: whether it has begun is asked by way of the context
-		h.ServeHTTP(f, r.WithContext(context.WithValue(r.Context(), flusher{}, f)))
+		f := &flushingWriter{ResponseWriter: w} // others may wrap it: whether it has begun is asked by way of the context
+		h.ServeHTTP(f, r.WithContext(context.WithValue(r.Context(), flushingWriter{}, f)))
 	})
 }
 
@@ -278,14 +278,14 @@
 	SaveTo    string  `json:"save_to,omitempty"`
 }
 
-func (d *Proxy) decided(id string, s *updatestream.Snapshot, c Choice) {
-	x := Decision{Request: id, Worker: c.Worker.Name, Config: s.ConfigVersion, Hit: c.Hit, Fetch: c.Fetch, WaitUs: c.Wait, CostUs: c.Cost, Hot: c.Hot, Home: c.Home, SaveTo: c.Saves,
-		Session: c.Session, Fetches: c.Fetches, Machine: d.process.Place.Name}
+func (d *Proxy) logDecision(id string, s *updatestream.Snapshot, c Choice) {
+	x := Decision{Request: id, Worker: c.Worker.Name, Config: s.ConfigVersion, Hit: c.HitTokens, Fetch: c.FetchTokens, WaitUs: c.WaitUs, CostUs: c.CostUs, Hot: c.Hot, Home: c.PreferredWorker, SaveTo: c.SaveAddrs,
+		Session: c.Session, Fetches: c.FetchFrom, Machine: d.process.Place.Name}
 	if p := s.Placements[c.Worker.Service]; p != nil {
 		x.Placement = p.Epoch
 	}
 	body, err := json.Marshal(x)
 	if err == nil {
-		d.log.Offer(&wire.Decision{RequestId: id, Body: body}) // when it is full, this one isn't explained
+		d.decisions.Offer(&wire.Decision{RequestId: id, Body: body}) // when it is full, this one isn't explained
 	}
 }
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -15,39 +15,39 @@
 // stream passes a worker's lines on, one by one, each checked. It ends well only after the
 // worker's seal; anything else is an error, which breaks the caller's connection visibly.
 type stream struct {
-	d      *Proxy
-	id     string
-	worker string
-	zone   string
-	snap   *updatestream.Snapshot
-	began  time.Duration
-	body   io.ReadCloser
-	r      *bufio.Reader
-	check  *contract.Check
-	line   []byte
-	stop   func()
-	leave  func()
-	bad    error
+	proxy     *Proxy
+	id        string
+	worker    string
+	zone      string
+	snapshot  *updatestream.Snapshot
+	startedAt time.Duration
+	body      io.ReadCloser
+	reader    *bufio.Reader
+	checker   *contract.Check
+	line      []byte
+	cancel    func()
+	release   func()
+	err       error
 
 	mu    sync.Mutex
 	watch *time.Timer
-	over  bool
+	ended bool
 }
 
-// next reads and checks the next line.
-func (s *stream) next() error {
-	raw, err := s.r.ReadSlice('\n')
+// readLine reads and checks the next line.
+func (s *stream) readLine() error {
+	raw, err := s.reader.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
 		return errs.New(errs.Inside, "a line longer than %d bytes", contract.MaxLine)
-	case errors.Is(err, io.EOF) && len(raw) == 0 && s.check.Last != nil:
+	case errors.Is(err, io.EOF) && len(raw) == 0 && s.checker.Last != nil:
 		return io.EOF
 	case errors.Is(err, io.EOF):
 		return errs.New(errs.Inside, "the stream ended without its seal")
 	case err != nil:
 		return errs.Wrap(err, "read stream")
 	}
-	if w := s.check.Line(raw); w != "" {
+	if w := s.checker.Line(raw); w != "" {
 		return errs.New(errs.Inside, "%s", w)
 	}
 	s.line = raw
@@ -58,12 +58,12 @@
 //
 // Example: n, err := s.Read(buf)
 func (s *stream) Read(p []byte) (int, error) {
-	if s.bad != nil {
-		return 0, s.bad
+	if s.err != nil {
+		return 0, s.err
 	}
 	if len(s.line) == 0 {
-		if s.bad = s.next(); s.bad != nil {
-			return 0, s.bad
+		if s.err = s.readLine(); s.err != nil {
+			return 0, s.err
 		}
 	}
 	n := copy(p, s.line)
@@ -75,47 +75,47 @@
 //
 // Example: defer s.Close()
 func (s *stream) Close() error {
-	ok := errors.Is(s.bad, io.EOF)
-	if !ok && s.bad != nil {
-		s.d.stats.broken.Add(1)
-		s.d.process.Log.Warn("stream ended broken", "request", s.id, "worker", s.worker, "error", s.bad)
+	ok := errors.Is(s.err, io.EOF)
+	if !ok && s.err != nil {
+		s.proxy.stats.interrupted.Add(1)
+		s.proxy.process.Log.Warn("stream ended broken", "request", s.id, "worker", s.worker, "error", s.err)
 	}
-	s.end(ok || s.bad == nil) // a caller that hung up is no fault of the worker's
-	if s.leave != nil {
-		s.leave()
+	s.finish(ok || s.err == nil) // a caller that hung up is no fault of the worker's
+	if s.release != nil {
+		s.release()
 	}
 	return nil
 }
 
-func (s *stream) end(ok bool) {
+func (s *stream) finish(ok bool) {
 	s.mu.Lock()
-	s.over = true
+	s.ended = true
 	s.watch.Stop()
 	s.mu.Unlock()
-	s.stop()
+	s.cancel()
 	if s.body != nil {
 		s.body.Close()
 	}
-	took := s.d.clk.Now() - s.began
+	took := s.proxy.clock.Now() - s.startedAt
 	var last *contract.Piece
-	if s.check != nil {
-		last = s.check.Last
+	if s.checker != nil {
+		last = s.checker.Last
 	}
-	s.d.gate.TrySend(func(g *gate) {
-		g.ended(s.worker, ok, took, s.d.clk.Now())
+	s.proxy.traffic.TrySend(func(g *trafficTable) {
+		g.endAttempt(s.worker, ok, took, s.proxy.clock.Now())
 		if last != nil && last.Fetched > 0 && last.FetchUs > 0 {
-			s.d.learn(g, s.snap, last, s.zone)
+			s.proxy.learnBandwidth(g, s.snapshot, last, s.zone)
 		}
 	})
 	if last != nil {
-		s.d.stats.add(last)
+		s.proxy.stats.add(last)
 	}
 }
 
-func (s *stream) again(d time.Duration, f func()) {
+func (s *stream) rescheduleWatch(d time.Duration, f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over {
+	if !s.ended {
 		s.watch = time.AfterFunc(d, f)
 	}
 }
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -8,18 +8,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// target is the set of weights that answers a request under a configuration; where no route leads there,
+// weightsFor is the set of weights that answers a request under a configuration; where no route leads there,
 // what was asked for.
-func target(s *updatestream.Snapshot, q *caller.Ask) serviceconfig.Target {
+func weightsFor(s *updatestream.Snapshot, q *caller.Ask) serviceconfig.Target {
 	if t, ok := s.Config.Target(q.Model, q.RequestID); ok {
 		return t
 	}
 	return serviceconfig.Target{Model: q.Model}
 }
 
-// under shows a worker as it stands to a set of weights: with the version that it has of the base.
+// viewForTarget shows a worker as it stands to a set of weights: with the version that it has of the base.
 // Nil: it hasn't the base, or not that build of the adapter, so it gets no such request.
-func under(w *wire.Worker, t serviceconfig.Target) *wire.Worker {
+func viewForTarget(w *wire.Worker, t serviceconfig.Target) *wire.Worker {
 	if len(w.LoadedModels) == 0 {
 		if t.Adapter != "" || w.Model != "" && w.Model != t.Model {
 			return nil
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// chain names a prompt's prefixes under one set of weights.
-func chain(s *updatestream.Snapshot, t serviceconfig.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
-	return prefix.Chain(s.Config.Domain(tenant), prefix.Under(t.Model, t.Adapter, t.Build), weights, parts)
+// prefixChain names a prompt's prefixes under one set of weights.
+func prefixChain(s *updatestream.Snapshot, t serviceconfig.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
+	return prefix.Chain(s.Config.CacheDomain(tenant), prefix.QualifiedModel(t.Model, t.Adapter, t.Build), weights, parts)
 }
--- a/internal/data/callerproxy/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -11,7 +11,7 @@
 
 // A worker gets a request only if it has what answers it: the base in memory, the adapter in that build.
 // What has old weights alone, or says nothing of an adapter, gets none of the adapter's requests.
-func TestUnderWhichWeightsAWorkerStands(t *testing.T) {
+func TestViewForTarget(t *testing.T) {
 	old := &wire.Worker{Name: "old", Model: "lector", Weights: 4}
 	both := &wire.Worker{Name: "both", Model: "lector", Weights: 4, Slots: 4, LoadedModels: []*wire.LoadedModel{
 		{Model: "lector", Weights: 4, Adapters: map[string]uint64{"rare": 1}}, {Model: "lector-2", Weights: 2, Adapters: map[string]uint64{"rare-2": 7}}}}
@@ -34,7 +34,7 @@
 		"an adapter on an unknown worker": {&wire.Worker{}, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
 	} {
 		got := uint64(0)
-		if y := under(x.w, x.t); y != nil {
+		if y := viewForTarget(x.w, x.t); y != nil {
 			if got = y.Weights; y.Name != x.w.Name || y.Slots != x.w.Slots || x.w.Model != "" && y.Model != x.t.Model {
 				t.Errorf("%s: %+v", name, y)
 			}
@@ -50,14 +50,14 @@
 
 // A route's requests are moved by share, each id always the same way, and the keys of what one set of
 // weights has made are no other's.
-func TestRequestsAreMovedByShare(t *testing.T) {
+func TestRequestsAreSplitByShare(t *testing.T) {
 	s := &updatestream.Snapshot{Config: (&serviceconfig.Config{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
-		Adapters: map[string]serviceconfig.Adapter{"r": {Base: "a", Build: 1}, "r2": {Base: "b", Build: 1}},
-		Routes:   map[string]serviceconfig.Route{"r": {Service: "s", Move: "r2", Moved: 30}}}).BuildIndex()}
+		Adapters: map[string]serviceconfig.Adapter{"r": {BaseModel: "a", Build: 1}, "r2": {BaseModel: "b", Build: 1}},
+		Routes:   map[string]serviceconfig.Route{"r": {Service: "s", MoveTo: "r2", MovedPercent: 30}}}).BuildIndex()}
 	moved := 0
 	for i := range 1000 {
 		q := &caller.Ask{Model: "r", RequestID: string(rune(i + 32))}
-		a, b := target(s, q), target(s, q)
+		a, b := weightsFor(s, q), weightsFor(s, q)
 		if a != b {
 			t.Fatalf("%+v and %+v", a, b)
 		}
@@ -70,13 +70,13 @@
 	}
 	seen := map[string]bool{}
 	for _, x := range []serviceconfig.Target{{Model: "a"}, {Model: "b"}, {Model: "a", Adapter: "r", Build: 1}, {Model: "a", Adapter: "r", Build: 2}, {Model: "b", Adapter: "r", Build: 1}} {
-		k := chain(s, x, "t", 1, []string{"p"})[0].Key.String()
+		k := prefixChain(s, x, "t", 1, []string{"p"})[0].Key.String()
 		if seen[k] {
 			t.Errorf("%+v has another's key", x)
 		}
 		seen[k] = true
 	}
-	if x := target(s, &caller.Ask{Model: "none"}); x.Model != "none" {
+	if x := weightsFor(s, &caller.Ask{Model: "none"}); x.Model != "none" {
 		t.Errorf("%+v", x)
 	}
 }
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -78,7 +78,7 @@
 	})
 	process.Meter.Gauge("pebbleloom_nodes", "nodes that this machine doesn't see as gone", func() (v float64) {
 		for _, n := range a.member.View().Nodes {
-			if n.State != clustermembership.Gone {
+			if n.State != clustermembership.Dead {
 				v++
 			}
 		}
@@ -122,7 +122,7 @@
 		var response *wire.WatchResponse
 		if addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + member); ok {
 			ctx, end := context.WithTimeout(a.process.Ctx, b.Config(0.3))
-			t, err := a.clients.ControlNode(addr).Watch(ctx, &wire.WatchRequest{Key: controlclient.SetupKey, KnownVersion: have, MaxWaitNs: uint64(b.Config(0.15))})
+			t, err := a.clients.ControlNode(addr).Watch(ctx, &wire.WatchRequest{Key: controlclient.ConfigKey, KnownVersion: have, MaxWaitNs: uint64(b.Config(0.15))})
 			end()
 			if err == nil {
 				response = t
@@ -140,7 +140,7 @@
 
 func (a *Agent) applyResponse(t *table, member string, have uint64, asked time.Duration, response *wire.WatchResponse) {
 	if t.freshness.HandleResponse(member, have, asked, response) {
-		s, err := serviceconfig.Read(t.freshness.Document().Body)
+		s, err := serviceconfig.Decode(t.freshness.Document().Body)
 		if err != nil {
 			// The control state holds checked configurations only; an older program can still
 			// fail here. It runs without a configuration rather than with half of one.
@@ -186,7 +186,7 @@
 func (a *Agent) publishWorkers(t *table) {
 	var drains map[string]bool
 	if t.config != nil {
-		drains = t.config.Drains
+		drains = t.config.Draining
 	}
 	rows := t.workers.Rows(drains, a.clock.Now())
 	for _, w := range rows { // published rows are never changed
--- a/internal/data/placement/fit.go
+++ b/internal/data/placement/fit.go
@@ -11,7 +11,7 @@
 // Sample is one measured prefill.
 type Sample struct {
 	Tokens int
-	Us     float64
+	Micros float64
 }
 
 // Fit fits a polynomial to measured prefills by least squares, offline.
@@ -29,7 +29,7 @@
 			a.Set(i, j, x)
 			x *= float64(s.Tokens) / unit
 		}
-		y.SetVec(i, s.Us)
+		y.SetVec(i, s.Micros)
 	}
 	var v mat.VecDense
 	if err := v.SolveVec(a, y); err != nil {
@@ -37,14 +37,14 @@
 	}
 	c := Curve{Samples: len(l)}
 	for j := range degree + 1 {
-		c.C = append(c.C, v.AtVec(j)/math.Pow(unit, float64(j)))
+		c.Coefficients = append(c.Coefficients, v.AtVec(j)/math.Pow(unit, float64(j)))
 	}
 	sum := 0.0
 	for _, s := range l {
-		d := math.Abs(c.At(float64(s.Tokens)) - s.Us)
+		d := math.Abs(c.At(float64(s.Tokens)) - s.Micros)
 		sum += d * d
-		c.WorstUs = max(c.WorstUs, d)
+		c.MaxErrorMicros = max(c.MaxErrorMicros, d)
 	}
-	c.RmsUs = math.Sqrt(sum / float64(len(l)))
+	c.RMSErrorMicros = math.Sqrt(sum / float64(len(l)))
 	return c, nil
 }
--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -30,16 +30,16 @@
 }
 
 func TestScanByHand(t *testing.T) {
-	f := func(v ...float64) []Freq {
-		var l []Freq
+	f := func(v ...float64) []EntryFrequency {
+		var l []EntryFrequency
 		for i, x := range v {
-			l = append(l, Freq{Key: string(rune('a' + i)), F: x})
+			l = append(l, EntryFrequency{Key: string(rune('a' + i)), Frequency: x})
 		}
 		return l
 	}
 	for _, c := range []struct {
 		name string
-		fs   []Freq
+		fs   []EntryFrequency
 		r    float64
 		want int
 		top  string
@@ -54,7 +54,7 @@
 		{"no entries", nil, 0.3, 0, ""},
 		{"ties go by key", f(1, 1, 1, 1), 0.5, 2, "a"},
 	} {
-		l, n := Scan(c.fs, c.r)
+		l, n := SelectReplicated(c.fs, c.r)
 		if n != c.want || len(l) > 0 && l[0].Key != c.top {
 			t.Errorf("%s: %d of %v, by hand %d", c.name, n, l, c.want)
 		}
@@ -67,9 +67,9 @@
 	n := map[string]int{}
 	for i := range 6000 {
 		k := prefix.Chain("shared", "m", 1, []string{string(rune(i))})[0].Key
-		h := Home(k, ws)
+		h := RankShardWorkers(k, ws)
 		n[h[0]]++
-		left := Home(k, ws[:5])
+		left := RankShardWorkers(k, ws[:5])
 		if h[0] != "f" && left[0] != h[0] {
 			t.Fatalf("key %s moved from %s to %s though only f left", k, h[0], left[0])
 		}
@@ -88,13 +88,13 @@
 		l = append(l, Sample{n, 1500 + 38*float64(n) + 0.005*float64(n*n)})
 	}
 	c, err := Fit(l, 2)
-	if err != nil || math.Abs(c.C[0]-1500) > 0.01 || math.Abs(c.C[1]-38) > 1e-6 || math.Abs(c.C[2]-0.005) > 1e-9 || c.RmsUs > 0.01 {
+	if err != nil || math.Abs(c.Coefficients[0]-1500) > 0.01 || math.Abs(c.Coefficients[1]-38) > 1e-6 || math.Abs(c.Coefficients[2]-0.005) > 1e-9 || c.RMSErrorMicros > 0.01 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := Fit([]Sample{{5, 1}, {5, 1}, {5, 1}, {5, 1}}, 2); err == nil {
 		t.Error("one length gave a curve")
 	}
-	if d := Default(); d.Samples < 50 || d.At(3000) <= d.At(1000) || d.RmsUs > 0.2*d.At(1000) {
+	if d := Default(); d.Samples < 50 || d.At(3000) <= d.At(1000) || d.RMSErrorMicros > 0.2*d.At(1000) {
 		t.Errorf("the curve that is kept: %+v", d)
 	}
 }
--- a/internal/data/prefix/prefix.go
+++ b/internal/data/prefix/prefix.go
@@ -15,9 +15,9 @@
 
 // Entry is one prefix of a prompt.
 type Entry struct {
-	Key    Key
-	Tokens int // of the last part alone
-	Upto   int // of all parts up to it
+	Key              Key
+	Tokens           int // of the last part alone
+	CumulativeTokens int // of all parts up to it
 }
 
 // String is the key in hex.
@@ -37,16 +37,16 @@
 	return k, true
 }
 
-// Tokens counts a part's tokens: about four bytes each.
+// EstimateTokens counts a part's tokens: about four bytes each.
 //
 // Example: prefix.Tokens("una primera edición") == 5
-func Tokens(part string) int { return (len(part) + 3) / 4 }
+func EstimateTokens(part string) int { return (len(part) + 3) / 4 }
 
-// Under is the model's name in the keys: what one base or adapter, or another build of it, has
+// QualifiedModel is the model's name in the keys: what one base or adapter, or another build of it, has
 // made is nobody else's.
 //
 // Example: es := prefix.Chain("shared", prefix.Under("lector", "rare", 2), 3, parts)
-func Under(model, adapter string, build uint64) string {
+func QualifiedModel(model, adapter string, build uint64) string {
 	if adapter == "" {
 		return model
 	}
@@ -76,9 +76,9 @@
 		h.Write(sum)
 		put(p)
 		sum = h.Sum(nil)
-		e := Entry{Tokens: Tokens(p)}
+		e := Entry{Tokens: EstimateTokens(p)}
 		upto += e.Tokens
-		e.Upto = upto
+		e.CumulativeTokens = upto
 		copy(e.Key[:], sum)
 		es = append(es, e)
 	}
--- a/internal/data/prefix/prefix_test.go
+++ b/internal/data/prefix/prefix_test.go
@@ -7,7 +7,7 @@
 
 // No entry of one wall, model, weights epoch or prompt has another's key, however the parts
 // are cut.
-func TestKeysAreApart(t *testing.T) {
+func TestKeysAreDistinct(t *testing.T) {
 	seen := map[Key]string{}
 	for _, domain := range []string{"shared", "t:a", "t:b", ""} {
 		for _, model := range []string{"m", "m2", ""} {
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -54,14 +54,14 @@
 // whole cache.
 //
 // Example: c.ApplyEvents(q, events, now)
-func (c *Core) ApplyEvents(q ReportRequest, e backend.Events, now time.Duration) {
+func (c *Core) ApplyEvents(q ReportRequest, e backend.CacheEvents, now time.Duration) {
 	w := c.worker(q.Name)
-	if q.sequence != w.sequence || e.Full {
+	if q.sequence != w.sequence || e.Throttled {
 		return
 	}
 	w.lastHeardAt = now
 	w.sequence++ // each request is answered once
-	if boot := strconv.FormatUint(e.Boot, 10); boot != w.incarnation {
+	if boot := strconv.FormatUint(e.BootID, 10); boot != w.incarnation {
 		old := w.incarnation
 		w.incarnation, w.needsFull = boot, false
 		if old != "" {
@@ -75,21 +75,21 @@
 	if q.Full {
 		w.generation++
 		c.Stats.FullReports++
-	} else if e.Lost {
+	} else if e.Gap {
 		w.needsFull = true
 		c.Stats.Gaps++
 	}
-	for _, x := range e.List {
+	for _, x := range e.Changes {
 		c.applyChange(q, w, x, now)
 	}
-	w.lastNumber = e.Next
+	w.lastNumber = e.NextSequence
 	if q.Full {
 		w.needsFull = false
 	}
-	w.complete = w.complete || !e.Lost || q.Full
+	w.complete = w.complete || !e.Gap || q.Full
 }
 
-func (c *Core) applyChange(q ReportRequest, w *worker, x backend.Change, now time.Duration) {
+func (c *Core) applyChange(q ReportRequest, w *worker, x backend.CacheChange, now time.Duration) {
 	k := PartKey(x.Salt, x.Part)
 	if !c.isAssigned(k) {
 		return
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -21,8 +21,8 @@
 	"pebbleloom/internal/wire"
 )
 
-func plus(part string, tokens int) backend.Change {
-	return backend.Change{Salt: "s", Part: part, Model: "m", Tokens: tokens}
+func plus(part string, tokens int) backend.CacheChange {
+	return backend.CacheChange{Salt: "s", Part: part, Model: "m", Tokens: tokens}
 }
 
 func who(c *Core, part string, now time.Duration) string {
@@ -33,7 +33,7 @@
 	return s
 }
 
-func changed(c *Core, e backend.Events, now time.Duration) {
+func changed(c *Core, e backend.CacheEvents, now time.Duration) {
 	c.ApplyEvents(c.NextEvents("w", "llm"), e, now)
 }
 
@@ -56,7 +56,7 @@
 
 func TestChangesSinceTheBeginningAreAll(t *testing.T) {
 	c := NewCore(settings.Default(), all)
-	changed(c, backend.Events{Boot: 1, Next: 3, List: []backend.Change{plus("a", 100), plus("b", 50), plus("a", 0)}}, 1)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{plus("a", 100), plus("b", 50), plus("a", 0)}}, 1)
 	if who(c, "a", 2) != "" || who(c, "b", 2) != "w:2 " || !c.Warm() {
 		t.Fatalf("a %q, b %q, warm %v", who(c, "a", 2), who(c, "b", 2), c.Warm())
 	}
@@ -67,15 +67,15 @@
 
 func TestAnotherBootHasDroppedAll(t *testing.T) {
 	c := NewCore(settings.Default(), all)
-	changed(c, backend.Events{Boot: 1, Next: 3, List: []backend.Change{plus("a", 100)}}, 1)
-	changed(c, backend.Events{Boot: 2, Next: 9, List: []backend.Change{plus("b", 100)}}, 2)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{plus("a", 100)}}, 1)
+	changed(c, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{plus("b", 100)}}, 2)
 	if who(c, "a", 3)+who(c, "b", 3) != "" {
 		t.Fatal("goes by numbers of another boot")
 	}
 	if q := c.NextEvents("w", "llm"); q.After != 0 || q.Full || c.Warm() {
 		t.Fatalf("asks next for %+v, warm %v", q, c.Warm())
 	}
-	changed(c, backend.Events{Boot: 2, Next: 9, List: []backend.Change{plus("c", 100), plus("b", 100)}}, 4)
+	changed(c, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{plus("c", 100), plus("b", 100)}}, 4)
 	if who(c, "c", 5) != "w:2 " || who(c, "a", 5) != "" || !c.Warm() {
 		t.Fatalf("c %q a %q", who(c, "c", 5), who(c, "a", 5))
 	}
@@ -83,19 +83,19 @@
 
 func TestAfterAGapAllIsAskedFor(t *testing.T) {
 	c := NewCore(settings.Default(), all)
-	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", 100)}}, 1)
-	changed(c, backend.Events{Boot: 1, Next: 90, Lost: true, List: []backend.Change{plus("b", 100)}}, 2)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", 100)}}, 1)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 90, Gap: true, Changes: []backend.CacheChange{plus("b", 100)}}, 2)
 	q := c.NextEvents("w", "llm")
 	if !q.Full || who(c, "a", 3) != "w:2 " || who(c, "b", 3) != "w:2 " || !c.Warm() {
 		t.Fatalf("%+v: a %q b %q", q, who(c, "a", 3), who(c, "b", 3))
 	}
 	// Until the list is asked for, changes are taken as they come.
 	q.Full = false
-	c.ApplyEvents(q, backend.Events{Boot: 1, Next: 91, List: []backend.Change{plus("b", 0)}}, 4)
+	c.ApplyEvents(q, backend.CacheEvents{BootID: 1, NextSequence: 91, Changes: []backend.CacheChange{plus("b", 0)}}, 4)
 	if q = c.NextEvents("w", "llm"); !q.Full || q.After != 91 || who(c, "b", 4) != "" {
 		t.Fatalf("%+v: b %q", q, who(c, "b", 4))
 	}
-	c.ApplyEvents(q, backend.Events{Boot: 1, Next: 95, List: []backend.Change{plus("c", 100)}}, 5)
+	c.ApplyEvents(q, backend.CacheEvents{BootID: 1, NextSequence: 95, Changes: []backend.CacheChange{plus("c", 100)}}, 5)
 	if q = c.NextEvents("w", "llm"); q.Full || who(c, "a", 6) != "" || who(c, "c", 6) != "w:2 " {
 		t.Fatalf("%+v: a %q c %q", q, who(c, "a", 6), who(c, "c", 6))
 	}
@@ -108,13 +108,13 @@
 		kept int
 		want string
 	}{{1000, "w:2 "}, {992, "w:2 "}, {900, "w:2 "}, {880, ""}, {16, ""}} {
-		changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", x.kept)}}, 2)
+		changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", x.kept)}}, 2)
 		if got := who(c, "a", 2); got != x.want {
 			t.Errorf("%d of 1000 kept: %q, want %q", x.kept, got, x.want)
 		}
 	}
 	use(c, "b", 20, 2, 1) // whole blocks of 16 are all that is kept of it
-	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("b", 16)}}, 2)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("b", 16)}}, 2)
 	if who(c, "b", 2) != "w:2 " {
 		t.Error("a short part kept but for its last block isn't held")
 	}
@@ -128,9 +128,9 @@
 func TestLateAndDoubledAnswers(t *testing.T) {
 	c := NewCore(settings.Default(), all)
 	q := c.NextEvents("w", "llm")
-	e := backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("a", 100)}}
+	e := backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", 100)}}
 	c.ApplyEvents(q, e, 1)
-	changed(c, backend.Events{Boot: 1, Next: 2, List: []backend.Change{plus("a", 0)}}, 2)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 2, Changes: []backend.CacheChange{plus("a", 0)}}, 2)
 	c.ApplyEvents(q, e, 3)
 	if who(c, "a", 3) != "" || c.NextEvents("w", "llm").After != 2 {
 		t.Fatal("an answer counted twice")
@@ -141,7 +141,7 @@
 	if who(c, "a", 4) != "" {
 		t.Fatal("an answer from before the worker left counted")
 	}
-	changed(c, backend.Events{Full: true}, 5)
+	changed(c, backend.CacheEvents{Throttled: true}, 5)
 	if q := c.NextEvents("w", "llm"); q.After != 0 || c.Warm() {
 		t.Fatal("a worker that turned the call away reported something")
 	}
@@ -150,14 +150,14 @@
 // Three changes of one part come in one to three answers, split in every manner, one of which may be
 // marked as a gap: the last change is what counts.
 func TestEverySplitOfChanges(t *testing.T) {
-	l := []backend.Change{plus("a", 100), plus("a", 0), plus("a", 200)}
+	l := []backend.CacheChange{plus("a", 100), plus("a", 0), plus("a", 200)}
 	for cuts := range 4 {
 		for lost := range 4 {
 			c := NewCore(settings.Default(), all)
 			from := 0
 			for i := 1; i <= len(l); i++ {
 				if i == len(l) || cuts>>(i-1)&1 == 1 {
-					changed(c, backend.Events{Boot: 7, Next: uint64(i), Lost: lost == i, List: l[from:i]}, time.Duration(i))
+					changed(c, backend.CacheEvents{BootID: 7, NextSequence: uint64(i), Gap: lost == i, Changes: l[from:i]}, time.Duration(i))
 					from = i
 				}
 			}
@@ -175,7 +175,7 @@
 	if got := who(c, "a", 2); got != "store:1 w:1 " {
 		t.Fatalf("presumed: %q", got)
 	}
-	changed(c, backend.Events{Boot: 1, Next: 0}, 3)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 0}, 3)
 	if got := who(c, "a", 4); got != "store:1 w:1 " {
 		t.Fatalf("the first answer dropped what was presumed: %q", got)
 	}
@@ -205,14 +205,14 @@
 	b := settings.Default()
 	c := NewCore(b, all)
 	use(c, "hot", 10, 1, 0)
-	changed(c, backend.Events{Boot: 1, Next: 1, List: []backend.Change{plus("kept", 10)}}, 1)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("kept", 10)}}, 1)
 	use(c, "lapsed", 10, 2, 0, "x")
 	c.Sweep(map[string]bool{"w": true}, 2)
 	if len(c.entries) != 3 {
 		t.Fatalf("%d entries, want 3", len(c.entries))
 	}
 	late := b.Heal(20)
-	changed(c, backend.Events{Boot: 1, Next: 1}, late)
+	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1}, late)
 	c.Sweep(map[string]bool{"w": true}, late)
 	if len(c.entries) != 1 || len(c.workers) != 1 {
 		t.Fatalf("%d entries and %d workers, want one of each", len(c.entries), len(c.workers))
@@ -252,7 +252,7 @@
 
 // platform stands in for the workers' side of the calls.
 type platform struct {
-	backend.Calls
+	backend.Client
 	mu     sync.Mutex
 	events map[string]int
 	lists  map[string]int
@@ -278,23 +278,23 @@
 
 func (p *platform) leave(addr string) { p.mu.Lock(); p.under[addr]--; p.mu.Unlock() }
 
-func (p *platform) Events(_ context.Context, addr string, since uint64, wait time.Duration) (backend.Events, error) {
+func (p *platform) CacheEvents(_ context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	defer p.leave(addr)
 	if err := p.enter(addr, p.events); err != nil {
-		return backend.Events{}, err
+		return backend.CacheEvents{}, err
 	}
 	p.mu.Lock()
 	p.waits = append(p.waits, wait)
 	p.mu.Unlock()
-	return backend.Events{Boot: 1, Next: 5, Lost: p.lost && since == 0, Full: p.full, List: []backend.Change{plus("a", 10)}}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: 5, Gap: p.lost && since == 0, Throttled: p.full, Changes: []backend.CacheChange{plus("a", 10)}}, nil
 }
 
-func (p *platform) Kept(_ context.Context, addr string) (backend.Events, error) {
+func (p *platform) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
 	defer p.leave(addr)
 	if err := p.enter(addr, p.lists); err != nil {
-		return backend.Events{}, err
+		return backend.CacheEvents{}, err
 	}
-	return backend.Events{Boot: 1, Next: 6, List: []backend.Change{plus("a", 10), plus("b", 10)}}, nil
+	return backend.CacheEvents{BootID: 1, NextSequence: 6, Changes: []backend.CacheChange{plus("a", 10), plus("b", 10)}}, nil
 }
 
 func running(t *testing.T, p *platform, s *fleet.Snapshot, f func(n *Node)) {
@@ -323,7 +323,7 @@
 
 func snapshot(nodes []*wire.Node) *fleet.Snapshot {
 	return &fleet.Snapshot{Nodes: nodes, Workers: []fleet.Worker{{ID: "w1", Service: "llm", Addr: "1:1"}, {ID: "w2", Service: "llm", Addr: "1:2"}, {ID: "p", Service: "app", Addr: "1:9"}},
-		Plan: &routingconfig.Plan{Services: []routingconfig.Service{{Name: "llm", Engine: &routingconfig.Engine{Polls: 12}}, {Name: "app"}, {Name: "d", Store: &routingconfig.Store{Addr: "2:1"}}}}}
+		Plan: &routingconfig.Plan{Services: []routingconfig.Service{{Name: "llm", Engine: &routingconfig.Engine{MaxPolls: 12}}, {Name: "app"}, {Name: "d", Store: &routingconfig.Store{Addr: "2:1"}}}}}
 }
 
 // Each call has its price: one a worker and pace, none to plain workers, none by a node that only
--- a/internal/data/promptindex/follower.go
+++ b/internal/data/promptindex/follower.go
@@ -78,7 +78,7 @@
 // eventFollower follows the workers of a snapshot; its tables are owned by the actor.
 type eventFollower struct {
 	node         *Node
-	calls        backend.Calls
+	calls        backend.Client
 	snapshot     func() *fleet.Snapshot
 	nextPoll     map[string]time.Duration // by worker: the next poll
 	fullListAt   map[string]time.Duration // by worker: the last full list
@@ -91,7 +91,7 @@
 // its Handler.
 //
 // Example: n, err := promptindex.StartSite(process, calls, agent.Now)
-func StartSite(l *daemon.Process, calls backend.Calls, snapshot func() *fleet.Snapshot) (*Node, error) {
+func StartSite(l *daemon.Process, calls backend.Client, snapshot func() *fleet.Snapshot) (*Node, error) {
 	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Place.Name, polling: map[string]bool{}, listed: map[string]bool{}}
 	c := NewCore(l.Place.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
 	c.maxIncompleteRatio = maxIncompleteRatio
@@ -105,7 +105,7 @@
 	return n, nil
 }
 
-func newEventFollower(n *Node, calls backend.Calls, snapshot func() *fleet.Snapshot) *eventFollower {
+func newEventFollower(n *Node, calls backend.Client, snapshot func() *fleet.Snapshot) *eventFollower {
 	return &eventFollower{node: n, calls: calls, snapshot: snapshot, nextPoll: map[string]time.Duration{}, fullListAt: map[string]time.Duration{}}
 }
 
@@ -188,17 +188,17 @@
 	b := s.node.process.Place.Bounds
 	ctx, end := context.WithTimeout(s.node.process.Ctx, b.Heal(longPollRatio+responseGraceRatio))
 	defer end()
-	var e backend.Events
+	var e backend.CacheEvents
 	var err error
 	if q.Full {
-		e, err = s.calls.Kept(ctx, x.addr)
+		e, err = s.calls.CachedPrefixes(ctx, x.addr)
 	} else {
-		e, err = s.calls.Events(ctx, x.addr, q.After, b.Heal(longPollRatio))
+		e, err = s.calls.CacheEvents(ctx, x.addr, q.After, b.Heal(longPollRatio))
 	}
 	s.node.actor.Ask(func(c *Core) {
 		delete(s.node.polling, x.name)
 		now := s.node.clock.Now()
-		if err != nil || e.Full {
+		if err != nil || e.Throttled {
 			s.nextPoll[x.name] = now + b.Heal(pollRatio)
 			if err != nil && x.service == "" {
 				c.StoreDown(x.name)
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -23,49 +23,49 @@
 type step int
 
 const (
-	connected   step = iota // the connection stands, and the request's first byte hasn't come
-	headCame                // the request's head was read
-	halfBodyIn              // and half of its body
-	bodyCame                // the whole request was read: from here on it has run
-	firstByte               // one byte of the answer was sent
-	halfHead                // half of the answer's head
-	halfBodyOut             // half of the answer's body
-	answered                // the whole answer, in one piece with what follows
-	later                   // the answer is with the client
-	steps
+	connected        step = iota // the connection stands, and the request's first byte hasn't come
+	headReceived                 // the request's head was read
+	halfBodyReceived             // and half of its body
+	bodyReceived                 // the whole request was read: from here on it has run
+	firstByteSent                // one byte of the answer was sent
+	halfHeadSent                 // half of the answer's head
+	halfBodySent                 // half of the answer's body
+	responseSent                 // the whole answer, in one piece with what follows
+	afterResponse                // the answer is with the client
+	stepCount
 )
 
 func (s step) String() string {
-	return [steps]string{"connected", "head came", "half of the body came", "body came", "first byte", "half of the head", "half of the answer", "answered", "later"}[s]
+	return [stepCount]string{"connected", "head came", "half of the body came", "body came", "first byte", "half of the head", "half of the answer", "answered", "later"}[s]
 }
 
 // fault is what a worker does wrong.
 type fault int
 
 const (
-	silence fault = iota
+	hang fault = iota
 	reset
-	finish // the connection is closed in order
-	extra  // bytes that are nothing
-	doubled
-	lateAnswer  // of an earlier request, in the slot of this one
-	wrongID     // in place of its own answer
-	garbageOnly // and the end
-	faults
+	closeWrite // the connection is closed in order
+	extraBytes // bytes that are nothing
+	duplicateResponse
+	staleResponse // of an earlier request, in the slot of this one
+	wrongID       // in place of its own answer
+	garbage       // and the end
+	faultCount
 )
 
 func (f fault) String() string {
-	return [faults]string{"silence", "reset", "FIN", "extra bytes", "the answer doubled", "an earlier answer", "another's answer", "garbage"}[f]
+	return [faultCount]string{"silence", "reset", "FIN", "extra bytes", "the answer doubled", "an earlier answer", "another's answer", "garbage"}[f]
 }
 
 // adversary is a worker on a real socket that misbehaves at one step of one request, and keeps a
 // journal of what it ran and of the connections that may not be used again.
 type adversary struct {
 	fleet.Worker
-	t    *testing.T
-	plan func(id string, served int) (step, fault, bool) // of a request; id is "" while none has come
-	done chan struct{}                                   // closed once it has misbehaved
-	got  chan struct{}                                   // closed once the client has its answer
+	t                *testing.T
+	plan             func(id string, served int) (step, fault, bool) // of a request; id is "" while none has come
+	misbehaved       chan struct{}                                   // closed once it has misbehaved
+	responseReceived chan struct{}                                   // closed once the client has its answer
 
 	mu      sync.Mutex
 	once    sync.Once
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	a := &adversary{Worker: fleet.Worker{ID: id, Service: "s", Addr: ln.Addr().String(), Slots: 8}, t: t, plan: plan,
-		done: make(chan struct{}), got: make(chan struct{}), runs: map[string]int{}}
+		misbehaved: make(chan struct{}), responseReceived: make(chan struct{}), runs: map[string]int{}}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -88,7 +88,7 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			go a.serve(&wrongdoer{Conn: c, a: a, br: bufio.NewReader(c)})
+			go a.serve(&adversaryConn{Conn: c, adversary: a, br: bufio.NewReader(c)})
 		}
 	}()
 	return a
@@ -96,22 +96,22 @@
 
 func (a *adversary) ran(id string) int { a.mu.Lock(); defer a.mu.Unlock(); return a.runs[id] }
 
-// wrongdoer is one connection of an adversary.
-type wrongdoer struct {
+// adversaryConn is one connection of an adversary.
+type adversaryConn struct {
 	net.Conn
-	a      *adversary
-	br     *bufio.Reader
-	served int
-	acted  bool
-	strays bool // bytes that belong to no request came together with an answer
-	gone   bool
+	adversary *adversary
+	br        *bufio.Reader
+	served    int
+	acted     bool
+	strays    bool // bytes that belong to no request came together with an answer
+	ended     bool
 }
 
 // serve answers requests one after another, each step by step.
-func (a *adversary) serve(c *wrongdoer) {
+func (a *adversary) serve(c *adversaryConn) {
 	defer c.Close()
-	for !c.gone {
-		if c.at(connected, "", nil); c.gone {
+	for !c.ended {
+		if c.misbehaveAt(connected, "", nil); c.ended {
 			return
 		}
 		r, err := http.ReadRequest(c.br)
@@ -123,37 +123,37 @@
 			a.tainted++
 			a.mu.Unlock()
 		}
-		c.answer(r)
+		c.serveRequest(r)
 		if c.acted {
-			a.once.Do(func() { close(a.done) })
+			a.once.Do(func() { close(a.misbehaved) })
 		}
 		c.served++
 	}
 }
 
-// answer plays one request from its head on.
-func (c *wrongdoer) answer(r *http.Request) {
+// serveRequest plays one request from its head on.
+func (c *adversaryConn) serveRequest(r *http.Request) {
 	id := r.Header.Get("Go-Id")
-	out := ownAnswer(r, id)
-	if c.at(headCame, id, out); c.gone {
+	out := properResponse(r, id)
+	if c.misbehaveAt(headReceived, id, out); c.ended {
 		return
 	}
 	half := make([]byte, max(0, r.ContentLength/2))
 	if _, err := io.ReadFull(r.Body, half); err != nil {
-		c.gone = true
+		c.ended = true
 		return
 	}
-	if c.at(halfBodyIn, id, out); c.gone {
+	if c.misbehaveAt(halfBodyReceived, id, out); c.ended {
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		c.gone = true
+		c.ended = true
 		return
 	}
-	c.a.mu.Lock()
-	c.a.runs[id]++
-	c.a.mu.Unlock()
-	if c.at(bodyCame, id, out); c.gone {
+	c.adversary.mu.Lock()
+	c.adversary.runs[id]++
+	c.adversary.mu.Unlock()
+	if c.misbehaveAt(bodyReceived, id, out); c.ended {
 		return
 	}
 	head := strings.Index(string(out), "Go-Seal")
@@ -162,88 +162,88 @@
 	for _, x := range []struct {
 		at step
 		to int
-	}{{firstByte, 1}, {halfHead, head}, {halfBodyOut, (body + len(out)) / 2}} {
+	}{{firstByteSent, 1}, {halfHeadSent, head}, {halfBodySent, (body + len(out)) / 2}} {
 		if _, err := c.Write(out[from:x.to]); err != nil {
-			c.gone = true
+			c.ended = true
 			return
 		}
 		from = x.to
-		if c.at(x.at, id, out); c.gone {
+		if c.misbehaveAt(x.at, id, out); c.ended {
 			return
 		}
 	}
-	if s, f, ok := c.a.plan(id, c.served); ok && s == answered && (f == extra || f == doubled || f == lateAnswer || f == wrongID) {
-		_, _ = c.Write(append(out[from:len(out):len(out)], surplus(f, out)...)) // in one piece
+	if s, f, ok := c.adversary.plan(id, c.served); ok && s == responseSent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID) {
+		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in one piece
 		c.acted, c.strays = true, true
 		return
 	}
 	if _, err := c.Write(out[from:]); err != nil {
-		c.gone = true
+		c.ended = true
 		return
 	}
-	if c.at(answered, id, out); c.gone {
+	if c.misbehaveAt(responseSent, id, out); c.ended {
 		return
 	}
-	if s, _, ok := c.a.plan(id, c.served); ok && s == later {
-		<-c.a.got
-		c.at(later, id, out)
+	if s, _, ok := c.adversary.plan(id, c.served); ok && s == afterResponse {
+		<-c.adversary.responseReceived
+		c.misbehaveAt(afterResponse, id, out)
 	}
 }
 
-// surplus is what a worker sends that nobody waits for.
-func surplus(f fault, own []byte) []byte {
+// surplusBytes is what a worker sends that nobody waits for.
+func surplusBytes(f fault, own []byte) []byte {
 	switch f {
-	case extra:
+	case extraBytes:
 		return []byte("\x00extra")
-	case doubled:
+	case duplicateResponse:
 		if own != nil {
 			return own
 		}
-		return plainAnswer("old")
-	case lateAnswer:
-		return plainAnswer("old")
+		return plainResponse("old")
+	case staleResponse:
+		return plainResponse("old")
 	}
-	return plainAnswer("stranger")
+	return plainResponse("stranger")
 }
 
-// at misbehaves where the plan says so.
-func (c *wrongdoer) at(s step, id string, own []byte) {
-	ps, f, ok := c.a.plan(id, c.served)
+// misbehaveAt misbehaves where the plan says so.
+func (c *adversaryConn) misbehaveAt(s step, id string, own []byte) {
+	ps, f, ok := c.adversary.plan(id, c.served)
 	if !ok || ps != s || c.acted {
 		return
 	}
 	c.acted = true
 	switch f {
-	case silence:
-		c.a.once.Do(func() { close(c.a.done) })
+	case hang:
+		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
 		_, _ = io.Copy(io.Discard, c.Conn)
-		c.gone = true
+		c.ended = true
 	case reset:
 		_ = c.Conn.(*net.TCPConn).SetLinger(0)
-		c.gone = true
-	case finish:
+		c.ended = true
+	case closeWrite:
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
-		c.gone = true
-	case garbageOnly:
+		c.ended = true
+	case garbage:
 		_, _ = c.Write([]byte("\x00\x01garbage\r\n\r\n"))
-		c.gone = true
+		c.ended = true
 	case wrongID:
-		_, _ = c.Write(surplus(f, own))
-		c.a.once.Do(func() { close(c.a.done) })
+		_, _ = c.Write(surplusBytes(f, own))
+		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
 		_, _ = io.Copy(io.Discard, c.Conn)
-		c.gone = true
+		c.ended = true
 	default:
-		_, _ = c.Write(surplus(f, own))
+		_, _ = c.Write(surplusBytes(f, own))
 	}
-	if c.gone {
+	if c.ended {
 		c.Close()
 	}
-	if c.gone || s == connected { // else the rest of the answer comes first
-		c.a.once.Do(func() { close(c.a.done) })
+	if c.ended || s == connected { // else the rest of the answer comes first
+		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
 	}
 }
 
-func plainAnswer(id string) []byte {
+func plainResponse(id string) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nGo-Id: %s\r\nGo-Seal: seal\r\nContent-Length: %d\r\n\r\nof %s", id, len(id)+3, id)
 }
 
@@ -252,10 +252,10 @@
 
 func streamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", n, id) }
 
-// ownAnswer is the proper answer to a request: a body, or the events behind the last that it names.
-func ownAnswer(r *http.Request, id string) []byte {
+// properResponse is the proper answer to a request: a body, or the events behind the last that it names.
+func properResponse(r *http.Request, id string) []byte {
 	if !strings.HasPrefix(r.URL.Path, "/resume/") {
-		return plainAnswer(id)
+		return plainResponse(id)
 	}
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nGo-Id: %s\r\nGo-Seal: seal\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id)
@@ -265,8 +265,8 @@
 	return []byte(out + "0\r\n\r\n")
 }
 
-// wholeBody is what a client has to get.
-func wholeBody(route, id string) (all string) {
+// completeBody is what a client has to get.
+func completeBody(route, id string) (all string) {
 	if route != "resume" {
 		return "of " + id
 	}
@@ -276,17 +276,17 @@
 	return all
 }
 
-// realSite is one edge machine with workers, all on real sockets.
-type realSite struct {
-	t     *testing.T
-	d     *server
-	p     *selector
-	front string
+// loopbackSite is one edge machine with workers, all on real sockets.
+type loopbackSite struct {
+	t        *testing.T
+	server   *server
+	selector *fakeSelector
+	front    string
 }
 
-func newRealSite(t *testing.T, workers ...fleet.Worker) *realSite {
+func newLoopbackSite(t *testing.T, workers ...fleet.Worker) *loopbackSite {
 	t.Helper()
-	s := &realSite{t: t, p: &selector{}}
+	s := &loopbackSite{t: t, selector: &fakeSelector{}}
 	b := settings.Default()
 	b.TryShare, b.TryAllow = 100, 1000
 	place := settings.Place{Name: "e1", Zone: "d", Public: "front", Bounds: b, Extra: []string{"log=off"},
@@ -300,9 +300,9 @@
 		return ln, err
 	}
 	l := daemon.NewIn(daemon.Environment{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", place)
-	snapshot := &fleet.Snapshot{Plan: routes(), ProofAt: clk.Now(), Edges: 1, Workers: workers}
-	s.d = newServer(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: s.p})
-	if err := s.d.open(); err != nil {
+	snapshot := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), Edges: 1, Workers: workers}
+	s.server = newServer(l, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: s.selector})
+	if err := s.server.start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Stop(time.Millisecond) })
@@ -310,12 +310,12 @@
 }
 
 // send asks on a connection of its own, within a time.
-func (s *realSite) send(route, id string, left time.Duration) reply {
+func (s *loopbackSite) send(route, id string, left time.Duration) reply {
 	c, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", s.front)
 	if err != nil {
 		return reply{err: err}
 	}
 	defer c.Close()
-	text := strings.Replace(post(route, id, "the body of "+id), "Go-Left: 4000", "Go-Left: "+strconv.FormatInt(left.Milliseconds(), 10), 1)
-	return (&caller{c, bufio.NewReader(c)}).ask(text)
+	text := strings.Replace(postRequest(route, id, "the body of "+id), "Go-Left: 4000", "Go-Left: "+strconv.FormatInt(left.Milliseconds(), 10), 1)
+	return (&clientConn{c, bufio.NewReader(c)}).roundTrip(text)
 }
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -15,14 +15,14 @@
 	"pebbleloom/internal/settings"
 )
 
-// loop is a site over real loopback, for what its way costs.
-func loop(b *testing.B, play script) *caller {
+// dialLoopbackSite is a site over real loopback, for what its way costs.
+func dialLoopbackSite(b *testing.B, play workerScript) *clientConn {
 	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	w := &worker{play: func(c net.Conn, r *http.Request, s string) bool { return play(c, r, s) }}
+	w := &testWorker{script: func(c net.Conn, r *http.Request, s string) bool { return play(c, r, s) }}
 	w.Worker = fleet.Worker{ID: "w0", Service: "s", Addr: ln.Addr().String(), Slots: 8}
 	go w.serve(ln)
 	door, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,8 +39,8 @@
 		return net.Listen("tcp", addr)
 	}
 	l := daemon.NewIn(world, "edge", place)
-	snap := &fleet.Snapshot{Plan: routes(), ProofAt: clock.BootTime().Now(), Edges: 1, Workers: []fleet.Worker{w.Worker}}
-	if err := Start(l, Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &selector{}}); err != nil {
+	snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clock.BootTime().Now(), Edges: 1, Workers: []fleet.Worker{w.Worker}}
+	if err := Start(l, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &fakeSelector{}}); err != nil {
 		b.Fatal(err)
 	}
 	c, err := net.Dial("tcp", door.Addr().String())
@@ -48,19 +48,19 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { c.Close(); ln.Close(); l.Stop(time.Second) })
-	return &caller{c, bufio.NewReader(c)}
+	return &clientConn{c, bufio.NewReader(c)}
 }
 
 // BenchmarkPlain is one request with a body of 1 KB and a short answer.
 func BenchmarkPlain(b *testing.B) {
-	c := loop(b, says(okay))
-	text := post("once", "a1", strings.Repeat("x", 1000))
+	c := dialLoopbackSite(b, respondWith(okResponse))
+	text := postRequest("once", "a1", strings.Repeat("x", 1000))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := io.WriteString(c, text); err != nil {
 			b.Fatal(err)
 		}
-		if a := c.answer("POST"); a.status != 200 {
+		if a := c.readReply("POST"); a.status != 200 {
 			b.Fatal(a)
 		}
 	}
@@ -69,20 +69,20 @@
 // BenchmarkEvents is one event of a long stream that may be resumed.
 func BenchmarkEvents(b *testing.B) {
 	next := make(chan string)
-	c := loop(b, func(c net.Conn, r *http.Request, _ string) bool {
-		says(strings.Replace(head, "SEAL", "s", 1))(c, r, "")
+	c := dialLoopbackSite(b, func(c net.Conn, r *http.Request, _ string) bool {
+		respondWith(strings.Replace(streamHead, "SEAL", "s", 1))(c, r, "")
 		for e := range next {
 			_, _ = io.WriteString(c, e)
 		}
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 		return true
 	})
-	if _, err := io.WriteString(c, strings.Replace(post("resume", "a1", "b"), "4000", "9000000", 1)); err != nil {
+	if _, err := io.WriteString(c, strings.Replace(postRequest("resume", "a1", "b"), "4000", "9000000", 1)); err != nil {
 		b.Fatal(err)
 	}
-	got := make([]byte, len(event(1000000)))
+	got := make([]byte, len(streamedEvent(1000000)))
 	n := 1000000
-	next <- chunk(event(n))
+	next <- chunk(streamedEvent(n))
 	a, err := http.ReadResponse(c.br, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -91,7 +91,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		next <- chunk(event(n))
+		next <- chunk(streamedEvent(n))
 		if _, err := io.ReadFull(a.Body, got); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/data/proxy/budget.go
+++ b/internal/data/proxy/budget.go
@@ -39,12 +39,12 @@
 func (b *budgets) first(service string, edges int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).First(retrybudget.Share(b.whole, edges))
+	b.of(service).Deposit(retrybudget.PerNode(b.whole, edges))
 }
 
 // extra reports whether one more attempt fits, and spends it if so.
 func (b *budgets) extra(service string, edges int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Extra(retrybudget.Share(b.whole, edges))
+	return b.of(service).TryWithdraw(retrybudget.PerNode(b.whole, edges))
 }
--- a/internal/data/proxy/budget_test.go
+++ b/internal/data/proxy/budget_test.go
@@ -3,19 +3,19 @@
 import "testing"
 
 // The budget is kept at the workers: what arrives there beyond the first of each request.
-func TestArrivalsKeepTheBudget(t *testing.T) {
-	full := says("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	for _, first := range []script{full, cuts(""), nil} {
-		open(t, []script{first, full, full, full}, func(s *site) {
-			s.d.budgets = newBudgets(0.2, 5)
+func TestAttemptsStayWithinTheRetryBudget(t *testing.T) {
+	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	for _, first := range []workerScript{full, respondThenClose(""), nil} {
+		withSite(t, []workerScript{first, full, full, full}, func(s *testSite) {
+			s.server.retryBudgets = newBudgets(0.2, 5)
 			arrivals := func() (n int) {
-				for _, w := range s.ws {
+				for _, w := range s.workers {
 					n += w.runs()
 				}
 				return n
 			}
 			for i := 1; i <= 60; i++ {
-				s.call(post("repeat", "a", "b"))
+				s.send(postRequest("repeat", "a", "b"))
 				if n := arrivals(); n > i+i/5+1 {
 					t.Fatalf("%d arrivals of %d requests", n, i)
 				}
@@ -29,16 +29,16 @@
 
 // A route's bound on workers holds whatever the budget has.
 func TestAttemptsAreBounded(t *testing.T) {
-	full := says("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	open(t, []script{full, full, full, full, says(okay)}, func(s *site) {
+	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	withSite(t, []workerScript{full, full, full, full, respondWith(okResponse)}, func(s *testSite) {
 		for range 100 {
-			s.d.budgets.first("s", 1)
-			s.d.misdirected.first(anyService, 1)
+			s.server.retryBudgets.first("s", 1)
+			s.server.misdirectedBudget.first(anyService, 1)
 		}
-		if a := s.call(post("once", "a", "b")); a.status != 503 {
+		if a := s.send(postRequest("once", "a", "b")); a.status != 503 {
 			t.Error(a)
 		}
-		for i, w := range s.ws {
+		for i, w := range s.workers {
 			if want := map[bool]int{true: 1}[i < 3]; w.runs() != want {
 				t.Errorf("worker %d got it %d times", i, w.runs())
 			}
@@ -49,23 +49,23 @@
 // Workers whose addresses are another service's now turn every request away, and seem idle: attempts after
 // such an answer have a small budget of their own, however much is left of the service's.
 func TestMisdirectedAttemptsAreFew(t *testing.T) {
-	moved := says("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	open(t, []script{moved, moved, moved, moved}, func(s *site) {
+	moved := respondWith("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	withSite(t, []workerScript{moved, moved, moved, moved}, func(s *testSite) {
 		const share, allowance = 0.2, 8.0
-		s.d.budgets = newBudgets(share, allowance)
-		s.d.misdirected = newBudgets(share*misdirectedShare, allowance*misdirectedAllowance)
+		s.server.retryBudgets = newBudgets(share, allowance)
+		s.server.misdirectedBudget = newBudgets(share*misdirectedShare, allowance*misdirectedAllowance)
 		for range 1000 {
-			s.d.budgets.first("s", 1)
-			s.d.misdirected.first(anyService, 1)
+			s.server.retryBudgets.first("s", 1)
+			s.server.misdirectedBudget.first(anyService, 1)
 		}
 		const requests = 100
 		for range requests {
-			if a := s.call(post("repeat", "a", "b")); a.status != 503 {
+			if a := s.send(postRequest("repeat", "a", "b")); a.status != 503 {
 				t.Fatalf("%+v: want 503", a)
 			}
 		}
 		arrivals := 0
-		for _, w := range s.ws {
+		for _, w := range s.workers {
 			arrivals += w.runs()
 		}
 		if extra, most := arrivals-requests, int(allowance*misdirectedAllowance+requests*share*misdirectedShare); extra < 1 || extra > most {
