--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -32,7 +32,7 @@
 // Example: controllers.Start(process, control, calls, agent.Now, agent.View, hotEntries)
 func Start(process *daemon.Process, ctl stateStore, calls backend.Client, snap func() *fleet.Snapshot, view func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
 	c := &Controller{process: process, store: ctl, calls: calls, latestSnapshot: snap, view: view, hotEntries: hotEntries, released: make(chan struct{})}
-	c.lease = newSiteLease(process.Place.Name, process.Place.Site, process.Place.Bounds, process.Clock, ctl)
+	c.lease = newSiteLease(process.Settings.Name, process.Settings.Site, process.Settings.Bounds, process.Clock, ctl)
 	process.Meter.Gauge("pebbleloom_lease_held", "1 while this machine holds the site's lease", func() float64 {
 		if c.HoldsLease() {
 			return 1
@@ -113,7 +113,7 @@
 	if c.session != nil {
 		c.session.stopOrders()
 	}
-	ctx, end := context.WithTimeout(context.Background(), c.process.Place.Bounds.Leave(releaseTimeoutRatio))
+	ctx, end := context.WithTimeout(context.Background(), c.process.Settings.Bounds.Leave(releaseTimeoutRatio))
 	defer end()
 	if err := c.lease.release(ctx); err != nil {
 		c.process.Log.Warn("the lease can't be released: it expires by itself", "error", errs.Text(err))
--- a/internal/control/controllers/lease.go
+++ b/internal/control/controllers/lease.go
@@ -50,8 +50,8 @@
 }
 
 func newSiteLease(name string, site *settings.Site, b settings.Bounds, clk clock.Clock, ctl stateStore) *siteLease {
-	ttl := min(settings.Of(site.LeaseMs, 1), b.Leave(leaseTTLRatio))
-	n := &siteLease{clock: clk, store: ctl, machine: name, orderDelay: settings.Of(site.LeaseMs, 1), requestedAt: -ttl}
+	ttl := min(settings.Fraction(site.LeaseMs, 1), b.Leave(leaseTTLRatio))
+	n := &siteLease{clock: clk, store: ctl, machine: name, orderDelay: settings.Fraction(site.LeaseMs, 1), requestedAt: -ttl}
 	n.lease = controlclient.NewLease(nil, clk, LeaseName, 0, fmt.Sprintf("%s/%x", name, clk.Now()), ttl)
 	return n
 }
@@ -104,7 +104,7 @@
 				n.firstOrderAt = 0
 			}
 		}
-		n.deadline = asked + n.fractionOfTTL(1-settings.MarginPart)
+		n.deadline = asked + n.fractionOfTTL(1-settings.LeaseMarginRatio)
 	case wire.OutcomeConflict:
 		if n.holder = t.Leader; t.Leader == "" || t.Leader == n.lease.Holder {
 			n.requestedAt = -n.lease.TTL // only the fence was unknown: request it again at the next check
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -31,7 +31,7 @@
 
 // runPlacement recomputes every service's placement periodically.
 func (s *session) runPlacement() {
-	b := s.process.Place.Bounds
+	b := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
 		if snapshot := s.latestSnapshot(); snapshot != nil && snapshot.Plan != nil {
 			for _, x := range snapshot.Plan.Services {
@@ -58,7 +58,7 @@
 		s.placements[x.Name] = p
 	}
 	now := s.process.Clock.Now()
-	next, changed := nextPlacement(p, x, hot, serviceWorkerIDs(s.workers.Document().Workers, x.Name), now, s.process.Place.Bounds.Heal(recomputeRatio))
+	next, changed := nextPlacement(p, x, hot, serviceWorkerIDs(s.workers.Document().Workers, x.Name), now, s.process.Settings.Bounds.Heal(recomputeRatio))
 	if changed {
 		s.queuePlacement(p, next)
 		s.process.Log.Info("placement", "service", x.Name, "fence", s.fencingToken, "replicated", len(next.Replicated),
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -24,10 +24,10 @@
 //
 // Example: err := controllers.StartProcess(process, codec, calls)
 func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Client) error {
-	if process.Place.Site == nil {
+	if process.Settings.Site == nil {
 		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
 	}
-	process.Place.Listen = process.Place.Site.Port(process.Place.Site.IP, settings.PortIndex)
+	process.Settings.Listen = process.Settings.Site.Port(process.Settings.Site.IP, settings.PortIndex)
 	a, err := agent.Start(process, codec, clustermembership.RolePromptIndex)
 	if err != nil {
 		return errs.Wrap(err, "agent")
@@ -40,10 +40,10 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.MembershipPathPrefix, a.Handler())
 	mux.Handle(wire.PromptIndexPathPrefix, index.Handler())
-	if err := process.Serve(process.Place.Listen, mux); err != nil {
+	if err := process.Serve(process.Settings.Listen, mux); err != nil {
 		return err
 	}
-	Start(process, controlclient.NewGroupClient(process.Place.Seeds, a.Membership, clients, process.Place.Bounds), calls, a.Snapshot, a.Membership, queryIndexNodes(process, a.Membership, clients.PromptIndex))
+	Start(process, controlclient.NewGroupClient(process.Settings.Seeds, a.Membership, clients, process.Settings.Bounds), calls, a.Snapshot, a.Membership, queryIndexNodes(process, a.Membership, clients.PromptIndex))
 	process.Ready.Store(true)
 	return nil
 }
@@ -52,7 +52,7 @@
 // entry: the higher count is taken.
 func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.PromptIndex) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.HotPrefix {
-		ctx, end := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotEntriesTimeoutRatio))
+		ctx, end := context.WithTimeout(ctx, process.Settings.Bounds.Heal(hotEntriesTimeoutRatio))
 		defer end()
 		nodes := promptindex.ServingNodes(view().Nodes)
 		responses := make(chan *wire.HottestResponse, len(nodes))
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -58,7 +58,7 @@
 		placements: map[string]*servicePlacement{}, pending: map[string][]byte{}, weights: newNamedWeights()}
 	s.ctx, s.cancel = context.WithCancel(c.process.Ctx)
 	s.actor = queue.NewActor(s, 256)
-	s.writer = newDocumentWriter(c.store, s.currentToken, c.lease.lease.Holder, c.process.Place.Bounds)
+	s.writer = newDocumentWriter(c.store, s.currentToken, c.lease.lease.Holder, c.process.Settings.Bounds)
 	return s
 }
 
@@ -89,14 +89,14 @@
 
 // loadStoredDocuments reads the stored documents.
 func (s *session) loadStoredDocuments() bool {
-	b := s.process.Place.Bounds
+	b := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
 		var all errs.Batch
 		ws, err := s.writer.read(s.ctx, fleet.WorkersKey, false)
-		all.Note("workers", err)
+		all.Add("workers", err)
 		ps, err := s.writer.read(s.ctx, fleet.PlacementKey, true)
-		all.Note("placements", err)
-		if err := all.Look(); err != nil {
+		all.Add("placements", err)
+		if err := all.Err(); err != nil {
 			s.logWarning("stored documents")(err)
 			clock.Sleep(s.ctx, b.Leave(listRetryRatio))
 			continue
@@ -127,7 +127,7 @@
 
 // runRollout steps the rollout, faster while one is in progress.
 func (s *session) runRollout() {
-	b := s.process.Place.Bounds
+	b := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
 		idle := true
 		s.actor.Ask(func(*session) { s.stepRollout(); idle = s.rollout.Idle() })
@@ -141,7 +141,7 @@
 
 // followWorkerList reads the platform's list periodically.
 func (s *session) followWorkerList() {
-	b := s.process.Place.Bounds
+	b := s.process.Settings.Bounds
 	bad := 0
 	for s.ctx.Err() == nil {
 		pause := b.Leave(listPollRatio)
@@ -153,8 +153,8 @@
 		switch {
 		case err == nil:
 			bad = 0
-			if site := s.process.Place.Site; site != nil && site.ListRate > 0 {
-				pause = max(pause, time.Duration(float64(pages)/(site.ListRate*listRateRatio)*float64(time.Second)))
+			if site := s.process.Settings.Site; site != nil && site.WorkerListRate > 0 {
+				pause = max(pause, time.Duration(float64(pages)/(site.WorkerListRate*listRateRatio)*float64(time.Second)))
 			}
 			s.actor.Ask(func(*session) {
 				if s.workers.Merge(list, pages == 1 && len(list) > 0) || !s.listKnown {
@@ -179,7 +179,7 @@
 func (s *session) readWorkerList() (all []fleet.Worker, pages int, err error) {
 	page := ""
 	for pages < maxPages {
-		ctx, end := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(pageTimeoutRatio))
+		ctx, end := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(pageTimeoutRatio))
 		ws, next, err := s.calls.ListWorkers(ctx, page)
 		end()
 		if err != nil {
@@ -190,7 +190,7 @@
 			return all, pages, nil
 		}
 	}
-	return nil, pages, errs.New(errs.TooBig, "the list of workers has more than %d pages", maxPages)
+	return nil, pages, errs.New(errs.TooLarge, "the list of workers has more than %d pages", maxPages)
 }
 
 // queueWorkerList queues the worker list for writing. It runs on the actor's goroutine.
@@ -308,7 +308,7 @@
 // before the lease ends on this machine.
 func (s *session) sendOrder(o Order) {
 	defer s.ordersInFlight.Done()
-	b := s.process.Place.Bounds
+	b := s.process.Settings.Bounds
 	fence, left, ok := s.lease.remaining()
 	if !ok || fence != s.fencingToken {
 		s.actor.Ask(func(*session) { s.rollout.HandleUnsentOrder(o) })
@@ -338,7 +338,7 @@
 
 // requestReport asks one worker for its state.
 func (s *session) requestReport(w fleet.Worker) {
-	ctx, end := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(callTimeoutRatio))
+	ctx, end := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(callTimeoutRatio))
 	defer end()
 	r, err := s.calls.Report(ctx, w.Addr)
 	s.actor.Ask(func(*session) {
--- a/internal/data/placement/fit.go
+++ b/internal/data/placement/fit.go
@@ -33,7 +33,7 @@
 	}
 	var v mat.VecDense
 	if err := v.SolveVec(a, y); err != nil {
-		return Curve{}, errs.As(err, errs.BadInput, "fit: measure prompts of more different lengths")
+		return Curve{}, errs.WrapAs(err, errs.BadInput, "fit: measure prompts of more different lengths")
 	}
 	c := Curve{Samples: len(l)}
 	for j := range degree + 1 {
