--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -1,5 +1,13 @@
-// Package controllers runs the site-wide controllers on the one core machine that holds the site's
-// lease: the worker list, the rollout of named weights, and the placement of each service.
+// Package controllers runs the site-wide controllers: the worker list, the rollout of named weights
+// and the placement of each service. They are a singleton role: every core machine runs a Controller,
+// and the one that holds the site's lease runs a session, in which the controllers reconcile the
+// desired with the observed state.
+//
+// Each grant of the lease to another holder raises its fencing token. Documents are written, and
+// orders sent, under the token of the session, so that a past holder can't change anything.
+//
+// A worker that is to load other weights is cordoned first: the stored placement names it, and proxies
+// send it no new requests while it does.
 package controllers
 
 import (
@@ -13,7 +21,7 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Controller runs on every core machine. Only the holder of the lease has a session.
+// Controller campaigns for the site's lease and runs a session while it holds it.
 type Controller struct {
 	process        *daemon.Process
 	store          stateStore
@@ -22,48 +30,64 @@
 	view           func() clustermembership.View
 	hotEntries     HotEntriesFunc
 	lease          *siteLease
-	session        *session
+	session        *session      // nil unless this machine holds the lease
 	sessionDone    chan struct{} // closed once the session's goroutines have ended
 	released       chan struct{} // closed once the lease has been released
 }
 
 // Start campaigns for the lease and runs the controllers while it is held.
 //
-// Example: controllers.Start(process, control, calls, agent.Now, agent.View, hotEntries)
-func Start(process *daemon.Process, ctl stateStore, calls backend.Client, snap func() *fleet.Snapshot, view func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
-	c := &Controller{process: process, store: ctl, calls: calls, latestSnapshot: snap, view: view, hotEntries: hotEntries, released: make(chan struct{})}
-	c.lease = newSiteLease(process.Place.Name, process.Place.Site, process.Place.Bounds, process.Clock, ctl)
-	process.Meter.Gauge("pebbleloom_lease_held", "1 while this machine holds the site's lease", func() float64 {
+// Example: controllers.Start(process, client, calls, agent.Snapshot, agent.Membership, hotEntries)
+func Start(process *daemon.Process, store stateStore, calls backend.Client, latestSnapshot func() *fleet.Snapshot,
+	view func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
+	c := &Controller{
+		process:        process,
+		store:          store,
+		calls:          calls,
+		latestSnapshot: latestSnapshot,
+		view:           view,
+		hotEntries:     hotEntries,
+		released:       make(chan struct{}),
+	}
+	c.lease = newSiteLease(process.Place.Name, process.Place.Site, process.Place.Bounds, process.Clock, store)
+	c.registerMetrics()
+	process.Go(c.run)
+	process.OnShutdown(c.awaitRelease)
+	return c
+}
+
+func (c *Controller) registerMetrics() {
+	c.process.Meter.Gauge("pebbleloom_lease_held", "1 while this machine holds the site's lease", func() float64 {
 		if c.HoldsLease() {
 			return 1
 		}
 		return 0
 	})
-	process.Meter.Gauge("pebbleloom_lease_fence", "the newest fencing token that this machine knows", func() float64 {
-		fence, _ := c.lease.currentToken()
-		return float64(fence)
-	})
-	process.Go(c.run)
-	process.OnShutdown(func(ctx context.Context) {
-		select {
-		case <-c.released:
-		case <-ctx.Done():
-		}
+	c.process.Meter.Gauge("pebbleloom_lease_fence", "the newest fencing token that this machine knows", func() float64 {
+		token, _ := c.lease.currentToken()
+		return float64(token)
 	})
-	return c
+}
+
+// awaitRelease waits until the lease has been released, or ctx ends.
+func (c *Controller) awaitRelease(ctx context.Context) {
+	select {
+	case <-c.released:
+	case <-ctx.Done():
+	}
 }
 
 // HoldsLease reports whether this machine holds the lease now.
 //
-// Example: if d.Holds() { … }
+// Example: if controller.HoldsLease() { … }
 func (c *Controller) HoldsLease() bool {
 	_, ok := c.lease.currentToken()
 	return ok
 }
 
 func (c *Controller) run() {
-	t := clock.NewTicker(c.lease.fractionOfTTL(pollRatio))
-	defer t.Stop()
+	ticker := clock.NewTicker(c.lease.fractionOfTTL(pollRatio))
+	defer ticker.Stop()
 	defer c.endSession()
 	for {
 		c.reconcileLease()
@@ -73,12 +97,12 @@
 		case <-c.process.Draining:
 			c.releaseLease()
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// reconcileLease renews the lease when that is due, and starts or ends a session according to the response.
+// reconcileLease renews the lease when that is due, and starts or ends a session accordingly.
 func (c *Controller) reconcileLease() {
 	if !c.lease.renewalDue(c.process.Clock.Now(), c.view()) {
 		return
@@ -86,15 +110,18 @@
 	if err := c.lease.renew(c.process.Ctx); err != nil && errs.KindOf(err) != errs.Conflict {
 		c.process.Log.Debug("no lease", "error", err)
 	}
-	fence, held := c.lease.currentToken()
-	if c.session != nil && fence != c.session.fencingToken {
-		c.endSession() // another holder came in between
+	token, ok := c.lease.currentToken()
+	if c.session != nil && token != c.session.fencingToken {
+		c.endSession() // another machine held the lease in between
 	}
-	if !held || c.session != nil {
-		return
+	if ok && c.session == nil {
+		c.startSession(token)
 	}
-	c.process.Log.Info("lease acquired", "fence", fence, "holder", c.lease.lease.Holder)
-	session, done := newSession(c, fence), make(chan struct{})
+}
+
+func (c *Controller) startSession(token uint64) {
+	c.process.Log.Info("lease acquired", "fence", token, "holder", c.lease.holderID())
+	session, done := newSession(c, token), make(chan struct{})
 	c.session, c.sessionDone = session, done
 	c.process.Go(func() { defer close(done); session.run() })
 }
@@ -107,14 +134,14 @@
 	}
 }
 
-// releaseLease gives up the lease once every order in flight has been answered.
+// releaseLease releases the lease once every order in flight has been answered.
 func (c *Controller) releaseLease() {
 	defer close(c.released)
 	if c.session != nil {
 		c.session.stopOrders()
 	}
-	ctx, end := context.WithTimeout(context.Background(), c.process.Place.Bounds.Leave(releaseTimeoutRatio))
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), c.process.Place.Bounds.Leave(releaseTimeoutRatio))
+	defer cancel()
 	if err := c.lease.release(ctx); err != nil {
 		c.process.Log.Warn("the lease can't be released: it expires by itself", "error", errs.Text(err))
 	}
--- a/internal/control/controllers/documents.go
+++ b/internal/control/controllers/documents.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/errs"
@@ -12,76 +13,82 @@
 	"pebbleloom/internal/wire"
 )
 
-// writeRetryRatio is the pause between two attempts to write a document, as a ratio of the leave bound.
-const writeRetryRatio = 1.0 / 40
+// Timing of documents, as ratios of the leave bound.
+const (
+	documentTimeoutRatio = 0.5      // timeout of reading or writing one document
+	writeRetryRatio      = 1.0 / 40 // between two attempts to write a document
+)
+
+// errNotHolder means that this process no longer holds the lease under which it would write.
+var errNotHolder = errors.New("the lease is no longer held")
 
 // storedDocument is a document as it was last read or written.
 type storedDocument struct {
 	version uint64
 	body    []byte
-	current bool
+	current bool // false once a write has failed: it may have been applied
 }
 
-// documentWriter writes the documents of one session: under its fence, and conditional on the version
-// that it read, so that a past holder changes nothing.
+// documentWriter writes the documents of one session. A write carries the session's fencing token and
+// the version that was read, so that a past holder can't change anything.
 type documentWriter struct {
 	store        stateStore
 	currentToken func() (uint64, bool)
 	holder       string
 	bounds       settings.Bounds
-	stored       map[string]*storedDocument
+	stored       map[string]*storedDocument // by key
 }
 
-func newDocumentWriter(ctl stateStore, held func() (uint64, bool), holder string, b settings.Bounds) *documentWriter {
-	return &documentWriter{store: ctl, currentToken: held, holder: holder, bounds: b, stored: map[string]*storedDocument{}}
+func newDocumentWriter(store stateStore, currentToken func() (uint64, bool), holder string, bounds settings.Bounds) *documentWriter {
+	return &documentWriter{store: store, currentToken: currentToken, holder: holder, bounds: bounds, stored: map[string]*storedDocument{}}
 }
 
 // read fetches a document, or all documents whose keys have the prefix.
-func (p *documentWriter) read(ctx context.Context, key string, prefix bool) ([]*wire.Document, error) {
-	ctx, end := context.WithTimeout(ctx, p.bounds.Leave(0.5))
-	defer end()
-	t, err := p.store.Read(ctx, &wire.ReadRequest{Key: key, Prefix: prefix})
+func (w *documentWriter) read(ctx context.Context, key string, prefix bool) ([]*wire.Document, error) {
+	ctx, cancel := context.WithTimeout(ctx, w.bounds.Leave(documentTimeoutRatio))
+	defer cancel()
+	response, err := w.store.Read(ctx, &wire.ReadRequest{Key: key, Prefix: prefix})
 	if err != nil {
 		return nil, errs.Wrap(err, "read "+key)
 	}
 	if !prefix {
-		p.stored[key] = &storedDocument{current: true}
+		w.stored[key] = &storedDocument{current: true}
 	}
-	for _, d := range t.Documents {
-		p.stored[d.Key] = &storedDocument{d.Version, d.Body, true}
+	for _, document := range response.Documents {
+		w.stored[document.Key] = &storedDocument{document.Version, document.Body, true}
 	}
-	return t.Documents, nil
+	return response.Documents, nil
 }
 
-// write replaces a document's body; false if the lease is no longer held.
-func (p *documentWriter) write(ctx context.Context, key string, body []byte) (bool, error) {
-	f := p.stored[key]
-	if f == nil || !f.current {
-		if _, err := p.read(ctx, key, false); err != nil {
-			return true, err
+// write replaces a document's body. It returns errNotHolder if the lease is no longer held.
+func (w *documentWriter) write(ctx context.Context, key string, body []byte) error {
+	stored := w.stored[key]
+	if stored == nil || !stored.current {
+		if _, err := w.read(ctx, key, false); err != nil {
+			return err
 		}
-		f = p.stored[key]
+		stored = w.stored[key]
 	}
-	if bytes.Equal(f.body, body) {
-		return true, nil
+	if bytes.Equal(stored.body, body) {
+		return nil
 	}
-	fence, ok := p.currentToken()
+	token, ok := w.currentToken()
 	if !ok {
-		return false, nil
+		return errNotHolder
 	}
-	ctx, end := context.WithTimeout(ctx, p.bounds.Leave(0.5))
-	defer end()
-	put := &wire.Put{Key: key, Body: body, IfVersion: f.version, Lease: LeaseName, Fence: fence, Holder: p.holder}
-	t, err := p.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
+	ctx, cancel := context.WithTimeout(ctx, w.bounds.Leave(documentTimeoutRatio))
+	defer cancel()
+	put := &wire.Put{Key: key, Body: body, IfVersion: stored.version, Lease: LeaseName, Fence: token, Holder: w.holder}
+	response, err := w.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
-		f.current = false // read it again before the next attempt
-		return true, errs.Wrap(err, "write "+key)
+		stored.current = false // read it again before the next attempt
+		return errs.Wrap(err, "write "+key)
 	}
-	f.version, f.body = t.Version, body
-	return true, nil
+	stored.version, stored.body = response.Version, body
+	return nil
 }
 
-// pendingWrites holds the bodies to write, and the callback of each once it is written.
+// pendingWrites holds the bodies to write, and the callback of each once it is written; both by key.
 type pendingWrites struct {
 	bodies    map[string][]byte
 	onWritten map[string]func()
@@ -89,37 +96,42 @@
 
 // sequence is the order in which documents are written: the worker list first, so that a worker isn't
 // back in service before its weights are published.
-func (w pendingWrites) sequence() []string {
-	l := queue.Keys(w.bodies)
-	for i, k := range l {
-		if k == fleet.WorkersKey {
-			copy(l[1:i+1], l[:i])
-			l[0] = k
+func (p pendingWrites) sequence() []string {
+	keys := queue.Keys(p.bodies)
+	for i, key := range keys {
+		if key == fleet.WorkersKey {
+			copy(keys[1:i+1], keys[:i])
+			keys[0] = key
 		}
 	}
-	return l
+	return keys
 }
 
 // run writes pending documents on every wake-up until ctx ends.
-func (p *documentWriter) run(ctx context.Context, wake <-chan struct{}, take func() pendingWrites, log func(error)) {
+func (w *documentWriter) run(ctx context.Context, wake <-chan struct{}, pending func() pendingWrites, logError func(error)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-wake:
 		}
-		for w := take(); len(w.bodies) > 0 && ctx.Err() == nil; w = take() {
-			for _, key := range w.sequence() {
-				ok, err := p.write(ctx, key, w.bodies[key])
-				if err != nil || !ok {
-					if err != nil && ctx.Err() == nil {
-						log(err)
-					}
-					clock.Sleep(ctx, p.bounds.Leave(writeRetryRatio))
-					break // take returns it again, or a newer body
-				}
-				w.onWritten[key]()
+		for batch := pending(); len(batch.bodies) > 0 && ctx.Err() == nil; batch = pending() {
+			w.writeAll(ctx, batch, logError)
+		}
+	}
+}
+
+// writeAll writes a batch up to the first failure. What wasn't written stays pending, and the next batch
+// holds it again, or a newer body in its place.
+func (w *documentWriter) writeAll(ctx context.Context, batch pendingWrites, logError func(error)) {
+	for _, key := range batch.sequence() {
+		if err := w.write(ctx, key, batch.bodies[key]); err != nil {
+			if !errors.Is(err, errNotHolder) && ctx.Err() == nil {
+				logError(err)
 			}
+			clock.Sleep(ctx, w.bounds.Leave(writeRetryRatio))
+			return
 		}
+		batch.onWritten[key]()
 	}
 }
--- a/internal/control/controllers/lease.go
+++ b/internal/control/controllers/lease.go
@@ -17,130 +17,160 @@
 // LeaseName is the name of the site's one lease.
 const LeaseName = "site"
 
-// Timing of the lease, as ratios of bounds.
+// Timing of the lease. A shorter lease replaces a lost holder sooner and costs more renewals.
 const (
-	leaseTTLRatio       = 0.4       // of the leave bound: a lost holder is replaced before the worker list is too old
-	renewalRatio        = 0.4       // of the lease: between two renewals
-	pollRatio           = 0.2       // of the lease: between two checks whether a renewal is due
-	standbyPollRatio    = 0.5       // of the lease: between two requests while the holder is seen alive
-	releaseTimeoutRatio = 0.4       // of the leave bound: timeout of releasing the lease
-	minOrderTimeRatio   = 1.0 / 100 // of the lease: no order is sent with less than this left
+	// leaseTTLRatio is the duration of the lease, as a ratio of the leave bound: a lost holder is
+	// replaced before the worker list is older than that bound.
+	leaseTTLRatio = 0.4
+	// releaseTimeoutRatio is the timeout of releasing the lease, as a ratio of the leave bound.
+	releaseTimeoutRatio = 0.4
+
+	// Ratios of the lease's duration.
+	renewalRatio      = 0.4       // between two renewals
+	pollRatio         = 0.2       // between two checks whether a renewal is due
+	standbyPollRatio  = 0.5       // between two requests while the holder is seen alive
+	minOrderTimeRatio = 1.0 / 100 // no order is sent with less than this left
 )
 
-// stateStore reads and changes the control state.
+// stateStore reads and changes the replicated control state.
 type stateStore interface {
-	Change(ctx context.Context, a *wire.ChangeRequest) (*wire.ChangeResponse, error)
-	Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error)
+	Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error)
+	Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error)
 }
 
-// siteLease is this process's hold on the site's lease, or its attempt to get it.
+// siteLease is the site's lease as this process holds it or campaigns for it.
 type siteLease struct {
 	clock      clock.Clock
 	store      stateStore
 	lease      *controlclient.Lease
-	machine    string // this machine's name
-	orderDelay time.Duration
+	machine    string        // this machine's name
+	orderDelay time.Duration // how long a past holder's last order may still be in flight
 
 	mu           sync.Mutex
-	deadline     time.Duration // the lease ends then on this machine
-	requestedAt  time.Duration
-	holder       string // the last known holder
+	deadline     time.Duration // when the lease ends on this machine
+	requestedAt  time.Duration // when the lease was last requested
+	holder       string        // the last known holder: MACHINE/INCARNATION
 	fencingToken uint64
-	firstOrderAt time.Duration // under this fence, no order is sent before
+	firstOrderAt time.Duration // no order is sent earlier under fencingToken
 }
 
-func newSiteLease(name string, site *settings.Site, b settings.Bounds, clk clock.Clock, ctl stateStore) *siteLease {
-	ttl := min(settings.Of(site.LeaseMs, 1), b.Leave(leaseTTLRatio))
-	n := &siteLease{clock: clk, store: ctl, machine: name, orderDelay: settings.Of(site.LeaseMs, 1), requestedAt: -ttl}
-	n.lease = controlclient.NewLease(nil, clk, LeaseName, 0, fmt.Sprintf("%s/%x", name, clk.Now()), ttl)
-	return n
+func newSiteLease(machine string, site *settings.Site, bounds settings.Bounds, clk clock.Clock, store stateStore) *siteLease {
+	ttl := min(settings.Of(site.LeaseMs, 1), bounds.Leave(leaseTTLRatio))
+	return &siteLease{
+		clock:       clk,
+		store:       store,
+		lease:       controlclient.NewLease(nil, clk, LeaseName, 0, fmt.Sprintf("%s/%x", machine, clk.Now()), ttl),
+		machine:     machine,
+		orderDelay:  settings.Of(site.LeaseMs, 1),
+		requestedAt: -ttl,
+	}
 }
 
-// renewalDue reports whether to request the lease now. The holder renews; the others request it rarely
-// while the cluster membership shows the holder's machine alive, and often once it doesn't. An earlier
-// incarnation on this very machine is gone.
-func (n *siteLease) renewalDue(now time.Duration, v clustermembership.View) bool {
-	_, held := n.lease.FencingToken()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	pace := n.fractionOfTTL(renewalRatio)
-	if m, _, ok := strings.Cut(n.holder, "/"); !held && n.holder != n.lease.Holder && ok && m != n.machine {
-		for _, x := range v.WithRole(clustermembership.RolePromptIndex) {
-			if x.State == clustermembership.Alive && x.Name == clustermembership.RolePromptIndex+"/"+m {
-				pace = n.fractionOfTTL(standbyPollRatio)
-			}
+// holderID is the name under which this process holds the lease.
+func (l *siteLease) holderID() string { return l.lease.Holder }
+
+// renewalDue reports whether to request the lease now. The holder renews it; the others request it
+// rarely while the holder is seen alive, and often once it isn't.
+func (l *siteLease) renewalDue(now time.Duration, view clustermembership.View) bool {
+	_, isHolder := l.lease.FencingToken()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	interval := l.fractionOfTTL(renewalRatio)
+	if !isHolder && l.isHolderAlive(view) {
+		interval = l.fractionOfTTL(standbyPollRatio)
+	}
+	return now-l.requestedAt >= interval
+}
+
+// isHolderAlive reports whether the cluster membership shows the machine of another holder alive. An
+// earlier incarnation on this very machine has ended. The caller holds mu.
+func (l *siteLease) isHolderAlive(view clustermembership.View) bool {
+	machine, _, ok := strings.Cut(l.holder, "/")
+	if !ok || l.holder == l.holderID() || machine == l.machine {
+		return false
+	}
+	for _, node := range view.WithRole(clustermembership.RolePromptIndex) {
+		if node.State == clustermembership.Alive && node.Name == clustermembership.RolePromptIndex+"/"+machine {
+			return true
 		}
 	}
-	return now-n.requestedAt >= pace
+	return false
 }
 
-func (n *siteLease) fractionOfTTL(r float64) time.Duration {
-	return time.Duration(float64(n.lease.TTL) * r)
+func (l *siteLease) fractionOfTTL(ratio float64) time.Duration {
+	return time.Duration(float64(l.lease.TTL) * ratio)
 }
 
 // renew requests the lease, or its extension.
-func (n *siteLease) renew(ctx context.Context) error {
-	ctx, end := context.WithTimeout(ctx, n.lease.TTL) // a silent control node uses up a share of it
-	defer end()
-	asked := n.clock.Now()
-	n.mu.Lock()
-	n.requestedAt = asked
-	n.mu.Unlock()
-	t, err := n.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: n.lease.GrantRequest()}}})
-	n.applyResponse(asked, t)
+func (l *siteLease) renew(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, l.lease.TTL) // a silent control node uses up a part of it
+	defer cancel()
+	requestedAt := l.clock.Now()
+	l.mu.Lock()
+	l.requestedAt = requestedAt
+	l.mu.Unlock()
+	response, err := l.requestGrant(ctx, l.lease.GrantRequest())
+	l.applyResponse(requestedAt, response)
 	return err
 }
 
-// applyResponse records the response to a lease request that was sent at the instant asked.
-func (n *siteLease) applyResponse(asked time.Duration, t *wire.ChangeResponse) {
-	n.lease.HandleResponse(asked, t)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	switch t.GetOutcome() {
-	case "done":
-		if n.holder = n.lease.Holder; n.fencingToken != t.Fence {
-			// The previous holder may have sent an order just now; the first has no predecessor.
-			if n.fencingToken, n.firstOrderAt = t.Fence, n.clock.Now()+n.orderDelay; t.Fence == 1 {
-				n.firstOrderAt = 0
+func (l *siteLease) requestGrant(ctx context.Context, grant *wire.Grant) (*wire.ChangeResponse, error) {
+	return l.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}})
+}
+
+// applyResponse records the response to a lease request that was sent at requestedAt.
+func (l *siteLease) applyResponse(requestedAt time.Duration, response *wire.ChangeResponse) {
+	l.lease.HandleResponse(requestedAt, response)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch response.GetOutcome() {
+	case wire.OutcomeDone:
+		l.holder = l.holderID()
+		if l.fencingToken != response.Fence {
+			l.fencingToken = response.Fence
+			l.firstOrderAt = l.clock.Now() + l.orderDelay // the previous holder may have sent an order just now
+			if response.Fence == 1 {
+				l.firstOrderAt = 0 // the first holder has no predecessor
 			}
 		}
-		n.deadline = asked + n.fractionOfTTL(1-settings.MarginPart)
+		l.deadline = requestedAt + l.fractionOfTTL(1-settings.MarginPart)
 	case wire.OutcomeConflict:
-		if n.holder = t.Leader; t.Leader == "" || t.Leader == n.lease.Holder {
-			n.requestedAt = -n.lease.TTL // only the fence was unknown: request it again at the next check
+		l.holder = response.Leader
+		if response.Leader == "" || response.Leader == l.holderID() {
+			l.requestedAt = -l.lease.TTL // only the fencing token was unknown: request it again at the next check
 		}
 	}
 }
 
-// currentToken returns the fence while the lease is held.
-func (n *siteLease) currentToken() (uint64, bool) { return n.lease.FencingToken() }
+// currentToken returns the fencing token, and whether the lease is held.
+func (l *siteLease) currentToken() (uint64, bool) { return l.lease.FencingToken() }
 
-// earliestOrder is the earliest instant for the first order under the fence.
-func (n *siteLease) earliestOrder() time.Duration {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.firstOrderAt
+// earliestOrder is the earliest instant for the first order under the current fencing token.
+func (l *siteLease) earliestOrder() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.firstOrderAt
 }
 
-// remaining returns the fence and how long an order that is sent now may take; false if none may be
-// sent. Whether a worker may get one so soon after the previous holder is up to the rollout.
-func (n *siteLease) remaining() (uint64, time.Duration, bool) {
-	fence, ok := n.lease.FencingToken()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.clock.Now()
-	d := n.deadline - now
-	return fence, d, ok && fence == n.fencingToken && d >= n.fractionOfTTL(minOrderTimeRatio)
+// remaining returns the fencing token and how long an order that is sent now may take; false if none
+// may be sent. Whether a worker may get one this early under the token is up to the rollout.
+func (l *siteLease) remaining() (uint64, time.Duration, bool) {
+	token, ok := l.lease.FencingToken()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	left := l.deadline - l.clock.Now()
+	return token, left, ok && token == l.fencingToken && left >= l.fractionOfTTL(minOrderTimeRatio)
 }
 
 // release lets another machine acquire the lease at once.
-func (n *siteLease) release(ctx context.Context) error {
-	if _, ok := n.lease.FencingToken(); !ok {
+func (l *siteLease) release(ctx context.Context) error {
+	if _, ok := l.lease.FencingToken(); !ok {
 		return nil
 	}
-	g := n.lease.GrantRequest()
-	g.GiveUp = true
-	n.lease.HandleResponse(0, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: g.IfFence}) // no longer held here
-	_, err := n.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: g}}})
+	grant := l.lease.GrantRequest()
+	grant.GiveUp = true
+	// From here on the lease isn't held on this machine, whatever the response will be.
+	l.lease.HandleResponse(0, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: grant.IfFence})
+	_, err := l.requestGrant(ctx, grant)
 	return err
 }
--- a/internal/control/controllers/namedweights.go
+++ b/internal/control/controllers/namedweights.go
@@ -6,33 +6,34 @@
 	"pebbleloom/internal/fleet"
 )
 
-// namedWeights tracks which weights are named, and since when a rollout is due.
+// namedWeights tracks the named version of each model's weights, and since when its rollout is due.
 type namedWeights struct {
-	versions map[string]uint64
-	namedAt  map[string]time.Duration
+	versions map[string]uint64        // by model
+	namedAt  map[string]time.Duration // by model
 }
 
 func newNamedWeights() *namedWeights {
-	return &namedWeights{map[string]uint64{}, map[string]time.Duration{}}
+	return &namedWeights{versions: map[string]uint64{}, namedAt: map[string]time.Duration{}}
 }
 
-// update applies a snapshot. While a worker still lacks the previously named version of a model, that
-// one's time stays the start of the rollout bound.
-func (n *namedWeights) update(s *fleet.Snapshot, ws []fleet.Worker) {
-	for m, v := range s.Named {
-		if v <= n.versions[m] {
+// update applies a snapshot. While a worker still lacks the previously named version of a model, the
+// rollout stays due since that one was named: naming another doesn't extend the bound.
+func (n *namedWeights) update(snapshot *fleet.Snapshot, workers []fleet.Worker) {
+	for model, version := range snapshot.Named {
+		if version <= n.versions[model] {
 			continue
 		}
-		if at, ok := s.NamedAt[m]; ok && !n.anyWorkerLacks(m, ws) {
-			n.namedAt[m] = at
+		if at, ok := snapshot.NamedAt[model]; ok && !n.anyWorkerLacks(model, workers) {
+			n.namedAt[model] = at
 		}
-		n.versions[m] = v
+		n.versions[model] = version
 	}
 }
 
-func (n *namedWeights) anyWorkerLacks(model string, ws []fleet.Worker) bool {
-	for _, w := range ws {
-		if v, ok := w.Weights[model]; ok && v < n.versions[model] && !w.Draining {
+// anyWorkerLacks reports whether a worker has a version of the model older than the named one.
+func (n *namedWeights) anyWorkerLacks(model string, workers []fleet.Worker) bool {
+	for _, worker := range workers {
+		if version, ok := worker.Weights[model]; ok && version < n.versions[model] && !worker.Draining {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/control/controllers/orders.go
@@ -0,0 +1,178 @@
+package controllers
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/data/placement"
+	"pebbleloom/internal/fleet"
+)
+
+// Timing of a rollout's steps and calls, as ratios of the leave bound.
+const (
+	rolloutStepRatio = 1.0 / 40 // between two steps while weights are rolled out
+	rolloutIdleRatio = 1.0 / 12 // between two steps while none are
+	callTimeoutRatio = 1.0 / 6  // timeout of one order or report
+)
+
+// runRollout steps the rollout, faster while one is in progress.
+func (s *session) runRollout() {
+	bounds := s.process.Place.Bounds
+	for s.ctx.Err() == nil {
+		idle := true
+		s.actor.Ask(func(*session) { s.stepRollout(); idle = s.rollout.Idle() })
+		pause := bounds.Leave(rolloutStepRatio)
+		if idle {
+			pause = bounds.Leave(rolloutIdleRatio)
+		}
+		clock.Sleep(s.ctx, pause)
+	}
+}
+
+// stepRollout advances the rollout by one step. It runs on the actor's goroutine.
+func (s *session) stepRollout() {
+	snapshot := s.latestSnapshot()
+	if _, ok := s.currentToken(); !ok || snapshot == nil || snapshot.Plan == nil || s.ordersStopped {
+		return
+	}
+	inputs := s.rolloutInputs(snapshot)
+	actions := s.rollout.Step(inputs)
+	for _, order := range actions.Orders {
+		s.ordersInFlight.Add(1)
+		go s.sendOrder(order)
+	}
+	for _, worker := range actions.Reports {
+		go s.requestReport(worker)
+	}
+	for service := range inputs.UpdatedServices {
+		s.cordonWorkers(service, actions.Cordoned[service], inputs.Workers, inputs.Now)
+	}
+}
+
+func (s *session) rolloutInputs(snapshot *fleet.Snapshot) RolloutInputs {
+	now := s.process.Clock.Now()
+	workers := s.workers.Document().Workers
+	s.weights.update(snapshot, workers)
+	inputs := RolloutInputs{
+		Now:             now,
+		Workers:         workers,
+		NamedVersions:   s.weights.versions,
+		NamedAt:         s.weights.namedAt,
+		UpdatedServices: map[string]bool{},
+		EarliestOrder:   s.lease.earliestOrder(),
+	}
+	for _, service := range snapshot.Plan.Services {
+		if service.Engine != nil {
+			inputs.UpdatedServices[service.Name] = true
+		}
+	}
+	return inputs
+}
+
+// cordonWorkers publishes in a service's placement which of its workers are cordoned, and informs the
+// rollout of those that the written placement names already.
+func (s *session) cordonWorkers(service string, cordoned []string, workers []fleet.Worker, now time.Duration) {
+	current := s.placements[service]
+	if current == nil {
+		if len(cordoned) == 0 {
+			return
+		}
+		current = &servicePlacement{}
+		s.placements[service] = current
+	}
+	if current.desired == nil {
+		current.desired = &placement.Placement{
+			Service:      service,
+			Mode:         placement.ModeHRCS,
+			Workers:      serviceWorkerIDs(workers, service),
+			PrefillCurve: placement.Default(),
+			Replicated:   []string{},
+		}
+	}
+	var published []string
+	for _, id := range cordoned {
+		if slices.Contains(current.publishedCordoned, id) {
+			published = append(published, id)
+		}
+	}
+	s.rollout.ConfirmCordoned(published, now)
+	if !slices.Equal(cordoned, current.desired.Cordoned) {
+		desired := *current.desired
+		desired.Cordoned, desired.Reason = cordoned, "weights are being rolled out"
+		s.queuePlacement(current, &desired)
+	}
+}
+
+// sendOrder sends one order. The lease is checked right before it is sent, and the call times out
+// before the lease ends on this machine.
+func (s *session) sendOrder(order Order) {
+	defer s.ordersInFlight.Done()
+	token, left, ok := s.lease.remaining()
+	if !ok || token != s.fencingToken {
+		s.actor.Ask(func(*session) { s.rollout.HandleUnsentOrder(order) })
+		return
+	}
+	outcome := s.callOrder(order, min(left, s.process.Place.Bounds.Leave(callTimeoutRatio)))
+	s.process.Log.Info("order", "worker", order.Worker.ID, "model", order.Model, "weights", order.Version, "fence", token, "outcome", int(outcome))
+	s.actor.Ask(func(*session) {
+		version := s.rollout.HandleOrderOutcome(order, outcome, s.process.Clock.Now())
+		s.recordVersion(order.Worker.ID, order.Model, version)
+		s.stepRollout()
+	})
+}
+
+// callOrder makes an order's call. Its outcome is unknown if it may have been accepted without an answer.
+// The call outlives the session: stopOrders waits for it.
+func (s *session) callOrder(order Order, timeout time.Duration) backend.Outcome {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), timeout)
+	defer cancel()
+	deadline := s.process.Clock.Now() + timeout
+	ctx = backend.WithGuard(ctx, func() bool { // right before the first byte is sent
+		token, _, ok := s.lease.remaining()
+		return ok && token == s.fencingToken && s.process.Clock.Now() < deadline
+	})
+	outcome, err := s.calls.Order(ctx, order.Worker.Addr, backend.Order{
+		Model:        order.Model,
+		Version:      order.Version,
+		Mode:         backend.ModeAwait,
+		LeaseHolder:  s.lease.holderID(),
+		FencingToken: s.fencingToken,
+		Instance:     order.Worker.ID,
+		Sequence:     order.Sequence,
+	})
+	if err != nil {
+		return backend.OutcomeUnknown
+	}
+	return outcome
+}
+
+// requestReport asks one worker for its state.
+func (s *session) requestReport(worker fleet.Worker) {
+	ctx, cancel := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(callTimeoutRatio))
+	defer cancel()
+	report, err := s.calls.Report(ctx, worker.Addr)
+	s.actor.Ask(func(*session) {
+		model, version := s.rollout.HandleReport(worker.ID, report, err == nil, s.process.Clock.Now())
+		s.recordVersion(worker.ID, model, version)
+		if version > 0 {
+			s.stepRollout()
+		}
+	})
+}
+
+// recordVersion publishes the version that a worker is known to have; zero: none is known. It runs on
+// the actor's goroutine.
+func (s *session) recordVersion(worker, model string, version uint64) {
+	if version > 0 && s.workers.SetWeights(worker, model, version) {
+		s.queueWorkerList()
+	}
+}
+
+// stopOrders stops further orders and waits for those in flight.
+func (s *session) stopOrders() {
+	s.actor.Ask(func(*session) { s.ordersStopped = true })
+	s.ordersInFlight.Wait()
+}
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -13,83 +13,109 @@
 	"pebbleloom/internal/wire"
 )
 
+// Timing and limits of the placement.
 const (
-	recomputeRatio      = 1.0  // of the heal bound: between two full computations
-	hotEntriesLimit     = 1000 // entries asked of an index node
-	floorToleranceRatio = 0.25 // of the floor: a smaller change isn't published
+	placementPollRatio = 0.25 // of the heal bound: between two placement computations
+	recomputeRatio     = 1.0  // of the heal bound: between two full computations
+
+	hotEntriesLimit      = 1000 // entries requested from an index node
+	floorToleranceRatio  = 0.25 // of the admission floor: a smaller change isn't published
+	floorToleranceOffset = 0.05 // added to that tolerance, in units of hotness
 )
 
+// linkSpan is how long the engine's own link counts as measured: long enough to outweigh the initial
+// estimate of the bandwidth.
+const linkSpan = 1000 * time.Second
+
 // HotEntriesFunc asks the prompt index for a service's hot entries.
 type HotEntriesFunc func(ctx context.Context, service string) []*wire.Hot
 
 // servicePlacement is the placement of one service.
 type servicePlacement struct {
-	desired           *placement.Placement // the newest one, written or pending
-	publishedCordoned []string             // workers that the written document sets aside
-	recomputedAt      time.Duration        // the last full computation
+	desired           *placement.Placement // the newest one, written or pending; nil: none yet
+	publishedCordoned []string             // workers that the written document cordons
+	recomputedAt      time.Duration        // the last full computation; zero: none yet
 }
 
 // runPlacement recomputes every service's placement periodically.
 func (s *session) runPlacement() {
-	b := s.process.Place.Bounds
 	for s.ctx.Err() == nil {
 		if snapshot := s.latestSnapshot(); snapshot != nil && snapshot.Plan != nil {
-			for _, x := range snapshot.Plan.Services {
-				if _, ok := s.currentToken(); !ok || x.Engine == nil {
-					continue
-				}
-				hot := s.hotEntries(s.ctx, x.Name)
-				s.actor.Ask(func(*session) { s.updatePlacement(x, hot) })
-			}
+			s.updatePlacements(snapshot.Plan.Services)
 		}
-		clock.Sleep(s.ctx, b.Heal(placementPollRatio))
+		clock.Sleep(s.ctx, s.process.Place.Bounds.Heal(placementPollRatio))
 	}
 }
 
-// updatePlacement computes one service's placement and writes it if it changed. It runs on the actor's
-// goroutine.
-func (s *session) updatePlacement(x routingconfig.Service, hot []*wire.Hot) {
+func (s *session) updatePlacements(services []routingconfig.Service) {
+	for _, service := range services {
+		if _, ok := s.currentToken(); !ok || service.Engine == nil {
+			continue
+		}
+		hot := s.hotEntries(s.ctx, service.Name)
+		s.actor.Ask(func(*session) { s.updatePlacement(service, hot) })
+	}
+}
+
+// updatePlacement computes one service's placement and queues it for writing if it changed. It runs on
+// the actor's goroutine.
+func (s *session) updatePlacement(service routingconfig.Service, hot []*wire.Hot) {
 	if len(hot) == 0 {
 		return // no index node answers, or there was no request yet
 	}
-	p := s.placements[x.Name]
+	p := s.placements[service.Name]
 	if p == nil {
 		p = &servicePlacement{}
-		s.placements[x.Name] = p
+		s.placements[service.Name] = p
 	}
 	now := s.process.Clock.Now()
-	next, changed := nextPlacement(p, x, hot, serviceWorkerIDs(s.workers.Document().Workers, x.Name), now, s.process.Place.Bounds.Heal(recomputeRatio))
+	workers := serviceWorkerIDs(s.workers.Document().Workers, service.Name)
+	next, changed := nextPlacement(p, service, hot, workers, now, s.process.Place.Bounds.Heal(recomputeRatio))
 	if changed {
 		s.queuePlacement(p, next)
-		s.process.Log.Info("placement", "service", x.Name, "fence", s.fencingToken, "replicated", len(next.Replicated),
+		s.process.Log.Info("placement", "service", service.Name, "fence", s.fencingToken, "replicated", len(next.Replicated),
 			"entries", next.Entries, "r_max", next.RMax, "b", next.FetchBandwidth, "why", next.Reason)
 	}
 }
 
-// nextPlacement computes the next placement, and whether the change is worth publishing.
-func nextPlacement(p *servicePlacement, x routingconfig.Service, hot []*wire.Hot, workers []string, now, whole time.Duration) (*placement.Placement, bool) {
+// nextPlacement computes the next placement, and whether the change is worth publishing. In between full
+// computations it only swaps entries in.
+func nextPlacement(p *servicePlacement, service routingconfig.Service, hot []*wire.Hot, workers []string,
+	now, recomputeInterval time.Duration) (*placement.Placement, bool) {
 	old := p.desired
-	if old != nil && p.recomputedAt > 0 && now-p.recomputedAt < whole && slices.Equal(workers, old.Workers) {
+	if old != nil && p.recomputedAt > 0 && now-p.recomputedAt < recomputeInterval && slices.Equal(workers, old.Workers) {
 		return placementcontroller.SwapInBurst(old, hot)
 	}
 	p.recomputedAt = now
-	next := placementcontroller.Compute(placementInputs(x, hot, workers), old)
+	next := placementcontroller.Compute(placementInputs(service, hot, workers), old)
 	if old == nil {
 		return next, true
 	}
 	next.Cordoned = old.Cordoned
-	changed := !slices.Equal(next.Replicated, old.Replicated) || !slices.Equal(next.Workers, old.Workers) || next.Mode != old.Mode ||
-		math.Abs(next.AdmissionFloor-old.AdmissionFloor) > floorToleranceRatio*old.AdmissionFloor+0.05
-	return next, changed
+	return next, needsPublishing(old, next)
+}
+
+// needsPublishing reports whether the difference is worth a new version of the document.
+func needsPublishing(old, next *placement.Placement) bool {
+	return !slices.Equal(next.Replicated, old.Replicated) || !slices.Equal(next.Workers, old.Workers) || next.Mode != old.Mode ||
+		math.Abs(next.AdmissionFloor-old.AdmissionFloor) > floorToleranceRatio*old.AdmissionFloor+floorToleranceOffset
 }
 
-// placementInputs are the inputs of the placement: the engine's own link and the prefill curve.
-func placementInputs(x routingconfig.Service, hot []*wire.Hot, workers []string) placementcontroller.Inputs {
-	f := placementcontroller.Inputs{Service: x.Name, Mode: "hrcs", FetchTolerance: 1, Workers: workers, CapacityTokens: x.Engine.CapacityTokens, HotEntries: hot, PrefillCurve: placement.Default()}
-	if x.Engine.LinkMbps > 0 && x.Engine.TokenBytes > 0 {
-		const span = 1000 * time.Second // long enough to outweigh the initial estimate
-		b := x.Engine.LinkMbps * 1e6 / 8 / float64(x.Engine.TokenBytes)
-		f.Links = []*wire.LinkSeen{{Class: "plan", Tokens: b * span.Seconds(), Ns: float64(span)}}
+// placementInputs are the inputs of the placement. The bandwidth is that of the engine's own link, which
+// the routing configuration gives.
+func placementInputs(service routingconfig.Service, hot []*wire.Hot, workers []string) placementcontroller.Inputs {
+	inputs := placementcontroller.Inputs{
+		Service:        service.Name,
+		Mode:           placement.ModeHRCS,
+		FetchTolerance: 1,
+		Workers:        workers,
+		CapacityTokens: service.Engine.CapacityTokens,
+		HotEntries:     hot,
+		PrefillCurve:   placement.Default(),
+	}
+	if service.Engine.LinkMbps > 0 && service.Engine.TokenBytes > 0 {
+		tokensPerSecond := service.Engine.LinkMbps * 1e6 / 8 / float64(service.Engine.TokenBytes)
+		inputs.Links = []*wire.LinkSeen{{Class: "plan", Tokens: tokensPerSecond * linkSpan.Seconds(), Ns: float64(linkSpan)}}
 	}
-	return f
+	return inputs
 }
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -20,55 +20,59 @@
 const hotEntriesTimeoutRatio = 1.0 / 48
 
 // StartProcess runs a core machine's index and placement process: a cluster member in the index role,
-// an index node, and the site's controllers while this machine holds the lease.
+// an index node, and the site's controllers while this machine holds the lease. The error is of the
+// kind errs.BadInput if the settings hold no site.
 //
 // Example: err := controllers.StartProcess(process, codec, calls)
 func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Client) error {
-	if process.Place.Site == nil {
+	site := process.Place.Site
+	if site == nil {
 		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
 	}
-	process.Place.Listen = process.Place.Site.Port(process.Place.Site.IP, settings.PortIndex)
-	a, err := agent.Start(process, codec, clustermembership.RolePromptIndex)
+	process.Place.Listen = site.Port(site.IP, settings.PortIndex)
+	member, err := agent.Start(process, codec, clustermembership.RolePromptIndex)
 	if err != nil {
 		return errs.Wrap(err, "agent")
 	}
-	index, err := promptindex.StartSite(process, calls, a.Snapshot)
+	index, err := promptindex.StartSite(process, calls, member.Snapshot)
 	if err != nil {
 		return errs.Wrap(err, "index")
 	}
 	clients := daemon.NewClients(process)
 	mux := http.NewServeMux()
-	mux.Handle(wire.RosterPathPrefix, a.Handler())
+	mux.Handle(wire.RosterPathPrefix, member.Handler())
 	mux.Handle(wire.CataloguePathPrefix, index.Handler())
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
-	Start(process, controlclient.NewGroupClient(process.Place.Seeds, a.Membership, clients, process.Place.Bounds), calls, a.Snapshot, a.Membership, queryIndexNodes(process, a.Membership, clients.PromptIndex))
+	store := controlclient.NewGroupClient(process.Place.Seeds, member.Membership, clients, process.Place.Bounds)
+	hotEntries := queryIndexNodes(process, member.Membership, clients.PromptIndex)
+	Start(process, store, calls, member.Snapshot, member.Membership, hotEntries)
 	process.Ready.Store(true)
 	return nil
 }
 
-// queryIndexNodes asks all serving index nodes at once, each with a short timeout. Two hold each
-// entry: the higher count is taken.
+// queryIndexNodes returns a function that asks all serving index nodes at once, within one short
+// timeout. Two nodes hold each entry: the higher count is used.
 func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.Catalogue) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.Hot {
-		ctx, end := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotEntriesTimeoutRatio))
-		defer end()
+		ctx, cancel := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotEntriesTimeoutRatio))
+		defer cancel()
 		nodes := promptindex.ServingNodes(view().Nodes)
 		responses := make(chan *wire.HotTell, len(nodes))
 		var wg sync.WaitGroup
 		for _, n := range nodes {
 			wg.Go(func() {
-				if t, err := node(n.Addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: hotEntriesLimit}); err == nil {
-					responses <- t
+				if response, err := node(n.Addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: hotEntriesLimit}); err == nil {
+					responses <- response
 				}
 			})
 		}
 		wg.Wait()
 		close(responses)
 		var all []*wire.HotTell
-		for t := range responses {
-			all = append(all, t)
+		for response := range responses {
+			all = append(all, response)
 		}
 		return promptindex.MergeHot(all)
 	}
--- a/internal/control/controllers/rollout.go
+++ b/internal/control/controllers/rollout.go
@@ -1,9 +1,6 @@
 package controllers
 
 import (
-	"math"
-	"slices"
-	"strings"
 	"time"
 
 	"pebbleloom/internal/data/backend"
@@ -12,22 +9,26 @@
 	"pebbleloom/internal/settings"
 )
 
-// Timing and concurrency of a rollout, as ratios.
+// Timing of one worker's load.
 const (
-	baseConcurrencyRatio = 1.0 / 5  // of a service's workers load concurrently
-	maxConcurrencyRatio  = 1.0 / 3  // of them at most, when the bound is close
-	rolloutSpanRatio     = 0.8      // of the weights bound: all loads fit into it
-	rolloutTailRatio     = 0.2      // of the weights bound: the last may load while older weights are no longer selected
-	initialLoadRatio     = 1.0 / 10 // of the weights bound: assumed duration of a load until one was measured
-	cordonLeadRatio      = 1.0 / 15 // of the leave bound: from setting a worker aside to its order
-	reportIntervalRatio  = 1.0 / 20 // of the leave bound: between two reports of a worker
-	maxReportAgeRatio    = 1.0 / 3  // of the leave bound: a worker's report may be this old
-	slowLoadRatio        = 1.0 / 4  // of the weights bound: a longer load no longer delays others
-	loadRetryRatio       = 1.0 / 8  // of the weights bound: before a failed worker is retried
-	firstReportRatio     = 0.7      // of the shortest measured load: when the first report is requested
-	maxMissedReports     = 3        // consecutive reports without a response before the worker is retried later
+	// Ratios of the leave bound.
+	cordonLeadRatio     = 1.0 / 15 // from cordoning a worker to its order: proxies learn of it in between
+	reportIntervalRatio = 1.0 / 20 // between two reports of a worker
+	maxReportAgeRatio   = 1.0 / 3  // a worker's report may be this old
+
+	// Ratios of the weights bound.
+	initialLoadRatio = 1.0 / 10 // assumed duration of a load until one was measured
+	slowLoadRatio    = 1.0 / 4  // a longer load no longer delays others
+	loadRetryRatio   = 1.0 / 8  // before a failed worker is retried
+
+	firstReportRatio = 0.7 // of the shortest measured load: when the first report is requested
+	maxMissedReports = 3   // consecutive reports without a response before the worker is retried later
 )
 
+// notYet is a cordonedAt before the written placement cordons the worker.
+const notYet = time.Duration(-1)
+
+// loadStage is how far a worker's load has come.
 type loadStage int
 
 const (
@@ -43,14 +44,14 @@
 	model             string
 	version           uint64
 	stage             loadStage
-	cordonedAt        time.Duration // when the written placement first set it aside; -1: not yet
+	cordonedAt        time.Duration // when the written placement first cordoned it; notYet before
 	startedAt         time.Duration // when the order was sent, or its outcome became unknown
 	nextReportAt      time.Duration // when the next report is due
 	reportRequestedAt time.Duration // when the report in flight was requested
 	callInFlight      bool
 	startConfirmed    bool // the worker confirmed the start: its duration can be measured
 	missedReports     int
-	reportedSequence  *uint64 // orders that the worker had taken at its last report; nil: none was asked for yet
+	reportedSequence  *uint64 // orders that the worker had accepted at its last report; nil: none was requested yet
 }
 
 // Order is an order to send to a worker.
@@ -58,47 +59,56 @@
 	Worker   fleet.Worker
 	Model    string
 	Version  uint64
-	Sequence *uint64 // orders that the worker must have taken so far; nil: any number
+	Sequence *uint64 // orders that the worker must have accepted so far; nil: any number
 }
 
-// RolloutActions are the actions that a step asks for. The caller reports their results to Reported and Ordered.
+// RolloutActions are the actions that a step asks for. The caller performs them and passes their results
+// to HandleOrderOutcome, HandleUnsentOrder, HandleReport and ConfirmCordoned.
 type RolloutActions struct {
 	Orders   []Order
-	Reports  []fleet.Worker
-	Cordoned map[string][]string // by service: the workers that are set aside
+	Reports  []fleet.Worker      // workers to request a report from
+	Cordoned map[string][]string // by service: the IDs of the workers to cordon, sorted
 }
 
-// RolloutInputs are the inputs of a step.
+// RolloutInputs are the inputs of a step. Instants are readings of the process's clock.
 type RolloutInputs struct {
 	Now             time.Duration
 	Workers         []fleet.Worker
-	NamedVersions   map[string]uint64
-	NamedAt         map[string]time.Duration // when each model's version was named
+	NamedVersions   map[string]uint64        // by model: the desired version
+	NamedAt         map[string]time.Duration // by model: when the rollout became due
 	UpdatedServices map[string]bool          // the services whose workers are updated
-	EarliestOrder   time.Duration            // the earliest order where a past holder may have sent one lately
+	EarliestOrder   time.Duration            // for workers that a past holder may have sent an order lately
 }
 
-// Rollout brings workers to named weights, some at once: each is first set aside, so that proxies send
-// it no new requests; then it gets an order, and is polled until it serves the weights. While some
-// load, the next are set aside. It only decides; it makes no calls.
+// Rollout brings workers to the named versions of their weights, several at once: each is first
+// cordoned, so that proxies send it no new requests; then it gets an order, and is polled until it
+// serves the weights. While some load, the next are cordoned. Rollout only decides; it makes no calls.
 type Rollout struct {
 	bounds             settings.Bounds
 	loads              map[string]*weightLoad   // by worker
 	retryAt            map[string]time.Duration // by failed worker: no earlier retry
-	maybeOrdered       map[string]bool          // workers that may have received an order
-	previouslyCordoned map[string]bool          // workers that a past holder had set aside
+	possiblyOrdered    map[string]bool          // workers that may have received an order
+	previouslyCordoned map[string]bool          // workers that a past holder had cordoned
 	shortestLoad       map[string]time.Duration // by model: the shortest measured load
 	concurrency        map[string]int           // by service: concurrent loads in this rollout
 }
 
-// NewRollout makes a rollout that resumes from the workers that a past holder set aside: each of those
+// NewRollout returns a rollout that resumes from the workers that a past holder cordoned: each of those
 // may have received an order.
 //
-// Example: r := controllers.NewRollout(bounds, placement.Rolling)
-func NewRollout(b settings.Bounds, rolling []string) *Rollout {
-	r := &Rollout{bounds: b, loads: map[string]*weightLoad{}, retryAt: map[string]time.Duration{}, maybeOrdered: map[string]bool{}, previouslyCordoned: map[string]bool{}, shortestLoad: map[string]time.Duration{}, concurrency: map[string]int{}}
-	for _, id := range rolling {
-		r.maybeOrdered[id], r.previouslyCordoned[id] = true, true
+// Example: r := controllers.NewRollout(bounds, placement.Cordoned)
+func NewRollout(bounds settings.Bounds, cordoned []string) *Rollout {
+	r := &Rollout{
+		bounds:             bounds,
+		loads:              map[string]*weightLoad{},
+		retryAt:            map[string]time.Duration{},
+		possiblyOrdered:    map[string]bool{},
+		previouslyCordoned: map[string]bool{},
+		shortestLoad:       map[string]time.Duration{},
+		concurrency:        map[string]int{},
+	}
+	for _, id := range cordoned {
+		r.possiblyOrdered[id], r.previouslyCordoned[id] = true, true
 	}
 	return r
 }
@@ -108,14 +118,14 @@
 // Example: if r.Idle() { slowDown() }
 func (r *Rollout) Idle() bool { return len(r.loads) == 0 }
 
-// nextVersion returns the model and version that a worker is to load next.
-func nextVersion(w fleet.Worker, f RolloutInputs) (string, uint64) {
-	if w.Draining || !f.UpdatedServices[w.Service] {
+// nextVersion returns the model and version that a worker is to load next; "" if it is up to date.
+func nextVersion(worker fleet.Worker, inputs RolloutInputs) (model string, version uint64) {
+	if worker.Draining || !inputs.UpdatedServices[worker.Service] {
 		return "", 0
 	}
-	for _, m := range queue.Keys(w.Weights) {
-		if v := f.NamedVersions[m]; v > w.Weights[m] {
-			return m, v
+	for _, model := range queue.Keys(worker.Weights) {
+		if named := inputs.NamedVersions[model]; named > worker.Weights[model] {
+			return model, named
 		}
 	}
 	return "", 0
@@ -123,240 +133,190 @@
 
 // Step returns the actions that are due now.
 //
-// Example: acts := r.Step(facts)
-func (r *Rollout) Step(f RolloutInputs) RolloutActions {
-	a := RolloutActions{Cordoned: map[string][]string{}}
-	here := make(map[string]fleet.Worker, len(f.Workers))
-	by := map[string][]fleet.Worker{}
-	for _, w := range f.Workers {
-		here[w.ID] = w
-		if f.UpdatedServices[w.Service] && !w.Draining && len(w.Weights) > 0 {
-			by[w.Service] = append(by[w.Service], w)
+// Example: actions := r.Step(inputs)
+func (r *Rollout) Step(inputs RolloutInputs) RolloutActions {
+	actions := RolloutActions{Cordoned: map[string][]string{}}
+	listed := make(map[string]fleet.Worker, len(inputs.Workers))
+	byService := map[string][]fleet.Worker{}
+	for _, worker := range inputs.Workers {
+		listed[worker.ID] = worker
+		if inputs.UpdatedServices[worker.Service] && !worker.Draining && len(worker.Weights) > 0 {
+			byService[worker.Service] = append(byService[worker.Service], worker)
 		}
 	}
-	r.pruneLoads(f, here)
-	for _, service := range queue.Keys(by) {
-		r.stepService(f, by[service], &a)
+	r.pruneLoads(inputs, listed)
+	for _, service := range queue.Keys(byService) {
+		r.stepService(inputs, byService[service], &actions)
 	}
+	r.collectLoads(inputs.Now, &actions)
+	return actions
+}
+
+// collectLoads adds the workers to cordon and the reports that are due.
+func (r *Rollout) collectLoads(now time.Duration, actions *RolloutActions) {
 	for _, id := range queue.Keys(r.loads) {
-		l := r.loads[id]
-		a.Cordoned[l.worker.Service] = append(a.Cordoned[l.worker.Service], id)
-		if (l.stage == stageLoading || l.stage == stageUnknown) && !l.callInFlight && f.Now >= l.nextReportAt {
-			l.callInFlight, l.reportRequestedAt = true, f.Now
-			a.Reports = append(a.Reports, l.worker)
+		load := r.loads[id]
+		service := load.worker.Service
+		actions.Cordoned[service] = append(actions.Cordoned[service], id)
+		if (load.stage == stageLoading || load.stage == stageUnknown) && !load.callInFlight && now >= load.nextReportAt {
+			load.callInFlight, load.reportRequestedAt = true, now
+			actions.Reports = append(actions.Reports, load.worker)
 		}
 	}
-	return a
 }
 
-// pruneLoads forgets the loads that have ended or become obsolete.
-func (r *Rollout) pruneLoads(f RolloutInputs, here map[string]fleet.Worker) {
-	for id, l := range r.loads {
-		w, ok := here[id]
-		m, v := nextVersion(w, f)
+// pruneLoads drops the loads that have ended or become obsolete, and what is remembered of workers that
+// have left or need no load.
+func (r *Rollout) pruneLoads(inputs RolloutInputs, listed map[string]fleet.Worker) {
+	for id, load := range r.loads {
+		worker, ok := listed[id]
+		model, version := nextVersion(worker, inputs)
 		switch {
-		case !ok || m == "":
-			delete(r.loads, id)
-			delete(r.maybeOrdered, id)
-		case l.stage == stageCordoned && f.Now < r.earliestOrder(f, w)-r.bounds.Leave(cordonLeadRatio):
+		case !ok || model == "":
+			r.forgetLoad(id)
+		case load.stage == stageCordoned && !r.cordonDue(inputs, worker):
 			delete(r.loads, id) // it keeps serving until an order may be sent
-		case l.stage == stageCordoned:
-			l.worker, l.model, l.version = w, m, v // a newer version may have been named
+		case load.stage == stageCordoned:
+			load.worker, load.model, load.version = worker, model, version // a newer version may have been named
 		default:
-			l.worker = w
+			load.worker = worker
 		}
 	}
 	for id := range r.retryAt {
-		if _, ok := here[id]; !ok {
+		if _, ok := listed[id]; !ok {
 			delete(r.retryAt, id)
 		}
 	}
-	for id := range r.maybeOrdered {
-		if w, ok := here[id]; ok {
-			if m, _ := nextVersion(w, f); m != "" {
-				continue
+	for id := range r.possiblyOrdered {
+		// A worker that isn't listed keeps its entry: it may be listed again.
+		if worker, ok := listed[id]; ok {
+			if model, _ := nextVersion(worker, inputs); model == "" {
+				delete(r.possiblyOrdered, id)
 			}
-			delete(r.maybeOrdered, id)
 		}
 	}
 }
 
-// earliestOrder is the earliest instant for this holder's first order to a worker. A past holder set each
-// worker aside before it sent an order, in a document that is read on takeover: a worker that isn't in
-// it, and never had weights newer than its first, had no order lately and needn't wait.
-func (r *Rollout) earliestOrder(f RolloutInputs, w fleet.Worker) time.Duration {
-	if r.previouslyCordoned[w.ID] {
-		return f.EarliestOrder
+// earliestOrder is the earliest instant for this holder's first order to a worker. A past holder
+// cordoned each worker before it sent an order, in a document that is read on takeover: a worker that
+// isn't in it, and never had weights newer than its first, had no order lately and needn't wait.
+func (r *Rollout) earliestOrder(inputs RolloutInputs, worker fleet.Worker) time.Duration {
+	if r.previouslyCordoned[worker.ID] {
+		return inputs.EarliestOrder
 	}
-	for _, v := range w.Weights {
-		if v > 1 {
-			return f.EarliestOrder
+	for _, version := range worker.Weights {
+		if version > 1 {
+			return inputs.EarliestOrder
 		}
 	}
 	return 0
 }
 
-// stepService advances one service's loads.
-func (r *Rollout) stepService(f RolloutInputs, ws []fleet.Worker, a *RolloutActions) {
-	slices.SortFunc(ws, func(x, y fleet.Worker) int { return strings.Compare(x.ID, y.ID) })
-	left, busy, soon, waiting := 0, 0, 0, 0
-	var next []fleet.Worker
-	since := time.Duration(-1)
-	var model string
-	for _, w := range ws {
-		m, v := nextVersion(w, f)
-		if m == "" {
-			continue
-		}
-		left++
-		if at, ok := f.NamedAt[m]; ok && (since < 0 || at < since) {
-			since, model = at, m
-		}
-		l := r.loads[w.ID]
-		switch {
-		case l != nil && l.stage == stageCordoned:
-			waiting++
-		case l != nil:
-			if f.Now-l.startedAt < r.bounds.Weights(slowLoadRatio) { // a longer load no longer delays others
-				if busy++; l.stage == stageLoading && r.shortestLoad[l.model] > 0 && f.Now-l.startedAt >= r.shortestLoad[l.model]-r.bounds.Leave(cordonLeadRatio) {
-					soon++
-				}
-			}
-		case f.Now < r.retryAt[w.ID]:
-			left--
-		case r.maybeOrdered[w.ID]:
-			r.loads[w.ID] = &weightLoad{worker: w, model: m, version: v, stage: stageUnknown, cordonedAt: -1, startedAt: f.Now, nextReportAt: f.Now}
-			busy++
-		case f.Now >= r.earliestOrder(f, w)-r.bounds.Leave(cordonLeadRatio):
-			next = append(next, w)
-		}
-	}
-	if left == 0 {
-		delete(r.concurrency, ws[0].Service)
-		return
-	}
-	if since >= 0 {
-		since += r.bounds.Weights(rolloutTailRatio)
-	}
-	most := max(r.concurrency[ws[0].Service], r.maxConcurrent(f, len(ws), left-busy, since, model))
-	r.concurrency[ws[0].Service] = most
-	for _, w := range ws {
-		l := r.loads[w.ID]
-		if l == nil || l.stage != stageCordoned || l.cordonedAt < 0 || f.Now < l.cordonedAt+r.bounds.Leave(cordonLeadRatio) || f.Now < r.earliestOrder(f, w) || busy >= most {
-			continue
-		}
-		busy, waiting = busy+1, waiting-1
-		l.stage, l.startedAt, l.callInFlight, l.startConfirmed, l.missedReports = stageOrdered, f.Now, true, false, 0
-		r.maybeOrdered[w.ID] = true
-		a.Orders = append(a.Orders, Order{w, l.model, l.version, l.reportedSequence})
-	}
-	for _, w := range next[:max(0, min(len(next), most-busy-waiting+soon))] {
-		m, v := nextVersion(w, f)
-		r.loads[w.ID] = &weightLoad{worker: w, model: m, version: v, cordonedAt: -1}
-	}
-}
-
-// maxConcurrent is how many of a service's workers load at once, of those still waiting: more when the
-// bound is close.
-func (r *Rollout) maxConcurrent(f RolloutInputs, all, waiting int, since time.Duration, model string) int {
-	base := max(1, int(float64(all)*baseConcurrencyRatio))
-	if since < 0 || waiting <= 0 {
-		return base
-	}
-	took := r.bounds.Weights(initialLoadRatio)
-	if d := r.shortestLoad[model]; d > 0 {
-		took = d
-	}
-	one := float64(took + r.bounds.Leave(reportIntervalRatio))
-	rounds := max(1, (float64(since+r.bounds.Weights(rolloutSpanRatio)-f.Now)-one/2)/one) // the running loads are half done
-	return min(max(base, int(math.Round(float64(waiting)/rounds))), max(base, int(float64(all)*maxConcurrencyRatio)))
+// cordonDue reports whether a worker may be cordoned: shortly before its order may be sent.
+func (r *Rollout) cordonDue(inputs RolloutInputs, worker fleet.Worker) bool {
+	return inputs.Now >= r.earliestOrder(inputs, worker)-r.bounds.Leave(cordonLeadRatio)
 }
 
-// ConfirmCordoned records that the written placement sets these workers aside.
+// ConfirmCordoned records that the written placement cordons these workers.
 //
 // Example: r.ConfirmCordoned(ids, now)
 func (r *Rollout) ConfirmCordoned(ids []string, now time.Duration) {
 	for _, id := range ids {
-		if l := r.loads[id]; l != nil && l.cordonedAt < 0 {
-			l.cordonedAt = now
+		if load := r.loads[id]; load != nil && load.cordonedAt < 0 {
+			load.cordonedAt = now
 		}
 	}
 }
 
-// HandleOrderOutcome takes the outcome of an order. It returns the version that the worker is known to have; zero
-// if unknown.
+// HandleOrderOutcome applies the outcome of an order. It returns the version that the worker is known to
+// have; zero if unknown.
 //
-// Example: v := r.Ordered(order, backend.OutcomeStarted, now)
-func (r *Rollout) HandleOrderOutcome(o Order, out backend.Outcome, now time.Duration) uint64 {
-	l := r.loads[o.Worker.ID]
-	if l == nil || l.stage != stageOrdered || l.version != o.Version || l.model != o.Model {
+// Example: version := r.HandleOrderOutcome(order, backend.OutcomeStarted, now)
+func (r *Rollout) HandleOrderOutcome(order Order, outcome backend.Outcome, now time.Duration) uint64 {
+	load := r.loads[order.Worker.ID]
+	if load == nil || load.stage != stageOrdered || load.version != order.Version || load.model != order.Model {
 		return 0 // the worker left, or the load became obsolete
 	}
-	l.callInFlight = false
-	switch out {
+	reportInterval := r.bounds.Leave(reportIntervalRatio)
+	load.callInFlight = false
+	switch outcome {
 	case backend.OutcomeStarted:
-		l.stage, l.startConfirmed, l.nextReportAt = stageLoading, true, l.startedAt+max(r.bounds.Leave(reportIntervalRatio), time.Duration(float64(r.shortestLoad[l.model])*firstReportRatio))
+		expected := time.Duration(float64(r.shortestLoad[load.model]) * firstReportRatio)
+		load.stage, load.startConfirmed = stageLoading, true
+		load.nextReportAt = load.startedAt + max(reportInterval, expected)
 	case backend.OutcomeBusy: // another order of this holder or a past one is running
-		l.stage, l.startedAt, l.nextReportAt = stageLoading, now, now+r.bounds.Leave(reportIntervalRatio)
+		load.stage, load.startedAt, load.nextReportAt = stageLoading, now, now+reportInterval
 	case backend.OutcomeUnknown: // it may have been accepted
-		l.stage, l.nextReportAt = stageUnknown, now+r.bounds.Leave(reportIntervalRatio)
+		load.stage, load.nextReportAt = stageUnknown, now+reportInterval
 	case backend.OutcomeAlreadyDone:
-		delete(r.loads, o.Worker.ID)
-		delete(r.maybeOrdered, o.Worker.ID)
-		return o.Version
+		r.forgetLoad(order.Worker.ID)
+		return order.Version
 	default: // it was not accepted
-		r.scheduleRetry(l, now)
-		delete(r.maybeOrdered, o.Worker.ID)
+		r.scheduleRetry(load, now)
+		delete(r.possiblyOrdered, order.Worker.ID)
 	}
 	return 0
 }
 
-// HandleUnsentOrder takes back an order that was never sent.
+// HandleUnsentOrder cancels an order that was never sent.
 //
-// Example: r.Unsent(order)
-func (r *Rollout) HandleUnsentOrder(o Order) {
-	if l := r.loads[o.Worker.ID]; l != nil && l.stage == stageOrdered && l.version == o.Version {
-		delete(r.loads, o.Worker.ID)
-		delete(r.maybeOrdered, o.Worker.ID)
+// Example: r.HandleUnsentOrder(order)
+func (r *Rollout) HandleUnsentOrder(order Order) {
+	if load := r.loads[order.Worker.ID]; load != nil && load.stage == stageOrdered && load.version == order.Version {
+		r.forgetLoad(order.Worker.ID)
 	}
 }
 
-func (r *Rollout) scheduleRetry(l *weightLoad, now time.Duration) {
-	delete(r.loads, l.worker.ID)
-	r.retryAt[l.worker.ID] = now + r.bounds.Weights(loadRetryRatio)
+// forgetLoad ends a load of a worker that has certainly no order left to carry out.
+func (r *Rollout) forgetLoad(id string) {
+	delete(r.loads, id)
+	delete(r.possiblyOrdered, id)
 }
 
-// HandleReport takes a worker's report; ok is false if there was none. It returns the model and the
+// scheduleRetry ends a load that has failed; the worker gets another one later.
+func (r *Rollout) scheduleRetry(load *weightLoad, now time.Duration) {
+	delete(r.loads, load.worker.ID)
+	r.retryAt[load.worker.ID] = now + r.bounds.Weights(loadRetryRatio)
+}
+
+// HandleReport applies a worker's report; ok is false if there was none. It returns the model and the
 // version that the worker is known to have; zero if nothing is new.
 //
-// Example: model, v := r.Reported("i-7f3a", report, err == nil, now)
-func (r *Rollout) HandleReport(id string, t backend.Report, ok bool, now time.Duration) (string, uint64) {
-	l := r.loads[id]
-	if l == nil || !l.callInFlight || l.stage != stageLoading && l.stage != stageUnknown {
+// Example: model, version := r.HandleReport("i-7f3a", report, err == nil, now)
+func (r *Rollout) HandleReport(id string, report backend.Report, ok bool, now time.Duration) (model string, version uint64) {
+	load := r.loads[id]
+	if load == nil || !load.callInFlight || load.stage != stageLoading && load.stage != stageUnknown {
 		return "", 0
 	}
-	l.callInFlight, l.nextReportAt = false, now+r.bounds.Leave(reportIntervalRatio)
+	load.callInFlight, load.nextReportAt = false, now+r.bounds.Leave(reportIntervalRatio)
 	if !ok {
-		if l.missedReports++; l.missedReports >= maxMissedReports {
-			r.scheduleRetry(l, now) // its order's outcome stays unknown
+		if load.missedReports++; load.missedReports >= maxMissedReports {
+			r.scheduleRetry(load, now) // its order's outcome stays unknown
 		}
 		return "", 0
 	}
-	l.missedReports, l.reportedSequence = 0, &t.Sequence
-	v := t.Weights[l.model]
+	load.missedReports, load.reportedSequence = 0, &report.Sequence
+	reported := report.Weights[load.model]
 	switch {
-	case v >= l.version:
-		if d := now - l.startedAt; l.startConfirmed && (r.shortestLoad[l.model] == 0 || d < r.shortestLoad[l.model]) {
-			r.shortestLoad[l.model] = d
-		}
-		delete(r.maybeOrdered, id)
-		l.stage = stageCordoned // the next step drops it, or orders a newer version
-		return l.model, v
-	case t.Busy:
-		l.stage = stageLoading
-	case l.reportRequestedAt-l.startedAt >= r.bounds.Leave(maxReportAgeRatio): // a started load would show by now: the order was not accepted
-		delete(r.maybeOrdered, id)
-		l.stage = stageCordoned
+	case reported >= load.version:
+		r.measureLoad(load, now)
+		delete(r.possiblyOrdered, id)
+		load.stage = stageCordoned // the next step drops it, or orders a newer version
+		return load.model, reported
+	case report.Busy:
+		load.stage = stageLoading
+	case load.reportRequestedAt-load.startedAt >= r.bounds.Leave(maxReportAgeRatio):
+		// A started load would show by now: the order was not accepted.
+		delete(r.possiblyOrdered, id)
+		load.stage = stageCordoned
 	}
 	return "", 0
 }
+
+// measureLoad records the duration of a load whose start was confirmed.
+func (r *Rollout) measureLoad(load *weightLoad, now time.Duration) {
+	shortest := r.shortestLoad[load.model]
+	if duration := now - load.startedAt; load.startConfirmed && (shortest == 0 || duration < shortest) {
+		r.shortestLoad[load.model] = duration
+	}
+}
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -224,11 +224,11 @@
 		{18, 18, -b.Weights(0.5), 6}, {18, 14, -b.Weights(0.2), 3}, {18, 2, -b.Weights(0.5), 3}, {112, 112, -b.Weights(0.6), 37}, // the bound presses
 		{18, 1, -b.Weights(2), 3}, {2, 2, -b.Weights(2), 1},
 	} {
-		if got := r.maxConcurrent(RolloutInputs{Now: time.Minute}, c.all, c.left, time.Minute+c.since, "daka"); got != c.want {
+		if got := r.concurrencyLimit(time.Minute, c.all, c.left, time.Minute+c.since, "daka"); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
-	if got := r.maxConcurrent(RolloutInputs{}, 18, 18, -1, "daka"); got != 3 {
+	if got := r.concurrencyLimit(0, 18, 18, -1, "daka"); got != 3 {
 		t.Errorf("not known since when: %d", got)
 	}
 }
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -3,9 +3,7 @@
 import (
 	"context"
 	"encoding/json"
-	"slices"
 	"sync"
-	"time"
 
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/daemon"
@@ -14,22 +12,14 @@
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/fleet"
 	"pebbleloom/internal/queue"
+	"pebbleloom/internal/wire"
 )
 
-// Timing of a session, as ratios of bounds.
-const (
-	listPollRatio      = 0.25     // of the leave bound: between two reads of the worker list
-	listRetryRatio     = 0.1      // of the leave bound: before a failed read is retried
-	pageTimeoutRatio   = 1.0      // of the leave bound: for one page
-	maxPages           = 64       // of one read
-	listRateRatio      = 0.25     // share of the list's allowed call rate
-	rolloutStepRatio   = 1.0 / 40 // of the leave bound: between two steps while weights are rolled out
-	rolloutIdleRatio   = 1.0 / 12 // of the leave bound: and while none are
-	placementPollRatio = 0.25     // of the heal bound: between two placement computations
-	callTimeoutRatio   = 1.0 / 6  // of the leave bound: timeout of one order or report
-)
+// actorQueueSize is how many calls to a session's actor may wait.
+const actorQueueSize = 256
 
-// session runs the controllers under one fence. The actor alone uses the fields below it.
+// session runs the controllers under one fencing token. Its state is used on the actor's goroutine
+// only.
 type session struct {
 	process        *daemon.Process
 	calls          backend.Client
@@ -41,31 +31,42 @@
 	ctx            context.Context
 	cancel         context.CancelFunc
 	actor          *queue.Actor[session]
-	wake           chan struct{}
-	ordersInFlight sync.WaitGroup // orders in flight
-	ordersStopped  bool           // no more orders
-
-	workers    *WorkerList
-	listKnown  bool // the list has been read, or a stored one was loaded
-	rollout    *Rollout
-	placements map[string]*servicePlacement // by service
-	pending    map[string][]byte            // document bodies to write, by key
-	weights    *namedWeights
-}
-
-func newSession(c *Controller, fence uint64) *session {
-	s := &session{process: c.process, calls: c.calls, latestSnapshot: c.latestSnapshot, hotEntries: c.hotEntries, lease: c.lease, fencingToken: fence, wake: make(chan struct{}, 1),
-		placements: map[string]*servicePlacement{}, pending: map[string][]byte{}, weights: newNamedWeights()}
+	wake           chan struct{} // wakes the document writer
+	ordersInFlight sync.WaitGroup
+
+	// State of the actor.
+	ordersStopped bool // no more orders may be sent
+	workers       *WorkerList
+	listKnown     bool // the list has been read, or a stored one was loaded
+	rollout       *Rollout
+	placements    map[string]*servicePlacement // by service
+	pending       map[string][]byte            // document bodies to write, by key
+	weights       *namedWeights
+}
+
+func newSession(c *Controller, token uint64) *session {
+	s := &session{
+		process:        c.process,
+		calls:          c.calls,
+		latestSnapshot: c.latestSnapshot,
+		hotEntries:     c.hotEntries,
+		lease:          c.lease,
+		fencingToken:   token,
+		wake:           make(chan struct{}, 1),
+		placements:     map[string]*servicePlacement{},
+		pending:        map[string][]byte{},
+		weights:        newNamedWeights(),
+	}
 	s.ctx, s.cancel = context.WithCancel(c.process.Ctx)
-	s.actor = queue.NewActor(s, 256)
-	s.writer = newDocumentWriter(c.store, s.currentToken, c.lease.lease.Holder, c.process.Place.Bounds)
+	s.actor = queue.NewActor(s, actorQueueSize)
+	s.writer = newDocumentWriter(c.store, s.currentToken, c.lease.holderID(), c.process.Place.Bounds)
 	return s
 }
 
-// currentToken returns the fence while the lease is held under this session's fence.
+// currentToken returns the session's fencing token, and whether the lease is held under it.
 func (s *session) currentToken() (uint64, bool) {
-	fence, ok := s.lease.currentToken()
-	return fence, ok && fence == s.fencingToken
+	token, ok := s.lease.currentToken()
+	return token, ok && token == s.fencingToken
 }
 
 // run runs the controllers until the session ends. It resumes from the stored documents.
@@ -83,114 +84,65 @@
 	s.stopOrders()
 }
 
-func (s *session) logWarning(what string) func(error) {
-	return func(err error) { s.process.Log.Warn(what, "fence", s.fencingToken, "error", errs.Text(err)) }
+// logWarning returns a function that logs an error under a message.
+func (s *session) logWarning(message string) func(error) {
+	return func(err error) { s.process.Log.Warn(message, "fence", s.fencingToken, "error", errs.Text(err)) }
 }
 
-// loadStoredDocuments reads the stored documents.
+// loadStoredDocuments takes over the state that the previous holder stored. It retries until it
+// succeeds; false if the session ends before.
 func (s *session) loadStoredDocuments() bool {
-	b := s.process.Place.Bounds
+	bounds := s.process.Place.Bounds
 	for s.ctx.Err() == nil {
-		var all errs.Batch
-		ws, err := s.writer.read(s.ctx, fleet.WorkersKey, false)
-		all.Note("workers", err)
-		ps, err := s.writer.read(s.ctx, fleet.PlacementKey, true)
-		all.Note("placements", err)
-		if err := all.Look(); err != nil {
+		workers, placements, err := s.readStoredDocuments()
+		if err != nil {
 			s.logWarning("stored documents")(err)
-			clock.Sleep(s.ctx, b.Leave(listRetryRatio))
+			clock.Sleep(s.ctx, bounds.Leave(listRetryRatio))
 			continue
 		}
-		var doc fleet.WorkerList
-		for _, d := range ws {
-			if err := json.Unmarshal(d.Body, &doc); err != nil {
-				s.logWarning("stored worker list")(err) // the platform's list restores it
-			}
-		}
-		var rolling []string
-		places := map[string]*servicePlacement{}
-		for _, d := range ps {
-			p, err := placement.Read(d.Body, d.Version)
-			if err != nil {
-				s.logWarning("stored placement")(err)
-				continue
-			}
-			places[p.Service] = &servicePlacement{desired: p, publishedCordoned: p.Cordoned}
-			rolling = append(rolling, p.Cordoned...)
-		}
+		list := s.decodeWorkerList(workers)
+		byService, cordoned := s.decodePlacements(placements)
 		return s.actor.Ask(func(*session) {
-			s.workers, s.listKnown, s.placements, s.rollout = NewWorkerList(doc), len(ws) > 0, places, NewRollout(b, rolling)
+			s.workers = NewWorkerList(list)
+			s.listKnown = len(workers) > 0
+			s.placements = byService
+			s.rollout = NewRollout(bounds, cordoned)
 		})
 	}
 	return false
 }
 
-// runRollout steps the rollout, faster while one is in progress.
-func (s *session) runRollout() {
-	b := s.process.Place.Bounds
-	for s.ctx.Err() == nil {
-		idle := true
-		s.actor.Ask(func(*session) { s.stepRollout(); idle = s.rollout.Idle() })
-		pause := b.Leave(rolloutStepRatio)
-		if idle {
-			pause = b.Leave(rolloutIdleRatio)
-		}
-		clock.Sleep(s.ctx, pause)
-	}
+func (s *session) readStoredDocuments() (workers, placements []*wire.Document, err error) {
+	var failures errs.Batch
+	workers, err = s.writer.read(s.ctx, fleet.WorkersKey, false)
+	failures.Note("workers", err)
+	placements, err = s.writer.read(s.ctx, fleet.PlacementKey, true)
+	failures.Note("placements", err)
+	return workers, placements, failures.Look()
 }
 
-// followWorkerList reads the platform's list periodically.
-func (s *session) followWorkerList() {
-	b := s.process.Place.Bounds
-	bad := 0
-	for s.ctx.Err() == nil {
-		pause := b.Leave(listPollRatio)
-		if _, ok := s.currentToken(); !ok {
-			clock.Sleep(s.ctx, b.Leave(listRetryRatio))
-			continue
-		}
-		list, pages, err := s.readWorkerList()
-		switch {
-		case err == nil:
-			bad = 0
-			if site := s.process.Place.Site; site != nil && site.ListRate > 0 {
-				pause = max(pause, time.Duration(float64(pages)/(site.ListRate*listRateRatio)*float64(time.Second)))
-			}
-			s.actor.Ask(func(*session) {
-				if s.workers.Merge(list, pages == 1 && len(list) > 0) || !s.listKnown {
-					s.listKnown = true
-					s.queueWorkerList()
-				}
-				if s.workers.HasUnconfirmedRemovals() {
-					pause = min(pause, b.Leave(listRetryRatio))
-				}
-			})
-		case s.ctx.Err() == nil:
-			if bad++; bad == 1 {
-				s.process.Log.Warn("the list of workers can't be read: the stored one stays", "error", errs.Text(err))
-			}
-			pause = min(pause*2, b.Leave(listRetryRatio)<<min(bad-1, 4))
+func (s *session) decodeWorkerList(documents []*wire.Document) (list fleet.WorkerList) {
+	for _, document := range documents {
+		if err := json.Unmarshal(document.Body, &list); err != nil {
+			s.logWarning("stored worker list")(err) // the platform's list restores it
 		}
-		clock.Sleep(s.ctx, pause)
 	}
+	return list
 }
 
-// readWorkerList reads all pages of the platform's list.
-func (s *session) readWorkerList() (all []fleet.Worker, pages int, err error) {
-	page := ""
-	for pages < maxPages {
-		ctx, end := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(pageTimeoutRatio))
-		ws, next, err := s.calls.ListWorkers(ctx, page)
-		end()
+// decodePlacements returns the stored placements by service, and the workers that they cordon.
+func (s *session) decodePlacements(documents []*wire.Document) (byService map[string]*servicePlacement, cordoned []string) {
+	byService = map[string]*servicePlacement{}
+	for _, document := range documents {
+		stored, err := placement.Read(document.Body, document.Version)
 		if err != nil {
-			return nil, pages, errs.Wrap(err, "list of workers")
-		}
-		all, pages = append(all, ws...), pages+1
-		if page = next; page == "" {
-			return all, pages, nil
+			s.logWarning("stored placement")(err)
+			continue
 		}
+		byService[stored.Service] = &servicePlacement{desired: stored, publishedCordoned: stored.Cordoned}
+		cordoned = append(cordoned, stored.Cordoned...)
 	}
-	return nil, pages, errs.New(errs.TooBig, "the list of workers has more than %d pages", maxPages)
+	return byService, cordoned
 }
 
 // queueWorkerList queues the worker list for writing. It runs on the actor's goroutine.
@@ -203,157 +155,52 @@
 	s.queueWrite(fleet.WorkersKey, body)
 }
 
+// queuePlacement makes a placement the service's desired one and queues it for writing. It runs on the
+// actor's goroutine.
+func (s *session) queuePlacement(service *servicePlacement, desired *placement.Placement) {
+	desired.FencingToken, desired.Epoch = s.fencingToken, 0
+	body, err := json.Marshal(desired)
+	if err != nil {
+		s.logWarning("placement")(err)
+		return
+	}
+	service.desired = desired
+	s.queueWrite(fleet.PlacementKey+desired.Service, body)
+}
+
+// queueWrite queues a document body for writing, in place of an older one. It runs on the actor's
+// goroutine.
 func (s *session) queueWrite(key string, body []byte) {
 	s.pending[key] = body
 	select {
 	case s.wake <- struct{}{}:
-	default:
+	default: // the writer has been woken already
 	}
 }
 
 // pendingWrites returns the documents to write; each stays pending until its newest body was written.
 func (s *session) pendingWrites() pendingWrites {
-	w := pendingWrites{bodies: map[string][]byte{}, onWritten: map[string]func(){}}
+	writes := pendingWrites{bodies: map[string][]byte{}, onWritten: map[string]func(){}}
 	s.actor.Ask(func(*session) {
 		for key, body := range s.pending {
-			w.bodies[key] = body
-			w.onWritten[key] = func() { s.actor.Ask(func(*session) { s.documentWritten(key, body) }) }
+			writes.bodies[key] = body
+			writes.onWritten[key] = func() { s.actor.Ask(func(*session) { s.documentWritten(key, body) }) }
 		}
 	})
-	return w
+	return writes
 }
 
-// documentWritten notes that a document was written. It runs on the actor's goroutine.
+// documentWritten records that a document was written. It runs on the actor's goroutine.
 func (s *session) documentWritten(key string, body []byte) {
 	if string(s.pending[key]) == string(body) {
 		delete(s.pending, key)
 	}
 	for service, p := range s.placements {
-		if key == fleet.PlacementKey+service {
-			if q, err := placement.Read(body, 0); err == nil {
-				p.publishedCordoned = q.Cordoned
-			}
-		}
-	}
-}
-
-// stepRollout advances the rollout by one step. It runs on the actor's goroutine.
-func (s *session) stepRollout() {
-	snapshot := s.latestSnapshot()
-	if _, ok := s.currentToken(); !ok || snapshot == nil || snapshot.Plan == nil || s.ordersStopped {
-		return
-	}
-	now := s.process.Clock.Now()
-	ws := s.workers.Document().Workers
-	s.weights.update(snapshot, ws)
-	f := RolloutInputs{Now: now, Workers: ws, NamedVersions: s.weights.versions, NamedAt: s.weights.namedAt, UpdatedServices: map[string]bool{}, EarliestOrder: s.lease.earliestOrder()}
-	for _, x := range snapshot.Plan.Services {
-		if x.Engine != nil {
-			f.UpdatedServices[x.Name] = true
-		}
-	}
-	acts := s.rollout.Step(f)
-	for _, o := range acts.Orders {
-		s.ordersInFlight.Add(1)
-		go s.sendOrder(o)
-	}
-	for _, w := range acts.Reports {
-		go s.requestReport(w)
-	}
-	for service := range f.UpdatedServices {
-		s.cordonWorkers(service, acts.Cordoned[service], f.Workers, now)
-	}
-}
-
-// cordonWorkers publishes in a service's placement which workers are out of service, and informs the rollout
-// once that is written.
-func (s *session) cordonWorkers(service string, rolling []string, ws []fleet.Worker, now time.Duration) {
-	p := s.placements[service]
-	if p == nil {
-		if len(rolling) == 0 {
-			return
+		if key != fleet.PlacementKey+service {
+			continue
 		}
-		p = &servicePlacement{}
-		s.placements[service] = p
-	}
-	if p.desired == nil {
-		p.desired = &placement.Placement{Service: service, Mode: "hrcs", Workers: serviceWorkerIDs(ws, service), PrefillCurve: placement.Default(), Replicated: []string{}}
-	}
-	var out []string
-	for _, id := range rolling {
-		if slices.Contains(p.publishedCordoned, id) {
-			out = append(out, id)
+		if written, err := placement.Read(body, 0); err == nil {
+			p.publishedCordoned = written.Cordoned
 		}
 	}
-	s.rollout.ConfirmCordoned(out, now)
-	if !slices.Equal(rolling, p.desired.Cordoned) {
-		q := *p.desired
-		q.Cordoned, q.Reason = rolling, "weights are being rolled out"
-		s.queuePlacement(p, &q)
-	}
-}
-
-func (s *session) queuePlacement(p *servicePlacement, q *placement.Placement) {
-	q.FencingToken, q.Epoch = s.fencingToken, 0
-	body, err := json.Marshal(q)
-	if err != nil {
-		s.logWarning("placement")(err)
-		return
-	}
-	p.desired = q
-	s.queueWrite(fleet.PlacementKey+q.Service, body)
-}
-
-// sendOrder sends one order. The lease is checked right before it is sent, and the call times out
-// before the lease ends on this machine.
-func (s *session) sendOrder(o Order) {
-	defer s.ordersInFlight.Done()
-	b := s.process.Place.Bounds
-	fence, left, ok := s.lease.remaining()
-	if !ok || fence != s.fencingToken {
-		s.actor.Ask(func(*session) { s.rollout.HandleUnsentOrder(o) })
-		return
-	}
-	timeout := min(left, b.Leave(callTimeoutRatio))
-	ctx, end := context.WithTimeout(context.WithoutCancel(s.ctx), timeout)
-	defer end()
-	deadline := s.process.Clock.Now() + timeout
-	ctx = backend.WithGuard(ctx, func() bool { // right before the first byte leaves
-		fence, _, ok := s.lease.remaining()
-		return ok && fence == s.fencingToken && s.process.Clock.Now() < deadline
-	})
-	out, err := s.calls.Order(ctx, o.Worker.Addr, backend.Order{Model: o.Model, Version: o.Version, Mode: backend.ModeAwait,
-		LeaseHolder: s.lease.lease.Holder, FencingToken: fence, Instance: o.Worker.ID, Sequence: o.Sequence})
-	if err != nil {
-		out = backend.OutcomeUnknown
-	}
-	s.process.Log.Info("order", "worker", o.Worker.ID, "model", o.Model, "weights", o.Version, "fence", fence, "outcome", int(out))
-	s.actor.Ask(func(*session) {
-		if v := s.rollout.HandleOrderOutcome(o, out, s.process.Clock.Now()); v > 0 && s.workers.SetWeights(o.Worker.ID, o.Model, v) {
-			s.queueWorkerList()
-		}
-		s.stepRollout()
-	})
-}
-
-// requestReport asks one worker for its state.
-func (s *session) requestReport(w fleet.Worker) {
-	ctx, end := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(callTimeoutRatio))
-	defer end()
-	r, err := s.calls.Report(ctx, w.Addr)
-	s.actor.Ask(func(*session) {
-		m, v := s.rollout.HandleReport(w.ID, r, err == nil, s.process.Clock.Now())
-		if v > 0 && s.workers.SetWeights(w.ID, m, v) {
-			s.queueWorkerList()
-		}
-		if v > 0 {
-			s.stepRollout()
-		}
-	})
-}
-
-// stopOrders stops further orders and waits for those in flight.
-func (s *session) stopOrders() {
-	s.actor.Ask(func(*session) { s.ordersStopped = true })
-	s.ordersInFlight.Wait()
 }
--- a/internal/control/controllers/workerlist.go
+++ b/internal/control/controllers/workerlist.go
@@ -17,58 +17,67 @@
 	missedReads int // consecutive reads of the list without it
 }
 
-// NewWorkerList starts from the stored document.
+// NewWorkerList returns a list that starts from the stored document.
 //
-// Example: t := controllers.NewWorkerList(fleet.WorkerList{})
-func NewWorkerList(doc fleet.WorkerList) *WorkerList {
-	t := &WorkerList{entries: map[string]*listEntry{}}
-	for _, w := range doc.Workers {
-		w.Weights = maps.Clone(w.Weights)
-		t.entries[w.ID] = &listEntry{worker: w}
+// Example: list := controllers.NewWorkerList(fleet.WorkerList{})
+func NewWorkerList(document fleet.WorkerList) *WorkerList {
+	l := &WorkerList{entries: map[string]*listEntry{}}
+	for _, worker := range document.Workers {
+		worker.Weights = maps.Clone(worker.Weights)
+		l.entries[worker.ID] = &listEntry{worker: worker}
 	}
-	return t
+	return l
 }
 
-// Merge applies a read of the whole platform list and reports whether anything relevant changed. Pages
-// are read one after another, and a worker may slip through between two of them: unless the read is
-// sure, a worker is removed only after two consecutive reads without it.
+// Merge applies a read of the platform's list and reports whether anything relevant changed. Pages are
+// read one after another, and a worker may slip through between two of them: unless the read is known
+// to be complete, a worker is removed only after two consecutive reads without it.
 //
-// Example: changed := t.Merge(list, pages == 1)
-func (t *WorkerList) Merge(list []fleet.Worker, sure bool) bool {
-	changed, here := false, make(map[string]bool, len(list))
-	for _, w := range list {
-		if w.ID == "" || here[w.ID] {
+// Example: changed := list.Merge(workers, pages == 1)
+func (l *WorkerList) Merge(workers []fleet.Worker, complete bool) bool {
+	changed, listed := false, make(map[string]bool, len(workers))
+	for _, worker := range workers {
+		if worker.ID == "" || listed[worker.ID] {
 			continue
 		}
-		here[w.ID] = true
-		r := t.entries[w.ID]
-		if r == nil {
-			r = &listEntry{}
-			t.entries[w.ID], changed = r, true
+		listed[worker.ID] = true
+		if l.mergeWorker(worker) {
+			changed = true
 		}
-		r.missedReads = 0
-		w.Weights = mergeVersions(r.worker.Weights, w.Weights)
-		changed = changed || !equalWorkers(r.worker, w)
-		r.worker = w
 	}
-	for id, r := range t.entries {
-		if here[id] {
+	for id, entry := range l.entries {
+		if listed[id] {
 			continue
 		}
-		if r.missedReads++; sure || r.missedReads > 1 {
-			delete(t.entries, id)
+		if entry.missedReads++; complete || entry.missedReads > 1 {
+			delete(l.entries, id)
 			changed = true
 		}
 	}
 	return changed
 }
 
+// mergeWorker applies one worker as the platform lists it, and reports whether anything relevant changed.
+func (l *WorkerList) mergeWorker(worker fleet.Worker) bool {
+	entry := l.entries[worker.ID]
+	added := entry == nil
+	if added {
+		entry = &listEntry{}
+		l.entries[worker.ID] = entry
+	}
+	entry.missedReads = 0
+	worker.Weights = mergeVersions(entry.worker.Weights, worker.Weights)
+	changed := added || !equalWorkers(entry.worker, worker)
+	entry.worker = worker
+	return changed
+}
+
 // HasUnconfirmedRemovals reports whether a worker was missing in the last read and is kept for now.
 //
-// Example: if t.Unsure() { readAgainSoon() }
-func (t *WorkerList) HasUnconfirmedRemovals() bool {
-	for _, r := range t.entries {
-		if r.missedReads > 0 {
+// Example: if list.HasUnconfirmedRemovals() { readAgainSoon() }
+func (l *WorkerList) HasUnconfirmedRemovals() bool {
+	for _, entry := range l.entries {
+		if entry.missedReads > 0 {
 			return true
 		}
 	}
@@ -78,34 +87,35 @@
 // SetWeights records that a worker serves a version of a model's weights, and reports whether that is
 // new.
 //
-// Example: changed := t.SetWeights("i-7f3a", "daka", 2)
-func (t *WorkerList) SetWeights(id, model string, version uint64) bool {
-	r := t.entries[id]
-	if r == nil || r.worker.Weights[model] >= version {
+// Example: changed := list.SetWeights("i-7f3a", "daka", 2)
+func (l *WorkerList) SetWeights(id, model string, version uint64) bool {
+	entry := l.entries[id]
+	if entry == nil || entry.worker.Weights[model] >= version {
 		return false
 	}
-	r.worker.Weights = mergeVersions(r.worker.Weights, map[string]uint64{model: version}) // a new map: the previous one is shared
+	// A new map: documents that were handed out share the previous one.
+	entry.worker.Weights = mergeVersions(entry.worker.Weights, map[string]uint64{model: version})
 	return true
 }
 
 // Document returns all workers, sorted by ID.
 //
-// Example: body, err := json.Marshal(t.Document())
-func (t *WorkerList) Document() fleet.WorkerList {
-	d := fleet.WorkerList{Workers: make([]fleet.Worker, 0, len(t.entries))}
-	for _, id := range queue.Keys(t.entries) {
-		d.Workers = append(d.Workers, t.entries[id].worker)
+// Example: body, err := json.Marshal(list.Document())
+func (l *WorkerList) Document() fleet.WorkerList {
+	document := fleet.WorkerList{Workers: make([]fleet.Worker, 0, len(l.entries))}
+	for _, id := range queue.Keys(l.entries) {
+		document.Workers = append(document.Workers, l.entries[id].worker)
 	}
-	return d
+	return document
 }
 
-// mergeVersions takes each model's higher version. A model that the list no longer names is dropped.
-func mergeVersions(old, now map[string]uint64) map[string]uint64 {
-	m := make(map[string]uint64, len(now))
-	for k, v := range now {
-		m[k] = max(v, old[k])
+// mergeVersions returns each model's higher version. A model that isn't listed any more is dropped.
+func mergeVersions(known, listed map[string]uint64) map[string]uint64 {
+	merged := make(map[string]uint64, len(listed))
+	for model, version := range listed {
+		merged[model] = max(version, known[model])
 	}
-	return m
+	return merged
 }
 
 func equalWorkers(a, b fleet.Worker) bool {
@@ -114,13 +124,13 @@
 }
 
 // serviceWorkerIDs returns the sorted IDs of one service's workers that aren't draining.
-func serviceWorkerIDs(ws []fleet.Worker, service string) []string {
-	l := []string{}
-	for _, w := range ws {
-		if w.Service == service && !w.Draining {
-			l = append(l, w.ID)
+func serviceWorkerIDs(workers []fleet.Worker, service string) []string {
+	ids := []string{}
+	for _, worker := range workers {
+		if worker.Service == service && !worker.Draining {
+			ids = append(ids, worker.ID)
 		}
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(ids)
+	return ids
 }
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -23,7 +23,7 @@
 // Inputs are what a placement is computed from.
 type Inputs struct {
 	Service        string
-	Mode           string
+	Mode           placement.Mode
 	FetchTolerance float64
 	Workers        []string
 	CapacityTokens int // tokens, of the smallest worker
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -288,11 +288,11 @@
 	return nil
 }
 
-func placementMode(s serviceconfig.Service) string {
+func placementMode(s serviceconfig.Service) placement.Mode {
 	if s.Placement == "" {
-		return "hrcs"
+		return placement.ModeHRCS
 	}
-	return s.Placement
+	return placement.Mode(s.Placement)
 }
 
 func workerNames(ws []*wire.Worker) []string {
