--- a/internal/capacity/calls.go
+++ b/internal/capacity/calls.go
@@ -44,20 +44,20 @@
 	l := newProcess("core-1", bounds(), t)
 	defer l.Stop(time.Second)
 	s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: roll(1, 1),
-		Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", District: "district-0", Addr: t.addr()}}}
+		Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: "district-0", Addr: t.addr()}}}
 	node, err := promptindex.StartSite(l, &keeper{parts: parts}, func() *fleet.Snapshot { return s })
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle(wire.CataloguePathPrefix, node.Handler())
+	mux.Handle(wire.PromptIndexPathPrefix, node.Handler())
 	if err := l.Serve(t.addr(), mux); err != nil {
 		return err
 	}
 	k := promptindex.PartKey(cacheText, partName(0))
 	if err := until("the index has the worker's parts", func() bool {
-		x, err := node.Seek(l.Ctx, &wire.LookAsk{Keys: [][]byte{k[:]}})
-		return err == nil && len(x.Found[0].Holders) > 0
+		x, err := node.Lookup(l.Ctx, &wire.LookupRequest{Keys: [][]byte{k[:]}})
+		return err == nil && len(x.Results[0].Holders) > 0
 	}); err != nil {
 		return err
 	}
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -152,16 +152,16 @@
 	var number atomic.Uint64
 	one := func(i int) error {
 		if t.Kind == "seek" {
-			a := &wire.LookAsk{}
+			a := &wire.LookupRequest{}
 			for j := range t.Keys {
 				a.Keys = append(a.Keys, key(i*t.Keys+j))
 			}
-			_, err := c.Seek(ctx, a)
+			_, err := c.Lookup(ctx, a)
 			return err
 		}
-		a := &wire.CountAsk{Teller: "edge/edge-0001", Incarnation: 1, Number: number.Add(1)}
+		a := &wire.CountRequest{Reporter: "edge/edge-0001", Incarnation: 1, Sequence: number.Add(1)}
 		for j := range t.Keys {
-			a.Accesses = append(a.Accesses, &wire.Access{Key: key(i*t.Keys + j), Count: 1, Tokens: 800, Service: serviceName(0), Presumed: []string{"i-00000000"}})
+			a.Accesses = append(a.Accesses, &wire.Access{Key: key(i*t.Keys + j), Count: 1, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
 		}
 		_, err := c.Count(ctx, a)
 		return err
@@ -202,9 +202,9 @@
 			c := daemon.NewClients(l).ControlNode(t.Addr)
 			have := map[string]uint64{}
 			for ctx.Err() == nil {
-				a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.DocumentKey, Packed: true}
+				a := &wire.FollowRequest{MaxWaitNs: uint64(hold), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true}
 				for _, k := range []string{routingconfig.DocumentKey, "workers", "weights", "placement/"} {
-					a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: have[k]})
+					a.Known = append(a.Known, &wire.KnownVersion{Key: k, Version: have[k]})
 				}
 				response, err := c.Follow(ctx, a)
 				if err != nil {
--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -134,12 +134,12 @@
 		}
 		body := []byte("[" + strings.TrimPrefix(s.String(), ",") + "]")
 		read := b.spend(func() { _, _ = readChanges(body) })
-		a := &wire.CountAsk{Teller: "edge/edge-1", Incarnation: 1}
+		a := &wire.CountRequest{Reporter: "edge/edge-1", Incarnation: 1}
 		for i := range int(n) {
 			k := promptindex.PartKey(cacheText, partName(i*31%have))
-			a.Accesses = append(a.Accesses, &wire.Access{Key: k[:], Count: 2, Tokens: 800, Service: serviceName(0), Presumed: []string{"i-00000000"}})
+			a.Accesses = append(a.Accesses, &wire.Access{Key: k[:], Count: 2, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
 		}
-		count := b.spend(func() { a.Number++; c.RecordAccesses(a, now) })
+		count := b.spend(func() { a.Sequence++; c.RecordAccesses(a, now) })
 		return []float64{table, read, float64(len(body)), count}, nil
 	})
 }
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -30,7 +30,7 @@
 
 func hollowNode(i int) *wire.Node {
 	return &wire.Node{Name: fmt.Sprintf("runner/edge-%04d", i), Incarnation: uint64(1e15) + uint64(i), Role: "runner",
-		District: fmt.Sprintf("district-%d", i%5), Addr: fmt.Sprintf("10.%d.%d.%d:7360", i%5, i/200, i%200)}
+		Zone: fmt.Sprintf("district-%d", i%5), Addr: fmt.Sprintf("10.%d.%d.%d:7360", i%5, i/200, i%200)}
 }
 
 func newRing(n int) *ring {
@@ -45,7 +45,7 @@
 		r.names = append(r.names, x.Addr)
 	}
 	for i, a := range r.names {
-		r.all[a].HandleHeartbeat(&wire.Beat{Epoch: 1, From: every[(i+1)%n], News: every, Whole: true}, r.now)
+		r.all[a].HandleHeartbeat(&wire.Heartbeat{Format: 1, From: every[(i+1)%n], Updates: every, FullView: true}, r.now)
 	}
 	return r
 }
@@ -72,7 +72,7 @@
 }
 
 // carry writes a letter and reads it, as the two ends of a connection do.
-func (r *ring) carry(b *wire.Beat, wired bool) *wire.Beat {
+func (r *ring) carry(b *wire.Heartbeat, wired bool) *wire.Heartbeat {
 	if !wired {
 		return b
 	}
@@ -81,7 +81,7 @@
 		return nil
 	}
 	r.bytes += float64(len(raw))
-	to := &wire.Beat{}
+	to := &wire.Heartbeat{}
 	if proto.Unmarshal(raw, to) != nil {
 		return nil
 	}
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -47,10 +47,10 @@
 		weight[i] = math.Pow(float64(i+1), -0.3)
 		total += weight[i]
 	}
-	hot := make([]*wire.Hot, n)
+	hot := make([]*wire.HotPrefix, n)
 	for i := range hot {
 		k := promptindex.PartKey(cacheText, partName(i))
-		hot[i] = &wire.Hot{Key: k[:], Hotness: 30 * rate * weight[i] / total, Tokens: 8000, Head: true}
+		hot[i] = &wire.HotPrefix{Key: k[:], Hotness: 30 * rate * weight[i] / total, Tokens: 8000, Head: true}
 	}
 	var ws []string
 	for _, w := range roll(20, 1) {
@@ -59,7 +59,7 @@
 	const span = 1000.0
 	tokens := mbps * 1e6 / 8 / float64(engine().TokenBytes)
 	f := placementcontroller.Inputs{Service: serviceName(0), Mode: "hrcs", FetchTolerance: 1, Workers: ws, CapacityTokens: 320000, HotEntries: hot, PrefillCurve: placement.Default(),
-		Links: []*wire.LinkSeen{{Class: "plan", Tokens: tokens * span, Ns: span * 1e9}}}
+		Links: []*wire.LinkThroughput{{Class: "plan", Tokens: tokens * span, ElapsedNs: span * 1e9}}}
 	p := placementcontroller.Compute(f, nil)
 	changed := 0
 	at := cpu()
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -151,7 +151,7 @@
 		}
 		l := newProcess("core-1", short, nil)
 		s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: roll(int(n), 1),
-			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", District: "district-0", Addr: "127.0.0.1:1"}}}
+			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: "district-0", Addr: "127.0.0.1:1"}}}
 		c := &idle{asked: make(chan struct{}, 1<<16)}
 		if _, err := promptindex.StartSite(l, c, func() *fleet.Snapshot { return s }); err != nil {
 			return nil, err
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -187,7 +187,7 @@
 	a, err := agent.Start(l, pondPlans{}, "runner")
 	p.must(err)
 	mux := http.NewServeMux()
-	mux.Handle(wire.RosterPathPrefix, a.Handler())
+	mux.Handle(wire.MembershipPathPrefix, a.Handler())
 	p.must(l.Serve(l.Place.Listen, mux))
 	s := indexclient.New(l, func() []*wire.Node { return a.Snapshot().Nodes })
 	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s, l.Place.Name)}))
--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -92,15 +92,15 @@
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
-	if a.Beat != b.Beat {
-		return a.Beat > b.Beat
+	if a.Heartbeat != b.Heartbeat {
+		return a.Heartbeat > b.Heartbeat
 	}
 	return a.State > b.State
 }
 
 func clone(n *wire.Node) *wire.Node {
-	return &wire.Node{Name: n.Name, Incarnation: n.Incarnation, Role: n.Role, District: n.District,
-		Addr: n.Addr, State: n.State, Beat: n.Beat, Operator: n.Operator}
+	return &wire.Node{Name: n.Name, Incarnation: n.Incarnation, Role: n.Role, Zone: n.Zone,
+		Addr: n.Addr, State: n.State, Heartbeat: n.Heartbeat, Operator: n.Operator}
 }
 
 func (c *Core) merge(n *wire.Node, now time.Duration, direct bool) {
@@ -110,8 +110,8 @@
 	if n.Name == c.self.Name {
 		// Another node considers this one suspect or gone, or remembers an older incarnation of it:
 		// refute that with a higher beat or incarnation.
-		if n.State != Alive && n.Incarnation == c.self.Incarnation && n.Beat >= c.self.Beat {
-			c.self.Beat = n.Beat + 1
+		if n.State != Alive && n.Incarnation == c.self.Incarnation && n.Heartbeat >= c.self.Heartbeat {
+			c.self.Heartbeat = n.Heartbeat + 1
 		} else if n.Incarnation > c.self.Incarnation {
 			if n.Addr != c.self.Addr && n.State == Alive && c.ticks > 0 && now-c.startedAt > c.bounds.Leave(replacementAgeRatio) {
 				c.nameReused = true // another machine took this name while this one was suspended
@@ -134,7 +134,7 @@
 		e.lastContact = now
 	}
 	if !isNewer(n, e.node) {
-		if n.State != Alive && e.node.State == Alive && e.node.Beat > n.Beat && n.Incarnation == e.node.Incarnation {
+		if n.State != Alive && e.node.State == Alive && e.node.Heartbeat > n.Heartbeat && n.Incarnation == e.node.Incarnation {
 			e.transmitsLeft = c.retransmitLimit() // it was heard since: refute that
 		}
 		return
@@ -161,7 +161,7 @@
 // OutgoingHeartbeat is a heartbeat to send to an address.
 type OutgoingHeartbeat struct {
 	Address   string
-	Heartbeat *wire.Beat
+	Heartbeat *wire.Heartbeat
 }
 
 // Tick is one period: judge the observed nodes, then return the heartbeats to send.
@@ -171,7 +171,7 @@
 	if c.ticks++; c.ticks == 1 {
 		c.startedAt = now
 	}
-	c.self.Beat++
+	c.self.Heartbeat++
 	ring := c.ring()
 	at, offsets := 0, ringOffsets(len(ring))
 	for i, x := range ring {
@@ -248,11 +248,11 @@
 	return calls
 }
 
-func (c *Core) newHeartbeat(whole bool) *wire.Beat {
-	b := &wire.Beat{Epoch: 1, From: clone(c.self), Whole: whole, Sum: c.checksum}
+func (c *Core) newHeartbeat(whole bool) *wire.Heartbeat {
+	b := &wire.Heartbeat{Format: 1, From: clone(c.self), FullView: whole, ViewChecksum: c.checksum}
 	for _, e := range c.peers {
 		if whole || e.transmitsLeft > 0 {
-			b.News = append(b.News, clone(e.node))
+			b.Updates = append(b.Updates, clone(e.node))
 		}
 	}
 	return b
@@ -263,12 +263,12 @@
 //
 // Example: for _, x := range c.Leave() { send(x) }
 func (c *Core) Leave() []OutgoingHeartbeat {
-	c.self.Beat++
+	c.self.Heartbeat++
 	c.self.State = Dead
 	var l []OutgoingHeartbeat
 	for _, e := range c.peers {
 		if e.node.State == Alive && len(l) < 8 {
-			l = append(l, OutgoingHeartbeat{e.node.Addr, &wire.Beat{Epoch: 1, From: clone(c.self)}})
+			l = append(l, OutgoingHeartbeat{e.node.Addr, &wire.Heartbeat{Format: 1, From: clone(c.self)}})
 		}
 	}
 	return l
@@ -278,9 +278,9 @@
 // differ.
 //
 // Example: response := c.HandleHeartbeat(beat, clock.Now())
-func (c *Core) HandleHeartbeat(b *wire.Beat, now time.Duration) *wire.Beat {
-	if b.GetEpoch() != 1 {
-		return &wire.Beat{Epoch: 1, From: clone(c.self)} // an unknown format
+func (c *Core) HandleHeartbeat(b *wire.Heartbeat, now time.Duration) *wire.Heartbeat {
+	if b.GetFormat() != 1 {
+		return &wire.Heartbeat{Format: 1, From: clone(c.self)} // an unknown format
 	}
 	if b.GetFrom() == nil {
 		return c.newHeartbeat(true) // an observer without a node of its own
@@ -289,23 +289,23 @@
 	fresh := old == nil || old.node.State == Dead
 	was := c.version
 	c.merge(b.From, now, true)
-	for _, n := range b.News {
+	for _, n := range b.Updates {
 		c.merge(n, now, false)
 	}
 	if c.version != was {
 		c.checksum = c.computeChecksum()
 	}
-	t := c.newHeartbeat(b.Whole || fresh || c.needsFullView(b, now))
+	t := c.newHeartbeat(b.FullView || fresh || c.needsFullView(b, now))
 	if e := c.peers[b.From.Name]; e != nil && e.node.Incarnation > b.From.Incarnation {
-		t.News = append(t.News, clone(e.node)) // a newer incarnation of that name is known here
+		t.Updates = append(t.Updates, clone(e.node)) // a newer incarnation of that name is known here
 	}
 	return t
 }
 
 // needsFullView reports whether a caller's view differs from this one and no update in flight will fix
 // that: there is none, or the views have differed for long.
-func (c *Core) needsFullView(b *wire.Beat, now time.Duration) bool {
-	if b.Sum == c.checksum {
+func (c *Core) needsFullView(b *wire.Heartbeat, now time.Duration) bool {
+	if b.ViewChecksum == c.checksum {
 		delete(c.divergedAt, b.From.Name)
 		return false
 	}
@@ -320,7 +320,7 @@
 		c.divergedAt[b.From.Name] = now // sent once, and again if that didn't help
 		return true
 	}
-	return len(b.News) == 0 && c.isStable(now)
+	return len(b.Updates) == 0 && c.isStable(now)
 }
 
 // isStable reports whether no update is in flight here: views that differ then will not converge by
@@ -338,16 +338,16 @@
 // views still differ, the next call to it carries the full view.
 //
 // Example: c.HandleResponse(addr, response, clock.Now())
-func (c *Core) HandleResponse(from string, b *wire.Beat, now time.Duration) {
+func (c *Core) HandleResponse(from string, b *wire.Heartbeat, now time.Duration) {
 	was := c.version
 	c.merge(b.GetFrom(), now, true)
-	for _, n := range b.GetNews() {
+	for _, n := range b.GetUpdates() {
 		c.merge(n, now, false)
 	}
 	if c.version != was {
 		c.checksum = c.computeChecksum()
 	}
-	if b.GetWhole() && b.Sum != c.checksum && len(c.sendFull) < 64 {
+	if b.GetFullView() && b.ViewChecksum != c.checksum && len(c.sendFull) < 64 {
 		c.sendFull[from] = true
 	}
 }
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -33,7 +33,7 @@
 func addr(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
 func (s *simulatedSite) add(i int, inc uint64) {
-	self := &wire.Node{Name: fmt.Sprintf("n-%d", i), Incarnation: inc, Role: "x", District: fmt.Sprint(i % 4), Addr: addr(i)}
+	self := &wire.Node{Name: fmt.Sprintf("n-%d", i), Incarnation: inc, Role: "x", Zone: fmt.Sprint(i % 4), Addr: addr(i)}
 	s.cores[addr(i)] = New(settings.Default(), self, []string{addr(0), addr(1), addr(2)})
 	delete(s.down, addr(i))
 }
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -22,7 +22,7 @@
 	clock    clock.Clock
 	bounds   settings.Bounds
 	log      hclog.Logger
-	client   func(addr string) wire.Roster
+	client   func(addr string) wire.Membership
 	view     atomic.Pointer[View]
 	onChange func(View)
 	left     bool // owned by the actor
@@ -72,8 +72,8 @@
 //
 // Example: m := clustermembership.Start(ctx, place, "runner", clock, log, client, nil)
 func Start(ctx context.Context, p settings.Place, role string, clk clock.Clock, log hclog.Logger,
-	call func(string) wire.Roster, hook func(View)) *Member {
-	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, District: p.Zone,
+	call func(string) wire.Membership, hook func(View)) *Member {
+	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, Zone: p.Zone,
 		Addr: p.AdvertisedAddr(), Operator: p.Operator}
 	p.Bounds = siteBounds(p)
 	m := &Member{actor: queue.NewActor(New(p.Bounds, self, p.Seeds), 256), clock: clk, bounds: p.Bounds, log: log, client: call, onChange: hook}
@@ -151,21 +151,21 @@
 func (m *Member) send(ctx context.Context, x OutgoingHeartbeat) {
 	ctx, end := context.WithTimeout(ctx, m.bounds.Leave(0.2))
 	defer end()
-	t, err := m.client(x.Address).Hear(ctx, x.Heartbeat)
+	t, err := m.client(x.Address).Exchange(ctx, x.Heartbeat)
 	if err != nil {
 		return // the observers judge by silence
 	}
 	m.actor.TrySend(func(c *Core) { c.HandleResponse(x.Address, t, m.clock.Now()); m.publish(c) })
 }
 
-// Hear serves the heartbeats of other nodes.
+// Exchange serves the heartbeats of other nodes.
 //
 // Example: srv := wire.NewRosterServer(m)
-func (m *Member) Hear(_ context.Context, b *wire.Beat) (*wire.Beat, error) {
-	var t *wire.Beat
+func (m *Member) Exchange(_ context.Context, b *wire.Heartbeat) (*wire.Heartbeat, error) {
+	var t *wire.Heartbeat
 	m.actor.Ask(func(c *Core) { t = c.HandleHeartbeat(b, m.clock.Now()); m.publish(c) })
 	if t == nil {
-		t = &wire.Beat{Epoch: 1}
+		t = &wire.Heartbeat{Format: 1}
 	}
 	return t, nil
 }
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -41,7 +41,7 @@
 	d.at[addr] = m
 }
 
-func (d *memberNetwork) call(addr string) wire.Roster {
+func (d *memberNetwork) call(addr string) wire.Membership {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m := d.at[addr]; m != nil {
@@ -52,7 +52,7 @@
 
 type unreachableMember struct{}
 
-func (unreachableMember) Hear(ctx context.Context, _ *wire.Beat) (*wire.Beat, error) {
+func (unreachableMember) Exchange(ctx context.Context, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -14,7 +14,7 @@
 	cfg := Config{Self: "a/0", DynamicMembership: true, HeartbeatTicks: 3, ElectionTicks: 9, MaxBatchBytes: 1 << 20, Rand: rand.New(rand.NewPCG(1, 1))}
 	c := New(cfg, BootstrapSnapshot("a/0", members), nil)
 	c.campaign(candidate)
-	c.Step(&wire.Message{To: "a/0", From: "b/0", Incarnation: "b/0", DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: true, Term: 1, About: "a/0"})
+	c.Step(&wire.Message{To: "a/0", From: "b/0", Incarnation: "b/0", DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: true, Term: 1, AboutIncarnation: "a/0"})
 	c.Ready()
 	if !c.Status().IsLeader {
 		t.Fatal("a isn't the leader")
@@ -39,7 +39,7 @@
 
 func appendResponseTo(request *wire.Message) *wire.Message {
 	return &wire.Message{To: request.From, From: request.To, Incarnation: request.To, DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_APPEND_RESPONSE,
-		Ok: true, Term: request.Term, Index: request.Index, About: request.Incarnation, SentTick: request.SentTick, AcceptsPieces: true}
+		Ok: true, Term: request.Term, Index: request.Index, AboutIncarnation: request.Incarnation, SentTick: request.SentTick, AcceptsChunks: true}
 }
 
 func contactAgeOf(t *testing.T, c *Core, peer string) int {
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -91,8 +91,8 @@
 			c.hardState = k.HardState
 		case *wire.Record_Entry:
 			c.appendEntry(k.Entry)
-		case *wire.Record_Cut:
-			c.truncate(k.Cut)
+		case *wire.Record_TruncateFrom:
+			c.truncate(k.TruncateFrom)
 		}
 	}
 	c.resetElectionTimer()
--- a/internal/control/consensus/incarnations.go
+++ b/internal/control/consensus/incarnations.go
@@ -38,7 +38,7 @@
 
 func (c *Core) requestState() {
 	c.forEachPeer(func(m string) {
-		c.send(&wire.Message{To: m, Kind: wire.MessageKind_STATE_REQUEST, About: c.hardState.Incarnation, Generation: c.generation})
+		c.send(&wire.Message{To: m, Kind: wire.MessageKind_STATE_REQUEST, AboutIncarnation: c.hardState.Incarnation, Generation: c.generation})
 	})
 }
 
@@ -46,7 +46,7 @@
 // once that member is known under the generation that it took, the whole state.
 func (c *Core) handleStateRequest(l *wire.Message) {
 	k := c.knownIncarnation(l.From)
-	r := &wire.Message{To: l.From, Kind: wire.MessageKind_STATE_RESPONSE, About: l.About, Generation: k.GetGeneration()}
+	r := &wire.Message{To: l.From, Kind: wire.MessageKind_STATE_RESPONSE, AboutIncarnation: l.AboutIncarnation, Generation: k.GetGeneration()}
 	if l.Generation > 0 && l.Generation > k.GetGeneration() {
 		c.recordIncarnation(l.From, l.Incarnation, l.Generation)
 		if c.role == leader {
@@ -65,7 +65,7 @@
 // handleStateResponse brings a blank member in. The others show whether its disk was lost or the shard
 // is new: founded peers with a log mean that there was a past.
 func (c *Core) handleStateResponse(l *wire.Message) {
-	if c.hardState.DiskState != wire.DiskState_DISK_BLANK || l.About != c.hardState.Incarnation {
+	if c.hardState.DiskState != wire.DiskState_DISK_BLANK || l.AboutIncarnation != c.hardState.Incarnation {
 		return
 	}
 	if c.generation == 0 {
--- a/internal/control/consensus/messages.go
+++ b/internal/control/consensus/messages.go
@@ -24,8 +24,8 @@
 		return // another incarnation has taken that name: this one counts no more
 	}
 	switch l.Kind {
-	case wire.MessageKind_VOTE_RESPONSE, wire.MessageKind_PRE_VOTE_RESPONSE, wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
-		if l.About != c.hardState.Incarnation {
+	case wire.MessageKind_VOTE_RESPONSE, wire.MessageKind_PRE_VOTE_RESPONSE, wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE:
+		if l.AboutIncarnation != c.hardState.Incarnation {
 			return // a response to another incarnation of this name
 		}
 	}
@@ -38,7 +38,7 @@
 			c.role = follower
 			c.resetElectionTimer()
 		}
-		c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_PRE_VOTE_RESPONSE, Ok: ok, Probe: l.Term, About: l.Incarnation})
+		c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_PRE_VOTE_RESPONSE, Ok: ok, Probe: l.Term, AboutIncarnation: l.Incarnation})
 		return
 	}
 	if l.Term > c.hardState.Term {
@@ -61,11 +61,11 @@
 		}
 	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST:
 		c.handleAppendRequest(l)
-	case wire.MessageKind_SNAPSHOT_PIECE_REQUEST:
+	case wire.MessageKind_SNAPSHOT_CHUNK_REQUEST:
 		c.handleChunkRequest(l)
 	case wire.MessageKind_APPEND_RESPONSE:
 		c.handleAppendResponse(l)
-	case wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
+	case wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE:
 		c.handleChunkResponse(l)
 	case wire.MessageKind_TRANSFER_LEADERSHIP:
 		if l.Term == c.hardState.Term && l.From == c.leader && c.role == follower && c.IsVoter(c.cfg.Self) {
@@ -93,12 +93,12 @@
 		}
 		c.resetElectionTimer()
 	}
-	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: ok, About: l.Incarnation})
+	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: ok, AboutIncarnation: l.Incarnation})
 }
 
 // sendAppendResponse answers a leader: ok says that this member holds the log up to index as it does.
 func (c *Core) sendAppendResponse(l *wire.Message, ok bool, index, probe uint64) {
-	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, About: l.Incarnation, AcceptsPieces: true, SentTick: l.SentTick})
+	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, AboutIncarnation: l.Incarnation, AcceptsChunks: true, SentTick: l.SentTick})
 }
 
 func (c *Core) handleAppendRequest(l *wire.Message) {
@@ -145,7 +145,7 @@
 		}
 		if ok {
 			c.truncate(e.Index)
-			c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: e.Index}})
+			c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_TruncateFrom{TruncateFrom: e.Index}})
 		}
 		c.appendEntry(e)
 		c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -137,7 +137,7 @@
 	s.messageIDs[encoding] = id
 	entry := messageEntry{Message: m, prints: fingerprintsOf(encode), to: slices.Index(slotNames[:], m.To)}
 	switch m.Kind {
-	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST, wire.MessageKind_TRANSFER_LEADERSHIP:
+	case wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_CHUNK_REQUEST, wire.MessageKind_TRANSFER_LEADERSHIP:
 		entry.fromLeader = true
 	case wire.MessageKind_VOTE_REQUEST:
 		entry.votesFor = m.From
@@ -252,7 +252,7 @@
 		return true
 	}
 	switch m.Kind {
-	case wire.MessageKind_VOTE_REQUEST, wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_PIECE_REQUEST:
+	case wire.MessageKind_VOTE_REQUEST, wire.MessageKind_APPEND_REQUEST, wire.MessageKind_SNAPSHOT_REQUEST, wire.MessageKind_SNAPSHOT_CHUNK_REQUEST:
 		return !s.lateRequests && m.Term < n.core.hardState.Term
 	}
 	return false
@@ -269,13 +269,13 @@
 	term := n.core.hardState.Term
 	switch m.Kind {
 	case wire.MessageKind_VOTE_RESPONSE:
-		return m.About != n.core.hardState.Incarnation || m.Term < term || m.Term == term && (n.core.role != candidate || !m.Ok)
+		return m.AboutIncarnation != n.core.hardState.Incarnation || m.Term < term || m.Term == term && (n.core.role != candidate || !m.Ok)
 	case wire.MessageKind_TRANSFER_LEADERSHIP:
 		return m.Term < term
 	case wire.MessageKind_STATE_RESPONSE:
-		return m.About != n.core.hardState.Incarnation || n.core.hardState.DiskState != wire.DiskState_DISK_BLANK
-	case wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_PIECE_RESPONSE:
-		return m.About != n.core.hardState.Incarnation || m.Term < term || m.Term == term && n.core.role != leader && n.core.role != candidate
+		return m.AboutIncarnation != n.core.hardState.Incarnation || n.core.hardState.DiskState != wire.DiskState_DISK_BLANK
+	case wire.MessageKind_APPEND_RESPONSE, wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE:
+		return m.AboutIncarnation != n.core.hardState.Incarnation || m.Term < term || m.Term == term && n.core.role != leader && n.core.role != candidate
 	}
 	return false
 }
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -110,7 +110,7 @@
 	}
 	switch {
 	case p.transfer != nil:
-		if m.Piece != nil && m.Piece.Offset == p.transfer.ackedOffset {
+		if m.Chunk != nil && m.Chunk.Offset == p.transfer.ackedOffset {
 			p.transfer.retryAt = c.ticks
 		}
 	case len(m.Entries) > 0 && m.Entries[0].Index == p.next:
@@ -150,7 +150,7 @@
 		return nil // removed, or a learner that isn't known any more: it asks again
 	}
 	if p.incarnation != l.Incarnation { // another disk: what the old one had acknowledged counts no more
-		*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, contactAge: c.requestAge(l), responded: true, acceptsChunks: l.AcceptsPieces}
+		*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, contactAge: c.requestAge(l), responded: true, acceptsChunks: l.AcceptsChunks}
 		c.replicate(l.From, true)
 		return nil
 	}
@@ -170,7 +170,7 @@
 	if p == nil {
 		return
 	}
-	p.acceptsChunks = l.AcceptsPieces
+	p.acceptsChunks = l.AcceptsChunks
 	if !l.Ok {
 		c.handleRejection(l, p)
 		return
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -22,12 +22,12 @@
 
 func (s *incomingSnapshot) matches(l *wire.Message) bool {
 	return s != nil && s.snapshot.Index == l.Snapshot.Index && s.snapshot.Term == l.Snapshot.Term &&
-		s.totalBytes == l.Piece.Total && s.checksum == l.Piece.StateChecksum
+		s.totalBytes == l.Chunk.Total && s.checksum == l.Chunk.StateChecksum
 }
 
 // handleChunkRequest adds a piece to what is held of its snapshot, and installs that once it is whole.
 func (c *Core) handleChunkRequest(l *wire.Message) {
-	if l.Snapshot == nil || l.Piece == nil || l.Piece.Total > maxSnapshotBytes {
+	if l.Snapshot == nil || l.Chunk == nil || l.Chunk.Total > maxSnapshotBytes {
 		return
 	}
 	if l.Term < c.hardState.Term {
@@ -44,20 +44,20 @@
 		if c.incoming != nil && c.incoming.leaderTerm == l.Term && c.incoming.snapshot.Index >= l.Snapshot.Index {
 			return // late, of a transfer that this leader has given up
 		}
-		c.incoming = &incomingSnapshot{snapshot: l.Snapshot, totalBytes: l.Piece.Total, checksum: l.Piece.StateChecksum}
+		c.incoming = &incomingSnapshot{snapshot: l.Snapshot, totalBytes: l.Chunk.Total, checksum: l.Chunk.StateChecksum}
 	}
 	c.incoming.leaderTerm = l.Term
-	c.incoming.addChunk(l.Piece)
+	c.incoming.addChunk(l.Chunk)
 	if c.incoming.isComplete() && c.installIncoming() {
 		c.sendAppendResponse(l, true, l.Snapshot.Index, l.Probe)
 		return
 	}
-	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_SNAPSHOT_PIECE_RESPONSE, Index: l.Snapshot.Index, LogTerm: l.Snapshot.Term, Probe: l.Probe, About: l.Incarnation, SentTick: l.SentTick,
-		Piece: &wire.SnapshotPiece{Offset: uint64(len(c.incoming.received)), Total: l.Piece.Total, StateChecksum: l.Piece.StateChecksum}})
+	c.send(&wire.Message{To: l.From, Kind: wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE, Index: l.Snapshot.Index, LogTerm: l.Snapshot.Term, Probe: l.Probe, AboutIncarnation: l.Incarnation, SentTick: l.SentTick,
+		Chunk: &wire.SnapshotChunk{Offset: uint64(len(c.incoming.received)), Total: l.Chunk.Total, StateChecksum: l.Chunk.StateChecksum}})
 }
 
 // addChunk takes a piece that continues what is held. Any other is a duplicate, or one was lost before it.
-func (s *incomingSnapshot) addChunk(piece *wire.SnapshotPiece) {
+func (s *incomingSnapshot) addChunk(piece *wire.SnapshotChunk) {
 	held := uint64(len(s.received))
 	if piece.Offset != held || held+uint64(len(piece.Data)) > s.totalBytes || crc32.Checksum(piece.Data, castagnoliTable) != piece.Checksum {
 		return
--- a/internal/control/consensus/snapshot_receive_test.go
+++ b/internal/control/consensus/snapshot_receive_test.go
@@ -12,9 +12,9 @@
 
 // newChunkRequest is a leader's message with a range of a state.
 func newChunkRequest(state []byte, index uint64, from, to int) *wire.Message {
-	return &wire.Message{From: "b", To: "a", Incarnation: "b", Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Term: 7,
+	return &wire.Message{From: "b", To: "a", Incarnation: "b", Kind: wire.MessageKind_SNAPSHOT_CHUNK_REQUEST, Term: 7,
 		Snapshot: &wire.Snapshot{Format: 1, Index: index, Term: 6, Members: []string{"a", "b", "c"}},
-		Piece: &wire.SnapshotPiece{Offset: uint64(from), Total: uint64(len(state)), Data: state[from:to], Checksum: crc32.Checksum(state[from:to], castagnoliTable),
+		Chunk: &wire.SnapshotChunk{Offset: uint64(from), Total: uint64(len(state)), Data: state[from:to], Checksum: crc32.Checksum(state[from:to], castagnoliTable),
 			StateChecksum: crc32.Checksum(state, castagnoliTable)}}
 }
 
@@ -24,8 +24,8 @@
 	c.Step(m)
 	o := c.Ready()
 	for _, r := range o.Messages {
-		if r.Kind == wire.MessageKind_SNAPSHOT_PIECE_RESPONSE {
-			offset = r.Piece.Offset
+		if r.Kind == wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE {
+			offset = r.Chunk.Offset
 		}
 	}
 	return offset, o.Snapshot
@@ -36,7 +36,7 @@
 	n := newLinkNetwork(t, 1, 0)
 	c, state := n.cores["a"], randomBody(n.random, 3000)
 	damaged := newChunkRequest(state, 9, 0, 1000)
-	damaged.Piece.Data = append([]byte{^state[0]}, state[1:1000]...)
+	damaged.Chunk.Data = append([]byte{^state[0]}, state[1:1000]...)
 	for i, step := range []struct {
 		m    *wire.Message
 		held uint64
@@ -71,7 +71,7 @@
 	clear(torn[1000:])
 	receivedAfter(t, c, newChunkRequest(state, 9, 0, 1000))
 	last := newChunkRequest(torn, 9, 1000, 2000)
-	last.Piece.StateChecksum = crc32.Checksum(state, castagnoliTable)
+	last.Chunk.StateChecksum = crc32.Checksum(state, castagnoliTable)
 	if held, installed := receivedAfter(t, c, last); held != 0 || installed != nil {
 		t.Fatalf("holds %d, installed %v", held, installed)
 	}
--- a/internal/control/consensus/snapshot_transfer.go
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -114,26 +114,26 @@
 func (c *Core) sendChunk(m string, t *outgoingTransfer, size int) {
 	end := min(t.ackedOffset+uint64(size), uint64(len(t.state)))
 	data := t.state[t.ackedOffset:end:end]
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_PIECE_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick(),
-		Piece: &wire.SnapshotPiece{Offset: t.ackedOffset, Total: uint64(len(t.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: t.checksum}})
+	c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_CHUNK_REQUEST, Snapshot: t.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick(),
+		Chunk: &wire.SnapshotChunk{Offset: t.ackedOffset, Total: uint64(len(t.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: t.checksum}})
 }
 
 // handleChunkResponse goes on behind what a follower says that it holds.
 func (c *Core) handleChunkResponse(l *wire.Message) {
 	p := c.recordResponse(l)
-	if p == nil || p.transfer == nil || l.Piece == nil {
+	if p == nil || p.transfer == nil || l.Chunk == nil {
 		return
 	}
 	t := p.transfer
-	if l.Index != t.snapshot.Index || l.LogTerm != t.snapshot.Term || l.Piece.StateChecksum != t.checksum || l.Piece.Offset > uint64(len(t.state)) {
+	if l.Index != t.snapshot.Index || l.LogTerm != t.snapshot.Term || l.Chunk.StateChecksum != t.checksum || l.Chunk.Offset > uint64(len(t.state)) {
 		return // of another snapshot
 	}
-	if p.inFlight && l.Piece.Offset == t.ackedOffset {
+	if p.inFlight && l.Chunk.Offset == t.ackedOffset {
 		return // the piece is still on its way
 	}
-	if p.inFlight && l.Piece.Offset > t.ackedOffset && c.ticks-t.sentAt <= c.cfg.HeartbeatTicks {
+	if p.inFlight && l.Chunk.Offset > t.ackedOffset && c.ticks-t.sentAt <= c.cfg.HeartbeatTicks {
 		t.chunkBytes = min(2*t.chunkBytes, c.cfg.MaxBatchBytes)
 	}
-	t.ackedOffset = l.Piece.Offset
+	t.ackedOffset = l.Chunk.Offset
 	c.sendNextChunk(l.From, p)
 }
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -74,7 +74,7 @@
 }
 
 func payloadBytes(m *wire.Message) int {
-	size := len(m.GetSnapshot().GetState()) + len(m.GetPiece().GetData())
+	size := len(m.GetSnapshot().GetState()) + len(m.GetChunk().GetData())
 	for _, e := range m.Entries {
 		size += len(e.Body)
 	}
@@ -119,14 +119,14 @@
 	if n.random.Float64() < n.lossProbability {
 		return
 	}
-	if m.To == n.olderRelease && m.Piece != nil {
+	if m.To == n.olderRelease && m.Chunk != nil {
 		n.unknownChunks++
 	}
 	if m.Snapshot != nil {
 		n.recorded = append(n.recorded, m)
 	}
 	if m.From == n.olderRelease {
-		m.AcceptsPieces = false
+		m.AcceptsChunks = false
 	}
 	at, size := n.tick, payloadBytes(m)
 	if m.To == n.slowPeer {
@@ -334,14 +334,14 @@
 		in := n.cores[lagging].incoming
 		return in != nil && len(in.received) > size/2
 	})
-	before := n.bytesSent[wire.MessageKind_SNAPSHOT_PIECE_REQUEST]
+	before := n.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST]
 	n.cores[first].TransferLeadership()
 	n.drive(first)
 	n.runUntil("it catches up", 300, func() bool { return bytes.Equal(n.states[lagging], n.acknowledged) })
 	if now := n.leader().cfg.Self; now != second {
 		t.Fatalf("%s leads, not %s", now, second)
 	}
-	if again := n.bytesSent[wire.MessageKind_SNAPSHOT_PIECE_REQUEST] - before; again > size*3/4 {
+	if again := n.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST] - before; again > size*3/4 {
 		t.Errorf("%d bytes were sent after the change of leader: it began anew", again)
 	}
 }
@@ -393,7 +393,7 @@
 	}
 	n.drive(n.leader().cfg.Self)
 	took := n.runUntil("the snapshot arrives", 3*size/n.bytesPerTick, func() bool { return bytes.Equal(n.states["d"], n.acknowledged) })
-	if sent := n.bytesSent[wire.MessageKind_SNAPSHOT_PIECE_REQUEST]; sent > size+size/10 {
+	if sent := n.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST]; sent > size+size/10 {
 		t.Errorf("%d bytes were sent of a state of %d", sent, size)
 	}
 	t.Logf("%d ticks, %v bytes sent", took, n.bytesSent)
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -65,7 +65,7 @@
 
 // tryMembers asks a shard's members in turn, whom one names as the leader right after it, until done
 // says so or the time is over. size is that of the request's body.
-func (c *Client) tryMembers(ctx context.Context, shard uint32, size int, try func(context.Context, wire.Archive) attemptResult) bool {
+func (c *Client) tryMembers(ctx context.Context, shard uint32, size int, try func(context.Context, wire.ControlNode) attemptResult) bool {
 	// The whole time bounds when an attempt may begin; one that has begun has its own, so that the
 	// end of the whole doesn't leave an answer unheard.
 	if c.group != nil {
@@ -112,7 +112,7 @@
 	put := a.Command.GetPut()
 	once := put != nil && put.Token == "" && put.AnyVersion
 	guarded := put != nil && put.Token == "" && !put.AnyVersion
-	c.tryMembers(ctx, a.Shard, len(put.GetBody()), func(ctx context.Context, n wire.Archive) attemptResult {
+	c.tryMembers(ctx, a.Shard, len(put.GetBody()), func(ctx context.Context, n wire.ControlNode) attemptResult {
 		t, err := n.Change(ctx, a)
 		if err != nil || t.Outcome == wire.OutcomeUnknown {
 			// A refused connection proves that it never began; anything else doesn't.
@@ -155,7 +155,7 @@
 // Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.ConfigKey})
 func (c *Client) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
 	var got *wire.ReadResponse
-	c.tryMembers(ctx, a.Shard, 0, func(ctx context.Context, n wire.Archive) attemptResult {
+	c.tryMembers(ctx, a.Shard, 0, func(ctx context.Context, n wire.ControlNode) attemptResult {
 		t, err := n.Read(ctx, a)
 		if err != nil || t.Outcome != wire.OutcomeDone {
 			return attemptResult{responded: err == nil, leader: t.GetLeader()}
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -18,7 +18,7 @@
 // scriptedMember is a core machine that answers a change by a script, one word a question; the
 // last word goes on.
 type scriptedMember struct {
-	wire.Archive
+	wire.ControlNode
 	script []string
 	asked  int
 }
@@ -39,7 +39,7 @@
 	t.Helper()
 	var v clustermembership.View
 	for n, m := range ms {
-		s := httptest.NewServer(wire.NewArchiveServer(m))
+		s := httptest.NewServer(wire.NewControlNodeServer(m))
 		t.Cleanup(s.Close)
 		v.Nodes = append(v.Nodes, &wire.Node{Name: "archive/" + n, Addr: s.Listener.Addr().String()})
 	}
--- a/internal/control/controlclient/cut_off_test.go
+++ b/internal/control/controlclient/cut_off_test.go
@@ -19,7 +19,7 @@
 
 // silenceableMember is a member that answers, or that is cut off and says nothing until its caller gives up.
 type silenceableMember struct {
-	wire.Archive
+	wire.ControlNode
 	name string
 	all  *testGroup
 }
@@ -53,7 +53,7 @@
 	l := &testGroup{silent: map[string]bool{}, addr: map[string]string{}}
 	var seeds []string
 	for _, n := range names {
-		s := httptest.NewServer(wire.NewArchiveServer(&silenceableMember{name: n, all: l}))
+		s := httptest.NewServer(wire.NewControlNodeServer(&silenceableMember{name: n, all: l}))
 		t.Cleanup(s.Close)
 		l.addr[n] = s.Listener.Addr().String()
 		seeds = append(seeds, l.addr[n])
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -183,7 +183,7 @@
 // tryGroup asks the addresses in turn, whom one names as the leader right after it, until done
 // says so, the time is over, or a whole round shows that the leader can't be reached from here: then
 // the caller hears so while it can still ask elsewhere. size is that of the request's body.
-func (c *Client) tryGroup(caller context.Context, size int, try func(context.Context, wire.Archive) attemptResult) bool {
+func (c *Client) tryGroup(caller context.Context, size int, try func(context.Context, wire.ControlNode) attemptResult) bool {
 	ctx, end := context.WithTimeout(caller, c.bounds.Heal(0.5))
 	defer end()
 	for ctx.Err() == nil {
@@ -199,7 +199,7 @@
 }
 
 // tryEachAddress asks each address once.
-func (c *Client) tryEachAddress(ctx, caller context.Context, size int, try func(context.Context, wire.Archive) attemptResult) bool {
+func (c *Client) tryEachAddress(ctx, caller context.Context, size int, try func(context.Context, wire.ControlNode) attemptResult) bool {
 	todo, asked := c.Addresses(), map[string]bool{}
 	whole, unreachable := c.attemptTimeout(size), c.group.leaderUnreachable(todo)
 	least := time.Duration(float64(whole) * shortAttemptRatio)
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -17,7 +17,7 @@
 
 // groupMember is one core machine of a group, which may know who leads it.
 type groupMember struct {
-	wire.Archive
+	wire.ControlNode
 	mu     *sync.Mutex // of all seats and the name
 	leader func() string
 	leads  bool
@@ -43,7 +43,7 @@
 	s := [4]*groupMember{}
 	for i := range s {
 		s[i] = &groupMember{mu: &mu, leader: func() string { return name }}
-		x := httptest.NewServer(wire.NewArchiveServer(s[i]))
+		x := httptest.NewServer(wire.NewControlNodeServer(s[i]))
 		defer x.Close()
 		addr[i] = x.Listener.Addr().String()
 	}
--- a/internal/control/controllers/lease.go
+++ b/internal/control/controllers/lease.go
@@ -168,7 +168,7 @@
 		return nil
 	}
 	grant := l.lease.GrantRequest()
-	grant.GiveUp = true
+	grant.Release = true
 	// From here on the lease isn't held on this machine, whatever the response will be.
 	l.lease.HandleResponse(0, &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: grant.IfFence})
 	_, err := l.requestGrant(ctx, grant)
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -95,11 +95,11 @@
 	}
 	ttl := time.Duration(l.TtlNs)
 	free := l.Holder == "" || l.Holder == g.Holder || now-s.grantedAt > ttl+ttl/8
-	if g.IfFence != l.Fence || !free || g.GiveUp && l.Holder != g.Holder {
+	if g.IfFence != l.Fence || !free || g.Release && l.Holder != g.Holder {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.Fence, Leader: l.Holder}
 	}
 	n := &wire.Lease{Name: g.Lease, Holder: g.Holder, Fence: l.Fence, TtlNs: g.TtlNs}
-	if g.GiveUp {
+	if g.Release {
 		if s.inFlight[g.Holder] > 0 {
 			s.t.Errorf("%s gives the lease back while its order is under way", g.Holder)
 		}
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -28,7 +28,7 @@
 const linkSpan = 1000 * time.Second
 
 // HotEntriesFunc asks the prompt index for a service's hot entries.
-type HotEntriesFunc func(ctx context.Context, service string) []*wire.Hot
+type HotEntriesFunc func(ctx context.Context, service string) []*wire.HotPrefix
 
 // servicePlacement is the placement of one service.
 type servicePlacement struct {
@@ -59,7 +59,7 @@
 
 // updatePlacement computes one service's placement and queues it for writing if it changed. It runs on
 // the actor's goroutine.
-func (s *session) updatePlacement(service routingconfig.Service, hot []*wire.Hot) {
+func (s *session) updatePlacement(service routingconfig.Service, hot []*wire.HotPrefix) {
 	if len(hot) == 0 {
 		return // no index node answers, or there was no request yet
 	}
@@ -80,7 +80,7 @@
 
 // nextPlacement computes the next placement, and whether the change is worth publishing. In between full
 // computations it only swaps entries in.
-func nextPlacement(p *servicePlacement, service routingconfig.Service, hot []*wire.Hot, workers []string,
+func nextPlacement(p *servicePlacement, service routingconfig.Service, hot []*wire.HotPrefix, workers []string,
 	now, recomputeInterval time.Duration) (*placement.Placement, bool) {
 	old := p.desired
 	if old != nil && p.recomputedAt > 0 && now-p.recomputedAt < recomputeInterval && slices.Equal(workers, old.Workers) {
@@ -103,7 +103,7 @@
 
 // placementInputs are the inputs of the placement. The bandwidth is that of the engine's own link, which
 // the routing configuration gives.
-func placementInputs(service routingconfig.Service, hot []*wire.Hot, workers []string) placementcontroller.Inputs {
+func placementInputs(service routingconfig.Service, hot []*wire.HotPrefix, workers []string) placementcontroller.Inputs {
 	inputs := placementcontroller.Inputs{
 		Service:        service.Name,
 		Mode:           placement.ModeHRCS,
@@ -115,7 +115,7 @@
 	}
 	if service.Engine.LinkMbps > 0 && service.Engine.TokenBytes > 0 {
 		tokensPerSecond := service.Engine.LinkMbps * 1e6 / 8 / float64(service.Engine.TokenBytes)
-		inputs.Links = []*wire.LinkSeen{{Class: "plan", Tokens: tokensPerSecond * linkSpan.Seconds(), Ns: float64(linkSpan)}}
+		inputs.Links = []*wire.LinkThroughput{{Class: "plan", Tokens: tokensPerSecond * linkSpan.Seconds(), ElapsedNs: float64(linkSpan)}}
 	}
 	return inputs
 }
--- a/internal/control/controllers/placement_test.go
+++ b/internal/control/controllers/placement_test.go
@@ -17,9 +17,9 @@
 }
 
 // head gives n entries whose hotness falls from f by one each.
-func head(n int, f float64) (l []*wire.Hot) {
+func head(n int, f float64) (l []*wire.HotPrefix) {
 	for i := range n {
-		l = append(l, &wire.Hot{Key: fmt.Appendf(nil, "k%02d", i), Hotness: f - float64(i), Tokens: 1000, Head: i < n/2})
+		l = append(l, &wire.HotPrefix{Key: fmt.Appendf(nil, "k%02d", i), Hotness: f - float64(i), Tokens: 1000, Head: i < n/2})
 	}
 	return l
 }
@@ -46,10 +46,10 @@
 		t.Fatal("the first isn't reported")
 	}
 	old.Cordoned = []string{"2"}
-	burst := append(head(20, 30), &wire.Hot{Key: []byte("new"), Hotness: 90, Tokens: 1000})
+	burst := append(head(20, 30), &wire.HotPrefix{Key: []byte("new"), Hotness: 90, Tokens: 1000})
 	for _, c := range []struct {
 		name    string
-		hot     []*wire.Hot
+		hot     []*wire.HotPrefix
 		workers []string
 		after   time.Duration
 		changed bool
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -40,8 +40,8 @@
 	}
 	clients := daemon.NewClients(process)
 	mux := http.NewServeMux()
-	mux.Handle(wire.RosterPathPrefix, member.Handler())
-	mux.Handle(wire.CataloguePathPrefix, index.Handler())
+	mux.Handle(wire.MembershipPathPrefix, member.Handler())
+	mux.Handle(wire.PromptIndexPathPrefix, index.Handler())
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
@@ -54,23 +54,23 @@
 
 // queryIndexNodes returns a function that asks all serving index nodes at once, within one short
 // timeout. Two nodes hold each entry: the higher count is used.
-func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.Catalogue) HotEntriesFunc {
-	return func(ctx context.Context, service string) []*wire.Hot {
+func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.PromptIndex) HotEntriesFunc {
+	return func(ctx context.Context, service string) []*wire.HotPrefix {
 		ctx, cancel := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotEntriesTimeoutRatio))
 		defer cancel()
 		nodes := promptindex.ServingNodes(view().Nodes)
-		responses := make(chan *wire.HotTell, len(nodes))
+		responses := make(chan *wire.HottestResponse, len(nodes))
 		var wg sync.WaitGroup
 		for _, n := range nodes {
 			wg.Go(func() {
-				if response, err := node(n.Addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: hotEntriesLimit}); err == nil {
+				if response, err := node(n.Addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: hotEntriesLimit}); err == nil {
 					responses <- response
 				}
 			})
 		}
 		wg.Wait()
 		close(responses)
-		var all []*wire.HotTell
+		var all []*wire.HottestResponse
 		for response := range responses {
 			all = append(all, response)
 		}
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -16,11 +16,11 @@
 
 // indexNode is an index node; without entries a silent one.
 type indexNode struct {
-	wire.Catalogue
-	hot []*wire.Hot
+	wire.PromptIndex
+	hot []*wire.HotPrefix
 }
 
-func (n indexNode) Hottest(ctx context.Context, a *wire.HotAsk) (*wire.HotTell, error) {
+func (n indexNode) Hottest(ctx context.Context, a *wire.HottestRequest) (*wire.HottestResponse, error) {
 	if n.hot == nil {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
@@ -28,7 +28,7 @@
 	if a.Service != "reading" {
 		return nil, errors.New("another service")
 	}
-	return &wire.HotTell{Hot: n.hot}, nil
+	return &wire.HottestResponse{Prefixes: n.hot}, nil
 }
 
 // Two index nodes hold each entry, and the higher count is taken; a silent node holds up nobody
@@ -37,17 +37,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
 		nodes := map[string]indexNode{
-			"a": {hot: []*wire.Hot{{Key: []byte("x"), Hotness: 3}, {Key: []byte("y"), Hotness: 1}}},
-			"b": {hot: []*wire.Hot{{Key: []byte("x"), Hotness: 5}, {Key: []byte("z"), Hotness: 2}}},
+			"a": {hot: []*wire.HotPrefix{{Key: []byte("x"), Hotness: 3}, {Key: []byte("y"), Hotness: 1}}},
+			"b": {hot: []*wire.HotPrefix{{Key: []byte("x"), Hotness: 5}, {Key: []byte("z"), Hotness: 2}}},
 			"c": {},
 		}
 		var v clustermembership.View
 		for _, n := range []string{"a", "b", "c"} {
-			v.Nodes = append(v.Nodes, &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex, Addr: n, District: n})
+			v.Nodes = append(v.Nodes, &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex, Addr: n, Zone: n})
 		}
 		ask := func(v clustermembership.View) map[string]float64 {
 			m := map[string]float64{}
-			for _, h := range queryIndexNodes(l, func() clustermembership.View { return v }, func(a string) wire.Catalogue { return nodes[a] })(t.Context(), "reading") {
+			for _, h := range queryIndexNodes(l, func() clustermembership.View { return v }, func(a string) wire.PromptIndex { return nodes[a] })(t.Context(), "reading") {
 				m[string(h.Key)] = h.Hotness
 			}
 			return m
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -114,8 +114,8 @@
 	s.processes[name] = l
 	s.mu.Unlock()
 	me := &machine{s, name}
-	return Start(l, me, me, s.snapshot, s.view, func(context.Context, string) []*wire.Hot {
-		return []*wire.Hot{{Key: []byte("k1"), Hotness: 9, Tokens: 300, Holders: 1}, {Key: []byte("k2"), Hotness: 5, Tokens: 300}}
+	return Start(l, me, me, s.snapshot, s.view, func(context.Context, string) []*wire.HotPrefix {
+		return []*wire.HotPrefix{{Key: []byte("k1"), Hotness: 9, Tokens: 300, Holders: 1}, {Key: []byte("k2"), Hotness: 5, Tokens: 300}}
 	})
 }
 
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -187,7 +187,7 @@
 		return
 	}
 	q := catchUpMessage{deliverAt: w.now + linkDelay, receiverStarts: receiver.starts, message: m}
-	if size := payloadBytes(m); len(m.GetPiece().GetData()) > 0 || size >= largeMessageBytes {
+	if size := payloadBytes(m); len(m.GetChunk().GetData()) > 0 || size >= largeMessageBytes {
 		l := w.links[from+">"+to]
 		if l == nil {
 			l = &simLink{}
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -182,8 +182,8 @@
 	if grant := command.GetGrant(); grant != nil {
 		return p.prepareGrant(grant)
 	}
-	if c := command.GetClaims(); c != nil && len(c.List) > 0 && len(c.List) <= 1024 {
-		c.PassedNs, c.KeepNs = uint64(p.elapsedInTerm(p.core.Status().Term)), uint64(p.claimRetention)
+	if c := command.GetClaims(); c != nil && len(c.Claims) > 0 && len(c.Claims) <= 1024 {
+		c.ElapsedNs, c.RetentionNs = uint64(p.elapsedInTerm(p.core.Status().Term)), uint64(p.claimRetention)
 		return nil
 	}
 	put := command.GetPut()
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -90,7 +90,7 @@
 }
 
 // contestedNode is a control node where every change loses to another one.
-type contestedNode struct{ wire.Archive }
+type contestedNode struct{ wire.ControlNode }
 
 func (contestedNode) Read(ctx context.Context, _ *wire.ReadRequest) (*wire.ReadResponse, error) {
 	clock.Sleep(ctx, 50*time.Millisecond)
@@ -117,7 +117,7 @@
 		w.testCluster.mu.Lock()
 		w.listeners[w.addr(10)] = door
 		w.testCluster.mu.Unlock()
-		server := &http.Server{Handler: wire.NewArchiveServer(contestedNode{})}
+		server := &http.Server{Handler: wire.NewControlNodeServer(contestedNode{})}
 		go func() { _ = server.Serve(door) }()
 		defer server.Close()
 		n.controlClient.HintLeader(w.addr(10))
@@ -138,7 +138,7 @@
 		}
 		defer w.healAndStop()
 		w.waitUntil("a leader", 5*time.Second, func() bool { return len(w.members()) == 3 })
-		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, Proof: routingconfig.DocumentKey}
+		ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, ProofKey: routingconfig.DocumentKey}
 		w.waitUntil("a learner that is fed", 5*time.Second, func() bool {
 			x, _ := w.node(4).Follow(context.Background(), ask)
 			if x.NothingNewer {
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -113,7 +113,7 @@
 		e.mu.Lock()
 		have, asked := e.version, w.elapsed()
 		e.mu.Unlock()
-		x, err := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, HoldNs: uint64(300 * time.Millisecond), Proof: routingconfig.DocumentKey})
+		x, err := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.DocumentKey})
 		if err != nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -95,7 +95,7 @@
 	}
 	over := p.published.longPolls.Add(1) > maxLongPolls
 	defer p.published.longPolls.Add(-1)
-	hold := time.Duration(min(a.HoldNs, uint64(time.Minute)))
+	hold := time.Duration(min(a.MaxWaitNs, uint64(time.Minute)))
 	end := time.NewTimer(hold)
 	defer end.Stop()
 	draining := n.process.Draining
@@ -121,16 +121,16 @@
 // vote, of its own disk alone: agent.FreshnessProof says what a majority of such words proves.
 func (g *publishedView) followResponse(a *wire.FollowRequest) *wire.FollowResponse {
 	t := &wire.FollowResponse{Member: g.self, Members: g.members, MembersTerm: g.term, MembersIndex: g.index, Leader: g.leader}
-	have := make(map[string]uint64, len(a.Have))
-	for _, h := range a.Have {
+	have := make(map[string]uint64, len(a.Known))
+	for _, h := range a.Known {
 		have[h.Key] = h.Version
 	}
-	known := have[a.Proof]
+	known := have[a.ProofKey]
 	docs := g.documents
-	if a.Packed {
+	if a.AcceptsCompressed {
 		docs = g.packedDocuments
 	}
-	for _, h := range a.Have {
+	for _, h := range a.Known {
 		if strings.HasSuffix(h.Key, "/") {
 			for k, d := range docs {
 				if _, listed := have[k]; !listed && strings.HasPrefix(k, h.Key) {
@@ -139,12 +139,12 @@
 			}
 		} else if d := docs[h.Key]; d.GetVersion() > h.Version {
 			t.Documents = append(t.Documents, d)
-			if h.Key == a.Proof {
+			if h.Key == a.ProofKey {
 				known = d.Version
 			}
 		}
 	}
-	t.NothingNewer = a.Proof != "" && g.isVoter && g.documents[a.Proof].GetVersion() <= known && g.unappliedVersions[a.Proof] <= known && g.unappliedVersions[""] == 0
+	t.NothingNewer = a.ProofKey != "" && g.isVoter && g.documents[a.ProofKey].GetVersion() <= known && g.unappliedVersions[a.ProofKey] <= known && g.unappliedVersions[""] == 0
 	return t
 }
 
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -160,8 +160,8 @@
 	n.shards[0], n.incarnation = p, p.published.current().self
 	l.Go(func() { p.run(tick) })
 	mux := http.NewServeMux()
-	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(n))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.membership))
+	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(n))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(n.membership))
 	// The door is closed first: what came in by it is finished while peers still get through.
 	for _, x := range []struct {
 		addr string
@@ -192,7 +192,7 @@
 func (n *Node) zoneOf(addr string) string {
 	for _, x := range n.membership.View().WithRole("archive") {
 		if x.Addr == addr {
-			return x.District
+			return x.Zone
 		}
 	}
 	return ""
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("the operator waited %v", d)
 		}
 		at = time.Now()
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
+		x, _ := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 1}}, MaxWaitNs: 3e8, ProofKey: routingconfig.DocumentKey})
 		if d := time.Since(at); d != 300*time.Millisecond || len(x.Documents) > 0 {
 			t.Errorf("after %v: %v", d, x)
 		}
@@ -89,7 +89,7 @@
 				return false
 			})
 		}
-		x, _ := n.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, HoldNs: 3e8, Proof: routingconfig.DocumentKey})
+		x, _ := n.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 9}}, MaxWaitNs: 3e8, ProofKey: routingconfig.DocumentKey})
 		if x.NothingNewer || n.shards[0].published.current().isVoter {
 			t.Errorf("a member that is out vouches: %v", x)
 		}
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -51,7 +51,7 @@
 		t.Log("an leader after", d)
 		a, b, spare := g.nodes[g.addr(1)], g.nodes[g.addr(2)], g.nodes[g.addr(4)]
 		held := make(chan *wire.FollowResponse)
-		ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, HoldNs: uint64(10 * time.Second), Proof: routingconfig.DocumentKey}
+		ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, MaxWaitNs: uint64(10 * time.Second), ProofKey: routingconfig.DocumentKey}
 		go func() { x, _ := b.Follow(ctx, ask); held <- x }()
 		putPlan := func(i int, n *Node) {
 			if v, err := n.PutRoutingConfig(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || v != uint64(i*2+2) {
@@ -95,20 +95,20 @@
 		}
 		g.waitUntil("weights at the spare", 3*time.Second, func() bool {
 			w := fleet.Weights{}
-			x, _ := spare.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
+			x, _ := spare.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
 			return len(x.Documents) == 1 && json.Unmarshal(x.Documents[0].Body, &w) == nil && w.Named["m"] == 3 && w.Named["o"] == 1 && !x.NothingNewer
 		})
 		put := &wire.Put{Key: fleet.PlacementKey + "s", Body: []byte("{}"), AnyVersion: true, Token: "p1"}
 		if _, err := spare.controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
 			t.Error(err)
 		}
-		x, _ := a.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, HoldNs: 1e9, Proof: routingconfig.DocumentKey})
+		x, _ := a.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, MaxWaitNs: 1e9, ProofKey: routingconfig.DocumentKey})
 		if len(x.Documents) != 1 || x.Documents[0].Key != fleet.PlacementKey+"s" || !x.NothingNewer || x.Member != g.addr(1)+"/0" {
 			t.Errorf("a placement is told: %v", x)
 		}
 		at := time.Now()
-		x, _ = a.Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
-			HoldNs: 5e8, Proof: routingconfig.DocumentKey})
+		x, _ = a.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
+			MaxWaitNs: 5e8, ProofKey: routingconfig.DocumentKey})
 		if d := time.Since(at); d != 500*time.Millisecond || len(x.Documents) > 0 || !x.NothingNewer {
 			t.Errorf("no news: after %v %v", d, x)
 		}
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -13,7 +13,7 @@
 		return func() (v float64) {
 			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
 			defer end()
-			t, err := n.Stand(ctx, &wire.StatusRequest{})
+			t, err := n.Status(ctx, &wire.StatusRequest{})
 			if err != nil {
 				return -1
 			}
@@ -36,7 +36,7 @@
 	}))
 	m.Gauge("pebbleloom_state_bytes", "bytes of state kept", sum(func(p *wire.ShardStatus) float64 { return float64(p.StateBytes) }))
 	m.Gauge("pebbleloom_log_bytes", "bytes of the logs in force", sum(func(p *wire.ShardStatus) float64 { return float64(p.LogBytes) }))
-	m.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(p *wire.ShardStatus) float64 { return float64(p.Last - p.Applied) }))
+	m.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(p *wire.ShardStatus) float64 { return float64(p.LastIndex - p.AppliedIndex) }))
 }
 
 // registerGroupMetrics shows the status of this member in a group whose membership is agreed data.
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -73,8 +73,8 @@
 		l.Go(func() { p.run(tick) })
 	}
 	mux := http.NewServeMux()
-	mux.Handle(wire.ArchivePathPrefix, wire.NewArchiveServer(n))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(n.membership))
+	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(n))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(n.membership))
 	if err := l.Serve(l.Place.Listen, mux); err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 				continue
 			}
 			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
-			_, err := n.clients.ControlNode(addr).Post(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
+			_, err := n.clients.ControlNode(addr).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
 			end()
 			if err != nil {
 				n.process.Log.Debug("messages lost", "to", to, "messages", len(ls), "error", err)
@@ -153,10 +153,10 @@
 	}
 }
 
-// Post takes messages from a peer.
+// Deliver takes messages from a peer.
 //
 // Example: receipt, err := wire.NewArchiveProtobufClient(url, h).Post(ctx, batch)
-func (n *Node) Post(_ context.Context, p *wire.MessageBatch) (*wire.BatchReceipt, error) {
+func (n *Node) Deliver(_ context.Context, p *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	if p.Format != 1 {
 		return nil, twirp.InvalidArgumentError("epoch", "this node reads format 1: bring both programs to one release")
 	}
@@ -215,10 +215,10 @@
 	return &wire.TimeResponse{WallNs: n.process.Wall().UnixNano()}, nil
 }
 
-// Stand gives the status of this node's member in each of its shards.
+// Status gives the status of this node's member in each of its shards.
 //
 // Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
-func (n *Node) Stand(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
+func (n *Node) Status(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	t := &wire.StatusResponse{Incarnation: n.incarnation}
 	for i := range uint32(controlclient.ShardCount) {
 		p := n.shards[i]
@@ -231,8 +231,8 @@
 		x := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		t.Shards = append(t.Shards, query(ctx, p, x, func() *wire.ShardStatus {
 			s := p.core.Status()
-			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, Applied: s.Applied,
-				Last: s.LastIndex, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.LogBytes())}
+			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, AppliedIndex: s.Applied,
+				LastIndex: s.LastIndex, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.LogBytes())}
 			if p.failure != nil {
 				y.Failure = errs.Text(p.failure)
 			}
@@ -242,12 +242,12 @@
 	return t, nil
 }
 
-// News answers a long poll: a newer document, or this member's word that it has none.
+// Watch answers a long poll: a newer document, or this member's word that it has none.
 //
 // Example: response, err := n.News(ctx, &wire.WatchRequest{Key: "setup", Have: 7, HoldNs: 3e8})
-func (n *Node) News(ctx context.Context, a *wire.WatchRequest) (*wire.WatchResponse, error) {
+func (n *Node) Watch(ctx context.Context, a *wire.WatchRequest) (*wire.WatchResponse, error) {
 	if p := n.shards[a.Shard]; p != nil {
-		a.HoldNs = min(a.HoldNs, uint64(time.Minute))
+		a.MaxWaitNs = min(a.MaxWaitNs, uint64(time.Minute))
 		return p.watch(ctx, a, n.process.Place.Name), nil
 	}
 	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Place.Name}, nil
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -45,7 +45,7 @@
 // poll is an edge's long poll of one member, and the check of its proof.
 func (s *groupSim) poll(n *groupSimNode, hold time.Duration) {
 	e, asked, end, incarnation := s.edge, s.now, s.now+hold, n.generation
-	ask := &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: e.version}}, Proof: routingconfig.DocumentKey}
+	ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: e.version}}, ProofKey: routingconfig.DocumentKey}
 	f := func() bool {
 		if n.shard == nil || n.generation != incarnation || hold > 0 && s.now < n.frozenUntil {
 			return n.generation == incarnation && n.shard != nil
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -117,7 +117,7 @@
 		if n.generation != incarnation || !s.isRunning(n) {
 			return n.generation == incarnation
 		}
-		t := n.shard.watchResponse(&wire.WatchRequest{Key: "doc", Have: have}, n.name, s.now >= wait)
+		t := n.shard.watchResponse(&wire.WatchRequest{Key: "doc", KnownVersion: have}, n.name, s.now >= wait)
 		if s.plantedFault == "vouch-unsettled" && s.now >= wait && n.shard.state.documents["doc"].GetVersion() == have {
 			t = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
 		}
@@ -146,7 +146,7 @@
 	id := make([]byte, 16)
 	id[0] = byte(s.random.IntN(40))
 	nonce := uint64(s.random.IntN(3) + 1)
-	c := &wire.Claims{List: []*wire.Claim{{Id: id, Nonce: nonce}}}
+	c := &wire.Claims{Claims: []*wire.Claim{{Id: id, Nonce: nonce}}}
 	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Claims{Claims: c}}}, func(t *wire.ChangeResponse) {
 		if t.Outcome != wire.OutcomeDone || !t.Granted[0] {
 			return
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -58,13 +58,13 @@
 		s.leases[l.Name], s.grantedAt[l.Name] = l, now
 	}
 	s.recentTokens = p.Tokens
-	s.loadIdempotency(p.Taken)
+	s.loadIdempotency(p.Accepted)
 	s.claims.load(p.Claims, p.AgeNs)
 	return nil
 }
 
 func (s *state) save() ([]byte, error) {
-	p := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}
+	p := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}
 	for _, k := range queue.Keys(s.documents) {
 		p.Documents = append(p.Documents, s.documents[k])
 	}
@@ -83,10 +83,10 @@
 		return s.applyGrant(k.Grant, now)
 	case *wire.Command_Claims:
 		response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
-		if k.Claims.KeepNs > 0 { // zero: of a release that sent no age
-			s.claims.advanceAge(k.Claims.PassedNs, k.Claims.KeepNs)
+		if k.Claims.RetentionNs > 0 { // zero: of a release that sent no age
+			s.claims.advanceAge(k.Claims.ElapsedNs, k.Claims.RetentionNs)
 		}
-		for _, c := range k.Claims.List {
+		for _, c := range k.Claims.Claims {
 			granted, full := s.claims.claim(c)
 			response.Granted, response.Full = append(response.Granted, granted), append(response.Full, full)
 		}
@@ -141,7 +141,7 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.Fence, Leader: l.Holder}
 	}
 	n := &wire.Lease{Name: g.Lease, Holder: g.Holder, Fence: l.Fence, TtlNs: g.TtlNs}
-	if g.GiveUp {
+	if g.Release {
 		n.Holder = ""
 	} else if l.Holder != g.Holder {
 		n.Fence++
@@ -154,7 +154,7 @@
 // from when it asked, which was before any member saw the grant: so it stops first.
 func (s *state) isGrantable(g *wire.Grant, now time.Duration) bool {
 	l := s.leases[g.Lease]
-	if g.GiveUp {
+	if g.Release {
 		return l != nil && l.Holder == g.Holder
 	}
 	if l == nil || l.Holder == "" || l.Holder == g.Holder {
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -73,7 +73,7 @@
 // and both are never let write under one fence.
 func TestEveryOrderOfALeasePassingOn(t *testing.T) {
 	grant := func(h string, fence uint64, up bool) *wire.Command {
-		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, GiveUp: up}}}
+		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, Release: up}}}
 	}
 	write := func(h string, fence uint64) *wire.Command {
 		c := putCommand("p", h, "", 0)
@@ -160,7 +160,7 @@
 // given back leave room at once, and the order of what was given back stays bounded.
 func TestOnceOnlyIdsGoByAge(t *testing.T) {
 	apply := func(s *state, passed time.Duration, c *wire.Claim) (bool, bool) {
-		r := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{List: []*wire.Claim{c}, PassedNs: uint64(passed), KeepNs: uint64(defaultClaimRetention)}}}, 0)
+		r := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{Claims: []*wire.Claim{c}, ElapsedNs: uint64(passed), RetentionNs: uint64(defaultClaimRetention)}}}, 0)
 		return r.Granted[0], r.Full[0]
 	}
 	s := newState()
--- a/internal/control/controlstate/taken.go
+++ b/internal/control/controlstate/taken.go
@@ -171,13 +171,13 @@
 }
 
 // saveIdempotency writes the records of all documents, in the order of their keys.
-func (s *state) saveIdempotency() (all []*wire.TakenChanges) {
+func (s *state) saveIdempotency() (all []*wire.AcceptedChanges) {
 	for _, key := range queue.Keys(s.idempotency) {
 		record := s.idempotency[key]
-		saved := &wire.TakenChanges{Key: key, ForgottenVersion: record.forgottenVersion}
+		saved := &wire.AcceptedChanges{Key: key, ForgottenVersion: record.forgottenVersion}
 		for i := range record.records {
 			c := &record.records[i]
-			saved.Changes = append(saved.Changes, &wire.TakenChange{Token: c.token[:], Digest: c.digest[:], Version: c.version, DigestWithBase: c.digestWithBase})
+			saved.Changes = append(saved.Changes, &wire.AcceptedChange{Token: c.token[:], Digest: c.digest[:], Version: c.version, DigestWithBase: c.digestWithBase})
 		}
 		all = append(all, saved)
 	}
@@ -186,7 +186,7 @@
 
 // loadIdempotency reads the records. A snapshot of an earlier release has none: it holds the newest changes
 // of all documents, and where these are as many as it keeps, older ones were forgotten.
-func (s *state) loadIdempotency(all []*wire.TakenChanges) {
+func (s *state) loadIdempotency(all []*wire.AcceptedChanges) {
 	for _, saved := range all {
 		record := s.recordsOf(saved.Key)
 		record.forgottenVersion = saved.ForgottenVersion
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -54,7 +54,7 @@
 	}
 	t.sent++
 	b.lastUsed = t.sent
-	if len(m.GetPiece().GetData()) > 0 || payloadBytes(m) >= largeMessageBytes {
+	if len(m.GetChunk().GetData()) > 0 || payloadBytes(m) >= largeMessageBytes {
 		b.large.Offer(m)
 	} else {
 		b.small.Offer(m)
@@ -84,7 +84,7 @@
 
 // payloadBytes is about how large a message is.
 func payloadBytes(m *wire.Message) int {
-	size := len(m.GetSnapshot().GetState()) + len(m.GetPiece().GetData())
+	size := len(m.GetSnapshot().GetState()) + len(m.GetChunk().GetData())
 	for _, e := range m.Entries {
 		size += len(e.Body)
 	}
@@ -106,7 +106,7 @@
 }
 
 func (d *peerSender) post(ctx context.Context, messages []*wire.Message) error {
-	_, err := d.node.clients.ControlNode(d.to).Post(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
+	_, err := d.node.clients.ControlNode(d.to).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 	if err != nil {
 		d.node.process.Log.Debug("messages lost", "to", d.to, "messages", len(messages), "error", err)
 	}
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -19,14 +19,14 @@
 
 // stalledMember takes small messages, and holds large ones while it is told to.
 type stalledMember struct {
-	wire.Archive
+	wire.ControlNode
 	mu                           sync.Mutex
 	stalled                      chan struct{}
 	smallMessages, largeMessages int
 	largeBegun                   int // large messages that have begun to arrive
 }
 
-func (s *stalledMember) Post(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
+func (s *stalledMember) Deliver(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	large := payloadBytes(b.Messages[0]) >= largeMessageBytes
 	s.mu.Lock()
 	hold := s.stalled
@@ -71,7 +71,7 @@
 		member := &stalledMember{}
 		door := &pipeListener{cluster: g, addr: stalledAddress, connections: make(chan net.Conn), closed: make(chan struct{})}
 		g.listeners[stalledAddress] = door
-		server := &http.Server{Handler: wire.NewArchiveServer(member)}
+		server := &http.Server{Handler: wire.NewControlNodeServer(member)}
 		go server.Serve(door)
 		s, _ := newTestMember(t)
 		n := &Node{process: l, shards: map[uint32]*shard{0: s}, clients: daemon.NewClients(l)}
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -30,7 +30,7 @@
 // caller's to say.
 func (p *shard) watch(ctx context.Context, a *wire.WatchRequest, member string) *wire.WatchResponse {
 	t := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
-	end := time.NewTimer(time.Duration(a.HoldNs))
+	end := time.NewTimer(time.Duration(a.MaxWaitNs))
 	defer end.Stop()
 	for over := false; ; {
 		var c chan struct{}
@@ -71,9 +71,9 @@
 func (p *shard) documentResponse(a *wire.WatchRequest, member string, over bool) *wire.WatchResponse {
 	d := p.state.documents[a.Key]
 	switch {
-	case p.failure == nil && d.GetVersion() > a.Have:
+	case p.failure == nil && d.GetVersion() > a.KnownVersion:
 		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: d, Member: member, NothingNewer: p.hasNothingNewer(a.Key)}
-	case over && p.hasNothingNewer(a.Key) && d.GetVersion() == a.Have:
+	case over && p.hasNothingNewer(a.Key) && d.GetVersion() == a.KnownVersion:
 		return &wire.WatchResponse{Outcome: wire.OutcomeSame, Member: member}
 	case over || p.failure != nil || len(p.watchers) >= 1024:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
--- a/internal/control/controlstate/weights_again_test.go
+++ b/internal/control/controlstate/weights_again_test.go
@@ -29,7 +29,7 @@
 		}
 		named := map[string]uint64{}
 		follow := func() {
-			x, err := nodes[0].Follow(ctx, &wire.FollowRequest{Have: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
+			x, err := nodes[0].Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
 			if err != nil || len(x.Documents) == 0 {
 				return
 			}
--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -25,7 +25,7 @@
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "a snapshot forgets the orders that were taken",
 		file:        "internal/control/controlstate/state.go",
-		original:    "Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Taken: s.saveIdempotency()}",
+		original:    "Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}",
 		replacement: "Claims: s.claims.save(), AgeNs: s.claims.age}",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 1, name: "a lease is granted before the last one has run out",
--- a/internal/control/mutation/model_test.go
+++ b/internal/control/mutation/model_test.go
@@ -40,12 +40,12 @@
 		replacement: "c.hardState = &wire.HardState{Term: term, Vote: c.cfg.Self, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
 		pkg:         consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a record of a cut log is forgotten", file: messagesFile,
-		original:    "c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Cut{Cut: e.Index}})",
+		original:    "c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_TruncateFrom{TruncateFrom: e.Index}})",
 		replacement: "_ = ok",
 		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
 	mutant{name: "an answer to another incarnation is counted", file: messagesFile,
-		original:    "if l.About != c.hardState.Incarnation {",
-		replacement: "if l.About == \"\" {",
+		original:    "if l.AboutIncarnation != c.hardState.Incarnation {",
+		replacement: `if l.AboutIncarnation == "" {`,
 		pkg:         consensusPkg, run: modelSearches + "fixed_members_and_a_lost_disk"},
 	mutant{name: "members change before the last change is committed", file: memberFile,
 		original:    "return c.role == leader && t == c.hardState.Term && c.members.index <= c.commit",
@@ -81,9 +81,9 @@
 		pkg:         consensusPkg, run: modelSearches + "elections$"},
 	mutant{name: "a snapshot is installed over newer state", file: installFile,
 		original: "if l.Snapshot.Index <= c.commit {",
-		replacement: `if l.Snapshot.Index < c.commit && uint64(len(l.Piece.Data)) == l.Piece.Total {
+		replacement: `if l.Snapshot.Index < c.commit && uint64(len(l.Chunk.Data)) == l.Chunk.Total {
 		older := proto.Clone(l.Snapshot).(*wire.Snapshot)
-		older.State = l.Piece.Data
+		older.State = l.Chunk.Data
 		c.restoreSnapshot(older, nil)
 	}
 	if l.Snapshot.Index <= c.commit {`,
--- a/internal/control/mutation/point2_test.go
+++ b/internal/control/mutation/point2_test.go
@@ -4,7 +4,7 @@
 var _ = register(
 	mutant{point: 2, name: "the record of taken changes is lost at a snapshot",
 		file:        "internal/control/controlstate/state.go",
-		original:    "s.loadIdempotency(p.Taken)",
+		original:    "s.loadIdempotency(p.Accepted)",
 		replacement: "s.loadIdempotency(nil)",
 		pkg:         "internal/control/controlstate", run: "TestAnOrderSentAgainLateIsDone"},
 	mutant{point: 2, name: "the record is as short as it was",
--- a/internal/control/mutation/point4_test.go
+++ b/internal/control/mutation/point4_test.go
@@ -57,7 +57,7 @@
 		pkg:         "internal/control/controlstate", run: "TestSnapshotIsStoredBeforeItIsAcknowledged"},
 	mutant{point: 4, name: "heartbeats wait behind a large message",
 		file:        "internal/control/controlstate/transport.go",
-		original:    "if len(m.GetPiece().GetData()) > 0 || payloadBytes(m) >= largeMessageBytes {",
+		original:    "if len(m.GetChunk().GetData()) > 0 || payloadBytes(m) >= largeMessageBytes {",
 		replacement: "if false {",
 		pkg:         "internal/control/controlstate", run: "TestHeartbeatsPassBesideALargeMessage"},
 	mutant{point: 4, name: "a message that hangs outlives the silence of its address",
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -217,32 +217,32 @@
 //
 // Example: GET /v1/nodes
 func (s *Server) ListNodes(ctx context.Context) (*operator.NodeList, error) {
-	var b *wire.Beat
+	var b *wire.Heartbeat
 	who, err := s.firstResponding(clustermembership.RoleControlNode, func(addr string) (err error) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		defer end()
-		b, err = s.clients.Membership(addr).Hear(one, &wire.Beat{Epoch: 1, Whole: true})
+		b, err = s.clients.Membership(addr).Exchange(one, &wire.Heartbeat{Format: 1, FullView: true})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
 	l := &operator.NodeList{SeenBy: who, Nodes: []operator.NodeListNodesItem{}}
-	all := append([]*wire.Node{b.From}, b.News...)
+	all := append([]*wire.Node{b.From}, b.Updates...)
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
 	for _, n := range all {
-		l.Nodes = append(l.Nodes, operator.NodeListNodesItem{Name: n.Name, Role: n.Role, District: n.District, Addr: n.Addr,
+		l.Nodes = append(l.Nodes, operator.NodeListNodesItem{Name: n.Name, Role: n.Role, District: n.Zone, Addr: n.Addr,
 			State: [...]string{"alive", "suspect", "gone", "left"}[min(n.State, 3)], Incarnation: fmt.Sprint(n.Incarnation), Operator: operator.NewOptString(n.Operator)})
 	}
 	return l, nil
 }
 
 func (s *Server) readUpdates(ctx context.Context) (string, *updatestream.Snapshot, error) {
-	var t *wire.FeedTell
+	var t *wire.FeedResponse
 	who, err := s.firstResponding(clustermembership.RoleNodeAgent, func(addr string) (err error) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
 		defer end()
-		t, err = s.clients.NodeAgent(addr).Feed(one, &wire.FeedAsk{})
+		t, err = s.clients.NodeAgent(addr).Feed(one, &wire.FeedRequest{})
 		return err
 	})
 	if err != nil {
@@ -262,7 +262,7 @@
 	}
 	l := &operator.WorkerList{SeenBy: who, Workers: []operator.WorkerListWorkersItem{}}
 	for _, w := range snapshot.Workers {
-		l.Workers = append(l.Workers, operator.WorkerListWorkersItem{Name: w.Name, Addr: w.Addr, Service: w.Service, District: w.District,
+		l.Workers = append(l.Workers, operator.WorkerListWorkersItem{Name: w.Name, Addr: w.Addr, Service: w.Service, District: w.Zone,
 			State: [...]string{"up", "unsure", "draining", "gone"}[min(w.State, 3)], Incarnation: operator.NewOptString(w.Incarnation),
 			Weights: int64(w.Weights), Busy: operator.NewOptInt(int(w.Busy)), Queued: operator.NewOptInt(int(w.Queued)), Slots: int(w.Slots)})
 	}
@@ -312,13 +312,13 @@
 func (s *Server) addExplanations(ctx context.Context, request string, l *operator.Explained) (silent int) {
 	for _, n := range s.view().WithRole(clustermembership.RoleNodeAgent) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/24))
-		t, err := s.clients.NodeAgent(n.Addr).Explain(one, &wire.ExplainAsk{Request: request})
+		t, err := s.clients.NodeAgent(n.Addr).Explain(one, &wire.ExplainRequest{RequestId: request})
 		end()
 		if err != nil {
 			silent++
 			continue
 		}
-		for _, x := range t.List {
+		for _, x := range t.Decisions {
 			l.Goes = append(l.Goes, jx.Raw(x.Body))
 		}
 	}
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -121,7 +121,7 @@
 func (s *siteServer) ListNodes(context.Context) (*operator.NodeList, error) {
 	l := &operator.NodeList{SeenBy: s.name, Nodes: []operator.NodeListNodesItem{}}
 	for _, n := range s.view().Nodes {
-		x := operator.NodeListNodesItem{Name: n.Name, Role: n.Role, District: n.District, Addr: n.Addr,
+		x := operator.NodeListNodesItem{Name: n.Name, Role: n.Role, District: n.Zone, Addr: n.Addr,
 			State: [...]string{"alive", "suspect", "gone", "left"}[min(n.State, 3)], Incarnation: fmt.Sprint(n.Incarnation)}
 		if n.Operator != "" {
 			x.Operator = operator.NewOptString(n.Operator)
--- a/internal/control/operatorapi/sitestatus.go
+++ b/internal/control/operatorapi/sitestatus.go
@@ -63,7 +63,7 @@
 	for i := range l {
 		x := &l[i]
 		all.Go(func() {
-			if t, err := s.clients.ControlNode(x.node.Addr).Stand(ctx, &wire.StatusRequest{}); err == nil && len(t.Shards) > 0 {
+			if t, err := s.clients.ControlNode(x.node.Addr).Status(ctx, &wire.StatusRequest{}); err == nil && len(t.Shards) > 0 {
 				x.status = t.Shards[0]
 			}
 		})
@@ -153,8 +153,8 @@
 	case p.IsLeader:
 		state, leads = "owns", true
 	}
-	report.Parts = append(report.Parts, operator.StatusPartsItem{Member: name, Owner: g.nameOf(p.Leader), State: state, Applied: int64(p.Applied),
-		Last: int64(p.Last), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
+	report.Parts = append(report.Parts, operator.StatusPartsItem{Member: name, Owner: g.nameOf(p.Leader), State: state, Applied: int64(p.AppliedIndex),
+		Last: int64(p.LastIndex), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
 	return leads
 }
 
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -65,7 +65,7 @@
 	hasLeader := map[uint32]bool{}
 	for _, n := range s.view().WithRole(clustermembership.RoleControlNode) {
 		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
-		t, err := s.clients.ControlNode(n.Addr).Stand(one, &wire.StatusRequest{})
+		t, err := s.clients.ControlNode(n.Addr).Status(one, &wire.StatusRequest{})
 		end()
 		if err != nil {
 			f.add("core-silent", n.Name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
@@ -86,8 +86,8 @@
 			case p.IsLeader:
 				st, hasLeader[p.Shard] = "owns", true
 			}
-			report.Parts = append(report.Parts, operator.StatusPartsItem{Part: int(p.Shard), Member: p.Member, Owner: p.Leader, State: st, Applied: int64(p.Applied),
-				Last: int64(p.Last), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
+			report.Parts = append(report.Parts, operator.StatusPartsItem{Part: int(p.Shard), Member: p.Member, Owner: p.Leader, State: st, Applied: int64(p.AppliedIndex),
+				Last: int64(p.LastIndex), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
 		}
 	}
 	for p := range uint32(controlclient.ShardCount) {
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -16,7 +16,7 @@
 
 // collectUsage is what all proxies together have seen recently.
 type usage struct {
-	links             []*wire.LinkSeen
+	links             []*wire.LinkThroughput
 	succeeded, failed map[string]float64 // by worker
 }
 
@@ -48,22 +48,22 @@
 // collectUsage adds up what the node agents report of their proxies.
 func (c *Controller) collectUsage() usage {
 	all := usage{succeeded: map[string]float64{}, failed: map[string]float64{}}
-	sum := map[string]*wire.LinkSeen{}
-	queryRole(c, clustermembership.RoleNodeAgent, func(ctx context.Context, addr string) (*wire.FeedTell, error) {
-		return c.clients.NodeAgent(addr).Feed(ctx, &wire.FeedAsk{})
-	}, func(t *wire.FeedTell) {
+	sum := map[string]*wire.LinkThroughput{}
+	queryRole(c, clustermembership.RoleNodeAgent, func(ctx context.Context, addr string) (*wire.FeedResponse, error) {
+		return c.clients.NodeAgent(addr).Feed(ctx, &wire.FeedRequest{})
+	}, func(t *wire.FeedResponse) {
 		for _, l := range t.Links {
 			s := sum[l.Class]
 			if s == nil {
-				s = &wire.LinkSeen{Class: l.Class}
+				s = &wire.LinkThroughput{Class: l.Class}
 				sum[l.Class] = s
 				all.links = append(all.links, s)
 			}
-			s.Tokens, s.Ns = s.Tokens+l.Tokens, s.Ns+l.Ns
+			s.Tokens, s.ElapsedNs = s.Tokens+l.Tokens, s.ElapsedNs+l.ElapsedNs
 		}
 		for _, w := range t.Workers {
-			all.succeeded[w.Name] += w.Ok
-			all.failed[w.Name] += w.Bad
+			all.succeeded[w.Name] += w.Successes
+			all.failed[w.Name] += w.Failures
 		}
 	})
 	return all
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -27,8 +27,8 @@
 	FetchTolerance float64
 	Workers        []string
 	CapacityTokens int // tokens, of the smallest worker
-	HotEntries     []*wire.Hot
-	Links          []*wire.LinkSeen
+	HotEntries     []*wire.HotPrefix
+	Links          []*wire.LinkThroughput
 	PrefillCurve   placement.Curve
 }
 
@@ -80,7 +80,7 @@
 // anything changed.
 //
 // Example: next, changed := placementcontroller.Swap(old, hot)
-func SwapInBurst(old *placement.Placement, hot []*wire.Hot) (*placement.Placement, bool) {
+func SwapInBurst(old *placement.Placement, hot []*wire.HotPrefix) (*placement.Placement, bool) {
 	fs, _, _ := frequencies(hot)
 	at := map[string]placement.EntryFrequency{}
 	for _, x := range fs {
@@ -110,7 +110,7 @@
 	return &n, changed
 }
 
-func frequencies(hot []*wire.Hot) (fs []placement.EntryFrequency, requests, tokens float64) {
+func frequencies(hot []*wire.HotPrefix) (fs []placement.EntryFrequency, requests, tokens float64) {
 	for _, h := range hot {
 		fs = append(fs, placement.EntryFrequency{Key: hex.EncodeToString(h.Key), Frequency: h.Hotness, Tokens: int(h.Tokens)})
 		if h.Head {
@@ -125,7 +125,7 @@
 
 // admissionFloor is the hotness of the coldest cached entry that no prompt begins with: a session's
 // prefix has to be hotter to be admitted.
-func admissionFloor(hot []*wire.Hot) float64 {
+func admissionFloor(hot []*wire.HotPrefix) float64 {
 	least := -1.0
 	for _, h := range hot {
 		if !h.Head && h.Holders > 0 && (least < 0 || h.Hotness < least) {
@@ -137,11 +137,11 @@
 
 // fetchBandwidth is the measured rate of fetches from other workers, in tokens a second; an initial value
 // until there are any.
-func fetchBandwidth(l []*wire.LinkSeen) float64 {
+func fetchBandwidth(l []*wire.LinkThroughput) float64 {
 	tok, ns := initialBandwidth*initialBandwidthSeconds, initialBandwidthSeconds*float64(time.Second)
 	for _, x := range l {
 		if x.Class != "store" {
-			tok, ns = tok+x.Tokens, ns+x.Ns
+			tok, ns = tok+x.Tokens, ns+x.ElapsedNs
 		}
 	}
 	return tok / ns * float64(time.Second)
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -10,10 +10,10 @@
 	"pebbleloom/internal/wire"
 )
 
-func hotEntries(f ...float64) []*wire.Hot {
-	var l []*wire.Hot
+func hotEntries(f ...float64) []*wire.HotPrefix {
+	var l []*wire.HotPrefix
 	for i, x := range f {
-		l = append(l, &wire.Hot{Key: []byte{byte(i)}, Hotness: x, Tokens: 1000, Head: true, Holders: 1})
+		l = append(l, &wire.HotPrefix{Key: []byte{byte(i)}, Hotness: x, Tokens: 1000, Head: true, Holders: 1})
 	}
 	return l
 }
@@ -30,7 +30,7 @@
 		t.Errorf("%+v", p)
 	}
 	f := testInputs(50, 30, 20)
-	f.Links = []*wire.LinkSeen{{Class: "near", Tokens: 1e6, Ns: 1e12}, {Class: "store", Tokens: 1e12, Ns: 1}}
+	f.Links = []*wire.LinkThroughput{{Class: "near", Tokens: 1e6, ElapsedNs: 1e12}, {Class: "store", Tokens: 1e12, ElapsedNs: 1}}
 	if p = Compute(f, nil); p.RMax > 0.05 || len(p.Replicated) != 3 {
 		t.Errorf("links seen to be slow, the store's left out: R_max %v, %d replicated", p.RMax, len(p.Replicated))
 	}
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -72,7 +72,7 @@
 		return v
 	})
 	mux := http.NewServeMux()
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(c.members))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(c.members))
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 }
 
 // nodeAgent returns any live node agent: workers are observed through it.
-func (c *Controller) nodeAgent() wire.Runner {
+func (c *Controller) nodeAgent() wire.NodeAgent {
 	for _, n := range c.members.View().WithRole(clustermembership.RoleNodeAgent) {
 		if n.State == clustermembership.Alive {
 			return c.clients.NodeAgent(n.Addr)
@@ -248,8 +248,8 @@
 			f.FetchTolerance = 1
 		}
 		for _, w := range ws {
-			if f.CapacityTokens == 0 || int(w.KvRoom) < f.CapacityTokens {
-				f.CapacityTokens = int(w.KvRoom)
+			if f.CapacityTokens == 0 || int(w.KvCapacity) < f.CapacityTokens {
+				f.CapacityTokens = int(w.KvCapacity)
 			}
 		}
 		p = Compute(f, svc.placement)
@@ -304,10 +304,10 @@
 }
 
 // hotEntries gathers the hottest entries of all index nodes; two hold each, the higher count is used.
-func (c *Controller) hotEntries(service string) []*wire.Hot {
-	var all []*wire.HotTell
-	queryRole(c, clustermembership.RolePromptIndex, func(ctx context.Context, addr string) (*wire.HotTell, error) {
-		return c.clients.PromptIndex(addr).Hottest(ctx, &wire.HotAsk{Service: service, Limit: 1000})
-	}, func(t *wire.HotTell) { all = append(all, t) })
+func (c *Controller) hotEntries(service string) []*wire.HotPrefix {
+	var all []*wire.HottestResponse
+	queryRole(c, clustermembership.RolePromptIndex, func(ctx context.Context, addr string) (*wire.HottestResponse, error) {
+		return c.clients.PromptIndex(addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: 1000})
+	}, func(t *wire.HottestResponse) { all = append(all, t) })
 	return promptindex.MergeHot(all)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -211,27 +211,27 @@
 // ControlNode is the client of a control node.
 //
 // Example: clients.ControlNode("127.10.1.1:7000").Read(ctx, request)
-func (c *Clients) ControlNode(addr string) wire.Archive {
-	return wire.NewArchiveProtobufClient("http://"+addr, c.http)
+func (c *Clients) ControlNode(addr string) wire.ControlNode {
+	return wire.NewControlNodeClient("http://"+addr, c.http)
 }
 
 // Membership is the client of a node's cluster membership.
 //
 // Example: clients.Membership(addr).Hear(ctx, heartbeat)
-func (c *Clients) Membership(addr string) wire.Roster {
-	return wire.NewRosterProtobufClient("http://"+addr, c.http)
+func (c *Clients) Membership(addr string) wire.Membership {
+	return wire.NewMembershipClient("http://"+addr, c.http)
 }
 
 // PromptIndex is the client of an index node.
 //
 // Example: clients.PromptIndex(addr).Seek(ctx, request)
-func (c *Clients) PromptIndex(addr string) wire.Catalogue {
-	return wire.NewCatalogueProtobufClient("http://"+addr, c.http)
+func (c *Clients) PromptIndex(addr string) wire.PromptIndex {
+	return wire.NewPromptIndexClient("http://"+addr, c.http)
 }
 
 // NodeAgent is the client of a node agent; a proxy's stands on the same machine.
 //
 // Example: clients.NodeAgent("127.0.0.1:7001").Feed(ctx, request)
-func (c *Clients) NodeAgent(addr string) wire.Runner {
-	return wire.NewRunnerProtobufClient("http://"+addr, c.http)
+func (c *Clients) NodeAgent(addr string) wire.NodeAgent {
+	return wire.NewNodeAgentClient("http://"+addr, c.http)
 }
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -24,7 +24,7 @@
 	actor       *queue.Actor[table]
 	member      *clustermembership.Member
 	view        atomic.Pointer[clustermembership.View] // the newest, for the actor
-	controlNode func(addr string) wire.Archive
+	controlNode func(addr string) wire.ControlNode
 	published   atomic.Pointer[publishedSnapshot]
 	follows     map[string]context.CancelFunc // by address: the control nodes that are followed; owned by the actor
 	seeds       []string                      // owned by the actor
@@ -63,7 +63,7 @@
 	return a, nil
 }
 
-func newAgent(process *daemon.Process, codec backend.Codec, controlNode func(string) wire.Archive) *Agent {
+func newAgent(process *daemon.Process, codec backend.Codec, controlNode func(string) wire.ControlNode) *Agent {
 	a := &Agent{process: process, controlNode: controlNode, seeds: process.Place.Seeds, follows: map[string]context.CancelFunc{}}
 	t := newTable(process.Place.Bounds, codec, process.Clock.Now())
 	a.published.Store(&publishedSnapshot{&t.snapshot, make(chan struct{})})
@@ -93,8 +93,8 @@
 
 // Handler serves the calls of the cluster membership; the caller mounts it where this process listens.
 //
-// Example: mux.Handle(wire.RosterPathPrefix, a.Handler())
-func (a *Agent) Handler() http.Handler { return wire.NewRosterServer(a.member) }
+// Example: mux.Handle(wire.MembershipPathPrefix, a.Handler())
+func (a *Agent) Handler() http.Handler { return wire.NewMembershipServer(a.member) }
 
 // publish makes the table's snapshot visible to readers, as a copy that is never changed.
 func (a *Agent) publish(t *table, news bool) {
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -19,7 +19,7 @@
 
 // core is a group of fake control nodes with the same responses.
 type core struct {
-	wire.Archive
+	wire.ControlNode
 	mu      sync.Mutex
 	members []string
 	index   uint64
@@ -58,7 +58,7 @@
 	mood, news, version := s.mood[s.addr], s.news, s.version
 	s.mu.Unlock()
 	defer func() { s.mu.Lock(); s.under[s.addr]--; s.mu.Unlock() }()
-	end := time.NewTimer(time.Duration(a.HoldNs))
+	end := time.NewTimer(time.Duration(a.MaxWaitNs))
 	defer end.Stop()
 	switch mood {
 	case "hangs":
@@ -98,7 +98,7 @@
 		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
 		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Bounds: settings.Default(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
-		a := newAgent(l, &numbers{}, func(addr string) wire.Archive { return seat{c, addr} })
+		a := newAgent(l, &numbers{}, func(addr string) wire.ControlNode { return seat{c, addr} })
 		if a.Snapshot() == nil || a.Snapshot().Plan != nil {
 			t.Fatal("a plan before any was reported")
 		}
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -40,7 +40,7 @@
 		if !a.actor.Ask(func(t *table) { request = t.newRequest(t.longPollTime(asked)) }) {
 			return
 		}
-		call, end := context.WithTimeout(ctx, time.Duration(request.HoldNs)+bounds.Config(responseGraceRatio))
+		call, end := context.WithTimeout(ctx, time.Duration(request.MaxWaitNs)+bounds.Config(responseGraceRatio))
 		response, err := client.Follow(call, request)
 		end()
 		if err == nil && (a.handleResponse(response, requestedVersion(request), asked) || a.process.Clock.Now()-asked >= hold/2) {
@@ -57,7 +57,7 @@
 
 // requestedVersion is the version of the plan that a request was sent with.
 func requestedVersion(a *wire.FollowRequest) uint64 {
-	for _, h := range a.Have {
+	for _, h := range a.Known {
 		if h.Key == routingconfig.DocumentKey {
 			return h.Version
 		}
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -58,13 +58,13 @@
 
 // newRequest makes the next request to a member.
 func (t *table) newRequest(hold time.Duration) *wire.FollowRequest {
-	a := &wire.FollowRequest{HoldNs: uint64(hold), Proof: routingconfig.DocumentKey, Packed: true}
+	a := &wire.FollowRequest{MaxWaitNs: uint64(hold), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true}
 	for _, k := range []string{routingconfig.DocumentKey, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
-		a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.versions[k]})
+		a.Known = append(a.Known, &wire.KnownVersion{Key: k, Version: t.versions[k]})
 	}
 	for _, k := range queue.Keys(t.versions) {
 		if strings.HasPrefix(k, fleet.PlacementKey) && k != fleet.PlacementKey {
-			a.Have = append(a.Have, &wire.KnownVersion{Key: k, Version: t.versions[k]})
+			a.Known = append(a.Known, &wire.KnownVersion{Key: k, Version: t.versions[k]})
 		}
 	}
 	return a
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -121,10 +121,10 @@
 	}
 	got := map[string]uint64{}
 	a := x.newRequest(time.Second)
-	for _, h := range a.Have {
+	for _, h := range a.Known {
 		got[h.Key] = h.Version
 	}
-	if len(a.Have) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || a.Proof != routingconfig.DocumentKey || a.HoldNs != 1e9 {
+	if len(a.Known) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || a.ProofKey != routingconfig.DocumentKey || a.MaxWaitNs != 1e9 {
 		t.Fatalf("asks %v", a)
 	}
 	shown := x.snapshot
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -71,7 +71,7 @@
 
 	snapshot        *updatestream.Snapshot // pinned: checked again right before each attempt starts
 	entries         map[uint64][]prefix.Entry
-	found           map[prefix.Key]*wire.Found
+	found           map[prefix.Key]*wire.LookupResult
 	tried           map[string]bool // workers
 	budgeted        bool            // its first attempt has earned its share of a retry
 	claimNonce      uint64          // of its claim; 0: none
@@ -318,7 +318,7 @@
 	if w.ClockNs == 0 {
 		return 0
 	}
-	return int64(w.ClockNs/1000) + (until - time.Duration(w.ClockAt)).Microseconds()
+	return int64(w.ClockNs/1000) + (until - time.Duration(w.ClockReadAt)).Microseconds()
 }
 
 // supersededTimeLeft reports how long superseded weights may still start; zero: no more.
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -148,7 +148,7 @@
 		}
 		b.snapshot.Workers = append(b.snapshot.Workers, &wire.Worker{Name: n, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
 	}
-	d := &Proxy{process: l, bounds: p.Bounds, clock: b.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decided](8), claims: fakeClaims{b}}
+	d := &Proxy{process: l, bounds: p.Bounds, clock: b.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{b}}
 	d.traffic = queue.NewActor(newTrafficTable(), 64)
 	d.traffic.Ask(func(g *trafficTable) {
 		for range 100 / d.bounds.TryShare { // as after a few requests
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -17,7 +17,7 @@
 )
 
 // selectWorker selects the worker of the next attempt.
-func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, error) {
+func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], weightsFor(s, q)
 	u := Query{ID: q.RequestID, Mode: placementMode(s.Config, service), Zone: d.process.Place.Zone, Entries: d.prefixEntries(s, q, tenant, es), Found: found,
 		Tried: tried, NewestWeights: s.WeightsAt[on.Model].Version, Placement: p, PrefillCurve: d.prefillCurve, NearBandwidth: d.nearBandwidth.Load(), FarBandwidth: d.farBandwidth.Load(), StoreBandwidth: d.storeBandwidth.Load(), Stores: map[string]string{}}
@@ -75,7 +75,7 @@
 func (d *Proxy) startAttempt(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
 	ctx, stop := context.WithCancel(ctx)
 	w := c.Worker
-	o := &stream{proxy: d, id: q.RequestID, worker: w.Name, zone: w.District, startedAt: d.clock.Now(), cancel: stop, snapshot: s}
+	o := &stream{proxy: d, id: q.RequestID, worker: w.Name, zone: w.Zone, startedAt: d.clock.Now(), cancel: stop, snapshot: s}
 	watch := time.AfterFunc(d.bounds.Leave(0.2), func() { d.watchWorker(o, w, stop) })
 	o.watch = watch
 	hints := map[string]string{}
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -21,7 +21,7 @@
 		for _, probe := range []time.Duration{0, time.Millisecond, 700 * time.Millisecond} {
 			for _, read := range []time.Duration{0, probe / 2, probe} {
 				asked := 98 * time.Second
-				w := &wire.Worker{ClockNs: uint64(200*time.Hour + asked + read + ahead), ClockAt: uint64(asked + probe)}
+				w := &wire.Worker{ClockNs: uint64(200*time.Hour + asked + read + ahead), ClockReadAt: uint64(asked + probe)}
 				here := time.Duration(workerStartDeadline(w, until))*time.Microsecond - 200*time.Hour - ahead
 				if here > until || here < until-probe {
 					t.Errorf("ahead %v, probe %v read after %v: it may begin until %v, %v is meant", ahead, probe, read, here, until)
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -99,7 +99,7 @@
 			l := append([]pendingClaim{x}, c.queues[part].Drain(255)...)
 			cs := &wire.Claims{}
 			for _, y := range l {
-				cs.List = append(cs.List, y.claim)
+				cs.Claims = append(cs.Claims, y.claim)
 			}
 			one, end := context.WithTimeout(ctx, c.timeout)
 			t, err := c.control.Change(one, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
--- a/internal/data/callerproxy/gate.go
+++ b/internal/data/callerproxy/gate.go
@@ -17,7 +17,7 @@
 	workers       map[string]*workerState
 	retryBudgets  map[string]*retrybudget.Budget
 	meanAttemptUs float64
-	reports       map[string]*wire.GoReport
+	reports       map[string]*wire.AttemptReport
 	maxEdgeNodes  int // the most edge machines seen in this life
 }
 
@@ -38,7 +38,7 @@
 
 func newTrafficTable() *trafficTable {
 	return &trafficTable{tenants: map[string]*tenantState{}, workers: map[string]*workerState{},
-		retryBudgets: map[string]*retrybudget.Budget{}, meanAttemptUs: 100000, reports: map[string]*wire.GoReport{}}
+		retryBudgets: map[string]*retrybudget.Budget{}, meanAttemptUs: 100000, reports: map[string]*wire.AttemptReport{}}
 }
 
 // admit takes a request in, or says why not and when to come back. A tenant's budget is the
@@ -105,15 +105,15 @@
 	}
 	r := t.reports[name]
 	if r == nil {
-		r = &wire.GoReport{Worker: name}
+		r = &wire.AttemptReport{Worker: name}
 		t.reports[name] = r
 	}
 	if ok {
-		r.Ok++
+		r.Successes++
 		t.meanAttemptUs = 0.95*t.meanAttemptUs + 0.05*float64(took.Microseconds())
 		return
 	}
-	r.Errors++
+	r.Failures++
 	w.failedAt = now
 }
 
@@ -121,7 +121,7 @@
 func (t *trafficTable) recordTransfer(class string, tokens int, took time.Duration) {
 	r := t.reports["link/"+class]
 	if r == nil {
-		r = &wire.GoReport{From: class}
+		r = &wire.AttemptReport{LinkClass: class}
 		t.reports["link/"+class] = r
 	}
 	r.LinkTokens += float64(tokens)
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -19,7 +19,7 @@
 
 type lookup struct {
 	keys   []prefix.Key
-	result chan map[prefix.Key]*wire.Found
+	result chan map[prefix.Key]*wire.LookupResult
 }
 
 // promptIndex asks the catalogue in batches and feeds it the accesses that this proxy has seen.
@@ -50,7 +50,7 @@
 type nodeBatches struct {
 	number   uint64
 	pending  map[prefix.Key]*wire.Access
-	inFlight *wire.CountAsk // not acknowledged yet: it is sent again under its number
+	inFlight *wire.CountRequest // not acknowledged yet: it is sent again under its number
 	sending  bool
 }
 
@@ -81,8 +81,8 @@
 }
 
 // lookUp looks keys up; nil is a miss on all of them.
-func (i *promptIndex) lookUp(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.Found {
-	q := lookup{keys, make(chan map[prefix.Key]*wire.Found, 1)}
+func (i *promptIndex) lookUp(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.LookupResult {
+	q := lookup{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)}
 	if !i.lookups.Offer(q) {
 		return nil
 	}
@@ -123,7 +123,7 @@
 			}
 		}
 	}
-	var m map[prefix.Key]*wire.Found
+	var m map[prefix.Key]*wire.LookupResult
 	if s := i.shards.Load(); s != nil {
 		i.lookupBatches.Add(1)
 		i.lookupKeys.Add(uint64(len(ks)))
@@ -142,9 +142,9 @@
 	}
 	i.counter.TrySend(func(c *accessCounter) {
 		for i, e := range es {
-			a := &wire.Access{Key: e.Key[:], Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
+			a := &wire.Access{Key: e.Key[:], Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, PresumedHolders: []string{holder}}
 			if i < upto {
-				a.Presumed = append(a.Presumed, saved...)
+				a.PresumedHolders = append(a.PresumedHolders, saved...)
 			}
 			for _, h := range s.NodesOf(e.Key) {
 				if h == "" {
@@ -169,18 +169,18 @@
 	o := m[k]
 	if o == nil {
 		if len(m) < maxCounts {
-			m[k] = &wire.Access{Key: a.Key, Count: a.Count, Tokens: a.Tokens, Service: a.Service, Head: a.Head, Presumed: append([]string(nil), a.Presumed...)}
+			m[k] = &wire.Access{Key: a.Key, Count: a.Count, Tokens: a.Tokens, Service: a.Service, Head: a.Head, PresumedHolders: append([]string(nil), a.PresumedHolders...)}
 		}
 		return
 	}
 	o.Count += a.Count
-	for _, p := range a.Presumed {
+	for _, p := range a.PresumedHolders {
 		has := false
-		for _, q := range o.Presumed {
+		for _, q := range o.PresumedHolders {
 			has = has || p == q
 		}
-		if !has && len(o.Presumed) < 8 {
-			o.Presumed = append(o.Presumed, p)
+		if !has && len(o.PresumedHolders) < 8 {
+			o.PresumedHolders = append(o.PresumedHolders, p)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 			}
 			if t.inFlight == nil {
 				t.number++
-				t.inFlight = &wire.CountAsk{Teller: i.name, Incarnation: i.incarnation, Number: t.number}
+				t.inFlight = &wire.CountRequest{Reporter: i.name, Incarnation: i.incarnation, Sequence: t.number}
 				for _, a := range t.pending {
 					t.inFlight.Accesses = append(t.inFlight.Accesses, a)
 				}
@@ -216,7 +216,7 @@
 	})
 }
 
-func (i *promptIndex) sendBatch(ctx context.Context, h, addr string, a *wire.CountAsk) {
+func (i *promptIndex) sendBatch(ctx context.Context, h, addr string, a *wire.CountRequest) {
 	ctx, end := context.WithTimeout(ctx, i.bounds.Heal(1.0/24))
 	defer end()
 	r, err := i.clients.PromptIndex(addr).Count(ctx, a)
@@ -230,7 +230,7 @@
 			return
 		}
 		t.inFlight = nil
-		if r.Again { // it has lost its memory: tell the window again
+		if r.ResendWindow { // it has lost its memory: tell the window again
 			for _, m := range []map[prefix.Key]*wire.Access{c.lastWindow, c.window} {
 				for k, p := range m {
 					if s := i.shards.Load(); s.NodesOf(k)[0] == h || s.NodesOf(k)[1] == h {
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -45,7 +45,7 @@
 	farBandwidth   atomicFloat
 	storeBandwidth atomicFloat
 	stats          stats
-	decisions      *queue.Ring[*wire.Decided]
+	decisions      *queue.Ring[*wire.Decision]
 }
 
 // stats counts what the sealed lines have said.
@@ -62,7 +62,7 @@
 //
 // Example: daemon.Main("dispatcher", "edge proxy", need, callerproxy.Start)
 func Start(l *daemon.Process) error {
-	d := &Proxy{process: l, bounds: l.Place.Bounds, clock: l.Clock, backends: contract.NewBackends(l.Dial), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decided](512)}
+	d := &Proxy{process: l, bounds: l.Place.Bounds, clock: l.Clock, backends: contract.NewBackends(l.Dial), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](512)}
 	d.nearBandwidth.Store(50000)
 	d.farBandwidth.Store(50000)
 	d.storeBandwidth.Store(50000)
@@ -71,7 +71,7 @@
 	l.OnStop(d.backends.Close)
 	d.index = newPromptIndex(l, d.clock)
 	calls := daemon.NewClients(l)
-	d.follower = updatestream.Follow(l.Ctx, d.clock, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, d.bounds.Config(0.1), d.fillReport, func(s *updatestream.Snapshot) {
+	d.follower = updatestream.Follow(l.Ctx, d.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Place.Runner) }, d.bounds.Config(0.1), d.fillReport, func(s *updatestream.Snapshot) {
 		d.index.updateShards(s.Nodes)
 		l.Ready.Store(s.Fresh(d.clock.Now(), d.bounds.Config(0.8)))
 	})
@@ -159,14 +159,14 @@
 
 // fillReport hands the runner what the attempts since the last time have shown, and why they went
 // where they went.
-func (d *Proxy) fillReport(a *wire.FeedAsk) {
+func (d *Proxy) fillReport(a *wire.FeedRequest) {
 	d.traffic.Ask(func(g *trafficTable) {
 		for k, r := range g.reports {
-			a.Goes = append(a.Goes, r)
+			a.Attempts = append(a.Attempts, r)
 			delete(g.reports, k)
 		}
 	})
-	a.Decided = d.decisions.Drain(256)
+	a.Decisions = d.decisions.Drain(256)
 }
 
 // learnBandwidth takes what a fetch has shown of its link.
@@ -178,7 +178,7 @@
 		}
 		if w.Kind == "store" {
 			class, to = "store", &d.storeBandwidth
-		} else if w.District == zone {
+		} else if w.Zone == zone {
 			class, to = "near", &d.nearBandwidth
 		}
 	}
@@ -286,6 +286,6 @@
 	}
 	body, err := json.Marshal(x)
 	if err == nil {
-		d.decisions.Offer(&wire.Decided{Request: id, Body: body}) // when it is full, this one isn't explained
+		d.decisions.Offer(&wire.Decision{RequestId: id, Body: body}) // when it is full, this one isn't explained
 	}
 }
--- a/internal/data/callerproxy/select.go
+++ b/internal/data/callerproxy/select.go
@@ -25,7 +25,7 @@
 	Mode           string
 	Zone           string
 	Entries        map[uint64][]prefix.Entry // by weights epoch
-	Found          map[prefix.Key]*wire.Found
+	Found          map[prefix.Key]*wire.LookupResult
 	Workers        []*wire.Worker
 	Load           func(name string) float64 // attempts under way or waiting, as known here
 	Tried          map[string]bool
@@ -77,7 +77,7 @@
 	addr, zone, names := map[string]string{}, map[string]string{}, []string{}
 	mean, n := 0.0, 0
 	for _, w := range q.Workers {
-		addr[w.Name], zone[w.Name] = w.Addr, w.District
+		addr[w.Name], zone[w.Name] = w.Addr, w.Zone
 		if w.State == updatestream.WorkerUp {
 			names = append(names, w.Name)
 			mean += q.Load(w.Name)
@@ -222,7 +222,7 @@
 			hb := q.FarBandwidth
 			if _, store := q.Stores[h]; store {
 				hb = q.StoreBandwidth
-			} else if zone[h] == w.District {
+			} else if zone[h] == w.Zone {
 				hb = q.NearBandwidth
 			}
 			if a := addr[h]; a != "" && (hb > b || hb == b && a < from) {
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -14,15 +14,15 @@
 
 func testQuery(hot bool, held map[string]string) Query {
 	es := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", 4000), strings.Repeat("q", 40)})
-	q := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: es}, Found: map[prefix.Key]*wire.Found{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
+	q := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: es}, Found: map[prefix.Key]*wire.LookupResult{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
 		MeanAttemptUs: 100000, Tried: map[string]bool{}, Load: func(string) float64 { return 0 }, Stores: map[string]string{"depot": "d:1"}}
-	f := &wire.Found{Hotness: 5}
+	f := &wire.LookupResult{Hotness: 5}
 	for n := range held {
-		f.Holders = append(f.Holders, &wire.Holding{Worker: n, State: 2})
+		f.Holders = append(f.Holders, &wire.Holder{Worker: n, State: 2})
 	}
 	q.Found[es[0].Key] = f
 	for i := range 4 {
-		q.Workers = append(q.Workers, &wire.Worker{Name: fmt.Sprintf("w%d", i), Addr: fmt.Sprintf("w%d:1", i), District: fmt.Sprint(i % 2), Weights: 1, Slots: 2})
+		q.Workers = append(q.Workers, &wire.Worker{Name: fmt.Sprintf("w%d", i), Addr: fmt.Sprintf("w%d:1", i), Zone: fmt.Sprint(i % 2), Weights: 1, Slots: 2})
 	}
 	p := &placement.Placement{Mode: "hrcs"}
 	if hot {
@@ -117,7 +117,7 @@
 			es := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", c.opening), strings.Repeat("s", 2000), "question"})
 			q := testQuery(false, nil)
 			q.Entries = map[uint64][]prefix.Entry{1: es}
-			q.Found = map[prefix.Key]*wire.Found{es[0].Key: {Hotness: 40}, es[1].Key: {Hotness: c.hot}}
+			q.Found = map[prefix.Key]*wire.LookupResult{es[0].Key: {Hotness: 40}, es[1].Key: {Hotness: c.hot}}
 			q.Placement.AdmissionFloor = c.floor
 			home := placement.RankShardWorkers(es[0].Key, names)[0]
 			if c.want {
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -20,22 +20,22 @@
 // viewForTarget shows a worker as it stands to a set of weights: with the version that it has of the base.
 // Nil: it hasn't the base, or not that build of the adapter, so it gets no such request.
 func viewForTarget(w *wire.Worker, t serviceconfig.Target) *wire.Worker {
-	if len(w.Loaded) == 0 {
+	if len(w.LoadedModels) == 0 {
 		if t.Adapter != "" || w.Model != "" && w.Model != t.Model {
 			return nil
 		}
 		return w
 	}
-	for _, l := range w.Loaded {
+	for _, l := range w.LoadedModels {
 		if l.Model != t.Model || t.Adapter != "" && (t.Build == 0 || l.Adapters[t.Adapter] != t.Build) {
 			continue
 		}
 		if l.Model == w.Model && l.Weights == w.Weights {
 			return w
 		}
-		return &wire.Worker{Name: w.Name, Addr: w.Addr, Service: w.Service, Model: l.Model, District: w.District, Incarnation: w.Incarnation,
-			State: w.State, Weights: l.Weights, Slots: w.Slots, Busy: w.Busy, Queued: w.Queued, Kind: w.Kind, KvRoom: w.KvRoom, Ok: w.Ok, Bad: w.Bad,
-			ClockNs: w.ClockNs, ClockAt: w.ClockAt, Loaded: w.Loaded}
+		return &wire.Worker{Name: w.Name, Addr: w.Addr, Service: w.Service, Model: l.Model, Zone: w.Zone, Incarnation: w.Incarnation,
+			State: w.State, Weights: l.Weights, Slots: w.Slots, Busy: w.Busy, Queued: w.Queued, Kind: w.Kind, KvCapacity: w.KvCapacity, Successes: w.Successes, Failures: w.Failures,
+			ClockNs: w.ClockNs, ClockReadAt: w.ClockReadAt, LoadedModels: w.LoadedModels}
 	}
 	return nil
 }
--- a/internal/data/callerproxy/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -13,7 +13,7 @@
 // What has old weights alone, or says nothing of an adapter, gets none of the adapter's requests.
 func TestViewForTarget(t *testing.T) {
 	old := &wire.Worker{Name: "old", Model: "lector", Weights: 4}
-	both := &wire.Worker{Name: "both", Model: "lector", Weights: 4, Slots: 4, Loaded: []*wire.Loaded{
+	both := &wire.Worker{Name: "both", Model: "lector", Weights: 4, Slots: 4, LoadedModels: []*wire.LoadedModel{
 		{Model: "lector", Weights: 4, Adapters: map[string]uint64{"rare": 1}}, {Model: "lector-2", Weights: 2, Adapters: map[string]uint64{"rare-2": 7}}}}
 	for name, x := range map[string]struct {
 		w    *wire.Worker
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -38,7 +38,7 @@
 type pendingLookup struct {
 	keys   []prefix.Key
 	wait   time.Duration
-	result chan map[prefix.Key]*wire.Found
+	result chan map[prefix.Key]*wire.LookupResult
 }
 
 // Client looks up keys in batches and sends the accesses that this edge machine has seen.
@@ -46,7 +46,7 @@
 	ring        *queue.Ring[pendingLookup]
 	actor       *queue.Actor[table]
 	nodes       func() []*wire.Node
-	client      func(addr string) wire.Catalogue
+	client      func(addr string) wire.PromptIndex
 	bounds      settings.Bounds
 	clock       clock.Clock
 	ctx         context.Context
@@ -61,9 +61,9 @@
 //
 // Example: s := indexclient.New(process, func() []*wire.Node { return agent.Snapshot().Nodes })
 func New(l *daemon.Process, nodes func() []*wire.Node) *Client {
-	calls, links := daemon.NewClients(l), map[string]wire.Catalogue{}
+	calls, links := daemon.NewClients(l), map[string]wire.PromptIndex{}
 	var mu sync.Mutex
-	return start(l, nodes, func(addr string) wire.Catalogue {
+	return start(l, nodes, func(addr string) wire.PromptIndex {
 		mu.Lock()
 		defer mu.Unlock()
 		c := links[addr]
@@ -80,7 +80,7 @@
 
 const maxClients = 64
 
-func start(l *daemon.Process, nodes func() []*wire.Node, call func(string) wire.Catalogue) *Client {
+func start(l *daemon.Process, nodes func() []*wire.Node, call func(string) wire.PromptIndex) *Client {
 	s := &Client{ring: queue.NewRing[pendingLookup](l.Place.Bounds.Waiting), nodes: nodes, client: call, bounds: l.Place.Bounds,
 		clock: l.Clock, ctx: l.Ctx, name: "edge/" + l.Place.Name, incarnation: uint64(l.Clock.Now()), zone: l.Place.Zone}
 	s.actor = queue.NewActor(newTable(s), 1024)
@@ -94,16 +94,16 @@
 // Lookup looks keys up and waits no longer than wait; nil, or a missing key, is a miss.
 //
 // Example: found := s.Lookup(ctx, keys, 12*time.Millisecond)
-func (s *Client) Lookup(ctx context.Context, keys []prefix.Key, wait time.Duration) map[prefix.Key]*wire.Found {
+func (s *Client) Lookup(ctx context.Context, keys []prefix.Key, wait time.Duration) map[prefix.Key]*wire.LookupResult {
 	if len(keys) == 0 || wait <= 0 {
 		return nil
 	}
-	var kept map[prefix.Key]*wire.Found
+	var kept map[prefix.Key]*wire.LookupResult
 	s.actor.Ask(func(t *table) { kept = t.lookUpCache(keys, s.clock.Now()) })
 	if len(kept) == len(keys) {
 		return kept
 	}
-	q := pendingLookup{keys, wait, make(chan map[prefix.Key]*wire.Found, 1)}
+	q := pendingLookup{keys, wait, make(chan map[prefix.Key]*wire.LookupResult, 1)}
 	if !s.ring.Offer(q) {
 		return kept
 	}
@@ -143,7 +143,7 @@
 // lookupBatch looks up the keys of all lookups: at the fewest index nodes that hold them all, then at
 // the other holders of what wasn't answered or not for certain.
 func (s *Client) lookupBatch(qs []pendingLookup) {
-	got := map[prefix.Key]*wire.Found{}
+	got := map[prefix.Key]*wire.LookupResult{}
 	sure := map[prefix.Key]bool{}
 	var all []prefix.Key
 	wait := time.Duration(0)
@@ -190,27 +190,27 @@
 
 type nodeResponse struct {
 	call     nodeCall
-	response *wire.LookTell
+	response *wire.LookupResponse
 	err      error
 }
 
-func (s *Client) callNodes(ctx context.Context, plan []nodeCall, got map[prefix.Key]*wire.Found, sure map[prefix.Key]bool, asked map[string]bool) {
+func (s *Client) callNodes(ctx context.Context, plan []nodeCall, got map[prefix.Key]*wire.LookupResult, sure map[prefix.Key]bool, asked map[string]bool) {
 	out := make(chan nodeResponse, len(plan))
 	for _, l := range plan {
 		asked[l.node] = true
 		s.lookups.Add(1)
 		go func() {
-			a := &wire.LookAsk{Teller: s.name, Loads: s.loads()}
+			a := &wire.LookupRequest{Reporter: s.name, Loads: s.loads()}
 			for i := range l.keys {
 				a.Keys = append(a.Keys, l.keys[i][:])
 			}
-			t, err := s.client(l.addr).Seek(ctx, a)
+			t, err := s.client(l.addr).Lookup(ctx, a)
 			out <- nodeResponse{l, t, err}
 		}()
 	}
 	for range plan {
 		r := <-out
-		ok := r.err == nil && r.response != nil && len(r.response.Found) == len(r.call.keys)
+		ok := r.err == nil && r.response != nil && len(r.response.Results) == len(r.call.keys)
 		s.actor.Ask(func(t *table) { t.recordResult(r.call.node, ok && r.response.Warm, s.clock.Now()) })
 		if x := s.loadSharing.Load(); x != nil && r.err == nil && r.response.GetLoads() != nil {
 			x.receiveLoads(r.response.Loads)
@@ -219,10 +219,10 @@
 			continue // a miss
 		}
 		for i, k := range r.call.keys {
-			if !r.response.Warm && len(r.response.Found[i].Holders) == 0 {
+			if !r.response.Warm && len(r.response.Results[i].Holders) == 0 {
 				continue // it can't know yet that nobody holds it
 			}
-			got[k], sure[k] = promptindex.MergeFound(got[k], r.response.Found[i]), r.response.Warm
+			got[k], sure[k] = promptindex.MergeFound(got[k], r.response.Results[i]), r.response.Warm
 		}
 	}
 }
@@ -231,17 +231,17 @@
 // others.
 //
 // Example: s.ShareLoads(p.loads, p.receiveLoads)
-func (s *Client) ShareLoads(give func() *wire.Loads, take func(*wire.Loads)) {
+func (s *Client) ShareLoads(give func() *wire.WorkerLoads, take func(*wire.WorkerLoads)) {
 	s.loadSharing.Store(&loadSharing{give, take})
 }
 
 type loadSharing struct {
-	localLoads   func() *wire.Loads
-	receiveLoads func(*wire.Loads)
+	localLoads   func() *wire.WorkerLoads
+	receiveLoads func(*wire.WorkerLoads)
 }
 
 // loads is this edge machine's report on the workers' load; nil if none.
-func (s *Client) loads() *wire.Loads {
+func (s *Client) loads() *wire.WorkerLoads {
 	if x := s.loadSharing.Load(); x != nil {
 		return x.localLoads()
 	}
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -25,7 +25,7 @@
 	mood   map[string]string // by address: "", hangs, errors, cold
 	asked  []string
 	keys   int
-	counts map[string][]*wire.CountAsk
+	counts map[string][]*wire.CountRequest
 	held   map[prefix.Key]string
 	again  bool
 	gate   chan struct{}
@@ -42,7 +42,7 @@
 	addr string
 }
 
-func (n node) Seek(ctx context.Context, a *wire.LookAsk) (*wire.LookTell, error) {
+func (n node) Lookup(ctx context.Context, a *wire.LookupRequest) (*wire.LookupResponse, error) {
 	n.x.mu.Lock()
 	n.x.asked = append(n.x.asked, n.addr)
 	n.x.keys += len(a.Keys)
@@ -58,18 +58,18 @@
 	case "errors":
 		return nil, errors.New("down")
 	}
-	t := &wire.LookTell{Warm: mood != "cold"}
+	t := &wire.LookupResponse{Warm: mood != "cold"}
 	for _, k := range a.Keys {
-		f := &wire.Found{}
+		f := &wire.LookupResult{}
 		if h := n.x.held[prefix.Key(k)]; h != "" && mood != "cold" {
-			f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: promptindex.Confirmed})
+			f.Holders = append(f.Holders, &wire.Holder{Worker: h, State: promptindex.Confirmed})
 		}
-		t.Found = append(t.Found, f)
+		t.Results = append(t.Results, f)
 	}
 	return t, nil
 }
 
-func (n node) Count(ctx context.Context, a *wire.CountAsk) (*wire.CountTell, error) {
+func (n node) Count(ctx context.Context, a *wire.CountRequest) (*wire.CountResponse, error) {
 	n.x.mu.Lock()
 	defer n.x.mu.Unlock()
 	if n.x.mood[n.addr] == "errors" {
@@ -78,14 +78,16 @@
 	n.x.counts[n.addr] = append(n.x.counts[n.addr], a)
 	again := n.x.again
 	n.x.again = false
-	return &wire.CountTell{Number: a.Number, Again: again}, nil
+	return &wire.CountResponse{Sequence: a.Sequence, ResendWindow: again}, nil
 }
 
-func (n node) Hottest(context.Context, *wire.HotAsk) (*wire.HotTell, error) { return nil, nil }
+func (n node) Hottest(context.Context, *wire.HottestRequest) (*wire.HottestResponse, error) {
+	return nil, nil
+}
 
 func nodes() (l []*wire.Node) {
 	for i, d := range []string{"a", "b", "c", "d"} {
-		l = append(l, &wire.Node{Name: "catalogue/core-" + d, Role: clustermembership.RolePromptIndex, District: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
+		l = append(l, &wire.Node{Name: "catalogue/core-" + d, Role: clustermembership.RolePromptIndex, Zone: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	return l
 }
@@ -95,13 +97,13 @@
 	if x.mood == nil {
 		x.mood = map[string]string{}
 	}
-	x.counts = map[string][]*wire.CountAsk{}
+	x.counts = map[string][]*wire.CountRequest{}
 	synctest.Test(t, func(t *testing.T) {
 		ns := nodes()
 		serving := promptindex.ServingNodes(ns)
 		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
-		l := daemon.NewIn(w, "edge", settings.Place{Name: "edge-1", Zone: serving[1].District, Bounds: settings.Default(), Extra: []string{"log=off"}})
-		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.Catalogue { return node{x, addr} })
+		l := daemon.NewIn(w, "edge", settings.Place{Name: "edge-1", Zone: serving[1].Zone, Bounds: settings.Default(), Extra: []string{"log=off"}})
+		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.PromptIndex { return node{x, addr} })
 		f(s, serving)
 		l.Stop(time.Second)
 		synctest.Wait()
@@ -226,8 +228,8 @@
 		pass(s.bounds.Heal(flushRatio))
 		for _, n := range serving {
 			l := x.counts[n.Addr]
-			if len(l) != 1 || len(l[0].Accesses) != 1 || l[0].Number != 1 || l[0].Accesses[0].Count != 4 ||
-				!slices.Equal(l[0].Accesses[0].Presumed, []string{"w1", "w2", "store"}) || !l[0].Accesses[0].Head {
+			if len(l) != 1 || len(l[0].Accesses) != 1 || l[0].Sequence != 1 || l[0].Accesses[0].Count != 4 ||
+				!slices.Equal(l[0].Accesses[0].PresumedHolders, []string{"w1", "w2", "store"}) || !l[0].Accesses[0].Head {
 				t.Fatalf("%s was reported %v", n.Addr, l)
 			}
 		}
@@ -242,7 +244,7 @@
 		x.set(serving[0].Addr, "")
 		pass(s.bounds.Heal(2 * flushRatio))
 		l := x.counts[serving[0].Addr][1:]
-		if len(l) != 2 || l[0].Number != 2 || l[1].Number != 3 || string(l[0].Accesses[0].Key) != string(part(2)[0].Key[:]) {
+		if len(l) != 2 || l[0].Sequence != 2 || l[1].Sequence != 3 || string(l[0].Accesses[0].Key) != string(part(2)[0].Key[:]) {
 			t.Errorf("after an error: %v", l)
 		}
 	})
@@ -262,7 +264,7 @@
 		for _, l := range x.counts {
 			if len(l) == 3 {
 				n++
-				if len(l[2].Accesses) != 2 || len(l[2].Accesses[0].Presumed) != 0 {
+				if len(l[2].Accesses) != 2 || len(l[2].Accesses[0].PresumedHolders) != 0 {
 					t.Errorf("the window: %v", l[2])
 				}
 			}
@@ -289,7 +291,7 @@
 		s.RecordAccesses("llm", part(3), "w1", "")
 		pass(s.bounds.Heal(2 * flushRatio))
 		l := x.counts[serving[0].Addr]
-		if len(l) != 2 || l[1].Number != 2 {
+		if len(l) != 2 || l[1].Sequence != 2 {
 			t.Errorf("reported %v", l)
 		}
 	})
--- a/internal/data/indexclient/count.go
+++ b/internal/data/indexclient/count.go
@@ -24,7 +24,7 @@
 type nodeQueue struct {
 	number   uint64
 	pending  map[prefix.Key]*wire.Access
-	inFlight *wire.CountAsk // not acknowledged yet: it is sent again under the same number
+	inFlight *wire.CountRequest // not acknowledged yet: it is sent again under the same number
 	sending  bool
 }
 
@@ -43,9 +43,9 @@
 	s.actor.TrySend(func(t *table) {
 		sh := t.currentShards()
 		for i, e := range parts {
-			a := &wire.Access{Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, Presumed: []string{holder}}
+			a := &wire.Access{Count: 1, Tokens: uint32(e.Tokens), Service: service, Head: i == 0, PresumedHolders: []string{holder}}
 			if saved != "" {
-				a.Presumed = append(a.Presumed, saved)
+				a.PresumedHolders = append(a.PresumedHolders, saved)
 			}
 			h := sh.NodesOf(e.Key)
 			for j, n := range h {
@@ -79,12 +79,12 @@
 				x.pending, x.inFlight = map[prefix.Key]*wire.Access{}, nil // it no longer serves; its batch numbers continue later
 				continue
 			}
-			if x.sending || x.inFlight == nil && len(x.pending) == 0 && len(loads.GetAt()) == 0 {
+			if x.sending || x.inFlight == nil && len(x.pending) == 0 && len(loads.GetWorkerIndexes()) == 0 {
 				continue
 			}
 			if x.inFlight == nil {
 				x.number++
-				x.inFlight = &wire.CountAsk{Teller: s.name, Incarnation: s.incarnation, Number: x.number}
+				x.inFlight = &wire.CountRequest{Reporter: s.name, Incarnation: s.incarnation, Sequence: x.number}
 				for _, a := range x.pending {
 					x.inFlight.Accesses = append(x.inFlight.Accesses, a)
 				}
@@ -96,7 +96,7 @@
 	})
 }
 
-func (s *Client) sendBatch(n, addr string, x *nodeQueue, a *wire.CountAsk) {
+func (s *Client) sendBatch(n, addr string, x *nodeQueue, a *wire.CountRequest) {
 	ctx, end := context.WithTimeout(s.ctx, s.bounds.Heal(flushTimeoutRatio))
 	defer end()
 	r, err := s.client(addr).Count(ctx, a)
@@ -106,7 +106,7 @@
 			return
 		}
 		x.inFlight = nil
-		if !r.Again {
+		if !r.ResendWindow {
 			return
 		}
 		for _, m := range []map[prefix.Key]*wire.Access{t.lastWindow, t.window} { // it has lost its memory
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -14,7 +14,7 @@
 
 // cachedAnswer is an answer that is reused for a short time.
 type cachedAnswer struct {
-	found *wire.Found
+	found *wire.LookupResult
 	at    time.Duration
 }
 
@@ -61,7 +61,7 @@
 	clear(t.lateUntil)
 	clear(t.probeAt)
 	for _, n := range serving {
-		t.sameZone[n.Name] = n.District == t.client.zone
+		t.sameZone[n.Name] = n.Zone == t.client.zone
 	}
 	return t.shards
 }
@@ -128,12 +128,12 @@
 }
 
 // lookUpCache returns the cached answers that are still valid.
-func (t *table) lookUpCache(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
-	var m map[prefix.Key]*wire.Found
+func (t *table) lookUpCache(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
+	var m map[prefix.Key]*wire.LookupResult
 	for _, k := range keys {
 		if x, ok := t.cached[k]; ok && now-x.at < t.client.bounds.Heal(cacheLifetimeRatio) {
 			if m == nil {
-				m = make(map[prefix.Key]*wire.Found, len(keys))
+				m = make(map[prefix.Key]*wire.LookupResult, len(keys))
 			}
 			m[k] = x.found
 		}
@@ -142,7 +142,7 @@
 }
 
 // cache stores found holders; that nobody holds a key isn't cached.
-func (t *table) cache(got map[prefix.Key]*wire.Found, now time.Duration) {
+func (t *table) cache(got map[prefix.Key]*wire.LookupResult, now time.Duration) {
 	if len(t.cached)+len(got) > maxCachedAnswers {
 		for k, x := range t.cached {
 			if now-x.at >= t.client.bounds.Heal(cacheLifetimeRatio) {
@@ -165,14 +165,14 @@
 	o := m[k]
 	if o == nil {
 		if len(m) < maxCounts {
-			m[k] = &wire.Access{Key: k[:], Count: a.Count, Tokens: a.Tokens, Service: a.Service, Head: a.Head, Presumed: slices.Clone(a.Presumed)}
+			m[k] = &wire.Access{Key: k[:], Count: a.Count, Tokens: a.Tokens, Service: a.Service, Head: a.Head, PresumedHolders: slices.Clone(a.PresumedHolders)}
 		}
 		return
 	}
 	o.Count += a.Count
-	for _, p := range a.Presumed {
-		if !slices.Contains(o.Presumed, p) && len(o.Presumed) < maxPresumedHolders {
-			o.Presumed = append(o.Presumed, p)
+	for _, p := range a.PresumedHolders {
+		if !slices.Contains(o.PresumedHolders, p) && len(o.PresumedHolders) < maxPresumedHolders {
+			o.PresumedHolders = append(o.PresumedHolders, p)
 		}
 	}
 }
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -25,14 +25,14 @@
 	view       clustermembership.View
 	placements map[string]*wire.Document
 	config     *serviceconfig.Config
-	links      map[string]*wire.LinkSeen
+	links      map[string]*wire.LinkThroughput
 	// health is how a worker's recent attempts ended, as the proxy on this machine saw them.
 	health       map[string]*recentOutcomes
 	version      uint64 // of everything in an update
 	listsVersion uint64 // of workers, nodes, placements, stores and links
 	waiting      map[chan struct{}]bool
 	rows         []*wire.Worker
-	decisions    []*wire.Decided // the latest decisions, oldest first
+	decisions    []*wire.Decision // the latest decisions, oldest first
 }
 
 // Agent is the node agent of one machine.
@@ -55,7 +55,7 @@
 	ms := controlclient.Members(0, process.Place.Core)
 	// Versions start at random, so that a client can't mistake a new incarnation's for the old one's.
 	a.actor = queue.NewActor(&table{version: process.Seed(), listsVersion: process.Seed(), freshness: NewFreshnessProof(), workers: NewWorkerTable(b), placements: map[string]*wire.Document{},
-		links: map[string]*wire.LinkSeen{}, health: map[string]*recentOutcomes{}, waiting: map[chan struct{}]bool{}}, 1024)
+		links: map[string]*wire.LinkThroughput{}, health: map[string]*recentOutcomes{}, waiting: map[chan struct{}]bool{}}, 1024)
 	process.OnStop(a.actor.Stop)
 	a.member = clustermembership.Start(process.Ctx, process.Place, clustermembership.RoleNodeAgent, a.clock, process.Log, a.clients.Membership, func(v clustermembership.View) {
 		a.actor.TrySend(func(t *table) { t.view = v; t.notifyListsChanged() })
@@ -85,8 +85,8 @@
 		return v
 	})
 	mux := http.NewServeMux()
-	mux.Handle(wire.RunnerPathPrefix, wire.NewRunnerServer(a))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(a.member))
+	mux.Handle(wire.NodeAgentPathPrefix, wire.NewNodeAgentServer(a))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(a.member))
 	if err := process.Serve(process.Place.Listen, mux); err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 		var response *wire.WatchResponse
 		if addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + member); ok {
 			ctx, end := context.WithTimeout(a.process.Ctx, b.Config(0.3))
-			t, err := a.clients.ControlNode(addr).News(ctx, &wire.WatchRequest{Key: controlclient.ConfigKey, Have: have, HoldNs: uint64(b.Config(0.15))})
+			t, err := a.clients.ControlNode(addr).Watch(ctx, &wire.WatchRequest{Key: controlclient.ConfigKey, KnownVersion: have, MaxWaitNs: uint64(b.Config(0.15))})
 			end()
 			if err == nil {
 				response = t
@@ -192,13 +192,13 @@
 	for _, w := range rows { // published rows are never changed
 		if h := t.health[w.Name]; h != nil {
 			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
-			w.Ok, w.Bad = h.succeeded, h.failed
+			w.Successes, w.Failures = h.succeeded, h.failed
 		}
 	}
 	same := len(rows) == len(t.rows)
 	for i := 0; same && i < len(rows); i++ {
 		row, old := rows[i], t.rows[i]
-		same = row.Name == old.Name && row.Addr == old.Addr && row.State == old.State && row.Weights == old.Weights && row.Incarnation == old.Incarnation && row.Model == old.Model && sameLoaded(row.Loaded, old.Loaded)
+		same = row.Name == old.Name && row.Addr == old.Addr && row.State == old.State && row.Weights == old.Weights && row.Incarnation == old.Incarnation && row.Model == old.Model && sameLoaded(row.LoadedModels, old.LoadedModels)
 	}
 	t.rows = rows
 	t.listsVersion++ // a change of load alone wakes nobody
@@ -234,7 +234,7 @@
 			continue
 		}
 		ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Heal(1.0/24))
-		response, err := a.clients.ControlNode(addr).News(ctx, &wire.WatchRequest{Shard: shard, Key: "placement/" + n, Have: h})
+		response, err := a.clients.ControlNode(addr).Watch(ctx, &wire.WatchRequest{Shard: shard, Key: "placement/" + n, KnownVersion: h})
 		end()
 		if err == nil && response.Outcome == wire.OutcomeNews && response.Document.GetVersion() > h {
 			a.actor.TrySend(func(t *table) {
@@ -249,13 +249,13 @@
 
 // Explain returns what the proxy on this machine decided on a request.
 //
-// Example: wire.NewRunnerProtobufClient(url, h).Explain(ctx, &wire.ExplainAsk{Request: "r1"})
-func (a *Agent) Explain(_ context.Context, request *wire.ExplainAsk) (*wire.ExplainTell, error) {
-	t := &wire.ExplainTell{}
+// Example: wire.NewRunnerProtobufClient(url, h).Explain(ctx, &wire.ExplainRequest{Request: "r1"})
+func (a *Agent) Explain(_ context.Context, request *wire.ExplainRequest) (*wire.ExplainResponse, error) {
+	t := &wire.ExplainResponse{}
 	a.actor.Ask(func(x *table) {
 		for _, d := range x.decisions {
-			if d.Request == request.Request {
-				t.List = append(t.List, d)
+			if d.RequestId == request.RequestId {
+				t.Decisions = append(t.Decisions, d)
 			}
 		}
 	})
@@ -265,13 +265,13 @@
 // Feed responds to the processes on this machine: at once if there is news, else when the hold time is
 // over.
 //
-// Example: wire.NewRunnerProtobufClient(url, h).Feed(ctx, &wire.FeedAsk{Have: 9, HoldNs: 2e8})
-func (a *Agent) Feed(ctx context.Context, request *wire.FeedAsk) (*wire.FeedTell, error) {
-	end := time.NewTimer(time.Duration(min(request.HoldNs, uint64(10*time.Second))))
+// Example: wire.NewRunnerProtobufClient(url, h).Feed(ctx, &wire.FeedRequest{Have: 9, HoldNs: 2e8})
+func (a *Agent) Feed(ctx context.Context, request *wire.FeedRequest) (*wire.FeedResponse, error) {
+	end := time.NewTimer(time.Duration(min(request.MaxWaitNs, uint64(10*time.Second))))
 	defer end.Stop()
 	first := true
 	for {
-		var response *wire.FeedTell
+		var response *wire.FeedResponse
 		c := make(chan struct{})
 		over := false
 		select {
@@ -281,11 +281,11 @@
 		}
 		ok := a.actor.Ask(func(t *table) {
 			if first {
-				a.recordAttempts(t, request.Goes)
-				t.decisions = append(t.decisions, request.Decided...)
+				a.recordAttempts(t, request.Attempts)
+				t.decisions = append(t.decisions, request.Decisions...)
 				t.decisions = t.decisions[max(0, len(t.decisions)-maxDecisions):]
 			}
-			if t.version != request.Have || over || request.HoldNs == 0 || len(t.waiting) > 64 {
+			if t.version != request.KnownVersion || over || request.MaxWaitNs == 0 || len(t.waiting) > 64 {
 				response = a.newResponse(t, request)
 				return
 			}
@@ -293,7 +293,7 @@
 		})
 		if !ok || response != nil {
 			if response == nil {
-				response = &wire.FeedTell{Number: request.Have}
+				response = &wire.FeedResponse{Version: request.KnownVersion}
 			}
 			return response, nil
 		}
@@ -301,9 +301,9 @@
 		select {
 		case <-c:
 		case <-end.C:
-			request.HoldNs = 0
+			request.MaxWaitNs = 0
 		case <-ctx.Done():
-			request.HoldNs = 0
+			request.MaxWaitNs = 0
 		}
 		a.actor.TrySend(func(t *table) { delete(t.waiting, c) })
 	}
@@ -320,39 +320,39 @@
 	h.succeeded, h.failed, h.updatedAt = h.succeeded*f, h.failed*f, now
 }
 
-func (a *Agent) recordAttempts(t *table, l []*wire.GoReport) {
+func (a *Agent) recordAttempts(t *table, l []*wire.AttemptReport) {
 	t.workers.RecordAttempts(l, a.clock.Now())
 	for _, g := range l {
-		if g.Ok+g.Errors > 0 && (t.health[g.Worker] != nil || len(t.health) < maxWorkers) {
+		if g.Successes+g.Failures > 0 && (t.health[g.Worker] != nil || len(t.health) < maxWorkers) {
 			h := t.health[g.Worker]
 			if h == nil {
 				h = &recentOutcomes{}
 				t.health[g.Worker] = h
 			}
 			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
-			h.succeeded, h.failed = h.succeeded+float64(g.Ok), h.failed+float64(g.Errors)
+			h.succeeded, h.failed = h.succeeded+float64(g.Successes), h.failed+float64(g.Failures)
 		}
-		if g.LinkNs <= 0 || len(t.links) > 8 && t.links[g.From] == nil {
+		if g.LinkNs <= 0 || len(t.links) > 8 && t.links[g.LinkClass] == nil {
 			continue
 		}
-		s := t.links[g.From]
+		s := t.links[g.LinkClass]
 		if s == nil {
-			s = &wire.LinkSeen{Class: g.From}
-			t.links[g.From] = s
+			s = &wire.LinkThroughput{Class: g.LinkClass}
+			t.links[g.LinkClass] = s
 		}
-		s.Tokens, s.Ns = s.Tokens*0.98+g.LinkTokens, s.Ns*0.98+g.LinkNs // older fetches decay
+		s.Tokens, s.ElapsedNs = s.Tokens*0.98+g.LinkTokens, s.ElapsedNs*0.98+g.LinkNs // older fetches decay
 	}
 }
 
 // newResponse makes an update. What the client has isn't sent again.
-func (a *Agent) newResponse(t *table, request *wire.FeedAsk) *wire.FeedTell {
-	f := &wire.FeedTell{Number: t.version, View: t.listsVersion, ProofAt: uint64(t.freshness.FreshUntil()), Setup: t.freshness.Document(), WorkersAt: uint64(t.workers.listedAt)}
+func (a *Agent) newResponse(t *table, request *wire.FeedRequest) *wire.FeedResponse {
+	f := &wire.FeedResponse{Version: t.version, ListsVersion: t.listsVersion, ProofAtNs: uint64(t.freshness.FreshUntil()), Config: t.freshness.Document(), WorkersListedAtNs: uint64(t.workers.listedAt)}
 	if t.config == nil {
-		f.Setup, f.ProofAt = nil, 0 // an unreadable configuration is none
-	} else if f.Setup.GetVersion() == request.HaveSetup {
-		f.Setup = nil
+		f.Config, f.ProofAtNs = nil, 0 // an unreadable configuration is none
+	} else if f.Config.GetVersion() == request.KnownConfigVersion {
+		f.Config = nil
 	}
-	if request.HaveView == t.listsVersion && t.listsVersion != 0 {
+	if request.KnownListsVersion == t.listsVersion && t.listsVersion != 0 {
 		return f
 	}
 	f.Nodes, f.Workers = t.view.Nodes, t.rows
@@ -361,7 +361,7 @@
 	}
 	for _, n := range queue.Keys(t.links) {
 		s := t.links[n]
-		f.Links = append(f.Links, &wire.LinkSeen{Class: s.Class, Tokens: s.Tokens, Ns: s.Ns})
+		f.Links = append(f.Links, &wire.LinkThroughput{Class: s.Class, Tokens: s.Tokens, ElapsedNs: s.ElapsedNs})
 	}
 	for _, w := range t.rows {
 		if w.Kind == "store" && w.State < 2 {
--- a/internal/data/nodeagent/freshness_test.go
+++ b/internal/data/nodeagent/freshness_test.go
@@ -125,9 +125,11 @@
 		{"not listed any more", func(w *WorkerTable) { w.ApplyList(nil, at(0.1)) }, at(0.1), -1},
 		{"warned by the platform", func(w *WorkerTable) { y := x; y.Draining = true; w.ApplyList([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
 		{"says itself that it drains", func(w *WorkerTable) { s := ok; s.Draining = true; w.RecordProbe(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
-		{"a go failed after its last probe", func(w *WorkerTable) { w.RecordAttempts([]*wire.GoReport{{Worker: "worker-1", Errors: 1}}, at(0.1)) }, at(0.1), int(updatestream.WorkerSuspect)},
+		{"a go failed after its last probe", func(w *WorkerTable) {
+			w.RecordAttempts([]*wire.AttemptReport{{Worker: "worker-1", Failures: 1}}, at(0.1))
+		}, at(0.1), int(updatestream.WorkerSuspect)},
 		{"a good probe clears a failed go", func(w *WorkerTable) {
-			w.RecordAttempts([]*wire.GoReport{{Worker: "worker-1", Errors: 1}}, at(0.1))
+			w.RecordAttempts([]*wire.AttemptReport{{Worker: "worker-1", Failures: 1}}, at(0.1))
 			w.RecordProbe(x, ok, true, at(0.2), at(0.2))
 		}, at(0.2), int(updatestream.WorkerUp)},
 		{"a stranger at its address", func(w *WorkerTable) { w.RecordProbe(x, contract.State{Name: "worker-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerSuspect)},
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -98,9 +98,9 @@
 // RecordAttempts records how the proxy's attempts ended.
 //
 // Example: w.RecordAttempts(reports, now)
-func (w *WorkerTable) RecordAttempts(l []*wire.GoReport, now time.Duration) {
+func (w *WorkerTable) RecordAttempts(l []*wire.AttemptReport, now time.Duration) {
 	for _, g := range l {
-		if x := w.workers[g.Worker]; x != nil && g.Errors > 0 {
+		if x := w.workers[g.Worker]; x != nil && g.Failures > 0 {
 			x.failedAt = now
 		}
 	}
@@ -122,25 +122,25 @@
 		case x.failedAt > x.probedAt:
 			st = updatestream.WorkerSuspect
 		}
-		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, District: x.listed.Zone,
+		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, Zone: x.listed.Zone,
 			Incarnation: x.state.Incarnation, State: st, Weights: x.state.Weights, Slots: uint32(x.state.Slots), Busy: uint32(x.state.Busy),
-			Queued: uint32(x.state.Queued), Kind: x.listed.Kind, KvRoom: uint64(x.state.KvRoom),
-			ClockNs: uint64(x.state.ClockUs) * 1000, ClockAt: uint64(x.respondedAt), Loaded: loaded(x.state)})
+			Queued: uint32(x.state.Queued), Kind: x.listed.Kind, KvCapacity: uint64(x.state.KvRoom),
+			ClockNs: uint64(x.state.ClockUs) * 1000, ClockReadAt: uint64(x.respondedAt), LoadedModels: loaded(x.state)})
 	}
 	return l
 }
 
 // loaded is what a worker says it has in memory beside its one model.
-func loaded(s contract.State) []*wire.Loaded {
-	var l []*wire.Loaded
+func loaded(s contract.State) []*wire.LoadedModel {
+	var l []*wire.LoadedModel
 	for _, x := range s.Loaded {
-		l = append(l, &wire.Loaded{Model: x.Model, Weights: x.Weights, Adapters: x.Adapters})
+		l = append(l, &wire.LoadedModel{Model: x.Model, Weights: x.Weights, Adapters: x.Adapters})
 	}
 	return l
 }
 
-func sameLoaded(a, b []*wire.Loaded) bool {
-	return slices.EqualFunc(a, b, func(x, y *wire.Loaded) bool {
+func sameLoaded(a, b []*wire.LoadedModel) bool {
+	return slices.EqualFunc(a, b, func(x, y *wire.LoadedModel) bool {
 		return x.Model == y.Model && x.Weights == y.Weights && maps.Equal(x.Adapters, y.Adapters)
 	})
 }
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -246,10 +246,10 @@
 // Lookup answers a batch of keys.
 //
 // Example: found := c.Lookup(keys, now)
-func (c *Core) Lookup(keys []prefix.Key, now time.Duration) []*wire.Found {
-	l := make([]*wire.Found, 0, len(keys))
+func (c *Core) Lookup(keys []prefix.Key, now time.Duration) []*wire.LookupResult {
+	l := make([]*wire.LookupResult, 0, len(keys))
 	for _, k := range keys {
-		f := &wire.Found{}
+		f := &wire.LookupResult{}
 		if e := c.entries[k]; e != nil {
 			c.decay(e, now)
 			f.Hotness = e.hotness
@@ -258,7 +258,7 @@
 					if h.isPartial(e) {
 						continue
 					}
-					f.Holders = append(f.Holders, &wire.Holding{Worker: n, State: h.certainty})
+					f.Holders = append(f.Holders, &wire.Holder{Worker: n, State: h.certainty})
 				} else {
 					delete(e.holders, n)
 					c.Stats.Lapsed++
@@ -275,25 +275,25 @@
 // that this index doesn't remember is asked to send its whole window again.
 //
 // Example: t := c.Count(ask, now)
-func (c *Core) RecordAccesses(a *wire.CountAsk, now time.Duration) *wire.CountTell {
-	t := c.reporters[a.Teller]
+func (c *Core) RecordAccesses(a *wire.CountRequest, now time.Duration) *wire.CountResponse {
+	t := c.reporters[a.Reporter]
 	if t == nil {
 		if len(c.reporters) >= maxReporters && !c.dropOldestReporter(now) {
-			return &wire.CountTell{Number: a.Number} // not counted: undercounting is better than counting twice
+			return &wire.CountResponse{Sequence: a.Sequence} // not counted: undercounting is better than counting twice
 		}
 		t = &reporter{}
-		c.reporters[a.Teller] = t
+		c.reporters[a.Reporter] = t
 	}
 	t.lastHeardAt = now
 	if t.incarnation != a.Incarnation && t.previous != a.Incarnation {
 		t.previous, t.incarnation, t.lastNumber = t.incarnation, a.Incarnation, 0
 	}
-	if a.Number <= t.lastNumber || t.incarnation != a.Incarnation {
+	if a.Sequence <= t.lastNumber || t.incarnation != a.Incarnation {
 		c.Stats.Duplicates++
-		return &wire.CountTell{Number: t.lastNumber}
+		return &wire.CountResponse{Sequence: t.lastNumber}
 	}
-	again := t.lastNumber == 0 && a.Number > 1
-	t.lastNumber = a.Number
+	again := t.lastNumber == 0 && a.Sequence > 1
+	t.lastNumber = a.Sequence
 	for _, x := range a.Accesses {
 		if len(x.Key) != len(prefix.Key{}) {
 			continue
@@ -309,14 +309,14 @@
 		if x.Tokens > 0 {
 			e.tokens = x.Tokens
 		}
-		for _, p := range x.Presumed {
+		for _, p := range x.PresumedHolders {
 			w := c.worker(p)
 			if h, ok := e.holders[p]; !ok || h.generation != w.generation || h.certainty == Presumed || h.isPartial(e) {
 				e.holders[p] = holding{certainty: Presumed, updatedAt: now, generation: w.generation}
 			}
 		}
 	}
-	return &wire.CountTell{Number: t.lastNumber, Again: again}
+	return &wire.CountResponse{Sequence: t.lastNumber, ResendWindow: again}
 }
 
 const maxReporters = 1024
@@ -340,8 +340,8 @@
 // Hottest lists a service's hottest entries with the sum over all of them.
 //
 // Example: t := c.Hottest("appraisals", 1000, now)
-func (c *Core) Hottest(service string, limit int, now time.Duration) *wire.HotTell {
-	t := &wire.HotTell{Warm: c.Warm()}
+func (c *Core) Hottest(service string, limit int, now time.Duration) *wire.HottestResponse {
+	t := &wire.HottestResponse{Warm: c.Warm()}
 	for k, e := range c.entries {
 		if e.service != service {
 			continue
@@ -351,17 +351,17 @@
 			continue
 		}
 		t.Entries++
-		t.Total += e.hotness
-		t.Hot = append(t.Hot, &wire.Hot{Key: k[:], Hotness: e.hotness, Tokens: e.tokens, Holders: uint32(len(e.holders)), Head: e.isHead})
+		t.TotalHotness += e.hotness
+		t.Prefixes = append(t.Prefixes, &wire.HotPrefix{Key: k[:], Hotness: e.hotness, Tokens: e.tokens, Holders: uint32(len(e.holders)), Head: e.isHead})
 	}
-	sort.Slice(t.Hot, func(i, j int) bool {
-		if t.Hot[i].Hotness != t.Hot[j].Hotness {
-			return t.Hot[i].Hotness > t.Hot[j].Hotness
+	sort.Slice(t.Prefixes, func(i, j int) bool {
+		if t.Prefixes[i].Hotness != t.Prefixes[j].Hotness {
+			return t.Prefixes[i].Hotness > t.Prefixes[j].Hotness
 		}
-		return string(t.Hot[i].Key) < string(t.Hot[j].Key)
+		return string(t.Prefixes[i].Key) < string(t.Prefixes[j].Key)
 	})
-	if len(t.Hot) > limit {
-		t.Hot = t.Hot[:limit]
+	if len(t.Prefixes) > limit {
+		t.Prefixes = t.Prefixes[:limit]
 	}
 	return t
 }
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -74,7 +74,7 @@
 	b := settings.Default()
 	k := key(1)
 	presume := func(c *Core, now time.Duration, n uint64) {
-		c.RecordAccesses(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", Presumed: []string{"worker"}}}}, now)
+		c.RecordAccesses(&wire.CountRequest{Reporter: "d", Incarnation: 1, Sequence: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", PresumedHolders: []string{"worker"}}}}, now)
 	}
 	c := NewCore(b, all)
 	applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
@@ -106,8 +106,8 @@
 // restart is asked for its window.
 func TestCountsComeOnce(t *testing.T) {
 	k := key(1)
-	ask := func(inc, n uint64) *wire.CountAsk {
-		return &wire.CountAsk{Teller: "d", Incarnation: inc, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 5, Service: "s"}}}
+	ask := func(inc, n uint64) *wire.CountRequest {
+		return &wire.CountRequest{Reporter: "d", Incarnation: inc, Sequence: n, Accesses: []*wire.Access{{Key: k[:], Count: 5, Service: "s"}}}
 	}
 	c := NewCore(settings.Default(), all)
 	for range 3 {
@@ -118,10 +118,10 @@
 	if h := c.Lookup([]prefix.Key{k}, 1)[0].Hotness; h != 10 {
 		t.Errorf("hotness %v after two batches of 5", h)
 	}
-	if got := c.RecordAccesses(ask(2, 1), 1); got.Again || got.Number != 1 {
+	if got := c.RecordAccesses(ask(2, 1), 1); got.ResendWindow || got.Sequence != 1 {
 		t.Errorf("a teller's new incarnation: %v", got)
 	}
-	if got := NewCore(settings.Default(), all).RecordAccesses(ask(1, 7), 1); !got.Again {
+	if got := NewCore(settings.Default(), all).RecordAccesses(ask(1, 7), 1); !got.ResendWindow {
 		t.Error("an index without memory didn't ask for the window")
 	}
 	if h := c.Lookup([]prefix.Key{k}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
@@ -133,8 +133,8 @@
 // table full of tellers makes none of them count twice.
 func TestNoBatchCountsTwice(t *testing.T) {
 	b, k := settings.Default(), key(1)
-	ask := func(who string, inc, n uint64) *wire.CountAsk {
-		return &wire.CountAsk{Teller: who, Incarnation: inc, Number: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s"}}}
+	ask := func(who string, inc, n uint64) *wire.CountRequest {
+		return &wire.CountRequest{Reporter: who, Incarnation: inc, Sequence: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s"}}}
 	}
 	hot := func(c *Core) float64 { return c.Lookup([]prefix.Key{k}, 1)[0].Hotness }
 	c := NewCore(b, all)
@@ -213,7 +213,7 @@
 	c := NewCore(b, all)
 	for i := range 1000 {
 		k := key(i)
-		c.RecordAccesses(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1}}}, time.Duration(i))
+		c.RecordAccesses(&wire.CountRequest{Reporter: "d", Incarnation: 1, Sequence: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1}}}, time.Duration(i))
 	}
 	if len(c.entries) > 100 || c.Stats.Evicted != 900 {
 		t.Errorf("%d entries, %d evicted", len(c.entries), c.Stats.Evicted)
@@ -225,7 +225,7 @@
 func TestShardsHaveTwoHoldersInTwoZones(t *testing.T) {
 	var ns []*wire.Node
 	for i := range 9 {
-		ns = append(ns, &wire.Node{Name: fmt.Sprintf("c-%d", i), Role: clustermembership.RolePromptIndex, District: fmt.Sprint(i % 4), Addr: "x"})
+		ns = append(ns, &wire.Node{Name: fmt.Sprintf("c-%d", i), Role: clustermembership.RolePromptIndex, Zone: fmt.Sprint(i % 4), Addr: "x"})
 	}
 	s, less := NewShards(ns), NewShards(ns[:8])
 	n := map[string]int{}
@@ -264,8 +264,8 @@
 	}
 	for i := range b.Entries {
 		k := key(i)
-		c.RecordAccesses(&wire.CountAsk{Teller: "d", Incarnation: 1, Number: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1, Tokens: 900, Service: "s",
-			Presumed: []string{"worker-0", "worker-1", "worker-2"}}}}, time.Duration(i))
+		c.RecordAccesses(&wire.CountRequest{Reporter: "d", Incarnation: 1, Sequence: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1, Tokens: 900, Service: "s",
+			PresumedHolders: []string{"worker-0", "worker-1", "worker-2"}}}}, time.Duration(i))
 	}
 	mb := heap() - before
 	t.Logf("%d entries with 3 holders: %.1f MB", len(c.entries), mb)
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -39,8 +39,8 @@
 
 func use(c *Core, part string, tokens uint32, n uint64, now time.Duration, holders ...string) {
 	k := PartKey("s", part)
-	c.RecordAccesses(&wire.CountAsk{Teller: "e", Incarnation: 1, Number: n, Accesses: []*wire.Access{
-		{Key: k[:], Count: 1, Tokens: tokens, Service: "llm", Presumed: holders}}}, now)
+	c.RecordAccesses(&wire.CountRequest{Reporter: "e", Incarnation: 1, Sequence: n, Accesses: []*wire.Access{
+		{Key: k[:], Count: 1, Tokens: tokens, Service: "llm", PresumedHolders: holders}}}, now)
 }
 
 // Text and part can't be shifted into each other.
@@ -221,7 +221,7 @@
 
 func indexNodes(zones ...string) (l []*wire.Node) {
 	for i, d := range zones {
-		l = append(l, &wire.Node{Name: fmt.Sprintf("catalogue/core-%d", i), Role: clustermembership.RolePromptIndex, District: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
+		l = append(l, &wire.Node{Name: fmt.Sprintf("catalogue/core-%d", i), Role: clustermembership.RolePromptIndex, Zone: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	return l
 }
@@ -229,7 +229,7 @@
 func TestHalfOfTheIndexNodesServe(t *testing.T) {
 	four := indexNodes("a", "a", "b", "b")
 	l := ServingNodes(append(four, &wire.Node{Name: "edge/1", Role: "edge"}))
-	if len(l) != 2 || l[0].District == l[1].District {
+	if len(l) != 2 || l[0].Zone == l[1].Zone {
 		t.Fatalf("serving: %v", l)
 	}
 	back := slices.Clone(four)
@@ -342,8 +342,8 @@
 			t.Errorf("plain worker %d, whole lists %v, at once %d", p.events["1:9"], p.lists, p.most)
 		}
 		k, up := PartKey("s", "a"), StoreHealthKey("d")
-		a, err := n.Seek(context.Background(), &wire.LookAsk{Keys: [][]byte{k[:], up[:]}})
-		if err != nil || len(a.Found) != 2 || !a.Warm || len(a.Found[0].Holders) != 3 || len(a.Found[1].Holders) != 1 {
+		a, err := n.Lookup(context.Background(), &wire.LookupRequest{Keys: [][]byte{k[:], up[:]}})
+		if err != nil || len(a.Results) != 2 || !a.Warm || len(a.Results[0].Holders) != 3 || len(a.Results[1].Holders) != 1 {
 			t.Errorf("%v, %v", a, err)
 		}
 	})
@@ -378,8 +378,8 @@
 	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
 		up := StoreHealthKey("d")
 		stands := func() bool {
-			a, _ := n.Seek(context.Background(), &wire.LookAsk{Keys: [][]byte{up[:]}})
-			return len(a.Found[0].Holders) > 0
+			a, _ := n.Lookup(context.Background(), &wire.LookupRequest{Keys: [][]byte{up[:]}})
+			return len(a.Results[0].Holders) > 0
 		}
 		if pass(b.Heal(0.4)); stands() {
 			t.Error("a dead store is up")
--- a/internal/data/promptindex/follower.go
+++ b/internal/data/promptindex/follower.go
@@ -46,11 +46,11 @@
 	for pass := range 2 {
 		for _, name := range queue.Rendezvous("serving", names) {
 			n := by[name]
-			if len(l) == want || in[name] || pass == 0 && taken[n.District] {
+			if len(l) == want || in[name] || pass == 0 && taken[n.Zone] {
 				continue
 			}
 			l = append(l, n)
-			taken[n.District], in[name] = true, true
+			taken[n.Zone], in[name] = true, true
 		}
 	}
 	return l
@@ -115,8 +115,8 @@
 
 // Handler serves the calls of edge machines and the placement controller.
 //
-// Example: mux.Handle(wire.CataloguePathPrefix, n.Handler())
-func (n *Node) Handler() http.Handler { return wire.NewCatalogueServer(n) }
+// Example: mux.Handle(wire.PromptIndexPathPrefix, n.Handler())
+func (n *Node) Handler() http.Handler { return wire.NewPromptIndexServer(n) }
 
 // tick polls the workers that are due, if this node serves any shard.
 func (s *eventFollower) tick() {
--- a/internal/data/promptindex/loads.go
+++ b/internal/data/promptindex/loads.go
@@ -22,7 +22,7 @@
 
 // loadReport is the last report of an edge machine.
 type loadReport struct {
-	loads *wire.Loads
+	loads *wire.WorkerLoads
 	at    time.Duration
 }
 
@@ -36,8 +36,8 @@
 // Record replaces an edge machine's last report. Reports with arrays of unequal length are ignored.
 //
 // Example: l.Record("edge/edge-1", request.Loads, now)
-func (l *LoadAggregator) Record(teller string, w *wire.Loads, now time.Duration) {
-	if n := len(w.GetAt()); w == nil || len(w.Active) != n || len(w.Unread) != n || len(w.Ok) != n || len(w.Bad) != n {
+func (l *LoadAggregator) Record(teller string, w *wire.WorkerLoads, now time.Duration) {
+	if n := len(w.GetWorkerIndexes()); w == nil || len(w.InFlight) != n || len(w.PendingPrefill) != n || len(w.Successes) != n || len(w.Failures) != n {
 		return
 	}
 	if l.reports[teller] == nil && len(l.reports) >= maxReporters {
@@ -61,36 +61,36 @@
 // some of them may not have reported yet it returns nothing: half of the load is worse than none.
 //
 // Example: response.Loads = l.Others("edge/edge-1", request.Loads.List, now)
-func (l *LoadAggregator) Others(teller string, list uint64, now time.Duration) *wire.Loads {
+func (l *LoadAggregator) Others(teller string, list uint64, now time.Duration) *wire.WorkerLoads {
 	type row struct{ active, unread, ok, bad uint32 }
 	sum := map[uint32]*row{}
-	t := &wire.Loads{List: list}
+	t := &wire.WorkerLoads{WorkerListHash: list}
 	if now-l.completeSince < l.bounds.Heal(reportLifetimeRatio) {
 		return t
 	}
 	for name, x := range l.reports {
-		if name == teller || x.loads.List != list || now-x.at > l.bounds.Heal(reportLifetimeRatio) {
+		if name == teller || x.loads.WorkerListHash != list || now-x.at > l.bounds.Heal(reportLifetimeRatio) {
 			continue
 		}
-		t.Tellers++
-		for i, at := range x.loads.At {
+		t.Reporters++
+		for i, at := range x.loads.WorkerIndexes {
 			r := sum[at]
 			if r == nil {
 				r = &row{}
 				sum[at] = r
-				t.At = append(t.At, at)
+				t.WorkerIndexes = append(t.WorkerIndexes, at)
 			}
-			r.active += x.loads.Active[i]
-			r.unread += x.loads.Unread[i]
-			r.ok += x.loads.Ok[i]
-			r.bad += x.loads.Bad[i]
+			r.active += x.loads.InFlight[i]
+			r.unread += x.loads.PendingPrefill[i]
+			r.ok += x.loads.Successes[i]
+			r.bad += x.loads.Failures[i]
 		}
 	}
-	sort.Slice(t.At, func(i, j int) bool { return t.At[i] < t.At[j] })
-	for _, at := range t.At {
+	sort.Slice(t.WorkerIndexes, func(i, j int) bool { return t.WorkerIndexes[i] < t.WorkerIndexes[j] })
+	for _, at := range t.WorkerIndexes {
 		r := sum[at]
-		t.Active, t.Unread = append(t.Active, r.active), append(t.Unread, r.unread)
-		t.Ok, t.Bad = append(t.Ok, r.ok), append(t.Bad, r.bad)
+		t.InFlight, t.PendingPrefill = append(t.InFlight, r.active), append(t.PendingPrefill, r.unread)
+		t.Successes, t.Failures = append(t.Successes, r.ok), append(t.Failures, r.bad)
 	}
 	return t
 }
--- a/internal/data/promptindex/loads_test.go
+++ b/internal/data/promptindex/loads_test.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-func newLoads(list uint64, at, active, unread, ok, bad uint32) *wire.Loads {
-	return &wire.Loads{List: list, At: []uint32{at}, Active: []uint32{active}, Unread: []uint32{unread}, Ok: []uint32{ok}, Bad: []uint32{bad}}
+func newLoads(list uint64, at, active, unread, ok, bad uint32) *wire.WorkerLoads {
+	return &wire.WorkerLoads{WorkerListHash: list, WorkerIndexes: []uint32{at}, InFlight: []uint32{active}, PendingPrefill: []uint32{unread}, Successes: []uint32{ok}, Failures: []uint32{bad}}
 }
 
 // warmLoads has had reports for long enough to pass them on.
@@ -27,14 +27,14 @@
 	for i := range 3 {
 		at := now + time.Duration(i)*b.Heal(reportLifetimeRatio)/2
 		l.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
-		if x := l.Others("c", 1, at); (x.Tellers > 0) != (i == 2) {
-			t.Errorf("%d: %d tellers", i, x.Tellers)
+		if x := l.Others("c", 1, at); (x.Reporters > 0) != (i == 2) {
+			t.Errorf("%d: %d tellers", i, x.Reporters)
 		}
 	}
 	at := now + 3*b.Heal(reportLifetimeRatio)
 	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
-	if x := l.Others("c", 1, at); x.Tellers > 0 {
-		t.Errorf("after a break: %d tellers", x.Tellers)
+	if x := l.Others("c", 1, at); x.Reporters > 0 {
+		t.Errorf("after a break: %d tellers", x.Reporters)
 	}
 }
 
@@ -47,8 +47,8 @@
 	l.Record("c", newLoads(1, 7, 50, 50, 0, 0), now) // the asker itself
 	l.Record("d", newLoads(2, 7, 50, 50, 0, 0), now) // of another list
 	x := l.Others("c", 1, now)
-	if x.Tellers != 3 || x.List != 1 || !slices.Equal(x.At, []uint32{4, 7}) || !slices.Equal(x.Active, []uint32{1, 5}) ||
-		!slices.Equal(x.Unread, []uint32{0, 50}) || !slices.Equal(x.Ok, []uint32{16, 8}) || !slices.Equal(x.Bad, []uint32{0, 8}) {
+	if x.Reporters != 3 || x.WorkerListHash != 1 || !slices.Equal(x.WorkerIndexes, []uint32{4, 7}) || !slices.Equal(x.InFlight, []uint32{1, 5}) ||
+		!slices.Equal(x.PendingPrefill, []uint32{0, 50}) || !slices.Equal(x.Successes, []uint32{16, 8}) || !slices.Equal(x.Failures, []uint32{0, 8}) {
 		t.Fatalf("reported %v", x)
 	}
 }
@@ -57,19 +57,19 @@
 	b := settings.Default()
 	l, now := warmLoads(time.Hour), time.Hour
 	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
-	if x := l.Others("b", 1, now+b.Heal(reportLifetimeRatio)); x.Tellers != 1 {
+	if x := l.Others("b", 1, now+b.Heal(reportLifetimeRatio)); x.Reporters != 1 {
 		t.Fatalf("reported %v", x)
 	}
-	if x := l.Others("b", 1, now+b.Heal(reportLifetimeRatio)+1); x.Tellers != 0 || len(x.At) != 0 {
+	if x := l.Others("b", 1, now+b.Heal(reportLifetimeRatio)+1); x.Reporters != 0 || len(x.WorkerIndexes) != 0 {
 		t.Fatalf("reported %v", x)
 	}
 }
 
 func TestABrokenWordOnLoadIsNone(t *testing.T) {
 	l, now := NewLoadAggregator(settings.Default()), time.Hour
-	l.Record("a", &wire.Loads{List: 1, At: []uint32{1, 2}, Active: []uint32{1}}, now)
+	l.Record("a", &wire.WorkerLoads{WorkerListHash: 1, WorkerIndexes: []uint32{1, 2}, InFlight: []uint32{1}}, now)
 	l.Record("b", nil, now)
-	if x := l.Others("c", 1, now); x.Tellers != 0 {
+	if x := l.Others("c", 1, now); x.Reporters != 0 {
 		t.Fatalf("reported %v", x)
 	}
 }
@@ -87,7 +87,7 @@
 	later := now + 3*b.Heal(reportLifetimeRatio)
 	l.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(reportLifetimeRatio))
 	l.Record("new", newLoads(1, 0, 1, 0, 0, 0), later)
-	if x := l.Others("c", 1, later); x.Tellers != 2 {
-		t.Fatalf("%d tellers", x.Tellers)
+	if x := l.Others("c", 1, later); x.Reporters != 2 {
+		t.Fatalf("%d tellers", x.Reporters)
 	}
 }
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -42,7 +42,7 @@
 	l.OnStop(n.backends.Close)
 	calls := daemon.NewClients(l)
 	ros := clustermembership.Start(l.Ctx, l.Place, clustermembership.RolePromptIndex, n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
-	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.Runner { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.OnSeedsChanged(ros.SetSeeds))
+	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.OnSeedsChanged(ros.SetSeeds))
 	l.Every(l.Place.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
 		return func() (v float64) { n.actor.Ask(func(c *Core) { v = f(c) }); return v }
@@ -59,8 +59,8 @@
 		return 0
 	}))
 	mux := http.NewServeMux()
-	mux.Handle(wire.CataloguePathPrefix, wire.NewCatalogueServer(n))
-	mux.Handle(wire.RosterPathPrefix, wire.NewRosterServer(ros))
+	mux.Handle(wire.PromptIndexPathPrefix, wire.NewPromptIndexServer(n))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(ros))
 	if err := l.Serve(l.Place.Listen, mux); err != nil {
 		return err
 	}
@@ -115,11 +115,11 @@
 	})
 }
 
-// Seek serves lookups.
+// Lookup serves lookups.
 //
 // Example: wire.NewCatalogueProtobufClient(url, h).Seek(ctx, ask)
-func (n *Node) Seek(_ context.Context, a *wire.LookAsk) (*wire.LookTell, error) {
-	t := &wire.LookTell{}
+func (n *Node) Lookup(_ context.Context, a *wire.LookupRequest) (*wire.LookupResponse, error) {
+	t := &wire.LookupResponse{}
 	ks := make([]prefix.Key, 0, len(a.Keys))
 	for _, k := range a.Keys {
 		if len(k) == len(prefix.Key{}) {
@@ -128,10 +128,10 @@
 	}
 	n.actor.Ask(func(c *Core) {
 		now := n.clock.Now()
-		t.Found, t.Warm = c.Lookup(ks, now), c.Warm()
+		t.Results, t.Warm = c.Lookup(ks, now), c.Warm()
 		if a.Loads != nil {
-			c.loads.Record(a.Teller, a.Loads, now)
-			t.Loads = c.loads.Others(a.Teller, a.Loads.List, now)
+			c.loads.Record(a.Reporter, a.Loads, now)
+			t.Loads = c.loads.Others(a.Reporter, a.Loads.WorkerListHash, now)
 		}
 	})
 	return t, nil
@@ -140,11 +140,11 @@
 // Count serves reports of accesses.
 //
 // Example: wire.NewCatalogueProtobufClient(url, h).Count(ctx, ask)
-func (n *Node) Count(_ context.Context, a *wire.CountAsk) (*wire.CountTell, error) {
-	t := &wire.CountTell{}
+func (n *Node) Count(_ context.Context, a *wire.CountRequest) (*wire.CountResponse, error) {
+	t := &wire.CountResponse{}
 	n.actor.Ask(func(c *Core) {
 		now := n.clock.Now()
-		c.loads.Record(a.Teller, a.Loads, now)
+		c.loads.Record(a.Reporter, a.Loads, now)
 		t = c.RecordAccesses(a, now)
 	})
 	return t, nil
@@ -153,8 +153,8 @@
 // Hottest serves the hottest entries.
 //
 // Example: wire.NewCatalogueProtobufClient(url, h).Hottest(ctx, ask)
-func (n *Node) Hottest(_ context.Context, a *wire.HotAsk) (*wire.HotTell, error) {
-	t := &wire.HotTell{}
+func (n *Node) Hottest(_ context.Context, a *wire.HottestRequest) (*wire.HottestResponse, error) {
+	t := &wire.HottestResponse{}
 	n.actor.Ask(func(c *Core) { t = c.Hottest(a.Service, int(a.Limit), n.clock.Now()) })
 	return t, nil
 }
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -32,7 +32,7 @@
 	for _, n := range nodes {
 		if n.Role == clustermembership.RolePromptIndex && n.State < 2 {
 			names = append(names, n.Name)
-			s.addresses[n.Name], dist[n.Name] = n.Addr, n.District
+			s.addresses[n.Name], dist[n.Name] = n.Addr, n.Zone
 		}
 	}
 	sort.Strings(names)
@@ -85,8 +85,8 @@
 // warm yet, the other one is asked; a missing shard never fails a request.
 //
 // Example: found := s.Lookup(ctx, keys, clients.PromptIndex, 20*time.Millisecond)
-func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, call func(string) wire.Catalogue, wait time.Duration) map[prefix.Key]*wire.Found {
-	got := make(map[prefix.Key]*wire.Found, len(keys))
+func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, call func(string) wire.PromptIndex, wait time.Duration) map[prefix.Key]*wire.LookupResult {
+	got := make(map[prefix.Key]*wire.LookupResult, len(keys))
 	sure := make(map[prefix.Key]bool, len(keys))
 	var mu sync.Mutex
 	for try := range 2 {
@@ -103,18 +103,18 @@
 		one, end := context.WithTimeout(ctx, wait)
 		for n, ks := range by {
 			wg.Go(func() {
-				a := &wire.LookAsk{}
+				a := &wire.LookupRequest{}
 				for _, k := range ks {
 					a.Keys = append(a.Keys, k[:])
 				}
-				t, err := call(s.addresses[n]).Seek(one, a)
-				if err != nil || len(t.Found) != len(ks) {
+				t, err := call(s.addresses[n]).Lookup(one, a)
+				if err != nil || len(t.Results) != len(ks) {
 					return // a miss
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				for i, k := range ks {
-					got[k], sure[k] = MergeFound(got[k], t.Found[i]), t.Warm
+					got[k], sure[k] = MergeFound(got[k], t.Results[i]), t.Warm
 				}
 			})
 		}
@@ -127,13 +127,13 @@
 // MergeFound combines the findings of two index nodes; either may be nil.
 //
 // Example: got[k] = promptindex.MergeFound(got[k], response.Found[i])
-func MergeFound(a, b *wire.Found) *wire.Found {
+func MergeFound(a, b *wire.LookupResult) *wire.LookupResult {
 	if a == nil {
 		return b
 	}
-	f := &wire.Found{Hotness: max(a.Hotness, b.Hotness), Holders: b.Holders}
+	f := &wire.LookupResult{Hotness: max(a.Hotness, b.Hotness), Holders: b.Holders}
 	for _, h := range a.Holders {
-		if !slices.ContainsFunc(b.Holders, func(x *wire.Holding) bool { return x.Worker == h.Worker }) {
+		if !slices.ContainsFunc(b.Holders, func(x *wire.Holder) bool { return x.Worker == h.Worker }) {
 			f.Holders = append(f.Holders, h)
 		}
 	}
@@ -149,16 +149,16 @@
 // count is taken. The result is sorted by key.
 //
 // Example: hot := promptindex.MergeHot(responses)
-func MergeHot(responses []*wire.HotTell) []*wire.Hot {
-	byKey := map[string]*wire.Hot{}
+func MergeHot(responses []*wire.HottestResponse) []*wire.HotPrefix {
+	byKey := map[string]*wire.HotPrefix{}
 	for _, r := range responses {
-		for _, h := range r.Hot {
+		for _, h := range r.Prefixes {
 			if old := byKey[string(h.Key)]; old == nil || old.Hotness < h.Hotness {
 				byKey[string(h.Key)] = h
 			}
 		}
 	}
-	hot := make([]*wire.Hot, 0, len(byKey))
+	hot := make([]*wire.HotPrefix, 0, len(byKey))
 	for _, k := range queue.Keys(byKey) {
 		hot = append(hot, byKey[k])
 	}
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -50,7 +50,7 @@
 }
 
 // lookUpPrefixes asks the index for the prompt's parts.
-func (d *server) lookUpPrefixes(q *request) map[prefix.Key]*wire.Found {
+func (d *server) lookUpPrefixes(q *request) map[prefix.Key]*wire.LookupResult {
 	if len(q.selection.Parts) == 0 {
 		return nil
 	}
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -166,11 +166,11 @@
 	editChoice func(*selection.Choice)
 }
 
-func (p *fakeSelector) Lookup(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.Found {
+func (p *fakeSelector) Lookup(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.LookupResult {
 	return nil
 }
 
-func (p *fakeSelector) Select(s *fleet.Snapshot, r *selection.Request, _ map[prefix.Key]*wire.Found, tried map[string]bool) (selection.Choice, bool) {
+func (p *fakeSelector) Select(s *fleet.Snapshot, r *selection.Request, _ map[prefix.Key]*wire.LookupResult, tried map[string]bool) (selection.Choice, bool) {
 	for _, w := range s.Workers {
 		if w.Service == r.Service && !w.Draining && !tried[w.ID] {
 			c := selection.Choice{Worker: w, Urgency: -1}
--- a/internal/data/selection/api.go
+++ b/internal/data/selection/api.go
@@ -63,9 +63,9 @@
 type Selector interface {
 	// Lookup asks the prompt index for a prompt's parts; it waits only for a ratio of the route's target,
 	// and nil is a miss on all.
-	Lookup(ctx context.Context, s *fleet.Snapshot, r *Request) map[prefix.Key]*wire.Found
+	Lookup(ctx context.Context, s *fleet.Snapshot, r *Request) map[prefix.Key]*wire.LookupResult
 	// Select selects among the service's workers that are neither draining nor tried; false: none.
-	Select(s *fleet.Snapshot, r *Request, found map[prefix.Key]*wire.Found, tried map[string]bool) (Choice, bool)
+	Select(s *fleet.Snapshot, r *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, bool)
 	// Sent records an attempt in flight; Begun its first event, the worker's reported
 	// load (nil: none) and how long that took; Done how it ended, and the same again
 	// (0: no event came).
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -145,10 +145,10 @@
 	}
 }
 
-func found(holders ...string) *wire.Found {
-	f := &wire.Found{Hotness: 1}
+func found(holders ...string) *wire.LookupResult {
+	f := &wire.LookupResult{Hotness: 1}
 	for _, h := range holders {
-		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: promptindex.Confirmed})
+		f.Holders = append(f.Holders, &wire.Holder{Worker: h, State: promptindex.Confirmed})
 	}
 	return f
 }
--- a/internal/data/selection/once_test.go
+++ b/internal/data/selection/once_test.go
@@ -54,19 +54,19 @@
 }
 
 // look answers as the index would: what was kept a while ago.
-func (h *hall) look(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.Found {
+func (h *hall) look(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
 	if len(keys) == 0 || h.r.Float64() < h.deaf {
 		return nil
 	}
-	m := map[prefix.Key]*wire.Found{}
+	m := map[prefix.Key]*wire.LookupResult{}
 	for _, k := range keys {
-		f := &wire.Found{}
+		f := &wire.LookupResult{}
 		if k == promptindex.StoreHealthKey("store") {
-			f.Holders = append(f.Holders, &wire.Holding{Worker: "store", State: promptindex.Presumed})
+			f.Holders = append(f.Holders, &wire.Holder{Worker: "store", State: promptindex.Presumed})
 		}
 		for id := range h.kept {
 			if h.keeps(id, k, now-h.lag) {
-				f.Holders = append(f.Holders, &wire.Holding{Worker: id, State: promptindex.Confirmed})
+				f.Holders = append(f.Holders, &wire.Holder{Worker: id, State: promptindex.Confirmed})
 			}
 		}
 		m[k] = f
--- a/internal/data/selection/query.go
+++ b/internal/data/selection/query.go
@@ -23,7 +23,7 @@
 	group           *serviceGroup
 	versions        *modelVersions
 	model           string
-	found           map[prefix.Key]*wire.Found
+	found           map[prefix.Key]*wire.LookupResult
 	now             time.Duration
 	usable          []int
 	isRetry         bool
--- a/internal/data/selection/reports_test.go
+++ b/internal/data/selection/reports_test.go
@@ -37,7 +37,7 @@
 	first := e.must(t, r)
 	e.serve(r, first, 150*time.Millisecond)
 	e.now += e.bounds.Heal(newsPart)
-	e.found[promptindex.PartKey(salt("m", 1, nil), "p")] = &wire.Found{}
+	e.found[promptindex.PartKey(salt("m", 1, nil), "p")] = &wire.LookupResult{}
 	if c := e.must(t, e.ask("p", 13000)); c.Worker.ID != first.Worker.ID && c.Fetch != first.Worker.Addr {
 		t.Errorf("%s, fetching from %q; %s read it", c.Worker.ID, c.Fetch, first.Worker.ID)
 	}
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -153,7 +153,7 @@
 // Lookup asks the index for a prompt's parts, unless this edge machine knows enough itself.
 //
 // Example: found := p.Lookup(ctx, snapshot, request)
-func (p *selector) Lookup(ctx context.Context, s *fleet.Snapshot, r *Request) map[prefix.Key]*wire.Found {
+func (p *selector) Lookup(ctx context.Context, s *fleet.Snapshot, r *Request) map[prefix.Key]*wire.LookupResult {
 	var keys []prefix.Key
 	p.actor.Ask(func(t *table) { keys = t.lookupKeys(s, r, p.clock.Now()) })
 	if len(keys) == 0 {
@@ -169,7 +169,7 @@
 // Select selects a worker.
 //
 // Example: c, ok := p.Select(snapshot, request, found, tried)
-func (p *selector) Select(s *fleet.Snapshot, r *Request, found map[prefix.Key]*wire.Found, tried map[string]bool) (c Choice, ok bool) {
+func (p *selector) Select(s *fleet.Snapshot, r *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (c Choice, ok bool) {
 	p.actor.Ask(func(t *table) { c, ok = t.selectWorker(s, r, found, tried, p.clock.Now()) })
 	return c, ok
 }
@@ -197,7 +197,7 @@
 	p.actor.Ask(func(t *table) { t.recordOutcome(r, c, e, l, first, p.clock.Now()) })
 }
 
-func (t *table) selectWorker(s *fleet.Snapshot, r *Request, found map[prefix.Key]*wire.Found, tried map[string]bool, now time.Duration) (Choice, bool) {
+func (t *table) selectWorker(s *fleet.Snapshot, r *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool, now time.Duration) (Choice, bool) {
 	g := t.layoutFor(s).groups[r.Service]
 	if g == nil || len(g.candidates) == 0 {
 		return Choice{}, false
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -21,7 +21,7 @@
 	*table
 	s     *fleet.Snapshot
 	now   time.Duration
-	found map[prefix.Key]*wire.Found
+	found map[prefix.Key]*wire.LookupResult
 	n     int
 }
 
@@ -39,7 +39,7 @@
 }
 
 func newEdge(s *fleet.Snapshot) *edge {
-	return &edge{table: newTable(settings.Default(), start), s: s, now: start + time.Minute, found: map[prefix.Key]*wire.Found{}}
+	return &edge{table: newTable(settings.Default(), start), s: s, now: start + time.Minute, found: map[prefix.Key]*wire.LookupResult{}}
 }
 
 var route = &routingconfig.Route{Kind: routingconfig.EventStream, LatencyTarget: 400 * time.Millisecond, Priority: 4, NamesPromptParts: true}
@@ -69,9 +69,9 @@
 
 // setHolders sets the index's holders of a part.
 func (e *edge) setHolders(part string, state uint32, holders ...string) {
-	f := &wire.Found{Hotness: 1}
+	f := &wire.LookupResult{Hotness: 1}
 	for _, h := range holders {
-		f.Holders = append(f.Holders, &wire.Holding{Worker: h, State: state})
+		f.Holders = append(f.Holders, &wire.Holder{Worker: h, State: state})
 	}
 	e.found[promptindex.PartKey(salt("m", 1, nil), part)] = f
 }
@@ -187,11 +187,11 @@
 			t.Errorf("%v: %s fetches from %q, want %s from %q", x.holders, c.Worker.ID, c.Fetch, h, x.want)
 		}
 	}
-	e.found[promptindex.StoreHealthKey("store")] = &wire.Found{}
+	e.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "" || c.Save != "" {
 		t.Errorf("the store is down: fetch %q save %q", c.Fetch, c.Save)
 	}
-	e.found[promptindex.StoreHealthKey("store")] = &wire.Found{Holders: []*wire.Holding{{Worker: "store"}}}
+	e.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{Holders: []*wire.Holder{{Worker: "store"}}}
 	if c := e.must(t, e.ask("p", 13000)); c.Fetch != "store:1" {
 		t.Errorf("the store is back: fetch %q", c.Fetch)
 	}
--- a/internal/data/selection/share.go
+++ b/internal/data/selection/share.go
@@ -77,7 +77,7 @@
 }
 
 // localLoads is the load of this edge machine at the workers now.
-func (t *table) localLoads(now time.Duration) *wire.Loads {
+func (t *table) localLoads(now time.Duration) *wire.WorkerLoads {
 	if t.layout == nil {
 		return nil
 	}
@@ -90,7 +90,7 @@
 			late[w.stats]++
 		}
 	}
-	l := &wire.Loads{List: t.layout.workerListHash}
+	l := &wire.WorkerLoads{WorkerListHash: t.layout.workerListHash}
 	for i := range t.layout.snapshot.Workers {
 		x := t.workers[t.layout.snapshot.Workers[i].ID]
 		if x == nil {
@@ -102,20 +102,20 @@
 		if x.inFlight <= 0 && unread == 0 && ok == 0 && bad == 0 {
 			continue
 		}
-		l.At, l.Active, l.Unread = append(l.At, uint32(i)), append(l.Active, uint32(max(0, x.inFlight))), append(l.Unread, unread)
-		l.Ok, l.Bad = append(l.Ok, ok), append(l.Bad, bad)
+		l.WorkerIndexes, l.InFlight, l.PendingPrefill = append(l.WorkerIndexes, uint32(i)), append(l.InFlight, uint32(max(0, x.inFlight))), append(l.PendingPrefill, unread)
+		l.Successes, l.Failures = append(l.Successes, ok), append(l.Failures, bad)
 	}
 	return l
 }
 
 // applyOthersLoads applies the loads of the other edge machines.
-func (t *table) applyOthersLoads(l *wire.Loads, now time.Duration) {
-	n := len(l.At)
-	if t.layout == nil || l.List != t.layout.workerListHash || l.Tellers == 0 || len(l.Active) != n || len(l.Unread) != n || len(l.Ok) != n || len(l.Bad) != n {
+func (t *table) applyOthersLoads(l *wire.WorkerLoads, now time.Duration) {
+	n := len(l.WorkerIndexes)
+	if t.layout == nil || l.WorkerListHash != t.layout.workerListHash || l.Reporters == 0 || len(l.InFlight) != n || len(l.PendingPrefill) != n || len(l.Successes) != n || len(l.Failures) != n {
 		return
 	}
 	row := make(map[uint32]int, n)
-	for i, at := range l.At {
+	for i, at := range l.WorkerIndexes {
 		row[at] = i
 	}
 	for _, g := range t.layout.groups {
@@ -124,8 +124,8 @@
 			x := g.candidates[i].stats
 			x.othersLoad, x.othersPendingTokens, x.othersSucceeded, x.othersFailed = 0, 0, 0, 0
 			if j, has := row[g.candidates[i].index]; has {
-				x.othersLoad, x.othersPendingTokens = float64(l.Active[j]), float64(l.Unread[j])*tokenUnit
-				x.othersSucceeded, x.othersFailed = float64(l.Ok[j])/eighth, float64(l.Bad[j])/eighth
+				x.othersLoad, x.othersPendingTokens = float64(l.InFlight[j]), float64(l.PendingPrefill[j])*tokenUnit
+				x.othersSucceeded, x.othersFailed = float64(l.Successes[j])/eighth, float64(l.Failures[j])/eighth
 			}
 			x.reportedAt, x.reported = now, true
 			x.outcomes.add(0, 0, now, t.bounds.Heal(tallyRatio))
@@ -159,11 +159,11 @@
 	}
 }
 
-func (p *selector) loads() (l *wire.Loads) {
+func (p *selector) loads() (l *wire.WorkerLoads) {
 	p.actor.Ask(func(t *table) { l = t.localLoads(p.clock.Now()) })
 	return l
 }
 
-func (p *selector) receiveLoads(l *wire.Loads) {
+func (p *selector) receiveLoads(l *wire.WorkerLoads) {
 	p.actor.TrySend(func(t *table) { t.applyOthersLoads(l, p.clock.Now()) })
 }
--- a/internal/data/selection/share_test.go
+++ b/internal/data/selection/share_test.go
@@ -21,7 +21,7 @@
 func newRing(workers, edges int) *ring {
 	r := &ring{l: promptindex.NewLoadAggregator(settings.Default()), now: start + time.Minute}
 	for _, part := range []float64{1.0 / 15, 1.0 / 30} { // it has heard words for a while
-		r.l.Record("before", &wire.Loads{}, r.now-settings.Default().Heal(part))
+		r.l.Record("before", &wire.WorkerLoads{}, r.now-settings.Default().Heal(part))
 	}
 	s := fleetOf(workers)
 	s.Edges = edges
@@ -143,16 +143,16 @@
 	e := r.edges[0]
 	e.now = r.now
 	q, c := e.bound(t, "w1")
-	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 1000/tokenUnit || w.Active[0] != 1 {
+	if w := e.localLoads(r.now); len(w.WorkerIndexes) != 1 || w.PendingPrefill[0] != 1000/tokenUnit || w.InFlight[0] != 1 {
 		t.Fatalf("reported %v", w)
 	}
 	e.recordFirstEvent(q, c, nil, time.Millisecond, r.now+time.Millisecond)
 	r.now += time.Minute / 2
-	if w := e.localLoads(r.now); len(w.At) != 1 || w.Unread[0] != 0 || w.Bad[0] != 0 || w.Active[0] != 1 {
+	if w := e.localLoads(r.now); len(w.WorkerIndexes) != 1 || w.PendingPrefill[0] != 0 || w.Failures[0] != 0 || w.InFlight[0] != 1 {
 		t.Errorf("reported %v", w)
 	}
 	e.recordOutcome(q, c, Completed, nil, time.Millisecond, r.now)
-	if w := e.localLoads(r.now); len(w.At) != 1 || w.Active[0] != 0 || w.Ok[0] != eighth {
+	if w := e.localLoads(r.now); len(w.WorkerIndexes) != 1 || w.InFlight[0] != 0 || w.Successes[0] != eighth {
 		t.Errorf("reported %v", w)
 	}
 }
@@ -194,14 +194,14 @@
 	e.layoutFor(e.s)
 	r.edges[1].bound(t, "w1")
 	w := r.edges[1].localLoads(r.now)
-	w.List++
-	w.Tellers = 1
+	w.WorkerListHash++
+	w.Reporters = 1
 	e.applyOthersLoads(w, r.now)
 	if e.workers["w1"].othersLoad != 0 {
 		t.Error("taken")
 	}
-	w.List--
-	w.Active = nil
+	w.WorkerListHash--
+	w.InFlight = nil
 	e.applyOthersLoads(w, r.now)
 	if e.workers["w1"].othersLoad != 0 {
 		t.Error("taken, though it is broken")
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -54,16 +54,16 @@
 	clock      clock.Clock
 	log        hclog.Logger
 	OnSnapshot func(*Snapshot) // called with every new snapshot; may be nil
-	addReports func(*wire.FeedAsk)
+	addReports func(*wire.FeedRequest)
 	fixed      func() *Snapshot
 }
 
 // Follow starts to follow the node agent that link returns; addReports, if not nil, adds to each
 // request what the process has seen since the last one.
 //
-// Example: f := updatestream.Follow(ctx, clock, log, func() wire.Runner { return clients.NodeAgent(addr) }, hold, nil, nil)
-func Follow(ctx context.Context, clk clock.Clock, log hclog.Logger, link func() wire.Runner, hold time.Duration,
-	addReports func(*wire.FeedAsk), onSnapshot func(*Snapshot)) *Follower {
+// Example: f := updatestream.Follow(ctx, clock, log, func() wire.NodeAgent { return clients.NodeAgent(addr) }, hold, nil, nil)
+func Follow(ctx context.Context, clk clock.Clock, log hclog.Logger, link func() wire.NodeAgent, hold time.Duration,
+	addReports func(*wire.FeedRequest), onSnapshot func(*Snapshot)) *Follower {
 	f := &Follower{clock: clk, log: log, addReports: addReports, OnSnapshot: onSnapshot}
 	go f.run(ctx, link, hold)
 	return f
@@ -97,18 +97,18 @@
 // Example: f := updatestream.Fixed(func() *updatestream.Snapshot { return snap })
 func NewFixedFollower(now func() *Snapshot) *Follower { return &Follower{fixed: now} }
 
-func (f *Follower) run(ctx context.Context, link func() wire.Runner, hold time.Duration) {
+func (f *Follower) run(ctx context.Context, link func() wire.NodeAgent, hold time.Duration) {
 	for ctx.Err() == nil {
-		a := &wire.FeedAsk{HoldNs: uint64(hold)}
+		a := &wire.FeedRequest{MaxWaitNs: uint64(hold)}
 		if s := f.current.Load(); s != nil {
-			a.Have, a.HaveSetup, a.HaveView = s.Number, s.ConfigVersion, s.ListsVersion
+			a.KnownVersion, a.KnownConfigVersion, a.KnownListsVersion = s.Number, s.ConfigVersion, s.ListsVersion
 		}
 		if f.addReports != nil {
 			f.addReports(a)
 		}
 		one, end := context.WithTimeout(ctx, 2*hold+time.Second)
 		l := link()
-		var t *wire.FeedTell
+		var t *wire.FeedResponse
 		err := errs.New(errs.CantSay, "no node agent is known yet")
 		if l != nil {
 			t, err = l.Feed(one, a)
@@ -123,7 +123,7 @@
 	}
 }
 
-func (f *Follower) apply(t *wire.FeedTell) {
+func (f *Follower) apply(t *wire.FeedResponse) {
 	old := f.current.Load()
 	s, err := ReadSnapshot(t, old, f.clock.Now())
 	if err != nil {
@@ -139,14 +139,14 @@
 // ReadSnapshot makes a snapshot of a node agent's response, reusing what hasn't changed.
 //
 // Example: s, err := updatestream.Read(response, old, clock.Now())
-func ReadSnapshot(t *wire.FeedTell, old *Snapshot, now time.Duration) (*Snapshot, error) {
-	if old != nil && t.View == old.ListsVersion && t.View != 0 {
+func ReadSnapshot(t *wire.FeedResponse, old *Snapshot, now time.Duration) (*Snapshot, error) {
+	if old != nil && t.ListsVersion == old.ListsVersion && t.ListsVersion != 0 {
 		o := *old // the lists are the same; shared data is never changed
 		s := &o
-		s.Number, s.ProofAt, s.WorkersAt = t.Number, time.Duration(t.ProofAt), time.Duration(t.WorkersAt)
+		s.Number, s.ProofAt, s.WorkersAt = t.Version, time.Duration(t.ProofAtNs), time.Duration(t.WorkersListedAtNs)
 		return s, s.applyConfig(t, old, now)
 	}
-	s := &Snapshot{Number: t.Number, ListsVersion: t.View, ProofAt: time.Duration(t.ProofAt), WorkersAt: time.Duration(t.WorkersAt), Workers: t.Workers,
+	s := &Snapshot{Number: t.Version, ListsVersion: t.ListsVersion, ProofAt: time.Duration(t.ProofAtNs), WorkersAt: time.Duration(t.WorkersListedAtNs), Workers: t.Workers,
 		Nodes: t.Nodes, Stores: t.Stores, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]WeightsHistory{}}
 	if err := s.applyConfig(t, old, now); err != nil {
 		return nil, err
@@ -166,16 +166,16 @@
 }
 
 // applyConfig takes the configuration of a response, or keeps the previous one.
-func (s *Snapshot) applyConfig(t *wire.FeedTell, old *Snapshot, now time.Duration) error {
-	if old != nil && old.Config != nil && (t.Setup == nil || old.ConfigVersion == t.Setup.Version) {
+func (s *Snapshot) applyConfig(t *wire.FeedResponse, old *Snapshot, now time.Duration) error {
+	if old != nil && old.Config != nil && (t.Config == nil || old.ConfigVersion == t.Config.Version) {
 		s.ConfigVersion, s.Config, s.WeightsAt = old.ConfigVersion, old.Config, old.WeightsAt
 		s.LatestProof = max(old.LatestProof, s.ProofAt) // a proof of this version stays valid
-	} else if t.Setup != nil {
-		v, err := serviceconfig.Decode(t.Setup.Body)
+	} else if t.Config != nil {
+		v, err := serviceconfig.Decode(t.Config.Body)
 		if err != nil {
 			return errs.Wrap(err, "configuration in update")
 		}
-		s.ConfigVersion, s.Config, s.LatestProof, s.WeightsAt = t.Setup.Version, v.BuildIndex(), s.ProofAt, map[string]WeightsHistory{}
+		s.ConfigVersion, s.Config, s.LatestProof, s.WeightsAt = t.Config.Version, v.BuildIndex(), s.ProofAt, map[string]WeightsHistory{}
 		for n, m := range v.Models {
 			var o WeightsHistory
 			proved := time.Duration(0)
--- a/internal/data/updatestream/follower_test.go
+++ b/internal/data/updatestream/follower_test.go
@@ -12,7 +12,7 @@
 	return &wire.Document{Version: epoch, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
 }
 
-func mustRead(t *testing.T, response *wire.FeedTell, old *Snapshot, now time.Duration) *Snapshot {
+func mustRead(t *testing.T, response *wire.FeedResponse, old *Snapshot, now time.Duration) *Snapshot {
 	t.Helper()
 	s, err := ReadSnapshot(response, old, now)
 	if err != nil {
@@ -24,17 +24,17 @@
 // What an answer leaves out stays as it was; what it brings replaces it; and a snapshot
 // that is shared is never changed.
 func TestOmittedFieldsStay(t *testing.T) {
-	a := mustRead(t, &wire.FeedTell{Number: 1, View: 7, ProofAt: 10, Setup: newDocument(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
+	a := mustRead(t, &wire.FeedResponse{Version: 1, ListsVersion: 7, ProofAtNs: 10, Config: newDocument(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
-	b := mustRead(t, &wire.FeedTell{Number: 2, View: 7, ProofAt: 20}, a, 200)
+	b := mustRead(t, &wire.FeedResponse{Version: 2, ListsVersion: 7, ProofAtNs: 20}, a, 200)
 	if b.ConfigVersion != 3 || len(b.Workers) != 1 || b.Placements["s"] == nil || b.ProofAt != 20 || a.ProofAt != 10 {
 		t.Errorf("%+v after %+v", b, a)
 	}
-	c := mustRead(t, &wire.FeedTell{Number: 3, View: 8, ProofAt: 30, Workers: []*wire.Worker{{Name: "x"}, {Name: "y"}}}, b, 300)
+	c := mustRead(t, &wire.FeedResponse{Version: 3, ListsVersion: 8, ProofAtNs: 30, Workers: []*wire.Worker{{Name: "x"}, {Name: "y"}}}, b, 300)
 	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.ConfigVersion != 3 || len(b.Workers) != 1 {
 		t.Errorf("%+v after %+v", c, b)
 	}
-	if _, err := ReadSnapshot(&wire.FeedTell{Setup: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
+	if _, err := ReadSnapshot(&wire.FeedResponse{Config: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
 		t.Error("half a configuration was read")
 	}
 }
@@ -42,9 +42,9 @@
 // readChain reads a chain of responses, each a configuration version, a proof and the weights named.
 func readChain(t *testing.T, l ...[3]uint64) (s *Snapshot) {
 	for _, x := range l {
-		response := &wire.FeedTell{View: 1, ProofAt: x[1]}
+		response := &wire.FeedResponse{ListsVersion: 1, ProofAtNs: x[1]}
 		if x[0] > 0 {
-			response.Setup = newDocument(x[0], fmt.Sprint(x[2]))
+			response.Config = newDocument(x[0], fmt.Sprint(x[2]))
 		}
 		s = mustRead(t, response, s, time.Duration(x[1]+10))
 	}
@@ -77,7 +77,7 @@
 		}
 	}
 	a := readChain(t, [3]uint64{1, 50, 1})
-	if mustRead(t, &wire.FeedTell{View: 1, ProofAt: 500, Setup: newDocument(2, "2")}, a, 510); a.WeightsAt["m"].Version != 1 {
+	if mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 500, Config: newDocument(2, "2")}, a, 510); a.WeightsAt["m"].Version != 1 {
 		t.Error("a shared snapshot was changed")
 	}
 	many := [][3]uint64{}
@@ -92,7 +92,7 @@
 
 func TestFreshness(t *testing.T) {
 	var none *Snapshot
-	s := mustRead(t, &wire.FeedTell{View: 1, ProofAt: 100, Setup: newDocument(1, "1")}, nil, 0)
+	s := mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 100, Config: newDocument(1, "1")}, nil, 0)
 	if none.Fresh(1, 10) || !s.Fresh(109, 10) || s.Fresh(110, 10) || (&Snapshot{Config: s.Config}).Fresh(1, 10) {
 		t.Error("freshness is judged wrongly")
 	}
--- a/internal/fleet/pack.go
+++ b/internal/fleet/pack.go
@@ -23,7 +23,7 @@
 //
 // Example: response.Docs = append(response.Docs, fleet.Pack(d))
 func Compress(document *wire.Document) *wire.Document {
-	if len(document.GetBody()) < minCompressBytes || document.Packed {
+	if len(document.GetBody()) < minCompressBytes || document.Compressed {
 		return document
 	}
 	var compressed bytes.Buffer
@@ -33,14 +33,14 @@
 	if _, err := writer.Write(document.Body); err != nil || writer.Close() != nil || compressed.Len() >= len(document.Body) {
 		return document
 	}
-	return &wire.Document{Key: document.Key, Body: compressed.Bytes(), Version: document.Version, Packed: true}
+	return &wire.Document{Key: document.Key, Body: compressed.Bytes(), Version: document.Version, Compressed: true}
 }
 
 // Decompress returns a document as it was before it was packed.
 //
 // Example: d, err := fleet.Unpack(response.Docs[0])
 func Decompress(document *wire.Document) (*wire.Document, error) {
-	if !document.GetPacked() {
+	if !document.GetCompressed() {
 		return document, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(document.Body)), maxDecompressedBytes+1))
--- a/internal/fleet/pack_test.go
+++ b/internal/fleet/pack_test.go
@@ -23,11 +23,11 @@
 	}
 	d := &wire.Document{Key: WorkersKey, Body: body, Version: 7}
 	p := Compress(d)
-	if !p.Packed || 5*len(p.Body) > len(body) || p.Key != d.Key || p.Version != 7 {
+	if !p.Compressed || 5*len(p.Body) > len(body) || p.Key != d.Key || p.Version != 7 {
 		t.Fatalf("%d bytes of %d", len(p.Body), len(body))
 	}
 	u, err := Decompress(p)
-	if err != nil || u.Packed || u.Key != d.Key || u.Version != 7 || !bytes.Equal(u.Body, body) {
+	if err != nil || u.Compressed || u.Key != d.Key || u.Version != 7 || !bytes.Equal(u.Body, body) {
 		t.Fatalf("unpacked: %v", err)
 	}
 	if Compress(p) != p {
@@ -54,7 +54,7 @@
 
 func TestCorruptDocumentIsAnError(t *testing.T) {
 	for _, b := range [][]byte{nil, {1}, []byte("no deflated bytes")} {
-		if _, err := Decompress(&wire.Document{Key: "k", Body: b, Packed: true}); err == nil {
+		if _, err := Decompress(&wire.Document{Key: "k", Body: b, Compressed: true}); err == nil {
 			t.Errorf("%q unpacked", b)
 		}
 	}
--- a/internal/sim/testbed/operate.go
+++ b/internal/sim/testbed/operate.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		one, end := context.WithTimeout(ctx, time.Second)
-		t, err := wire.NewArchiveProtobufClient("http://"+p.Place.Listen, f.h).Stand(one, &wire.StatusRequest{})
+		t, err := wire.NewControlNodeClient("http://"+p.Place.Listen, f.h).Status(one, &wire.StatusRequest{})
 		end()
 		for _, x := range t.GetShards() {
 			if err == nil && x.Shard == 0 && x.IsLeader {
