--- a/cmd/appraiser/main.go
+++ b/cmd/appraiser/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("appraiser", "placement under a lease: what every worker holds, and how the tail is spread", settings.Need{Seeds: true, Core: true}, placementcontroller.Start)
+	daemon.Main("appraiser", "placement under a lease: what every worker holds, and how the tail is spread", settings.Required{Seeds: true, Core: true}, placementcontroller.Start)
 }
--- a/cmd/appservice/main.go
+++ b/cmd/appservice/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("appservice", "the stand-in for a site's application service", settings.Need{Public: true}, appservicesim.Start)
+	daemon.Main("appservice", "the stand-in for a site's application service", settings.Required{Public: true}, appservicesim.Start)
 }
--- a/cmd/archive/main.go
+++ b/cmd/archive/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("archive", "the control node: parts of the control state, agreed on by majority and kept on disk", settings.Need{Seeds: true, Core: true, Data: true, Operator: true}, controlstate.Start)
+	daemon.Main("archive", "the control node: parts of the control state, agreed on by majority and kept on disk", settings.Required{Seeds: true, Core: true, Data: true, Operator: true}, controlstate.Start)
 }
--- a/cmd/cab/main.go
+++ b/cmd/cab/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("cab", "the stand-in for a language-model worker", settings.Need{Public: true}, workersim.Start)
+	daemon.Main("cab", "the stand-in for a language-model worker", settings.Required{Public: true}, workersim.Start)
 }
--- a/cmd/catalogue/main.go
+++ b/cmd/catalogue/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("catalogue", "an index node: who holds each prefix, and how hot it is", settings.Need{Seeds: true, Runner: true}, promptindex.Start)
+	daemon.Main("catalogue", "an index node: who holds each prefix, and how hot it is", settings.Required{Seeds: true, NodeAgent: true}, promptindex.Start)
 }
--- a/cmd/depot/main.go
+++ b/cmd/depot/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("depot", "the stand-in for the prompt store", settings.Need{Public: true}, storesim.Start)
+	daemon.Main("depot", "the stand-in for the prompt store", settings.Required{Public: true}, storesim.Start)
 }
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("dispatcher", "the edge proxy: one function carries a request to a worker and its sealed stream back", settings.Need{Public: true, Runner: true, Core: true}, callerproxy.Start)
+	daemon.Main("dispatcher", "the edge proxy: one function carries a request to a worker and its sealed stream back", settings.Required{Public: true, NodeAgent: true, Core: true}, callerproxy.Start)
 }
--- a/cmd/rank/main.go
+++ b/cmd/rank/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("rank", "the stand-in for the platform that lists workers and probes edge nodes", settings.Need{Public: true}, platformsim.Start)
+	daemon.Main("rank", "the stand-in for the platform that lists workers and probes edge nodes", settings.Required{Public: true}, platformsim.Start)
 }
--- a/cmd/runner/main.go
+++ b/cmd/runner/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	daemon.Main("runner", "the agent on an edge machine: news, proof of freshness, workers, heartbeats", settings.Need{Seeds: true, Core: true, Rank: true, Operator: true}, nodeagent.Start)
+	daemon.Main("runner", "the agent on an edge machine: news, proof of freshness, workers, heartbeats", settings.Required{Seeds: true, Core: true, WorkerList: true, Operator: true}, nodeagent.Start)
 }
--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -200,7 +200,7 @@
 func Read(raw []byte) (*Measured, error) {
 	m := &Measured{}
 	if err := json.Unmarshal(raw, m); err != nil {
-		return nil, errs.As(err, errs.BadInput, "measured series")
+		return nil, errs.WrapAs(err, errs.BadInput, "measured series")
 	}
 	return m, nil
 }
--- a/internal/capacity/follow.go
+++ b/internal/capacity/follow.go
@@ -31,7 +31,7 @@
 	b := bounds()
 	b.LeaveMs = 3000
 	l := newProcess("core-1", b, t)
-	l.Place.Data, l.Place.Site.Control = dir, "127.0.0.1:0"
+	l.Settings.Data, l.Settings.Site.ControlPlaneListen = dir, "127.0.0.1:0"
 	m := &member{t: t, end: func() { l.Stop(time.Second); os.RemoveAll(dir) }}
 	if err := controlstate.StartGroup(l, form{}, func(n *controlstate.Node) http.Handler { m.n = n; return http.NotFoundHandler() }); err != nil {
 		m.end()
@@ -46,7 +46,7 @@
 	var err error
 	if e := until("a plan is agreed on", func() bool {
 		_, err = m.n.PutRoutingConfig(context.Background(), m.base, body, false)
-		return err == nil || errs.KindOf(err) != errs.CantSay && errs.KindOf(err) != errs.Overloaded
+		return err == nil || errs.KindOf(err) != errs.OutcomeUnknown && errs.KindOf(err) != errs.Overloaded
 	}); e != nil {
 		return e
 	}
--- a/internal/capacity/form.go
+++ b/internal/capacity/form.go
@@ -90,7 +90,7 @@
 		err = routingconfig.Check(p)
 	}
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "plan")
+		return nil, errs.WrapAs(err, errs.BadInput, "plan")
 	}
 	return p.BuildIndex(), nil
 }
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -55,8 +55,8 @@
 	var first *member
 	for i, t := range taps {
 		l := newProcess(fmt.Sprintf("core-%d", i), limits, t)
-		l.Place.Data, l.Place.Seeds = filepath.Join(dir, l.Place.Name), seeds
-		l.Place.Site.Control, l.Place.Site.Tolerate = "127.0.0.1:0", n/2
+		l.Settings.Data, l.Settings.Seeds = filepath.Join(dir, l.Settings.Name), seeds
+		l.Settings.Site.ControlPlaneListen, l.Settings.Site.ToleratedFailures = "127.0.0.1:0", n/2
 		defer l.Stop(time.Second)
 		var node *controlstate.Node
 		if err := controlstate.StartGroup(l, form{}, func(n *controlstate.Node) http.Handler { node = n; return http.NotFoundHandler() }); err != nil {
@@ -71,9 +71,9 @@
 	}
 	l := newProcess("edge-1", limits, nil)
 	defer l.Stop(time.Second)
-	l.Place.Seeds, l.Place.Bounds.ConfigMs = seeds, 60000
+	l.Settings.Seeds, l.Settings.Bounds.ConfigMs = seeds, 60000
 	var bytes atomic.Int64
-	plain := (&settings.Place{Bounds: limits}).Dialer()
+	plain := (&settings.Process{Bounds: limits}).Dialer()
 	l.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain.DialContext(ctx, network, addr)
 		if err != nil {
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollow.go
@@ -53,7 +53,7 @@
 	var t task
 	if err := json.Unmarshal([]byte(os.Getenv(HollowVariable)), &t); err != nil {
 		fmt.Fprintln(os.Stderr, "hollow process: "+err.Error())
-		return errs.BadInput.Exit
+		return errs.BadInput.ExitCode
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -62,13 +62,13 @@
 	begin := ends[t.Kind]
 	if begin == nil {
 		fmt.Fprintf(os.Stderr, "hollow process: %q: no such kind\n", t.Kind)
-		return errs.BadInput.Exit
+		return errs.BadInput.ExitCode
 	}
 	enc := json.NewEncoder(out)
 	packed, run, err := begin(ctx, t)
 	if err != nil {
 		_ = enc.Encode(sum{Error: err.Error()})
-		return errs.Inside.Exit
+		return errs.Internal.ExitCode
 	}
 	_ = enc.Encode(sum{Address: packed})
 	at := cpu()
@@ -126,7 +126,7 @@
 
 func (f *far) heard() (s sum, err error) {
 	if err = f.out.Decode(&s); err == nil && s.Error != "" {
-		err = errs.New(errs.Inside, "%s", s.Error)
+		err = errs.New(errs.Internal, "%s", s.Error)
 	}
 	return s, err
 }
--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -38,7 +38,7 @@
 
 func emptyIndex() *promptindex.Core {
 	b := bounds()
-	b.Entries = 1 << 30 // as if nothing had to give way
+	b.MaxIndexEntries = 1 << 30 // as if nothing had to give way
 	return promptindex.NewCore(b, func(prefix.Key) bool { return true })
 }
 
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -52,7 +52,7 @@
 func work(rawModel []byte, m *Measured) (*sheet, error) {
 	s := &sheet{model: &model{}, m: m, lines: map[string]*line{}, units: map[string]string{}, values: map[string]float64{}, used: map[string]bool{}}
 	if err := json.Unmarshal(rawModel, s.model); err != nil {
-		return nil, errs.As(err, errs.BadInput, "model")
+		return nil, errs.WrapAs(err, errs.BadInput, "model")
 	}
 	for i := range m.Series {
 		x := fit(&m.Series[i])
@@ -61,7 +61,7 @@
 	var b errs.Batch
 	set := func(id, unit string, v float64) {
 		if _, dup := s.values[id]; dup {
-			b.Fault(errs.BadInput, "%s: named twice", id)
+			b.Addf(errs.BadInput, "%s: named twice", id)
 		}
 		s.values[id], s.units[id] = v, unit
 	}
@@ -70,13 +70,13 @@
 	}
 	for _, f := range s.Figures {
 		v, err := s.formula(f.Formula)
-		b.Note("figure "+f.ID, err)
+		b.Add("figure "+f.ID, err)
 		set(f.ID, f.Unit, v)
 		if _, ok := s.values[f.Limit]; f.Limit != "" && !ok {
-			b.Fault(errs.BadInput, "figure %s: limit %q: no such size", f.ID, f.Limit)
+			b.Addf(errs.BadInput, "figure %s: limit %q: no such size", f.ID, f.Limit)
 		}
 	}
-	return s, b.Look()
+	return s, b.Err()
 }
 
 // formula works one out: + - * / and parentheses, numbers, sizes, earlier figures, and slope, base,
@@ -84,7 +84,7 @@
 func (s *sheet) formula(text string) (float64, error) {
 	e, err := parser.ParseExpr(text)
 	if err != nil {
-		return 0, errs.As(err, errs.BadInput, text)
+		return 0, errs.WrapAs(err, errs.BadInput, text)
 	}
 	return s.eval(e)
 }
@@ -95,7 +95,7 @@
 		return s.eval(x.X)
 	case *ast.BasicLit:
 		v, err := strconv.ParseFloat(x.Value, 64)
-		return v, errs.As(err, errs.BadInput, x.Value)
+		return v, errs.WrapAs(err, errs.BadInput, x.Value)
 	case *ast.Ident:
 		if v, ok := s.values[x.Name]; ok {
 			return v, nil
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -13,7 +13,7 @@
 
 // bounds are those of a fleet: what is in force everywhere within 13 s, all else as it is today.
 func bounds() settings.Bounds {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	b.ConfigMs, b.LeaveMs = 13000, 12000 // the roster's leave bound is ten beats of 1,200 ms
 	return b
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -25,11 +25,11 @@
 	var b errs.Batch
 	read := func(name string) []byte {
 		raw, err := os.ReadFile(filepath.Join(folder, name))
-		b.Note(name, errs.As(err, errs.NotFound, "read"))
+		b.Add(name, errs.WrapAs(err, errs.NotFound, "read"))
 		return raw
 	}
 	rawModel, rawMeasured, text := read(modelFile), read(measuredFile), read(textFile)
-	if err := b.Look(); err != nil {
+	if err := b.Err(); err != nil {
 		return "", err
 	}
 	m, err := Read(rawMeasured)
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return errs.As(os.WriteFile(filepath.Join(folder, pageFile), []byte(text), 0o644), errs.BadInput, "write the page")
+	return errs.WrapAs(os.WriteFile(filepath.Join(folder, pageFile), []byte(text), 0o644), errs.BadInput, "write the page")
 }
 
 // Differs tells the first line of a page that isn't what is worked out; "": none.
@@ -80,11 +80,11 @@
 	}
 	t, err := template.New("page").Option("missingkey=error").Funcs(template.FuncMap{"v": s.v, "of": s.of, "series": s.series, "sizes": s.sizeTable, "role": s.role, "machine": func() string { return m.Machine }}).Parse(text)
 	if err != nil {
-		return "", errs.As(err, errs.BadInput, "text of the page")
+		return "", errs.WrapAs(err, errs.BadInput, "text of the page")
 	}
 	var out strings.Builder
 	if err := t.Execute(&out, nil); err != nil {
-		return "", errs.As(err, errs.BadInput, "text of the page")
+		return "", errs.WrapAs(err, errs.BadInput, "text of the page")
 	}
 	return out.String(), nil
 }
--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -100,7 +100,7 @@
 		}
 		got, err := io.ReadAll(r.Body)
 		if err == nil && (r.StatusCode != http.StatusOK || strings.Count(string(got), "\n\n") != t.Events) {
-			err = errs.New(errs.Inside, "status %d, %d bytes", r.StatusCode, len(got))
+			err = errs.New(errs.Internal, "status %d, %d bytes", r.StatusCode, len(got))
 		}
 		lines.Put(c)
 		return err
@@ -147,7 +147,7 @@
 		}
 		defer f.end()
 		l := newProcess("edge-1", bounds(), door)
-		l.Place.Public = door.addr()
+		l.Settings.Public = door.addr()
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
 			Routes: []routingconfig.Route{{Name: "r", Host: "host.example", Prefix: "/pre/", Kind: routingconfig.EventStream, Timeout: time.Minute, LatencyTarget: time.Minute, Public: true, NamesPromptParts: true, Resumable: true, MaxAttempts: 1, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}},
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -40,13 +40,13 @@
 
 // newProcess makes a program's process runtime in this process; listen, if any, is where its connections are counted.
 func newProcess(name string, b settings.Bounds, tap *tap) *daemon.Process {
-	p := settings.Place{Name: name, Zone: "district-0", Listen: "127.0.0.1:0", Bounds: b, Extra: []string{"log=off"},
-		Site: &settings.Site{First: true, IP: "127.0.0.1", MemoryMB: 4096, Ready: "127.0.0.1:0", BeatMs: 1200, GraceMs: 100, LeaseMs: 3000, AckMs: 60000, TransitMs: 1000}}
+	p := settings.Process{Name: name, Zone: "district-0", Listen: "127.0.0.1:0", Bounds: b, Options: []string{"log=off"},
+		Site: &settings.Site{FirstStart: true, IP: "127.0.0.1", MemoryLimitMB: 4096, ReadinessListen: "127.0.0.1:0", HeartbeatMs: 1200, GraceMs: 100, LeaseMs: 3000, AckTimeoutMs: 60000, TransitMs: 1000}}
 	w := daemon.RealEnvironment(p)
 	if tap != nil {
 		w.Listen, p.Listen = tap.listen, tap.addr()
 		p.Seeds = []string{p.Listen}
-		w.Dial = (&settings.Place{Bounds: b}).Dialer().DialContext
+		w.Dial = (&settings.Process{Bounds: b}).Dialer().DialContext
 	}
 	return daemon.NewIn(w, name, p)
 }
@@ -181,7 +181,7 @@
 	clk, ctx := clock.BootTime(), context.Background()
 	for end := clk.Now() + patience; !f(); clock.Sleep(ctx, time.Millisecond) {
 		if clk.Now() > end {
-			return errs.New(errs.Inside, "%s: not within %v", what, patience)
+			return errs.New(errs.Internal, "%s: not within %v", what, patience)
 		}
 	}
 	return nil
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -161,14 +161,14 @@
 		} else {
 			fmt.Fprintln(bad, "desk: "+errs.Text(err))
 		}
-		return errs.KindOf(err).Exit
+		return errs.KindOf(err).ExitCode
 	}
 	for _, a := range args {
 		r.asJSON = r.asJSON || a == "--json" || a == "-j" // also for errors in the flags
 	}
 	words, err := set.ParseStrict(ps, args)
 	if err == nil {
-		err = errs.As(ps.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(ps.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
 		return fail(err)
@@ -186,7 +186,7 @@
 	}
 	cl, err := operator.NewClient("http://"+r.node, operator.WithClient(&http.Client{Transport: keyTransport{key, by}}))
 	if err != nil {
-		return fail(errs.As(err, errs.BadInput, "node "+r.node))
+		return fail(errs.WrapAs(err, errs.BadInput, "node "+r.node))
 	}
 	ctx, end := context.WithTimeout(context.Background(), 15*time.Second)
 	defer end()
@@ -235,7 +235,7 @@
 		return os.Getenv("PEBBLELOOM_KEY"), nil
 	}
 	raw, err := os.ReadFile(r.keyFile)
-	return strings.TrimSpace(string(raw)), errs.As(err, errs.BadInput, "--operator-key")
+	return strings.TrimSpace(string(raw)), errs.WrapAs(err, errs.BadInput, "--operator-key")
 }
 
 // attach makes flaggy's tree of commands; the function it returns finds the one that was used.
@@ -274,23 +274,23 @@
 func typedError(err error, node string) error {
 	var d *operator.DeniedStatusCode
 	if errors.As(err, &d) {
-		return errs.New(errs.Named(d.Response.Kind), "%s", d.Response.Message)
+		return errs.New(errs.KindNamed(d.Response.Kind), "%s", d.Response.Message)
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return errs.New(errs.CantSay, "node %s can't be reached: name another with --node", node)
+		return errs.New(errs.OutcomeUnknown, "node %s can't be reached: name another with --node", node)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return errs.New(errs.MayHaveRun, "node %s gave no answer in time", node)
+		return errs.New(errs.MayHaveExecuted, "node %s gave no answer in time", node)
 	}
 	if strings.Contains(err.Error(), "decode response: ") || strings.Contains(err.Error(), "malformed HTTP") {
-		return errs.As(err, errs.BadInput, "--node "+node+": something else answers there: give an operator address, as `desk nodes` lists them (on a platform site: a core machine's third internal port)")
+		return errs.WrapAs(err, errs.BadInput, "--node "+node+": something else answers there: give an operator address, as `desk nodes` lists them (on a platform site: a core machine's third internal port)")
 	}
 	if u := (*url.Error)(nil); errors.As(err, &u) {
-		return errs.As(err, errs.MayHaveRun, "node "+node+" broke off")
+		return errs.WrapAs(err, errs.MayHaveExecuted, "node "+node+" broke off")
 	}
-	if errs.KindOf(err) == errs.Inside && strings.Contains(err.Error(), "encode request: validate") {
-		return errs.As(err, errs.BadInput, "command")
+	if errs.KindOf(err) == errs.Internal && strings.Contains(err.Error(), "encode request: validate") {
+		return errs.WrapAs(err, errs.BadInput, "command")
 	}
 	return err
 }
@@ -308,10 +308,10 @@
 	var b errs.Batch
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if pairs[i+1] == "" {
-			b.Fault(errs.BadInput, "--%s is missing: give it", pairs[i])
+			b.Addf(errs.BadInput, "--%s is missing: give it", pairs[i])
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
 
 func read(r *request, in io.Reader) ([]byte, error) {
@@ -326,7 +326,7 @@
 		b, err = os.ReadFile(r.file)
 	}
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "read file")
+		return nil, errs.WrapAs(err, errs.BadInput, "read file")
 	}
 	if !json.Valid(b) {
 		return nil, errs.New(errs.BadInput, "%s isn't JSON: correct it first", r.file)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -93,11 +93,11 @@
 	for _, k := range errs.Kinds() {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
-			w.WriteHeader(k.HTTP)
+			w.WriteHeader(k.HTTPStatus)
 			fmt.Fprintf(w, `{"kind":%q,"message":"m","remedy":"r"}`, k.Name)
 		}))
-		if code, _, bad := run("", "--node", s.Listener.Addr().String(), "setup", "get"); code != k.Exit || !strings.Contains(bad, k.Remedy) {
-			t.Errorf("%s: exit %d, want %d; %q", k.Name, code, k.Exit, bad)
+		if code, _, bad := run("", "--node", s.Listener.Addr().String(), "setup", "get"); code != k.ExitCode || !strings.Contains(bad, k.Remedy) {
+			t.Errorf("%s: exit %d, want %d; %q", k.Name, code, k.ExitCode, bad)
 		}
 		s.Close()
 	}
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -89,9 +89,9 @@
 	}
 	var x, y any
 	var f errs.Batch
-	f.Note("read configuration in force", json.Unmarshal(have.Setup, &x))
-	f.Note("read file", json.Unmarshal(b, &y))
-	if err := f.Look(); err != nil {
+	f.Add("read configuration in force", json.Unmarshal(have.Setup, &x))
+	f.Add("read file", json.Unmarshal(b, &y))
+	if err := f.Err(); err != nil {
 		return nil, err
 	}
 	old, now := map[string]string{}, map[string]string{}
--- a/internal/cli/render.go
+++ b/internal/cli/render.go
@@ -34,7 +34,7 @@
 	for _, f := range r.overlays {
 		b, err := os.ReadFile(f)
 		if err != nil {
-			return nil, errs.As(err, errs.BadInput, "overlay")
+			return nil, errs.WrapAs(err, errs.BadInput, "overlay")
 		}
 		ls = append(ls, serviceconfig.Overlay{Name: f, Body: b})
 	}
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -23,25 +23,25 @@
 
 // Listing is the output of `runbook list` and `runbook check`.
 type Listing struct {
-	Books []runbook.Book `json:"books"`
+	Books []runbook.Runbook `json:"books"`
 }
 
 // Ran is the output of a run.
 type Ran struct {
-	Run    string         `json:"run"`
-	Record string         `json:"record"`
-	Lines  []runbook.Line `json:"lines"`
+	Run    string                `json:"run"`
+	Record string                `json:"record"`
+	Lines  []runbook.RecordEntry `json:"lines"`
 }
 
-func bookNamed(name string) (*runbook.Book, error) {
+func bookNamed(name string) (*runbook.Runbook, error) {
 	if strings.HasSuffix(name, ".json") {
 		raw, err := os.ReadFile(name)
 		if err != nil {
-			return nil, errs.As(err, errs.BadInput, "read runbook")
+			return nil, errs.WrapAs(err, errs.BadInput, "read runbook")
 		}
 		return runbook.Read(raw)
 	}
-	l, err := runbook.Shipped()
+	l, err := runbook.Builtin()
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 }
 
 func listBooks(context.Context, *operator.Client, *request, io.Reader) (any, error) {
-	l, err := runbook.Shipped()
+	l, err := runbook.Builtin()
 	return &Listing{l}, err
 }
 
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Listing{[]runbook.Book{*b}}, nil
+	return &Listing{[]runbook.Runbook{*b}}, nil
 }
 
 func parseSettings(l []string) (map[string]string, error) {
@@ -75,11 +75,11 @@
 	for _, x := range l {
 		k, v, ok := strings.Cut(x, "=")
 		if !ok || k == "" {
-			b.Fault(errs.BadInput, "--set %q: give name=value", x)
+			b.Addf(errs.BadInput, "--set %q: give name=value", x)
 		}
 		m[k] = v
 	}
-	return m, b.Look()
+	return m, b.Err()
 }
 
 func runBook(_ context.Context, c *operator.Client, r *request, in io.Reader) (any, error) {
@@ -100,7 +100,7 @@
 	if r.resume != "" {
 		f, err := os.Open(r.resume)
 		if err != nil {
-			return nil, errs.As(err, errs.BadInput, "open record")
+			return nil, errs.WrapAs(err, errs.BadInput, "open record")
 		}
 		defer f.Close()
 		if from, set, ran.Run, err = runbook.Resume(f, b); err != nil {
@@ -111,18 +111,18 @@
 	if ran.Record == "" {
 		ran.Record = ran.Run + ".jsonl"
 	}
-	if _, err := b.Fill(set); err != nil {
+	if _, err := b.Substitute(set); err != nil {
 		return nil, err
 	}
 	var f *os.File
 	if !r.dry {
 		if f, err = os.OpenFile(ran.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
-			return nil, errs.As(err, errs.BadInput, "open record")
+			return nil, errs.WrapAs(err, errs.BadInput, "open record")
 		}
 		defer f.Close()
 	}
 	w := &nodeWorld{c: c, in: bufio.NewReader(in), out: r.bad, yes: r.yes}
-	err = runbook.Run(b, set, ran.Run, from, r.dry, w, func(l runbook.Line) error {
+	err = runbook.Run(b, set, ran.Run, from, r.dry, w, func(l runbook.RecordEntry) error {
 		l.At = time.Now().UTC().Format(time.RFC3339)
 		ran.Lines = append(ran.Lines, l)
 		if !r.asJSON {
@@ -239,7 +239,7 @@
 		_, err = drain(ctx, w.c, r, nil)
 	case "name-weights":
 		if r.weights, err = strconv.ParseInt(a["weights"], 10, 64); err != nil {
-			return errs.As(err, errs.BadInput, "weights")
+			return errs.WrapAs(err, errs.BadInput, "weights")
 		}
 		_, err = nameWeights(ctx, w.c, r, nil)
 	case "revoke-key":
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -242,7 +242,7 @@
 			"setup diff --file -": 8, "setup validate --file -": 8, "nodes": 0, "status": 1} {
 			from := time.Now()
 			got, out, bad := p.runOn(1, `{"version":4}`, args)
-			if d := time.Since(from); got != code || d > set.Default().Heal(0.75) {
+			if d := time.Since(from); got != code || d > set.DefaultBounds().Heal(0.75) {
 				t.Errorf("desk %s: exit %d after %v, want %d; %s%s", args, got, d, code, out, bad)
 			}
 		}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -140,11 +140,11 @@
 	p.seed++
 	seed := p.seed
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
-	site := &set.Site{First: true, Tolerate: 1, IP: ip(i), AckMs: 4000, GraceMs: 8000, BeatMs: 300, LeaseMs: 3000,
-		ListRate: 47, MemoryMB: 284, Files: 4100, Ports: [2]int{7360, 7375}, Revokes: true}
-	place := set.Place{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.Default(),
-		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Extra: []string{"log=off"}, Site: site}
-	w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	site := &set.Site{FirstStart: true, ToleratedFailures: 1, IP: ip(i), AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, LeaseMs: 3000,
+		WorkerListRate: 47, MemoryLimitMB: 284, Files: 4100, PortRange: [2]int{7360, 7375}, EnforceRevocation: true}
+	place := set.Process{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.DefaultBounds(),
+		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Options: []string{"log=off"}, Site: site}
+	w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
 			if p.disks[at] == nil {
 				p.disks[at] = &memory{m: map[string][]byte{}}
@@ -173,7 +173,7 @@
 
 func (p *testSite) state(i int) {
 	l := p.newProcess("state", i, set.PortState)
-	l.Place.Site.Control, l.Place.Operator = ip(i)+":8683", operatorAt(i)
+	l.Settings.Site.ControlPlaneListen, l.Settings.Operator = ip(i)+":8683", operatorAt(i)
 	p.must(controlstate.StartGroup(l, pondPlans{}, func(*controlstate.Node) http.Handler { return http.NotFoundHandler() }))
 }
 
@@ -183,14 +183,14 @@
 
 func (p *testSite) edge(i int) {
 	l := p.newProcess("edge", i, set.PortState)
-	l.Place.Public, l.Place.Site.Ready = ip(i)+":8689", ip(i)+":8687"
+	l.Settings.Public, l.Settings.Site.ReadinessListen = ip(i)+":8689", ip(i)+":8687"
 	a, err := agent.Start(l, pondPlans{}, "runner")
 	p.must(err)
 	mux := http.NewServeMux()
 	mux.Handle(wire.MembershipPathPrefix, a.Handler())
-	p.must(l.Serve(l.Place.Listen, mux))
+	p.must(l.Serve(l.Settings.Listen, mux))
 	s := indexclient.New(l, func() []*wire.Node { return a.Snapshot().Nodes })
-	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s, l.Place.Name)}))
+	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s, l.Settings.Name)}))
 }
 
 func (p *testSite) stop(who string) {
--- a/internal/contract/backend.go
+++ b/internal/contract/backend.go
@@ -25,16 +25,16 @@
 
 // How many connections to one address there are, and are kept idle, by kind of call.
 const (
-	idleStates = 4
-	idleStarts = 16
-	mostConns  = 128
+	maxIdleStates  = 4
+	maxIdleStarts  = 16
+	maxConnections = 128
 )
 
 // NewBackends makes the adapter with its own pools of connections.
 //
 // Example: be := contract.NewBackends(life.Dial)
 func NewBackends(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Backends {
-	return &Backends{backend.NewHTTPClient(dial, idleStates, mostConns), backend.NewHTTPClient(dial, idleStarts, mostConns), backend.NewSingleUseHTTPClient(dial)}
+	return &Backends{backend.NewHTTPClient(dial, maxIdleStates, maxConnections), backend.NewHTTPClient(dial, maxIdleStarts, maxConnections), backend.NewSingleUseHTTPClient(dial)}
 }
 
 // Close lets go of idle connections.
@@ -64,7 +64,7 @@
 		return errs.Wrap(err, "read answer")
 	}
 	if r.StatusCode != http.StatusOK {
-		return errs.New(errs.Inside, "answer %d: %.200s", r.StatusCode, raw)
+		return errs.New(errs.Internal, "answer %d: %.200s", r.StatusCode, raw)
 	}
 	return errs.Wrap(json.Unmarshal(raw, v), "read answer")
 }
@@ -72,24 +72,24 @@
 // State asks a worker for its state: the probe.
 //
 // Example: s, err := be.State(ctx, addr)
-func (b *Backends) State(ctx context.Context, addr string) (State, error) {
-	var s State
+func (b *Backends) State(ctx context.Context, addr string) (WorkerState, error) {
+	var s WorkerState
 	return s, b.get(ctx, "http://"+addr+"/v1/state", &s)
 }
 
 // List asks the platform for its list of back ends.
 //
 // Example: l, err := be.List(ctx, place.Rank)
-func (b *Backends) List(ctx context.Context, addr string) ([]Listed, error) {
-	var l []Listed
+func (b *Backends) List(ctx context.Context, addr string) ([]ListedWorker, error) {
+	var l []ListedWorker
 	return l, b.get(ctx, "http://"+addr+"/v1/workers", &l)
 }
 
-// Kept asks a worker what it has kept since a report, or for all of it.
+// CachedPrefixes asks a worker what it has kept since a report, or for all of it.
 //
 // Example: r, err := be.Kept(ctx, addr, 41, false)
-func (b *Backends) Kept(ctx context.Context, addr string, after uint64, whole bool) (Reports, error) {
-	var r Reports
+func (b *Backends) CachedPrefixes(ctx context.Context, addr string, after uint64, whole bool) (CacheReports, error) {
+	var r CacheReports
 	return r, b.get(ctx, fmt.Sprintf("http://%s/v1/kept?after=%d&whole=%v", addr, after, whole), &r)
 }
 
@@ -105,34 +105,34 @@
 	if err != nil {
 		return errs.Wrap(err, "order")
 	}
-	var s State
+	var s WorkerState
 	return do(b.orders, q, &s)
 }
 
-// Go is how one go began.
-type Go struct {
+// Attempt is how one go began.
+type Attempt struct {
 	Body     io.ReadCloser // the stream, when it started
 	Rejected *Rejection    // the worker's word that it never started
 	Err      error
-	Unsent   bool // nothing was sent: proof enough that it never started
+	NotSent  bool // nothing was sent: proof enough that it never started
 }
 
-// NotRun tells whether it is proved that the go never started.
+// NotExecuted tells whether it is proved that the go never started.
 //
-// Example: if g.NotRun() { tryElsewhere() }
-func (g Go) NotRun() bool { return g.Unsent || g.Rejected != nil && g.Rejected.NotRun }
+// Example: if g.NotExecuted() { tryElsewhere() }
+func (g Attempt) NotExecuted() bool { return g.NotSent || g.Rejected != nil && g.Rejected.NotExecuted }
 
-// Begin starts a go. The hints are the X-Kv- headers.
+// Start starts a go. The hints are the X-Kv- headers.
 //
 // Example: g := be.Begin(ctx, addr, start, map[string]string{contract.FetchFrom: "0=127.10.2.1:9000"})
-func (b *Backends) Begin(ctx context.Context, addr string, s Start, hints map[string]string) Go {
+func (b *Backends) Start(ctx context.Context, addr string, s StartRequest, hints map[string]string) Attempt {
 	raw, err := json.Marshal(s)
 	if err != nil {
-		return Go{Err: errs.Wrap(err, "write start"), Unsent: true}
+		return Attempt{Err: errs.Wrap(err, "write start"), NotSent: true}
 	}
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/start", bytes.NewReader(raw))
 	if err != nil {
-		return Go{Err: errs.Wrap(err, "start"), Unsent: true}
+		return Attempt{Err: errs.Wrap(err, "start"), NotSent: true}
 	}
 	// No GetBody: net/http must never send a start a second time by itself.
 	q.GetBody = nil
@@ -143,10 +143,10 @@
 	q = q.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused = i.Reused }}))
 	r, err := b.starts.Do(q)
 	if err != nil {
-		return Go{Err: errs.Wrap(err, "start"), Unsent: backend.NotSent(err)}
+		return Attempt{Err: errs.Wrap(err, "start"), NotSent: backend.NotSent(err)}
 	}
 	if r.StatusCode == http.StatusOK {
-		return Go{Body: r.Body}
+		return Attempt{Body: r.Body}
 	}
 	defer r.Body.Close()
 	var f Rejection
@@ -155,18 +155,18 @@
 		err = json.Unmarshal(raw, &f)
 	}
 	if f.RequestID != s.RequestID && (f.RequestID != "" || reused) {
-		return Go{Err: errs.New(errs.MayHaveRun, "worker answered %d for another request", r.StatusCode)}
+		return Attempt{Err: errs.New(errs.MayHaveExecuted, "worker answered %d for another request", r.StatusCode)}
 	}
-	if err != nil || !f.NotRun {
-		return Go{Err: errs.New(errs.Inside, "worker answered %d: %.200s", r.StatusCode, raw)}
+	if err != nil || !f.NotExecuted {
+		return Attempt{Err: errs.New(errs.Internal, "worker answered %d: %.200s", r.StatusCode, raw)}
 	}
-	return Go{Rejected: &f, Err: errs.New(errs.NotRun, "worker denied: %s", f.Reason)}
+	return Attempt{Rejected: &f, Err: errs.New(errs.NotExecuted, "worker denied: %s", f.Reason)}
 }
 
-// Hints reads the X-Kv-Fetch-From header.
+// ParseFetchFrom reads the X-Kv-Fetch-From header.
 //
 // Example: contract.Hints("0=127.10.2.1:9000,1=127.10.2.1:9000")[0]
-func Hints(h string) map[int]string {
+func ParseFetchFrom(h string) map[int]string {
 	m := map[int]string{}
 	for _, x := range strings.Split(h, ",") {
 		if i, a, ok := strings.Cut(x, "="); ok {
--- a/internal/contract/fuzz_test.go
+++ b/internal/contract/fuzz_test.go
@@ -13,20 +13,20 @@
 	f.Add([]byte(`{"r":"r1","n":1,"seal":"00"}`), 0, byte(0))
 	f.Add([]byte("\xff{"), 5, byte('"'))
 	f.Fuzz(func(t *testing.T, raw []byte, at int, b byte) {
-		if c := NewCheck("r1", "w"); c.Line(raw) == "" && c.Last != nil && c.Last.Seal != NewSeal("r1", "w").Close() {
+		if c := NewStreamVerifier("r1", "w"); c.Verify(raw) == "" && c.Sealed != nil && c.Sealed.Seal != NewSeal("r1", "w").Close() {
 			t.Fatalf("%q passes for a seal", raw)
 		}
 		s := NewSeal("r1", "w")
 		var lines [][]byte
 		for n, text := range []string{"one", "two"} {
 			s.Add(n, text)
-			l, err := json.Marshal(Piece{R: "r1", N: n, T: text})
+			l, err := json.Marshal(Chunk{R: "r1", N: n, T: text})
 			if err != nil {
 				t.Fatal(err)
 			}
 			lines = append(lines, l)
 		}
-		l, err := json.Marshal(Piece{R: "r1", N: 2, Seal: s.Close()})
+		l, err := json.Marshal(Chunk{R: "r1", N: 2, Seal: s.Close()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,17 +34,17 @@
 		k := max(0, at) % 3
 		changed := bytes.Clone(lines[k])
 		changed[(max(0, at)/3)%len(changed)] = b
-		var was, is Piece
+		var was, is Chunk
 		same := json.Unmarshal(changed, &is) == nil && json.Unmarshal(lines[k], &was) == nil && is == was
-		c, ok := NewCheck("r1", "w"), true
+		c, ok := NewStreamVerifier("r1", "w"), true
 		for i, l := range lines {
 			if i == k {
 				l = changed
 			}
-			ok = ok && c.Line(l) == ""
+			ok = ok && c.Verify(l) == ""
 		}
 		// Fields beside the sealed ones may differ; pieces, their order and the seal may not.
-		if ok && c.Last != nil && !same && (is.R != was.R || is.N != was.N || is.T != was.T || is.Seal != was.Seal) {
+		if ok && c.Sealed != nil && !same && (is.R != was.R || is.N != was.N || is.T != was.T || is.Seal != was.Seal) {
 			t.Fatalf("%q passes for %q", changed, lines[k])
 		}
 	})
--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -75,7 +75,7 @@
 	d := json.NewDecoder(strings.NewReader(string(body)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(e); err != nil {
-		return nil, errs.As(err, errs.BadInput, "calendar entry")
+		return nil, errs.WrapAs(err, errs.BadInput, "calendar entry")
 	}
 	return e, nil
 }
@@ -99,7 +99,7 @@
 //
 // Example: e.Check(&b)
 func (e *Entry) Check(b *errs.Batch) {
-	bad := func(f, format string, a ...any) { b.Fault(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
+	bad := func(f, format string, a ...any) { b.Addf(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
 	for f, v := range map[string]string{"name": e.Name, "service": e.Service} {
 		if v == "" || len(v) > 64 || strings.ContainsAny(v, " /\x00\n") {
 			bad(f, "%q: give a word of 1 to 64 letters without spaces or slashes", v)
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -34,12 +34,12 @@
 
 func (s *simulatedSite) add(i int, inc uint64) {
 	self := &wire.Node{Name: fmt.Sprintf("n-%d", i), Incarnation: inc, Role: "x", Zone: fmt.Sprint(i % 4), Addr: addr(i)}
-	s.cores[addr(i)] = New(settings.Default(), self, []string{addr(0), addr(1), addr(2)})
+	s.cores[addr(i)] = New(settings.DefaultBounds(), self, []string{addr(0), addr(1), addr(2)})
 	delete(s.down, addr(i))
 }
 
 func (s *simulatedSite) run(d time.Duration) {
-	beat := settings.Default().Leave(0.1)
+	beat := settings.DefaultBounds().Leave(0.1)
 	for end := s.now + d; s.now < end; s.now += beat {
 		for i := range s.limit {
 			a := addr(i)
@@ -102,7 +102,7 @@
 		s.run(4 * time.Second)
 		s.sent = 0
 		s.down[addr(5)] = true
-		s.run(settings.Default().Leave(1))
+		s.run(settings.DefaultBounds().Leave(1))
 		if got := s.states("n-5"); got[Dead] != n-1 {
 			t.Errorf("%d nodes: the dead one is seen as %v after the bound", n, got)
 		}
@@ -143,7 +143,7 @@
 		s.cores[x.Address].HandleHeartbeat(x.Heartbeat, s.now)
 	}
 	s.down[addr(7)] = true
-	s.run(settings.Default().Leave(0.4))
+	s.run(settings.DefaultBounds().Leave(0.4))
 	if got := s.states("n-7"); got[Dead] != 25 {
 		t.Fatalf("who left is seen as %v", got)
 	}
@@ -156,7 +156,7 @@
 	s.run(2 * time.Second) // it was young when it froze: its sleep counts
 	s.down[addr(3)] = true
 	s.run(4 * time.Second)
-	s.cores[addr(300)] = New(settings.Default(), &wire.Node{Name: "n-3", Incarnation: 0, Role: "x", Addr: addr(300)}, []string{addr(0), addr(1), addr(2)})
+	s.cores[addr(300)] = New(settings.DefaultBounds(), &wire.Node{Name: "n-3", Incarnation: 0, Role: "x", Addr: addr(300)}, []string{addr(0), addr(1), addr(2)})
 	s.run(8 * time.Second)
 	delete(s.down, addr(3))
 	for range 30 {
@@ -189,7 +189,7 @@
 		t.Fatalf("cut apart: n-12 is seen as %v", got)
 	}
 	s.cut = func(_, _ string) bool { return false }
-	s.run(settings.Default().Heal(0.5))
+	s.run(settings.DefaultBounds().Heal(0.5))
 	for i := range 13 {
 		if got := s.states(fmt.Sprintf("n-%d", i)); got[Alive] != 13 {
 			t.Fatalf("healed: n-%d is seen as %v", i, got)
@@ -199,7 +199,7 @@
 	delete(s.cores, addr(3))
 	s.run(4 * time.Second)
 	self := &wire.Node{Name: "n-3", Incarnation: 0, Role: "x", Addr: addr(300)} // its clock began anew
-	s.cores[addr(300)] = New(settings.Default(), self, []string{addr(0), addr(1), addr(2)})
+	s.cores[addr(300)] = New(settings.DefaultBounds(), self, []string{addr(0), addr(1), addr(2)})
 	s.run(4 * time.Second)
 	for a, c := range s.cores {
 		for _, n := range c.Nodes() {
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -61,9 +61,9 @@
 
 // siteBounds are the process's bounds; a site with a slower heartbeat has a proportionally longer
 // timeout.
-func siteBounds(p settings.Place) settings.Bounds {
+func siteBounds(p settings.Process) settings.Bounds {
 	if p.Site != nil {
-		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.BeatMs)/heartbeatRatio))
+		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.HeartbeatMs)/heartbeatRatio))
 	}
 	return p.Bounds
 }
@@ -71,7 +71,7 @@
 // Start makes a member of the process's site; onChange is called with every changed view.
 //
 // Example: m := clustermembership.Start(ctx, place, "runner", clock, log, client, nil)
-func Start(ctx context.Context, p settings.Place, role string, clk clock.Clock, log hclog.Logger,
+func Start(ctx context.Context, p settings.Process, role string, clk clock.Clock, log hclog.Logger,
 	call func(string) wire.Membership, hook func(View)) *Member {
 	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, Zone: p.Zone,
 		Addr: p.AdvertisedAddr(), Operator: p.Operator}
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -17,13 +17,13 @@
 
 // A site says how often it beats; nobody is judged sooner for that.
 func TestSiteHeartbeatStretchesLeaveBound(t *testing.T) {
-	p := settings.Place{Bounds: settings.Default()}
-	if b := siteBounds(p); b != settings.Default() {
+	p := settings.Process{Bounds: settings.DefaultBounds()}
+	if b := siteBounds(p); b != settings.DefaultBounds() {
 		t.Errorf("without a site: %+v", b)
 	}
 	for ms, want := range map[int]time.Duration{100: 300 * time.Millisecond, 1200: 1200 * time.Millisecond} {
-		p.Site = &settings.Site{BeatMs: ms}
-		if b := siteBounds(p); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.Default().Heal(1) {
+		p.Site = &settings.Site{HeartbeatMs: ms}
+		if b := siteBounds(p); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.DefaultBounds().Heal(1) {
 			t.Errorf("beats of %d ms: %v", ms, b.Leave(heartbeatRatio))
 		}
 	}
@@ -65,7 +65,7 @@
 		const n = 17
 		var l []*Member
 		d := &memberNetwork{at: map[string]*Member{}}
-		p := settings.Place{Bounds: settings.Default(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{BeatMs: 1200}}
+		p := settings.Process{Bounds: settings.DefaultBounds(), Seeds: []string{"1", "2", "3"}, Site: &settings.Site{HeartbeatMs: 1200}}
 		beat := siteBounds(p).Leave(heartbeatRatio)
 		for i := range n {
 			p.Name, p.Listen = strconv.Itoa(i), strconv.Itoa(i)
--- a/internal/control/clustermembership/traffic_test.go
+++ b/internal/control/clustermembership/traffic_test.go
@@ -13,7 +13,7 @@
 // What a node sends at 1, 4 and 16 times today's 26 nodes, at rest and while ten come and
 // go: beats a second stay as they are, and a beat's size is bounded by what is news.
 func TestTrafficPerNodeStaysBounded(t *testing.T) {
-	beat := settings.Default().Leave(0.1)
+	beat := settings.DefaultBounds().Leave(0.1)
 	sizes := []int{26, 104}
 	if os.Getenv("GROWTH") != "" { // slow under the race detector
 		sizes = append(sizes, 416)
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -126,13 +126,13 @@
 		return attemptResult{done: true, responded: true}
 	})
 	if got == nil && lost && !a.DryRun {
-		return nil, errs.New(errs.MayHaveRun, "the change was sent, and no answer came")
+		return nil, errs.New(errs.MayHaveExecuted, "the change was sent, and no answer came")
 	}
 	if got == nil {
-		return nil, errs.New(errs.CantSay, "shard %d has no leader that answers", a.Shard)
+		return nil, errs.New(errs.OutcomeUnknown, "shard %d has no leader that answers", a.Shard)
 	}
 	if got.Outcome == wire.OutcomeConflict && lost && guarded {
-		return nil, errs.New(errs.MayHaveRun, "an answer was lost, and version %d is in force now: read it back", got.Version)
+		return nil, errs.New(errs.MayHaveExecuted, "an answer was lost, and version %d is in force now: read it back", got.Version)
 	}
 	return got, ErrorOf(got)
 }
@@ -147,7 +147,7 @@
 	case wire.OutcomeConflict:
 		return errs.New(errs.Conflict, "version or fence in force: %d/%d %s", t.Version, t.Fence, t.Leader)
 	}
-	return errs.New(errs.Named(t.Outcome), "%s", strings.Join(t.Errors, "; "))
+	return errs.New(errs.KindNamed(t.Outcome), "%s", strings.Join(t.Errors, "; "))
 }
 
 // Read reads what was acknowledged, or says that it can't tell.
@@ -164,7 +164,7 @@
 		return attemptResult{done: true, responded: true}
 	})
 	if got == nil {
-		return nil, errs.New(errs.CantSay, "shard %d has no leader that answers", a.Shard)
+		return nil, errs.New(errs.OutcomeUnknown, "shard %d has no leader that answers", a.Shard)
 	}
 	return got, nil
 }
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -43,9 +43,9 @@
 		t.Cleanup(s.Close)
 		v.Nodes = append(v.Nodes, &wire.Node{Name: "archive/" + n, Addr: s.Listener.Addr().String()})
 	}
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	b.HealMs = 1200 // all waits are ratios of it
-	return New([]string{"core-1", "core-2", "core-3", "core-4"}, func() clustermembership.View { return v }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
+	return New([]string{"core-1", "core-2", "core-3", "core-4"}, func() clustermembership.View { return v }, daemon.NewClients(daemon.New("test", settings.Process{Bounds: b})), b)
 }
 
 func newPut(token string, guarded bool) *wire.ChangeRequest {
@@ -64,13 +64,13 @@
 	}{
 		{"the leader does it", []string{"done"}, newPut("t", false), nil, 1},
 		{"under a token a lost answer is asked for again", []string{"lost", "done"}, newPut("t", false), nil, 2},
-		{"without token or epoch it isn't", []string{"lost", "done"}, newPut("", false), errs.MayHaveRun, 1},
-		{"onto an epoch it is, and a conflict then proves nothing", []string{"lost", "epoch-conflict"}, newPut("", true), errs.MayHaveRun, 2},
+		{"without token or epoch it isn't", []string{"lost", "done"}, newPut("", false), errs.MayHaveExecuted, 1},
+		{"onto an epoch it is, and a conflict then proves nothing", []string{"lost", "epoch-conflict"}, newPut("", true), errs.MayHaveExecuted, 2},
 		{"a conflict with all answers heard is one", []string{"epoch-conflict"}, newPut("", true), errs.Conflict, 1},
-		{"lost for good", []string{"lost"}, newPut("t", false), errs.MayHaveRun, 0},
+		{"lost for good", []string{"lost"}, newPut("t", false), errs.MayHaveExecuted, 0},
 		{"what the leader finds wrong", []string{"bad-input"}, newPut("t", false), errs.BadInput, 1},
 		{"too busy, then done", []string{"overloaded", "overloaded", "done"}, newPut("t", false), nil, 3},
-		{"nobody leads it", []string{"core-4"}, newPut("t", false), errs.CantSay, 0},
+		{"nobody leads it", []string{"core-4"}, newPut("t", false), errs.OutcomeUnknown, 0},
 	} {
 		leader := &scriptedMember{script: c.script}
 		x := newTestClient(t, map[string]*scriptedMember{"core-2": {script: []string{"core-3"}}, "core-3": leader, "core-4": {script: []string{"core-3"}}})
@@ -82,7 +82,7 @@
 			t.Errorf("%s: asked %d times, want %d", c.name, leader.asked, c.asked)
 		}
 	}
-	if _, err := newTestClient(t, nil).Change(context.Background(), newPut("t", false)); errs.KindOf(err) != errs.CantSay {
+	if _, err := newTestClient(t, nil).Change(context.Background(), newPut("t", false)); errs.KindOf(err) != errs.OutcomeUnknown {
 		t.Errorf("no member is known: %v", err)
 	}
 }
--- a/internal/control/controlclient/cut_off_test.go
+++ b/internal/control/controlclient/cut_off_test.go
@@ -58,10 +58,10 @@
 		l.addr[n] = s.Listener.Addr().String()
 		seeds = append(seeds, l.addr[n])
 	}
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	b.HealMs = 6000 // an attempt lasts 250 ms
 	view := func() clustermembership.View { return clustermembership.View{} }
-	return l, NewGroupClient(seeds, view, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
+	return l, NewGroupClient(seeds, view, daemon.NewClients(daemon.New("test", settings.Process{Bounds: b})), b)
 }
 
 // change sends one change under new circumstances, and tells who was asked.
@@ -107,7 +107,7 @@
 	for i, most := range []time.Duration{1200 * time.Millisecond, 600 * time.Millisecond} {
 		begun := clk.Now()
 		asked, err := l.change(c, func() { l.silent["a"], l.silent["b"], l.silent["c"] = true, true, true })
-		if d := clk.Now() - begun; err == nil || errs.KindOf(err).HTTP < 500 || d > most {
+		if d := clk.Now() - begun; err == nil || errs.KindOf(err).HTTPStatus < 500 || d > most {
 			t.Fatalf("order %d: %v after %v", i, err, d)
 		}
 		if slices.Sort(asked); fmt.Sprint(asked) != "[a b c]" {
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -47,10 +47,10 @@
 		defer x.Close()
 		addr[i] = x.Listener.Addr().String()
 	}
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	b.HealMs = 60000 // so long that a busy machine makes no try too late
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-2", Role: "archive", Addr: addr[1]}, {Name: "runner/e", Role: "runner", Addr: addr[0]}}}
-	c := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
+	c := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, daemon.NewClients(daemon.New("test", settings.Process{Bounds: b})), b)
 	for _, x := range []struct {
 		what  string
 		leads int    // who leads it
@@ -82,7 +82,7 @@
 	mu.Unlock()
 	ctx, end := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer end()
-	if _, err := c.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.CantSay {
+	if _, err := c.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
 		t.Errorf("nobody leads it: %v", err)
 	}
 	c.SetSeeds([]string{"127.0.0.1:2"})
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -59,7 +59,7 @@
 	defer l.mu.Unlock()
 	switch t.GetOutcome() {
 	case wire.OutcomeDone:
-		l.fencingToken, l.expiresAt = t.Fence, max(l.expiresAt, asked+l.TTL-time.Duration(float64(l.TTL)*settings.MarginPart))
+		l.fencingToken, l.expiresAt = t.Fence, max(l.expiresAt, asked+l.TTL-time.Duration(float64(l.TTL)*settings.LeaseMarginRatio))
 	case wire.OutcomeConflict:
 		if t.Fence < l.fencingToken {
 			return
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -125,10 +125,10 @@
 				t.Run(fmt.Sprintf("%d/%d/%q", at, fault, token), func(t *testing.T) {
 					t.Parallel()
 					m := newFaultyMember(t, at, fault)
-					b := settings.Default()
+					b := settings.DefaultBounds()
 					b.HealMs = 6000 // all waits are ratios of it
 					v := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-1", Addr: m.addr}}}
-					c := New([]string{"core-1"}, func() clustermembership.View { return v }, daemon.NewClients(daemon.New("test", settings.Place{Bounds: b})), b)
+					c := New([]string{"core-1"}, func() clustermembership.View { return v }, daemon.NewClients(daemon.New("test", settings.Process{Bounds: b})), b)
 					change := func(key, token string) error {
 						_, err := c.Change(context.Background(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: key, Token: token, AnyVersion: true}}}})
 						return err
@@ -143,7 +143,7 @@
 					if token == "" && ran > 1 {
 						t.Errorf("it came %d times", ran)
 					}
-					if err == nil && ran == 0 || err != nil && errs.KindOf(err) != errs.MayHaveRun {
+					if err == nil && ran == 0 || err != nil && errs.KindOf(err) != errs.MayHaveExecuted {
 						t.Errorf("%v, it came %d times", err, ran)
 					}
 					if token != "" && err != nil {
--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -49,7 +49,7 @@
 		hotEntries:     hotEntries,
 		released:       make(chan struct{}),
 	}
-	c.lease = newSiteLease(process.Place.Name, process.Place.Site, process.Place.Bounds, process.Clock, store)
+	c.lease = newSiteLease(process.Settings.Name, process.Settings.Site, process.Settings.Bounds, process.Clock, store)
 	c.registerMetrics()
 	process.Go(c.run)
 	process.OnShutdown(c.awaitRelease)
@@ -140,7 +140,7 @@
 	if c.session != nil {
 		c.session.stopOrders()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.process.Place.Bounds.Leave(releaseTimeoutRatio))
+	ctx, cancel := context.WithTimeout(context.Background(), c.process.Settings.Bounds.Leave(releaseTimeoutRatio))
 	defer cancel()
 	if err := c.lease.release(ctx); err != nil {
 		c.process.Log.Warn("the lease can't be released: it expires by itself", "error", errs.Text(err))
--- a/internal/control/controllers/lease.go
+++ b/internal/control/controllers/lease.go
@@ -55,13 +55,13 @@
 }
 
 func newSiteLease(machine string, site *settings.Site, bounds settings.Bounds, clk clock.Clock, store stateStore) *siteLease {
-	ttl := min(settings.Of(site.LeaseMs, 1), bounds.Leave(leaseTTLRatio))
+	ttl := min(settings.Fraction(site.LeaseMs, 1), bounds.Leave(leaseTTLRatio))
 	return &siteLease{
 		clock:       clk,
 		store:       store,
 		lease:       controlclient.NewLease(nil, clk, LeaseName, 0, fmt.Sprintf("%s/%x", machine, clk.Now()), ttl),
 		machine:     machine,
-		orderDelay:  settings.Of(site.LeaseMs, 1),
+		orderDelay:  settings.Fraction(site.LeaseMs, 1),
 		requestedAt: -ttl,
 	}
 }
@@ -133,7 +133,7 @@
 				l.firstOrderAt = 0 // the first holder has no predecessor
 			}
 		}
-		l.deadline = requestedAt + l.fractionOfTTL(1-settings.MarginPart)
+		l.deadline = requestedAt + l.fractionOfTTL(1-settings.LeaseMarginRatio)
 	case wire.OutcomeConflict:
 		l.holder = response.Leader
 		if response.Leader == "" || response.Leader == l.holderID() {
--- a/internal/control/controllers/listsync.go
+++ b/internal/control/controllers/listsync.go
@@ -24,7 +24,7 @@
 
 // followWorkerList reads the platform's list periodically and publishes what has changed.
 func (s *session) followWorkerList() {
-	bounds := s.process.Place.Bounds
+	bounds := s.process.Settings.Bounds
 	failures := 0
 	for s.ctx.Err() == nil {
 		if _, ok := s.currentToken(); !ok {
@@ -53,11 +53,11 @@
 // minListInterval is the shortest interval between reads of so many pages that stays within the reads'
 // part of the allowed call rate; zero if the rate isn't limited.
 func (s *session) minListInterval(pages int) time.Duration {
-	site := s.process.Place.Site
-	if site == nil || site.ListRate <= 0 {
+	site := s.process.Settings.Site
+	if site == nil || site.WorkerListRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(pages) / (site.ListRate * listRateRatio) * float64(time.Second))
+	return time.Duration(float64(pages) / (site.WorkerListRate * listRateRatio) * float64(time.Second))
 }
 
 // mergeWorkerList applies a read of the list on the actor's goroutine. It reports whether a removal is
@@ -77,7 +77,7 @@
 func (s *session) readWorkerList() (list []fleet.Worker, pages int, err error) {
 	page := ""
 	for pages < maxPages {
-		ctx, cancel := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(pageTimeoutRatio))
+		ctx, cancel := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(pageTimeoutRatio))
 		workers, next, err := s.calls.ListWorkers(ctx, page)
 		cancel()
 		if err != nil {
@@ -88,5 +88,5 @@
 			return list, pages, nil
 		}
 	}
-	return nil, pages, errs.New(errs.TooBig, "the list of workers has more than %d pages", maxPages)
+	return nil, pages, errs.New(errs.TooLarge, "the list of workers has more than %d pages", maxPages)
 }
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -80,7 +80,7 @@
 		return nil
 	})
 	if err != nil {
-		return nil, errs.As(err, errs.MayHaveRun, "change")
+		return nil, errs.WrapAs(err, errs.MayHaveExecuted, "change")
 	}
 	if t.Outcome != wire.OutcomeDone {
 		return t, errs.New(errs.Conflict, "%s", t.Outcome)
--- a/internal/control/controllers/orders.go
+++ b/internal/control/controllers/orders.go
@@ -20,7 +20,7 @@
 
 // runRollout steps the rollout, faster while one is in progress.
 func (s *session) runRollout() {
-	bounds := s.process.Place.Bounds
+	bounds := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
 		idle := true
 		s.actor.Ask(func(*session) { s.stepRollout(); idle = s.rollout.Idle() })
@@ -115,7 +115,7 @@
 		s.actor.Ask(func(*session) { s.rollout.HandleUnsentOrder(order) })
 		return
 	}
-	outcome := s.callOrder(order, min(left, s.process.Place.Bounds.Leave(callTimeoutRatio)))
+	outcome := s.callOrder(order, min(left, s.process.Settings.Bounds.Leave(callTimeoutRatio)))
 	s.process.Log.Info("order", "worker", order.Worker.ID, "model", order.Model, "weights", order.Version, "fence", token, "outcome", int(outcome))
 	s.actor.Ask(func(*session) {
 		version := s.rollout.HandleOrderOutcome(order, outcome, s.process.Clock.Now())
@@ -151,7 +151,7 @@
 
 // requestReport asks one worker for its state.
 func (s *session) requestReport(worker fleet.Worker) {
-	ctx, cancel := context.WithTimeout(s.ctx, s.process.Place.Bounds.Leave(callTimeoutRatio))
+	ctx, cancel := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(callTimeoutRatio))
 	defer cancel()
 	report, err := s.calls.Report(ctx, worker.Addr)
 	s.actor.Ask(func(*session) {
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -43,7 +43,7 @@
 		if snapshot := s.latestSnapshot(); snapshot != nil && snapshot.Plan != nil {
 			s.updatePlacements(snapshot.Plan.Services)
 		}
-		clock.Sleep(s.ctx, s.process.Place.Bounds.Heal(placementPollRatio))
+		clock.Sleep(s.ctx, s.process.Settings.Bounds.Heal(placementPollRatio))
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	now := s.process.Clock.Now()
 	workers := serviceWorkerIDs(s.workers.Document().Workers, service.Name)
-	next, changed := nextPlacement(p, service, hot, workers, now, s.process.Place.Bounds.Heal(recomputeRatio))
+	next, changed := nextPlacement(p, service, hot, workers, now, s.process.Settings.Bounds.Heal(recomputeRatio))
 	if changed {
 		s.queuePlacement(p, next)
 		s.process.Log.Info("placement", "service", service.Name, "fence", s.fencingToken, "replicated", len(next.Replicated),
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -25,11 +25,11 @@
 //
 // Example: err := controllers.StartProcess(process, codec, calls)
 func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Client) error {
-	site := process.Place.Site
+	site := process.Settings.Site
 	if site == nil {
 		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
 	}
-	process.Place.Listen = site.Port(site.IP, settings.PortIndex)
+	process.Settings.Listen = site.Port(site.IP, settings.PortIndex)
 	member, err := agent.Start(process, codec, clustermembership.RolePromptIndex)
 	if err != nil {
 		return errs.Wrap(err, "agent")
@@ -42,10 +42,10 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.MembershipPathPrefix, member.Handler())
 	mux.Handle(wire.PromptIndexPathPrefix, index.Handler())
-	if err := process.Serve(process.Place.Listen, mux); err != nil {
+	if err := process.Serve(process.Settings.Listen, mux); err != nil {
 		return err
 	}
-	store := controlclient.NewGroupClient(process.Place.Seeds, member.Membership, clients, process.Place.Bounds)
+	store := controlclient.NewGroupClient(process.Settings.Seeds, member.Membership, clients, process.Settings.Bounds)
 	hotEntries := queryIndexNodes(process, member.Membership, clients.PromptIndex)
 	Start(process, store, calls, member.Snapshot, member.Membership, hotEntries)
 	process.Ready.Store(true)
@@ -56,7 +56,7 @@
 // timeout. Two nodes hold each entry: the higher count is used.
 func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.PromptIndex) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.HotPrefix {
-		ctx, cancel := context.WithTimeout(ctx, process.Place.Bounds.Heal(hotEntriesTimeoutRatio))
+		ctx, cancel := context.WithTimeout(ctx, process.Settings.Bounds.Heal(hotEntriesTimeoutRatio))
 		defer cancel()
 		nodes := promptindex.ServingNodes(view().Nodes)
 		responses := make(chan *wire.HottestResponse, len(nodes))
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -35,7 +35,7 @@
 // for long; nobody there is no hot entry at all.
 func TestHotEntriesOfIndexNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
+		l := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
 		nodes := map[string]indexNode{
 			"a": {hot: []*wire.HotPrefix{{Key: []byte("x"), Hotness: 3}, {Key: []byte("y"), Hotness: 1}}},
 			"b": {hot: []*wire.HotPrefix{{Key: []byte("x"), Hotness: 5}, {Key: []byte("z"), Hotness: 2}}},
@@ -77,7 +77,7 @@
 }
 
 func TestStartProcessNeedsASite(t *testing.T) {
-	l := daemon.New("controllers", settings.Place{Name: "core-1", Bounds: bounds(), Extra: []string{"log=off"}})
+	l := daemon.New("controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
 	if err := StartProcess(l, nil, nil); errs.KindOf(err) != errs.BadInput {
 		t.Errorf("%v", err)
 	}
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -11,7 +11,7 @@
 )
 
 func bounds() settings.Bounds {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	b.WeightsMs = 12000
 	return b
 }
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -59,7 +59,7 @@
 	}
 	s.ctx, s.cancel = context.WithCancel(c.process.Ctx)
 	s.actor = queue.NewActor(s, actorQueueSize)
-	s.writer = newDocumentWriter(c.store, s.currentToken, c.lease.holderID(), c.process.Place.Bounds)
+	s.writer = newDocumentWriter(c.store, s.currentToken, c.lease.holderID(), c.process.Settings.Bounds)
 	return s
 }
 
@@ -92,7 +92,7 @@
 // loadStoredDocuments takes over the state that the previous holder stored. It retries until it
 // succeeds; false if the session ends before.
 func (s *session) loadStoredDocuments() bool {
-	bounds := s.process.Place.Bounds
+	bounds := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
 		workers, placements, err := s.readStoredDocuments()
 		if err != nil {
@@ -115,10 +115,10 @@
 func (s *session) readStoredDocuments() (workers, placements []*wire.Document, err error) {
 	var failures errs.Batch
 	workers, err = s.writer.read(s.ctx, fleet.WorkersKey, false)
-	failures.Note("workers", err)
+	failures.Add("workers", err)
 	placements, err = s.writer.read(s.ctx, fleet.PlacementKey, true)
-	failures.Note("placements", err)
-	return workers, placements, failures.Look()
+	failures.Add("placements", err)
+	return workers, placements, failures.Err()
 }
 
 func (s *session) decodeWorkerList(documents []*wire.Document) (list fleet.WorkerList) {
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -108,7 +108,7 @@
 }
 
 func (s *testSite) core(name string) *Controller {
-	p := settings.Place{Name: name, Bounds: s.bounds, Extra: []string{"log=off"}, Site: &settings.Site{LeaseMs: 3000, ListRate: 47}}
+	p := settings.Process{Name: name, Bounds: s.bounds, Options: []string{"log=off"}, Site: &settings.Site{LeaseMs: 3000, WorkerListRate: 47}}
 	l := daemon.NewIn(daemon.Environment{Clock: s.clock}, "controllers", p)
 	s.mu.Lock()
 	s.processes[name] = l
--- a/internal/control/controlstate/change.go
+++ b/internal/control/controlstate/change.go
@@ -165,7 +165,7 @@
 	}
 	body, err := proto.Marshal(command)
 	if err != nil || len(body) > serviceconfig.MaxBytes*2 {
-		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"command can't be written"}}
+		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"command can't be written"}}
 	}
 	if len(p.pendingProposals) >= maxPendingProposals {
 		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
--- a/internal/control/controlstate/contact_test.go
+++ b/internal/control/controlstate/contact_test.go
@@ -123,7 +123,7 @@
 		n.controlClient.HintLeader(w.addr(10))
 		begun := time.Now()
 		err := n.SetWeightsVersion(context.Background(), "m", 2)
-		if d := time.Since(begun); err == nil || errs.KindOf(err) != errs.CantSay || d > answerWithin {
+		if d := time.Since(begun); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || d > answerWithin {
 			t.Errorf("after %v: %v", d, err)
 		}
 	})
--- a/internal/control/controlstate/cut_off_test.go
+++ b/internal/control/controlstate/cut_off_test.go
@@ -91,12 +91,12 @@
 	}
 	begun = time.Now()
 	err := w.node(w.victim).SetWeightsVersion(ctx, "m", uint64(100+round))
-	if d := time.Since(begun); err == nil || errs.KindOf(err).HTTP != 503 || d > answerWithin {
+	if d := time.Since(begun); err == nil || errs.KindOf(err).HTTPStatus != 503 || d > answerWithin {
 		w.t.Errorf("%v: the cut-off member names weights after %v: %v", w.elapsed(), d, err)
 	}
 	switch err := w.node(w.victim).SetWeightsVersion(ctx, "m", 1); {
 	case err == nil:
-	case w.restarted && errs.KindOf(err).HTTP == 503: // after a restart it can't say what was committed
+	case w.restarted && errs.KindOf(err).HTTPStatus == 503: // after a restart it can't say what was committed
 	default:
 		w.t.Errorf("%v: what was named before the cut stays named: %v", w.elapsed(), err)
 	}
--- a/internal/control/controlstate/cut_off_world_test.go
+++ b/internal/control/controlstate/cut_off_world_test.go
@@ -198,7 +198,7 @@
 	if d := time.Since(begun); d > answerWithin {
 		w.t.Errorf("%v: machine %d answers an order after %v", w.elapsed(), i, d)
 	}
-	if err != nil && errs.KindOf(err).HTTP != 503 {
+	if err != nil && errs.KindOf(err).HTTPStatus != 503 {
 		w.t.Errorf("%v: machine %d refuses an order on version %d: %v", w.elapsed(), i, base, err)
 	}
 	if err == nil {
@@ -220,7 +220,7 @@
 	if err == nil && v < least {
 		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.elapsed(), i, v, least)
 	}
-	if err != nil && errs.KindOf(err).HTTP != 503 {
+	if err != nil && errs.KindOf(err).HTTPStatus != 503 {
 		w.t.Errorf("%v: a read at machine %d: %v", w.elapsed(), i, err)
 	}
 	return err
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -91,7 +91,7 @@
 func (n *Node) Follow(ctx context.Context, a *wire.FollowRequest) (*wire.FollowResponse, error) {
 	p := n.shards[0]
 	if p == nil || p.group == nil {
-		return &wire.FollowResponse{Member: n.process.Place.Name}, nil
+		return &wire.FollowResponse{Member: n.process.Settings.Name}, nil
 	}
 	over := p.published.longPolls.Add(1) > maxLongPolls
 	defer p.published.longPolls.Add(-1)
@@ -112,7 +112,7 @@
 			over = true
 		case <-draining: // what is held now is answered soon; not at once, or it would come back at once
 			draining = nil
-			end.Reset(min(hold, n.process.Place.Bounds.Heal(groupTick)))
+			end.Reset(min(hold, n.process.Settings.Bounds.Heal(groupTick)))
 		}
 	}
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -61,10 +61,10 @@
 func (p *shard) reopen() error {
 	for _, f := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
 		if _, there, err := p.disk.Read(f); err != nil {
-			return errs.As(err, errs.DiskBad, "read")
+			return errs.WrapAs(err, errs.DiskFailure, "read")
 		} else if there {
 			if err := p.disk.Append(f, nil); err != nil {
-				return errs.As(err, errs.DiskBad, "sync what was read")
+				return errs.WrapAs(err, errs.DiskFailure, "sync what was read")
 			}
 		}
 	}
@@ -132,8 +132,8 @@
 // mergeRoutingConfig merges a plan, or named items of one, onto the one in force.
 func (p *shard) mergeRoutingConfig(m *mergedConfig, old *wire.Document, u *wire.Put, part bool) {
 	m.body, m.version, m.err = p.codec.Merge(old.GetBody(), u.Body, part)
-	if m.err != nil && errs.KindOf(m.err) == errs.Inside {
-		m.err = errs.As(m.err, errs.BadInput, "plan")
+	if m.err != nil && errs.KindOf(m.err) == errs.Internal {
+		m.err = errs.WrapAs(m.err, errs.BadInput, "plan")
 	}
 	if m.err == nil && m.version <= old.GetVersion() {
 		m.err = errs.New(errs.BadInput, "version %d isn't above %d, which is in force", m.version, old.GetVersion())
@@ -144,19 +144,19 @@
 //
 // Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
 func StartGroup(l *daemon.Process, codec backend.Codec, door func(*Node) http.Handler) error {
-	s, own := l.Place.Site, l.Place.AdvertisedAddr()
+	s, own := l.Settings.Site, l.Settings.AdvertisedAddr()
 	n := &Node{process: l, shards: map[uint32]*shard{}, clients: daemon.NewClients(l)}
-	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", l.Clock, l.Log, n.clients.Membership, nil)
-	n.controlClient = controlclient.NewGroupClient(l.Place.Seeds, n.membership.View, n.clients, l.Place.Bounds)
-	l.OnSettingsChanged(func(p settings.Place) { n.controlClient.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
+	n.membership = clustermembership.Start(l.Ctx, l.Settings, "archive", l.Clock, l.Log, n.clients.Membership, nil)
+	n.controlClient = controlclient.NewGroupClient(l.Settings.Seeds, n.membership.View, n.clients, l.Settings.Bounds)
+	l.OnSettingsChanged(func(p settings.Process) { n.controlClient.SetSeeds(p.Seeds); n.membership.SetSeeds(p.Seeds) })
 	n.transport = newTransport(l.Ctx, n)
-	tick := l.Place.Bounds.Heal(groupTick)
+	tick := l.Settings.Bounds.Heal(groupTick)
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
-	p.claimRetention, p.confirmTimeout = l.Place.Bounds.Once(1), settings.Of(s.AckMs, operatorTimeoutRatio*confirmTimeoutRatio)
-	openGroup(p, &group{codec: codec, disk: openDisk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.Tolerate + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
+	p.claimRetention, p.confirmTimeout = l.Settings.Bounds.RequestIDRetention(1), settings.Fraction(s.AckTimeoutMs, operatorTimeoutRatio*confirmTimeoutRatio)
+	openGroup(p, &group{codec: codec, disk: openDisk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.ToleratedFailures + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
-			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Place.Name)))},
-		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(s.First, own, l.Place.Seeds, l.Seed) }})
+			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Settings.Name)))},
+		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(s.FirstStart, own, l.Settings.Seeds, l.Seed) }})
 	n.shards[0], n.incarnation = p, p.published.current().self
 	l.Go(func() { p.run(tick) })
 	mux := http.NewServeMux()
@@ -166,7 +166,7 @@
 	for _, x := range []struct {
 		addr string
 		h    func() http.Handler
-	}{{s.Control, func() http.Handler { return door(n) }}, {l.Place.Listen, func() http.Handler { return mux }}} {
+	}{{s.ControlPlaneListen, func() http.Handler { return door(n) }}, {l.Settings.Listen, func() http.Handler { return mux }}} {
 		if x.addr == "" {
 			continue
 		}
@@ -174,7 +174,7 @@
 			return err
 		}
 	}
-	if l.Place.Operator != "" {
+	if l.Settings.Operator != "" {
 		if err := operatorapi.ServeSite(l, n.controlClient, n.membership.View, n.clients, codec.Read); err != nil {
 			return err
 		}
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -41,7 +41,7 @@
 		n, release := g.nodes[g.addr(o)], make(chan struct{})
 		g.disks[g.addr(o)].update(func(d *stallingDisk) { d.stalled = release })
 		at := time.Now()
-		if _, err := n.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.CantSay {
+		if _, err := n.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
 			t.Errorf("a plan put where the disk stalls: %v", err)
 		}
 		if d := time.Since(at); d > 950*time.Millisecond {
@@ -120,7 +120,7 @@
 			func() error { return n.SetWeightsVersion(ctx, "m", 2) },
 		} {
 			at := time.Now()
-			if err := f(); err == nil || errs.KindOf(err) != errs.CantSay || time.Since(at) > 950*time.Millisecond {
+			if err := f(); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || time.Since(at) > 950*time.Millisecond {
 				t.Errorf("after %v: %v", time.Since(at), err)
 			}
 		}
--- a/internal/control/controlstate/group_world_test.go
+++ b/internal/control/controlstate/group_world_test.go
@@ -166,9 +166,9 @@
 	}
 	g.seed++
 	seed := g.seed
-	p := settings.Place{Name: fmt.Sprint("core-", i), Zone: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.Default(),
-		Extra: []string{"log=off"}, Site: &settings.Site{First: first, Tolerate: max(1, g.toleratedLosses), IP: addr, AckMs: 4000, GraceMs: 8000, BeatMs: 300, Ports: [2]int{7360, 7375}}}
-	w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	p := settings.Process{Name: fmt.Sprint("core-", i), Zone: fmt.Sprint("d", i), Listen: addr, Seeds: g.seeds, Data: "x", Bounds: settings.DefaultBounds(),
+		Options: []string{"log=off"}, Site: &settings.Site{FirstStart: first, ToleratedFailures: max(1, g.toleratedLosses), IP: addr, AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, PortRange: [2]int{7360, 7375}}}
+	w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk { return g.disks[addr] },
 		Listen: func(a string) (net.Listener, error) {
 			l := &pipeListener{cluster: g, addr: a, connections: make(chan net.Conn), closed: make(chan struct{})}
@@ -181,7 +181,7 @@
 		Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 	l := daemon.NewIn(w, "archive", p)
 	var n *Node
-	l.Place.Site.Control = fmt.Sprintf("10.0.0.%d:8683", i)
+	l.Settings.Site.ControlPlaneListen = fmt.Sprintf("10.0.0.%d:8683", i)
 	if err := StartGroup(l, versionCodec{}, func(x *Node) http.Handler { n = x; return http.NotFoundHandler() }); err != nil {
 		g.t.Fatal(err)
 	}
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -26,10 +26,10 @@
 // leave waits, when the program is to stop, until the group does without this member: its
 // leadership is handed over, a spare has its place if there is one, and the others hold what it holds.
 func (n *Node) leave(ctx context.Context) {
-	ctx, end := context.WithTimeout(ctx, settings.Of(n.process.Place.Site.GraceMs, leaveTimeoutRatio))
+	ctx, end := context.WithTimeout(ctx, settings.Fraction(n.process.Settings.Site.GraceMs, leaveTimeoutRatio))
 	defer end()
 	for ctx.Err() == nil && !n.tryLeave(ctx) {
-		clock.Sleep(ctx, n.process.Place.Bounds.Heal(groupTick/2))
+		clock.Sleep(ctx, n.process.Settings.Bounds.Heal(groupTick/2))
 	}
 	n.membership.Leave()
 }
@@ -41,7 +41,7 @@
 	if at.done || at.isLeader || at.leader == "" {
 		return at.done
 	}
-	ctx, end := context.WithTimeout(ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
+	ctx, end := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
 	defer end()
 	t, err := n.clients.ControlNode(controlclient.MemberAddr(at.leader)).Join(ctx, &wire.JoinRequest{Name: at.self, Leaving: true})
 	return err == nil && t.Outcome == wire.OutcomeDone
@@ -91,7 +91,7 @@
 
 // joinLoop has this node taken in, and keeps it known while it isn't a member.
 func (n *Node) joinLoop() {
-	b, turn := n.process.Place.Bounds, 0
+	b, turn := n.process.Settings.Bounds, 0
 	for p := n.shards[0]; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, b.Heal(joinIntervalRatio)) {
 		ctx, end := context.WithTimeout(n.process.Ctx, b.Heal(1.0/24))
 		alone := query(ctx, p, false, p.needsJoin)
@@ -152,8 +152,8 @@
 	all = slices.DeleteFunc(all, func(a string) bool { return a == own })
 	for _, addr := range joinCandidates(all, n.controlClient.IsUnresponsive, turn) {
 		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(joinTimeoutRatio))
-			t, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Place.Zone})
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
+			t, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Settings.Zone})
 			end()
 			n.controlClient.RecordResponse(addr, err == nil)
 			if err != nil {
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -11,7 +11,7 @@
 func (n *Node) registerMetrics() {
 	sum := func(f func(*wire.ShardStatus) float64) func() float64 {
 		return func() (v float64) {
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(1.0/24))
 			defer end()
 			t, err := n.Status(ctx, &wire.StatusRequest{})
 			if err != nil {
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -42,24 +42,24 @@
 func Start(l *daemon.Process) error {
 	n := &Node{process: l, shards: map[uint32]*shard{}, outgoing: map[string]*queue.Ring[*wire.Message]{}, clients: daemon.NewClients(l)}
 	clk := l.Clock
-	core := append([]string(nil), l.Place.Core...)
+	core := append([]string(nil), l.Settings.Core...)
 	sort.Strings(core)
-	fresh := func() string { return fmt.Sprintf("%s/%016x", l.Place.Name, l.Seed()) }
+	fresh := func() string { return fmt.Sprintf("%s/%016x", l.Settings.Name, l.Seed()) }
 	n.coreMembers, n.incarnation = core, fresh()
-	n.membership = clustermembership.Start(l.Ctx, l.Place, "archive", clk, l.Log, n.clients.Membership, nil)
+	n.membership = clustermembership.Start(l.Ctx, l.Settings, "archive", clk, l.Log, n.clients.Membership, nil)
 	for _, m := range core {
-		if m != l.Place.Name {
+		if m != l.Settings.Name {
 			r := queue.NewRing[*wire.Message](1024)
 			n.outgoing[m] = r
 			l.Go(func() { n.deliver(m, r) })
 		}
 	}
-	tick := l.Place.Bounds.Heal(1.0 / 240)
+	tick := l.Settings.Bounds.Heal(1.0 / 240)
 	for i := range uint32(controlclient.ShardCount) {
 		ms := controlclient.Members(i, core)
-		cfg := consensus.Config{Shard: i, Self: l.Place.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
-			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Place.Name)))}
-		if !containsName(ms, l.Place.Name) {
+		cfg := consensus.Config{Shard: i, Self: l.Settings.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Settings.Name)))}
+		if !containsName(ms, l.Settings.Name) {
 			continue
 		}
 		p, err := openShard(l.Ctx, cfg, openDisk(l, fmt.Sprintf("part-%d", i)), fresh, clk, l.Log, n.send)
@@ -68,17 +68,17 @@
 			l.Log.Error("shard stays closed", "shard", i, "error", errs.Text(err))
 			continue
 		}
-		p.claimRetention, p.confirmTimeout = l.Place.Bounds.Once(1), l.Place.Bounds.Heal(serveTimeoutRatio*confirmTimeoutRatio)
+		p.claimRetention, p.confirmTimeout = l.Settings.Bounds.RequestIDRetention(1), l.Settings.Bounds.Heal(serveTimeoutRatio*confirmTimeoutRatio)
 		n.shards[i] = p
 		l.Go(func() { p.run(tick) })
 	}
 	mux := http.NewServeMux()
 	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(n))
 	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(n.membership))
-	if err := l.Serve(l.Place.Listen, mux); err != nil {
+	if err := l.Serve(l.Settings.Listen, mux); err != nil {
 		return err
 	}
-	ctl := controlclient.New(core, func() clustermembership.View { return n.membership.View() }, n.clients, l.Place.Bounds)
+	ctl := controlclient.New(core, func() clustermembership.View { return n.membership.View() }, n.clients, l.Settings.Bounds)
 	if err := operatorapi.Serve(l, ctl, func() clustermembership.View { return n.membership.View() }, n.clients); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		}
 	})
 	n.registerMetrics()
-	l.Every(l.Place.Bounds.Heal(0.25), func() { n.followSeeds(ctl) })
+	l.Every(l.Settings.Bounds.Heal(0.25), func() { n.followSeeds(ctl) })
 	l.Ready.Store(true)
 	l.Log.Info("serving", "shards", len(n.shards), "incarnation", n.incarnation)
 	return nil
@@ -117,8 +117,8 @@
 
 // openDisk is a shard's folder; where the place names a switch, faults can be brought about.
 func openDisk(l *daemon.Process, folder string) storage.Disk {
-	d := l.Disk(filepath.Join(l.Place.Data, folder))
-	if f := l.Place.Option("faults", ""); f != "" {
+	d := l.Disk(filepath.Join(l.Settings.Data, folder))
+	if f := l.Settings.Option("faults", ""); f != "" {
 		return storage.WithFaults(d, f)
 	}
 	return d
@@ -143,7 +143,7 @@
 			if !ok {
 				continue
 			}
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/24))
+			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(1.0/24))
 			_, err := n.clients.ControlNode(addr).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: ls})
 			end()
 			if err != nil {
@@ -179,7 +179,7 @@
 
 // serveContext bounds the work on a request whose body has a size.
 func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.process.Place.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
+	return context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
 }
 
 // Change carries out a change where this node leads the shard; elsewhere it names the leader.
@@ -212,7 +212,7 @@
 //
 // Example: response, err := n.Time(ctx, &wire.TimeRequest{})
 func (n *Node) Time(context.Context, *wire.TimeRequest) (*wire.TimeResponse, error) {
-	return &wire.TimeResponse{WallNs: n.process.Wall().UnixNano()}, nil
+	return &wire.TimeResponse{WallNs: n.process.WallClock().UnixNano()}, nil
 }
 
 // Status gives the status of this node's member in each of its shards.
@@ -223,15 +223,15 @@
 	for i := range uint32(controlclient.ShardCount) {
 		p := n.shards[i]
 		if p == nil {
-			if containsName(controlclient.Members(i, n.coreMembers), n.process.Place.Name) {
-				t.Shards = append(t.Shards, &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its folder can't be read: see the log at the start"})
+			if containsName(controlclient.Members(i, n.coreMembers), n.process.Settings.Name) {
+				t.Shards = append(t.Shards, &wire.ShardStatus{Shard: i, Member: n.process.Settings.Name, Failure: "its folder can't be read: see the log at the start"})
 			}
 			continue
 		}
-		x := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
+		x := &wire.ShardStatus{Shard: i, Member: n.process.Settings.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
 		t.Shards = append(t.Shards, query(ctx, p, x, func() *wire.ShardStatus {
 			s := p.core.Status()
-			y := &wire.ShardStatus{Shard: i, Member: n.process.Place.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, AppliedIndex: s.Applied,
+			y := &wire.ShardStatus{Shard: i, Member: n.process.Settings.Name, Leader: s.Leader, IsLeader: s.IsLeader, Blank: s.Blank, Stuck: s.RejoinFailure, AppliedIndex: s.Applied,
 				LastIndex: s.LastIndex, Term: s.Term, StateBytes: uint64(p.state.documentBytes), LogBytes: uint64(p.store.LogBytes())}
 			if p.failure != nil {
 				y.Failure = errs.Text(p.failure)
@@ -248,7 +248,7 @@
 func (n *Node) Watch(ctx context.Context, a *wire.WatchRequest) (*wire.WatchResponse, error) {
 	if p := n.shards[a.Shard]; p != nil {
 		a.MaxWaitNs = min(a.MaxWaitNs, uint64(time.Minute))
-		return p.watch(ctx, a, n.process.Place.Name), nil
+		return p.watch(ctx, a, n.process.Settings.Name), nil
 	}
-	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Place.Name}, nil
+	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Settings.Name}, nil
 }
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -26,7 +26,7 @@
 
 // operatorTimeout is how long a request with a body is worked on: then the operator asks elsewhere.
 func (n *Node) operatorTimeout(size int) time.Duration {
-	return settings.Of(n.process.Place.Site.AckMs, operatorTimeoutRatio*(1+float64(size)/timeoutBodyBytes))
+	return settings.Fraction(n.process.Settings.Site.AckTimeoutMs, operatorTimeoutRatio*(1+float64(size)/timeoutBodyBytes))
 }
 
 // PutRoutingConfig lays a whole plan, or named items of one (part), over the version base. It returns
@@ -86,7 +86,7 @@
 		}
 	}
 	// A conflict is with another naming, or with this one's first copy: nothing was refused.
-	return errs.New(errs.CantSay, "other namings came first until the time was over: the same again is safe")
+	return errs.New(errs.OutcomeUnknown, "other namings came first until the time was over: the same again is safe")
 }
 
 // addWeightsVersion gives the named weights with one more; nil where that is named already.
@@ -130,8 +130,8 @@
 		}
 	}
 	t, err := n.controlClient.Change(ctx, a)
-	if errs.KindOf(err) == errs.MayHaveRun && err != nil {
-		err = errs.As(err, errs.CantSay, "the same again is safe")
+	if errs.KindOf(err) == errs.MayHaveExecuted && err != nil {
+		err = errs.WrapAs(err, errs.OutcomeUnknown, "the same again is safe")
 	}
 	return t, err
 }
--- a/internal/control/controlstate/orders_door_test.go
+++ b/internal/control/controlstate/orders_door_test.go
@@ -38,7 +38,7 @@
 				base uint64
 				text string
 				kind *errs.Kind // nil: done
-			}{{0, "x", errs.CantSay}, {2, "x", errs.CantSay}, {2, "y", errs.CantSay}, {3, "x", nil}, {4, "x", nil}, {3, "y", errs.Conflict}, {4, "y", errs.Conflict}} {
+			}{{0, "x", errs.OutcomeUnknown}, {2, "x", errs.OutcomeUnknown}, {2, "y", errs.OutcomeUnknown}, {3, "x", nil}, {4, "x", nil}, {3, "y", errs.Conflict}, {4, "y", errs.Conflict}} {
 				at := time.Now()
 				_, err := n.PutRoutingConfig(ctx, x.base, body(x.base+1, x.text), false)
 				if (err != nil) != (x.kind != nil) || err != nil && errs.KindOf(err) != x.kind {
--- a/internal/control/controlstate/orders_search_test.go
+++ b/internal/control/controlstate/orders_search_test.go
@@ -114,7 +114,7 @@
 func (s *changeSearch) send(r *rand.Rand, o *sentChange, n *Node, lost bool) (answered bool) {
 	version, err := n.PutRoutingConfig(s.ctx, o.baseVersion, body(o.newVersion, o.text), o.partial)
 	kind := errs.KindOf(err)
-	refused := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooBig)
+	refused := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooLarge)
 	if lost {
 		return false
 	}
@@ -297,7 +297,7 @@
 	clock.Sleep(s.ctx, searchTime)
 	s.stopped.Store(true)
 	all.Wait()
-	clock.Sleep(s.ctx, settings.Default().Heal(1))
+	clock.Sleep(s.ctx, settings.DefaultBounds().Heal(1))
 	s.checkFinal()
 	return s
 }
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -80,7 +80,7 @@
 		if err := sh.SaveSnapshot(slot, nil); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := openTestShard(t, d); errs.KindOf(err) != errs.DiskBad {
+		if _, err := openTestShard(t, d); errs.KindOf(err) != errs.DiskFailure {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/control/controlstate/second_loss_net_test.go
+++ b/internal/control/controlstate/second_loss_net_test.go
@@ -17,7 +17,7 @@
 // runJoinLoops is Node.joinLoop and Node.requestJoin over the simulated net: two addresses each time, and whom
 // they name; one that can't be reached costs the whole wait for an answer.
 func (r *lossRun) runJoinLoops() {
-	bounds := settings.Default()
+	bounds := settings.DefaultBounds()
 	for _, n := range r.nodes {
 		n.nextJoin = farFuture
 		j := r.joins[n]
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -151,7 +151,7 @@
 	if len(e.Body) > 0 {
 		c := &wire.Command{}
 		if err := proto.Unmarshal(e.Body, c); err != nil {
-			p.markFailed(errs.As(err, errs.DiskBad, "read committed entry"))
+			p.markFailed(errs.WrapAs(err, errs.DiskFailure, "read committed entry"))
 			return
 		}
 		response = p.state.apply(c, p.clock.Now())
--- a/internal/control/controlstate/shard_disk.go
+++ b/internal/control/controlstate/shard_disk.go
@@ -33,12 +33,12 @@
 		return l, err
 	}
 	p.snapshotBytes = len(l.Snapshot.State)
-	return l, errs.As(p.state.load(l.Snapshot.State, p.clock.Now()), errs.DiskBad, "read the snapshot's state")
+	return l, errs.WrapAs(p.state.load(l.Snapshot.State, p.clock.Now()), errs.DiskFailure, "read the snapshot's state")
 }
 
 func checkFormat(s *wire.Snapshot) error {
 	if s.Format != 1 {
-		return errs.New(errs.DiskBad, "snapshot of format %d: this program reads format 1: start the newer program", s.Format)
+		return errs.New(errs.DiskFailure, "snapshot of format %d: this program reads format 1: start the newer program", s.Format)
 	}
 	return nil
 }
@@ -58,7 +58,7 @@
 	}
 	installed := newState()
 	if err := installed.load(s.State, p.clock.Now()); err != nil {
-		return errs.As(err, errs.DiskBad, "read the snapshot's state")
+		return errs.WrapAs(err, errs.DiskFailure, "read the snapshot's state")
 	}
 	if err := p.store.SaveSnapshot(s, rest); err != nil {
 		return err
--- a/internal/control/controlstate/sim_run_test.go
+++ b/internal/control/controlstate/sim_run_test.go
@@ -119,7 +119,7 @@
 		}
 		t := n.shard.watchResponse(&wire.WatchRequest{Key: "doc", KnownVersion: have}, n.name, s.now >= wait)
 		if s.plantedFault == "vouch-unsettled" && s.now >= wait && n.shard.state.documents["doc"].GetVersion() == have {
-			t = &wire.WatchResponse{Outcome: wire.OutcomeSame} // planted: what is in the log, not applied, is overlooked
+			t = &wire.WatchResponse{Outcome: wire.OutcomeUnchanged} // planted: what is in the log, not applied, is overlooked
 		}
 		if t == nil {
 			return true
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -107,7 +107,7 @@
 	d := s.documents[put.Key]
 	if d == nil {
 		if len(s.documents) >= maxDocuments {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many documents as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"the shard holds as many documents as it may"}}
 		}
 		d = &wire.Document{Key: put.Key}
 	}
@@ -118,7 +118,7 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.Version}
 	}
 	if s.documentBytes-len(d.Body)+len(put.Body) > maxStateBytes {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Version: d.Version, Errors: []string{"the shard holds as many bytes as it may"}}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Version: d.Version, Errors: []string{"the shard holds as many bytes as it may"}}
 	}
 	s.documentBytes += len(put.Body) - len(d.Body)
 	d = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, d.Version+1)}
@@ -133,7 +133,7 @@
 	l := s.leases[g.Lease]
 	if l == nil {
 		if len(s.leases) >= maxLeases {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooBig, Errors: []string{"the shard holds as many leases as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"the shard holds as many leases as it may"}}
 		}
 		l = &wire.Lease{Name: g.Lease}
 	}
@@ -161,5 +161,5 @@
 		return true
 	}
 	ttl := time.Duration(l.TtlNs)
-	return now-s.grantedAt[g.Lease] > ttl+time.Duration(float64(ttl)*settings.MarginPart)
+	return now-s.grantedAt[g.Lease] > ttl+time.Duration(float64(ttl)*settings.LeaseMarginRatio)
 }
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -146,7 +146,7 @@
 	if len(s.recentTokens) > maxRecentTokens {
 		t.Errorf("%d tokens", len(s.recentTokens))
 	}
-	if r := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); r.Outcome != wire.OutcomeTooBig {
+	if r := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); r.Outcome != wire.OutcomeTooLarge {
 		t.Errorf("a body over the bound: %s", r.Outcome)
 	}
 }
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -102,7 +102,7 @@
 
 // timeout is how long a message of so many bytes may take.
 func (d *peerSender) timeout(size int) time.Duration {
-	return d.node.process.Place.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
+	return d.node.process.Settings.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
 func (d *peerSender) post(ctx context.Context, messages []*wire.Message) error {
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -63,8 +63,8 @@
 func runTransportTest(t *testing.T, f func(*transport, *shard, *stalledMember, *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestCluster(t)
-		p := settings.Place{Name: "core-1", Listen: g.addr(1), Bounds: settings.Default(), Extra: []string{"log=off"}}
-		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
+		p := settings.Process{Name: "core-1", Listen: g.addr(1), Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
+		w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
 			Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return g.dial(ctx, g.addr(1), to) },
 			Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 		l := daemon.NewIn(w, "archive", p)
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -17,7 +17,7 @@
 	}
 	var b errs.Batch
 	if e.Check(&b); calendar.Key(e.Service, e.Name) != u.Key {
-		b.Fault(errs.BadInput, "entry %q of service %q doesn't belong under %s", e.Name, e.Service, u.Key)
+		b.Addf(errs.BadInput, "entry %q of service %q doesn't belong under %s", e.Name, e.Service, u.Key)
 	}
 	if len(p.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
@@ -26,27 +26,27 @@
 	for k, d := range p.state.documents {
 		if strings.HasPrefix(k, "calendar/") {
 			o, err := calendar.Decode(d.Body)
-			if b.Note(k, err); err == nil {
+			if b.Add(k, err); err == nil {
 				others = append(others, o)
 			}
 		}
 	}
-	b.Note("calendar", e.ConflictWith(others))
+	b.Add("calendar", e.ConflictWith(others))
 	if e.Active() {
 		for _, r := range p.retirements(&b) {
 			if r.Service == e.Service && r.Active() && r.State != retire.StatePlanned {
-				b.Fault(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", e.Name, r.Name, r.State, e.Service)
+				b.Addf(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", e.Name, r.Name, r.State, e.Service)
 			}
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
 
 func (p *shard) retirements(b *errs.Batch) (l []*retire.Retirement) {
 	for k, d := range p.state.documents {
 		if strings.HasPrefix(k, "retire/") {
 			r, err := retire.Read(d.Body)
-			if b.Note(k, err); err == nil {
+			if b.Add(k, err); err == nil {
 				l = append(l, r)
 			}
 		}
@@ -62,21 +62,21 @@
 	}
 	var b errs.Batch
 	if r.Validate(&b); retire.Key(r.Service, r.Name) != u.Key {
-		b.Fault(errs.BadInput, "retirement %q of service %q doesn't belong under %s", r.Name, r.Service, u.Key)
+		b.Addf(errs.BadInput, "retirement %q of service %q doesn't belong under %s", r.Name, r.Service, u.Key)
 	}
 	if len(p.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change is under way: ask again")
 	}
-	b.Note("retirement", r.CheckConflicts(p.retirements(&b)))
+	b.Add("retirement", r.CheckConflicts(p.retirements(&b)))
 	if r.Active() && r.State != retire.StatePlanned {
 		for k, d := range p.state.documents {
 			if !strings.HasPrefix(k, "calendar/") {
 				continue
 			}
 			if e, err := calendar.Decode(d.Body); err == nil && e.Active() && e.Service == r.Service {
-				b.Fault(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", r.Name, e.Name, e.State, e.Service)
+				b.Addf(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", r.Name, e.Name, e.State, e.Service)
 			}
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -72,9 +72,9 @@
 	d := p.state.documents[a.Key]
 	switch {
 	case p.failure == nil && d.GetVersion() > a.KnownVersion:
-		return &wire.WatchResponse{Outcome: wire.OutcomeNews, Document: d, Member: member, NothingNewer: p.hasNothingNewer(a.Key)}
+		return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, Document: d, Member: member, NothingNewer: p.hasNothingNewer(a.Key)}
 	case over && p.hasNothingNewer(a.Key) && d.GetVersion() == a.KnownVersion:
-		return &wire.WatchResponse{Outcome: wire.OutcomeSame, Member: member}
+		return &wire.WatchResponse{Outcome: wire.OutcomeUnchanged, Member: member}
 	case over || p.failure != nil || len(p.watchers) >= 1024:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	}
--- a/internal/control/operatorapi/lookup.go
+++ b/internal/control/operatorapi/lookup.go
@@ -33,7 +33,7 @@
 	if !slices.ContainsFunc(p.Services, func(service routingconfig.Service) bool {
 		return service.Engine != nil && slices.Contains(service.Engine.Models, q.Model)
 	}) {
-		return nil, errs.New(errs.NoModel, "model %q", q.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q", q.Model)
 	}
 	w, err := s.readWorkers(ctx)
 	if err != nil {
--- a/internal/control/operatorapi/moves.go
+++ b/internal/control/operatorapi/moves.go
@@ -61,19 +61,19 @@
 	old := uint64(0)
 	for _, x := range ds {
 		o, err := calendar.Decode(x.Body)
-		if b.Note(x.Key, err); err != nil {
+		if b.Add(x.Key, err); err != nil {
 			continue
 		}
 		if o.Name == e.Name && o.Service == e.Service {
 			if old = x.Version; o.Active() {
-				b.Fault(errs.Conflict, "entry %q of %s is %s: give another name, or end it first", o.Name, o.Service, o.State)
+				b.Addf(errs.Conflict, "entry %q of %s is %s: give another name, or end it first", o.Name, o.Service, o.State)
 			}
 			continue
 		}
 		others = append(others, o)
 	}
-	b.Note("calendar", e.ConflictWith(others))
-	if err := b.Look(); err != nil {
+	b.Add("calendar", e.ConflictWith(others))
+	if err := b.Err(); err != nil {
 		return nil, err
 	}
 	return s.putEntry(ctx, e, old, q.Dry.Or(false))
@@ -119,5 +119,5 @@
 		}
 		last = err
 	}
-	return nil, errs.As(last, errs.Conflict, fmt.Sprintf("entry %q keeps changing", q.Name))
+	return nil, errs.WrapAs(last, errs.Conflict, fmt.Sprintf("entry %q keeps changing", q.Name))
 }
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -62,20 +62,20 @@
 	old := uint64(0)
 	for _, y := range ds {
 		o, err := retire.Read(y.Body)
-		if b.Note(y.Key, err); err != nil {
+		if b.Add(y.Key, err); err != nil {
 			continue
 		}
 		if o.Name == x.Name && o.Service == x.Service {
 			if old = y.Version; o.Active() {
-				b.Fault(errs.Conflict, "retirement %q of %s is %s: give another name, or end it first", o.Name, o.Service, o.State)
+				b.Addf(errs.Conflict, "retirement %q of %s is %s: give another name, or end it first", o.Name, o.Service, o.State)
 			}
 			continue
 		}
 		others = append(others, o)
 	}
-	b.Note("retirement", x.CheckConflicts(others))
-	b.Note("retirement", s.checkAgainstConfig(ctx, x))
-	if err := b.Look(); err != nil {
+	b.Add("retirement", x.CheckConflicts(others))
+	b.Add("retirement", s.checkAgainstConfig(ctx, x))
+	if err := b.Err(); err != nil {
 		return nil, err
 	}
 	return s.putRetirement(ctx, x, old, q.Dry.Or(false))
@@ -89,7 +89,7 @@
 	}
 	var b errs.Batch
 	r.ValidateConfig(config, &b)
-	return b.Look()
+	return b.Err()
 }
 
 func (s *Server) putRetirement(ctx context.Context, r *retire.Retirement, version uint64, dry bool) (*operator.Changed, error) {
@@ -142,7 +142,7 @@
 		}
 		last = err
 	}
-	return nil, errs.As(last, errs.Conflict, fmt.Sprintf("retirement %q keeps changing", q.Name))
+	return nil, errs.WrapAs(last, errs.Conflict, fmt.Sprintf("retirement %q keeps changing", q.Name))
 }
 
 // checkRetirements reports retirements that need an operator, and what blocks them.
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -40,12 +40,12 @@
 //
 // Example: err := operatorapi.Serve(process, control, member.View, clients)
 func Serve(process *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients) error {
-	s := &Server{ctl, view, calls, process.Place.Bounds, controlclient.ConfigKey}
+	s := &Server{ctl, view, calls, process.Settings.Bounds, controlclient.ConfigKey}
 	api, err := operator.NewServer(s)
 	if err != nil {
 		return errs.Wrap(err, "operator API")
 	}
-	return process.Serve(process.Place.Operator, requireKey(process.Place.OperatorKey, http.MaxBytesHandler(api, 2*serviceconfig.MaxBytes)))
+	return process.Serve(process.Settings.Operator, requireKey(process.Settings.OperatorKey, http.MaxBytesHandler(api, 2*serviceconfig.MaxBytes)))
 }
 
 // KeyHeader is the header that carries the operators' key.
@@ -62,8 +62,8 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(errs.NotOurs.HTTP)
-		_ = json.NewEncoder(w).Encode(operator.Denial{Kind: errs.NotOurs.Name, Message: "the operators' key is missing or another", Remedy: errs.NotOurs.Remedy}) // the client may have disconnected
+		w.WriteHeader(errs.BadOperatorKey.HTTPStatus)
+		_ = json.NewEncoder(w).Encode(operator.Denial{Kind: errs.BadOperatorKey.Name, Message: "the operators' key is missing or another", Remedy: errs.BadOperatorKey.Remedy}) // the client may have disconnected
 	})
 }
 
@@ -72,7 +72,7 @@
 // Example: d.NewError(ctx, errs.New(errs.NotFound, "tenant"))
 func (s *Server) NewError(_ context.Context, err error) *operator.DeniedStatusCode {
 	k := errs.KindOf(err)
-	return &operator.DeniedStatusCode{StatusCode: k.HTTP, Response: operator.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
+	return &operator.DeniedStatusCode{StatusCode: k.HTTPStatus, Response: operator.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
 }
 
 func (s *Server) readConfigDocument(ctx context.Context) (*wire.Document, error) {
@@ -145,7 +145,7 @@
 	}
 	m, ok := config.Models[q.Model]
 	if !ok {
-		return nil, errs.New(errs.NoModel, "model %q", q.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q", q.Model)
 	}
 	if m.Weights == uint64(q.Weights) {
 		return &operator.Changed{Epoch: int64(doc.Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are in force already")}, nil
@@ -210,7 +210,7 @@
 			return n.Name, nil
 		}
 	}
-	return "", errs.New(errs.CantSay, "no %s answers", role)
+	return "", errs.New(errs.OutcomeUnknown, "no %s answers", role)
 }
 
 // ListNodes lists the nodes as one core machine sees them.
@@ -300,7 +300,7 @@
 		}
 	}
 	if len(l.Goes) == 0 && silent > 0 {
-		return nil, errs.New(errs.CantSay, "%d edge machines don't answer, and no other knows request %q", silent, q.Request)
+		return nil, errs.New(errs.OutcomeUnknown, "%d edge machines don't answer, and no other knows request %q", silent, q.Request)
 	}
 	if len(l.Goes) == 0 {
 		return nil, errs.New(errs.NotFound, "no edge machine remembers request %q: they keep the latest %d each", q.Request, 1024)
@@ -335,7 +335,7 @@
 	}
 	t, ok := config.Resolve(config.Routes[q.Model].DefaultTarget(q.Model))
 	if !ok {
-		return nil, errs.New(errs.NoModel, "model %q", q.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q", q.Model)
 	}
 	es := prefix.Chain(config.CacheDomain(q.Tenant), prefix.QualifiedModel(t.Model, t.Adapter, t.Build), t.Weights, q.Parts)
 	var ks []prefix.Key
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -39,16 +39,16 @@
 //
 // Example: err := operatorapi.ServeSite(process, control, member.View, clients, codec.Read)
 func ServeSite(process *daemon.Process, ctl *controlclient.Client, view func() clustermembership.View, calls *daemon.Clients, read func([]byte) (*routingconfig.Plan, error)) error {
-	s := &siteServer{&Server{ctl, view, calls, process.Place.Bounds, routingconfig.DocumentKey}, process.Place.Site, clustermembership.RoleControlNode + "/" + process.Place.Name, read}
+	s := &siteServer{&Server{ctl, view, calls, process.Settings.Bounds, routingconfig.DocumentKey}, process.Settings.Site, clustermembership.RoleControlNode + "/" + process.Settings.Name, read}
 	api := sync.OnceValues(func() (http.Handler, error) {
 		handler, err := operator.NewServer(s)
 		return http.MaxBytesHandler(handler, 2*serviceconfig.MaxBytes), err
 	})
-	return process.Serve(process.Place.Operator, requireKey(process.Place.OperatorKey, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	return process.Serve(process.Settings.Operator, requireKey(process.Settings.OperatorKey, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h, err := api()
 		if err != nil {
 			process.Log.Error("operator API", "error", err)
-			http.Error(w, err.Error(), errs.Inside.HTTP)
+			http.Error(w, err.Error(), errs.Internal.HTTPStatus)
 			return
 		}
 		h.ServeHTTP(w, r)
@@ -57,7 +57,7 @@
 
 // unsupported is the error for what such a site doesn't have.
 func unsupported(what, instead string) error {
-	return errs.New(errs.NotHere, "a site whose membership is agreed has no %s: %s", what, instead)
+	return errs.New(errs.NotSupported, "a site whose membership is agreed has no %s: %s", what, instead)
 }
 
 // readDocument reads one document by majority; nil if there is none. The leases are those in force
--- a/internal/control/operatorapi/sitestatus.go
+++ b/internal/control/operatorapi/sitestatus.go
@@ -127,7 +127,7 @@
 		hasLeader = g.checkNode(x, report, f) || hasLeader
 	}
 	g.checkMembers(f, fact)
-	if want := 2*s.site.Tolerate + 1; len(g.members) < want {
+	if want := 2*s.site.ToleratedFailures + 1; len(g.members) < want {
 		f.add("members-few", "site", fmt.Sprintf("%d members: %d are needed for the losses that the site tolerates", len(g.members), want), "see that as many core machines run and reach each other", "core-gone")
 	}
 	if !hasLeader {
@@ -147,7 +147,7 @@
 	switch {
 	case p.Failure != "":
 		state = "out"
-		f.add("member-out", name, p.Failure, errs.DiskBad.Remedy, "disk-full")
+		f.add("member-out", name, p.Failure, errs.DiskFailure.Remedy, "disk-full")
 	case !slices.Contains(g.members, x.membership.Member):
 		state = "learner"
 	case p.IsLeader:
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -76,7 +76,7 @@
 			switch {
 			case p.Failure != "":
 				st = "out"
-				f.add("member-out", fmt.Sprintf("%s shard %d", p.Member, p.Shard), p.Failure, errs.DiskBad.Remedy, "disk-full")
+				f.add("member-out", fmt.Sprintf("%s shard %d", p.Member, p.Shard), p.Failure, errs.DiskFailure.Remedy, "disk-full")
 			case p.Stuck != "":
 				st = "stuck"
 				f.add("member-stuck", fmt.Sprintf("%s shard %d", p.Member, p.Shard), p.Stuck, "bring one of the two data folders back", "disk-lost")
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -23,7 +23,7 @@
 // queryRole calls all nodes of a role at once with a short timeout, and passes their responses on one
 // by one. A node that doesn't answer is left out and delays no other.
 func queryRole[T any](c *Controller, role string, ask func(ctx context.Context, addr string) (T, error), take func(T)) {
-	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(1.0/48))
+	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(1.0/48))
 	defer end()
 	ns := c.members.View().WithRole(role)
 	got := make(chan T, len(ns))
@@ -76,7 +76,7 @@
 	queryRole(c, clustermembership.RoleControlNode, func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
 		return c.clients.ControlNode(addr).Time(ctx, &wire.TimeRequest{})
 	}, func(t *wire.TimeResponse) { l = append(l, t.WallNs) })
-	return majorityMedian(l, len(c.process.Place.Core))
+	return majorityMedian(l, len(c.process.Settings.Core))
 }
 
 func majorityMedian(l []int64, of int) time.Time {
@@ -100,7 +100,7 @@
 	lately := sync.OnceValue(c.collectUsage) // at most once a step, and only when a move needs it
 	for _, doc := range t.Documents {
 		e, err := calendar.Decode(doc.Body)
-		if b.Note(doc.Key, err); err != nil || !e.Active() || e.State == calendar.StatePaused {
+		if b.Add(doc.Key, err); err != nil || !e.Active() || e.State == calendar.StatePaused {
 			continue
 		}
 		w := c.observeCalendar(s, name, e, lately)
@@ -108,7 +108,7 @@
 		next, move, changed := svc.calendarPacer.Next(e, w)
 		if move.Patch != nil {
 			if _, ok := svc.lease.FencingToken(); !ok {
-				return b.Look()
+				return b.Err()
 			}
 			put := &wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: w.ConfigVersion, Token: move.Token}
 			_, err := c.store.Change(c.process.Ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
@@ -116,17 +116,17 @@
 				next = e
 				next.State, next.Reason, changed = calendar.StatePaused, "stopped: "+err.Error(), true
 			} else if err != nil {
-				b.Note("move of "+e.Name, err)
+				b.Add("move of "+e.Name, err)
 				continue
 			} else {
 				next, changed = calendar.RecordAction(e), true
 			}
 		}
 		if changed {
-			b.Note("write "+e.Name, c.writeCalendarEntry(svc, shard, doc, next))
+			b.Add("write "+e.Name, c.writeCalendarEntry(svc, shard, doc, next))
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
 
 func (c *Controller) writeCalendarEntry(svc *serviceController, shard uint32, doc *wire.Document, e *calendar.Entry) error {
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -95,7 +95,7 @@
 // workers don't obey the first order, and on both sites' bounds.
 func TestRolloutIsPaced(t *testing.T) {
 	for _, bound := range []int{20000, 25000} {
-		b := settings.Default()
+		b := settings.DefaultBounds()
 		b.WeightsMs = bound
 		var ws []*wire.Worker
 		for i := range 18 {
@@ -144,7 +144,7 @@
 // Weights named again in quick succession: the workers on the oldest go first, and are through
 // within the bound from when those were superseded, not from the latest naming.
 func TestRolloutOfWeightsNamedAgain(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	var ws []*wire.Worker
 	for i := range 18 {
 		ws = append(ws, &wire.Worker{Name: fmt.Sprintf("w%02d", i), Weights: 1})
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -62,21 +62,21 @@
 func Start(process *daemon.Process) error {
 	c := &Controller{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial), services: map[string]*serviceController{}}
 	process.OnStop(c.backends.Close)
-	c.holder = fmt.Sprintf("%s/%x", process.Place.Name, c.clock.Now())
-	c.members = clustermembership.Start(process.Ctx, process.Place, clustermembership.RolePlacementController, c.clock, process.Log, c.clients.Membership, nil)
+	c.holder = fmt.Sprintf("%s/%x", process.Settings.Name, c.clock.Now())
+	c.members = clustermembership.Start(process.Ctx, process.Settings, clustermembership.RolePlacementController, c.clock, process.Log, c.clients.Membership, nil)
 	view := func() clustermembership.View { return c.members.View() }
-	c.store = controlclient.New(process.Place.Core, view, c.clients, process.Place.Bounds)
-	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, process.Place.Bounds.Heal(1.0/12), nil, updatestream.OnSeedsChanged(c.members.SetSeeds))
+	c.store = controlclient.New(process.Settings.Core, view, c.clients, process.Settings.Bounds)
+	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, process.Settings.Bounds.Heal(1.0/12), nil, updatestream.OnSeedsChanged(c.members.SetSeeds))
 	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", func() (v float64) {
 		c.blockedNodes.Range(func(_, n any) bool { v += float64(n.(int)); return true })
 		return v
 	})
 	mux := http.NewServeMux()
 	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(c.members))
-	if err := process.Serve(process.Place.Listen, mux); err != nil {
+	if err := process.Serve(process.Settings.Listen, mux); err != nil {
 		return err
 	}
-	process.Every(process.Place.Bounds.Heal(1.0/24), c.assignServices)
+	process.Every(process.Settings.Bounds.Heal(1.0/24), c.assignServices)
 	process.Ready.Store(true)
 	return nil
 }
@@ -106,8 +106,8 @@
 	for name := range s.Config.Services {
 		if c.services[name] == nil && served[name] {
 			ctx, end := context.WithCancel(c.process.Ctx)
-			b := c.process.Place.Bounds
-			svc := &serviceController{name: name, cancel: end, lease: controlclient.NewLease(c.store, c.clock, "appraise/"+name, controlclient.ShardOf(name), c.holder, b.Heal(settings.LeasePart)), calendarPacer: calendar.NewPlanner(), retirementPlanner: retire.NewPlanner()}
+			b := c.process.Settings.Bounds
+			svc := &serviceController{name: name, cancel: end, lease: controlclient.NewLease(c.store, c.clock, "appraise/"+name, controlclient.ShardOf(name), c.holder, b.Heal(settings.LeaseRatio)), calendarPacer: calendar.NewPlanner(), retirementPlanner: retire.NewPlanner()}
 			c.services[name] = svc
 			c.runPeriodically(ctx, func() {
 				if err := svc.lease.Renew(ctx); err != nil {
@@ -128,7 +128,7 @@
 // runPeriodically runs a step now and at every tick until ctx ends.
 func (c *Controller) runPeriodically(ctx context.Context, step func()) {
 	c.process.Go(func() {
-		t := clock.NewTicker(c.process.Place.Bounds.Heal(1.0 / 24))
+		t := clock.NewTicker(c.process.Settings.Bounds.Heal(1.0 / 24))
 		defer t.Stop()
 		for ctx.Err() == nil {
 			step()
@@ -154,11 +154,11 @@
 		svc.fencingToken, svc.document, svc.retirementPlanner = fence, nil, retire.NewPlanner()
 	}
 	var b errs.Batch
-	b.Note("roll out weights", c.stepRollout(svc, s, svc.name, config))
-	b.Note("place", c.updatePlacement(svc, s, svc.name, config))
-	b.Note("calendar", c.stepCalendar(svc, s, svc.name))
-	b.Note("retirement", c.stepRetirement(svc, s, svc.name))
-	if err := b.Look(); err != nil {
+	b.Add("roll out weights", c.stepRollout(svc, s, svc.name, config))
+	b.Add("place", c.updatePlacement(svc, s, svc.name, config))
+	b.Add("calendar", c.stepCalendar(svc, s, svc.name))
+	b.Add("retirement", c.stepRetirement(svc, s, svc.name))
+	if err := b.Err(); err != nil {
 		c.process.Log.Warn("service step failed", "service", svc.name, "error", errs.Text(err))
 	}
 }
@@ -183,22 +183,22 @@
 	}
 	svc.rollout.AllAtOnce = config.Rollout == "at-once"
 	since := func(w uint64) time.Duration { _, first, _ := seen.SupersededAt(w); return now - first }
-	order, changed := svc.rollout.Step(ws, seen.Version, since, now, c.process.Place.Bounds)
+	order, changed := svc.rollout.Step(ws, seen.Version, since, now, c.process.Settings.Bounds)
 	var b errs.Batch
-	b.Note("order", c.sendOrders(svc.lease, order, seen.Version))
+	b.Add("order", c.sendOrders(svc.lease, order, seen.Version))
 	if changed {
 		p := *svc.placement
 		p.Cordoned, p.Reason = svc.rollout.Batch, "weights are being rolled out"
-		b.Note("set aside", c.publishPlacement(svc, name, &p))
+		b.Add("set aside", c.publishPlacement(svc, name, &p))
 	}
-	return b.Look()
+	return b.Err()
 }
 
 // sendOrders orders workers to load weights, all at once: a silent worker delays no other. The lease
 // is checked right before each order is sent, and none stays in flight for longer than from the
 // lease's end on this machine until another may hold it.
 func (c *Controller) sendOrders(lease *controlclient.Lease, ws []*wire.Worker, weights uint64) error {
-	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(settings.OrderPart))
+	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
 	defer end()
 	got := make(chan error, len(ws))
 	for _, w := range ws {
@@ -208,19 +208,19 @@
 				got <- nil // another may hold it soon
 				return
 			}
-			got <- errs.Wrap(c.backends.Order(ctx, w.Addr, contract.Order{Fence: fence, Holder: lease.Holder, Kind: "weights", Weights: weights}), "order "+w.Name)
+			got <- errs.Wrap(c.backends.Order(ctx, w.Addr, contract.Order{FencingToken: fence, Holder: lease.Holder, Kind: "weights", Weights: weights}), "order "+w.Name)
 		}()
 	}
 	var b errs.Batch
 	for range ws {
-		b.Note("weights", <-got)
+		b.Add("weights", <-got)
 	}
-	return b.Look()
+	return b.Err()
 }
 
 func (c *Controller) updatePlacement(svc *serviceController, s *updatestream.Snapshot, name string, config serviceconfig.Service) error {
 	now := c.clock.Now()
-	b := c.process.Place.Bounds
+	b := c.process.Settings.Bounds
 	if svc.document == nil { // a new holder: resume from the stored placement
 		t, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(name), Key: "placement/" + name})
 		if err != nil {
--- a/internal/control/placementcontroller/order_test.go
+++ b/internal/control/placementcontroller/order_test.go
@@ -22,7 +22,7 @@
 // or been given up before another may hold the lease; once the lease is over none goes off.
 func TestSilentWorkersDelayNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.Default()
+		b := settings.DefaultBounds()
 		clk := clock.Synctest()
 		sent := atomic.Int32{}
 		w := daemon.Environment{Clock: clk, Dial: func(context.Context, string, string) (net.Conn, error) {
@@ -30,10 +30,10 @@
 			<-time.After(b.Leave(1.0 / 3)) // a dial is given up by itself
 			return nil, errors.New("silence")
 		}}
-		l := daemon.NewIn(w, "placement", settings.Place{Name: "core-1", Bounds: b, Extra: []string{"log=off"}})
+		l := daemon.NewIn(w, "placement", settings.Process{Name: "core-1", Bounds: b, Options: []string{"log=off"}})
 		defer l.Stop(0)
 		c := &Controller{process: l, clock: clk, backends: contract.NewBackends(l.Dial)}
-		ttl := b.Heal(settings.LeasePart)
+		ttl := b.Heal(settings.LeaseRatio)
 		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", ttl)
 		asked := clk.Now()
 		lease.HandleResponse(asked, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
@@ -42,16 +42,16 @@
 			ws = append(ws, &wire.Worker{Name: fmt.Sprint("w", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1)})
 		}
 		t0 := time.Now()
-		if err := c.sendOrders(lease, ws, 2); err == nil || time.Since(t0) != b.Heal(settings.OrderPart) || sent.Load() != 18 {
+		if err := c.sendOrders(lease, ws, 2); err == nil || time.Since(t0) != b.Heal(settings.OrderTimeoutRatio) || sent.Load() != 18 {
 			t.Errorf("%v after %v, %d sent", err, time.Since(t0), sent.Load())
 		}
-		last := time.NewTimer(asked + ttl - time.Duration(float64(ttl)*settings.MarginPart) - clk.Now() - 1)
+		last := time.NewTimer(asked + ttl - time.Duration(float64(ttl)*settings.LeaseMarginRatio) - clk.Now() - 1)
 		<-last.C // the last instant at which the lease is held
 		sent.Store(0)
 		if err := c.sendOrders(lease, ws, 2); err == nil || sent.Load() != 18 {
 			t.Errorf("held still: %v, %d sent", err, sent.Load())
 		}
-		if next := asked + ttl + time.Duration(float64(ttl)*settings.MarginPart); clk.Now() >= next {
+		if next := asked + ttl + time.Duration(float64(ttl)*settings.LeaseMarginRatio); clk.Now() >= next {
 			t.Errorf("the last order ended at %v, the next holder may order from %v on", clk.Now(), next)
 		}
 		sent.Store(0)
--- a/internal/control/placementcontroller/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -76,7 +76,7 @@
 	if err != nil || r == nil {
 		return err
 	}
-	w := retire.Observation{Version: doc.Version, Config: now, MaxConfigAge: c.process.Place.Bounds.Config(1)}
+	w := retire.Observation{Version: doc.Version, Config: now, MaxConfigAge: c.process.Settings.Bounds.Config(1)}
 	var addr map[string]string
 	w.Nodes, addr, w.WorkersListed = c.observeWorkers(name)
 	w.Now = c.clock.Now()
@@ -87,18 +87,18 @@
 	next, acts, changed := svc.retirementPlanner.Next(r, w)
 	done, err := c.executeActions(svc, next, acts, t.Documents[0].Version, addr)
 	var b errs.Batch
-	b.Note("act", err)
+	b.Add("act", err)
 	if changed || done {
-		b.Note("write "+r.Name, c.writeRetirement(svc, doc, r, next))
+		b.Add("write "+r.Name, c.writeRetirement(svc, doc, r, next))
 	}
-	return b.Look()
+	return b.Err()
 }
 
 // repairWorkers loads what the service's workers lack of the service configuration while nothing is
 // being retired, and unloads what was retired.
 func (c *Controller) repairWorkers(svc *serviceController, s *updatestream.Snapshot, name string, gone []string) error {
 	now := c.clock.Now()
-	if len(s.Config.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < c.process.Place.Bounds.Heal(repairIntervalRatio) {
+	if len(s.Config.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < c.process.Settings.Bounds.Heal(repairIntervalRatio) {
 		return nil
 	}
 	svc.repairedAt = now
@@ -113,9 +113,9 @@
 // observeWorkers asks the platform for the service's workers, and each of them for its state, all at
 // once.
 func (c *Controller) observeWorkers(name string) (l []retire.Node, addr map[string]string, listed bool) {
-	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(1.0/48))
+	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(1.0/48))
 	defer end()
-	all, err := c.backends.List(ctx, c.process.Place.Rank)
+	all, err := c.backends.List(ctx, c.process.Settings.WorkerList)
 	if err != nil {
 		return nil, nil, false
 	}
@@ -131,8 +131,8 @@
 			st, err := c.backends.State(ctx, x.Addr)
 			n := retire.Node{Name: x.Name}
 			if err == nil && st.Name == x.Name {
-				n = retire.Node{Name: x.Name, Incarnation: st.Incarnation, Reachable: true, Draining: st.Draining || x.Draining, Loaded: st.Holds(),
-					Loading: st.Loading, MemoryMB: st.Room, FreeMB: st.Free}
+				n = retire.Node{Name: x.Name, Incarnation: st.Incarnation, Reachable: true, Draining: st.Draining || x.Draining, Loaded: st.LoadedModels(),
+					Loading: st.Loading, MemoryMB: st.WeightMemoryMB, FreeMB: st.FreeWeightMemoryMB}
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -147,7 +147,7 @@
 // acknowledged; done reports whether there was any. The lease is checked right before each action, and
 // none may take longer than an order.
 func (c *Controller) executeActions(svc *serviceController, r *retire.Retirement, acts []retire.Action, version uint64, addr map[string]string) (done bool, err error) {
-	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Place.Bounds.Heal(settings.OrderPart))
+	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
 	defer end()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -164,7 +164,7 @@
 				put := &wire.Put{Key: controlclient.ConfigKey, Body: x.Patch, IfVersion: version}
 				_, err = c.store.Change(ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 			case x.Order != nil:
-				x.Order.Fence, x.Order.Holder = fence, svc.lease.Holder
+				x.Order.FencingToken, x.Order.Holder = fence, svc.lease.Holder
 				err = c.backends.Order(ctx, addr[x.Node], *x.Order)
 			default:
 				err = c.proveNode(ctx, r, x, addr[x.Node])
@@ -175,7 +175,7 @@
 			case err != nil && x.ProofSet != nil:
 				svc.retirementPlanner.RecordFailedProof(x.Node, err.Error())
 			case err != nil:
-				b.Note("retire "+x.Node, err)
+				b.Add("retire "+x.Node, err)
 			case x.Patch != nil:
 				r.RecordPatch()
 				done = true
@@ -189,15 +189,15 @@
 		})
 	}
 	wg.Wait()
-	return done, b.Look()
+	return done, b.Err()
 }
 
 // proveNode sends a node one real request under its base and each adapter, and checks every answer to its
 // seal, which names the weights that answered.
 func (c *Controller) proveNode(ctx context.Context, r *retire.Retirement, x retire.Action, addr string) error {
 	for i, l := range append([]retire.AdapterBuild{{}}, x.ProofSet.Adapters...) {
-		s := contract.Start{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, c.clock.Now(), i), Domain: proofDomain, Model: x.ProofSet.Base, Weights: x.ProofSet.Weights,
-			Adapter: l.Name, Build: l.Build, Parts: []string{"proof"}, Pieces: 1, WaitMs: int(c.process.Place.Bounds.Heal(settings.OrderPart) / time.Millisecond), Incarnation: x.Incarnation}
+		s := contract.StartRequest{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, c.clock.Now(), i), Domain: proofDomain, Model: x.ProofSet.Base, Weights: x.ProofSet.Weights,
+			Adapter: l.Name, Build: l.Build, Parts: []string{"proof"}, Pieces: 1, WaitMs: int(c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio) / time.Millisecond), Incarnation: x.Incarnation}
 		if err := c.verifyAnswer(ctx, addr, x.Node, s); err != nil {
 			return errs.Wrap(err, strings.TrimSpace("base model "+x.ProofSet.Base+" "+l.Name))
 		}
@@ -206,27 +206,27 @@
 }
 
 // verifyAnswer sends one request and checks the answer to its seal.
-func (c *Controller) verifyAnswer(ctx context.Context, addr, node string, s contract.Start) error {
-	g := c.backends.Begin(ctx, addr, s, nil)
+func (c *Controller) verifyAnswer(ctx context.Context, addr, node string, s contract.StartRequest) error {
+	g := c.backends.Start(ctx, addr, s, nil)
 	if g.Err != nil {
 		return g.Err
 	}
 	defer g.Body.Close()
-	check, b := contract.NewCheck(s.RequestID, node), bufio.NewReaderSize(g.Body, contract.MaxLine)
+	check, b := contract.NewStreamVerifier(s.RequestID, node), bufio.NewReaderSize(g.Body, contract.MaxLineBytes)
 	for {
 		line, err := b.ReadSlice('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			break
 		}
 		if err != nil {
-			return errs.As(err, errs.Inside, "read answer")
+			return errs.WrapAs(err, errs.Internal, "read answer")
 		}
-		if why := check.Line(line); why != "" {
-			return errs.New(errs.Inside, "%s", why)
+		if why := check.Verify(line); why != "" {
+			return errs.New(errs.Internal, "%s", why)
 		}
 	}
-	if l := check.Last; l == nil || l.N != s.Pieces || l.Model != s.Model || l.Weights != s.Weights || l.Adapter != s.Adapter || l.Build != s.Build {
-		return errs.New(errs.Inside, "its answer isn't sealed under what was asked for")
+	if l := check.Sealed; l == nil || l.N != s.Pieces || l.Model != s.Model || l.Weights != s.Weights || l.Adapter != s.Adapter || l.Build != s.Build {
+		return errs.New(errs.Internal, "its answer isn't sealed under what was asked for")
 	}
 	return nil
 }
--- a/internal/control/retire/catchup.go
+++ b/internal/control/retire/catchup.go
@@ -11,7 +11,7 @@
 )
 
 func hasModelLoaded(n Node, base string) bool {
-	return slices.ContainsFunc(n.Loaded, func(l contract.Loaded) bool { return l.Model == base })
+	return slices.ContainsFunc(n.Loaded, func(l contract.LoadedModel) bool { return l.Model == base })
 }
 
 func (s *evaluation) addOrder(n Node, o contract.Order) {
@@ -33,12 +33,12 @@
 			s.addBlocker(n.Name, "it doesn't answer, and may come back", "bring it back, or have the platform take it out of its list")
 			continue
 		}
-		need, o := "base model "+x.Base, contract.Order{Kind: "load", Model: x.Base, Weights: x.Weights, Room: x.MemoryMB}
+		need, o := "base model "+x.Base, contract.Order{Kind: "load", Model: x.Base, Weights: x.Weights, WeightMemoryMB: x.MemoryMB}
 		have := x.loadedBase(n.Loaded)
 		if have != nil && level > 0 {
 			if a := x.missingAdapter(have); a != nil {
 				need = "adapter " + a.Name
-				o = contract.Order{Kind: "load", Model: x.Base, Weights: x.Weights, Adapter: a.Name, Build: a.Build, Room: a.MemoryMB}
+				o = contract.Order{Kind: "load", Model: x.Base, Weights: x.Weights, Adapter: a.Name, Build: a.Build, WeightMemoryMB: a.MemoryMB}
 			} else {
 				need = ""
 			}
@@ -48,8 +48,8 @@
 		switch {
 		case need != "" && n.Loading != "":
 			s.addBlocker(n.Name, "it loads "+n.Loading, "nothing to do; if it stays so, see the worker's log")
-		case need != "" && n.MemoryMB > 0 && n.FreeMB < o.Room:
-			s.addBlocker(n.Name, fmt.Sprintf("%s takes %d MB, %d of %d are free", need, o.Room, n.FreeMB, n.MemoryMB), "unload there what isn't needed, or give it more memory and start it again")
+		case need != "" && n.MemoryMB > 0 && n.FreeMB < o.WeightMemoryMB:
+			s.addBlocker(n.Name, fmt.Sprintf("%s takes %d MB, %d of %d are free", need, o.WeightMemoryMB, n.FreeMB, n.MemoryMB), "unload there what isn't needed, or give it more memory and start it again")
 		case need != "":
 			s.addBlocker(n.Name, "it lacks "+need, "nothing to do: it is loaded in its turn")
 			if busy < s.retirement.concurrency() {
--- a/internal/control/retire/check.go
+++ b/internal/control/retire/check.go
@@ -65,7 +65,7 @@
 
 // loadedBase returns the set's base as a node has it loaded; nil if it has none or another version of
 // it.
-func (x WeightSet) loadedBase(l []contract.Loaded) *contract.Loaded {
+func (x WeightSet) loadedBase(l []contract.LoadedModel) *contract.LoadedModel {
 	for i := range l {
 		if l[i].Model == x.Base && l[i].Weights == x.Weights {
 			return &l[i]
@@ -75,7 +75,7 @@
 }
 
 // missingAdapter is the first adapter that a node lacks in the required build.
-func (x WeightSet) missingAdapter(l *contract.Loaded) *AdapterBuild {
+func (x WeightSet) missingAdapter(l *contract.LoadedModel) *AdapterBuild {
 	for i, a := range x.Adapters {
 		if l.Adapters[a.Name] != a.Build {
 			return &x.Adapters[i]
@@ -129,7 +129,7 @@
 //
 // Example: r.ValidateConfig(config, &b)
 func (r *Retirement) ValidateConfig(s *serviceconfig.Config, b *errs.Batch) {
-	bad := func(f, format string, a ...any) { b.Fault(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
+	bad := func(f, format string, a ...any) { b.Addf(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
 	v, ok := s.Services[r.Service]
 	if !ok {
 		bad("service", "%q is not among services: name one that is", r.Service)
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -20,7 +20,7 @@
 	Incarnation string
 	Reachable   bool
 	Draining    bool
-	Loaded      []contract.Loaded
+	Loaded      []contract.LoadedModel
 	Loading     string
 	MemoryMB    int // MB; 0: unknown
 	FreeMB      int
@@ -157,7 +157,7 @@
 	}
 	var b errs.Batch
 	r.ValidateConfig(w.Config, &b)
-	if err := b.Look(); err != nil {
+	if err := b.Err(); err != nil {
 		r.transition(StatePaused, r.Phase, "stopped: "+err.Error())
 		return true
 	}
--- a/internal/control/retire/retire_test.go
+++ b/internal/control/retire/retire_test.go
@@ -55,7 +55,7 @@
 		var b errs.Batch
 		r.Validate(&b)
 		r.ValidateConfig(s, &b)
-		err = b.Look()
+		err = b.Err()
 		if (err == nil) != (x.want == "") || err != nil && (!strings.Contains(err.Error(), x.want) || errs.KindOf(err) != errs.BadInput) {
 			t.Errorf("%s: %v\nwant %q", name, err, x.want)
 		}
@@ -327,9 +327,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	full := contract.Loaded{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1, "fare": 4}}
-	nodes := []Node{{Name: "a", Reachable: true, Loaded: []contract.Loaded{full}}, {Name: "b", Reachable: true, Incarnation: "b/2"},
-		{Name: "c", Reachable: true, Loaded: []contract.Loaded{{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1}}}}, {Name: "d"}, {Name: "e", Reachable: true, Loading: "old"}}
+	full := contract.LoadedModel{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1, "fare": 4}}
+	nodes := []Node{{Name: "a", Reachable: true, Loaded: []contract.LoadedModel{full}}, {Name: "b", Reachable: true, Incarnation: "b/2"},
+		{Name: "c", Reachable: true, Loaded: []contract.LoadedModel{{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1}}}}, {Name: "d"}, {Name: "e", Reachable: true, Loading: "old"}}
 	got := ""
 	for _, x := range Repair(s, "s", nodes, []string{"old", "older"}) {
 		got += fmt.Sprintf("%s %s%s@%d ", x.Node, x.Order.Model, x.Order.Adapter, x.Order.Build)
@@ -337,7 +337,7 @@
 	if got != "b old@0 c oldfare@4 " {
 		t.Errorf("%q", got)
 	}
-	back := Node{Name: "f", Reachable: true, Loaded: []contract.Loaded{{Model: "older", Weights: 9}, full}}
+	back := Node{Name: "f", Reachable: true, Loaded: []contract.LoadedModel{{Model: "older", Weights: 9}, full}}
 	if l := Repair(s, "s", []Node{back}, []string{"older"}); len(l) != 1 || l[0].Order.Kind != "unload" || l[0].Order.Model != "older" {
 		t.Errorf("what was retired came back: %+v", l)
 	}
--- a/internal/control/retire/retirement.go
+++ b/internal/control/retire/retirement.go
@@ -106,7 +106,7 @@
 	d := json.NewDecoder(strings.NewReader(string(body)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(r); err != nil {
-		return nil, errs.As(err, errs.BadInput, "retirement")
+		return nil, errs.WrapAs(err, errs.BadInput, "retirement")
 	}
 	return r, nil
 }
@@ -135,7 +135,7 @@
 //
 // Example: r.Check(&b)
 func (r *Retirement) Validate(b *errs.Batch) {
-	bad := func(f, format string, a ...any) { b.Fault(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
+	bad := func(f, format string, a ...any) { b.Addf(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
 	for _, x := range [][2]string{{"name", r.Name}, {"service", r.Service}, {"from", r.OldBase}, {"to", r.NewBase}} {
 		if v := x[1]; v == "" || len(v) > 64 || strings.ContainsAny(v, " /\x00\n") {
 			bad(x[0], "%q: give a word of 1 to 64 letters without spaces or slashes", v)
--- a/internal/control/retire/size_test.go
+++ b/internal/control/retire/size_test.go
@@ -26,7 +26,7 @@
 	for i := range nodes {
 		name := fmt.Sprintf("worker-%03d", i)
 		w.Nodes = append(w.Nodes, Node{Name: name, Incarnation: name + "/18a3b2c4d5e6f708", Reachable: true,
-			Loaded: []contract.Loaded{{Model: "old", Weights: 1, Adapters: was}, {Model: "new", Weights: 1, Adapters: next}}})
+			Loaded: []contract.LoadedModel{{Model: "old", Weights: 1, Adapters: was}, {Model: "new", Weights: 1, Adapters: next}}})
 	}
 	return r, w
 }
--- a/internal/control/retire/world_test.go
+++ b/internal/control/retire/world_test.go
@@ -34,7 +34,7 @@
 	name, incarnation string
 	up, listed        bool
 	starts            int
-	holds             map[string]contract.Loaded
+	holds             map[string]contract.LoadedModel
 	loading           string
 	fence             uint64
 	steps             map[string]uint64
@@ -46,9 +46,9 @@
 func (n *testNode) start(old bool) {
 	n.starts++
 	n.incarnation, n.up, n.loading, n.steps, n.fake, n.fence = fmt.Sprint(n.name, "/", n.starts), true, "", map[string]uint64{}, map[string]bool{}, 0
-	n.holds = map[string]contract.Loaded{}
+	n.holds = map[string]contract.LoadedModel{}
 	if old {
-		n.holds["old"] = contract.Loaded{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1, "fare": 4}}
+		n.holds["old"] = contract.LoadedModel{Model: "old", Weights: 3, Adapters: map[string]uint64{"rare": 1, "fare": 4}}
 	}
 }
 
@@ -58,8 +58,8 @@
 }
 
 // report is what it reports of itself; a lying one reports more than is true, which fake notes.
-func (n *testNode) report() []contract.Loaded {
-	var l []contract.Loaded
+func (n *testNode) report() []contract.LoadedModel {
+	var l []contract.LoadedModel
 	for _, k := range queue.Keys(n.holds) {
 		x := n.holds[k]
 		x.Adapters = maps.Clone(x.Adapters)
@@ -204,7 +204,7 @@
 			x, ok := n.holds[o.Model]
 			switch {
 			case o.Adapter == "":
-				x = contract.Loaded{Model: o.Model, Weights: o.Weights, Adapters: map[string]uint64{}}
+				x = contract.LoadedModel{Model: o.Model, Weights: o.Weights, Adapters: map[string]uint64{}}
 			case !ok:
 				return
 			default:
@@ -316,7 +316,7 @@
 	to, _ := s.Target(q.route, q.id)
 	var l []*testNode
 	for _, n := range f.nodes {
-		if n.listed && n.up && slices.ContainsFunc(n.report(), func(x contract.Loaded) bool {
+		if n.listed && n.up && slices.ContainsFunc(n.report(), func(x contract.LoadedModel) bool {
 			return x.Model == to.Model && (to.Adapter == "" || x.Adapters[to.Adapter] == to.Build)
 		}) {
 			l = append(l, n)
--- a/internal/control/routingconfig/check.go
+++ b/internal/control/routingconfig/check.go
@@ -9,7 +9,7 @@
 // Example: if err := routingconfig.Check(p); err != nil { return err }
 func Check(p *Plan) error {
 	var b errs.Batch
-	bad := func(format string, a ...any) { b.Fault(errs.BadInput, format, a...) }
+	bad := func(format string, a ...any) { b.Addf(errs.BadInput, format, a...) }
 	if p.Version == 0 {
 		bad("version: missing or 0: give one above that of the plan in force")
 	}
@@ -47,7 +47,7 @@
 			holder[k] = i
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
 
 // CheckSuccessor reports whether a plan of version next may replace one of version old (0: there is
--- a/internal/control/serviceconfig/config.go
+++ b/internal/control/serviceconfig/config.go
@@ -26,14 +26,14 @@
 func Decode(body []byte) (*Config, error) {
 	s := &Config{}
 	if len(body) > MaxBytes {
-		return nil, errs.New(errs.TooBig, "service configuration: %d bytes, at most %d", len(body), MaxBytes)
+		return nil, errs.New(errs.TooLarge, "service configuration: %d bytes, at most %d", len(body), MaxBytes)
 	}
 	if err := easyjson.Unmarshal(body, s); err != nil {
-		return nil, errs.As(err, errs.BadInput, "service configuration")
+		return nil, errs.WrapAs(err, errs.BadInput, "service configuration")
 	}
 	var b errs.Batch
 	s.check(&b)
-	return s, b.Look()
+	return s, b.Err()
 }
 
 // Encode encodes a service configuration in its one canonical form.
@@ -65,7 +65,7 @@
 	}
 	m, err := jsonpatch.MergePatch(whole, part)
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "merge partial service configuration")
+		return nil, errs.WrapAs(err, errs.BadInput, "merge partial service configuration")
 	}
 	s, err := Decode(m)
 	if err != nil {
@@ -78,7 +78,7 @@
 type faultRecorder struct{ batch *errs.Batch }
 
 func (f faultRecorder) add(path, format string, args ...any) {
-	f.batch.Fault(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, args...))
+	f.batch.Addf(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, args...))
 }
 
 // checkName notes a name that isn't a single word.
--- a/internal/control/serviceconfig/fuzz_test.go
+++ b/internal/control/serviceconfig/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Fuzz(func(t *testing.T, whole, part []byte) {
 		a, err := Merge(nil, whole)
 		if err != nil {
-			if errs.KindOf(err) == errs.Inside {
+			if errs.KindOf(err) == errs.Internal {
 				t.Fatalf("rejected without a type: %v", err)
 			}
 			return
@@ -32,7 +32,7 @@
 			if _, err := Decode(b); err != nil {
 				t.Fatalf("what was merged isn't read: %v", err)
 			}
-		} else if errs.KindOf(err) == errs.Inside {
+		} else if errs.KindOf(err) == errs.Internal {
 			t.Fatalf("rejected without a type: %v", err)
 		}
 	})
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -46,22 +46,22 @@
 	d.DisallowUnknownFields()
 	d.UseNumber()
 	if err := d.Decode(&t); err != nil {
-		return nil, nil, errs.As(err, errs.BadInput, "template")
+		return nil, nil, errs.WrapAs(err, errs.BadInput, "template")
 	}
 	var b errs.Batch
 	for _, n := range queue.Keys(t.Params) {
 		if _, ok := set[n]; !ok {
-			b.Fault(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", n, t.Params[n], n)
+			b.Addf(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", n, t.Params[n], n)
 		}
 	}
 	for _, n := range queue.Keys(set) {
 		if _, ok := t.Params[n]; !ok {
-			b.Fault(errs.BadInput, "parameter %s is unknown: this template takes %v", n, queue.Keys(t.Params))
+			b.Addf(errs.BadInput, "parameter %s is unknown: this template takes %v", n, queue.Keys(t.Params))
 		}
 	}
 	from := map[string]string{}
 	filled := renderValue(t.Config, "", set, t.Params, from, &b)
-	if err := b.Look(); err != nil {
+	if err := b.Err(); err != nil {
 		return nil, nil, err
 	}
 	body, err := json.Marshal(filled)
@@ -73,7 +73,7 @@
 	for _, l := range layers {
 		next, err := jsonpatch.MergePatch(body, l.Body)
 		if err != nil {
-			return nil, nil, errs.As(err, errs.BadInput, "overlay "+l.Name)
+			return nil, nil, errs.WrapAs(err, errs.BadInput, "overlay "+l.Name)
 		}
 		now := map[string]string{}
 		flatten(next, now)
@@ -111,7 +111,7 @@
 		for k, y := range x {
 			key, ok := renderValue(k, path+" (key)", set, known, map[string]string{}, b).(string)
 			if !ok {
-				b.Fault(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
+				b.Addf(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
 				key = k
 			}
 			m[key] = renderValue(y, strings.TrimPrefix(path+"."+key, "."), set, known, from, b)
@@ -132,7 +132,7 @@
 func renderString(s, path string, set, known, from map[string]string, b *errs.Batch) any {
 	t, err := template.New(path).Option("missingkey=error").Parse(s)
 	if err != nil {
-		b.Note(path, errs.As(err, errs.BadInput, "template"))
+		b.Add(path, errs.WrapAs(err, errs.BadInput, "template"))
 		return s
 	}
 	var used []string
@@ -144,7 +144,7 @@
 		}
 		name := strings.TrimPrefix(a.Pipe.String(), ".")
 		if _, ok := known[name]; !ok {
-			b.Fault(errs.BadInput, "%s: {{%s}}: no such parameter: describe it under params", path, a.Pipe)
+			b.Addf(errs.BadInput, "%s: {{%s}}: no such parameter: describe it under params", path, a.Pipe)
 			return s
 		}
 		used = append(used, name)
--- a/internal/control/serviceconfig/successor.go
+++ b/internal/control/serviceconfig/successor.go
@@ -24,8 +24,8 @@
 	var b errs.Batch
 	for _, k := range queue.Keys(n.Models) {
 		if was := o.Models[k].Weights; n.Models[k].Weights < was {
-			b.Fault(errs.BadInput, "models.%s.weights: %d are older than %d in force: name a later version", k, n.Models[k].Weights, was)
+			b.Addf(errs.BadInput, "models.%s.weights: %d are older than %d in force: name a later version", k, n.Models[k].Weights, was)
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -68,17 +68,17 @@
 	var b errs.Batch
 	for i := range 2 {
 		raw, ok, err := d.Read(fmt.Sprintf("slot-%d", i))
-		b.Note("slot", errs.As(err, errs.DiskBad, "read"))
+		b.Add("slot", errs.WrapAs(err, errs.DiskFailure, "read"))
 		there[i] = ok
 		slots[i], gens[i] = decodeSnapshot(raw)
 		lg, ok, err := d.Read(fmt.Sprintf("log-%d", i))
-		b.Note("log", errs.As(err, errs.DiskBad, "read"))
+		b.Add("log", errs.WrapAs(err, errs.DiskFailure, "read"))
 		there[2+i] = ok
 		if lgens[i], rest[i], ok = decodeLogHeader(lg); ok {
 			logs[i] = lg[logHeaderBytes:]
 		}
 	}
-	if err := b.Look(); err != nil {
+	if err := b.Err(); err != nil {
 		return nil, l, err
 	}
 	if there == [4]bool{} {
@@ -95,28 +95,28 @@
 		if lgens[1] == 1 && len(logs[1]) == 0 && !there[0] && !there[2] || !there[0] && !there[1] && !there[2] && logs[1] == nil {
 			return s, l, nil
 		}
-		return nil, l, errs.New(errs.DiskBad, "no snapshot can be read, though the folder holds state: restore or empty the disk")
+		return nil, l, errs.New(errs.DiskFailure, "no snapshot can be read, though the folder holds state: restore or empty the disk")
 	}
 	o := 1 - at
 	if lgens[o] > gens[at] && len(scanLog(logs[o]).records) > rest[o] {
-		return nil, l, errs.New(errs.DiskBad, "slot-%d is corrupted: its log of generation %d went on after it was written: empty the disk, it is taken in anew", o, lgens[o])
+		return nil, l, errs.New(errs.DiskFailure, "slot-%d is corrupted: its log of generation %d went on after it was written: empty the disk, it is taken in anew", o, lgens[o])
 	}
 	s.generation, l.Snapshot = gens[at], slots[at]
 	if lgens[at] != s.generation {
-		return nil, l, errs.New(errs.DiskBad, "log-%d is of generation %d, its snapshot of %d: empty the disk, it is taken in anew", at, lgens[at], s.generation)
+		return nil, l, errs.New(errs.DiskFailure, "log-%d is of generation %d, its snapshot of %d: empty the disk, it is taken in anew", at, lgens[at], s.generation)
 	}
 	sc := scanLog(logs[at])
 	if sc.corrupted {
-		return nil, l, errs.New(errs.DiskBad, "log-%d is corrupted at byte %d, whole records follow: empty the disk, it is taken in anew", at, sc.end)
+		return nil, l, errs.New(errs.DiskFailure, "log-%d is corrupted at byte %d, whole records follow: empty the disk, it is taken in anew", at, sc.end)
 	}
 	if len(sc.records) < rest[at] {
-		return nil, l, errs.New(errs.DiskBad, "log-%d holds %d records of the %d it began with: empty the disk, it is taken in anew", at, len(sc.records), rest[at])
+		return nil, l, errs.New(errs.DiskFailure, "log-%d holds %d records of the %d it began with: empty the disk, it is taken in anew", at, len(sc.records), rest[at])
 	}
 	l.Records, l.TornBytes = sc.records, len(logs[at])-sc.end
 	s.logBytes = logHeaderBytes + sc.end
 	if l.TornBytes > 0 {
 		if err := d.Truncate(s.logName(), s.logBytes); err != nil {
-			return nil, l, errs.As(err, errs.DiskBad, "cut torn tail")
+			return nil, l, errs.WrapAs(err, errs.DiskFailure, "cut torn tail")
 		}
 	}
 	return s, l, nil
@@ -136,7 +136,7 @@
 	}
 	b := encodeRecords(rs)
 	if err := s.disk.Append(s.logName(), b); err != nil {
-		s.failure = errs.As(err, errs.DiskBad, "append to log")
+		s.failure = errs.WrapAs(err, errs.DiskFailure, "append to log")
 		return s.failure
 	}
 	s.logBytes += len(b)
@@ -165,7 +165,7 @@
 		err = s.disk.Write(fmt.Sprintf("slot-%d", g%2), file)
 	}
 	if err != nil {
-		s.failure = errs.As(err, errs.DiskBad, "save snapshot")
+		s.failure = errs.WrapAs(err, errs.DiskFailure, "save snapshot")
 		return s.failure
 	}
 	s.generation, s.logBytes = g, len(log)
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -116,7 +116,7 @@
 			m.files[name][i] ^= 0x10
 			_, l, err := Open(m)
 			switch {
-			case err != nil && errs.KindOf(err) != errs.DiskBad:
+			case err != nil && errs.KindOf(err) != errs.DiskFailure:
 				t.Fatalf("%s byte %d: kind %s", name, i, errs.KindOf(err).Name)
 			case err != nil:
 				refused++
@@ -150,7 +150,7 @@
 		t.Fatal("a full disk took a record")
 	}
 	m.writeBudget = -1
-	if err := s.Append([]*wire.Record{newRecord(2)}); errs.KindOf(err) != errs.DiskBad {
+	if err := s.Append([]*wire.Record{newRecord(2)}); errs.KindOf(err) != errs.DiskFailure {
 		t.Fatalf("after a failure: %v", err)
 	}
 }
--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -10,12 +10,12 @@
 
 // A SYN that meets a machine without power, a partition or a full queue is lost silently,
 // and the kernel retransmits it after a second or more. Between pebbleloom's own processes a new
-// connection is opened beside the first one sooner: the pauses grow from firstDial on, a ratio of the
+// connection is opened beside the first one sooner: the pauses grow from firstDialRatio on, a ratio of the
 // leave bound.
 const (
-	firstDial = 1.0 / 60
-	growDial  = 1.5
-	maxDials  = 6
+	firstDialRatio    = 1.0 / 60
+	dialBackoffFactor = 1.5
+	maxDials          = 6
 )
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -29,7 +29,7 @@
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, stop := context.WithCancel(ctx)
 		ends := make(chan end, maxDials)
-		begun, ended, pause := 0, 0, b.Leave(firstDial)
+		begun, ended, pause := 0, 0, b.Leave(firstDialRatio)
 		again := time.NewTimer(pause)
 		defer again.Stop()
 		begin := func() {
@@ -58,7 +58,7 @@
 			case <-again.C:
 				if begun < maxDials {
 					begin()
-					pause = time.Duration(float64(pause) * growDial)
+					pause = time.Duration(float64(pause) * dialBackoffFactor)
 					again.Reset(pause)
 				}
 			}
--- a/internal/daemon/dial_test.go
+++ b/internal/daemon/dial_test.go
@@ -48,7 +48,7 @@
 // one that says no is taken at its word; one that is slow gets one connection and no more.
 func TestDialsAgainWhileNothingIsSaid(t *testing.T) {
 	no := errors.New("connection refused")
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	for _, c := range []struct {
 		name      string
 		up, takes time.Duration
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -21,19 +21,19 @@
 // Environment is everything that a program meets outside itself. A simulated site replaces it and
 // nothing else: the programs are the same.
 type Environment struct {
-	Clock   clock.Clock      // monotonic: the only clock that decisions use
-	Wall    func() time.Time // for people only
-	Listen  func(addr string) (net.Listener, error)
-	Dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	Disk    func(folder string) storage.Disk
-	Journal func(file string) (io.Writer, error) // of a simulator; it outlives the process
-	Seed    func() uint64                        // of random choices
+	Clock     clock.Clock      // monotonic: the only clock that decisions use
+	WallClock func() time.Time // for people only
+	Listen    func(addr string) (net.Listener, error)
+	Dial      func(ctx context.Context, network, addr string) (net.Conn, error)
+	Disk      func(folder string) storage.Disk
+	Journal   func(file string) (io.Writer, error) // of a simulator; it outlives the process
+	Seed      func() uint64                        // of random choices
 }
 
 // RealEnvironment is the environment of a process on a machine.
 //
 // Example: environment := daemon.RealEnvironment(place)
-func RealEnvironment(p settings.Place) Environment {
+func RealEnvironment(p settings.Process) Environment {
 	wall := time.Now
 	if f := p.Option("wall", ""); f != "" { // a failure test makes the wall clock jump
 		wall = func() time.Time { return time.Now().Add(wallClockOffset(f)) }
@@ -42,7 +42,7 @@
 	if p.Site != nil {
 		dial = siteDialer(p).DialContext
 	}
-	return Environment{Clock: clock.BootTime(), Wall: wall, Dial: dial, Disk: storage.Directory, Seed: rand.Uint64,
+	return Environment{Clock: clock.BootTime(), WallClock: wall, Dial: dial, Disk: storage.Directory, Seed: rand.Uint64,
 		Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) },
 		Journal: func(file string) (io.Writer, error) {
 			return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -51,8 +51,8 @@
 
 // siteDialer dials from any address of the machine. A peer that lost power sends nothing: a connection
 // ends once bytes have been unacknowledged for a ratio of the leave bound.
-func siteDialer(p settings.Place) *net.Dialer {
-	silent := p.Bounds.Leave(unackedRatio)
+func siteDialer(p settings.Process) *net.Dialer {
+	silent := p.Bounds.Leave(unacknowledgedRatio)
 	return &net.Dialer{Timeout: p.Bounds.Leave(1.0 / 3), KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if e := c.Control(func(fd uintptr) {
@@ -64,8 +64,8 @@
 	}}
 }
 
-// unackedRatio is how long sent bytes may stay unacknowledged, as a ratio of the leave bound.
-const unackedRatio = 0.4
+// unacknowledgedRatio is how long sent bytes may stay unacknowledged, as a ratio of the leave bound.
+const unacknowledgedRatio = 0.4
 
 // wallClockOffset reads by how many milliseconds a machine's wall clock is off; zero without a file.
 func wallClockOffset(file string) time.Duration {
@@ -83,4 +83,4 @@
 // OnStop calls stop once the program ends: of an actor, of a pool of connections.
 //
 // Example: process.OnStop(actor.Stop)
-func (l *Process) OnStop(stop func()) { context.AfterFunc(l.Ctx, stop) }
+func (p *Process) OnStop(stop func()) { context.AfterFunc(p.Ctx, stop) }
--- a/internal/daemon/meter.go
+++ b/internal/daemon/meter.go
@@ -32,16 +32,16 @@
 	m.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, f))
 }
 
-// Count registers a value that only grows.
+// Counter registers a value that only grows.
 //
 // Example: process.Meter.Count("pebbleloom_sealed_total", "answers sealed", func() float64 { return n })
-func (m *Meter) Count(name, help string, f func() float64) {
+func (m *Meter) Counter(name, help string, f func() float64) {
 	m.reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, f))
 }
 
 // Rejected counts one rejected request under its kind.
 //
-// Example: process.Meter.Rejected(errs.NotRun)
+// Example: process.Meter.Rejected(errs.NotExecuted)
 func (m *Meter) Rejected(k *errs.Kind) { m.rejected.WithLabelValues(k.Name).Inc() }
 
 func (m *Meter) handler() http.Handler {
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -16,32 +16,32 @@
 
 // Limits of a process on a small machine, as ratios.
 const (
-	softMemory = 0.7 // of the memory limit: garbage collection is forced above it
-	stopPart   = 0.9 // of the grace time: a stop has to end within it
-	lookPart   = 0.5 // of the configuration bound: how often the settings file is checked
+	softMemoryRatio   = 0.7 // of the memory limit: garbage collection is forced above it
+	stopRatio         = 0.9 // of the grace time: a stop has to end within it
+	settingsPollRatio = 0.5 // of the configuration bound: how often the settings file is checked
 )
 
 // Run runs a program whose settings are in a file, until SIGTERM. The file is read again on SIGHUP and
 // when it has changed without a signal; faulty settings are logged and leave those in force.
 //
-// Example: daemon.Run("edge", file, func() (settings.Place, error) { return read(file) }, start)
-func Run(prog, file string, read func() (settings.Place, error), start func(*Process) error) {
+// Example: daemon.Run("edge", file, func() (settings.Process, error) { return read(file) }, start)
+func Run(prog, file string, read func() (settings.Process, error), start func(*Process) error) {
 	p, err := read()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, prog+": "+errs.Text(err))
-		os.Exit(errs.BadInput.Exit)
+		os.Exit(errs.BadInput.ExitCode)
 	}
-	debug.SetMemoryLimit(int64(softMemory * float64(p.Site.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(softMemoryRatio * float64(p.Site.MemoryLimitMB) * (1 << 20)))
 	l := New(prog, p)
 	sig := make(chan os.Signal, 8)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	if err := start(l); err != nil {
 		l.Log.Error("start failed", "error", errs.Text(err))
-		os.Exit(errs.KindOf(err).Exit)
+		os.Exit(errs.KindOf(err).ExitCode)
 	}
-	t := clock.NewTicker(p.Bounds.Config(lookPart))
+	t := clock.NewTicker(p.Bounds.Config(settingsPollRatio))
 	defer t.Stop()
-	was := stamp(file)
+	was := readFileVersion(file)
 	again := func() {
 		now, err := read()
 		if err != nil {
@@ -61,10 +61,10 @@
 				again()
 				continue
 			}
-			l.Stop(settings.Of(p.Site.GraceMs, stopPart))
+			l.Stop(settings.Fraction(p.Site.GraceMs, stopRatio))
 			return
 		case <-t.C:
-			if now := stamp(file); now != was {
+			if now := readFileVersion(file); now != was {
 				was = now
 				again()
 			}
@@ -72,15 +72,15 @@
 	}
 }
 
-type fileStamp struct {
-	size int64
-	at   time.Time
+type fileVersion struct {
+	size     int64
+	modified time.Time
 }
 
-func stamp(file string) fileStamp {
+func readFileVersion(file string) fileVersion {
 	i, err := os.Stat(file)
 	if err != nil {
-		return fileStamp{}
+		return fileVersion{}
 	}
-	return fileStamp{i.Size(), i.ModTime()}
+	return fileVersion{i.Size(), i.ModTime()}
 }
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -42,11 +42,11 @@
 func Start(process *daemon.Process, codec backend.Codec, role string) (*Agent, error) {
 	clients := daemon.NewClients(process)
 	a := newAgent(process, codec, clients.ControlNode)
-	a.member = clustermembership.Start(process.Ctx, process.Place, role, process.Clock, process.Log, clients.Membership, func(v clustermembership.View) {
+	a.member = clustermembership.Start(process.Ctx, process.Settings, role, process.Clock, process.Log, clients.Membership, func(v clustermembership.View) {
 		a.view.Store(&v)
 		a.actor.TrySend(a.updateView)
 	})
-	process.OnSettingsChanged(func(p settings.Place) { a.member.SetSeeds(p.Seeds) })
+	process.OnSettingsChanged(func(p settings.Process) { a.member.SetSeeds(p.Seeds) })
 	process.Go(func() { <-process.Draining; a.member.Leave() })
 	process.Meter.Gauge("pebbleloom_plan_version", "version of the plan in use", func() float64 {
 		if p := a.Snapshot().Plan; p != nil {
@@ -59,19 +59,19 @@
 	})
 	process.Meter.Gauge("pebbleloom_workers_known", "workers in the snapshot in use", func() float64 { return float64(len(a.Snapshot().Workers)) })
 	a.actor.Ask(a.updateFollowed)
-	process.Every(process.Place.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
+	process.Every(process.Settings.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
 	return a, nil
 }
 
 func newAgent(process *daemon.Process, codec backend.Codec, controlNode func(string) wire.ControlNode) *Agent {
-	a := &Agent{process: process, controlNode: controlNode, seeds: process.Place.Seeds, follows: map[string]context.CancelFunc{}}
-	t := newTable(process.Place.Bounds, codec, process.Clock.Now())
+	a := &Agent{process: process, controlNode: controlNode, seeds: process.Settings.Seeds, follows: map[string]context.CancelFunc{}}
+	t := newTable(process.Settings.Bounds, codec, process.Clock.Now())
 	a.published.Store(&publishedSnapshot{&t.snapshot, make(chan struct{})})
 	a.view.Store(&clustermembership.View{})
 	a.publish(t, true)
 	a.actor = queue.NewActor(t, 256)
 	process.OnStop(a.actor.Stop)
-	process.OnSettingsChanged(func(p settings.Place) { a.actor.Ask(func(t *table) { a.seeds = p.Seeds; a.updateFollowed(t) }) })
+	process.OnSettingsChanged(func(p settings.Process) { a.actor.Ask(func(t *table) { a.seeds = p.Seeds; a.updateFollowed(t) }) })
 	return a
 }
 
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -65,7 +65,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case "errs":
-		return nil, errs.New(errs.CantSay, "no")
+		return nil, errs.New(errs.OutcomeUnknown, "no")
 	case "empty":
 		return &wire.FollowResponse{}, nil
 	}
@@ -95,15 +95,15 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c.news = make(chan struct{}) // of this bubble
-		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
-		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Bounds: settings.Default(),
-			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
+		w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
+		l := daemon.NewIn(w, "agent", settings.Process{Name: "edge-1", Bounds: settings.DefaultBounds(),
+			Seeds: []string{"1:1", "1:2", "9:9"}, Options: []string{"log=off"}})
 		a := newAgent(l, &numbers{}, func(addr string) wire.ControlNode { return seat{c, addr} })
 		if a.Snapshot() == nil || a.Snapshot().Plan != nil {
 			t.Fatal("a plan before any was reported")
 		}
 		a.actor.Ask(a.updateFollowed)
-		l.Every(l.Place.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
+		l.Every(l.Settings.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
 		f(t, a)
 		l.Stop(time.Second)
 		synctest.Wait()
@@ -144,7 +144,7 @@
 		if version(a) != 2 || before.Plan.Version != 1 {
 			t.Fatalf("plan %d, and the old snapshot says %d", version(a), before.Plan.Version)
 		}
-		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; a.Snapshot().ProofAt == 0 || age > a.process.Place.Bounds.Config(1.1) {
+		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; a.Snapshot().ProofAt == 0 || age > a.process.Settings.Bounds.Config(1.1) {
 			t.Fatalf("the proof is %v old", age)
 		}
 	})
@@ -160,7 +160,7 @@
 		before, strange := c.count("1:3"), c.count("9:9")
 		for range 100 {
 			until(100 * time.Millisecond)
-			if age := a.process.Clock.Now() - a.Snapshot().ProofAt; age > a.process.Place.Bounds.Config(2*longPollRatio) {
+			if age := a.process.Clock.Now() - a.Snapshot().ProofAt; age > a.process.Settings.Bounds.Config(2*longPollRatio) {
 				t.Fatalf("the proof is %v old", age)
 			}
 		}
@@ -208,7 +208,7 @@
 		}
 		// Once a majority can be heard again, there is a proof without waiting for a hold.
 		c.change(func() { c.mood["1:3"] = "" })
-		until(a.process.Place.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // the last one that hangs
+		until(a.process.Settings.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // the last one that hangs
 		if a.Snapshot().ProofAt <= at {
 			t.Errorf("no proof yet: %v old", a.process.Clock.Now()-a.Snapshot().ProofAt)
 		}
@@ -230,7 +230,7 @@
 		if c.count("1:1") != n || c.held("1:1") != 0 || c.held("1:4") != 1 {
 			t.Errorf("asked of the one removed: %d then %d; under way: %d", n, c.count("1:1"), c.held("1:4"))
 		}
-		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; version(a) != 9 || age > a.process.Place.Bounds.Config(1) {
+		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; version(a) != 9 || age > a.process.Settings.Bounds.Config(1) {
 			t.Errorf("plan %d, proof %v old", version(a), age)
 		}
 		// All members are replaced while none of them can be heard: the seeds name them.
@@ -239,7 +239,7 @@
 			c.mood["1:2"], c.mood["1:3"], c.mood["1:4"] = "hangs", "hangs", "hangs"
 		})
 		until(10 * time.Second)
-		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; age > a.process.Place.Bounds.Config(1) {
+		if age := a.process.Clock.Now() - a.Snapshot().ProofAt; age > a.process.Settings.Bounds.Config(1) {
 			t.Errorf("the new members aren't found: proof %v old", age)
 		}
 	})
@@ -272,7 +272,7 @@
 		if a.Snapshot().Plan != nil {
 			t.Fatal("a plan from nowhere")
 		}
-		p := a.process.Place
+		p := a.process.Settings
 		p.Seeds = []string{"2:3", "8:8", "8:9"}
 		a.process.ApplySettings(p)
 		until(2 * time.Second)
@@ -285,13 +285,13 @@
 // A process that reaches nobody starts, shows what it has, and ends.
 func TestStartAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 },
+		w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 },
 			Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				clock.Sleep(ctx, time.Second)
-				return nil, errs.New(errs.CantSay, "nobody is there")
+				return nil, errs.New(errs.OutcomeUnknown, "nobody is there")
 			}}
-		l := daemon.NewIn(w, "agent", settings.Place{Name: "edge-1", Listen: "1:9", Bounds: settings.Default(),
-			Seeds: []string{"1:1", "1:2", "9:9"}, Extra: []string{"log=off"}})
+		l := daemon.NewIn(w, "agent", settings.Process{Name: "edge-1", Listen: "1:9", Bounds: settings.DefaultBounds(),
+			Seeds: []string{"1:1", "1:2", "9:9"}, Options: []string{"log=off"}})
 		a, err := Start(l, &numbers{}, clustermembership.RoleNodeAgent)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -31,7 +31,7 @@
 // follow polls one member. Each has its own goroutine, so that one that hangs delays nobody else's
 // news.
 func (a *Agent) follow(ctx context.Context, addr string) {
-	bounds := a.process.Place.Bounds
+	bounds := a.process.Settings.Bounds
 	hold := bounds.Config(longPollRatio)
 	client, startedAt := a.controlNode(addr), a.process.Clock.Now()
 	for pause := bounds.Config(minRetryDelayRatio); ctx.Err() == nil; {
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -82,12 +82,12 @@
 		if t.isFollowed(d.GetKey()) && d.GetVersion() > t.versions[d.GetKey()] {
 			t.versions[d.GetKey()] = d.GetVersion()
 			news = true
-			b.Note("document "+d.GetKey(), errs.Wrap(t.applyDocument(d, now), "read"))
+			b.Add("document "+d.GetKey(), errs.Wrap(t.applyDocument(d, now), "read"))
 		}
 	}
 	t.proof.AddResponse(response, version, asked)
 	t.updateProof()
-	return news, b.Look()
+	return news, b.Err()
 }
 
 func (t *table) isFollowed(key string) bool {
@@ -120,13 +120,13 @@
 	case fleet.WorkersKey:
 		var w fleet.WorkerList
 		if err := json.Unmarshal(d.Body, &w); err != nil {
-			return errs.As(err, errs.Inside, "not a table of workers")
+			return errs.WrapAs(err, errs.Internal, "not a table of workers")
 		}
 		t.snapshot.Workers = w.Workers
 	case fleet.WeightsKey:
 		var w fleet.Weights
 		if err := json.Unmarshal(d.Body, &w); err != nil {
-			return errs.As(err, errs.Inside, "not a list of weights")
+			return errs.WrapAs(err, errs.Internal, "not a list of weights")
 		}
 		t.applyWeights(w.Named, now)
 	default:
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -21,7 +21,7 @@
 	c.reads++
 	v, err := strconv.ParseUint(string(body), 10, 64)
 	if err != nil {
-		return nil, errs.As(err, errs.BadInput, "not a number")
+		return nil, errs.WrapAs(err, errs.BadInput, "not a number")
 	}
 	return &routingconfig.Plan{Version: v}, nil
 }
@@ -47,7 +47,7 @@
 
 const start = time.Hour
 
-func fresh() *table { return newTable(settings.Default(), &numbers{}, start) }
+func fresh() *table { return newTable(settings.DefaultBounds(), &numbers{}, start) }
 
 // In every order in which members report plans, the one in use never goes back, nothing is read
 // twice, and a plan that was received is attested by its sender.
--- a/internal/data/backend/client.go
+++ b/internal/data/backend/client.go
@@ -110,7 +110,7 @@
 // Example: n, err := c.Write(request)
 func (c *singleUseConn) Write(p []byte) (int, error) {
 	if !c.started && c.guard != nil && !c.guard() {
-		return 0, &notSentError{errs.New(errs.NotRun, "its sender may not send it any more")}
+		return 0, &notSentError{errs.New(errs.NotExecuted, "its sender may not send it any more")}
 	}
 	c.started = true
 	return c.Conn.Write(p)
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -93,8 +93,8 @@
 	for _, p := range q.Parts {
 		size += len(p)
 	}
-	if size > d.bounds.BodyKB<<10 {
-		return nil, reject(errs.TooBig, q.RequestID, 0, "parts: %d bytes, at most %d", size, d.bounds.BodyKB<<10)
+	if size > d.bounds.MaxBodyKB<<10 {
+		return nil, reject(errs.TooLarge, q.RequestID, 0, "parts: %d bytes, at most %d", size, d.bounds.MaxBodyKB<<10)
 	}
 	tenant, t, ok := r.snapshot.Config.Tenant(r.tenantKey)
 	if !ok {
@@ -103,9 +103,9 @@
 	r.tenant = tenant
 	var why string
 	var back time.Duration
-	kind := errs.OverBudget
+	kind := errs.RateLimited
 	d.traffic.Ask(func(g *trafficTable) {
-		kind, why, back = g.admit(tenant, t, d.bounds.Waiting, countEdgeNodes(r.snapshot, false), r.startedAt)
+		kind, why, back = g.admit(tenant, t, d.bounds.MaxConcurrentRequests, countEdgeNodes(r.snapshot, false), r.startedAt)
 	})
 	if why != "" {
 		return nil, reject(kind, q.RequestID, back, "%s", why)
@@ -132,10 +132,10 @@
 	nonce, granted, err := r.proxy.claims.acquire(r.ctx, onceID(r.tenant, r.ask.RequestID))
 	if err != nil {
 		r.claimNonce = nonce // it may have been granted
-		return reject(errs.NotRun, r.ask.RequestID, r.proxy.bounds.Heal(1.0/12), "its id can't be claimed now: %v", err)
+		return reject(errs.NotExecuted, r.ask.RequestID, r.proxy.bounds.Heal(1.0/12), "its id can't be claimed now: %v", err)
 	}
 	if !granted {
-		return reject(errs.MayHaveRun, r.ask.RequestID, 0, "a once-only request of this id was taken before")
+		return reject(errs.MayHaveExecuted, r.ask.RequestID, 0, "a once-only request of this id was taken before")
 	}
 	r.claimNonce = nonce
 	return nil
@@ -190,10 +190,10 @@
 	}
 	route, ok := r.snapshot.Config.Routes[r.ask.Model]
 	if !ok {
-		return "", reject(errs.NoModel, id, 0, "no route leads to model %q", r.ask.Model)
+		return "", reject(errs.NoSuchModel, id, 0, "no route leads to model %q", r.ask.Model)
 	}
 	if on := weightsFor(r.snapshot, r.ask); !r.snapshot.Config.Allows(on.Adapter, r.tenant) {
-		return "", reject(errs.NoModel, id, 0, "adapter %q isn't for tenant %s", on.Adapter, r.tenant)
+		return "", reject(errs.NoSuchModel, id, 0, "adapter %q isn't for tenant %s", on.Adapter, r.tenant)
 	}
 	return route.ServiceFor(id), nil
 }
@@ -203,7 +203,7 @@
 func (r *request) mayStart(c Choice, service string, until time.Duration) (ready bool, pause time.Duration, err error) {
 	d, queued := r.proxy, time.Duration(c.WaitUs)*time.Microsecond
 	if r.timeRemaining() <= 0 || r.ctx.Err() != nil {
-		return false, 0, reject(errs.NotRun, r.ask.RequestID, 0, "the wait was over before an attempt could start")
+		return false, 0, reject(errs.NotExecuted, r.ask.RequestID, 0, "the wait was over before an attempt could start")
 	}
 	if queued > r.timeRemaining() {
 		return false, 0, reject(errs.Overloaded, r.ask.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", c.WaitUs/1000)
@@ -233,11 +233,11 @@
 		d.stats.retries.Add(1)
 		return nil
 	case !r.mayHaveExecuted || !late && !r.once:
-		return reject(errs.NotRun, id, d.bounds.Heal(1.0/24), "worker %s: %v", worker, err)
+		return reject(errs.NotExecuted, id, d.bounds.Heal(1.0/24), "worker %s: %v", worker, err)
 	case r.once:
-		return reject(errs.MayHaveRun, id, 0, "worker %s: %v", worker, err)
+		return reject(errs.MayHaveExecuted, id, 0, "worker %s: %v", worker, err)
 	}
-	return reject(errs.Expired, id, d.bounds.Heal(1.0/24), "worker %s didn't begin in time", worker)
+	return reject(errs.DeadlineExceeded, id, d.bounds.Heal(1.0/24), "worker %s didn't begin in time", worker)
 }
 
 // withholdNotRun makes a rejection that says "nothing ran" into one that says what is known.
@@ -247,20 +247,20 @@
 		return err
 	}
 	switch errs.KindOf(x.error) {
-	case errs.Expired, errs.MayHaveRun:
+	case errs.DeadlineExceeded, errs.MayHaveExecuted:
 		return err
 	}
-	return rejection{errs.New(errs.MayHaveRun, "an earlier go may have run; then: %v", x.error), x.requestID, x.retryAfter}
+	return rejection{errs.New(errs.MayHaveExecuted, "an earlier go may have run; then: %v", x.error), x.requestID, x.retryAfter}
 }
 
 // freshSnapshot gives the newest configuration if it is proved fresh enough to follow.
 func (d *Proxy) freshSnapshot(id string) (*updatestream.Snapshot, error) {
 	s := d.follower.Snapshot()
 	if d.isDraining() {
-		return nil, reject(errs.NotRun, id, d.bounds.Config(0.1), "this dispatcher is draining: ask another")
+		return nil, reject(errs.NotExecuted, id, d.bounds.Config(0.1), "this dispatcher is draining: ask another")
 	}
 	if !s.Fresh(d.clock.Now(), d.bounds.Config(0.8)) {
-		return nil, reject(errs.NotRun, id, d.bounds.Config(0.25), "no proof that the setup is the newest")
+		return nil, reject(errs.NotExecuted, id, d.bounds.Config(0.25), "no proof that the setup is the newest")
 	}
 	return s, nil
 }
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -63,7 +63,7 @@
 // worker answers a start as its mode says.
 func (b *testProxy) worker(name, mode string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var s contract.Start
+		var s contract.StartRequest
 		if json.NewDecoder(r.Body).Decode(&s) != nil {
 			return
 		}
@@ -89,7 +89,7 @@
 		seal, enc := contract.NewSeal(s.RequestID, name), json.NewEncoder(w)
 		es := prefix.Chain(s.Domain, s.Model, s.Weights, s.Parts)
 		for n := range s.Pieces {
-			p := contract.Piece{R: s.RequestID, N: n, T: contract.Text(es[len(es)-1].Key.String(), s.Weights, n)}
+			p := contract.Chunk{R: s.RequestID, N: n, T: contract.SyntheticText(es[len(es)-1].Key.String(), s.Weights, n)}
 			seal.Add(n, p.T)
 			switch {
 			case n == 2 && mode == "loses":
@@ -97,7 +97,7 @@
 			case n == 2 && mode == "mixes":
 				p.R = "another"
 			case n == 2 && mode == "long":
-				p.T = strings.Repeat("x", contract.MaxLine)
+				p.T = strings.Repeat("x", contract.MaxLineBytes)
 			case n == 2 && mode == "dies-within":
 				die()
 			case n == 0 && mode == "hangs":
@@ -112,7 +112,7 @@
 			}
 			http.NewResponseController(w).Flush()
 		}
-		last := contract.Piece{R: s.RequestID, N: s.Pieces, Seal: seal.Close(), Worker: name, Weights: s.Weights}
+		last := contract.Chunk{R: s.RequestID, N: s.Pieces, Seal: seal.Close(), Worker: name, Weights: s.Weights}
 		switch mode {
 		case "unsealed":
 			return
@@ -125,7 +125,7 @@
 
 func newTestProxy(t *testing.T, modes ...string) *testProxy {
 	t.Helper()
-	p := settings.Place{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.Default(), Extra: []string{"log=off"}}
+	p := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
 	b := &testProxy{starts: map[string]int{}, granted: map[string]bool{}, clock: &clock.Manual{Time: time.Hour}}
 	b.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
@@ -151,7 +151,7 @@
 	d := &Proxy{process: l, bounds: p.Bounds, clock: b.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{b}}
 	d.traffic = queue.NewActor(newTrafficTable(), 64)
 	d.traffic.Ask(func(g *trafficTable) {
-		for range 100 / d.bounds.TryShare { // as after a few requests
+		for range 100 / d.bounds.RetryPercent { // as after a few requests
 			d.retryBudget(g, "s").Deposit(1)
 		}
 	})
@@ -259,7 +259,7 @@
 		do   func(*testProxy)
 		kind string
 	}{
-		"the proof is too old":    {func(b *testProxy) { b.clock.Time += settings.Default().Config(0.81) }, "not-run"},
+		"the proof is too old":    {func(b *testProxy) { b.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
 		"there is no setup":       {func(b *testProxy) { b.snapshot = &updatestream.Snapshot{} }, "not-run"},
 		"the key is unknown":      {func(b *testProxy) { b.snapshot.Config.Tenants = nil; b.snapshot.Config.BuildIndex() }, "bad-key"},
 		"no way leads there":      {func(b *testProxy) { b.snapshot.Config.Routes = nil }, "no-such-model"},
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -19,7 +19,7 @@
 // selectWorker selects the worker of the next attempt.
 func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], weightsFor(s, q)
-	u := Query{ID: q.RequestID, Mode: placementMode(s.Config, service), Zone: d.process.Place.Zone, Entries: d.prefixEntries(s, q, tenant, es), Found: found,
+	u := Query{ID: q.RequestID, Mode: placementMode(s.Config, service), Zone: d.process.Settings.Zone, Entries: d.prefixEntries(s, q, tenant, es), Found: found,
 		Tried: tried, NewestWeights: s.WeightsAt[on.Model].Version, Placement: p, PrefillCurve: d.prefillCurve, NearBandwidth: d.nearBandwidth.Load(), FarBandwidth: d.farBandwidth.Load(), StoreBandwidth: d.storeBandwidth.Load(), Stores: map[string]string{}}
 	if p != nil {
 		u.PrefillCurve = p.PrefillCurve
@@ -58,7 +58,7 @@
 		}
 	})
 	if !ok {
-		return c, reject(errs.NotRun, q.RequestID, d.bounds.Leave(0.3), "no worker of service %s can take it now", service)
+		return c, reject(errs.NotExecuted, q.RequestID, d.bounds.Leave(0.3), "no worker of service %s can take it now", service)
 	}
 	return c, nil
 }
@@ -83,18 +83,18 @@
 		hints[contract.FetchFrom] = c.FetchFrom
 	}
 	if c.SaveAddrs != "" {
-		hints[contract.SaveTo], hints[contract.SaveUpto] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
+		hints[contract.SaveTo], hints[contract.SaveUpTo] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
 	}
 	on := weightsFor(s, q)
-	g := d.backends.Begin(ctx, w.Addr, contract.Start{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.CacheDomain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
+	g := d.backends.Start(ctx, w.Addr, contract.StartRequest{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.CacheDomain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
 		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clock.Now()).Milliseconds()), Once: q.Once.Or(false),
 		Incarnation: w.Incarnation, BeginByUs: workerStartDeadline(w, until)}, hints)
 	if g.Err != nil {
 		o.finish(false)
-		return nil, g.NotRun(), g.Err
+		return nil, g.NotExecuted(), g.Err
 	}
 	d.index.recordAccesses(service, c.Entries, w.Name, c.SaveNames, c.SaveEntries)
-	o.body, o.reader, o.checker = g.Body, bufio.NewReaderSize(g.Body, contract.MaxLine), contract.NewCheck(q.RequestID, w.Name)
+	o.body, o.reader, o.checker = g.Body, bufio.NewReaderSize(g.Body, contract.MaxLineBytes), contract.NewStreamVerifier(q.RequestID, w.Name)
 	if err := o.readLine(); err != nil {
 		o.finish(false)
 		return nil, false, err
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -38,7 +38,7 @@
 // each superseded weights epoch.
 func TestStartDeadline(t *testing.T) {
 	b := newTestProxy(t, "well")
-	bounds, now := settings.Default(), b.clock.Now()
+	bounds, now := settings.DefaultBounds(), b.clock.Now()
 	b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: now - bounds.Weights(0.9)}, {Version: 2, NewestUntil: now}}}}
 	q := &caller.Ask{Model: "m"}
 	for weights, want := range map[uint64]time.Duration{
@@ -75,7 +75,7 @@
 func TestExpiredWaitIsAnswered(t *testing.T) {
 	b := newTestProxy(t, "well") // its clock stands still
 	b.proxy.traffic.Ask(func(g *trafficTable) { g.worker("w0").attempts, g.meanAttemptUs = 40, 1000 })
-	b.snapshot.ProofAt = b.clock.Now() - settings.Default().Config(0.799)
+	b.snapshot.ProofAt = b.clock.Now() - settings.DefaultBounds().Config(0.799)
 	b.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
 	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
 	o := loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -55,10 +55,10 @@
 		}
 		return clustermembership.View{}
 	}
-	c := &claimer{control: controlclient.New(l.Place.Core, view, calls, l.Place.Bounds), timeout: l.Place.Bounds.Heal(1.0 / 6)}
+	c := &claimer{control: controlclient.New(l.Settings.Core, view, calls, l.Settings.Bounds), timeout: l.Settings.Bounds.Heal(1.0 / 6)}
 	c.lastNonce.Store(inc) // a nonce is never used again, also not by a later life
 	for i := range c.queues {
-		c.queues[i] = queue.NewRing[pendingClaim](l.Place.Bounds.Waiting)
+		c.queues[i] = queue.NewRing[pendingClaim](l.Settings.Bounds.MaxConcurrentRequests)
 		l.Go(func() { c.runShard(l.Ctx, uint32(i)) })
 	}
 	return c
@@ -76,7 +76,7 @@
 	case r := <-result:
 		return nonce, r.granted, r.err
 	case <-ctx.Done():
-		return nonce, false, errs.As(ctx.Err(), errs.Expired, "claim")
+		return nonce, false, errs.WrapAs(ctx.Err(), errs.DeadlineExceeded, "claim")
 	}
 }
 
@@ -105,7 +105,7 @@
 			t, err := c.control.Change(one, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
 			end()
 			if err == nil && len(t.Granted) != len(l) {
-				err = errs.New(errs.Inside, "%d claims, %d answers", len(l), len(t.Granted))
+				err = errs.New(errs.Internal, "%d claims, %d answers", len(l), len(t.Granted))
 			}
 			for i, y := range l {
 				r := claimResult{err == nil && t.Granted[i], err}
--- a/internal/data/callerproxy/gate.go
+++ b/internal/data/callerproxy/gate.go
@@ -56,13 +56,13 @@
 		t.tenants[tenant] = state
 	}
 	if limits.MaxInFlight > 0 && state.inFlight >= int(retrybudget.PerNode(float64(limits.MaxInFlight), edgeNodes)) {
-		return errs.OverBudget, "the tenant has as many requests under way as its budget allows", time.Duration(t.meanAttemptUs) * time.Microsecond
+		return errs.RateLimited, "the tenant has as many requests under way as its budget allows", time.Duration(t.meanAttemptUs) * time.Microsecond
 	}
 	if rate := limits.RequestsPerSecond / float64(max(1, edgeNodes)); rate > 0 {
 		state.tokens = min(max(rate, 1), state.tokens+rate*(now-state.refilledAt).Seconds())
 		state.refilledAt = now
 		if state.tokens < 1 {
-			return errs.OverBudget, "the tenant's rate is over its budget", time.Duration((1-state.tokens)/rate*float64(time.Second)) + time.Millisecond
+			return errs.RateLimited, "the tenant's rate is over its budget", time.Duration((1-state.tokens)/rate*float64(time.Second)) + time.Millisecond
 		}
 		state.tokens--
 	}
--- a/internal/data/callerproxy/index.go
+++ b/internal/data/callerproxy/index.go
@@ -57,12 +57,12 @@
 const maxCounts = 4096
 
 func newPromptIndex(l *daemon.Process, clk clock.Clock) *promptIndex {
-	x := &promptIndex{lookups: queue.NewRing[lookup](l.Place.Bounds.Waiting), clients: daemon.NewClients(l), bounds: l.Place.Bounds,
-		lookupTimeout: l.Place.Bounds.Heal(1.0 / 400), name: "dispatcher/" + l.Place.Name, incarnation: uint64(clk.Now()), clock: clk}
+	x := &promptIndex{lookups: queue.NewRing[lookup](l.Settings.Bounds.MaxConcurrentRequests), clients: daemon.NewClients(l), bounds: l.Settings.Bounds,
+		lookupTimeout: l.Settings.Bounds.Heal(1.0 / 400), name: "dispatcher/" + l.Settings.Name, incarnation: uint64(clk.Now()), clock: clk}
 	x.counter = queue.NewActor(&accessCounter{nodes: map[string]*nodeBatches{}, window: map[prefix.Key]*wire.Access{}, lastWindow: map[prefix.Key]*wire.Access{}}, 1024)
 	l.OnStop(x.counter.Stop)
 	l.Go(func() { x.runLookups(l.Ctx) })
-	l.Every(l.Place.Bounds.Heal(1.0/48), func() { x.flushCounts(l.Ctx) })
+	l.Every(l.Settings.Bounds.Heal(1.0/48), func() { x.flushCounts(l.Ctx) })
 	return x
 }
 
--- a/internal/data/callerproxy/meters.go
+++ b/internal/data/callerproxy/meters.go
@@ -22,12 +22,12 @@
 		}
 		return 0
 	})
-	m.Count("pebbleloom_sealed_total", "answers that ended with the worker's seal", func() float64 { return float64(d.stats.sealed.Load()) })
-	m.Count("pebbleloom_hit_tokens_total", "prompt tokens found kept", func() float64 { return float64(d.stats.hitTokens.Load()) })
-	m.Count("pebbleloom_fetched_tokens_total", "prompt tokens fetched", func() float64 { return float64(d.stats.fetchedTokens.Load()) })
-	m.Count("pebbleloom_prefilled_tokens_total", "prompt tokens prefilled", func() float64 { return float64(d.stats.prefilledTokens.Load()) })
-	m.Count("pebbleloom_lookup_batches_total", "batches asked of the index", func() float64 { return float64(d.index.lookupBatches.Load()) })
-	m.Count("pebbleloom_lookup_keys_total", "keys asked of the index", func() float64 { return float64(d.index.lookupKeys.Load()) })
-	m.Count("pebbleloom_extra_goes_total", "goes beyond a request's first", func() float64 { return float64(d.stats.retries.Load()) })
-	m.Count("pebbleloom_broken_total", "streams that ended without their seal", func() float64 { return float64(d.stats.interrupted.Load()) })
+	m.Counter("pebbleloom_sealed_total", "answers that ended with the worker's seal", func() float64 { return float64(d.stats.sealed.Load()) })
+	m.Counter("pebbleloom_hit_tokens_total", "prompt tokens found kept", func() float64 { return float64(d.stats.hitTokens.Load()) })
+	m.Counter("pebbleloom_fetched_tokens_total", "prompt tokens fetched", func() float64 { return float64(d.stats.fetchedTokens.Load()) })
+	m.Counter("pebbleloom_prefilled_tokens_total", "prompt tokens prefilled", func() float64 { return float64(d.stats.prefilledTokens.Load()) })
+	m.Counter("pebbleloom_lookup_batches_total", "batches asked of the index", func() float64 { return float64(d.index.lookupBatches.Load()) })
+	m.Counter("pebbleloom_lookup_keys_total", "keys asked of the index", func() float64 { return float64(d.index.lookupKeys.Load()) })
+	m.Counter("pebbleloom_extra_goes_total", "goes beyond a request's first", func() float64 { return float64(d.stats.retries.Load()) })
+	m.Counter("pebbleloom_broken_total", "streams that ended without their seal", func() float64 { return float64(d.stats.interrupted.Load()) })
 }
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -51,7 +51,7 @@
 // stats counts what the sealed lines have said.
 type stats struct{ sealed, hitTokens, fetchedTokens, prefilledTokens, retries, interrupted atomic.Int64 }
 
-func (s *stats) add(p *contract.Piece) {
+func (s *stats) add(p *contract.Chunk) {
 	s.sealed.Add(1)
 	s.hitTokens.Add(int64(p.Hit))
 	s.fetchedTokens.Add(int64(p.Fetched))
@@ -62,7 +62,7 @@
 //
 // Example: daemon.Main("dispatcher", "edge proxy", need, callerproxy.Start)
 func Start(l *daemon.Process) error {
-	d := &Proxy{process: l, bounds: l.Place.Bounds, clock: l.Clock, backends: contract.NewBackends(l.Dial), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](512)}
+	d := &Proxy{process: l, bounds: l.Settings.Bounds, clock: l.Clock, backends: contract.NewBackends(l.Dial), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](512)}
 	d.nearBandwidth.Store(50000)
 	d.farBandwidth.Store(50000)
 	d.storeBandwidth.Store(50000)
@@ -71,7 +71,7 @@
 	l.OnStop(d.backends.Close)
 	d.index = newPromptIndex(l, d.clock)
 	calls := daemon.NewClients(l)
-	d.follower = updatestream.Follow(l.Ctx, d.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Place.Runner) }, d.bounds.Config(0.1), d.fillReport, func(s *updatestream.Snapshot) {
+	d.follower = updatestream.Follow(l.Ctx, d.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Settings.NodeAgent) }, d.bounds.Config(0.1), d.fillReport, func(s *updatestream.Snapshot) {
 		d.index.updateShards(s.Nodes)
 		l.Ready.Store(s.Fresh(d.clock.Now(), d.bounds.Config(0.8)))
 	})
@@ -80,10 +80,10 @@
 	if err != nil {
 		return errs.Wrap(err, "caller API")
 	}
-	body := int64(d.bounds.BodyKB)<<10 + int64(d.bounds.BodyKB)<<9 // JSON escapes take room
+	body := int64(d.bounds.MaxBodyKB)<<10 + int64(d.bounds.MaxBodyKB)<<9 // JSON escapes take room
 	l.Go(func() { d.serveCallers(http.MaxBytesHandler(flushEveryWrite(srv), body)) })
 	d.registerMetrics(l.Meter)
-	return l.Serve(l.Place.Listen, http.NewServeMux())
+	return l.Serve(l.Settings.Listen, http.NewServeMux())
 }
 
 // serveCallers takes callers in once there is a proved configuration with workers: before that they are
@@ -102,7 +102,7 @@
 		case <-t.C:
 		}
 	}
-	if err := d.process.Serve(d.process.Place.Public, h); err != nil {
+	if err := d.process.Serve(d.process.Settings.Public, h); err != nil {
 		d.process.Log.Error("callers can't be taken in", "error", errs.Text(err))
 	}
 }
@@ -134,7 +134,7 @@
 func (d *Proxy) retryBudget(g *trafficTable, service string) *retrybudget.Budget {
 	b := g.retryBudgets[service]
 	if b == nil {
-		b = retrybudget.New(float64(d.bounds.TryShare) / 100)
+		b = retrybudget.New(float64(d.bounds.RetryPercent) / 100)
 		g.retryBudgets[service] = b
 	}
 	return b
@@ -144,7 +144,7 @@
 // gone count too, as long as they are remembered: one that is only cut off has its share still.
 func (d *Proxy) retryAllowance(g *trafficTable, s *updatestream.Snapshot) float64 {
 	g.maxEdgeNodes = max(g.maxEdgeNodes, countEdgeNodes(s, true))
-	return retrybudget.PerNode(float64(d.bounds.TryAllow), g.maxEdgeNodes)
+	return retrybudget.PerNode(float64(d.bounds.RetryAllowance), g.maxEdgeNodes)
 }
 
 // countEdgeNodes counts the edge machines that a snapshot knows; gone ones where asked for.
@@ -170,7 +170,7 @@
 }
 
 // learnBandwidth takes what a fetch has shown of its link.
-func (d *Proxy) learnBandwidth(g *trafficTable, s *updatestream.Snapshot, p *contract.Piece, zone string) {
+func (d *Proxy) learnBandwidth(g *trafficTable, s *updatestream.Snapshot, p *contract.Chunk, zone string) {
 	class, to := "far", &d.farBandwidth
 	for _, w := range s.Workers {
 		if w.Addr != p.FetchAddr {
@@ -192,17 +192,17 @@
 // Example: d.NewError(ctx, errs.New(errs.BadKey, "the key is not in force"))
 func (d *Proxy) NewError(_ context.Context, err error) *caller.DeniedStatusCodeWithHeaders {
 	t := errorResponse(err)
-	d.process.Meter.Rejected(errs.Named(t.Response.Kind))
+	d.process.Meter.Rejected(errs.KindNamed(t.Response.Kind))
 	return t
 }
 
 func errorResponse(err error) *caller.DeniedStatusCodeWithHeaders {
 	k := errs.KindOf(err)
-	r := &caller.DeniedStatusCodeWithHeaders{StatusCode: k.HTTP, Response: caller.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
+	r := &caller.DeniedStatusCodeWithHeaders{StatusCode: k.HTTPStatus, Response: caller.Denial{Kind: k.Name, Message: err.Error(), Remedy: k.Remedy}}
 	var x rejection
 	if errors.As(err, &x) {
 		k = errs.KindOf(x.error)
-		r.StatusCode, r.Response.Kind, r.Response.Remedy = k.HTTP, k.Name, k.Remedy
+		r.StatusCode, r.Response.Kind, r.Response.Remedy = k.HTTPStatus, k.Name, k.Remedy
 		r.Response.RequestID = caller.NewOptString(x.requestID)
 		if x.retryAfter > 0 {
 			r.Response.RetryAfterMs = int(x.retryAfter.Milliseconds())
@@ -220,11 +220,11 @@
 	k := errs.BadInput
 	var tooBig *http.MaxBytesError
 	if errors.As(err, &tooBig) {
-		k = errs.TooBig
+		k = errs.TooLarge
 	} else if ogenerrors.ErrorCode(err) >= 500 {
-		k = errs.Inside
+		k = errs.Internal
 	}
-	t := errorResponse(errs.As(err, k, "request"))
+	t := errorResponse(errs.WrapAs(err, k, "request"))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(t.StatusCode)
 	_ = json.NewEncoder(w).Encode(&t.Response) // a caller that hung up can't be told
@@ -280,7 +280,7 @@
 
 func (d *Proxy) logDecision(id string, s *updatestream.Snapshot, c Choice) {
 	x := Decision{Request: id, Worker: c.Worker.Name, Config: s.ConfigVersion, Hit: c.HitTokens, Fetch: c.FetchTokens, WaitUs: c.WaitUs, CostUs: c.CostUs, Hot: c.Hot, Home: c.PreferredWorker, SaveTo: c.SaveAddrs,
-		Session: c.Session, Fetches: c.FetchFrom, Machine: d.process.Place.Name}
+		Session: c.Session, Fetches: c.FetchFrom, Machine: d.process.Settings.Name}
 	if p := s.Placements[c.Worker.Service]; p != nil {
 		x.Placement = p.Epoch
 	}
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -23,7 +23,7 @@
 	startedAt time.Duration
 	body      io.ReadCloser
 	reader    *bufio.Reader
-	checker   *contract.Check
+	checker   *contract.StreamVerifier
 	line      []byte
 	cancel    func()
 	release   func()
@@ -39,16 +39,16 @@
 	raw, err := s.reader.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return errs.New(errs.Inside, "a line longer than %d bytes", contract.MaxLine)
-	case errors.Is(err, io.EOF) && len(raw) == 0 && s.checker.Last != nil:
+		return errs.New(errs.Internal, "a line longer than %d bytes", contract.MaxLineBytes)
+	case errors.Is(err, io.EOF) && len(raw) == 0 && s.checker.Sealed != nil:
 		return io.EOF
 	case errors.Is(err, io.EOF):
-		return errs.New(errs.Inside, "the stream ended without its seal")
+		return errs.New(errs.Internal, "the stream ended without its seal")
 	case err != nil:
 		return errs.Wrap(err, "read stream")
 	}
-	if w := s.checker.Line(raw); w != "" {
-		return errs.New(errs.Inside, "%s", w)
+	if w := s.checker.Verify(raw); w != "" {
+		return errs.New(errs.Internal, "%s", w)
 	}
 	s.line = raw
 	return nil
@@ -97,9 +97,9 @@
 		s.body.Close()
 	}
 	took := s.proxy.clock.Now() - s.startedAt
-	var last *contract.Piece
+	var last *contract.Chunk
 	if s.checker != nil {
-		last = s.checker.Last
+		last = s.checker.Sealed
 	}
 	s.proxy.traffic.TrySend(func(g *trafficTable) {
 		g.endAttempt(s.worker, ok, took, s.proxy.clock.Now())
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -81,13 +81,13 @@
 const maxClients = 64
 
 func start(l *daemon.Process, nodes func() []*wire.Node, call func(string) wire.PromptIndex) *Client {
-	s := &Client{ring: queue.NewRing[pendingLookup](l.Place.Bounds.Waiting), nodes: nodes, client: call, bounds: l.Place.Bounds,
-		clock: l.Clock, ctx: l.Ctx, name: "edge/" + l.Place.Name, incarnation: uint64(l.Clock.Now()), zone: l.Place.Zone}
+	s := &Client{ring: queue.NewRing[pendingLookup](l.Settings.Bounds.MaxConcurrentRequests), nodes: nodes, client: call, bounds: l.Settings.Bounds,
+		clock: l.Clock, ctx: l.Ctx, name: "edge/" + l.Settings.Name, incarnation: uint64(l.Clock.Now()), zone: l.Settings.Zone}
 	s.actor = queue.NewActor(newTable(s), 1024)
 	l.OnStop(s.actor.Stop)
 	l.Go(s.run)
-	l.Every(l.Place.Bounds.Heal(flushRatio), s.flush)
-	l.Meter.Count("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(s.lookups.Load()) })
+	l.Every(l.Settings.Bounds.Heal(flushRatio), s.flush)
+	l.Meter.Counter("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(s.lookups.Load()) })
 	return s
 }
 
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -101,8 +101,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ns := nodes()
 		serving := promptindex.ServingNodes(ns)
-		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
-		l := daemon.NewIn(w, "edge", settings.Place{Name: "edge-1", Zone: serving[1].Zone, Bounds: settings.Default(), Extra: []string{"log=off"}})
+		w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
+		l := daemon.NewIn(w, "edge", settings.Process{Name: "edge-1", Zone: serving[1].Zone, Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
 		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.PromptIndex { return node{x, addr} })
 		f(s, serving)
 		l.Stop(time.Second)
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -49,15 +49,15 @@
 //
 // Example: daemon.Main("runner", "the agent on an edge machine", need, nodeagent.Start)
 func Start(process *daemon.Process) error {
-	b := process.Place.Bounds
+	b := process.Settings.Bounds
 	a := &Agent{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial)}
 	process.OnStop(a.backends.Close)
-	ms := controlclient.Members(0, process.Place.Core)
+	ms := controlclient.Members(0, process.Settings.Core)
 	// Versions start at random, so that a client can't mistake a new incarnation's for the old one's.
 	a.actor = queue.NewActor(&table{version: process.Seed(), listsVersion: process.Seed(), freshness: NewFreshnessProof(), workers: NewWorkerTable(b), placements: map[string]*wire.Document{},
 		links: map[string]*wire.LinkThroughput{}, health: map[string]*recentOutcomes{}, waiting: map[chan struct{}]bool{}}, 1024)
 	process.OnStop(a.actor.Stop)
-	a.member = clustermembership.Start(process.Ctx, process.Place, clustermembership.RoleNodeAgent, a.clock, process.Log, a.clients.Membership, func(v clustermembership.View) {
+	a.member = clustermembership.Start(process.Ctx, process.Settings, clustermembership.RoleNodeAgent, a.clock, process.Log, a.clients.Membership, func(v clustermembership.View) {
 		a.actor.TrySend(func(t *table) { t.view = v; t.notifyListsChanged() })
 	})
 	for _, m := range ms {
@@ -87,11 +87,11 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.NodeAgentPathPrefix, wire.NewNodeAgentServer(a))
 	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(a.member))
-	if err := process.Serve(process.Place.Listen, mux); err != nil {
+	if err := process.Serve(process.Settings.Listen, mux); err != nil {
 		return err
 	}
 	view := func() clustermembership.View { return a.member.View() }
-	if err := operatorapi.Serve(process, controlclient.New(process.Place.Core, view, a.clients, b), view, a.clients); err != nil {
+	if err := operatorapi.Serve(process, controlclient.New(process.Settings.Core, view, a.clients, b), view, a.clients); err != nil {
 		return err
 	}
 	process.Ready.Store(true)
@@ -114,7 +114,7 @@
 
 // followConfig polls one member of the configuration's shard with the version it has.
 func (a *Agent) followConfig(member string) {
-	b := a.process.Place.Bounds
+	b := a.process.Settings.Bounds
 	for a.process.Ctx.Err() == nil {
 		var have uint64
 		a.actor.Ask(func(t *table) { have = t.freshness.LatestVersion() })
@@ -157,9 +157,9 @@
 
 func (a *Agent) refreshWorkers() {
 	asked := a.clock.Now()
-	ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Leave(0.3))
+	ctx, end := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Leave(0.3))
 	defer end()
-	l, err := a.backends.List(ctx, a.process.Place.Rank)
+	l, err := a.backends.List(ctx, a.process.Settings.WorkerList)
 	if err != nil {
 		a.process.Log.Debug("platform doesn't answer: the last list stays", "error", err)
 		return
@@ -168,12 +168,12 @@
 }
 
 func (a *Agent) probeWorkers() {
-	var l []contract.Listed
+	var l []contract.ListedWorker
 	a.actor.Ask(func(t *table) { l = t.workers.StartProbes() })
 	for _, x := range l {
 		go func() {
 			asked := a.clock.Now()
-			ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Leave(0.25))
+			ctx, end := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Leave(0.25))
 			defer end()
 			s, err := a.backends.State(ctx, x.Addr)
 			a.actor.Ask(func(t *table) { t.workers.RecordProbe(x, s, err == nil, asked, a.clock.Now()) })
@@ -191,7 +191,7 @@
 	rows := t.workers.Rows(drains, a.clock.Now())
 	for _, w := range rows { // published rows are never changed
 		if h := t.health[w.Name]; h != nil {
-			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
+			h.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(1))
 			w.Successes, w.Failures = h.succeeded, h.failed
 		}
 	}
@@ -227,16 +227,16 @@
 	})
 	for n, h := range have {
 		shard := controlclient.ShardOf(n)
-		ms := controlclient.Members(shard, a.process.Place.Core)
+		ms := controlclient.Members(shard, a.process.Settings.Core)
 		m := ms[int(a.clock.Now()/time.Second)%len(ms)]
 		addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + m)
 		if !ok {
 			continue
 		}
-		ctx, end := context.WithTimeout(a.process.Ctx, a.process.Place.Bounds.Heal(1.0/24))
+		ctx, end := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Heal(1.0/24))
 		response, err := a.clients.ControlNode(addr).Watch(ctx, &wire.WatchRequest{Shard: shard, Key: "placement/" + n, KnownVersion: h})
 		end()
-		if err == nil && response.Outcome == wire.OutcomeNews && response.Document.GetVersion() > h {
+		if err == nil && response.Outcome == wire.OutcomeUpdated && response.Document.GetVersion() > h {
 			a.actor.TrySend(func(t *table) {
 				t.placements[n] = &wire.Document{Key: n, Body: response.Document.Body, Version: response.Document.Version}
 				t.notifyListsChanged()
@@ -329,7 +329,7 @@
 				h = &recentOutcomes{}
 				t.health[g.Worker] = h
 			}
-			h.decay(a.clock.Now(), a.process.Place.Bounds.Heal(1))
+			h.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(1))
 			h.succeeded, h.failed = h.succeeded+float64(g.Successes), h.failed+float64(g.Failures)
 		}
 		if g.LinkNs <= 0 || len(t.links) > 8 && t.links[g.LinkClass] == nil {
--- a/internal/data/nodeagent/freshness.go
+++ b/internal/data/nodeagent/freshness.go
@@ -64,7 +64,7 @@
 		top = &f.next
 	}
 	switch t.Outcome {
-	case wire.OutcomeNews:
+	case wire.OutcomeUpdated:
 		if t.Document.GetVersion() > f.LatestVersion() {
 			f.next = candidate{t.Document, map[string]attestation{}}
 			top = &f.next
