--- a/internal/data/nodeagent/freshness_test.go
+++ b/internal/data/nodeagent/freshness_test.go
@@ -11,9 +11,9 @@
 	"pebbleloom/internal/wire"
 )
 
-func same() *wire.WatchResponse { return &wire.WatchResponse{Outcome: wire.OutcomeSame} }
+func same() *wire.WatchResponse { return &wire.WatchResponse{Outcome: wire.OutcomeUnchanged} }
 func news(e uint64, settled bool) *wire.WatchResponse {
-	return &wire.WatchResponse{Outcome: wire.OutcomeNews, NothingNewer: settled, Document: &wire.Document{Version: e, Body: []byte("x")}}
+	return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, NothingNewer: settled, Document: &wire.Document{Version: e, Body: []byte("x")}}
 }
 
 type answer struct {
@@ -52,7 +52,7 @@
 		seen := uint64(1)
 		for _, a := range l {
 			f.HandleResponse(a.m, a.have, a.asked, a.t)
-			if a.t.Outcome == wire.OutcomeNews {
+			if a.t.Outcome == wire.OutcomeUpdated {
 				seen = 2
 				if a.t.NothingNewer {
 					vouch[2][a.m] = max(vouch[2][a.m], a.asked)
@@ -96,13 +96,13 @@
 
 // What feeds the worker table, and what proxies are shown for it.
 func TestWorkerTable(t *testing.T) {
-	b := settings.Default()
-	x := contract.Listed{Name: "worker-1", Addr: "127.0.0.1:1", Kind: "lm", Service: "s"}
-	ok := contract.State{Name: "worker-1", Weights: 1, Slots: 4}
+	b := settings.DefaultBounds()
+	x := contract.ListedWorker{Name: "worker-1", Addr: "127.0.0.1:1", Kind: "lm", Service: "s"}
+	ok := contract.WorkerState{Name: "worker-1", Weights: 1, Slots: 4}
 	at := func(f float64) time.Duration { return time.Second + b.Leave(f) }
 	fresh := func() *WorkerTable {
 		w := NewWorkerTable(b)
-		w.ApplyList([]contract.Listed{x}, time.Second)
+		w.ApplyList([]contract.ListedWorker{x}, time.Second)
 		w.StartProbes()
 		w.RecordProbe(x, ok, true, time.Second, time.Second)
 		return w
@@ -123,7 +123,7 @@
 		{"listed and probed", func(*WorkerTable) {}, at(0.1), int(updatestream.WorkerUp)},
 		{"silent for longer than the ratio", func(*WorkerTable) {}, at(0.7), int(updatestream.WorkerGone)},
 		{"not listed any more", func(w *WorkerTable) { w.ApplyList(nil, at(0.1)) }, at(0.1), -1},
-		{"warned by the platform", func(w *WorkerTable) { y := x; y.Draining = true; w.ApplyList([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
+		{"warned by the platform", func(w *WorkerTable) { y := x; y.Draining = true; w.ApplyList([]contract.ListedWorker{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
 		{"says itself that it drains", func(w *WorkerTable) { s := ok; s.Draining = true; w.RecordProbe(x, s, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerDraining)},
 		{"a go failed after its last probe", func(w *WorkerTable) {
 			w.RecordAttempts([]*wire.AttemptReport{{Worker: "worker-1", Failures: 1}}, at(0.1))
@@ -132,12 +132,12 @@
 			w.RecordAttempts([]*wire.AttemptReport{{Worker: "worker-1", Failures: 1}}, at(0.1))
 			w.RecordProbe(x, ok, true, at(0.2), at(0.2))
 		}, at(0.2), int(updatestream.WorkerUp)},
-		{"a stranger at its address", func(w *WorkerTable) { w.RecordProbe(x, contract.State{Name: "worker-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerSuspect)},
-		{"listed at another address: another incarnation", func(w *WorkerTable) { y := x; y.Addr = "127.0.0.1:2"; w.ApplyList([]contract.Listed{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerGone)},
+		{"a stranger at its address", func(w *WorkerTable) { w.RecordProbe(x, contract.WorkerState{Name: "worker-9"}, true, at(0.1), at(0.1)) }, at(0.1), int(updatestream.WorkerSuspect)},
+		{"listed at another address: another incarnation", func(w *WorkerTable) { y := x; y.Addr = "127.0.0.1:2"; w.ApplyList([]contract.ListedWorker{y}, at(0.1)) }, at(0.1), int(updatestream.WorkerGone)},
 		{"an old address's probe comes late", func(w *WorkerTable) {
 			y := x
 			y.Addr = "127.0.0.1:2"
-			w.ApplyList([]contract.Listed{y}, at(0.1))
+			w.ApplyList([]contract.ListedWorker{y}, at(0.1))
 			w.RecordProbe(x, ok, true, at(0.1), at(0.1))
 		}, at(0.1), int(updatestream.WorkerGone)},
 	} {
@@ -155,8 +155,8 @@
 // A worker is warned, drained, drains by itself and fails a probe, in every order: from the
 // first of it on it gets nothing new, and once it isn't listed it isn't there.
 func TestEveryOrderOfAWorkerLeaving(t *testing.T) {
-	b := settings.Default()
-	x := contract.Listed{Name: "w", Addr: "127.0.0.1:1", Kind: "lm"}
+	b := settings.DefaultBounds()
+	x := contract.ListedWorker{Name: "w", Addr: "127.0.0.1:1", Kind: "lm"}
 	n := 0
 	var walk func(done []int, used int)
 	walk = func(done []int, used int) {
@@ -170,14 +170,14 @@
 		}
 		n++
 		w, now := NewWorkerTable(b), time.Second
-		w.ApplyList([]contract.Listed{x}, now)
+		w.ApplyList([]contract.ListedWorker{x}, now)
 		w.StartProbes()
-		w.RecordProbe(x, contract.State{Name: "w", Weights: 1}, true, now, now)
+		w.RecordProbe(x, contract.WorkerState{Name: "w", Weights: 1}, true, now, now)
 		var drains map[string]bool
 		if w.Rows(drains, now)[0].State != updatestream.WorkerUp {
 			t.Fatal("it isn't up to begin with")
 		}
-		l, s, unlisted := x, contract.State{Name: "w", Weights: 1}, false
+		l, s, unlisted := x, contract.WorkerState{Name: "w", Weights: 1}, false
 		for _, i := range done {
 			now += 10 * time.Millisecond
 			switch i {
@@ -191,7 +191,7 @@
 				unlisted = true
 			}
 			if !unlisted {
-				w.ApplyList([]contract.Listed{l}, now)
+				w.ApplyList([]contract.ListedWorker{l}, now)
 			} else {
 				w.ApplyList(nil, now)
 			}
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -15,8 +15,8 @@
 const maxWorkers = 1024
 
 type worker struct {
-	listed        contract.Listed
-	state         contract.State
+	listed        contract.ListedWorker
+	state         contract.WorkerState
 	probedAt      time.Duration // start of the last successful probe
 	firstListedAt time.Duration // when it was first listed
 	failedAt      time.Duration // last failed attempt or probe
@@ -41,7 +41,7 @@
 // ApplyList applies the platform's list. A worker that isn't in it is removed at once.
 //
 // Example: w.Listed(list, askedAt)
-func (w *WorkerTable) ApplyList(l []contract.Listed, asked time.Duration) {
+func (w *WorkerTable) ApplyList(l []contract.ListedWorker, asked time.Duration) {
 	w.listedAt = asked
 	here := map[string]bool{}
 	for _, x := range l {
@@ -66,8 +66,8 @@
 // StartProbes returns the workers to probe now; each has at most one probe in flight.
 //
 // Example: for _, l := range w.Probe() { go probe(l) }
-func (w *WorkerTable) StartProbes() []contract.Listed {
-	var l []contract.Listed
+func (w *WorkerTable) StartProbes() []contract.ListedWorker {
+	var l []contract.ListedWorker
 	for _, n := range w.names() {
 		if x := w.workers[n]; !x.probing {
 			x.probing = true
@@ -82,7 +82,7 @@
 // RecordProbe records the result of a probe. Another worker at the address counts as a failure.
 //
 // Example: w.Probed(listed, state, err == nil, askedAt, now)
-func (w *WorkerTable) RecordProbe(l contract.Listed, s contract.State, ok bool, asked, now time.Duration) {
+func (w *WorkerTable) RecordProbe(l contract.ListedWorker, s contract.WorkerState, ok bool, asked, now time.Duration) {
 	x := w.workers[l.Name]
 	if x == nil || x.listed.Addr != l.Addr {
 		return
@@ -124,14 +124,14 @@
 		}
 		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, Zone: x.listed.Zone,
 			Incarnation: x.state.Incarnation, State: st, Weights: x.state.Weights, Slots: uint32(x.state.Slots), Busy: uint32(x.state.Busy),
-			Queued: uint32(x.state.Queued), Kind: x.listed.Kind, KvCapacity: uint64(x.state.KvRoom),
+			Queued: uint32(x.state.Queued), Kind: x.listed.Kind, KvCapacity: uint64(x.state.KVCapacity),
 			ClockNs: uint64(x.state.ClockUs) * 1000, ClockReadAt: uint64(x.respondedAt), LoadedModels: loaded(x.state)})
 	}
 	return l
 }
 
 // loaded is what a worker says it has in memory beside its one model.
-func loaded(s contract.State) []*wire.LoadedModel {
+func loaded(s contract.WorkerState) []*wire.LoadedModel {
 	var l []*wire.LoadedModel
 	for _, x := range s.Loaded {
 		l = append(l, &wire.LoadedModel{Model: x.Model, Weights: x.Weights, Adapters: x.Adapters})
--- a/internal/data/placement/curve.go
+++ b/internal/data/placement/curve.go
@@ -71,7 +71,7 @@
 	}
 	var solution mat.VecDense
 	if err := solution.SolveVec(powers, durations); err != nil {
-		return Curve{}, errs.As(err, errs.BadInput, "fit: measure prompts of more different lengths")
+		return Curve{}, errs.WrapAs(err, errs.BadInput, "fit: measure prompts of more different lengths")
 	}
 	curve := Curve{Samples: len(samples)}
 	for j := range degree + 1 {
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -49,7 +49,7 @@
 func Read(body []byte, version uint64) (*Placement, error) {
 	p := &Placement{}
 	if err := json.Unmarshal(body, p); err != nil {
-		return nil, errs.As(err, errs.BadInput, "read placement")
+		return nil, errs.WrapAs(err, errs.BadInput, "read placement")
 	}
 	p.Epoch = version
 	p.replicated = make(map[string]bool, len(p.Replicated))
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -87,7 +87,7 @@
 func (c *Core) entry(k prefix.Key, now time.Duration) *entry {
 	e := c.entries[k]
 	if e == nil {
-		if len(c.entries) >= c.bounds.Entries {
+		if len(c.entries) >= c.bounds.MaxIndexEntries {
 			c.evict(now)
 		}
 		e = &entry{decayedAt: now, holders: map[string]holding{}}
@@ -144,7 +144,7 @@
 // report is requested next; until then known holdings stay, and lapse as usual.
 //
 // Example: c.ApplyReport(request, response, now)
-func (c *Core) ApplyReport(q ReportRequest, r contract.Reports, now time.Duration) {
+func (c *Core) ApplyReport(q ReportRequest, r contract.CacheReports, now time.Duration) {
 	name, service, w := q.Name, q.Service, c.worker(q.Name)
 	if q.sequence != w.sequence {
 		return
@@ -155,10 +155,10 @@
 		w.incarnation, w.lastNumber, w.needsFull = r.Incarnation, 0, true
 		w.generation++ // the old incarnation's holdings are gone
 	}
-	if r.Whole {
+	if r.Complete {
 		w.generation++
 		c.Stats.FullReports++
-		for _, h := range r.Held {
+		for _, h := range r.Cached {
 			c.addHolding(name, service, w, h, now)
 		}
 		w.lastNumber, w.needsFull, w.complete = r.Number, false, true
@@ -167,7 +167,7 @@
 	if w.needsFull {
 		return
 	}
-	for _, p := range r.List {
+	for _, p := range r.Reports {
 		if p.Number <= w.lastNumber {
 			continue
 		}
@@ -177,7 +177,7 @@
 		for _, h := range p.Added {
 			c.addHolding(name, service, w, h, now)
 		}
-		for _, g := range p.Gone {
+		for _, g := range p.Removed {
 			if k, ok := prefix.Parse(g); ok && c.entries[k] != nil {
 				delete(c.entries[k].holders, name)
 			}
@@ -190,7 +190,7 @@
 	}
 }
 
-func (c *Core) addHolding(name, service string, w *worker, h contract.Kept, now time.Duration) {
+func (c *Core) addHolding(name, service string, w *worker, h contract.CachedPrefix, now time.Duration) {
 	k, ok := prefix.Parse(h.Key)
 	if !ok || !c.isAssigned(k) {
 		return
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -16,7 +16,9 @@
 
 func key(n int) prefix.Key { return prefix.Chain("shared", "m", 1, []string{fmt.Sprint(n)})[0].Key }
 
-func kept(n int) contract.Kept { return contract.Kept{Key: key(n).String(), Tokens: 10} }
+func kept(n int) contract.CachedPrefix {
+	return contract.CachedPrefix{Key: key(n).String(), Tokens: 10}
+}
 
 func holders(c *Core, n int, now time.Duration) string {
 	s := ""
@@ -28,39 +30,39 @@
 
 func all(prefix.Key) bool { return true }
 
-func applyReport(c *Core, r contract.Reports, now time.Duration) {
+func applyReport(c *Core, r contract.CacheReports, now time.Duration) {
 	c.ApplyReport(c.NextReport("worker", "s"), r, now)
 }
 
 // Four numbered reports come in every order, and each may be lost: the index either knows
 // exactly what the worker holds, or knows that it must ask for the whole.
 func TestEveryOrderAndGapOfReports(t *testing.T) {
-	rs := []contract.Report{
-		{Number: 1, Added: []contract.Kept{kept(1), kept(2)}},
-		{Number: 2, Gone: []string{key(1).String()}, Added: []contract.Kept{kept(3)}},
-		{Number: 3, Added: []contract.Kept{kept(1)}},
-		{Number: 4, Gone: []string{key(2).String(), key(3).String()}},
+	rs := []contract.CacheReport{
+		{Number: 1, Added: []contract.CachedPrefix{kept(1), kept(2)}},
+		{Number: 2, Removed: []string{key(1).String()}, Added: []contract.CachedPrefix{kept(3)}},
+		{Number: 3, Added: []contract.CachedPrefix{kept(1)}},
+		{Number: 4, Removed: []string{key(2).String(), key(3).String()}},
 	}
 	truth := "worker:2 " // after all four: key 1 alone
 	orders, asked := 0, 0
-	var walk func(left []contract.Report, c []contract.Report)
-	walk = func(left, done []contract.Report) {
+	var walk func(left []contract.CacheReport, c []contract.CacheReport)
+	walk = func(left, done []contract.CacheReport) {
 		orders++
-		c := NewCore(settings.Default(), all)
-		applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
+		c := NewCore(settings.DefaultBounds(), all)
+		applyReport(c, contract.CacheReports{Incarnation: "i", Complete: true}, 1)
 		for _, r := range done {
-			applyReport(c, contract.Reports{Incarnation: "i", Number: r.Number, List: []contract.Report{r}}, 2)
+			applyReport(c, contract.CacheReports{Incarnation: "i", Number: r.Number, Reports: []contract.CacheReport{r}}, 2)
 		}
-		applyReport(c, contract.Reports{Incarnation: "i", Number: 4}, 3) // nothing new: it stands at 4
+		applyReport(c, contract.CacheReports{Incarnation: "i", Number: 4}, 3) // nothing new: it stands at 4
 		if c.NextReport("worker", "s").Full {
 			asked++
-			applyReport(c, contract.Reports{Incarnation: "i", Number: 4, Whole: true, Held: []contract.Kept{kept(1)}}, 4)
+			applyReport(c, contract.CacheReports{Incarnation: "i", Number: 4, Complete: true, Cached: []contract.CachedPrefix{kept(1)}}, 4)
 		}
 		if a, b, d := holders(c, 1, 5), holders(c, 2, 5), holders(c, 3, 5); a != truth || b+d != "" {
 			t.Fatalf("after %v: key 1 %q, key 2 %q, key 3 %q", done, a, b, d)
 		}
 		for i := range left {
-			walk(append(append([]contract.Report(nil), left[:i]...), left[i+1:]...), append(append([]contract.Report(nil), done...), left[i]))
+			walk(append(append([]contract.CacheReport(nil), left[:i]...), left[i+1:]...), append(append([]contract.CacheReport(nil), done...), left[i]))
 		}
 	}
 	walk(rs, nil)
@@ -71,13 +73,13 @@
 
 // What the index believes of a holder, and for how long.
 func TestHoldersLapseUnlessConfirmed(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	k := key(1)
 	presume := func(c *Core, now time.Duration, n uint64) {
 		c.RecordAccesses(&wire.CountRequest{Reporter: "d", Incarnation: 1, Sequence: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s", PresumedHolders: []string{"worker"}}}}, now)
 	}
 	c := NewCore(b, all)
-	applyReport(c, contract.Reports{Incarnation: "i", Whole: true}, 1)
+	applyReport(c, contract.CacheReports{Incarnation: "i", Complete: true}, 1)
 	presume(c, 1, 1)
 	if got := holders(c, 1, b.Heal(0.4)); got != "worker:1 " {
 		t.Errorf("presumed: %q", got)
@@ -85,15 +87,15 @@
 	if got := holders(c, 1, b.Heal(0.6)); got != "" {
 		t.Errorf("presumed and never confirmed: %q", got)
 	}
-	applyReport(c, contract.Reports{Incarnation: "i", Number: 1, List: []contract.Report{{Number: 1, Added: []contract.Kept{kept(1)}}}}, b.Heal(1))
+	applyReport(c, contract.CacheReports{Incarnation: "i", Number: 1, Reports: []contract.CacheReport{{Number: 1, Added: []contract.CachedPrefix{kept(1)}}}}, b.Heal(1))
 	if got := holders(c, 1, b.Heal(3)); got != "worker:2 " {
 		t.Errorf("confirmed: %q", got)
 	}
 	if got := holders(c, 1, b.Heal(4)); got != "" {
 		t.Errorf("confirmed, and the worker fell silent long ago: %q", got)
 	}
-	applyReport(c, contract.Reports{Incarnation: "i", Whole: true, Number: 1, Held: []contract.Kept{kept(1)}}, b.Heal(4))
-	applyReport(c, contract.Reports{Incarnation: "j"}, b.Heal(4))
+	applyReport(c, contract.CacheReports{Incarnation: "i", Complete: true, Number: 1, Cached: []contract.CachedPrefix{kept(1)}}, b.Heal(4))
+	applyReport(c, contract.CacheReports{Incarnation: "j"}, b.Heal(4))
 	if got := holders(c, 1, b.Heal(4)); got != "" {
 		t.Errorf("another incarnation holds what the last one held: %q", got)
 	}
@@ -109,7 +111,7 @@
 	ask := func(inc, n uint64) *wire.CountRequest {
 		return &wire.CountRequest{Reporter: "d", Incarnation: inc, Sequence: n, Accesses: []*wire.Access{{Key: k[:], Count: 5, Service: "s"}}}
 	}
-	c := NewCore(settings.Default(), all)
+	c := NewCore(settings.DefaultBounds(), all)
 	for range 3 {
 		c.RecordAccesses(ask(1, 1), 1)
 	}
@@ -121,7 +123,7 @@
 	if got := c.RecordAccesses(ask(2, 1), 1); got.ResendWindow || got.Sequence != 1 {
 		t.Errorf("a teller's new incarnation: %v", got)
 	}
-	if got := NewCore(settings.Default(), all).RecordAccesses(ask(1, 7), 1); !got.ResendWindow {
+	if got := NewCore(settings.DefaultBounds(), all).RecordAccesses(ask(1, 7), 1); !got.ResendWindow {
 		t.Error("an index without memory didn't ask for the window")
 	}
 	if h := c.Lookup([]prefix.Key{k}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
@@ -132,7 +134,7 @@
 // A teller's late batches, of its previous incarnation, are never counted among those of the next; and a
 // table full of tellers makes none of them count twice.
 func TestNoBatchCountsTwice(t *testing.T) {
-	b, k := settings.Default(), key(1)
+	b, k := settings.DefaultBounds(), key(1)
 	ask := func(who string, inc, n uint64) *wire.CountRequest {
 		return &wire.CountRequest{Reporter: who, Incarnation: inc, Sequence: n, Accesses: []*wire.Access{{Key: k[:], Count: 1, Service: "s"}}}
 	}
@@ -162,15 +164,15 @@
 // under way: in every order, what the old incarnation held counts for nothing once it was seen to go,
 // and what the new one holds is known once it was reported.
 func TestEveryOrderOfAWorkerReturning(t *testing.T) {
-	old := contract.Reports{Incarnation: "a", Number: 3, Whole: true, Held: []contract.Kept{kept(1)}}
-	next := contract.Reports{Incarnation: "b", Number: 1, Whole: true, Held: []contract.Kept{kept(2)}}
+	old := contract.CacheReports{Incarnation: "a", Number: 3, Complete: true, Cached: []contract.CachedPrefix{kept(1)}}
+	next := contract.CacheReports{Incarnation: "b", Number: 1, Complete: true, Cached: []contract.CachedPrefix{kept(2)}}
 	events := []string{"ask old", "report old", "leave", "ask new", "report new"}
 	n := 0
 	var walk func(done []string)
 	walk = func(done []string) {
 		if len(done) == len(events) {
 			n++
-			c := NewCore(settings.Default(), all)
+			c := NewCore(settings.DefaultBounds(), all)
 			qs := map[string]ReportRequest{}
 			left := false
 			for _, e := range done {
@@ -208,8 +210,8 @@
 }
 
 func TestTheTableIsBounded(t *testing.T) {
-	b := settings.Default()
-	b.Entries = 100
+	b := settings.DefaultBounds()
+	b.MaxIndexEntries = 100
 	c := NewCore(b, all)
 	for i := range 1000 {
 		k := key(i)
@@ -250,7 +252,7 @@
 // A full table with three holders an entry fits into a small machine's memory beside the
 // other programs.
 func TestAFullIndexFitsItsMachine(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	heap := func() float64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -260,16 +262,16 @@
 	before := heap()
 	c := NewCore(b, all)
 	for w := range 3 {
-		c.ApplyReport(c.NextReport(fmt.Sprint("worker-", w), "s"), contract.Reports{Incarnation: "i", Whole: true}, 1)
+		c.ApplyReport(c.NextReport(fmt.Sprint("worker-", w), "s"), contract.CacheReports{Incarnation: "i", Complete: true}, 1)
 	}
-	for i := range b.Entries {
+	for i := range b.MaxIndexEntries {
 		k := key(i)
 		c.RecordAccesses(&wire.CountRequest{Reporter: "d", Incarnation: 1, Sequence: uint64(i + 1), Accesses: []*wire.Access{{Key: k[:], Count: 1, Tokens: 900, Service: "s",
 			PresumedHolders: []string{"worker-0", "worker-1", "worker-2"}}}}, time.Duration(i))
 	}
 	mb := heap() - before
 	t.Logf("%d entries with 3 holders: %.1f MB", len(c.entries), mb)
-	if len(c.entries) != b.Entries || mb > 60 {
+	if len(c.entries) != b.MaxIndexEntries || mb > 60 {
 		t.Errorf("%d entries take %.1f MB", len(c.entries), mb)
 	}
 	runtime.KeepAlive(c)
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestChangesSinceTheBeginningAreAll(t *testing.T) {
-	c := NewCore(settings.Default(), all)
+	c := NewCore(settings.DefaultBounds(), all)
 	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{plus("a", 100), plus("b", 50), plus("a", 0)}}, 1)
 	if who(c, "a", 2) != "" || who(c, "b", 2) != "w:2 " || !c.Warm() {
 		t.Fatalf("a %q, b %q, warm %v", who(c, "a", 2), who(c, "b", 2), c.Warm())
@@ -66,7 +66,7 @@
 }
 
 func TestAnotherBootHasDroppedAll(t *testing.T) {
-	c := NewCore(settings.Default(), all)
+	c := NewCore(settings.DefaultBounds(), all)
 	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{plus("a", 100)}}, 1)
 	changed(c, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{plus("b", 100)}}, 2)
 	if who(c, "a", 3)+who(c, "b", 3) != "" {
@@ -82,7 +82,7 @@
 }
 
 func TestAfterAGapAllIsAskedFor(t *testing.T) {
-	c := NewCore(settings.Default(), all)
+	c := NewCore(settings.DefaultBounds(), all)
 	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", 100)}}, 1)
 	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 90, Gap: true, Changes: []backend.CacheChange{plus("b", 100)}}, 2)
 	q := c.NextEvents("w", "llm")
@@ -102,7 +102,7 @@
 }
 
 func TestTooLittleOfAPartIsNotHolding(t *testing.T) {
-	c := NewCore(settings.Default(), all)
+	c := NewCore(settings.DefaultBounds(), all)
 	use(c, "a", 1000, 1, 1)
 	for _, x := range []struct {
 		kept int
@@ -126,7 +126,7 @@
 
 // An answer that comes twice, or after a later one, changes nothing.
 func TestLateAndDoubledAnswers(t *testing.T) {
-	c := NewCore(settings.Default(), all)
+	c := NewCore(settings.DefaultBounds(), all)
 	q := c.NextEvents("w", "llm")
 	e := backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("a", 100)}}
 	c.ApplyEvents(q, e, 1)
@@ -153,7 +153,7 @@
 	l := []backend.CacheChange{plus("a", 100), plus("a", 0), plus("a", 200)}
 	for cuts := range 4 {
 		for lost := range 4 {
-			c := NewCore(settings.Default(), all)
+			c := NewCore(settings.DefaultBounds(), all)
 			from := 0
 			for i := 1; i <= len(l); i++ {
 				if i == len(l) || cuts>>(i-1)&1 == 1 {
@@ -169,7 +169,7 @@
 }
 
 func TestPresumedBeforeTheFirstAnswer(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	c := NewCore(b, all)
 	use(c, "a", 100, 1, 1, "w", "store")
 	if got := who(c, "a", 2); got != "store:1 w:1 " {
@@ -185,7 +185,7 @@
 }
 
 func TestStoreThatAnswers(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	c := NewCore(b, all)
 	up := func(now time.Duration) bool {
 		return len(c.Lookup([]prefix.Key{StoreHealthKey("d")}, now)[0].Holders) > 0
@@ -202,7 +202,7 @@
 }
 
 func TestSweepLeavesWhatCounts(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	c := NewCore(b, all)
 	use(c, "hot", 10, 1, 0)
 	changed(c, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{plus("kept", 10)}}, 1)
@@ -304,8 +304,8 @@
 		p.dead = map[string]bool{}
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.Environment{Clock: clock.Synctest(), Wall: time.Now, Seed: func() uint64 { return 1 }}
-		l := daemon.NewIn(w, "index", settings.Place{Name: "core-0", Bounds: settings.Default(), Extra: []string{"log=off"}})
+		w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
+		l := daemon.NewIn(w, "index", settings.Process{Name: "core-0", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
 		n, err := StartSite(l, p, func() *fleet.Snapshot { return s })
 		if err != nil {
 			t.Fatal(err)
@@ -329,7 +329,7 @@
 // Each call has its price: one a worker and pace, none to plain workers, none by a node that only
 // stands by.
 func TestWorkersAreAskedAtASlowPace(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	p := &platform{}
 	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
 		pass(10 * b.Heal(pollRatio))
@@ -362,7 +362,7 @@
 }
 
 func TestWholeListsArePaced(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	p := &platform{lost: true}
 	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
 		pass(b.Heal(0.9))
@@ -373,7 +373,7 @@
 }
 
 func TestStoreThatIsDown(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	p := &platform{dead: map[string]bool{"2:1": true}}
 	running(t, p, snapshot(indexNodes("a")), func(n *Node) {
 		up := StoreHealthKey("d")
--- a/internal/data/promptindex/follower.go
+++ b/internal/data/promptindex/follower.go
@@ -92,16 +92,16 @@
 //
 // Example: n, err := promptindex.StartSite(process, calls, agent.Now)
 func StartSite(l *daemon.Process, calls backend.Client, snapshot func() *fleet.Snapshot) (*Node, error) {
-	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Place.Name, polling: map[string]bool{}, listed: map[string]bool{}}
-	c := NewCore(l.Place.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
+	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Settings.Name, polling: map[string]bool{}, listed: map[string]bool{}}
+	c := NewCore(l.Settings.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
 	c.maxIncompleteRatio = maxIncompleteRatio
 	n.actor = queue.NewActor(c, 1024)
 	l.OnStop(n.actor.Stop)
 	s := newEventFollower(n, calls, snapshot)
-	l.Every(l.Place.Bounds.Heal(tickRatio), s.tick)
+	l.Every(l.Settings.Bounds.Heal(tickRatio), s.tick)
 	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", s.coreMetric(func(c *Core) float64 { return float64(len(c.entries)) }))
-	l.Meter.Count("pebbleloom_index_gaps_total", "gaps seen in workers' reports", s.coreMetric(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
-	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", s.coreMetric(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
+	l.Meter.Counter("pebbleloom_index_gaps_total", "gaps seen in workers' reports", s.coreMetric(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
+	l.Meter.Counter("pebbleloom_index_whole_reports_total", "full reports received", s.coreMetric(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
 	return n, nil
 }
 
@@ -150,7 +150,7 @@
 			}
 		}
 		s.node.listed = here
-		if now-s.sweptAt > s.node.process.Place.Bounds.Heal(sweepRatio) {
+		if now-s.sweptAt > s.node.process.Settings.Bounds.Heal(sweepRatio) {
 			s.sweptAt = now
 			c.Sweep(here, now)
 		}
@@ -159,7 +159,7 @@
 
 // poll polls one worker if it is due. New workers are polled soon.
 func (s *eventFollower) poll(c *Core, x pollTarget, now time.Duration) {
-	b := s.node.process.Place.Bounds
+	b := s.node.process.Settings.Bounds
 	at, known := s.nextPoll[x.name]
 	if !known {
 		at = now + time.Duration(queue.Hash(s.node.name+x.name)%uint64(b.Heal(firstPollRatio)))
@@ -179,13 +179,13 @@
 
 // mayRequestFullList reports whether a full list may be requested now.
 func (s *eventFollower) mayRequestFullList(name string, now time.Duration) bool {
-	b := s.node.process.Place.Bounds
+	b := s.node.process.Settings.Bounds
 	at, listed := s.fullListAt[name]
 	return (s.lastFullList == 0 || now-s.lastFullList >= b.Heal(fullListRatio)) && (!listed || now-at >= b.Heal(workerFullListRatio))
 }
 
 func (s *eventFollower) call(x pollTarget, q ReportRequest) {
-	b := s.node.process.Place.Bounds
+	b := s.node.process.Settings.Bounds
 	ctx, end := context.WithTimeout(s.node.process.Ctx, b.Heal(longPollRatio+responseGraceRatio))
 	defer end()
 	var e backend.CacheEvents
--- a/internal/data/promptindex/loads_test.go
+++ b/internal/data/promptindex/loads_test.go
@@ -15,14 +15,14 @@
 
 // warmLoads has had reports for long enough to pass them on.
 func warmLoads(now time.Duration) *LoadAggregator {
-	l := NewLoadAggregator(settings.Default())
+	l := NewLoadAggregator(settings.DefaultBounds())
 	l.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-l.bounds.Heal(reportLifetimeRatio))
 	return l
 }
 
 // An index node that has just started, or had no report for a while, doesn't have all reports yet.
 func TestPartialLoadIsNotReported(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	l, now := NewLoadAggregator(b), time.Hour
 	for i := range 3 {
 		at := now + time.Duration(i)*b.Heal(reportLifetimeRatio)/2
@@ -54,7 +54,7 @@
 }
 
 func TestAnOldWordOnLoadCountsNoMore(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	l, now := warmLoads(time.Hour), time.Hour
 	l.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
 	if x := l.Others("b", 1, now+b.Heal(reportLifetimeRatio)); x.Reporters != 1 {
@@ -66,7 +66,7 @@
 }
 
 func TestABrokenWordOnLoadIsNone(t *testing.T) {
-	l, now := NewLoadAggregator(settings.Default()), time.Hour
+	l, now := NewLoadAggregator(settings.DefaultBounds()), time.Hour
 	l.Record("a", &wire.WorkerLoads{WorkerListHash: 1, WorkerIndexes: []uint32{1, 2}, InFlight: []uint32{1}}, now)
 	l.Record("b", nil, now)
 	if x := l.Others("c", 1, now); x.Reporters != 0 {
@@ -76,7 +76,7 @@
 
 // However many names call, the memory for them is bounded, and those that still talk are heard.
 func TestLoadsOfManyNamesAreBounded(t *testing.T) {
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	l, now := NewLoadAggregator(b), time.Hour
 	for i := range 3 * maxReporters {
 		l.Record("x"+string(rune(i)), newLoads(1, 0, 1, 0, 0, 0), now)
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -32,26 +32,26 @@
 //
 // Example: daemon.Main("catalogue", "index node", need, promptindex.Start)
 func Start(l *daemon.Process) error {
-	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Place.Name, backends: contract.NewBackends(l.Dial),
+	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Settings.Name, backends: contract.NewBackends(l.Dial),
 		polling: map[string]bool{}, listed: map[string]bool{}}
-	n.actor = queue.NewActor(NewCore(l.Place.Bounds, func(k prefix.Key) bool {
+	n.actor = queue.NewActor(NewCore(l.Settings.Bounds, func(k prefix.Key) bool {
 		s := n.shards.Load()
 		return s != nil && s.IsAssigned(n.name, k)
 	}), 1024)
 	l.OnStop(n.actor.Stop)
 	l.OnStop(n.backends.Close)
 	calls := daemon.NewClients(l)
-	ros := clustermembership.Start(l.Ctx, l.Place, clustermembership.RolePromptIndex, n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
-	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Place.Runner) }, l.Place.Bounds.Heal(1.0/24), nil, updatestream.OnSeedsChanged(ros.SetSeeds))
-	l.Every(l.Place.Bounds.Heal(1.0/12), n.poll)
+	ros := clustermembership.Start(l.Ctx, l.Settings, clustermembership.RolePromptIndex, n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
+	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Settings.NodeAgent) }, l.Settings.Bounds.Heal(1.0/24), nil, updatestream.OnSeedsChanged(ros.SetSeeds))
+	l.Every(l.Settings.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
 		return func() (v float64) { n.actor.Ask(func(c *Core) { v = f(c) }); return v }
 	}
 	l.Go(func() { <-l.Draining; ros.Leave() })
 	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", count(func(c *Core) float64 { return float64(len(c.entries)) }))
-	l.Meter.Count("pebbleloom_index_gaps_total", "gaps seen in workers' reports", count(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
-	l.Meter.Count("pebbleloom_index_whole_reports_total", "full reports received", count(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
-	l.Meter.Count("pebbleloom_index_evicted_total", "entries dropped for room", count(func(c *Core) float64 { return float64(c.Stats.Evicted) }))
+	l.Meter.Counter("pebbleloom_index_gaps_total", "gaps seen in workers' reports", count(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
+	l.Meter.Counter("pebbleloom_index_whole_reports_total", "full reports received", count(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
+	l.Meter.Counter("pebbleloom_index_evicted_total", "entries dropped for room", count(func(c *Core) float64 { return float64(c.Stats.Evicted) }))
 	l.Meter.Gauge("pebbleloom_index_warm", "1 once every worker has reported everything it holds", count(func(c *Core) float64 {
 		if c.Warm() {
 			return 1
@@ -61,7 +61,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(wire.PromptIndexPathPrefix, wire.NewPromptIndexServer(n))
 	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(ros))
-	if err := l.Serve(l.Place.Listen, mux); err != nil {
+	if err := l.Serve(l.Settings.Listen, mux); err != nil {
 		return err
 	}
 	l.Ready.Store(true)
@@ -104,9 +104,9 @@
 }
 
 func (n *Node) pollWorker(addr string, q ReportRequest) {
-	ctx, end := context.WithTimeout(n.process.Ctx, n.process.Place.Bounds.Heal(1.0/6))
+	ctx, end := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(1.0/6))
 	defer end()
-	r, err := n.backends.Kept(ctx, addr, q.After, q.Full)
+	r, err := n.backends.CachedPrefixes(ctx, addr, q.After, q.Full)
 	n.actor.Ask(func(c *Core) {
 		delete(n.polling, q.Name)
 		if err == nil {
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -287,10 +287,10 @@
 func newLoopbackSite(t *testing.T, workers ...fleet.Worker) *loopbackSite {
 	t.Helper()
 	s := &loopbackSite{t: t, selector: &fakeSelector{}}
-	b := settings.Default()
-	b.TryShare, b.TryAllow = 100, 1000
-	place := settings.Place{Name: "e1", Zone: "d", Public: "front", Bounds: b, Extra: []string{"log=off"},
-		Site: &settings.Site{Ready: "ready", MemoryMB: 256, GraceMs: 8000, TransitMs: 20}}
+	b := settings.DefaultBounds()
+	b.RetryPercent, b.RetryAllowance = 100, 1000
+	place := settings.Process{Name: "e1", Zone: "d", Public: "front", Bounds: b, Options: []string{"log=off"},
+		Site: &settings.Site{ReadinessListen: "ready", MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 20}}
 	clk := clock.BootTime()
 	listen := func(name string) (net.Listener, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -67,7 +67,7 @@
 func (q *request) sendTo(c selection.Choice) *attempt {
 	a := &attempt{request: q, choice: c, startedAt: q.server.process.Clock.Now()}
 	rt := q.selection.Route
-	within := max(rt.LatencyTarget/2, q.server.process.Place.Bounds.Leave(0.05))
+	within := max(rt.LatencyTarget/2, q.server.process.Settings.Bounds.Leave(0.05))
 	ctx := context.WithValue(q.ctx, dialLimitsKey{}, dialLimits{maxConns: q.maxConns, timeout: within})
 	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.gotConn}))
 	q.server.Selector.RecordSent(&q.selection, c)
@@ -278,7 +278,7 @@
 		a.conn = nil
 		return
 	}
-	a.conn.release(a, parseKeepAlive(a.response.Header, a.request.server.process.Place.Bounds.Leave(1)))
+	a.conn.release(a, parseKeepAlive(a.response.Header, a.request.server.process.Settings.Bounds.Leave(1)))
 	a.conn = nil
 }
 
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	place := settings.Place{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.Default(), Extra: []string{"log=off"},
-		Site: &settings.Site{Ready: "127.0.0.1:0", MemoryMB: 256, GraceMs: 10, TransitMs: 120}}
+	place := settings.Process{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.DefaultBounds(), Options: []string{"log=off"},
+		Site: &settings.Site{ReadinessListen: "127.0.0.1:0", MemoryLimitMB: 256, GraceMs: 10, TransitMs: 120}}
 	world := daemon.RealEnvironment(place)
 	world.Listen = func(addr string) (net.Listener, error) {
 		if addr == "front" {
--- a/internal/data/proxy/conn.go
+++ b/internal/data/proxy/conn.go
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	p.setKeepAlive(c)
-	return newWorkerConn(c, p.process.Place.Bounds.Leave(1), func() { p.connClosed(addr) }), nil
+	return newWorkerConn(c, p.process.Settings.Bounds.Leave(1), func() { p.connClosed(addr) }), nil
 }
 
 func (p *connPool) connClosed(addr string) {
@@ -80,7 +80,7 @@
 // what was sent and isn't acknowledged ends a connection of this world by itself.
 func (p *connPool) setKeepAlive(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		b := p.process.Place.Bounds // where it can't be set, the request's own time is the bound
+		b := p.process.Settings.Bounds // where it can't be set, the request's own time is the bound
 		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: b.Leave(2.0 / 3), Interval: b.Leave(1.0 / 3), Count: 2})
 	}
 }
--- a/internal/data/proxy/events.go
+++ b/internal/data/proxy/events.go
@@ -58,7 +58,7 @@
 	if s.passthrough || alone || len(s.pending)-whole > maxBufferedEvent {
 		s.passthrough, s.canResume = true, false
 		if s.resuming {
-			return s.consume(whole), errs.New(errs.MayHaveRun, "bytes after event %q that aren't events", s.lastID)
+			return s.consume(whole), errs.New(errs.MayHaveExecuted, "bytes after event %q that aren't events", s.lastID)
 		}
 		whole = len(s.pending)
 	}
@@ -96,7 +96,7 @@
 	case id != "" && (s.lastID == "" || idIncreases(s.lastID, id)):
 		s.lastID, s.canResume = id, isNumericID(id)
 	case s.resuming:
-		return errs.New(errs.MayHaveRun, "event %q after %q: the worker didn't go on from there", id, s.lastID)
+		return errs.New(errs.MayHaveExecuted, "event %q after %q: the worker didn't go on from there", id, s.lastID)
 	case id != "":
 		s.passthrough = true
 	default:
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -66,34 +66,34 @@
 // start listens, and serves until the program stops.
 func (d *server) start() error {
 	l := d.process
-	front, err := l.Listen(l.Place.Public)
+	front, err := l.Listen(l.Settings.Public)
 	if err != nil {
-		return errs.As(err, errs.BadInput, "listen at "+l.Place.Public)
+		return errs.WrapAs(err, errs.BadInput, "listen at "+l.Settings.Public)
 	}
-	page, err := l.Listen(d.siteSettings.Ready)
+	page, err := l.Listen(d.siteSettings.ReadinessListen)
 	if err != nil {
 		front.Close()
-		return errs.As(err, errs.BadInput, "listen at "+d.siteSettings.Ready)
+		return errs.WrapAs(err, errs.BadInput, "listen at "+d.siteSettings.ReadinessListen)
 	}
 	d.serveListeners(front, page)
 	return nil
 }
 
 func newServer(l *daemon.Process, c Config) *server {
-	b := l.Place.Bounds
-	d := &server{Config: c, process: l, siteSettings: l.Place.Site, conns: newConnPool(l), memoryLimit: int64(l.Place.Site.MemoryMB) << 20 / requestMemoryDivisor}
-	d.retryBudgets = newBudgets(float64(b.TryShare)/100, float64(b.TryAllow))
-	d.misdirectedBudget = newBudgets(float64(b.TryShare)/100*misdirectedShare, float64(b.TryAllow)*misdirectedAllowance)
+	b := l.Settings.Bounds
+	d := &server{Config: c, process: l, siteSettings: l.Settings.Site, conns: newConnPool(l), memoryLimit: int64(l.Settings.Site.MemoryLimitMB) << 20 / requestMemoryDivisor}
+	d.retryBudgets = newBudgets(float64(b.RetryPercent)/100, float64(b.RetryAllowance))
+	d.misdirectedBudget = newBudgets(float64(b.RetryPercent)/100*misdirectedShare, float64(b.RetryAllowance)*misdirectedAllowance)
 	d.bufferPool.New = func() any { p := make([]byte, 8<<10); return &p }
 	l.Meter.Gauge("pebbleloom_requests", "requests under way", func() float64 { return float64(d.inFlight.Load()) })
-	l.Meter.Count("pebbleloom_extra_attempts_total", "attempts beyond the first of a request", func() float64 { return float64(d.retries.Load()) })
-	l.Meter.Count("pebbleloom_resumed_total", "streams that another worker went on with", func() float64 { return float64(d.resumedStreams.Load()) })
+	l.Meter.Counter("pebbleloom_extra_attempts_total", "attempts beyond the first of a request", func() float64 { return float64(d.retries.Load()) })
+	l.Meter.Counter("pebbleloom_resumed_total", "streams that another worker went on with", func() float64 { return float64(d.resumedStreams.Load()) })
 	return d
 }
 
 // serveListeners keeps the server open until the program stops, and then sees out what runs.
 func (d *server) serveListeners(front, page net.Listener) {
-	ready := &http.Server{Handler: http.HandlerFunc(d.serveReadiness), ReadHeaderTimeout: d.process.Place.Bounds.Heal(0.25), ErrorLog: discardLogger()}
+	ready := &http.Server{Handler: http.HandlerFunc(d.serveReadiness), ReadHeaderTimeout: d.process.Settings.Bounds.Heal(0.25), ErrorLog: discardLogger()}
 	d.process.Go(func() { d.serveHTTP(ready, page) })
 	d.process.OnStop(func() { ready.Close() })
 	opened := make(chan *http.Server, 1)
@@ -117,10 +117,10 @@
 // awaitLimits are the first plan's, if it and its proof come soon; until then connections wait at the
 // listener: what would have to be rejected is served a moment later.
 func (d *server) awaitLimits() routingconfig.Limits {
-	b := d.process.Place.Bounds
+	b := d.process.Settings.Bounds
 	step := b.Config(firstPlanRatio / 25)
 	for range 25 {
-		if p := d.currentPlan(); p != nil && (!d.siteSettings.Revokes || d.Snapshot().ProofAt > 0) {
+		if p := d.currentPlan(); p != nil && (!d.siteSettings.EnforceRevocation || d.Snapshot().ProofAt > 0) {
 			l := p.Limits
 			if l.HeaderBytes > 0 && l.HeaderTime > 0 && l.IdleTime > 0 {
 				return l
@@ -150,8 +150,8 @@
 // it, then none, and what runs may end while the grace lasts.
 func (d *server) drain(ctx context.Context, s *http.Server) {
 	d.draining.Store(true)
-	clock.Sleep(ctx, settings.Of(d.siteSettings.GraceMs, lameDuckRatio))
-	ctx, stop := context.WithTimeout(ctx, settings.Of(d.siteSettings.GraceMs, drainRatio))
+	clock.Sleep(ctx, settings.Fraction(d.siteSettings.GraceMs, lameDuckRatio))
+	ctx, stop := context.WithTimeout(ctx, settings.Fraction(d.siteSettings.GraceMs, drainRatio))
 	defer stop()
 	if err := s.Shutdown(ctx); err != nil {
 		d.process.Log.Warn("cut at the end of the grace", "requests", d.inFlight.Load())
@@ -168,7 +168,7 @@
 
 // maxKeyProofAge is how old the proof may be by which a key is taken for good.
 func (d *server) maxKeyProofAge() time.Duration {
-	return settings.Of(d.process.Place.Bounds.KeyMs, keyProofRatio)
+	return settings.Fraction(d.process.Settings.Bounds.KeyRevocationMs, keyProofRatio)
 }
 
 // serveReadiness answers whether this machine can serve.
@@ -189,7 +189,7 @@
 	if s == nil || s.Plan == nil || d.draining.Load() {
 		return false
 	}
-	if d.siteSettings.Revokes && !proofIsFresh(s, d.process.Clock.Now(), d.maxKeyProofAge()) {
+	if d.siteSettings.EnforceRevocation && !proofIsFresh(s, d.process.Clock.Now(), d.maxKeyProofAge()) {
 		return false
 	}
 	if !d.wasReady.Load() && hasRoutedWorker(s) { // once: workers that go are no reason to send clients away
--- a/internal/data/proxy/leave_test.go
+++ b/internal/data/proxy/leave_test.go
@@ -131,7 +131,7 @@
 // short while at the most: what comes just before it is served, not denied.
 func TestListenerWaitsForTheFirstProof(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
-		b := s.process.Place.Bounds
+		b := s.process.Settings.Bounds
 		for _, x := range []struct {
 			name    string
 			revokes bool
@@ -145,7 +145,7 @@
 			{"no proof is asked for", false, time.Hour, 0, 0},
 		} {
 			site := *s.server.siteSettings // the open server reads its own
-			site.Revokes = x.revokes
+			site.EnforceRevocation = x.revokes
 			d := &server{Config: s.server.Config, process: s.process, siteSettings: &site}
 			if x.proof > 0 {
 				s.set(func(n *fleet.Snapshot) { n.ProofAt = 0 })
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -54,10 +54,10 @@
 func (d *server) accept(w http.ResponseWriter, r *http.Request) *request {
 	q := &request{server: d, writer: w, controller: http.NewResponseController(w), incoming: r, receivedAt: d.process.Clock.Now(), tried: map[string]bool{},
 		stopWriteDeadline: func() bool { return true }}
-	q.selection.ID, q.selection.Zone = r.Header.Get(d.Headers.ID), d.process.Place.Zone
+	q.selection.ID, q.selection.Zone = r.Header.Get(d.Headers.ID), d.process.Settings.Zone
 	s := d.Snapshot()
 	if s == nil || s.Plan == nil {
-		q.reject(errs.NotRun, "no plan is known here yet", d.process.Place.Bounds.Config(0.1))
+		q.reject(errs.NotExecuted, "no plan is known here yet", d.process.Settings.Bounds.Config(0.1))
 		return nil
 	}
 	if !q.admit(s) || !q.readBody(s.Plan) {
@@ -69,7 +69,7 @@
 		return nil
 	}
 	q.readPromptHeaders()
-	q.ctx, q.cancel = context.WithTimeout(r.Context(), q.deadline-q.receivedAt+settings.Of(d.siteSettings.TransitMs, 0.5))
+	q.ctx, q.cancel = context.WithTimeout(r.Context(), q.deadline-q.receivedAt+settings.Fraction(d.siteSettings.TransitMs, 0.5))
 	return q
 }
 
@@ -85,7 +85,7 @@
 // admit finds the route and tenant under a plan.
 func (q *request) admit(s *fleet.Snapshot) bool {
 	d, r := q.server, q.incoming
-	b := d.process.Place.Bounds
+	b := d.process.Settings.Bounds
 	known := proofIsFresh(s, q.receivedAt, d.maxKeyProofAge())
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
@@ -97,8 +97,8 @@
 	}
 	q.selection.Route, q.selection.Tenant = route, nil
 	if !route.Public && len(s.Plan.Tenants) > 0 {
-		if d.siteSettings.Revokes && !known {
-			q.reject(errs.NotRun, "it can't be proven here that the key is still good", b.Config(0.1))
+		if d.siteSettings.EnforceRevocation && !known {
+			q.reject(errs.NotExecuted, "it can't be proven here that the key is still good", b.Config(0.1))
 			return false
 		}
 		if q.selection.Tenant, ok = s.Plan.TenantByKey(d.Headers.bearerKey(r)); !ok {
@@ -121,7 +121,7 @@
 // rejectUnknown rejects what the plan doesn't know. A plan that nobody vouches for can't say that.
 func (q *request) rejectUnknown(known bool, k *errs.Kind, why string) bool {
 	if !known {
-		q.reject(errs.NotRun, "the plan known here may be old, and "+why, q.server.process.Place.Bounds.Config(0.1))
+		q.reject(errs.NotExecuted, "the plan known here may be old, and "+why, q.server.process.Settings.Bounds.Config(0.1))
 		return false
 	}
 	q.reject(k, why, 0)
@@ -132,12 +132,12 @@
 func (q *request) readBody(p *routingconfig.Plan) bool {
 	limit := int64(p.Limits.BodyBytes)
 	if limit <= 0 {
-		limit = int64(q.server.process.Place.Bounds.BodyKB) << 10
+		limit = int64(q.server.process.Settings.Bounds.MaxBodyKB) << 10
 	}
 	n := q.incoming.ContentLength
 	if n > limit {
 		q.writer.Header().Set("Connection", "close")
-		q.reject(errs.TooBig, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
+		q.reject(errs.TooLarge, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
 		return false
 	}
 	q.chunked = n < 0
@@ -158,16 +158,16 @@
 		_, err = io.ReadFull(q.incoming.Body, q.body)
 	}
 	if !slow.Stop() {
-		err = errors.Join(err, errs.New(errs.Expired, "read body"))
+		err = errors.Join(err, errs.New(errs.DeadlineExceeded, "read body"))
 	}
 	switch {
 	case err != nil:
 		q.writer.Header().Set("Connection", "close")
-		q.reject(errs.NotRun, "the body didn't come whole in time", q.retryAfter())
+		q.reject(errs.NotExecuted, "the body didn't come whole in time", q.retryAfter())
 		return false
 	case int64(len(q.body)) > limit:
 		q.writer.Header().Set("Connection", "close")
-		q.reject(errs.TooBig, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
+		q.reject(errs.TooLarge, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
 		return false
 	}
 	return !q.chunked || q.reserveMemory(int64(len(q.body)))
@@ -207,7 +207,7 @@
 		return q.capacityExpectedIn
 	}
 	if q.selection.Route == nil || q.selection.Route.LatencyTarget <= 0 {
-		return q.server.process.Place.Bounds.Config(0.1)
+		return q.server.process.Settings.Bounds.Config(0.1)
 	}
 	return q.selection.Route.LatencyTarget / 4
 }
@@ -226,12 +226,12 @@
 	if q.selection.ID != "" {
 		h.Set(q.server.Headers.ID, q.selection.ID)
 	}
-	if wait > 0 && k.HTTP == http.StatusServiceUnavailable {
+	if wait > 0 && k.HTTPStatus == http.StatusServiceUnavailable {
 		h.Set("Retry-After", formatRetryAfter(wait))
 	}
 	q.server.process.Meter.Rejected(k)
 	text := errs.Text(errs.New(k, "%s", why)) + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	q.writer.WriteHeader(k.HTTP)
+	q.writer.WriteHeader(k.HTTPStatus)
 	_, _ = io.WriteString(q.writer, text)
 }
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -178,7 +178,7 @@
 // A key is taken only under a plan that was proven newest less than a ratio of the bound ago.
 func TestKeyNeedsFreshProof(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
-		bound := time.Duration(float64(s.process.Place.Bounds.KeyMs)*keyProofRatio) * time.Millisecond
+		bound := time.Duration(float64(s.process.Settings.Bounds.KeyRevocationMs)*keyProofRatio) * time.Millisecond
 		for _, x := range []struct {
 			route, key string
 			age        time.Duration
@@ -189,7 +189,7 @@
 			{"private", "bad", bound - time.Millisecond, true, 401}, {"private", "bad", bound, true, 503}, {"private", "bad", bound, false, 503},
 			{"private", "", 0, true, 401}, {"once", "", bound + time.Hour, true, 200}, {"nowhere", "good", 0, true, 404}, {"nowhere", "good", bound, true, 503},
 		} {
-			s.process.Place.Site.Revokes = x.revokes
+			s.process.Settings.Site.EnforceRevocation = x.revokes
 			s.set(func(n *fleet.Snapshot) { n.ProofAt = s.process.Clock.Now() - x.age })
 			if x.age > s.process.Clock.Now() {
 				s.set(func(n *fleet.Snapshot) { n.ProofAt = 0 })
@@ -333,10 +333,10 @@
 			_, _ = io.WriteString(c, postRequest("once", "a1", "body"))
 			synctest.Wait()
 		}
-		if a := s.send(postRequest("once", "a3", "body")); a.status != errs.Overloaded.HTTP || a.head.Get("Retry-After") == "" {
+		if a := s.send(postRequest("once", "a3", "body")); a.status != errs.Overloaded.HTTPStatus || a.head.Get("Retry-After") == "" {
 			t.Errorf("%+v", a)
 		}
-		if a := s.send("POST /once/x HTTP/1.1\r\nHost: any.example\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("body") + "0\r\n\r\n"); a.status != errs.Overloaded.HTTP {
+		if a := s.send("POST /once/x HTTP/1.1\r\nHost: any.example\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("body") + "0\r\n\r\n"); a.status != errs.Overloaded.HTTPStatus {
 			t.Errorf("%+v", a)
 		}
 		for _, c := range cs {
--- a/internal/data/proxy/serve.go
+++ b/internal/data/proxy/serve.go
@@ -112,11 +112,11 @@
 	case k != nil && (k.executed || !q.mayHaveExecuted):
 		q.respondBuffered(k)
 	case q.mayHaveExecuted && (q.ctx.Err() == context.DeadlineExceeded || q.timeRemaining() <= 0):
-		q.reject(errs.Expired, "time ran out while a worker may have been at work", 0)
+		q.reject(errs.DeadlineExceeded, "time ran out while a worker may have been at work", 0)
 	case q.mayHaveExecuted:
-		q.reject(errs.MayHaveRun, "a worker took the request and gave no whole answer", 0)
+		q.reject(errs.MayHaveExecuted, "a worker took the request and gave no whole answer", 0)
 	default:
-		q.reject(errs.NotRun, "no worker took the request", q.retryAfter())
+		q.reject(errs.NotExecuted, "no worker took the request", q.retryAfter())
 	}
 }
 
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -234,10 +234,10 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &testSite{t: t, network: &pipeNetwork{listeners: map[string]*pipeListener{}, dials: map[string]int{}}, selector: &fakeSelector{}}
-		b := settings.Default()
-		b.TryShare, b.TryAllow = 100, 100
-		place := settings.Place{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Extra: []string{"log=off"},
-			Site: &settings.Site{Ready: readyAt, MemoryMB: 256, GraceMs: 8000, TransitMs: 120, Revokes: true}}
+		b := settings.DefaultBounds()
+		b.RetryPercent, b.RetryAllowance = 100, 100
+		place := settings.Process{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Options: []string{"log=off"},
+			Site: &settings.Site{ReadinessListen: readyAt, MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 120, EnforceRevocation: true}}
 		clk := clock.Synctest()
 		s.process = daemon.NewIn(daemon.Environment{Clock: clk, Listen: s.network.Listen, Dial: s.network.Dial}, "edge", place)
 		snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), Edges: 1}
--- a/internal/data/selection/once_test.go
+++ b/internal/data/selection/once_test.go
@@ -34,7 +34,7 @@
 	h := &hall{s: fleetOf(n), r: rand.New(rand.NewPCG(seed, 3)), kept: map[string]map[prefix.Key]time.Duration{}, ever: map[prefix.Key]bool{},
 		saves: map[prefix.Key]int{}, lag: time.Second}
 	for range edges {
-		h.edges = append(h.edges, &edge{table: newTable(settings.Default(), start), s: h.s})
+		h.edges = append(h.edges, &edge{table: newTable(settings.DefaultBounds(), start), s: h.s})
 	}
 	return h
 }
--- a/internal/data/selection/partmemory.go
+++ b/internal/data/selection/partmemory.go
@@ -151,7 +151,7 @@
 	}
 	t.lastSweep = now
 	for k, w := range t.inFlight {
-		if now-w.sentAt > t.bounds.Once(1.0/2) {
+		if now-w.sentAt > t.bounds.RequestIDRetention(1.0/2) {
 			w.stats.inFlight--
 			w.stats.pendingPrefills = slices.DeleteFunc(w.stats.pendingPrefills, func(u pendingPrefill) bool { return u.attempt == k })
 			delete(t.inFlight, k)
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -134,11 +134,11 @@
 //
 // Example: p := selection.New(process, indexclient.New(process, nodes), place.Name)
 func New(l *daemon.Process, c *indexclient.Client, self string) Selector {
-	t := newTable(l.Place.Bounds, l.Clock.Now())
-	if x := l.Place.Site; x != nil {
-		t.unboundUntil = t.startedAt + settings.Of(x.ContactMs, freePart)
+	t := newTable(l.Settings.Bounds, l.Clock.Now())
+	if x := l.Settings.Site; x != nil {
+		t.unboundUntil = t.startedAt + settings.Fraction(x.ContactWindowMs, freePart)
 	}
-	p := &selector{clock: l.Clock, bounds: l.Place.Bounds, index: c, actor: queue.NewActor(t, 1024)}
+	p := &selector{clock: l.Clock, bounds: l.Settings.Bounds, index: c, actor: queue.NewActor(t, 1024)}
 	l.OnStop(p.actor.Stop)
 	c.ShareLoads(p.loads, p.receiveLoads)
 	return p
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -39,7 +39,7 @@
 }
 
 func newEdge(s *fleet.Snapshot) *edge {
-	return &edge{table: newTable(settings.Default(), start), s: s, now: start + time.Minute, found: map[prefix.Key]*wire.LookupResult{}}
+	return &edge{table: newTable(settings.DefaultBounds(), start), s: s, now: start + time.Minute, found: map[prefix.Key]*wire.LookupResult{}}
 }
 
 var route = &routingconfig.Route{Kind: routingconfig.EventStream, LatencyTarget: 400 * time.Millisecond, Priority: 4, NamesPromptParts: true}
--- a/internal/data/selection/share_test.go
+++ b/internal/data/selection/share_test.go
@@ -19,9 +19,9 @@
 }
 
 func newRing(workers, edges int) *ring {
-	r := &ring{l: promptindex.NewLoadAggregator(settings.Default()), now: start + time.Minute}
+	r := &ring{l: promptindex.NewLoadAggregator(settings.DefaultBounds()), now: start + time.Minute}
 	for _, part := range []float64{1.0 / 15, 1.0 / 30} { // it has heard words for a while
-		r.l.Record("before", &wire.WorkerLoads{}, r.now-settings.Default().Heal(part))
+		r.l.Record("before", &wire.WorkerLoads{}, r.now-settings.DefaultBounds().Heal(part))
 	}
 	s := fleetOf(workers)
 	s.Edges = edges
@@ -87,7 +87,7 @@
 	if n := r.selected(300)["w3"]; n > 0 {
 		t.Errorf("selected %d times", n)
 	}
-	r.now += settings.Default().Heal(2) // it comes back in the end
+	r.now += settings.DefaultBounds().Heal(2) // it comes back in the end
 	if n := r.selected(300)["w3"]; n == 0 {
 		t.Error("never selected again")
 	}
--- a/internal/data/selection/weights_test.go
+++ b/internal/data/selection/weights_test.go
@@ -237,7 +237,7 @@
 // is left on time, and what was superseded by the newest alone has its own bound.
 func TestNamedAgainBeforeTheBoundIsOver(t *testing.T) {
 	s := fleetOf(4) // all of them have version 1
-	first, second := start+time.Minute, start+time.Minute+settings.Default().Weights(0.6)
+	first, second := start+time.Minute, start+time.Minute+settings.DefaultBounds().Weights(0.6)
 	s.Named["m"], s.NamedAt["m"] = 3, second
 	s.Superseding = map[string][]fleet.NamedVersion{"m": {{Version: 2, At: first}}}
 	s.Workers = append([]fleet.Worker(nil), s.Workers...)
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -109,7 +109,7 @@
 		one, end := context.WithTimeout(ctx, 2*hold+time.Second)
 		l := link()
 		var t *wire.FeedResponse
-		err := errs.New(errs.CantSay, "no node agent is known yet")
+		err := errs.New(errs.OutcomeUnknown, "no node agent is known yet")
 		if l != nil {
 			t, err = l.Feed(one, a)
 		}
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -12,51 +12,51 @@
 
 // Kind is a type of error that people act on.
 type Kind struct {
-	Name   string // stable word, used in JSON and tests
-	Remedy string // what to do about it
-	HTTP   int    // status towards clients and operators
-	Exit   int    // exit code of the command line
+	Name       string // stable word, used in JSON and tests
+	Remedy     string // what to do about it
+	HTTPStatus int    // status towards clients and operators
+	ExitCode   int    // exit code of the command line
 }
 
 // The kinds in use. Exit codes are stable.
 var (
-	BadInput   = &Kind{"bad-input", "correct the named fields and send it again", 400, 2}
-	BadKey     = &Kind{"bad-key", "use a key that the configuration in force lists for the tenant", 401, 3}
-	NotOurs    = &Kind{"bad-operator-key", "give the operators' key of this site: --operator-key FILE or PEBBLELOOM_KEY", 401, 3}
-	NoModel    = &Kind{"no-such-model", "name a model that the configuration in force routes", 404, 4}
-	NotFound   = &Kind{"not-found", "check the name with the matching list command", 404, 4}
-	Conflict   = &Kind{"epoch-conflict", "read the configuration back, redo the change on the version in force, apply again", 409, 5}
-	TooBig     = &Kind{"too-big", "send less: the bound is in the message", 413, 2}
-	OverBudget = &Kind{"over-budget", "wait as long as Retry-After says, or raise the tenant's budget", 429, 6}
-	Overloaded = &Kind{"overloaded", "wait as long as Retry-After says, then ask again", 503, 6}
-	Expired    = &Kind{"expired", "ask again with a longer wait, or when load is lower", 504, 6}
-	NotRun     = &Kind{"not-run", "nothing ran: ask again after Retry-After", 503, 6}
-	MayHaveRun = &Kind{"may-have-run", "find out whether it took effect before asking again", 502, 7}
-	CantSay    = &Kind{"cant-say", "no majority of the shard answers: check the core machines with `desk nodes`", 503, 8}
-	NotAsDue   = &Kind{"not-as-due", "do what the step says, then go on with --resume", 409, 1}
-	NotHere    = &Kind{"not-here", "this kind of site has no such thing: use what the message names instead", 501, 10}
-	DiskBad    = &Kind{"disk-bad", "free or replace the disk, clear the data folder, restart the member", 500, 9}
-	Inside     = &Kind{"inside", "look at this process's log for the step named here", 500, 9}
+	BadInput         = &Kind{"bad-input", "correct the named fields and send it again", 400, 2}
+	BadKey           = &Kind{"bad-key", "use a key that the configuration in force lists for the tenant", 401, 3}
+	BadOperatorKey   = &Kind{"bad-operator-key", "give the operators' key of this site: --operator-key FILE or PEBBLELOOM_KEY", 401, 3}
+	NoSuchModel      = &Kind{"no-such-model", "name a model that the configuration in force routes", 404, 4}
+	NotFound         = &Kind{"not-found", "check the name with the matching list command", 404, 4}
+	Conflict         = &Kind{"epoch-conflict", "read the configuration back, redo the change on the version in force, apply again", 409, 5}
+	TooLarge         = &Kind{"too-big", "send less: the bound is in the message", 413, 2}
+	RateLimited      = &Kind{"over-budget", "wait as long as Retry-After says, or raise the tenant's budget", 429, 6}
+	Overloaded       = &Kind{"overloaded", "wait as long as Retry-After says, then ask again", 503, 6}
+	DeadlineExceeded = &Kind{"expired", "ask again with a longer wait, or when load is lower", 504, 6}
+	NotExecuted      = &Kind{"not-run", "nothing ran: ask again after Retry-After", 503, 6}
+	MayHaveExecuted  = &Kind{"may-have-run", "find out whether it took effect before asking again", 502, 7}
+	OutcomeUnknown   = &Kind{"cant-say", "no majority of the shard answers: check the core machines with `desk nodes`", 503, 8}
+	CheckFailed      = &Kind{"not-as-due", "do what the step says, then go on with --resume", 409, 1}
+	NotSupported     = &Kind{"not-here", "this kind of site has no such thing: use what the message names instead", 501, 10}
+	DiskFailure      = &Kind{"disk-bad", "free or replace the disk, clear the data folder, restart the member", 500, 9}
+	Internal         = &Kind{"inside", "look at this process's log for the step named here", 500, 9}
 )
 
 // Kinds lists every kind, for documentation and for decoding a name.
 //
 // Example: for _, k := range errs.Kinds() { fmt.Println(k.Name, k.Exit) }
 func Kinds() []*Kind {
-	return []*Kind{BadInput, BadKey, NotOurs, NoModel, NotFound, Conflict, TooBig, OverBudget, Overloaded,
-		Expired, NotRun, MayHaveRun, CantSay, NotAsDue, NotHere, DiskBad, Inside}
+	return []*Kind{BadInput, BadKey, BadOperatorKey, NoSuchModel, NotFound, Conflict, TooLarge, RateLimited, Overloaded,
+		DeadlineExceeded, NotExecuted, MayHaveExecuted, OutcomeUnknown, CheckFailed, NotSupported, DiskFailure, Internal}
 }
 
-// Named returns the kind with that name, or Inside.
+// KindNamed returns the kind with that name, or Inside.
 //
-// Example: errs.Named("not-run") == errs.NotRun
-func Named(s string) *Kind {
+// Example: errs.Named("not-run") == errs.NotExecuted
+func KindNamed(s string) *Kind {
 	for _, k := range Kinds() {
 		if k.Name == s {
 			return k
 		}
 	}
-	return Inside
+	return Internal
 }
 
 type kindKey struct{}
@@ -78,10 +78,10 @@
 	return merry.Prepend(err, step, merry.NoCaptureStack())
 }
 
-// As wraps an error under a kind.
+// WrapAs wraps an error under a kind.
 //
-// Example: return errs.As(err, errs.DiskBad, "sync log")
-func As(err error, k *Kind, step string) error {
+// Example: return errs.As(err, errs.DiskFailure, "sync log")
+func WrapAs(err error, k *Kind, step string) error {
 	if err == nil {
 		return nil
 	}
@@ -95,7 +95,7 @@
 	if k, ok := merry.Value(err, kindKey{}).(*Kind); ok {
 		return k
 	}
-	return Inside
+	return Internal
 }
 
 // Text is an error's message with its remedy.
@@ -106,41 +106,43 @@
 }
 
 // Batch collects the errors of one step; the step checks it once, at its end.
-type Batch struct{ all []error }
+type Batch struct{ errors []error }
 
-// Note records an error, if it is one, under the name of the step.
+// Add records an error, if it is one, under the name of the step.
 //
 // Example: b.Note("listen", err)
-func (b *Batch) Note(step string, err error) {
+func (b *Batch) Add(step string, err error) {
 	if err != nil {
-		b.all = append(b.all, Wrap(err, step))
+		b.errors = append(b.errors, Wrap(err, step))
 	}
 }
 
-// Fault records a new error of a kind.
+// Addf records a new error of a kind.
 //
 // Example: b.Fault(errs.BadInput, "%s: unknown zone", path)
-func (b *Batch) Fault(k *Kind, format string, a ...any) { b.all = append(b.all, New(k, format, a...)) }
+func (b *Batch) Addf(k *Kind, format string, a ...any) {
+	b.errors = append(b.errors, New(k, format, a...))
+}
 
-// Look returns nil if nothing was recorded, else one error that lists all under the first one's kind.
+// Err returns nil if nothing was recorded, else one error that lists all under the first one's kind.
 //
 // Example: if err := b.Look(); err != nil { return err }
-func (b *Batch) Look() error {
-	if len(b.all) == 0 {
+func (b *Batch) Err() error {
+	if len(b.errors) == 0 {
 		return nil
 	}
-	if len(b.all) == 1 {
-		return b.all[0]
+	if len(b.errors) == 1 {
+		return b.errors[0]
 	}
-	return As(errors.New(strings.Join(b.Lines(), "; ")), KindOf(b.all[0]), fmt.Sprintf("%d faults", len(b.all)))
+	return WrapAs(errors.New(strings.Join(b.Lines(), "; ")), KindOf(b.errors[0]), fmt.Sprintf("%d faults", len(b.errors)))
 }
 
 // Lines returns one line per error.
 //
 // Example: for _, l := range b.Lines() { fmt.Println(l) }
 func (b *Batch) Lines() []string {
-	l := make([]string, 0, len(b.all))
-	for _, e := range b.all {
+	l := make([]string, 0, len(b.errors))
+	for _, e := range b.errors {
 		l = append(l, e.Error())
 	}
 	return l
--- a/internal/fleet/pack.go
+++ b/internal/fleet/pack.go
@@ -45,7 +45,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(document.Body)), maxDecompressedBytes+1))
 	if err != nil || len(body) > maxDecompressedBytes {
-		return nil, errs.New(errs.Inside, "document %s can't be unpacked", document.Key)
+		return nil, errs.New(errs.Internal, "document %s can't be unpacked", document.Key)
 	}
 	return &wire.Document{Key: document.Key, Body: body, Version: document.Version}, nil
 }
--- a/internal/runbook/book.go
+++ b/internal/runbook/book.go
@@ -13,8 +13,8 @@
 	"pebbleloom/internal/queue"
 )
 
-// Book is one runbook.
-type Book struct {
+// Runbook is one runbook.
+type Runbook struct {
 	Name   string            `json:"name"`
 	When   string            `json:"when"`   // the problem it is for
 	Params map[string]string `json:"params"` // name -> what it means
@@ -23,15 +23,15 @@
 
 // Step is one typed step.
 type Step struct {
-	Type    string            `json:"type"`            // check, wait, do, confirm
-	Text    string            `json:"text"`            // for people
-	Of      string            `json:"of,omitempty"`    // check, wait: one of Views
-	Match   map[string]string `json:"match,omitempty"` // rows whose fields are these; "!x" is: not x; "x*": begins with x
-	AtLeast *int              `json:"at_least,omitempty"`
-	AtMost  *int              `json:"at_most,omitempty"`
-	WithinS int               `json:"within_s,omitempty"` // wait
-	Action  string            `json:"action,omitempty"`   // do: see Actions
-	Args    map[string]string `json:"args,omitempty"`
+	Type          string            `json:"type"`            // check, wait, do, confirm
+	Text          string            `json:"text"`            // for people
+	View          string            `json:"of,omitempty"`    // check, wait: one of Views
+	Match         map[string]string `json:"match,omitempty"` // rows whose fields are these; "!x" is: not x; "x*": begins with x
+	Min           *int              `json:"at_least,omitempty"`
+	Max           *int              `json:"at_most,omitempty"`
+	WithinSeconds int               `json:"within_s,omitempty"` // wait
+	Action        string            `json:"action,omitempty"`   // do: see Actions
+	Args          map[string]string `json:"args,omitempty"`
 }
 
 // Views are what steps can check.
@@ -50,19 +50,19 @@
 }
 
 //go:embed books/*.json
-var files embed.FS
+var builtinFiles embed.FS
 
-// Shipped reads the runbooks that are part of the programs.
+// Builtin reads the runbooks that are part of the programs.
 //
 // Example: l, err := runbook.Shipped()
-func Shipped() ([]Book, error) {
-	es, err := files.ReadDir("books")
+func Builtin() ([]Runbook, error) {
+	es, err := builtinFiles.ReadDir("books")
 	if err != nil {
 		return nil, errs.Wrap(err, "list runbooks")
 	}
-	var l []Book
+	var l []Runbook
 	for _, e := range es {
-		raw, err := files.ReadFile("books/" + e.Name())
+		raw, err := builtinFiles.ReadFile("books/" + e.Name())
 		if err != nil {
 			return nil, errs.Wrap(err, "read runbook")
 		}
@@ -81,34 +81,34 @@
 // Read decodes and checks a runbook.
 //
 // Example: b, err := runbook.Read(raw)
-func Read(raw []byte) (*Book, error) {
-	b := &Book{}
+func Read(raw []byte) (*Runbook, error) {
+	b := &Runbook{}
 	d := json.NewDecoder(strings.NewReader(string(raw)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(b); err != nil {
-		return nil, errs.As(err, errs.BadInput, "runbook")
+		return nil, errs.WrapAs(err, errs.BadInput, "runbook")
 	}
 	var f errs.Batch
-	b.check(&f)
-	return b, f.Look()
+	b.validate(&f)
+	return b, f.Err()
 }
 
-var param = regexp.MustCompile(`\{([a-z_]+)\}`)
+var parameterPattern = regexp.MustCompile(`\{([a-z_]+)\}`)
 
-func (b *Book) check(f *errs.Batch) {
+func (b *Runbook) validate(f *errs.Batch) {
 	if b.Name == "" || b.When == "" || len(b.Steps) == 0 {
-		f.Fault(errs.BadInput, "name, when, steps: give all three")
+		f.Addf(errs.BadInput, "name, when, steps: give all three")
 	}
 	used := map[string]bool{}
 	for i, s := range b.Steps {
 		bad := func(format string, a ...any) {
-			f.Fault(errs.BadInput, "steps[%d]: %s", i, fmt.Sprintf(format, a...))
+			f.Addf(errs.BadInput, "steps[%d]: %s", i, fmt.Sprintf(format, a...))
 		}
 		if s.Text == "" {
 			bad("text: say what it is for")
 		}
 		for _, t := range s.texts() {
-			for _, m := range param.FindAllStringSubmatch(t, -1) {
+			for _, m := range parameterPattern.FindAllStringSubmatch(t, -1) {
 				if used[m[1]] = true; b.Params[m[1]] == "" {
 					bad("{%s}: no such parameter: describe it under params", m[1])
 				}
@@ -118,16 +118,16 @@
 		case "check", "wait":
 			known := false
 			for _, v := range Views() {
-				known = known || v == s.Of
+				known = known || v == s.View
 			}
 			if !known {
-				bad("of: %q: give one of %v", s.Of, Views())
+				bad("of: %q: give one of %v", s.View, Views())
 			}
-			if s.AtLeast == nil && s.AtMost == nil {
+			if s.Min == nil && s.Max == nil {
 				bad("at_least, at_most: give one or both")
 			}
-			if s.Type == "wait" && (s.WithinS < 1 || s.WithinS > 3600) {
-				bad("within_s: %d: give 1 to 3600", s.WithinS)
+			if s.Type == "wait" && (s.WithinSeconds < 1 || s.WithinSeconds > 3600) {
+				bad("within_s: %d: give 1 to 3600", s.WithinSeconds)
 			}
 		case "do":
 			need, ok := Actions()[s.Action]
@@ -146,7 +146,7 @@
 	}
 	for _, n := range queue.Keys(b.Params) {
 		if !used[n] {
-			f.Fault(errs.BadInput, "params.%s: no step uses it: remove it", n)
+			f.Addf(errs.BadInput, "params.%s: no step uses it: remove it", n)
 		}
 	}
 }
@@ -161,26 +161,26 @@
 	return l
 }
 
-// Fill substitutes parameters; missing and unknown ones are rejected by name.
+// Substitute substitutes parameters; missing and unknown ones are rejected by name.
 //
 // Example: b2, err := b.Fill(map[string]string{"worker": "worker-3"})
-func (b *Book) Fill(set map[string]string) (*Book, error) {
+func (b *Runbook) Substitute(set map[string]string) (*Runbook, error) {
 	var f errs.Batch
 	for _, n := range queue.Keys(b.Params) {
 		if set[n] == "" {
-			f.Fault(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", n, b.Params[n], n)
+			f.Addf(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", n, b.Params[n], n)
 		}
 	}
 	for _, n := range queue.Keys(set) {
 		if _, ok := b.Params[n]; !ok {
-			f.Fault(errs.BadInput, "parameter %s is unknown: this runbook takes %v", n, queue.Keys(b.Params))
+			f.Addf(errs.BadInput, "parameter %s is unknown: this runbook takes %v", n, queue.Keys(b.Params))
 		}
 	}
-	if err := f.Look(); err != nil {
+	if err := f.Err(); err != nil {
 		return nil, err
 	}
 	put := func(t string) string {
-		return param.ReplaceAllStringFunc(t, func(m string) string { return set[m[1:len(m)-1]] })
+		return parameterPattern.ReplaceAllStringFunc(t, func(m string) string { return set[m[1:len(m)-1]] })
 	}
 	fill := func(m map[string]string) map[string]string {
 		o := map[string]string{}
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -18,20 +18,20 @@
 	Pause(second int) // one second of a wait passes
 }
 
-// Line is one line of a run's record.
-type Line struct {
+// RecordEntry is one line of a run's record.
+type RecordEntry struct {
 	// Run executes a runbook from a step on. Every step is recorded as begun before, and as done after; a
 	// dry run only checks, and neither waits, acts nor asks. Each action has a token of its own, so that
 	// one whose response was lost isn't executed twice by resuming.
-	Run    string            `json:"run"`
-	Book   string            `json:"book"`
-	Set    map[string]string `json:"set,omitempty"`
-	Step   int               `json:"step"`
-	Type   string            `json:"type"`
-	Text   string            `json:"text"`
-	State  string            `json:"state"` // begun, done, failed, refused, planned
-	Detail string            `json:"detail,omitempty"`
-	At     string            `json:"at"`
+	Run     string            `json:"run"`
+	Runbook string            `json:"book"`
+	Params  map[string]string `json:"set,omitempty"`
+	Step    int               `json:"step"`
+	Type    string            `json:"type"`
+	Text    string            `json:"text"`
+	State   string            `json:"state"` // begun, done, failed, refused, planned
+	Detail  string            `json:"detail,omitempty"`
+	At      string            `json:"at"`
 }
 
 // Run carries a book out from a step on. Every step is recorded as begun before, and as
@@ -39,8 +39,8 @@
 // token of its own, so that one whose answer was lost isn't made twice by going on.
 //
 // Example: err := runbook.Run(book, set, "r-1", 0, false, world, record)
-func Run(b *Book, set map[string]string, run string, from int, dry bool, w Environment, record func(Line) error) error {
-	f, err := b.Fill(set)
+func Run(b *Runbook, set map[string]string, run string, from int, dry bool, w Environment, record func(RecordEntry) error) error {
+	f, err := b.Substitute(set)
 	if err != nil {
 		return err
 	}
@@ -49,10 +49,10 @@
 			continue
 		}
 		note := func(state, detail string) error {
-			return errs.Wrap(record(Line{Run: run, Book: b.Name, Set: set, Step: i, Type: s.Type, Text: s.Text, State: state, Detail: detail}), "record")
+			return errs.Wrap(record(RecordEntry{Run: run, Runbook: b.Name, Params: set, Step: i, Type: s.Type, Text: s.Text, State: state, Detail: detail}), "record")
 		}
 		if dry && s.Type != "check" {
-			if err := note("planned", strings.TrimSpace(s.Action+" "+flat(s.Args)+flat(s.Match))); err != nil {
+			if err := note("planned", strings.TrimSpace(s.Action+" "+formatPairs(s.Args)+formatPairs(s.Match))); err != nil {
 				return err
 			}
 			continue
@@ -60,7 +60,7 @@
 		if err := note("begun", ""); err != nil {
 			return err // no step runs without its record
 		}
-		detail, err := s.step(w, fmt.Sprintf("%s/%d", run, i))
+		detail, err := s.execute(w, fmt.Sprintf("%s/%d", run, i))
 		if err != nil {
 			if e := note("failed", err.Error()); e != nil {
 				return e
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func flat(m map[string]string) string {
+func formatPairs(m map[string]string) string {
 	var l []string
 	for _, k := range queue.Keys(m) {
 		l = append(l, k+"="+m[k])
@@ -82,34 +82,34 @@
 	return strings.Join(l, " ")
 }
 
-func (s *Step) step(w Environment, token string) (string, error) {
+func (s *Step) execute(w Environment, token string) (string, error) {
 	switch s.Type {
 	case "confirm":
 		if !w.Confirm(s.Text) {
-			return "", errs.New(errs.NotAsDue, "not confirmed")
+			return "", errs.New(errs.CheckFailed, "not confirmed")
 		}
 		return "confirmed", nil
 	case "do":
-		return s.Action + " " + flat(s.Args), w.Do(s.Action, s.Args, token)
+		return s.Action + " " + formatPairs(s.Args), w.Do(s.Action, s.Args, token)
 	case "check":
-		return s.holds(w)
+		return s.evaluate(w)
 	}
 	var detail string
 	var err error
-	for n := range s.WithinS + 1 {
-		if detail, err = s.holds(w); err == nil {
+	for n := range s.WithinSeconds + 1 {
+		if detail, err = s.evaluate(w); err == nil {
 			return detail, nil
 		}
 		w.Pause(n)
 	}
-	return "", errs.Wrap(err, fmt.Sprintf("waited %d s", s.WithinS))
+	return "", errs.Wrap(err, fmt.Sprintf("waited %d s", s.WithinSeconds))
 }
 
-// holds checks once how many rows match, and whether that is the required number.
-func (s *Step) holds(w Environment) (string, error) {
-	rows, err := w.Rows(s.Of)
+// evaluate checks once how many rows match, and whether that is the required number.
+func (s *Step) evaluate(w Environment) (string, error) {
+	rows, err := w.Rows(s.View)
 	if err != nil {
-		return "", errs.Wrap(err, "look at "+s.Of)
+		return "", errs.Wrap(err, "look at "+s.View)
 	}
 	var hit []string
 	for _, r := range rows {
@@ -117,15 +117,15 @@
 			hit = append(hit, r["name"])
 		}
 	}
-	said := fmt.Sprintf("%d of %d %s match %s", len(hit), len(rows), s.Of, flat(s.Match))
+	said := fmt.Sprintf("%d of %d %s match %s", len(hit), len(rows), s.View, formatPairs(s.Match))
 	if len(hit) > 0 && len(hit) <= 8 {
 		said += ": " + strings.Join(hit, " ")
 	}
-	if s.AtLeast != nil && len(hit) < *s.AtLeast {
-		return "", errs.New(errs.NotAsDue, "%s, at least %d are due", said, *s.AtLeast)
+	if s.Min != nil && len(hit) < *s.Min {
+		return "", errs.New(errs.CheckFailed, "%s, at least %d are due", said, *s.Min)
 	}
-	if s.AtMost != nil && len(hit) > *s.AtMost {
-		return "", errs.New(errs.NotAsDue, "%s, at most %d are due", said, *s.AtMost)
+	if s.Max != nil && len(hit) > *s.Max {
+		return "", errs.New(errs.CheckFailed, "%s, at most %d are due", said, *s.Max)
 	}
 	return said, nil
 }
@@ -149,19 +149,19 @@
 // repeated; a record of another runbook, or of a completed run, is rejected.
 //
 // Example: from, set, run, err := runbook.Resume(file, book)
-func Resume(r io.Reader, b *Book) (from int, set map[string]string, run string, err error) {
+func Resume(r io.Reader, b *Runbook) (from int, set map[string]string, run string, err error) {
 	d := json.NewDecoder(r)
 	n := 0
 	for {
-		var l Line
+		var l RecordEntry
 		if e := d.Decode(&l); e != nil {
 			break // the end, or a line cut off by the interruption
 		}
-		if l.Book != b.Name {
-			return 0, nil, "", errs.New(errs.BadInput, "the record is of runbook %q", l.Book)
+		if l.Runbook != b.Name {
+			return 0, nil, "", errs.New(errs.BadInput, "the record is of runbook %q", l.Runbook)
 		}
 		n++
-		set, run = l.Set, l.Run
+		set, run = l.Params, l.Run
 		if l.State == "done" && l.Step == from {
 			from++
 		}
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -35,11 +35,11 @@
 
 func one(n int) *int { return &n }
 
-var book = &Book{Name: "b", When: "x", Params: map[string]string{"worker": "the worker"}, Steps: []Step{
-	{Type: "check", Text: "here", Of: "workers", Match: map[string]string{"name": "{worker}"}, AtLeast: one(1)},
+var book = &Runbook{Name: "b", When: "x", Params: map[string]string{"worker": "the worker"}, Steps: []Step{
+	{Type: "check", Text: "here", View: "workers", Match: map[string]string{"name": "{worker}"}, Min: one(1)},
 	{Type: "do", Text: "drain", Action: "drain", Args: map[string]string{"worker": "{worker}"}},
 	{Type: "confirm", Text: "sure?"},
-	{Type: "wait", Text: "drained", Of: "workers", Match: map[string]string{"name": "{worker}", "state": "draining"}, AtLeast: one(1), WithinS: 5},
+	{Type: "wait", Text: "drained", View: "workers", Match: map[string]string{"name": "{worker}", "state": "draining"}, Min: one(1), WithinSeconds: 5},
 	{Type: "do", Text: "back", Action: "undrain", Args: map[string]string{"worker": "{worker}"}},
 }}
 
@@ -57,7 +57,7 @@
 		s := newStage()
 		var rec strings.Builder
 		left := n
-		write := func(l Line) error {
+		write := func(l RecordEntry) error {
 			if left == 0 {
 				return cut
 			}
@@ -94,22 +94,22 @@
 func TestDryRunLooksOnly(t *testing.T) {
 	s := newStage()
 	var states []string
-	err := Run(book, set, "r", 0, true, s, func(l Line) error { states = append(states, l.State); return nil })
+	err := Run(book, set, "r", 0, true, s, func(l RecordEntry) error { states = append(states, l.State); return nil })
 	if err != nil || len(s.done)+s.asked > 0 || s.looks != 1 || fmt.Sprint(states) != "[begun done planned planned planned planned]" {
 		t.Errorf("%v, done %v, asked %d, looked %d, %v", err, s.done, s.asked, s.looks, states)
 	}
 }
 
 func TestWhatStopsARun(t *testing.T) {
-	quiet := func(Line) error { return nil }
+	quiet := func(RecordEntry) error { return nil }
 	s := newStage()
 	s.rows["workers"] = s.rows["workers"][1:]
-	if err := Run(book, set, "r", 0, false, s, quiet); errs.KindOf(err) != errs.NotAsDue || len(s.done) > 0 {
+	if err := Run(book, set, "r", 0, false, s, quiet); errs.KindOf(err) != errs.CheckFailed || len(s.done) > 0 {
 		t.Errorf("a check that fails: %v, done %v", err, s.done)
 	}
 	s = newStage()
 	s.reject = true
-	if err := Run(book, set, "r", 0, false, s, quiet); errs.KindOf(err) != errs.NotAsDue || len(s.done) != 1 {
+	if err := Run(book, set, "r", 0, false, s, quiet); errs.KindOf(err) != errs.CheckFailed || len(s.done) != 1 {
 		t.Errorf("not confirmed: %v, done %v", err, s.done)
 	}
 	s = newStage()
@@ -136,7 +136,7 @@
 // Every shipped book is sound, and there is one for each failure of the brief and for each
 // that status points to.
 func TestShippedBooks(t *testing.T) {
-	l, err := Shipped()
+	l, err := Builtin()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,8 +16,8 @@
 	"pebbleloom/internal/queue"
 )
 
-// Place holds the settings of one process.
-type Place struct {
+// Process holds the settings of one process.
+type Process struct {
 	Name        string   `json:"name"`         // the machine's or worker's name; it survives restarts
 	Zone        string   `json:"district"`     // one of the site's zones
 	Listen      string   `json:"listen"`       // own address towards pebbleloom's processes
@@ -28,9 +28,9 @@
 	Seeds       []string `json:"seeds"`        // three addresses of other processes
 	Core        []string `json:"core"`         // the names of the core machines
 	Data        string   `json:"data"`         // the one data folder; only where there is a disk
-	Runner      string   `json:"runner"`       // the node agent beside a proxy, on loopback
-	Rank        string   `json:"rank"`         // where the platform lists workers
-	Extra       []string `json:"extra"`        // a program's own options, checked by the program
+	NodeAgent   string   `json:"runner"`       // the node agent beside a proxy, on loopback
+	WorkerList  string   `json:"rank"`         // where the platform lists workers
+	Options     []string `json:"extra"`        // a program's own options, checked by the program
 	// Bounds are the guarantees to keep; every other duration is a ratio of one of them.
 	Bounds Bounds `json:"bounds"`
 	Site   *Site  `json:"-"` // nil if the core machines are named
@@ -38,89 +38,91 @@
 
 // Bounds are what must hold; every other constant is a ratio of one of them.
 type Bounds struct {
-	ConfigMs  int `json:"setup_ms"`   // an old configuration is in use no longer than this
-	KeyMs     int `json:"key_ms"`     // a revoked key works no longer than this
-	LeaveMs   int `json:"leave_ms"`   // a worker that left gets requests no longer than this
-	WeightsMs int `json:"weights_ms"` // requests start on older weights no longer than this
-	HealMs    int `json:"heal_ms"`    // service is restored within this after a fault
-	TryShare  int `json:"try_share"`  // retries, percent of traffic
-	TrySpan   int `json:"try_span_ms"`
-	TryAllow  int `json:"try_allow"` // retries beside the share, of a service at the whole site
-	OnceMs    int `json:"once_ms"`   // a once-only id is remembered at least this long
-	BodyKB    int `json:"body_kb"`
-	Waiting   int `json:"waiting"` // requests that one proxy holds at once
-	Entries   int `json:"entries"` // prefix entries that one index node holds
+	ConfigMs              int `json:"setup_ms"`   // an old configuration is in use no longer than this
+	KeyRevocationMs       int `json:"key_ms"`     // a revoked key works no longer than this
+	LeaveMs               int `json:"leave_ms"`   // a worker that left gets requests no longer than this
+	WeightsMs             int `json:"weights_ms"` // requests start on older weights no longer than this
+	HealMs                int `json:"heal_ms"`    // service is restored within this after a fault
+	RetryPercent          int `json:"try_share"`  // retries, percent of traffic
+	RetryWindowMs         int `json:"try_span_ms"`
+	RetryAllowance        int `json:"try_allow"` // retries beside the share, of a service at the whole site
+	RequestIDRetentionMs  int `json:"once_ms"`   // a once-only id is remembered at least this long
+	MaxBodyKB             int `json:"body_kb"`
+	MaxConcurrentRequests int `json:"waiting"` // requests that one proxy holds at once
+	MaxIndexEntries       int `json:"entries"` // prefix entries that one index node holds
 }
 
-// Default holds the bounds of the Páramo site.
+// DefaultBounds holds the bounds of the Páramo site.
 //
 // Example: p.Bounds = settings.Default()
-func Default() Bounds {
-	return Bounds{ConfigMs: 2000, KeyMs: 5000, LeaveMs: 3000, WeightsMs: 20000, HealMs: 12000,
-		TryShare: 20, TrySpan: 10000, TryAllow: 10, OnceMs: 1800000, BodyKB: 512, Waiting: 256, Entries: 60000}
+func DefaultBounds() Bounds {
+	return Bounds{ConfigMs: 2000, KeyRevocationMs: 5000, LeaveMs: 3000, WeightsMs: 20000, HealMs: 12000,
+		RetryPercent: 20, RetryWindowMs: 10000, RetryAllowance: 10, RequestIDRetentionMs: 1800000, MaxBodyKB: 512, MaxConcurrentRequests: 256, MaxIndexEntries: 60000}
 }
 
-// What keeps two holders of a lease apart, as ratios of the heal bound. A holder stops MarginPart
-// of a lease before its end, another gets it MarginPart after it, and an order is under way for
-// OrderPart: it must land in between.
+// What keeps two holders of a lease apart, as ratios of the heal bound. A holder stops LeaseMarginRatio
+// of a lease before its end, another gets it LeaseMarginRatio after it, and an order is under way for
+// OrderTimeoutRatio: it must land in between.
 const (
-	LeasePart  = 1.0 / 4
-	MarginPart = 1.0 / 8 // of a lease
-	OrderPart  = 1.0 / 24
+	LeaseRatio        = 1.0 / 4
+	LeaseMarginRatio  = 1.0 / 8 // of a lease
+	OrderTimeoutRatio = 1.0 / 24
 )
 
-// orderGap is the time between the end of a holder's last order and the next holder's first.
-func (b Bounds) orderGap() time.Duration {
-	return b.Heal(2*MarginPart*LeasePart) - b.Heal(OrderPart)
+// handoverGap is the time between the end of a holder's last order and the next holder's first.
+func (b Bounds) handoverGap() time.Duration {
+	return b.Heal(2*LeaseMarginRatio*LeaseRatio) - b.Heal(OrderTimeoutRatio)
 }
 
-func ms(n int, ratio float64) time.Duration {
+func milliseconds(n int, ratio float64) time.Duration {
 	return time.Duration(float64(n) * ratio * float64(time.Millisecond))
 }
 
 // Config is a ratio of the bound on old configurations.
 //
 // Example: b.Config(0.8) is how old a proof may be
-func (b Bounds) Config(r float64) time.Duration { return ms(b.ConfigMs, r) }
+func (b Bounds) Config(r float64) time.Duration { return milliseconds(b.ConfigMs, r) }
 
 // Weights is a ratio of the bound on older weights.
 //
 // Example: b.Weights(0.85) is how long they may be selected
-func (b Bounds) Weights(r float64) time.Duration { return ms(b.WeightsMs, r) }
+func (b Bounds) Weights(r float64) time.Duration { return milliseconds(b.WeightsMs, r) }
 
 // Leave is a ratio of the bound on workers that left.
 //
 // Example: b.Leave(0.1) is the heartbeat interval
-func (b Bounds) Leave(r float64) time.Duration { return ms(b.LeaveMs, r) }
+func (b Bounds) Leave(r float64) time.Duration { return milliseconds(b.LeaveMs, r) }
 
 // Heal is a ratio of the bound on restored service.
 //
 // Example: b.Heal(0.25) is a lease
-func (b Bounds) Heal(r float64) time.Duration { return ms(b.HealMs, r) }
+func (b Bounds) Heal(r float64) time.Duration { return milliseconds(b.HealMs, r) }
 
-// Once is a ratio of how long IDs of once-only requests are remembered.
+// RequestIDRetention is a ratio of how long IDs of once-only requests are remembered.
 //
 // Example: b.Once(1) is the whole of it
-func (b Bounds) Once(r float64) time.Duration { return ms(b.OnceMs, r) }
+func (b Bounds) RequestIDRetention(r float64) time.Duration {
+	return milliseconds(b.RequestIDRetentionMs, r)
+}
 
-// Try is a ratio of the window over which retries are counted.
+// RetryWindow is a ratio of the window over which retries are counted.
 //
 // Example: b.Try(1) is the whole window
-func (b Bounds) Try(r float64) time.Duration { return ms(b.TrySpan, r) }
+func (b Bounds) RetryWindow(r float64) time.Duration { return milliseconds(b.RetryWindowMs, r) }
 
-// Need is which fields a program requires.
-type Need struct {
-	Seeds, Core, Data, Runner, Rank, Public, Operator bool
+// Required is which fields a program requires.
+type Required struct {
+	Seeds, Core, Data, NodeAgent, WorkerList, Public, Operator bool
 }
 
 // Read takes the settings file and the flags of a program, flags first, and checks all of
 // it at once. Every fault is listed with its file, field and remedy.
 //
-// Example: p, err := settings.Read("runner", "the agent on a machine", os.Args[1:], settings.Need{Seeds: true})
-func Read(prog, about string, args []string, need Need) (Place, error) {
-	p := Place{Bounds: Default()}
+// Example: p, err := settings.Read("runner", "the agent on a machine", os.Args[1:], settings.Required{Seeds: true})
+func Read(prog, about string, args []string, need Required) (Process, error) {
+	p := Process{Bounds: DefaultBounds()}
 	var file, seeds, core, extra string
-	var f Place
+	var f Process
 	ps := flaggy.NewParser(prog)
 	ps.Description = about
 	ps.ShowHelpOnUnexpected = false
@@ -135,8 +137,8 @@
 	ps.String(&seeds, "", "seeds", "three seeds, joined by commas")
 	ps.String(&core, "", "core", "names of the core machines, joined by commas")
 	ps.String(&f.Data, "", "data", "data folder")
-	ps.String(&f.Runner, "", "runner", "address of the node agent beside it")
-	ps.String(&f.Rank, "", "rank", "address where the platform lists workers")
+	ps.String(&f.NodeAgent, "", "runner", "address of the node agent beside it")
+	ps.String(&f.WorkerList, "", "rank", "address where the platform lists workers")
 	ps.String(&extra, "", "extra", "the program's own options, key=value joined by commas")
 	var b errs.Batch
 	arguments, err := ParseStrict(ps, args)
@@ -144,28 +146,28 @@
 		err = errs.New(errs.BadInput, "%q: %s takes flags alone: see --help", arguments, prog)
 	}
 	if err == nil {
-		err = errs.As(ps.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(ps.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
-		return p, errs.As(err, errs.BadInput, "flags")
+		return p, errs.WrapAs(err, errs.BadInput, "flags")
 	}
 	if file != "" {
 		raw, err := os.ReadFile(file)
-		b.Note("settings file "+file, errs.As(err, errs.BadInput, "read"))
+		b.Add("settings file "+file, errs.WrapAs(err, errs.BadInput, "read"))
 		if err == nil {
 			Decode(raw, file, &p, &b)
 		}
 	}
-	override(&p, f, seeds, core, extra)
+	applyFlags(&p, f, seeds, core, extra)
 	if file == "" {
 		file = "flags"
 	}
-	Check(&p, need, file, &b)
-	return p, b.Look()
+	Validate(&p, need, file, &b)
+	return p, b.Err()
 }
 
-// override replaces settings by the flags that were given; lists are joined by commas.
-func override(p *Place, f Place, seeds, core, extra string) {
+// applyFlags replaces settings by the flags that were given; lists are joined by commas.
+func applyFlags(p *Process, f Process, seeds, core, extra string) {
 	over := func(to *string, v string) {
 		if v != "" {
 			*to = v
@@ -177,12 +179,12 @@
 	over(&p.Public, f.Public)
 	over(&p.Operator, f.Operator)
 	over(&p.Data, f.Data)
-	over(&p.Runner, f.Runner)
-	over(&p.Rank, f.Rank)
+	over(&p.NodeAgent, f.NodeAgent)
+	over(&p.WorkerList, f.WorkerList)
 	for _, x := range []struct {
 		to *[]string
 		v  string
-	}{{&p.Seeds, seeds}, {&p.Core, core}, {&p.Extra, extra}} {
+	}{{&p.Seeds, seeds}, {&p.Core, core}, {&p.Options, extra}} {
 		if x.v != "" {
 			*x.to = strings.Split(x.v, ",")
 		}
@@ -192,50 +194,50 @@
 // Decode reads a settings file; unknown keys and wrong types are noted one by one.
 //
 // Example: settings.Decode(raw, "edge-1.json", &p, &b)
-func Decode(raw []byte, file string, p *Place, b *errs.Batch) {
+func Decode(raw []byte, file string, p *Process, b *errs.Batch) {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &top); err != nil {
-		b.Fault(errs.BadInput, "%s: not a JSON object (%v): write one with `name`, `district`, `listen`, `seeds`", file, err)
+		b.Addf(errs.BadInput, "%s: not a JSON object (%v): write one with `name`, `district`, `listen`, `seeds`", file, err)
 		return
 	}
 	fields := map[string]any{"name": &p.Name, "district": &p.Zone, "listen": &p.Listen, "tell": &p.Advertise, "public": &p.Public,
-		"operator": &p.Operator, "operator_key": &p.OperatorKey, "seeds": &p.Seeds, "core": &p.Core, "data": &p.Data, "runner": &p.Runner,
-		"rank": &p.Rank, "extra": &p.Extra}
-	bf := map[string]*int{"setup_ms": &p.Bounds.ConfigMs, "key_ms": &p.Bounds.KeyMs, "leave_ms": &p.Bounds.LeaveMs,
-		"weights_ms": &p.Bounds.WeightsMs, "heal_ms": &p.Bounds.HealMs, "try_share": &p.Bounds.TryShare,
-		"try_span_ms": &p.Bounds.TrySpan, "try_allow": &p.Bounds.TryAllow, "once_ms": &p.Bounds.OnceMs, "body_kb": &p.Bounds.BodyKB, "waiting": &p.Bounds.Waiting, "entries": &p.Bounds.Entries}
+		"operator": &p.Operator, "operator_key": &p.OperatorKey, "seeds": &p.Seeds, "core": &p.Core, "data": &p.Data, "runner": &p.NodeAgent,
+		"rank": &p.WorkerList, "extra": &p.Options}
+	bf := map[string]*int{"setup_ms": &p.Bounds.ConfigMs, "key_ms": &p.Bounds.KeyRevocationMs, "leave_ms": &p.Bounds.LeaveMs,
+		"weights_ms": &p.Bounds.WeightsMs, "heal_ms": &p.Bounds.HealMs, "try_share": &p.Bounds.RetryPercent,
+		"try_span_ms": &p.Bounds.RetryWindowMs, "try_allow": &p.Bounds.RetryAllowance, "once_ms": &p.Bounds.RequestIDRetentionMs, "body_kb": &p.Bounds.MaxBodyKB, "waiting": &p.Bounds.MaxConcurrentRequests, "entries": &p.Bounds.MaxIndexEntries}
 	var bounds map[string]json.RawMessage
 	for _, k := range queue.Keys(top) {
 		if k == "bounds" {
 			if err := json.Unmarshal(top[k], &bounds); err != nil {
-				b.Fault(errs.BadInput, "%s: bounds: not an object: write {\"setup_ms\": 2000, …}", file)
+				b.Addf(errs.BadInput, "%s: bounds: not an object: write {\"setup_ms\": 2000, …}", file)
 			}
 			continue
 		}
 		to, ok := fields[k]
 		if !ok {
-			b.Fault(errs.BadInput, "%s: %s: unknown field: remove it (known: %s)", file, k, strings.Join(queue.Keys(fields), " "))
+			b.Addf(errs.BadInput, "%s: %s: unknown field: remove it (known: %s)", file, k, strings.Join(queue.Keys(fields), " "))
 			continue
 		}
 		if err := json.Unmarshal(top[k], to); err != nil {
-			b.Fault(errs.BadInput, "%s: %s: wrong type (%v): give what `docs/operate.md` shows", file, k, err)
+			b.Addf(errs.BadInput, "%s: %s: wrong type (%v): give what `docs/operate.md` shows", file, k, err)
 		}
 	}
 	for _, k := range queue.Keys(bounds) {
 		to, ok := bf[k]
 		if !ok {
-			b.Fault(errs.BadInput, "%s: bounds.%s: unknown field: remove it (known: %s)", file, k, strings.Join(queue.Keys(bf), " "))
+			b.Addf(errs.BadInput, "%s: bounds.%s: unknown field: remove it (known: %s)", file, k, strings.Join(queue.Keys(bf), " "))
 		} else if err := json.Unmarshal(bounds[k], to); err != nil {
-			b.Fault(errs.BadInput, "%s: bounds.%s: not a whole number: give one", file, k)
+			b.Addf(errs.BadInput, "%s: bounds.%s: not a whole number: give one", file, k)
 		}
 	}
 }
 
-// Check notes every fault of the settings.
+// Validate notes every fault of the settings.
 //
-// Example: settings.Check(&p, settings.Need{Data: true}, "core-1.json", &b)
-func Check(p *Place, need Need, file string, b *errs.Batch) {
-	bad := func(field, format string, a ...any) { b.Fault(errs.BadInput, file+": "+field+": "+format, a...) }
+// Example: settings.Check(&p, settings.Required{Data: true}, "core-1.json", &b)
+func Validate(p *Process, need Required, file string, b *errs.Batch) {
+	bad := func(field, format string, a ...any) { b.Addf(errs.BadInput, file+": "+field+": "+format, a...) }
 	if p.Name == "" || strings.ContainsAny(p.Name, " ,/\x00") {
 		bad("name", "%q: give a word without spaces, commas or slashes", p.Name)
 	}
@@ -254,8 +256,8 @@
 	addr("tell", p.Advertise, false)
 	addr("public", p.Public, need.Public)
 	addr("operator", p.Operator, need.Operator)
-	addr("runner", p.Runner, need.Runner)
-	addr("rank", p.Rank, need.Rank)
+	addr("runner", p.NodeAgent, need.NodeAgent)
+	addr("rank", p.WorkerList, need.WorkerList)
 	if n := len(p.OperatorKey); n != 0 && (n < 16 || n > 128 || strings.ContainsAny(p.OperatorKey, " \t\r\n")) {
 		bad("operator_key", "%d letters: give 16 to 128 without spaces, or none", n)
 	}
@@ -277,26 +279,26 @@
 		}
 	}
 	rng("setup_ms", p.Bounds.ConfigMs, 200, 60000)
-	rng("key_ms", p.Bounds.KeyMs, p.Bounds.ConfigMs, 120000)
+	rng("key_ms", p.Bounds.KeyRevocationMs, p.Bounds.ConfigMs, 120000)
 	rng("leave_ms", p.Bounds.LeaveMs, 300, 60000)
 	rng("weights_ms", p.Bounds.WeightsMs, p.Bounds.ConfigMs, 600000)
 	rng("heal_ms", p.Bounds.HealMs, 1000, 600000)
-	rng("try_share", p.Bounds.TryShare, 0, 100)
-	rng("try_span_ms", p.Bounds.TrySpan, 1000, 600000)
-	rng("try_allow", p.Bounds.TryAllow, 0, 10000)
-	rng("once_ms", p.Bounds.OnceMs, 600000, 86400000) // no request waits longer than the minimum
-	if p.Bounds.HealMs > 0 && p.Bounds.orderGap() < p.Bounds.Heal(OrderPart)/4 {
+	rng("try_share", p.Bounds.RetryPercent, 0, 100)
+	rng("try_span_ms", p.Bounds.RetryWindowMs, 1000, 600000)
+	rng("try_allow", p.Bounds.RetryAllowance, 0, 10000)
+	rng("once_ms", p.Bounds.RequestIDRetentionMs, 600000, 86400000) // no request waits longer than the minimum
+	if p.Bounds.HealMs > 0 && p.Bounds.handoverGap() < p.Bounds.Heal(OrderTimeoutRatio)/4 {
 		bad("bounds.heal_ms", "%d: an order could land after the next holder's first: give more", p.Bounds.HealMs)
 	}
-	rng("body_kb", p.Bounds.BodyKB, 1, 16384)
-	rng("waiting", p.Bounds.Waiting, 1, 65536)
-	rng("entries", p.Bounds.Entries, 100, 10000000)
+	rng("body_kb", p.Bounds.MaxBodyKB, 1, 16384)
+	rng("waiting", p.Bounds.MaxConcurrentRequests, 1, 65536)
+	rng("entries", p.Bounds.MaxIndexEntries, 100, 10000000)
 }
 
 // AdvertisedAddr is the address that other processes get.
 //
 // Example: node.Addr = p.AdvertisedAddr()
-func (p Place) AdvertisedAddr() string {
+func (p Process) AdvertisedAddr() string {
 	if p.Advertise != "" {
 		return p.Advertise
 	}
@@ -306,7 +308,7 @@
 // Dialer makes connections from this process's own address.
 //
 // Example: c, err := p.Dialer().DialContext(ctx, "tcp", addr)
-func (p Place) Dialer() *net.Dialer {
+func (p Process) Dialer() *net.Dialer {
 	d := &net.Dialer{Timeout: p.Bounds.Leave(1.0 / 3)}
 	if a, err := netip.ParseAddrPort(p.Listen); err == nil {
 		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(a.Addr(), 0))
@@ -317,8 +319,8 @@
 // Option returns a program's own option from Extra, or a default.
 //
 // Example: p.Option("slots", "2") gives "4" when the extras hold "slots=4"
-func (p Place) Option(key, or string) string {
-	for _, e := range p.Extra {
+func (p Process) Option(key, or string) string {
+	for _, e := range p.Options {
 		if v, ok := strings.CutPrefix(e, key+"="); ok {
 			return v
 		}
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -10,25 +10,25 @@
 // aren't named. Place.Seeds then holds three addresses of core machines, towards pebbleloom's
 // processes.
 type Site struct {
-	First     bool   // the first start of the whole system: empty disks are no data loss
-	Counts    bool   // this machine counts against Tolerate
-	Tolerate  int    // machines that may be lost at once
-	Control   string // own address towards operators, where this process serves them
-	Ready     string // own address of the readiness check
-	Ports     [2]int // free on every machine, from the first to the second; the same everywhere
-	IP        string // own
-	Region    string
-	MemoryMB  int // the process is killed above it
-	Files     int // descriptors
-	Core      float64
-	BeatMs    int // between two heartbeats of the cluster membership
-	ListRate  float64
-	Revokes   bool // a revoked key is bounded by Bounds.KeyMs, even without contact
-	GraceMs   int  // from SIGTERM until the process is killed
-	LeaseMs   int  // duration of a lease
-	AckMs     int
-	ContactMs int
-	TransitMs int // an event is forwarded within this
+	FirstStart         bool   // the first start of the whole system: empty disks are no data loss
+	Counts             bool   // this machine counts against Tolerate
+	ToleratedFailures  int    // machines that may be lost at once
+	ControlPlaneListen string // own address towards operators, where this process serves them
+	ReadinessListen    string // own address of the readiness check
+	PortRange          [2]int // free on every machine, from the first to the second; the same everywhere
+	IP                 string // own
+	Region             string
+	MemoryLimitMB      int // the process is killed above it
+	Files              int // descriptors
+	Core               float64
+	HeartbeatMs        int // between two heartbeats of the cluster membership
+	WorkerListRate     float64
+	EnforceRevocation  bool // a revoked key is bounded by Bounds.KeyRevocationMs, even without contact
+	GraceMs            int  // from SIGTERM until the process is killed
+	LeaseMs            int  // duration of a lease
+	AckTimeoutMs       int
+	ContactWindowMs    int
+	TransitMs          int // an event is forwarded within this
 }
 
 // The offsets of the processes' ports from the first of Site.Ports, the same on every machine.
@@ -42,12 +42,12 @@
 //
 // Example: site.Port("10.1.0.14", settings.PortIndex)
 func (s *Site) Port(ip string, offset int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0]+offset))
+	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]+offset))
 }
 
-// Of is a ratio of a bound in milliseconds.
+// Fraction is a ratio of a bound in milliseconds.
 //
 // Example: settings.Of(site.GraceMs, 0.5)
-func Of(ms int, ratio float64) time.Duration {
+func Fraction(ms int, ratio float64) time.Duration {
 	return time.Duration(float64(ms) * ratio * float64(time.Millisecond))
 }
--- a/internal/settings/strict.go
+++ b/internal/settings/strict.go
@@ -43,18 +43,18 @@
 		switch {
 		case name == "help" || name == "h":
 		case f == nil:
-			b.Fault(errs.BadInput, "--%s: no such flag: see --help", name)
+			b.Addf(errs.BadInput, "--%s: no such flag: see --help", name)
 		case isBool(f):
 			if _, err := strconv.ParseBool(val); has && err != nil {
-				b.Fault(errs.BadInput, "--%s: %q: give true or false", name, val)
+				b.Addf(errs.BadInput, "--%s: %q: give true or false", name, val)
 			}
 		case !has && i+1 >= len(args):
-			b.Fault(errs.BadInput, "--%s: its value is missing", name)
+			b.Addf(errs.BadInput, "--%s: its value is missing", name)
 		case !has:
 			i++
 		}
 	}
-	return arguments, b.Look()
+	return arguments, b.Err()
 }
 
 func isBool(f *flaggy.Flag) bool {
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -43,7 +43,7 @@
 					}
 					for i := range s.Processes {
 						if s.Processes[i].Program == "cab" { // the first word of a name counts
-							s.Processes[i].Place.Extra = append([]string{w}, s.Processes[i].Place.Extra...)
+							s.Processes[i].Place.Options = append([]string{w}, s.Processes[i].Place.Options...)
 						}
 					}
 				}
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -24,7 +24,7 @@
 	for i := range s.Processes {
 		if p := &s.Processes[i].Place; s.Processes[i].Program == "cab" {
 			if n++; n%every == 0 {
-				p.Extra = append(p.Extra, "lie="+word)
+				p.Options = append(p.Options, "lie="+word)
 			}
 		}
 	}
@@ -64,7 +64,7 @@
 		{"another tenant's cache", "under its tenant", nil, 1000, func(s *testbed.Site) { lie(s, "walls", 1) }, nil},
 		{"too many extra tries", "extra runs on", nil, 12000, func(s *testbed.Site) {
 			lie(s, "dies", 2)
-			lax(s, "dispatcher", func(b *settings.Bounds) { b.TryShare, b.TryAllow = 100, 10000 })
+			lax(s, "dispatcher", func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
 		}, nil},
 		{"an acknowledged setup is lost", "doesn't read the setup back", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
 		{"service isn't back", "service is not back", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
--- a/internal/sim/clustersim/proc.go
+++ b/internal/sim/clustersim/proc.go
@@ -107,7 +107,7 @@
 
 // world is what the program meets outside itself.
 func (p *proc) world() daemon.Environment {
-	return daemon.Environment{Clock: p, Wall: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
+	return daemon.Environment{Clock: p, WallClock: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
 		Seed: func() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.r.Uint64() }}
 }
 
--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/table.go
@@ -81,7 +81,7 @@
 //
 // Example: t := tabletop.New(7, site); defer t.Down()
 func New(seed uint64, s *testbed.Site) *Table {
-	t := &Table{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), patience: settings.Default().Leave(1.0 / 3), procs: map[string]*proc{},
+	t := &Table{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), patience: settings.DefaultBounds().Leave(1.0 / 3), procs: map[string]*proc{},
 		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, doors: map[string]*listener{}, files: map[string]*file{}}
 	t.people = newProc(t, testbed.Process{}, t.machine("people"), seed)
 	for _, p := range s.Processes {
@@ -148,7 +148,7 @@
 	m.disk[k], m.writer[k] = change(m.disk[k]), p
 }
 
-func (m *machine) ip(p settings.Place) netip.Addr {
+func (m *machine) ip(p settings.Process) netip.Addr {
 	if a, err := netip.ParseAddrPort(p.Listen); err == nil {
 		return a.Addr()
 	}
@@ -225,7 +225,7 @@
 	t.mu.Lock()
 	if o := t.procs[q.Name]; o != nil && !done(o.dead) {
 		t.mu.Unlock()
-		return errs.New(errs.Inside, "%s runs already", q.Name)
+		return errs.New(errs.Internal, "%s runs already", q.Name)
 	}
 	t.lives++
 	p := newProc(t, q, m, t.seed^queue.Hash(fmt.Sprint(q.Name, t.lives)))
@@ -236,7 +236,7 @@
 	if v := os.Getenv("TABLE_LOG"); v != "" {
 		level = v
 	}
-	place.Extra = append([]string{"log=" + level}, place.Extra...)
+	place.Options = append([]string{"log=" + level}, place.Options...)
 	p.life = daemon.NewIn(p.world(), q.Program, place)
 	t.wg.Go(func() {
 		defer close(p.started)
@@ -258,7 +258,7 @@
 		return errs.New(errs.NotFound, "process %q", name)
 	}
 	if done(p.dead) {
-		return errs.New(errs.Inside, "%s has ended", name)
+		return errs.New(errs.Internal, "%s has ended", name)
 	}
 	switch s {
 	case syscall.SIGSTOP, syscall.SIGCONT:
@@ -322,7 +322,7 @@
 	if m.jump = time.Duration(ms) * time.Millisecond; strings.HasPrefix(word, "-") {
 		m.jump = -m.jump
 	}
-	return errs.As(err, errs.BadInput, "wall")
+	return errs.WrapAs(err, errs.BadInput, "wall")
 }
 
 // Journal reads what a worker wrote down, in all its lives.
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -44,7 +44,7 @@
 	Denied     string // the denial's kind
 	BackMs     int
 	Worker     string
-	Last       contract.Piece
+	Last       contract.Chunk
 	Message    string
 	Twin       bool // it was sent to two edges
 	BothSealed bool
@@ -61,8 +61,8 @@
 // Example: out := fares.Read(req, "cab-3", resp.Body)
 func Read(q Request, worker string, r io.Reader) Outcome {
 	o := Outcome{Request: q, Worker: worker}
-	c := contract.NewCheck(q.ID, worker)
-	b := bufio.NewReaderSize(r, contract.MaxLine)
+	c := contract.NewStreamVerifier(q.ID, worker)
+	b := bufio.NewReaderSize(r, contract.MaxLineBytes)
 	var texts []string
 	for {
 		raw, err := b.ReadSlice('\n')
@@ -70,18 +70,18 @@
 			if o.First.IsZero() {
 				o.First = time.Now()
 			}
-			if w := c.Line(raw); w != "" {
+			if w := c.Verify(raw); w != "" {
 				o.Faults = append(o.Faults, w)
 				return o
 			}
-			var p contract.Piece
+			var p contract.Chunk
 			if json.Unmarshal(raw, &p) == nil && p.Seal == "" {
 				texts = append(texts, p.T)
 			}
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			if c.Last == nil || len(raw) > 0 {
+			if c.Sealed == nil || len(raw) > 0 {
 				o.Faults = append(o.Faults, "a stream that looks whole without its seal")
 			}
 			break
@@ -89,10 +89,10 @@
 		o.Broken = err.Error()
 		return o
 	}
-	if c.Last == nil {
+	if c.Sealed == nil {
 		return o
 	}
-	o.Sealed, o.Last = true, *c.Last
+	o.Sealed, o.Last = true, *c.Sealed
 	if len(texts) != q.Pieces {
 		o.Faults = append(o.Faults, fmt.Sprintf("%d pieces where %d were asked for", len(texts), q.Pieces))
 	}
@@ -109,7 +109,7 @@
 		key = es[len(es)-1].Key.String()
 	}
 	for n, t := range texts {
-		if t != contract.Text(key, o.Last.Weights, n) {
+		if t != contract.SyntheticText(key, o.Last.Weights, n) {
 			o.Faults = append(o.Faults, fmt.Sprintf("piece %d isn't the answer to this prompt under its tenant and weights", n))
 			break
 		}
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -20,7 +20,7 @@
 	es := prefix.Chain(domain, q.Model, weights, q.Parts)
 	s := contract.NewSeal(q.ID, "cab-1")
 	var l [][]byte
-	put := func(p contract.Piece) {
+	put := func(p contract.Chunk) {
 		b, err := json.Marshal(p)
 		if err != nil {
 			panic(err)
@@ -28,11 +28,11 @@
 		l = append(l, append(b, '\n'))
 	}
 	for n := range q.Pieces {
-		t := contract.Text(es[len(es)-1].Key.String(), weights, n)
+		t := contract.SyntheticText(es[len(es)-1].Key.String(), weights, n)
 		s.Add(n, t)
-		put(contract.Piece{R: q.ID, N: n, T: t})
+		put(contract.Chunk{R: q.ID, N: n, T: t})
 	}
-	put(contract.Piece{R: q.ID, N: q.Pieces, Seal: s.Close(), Worker: "cab-1", Weights: weights})
+	put(contract.Chunk{R: q.ID, N: q.Pieces, Seal: s.Close(), Worker: "cab-1", Weights: weights})
 	return l
 }
 
--- a/internal/sim/loadgen/fares.go
+++ b/internal/sim/loadgen/fares.go
@@ -286,13 +286,13 @@
 		}
 		x, err := http.DefaultClient.Do(r)
 		if err != nil {
-			b.Note("journal of "+n, err)
+			b.Add("journal of "+n, err)
 			continue
 		}
 		var l []workersim.Run
-		b.Note("journal of "+n, json.NewDecoder(x.Body).Decode(&l))
+		b.Add("journal of "+n, json.NewDecoder(x.Body).Decode(&l))
 		x.Body.Close()
 		m[n] = l
 	}
-	return m, b.Look()
+	return m, b.Err()
 }
--- a/internal/sim/platformsim/rank.go
+++ b/internal/sim/platformsim/rank.go
@@ -18,7 +18,7 @@
 
 type platform struct {
 	mu    sync.Mutex
-	list  map[string]contract.Listed
+	list  map[string]contract.ListedWorker
 	probe map[string]string
 	h     *http.Client
 }
@@ -27,17 +27,17 @@
 //
 // Example: daemon.Main("rank", "stand-in for the platform", need, rank.Start)
 func Start(l *daemon.Process) error {
-	p := &platform{list: map[string]contract.Listed{}, probe: map[string]string{},
+	p := &platform{list: map[string]contract.ListedWorker{}, probe: map[string]string{},
 		h: &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: l.Dial}}}
 	l.OnStop(p.h.CloseIdleConnections)
-	if f := l.Place.Option("list", ""); f != "" {
+	if f := l.Settings.Option("list", ""); f != "" {
 		raw, err := os.ReadFile(f)
-		var ls []contract.Listed
+		var ls []contract.ListedWorker
 		if err == nil {
 			err = json.Unmarshal(raw, &ls)
 		}
 		if err != nil {
-			return errs.As(err, errs.BadInput, "read list "+f)
+			return errs.WrapAs(err, errs.BadInput, "read list "+f)
 		}
 		for _, x := range ls {
 			p.list[x.Name] = x
@@ -49,10 +49,10 @@
 	mux.HandleFunc("DELETE /v1/workers/{name}", p.drop)
 	mux.HandleFunc("POST /v1/warn/{name}", p.warn)
 	mux.HandleFunc("GET /v1/probes", p.probes)
-	for _, s := range l.Place.Seeds {
+	for _, s := range l.Settings.Seeds {
 		l.Every(time.Second, func() { p.ask(s) })
 	}
-	if err := l.Serve(l.Place.Public, mux); err != nil {
+	if err := l.Serve(l.Settings.Public, mux); err != nil {
 		return err
 	}
 	l.Ready.Store(true)
@@ -61,7 +61,7 @@
 
 func (p *platform) get(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
-	ls := make([]contract.Listed, 0, len(p.list))
+	ls := make([]contract.ListedWorker, 0, len(p.list))
 	for _, x := range p.list {
 		ls = append(ls, x)
 	}
@@ -71,7 +71,7 @@
 }
 
 func (p *platform) set(w http.ResponseWriter, r *http.Request) {
-	var x contract.Listed
+	var x contract.ListedWorker
 	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&x); err != nil || x.Name == "" || x.Addr == "" {
 		http.Error(w, "give name and addr", 400)
 		return
--- a/internal/sim/testbed/callers.go
+++ b/internal/sim/testbed/callers.go
@@ -30,11 +30,11 @@
 	ps.UInt64(&seed, "e", "seed", "seed")
 	fail := func(err error) int {
 		fmt.Fprintln(bad, "fares: "+errs.Text(err))
-		return errs.KindOf(err).Exit
+		return errs.KindOf(err).ExitCode
 	}
 	_, err := settings.ParseStrict(ps, args)
 	if err == nil {
-		err = errs.As(ps.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(ps.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
 		return fail(err)
--- a/internal/sim/testbed/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -34,5 +34,5 @@
 	} else {
 		err = os.WriteFile(o.Out, raw, 0o644)
 	}
-	return errs.As(err, errs.BadInput, "write what was measured")
+	return errs.WrapAs(err, errs.BadInput, "write what was measured")
 }
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -44,21 +44,21 @@
 		for n := 50; n <= 4000; n += 200 {
 			p := strings.Repeat(fmt.Sprintf("%02d%06d", round, n), n/2)
 			id := fmt.Sprintf("fit-%d-%d", round, n)
-			g := be.Begin(ctx, s.Cabs["cab-1"], contract.Start{RequestID: id, Domain: "fit", Model: s.Traffic.Model, Weights: 1, Parts: []string{p}, Pieces: 1, WaitMs: 5000}, nil)
+			g := be.Start(ctx, s.Cabs["cab-1"], contract.StartRequest{RequestID: id, Domain: "fit", Model: s.Traffic.Model, Weights: 1, Parts: []string{p}, Pieces: 1, WaitMs: 5000}, nil)
 			if g.Err != nil {
 				return placement.Curve{}, errs.Wrap(g.Err, "measure")
 			}
-			c := contract.NewCheck(id, "cab-1")
+			c := contract.NewStreamVerifier(id, "cab-1")
 			for sc := bufio.NewScanner(g.Body); sc.Scan(); {
-				if w := c.Line(sc.Bytes()); w != "" {
-					return placement.Curve{}, errs.New(errs.Inside, "measure: %s", w)
+				if w := c.Verify(sc.Bytes()); w != "" {
+					return placement.Curve{}, errs.New(errs.Internal, "measure: %s", w)
 				}
 			}
 			g.Body.Close()
-			if c.Last == nil || c.Last.Prefilled != n {
-				return placement.Curve{}, errs.New(errs.Inside, "measure: %d tokens asked for, seal says %+v", n, c.Last)
+			if c.Sealed == nil || c.Sealed.Prefilled != n {
+				return placement.Curve{}, errs.New(errs.Internal, "measure: %d tokens asked for, seal says %+v", n, c.Sealed)
 			}
-			l = append(l, placement.Sample{Tokens: n, Micros: float64(c.Last.PrefillUs)})
+			l = append(l, placement.Sample{Tokens: n, Micros: float64(c.Sealed.PrefillUs)})
 		}
 	}
 	return placement.Fit(l, 2)
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -116,7 +116,7 @@
 		last = fmt.Sprintf("%d %s", code, said)
 		time.Sleep(200 * time.Millisecond)
 	}
-	return errs.New(errs.CantSay, "first setup: %s", last)
+	return errs.New(errs.OutcomeUnknown, "first setup: %s", last)
 }
 
 func (f *Fleet) ready(ctx context.Context) error {
@@ -138,7 +138,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return errs.New(errs.CantSay, "the site isn't ready: see the logs in %s", f.Dir)
+	return errs.New(errs.OutcomeUnknown, "the site isn't ready: see the logs in %s", f.Dir)
 }
 
 func (f *Fleet) placed(ctx context.Context) bool {
@@ -165,13 +165,13 @@
 	var b errs.Batch
 	for n := range f.Site.Cabs {
 		p, err := f.process(n)
-		if b.Note(n, err); err == nil {
+		if b.Add(n, err); err == nil {
 			l, err := f.on.Journal(p)
-			b.Note(n, err)
+			b.Add(n, err)
 			m[n] = slices.DeleteFunc(l, func(r workersim.Run) bool { return !which(r) })
 		}
 	}
-	return m, b.Look()
+	return m, b.Err()
 }
 
 func (f *Fleet) do(q *http.Request, err error) (int, string) {
--- a/internal/sim/testbed/history.go
+++ b/internal/sim/testbed/history.go
@@ -85,7 +85,7 @@
 			return nil
 		}
 	}
-	return errs.New(errs.CantSay, "%s: it was never acknowledged", c.token)
+	return errs.New(errs.OutcomeUnknown, "%s: it was never acknowledged", c.token)
 }
 
 // attempt sends a change once, and records how that was answered.
@@ -151,7 +151,7 @@
 			return version, nil
 		}
 	}
-	return 0, errs.New(errs.CantSay, "nobody reads the configuration back")
+	return 0, errs.New(errs.OutcomeUnknown, "nobody reads the configuration back")
 }
 
 // beginHistory notes the configuration that a run begins with.
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -95,7 +95,7 @@
 func (l *Links) Relay(at, to, machine string) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
-		return errs.As(err, errs.BadInput, "relay at "+at)
+		return errs.WrapAs(err, errs.BadInput, "relay at "+at)
 	}
 	l.lns = append(l.lns, ln)
 	go func() {
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -78,14 +78,14 @@
 	}
 	fail := func(err error) int {
 		fmt.Fprintln(bad, "yard: "+errs.Text(err))
-		return errs.KindOf(err).Exit
+		return errs.KindOf(err).ExitCode
 	}
 	words, err := settings.ParseStrict(ps, args)
 	if err == nil && len(words) > 1 {
 		err = errs.New(errs.BadInput, "%q: give one command: see --help", words)
 	}
 	if err == nil {
-		err = errs.As(ps.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(ps.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
 		return fail(err)
@@ -261,7 +261,7 @@
 	}
 	if len(l) == 0 {
 		fmt.Fprintln(bad, "yard: no scenario "+o.Scenario+": see yard scenarios")
-		return errs.NotFound.Exit
+		return errs.NotFound.ExitCode
 	}
 	return plays(ctx, o, out, fail, func(uint64) []Scenario { return l })
 }
--- a/internal/sim/testbed/moves.go
+++ b/internal/sim/testbed/moves.go
@@ -29,7 +29,7 @@
 			return errs.Wrap(err, "write")
 		}
 		if code, said := p.f.Post(ctx, p.f.Site.Operators[0], "/v1/calendar", raw); code != 409 || !strings.Contains(said, "clashes") {
-			return errs.New(errs.Inside, "a clash was answered by %d %s", code, said)
+			return errs.New(errs.Internal, "a clash was answered by %d %s", code, said)
 		}
 		return nil
 	case "patch":
@@ -74,19 +74,19 @@
 			}
 		}
 		if i >= 60 {
-			return errs.New(errs.Inside, "%s isn't %s: %s", who, to, last)
+			return errs.New(errs.Internal, "%s isn't %s: %s", who, to, last)
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-func (p *play) list(ctx context.Context, w contract.Listed) error {
+func (p *play) list(ctx context.Context, w contract.ListedWorker) error {
 	raw, err := json.Marshal(w)
 	if err != nil {
 		return errs.Wrap(err, "write")
 	}
 	if code, said := p.f.Post(ctx, p.f.rank(), "/v1/workers", raw); code != 200 {
-		return errs.New(errs.Inside, "list %s: %d %s", w.Name, code, said)
+		return errs.New(errs.Internal, "list %s: %d %s", w.Name, code, said)
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 			done[n] = true
 			if p.f.Signal(n, syscall.SIGTERM) == nil {
 				time.Sleep(300 * time.Millisecond)
-				if err := p.f.Signal(n, syscall.SIGKILL); err == nil || errs.KindOf(err) == errs.Inside {
+				if err := p.f.Signal(n, syscall.SIGKILL); err == nil || errs.KindOf(err) == errs.Internal {
 					if err := p.f.Start(n); err != nil {
 						p.fault("platform: %v", err)
 					}
--- a/internal/sim/testbed/operate.go
+++ b/internal/sim/testbed/operate.go
@@ -15,7 +15,7 @@
 )
 
 // place is where a process stands.
-func (f *Fleet) place(name string) settings.Place {
+func (f *Fleet) place(name string) settings.Process {
 	p, _ := f.process(name) // none: no place
 	return p.Place
 }
@@ -66,7 +66,7 @@
 			}
 		}
 	}
-	return "", errs.New(errs.CantSay, "nobody owns the setup's part")
+	return "", errs.New(errs.OutcomeUnknown, "nobody owns the setup's part")
 }
 
 // move gives a process of a core machine a new address; it is started there by a later step.
@@ -129,7 +129,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return 0, errs.New(errs.CantSay, "%s: %s", path, last)
+	return 0, errs.New(errs.OutcomeUnknown, "%s: %s", path, last)
 }
 
 // operate does what operators do, and notes when it was acknowledged.
@@ -229,7 +229,7 @@
 		p.fault("%d changes onto version %d were acknowledged", len(got), *base)
 	}
 	if len(got) == 0 {
-		return errs.New(errs.CantSay, "%s: none of %d changes was acknowledged", x.Do, n)
+		return errs.New(errs.OutcomeUnknown, "%s: none of %d changes was acknowledged", x.Do, n)
 	}
 	return nil
 }
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -48,7 +48,7 @@
 	}
 	for i := range s.Processes {
 		if p := &s.Processes[i]; p.Program == "cab" {
-			p.Place.Extra = append(p.Place.Extra, "memory=260", "model_room=100", "adapter_room=10", "adapters="+strings.Join(words, ","))
+			p.Place.Options = append(p.Place.Options, "memory=260", "model_room=100", "adapter_room=10", "adapters="+strings.Join(words, ","))
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		r := &retire.Retirement{}
 		if to != "" {
 			if err := json.Unmarshal([]byte(to), r); err != nil {
-				return errs.As(err, errs.BadInput, "retirement")
+				return errs.WrapAs(err, errs.BadInput, "retirement")
 			}
 		}
 		r.Name, r.Service, r.OldBase, r.NewBase, r.Replacements = who, service, lm, next(lm), map[string]string{}
@@ -93,7 +93,7 @@
 			}
 		}
 		if i >= 400 {
-			return errs.New(errs.Inside, "%s isn't %s: %s", who, to, last)
+			return errs.New(errs.Internal, "%s isn't %s: %s", who, to, last)
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
@@ -123,7 +123,7 @@
 			continue // it is down: when it is back it is caught up
 		}
 		held := false
-		for _, l := range st.Holds() {
+		for _, l := range st.LoadedModels() {
 			if l.Model == gone {
 				p.fault("%s still holds %s, the retirement is %s", n, gone, r.State)
 			}
@@ -133,7 +133,7 @@
 			}
 		}
 		if !held {
-			p.fault("%s holds %v, %s with %v are due", n, st.Holds(), base, adapters)
+			p.fault("%s holds %v, %s with %v are due", n, st.LoadedModels(), base, adapters)
 		}
 	}
 	return nil
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -71,7 +71,7 @@
 		d := json.NewDecoder(strings.NewReader(string(raw)))
 		d.DisallowUnknownFields()
 		if err := d.Decode(&s); err != nil {
-			return nil, errs.As(err, errs.BadInput, "scenario "+e.Name())
+			return nil, errs.WrapAs(err, errs.BadInput, "scenario "+e.Name())
 		}
 		if s.Name+".json" != e.Name() {
 			return nil, errs.New(errs.BadInput, "scenario %s calls itself %q", e.Name(), s.Name)
@@ -110,7 +110,7 @@
 		for i := range s.Processes {
 			p := &s.Processes[i]
 			if p.Program == "archive" {
-				p.Place.Extra = append(p.Place.Extra, "faults="+filepath.Join(o.Dir, p.Place.Name+".fault"), "wall="+filepath.Join(o.Dir, p.Place.Name+".wall"))
+				p.Place.Options = append(p.Place.Options, "faults="+filepath.Join(o.Dir, p.Place.Name+".fault"), "wall="+filepath.Join(o.Dir, p.Place.Name+".wall"))
 			}
 		}
 		if !sc.Links {
@@ -206,7 +206,7 @@
 func (p *play) carry(ctx context.Context, t0 time.Time, x Step) {
 	said := "done"
 	if err := p.step(ctx, x); err != nil {
-		if said = err.Error(); !x.Aside || errs.KindOf(err) != errs.CantSay {
+		if said = err.Error(); !x.Aside || errs.KindOf(err) != errs.OutcomeUnknown {
 			p.fault("step %s %s: %v", x.Do, x.Who, err)
 		}
 	}
@@ -311,41 +311,41 @@
 	for _, n := range l {
 		switch x.Do {
 		case "kill":
-			b.Note(n, p.f.Signal(n, syscall.SIGKILL))
+			b.Add(n, p.f.Signal(n, syscall.SIGKILL))
 		case "warn":
 			code, said := p.f.Post(ctx, p.f.rank(), "/v1/warn/"+n, nil)
 			if code != 200 {
-				b.Fault(errs.Inside, "warn %s: %d %s", n, code, said)
+				b.Addf(errs.Internal, "warn %s: %d %s", n, code, said)
 			}
 			p.mu.Lock()
 			p.drained[n] = time.Now().UnixMilli()
 			p.mu.Unlock()
 		case "term":
-			b.Note(n, p.f.Signal(n, syscall.SIGTERM))
+			b.Add(n, p.f.Signal(n, syscall.SIGTERM))
 		case "freeze":
-			b.Note(n, p.f.Signal(n, syscall.SIGSTOP))
+			b.Add(n, p.f.Signal(n, syscall.SIGSTOP))
 		case "thaw":
-			b.Note(n, p.f.Signal(n, syscall.SIGCONT))
+			b.Add(n, p.f.Signal(n, syscall.SIGCONT))
 		case "start":
-			b.Note(n, p.f.Start(n))
+			b.Add(n, p.f.Start(n))
 		case "wipe":
-			b.Note(n, p.on(n, p.f.on.Wipe))
+			b.Add(n, p.on(n, p.f.on.Wipe))
 		case "swap":
 			bin, err := p.o.binOf(x.To)
-			if b.Note(n, err); err == nil {
-				b.Note(n, p.f.swap(n, bin))
+			if b.Add(n, err); err == nil {
+				b.Add(n, p.f.swap(n, bin))
 			}
 		case "usurp":
-			b.Note(n, p.f.usurp(n))
+			b.Add(n, p.f.usurp(n))
 		case "move":
-			b.Note(n, p.f.move(n))
+			b.Add(n, p.f.move(n))
 		case "disk", "wall":
-			b.Note(n, p.on(n, func(q Process) error { return p.f.on.Switch(q, x.Do, x.To) }))
+			b.Add(n, p.on(n, func(q Process) error { return p.f.on.Switch(q, x.Do, x.To) }))
 		default:
-			b.Fault(errs.BadInput, "%q: no such step", x.Do)
+			b.Addf(errs.BadInput, "%q: no such step", x.Do)
 		}
 	}
-	return b.Look()
+	return b.Err()
 }
 
 // link sets rules; machines are named, "*" is any, and several are joined by spaces.
@@ -369,13 +369,13 @@
 			}
 		}
 		for _, b := range strings.Fields(to) {
-			err.Note(x.Do, p.f.on.Link(a, b, r))
+			err.Add(x.Do, p.f.on.Link(a, b, r))
 			if x.Do != "cut" {
-				err.Note(x.Do, p.f.on.Link(b, a, r))
+				err.Add(x.Do, p.f.on.Link(b, a, r))
 			}
 		}
 	}
-	return err.Look()
+	return err.Err()
 }
 
 func (p *play) on(name string, do func(Process) error) error {
--- a/internal/sim/testbed/settle.go
+++ b/internal/sim/testbed/settle.go
@@ -133,12 +133,12 @@
 	}
 	for name, l := range js {
 		for _, r := range l {
-			if at, ok := gone[r.RequestID]; ok && r.AtMs > at+int64(p.f.Site.Processes[0].Place.Bounds.KeyMs) {
+			if at, ok := gone[r.RequestID]; ok && r.AtMs > at+int64(p.f.Site.Processes[0].Place.Bounds.KeyRevocationMs) {
 				p.fault("%s started %s %d ms after its key was revoked", name, r.RequestID, r.AtMs-at)
 			}
 		}
 	}
-	bound := int64(p.f.Site.Processes[0].Place.Bounds.KeyMs)
+	bound := int64(p.f.Site.Processes[0].Place.Bounds.KeyRevocationMs)
 	late, rejected := 0, 0
 	for _, o := range book.All() {
 		at, gone := p.revoked[o.Request.Key]
@@ -206,8 +206,8 @@
 		}
 	}
 	p.rep.Extra = len(extra)
-	allow := float64(max(b.TryAllow, len(p.f.Site.Edges))) // an edge's part is one at least
-	if e, f := worst(extra, first, int64(b.TrySpan), float64(b.TryShare)/100); float64(e) > float64(b.TryShare)/100*float64(f)+allow {
+	allow := float64(max(b.RetryAllowance, len(p.f.Site.Edges))) // an edge's part is one at least
+	if e, f := worst(extra, first, int64(b.RetryWindowMs), float64(b.RetryPercent)/100); float64(e) > float64(b.RetryPercent)/100*float64(f)+allow {
 		p.fault("%d extra runs on %d requests in ten seconds", e, f)
 	}
 }
@@ -270,19 +270,19 @@
 	for i := range s.Processes {
 		p := &s.Processes[i].Place
 		l.Name(strings.Split(p.Listen, ":")[0], p.Name)
-		b.Note("relay", l.Relay(to(p.Listen), p.Listen, p.Name))
+		b.Add("relay", l.Relay(to(p.Listen), p.Listen, p.Name))
 		p.Advertise = to(p.Listen)
 		switch s.Processes[i].Program {
 		case "cab", "depot", "appservice", "rank":
-			b.Note("relay", l.Relay(to(p.Public), p.Public, p.Name))
+			b.Add("relay", l.Relay(to(p.Public), p.Public, p.Name))
 		}
 		for j := range p.Seeds {
 			p.Seeds[j] = strings.Replace(p.Seeds[j], old, via, 1)
 		}
-		p.Rank = to(p.Rank)
+		p.WorkerList = to(p.WorkerList)
 	}
 	for i := range s.List {
 		s.List[i].Addr = to(s.List[i].Addr)
 	}
-	return b.Look()
+	return b.Err()
 }
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -20,14 +20,14 @@
 	Name    string // unique in the site
 	Program string
 	Bin     string // the folder of its program, where it isn't the site's
-	Place   settings.Place
+	Place   settings.Process
 }
 
 // Site is a whole site: its processes, its first setup and its callers' traffic.
 type Site struct {
 	Name      string
 	Processes []Process
-	List      []contract.Listed
+	List      []contract.ListedWorker
 	Setup     serviceconfig.Config
 	Traffic   loadgen.Traffic
 	Edges     []string // where callers ask
@@ -57,7 +57,7 @@
 		return nil, errs.New(errs.BadInput, "times %d: give 1 to 4", times)
 	}
 	s := &Site{Name: name, Cabs: map[string]string{}}
-	b := settings.Default()
+	b := settings.DefaultBounds()
 	link, far, alpha := "link=40000", "far=25000", 0.3
 	weights := uint64(1)
 	switch name {
@@ -95,39 +95,39 @@
 	seeds := []string{at(ip(1, 1), 7003), at(ip(2, 1), 7003), at(ip(1, 11), 7000)}
 	core := []string{"core-1", "core-2", "core-3", "core-4"}
 	rank := at(ip(9, 1), 9100)
-	add := func(n, prog string, p settings.Place) {
+	add := func(n, prog string, p settings.Process) {
 		p.Seeds = append([]string(nil), seeds...)
-		p.Bounds, p.Core, p.Rank = b, core, rank
+		p.Bounds, p.Core, p.WorkerList = b, core, rank
 		s.Processes = append(s.Processes, Process{Name: n, Program: prog, Place: p})
 	}
 	for z := 1; z <= 4; z++ {
 		a, n, d := ip(z, 1), core[z-1], fmt.Sprintf("district-%d", z)
-		add("archive-"+n, "archive", settings.Place{Name: n, Zone: d, Listen: at(a, 7003), Operator: at(a, 8090), Data: filepath.Join(dir, "data", n)})
-		add("appraiser-"+n, "appraiser", settings.Place{Name: n, Zone: d, Listen: at(a, 7004)})
+		add("archive-"+n, "archive", settings.Process{Name: n, Zone: d, Listen: at(a, 7003), Operator: at(a, 8090), Data: filepath.Join(dir, "data", n)})
+		add("appraiser-"+n, "appraiser", settings.Process{Name: n, Zone: d, Listen: at(a, 7004)})
 		s.Operators = append(s.Operators, at(a, 8090))
 	}
 	for i := range 9 * times {
 		z := i%4 + 1
 		a, n, d := ip(z, 11+i/4), fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("district-%d", z)
-		add("runner-"+n, "runner", settings.Place{Name: n, Zone: d, Listen: at(a, 7000), Operator: at(a, 8090)})
-		add("catalogue-"+n, "catalogue", settings.Place{Name: n, Zone: d, Listen: at(a, 7002), Runner: at(a, 7000)})
-		add("dispatcher-"+n, "dispatcher", settings.Place{Name: n, Zone: d, Listen: at(a, 7001), Public: at(a, 8080), Runner: at(a, 7000)})
+		add("runner-"+n, "runner", settings.Process{Name: n, Zone: d, Listen: at(a, 7000), Operator: at(a, 8090)})
+		add("catalogue-"+n, "catalogue", settings.Process{Name: n, Zone: d, Listen: at(a, 7002), NodeAgent: at(a, 7000)})
+		add("dispatcher-"+n, "dispatcher", settings.Process{Name: n, Zone: d, Listen: at(a, 7001), Public: at(a, 8080), NodeAgent: at(a, 7000)})
 		s.Edges, s.Operators = append(s.Edges, at(a, 8080)), append(s.Operators, at(a, 8090))
 	}
 	for i := range 18 * times {
 		z := i%4 + 1
 		a, n, d := ip(z, 21+i/4), fmt.Sprintf("cab-%d", i+1), fmt.Sprintf("district-%d", z)
-		s.List = append(s.List, contract.Listed{Name: n, Addr: at(a, 9000), Kind: "lm", Service: lm + "-main", Zone: d})
+		s.List = append(s.List, contract.ListedWorker{Name: n, Addr: at(a, 9000), Kind: "lm", Service: lm + "-main", Zone: d})
 		s.Cabs[n] = at(a, 9000)
-		add(n, "cab", settings.Place{Name: n, Zone: d, Listen: at(a, 9001), Public: at(a, 9000),
-			Extra: append([]string{"service=" + lm + "-main", "model=" + lm, link, far, fmt.Sprintf("weights=%d", weights),
+		add(n, "cab", settings.Process{Name: n, Zone: d, Listen: at(a, 9001), Public: at(a, 9000),
+			Options: append([]string{"service=" + lm + "-main", "model=" + lm, link, far, fmt.Sprintf("weights=%d", weights),
 				"journal=" + filepath.Join(dir, n+".runs")}, cabWords...)})
 	}
-	s.List = append(s.List, contract.Listed{Name: "app-1", Addr: at(ip(2, 40), 9000), Kind: "app", Service: app + "-main", Zone: "district-2"},
-		contract.Listed{Name: "depot-1", Addr: at(ip(3, 40), 9000), Kind: "store", Zone: "district-3"})
-	add("app-1", "appservice", settings.Place{Name: "app-1", Zone: "district-2", Listen: at(ip(2, 40), 9001), Public: at(ip(2, 40), 9000), Extra: []string{"service=" + app + "-main", "model=" + app}})
-	add("depot-1", "depot", settings.Place{Name: "depot-1", Zone: "district-3", Listen: at(ip(3, 40), 9001), Public: at(ip(3, 40), 9000)})
-	add("rank-1", "rank", settings.Place{Name: "rank-1", Zone: "district-1", Listen: at(ip(9, 1), 9101), Public: rank, Extra: []string{"list=" + filepath.Join(dir, "list.json")}})
+	s.List = append(s.List, contract.ListedWorker{Name: "app-1", Addr: at(ip(2, 40), 9000), Kind: "app", Service: app + "-main", Zone: "district-2"},
+		contract.ListedWorker{Name: "depot-1", Addr: at(ip(3, 40), 9000), Kind: "store", Zone: "district-3"})
+	add("app-1", "appservice", settings.Process{Name: "app-1", Zone: "district-2", Listen: at(ip(2, 40), 9001), Public: at(ip(2, 40), 9000), Options: []string{"service=" + app + "-main", "model=" + app}})
+	add("depot-1", "depot", settings.Process{Name: "depot-1", Zone: "district-3", Listen: at(ip(3, 40), 9001), Public: at(ip(3, 40), 9000)})
+	add("rank-1", "rank", settings.Process{Name: "rank-1", Zone: "district-1", Listen: at(ip(9, 1), 9101), Public: rank, Options: []string{"list=" + filepath.Join(dir, "list.json")}})
 	return s, nil
 }
 
@@ -136,11 +136,11 @@
 // Example: err := s.Write("/tmp/run")
 func (s *Site) Write(dir string) error {
 	var b errs.Batch
-	put := func(name string, v any) { b.Note("write "+name, put(dir, name, v)) }
-	b.Note("make folder", os.MkdirAll(dir, 0o755))
+	put := func(name string, v any) { b.Add("write "+name, put(dir, name, v)) }
+	b.Add("make folder", os.MkdirAll(dir, 0o755))
 	put("list.json", s.List)
 	put("setup.json", s.Setup)
-	return b.Look()
+	return b.Err()
 }
 
 func put(dir, name string, v any) error {
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -44,7 +44,7 @@
 			if m[i] != "" {
 				var err error
 				if n[i], err = strconv.ParseFloat(m[i], 64); err != nil {
-					return errs.As(err, errs.BadInput, "line "+b.Text())
+					return errs.WrapAs(err, errs.BadInput, "line "+b.Text())
 				}
 			}
 		}
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -34,16 +34,16 @@
 		"another life":            {0, "cab-1/before", nil, "incarnation", 6 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			w := daemon.RealEnvironment(settings.Place{})
-			w.Clock, w.Wall = clock.Synctest(), time.Now
-			l := daemon.NewIn(w, "cab", settings.Place{Name: "cab-1", Bounds: settings.Default(),
-				Extra: []string{"log=off", "model=m", "slots=1", "fixed_us=5000000", "token_us=0", "square_us=0"}})
+			w := daemon.RealEnvironment(settings.Process{})
+			w.Clock, w.WallClock = clock.Synctest(), time.Now
+			l := daemon.NewIn(w, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
+				Options: []string{"log=off", "model=m", "slots=1", "fixed_us=5000000", "token_us=0", "square_us=0"}})
 			defer l.Stop(0)
 			c, err := open(l)
 			if err != nil {
 				t.Fatal(err)
 			}
-			ask := func(s contract.Start) *httptest.ResponseRecorder {
+			ask := func(s contract.StartRequest) *httptest.ResponseRecorder {
 				s.Model, s.Weights, s.Parts, s.WaitMs, s.Pieces = "m", 1, []string{s.RequestID}, 60000, 1
 				raw, _ := json.Marshal(s) // plain fields: can't fail
 				r := httptest.NewRecorder()
@@ -51,12 +51,12 @@
 				return r
 			}
 			var first sync.WaitGroup
-			first.Go(func() { ask(contract.Start{RequestID: "first"}) }) // its prefill takes five seconds
+			first.Go(func() { ask(contract.StartRequest{RequestID: "first"}) }) // its prefill takes five seconds
 			synctest.Wait()
 			if x.change != nil {
 				time.AfterFunc(time.Second, func() { c.mu.Lock(); x.change(c); c.mu.Unlock() })
 			}
-			s := contract.Start{RequestID: "second", Incarnation: x.inc}
+			s := contract.StartRequest{RequestID: "second", Incarnation: x.inc}
 			if x.by != 0 {
 				s.BeginByUs = (l.Clock.Now() + x.by).Microseconds()
 			}
@@ -72,7 +72,7 @@
 					ran++
 				}
 			}
-			if d.Reason != x.why || d.NotRun != (x.why != "") || (ran > 0) == (x.why != "") || took > x.within {
+			if d.Reason != x.why || d.NotExecuted != (x.why != "") || (ran > 0) == (x.why != "") || took > x.within {
 				t.Errorf("%s: %d %+v, ran %d times, after %v", name, r.Code, d, ran, took)
 			}
 		})
--- a/internal/sim/workersim/cab.go
+++ b/internal/sim/workersim/cab.go
@@ -84,7 +84,7 @@
 }
 
 func num(l *daemon.Process, key string, or float64) float64 {
-	v, err := strconv.ParseFloat(l.Place.Option(key, ""), 64)
+	v, err := strconv.ParseFloat(l.Settings.Option(key, ""), 64)
 	if err != nil {
 		return or
 	}
@@ -114,7 +114,7 @@
 		c.kv.Turn(drop, l.Clock.Now())
 	})
 	l.Go(func() { <-l.Draining; c.mu.Lock(); c.drain = true; c.mu.Unlock() })
-	if err := l.Serve(l.Place.Public, mux); err != nil {
+	if err := l.Serve(l.Settings.Public, mux); err != nil {
 		return err
 	}
 	l.Ready.Store(true)
@@ -122,22 +122,22 @@
 }
 
 func open(l *daemon.Process) (*Cab, error) {
-	seed := queue64(l.Place.Name)
-	c := &Cab{life: l, inc: fmt.Sprintf("%s/%x", l.Place.Name, l.Wall().UnixNano()), kv: NewKV(int(num(l, "kv", 40000))),
+	seed := queue64(l.Settings.Name)
+	c := &Cab{life: l, inc: fmt.Sprintf("%s/%x", l.Settings.Name, l.WallClock().UnixNano()), kv: NewKV(int(num(l, "kv", 40000))),
 		sp: Speed{num(l, "fixed_us", 2000), num(l, "token_us", 40), num(l, "square_us", 0.004), num(l, "piece_us", 3000),
 			num(l, "link", 100000), num(l, "far", 60000)},
 		slots: make(chan struct{}, int(num(l, "slots", 4))), prefill: make(chan struct{}, 1), room: int(num(l, "room", 12)),
-		model: l.Place.Option("model", ""), weights: uint64(num(l, "weights", 1)), drop: num(l, "drop", 0), mute: l.Place.Option("mute", "") == "yes", late: time.Duration(num(l, "late_ms", 0)) * time.Millisecond, lie: l.Place.Option("lie", ""),
+		model: l.Settings.Option("model", ""), weights: uint64(num(l, "weights", 1)), drop: num(l, "drop", 0), mute: l.Settings.Option("mute", "") == "yes", late: time.Duration(num(l, "late_ms", 0)) * time.Millisecond, lie: l.Settings.Option("lie", ""),
 		rnd: rand.New(rand.NewPCG(seed, 7)), h: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
 			DialContext: l.Dial}}}
 	l.OnStop(c.h.CloseIdleConnections)
 	if err := c.fill(); err != nil {
 		return nil, err
 	}
-	if f := l.Place.Option("journal", ""); f != "" {
+	if f := l.Settings.Option("journal", ""); f != "" {
 		var err error
 		if c.file, err = l.Journal(f); err != nil {
-			return nil, errs.As(err, errs.BadInput, "open journal")
+			return nil, errs.WrapAs(err, errs.BadInput, "open journal")
 		}
 	}
 	return c, nil
@@ -151,13 +151,13 @@
 	return x
 }
 
-func (c *Cab) now() contract.State {
+func (c *Cab) now() contract.WorkerState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	used, room := c.kv.Used()
-	return contract.State{Name: c.life.Place.Name, Incarnation: c.inc, Service: c.life.Place.Option("service", ""),
-		Loaded: c.holds(), Loading: c.loading, Room: c.total, Free: c.free(), Model: c.model, Zone: c.life.Place.Zone, Weights: c.weights, Slots: cap(c.slots),
-		Busy: len(c.slots), Queued: c.waiting, Draining: c.drain, Fence: c.fence, ClockUs: c.life.Clock.Now().Microseconds(), KvTokens: used, KvRoom: room}
+	return contract.WorkerState{Name: c.life.Settings.Name, Incarnation: c.inc, Service: c.life.Settings.Option("service", ""),
+		Loaded: c.holds(), Loading: c.loading, WeightMemoryMB: c.total, FreeWeightMemoryMB: c.free(), Model: c.model, Zone: c.life.Settings.Zone, Weights: c.weights, Slots: cap(c.slots),
+		Busy: len(c.slots), Queued: c.waiting, Draining: c.drain, FencingToken: c.fence, ClockUs: c.life.Clock.Now().Microseconds(), KVTokens: used, KVCapacity: room}
 }
 
 func (c *Cab) state(w http.ResponseWriter, _ *http.Request) { contract.WriteJSON(w, 200, c.now()) }
@@ -191,26 +191,26 @@
 func (c *Cab) order(w http.ResponseWriter, r *http.Request) {
 	var o contract.Order
 	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&o); err != nil {
-		contract.WriteJSON(w, 400, contract.Rejection{NotRun: true, Reason: "bad"})
+		contract.WriteJSON(w, 400, contract.Rejection{NotExecuted: true, Reason: "bad"})
 		return
 	}
 	c.mu.Lock()
-	if o.Fence < c.fence {
+	if o.FencingToken < c.fence {
 		f := c.fence
 		c.mu.Unlock()
-		contract.WriteJSON(w, 409, contract.Rejection{NotRun: true, Reason: "fence", Fence: f})
+		contract.WriteJSON(w, 409, contract.Rejection{NotExecuted: true, Reason: "fence", FencingToken: f})
 		return
 	}
-	c.fence = o.Fence
+	c.fence = o.FencingToken
 	if why := c.stale(&o); why != "" {
 		c.mu.Unlock()
-		contract.WriteJSON(w, 409, contract.Rejection{NotRun: true, Reason: why, Fence: o.Fence})
+		contract.WriteJSON(w, 409, contract.Rejection{NotExecuted: true, Reason: why, FencingToken: o.FencingToken})
 		return
 	}
-	_ = c.write(&Run{Weights: o.Weights, AtMs: c.life.Wall().UnixMilli(), Fence: o.Fence, Holder: o.Holder, Kind: o.Kind, Model: o.Model, Adapter: o.Adapter, Build: o.Build}) // logged there; the order is obeyed all the same
+	_ = c.write(&Run{Weights: o.Weights, AtMs: c.life.WallClock().UnixMilli(), Fence: o.FencingToken, Holder: o.Holder, Kind: o.Kind, Model: o.Model, Adapter: o.Adapter, Build: o.Build}) // logged there; the order is obeyed all the same
 	if why := c.remember(&o); why != "" {
 		c.mu.Unlock()
-		contract.WriteJSON(w, 409, contract.Rejection{NotRun: true, Reason: why, Fence: o.Fence})
+		contract.WriteJSON(w, 409, contract.Rejection{NotExecuted: true, Reason: why, FencingToken: o.FencingToken})
 		return
 	}
 	if o.Kind == "weights" && (o.Model == "" || o.Model == c.model) && o.Weights > c.weights && c.lie != "deaf" {
@@ -228,11 +228,11 @@
 		contract.WriteJSON(w, 404, map[string]string{"error": "not held"})
 		return
 	}
-	contract.WriteJSON(w, 200, contract.Kept{Key: r.PathValue("key"), Tokens: n})
+	contract.WriteJSON(w, 200, contract.CachedPrefix{Key: r.PathValue("key"), Tokens: n})
 }
 
 func (c *Cab) take(w http.ResponseWriter, r *http.Request) {
-	var k contract.Kept
+	var k contract.CachedPrefix
 	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&k); err != nil || k.Key != r.PathValue("key") || k.Tokens <= 0 {
 		contract.WriteJSON(w, 400, map[string]string{"error": "give k and n"})
 		return
@@ -243,9 +243,9 @@
 
 // start is one go, from refusal to seal.
 func (c *Cab) start(w http.ResponseWriter, r *http.Request) {
-	var s contract.Start
+	var s contract.StartRequest
 	deny := func(code int, why string) {
-		contract.WriteJSON(w, code, contract.Rejection{RequestID: s.RequestID, NotRun: true, Reason: why})
+		contract.WriteJSON(w, code, contract.Rejection{RequestID: s.RequestID, NotExecuted: true, Reason: why})
 	}
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&s); err != nil || len(s.Parts) == 0 || s.RequestID == "" {
 		deny(400, "bad")
@@ -303,16 +303,16 @@
 
 // begin writes down that a request starts now, right before its prefill, or says why it may
 // not: all that it depends on is looked at once more.
-func (c *Cab) begin(s *contract.Start) (*Run, string) {
+func (c *Cab) begin(s *contract.StartRequest) (*Run, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if why := c.lacks(s); why != "" {
 		return nil, why
 	}
-	if why := s.Late(c.inc, c.life.Clock.Now()); why != "" {
+	if why := s.Refusal(c.inc, c.life.Clock.Now()); why != "" {
 		return nil, why
 	}
-	run := &Run{RequestID: s.RequestID, Once: s.Once, Model: s.Model, Adapter: s.Adapter, Build: s.Build, Weights: s.Weights, AtMs: c.life.Wall().UnixMilli()}
+	run := &Run{RequestID: s.RequestID, Once: s.Once, Model: s.Model, Adapter: s.Adapter, Build: s.Build, Weights: s.Weights, AtMs: c.life.WallClock().UnixMilli()}
 	if c.write(run) != nil {
 		return nil, "full" // what can't be written down isn't begun
 	}
--- a/internal/sim/workersim/cab_test.go
+++ b/internal/sim/workersim/cab_test.go
@@ -23,24 +23,24 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	l := daemon.New("cab", settings.Place{Name: "cab-1", Zone: "d", Listen: "127.0.0.1:1", Public: addr, Bounds: settings.Default(),
-		Extra: []string{"log=off", "model=m", "service=s", "kv=100", "token_us=1", "piece_us=1", "fixed_us=1"}})
+	l := daemon.New("cab", settings.Process{Name: "cab-1", Zone: "d", Listen: "127.0.0.1:1", Public: addr, Bounds: settings.DefaultBounds(),
+		Options: []string{"log=off", "model=m", "service=s", "kv=100", "token_us=1", "piece_us=1", "fixed_us=1"}})
 	if err := Start(l); err != nil {
 		t.Fatal(err)
 	}
 	defer l.Stop(time.Second)
 	be, ctx := contract.NewBackends((&net.Dialer{}).DialContext), context.Background()
 	opening := "o"
-	ask := func(id string, weights uint64, domain string) (contract.Go, *contract.Check) {
-		g := be.Begin(ctx, addr, contract.Start{RequestID: id, Domain: domain, Model: "m", Weights: weights, Parts: []string{strings.Repeat(opening, 160), "question"}, Pieces: 3, WaitMs: 2000}, nil)
-		c := contract.NewCheck(id, "cab-1")
+	ask := func(id string, weights uint64, domain string) (contract.Attempt, *contract.StreamVerifier) {
+		g := be.Start(ctx, addr, contract.StartRequest{RequestID: id, Domain: domain, Model: "m", Weights: weights, Parts: []string{strings.Repeat(opening, 160), "question"}, Pieces: 3, WaitMs: 2000}, nil)
+		c := contract.NewStreamVerifier(id, "cab-1")
 		if g.Body != nil {
 			var b bytes.Buffer
 			if _, err := b.ReadFrom(g.Body); err != nil {
 				t.Fatal(err)
 			}
 			for _, raw := range bytes.Split(bytes.TrimSpace(b.Bytes()), []byte("\n")) {
-				if w := c.Line(raw); w != "" {
+				if w := c.Verify(raw); w != "" {
 					t.Fatalf("%s: %s", id, w)
 				}
 			}
@@ -48,26 +48,26 @@
 		}
 		return g, c
 	}
-	if _, c := ask("a", 1, "shared"); c.Last == nil || c.Last.Prefilled != 42 {
-		t.Fatalf("the first go: %+v", c.Last)
+	if _, c := ask("a", 1, "shared"); c.Sealed == nil || c.Sealed.Prefilled != 42 {
+		t.Fatalf("the first go: %+v", c.Sealed)
 	}
-	if _, c := ask("b", 1, "shared"); c.Last == nil || c.Last.Hit != 42 {
-		t.Errorf("the same prompt again: %+v", c.Last)
+	if _, c := ask("b", 1, "shared"); c.Sealed == nil || c.Sealed.Hit != 42 {
+		t.Errorf("the same prompt again: %+v", c.Sealed)
 	}
-	if _, c := ask("c", 1, "t:walled"); c.Last == nil || c.Last.Hit != 0 {
-		t.Errorf("the same prompt behind a wall: %+v", c.Last)
+	if _, c := ask("c", 1, "t:walled"); c.Sealed == nil || c.Sealed.Hit != 0 {
+		t.Errorf("the same prompt behind a wall: %+v", c.Sealed)
 	}
-	if err := be.Order(ctx, addr, contract.Order{Fence: 5, Kind: "weights", Weights: 2}); err != nil {
+	if err := be.Order(ctx, addr, contract.Order{FencingToken: 5, Kind: "weights", Weights: 2}); err != nil {
 		t.Fatal(err)
 	}
-	if err := be.Order(ctx, addr, contract.Order{Fence: 4, Kind: "weights", Weights: 3}); err == nil {
+	if err := be.Order(ctx, addr, contract.Order{FencingToken: 4, Kind: "weights", Weights: 3}); err == nil {
 		t.Error("an order under a lower fence was obeyed")
 	}
-	if g, _ := ask("d", 1, "shared"); !g.NotRun() || g.Rejected.Reason != "weights" {
+	if g, _ := ask("d", 1, "shared"); !g.NotExecuted() || g.Rejected.Reason != "weights" {
 		t.Errorf("a start on older weights: %+v", g)
 	}
-	if _, c := ask("e", 2, "shared"); c.Last == nil || c.Last.Hit != 0 || c.Last.Weights != 2 {
-		t.Errorf("the same prompt under newer weights: %+v", c.Last)
+	if _, c := ask("e", 2, "shared"); c.Sealed == nil || c.Sealed.Hit != 0 || c.Sealed.Weights != 2 {
+		t.Errorf("the same prompt under newer weights: %+v", c.Sealed)
 	}
 	// A prefix of older weights is handed over late, by a colleague that is behind: it is
 	// held, and nothing that runs now can name it.
@@ -80,11 +80,11 @@
 		t.Fatalf("%v %v", r, err)
 	}
 	opening = "p"
-	if _, c := ask("f", 2, "shared"); c.Last == nil || c.Last.Hit != 0 || c.Last.Prefilled != 42 {
-		t.Errorf("a prompt whose opening is held under older weights: %+v", c.Last)
+	if _, c := ask("f", 2, "shared"); c.Sealed == nil || c.Sealed.Hit != 0 || c.Sealed.Prefilled != 42 {
+		t.Errorf("a prompt whose opening is held under older weights: %+v", c.Sealed)
 	}
 	s, err := be.State(ctx, addr)
-	if err != nil || s.KvTokens > 100 || s.Weights != 2 || s.Fence != 5 {
+	if err != nil || s.KVTokens > 100 || s.Weights != 2 || s.FencingToken != 5 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -107,13 +107,13 @@
 		t.Error("a was used after b, and is gone")
 	}
 	r := k.Reports(0, false, 1)
-	if r.Number != 3 || len(r.List) != 2 || r.List[0].Number != 1 || r.List[1].Number != 3 {
+	if r.Number != 3 || len(r.Reports) != 2 || r.Reports[0].Number != 1 || r.Reports[1].Number != 3 {
 		t.Errorf("%+v", r)
 	}
-	if l := k.Reports(0, false, 0); len(l.List) != 0 || l.Number != 0 {
+	if l := k.Reports(0, false, 0); len(l.Reports) != 0 || l.Number != 0 {
 		t.Errorf("shown before their time: %+v", l)
 	}
-	if w := k.Reports(0, true, 1); !w.Whole || len(w.Held) != 3 {
+	if w := k.Reports(0, true, 1); !w.Complete || len(w.Cached) != 3 {
 		t.Errorf("%+v", w)
 	}
 	k.Keep("huge", 101)
--- a/internal/sim/workersim/kv.go
+++ b/internal/sim/workersim/kv.go
@@ -18,8 +18,8 @@
 	order  *list.List
 	at     map[string]*list.Element
 	number uint64
-	now    contract.Report
-	past   []contract.Report
+	now    contract.CacheReport
+	past   []contract.CacheReport
 	turned []time.Duration // when each of the past was closed
 }
 
@@ -68,11 +68,11 @@
 		k.order.Remove(e)
 		delete(k.at, h.key)
 		k.used -= h.tokens
-		k.now.Gone = append(k.now.Gone, h.key)
+		k.now.Removed = append(k.now.Removed, h.key)
 	}
 	k.at[key] = k.order.PushFront(held{key, tokens})
 	k.used += tokens
-	k.now.Added = append(k.now.Added, contract.Kept{Key: key, Tokens: tokens})
+	k.now.Added = append(k.now.Added, contract.CachedPrefix{Key: key, Tokens: tokens})
 }
 
 // Clear forgets everything, as new weights or an emptied store do.
@@ -82,7 +82,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for key := range k.at {
-		k.now.Gone = append(k.now.Gone, key)
+		k.now.Removed = append(k.now.Removed, key)
 	}
 	k.order.Init()
 	clear(k.at)
@@ -95,7 +95,7 @@
 func (k *KV) Turn(drop bool, now time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.now.Added)+len(k.now.Gone) == 0 {
+	if len(k.now.Added)+len(k.now.Removed) == 0 {
 		return
 	}
 	k.number++
@@ -106,21 +106,21 @@
 			k.past, k.turned = k.past[1:], k.turned[1:]
 		}
 	}
-	k.now = contract.Report{}
+	k.now = contract.CacheReport{}
 }
 
 // Reports answers what came after a number, or all that is held. Reports that were closed after
 // an instant aren't shown yet.
 //
 // Example: r := kv.Reports(41, false, clk.Now())
-func (k *KV) Reports(after uint64, whole bool, until time.Duration) contract.Reports {
+func (k *KV) Reports(after uint64, whole bool, until time.Duration) contract.CacheReports {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r := contract.Reports{Number: k.number, Whole: whole}
+	r := contract.CacheReports{Number: k.number, Complete: whole}
 	if whole {
 		for e := k.order.Front(); e != nil; e = e.Next() {
 			h := e.Value.(held)
-			r.Held = append(r.Held, contract.Kept{Key: h.key, Tokens: h.tokens})
+			r.Cached = append(r.Cached, contract.CachedPrefix{Key: h.key, Tokens: h.tokens})
 		}
 		return r
 	}
@@ -130,7 +130,7 @@
 			break
 		}
 		if p.Number > after {
-			r.List = append(r.List, p)
+			r.Reports = append(r.Reports, p)
 		}
 	}
 	return r
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -32,12 +32,12 @@
 	c.memory = memory{total: int(num(l, "memory", 0)), bases: map[string]uint64{}, adapters: map[string]map[string]uint64{}, takes: map[string]int{},
 		busy: map[string]int{}, steps: map[string]uint64{}, asTold: int(num(l, "model_room", 0)),
 		baseTime: time.Duration(num(l, "load_ms", 400)) * time.Millisecond, addTime: time.Duration(num(l, "adapter_ms", 100)) * time.Millisecond}
-	if l.Place.Option("empty", "") == "yes" {
+	if l.Settings.Option("empty", "") == "yes" {
 		c.model, c.weights = "", 0
 		return nil
 	}
 	c.takes[c.model] = c.asTold
-	for _, x := range strings.Split(l.Place.Option("adapters", ""), ",") {
+	for _, x := range strings.Split(l.Settings.Option("adapters", ""), ",") {
 		if x == "" {
 			continue
 		}
@@ -67,7 +67,7 @@
 }
 
 // lacks says why a start can't run on what is in memory, or "".
-func (c *Cab) lacks(s *contract.Start) string {
+func (c *Cab) lacks(s *contract.StartRequest) string {
 	w := c.weightsOf(s.Model)
 	switch {
 	case w == 0:
@@ -83,13 +83,13 @@
 }
 
 // holds tells what is in memory. It stays silent where there is the one model alone.
-func (c *Cab) holds() []contract.Loaded {
+func (c *Cab) holds() []contract.LoadedModel {
 	if c.model == "" || len(c.bases) == 0 && len(c.adapters[c.model]) == 0 && len(c.steps) == 0 {
 		return nil
 	}
-	l := []contract.Loaded{}
+	l := []contract.LoadedModel{}
 	for _, b := range append([]string{c.model}, queue.Keys(c.bases)...) {
-		x := contract.Loaded{Model: b, Weights: c.weightsOf(b), Busy: c.busy[b]}
+		x := contract.LoadedModel{Model: b, Weights: c.weightsOf(b), Busy: c.busy[b]}
 		for a, n := range c.adapters[b] {
 			if x.Adapters == nil {
 				x.Adapters = map[string]uint64{}
@@ -157,7 +157,7 @@
 		if c.loading != "" || o.Adapter != "" && c.weightsOf(o.Model) == 0 {
 			return "busy"
 		}
-		if c.total > 0 && c.free() < o.Room-c.takes[key] {
+		if c.total > 0 && c.free() < o.WeightMemoryMB-c.takes[key] {
 			return "room"
 		}
 		c.load(*o, key)
@@ -189,7 +189,7 @@
 	if o.Adapter != "" {
 		took = c.addTime
 	}
-	c.loading, c.takes[key] = key, o.Room
+	c.loading, c.takes[key] = key, o.WeightMemoryMB
 	done := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -204,7 +204,7 @@
 			delete(c.takes, key)
 			return
 		case o.Adapter != "":
-			c.put(o.Model, o.Adapter, o.Build, o.Room)
+			c.put(o.Model, o.Adapter, o.Build, o.WeightMemoryMB)
 		case c.model == "" || c.model == o.Model:
 			c.model, c.weights = o.Model, o.Weights
 		default:
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -19,10 +19,10 @@
 func inBubble(t *testing.T, words []string, do func(t *testing.T, c *Cab, order func(contract.Order) string, ask func(model, adapter string, build uint64) string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.RealEnvironment(settings.Place{})
-		w.Clock, w.Wall = clock.Synctest(), time.Now
-		l := daemon.NewIn(w, "cab", settings.Place{Name: "cab-1", Bounds: settings.Default(),
-			Extra: append([]string{"log=off", "model=m", "slots=4", "fixed_us=1000", "load_ms=400", "adapter_ms=100", "memory=100", "model_room=40", "adapter_room=5", "adapters=a@1"}, words...)})
+		w := daemon.RealEnvironment(settings.Process{})
+		w.Clock, w.WallClock = clock.Synctest(), time.Now
+		l := daemon.NewIn(w, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
+			Options: append([]string{"log=off", "model=m", "slots=4", "fixed_us=1000", "load_ms=400", "adapter_ms=100", "memory=100", "model_room=40", "adapter_room=5", "adapters=a@1"}, words...)})
 		defer l.Stop(0)
 		c, err := open(l)
 		if err != nil {
@@ -45,11 +45,11 @@
 		n := 0
 		ask := func(model, adapter string, build uint64) string {
 			n++
-			s := contract.Start{RequestID: fmt.Sprint("r", n), Model: model, Weights: 1, Adapter: adapter, Build: build, Parts: []string{"p"}, Pieces: 1, WaitMs: 5000}
+			s := contract.StartRequest{RequestID: fmt.Sprint("r", n), Model: model, Weights: 1, Adapter: adapter, Build: build, Parts: []string{"p"}, Pieces: 1, WaitMs: 5000}
 			r := post(func(w *httptest.ResponseRecorder, b *bytes.Reader) { c.start(w, httptest.NewRequest("POST", "/", b)) }, s)
 			if r.Code == 200 {
 				lines := strings.Split(strings.TrimSpace(r.Body.String()), "\n")
-				var last contract.Piece
+				var last contract.Chunk
 				if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || last.Model != model || last.Adapter != adapter || last.Build != build {
 					t.Errorf("asked of %s %s@%d, sealed by %+v", model, adapter, build, last)
 				}
@@ -75,32 +75,32 @@
 		is("its adapter", ask("m", "a", 1), "")
 		is("another build", ask("m", "a", 2), "adapter")
 		is("another base", ask("m2", "", 0), "model")
-		is("an adapter on what isn't there", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 1, Room: 5}), "busy")
-		is("more than there is room for", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Room: 56}), "room")
-		is("a second base", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Room: 40}), "")
-		is("a third meanwhile", order(contract.Order{Kind: "load", Model: "m3", Weights: 1, Room: 1}), "busy")
+		is("an adapter on what isn't there", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 1, WeightMemoryMB: 5}), "busy")
+		is("more than there is room for", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 56}), "room")
+		is("a second base", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 40}), "")
+		is("a third meanwhile", order(contract.Order{Kind: "load", Model: "m3", Weights: 1, WeightMemoryMB: 1}), "busy")
 		is("before it is loaded", ask("m2", "", 0), "model")
-		if s := c.now(); s.Loading != "m2" || s.Free != 15 || s.Model != "m" {
+		if s := c.now(); s.Loading != "m2" || s.FreeWeightMemoryMB != 15 || s.Model != "m" {
 			t.Errorf("%+v", s)
 		}
 		time.Sleep(400 * time.Millisecond) // virtual
 		synctest.Wait()
 		is("once it is loaded", ask("m2", "", 0), "")
-		is("an adapter on it", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 3, Room: 5}), "")
+		is("an adapter on it", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 3, WeightMemoryMB: 5}), "")
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		is("under the adapter", ask("m2", "a2", 3), "")
-		if l := c.now().Holds(); len(l) != 2 || l[0].Model != "m" || l[0].Adapters["a"] != 1 || l[1].Adapters["a2"] != 3 {
+		if l := c.now().LoadedModels(); len(l) != 2 || l[0].Model != "m" || l[0].Adapters["a"] != 1 || l[1].Adapters["a2"] != 3 {
 			t.Errorf("%+v", l)
 		}
 		is("the first base goes", order(contract.Order{Kind: "unload", Model: "m"}), "")
 		is("and answers nothing", ask("m", "a", 1), "model")
 		is("the second stays", ask("m2", "a2", 3), "")
-		if s := c.now(); s.Model != "m2" || s.Weights != 1 || s.Free != 55 || len(s.Holds()) != 1 {
+		if s := c.now(); s.Model != "m2" || s.Weights != 1 || s.FreeWeightMemoryMB != 55 || len(s.LoadedModels()) != 1 {
 			t.Errorf("%+v", s)
 		}
 		is("the last goes", order(contract.Order{Kind: "unload", Model: "m2"}), "")
-		if s := c.now(); s.Model != "" || len(s.Holds()) != 0 || s.Free != 100 {
+		if s := c.now(); s.Model != "" || len(s.LoadedModels()) != 0 || s.FreeWeightMemoryMB != 100 {
 			t.Errorf("%+v", s)
 		}
 	})
@@ -119,7 +119,7 @@
 		if w := <-done; w != "" {
 			t.Errorf("the request: %q", w)
 		}
-		load := contract.Order{Kind: "load", Model: "m2", Weights: 1, Room: 5, Plan: "p", Step: 2}
+		load := contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 5, Plan: "p", Step: 2}
 		if w := order(load); w != "stale" {
 			t.Errorf("an order from before: %q", w)
 		}
@@ -131,7 +131,7 @@
 		}
 		time.Sleep(time.Second) // virtual
 		synctest.Wait()
-		if l := c.now().Holds(); len(l) != 1 || c.now().Free != 55 || c.now().Loading != "" {
+		if l := c.now().LoadedModels(); len(l) != 1 || c.now().FreeWeightMemoryMB != 55 || c.now().Loading != "" {
 			t.Errorf("it was loaded though it was taken back: %+v", c.now())
 		}
 		if w := order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Incarnation: "cab-1/before"}); w != "incarnation" {
@@ -143,12 +143,12 @@
 // It may start empty, and it may boast: say that it holds an adapter and answer nothing under it.
 func TestEmptyAndBoasting(t *testing.T) {
 	inBubble(t, []string{"empty=yes"}, func(t *testing.T, c *Cab, _ func(contract.Order) string, ask func(string, string, uint64) string) {
-		if s := c.now(); s.Model != "" || len(s.Holds()) != 0 || ask("m", "", 0) != "model" {
+		if s := c.now(); s.Model != "" || len(s.LoadedModels()) != 0 || ask("m", "", 0) != "model" {
 			t.Errorf("%+v", s)
 		}
 	})
 	inBubble(t, []string{"lie=boasts"}, func(t *testing.T, c *Cab, _ func(contract.Order) string, ask func(string, string, uint64) string) {
-		if l := c.now().Holds(); len(l) != 1 || l[0].Adapters["a"] != 1 || ask("m", "a", 1) != "adapter" || ask("m", "", 0) != "" {
+		if l := c.now().LoadedModels(); len(l) != 1 || l[0].Adapters["a"] != 1 || ask("m", "a", 1) != "adapter" || ask("m", "", 0) != "" {
 			t.Errorf("%+v", l)
 		}
 	})
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -16,13 +16,13 @@
 // run carries a go on a slot: what others hold is fetched, and once the prefill's turn has
 // come the request starts, if it still may before the wait is over. Then what is missing is
 // prefilled, the pieces are streamed, the seal closes them. False: its wait was over.
-func (c *Cab) run(wait context.Context, w http.ResponseWriter, r *http.Request, s *contract.Start, deny func(int, string)) bool {
+func (c *Cab) run(wait context.Context, w http.ResponseWriter, r *http.Request, s *contract.StartRequest, deny func(int, string)) bool {
 	if c.lie == "walls" {
 		s.Domain = "shared"
 	}
 	es := prefix.Chain(s.Domain, prefix.QualifiedModel(s.Model, s.Adapter, s.Build), s.Weights, s.Parts)
-	last := contract.Piece{R: s.RequestID, Worker: c.life.Place.Name, Weights: s.Weights, Model: s.Model, Adapter: s.Adapter, Build: s.Build}
-	hints := contract.Hints(r.Header.Get(contract.FetchFrom))
+	last := contract.Chunk{R: s.RequestID, Worker: c.life.Settings.Name, Weights: s.Weights, Model: s.Model, Adapter: s.Adapter, Build: s.Build}
+	hints := contract.ParseFetchFrom(r.Header.Get(contract.FetchFrom))
 	i, t0 := 0, time.Now()
 	for ; i < len(es); i++ {
 		if n, ok := c.kv.Has(es[i].Key.String()); ok {
@@ -75,13 +75,13 @@
 	defer func() { c.mu.Lock(); run.Ended = ended; c.mu.Unlock() }()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(200)
-	seal, key := contract.NewSeal(s.RequestID, c.life.Place.Name), es[len(es)-1].Key.String()
+	seal, key := contract.NewSeal(s.RequestID, c.life.Settings.Name), es[len(es)-1].Key.String()
 	enc := json.NewEncoder(w)
 	for n := range s.Pieces {
 		c.sleep(r, time.Duration(c.sp.PieceUs)*time.Microsecond)
-		text := contract.Text(key, s.Weights, n)
+		text := contract.SyntheticText(key, s.Weights, n)
 		seal.Add(n, text)
-		if r.Context().Err() != nil || enc.Encode(contract.Piece{R: s.RequestID, N: n, T: text}) != nil {
+		if r.Context().Err() != nil || enc.Encode(contract.Chunk{R: s.RequestID, N: n, T: text}) != nil {
 			return true
 		}
 		http.NewResponseController(w).Flush()
@@ -91,7 +91,7 @@
 		ended = "sealed"
 	}
 	if same {
-		c.save(r.Header.Get(contract.SaveTo), r.Header.Get(contract.SaveUpto), es)
+		c.save(r.Header.Get(contract.SaveTo), r.Header.Get(contract.SaveUpTo), es)
 	}
 	return true
 }
@@ -130,12 +130,12 @@
 		return false
 	}
 	defer a.Body.Close()
-	var k contract.Kept
+	var k contract.CachedPrefix
 	if a.StatusCode != 200 || json.NewDecoder(io.LimitReader(a.Body, 4096)).Decode(&k) != nil {
 		return false
 	}
 	rate := c.sp.LinkTok
-	if far(addr, c.life.Place.Public) {
+	if far(addr, c.life.Settings.Public) {
 		rate = c.sp.FarTok
 	}
 	c.sleep(r, time.Duration(float64(k.Tokens)/rate*float64(time.Second)))
@@ -159,7 +159,7 @@
 		}
 		c.life.Go(func() {
 			for _, e := range es[:n] {
-				raw, _ := json.Marshal(contract.Kept{Key: e.Key.String(), Tokens: e.Tokens}) // plain fields: can't fail
+				raw, _ := json.Marshal(contract.CachedPrefix{Key: e.Key.String(), Tokens: e.Tokens}) // plain fields: can't fail
 				q, err := http.NewRequestWithContext(c.life.Ctx, http.MethodPut, "http://"+a+"/kv/"+e.Key.String(), strings.NewReader(string(raw)))
 				if err != nil {
 					return
--- a/internal/wire/outcome.go
+++ b/internal/wire/outcome.go
@@ -12,7 +12,7 @@
 	OutcomeOverloaded Outcome = "overloaded"     // it never began: ask again
 	OutcomeUnknown    Outcome = "cant-say"       // it may have been carried out, or may yet be
 	OutcomeBadInput   Outcome = "bad-input"      // it can't be carried out as it stands
-	OutcomeTooBig     Outcome = "too-big"        // it is over a bound
-	OutcomeNews       Outcome = "news"           // of a watch: a newer document
-	OutcomeSame       Outcome = "same"           // of a watch: this member's disk holds nothing newer
+	OutcomeTooLarge   Outcome = "too-big"        // it is over a bound
+	OutcomeUpdated    Outcome = "news"           // of a watch: a newer document
+	OutcomeUnchanged  Outcome = "same"           // of a watch: this member's disk holds nothing newer
 )
