--- a/internal/control/serviceconfig/config.go
+++ b/internal/control/serviceconfig/config.go
@@ -140,8 +140,8 @@
 		if _, ok := s.Models[v.Model]; !ok {
 			f.add(p+".model", "%q is not among models: add it there or name another", v.Model)
 		}
-		if v.FetchToPrefillRatio < 0 || v.FetchToPrefillRatio > 10 {
-			f.add(p+".alpha", "%g: give 0 (the default, 1) to 10", v.FetchToPrefillRatio)
+		if v.FetchTolerance < 0 || v.FetchTolerance > 10 {
+			f.add(p+".alpha", "%g: give 0 (the default, 1) to 10", v.FetchTolerance)
 		}
 		if v.WorkerMemoryMB < 0 {
 			f.add(p+".room", "%d: give each worker's memory for weights in MB, or leave it out", v.WorkerMemoryMB)
--- a/internal/control/serviceconfig/model.go
+++ b/internal/control/serviceconfig/model.go
@@ -41,12 +41,12 @@
 
 // Service is a group of workers that answer for a model.
 type Service struct {
-	Model               string  `json:"model"`
-	FetchToPrefillRatio float64 `json:"alpha,omitempty"`     // fetch time tolerated over prefill time
-	HotnessWindowS      int     `json:"window_s,omitempty"`  // hotness window
-	Placement           string  `json:"placement,omitempty"` // hrcs, or a switch to compare with
-	Rollout             string  `json:"roll_out,omitempty"`  // paced, or at-once to compare with
-	WorkerMemoryMB      int     `json:"room,omitempty"`      // each worker's memory for weights, in MB
+	Model          string  `json:"model"`
+	FetchTolerance float64 `json:"alpha,omitempty"`     // fetch time tolerated over prefill time
+	HotnessWindowS int     `json:"window_s,omitempty"`  // hotness window
+	Placement      string  `json:"placement,omitempty"` // hrcs, or a switch to compare with
+	Rollout        string  `json:"roll_out,omitempty"`  // paced, or at-once to compare with
+	WorkerMemoryMB int     `json:"room,omitempty"`      // each worker's memory for weights, in MB
 }
 
 // Route sends a model's requests to a service.
--- a/internal/data/proxy/forward.go
+++ b/internal/data/proxy/forward.go
@@ -99,7 +99,7 @@
 	opened := make(chan *http.Server, 1)
 	d.process.Go(func() {
 		lim := d.awaitLimits()
-		s := &http.Server{Handler: d, ErrorLog: discardLogger(), MaxHeaderBytes: lim.HeaderBytes, ReadHeaderTimeout: lim.HeaderTime, IdleTimeout: lim.IdleTime}
+		s := &http.Server{Handler: d, ErrorLog: discardLogger(), MaxHeaderBytes: lim.HeaderBytes, ReadHeaderTimeout: lim.HeaderTimeout, IdleTimeout: lim.IdleTimeout}
 		opened <- s
 		d.serveHTTP(s, front)
 	})
@@ -122,7 +122,7 @@
 	for range 25 {
 		if p := d.currentPlan(); p != nil && (!d.siteSettings.EnforceRevocation || d.Snapshot().ProofAt > 0) {
 			l := p.Limits
-			if l.HeaderBytes > 0 && l.HeaderTime > 0 && l.IdleTime > 0 {
+			if l.HeaderBytes > 0 && l.HeaderTimeout > 0 && l.IdleTimeout > 0 {
 				return l
 			}
 			break
@@ -136,7 +136,7 @@
 		}
 		break
 	}
-	return routingconfig.Limits{HeaderBytes: 16 << 10, HeaderTime: b.Heal(0.25), IdleTime: b.Heal(1.25)}
+	return routingconfig.Limits{HeaderBytes: 16 << 10, HeaderTimeout: b.Heal(0.25), IdleTimeout: b.Heal(1.25)}
 }
 
 func (d *server) currentPlan() *routingconfig.Plan {
