--- /dev/null
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -0,0 +1,324 @@
+package controlstate
+
+import (
+	"fmt"
+	"time"
+
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/sim/history"
+	"pebbleloom/internal/wire"
+)
+
+// An order that is sent again after so many others were acknowledged counts as late, or very late.
+const lateAfter, veryLateAfter = 40, 256
+
+// answerTimeout is how long an operator or a reader waits for an answer.
+const answerTimeout = 10 * time.Second
+
+// groupChange is one configuration that an operator wants on a version.
+type groupChange struct {
+	name                    string
+	baseVersion, newVersion uint64
+	body                    string
+	ackedAt                 time.Duration // when it was first acknowledged; zero: never
+	ackedBefore             int           // how many orders had been acknowledged when it was made
+	attempts                int
+	createdAt               time.Duration
+}
+
+// readAt begins a read at a node; then is told what it gave.
+func (s *groupSim) readAt(node *groupSimNode, then func(version uint64, body string)) {
+	if !s.isHealthy(node) {
+		return
+	}
+	begin, incarnation, confirmed := s.now, node.generation, make(chan bool, 1)
+	node.shard.beginRead(confirmed)
+	s.runStep(node)
+	s.inProgress = append(s.inProgress, func() bool {
+		select {
+		case ok := <-confirmed:
+			if ok && node.generation == incarnation && s.isHealthy(node) {
+				documents, _ := node.shard.selectDocuments(&wire.ReadRequest{Key: routingconfig.DocumentKey})
+				if len(documents) == 0 {
+					then(0, "")
+				} else {
+					then(documents[0].Version, string(documents[0].Body))
+				}
+			}
+			return false
+		default:
+			return node.generation == incarnation && s.now-begin < answerTimeout
+		}
+	})
+}
+
+// read is a reader's question to a node, and the checks of its answer.
+func (s *groupSim) read(node *groupSimNode) {
+	begin, query := s.now, s.history.BeginRead(routingconfig.DocumentKey)
+	s.readAt(node, func(version uint64, body string) {
+		query.Complete(version, body)
+		read := &simRead{sentAt: begin, answeredAt: s.now, version: version, body: body}
+		s.reads = append(s.reads, read)
+		s.knownVersion = max(s.knownVersion, version)
+		s.count("read")
+		s.checkIsolated(node, begin, "answers a read")
+		for _, change := range s.changes {
+			if change.ackedAt > 0 && change.ackedAt < read.sentAt && change.newVersion > version {
+				s.violationf("read version %d after %d was acknowledged", version, change.newVersion)
+			}
+			if change.ackedAt > 0 && change.newVersion == version && change.body != body {
+				s.violationf("read another body under version %d", version)
+			}
+		}
+		for _, earlier := range s.reads {
+			if earlier.answeredAt < read.sentAt && earlier.version > version || earlier.version == version && earlier.body != body {
+				s.violationf("read version %d %q after %d %q", version, body, earlier.version, earlier.body)
+			}
+		}
+	})
+}
+
+// checkIsolated sees to it that a node that nobody hears and that hears nobody serves nothing that
+// was asked since.
+func (s *groupSim) checkIsolated(node *groupSimNode, asked time.Duration, what string) {
+	if s.isolatedAddr != node.addr || asked <= s.isolatedSince || node.shard == nil {
+		return
+	}
+	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // else it is the whole group
+		s.violationf("%s, cut off since %v, %s of %v", node.addr, s.isolatedSince, what, asked)
+	}
+}
+
+// sendCommand sends a command to a node and follows it up; question or answer may be lost.
+func (s *groupSim) sendCommand(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
+	s.proposeCommand(node, request, func(response *wire.ChangeResponse, _ bool) { done(response) })
+}
+
+// proposeCommand does what ask does, and tells whether the answer is the log's.
+func (s *groupSim) proposeCommand(node *groupSimNode, request *wire.ChangeRequest, done func(response *wire.ChangeResponse, committed bool)) {
+	if !s.isRunning(node) || s.random.Float64() < s.lossRate {
+		return
+	}
+	pending, response := node.shard.propose(request, nil)
+	incarnation, begin, lost, committed := node.generation, s.now, s.random.Float64() < s.lossRate, response == nil
+	s.runStep(node)
+	s.inProgress = append(s.inProgress, func() bool {
+		if response == nil {
+			select {
+			case response = <-pending.response:
+			default:
+				return node.generation == incarnation && s.now-begin < answerTimeout
+			}
+		}
+		if node.generation == incarnation && !lost && s.isRunning(node) {
+			done(response, committed)
+		}
+		return false
+	})
+}
+
+// newChange is a change on the newest version that operators have heard of, under a number of the
+// operator's own.
+func (s *groupSim) newChange(number uint64) *groupChange {
+	change := &groupChange{name: fmt.Sprintf("w%d", len(s.changes)), baseVersion: s.knownVersion, newVersion: number, ackedBefore: s.ackedCount, createdAt: s.now}
+	change.body = string(body(number, change.name+s.bodyPadding))
+	s.changes = append(s.changes, change)
+	return change
+}
+
+// earlierChange is one that was sent before: of the last few, or of all.
+func (s *groupSim) earlierChange() *groupChange {
+	const few = 8
+	l := len(s.changes)
+	if l == 0 {
+		return nil
+	}
+	if !s.allFaults || s.random.IntN(2) == 0 {
+		return s.changes[max(0, l-1-s.random.IntN(few))]
+	}
+	return s.changes[s.random.IntN(l)]
+}
+
+// writeChange is an operator's: a new one, or one that was sent before, unchanged, whatever became of it.
+func (s *groupSim) writeChange(acked func(*groupSimNode)) {
+	node := s.randomNode()
+	if leader := s.leader(); leader != nil && s.random.IntN(3) > 0 {
+		node = leader
+	}
+	if change := s.earlierChange(); change != nil && s.random.IntN(3) == 0 {
+		s.sendChange(change, node, acked)
+		return
+	}
+	next := s.knownVersion + 1 + s.random.Uint64N(3)
+	if !s.allFaults {
+		s.sendChange(s.newChange(next), node, acked)
+		return
+	}
+	switch s.random.IntN(12) {
+	case 0: // two operators, one number, different content
+		s.count("one number, two contents")
+		s.sendChange(s.newChange(next), s.randomNode(), acked)
+		s.sendChange(s.newChange(next), node, acked)
+	case 1: // two operators, one number, the same content
+		s.count("one number, one content")
+		change := s.newChange(next)
+		s.sendChange(change, s.randomNode(), acked)
+		s.sendChange(change, node, acked)
+	case 2:
+		s.sendBurst(acked)
+	default:
+		s.sendChange(s.newChange(next), node, acked)
+	}
+}
+
+// sendBurst sends eight orders at once, by nodes that don't lead where there are such.
+func (s *groupSim) sendBurst(acked func(*groupSimNode)) {
+	const many = 8
+	s.count("eight at once")
+	for i := range uint64(many) {
+		node := s.randomNode()
+		if node == s.leader() {
+			node = s.randomNode()
+		}
+		change := s.earlierChange()
+		if change == nil || s.random.IntN(4) > 0 {
+			change = s.newChange(s.knownVersion + 1 + i%3)
+		}
+		s.sendChange(change, node, acked)
+	}
+}
+
+// sendChange sends an order to a node, which sends it on where another one leads.
+func (s *groupSim) sendChange(change *groupChange, node *groupSimNode, acked func(*groupSimNode)) {
+	attempt := s.history.BeginAttempt(history.Change{Key: routingconfig.DocumentKey, Token: change.body, BaseVersion: change.baseVersion, NewVersion: change.newVersion, Body: change.body})
+	if change.attempts++; change.attempts > 1 {
+		s.count("sent again")
+		if s.ackedCount-change.ackedBefore >= lateAfter {
+			s.count("sent again late")
+		}
+		if s.ackedCount-change.ackedBefore >= veryLateAfter {
+			s.count("sent again very late")
+		}
+	}
+	s.fireEvent("order sent")
+	leader := s.forwardTarget(node)
+	if leader == nil || s.isPartitioned(node.addr, leader.addr) {
+		return
+	}
+	if leader != node {
+		s.count("by a node that doesn't lead")
+	}
+	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: []byte(change.body), IfVersion: change.baseVersion, Token: change.body}}}}
+	sent, before := s.now, change.ackedAt
+	s.executeChange(leader, request, func(response *wire.ChangeResponse) {
+		if leader != node && s.callFails(node.addr, leader.addr) {
+			s.count("answer lost")
+			return
+		}
+		s.checkIsolated(leader, sent, "answers "+string(response.Outcome)+" to an order")
+		s.handleAnswer(change, attempt, leader, response, before > 0)
+		if response.Outcome == wire.OutcomeDone && acked != nil {
+			acked(leader)
+		}
+	})
+}
+
+// executeChange does what shard.change does, step by step: it confirms that the node leads, proposes, and
+// judges a refusal that isn't the log's once more after another confirmation.
+func (s *groupSim) executeChange(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
+	s.readAt(node, func(uint64, string) {
+		s.proposeCommand(node, request, func(response *wire.ChangeResponse, committed bool) {
+			if committed || !isDecidedByState(response.Outcome) {
+				done(response)
+				return
+			}
+			s.readAt(node, func(uint64, string) {
+				s.sendCommand(node, request, done)
+			})
+		})
+	})
+}
+
+// forwardTarget is where a node sends an order: to itself where it leads, or to whom it knows as leader.
+// Without all troubles it sends nothing on.
+func (s *groupSim) forwardTarget(node *groupSimNode) *groupSimNode {
+	if !s.isRunning(node) {
+		return nil
+	}
+	view := node.shard.published.current()
+	if view.isLeader || !s.allFaults {
+		return node
+	}
+	return s.node(controlclient.MemberAddr(view.leader))
+}
+
+// handleAnswer notes what an operator was told.
+func (s *groupSim) handleAnswer(change *groupChange, attempt *history.Attempt, struckNode *groupSimNode, response *wire.ChangeResponse, wasAcked bool) {
+	switch response.Outcome {
+	case wire.OutcomeDone:
+		attempt.Complete(history.Acknowledged, response.Version)
+		if response.Version != change.newVersion {
+			s.violationf("version %d is acknowledged as %d", change.newVersion, response.Version)
+		}
+		if change.ackedAt == 0 {
+			change.ackedAt = s.now
+			s.ackedCount++
+			s.count("acked")
+		} else {
+			s.count("done again")
+		}
+		s.knownVersion = max(s.knownVersion, response.Version)
+		s.tracef("acked %s on %d as %d by %s", change.name, change.baseVersion, change.newVersion, struckNode.addr)
+		s.fireEvent("acknowledged")
+	case wire.OutcomeConflict:
+		attempt.Complete(history.Rejected, response.Version)
+		s.knownVersion = max(s.knownVersion, response.Version)
+		s.count("refused")
+	case wire.OutcomeBadInput:
+		attempt.Complete(history.Rejected, response.Version)
+		s.count("refused")
+	case wire.OutcomeNotLeader, wire.OutcomeOverloaded:
+		attempt.Complete(history.NotExecuted, 0)
+		s.count("not taken")
+	}
+	if wasAcked && (response.Outcome == wire.OutcomeConflict || response.Outcome == wire.OutcomeBadInput) {
+		s.violationf("%s was acknowledged, and is %s when it is sent again", change.name, response.Outcome)
+	}
+}
+
+// requestLease has a holder ask for the duty.
+func (s *groupSim) requestLease() {
+	holder := s.leaseHolders[s.random.IntN(len(s.leaseHolders))]
+	if holder.pausedUntil > s.now || holder.requestPending {
+		return
+	}
+	if s.random.IntN(40) == 0 {
+		holder.pausedUntil = s.now + time.Duration(s.random.Int64N(int64(8*time.Second)))
+	}
+	asked, before := holder.clock.Now(), s.now
+	grant := holder.lease.GrantRequest()
+	holder.requestPending = true
+	s.inProgress = append(s.inProgress, func() bool {
+		holder.requestPending = s.now-before < 1500*time.Millisecond
+		return holder.requestPending
+	})
+	node := s.leader()
+	if node == nil || s.random.IntN(8) == 0 {
+		node = s.randomNode()
+	}
+	s.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}}, func(response *wire.ChangeResponse) {
+		if s.plantedFault == "lease-late" {
+			asked = holder.clock.Now() + 2*time.Second // planted: counted from the answer, and more
+		}
+		if holder.lease.HandleResponse(asked, response); response.Outcome != wire.OutcomeDone {
+			return
+		}
+		s.count("granted")
+		s.checkIsolated(node, before, "grants a lease")
+		if o := s.fencingTokenHolders[response.Fence]; o != "" && o != grant.Holder {
+			s.violationf("fence %d is of %s and of %s", response.Fence, o, grant.Holder)
+		}
+		s.fencingTokenHolders[response.Fence] = grant.Holder
+	})
+}
