--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -2,219 +2,188 @@
 
 import "pebbleloom/internal/wire"
 
-// progress is what the leader knows of a member or learner that it replicates to.
-type progress struct {
-	next, match        uint64
-	incarnation        string // the incarnation that match was acknowledged by
-	ackedReadSequence  uint64 // highest probe it has echoed
-	ticksSinceResponse int    // ticks since it responded
-	contactAge         int    // ticks since the newest request was sent that it has responded to
-	responded          bool   // it has responded in this term
-	inFlight           bool
-	batchRetryAt       int  // tick up to which a large batch in flight isn't sent again
-	batchLosses        int  // large batches that got no response in time, one after another
-	acceptsChunks      bool // its release takes snapshots in pieces
-	transfer           *outgoingTransfer
-	snapshotSentAt     int // tick in which a whole snapshot was sent last, to an older release; 0: never
-}
-
-// A batch of entries of largeBatchBytes or more isn't sent again at each heartbeat, but once the driver says
-// that it was lost or no response has come in the time that a link of assumedLinkBytesPerTick takes, longer
-// after each loss: on a slow link copies would queue up faster than they leave.
+// Large batches aren't sent again at each heartbeat, as small ones are: on a slow link duplicates would
+// be queued faster than they are transmitted. A large batch is retried once the driver reports it as
+// lost, or after batchTimeout without a response.
 const (
-	largeBatchBytes           = 16 << 10
-	assumedLinkBytesPerTick   = 8 << 10
-	maxBatchTimeoutElections  = 8 // times ElectionTicks
+	// largeBatchBytes is the size from which a batch counts as large. A smaller one takes less than
+	// a heartbeat even on a slow link.
+	largeBatchBytes = 16 << 10
+
+	// assumedLinkBytesPerTick is the throughput of the slowest link that time-outs are made for, in bytes
+	// per tick. Larger values detect losses earlier, and send duplicates on slower links.
+	assumedLinkBytesPerTick = 8 << 10
+
+	// maxBatchTimeoutElections bounds batchTimeout, in election timeouts.
+	maxBatchTimeoutElections = 8
+
+	// batchLossesBeforeSnapshot is the number of consecutive losses after which the entries are
+	// replaced by a snapshot, which is sent in chunks.
 	batchLossesBeforeSnapshot = 2
 )
 
-// batchTimeout is how many ticks a response to so many bytes may take.
+// batchTimeout returns how many ticks a response to a batch of size bytes may take. It doubles with
+// each consecutive loss.
 func (c *Core) batchTimeout(size, losses int) int {
-	pause := (c.cfg.ElectionTicks + size/assumedLinkBytesPerTick) << min(losses, maxBatchTimeoutElections)
-	return min(pause, maxBatchTimeoutElections*c.cfg.ElectionTicks)
+	timeout := (c.cfg.ElectionTicks + size/assumedLinkBytesPerTick) << min(losses, maxBatchTimeoutElections)
+	return min(timeout, maxBatchTimeoutElections*c.cfg.ElectionTicks)
 }
 
-// replicate sends a peer what it lacks; at a heartbeat also when it lacks nothing.
-func (c *Core) replicate(m string, heartbeat bool) {
-	p := c.peers[m]
-	if p.inFlight && !heartbeat {
+// replicate sends a peer the entries that it lacks, or a snapshot where they are compacted. At a heartbeat
+// it sends a request in any case, otherwise only if nothing is in flight.
+func (c *Core) replicate(peer string, heartbeat bool) {
+	progress := c.peers[peer]
+	if progress.inFlight && !heartbeat {
 		return
 	}
-	if p.transfer != nil {
-		c.continueTransfer(m, p, heartbeat)
+	if progress.transfer != nil {
+		c.continueTransfer(peer, progress, heartbeat)
 		return
 	}
-	prev := p.next - 1
+	prev := progress.next - 1
 	prevTerm, ok := c.termAt(prev)
-	if !ok || c.tooLargeForLink(p) {
-		c.sendSnapshot(m, p)
+	if !ok || c.tooLargeForLink(progress) {
+		c.sendSnapshot(peer, progress)
 		return
 	}
-	if p.inFlight && c.ticks < p.batchRetryAt {
-		c.sendAppend(m, prev, prevTerm, nil)
+	if progress.inFlight && c.ticks < progress.batchRetryAt {
+		c.sendAppend(peer, prev, prevTerm, nil)
 		return
 	}
-	entries, size := c.batchFor(m, p.next)
-	p.batchRetryAt = 0
+	entries, size := c.batchFor(peer, progress.next)
+	progress.batchRetryAt = 0
 	if size >= largeBatchBytes {
-		if p.inFlight {
-			c.countBatchLoss(m, p)
+		if progress.inFlight {
+			c.countBatchLoss(peer, progress)
 		}
-		p.batchRetryAt = c.ticks + c.batchTimeout(size, p.batchLosses)
+		progress.batchRetryAt = c.ticks + c.batchTimeout(size, progress.batchLosses)
 	}
-	p.inFlight = len(entries) > 0
-	c.sendAppend(m, prev, prevTerm, entries)
+	progress.inFlight = len(entries) > 0
+	c.sendAppend(peer, prev, prevTerm, entries)
 }
 
-func (c *Core) sendAppend(m string, prev, prevTerm uint64, entries []*wire.Entry) {
-	c.send(&wire.Message{To: m, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
+// sendAppend sends an append request (paper, section 5.3); without entries it is a heartbeat.
+func (c *Core) sendAppend(peer string, prev, prevTerm uint64, entries []*wire.Entry) {
+	c.send(&wire.Message{To: peer, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 }
 
-// batchFor returns the entries to send from an index on, one at least if there is one, and their size.
-func (c *Core) batchFor(m string, from uint64) (entries []*wire.Entry, size int) {
-	for index := from; index <= c.replicationLimit(m); index++ {
-		e := c.entryAt(index)
-		if size+entryBytes(e) > c.cfg.MaxBatchBytes && len(entries) > 0 {
+// batchFor returns the entries to send from an index on, at least one if there is any, and their size in
+// bytes.
+func (c *Core) batchFor(peer string, from uint64) (entries []*wire.Entry, size int) {
+	for index := from; index <= c.replicationLimit(peer); index++ {
+		entry := c.entryAt(index)
+		if size+entryBytes(entry) > c.cfg.MaxBatchBytes && len(entries) > 0 {
 			break
 		}
-		size += entryBytes(e)
-		entries = append(entries, e)
+		size += entryBytes(entry)
+		entries = append(entries, entry)
 	}
 	return entries, size
 }
 
-// responseTimeout is how many ticks go by without a response from a peer that is gone, and not from one
-// that responds to every heartbeat.
-func (c *Core) responseTimeout(m string) int {
-	if c.IsVoter(m) {
-		return 2 * c.cfg.HeartbeatTicks
+// countBatchLoss counts a large batch that was lost although the peer responds: its link is too slow.
+func (c *Core) countBatchLoss(peer string, progress *peerProgress) {
+	if progress.ticksSinceResponse < max(c.responseTimeout(peer), c.cfg.ElectionTicks) {
+		progress.batchLosses++
 	}
-	return 2 * learnerHeartbeats * c.cfg.HeartbeatTicks
 }
 
-// countBatchLoss counts a large batch that was lost while the peer could be heard: its link is too slow.
-func (c *Core) countBatchLoss(m string, p *progress) {
-	if p.ticksSinceResponse < max(c.responseTimeout(m), c.cfg.ElectionTicks) {
-		p.batchLosses++
-	}
+// tooLargeForLink reports whether large batches to a peer were lost so often that its link can't carry
+// them, and the snapshot, which is sent in chunks, has their entries.
+func (c *Core) tooLargeForLink(progress *peerProgress) bool {
+	return progress.batchLosses >= batchLossesBeforeSnapshot && progress.acceptsChunks && progress.next <= c.snapshot.Index
 }
 
-// ReportSendFailure says that the driver gave up sending a message. What it carried is sent again at the
-// next heartbeat, a snapshot in smaller pieces.
+// ReportSendFailure tells the core that the driver has given up sending a message. Its content is sent
+// again at the next heartbeat, a snapshot in smaller chunks.
 //
-// Example: c.ReportSendFailure(m); drive(c.Ready())
-func (c *Core) ReportSendFailure(m *wire.Message) {
-	p := c.peers[m.To]
-	if c.role != leader || p == nil || m.Term != c.hardState.Term || !p.inFlight {
+// Example: c.ReportSendFailure(message); drive(c.Ready())
+func (c *Core) ReportSendFailure(message *wire.Message) {
+	progress := c.peers[message.To]
+	if c.role != leader || progress == nil || message.Term != c.hardState.Term || !progress.inFlight {
 		return
 	}
 	switch {
-	case p.transfer != nil:
-		if m.Chunk != nil && m.Chunk.Offset == p.transfer.ackedOffset {
-			p.transfer.retryAt = c.ticks
+	case progress.transfer != nil:
+		if message.Chunk != nil && message.Chunk.Offset == progress.transfer.ackedOffset {
+			progress.transfer.retryAt = c.ticks
 		}
-	case len(m.Entries) > 0 && m.Entries[0].Index == p.next:
-		p.inFlight = false
-		c.countBatchLoss(m.To, p)
+	case len(message.Entries) > 0 && message.Entries[0].Index == progress.next:
+		progress.inFlight = false
+		c.countBatchLoss(message.To, progress)
 	}
 }
 
-// tooLargeForLink tells whether a batch was lost so often that the link can't carry it whole; the
-// snapshot holds it already, and is sent in pieces.
-func (c *Core) tooLargeForLink(p *progress) bool {
-	return p.batchLosses >= batchLossesBeforeSnapshot && p.acceptsChunks && p.next <= c.snapshot.Index
-}
-
-// sendSnapshot begins to bring a peer up to the snapshot, because the entries that it lacks
-// are in the log no more.
-func (c *Core) sendSnapshot(m string, p *progress) {
+// sendSnapshot brings a peer up to the snapshot, because the entries that it lacks are compacted. A peer
+// that hasn't responded is sent a heartbeat first: it may be down, and its response says whether its
+// release receives chunks. Older releases get the snapshot in one message.
+func (c *Core) sendSnapshot(peer string, progress *peerProgress) {
 	switch {
-	case !p.responded: // it may be dead, or of an older release: its response says
-		c.sendAppend(m, c.snapshot.Index, c.snapshot.Term, nil)
-	case p.acceptsChunks:
-		c.beginTransfer(m, p)
-	case p.snapshotSentAt > 0 && c.ticks-p.snapshotSentAt < c.cfg.ElectionTicks/2: // it is on its way
+	case !progress.responded:
+		c.sendAppend(peer, c.snapshot.Index, c.snapshot.Term, nil)
+	case progress.acceptsChunks:
+		c.beginTransfer(peer, progress)
+	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // still in flight
 	default:
-		p.snapshotSentAt, p.inFlight = c.ticks, true
-		c.send(&wire.Message{To: m, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
-	}
-}
-
-// recordResponse notes a response of this term; nil if it doesn't count.
-func (c *Core) recordResponse(l *wire.Message) *progress {
-	if c.role != leader || l.Term != c.hardState.Term {
-		return nil
-	}
-	p := c.peers[l.From]
-	if p == nil {
-		return nil // removed, or a learner that isn't known any more: it asks again
-	}
-	if p.incarnation != l.Incarnation { // another disk: what the old one had acknowledged counts no more
-		*p = progress{next: c.lastIndex() + 1, incarnation: l.Incarnation, contactAge: c.requestAge(l), responded: true, acceptsChunks: l.AcceptsChunks}
-		c.replicate(l.From, true)
-		return nil
-	}
-	if p.ticksSinceResponse >= c.responseTimeout(l.From) { // it is back: what was in flight is lost
-		p.inFlight, p.batchRetryAt = false, 0
-	}
-	if p.ticksSinceResponse >= max(c.responseTimeout(l.From), c.cfg.ElectionTicks) {
-		p.batchLosses = 0 // they were the peer's, not the link's
+		progress.snapshotSentAt, progress.inFlight = c.ticks, true
+		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 	}
-	p.ticksSinceResponse, p.contactAge, p.responded = 0, min(p.contactAge, c.requestAge(l)), true
-	p.ackedReadSequence = max(p.ackedReadSequence, l.Probe)
-	return p
 }
 
-func (c *Core) handleAppendResponse(l *wire.Message) {
-	p := c.recordResponse(l)
-	if p == nil {
+// handleAppendResponse advances a peer's progress and the commit index, and sends what follows.
+func (c *Core) handleAppendResponse(message *wire.Message) {
+	progress := c.recordResponse(message)
+	if progress == nil {
 		return
 	}
-	p.acceptsChunks = l.AcceptsChunks
-	if !l.Ok {
-		c.handleRejection(l, p)
+	progress.acceptsChunks = message.AcceptsChunks
+	if !message.Ok {
+		c.handleRejection(message, progress)
 		return
 	}
-	advanced := l.Index > p.match
-	p.match = max(p.match, l.Index)
-	p.next = max(p.next, p.match+1)
-	if p.transfer != nil && p.match >= p.transfer.snapshot.Index {
-		p.transfer, p.inFlight, p.batchLosses = nil, false, 0
+	advanced := message.Index > progress.match
+	progress.match = max(progress.match, message.Index)
+	progress.next = max(progress.next, progress.match+1)
+	if progress.transfer != nil && progress.match >= progress.transfer.snapshot.Index {
+		progress.transfer, progress.inFlight, progress.batchLosses = nil, false, 0
 	}
-	if advanced || c.ticks >= p.batchRetryAt {
-		p.inFlight, p.batchLosses = false, 0
+	if advanced || c.ticks >= progress.batchRetryAt {
+		progress.inFlight, progress.batchLosses = false, 0
 	}
 	c.advanceCommit()
-	if p.next <= c.replicationLimit(l.From) {
-		c.replicate(l.From, false)
+	if progress.next <= c.replicationLimit(message.From) {
+		c.replicate(message.From, false)
 	}
 }
 
-// handleRejection steps back to an entry that the peer may hold.
-func (c *Core) handleRejection(l *wire.Message, p *progress) {
-	if p.transfer != nil {
-		return // the transfer brings it up
+// handleRejection moves next back to where the peer's log may match, and retries from there (paper,
+// section 5.3).
+func (c *Core) handleRejection(message *wire.Message, progress *peerProgress) {
+	if progress.transfer != nil {
+		return // the transfer will bring it up to the snapshot
 	}
-	p.inFlight = false
-	if c.cfg.DynamicMembership && l.Index < p.match {
-		return // it has lost what it had acknowledged, which nobody may: asked again at the next heartbeat, not at once
+	progress.inFlight = false
+	if c.cfg.DynamicMembership && message.Index < progress.match {
+		return // it has lost entries that it had acknowledged, which must not happen: retried at the next heartbeat, not in a loop
 	}
-	p.next = max(p.match+1, min(p.next-1, l.Index+1))
-	p.batchRetryAt = 0
-	c.replicate(l.From, true)
+	progress.next = max(progress.match+1, min(progress.next-1, message.Index+1))
+	progress.batchRetryAt = 0
+	c.replicate(message.From, true)
 }
 
-// advanceCommit commits what a quorum holds, if it is of this term.
+// advanceCommit commits the highest entry of the current term that a quorum has. Entries of earlier
+// terms are only committed along with it (paper, section 5.4.2). A leader that isn't a voter any more
+// steps down once its removal is committed (thesis, section 4.2.2).
 func (c *Core) advanceCommit() {
-	for i := c.lastIndex(); i > c.commit; i-- {
-		if t, _ := c.termAt(i); t != c.hardState.Term {
+	for index := c.lastIndex(); index > c.commit; index-- {
+		if term, _ := c.termAt(index); term != c.hardState.Term {
 			return
 		}
-		if c.hasQuorum(func(m string) bool { return c.peers[m].match >= i }) {
-			c.commit = i
-			c.forEachPeer(func(m string) { c.replicate(m, true) })
-			if !c.IsVoter(c.cfg.Self) && c.members.index <= c.commit {
-				c.becomeFollower(c.hardState.Term, "") // its own removal is done
+		if c.hasQuorum(func(voter string) bool { return c.peers[voter].match >= index }) {
+			c.commit = index
+			c.forEachPeer(func(peer string) { c.replicate(peer, true) })
+			if !c.IsVoter(c.cfg.Self) && c.voters.index <= c.commit {
+				c.becomeFollower(c.hardState.Term, "")
 			}
 			return
 		}
