--- a/internal/data/prefix/prefix_test.go
+++ b/internal/data/prefix/prefix_test.go
@@ -5,24 +5,23 @@
 	"testing"
 )
 
-// No entry of one wall, model, weights epoch or prompt has another's key, however the parts
-// are cut.
+// Entries of different domains, models, versions of the weights or prompts have different keys, however the
+// prompts are split into parts.
 func TestKeysAreDistinct(t *testing.T) {
 	seen := map[Key]string{}
 	for _, domain := range []string{"shared", "t:a", "t:b", ""} {
 		for _, model := range []string{"m", "m2", ""} {
 			for weights := range uint64(3) {
 				for _, parts := range [][]string{{"ab", "c"}, {"a", "bc"}, {"abc"}, {"c", "ab"}, {"", "abc"}, {"abc", ""}, {"a\x00b"}, {"a", "b"}} {
-					es := Chain(domain, model, weights, parts)
-					who := fmt.Sprintf("%q %q %d %q", domain, model, weights, parts)
-					for i, e := range es {
+					prompt := fmt.Sprintf("%q %q %d %q", domain, model, weights, parts)
+					for i, entry := range Chain(domain, model, weights, parts) {
 						name := fmt.Sprintf("%q %q %d %q", domain, model, weights, parts[:i+1])
-						if o, ok := seen[e.Key]; ok && o != name {
-							t.Fatalf("%s has the key of %s", who, o)
+						if other, ok := seen[entry.Key]; ok && other != name {
+							t.Fatalf("%s has the key of %s", prompt, other)
 						}
-						seen[e.Key] = name
-						if k, ok := Parse(e.Key.String()); !ok || k != e.Key {
-							t.Fatalf("%s doesn't read back", e.Key)
+						seen[entry.Key] = name
+						if key, ok := Parse(entry.Key.String()); !ok || key != entry.Key {
+							t.Fatalf("%s doesn't read back", entry.Key)
 						}
 					}
 				}
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -19,19 +19,19 @@
 	"pebbleloom/internal/settings"
 )
 
-// step is a moment of a call, as the worker sees it.
+// step is a point in a request and its response, as the worker sees it.
 type step int
 
 const (
-	connected        step = iota // the connection stands, and the request's first byte hasn't come
+	connected        step = iota // the connection is established, no byte of the request has come
 	headReceived                 // the request's head was read
 	halfBodyReceived             // and half of its body
-	bodyReceived                 // the whole request was read: from here on it has run
-	firstByteSent                // one byte of the answer was sent
-	halfHeadSent                 // half of the answer's head
-	halfBodySent                 // half of the answer's body
-	responseSent                 // the whole answer, in one piece with what follows
-	afterResponse                // the answer is with the client
+	bodyReceived                 // the complete request was read: from here on it counts as executed
+	firstByteSent                // one byte of the response was sent
+	halfHeadSent                 // half of the response's header
+	halfBodySent                 // half of the response's body
+	responseSent                 // the complete response, in one write with what follows
+	afterResponse                // the client has the response
 	stepCount
 )
 
@@ -39,18 +39,18 @@
 	return [stepCount]string{"connected", "head came", "half of the body came", "body came", "first byte", "half of the head", "half of the answer", "answered", "later"}[s]
 }
 
-// fault is what a worker does wrong.
+// fault is how a worker misbehaves.
 type fault int
 
 const (
 	hang fault = iota
 	reset
-	closeWrite // the connection is closed in order
-	extraBytes // bytes that are nothing
+	closeWrite // a FIN without a response
+	extraBytes // bytes that aren't HTTP
 	duplicateResponse
-	staleResponse // of an earlier request, in the slot of this one
-	wrongID       // in place of its own answer
-	garbage       // and the end
+	staleResponse // of an earlier request, in place of this one's
+	wrongID       // a response to another request, in place of its own
+	garbage       // bytes that aren't HTTP, then the end
 	faultCount
 )
 
@@ -58,32 +58,32 @@
 	return [faultCount]string{"silence", "reset", "FIN", "extra bytes", "the answer doubled", "an earlier answer", "another's answer", "garbage"}[f]
 }
 
-// adversary is a worker on a real socket that misbehaves at one step of one request, and keeps a
-// journal of what it ran and of the connections that may not be used again.
+// adversary is a worker on a real socket that misbehaves at one step of one request. It records what it
+// executed, and which connections must not be reused.
 type adversary struct {
 	fleet.Worker
 	t                *testing.T
-	plan             func(id string, served int) (step, fault, bool) // of a request; id is "" while none has come
+	plan             func(id string, served int) (step, fault, bool) // by the request's ID, "" while none has come, and the requests served on the connection
 	misbehaved       chan struct{}                                   // closed once it has misbehaved
-	responseReceived chan struct{}                                   // closed once the client has its answer
+	responseReceived chan struct{}                                   // closed once the client has its response
 
 	mu      sync.Mutex
 	once    sync.Once
 	runs    map[string]int
-	tainted int // requests that came on a connection after bytes that had come with an answer
+	tainted int // requests on a connection on which unsolicited bytes were sent
 }
 
 func newAdversary(t *testing.T, id string, plan func(string, int) (step, fault, bool)) *adversary {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &adversary{Worker: fleet.Worker{ID: id, Service: "s", Addr: ln.Addr().String(), Slots: 8}, t: t, plan: plan,
+	a := &adversary{Worker: fleet.Worker{ID: id, Service: "s", Addr: listener.Addr().String(), Slots: 8}, t: t, plan: plan,
 		misbehaved: make(chan struct{}), responseReceived: make(chan struct{}), runs: map[string]int{}}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -103,35 +103,35 @@
 	br        *bufio.Reader
 	served    int
 	acted     bool
-	strays    bool // bytes that belong to no request came together with an answer
+	strays    bool // unsolicited bytes were sent together with a response
 	ended     bool
 }
 
-// serve answers requests one after another, each step by step.
-func (a *adversary) serve(c *adversaryConn) {
-	defer c.Close()
-	for !c.ended {
-		if c.misbehaveAt(connected, "", nil); c.ended {
+// serve answers the requests of a connection one after another, each step by step.
+func (a *adversary) serve(conn *adversaryConn) {
+	defer conn.Close()
+	for !conn.ended {
+		if conn.misbehaveAt(connected, "", nil); conn.ended {
 			return
 		}
-		r, err := http.ReadRequest(c.br)
+		r, err := http.ReadRequest(conn.br)
 		if err != nil {
 			return
 		}
-		if c.strays {
+		if conn.strays {
 			a.mu.Lock()
 			a.tainted++
 			a.mu.Unlock()
 		}
-		c.serveRequest(r)
-		if c.acted {
+		conn.serveRequest(r)
+		if conn.acted {
 			a.once.Do(func() { close(a.misbehaved) })
 		}
-		c.served++
+		conn.served++
 	}
 }
 
-// serveRequest plays one request from its head on.
+// serveRequest answers one request whose header was read.
 func (c *adversaryConn) serveRequest(r *http.Request) {
 	id := r.Header.Get("Go-Id")
 	out := properResponse(r, id)
@@ -173,7 +173,7 @@
 		}
 	}
 	if s, f, ok := c.adversary.plan(id, c.served); ok && s == responseSent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID) {
-		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in one piece
+		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in one write
 		c.acted, c.strays = true, true
 		return
 	}
@@ -190,7 +190,7 @@
 	}
 }
 
-// surplusBytes is what a worker sends that nobody waits for.
+// surplusBytes are the bytes of a fault that no request waits for.
 func surplusBytes(f fault, own []byte) []byte {
 	switch f {
 	case extraBytes:
@@ -206,14 +206,14 @@
 	return plainResponse("stranger")
 }
 
-// misbehaveAt misbehaves where the plan says so.
-func (c *adversaryConn) misbehaveAt(s step, id string, own []byte) {
-	ps, f, ok := c.adversary.plan(id, c.served)
-	if !ok || ps != s || c.acted {
+// misbehaveAt misbehaves if the plan names this step.
+func (c *adversaryConn) misbehaveAt(moment step, id string, own []byte) {
+	plannedStep, kind, ok := c.adversary.plan(id, c.served)
+	if !ok || plannedStep != moment || c.acted {
 		return
 	}
 	c.acted = true
-	switch f {
+	switch kind {
 	case hang:
 		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
 		_, _ = io.Copy(io.Discard, c.Conn)
@@ -228,17 +228,17 @@
 		_, _ = c.Write([]byte("\x00\x01garbage\r\n\r\n"))
 		c.ended = true
 	case wrongID:
-		_, _ = c.Write(surplusBytes(f, own))
+		_, _ = c.Write(surplusBytes(kind, own))
 		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
 		_, _ = io.Copy(io.Discard, c.Conn)
 		c.ended = true
 	default:
-		_, _ = c.Write(surplusBytes(f, own))
+		_, _ = c.Write(surplusBytes(kind, own))
 	}
 	if c.ended {
 		c.Close()
 	}
-	if c.ended || s == connected { // else the rest of the answer comes first
+	if c.ended || moment == connected { // else the rest of the response comes first
 		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
 	}
 }
@@ -247,36 +247,36 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nGo-Id: %s\r\nGo-Seal: seal\r\nContent-Length: %d\r\n\r\nof %s", id, len(id)+3, id)
 }
 
-// streamEvents are how many events a stream has.
-const streamEvents = 4
+// resumableEvents is how many events a stream has.
+const resumableEvents = 4
 
-func streamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", n, id) }
+func resumableEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", n, id) }
 
-// properResponse is the proper answer to a request: a body, or the events behind the last that it names.
+// properResponse is the correct response to a request: a body, or the events after the last that it names.
 func properResponse(r *http.Request, id string) []byte {
 	if !strings.HasPrefix(r.URL.Path, "/resume/") {
 		return plainResponse(id)
 	}
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	out := fmt.Sprintf("HTTP/1.1 200 OK\r\nGo-Id: %s\r\nGo-Seal: seal\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id)
-	for n := from + 1; n <= streamEvents; n++ {
-		out += chunk(streamEvent(id, n))
+	for n := from + 1; n <= resumableEvents; n++ {
+		out += chunk(resumableEvent(id, n))
 	}
 	return []byte(out + "0\r\n\r\n")
 }
 
-// completeBody is what a client has to get.
+// completeBody is the body that a client has to receive.
 func completeBody(route, id string) (all string) {
 	if route != "resume" {
 		return "of " + id
 	}
-	for n := 1; n <= streamEvents; n++ {
-		all += streamEvent(id, n)
+	for n := 1; n <= resumableEvents; n++ {
+		all += resumableEvent(id, n)
 	}
 	return all
 }
 
-// loopbackSite is one edge machine with workers, all on real sockets.
+// loopbackSite is one edge node with workers, all on real sockets.
 type loopbackSite struct {
 	t        *testing.T
 	server   *server
@@ -286,30 +286,30 @@
 
 func newLoopbackSite(t *testing.T, workers ...fleet.Worker) *loopbackSite {
 	t.Helper()
-	s := &loopbackSite{t: t, selector: &fakeSelector{}}
-	b := settings.DefaultBounds()
-	b.RetryPercent, b.RetryAllowance = 100, 1000
-	place := settings.Process{Name: "e1", Zone: "d", Public: "front", Bounds: b, Options: []string{"log=off"},
+	site := &loopbackSite{t: t, selector: &fakeSelector{}}
+	bounds := settings.DefaultBounds()
+	bounds.RetryPercent, bounds.RetryAllowance = 100, 1000
+	processSettings := settings.Process{Name: "e1", Zone: "d", Public: "front", Bounds: bounds, Options: []string{"log=off"},
 		Site: &settings.Site{ReadinessListen: "ready", MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 20}}
 	clk := clock.BootTime()
 	listen := func(name string) (net.Listener, error) {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err == nil && name == "front" {
-			s.front = ln.Addr().String()
+			site.front = listener.Addr().String()
 		}
-		return ln, err
+		return listener, err
 	}
-	l := daemon.NewIn(daemon.Environment{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", place)
+	process := daemon.NewIn(daemon.Environment{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", processSettings)
 	snapshot := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), Edges: 1, Workers: workers}
-	s.server = newServer(l, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: s.selector})
-	if err := s.server.start(); err != nil {
+	site.server = newServer(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: site.selector})
+	if err := site.server.start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Stop(time.Millisecond) })
-	return s
+	t.Cleanup(func() { process.Stop(time.Millisecond) })
+	return site
 }
 
-// send asks on a connection of its own, within a time.
+// send sends a request with the given deadline on a new connection.
 func (s *loopbackSite) send(route, id string, left time.Duration) reply {
 	c, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", s.front)
 	if err != nil {
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -38,7 +38,7 @@
 	startedAt      time.Duration
 	firstByteAfter time.Duration // from startedAt to the first byte of the body; 0: none came
 	outcome        outcome
-	reported       selection.Outcome // what the selector is told about the worker
+	reported       selection.Outcome // reported to the selector
 	definitive     bool              // another worker would respond the same
 	load           *selection.Load   // that the worker reported with its response; nil: none
 }
@@ -145,7 +145,7 @@
 }
 
 // connIsReusable reports whether a connection that has carried a request before may carry this one. Without
-// an ID its response couldn't be told from another request's, so such a request gets a new connection.
+// an ID its response couldn't be distinguished from another's, so such a request gets a new connection.
 func (a *attempt) connIsReusable() bool {
 	req := a.request
 	if req.selection.ID == "" || !a.conn.withinKeepAlive(a.idleTime) {
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -15,61 +15,61 @@
 	"pebbleloom/internal/settings"
 )
 
-// dialLoopbackSite is a site over real loopback, for what its way costs.
+// dialLoopbackSite starts a site on loopback sockets and connects a client to it.
 func dialLoopbackSite(b *testing.B, play workerScript) *clientConn {
 	b.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	w := &testWorker{script: func(c net.Conn, r *http.Request, s string) bool { return play(c, r, s) }}
-	w.Worker = fleet.Worker{ID: "w0", Service: "s", Addr: ln.Addr().String(), Slots: 8}
-	go w.serve(ln)
+	worker := &testWorker{script: func(conn net.Conn, r *http.Request, s string) bool { return play(conn, r, s) }}
+	worker.Worker = fleet.Worker{ID: "w0", Service: "s", Addr: listener.Addr().String(), Slots: 8}
+	go worker.serve(listener)
 	door, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	place := settings.Process{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.DefaultBounds(), Options: []string{"log=off"},
+	processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.DefaultBounds(), Options: []string{"log=off"},
 		Site: &settings.Site{ReadinessListen: "127.0.0.1:0", MemoryLimitMB: 256, GraceMs: 10, TransitMs: 120}}
-	world := daemon.RealEnvironment(place)
+	world := daemon.RealEnvironment(processSettings)
 	world.Listen = func(addr string) (net.Listener, error) {
 		if addr == "front" {
 			return door, nil
 		}
 		return net.Listen("tcp", addr)
 	}
-	l := daemon.NewIn(world, "edge", place)
-	snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clock.BootTime().Now(), Edges: 1, Workers: []fleet.Worker{w.Worker}}
-	if err := Start(l, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &fakeSelector{}}); err != nil {
+	process := daemon.NewIn(world, "edge", processSettings)
+	snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clock.BootTime().Now(), Edges: 1, Workers: []fleet.Worker{worker.Worker}}
+	if err := Start(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &fakeSelector{}}); err != nil {
 		b.Fatal(err)
 	}
-	c, err := net.Dial("tcp", door.Addr().String())
+	conn, err := net.Dial("tcp", door.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { c.Close(); ln.Close(); l.Stop(time.Second) })
-	return &clientConn{c, bufio.NewReader(c)}
+	b.Cleanup(func() { conn.Close(); listener.Close(); process.Stop(time.Second) })
+	return &clientConn{conn, bufio.NewReader(conn)}
 }
 
-// BenchmarkPlain is one request with a body of 1 KB and a short answer.
+// BenchmarkPlain measures one request with a body of 1 KB and a short response.
 func BenchmarkPlain(b *testing.B) {
-	c := dialLoopbackSite(b, respondWith(okResponse))
+	client := dialLoopbackSite(b, respondWith(okResponse))
 	text := postRequest("once", "a1", strings.Repeat("x", 1000))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := io.WriteString(c, text); err != nil {
+		if _, err := io.WriteString(client, text); err != nil {
 			b.Fatal(err)
 		}
-		if a := c.readReply("POST"); a.status != 200 {
-			b.Fatal(a)
+		if response := client.readReply("POST"); response.status != 200 {
+			b.Fatal(response)
 		}
 	}
 }
 
-// BenchmarkEvents is one event of a long stream that may be resumed.
+// BenchmarkEvents measures one event of a long resumable stream.
 func BenchmarkEvents(b *testing.B) {
 	next := make(chan string)
-	c := dialLoopbackSite(b, func(c net.Conn, r *http.Request, _ string) bool {
+	client := dialLoopbackSite(b, func(c net.Conn, r *http.Request, _ string) bool {
 		respondWith(strings.Replace(streamHead, "SEAL", "s", 1))(c, r, "")
 		for e := range next {
 			_, _ = io.WriteString(c, e)
@@ -77,13 +77,13 @@
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 		return true
 	})
-	if _, err := io.WriteString(c, strings.Replace(postRequest("resume", "a1", "b"), "4000", "9000000", 1)); err != nil {
+	if _, err := io.WriteString(client, strings.Replace(postRequest("resume", "a1", "b"), "4000", "9000000", 1)); err != nil {
 		b.Fatal(err)
 	}
 	got := make([]byte, len(streamedEvent(1000000)))
 	n := 1000000
 	next <- chunk(streamedEvent(n))
-	a, err := http.ReadResponse(c.br, nil)
+	a, err := http.ReadResponse(client.br, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/data/proxy/faults_test.go
+++ b/internal/data/proxy/faults_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// What is left of a request's time in these tests, as the client says.
+// The clients' deadlines in these tests.
 const (
-	shortWait = 150 * time.Millisecond // where a worker is silent
+	shortWait = 150 * time.Millisecond // where a worker hangs
 	longWait  = 10 * time.Second
 )
 
-// checkReply holds an answer against the invariants of a call: what may not be repeated runs at most
-// once; no answer reaches another request; a promise is never given for what may have run.
-func checkReply(t *testing.T, route, id string, a reply, runs int) {
+// checkReply checks the invariants of a request: one that isn't idempotent is executed at most once; no
+// response reaches another request; "not executed" is never said of a request that was.
+func checkReply(t *testing.T, route, id string, response reply, runs int) {
 	t.Helper()
 	if route == "once" && runs > 1 {
 		t.Errorf("%s ran %d times", id, runs)
 	}
-	if impliesNotExecuted(a.status) && runs > 0 {
-		t.Errorf("%s: %d promises that it hasn't run, and it ran %d times", id, a.status, runs)
+	if impliesNotExecuted(response.status) && runs > 0 {
+		t.Errorf("%s: %d promises that it hasn't run, and it ran %d times", id, response.status, runs)
 	}
-	if a.status == 200 && a.head.Get("Go-Id") != id {
-		t.Errorf("%s got an answer of %q", id, a.head.Get("Go-Id"))
+	if response.status == 200 && response.head.Get("Go-Id") != id {
+		t.Errorf("%s got an answer of %q", id, response.head.Get("Go-Id"))
 	}
-	if a.status == 200 && a.err == nil && a.body != completeBody(route, id) {
-		t.Errorf("%s got %q, which looks whole", id, a.body)
+	if response.status == 200 && response.err == nil && response.body != completeBody(route, id) {
+		t.Errorf("%s got %q, which looks whole", id, response.body)
 	}
 }
 
-// Every step of a call, every misbehaviour of a worker, every kind of request, on a connection that
-// is new or served before. The second worker serves. The request after it, which may not be
-// repeated, is served on a connection on which nothing was left.
+// Every fault of a worker at every step of a request, for every kind of request, on a new and on a reused
+// connection. The second worker responds correctly. The next request, which isn't idempotent, is served on a
+// connection without leftover bytes.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	for s := range stepCount {
 		for f := range faultCount {
@@ -48,56 +48,56 @@
 	}
 }
 
-func misbehave(t *testing.T, s step, f fault, route string, reused bool) {
-	var bad *adversary
-	bad = newAdversary(t, "w0", func(id string, served int) (step, fault, bool) {
+func misbehave(t *testing.T, moment step, kind fault, route string, reused bool) {
+	var faulty *adversary
+	faulty = newAdversary(t, "w0", func(id string, served int) (step, fault, bool) {
 		select {
-		case <-bad.misbehaved: // once
-			return s, f, id == "victim"
+		case <-faulty.misbehaved: // once
+			return moment, kind, id == "victim"
 		default:
 		}
-		return s, f, id == "victim" || id == "" && served == map[bool]int{true: 1}[reused]
+		return moment, kind, id == "victim" || id == "" && served == map[bool]int{true: 1}[reused]
 	})
-	good := newAdversary(t, "w1", func(string, int) (step, fault, bool) { return 0, 0, false })
-	site := newLoopbackSite(t, bad.Worker, good.Worker)
+	working := newAdversary(t, "w1", func(string, int) (step, fault, bool) { return 0, 0, false })
+	site := newLoopbackSite(t, faulty.Worker, working.Worker)
 	if reused {
-		if a := site.send("repeat", "warm", longWait); a.status != 200 || a.body != "of warm" {
-			t.Fatalf("the request before: %+v", a)
+		if response := site.send("repeat", "warm", longWait); response.status != 200 || response.body != "of warm" {
+			t.Fatalf("the request before: %+v", response)
 		}
-		if s == connected {
-			<-bad.misbehaved
+		if moment == connected {
+			<-faulty.misbehaved
 		}
 	}
 	wait := longWait
-	if (f == hang || f == wrongID) && s < responseSent {
+	if (kind == hang || kind == wrongID) && moment < responseSent {
 		wait = shortWait
 	}
-	a := site.send(route, "victim", wait)
-	close(bad.responseReceived)
-	runs := bad.ran("victim") + good.ran("victim")
-	garbled := s == halfBodySent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID || f == garbage) && route != "resume"
-	if !garbled { // else the body has its length, and holds what the worker sent
-		checkReply(t, route, "victim", a, runs)
+	response := site.send(route, "victim", wait)
+	close(faulty.responseReceived)
+	runs := faulty.ran("victim") + working.ran("victim")
+	garbled := moment == halfBodySent && (kind == extraBytes || kind == duplicateResponse || kind == staleResponse || kind == wrongID || kind == garbage) && route != "resume"
+	if !garbled { // else the body has the declared length, and holds what the worker sent
+		checkReply(t, route, "victim", response, runs)
 	}
-	if a.status == 200 && runs == 0 && s >= bodyReceived {
+	if response.status == 200 && runs == 0 && moment >= bodyReceived {
 		t.Error("an answer, and nobody ran it")
 	}
-	if s >= responseSent && (a.status != 200 || a.err != nil) && (f != reset || s == afterResponse) {
-		t.Errorf("the whole answer had come: %+v", a)
+	if moment >= responseSent && (response.status != 200 || response.err != nil) && (kind != reset || moment == afterResponse) {
+		t.Errorf("the whole answer had come: %+v", response)
 	}
-	<-bad.misbehaved
+	<-faulty.misbehaved
 	want := 200
-	if wait = longWait; f == hang && s >= responseSent { // nothing shows that it will be silent: the next request finds out
+	if wait = longWait; kind == hang && moment >= responseSent { // nothing shows yet that it hangs: the next request finds out
 		wait, want = shortWait, 504
 	}
-	b := site.send("once", "next", wait)
-	checkReply(t, "once", "next", b, bad.ran("next")+good.ran("next"))
-	late := want == 504 && b.status == 503 // a busy machine: its time was over before it was sent, which checkReply judges
-	if b.status != want && !late || b.err != nil {
-		t.Errorf("the next request: %+v", b)
+	next := site.send("once", "next", wait)
+	checkReply(t, "once", "next", next, faulty.ran("next")+working.ran("next"))
+	late := want == 504 && next.status == 503 // on a busy machine its deadline may pass before it is sent, which checkReply judges
+	if next.status != want && !late || next.err != nil {
+		t.Errorf("the next request: %+v", next)
 	}
-	if bad.mu.Lock(); bad.tainted > 0 {
+	if faulty.mu.Lock(); faulty.tainted > 0 {
 		t.Error("a connection with unexplained bytes was used again")
 	}
-	bad.mu.Unlock()
+	faulty.mu.Unlock()
 }
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -113,7 +113,7 @@
 	return to
 }
 
-// setChoice sets the fields that tell the worker what the selector decided.
+// setChoice sets the fields by which the worker learns what the selector decided.
 func (req *request) setChoice(to http.Header, choice selection.Choice) {
 	headers := &req.server.Headers
 	setIfAny(to, headers.ExpectedInstance, choice.Worker.ID)
--- a/internal/data/proxy/idlelimit_test.go
+++ b/internal/data/proxy/idlelimit_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// dropsIdleConns answers, but not what comes on a connection that lay idle for too long.
+// dropsIdleConns responds, but closes a connection that was idle for too long at its next request.
 func dropsIdleConns(text string, after time.Duration) workerScript {
 	last := map[net.Conn]time.Time{}
 	return func(c net.Conn, r *http.Request, b string) bool {
@@ -20,13 +20,13 @@
 	}
 }
 
-// A worker forgets idle connections without a word. One request is lost to that; from then on none
-// that may not be repeated goes on a connection that has idled for long.
+// A worker drops idle connections silently. One request is lost by that; from then on none that isn't
+// idempotent is sent on a connection that was idle for long.
 func TestDroppedIdleConnectionsLoseOneRequest(t *testing.T) {
-	withSite(t, []workerScript{dropsIdleConns(okResponse, time.Second)}, func(s *testSite) {
+	withSite(t, []workerScript{dropsIdleConns(okResponse, time.Second)}, func(site *testSite) {
 		lost := 0
 		for range 10 {
-			if a := s.send(postRequest("once", "a1", "b")); a.status != 200 {
+			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 {
 				lost++
 			}
 			synctest.Wait()
@@ -35,21 +35,21 @@
 		if lost != 1 {
 			t.Errorf("%d of 10 requests lost", lost)
 		}
-		n := s.network.dials[s.workers[0].Addr]
+		n := site.network.dials[site.workers[0].Addr]
 		for range 5 {
-			if a := s.send(postRequest("once", "a1", "b")); a.status != 200 {
-				t.Fatal(a)
+			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 {
+				t.Fatal(response)
 			}
 			synctest.Wait()
 			time.Sleep(100 * time.Millisecond)
 		}
-		if more := s.network.dials[s.workers[0].Addr] - n; more > 1 {
+		if more := site.network.dials[site.workers[0].Addr] - n; more > 1 {
 			t.Errorf("%d connections for 5 requests in half a second", more)
 		}
 	})
 }
 
-// However many idle connections are too old, the request gets a new one.
+// However many idle connections are stale, the request gets a new one.
 func TestManyStaleConnections(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
 		s.server.conns.idleLimit.recordDropped(time.Second)
@@ -62,40 +62,40 @@
 		}
 		synctest.Wait()
 		time.Sleep(time.Second)
-		if a := s.send(postRequest("once", "a1", "b")); a.status != 200 {
-			t.Errorf("%+v", a)
+		if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
+			t.Errorf("%+v", response)
 		}
 	})
 }
 
 func TestIdleLimitIsLearnt(t *testing.T) {
-	var x idleLimit
-	if !x.allows(time.Hour) {
+	var limit idleLimit
+	if !limit.allows(time.Hour) {
 		t.Error("nothing was forgotten, and an age is too long")
 	}
-	x.recordDropped(4 * time.Second)
-	x.recordDropped(10 * time.Second)
-	if !x.allows(2*time.Second) || x.allows(2*time.Second+1) {
-		t.Errorf("safe up to %v", x.maxSafe)
+	limit.recordDropped(4 * time.Second)
+	limit.recordDropped(10 * time.Second)
+	if !limit.allows(2*time.Second) || limit.allows(2*time.Second+1) {
+		t.Errorf("safe up to %v", limit.maxSafe)
 	}
 	for range reusesToGrow {
-		x.recordReuse(time.Second) // says nothing new
+		limit.recordReuse(time.Second) // within the limit: proves nothing
 	}
-	if x.allows(2*time.Second + 1) {
+	if limit.allows(2*time.Second + 1) {
 		t.Error("longer, though nothing longer stood")
 	}
 	for range reusesToGrow {
-		x.recordReuse(3 * time.Second)
+		limit.recordReuse(3 * time.Second)
 	}
-	if !x.allows(5 * time.Second / 2) {
-		t.Errorf("safe up to %v", x.maxSafe)
+	if !limit.allows(5 * time.Second / 2) {
+		t.Errorf("safe up to %v", limit.maxSafe)
 	}
 	for range reusesToGrow - 1 {
-		x.recordReuse(time.Minute)
+		limit.recordReuse(time.Minute)
 	}
-	x.recordDropped(time.Minute) // one of them didn't stand: the count begins anew
-	x.recordReuse(time.Minute)
-	if x.allows(5*time.Second/2 + 1) {
-		t.Errorf("safe up to %v", x.maxSafe)
+	limit.recordDropped(time.Minute) // the count of longer reuses starts again
+	limit.recordReuse(time.Minute)
+	if limit.allows(5*time.Second/2 + 1) {
+		t.Errorf("safe up to %v", limit.maxSafe)
 	}
 }
--- a/internal/data/proxy/retrybudget_test.go
+++ b/internal/data/proxy/retrybudget_test.go
@@ -6,15 +6,15 @@
 	"pebbleloom/internal/data/retrybudget"
 )
 
-// The budget is kept at the workers: what arrives there beyond the first of each request.
+// Attempts that reach workers beyond the first of each request stay within the budget, and use it.
 func TestAttemptsStayWithinTheRetryBudget(t *testing.T) {
 	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	for _, first := range []workerScript{full, respondThenClose(""), nil} {
 		withSite(t, []workerScript{first, full, full, full}, func(s *testSite) {
 			s.server.retryBudgets = retrybudget.NewByService(0.2, 5)
 			arrivals := func() (n int) {
-				for _, w := range s.workers {
-					n += w.runs()
+				for _, worker := range s.workers {
+					n += worker.runs()
 				}
 				return n
 			}
@@ -31,7 +31,7 @@
 	}
 }
 
-// A route's bound on workers holds whatever the budget has.
+// A route's bound on attempts holds however much budget is left.
 func TestAttemptsAreBounded(t *testing.T) {
 	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	withSite(t, []workerScript{full, full, full, full, respondWith(okResponse)}, func(s *testSite) {
@@ -39,19 +39,19 @@
 			s.server.retryBudgets.Deposit("s", 1)
 			s.server.misdirectedBudget.Deposit(1)
 		}
-		if a := s.send(postRequest("once", "a", "b")); a.status != 503 {
-			t.Error(a)
+		if response := s.send(postRequest("once", "a", "b")); response.status != 503 {
+			t.Error(response)
 		}
-		for i, w := range s.workers {
-			if want := map[bool]int{true: 1}[i < 3]; w.runs() != want {
-				t.Errorf("worker %d got it %d times", i, w.runs())
+		for i, worker := range s.workers {
+			if want := map[bool]int{true: 1}[i < 3]; worker.runs() != want {
+				t.Errorf("worker %d got it %d times", i, worker.runs())
 			}
 		}
 	})
 }
 
-// Workers whose addresses are another service's now turn every request away, and seem idle: attempts after
-// such an answer have a small budget of their own, however much is left of the service's.
+// Workers whose addresses belong to another service now reject every request, and seem idle: attempts after
+// such a response have a small budget of their own, however much is left of the service's.
 func TestMisdirectedAttemptsAreFew(t *testing.T) {
 	moved := respondWith("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	withSite(t, []workerScript{moved, moved, moved, moved}, func(s *testSite) {
@@ -64,16 +64,16 @@
 		}
 		const requests = 100
 		for range requests {
-			if a := s.send(postRequest("repeat", "a", "b")); a.status != 503 {
-				t.Fatalf("%+v: want 503", a)
+			if response := s.send(postRequest("repeat", "a", "b")); response.status != 503 {
+				t.Fatalf("%+v: want 503", response)
 			}
 		}
 		arrivals := 0
-		for _, w := range s.workers {
-			arrivals += w.runs()
+		for _, worker := range s.workers {
+			arrivals += worker.runs()
 		}
-		if extra, most := arrivals-requests, int(allowance*misdirectedAllowanceRatio+requests*share*misdirectedRatio); extra < 1 || extra > most {
-			t.Errorf("%d attempts beyond the first of %d requests: at least 1, at most %d", extra, requests, most)
+		if extra, atMost := arrivals-requests, int(allowance*misdirectedAllowanceRatio+requests*share*misdirectedRatio); extra < 1 || extra > atMost {
+			t.Errorf("%d attempts beyond the first of %d requests: at least 1, at most %d", extra, requests, atMost)
 		}
 	})
 }
--- a/internal/data/proxy/search_test.go
+++ b/internal/data/proxy/search_test.go
@@ -12,19 +12,19 @@
 	"pebbleloom/internal/fleet"
 )
 
-// The search: its size, and how often a worker misbehaves.
+// Size of the search, and how often a worker misbehaves.
 const (
-	searchSeeds    = 2 // unless POINT5_SEEDS says another number
+	searchSeeds    = 2 // unless POINT5_SEEDS gives another number
 	searchClients  = 24
 	searchRequests = 30 // of each client
 	searchWorkers  = 3
 	searchConns    = 4 // to each worker
 	misbehaves     = 0.2
-	staysSilent    = 0.1 // of that
+	staysSilent    = 0.1 // of misbehaves
 	searchWait     = 400 * time.Millisecond
 )
 
-// plannedFault is how a worker misbehaves at a request, by seed, worker and id alone.
+// plannedFault returns how a worker misbehaves at a request; it depends on seed, worker and ID alone.
 func plannedFault(seed uint64, worker, id string) (step, fault, bool) {
 	if id == "" {
 		return 0, 0, false
@@ -41,15 +41,15 @@
 	if r.Float64() < staysSilent {
 		f = hang
 	}
-	if s == halfBodySent && f > closeWrite { // what the worker itself puts into a body can't be told
+	if s == halfBodySent && f > closeWrite { // a body that the worker itself garbles can't be detected
 		s = halfHeadSent
 	}
 	return s, f, true
 }
 
-// Many clients share few connections to workers that misbehave at every step, by a seed: every client
-// checks that its answer bears its own id and body, and the workers count what ran. One connection
-// that is used again after bytes that belong to no request is a failure.
+// Many clients share few connections to workers that misbehave at random steps: every client checks that its
+// response has its own ID and body, and the workers count what they executed. No connection may be reused
+// after unsolicited bytes.
 func TestSearchForAnswersGoneWrong(t *testing.T) {
 	seeds := searchSeeds
 	if n, err := strconv.Atoi(os.Getenv("POINT5_SEEDS")); err == nil {
@@ -71,12 +71,12 @@
 }
 
 func searchOnce(t *testing.T, seed uint64) map[int]int {
-	var bad []*adversary
+	var faulty []*adversary
 	var workers []fleet.Worker
 	for i := range searchWorkers {
 		name := "w" + strconv.Itoa(i)
 		a := newAdversary(t, name, func(id string, _ int) (step, fault, bool) { return plannedFault(seed, name, id) })
-		bad, workers = append(bad, a), append(workers, a.Worker)
+		faulty, workers = append(faulty, a), append(workers, a.Worker)
 	}
 	site := newLoopbackSite(t, workers...)
 	site.server.Snapshot().Plan.Services[0].MaxConns = searchConns
@@ -89,27 +89,27 @@
 			for n := range searchRequests {
 				route := []string{"repeat", "once", "once", "resume"}[r.IntN(4)]
 				id := fmt.Sprintf("s%d-c%d-n%d", seed, client, n)
-				a := site.send(route, id, searchWait)
+				response := site.send(route, id, searchWait)
 				runs := 0
-				for _, w := range bad {
-					runs += w.ran(id)
+				for _, faultyWorker := range faulty {
+					runs += faultyWorker.ran(id)
 				}
-				checkReply(t, route, id, a, runs)
+				checkReply(t, route, id, response, runs)
 				mu.Lock()
-				if a.err != nil {
-					a.status = 0
+				if response.err != nil {
+					response.status = 0
 				}
-				got[a.status]++
+				got[response.status]++
 				mu.Unlock()
 			}
 		})
 	}
 	all.Wait()
-	for _, w := range bad {
-		if w.mu.Lock(); w.tainted > 0 {
-			t.Errorf("%s: %d requests came on connections with unexplained bytes", w.ID, w.tainted)
+	for _, faultyWorker := range faulty {
+		if faultyWorker.mu.Lock(); faultyWorker.tainted > 0 {
+			t.Errorf("%s: %d requests came on connections with unexplained bytes", faultyWorker.ID, faultyWorker.tainted)
 		}
-		w.mu.Unlock()
+		faultyWorker.mu.Unlock()
 	}
 	return got
 }
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -5,7 +5,7 @@
 // attempt, relay the response, retry elsewhere) and, if no attempt completes, respondWithFailure.
 //
 // Two invariants hold throughout. A request that isn't idempotent is sent again only with proof that no
-// worker has executed it; a client is told that its request wasn't executed only with that proof. And no
+// worker has executed it; "not executed" is answered to a client only with that proof. And no
 // byte that a worker sent for another request, or unsolicited, is ever relayed as a response.
 package proxy
 
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -27,9 +27,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// testHeaders are those of the tests: the product must not mind which ones they are.
+// testHeaders names header fields that no platform has: the proxy must not depend on the names.
 func testHeaders() Headers {
-	return Headers{ID: "Go-Id", TimeRemaining: "Go-Left", Tenant: "Go-Tenant", ExpectedInstance: "Go-Life", ExpectedVersion: "Go-Version",
+	return Headers{ID: "Go-Id", TimeRemaining: "Go-Left", Tenant: "Go-Tenant", ExpectedInstance: "Go-Instance", ExpectedVersion: "Go-Version",
 		Priority: "Go-Urgency", CacheSalt: "Go-Salt", FetchFrom: "Go-Fetch", SaveTo: "Go-Save", Model: "Go-Model", TokenUsage: "Go-Usage",
 		PromptParts: "Go-Parts", LastEventID: "Last-Event-Id", NotExecuted: "Go-Not-Run", Seal: "Go-Seal", Load: "Go-Load",
 		WeightVersions: "Go-Weights", AuthScheme: "Bearer",
@@ -51,7 +51,7 @@
 		}}
 }
 
-// pipeNetwork are a site's links without a network: pipes, in a bubble of time.
+// pipeNetwork connects a site by in-memory pipes, which work in a synctest bubble.
 type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
@@ -114,29 +114,33 @@
 	}
 }
 
-// workerScript plays a worker's part in one request; false: the connection ends.
+// workerScript answers one request as a worker; false closes the connection.
 type workerScript func(c net.Conn, r *http.Request, body string) bool
 
-// testWorker is one life of a worker that keeps a journal of what it ran.
+// testWorker is one worker process; it records the requests that it received.
 type testWorker struct {
 	fleet.Worker
 	mu       sync.Mutex
 	requests []*http.Request
-	bodies   []string // bodies
+	bodies   []string
 	script   workerScript
 }
 
-func (w *testWorker) runs() int { w.mu.Lock(); defer w.mu.Unlock(); return len(w.requests) }
+func (worker *testWorker) runs() int {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	return len(worker.requests)
+}
 
-func (w *testWorker) serve(ln net.Listener) {
+func (worker *testWorker) serve(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			defer c.Close()
-			br := bufio.NewReader(c)
+			defer conn.Close()
+			br := bufio.NewReader(conn)
 			for {
 				r, err := http.ReadRequest(br)
 				if err != nil {
@@ -146,11 +150,11 @@
 				if err != nil {
 					return
 				}
-				w.mu.Lock()
-				w.requests, w.bodies = append(w.requests, r), append(w.bodies, string(all))
-				play := w.script
-				w.mu.Unlock()
-				if !play(c, r, string(all)) {
+				worker.mu.Lock()
+				worker.requests, worker.bodies = append(worker.requests, r), append(worker.bodies, string(all))
+				play := worker.script
+				worker.mu.Unlock()
+				if !play(conn, r, string(all)) {
 					return
 				}
 			}
@@ -158,7 +162,7 @@
 	}
 }
 
-// fakeSelector takes the first worker of the service that wasn't tried, and keeps a journal.
+// fakeSelector selects the first worker of the service that wasn't tried, and records the outcomes.
 type fakeSelector struct {
 	mu         sync.Mutex
 	endings    []selection.Outcome
@@ -203,7 +207,7 @@
 	}
 }
 
-// testSite is one edge machine with its workers and clients.
+// testSite is one edge node with its workers and clients, in a synctest bubble.
 type testSite struct {
 	t        *testing.T
 	network  *pipeNetwork
@@ -230,45 +234,45 @@
 		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}}).BuildIndex()
 }
 
-// withSite starts a site in a bubble and lets f act in it.
-func withSite(t *testing.T, scripts []workerScript, f func(s *testSite)) {
+// withSite starts a site with a worker for each script, and calls act in its synctest bubble.
+func withSite(t *testing.T, scripts []workerScript, act func(s *testSite)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &testSite{t: t, network: &pipeNetwork{listeners: map[string]*pipeListener{}, dials: map[string]int{}}, selector: &fakeSelector{}}
-		b := settings.DefaultBounds()
-		b.RetryPercent, b.RetryAllowance = 100, 100
-		place := settings.Process{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: b, Options: []string{"log=off"},
+		site := &testSite{t: t, network: &pipeNetwork{listeners: map[string]*pipeListener{}, dials: map[string]int{}}, selector: &fakeSelector{}}
+		bounds := settings.DefaultBounds()
+		bounds.RetryPercent, bounds.RetryAllowance = 100, 100
+		processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: bounds, Options: []string{"log=off"},
 			Site: &settings.Site{ReadinessListen: readyAt, MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 120, EnforceRevocation: true}}
 		clk := clock.Synctest()
-		s.process = daemon.NewIn(daemon.Environment{Clock: clk, Listen: s.network.Listen, Dial: s.network.Dial}, "edge", place)
+		site.process = daemon.NewIn(daemon.Environment{Clock: clk, Listen: site.network.Listen, Dial: site.network.Dial}, "edge", processSettings)
 		snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), Edges: 1}
 		for i, x := range scripts {
-			w := &testWorker{script: x}
-			w.Worker = fleet.Worker{ID: "w" + strconv.Itoa(i), Service: "s", Addr: "10.0.1." + strconv.Itoa(i) + ":8080", Slots: 8}
-			snap.Workers = append(snap.Workers, w.Worker)
-			s.workers = append(s.workers, w)
+			worker := &testWorker{script: x}
+			worker.Worker = fleet.Worker{ID: "w" + strconv.Itoa(i), Service: "s", Addr: "10.0.1." + strconv.Itoa(i) + ":8080", Slots: 8}
+			snap.Workers = append(snap.Workers, worker.Worker)
+			site.workers = append(site.workers, worker)
 			if x != nil { // nil: nobody listens there
-				ln, _ := s.network.Listen(w.Addr)
-				go w.serve(ln)
-				defer ln.Close()
+				listener, _ := site.network.Listen(worker.Addr)
+				go worker.serve(listener)
+				defer listener.Close()
 			}
 		}
-		s.snapshot.Store(snap)
-		s.server = newServer(s.process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: s.snapshot.Load, Selector: s.selector})
-		if err := s.server.start(); err != nil {
+		site.snapshot.Store(snap)
+		site.server = newServer(site.process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: site.snapshot.Load, Selector: site.selector})
+		if err := site.server.start(); err != nil {
 			t.Fatal(err)
 		}
 		defer func() {
-			s.stop()
+			site.stop()
 			synctest.Wait()
-			s.selector.mu.Lock()
-			defer s.selector.mu.Unlock()
-			if s.selector.open != 0 {
-				t.Errorf("%d attempts were never reported as done", s.selector.open)
+			site.selector.mu.Lock()
+			defer site.selector.mu.Unlock()
+			if site.selector.open != 0 {
+				t.Errorf("%d attempts were never reported as done", site.selector.open)
 			}
 		}()
-		s.server.misdirectedBudget = retrybudget.NewShared(1, 100) // as the other budget: enough for one attempt more
-		f(s)
+		site.server.misdirectedBudget = retrybudget.NewShared(1, 100) // like the other budget: enough for one more attempt
+		act(site)
 	})
 }
 
@@ -279,16 +283,16 @@
 	s.snapshot.Store(&n)
 }
 
-// reply is what a client has seen.
+// reply is a response as the client received it.
 type reply struct {
 	status int
 	head   http.Header
 	body   string
-	err    error // the body broke off, or there was no answer
-	closes bool  // the connection ends with it
+	err    error // the body is incomplete, or there was no response
+	closes bool  // the connection ends with this response
 }
 
-// dialClient is one client's connection.
+// clientConn is one client's connection.
 type clientConn struct {
 	net.Conn
 	br *bufio.Reader
@@ -302,17 +306,17 @@
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// roundTrip sends one request and reads its answer.
-func (c *clientConn) roundTrip(text string) reply {
-	go func() { _, _ = io.WriteString(c, text) }()
-	return c.readReply(text)
+// roundTrip sends one request and reads its response.
+func (client *clientConn) roundTrip(text string) reply {
+	go func() { _, _ = io.WriteString(client, text) }()
+	return client.readReply(text)
 }
 
-func (c *clientConn) readReply(text string) reply {
+func (client *clientConn) readReply(text string) reply {
 	method, _, _ := strings.Cut(text, " ")
-	a, err := http.ReadResponse(c.br, &http.Request{Method: method})
+	a, err := http.ReadResponse(client.br, &http.Request{Method: method})
 	if err == nil && a.StatusCode == http.StatusContinue {
-		a, err = http.ReadResponse(c.br, &http.Request{Method: method})
+		a, err = http.ReadResponse(client.br, &http.Request{Method: method})
 	}
 	if err != nil {
 		return reply{err: err}
@@ -321,20 +325,20 @@
 	return reply{a.StatusCode, a.Header, string(all), err, a.Close}
 }
 
-// send is one request on a connection of its own.
+// send sends one request on a new connection.
 func (s *testSite) send(text string) reply {
-	c := s.dialClient()
-	defer c.Close()
-	return c.roundTrip(text)
+	client := s.dialClient()
+	defer client.Close()
+	return client.roundTrip(text)
 }
 
-// postRequest is a plain request.
+// postRequest returns the text of a POST request.
 func postRequest(route, id, body string, more ...string) string {
 	return "POST /" + route + "/x HTTP/1.1\r\nHost: " + host + "\r\nGo-Id: " + id + "\r\nGo-Left: 4000\r\n" +
 		strings.Join(append(more, ""), "\r\n") + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// respondWith answers with these bytes, in which ID stands for the attempt's, and keeps the connection.
+// respondWith writes these bytes, with ID replaced by the request's, and keeps the connection open.
 func respondWith(text string) workerScript {
 	return func(c net.Conn, r *http.Request, _ string) bool {
 		_, err := io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get("Go-Id")))
@@ -342,17 +346,17 @@
 	}
 }
 
-// respondThenClose answers with these bytes and ends the connection.
+// respondThenClose writes these bytes and closes the connection.
 func respondThenClose(text string) workerScript {
 	return func(c net.Conn, r *http.Request, b string) bool { respondWith(text)(c, r, b); return false }
 }
 
 const okResponse = "HTTP/1.1 200 OK\r\nGo-Id: ID\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"
 
-// stop ends the machine in order, once.
+// stop shuts the node down gracefully, once.
 func (s *testSite) stop() { s.once.Do(func() { s.process.Stop(7200 * time.Millisecond) }) }
 
-// getReadyPage asks whether the machine is ready.
+// getReadyPage makes a readiness check and returns its status.
 func (s *testSite) getReadyPage(path string) int {
 	c, err := s.network.Dial(context.Background(), "tcp", readyAt)
 	if err != nil {
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -21,8 +21,8 @@
 // workerVariable names the worker's address to the process that is stopped.
 const workerVariable = "PROXY_TEST_WORKER"
 
-// TestProxyProcess is the process that TestProcessStoppedAndContinued stops: an edge that serves until its
-// input ends.
+// TestProxyProcess is the process that TestProcessStoppedAndContinued stops: an edge node that serves until
+// its standard input ends.
 func TestProxyProcess(t *testing.T) {
 	addr := os.Getenv(workerVariable)
 	if addr == "" {
@@ -33,32 +33,32 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// holdingWorker answers at once, but a request named "held" only when it is told to.
-type holdingWorker struct {
+// blockingWorker responds at once, but to the request "held" only after release.
+type blockingWorker struct {
 	mu      sync.Mutex
 	runs    map[string]int
-	strays  map[net.Conn]bool // surplus bytes were sent on it
+	strays  map[net.Conn]bool // unsolicited bytes were sent on it
 	reused  int               // requests that came on one of these
 	conns   []net.Conn
-	held    chan struct{} // closed when the held request has come
+	blocked chan struct{} // closed when the request "held" has come
 	release chan struct{}
 }
 
-func (w *holdingWorker) serve(ln net.Listener) {
+func (w *blockingWorker) serve(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		w.mu.Lock()
 		w.conns = append(w.conns, c)
 		w.mu.Unlock()
-		go w.answer(c)
+		go w.serveConn(c)
 	}
 }
 
-func (w *holdingWorker) answer(c net.Conn) {
-	br := bufio.NewReader(c)
+func (worker *blockingWorker) serveConn(conn net.Conn) {
+	br := bufio.NewReader(conn)
 	for {
 		r, err := http.ReadRequest(br)
 		if err != nil {
@@ -68,24 +68,24 @@
 			return
 		}
 		id := r.Header.Get("Go-Id")
-		w.mu.Lock()
-		w.runs[id]++
-		if w.strays[c] {
-			w.reused++
+		worker.mu.Lock()
+		worker.runs[id]++
+		if worker.strays[conn] {
+			worker.reused++
 		}
-		w.mu.Unlock()
+		worker.mu.Unlock()
 		if id == "held" {
-			close(w.held)
-			<-w.release
+			close(worker.blocked)
+			<-worker.release
 		}
-		if _, err := c.Write(plainResponse(id)); err != nil {
+		if _, err := conn.Write(plainResponse(id)); err != nil {
 			return
 		}
 	}
 }
 
-// spoil leaves something on each connection: an answer of an earlier request, garbage, an end, a reset.
-func (w *holdingWorker) spoil() {
+// spoil leaves something on each connection: a response to an earlier request, garbage, a FIN, or a reset.
+func (w *blockingWorker) spoil() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, c := range w.conns {
@@ -104,7 +104,7 @@
 	}
 }
 
-// startProxy runs an edge as a process of its own.
+// startProxy runs an edge node as a process of its own.
 func startProxy(t *testing.T, worker string) (p *os.Process, front string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestProxyProcess$")
@@ -135,32 +135,32 @@
 	return nil, ""
 }
 
-// A process stands still while answers, garbage, ends and resets come on its connections, and new
-// requests come to it; the time of one that was under way goes by. When it goes on, each new request
-// gets its own answer, once, on a connection on which nothing was left; the one whose time went by ran
-// once, and no other got its answer.
+// A process is stopped (SIGSTOP) while responses, garbage, FINs and resets come on its connections, new
+// requests come to it, and the deadline of one in flight passes. After it is continued, each new request is
+// executed once and gets its own response, on a connection without leftover bytes; the one in flight was
+// executed once, and no other request got its response.
 func TestProcessStoppedAndContinued(t *testing.T) {
-	const conns, fresh, heldTime = 8, 8, 2 * time.Second
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	const conns, fresh, blockedDeadline = 8, 8, 2 * time.Second
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	w := &holdingWorker{runs: map[string]int{}, strays: map[net.Conn]bool{}, held: make(chan struct{}), release: make(chan struct{})}
-	go w.serve(ln)
-	process, front := startProxy(t, ln.Addr().String())
-	s := &loopbackSite{t: t, front: front}
+	defer listener.Close()
+	worker := &blockingWorker{runs: map[string]int{}, strays: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
+	go worker.serve(listener)
+	process, front := startProxy(t, listener.Addr().String())
+	site := &loopbackSite{t: t, front: front}
 	var all sync.WaitGroup
 	for i := range conns { // so that there are idle connections
-		all.Go(func() { s.send("once", "warm"+strconv.Itoa(i), longWait) })
+		all.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longWait) })
 	}
 	all.Wait()
-	held := make(chan reply, 1)
-	go func() { held <- s.send("once", "held", heldTime) }()
+	blocked := make(chan reply, 1)
+	go func() { blocked <- site.send("once", "held", blockedDeadline) }()
 	select {
-	case <-w.held:
-	case a := <-held:
-		t.Fatalf("the held request didn't reach the worker: %+v", a)
+	case <-worker.blocked:
+	case response := <-blocked:
+		t.Fatalf("the held request didn't reach the worker: %+v", response)
 	}
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -169,30 +169,30 @@
 	if _, err := syscall.Wait4(process.Pid, &status, syscall.WUNTRACED, nil); err != nil || !status.Stopped() {
 		t.Fatalf("not stopped: %v %v", status, err)
 	}
-	over := time.NewTimer(heldTime + heldTime/4)
-	close(w.release)
-	w.spoil()
+	over := time.NewTimer(blockedDeadline + blockedDeadline/4)
+	close(worker.release)
+	worker.spoil()
 	replies := make([]reply, fresh)
 	for i := range fresh {
-		all.Go(func() { replies[i] = s.send("once", "fresh"+strconv.Itoa(i), longWait) })
+		all.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longWait) })
 	}
 	<-over.C
 	if err := process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	all.Wait()
-	a := <-held
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	response := <-blocked
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
 	for i, r := range replies {
 		id := "fresh" + strconv.Itoa(i)
-		checkReply(t, "once", id, r, w.runs[id])
-		if r.status != 200 || r.err != nil || w.runs[id] != 1 {
-			t.Errorf("%s: %+v, ran %d times", id, r, w.runs[id])
+		checkReply(t, "once", id, r, worker.runs[id])
+		if r.status != 200 || r.err != nil || worker.runs[id] != 1 {
+			t.Errorf("%s: %+v, ran %d times", id, r, worker.runs[id])
 		}
 	}
-	checkReply(t, "once", "held", a, w.runs["held"])
-	if w.runs["held"] != 1 || w.reused > 0 {
-		t.Errorf("the held one ran %d times, %d requests came where something was left", w.runs["held"], w.reused)
+	checkReply(t, "once", "held", response, worker.runs["held"])
+	if worker.runs["held"] != 1 || worker.reused > 0 {
+		t.Errorf("the held one ran %d times, %d requests came where something was left", worker.runs["held"], worker.reused)
 	}
 }
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -18,18 +18,18 @@
 
 func streamedEvent(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
-// stream plays events up to n, from behind the one that the request names; after cut bytes of them
-// the connection ends. Below 0 it plays all and ends in order.
-func stream(seal string, n, cut int) workerScript {
+// streamScript streams the events after the one that the request names, up to n, and closes the connection
+// after so many bytes of them. Below 0 it streams all and ends properly.
+func streamScript(seal string, n, bytesBeforeClose int) workerScript {
 	return func(c net.Conn, r *http.Request, _ string) bool {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 		if !respondWith(strings.Replace(streamHead, "SEAL", seal, 1))(c, r, "") {
 			return false
 		}
-		left := cut
+		left := bytesBeforeClose
 		for i := from + 1; i <= n; i++ {
 			e := streamedEvent(i)
-			if cut >= 0 && left < len(e) {
+			if bytesBeforeClose >= 0 && left < len(e) {
 				if left > 0 {
 					_, _ = io.WriteString(c, chunk(e[:left]))
 				}
@@ -40,7 +40,7 @@
 				return false
 			}
 		}
-		if cut >= 0 {
+		if bytesBeforeClose >= 0 {
 			return false
 		}
 		_, err := io.WriteString(c, "0\r\n\r\n")
@@ -55,32 +55,32 @@
 	return s
 }
 
-// Wherever the first worker breaks off, the pieces come exactly once, in order, under its head.
+// Wherever the first worker breaks off, the events come exactly once, in order, under its header.
 func TestResumedEventsComeExactlyOnce(t *testing.T) {
-	for cut := 0; cut <= len(fiveEvents()); cut++ {
-		withSite(t, []workerScript{stream("first", 5, cut), stream("second", 5, -1)}, func(s *testSite) {
-			a := s.send(postRequest("resume", "a1", "body"))
-			if a.err != nil || a.status != 200 || a.body != fiveEvents() {
-				t.Errorf("cut after %d bytes: %d %v %q", cut, a.status, a.err, a.body)
+	for bytesBeforeClose := 0; bytesBeforeClose <= len(fiveEvents()); bytesBeforeClose++ {
+		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
+			response := s.send(postRequest("resume", "a1", "body"))
+			if response.err != nil || response.status != 200 || response.body != fiveEvents() {
+				t.Errorf("cut after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			want := "first"
-			if cut < len(streamedEvent(1)) {
-				want = "second" // nothing had gone out
+			if bytesBeforeClose < len(streamedEvent(1)) {
+				want = "second" // nothing had been relayed
 			}
-			if a.head.Get("Go-Seal") != want {
-				t.Errorf("cut after %d bytes: seal %q", cut, a.head.Get("Go-Seal"))
+			if response.head.Get("Go-Seal") != want {
+				t.Errorf("cut after %d bytes: seal %q", bytesBeforeClose, response.head.Get("Go-Seal"))
 			}
 		})
 	}
 }
 
-// A stream that may not be resumed is visibly broken, and no second worker runs it.
+// A stream that may not be resumed is visibly interrupted, and no second worker executes it.
 func TestInterruptedStreamIsVisiblyBroken(t *testing.T) {
-	for cut := 0; cut <= len(fiveEvents()); cut++ {
-		withSite(t, []workerScript{stream("first", 5, cut), stream("second", 5, -1)}, func(s *testSite) {
-			a := s.send(postRequest("stream", "a1", "body"))
-			if cut == 0 && a.status != 502 || cut > 0 && a.err == nil || !strings.HasPrefix(fiveEvents(), a.body) && cut > 0 {
-				t.Errorf("cut after %d bytes: %d %v %q", cut, a.status, a.err, a.body)
+	for bytesBeforeClose := 0; bytesBeforeClose <= len(fiveEvents()); bytesBeforeClose++ {
+		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
+			response := s.send(postRequest("stream", "a1", "body"))
+			if bytesBeforeClose == 0 && response.status != 502 || bytesBeforeClose > 0 && response.err == nil || !strings.HasPrefix(fiveEvents(), response.body) && bytesBeforeClose > 0 {
+				t.Errorf("cut after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			if n := s.workers[1].runs(); n != 0 {
 				t.Errorf("the second worker ran it %d times", n)
@@ -89,16 +89,16 @@
 	}
 }
 
-// What stands behind the last whole event at a stream's proper end goes on as well.
+// An incomplete event at the proper end of a stream is relayed as well.
 func TestEndWithoutABlankLine(t *testing.T) {
 	withSite(t, []workerScript{respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk("id: 2\ndata: x") + "0\r\n\r\n")}, func(s *testSite) {
-		if a := s.send(postRequest("resume", "a1", "b")); a.err != nil || a.body != streamedEvent(1)+"id: 2\ndata: x" {
-			t.Errorf("%v %q", a.err, a.body)
+		if response := s.send(postRequest("resume", "a1", "b")); response.err != nil || response.body != streamedEvent(1)+"id: 2\ndata: x" {
+			t.Errorf("%v %q", response.err, response.body)
 		}
 	})
 }
 
-// A worker that doesn't go on from where the first stopped is not believed.
+// A stream that doesn't continue where the first worker stopped isn't relayed.
 func TestResumedOnlyByWhatFollows(t *testing.T) {
 	two := len(streamedEvent(1) + streamedEvent(2))
 	for name, second := range map[string]workerScript{
@@ -110,13 +110,13 @@
 		"another's":        respondWith(strings.Replace(strings.Replace(streamHead, "SEAL", "s", 1), "ID", "other", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
 		"its own 500":      respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"),
 		"full":             respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-		"breaks off again": stream("s", 5, 0),
+		"breaks off again": streamScript("s", 5, 0),
 	} {
 		t.Run(name, func(t *testing.T) {
-			withSite(t, []workerScript{stream("first", 5, two), second}, func(s *testSite) {
-				a := s.send(postRequest("resume", "a1", "body"))
-				if a.err == nil || a.body != streamedEvent(1)+streamedEvent(2) {
-					t.Errorf("%v %q", a.err, a.body)
+			withSite(t, []workerScript{streamScript("first", 5, two), second}, func(s *testSite) {
+				response := s.send(postRequest("resume", "a1", "body"))
+				if response.err == nil || response.body != streamedEvent(1)+streamedEvent(2) {
+					t.Errorf("%v %q", response.err, response.body)
 				}
 				if id := s.workers[1].requests[0].Header.Get("Last-Event-Id"); id != "2" {
 					t.Errorf("asked to go on from %q", id)
@@ -126,17 +126,17 @@
 	}
 }
 
-// What went out without an id can't be gone on from.
+// A stream can't be resumed after an event without an ID.
 func TestNotResumedBehindAnEventWithoutID(t *testing.T) {
 	first := respondThenClose(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk("data: no id\n\n"))
-	withSite(t, []workerScript{first, stream("second", 5, -1)}, func(s *testSite) {
-		if a := s.send(postRequest("resume", "a1", "b")); a.err == nil || a.body != streamedEvent(1)+"data: no id\n\n" || s.workers[1].runs() != 0 {
-			t.Errorf("%v %q, second %d", a.err, a.body, s.workers[1].runs())
+	withSite(t, []workerScript{first, streamScript("second", 5, -1)}, func(s *testSite) {
+		if response := s.send(postRequest("resume", "a1", "b")); response.err == nil || response.body != streamedEvent(1)+"data: no id\n\n" || s.workers[1].runs() != 0 {
+			t.Errorf("%v %q, second %d", response.err, response.body, s.workers[1].runs())
 		}
 	})
 }
 
-// Each event goes on as it comes, not when the next does.
+// Each event is relayed when it comes, not when the next does.
 func TestEventsAreFlushedAtOnce(t *testing.T) {
 	for _, route := range []string{"stream", "resume"} {
 		step := make(chan string)
@@ -148,11 +148,11 @@
 			return true
 		}
 		withSite(t, []workerScript{play}, func(s *testSite) {
-			step = make(chan string) // of the bubble
-			c := s.dialClient()
-			go func() { _, _ = io.WriteString(c, postRequest(route, "a1", "b")) }()
+			step = make(chan string) // made in the synctest bubble
+			client := s.dialClient()
+			go func() { _, _ = io.WriteString(client, postRequest(route, "a1", "b")) }()
 			go func() { step <- chunk(streamedEvent(1)) }()
-			a, err := http.ReadResponse(c.br, nil)
+			a, err := http.ReadResponse(client.br, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -170,12 +170,12 @@
 			if rest, err := io.ReadAll(a.Body); len(rest) != 0 || err != nil {
 				t.Errorf("%q %v", rest, err)
 			}
-			c.Close()
+			client.Close()
 		})
 	}
 }
 
-// A client that goes away takes its attempt with it.
+// When the client disconnects, the attempt is canceled.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	for _, when := range []string{"before the head", "midway"} {
 		t.Run(when, func(t *testing.T) {
@@ -188,12 +188,12 @@
 				ended <- err
 				return false
 			}
-			withSite(t, []workerScript{play, respondWith(okResponse)}, func(s *testSite) {
+			withSite(t, []workerScript{play, respondWith(okResponse)}, func(site *testSite) {
 				ended = make(chan error, 1)
-				c := s.dialClient()
-				go func() { _, _ = io.WriteString(c, postRequest("resume", "a1", "b")) }()
+				client := site.dialClient()
+				go func() { _, _ = io.WriteString(client, postRequest("resume", "a1", "b")) }()
 				if when == "midway" {
-					a, err := http.ReadResponse(c.br, nil)
+					a, err := http.ReadResponse(client.br, nil)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -201,16 +201,16 @@
 				} else {
 					synctest.Wait()
 				}
-				began := s.process.Clock.Now()
-				c.Close()
+				began := site.process.Clock.Now()
+				client.Close()
 				if err := <-ended; err == nil {
 					t.Error("the worker's connection goes on")
 				}
-				if d := s.process.Clock.Now() - began; d > 10*time.Millisecond {
+				if d := site.process.Clock.Now() - began; d > 10*time.Millisecond {
 					t.Errorf("seen after %v", d)
 				}
 				synctest.Wait()
-				if s.workers[1].runs() != 0 {
+				if site.workers[1].runs() != 0 {
 					t.Error("another worker ran it for nobody")
 				}
 			})
--- a/internal/data/proxy/workerconn.go
+++ b/internal/data/proxy/workerconn.go
@@ -27,7 +27,7 @@
 	reading       bool // a Read is in progress: everything that came before it was looked at
 	pendingWrites int  // Writes in progress
 	wroteBytes    bool // the kernel has accepted bytes of the holder
-	owner         any  // the *attempt; nil: idle
+	holder        any  // the *attempt; nil: idle
 	idleTimer     *time.Timer
 	keepAlive     time.Duration // how long the worker is sure to keep it open while idle
 	closeOnce     sync.Once
@@ -66,7 +66,7 @@
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	c.reading = false
-	unsolicited := n > 0 && (c.owner == nil || !c.wroteBytes && c.pendingWrites == 0)
+	unsolicited := n > 0 && (c.holder == nil || !c.wroteBytes && c.pendingWrites == 0)
 	c.mu.Unlock()
 	if unsolicited {
 		c.Close()
@@ -92,7 +92,7 @@
 func (c *workerConn) acquire(holder any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.owner, c.wroteBytes = holder, false
+	c.holder, c.wroteBytes = holder, false
 	if c.idleTimer != nil {
 		c.idleTimer.Stop()
 	}
@@ -141,10 +141,10 @@
 func (c *workerConn) release(holder any, keepAlive time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.owner != holder {
+	if c.holder != holder {
 		return
 	}
-	c.owner, c.keepAlive = nil, keepAlive
+	c.holder, c.keepAlive = nil, keepAlive
 	if c.idleTimer == nil {
 		c.idleTimer = time.AfterFunc(keepAlive, c.closeIfIdle)
 	} else {
@@ -154,7 +154,7 @@
 
 func (c *workerConn) closeIfIdle() {
 	c.mu.Lock()
-	idle := c.owner == nil
+	idle := c.holder == nil
 	c.mu.Unlock()
 	if idle { // if it is acquired just now, its holder can't write a byte, and takes another connection
 		c.Close()
@@ -166,7 +166,7 @@
 // open, and nothing is proven.
 func (c *workerConn) discard(holder any) (untouched bool) {
 	c.mu.Lock()
-	if c.owner != holder {
+	if c.holder != holder {
 		c.mu.Unlock()
 		return false
 	}
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -15,13 +15,13 @@
 	"pebbleloom/internal/fleet"
 )
 
-// A connection that a worker keeps is used again; one that it ends while idle loses no request,
-// whatever its kind.
+// A connection that the worker keeps open is reused; one that it closes while idle loses no request, whatever
+// its kind.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
 		for range 3 {
-			if a := s.send(postRequest("once", "a1", "b")); a.status != 200 {
-				t.Fatal(a)
+			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
+				t.Fatal(response)
 			}
 		}
 		if n := s.network.dials[s.workers[0].Addr]; n != 1 {
@@ -30,8 +30,8 @@
 	})
 	withSite(t, []workerScript{respondThenClose(okResponse)}, func(s *testSite) {
 		for i := range 5 {
-			if a := s.send(postRequest("once", "a1", "b")); a.status != 200 {
-				t.Fatal(i, a)
+			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
+				t.Fatal(i, response)
 			}
 			synctest.Wait()
 		}
@@ -41,8 +41,7 @@
 	})
 }
 
-// Nothing is repeated behind the request's back when a kept connection breaks, whatever the
-// method: net/http would.
+// No request is silently sent again when a reused connection breaks, whatever the method: net/http would.
 func TestNoSilentRepeats(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "DELETE", "POST"} {
 		for _, key := range []string{"", "Idempotency-Key: k\r\n", "X-Idempotency-Key: k\r\n"} {
@@ -55,18 +54,18 @@
 			}
 			withSite(t, []workerScript{play}, func(s *testSite) {
 				text := method + " /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a1\r\n" + key + "\r\n"
-				if a := s.send(text); a.status != 204 {
-					t.Fatalf("%s: %+v", method, a)
+				if response := s.send(text); response.status != 204 {
+					t.Fatalf("%s: %+v", method, response)
 				}
-				if a := s.send(text); a.status != 502 || s.workers[0].runs() != 2 {
-					t.Errorf("%s %q: %d, ran %d times", method, key, a.status, s.workers[0].runs()-1)
+				if response := s.send(text); response.status != 502 || s.workers[0].runs() != 2 {
+					t.Errorf("%s %q: %d, ran %d times", method, key, response.status, s.workers[0].runs()-1)
 				}
 			})
 		}
 	}
 }
 
-// An idle connection is ended before the worker ends it: by what it says, or by a few seconds.
+// An idle connection is closed before the worker closes it: by its Keep-Alive field, or by the default.
 func TestIdleConnectionsEndInTime(t *testing.T) {
 	for keep, want := range map[string]time.Duration{"timeout=1": 800 * time.Millisecond, "max=5, timeout=20": 16 * time.Second, "": 3 * time.Second, "timeout=x": 3 * time.Second} {
 		var ended chan struct{}
@@ -82,8 +81,8 @@
 		}
 		withSite(t, []workerScript{play}, func(s *testSite) {
 			ended = make(chan struct{})
-			if a := s.send(postRequest("once", "a1", "b")); a.status != 200 {
-				t.Fatal(a)
+			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
+				t.Fatal(response)
 			}
 			began := s.process.Clock.Now()
 			<-ended
@@ -94,7 +93,7 @@
 	}
 }
 
-// Bytes behind a whole answer belong to no request: the next doesn't get them.
+// Bytes after a complete response belong to no request: the next doesn't get them.
 func TestBytesAfterAResponseReachNoRequest(t *testing.T) {
 	late := strings.Replace(okResponse, "ID", "old", 1)
 	for name, stray := range map[string]string{"garbage": "\x00garbage", "another's answer": late, "its own answer again": okResponse, "a newline": "\r\n"} {
@@ -109,17 +108,17 @@
 						return respondWith(okResponse+stray)(c, r, b)
 					}
 					respondWith(okResponse)(c, r, b)
-					go func() { time.Sleep(50 * time.Millisecond); respondWith(stray)(c, r, b) }() // of the bubble
+					go func() { time.Sleep(50 * time.Millisecond); respondWith(stray)(c, r, b) }() // of the synctest bubble
 					return true
 				}
 				withSite(t, []workerScript{play}, func(s *testSite) {
-					if a := s.send(postRequest("once", "a1", "b")); a.status != 200 || a.body != "fine" || a.err != nil {
-						t.Fatal(a)
+					if response := s.send(postRequest("once", "a1", "b")); response.status != 200 || response.body != "fine" || response.err != nil {
+						t.Fatal(response)
 					}
 					time.Sleep(100 * time.Millisecond)
 					for _, id := range []string{"a2", "a1"} {
-						if a := s.send(postRequest("once", id, "b")); a.status != 200 || a.body != "fine" || a.head.Get("Go-Id") != id {
-							t.Errorf("%s: %+v", id, a)
+						if response := s.send(postRequest("once", id, "b")); response.status != 200 || response.body != "fine" || response.head.Get("Go-Id") != id {
+							t.Errorf("%s: %+v", id, response)
 						}
 					}
 					if n := s.workers[0].runs(); n != 3 {
@@ -131,7 +130,7 @@
 	}
 }
 
-// The connection with a surplus answer is not used again.
+// A connection with a surplus response isn't reused.
 func TestSurplusResponseEndsItsConnection(t *testing.T) {
 	n := 0
 	play := func(c net.Conn, r *http.Request, b string) bool {
@@ -141,11 +140,11 @@
 		return respondWith(okResponse)(c, r, b)
 	}
 	withSite(t, []workerScript{play}, func(s *testSite) {
-		if a := s.send(postRequest("once", "a1", "b")); a.status != 502 {
-			t.Error(a)
+		if response := s.send(postRequest("once", "a1", "b")); response.status != 502 {
+			t.Error(response)
 		}
-		if a := s.send(postRequest("once", "a2", "b")); a.status != 200 || a.head.Get("Go-Id") != "a2" {
-			t.Error(a)
+		if response := s.send(postRequest("once", "a2", "b")); response.status != 200 || response.head.Get("Go-Id") != "a2" {
+			t.Error(response)
 		}
 		if n := s.network.dials[s.workers[0].Addr]; n != 2 {
 			t.Errorf("%d connections", n)
@@ -153,46 +152,47 @@
 	})
 }
 
-// No more connections to one worker than this machine's share; beyond it another worker, or a promise.
+// There are no more connections to one worker than this node's share; beyond it another worker is selected, or
+// the request is rejected as not executed.
 func TestConnectionsToAWorkerAreBounded(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(s *testSite) {
-		s.set(func(n *fleet.Snapshot) { n.Edges = 50 }) // of 100: 2 each
+		s.set(func(snapshot *fleet.Snapshot) { snapshot.Edges = 50 }) // of 100: 2 each
 		var cs []*clientConn
 		for i := range 2 {
-			c := s.dialClient()
-			cs = append(cs, c)
-			_, _ = io.WriteString(c, postRequest("once", strconv.Itoa(i), "b"))
+			client := s.dialClient()
+			cs = append(cs, client)
+			_, _ = io.WriteString(client, postRequest("once", strconv.Itoa(i), "b"))
 			synctest.Wait()
 		}
-		if a := s.send(postRequest("once", "a3", "b")); a.status != 503 || a.head.Get("Retry-After") == "" {
-			t.Errorf("%+v", a)
+		if response := s.send(postRequest("once", "a3", "b")); response.status != 503 || response.head.Get("Retry-After") == "" {
+			t.Errorf("%+v", response)
 		}
 		if s.workers[0].runs() != 2 || s.selector.endings[0] != selection.NoFreeSlot {
 			t.Errorf("ran %d, %v", s.workers[0].runs(), s.selector.endings)
 		}
-		for _, c := range cs {
-			c.Close()
+		for _, client := range cs {
+			client.Close()
 		}
 	})
 }
 
-// A worker that doesn't come up is given up within a ratio of the route's target, and the request
-// goes to another.
+// Connecting to a worker is abandoned after a ratio of the route's latency target, and another worker is
+// selected.
 func TestHangingDialIsAbandoned(t *testing.T) {
 	withSite(t, []workerScript{nil, respondWith(okResponse)}, func(s *testSite) {
 		if _, err := s.network.Listen(s.workers[0].Addr); err != nil { // nobody accepts
 			t.Fatal(err)
 		}
 		began := s.process.Clock.Now()
-		a := s.send(postRequest("once", "a1", "b"))
-		if d := s.process.Clock.Now() - began; a.status != 200 || d != 200*time.Millisecond {
-			t.Errorf("%d after %v", a.status, d)
+		response := s.send(postRequest("once", "a1", "b"))
+		if d := s.process.Clock.Now() - began; response.status != 200 || d != 200*time.Millisecond {
+			t.Errorf("%d after %v", response.status, d)
 		}
 	})
 }
 
-// fakeConn is a connection whose writes do as told.
+// fakeConn is a connection whose writes have a given result.
 type fakeConn struct {
 	net.Conn
 	n    int
@@ -209,82 +209,87 @@
 func (f *fakeConn) Close() error               { return nil }
 func (f *fakeConn) Read(p []byte) (int, error) { return copy(p, "stray"), nil }
 
-// What comes while nobody holds a connection, or before its holder has sent a byte, is never an answer.
+// Bytes that come while a connection is idle, or before its holder has sent a byte, are never a response.
 func TestUnsolicitedBytesEndTheConnection(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
-		do   func(l *workerConn)
+		do   func(conn *workerConn)
 		want bool
 	}{
-		{"its holder has sent", func(l *workerConn) { l.acquire(1); _, _ = l.Write([]byte("x")) }, true},
-		{"its holder has sent nothing", func(l *workerConn) { l.acquire(1) }, false},
-		{"nobody holds it", func(l *workerConn) { l.acquire(1); _, _ = l.Write([]byte("x")); l.release(1, time.Hour) }, false},
-		{"the next holder has sent nothing", func(l *workerConn) { l.acquire(1); _, _ = l.Write([]byte("x")); l.release(1, time.Hour); l.acquire(2) }, false},
+		{"its holder has sent", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")) }, true},
+		{"its holder has sent nothing", func(conn *workerConn) { conn.acquire(1) }, false},
+		{"nobody holds it", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")); conn.release(1, time.Hour) }, false},
+		{"the next holder has sent nothing", func(conn *workerConn) {
+			conn.acquire(1)
+			_, _ = conn.Write([]byte("x"))
+			conn.release(1, time.Hour)
+			conn.acquire(2)
+		}, false},
 	} {
-		l := newWorkerConn(&fakeConn{n: 9}, time.Hour, func() {})
-		x.do(l)
-		n, err := l.Read(make([]byte, 9))
-		if got := n == 5 && err == nil && !l.closed; got != x.want {
-			t.Errorf("%s: %d, %v", x.name, n, err)
+		conn := newWorkerConn(&fakeConn{n: 9}, time.Hour, func() {})
+		test.do(conn)
+		n, err := conn.Read(make([]byte, 9))
+		if got := n == 5 && err == nil && !conn.closed; got != test.want {
+			t.Errorf("%s: %d, %v", test.name, n, err)
 		}
-		if !x.want && (n != 0 || err != io.EOF || !l.closed) {
-			t.Errorf("%s: %d, %v: the line must end", x.name, n, err)
+		if !test.want && (n != 0 || err != io.EOF || !conn.closed) {
+			t.Errorf("%s: %d, %v: the line must end", test.name, n, err)
 		}
 	}
 }
 
-// A connection is proof that nothing was sent only if the kernel took no byte and none can follow.
+// Nothing was sent only if the kernel accepted no byte and can accept none any more.
 func TestProofThatNothingWasSent(t *testing.T) {
 	bad := errors.New("bad")
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		f    fakeConn
-		do   func(l *workerConn)
+		do   func(conn *workerConn)
 		want bool
 	}{
 		{"not written", fakeConn{}, func(*workerConn) {}, true},
-		{"none taken", fakeConn{n: 0, err: bad}, func(l *workerConn) { _, _ = l.Write([]byte("x")) }, true},
-		{"some taken", fakeConn{n: 1, err: bad}, func(l *workerConn) { _, _ = l.Write([]byte("xy")) }, false},
-		{"all taken", fakeConn{n: 9}, func(l *workerConn) { _, _ = l.Write([]byte("xy")) }, false},
+		{"none taken", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
+		{"some taken", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
+		{"all taken", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
 	} {
-		l := newWorkerConn(&x.f, time.Hour, func() {})
-		l.acquire(1)
-		x.do(l)
-		if got := l.discard(1); got != x.want {
-			t.Errorf("%s: %v", x.name, got)
+		conn := newWorkerConn(&test.f, time.Hour, func() {})
+		conn.acquire(1)
+		test.do(conn)
+		if got := conn.discard(1); got != test.want {
+			t.Errorf("%s: %v", test.name, got)
 		}
-		if n, err := l.Write([]byte("x")); n != 0 || err == nil {
-			t.Errorf("%s: bytes went after the stop", x.name)
+		if n, err := conn.Write([]byte("x")); n != 0 || err == nil {
+			t.Errorf("%s: bytes went after the stop", test.name)
 		}
 	}
-	// A write under way may yet be taken.
+	// The kernel may still accept a write in progress.
 	f := &fakeConn{n: 1, wait: make(chan struct{})}
-	l := newWorkerConn(f, time.Hour, func() {})
-	l.acquire(1)
+	conn := newWorkerConn(f, time.Hour, func() {})
+	conn.acquire(1)
 	done := make(chan struct{})
-	go func() { defer close(done); _, _ = l.Write([]byte("x")) }()
+	go func() { defer close(done); _, _ = conn.Write([]byte("x")) }()
 	for under := false; !under; {
-		l.mu.Lock()
-		under = l.pendingWrites == 1
-		l.mu.Unlock()
+		conn.mu.Lock()
+		under = conn.pendingWrites == 1
+		conn.mu.Unlock()
 	}
-	if l.discard(1) {
+	if conn.discard(1) {
 		t.Error("a write under way was no doubt")
 	}
 	close(f.wait)
 	<-done
 }
 
-// Who no longer holds a connection neither ends nor rests it.
+// An attempt that no longer holds a connection neither closes nor releases it.
 func TestFormerHolderNeitherClosesNorReleases(t *testing.T) {
-	l := newWorkerConn(&fakeConn{n: 9}, time.Hour, func() {})
-	l.acquire(1)
-	l.acquire(2)
-	l.release(1, time.Nanosecond)
-	if l.discard(1) || l.owner != 2 || l.idleTimer != nil {
+	conn := newWorkerConn(&fakeConn{n: 9}, time.Hour, func() {})
+	conn.acquire(1)
+	conn.acquire(2)
+	conn.release(1, time.Nanosecond)
+	if conn.discard(1) || conn.holder != 2 || conn.idleTimer != nil {
 		t.Error("the line was the first one's still")
 	}
-	if n, err := l.Write([]byte("x")); n == 0 || err != nil {
+	if n, err := conn.Write([]byte("x")); n == 0 || err != nil {
 		t.Error("the second can't write")
 	}
 }
--- a/internal/data/proxy/workerresponse_test.go
+++ b/internal/data/proxy/workerresponse_test.go
@@ -4,27 +4,30 @@
 	"testing"
 )
 
-// What the first worker does, and what each kind of request gets for it: the status, and whether
-// the second worker ran it. The second always serves.
-func TestEveryKindOfWorkerResponse(t *testing.T) {
+// expected is what a client gets, and how often the second worker executes its request.
+type expected struct {
+	status int // 0: a visibly incomplete response
+	second int
+}
+
+// workerResponse is what the first worker does with a request, and what each kind of request gets for it.
+type workerResponse struct {
+	name                      string
+	first                     workerScript // nil: nobody listens
+	firstRequests             int          // that reach the first worker
+	idempotent, notIdempotent expected
+}
+
+func workerResponses() []workerResponse {
 	const sealed = "\r\nGo-Id: ID\r\nGo-Seal: seal\r\n"
-	type got struct {
-		status int
-		second int
-	}
-	served, passed := got{200, 1}, func(n int) got { return got{n, 0} }
-	for _, x := range []struct {
-		name         string
-		first        workerScript
-		ran          int
-		repeat, once got
-	}{
+	served, passed := expected{200, 1}, func(status int) expected { return expected{status, 0} }
+	return []workerResponse{
 		{"serves", respondWith(okResponse), 1, passed(200), passed(200)},
 		{"nobody listens", nil, 0, served, served},
 		{"full", respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
 		{"full and leaving", respondThenClose("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
 		{"too many", respondWith("HTTP/1.1 429 Many\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"another life", respondWith("HTTP/1.1 421 No\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
+		{"another instance", respondWith("HTTP/1.1 421 No\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
 		{"no id", respondWith("HTTP/1.1 400 No\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, passed(400), passed(400)},
 		{"503 without proof", respondWith("HTTP/1.1 503 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
 		{"429 without proof", respondWith("HTTP/1.1 429 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
@@ -49,43 +52,54 @@
 		{"bad chunk", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n"), 1, served, passed(502)},
 		{"an end that can't be seen", respondThenClose("HTTP/1.1 200 OK" + sealed + "\r\nfine"), 1, served, passed(502)},
 		{"another protocol", respondThenClose("HTTP/1.1 101 Go\r\nGo-Id: ID\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"), 1, served, passed(502)},
-	} {
-		for _, y := range []struct {
+	}
+}
+
+// The second worker, which always responds correctly, gets a request only if it may be sent again after what
+// the first has responded.
+func TestEveryKindOfWorkerResponse(t *testing.T) {
+	for _, test := range workerResponses() {
+		for _, kind := range []struct {
 			route string
-			want  got
-		}{{"repeat", x.repeat}, {"once", x.once}, {"stream", x.once}, {"resume", x.repeat}} {
-			t.Run(x.name+"/"+y.route, func(t *testing.T) {
-				withSite(t, []workerScript{x.first, respondWith(okResponse)}, func(s *testSite) {
-					want := y.want
-					if (x.name == "too short" || x.name == "no last chunk") && (y.route == "stream" || y.route == "resume") {
-						want = got{0, 0} // a piece of a series goes on as it comes, and here no event can be gone on from
-					}
-					a := s.send(postRequest(y.route, "a1", "body"))
-					switch {
-					case want.status == 0 && a.err == nil:
-						t.Errorf("%d %q looks whole", a.status, a.body)
-					case want.status != 0 && (a.err != nil || a.status != want.status):
-						t.Errorf("%d, %v: want %d", a.status, a.err, want.status)
-					}
-					if want.status == 200 && a.body != "fine" {
-						t.Errorf("body %q", a.body)
-					}
-					if n := s.workers[0].runs(); n != x.ran {
-						t.Errorf("the first worker got it %d times: want %d", n, x.ran)
-					}
-					if n := s.workers[1].runs(); n != want.second {
-						t.Errorf("the second worker got it %d times: want %d", n, want.second)
-					}
+			want  expected
+		}{{"repeat", test.idempotent}, {"once", test.notIdempotent}, {"stream", test.notIdempotent}, {"resume", test.idempotent}} {
+			t.Run(test.name+"/"+kind.route, func(t *testing.T) {
+				want := kind.want
+				if (test.name == "too short" || test.name == "no last chunk") && (kind.route == "stream" || kind.route == "resume") {
+					want = expected{0, 0} // a stream is relayed as it comes, and here no event can be resumed from
+				}
+				withSite(t, []workerScript{test.first, respondWith(okResponse)}, func(site *testSite) {
+					checkResponse(t, site, kind.route, test.firstRequests, want)
 				})
 			})
 		}
 	}
 }
 
-// Where no worker is left that could take it, the promise is made only with proof for each.
+func checkResponse(t *testing.T, site *testSite, route string, firstRequests int, want expected) {
+	t.Helper()
+	response := site.send(postRequest(route, "a1", "body"))
+	switch {
+	case want.status == 0 && response.err == nil:
+		t.Errorf("%d %q looks complete", response.status, response.body)
+	case want.status != 0 && (response.err != nil || response.status != want.status):
+		t.Errorf("%d, %v: want %d", response.status, response.err, want.status)
+	}
+	if want.status == 200 && response.body != "fine" {
+		t.Errorf("body %q", response.body)
+	}
+	if n := site.workers[0].runs(); n != firstRequests {
+		t.Errorf("the first worker got it %d times: want %d", n, firstRequests)
+	}
+	if n := site.workers[1].runs(); n != want.second {
+		t.Errorf("the second worker got it %d times: want %d", n, want.second)
+	}
+}
+
+// If no worker is left, the request is rejected as not executed only with proof from each.
 func TestResponseWhenNoWorkerServes(t *testing.T) {
 	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		ws      []workerScript
 		route   string
@@ -101,18 +115,18 @@
 		{"one fails, one full", []workerScript{respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), full}, "repeat", 500, false, 2},
 		{"more than the route lets it go to", []workerScript{full, full, full, respondWith(okResponse)}, "once", 503, true, 3},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			withSite(t, x.ws, func(s *testSite) {
-				a := s.send(postRequest(x.route, "a1", "body"))
-				if a.err != nil || a.status != x.status || (a.head.Get("Retry-After") != "") != x.waits {
-					t.Errorf("%d, Retry-After %q, %v", a.status, a.head.Get("Retry-After"), a.err)
+		t.Run(test.name, func(t *testing.T) {
+			withSite(t, test.ws, func(s *testSite) {
+				response := s.send(postRequest(test.route, "a1", "body"))
+				if response.err != nil || response.status != test.status || (response.head.Get("Retry-After") != "") != test.waits {
+					t.Errorf("%d, Retry-After %q, %v", response.status, response.head.Get("Retry-After"), response.err)
 				}
 				n := 0
-				for _, w := range s.workers {
-					n += w.runs()
+				for _, worker := range s.workers {
+					n += worker.runs()
 				}
-				if n > x.workers {
-					t.Errorf("%d workers got it: want at most %d", n, x.workers)
+				if n > test.workers {
+					t.Errorf("%d workers got it: want at most %d", n, test.workers)
 				}
 			})
 		})
