--- a/internal/control/controlstate/claim_table.go
+++ b/internal/control/controlstate/claim_table.go
@@ -7,28 +7,36 @@
 	"pebbleloom/internal/wire"
 )
 
-// claimTable remembers who claimed which once-only id. Ids are forgotten by age, never by count: a
-// flood can't make an id runnable again whose caller may still repeat it. The age is the shard's
-// own: each leader adds the time that it saw pass, so between leaders it stands still, and ids are
-// kept a little longer. It is in the log, so every member forgets the same.
+// claimIDBytes is the size of the id of an at-most-once request.
+const claimIDBytes = 16
+
+type claimID [claimIDBytes]byte
+
+// claimTable records which caller claimed each id of an at-most-once request. Claims are forgotten by
+// age, never by count: a flood of claims can't make an id claimable again that its caller may still
+// repeat. The age is the shard's own: each leader adds the time that it has seen pass, so the age
+// stands still between leaders and claims are kept a little longer. It advances by log entries, so
+// every member forgets the same claims.
 type claimTable struct {
-	holders map[[16]byte]claimHolder
-	order   []claimOrderEntry // the oldest first; ids that were given back may still stand in it
+	holders map[claimID]claimHolder
+	order   []claimOrderEntry // the oldest first; may still contain ids that were released
 	age     uint64            // of the shard, in nanoseconds
 }
 
-// claimHolder is who holds an id, and the shard's age when it was claimed.
+// claimHolder identifies who holds an id, and the shard's age when it was claimed, in nanoseconds.
 type claimHolder struct{ nonce, claimedAge uint64 }
 
-// claimOrderEntry is an id's place in the order of age.
+// claimOrderEntry is an id's position in the order of age. It is stale if the id was released, or
+// released and claimed again at another age.
 type claimOrderEntry struct {
-	id         [16]byte
+	id         claimID
 	claimedAge uint64
 }
 
-func newClaimTable() claimTable { return claimTable{holders: map[[16]byte]claimHolder{}} }
+func newClaimTable() claimTable { return claimTable{holders: map[claimID]claimHolder{}} }
 
-// advanceAge adds to the shard's age, and forgets what is older than keep.
+// advanceAge adds to the shard's age and forgets the claims that are older than the retention. Both are
+// in nanoseconds.
 func (c *claimTable) advanceAge(elapsed, retention uint64) {
 	c.age += elapsed
 	expired := 0
@@ -39,31 +47,34 @@
 		expired++
 	}
 	c.order = c.order[expired:]
-	if len(c.order) > 2*maxClaims { // places of ids that were given back
-		c.order = slices.DeleteFunc(c.order, func(entry claimOrderEntry) bool {
-			holder, ok := c.holders[entry.id]
-			return !ok || holder.claimedAge != entry.claimedAge
-		})
+	if len(c.order) > 2*maxClaims {
+		c.order = slices.DeleteFunc(c.order, c.isStale)
 	}
 }
 
-// claim gives an id to the first that claims it; a claim asked for again by the same is
-// granted again, since its answer may have been lost. Whoever holds an id may give it back.
-// A table full of young ids takes no more: full is true, and nothing was claimed.
+func (c *claimTable) isStale(entry claimOrderEntry) bool {
+	holder, ok := c.holders[entry.id]
+	return !ok || holder.claimedAge != entry.claimedAge
+}
+
+// claim grants an id to the first caller that claims it. A claim repeated by the same caller is granted
+// again, since the first response may have been lost; the holder may release its claim. If the table is
+// full of claims that are too young to be forgotten, full is true and nothing was claimed.
 func (c *claimTable) claim(request *wire.Claim) (granted, full bool) {
-	if len(request.Id) != 16 {
+	if len(request.Id) != claimIDBytes {
 		return false, false
 	}
-	id := [16]byte(request.Id)
-	holder, isHeld := c.holders[id]
+	id := claimID(request.Id)
+	holder, claimed := c.holders[id]
+	isHolder := claimed && holder.nonce == request.Nonce
 	switch {
 	case request.Release:
-		if isHeld && holder.nonce == request.Nonce {
-			delete(c.holders, id) // its place in the order is passed over when it comes up
+		if isHolder {
+			delete(c.holders, id) // its entry in the order becomes stale
 		}
-		return isHeld && holder.nonce == request.Nonce, false
-	case isHeld:
-		return holder.nonce == request.Nonce, false
+		return isHolder, false
+	case claimed:
+		return isHolder, false
 	case len(c.holders) >= maxClaims:
 		return false, true
 	}
@@ -71,32 +82,34 @@
 	return true, false
 }
 
-func (c *claimTable) insert(id [16]byte, holder claimHolder) {
+func (c *claimTable) insert(id claimID, holder claimHolder) {
 	c.holders[id] = holder
 	c.order = append(c.order, claimOrderEntry{id, holder.claimedAge})
 }
 
-func (c *claimTable) save() (all []*wire.Claim) {
+// save returns the claims in the order of their age, as a snapshot keeps them.
+func (c *claimTable) save() (claims []*wire.Claim) {
 	for _, entry := range c.order {
 		if holder, ok := c.holders[entry.id]; ok && holder.claimedAge == entry.claimedAge {
-			all = append(all, &wire.Claim{Id: entry.id[:], Nonce: holder.nonce, AtNs: holder.claimedAge})
+			claims = append(claims, &wire.Claim{Id: entry.id[:], Nonce: holder.nonce, AtNs: holder.claimedAge})
 		}
 	}
-	return all
+	return claims
 }
 
-// load reads what a snapshot holds. What has no age counts as young: its release knew none.
-func (c *claimTable) load(all []*wire.Claim, age uint64) {
+// load restores the claims of a snapshot. A snapshot of a release that recorded no ages has age 0
+// throughout, so that its claims count as just made.
+func (c *claimTable) load(claims []*wire.Claim, age uint64) {
 	c.age = age
-	for _, saved := range all {
-		if len(saved.Id) == 16 {
-			c.insert([16]byte(saved.Id), claimHolder{saved.Nonce, saved.AtNs})
+	for _, saved := range claims {
+		if len(saved.Id) == claimIDBytes {
+			c.insert(claimID(saved.Id), claimHolder{saved.Nonce, saved.AtNs})
 		}
 	}
 }
 
-// elapsedInTerm is how long the leader has seen pass since its last claims of this term. Time that is
-// lost, with a command or between leaders, only makes the shard seem younger.
+// elapsedInTerm returns the time that this leader has seen pass since it last proposed claims in the
+// term. Time that is lost, with a proposal or between leaders, only makes the shard seem younger.
 func (s *shard) elapsedInTerm(term uint64) (elapsed time.Duration) {
 	now := s.clock.Now()
 	if s.ageRecordedTerm == term {
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -8,12 +8,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxLongPolls is how many requests are held at once; more are answered without being held.
+// maxLongPolls bounds the long polls that wait at once. More are served without waiting.
 const maxLongPolls = 1024
 
-// Follow answers a long poll over several documents.
+// Follow serves a long poll over several documents: it responds once one of them is newer than the
+// client's version, or when the request's time is over. It is served from the published view, so it
+// doesn't wait for the shard's goroutine. A node with fixed members responds with no documents.
 //
-// Example: response, err := n.Follow(ctx, &wire.FollowRequest{Have: have, HoldNs: 1e9, Proof: "plan"})
+// Example: response, err := n.Follow(ctx, &wire.FollowRequest{Known: known, MaxWaitNs: 1e9, ProofKey: "plan"})
 func (n *Node) Follow(ctx context.Context, request *wire.FollowRequest) (*wire.FollowResponse, error) {
 	shard := n.shards[0]
 	if shard == nil || shard.group == nil {
@@ -21,8 +23,8 @@
 	}
 	expired := shard.published.longPolls.Add(1) > maxLongPolls
 	defer shard.published.longPolls.Add(-1)
-	hold := time.Duration(min(request.MaxWaitNs, uint64(time.Minute)))
-	timer := time.NewTimer(hold)
+	maxWait := time.Duration(min(request.MaxWaitNs, uint64(maxLongPollTime)))
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	draining := n.process.Draining
 	for {
@@ -36,40 +38,54 @@
 			expired = true
 		case <-ctx.Done():
 			expired = true
-		case <-draining: // what is held now is answered soon; not at once, or it would come back at once
+		case <-draining:
+			// End the poll soon, but not at once: the client would poll again at once.
 			draining = nil
-			timer.Reset(min(hold, n.process.Settings.Bounds.Heal(groupTick)))
+			timer.Reset(min(maxWait, n.process.Settings.Bounds.Heal(groupTick)))
 		}
 	}
 }
 
-// followResponse is the answer that this view gives. NothingNewer is the word of a member that has a
-// vote, of its own disk alone: agent.FreshnessProof says what a majority of such words proves.
+// followResponse is the response that this view gives. NothingNewer attests, for a voter's own disk
+// alone, that it holds no newer version of the proof document; agent.FreshnessProof says what a
+// majority of such attestations proves.
 func (v *publishedView) followResponse(request *wire.FollowRequest) *wire.FollowResponse {
 	response := &wire.FollowResponse{Member: v.self, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, Leader: v.leader}
 	known := make(map[string]uint64, len(request.Known))
 	for _, item := range request.Known {
 		known[item.Key] = item.Version
 	}
-	proven := known[request.ProofKey]
-	docs := v.documents
+	proofVersion := known[request.ProofKey]
+	documents := v.documents
 	if request.AcceptsCompressed {
-		docs = v.compressedDocuments
+		documents = v.compressedDocuments
 	}
 	for _, item := range request.Known {
 		if strings.HasSuffix(item.Key, "/") {
-			for key, document := range docs {
-				if _, listed := known[key]; !listed && strings.HasPrefix(key, item.Key) {
-					response.Documents = append(response.Documents, document)
-				}
-			}
-		} else if document := docs[item.Key]; document.GetVersion() > item.Version {
+			response.Documents = appendUnknown(response.Documents, documents, item.Key, known)
+		} else if document := documents[item.Key]; document.GetVersion() > item.Version {
 			response.Documents = append(response.Documents, document)
 			if item.Key == request.ProofKey {
-				proven = document.Version
+				proofVersion = document.Version
 			}
 		}
 	}
-	response.NothingNewer = request.ProofKey != "" && v.isVoter && v.documents[request.ProofKey].GetVersion() <= proven && v.unappliedVersions[request.ProofKey] <= proven && v.unappliedVersions[""] == 0
+	response.NothingNewer = request.ProofKey != "" && v.isVoter && v.holdsNothingNewer(request.ProofKey, proofVersion)
 	return response
 }
+
+// appendUnknown appends the documents below a prefix that the client doesn't list as known.
+func appendUnknown(unknown []*wire.Document, documents map[string]*wire.Document, prefix string, known map[string]uint64) []*wire.Document {
+	for key, document := range documents {
+		if _, listed := known[key]; !listed && strings.HasPrefix(key, prefix) {
+			unknown = append(unknown, document)
+		}
+	}
+	return unknown
+}
+
+// holdsNothingNewer reports whether neither the applied state nor the entries above it hold a newer
+// version of a document.
+func (v *publishedView) holdsNothingNewer(key string, version uint64) bool {
+	return v.documents[key].GetVersion() <= version && v.unappliedVersions[key] <= version && v.unappliedVersions[unreadableKey] == 0
+}
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -11,86 +11,96 @@
 	"pebbleloom/internal/wire"
 )
 
-// A group's time, as ratios of the heal bound and in ticks.
+// Times of a group. The ratios are of the heal bound.
 const (
-	groupTick           = 1.0 / 120
-	reopenIntervalRatio = 1.0 / 12 // between two tries to open a disk that was bad
+	groupTick           = 1.0 / 120 // period of a tick
+	reopenIntervalRatio = 1.0 / 12  // between two attempts to open a disk that failed
 	heartbeatTicks      = 3
 	electionTicks       = 9
 )
 
-// group is what a shard has beside, where its membership is agreed data.
+// group is the part of a shard that only a shard with replicated membership has.
 type group struct {
 	codec           backend.Codec
-	consensusConfig consensus.Config
+	consensusConfig consensus.Config // without the incarnation, which the disk holds
 	disk            storage.Disk
-	initialSnapshot func() *wire.Snapshot
-	targetSize      int // members
+	initialSnapshot func() *wire.Snapshot // of an empty disk
+	targetSize      int                   // number of voters
 	zoneOf          func(addr string) string
 	published       viewPublisher
-	ticks           int
-	reopenTicks     int
-	leaving         map[string]int // the tick in which a process last said that it is to stop
-	stopping        bool           // this process is to stop
+	ticks           int            // since the start of the process
+	reopenTicks     int            // between two attempts to open a disk that failed
+	leaving         map[string]int // by incarnation: the tick in which it last announced that it stops
+	stopping        bool           // this process stops
 }
 
-// openGroupShard makes the one shard of a group. A disk that can't be opened leaves its member out
-// until it can.
-func openGroupShard(shard *shard, groupState *group) *shard {
-	shard.group, groupState.consensusConfig.DynamicMembership = groupState, true
-	groupState.leaving = map[string]int{}
-	shard.core = consensus.New(groupState.consensusConfig, consensus.LearnerSnapshot(""), nil)
+// openGroupShard makes the shard of a group. If its disk can't be opened, the shard runs without taking
+// part until retryReopen succeeds.
+func openGroupShard(shard *shard, group *group) *shard {
+	shard.group, group.consensusConfig.DynamicMembership = group, true
+	group.leaving = map[string]int{}
+	shard.core = consensus.New(group.consensusConfig, consensus.LearnerSnapshot(""), nil)
 	shard.failure = shard.reopen()
 	shard.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 	return shard
 }
 
-// reopen reads the disk as a new start does. What was read may have been written by a process
-// that died before its sync, or behind a sync that failed: all of it is written anew before this
-// member goes by it.
+// reopen recovers the member from its disk, as a new start does. What it reads may have been written by
+// a process that died before it synced, or behind a sync that failed: all of it is written and synced
+// again before this member acts on it.
 func (s *shard) reopen() error {
-	for _, file := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
-		if _, exists, err := s.disk.Read(file); err != nil {
-			return errs.WrapAs(err, errs.DiskFailure, "read")
-		} else if exists {
-			if err := s.disk.Append(file, nil); err != nil {
-				return errs.WrapAs(err, errs.DiskFailure, "sync what was read")
-			}
-		}
+	if err := s.syncFiles(); err != nil {
+		return err
 	}
 	s.state = newState()
-	loaded, err := s.load(s.disk, s.initialSnapshot)
+	recovered, err := s.load(s.disk, s.initialSnapshot)
 	if err != nil {
 		return err
 	}
-	if err := s.store.SaveSnapshot(loaded.Snapshot, loaded.Records); err != nil {
+	if err := s.store.SaveSnapshot(recovered.Snapshot, recovered.Records); err != nil {
 		return errs.Wrap(err, "write what was read anew")
 	}
 	config := s.consensusConfig
-	config.Self = loaded.Snapshot.HardState.Incarnation
-	s.core = consensus.New(config, loaded.Snapshot, loaded.Records)
+	config.Self = recovered.Snapshot.HardState.Incarnation
+	s.core = consensus.New(config, recovered.Snapshot, recovered.Records)
 	return nil
 }
 
-// retryReopen opens a disk again that was bad; its member goes on as after a restart.
+// syncFiles syncs the files of the store that exist. An empty append syncs a file.
+func (s *shard) syncFiles() error {
+	for _, file := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
+		_, exists, err := s.disk.Read(file)
+		if err != nil {
+			return errs.WrapAs(err, errs.DiskFailure, "read")
+		}
+		if !exists {
+			continue
+		}
+		if err := s.disk.Append(file, nil); err != nil {
+			return errs.WrapAs(err, errs.DiskFailure, "sync what was read")
+		}
+	}
+	return nil
+}
+
+// retryReopen opens a disk again that has failed, at intervals. The member then goes on as after a
+// restart.
 func (s *shard) retryReopen() {
 	if s.ticks%s.reopenTicks != 0 {
 		return
 	}
 	if err := s.reopen(); err != nil {
-		s.log.Debug("the disk is still bad", "error", errs.Text(err))
+		s.log.Debug("disk still fails", "error", errs.Text(err))
 		return
 	}
-	for index, proposal := range s.pendingProposals {
-		proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
-		delete(s.pendingProposals, index)
-	}
+	s.abandonProposals()
 	s.failure = nil
-	s.log.Info("the disk is well again")
+	s.log.Info("disk works again")
 	s.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 }
 
-// maintainGroup is what a member of a group does at each tick beside the core's own time.
+// maintainGroup does at each tick what a member of a group does beside the core's own ticks: it retries
+// a failed disk, and as the leader it proposes the next membership.
 func (s *shard) maintainGroup() {
 	if s.group == nil {
 		return
@@ -100,35 +110,48 @@
 		s.retryReopen()
 		return
 	}
-	if next := s.nextMembership(); next != nil {
-		now, _, _ := s.core.Members()
-		if _, _, ok := s.core.ProposeMembership(next); ok {
-			s.log.Info("membership change", "from", now, "to", next)
-		}
+	next := s.nextMembership()
+	if next == nil {
+		return
+	}
+	current, _, _ := s.core.Members()
+	if _, _, ok := s.core.ProposeMembership(next); ok {
+		s.log.Info("membership change", "from", current, "to", next)
 	}
 }
 
-// nextMembership is the membership that this member is to propose as the leader; nil: none now.
+// nextMembership is the membership that this member has to propose as the leader; nil if there is none
+// to propose now.
 func (s *shard) nextMembership() []string {
 	if !s.core.CanChangeMembership() {
 		return nil
 	}
 	members, _, _ := s.core.Members()
-	planner := membershipPlanner{self: s.core.Self(), members: members, peers: s.core.PeerStatuses(), targetSize: s.targetSize,
-		zoneOf: s.zoneOf, isLeaving: s.isLeaving}
+	planner := membershipPlanner{
+		self:       s.core.Self(),
+		members:    members,
+		peers:      s.core.PeerStatuses(),
+		targetSize: s.targetSize,
+		zoneOf:     s.zoneOf,
+		isLeaving:  s.isLeaving,
+	}
 	return planner.next()
 }
 
-// initialGroupSnapshot is the first snapshot of an empty disk. At the first start of the whole system the
-// seeds found the group, each under an incarnation that all know; any other empty disk has lost what
-// it had, or is new, and is taken in by those that hold the log.
+// bootstrapIncarnation is the incarnation of a seed at the first start of the whole system. All seeds
+// know it of each other.
+const bootstrapIncarnation = "/0"
+
+// initialGroupSnapshot is the first snapshot of an empty disk. At the first start of the whole system
+// the seeds bootstrap the group. Any other empty disk has lost what it had, or is new: its member starts
+// as a learner under an incarnation of its own.
 func initialGroupSnapshot(isFirstStart bool, self string, seeds []string, random func() uint64) *wire.Snapshot {
-	if isFirstStart && slices.Contains(seeds, self) {
-		var members []string
-		for _, seed := range seeds {
-			members = append(members, seed+"/0")
-		}
-		return consensus.BootstrapSnapshot(self+"/0", slices.Compact(slices.Sorted(slices.Values(members))))
+	if !isFirstStart || !slices.Contains(seeds, self) {
+		return consensus.LearnerSnapshot(fmt.Sprintf("%s/%016x", self, random()))
+	}
+	var members []string
+	for _, seed := range seeds {
+		members = append(members, seed+bootstrapIncarnation)
 	}
-	return consensus.LearnerSnapshot(fmt.Sprintf("%s/%016x", self, random()))
+	return consensus.BootstrapSnapshot(self+bootstrapIncarnation, slices.Compact(slices.Sorted(slices.Values(members))))
 }
--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -11,28 +11,28 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bounds on the record of taken changes. A change may be sent again as late as its operator likes, so
-// the record is bounded by what a site changes in a day, and for each document by itself: a stream of
-// changes to one document can't push out those of another.
+// Bounds of the idempotency records. An operator may send a change again as late as it likes, so the
+// records are bounded by what a site changes within days, and for each document by itself: a stream of
+// changes to one document can't displace those of another.
 const (
 	configChangesPerDay = 1200                    // of the configuration, at the target size
-	maxConfigRecords    = 3 * configChangesPerDay // remembered of the configuration
-	maxDocumentRecords  = maxRecentTokens         // remembered of any other document
+	maxConfigRecords    = 3 * configChangesPerDay // of the configuration
+	maxDocumentRecords  = maxRecentTokens         // of any other document
 	tokenHashBytes      = 16
 	digestBytes         = 8
 )
 
-// idempotencyRecord is one change that was taken under a token. The token is kept as the start of its hash,
-// so that a record has the same size whatever operators send.
+// idempotencyRecord is one change that was accepted under a token. It keeps the start of the token's
+// hash, so that a record has the same size whatever operators send.
 type idempotencyRecord struct {
 	tokenHash      [tokenHashBytes]byte
 	digest         [digestBytes]byte
-	version        uint64 // that the change made
+	version        uint64 // of the document after the change
 	digestWithBase bool   // the digest is Put.digest, of a release that knew no content digest
 }
 
-// idempotencyRecords are the changes of one document that are remembered, the oldest first. Every change
-// that made a version above forgotten is among them.
+// idempotencyRecords are the remembered changes of one document, the oldest first. Invariant: they
+// contain every change that made a version above forgottenVersion.
 type idempotencyRecords struct {
 	forgottenVersion uint64
 	records          []idempotencyRecord
@@ -52,8 +52,8 @@
 	return hash
 }
 
-// contentDigest identifies what a change asks for, whatever version it builds on: a step that is made
-// again under its token on a later version is the same change.
+// contentDigest identifies the content of a change, whatever version it builds on: a step that is
+// repeated under its token on a later version is the same change.
 func contentDigest(put *wire.Put, patch bool) []byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %v ", put.Key, patch)
@@ -61,8 +61,8 @@
 	return hash.Sum(nil)[:digestBytes]
 }
 
-// requestDigest identifies a change together with the version it builds on. Releases without the content
-// digest compare nothing else, so it is still written.
+// requestDigest identifies a change together with the version it builds on. Releases without the
+// content digest compare nothing else, so it is still written.
 func requestDigest(put *wire.Put, patch bool) []byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %d %v %v ", put.Key, put.IfVersion, put.AnyVersion, patch)
@@ -72,17 +72,17 @@
 
 // newIdempotencyRecord is the record of a change that has just made a version.
 func newIdempotencyRecord(put *wire.Put, version uint64) idempotencyRecord {
-	change := idempotencyRecord{tokenHash: hashToken(put.Token), version: version}
+	record := idempotencyRecord{tokenHash: hashToken(put.Token), version: version}
 	digest := put.ContentDigest
 	if len(digest) == 0 {
-		digest, change.digestWithBase = put.Digest, true
+		digest, record.digestWithBase = put.Digest, true
 	}
-	copy(change.digest[:], digest)
-	return change
+	copy(record.digest[:], digest)
+	return record
 }
 
-// isSameChange tells whether a request under the same token asks for the change that was taken.
-func (r idempotencyRecord) isSameChange(put *wire.Put) bool {
+// isSameChange reports whether a request under the same token asks for the change that was accepted.
+func (r *idempotencyRecord) isSameChange(put *wire.Put) bool {
 	digest := put.ContentDigest
 	if r.digestWithBase {
 		digest = put.Digest
@@ -92,16 +92,16 @@
 	return start == r.digest
 }
 
-// add remembers a change, and forgets the oldest where that makes too many.
-func (r *idempotencyRecords) add(change idempotencyRecord, limit int) {
-	r.records = append(r.records, change)
+// add appends a record and forgets the oldest ones above the limit.
+func (r *idempotencyRecords) add(record idempotencyRecord, limit int) {
+	r.records = append(r.records, record)
 	for len(r.records) > limit {
 		r.forgottenVersion = r.records[0].version
 		r.records = r.records[1:]
 	}
 }
 
-// find looks a token up, the newest changes first.
+// find returns the newest record of a token.
 func (r *idempotencyRecords) find(token string) (idempotencyRecord, bool) {
 	if r == nil || token == "" {
 		return idempotencyRecord{}, false
@@ -115,14 +115,14 @@
 	return idempotencyRecord{}, false
 }
 
-// mayHaveForgotten tells whether a change that isn't remembered may have been taken all the same. A
-// change on version v makes a version above v; all those above forgotten are remembered.
+// mayHaveForgotten reports whether a change without a record may have been accepted all the same. A
+// change on version v makes a version above v, and all those above forgottenVersion have records.
 func (r *idempotencyRecords) mayHaveForgotten(put *wire.Put) bool {
 	return r != nil && put.Token != "" && !put.AnyVersion && put.IfVersion < r.forgottenVersion
 }
 
-// recordChange notes a change under a token: in the record of its document, and among the newest of all
-// documents, which is what earlier releases go by.
+// recordChange remembers a change under its token: among the records of its document, and among the
+// newest tokens of all documents, which is what earlier releases go by.
 func (s *state) recordChange(put *wire.Put, version uint64) {
 	if put.Token == "" {
 		return
@@ -134,6 +134,7 @@
 	s.idempotencyRecordsOf(put.Key).add(newIdempotencyRecord(put, version), maxRecords(put.Key))
 }
 
+// idempotencyRecordsOf returns the records of a document, which it makes if there are none.
 func (s *state) idempotencyRecordsOf(key string) *idempotencyRecords {
 	if s.idempotency[key] == nil {
 		s.idempotency[key] = &idempotencyRecords{}
@@ -141,24 +142,27 @@
 	return s.idempotency[key]
 }
 
-// isRecentToken tells whether a token is among the newest of all documents. Earlier releases change
+// isRecentToken reports whether a token is among the newest of all documents. Earlier releases change
 // nothing then; this is the same rule, so that all members make the same state of the same log.
 func (s *state) isRecentToken(token string) bool {
-	return token != "" && slices.ContainsFunc(s.recentTokens, func(t *wire.ChangeToken) bool { return t.Token == token })
+	return token != "" && slices.ContainsFunc(s.recentTokens, func(recent *wire.ChangeToken) bool { return recent.Token == token })
 }
 
-// answerRepeated answers a change whose token is remembered: the first outcome stands. Nil: it isn't.
+// answerRepeated responds to a change whose token is remembered: the same change has its first outcome,
+// another one is rejected. It returns nil if the token isn't remembered.
 func (s *state) answerRepeated(put *wire.Put) *wire.ChangeResponse {
-	if change, ok := s.idempotency[put.Key].find(put.Token); ok && change.isSameChange(put) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: change.version, TokenReuse: "the change was made before"}
-	} else if ok || s.isRecentToken(put.Token) {
+	record, ok := s.idempotency[put.Key].find(put.Token)
+	if ok && record.isSameChange(put) {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: record.version, TokenReuse: "the change was made before"}
+	}
+	if ok || s.isRecentToken(put.Token) {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"token " + put.Token + " was used for another change: give each change its own"}}
 	}
 	return nil
 }
 
-// answerStaleBase answers a change whose base isn't the version in force: done where it was taken before,
-// without a clear answer where that can't be told any more, and otherwise a conflict.
+// answerStaleBase responds to a change whose base isn't the document's version: done if it was accepted
+// before, an unknown outcome if its record may have been forgotten, and otherwise a conflict.
 func (s *state) answerStaleBase(put *wire.Put) *wire.ChangeResponse {
 	if response := s.answerRepeated(put); response != nil {
 		return response
@@ -170,36 +174,49 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: version}
 }
 
-// saveIdempotency writes the records of all documents, in the order of their keys.
+// saveIdempotency returns the records of all documents, in the order of their keys.
 func (s *state) saveIdempotency() (all []*wire.AcceptedChanges) {
 	for _, key := range queue.Keys(s.idempotency) {
-		records := s.idempotency[key]
-		saved := &wire.AcceptedChanges{Key: key, ForgottenVersion: records.forgottenVersion}
-		for i := range records.records {
-			change := &records.records[i]
-			saved.Changes = append(saved.Changes, &wire.AcceptedChange{Token: change.tokenHash[:], Digest: change.digest[:], Version: change.version, DigestWithBase: change.digestWithBase})
-		}
-		all = append(all, saved)
+		all = append(all, s.idempotency[key].save(key))
 	}
 	return all
 }
 
-// loadIdempotency reads the records. A snapshot of an earlier release has none: it holds the newest changes
-// of all documents, and where these are as many as it keeps, older ones were forgotten.
+func (r *idempotencyRecords) save(key string) *wire.AcceptedChanges {
+	saved := &wire.AcceptedChanges{Key: key, ForgottenVersion: r.forgottenVersion}
+	for i := range r.records {
+		record := &r.records[i]
+		saved.Changes = append(saved.Changes, &wire.AcceptedChange{
+			Token:          record.tokenHash[:],
+			Digest:         record.digest[:],
+			Version:        record.version,
+			DigestWithBase: record.digestWithBase,
+		})
+	}
+	return saved
+}
+
+// loadIdempotency restores the records of a snapshot.
 func (s *state) loadIdempotency(all []*wire.AcceptedChanges) {
+	if len(all) == 0 {
+		s.deriveIdempotency()
+		return
+	}
 	for _, saved := range all {
 		records := s.idempotencyRecordsOf(saved.Key)
 		records.forgottenVersion = saved.ForgottenVersion
-		for _, savedRecord := range saved.Changes {
-			record := idempotencyRecord{version: savedRecord.Version, digestWithBase: savedRecord.DigestWithBase}
-			copy(record.tokenHash[:], savedRecord.Token)
-			copy(record.digest[:], savedRecord.Digest)
+		for _, change := range saved.Changes {
+			record := idempotencyRecord{version: change.Version, digestWithBase: change.DigestWithBase}
+			copy(record.tokenHash[:], change.Token)
+			copy(record.digest[:], change.Digest)
 			records.records = append(records.records, record)
 		}
 	}
-	if len(all) > 0 {
-		return
-	}
+}
+
+// deriveIdempotency makes the records for a snapshot of a release that kept none, from the newest
+// tokens of all documents. If these are as many as that release kept, older ones were forgotten.
+func (s *state) deriveIdempotency() {
 	for _, token := range s.recentTokens {
 		put := &wire.Put{Token: token.Token, Digest: token.Digest}
 		s.idempotencyRecordsOf(token.Key).add(newIdempotencyRecord(put, token.Version), maxRecords(token.Key))
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -10,60 +10,75 @@
 	"pebbleloom/internal/wire"
 )
 
-// How processes come to a group and leave it: as ratios of the heal bound and of the grace time, and
-// in ticks.
+// joinIntervalRatio is the time between two checks whether this member has to ask to join, as a ratio of
+// the heal bound.
+const joinIntervalRatio = 1.0 / 30
+
+// joinTimeoutRatio is the longest wait for the response to a join or leave request, as a ratio of the
+// heal bound.
+const joinTimeoutRatio = 1.0 / 30
+
+// Ticks without a message of the leader after which a member asks to join again. A voter waits for
+// longer: it may just be between two leaders, but it may also have been removed meanwhile.
 const (
-	joinIntervalRatio = 1.0 / 30       // of the heal bound: between two looks whether to ask to be taken in
-	joinTimeoutRatio  = 1.0 / 30       // of the heal bound: the longest wait for an answer to that
-	leaveTimeoutRatio = 0.4            // of the grace time: the longest wait until the others hold everything
-	leaveNoticeTicks  = heartbeatTicks // after which a process that said that it is to stop counts as stopped
+	learnerJoinTicks = aliveTicks
+	voterJoinTicks   = electionTicks
+)
 
-	learnerJoinTicks = aliveTicks    // the silence of the leader after which a learner asks again
-	voterJoinTicks   = electionTicks // the same for a voter, which may have been removed meanwhile
+// Bounds of the join requests of one turn.
+const (
+	joinCandidatesPerTurn = 2
+	maxJoinRequests       = 2 // to a candidate, and to the leader that it names
 )
 
-// joinLoop has this node taken in, and keeps it known while it isn't a member.
+// joinLoop asks the group to replicate to this member whenever no leader does.
 func (n *Node) joinLoop() {
-	bounds, turn := n.process.Settings.Bounds, 0
-	for shard := n.shards[0]; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, bounds.Heal(joinIntervalRatio)) {
-		ctx, end := context.WithTimeout(n.process.Ctx, bounds.Heal(1.0/24))
-		isAlone := query(ctx, shard, false, shard.needsJoin)
-		end()
-		if view := shard.published.current(); isAlone {
-			n.controlClient.HintLeader(view.leader)
-			turn += n.requestJoin(view.self, view.members, turn)
+	bounds := n.process.Settings.Bounds
+	shard := n.shards[0]
+	for turn := 0; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, bounds.Heal(joinIntervalRatio)) {
+		ctx, cancel := context.WithTimeout(n.process.Ctx, bounds.Heal(queryTimeoutRatio))
+		needsJoin := query(ctx, shard, false, shard.needsJoin)
+		cancel()
+		if !needsJoin {
+			continue
 		}
+		view := shard.published.current()
+		n.controlClient.HintLeader(view.leader)
+		turn += n.requestJoin(view.self, view.members, turn)
 	}
 }
 
-// needsJoin reports whether no leader sends this member entries, so that it asks to be taken in. A
-// voter may just be without a leader, or was removed while it was away: to ask does no harm.
+// needsJoin reports whether no leader sends this member entries. A voter that only waits for an
+// election may ask as well: it does no harm.
 func (s *shard) needsJoin() bool {
-	status, silenceLimit := s.core.Status(), learnerJoinTicks
+	status := s.core.Status()
+	timeoutTicks := learnerJoinTicks
 	if s.core.IsVoter(s.core.Self()) {
-		silenceLimit = voterJoinTicks
+		timeoutTicks = voterJoinTicks
 	} else if status.Leader == "" {
-		silenceLimit = 0
+		timeoutTicks = 0
 	}
-	return s.failure == nil && !s.stopping && !status.IsLeader && status.TicksSinceLeader >= silenceLimit
+	return s.failure == nil && !s.stopping && !status.IsLeader && status.TicksSinceLeader >= timeoutTicks
 }
 
-// silentTurnInterval is how often a silent address is asked before others: each so many turns.
-const silentTurnInterval = 4
-
-// joinCandidates are the two addresses that a turn asks: those that answered the last time in rotation,
-// and a silent one where there are fewer, or it is its turn.
-func joinCandidates(addresses []string, isSilent func(addr string) bool, turn int) []string {
-	answering := slices.DeleteFunc(slices.Clone(addresses), isSilent)
-	silent := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return !isSilent(address) })
-	ordered := append(rotate(answering, turn), rotate(silent, turn/silentTurnInterval)...)
-	if turn%silentTurnInterval == silentTurnInterval-1 && len(silent) > 0 && len(answering) > 1 {
-		ordered[1] = silent[turn/silentTurnInterval%len(silent)]
+// unresponsiveTurnInterval is how often an unresponsive address is asked before responsive ones: in one
+// of so many turns.
+const unresponsiveTurnInterval = 4
+
+// joinCandidates returns the addresses to ask in a turn: those that responded the last time, in
+// rotation, and an unresponsive one if there are too few of them or it is its turn.
+func joinCandidates(addresses []string, isUnresponsive func(addr string) bool, turn int) []string {
+	responsive := slices.DeleteFunc(slices.Clone(addresses), isUnresponsive)
+	unresponsive := slices.DeleteFunc(slices.Clone(addresses), func(addr string) bool { return !isUnresponsive(addr) })
+	unresponsiveTurn := turn / unresponsiveTurnInterval
+	candidates := append(rotate(responsive, turn), rotate(unresponsive, unresponsiveTurn)...)
+	if turn%unresponsiveTurnInterval == unresponsiveTurnInterval-1 && len(unresponsive) > 0 && len(responsive) > 1 {
+		candidates[1] = unresponsive[unresponsiveTurn%len(unresponsive)]
 	}
-	return ordered[:min(len(ordered), 2)]
+	return candidates[:min(len(candidates), joinCandidatesPerTurn)]
 }
 
-// rotate is a list that begins at another element each turn.
+// rotate returns the items starting from another one each turn.
 func rotate(items []string, turn int) []string {
 	if len(items) == 0 {
 		return nil
@@ -72,47 +87,64 @@
 	return slices.Concat(items[start:], items[:start])
 }
 
-// requestJoin asks a few of those that may know the leader, and whom they name right after them; it
-// returns how many were of no help.
+// requestJoin asks the candidates of this turn until one accepts. It returns how many were of no help.
 func (n *Node) requestJoin(self string, members []string, turn int) (unhelpful int) {
 	addresses := n.controlClient.Addresses()
 	for _, member := range members {
-		if address := controlclient.MemberAddr(member); !slices.Contains(addresses, address) {
-			addresses = append(addresses, address)
+		if addr := controlclient.MemberAddr(member); !slices.Contains(addresses, addr) {
+			addresses = append(addresses, addr)
 		}
 	}
-	own := controlclient.MemberAddr(self)
-	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == own })
+	selfAddr := controlclient.MemberAddr(self)
+	addresses = slices.DeleteFunc(addresses, func(addr string) bool { return addr == selfAddr })
 	for _, addr := range joinCandidates(addresses, n.controlClient.IsUnresponsive, turn) {
-		for hops := 0; hops < 2 && addr != "" && addr != own; hops++ {
-			ctx, end := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
-			response, err := n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Settings.Zone})
-			end()
-			n.controlClient.RecordResponse(addr, err == nil)
-			if err != nil {
-				break
-			}
-			if response.Outcome == wire.OutcomeDone {
-				n.controlClient.HintLeader(addr)
-				return unhelpful
-			}
-			addr = controlclient.MemberAddr(response.Leader)
+		if n.joinThrough(addr, self) {
+			return unhelpful
 		}
 		unhelpful++
 	}
 	return unhelpful
 }
 
-// Join has the leader replicate to a process that isn't a voter, or lets one go that is to stop; a
-// site whose core machines are named in the settings takes nobody in.
+// joinThrough asks a candidate, and then the leader that it names, to have this member replicated to.
+func (n *Node) joinThrough(addr, self string) (accepted bool) {
+	selfAddr := controlclient.MemberAddr(self)
+	for range maxJoinRequests {
+		if addr == "" || addr == selfAddr {
+			return false
+		}
+		response, err := n.sendJoin(addr, self)
+		n.controlClient.RecordResponse(addr, err == nil)
+		if err != nil {
+			return false
+		}
+		if response.Outcome == wire.OutcomeDone {
+			n.controlClient.HintLeader(addr)
+			return true
+		}
+		addr = controlclient.MemberAddr(response.Leader)
+	}
+	return false
+}
+
+func (n *Node) sendJoin(addr, self string) (*wire.JoinResponse, error) {
+	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
+	defer cancel()
+	return n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Settings.Zone})
+}
+
+// Join has the leader replicate to a member that isn't a voter, or lets a member leave. On another
+// member the response names the leader. A node with fixed members responds with OutcomeUnknown, as does
+// a request whose name isn't an address and an incarnation.
 //
-// Example: t, err := a.Join(ctx, &wire.JoinRequest{Name: "10.1.0.17:7360/8f3a"})
+// Example: response, err := n.Join(ctx, &wire.JoinRequest{Name: "10.1.0.17:7360/8f3a"})
 func (n *Node) Join(ctx context.Context, request *wire.JoinRequest) (*wire.JoinResponse, error) {
-	shard, failed := n.shards[0], &wire.JoinResponse{Outcome: wire.OutcomeUnknown}
-	if addr, incarnation, ok := strings.Cut(request.Name, "/"); shard == nil || shard.group == nil || !ok || addr == "" || incarnation == "" {
-		return failed, nil
+	shard, unknown := n.shards[0], &wire.JoinResponse{Outcome: wire.OutcomeUnknown}
+	addr, incarnation, ok := strings.Cut(request.Name, "/")
+	if shard == nil || shard.group == nil || !ok || addr == "" || incarnation == "" {
+		return unknown, nil
 	}
-	return query(ctx, shard, failed, func() *wire.JoinResponse { return shard.handleJoin(request) }), nil
+	return query(ctx, shard, unknown, func() *wire.JoinResponse { return shard.handleJoin(request) }), nil
 }
 
 func (s *shard) handleJoin(request *wire.JoinRequest) *wire.JoinResponse {
--- a/internal/control/controlstate/leave.go
+++ b/internal/control/controlstate/leave.go
@@ -9,8 +9,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// leave waits, when the program is to stop, until the group does without this member: its
-// leadership is handed over, a spare has its place if there is one, and the others hold what it holds.
+// leaveTimeoutRatio is the longest wait until the group can do without this member, as a ratio of the
+// grace time of a shutdown.
+const leaveTimeoutRatio = 0.4
+
+// leaveNoticeTicks is how long an announcement to leave counts without being repeated.
+const leaveNoticeTicks = heartbeatTicks
+
+// leave waits during a shutdown until the group can do without this member: its leadership is
+// transferred, a spare has replaced it if there is one, and the other voters hold what it holds.
 func (n *Node) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(n.process.Settings.Site.GraceMs, leaveTimeoutRatio))
 	defer cancel()
@@ -20,7 +27,7 @@
 	n.membership.Leave()
 }
 
-// tryLeave does what there is to do before this member stops, and reports whether that was all.
+// tryLeave takes the next step towards leaving, and reports whether this member may stop.
 func (n *Node) tryLeave(ctx context.Context) bool {
 	shard := n.shards[0]
 	progress := query(ctx, shard, leaveProgress{done: true}, shard.prepareToLeave)
@@ -29,18 +36,20 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
 	defer cancel()
-	response, err := n.clients.ControlNode(controlclient.MemberAddr(progress.leader)).Join(ctx, &wire.JoinRequest{Name: progress.self, Leaving: true})
+	leader := n.clients.ControlNode(controlclient.MemberAddr(progress.leader))
+	response, err := leader.Join(ctx, &wire.JoinRequest{Name: progress.self, Leaving: true})
 	return err == nil && response.Outcome == wire.OutcomeDone
 }
 
-// leaveProgress is how far a member is with leaving.
+// leaveProgress is how far a member has come with leaving. Unless it is done or leads itself, it has to
+// ask the leader.
 type leaveProgress struct {
 	done, isLeader bool
 	self, leader   string
 }
 
-// prepareToLeave hands the leadership over once the others hold all that this member holds. A member
-// that is out, or a learner, has nothing that the group needs.
+// prepareToLeave transfers the leadership once the other voters hold all that this member holds. The
+// group needs nothing of a member that is out, or of a learner without a leader.
 func (s *shard) prepareToLeave() leaveProgress {
 	status, self := s.core.Status(), s.core.Self()
 	s.stopping = true
@@ -52,13 +61,13 @@
 	}
 	s.leaving[self] = s.ticks
 	if s.canLeave(self) && !s.core.TransferLeadershipExcept(s.isLeaving) {
-		s.core.TransferLeadership() // all that are left are leaving
+		s.core.TransferLeadership() // everyone else is leaving as well
 	}
 	return leaveProgress{isLeader: true}
 }
 
-// canLeave reports whether the group has done what it can before a member stops: no change of the
-// membership is left to make, and the other voters that are alive hold the whole log.
+// canLeave reports whether the group has done what it can before a member stops: there is no membership
+// left to propose, and the other live voters hold the whole log.
 func (s *shard) canLeave(name string) bool {
 	if !s.core.CanChangeMembership() {
 		return false
@@ -69,18 +78,19 @@
 	return s.nextMembership() == nil && s.core.ReplicatedToLiveVoters(name, aliveTicks)
 }
 
-// isLeaving reports whether a process has said lately that it is to stop.
+// isLeaving reports whether a member has announced lately that it leaves.
 func (s *shard) isLeaving(name string) bool {
-	at, ok := s.leaving[name]
-	return ok && s.ticks-at < leaveNoticeTicks
+	announced, ok := s.leaving[name]
+	return ok && s.ticks-announced < leaveNoticeTicks
 }
 
-// handleLeave notes that a process is to stop, and reports whether it may. A learner may at once. From then
-// on it counts as any other that may fall silent: a group that counted on it while a successor is
-// added would need that successor.
+// handleLeave records that a member announced to leave, and reports whether it may stop. A learner may
+// at once. The announcement of a member that may stop is dropped: from then on it counts as any member
+// that may become silent, since a group that counted on it while its successor is added would need that
+// successor for its quorum.
 func (s *shard) handleLeave(name string) bool {
-	for other, at := range s.leaving {
-		if s.ticks-at >= leaveNoticeTicks {
+	for other, announced := range s.leaving {
+		if s.ticks-announced >= leaveNoticeTicks {
 			delete(s.leaving, other)
 		}
 	}
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -7,37 +7,37 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// In ticks of a group: the silence after which a spare takes a member's place, and the silences up
-// to which a member counts as alive and a spare as ready.
+// Times since a member was last heard from, in ticks of a group.
 const (
-	replaceAfterTicks = int(1.0 / 6 / groupTick)
-	aliveTicks        = 4 * heartbeatTicks
-	spareReadyTicks   = 2 * electionTicks
+	replaceAfterTicks = int(1.0 / 6 / groupTick) // from here on a spare replaces it
+	aliveTicks        = 4 * heartbeatTicks       // up to here it counts as alive
+	spareReadyTicks   = 2 * electionTicks        // up to here a spare may become a voter
 )
 
-// membershipPlanner is what the leader's choice of the next membership rests on.
+// membershipPlanner decides the next membership of a group from what its leader knows. It has no state
+// and no effects.
 type membershipPlanner struct {
-	self       string
-	members    []string
+	self       string                 // the leader's incarnation
+	members    []string               // the voters' incarnations
 	peers      []consensus.PeerStatus // voters and learners that the leader replicates to
-	targetSize int
+	targetSize int                    // number of voters
 	zoneOf     func(addr string) string
-	isLeaving  func(name string) bool // it is to stop
+	isLeaving  func(name string) bool // it has announced that it stops
 }
 
-// next is the membership that the leader is to propose: one member more or one less than now; nil:
-// as it is. What it keeps to, by the table of docs/control.md, section 3:
+// next returns the membership that the leader has to propose: one voter more or one less than now. It
+// returns nil to keep the current one. Its rules are those of the table in docs/control.md, section 3:
 //   - A member whose disk is lost is removed at once: it can never vote again, so no quorum is lost
 //     with it.
-//   - A silent member may come back. It is removed only where a learner that holds all that is
-//     committed is ready to take its place, and before that one is added: the group never comes to
-//     need the newcomer, which may be the next to fail.
-//   - A member that leaves in order still votes. Its successor is added first, then it is removed:
-//     the group tolerates as many losses at each step as before.
-//   - No step leaves the group without a quorum that is alive.
+//   - A silent member may come back. It is removed only if a spare, a learner that holds all that is
+//     committed, is ready to replace it, and before that spare is added: so the group never depends
+//     on the new voter, which may be the next to fail.
+//   - A member that leaves in order still votes. Its successor is added first and then it is removed:
+//     the group tolerates as many failures at each step as before.
+//   - No step leaves the group without a live quorum.
 func (p *membershipPlanner) next() []string {
-	if wiped := p.firstMember(p.hasLostDisk); wiped != "" {
-		return p.without(wiped)
+	if lost := p.firstMember(p.hasLostDisk); lost != "" {
+		return p.without(lost)
 	}
 	if len(p.members) > p.targetSize {
 		return p.shrink()
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// shrink takes out the member that the group has too many: one that leaves, or else a silent one.
-// While all are there and stay, a member more does no harm.
+// shrink removes a voter from a group that has one too many: one that leaves, or else a silent one.
+// While all are alive and stay, one more does no harm.
 func (p *membershipPlanner) shrink() []string {
 	if leaving := p.firstMember(p.isLeaving); leaving != "" {
 		return p.without(leaving)
@@ -70,17 +70,18 @@
 	return nil
 }
 
-// firstMember is the first member beside the leader that passes, and without which the group has a
-// quorum alive; "" if none.
-func (p *membershipPlanner) firstMember(pass func(name string) bool) string {
+// firstMember returns the first member other than the leader that matches and that can be removed: the
+// others have a live quorum. It returns "" if there is none.
+func (p *membershipPlanner) firstMember(matches func(name string) bool) string {
 	for _, member := range p.members {
-		if member != p.self && pass(member) && p.hasQuorum(p.without(member), 0) {
+		if member != p.self && matches(member) && p.hasQuorum(p.without(member), 0) {
 			return member
 		}
 	}
 	return ""
 }
 
+// status is what the leader knows of a member. One that it doesn't replicate to counts as silent.
 func (p *membershipPlanner) status(name string) consensus.PeerStatus {
 	for _, peer := range p.peers {
 		if peer.Name == name {
@@ -103,17 +104,19 @@
 }
 
 // hasLostDisk reports whether the member's disk is lost: a learner at its address, under another
-// incarnation, has spoken since the member did. To have asked isn't enough: an ask may be late.
+// incarnation, has responded since the member did. That the learner has asked to join isn't enough: the
+// request may be late.
 func (p *membershipPlanner) hasLostDisk(name string) bool {
-	since := p.status(name).ContactAge
+	contactAge := p.status(name).ContactAge
 	return slices.ContainsFunc(p.peers, func(peer consensus.PeerStatus) bool {
-		return !peer.IsVoter && sameAddress(peer.Name, name) && peer.Responded && peer.ContactAge < since
+		return !peer.IsVoter && sameAddress(peer.Name, name) && peer.Responded && peer.ContactAge < contactAge
 	})
 }
 
 func sameAddress(a, b string) bool { return controlclient.MemberAddr(a) == controlclient.MemberAddr(b) }
 
-// hasQuorum reports whether those alive among the members, and so many more, are a quorum of both.
+// hasQuorum reports whether the live members, together with a number of additional live ones, are a
+// quorum of the members and the additional ones.
 func (p *membershipPlanner) hasQuorum(members []string, additional int) bool {
 	alive := additional
 	for _, member := range members {
@@ -128,7 +131,7 @@
 	return slices.DeleteFunc(slices.Clone(p.members), func(member string) bool { return member == name })
 }
 
-// with is the membership with a spare added; nil where its quorum wouldn't be alive.
+// with returns the membership with a spare added; nil if it would have no live quorum.
 func (p *membershipPlanner) with(spare string) []string {
 	if !p.hasQuorum(p.members, 1) {
 		return nil
@@ -136,8 +139,8 @@
 	return append(slices.Clone(p.members), spare)
 }
 
-// bestSpare is a learner that may become a member now, in a zone without a member if there is one;
-// "" if none.
+// bestSpare returns a learner that may become a voter now, in a zone without a voter if there is one.
+// It returns "" if there is no such learner.
 func (p *membershipPlanner) bestSpare() string {
 	best := ""
 	for _, peer := range p.peers {
@@ -148,8 +151,8 @@
 	return best
 }
 
-// isReady reports whether a learner is there, holds what is committed, and is alone at its address:
-// neither a member nor a later incarnation stands there.
+// isReady reports whether a learner is alive, holds what is committed, and is alone at its address:
+// neither a voter nor a later incarnation runs there.
 func (p *membershipPlanner) isReady(peer consensus.PeerStatus) bool {
 	if peer.IsVoter || !peer.CaughtUp || peer.ContactAge >= spareReadyTicks {
 		return false
@@ -162,7 +165,7 @@
 	})
 }
 
-// hasZoneWithMember reports whether a member that stays is in a learner's zone.
+// hasZoneWithMember reports whether a voter that isn't leaving is in a learner's zone.
 func (p *membershipPlanner) hasZoneWithMember(name string) bool {
 	zone := p.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(p.members, func(member string) bool {
--- a/internal/control/controlstate/merge.go
+++ b/internal/control/controlstate/merge.go
@@ -10,15 +10,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// mergedConfig is a configuration that was merged and validated before it is proposed.
+// mergedConfig is a configuration that was merged onto the one in force and validated, before it is
+// proposed.
 type mergedConfig struct {
-	baseVersion uint64 // the version it was merged onto
+	baseVersion uint64 // the version that it was merged onto
 	body        []byte
-	version     uint64 // what the document's version becomes; 0: the next one
-	err         error
+	version     uint64 // the document's next version; 0: one more than the last
+	err         error  // why it is invalid; nil if it is valid
 }
 
-// configKey is the document that is merged and validated before it is proposed.
+// configKey is the key of the document that is merged and validated before it is proposed.
 func (s *shard) configKey() string {
 	if s.group != nil {
 		return routingconfig.DocumentKey
@@ -26,28 +27,41 @@
 	return controlclient.ConfigKey
 }
 
-// mergeConfig applies a configuration, whole or partial, to the one in force, and validates the result.
+// mergeConfig applies a complete or partial configuration to the one in force and validates the result.
 func (s *shard) mergeConfig(old *wire.Document, put *wire.Put, patch bool) *mergedConfig {
-	result := &mergedConfig{baseVersion: old.GetVersion()}
+	config := &mergedConfig{baseVersion: old.GetVersion()}
 	if s.group != nil {
-		s.mergeRoutingConfig(result, old, put, patch)
-		return result
+		s.mergeRoutingConfig(config, old, put, patch)
+		return config
 	}
+	var base []byte
 	if patch {
-		result.body, result.err = serviceconfig.Merge(old.GetBody(), put.Body)
-	} else {
-		result.body, result.err = serviceconfig.Merge(nil, put.Body)
+		base = old.GetBody()
 	}
-	if result.err == nil {
-		result.err = serviceconfig.CheckSuccessor(old.GetBody(), result.body)
+	config.body, config.err = serviceconfig.Merge(base, put.Body)
+	if config.err == nil {
+		config.err = serviceconfig.CheckSuccessor(old.GetBody(), config.body)
 	}
-	return result
+	return config
 }
 
-// mergeBeforeProposal merges and validates a configuration on the caller's goroutine, one at a time: a large
-// one takes long, and the shard's goroutine has heartbeats to send. Nil: there is nothing to merge.
-// The caller calls release once its change is done; not ok: it never began.
-func (s *shard) mergeBeforeProposal(ctx context.Context, request *wire.ChangeRequest) (result *mergedConfig, release func(), began bool) {
+// mergeRoutingConfig merges a routing configuration, or named items of one, onto the one in force. Its
+// version is part of its body and has to increase.
+func (s *shard) mergeRoutingConfig(config *mergedConfig, old *wire.Document, put *wire.Put, patch bool) {
+	config.body, config.version, config.err = s.codec.Merge(old.GetBody(), put.Body, patch)
+	if config.err != nil && errs.KindOf(config.err) == errs.Internal {
+		config.err = errs.WrapAs(config.err, errs.BadInput, "plan")
+	}
+	if config.err == nil && config.version <= old.GetVersion() {
+		config.err = errs.New(errs.BadInput, "version %d isn't above %d, which is in force", config.version, old.GetVersion())
+	}
+}
+
+// mergeBeforeProposal merges and validates a configuration on the caller's goroutine, one at a time: a
+// large one takes long, and the shard's goroutine has heartbeats to send. The result is nil if there is
+// nothing to merge, or if propose is going to reject the change anyway. The caller has to call release
+// once the change is done. If ok is false, the request's time ended first, and release is nil.
+func (s *shard) mergeBeforeProposal(ctx context.Context, request *wire.ChangeRequest) (config *mergedConfig, release func(), ok bool) {
 	put := request.Command.GetPut()
 	if put.GetKey() != s.configKey() {
 		return nil, func() {}, true
@@ -61,46 +75,38 @@
 	}
 	release = func() { <-s.mergeLock }
 	var old *wire.Document
-	needed := false // else propose answers at once
+	isMergeable := false
 	if !s.runOnLoop(ctx, func() {
 		old = s.state.documents[put.Key]
-		needed = s.failure == nil && s.core.Status().IsLeader && (put.AnyVersion || put.IfVersion == old.GetVersion())
+		isMergeable = s.failure == nil && s.core.Status().IsLeader && (put.AnyVersion || put.IfVersion == old.GetVersion())
 	}) {
 		release()
 		return nil, nil, false
 	}
-	if needed {
-		result = s.mergeConfig(old, put, request.Patch)
+	if isMergeable {
+		config = s.mergeConfig(old, put, request.Patch)
 	}
-	return result, release, true
+	return config, release, true
 }
 
-// prepareConfig puts the merged configuration in place of what was sent.
-func (s *shard) prepareConfig(put *wire.Put, request *wire.ChangeRequest, result *mergedConfig) *wire.ChangeResponse {
+// prepareConfig replaces the body of a change by the merged configuration. It merges here if that
+// wasn't done before the proposal, or if another change was applied in between. It returns nil if the
+// change is to be proposed.
+func (s *shard) prepareConfig(put *wire.Put, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	old := s.state.documents[put.Key]
-	if result == nil || result.baseVersion != old.GetVersion() { // it wasn't merged ahead, or another change came between
-		result = s.mergeConfig(old, put, request.Patch)
+	if config == nil || config.baseVersion != old.GetVersion() {
+		config = s.mergeConfig(old, put, request.Patch)
 	}
-	if result.err != nil {
-		return &wire.ChangeResponse{Outcome: errs.KindOf(result.err).Name, Version: old.GetVersion(), Errors: []string{result.err.Error()}}
+	if config.err != nil {
+		return &wire.ChangeResponse{Outcome: errs.KindOf(config.err).Name, Version: old.GetVersion(), Errors: []string{config.err.Error()}}
 	}
-	if put.AnyVersion && len(s.core.UnappliedEntries()) > 0 { // it was validated against what another change may replace
-		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
+	if put.AnyVersion && len(s.core.UnappliedEntries()) > 0 {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an entry in flight may replace what it was validated against
 	}
-	put.NewVersion = result.version
-	if put.Body = result.body; request.Patch && put.AnyVersion { // it was merged onto this version, so it holds for this one alone
+	put.NewVersion, put.Body = config.version, config.body
+	if request.Patch && put.AnyVersion {
+		// The merged body holds for the version that it was merged onto alone.
 		put.AnyVersion, put.IfVersion = false, old.GetVersion()
 	}
 	return nil
 }
-
-// mergeRoutingConfig merges a plan, or named items of one, onto the one in force.
-func (s *shard) mergeRoutingConfig(result *mergedConfig, old *wire.Document, put *wire.Put, patch bool) {
-	result.body, result.version, result.err = s.codec.Merge(old.GetBody(), put.Body, patch)
-	if result.err != nil && errs.KindOf(result.err) == errs.Internal {
-		result.err = errs.WrapAs(result.err, errs.BadInput, "plan")
-	}
-	if result.err == nil && result.version <= old.GetVersion() {
-		result.err = errs.New(errs.BadInput, "version %d isn't above %d, which is in force", result.version, old.GetVersion())
-	}
-}
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -7,49 +7,60 @@
 	"pebbleloom/internal/wire"
 )
 
-// registerMetrics shows the status of this node, summed over its shards.
+// registerMetrics registers the metrics of this node's members, summed over its shards.
 func (n *Node) registerMetrics() {
-	sum := func(value func(*wire.ShardStatus) float64) func() float64 {
-		return func() (total float64) {
-			ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(1.0/24))
-			defer cancel()
-			response, err := n.Status(ctx, &wire.StatusRequest{})
-			if err != nil {
-				return -1
-			}
-			for _, shard := range response.Shards {
-				total += value(shard)
-			}
-			return total
+	meter := n.process.Meter
+	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+		return gaugeOf(shard.IsLeader)
+	}))
+	meter.Gauge("pebbleloom_parts_out", "shards whose member here has failed, is blank or can't rejoin", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+		return gaugeOf(shard.Failure != "" || shard.Blank || shard.Stuck != "")
+	}))
+	meter.Gauge("pebbleloom_state_bytes", "bytes of the documents in the applied state", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+		return float64(shard.StateBytes)
+	}))
+	meter.Gauge("pebbleloom_log_bytes", "bytes of the logs since their snapshots", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+		return float64(shard.LogBytes)
+	}))
+	meter.Gauge("pebbleloom_log_behind", "log entries that aren't applied yet", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+		return float64(shard.LastIndex - shard.AppliedIndex)
+	}))
+}
+
+// sumOverShards returns a gauge that sums a value over this node's shards; -1 if they can't be read.
+func (n *Node) sumOverShards(value func(*wire.ShardStatus) float64) func() float64 {
+	return func() (total float64) {
+		ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(queryTimeoutRatio))
+		defer cancel()
+		response, err := n.Status(ctx, &wire.StatusRequest{})
+		if err != nil {
+			return -1
 		}
-	}
-	boolGauge := func(condition bool) float64 {
-		if condition {
-			return 1
+		for _, shard := range response.Shards {
+			total += value(shard)
 		}
-		return 0
+		return total
 	}
-	meter := n.process.Meter
-	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", sum(func(shard *wire.ShardStatus) float64 { return boolGauge(shard.IsLeader) }))
-	meter.Gauge("pebbleloom_parts_out", "shards whose member here is out, blank or stuck", sum(func(shard *wire.ShardStatus) float64 {
-		return boolGauge(shard.Failure != "" || shard.Blank || shard.Stuck != "")
-	}))
-	meter.Gauge("pebbleloom_state_bytes", "bytes of state kept", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.StateBytes) }))
-	meter.Gauge("pebbleloom_log_bytes", "bytes of the logs in force", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.LogBytes) }))
-	meter.Gauge("pebbleloom_log_behind", "entries not applied yet", sum(func(shard *wire.ShardStatus) float64 { return float64(shard.LastIndex - shard.AppliedIndex) }))
 }
 
-// registerGroupMetrics shows the status of this member in a group whose membership is agreed data.
+// registerGroupMetrics registers the metrics of this member of a group.
 func (n *Node) registerGroupMetrics(shard *shard) {
 	meter := n.process.Meter
-	meter.Gauge("pebbleloom_group_members", "members of the newest membership that this one knows", func() float64 { return float64(len(shard.published.current().members)) })
-	meter.Gauge("pebbleloom_group_votes", "1 while this one is a member and its disk is well", func() float64 {
-		if shard.published.current().isVoter {
-			return 1
-		}
-		return 0
+	meter.Gauge("pebbleloom_group_members", "voters of the newest membership that this member knows", func() float64 {
+		return float64(len(shard.published.current().members))
 	})
-	meter.Gauge("pebbleloom_plan_version", "version of the plan that this one holds", func() float64 {
+	meter.Gauge("pebbleloom_group_votes", "1 while this member is a voter and its disk works", func() float64 {
+		return gaugeOf(shard.published.current().isVoter)
+	})
+	meter.Gauge("pebbleloom_plan_version", "version of the routing configuration that this member holds", func() float64 {
 		return float64(shard.published.current().documents[routingconfig.DocumentKey].GetVersion())
 	})
 }
+
+// gaugeOf is 1 for true and 0 for false.
+func gaugeOf(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"github.com/twitchtv/twirp"
@@ -9,56 +10,65 @@
 	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/daemon"
-	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
 
-// Node is a control node: its shards, and the messages between it and its peers.
+// Node is a control node: its members of shards, and the messages between them and their peers. Its
+// exported methods serve requests of peers, clients and operators and may be called concurrently.
 type Node struct {
-	process       *daemon.Process
-	shards        map[uint32]*shard
-	outgoing      map[string]*queue.Ring[*wire.Message]
-	membership    *clustermembership.Member
-	clients       *daemon.Clients
-	coreMembers   []string
-	incarnation   string
-	controlClient *controlclient.Client // of a group
+	process     *daemon.Process
+	shards      map[uint32]*shard // by shard number; not changed after the start
+	membership  *clustermembership.Member
+	clients     *daemon.Clients
+	incarnation string
+
+	// Of a node with fixed members.
+	coreMembers []string // sorted
+	outgoing    map[string]*queue.Ring[*wire.Message]
+
+	// Of a node of a group.
+	controlClient *controlclient.Client
 	transport     *transport
 }
 
-// Deliver takes messages from a peer.
+// messageFormat is the version of the messages between control nodes. A batch of another format is
+// rejected as a whole.
+const messageFormat = 1
+
+// maxLongPollTime bounds how long a client may have a long poll wait.
+const maxLongPollTime = time.Minute
+
+// serveTimeoutRatio is how long this node works on a change or a read that a peer or a client sent, as
+// a ratio of the heal bound. The context of a caller that a partition cut off doesn't end: without a
+// bound its request would hold up those behind it.
+const serveTimeoutRatio = 1.0 / 8
+
+// serveContext bounds the work on a request. The bound grows with the size of its body, in bytes.
+func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
+}
+
+// Deliver accepts messages from a peer's consensus core. Messages for a shard that has no member here,
+// or whose queue of commands is full, are dropped.
 //
-// Example: receipt, err := wire.NewArchiveProtobufClient(url, h).Post(ctx, batch)
+// Example: receipt, err := n.Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 func (n *Node) Deliver(_ context.Context, batch *wire.MessageBatch) (*wire.BatchReceipt, error) {
-	if batch.Format != 1 {
+	if batch.Format != messageFormat {
 		return nil, twirp.InvalidArgumentError("epoch", "this node reads format 1: bring both programs to one release")
 	}
 	for _, message := range batch.Messages {
 		if shard := n.shards[message.Shard]; shard != nil {
-			shard.commands.Offer(func() {
-				if shard.failure == nil {
-					shard.core.Step(message)
-				}
-			})
+			shard.receive(message)
 		}
 	}
-	return &wire.BatchReceipt{Format: 1}, nil
-}
-
-// serveTimeoutRatio is how long this node works on a change or a read that a peer or a client sent, as a
-// ratio of the heal bound. A caller that was cut off meanwhile ends nothing here: without a bound its
-// request would hold up those behind it.
-const serveTimeoutRatio = 1.0 / 8
-
-// serveContext bounds the work on a request whose body has a size.
-func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
+	return &wire.BatchReceipt{Format: messageFormat}, nil
 }
 
-// Change carries out a change where this node leads the shard; elsewhere it names the leader.
+// Change carries out a change if this node leads the shard; otherwise the response names the leader
+// that this node knows.
 //
-// Example: response, err := n.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
+// Example: response, err := n.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: command})
 func (n *Node) Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	shard := n.shards[request.Shard]
 	if shard == nil {
@@ -69,7 +79,8 @@
 	return shard.change(ctx, request), nil
 }
 
-// Read reads what was acknowledged, where this node leads the shard.
+// Read reads documents and leases, never older than what was acknowledged before the call, if this
+// node leads the shard; otherwise the response names the leader that this node knows.
 //
 // Example: response, err := n.Read(ctx, &wire.ReadRequest{Shard: 0, Key: "setup"})
 func (n *Node) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
@@ -82,47 +93,41 @@
 	return shard.read(ctx, request), nil
 }
 
-// Time gives this machine's wall clock.
+// Watch serves a long poll for one document: it responds with a newer version, or, when the request's
+// time is over, with whether this member's log holds none.
+//
+// Example: response, err := n.Watch(ctx, &wire.WatchRequest{Key: "setup", KnownVersion: 7, MaxWaitNs: 3e8})
+func (n *Node) Watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
+	shard := n.shards[request.Shard]
+	if shard == nil {
+		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Settings.Name}, nil
+	}
+	request.MaxWaitNs = min(request.MaxWaitNs, uint64(maxLongPollTime))
+	return shard.watch(ctx, request, n.process.Settings.Name), nil
+}
+
+// Time returns this machine's wall clock, in nanoseconds since the Unix epoch. It is for display and
+// for comparing machines; no decision is made by it.
 //
 // Example: response, err := n.Time(ctx, &wire.TimeRequest{})
 func (n *Node) Time(context.Context, *wire.TimeRequest) (*wire.TimeResponse, error) {
 	return &wire.TimeResponse{WallNs: n.process.WallClock().UnixNano()}, nil
 }
 
-// Status gives the status of this node's member in each of its shards.
+// Status returns the status of this node's member in each of its shards. A member that doesn't respond
+// before ctx ends, or whose disk couldn't be read at the start, is listed with a failure.
 //
-// Example: response, err := n.Stand(ctx, &wire.StatusRequest{})
+// Example: response, err := n.Status(ctx, &wire.StatusRequest{})
 func (n *Node) Status(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	response := &wire.StatusResponse{Incarnation: n.incarnation}
+	name := n.process.Settings.Name
 	for shardID := range uint32(controlclient.ShardCount) {
 		shard := n.shards[shardID]
-		if shard == nil {
-			if containsName(controlclient.Members(shardID, n.coreMembers), n.process.Settings.Name) {
-				response.Shards = append(response.Shards, &wire.ShardStatus{Shard: shardID, Member: n.process.Settings.Name, Failure: "its folder can't be read: see the log at the start"})
-			}
-			continue
+		if shard != nil {
+			response.Shards = append(response.Shards, shard.queryStatus(ctx, shardID, name))
+		} else if slices.Contains(controlclient.Members(shardID, n.coreMembers), name) {
+			response.Shards = append(response.Shards, &wire.ShardStatus{Shard: shardID, Member: name, Failure: "its folder can't be read: see the log at the start"})
 		}
-		unanswered := &wire.ShardStatus{Shard: shardID, Member: n.process.Settings.Name, Failure: "its thread doesn't answer: the disk may be stalled"}
-		response.Shards = append(response.Shards, query(ctx, shard, unanswered, func() *wire.ShardStatus {
-			coreStatus := shard.core.Status()
-			status := &wire.ShardStatus{Shard: shardID, Member: n.process.Settings.Name, Leader: coreStatus.Leader, IsLeader: coreStatus.IsLeader, Blank: coreStatus.Blank, Stuck: coreStatus.RejoinFailure, AppliedIndex: coreStatus.Applied,
-				LastIndex: coreStatus.LastIndex, Term: coreStatus.Term, StateBytes: uint64(shard.state.documentBytes), LogBytes: uint64(shard.store.LogBytes())}
-			if shard.failure != nil {
-				status.Failure = errs.Text(shard.failure)
-			}
-			return status
-		}))
 	}
 	return response, nil
 }
-
-// Watch answers a long poll: a newer document, or this member's word that it has none.
-//
-// Example: response, err := n.News(ctx, &wire.WatchRequest{Key: "setup", Have: 7, HoldNs: 3e8})
-func (n *Node) Watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
-	if shard := n.shards[request.Shard]; shard != nil {
-		request.MaxWaitNs = min(request.MaxWaitNs, uint64(time.Minute))
-		return shard.watch(ctx, request, n.process.Settings.Name), nil
-	}
-	return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: n.process.Settings.Name}, nil
-}
--- a/internal/control/controlstate/persistence.go
+++ b/internal/control/controlstate/persistence.go
@@ -7,42 +7,45 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bytes of the log at which it is compacted, and of compacted entries that stay in memory for peers
-// that lag; where the state is larger, its size counts in both.
+// Bounds of the log, in bytes. Where the state is larger, its size counts instead.
 const (
-	compactLogBytes  = 1 << 20
-	trailingLogBytes = 1 << 20
+	compactLogBytes  = 1 << 20 // above which the log is compacted
+	trailingLogBytes = 1 << 20 // of compacted entries that stay in memory for peers that lag
 )
 
-// load reads the disk, state included; an empty disk gets a first snapshot.
-func (s *shard) load(disk storage.Disk, initialSnapshot func() *wire.Snapshot) (loaded storage.Recovered, err error) {
-	if s.store, loaded, err = storage.Open(disk); err != nil {
-		return loaded, errs.Wrap(err, "open shard")
+// snapshotFormat is the version of the snapshots that this program reads and writes.
+const snapshotFormat = 1
+
+// load recovers snapshot, log and state from the disk. An empty disk gets an initial snapshot.
+func (s *shard) load(disk storage.Disk, initialSnapshot func() *wire.Snapshot) (recovered storage.Recovered, err error) {
+	if s.store, recovered, err = storage.Open(disk); err != nil {
+		return recovered, errs.Wrap(err, "open shard")
 	}
-	if loaded.Snapshot == nil {
-		loaded.Snapshot = initialSnapshot()
-		if err := s.store.SaveSnapshot(loaded.Snapshot, nil); err != nil {
-			return loaded, errs.Wrap(err, "store the first snapshot")
+	if recovered.Snapshot == nil {
+		recovered.Snapshot = initialSnapshot()
+		if err := s.store.SaveSnapshot(recovered.Snapshot, nil); err != nil {
+			return recovered, errs.Wrap(err, "store the first snapshot")
 		}
-		s.log.Info("empty disk: a new incarnation begins", "incarnation", loaded.Snapshot.HardState.Incarnation, "members", loaded.Snapshot.Members)
+		s.log.Info("empty disk: a new incarnation begins", "incarnation", recovered.Snapshot.HardState.Incarnation, "members", recovered.Snapshot.Members)
 	}
-	if loaded.TornBytes > 0 {
-		s.log.Warn("torn tail cut off", "bytes", loaded.TornBytes)
+	if recovered.TornBytes > 0 {
+		s.log.Warn("torn tail of the log truncated", "bytes", recovered.TornBytes)
 	}
-	if err := checkFormat(loaded.Snapshot); err != nil {
-		return loaded, err
+	if err := checkFormat(recovered.Snapshot); err != nil {
+		return recovered, err
 	}
-	s.snapshotBytes = len(loaded.Snapshot.State)
-	return loaded, errs.WrapAs(s.state.load(loaded.Snapshot.State, s.clock.Now()), errs.DiskFailure, "read the snapshot's state")
+	s.snapshotBytes = len(recovered.Snapshot.State)
+	return recovered, errs.WrapAs(s.state.load(recovered.Snapshot.State, s.clock.Now()), errs.DiskFailure, "read the snapshot's state")
 }
 
 func checkFormat(snapshot *wire.Snapshot) error {
-	if snapshot.Format != 1 {
-		return errs.New(errs.DiskFailure, "snapshot of format %d: this program reads format 1: start the newer program", snapshot.Format)
+	if snapshot.Format != snapshotFormat {
+		return errs.New(errs.DiskFailure, "snapshot of format %d: this program reads format %d: start the newer program", snapshot.Format, snapshotFormat)
 	}
 	return nil
 }
 
+// persist writes and syncs what the core asks for: records to the log, or a leader's snapshot.
 func (s *shard) persist(ready consensus.Ready) error {
 	if ready.Snapshot == nil {
 		return errs.Wrap(s.store.Append(ready.Records), "persist")
@@ -50,8 +53,8 @@
 	return errs.Wrap(s.install(ready.Snapshot, ready.Records), "install")
 }
 
-// install replaces state and disk by a leader's snapshot. The snapshot is read before it is stored:
-// one that this program can't read must not take the place of one that it can.
+// install replaces state and disk by a leader's snapshot and the records after it. The snapshot is
+// decoded before it is stored: one that this program can't read must not replace one that it can.
 func (s *shard) install(snapshot *wire.Snapshot, records []*wire.Record) error {
 	if err := checkFormat(snapshot); err != nil {
 		return err
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// compact stores a snapshot of the state in place of the log up to it.
+// compact replaces the log up to the applied state by a snapshot of that state.
 func (s *shard) compact() error {
 	body, err := s.state.save()
 	if err != nil {
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 	"sync/atomic"
 
 	"google.golang.org/protobuf/proto"
@@ -11,108 +12,115 @@
 	"pebbleloom/internal/wire"
 )
 
-// publishedView is what a member held at one moment. It is published after its disk holds it and
-// before any peer hears so; so whoever reads the view sees all that this member has acknowledged
-// to hold, also while its thread waits for the disk.
+// publishedView is what a member holds at one moment, for readers on other goroutines. It is immutable.
+// It is published after its disk holds it and before any peer is told so: whoever reads the view sees
+// all that this member has acknowledged to hold, also while its goroutine waits for the disk.
 type publishedView struct {
-	self                string
-	documents           map[string]*wire.Document
-	compressedDocuments map[string]*wire.Document // the same, for those that take them so
-	unappliedVersions   map[string]uint64         // what entries that aren't applied yet may bring
-	members             []string
-	term                uint64
-	index               uint64
-	isVoter             bool // it is a member, and its disk is well
+	self                string                    // this member's incarnation
+	documents           map[string]*wire.Document // by key
+	compressedDocuments map[string]*wire.Document // the same, for clients that accept them
+	unappliedVersions   map[string]uint64         // by key: see highestVersions
+	members             []string                  // of the newest membership that this member knows
+	term, index         uint64                    // of that membership
+	isVoter             bool                      // this member is a voter, and its disk works
 	leader              string
 	isLeader            bool
-	changed             chan struct{} // closed once there is news
+	changed             chan struct{} // closed once a newer view has something to respond with
 }
 
 // viewPublisher holds the newest view.
 type viewPublisher struct {
 	view      atomic.Pointer[publishedView]
-	longPolls atomic.Int64 // requests that are held
+	longPolls atomic.Int64 // that wait for a newer view
 }
 
 func (p *viewPublisher) current() *publishedView { return p.view.Load() }
 
-// publish makes a new view where a step has changed what it shows. It wakes the requests that are
-// held only when there is something to answer.
+// publish publishes a new view if the core's output has changed what it shows. It wakes long polls only
+// if there is something to respond with.
 func (s *shard) publish(ready consensus.Ready) {
 	if s.group == nil {
 		return
 	}
 	previous, status := s.published.current(), s.core.Status()
-	isFirst := previous == nil || ready.Snapshot != nil
+	isReplaced := previous == nil || ready.Snapshot != nil // whatever was shown before
 	isLeader := status.IsLeader && s.failure == nil
-	if !isFirst && len(ready.Records) == 0 && len(ready.CommittedEntries) == 0 && previous.leader == status.Leader && previous.isLeader == isLeader && s.failure == nil {
+	if !isReplaced && len(ready.Records) == 0 && len(ready.CommittedEntries) == 0 && previous.leader == status.Leader && previous.isLeader == isLeader && s.failure == nil {
 		return
 	}
 	if isLeader && (previous == nil || !previous.isLeader) {
-		s.log.Info("leads the group", "term", status.Term)
+		s.log.Info("became the leader", "term", status.Term)
 	}
-	view := &publishedView{leader: status.Leader, isLeader: isLeader, unappliedVersions: highestVersions(s.core.UnappliedEntries())}
+	view := &publishedView{self: s.core.Self(), leader: status.Leader, isLeader: isLeader, unappliedVersions: highestVersions(s.core.UnappliedEntries())}
 	view.members, view.term, view.index = s.core.Members()
-	view.self = s.core.Self()
 	view.isVoter = s.failure == nil && s.core.IsVoter(view.self)
-	changed := isFirst
-	for _, entry := range ready.CommittedEntries {
-		changed = changed || len(entry.Body) > 0
-	}
-	if changed {
+	if isReplaced || containsCommand(ready.CommittedEntries) {
 		view.documents = maps.Clone(s.state.documents)
 		view.compressedDocuments = compressDocuments(view.documents, previous)
 	} else {
 		view.documents, view.compressedDocuments = previous.documents, previous.compressedDocuments
 	}
-	if previous != nil {
-		view.changed = previous.changed
-		isNew := view.term != previous.term || view.index != previous.index || view.isVoter != previous.isVoter
-		for key, document := range view.documents {
-			isNew = isNew || previous.documents[key] != document
-		}
-		if isNew {
-			view.changed = make(chan struct{})
-			defer close(previous.changed)
-		}
-	} else {
+	switch {
+	case previous == nil:
+		view.changed = make(chan struct{})
+	case view.isNewerThan(previous):
 		view.changed = make(chan struct{})
+		defer close(previous.changed) // after the new view is stored
+	default:
+		view.changed = previous.changed
 	}
 	s.published.view.Store(view)
 }
 
-// compressDocuments packs documents; those that the view before held already aren't packed again.
-func compressDocuments(docs map[string]*wire.Document, previous *publishedView) map[string]*wire.Document {
-	result := make(map[string]*wire.Document, len(docs))
-	for key, document := range docs {
+// containsCommand reports whether an entry carries a command; a leader's first entry of its term is
+// empty.
+func containsCommand(entries []*wire.Entry) bool {
+	return slices.ContainsFunc(entries, func(entry *wire.Entry) bool { return len(entry.Body) > 0 })
+}
+
+// isNewerThan reports whether a client that has seen the previous view learns something from this one.
+func (v *publishedView) isNewerThan(previous *publishedView) bool {
+	if v.term != previous.term || v.index != previous.index || v.isVoter != previous.isVoter {
+		return true
+	}
+	for key, document := range v.documents {
+		if previous.documents[key] != document {
+			return true
+		}
+	}
+	return false
+}
+
+// compressDocuments compresses documents. Those that the previous view holds already aren't compressed
+// again.
+func compressDocuments(documents map[string]*wire.Document, previous *publishedView) map[string]*wire.Document {
+	compressed := make(map[string]*wire.Document, len(documents))
+	for key, document := range documents {
 		if previous != nil && previous.documents[key] == document {
-			result[key] = previous.compressedDocuments[key]
+			compressed[key] = previous.compressedDocuments[key]
 		} else {
-			result[key] = fleet.Compress(document)
+			compressed[key] = fleet.Compress(document)
 		}
 	}
-	return result
+	return compressed
 }
 
-// highestVersions adds up what the entries that aren't applied yet may bring: by key the highest
-// version, the greatest number where an entry doesn't hold it.
+// unreadableKey stands for the documents that an entry which can't be decoded may change. No document
+// has it as its key.
+const unreadableKey = ""
+
+// anyVersion is the version of a change whose entry doesn't say which version it makes.
+const anyVersion = ^uint64(0)
+
+// highestVersions returns, by key, the highest version that entries which aren't applied yet may make
+// of each document.
 func highestVersions(entries []*wire.Entry) map[string]uint64 {
 	var highest map[string]uint64
 	for _, entry := range entries {
-		command := &wire.Command{}
-		if len(entry.Body) == 0 {
+		key, version, ok := proposedVersion(entry)
+		if !ok {
 			continue
 		}
-		key, version := "", ^uint64(0) // can't be read: it may be anything
-		if proto.Unmarshal(entry.Body, command) == nil {
-			put := command.GetPut()
-			if put == nil {
-				continue
-			}
-			if key = put.Key; put.NewVersion > 0 {
-				version = put.NewVersion
-			}
-		}
 		if highest == nil {
 			highest = map[string]uint64{}
 		}
@@ -120,3 +128,23 @@
 	}
 	return highest
 }
+
+// proposedVersion returns the document that an entry changes and the version that it may make. ok is
+// false if the entry changes no document.
+func proposedVersion(entry *wire.Entry) (key string, version uint64, ok bool) {
+	if len(entry.Body) == 0 {
+		return "", 0, false
+	}
+	command := &wire.Command{}
+	if proto.Unmarshal(entry.Body, command) != nil {
+		return unreadableKey, anyVersion, true
+	}
+	put := command.GetPut()
+	switch {
+	case put == nil:
+		return "", 0, false
+	case put.NewVersion > 0:
+		return put.Key, put.NewVersion, true
+	}
+	return put.Key, anyVersion, true
+}
--- a/internal/control/controlstate/read.go
+++ b/internal/control/controlstate/read.go
@@ -2,12 +2,18 @@
 
 import (
 	"context"
+	"strings"
 
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
 
-// read answers from the applied state, once a quorum confirms that this member leads the shard.
+// maxPendingReads bounds the reads that wait for a quorum's confirmation. Above it this member responds
+// as if it weren't the leader.
+const maxPendingReads = 1024
+
+// read responds from the applied state once a quorum has confirmed that this member leads the shard
+// (Raft's ReadIndex).
 func (s *shard) read(ctx context.Context, request *wire.ReadRequest) *wire.ReadResponse {
 	confirmation := make(chan bool, 1)
 	response := &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}
@@ -34,34 +40,37 @@
 	return response
 }
 
-// beginRead begins a read; w receives whether it may be answered from here.
-func (s *shard) beginRead(result chan bool) (id uint64, leader string) {
+// beginRead requests a confirmation of this leader. The channel receives whether the read may be
+// served here. If it may not from the start, leader is the one to ask instead.
+func (s *shard) beginRead(confirmation chan bool) (id uint64, leader string) {
 	status := s.core.Status()
-	if s.failure == nil && status.IsLeader && len(s.pendingReads) < 1024 {
+	if s.failure == nil && status.IsLeader && len(s.pendingReads) < maxPendingReads {
 		if readID, ok := s.core.ReadIndex(); ok {
-			s.pendingReads[readID] = result
-			return readID, "" // where it is lost, this member isn't the one to name
+			s.pendingReads[readID] = confirmation
+			return readID, "" // if the read is aborted later, this member isn't the one to name
 		}
 	}
-	result <- false
+	confirmation <- false
 	return 0, status.Leader
 }
 
 func (s *shard) completeRead(id uint64, confirmed bool) {
-	if result := s.pendingReads[id]; result != nil {
-		result <- confirmed
+	if confirmation := s.pendingReads[id]; confirmation != nil {
+		confirmation <- confirmed
 		delete(s.pendingReads, id)
 	}
 }
 
+// selectDocuments returns the documents that a request asks for, and all leases, in the order of their
+// keys.
 func (s *shard) selectDocuments(request *wire.ReadRequest) ([]*wire.Document, []*wire.Lease) {
 	var documents []*wire.Document
-	var leases []*wire.Lease
 	for _, key := range queue.Keys(s.state.documents) {
-		if key == request.Key || request.Prefix && len(key) >= len(request.Key) && key[:len(request.Key)] == request.Key {
+		if key == request.Key || request.Prefix && strings.HasPrefix(key, request.Key) {
 			documents = append(documents, s.state.documents[key])
 		}
 	}
+	var leases []*wire.Lease
 	for _, key := range queue.Keys(s.state.leases) {
 		leases = append(leases, s.state.leases[key])
 	}
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -15,68 +15,86 @@
 	"pebbleloom/internal/wire"
 )
 
-// shard runs one member of one shard: one goroutine has core, state and store to itself.
+// Bounds of a shard's queue of commands.
+const (
+	maxQueuedCommands   = 512 // more are rejected: the caller's request is overloaded
+	maxCommandsPerReady = 64  // executed before the core's output is handled once
+)
+
+// shard drives one member of one replicated shard. The goroutine of run owns core, state, store and
+// all other fields without a lock of their own; others reach them through runOnLoop and query.
 type shard struct {
-	id               uint32
-	core             *consensus.Core
-	state            *state
-	store            *storage.Store
-	clock            clock.Clock
-	log              hclog.Logger
-	send             func(*wire.Message)
-	commands         *queue.Ring[func()]
-	pendingProposals map[uint64]pendingProposal
-	pendingReads     map[uint64]chan bool
-	watchers         map[chan struct{}]bool
-	mergeLock        chan struct{} // held by the change that merges and checks a setup
-	claimRetention   time.Duration // how long once-only ids are remembered
-	confirmTimeout   time.Duration // until a quorum must have confirmed this leader; 0: as long as the request lasts
-	ageRecordedAt    time.Duration // when the shard's age was last written into the log, and in which term
-	ageRecordedTerm  uint64
-	compactThreshold int // the log is compacted when it is longer than this, and than the state
+	core     *consensus.Core
+	state    *state
+	store    *storage.Store
+	clock    clock.Clock
+	log      hclog.Logger
+	send     func(*wire.Message)
+	commands *queue.Ring[func()]
+	ctx      context.Context // of the process
+	failure  error           // why this member takes no part; nil while it does
+
+	pendingProposals map[uint64]pendingProposal // by log index
+	pendingReads     map[uint64]chan bool       // by the core's read id; receives whether the read may be served
+	watchers         map[chan struct{}]bool     // closed when the applied state changes
+	mergeLock        chan struct{}              // semaphore of one: held while a configuration is merged and proposed
+	confirmTimeout   time.Duration              // within which a quorum must confirm this leader; 0: the request's own
+
+	claimRetention  time.Duration // how long the claim of an at-most-once request is remembered
+	ageRecordedAt   time.Duration // local time at which the shard's age was last proposed
+	ageRecordedTerm uint64        // term in which that was
+
+	compactThreshold int // bytes of the log above which it is compacted, if it is also larger than the snapshot
 	snapshotBytes    int // bytes of the state in the newest snapshot
-	failure          error
-	ctx              context.Context
-	*group           // nil where the members are fixed
+
+	*group // nil if the members are fixed
 }
 
-// openShard reads the disk and makes the member; an empty disk begins blank under a new incarnation.
+// openShard opens a member of a shard with fixed members. An empty disk starts blank, under a new
+// incarnation: whatever this node has acknowledged before under another one is lost.
 func openShard(ctx context.Context, config consensus.Config, disk storage.Disk, newIncarnation func() string, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) (*shard, error) {
 	shard := newShard(ctx, config.Shard, clk, log, send)
-	loaded, err := shard.load(disk, func() *wire.Snapshot { return consensus.BlankSnapshot(newIncarnation()) }) // what was here before counts no more, under any name
+	recovered, err := shard.load(disk, func() *wire.Snapshot { return consensus.BlankSnapshot(newIncarnation()) })
 	if err != nil {
 		return nil, err
 	}
-	shard.core = consensus.New(config, loaded.Snapshot, loaded.Records)
+	shard.core = consensus.New(config, recovered.Snapshot, recovered.Records)
 	return shard, nil
 }
 
 func newShard(ctx context.Context, id uint32, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) *shard {
-	return &shard{id: id, state: newState(), clock: clk, log: log.With("shard", id), send: send, ctx: ctx,
-		commands: queue.NewRing[func()](512), pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan bool{},
-		watchers: map[chan struct{}]bool{}, compactThreshold: compactLogBytes, claimRetention: defaultClaimRetention, mergeLock: make(chan struct{}, 1)}
+	return &shard{
+		state:            newState(),
+		clock:            clk,
+		log:              log.With("shard", id),
+		send:             send,
+		commands:         queue.NewRing[func()](maxQueuedCommands),
+		ctx:              ctx,
+		pendingProposals: map[uint64]pendingProposal{},
+		pendingReads:     map[uint64]chan bool{},
+		watchers:         map[chan struct{}]bool{},
+		mergeLock:        make(chan struct{}, 1),
+		claimRetention:   defaultClaimRetention,
+		compactThreshold: compactLogBytes,
+	}
 }
 
+// run is the shard's goroutine: it executes ticks and commands, and handles the core's output after
+// each, until the process ends.
 func (s *shard) run(tick time.Duration) {
 	ticker := clock.NewTicker(tick)
 	defer ticker.Stop()
-	onTick := func() {
-		if s.failure == nil {
-			s.core.Tick()
-		}
-		s.maintainGroup()
-	}
-	onTick() // a member that has just started doesn't wait for the first tick
+	s.onTick() // a member that has just started doesn't wait for the first tick
 	s.handleReady()
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
 		case <-ticker.C:
-			onTick()
+			s.onTick()
 		case command := <-s.commands.Out():
 			command()
-			for _, command := range s.commands.Drain(63) {
+			for _, command := range s.commands.Drain(maxCommandsPerReady - 1) {
 				command()
 			}
 		}
@@ -84,8 +102,16 @@
 	}
 }
 
-// handleReady persists, then sends, then applies what the core asks for. A failed sync takes the
-// member out: it acknowledges and sends nothing more.
+func (s *shard) onTick() {
+	if s.failure == nil {
+		s.core.Tick()
+	}
+	s.maintainGroup()
+}
+
+// handleReady carries out what the core asks for: it persists records, then sends messages, then
+// applies committed entries. A message may say that its sender holds something, so none is sent before
+// the disk does. A failed write takes the member out: it acknowledges and sends nothing more.
 func (s *shard) handleReady() {
 	if s.failure != nil {
 		return
@@ -95,7 +121,8 @@
 		s.halt(err)
 		return
 	}
-	s.publish(consensus.Ready{Snapshot: ready.Snapshot, Records: ready.Records}) // before any message says that it is on this disk
+	// Readers of the view see what is on this disk before any peer is told that it is.
+	s.publish(consensus.Ready{Snapshot: ready.Snapshot, Records: ready.Records})
 	for _, message := range ready.Messages {
 		s.send(message)
 	}
@@ -109,14 +136,25 @@
 		s.completeRead(id, false)
 	}
 	s.releasePendingProposals()
-	if len(ready.CommittedEntries) > 0 && s.failure == nil && s.store.LogBytes() > max(s.compactThreshold, s.snapshotBytes) {
-		if err := s.compact(); err != nil {
-			s.halt(err)
-		}
+	if len(ready.CommittedEntries) > 0 {
+		s.compactIfLarge()
 	}
 	s.publish(consensus.Ready{CommittedEntries: ready.CommittedEntries})
 }
 
+// compactIfLarge compacts the log when it has outgrown the newest snapshot.
+func (s *shard) compactIfLarge() {
+	if s.failure != nil || s.store.LogBytes() <= max(s.compactThreshold, s.snapshotBytes) {
+		return
+	}
+	if err := s.compact(); err != nil {
+		s.halt(err)
+	}
+}
+
+// halt takes this member out after a failure of its disk. Pending reads and watches end; proposals
+// stay pending until their requests time out or the disk is reopened, since the other members may
+// still commit their entries.
 func (s *shard) halt(err error) {
 	s.failure = err
 	s.log.Error("member is out", "error", errs.Text(err))
@@ -128,12 +166,14 @@
 }
 
 func (s *shard) notifyWatchers() {
-	for c := range s.watchers {
-		close(c)
+	for watcher := range s.watchers {
+		close(watcher)
 	}
 	clear(s.watchers)
 }
 
+// applyEntry applies a committed entry and completes the proposal that waits at its index. If the
+// entry at that index is of another term, the proposal was overwritten and never ran.
 func (s *shard) applyEntry(entry *wire.Entry) {
 	response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 	if len(entry.Body) > 0 {
@@ -145,16 +185,27 @@
 		response = s.state.apply(command, s.clock.Now())
 	}
 	s.notifyWatchers()
-	if proposal, ok := s.pendingProposals[entry.Index]; ok {
-		delete(s.pendingProposals, entry.Index)
-		if proposal.term != entry.Term {
-			response = &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader} // another entry took its place: it never ran
-		}
-		proposal.response <- response
+	proposal, ok := s.pendingProposals[entry.Index]
+	if !ok {
+		return
 	}
+	delete(s.pendingProposals, entry.Index)
+	if proposal.term != entry.Term {
+		response = &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader}
+	}
+	proposal.response <- response
+}
+
+// receive hands a peer's message to the core.
+func (s *shard) receive(message *wire.Message) {
+	s.commands.Offer(func() {
+		if s.failure == nil {
+			s.core.Step(message)
+		}
+	})
 }
 
-// reportSendFailure says to the core that a message of its own wasn't sent.
+// reportSendFailure notifies the core that one of its messages couldn't be delivered.
 func (s *shard) reportSendFailure(message *wire.Message) {
 	s.commands.Offer(func() {
 		if s.failure == nil {
@@ -163,7 +214,9 @@
 	})
 }
 
-// runOnLoop runs f on the shard's goroutine; false when the shard is too busy or ending.
+// runOnLoop runs a command on the shard's goroutine and waits for it. It returns false if the queue of
+// commands is full, or if ctx or the process ended first: then the command may still run later, and
+// nothing that it writes may be read.
 func (s *shard) runOnLoop(ctx context.Context, command func()) bool {
 	done := make(chan struct{})
 	if !s.commands.Offer(func() { command(); close(done) }) {
@@ -179,9 +232,10 @@
 	}
 }
 
-// query asks for a value on the shard's goroutine; or is the value where no answer comes in time.
+// query computes a value on the shard's goroutine. It returns the fallback if that doesn't happen in
+// time.
 func query[T any](ctx context.Context, shard *shard, fallback T, read func() T) T {
-	result := make(chan T, 1) // nobody waits for an answer that comes late
+	result := make(chan T, 1) // a result that comes too late is dropped
 	if shard.runOnLoop(ctx, func() { result <- read() }) {
 		return <-result
 	}
--- /dev/null
+++ b/internal/control/controlstate/start_group.go
@@ -0,0 +1,113 @@
+package controlstate
+
+import (
+	"math/rand/v2"
+	"net/http"
+
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/control/consensus"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/operatorapi"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/backend"
+	"pebbleloom/internal/queue"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// groupShardDirectory holds the disk of the group's one shard.
+const groupShardDirectory = "part-0"
+
+// StartGroup runs a control node of a group whose membership is replicated data. The codec merges and
+// reads the site's routing configuration; newOperatorHandler makes the handler of the operators'
+// listener. It returns an error if a listener can't be opened. A disk that can't be read leaves the
+// member out of the group until it can (retryReopen).
+//
+// Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
+func StartGroup(process *daemon.Process, codec backend.Codec, newOperatorHandler func(*Node) http.Handler) error {
+	node := newGroupNode(process)
+	shard := node.openGroupMember(codec)
+	tick := process.Settings.Bounds.Heal(groupTick)
+	process.Go(func() { shard.run(tick) })
+	if err := node.serveGroup(newOperatorHandler); err != nil {
+		return err
+	}
+	if process.Settings.Operator != "" {
+		if err := operatorapi.ServeSite(process, node.controlClient, node.membership.View, node.clients, codec.Read); err != nil {
+			return err
+		}
+	}
+	node.registerMetrics()
+	node.registerGroupMetrics(shard)
+	process.Go(node.joinLoop)
+	process.OnShutdown(node.leave)
+	process.Ready.Store(true)
+	process.Log.Info("serving", "incarnation", node.incarnation)
+	return nil
+}
+
+func newGroupNode(process *daemon.Process) *Node {
+	node := &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
+	node.membership = clustermembership.Start(process.Ctx, process.Settings, roleName, process.Clock, process.Log, node.clients.Membership, nil)
+	node.controlClient = controlclient.NewGroupClient(process.Settings.Seeds, node.membership.View, node.clients, process.Settings.Bounds)
+	process.OnSettingsChanged(func(changed settings.Process) {
+		node.controlClient.SetSeeds(changed.Seeds)
+		node.membership.SetSeeds(changed.Seeds)
+	})
+	node.transport = newTransport(process.Ctx, node)
+	return node
+}
+
+// openGroupMember opens this node's member of the group.
+func (n *Node) openGroupMember(codec backend.Codec) *shard {
+	process := n.process
+	site, address := process.Settings.Site, process.Settings.AdvertisedAddr()
+	shard := newShard(process.Ctx, 0, process.Clock, process.Log, n.transport.send)
+	shard.claimRetention = process.Settings.Bounds.RequestIDRetention(1)
+	shard.confirmTimeout = settings.Fraction(site.AckTimeoutMs, operatorTimeoutRatio*confirmTimeoutRatio)
+	openGroupShard(shard, &group{
+		codec:       codec,
+		disk:        shardDisk(process, groupShardDirectory),
+		zoneOf:      n.zoneOf,
+		targetSize:  2*site.ToleratedFailures + 1,
+		reopenTicks: int(reopenIntervalRatio / groupTick),
+		consensusConfig: consensus.Config{
+			HeartbeatTicks:   heartbeatTicks,
+			ElectionTicks:    electionTicks,
+			MaxBatchBytes:    maxMessageBatchBytes,
+			TrailingLogBytes: trailingLogBytes,
+			Rand:             rand.New(rand.NewPCG(process.Seed(), queue.Hash(process.Settings.Name))),
+		},
+		initialSnapshot: func() *wire.Snapshot {
+			return initialGroupSnapshot(site.FirstStart, address, process.Settings.Seeds, process.Seed)
+		},
+	})
+	n.shards[0], n.incarnation = shard, shard.published.current().self
+	return shard
+}
+
+// serveGroup opens the listeners for operators and for peers. Listeners close in the order in which
+// they were opened: the operators' closes first, so that requests accepted there can finish while
+// peers are still reachable.
+func (n *Node) serveGroup(newOperatorHandler func(*Node) http.Handler) error {
+	process := n.process
+	if address := process.Settings.Site.ControlPlaneListen; address != "" {
+		if err := process.Serve(address, newOperatorHandler(n)); err != nil {
+			return err
+		}
+	}
+	if address := process.Settings.Listen; address != "" {
+		return process.Serve(address, n.peerHandler())
+	}
+	return nil
+}
+
+// zoneOf is the zone of a control node by the cluster membership; "" if it isn't known.
+func (n *Node) zoneOf(addr string) string {
+	for _, member := range n.membership.View().WithRole(roleName) {
+		if member.Addr == addr {
+			return member.Zone
+		}
+	}
+	return ""
+}
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -1,5 +1,3 @@
-// Package controlstate is the control node: a member of the shards, or of the one group, that keep
-// the control state on the disks of a quorum.
 package controlstate
 
 import (
@@ -13,41 +11,53 @@
 	"pebbleloom/internal/wire"
 )
 
-// defaultClaimRetention is how long once-only ids are remembered where the settings say nothing.
+// defaultClaimRetention is how long claims are remembered if the settings don't say.
 const defaultClaimRetention = 30 * time.Minute
 
-// Bounds of one shard's state.
+// Bounds of one shard's state. A command that would exceed one is rejected as too large. They are part
+// of what every member computes from the log, so a release that changes one makes another state of it.
 const (
 	maxDocuments    = 512
 	maxLeases       = 64
-	maxRecentTokens = 256 // the newest changes of all documents, as earlier releases keep them
-	maxStateBytes   = 8 << 20
-	maxClaims       = 1 << 16 // once-only ids of a shard; more than this at once are rejected, not forgotten
+	maxRecentTokens = 256     // the newest changes of all documents, as earlier releases remember them
+	maxStateBytes   = 8 << 20 // of all documents' bodies
+	maxClaims       = 1 << 16 // remembered at once; more are rejected, not forgotten
 )
 
-// state is what a shard's log adds up to. It is changed by apply alone, in log order, and
-// every member gets the same from the same log.
+// stateFormat is the newest version of a saved state that this program reads, and the one it writes.
+const stateFormat = 1
+
+// state is the state machine of a shard. Only apply changes it, in log order, and every member makes
+// the same state of the same log; grantedAt alone is local.
 type state struct {
-	documents     map[string]*wire.Document
-	leases        map[string]*wire.Lease
-	recentTokens  []*wire.ChangeToken            // the newest of all documents
-	idempotency   map[string]*idempotencyRecords // by document
-	grantedAt     map[string]time.Duration       // when this member saw the lease granted; not in the log
+	documents     map[string]*wire.Document // by key
+	documentBytes int                       // of all documents' bodies
+	leases        map[string]*wire.Lease    // by name
+	grantedAt     map[string]time.Duration  // by lease: local time at which this member saw the grant
 	claims        claimTable
-	documentBytes int
+	recentTokens  []*wire.ChangeToken            // of the newest changes of all documents, the oldest first
+	idempotency   map[string]*idempotencyRecords // by the document's key
 }
 
 func newState() *state {
-	return &state{documents: map[string]*wire.Document{}, leases: map[string]*wire.Lease{}, idempotency: map[string]*idempotencyRecords{}, grantedAt: map[string]time.Duration{}, claims: newClaimTable()}
+	return &state{
+		documents:   map[string]*wire.Document{},
+		leases:      map[string]*wire.Lease{},
+		grantedAt:   map[string]time.Duration{},
+		claims:      newClaimTable(),
+		idempotency: map[string]*idempotencyRecords{},
+	}
 }
 
+// load replaces the state by a saved one. Leases count as granted now, which is later than they were:
+// a holder is trusted for longer than its lease, never for less.
 func (s *state) load(encoded []byte, now time.Duration) error {
 	saved := &wire.ShardState{}
 	if err := proto.Unmarshal(encoded, saved); err != nil {
 		return err
 	}
-	if saved.Format > 1 {
-		return fmt.Errorf("state of format %d: this program reads format 1: start the newer program", saved.Format)
+	if saved.Format > stateFormat {
+		return fmt.Errorf("state of format %d: this program reads format %d: start the newer program", saved.Format, stateFormat)
 	}
 	*s = *newState()
 	for _, document := range saved.Documents {
@@ -63,46 +73,39 @@
 	return nil
 }
 
+// save encodes the state for a snapshot. Equal states have equal encodings.
 func (s *state) save() ([]byte, error) {
-	saved := &wire.ShardState{Format: 1, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}
+	saved := &wire.ShardState{Format: stateFormat, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}
 	for _, key := range queue.Keys(s.documents) {
 		saved.Documents = append(saved.Documents, s.documents[key])
 	}
-	for _, key := range queue.Keys(s.leases) {
-		saved.Leases = append(saved.Leases, s.leases[key])
+	for _, name := range queue.Keys(s.leases) {
+		saved.Leases = append(saved.Leases, s.leases[name])
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(saved)
 }
 
 // apply carries out one committed command and returns its outcome.
 func (s *state) apply(command *wire.Command, now time.Duration) *wire.ChangeResponse {
-	switch k := command.GetKind().(type) {
+	switch kind := command.GetKind().(type) {
 	case *wire.Command_Put:
-		return s.applyPut(k.Put)
+		return s.applyPut(kind.Put)
 	case *wire.Command_Grant:
-		return s.applyGrant(k.Grant, now)
+		return s.applyGrant(kind.Grant, now)
 	case *wire.Command_Claims:
-		response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
-		if k.Claims.RetentionNs > 0 { // zero: of a release that sent no age
-			s.claims.advanceAge(k.Claims.ElapsedNs, k.Claims.RetentionNs)
-		}
-		for _, command := range k.Claims.Claims {
-			granted, full := s.claims.claim(command)
-			response.Granted, response.Full = append(response.Granted, granted), append(response.Full, full)
-		}
-		return response
+		return s.applyClaims(kind.Claims)
 	}
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 }
 
-// applyPut applies a change of a document. Whether it changes the state is decided as in all releases
-// before, so that members of several releases make the same state of one log.
+// applyPut applies a change of a document. The rules by which it changes the state are those of all
+// earlier releases, so that members of several releases make the same state of one log.
 func (s *state) applyPut(put *wire.Put) *wire.ChangeResponse {
 	if s.isRecentToken(put.Token) {
 		return s.answerRepeated(put)
 	}
 	if lease := s.leases[put.Lease]; put.Lease != "" && (lease == nil || lease.Fence != put.Fence || lease.Holder != put.Holder) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the lease has passed on
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the fencing token is stale
 	}
 	document := s.documents[put.Key]
 	if document == nil {
@@ -121,14 +124,14 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Version: document.Version, Errors: []string{"the shard holds as many bytes as it may"}}
 	}
 	s.documentBytes += len(put.Body) - len(document.Body)
-	document = &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, document.Version+1)}
-	s.documents[put.Key] = document
-	s.recordChange(put, document.Version)
-	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: document.Version}
+	changed := &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, document.Version+1)}
+	s.documents[put.Key] = changed
+	s.recordChange(put, changed.Version)
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: changed.Version}
 }
 
-// applyGrant gives, renews or takes back a lease. That the old one has run out was judged by
-// the leader before it proposed (free); here only the fence decides.
+// applyGrant grants, renews or releases a lease. The leader decided before it proposed the grant that
+// the previous lease had expired (isGrantable); here only the fencing token is compared.
 func (s *state) applyGrant(grant *wire.Grant, now time.Duration) *wire.ChangeResponse {
 	lease := s.leases[grant.Lease]
 	if lease == nil {
@@ -150,8 +153,9 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: granted.Fence, Leader: granted.Holder}
 }
 
-// isGrantable tells whether a lease may be granted to a holder now. The holder counts its lease
-// from when it asked, which was before any member saw the grant: so it stops first.
+// isGrantable reports whether a lease may be granted to a holder, or released by it, now. A holder
+// counts its lease from when it sent the request, which is before any member saw the grant: so it stops
+// using the lease before another holder gets it.
 func (s *state) isGrantable(grant *wire.Grant, now time.Duration) bool {
 	lease := s.leases[grant.Lease]
 	if grant.Release {
@@ -163,3 +167,16 @@
 	ttl := time.Duration(lease.TtlNs)
 	return now-s.grantedAt[grant.Lease] > ttl+time.Duration(float64(ttl)*settings.LeaseMarginRatio)
 }
+
+// applyClaims advances the shard's age and claims or releases ids of at-most-once requests.
+func (s *state) applyClaims(claims *wire.Claims) *wire.ChangeResponse {
+	response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
+	if claims.RetentionNs > 0 { // 0: proposed by a release that sent no age
+		s.claims.advanceAge(claims.ElapsedNs, claims.RetentionNs)
+	}
+	for _, claim := range claims.Claims {
+		granted, full := s.claims.claim(claim)
+		response.Granted, response.Full = append(response.Granted, granted), append(response.Full, full)
+	}
+	return response
+}
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -10,39 +10,40 @@
 	"pebbleloom/internal/wire"
 )
 
-// transport carries a group's messages: for each address a queue of small messages and one of large
-// ones, each with a goroutine of its own, so no heartbeat waits behind a snapshot. It belongs to the
-// shard's goroutine.
+// Bounds of the transport. The ratios are of the heal bound.
+const (
+	maxOutboxes          = 16       // addresses with queues at once
+	maxQueuedSmall       = 64       // messages for one address
+	maxQueuedLarge       = 2        // messages for one address
+	maxBatchMessages     = 16       // small messages in one request
+	largeMessageBytes    = 16 << 10 // from which on a message counts as large
+	sendTimeoutRatio     = 1.0 / 24 // for a request without a payload
+	megabyteTimeoutRatio = 1.0      // added for each megabyte of payload
+)
+
+// transport sends a group's messages. Each address has one queue of small messages and one of large
+// ones, each with a goroutine of its own, so that no heartbeat waits behind a snapshot. The transport
+// belongs to the shard's goroutine; the senders' goroutines end with ctx.
 type transport struct {
 	ctx      context.Context
 	node     *Node
-	outboxes map[string]*outbox
-	sent     int
+	outboxes map[string]*outbox // by address
+	sent     int                // messages queued so far, for all addresses
 }
 
+// outbox holds the queues of one address.
 type outbox struct {
 	small, large *queue.Ring[*wire.Message]
-	lastUsed     int // number of the message that was queued last, counted over all
+	lastUsed     int // transport.sent when a message was last queued
 	stop         context.CancelFunc
 }
 
-// Bounds of the transport. Time is in parts of the heal bound.
-const (
-	maxOutboxes          = 16 // addresses that get messages at once; the one that got none for longest gives way
-	maxQueuedSmall       = 64 // queued messages for one address
-	maxQueuedLarge       = 2
-	maxBatchMessages     = 16
-	largeMessageBytes    = 16 << 10
-	sendTimeoutRatio     = 1.0 / 24
-	megabyteTimeoutRatio = 1.0 // beside that, for each megabyte
-)
-
-func newTransport(ctx context.Context, n *Node) *transport {
-	return &transport{ctx: ctx, node: n, outboxes: map[string]*outbox{}}
+func newTransport(ctx context.Context, node *Node) *transport {
+	return &transport{ctx: ctx, node: node, outboxes: map[string]*outbox{}}
 }
 
-// send queues a message for the address in its receiver's name. A full queue drops it: messages may
-// be lost.
+// send queues a message for the address of its receiver. A full queue drops it: the consensus core
+// tolerates lost messages.
 func (t *transport) send(message *wire.Message) {
 	to := controlclient.MemberAddr(message.To)
 	box := t.outboxes[to]
@@ -71,18 +72,19 @@
 	return box
 }
 
+// evictIdlest closes the outbox that got no message for longest, and drops what it holds.
 func (t *transport) evictIdlest() {
-	oldest := ""
+	idlest := ""
 	for addr, box := range t.outboxes {
-		if oldest == "" || box.lastUsed < t.outboxes[oldest].lastUsed {
-			oldest = addr
+		if idlest == "" || box.lastUsed < t.outboxes[idlest].lastUsed {
+			idlest = addr
 		}
 	}
-	t.outboxes[oldest].stop()
-	delete(t.outboxes, oldest)
+	t.outboxes[idlest].stop()
+	delete(t.outboxes, idlest)
 }
 
-// payloadBytes is about how large a message is.
+// payloadBytes is the approximate size of a message: that of its entries, snapshot and chunk.
 func payloadBytes(message *wire.Message) int {
 	size := len(message.GetSnapshot().GetState()) + len(message.GetChunk().GetData())
 	for _, entry := range message.Entries {
@@ -91,28 +93,30 @@
 	return size
 }
 
-// peerSender sends one address its messages.
+// peerSender sends the messages for one address. Its two goroutines share what mu guards.
 type peerSender struct {
-	node            *Node
-	to              string
-	mu              sync.Mutex         // guards what follows
-	lastSmallFailed bool               // the last small message didn't arrive
-	abortLarge      context.CancelFunc // ends the large message that is being sent; nil: none is
+	node *Node
+	to   string
+
+	mu              sync.Mutex
+	lastSmallFailed bool               // the last small messages didn't arrive
+	abortLarge      context.CancelFunc // aborts the large message in flight; nil if there is none
 }
 
-// timeout is how long a message of so many bytes may take.
+// timeout is how long a request with a payload of so many bytes may take.
 func (p *peerSender) timeout(size int) time.Duration {
 	return p.node.process.Settings.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
 func (p *peerSender) deliver(ctx context.Context, messages []*wire.Message) error {
-	_, err := p.node.clients.ControlNode(p.to).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
+	_, err := p.node.clients.ControlNode(p.to).Deliver(ctx, &wire.MessageBatch{Format: messageFormat, Messages: messages})
 	if err != nil {
 		p.node.process.Log.Debug("messages lost", "to", p.to, "messages", len(messages), "error", err)
 	}
 	return err
 }
 
+// sendSmall sends small messages in batches until ctx ends.
 func (p *peerSender) sendSmall(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
@@ -127,8 +131,8 @@
 	}
 }
 
-// recordSmallResult ends a large message that was begun before its address could be reached again: its
-// connection may stay silent for long.
+// recordSmallResult aborts a large message in flight when small ones get through again: it was begun on
+// a connection that may stay silent for long.
 func (p *peerSender) recordSmallResult(failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +142,7 @@
 	p.lastSmallFailed = failed
 }
 
-// sendLarge sends large messages one by one; the core hears of each that is lost.
+// sendLarge sends large messages one by one until ctx ends. The core is notified of each that is lost.
 func (p *peerSender) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
@@ -149,7 +153,8 @@
 			p.setAbort(cancel)
 			err := p.deliver(sendCtx, []*wire.Message{message})
 			p.setAbort(nil)
-			if cancel(); err != nil {
+			cancel()
+			if err != nil {
 				p.node.shards[message.Shard].reportSendFailure(message)
 			}
 		}
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -9,39 +9,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// hasNothingNewer tells whether this member's log holds no newer document of a key than what it has
-// applied: then none was ever acknowledged with its help.
-func (s *shard) hasNothingNewer(key string) bool {
-	status := s.core.Status()
-	if s.failure != nil || status.Blank {
-		return false
-	}
-	for _, entry := range s.core.UnappliedEntries() {
-		command := &wire.Command{}
-		if len(entry.Body) > 0 && (proto.Unmarshal(entry.Body, command) != nil || command.GetPut().GetKey() == key) {
-			return false
-		}
-	}
-	return true
-}
+// maxWatchers bounds the watches that wait at once. More are ended without waiting.
+const maxWatchers = 1024
 
-// watch holds the request until there is a newer document or its time is over. OutcomeSame is this
-// member's word that its disk holds nothing newer; what a majority of such words proves is the
-// caller's to say.
+// watch waits until there is a newer version of a document or the request's time is over.
+// OutcomeUnchanged attests that this member's disk holds nothing newer; what a majority of such
+// attestations proves is for the caller to decide.
 func (s *shard) watch(ctx context.Context, request *wire.WatchRequest, member string) *wire.WatchResponse {
-	response := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
+	unknown := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	timer := time.NewTimer(time.Duration(request.MaxWaitNs))
 	defer timer.Stop()
 	for expired := false; ; {
+		// Neither may be read after runOnLoop returned false.
+		var response *wire.WatchResponse
 		var changed chan struct{}
-		ok := s.runOnLoop(ctx, func() {
+		if !s.runOnLoop(ctx, func() {
 			if response = s.watchResponse(request, member, expired); response == nil {
 				changed = make(chan struct{})
 				s.watchers[changed] = true
 			}
-		})
-		if !ok {
-			return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
+		}) {
+			return unknown
 		}
 		if response != nil {
 			return response
@@ -53,13 +41,13 @@
 		case <-ctx.Done():
 			expired = true
 		case <-s.ctx.Done():
-			return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
+			return unknown
 		}
 		s.commands.Offer(func() { delete(s.watchers, changed) })
 	}
 }
 
-// watchResponse gives the response that can be given now; nil means: wait.
+// watchResponse returns the response that can be given now; nil if the request has to wait.
 func (s *shard) watchResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
 	response := s.documentResponse(request, member, expired)
 	if response != nil {
@@ -75,8 +63,23 @@
 		return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, Document: document, Member: member, NothingNewer: s.hasNothingNewer(request.Key)}
 	case expired && s.hasNothingNewer(request.Key) && document.GetVersion() == request.KnownVersion:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnchanged, Member: member}
-	case expired || s.failure != nil || len(s.watchers) >= 1024:
+	case expired || s.failure != nil || len(s.watchers) >= maxWatchers:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	}
 	return nil
 }
+
+// hasNothingNewer reports whether this member's log holds no newer version of a document than the
+// applied one: then no newer one was acknowledged with this member's help.
+func (s *shard) hasNothingNewer(key string) bool {
+	if s.failure != nil || s.core.Status().Blank {
+		return false
+	}
+	for _, entry := range s.core.UnappliedEntries() {
+		command := &wire.Command{}
+		if len(entry.Body) > 0 && (proto.Unmarshal(entry.Body, command) != nil || command.GetPut().GetKey() == key) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -18,12 +18,10 @@
 	return proposal, nil`,
 		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 1, name: "a read is answered from the applied state without a quorum",
-		file: "internal/control/controlstate/read.go",
-		original: `			s.pendingReads[readID] = result
-`,
-		replacement: `			result <- true
-`,
-		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
+		file:        "internal/control/controlstate/read.go",
+		original:    "			s.pendingReads[readID] = confirmation\n",
+		replacement: "			confirmation <- true\n",
+		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "a snapshot forgets the orders that were taken",
 		file:        "internal/control/controlstate/state.go",
 		original:    "Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}",
@@ -35,10 +33,13 @@
 		replacement: "> time.Duration(float64(ttl)*settings.LeaseMarginRatio)",
 		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "an order under way is refused when its leader stops leading",
-		file:        "internal/control/controlstate/propose.go",
-		original:    "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
-		replacement: "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: s.state.documents[s.configKey()].GetVersion()}",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
+		file:     "internal/control/controlstate/propose.go",
+		original: "	s.abandonProposals()",
+		replacement: `	for index, proposal := range s.pendingProposals {
+		proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: s.state.documents[s.configKey()].GetVersion()}
+		delete(s.pendingProposals, index)
+	}`,
+		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 4, name: "a vote isn't synced",
 		file:        "internal/control/consensus/core.go",
 		original:    "	c.persistHardState(&wire.HardState{Term: term, Vote: vote,",
