--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -27,11 +27,11 @@
 	got := map[string][]*testbed.Report{}
 	for seed := from; seed < from+n; seed++ {
 		for _, m := range modes {
-			sc := testbed.Scenario{Name: m, HealMs: 1000, TailMs: 59000}
+			sc := testbed.Scenario{Name: m, RecoveryMs: 1000, AfterRecoveryMs: 59000}
 			r := play(t, sc, site, seed, func(s *testbed.Site) *Table {
-				v := s.Setup.Services[s.Traffic.Model+"-main"]
+				v := s.Config.Services[s.Traffic.Model+"-main"]
 				v.Placement = m
-				s.Setup.Services[s.Traffic.Model+"-main"] = v
+				s.Config.Services[s.Traffic.Model+"-main"] = v
 				s.Traffic.Rate = map[string]float64{"paramo": 45, "daegu": 30}[site]
 				for _, w := range strings.Fields(words) {
 					if x, ok := strings.CutPrefix(w, "skew="); ok {
@@ -44,7 +44,7 @@
 					}
 					for i := range s.Processes {
 						if s.Processes[i].Program == programs.WorkerSim { // the first word of a name counts
-							s.Processes[i].Place.Options = append([]string{w}, s.Processes[i].Place.Options...)
+							s.Processes[i].Settings.Options = append([]string{w}, s.Processes[i].Settings.Options...)
 						}
 					}
 				}
@@ -69,7 +69,7 @@
 		}
 		fmt.Printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", m, col("%.3f", func(r *testbed.Report) float64 { return r.Sum.HitShare }),
 			col("%.3f", func(r *testbed.Report) float64 { return r.Sum.FetchPart }), col("%.2f", func(r *testbed.Report) float64 { return r.RMax }),
-			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Copied) }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.Prefilled) }),
+			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Replicated) }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.Prefilled) }),
 			col("%.2f", func(r *testbed.Report) float64 { return r.Sum.MaxToMean }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First50Ms) }),
 			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First95Ms) }))
 	}
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -14,7 +14,7 @@
 func lax(s *testbed.Site, program string, f func(*settings.Bounds)) {
 	for i := range s.Processes {
 		if s.Processes[i].Program == program {
-			f(&s.Processes[i].Place.Bounds)
+			f(&s.Processes[i].Settings.Bounds)
 		}
 	}
 }
@@ -23,7 +23,7 @@
 func lie(s *testbed.Site, word string, every int) {
 	n := 0
 	for i := range s.Processes {
-		if p := &s.Processes[i].Place; s.Processes[i].Program == programs.WorkerSim {
+		if p := &s.Processes[i].Settings; s.Processes[i].Program == programs.WorkerSim {
 			if n++; n%every == 0 {
 				p.Options = append(p.Options, "lie="+word)
 			}
@@ -38,7 +38,9 @@
 // One fault for each point of the brief is planted, and the run must see it. The last row has
 // none planted, and nothing must be seen.
 func TestPlantedFaultsAreSeen(t *testing.T) {
-	step := func(at int, do, who, to string) testbed.Step { return testbed.Step{At: at, Do: do, Who: who, To: to} }
+	step := func(at int, do, who, to string) testbed.Step {
+		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
+	}
 	cores := "core-1 core-2 core-3 core-4"
 	cut := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
 	stale := func(s *testbed.Site) { // edges that follow what they have, however old
@@ -72,7 +74,7 @@
 		{"nothing", "", nil, 1000, nil, nil},
 	} {
 		t.Run(x.point, func(t *testing.T) {
-			sc := testbed.Scenario{Name: "planted", Rate: 10, Steps: x.steps, HealMs: x.heal, TailMs: 3000, ReadAll: true}
+			sc := testbed.Scenario{Name: "planted", Rate: 10, Steps: x.steps, RecoveryMs: x.heal, AfterRecoveryMs: 3000, ReadAll: true}
 			r := play(t, sc, "paramo", 3, func(s *testbed.Site) *Table {
 				if x.plant != nil {
 					x.plant(s)
--- a/internal/sim/clustersim/proc.go
+++ b/internal/sim/clustersim/proc.go
@@ -176,7 +176,7 @@
 	}
 	there := &pipe{t: p.t, from: p.m.name, to: to, delay: delay, bell: make(chan struct{})}
 	back := &pipe{t: p.t, from: to, to: p.m.name, delay: delay, bell: make(chan struct{})}
-	here := net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.m.ip(p.p.Place), uint16(30000+p.chance(30000))))
+	here := net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.m.ip(p.p.Settings), uint16(30000+p.chance(30000))))
 	mine := p.hold(back, there, here, far)
 	its := l.p.hold(there, back, far, here)
 	if mine == nil || its == nil {
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		last := sc.Steps[len(sc.Steps)-1].At
-		sc.Steps, sc.TailMs = nil, 40000+last
+		sc.Steps, sc.AfterRecoveryMs = nil, 40000+last
 		o := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
 		t.Log(testbed.Line(o))
 		if a, b := late(r), late(o); a > b {
@@ -58,22 +58,22 @@
 	for seed := from; seed < from+n; seed++ {
 		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			var l []testbed.Trouble
-			for _, x := range testbed.Mix(seed) {
+			var l []testbed.Fault
+			for _, x := range testbed.DrawFaults(seed) {
 				switch x.Name {
 				case "weights", "weights-again", "drain", "warn", "clock":
 				default:
 					l = append(l, x)
 				}
 			}
-			sc := testbed.Script(site, seed, l)
+			sc := testbed.FaultScenario(site, seed, l)
 			sc.Rate, sc.Retire = 10, true
 			last := 0
 			for _, x := range sc.Steps {
 				last = max(last, x.At)
 			}
-			sc.Steps = append(append([]testbed.Step{{At: 500, Do: "retire", Who: "spring", To: `{"shares":[25,100],"soak_s":1,"at_once":3,"abort_at":1}`}}, sc.Steps...),
-				testbed.Step{At: last + 1000, Do: "retired", Who: "spring", To: "done"})
+			sc.Steps = append(append([]testbed.Step{{At: 500, Action: "retire", Targets: "spring", Argument: `{"shares":[25,100],"soak_s":1,"at_once":3,"abort_at":1}`}}, sc.Steps...),
+				testbed.Step{At: last + 1000, Action: "retired", Targets: "spring", Argument: "done"})
 			r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
 			t.Logf("%s: %s", testbed.Line(r), sc.About)
 			if len(r.Faults) > 0 {
@@ -92,7 +92,7 @@
 	}
 	for _, n := range strings.Split(words, ",") {
 		sc := scenario(t, "retire-calm")
-		sc.Steps[0].To = `{"shares":[100],"at_once":` + n + `}`
+		sc.Steps[0].Argument = `{"shares":[100],"at_once":` + n + `}`
 		r := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
 		if len(r.Faults) > 0 {
 			t.Errorf("%v", r.Faults)
@@ -104,7 +104,9 @@
 // Planted faults that only the programs can show: a worker that boasts of adapters holds the barrier, so
 // the old base stays; and one that answers under the wrong weights is seen by its callers.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
-	step := func(at int, do, who, to string) testbed.Step { return testbed.Step{At: at, Do: do, Who: who, To: to} }
+	step := func(at int, do, who, to string) testbed.Step {
+		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
+	}
 	for _, x := range []struct {
 		point, want, state string
 		every              int
@@ -113,7 +115,7 @@
 		{"a worker boasts", "its proof failed", "done", 18, nil},
 		{"an answer is another adapter's", "isn't what", "move", 0, swap(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
-		sc := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, HealMs: 1000, TailMs: 2000,
+		sc := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
 			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", x.state)}}
 		r := play(t, sc, "paramo", 3, func(s *testbed.Site) *Table {
 			if x.every > 0 {
--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/table.go
@@ -106,12 +106,12 @@
 func (t *Table) stands(p testbed.Process) *machine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, a := range []string{p.Place.Listen, p.Place.Public, p.Place.Operator} {
+	for _, a := range []string{p.Settings.Listen, p.Settings.Public, p.Settings.Operator} {
 		if x, err := netip.ParseAddrPort(a); err == nil {
-			t.hosts[x.Addr()] = p.Place.Name
+			t.hosts[x.Addr()] = p.Settings.Name
 		}
 	}
-	return t.machine(p.Place.Name)
+	return t.machine(p.Settings.Name)
 }
 
 func (m *machine) now() time.Duration {
@@ -156,10 +156,10 @@
 	return netip.MustParseAddr("127.0.0.1")
 }
 
-func (t *Table) rule(from, to string) (testbed.Rule, <-chan struct{}) {
-	r, c := t.At(from, to)
+func (t *Table) rule(from, to string) (testbed.LinkRule, <-chan struct{}) {
+	r, c := t.RuleBetween(from, to)
 	if from == to || from == "people" || to == "people" {
-		r = testbed.Rule{} // loopback, and those outside
+		r = testbed.LinkRule{} // loopback, and those outside
 	}
 	return r, c
 }
@@ -232,7 +232,7 @@
 	p := newProc(t, q, m, t.seed^queue.Hash(fmt.Sprint(q.Name, t.lives)))
 	t.procs[q.Name] = p
 	t.mu.Unlock()
-	place := q.Place
+	place := q.Settings
 	level := "off"
 	if v := os.Getenv("TABLE_LOG"); v != "" {
 		level = v
@@ -265,7 +265,7 @@
 	case syscall.SIGSTOP, syscall.SIGCONT:
 		p.freeze(s == syscall.SIGSTOP)
 	case syscall.SIGTERM:
-		t.end(p, p.p.Place.Bounds.Leave(1))
+		t.end(p, p.p.Settings.Bounds.Leave(1))
 	case syscall.SIGKILL:
 		p.die()
 		t.end(p, 0)
@@ -284,34 +284,34 @@
 	})
 }
 
-// Put notes where a process stands from its next start on.
+// WriteSettings notes where a process stands from its next start on.
 //
 // Example: err := t.Put(process)
-func (t *Table) Put(p testbed.Process) error { t.stands(p); return nil }
+func (t *Table) WriteSettings(p testbed.Process) error { t.stands(p); return nil }
 
-// Wipe loses a machine's disk.
+// WipeDisk loses a machine's disk.
 //
 // Example: err := t.Wipe(process)
-func (t *Table) Wipe(p testbed.Process) error {
+func (t *Table) WipeDisk(p testbed.Process) error {
 	t.mu.Lock()
-	m := t.machine(p.Place.Name)
+	m := t.machine(p.Settings.Name)
 	t.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for k := range m.disk {
-		if strings.HasPrefix(k, p.Place.Data+"/") {
+		if strings.HasPrefix(k, p.Settings.Data+"/") {
 			delete(m.disk, k)
 		}
 	}
 	return nil
 }
 
-// Switch makes a machine's disk or wall clock misbehave, or well again.
+// SetFault makes a machine's disk or wall clock misbehave, or well again.
 //
 // Example: err := t.Switch(process, "disk", "stall 800")
-func (t *Table) Switch(p testbed.Process, what, word string) error {
+func (t *Table) SetFault(p testbed.Process, what, word string) error {
 	t.mu.Lock()
-	m := t.machine(p.Place.Name)
+	m := t.machine(p.Settings.Name)
 	t.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -330,16 +330,16 @@
 //
 // Example: runs, err := t.Journal(process)
 func (t *Table) Journal(p testbed.Process) ([]workersim.Run, error) {
-	f := t.file(p.Place.Option("journal", ""))
+	f := t.file(p.Settings.Option("journal", ""))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return loadgen.ReadJournal(bytes.NewReader(f.b))
 }
 
-// Link puts a rule on a way.
+// SetLink puts a rule on a way.
 //
-// Example: err := t.Link("edge-1", "core-2", testbed.Rule{Cut: true})
-func (t *Table) Link(from, to string, r testbed.Rule) error { t.Set(from, to, r); return nil }
+// Example: err := t.Link("edge-1", "core-2", testbed.LinkRule{Cut: true})
+func (t *Table) SetLink(from, to string, r testbed.LinkRule) error { t.Set(from, to, r); return nil }
 
 // Dial connects as people and callers do.
 //
@@ -348,10 +348,10 @@
 	return t.people.dial(ctx, network, addr)
 }
 
-// Down ends every life and waits until all threads have wound up.
+// Stop ends every life and waits until all threads have wound up.
 //
 // Example: defer t.Down()
-func (t *Table) Down() {
+func (t *Table) Stop() {
 	t.mu.Lock()
 	var l []*proc
 	for _, p := range t.procs {
--- a/internal/sim/clustersim/table_test.go
+++ b/internal/sim/clustersim/table_test.go
@@ -33,7 +33,7 @@
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		rep, err = testbed.PlayOn(t.Context(), sc, testbed.Options{Site: site, Seed: seed, Dir: dir, Net: 10}, func(s *testbed.Site) (testbed.Ground, error) {
+		rep, err = testbed.PlayOn(t.Context(), sc, testbed.Options{Site: site, Seed: seed, Dir: dir, AddressByte: 10}, func(s *testbed.Site) (testbed.Environment, error) {
 			return on(s), nil
 		})
 		if err != nil {
@@ -81,9 +81,9 @@
 }
 
 // judge plays a script and says what was wrong with it.
-func judge(t *testing.T, site string, seed uint64, l []testbed.Trouble) *testbed.Report {
+func judge(t *testing.T, site string, seed uint64, l []testbed.Fault) *testbed.Report {
 	t.Helper()
-	sc := testbed.Script(site, seed, l)
+	sc := testbed.FaultScenario(site, seed, l)
 	sc.Rate = 10
 	r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
 	t.Logf("%s: %s", testbed.Line(r), sc.About)
@@ -98,13 +98,13 @@
 	for seed := from; seed < from+n; seed++ {
 		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			l := testbed.Mix(seed)
+			l := testbed.DrawFaults(seed)
 			r := judge(t, site, seed, l)
 			if len(r.Faults) == 0 {
 				return
 			}
 			for i := 0; os.Getenv("TABLE_SHRINK") != "" && i < len(l); {
-				fewer := append(append([]testbed.Trouble(nil), l[:i]...), l[i+1:]...)
+				fewer := append(append([]testbed.Fault(nil), l[:i]...), l[i+1:]...)
 				if o := judge(t, site, seed, fewer); len(o.Faults) > 0 {
 					l, r = fewer, o
 				} else {
--- a/internal/sim/clustersim/wire.go
+++ b/internal/sim/clustersim/wire.go
@@ -46,8 +46,8 @@
 	if at.Before(p.last) {
 		at = p.last
 	}
-	if r.Bytes > 0 {
-		at = at.Add(time.Duration(float64(len(b)) / r.Bytes * float64(time.Second)))
+	if r.BytesPerSecond > 0 {
+		at = at.Add(time.Duration(float64(len(b)) / r.BytesPerSecond * float64(time.Second)))
 	}
 	p.last = at
 	p.segs = append(p.segs, seg{at, append([]byte(nil), b...)})
--- /dev/null
+++ b/internal/sim/testbed/checks.go
@@ -0,0 +1,289 @@
+package testbed
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"sort"
+	"strings"
+
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
+	"pebbleloom/internal/sim/loadgen"
+	"pebbleloom/internal/sim/workersim"
+)
+
+// checkRun checks a finished run against what must never happen.
+func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.Book, closed int64, heal int) error {
+	journals, err := run.fleet.Journals()
+	if err != nil {
+		return errs.Wrap(err, "journals")
+	}
+	run.report.Sum = log.Settle(journals, true)
+	for _, f := range run.report.Sum.Faults {
+		run.addFault("%s", f)
+	}
+	run.checkSealedShares(log, closed, int64(heal))
+	run.checkRevokedKeys(log, journals)
+	run.checkWeightsAndDrains(journals)
+	run.checkRetryBudget(log, journals)
+	orders, err := run.fleet.Orders()
+	if err != nil {
+		return errs.Wrap(err, "orders")
+	}
+	for _, f := range append(checkFencing(orders), run.checkOldBaseOutlivesMigration(journals, orders)...) {
+		run.addFault("%s", f)
+	}
+	if run.scenario.ReadAll {
+		run.checkReadBack(ctx)
+	}
+	run.recordPlacement(ctx)
+	run.checkHistory()
+	sort.Strings(run.report.Faults)
+	return nil
+}
+
+// recordPlacement notes the placement that is in force in the end.
+func (run *scenarioRun) recordPlacement(ctx context.Context) {
+	_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/placements/"+run.fleet.Site.Traffic.Model+"-main")
+	var s struct {
+		Placement struct {
+			RMax       float64  `json:"r_max"`
+			Replicated []string `json:"replicated"`
+		} `json:"placement"`
+	}
+	if json.Unmarshal([]byte(body), &s) == nil { // else nobody can say, which other checks look at
+		run.report.RMax, run.report.Replicated = s.Placement.RMax, len(s.Placement.Replicated)
+	}
+}
+
+// hitCounter adds up how many prompt tokens were found kept.
+type hitCounter struct{ hit, all int }
+
+func (t *hitCounter) add(o loadgen.Outcome) {
+	t.hit += o.Last.Hit
+	t.all += o.Last.Hit + o.Last.Fetched + o.Last.Prefilled
+}
+
+func (t *hitCounter) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
+
+// checkSealedShares: service is back within the bound, and only allowed denials occur.
+func (run *scenarioRun) checkSealedShares(log *loadgen.Book, closed, heal int64) {
+	afterTotal, afterSealed, duringTotal, duringSealed := 0, 0, 0, 0
+	var before, during, after hitCounter
+	firstStepMs := closed
+	for _, step := range run.scenario.Steps {
+		if step.Action != "patch" {
+			firstStepMs = min(firstStepMs, run.startedMs+int64(step.At))
+		}
+	}
+	for _, outcome := range log.All() {
+		switch {
+		case outcome.SentMs < firstStepMs:
+			before.add(outcome)
+		case outcome.SentMs < closed+heal: // trouble and what it takes to get over it
+			during.add(outcome)
+		default:
+			after.add(outcome)
+		}
+		if _, gone := run.keyRevokedMs[outcome.Request.Key]; gone {
+			continue
+		}
+		if outcome.SentMs >= closed+heal {
+			if afterTotal++; outcome.Sealed {
+				afterSealed++
+			}
+		} else if duringTotal++; outcome.Sealed {
+			duringSealed++
+		}
+		if outcome.Denied == "" {
+			continue
+		}
+		allowed := len(run.scenario.AllowedRejections) == 0
+		for _, kind := range run.scenario.AllowedRejections {
+			allowed = allowed || kind == outcome.Denied
+		}
+		if !allowed || strings.HasPrefix(outcome.Denied, "untyped") {
+			run.addFault("%s: rejected as %s", outcome.Request.ID, outcome.Denied)
+		}
+	}
+	run.report.HitShares = [3]float64{before.share(), during.share(), after.share()}
+	if afterTotal > 0 {
+		run.report.SealedAfterRecovery = float64(afterSealed) / float64(afterTotal)
+	}
+	if duringTotal > 0 {
+		run.report.SealedDuring = float64(duringSealed) / float64(duringTotal)
+	}
+	if run.report.SealedAfterRecovery < 0.97 {
+		run.addFault("service is not back: %.3f of %d requests sealed from %d ms after the last step on", run.report.SealedAfterRecovery, afterTotal, heal)
+	}
+	if all := float64(run.report.Sum.Sealed) / float64(max(1, run.report.Sum.Requests)); all < run.scenario.MinSealedShare {
+		run.addFault("only %.3f of all requests sealed, at least %.3f are due", all, run.scenario.MinSealedShare)
+	}
+}
+
+// checkRevokedKeys: a revoked key works no longer than its bound, by when its requests were sent and by when
+// workers began them.
+func (run *scenarioRun) checkRevokedKeys(log *loadgen.Book, journals map[string][]workersim.Run) {
+	revokedMs := map[string]int64{} // request -> when its key was revoked
+	for _, outcome := range log.All() {
+		if revokedAtMs, ok := run.keyRevokedMs[outcome.Request.Key]; ok {
+			revokedMs[outcome.Request.ID] = revokedAtMs
+		}
+	}
+	for name, runs := range journals {
+		for _, workerRun := range runs {
+			if revokedAtMs, ok := revokedMs[workerRun.RequestID]; ok && workerRun.AtMs > revokedAtMs+int64(run.fleet.Site.Processes[0].Settings.Bounds.KeyRevocationMs) {
+				run.addFault("%s started %s %d ms after its key was revoked", name, workerRun.RequestID, workerRun.AtMs-revokedAtMs)
+			}
+		}
+	}
+	bound := int64(run.fleet.Site.Processes[0].Settings.Bounds.KeyRevocationMs)
+	late, rejected := 0, 0
+	for _, outcome := range log.All() {
+		revokedAtMs, revokedMs := run.keyRevokedMs[outcome.Request.Key]
+		if !revokedMs || outcome.SentMs < revokedAtMs+bound {
+			continue
+		}
+		if outcome.Sealed || outcome.Broken != "" {
+			late++
+			run.addFault("%s: a key revoked %d ms before was let in", outcome.Request.ID, outcome.SentMs-revokedAtMs)
+		} else if outcome.Denied == "bad-key" {
+			rejected++
+		}
+	}
+	if len(run.keyRevokedMs) > 0 && late == 0 && rejected == 0 {
+		run.addFault("no request came with the revoked key: the check saw nothing")
+	}
+}
+
+// checkWeightsAndDrains: older weights start no later than their bound; drained workers get nothing.
+func (run *scenarioRun) checkWeightsAndDrains(journals map[string][]workersim.Run) {
+	bounds := run.fleet.Site.Processes[0].Settings.Bounds
+	newer := map[uint64]int{}
+	for name, runs := range journals {
+		for _, workerRun := range runs {
+			for weights, atMs := range run.weightsNamedMs {
+				if workerRun.Weights < weights && workerRun.AtMs > atMs+int64(bounds.WeightsMs) {
+					run.addFault("%s started %s on weights %d, %d ms after %d were acknowledged", name, workerRun.RequestID, workerRun.Weights, workerRun.AtMs-atMs, weights)
+				}
+				if workerRun.Weights >= weights {
+					newer[weights]++
+				}
+			}
+			if atMs, ok := run.drainedMs[name]; ok && workerRun.AtMs > atMs+int64(bounds.LeaveMs) {
+				run.addFault("%s started %s %d ms after it was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
+			}
+		}
+	}
+	for weights := range run.weightsNamedMs {
+		if newer[weights] == 0 {
+			run.addFault("nothing ever ran on weights %d", weights)
+		}
+	}
+}
+
+// checkRetryBudget: second runs of a service's requests, in any ten seconds, against the share of its
+// requests and the site's allowance.
+func (run *scenarioRun) checkRetryBudget(log *loadgen.Book, journals map[string][]workersim.Run) {
+	bounds := run.fleet.Site.Processes[0].Settings.Bounds
+	seen := map[string]bool{}
+	var all []workersim.Run
+	for _, runs := range journals {
+		all = append(all, runs...)
+	}
+	sort.Slice(all, func(i, j int) bool { return all[i].AtMs < all[j].AtMs })
+	var extra, first []int64
+	for _, workerRun := range all {
+		if seen[workerRun.RequestID] {
+			extra = append(extra, workerRun.AtMs)
+		}
+		seen[workerRun.RequestID] = true
+	}
+	for _, outcome := range log.All() {
+		if !outcome.Request.App {
+			first = append(first, outcome.SentMs)
+		}
+	}
+	run.report.ExtraRuns = len(extra)
+	allow := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // an edge's part is one at least
+	if extraRuns, firstRuns := worstWindow(extra, first, int64(bounds.RetryWindowMs), float64(bounds.RetryPercent)/100); float64(extraRuns) > float64(bounds.RetryPercent)/100*float64(firstRuns)+allow {
+		run.addFault("%d extra runs on %d requests in ten seconds", extraRuns, firstRuns)
+	}
+}
+
+// worstWindow finds the window, wherever it begins, that holds the most extra runs over the share of
+// its requests. A run may begin up to a tenth of the window after its request earned it.
+func worstWindow(extra, first []int64, span int64, share float64) (extraRuns, firstRuns int) {
+	slices.Sort(extra)
+	slices.Sort(first)
+	count := func(times []int64, from, to int64) int { // from <= t < to
+		at := func(t int64) int { i, _ := slices.BinarySearch(times, t); return i }
+		return at(to) - at(from)
+	}
+	var begins []int64
+	for _, t := range extra {
+		begins = append(begins, t, t-span+1)
+	}
+	for _, t := range first {
+		begins = append(begins, t+1)
+	}
+	worstExcess := 0.0
+	for _, t := range begins {
+		runs, requests := count(extra, t, t+span), count(first, t-span/10, t+span)
+		if over := float64(runs) - share*float64(requests); runs > 0 && (over > worstExcess || extraRuns == 0) {
+			worstExcess, extraRuns, firstRuns = over, runs, requests
+		}
+	}
+	return extraRuns, firstRuns
+}
+
+// checkReadBack: every operator address tells the same setup, no older than what was acknowledged.
+func (run *scenarioRun) checkReadBack(ctx context.Context) {
+	bodies := map[string][]string{}
+	for _, addr := range run.fleet.Site.Operators {
+		code, body := run.fleet.Get(ctx, addr, "/v1/setup")
+		var answer struct {
+			Epoch int64           `json:"epoch"`
+			Setup json.RawMessage `json:"setup"`
+		}
+		if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
+			run.addFault("%s doesn't read the setup back: %d %.200s", addr, code, body)
+			continue
+		}
+		if answer.Epoch < run.acknowledgedVersion {
+			run.addFault("%s reads epoch %d back, %d was acknowledged", addr, answer.Epoch, run.acknowledgedVersion)
+		}
+		content := fmt.Sprintf("%d %s", answer.Epoch, answer.Setup)
+		bodies[content] = append(bodies[content], addr)
+	}
+	if len(bodies) > 1 {
+		run.addFault("%d different setups are read back", len(bodies))
+	}
+}
+
+// addRelays puts links into the path of a site: others are told a relay's address.
+func (s *Site) addRelays(links *Links, net int) error {
+	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
+	to := func(a string) string { return strings.Replace(a, old, via, 1) }
+	var batch errs.Batch
+	for i := range s.Processes {
+		process := &s.Processes[i].Settings
+		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
+		batch.Add("relay", links.Relay(to(process.Listen), process.Listen, process.Name))
+		process.Advertise = to(process.Listen)
+		switch s.Processes[i].Program {
+		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
+			batch.Add("relay", links.Relay(to(process.Public), process.Public, process.Name))
+		}
+		for j := range process.Seeds {
+			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
+		}
+		process.WorkerList = to(process.WorkerList)
+	}
+	for i := range s.WorkerList {
+		s.WorkerList[i].Addr = to(s.WorkerList[i].Addr)
+	}
+	return batch.Err()
+}
--- a/internal/sim/testbed/compare.go
+++ b/internal/sim/testbed/compare.go
@@ -22,13 +22,13 @@
 // the machine hits all alike, and prints medians with their spread.
 //
 // Example: err := testbed.Compare(ctx, testbed.Options{Site: "paramo", Seconds: 20, Seeds: 3, Seed: 1}, os.Stdout)
-func Compare(ctx context.Context, o Options, out io.Writer) error {
+func Compare(ctx context.Context, options Options, out io.Writer) error {
 	got := map[string][]loadgen.Sum{}
-	base := o.Dir
-	for i := range o.Seeds {
+	base := options.Dir
+	for i := range options.Seeds {
 		for _, m := range Modes() {
-			p := o
-			p.Mode, p.Seed, p.Dir = m, o.Seed+uint64(i), filepath.Join(base, fmt.Sprintf("%s-%d", m, i))
+			p := options
+			p.Mode, p.Seed, p.Dir = m, options.Seed+uint64(i), filepath.Join(base, fmt.Sprintf("%s-%d", m, i))
 			if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 				return errs.Wrap(err, "make folder")
 			}
@@ -40,7 +40,7 @@
 		}
 	}
 	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "%s, %d s, seeds %d to %d: median (least to most)\n", o.Site, o.Seconds, o.Seed, o.Seed+uint64(o.Seeds)-1)
+	fmt.Fprintf(w, "%s, %d s, seeds %d to %d: median (least to most)\n", options.Site, options.Seconds, options.Seed, options.Seed+uint64(options.Seeds)-1)
 	fmt.Fprintln(w, "placement\thit share\tfetched share\tprefilled tokens\tload max/mean\tsealed\tfaults")
 	for _, m := range Modes() {
 		row := func(f func(loadgen.Sum) float64, form string) string {
