--- /dev/null
+++ b/internal/sim/clustersim/process.go
@@ -0,0 +1,293 @@
+package clustersim
+
+import (
+	"context"
+	"errors"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"pebbleloom/internal/control/storage"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/sim/testbed"
+)
+
+// proc is one life of a process. All that it meets goes through pass: while it is frozen nothing
+// gets on, and once it is dead nothing that it does has any effect.
+type proc struct {
+	cluster   *Cluster
+	process   testbed.Process
+	machine   *machine
+	daemon    *daemon.Process
+	started   chan struct{}
+	dead      chan struct{}
+	stopOnce  sync.Once
+	killOnce  sync.Once
+	mu        sync.Mutex
+	frozen    chan struct{} // closed when it is thawed; nil: it isn't frozen
+	conns     map[*conn]bool
+	listeners map[*listener]bool
+	random    *rand.Rand
+}
+
+func newProc(t *Cluster, p testbed.Process, m *machine, seed uint64) *proc {
+	return &proc{cluster: t, process: p, machine: m, started: make(chan struct{}), dead: make(chan struct{}), conns: map[*conn]bool{}, listeners: map[*listener]bool{},
+		random: rand.New(rand.NewPCG(seed, 17))}
+}
+
+// awaitRunning waits while the process is frozen; false: it is dead.
+func (p *proc) awaitRunning() bool {
+	for {
+		p.mu.Lock()
+		thawed := p.frozen
+		p.mu.Unlock()
+		if isClosed(p.dead) {
+			return false
+		}
+		if thawed == nil {
+			return true
+		}
+		select {
+		case <-thawed:
+		case <-p.dead:
+		}
+	}
+}
+
+func (p *proc) freeze(on bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if on && p.frozen == nil {
+		p.frozen = make(chan struct{})
+	} else if !on && p.frozen != nil {
+		close(p.frozen)
+		p.frozen = nil
+	}
+}
+
+// kill ends the life at once: connections are reset, doors shut, disk and clock out of reach.
+func (p *proc) kill() {
+	p.killOnce.Do(func() {
+		p.mu.Lock()
+		close(p.dead)
+		var conns []*conn
+		for c := range p.conns {
+			conns = append(conns, c)
+		}
+		var listeners []*listener
+		for l := range p.listeners {
+			listeners = append(listeners, l)
+		}
+		p.mu.Unlock()
+		for _, l := range listeners {
+			l.Close()
+		}
+		for _, c := range conns {
+			c.closeWith(true)
+		}
+	})
+}
+
+func (p *proc) removeConn(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, c)
+}
+
+func (p *proc) randomBelow(n int64) int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.random.Int64N(n)
+}
+
+// environment is what the program meets outside itself.
+func (p *proc) environment() daemon.Environment {
+	return daemon.Environment{Clock: p, WallClock: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
+		Seed: func() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.random.Uint64() }}
+}
+
+// Now is the machine's clock, which counts sleep; the process sees it once it runs.
+//
+// Example: p.Now()
+func (p *proc) Now() time.Duration { p.awaitRunning(); return p.machine.now() }
+
+func (p *proc) wall() time.Time { p.awaitRunning(); return p.machine.wall() }
+
+func (p *proc) listen(addr string) (net.Listener, error) {
+	a, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return nil, err
+	}
+	l := &listener{proc: p, addr: net.TCPAddrFromAddrPort(a), incoming: make(chan *conn, 512), closed: make(chan struct{})}
+	if !p.awaitRunning() || !p.cluster.listen(addr, l) {
+		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: l.addr, Err: os.NewSyscallError("bind", syscall.EADDRINUSE)}
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.listeners[l] = true
+	return l, nil
+}
+
+// dial connects: after a round trip, once the link lets it, or not within its time.
+func (p *proc) dial(_ context.Context, _, addr string) (net.Conn, error) {
+	target, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return nil, err
+	}
+	remote := net.TCPAddrFromAddrPort(target)
+	fail := func(err error) (net.Conn, error) {
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: remote, Err: err}
+	}
+	machine := p.cluster.machineAt(target.Addr())
+	delay := p.cluster.delay(p.machine, machine, addr)
+	timeout := time.NewTimer(p.cluster.dialTimeout)
+	defer timeout.Stop()
+	for roundTrip := time.NewTimer(2 * delay); ; {
+		if !p.awaitRunning() {
+			return fail(net.ErrClosed)
+		}
+		outbound, changed := p.cluster.linkRule(p.machine.name, machine)
+		inbound, _ := p.cluster.linkRule(machine, p.machine.name)
+		connected := roundTrip.C
+		if outbound.Cut || inbound.Cut {
+			connected = nil
+		}
+		select {
+		case <-timeout.C:
+			roundTrip.Stop()
+			return fail(os.ErrDeadlineExceeded)
+		case <-p.dead:
+			roundTrip.Stop()
+			return fail(net.ErrClosed)
+		case <-changed:
+			continue
+		case <-connected:
+		}
+		break
+	}
+	listener := p.cluster.listenerAt(addr)
+	if listener == nil {
+		return fail(os.NewSyscallError("connect", syscall.ECONNREFUSED))
+	}
+	request := &pipe{cluster: p.cluster, from: p.machine.name, to: machine, delay: delay, changed: make(chan struct{})}
+	response := &pipe{cluster: p.cluster, from: machine, to: p.machine.name, delay: delay, changed: make(chan struct{})}
+	local := net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.machine.ip(p.process.Settings), uint16(30000+p.randomBelow(30000))))
+	dialed := p.addConn(response, request, local, remote)
+	accepted := listener.proc.addConn(request, response, remote, local)
+	if dialed == nil || accepted == nil {
+		return fail(net.ErrClosed)
+	}
+	select {
+	case listener.incoming <- accepted:
+		return dialed, nil
+	default:
+		accepted.closeWith(true)
+		return fail(os.ErrDeadlineExceeded) // too many stand before the door
+	}
+}
+
+func (p *proc) addConn(in, out *pipe, at, far net.Addr) *conn {
+	c := &conn{proc: p, in: in, out: out, local: at, remote: far, closed: make(chan struct{})}
+	c.readDeadline.c, c.writeDeadline.c = make(chan struct{}), make(chan struct{})
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if isClosed(p.dead) {
+		return nil
+	}
+	p.conns[c] = true
+	return c
+}
+
+// journal keeps a stand-in's journal beyond its life.
+func (p *proc) journal(file string) (io.Writer, error) {
+	return &journalWriter{p, p.cluster.file(file)}, nil
+}
+
+type journalWriter struct {
+	proc *proc
+	file *file
+}
+
+// Write adds a line, as long as the process lives.
+//
+// Example: n, err := w.Write(line)
+func (w *journalWriter) Write(b []byte) (int, error) {
+	if !w.proc.awaitRunning() {
+		return 0, errProcessDead
+	}
+	w.file.mu.Lock()
+	defer w.file.mu.Unlock()
+	w.file.data = append(w.file.data, b...)
+	return len(b), nil
+}
+
+var errProcessDead = errors.New("the process is dead")
+
+// disk is a folder of the machine's disk, as this life sees it.
+func (p *proc) disk(folder string) storage.Disk { return &disk{p, folder} }
+
+type disk struct {
+	proc   *proc
+	folder string
+}
+
+// Read reads a whole file.
+//
+// Example: b, there, err := d.Read("slot-0")
+func (d *disk) Read(name string) ([]byte, bool, error) {
+	if !d.proc.awaitRunning() {
+		return nil, false, errProcessDead
+	}
+	b, ok := d.proc.machine.read(d.folder, name)
+	return b, ok, nil
+}
+
+// change carries out a write that takes its time. A life that ends meanwhile leaves any part of
+// it behind: the power goes at any byte.
+func (d *disk) change(name string, b []byte, write func(old, b []byte) []byte) error {
+	if !d.proc.awaitRunning() {
+		return errProcessDead
+	}
+	stall, err := storage.ParseFault(d.proc.machine.fault())
+	if err != nil {
+		return err
+	}
+	timer := time.NewTimer(max(stall, time.Duration(200+d.proc.randomBelow(1800))*time.Microsecond))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-d.proc.dead:
+	}
+	if !d.proc.awaitRunning() {
+		d.proc.machine.write(d.proc, d.folder, name, func(old []byte) []byte { return write(old, b[:d.proc.randomBelow(int64(len(b)+1))]) })
+		return errProcessDead
+	}
+	d.proc.machine.write(d.proc, d.folder, name, func(old []byte) []byte { return write(old, b) })
+	return nil
+}
+
+// Write replaces a file.
+//
+// Example: err := d.Write("slot-0", b)
+func (d *disk) Write(name string, b []byte) error {
+	return d.change(name, b, func(_, b []byte) []byte { return append([]byte(nil), b...) })
+}
+
+// Append adds to a file.
+//
+// Example: err := d.Append("log-0", rec)
+func (d *disk) Append(name string, b []byte) error {
+	return d.change(name, b, func(old, b []byte) []byte { return append(append([]byte(nil), old...), b...) })
+}
+
+// Truncate shortens a file.
+//
+// Example: err := d.Cut("log-0", 128)
+func (d *disk) Truncate(name string, size int) error {
+	return d.change(name, nil, func(old, _ []byte) []byte { return old[:min(size, len(old))] })
+}
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -15,12 +15,12 @@
 )
 
 // checkRun checks a finished run against what must never happen.
-func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.Book, closed int64, heal int) error {
+func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.OutcomeLog, closed int64, heal int) error {
 	journals, err := run.fleet.Journals()
 	if err != nil {
 		return errs.Wrap(err, "journals")
 	}
-	run.report.Sum = log.Settle(journals, true)
+	run.report.Sum = log.Summarize(journals, true)
 	for _, f := range run.report.Sum.Faults {
 		run.addFault("%s", f)
 	}
@@ -62,14 +62,14 @@
 type hitCounter struct{ hit, all int }
 
 func (t *hitCounter) add(o loadgen.Outcome) {
-	t.hit += o.Last.Hit
-	t.all += o.Last.Hit + o.Last.Fetched + o.Last.Prefilled
+	t.hit += o.Final.Hit
+	t.all += o.Final.Hit + o.Final.Fetched + o.Final.Prefilled
 }
 
 func (t *hitCounter) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
 
 // checkSealedShares: service is back within the bound, and only allowed denials occur.
-func (run *scenarioRun) checkSealedShares(log *loadgen.Book, closed, heal int64) {
+func (run *scenarioRun) checkSealedShares(log *loadgen.OutcomeLog, closed, heal int64) {
 	afterTotal, afterSealed, duringTotal, duringSealed := 0, 0, 0, 0
 	var before, during, after hitCounter
 	firstStepMs := closed
@@ -97,15 +97,15 @@
 		} else if duringTotal++; outcome.Sealed {
 			duringSealed++
 		}
-		if outcome.Denied == "" {
+		if outcome.Rejected == "" {
 			continue
 		}
 		allowed := len(run.scenario.AllowedRejections) == 0
 		for _, kind := range run.scenario.AllowedRejections {
-			allowed = allowed || kind == outcome.Denied
+			allowed = allowed || kind == outcome.Rejected
 		}
-		if !allowed || strings.HasPrefix(outcome.Denied, "untyped") {
-			run.addFault("%s: rejected as %s", outcome.Request.ID, outcome.Denied)
+		if !allowed || strings.HasPrefix(outcome.Rejected, "untyped") {
+			run.addFault("%s: rejected as %s", outcome.Request.ID, outcome.Rejected)
 		}
 	}
 	run.report.HitShares = [3]float64{before.share(), during.share(), after.share()}
@@ -125,7 +125,7 @@
 
 // checkRevokedKeys: a revoked key works no longer than its bound, by when its requests were sent and by when
 // workers began them.
-func (run *scenarioRun) checkRevokedKeys(log *loadgen.Book, journals map[string][]workersim.Run) {
+func (run *scenarioRun) checkRevokedKeys(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
 	revokedMs := map[string]int64{} // request -> when its key was revoked
 	for _, outcome := range log.All() {
 		if revokedAtMs, ok := run.keyRevokedMs[outcome.Request.Key]; ok {
@@ -146,10 +146,10 @@
 		if !revokedMs || outcome.SentMs < revokedAtMs+bound {
 			continue
 		}
-		if outcome.Sealed || outcome.Broken != "" {
+		if outcome.Sealed || outcome.Interrupted != "" {
 			late++
 			run.addFault("%s: a key revoked %d ms before was let in", outcome.Request.ID, outcome.SentMs-revokedAtMs)
-		} else if outcome.Denied == "bad-key" {
+		} else if outcome.Rejected == "bad-key" {
 			rejected++
 		}
 	}
@@ -186,7 +186,7 @@
 
 // checkRetryBudget: second runs of a service's requests, in any ten seconds, against the share of its
 // requests and the site's allowance.
-func (run *scenarioRun) checkRetryBudget(log *loadgen.Book, journals map[string][]workersim.Run) {
+func (run *scenarioRun) checkRetryBudget(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
 	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	seen := map[string]bool{}
 	var all []workersim.Run
--- a/internal/sim/testbed/fencing.go
+++ b/internal/sim/testbed/fencing.go
@@ -16,13 +16,13 @@
 	for _, worker := range queue.Keys(orders) {
 		last := uint64(0)
 		for _, order := range orders[worker] {
-			if first, ok := holder[order.Fence]; ok && first != order.Holder {
-				faults = append(faults, fmt.Sprintf("%s and %s both ordered under fence %d", first, order.Holder, order.Fence))
+			if first, ok := holder[order.FencingToken]; ok && first != order.Holder {
+				faults = append(faults, fmt.Sprintf("%s and %s both ordered under fence %d", first, order.Holder, order.FencingToken))
 			}
-			if order.Fence < last {
-				faults = append(faults, fmt.Sprintf("%s obeyed fence %d after %d", worker, order.Fence, last))
+			if order.FencingToken < last {
+				faults = append(faults, fmt.Sprintf("%s obeyed fence %d after %d", worker, order.FencingToken, last))
 			}
-			holder[order.Fence], last = order.Holder, max(last, order.Fence)
+			holder[order.FencingToken], last = order.Holder, max(last, order.FencingToken)
 		}
 	}
 	return faults
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -150,14 +150,14 @@
 //
 // Example: js, err := f.Journals()
 func (f *Fleet) Journals() (map[string][]workersim.Run, error) {
-	return f.readJournals(func(r workersim.Run) bool { return r.Fence == 0 })
+	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken == 0 })
 }
 
 // Orders reads which orders every worker has obeyed.
 //
 // Example: orders, err := f.Orders()
 func (f *Fleet) Orders() (map[string][]workersim.Run, error) {
-	return f.readJournals(func(r workersim.Run) bool { return r.Fence > 0 })
+	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken > 0 })
 }
 
 func (f *Fleet) readJournals(include func(workersim.Run) bool) (map[string][]workersim.Run, error) {
--- a/internal/sim/testbed/loadgenerator.go
+++ b/internal/sim/testbed/loadgenerator.go
@@ -45,14 +45,14 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), time.Duration(seconds)*2*time.Second+time.Minute)
 	defer end()
-	log := &loadgen.Book{}
+	log := &loadgen.OutcomeLog{}
 	run := fmt.Sprintf("f%d-", time.Now().UnixMilli()) // an id is used once, also over several calls
-	loadgen.Drive(ctx, s.Traffic, loadgen.NewCaller(s.Edges), seed, run, int(float64(seconds)*s.Traffic.Rate), log)
+	loadgen.SendTraffic(ctx, s.Traffic, loadgen.NewClient(s.Edges), seed, run, int(float64(seconds)*s.Traffic.Rate), log)
 	journals, err := loadgen.Journals(ctx, s.Workers)
 	if err != nil {
 		return fail(errs.Wrap(err, "journals"))
 	}
-	sum := log.Settle(journals, true)
+	sum := log.Summarize(journals, true)
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
 	if err := enc.Encode(sum); err != nil {
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -229,17 +229,17 @@
 		return RunResult{}, err
 	}
 	defer f.Stop()
-	log := &loadgen.Book{}
+	log := &loadgen.OutcomeLog{}
 	n := int(float64(options.Seconds) * f.Site.Traffic.Rate)
 	one, end := context.WithTimeout(ctx, time.Duration(options.Seconds)*2*time.Second)
 	defer end()
-	loadgen.Drive(one, f.Site.Traffic, loadgen.NewCaller(f.Site.Edges), options.Seed, "r", n, log)
+	loadgen.SendTraffic(one, f.Site.Traffic, loadgen.NewClient(f.Site.Edges), options.Seed, "r", n, log)
 	use := f.Usage()
 	journals, err := f.Journals()
 	if err != nil {
 		return RunResult{}, errs.Wrap(err, "journals")
 	}
-	return RunResult{log.Settle(journals, true), use}, nil
+	return RunResult{log.Summarize(journals, true), use}, nil
 }
 
 // scenarios lists them, or plays one or all.
--- a/internal/sim/testbed/report.go
+++ b/internal/sim/testbed/report.go
@@ -4,14 +4,14 @@
 
 // Report is what a scenario has shown.
 type Report struct {
-	Scenario            string      `json:"scenario"`
-	Site                string      `json:"site"`
-	Seed                uint64      `json:"seed"`
-	Sum                 loadgen.Sum `json:"sum"`
-	Steps               []string    `json:"steps"`
-	SealedAfterRecovery float64     `json:"sealed_share_after_healing"`
-	SealedDuring        float64     `json:"sealed_share_during"`
-	ExtraRuns           int         `json:"extra_runs"`
+	Scenario            string          `json:"scenario"`
+	Site                string          `json:"site"`
+	Seed                uint64          `json:"seed"`
+	Sum                 loadgen.Summary `json:"sum"`
+	Steps               []string        `json:"steps"`
+	SealedAfterRecovery float64         `json:"sealed_share_after_healing"`
+	SealedDuring        float64         `json:"sealed_share_during"`
+	ExtraRuns           int             `json:"extra_runs"`
 	// Share of prompt tokens found kept before the first step, up to the bound after the
 	// last, and from there on.
 	HitShares  [3]float64 `json:"hit_shares"`
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -37,11 +37,11 @@
 	var words []string
 	for i := range s.Traffic.Kinds {
 		kind := &s.Traffic.Kinds[i]
-		kind.Under = []string{model, nextBuild(model)}
+		kind.ServedBy = []string{model, nextBuild(model)}
 		if i == 2 {
 			break
 		}
-		kind.Model, kind.Under = kind.Name, []string{fmt.Sprintf("%s/%s@1", model, kind.Name), fmt.Sprintf("%s/%s@1", nextBuild(model), nextBuild(kind.Name))}
+		kind.Model, kind.ServedBy = kind.Name, []string{fmt.Sprintf("%s/%s@1", model, kind.Name), fmt.Sprintf("%s/%s@1", nextBuild(model), nextBuild(kind.Name))}
 		s.Config.Adapters[kind.Name] = serviceconfig.Adapter{BaseModel: model, Build: 1, Services: []string{service}, MemoryMB: 10}
 		s.Config.Adapters[nextBuild(kind.Name)] = serviceconfig.Adapter{BaseModel: nextBuild(model), Build: 1, Services: []string{service}, MemoryMB: 10}
 		s.Config.Routes[kind.Name] = serviceconfig.Route{Service: service}
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -164,15 +164,15 @@
 	for _, step := range scenario.Steps {
 		last = max(last, step.At)
 	}
-	log, t0 := &loadgen.Book{}, time.Now()
+	log, t0 := &loadgen.OutcomeLog{}, time.Now()
 	p.startedMs = t0.UnixMilli()
-	caller := loadgen.NewCallerIn(ground.Dial, s.Edges)
+	caller := loadgen.NewClientWithDialer(ground.Dial, s.Edges)
 	defer caller.Close()
 	driving, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg, asides sync.WaitGroup
 	wg.Go(func() {
-		loadgen.Drive(driving, s.Traffic, caller, options.Seed, "s", 1<<30, log)
+		loadgen.SendTraffic(driving, s.Traffic, caller, options.Seed, "s", 1<<30, log)
 	})
 	wg.Go(func() { p.readUntilDone(driving) })
 	more := s.Traffic
@@ -180,7 +180,7 @@
 	burst, calm := context.WithCancel(driving)
 	defer calm()
 	if scenario.Burst > 0 {
-		wg.Go(func() { loadgen.Drive(burst, more, caller, options.Seed, "b", 1<<30, log) })
+		wg.Go(func() { loadgen.SendTraffic(burst, more, caller, options.Seed, "b", 1<<30, log) })
 	}
 	for _, step := range scenario.Steps {
 		if err := p.waitUntil(ctx, t0, step.At); err != nil {
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -63,17 +63,17 @@
 	weights := uint64(1)
 	switch name {
 	case "paramo":
-		site.Traffic = loadgen.Traffic{Site: name, Model: "lector", App: "caja", Rate: 45, WaitMs: 8000, Once: 0.3, Twins: 0.2, AppPart: 0.05, Kinds: []loadgen.Kind{
-			{Name: "appraise", Share: 0.35, Openings: 60, Tokens: 3000, Skew: 1.0, Tail: 40, Pieces: 4},
-			{Name: "catalogue", Share: 0.35, Openings: 160, Tokens: 900, Skew: 0.8, Session: 300, Sessions: 300, Tail: 60, Pieces: 6},
-			{Name: "copies", Share: 0.30, Openings: 60, Tokens: 200, Skew: 0.9, Tail: 30, Pieces: 10}}}
+		site.Traffic = loadgen.Traffic{Site: name, Model: "lector", App: "caja", Rate: 45, WaitMs: 8000, OnceShare: 0.3, DuplicateShare: 0.2, AppShare: 0.05, Kinds: []loadgen.Kind{
+			{Name: "appraise", Share: 0.35, Prefixes: 60, PrefixTokens: 3000, Skew: 1.0, QuestionTokens: 40, Chunks: 4},
+			{Name: "catalogue", Share: 0.35, Prefixes: 160, PrefixTokens: 900, Skew: 0.8, SessionTokens: 300, Sessions: 300, QuestionTokens: 60, Chunks: 6},
+			{Name: "copies", Share: 0.30, Prefixes: 60, PrefixTokens: 200, Skew: 0.9, QuestionTokens: 30, Chunks: 10}}}
 	case "daegu":
 		bounds.WeightsMs = 25000
 		link, far, alpha = "link=300000", "far=200000", 0.05
-		site.Traffic = loadgen.Traffic{Site: name, Model: "gisa", App: "jeonpyo", Rate: 30, WaitMs: 8000, Once: 0.4, Twins: 0.2, AppPart: 0.05, Kinds: []loadgen.Kind{
-			{Name: "ruling", Share: 0.4, Openings: 40, Tokens: 2600, Skew: 1.1, Tail: 30, Pieces: 4},
-			{Name: "route", Share: 0.3, Openings: 120, Tokens: 800, Skew: 0.8, Tail: 50, Pieces: 5},
-			{Name: "booking", Share: 0.3, Openings: 40, Tokens: 180, Skew: 0.9, Session: 400, Sessions: 120, Tail: 40, Pieces: 10}}}
+		site.Traffic = loadgen.Traffic{Site: name, Model: "gisa", App: "jeonpyo", Rate: 30, WaitMs: 8000, OnceShare: 0.4, DuplicateShare: 0.2, AppShare: 0.05, Kinds: []loadgen.Kind{
+			{Name: "ruling", Share: 0.4, Prefixes: 40, PrefixTokens: 2600, Skew: 1.1, QuestionTokens: 30, Chunks: 4},
+			{Name: "route", Share: 0.3, Prefixes: 120, PrefixTokens: 800, Skew: 0.8, QuestionTokens: 50, Chunks: 5},
+			{Name: "booking", Share: 0.3, Prefixes: 40, PrefixTokens: 180, Skew: 0.9, SessionTokens: 400, Sessions: 120, QuestionTokens: 40, Chunks: 10}}}
 	default:
 		return nil, errs.New(errs.BadInput, "site %q: give one of %v", name, Sites())
 	}
@@ -84,12 +84,12 @@
 		Routes:   map[string]serviceconfig.Route{model: {Service: model + "-main"}, app: {Service: app + "-main"}}}
 	site.Traffic.Rate *= float64(times)
 	for i := range 8 {
-		tenant := loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", name, i+1), Weight: 1, Walled: i == 7}
+		tenant := loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", name, i+1), Weight: 1, Isolated: i == 7}
 		if i < 2 {
 			tenant.Weight = 5
 		}
 		site.Traffic.Tenants = append(site.Traffic.Tenants, tenant)
-		site.Config.Tenants[tenant.Name] = serviceconfig.Tenant{Keys: []string{tenant.Key}, Isolated: tenant.Walled}
+		site.Config.Tenants[tenant.Name] = serviceconfig.Tenant{Keys: []string{tenant.Key}, Isolated: tenant.Isolated}
 	}
 	address := func(zone, m int) string { return fmt.Sprintf("127.%d.%d.%d", net, zone, m) }
 	withPort := func(addr string, process int) string { return fmt.Sprintf("%s:%d", addr, process) }
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -18,7 +18,7 @@
 // Example: fmt.Println(testbed.Line(rep))
 func Line(r *Report) string {
 	return fmt.Sprintf("%-16s %-7s seed %d: sealed %d of %d, during %.3f, after healing %.3f, hit share %.2f %.2f %.2f, extra runs %d, denied %v, broken %d, faults %d",
-		r.Scenario, r.Site, r.Seed, r.Sum.Sealed, r.Sum.Requests, r.SealedDuring, r.SealedAfterRecovery, r.HitShares[0], r.HitShares[1], r.HitShares[2], r.ExtraRuns, r.Sum.Denied, r.Sum.Broken, len(r.Faults))
+		r.Scenario, r.Site, r.Seed, r.Sum.Sealed, r.Sum.Requests, r.SealedDuring, r.SealedAfterRecovery, r.HitShares[0], r.HitShares[1], r.HitShares[2], r.ExtraRuns, r.Sum.Rejected, r.Sum.Interrupted, len(r.Faults))
 }
 
 var linePattern = regexp.MustCompile(`(\S+) +(paramo|daegu) +seed \d+: sealed (\d+) of (\d+), during ([\d.]+), after (?:healing )?([\d.]+),.* extra runs (\d+), denied map\[[^]]*\](?:, broken \d+, faults (\d+))?`)
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -64,9 +64,9 @@
 				t.Errorf("faults: %v", sum.Faults)
 			}
 			if sum.Sealed < sum.Requests*8/10 {
-				t.Errorf("%d of %d sealed; denied: %v", sum.Sealed, sum.Requests, sum.Denied)
+				t.Errorf("%d of %d sealed; denied: %v", sum.Sealed, sum.Requests, sum.Rejected)
 			}
-			if sum.Hit == 0 {
+			if sum.CachedTokens == 0 {
 				t.Error("no kept prefix was ever used again")
 			}
 		})
@@ -119,7 +119,7 @@
 // The table of many runs is drawn from their lines, and loses neither a run nor a fault.
 func TestTally(t *testing.T) {
 	r := &Report{Scenario: "mix-3", Site: "daegu", Seed: 3, SealedDuring: 0.9, SealedAfterRecovery: 1}
-	r.Sum.Sealed, r.Sum.Requests, r.Sum.Denied = 8, 10, map[string]int{"not-run": 2}
+	r.Sum.Sealed, r.Sum.Requests, r.Sum.Rejected = 8, 10, map[string]int{"not-run": 2}
 	bad := *r
 	bad.Scenario, bad.Faults, bad.ExtraRuns = "mix-4", []string{"one", "two"}, 3
 	var out strings.Builder
@@ -135,7 +135,7 @@
 // no fault.
 func TestTwoCommandersAreSeen(t *testing.T) {
 	o := func(at int64, fence uint64, holder string) workersim.Run {
-		return workersim.Run{AtMs: at, Fence: fence, Holder: holder}
+		return workersim.Run{AtMs: at, FencingToken: fence, Holder: holder}
 	}
 	for name, x := range map[string]struct {
 		orders map[string][]workersim.Run
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -11,7 +11,7 @@
 
 // RunResult is what a run of a site has shown.
 type RunResult struct {
-	loadgen.Sum
+	loadgen.Summary
 	Usage map[string]ResourceUsage `json:"usage"`
 }
 
--- /dev/null
+++ b/internal/sim/workersim/worker.go
@@ -0,0 +1,326 @@
+package workersim
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/errs"
+)
+
+// Speed is how fast a stand-in works.
+type Speed struct {
+	FixedUs                  float64 // a prefill's fixed cost
+	TokenUs                  float64 // a token
+	SquareUs                 float64 // a token squared
+	ChunkUs                  float64 // a decoded piece
+	LinkTokensPerSecond      float64 // tokens a second from another worker or the store
+	CrossZoneTokensPerSecond float64 // the same from another district
+}
+
+// Prefill is how long so many tokens take.
+//
+// Example: sp.Prefill(4000)
+func (s Speed) Prefill(tokens int) time.Duration {
+	n := float64(tokens)
+	return time.Duration((s.FixedUs + s.TokenUs*n + s.SquareUs*n*n) * 1000)
+}
+
+// Run is one line of a worker's journal of what it ran.
+type Run struct {
+	RequestID       string `json:"request_id"`
+	Once            bool   `json:"once"`
+	Weights         uint64 `json:"weights"`
+	AtMs            int64  `json:"at_ms"`
+	Ended           string `json:"ended"` // "", sealed, broken
+	CachedTokens    int    `json:"hit"`
+	FetchedTokens   int    `json:"fetched"`
+	PrefilledTokens int    `json:"prefilled"`
+	Model           string `json:"model,omitempty"`
+	Adapter         string `json:"adapter,omitempty"`
+	Build           uint64 `json:"build,omitempty"`
+	FencingToken    uint64 `json:"fence,omitempty"` // of an order that was obeyed; a line of its own
+	Kind            string `json:"kind,omitempty"`  // of the order
+	Holder          string `json:"holder,omitempty"`
+}
+
+const (
+	maxRuns = 100000
+	maxBody = 4 << 20
+)
+
+// Worker is one worker.
+type Worker struct {
+	process       *daemon.Process
+	incarnation   string
+	cache         *Cache
+	speed         Speed
+	slots         chan struct{}
+	prefill       chan struct{}
+	waiting       int
+	queueCapacity int
+	mu            sync.Mutex
+	model         string // the base that requests without another name get
+	weights       uint64
+	memory
+	fencingToken     uint64
+	draining         bool
+	runs             []*Run
+	random           *rand.Rand
+	dropReportRatio  float64
+	withholdsReports bool
+	reportDelay      time.Duration // how long after reports are shown
+	plantedFault     string        // a planted fault, see lies.go
+	client           *http.Client
+	journalFile      io.Writer // the journal, where one is named: it outlives a kill
+}
+
+func numberOption(process *daemon.Process, key string, or float64) float64 {
+	v, err := strconv.ParseFloat(process.Settings.Option(key, ""), 64)
+	if err != nil {
+		return or
+	}
+	return v
+}
+
+// Start runs a worker.
+//
+// Example: daemon.Main(programs.WorkerSim, "a simulated worker", need, workersim.Start)
+func Start(process *daemon.Process) error {
+	worker, err := openWorker(process)
+	if err != nil {
+		return err
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/state", worker.serveState)
+	mux.HandleFunc("POST /v1/start", worker.serveStart)
+	mux.HandleFunc("GET /v1/kept", worker.serveCacheReports)
+	mux.HandleFunc("POST /v1/order", worker.serveOrder)
+	mux.HandleFunc("GET /v1/runs", worker.serveRuns)
+	mux.HandleFunc("GET /kv/{key}", worker.serveCachedPrefix)
+	mux.HandleFunc("PUT /kv/{key}", worker.storeCachedPrefix)
+	process.Every(time.Duration(numberOption(process, "report_ms", 500))*time.Millisecond, func() {
+		worker.mu.Lock()
+		drop := worker.random.Float64() < worker.dropReportRatio
+		worker.mu.Unlock()
+		worker.cache.CloseReport(drop, process.Clock.Now())
+	})
+	process.Go(func() { <-process.Draining; worker.mu.Lock(); worker.draining = true; worker.mu.Unlock() })
+	if err := process.Serve(process.Settings.Public, mux); err != nil {
+		return err
+	}
+	process.Ready.Store(true)
+	return nil
+}
+
+func openWorker(process *daemon.Process) (*Worker, error) {
+	seed := fnv64(process.Settings.Name)
+	worker := &Worker{process: process, incarnation: fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano()), cache: NewCache(int(numberOption(process, "kv", 40000))),
+		speed: Speed{numberOption(process, "fixed_us", 2000), numberOption(process, "token_us", 40), numberOption(process, "square_us", 0.004), numberOption(process, "piece_us", 3000),
+			numberOption(process, "link", 100000), numberOption(process, "far", 60000)},
+		slots: make(chan struct{}, int(numberOption(process, "slots", 4))), prefill: make(chan struct{}, 1), queueCapacity: int(numberOption(process, "room", 12)),
+		model: process.Settings.Option("model", ""), weights: uint64(numberOption(process, "weights", 1)), dropReportRatio: numberOption(process, "drop", 0), withholdsReports: process.Settings.Option("mute", "") == "yes", reportDelay: time.Duration(numberOption(process, "late_ms", 0)) * time.Millisecond, plantedFault: process.Settings.Option("lie", ""),
+		random: rand.New(rand.NewPCG(seed, 7)), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
+			DialContext: process.Dial}}}
+	process.OnStop(worker.client.CloseIdleConnections)
+	if err := worker.loadInitialModels(); err != nil {
+		return nil, err
+	}
+	if file := process.Settings.Option("journal", ""); file != "" {
+		var err error
+		if worker.journalFile, err = process.Journal(file); err != nil {
+			return nil, errs.WrapAs(err, errs.BadInput, "open journal")
+		}
+	}
+	return worker, nil
+}
+
+func fnv64(s string) uint64 {
+	var x uint64 = 1469598103934665603
+	for _, b := range []byte(s) {
+		x = (x ^ uint64(b)) * 1099511628211
+	}
+	return x
+}
+
+func (w *Worker) workerState() contract.WorkerState {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	used, room := w.cache.Used()
+	return contract.WorkerState{Name: w.process.Settings.Name, Incarnation: w.incarnation, Service: w.process.Settings.Option("service", ""),
+		Loaded: w.loadedModels(), Loading: w.loading, WeightMemoryMB: w.totalMB, FreeWeightMemoryMB: w.freeMemoryMB(), Model: w.model, Zone: w.process.Settings.Zone, Weights: w.weights, Slots: cap(w.slots),
+		Busy: len(w.slots), Queued: w.waiting, Draining: w.draining, FencingToken: w.fencingToken, ClockUs: w.process.Clock.Now().Microseconds(), KVTokens: used, KVCapacity: room}
+}
+
+func (w *Worker) serveState(rw http.ResponseWriter, _ *http.Request) {
+	contract.WriteJSON(rw, 200, w.workerState())
+}
+
+func (w *Worker) serveCacheReports(rw http.ResponseWriter, r *http.Request) {
+	if w.withholdsReports {
+		contract.WriteJSON(rw, 503, map[string]string{"error": "no reports today"})
+		return
+	}
+	until := w.process.Clock.Now() - w.reportDelay
+	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
+	if err != nil {
+		after = 0
+	}
+	reports := w.cache.Reports(after, r.URL.Query().Get("whole") == "true", until)
+	reports.Incarnation = w.incarnation
+	contract.WriteJSON(rw, 200, reports)
+}
+
+func (w *Worker) serveRuns(rw http.ResponseWriter, _ *http.Request) {
+	w.mu.Lock()
+	runs := make([]Run, 0, len(w.runs))
+	for _, run := range w.runs {
+		runs = append(runs, *run)
+	}
+	w.mu.Unlock()
+	contract.WriteJSON(rw, 200, runs)
+}
+
+// serveOrder obeys the latest fence alone.
+func (w *Worker) serveOrder(rw http.ResponseWriter, r *http.Request) {
+	var order contract.Order
+	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&order); err != nil {
+		contract.WriteJSON(rw, 400, contract.Rejection{NotExecuted: true, Reason: "bad"})
+		return
+	}
+	w.mu.Lock()
+	if order.FencingToken < w.fencingToken {
+		newest := w.fencingToken
+		w.mu.Unlock()
+		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: "fence", FencingToken: newest})
+		return
+	}
+	w.fencingToken = order.FencingToken
+	if reason := w.rejectStale(&order); reason != "" {
+		w.mu.Unlock()
+		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
+		return
+	}
+	_ = w.writeJournal(&Run{Weights: order.Weights, AtMs: w.process.WallClock().UnixMilli(), FencingToken: order.FencingToken, Holder: order.Holder, Kind: order.Kind, Model: order.Model, Adapter: order.Adapter, Build: order.Build}) // logged there; the order is obeyed all the same
+	if reason := w.executeOrder(&order); reason != "" {
+		w.mu.Unlock()
+		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
+		return
+	}
+	if order.Kind == "weights" && (order.Model == "" || order.Model == w.model) && order.Weights > w.weights && w.plantedFault != "deaf" {
+		w.weights = order.Weights
+		w.cache.Clear()
+		w.process.Log.Info("weights loaded", "weights", order.Weights)
+	}
+	w.mu.Unlock()
+	contract.WriteJSON(rw, 200, w.workerState())
+}
+
+func (w *Worker) serveCachedPrefix(rw http.ResponseWriter, r *http.Request) {
+	n, ok := w.cache.Lookup(r.PathValue("key"))
+	if !ok {
+		contract.WriteJSON(rw, 404, map[string]string{"error": "not held"})
+		return
+	}
+	contract.WriteJSON(rw, 200, contract.CachedPrefix{Key: r.PathValue("key"), Tokens: n})
+}
+
+func (w *Worker) storeCachedPrefix(rw http.ResponseWriter, r *http.Request) {
+	var entry contract.CachedPrefix
+	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&entry); err != nil || entry.Key != r.PathValue("key") || entry.Tokens <= 0 {
+		contract.WriteJSON(rw, 400, map[string]string{"error": "give k and n"})
+		return
+	}
+	w.cache.Store(entry.Key, entry.Tokens)
+	contract.WriteJSON(rw, 200, entry)
+}
+
+// serveStart is one go, from refusal to seal.
+func (w *Worker) serveStart(rw http.ResponseWriter, r *http.Request) {
+	var request contract.StartRequest
+	reject := func(code int, reason string) {
+		contract.WriteJSON(rw, code, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: reason})
+	}
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&request); err != nil || len(request.Parts) == 0 || request.RequestID == "" {
+		reject(400, "bad")
+		return
+	}
+	w.mu.Lock()
+	switch {
+	case w.draining:
+		w.mu.Unlock()
+		reject(409, "draining")
+		return
+	case w.missing(&request) != "":
+		reason := w.missing(&request)
+		w.mu.Unlock()
+		reject(409, reason)
+		return
+	case w.waiting >= w.queueCapacity:
+		w.mu.Unlock()
+		reject(409, "full")
+		return
+	}
+	w.waiting++
+	w.busy[request.Model]++
+	w.mu.Unlock()
+	defer func() { w.mu.Lock(); w.busy[request.Model]--; w.mu.Unlock() }()
+	remaining := time.Duration(request.WaitMs) * time.Millisecond
+	if request.BeginByUs > 0 {
+		remaining = min(remaining, time.Duration(request.BeginByUs)*time.Microsecond-w.process.Clock.Now())
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), remaining)
+	acquired := w.acquire(ctx, w.slots)
+	w.mu.Lock()
+	w.waiting--
+	w.mu.Unlock()
+	if acquired {
+		defer func() { <-w.slots }()
+		acquired = w.run(ctx, rw, r, &request, reject)
+	}
+	if cancel(); !acquired {
+		reject(409, "full")
+	}
+}
+
+// writeJournal adds a line to the journal, where there is one.
+func (w *Worker) writeJournal(run *Run) error {
+	if w.journalFile == nil {
+		return nil
+	}
+	err := json.NewEncoder(w.journalFile).Encode(run)
+	if err != nil {
+		w.process.Log.Error("journal", "error", err)
+	}
+	return err
+}
+
+// beginRun writes down that a request starts now, right before its prefill, or says why it may
+// not: all that it depends on is looked at once more.
+func (w *Worker) beginRun(request *contract.StartRequest) (*Run, string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if reason := w.missing(request); reason != "" {
+		return nil, reason
+	}
+	if reason := request.Refusal(w.incarnation, w.process.Clock.Now()); reason != "" {
+		return nil, reason
+	}
+	run := &Run{RequestID: request.RequestID, Once: request.Once, Model: request.Model, Adapter: request.Adapter, Build: request.Build, Weights: request.Weights, AtMs: w.process.WallClock().UnixMilli()}
+	if w.writeJournal(run) != nil {
+		return nil, "full" // what can't be written down isn't begun
+	}
+	w.plantSecondRun(run)
+	if w.runs = append(w.runs, run); len(w.runs) > maxRuns {
+		w.runs = w.runs[1:]
+	}
+	return run, ""
+}
