--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -42,14 +42,14 @@
 		}
 		w.Header().Set("Content-Type", "application/x-ndjson")
 		enc, seal := json.NewEncoder(w), contract.NewSeal(request.RequestID, process.Settings.Name)
-		for n := range request.Pieces {
+		for n := range request.Chunks {
 			t := contract.SyntheticText(request.RequestID, request.Weights, n)
 			seal.Add(n, t)
-			if enc.Encode(contract.Chunk{R: request.RequestID, N: n, T: t}) != nil {
+			if enc.Encode(contract.Chunk{RequestID: request.RequestID, Number: n, Text: t}) != nil {
 				return
 			}
 		}
-		_ = enc.Encode(contract.Chunk{R: request.RequestID, N: request.Pieces, Seal: seal.Close(), Worker: process.Settings.Name, Weights: request.Weights})
+		_ = enc.Encode(contract.Chunk{RequestID: request.RequestID, Number: request.Chunks, Seal: seal.Close(), Worker: process.Settings.Name, Weights: request.Weights})
 	})
 	if err := process.Serve(process.Settings.Public, mux); err != nil {
 		return err
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -76,7 +76,7 @@
 			}
 			var chunk contract.Chunk
 			if json.Unmarshal(raw, &chunk) == nil && chunk.Seal == "" {
-				texts = append(texts, chunk.T)
+				texts = append(texts, chunk.Text)
 			}
 			continue
 		}
@@ -221,7 +221,7 @@
 		switch {
 		case outcome.Sealed:
 			summary.Sealed++
-			summary.CachedTokens, summary.FetchedTokens, summary.PrefilledTokens = summary.CachedTokens+outcome.Final.Hit, summary.FetchedTokens+outcome.Final.Fetched, summary.PrefilledTokens+outcome.Final.Prefilled
+			summary.CachedTokens, summary.FetchedTokens, summary.PrefilledTokens = summary.CachedTokens+outcome.Final.CachedTokens, summary.FetchedTokens+outcome.Final.FetchedTokens, summary.PrefilledTokens+outcome.Final.PrefilledTokens
 			took = append(took, outcome.TookMs)
 			if !outcome.Request.App {
 				first = append(first, outcome.FirstChunkMs)
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -62,8 +62,8 @@
 type hitCounter struct{ hit, all int }
 
 func (t *hitCounter) add(o loadgen.Outcome) {
-	t.hit += o.Final.Hit
-	t.all += o.Final.Hit + o.Final.Fetched + o.Final.Prefilled
+	t.hit += o.Final.CachedTokens
+	t.all += o.Final.CachedTokens + o.Final.FetchedTokens + o.Final.PrefilledTokens
 }
 
 func (t *hitCounter) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -18,17 +18,17 @@
 // prefilled, the pieces are streamed, the seal closes them. False: its wait was over.
 func (w *Worker) run(wait context.Context, rw http.ResponseWriter, r *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
 	if w.plantedFault == "walls" {
-		request.Domain = "shared"
+		request.CacheDomain = "shared"
 	}
-	entries := prefix.Chain(request.Domain, prefix.QualifiedModel(request.Model, request.Adapter, request.Build), request.Weights, request.Parts)
-	final := contract.Chunk{R: request.RequestID, Worker: w.process.Settings.Name, Weights: request.Weights, Model: request.Model, Adapter: request.Adapter, Build: request.Build}
+	entries := prefix.Chain(request.CacheDomain, prefix.QualifiedModel(request.Model, request.Adapter, request.Build), request.Weights, request.Parts)
+	final := contract.Chunk{RequestID: request.RequestID, Worker: w.process.Settings.Name, Weights: request.Weights, Model: request.Model, Adapter: request.Adapter, Build: request.Build}
 	hints := contract.ParseFetchFrom(r.Header.Get(contract.FetchFrom))
 	i, startedAt := 0, time.Now()
 	for ; i < len(entries); i++ {
 		if index, ok := w.cache.Lookup(entries[i].Key.String()); ok {
-			final.Hit += index
+			final.CachedTokens += index
 		} else if addr := hints[i]; addr != "" && w.fetch(r, addr, entries[i].Key.String()) {
-			final.Fetched += entries[i].Tokens
+			final.FetchedTokens += entries[i].Tokens
 			final.FetchAddr = addr
 			final.FetchUs += time.Since(startedAt).Microseconds()
 		} else {
@@ -37,16 +37,16 @@
 		startedAt = time.Now()
 	}
 	for _, entry := range entries[i:] {
-		final.Prefilled += entry.Tokens
+		final.PrefilledTokens += entry.Tokens
 	}
-	if final.Prefilled > 0 && !w.acquire(wait, w.prefill) {
+	if final.PrefilledTokens > 0 && !w.acquire(wait, w.prefill) {
 		return false
 	}
 	run, reason := w.beginRun(request)
-	if final.Prefilled > 0 {
+	if final.PrefilledTokens > 0 {
 		startedAt = time.Now()
 		if run != nil {
-			w.sleep(r, w.speed.Prefill(final.Prefilled))
+			w.sleep(r, w.speed.Prefill(final.PrefilledTokens))
 		}
 		final.PrefillUs = time.Since(startedAt).Microseconds()
 		<-w.prefill
@@ -64,7 +64,7 @@
 	}
 	w.mu.Lock()
 	current := w.missing(request) == "" // KV made under other weights than the cache's isn't kept
-	run.CachedTokens, run.FetchedTokens, run.PrefilledTokens = final.Hit, final.Fetched, final.Prefilled
+	run.CachedTokens, run.FetchedTokens, run.PrefilledTokens = final.CachedTokens, final.FetchedTokens, final.PrefilledTokens
 	if current {
 		for _, entry := range entries {
 			w.cache.Store(entry.Key.String(), entry.Tokens)
@@ -77,16 +77,16 @@
 	rw.WriteHeader(200)
 	seal, key := contract.NewSeal(request.RequestID, w.process.Settings.Name), entries[len(entries)-1].Key.String()
 	enc := json.NewEncoder(rw)
-	for index := range request.Pieces {
+	for index := range request.Chunks {
 		w.sleep(r, time.Duration(w.speed.ChunkUs)*time.Microsecond)
 		text := contract.SyntheticText(key, request.Weights, index)
 		seal.Add(index, text)
-		if r.Context().Err() != nil || enc.Encode(contract.Chunk{R: request.RequestID, N: index, T: text}) != nil {
+		if r.Context().Err() != nil || enc.Encode(contract.Chunk{RequestID: request.RequestID, Number: index, Text: text}) != nil {
 			return true
 		}
 		http.NewResponseController(rw).Flush()
 	}
-	final.N, final.Seal = request.Pieces, seal.Close()
+	final.Number, final.Seal = request.Chunks, seal.Close()
 	if enc.Encode(final) == nil {
 		ended = "sealed"
 	}
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -314,7 +314,7 @@
 	if reason := request.Refusal(w.incarnation, w.process.Clock.Now()); reason != "" {
 		return nil, reason
 	}
-	run := &Run{RequestID: request.RequestID, Once: request.Once, Model: request.Model, Adapter: request.Adapter, Build: request.Build, Weights: request.Weights, AtMs: w.process.WallClock().UnixMilli()}
+	run := &Run{RequestID: request.RequestID, Once: request.AtMostOnce, Model: request.Model, Adapter: request.Adapter, Build: request.Build, Weights: request.Weights, AtMs: w.process.WallClock().UnixMilli()}
 	if w.writeJournal(run) != nil {
 		return nil, "full" // what can't be written down isn't begun
 	}
