--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l = append(l, map[string]string{"name": r.Name, "service": r.Service, "state": r.State, "phase": r.Phase, "held": fmt.Sprint(r.NeedsOperator())})
+		l = append(l, map[string]string{"name": r.Name, "service": r.Service, "state": string(r.State), "phase": string(r.Phase), "held": fmt.Sprint(r.NeedsOperator())})
 	}
 	return l, nil
 }
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math"
 	"slices"
 	"time"
 
@@ -18,9 +17,7 @@
 	placementPollRatio = 0.25 // of the heal bound: between two placement computations
 	recomputeRatio     = 1.0  // of the heal bound: between two full computations
 
-	hotEntriesLimit      = 1000 // entries requested from an index node
-	floorToleranceRatio  = 0.25 // of the admission floor: a smaller change isn't published
-	floorToleranceOffset = 0.05 // added to that tolerance, in units of hotness
+	hotEntriesLimit = 1000 // entries requested from an index node
 )
 
 // linkSpan is how long the engine's own link counts as measured: long enough to outweigh the initial
@@ -88,17 +85,10 @@
 	}
 	p.recomputedAt = now
 	next := placementcontroller.Compute(placementInputs(service, hot, workers), old)
-	if old == nil {
-		return next, true
+	if old != nil {
+		next.Cordoned = old.Cordoned
 	}
-	next.Cordoned = old.Cordoned
-	return next, needsPublishing(old, next)
-}
-
-// needsPublishing reports whether the difference is worth a new version of the document.
-func needsPublishing(old, next *placement.Placement) bool {
-	return !slices.Equal(next.Replicated, old.Replicated) || !slices.Equal(next.Workers, old.Workers) || next.Mode != old.Mode ||
-		math.Abs(next.AdmissionFloor-old.AdmissionFloor) > floorToleranceRatio*old.AdmissionFloor+floorToleranceOffset
+	return next, placement.Changed(old, next)
 }
 
 // placementInputs are the inputs of the placement. The bandwidth is that of the engine's own link, which
--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -24,7 +24,7 @@
 		}
 		replica.state.documents[key] = &wire.Document{Key: key, Body: body, Version: 1}
 	}
-	ret := func(name, state string) *retire.Retirement {
+	ret := func(name string, state retire.State) *retire.Retirement {
 		return &retire.Retirement{Name: name, Service: "s", OldBase: "a", NewBase: "b", State: state}
 	}
 	try := func(retirement *retire.Retirement) error {
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, "write retirement")
 	}
-	return &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome, Note: operator.NewOptString(r.State)}, nil
+	return &operator.Changed{Epoch: int64(t.Version), Outcome: t.Outcome, Note: operator.NewOptString(string(r.State))}, nil
 }
 
 // AskRetirement starts, pauses, resumes or aborts a retirement; repeating it changes nothing. The
@@ -129,7 +129,7 @@
 			return nil, err
 		}
 		if r.State == was {
-			return &operator.Changed{Epoch: int64(t.Documents[0].Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(r.State)}, nil
+			return &operator.Changed{Epoch: int64(t.Documents[0].Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(string(r.State))}, nil
 		}
 		if was == retire.StatePlanned && r.State == retire.StateRunning {
 			if err := s.checkAgainstConfig(ctx, r); err != nil {
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -1,167 +1,112 @@
 package placementcontroller
 
 import (
-	"context"
-	"slices"
 	"sync"
-	"time"
 
 	"pebbleloom/internal/control/calendar"
-	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/wire"
 )
 
-// collectUsage is what all proxies together have seen recently.
-type usage struct {
-	links             []*wire.LinkThroughput
-	succeeded, failed map[string]float64 // by worker
-}
-
-// queryRole calls all nodes of a role at once with a short timeout, and passes their responses on one
-// by one. A node that doesn't answer is left out and delays no other.
-func queryRole[T any](c *Controller, role string, ask func(ctx context.Context, addr string) (T, error), take func(T)) {
-	ctx, end := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(1.0/48))
-	defer end()
-	ns := c.members.View().WithRole(role)
-	got := make(chan T, len(ns))
-	var wg sync.WaitGroup
-	room := make(chan struct{}, 16)
-	for _, n := range ns {
-		wg.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			if t, err := ask(ctx, n.Addr); err == nil {
-				got <- t
-			}
-		})
-	}
-	wg.Wait()
-	close(got)
-	for t := range got {
-		take(t)
-	}
-}
-
-// collectUsage adds up what the node agents report of their proxies.
-func (c *Controller) collectUsage() usage {
-	all := usage{succeeded: map[string]float64{}, failed: map[string]float64{}}
-	sum := map[string]*wire.LinkThroughput{}
-	queryRole(c, clustermembership.RoleNodeAgent, func(ctx context.Context, addr string) (*wire.FeedResponse, error) {
-		return c.clients.NodeAgent(addr).Feed(ctx, &wire.FeedRequest{})
-	}, func(t *wire.FeedResponse) {
-		for _, l := range t.Links {
-			s := sum[l.Class]
-			if s == nil {
-				s = &wire.LinkThroughput{Class: l.Class}
-				sum[l.Class] = s
-				all.links = append(all.links, s)
-			}
-			s.Tokens, s.ElapsedNs = s.Tokens+l.Tokens, s.ElapsedNs+l.ElapsedNs
-		}
-		for _, w := range t.Workers {
-			all.succeeded[w.Name] += w.Successes
-			all.failed[w.Name] += w.Failures
-		}
-	})
-	return all
-}
-
-// medianWallClock is the median of the core machines' clocks, if a majority reports: one machine's clock
-// that jumps moves nothing.
-func (c *Controller) medianWallClock() time.Time {
-	var l []int64
-	queryRole(c, clustermembership.RoleControlNode, func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
-		return c.clients.ControlNode(addr).Time(ctx, &wire.TimeRequest{})
-	}, func(t *wire.TimeResponse) { l = append(l, t.WallNs) })
-	return majorityMedian(l, len(c.process.Settings.Core))
-}
-
-func majorityMedian(l []int64, of int) time.Time {
-	if 2*len(l) <= of {
-		return time.Time{}
-	}
-	slices.Sort(l)
-	return time.Unix(0, l[(len(l)-1)/2])
-}
-
 // stepCalendar advances the service's calendar by one step. Entries are read by majority and written
-// under the lease's fence onto the version they were read at, and moves are made onto the service
-// configuration's version: a holder that comes late changes nothing.
-func (c *Controller) stepCalendar(svc *serviceController, s *updatestream.Snapshot, name string) error {
-	shard := controlclient.ShardOf(name)
-	t, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: shard, Key: "calendar/" + name + "/", Prefix: true})
+// under the lease's fencing token onto the version that was read, and moves are made onto the service
+// configuration's version: a past holder can't change anything.
+func (c *Controller) stepCalendar(svc *serviceController, snapshot *updatestream.Snapshot) error {
+	stored, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{
+		Shard:  controlclient.ShardOf(svc.name),
+		Key:    "calendar/" + svc.name + "/",
+		Prefix: true,
+	})
 	if err != nil {
 		return errs.Wrap(err, "read calendar")
 	}
-	var b errs.Batch
-	lately := sync.OnceValue(c.collectUsage) // at most once a step, and only when a move needs it
-	for _, doc := range t.Documents {
-		e, err := calendar.Decode(doc.Body)
-		if b.Add(doc.Key, err); err != nil || !e.Active() || e.State == calendar.StatePaused {
+	var failures errs.Batch
+	recentUsage := sync.OnceValue(c.collectUsage) // at most once a step, and only for an active entry
+	for _, document := range stored.Documents {
+		entry, err := calendar.Decode(document.Body)
+		if failures.Add(document.Key, err); err != nil || !entry.Active() || entry.State == calendar.StatePaused {
 			continue
 		}
-		w := c.observeCalendar(s, name, e, lately)
-		w.EntryVersion = doc.Version
-		next, move, changed := svc.calendarPacer.Next(e, w)
-		if move.Patch != nil {
-			if _, ok := svc.lease.FencingToken(); !ok {
-				return b.Err()
-			}
-			put := &wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: w.ConfigVersion, Token: move.Token}
-			_, err := c.store.Change(c.process.Ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
-			if errs.KindOf(err) == errs.BadInput && err != nil { // an operator must correct it
-				next = e
-				next.State, next.Reason, changed = calendar.StatePaused, "stopped: "+err.Error(), true
-			} else if err != nil {
-				b.Add("move of "+e.Name, err)
-				continue
-			} else {
-				next, changed = calendar.RecordAction(e), true
-			}
+		observation := c.observeCalendar(svc.name, snapshot, entry, recentUsage)
+		observation.EntryVersion = document.Version
+		if !c.stepEntry(svc, document, entry, observation, &failures) {
+			break
 		}
-		if changed {
-			b.Add("write "+e.Name, c.writeCalendarEntry(svc, shard, doc, next))
+	}
+	return failures.Err()
+}
+
+// stepEntry advances one entry of the calendar: it makes the entry's move, if one is due, and writes the
+// entry if it changed. It returns false if the lease is no longer held.
+func (c *Controller) stepEntry(svc *serviceController, document *wire.Document, entry *calendar.Entry, observation calendar.Observation, failures *errs.Batch) bool {
+	next, move, changed := svc.calendarPlanner.Next(entry, observation)
+	if move.Patch != nil {
+		if _, ok := svc.lease.FencingToken(); !ok {
+			return false
+		}
+		err := c.patchConfig(c.process.Ctx, move.Patch, observation.ConfigVersion, move.Token)
+		switch {
+		case err == nil:
+			next = calendar.RecordAction(entry)
+		case errs.KindOf(err) == errs.BadInput: // an operator must correct it
+			next = entry
+			next.State, next.Reason = calendar.StatePaused, "stopped: "+err.Error()
+		default:
+			failures.Add("move of "+entry.Name, err)
+			return true
 		}
+		changed = true
 	}
-	return b.Err()
+	if changed {
+		failures.Add("write "+entry.Name, c.writeCalendarEntry(svc, document, next))
+	}
+	return true
 }
 
-func (c *Controller) writeCalendarEntry(svc *serviceController, shard uint32, doc *wire.Document, e *calendar.Entry) error {
-	fence, ok := svc.lease.FencingToken()
+// writeCalendarEntry writes an entry if the lease is still held.
+func (c *Controller) writeCalendarEntry(svc *serviceController, document *wire.Document, entry *calendar.Entry) error {
+	token, ok := svc.lease.FencingToken()
 	if !ok {
 		return nil
 	}
-	body, err := e.Encode()
+	body, err := entry.Encode()
 	if err != nil {
 		return err
 	}
-	put := &wire.Put{Key: doc.Key, Body: body, IfVersion: doc.Version, Lease: svc.lease.Name, Fence: fence, Holder: c.holder}
-	_, err = c.store.Change(c.process.Ctx, &wire.ChangeRequest{Shard: shard, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
-	if err == nil {
-		c.process.Log.Info("calendar", "entry", e.Name, "service", e.Service, "state", e.State, "step", e.CurrentStep, "why", e.Reason)
+	if _, err := c.writeDocument(svc, token, document.Key, body, document.Version); err != nil {
+		return errs.Wrap(err, "write entry")
 	}
-	return errs.Wrap(err, "write entry")
+	c.process.Log.Info("calendar", "entry", entry.Name, "service", entry.Service, "state", entry.State, "step", entry.CurrentStep, "why", entry.Reason)
+	return nil
 }
 
-func (c *Controller) observeCalendar(s *updatestream.Snapshot, name string, e *calendar.Entry, lately func() usage) calendar.Observation {
-	w := calendar.Observation{Now: c.clock.Now(), ConfigVersion: s.ConfigVersion, Config: s.Config}
-	if e.State == calendar.StatePlanned && e.NotBefore != "" {
-		w.WallTime = c.medianWallClock()
+// observeCalendar gathers what an entry's next step depends on.
+func (c *Controller) observeCalendar(service string, snapshot *updatestream.Snapshot, entry *calendar.Entry, recentUsage func() usage) calendar.Observation {
+	observation := calendar.Observation{Now: c.clock.Now(), ConfigVersion: snapshot.ConfigVersion, Config: snapshot.Config}
+	if entry.State == calendar.StatePlanned && entry.NotBefore != "" {
+		observation.WallTime = c.medianWallClock()
 	}
-	all := lately()
-	for _, x := range s.Workers {
-		if x.Service != name {
-			if e.Kind == calendar.KindHandover && x.Service == e.ToService { // the new service's failures stop it too
-				w.Succeeded, w.Failed = w.Succeeded+all.succeeded[x.Name], w.Failed+all.failed[x.Name]
-			}
+	recent := recentUsage()
+	for _, worker := range snapshot.Workers {
+		// The failures of the service that a handover leads to stop it too.
+		receiving := entry.Kind == calendar.KindHandover && worker.Service == entry.ToService
+		if worker.Service != service && !receiving {
 			continue
 		}
-		w.Workers = append(w.Workers, calendar.Worker{Name: x.Name, Incarnation: x.Incarnation, Weights: x.Weights,
-			AcceptsRequests: x.State == updatestream.WorkerUp, Reachable: x.State < updatestream.WorkerGone, Busy: int(x.Busy)})
-		w.Succeeded, w.Failed = w.Succeeded+all.succeeded[x.Name], w.Failed+all.failed[x.Name]
+		observation.Succeeded += recent.succeeded[worker.Name]
+		observation.Failed += recent.failed[worker.Name]
+		if worker.Service == service {
+			observation.Workers = append(observation.Workers, calendar.Worker{
+				Name:            worker.Name,
+				Incarnation:     worker.Incarnation,
+				Weights:         worker.Weights,
+				AcceptsRequests: worker.State == updatestream.WorkerUp,
+				Reachable:       worker.State < updatestream.WorkerGone,
+				Busy:            int(worker.Busy),
+			})
+		}
 	}
-	return w
+	return observation
 }
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -1,5 +1,3 @@
-// Package placementcontroller decides a service's placement under a lease, and brings named weights
-// to its workers one by one.
 package placementcontroller
 
 import (
@@ -11,138 +9,166 @@
 	"pebbleloom/internal/wire"
 )
 
-// The constants of the placement, as ratios.
+// Hysteresis and limits of the replicated set. A wider hysteresis changes the set less often and follows
+// the accesses less closely.
 const (
-	retainRatio             = 0.7     // an entry leaves the replicated set only below this share of the threshold
-	swapInRatio             = 1.3     // an entry swaps in between recomputations only above this multiple of the coldest
-	replicatedCapacityRatio = 0.5     // of a worker's room the replicated set may take
-	initialBandwidth        = 50000.0 // tokens a second, assumed until fetches were measured
-	initialBandwidthSeconds = 0.02    // weight of that assumption, in seconds of fetching
+	retainRatio             = 0.7 // an entry leaves the set only below this ratio of the threshold
+	swapInRatio             = 1.3 // between full computations an entry swaps in only above this multiple of the coldest
+	replicatedCapacityRatio = 0.5 // of a worker's cache capacity: what the set may use
+	sharedHotness           = 1.5 // an entry this hot had more than one recent request: it is shared
 )
 
+// Prior of the fetch bandwidth, until fetches have been measured.
+const (
+	initialBandwidth        = 50000.0 // tokens per second
+	initialBandwidthSeconds = 0.02    // weight of the prior, in seconds of fetching
+)
+
+// storeLinkClass is the class of links to stores: they aren't links between workers.
+const storeLinkClass = "store"
+
 // Inputs are what a placement is computed from.
 type Inputs struct {
 	Service        string
 	Mode           placement.Mode
-	FetchTolerance float64
-	Workers        []string
-	CapacityTokens int // tokens, of the smallest worker
+	FetchTolerance float64  // the paper's α: the part of the saved prefill time that fetching may take
+	Workers        []string // names, sorted
+	CapacityTokens int      // cache capacity of the smallest worker, in tokens
 	HotEntries     []*wire.HotPrefix
 	Links          []*wire.LinkThroughput
 	PrefillCurve   placement.Curve
 }
 
 // Compute makes a placement: the ratio by the paper's Algorithm 1, the set of the hottest entries,
-// with hysteresis for those that are in it already.
+// with hysteresis for those that are in the old set already. old is nil if there is none.
 //
-// Example: p := placementcontroller.Compute(inputs, old)
-func Compute(f Inputs, old *placement.Placement) *placement.Placement {
-	p := &placement.Placement{Service: f.Service, Mode: f.Mode, Workers: f.Workers, PrefillCurve: f.PrefillCurve, Replicated: []string{}}
-	fs, requests, tokens := frequencies(f.HotEntries)
-	p.Entries = len(fs)
-	p.FetchBandwidth, p.AdmissionFloor = fetchBandwidth(f.Links), admissionFloor(f.HotEntries)
+// Example: next := placementcontroller.Compute(inputs, old)
+func Compute(inputs Inputs, old *placement.Placement) *placement.Placement {
+	next := &placement.Placement{
+		Service:      inputs.Service,
+		Mode:         inputs.Mode,
+		Workers:      inputs.Workers,
+		PrefillCurve: inputs.PrefillCurve,
+		Replicated:   []string{},
+	}
+	entries, requests, sharedTokens := frequencies(inputs.HotEntries)
+	next.Entries = len(entries)
+	next.FetchBandwidth, next.AdmissionFloor = fetchBandwidth(inputs.Links), admissionFloor(inputs.HotEntries)
 	if requests > 0 {
-		p.MeanSharedTokens = tokens / requests
+		next.MeanSharedTokens = sharedTokens / requests
+	}
+	prefillSeconds := inputs.PrefillCurve.At(next.MeanSharedTokens) / 1e6
+	next.RMax = placement.RMax(inputs.FetchTolerance, prefillSeconds, next.FetchBandwidth, next.MeanSharedTokens, len(inputs.Workers))
+	selectReplicated(next, entries, old, int(float64(inputs.CapacityTokens)*replicatedCapacityRatio))
+	if len(entries) > 0 {
+		next.ReplicatedRatio = float64(len(next.Replicated)) / float64(len(entries))
 	}
-	t := f.PrefillCurve.At(p.MeanSharedTokens) / 1e6
-	p.RMax = placement.RMax(f.FetchTolerance, t, p.FetchBandwidth, p.MeanSharedTokens, len(f.Workers))
-	sorted, n := placement.SelectReplicated(fs, p.RMax)
-	if n > 0 {
-		was := map[string]bool{}
-		if old != nil {
-			for _, k := range old.Replicated {
-				was[k] = true
-			}
+	return next
+}
+
+// selectReplicated fills the replicated set with the hottest entries up to a capacity in tokens, and
+// with those of the old set that are still hot enough.
+func selectReplicated(next *placement.Placement, entries []placement.EntryFrequency, old *placement.Placement, capacity int) {
+	sorted, selected := placement.SelectReplicated(entries, next.RMax)
+	if selected == 0 {
+		return
+	}
+	previous := map[string]bool{}
+	if old != nil {
+		for _, key := range old.Replicated {
+			previous[key] = true
 		}
-		edge := sorted[n-1].Frequency
-		room := int(float64(f.CapacityTokens) * replicatedCapacityRatio)
-		var in []placement.EntryFrequency
-		for i, x := range sorted {
-			if i < n || was[x.Key] && x.Frequency >= retainRatio*edge {
-				in = append(in, x)
-			}
+	}
+	threshold := sorted[selected-1].Frequency
+	for i, entry := range sorted {
+		if i >= selected && !(previous[entry.Key] && entry.Frequency >= retainRatio*threshold) {
+			continue
 		}
-		for _, x := range in {
-			if room -= x.Tokens; room < 0 {
-				p.Reason = "cut to the workers' room"
-				break
-			}
-			p.Replicated = append(p.Replicated, x.Key)
+		if capacity -= entry.Tokens; capacity < 0 {
+			next.Reason = "cut to the workers' room"
+			return
 		}
+		next.Replicated = append(next.Replicated, entry.Key)
 	}
-	if len(fs) > 0 {
-		p.ReplicatedRatio = float64(len(p.Replicated)) / float64(len(fs))
-	}
-	return p
 }
 
-// SwapInBurst replaces the coldest entries by bursting ones, between full computations. It reports whether
-// anything changed.
+// SwapInBurst replaces the coldest entries of the replicated set by ones that have become hot, between
+// full computations. It returns the placement and whether anything changed.
 //
-// Example: next, changed := placementcontroller.Swap(old, hot)
+// Example: next, changed := placementcontroller.SwapInBurst(old, hot)
 func SwapInBurst(old *placement.Placement, hot []*wire.HotPrefix) (*placement.Placement, bool) {
-	fs, _, _ := frequencies(hot)
-	at := map[string]placement.EntryFrequency{}
-	for _, x := range fs {
-		at[x.Key] = x
+	entries, _, _ := frequencies(hot)
+	byKey := map[string]placement.EntryFrequency{}
+	for _, entry := range entries {
+		byKey[entry.Key] = entry
 	}
-	in := append([]string(nil), old.Replicated...)
-	sort.SliceStable(in, func(i, j int) bool { return at[in[i]].Frequency > at[in[j]].Frequency })
-	has := map[string]bool{}
-	for _, k := range in {
-		has[k] = true
+	replicated := append([]string(nil), old.Replicated...)
+	sort.SliceStable(replicated, func(i, j int) bool {
+		return byKey[replicated[i]].Frequency > byKey[replicated[j]].Frequency
+	})
+	isReplicated := map[string]bool{}
+	for _, key := range replicated {
+		isReplicated[key] = true
 	}
-	sorted, _ := placement.SelectReplicated(fs, 0)
+	sorted, _ := placement.SelectReplicated(entries, 0)
 	changed := false
-	for _, x := range sorted {
-		if len(in) == 0 || has[x.Key] {
+	for _, entry := range sorted {
+		if len(replicated) == 0 || isReplicated[entry.Key] {
 			continue
 		}
-		last := in[len(in)-1]
-		if x.Frequency <= swapInRatio*at[last].Frequency || x.Tokens > at[last].Tokens && at[last].Tokens > 0 {
+		coldest := byKey[replicated[len(replicated)-1]]
+		if entry.Frequency <= swapInRatio*coldest.Frequency || entry.Tokens > coldest.Tokens && coldest.Tokens > 0 {
 			break
 		}
-		in = append([]string{x.Key}, in[:len(in)-1]...)
-		has[x.Key], has[last], changed = true, false, true
+		isReplicated[entry.Key], isReplicated[replicated[len(replicated)-1]] = true, false
+		replicated = append([]string{entry.Key}, replicated[:len(replicated)-1]...)
+		changed = true
 	}
-	n := *old
-	n.Replicated, n.Reason = in, "burst swapped in"
-	return &n, changed
+	next := *old
+	next.Replicated, next.Reason = replicated, "burst swapped in"
+	return &next, changed
 }
 
-func frequencies(hot []*wire.HotPrefix) (fs []placement.EntryFrequency, requests, tokens float64) {
-	for _, h := range hot {
-		fs = append(fs, placement.EntryFrequency{Key: hex.EncodeToString(h.Key), Frequency: h.Hotness, Tokens: int(h.Tokens)})
-		if h.Head {
-			requests += h.Hotness
+// frequencies converts hot entries. It also returns the hotness of all first entries, which is that of
+// all requests, and the tokens of all shared entries, weighted by hotness.
+func frequencies(hot []*wire.HotPrefix) (entries []placement.EntryFrequency, requests, sharedTokens float64) {
+	for _, prefix := range hot {
+		entries = append(entries, placement.EntryFrequency{
+			Key:       hex.EncodeToString(prefix.Key),
+			Frequency: prefix.Hotness,
+			Tokens:    int(prefix.Tokens),
+		})
+		if prefix.Head {
+			requests += prefix.Hotness
 		}
-		if h.Hotness >= 1.5 { // more than one recent request: shared
-			tokens += h.Hotness * float64(h.Tokens)
+		if prefix.Hotness >= sharedHotness {
+			sharedTokens += prefix.Hotness * float64(prefix.Tokens)
 		}
 	}
-	return fs, requests, tokens
+	return entries, requests, sharedTokens
 }
 
 // admissionFloor is the hotness of the coldest cached entry that no prompt begins with: a session's
-// prefix has to be hotter to be admitted.
+// prefix has to be hotter to be admitted. Zero if there is none.
 func admissionFloor(hot []*wire.HotPrefix) float64 {
-	least := -1.0
-	for _, h := range hot {
-		if !h.Head && h.Holders > 0 && (least < 0 || h.Hotness < least) {
-			least = h.Hotness
+	coldest := -1.0
+	for _, prefix := range hot {
+		if !prefix.Head && prefix.Holders > 0 && (coldest < 0 || prefix.Hotness < coldest) {
+			coldest = prefix.Hotness
 		}
 	}
-	return max(0, least)
+	return max(0, coldest)
 }
 
-// fetchBandwidth is the measured rate of fetches from other workers, in tokens a second; an initial value
-// until there are any.
-func fetchBandwidth(l []*wire.LinkThroughput) float64 {
-	tok, ns := initialBandwidth*initialBandwidthSeconds, initialBandwidthSeconds*float64(time.Second)
-	for _, x := range l {
-		if x.Class != "store" {
-			tok, ns = tok+x.Tokens, ns+x.ElapsedNs
+// fetchBandwidth is the measured bandwidth of fetches from other workers, in tokens per second; the
+// prior until there are any.
+func fetchBandwidth(links []*wire.LinkThroughput) float64 {
+	tokens, elapsedNs := initialBandwidth*initialBandwidthSeconds, initialBandwidthSeconds*float64(time.Second)
+	for _, link := range links {
+		if link.Class != storeLinkClass {
+			tokens += link.Tokens
+			elapsedNs += link.ElapsedNs
 		}
 	}
-	return tok / ns * float64(time.Second)
+	return tokens / elapsedNs * float64(time.Second)
 }
--- /dev/null
+++ b/internal/control/placementcontroller/orders.go
@@ -0,0 +1,74 @@
+package placementcontroller
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/updatestream"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// rolloutAtOnce is the setting of a service whose workers load new weights all at once.
+const rolloutAtOnce = "at-once"
+
+// loadWeightsOrder is the kind of an order to load other weights of the base model.
+const loadWeightsOrder = "weights"
+
+// stepRollout advances the service's workers to the named weights.
+func (c *Controller) stepRollout(svc *serviceController, snapshot *updatestream.Snapshot, config serviceconfig.Service) error {
+	if svc.placement == nil {
+		return nil // the stored placement isn't read yet
+	}
+	workers := slices.DeleteFunc(languageModelWorkers(snapshot, svc.name), func(worker *wire.Worker) bool {
+		return worker.Model != config.Model && worker.Model != "" // it has another base model
+	})
+	history := snapshot.WeightsAt[config.Model]
+	now := c.clock.Now()
+	since := func(weights uint64) time.Duration {
+		_, superseded, _ := history.SupersededAt(weights)
+		return now - superseded
+	}
+	svc.rollout.AllAtOnce = config.Rollout == rolloutAtOnce
+	due, changed := svc.rollout.Step(workers, history.Version, since, now, c.process.Settings.Bounds)
+	var failures errs.Batch
+	failures.Add("order", c.sendOrders(svc.lease, due, history.Version))
+	if changed {
+		next := *svc.placement
+		next.Cordoned, next.Reason = svc.rollout.Batch, "weights are being rolled out"
+		failures.Add("cordon", c.publishPlacement(svc, &next))
+	}
+	return failures.Err()
+}
+
+// sendOrders orders workers to load weights, all at once: a silent worker delays no other. The lease
+// is checked right before each order is sent, and none stays in flight for longer than from the
+// lease's end on this machine until another may hold it.
+func (c *Controller) sendOrders(lease *controlclient.Lease, workers []*wire.Worker, weights uint64) error {
+	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
+	defer cancel()
+	results := make(chan error, len(workers))
+	for _, worker := range workers {
+		go func() { results <- c.sendOrder(ctx, lease, worker, weights) }()
+	}
+	var failures errs.Batch
+	for range workers {
+		failures.Add("weights", <-results)
+	}
+	return failures.Err()
+}
+
+// sendOrder sends one order, if the lease is still held: else another machine may hold it soon.
+func (c *Controller) sendOrder(ctx context.Context, lease *controlclient.Lease, worker *wire.Worker, weights uint64) error {
+	token, ok := lease.FencingToken()
+	if !ok {
+		return nil
+	}
+	order := contract.Order{FencingToken: token, Holder: lease.Holder, Kind: loadWeightsOrder, Weights: weights}
+	return errs.Wrap(c.backends.Order(ctx, worker.Addr, order), "order "+worker.Name)
+}
--- /dev/null
+++ b/internal/control/placementcontroller/queries.go
@@ -0,0 +1,109 @@
+package placementcontroller
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/data/promptindex"
+	"pebbleloom/internal/wire"
+)
+
+const (
+	maxConcurrentQueries = 16   // calls of one query in flight at once
+	hotEntriesLimit      = 1000 // entries requested from an index node
+)
+
+// usage is what all proxies together have measured recently.
+type usage struct {
+	links             []*wire.LinkThroughput
+	succeeded, failed map[string]float64 // attempts, by worker
+}
+
+// queryRole calls all nodes of a role at once with a short timeout, and passes their responses to handle
+// one by one. A node that doesn't respond is left out and delays no other.
+func queryRole[T any](c *Controller, role string, call func(ctx context.Context, addr string) (T, error), handle func(T)) {
+	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(queryTimeoutRatio))
+	defer cancel()
+	nodes := c.members.View().WithRole(role)
+	responses := make(chan T, len(nodes))
+	semaphore := make(chan struct{}, maxConcurrentQueries)
+	var wg sync.WaitGroup
+	for _, node := range nodes {
+		wg.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			if response, err := call(ctx, node.Addr); err == nil {
+				responses <- response
+			}
+		})
+	}
+	wg.Wait()
+	close(responses)
+	for response := range responses {
+		handle(response)
+	}
+}
+
+// collectUsage adds up what the node agents report of their proxies.
+func (c *Controller) collectUsage() usage {
+	total := usage{succeeded: map[string]float64{}, failed: map[string]float64{}}
+	byClass := map[string]*wire.LinkThroughput{}
+	call := func(ctx context.Context, addr string) (*wire.FeedResponse, error) {
+		return c.clients.NodeAgent(addr).Feed(ctx, &wire.FeedRequest{})
+	}
+	queryRole(c, clustermembership.RoleNodeAgent, call, func(response *wire.FeedResponse) {
+		for _, link := range response.Links {
+			sum := byClass[link.Class]
+			if sum == nil {
+				sum = &wire.LinkThroughput{Class: link.Class}
+				byClass[link.Class] = sum
+				total.links = append(total.links, sum)
+			}
+			sum.Tokens += link.Tokens
+			sum.ElapsedNs += link.ElapsedNs
+		}
+		for _, worker := range response.Workers {
+			total.succeeded[worker.Name] += worker.Successes
+			total.failed[worker.Name] += worker.Failures
+		}
+	})
+	return total
+}
+
+// medianWallClock is the median of the core machines' wall clocks if a majority reports, else the zero
+// time. A single machine's clock that jumps has no effect.
+func (c *Controller) medianWallClock() time.Time {
+	var clocks []int64
+	call := func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
+		return c.clients.ControlNode(addr).Time(ctx, &wire.TimeRequest{})
+	}
+	queryRole(c, clustermembership.RoleControlNode, call, func(response *wire.TimeResponse) {
+		clocks = append(clocks, response.WallNs)
+	})
+	return majorityMedian(clocks, len(c.process.Settings.Core))
+}
+
+// majorityMedian is the median of clock readings in Unix nanoseconds, if more than half of all report.
+func majorityMedian(clocks []int64, all int) time.Time {
+	if 2*len(clocks) <= all {
+		return time.Time{}
+	}
+	slices.Sort(clocks)
+	return time.Unix(0, clocks[(len(clocks)-1)/2])
+}
+
+// hotEntries gathers the hottest entries of all index nodes. Two nodes hold each: the higher count is
+// used.
+func (c *Controller) hotEntries(service string) []*wire.HotPrefix {
+	var all []*wire.HottestResponse
+	call := func(ctx context.Context, addr string) (*wire.HottestResponse, error) {
+		return c.clients.PromptIndex(addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: hotEntriesLimit})
+	}
+	queryRole(c, clustermembership.RolePromptIndex, call, func(response *wire.HottestResponse) {
+		all = append(all, response)
+	})
+	return promptindex.MergeHot(all)
+}
--- /dev/null
+++ b/internal/control/placementcontroller/retirement.go
@@ -0,0 +1,252 @@
+package placementcontroller
+
+import (
+	"context"
+	"sync"
+
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/control/retire"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/data/updatestream"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// repairIntervalRatio is the interval of repairs while nothing is being retired, as a ratio of the heal bound.
+const repairIntervalRatio = 1.0 / 6
+
+// storedRetirements are a service's retirements as they were read.
+type storedRetirements struct {
+	active   *retire.Retirement // that was started and hasn't ended; nil: none
+	document *wire.Document     // of the active one
+	retired  []string           // without an active one: the base models that were retired before
+}
+
+// readRetirements reads the service's retirements.
+func (c *Controller) readRetirements(service string) (storedRetirements, error) {
+	response, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(service), Key: retire.Key(service, ""), Prefix: true})
+	if err != nil {
+		return storedRetirements{}, errs.Wrap(err, "read retirements")
+	}
+	var stored storedRetirements
+	for _, document := range response.Documents {
+		retirement, err := retire.Read(document.Body)
+		if err != nil {
+			return storedRetirements{}, errs.Wrap(err, document.Key)
+		}
+		if retirement.Active() && retirement.State != retire.StatePlanned {
+			return storedRetirements{active: retirement, document: document}, nil
+		}
+		if retirement.State == retire.StateDone {
+			stored.retired = append(stored.retired, retirement.OldBase)
+		}
+	}
+	return stored, nil
+}
+
+// stepRetirement advances the service's retirement by one step, or repairs its workers while there is
+// none.
+func (c *Controller) stepRetirement(svc *serviceController, snapshot *updatestream.Snapshot) error {
+	stored, err := c.readRetirements(svc.name)
+	if err != nil {
+		return err
+	}
+	if stored.active == nil {
+		c.blockedNodes.Delete(svc.name)
+		return c.repairWorkers(svc, snapshot, stored.retired)
+	}
+	c.blockedNodes.Store(svc.name, stored.active.Nodes-stored.active.Ready)
+	if stored.active.State == retire.StatePaused {
+		return nil
+	}
+	return c.advanceRetirement(svc)
+}
+
+// advanceRetirement computes the next step of the active retirement, performs its actions and writes it.
+// The service configuration is read first, then the retirement, then the nodes: whatever a past holder
+// still does meets a later version of one of them.
+func (c *Controller) advanceRetirement(svc *serviceController) error {
+	configs, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
+	if err != nil || len(configs.Documents) == 0 {
+		return errs.Wrap(err, "read service configuration")
+	}
+	config, err := serviceconfig.Decode(configs.Documents[0].Body)
+	if err != nil {
+		return errs.Wrap(err, "service configuration in force")
+	}
+	stored, err := c.readRetirements(svc.name)
+	if err != nil || stored.active == nil {
+		return err
+	}
+	observation, addrs := c.observeRetirement(svc.name, config, stored.document.Version)
+	next, actions, changed := svc.retirementPlanner.Next(stored.active, observation)
+	recorded, err := c.executeActions(svc, next, actions, configs.Documents[0].Version, addrs)
+	var failures errs.Batch
+	failures.Add("act", err)
+	if changed || recorded {
+		failures.Add("write "+stored.active.Name, c.writeRetirement(svc, stored.document, stored.active, next))
+	}
+	return failures.Err()
+}
+
+// observeRetirement gathers what a step of a retirement depends on, and the workers' addresses by name.
+func (c *Controller) observeRetirement(service string, config *serviceconfig.Config, version uint64) (retire.Observation, map[string]string) {
+	observation := retire.Observation{Version: version, Config: config, MaxConfigAge: c.process.Settings.Bounds.Config(1)}
+	var addrs map[string]string
+	observation.Nodes, addrs, observation.WorkersListed = c.observeWorkers(service)
+	observation.Now = c.clock.Now()
+	recent := c.collectUsage()
+	for name := range addrs {
+		observation.Succeeded += recent.succeeded[name]
+		observation.Failed += recent.failed[name]
+	}
+	return observation, addrs
+}
+
+// repairWorkers loads what the service's workers lack of the service configuration while nothing is
+// being retired, and unloads what was retired.
+func (c *Controller) repairWorkers(svc *serviceController, snapshot *updatestream.Snapshot, retired []string) error {
+	now := c.clock.Now()
+	interval := c.process.Settings.Bounds.Heal(repairIntervalRatio)
+	if len(snapshot.Config.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < interval {
+		return nil
+	}
+	svc.repairedAt = now
+	nodes, addrs, listed := c.observeWorkers(svc.name)
+	if !listed {
+		return nil
+	}
+	_, err := c.executeActions(svc, nil, retire.Repair(snapshot.Config, svc.name, nodes, retired), 0, addrs)
+	return err
+}
+
+// observeWorkers asks the platform for the service's workers, and each of them for its state, all at
+// once. It returns their addresses by name as well; listed is false if the platform's list can't be read.
+func (c *Controller) observeWorkers(service string) (nodes []retire.Node, addrs map[string]string, listed bool) {
+	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(queryTimeoutRatio))
+	defer cancel()
+	workers, err := c.backends.List(ctx, c.process.Settings.WorkerList)
+	if err != nil {
+		return nil, nil, false
+	}
+	addrs = map[string]string{}
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	for _, worker := range workers {
+		if worker.Service != service || worker.Kind != languageModelKind {
+			continue
+		}
+		addrs[worker.Name] = worker.Addr
+		wg.Go(func() {
+			node := c.observeWorker(ctx, worker)
+			mu.Lock()
+			defer mu.Unlock()
+			nodes = append(nodes, node)
+		})
+	}
+	wg.Wait()
+	return nodes, addrs, true
+}
+
+// observeWorker asks a worker for its state. One that doesn't respond, or at whose address another one
+// responds, counts as unreachable.
+func (c *Controller) observeWorker(ctx context.Context, worker contract.ListedWorker) retire.Node {
+	state, err := c.backends.State(ctx, worker.Addr)
+	if err != nil || state.Name != worker.Name {
+		return retire.Node{Name: worker.Name}
+	}
+	return retire.Node{
+		Name:        worker.Name,
+		Incarnation: state.Incarnation,
+		Reachable:   true,
+		Draining:    state.Draining || worker.Draining,
+		Loaded:      state.LoadedModels(),
+		Loading:     state.Loading,
+		MemoryMB:    state.WeightMemoryMB,
+		FreeMB:      state.FreeWeightMemoryMB,
+	}
+}
+
+// executeActions performs the actions, all at once, and records in the retirement what was acknowledged;
+// recorded reports whether there was any. The retirement is nil for repairs. The lease is checked right
+// before each action, and none may take longer than an order.
+func (c *Controller) executeActions(svc *serviceController, retirement *retire.Retirement, actions []retire.Action, configVersion uint64, addrs map[string]string) (recorded bool, err error) {
+	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
+	defer cancel()
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	var failures errs.Batch
+	for _, action := range actions {
+		wg.Go(func() {
+			token, ok := svc.lease.FencingToken()
+			if !ok {
+				return // another machine may hold it soon
+			}
+			err := c.executeAction(ctx, svc, token, retirement, action, configVersion, addrs[action.Node])
+			mu.Lock()
+			defer mu.Unlock()
+			if recordAction(svc, retirement, action, err, &failures) {
+				recorded = true
+			}
+		})
+	}
+	wg.Wait()
+	return recorded, failures.Err()
+}
+
+func (c *Controller) executeAction(ctx context.Context, svc *serviceController, token uint64, retirement *retire.Retirement, action retire.Action, configVersion uint64, addr string) error {
+	switch {
+	case action.Patch != nil:
+		return c.patchConfig(ctx, action.Patch, configVersion, "")
+	case action.Order != nil:
+		action.Order.FencingToken, action.Order.Holder = token, svc.lease.Holder
+		return c.backends.Order(ctx, addr, *action.Order)
+	default:
+		return c.proveNode(ctx, retirement, action, addr)
+	}
+}
+
+// recordAction records the result of an action, and reports whether the retirement changed.
+func recordAction(svc *serviceController, retirement *retire.Retirement, action retire.Action, err error, failures *errs.Batch) bool {
+	switch {
+	case err != nil && action.ProofSet != nil:
+		svc.retirementPlanner.RecordFailedProof(action.Node, err.Error())
+	case err != nil:
+		failures.Add("retire "+action.Node, err)
+	case action.Patch != nil:
+		retirement.RecordPatch()
+		return true
+	case action.ProofSet != nil:
+		retirement.RecordProof(action.Node, action.Incarnation, *action.ProofSet)
+		return true
+	case retirement != nil && action.Order.Kind == retire.OrderUnload:
+		retirement.RecordUnload(action.Node, action.Order.Incarnation)
+		return true
+	}
+	return false
+}
+
+// writeRetirement writes a retirement if the lease is still held, and logs its progress.
+func (c *Controller) writeRetirement(svc *serviceController, document *wire.Document, old, next *retire.Retirement) error {
+	token, ok := svc.lease.FencingToken()
+	if !ok {
+		return nil
+	}
+	body, err := next.Write()
+	if err != nil {
+		return err
+	}
+	if _, err := c.writeDocument(svc, token, document.Key, body, document.Version); err != nil {
+		return errs.Wrap(err, "write retirement")
+	}
+	if old.State != next.State || old.Phase != next.Phase || old.TrafficStep != next.TrafficStep {
+		blocker := ""
+		if len(next.Blockers) > 0 {
+			blocker = next.Blockers[0].Node + ": " + next.Blockers[0].Reason
+		}
+		c.process.Log.Info("retirement", "name", next.Name, "service", next.Service, "state", next.State, "phase", next.Phase, "ready", next.Ready, "nodes", next.Nodes, "why", next.Reason, "held_by", blocker)
+	}
+	return nil
+}
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -1,7 +1,7 @@
 package retire
 
 import (
-	"encoding/json"
+	"cmp"
 	"fmt"
 	"maps"
 	"slices"
@@ -11,375 +11,257 @@
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/queue"
 )
 
+// Automatic abort, by the service's recent attempts.
+const (
+	defaultAbortRatio = 0.2 // of attempts that fail, unless the retirement sets another ratio
+	minAttempts       = 20  // fewer attempts are no evidence
+)
+
+// Kinds of the orders to nodes, as they are sent.
+const (
+	OrderLoad   = "load"   // load a base model, or an adapter on it
+	OrderUnload = "unload" // unload a base model with its adapters
+)
+
+// platformBlocker is the name under which the platform blocks a retirement.
+const platformBlocker = "platform"
+
+// noActionPrefix is the prefix of a remedy that needs no operator.
+const noActionPrefix = "nothing to do"
+
+// remedySeeWorkerLog is the remedy for a node that is at work.
+const remedySeeWorkerLog = noActionPrefix + "; if it stays so, see the worker's log"
+
 // Node is the observed state of one worker that the platform lists.
 type Node struct {
 	Name        string
-	Incarnation string
+	Incarnation string // "" if it isn't reachable
 	Reachable   bool
 	Draining    bool
 	Loaded      []contract.LoadedModel
-	Loading     string
-	MemoryMB    int // MB; 0: unknown
-	FreeMB      int
+	Loading     string // what it is loading; "": nothing
+	MemoryMB    int    // for weights; 0: unknown
+	FreeMB      int    // of MemoryMB
 }
 
 // Observation is the input of a step. The service configuration was read by majority before the
 // retirement was, the nodes after it: so whatever this holder does late meets a later version.
 type Observation struct {
-	Now               time.Duration
-	Version           uint64 // of the retirement's document
-	Config            *serviceconfig.Config
-	WorkersListed     bool // the platform's list was read just now
-	Nodes             []Node
-	Succeeded, Failed float64       // recent attempts of the service
-	MaxConfigAge      time.Duration // how long a proxy may use an older configuration
+	Now           time.Duration // reading of the process's clock
+	Version       uint64        // of the retirement's document
+	Config        *serviceconfig.Config
+	WorkersListed bool // the platform's list was read just now
+	Nodes         []Node
+	Succeeded     float64       // recent attempts of the service
+	Failed        float64       // recent attempts of the service
+	MaxConfigAge  time.Duration // how long a proxy may use an older configuration
 }
 
-// Action is one thing to do now; exactly one of Patch, Order and Prove is set.
+// Action is one thing to do now; exactly one of Patch, Order and ProofSet is set.
 type Action struct {
 	Patch       []byte          // a partial service configuration
 	Order       *contract.Order // to the node
-	ProofSet    *WeightSet      // send the node a request under each of these
+	ProofSet    *WeightSet      // send the node a request under each element
 	Node        string
 	Incarnation string // of the node that gets the requests
 }
 
 // Planner advances one retirement. Between calls it remembers only since when conditions hold, by the
-// holder's own clock, and why proofs failed; a new holder starts without both.
+// process's clock, and why proofs failed; a new lease holder starts without both.
 type Planner struct {
-	conditionSince map[string]time.Duration
-	failedProofs   map[string]string
+	conditionSince map[string]time.Duration // by condition
+	failedProofs   map[string]string        // by node: why its last proof failed
 }
 
-// NewPlanner returns a planner without memory.
+// NewPlanner returns a planner that remembers nothing.
 //
-// Example: p := retire.NewPlanner()
-func NewPlanner() *Planner { return &Planner{map[string]time.Duration{}, map[string]string{}} }
+// Example: planner := retire.NewPlanner()
+func NewPlanner() *Planner {
+	return &Planner{conditionSince: map[string]time.Duration{}, failedProofs: map[string]string{}}
+}
+
+// RecordFailedProof remembers why a node's proof failed, for the list of blockers.
+//
+// Example: planner.RecordFailedProof("worker-3", err.Error())
+func (p *Planner) RecordFailedProof(node, reason string) { p.failedProofs[node] = reason }
 
 // Next computes a retirement's next step: the retirement as it is to be written (changed reports
 // whether it differs), and the actions that the written one already allows. Every action is
 // idempotent: a patch states the target, an order names what is to be loaded, a proof is a request. So
 // a holder that dies between any two effects leaves nothing that the next one can't resume.
 //
-// Example: r2, acts, changed := p.Next(r, world)
-func (p *Planner) Next(old *Retirement, w Observation) (r *Retirement, acts []Action, changed bool) {
-	r = old.clone()
-	if r.State != StateRunning && r.State != StateAborting {
-		return r, nil, false
+// Example: next, actions, changed := planner.Next(retirement, observation)
+func (p *Planner) Next(old *Retirement, observed Observation) (next *Retirement, actions []Action, changed bool) {
+	next = old.clone()
+	if next.State != StateRunning && next.State != StateAborting {
+		return next, nil, false
 	}
-	switch {
-	case w.Config == nil || !w.WorkersListed:
-		r.Blockers = []Blocker{{"platform", "its list of workers, or the service configuration, can't be read", "see that the placement controllers' rank address answers, and the core machines", true}}
-		return r, nil, !slices.Equal(old.Blockers, r.Blockers)
-	case len(w.Nodes) == 0:
-		r.Blockers = []Blocker{{r.Service, "the platform lists no worker of it", "see the platform's list", true}}
-		return r, nil, !slices.Equal(old.Blockers, r.Blockers)
+	if blocker, ok := next.missingObservation(observed); ok {
+		next.Blockers = []Blocker{blocker}
+		return next, nil, !slices.Equal(old.Blockers, next.Blockers)
 	}
-	if r.State == StateRunning && r.stopOnFailures(w) {
-		return r, nil, true
+	if next.State == StateRunning && next.stopOnFailures(observed) {
+		return next, nil, true
 	}
-	slices.SortFunc(w.Nodes, func(a, b Node) int { return strings.Compare(a.Name, b.Name) })
-	s := &evaluation{Planner: p, retirement: r, observed: w}
-	s.oldSet, s.newSet = r.oldAndNewSets(w.Config)
-	s.newFingerprint = s.newSet.Fingerprint()
-	s.pruneProofs()
-	if r.State == StateRunning {
-		s.advance()
+	slices.SortFunc(observed.Nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
+	e := newEvaluation(p, next, observed)
+	e.pruneProofs()
+	if next.State == StateRunning {
+		e.advance()
 	} else {
-		s.advanceAbort()
+		e.advanceAbort()
 	}
-	if r.Phase == old.Phase && r.State == old.State {
-		s.recordBlockers()
+	if next.Phase == old.Phase && next.State == old.State {
+		e.recordBlockers()
 	} else {
-		s.actions = nil // the written state no longer allows them
+		e.actions = nil // the written state no longer allows them
 	}
-	return r, s.actions, s.changed || !slices.Equal(old.Blockers, r.Blockers) || old.Ready != r.Ready || old.Nodes != r.Nodes
+	return next, e.actions, e.changed || !slices.Equal(old.Blockers, next.Blockers) || old.Ready != next.Ready || old.Nodes != next.Nodes
 }
 
-// RecordProof records that a node's incarnation has answered under every element of a set.
-//
-// Example: r.RecordProof("worker-3", incarnation, set)
-func (r *Retirement) RecordProof(node, incarnation string, x WeightSet) {
-	n := 1
-	if r.Phase == PhaseBarrier || r.PastBarrier() {
-		n = 2
-	}
-	if r.Proofs == nil {
-		r.Proofs = map[string]Proof{}
-	}
-	r.Proofs[node] = Proof{incarnation, x.Fingerprint(), n}
-}
-
-// RecordFailedProof remembers why a node's proof failed, for the list of blockers.
-//
-// Example: p.RecordFailedProof("worker-3", err.Error())
-func (p *Planner) RecordFailedProof(node, why string) { p.failedProofs[node] = why }
-
-// RecordPatch records that the change of the service configuration was acknowledged.
-//
-// Example: r.RecordPatch()
-func (r *Retirement) RecordPatch() { r.ChangeAcked = true }
-
-// RecordUnload records that a node's incarnation acknowledged the order to unload the new base.
-//
-// Example: r.RecordUnload("worker-3", incarnation)
-func (r *Retirement) RecordUnload(node, incarnation string) {
-	if r.State != StateAborting || r.Phase != PhaseRevertUnload {
-		return
-	}
-	if r.Unloaded == nil {
-		r.Unloaded = map[string]string{}
+// missingObservation returns a blocker if the observation isn't enough to decide on anything.
+func (r *Retirement) missingObservation(observed Observation) (Blocker, bool) {
+	switch {
+	case observed.Config == nil || !observed.WorkersListed:
+		return Blocker{
+			Node:          platformBlocker,
+			Reason:        "its list of workers, or the service configuration, can't be read",
+			Remedy:        "see that the placement controllers' rank address answers, and the core machines",
+			NeedsOperator: true,
+		}, true
+	case len(observed.Nodes) == 0:
+		return Blocker{
+			Node:          r.Service,
+			Reason:        "the platform lists no worker of it",
+			Remedy:        "see the platform's list",
+			NeedsOperator: true,
+		}, true
 	}
-	r.Unloaded[node] = incarnation
+	return Blocker{}, false
 }
 
-// stopOnFailures aborts or pauses a retirement on its own account: a service configuration that no longer
-// fits, or too many failed attempts.
-func (r *Retirement) stopOnFailures(w Observation) bool {
-	at := r.AbortFailureRatio
-	if at == 0 {
-		at = 0.2
+// stopOnFailures aborts or pauses a retirement by itself: on too many failed attempts, or a service
+// configuration that the plan no longer fits. It reports whether it did.
+func (r *Retirement) stopOnFailures(observed Observation) bool {
+	limit := r.AbortFailureRatio
+	if limit == 0 {
+		limit = defaultAbortRatio
 	}
-	if n := w.Succeeded + w.Failed; n >= 20 && w.Failed/n > at {
-		why := fmt.Sprintf("stopped: %.0f of %.0f attempts failed lately: find out why", w.Failed, n)
+	if attempts := observed.Succeeded + observed.Failed; attempts >= minAttempts && observed.Failed/attempts > limit {
+		reason := fmt.Sprintf("stopped: %.0f of %.0f attempts failed lately: find out why", observed.Failed, attempts)
 		if r.PastBarrier() {
-			r.transition(StatePaused, r.Phase, why+", then resume")
+			r.transition(StatePaused, r.Phase, reason+", then resume")
 		} else {
-			r.abort(why + ", then plan it anew")
+			r.abort(reason + ", then plan it anew")
 		}
 		return true
 	}
 	if r.PastBarrier() {
 		return false
 	}
-	var b errs.Batch
-	r.ValidateConfig(w.Config, &b)
-	if err := b.Err(); err != nil {
+	var faults errs.Batch
+	r.ValidateConfig(observed.Config, &faults)
+	if err := faults.Err(); err != nil {
 		r.transition(StatePaused, r.Phase, "stopped: "+err.Error())
 		return true
 	}
 	return false
 }
 
-// evaluation is one evaluation of an active retirement.
+// evaluation is one evaluation of a running or aborting retirement.
 type evaluation struct {
 	*Planner
-	retirement     *Retirement
+	retirement     *Retirement // the next one
 	observed       Observation
 	oldSet, newSet WeightSet
-	newFingerprint string // of the next set
+	newFingerprint string // of newSet
 	actions        []Action
 	blockers       []Blocker
-	changed        bool
+	changed        bool // the retirement differs in more than its blockers
 }
 
-// pruneProofs drops proofs of past incarnations; a node that doesn't answer keeps its own.
-func (s *evaluation) pruneProofs() {
-	incarnations := map[string]string{}
-	for _, n := range s.observed.Nodes {
-		incarnations[n.Name] = n.Incarnation
-		if !n.Reachable {
-			incarnations[n.Name] = s.retirement.Proofs[n.Name].Incarnation
-		}
-	}
-	n := len(s.retirement.Proofs)
-	maps.DeleteFunc(s.retirement.Proofs, func(k string, p Proof) bool { return incarnations[k] != p.Incarnation || p.Set != s.newFingerprint })
-	s.changed = s.changed || n != len(s.retirement.Proofs)
+func newEvaluation(p *Planner, retirement *Retirement, observed Observation) *evaluation {
+	e := &evaluation{Planner: p, retirement: retirement, observed: observed}
+	e.oldSet, e.newSet = retirement.oldAndNewSets(observed.Config)
+	e.newFingerprint = e.newSet.Fingerprint()
+	return e
 }
 
-// recordBlockers copies the blockers into the retirement.
-func (s *evaluation) recordBlockers() {
-	s.retirement.Nodes, s.retirement.Ready = len(s.observed.Nodes), len(s.observed.Nodes)
-	held := map[string]bool{}
-	for _, h := range s.blockers {
-		held[h.Node] = true
-	}
-	for _, n := range s.observed.Nodes {
-		if held[n.Name] {
-			s.retirement.Ready--
+// pruneProofs drops proofs of past incarnations and of other sets. A node that isn't reachable keeps its
+// own.
+func (e *evaluation) pruneProofs() {
+	proofs := e.retirement.Proofs
+	incarnations := map[string]string{}
+	for _, node := range e.observed.Nodes {
+		incarnations[node.Name] = node.Incarnation
+		if !node.Reachable {
+			incarnations[node.Name] = proofs[node.Name].Incarnation
 		}
 	}
-	s.retirement.Blockers = s.blockers[:min(len(s.blockers), maxBlockers)]
-}
-
-func (s *evaluation) addBlocker(node, why, remedy string) {
-	s.blockers = append(s.blockers, Blocker{node, why, remedy, !strings.HasPrefix(remedy, noActionPrefix)})
-}
-
-const noActionPrefix = "nothing to do" // prefix of a remedy that needs no operator
-
-// enterPhase starts the next phase, or ends the retirement.
-func (s *evaluation) enterPhase(state, phase string) {
-	s.retirement.ChangeStarted, s.retirement.ChangeAcked = false, false
-	s.retirement.transition(state, phase, "")
-	s.changed = true
-	clear(s.conditionSince)
-	clear(s.failedProofs)
-}
-
-// conditionLasted reports whether a condition has held for d, by this holder's clock.
-func (s *evaluation) conditionLasted(what string, d time.Duration) bool {
-	at, ok := s.conditionSince[what]
-	if !ok {
-		at = s.observed.Now
-		s.conditionSince[what] = at
-	}
-	return s.observed.Now-at >= d
+	before := len(proofs)
+	maps.DeleteFunc(proofs, func(node string, proof Proof) bool {
+		return incarnations[node] != proof.Incarnation || proof.Set != e.newFingerprint
+	})
+	e.changed = e.changed || before != len(proofs)
 }
 
-func (s *evaluation) advance() {
-	level, round := 2, 1
-	switch s.retirement.Phase {
-	case PhaseLoadBase:
-		level = 0
-	case PhaseLoadAdapters:
-		level = 1
-	case PhaseBarrier, PhaseDrop, PhaseFinish:
-		round = 2
-	}
-	s.catchUp(s.newSet, level, round)
-	clear := len(s.blockers) == 0
-	switch s.retirement.Phase {
-	case PhaseLoadBase, PhaseLoadAdapters, PhaseProve:
-		if clear {
-			s.enterPhase(StateRunning, phases[slices.Index(phases, s.retirement.Phase)+1])
-		}
-	case PhaseMove:
-		s.moveRoutes(clear)
-	case PhaseDrain:
-		if s.noRequestsOn(s.retirement.OldBase) && clear && s.allRoutesMoved() && s.conditionLasted(PhaseDrain, s.observed.MaxConfigAge) {
-			s.enterPhase(StateRunning, PhaseBarrier)
-		}
-	case PhaseBarrier:
-		if clear && s.allRoutesMoved() {
-			s.enterPhase(StateRunning, PhaseDrop)
-		}
-	case PhaseDrop:
-		s.dropOldBase(clear)
-	case PhaseFinish:
-		s.applyConfigChange(clear, jsonObject{"services": jsonObject{s.retirement.Service: jsonObject{"model": s.retirement.NewBase}}}, func() { s.enterPhase(StateDone, "") })
-	}
+// addBlocker adds a blocker. It needs an operator unless its remedy says that there is nothing to do.
+func (e *evaluation) addBlocker(node, reason, remedy string) {
+	e.blockers = append(e.blockers, Blocker{
+		Node:          node,
+		Reason:        reason,
+		Remedy:        remedy,
+		NeedsOperator: !strings.HasPrefix(remedy, noActionPrefix),
+	})
 }
 
-type jsonObject = map[string]any
-
-// applyConfigChange makes the phase's change of the service configuration: recorded as started, made,
-// recorded as acknowledged. Repeating it is harmless, and makes any change that an earlier holder
-// still has in flight meet a later version.
-func (s *evaluation) applyConfigChange(clear bool, patch jsonObject, then func()) {
-	switch {
-	case s.retirement.ChangeAcked:
-		then()
-	case !clear:
-	case !s.retirement.ChangeStarted:
-		s.retirement.ChangeStarted, s.changed = true, true
-	default:
-		b, err := json.Marshal(patch)
-		if err != nil {
-			panic("retire: a patch of plain values can't be encoded: " + err.Error())
-		}
-		s.actions = append(s.actions, Action{Patch: b})
+// blockedNodes are the names of the nodes that block the retirement so far.
+func (e *evaluation) blockedNodes() map[string]bool {
+	blocked := map[string]bool{}
+	for _, blocker := range e.blockers {
+		blocked[blocker.Node] = true
 	}
+	return blocked
 }
 
-// moveRoutes moves requests to the new base, share by share; each is held for its soak time.
-func (s *evaluation) moveRoutes(clear bool) {
-	l := s.retirement.trafficSteps()
-	if s.retirement.TrafficStep >= len(l) {
-		s.enterPhase(StateRunning, PhaseDrain)
-		return
-	}
-	ways, share := jsonObject{}, l[s.retirement.TrafficStep]
-	for n, to := range s.retirement.routeMoves(s.observed.Config) {
-		ways[n] = jsonObject{"move": to, "moved": share}
-		if share == 100 {
-			ways[n] = jsonObject{"use": to, "move": nil, "moved": nil}
-		}
-		if _, ok := s.retirement.PreviousTargets[n]; !ok && !s.retirement.ChangeStarted {
-			if s.retirement.PreviousTargets == nil {
-				s.retirement.PreviousTargets = map[string]string{}
-			}
-			s.retirement.PreviousTargets[n] = s.observed.Config.Routes[n].ServedBy
-			s.changed = true
-		}
-	}
-	if s.retirement.ChangeStarted && !s.retirement.ChangeAcked {
-		for n := range ways {
-			if _, ok := s.retirement.PreviousTargets[n]; !ok { // a new route: its previous use is recorded first
-				s.retirement.ChangeStarted, s.changed = false, true
-				return
-			}
+// recordBlockers copies the blockers into the retirement.
+func (e *evaluation) recordBlockers() {
+	blocked := e.blockedNodes()
+	e.retirement.Nodes, e.retirement.Ready = len(e.observed.Nodes), len(e.observed.Nodes)
+	for _, node := range e.observed.Nodes {
+		if blocked[node.Name] {
+			e.retirement.Ready--
 		}
 	}
-	s.applyConfigChange(clear, jsonObject{"ways": ways}, func() {
-		if s.conditionLasted(fmt.Sprint(PhaseMove, s.retirement.TrafficStep), time.Duration(s.retirement.SoakSeconds)*time.Second) && clear {
-			s.retirement.TrafficStep++
-			s.retirement.ChangeStarted, s.retirement.ChangeAcked, s.changed = false, false, true
-		}
-	})
+	e.retirement.Blockers = e.blockers[:min(len(e.blockers), maxBlockers)]
 }
 
-// noRequestsOn reports whether no request runs or waits under a base.
-func (s *evaluation) noRequestsOn(base string) bool {
-	for _, n := range s.observed.Nodes {
-		for _, l := range n.Loaded {
-			if l.Model == base && l.Busy > 0 {
-				s.addBlocker(n.Name, fmt.Sprintf("%d requests still run under %s", l.Busy, base), "nothing to do: they end within their wait")
-				return false
-			}
-		}
-	}
-	return true
+// addOrder adds an order to a node's incarnation. It carries the document's version: a node rejects an
+// order from before one that it has obeyed.
+func (e *evaluation) addOrder(node Node, order contract.Order) {
+	order.Incarnation = node.Incarnation
+	order.Plan, order.Step = Key(e.retirement.Service, e.retirement.Name), e.observed.Version
+	e.actions = append(e.actions, Action{Node: node.Name, Order: &order})
 }
 
-// allRoutesMoved reports whether no route leads to the old base. A route that was pointed there meanwhile is
-// moved as well.
-func (s *evaluation) allRoutesMoved() bool {
-	m := s.retirement.routeMoves(s.observed.Config)
-	if len(m) == 0 {
-		return true
-	}
-	s.addBlocker(queue.Keys(m)[0], "this route is answered on the old base again", "nothing to do: it is moved as well")
-	s.enterPhase(StateRunning, PhaseMove)
-	s.retirement.TrafficStep = len(s.retirement.trafficSteps()) - 1
-	return false
+// enterPhase starts the next phase, or ends the retirement.
+func (e *evaluation) enterPhase(state State, phase Phase) {
+	e.retirement.ChangeStarted, e.retirement.ChangeAcked = false, false
+	e.retirement.transition(state, phase, "")
+	e.changed = true
+	clear(e.conditionSince)
+	clear(e.failedProofs)
 }
 
-// dropOldBase unloads the old base from the nodes, a few at once.
-func (s *evaluation) dropOldBase(clear bool) {
-	if m := s.retirement.routeMoves(s.observed.Config); len(m) > 0 {
-		s.addBlocker(queue.Keys(m)[0], "this route is answered on the old base again, which is leaving", "lead it to "+s.retirement.NewBase+": pebblectl config patch")
-		return
-	}
-	having := map[string]*Node{}
-	for i, n := range s.observed.Nodes {
-		if !n.Reachable || hasModelLoaded(n, s.retirement.OldBase) {
-			having[n.Name] = &s.observed.Nodes[i]
-		}
-	}
-	n := len(s.retirement.Dropping)
-	s.retirement.Dropping = slices.DeleteFunc(s.retirement.Dropping, func(g string) bool { return having[g] == nil })
-	s.changed = s.changed || n != len(s.retirement.Dropping)
-	if !clear {
-		return // a node that joined or restarted is caught up first
-	}
-	if len(having) == 0 {
-		s.enterPhase(StateRunning, PhaseFinish)
-		return
-	}
-	for _, g := range s.retirement.Dropping {
-		s.addBlocker(g, "it drops the old base", "nothing to do; if it stays so, see the worker's log")
-		s.addOrder(*having[g], contract.Order{Kind: "unload", Model: s.retirement.OldBase})
-	}
-	for _, g := range queue.Keys(having) {
-		if len(s.retirement.Dropping) >= s.retirement.concurrency() {
-			break
-		}
-		if !slices.Contains(s.retirement.Dropping, g) {
-			s.retirement.Dropping, s.changed = append(s.retirement.Dropping, g), true
-		}
+// conditionLasted reports whether a condition has lasted for a duration, by the process's clock. The
+// first call since the phase began starts the count.
+func (e *evaluation) conditionLasted(condition string, duration time.Duration) bool {
+	since, ok := e.conditionSince[condition]
+	if !ok {
+		since = e.observed.Now
+		e.conditionSince[condition] = since
 	}
+	return e.observed.Now-since >= duration
 }
--- a/internal/control/retire/retire_test.go
+++ b/internal/control/retire/retire_test.go
@@ -21,7 +21,7 @@
 		want   string
 	}{
 		"nothing wrong":                     {`{}`, nil, ""},
-		"an adapter without a replacement":  {`{}`, func(r *Retirement) { delete(r.Replacements, "rare") }, `replace.rare: adapter rare stands on old and has no replacement: name the adapter that was built for new`},
+		"an adapter without a replacement":  {`{}`, func(r *Retirement) { delete(r.Replacements, "rare") }, `replace.rare: adapter rare depends on old and has no replacement: name the adapter that was built for new`},
 		"a replacement that isn't there":    {`{}`, func(r *Retirement) { r.Replacements["rare"] = "gone" }, `replace.rare: "gone" is not among adapters`},
 		"a replacement for another base":    {`{"models":{"third":{"weights":1}},"adapters":{"rare-2":{"base":"third"}}}`, nil, `rare-2 was built for third: name one that was built for new`},
 		"one replacement for two":           {`{}`, func(r *Retirement) { r.Replacements["fare"] = "rare-2" }, `replaces`},
@@ -35,7 +35,7 @@
 		"an unknown base":                   {`{}`, func(r *Retirement) { r.NewBase = "newest" }, `to: "newest" is not among models`},
 		"an unknown service":                {`{}`, func(r *Retirement) { r.Service = "x" }, `service: "x" is not among services`},
 		"a base that serves elsewhere":      {`{"services":{"s2":{"model":"old"}}}`, nil, `service s2 has base model old as well: hand it over first`},
-		"an adapter that nobody holds":      {`{"adapters":{"odd":{"base":"old","build":1,"room":1}}}`, nil, `adapter odd stands on old and is held by no worker of s`},
+		"an adapter that nobody holds":      {`{"adapters":{"odd":{"base":"old","build":1,"room":1}}}`, nil, `adapter odd depends on old and is held by no worker of s`},
 		"a route left with no model":        {`{"adapters":{"last":{"base":"old","build":1,"room":1,"services":["s"]}},"ways":{"last":{"service":"s"}}}`, nil, `ways.last: it would be left with no model`},
 		"a route of another service":        {`{"models":{"x":{"weights":1}},"services":{"s2":{"model":"x"}},"adapters":{"fare":{"services":["s","s2"]}},"ways":{"far":{"service":"s2","use":"fare"}}}`, nil, `ways.far: it is answered by fare at service s2`},
 		"a route that is being handed over": {`{"services":{"s2":{"model":"old"}},"ways":{"old":{"next":"s2","share":10}}}`, nil, `ways.old: it is being handed over to service s2`},
@@ -90,7 +90,7 @@
 	}
 	grow(nil)
 	for _, p := range l {
-		r, past, over := newPlan(), false, ""
+		r, past, over := newPlan(), false, State("")
 		for _, v := range p {
 			if v == "barrier" {
 				if r.State == StateRunning {
@@ -210,7 +210,7 @@
 				f.tick()
 			}
 			f.checkRevertedIf(abort)
-			want := map[bool]string{false: StateDone, true: StateAborted}[abort]
+			want := map[bool]State{false: StateDone, true: StateAborted}[abort]
 			if f.doc.State != want || len(f.faults) > 0 {
 				t.Fatalf("abort %v, death after effect %d: %s %s, %v\n%s", abort, die, f.doc.State, f.doc.Phase, f.faults, strings.Join(f.doc.History, "\n"))
 			}
--- a/internal/control/retire/sim_test.go
+++ b/internal/control/retire/sim_test.go
@@ -190,7 +190,7 @@
 // retirement stands beside each: nobody waits longer because of it. `RETIRE_SEEDS=5000 go test
 // ./internal/control/retire -run TestSimulated` runs wide.
 func TestSimulated(t *testing.T) {
-	ends, lateWith, lateWithout, all := map[string]int{}, 0, 0, 0
+	ends, lateWith, lateWithout, all := map[State]int{}, 0, 0, 0
 	for seed := range seeds(t, 40) {
 		f, o := run(t, seed, 0, true), run(t, seed, 0, false)
 		ends[f.doc.State]++
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -5,6 +5,8 @@
 
 import (
 	"encoding/json"
+	"math"
+	"slices"
 
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/errs"
@@ -59,6 +61,21 @@
 	return p, nil
 }
 
+// Tolerance of the admission floor: a smaller change isn't published.
+const (
+	floorToleranceRatio  = 0.25 // of the old floor
+	floorToleranceOffset = 0.05 // added to it, in units of hotness
+)
+
+// Changed reports whether a computed placement differs enough from the old one to be published. A nil
+// old placement stands for none.
+//
+// Example: if placement.Changed(old, next) { publish(next) }
+func Changed(old, next *Placement) bool {
+	return old == nil || !slices.Equal(next.Replicated, old.Replicated) || !slices.Equal(next.Workers, old.Workers) || next.Mode != old.Mode ||
+		math.Abs(next.AdmissionFloor-old.AdmissionFloor) > floorToleranceRatio*old.AdmissionFloor+floorToleranceOffset
+}
+
 // IsReplicated reports whether every worker should hold a prefix. A nil placement replicates none.
 //
 // Example: if p.IsReplicated(entry.Key) { … }
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -88,7 +88,7 @@
 		}
 		if json.Unmarshal([]byte(last), &l) == nil {
 			for _, r := range l.Retirements {
-				if last = fmt.Sprintf("%s, %s, %s, held by %v", r.State, r.Progress(), r.Reason, r.Blockers); r.Name == who && (r.State == to || r.Phase == to) {
+				if last = fmt.Sprintf("%s, %s, %s, held by %v", r.State, r.Progress(), r.Reason, r.Blockers); r.Name == who && (string(r.State) == to || string(r.Phase) == to) {
 					return p.afterwards(ctx, r)
 				}
 			}
@@ -108,7 +108,7 @@
 	}
 	gone, base, adapters := r.OldBase, r.NewBase, []string{}
 	for _, n := range queue.Keys(r.Replacements) {
-		adapters = append(adapters, map[string]string{retire.StateDone: r.Replacements[n], retire.StateAborted: n}[r.State])
+		adapters = append(adapters, map[retire.State]string{retire.StateDone: r.Replacements[n], retire.StateAborted: n}[r.State])
 	}
 	if r.State == retire.StateAborted {
 		gone, base = r.NewBase, r.OldBase
