--- a/internal/control/placementcontroller/proof.go
+++ b/internal/control/placementcontroller/proof.go
@@ -27,13 +27,13 @@
 	for i, adapter := range append([]retire.AdapterBuild{baseAlone}, action.ProofSet.Adapters...) {
 		request := contract.StartRequest{
 			RequestID:   fmt.Sprintf("retire/%s/%s/%x/%d", retirement.Name, action.Node, c.clock.Now(), i),
-			Domain:      proofDomain,
+			CacheDomain: proofDomain,
 			Model:       action.ProofSet.Base,
 			Weights:     action.ProofSet.Weights,
 			Adapter:     adapter.Name,
 			Build:       adapter.Build,
 			Parts:       []string{"proof"},
-			Pieces:      1,
+			Chunks:      1,
 			WaitMs:      int(wait / time.Millisecond),
 			Incarnation: action.Incarnation,
 		}
@@ -65,7 +65,7 @@
 		}
 	}
 	seal := verifier.Sealed
-	if seal == nil || seal.N != request.Pieces || seal.Model != request.Model || seal.Weights != request.Weights ||
+	if seal == nil || seal.Number != request.Chunks || seal.Model != request.Model || seal.Weights != request.Weights ||
 		seal.Adapter != request.Adapter || seal.Build != request.Build {
 		return errs.New(errs.Internal, "its answer isn't sealed under what was asked for")
 	}
