--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -10,15 +10,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// How long a member holds a request, and how much longer its response may take before the member
-// counts as silent: ratios of the configuration bound. News comes at once; the hold only bounds how often
-// a quiet site is polled. A proof is at most two holds old while nothing fails.
+// Timing of the requests to members, as ratios of the configuration bound. Chosen, not measured.
 const (
-	longPollRatio        = 1.0 / 2
-	responseGraceRatio   = 1.0 / 4
-	minRetryDelayRatio   = 1.0 / 40 // after an error, or an early response without news
-	maxRetryDelayRatio   = 1.0 / 5
-	startRetryDelayRatio = 1.0 / 25 // the maximum just after the start
+	// longPollRatio is how long a member may wait for an update before it responds. Updates come at once;
+	// this only bounds how often a quiet site is polled. While nothing fails a proof is at most two of these
+	// old.
+	longPollRatio = 1.0 / 2
+	// responseGraceRatio is how much longer a response may take before the request times out.
+	responseGraceRatio = 1.0 / 4
+	// minRetryDelayRatio is the first delay after an error, or after an early response without an update;
+	// it doubles up to maxRetryDelayRatio.
+	minRetryDelayRatio = 1.0 / 40
+	maxRetryDelayRatio = 1.0 / 5
+	// startRetryDelayRatio is the greatest delay during startPhaseRatio after the start, while there is no
+	// proof: the whole site may have restarted.
+	startRetryDelayRatio = 1.0 / 25
 	startPhaseRatio      = 1.0 / 2
 )
 
@@ -28,38 +34,39 @@
 	return addr
 }
 
-// follow polls one member. Each has its own goroutine, so that one that hangs delays nobody else's
-// news.
+// follow polls one member until ctx is canceled, at the latest when the process stops. Each member has
+// its own goroutine, so that one that hangs delays the updates of none of the others.
 func (a *Agent) follow(ctx context.Context, addr string) {
 	bounds := a.process.Settings.Bounds
-	hold := bounds.Config(longPollRatio)
-	client, startedAt := a.controlNode(addr), a.process.Clock.Now()
-	for pause := bounds.Config(minRetryDelayRatio); ctx.Err() == nil; {
+	longPollTime := bounds.Config(longPollRatio)
+	client, startedAt := a.connect(addr), a.process.Clock.Now()
+	delay := bounds.Config(minRetryDelayRatio)
+	for ctx.Err() == nil {
 		var request *wire.FollowRequest
-		asked := a.process.Clock.Now()
-		if !a.actor.Ask(func(t *table) { request = t.newRequest(t.longPollTime(asked)) }) {
-			return
+		requestedAt := a.process.Clock.Now()
+		if !a.actor.Ask(func(t *table) { request = t.newRequest(t.longPollTime(requestedAt)) }) {
+			return // the process stops
 		}
-		call, end := context.WithTimeout(ctx, time.Duration(request.MaxWaitNs)+bounds.Config(responseGraceRatio))
-		response, err := client.Follow(call, request)
-		end()
-		if err == nil && (a.handleResponse(response, requestedVersion(request), asked) || a.process.Clock.Now()-asked >= hold/2) {
-			pause = bounds.Config(minRetryDelayRatio)
+		callCtx, cancel := context.WithTimeout(ctx, time.Duration(request.MaxWaitNs)+bounds.Config(responseGraceRatio))
+		response, err := client.Follow(callCtx, request)
+		cancel()
+		if err == nil && (a.handleResponse(response, requestedVersion(request), requestedAt) || a.process.Clock.Now()-requestedAt >= longPollTime/2) {
+			delay = bounds.Config(minRetryDelayRatio)
 			continue
 		}
-		clock.Sleep(ctx, pause)
-		pause = min(2*pause, bounds.Config(maxRetryDelayRatio))
-		if a.Snapshot().ProofAt == 0 && a.process.Clock.Now()-startedAt < bounds.Config(startPhaseRatio) { // the whole site may have restarted: retry soon
-			pause = min(pause, bounds.Config(startRetryDelayRatio))
+		clock.Sleep(ctx, delay)
+		delay = min(2*delay, bounds.Config(maxRetryDelayRatio))
+		if a.Snapshot().ProofAt == 0 && a.process.Clock.Now()-startedAt < bounds.Config(startPhaseRatio) {
+			delay = min(delay, bounds.Config(startRetryDelayRatio))
 		}
 	}
 }
 
 // requestedVersion is the version of the plan that a request was sent with.
-func requestedVersion(a *wire.FollowRequest) uint64 {
-	for _, h := range a.Known {
-		if h.Key == routingconfig.DocumentKey {
-			return h.Version
+func requestedVersion(request *wire.FollowRequest) uint64 {
+	for _, known := range request.Known {
+		if known.Key == routingconfig.DocumentKey {
+			return known.Version
 		}
 	}
 	return 0
