--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -15,15 +15,16 @@
 	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Split: []WeightedService{{"s", 1}}}
 }
 
+// newPlan is a plan of these routes to the services s and u.
 func newPlan(routes ...Route) *Plan {
 	return &Plan{Version: 1, Routes: routes, Services: []Service{{Name: "s"}, {Name: "u"}}}
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	p := newPlan(newRoute("a", "one.example", "/a/"), newRoute("ab", "one.example", "/a/b/"), newRoute("abc", "one.example", "/a/b/c/d/"),
+	plan := newPlan(newRoute("a", "one.example", "/a/"), newRoute("ab", "one.example", "/a/b/"), newRoute("abc", "one.example", "/a/b/c/d/"),
 		newRoute("root", "two.example", "/"), newRoute("bare", "two.example", "/x"), newRoute("bare2", "two.example", "/x/yy"), newRoute("x", "two.example", "/x/"),
 		newRoute("big", "Three.Example:80", "/A/")).BuildIndex()
-	for _, c := range []struct{ host, path, name string }{
+	for _, test := range []struct{ host, path, name string }{
 		{"one.example", "/a/", "a"}, {"one.example", "/a/1", "a"}, {"one.example", "/a", ""}, {"one.example", "/", ""}, {"one.example", "", ""},
 		{"one.example", "/a/b", "a"}, {"one.example", "/a/b/", "ab"}, {"one.example", "/a/b/c/d", "ab"}, {"one.example", "/a/b/c/d/e/f", "abc"},
 		{"one.example", "/A/", ""}, {"one.example", "/b/a/", ""}, {"one.example", "//a/", ""}, {"one.example", "/a//b/", "a"},
@@ -32,74 +33,74 @@
 		{"two.example", "/x/y", "x"}, {"two.example", "/x/yyy", "bare2"}, {"two.example", "", ""}, {"two.example", "*", ""},
 		{"three.example", "/A/b", "big"}, {"three.example:81", "/a/b", ""},
 	} {
-		r, ok := p.MatchRoute(c.host, c.path)
-		if ok != (c.name != "") || ok && r.Name != c.name {
-			t.Errorf("%s%s: %v, want %q", c.host, c.path, r, c.name)
+		route, ok := plan.MatchRoute(test.host, test.path)
+		if ok != (test.name != "") || ok && route.Name != test.name {
+			t.Errorf("%s%s: %v, want %q", test.host, test.path, route, test.name)
 		}
 	}
 	if _, ok := newPlan(newRoute("a", "one.example", "/a/")).MatchRoute("one.example", "/a/"); ok {
-		t.Error("a plan that isn't ready finds a route")
+		t.Error("a plan without its index finds a route")
 	}
 }
 
-// What a look-up finds is what a walk over all routes finds.
+// A lookup finds what a linear scan over all routes finds.
 func TestLookupMatchesLinearScan(t *testing.T) {
 	parts := []string{"/", "a", "/b", "/a/", "b/"}
 	var all []string
-	for _, x := range parts {
-		for _, y := range parts {
-			for _, z := range append(parts, "") {
-				all = append(all, x+y+z)
+	for _, first := range parts {
+		for _, second := range parts {
+			for _, third := range append(parts, "") {
+				all = append(all, first+second+third)
 			}
 		}
 	}
 	for seed := range 200 {
-		p := newPlan()
-		taken := map[string]bool{}
+		plan := newPlan()
+		used := map[string]bool{}
 		for i := range 12 {
-			if x := all[(seed*31+i*i*7+i*13)%len(all)]; !taken[x] {
-				taken[x] = true
-				p.Routes = append(p.Routes, newRoute(x, "h", x))
+			if prefix := all[(seed*31+i*i*7+i*13)%len(all)]; !used[prefix] {
+				used[prefix] = true
+				plan.Routes = append(plan.Routes, newRoute(prefix, "h", prefix))
 			}
 		}
-		p.BuildIndex()
+		plan.BuildIndex()
 		for _, path := range all {
 			want := ""
-			for _, r := range p.Routes {
-				if strings.HasPrefix(path, r.Prefix) && len(r.Prefix) > len(want) {
-					want = r.Prefix
+			for _, route := range plan.Routes {
+				if strings.HasPrefix(path, route.Prefix) && len(route.Prefix) > len(want) {
+					want = route.Prefix
 				}
 			}
-			if r, ok := p.MatchRoute("h", path); ok != (want != "") || ok && r.Prefix != want {
-				t.Fatalf("%s among %v: %v, want %q", path, taken, r, want)
+			if route, ok := plan.MatchRoute("h", path); ok != (want != "") || ok && route.Prefix != want {
+				t.Fatalf("%s among %v: %v, want %q", path, used, route, want)
 			}
 		}
 	}
 }
 
 func TestTenantAndServiceLookup(t *testing.T) {
-	p := newPlan()
-	p.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2", ""}}, {Name: "two", Keys: []string{"k3"}}}
-	p.Services = append(p.Services, Service{Name: "s", HealthPath: "/last"})
-	p.BuildIndex()
-	for k, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "k": "", "": ""} {
-		if x, ok := p.TenantByKey(k); ok != (want != "") || ok && x.Name != want {
-			t.Errorf("key %q: %v", k, x)
+	plan := newPlan()
+	plan.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2", ""}}, {Name: "two", Keys: []string{"k3"}}}
+	plan.Services = append(plan.Services, Service{Name: "s", HealthPath: "/last"})
+	plan.BuildIndex()
+	for key, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "k": "", "": ""} {
+		if tenant, ok := plan.TenantByKey(key); ok != (want != "") || ok && tenant.Name != want {
+			t.Errorf("key %q: %v", key, tenant)
 		}
 	}
-	if s, ok := p.ServiceByName("s"); !ok || s.HealthPath != "/last" {
-		t.Errorf("of two services with one name: %v", s)
+	if service, ok := plan.ServiceByName("s"); !ok || service.HealthPath != "/last" {
+		t.Errorf("of two services with one name: %v", service)
 	}
-	if _, ok := p.ServiceByName("none"); ok {
-		t.Error("a service that isn't there was found")
+	if _, ok := plan.ServiceByName("none"); ok {
+		t.Error("an unknown service was found")
 	}
-	if p.BuildIndex() != p || len(p.routesByHost) != 0 {
-		t.Error("a ready plan was built anew")
+	if plan.BuildIndex() != plan || len(plan.routesByHost) != 0 {
+		t.Error("the index was built twice")
 	}
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		split []WeightedService
 		want  map[string]float64
 	}{
@@ -110,32 +111,32 @@
 		{[]WeightedService{{"u", -5}, {"s", 1}}, map[string]float64{"s": 1}},
 		{nil, map[string]float64{"": 1}},
 	} {
-		r := Route{Split: c.split}
+		route := Route{Split: test.split}
 		got := map[string]float64{}
 		const n = 40000
 		for i := range n {
 			id := fmt.Sprintf("%016x", i)
-			name := r.SelectService(id)
-			if r.SelectService(id) != name {
-				t.Fatal("one id, two services")
+			name := route.SelectService(id)
+			if route.SelectService(id) != name {
+				t.Fatal("one ID, two services")
 			}
 			got[name] += 1.0 / n
 		}
-		if len(got) != len(c.want) {
-			t.Errorf("%v: %v", c.split, got)
+		if len(got) != len(test.want) {
+			t.Errorf("%v: %v", test.split, got)
 		}
-		for name, share := range c.want {
+		for name, share := range test.want {
 			if math.Abs(got[name]-share) > 0.01 {
-				t.Errorf("%v: %s gets %.3f, want %.3f", c.split, name, got[name], share)
+				t.Errorf("%v: %s gets %.3f, want %.3f", test.split, name, got[name], share)
 			}
 		}
 	}
 }
 
 func TestCheckRejectsInvalidPlans(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(p *Plan)
-		says   string // none: it is valid
+		want   string // in the error; none: it is valid
 	}{
 		"as it is":                      {func(*Plan) {}, ""},
 		"no version":                    {func(p *Plan) { p.Version = 0 }, "version"},
@@ -156,70 +157,70 @@
 		"no tenants":                    {func(p *Plan) { p.Tenants = nil }, ""},
 		"no routes, no services at all": {func(p *Plan) { *p = Plan{Version: 3} }, ""},
 	} {
-		p := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/b/"))
-		p.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2"}}, {Name: "two", Keys: []string{"k3"}}}
-		c.change(p)
-		err := Check(p)
-		if (err != nil) != (c.says != "") {
+		plan := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/b/"))
+		plan.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2"}}, {Name: "two", Keys: []string{"k3"}}}
+		test.change(plan)
+		err := Check(plan)
+		if (err != nil) != (test.want != "") {
 			t.Errorf("%s: %v", name, err)
 		}
-		if err != nil && (errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), c.says)) {
+		if err != nil && (errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), test.want)) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestCheckReportsEveryFault(t *testing.T) {
-	p := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/a/"))
-	p.Version, p.Routes[0].Timeout, p.Routes[1].Split[0].Service = 0, 0, "gone"
-	err := Check(p)
-	for _, w := range []string{"4 faults", "version", `route "a": timeout`, `route "b": service "gone"`, `host "h" and prefix "/a/"`} {
-		if err == nil || !strings.Contains(err.Error(), w) {
-			t.Errorf("%v: doesn't name %s", err, w)
+	plan := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/a/"))
+	plan.Version, plan.Routes[0].Timeout, plan.Routes[1].Split[0].Service = 0, 0, "gone"
+	err := Check(plan)
+	for _, want := range []string{"4 faults", "version", `route "a": timeout`, `route "b": service "gone"`, `host "h" and prefix "/a/"`} {
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%v: doesn't name %s", err, want)
 		}
 	}
 }
 
 func TestVersionMustIncrease(t *testing.T) {
-	for _, c := range []struct {
-		old, next uint64
-		ok        bool
+	for _, test := range []struct {
+		inForce, next uint64
+		ok            bool
 	}{{0, 0, false}, {0, 1, true}, {7, 7, false}, {7, 6, false}, {7, 8, true}, {7, 100, true}} {
-		if err := CheckSuccessor(c.old, c.next); (err == nil) != c.ok || err != nil && errs.KindOf(err) != errs.BadInput {
-			t.Errorf("%d after %d: %v", c.next, c.old, err)
+		if err := CheckSuccessor(test.inForce, test.next); (err == nil) != test.ok || err != nil && errs.KindOf(err) != errs.BadInput {
+			t.Errorf("%d after %d: %v", test.next, test.inForce, err)
 		}
 	}
 }
 
-// newLargePlan is a plan of n routes at a handful of hosts.
+// newLargePlan is a plan of n routes at five hosts.
 func newLargePlan(n int) *Plan {
-	p := newPlan()
+	plan := newPlan()
 	for i := range n {
-		p.Routes = append(p.Routes, newRoute(fmt.Sprint("r", i), fmt.Sprintf("h%d.example", i%5), fmt.Sprintf("/p%d/", i)))
+		plan.Routes = append(plan.Routes, newRoute(fmt.Sprint("r", i), fmt.Sprintf("h%d.example", i%5), fmt.Sprintf("/p%d/", i)))
 	}
-	return p
+	return plan
 }
 
-// A look-up takes no memory, and as long among thousands of routes as among a few.
+// A lookup allocates nothing, and takes as long among thousands of routes as among a few.
 func TestLookupDoesNotAllocate(t *testing.T) {
-	p := newLargePlan(3500).BuildIndex()
+	plan := newLargePlan(3500).BuildIndex()
 	path := "/p3000/" + strings.Repeat("a/", 8000) // no slash beyond the longest prefix is looked at
 	if n := testing.AllocsPerRun(100, func() {
-		if r, ok := p.MatchRoute("h0.example:8080", path); !ok || r.Name != "r3000" {
-			t.Fatal(r)
+		if route, ok := plan.MatchRoute("h0.example:8080", path); !ok || route.Name != "r3000" {
+			t.Fatal(route)
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations in a look-up", n)
+		t.Errorf("%v allocations in a lookup", n)
 	}
 }
 
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{10, 350, 3500} {
-		p := newLargePlan(n).BuildIndex()
-		last := p.Routes[n-1]
+		plan := newLargePlan(n).BuildIndex()
+		last := plan.Routes[n-1]
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				if _, ok := p.MatchRoute(last.Host, last.Prefix+"some/thing"); !ok {
+				if _, ok := plan.MatchRoute(last.Host, last.Prefix+"some/thing"); !ok {
 					b.Fatal("not found")
 				}
 			}
@@ -228,17 +229,17 @@
 }
 
 func BenchmarkBuildIndex350(b *testing.B) {
-	p := newLargePlan(350)
+	plan := newLargePlan(350)
 	for b.Loop() {
-		p.routesByHost = nil
-		p.BuildIndex()
+		plan.routesByHost = nil
+		plan.BuildIndex()
 	}
 }
 
 func BenchmarkCheck350(b *testing.B) {
-	p := newLargePlan(350)
+	plan := newLargePlan(350)
 	for b.Loop() {
-		if err := Check(p); err != nil {
+		if err := Check(plan); err != nil {
 			b.Fatal(err)
 		}
 	}
