--- /dev/null
+++ b/internal/control/operatorapi/config.go
@@ -0,0 +1,157 @@
+package operatorapi
+
+import (
+	"context"
+	"encoding/json"
+
+	"github.com/go-faster/jx"
+
+	"pebbleloom/api/operator"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/wire"
+)
+
+// jsonObject is a JSON object of a patch; a nil value removes its key (RFC 7396).
+type jsonObject = map[string]any
+
+func (s *Server) readConfigDocument(ctx context.Context) (*wire.Document, error) {
+	response, err := s.control.Read(ctx, &wire.ReadRequest{Key: s.configKey})
+	if err != nil {
+		return nil, errs.Wrap(err, "read service configuration")
+	}
+	if len(response.Documents) == 0 {
+		return nil, errs.New(errs.NotFound, "no service configuration has been applied yet")
+	}
+	return response.Documents[0], nil
+}
+
+// readConfig reads the service configuration in force, with its document.
+func (s *Server) readConfig(ctx context.Context) (*wire.Document, *serviceconfig.Config, error) {
+	document, err := s.readConfigDocument(ctx)
+	if err != nil {
+		return nil, nil, err
+	}
+	config, err := serviceconfig.Decode(document.Body)
+	return document, config, errs.Wrap(err, "read service configuration")
+}
+
+// configChange is a change of the configuration document.
+type configChange struct {
+	body      []byte
+	isPatch   bool    // the body is merged into the configuration in force
+	ifVersion *uint64 // that must be in force; nil: any
+	token     string
+	dryRun    bool
+}
+
+func (s *Server) putConfig(ctx context.Context, change configChange) (*operator.Changed, error) {
+	put := &wire.Put{Key: s.configKey, Body: change.body, Token: change.token, AnyVersion: change.ifVersion == nil}
+	if change.ifVersion != nil {
+		put.IfVersion = *change.ifVersion
+	}
+	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}, Patch: change.isPatch, DryRun: change.dryRun}
+	response, err := s.control.Change(ctx, request)
+	if err != nil {
+		return nil, errs.Wrap(err, "change service configuration")
+	}
+	changed := &operator.Changed{Epoch: int64(response.Version), Outcome: response.Outcome}
+	if response.TokenReuse != "" {
+		changed.Note = operator.NewOptString(response.TokenReuse)
+	}
+	return changed, nil
+}
+
+// patchConfig merges a patch into the configuration, provided that it is still the document's version.
+func (s *Server) patchConfig(ctx context.Context, document *wire.Document, patch jsonObject, token string) (*operator.Changed, error) {
+	body, err := json.Marshal(patch)
+	if err != nil {
+		return nil, errs.Wrap(err, "write patch")
+	}
+	return s.putConfig(ctx, configChange{body: body, isPatch: true, ifVersion: &document.Version, token: token})
+}
+
+// GetSetup reads the service configuration in force.
+//
+// Example: GET /v1/setup
+func (s *Server) GetSetup(ctx context.Context) (*operator.SetupInForce, error) {
+	document, err := s.readConfigDocument(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return &operator.SetupInForce{Epoch: int64(document.Version), Setup: jx.Raw(document.Body)}, nil
+}
+
+// ChangeSetup applies a service configuration, or a patch to the one in force.
+//
+// Example: POST /v1/setup {"setup": {"models": {"lector": {"weights": 4}}}, "partial": true}
+func (s *Server) ChangeSetup(ctx context.Context, request *operator.SetupChange) (*operator.Changed, error) {
+	change := configChange{body: request.Setup, isPatch: request.Partial.Or(false), token: request.Token.Or(""), dryRun: request.Dry.Or(false)}
+	if value, ok := request.IfEpoch.Get(); ok {
+		version := uint64(value)
+		change.ifVersion = &version
+	}
+	return s.putConfig(ctx, change)
+}
+
+// NameWeights names the version of a model's weights that its workers are to serve.
+//
+// Example: POST /v1/weights {"model": "lector", "weights": 4}
+func (s *Server) NameWeights(ctx context.Context, request *operator.Weights) (*operator.Changed, error) {
+	document, config, err := s.readConfig(ctx)
+	if err != nil {
+		return nil, err
+	}
+	model, ok := config.Models[request.Model]
+	if !ok {
+		return nil, errs.New(errs.NoSuchModel, "model %q", request.Model)
+	}
+	if model.Weights == uint64(request.Weights) {
+		return &operator.Changed{Epoch: int64(document.Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are in force already")}, nil
+	}
+	if uint64(request.Weights) < model.Weights {
+		return nil, errs.New(errs.BadInput, "weights %d are older than %d in force: name a later version", request.Weights, model.Weights)
+	}
+	patch := jsonObject{"models": jsonObject{request.Model: jsonObject{"weights": request.Weights}}}
+	return s.patchConfig(ctx, document, patch, request.Token.Or(""))
+}
+
+// RevokeKey removes a tenant's key.
+//
+// Example: POST /v1/keys/revoke {"tenant": "hotline", "key": "…"}
+func (s *Server) RevokeKey(ctx context.Context, request *operator.Revoke) (*operator.Changed, error) {
+	document, config, err := s.readConfig(ctx)
+	if err != nil {
+		return nil, err
+	}
+	tenant, ok := config.Tenants[request.Tenant]
+	if !ok {
+		return nil, errs.New(errs.NotFound, "tenant %q", request.Tenant)
+	}
+	remaining := []string{}
+	for _, key := range tenant.Keys {
+		if key != request.Key {
+			remaining = append(remaining, key)
+		}
+	}
+	if len(remaining) == len(tenant.Keys) {
+		return nil, errs.New(errs.NotFound, "tenant %q has no such key", request.Tenant)
+	}
+	patch := jsonObject{"tenants": jsonObject{request.Tenant: jsonObject{"keys": remaining}}}
+	return s.patchConfig(ctx, document, patch, "")
+}
+
+// Drain stops new requests to a worker, or allows them again.
+//
+// Example: POST /v1/drain {"worker": "worker-3", "drain": true}
+func (s *Server) Drain(ctx context.Context, request *operator.Drain) (*operator.Changed, error) {
+	document, err := s.readConfigDocument(ctx)
+	if err != nil {
+		return nil, err
+	}
+	var draining any // nil removes the worker
+	if request.Drain {
+		draining = true
+	}
+	return s.patchConfig(ctx, document, jsonObject{"drains": jsonObject{request.Worker: draining}}, "")
+}
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -14,116 +14,143 @@
 	"pebbleloom/internal/wire"
 )
 
-// problemList collects what is wrong.
-type problemList struct{ items []operator.StatusProblemsItem }
-
-func (f *problemList) add(kind, where, text, remedy, book string) {
-	f.items = append(f.items, operator.StatusProblemsItem{Kind: kind, Where: where, Text: text, Remedy: remedy, Runbook: book})
-}
-
-// GetStatus checks everything and reports what is wrong, with remedies.
+// GetStatus checks all parts of the site and reports problems, with remedies.
 //
 // Example: GET /v1/status
 func (s *Server) GetStatus(ctx context.Context) (*operator.Status, error) {
-	f := &problemList{items: []operator.StatusProblemsItem{}}
-	status := &operator.Status{Parts: []operator.StatusPartsItem{}}
-	if l, err := s.ListNodes(ctx); err != nil {
-		f.add("nodes-unknown", "site", err.Error(), "see whether any core machine runs", "core-gone")
+	report := newStatusReport()
+	s.checkNodes(ctx, report)
+	s.checkShards(ctx, report)
+	if _, snapshot, err := s.readUpdates(ctx); err != nil {
+		report.addProblem("workers-unknown", entireSite, err.Error(), "see whether any edge machine runs", runbookEdgeDown)
 	} else {
-		for _, n := range l.Nodes {
-			if n.State == "gone" {
-				book := map[string]string{clustermembership.RoleControlNode: "core-gone", clustermembership.RolePlacementController: "core-gone"}[n.Role]
-				if book == "" {
-					book = "edge-gone"
-				}
-				f.add("node-gone", n.Name, "no heartbeat reaches its observers", "start it again, under the same name", book)
-			}
-		}
+		checkWorkers(snapshot, report)
 	}
-	s.checkShards(ctx, status, f)
-	if _, snap, err := s.readUpdates(ctx); err != nil {
-		f.add("workers-unknown", "site", err.Error(), "see whether any edge machine runs", "edge-gone")
-	} else {
-		checkWorkers(snap, f)
+	s.checkCalendar(ctx, report)
+	s.checkRetirements(ctx, report)
+	return report.finish(), nil
+}
+
+// checkNodes reports nodes that are dead.
+func (s *Server) checkNodes(ctx context.Context, report *statusReport) {
+	list, err := s.ListNodes(ctx)
+	if err != nil {
+		report.addProblem("nodes-unknown", entireSite, err.Error(), "see whether any core machine runs", runbookCoreDown)
+		return
 	}
-	if ds, err := s.readCalendar(ctx); err != nil {
-		f.add("calendar-unknown", "site", err.Error(), errs.KindOf(err).Remedy, "core-gone")
-	} else {
-		for _, x := range ds {
-			if e, err := calendar.Decode(x.Body); err == nil && e.State == calendar.StatePaused {
-				f.add("move-paused", e.Service+"/"+e.Name, e.Reason, "find out why, then resume or undo it", "move-paused")
-			}
+	for _, node := range list.Nodes {
+		if node.State != nodeStateDead {
+			continue
+		}
+		help := runbookEdgeDown
+		if node.Role == clustermembership.RoleControlNode || node.Role == clustermembership.RolePlacementController {
+			help = runbookCoreDown
 		}
+		report.addProblem("node-gone", node.Name, "no heartbeat reaches its observers", "start it again, under the same name", help)
 	}
-	s.checkRetirements(ctx, f)
-	status.Problems, status.Ok = f.items, len(f.items) == 0
-	return status, nil
 }
 
-// checkShards asks every control node for its status.
-func (s *Server) checkShards(ctx context.Context, report *operator.Status, f *problemList) {
+// checkShards reports the state of all replicas of the shards, and shards without a leader.
+func (s *Server) checkShards(ctx context.Context, report *statusReport) {
 	hasLeader := map[uint32]bool{}
-	for _, n := range s.view().WithRole(clustermembership.RoleControlNode) {
-		one, end := context.WithTimeout(ctx, s.bounds.Heal(1.0/12))
-		t, err := s.clients.ControlNode(n.Addr).Status(one, &wire.StatusRequest{})
-		end()
+	for _, node := range s.view().WithRole(clustermembership.RoleControlNode) {
+		replicas, err := s.readReplicas(ctx, node.Addr)
 		if err != nil {
-			f.add("core-silent", n.Name, "it doesn't answer", "see whether it is cut off, frozen or stopped", "machine-cut")
+			report.addProblem("core-silent", node.Name, "it doesn't answer", "see whether it is cut off, frozen or stopped", runbookMachinePartition)
 			continue
 		}
-		for _, p := range t.Shards {
-			st := "follows"
-			switch {
-			case p.Failure != "":
-				st = "out"
-				f.add("member-out", fmt.Sprintf("%s shard %d", p.Member, p.Shard), p.Failure, errs.DiskFailure.Remedy, "disk-full")
-			case p.Stuck != "":
-				st = "stuck"
-				f.add("member-stuck", fmt.Sprintf("%s shard %d", p.Member, p.Shard), p.Stuck, "bring one of the two data folders back", "disk-lost")
-			case p.Blank:
-				st = "blank"
-				f.add("member-blank", fmt.Sprintf("%s shard %d", p.Member, p.Shard), "it hasn't caught up from both others", "see that both other members run", "disk-lost")
-			case p.IsLeader:
-				st, hasLeader[p.Shard] = "owns", true
+		for _, replica := range replicas {
+			state := checkReplica(replica, report)
+			if state == replicaLeads {
+				hasLeader[replica.Shard] = true
 			}
-			report.Parts = append(report.Parts, operator.StatusPartsItem{Part: int(p.Shard), Member: p.Member, Owner: p.Leader, State: st, Applied: int64(p.AppliedIndex),
-				Last: int64(p.LastIndex), StateBytes: int64(p.StateBytes), LogBytes: int64(p.LogBytes)})
+			report.addReplica(newReplicaItem(int(replica.Shard), replica.Member, replica.Leader, state, replica))
 		}
 	}
-	for p := range uint32(controlclient.ShardCount) {
-		if !hasLeader[p] {
-			f.add("part-unowned", fmt.Sprintf("shard %d", p), "no responding core machine is its leader", "see that two of its three members run and reach each other", "core-split")
+	for shard := range uint32(controlclient.ShardCount) {
+		if !hasLeader[shard] {
+			report.addProblem("part-unowned", fmt.Sprintf("shard %d", shard), "no responding core machine is its leader", "see that two of its three members run and reach each other", runbookCorePartitioned)
 		}
 	}
 }
 
-func checkWorkers(snap *updatestream.Snapshot, f *problemList) {
-	if snap.Config == nil {
-		f.add("no-setup", "site", "no service configuration is in force", "apply one: pebblectl config apply --file …", "setup-wrong")
+// readReplicas asks a control node for the status of its replicas.
+func (s *Server) readReplicas(ctx context.Context, addr string) ([]*wire.ShardStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
+	defer cancel()
+	response, err := s.clients.ControlNode(addr).Status(ctx, &wire.StatusRequest{})
+	if err != nil {
+		return nil, err
 	}
-	stores, all := 0, 0
-	old := map[string]int{}
-	for _, w := range snap.Workers {
+	return response.Shards, nil
+}
+
+// checkReplica reports the problems of a replica and returns its state.
+func checkReplica(replica *wire.ShardStatus, report *statusReport) (state string) {
+	where := fmt.Sprintf("%s shard %d", replica.Member, replica.Shard)
+	switch {
+	case replica.Failure != "":
+		report.addProblem("member-out", where, replica.Failure, errs.DiskFailure.Remedy, runbookDiskFull)
+		return replicaFailed
+	case replica.Stuck != "":
+		report.addProblem("member-stuck", where, replica.Stuck, "bring one of the two data folders back", runbookDiskLost)
+		return replicaStuck
+	case replica.Blank:
+		report.addProblem("member-blank", where, "it hasn't caught up from both others", "see that both other members run", runbookDiskLost)
+		return replicaBlank
+	case replica.IsLeader:
+		return replicaLeads
+	}
+	return replicaFollows
+}
+
+func newReplicaItem(shard int, member, leader, state string, status *wire.ShardStatus) operator.StatusPartsItem {
+	return operator.StatusPartsItem{Part: shard, Member: member, Owner: leader, State: state, Applied: int64(status.AppliedIndex),
+		Last: int64(status.LastIndex), StateBytes: int64(status.StateBytes), LogBytes: int64(status.LogBytes)}
+}
+
+// checkWorkers reports workers and stores that don't respond, and workers on outdated weights.
+func checkWorkers(snapshot *updatestream.Snapshot, report *statusReport) {
+	if snapshot.Config == nil {
+		report.addProblem("no-setup", entireSite, "no service configuration is in force", "apply one: pebblectl config apply --file …", runbookConfigWrong)
+	}
+	stores, modelWorkers := 0, 0
+	outdated := map[string]int{} // workers by model
+	for _, worker := range snapshot.Workers {
 		switch {
-		case w.State == updatestream.WorkerGone:
-			book := "worker-gone"
-			if w.Kind == "store" {
-				book = "store-empty"
+		case worker.State == updatestream.WorkerGone:
+			help := runbookWorkerDown
+			if worker.Kind == "store" {
+				help = runbookStoreEmpty
 			}
-			f.add("worker-gone", w.Name, "it is listed, yet doesn't answer probes", "have the platform replace it, or take it out of its list", book)
-		case w.Kind == "store":
+			report.addProblem("worker-gone", worker.Name, "it is listed, yet doesn't answer probes", "have the platform replace it, or take it out of its list", help)
+		case worker.Kind == "store":
 			stores++
-		case snap.Config != nil && w.Kind == "lm":
-			if all++; w.Weights > 0 && w.Weights < snap.WeightsAt[w.Model].Version {
-				old[w.Model]++
+		case snapshot.Config != nil && worker.Kind == "lm":
+			if modelWorkers++; worker.Weights > 0 && worker.Weights < snapshot.WeightsAt[worker.Model].Version {
+				outdated[worker.Model]++
 			}
 		}
 	}
-	for _, m := range queue.Keys(old) {
-		f.add("older-weights", m, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", old[m], all, snap.WeightsAt[m].Version),
-			"wait for the rollout; else see the placement controllers' logs", "weights-midday")
+	for _, model := range queue.Keys(outdated) {
+		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], modelWorkers, snapshot.WeightsAt[model].Version),
+			"wait for the rollout; else see the placement controllers' logs", runbookOutdatedWeights)
 	}
 	if stores == 0 {
-		f.add("no-store", "site", "no prompt store answers", "service goes on without it; start it again", "store-empty")
+		report.addProblem("no-store", entireSite, "no prompt store answers", "service goes on without it; start it again", runbookStoreEmpty)
+	}
+}
+
+// checkCalendar reports entries that are paused.
+func (s *Server) checkCalendar(ctx context.Context, report *statusReport) {
+	documents, err := s.readCalendar(ctx)
+	if err != nil {
+		report.addProblem("calendar-unknown", entireSite, err.Error(), errs.KindOf(err).Remedy, runbookCoreDown)
+		return
+	}
+	for _, document := range documents {
+		if entry, err := calendar.Decode(document.Body); err == nil && entry.State == calendar.StatePaused {
+			report.addProblem("move-paused", entry.Service+"/"+entry.Name, entry.Reason, "find out why, then resume or undo it", runbookEntryPaused)
+		}
 	}
 }
