--- a/internal/cli/moves.go
+++ b/internal/cli/moves.go
@@ -47,7 +47,7 @@
 		step := fmt.Sprintf("%d of %d", e.CurrentStep, len(e.Steps))
 		if e.CurrentStep < len(e.Steps) {
 			s := e.Steps[e.CurrentStep]
-			step += ": " + s.Kind + " " + strings.Join(s.Workers, " ")
+			step += ": " + string(s.Kind) + " " + strings.Join(s.Workers, " ")
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", e.Service, e.Name, e.Kind, e.State, step, e.Reason)
 	}
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -203,7 +203,7 @@
 			if err != nil {
 				return nil, err
 			}
-			l = append(l, map[string]string{"name": e.Name, "service": e.Service, "kind": e.Kind, "state": e.State})
+			l = append(l, map[string]string{"name": e.Name, "service": e.Service, "kind": string(e.Kind), "state": string(e.State)})
 		}
 	case "retirements":
 		return w.retirements(ctx)
--- a/internal/control/mutation/point2_test.go
+++ b/internal/control/mutation/point2_test.go
@@ -43,8 +43,8 @@
 		replacement: `fmt.Fprintf(hash, "%q %d %v ", put.Key, put.IfVersion, patch)`,
 		pkg:         "internal/control/controlstate", run: "TestRepeatedCalendarStepIsAcknowledged"},
 	mutant{point: 2, name: "two calendar entries of one name share their tokens",
-		file:        "internal/control/calendar/step.go",
-		original:    "e.Service, e.Name, w.EntryVersion, e.CurrentStep, suffix)",
+		file:        "internal/control/calendar/planner.go",
+		original:    "e.Service, e.Name, observed.EntryVersion, e.CurrentStep, suffix)",
 		replacement: "e.Service, e.Name, 0, e.CurrentStep, suffix)",
 		pkg:         "internal/control/calendar", run: "TestStepTokenIsStableAcrossHolders"},
 )
--- a/internal/control/operatorapi/calendar.go
+++ b/internal/control/operatorapi/calendar.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	var faults errs.Batch
-	entry.Check(&faults)
+	entry.Validate(&faults)
 	var others []*calendar.Entry
 	version := uint64(0) // of the entry that this one replaces; 0: none
 	for _, document := range documents {
@@ -68,7 +68,7 @@
 			faults.Addf(errs.Conflict, "entry %q of %s is %s: give another name, or end it first", other.Name, other.Service, other.State)
 		}
 	}
-	faults.Add("calendar", entry.ConflictWith(others))
+	faults.Add("calendar", entry.CheckConflicts(others))
 	if err := faults.Err(); err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	put := &wire.Put{Key: calendar.Key(entry.Service, entry.Name), Body: body, IfVersion: version}
-	return s.putServiceDocument(ctx, entry.Service, put, dryRun, "calendar", entry.State)
+	return s.putServiceDocument(ctx, entry.Service, put, dryRun, "calendar", string(entry.State))
 }
 
 // AskMove pauses, resumes, cancels or undoes an entry. The controller writes the same document, so a
@@ -104,7 +104,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := entry.Request(string(params.Verb)); err != nil {
+		if err := entry.ApplyVerb(calendar.Verb(params.Verb)); err != nil {
 			return nil, err
 		}
 		changed, err := s.putEntry(ctx, entry, document.Version, false)
--- a/internal/sim/testbed/moves.go
+++ b/internal/sim/testbed/moves.go
@@ -67,7 +67,7 @@
 		if json.Unmarshal([]byte(said), &l) == nil {
 			for _, m := range l.Moves {
 				if e, err := calendar.Decode(m); err == nil && e.Service+"/"+e.Name == who {
-					if last = fmt.Sprintf("%s, step %d of %d, %s", e.State, e.CurrentStep, len(e.Steps), e.Reason); e.State == to {
+					if last = fmt.Sprintf("%s, step %d of %d, %s", e.State, e.CurrentStep, len(e.Steps), e.Reason); string(e.State) == to {
 						return nil
 					}
 				}
