--- a/internal/control/calendar/planner.go
+++ b/internal/control/calendar/planner.go
@@ -21,7 +21,6 @@
 	Weights           uint64 // the version that it serves
 	AcceptsRequests   bool   // up, and not draining
 	Reachable         bool   // responds to health checks, draining or not
-	Busy              int    // requests that it runs
 }
 
 // Observation is what is known when a step is decided.
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -160,7 +160,7 @@
 			continue
 		}
 		w.Workers = append(w.Workers, calendar.Worker{Name: x.Name, Incarnation: x.Incarnation, Weights: x.Weights,
-			AcceptsRequests: x.State == updatestream.WorkerUp, Reachable: x.State < updatestream.WorkerGone, Busy: int(x.Busy)})
+			AcceptsRequests: x.State == updatestream.WorkerUp, Reachable: x.State < updatestream.WorkerGone})
 		w.Succeeded, w.Failed = w.Succeeded+all.succeeded[x.Name], w.Failed+all.failed[x.Name]
 	}
 	return w
