--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -2,166 +2,105 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
+	"slices"
 	"testing"
 
-	"google.golang.org/protobuf/proto"
-
 	"pebbleloom/internal/wire"
 )
 
-// fixedGroup is three cores and the letters between them; persisting is immediate.
-type fixedGroup struct {
-	cores        map[string]*Core
-	inFlight     []*wire.Message
-	leaderOfTerm map[uint64]string
-	t            testing.TB
-}
-
-func newFixedGroup(t testing.TB) *fixedGroup {
-	group := &fixedGroup{cores: map[string]*Core{}, leaderOfTerm: map[uint64]string{}, t: t}
-	for i, n := range []string{"a", "b", "c"} {
-		snapshot := BlankSnapshot(n + "/1")
-		snapshot.HardState.DiskState = wire.DiskState_DISK_FOUNDED
-		group.cores[n] = New(Config{Self: n, Members: []string{"a", "b", "c"}, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(1, uint64(i)))}, snapshot, nil)
-	}
-	return group
-}
-
-// collect takes what a core wants to send, and watches who owns which term.
-func (g *fixedGroup) collect(n string) {
-	c := g.cores[n]
-	g.inFlight = append(g.inFlight, c.Ready().Messages...)
-	if c.role == leader {
-		if o, ok := g.leaderOfTerm[c.hardState.Term]; ok && o != n {
-			g.t.Fatalf("term %d is owned by %s and by %s", c.hardState.Term, o, n)
+// contestedElection lets a and b campaign for the same term and delivers messages by their positions
+// in flight; the one at the position lost is lost (-1: none).
+func contestedElection(t *testing.T, path []int, lost int) *testGroup {
+	t.Helper()
+	group := newFixedGroup(t)
+	group.campaign("a")
+	group.campaign("b")
+	for step, i := range path {
+		if step == lost {
+			group.drop(i)
+			continue
 		}
-		g.leaderOfTerm[c.hardState.Term] = n
+		group.deliver(i)
 	}
+	return group
 }
 
-func (g *fixedGroup) deliver(i int) {
-	message := g.inFlight[i]
-	g.inFlight = append(append([]*wire.Message(nil), g.inFlight[:i]...), g.inFlight[i+1:]...)
-	g.cores[message.To].Step(proto.Clone(message).(*wire.Message))
-	g.collect(message.To)
-}
-
-func isVoteMessage(message *wire.Message) bool {
-	return message.Kind == wire.MessageKind_VOTE_REQUEST || message.Kind == wire.MessageKind_VOTE_RESPONSE
-}
-
-// Two members stand in the same term. Every order in which the votes asked for and given
-// can arrive is tried, and every one in which one of the letters is lost: never two owners
-// in a term, and whoever won owns the part in the end.
+// Two members campaign in the same term. Every order in which vote requests and responses can arrive is
+// tried, and every one in which one of them is lost: a term never has two leaders, and with all
+// messages delivered it has one.
 func TestEveryOrderOfTwoCandidatesVotes(t *testing.T) {
 	for lost := -1; lost < 8; lost++ {
 		orders, wins := 0, map[string]int{}
 		var walk func(path []int)
-		replay := func(path []int) *fixedGroup {
-			group := newFixedGroup(t)
-			group.cores["a"].campaign(candidate)
-			group.collect("a")
-			group.cores["b"].campaign(candidate)
-			group.collect("b")
-			for n, i := range path {
-				if n == lost {
-					group.inFlight = append(append([]*wire.Message(nil), group.inFlight[:i]...), group.inFlight[i+1:]...)
-					continue
-				}
-				group.deliver(i)
-			}
-			return group
-		}
 		walk = func(path []int) {
-			group := replay(path)
-			more := false
+			group := contestedElection(t, path, lost)
+			complete := true
 			for i, message := range group.inFlight {
 				if isVoteMessage(message) {
-					more = true
-					walk(append(append([]int(nil), path...), i))
+					complete = false
+					walk(append(slices.Clone(path), i))
 				}
 			}
-			if more {
+			if !complete {
 				return
 			}
 			orders++
-			for n := 0; len(group.inFlight) > 0 && n < 200; n++ {
-				group.deliver(0)
-			}
+			group.deliverAll()
 			wins[group.leaderOfTerm[1]]++
 		}
 		walk(nil)
 		if orders < 300 || wins["a"] == 0 || wins["b"] == 0 {
-			t.Errorf("lost %d: %d orders, wins %v: the walk is too short", lost, orders, wins)
+			t.Errorf("lost %d: only %d orders, wins %v", lost, orders, wins)
 		}
 		if lost < 0 && wins[""] > 0 {
-			t.Errorf("%d orders end without an owner though no letter was lost and c's vote decides", wins[""])
+			t.Errorf("%d orders end without a leader although no message was lost and c's vote decides", wins[""])
+		}
+	}
+}
+
+// twoAppends has the leader a propose two commands, delivers messages by their positions in flight, and
+// counts what is left in flight then. In the end all messages arrive. The first message is duplicated.
+func twoAppends(t *testing.T, path []int) (group *testGroup, left int) {
+	t.Helper()
+	group = newFixedGroup(t)
+	group.elect("a")
+	for _, body := range []string{"one", "two"} {
+		if _, _, ok := group.cores["a"].Propose([]byte(body)); !ok {
+			t.Fatal("a isn't the leader")
 		}
 	}
+	group.collect("a")
+	group.inFlight = append(group.inFlight, group.inFlight[0])
+	for _, i := range path {
+		group.deliver(i)
+	}
+	left = len(group.inFlight)
+	for range 4 {
+		group.cores["a"].Tick()
+		group.collect("a")
+		group.deliverAll()
+	}
+	return group, left
 }
 
-// An entry that an owner adds under every order of its letters, doubled letters included,
-// is committed on all three exactly once.
+// Two commands are committed on all three members exactly once, in every order of the first messages,
+// one of which is duplicated.
 func TestEveryOrderOfTwoAppends(t *testing.T) {
 	orders := 0
 	var walk func(path []int)
-	replay := func(path []int) (left int, got map[string][]string) {
-		group := newFixedGroup(t)
-		group.cores["a"].campaign(candidate)
-		group.collect("a")
-		for len(group.inFlight) > 0 {
-			group.deliver(0)
-		}
-		got = map[string][]string{}
-		see := func(n string) {
-			ready := group.cores[n].Ready()
-			group.inFlight = append(group.inFlight, ready.Messages...)
-			for _, entry := range ready.CommittedEntries {
-				if len(entry.Body) > 0 {
-					got[n] = append(got[n], string(entry.Body))
-				}
-			}
-		}
-		for _, b := range []string{"one", "two"} {
-			if _, _, ok := group.cores["a"].Propose([]byte(b)); !ok {
-				t.Fatal("a doesn't own the part")
-			}
-		}
-		see("a")
-		group.inFlight = append(group.inFlight, group.inFlight[0]) // one letter comes twice
-		for _, i := range path {
-			message := group.inFlight[i]
-			group.inFlight = append(append([]*wire.Message(nil), group.inFlight[:i]...), group.inFlight[i+1:]...)
-			group.cores[message.To].Step(proto.Clone(message).(*wire.Message))
-			see(message.To)
-		}
-		left = len(group.inFlight)
-		for range 4 {
-			group.cores["a"].Tick()
-			see("a")
-			for n := 0; len(group.inFlight) > 0 && n < 200; n++ {
-				message := group.inFlight[0]
-				group.inFlight = group.inFlight[1:]
-				group.cores[message.To].Step(message)
-				see(message.To)
-			}
-		}
-		return left, got
-	}
 	walk = func(path []int) {
-		left, got := replay(path)
-		if len(path) == 6 || left == 0 {
-			orders++
-			for _, n := range []string{"a", "b", "c"} {
-				if fmt.Sprint(got[n]) != "[one two]" {
-					t.Fatalf("path %v: %s committed %v", path, n, got[n])
-				}
+		group, left := twoAppends(t, path)
+		if len(path) < 6 && left > 0 {
+			for i := range left {
+				walk(append(slices.Clone(path), i))
 			}
 			return
 		}
-		for i := range left {
-			walk(append(append([]int(nil), path...), i))
+		orders++
+		for _, name := range []string{"a", "b", "c"} {
+			if fmt.Sprint(group.applied[name]) != "[one two]" {
+				t.Fatalf("path %v: %s committed %v", path, name, group.applied[name])
+			}
 		}
 	}
 	walk(nil)
@@ -170,8 +109,8 @@
 	}
 }
 
-// An owner's past life has letters under way. What denies them under the new term must not
-// pass for the answer to a question of the new life: a read would be confirmed by it.
+// A request of an earlier term is rejected in the current one. That rejection may reach a later
+// incarnation of the old leader, whose reads it must not confirm: it echoes no probe.
 func TestRejectionOfOldTermConfirmsNoRead(t *testing.T) {
 	group := newFixedGroup(t)
 	b := group.cores["b"]
@@ -180,7 +119,7 @@
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 5, Probe: 50})
 	for _, message := range b.Ready().Messages {
 		if message.Kind != wire.MessageKind_APPEND_RESPONSE || message.Ok || message.Term != 6 || message.Probe != 0 {
-			t.Errorf("a letter of term 5 was answered by %v", message)
+			t.Errorf("the response to a request of term 5 is %v", message)
 		}
 	}
 }
--- a/internal/control/consensus/first_election_test.go
+++ b/internal/control/consensus/startup_election_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// After all members have begun anew there is an owner within a few ticks, whichever of them
-// begins last; nobody waits for a silence that nobody can break.
+// After a restart of all members one of them leads within a few ticks, whichever of them starts last:
+// none waits for the time-out of a leader that doesn't exist.
 func TestLeaderIsElectedSoonAfterFullRestart(t *testing.T) {
 	for seed := range uint64(200) {
 		group := newTestGroup(t, "a b c", "")
-		for n, c := range group.cores {
-			c.cfg.Rand = rand.New(rand.NewPCG(seed, uint64(n[0])))
+		for name, core := range group.cores {
+			core.cfg.Rand = rand.New(rand.NewPCG(seed, uint64(name[0])))
 		}
 		late := string("abc"[seed%3])
-		c := group.cores[late]
+		lateCore := group.cores[late]
 		delete(group.cores, late)
 		group.tick(1)
-		group.cores[late] = c
+		group.cores[late] = lateCore
 		group.tick(8)
 		leaders := 0
-		for _, c := range group.cores {
-			if c.role == leader && c.commit > 0 {
+		for _, core := range group.cores {
+			if core.role == leader && core.commit > 0 {
 				leaders++
 			}
 		}
@@ -31,16 +31,15 @@
 	}
 }
 
-// One that begins anew beside an owner asks, is told no, and follows.
+// A member that restarts while there is a leader has its pre-votes rejected, and follows.
 func TestRestartedMemberDoesNotDisruptLeader(t *testing.T) {
 	for seed := range uint64(50) {
 		group := newTestGroup(t, "a b c", "")
-		group.campaign("a")
-		group.deliverAll()
+		group.elect("a")
 		group.tick(30)
 		term := group.cores["a"].hardState.Term
-		snapshot, rest := group.cores["b"].Compact([]byte("state"))
-		group.cores["b"] = New(Config{Self: "b", DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(seed, 2))}, snapshot, rest)
+		snapshot, records := group.cores["b"].Compact([]byte("state"))
+		group.cores["b"] = New(Config{Self: "b", DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(seed, 2))}, snapshot, records)
 		group.tick(40)
 		if group.cores["a"].role != leader || group.cores["b"].leader != "a" || group.cores["a"].hardState.Term != term {
 			t.Fatalf("seed %d: %+v in term %d before", seed, group.cores["b"].Status(), term)
@@ -48,28 +47,28 @@
 	}
 }
 
-// Members that stand in one moment don't take the votes from each other: nearly always one of them
-// wins without another round, whatever the order of the letters.
+// Members that campaign at the same moment don't split the vote: nearly always one of them wins at
+// once, whatever the order of the messages.
 func TestSimultaneousPreCandidatesYieldToOne(t *testing.T) {
 	won := 0
-	const walks = 300
-	for seed := range uint64(walks) {
+	const orders = 300
+	for seed := range uint64(orders) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		group := newTestGroup(t, "a b c", "")
-		for _, n := range []string{"a", "b", "c"} {
-			group.cores[n].Tick()
-			group.collect(n)
+		for _, name := range []string{"a", "b", "c"} {
+			group.cores[name].Tick()
+			group.collect(name)
 		}
 		for len(group.inFlight) > 0 {
 			group.deliver(random.IntN(len(group.inFlight)))
 		}
-		for _, c := range group.cores {
-			if c.role == leader {
+		for _, core := range group.cores {
+			if core.role == leader {
 				won++
 			}
 		}
 	}
-	if won < walks*9/10 {
-		t.Errorf("one of them won in %d of %d", won, walks)
+	if won < orders*9/10 {
+		t.Errorf("one of them won in %d of %d orders", won, orders)
 	}
 }
