--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// newElectedLeader is the leader of a group of three that has just been elected by b.
+// newElectedLeader returns the leader of a group of three that has just been elected by b.
 func newElectedLeader(t *testing.T) *Core {
 	t.Helper()
 	members := []string{"a/0", "b/0", "c/0"}
@@ -22,7 +22,7 @@
 	return c
 }
 
-// nextAppendTo runs the leader's clock until it sends a peer a request, and returns that.
+// nextAppendTo ticks the leader until it sends a peer an append request, and returns that.
 func nextAppendTo(t *testing.T, c *Core, peer string) *wire.Message {
 	t.Helper()
 	for range c.cfg.HeartbeatTicks {
@@ -37,6 +37,7 @@
 	return nil
 }
 
+// appendResponseTo returns the response of a peer whose log matches.
 func appendResponseTo(request *wire.Message) *wire.Message {
 	return &wire.Message{To: request.From, From: request.To, Incarnation: request.To, DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_APPEND_RESPONSE,
 		Ok: true, Term: request.Term, Index: request.Index, AboutIncarnation: request.Incarnation, SentTick: request.SentTick, AcceptsChunks: true}
@@ -44,17 +45,17 @@
 
 func contactAgeOf(t *testing.T, c *Core, peer string) int {
 	t.Helper()
-	for _, p := range c.PeerStatuses() {
-		if p.Name == peer {
-			return p.ContactAge
+	for _, status := range c.PeerStatuses() {
+		if status.Name == peer {
+			return status.ContactAge
 		}
 	}
 	t.Fatalf("no status of %s", peer)
 	return 0
 }
 
-// A response that comes late says that its peer was there when the request was sent, and no more: the
-// peer counts as old as that, and the leader stops leading as if nothing had come since.
+// A late response proves that its peer was up when the request was sent, and no more: the contact age is
+// that of the request, and the leader steps down as if nothing had come since.
 func TestContactAgeOfLateResponseIsThatOfItsRequest(t *testing.T) {
 	for late := range 18 {
 		core := newElectedLeader(t)
@@ -65,24 +66,24 @@
 			core.Ready()
 		}
 		if !core.Status().IsLeader {
-			continue // nobody was heard for too long
+			continue // it has had no contact with a quorum for too long
 		}
 		core.Step(appendResponseTo(request))
 		if got := contactAgeOf(t, core, "c/0"); got != late {
-			t.Errorf("a response %d ticks after its request: the peer counts as heard %d ticks ago", late, got)
+			t.Errorf("a response %d ticks after its request: the contact age is %d", late, got)
 		}
 		for core.Status().IsLeader && core.ticks < 100 {
 			core.Tick()
 			core.Ready()
 		}
-		if kept := core.ticks - sent; kept > 2*core.cfg.ElectionTicks {
-			t.Errorf("a response %d ticks late: the leader stayed for %d ticks after that request, at most %d may be", late, kept, 2*core.cfg.ElectionTicks)
+		if led := core.ticks - sent; led > 2*core.cfg.ElectionTicks {
+			t.Errorf("a response %d ticks late: the leader led for %d ticks after that request, want at most %d", late, led, 2*core.cfg.ElectionTicks)
 		}
 	}
 }
 
-// A release that doesn't give the tick back counts as heard when its response comes, and one that is
-// from the future, as no honest peer's is, too.
+// A response that doesn't echo the tick of its request, or a tick in the future, counts as a contact of the
+// moment when it arrives.
 func TestResponseWithoutSentTickCountsAsFresh(t *testing.T) {
 	for _, tick := range []uint64{0, 1 << 40} {
 		c := newElectedLeader(t)
@@ -95,7 +96,7 @@
 		response.SentTick = tick
 		c.Step(response)
 		if got := contactAgeOf(t, c, "c/0"); got != 0 {
-			t.Errorf("tick %d: heard %d ticks ago", tick, got)
+			t.Errorf("tick %d: the contact age is %d", tick, got)
 		}
 	}
 }
--- /dev/null
+++ b/internal/control/consensus/link_network_test.go
@@ -0,0 +1,267 @@
+package consensus
+
+import (
+	"bytes"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"pebbleloom/internal/wire"
+)
+
+// linkNetwork connects the cores of a group. The incoming link of one member can be slow: small messages
+// overtake large ones on it, and one that would take longer than sendTimeout is lost, as the driver gives
+// up sending it.
+type linkNetwork struct {
+	t      testing.TB
+	random *rand.Rand
+	tick   int
+
+	cores            map[string]*Core
+	disks            map[string]*memoryDisk
+	applied          map[string]uint64 // by member: index of the last applied entry
+	states           map[string][]byte // by member: the applied state, which is the last applied body
+	acknowledged     []byte            // body of the newest acknowledged entry
+	trailingLogBytes int
+
+	slowPeer             string // the member whose incoming link is slow; empty: none
+	bytesPerTick         int    // throughput of the slow link
+	busyUntil            int    // tick until which the slow link transmits what is queued
+	sendTimeout          int    // ticks after which a message on the slow link is lost
+	lossProbability      float64
+	duplicateProbability float64
+	queued               []queuedMessage
+
+	bytesSent     map[wire.MessageKind]int // payload sent over the slow link
+	olderRelease  string                   // the member that runs the previous release; empty: none
+	unknownChunks int                      // chunks sent to that member
+	recorded      []*wire.Message          // messages with a snapshot or a chunk
+}
+
+// queuedMessage is a message that arrives in a tick, or whose loss its sender learns then.
+type queuedMessage struct {
+	at      int
+	message *wire.Message
+	lost    bool
+}
+
+// memoryDisk holds what a member has persisted.
+type memoryDisk struct {
+	snapshot *wire.Snapshot
+	records  []*wire.Record
+}
+
+const (
+	testHeartbeatTicks = 3
+	testElectionTicks  = 9
+	testMaxBatchBytes  = 256 << 10
+)
+
+func newLinkNetwork(t testing.TB, seed uint64, trailingLogBytes int) *linkNetwork {
+	network := &linkNetwork{t: t, random: rand.New(rand.NewPCG(seed, 4)), cores: map[string]*Core{}, disks: map[string]*memoryDisk{}, states: map[string][]byte{},
+		applied: map[string]uint64{}, bytesPerTick: 1 << 30, sendTimeout: 5, bytesSent: map[wire.MessageKind]int{}, trailingLogBytes: trailingLogBytes}
+	for _, name := range []string{"a", "b", "c"} {
+		network.disks[name] = &memoryDisk{snapshot: BootstrapSnapshot(name, []string{"a", "b", "c"})}
+		network.start(name)
+	}
+	return network
+}
+
+// start starts a member from its disk.
+func (n *linkNetwork) start(name string) {
+	disk := n.disks[name]
+	cfg := Config{Self: name, DynamicMembership: true, HeartbeatTicks: testHeartbeatTicks, ElectionTicks: testElectionTicks, MaxBatchBytes: testMaxBatchBytes, TrailingLogBytes: n.trailingLogBytes,
+		Rand: rand.New(rand.NewPCG(n.random.Uint64(), 5))}
+	n.cores[name] = New(cfg, proto.Clone(disk.snapshot).(*wire.Snapshot), disk.records)
+	n.states[name], n.applied[name] = disk.snapshot.State, disk.snapshot.Index
+}
+
+// payloadBytes is the size of the bodies, state or chunk in a message.
+func payloadBytes(message *wire.Message) int {
+	size := len(message.GetSnapshot().GetState()) + len(message.GetChunk().GetData())
+	for _, entry := range message.Entries {
+		size += len(entry.Body)
+	}
+	return size
+}
+
+// drive carries out what a core asks for, as the driver does: persist, send, apply.
+func (n *linkNetwork) drive(name string) {
+	core, disk := n.cores[name], n.disks[name]
+	if core == nil {
+		return
+	}
+	ready := core.Ready()
+	if ready.Snapshot != nil {
+		if ready.Snapshot.Index < n.applied[name] {
+			n.t.Fatalf("%s installs a snapshot of entry %[3]d over the state of entry %[2]d", name, n.applied[name], ready.Snapshot.Index)
+		}
+		disk.snapshot, disk.records = ready.Snapshot, nil
+		n.states[name], n.applied[name] = ready.Snapshot.State, ready.Snapshot.Index
+	}
+	disk.records = append(disk.records, ready.Records...)
+	for _, message := range ready.Messages {
+		n.enqueue(message)
+	}
+	for _, entry := range ready.CommittedEntries {
+		if entry.Index != n.applied[name]+1 {
+			n.t.Fatalf("%s applies %d after %d", name, entry.Index, n.applied[name])
+		}
+		n.applied[name] = entry.Index
+		if len(entry.Body) > 0 {
+			n.states[name] = entry.Body
+		}
+	}
+}
+
+// compact replaces the applied log of a member by a snapshot.
+func (n *linkNetwork) compact(name string) {
+	disk := n.disks[name]
+	disk.snapshot, disk.records = n.cores[name].Compact(n.states[name])
+}
+
+// enqueue sends a message, subject to the faults of its link.
+func (n *linkNetwork) enqueue(message *wire.Message) {
+	if n.random.Float64() < n.lossProbability {
+		return
+	}
+	if message.To == n.olderRelease && message.Chunk != nil {
+		n.unknownChunks++
+	}
+	if message.Snapshot != nil {
+		n.recorded = append(n.recorded, message)
+	}
+	if message.From == n.olderRelease {
+		message.AcceptsChunks = false
+	}
+	at, size := n.tick, payloadBytes(message)
+	if message.To == n.slowPeer {
+		n.bytesSent[message.Kind] += size
+		if duration := size / n.bytesPerTick; duration > 0 {
+			n.busyUntil = max(n.busyUntil, n.tick) + duration
+			at = n.busyUntil
+		}
+		if at-n.tick > n.sendTimeout {
+			n.queued = append(n.queued, queuedMessage{at: n.tick + n.sendTimeout, message: message, lost: true})
+			return
+		}
+	}
+	n.queued = append(n.queued, queuedMessage{at: at + 1, message: proto.Clone(message).(*wire.Message)})
+	if n.random.Float64() < n.duplicateProbability {
+		n.queued = append(n.queued, queuedMessage{at: at + 2 + n.random.IntN(10), message: proto.Clone(message).(*wire.Message)})
+	}
+}
+
+// advance delivers the messages of the next tick, and then ticks all members.
+func (n *linkNetwork) advance() {
+	n.tick++
+	due, later := []queuedMessage(nil), []queuedMessage(nil)
+	for _, queued := range n.queued {
+		if queued.at <= n.tick {
+			due = append(due, queued)
+		} else {
+			later = append(later, queued)
+		}
+	}
+	n.queued = later
+	for _, queued := range due {
+		if c := n.cores[queued.message.From]; queued.lost && c != nil {
+			c.ReportSendFailure(queued.message)
+			n.drive(queued.message.From)
+		} else if c := n.cores[queued.message.To]; !queued.lost && c != nil {
+			c.Step(queued.message)
+			n.drive(queued.message.To)
+		}
+	}
+	for _, name := range []string{"a", "b", "c", "d"} {
+		if c := n.cores[name]; c != nil {
+			c.Tick()
+			n.drive(name)
+		}
+	}
+}
+
+// leader returns the leader of the highest term; nil: there is none.
+func (n *linkNetwork) leader() *Core {
+	var found *Core
+	for _, c := range n.cores {
+		if c != nil && c.role == leader && (found == nil || c.hardState.Term > found.hardState.Term) {
+			found = c
+		}
+	}
+	return found
+}
+
+// propose commits a body through the leader, and waits until the leader has applied it.
+func (n *linkNetwork) propose(body []byte) {
+	n.t.Helper()
+	for range 400 {
+		leaderCore := n.leader()
+		if leaderCore == nil {
+			n.advance()
+			continue
+		}
+		index, term, _ := leaderCore.Propose(body)
+		n.drive(leaderCore.cfg.Self)
+		for range 100 {
+			if n.advance(); n.applied[leaderCore.cfg.Self] >= index || leaderCore.hardState.Term != term {
+				break
+			}
+		}
+		if leaderCore.role == leader && leaderCore.hardState.Term == term && n.applied[leaderCore.cfg.Self] >= index {
+			n.acknowledged = body
+			return
+		}
+	}
+	n.t.Fatal("no proposal was committed")
+}
+
+// runUntil advances until a condition holds, for at most so many ticks, and returns how many it took.
+func (n *linkNetwork) runUntil(condition string, ticks int, done func() bool) int {
+	n.t.Helper()
+	from := n.tick
+	for !done() {
+		if n.advance(); n.tick-from > ticks {
+			n.t.Fatalf("not within %[2]d ticks: %[1]s", condition, ticks)
+		}
+	}
+	return n.tick - from
+}
+
+// hasCaughtUp reports whether a member has applied the newest acknowledged entry.
+func (n *linkNetwork) hasCaughtUp(name string) bool {
+	return bytes.Equal(n.states[name], n.acknowledged)
+}
+
+func randomBody(random *rand.Rand, size int) []byte {
+	body := make([]byte, size)
+	for i := range body {
+		body[i] = byte(random.Uint32())
+	}
+	return body
+}
+
+// otherMember returns the first of the three voters that isn't excluded.
+func otherMember(excluded ...string) string {
+	for _, name := range []string{"a", "b", "c"} {
+		if !slices.Contains(excluded, name) {
+			return name
+		}
+	}
+	return ""
+}
+
+// newLaggingNetwork returns a group in which one follower is down, and lacks entries that the leader has
+// compacted.
+func newLaggingNetwork(t testing.TB, seed uint64, stateBytes, trailingLogBytes int) (network *linkNetwork, lagging string) {
+	network = newLinkNetwork(t, seed, trailingLogBytes)
+	network.propose(randomBody(network.random, stateBytes))
+	lagging = otherMember(network.leader().cfg.Self)
+	network.cores[lagging] = nil
+	network.propose(randomBody(network.random, stateBytes))
+	network.propose(randomBody(network.random, stateBytes))
+	network.compact(network.leader().cfg.Self)
+	return network, lagging
+}
