--- a/internal/control/consensus/model_actions_test.go
+++ b/internal/control/consensus/model_actions_test.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// initialState is the first state of a search.
+// initialState returns the first state of a search.
 func (s *space) initialState() *groupState {
 	state := &groupState{history: s.internHistory(observedHistory{})}
 	for slot, name := range slotNames {
@@ -41,7 +41,7 @@
 	return cfg
 }
 
-// applyEvent makes an event happen on the way to the first state, and gives the messages that it sends.
+// applyEvent carries out an event on the way to the first state, and returns the messages that it sends.
 func (s *space) applyEvent(state *groupState, slot int, event modelEvent) []int32 {
 	result := s.step(state.nodes[slot], event)
 	state.nodes[slot] = result.node
@@ -49,16 +49,16 @@
 	return result.messages
 }
 
-// electFirstLeader brings the group to where a leads and nothing is under way.
+// electFirstLeader makes a the leader, with no messages in flight.
 func (s *space) electFirstLeader(state *groupState) {
-	under := s.applyEvent(state, 0, modelEvent{kind: electionTimeout})
-	for len(under) > 0 {
-		id := under[0]
-		under = append(under[1:], s.applyEvent(state, s.messages[id].to, modelEvent{kind: deliver, arg: id})...)
+	inFlight := s.applyEvent(state, 0, modelEvent{kind: electionTimeout})
+	for len(inFlight) > 0 {
+		id := inFlight[0]
+		inFlight = append(inFlight[1:], s.applyEvent(state, s.messages[id].to, modelEvent{kind: deliver, arg: id})...)
 	}
 }
 
-// contestLog has a propose an entry that nobody hears of, c elect b for term 2, and then a for term 3.
+// contestLog has a propose an entry that no other member receives, c elect b in term 2, and then a in term 3.
 func (s *space) contestLog(state *groupState) {
 	s.applyEvent(state, 0, modelEvent{kind: propose, arg: '0'})
 	s.runElection(state, 1)
@@ -67,7 +67,7 @@
 	}
 }
 
-// runElection has a member ask all for their votes; it gives what it sends once it leads.
+// runElection delivers a member's vote requests and the responses, and returns what it sends as leader.
 func (s *space) runElection(state *groupState, slot int) (sent []int32) {
 	for _, request := range s.applyEvent(state, slot, modelEvent{kind: electionTimeout}) {
 		for _, response := range s.applyEvent(state, s.messages[request].to, modelEvent{kind: deliver, arg: request}) {
@@ -77,89 +77,129 @@
 	return sent
 }
 
-// modelAction is an event at one of the slots, or a question or answer of an agent.
+// modelAction is an event at one of the slots, or a step of the agent that asks for a proof of freshness.
 type modelAction struct {
 	modelEvent
 	slot       int8
 	budget     budget
 	cost       uint8
-	duplicated bool // the message that is delivered will come again
+	duplicated bool // the message that is delivered stays in flight
 }
 
-// actions lists all that may happen next.
-func (s *space) actions(state *groupState) (l []modelAction) {
-	free := func(slot int, event modelEvent) { l = append(l, modelAction{modelEvent: event, slot: int8(slot)}) }
-	paid := func(slot int, b budget, event modelEvent) {
-		switch {
-		case s.limits[b] == unlimited:
-			free(slot, event)
-		case state.used[b] < s.limits[b]:
-			l = append(l, modelAction{modelEvent: event, slot: int8(slot), budget: b, cost: 1})
-		}
-	}
-	bodies := s.histories[state.history].bodies()
+// actionList collects the actions that may happen next in a state.
+type actionList struct {
+	space   *space
+	state   *groupState
+	actions []modelAction
+}
+
+// actions lists all actions that may happen next in a state.
+func (s *space) actions(state *groupState) []modelAction {
+	list := &actionList{space: s, state: state}
 	for slot := range slots {
-		node := s.nodes[state.nodes[slot]]
-		if node.wiped || slot == 3 && !s.learner {
+		if s.nodes[state.nodes[slot]].wiped || slot == 3 && !s.learner {
 			continue
 		}
-		if node.pending() {
-			free(slot, modelEvent{kind: flush})
-		}
-		if node.core.hardState.Term < s.terms {
-			kind := electionTimeout
-			if s.preVotes {
-				kind = preVoteTimeout
-			}
-			paid(slot, elections, modelEvent{kind: kind})
-			for other := range slots {
-				paid(slot, transfers, modelEvent{kind: transfer, arg: int32(other)})
-			}
-		}
-		paid(slot, heartbeats, modelEvent{kind: heartbeat})
-		paid(slot, timeouts, modelEvent{kind: quorumSilent})
-		paid(slot, restarts, modelEvent{kind: restart})
-		paid(slot, wipes, modelEvent{kind: wipe})
-		paid(slot, compactions, modelEvent{kind: compact})
-		paid(slot, reads, modelEvent{kind: requestRead, arg: int32(len(s.histories[state.history].committed))})
-		body := int32('1' + state.used[proposals])
-		paid(slot, proposals, modelEvent{kind: propose, arg: body})
-		if s.learner {
-			paid(slot, learners, modelEvent{kind: addLearner, arg: 3})
-			paid(slot, changes, modelEvent{kind: addMember, arg: 3})
-		}
-		for other := range slots {
-			paid(slot, changes, modelEvent{kind: removeMember, arg: int32(other)})
-			if s.learner {
-				paid(slot, changes, modelEvent{kind: replaceMember, arg: int32(other)})
-			}
-		}
-		paid(slot, freshnessAttestations, modelEvent{kind: attestFreshness})
+		list.addElections(slot)
+		list.addLocalEvents(slot)
+		list.addMembershipChanges(slot)
+		list.addWithin(freshnessAttestations, slot, modelEvent{kind: attestFreshness})
 	}
-	if len(bodies) > 0 {
-		paid(0, freshnessQueries, modelEvent{kind: queryFreshness})
+	if len(s.histories[state.history].bodies()) > 0 {
+		list.addWithin(freshnessQueries, 0, modelEvent{kind: queryFreshness})
 	}
 	for _, id := range state.inFlight {
-		to := s.messages[id].to
-		if s.nodes[state.nodes[to]].wiped {
-			continue
-		}
-		if s.limits[duplicates] == unlimited {
-			l = append(l, modelAction{modelEvent: modelEvent{kind: deliver, arg: id}, slot: int8(to), duplicated: true})
-		} else {
-			free(to, modelEvent{kind: deliver, arg: id})
-			if state.used[duplicates] < s.limits[duplicates] {
-				l = append(l, modelAction{modelEvent: modelEvent{kind: deliver, arg: id}, slot: int8(to), budget: duplicates, cost: 1, duplicated: true})
-			}
+		list.addDeliveries(id)
+	}
+	return list.actions
+}
+
+// add adds an event that may happen any number of times.
+func (l *actionList) add(slot int, event modelEvent) {
+	l.actions = append(l.actions, modelAction{modelEvent: event, slot: int8(slot)})
+}
+
+// addWithin adds an event if its budget isn't used up.
+func (l *actionList) addWithin(budget budget, slot int, event modelEvent) {
+	switch limit := l.space.limits[budget]; {
+	case limit == unlimited:
+		l.add(slot, event)
+	case l.state.used[budget] < limit:
+		l.actions = append(l.actions, modelAction{modelEvent: event, slot: int8(slot), budget: budget, cost: 1})
+	}
+}
+
+// addElections adds the flush of delayed output, and what starts an election in the next term.
+func (l *actionList) addElections(slot int) {
+	node := l.space.nodes[l.state.nodes[slot]]
+	if node.pending() {
+		l.add(slot, modelEvent{kind: flush})
+	}
+	if node.core.hardState.Term >= l.space.terms {
+		return
+	}
+	kind := electionTimeout
+	if l.space.preVotes {
+		kind = preVoteTimeout
+	}
+	l.addWithin(elections, slot, modelEvent{kind: kind})
+	for target := range slots {
+		l.addWithin(transfers, slot, modelEvent{kind: transfer, arg: int32(target)})
+	}
+}
+
+// addLocalEvents adds the events of time, of the process and its disk, and of clients.
+func (l *actionList) addLocalEvents(slot int) {
+	l.addWithin(heartbeats, slot, modelEvent{kind: heartbeat})
+	l.addWithin(timeouts, slot, modelEvent{kind: quorumSilent})
+	l.addWithin(restarts, slot, modelEvent{kind: restart})
+	l.addWithin(wipes, slot, modelEvent{kind: wipe})
+	l.addWithin(compactions, slot, modelEvent{kind: compact})
+	l.addWithin(reads, slot, modelEvent{kind: requestRead, arg: int32(len(l.space.histories[l.state.history].committed))})
+	l.addWithin(proposals, slot, modelEvent{kind: propose, arg: int32('1' + l.state.used[proposals])})
+}
+
+// addMembershipChanges adds the proposals to add, remove and replace members.
+func (l *actionList) addMembershipChanges(slot int) {
+	if l.space.learner {
+		l.addWithin(learners, slot, modelEvent{kind: addLearner, arg: 3})
+		l.addWithin(changes, slot, modelEvent{kind: addMember, arg: 3})
+	}
+	for member := range slots {
+		l.addWithin(changes, slot, modelEvent{kind: removeMember, arg: int32(member)})
+		if l.space.learner {
+			l.addWithin(changes, slot, modelEvent{kind: replaceMember, arg: int32(member)})
 		}
-		if !s.nodes[state.nodes[to]].pending() {
-			paid(to, delayedFlushes, modelEvent{kind: deliver, arg: id, delayFlush: true})
+	}
+}
+
+// addDeliveries adds the delivery of a message: once and for all, as a duplicate, and with delayed output.
+func (l *actionList) addDeliveries(id int32) {
+	slot := l.space.messages[id].to
+	node := l.space.nodes[l.state.nodes[slot]]
+	if node.wiped {
+		return
+	}
+	event := modelEvent{kind: deliver, arg: id}
+	duplicate := modelAction{modelEvent: event, slot: int8(slot), duplicated: true}
+	switch limit := l.space.limits[duplicates]; {
+	case limit == unlimited:
+		l.actions = append(l.actions, duplicate)
+	default:
+		l.add(slot, event)
+		if l.state.used[duplicates] < limit {
+			duplicate.budget, duplicate.cost = duplicates, 1
+			l.actions = append(l.actions, duplicate)
 		}
 	}
-	return l
+	if !node.pending() {
+		event.delayFlush = true
+		l.addWithin(delayedFlushes, slot, event)
+	}
 }
 
-// applyAction makes a copy of a state in which an action has happened; changed is false where it does nothing.
+// applyAction returns the state after an action. changed is false where the action can't happen or changes
+// nothing; fault is the invariant that it violates, if any.
 func (s *space) applyAction(state *groupState, action modelAction) (next *groupState, changed bool, fault string) {
 	copied := *state
 	next = &copied
--- a/internal/control/consensus/model_encoding_test.go
+++ b/internal/control/consensus/model_encoding_test.go
@@ -16,22 +16,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The model checker copies cores and tells them apart by every field they have, found by reflection,
-// so a field that is added to Core counts without a change here. A field of a kind that it can't copy
-// or encode makes it panic.
+// The model checker copies and compares cores by all of their fields, which it finds by reflection: a field that is
+// added to Core needs no change here. It panics at a field of a kind that it can't copy or encode.
 
 var (
 	protoType = reflect.TypeFor[proto.Message]()
 	randType  = reflect.TypeFor[*rand.Rand]()
 )
 
-// accessible gives a value that may be read and set although its field isn't exported.
+// accessible returns a value that may be read and set although its field isn't exported.
 func accessible(value reflect.Value) reflect.Value {
 	return reflect.NewAt(value.Type(), unsafe.Pointer(value.UnsafeAddr())).Elem()
 }
 
-// cloneCore is a deep copy. Protocol messages are shared: the core replaces them and never changes one,
-// which verifyUnchanged holds it to.
+// cloneCore returns a deep copy. Protocol messages are shared: the core must not change them, which verifyUnchanged
+// checks.
 func cloneCore(c *Core) *Core {
 	copied := *c
 	detach(reflect.ValueOf(&copied).Elem())
@@ -81,8 +80,8 @@
 	}
 }
 
-// renaming is a permutation of the members' names. Names are one letter, in a fixed group followed
-// by a slash and the number of the incarnation.
+// renaming is a permutation of the members' names. A name has one letter; the incarnation of a fixed member is its
+// name, a slash and a number.
 type renaming map[byte]byte
 
 func (r renaming) apply(s string) string {
@@ -147,8 +146,7 @@
 	}
 }
 
-// encodedFields are the indexes of the fields that count, by type: of a protocol message only those
-// that go over the wire.
+// encodedFields caches the indexes of the encoded fields by type: of a protocol message only those on the wire.
 var encodedFields sync.Map
 
 func fieldsOf(t reflect.Type) []int {
@@ -172,7 +170,7 @@
 	}
 }
 
-// list encodes a slice. Lists of strings are sets of members, whose order means nothing.
+// list encodes a slice. Slices of strings are sets of members, whose order has no meaning.
 func (encoder *canonicalEncoder) list(value reflect.Value) {
 	encoder.number(uint64(value.Len()))
 	if value.Type().Elem().Kind() != reflect.String {
@@ -204,8 +202,8 @@
 	}
 }
 
-// fingerprint is a hash of 128 bits. Those of the parts of a state are added up, so a state's doesn't
-// depend on the order of its messages.
+// fingerprint is a hash of 128 bits. The fingerprint of a state is the sum of those of its parts, and so doesn't
+// depend on the order of the messages.
 type fingerprint struct{ high, low uint64 }
 
 func (f fingerprint) add(g fingerprint) fingerprint {
@@ -225,7 +223,7 @@
 	return fingerprint{binary.BigEndian.Uint64(h[:8]), binary.BigEndian.Uint64(h[8:16])}
 }
 
-// founderRenamings are all permutations of the three founders; the first changes nothing.
+// founderRenamings are all permutations of the three initial voters; the first one is the identity.
 var founderRenamings = [...]renaming{
 	nil,
 	{'a': 'a', 'b': 'c', 'c': 'b'},
@@ -235,10 +233,10 @@
 	{'a': 'c', 'b': 'b', 'c': 'a'},
 }
 
-// fingerprints are those of one thing under each renaming.
+// fingerprints are the fingerprints of a value under each renaming.
 type fingerprints [len(founderRenamings)]fingerprint
 
-// encodingOf is the canonical form of values of a kind.
+// encodingOf returns the canonical form of values of a kind.
 func encodingOf(names renaming, kind string, values ...any) string {
 	e := canonicalEncoder{names: names}
 	e.text(kind)
@@ -255,8 +253,8 @@
 	return prints
 }
 
-// The copy shares nothing that the core changes, the encoding sees every field, and kinds that can't
-// be copied or encoded aren't passed over.
+// A copy shares nothing that the core changes, every field is encoded, and values that can't be encoded cause a
+// panic.
 func TestModelCopiesAndEncodesEveryField(t *testing.T) {
 	core := newTestCore(BootstrapSnapshot("a", []string{"a", "b", "c"}), 1)
 	core.campaign(candidate)
@@ -291,14 +289,14 @@
 			}
 		}
 		if after := encodingOf(nil, "core", changed); after == before {
-			t.Errorf("the encoding doesn't see %s", name)
+			t.Errorf("%s isn't encoded", name)
 		}
 	}
 	for _, v := range []any{make(chan int), func() {}, 1.5} {
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%T is encoded without a complaint", v)
+					t.Errorf("%T is encoded without a panic", v)
 				}
 			}()
 			encodingOf(nil, "", v)
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	queryFreshness  eventKind = 100 + iota // an agent asks all members whether there is anything newer
-	attestFreshness                        // one of them vouches that there isn't
+	queryFreshness  eventKind = 100 + iota // an agent asks all members whether there is a newer document
+	attestFreshness                        // a member responds that it has none
 )
 
-// committedEntry is an entry that a member has committed, and the least term in which one did.
+// committedEntry is an entry that a member has committed, and the term of the first member that did.
 type committedEntry struct {
 	entry *wire.Entry
 	term  uint64
 }
 
-// attestation is a member's answer to the agent: its disk holds nothing newer, and this is its membership.
+// attestation is a member's response to the agent: it has no newer document, and these are its newest voters.
 type attestation struct {
 	member      string
 	members     []string
 	term, index uint64
 }
 
-// observedHistory is what an observer has seen that the members may have forgotten.
+// observedHistory is what an observer remembers that the members may have lost.
 type observedHistory struct {
 	committed          []committedEntry
-	committedWhenAsked int // how many changes were committed when the agent asked; 0: it hasn't
+	committedWhenAsked int // how many commands were committed when the agent asked; 0: it hasn't
 	attestations       []attestation
 	votes              map[string]castVote // the latest of each incarnation
 }
 
-// castVote is a vote that was given, to oneself included.
+// castVote is a vote that a member has granted, to itself included.
 type castVote struct {
 	term      uint64
 	candidate string
 }
 
-// bodies are the changes that were committed, one letter each.
+// bodies returns the committed commands, of one letter each.
 func (history observedHistory) bodies() string {
-	l := ""
-	for _, c := range history.committed {
-		l += string(c.entry.Body)
+	bodies := ""
+	for _, committed := range history.committed {
+		bodies += string(committed.entry.Body)
 	}
-	return l
+	return bodies
 }
 
 type historyKey struct {
@@ -61,7 +61,8 @@
 	fault   string
 }
 
-// recordStep adds what a step committed, and the votes that it gave, to the history.
+// recordStep adds what a step committed, and the votes that it granted, to a history. fault is the invariant that
+// it violates, if any.
 func (s *space) recordStep(id int32, result *stepResult) (now int32, fault string) {
 	key := historyKey{id, result}
 	old, known := s.historyCache[key]
@@ -87,8 +88,8 @@
 	return s.internHistory(history), fault
 }
 
-// addVotes: a member votes once in a term, also when it restarts in between, and never in an older
-// term than before. A vote is forgotten once a later term is on the voter's disk.
+// addVotes checks that a member votes once in a term, also across restarts, and never in an earlier term than
+// before (paper, section 5.2). A vote is dropped once a later term is on the voter's disk.
 func (history *observedHistory) addVotes(s *space, result *stepResult) (changed bool, fault string) {
 	votes := maps.Clone(history.votes)
 	if votes == nil {
@@ -99,15 +100,15 @@
 		if message.votesFor == "" {
 			continue
 		}
-		was, voted := votes[message.Incarnation]
-		if voted && (was.term > message.Term || was.term == message.Term && was.candidate != message.votesFor) {
-			fault = fmt.Sprintf("two votes: %s votes for %s in term %d, and has voted for %s in term %d", message.From, message.votesFor, message.Term, was.candidate, was.term)
+		earlier, voted := votes[message.Incarnation]
+		if voted && (earlier.term > message.Term || earlier.term == message.Term && earlier.candidate != message.votesFor) {
+			fault = fmt.Sprintf("two votes: %s votes for %s in term %d, and has voted for %s in term %d", message.From, message.votesFor, message.Term, earlier.candidate, earlier.term)
 		}
 		votes[message.Incarnation] = castVote{message.Term, message.votesFor}
 	}
 	if node := s.nodes[result.node]; !node.wiped {
 		incarnation := node.core.hardState.Incarnation
-		if v, voted := votes[incarnation]; voted && node.disk.term() > v.term {
+		if vote, voted := votes[incarnation]; voted && node.disk.term() > vote.term {
 			delete(votes, incarnation)
 		}
 	}
@@ -118,7 +119,8 @@
 	return true, fault
 }
 
-// beginFreshnessQuery notes that the agent begins to ask, with a plan that is one change older than what is committed.
+// beginFreshnessQuery records that the agent begins to ask for a proof, with a document that lacks the last
+// committed command.
 func (s *space) beginFreshnessQuery(id int32) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked > 0 || history.bodies() == "" {
@@ -128,7 +130,7 @@
 	return s.internHistory(history)
 }
 
-// attest notes the answer of a member, where it vouches that its disk holds no newer plan.
+// attest records the response of a member, if it attests that it has no newer document.
 func (s *space) attest(id int32, node nodeEntry) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked == 0 || !node.core.IsVoter(node.name) || node.pending() {
@@ -152,8 +154,8 @@
 	return s.internHistory(history)
 }
 
-// checkFreshnessProof tells whether the answers prove to the agent that its plan was the newest when it asked,
-// though it wasn't.
+// checkFreshnessProof checks that the responses don't prove to the agent that its document was the newest when it
+// asked, which it wasn't.
 func (history observedHistory) checkFreshnessProof() string {
 	const version, askedAt = 1, time.Second
 	p := agent.NewFreshnessProof()
@@ -166,10 +168,18 @@
 	return fmt.Sprintf("wrong proof of freshness: %v prove that %d changes are all, %d had been committed before they were asked", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
 }
 
-// checkStep holds the invariants against a step of one slot: those that tell of the step itself.
+// checkStep checks the invariants of a step of one member.
 func (s *space) checkStep(state *groupState, action modelAction, before int32, result *stepResult) string {
 	slot := int(action.slot)
-	for _, fault := range []string{result.fault, s.checkAgreement(s.histories[state.history].observedHistory, result), s.checkCommitQuorum(state, slot, before, result), s.checkLeaderIsVoter(slot, before, result), s.checkTermMonotonic(before, result), s.checkAppliedMonotonic(action, before, result), s.checkTermSynced(result)} {
+	for _, fault := range []string{
+		result.fault,
+		s.checkAgreement(s.histories[state.history].observedHistory, result),
+		s.checkCommitQuorum(state, slot, before, result),
+		s.checkLeaderIsVoter(slot, before, result),
+		s.checkTermMonotonic(before, result),
+		s.checkAppliedMonotonic(action, before, result),
+		s.checkTermSynced(result),
+	} {
 		if fault != "" {
 			return fault
 		}
@@ -177,10 +187,16 @@
 	return ""
 }
 
-// checkState holds the invariants against a state.
+// checkState checks the invariants of a state.
 func (s *space) checkState(state *groupState) string {
 	history := s.histories[state.history].observedHistory
-	for _, fault := range []string{s.checkElectionSafety(state), s.checkLeaderCompleteness(state, history), s.checkMembershipSteps(state, history), s.checkAppliedState(state, history), history.checkFreshnessProof()} {
+	for _, fault := range []string{
+		s.checkElectionSafety(state),
+		s.checkLeaderCompleteness(state, history),
+		s.checkMembershipSteps(state, history),
+		s.checkAppliedState(state, history),
+		history.checkFreshnessProof(),
+	} {
 		if fault != "" {
 			return fault
 		}
@@ -188,18 +204,18 @@
 	return ""
 }
 
-// checkTermSynced: whatever a member sends, but for asking whether it could win, is of a term that is on its disk.
+// checkTermSynced checks that whatever a member sends, except pre-vote requests, is of a term that is on its disk.
 func (s *space) checkTermSynced(result *stepResult) string {
 	node := s.nodes[result.node]
 	for _, id := range result.messages {
 		if message := s.messages[id]; message.Kind != wire.MessageKind_PRE_VOTE_REQUEST && message.Term > node.disk.term() {
-			return fmt.Sprintf("sent before synced: %s speaks in term %d, its disk knows of term %d", node.name, message.Term, node.disk.term())
+			return fmt.Sprintf("sent before synced: %s sends in term %d, its disk has term %d", node.name, message.Term, node.disk.term())
 		}
 	}
 	return ""
 }
 
-// checkAppliedMonotonic: what a member has applied goes back only where it starts again.
+// checkAppliedMonotonic checks that the applied index of a member decreases only when it restarts.
 func (s *space) checkAppliedMonotonic(action modelAction, before int32, result *stepResult) string {
 	was, is := s.nodes[before], s.nodes[result.node]
 	if action.kind == restart || action.kind == wipe || is.wiped || is.core.applied >= was.core.applied {
@@ -208,19 +224,20 @@
 	return fmt.Sprintf("old state: %s goes back from entry %d to entry %d", is.name, was.core.applied, is.core.applied)
 }
 
-// checkTermMonotonic: the term on an incarnation's disk never falls.
+// checkTermMonotonic checks that the term on the disk of an incarnation never decreases.
 func (s *space) checkTermMonotonic(before int32, result *stepResult) string {
 	was, is := s.nodes[before], s.nodes[result.node]
 	if is.wiped || was.core.hardState.Incarnation != is.core.hardState.Incarnation || is.disk.term() >= was.disk.term() {
 		return ""
 	}
-	if is.core.cfg.DynamicMembership || was.core.hardState.DiskState == is.core.hardState.DiskState { // of fixed members a blank one is let in
+	if is.core.cfg.DynamicMembership || was.core.hardState.DiskState == is.core.hardState.DiskState { // a blank fixed member takes over the term of its peers
 		return fmt.Sprintf("the term on the disk of %s falls from %d to %d", is.name, was.disk.term(), is.disk.term())
 	}
 	return ""
 }
 
-// checkAgreement: no two members commit different entries at one index.
+// checkAgreement checks that no two members commit different entries at one index (State Machine Safety: paper,
+// section 5.4.3).
 func (s *space) checkAgreement(history observedHistory, result *stepResult) string {
 	for _, entry := range result.committed {
 		if entry.Index > uint64(len(history.committed)) {
@@ -233,9 +250,9 @@
 	return ""
 }
 
-// checkCommitQuorum: what a leader commits is on the disks of a majority of the members that its log names.
-// A wiped member may have held it, and of steps that sync together an earlier one may have committed
-// it under other members, so this is told only where there are none.
+// checkCommitQuorum checks that what a leader commits is on the disks of a majority of its voters. It doesn't apply
+// after a wipe, where the lost disk may have had it, nor to delayed output, where an earlier step may have
+// committed it with other voters.
 func (s *space) checkCommitQuorum(state *groupState, slot int, before int32, result *stepResult) string {
 	after := s.nodes[result.node]
 	if len(result.committed) == 0 || after.wiped || state.used[wipes] > 0 || s.nodes[before].pending() || s.nodes[before].core.role != leader || s.nodes[before].core.applied >= after.core.applied {
@@ -257,7 +274,7 @@
 	return fmt.Sprintf("no overlapping majority: %s commits entry %d, which %d of %v hold", slotNames[slot], last.Index, holders, names)
 }
 
-// checkLeaderIsVoter: whoever becomes leader is a voter by its own log.
+// checkLeaderIsVoter checks that whoever becomes leader is a voter by its own log.
 func (s *space) checkLeaderIsVoter(slot int, before int32, result *stepResult) string {
 	was, is := s.nodes[before], s.nodes[result.node]
 	if is.wiped || is.core.role != leader || was.core.role == leader || is.core.IsVoter(is.name) {
@@ -266,7 +283,8 @@
 	return fmt.Sprintf("learner in the quorum: %s leads and is no member", slotNames[slot])
 }
 
-// checkElectionSafety: a term has one leader, and nobody else ever sent entries in it.
+// checkElectionSafety checks that a term has one leader, and no other member has sent entries in it (Election
+// Safety: paper, section 5.2).
 func (s *space) checkElectionSafety(state *groupState) string {
 	for _, id := range state.nodes {
 		node := s.nodes[id]
@@ -274,9 +292,9 @@
 			continue
 		}
 		term := node.core.hardState.Term
-		for _, other := range state.nodes {
-			if o := s.nodes[other]; !o.wiped && o.name != node.name && o.core.role == leader && o.core.hardState.Term == term {
-				return fmt.Sprintf("two leaders of term %d: %s and %s", term, node.name, o.name)
+		for _, otherID := range state.nodes {
+			if other := s.nodes[otherID]; !other.wiped && other.name != node.name && other.core.role == leader && other.core.hardState.Term == term {
+				return fmt.Sprintf("two leaders of term %d: %s and %s", term, node.name, other.name)
 			}
 		}
 		for _, sent := range state.inFlight {
@@ -288,66 +306,69 @@
 	return ""
 }
 
-// checkLeaderCompleteness: every leader of a later term has what was committed.
+// checkLeaderCompleteness checks that the leader of a later term has all committed entries (Leader Completeness:
+// paper, section 5.4).
 func (s *space) checkLeaderCompleteness(state *groupState, history observedHistory) string {
 	for _, id := range state.nodes {
 		node := s.nodes[id]
 		if node.wiped || node.core.role != leader {
 			continue
 		}
-		for _, c := range history.committed {
-			if c.term >= node.core.hardState.Term || c.entry.Index <= node.core.snapshot.Index {
+		for _, committed := range history.committed {
+			if committed.term >= node.core.hardState.Term || committed.entry.Index <= node.core.snapshot.Index {
 				continue
 			}
-			if t, ok := node.core.termAt(c.entry.Index); !ok || t != c.entry.Term {
-				return fmt.Sprintf("lost commit: %s leads term %d without entry %d of term %d, committed in term %d", node.name, node.core.hardState.Term, c.entry.Index, c.entry.Term, c.term)
+			if term, ok := node.core.termAt(committed.entry.Index); !ok || term != committed.entry.Term {
+				return fmt.Sprintf("lost commit: %s leads term %d without entry %d of term %d, committed in term %d", node.name, node.core.hardState.Term, committed.entry.Index, committed.entry.Term, committed.term)
 			}
 		}
 	}
 	return ""
 }
 
-// checkMembershipSteps: in no leader's log do members change by more than one, or twice beyond what is committed.
+// checkMembershipSteps checks that in a leader's log each change concerns one member, and at most one change isn't
+// committed.
 func (s *space) checkMembershipSteps(state *groupState, history observedHistory) string {
 	for _, id := range state.nodes {
 		node := s.nodes[id]
 		if node.wiped || node.core.role != leader || s.fixed {
 			continue
 		}
-		now, open := node.core.snapshot.Members, 0
+		voters, uncommitted := node.core.snapshot.Members, 0
 		for _, entry := range node.core.log {
-			if len(entry.Members) == 0 || slices.Equal(entry.Members, now) {
+			if len(entry.Members) == 0 || slices.Equal(entry.Members, voters) {
 				continue
 			}
-			if len(now) > 0 && differing(now, entry.Members) > 1 {
-				return fmt.Sprintf("members changed by more than one: %v to %v", now, entry.Members)
+			if len(voters) > 0 && differing(voters, entry.Members) > 1 {
+				return fmt.Sprintf("members changed by more than one: %v to %v", voters, entry.Members)
 			}
-			if now = entry.Members; entry.Index > uint64(len(history.committed)) {
-				open++
+			if voters = entry.Members; entry.Index > uint64(len(history.committed)) {
+				uncommitted++
 			}
 		}
-		if open > 1 {
-			return fmt.Sprintf("overlapping changes of members: %d aren't committed in the log of %s", open, node.name)
+		if uncommitted > 1 {
+			return fmt.Sprintf("overlapping changes of members: %d aren't committed in the log of %s", uncommitted, node.name)
 		}
 	}
 	return ""
 }
 
-func differing(a, b []string) (n int) {
-	for _, peer := range a {
-		if !slices.Contains(b, peer) {
-			n++
+// differing returns how many names are in one of two lists only.
+func differing(a, b []string) (count int) {
+	for _, name := range a {
+		if !slices.Contains(b, name) {
+			count++
 		}
 	}
-	for _, peer := range b {
-		if !slices.Contains(a, peer) {
-			n++
+	for _, name := range b {
+		if !slices.Contains(a, name) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// checkAppliedState: what a member has applied is what was committed up to there.
+// checkAppliedState checks that the applied state of a member results from the committed entries.
 func (s *space) checkAppliedState(state *groupState, history observedHistory) string {
 	for _, id := range state.nodes {
 		node := s.nodes[id]
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -7,31 +7,32 @@
 	"pebbleloom/internal/wire"
 )
 
-// steadyTicks is how old every core of the model is: past its start, with a leader's word just heard.
+// steadyTicks is the age in ticks of every core of the model: it isn't starting, and had contact with a leader
+// in this tick.
 const steadyTicks = 1000
 
-// modelRand replaces a core's randomness, which only sets timers that the model abstracts from.
+// modelRand replaces a core's source of randomness, which only sets timers that the model abstracts from.
 type modelRand struct{}
 
 func (modelRand) Uint64() uint64 { return 0x5555555555555555 }
 
-// modelDisk is what a member has synced: its snapshot, then the records since.
+// modelDisk is what a member has persisted: a snapshot and the records after it.
 type modelDisk struct {
 	snapshot *wire.Snapshot
 	records  []*wire.Record
 }
 
-// modelNode is one member: its disk, its core, the state that it has applied, and the reads it was asked.
+// modelNode is one member: its disk, its core, the state that it has applied, and its pending reads.
 type modelNode struct {
 	name  string
-	wiped bool // wiped and never started again under this name
+	wiped bool // its disk is lost, and it doesn't start again under this name
 	disk  modelDisk
 	core  *Core
-	app   string           // the bodies it has applied, one letter each
-	reads map[uint64]uint8 // by id: how many entries had been committed when it was asked
+	app   string           // the commands that it has applied, of one letter each
+	reads map[uint64]uint8 // by id: how many entries had been committed when the read began
 }
 
-// eventKind is something that happens at one node.
+// eventKind is a kind of event at one node.
 type eventKind uint8
 
 const (
@@ -46,36 +47,53 @@
 	addLearner
 	addMember
 	removeMember
-	replaceMember // by the last name, at once, which the core has to refuse
+	replaceMember // by the last name in one change, which the core must reject
 	transfer
 	compact
 	requestRead
 	flush
 )
 
-var eventNames = map[eventKind]string{electionTimeout: "election timeout", preVoteTimeout: "asks for pre-votes", heartbeat: "heartbeat",
-	quorumSilent: "has heard of no quorum", restart: "crashes and restarts", wipe: "loses its disk", propose: "proposes", addLearner: "feeds learner",
-	addMember: "proposes to add", removeMember: "proposes to remove",
-	replaceMember: "proposes to replace", transfer: "transfers leadership to", compact: "compacts its log",
-	requestRead: "begins a read", flush: "syncs and sends what it held back"}
+// eventNames describe events in the trace of a search.
+var eventNames = map[eventKind]string{
+	electionTimeout: "election timeout",
+	preVoteTimeout:  "requests pre-votes",
+	heartbeat:       "heartbeat",
+	quorumSilent:    "has no contact with a quorum",
+	restart:         "crashes and restarts",
+	wipe:            "loses its disk",
+	propose:         "proposes",
+	addLearner:      "adds learner",
+	addMember:       "proposes to add",
+	removeMember:    "proposes to remove",
+	replaceMember:   "proposes to replace",
+	transfer:        "transfers leadership to",
+	compact:         "compacts its log",
+	requestRead:     "begins a read",
+	flush:           "persists and sends what was delayed",
+}
 
-// modelEvent is what happens at a node. Equal events at equal nodes have equal results.
+// modelEvent is an event at a node. Equal events at equal nodes have equal outcomes.
 type modelEvent struct {
-	kind       eventKind
-	arg        int32 // deliver: the message; members: the index of the name; propose: the body; reads: what was committed
-	delayFlush bool  // the driver doesn't persist and send yet
+	kind eventKind
+
+	// arg is the number of the message to deliver, the slot of the member to add, remove or transfer to,
+	// the command to propose, or how many entries were committed when a read begins.
+	arg int32
+
+	delayFlush bool // the driver persists and sends the step's output only at a later flush
 }
 
-// eventOutcome is what an event makes of a node.
+// eventOutcome is the result of an event at a node.
 type eventOutcome struct {
 	node      *modelNode
 	messages  []*wire.Message
 	committed []*wire.Entry
-	term      uint64 // in which the node committed them
-	fault     string // an invariant that this step alone breaks
+	term      uint64 // the node's term when it committed them
+	fault     string // the invariant that this step violates; empty: none
 }
 
-// startNode makes a member from its disk, as a start of the process does.
+// startNode starts a member from its disk.
 func startNode(cfg Config, disk modelDisk) *modelNode {
 	node := &modelNode{name: cfg.Self, disk: disk, reads: map[uint64]uint8{}, app: string(disk.snapshot.State)}
 	node.core = New(cfg, disk.snapshot, disk.records)
@@ -83,16 +101,17 @@
 	return node
 }
 
-// normalize sets the clocks of a core to one value: time is an event of its own in the model.
+// normalize sets all clocks of a core to the same values: the model abstracts from time, and what depends on
+// it happens by events of their own.
 func (node *modelNode) normalize() {
-	c := node.core
-	c.ticks, c.lastLeaderContact = steadyTicks, steadyTicks
-	c.electionElapsed, c.electionTimeout = 0, c.cfg.ElectionTicks
-	c.heartbeatElapsed, c.learnerHeartbeatCount = 0, 0
-	for _, progress := range c.peers {
+	core := node.core
+	core.ticks, core.lastLeaderContact = steadyTicks, steadyTicks
+	core.electionElapsed, core.electionTimeout = 0, core.cfg.ElectionTicks
+	core.heartbeatElapsed, core.learnerHeartbeatCount = 0, 0
+	for _, progress := range core.peers {
 		progress.ticksSinceResponse, progress.contactAge, progress.snapshotSentAt, progress.batchRetryAt = 0, 0, 0, 0
 		if progress.transfer == nil {
-			progress.inFlight = false // it only keeps a leader from sending what it may send at the next heartbeat
+			progress.inFlight = false // it only delays what a leader sends to its next heartbeat
 			continue
 		}
 		progress.transfer.sentAt, progress.transfer.retryAt = steadyTicks, steadyTicks
@@ -116,7 +135,8 @@
 	return encodingOf(names, "node", node.core, node.disk, node.app, node.reads)
 }
 
-// persist adds records to the disk. The disk is kept as what a restart reads from it.
+// persist appends records to the disk, which is kept in the form that a restart reads: the newest hard state and
+// the log.
 func (disk *modelDisk) persist(cfg Config, records []*wire.Record) {
 	if len(records) == 0 {
 		return
@@ -126,18 +146,18 @@
 	disk.records = append([]*wire.Record{{Kind: &wire.Record_HardState{HardState: read.hardState}}}, entryRecords(read.log)...)
 }
 
-// term is the one that a restart reads.
+// term returns the term that a restart reads.
 func (disk modelDisk) term() uint64 {
 	term := disk.snapshot.HardState.Term
-	for _, r := range disk.records {
-		if h := r.GetHardState(); h != nil {
-			term = h.Term
+	for _, record := range disk.records {
+		if hardState := record.GetHardState(); hardState != nil {
+			term = hardState.Term
 		}
 	}
 	return term
 }
 
-// step makes an event happen at a copy of the node; nil where it can't happen there.
+// step carries out an event at a copy of the node. It returns nil where the event can't happen there.
 func (node *modelNode) step(event modelEvent, message *wire.Message, names []string) *eventOutcome {
 	if node.wiped {
 		return nil
@@ -169,12 +189,13 @@
 	return after.flush()
 }
 
-// applyLocalEvent is a step of the core that no message brings about; false where the core refuses it.
+// applyLocalEvent carries out an event that isn't the delivery of a message. It returns false where the event
+// can't happen, or the core rejects it.
 func (node *modelNode) applyLocalEvent(event modelEvent, names []string) bool {
 	core := node.core
 	switch event.kind {
 	case electionTimeout:
-		if core.role == leader || !core.IsVoter(node.name) || core.hardState.DiskState == wire.DiskState_DISK_BLANK {
+		if core.role == leader || !core.IsVoter(node.name) || core.isBlank() {
 			return false
 		}
 		core.campaign(candidate)
@@ -185,21 +206,9 @@
 		core.electionTimeout = 1
 		core.Tick()
 	case heartbeat:
-		core.heartbeatElapsed, core.learnerHeartbeatCount = core.cfg.HeartbeatTicks-1, learnerHeartbeats-1
-		if core.hardState.DiskState == wire.DiskState_DISK_BLANK {
-			core.heartbeatElapsed = 0 // it asks for the others' states
-		} else if core.role != leader {
-			return false
-		}
-		core.Tick()
+		return tickHeartbeat(core)
 	case quorumSilent:
-		if core.role != leader {
-			return false
-		}
-		for _, progress := range core.peers {
-			progress.ticksSinceResponse = 2 * core.cfg.ElectionTicks
-		}
-		core.Tick()
+		return tickSilentQuorum(core)
 	case propose:
 		_, _, ok := core.Propose([]byte{byte(event.arg)})
 		return ok
@@ -209,12 +218,10 @@
 		_, _, ok := core.ProposeMembership(append(slices.Clone(core.voters.names), names[event.arg]))
 		return ok && core.IsVoter(names[event.arg])
 	case removeMember:
-		others := slices.DeleteFunc(slices.Clone(core.voters.names), func(peer string) bool { return peer == names[event.arg] })
-		_, _, ok := core.ProposeMembership(others)
+		_, _, ok := core.ProposeMembership(without(core.voters.names, names[event.arg]))
 		return ok
 	case replaceMember:
-		others := slices.DeleteFunc(slices.Clone(core.voters.names), func(peer string) bool { return peer == names[event.arg] })
-		_, _, ok := core.ProposeMembership(append(others, names[len(names)-1]))
+		_, _, ok := core.ProposeMembership(append(without(core.voters.names, names[event.arg]), names[len(names)-1]))
 		return ok
 	case transfer:
 		for peer, progress := range core.peers {
@@ -233,7 +240,37 @@
 	return true
 }
 
-// flush does what the driver does after a step: persist, send, apply.
+// without returns a copy of names that lacks one of them.
+func without(names []string, name string) []string {
+	return slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
+}
+
+// tickHeartbeat ticks a leader when its next heartbeat is due, or a blank member when it asks for its peers'
+// states; false at any other member.
+func tickHeartbeat(core *Core) bool {
+	core.heartbeatElapsed, core.learnerHeartbeatCount = core.cfg.HeartbeatTicks-1, learnerHeartbeats-1
+	if core.isBlank() {
+		core.heartbeatElapsed = 0
+	} else if core.role != leader {
+		return false
+	}
+	core.Tick()
+	return true
+}
+
+// tickSilentQuorum ticks a leader that no peer has responded to for two election timeouts.
+func tickSilentQuorum(core *Core) bool {
+	if core.role != leader {
+		return false
+	}
+	for _, progress := range core.peers {
+		progress.ticksSinceResponse = 2 * core.cfg.ElectionTicks
+	}
+	core.Tick()
+	return true
+}
+
+// flush carries out what the core asks for, as the driver does: persist, send, apply.
 func (node *modelNode) flush() *eventOutcome {
 	ready := node.core.Ready()
 	if ready.Snapshot != nil {
@@ -247,7 +284,7 @@
 	}
 	for _, id := range ready.ConfirmedReads {
 		if asked := node.reads[id]; node.core.applied < uint64(asked) {
-			out.fault = fmt.Sprintf("old state served as new: %s confirms a read with %d of the %d entries that were committed before it began", node.name, node.core.applied, asked)
+			out.fault = fmt.Sprintf("stale read: %s confirms a read with %d of the %d entries that were committed before it began", node.name, node.core.applied, asked)
 		}
 		delete(node.reads, id)
 	}
@@ -258,7 +295,7 @@
 	return out
 }
 
-// compact lets the snapshot take in what is applied, once nothing is left to flush.
+// compact replaces the applied log by a snapshot, once nothing is left to flush.
 func (node *modelNode) compact() *eventOutcome {
 	if node.core.applied <= node.core.snapshot.Index || node.pending() {
 		return nil
@@ -268,14 +305,14 @@
 	return &eventOutcome{node: node}
 }
 
-// pending tells whether steps were taken that the driver hasn't flushed.
+// pending reports whether there is output of the core that wasn't flushed.
 func (node *modelNode) pending() bool {
 	r := node.core.ready
 	return r.Snapshot != nil || len(r.Records)+len(r.Messages)+len(r.AbortedReads) > 0 || node.core.commit > node.core.applied
 }
 
-// loseDisk is a member after its disk was lost. In a group its name is gone for good, and the machine
-// comes back under another; of fixed members it begins blank under a new incarnation.
+// loseDisk returns the member after its disk was lost. In a group its name isn't used again, and the machine
+// joins under another; a fixed member starts blank under a new incarnation.
 func (node *modelNode) loseDisk() *modelNode {
 	if node.core.cfg.DynamicMembership {
 		return &modelNode{name: node.name, wiped: true}
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -8,78 +8,100 @@
 	"pebbleloom/internal/wire"
 )
 
-// pathStep leads from an earlier state to a new one.
+// pathStep is the action that leads from an earlier state to a new one.
 type pathStep struct {
-	from int32
+	from int32 // number of the earlier state
 	modelAction
 }
 
-// report is what a search has covered.
+// report is the coverage and the outcome of a search.
 type report struct {
 	states, transitions, depth int
-	nodes, messages            int // different ones
+	nodes, messages            int // numbers of distinct ones
 	elapsed                    time.Duration
-	fault                      string // empty: every invariant holds in every state
-	trace                      []string
-	limited                    bool // it was cut off before all states were visited
+	fault                      string   // the invariant that is violated; empty: none
+	trace                      []string // the actions that lead to the violation
+	limited                    bool     // the search ended before it had visited all states
 }
 
-func (result report) String() string {
+func (r report) String() string {
 	return fmt.Sprintf("%d states, %d transitions, depth %d, %v (%d different members, %d different messages)",
-		result.states, result.transitions, result.depth, result.elapsed.Round(10*time.Millisecond), result.nodes, result.messages)
+		r.states, r.transitions, r.depth, r.elapsed.Round(10*time.Millisecond), r.nodes, r.messages)
 }
 
-// search visits every state within the bounds, breadth first, and stops at the first that breaks an
-// invariant: no shorter path leads to one.
-func search(limits bounds, limit int) (result report) {
+// searcher is a breadth-first search of a space.
+type searcher struct {
+	report
+	space     *space
+	maxStates int // 0: no limit
+	visited   map[fingerprint]struct{}
+	path      []pathStep // by the number of a state: how it was reached
+}
+
+// search visits every state within the bounds, breadth first, and stops at the first one that violates an
+// invariant: no shorter path leads to a violation.
+func search(limits bounds, maxStates int) report {
 	begun := time.Now()
 	space := newSpace(limits)
 	first := space.initialState()
-	seen := map[fingerprint]struct{}{space.fingerprint(first): {}}
-	path := []pathStep{{from: -1}}
-	level := []*groupState{first}
-	for ; len(level) > 0 && result.fault == "" && !result.limited; result.depth++ {
-		var nextLevel []*groupState
-		for _, state := range level {
-			for _, action := range space.actions(state) {
-				next, changed, fault := space.applyAction(state, action)
-				if !changed {
-					continue
-				}
-				result.transitions++
-				key := space.fingerprint(next)
-				if _, known := seen[key]; known && fault == "" {
-					continue
-				}
-				seen[key] = struct{}{}
-				next.number = int32(len(path))
-				path = append(path, pathStep{state.number, action})
-				nextLevel = append(nextLevel, next)
-				if fault == "" {
-					fault = space.checkState(next)
-				}
-				if fault != "" {
-					result.fault, result.trace = fault, space.trace(path)
-					break
-				}
+	s := &searcher{space: space, maxStates: maxStates, visited: map[fingerprint]struct{}{space.fingerprint(first): {}}, path: []pathStep{{from: -1}}}
+	for level := []*groupState{first}; len(level) > 0 && !s.ended(); s.depth++ {
+		level = s.expand(level)
+	}
+	if s.fault == "" {
+		s.fault = space.verifyNoEffect()
+	}
+	if s.fault == "" {
+		s.fault = space.verifyUnchanged()
+	}
+	s.states, s.nodes, s.messages, s.elapsed = len(s.path), len(space.nodes), len(space.messages), time.Since(begun)
+	return s.report
+}
+
+func (s *searcher) ended() bool { return s.limited || s.fault != "" }
+
+// expand returns the new states that are one action away from those of a level.
+func (s *searcher) expand(level []*groupState) (next []*groupState) {
+	for _, state := range level {
+		for _, action := range s.space.actions(state) {
+			if reached := s.follow(state, action); reached != nil {
+				next = append(next, reached)
 			}
-			if result.limited = limit > 0 && len(path) > limit; result.limited || result.fault != "" {
+			if s.fault != "" {
 				break
 			}
 		}
-		level = nextLevel
+		if s.limited = s.maxStates > 0 && len(s.path) > s.maxStates; s.ended() {
+			break
+		}
+	}
+	return next
+}
+
+// follow returns the state after an action, or nil if it was visited before. It records the first violation.
+func (s *searcher) follow(state *groupState, action modelAction) *groupState {
+	next, changed, fault := s.space.applyAction(state, action)
+	if !changed {
+		return nil
+	}
+	s.transitions++
+	key := s.space.fingerprint(next)
+	if _, known := s.visited[key]; known && fault == "" {
+		return nil
 	}
-	if result.fault == "" {
-		result.fault = space.verifyNoEffect()
+	s.visited[key] = struct{}{}
+	next.number = int32(len(s.path))
+	s.path = append(s.path, pathStep{state.number, action})
+	if fault == "" {
+		fault = s.space.checkState(next)
 	}
-	if result.fault == "" {
-		result.fault = space.verifyUnchanged()
+	if fault != "" {
+		s.fault, s.trace = fault, s.space.trace(s.path)
 	}
-	result.states, result.nodes, result.messages, result.elapsed = len(path), len(space.nodes), len(space.messages), time.Since(begun)
-	return result
+	return next
 }
 
-// trace tells the steps from the start to the last state of a path.
+// trace describes the actions from the first state to the last one of a path.
 func (s *space) trace(path []pathStep) (l []string) {
 	for at := int32(len(path) - 1); at > 0; at = path[at].from {
 		l = append([]string{s.describe(path[at].modelAction)}, l...)
@@ -89,22 +111,22 @@
 
 func (s *space) describe(action modelAction) string {
 	name := slotNames[action.slot]
-	held := ""
+	delayed := ""
 	if action.delayFlush {
-		held = ", and hasn't synced yet"
+		delayed = ", and hasn't persisted yet"
 	}
 	switch action.kind {
 	case deliver:
 		message := s.messages[action.arg]
-		return fmt.Sprintf("%s takes from %s: %s%s", name, message.From, describeMessage(message.Message), held)
+		return fmt.Sprintf("%s receives from %s: %s%s", name, message.From, describeMessage(message.Message), delayed)
 	case queryFreshness:
-		return "an agent asks whether there is anything newer"
+		return "an agent asks whether there is a newer document"
 	case attestFreshness:
-		return name + " vouches that its disk holds nothing newer"
+		return name + " attests that it has no newer document"
 	case addLearner, addMember, removeMember, replaceMember, transfer:
 		return fmt.Sprintf("%s %s %s", name, eventNames[action.kind], slotNames[action.arg])
 	case propose:
-		return fmt.Sprintf("%s proposes %c%s", name, action.arg, held)
+		return fmt.Sprintf("%s proposes %c%s", name, action.arg, delayed)
 	}
 	return name + " " + eventNames[action.kind]
 }
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -7,59 +7,59 @@
 	"pebbleloom/internal/wire"
 )
 
-// slots are the members that a state of the model holds: three founders and a learner.
+// slots is the number of members in a state of the model: three initial voters and a learner.
 const slots = 4
 
 var slotNames = [slots]string{"a", "b", "c", "d"}
 
-// budget is something that may happen a bounded number of times on the path to a state.
+// budget names what may happen a bounded number of times on the path to a state.
 type budget int
 
 const (
 	proposals budget = iota
 	restarts
 	wipes
-	learners // that a leader begins to feed before it proposes them as members
-	changes  // of members
+	learners // learners that a leader adds
+	changes  // membership changes that a leader proposes
 	transfers
 	compactions
 	reads
 	heartbeats
-	timeouts       // silence of the quorum, noticed by a leader
-	elections      // that members stand for
-	duplicates     // messages that are delivered and come again
-	delayedFlushes // steps that the driver doesn't flush at once
-	freshnessQueries
-	freshnessAttestations // to the question for a proof of freshness
-	budgets
+	timeouts              // losses of contact with the quorum, noticed by a leader
+	elections             // campaigns that a member starts
+	duplicates            // messages that are delivered and stay in flight
+	delayedFlushes        // steps whose output isn't flushed at once
+	freshnessQueries      // queries of an agent for a proof of freshness
+	freshnessAttestations // responses to them
+	budgets               // number of budgets
 )
 
-// unlimited is a bound of what may happen any number of times without making two states differ.
+// unlimited is the limit of what may happen any number of times: it isn't counted in a state.
 const unlimited = 255
 
 // bounds limit a search. Every state within them is visited; what isn't bounded here is free.
 type bounds struct {
-	fixed         bool // members that are fixed by configuration, in place of a group
-	contested     bool // begins later: an entry that a proposed in term 1 is on a alone, b was elected for term 2, and a for term 3
-	elected       bool // begins with a as the leader of term 1, its first entry committed on all, no message left
-	learner       bool // d exists
-	lateRequests  bool // a request may also come when its receiver has left its term behind, and be rejected
-	smallMessages bool // one entry or byte of a snapshot a message, in place of all
-	preVotes      bool // elections begin with pre-votes; else any member may stand at any time
-	terms         uint64
-	limits        [budgets]uint8
+	fixed         bool           // members are fixed by configuration
+	contested     bool           // begins in term 3: only a has an entry that it proposed in term 1, b was elected in term 2, and a in term 3
+	elected       bool           // begins with a as the leader of term 1, its first entry committed on all, no message in flight
+	learner       bool           // the learner d exists
+	lateRequests  bool           // requests of earlier terms are delivered, to be rejected; otherwise they are dropped
+	smallMessages bool           // a message carries one entry, or one byte of a snapshot, instead of all
+	preVotes      bool           // elections start with pre-votes; otherwise any member may campaign at any time
+	terms         uint64         // highest term that a member may campaign in
+	limits        [budgets]uint8 // how often each budget may be used
 }
 
-// groupState is a state of the whole group: its members, every message that was ever sent, and what an
-// observer has to remember of the past. A message may be delivered at any time, again, or never: that
-// is every order, loss, delay, duplicate and cut.
+// groupState is a state of the whole group: its members, the messages in flight, and what an observer remembers
+// of the past. A message may be delivered at any time, repeatedly or never, which covers every order, loss, delay,
+// duplicate and partition. Nodes, messages and histories are numbers of entries of the space.
 type groupState struct {
 	nodes       [slots]int32
 	history     int32
 	used        [budgets]uint8
-	inFlight    []int32 // in the order of their numbers
-	inFlightSum fingerprints
-	number      int32 // in the order of discovery
+	inFlight    []int32      // sorted
+	inFlightSum fingerprints // sum of the fingerprints of inFlight
+	number      int32        // in the order of discovery
 }
 
 type nodeEntry struct {
@@ -71,8 +71,8 @@
 	*wire.Message
 	prints     fingerprints
 	to         int
-	fromLeader bool   // only a leader of its term sends it
-	votesFor   string // whom its sender has voted for, to send it
+	fromLeader bool   // it is sent only by the leader of its term
+	votesFor   string // the candidate that its sender has voted for; empty: none
 }
 
 type historyEntry struct {
@@ -80,7 +80,7 @@
 	prints fingerprints
 }
 
-// space holds every part of a state once, and remembers what each event makes of each node.
+// space holds every part of the states once, and caches the outcome of each event at each node.
 type space struct {
 	bounds
 	nodes        []nodeEntry
@@ -162,7 +162,7 @@
 	return id
 }
 
-// step looks up, or finds out, what an event makes of a node; nil: it can't happen there.
+// step returns the outcome of an event at a node; nil where it can't happen there.
 func (s *space) step(id int32, event modelEvent) *stepResult {
 	key := stepKey{id, event}
 	if result, known := s.steps[key]; known {
@@ -188,14 +188,14 @@
 	return result
 }
 
-// fingerprint tells states apart, but for the names of the founders: of all their permutations it is
-// the least.
+// fingerprint identifies a state up to a permutation of the initial voters: it is the smallest of the fingerprints
+// under all permutations.
 func (s *space) fingerprint(state *groupState) fingerprint {
 	var used fingerprint
 	for i, n := range state.used {
 		used = used.add(s.usedPrints[i][n])
 	}
-	var least fingerprint
+	var smallest fingerprint
 	for i := range founderRenamings {
 		sum := used.add(state.inFlightSum[i]).add(s.histories[state.history].prints[i])
 		for slot, id := range state.nodes {
@@ -203,38 +203,38 @@
 				sum = sum.add(s.nodes[id].prints[i])
 			}
 		}
-		if i == 0 || sum.less(least) {
-			least = sum
+		if i == 0 || sum.less(smallest) {
+			smallest = sum
 		}
 		if s.preVotes {
-			break // a pre-candidate yields by name, so members aren't alike
+			break // a pre-candidate yields by name, so permutations aren't equivalent
 		}
 	}
-	return least
+	return smallest
 }
 
-// updateInFlight adds messages to those that were sent, and forgets those to a slot that mean nothing there any more.
-// One that was delivered for the last time is forgotten, too.
+// updateInFlight adds the messages that an action sends. It removes the message that the action delivers, unless
+// it is duplicated, and the messages to the action's slot that have no effect any more.
 func (s *space) updateInFlight(state *groupState, action modelAction, sent []int32) {
 	slot := int(action.slot)
-	kept := make([]int32, 0, len(state.inFlight)+len(sent))
+	remaining := make([]int32, 0, len(state.inFlight)+len(sent))
 	for _, id := range state.inFlight {
 		if id == action.arg && action.kind == deliver && !action.duplicated || s.messages[id].to == slot && s.isDropped(state.nodes[slot], id) {
 			s.updateInFlightSum(state, id, fingerprint.subtract)
 		} else {
-			kept = append(kept, id)
+			remaining = append(remaining, id)
 		}
 	}
 	for _, id := range sent {
-		at, known := slices.BinarySearch(kept, id)
+		at, known := slices.BinarySearch(remaining, id)
 		if known || s.isDropped(state.nodes[s.messages[id].to], id) {
 			continue
 		}
-		kept = slices.Insert(kept, at, id)
+		remaining = slices.Insert(remaining, at, id)
 		s.updateInFlightSum(state, id, fingerprint.add)
 	}
-	if !slices.Equal(kept, state.inFlight) {
-		state.inFlight = kept
+	if !slices.Equal(remaining, state.inFlight) {
+		state.inFlight = remaining
 	}
 }
 
@@ -244,8 +244,8 @@
 	}
 }
 
-// isDropped tells whether a message is delivered no more: it means nothing any more, or it is a late
-// request where the bounds don't let one through.
+// isDropped reports whether a message isn't delivered any more: it has no effect, or it is a late request and the
+// bounds exclude these.
 func (s *space) isDropped(nodeID, messageID int32) bool {
 	node, message := s.nodes[nodeID], s.messages[messageID]
 	if s.hasNoEffect(nodeID, messageID) {
@@ -258,9 +258,9 @@
 	return false
 }
 
-// hasNoEffect tells whether a message changes nothing at a member, now and at any later time: it is
-// gone, or the answer belongs to a term or an incarnation that it has left behind, or to a candidacy
-// or leadership of this term that it has given up. verifyNoEffect holds the core to it.
+// hasNoEffect reports whether a message can't change a member, now or later: the member is wiped, or the message
+// responds to an earlier term or incarnation, or to a candidacy or leadership of this term that it has given up.
+// verifyNoEffect checks that the core agrees.
 func (s *space) hasNoEffect(nodeID, messageID int32) bool {
 	node, message := s.nodes[nodeID], s.messages[messageID]
 	if node.wiped {
@@ -280,7 +280,7 @@
 	return false
 }
 
-// verifyNoEffect delivers to every member that was met every message that was forgotten on its way there.
+// verifyNoEffect delivers to every node of the space every message that hasNoEffect excludes there.
 func (s *space) verifyNoEffect() string {
 	for nodeID := range s.nodes {
 		for messageID := range s.messages {
@@ -289,14 +289,14 @@
 				continue
 			}
 			if result := s.step(int32(nodeID), modelEvent{kind: deliver, arg: int32(messageID)}); result.node != int32(nodeID) && !node.pending() || len(result.messages) > 0 && !node.pending() {
-				return fmt.Sprintf("an answer that is out of date has an effect on %s in term %d: %s from %s", node.name, node.core.hardState.Term, describeMessage(message.Message), message.From)
+				return fmt.Sprintf("a response that is out of date has an effect on %s in term %d: %s from %s", node.name, node.core.hardState.Term, describeMessage(message.Message), message.From)
 			}
 		}
 	}
 	return ""
 }
 
-// verifyUnchanged finds out whether a step has changed a member or a message that others share.
+// verifyUnchanged checks that no step has changed a member or a message that other states share.
 func (s *space) verifyUnchanged() string {
 	for encoding, id := range s.nodeIDs {
 		if node := s.nodes[id]; node.encoding(nil) != encoding {
--- a/internal/control/consensus/model_test.go
+++ b/internal/control/consensus/model_test.go
@@ -6,15 +6,14 @@
 	"testing"
 )
 
-// modelSearch is one configuration of the model checker: the bounds of the search that CI runs, and
-// those of the wider one.
+// modelSearch is one configuration of the model checker: the bounds of the search in CI, and of the wider one.
 type modelSearch struct {
 	name     string
 	ci, wide bounds
 }
 
-// A group's network repeats messages without a bound; that of fixed members, whose rejoining sends whole
-// logs, as often as the bounds say.
+// modelSearches are all configurations. Messages of a group are duplicated without a limit; those of fixed members,
+// which send complete logs to rejoin, as often as the bounds say.
 var modelSearches = []modelSearch{
 	{"elections",
 		bounds{terms: 2, limits: [budgets]uint8{elections: unlimited, duplicates: unlimited, restarts: 1}},
@@ -69,20 +68,19 @@
 		bounds{terms: 1, fixed: true, elected: true, limits: [budgets]uint8{heartbeats: 1, wipes: 1, proposals: 1, duplicates: 1}}},
 }
 
-// wideSearches asks for the wider bounds; modelLimit is the most states that a search may visit then.
 const (
-	wideSearches = "CONSENSUS_MODEL"
-	modelLimit   = 4_000_000
+	wideSearches = "CONSENSUS_MODEL" // environment variable; "wide" selects the wider bounds
+	modelLimit   = 4_000_000         // states that a search may visit at most
 )
 
-// Every state within the bounds holds every invariant. A search that doesn't visit them all fails.
+// Every state within the bounds satisfies every invariant. A search that doesn't visit all of them fails.
 func TestModelChecker(t *testing.T) {
-	for _, m := range modelSearches {
-		t.Run(m.name, func(t *testing.T) {
+	for _, configuration := range modelSearches {
+		t.Run(configuration.name, func(t *testing.T) {
 			t.Parallel()
-			limits := m.ci
+			limits := configuration.ci
 			if os.Getenv(wideSearches) == "wide" {
-				limits = m.wide
+				limits = configuration.wide
 			}
 			result := search(limits, modelLimit)
 			if result.fault != "" {
@@ -91,7 +89,7 @@
 			if result.limited {
 				t.Fatalf("not covered: %v", result)
 			}
-			t.Logf("%s: %v", m.name, result)
+			t.Logf("%s: %v", configuration.name, result)
 		})
 	}
 }
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -92,16 +92,16 @@
 
 // installSnapshot replaces snapshot, state and log by a leader's. A snapshot that ends at or before the
 // commit index is ignored: all of it is here, and the applied state may be newer. Entries after the
-// snapshot are kept if the log matches it (paper, section 7).
+// snapshot are retained if the log matches it (paper, section 7).
 func (c *Core) installSnapshot(snapshot *wire.Snapshot) {
 	if snapshot.Index <= c.commit {
 		return
 	}
-	var kept []*wire.Entry
+	var remaining []*wire.Entry
 	if term, ok := c.termAt(snapshot.Index); ok && term == snapshot.Term {
-		kept = append(kept, c.entriesFrom(snapshot.Index+1)...)
+		remaining = append(remaining, c.entriesFrom(snapshot.Index+1)...)
 	}
-	c.restoreSnapshot(snapshot, kept)
+	c.restoreSnapshot(snapshot, remaining)
 }
 
 // restoreSnapshot makes a snapshot and the entries after it this member's log. The hard state remains its
