--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -13,7 +13,6 @@
 	"github.com/hashicorp/go-hclog"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/errs"
@@ -142,10 +141,14 @@
 			w.send(message)
 		}
 	})
-	openGroup(replica, &group{codec: textPlanCodec{}, disk: node.disk, targetSize: 3, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: w.tailBytes,
-			Rand: rand.New(rand.NewPCG(w.random.Uint64(), 9))},
-		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(first, node.addr, w.seeds, w.random.Uint64) }})
+	config := newTestGroup(node.disk, rand.New(rand.NewPCG(w.random.Uint64(), 9)), func() *wire.Snapshot {
+		return initialGroupSnapshot(first, node.addr, w.seeds, w.random.Uint64)
+	})
+	config.codec = textPlanCodec{}
+	config.reopenTicks = int(reopenIntervalRatio / groupTick)
+	config.consensusConfig.MaxBatchBytes = 256 << 10
+	config.consensusConfig.TrailingLogBytes = w.tailBytes
+	openGroup(replica, config)
 	node.shard, node.nextTick, node.version = replica, w.now, 0
 }
 
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -22,9 +22,9 @@
 	s := newState()
 	s.applyPut(&wire.Put{Key: "k", Body: []byte("one"), AnyVersion: true})
 	first.State, _ = s.save()
-	openGroup(replica, &group{codec: versionCodec{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: testRand()},
-		initialSnapshot: func() *wire.Snapshot { return first }})
+	config := newTestGroup(d, testRand(), func() *wire.Snapshot { return first })
+	config.reopenTicks = 1
+	openGroup(replica, config)
 	if replica.failure != nil {
 		t.Fatal(replica.failure)
 	}
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -83,20 +82,12 @@
 }
 
 func newLossRun(scenario lossScenario) *lossRun {
-	s := &groupSim{seed: scenario.seed, random: rand.New(rand.NewPCG(scenario.seed, 7)), partitioned: map[string]bool{}, counts: map[string]int{}, founding: true, toleratedLosses: scenario.toleratedLosses,
-		fencingTokenHolders: map[uint64]string{}, edge: &simEdge{confirmedAt: map[string]time.Duration{}},
-		longPartition: map[string]bool{}, eventHooks: map[string]func(){}, compactAt: lossCompactAt}
-	for i := range scenario.machines {
-		node := s.addNode()
-		if i < 3 {
-			s.seeds = append(s.seeds, node.addr)
-		}
-	}
+	s := emptyGroupSim(newSimBase(scenario.seed, 7, ""))
+	s.toleratedLosses, s.compactAt = scenario.toleratedLosses, lossCompactAt
+	s.startSite(scenario.machines)
 	for _, node := range s.nodes {
-		s.start(node)
-		node.nextJoin = farFuture
+		node.nextJoin = farFuture // runJoinLoops joins in its place
 	}
-	s.founding = false
 	return &lossRun{groupSim: s, scenario: scenario, lostUntil: map[string]time.Duration{}, originalAddrs: map[string]string{}, joins: map[*groupSimNode]*joinState{}, throttled: map[*groupSimNode]int{}}
 }
 
--- a/internal/control/controlstate/sim_group_disk_test.go
+++ b/internal/control/controlstate/sim_disk_test.go
@@ -7,6 +7,56 @@
 	"sort"
 )
 
+// simDisk fails, stalls or loses power on demand. Whatever a call returned from is synced.
+type simDisk struct {
+	files       map[string][]byte
+	failWrites  bool   // every write fails: full, or a failed sync
+	powerBudget int    // bytes until the power goes; below zero: never
+	beforeWrite func() // called at every write: it may take its time
+}
+
+func newSimDisk() *simDisk { return &simDisk{files: map[string][]byte{}, powerBudget: -1} }
+
+var errPowerLost, errDiskFull = errors.New("power lost"), errors.New("disk full")
+
+func (d *simDisk) Read(n string) ([]byte, bool, error) {
+	b, ok := d.files[n]
+	return bytes.Clone(b), ok, nil
+}
+
+func (d *simDisk) appendBytes(n string, b []byte) error {
+	if d.beforeWrite != nil {
+		d.beforeWrite()
+	}
+	if d.failWrites {
+		d.files[n] = append(d.files[n], b[:len(b)/2]...)
+		return errDiskFull
+	}
+	if d.powerBudget >= 0 && len(b) > d.powerBudget {
+		d.files[n] = append(d.files[n], b[:d.powerBudget]...)
+		d.powerBudget = 0
+		return errPowerLost
+	}
+	d.files[n] = append(d.files[n], b...)
+	if d.powerBudget >= 0 {
+		d.powerBudget -= len(b)
+	}
+	return nil
+}
+
+func (d *simDisk) Write(n string, b []byte) error {
+	if d.powerBudget == 0 {
+		return errPowerLost
+	}
+	if d.failWrites {
+		return errDiskFull
+	}
+	d.files[n] = nil
+	return d.appendBytes(n, b)
+}
+func (d *simDisk) Append(n string, b []byte) error { return d.appendBytes(n, b) }
+func (d *simDisk) Truncate(n string, s int) error  { d.files[n] = d.files[n][:s]; return nil }
+
 // cacheDisk is a disk behind a cache. What was written and not synced lives on with the machine,
 // also when the process dies; a loss of power leaves each such file as it was, whole, or torn.
 // A sync that failed is told once: later ones of that file say nothing more and help nothing.
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -10,35 +10,32 @@
 	"pebbleloom/internal/wire"
 )
 
-// An order that is sent again after so many others were acknowledged counts as late, or very late.
+// A change that is retried after this many others were acknowledged counts as late, or very late.
 const lateAfter, veryLateAfter = 40, 256
 
-// answerTimeout is how long an operator or a reader waits for an answer.
-const answerTimeout = 10 * time.Second
-
-// groupChange is one configuration that an operator wants on a version.
+// groupChange is a configuration that an operator builds on a version.
 type groupChange struct {
 	name                    string
 	baseVersion, newVersion uint64
 	body                    string
 	ackedAt                 time.Duration // when it was first acknowledged; zero: never
-	ackedBefore             int           // how many orders had been acknowledged when it was made
+	ackedBefore             int           // how many changes had been acknowledged when it was made
 	attempts                int
 	createdAt               time.Duration
 }
 
-// readAt begins a read at a node; then is told what it gave.
+// readAt begins a read at a node, and calls then with what it returns.
 func (s *groupSim) readAt(node *groupSimNode, then func(version uint64, body string)) {
 	if !s.isHealthy(node) {
 		return
 	}
-	begin, incarnation, confirmed := s.now, node.generation, make(chan bool, 1)
+	begun, generation, confirmed := s.now, node.generation, make(chan bool, 1)
 	node.shard.beginRead(confirmed)
 	s.runStep(node)
 	s.inProgress = append(s.inProgress, func() bool {
 		select {
 		case ok := <-confirmed:
-			if ok && node.generation == incarnation && s.isHealthy(node) {
+			if ok && node.generation == generation && s.isHealthy(node) {
 				documents, _ := node.shard.selectDocuments(&wire.ReadRequest{Key: routingconfig.DocumentKey})
 				if len(documents) == 0 {
 					then(0, "")
@@ -48,21 +45,21 @@
 			}
 			return false
 		default:
-			return node.generation == incarnation && s.now-begin < answerTimeout
+			return node.generation == generation && s.now-begun < answerTimeout
 		}
 	})
 }
 
-// read is a reader's question to a node, and the checks of its answer.
+// read is a reader's request to a node, and the checks of what it returns.
 func (s *groupSim) read(node *groupSimNode) {
-	begin, query := s.now, s.history.BeginRead(routingconfig.DocumentKey)
+	begun, query := s.now, s.history.BeginRead(routingconfig.DocumentKey)
 	s.readAt(node, func(version uint64, body string) {
 		query.Complete(version, body)
-		read := &simRead{sentAt: begin, answeredAt: s.now, version: version, body: body}
+		read := &simRead{sentAt: begun, answeredAt: s.now, version: version, body: body}
 		s.reads = append(s.reads, read)
 		s.knownVersion = max(s.knownVersion, version)
 		s.count("read")
-		s.checkIsolated(node, begin, "answers a read")
+		s.checkIsolated(node, begun, "answers a read")
 		for _, change := range s.changes {
 			if change.ackedAt > 0 && change.ackedAt < read.sentAt && change.newVersion > version {
 				s.violationf("read version %d after %d was acknowledged", version, change.newVersion)
@@ -79,68 +76,68 @@
 	})
 }
 
-// checkIsolated sees to it that a node that nobody hears and that hears nobody serves nothing that
-// was asked since.
-func (s *groupSim) checkIsolated(node *groupSimNode, asked time.Duration, what string) {
-	if s.isolatedAddr != node.addr || asked <= s.isolatedSince || node.shard == nil {
+// checkIsolated checks that a node that is isolated in both directions serves no request that was sent
+// to it since.
+func (s *groupSim) checkIsolated(node *groupSimNode, sentAt time.Duration, what string) {
+	if s.isolatedAddr != node.addr || sentAt <= s.isolatedSince || node.shard == nil {
 		return
 	}
-	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // else it is the whole group
-		s.violationf("%s, cut off since %v, %s of %v", node.addr, s.isolatedSince, what, asked)
+	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // else it is the only member
+		s.violationf("%s, cut off since %v, %s of %v", node.addr, s.isolatedSince, what, sentAt)
 	}
 }
 
-// sendCommand sends a command to a node and follows it up; question or answer may be lost.
+// sendCommand sends a command to a node and waits for its answer. The request or the answer may be lost.
 func (s *groupSim) sendCommand(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
 	s.proposeCommand(node, request, func(response *wire.ChangeResponse, _ bool) { done(response) })
 }
 
-// proposeCommand does what ask does, and tells whether the answer is the log's.
+// proposeCommand is sendCommand that also reports whether the answer comes from a committed entry.
 func (s *groupSim) proposeCommand(node *groupSimNode, request *wire.ChangeRequest, done func(response *wire.ChangeResponse, committed bool)) {
 	if !s.isRunning(node) || s.random.Float64() < s.lossRate {
 		return
 	}
 	pending, response := node.shard.propose(request, nil)
-	incarnation, begin, lost, committed := node.generation, s.now, s.random.Float64() < s.lossRate, response == nil
+	generation, begun, lost, committed := node.generation, s.now, s.random.Float64() < s.lossRate, response == nil
 	s.runStep(node)
 	s.inProgress = append(s.inProgress, func() bool {
 		if response == nil {
 			select {
 			case response = <-pending.response:
 			default:
-				return node.generation == incarnation && s.now-begin < answerTimeout
+				return node.generation == generation && s.now-begun < answerTimeout
 			}
 		}
-		if node.generation == incarnation && !lost && s.isRunning(node) {
+		if node.generation == generation && !lost && s.isRunning(node) {
 			done(response, committed)
 		}
 		return false
 	})
 }
 
-// newChange is a change on the newest version that operators have heard of, under a number of the
-// operator's own.
-func (s *groupSim) newChange(number uint64) *groupChange {
-	change := &groupChange{name: fmt.Sprintf("w%d", len(s.changes)), baseVersion: s.knownVersion, newVersion: number, ackedBefore: s.ackedCount, createdAt: s.now}
-	change.body = string(body(number, change.name+s.bodyPadding))
+// newChange is a change that builds on the newest version that operators have heard of, and makes a
+// version that the operator chose.
+func (s *groupSim) newChange(version uint64) *groupChange {
+	change := &groupChange{name: fmt.Sprintf("w%d", len(s.changes)), baseVersion: s.knownVersion, newVersion: version, ackedBefore: s.ackedCount, createdAt: s.now}
+	change.body = string(body(version, change.name+s.bodyPadding))
 	s.changes = append(s.changes, change)
 	return change
 }
 
-// earlierChange is one that was sent before: of the last few, or of all.
+// earlierChange draws a change that was sent before, of the last few or of all; nil: there is none.
 func (s *groupSim) earlierChange() *groupChange {
 	const few = 8
-	l := len(s.changes)
-	if l == 0 {
+	count := len(s.changes)
+	if count == 0 {
 		return nil
 	}
 	if !s.allFaults || s.random.IntN(2) == 0 {
-		return s.changes[max(0, l-1-s.random.IntN(few))]
+		return s.changes[max(0, count-1-s.random.IntN(few))]
 	}
-	return s.changes[s.random.IntN(l)]
+	return s.changes[s.random.IntN(count)]
 }
 
-// writeChange is an operator's: a new one, or one that was sent before, unchanged, whatever became of it.
+// writeChange sends a new change, or an earlier one again, whatever its outcome was.
 func (s *groupSim) writeChange(acked func(*groupSimNode)) {
 	node := s.randomNode()
 	if leader := s.leader(); leader != nil && s.random.IntN(3) > 0 {
@@ -156,11 +153,11 @@
 		return
 	}
 	switch s.random.IntN(12) {
-	case 0: // two operators, one number, different content
+	case 0: // two operators, one version, different content
 		s.count("one number, two contents")
 		s.sendChange(s.newChange(next), s.randomNode(), acked)
 		s.sendChange(s.newChange(next), node, acked)
-	case 1: // two operators, one number, the same content
+	case 1: // two operators, one version, the same content
 		s.count("one number, one content")
 		change := s.newChange(next)
 		s.sendChange(change, s.randomNode(), acked)
@@ -172,11 +169,11 @@
 	}
 }
 
-// sendBurst sends eight orders at once, by nodes that don't lead where there are such.
+// sendBurst sends eight changes at once, most often to nodes that don't lead.
 func (s *groupSim) sendBurst(acked func(*groupSimNode)) {
-	const many = 8
+	const burst = 8
 	s.count("eight at once")
-	for i := range uint64(many) {
+	for i := range uint64(burst) {
 		node := s.randomNode()
 		if node == s.leader() {
 			node = s.randomNode()
@@ -189,7 +186,8 @@
 	}
 }
 
-// sendChange sends an order to a node, which sends it on where another one leads.
+// sendChange sends a change to a node, which forwards it where another one leads. Where it is
+// acknowledged, acked gets the leader.
 func (s *groupSim) sendChange(change *groupChange, node *groupSimNode, acked func(*groupSimNode)) {
 	attempt := s.history.BeginAttempt(history.Change{Key: routingconfig.DocumentKey, Token: change.body, BaseVersion: change.baseVersion, NewVersion: change.newVersion, Body: change.body})
 	if change.attempts++; change.attempts > 1 {
@@ -210,22 +208,22 @@
 		s.count("by a node that doesn't lead")
 	}
 	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: []byte(change.body), IfVersion: change.baseVersion, Token: change.body}}}}
-	sent, before := s.now, change.ackedAt
+	sentAt, wasAcked := s.now, change.ackedAt > 0
 	s.executeChange(leader, request, func(response *wire.ChangeResponse) {
 		if leader != node && s.callFails(node.addr, leader.addr) {
 			s.count("answer lost")
 			return
 		}
-		s.checkIsolated(leader, sent, "answers "+string(response.Outcome)+" to an order")
-		s.handleAnswer(change, attempt, leader, response, before > 0)
+		s.checkIsolated(leader, sentAt, "answers "+string(response.Outcome)+" to an order")
+		s.handleAnswer(change, attempt, leader, response, wasAcked)
 		if response.Outcome == wire.OutcomeDone && acked != nil {
 			acked(leader)
 		}
 	})
 }
 
-// executeChange does what shard.change does, step by step: it confirms that the node leads, proposes, and
-// judges a refusal that isn't the log's once more after another confirmation.
+// executeChange does what shard.change does, step by step: it confirms that the node leads, proposes,
+// and confirms once more before it rejects by a state that no committed entry has decided on.
 func (s *groupSim) executeChange(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
 	s.readAt(node, func(uint64, string) {
 		s.proposeCommand(node, request, func(response *wire.ChangeResponse, committed bool) {
@@ -240,8 +238,8 @@
 	})
 }
 
-// forwardTarget is where a node sends an order: to itself where it leads, or to whom it knows as leader.
-// Without all troubles it sends nothing on.
+// forwardTarget is where a node sends a change: itself where it leads, else the leader that it knows.
+// Without all faults it forwards nothing.
 func (s *groupSim) forwardTarget(node *groupSimNode) *groupSimNode {
 	if !s.isRunning(node) {
 		return nil
@@ -253,8 +251,8 @@
 	return s.node(controlclient.MemberAddr(view.leader))
 }
 
-// handleAnswer notes what an operator was told.
-func (s *groupSim) handleAnswer(change *groupChange, attempt *history.Attempt, struckNode *groupSimNode, response *wire.ChangeResponse, wasAcked bool) {
+// handleAnswer records the answer that an operator got, and checks it.
+func (s *groupSim) handleAnswer(change *groupChange, attempt *history.Attempt, leader *groupSimNode, response *wire.ChangeResponse, wasAcked bool) {
 	switch response.Outcome {
 	case wire.OutcomeDone:
 		attempt.Complete(history.Acknowledged, response.Version)
@@ -269,7 +267,7 @@
 			s.count("done again")
 		}
 		s.knownVersion = max(s.knownVersion, response.Version)
-		s.tracef("acked %s on %d as %d by %s", change.name, change.baseVersion, change.newVersion, struckNode.addr)
+		s.tracef("acked %s on %d as %d by %s", change.name, change.baseVersion, change.newVersion, leader.addr)
 		s.fireEvent("acknowledged")
 	case wire.OutcomeConflict:
 		attempt.Complete(history.Rejected, response.Version)
@@ -287,38 +285,31 @@
 	}
 }
 
-// requestLease has a holder ask for the duty.
+// requestLease has a holder request the lease, most often from the leader.
 func (s *groupSim) requestLease() {
-	holder := s.leaseHolders[s.random.IntN(len(s.leaseHolders))]
-	if holder.pausedUntil > s.now || holder.requestPending {
+	holder := s.nextLeaseRequest()
+	if holder == nil {
 		return
 	}
-	if s.random.IntN(40) == 0 {
-		holder.pausedUntil = s.now + time.Duration(s.random.Int64N(int64(8*time.Second)))
-	}
-	asked, before := holder.clock.Now(), s.now
-	grant := holder.lease.GrantRequest()
-	holder.requestPending = true
-	s.inProgress = append(s.inProgress, func() bool {
-		holder.requestPending = s.now-before < 1500*time.Millisecond
-		return holder.requestPending
-	})
+	requestedAt, sentAt, grant := holder.clock.Now(), s.now, holder.lease.GrantRequest()
+	s.awaitLeaseAnswer(holder)
 	node := s.leader()
 	if node == nil || s.random.IntN(8) == 0 {
 		node = s.randomNode()
 	}
 	s.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}}, func(response *wire.ChangeResponse) {
-		if s.plantedFault == "lease-late" {
-			asked = holder.clock.Now() + 2*time.Second // planted: counted from the answer, and more
-		}
-		if holder.lease.HandleResponse(asked, response); response.Outcome != wire.OutcomeDone {
-			return
-		}
-		s.count("granted")
-		s.checkIsolated(node, before, "grants a lease")
-		if o := s.fencingTokenHolders[response.Fence]; o != "" && o != grant.Holder {
-			s.violationf("fence %d is of %s and of %s", response.Fence, o, grant.Holder)
+		s.handleLeaseAnswer(holder, requestedAt, response)
+		if response.Outcome == wire.OutcomeDone {
+			s.checkIsolated(node, sentAt, "grants a lease")
+			s.checkFencingToken(response.Fence, grant.Holder)
 		}
-		s.fencingTokenHolders[response.Fence] = grant.Holder
 	})
 }
+
+// checkFencingToken checks that no two holders were granted the lease under one fencing token.
+func (s *groupSim) checkFencingToken(token uint64, holder string) {
+	if other := s.fencingTokenHolders[token]; other != "" && other != holder {
+		s.violationf("fence %d is of %s and of %s", token, other, holder)
+	}
+	s.fencingTokenHolders[token] = holder
+}
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"sort"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -13,38 +12,38 @@
 	"pebbleloom/internal/wire"
 )
 
-// send puts a message on its way: it may be lost, late, doubled, out of order.
+// send puts a message on its way: it may be lost, late, doubled or overtaken.
 func (s *groupSim) send(message *wire.Message) {
 	from, to := controlclient.MemberAddr(message.From), controlclient.MemberAddr(message.To)
 	if s.isPartitioned(from, to) || s.random.Float64() < s.lossRate {
 		s.reportLost(s.node(from), message)
 		return
 	}
-	d := time.Duration(s.random.Int64N(int64(4 * time.Millisecond)))
+	delay := s.randomBelow(4 * time.Millisecond)
 	if s.random.IntN(50) == 0 {
-		d = time.Duration(s.random.Int64N(int64(time.Second)))
+		delay = s.randomBelow(time.Second)
 	}
 	if to == s.slowAddr {
-		d += 100 * time.Millisecond
+		delay += 100 * time.Millisecond
 	}
 	if node := s.node(from); node.frozenUntil > s.now {
-		d += node.frozenUntil - s.now
+		delay += node.frozenUntil - s.now
 	}
 	for range 1 + s.random.IntN(50)/49 {
 		s.sentMessages++
-		s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + d, s.sentMessages, proto.Clone(message).(*wire.Message)})
-		d *= 2
+		s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + delay, s.sentMessages, proto.Clone(message).(*wire.Message)})
+		delay *= 2
 	}
 }
 
-// reportLost has the sender's transport give up a message after its time, most often.
+// reportLost has the sender's transport give a message up after its time-out, most often.
 func (s *groupSim) reportLost(node *groupSimNode, message *wire.Message) {
-	const sendTime = 500 * time.Millisecond
+	const sendTimeout = 500 * time.Millisecond
 	generation, lost := node.generation, proto.Clone(message).(*wire.Message)
 	if !s.allFaults || s.random.IntN(4) == 0 {
 		return
 	}
-	s.schedule(sendTime, func() {
+	s.schedule(sendTimeout, func() {
 		if node.generation == generation && s.isHealthy(node) {
 			s.count("message reported lost")
 			node.shard.core.ReportSendFailure(lost)
@@ -53,68 +52,56 @@
 	})
 }
 
-// runStep lets a node act on what it was given, and dies with it where its disk says so.
+// runStep lets a node act on its input; the process dies where its disk crashes in a write.
 func (s *groupSim) runStep(node *groupSimNode) {
 	if node.shard.handleReady(); node.disk.crashed {
 		s.tracef("%s dies in a write", node.addr)
 		s.count("died in a write")
-		s.kill(node, s.random.IntN(2) == 0, time.Duration(s.random.Int64N(int64(2*time.Second))))
+		s.kill(node, s.random.IntN(2) == 0, s.randomBelow(2*time.Second))
 	}
 }
 
-// schedule has something done after a while.
-func (s *groupSim) schedule(d time.Duration, do func()) {
-	s.timers = append(s.timers, simTimer{s.now + d, do})
+// schedule runs an action after a delay.
+func (s *groupSim) schedule(delay time.Duration, run func()) {
+	s.timers = append(s.timers, simTimer{s.now + delay, run})
 }
 
-// fireEvent strikes with what is armed for an event of that name.
+// fireEvent runs what waits for the next event of that name.
 func (s *groupSim) fireEvent(name string) {
-	if do := s.eventHooks[name]; do != nil {
+	if hook := s.eventHooks[name]; hook != nil {
 		delete(s.eventHooks, name)
-		do()
+		hook()
 	}
 }
 
-// step moves the whole world on.
+// step moves virtual time on and lets timers, messages, nodes and calls act.
 func (s *groupSim) step() {
 	s.now += groupSimStep
 	for _, node := range s.nodes {
 		node.clock.Time += time.Duration(float64(groupSimStep) * node.clockRate)
 	}
+	s.advanceLeaseHolders(groupSimStep)
 	s.checkLeaseHolders()
 	s.runTimers()
 	s.deliver()
 	for _, node := range s.nodes {
 		s.tick(node)
 	}
-	open := s.inProgress
+	calls := s.inProgress
 	s.inProgress = nil
-	for _, f := range open {
-		if f() {
-			s.inProgress = append(s.inProgress, f)
+	for _, call := range calls {
+		if call() {
+			s.inProgress = append(s.inProgress, call)
 		}
 	}
 	if leader := s.leader(); leader != nil {
-		if is := fmt.Sprint(leader.addr, leader.shard.core.Status().Term); is != s.lastLeader {
-			s.lastLeader = is
+		if leadership := fmt.Sprint(leader.addr, leader.shard.core.Status().Term); leadership != s.lastLeader {
+			s.lastLeader = leadership
 			s.fireEvent("new leader")
 		}
 	}
 }
 
-func (s *groupSim) checkLeaseHolders() {
-	held := 0
-	for _, holder := range s.leaseHolders {
-		holder.clock.Time += time.Duration(float64(groupSimStep) * holder.clockRate)
-		if _, ok := holder.lease.FencingToken(); ok {
-			held++
-		}
-	}
-	if held > 1 {
-		s.violationf("%d hold the duty at once", held)
-	}
-}
-
 func (s *groupSim) runTimers() {
 	due := s.timers
 	s.timers = nil
@@ -127,26 +114,22 @@
 	}
 }
 
+// deliver hands over the messages that are due. Those to a frozen machine wait.
 func (s *groupSim) deliver() {
-	sort.SliceStable(s.inFlight, func(i, j int) bool {
-		return s.inFlight[i].deliverAt < s.inFlight[j].deliverAt || s.inFlight[i].deliverAt == s.inFlight[j].deliverAt && s.inFlight[i].sequence < s.inFlight[j].sequence
-	})
-	due := s.inFlight
-	s.inFlight = nil
-	var stay []simMessage
-	for _, sent := range due {
+	var waiting []simMessage
+	for _, sent := range s.takeInFlight() {
 		node := s.node(controlclient.MemberAddr(sent.message.To))
-		if sent.deliverAt > s.now || node.shard != nil && !s.isRunning(node) { // a frozen machine's messages wait
-			stay = append(stay, sent)
+		if sent.deliverAt > s.now || node.shard != nil && !s.isRunning(node) {
+			waiting = append(waiting, sent)
 		} else if s.isHealthy(node) {
 			node.shard.core.Step(sent.message)
 			s.runStep(node)
 		}
 	}
-	s.inFlight = append(stay, s.inFlight...)
+	s.inFlight = append(waiting, s.inFlight...)
 }
 
-// tick is what a node does ten times a second, and its start once it is due.
+// tick starts a node when that is due, and ticks it once a groupSimTick.
 func (s *groupSim) tick(node *groupSimNode) {
 	if node.shard == nil && !node.isRemoved && node.restartAt > 0 && s.now >= node.restartAt {
 		s.tracef("boot %s", node.addr)
@@ -155,17 +138,17 @@
 	if !s.isRunning(node) || s.now < node.nextTick {
 		return
 	}
-	node.nextTick = s.now + time.Duration(float64(100*time.Millisecond)/node.clockRate)
+	node.nextTick = s.now + time.Duration(float64(groupSimTick)/node.clockRate)
 	if node.shard.failure == nil {
 		node.shard.core.Tick()
 	}
-	was, _, _ := node.shard.core.Members()
+	before, _, _ := node.shard.core.Members()
 	node.shard.tickGroup()
-	now, _, _ := node.shard.core.Members()
-	changed := !slices.Equal(was, now)
+	after, _, _ := node.shard.core.Members()
+	changed := !slices.Equal(before, after)
 	if changed {
 		s.count("members change")
-		s.tracef("%s changes members %v to %v", node.addr, was, now)
+		s.tracef("%s changes members %v to %v", node.addr, before, after)
 	}
 	s.runStep(node)
 	if changed {
@@ -180,30 +163,30 @@
 	}
 }
 
-// gossip has a node and one that it knows exchange whom they know.
+// gossip has a node and one that it knows exchange the addresses that they know.
 func (s *groupSim) gossip(node *groupSimNode) {
-	l := queue.Keys(node.knownAddrs)
-	peer := s.node(l[s.random.IntN(len(l))])
+	addrs := queue.Keys(node.knownAddrs)
+	peer := s.node(addrs[s.random.IntN(len(addrs))])
 	if peer == node || !s.isRunning(peer) || s.callFails(node.addr, peer.addr) {
 		return
 	}
 	node.knownAddrs[peer.addr], peer.knownAddrs[node.addr] = true, true
-	for a := range node.knownAddrs {
-		peer.knownAddrs[a] = true
+	for addr := range node.knownAddrs {
+		peer.knownAddrs[addr] = true
 	}
-	for a := range peer.knownAddrs {
-		node.knownAddrs[a] = true
+	for addr := range peer.knownAddrs {
+		node.knownAddrs[addr] = true
 	}
 }
 
-// join asks somebody that the node knows of, and the leader that is named, to be taken in.
+// join requests to join from a node that this one knows of, then from the leader that it names.
 func (s *groupSim) join(node *groupSimNode) {
-	all := queue.Keys(node.knownAddrs)
+	addrs := queue.Keys(node.knownAddrs)
 	members, _, _ := node.shard.core.Members()
-	for _, m := range members {
-		all = append(all, controlclient.MemberAddr(m))
+	for _, member := range members {
+		addrs = append(addrs, controlclient.MemberAddr(member))
 	}
-	peer := s.node(all[s.random.IntN(len(all))])
+	peer := s.node(addrs[s.random.IntN(len(addrs))])
 	for range 2 {
 		if peer == nil || peer == node || !s.isHealthy(peer) || s.callFails(node.addr, peer.addr) {
 			return
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -16,14 +16,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// The simulator of a group drives the real members (core, state, storage, membership policy, joins)
-// on virtual time: a seeded network, seeded disks, clocks that drift. Machines are killed, cut off,
-// frozen, lose power and disks, and are replaced by empty ones at other addresses. What operators
-// and readers see is recorded and judged for linearizability.
+// The simulator of a group drives the real members (consensus core, state, storage, membership
+// planner, joins) on virtual time: a seeded network, seeded disks, clocks that drift. Machines are
+// killed, isolated, frozen, lose power and disks, and are replaced by empty ones at other addresses.
+// What operators and readers see is recorded and checked for linearizability.
 
-const groupSimStep = 5 * time.Millisecond
+// Virtual time passes in steps; a member ticks once a groupSimTick of its own clock.
+const (
+	groupSimStep = 5 * time.Millisecond
+	groupSimTick = 100 * time.Millisecond
+)
 
-// defaultCompactAt is how long a log becomes before it is compacted, in bytes, where a run says nothing.
+// defaultCompactAt is the size in bytes above which a log is compacted, where a run sets none.
 const defaultCompactAt = 3000
 
 // groupSimNode is one control machine.
@@ -33,17 +37,17 @@
 	shard        *shard // nil: it is down
 	clock        *clock.Manual
 	clockRate    float64
-	frozenUntil  time.Duration // until
+	frozenUntil  time.Duration
 	nextTick     time.Duration
-	nextJoin     time.Duration   // when it may ask again to be taken in
-	knownAddrs   map[string]bool // addresses that it has heard of: the seeds, and what others told it
-	generation   int             // counts its starts and ends
-	maxWriteTime time.Duration   // how long a write may take
+	nextJoin     time.Duration   // when it may next request to join
+	knownAddrs   map[string]bool // addresses that it has heard of: the seeds, and by gossip
+	generation   int             // counts its starts and kills
+	maxWriteTime time.Duration   // up to which a write may take
 	isRemoved    bool            // for good
 	restartAt    time.Duration   // when it starts again
 }
 
-// simTimer is something that happens at a moment.
+// simTimer is an action that is due at a time.
 type simTimer struct {
 	at  time.Duration
 	run func()
@@ -51,70 +55,58 @@
 
 // groupSim is one seeded run.
 type groupSim struct {
-	seed                uint64
-	random              *rand.Rand
-	now                 time.Duration
+	simBase             // its partitions last until some fault ends them
 	founding            bool
 	toleratedLosses     int
 	seeds               []string
 	nodes               []*groupSimNode
-	inFlight            []simMessage
-	sentMessages        int
-	partitioned         map[string]bool // "a>b", until some trouble ends
-	longPartition       map[string]bool // the same, for the whole of a phase
-	isolatedAddr        string          // the address that hears nobody and that nobody hears
+	longPartition       map[string]bool // links that carry nothing for the whole of a phase, by "from>to"
+	isolatedAddr        string          // the machine that neither receives nor reaches anything; empty: none
 	isolatedSince       time.Duration
-	lossRate            float64
-	slowAddr            string // messages to this address take long
+	slowAddr            string // messages to this machine are delayed
 	compactAt           int
 	tailBytes           int
-	bodyPadding         string // makes every order's content longer
+	bodyPadding         string // makes the content of every change longer
 	changes             []*groupChange
 	knownVersion        uint64 // the newest version that operators have heard of
 	ackedCount          int
-	reads               []*simRead
-	inProgress          []func() bool // questions under way; false when settled
 	timers              []simTimer
-	eventHooks          map[string]func() // what strikes at the next event of a name
-	secondFaultInjected bool              // a second strike has come
+	eventHooks          map[string]func() // run once at the next event of a name
+	secondFaultInjected bool
 	lastLeader          string
 	storm               *changeStorm
 	history             history.History
 	edge                *simEdge
-	leaseHolders        []*simLeaseHolder
 	fencingTokenHolders map[uint64]string
-	trace               []string
-	violations          []string
-	counts              map[string]int
-	plantedFault        string
-	// Operators race, send bursts and very old orders, and transports report what they lost; without it,
-	// one operator after the other sends an order.
+	// With all faults operators race, send bursts and retry very old changes, nodes gossip, and
+	// transports report what they lost; without them one operator after the other sends a change.
 	allFaults bool
 }
 
-func (s *groupSim) tracef(format string, a ...any) {
-	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
-}
-
-func (s *groupSim) count(what string) { s.counts[what]++ }
-
-func (s *groupSim) violationf(format string, a ...any) {
-	s.tracef("FAULT "+format, a...)
-	s.violations = append(s.violations, fmt.Sprintf(format, a...))
-}
-
-// newGroupSim is a site of a few control machines; which, the seed says.
-func newGroupSim(seed uint64, plant string) *groupSim {
-	s := &groupSim{seed: seed, random: rand.New(rand.NewPCG(seed, 2)), partitioned: map[string]bool{}, longPartition: map[string]bool{}, counts: map[string]int{},
-		plantedFault: plant, founding: true, toleratedLosses: 1, fencingTokenHolders: map[uint64]string{}, edge: &simEdge{confirmedAt: map[string]time.Duration{}},
-		eventHooks: map[string]func(){}, allFaults: true}
-	many := 3 + s.random.IntN(3)
+// newGroupSim starts a site of three to seven control machines; the seed says how many.
+func newGroupSim(seed uint64, plantedFault string) *groupSim {
+	s := emptyGroupSim(newSimBase(seed, 2, plantedFault))
+	s.allFaults = true
+	machines := 3 + s.random.IntN(3)
 	if s.random.IntN(4) == 0 {
-		s.toleratedLosses, many = 2, 6+s.random.IntN(2)
+		s.toleratedLosses, machines = 2, 6+s.random.IntN(2)
 	}
 	s.compactAt = [...]int{1500, defaultCompactAt, 20000}[s.random.IntN(3)]
 	s.tailBytes = [...]int{0, 2000}[s.random.IntN(2)]
-	for i := range many {
+	s.startSite(machines)
+	s.addLeaseHolders(2)
+	return s
+}
+
+// emptyGroupSim is a site without machines that tolerates one loss.
+func emptyGroupSim(base simBase) *groupSim {
+	return &groupSim{simBase: base, founding: true, toleratedLosses: 1, longPartition: map[string]bool{}, fencingTokenHolders: map[uint64]string{},
+		edge: &simEdge{confirmedAt: map[string]time.Duration{}}, eventHooks: map[string]func(){}}
+}
+
+// startSite founds a site; the first three machines are the seeds.
+func (s *groupSim) startSite(machines int) {
+	for i := range machines {
 		node := s.addNode()
 		if i < 3 {
 			s.seeds = append(s.seeds, node.addr)
@@ -124,16 +116,10 @@
 		s.start(node)
 	}
 	s.founding = false
-	for i := range 2 {
-		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
-		holder.lease = controlclient.NewLease(nil, holder.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
-		s.leaseHolders = append(s.leaseHolders, holder)
-	}
-	return s
 }
 
 func (s *groupSim) addNode() *groupSimNode {
-	node := &groupSimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+	node := &groupSimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clock: &clock.Manual{}, clockRate: s.randomClockRate()}
 	s.wipeDisk(node)
 	s.nodes = append(s.nodes, node)
 	return node
@@ -141,27 +127,28 @@
 
 // wipeDisk gives a machine an empty disk.
 func (s *groupSim) wipeDisk(node *groupSimNode) {
-	d := newCacheDisk(s.random)
-	d.beforeWrite = func() { // the thread does nothing else meanwhile; questions are answered all the same
+	disk := newCacheDisk(s.random)
+	disk.beforeWrite = func() { // the shard's goroutine does nothing else meanwhile; the published view still answers
 		if node.maxWriteTime > 0 && node.shard != nil {
 			s.poll(node, 0)
-			node.frozenUntil = max(node.frozenUntil, s.now+time.Duration(s.random.Int64N(int64(node.maxWriteTime))))
+			node.frozenUntil = max(node.frozenUntil, s.now+s.randomBelow(node.maxWriteTime))
 		}
 	}
-	node.disk = d
+	node.disk = disk
 }
 
+// start starts a machine from its disk; its clock begins at any time.
 func (s *groupSim) start(node *groupSimNode) {
 	node.generation++
-	incarnation := node.generation
+	generation := node.generation
 	node.disk.writesUntilCrash, node.disk.crashed = -1, false
-	node.clock.Time = time.Duration(s.random.Int64N(int64(time.Hour)))
+	node.clock.Time = s.randomBelow(time.Hour)
 	node.knownAddrs = map[string]bool{}
-	for _, a := range s.seeds {
-		node.knownAddrs[a] = true
+	for _, addr := range s.seeds {
+		node.knownAddrs[addr] = true
 	}
 	replica := newShard(context.Background(), 0, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
-		if node.generation == incarnation {
+		if node.generation == generation {
 			s.send(message)
 		}
 	})
@@ -169,27 +156,31 @@
 		replica.compactThreshold = defaultCompactAt
 	}
 	node.shard = nil
-	openGroup(replica, &group{codec: versionCodec{}, disk: node.disk, targetSize: 2*s.toleratedLosses + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TrailingLogBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(node.addr[1])))},
-		initialSnapshot: func() *wire.Snapshot {
-			if s.plantedFault == "same-incarnation" && !s.founding { // planted: a lost disk comes back as the member that it was
-				return consensus.LearnerSnapshot(node.addr + "/0")
-			}
-			return initialGroupSnapshot(s.founding, node.addr, s.seeds, s.random.Uint64)
-		}})
+	random := rand.New(rand.NewPCG(s.seed, uint64(generation)*1000+uint64(node.addr[1])))
+	config := newTestGroup(node.disk, random, func() *wire.Snapshot {
+		if s.plantedFault == plantedSameIncarnation && !s.founding {
+			return consensus.LearnerSnapshot(node.addr + "/0")
+		}
+		return initialGroupSnapshot(s.founding, node.addr, s.seeds, s.random.Uint64)
+	})
+	config.targetSize = 2*s.toleratedLosses + 1
+	config.reopenTicks = int(reopenIntervalRatio / groupTick)
+	config.consensusConfig.TrailingLogBytes = s.tailBytes
+	openGroup(replica, config)
 	node.shard, node.nextTick, node.restartAt = replica, s.now, 0
 }
 
-// kill ends a machine's process; power: the machine loses that, too.
-func (s *groupSim) kill(node *groupSimNode, power bool, back time.Duration) {
+// kill ends a machine's process, which starts again after a while; with power, what its disk hasn't
+// synced is lost, too.
+func (s *groupSim) kill(node *groupSimNode, power bool, downtime time.Duration) {
 	if node.isRemoved {
 		return
 	}
-	node.shard, node.generation, node.restartAt = nil, node.generation+1, s.now+back
+	node.shard, node.generation, node.restartAt = nil, node.generation+1, s.now+downtime
 	if power {
 		node.disk.losePower()
 	}
-	if s.random.IntN(2) == 0 { // what it had sent meanwhile never left the machine
+	if s.random.IntN(2) == 0 { // what it has just sent never left the machine
 		s.inFlight = slices.DeleteFunc(s.inFlight, func(sent simMessage) bool { return controlclient.MemberAddr(sent.message.From) == node.addr })
 	}
 }
@@ -212,17 +203,17 @@
 	return s.isRunning(node) && node.shard.failure == nil
 }
 
-// isPartitioned tells whether nothing gets from one address to another.
+// isPartitioned reports whether nothing gets from one address to another.
 func (s *groupSim) isPartitioned(from, to string) bool {
 	return s.partitioned[from+">"+to] || s.longPartition[from+">"+to]
 }
 
-// callFails tells whether a call between two addresses fails.
+// callFails draws whether a call between two addresses fails.
 func (s *groupSim) callFails(a, b string) bool {
 	return s.isPartitioned(a, b) || s.isPartitioned(b, a) || s.random.Float64() < s.lossRate
 }
 
-// leader is the member that leads in the highest term; nil: none.
+// leader is the member that leads in the highest term; nil: there is none.
 func (s *groupSim) leader() *groupSimNode {
 	var leader *groupSimNode
 	for _, node := range s.nodes {
@@ -233,7 +224,7 @@
 	return leader
 }
 
-// isComplete tells whether the group has all the members it wants, and they hold all there is.
+// isComplete reports whether the group has as many members as it wants, and all have caught up.
 func (s *groupSim) isComplete() bool {
 	leader := s.leader()
 	if leader == nil || !leader.shard.core.CanChangeMembership() {
@@ -255,14 +246,14 @@
 	return len(members) >= min(2*s.toleratedLosses+1, alive)
 }
 
-// traceStatus notes how all machines stand.
+// traceStatus traces the status of all machines.
 func (s *groupSim) traceStatus() {
 	for _, node := range s.nodes {
 		if node.shard == nil {
-			s.tracef("%s is down, gone %v", node.addr, node.isRemoved)
+			s.tracef("%s is down, removed %v", node.addr, node.isRemoved)
 			continue
 		}
 		members, term, index := node.shard.core.Members()
-		s.tracef("%s is %s, bad %v, %+v, members %v of %d/%d, sees %+v", node.addr, node.shard.core.Self(), node.shard.failure, node.shard.core.Status(), members, term, index, node.shard.core.PeerStatuses())
+		s.tracef("%s is %s, failure %v, %+v, members %v of %d/%d, sees %+v", node.addr, node.shard.core.Self(), node.shard.failure, node.shard.core.Status(), members, term, index, node.shard.core.PeerStatuses())
 	}
 }
--- a/internal/control/controlstate/sim_shard_test.go
+++ b/internal/control/controlstate/sim_shard_test.go
@@ -1,12 +1,9 @@
 package controlstate
 
 import (
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
-	"sort"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
@@ -14,165 +11,74 @@
 
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/control/consensus"
-	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/data/nodeagent"
 	"pebbleloom/internal/wire"
 )
 
-// The simulator drives the real parts (core, state, shelf) on virtual time: a seeded
-// network, seeded disks, clocks that drift, freezes, kills and lost disks.
-
-// simDisk fails, stalls or loses power on demand. Whatever a call returned from is synced.
-type simDisk struct {
-	files       map[string][]byte
-	failWrites  bool   // every write fails: full, or a failed sync
-	powerBudget int    // bytes until the power goes; below zero: never
-	beforeWrite func() // called at every write: it may take its time
-}
-
-func newSimDisk() *simDisk { return &simDisk{files: map[string][]byte{}, powerBudget: -1} }
-
-var errPowerLost, errDiskFull = errors.New("power lost"), errors.New("disk full")
-
-func (d *simDisk) Read(n string) ([]byte, bool, error) {
-	b, ok := d.files[n]
-	return bytes.Clone(b), ok, nil
-}
-
-func (d *simDisk) appendBytes(n string, b []byte) error {
-	if d.beforeWrite != nil {
-		d.beforeWrite()
-	}
-	if d.failWrites {
-		d.files[n] = append(d.files[n], b[:len(b)/2]...)
-		return errDiskFull
-	}
-	if d.powerBudget >= 0 && len(b) > d.powerBudget {
-		d.files[n] = append(d.files[n], b[:d.powerBudget]...)
-		d.powerBudget = 0
-		return errPowerLost
-	}
-	d.files[n] = append(d.files[n], b...)
-	if d.powerBudget >= 0 {
-		d.powerBudget -= len(b)
-	}
-	return nil
-}
-
-func (d *simDisk) Write(n string, b []byte) error {
-	if d.powerBudget == 0 {
-		return errPowerLost
-	}
-	if d.failWrites {
-		return errDiskFull
-	}
-	d.files[n] = nil
-	return d.appendBytes(n, b)
-}
-func (d *simDisk) Append(n string, b []byte) error { return d.appendBytes(n, b) }
-func (d *simDisk) Truncate(n string, s int) error  { d.files[n] = d.files[n][:s]; return nil }
+// The simulator of a shard drives the real code (consensus core, state, storage) on virtual time: a
+// seeded network, seeded disks, clocks that drift, freezes, kills and lost disks.
 
+// shardSimNode is one machine with a member of the shard.
 type shardSimNode struct {
 	name         string
 	disk         *simDisk
-	shard        *shard
+	shard        *shard // nil: it is down
 	clock        *clock.Manual
 	clockRate    float64
-	frozenUntil  time.Duration // until
-	nextTick     time.Duration // its next tick
-	generation   int
-	incarnation  string
-	maxWriteTime time.Duration // how long a write may take
-	isBlank      bool          // its disk isn't caught up yet
-}
-
-type simMessage struct {
-	deliverAt time.Duration
-	sequence  int
-	message   *wire.Message
+	frozenUntil  time.Duration
+	nextTick     time.Duration
+	generation   int           // counts its starts and kills
+	incarnation  string        // of its disk
+	maxWriteTime time.Duration // up to which a write may take
+	isBlank      bool          // it has lost its disk and hasn't caught up yet
 }
 
+// simWrite is an operator's change of the document.
 type simWrite struct {
 	version         uint64
 	body            string
-	sentAt, ackedAt time.Duration // end zero: never answered
-}
-
-type simRead struct {
-	version            uint64
-	body               string
-	sentAt, answeredAt time.Duration
+	sentAt, ackedAt time.Duration // ackedAt zero: it was never acknowledged
 }
 
+// shardSim is one seeded run of a shard with three fixed members.
 type shardSim struct {
-	seed          uint64
-	random        *rand.Rand
-	now           time.Duration
+	simBase
 	nodes         []*shardSimNode
-	zombies       []*shardSimNode // machines whose name another one has taken; they live on for a while
-	inFlight      []simMessage
-	sentMessages  int
-	partitioned   map[string]bool // "a>b"
-	lossRate      float64
+	zombies       []*shardSimNode // machines whose name another one has taken; they run on for a while
 	writes        []*simWrite
-	reads         []*simRead
-	inProgress    []func() bool // questions under way; false when settled
-	trace         []string
 	watcher       *simWatcher
-	leaseHolders  []*simLeaseHolder
 	grantedNonces map[byte]uint64
-	violations    []string
-	counts        map[string]int
-	lastStatus    map[string]string
-	debug         bool
-	plantedFault  string // a fault planted on purpose, to see that the checks catch it
+	lastStatus    map[string]string // by member, with debug
+	debug         bool              // trace each change of a member's status, and each read
 }
 
-// simWatcher polls all members with the real Fresh.
+// simWatcher polls all members for a newer document, as a node agent does.
 type simWatcher struct {
 	freshness *nodeagent.FreshnessProof
 	clock     *clock.Manual
 }
 
-// simLeaseHolder wants the duty with the real Lease.
-type simLeaseHolder struct {
-	lease          *controlclient.Lease
-	clock          *clock.Manual
-	clockRate      float64
-	requestPending bool
-	pausedUntil    time.Duration
-}
-
-const shardSimStep = 5 * time.Millisecond
+// Virtual time passes in steps; a member ticks once a shardSimTick of its own clock.
+const (
+	shardSimStep = 5 * time.Millisecond
+	shardSimTick = 50 * time.Millisecond
+)
 
-func newShardSim(seed uint64, plant string) *shardSim {
-	s := &shardSim{seed: seed, random: rand.New(rand.NewPCG(seed, 1)), partitioned: map[string]bool{}, counts: map[string]int{}, grantedNonces: map[byte]uint64{}, plantedFault: plant}
+func newShardSim(seed uint64, plantedFault string) *shardSim {
+	s := &shardSim{simBase: newSimBase(seed, 1, plantedFault), grantedNonces: map[byte]uint64{}}
 	for i := range 3 {
-		node := &shardSimNode{name: fmt.Sprintf("core-%d", i+1), disk: newSimDisk(), clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
+		node := &shardSimNode{name: fmt.Sprintf("core-%d", i+1), disk: newSimDisk(), clock: &clock.Manual{}, clockRate: s.randomClockRate()}
 		s.nodes = append(s.nodes, node)
 	}
 	for _, node := range s.nodes {
 		s.start(node)
 	}
 	s.watcher = &simWatcher{freshness: nodeagent.NewFreshnessProof(), clock: &clock.Manual{}}
-	for i := range 3 {
-		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: 0.97 + 0.06*s.random.Float64()}
-		holder.lease = controlclient.NewLease(nil, holder.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), 3*time.Second)
-		s.leaseHolders = append(s.leaseHolders, holder)
-	}
+	s.addLeaseHolders(3)
 	return s
 }
 
-func (s *shardSim) tracef(format string, a ...any) {
-	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
-}
-
-func (s *shardSim) violationf(format string, a ...any) {
-	s.tracef("FAULT "+format, a...)
-	s.violations = append(s.violations, fmt.Sprintf(format, a...))
-}
-
-// start starts a member from its disk; its clock goes on from anywhere.
+// start starts a member from its disk; its clock begins at any time.
 func (s *shardSim) start(node *shardSimNode) {
 	node.generation++
 	if len(node.disk.files) == 0 {
@@ -181,18 +87,18 @@
 	node.disk.powerBudget, node.disk.failWrites = -1, false
 	node.disk.beforeWrite = func() { // the member does nothing else while a write takes its time
 		if node.maxWriteTime > 0 {
-			node.frozenUntil = max(node.frozenUntil, s.now+time.Duration(s.random.Int64N(int64(node.maxWriteTime))))
+			node.frozenUntil = max(node.frozenUntil, s.now+s.randomBelow(node.maxWriteTime))
 		}
 	}
-	node.clock.Time = time.Duration(s.random.Int64N(int64(time.Hour)))
+	node.clock.Time = s.randomBelow(time.Hour)
 	var members []string
 	for _, peer := range s.nodes {
 		members = append(members, peer.name)
 	}
 	cfg := consensus.Config{Self: node.name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(node.generation*10)))}
-	incarnation := node.generation
+	generation := node.generation
 	replica, err := openShard(context.Background(), cfg, node.disk, func() string { return node.incarnation }, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
-		if node.generation == incarnation {
+		if node.generation == generation {
 			s.send(message)
 		}
 	})
@@ -200,33 +106,34 @@
 		s.violationf("%s doesn't open: %v", node.name, err)
 		return
 	}
-	replica.compactThreshold = 2000 // turn slots often
+	replica.compactThreshold = 2000 // bytes: snapshots are written often
 	node.shard, node.nextTick = replica, s.now
 	node.isBlank = replica.core.Status().Blank
-	if s.plantedFault == "vote-blank" && replica.core.Status().Blank {
-		// Planted: a lost disk is taken for a first start, and votes at once.
-		slot := consensus.BlankSnapshot(node.incarnation)
-		slot.HardState.DiskState = wire.DiskState_DISK_FOUNDED
-		replica.core = consensus.New(cfg, slot, nil)
+	if s.plantedFault == plantedBlankVote && replica.core.Status().Blank {
+		// A lost disk is taken for a first start.
+		snapshot := consensus.BlankSnapshot(node.incarnation)
+		snapshot.HardState.DiskState = wire.DiskState_DISK_FOUNDED
+		replica.core = consensus.New(cfg, snapshot, nil)
 	}
 }
 
+// send puts a message on its way: it may be lost, late, doubled or overtaken.
 func (s *shardSim) send(message *wire.Message) {
 	if s.partitioned[message.From+">"+message.To] || s.random.Float64() < s.lossRate {
 		return
 	}
-	d := time.Duration(s.random.Int64N(int64(8 * time.Millisecond)))
+	delay := s.randomBelow(8 * time.Millisecond)
 	if s.random.Float64() < 0.02 {
-		d += time.Duration(s.random.Int64N(int64(time.Second)))
+		delay += s.randomBelow(time.Second)
 	}
 	if node := s.node(message.From); node.frozenUntil > s.now {
-		d += node.frozenUntil - s.now // it is sent once the write is through
+		delay += node.frozenUntil - s.now // it is sent once the write has ended
 	}
 	s.sentMessages++
-	s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + d, s.sentMessages, message})
+	s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + delay, s.sentMessages, message})
 	if s.random.Float64() < 0.02 {
 		s.sentMessages++
-		s.inFlight = append(s.inFlight, simMessage{s.now + 2*d + time.Millisecond, s.sentMessages, message})
+		s.inFlight = append(s.inFlight, simMessage{s.now + 2*delay + time.Millisecond, s.sentMessages, message})
 	}
 }
 
@@ -234,75 +141,76 @@
 	return node.shard != nil && s.now >= node.frozenUntil
 }
 
-// step moves virtual time on, delivers what is due and lets everyone act.
+// step moves virtual time on, delivers what is due and lets every member and call act.
 func (s *shardSim) step() {
 	s.now += shardSimStep
 	for _, node := range s.allNodes() {
 		node.clock.Time += time.Duration(float64(shardSimStep) * node.clockRate)
 	}
-	for _, holder := range s.leaseHolders {
-		holder.clock.Time += time.Duration(float64(shardSimStep) * holder.clockRate)
-	}
+	s.advanceLeaseHolders(shardSimStep)
 	s.watcher.clock.Time = s.now
-	sort.SliceStable(s.inFlight, func(i, j int) bool {
-		return s.inFlight[i].deliverAt < s.inFlight[j].deliverAt || s.inFlight[i].deliverAt == s.inFlight[j].deliverAt && s.inFlight[i].sequence < s.inFlight[j].sequence
-	})
-	var stay []simMessage
-	due := s.inFlight
-	s.inFlight = nil
-	for _, sent := range due {
-		if node := s.node(sent.message.To); sent.deliverAt > s.now || node.shard != nil && !s.isRunning(node) { // a frozen machine's letters wait
-			stay = append(stay, sent)
+	s.deliver()
+	s.tickNodes()
+	if s.debug {
+		s.traceStatus()
+	}
+	var stillOpen []func() bool
+	for _, call := range s.inProgress {
+		if call() {
+			stillOpen = append(stillOpen, call)
+		}
+	}
+	s.inProgress = stillOpen
+	s.checkLeaseHolders()
+}
+
+// deliver hands over the messages that are due. Those to a frozen machine wait.
+func (s *shardSim) deliver() {
+	var waiting []simMessage
+	for _, sent := range s.takeInFlight() {
+		if node := s.node(sent.message.To); sent.deliverAt > s.now || node.shard != nil && !s.isRunning(node) {
+			waiting = append(waiting, sent)
 			continue
 		}
-		for _, node := range s.allNodes() { // a name that two have reaches both
+		for _, node := range s.allNodes() { // a name that two machines have reaches both
 			if node.name == sent.message.To && s.isRunning(node) && node.shard.failure == nil {
 				node.shard.core.Step(proto.Clone(sent.message).(*wire.Message))
 				node.shard.handleReady()
 			}
 		}
 	}
-	s.inFlight = append(stay, s.inFlight...)
+	s.inFlight = append(waiting, s.inFlight...)
+}
+
+func (s *shardSim) tickNodes() {
 	for _, node := range s.allNodes() {
-		if s.isRunning(node) && s.now >= node.nextTick {
-			node.nextTick = s.now + time.Duration(float64(50*time.Millisecond)/node.clockRate)
-			if node.shard.failure == nil {
-				node.shard.core.Tick()
-				node.shard.handleReady()
-				node.isBlank = node.isBlank && node.shard.core.Status().Blank
-			}
+		if !s.isRunning(node) || s.now < node.nextTick {
+			continue
 		}
-	}
-	if s.debug {
-		for _, node := range s.nodes {
-			if node.shard != nil && node.shard.failure == nil {
-				status := node.shard.core.Status()
-				k := fmt.Sprintf("%s owns %v term %d leader %s applied %d last %d blank %v", node.name, status.IsLeader, status.Term, status.Leader, status.Applied, status.LastIndex, status.Blank)
-				if s.lastStatus == nil {
-					s.lastStatus = map[string]string{}
-				}
-				if s.lastStatus[node.name] != k {
-					s.lastStatus[node.name] = k
-					s.tracef("%s", k)
-				}
-			}
+		node.nextTick = s.now + time.Duration(float64(shardSimTick)/node.clockRate)
+		if node.shard.failure == nil {
+			node.shard.core.Tick()
+			node.shard.handleReady()
+			node.isBlank = node.isBlank && node.shard.core.Status().Blank
 		}
 	}
-	var open []func() bool
-	for _, f := range s.inProgress {
-		if f() {
-			open = append(open, f)
-		}
+}
+
+// traceStatus traces each member's status where it has changed.
+func (s *shardSim) traceStatus() {
+	if s.lastStatus == nil {
+		s.lastStatus = map[string]string{}
 	}
-	s.inProgress = open
-	held := 0
-	for _, holder := range s.leaseHolders {
-		if _, ok := holder.lease.FencingToken(); ok {
-			held++
+	for _, node := range s.nodes {
+		if node.shard == nil || node.shard.failure != nil {
+			continue
+		}
+		status := node.shard.core.Status()
+		text := fmt.Sprintf("%s leads %v term %d leader %s applied %d last %d blank %v", node.name, status.IsLeader, status.Term, status.Leader, status.Applied, status.LastIndex, status.Blank)
+		if s.lastStatus[node.name] != text {
+			s.lastStatus[node.name] = text
+			s.tracef("%s", text)
 		}
-	}
-	if held > 1 {
-		s.violationf("%d hold the duty at once", held)
 	}
 }
 
@@ -310,22 +218,22 @@
 	return append(append([]*shardSimNode(nil), s.nodes...), s.zombies...)
 }
 
-// randomNode picks a machine to ask: one whose name was taken, too.
+// randomNode draws a machine to send to, the replaced ones among them.
 func (s *shardSim) randomNode() *shardSimNode {
 	nodes := s.allNodes()
 	return nodes[s.random.IntN(len(nodes))]
 }
 
-// replace starts an empty machine under a name whose machine froze, and will wake.
+// replace starts an empty machine under the name of a frozen one, which will wake as a zombie.
 func (s *shardSim) replace(node *shardSimNode) {
 	zombie := *node
 	zombie.generation = 1 << 20
-	zombie.frozenUntil = s.now + time.Duration(s.random.Int64N(int64(4*time.Second)))
+	zombie.frozenUntil = s.now + s.randomBelow(4*time.Second)
 	disk := *node.disk
 	zombie.disk = &disk
 	zombie.disk.beforeWrite = nil
-	clk := *node.clock
-	zombie.clock = &clk
+	zombieClock := *node.clock
+	zombie.clock = &zombieClock
 	zombie.shard.clock = zombie.clock
 	zombie.shard.send = s.send
 	s.zombies = append(s.zombies, &zombie)
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"sync"
@@ -13,11 +14,13 @@
 	"time"
 
 	"pebbleloom/internal/clock"
+	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/control/routingconfig"
 	"pebbleloom/internal/control/storage"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
 )
 
 // testCluster is a few machines in one test bubble: real nodes, pipes for connections, disks in memory.
@@ -217,6 +220,25 @@
 	return time.Since(begin)
 }
 
+// newTestGroup is a group of three members with small batches in one zone, whose configurations are
+// those of versionCodec.
+func newTestGroup(disk storage.Disk, random *rand.Rand, initialSnapshot func() *wire.Snapshot) *group {
+	return &group{
+		codec:       versionCodec{},
+		disk:        disk,
+		targetSize:  3,
+		reopenTicks: 3,
+		zoneOf:      func(string) string { return "" },
+		consensusConfig: consensus.Config{
+			HeartbeatTicks: heartbeatTicks,
+			ElectionTicks:  electionTicks,
+			MaxBatchBytes:  4096,
+			Rand:           random,
+		},
+		initialSnapshot: initialSnapshot,
+	}
+}
+
 // versionCodec is a form of plans for tests: {"version": 7, "text": "…", "bad": false}.
 type versionCodec struct{}
 
