--- a/internal/control/controlstate/second_loss_join_test.go
+++ b/internal/control/controlstate/second_loss_join_test.go
@@ -11,11 +11,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// farFuture is past the end of every run.
+// farFuture is after the end of every run.
 const farFuture = time.Hour
 
-// runJoinLoops is Node.joinLoop and Node.requestJoin over the simulated net: two addresses each time, and whom
-// they name; one that can't be reached costs the whole wait for an answer.
+// runJoinLoops does what Node.joinLoop and Node.requestJoin do, over the simulated network: each request
+// goes to two addresses and to the leaders that these name. One that can't be reached costs the whole
+// time-out.
 func (r *lossRun) runJoinLoops() {
 	bounds := settings.DefaultBounds()
 	for _, node := range r.nodes {
@@ -35,6 +36,7 @@
 	}
 }
 
+// requestJoin returns how long the request took.
 func (r *lossRun) requestJoin(node *groupSimNode, join *joinState, timeout time.Duration) (cost time.Duration) {
 	var others []string
 	for _, peer := range r.nodes {
@@ -42,8 +44,8 @@
 			others = append(others, peer.addr)
 		}
 	}
-	vain := 0
-	for _, addr := range joinCandidates(others, func(a string) bool { return join.silent[a] }, join.turn) {
+	failed := 0
+	for _, addr := range joinCandidates(others, func(addr string) bool { return join.silent[addr] }, join.turn) {
 		peer := r.node(addr)
 		for range 2 {
 			if peer == nil || peer == node {
@@ -57,18 +59,18 @@
 			delete(join.silent, peer.addr)
 			response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
 			if r.runStep(peer); response.Outcome == wire.OutcomeDone {
-				r.counts["taken in"]++
+				r.count(eventJoined)
 				return cost
 			}
 			peer = r.node(controlclient.MemberAddr(response.Leader))
 		}
-		vain++
+		failed++
 	}
-	join.turn += vain
+	join.turn += failed
 	return cost
 }
 
-// putLargeDocument puts a document of so many bytes beside the configuration.
+// putLargeDocument puts a document of a size, in bytes, beside the configuration.
 func (r *lossRun) putLargeDocument(size int) {
 	if size == 0 {
 		return
@@ -89,26 +91,27 @@
 	}
 }
 
+// memberCount is the size of the newest membership.
 func (r *lossRun) memberCount() int { return len(r.newestMembership()) }
 
-// throttle has each message take the time of its bytes on its sender's link, one after another.
+// throttle has the messages of a node share its link, one after another at bytesPerSecond.
 func (r *lossRun) throttle(node *groupSimNode) {
 	if r.bytesPerSecond == 0 || node.shard == nil || r.throttled[node] == node.generation {
 		return
 	}
 	r.throttled[node] = node.generation
-	direct, incarnation := node.shard.send, node.generation
-	free := r.now
+	sendNow, generation := node.shard.send, node.generation
+	linkFreeAt := r.now
 	node.shard.send = func(message *wire.Message) {
-		free = max(free, r.now) + time.Duration(float64(proto.Size(message))/r.bytesPerSecond*float64(time.Second))
-		if free-r.now < groupSimStep {
-			direct(message)
+		linkFreeAt = max(linkFreeAt, r.now) + time.Duration(float64(proto.Size(message))/r.bytesPerSecond*float64(time.Second))
+		if linkFreeAt-r.now < groupSimStep {
+			sendNow(message)
 			return
 		}
 		message = proto.Clone(message).(*wire.Message)
-		r.scheduleAt(free, func() {
-			if node.generation == incarnation {
-				direct(message)
+		r.scheduleAt(linkFreeAt, func() {
+			if node.generation == generation {
+				sendNow(message)
 			}
 		})
 	}
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -6,66 +6,72 @@
 	"time"
 
 	"pebbleloom/internal/control/controlclient"
-	"pebbleloom/internal/wire"
 )
 
-// What a loss is, in the words of the table in docs/control.md, section 3.
+// lossKind is how a machine is lost, in the words of docs/control.md, section 3.
+type lossKind string
+
+// Kinds of losses.
 const (
-	lossCrash          = "crash"           // power loss; back with its disk
-	lossWipe           = "wipe"            // back with an empty disk
-	lossPartition      = "cut off"         // both ways; joined again later
-	lossShutdown       = "SIGTERM"         // planned; back with its disk
-	lossReplace        = "replaced"        // gone for good, a new machine starts
-	lossPlannedReplace = "planned replace" // SIGTERM, gone for good, a new machine starts
+	lossCrash          lossKind = "crash"           // power loss; back with its disk
+	lossWipe           lossKind = "wipe"            // back with an empty disk
+	lossPartition      lossKind = "cut off"         // in both directions; healed later
+	lossShutdown       lossKind = "SIGTERM"         // planned; back with its disk
+	lossReplace        lossKind = "replaced"        // removed for good, a new machine starts
+	lossPlannedReplace lossKind = "planned replace" // SIGTERM, removed for good, a new machine starts
 )
 
-var losses = []string{lossCrash, lossWipe, lossPartition, lossShutdown, lossReplace, lossPlannedReplace}
+var losses = []lossKind{lossCrash, lossWipe, lossPartition, lossShutdown, lossReplace, lossPlannedReplace}
 
 // lossCompactAt is the size in bytes above which a member compacts its log here.
 const lossCompactAt = 3000
 
-// Whom the second loss hits.
+// lossTarget is which machine is lost.
+type lossTarget string
+
+// Targets of a loss.
 const (
-	targetLeader    = "leader"
-	targetSuccessor = "successor" // the machine that was hit first, or its replacement
-	targetFollower  = "follower"
+	targetLeader    lossTarget = "leader"
+	targetSuccessor lossTarget = "successor" // the machine that was lost first, or its replacement
+	targetFollower  lossTarget = "follower"
 )
 
-var targets = []string{targetLeader, targetSuccessor, targetFollower}
+var targets = []lossTarget{targetLeader, targetSuccessor, targetFollower}
 
-// Times of the users' pages for the small sites, and the bounds that follow from them.
+// Times that the contract gives for small sites, and the bounds that follow from them.
 const (
-	catchUpTime    = 4 * time.Second
+	catchUpTime    = 4 * time.Second         // for which a machine that returned still counts as lost
 	awayTime       = 1500 * time.Millisecond // from a loss to the return
-	graceTime      = 8 * time.Second
-	quorumWithin   = 4 * time.Second // a change is acknowledged again
-	completeWithin = catchUpTime     // the group has all its members again
+	graceTime      = 8 * time.Second         // from SIGTERM to the end of the process
+	quorumWithin   = 4 * time.Second         // until a change is acknowledged again
+	completeWithin = catchUpTime             // until the group has all its members again
+	startWithin    = 12 * time.Second        // until a site that starts is complete and serves
 )
 
-// lossScenario is one run: a whole group, one loss, and another so much later.
+// lossScenario is a complete group, a first loss, and a second one after a delay.
 type lossScenario struct {
 	machines, toleratedLosses int
-	first, second             string
-	firstTarget               string // leader or follower; where two are tolerated, a follower beside it
-	secondTarget              string
+	first, second             lossKind
+	firstTarget               lossTarget // leader or follower; where two are tolerated, a follower beside it
+	secondTarget              lossTarget
 	delay                     time.Duration
 	seed                      uint64
 }
 
-func (scenario lossScenario) String() string {
-	return fmt.Sprintf("%d machines, %d tolerated, seed %d: %s of the %s, after %v %s of the %s", scenario.machines, scenario.toleratedLosses, scenario.seed,
-		scenario.first, scenario.firstTarget, scenario.delay, scenario.second, scenario.secondTarget)
+func (s lossScenario) String() string {
+	return fmt.Sprintf("%d machines, %d tolerated, seed %d: %s of the %s, after %v %s of the %s", s.machines, s.toleratedLosses, s.seed,
+		s.first, s.firstTarget, s.delay, s.second, s.secondTarget)
 }
 
-// lossRun is the state of one run.
+// lossRun plays a scenario in the simulator of a group.
 type lossRun struct {
 	*groupSim
 	scenario         lossScenario
-	lostUntil        map[string]time.Duration // by the address that it had at the start
-	originalAddrs    map[string]string        // of a replacement: the address at the start
-	destroyedVotes   int                      // votes that can never be given again and were counted when they went
-	checkMargins     bool
-	initialTolerance int // losses that the group tolerated when the repair began
+	lostUntil        map[string]time.Duration // by the original address of the machine
+	originalAddrs    map[string]string        // by the address of a replacement: that of the machine it replaces
+	destroyedVotes   int                      // members that were destroyed with their disk
+	checksTolerance  bool                     // check in each step that no fewer losses are tolerated than initialTolerance
+	initialTolerance int                      // losses that the group tolerated when the repair began
 	lastReturn       time.Duration
 	joins            map[*groupSimNode]*joinState
 
@@ -73,12 +79,12 @@
 	throttled      map[*groupSimNode]int
 }
 
-// joinState is where a machine's joinLoop stands.
+// joinState is the progress of a machine's Node.joinLoop.
 type joinState struct {
 	generation  int
 	nextAttempt time.Duration
 	turn        int
-	silent      map[string]bool // addresses that gave no answer the last time
+	silent      map[string]bool // addresses that didn't answer the last request
 }
 
 func newLossRun(scenario lossScenario) *lossRun {
@@ -91,92 +97,94 @@
 	return &lossRun{groupSim: s, scenario: scenario, lostUntil: map[string]time.Duration{}, originalAddrs: map[string]string{}, joins: map[*groupSimNode]*joinState{}, throttled: map[*groupSimNode]int{}}
 }
 
-// scheduleAt runs f once at a time; a run's own events go through s.open.
-func (r *lossRun) scheduleAt(when time.Duration, f func()) {
+// scheduleAt runs an action at a time.
+func (r *lossRun) scheduleAt(when time.Duration, run func()) {
 	r.inProgress = append(r.inProgress, func() bool {
 		if r.now < when {
 			return true
 		}
-		f()
+		run()
 		return false
 	})
 }
 
-// advance lets time pass under load: an operator, readers and an edge.
+// advance moves virtual time on by a step under load: an operator, readers and an edge.
 func (r *lossRun) advance() {
 	for _, node := range r.nodes {
 		r.throttle(node)
 	}
 	r.step()
 	r.runJoinLoops()
-	switch r.groupSim.random.IntN(60) {
+	switch r.random.IntN(60) {
 	case 0, 1, 2:
 		r.writeChange(nil)
 	case 3:
-		r.read(r.nodes[r.groupSim.random.IntN(len(r.nodes))])
+		r.read(r.randomNode())
 	case 4, 5:
 		if node := r.leader(); node != nil {
-			r.read(node) // what an operator builds on
+			r.read(node) // operators build on what it returns
 		}
 	case 6, 7:
-		r.poll(r.nodes[r.groupSim.random.IntN(len(r.nodes))], 300*time.Millisecond)
+		r.poll(r.randomNode(), pollTime)
 	}
-	if r.checkMargins {
-		if m := r.toleratedNow(); m < r.initialTolerance {
-			r.violationf("tolerance-never-lower: %d losses are tolerated in the midst of the repair, %d were before it", m, r.initialTolerance)
+	if r.checksTolerance {
+		if tolerated := r.toleratedNow(); tolerated < r.initialTolerance {
+			r.violationf("tolerance-never-lower: %d losses are tolerated in the midst of the repair, %d were before it", tolerated, r.initialTolerance)
 		}
 	}
 }
 
-// toleratedNow is how many machines more may be lost at once, whichever they are, so that the newest
-// membership has a quorum. Votes of machines that are down count as lost.
+// toleratedNow is how many more machines may be lost at once, whichever they are, so that the newest
+// membership still has a quorum. Machines that are down count as lost.
 func (r *lossRun) toleratedNow() int {
 	members := r.newestMembership()
 	alive := 0
-	for _, m := range members {
-		if node := r.node(controlclient.MemberAddr(m)); r.isHealthy(node) && node.shard.core.Self() == m && !r.isIsolated(node) {
+	for _, member := range members {
+		if node := r.node(controlclient.MemberAddr(member)); r.isHealthy(node) && node.shard.core.Self() == member && !r.isIsolated(node) {
 			alive++
 		}
 	}
 	return alive - (len(members)/2 + 1)
 }
 
+// isIsolated reports whether a machine is lost by a partition.
 func (r *lossRun) isIsolated(node *groupSimNode) bool {
-	return slices.ContainsFunc(r.nodes, func(peer *groupSimNode) bool {
+	isPartitionedFrom := func(peer *groupSimNode) bool {
 		return peer != node && r.partitioned[node.addr+">"+peer.addr] && r.partitioned[peer.addr+">"+node.addr]
-	}) &&
-		r.lostUntil[r.originOf(node)] > r.now
+	}
+	return slices.ContainsFunc(r.nodes, isPartitionedFrom) && r.lostUntil[r.originOf(node)] > r.now
 }
 
-// newestMembership is the newest in any log that is there, as the members count it.
+// newestMembership is the newest one in the log of any machine that is up.
 func (r *lossRun) newestMembership() (members []string) {
 	var term, index uint64
 	for _, node := range r.nodes {
 		if node.shard == nil {
 			continue
 		}
-		if ms, t, i := node.shard.core.Members(); members == nil || t > term || t == term && i > index {
-			members, term, index = ms, t, i
+		if itsMembers, itsTerm, itsIndex := node.shard.core.Members(); members == nil || itsTerm > term || itsTerm == term && itsIndex > index {
+			members, term, index = itsMembers, itsTerm, itsIndex
 		}
 	}
 	return members
 }
 
+// originOf is the address of the machine that a node replaces, directly or not; its own where none.
 func (r *lossRun) originOf(node *groupSimNode) string {
-	if o := r.originalAddrs[node.addr]; o != "" {
-		return o
+	if addr := r.originalAddrs[node.addr]; addr != "" {
+		return addr
 	}
 	return node.addr
 }
 
-// lostNow is how many machines count as lost, by the users' pages.
-func (r *lossRun) lostNow() (k int) {
+// lostNow is how many machines count as lost by the contract.
+func (r *lossRun) lostNow() (count int) {
 	for _, until := range r.lostUntil {
 		if until > r.now {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
 
 // sparesReady reports whether each machine that isn't a member is a learner that has caught up.
@@ -198,11 +206,11 @@
 	return node.shard != nil && slices.Contains(r.newestMembership(), node.shard.core.Self())
 }
 
-// injectLoss brings a loss about. away ends at the return.
-func (r *lossRun) injectLoss(kind string, node *groupSimNode) {
-	back := r.now + awayTime
+// injectLoss has a machine be lost.
+func (r *lossRun) injectLoss(kind lossKind, node *groupSimNode) {
+	returnsAt := r.now + awayTime
 	r.tracef("STRIKE %s of %s", kind, node.addr)
-	r.counts["struck "+kind]++
+	r.count("struck " + string(kind))
 	switch kind {
 	case lossCrash:
 		r.kill(node, true, awayTime)
@@ -213,63 +221,66 @@
 		r.kill(node, true, awayTime)
 		r.wipeDisk(node)
 	case lossPartition:
-		r.isolateUntil(node, back)
+		r.isolateUntil(node, returnsAt)
 	case lossShutdown:
 		r.shutDown(node, func() { r.kill(node, false, awayTime) })
-		back += graceTime
+		returnsAt += graceTime
 	case lossReplace:
 		r.replace(node)
-		back = r.now
+		returnsAt = r.now
 	case lossPlannedReplace:
 		r.shutDown(node, func() { r.replace(node) })
-		back += graceTime
+		returnsAt += graceTime
 	}
-	r.lostUntil[r.originOf(node)] = back + catchUpTime
-	r.lastReturn = max(r.lastReturn, back)
+	r.lostUntil[r.originOf(node)] = returnsAt + catchUpTime
+	r.lastReturn = max(r.lastReturn, returnsAt)
 }
 
+// replace removes a machine for good and starts another one in its place.
 func (r *lossRun) replace(node *groupSimNode) {
 	if r.isMember(node) {
 		r.destroyedVotes++
 	}
 	r.kill(node, true, 0)
 	node.isRemoved = true
-	peer := r.addNode()
-	r.originalAddrs[peer.addr] = r.originOf(node)
-	r.start(peer)
+	replacement := r.addNode()
+	r.originalAddrs[replacement.addr] = r.originOf(node)
+	r.start(replacement)
 }
 
+// isolateUntil isolates a machine in both directions until a time.
 func (r *lossRun) isolateUntil(node *groupSimNode, until time.Duration) {
-	join := func(cut bool) {
+	setPartitioned := func(partitioned bool) {
 		for _, peer := range r.nodes {
 			if peer != node {
-				r.partitioned[peer.addr+">"+node.addr], r.partitioned[node.addr+">"+peer.addr] = cut, cut
+				r.partitioned[peer.addr+">"+node.addr], r.partitioned[node.addr+">"+peer.addr] = partitioned, partitioned
 			}
 		}
 	}
-	join(true)
-	r.scheduleAt(until, func() { join(false) })
+	setPartitioned(true)
+	r.scheduleAt(until, func() { setPartitioned(false) })
 }
 
-// shutDown is what Node.leave does: it asks until it may stop, for so much of the grace time at most.
+// shutDown does what Node.leave does: it stops the machine as soon as it may, or after leaveTimeoutRatio
+// of the grace time.
 func (r *lossRun) shutDown(node *groupSimNode, stop func()) {
-	incarnation, end, next := node.generation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
+	generation, end, nextAttempt := node.generation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
 	r.inProgress = append(r.inProgress, func() bool {
-		if node.shard == nil || node.generation != incarnation {
+		if node.shard == nil || node.generation != generation {
 			return false
 		}
-		if r.now < next {
+		if r.now < nextAttempt {
 			return true
 		}
-		next = r.now + leavePollInterval
-		if r.now < end && !r.mayStop(node) {
+		nextAttempt = r.now + leavePollInterval
+		if r.now < end && !r.mayLeave(node) {
 			return true
 		}
-		if node.shard == nil || node.generation != incarnation {
-			return false // it died in a write
+		if node.shard == nil || node.generation != generation {
+			return false // it crashed in a write
 		}
 		r.tracef("%s stops", node.addr)
-		// What was a planned end until now counts as lost from here on.
+		// A planned end counts as a loss from here on.
 		r.lostUntil[r.originOf(node)] = r.now + awayTime + catchUpTime
 		r.lastReturn = r.now + awayTime
 		stop()
@@ -277,35 +288,31 @@
 	})
 }
 
-// leavePollInterval is the pause of Node.leave between two looks.
-const leavePollInterval = 50 * time.Millisecond
-
-// mayStop is Node.tryLeave over the simulated net.
-func (r *lossRun) mayStop(node *groupSimNode) bool {
-	at := node.shard.prepareToLeave()
-	r.runStep(node)
-	if at.done || at.isLeader || at.leader == "" {
-		return at.done
-	}
-	peer := r.node(controlclient.MemberAddr(at.leader))
-	if !r.isHealthy(peer) || r.callFails(node.addr, peer.addr) {
-		return false
-	}
-	response := peer.shard.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
-	r.runStep(peer)
-	return response.Outcome == wire.OutcomeDone
-}
-
-// waitUntil lets time pass until something holds, for so long at most.
+// waitUntil lets time pass until a condition holds, up to a bound. It returns the time that passed, and
+// whether the condition holds.
 func (r *lossRun) waitUntil(within time.Duration, holds func() bool) (time.Duration, bool) {
-	begin := r.now
-	for r.now-begin < within && len(r.violations) == 0 {
+	begun := r.now
+	for r.now-begun < within && len(r.violations) == 0 {
 		if holds() {
-			return r.now - begin, true
+			return r.now - begun, true
 		}
 		r.advance()
 	}
-	return r.now - begin, holds()
+	return r.now - begun, holds()
+}
+
+// advanceFor lets time pass.
+func (r *lossRun) advanceFor(duration time.Duration) {
+	r.waitUntil(duration, func() bool { return false })
+}
+
+// awaitReturn lets time pass until the last machine that was lost for a while has returned.
+func (r *lossRun) awaitReturn() { r.advanceFor(max(0, r.lastReturn-r.now)) }
+
+// awaitStart lets a site start, and reports whether it is complete and serves.
+func (r *lossRun) awaitStart() bool {
+	_, ok := r.waitUntil(startWithin, func() bool { return r.isComplete() && r.counts["acked"] > 2 })
+	return ok
 }
 
 // acknowledgedSince reports whether a change that began after a time was acknowledged.
@@ -320,11 +327,12 @@
 	}
 }
 
+// follower is a healthy member that doesn't lead and doesn't count as lost; nil: there is none.
 func (r *lossRun) follower() *groupSimNode {
 	leader := r.leader()
-	for _, m := range r.newestMembership() {
-		node := r.node(controlclient.MemberAddr(m))
-		if node != leader && r.isHealthy(node) && node.shard.core.Self() == m && r.lostUntil[r.originOf(node)] <= r.now {
+	for _, member := range r.newestMembership() {
+		node := r.node(controlclient.MemberAddr(member))
+		if node != leader && r.isHealthy(node) && node.shard.core.Self() == member && r.lostUntil[r.originOf(node)] <= r.now {
 			return node
 		}
 	}
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"sort"
+	"strings"
 	"time"
 
 	"pebbleloom/internal/clock"
@@ -176,3 +177,8 @@
 		s.count("granted")
 	}
 }
+
+// lastTrace is the end of the trace, for a failure's message.
+func (s *simBase) lastTrace(lines int) string {
+	return strings.Join(s.trace[max(0, len(s.trace)-lines):], "\n")
+}
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -199,7 +199,7 @@
 			s.count("sent again very late")
 		}
 	}
-	s.fireEvent("order sent")
+	s.fireEvent(eventChangeSent)
 	leader := s.forwardTarget(node)
 	if leader == nil || s.isPartitioned(node.addr, leader.addr) {
 		return
@@ -268,7 +268,7 @@
 		}
 		s.knownVersion = max(s.knownVersion, response.Version)
 		s.tracef("acked %s on %d as %d by %s", change.name, change.baseVersion, change.newVersion, leader.addr)
-		s.fireEvent("acknowledged")
+		s.fireEvent(eventAcknowledged)
 	case wire.OutcomeConflict:
 		attempt.Complete(history.Rejected, response.Version)
 		s.knownVersion = max(s.knownVersion, response.Version)
--- a/internal/control/controlstate/sim_group_faults_test.go
+++ b/internal/control/controlstate/sim_group_faults_test.go
@@ -7,16 +7,17 @@
 	"pebbleloom/internal/wire"
 )
 
-func (s *groupSim) randomDuration(d time.Duration) time.Duration {
-	return time.Duration(s.random.Int64N(int64(d))) + time.Millisecond
+// randomDuration draws a duration of at least a millisecond.
+func (s *groupSim) randomDuration(limit time.Duration) time.Duration {
+	return s.randomBelow(limit) + time.Millisecond
 }
 
-// eventDelay is when a strike comes that is timed by an order: 5 to 400 ms after it was sent.
+// eventDelay draws how long after its event a fault comes: 5 to 400 ms.
 func (s *groupSim) eventDelay() time.Duration {
-	return 5*time.Millisecond + time.Duration(s.random.Int64N(int64(396*time.Millisecond)))
+	return 5*time.Millisecond + s.randomBelow(396*time.Millisecond)
 }
 
-// injectFault is a failure that may come at any moment, to any number of machines: nothing that was
+// simFault is a failure that may come at any moment, to any number of machines: nothing that was
 // acknowledged may be lost by it.
 type simFault struct {
 	name   string
@@ -32,13 +33,13 @@
 	{"all killed", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(s.random.IntN(2) == 0) }},
 	{"leader first, then all", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
 	{"killed soon after an order", 1, func(s *groupSim, node *groupSimNode) {
-		s.eventHooks["order sent"] = func() { s.schedule(s.eventDelay(), func() { s.killLeader(s.random.IntN(2) == 0) }) }
+		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { s.killLeader(s.random.IntN(2) == 0) }) }
 	}},
 	{"all lose power soon after an order", 1, func(s *groupSim, _ *groupSimNode) {
-		s.eventHooks["order sent"] = func() { s.schedule(s.eventDelay(), func() { s.killAll(true) }) }
+		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { s.killAll(true) }) }
 	}},
 	{"cut off as an order is under way", 2, func(s *groupSim, _ *groupSimNode) {
-		s.eventHooks["order sent"] = func() { s.schedule(s.randomDuration(20*time.Millisecond), s.isolateLeader) }
+		s.eventHooks[eventChangeSent] = func() { s.schedule(s.randomDuration(20*time.Millisecond), s.isolateLeader) }
 	}},
 	{"freeze", 1, func(s *groupSim, node *groupSimNode) { s.freeze(node, s.randomDuration(5*time.Second)) }},
 	{"cut one way", 1, func(s *groupSim, node *groupSimNode) { s.partitioned[node.addr+">"+s.randomNode().addr] = true }},
@@ -60,15 +61,15 @@
 	{"messages lost", 1, func(s *groupSim, _ *groupSimNode) { s.lossRate = [...]float64{0, 0.05, 0.3}[s.random.IntN(3)] }},
 }
 
-// injectFault brings one failure about.
+// injectFault draws a fault by weight, and a node for it.
 func (s *groupSim) injectFault() {
-	sum := 0
+	total := 0
 	for _, fault := range simFaults {
-		sum += fault.weight
+		total += fault.weight
 	}
-	k := s.random.IntN(sum)
+	drawn := s.random.IntN(total)
 	for _, fault := range simFaults {
-		if k -= fault.weight; k < 0 {
+		if drawn -= fault.weight; drawn < 0 {
 			s.count(fault.name)
 			fault.inject(s, s.randomNode())
 			return
@@ -76,6 +77,7 @@
 	}
 }
 
+// killAll kills all machines; with power, each loses what its disk hasn't synced.
 func (s *groupSim) killAll(power bool) {
 	s.tracef("all are killed, power %v", power)
 	for _, node := range s.nodes {
@@ -90,37 +92,37 @@
 	}
 }
 
-// powerOffInTurn takes the power of all machines, one right after another, the leader's first.
+// powerOffInTurn cuts the power of all machines, one right after another, the leader's first.
 func (s *groupSim) powerOffInTurn() {
 	s.killLeader(true)
-	at := time.Duration(0)
+	delay := time.Duration(0)
 	for _, node := range s.nodes {
-		at += s.randomDuration(100 * time.Millisecond)
-		s.schedule(at, func() { s.kill(node, true, s.randomDuration(time.Second)) })
+		delay += s.randomDuration(100 * time.Millisecond)
+		s.schedule(delay, func() { s.kill(node, true, s.randomDuration(time.Second)) })
 	}
 }
 
-func (s *groupSim) freeze(node *groupSimNode, d time.Duration) {
-	node.frozenUntil = s.now + d
+func (s *groupSim) freeze(node *groupSimNode, duration time.Duration) {
+	node.frozenUntil = s.now + duration
 	s.tracef("freeze %s until %v", node.addr, node.frozenUntil)
 }
 
-// isolate cuts a machine off from all others, in one way or both.
-func (s *groupSim) isolate(cut map[string]bool, node *groupSimNode, hears, isHeard bool) {
+// isolate partitions the links from all others to a machine (inbound), from it to them, or both.
+func (s *groupSim) isolate(links map[string]bool, node *groupSimNode, inbound, outbound bool) {
 	for _, peer := range s.nodes {
 		if peer == node {
 			continue
 		}
-		if hears {
-			cut[peer.addr+">"+node.addr] = true
+		if inbound {
+			links[peer.addr+">"+node.addr] = true
 		}
-		if isHeard {
-			cut[node.addr+">"+peer.addr] = true
+		if outbound {
+			links[node.addr+">"+peer.addr] = true
 		}
 	}
 }
 
-// isolateLeader cuts the leader off for a few seconds: it is heard or not, but hears nobody.
+// isolateLeader has the leader receive nothing for a few seconds; at times it can send.
 func (s *groupSim) isolateLeader() {
 	if leader := s.leader(); leader != nil {
 		s.tracef("cut the leader %s off", leader.addr)
@@ -129,7 +131,7 @@
 	}
 }
 
-// transferLeadership has whoever leads hand the group over.
+// transferLeadership has each node that leads transfer its leadership.
 func (s *groupSim) transferLeadership() {
 	for _, node := range s.nodes {
 		if s.isHealthy(node) && node.shard.core.TransferLeadership() {
@@ -139,46 +141,50 @@
 	}
 }
 
-// terminate ends a process in order, as Node.leave does: it asks until it may stop, for a while.
-func (s *groupSim) terminate(node *groupSimNode, back time.Duration) {
-	const wait, pause = 3 * time.Second, 50 * time.Millisecond
-	end, incarnation := s.now+wait, node.generation
+// terminate shuts a process down as Node.leave does: it stops as soon as it may, or after a time-out.
+func (s *groupSim) terminate(node *groupSimNode, downtime time.Duration) {
+	const timeout = 3 * time.Second
+	end, generation := s.now+timeout, node.generation
 	s.tracef("SIGTERM to %s", node.addr)
 	var leave func()
 	leave = func() {
-		if node.shard == nil || node.generation != incarnation {
+		if node.shard == nil || node.generation != generation {
 			return
 		}
-		stops := s.isRunning(node) && (s.now >= end || s.mayLeave(node))
-		if node.shard == nil || node.generation != incarnation {
-			return // it died in a write
+		mayStop := s.isRunning(node) && (s.now >= end || s.mayLeave(node))
+		if node.shard == nil || node.generation != generation {
+			return // it crashed in a write
 		}
-		if stops {
-			s.kill(node, false, back)
+		if mayStop {
+			s.kill(node, false, downtime)
 			return
 		}
-		s.schedule(pause, leave)
+		s.schedule(leavePollInterval, leave)
 	}
 	leave()
 }
 
-// mayLeave asks the member, and the leader that it knows, whether it may stop.
+// leavePollInterval is the pause of Node.leave between two attempts.
+const leavePollInterval = 50 * time.Millisecond
+
+// mayLeave is Node.tryLeave over the simulated network: it asks the member, and the leader that this
+// one knows, whether it may stop.
 func (s *groupSim) mayLeave(node *groupSimNode) bool {
-	at := node.shard.prepareToLeave()
+	progress := node.shard.prepareToLeave()
 	s.runStep(node)
-	if at.done || at.isLeader || at.leader == "" {
-		return at.done
+	if progress.done || progress.isLeader || progress.leader == "" {
+		return progress.done
 	}
-	leader := s.node(controlclient.MemberAddr(at.leader))
+	leader := s.node(controlclient.MemberAddr(progress.leader))
 	if !s.isHealthy(leader) || s.callFails(node.addr, leader.addr) {
 		return false
 	}
-	response := leader.shard.handleJoin(&wire.JoinRequest{Name: at.self, Leaving: true})
+	response := leader.shard.handleJoin(&wire.JoinRequest{Name: progress.self, Leaving: true})
 	s.runStep(leader)
 	return response.Outcome == wire.OutcomeDone
 }
 
-// secondFaults are what may hit while a repair or a replacement is under way. None takes a disk.
+// secondFaults are those that may come during a repair or a replacement. None destroys a disk.
 var secondFaults = []simFault{
 	{"kill the leader", 1, func(s *groupSim, _ *groupSimNode) { s.killLeader(false) }},
 	{"the leader loses power", 1, func(s *groupSim, _ *groupSimNode) { s.killLeader(true) }},
@@ -203,20 +209,20 @@
 	{"kill another", 1, func(s *groupSim, node *groupSimNode) { s.kill(node, false, s.randomDuration(3*time.Second)) }},
 }
 
-// secondFaultEvents are the steps of a repair at which a second strike may come.
-var secondFaultEvents = []string{"order sent", "acknowledged", "taken in", "members change", "new leader"}
+// secondFaultEvents are the events of a repair at which a second fault may come.
+var secondFaultEvents = []string{eventChangeSent, eventAcknowledged, eventJoined, eventMembersChanged, eventNewLeader}
 
-// armSecondFault has a failure come at a step of what goes on, or a moment after it.
+// armSecondFault has a second fault come at an event of the repair, or a moment after it.
 func (s *groupSim) armSecondFault() {
-	at, fault := secondFaultEvents[s.random.IntN(len(secondFaultEvents))], secondFaults[s.random.IntN(len(secondFaults))]
+	event, fault := secondFaultEvents[s.random.IntN(len(secondFaultEvents))], secondFaults[s.random.IntN(len(secondFaults))]
 	delay := time.Duration(0)
 	if s.random.IntN(2) == 0 {
 		delay = s.eventDelay()
 	}
-	s.eventHooks[at] = func() {
+	s.eventHooks[event] = func() {
 		s.secondFaultInjected = true
-		s.count("second strike: " + at)
-		s.tracef("second strike at %q: %s, after %v", at, fault.name, delay)
+		s.count("second strike: " + event)
+		s.tracef("second strike at %q: %s, after %v", event, fault.name, delay)
 		s.schedule(delay, func() { fault.inject(s, s.randomNode()) })
 	}
 }
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// longPartitionTime is how long a member stays cut off in the phase that is about that.
+// longPartitionTime is how long a member stays isolated in longPartitionPhase.
 const longPartitionTime = 20 * time.Second
 
-// groupSimPhases are the worst days of a group; each run has two of them, between its common troubles. The
-// first stands twice, so that all its forms come often enough.
+// groupSimPhases are long sequences of faults; a run has one in each round, between single faults. The
+// first is listed twice, so that all its forms come often enough.
 var groupSimPhases = []struct {
 	name string
 	play func(*groupSim)
@@ -21,9 +21,9 @@
 	{"SIGTERM in turn", (*groupSim).rollingRestartPhase},
 }
 
-// longPartitionPhase cuts one member, the leader more often than not, off for twenty seconds, in one way
-// or both, with operators and readers on both sides. Members of either side may be restarted, with
-// seeds that name only those cut off; other troubles may come on top.
+// longPartitionPhase isolates one member, most often the leader, in one direction or both, with
+// operators and readers on both sides. Members of either side may be restarted, with seeds that name
+// only the isolated one, and other faults may come.
 func (s *groupSim) longPartitionPhase() {
 	node := s.leader()
 	if s.random.IntN(3) > 0 && node != nil {
@@ -31,34 +31,34 @@
 	} else {
 		node = s.randomNode()
 	}
-	way := s.random.IntN(4)
-	s.isolate(s.longPartition, node, way != 1, way != 2)
-	s.tracef("%s is cut off for long, way %d", node.addr, way)
-	switch way {
-	case 1:
+	direction := s.random.IntN(4)
+	s.isolate(s.longPartition, node, direction != 1, direction != 2)
+	s.tracef("%s is cut off for long, direction %d", node.addr, direction)
+	switch direction {
+	case 1: // it can't send
 		s.count("long cut: not heard")
-	case 2:
+	case 2: // it can't receive
 		s.count("long cut: hears nothing")
 	default:
 		s.count("long cut: both ways")
 		s.isolatedAddr, s.isolatedSince = node.addr, s.now
 	}
-	calm := s.random.IntN(3) == 0
-	if !calm {
+	noOtherFaults := s.random.IntN(3) == 0
+	if !noOtherFaults {
 		s.scheduleRestarts(node)
 	}
-	begin, acked, served := s.now, s.ackedCount, time.Duration(0)
-	for s.now-begin < longPartitionTime && len(s.violations) == 0 {
+	begun, acked, served := s.now, s.ackedCount, time.Duration(0)
+	for s.now-begun < longPartitionTime && len(s.violations) == 0 {
 		s.actOnce(nil)
 		if served == 0 && s.ackedCount > acked+2 {
-			served = s.now - begin
+			served = s.now - begun
 		}
-		if !calm && s.random.IntN(500) == 0 {
+		if !noOtherFaults && s.random.IntN(500) == 0 {
 			s.injectFault()
 		}
 	}
 	const bound = 8 * time.Second
-	if calm && (served == 0 || served > bound) {
+	if noOtherFaults && (served == 0 || served > bound) {
 		s.traceStatus()
 		s.violationf("with %s cut off the others acknowledged after %v (0: never)", node.addr, served)
 	}
@@ -66,7 +66,7 @@
 	s.isolatedAddr = ""
 }
 
-// scheduleRestarts restarts those cut off, or some of the others, at moments of the cut.
+// scheduleRestarts has the isolated node, or some of the others, restart during the partition.
 func (s *groupSim) scheduleRestarts(node *groupSimNode) {
 	if s.random.IntN(2) == 0 {
 		s.count("seeds name only those cut off")
@@ -90,22 +90,22 @@
 	}
 }
 
-// changeStorm is a run of changes, each sent as soon as the one before is acknowledged.
+// changeStorm is a sequence of changes, each sent as soon as the one before is acknowledged.
 type changeStorm struct {
 	remaining int
 	change    *groupChange
 	sentAt    time.Duration
 }
 
-// next sends the storm's next change; one that isn't acknowledged is sent again for a while.
+// continueStorm sends the storm's next change; one that isn't acknowledged is retried a few times.
 func (s *groupSim) continueStorm() {
-	const again, enough = 300 * time.Millisecond, 3
+	const retryAfter, maxAttempts = 300 * time.Millisecond, 3
 	storm := s.storm
 	leader := s.leader()
-	if storm == nil || leader == nil || storm.change != nil && storm.change.ackedAt == 0 && s.now-storm.sentAt < again {
+	if storm == nil || leader == nil || storm.change != nil && storm.change.ackedAt == 0 && s.now-storm.sentAt < retryAfter {
 		return
 	}
-	if storm.change == nil || storm.change.ackedAt > 0 || storm.change.baseVersion != s.knownVersion || storm.change.attempts > enough {
+	if storm.change == nil || storm.change.ackedAt > 0 || storm.change.baseVersion != s.knownVersion || storm.change.attempts > maxAttempts {
 		if storm.remaining--; storm.remaining < 0 {
 			s.storm = nil
 			return
@@ -118,12 +118,12 @@
 }
 
 // stormPhase makes some hundred changes, with logs that are compacted often, while members restart;
-// then one loses its disk, and must catch up.
+// then one loses its disk and must catch up.
 func (s *groupSim) stormPhase() {
-	const least, most, longest = 100, 160, 25 * time.Second
+	const minChanges, maxChanges, timeout = 100, 160, 25 * time.Second
 	s.bodyPadding = strings.Repeat("x", s.random.IntN(200))
-	s.storm = &changeStorm{remaining: least + s.random.IntN(most-least)}
-	for end := s.now + longest; s.storm != nil && s.now < end && len(s.violations) == 0; {
+	s.storm = &changeStorm{remaining: minChanges + s.random.IntN(maxChanges-minChanges)}
+	for end := s.now + timeout; s.storm != nil && s.now < end && len(s.violations) == 0; {
 		s.actOnce(nil)
 		switch s.random.IntN(400) {
 		case 0:
@@ -144,8 +144,8 @@
 	}
 }
 
-// plannedReplacementPhase replaces a machine as planned: a new one starts first, then the old one is told to
-// end, and is gone for good. The next one follows as soon as the group is whole again.
+// plannedReplacementPhase replaces a machine as planned: a new one starts first, then the old one is
+// shut down for good. The next one follows as soon as the group is complete again.
 func (s *groupSim) plannedReplacementPhase() {
 	for range 1 + s.random.IntN(2) {
 		if len(s.violations) > 0 || !s.isComplete() {
@@ -168,10 +168,11 @@
 		}
 		s.terminate(old, time.Hour)
 		s.runFor(3 * time.Second)
-		if old.shard != nil { // it is still handing over, or frozen: the platform's patience ends
+		if old.shard != nil { // it is still leaving, or frozen: the platform kills it after its grace time
 			s.kill(old, true, time.Hour)
 		}
-		if old.isRemoved = !s.secondFaultInjected; s.secondFaultInjected { // with another loss at once it isn't taken away yet: a site bears one
+		old.isRemoved = !s.secondFaultInjected
+		if s.secondFaultInjected { // with both it would be two losses at once, and a site tolerates one
 			s.count("planned replacement called off")
 		}
 		s.updateSeeds()
@@ -179,7 +180,7 @@
 	}
 }
 
-// rollingRestartPhase tells all to end, one after the other, and starts each again.
+// rollingRestartPhase shuts all machines down, one after the other, and starts each again.
 func (s *groupSim) rollingRestartPhase() {
 	for _, node := range s.nodes {
 		if node.isRemoved || node.shard == nil {
@@ -194,61 +195,63 @@
 	}
 }
 
-// updateSeeds has the seeds name machines that there are.
+// updateSeeds draws new seeds among the machines that aren't removed.
 func (s *groupSim) updateSeeds() {
 	s.seeds = nil
-	for _, i := range s.random.Perm(len(s.nodes)) {
-		if node := s.nodes[i]; !node.isRemoved && len(s.seeds) < 3 {
+	for _, index := range s.random.Perm(len(s.nodes)) {
+		if node := s.nodes[index]; !node.isRemoved && len(s.seeds) < 3 {
 			s.seeds = append(s.seeds, node.addr)
 		}
 	}
 }
 
-// loseMachines takes as many machines or disks as a site bears at once, out of a whole group: wiped as
-// soon as a change is acknowledged, or a moment after one was sent; or replaced by empty machines
-// at other addresses. A second strike, which takes no disk, comes at some step of the repair.
+// loseMachines destroys as many machines or disks of a complete group as a site tolerates at once: as
+// soon as a change is acknowledged, or a moment after one was sent. The machines come back empty, or are
+// replaced by others. A second fault, which destroys no disk, may come at some event of the repair.
 func (s *groupSim) loseMachines() {
-	struck := false
-	s.slowAddr = s.randomNode().addr // it holds the newest a little later than a majority
+	lost := false
+	s.slowAddr = s.randomNode().addr // it gets the newest change a little later than a majority
 	defer func() { s.slowAddr = "" }()
-	strike := func(struckNode *groupSimNode) {
-		if struck {
+	lose := func(node *groupSimNode) {
+		if lost {
 			return
 		}
-		struck = true
-		s.destroyDisks(struckNode)
+		lost = true
+		s.destroyDisks(node)
 		if s.random.IntN(3) > 0 {
 			s.armSecondFault()
 		}
 	}
-	acked := strike
+	acked := lose
 	if s.random.IntN(3) == 0 {
 		s.count("loss timed by an order's sending")
 		acked = nil
-		s.eventHooks["order sent"] = func() { s.schedule(s.eventDelay(), func() { strike(s.randomNode()) }) }
+		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { lose(s.randomNode()) }) }
 	}
-	for end := s.now + 5*time.Second; !struck && s.now < end && len(s.violations) == 0; {
+	for end := s.now + 5*time.Second; !lost && s.now < end && len(s.violations) == 0; {
 		s.actOnce(acked)
 	}
 	s.runFor(s.randomDuration(6 * time.Second))
 }
 
-func (s *groupSim) destroyDisks(struckNode *groupSimNode) {
+// destroyDisks destroys the disks of as many machines as a site tolerates, preferred perhaps among
+// them. At times all machines lose power at the same moment.
+func (s *groupSim) destroyDisks(preferred *groupSimNode) {
 	power, replace := s.random.IntN(2) == 0, s.random.IntN(3) == 0
-	var hit []*groupSimNode
+	var victims []*groupSimNode
 	for range s.toleratedLosses {
 		node := s.randomNode()
-		if s.random.IntN(2) == 0 && len(hit) == 0 {
-			node = struckNode
+		if s.random.IntN(2) == 0 && len(victims) == 0 {
+			node = preferred
 		}
-		hit = append(hit, node)
+		victims = append(victims, node)
 	}
 	for _, node := range s.nodes {
 		if power {
 			s.kill(node, true, s.randomDuration(time.Second))
 		}
 	}
-	for _, node := range hit {
+	for _, node := range victims {
 		if node.isRemoved {
 			continue
 		}
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// historyCheckTimeout is how long the checker may take over one history.
+// historyCheckTimeout is how long the checker may take for one history.
 const historyCheckTimeout = 20 * time.Second
 
-// actOnce lets operators, readers, edges and holders do what they do.
+// actOnce moves virtual time on by a step, in which an operator, a reader, the edge or a lease holder may
+// act.
 func (s *groupSim) actOnce(acked func(*groupSimNode)) {
 	s.step()
 	s.continueStorm()
@@ -15,19 +16,19 @@
 	case 5, 6, 7:
 		s.read(s.randomNode())
 	case 8, 9, 10, 11, 12, 13, 14, 15:
-		s.poll(s.randomNode(), 300*time.Millisecond)
+		s.poll(s.randomNode(), pollTime)
 	case 16, 17, 18:
 		s.requestLease()
 	}
 }
 
-// awaitRecovery ends all troubles; the group must be whole and acknowledge again within the bound.
+// awaitRecovery ends all faults; the group must acknowledge changes and be complete within the bounds.
 func (s *groupSim) awaitRecovery(why string) {
 	clear(s.partitioned)
 	clear(s.longPartition)
 	clear(s.eventHooks)
 	s.lossRate, s.isolatedAddr, s.timers = 0, "", nil
-	for _, node := range s.nodes { // a process that was told to stop does, also where its end was still to come
+	for _, node := range s.nodes { // a process that is shutting down still ends, though its timers were dropped
 		if node.shard != nil && node.shard.stopping {
 			s.kill(node, false, 0)
 		}
@@ -39,15 +40,16 @@
 			node.restartAt = min(node.restartAt, s.now+time.Second)
 		}
 	}
-	acked, served, begin := s.counts["acked"], time.Duration(0), s.now
-	for s.now-begin < 20*time.Second && len(s.violations) == 0 {
+	const servesWithin, repairedWithin = 12 * time.Second, 20 * time.Second
+	acked, served, begun := s.counts["acked"], time.Duration(0), s.now
+	for s.now-begun < repairedWithin && len(s.violations) == 0 {
 		s.actOnce(nil)
 		if served == 0 && s.counts["acked"] > acked+2 {
-			served = s.now - begin
+			served = s.now - begun
 		}
-		if served == 0 && s.now-begin > 12*time.Second {
+		if served == 0 && s.now-begun > servesWithin {
 			s.traceStatus()
-			s.violationf("%s: no change is acknowledged within 12 s", why)
+			s.violationf("%s: no change is acknowledged within %v", why, servesWithin)
 		}
 		if served > 0 && s.isComplete() {
 			return
@@ -55,20 +57,20 @@
 	}
 	if len(s.violations) == 0 {
 		s.traceStatus()
-		s.violationf("%s: the group isn't whole within 20 s", why)
+		s.violationf("%s: the group isn't whole within %v", why, repairedWithin)
 	}
 }
 
-// runFor lets time pass without new trouble.
-func (s *groupSim) runFor(d time.Duration) {
-	for end := s.now + d; s.now < end && len(s.violations) == 0; {
+// runFor lets time pass without new faults.
+func (s *groupSim) runFor(duration time.Duration) {
+	for end := s.now + duration; s.now < end && len(s.violations) == 0; {
 		s.actOnce(nil)
 	}
 }
 
-// runWithFaults lets time pass with common troubles.
-func (s *groupSim) runWithFaults(d time.Duration) {
-	for end := s.now + d; s.now < end && len(s.violations) == 0; {
+// runWithFaults lets time pass with single faults.
+func (s *groupSim) runWithFaults(duration time.Duration) {
+	for end := s.now + duration; s.now < end && len(s.violations) == 0; {
 		s.actOnce(nil)
 		if s.random.IntN(150) == 0 {
 			s.injectFault()
@@ -76,22 +78,22 @@
 	}
 }
 
-// run is one seeded run of a group: common troubles, one of the worst days, losses of disks.
+// run plays some rounds, each of single faults, a phase, and losses of disks.
 func (s *groupSim) run(rounds int) {
 	s.awaitRecovery("at the start")
 	for range rounds {
 		s.runWithFaults(10 * time.Second)
 		s.awaitRecovery("after troubles")
-		x := groupSimPhases[s.random.IntN(len(groupSimPhases))]
-		s.count(x.name)
-		s.tracef("phase: %s", x.name)
-		x.play(s)
-		s.awaitRecovery("after " + x.name)
-		s.runFor(4 * time.Second) // what returned counts as lost until it has caught up
+		phase := groupSimPhases[s.random.IntN(len(groupSimPhases))]
+		s.count(phase.name)
+		s.tracef("phase: %s", phase.name)
+		phase.play(s)
+		s.awaitRecovery("after " + phase.name)
+		s.runFor(4 * time.Second) // a machine that returned counts as lost until it has caught up
 		for range 2 {
 			if len(s.violations) == 0 && s.isComplete() {
 				s.loseMachines()
-				s.awaitRecovery("after a loss") // the next one may come as soon as the group is whole
+				s.awaitRecovery("after a loss") // the next one may come as soon as the group is complete
 			}
 		}
 		s.runFor(time.Second)
@@ -102,24 +104,25 @@
 	s.checkHistory()
 }
 
-// checkHistory checks the acknowledged history as a whole.
+// checkHistory checks that changes were acknowledged on different bases and as different versions, and
+// that all that operators and readers saw is linearizable.
 func (s *groupSim) checkHistory() {
-	base, version := map[uint64]string{}, map[uint64]string{}
+	byBase, byVersion := map[uint64]string{}, map[uint64]string{}
 	for _, change := range s.changes {
 		if change.ackedAt == 0 {
 			continue
 		}
-		if b := base[change.baseVersion]; b != "" && b != change.name {
-			s.violationf("%s and %s were both acknowledged on version %d", b, change.name, change.baseVersion)
+		if other := byBase[change.baseVersion]; other != "" && other != change.name {
+			s.violationf("%s and %s were both acknowledged on version %d", other, change.name, change.baseVersion)
 		}
-		if b := version[change.newVersion]; b != "" && b != change.name {
-			s.violationf("%s and %s were both acknowledged as version %d", b, change.name, change.newVersion)
+		if other := byVersion[change.newVersion]; other != "" && other != change.name {
+			s.violationf("%s and %s were both acknowledged as version %d", other, change.name, change.newVersion)
 		}
-		base[change.baseVersion], version[change.newVersion] = change.name, change.name
+		byBase[change.baseVersion], byVersion[change.newVersion] = change.name, change.name
 	}
 	result := s.history.Check(historyCheckTimeout)
 	s.counts["operations judged"], s.counts["without a clear answer"] = result.Operations, result.Indeterminate
-	for _, f := range result.Violations {
-		s.violationf("%s", f)
+	for _, violation := range result.Violations {
+		s.violationf("%s", violation)
 	}
 }
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -97,7 +97,7 @@
 	if leader := s.leader(); leader != nil {
 		if leadership := fmt.Sprint(leader.addr, leader.shard.core.Status().Term); leadership != s.lastLeader {
 			s.lastLeader = leadership
-			s.fireEvent("new leader")
+			s.fireEvent(eventNewLeader)
 		}
 	}
 }
@@ -147,12 +147,12 @@
 	after, _, _ := node.shard.core.Members()
 	changed := !slices.Equal(before, after)
 	if changed {
-		s.count("members change")
+		s.count(eventMembersChanged)
 		s.tracef("%s changes members %v to %v", node.addr, before, after)
 	}
 	s.runStep(node)
 	if changed {
-		s.fireEvent("members change")
+		s.fireEvent(eventMembersChanged)
 	}
 	if s.allFaults && s.isRunning(node) && s.random.IntN(10) == 0 {
 		s.gossip(node)
@@ -194,8 +194,8 @@
 		node.knownAddrs[peer.addr], peer.knownAddrs[node.addr] = true, true
 		response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
 		if s.runStep(peer); response.Outcome == wire.OutcomeDone {
-			s.count("taken in")
-			s.fireEvent("taken in")
+			s.count(eventJoined)
+			s.fireEvent(eventJoined)
 			return
 		}
 		peer = s.node(controlclient.MemberAddr(response.Leader))
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -30,6 +30,15 @@
 // defaultCompactAt is the size in bytes above which a log is compacted, where a run sets none.
 const defaultCompactAt = 3000
 
+// Events of a run by which faults are timed.
+const (
+	eventChangeSent     = "order sent"
+	eventAcknowledged   = "acknowledged"
+	eventJoined         = "taken in"
+	eventMembersChanged = "members change"
+	eventNewLeader      = "new leader"
+)
+
 // groupSimNode is one control machine.
 type groupSimNode struct {
 	addr         string
--- a/internal/control/controlstate/sim_shard_main_test.go
+++ b/internal/control/controlstate/sim_shard_main_test.go
@@ -8,22 +8,23 @@
 	"testing"
 )
 
-func seedsFromEnv(t *testing.T, def int) (from, n uint64) {
+// seedsFromEnv is which seeds a test runs: SIM_SEEDS many from SIM_SEED on, or its own number from 0 on.
+func seedsFromEnv(t *testing.T, defaultCount int) (from, count uint64) {
 	t.Helper()
-	n = uint64(def)
-	for _, e := range []struct {
-		k  string
-		to *uint64
-	}{{"SIM_SEED", &from}, {"SIM_SEEDS", &n}} {
-		if v := os.Getenv(e.k); v != "" {
-			x, err := strconv.ParseUint(v, 10, 64)
-			if err != nil {
-				t.Fatalf("%s: %v", e.k, err)
-			}
-			*e.to = x
-		}
+	return uintFromEnv(t, "SIM_SEED", 0), uintFromEnv(t, "SIM_SEEDS", uint64(defaultCount))
+}
+
+func uintFromEnv(t *testing.T, name string, unset uint64) uint64 {
+	t.Helper()
+	text := os.Getenv(name)
+	if text == "" {
+		return unset
+	}
+	value, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
 	}
-	return from, n
+	return value
 }
 
 // Many seeded lives of a part: nothing acknowledged is lost, reads are linearizable, one
