--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -212,9 +212,9 @@
 			s.start(i, false)
 		case 2, 3:
 			s.count("dark")
-			s.setUnreachable(i, true)
+			cluster.setUnreachable(i, true)
 			clock.Sleep(s.ctx, time.Duration(500+random.IntN(3000))*time.Millisecond)
-			s.setUnreachable(i, false)
+			cluster.setUnreachable(i, false)
 		case 4:
 			s.count("all restarted")
 			for i := range searchMachines {
@@ -227,12 +227,6 @@
 	}
 }
 
-func (s *changeSearch) setUnreachable(i int, dark bool) {
-	s.cluster.mu.Lock()
-	defer s.cluster.mu.Unlock()
-	s.cluster.unreachable[s.cluster.addr(i)] = dark
-}
-
 func (s *changeSearch) stop(i int) {
 	s.locked(func() { delete(s.nodes, i) })
 	s.cluster.stop(i)
--- a/internal/control/controlstate/forgotten_change_test.go
+++ b/internal/control/controlstate/forgotten_change_test.go
@@ -19,7 +19,7 @@
 		cluster.startFounders(4)
 		defer cluster.stopAll()
 		for version := range uint64(5) {
-			if _, err := cluster.nodes[cluster.addr(1)].PutRoutingConfig(ctx, version, body(version+1, "x"), false); err != nil {
+			if _, err := cluster.node(1).PutRoutingConfig(ctx, version, body(version+1, "x"), false); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -33,7 +33,7 @@
 			})
 		}
 		for i := range 4 {
-			node := cluster.nodes[cluster.addr(i+1)]
+			node := cluster.node(i + 1)
 			for _, x := range []struct {
 				base uint64
 				text string
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -14,19 +14,6 @@
 	"pebbleloom/internal/wire"
 )
 
-func (c *testCluster) makeUnreachable(i int) { // a machine without power says nothing, nor does it hear
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.unreachable[c.addr(i)] = true
-}
-
-func (c *testCluster) startFounders(n int) {
-	for i := range n {
-		c.start(i+1, true)
-	}
-	c.waitUntil("an leader", 5*time.Second, func() bool { return len(c.members()) == 3 })
-}
-
 // A thread that waits for its disk keeps no question waiting beyond its time; what it answers
 // meanwhile is what it held before, and a plan goes on without it.
 func TestStalledDiskBlocksNoRequest(t *testing.T) {
@@ -34,12 +21,12 @@
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(3)
 		defer cluster.stopAll()
-		if _, err := cluster.nodes[cluster.addr(1)].PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
+		if _, err := cluster.node(1).PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
 			t.Fatal(err)
 		}
-		o := cluster.leader()
-		node, release := cluster.nodes[cluster.addr(o)], make(chan struct{})
-		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.stalled = release })
+		leader := cluster.leader()
+		node, release := cluster.node(leader), make(chan struct{})
+		cluster.disks[cluster.addr(leader)].update(func(disk *stallingDisk) { disk.stalled = release })
 		at := time.Now()
 		if _, err := node.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
 			t.Errorf("a plan put where the disk stalls: %v", err)
@@ -54,15 +41,15 @@
 		}
 		cluster.waitUntil("the plan elsewhere", 5*time.Second, func() bool {
 			for i := range 3 {
-				if i+1 != o {
-					if _, err := cluster.nodes[cluster.addr(i+1)].PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil {
+				if i+1 != leader {
+					if _, err := cluster.node(i+1).PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil {
 						return true
 					}
 				}
 			}
 			return false
 		})
-		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.stalled = nil })
+		cluster.disks[cluster.addr(leader)].update(func(disk *stallingDisk) { disk.stalled = nil })
 		close(release)
 		cluster.waitUntil("the plan at the one that stalled", 5*time.Second, func() bool {
 			return node.shards[0].published.current().documents[routingconfig.DocumentKey].GetVersion() == 2
@@ -76,9 +63,9 @@
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(3)
 		defer cluster.stopAll()
-		o := cluster.leader()
-		node := cluster.nodes[cluster.addr(o)]
-		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.disk.failWrites = true })
+		leader := cluster.leader()
+		node := cluster.node(leader)
+		cluster.disks[cluster.addr(leader)].update(func(disk *stallingDisk) { disk.disk.failWrites = true })
 		for v := range 3 {
 			cluster.waitUntil("a plan", 6*time.Second, func() bool {
 				for _, peer := range cluster.nodes {
@@ -93,7 +80,7 @@
 		if response.NothingNewer || node.shards[0].published.current().isVoter {
 			t.Errorf("a member that is out vouches: %v", response)
 		}
-		cluster.disks[cluster.addr(o)].update(func(disk *stallingDisk) { disk.disk.failWrites = false })
+		cluster.disks[cluster.addr(leader)].update(func(disk *stallingDisk) { disk.disk.failWrites = false })
 		cluster.waitUntil("the member back", 6*time.Second, func() bool {
 			view := node.shards[0].published.current()
 			return view.isVoter && view.documents[routingconfig.DocumentKey].GetVersion() == 3
@@ -107,13 +94,13 @@
 		cluster, ctx := newTestCluster(t), context.Background()
 		cluster.startFounders(3)
 		defer cluster.stopAll()
-		o := cluster.leader()
+		leader := cluster.leader()
 		for i := range 3 {
-			if i+1 != o {
-				cluster.makeUnreachable(i + 1)
+			if i+1 != leader {
+				cluster.setUnreachable(i+1, true)
 			}
 		}
-		node := cluster.nodes[cluster.addr(o)]
+		node := cluster.node(leader)
 		for _, f := range []func() error{
 			func() error { _, err := node.PutRoutingConfig(ctx, 0, body(1, "x"), false); return err },
 			func() error { _, _, err := node.ReadRoutingConfig(ctx); return err },
@@ -135,16 +122,16 @@
 			cluster := newTestCluster(t)
 			cluster.startFounders(3)
 			defer cluster.stopAll()
-			o := cluster.leader()
+			leader := cluster.leader()
 			if alone {
 				for i := range 3 {
-					if i+1 != o {
-						cluster.makeUnreachable(i + 1)
+					if i+1 != leader {
+						cluster.setUnreachable(i+1, true)
 					}
 				}
 			}
 			at := time.Now()
-			cluster.stop(o)
+			cluster.stop(leader)
 			if d := time.Since(at); d > 4*time.Second || !alone && d > time.Second {
 				t.Errorf("alone %v: an end after %v", alone, d)
 			}
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -15,177 +15,192 @@
 	"pebbleloom/internal/wire"
 )
 
-func (c *testCluster) members() []string {
-	var newest *publishedView
-	for _, node := range c.nodes {
-		if view := node.shards[0].published.current(); view.isLeader && (newest == nil || view.term > newest.term) {
-			newest = view
-		}
-	}
-	if newest == nil {
-		return nil
-	}
-	return newest.members
-}
-
-func (c *testCluster) leader() int {
-	for i := 1; i < 9; i++ {
-		if node := c.nodes[c.addr(i)]; node != nil && node.shards[0].published.current().isLeader {
-			return i
-		}
-	}
-	return 0
+// followRequest follows the routing configuration, with a proof, and other documents.
+func followRequest(maxWait time.Duration, known ...*wire.KnownVersion) *wire.FollowRequest {
+	return &wire.FollowRequest{Known: known, MaxWaitNs: uint64(maxWait), ProofKey: routingconfig.DocumentKey}
 }
 
-// Three found the group, a fourth waits; a plan is taken at any of them, read back at any of
-// them, and told to whoever follows. The same again is done again, another body on an old base
-// is a conflict, and what is invalid is named.
+// Three machines found the group, a fourth waits as a spare. A configuration is accepted by any of them,
+// read back from any of them, and sent to followers. A retry is acknowledged again, another body on an
+// old base is a conflict, and invalid bodies are rejected as such.
 func TestGroupAcceptsRoutingConfigs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster, ctx := newTestCluster(t), context.Background()
-		for i := range 4 {
-			cluster.start(i+1, true)
-		}
+		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		d := cluster.waitUntil("an leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
-		t.Log("an leader after", d)
-		first, second, spare := cluster.nodes[cluster.addr(1)], cluster.nodes[cluster.addr(2)], cluster.nodes[cluster.addr(4)]
-		held := make(chan *wire.FollowResponse)
-		ask := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey}, {Key: fleet.WeightsKey}, {Key: fleet.PlacementKey}}, MaxWaitNs: uint64(10 * time.Second), ProofKey: routingconfig.DocumentKey}
-		go func() { response, _ := second.Follow(ctx, ask); held <- response }()
-		putPlan := func(i int, node *Node) {
-			if version, err := node.PutRoutingConfig(ctx, uint64(i*2), body(uint64(i*2+2), "x"), i > 0); err != nil || version != uint64(i*2+2) {
-				t.Fatalf("plan %d: %d, %v", i, version, err)
-			}
-		}
-		putPlan(0, first)
-		if response := <-held; len(response.Documents) != 1 || response.Documents[0].Version != 2 || len(response.Members) != 3 {
-			t.Errorf("what a follower was told: %v", response)
-		}
-		putPlan(1, second)
-		putPlan(2, spare)
-		for _, node := range cluster.nodes {
-			if b, version, err := node.ReadRoutingConfig(ctx); err != nil || version != 6 || !strings.Contains(string(b), `"x+x+x"`) {
-				t.Errorf("read back: %s, %d, %v", b, version, err)
-			}
-			if version, err := node.PutRoutingConfig(ctx, 2, body(4, "x"), true); err != nil || version != 4 {
-				t.Errorf("the same again, later: %d, %v", version, err)
-			}
-		}
-		for _, c := range []struct {
-			base uint64
-			body string
-			kind *errs.Kind
-		}{{4, `{"version":9}`, errs.Conflict}, {9, `{"version":11}`, errs.Conflict}, {0, `{"version":11}`, errs.Conflict},
-			{6, `{"version":6}`, errs.BadInput}, {6, `{"version":9,"bad":true}`, errs.BadInput}, {6, `{`, errs.BadInput}} {
-			if _, err := spare.PutRoutingConfig(ctx, c.base, []byte(c.body), false); err == nil || errs.KindOf(err) != c.kind {
-				t.Errorf("%s on %d: %v", c.body, c.base, err)
-			}
-		}
-		for _, x := range []struct {
-			n *Node
-			v uint64
-		}{{first, 2}, {spare, 3}, {second, 2}, {second, 3}} {
-			if err := x.n.SetWeightsVersion(ctx, "m", x.v); err != nil {
-				t.Errorf("weights %d: %v", x.v, err)
-			}
+		t.Log("a leader after", cluster.startFounders(4))
+		checkPutsAndReads(t, cluster)
+		checkRejections(t, cluster.node(4))
+		checkWeightsVersions(t, cluster)
+		checkPlacementUpdate(t, cluster)
+	})
+}
+
+// checkPutsAndReads puts the versions 2, 4 and 6 at three nodes, the later ones as patches.
+func checkPutsAndReads(t *testing.T, cluster *testCluster) {
+	t.Helper()
+	ctx := context.Background()
+	first, second, spare := cluster.node(1), cluster.node(2), cluster.node(4)
+	put := func(index int, node *Node) {
+		base, version := uint64(2*index), uint64(2*index+2)
+		if got, err := node.PutRoutingConfig(ctx, base, body(version, "x"), index > 0); err != nil || got != version {
+			t.Fatalf("configuration %d: %d, %v", index, got, err)
 		}
-		if err := first.SetWeightsVersion(ctx, "o", 1); err != nil {
-			t.Error(err)
+	}
+	followed := make(chan *wire.FollowResponse)
+	request := followRequest(10*time.Second, &wire.KnownVersion{Key: routingconfig.DocumentKey}, &wire.KnownVersion{Key: fleet.WeightsKey}, &wire.KnownVersion{Key: fleet.PlacementKey})
+	go func() { response, _ := second.Follow(ctx, request); followed <- response }()
+	put(0, first)
+	if response := <-followed; len(response.Documents) != 1 || response.Documents[0].Version != 2 || len(response.Members) != 3 {
+		t.Errorf("a follower received %v", response)
+	}
+	put(1, second)
+	put(2, spare)
+	for _, node := range cluster.nodes {
+		if text, version, err := node.ReadRoutingConfig(ctx); err != nil || version != 6 || !strings.Contains(string(text), `"x+x+x"`) {
+			t.Errorf("read back: %s, %d, %v", text, version, err)
 		}
-		cluster.waitUntil("weights at the spare", 3*time.Second, func() bool {
-			weights := fleet.Weights{}
-			response, _ := spare.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
-			return len(response.Documents) == 1 && json.Unmarshal(response.Documents[0].Body, &weights) == nil && weights.Named["m"] == 3 && weights.Named["o"] == 1 && !response.NothingNewer
-		})
-		put := &wire.Put{Key: fleet.PlacementKey + "s", Body: []byte("{}"), AnyVersion: true, Token: "p1"}
-		if _, err := spare.controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
-			t.Error(err)
+		if version, err := node.PutRoutingConfig(ctx, 2, body(4, "x"), true); err != nil || version != 4 {
+			t.Errorf("a late retry: %d, %v", version, err)
 		}
-		response, _ := first.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}}, MaxWaitNs: 1e9, ProofKey: routingconfig.DocumentKey})
-		if len(response.Documents) != 1 || response.Documents[0].Key != fleet.PlacementKey+"s" || !response.NothingNewer || response.Member != cluster.addr(1)+"/0" {
-			t.Errorf("a placement is told: %v", response)
+	}
+}
+
+// checkRejections sends changes on old bases and invalid ones; version 6 is in force.
+func checkRejections(t *testing.T, node *Node) {
+	t.Helper()
+	for _, test := range []struct {
+		name string
+		base uint64
+		body string
+		kind *errs.Kind
+	}{
+		{"an old base", 4, `{"version":9}`, errs.Conflict},
+		{"a base that doesn't exist", 9, `{"version":11}`, errs.Conflict},
+		{"no base", 0, `{"version":11}`, errs.Conflict},
+		{"the version in force again", 6, `{"version":6}`, errs.BadInput},
+		{"an invalid configuration", 6, `{"version":9,"bad":true}`, errs.BadInput},
+		{"no JSON", 6, `{`, errs.BadInput},
+	} {
+		if _, err := node.PutRoutingConfig(context.Background(), test.base, []byte(test.body), false); err == nil || errs.KindOf(err) != test.kind {
+			t.Errorf("%s: %s on %d: %v", test.name, test.body, test.base, err)
 		}
-		at := time.Now()
-		response, _ = first.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: 6}, {Key: fleet.PlacementKey}, {Key: fleet.PlacementKey + "s", Version: 1}},
-			MaxWaitNs: 5e8, ProofKey: routingconfig.DocumentKey})
-		if d := time.Since(at); d != 500*time.Millisecond || len(response.Documents) > 0 || !response.NothingNewer {
-			t.Errorf("no news: after %v %v", d, response)
+	}
+}
+
+// checkWeightsVersions sets versions at several nodes, an older and a repeated one among them.
+func checkWeightsVersions(t *testing.T, cluster *testCluster) {
+	t.Helper()
+	ctx := context.Background()
+	first, second, spare := cluster.node(1), cluster.node(2), cluster.node(4)
+	for _, test := range []struct {
+		node    *Node
+		model   string
+		version uint64
+	}{{first, "m", 2}, {spare, "m", 3}, {second, "m", 2}, {second, "m", 3}, {first, "o", 1}} {
+		if err := test.node.SetWeightsVersion(ctx, test.model, test.version); err != nil {
+			t.Errorf("weights %d of %s: %v", test.version, test.model, err)
 		}
+	}
+	cluster.waitUntil("weights at the spare", 3*time.Second, func() bool {
+		weights := fleet.Weights{}
+		response, _ := spare.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
+		return len(response.Documents) == 1 && json.Unmarshal(response.Documents[0].Body, &weights) == nil && weights.Named["m"] == 3 && weights.Named["o"] == 1 && !response.NothingNewer
 	})
 }
 
-// A member that stays away gives its place to the spare; one that comes back without its disk
-// is another member, and the one that it was is removed; a machine that replaces one for good is
-// taken in at its new address; and all may start again at once.
+// checkPlacementUpdate follows documents by a prefix of their keys: a new one is sent at once; when the
+// follower knows it, the long poll is held open for its whole time.
+func checkPlacementUpdate(t *testing.T, cluster *testCluster) {
+	t.Helper()
+	ctx, key := context.Background(), fleet.PlacementKey+"s"
+	put := &wire.Put{Key: key, Body: []byte("{}"), AnyVersion: true, Token: "p1"}
+	if _, err := cluster.node(4).controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
+		t.Error(err)
+	}
+	first := cluster.node(1)
+	config, placements := &wire.KnownVersion{Key: routingconfig.DocumentKey, Version: 6}, &wire.KnownVersion{Key: fleet.PlacementKey}
+	response, _ := first.Follow(ctx, followRequest(time.Second, config, placements))
+	if len(response.Documents) != 1 || response.Documents[0].Key != key || !response.NothingNewer || response.Member != cluster.addr(1)+"/0" {
+		t.Errorf("a new placement: %v", response)
+	}
+	begun := time.Now()
+	response, _ = first.Follow(ctx, followRequest(500*time.Millisecond, config, placements, &wire.KnownVersion{Key: key, Version: 1}))
+	if waited := time.Since(begun); waited != 500*time.Millisecond || len(response.Documents) > 0 || !response.NothingNewer {
+		t.Errorf("no update: after %v %v", waited, response)
+	}
+}
+
+// A member that stays away is replaced by the spare. One that comes back without its disk is another
+// member, and the one that it was is removed. A machine that replaces one for good joins at its new
+// address. And all may restart at once.
 func TestGroupReplacesItsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster, ctx := newTestCluster(t), context.Background()
-		for i := range 4 {
-			cluster.start(i+1, true)
-		}
+		cluster := newTestCluster(t)
 		defer func() { cluster.stopAll() }()
-		cluster.waitUntil("an leader", 5*time.Second, func() bool { return len(cluster.members()) == 3 })
-		put := func(version uint64) {
-			t.Helper()
-			cluster.waitUntil("a plan", 6*time.Second, func() bool {
-				for _, node := range cluster.nodes {
-					if _, err := node.PutRoutingConfig(ctx, version-1, body(version, "x"), false); err == nil {
-						return true
-					}
-				}
-				return false
-			})
-		}
-		has := func(addr, not string) func() bool {
-			return func() bool {
-				l := cluster.members()
-				return len(l) == 3 && slices.ContainsFunc(l, func(m string) bool { return strings.HasPrefix(m, addr+"/") }) && !slices.Contains(l, not)
-			}
-		}
-		put(1)
-		o := cluster.leader()
-		d := cluster.waitUntil("planned end", 0, func() bool { cluster.stop(o); return true })
-		d += cluster.waitUntil("another leader", 2*time.Second, func() bool { return cluster.leader() > 0 })
-		t.Log("another leader after a planned end", d)
-		put(2)
-		t.Log("the spare's place", cluster.waitUntil("the spare has its place", 5*time.Second, has(cluster.addr(4), cluster.addr(o)+"/0")))
-		cluster.start(o, false)
-		// A disk is lost.
-		w := cluster.leader()
-		old := cluster.nodes[cluster.addr(w)].shards[0].published.current().self
-		cluster.stop(w)
-		cluster.disks[cluster.addr(w)] = nil
-		cluster.start(w, false)
-		cluster.waitUntil("a group without the lost disk", 8*time.Second, func() bool {
-			l := cluster.members()
-			return len(l) == 3 && !slices.Contains(l, old)
-		})
-		put(3)
-		// A machine is replaced for good, twice, so that there is no other spare.
-		for i := range 2 {
-			choice := cluster.leader()
-			cluster.stop(choice)
-			cluster.start(5+i, false)
-			cluster.waitUntil("three members", 8*time.Second, func() bool {
-				l := cluster.members()
-				return len(l) == 3 && !slices.ContainsFunc(l, func(m string) bool { return strings.HasPrefix(m, cluster.addr(choice)+"/") })
-			})
-			put(uint64(4 + i))
-		}
-		for i := range 8 {
-			if cluster.nodes[cluster.addr(i+1)] != nil {
-				cluster.stop(i + 1)
-			}
-		}
-		for i := 1; i < 7; i++ {
-			cluster.start(i, false)
-		}
-		put(6)
+		cluster.startFounders(4)
+		cluster.putVersion(1)
+		replaceLeaderBySpare(t, cluster)
+		replaceLostDisk(cluster)
+		cluster.putVersion(3)
+		for i := range 2 { // twice, so that there is no other spare
+			replaceLeaderForGood(cluster, 5+i)
+			cluster.putVersion(uint64(4 + i))
+		}
+		restartAll(cluster, 6)
+		cluster.putVersion(6)
 		for _, node := range cluster.nodes {
-			if _, version, err := node.ReadRoutingConfig(ctx); err != nil || version != 6 {
+			if _, version, err := node.ReadRoutingConfig(context.Background()); err != nil || version != 6 {
 				t.Errorf("after all have started again: %d, %v", version, err)
 			}
 		}
 	})
 }
+
+// replaceLeaderBySpare shuts the leader down until the spare, machine 4, has its place; then the old
+// leader is the spare.
+func replaceLeaderBySpare(t *testing.T, cluster *testCluster) {
+	t.Helper()
+	leader := cluster.leader()
+	begun := time.Now()
+	cluster.stop(leader)
+	cluster.waitUntil("another leader", 2*time.Second, func() bool { return cluster.leader() > 0 })
+	t.Log("another leader after a shutdown", time.Since(begun))
+	cluster.putVersion(2)
+	t.Log("the spare is a member after", cluster.awaitMembers("the spare is a member", 5*time.Second, func(members []string) bool {
+		return cluster.isMember(4) && !slices.Contains(members, cluster.addr(leader)+"/0")
+	}))
+	cluster.start(leader, false)
+}
+
+// replaceLostDisk restarts the leader with an empty disk, and waits until the member that it was is
+// removed.
+func replaceLostDisk(cluster *testCluster) {
+	cluster.t.Helper()
+	leader := cluster.leader()
+	lost := cluster.node(leader).shards[0].published.current().self
+	cluster.stop(leader)
+	cluster.disks[cluster.addr(leader)] = nil
+	cluster.start(leader, false)
+	cluster.awaitMembers("a group without the lost disk", 8*time.Second, func(members []string) bool { return !slices.Contains(members, lost) })
+}
+
+// replaceLeaderForGood shuts the leader down and starts another machine.
+func replaceLeaderForGood(cluster *testCluster, replacement int) {
+	cluster.t.Helper()
+	leader := cluster.leader()
+	cluster.stop(leader)
+	cluster.start(replacement, false)
+	cluster.awaitMembers("three members", 8*time.Second, func([]string) bool { return !cluster.isMember(leader) })
+}
+
+// restartAll stops all machines that run, and starts the first ones.
+func restartAll(cluster *testCluster, machines int) {
+	for i := range 8 {
+		if cluster.node(i+1) != nil {
+			cluster.stop(i + 1)
+		}
+	}
+	for i := range machines {
+		cluster.start(i+1, false)
+	}
+}
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -49,12 +49,6 @@
 
 func (w *partitionWorld) elapsed() time.Duration { return time.Since(w.startedAt) }
 
-func (w *partitionWorld) node(i int) *Node {
-	w.testCluster.mu.Lock()
-	defer w.testCluster.mu.Unlock()
-	return w.nodes[w.addr(i)]
-}
-
 // isolateVictim begins the cut between the victim, with its companion if it has one, and all others.
 func (w *partitionWorld) isolateVictim() {
 	w.network.update(func(partitioned map[[2]string]bool) {
--- a/internal/control/controlstate/repeated_weights_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -24,7 +24,7 @@
 		var nodes []*Node
 		for i := range 5 {
 			if i+1 != cluster.leader() {
-				nodes = append(nodes, cluster.nodes[cluster.addr(i+1)])
+				nodes = append(nodes, cluster.node(i+1))
 			}
 		}
 		named := map[string]uint64{}
@@ -69,7 +69,7 @@
 		for i := range 5 {
 			cluster.start(i+1, false)
 		}
-		nodes = []*Node{cluster.nodes[cluster.addr(1)]}
+		nodes = []*Node{cluster.node(1)}
 		name(nodes[0], "m0", 2) // a lower one, again
 		cluster.waitUntil("the highest of each", 3*time.Second, func() bool { follow(); return named["m0"] == 6 && named["m1"] == 6 })
 	})
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -23,7 +23,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// testCluster is a few machines in one test bubble: real nodes, pipes for connections, disks in memory.
+// testCluster is a few machines in one synctest bubble: real nodes, pipes for connections, disks in
+// memory. Machines are numbered from 1.
 type testCluster struct {
 	t               *testing.T
 	mu              sync.Mutex
@@ -31,13 +32,14 @@
 	disks           map[string]*stallingDisk
 	processes       map[string]*daemon.Process
 	nodes           map[string]*Node
-	unreachable     map[string]bool // an address that says nothing
+	unreachable     map[string]bool // addresses that neither send nor receive
 	seeds           []string
 	seed            uint64
-	network         *simNetwork // nil: pipes that lose what is sent while a machine is dark
-	toleratedLosses int         // how many losses the site tolerates; 0: one
+	network         *simNetwork // nil: pipes that lose what is sent while either end is unreachable
+	toleratedLosses int         // 0: one
 }
 
+// pipeListener accepts the pipes that testCluster.dial makes to its address.
 type pipeListener struct {
 	cluster     *testCluster
 	addr        string
@@ -46,69 +48,70 @@
 	once        sync.Once
 }
 
-func (listener *pipeListener) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-listener.connections:
+	case conn := <-l.connections:
 		return conn, nil
-	case <-listener.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (listener *pipeListener) Close() error {
-	listener.once.Do(func() {
-		close(listener.closed)
-		listener.cluster.mu.Lock()
-		defer listener.cluster.mu.Unlock()
-		if listener.cluster.listeners[listener.addr] == listener {
-			delete(listener.cluster.listeners, listener.addr)
+func (l *pipeListener) Close() error {
+	l.once.Do(func() {
+		close(l.closed)
+		l.cluster.mu.Lock()
+		defer l.cluster.mu.Unlock()
+		if l.cluster.listeners[l.addr] == l {
+			delete(l.cluster.listeners, l.addr)
 		}
 	})
 	return nil
 }
-func (listener *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// stallingDisk is a disk in memory whose writes can be held up.
+// stallingDisk is a disk in memory whose writes can be stalled.
 type stallingDisk struct {
 	mu      sync.Mutex
 	disk    *simDisk
-	stalled chan struct{} // nil: it doesn't stall
+	stalled chan struct{} // writes wait until it is closed; nil: they don't
 }
 
-func (disk *stallingDisk) Read(n string) ([]byte, bool, error) {
-	disk.mu.Lock()
-	defer disk.mu.Unlock()
-	return disk.disk.Read(n)
+func (d *stallingDisk) Read(n string) ([]byte, bool, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.disk.Read(n)
 }
 
-func (disk *stallingDisk) change(f func() error) error {
-	disk.mu.Lock()
-	h := disk.stalled
-	disk.mu.Unlock()
-	if h != nil {
-		<-h
+func (d *stallingDisk) write(f func() error) error {
+	d.mu.Lock()
+	stalled := d.stalled
+	d.mu.Unlock()
+	if stalled != nil {
+		<-stalled
 	}
-	disk.mu.Lock()
-	defer disk.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	return f()
 }
 
-func (disk *stallingDisk) update(f func(*stallingDisk)) {
-	disk.mu.Lock()
-	defer disk.mu.Unlock()
-	f(disk)
+// update changes how the disk behaves.
+func (d *stallingDisk) update(f func(*stallingDisk)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	f(d)
 }
-func (disk *stallingDisk) Write(n string, b []byte) error {
-	return disk.change(func() error { return disk.disk.Write(n, b) })
+func (d *stallingDisk) Write(n string, b []byte) error {
+	return d.write(func() error { return d.disk.Write(n, b) })
 }
-func (disk *stallingDisk) Append(n string, b []byte) error {
-	return disk.change(func() error { return disk.disk.Append(n, b) })
+func (d *stallingDisk) Append(n string, b []byte) error {
+	return d.write(func() error { return d.disk.Append(n, b) })
 }
-func (disk *stallingDisk) Truncate(n string, s int) error {
-	return disk.change(func() error { return disk.disk.Truncate(n, s) })
+func (d *stallingDisk) Truncate(n string, s int) error {
+	return d.write(func() error { return d.disk.Truncate(n, s) })
 }
 
-// newTestCluster lays out machines; the first three are the seeds.
+// newTestCluster is a cluster without machines; the first three will be the seeds.
 func newTestCluster(t *testing.T) *testCluster {
 	cluster := &testCluster{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*stallingDisk{}, processes: map[string]*daemon.Process{},
 		nodes: map[string]*Node{}, unreachable: map[string]bool{}}
@@ -125,25 +128,24 @@
 		return c.network.dial(ctx, c, from, addr)
 	}
 	c.mu.Lock()
-	listener, dark := c.listeners[addr], c.unreachable[addr] || c.unreachable[from]
+	listener, isUnreachable := c.listeners[addr], c.unreachable[addr] || c.unreachable[from]
 	c.mu.Unlock()
-	if dark {
+	if isUnreachable {
 		return nil, errors.New("no answer")
 	}
 	if listener == nil {
 		return nil, errors.New("connection refused")
 	}
-	x, y := net.Pipe()
-	a, b := &lossyConn{x, c, from, addr}, &lossyConn{y, c, from, addr}
+	ours, theirs := net.Pipe()
 	select {
-	case listener.connections <- b:
-		return a, nil
+	case listener.connections <- &lossyConn{theirs, c, from, addr}:
+		return &lossyConn{ours, c, from, addr}, nil
 	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	}
 }
 
-// lossyConn is one end of a connection; where either machine is dark, what is sent is lost.
+// lossyConn is one end of a connection; while either machine is unreachable, what is sent is lost.
 type lossyConn struct {
 	net.Conn
 	cluster  *testCluster
@@ -152,16 +154,16 @@
 
 func (c *lossyConn) Write(b []byte) (int, error) {
 	c.cluster.mu.Lock()
-	dark := c.cluster.unreachable[c.from] || c.cluster.unreachable[c.to]
+	isUnreachable := c.cluster.unreachable[c.from] || c.cluster.unreachable[c.to]
 	c.cluster.mu.Unlock()
-	if dark {
+	if isUnreachable {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// start runs the machine's node; first: it is the first start of the whole site.
-func (c *testCluster) start(index int, first bool) *Node {
+// start starts a machine's node; firstStart: it is the first start of the whole site.
+func (c *testCluster) start(index int, firstStart bool) *Node {
 	c.t.Helper()
 	addr := c.addr(index)
 	if c.disks[addr] == nil {
@@ -170,7 +172,7 @@
 	c.seed++
 	seed := c.seed
 	config := settings.Process{Name: fmt.Sprint("core-", index), Zone: fmt.Sprint("d", index), Listen: addr, Seeds: c.seeds, Data: "x", Bounds: settings.DefaultBounds(),
-		Options: []string{"log=off"}, Site: &settings.Site{FirstStart: first, ToleratedFailures: max(1, c.toleratedLosses), IP: addr, AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, PortRange: [2]int{7360, 7375}}}
+		Options: []string{"log=off"}, Site: &settings.Site{FirstStart: firstStart, ToleratedFailures: max(1, c.toleratedLosses), IP: addr, AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, PortRange: [2]int{7360, 7375}}}
 	environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk { return c.disks[addr] },
 		Listen: func(a string) (net.Listener, error) {
@@ -188,36 +190,40 @@
 	if err := StartGroup(process, versionCodec{}, func(x *Node) http.Handler { node = x; return http.NotFoundHandler() }); err != nil {
 		c.t.Fatal(err)
 	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.processes[addr], c.nodes[addr] = process, node
 	return node
 }
 
+// stop shuts a machine down.
 func (c *testCluster) stop(i int) {
 	c.processes[c.addr(i)].Stop(time.Second)
 	delete(c.nodes, c.addr(i))
 }
 
 func (c *testCluster) stopAll() {
-	for a := range c.nodes {
-		c.processes[a].Stop(time.Second)
+	for addr := range c.nodes {
+		c.processes[addr].Stop(time.Second)
 	}
 }
 
-// waitUntil waits in the bubble's time for something to hold.
-func (c *testCluster) waitUntil(what string, within time.Duration, f func() bool) time.Duration {
+// waitUntil waits, on the bubble's clock, until a condition holds, and fails the test when it doesn't hold
+// in time. It returns how long that took.
+func (c *testCluster) waitUntil(what string, within time.Duration, holds func() bool) time.Duration {
 	c.t.Helper()
-	begin := time.Now()
-	for !f() {
-		if time.Since(begin) > within {
-			for a, node := range c.nodes {
+	begun := time.Now()
+	for !holds() {
+		if time.Since(begun) > within {
+			for addr, node := range c.nodes {
 				view := node.shards[0].published.current()
-				c.t.Logf("%s: %s leader %s members %v votes %v", a, view.self, view.leader, view.members, view.isVoter)
+				c.t.Logf("%s: %s leader %s members %v votes %v", addr, view.self, view.leader, view.members, view.isVoter)
 			}
 			c.t.Fatalf("%s: not within %v", what, within)
 		}
 		clock.Sleep(context.Background(), 50*time.Millisecond)
 	}
-	return time.Since(begin)
+	return time.Since(begun)
 }
 
 // newTestGroup is a group of three members with small batches in one zone, whose configurations are
@@ -239,7 +245,7 @@
 	}
 }
 
-// versionCodec is a form of plans for tests: {"version": 7, "text": "…", "bad": false}.
+// versionCodec is a format of routing configurations for tests: {"version": 7, "text": "…", "bad": false}.
 type versionCodec struct{}
 
 type versionBody struct {
@@ -257,7 +263,7 @@
 func (versionCodec) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
 	var previous, content versionBody
 	if err := json.Unmarshal(sent, &content); err != nil {
-		return nil, 0, err // of no kind
+		return nil, 0, err
 	}
 	if content.Bad {
 		return nil, 0, errs.New(errs.BadInput, "route-7: names a service that isn't there")
