--- a/internal/capacity/form.go
+++ b/internal/capacity/form.go
@@ -29,7 +29,7 @@
 			"latencyWantedMs": r.LatencyTarget.Milliseconds(), "gapWantedMs": r.MaxEventGap.Milliseconds(), "priority": r.Priority, "mostTries": r.MaxAttempts, "public": r.Public, "sessionDrawn": r.NamesPromptParts, "resumable": r.Resumable, "split": split})
 	}
 	for _, s := range p.Services {
-		services = append(services, m{"name": s.Name, "healthAt": s.Health, "mostConnections": s.MaxConns, "slots": s.Engine.Slots, "room": s.Engine.CapacityTokens, "tokenBytes": s.Engine.TokenBytes, "models": s.Engine.Models})
+		services = append(services, m{"name": s.Name, "healthAt": s.HealthPath, "mostConnections": s.MaxConns, "slots": s.Engine.Slots, "room": s.Engine.CapacityTokens, "tokenBytes": s.Engine.TokenBytes, "models": s.Engine.Models})
 	}
 	for _, t := range p.Tenants {
 		tenants = append(tenants, m{"name": t.Name, "keysHeld": t.Keys, "priority": t.Priority, "isolated": t.Isolated})
@@ -143,7 +143,7 @@
 		case "name":
 			return text(d, &s.Name)
 		case "healthAt":
-			return text(d, &s.Health)
+			return text(d, &s.HealthPath)
 		case "mostConnections":
 			return whole(d, &s.MaxConns)
 		case "slots":
@@ -203,7 +203,7 @@
 		hosts[i] = letters(d, 6) + ".example"
 	}
 	for i := range models {
-		p.Services = append(p.Services, routingconfig.Service{Name: serviceName(i), Health: "/health", MaxConns: 630, Engine: &routingconfig.Engine{Slots: 128, CapacityTokens: 320000, TokenBytes: 18432, Models: []string{modelName(i)}}})
+		p.Services = append(p.Services, routingconfig.Service{Name: serviceName(i), HealthPath: "/health", MaxConns: 630, Engine: &routingconfig.Engine{Slots: 128, CapacityTokens: 320000, TokenBytes: 18432, Models: []string{modelName(i)}}})
 	}
 	for i := range routes {
 		p.Routes = append(p.Routes, routingconfig.Route{Name: "r-" + letters(d, 7), Host: hosts[i%len(hosts)], Prefix: fmt.Sprintf("/%s%d/", letters(d, 6), i), Kind: routingconfig.EventStream,
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -112,7 +112,7 @@
 
 func newCatchUpWorld(t testing.TB, seed uint64, machines, rate int) *catchUpWorld {
 	w := &catchUpWorld{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
-		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: tailBytes}
+		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: trailingLogBytes}
 	for range machines {
 		node := w.addNode()
 		if len(w.seeds) < 3 {
@@ -148,7 +148,7 @@
 	config.reopenTicks = int(reopenIntervalRatio / groupTick)
 	config.consensusConfig.MaxBatchBytes = 256 << 10
 	config.consensusConfig.TrailingLogBytes = w.tailBytes
-	openGroup(replica, config)
+	openGroupShard(replica, config)
 	node.shard, node.nextTick, node.version = replica, w.now, 0
 }
 
@@ -244,7 +244,7 @@
 		if node.shard.failure == nil {
 			node.shard.core.Tick()
 		}
-		node.shard.tickGroup()
+		node.shard.maintainGroup()
 		w.runStep(node)
 		if w.isHealthy(node) && w.now >= node.nextJoin && node.shard.needsJoin() {
 			node.nextJoin = w.now + 800*time.Millisecond
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -16,17 +16,17 @@
 // before any peer hears so; so whoever reads the view sees all that this member has acknowledged
 // to hold, also while its thread waits for the disk.
 type publishedView struct {
-	self              string
-	documents         map[string]*wire.Document
-	packedDocuments   map[string]*wire.Document // the same, for those that take them so
-	unappliedVersions map[string]uint64         // what entries that aren't applied yet may bring
-	members           []string
-	term              uint64
-	index             uint64
-	isVoter           bool // it is a member, and its disk is well
-	leader            string
-	isLeader          bool
-	changed           chan struct{} // closed once there is news
+	self                string
+	documents           map[string]*wire.Document
+	compressedDocuments map[string]*wire.Document // the same, for those that take them so
+	unappliedVersions   map[string]uint64         // what entries that aren't applied yet may bring
+	members             []string
+	term                uint64
+	index               uint64
+	isVoter             bool // it is a member, and its disk is well
+	leader              string
+	isLeader            bool
+	changed             chan struct{} // closed once there is news
 }
 
 // viewPublisher holds the newest view.
@@ -62,9 +62,9 @@
 	}
 	if changed {
 		g.documents = maps.Clone(p.state.documents)
-		g.packedDocuments = packDocuments(g.documents, old)
+		g.compressedDocuments = compressDocuments(g.documents, old)
 	} else {
-		g.documents, g.packedDocuments = old.documents, old.packedDocuments
+		g.documents, g.compressedDocuments = old.documents, old.compressedDocuments
 	}
 	if old != nil {
 		g.changed = old.changed
@@ -128,7 +128,7 @@
 	known := have[a.ProofKey]
 	docs := g.documents
 	if a.AcceptsCompressed {
-		docs = g.packedDocuments
+		docs = g.compressedDocuments
 	}
 	for _, h := range a.Known {
 		if strings.HasSuffix(h.Key, "/") {
@@ -148,12 +148,12 @@
 	return t
 }
 
-// packDocuments packs documents; those that the view before held already aren't packed again.
-func packDocuments(docs map[string]*wire.Document, old *publishedView) map[string]*wire.Document {
+// compressDocuments packs documents; those that the view before held already aren't packed again.
+func compressDocuments(docs map[string]*wire.Document, old *publishedView) map[string]*wire.Document {
 	m := make(map[string]*wire.Document, len(docs))
 	for k, d := range docs {
 		if old != nil && old.documents[k] == d {
-			m[k] = old.packedDocuments[k]
+			m[k] = old.compressedDocuments[k]
 		} else {
 			m[k] = fleet.Compress(d)
 		}
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -44,9 +44,9 @@
 	stopping        bool           // this process is to stop
 }
 
-// openGroup makes the one shard of a group. A disk that can't be opened leaves its member out
+// openGroupShard makes the one shard of a group. A disk that can't be opened leaves its member out
 // until it can.
-func openGroup(p *shard, g *group) *shard {
+func openGroupShard(p *shard, g *group) *shard {
 	p.group, g.consensusConfig.DynamicMembership = g, true
 	g.leaving = map[string]int{}
 	p.core = consensus.New(g.consensusConfig, consensus.LearnerSnapshot(""), nil)
@@ -100,8 +100,8 @@
 	p.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 }
 
-// tickGroup is what a member of a group does at each tick beside the core's own time.
-func (p *shard) tickGroup() {
+// maintainGroup is what a member of a group does at each tick beside the core's own time.
+func (p *shard) maintainGroup() {
 	if p.group == nil {
 		return
 	}
@@ -153,8 +153,8 @@
 	tick := l.Settings.Bounds.Heal(groupTick)
 	p := newShard(l.Ctx, 0, l.Clock, l.Log, n.transport.send)
 	p.claimRetention, p.confirmTimeout = l.Settings.Bounds.RequestIDRetention(1), settings.Fraction(s.AckTimeoutMs, operatorTimeoutRatio*confirmTimeoutRatio)
-	openGroup(p, &group{codec: codec, disk: openDisk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.ToleratedFailures + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+	openGroupShard(p, &group{codec: codec, disk: shardDisk(l, "part-0"), zoneOf: n.zoneOf, targetSize: 2*s.ToleratedFailures + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: trailingLogBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), queue.Hash(l.Settings.Name)))},
 		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(s.FirstStart, own, l.Settings.Seeds, l.Seed) }})
 	n.shards[0], n.incarnation = p, p.published.current().self
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -24,7 +24,7 @@
 	first.State, _ = s.save()
 	config := newTestGroup(d, testRand(), func() *wire.Snapshot { return first })
 	config.reopenTicks = 1
-	openGroup(replica, config)
+	openGroupShard(replica, config)
 	if replica.failure != nil {
 		t.Fatal(replica.failure)
 	}
@@ -53,7 +53,7 @@
 			t.Errorf("%s: the disk holds snapshot %d, %v", what, recovered.Snapshot.GetIndex(), err)
 		}
 		replica.ticks = 0
-		if replica.tickGroup(); replica.failure != nil || replica.state.documents["k"].GetVersion() != 1 {
+		if replica.maintainGroup(); replica.failure != nil || replica.state.documents["k"].GetVersion() != 1 {
 			t.Errorf("%s: opened again: %v, %v", what, replica.failure, replica.state.documents["k"])
 		}
 	}
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -12,7 +12,7 @@
 const (
 	replaceAfterTicks = int(1.0 / 6 / groupTick)
 	aliveTicks        = 4 * heartbeatTicks
-	spareFreshTicks   = 2 * electionTicks
+	spareReadyTicks   = 2 * electionTicks
 )
 
 // membershipPlanner is what the leader's choice of the next membership rests on.
@@ -141,7 +141,7 @@
 func (v *membershipPlanner) bestSpare() string {
 	best := ""
 	for _, p := range v.peers {
-		if v.isReady(p) && (best == "" || v.sharesZone(best) && !v.sharesZone(p.Name)) {
+		if v.isReady(p) && (best == "" || v.hasZoneWithMember(best) && !v.hasZoneWithMember(p.Name)) {
 			best = p.Name
 		}
 	}
@@ -151,7 +151,7 @@
 // isReady reports whether a learner is there, holds what is committed, and is alone at its address:
 // neither a member nor a later incarnation stands there.
 func (v *membershipPlanner) isReady(p consensus.PeerStatus) bool {
-	if p.IsVoter || !p.CaughtUp || p.ContactAge >= spareFreshTicks {
+	if p.IsVoter || !p.CaughtUp || p.ContactAge >= spareReadyTicks {
 		return false
 	}
 	if slices.ContainsFunc(v.members, func(m string) bool { return sameAddress(m, p.Name) }) {
@@ -162,8 +162,8 @@
 	})
 }
 
-// sharesZone reports whether a member that stays is in a learner's zone.
-func (v *membershipPlanner) sharesZone(name string) bool {
+// hasZoneWithMember reports whether a member that stays is in a learner's zone.
+func (v *membershipPlanner) hasZoneWithMember(name string) bool {
 	zone := v.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(v.members, func(m string) bool {
 		return zone != "" && !v.isLeaving(m) && v.zoneOf(controlclient.MemberAddr(m)) == zone
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -51,18 +51,18 @@
 		if m != l.Settings.Name {
 			r := queue.NewRing[*wire.Message](1024)
 			n.outgoing[m] = r
-			l.Go(func() { n.deliver(m, r) })
+			l.Go(func() { n.sendQueued(m, r) })
 		}
 	}
 	tick := l.Settings.Bounds.Heal(1.0 / 240)
 	for i := range uint32(controlclient.ShardCount) {
 		ms := controlclient.Members(i, core)
-		cfg := consensus.Config{Shard: i, Self: l.Settings.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+		cfg := consensus.Config{Shard: i, Self: l.Settings.Name, Members: ms, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: trailingLogBytes,
 			Rand: rand.New(rand.NewPCG(l.Seed(), uint64(i)+queue.Hash(l.Settings.Name)))}
 		if !containsName(ms, l.Settings.Name) {
 			continue
 		}
-		p, err := openShard(l.Ctx, cfg, openDisk(l, fmt.Sprintf("part-%d", i)), fresh, clk, l.Log, n.send)
+		p, err := openShard(l.Ctx, cfg, shardDisk(l, fmt.Sprintf("part-%d", i)), fresh, clk, l.Log, n.enqueue)
 		if err != nil {
 			// One shard's bad disk doesn't take the others out.
 			l.Log.Error("shard stays closed", "shard", i, "error", errs.Text(err))
@@ -89,14 +89,14 @@
 		}
 	})
 	n.registerMetrics()
-	l.Every(l.Settings.Bounds.Heal(0.25), func() { n.followSeeds(ctl) })
+	l.Every(l.Settings.Bounds.Heal(0.25), func() { n.refreshSeeds(ctl) })
 	l.Ready.Store(true)
 	l.Log.Info("serving", "shards", len(n.shards), "incarnation", n.incarnation)
 	return nil
 }
 
-// followSeeds takes the seeds that the configuration in force names.
-func (n *Node) followSeeds(ctl *controlclient.Client) {
+// refreshSeeds takes the seeds that the configuration in force names.
+func (n *Node) refreshSeeds(ctl *controlclient.Client) {
 	t, err := ctl.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(t.Documents) == 0 {
 		return // the seeds that are known stay
@@ -115,8 +115,8 @@
 	return false
 }
 
-// openDisk is a shard's folder; where the place names a switch, faults can be brought about.
-func openDisk(l *daemon.Process, folder string) storage.Disk {
+// shardDisk is a shard's folder; where the place names a switch, faults can be brought about.
+func shardDisk(l *daemon.Process, folder string) storage.Disk {
 	d := l.Disk(filepath.Join(l.Settings.Data, folder))
 	if f := l.Settings.Option("faults", ""); f != "" {
 		return storage.WithFaults(d, f)
@@ -124,15 +124,15 @@
 	return d
 }
 
-// send hands a message to the thread that carries messages to its receiver. A full ring
+// enqueue hands a message to the thread that carries messages to its receiver. A full ring
 // drops it: messages may be lost.
-func (n *Node) send(l *wire.Message) {
+func (n *Node) enqueue(l *wire.Message) {
 	if r := n.outgoing[l.To]; r != nil {
 		r.Offer(l)
 	}
 }
 
-func (n *Node) deliver(to string, r *queue.Ring[*wire.Message]) {
+func (n *Node) sendQueued(to string, r *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-n.process.Ctx.Done():
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -67,7 +67,7 @@
 		c.inFlight = append(c.inFlight, proto.Clone(message).(*wire.Message))
 	})
 	random := rand.New(rand.NewPCG(uint64(member.addr[1]), 1))
-	openGroup(replica, newTestGroup(member.disk, random, func() *wire.Snapshot {
+	openGroupShard(replica, newTestGroup(member.disk, random, func() *wire.Snapshot {
 		return initialGroupSnapshot(first, member.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
 	}))
 	member.shard = replica
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -59,7 +59,7 @@
 func newShard(ctx context.Context, n uint32, clk clock.Clock, log hclog.Logger, post func(*wire.Message)) *shard {
 	return &shard{id: n, state: newState(), clock: clk, log: log.With("shard", n), send: post, ctx: ctx,
 		commands: queue.NewRing[func()](512), pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan bool{},
-		watchers: map[chan struct{}]bool{}, compactThreshold: compactBytes, claimRetention: defaultClaimRetention, mergeLock: make(chan struct{}, 1)}
+		watchers: map[chan struct{}]bool{}, compactThreshold: compactLogBytes, claimRetention: defaultClaimRetention, mergeLock: make(chan struct{}, 1)}
 }
 
 func (p *shard) run(tick time.Duration) {
@@ -69,7 +69,7 @@
 		if p.failure == nil {
 			p.core.Tick()
 		}
-		p.tickGroup()
+		p.maintainGroup()
 	}
 	onTick() // a member that has just started doesn't wait for the first tick
 	p.handleReady()
@@ -97,7 +97,7 @@
 	}
 	o := p.core.Ready()
 	if err := p.persist(o); err != nil {
-		p.markFailed(err)
+		p.halt(err)
 		return
 	}
 	p.publish(consensus.Ready{Snapshot: o.Snapshot, Records: o.Records}) // before any message says that it is on this disk
@@ -116,7 +116,7 @@
 	p.releasePendingProposals()
 	if len(o.CommittedEntries) > 0 && p.failure == nil && p.store.LogBytes() > max(p.compactThreshold, p.snapshotBytes) {
 		if err := p.compact(); err != nil {
-			p.markFailed(err)
+			p.halt(err)
 		}
 	}
 	p.publish(consensus.Ready{CommittedEntries: o.CommittedEntries})
@@ -129,7 +129,7 @@
 	}
 }
 
-func (p *shard) markFailed(err error) {
+func (p *shard) halt(err error) {
 	p.failure = err
 	p.log.Error("member is out", "error", errs.Text(err))
 	for id := range p.pendingReads {
@@ -151,7 +151,7 @@
 	if len(e.Body) > 0 {
 		c := &wire.Command{}
 		if err := proto.Unmarshal(e.Body, c); err != nil {
-			p.markFailed(errs.WrapAs(err, errs.DiskFailure, "read committed entry"))
+			p.halt(errs.WrapAs(err, errs.DiskFailure, "read committed entry"))
 			return
 		}
 		response = p.state.apply(c, p.clock.Now())
@@ -175,8 +175,8 @@
 	})
 }
 
-// reportLost says to the core that a message of its own wasn't sent.
-func (p *shard) reportLost(m *wire.Message) {
+// reportSendFailure says to the core that a message of its own wasn't sent.
+func (p *shard) reportSendFailure(m *wire.Message) {
 	p.commands.Offer(func() {
 		if p.failure == nil {
 			p.core.ReportSendFailure(m)
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -143,7 +143,7 @@
 		node.shard.core.Tick()
 	}
 	before, _, _ := node.shard.core.Members()
-	node.shard.tickGroup()
+	node.shard.maintainGroup()
 	after, _, _ := node.shard.core.Members()
 	changed := !slices.Equal(before, after)
 	if changed {
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -175,7 +175,7 @@
 	config.targetSize = 2*s.toleratedLosses + 1
 	config.reopenTicks = int(reopenIntervalRatio / groupTick)
 	config.consensusConfig.TrailingLogBytes = s.tailBytes
-	openGroup(replica, config)
+	openGroupShard(replica, config)
 	node.shard, node.nextTick, node.restartAt = replica, s.now, 0
 }
 
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -48,9 +48,9 @@
 	b := t.outboxes[to]
 	if b == nil {
 		if len(t.outboxes) >= maxOutboxes {
-			t.closeLeastRecentlyUsed()
+			t.evictIdlest()
 		}
-		b = t.open(to)
+		b = t.openOutbox(to)
 	}
 	t.sent++
 	b.lastUsed = t.sent
@@ -61,7 +61,7 @@
 	}
 }
 
-func (t *transport) open(to string) *outbox {
+func (t *transport) openOutbox(to string) *outbox {
 	ctx, stop := context.WithCancel(t.ctx)
 	b := &outbox{small: queue.NewRing[*wire.Message](maxQueuedSmall), large: queue.NewRing[*wire.Message](maxQueuedLarge), stop: stop}
 	t.outboxes[to] = b
@@ -71,7 +71,7 @@
 	return b
 }
 
-func (t *transport) closeLeastRecentlyUsed() {
+func (t *transport) evictIdlest() {
 	oldest := ""
 	for addr, b := range t.outboxes {
 		if oldest == "" || b.lastUsed < t.outboxes[oldest].lastUsed {
@@ -105,7 +105,7 @@
 	return d.node.process.Settings.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
-func (d *peerSender) post(ctx context.Context, messages []*wire.Message) error {
+func (d *peerSender) deliver(ctx context.Context, messages []*wire.Message) error {
 	_, err := d.node.clients.ControlNode(d.to).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 	if err != nil {
 		d.node.process.Log.Debug("messages lost", "to", d.to, "messages", len(messages), "error", err)
@@ -120,7 +120,7 @@
 			return
 		case m := <-queued.Out():
 			one, end := context.WithTimeout(ctx, d.timeout(0))
-			err := d.post(one, append([]*wire.Message{m}, queued.Drain(maxBatchMessages-1)...))
+			err := d.deliver(one, append([]*wire.Message{m}, queued.Drain(maxBatchMessages-1)...))
 			end()
 			d.recordSmallResult(err != nil)
 		}
@@ -147,10 +147,10 @@
 		case m := <-queued.Out():
 			one, end := context.WithTimeout(ctx, d.timeout(payloadBytes(m)))
 			d.setAbort(end)
-			err := d.post(one, []*wire.Message{m})
+			err := d.deliver(one, []*wire.Message{m})
 			d.setAbort(nil)
 			if end(); err != nil {
-				d.node.shards[m.Shard].reportLost(m)
+				d.node.shards[m.Shard].reportSendFailure(m)
 			}
 		}
 	}
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -16,7 +16,7 @@
 		return err
 	}
 	var b errs.Batch
-	if e.Check(&b); calendar.Key(e.Service, e.Name) != u.Key {
+	if e.Validate(&b); calendar.Key(e.Service, e.Name) != u.Key {
 		b.Addf(errs.BadInput, "entry %q of service %q doesn't belong under %s", e.Name, e.Service, u.Key)
 	}
 	if len(p.core.UnappliedEntries()) > 0 {
@@ -31,7 +31,7 @@
 			}
 		}
 	}
-	b.Add("calendar", e.ConflictWith(others))
+	b.Add("calendar", e.CheckConflicts(others))
 	if e.Active() {
 		for _, r := range p.retirements(&b) {
 			if r.Service == e.Service && r.Active() && r.State != retire.StatePlanned {
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -243,7 +243,7 @@
 	var p *placement.Placement
 	changed := true
 	if names := workerNames(ws); svc.placement == nil || now-svc.recomputedAt > b.Heal(0.5) || !reflect.DeepEqual(names, svc.placement.Workers) || svc.placement.Mode != placementMode(config) {
-		f := Inputs{Service: name, Mode: placementMode(config), FetchTolerance: config.FetchToPrefillRatio, Workers: names, HotEntries: hot, PrefillCurve: placement.Default(), Links: c.collectUsage().links}
+		f := Inputs{Service: name, Mode: placementMode(config), FetchTolerance: config.FetchTolerance, Workers: names, HotEntries: hot, PrefillCurve: placement.Default(), Links: c.collectUsage().links}
 		if f.FetchTolerance == 0 {
 			f.FetchTolerance = 1
 		}
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -55,9 +55,9 @@
 
 // Service is a group of workers, or a store of kept prompts.
 type Service struct {
-	Name     string
-	Health   string // path
-	MaxConns int    // of one worker, from all callers together
+	Name       string
+	HealthPath string // path
+	MaxConns   int    // of one worker, from all callers together
 	// Engine holds the properties of a service's model workers.
 	Engine *Engine
 	// Store caches prompt parts that workers hand it.
@@ -92,6 +92,6 @@
 
 // Limits bound what a client may send.
 type Limits struct {
-	HeaderBytes, BodyBytes int
-	HeaderTime, IdleTime   time.Duration
+	HeaderBytes, BodyBytes     int
+	HeaderTimeout, IdleTimeout time.Duration
 }
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -80,14 +80,14 @@
 func TestTenantAndServiceLookup(t *testing.T) {
 	p := newPlan()
 	p.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2", ""}}, {Name: "two", Keys: []string{"k3"}}}
-	p.Services = append(p.Services, Service{Name: "s", Health: "/last"})
+	p.Services = append(p.Services, Service{Name: "s", HealthPath: "/last"})
 	p.BuildIndex()
 	for k, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "k": "", "": ""} {
 		if x, ok := p.TenantByKey(k); ok != (want != "") || ok && x.Name != want {
 			t.Errorf("key %q: %v", k, x)
 		}
 	}
-	if s, ok := p.ServiceByName("s"); !ok || s.Health != "/last" {
+	if s, ok := p.ServiceByName("s"); !ok || s.HealthPath != "/last" {
 		t.Errorf("of two services with one name: %v", s)
 	}
 	if _, ok := p.ServiceByName("none"); ok {
--- a/internal/control/serviceconfig/check.go
+++ b/internal/control/serviceconfig/check.go
@@ -12,14 +12,14 @@
 
 // Bounds of the values that operators may write.
 const (
-	maxNameBytes   = 64
-	minKeyBytes    = 8
-	maxKeyBytes    = 128
-	maxFetchRatio  = 10
-	maxWindowS     = 86400  // seconds: a day
-	maxQueueWaitMs = 600000 // milliseconds: ten minutes
-	seedCount      = 3
-	maxPercent     = 100
+	maxNameBytes      = 64
+	minKeyBytes       = 8
+	maxKeyBytes       = 128
+	maxFetchTolerance = 10
+	maxWindowS        = 86400  // seconds: a day
+	maxQueueWaitMs    = 600000 // milliseconds: ten minutes
+	seedCount         = 3
+	maxPercent        = 100
 )
 
 // Remedies that several faults share.
@@ -133,8 +133,8 @@
 		if _, ok := c.Models[service.Model]; !ok {
 			faults.add(path+".model", nameAModel, service.Model)
 		}
-		if service.FetchToPrefillRatio < 0 || service.FetchToPrefillRatio > maxFetchRatio {
-			faults.add(path+".alpha", "%g: give 0 (the default, 1) to 10", service.FetchToPrefillRatio)
+		if service.FetchTolerance < 0 || service.FetchTolerance > maxFetchTolerance {
+			faults.add(path+".alpha", "%g: give 0 (the default, 1) to 10", service.FetchTolerance)
 		}
 		if service.WorkerMemoryMB < 0 {
 			faults.add(path+".room", "%d: give each worker's memory for weights in MB, or leave it out", service.WorkerMemoryMB)
--- a/internal/control/serviceconfig/model.go
+++ b/internal/control/serviceconfig/model.go
@@ -54,12 +54,12 @@
 
 // Service is a group of workers that answer for a model.
 type Service struct {
-	Model               string  `json:"model"`
-	FetchToPrefillRatio float64 `json:"alpha,omitempty"`    // fetch time that is tolerated, as a ratio of prefill time; 0: 1
-	HotnessWindowS      int     `json:"window_s,omitempty"` // seconds over which a prefix's hotness is counted; 0: 30
-	Placement           string  `json:"placement,omitempty"`
-	Rollout             string  `json:"roll_out,omitempty"`
-	WorkerMemoryMB      int     `json:"room,omitempty"` // each worker's memory for weights
+	Model          string  `json:"model"`
+	FetchTolerance float64 `json:"alpha,omitempty"`    // fetch time that is tolerated, as a ratio of prefill time; 0: 1
+	HotnessWindowS int     `json:"window_s,omitempty"` // seconds over which a prefix's hotness is counted; 0: 30
+	Placement      string  `json:"placement,omitempty"`
+	Rollout        string  `json:"roll_out,omitempty"`
+	WorkerMemoryMB int     `json:"room,omitempty"` // each worker's memory for weights
 }
 
 // Route sends the requests that name a model or adapter to a service.
--- a/internal/control/serviceconfig/model_easyjson.go
+++ b/internal/control/serviceconfig/model_easyjson.go
@@ -189,7 +189,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.FetchToPrefillRatio = float64(in.Float64())
+				out.FetchTolerance = float64(in.Float64())
 			}
 		case "window_s":
 			if in.IsNull() {
@@ -238,10 +238,10 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Model))
 	}
-	if in.FetchToPrefillRatio != 0 {
+	if in.FetchTolerance != 0 {
 		const prefix string = ",\"alpha\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.FetchToPrefillRatio))
+		out.Float64(float64(in.FetchTolerance))
 	}
 	if in.HotnessWindowS != 0 {
 		const prefix string = ",\"window_s\":"
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -87,17 +87,17 @@
 			die()
 		}
 		seal, enc := contract.NewSeal(s.RequestID, name), json.NewEncoder(w)
-		es := prefix.Chain(s.Domain, s.Model, s.Weights, s.Parts)
-		for n := range s.Pieces {
-			p := contract.Chunk{R: s.RequestID, N: n, T: contract.SyntheticText(es[len(es)-1].Key.String(), s.Weights, n)}
-			seal.Add(n, p.T)
+		es := prefix.Chain(s.CacheDomain, s.Model, s.Weights, s.Parts)
+		for n := range s.Chunks {
+			p := contract.Chunk{RequestID: s.RequestID, Number: n, Text: contract.SyntheticText(es[len(es)-1].Key.String(), s.Weights, n)}
+			seal.Add(n, p.Text)
 			switch {
 			case n == 2 && mode == "loses":
 				continue
 			case n == 2 && mode == "mixes":
-				p.R = "another"
+				p.RequestID = "another"
 			case n == 2 && mode == "long":
-				p.T = strings.Repeat("x", contract.MaxLineBytes)
+				p.Text = strings.Repeat("x", contract.MaxLineBytes)
 			case n == 2 && mode == "dies-within":
 				die()
 			case n == 0 && mode == "hangs":
@@ -112,7 +112,7 @@
 			}
 			http.NewResponseController(w).Flush()
 		}
-		last := contract.Chunk{R: s.RequestID, N: s.Pieces, Seal: seal.Close(), Worker: name, Weights: s.Weights}
+		last := contract.Chunk{RequestID: s.RequestID, Number: s.Chunks, Seal: seal.Close(), Worker: name, Weights: s.Weights}
 		switch mode {
 		case "unsealed":
 			return
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -86,8 +86,8 @@
 		hints[contract.SaveTo], hints[contract.SaveUpTo] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
 	}
 	on := weightsFor(s, q)
-	g := d.backends.Start(ctx, w.Addr, contract.StartRequest{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.CacheDomain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
-		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clock.Now()).Milliseconds()), Once: q.Once.Or(false),
+	g := d.backends.Start(ctx, w.Addr, contract.StartRequest{RequestID: q.RequestID, Tenant: tenant, CacheDomain: s.Config.CacheDomain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
+		Weights: w.Weights, Parts: q.Parts, Chunks: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clock.Now()).Milliseconds()), AtMostOnce: q.Once.Or(false),
 		Incarnation: w.Incarnation, BeginByUs: workerStartDeadline(w, until)}, hints)
 	if g.Err != nil {
 		o.finish(false)
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -53,9 +53,9 @@
 
 func (s *stats) add(p *contract.Chunk) {
 	s.sealed.Add(1)
-	s.hitTokens.Add(int64(p.Hit))
-	s.fetchedTokens.Add(int64(p.Fetched))
-	s.prefilledTokens.Add(int64(p.Prefilled))
+	s.hitTokens.Add(int64(p.CachedTokens))
+	s.fetchedTokens.Add(int64(p.FetchedTokens))
+	s.prefilledTokens.Add(int64(p.PrefilledTokens))
 }
 
 // Start runs the edge proxy.
@@ -183,8 +183,8 @@
 		}
 	}
 	took := time.Duration(p.FetchUs) * time.Microsecond
-	g.recordTransfer(class, p.Fetched, took)
-	to.Store(0.9*to.Load() + 0.1*float64(p.Fetched)/took.Seconds())
+	g.recordTransfer(class, p.FetchedTokens, took)
+	to.Store(0.9*to.Load() + 0.1*float64(p.FetchedTokens)/took.Seconds())
 }
 
 // NewError turns an error into its typed answer, with the time to come back.
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -103,7 +103,7 @@
 	}
 	s.proxy.traffic.TrySend(func(g *trafficTable) {
 		g.endAttempt(s.worker, ok, took, s.proxy.clock.Now())
-		if last != nil && last.Fetched > 0 && last.FetchUs > 0 {
+		if last != nil && last.FetchedTokens > 0 && last.FetchUs > 0 {
 			s.proxy.learnBandwidth(g, s.snapshot, last, s.zone)
 		}
 	})
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -165,8 +165,8 @@
 			Handler:           s,
 			ErrorLog:          discardLogger(),
 			MaxHeaderBytes:    limits.HeaderBytes,
-			ReadHeaderTimeout: limits.HeaderTime,
-			IdleTimeout:       limits.IdleTime,
+			ReadHeaderTimeout: limits.HeaderTimeout,
+			IdleTimeout:       limits.IdleTimeout,
 		}
 		started <- front
 		s.serveHTTP(front, listener)
@@ -192,7 +192,7 @@
 	for range firstPlanChecks {
 		if plan := s.currentPlan(); plan != nil && (!s.siteSettings.EnforceRevocation || s.Snapshot().ProofAt > 0) {
 			limits := plan.Limits
-			if limits.HeaderBytes > 0 && limits.HeaderTime > 0 && limits.IdleTime > 0 {
+			if limits.HeaderBytes > 0 && limits.HeaderTimeout > 0 && limits.IdleTimeout > 0 {
 				return limits
 			}
 			break
@@ -203,9 +203,9 @@
 		clock.Sleep(s.process.Ctx, pause)
 	}
 	return routingconfig.Limits{
-		HeaderBytes: defaultHeaderBytes,
-		HeaderTime:  bounds.Heal(headerTimeoutRatio),
-		IdleTime:    bounds.Heal(idleConnTimeoutRatio),
+		HeaderBytes:   defaultHeaderBytes,
+		HeaderTimeout: bounds.Heal(headerTimeoutRatio),
+		IdleTimeout:   bounds.Heal(idleConnTimeoutRatio),
 	}
 }
 
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -227,7 +227,7 @@
 	return (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: "s", MaxConns: 100}},
 		Routes:  []routingconfig.Route{one("repeat", routingconfig.Idempotent, false), one("once", routingconfig.AtMostOnce, false), one("stream", routingconfig.EventStream, false), one("resume", routingconfig.EventStream, true), private},
 		Tenants: []routingconfig.Tenant{{Name: "ten", Keys: []string{"good"}, Priority: -1}},
-		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}}).BuildIndex()
+		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}).BuildIndex()
 }
 
 // withSite starts a site in a bubble and lets f act in it.
--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -42,14 +42,14 @@
 		}
 		w.Header().Set("Content-Type", "application/x-ndjson")
 		enc, seal := json.NewEncoder(w), contract.NewSeal(s.RequestID, l.Settings.Name)
-		for n := range s.Pieces {
+		for n := range s.Chunks {
 			t := contract.SyntheticText(s.RequestID, s.Weights, n)
 			seal.Add(n, t)
-			if enc.Encode(contract.Chunk{R: s.RequestID, N: n, T: t}) != nil {
+			if enc.Encode(contract.Chunk{RequestID: s.RequestID, Number: n, Text: t}) != nil {
 				return
 			}
 		}
-		_ = enc.Encode(contract.Chunk{R: s.RequestID, N: s.Pieces, Seal: seal.Close(), Worker: l.Settings.Name, Weights: s.Weights})
+		_ = enc.Encode(contract.Chunk{RequestID: s.RequestID, Number: s.Chunks, Seal: seal.Close(), Worker: l.Settings.Name, Weights: s.Weights})
 	})
 	if err := l.Serve(l.Settings.Public, mux); err != nil {
 		return err
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -76,7 +76,7 @@
 			}
 			var p contract.Chunk
 			if json.Unmarshal(raw, &p) == nil && p.Seal == "" {
-				texts = append(texts, p.T)
+				texts = append(texts, p.Text)
 			}
 			continue
 		}
@@ -221,7 +221,7 @@
 		switch {
 		case o.Sealed:
 			s.Sealed++
-			s.Hit, s.Fetched, s.Prefilled = s.Hit+o.Last.Hit, s.Fetched+o.Last.Fetched, s.Prefilled+o.Last.Prefilled
+			s.Hit, s.Fetched, s.Prefilled = s.Hit+o.Last.CachedTokens, s.Fetched+o.Last.FetchedTokens, s.Prefilled+o.Last.PrefilledTokens
 			took = append(took, o.TookMs)
 			if !o.Request.App {
 				first = append(first, o.FirstMs)
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -30,9 +30,9 @@
 	for n := range q.Pieces {
 		t := contract.SyntheticText(es[len(es)-1].Key.String(), weights, n)
 		s.Add(n, t)
-		put(contract.Chunk{R: q.ID, N: n, T: t})
+		put(contract.Chunk{RequestID: q.ID, Number: n, Text: t})
 	}
-	put(contract.Chunk{R: q.ID, N: q.Pieces, Seal: s.Close(), Worker: "cab-1", Weights: weights})
+	put(contract.Chunk{RequestID: q.ID, Number: q.Pieces, Seal: s.Close(), Worker: "cab-1", Weights: weights})
 	return l
 }
 
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -44,7 +44,7 @@
 		for n := 50; n <= 4000; n += 200 {
 			p := strings.Repeat(fmt.Sprintf("%02d%06d", round, n), n/2)
 			id := fmt.Sprintf("fit-%d-%d", round, n)
-			g := be.Start(ctx, s.Cabs["cab-1"], contract.StartRequest{RequestID: id, Domain: "fit", Model: s.Traffic.Model, Weights: 1, Parts: []string{p}, Pieces: 1, WaitMs: 5000}, nil)
+			g := be.Start(ctx, s.Cabs["cab-1"], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: s.Traffic.Model, Weights: 1, Parts: []string{p}, Chunks: 1, WaitMs: 5000}, nil)
 			if g.Err != nil {
 				return placement.Curve{}, errs.Wrap(g.Err, "measure")
 			}
@@ -55,7 +55,7 @@
 				}
 			}
 			g.Body.Close()
-			if c.Sealed == nil || c.Sealed.Prefilled != n {
+			if c.Sealed == nil || c.Sealed.PrefilledTokens != n {
 				return placement.Curve{}, errs.New(errs.Internal, "measure: %d tokens asked for, seal says %+v", n, c.Sealed)
 			}
 			l = append(l, placement.Sample{Tokens: n, Micros: float64(c.Sealed.PrefillUs)})
--- a/internal/sim/testbed/settle.go
+++ b/internal/sim/testbed/settle.go
@@ -62,8 +62,8 @@
 type tally struct{ hit, all int }
 
 func (t *tally) add(o loadgen.Outcome) {
-	t.hit += o.Last.Hit
-	t.all += o.Last.Hit + o.Last.Fetched + o.Last.Prefilled
+	t.hit += o.Last.CachedTokens
+	t.all += o.Last.CachedTokens + o.Last.FetchedTokens + o.Last.PrefilledTokens
 }
 
 func (t *tally) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -80,7 +80,7 @@
 	lm, app := s.Traffic.Model, s.Traffic.App
 	s.Setup = serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{}, MaxWaitMs: 30000,
 		Models:   map[string]serviceconfig.Model{lm: {Weights: weights}, app: {Weights: 1}},
-		Services: map[string]serviceconfig.Service{lm + "-main": {Model: lm, FetchToPrefillRatio: alpha}, app + "-main": {Model: app}},
+		Services: map[string]serviceconfig.Service{lm + "-main": {Model: lm, FetchTolerance: alpha}, app + "-main": {Model: app}},
 		Routes:   map[string]serviceconfig.Route{lm: {Service: lm + "-main"}, app: {Service: app + "-main"}}}
 	s.Traffic.Rate *= float64(times)
 	for i := range 8 {
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -44,7 +44,7 @@
 				t.Fatal(err)
 			}
 			ask := func(s contract.StartRequest) *httptest.ResponseRecorder {
-				s.Model, s.Weights, s.Parts, s.WaitMs, s.Pieces = "m", 1, []string{s.RequestID}, 60000, 1
+				s.Model, s.Weights, s.Parts, s.WaitMs, s.Chunks = "m", 1, []string{s.RequestID}, 60000, 1
 				raw, _ := json.Marshal(s) // plain fields: can't fail
 				r := httptest.NewRecorder()
 				c.start(r, httptest.NewRequest("POST", "/v1/start", strings.NewReader(string(raw))))
--- a/internal/sim/workersim/cab.go
+++ b/internal/sim/workersim/cab.go
@@ -312,7 +312,7 @@
 	if why := s.Refusal(c.inc, c.life.Clock.Now()); why != "" {
 		return nil, why
 	}
-	run := &Run{RequestID: s.RequestID, Once: s.Once, Model: s.Model, Adapter: s.Adapter, Build: s.Build, Weights: s.Weights, AtMs: c.life.WallClock().UnixMilli()}
+	run := &Run{RequestID: s.RequestID, Once: s.AtMostOnce, Model: s.Model, Adapter: s.Adapter, Build: s.Build, Weights: s.Weights, AtMs: c.life.WallClock().UnixMilli()}
 	if c.write(run) != nil {
 		return nil, "full" // what can't be written down isn't begun
 	}
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -45,7 +45,7 @@
 		n := 0
 		ask := func(model, adapter string, build uint64) string {
 			n++
-			s := contract.StartRequest{RequestID: fmt.Sprint("r", n), Model: model, Weights: 1, Adapter: adapter, Build: build, Parts: []string{"p"}, Pieces: 1, WaitMs: 5000}
+			s := contract.StartRequest{RequestID: fmt.Sprint("r", n), Model: model, Weights: 1, Adapter: adapter, Build: build, Parts: []string{"p"}, Chunks: 1, WaitMs: 5000}
 			r := post(func(w *httptest.ResponseRecorder, b *bytes.Reader) { c.start(w, httptest.NewRequest("POST", "/", b)) }, s)
 			if r.Code == 200 {
 				lines := strings.Split(strings.TrimSpace(r.Body.String()), "\n")
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -18,17 +18,17 @@
 // prefilled, the pieces are streamed, the seal closes them. False: its wait was over.
 func (c *Cab) run(wait context.Context, w http.ResponseWriter, r *http.Request, s *contract.StartRequest, deny func(int, string)) bool {
 	if c.lie == "walls" {
-		s.Domain = "shared"
+		s.CacheDomain = "shared"
 	}
-	es := prefix.Chain(s.Domain, prefix.QualifiedModel(s.Model, s.Adapter, s.Build), s.Weights, s.Parts)
-	last := contract.Chunk{R: s.RequestID, Worker: c.life.Settings.Name, Weights: s.Weights, Model: s.Model, Adapter: s.Adapter, Build: s.Build}
+	es := prefix.Chain(s.CacheDomain, prefix.QualifiedModel(s.Model, s.Adapter, s.Build), s.Weights, s.Parts)
+	last := contract.Chunk{RequestID: s.RequestID, Worker: c.life.Settings.Name, Weights: s.Weights, Model: s.Model, Adapter: s.Adapter, Build: s.Build}
 	hints := contract.ParseFetchFrom(r.Header.Get(contract.FetchFrom))
 	i, t0 := 0, time.Now()
 	for ; i < len(es); i++ {
 		if n, ok := c.kv.Has(es[i].Key.String()); ok {
-			last.Hit += n
+			last.CachedTokens += n
 		} else if a := hints[i]; a != "" && c.fetch(r, a, es[i].Key.String()) {
-			last.Fetched += es[i].Tokens
+			last.FetchedTokens += es[i].Tokens
 			last.FetchAddr = a
 			last.FetchUs += time.Since(t0).Microseconds()
 		} else {
@@ -37,16 +37,16 @@
 		t0 = time.Now()
 	}
 	for _, e := range es[i:] {
-		last.Prefilled += e.Tokens
+		last.PrefilledTokens += e.Tokens
 	}
-	if last.Prefilled > 0 && !c.hold(wait, c.prefill) {
+	if last.PrefilledTokens > 0 && !c.hold(wait, c.prefill) {
 		return false
 	}
 	run, why := c.begin(s)
-	if last.Prefilled > 0 {
+	if last.PrefilledTokens > 0 {
 		t0 = time.Now()
 		if run != nil {
-			c.sleep(r, c.sp.Prefill(last.Prefilled))
+			c.sleep(r, c.sp.Prefill(last.PrefilledTokens))
 		}
 		last.PrefillUs = time.Since(t0).Microseconds()
 		<-c.prefill
@@ -64,7 +64,7 @@
 	}
 	c.mu.Lock()
 	same := c.lacks(s) == "" // KV made under other weights than the cache's isn't kept
-	run.Hit, run.Fetched, run.Prefilled = last.Hit, last.Fetched, last.Prefilled
+	run.Hit, run.Fetched, run.Prefilled = last.CachedTokens, last.FetchedTokens, last.PrefilledTokens
 	if same {
 		for _, e := range es {
 			c.kv.Keep(e.Key.String(), e.Tokens)
@@ -77,16 +77,16 @@
 	w.WriteHeader(200)
 	seal, key := contract.NewSeal(s.RequestID, c.life.Settings.Name), es[len(es)-1].Key.String()
 	enc := json.NewEncoder(w)
-	for n := range s.Pieces {
+	for n := range s.Chunks {
 		c.sleep(r, time.Duration(c.sp.PieceUs)*time.Microsecond)
 		text := contract.SyntheticText(key, s.Weights, n)
 		seal.Add(n, text)
-		if r.Context().Err() != nil || enc.Encode(contract.Chunk{R: s.RequestID, N: n, T: text}) != nil {
+		if r.Context().Err() != nil || enc.Encode(contract.Chunk{RequestID: s.RequestID, Number: n, Text: text}) != nil {
 			return true
 		}
 		http.NewResponseController(w).Flush()
 	}
-	last.N, last.Seal = s.Pieces, seal.Close()
+	last.Number, last.Seal = s.Chunks, seal.Close()
 	if enc.Encode(last) == nil {
 		ended = "sealed"
 	}
