--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -94,24 +94,26 @@
 	if err != nil {
 		return nil, err
 	}
-	from, id := 0, make([]byte, 6)
+	id := make([]byte, 6)
 	_, _ = rand.Read(id) // never fails, as its documentation says
-	ran := &Ran{Run: b.Name + "-" + hex.EncodeToString(id), Record: r.record}
+	progress := runbook.Progress{RunID: b.Name + "-" + hex.EncodeToString(id), Params: set}
+	ran := &Ran{Record: r.record}
 	if r.resume != "" {
 		f, err := os.Open(r.resume)
 		if err != nil {
 			return nil, errs.WrapAs(err, errs.BadInput, "open record")
 		}
 		defer f.Close()
-		if from, set, ran.Run, err = runbook.Resume(f, b); err != nil {
+		if progress, err = b.Resume(f); err != nil {
 			return nil, err
 		}
 		ran.Record = r.resume
 	}
+	ran.Run = progress.RunID
 	if ran.Record == "" {
 		ran.Record = ran.Run + ".jsonl"
 	}
-	if _, err := b.Substitute(set); err != nil {
+	if _, err := b.Substitute(progress.Params); err != nil {
 		return nil, err
 	}
 	var f *os.File
@@ -122,7 +124,7 @@
 		defer f.Close()
 	}
 	w := &nodeWorld{c: c, in: bufio.NewReader(in), out: r.bad, yes: r.yes}
-	err = runbook.Run(b, set, ran.Run, from, r.dry, w, func(l runbook.RecordEntry) error {
+	err = b.Run(progress, r.dry, w, func(l runbook.RecordEntry) error {
 		l.At = time.Now().UTC().Format(time.RFC3339)
 		ran.Lines = append(ran.Lines, l)
 		if !r.asJSON {
--- /dev/null
+++ b/internal/runbook/parameters.go
@@ -0,0 +1,71 @@
+package runbook
+
+import (
+	"regexp"
+
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/queue"
+)
+
+var parameterPattern = regexp.MustCompile(`\{([a-z_]+)\}`)
+
+// parameters returns the names of the parameters that a step contains, with repetitions.
+func (s *Step) parameters() []string {
+	texts := []string{s.Text}
+	for _, values := range []map[string]string{s.Match, s.Args} {
+		for _, key := range queue.Keys(values) {
+			texts = append(texts, values[key])
+		}
+	}
+	var names []string
+	for _, text := range texts {
+		for _, match := range parameterPattern.FindAllStringSubmatch(text, -1) {
+			names = append(names, match[1])
+		}
+	}
+	return names
+}
+
+// Substitute returns the runbook with values for its parameters. Missing and unknown parameters are errors
+// of kind errs.BadInput.
+//
+// Example: substituted, err := b.Substitute(map[string]string{"worker": "worker-3"})
+func (b *Runbook) Substitute(values map[string]string) (*Runbook, error) {
+	var faults errs.Batch
+	for _, name := range queue.Keys(b.Params) {
+		if values[name] == "" {
+			faults.Addf(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", name, b.Params[name], name)
+		}
+	}
+	for _, name := range queue.Keys(values) {
+		if _, known := b.Params[name]; !known {
+			faults.Addf(errs.BadInput, "parameter %s is unknown: this runbook takes %v", name, queue.Keys(b.Params))
+		}
+	}
+	if err := faults.Err(); err != nil {
+		return nil, err
+	}
+	substituted := *b
+	substituted.Steps = nil
+	for _, step := range b.Steps {
+		step.Text = substitute(step.Text, values)
+		step.Match = substituteAll(step.Match, values)
+		step.Args = substituteAll(step.Args, values)
+		substituted.Steps = append(substituted.Steps, step)
+	}
+	return &substituted, nil
+}
+
+func substitute(text string, values map[string]string) string {
+	return parameterPattern.ReplaceAllStringFunc(text, func(parameter string) string {
+		return values[parameter[1:len(parameter)-1]]
+	})
+}
+
+func substituteAll(texts, values map[string]string) map[string]string {
+	substituted := map[string]string{}
+	for key, text := range texts {
+		substituted[key] = substitute(text, values)
+	}
+	return substituted
+}
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -1,176 +1,144 @@
 package runbook
 
 import (
-	"encoding/json"
 	"fmt"
-	"io"
 	"strings"
 
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
 )
 
-// Environment is what a run works on.
+// Environment is what a run reads and changes.
 type Environment interface {
-	Rows(view string) ([]map[string]string, error) // the rows of a view
+	// Rows returns the rows of a view, each as its fields by name.
+	Rows(view string) ([]map[string]string, error)
+	// Do carries out an action. A repetition has the token of the first try.
 	Do(action string, args map[string]string, token string) error
+	// Confirm asks the operator.
 	Confirm(text string) bool
-	Pause(second int) // one second of a wait passes
+	// Pause lasts one second, the given one of a wait.
+	Pause(second int)
 }
 
-// RecordEntry is one line of a run's record.
-type RecordEntry struct {
-	// Run executes a runbook from a step on. Every step is recorded as begun before, and as done after; a
-	// dry run only checks, and neither waits, acts nor asks. Each action has a token of its own, so that
-	// one whose response was lost isn't executed twice by resuming.
-	RunID   string            `json:"run"`
-	Runbook string            `json:"book"`
-	Params  map[string]string `json:"set,omitempty"`
-	Step    int               `json:"step"`
-	Type    string            `json:"type"`
-	Text    string            `json:"text"`
-	State   string            `json:"state"` // begun, done, failed, refused, planned
-	Detail  string            `json:"detail,omitempty"`
-	At      string            `json:"at"`
-}
-
-// Run carries a book out from a step on. Every step is recorded as begun before, and as
-// done after; a dry run looks, and neither waits nor acts nor asks. An action carries a
-// token of its own, so that one whose answer was lost isn't made twice by going on.
+// Run carries out a runbook from its next step on. Each step is recorded as begun before it, and as done or
+// failed after it; a dry run only checks, and neither waits, acts nor asks. Each action has a token of its
+// own, so that one whose response was lost isn't carried out twice by resuming.
 //
-// Example: err := runbook.Run(book, set, "r-1", 0, false, world, record)
-func Run(b *Runbook, set map[string]string, run string, from int, dry bool, w Environment, record func(RecordEntry) error) error {
-	f, err := b.Substitute(set)
+// Example: err := b.Run(runbook.Progress{RunID: "r-1", Params: params}, false, environment, record)
+func (b *Runbook) Run(progress Progress, dryRun bool, environment Environment, record func(RecordEntry) error) error {
+	substituted, err := b.Substitute(progress.Params)
 	if err != nil {
 		return err
 	}
-	for i, s := range f.Steps {
-		if i < from {
+	for i, step := range substituted.Steps {
+		if i < progress.Next {
 			continue
 		}
-		note := func(state, detail string) error {
-			return errs.Wrap(record(RecordEntry{RunID: run, Runbook: b.Name, Params: set, Step: i, Type: s.Type, Text: s.Text, State: state, Detail: detail}), "record")
+		note := func(state StepState, detail string) error {
+			return errs.Wrap(record(RecordEntry{RunID: progress.RunID, Runbook: b.Name, Params: progress.Params, Step: i,
+				Type: step.Type, Text: step.Text, State: state, Detail: detail}), "record")
 		}
-		if dry && s.Type != "check" {
-			if err := note("planned", strings.TrimSpace(s.Action+" "+formatPairs(s.Args)+formatPairs(s.Match))); err != nil {
+		if dryRun && step.Type != Check {
+			if err := note(Planned, strings.TrimSpace(step.Action+" "+formatPairs(step.Args)+formatPairs(step.Match))); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := note("begun", ""); err != nil {
+		if err := note(Begun, ""); err != nil {
 			return err // no step runs without its record
 		}
-		detail, err := s.execute(w, fmt.Sprintf("%s/%d", run, i))
+		detail, err := step.execute(environment, fmt.Sprintf("%s/%d", progress.RunID, i))
 		if err != nil {
-			if e := note("failed", err.Error()); e != nil {
-				return e
+			if recordErr := note(Failed, err.Error()); recordErr != nil {
+				return recordErr
 			}
-			return errs.Wrap(err, fmt.Sprintf("step %d (%s)", i, s.Text))
+			return errs.Wrap(err, fmt.Sprintf("step %d (%s)", i, step.Text))
 		}
-		if err := note("done", detail); err != nil {
+		if err := note(Done, detail); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func formatPairs(m map[string]string) string {
-	var l []string
-	for _, k := range queue.Keys(m) {
-		l = append(l, k+"="+m[k])
+// formatPairs formats a map as "key=value …" in the order of the keys.
+func formatPairs(values map[string]string) string {
+	var pairs []string
+	for _, key := range queue.Keys(values) {
+		pairs = append(pairs, key+"="+values[key])
 	}
-	return strings.Join(l, " ")
+	return strings.Join(pairs, " ")
 }
 
-func (s *Step) execute(w Environment, token string) (string, error) {
+// execute carries out a step and returns what it has done or seen.
+func (s *Step) execute(environment Environment, token string) (string, error) {
 	switch s.Type {
-	case "confirm":
-		if !w.Confirm(s.Text) {
+	case Confirm:
+		if !environment.Confirm(s.Text) {
 			return "", errs.New(errs.CheckFailed, "not confirmed")
 		}
 		return "confirmed", nil
-	case "do":
-		return s.Action + " " + formatPairs(s.Args), w.Do(s.Action, s.Args, token)
-	case "check":
-		return s.evaluate(w)
+	case Do:
+		return s.Action + " " + formatPairs(s.Args), environment.Do(s.Action, s.Args, token)
+	case Check:
+		return s.evaluate(environment)
 	}
+	return s.wait(environment)
+}
+
+// wait evaluates the condition until it holds, once a second.
+func (s *Step) wait(environment Environment) (string, error) {
 	var detail string
 	var err error
-	for n := range s.WithinSeconds + 1 {
-		if detail, err = s.evaluate(w); err == nil {
+	for second := range s.WithinSeconds + 1 {
+		if detail, err = s.evaluate(environment); err == nil {
 			return detail, nil
 		}
-		w.Pause(n)
+		environment.Pause(second)
 	}
 	return "", errs.Wrap(err, fmt.Sprintf("waited %d s", s.WithinSeconds))
 }
 
-// evaluate checks once how many rows match, and whether that is the required number.
-func (s *Step) evaluate(w Environment) (string, error) {
-	rows, err := w.Rows(s.View)
+// maxNamedRows is up to how many matching rows are named in a step's detail.
+const maxNamedRows = 8
+
+// evaluate counts the rows that match. An error of kind errs.CheckFailed says that it isn't the required
+// number.
+func (s *Step) evaluate(environment Environment) (string, error) {
+	rows, err := environment.Rows(s.View)
 	if err != nil {
 		return "", errs.Wrap(err, "look at "+s.View)
 	}
-	var hit []string
-	for _, r := range rows {
-		if matches(r, s.Match) {
-			hit = append(hit, r["name"])
+	var matching []string
+	for _, row := range rows {
+		if matches(row, s.Match) {
+			matching = append(matching, row["name"])
 		}
 	}
-	said := fmt.Sprintf("%d of %d %s match %s", len(hit), len(rows), s.View, formatPairs(s.Match))
-	if len(hit) > 0 && len(hit) <= 8 {
-		said += ": " + strings.Join(hit, " ")
+	detail := fmt.Sprintf("%d of %d %s match %s", len(matching), len(rows), s.View, formatPairs(s.Match))
+	if len(matching) > 0 && len(matching) <= maxNamedRows {
+		detail += ": " + strings.Join(matching, " ")
 	}
-	if s.Min != nil && len(hit) < *s.Min {
-		return "", errs.New(errs.CheckFailed, "%s, at least %d are due", said, *s.Min)
+	if s.Min != nil && len(matching) < *s.Min {
+		return "", errs.New(errs.CheckFailed, "%s, at least %d are due", detail, *s.Min)
 	}
-	if s.Max != nil && len(hit) > *s.Max {
-		return "", errs.New(errs.CheckFailed, "%s, at most %d are due", said, *s.Max)
+	if s.Max != nil && len(matching) > *s.Max {
+		return "", errs.New(errs.CheckFailed, "%s, at most %d are due", detail, *s.Max)
 	}
-	return said, nil
+	return detail, nil
 }
 
-func matches(row, want map[string]string) bool {
-	for k, v := range want {
-		not := strings.HasPrefix(v, "!")
-		v = strings.TrimPrefix(v, "!")
-		ok := row[k] == v
-		if p, star := strings.CutSuffix(v, "*"); star {
-			ok = strings.HasPrefix(row[k], p)
+// matches reports whether a row's fields match all patterns: "x", "!x", "x*" or "!x*".
+func matches(row, patterns map[string]string) bool {
+	for field, pattern := range patterns {
+		pattern, negated := strings.CutPrefix(pattern, "!")
+		matched := row[field] == pattern
+		if prefix, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
+			matched = strings.HasPrefix(row[field], prefix)
 		}
-		if ok == not {
+		if matched == negated {
 			return false
 		}
 	}
 	return true
 }
-
-// Resume reads a record and returns where the run resumes. A step that was begun but not done is
-// repeated; a record of another runbook, or of a completed run, is rejected.
-//
-// Example: from, set, run, err := runbook.Resume(file, book)
-func Resume(r io.Reader, b *Runbook) (from int, set map[string]string, run string, err error) {
-	d := json.NewDecoder(r)
-	n := 0
-	for {
-		var l RecordEntry
-		if e := d.Decode(&l); e != nil {
-			break // the end, or a line cut off by the interruption
-		}
-		if l.Runbook != b.Name {
-			return 0, nil, "", errs.New(errs.BadInput, "the record is of runbook %q", l.Runbook)
-		}
-		n++
-		set, run = l.Params, l.RunID
-		if l.State == "done" && l.Step == from {
-			from++
-		}
-	}
-	if n == 0 {
-		return 0, nil, "", errs.New(errs.BadInput, "the record is empty: run without --resume")
-	}
-	if from >= len(b.Steps) {
-		return 0, nil, "", errs.New(errs.Conflict, "the run was carried out to its end")
-	}
-	return from, set, run, nil
-}
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -10,147 +10,160 @@
 	"pebbleloom/internal/errs"
 )
 
-// fakeEnvironment is an environment in which every wait succeeds, and which counts the actions.
+// fakeEnvironment counts what a run does in it.
 type fakeEnvironment struct {
-	rows   map[string][]map[string]string
-	done   map[string]int // by token
-	asked  int
-	reject bool
-	looks  int
-	after  func(look int, s *fakeEnvironment)
+	rows          map[string][]map[string]string
+	actions       map[string]int // by token
+	confirmations int
+	reject        bool
+	reads         int
+	beforeRead    func(read int, environment *fakeEnvironment)
 }
 
-func (s *fakeEnvironment) Rows(v string) ([]map[string]string, error) {
-	if s.looks++; s.after != nil {
-		s.after(s.looks, s)
+func (f *fakeEnvironment) Rows(view string) ([]map[string]string, error) {
+	if f.reads++; f.beforeRead != nil {
+		f.beforeRead(f.reads, f)
 	}
-	return s.rows[v], nil
+	return f.rows[view], nil
 }
-func (s *fakeEnvironment) Do(a string, _ map[string]string, token string) error {
-	s.done[token]++
+
+func (f *fakeEnvironment) Do(_ string, _ map[string]string, token string) error {
+	f.actions[token]++
 	return nil
 }
-func (s *fakeEnvironment) Confirm(string) bool { s.asked++; return !s.reject }
-func (s *fakeEnvironment) Pause(int)           {}
 
-func one(n int) *int { return &n }
+func (f *fakeEnvironment) Confirm(string) bool { f.confirmations++; return !f.reject }
+
+func (f *fakeEnvironment) Pause(int) {}
+
+func atLeast(n int) *int { return &n }
 
-var book = &Runbook{Name: "b", When: "x", Params: map[string]string{"worker": "the worker"}, Steps: []Step{
-	{Type: "check", Text: "here", View: "workers", Match: map[string]string{"name": "{worker}"}, Min: one(1)},
-	{Type: "do", Text: "drain", Action: "drain", Args: map[string]string{"worker": "{worker}"}},
-	{Type: "confirm", Text: "sure?"},
-	{Type: "wait", Text: "drained", View: "workers", Match: map[string]string{"name": "{worker}", "state": "draining"}, Min: one(1), WithinSeconds: 5},
-	{Type: "do", Text: "back", Action: "undrain", Args: map[string]string{"worker": "{worker}"}},
+var sample = &Runbook{Name: "b", When: "x", Params: map[string]string{"worker": "the worker"}, Steps: []Step{
+	{Type: Check, Text: "here", View: "workers", Match: map[string]string{"name": "{worker}"}, Min: atLeast(1)},
+	{Type: Do, Text: "drain", Action: "drain", Args: map[string]string{"worker": "{worker}"}},
+	{Type: Confirm, Text: "sure?"},
+	{Type: Wait, Text: "drained", View: "workers", Match: map[string]string{"name": "{worker}", "state": "draining"}, Min: atLeast(1), WithinSeconds: 5},
+	{Type: Do, Text: "back", Action: "undrain", Args: map[string]string{"worker": "{worker}"}},
 }}
 
-func newStage() *fakeEnvironment {
-	return &fakeEnvironment{done: map[string]int{}, rows: map[string][]map[string]string{"workers": {{"name": "worker-3", "state": "draining"}, {"name": "worker-4", "state": "up"}}}}
+// newEnvironment returns an environment in which every step of the sample succeeds.
+func newEnvironment() *fakeEnvironment {
+	return &fakeEnvironment{actions: map[string]int{}, rows: map[string][]map[string]string{"workers": {{"name": "worker-3", "state": "draining"}, {"name": "worker-4", "state": "up"}}}}
 }
 
-var set = map[string]string{"worker": "worker-3"}
-
-// The run is interrupted after every line of its record, in turn; going on from the record
-// makes every action, none under two tokens, and asks and waits as if nothing had been.
-func TestResumeFromEveryLine(t *testing.T) {
-	cut := errors.New("interrupted")
-	for n := range 10 {
-		s := newStage()
-		var rec strings.Builder
-		left := n
-		write := func(l RecordEntry) error {
+var start = Progress{RunID: "r", Params: map[string]string{"worker": "worker-3"}}
+
+// The run is interrupted after each entry of its record, in turn. Resuming from the record carries out every
+// action, none under two tokens, and checks, waits and asks as if it hadn't been interrupted.
+func TestResumeFromEveryEntry(t *testing.T) {
+	interrupted := errors.New("interrupted")
+	for entries := range 10 {
+		environment := newEnvironment()
+		var recorded strings.Builder
+		left := entries
+		record := func(entry RecordEntry) error {
 			if left == 0 {
-				return cut
+				return interrupted
 			}
 			left--
-			return json.NewEncoder(&rec).Encode(l)
+			return json.NewEncoder(&recorded).Encode(entry)
 		}
-		err := Run(book, set, "r", 0, false, s, write)
-		if !errors.Is(err, cut) {
-			t.Fatalf("after %d lines: %v", n, err)
+		err := sample.Run(start, false, environment, record)
+		if !errors.Is(err, interrupted) {
+			t.Fatalf("after %d entries: %v", entries, err)
 		}
 		left = 1000
-		from, got, run, err := Resume(strings.NewReader(rec.String()), book)
-		if n == 0 {
+		progress, err := sample.Resume(strings.NewReader(recorded.String()))
+		if entries == 0 {
 			if errs.KindOf(err) != errs.BadInput {
 				t.Fatalf("an empty record: %v", err)
 			}
 			continue
 		}
-		if err != nil || from != n/2 || got["worker"] != "worker-3" {
-			t.Fatalf("after %d lines: from %d, %v, %v", n, from, got, err)
+		if err != nil || progress.Next != entries/2 || progress.Params["worker"] != "worker-3" {
+			t.Fatalf("after %d entries: %+v, %v", entries, progress, err)
 		}
-		if err := Run(book, got, run, from, false, s, write); err != nil {
-			t.Fatalf("after %d lines: %v", n, err)
+		if err := sample.Run(progress, false, environment, record); err != nil {
+			t.Fatalf("after %d entries: %v", entries, err)
 		}
-		if len(s.done) != 2 || s.done["r/1"] < 1 || s.done["r/4"] < 1 {
-			t.Errorf("after %d lines: done %v", n, s.done)
+		if len(environment.actions) != 2 || environment.actions["r/1"] < 1 || environment.actions["r/4"] < 1 {
+			t.Errorf("after %d entries: actions %v", entries, environment.actions)
 		}
-		if _, _, _, err := Resume(strings.NewReader(rec.String()), book); errs.KindOf(err) != errs.Conflict {
-			t.Errorf("a run that is through was resumed: %v", err)
+		if _, err := sample.Resume(strings.NewReader(recorded.String())); errs.KindOf(err) != errs.Conflict {
+			t.Errorf("a completed run was resumed: %v", err)
 		}
 	}
 }
 
-func TestDryRunLooksOnly(t *testing.T) {
-	s := newStage()
-	var states []string
-	err := Run(book, set, "r", 0, true, s, func(l RecordEntry) error { states = append(states, l.State); return nil })
-	if err != nil || len(s.done)+s.asked > 0 || s.looks != 1 || fmt.Sprint(states) != "[begun done planned planned planned planned]" {
-		t.Errorf("%v, done %v, asked %d, looked %d, %v", err, s.done, s.asked, s.looks, states)
+func TestDryRunChecksOnly(t *testing.T) {
+	environment := newEnvironment()
+	var states []StepState
+	err := sample.Run(start, true, environment, func(entry RecordEntry) error { states = append(states, entry.State); return nil })
+	if err != nil || len(environment.actions)+environment.confirmations > 0 || environment.reads != 1 || fmt.Sprint(states) != "[begun done planned planned planned planned]" {
+		t.Errorf("%v, actions %v, %d confirmations, %d reads, %v", err, environment.actions, environment.confirmations, environment.reads, states)
 	}
 }
 
-func TestWhatStopsARun(t *testing.T) {
-	quiet := func(RecordEntry) error { return nil }
-	s := newStage()
-	s.rows["workers"] = s.rows["workers"][1:]
-	if err := Run(book, set, "r", 0, false, s, quiet); errs.KindOf(err) != errs.CheckFailed || len(s.done) > 0 {
-		t.Errorf("a check that fails: %v, done %v", err, s.done)
-	}
-	s = newStage()
-	s.reject = true
-	if err := Run(book, set, "r", 0, false, s, quiet); errs.KindOf(err) != errs.CheckFailed || len(s.done) != 1 {
-		t.Errorf("not confirmed: %v, done %v", err, s.done)
-	}
-	s = newStage()
-	s.rows["workers"][0]["state"] = "up"
-	if err := Run(book, set, "r", 0, false, s, quiet); err == nil || !strings.Contains(err.Error(), "waited 5 s") {
-		t.Errorf("a wait that doesn't come true: %v", err)
-	}
-	s.after = func(look int, s *fakeEnvironment) {
-		if look == 12 {
-			s.rows["workers"][0]["state"] = "draining"
+func discard(RecordEntry) error { return nil }
+
+func TestFailedStepEndsTheRun(t *testing.T) {
+	t.Run("check", func(t *testing.T) {
+		environment := newEnvironment()
+		environment.rows["workers"] = environment.rows["workers"][1:]
+		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) > 0 {
+			t.Errorf("%v, actions %v", err, environment.actions)
 		}
-	}
-	s.looks = 5
-	if err := Run(book, set, "r", 0, false, s, quiet); err != nil {
-		t.Errorf("a wait that comes true late: %v", err)
-	}
-	for _, bad := range []map[string]string{{}, {"worker": "x", "odd": "y"}} {
-		if err := Run(book, bad, "r", 0, false, newStage(), quiet); errs.KindOf(err) != errs.BadInput {
-			t.Errorf("%v: %v", bad, err)
+	})
+	t.Run("confirmation", func(t *testing.T) {
+		environment := newEnvironment()
+		environment.reject = true
+		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) != 1 {
+			t.Errorf("%v, actions %v", err, environment.actions)
 		}
-	}
+	})
+	t.Run("wait", func(t *testing.T) {
+		environment := newEnvironment()
+		environment.rows["workers"][0]["state"] = "up"
+		if err := sample.Run(start, false, environment, discard); err == nil || !strings.Contains(err.Error(), "waited 5 s") {
+			t.Errorf("a condition that never holds: %v", err)
+		}
+		environment.beforeRead = func(read int, environment *fakeEnvironment) {
+			if read == 12 {
+				environment.rows["workers"][0]["state"] = "draining"
+			}
+		}
+		environment.reads = 5
+		if err := sample.Run(start, false, environment, discard); err != nil {
+			t.Errorf("a condition that holds late: %v", err)
+		}
+	})
+	t.Run("parameters", func(t *testing.T) {
+		for _, params := range []map[string]string{{}, {"worker": "x", "odd": "y"}} {
+			if err := sample.Run(Progress{RunID: "r", Params: params}, false, newEnvironment(), discard); errs.KindOf(err) != errs.BadInput {
+				t.Errorf("%v: %v", params, err)
+			}
+		}
+	})
 }
 
-// Every shipped book is sound, and there is one for each failure of the brief and for each
-// that status points to.
-func TestShippedBooks(t *testing.T) {
-	l, err := Builtin()
+// Every built-in runbook is valid, and there is one for each fault that operators must be able to handle and
+// for each that the status page names.
+func TestBuiltinRunbooks(t *testing.T) {
+	runbooks, err := Builtin()
 	if err != nil {
 		t.Fatal(err)
 	}
-	have := map[string]bool{}
-	for _, b := range l {
-		have[b.Name] = true
+	found := map[string]bool{}
+	for _, b := range runbooks {
+		found[b.Name] = true
 	}
-	for _, n := range strings.Fields(`worker-gone replace-service edge-gone core-gone many-gone core-replaced disk-lost disk-full clock-jumped core-split machine-cut
+	for _, name := range strings.Fields(`worker-gone replace-service edge-gone core-gone many-gone core-replaced disk-lost disk-full clock-jumped core-split machine-cut
 		machine-frozen seeds-change setup-wrong key-leaked links-slow reports-missing weights-midday store-empty move-paused`) {
-		if !have[n] {
-			t.Errorf("no runbook %s", n)
+		if !found[name] {
+			t.Errorf("no runbook %s", name)
 		}
 	}
 	if _, err := Read([]byte(`{"name":"x","when":"y","params":{"a":"b"},"steps":[{"type":"do","action":"fly","text":"{c}"},{"type":"wait","of":"stars"},{"type":"pray"}]}`)); err == nil || strings.Count(err.Error(), "steps[") < 7 {
-		t.Errorf("a bad book's faults: %v", err)
+		t.Errorf("an invalid runbook's faults: %v", err)
 	}
 }
