--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -104,7 +104,6 @@
 				Weights:         worker.Weights,
 				AcceptsRequests: worker.State == updatestream.WorkerUp,
 				Reachable:       worker.State < updatestream.WorkerGone,
-				Busy:            int(worker.Busy),
 			})
 		}
 	}
