--- a/internal/control/placementcontroller/placement.go
+++ b/internal/control/placementcontroller/placement.go
@@ -99,7 +99,7 @@
 		svc.document = nil // read it again before the next attempt
 		return errs.Wrap(err, "publish placement")
 	}
-	next.Epoch = response.Version
+	next.Version = response.Version
 	svc.document, svc.placement = &wire.Document{Body: body, Version: response.Version}, next
 	c.process.Log.Info("placement", "service", svc.name, "epoch", response.Version, "fence", token, "replicated", len(next.Replicated),
 		"entries", next.Entries, "r_max", next.RMax, "b", next.FetchBandwidth, "why", next.Reason)
