--- a/internal/sim/testbed/moves.go
+++ b/internal/sim/testbed/calendar.go
@@ -67,7 +67,7 @@
 		if json.Unmarshal([]byte(body), &targets) == nil {
 			for _, m := range targets.Moves {
 				if entry, err := calendar.Decode(m); err == nil && entry.Service+"/"+entry.Name == target {
-					if last = fmt.Sprintf("%s, step %d of %d, %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason); entry.State == argument {
+					if last = fmt.Sprintf("%s, step %d of %d, %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason); string(entry.State) == argument {
 						return nil
 					}
 				}
