--- a/internal/contract/backends_test.go
+++ b/internal/contract/backends_test.go
@@ -102,7 +102,7 @@
 
 // Each order has its own connection, and a redirect is a response like any other.
 func TestOrdersHaveTheirOwnConnections(t *testing.T) {
-	state := `{"name":"cab-1"}`
+	state := `{"name":"worker-1"}`
 	addr, connections := startWorker(t, func(StartRequest, int) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(state), state)
 	})
--- /dev/null
+++ b/internal/errs/errs_test.go
@@ -0,0 +1,80 @@
+package errs
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"testing"
+)
+
+// Clients and scripts go by names, statuses and exit codes.
+func TestKindsAreStable(t *testing.T) {
+	want := map[string]struct{ httpStatus, exitCode int }{
+		"bad-input": {400, 2}, "bad-key": {401, 3}, "bad-operator-key": {401, 3}, "no-such-model": {404, 4}, "not-found": {404, 4},
+		"epoch-conflict": {409, 5}, "too-big": {413, 2}, "over-budget": {429, 6}, "overloaded": {503, 6}, "expired": {504, 6},
+		"not-run": {503, 6}, "may-have-run": {502, 7}, "cant-say": {503, 8}, "not-as-due": {409, 1}, "not-here": {501, 10},
+		"disk-bad": {500, 9}, "inside": {500, 9},
+	}
+	if len(Kinds()) != len(want) {
+		t.Errorf("%d kinds, want %d", len(Kinds()), len(want))
+	}
+	for _, kind := range Kinds() {
+		t.Run(kind.Name, func(t *testing.T) {
+			if w, known := want[kind.Name]; !known || kind.HTTPStatus != w.httpStatus || kind.ExitCode != w.exitCode || kind.Remedy == "" {
+				t.Errorf("%+v, want %+v", kind, w)
+			}
+			if KindNamed(kind.Name) != kind {
+				t.Errorf("its name is that of kind %s", KindNamed(kind.Name).Name)
+			}
+		})
+	}
+	if KindNamed("unknown") != Internal {
+		t.Error("an unknown name isn't of kind Internal")
+	}
+}
+
+func TestKindOfWrappedErrors(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		err  error
+		want *Kind
+		text string
+	}{
+		{"without a kind", io.EOF, Internal, "EOF"},
+		{"new", New(Conflict, "version %d", 3), Conflict, "version 3"},
+		{"wrapped", Wrap(New(Conflict, "version 3"), "apply"), Conflict, "apply: version 3"},
+		{"wrapped as", WrapAs(io.EOF, DiskFailure, "sync log"), DiskFailure, "sync log: EOF"},
+		{"wrapped as another kind", WrapAs(New(Conflict, "x"), BadInput, "y"), BadInput, "y: x"},
+		{"wrapped by fmt", fmt.Errorf("z: %w", New(Conflict, "x")), Conflict, "z: x"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if KindOf(test.err) != test.want || test.err.Error() != test.text {
+				t.Errorf("%q of kind %s, want %q of kind %s", test.err, KindOf(test.err).Name, test.text, test.want.Name)
+			}
+		})
+	}
+	if err := WrapAs(io.EOF, DiskFailure, "sync log"); !errors.Is(err, io.EOF) {
+		t.Errorf("%v isn't io.EOF", err)
+	}
+	if Wrap(nil, "x") != nil || WrapAs(nil, Conflict, "x") != nil {
+		t.Error("nil was wrapped")
+	}
+}
+
+func TestBatch(t *testing.T) {
+	var batch Batch
+	if batch.Add("read", nil); batch.Err() != nil {
+		t.Errorf("empty: %v", batch.Err())
+	}
+	batch.Addf(BadKey, "key %q", "k")
+	if err := batch.Err(); KindOf(err) != BadKey || err.Error() != `key "k"` {
+		t.Errorf("one error: %v", err)
+	}
+	batch.Add("read", io.EOF)
+	if err := batch.Err(); KindOf(err) != BadKey || err.Error() != `2 faults: key "k"; read: EOF` {
+		t.Errorf("two errors: %v", err)
+	}
+	if lines := batch.Lines(); len(lines) != 2 || lines[1] != "read: EOF" {
+		t.Errorf("lines %q", lines)
+	}
+}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -57,28 +57,34 @@
 
 type controlNodeClient struct{ Archive }
 
+// Deliver implements ControlNode.
 func (c controlNodeClient) Deliver(ctx context.Context, batch *MessageBatch) (*BatchReceipt, error) {
 	return c.Post(ctx, batch)
 }
 
+// Watch implements ControlNode.
 func (c controlNodeClient) Watch(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
 	return c.News(ctx, request)
 }
 
+// Status implements ControlNode.
 func (c controlNodeClient) Status(ctx context.Context, request *StatusRequest) (*StatusResponse, error) {
 	return c.Stand(ctx, request)
 }
 
 type controlNodeServer struct{ ControlNode }
 
+// Post serves the method of that name in the .proto.
 func (s controlNodeServer) Post(ctx context.Context, batch *MessageBatch) (*BatchReceipt, error) {
 	return s.Deliver(ctx, batch)
 }
 
+// News serves the method of that name in the .proto.
 func (s controlNodeServer) News(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
 	return s.Watch(ctx, request)
 }
 
+// Stand serves the method of that name in the .proto.
 func (s controlNodeServer) Stand(ctx context.Context, request *StatusRequest) (*StatusResponse, error) {
 	return s.Status(ctx, request)
 }
@@ -104,12 +110,14 @@
 
 type membershipClient struct{ generated Roster }
 
+// Exchange implements Membership.
 func (c membershipClient) Exchange(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
 	return c.generated.Hear(ctx, heartbeat)
 }
 
 type membershipServer struct{ member Membership }
 
+// Hear serves the method of that name in the .proto.
 func (s membershipServer) Hear(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
 	return s.member.Exchange(ctx, heartbeat)
 }
@@ -137,12 +145,14 @@
 
 type promptIndexClient struct{ Catalogue }
 
+// Lookup implements PromptIndex.
 func (c promptIndexClient) Lookup(ctx context.Context, request *LookupRequest) (*LookupResponse, error) {
 	return c.Seek(ctx, request)
 }
 
 type promptIndexServer struct{ PromptIndex }
 
+// Seek serves the method of that name in the .proto.
 func (s promptIndexServer) Seek(ctx context.Context, request *LookupRequest) (*LookupResponse, error) {
 	return s.Lookup(ctx, request)
 }
