--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -21,7 +20,6 @@
 	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/placement"
-	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/settings"
@@ -29,17 +27,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// testProxy is one proxy with its real HTTP server, before workers that die at a chosen
-// step. Nothing sleeps: the workers act on what they are asked.
+// testProxy is a proxy with its real HTTP server, and workers that fail at a chosen step. Nothing sleeps: the
+// workers act on the requests that they get.
 type testProxy struct {
 	proxy    *Proxy
 	edge     *httptest.Server
 	mu       sync.Mutex
-	starts   map[string]int // attempts that reached a worker and began, by request
+	starts   map[string]int // attempts that a worker has started, by request
 	granted  map[string]bool
 	snapshot *updatestream.Snapshot
 	clock    *clock.Manual
-	started  func() // called when an attempt has begun; mu is held
+	started  func() // called when a worker has started an attempt; mu is held
 }
 
 type fakeClaims struct{ testProxy *testProxy }
@@ -60,131 +58,68 @@
 	delete(f.testProxy.granted, string(id))
 }
 
-// worker answers a start as its mode says.
-func (b *testProxy) worker(name, mode string) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		var s contract.StartRequest
-		if json.NewDecoder(r.Body).Decode(&s) != nil {
-			return
-		}
-		die := func() { panic(http.ErrAbortHandler) }
-		if mode == "refuse" {
-			w.WriteHeader(409)
-			fmt.Fprint(w, `{"not_run":true,"reason":"full"}`)
-			return
-		}
-		if mode == "odd" {
-			w.WriteHeader(500)
-			fmt.Fprint(w, `oops`)
-			return
-		}
-		b.mu.Lock()
-		if b.starts[s.RequestID]++; b.started != nil {
-			b.started()
-		}
-		b.mu.Unlock()
-		if mode == "dies-before" {
-			die()
-		}
-		seal, enc := contract.NewSeal(s.RequestID, name), json.NewEncoder(w)
-		es := prefix.Chain(s.Domain, s.Model, s.Weights, s.Parts)
-		for n := range s.Pieces {
-			p := contract.Chunk{R: s.RequestID, N: n, T: contract.SyntheticText(es[len(es)-1].Key.String(), s.Weights, n)}
-			seal.Add(n, p.T)
-			switch {
-			case n == 2 && mode == "loses":
-				continue
-			case n == 2 && mode == "mixes":
-				p.R = "another"
-			case n == 2 && mode == "long":
-				p.T = strings.Repeat("x", contract.MaxLineBytes)
-			case n == 2 && mode == "dies-within":
-				die()
-			case n == 0 && mode == "hangs":
-				<-r.Context().Done()
-				return
-			}
-			if enc.Encode(p) != nil {
-				return
-			}
-			if n == 2 && mode == "doubles" {
-				_ = enc.Encode(p)
-			}
-			http.NewResponseController(w).Flush()
-		}
-		last := contract.Chunk{R: s.RequestID, N: s.Pieces, Seal: seal.Close(), Worker: name, Weights: s.Weights}
-		switch mode {
-		case "unsealed":
-			return
-		case "forges":
-			last.Seal = strings.Repeat("0", 64)
-		}
-		_ = enc.Encode(last)
-	}
-}
-
 func newTestProxy(t *testing.T, modes ...string) *testProxy {
 	t.Helper()
-	p := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
-	l := daemon.New("dispatcher", p)
-	b := &testProxy{starts: map[string]int{}, granted: map[string]bool{}, clock: &clock.Manual{Time: time.Hour}}
-	b.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
+	processSettings := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
+	process := daemon.New("dispatcher", processSettings)
+	test := &testProxy{starts: map[string]int{}, granted: map[string]bool{}, clock: &clock.Manual{Time: time.Hour}}
+	test.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
 		Config: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
 			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
-	for i, m := range modes {
-		n := fmt.Sprintf("w%d", i)
+	for i, mode := range modes {
+		name := fmt.Sprintf("w%d", i)
 		addr := ""
-		if m == "gone" {
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if mode == "gone" {
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			addr = ln.Addr().String()
-			ln.Close()
+			addr = listener.Addr().String()
+			listener.Close()
 		} else {
-			s := httptest.NewServer(b.worker(n, m))
-			t.Cleanup(s.Close)
-			addr = s.Listener.Addr().String()
+			worker := httptest.NewServer(test.worker(name, mode))
+			t.Cleanup(worker.Close)
+			addr = worker.Listener.Addr().String()
 		}
-		b.snapshot.Workers = append(b.snapshot.Workers, &wire.Worker{Name: n, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
+		test.snapshot.Workers = append(test.snapshot.Workers, &wire.Worker{Name: name, Addr: addr, Service: "s", Kind: "lm", Weights: 1, Slots: 4, Model: "m"})
 	}
-	d := &Proxy{process: l, bounds: p.Bounds, clock: b.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{b}}
-	d.traffic = queue.NewActor(newTrafficTable(), 64)
-	d.traffic.Ask(func(g *trafficTable) {
-		for range 100 / d.bounds.RetryPercent { // as after a few requests
-			d.retryBudget(g, "s").Deposit(1)
+	proxy := &Proxy{process: process, bounds: processSettings.Bounds, clock: test.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{test}}
+	proxy.traffic = queue.NewActor(newTrafficTable(processSettings.Bounds), 64)
+	proxy.traffic.Ask(func(table *trafficTable) {
+		for range 100 / proxy.bounds.RetryPercent { // as after a few requests
+			table.retryBudgets.Deposit("s", 1)
 		}
 	})
-	d.index = newPromptIndex(l, b.clock)
-	d.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot { b.mu.Lock(); defer b.mu.Unlock(); return b.snapshot })
-	srv, err := caller.NewServer(d, caller.WithErrorHandler(handleRequestError))
+	proxy.index = newPromptIndex(process, test.clock)
+	proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot { test.mu.Lock(); defer test.mu.Unlock(); return test.snapshot })
+	api, err := caller.NewServer(proxy, caller.WithErrorHandler(handleRequestError))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.proxy, b.edge = d, httptest.NewServer(http.MaxBytesHandler(flushEveryWrite(srv), 1<<20))
-	t.Cleanup(func() { b.edge.Close(); l.Stop(time.Second); d.traffic.Stop() })
-	return b
+	test.proxy, test.edge = proxy, httptest.NewServer(http.MaxBytesHandler(flushEveryWrite(api), 1<<20))
+	t.Cleanup(func() { test.edge.Close(); process.Stop(time.Second); proxy.traffic.Stop() })
+	return test
 }
 
-func (b *testProxy) attemptsStarted(id string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.starts[id]
+func (test *testProxy) attemptsStarted(id string) int {
+	test.mu.Lock()
+	defer test.mu.Unlock()
+	return test.starts[id]
 }
 
-func (b *testProxy) ask(id string, once bool) loadgen.Outcome {
-	q := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
-	return loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
+func (test *testProxy) ask(id string, once bool) loadgen.Outcome {
+	request := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
+	return loadgen.NewCaller([]string{test.edge.Listener.Addr().String()}).Ask(context.Background(), 0, request)
 }
 
-// A worker dies, refuses or misbehaves at every step of an attempt, and the other worker is well
-// or as bad. What the caller learns, and how often the request began, is said for each.
+// Both workers crash, reject or misbehave at a step of an attempt: what the caller learns, and how often the
+// request was started.
 func TestEveryStepOfAnAttempt(t *testing.T) {
-	for _, c := range []struct {
-		mode         string
-		once         string // sealed, broken, or the rejection's kind
-		many         string
-		starts, more int // that began: once-only, repeatable
+	for _, attempt := range []struct {
+		mode                         string
+		once                         string // a once-only request: sealed, broken, or the rejection's kind
+		idempotent                   string
+		onceStarts, idempotentStarts int // attempts that were started
 	}{
 		{"well", "sealed", "sealed", 1, 1},
 		{"gone", "not-run", "not-run", 0, 0},
@@ -199,90 +134,92 @@
 		{"unsealed", "broken", "broken", 1, 1},
 		{"forges", "broken", "broken", 1, 1},
 	} {
-		for _, once := range []bool{true, false} {
-			b := newTestProxy(t, c.mode, c.mode)
-			o := b.ask("r", once)
-			want, starts := c.many, c.more
-			if once {
-				want, starts = c.once, c.starts
-			}
-			got := o.Denied
-			if o.Sealed {
-				got = "sealed"
-			} else if o.Broken != "" {
-				got = "broken"
-			}
-			if got != want || b.attemptsStarted("r") != starts || len(o.Faults) > 0 {
-				t.Errorf("%s, once %v: %s after %d starts, want %s after %d; faults %v, %s", c.mode, once, got, b.attemptsStarted("r"), want, starts, o.Faults, o.Message)
-			}
-			if strings.HasPrefix(got, "not") && o.BackMs <= 0 {
-				t.Errorf("%s, once %v: no time to come back", c.mode, once)
-			}
-		}
+		t.Run(attempt.mode+"/once", func(t *testing.T) { checkOutcome(t, attempt.mode, true, attempt.once, attempt.onceStarts) })
+		t.Run(attempt.mode+"/idempotent", func(t *testing.T) { checkOutcome(t, attempt.mode, false, attempt.idempotent, attempt.idempotentStarts) })
+	}
+}
+
+// checkOutcome sends a request to two workers that fail in the same way.
+func checkOutcome(t *testing.T, mode string, once bool, want string, wantStarts int) {
+	t.Helper()
+	test := newTestProxy(t, mode, mode)
+	outcome := test.ask("r", once)
+	got := outcome.Denied
+	if outcome.Sealed {
+		got = "sealed"
+	} else if outcome.Broken != "" {
+		got = "broken"
+	}
+	if starts := test.attemptsStarted("r"); got != want || starts != wantStarts || len(outcome.Faults) > 0 {
+		t.Errorf("%s after %d starts, want %s after %d; faults %v, %s", got, starts, want, wantStarts, outcome.Faults, outcome.Message)
+	}
+	if strings.HasPrefix(got, "not") && outcome.BackMs <= 0 {
+		t.Error("no Retry-After")
 	}
 }
 
-// A once-only go is made again on proof alone, and then runs once.
+// A once-only request is retried only with proof that the first attempt wasn't started, and runs once.
 func TestProofAllowsARetryOfAOnceOnlyRequest(t *testing.T) {
 	for _, mode := range []string{"gone", "refuse"} {
-		for i := range 6 { // whichever of the two is asked first
-			b := newTestProxy(t, mode, "well")
+		for i := range 6 { // whichever of the two is selected first
+			test := newTestProxy(t, mode, "well")
 			id := fmt.Sprint("r", i)
-			if o := b.ask(id, true); !o.Sealed || b.attemptsStarted(id) != 1 {
-				t.Errorf("%s: %+v after %d starts", mode, o, b.attemptsStarted(id))
+			if outcome := test.ask(id, true); !outcome.Sealed || test.attemptsStarted(id) != 1 {
+				t.Errorf("%s: %+v after %d starts", mode, outcome, test.attemptsStarted(id))
 			}
 		}
 	}
 }
 
-// The same once-only id again: refused while it may have run, let in when it is proved not to have.
+// A once-only ID that comes again is rejected if the first request may have been executed, and accepted if it
+// is proven that it wasn't.
 func TestOnceOnlyIdsAgain(t *testing.T) {
-	b := newTestProxy(t, "well")
-	if o := b.ask("r", true); !o.Sealed {
-		t.Fatalf("%+v", o)
+	test := newTestProxy(t, "well")
+	if outcome := test.ask("r", true); !outcome.Sealed {
+		t.Fatalf("%+v", outcome)
 	}
-	if o := b.ask("r", true); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
-		t.Errorf("%+v after %d starts", o, b.attemptsStarted("r"))
+	if outcome := test.ask("r", true); outcome.Denied != "may-have-run" || test.attemptsStarted("r") != 1 {
+		t.Errorf("%+v after %d starts", outcome, test.attemptsStarted("r"))
 	}
-	b = newTestProxy(t, "refuse")
+	test = newTestProxy(t, "refuse")
 	for range 2 {
-		if o := b.ask("r", true); o.Denied != "not-run" {
-			t.Errorf("%+v", o)
+		if outcome := test.ask("r", true); outcome.Denied != "not-run" {
+			t.Errorf("%+v", outcome)
 		}
 	}
 }
 
-// Without proof that the configuration is the newest nothing starts; nor with a key or a route that
-// was taken out of force. All of it is said at once.
+// Without proof that the configuration is the newest nothing starts, nor with a key or a route that was
+// removed. The rejection doesn't wait.
 func TestWhatIsRejectedBeforeAnAttempt(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, rejected := range map[string]struct {
 		do   func(*testProxy)
 		kind string
 	}{
-		"the proof is too old":    {func(b *testProxy) { b.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
-		"there is no setup":       {func(b *testProxy) { b.snapshot = &updatestream.Snapshot{} }, "not-run"},
-		"the key is unknown":      {func(b *testProxy) { b.snapshot.Config.Tenants = nil; b.snapshot.Config.BuildIndex() }, "bad-key"},
-		"no way leads there":      {func(b *testProxy) { b.snapshot.Config.Routes = nil }, "no-such-model"},
-		"all workers are leaving": {func(b *testProxy) { b.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
-		"older weights alone": {func(b *testProxy) {
-			b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
+		"the proof is too old":    {func(test *testProxy) { test.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
+		"there is no setup":       {func(test *testProxy) { test.snapshot = &updatestream.Snapshot{} }, "not-run"},
+		"the key is unknown":      {func(test *testProxy) { test.snapshot.Config.Tenants = nil; test.snapshot.Config.BuildIndex() }, "bad-key"},
+		"no way leads there":      {func(test *testProxy) { test.snapshot.Config.Routes = nil }, "no-such-model"},
+		"all workers are leaving": {func(test *testProxy) { test.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
+		"older weights alone": {func(test *testProxy) {
+			test.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
-		b := newTestProxy(t, "well")
-		c.do(b)
-		if o := b.ask("r", true); o.Denied != c.kind || b.attemptsStarted("r") > 0 {
-			t.Errorf("%s: %+v after %d starts", name, o, b.attemptsStarted("r"))
+		test := newTestProxy(t, "well")
+		rejected.do(test)
+		if outcome := test.ask("r", true); outcome.Denied != rejected.kind || test.attemptsStarted("r") > 0 {
+			t.Errorf("%s: %+v after %d starts", name, outcome, test.attemptsStarted("r"))
 		}
 	}
-	b := newTestProxy(t, "well")
-	b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: time.Hour - time.Second}}}}
-	if o := b.ask("r", true); !o.Sealed {
-		t.Errorf("older weights within their bound: %+v", o)
+	test := newTestProxy(t, "well")
+	test.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: time.Hour - time.Second}}}}
+	if outcome := test.ask("r", true); !outcome.Sealed {
+		t.Errorf("older weights within their bound: %+v", outcome)
 	}
 }
 
-// An attempt that may have run is followed by a rejection for another reason: the caller still has to
-// hear that it may have run, and not a kind that says it didn't.
+// After an attempt that may have been executed, a rejection for another reason still says that the request may
+// have been executed.
 func TestWhatMayHaveRunIsNeverRejectedAsNotRun(t *testing.T) {
 	for name, change := range map[string]func(*updatestream.Snapshot){
 		"the key is taken out of force": func(s *updatestream.Snapshot) { s.Config = (&serviceconfig.Config{}).BuildIndex() },
@@ -294,84 +231,84 @@
 		"the proof gets too old": func(s *updatestream.Snapshot) { s.ProofAt = time.Minute },
 		"the workers leave":      func(s *updatestream.Snapshot) { s.Workers = nil },
 	} {
-		b := newTestProxy(t, "dies-before", "dies-before")
-		b.started = func() {
-			s := *b.snapshot
+		test := newTestProxy(t, "dies-before", "dies-before")
+		test.started = func() {
+			s := *test.snapshot
 			s.ConfigVersion++
 			change(&s)
-			b.snapshot = &s
+			test.snapshot = &s
 		}
-		if o := b.ask("r", false); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
-			t.Errorf("%s: %s (%s) after %d starts", name, o.Denied, o.Message, b.attemptsStarted("r"))
+		if outcome := test.ask("r", false); outcome.Denied != "may-have-run" || test.attemptsStarted("r") != 1 {
+			t.Errorf("%s: %s (%s) after %d starts", name, outcome.Denied, outcome.Message, test.attemptsStarted("r"))
 		}
 	}
 }
 
-// A caller that hangs up ends the worker's side, and its place at the gate is free again.
+// When the caller disconnects, the worker's side is canceled, and the request is no longer in flight.
 func TestCallerDisconnectReachesTheWorker(t *testing.T) {
-	b := newTestProxy(t, "hangs")
+	test := newTestProxy(t, "hangs")
 	ctx, hangUp := context.WithCancel(context.Background())
 	raw := `{"request_id":"r","model":"m","parts":["x"],"wait_ms":60000}`
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, b.edge.URL+"/v1/answers", strings.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, test.edge.URL+"/v1/answers", strings.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	q.Header.Set("X-Tenant-Key", "key-of-t")
-	q.Header.Set("Content-Type", "application/json")
+	request.Header.Set("X-Tenant-Key", "key-of-t")
+	request.Header.Set("Content-Type", "application/json")
 	done := make(chan error, 1)
-	go func() { _, err := http.DefaultClient.Do(q); done <- err }()
-	for b.attemptsStarted("r") == 0 {
+	go func() { _, err := http.DefaultClient.Do(request); done <- err }()
+	for test.attemptsStarted("r") == 0 {
 		runtime.Gosched()
 	}
 	hangUp()
 	if err := <-done; err == nil {
 		t.Fatal("the call went on")
 	}
-	// The worker's handler waits for its own caller's end; closing the edge waits for it.
-	b.edge.Close()
+	// The worker's handler waits until its request is canceled; closing the edge server waits for it.
+	test.edge.Close()
 	left := -1
-	b.proxy.traffic.Ask(func(g *trafficTable) { left = g.inFlight })
+	test.proxy.traffic.Ask(func(table *trafficTable) { left = table.inFlight })
 	if left != 0 {
-		t.Errorf("%d still under way at the gate", left)
+		t.Errorf("%d requests are still in flight", left)
 	}
 }
 
-// A caller that reads nothing holds up neither the others nor the memory: its stream waits
-// in the connection, line by line.
+// A caller that reads nothing neither delays others nor takes memory: its stream waits in the connection, line
+// by line.
 func TestSlowCallerDelaysNobody(t *testing.T) {
-	b := newTestProxy(t, "well")
-	b.snapshot.Workers[0].Slots = 64
-	c, err := net.Dial("tcp", b.edge.Listener.Addr().String())
+	test := newTestProxy(t, "well")
+	test.snapshot.Workers[0].Slots = 64
+	conn, err := net.Dial("tcp", test.edge.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	body := `{"request_id":"slow","model":"m","parts":["x"],"wait_ms":60000,"pieces":512}`
-	fmt.Fprintf(c, "POST /v1/answers HTTP/1.1\r\nHost: x\r\nX-Tenant-Key: key-of-t\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	for b.attemptsStarted("slow") == 0 {
+	fmt.Fprintf(conn, "POST /v1/answers HTTP/1.1\r\nHost: x\r\nX-Tenant-Key: key-of-t\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	for test.attemptsStarted("slow") == 0 {
 		runtime.Gosched()
 	}
 	for i := range 20 {
-		if o := b.ask(fmt.Sprint("r", i), true); !o.Sealed {
-			t.Fatalf("beside a slow caller: %+v", o)
+		if outcome := test.ask(fmt.Sprint("r", i), true); !outcome.Sealed {
+			t.Fatalf("beside a slow caller: %+v", outcome)
 		}
 	}
 }
 
 func TestBadRequestsAreTyped(t *testing.T) {
-	b := newTestProxy(t, "well")
+	test := newTestProxy(t, "well")
 	for body, kind := range map[string]string{
 		`{`: "bad-input", `{}`: "bad-input", `{"request_id":"r","model":"m","parts":[],"wait_ms":1}`: "bad-input",
 		`{"request_id":"r r","model":"m","parts":["x"],"wait_ms":1}`: "bad-input", `{"request_id":"r","model":"m","parts":["x"],"wait_ms":1,"odd":1}`: "bad-input",
 		`{"request_id":"r","model":"m","wait_ms":1,"parts":["` + strings.Repeat("x", 2<<20) + `"]}`: "too-big",
 	} {
-		q, err := http.NewRequest(http.MethodPost, b.edge.URL+"/v1/answers", bytes.NewReader([]byte(body)))
+		request, err := http.NewRequest(http.MethodPost, test.edge.URL+"/v1/answers", bytes.NewReader([]byte(body)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		q.Header.Set("X-Tenant-Key", "key-of-t")
-		q.Header.Set("Content-Type", "application/json")
-		r, err := http.DefaultClient.Do(q)
+		request.Header.Set("X-Tenant-Key", "key-of-t")
+		request.Header.Set("Content-Type", "application/json")
+		r, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -6,78 +6,159 @@
 	"fmt"
 	"time"
 
-	"pebbleloom/api/caller"
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/control/serviceconfig"
-	"pebbleloom/internal/data/placement"
-	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/wire"
 )
 
-// selectWorker selects the worker of the next attempt.
-func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, error) {
-	p, on := s.Placements[service], weightsFor(s, q)
-	u := Query{ID: q.RequestID, Mode: placementMode(s.Config, service), Zone: d.process.Settings.Zone, Entries: d.prefixEntries(s, q, tenant, es), Found: found,
-		Tried: tried, NewestWeights: s.WeightsAt[on.Model].Version, Placement: p, PrefillCurve: d.prefillCurve, NearBandwidth: d.nearBandwidth.Load(), FarBandwidth: d.farBandwidth.Load(), StoreBandwidth: d.storeBandwidth.Load(), Stores: map[string]string{}}
-	if p != nil {
-		u.PrefillCurve = p.PrefillCurve
+// Ratios of the bound on leaving workers (Bounds.Leave).
+const (
+	watchIntervalRatio = 0.2 // how often an attempt checks that its worker is still known
+	failedWorkerRatio  = 0.3 // for how long a worker gets no attempt after a failed one: until its next health check
+	noWorkerRetryRatio = 0.3 // Retry-After if no worker can be selected
+)
+
+// defaultAnswerChunks is how many chunks an answer has if the caller names no number.
+const defaultAnswerChunks = 16
+
+// kindStore is the kind of a worker that only stores prefixes.
+const kindStore = "store"
+
+// selectWorker selects the worker of the next attempt, and counts the attempt there.
+func (req *request) selectWorker(service string) (Choice, error) {
+	p := req.proxy
+	query := req.newQuery(service)
+	now := p.clock.Now()
+	var choice Choice
+	selected := false
+	p.traffic.Ask(func(table *trafficTable) {
+		table.addLoads(&query, now, p.bounds.Leave(failedWorkerRatio))
+		if choice, selected = Select(query); selected {
+			table.worker(choice.Worker.Name).attempts++
+		}
+	})
+	if !selected {
+		return choice, reject(errs.NotExecuted, req.ask.RequestID, p.bounds.Leave(noWorkerRetryRatio), "no worker of service %s can accept it now", service)
+	}
+	return choice, nil
+}
+
+// newQuery is the query for the request's next worker, without what the traffic table knows.
+func (req *request) newQuery(service string) Query {
+	p, snapshot := req.proxy, req.snapshot
+	target := weightsFor(snapshot, req.ask)
+	query := Query{
+		ID:             req.ask.RequestID,
+		Mode:           placementMode(snapshot.Config, service),
+		Zone:           p.process.Settings.Zone,
+		Entries:        req.prefixEntries(req.entries),
+		Found:          req.found,
+		Tried:          req.tried,
+		NewestWeights:  snapshot.WeightsAt[target.Model].Version,
+		Placement:      snapshot.Placements[service],
+		PrefillCurve:   p.prefillCurve,
+		NearBandwidth:  p.links.near.Load(),
+		FarBandwidth:   p.links.far.Load(),
+		StoreBandwidth: p.links.store.Load(),
+		Stores:         map[string]string{},
 	}
-	now := d.clock.Now()
-	for _, w := range s.Workers {
-		if w.Kind == "store" && w.State == updatestream.WorkerUp {
-			u.Stores[w.Name] = w.Addr
+	if query.Placement != nil {
+		query.PrefillCurve = query.Placement.PrefillCurve
+	}
+	for _, worker := range snapshot.Workers {
+		if worker.Kind == kindStore && worker.State == updatestream.WorkerUp {
+			query.Stores[worker.Name] = worker.Addr
 		}
-		if x := viewForTarget(w, on); x != nil && w.Service == service && w.State <= updatestream.WorkerSuspect {
-			u.Workers = append(u.Workers, x)
+		if view := viewForTarget(worker, target); view != nil && worker.Service == service && worker.State <= updatestream.WorkerSuspect {
+			query.Workers = append(query.Workers, view)
 		}
 	}
-	var c Choice
-	ok := false
-	d.traffic.Ask(func(g *trafficTable) {
-		u.MeanAttemptUs = g.meanAttemptUs
-		var up []*wire.Worker
-		for _, w := range u.Workers {
-			// A worker that has just failed an attempt here waits for its next good probe.
-			if x := g.workers[w.Name]; x == nil || x.failedAt == 0 || now-x.failedAt > d.bounds.Leave(0.3) {
-				up = append(up, w)
-			}
-		}
-		u.Workers = up
-		loads := make(map[string]float64, len(up))
-		for _, w := range up {
-			loads[w.Name] = float64(w.Busy + w.Queued)
-			if x := g.workers[w.Name]; x != nil {
-				loads[w.Name] = max(loads[w.Name], float64(x.attempts))
-			}
+	return query
+}
+
+// addLoads adds the load of the workers to a query, and takes out those that have failed an attempt of this
+// node less than failurePause ago.
+func (t *trafficTable) addLoads(query *Query, now, failurePause time.Duration) {
+	query.MeanAttemptUs = t.meanAttemptUs
+	var healthy []*wire.Worker
+	for _, worker := range query.Workers {
+		if state := t.workers[worker.Name]; state == nil || state.failedAt == 0 || now-state.failedAt > failurePause {
+			healthy = append(healthy, worker)
 		}
-		u.Load = func(n string) float64 { return loads[n] }
-		if c, ok = Select(u); ok {
-			g.worker(c.Worker.Name).attempts++
+	}
+	query.Workers = healthy
+	loads := make(map[string]float64, len(healthy))
+	for _, worker := range healthy {
+		loads[worker.Name] = float64(worker.Busy + worker.Queued)
+		if state := t.workers[worker.Name]; state != nil {
+			loads[worker.Name] = max(loads[worker.Name], float64(state.attempts))
 		}
-	})
-	if !ok {
-		return c, reject(errs.NotExecuted, q.RequestID, d.bounds.Leave(0.3), "no worker of service %s can take it now", service)
 	}
-	return c, nil
+	query.Load = func(name string) float64 { return loads[name] }
+}
+
+func placementMode(config *serviceconfig.Config, service string) string {
+	if mode := config.Services[service].Placement; mode != "" {
+		return mode
+	}
+	return serviceconfig.PlacementHRCS
+}
+
+// startAttempt starts an attempt and waits for its first line. If it fails, notExecuted says whether it is
+// proven that the attempt never started.
+func (req *request) startAttempt(service string, choice Choice, deadline time.Duration) (started *stream, notExecuted bool, err error) {
+	p, worker := req.proxy, choice.Worker
+	remaining := req.timeRemaining()
+	ctx, cancel := context.WithCancel(req.ctx)
+	s := &stream{
+		proxy:     p,
+		id:        req.ask.RequestID,
+		worker:    worker.Name,
+		zone:      worker.Zone,
+		startedAt: p.clock.Now(),
+		cancel:    cancel,
+		snapshot:  req.snapshot,
+	}
+	s.watch = time.AfterFunc(p.bounds.Leave(watchIntervalRatio), func() { p.watchWorker(s, worker, cancel) })
+	response := p.backends.Start(ctx, worker.Addr, req.startRequest(worker, remaining, deadline), choice.hints())
+	if response.Err != nil {
+		s.finish(false)
+		return nil, response.NotExecuted(), response.Err
+	}
+	p.index.recordAccesses(service, choice.Entries, worker.Name, choice.SaveNames, choice.SaveEntries)
+	s.body, s.reader = response.Body, bufio.NewReaderSize(response.Body, contract.MaxLineBytes)
+	s.verifier = contract.NewStreamVerifier(req.ask.RequestID, worker.Name)
+	if err := s.readLine(); err != nil {
+		s.finish(false)
+		return nil, false, err
+	}
+	req.logDecision(choice)
+	return s, false, nil
 }
 
-func placementMode(s *serviceconfig.Config, service string) string {
-	if m := s.Services[service].Placement; m != "" {
-		return m
+func (req *request) startRequest(worker *wire.Worker, remaining, deadline time.Duration) contract.StartRequest {
+	ask, target := req.ask, weightsFor(req.snapshot, req.ask)
+	return contract.StartRequest{
+		RequestID:   ask.RequestID,
+		Tenant:      req.tenant,
+		Domain:      req.snapshot.Config.CacheDomain(req.tenant),
+		Model:       target.Model,
+		Adapter:     target.Adapter,
+		Build:       target.Build,
+		Weights:     worker.Weights,
+		Parts:       ask.Parts,
+		Pieces:      ask.Pieces.Or(defaultAnswerChunks),
+		WaitMs:      int(min(remaining, deadline-req.proxy.clock.Now()).Milliseconds()),
+		Once:        req.once,
+		Incarnation: worker.Incarnation,
+		BeginByUs:   workerStartDeadline(worker, deadline),
 	}
-	return "hrcs"
 }
 
-// startAttempt begins an attempt and waits for its first line. Where it fails, notRun is the proof that
-// the attempt never started.
-func (d *Proxy) startAttempt(ctx context.Context, s *updatestream.Snapshot, q *caller.Ask, tenant, service string, c Choice, left, until time.Duration) (*stream, bool, error) {
-	ctx, stop := context.WithCancel(ctx)
-	w := c.Worker
-	o := &stream{proxy: d, id: q.RequestID, worker: w.Name, zone: w.Zone, startedAt: d.clock.Now(), cancel: stop, snapshot: s}
-	watch := time.AfterFunc(d.bounds.Leave(0.2), func() { d.watchWorker(o, w, stop) })
-	o.watch = watch
+// hints are the header fields that tell the worker where to fetch prefixes from and where to save them.
+func (c *Choice) hints() map[string]string {
 	hints := map[string]string{}
 	if c.FetchFrom != "" {
 		hints[contract.FetchFrom] = c.FetchFrom
@@ -85,41 +166,23 @@
 	if c.SaveAddrs != "" {
 		hints[contract.SaveTo], hints[contract.SaveUpTo] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
 	}
-	on := weightsFor(s, q)
-	g := d.backends.Start(ctx, w.Addr, contract.StartRequest{RequestID: q.RequestID, Tenant: tenant, Domain: s.Config.CacheDomain(tenant), Model: on.Model, Adapter: on.Adapter, Build: on.Build,
-		Weights: w.Weights, Parts: q.Parts, Pieces: q.Pieces.Or(16), WaitMs: int(min(left, until-d.clock.Now()).Milliseconds()), Once: q.Once.Or(false),
-		Incarnation: w.Incarnation, BeginByUs: workerStartDeadline(w, until)}, hints)
-	if g.Err != nil {
-		o.finish(false)
-		return nil, g.NotExecuted(), g.Err
-	}
-	d.index.recordAccesses(service, c.Entries, w.Name, c.SaveNames, c.SaveEntries)
-	o.body, o.reader, o.checker = g.Body, bufio.NewReaderSize(g.Body, contract.MaxLineBytes), contract.NewStreamVerifier(q.RequestID, w.Name)
-	if err := o.readLine(); err != nil {
-		o.finish(false)
-		return nil, false, err
-	}
-	d.logDecision(q.RequestID, s, c)
-	return o, false, nil
+	return hints
 }
 
-// watchWorker gives up an attempt whose worker has gone: its silence is not waited out.
-func (d *Proxy) watchWorker(o *stream, w *wire.Worker, stop func()) {
-	for _, x := range d.follower.Snapshot().Workers {
-		if x.Name == w.Name && x.Addr == w.Addr && x.State != updatestream.WorkerGone && (x.Incarnation == w.Incarnation || w.Incarnation == "") {
-			o.rescheduleWatch(d.bounds.Leave(0.2), func() { d.watchWorker(o, w, stop) })
+// watchWorker cancels an attempt whose worker is gone, without waiting for a time-out.
+func (p *Proxy) watchWorker(s *stream, worker *wire.Worker, cancel func()) {
+	for _, known := range p.follower.Snapshot().Workers {
+		if isSameWorker(known, worker) && known.State != updatestream.WorkerGone {
+			s.rescheduleWatch(p.bounds.Leave(watchIntervalRatio), func() { p.watchWorker(s, worker, cancel) })
 			return
 		}
 	}
-	stop()
+	cancel()
 }
 
-// PlacementFor gives the placement in use for a service, for those who explain choices.
-//
-// Example: p := d.PlacementFor("lector")
-func (d *Proxy) PlacementFor(service string) *placement.Placement {
-	if s := d.follower.Snapshot(); s != nil {
-		return s.Placements[service]
-	}
-	return nil
+// isSameWorker reports whether a known worker is the one that an attempt was started at, in the same
+// incarnation if that was known.
+func isSameWorker(known, started *wire.Worker) bool {
+	return known.Name == started.Name && known.Addr == started.Addr &&
+		(started.Incarnation == "" || known.Incarnation == started.Incarnation)
 }
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -16,15 +16,26 @@
 	"pebbleloom/internal/wire"
 )
 
-// onceClaims is what a request needs of the claimer.
+const (
+	// claimTimeoutRatio of the healing bound is how long a command with claims may take.
+	claimTimeoutRatio = 1.0 / 6
+	// maxClaimsPerCommand bounds the claims that are sent to a shard in one command.
+	maxClaimsPerCommand = 256
+	// onceIDBytes is the length of the hash by which a shard remembers a once-only request.
+	onceIDBytes = 16
+)
+
+// onceClaims claims the IDs of once-only requests.
 type onceClaims interface {
+	// acquire claims an ID, with a nonce of its own. After an error the claim may have been granted: the
+	// request must not start, and the claim should be released.
 	acquire(ctx context.Context, id []byte) (nonce uint64, granted bool, err error)
+	// release gives up a claim; its request was proven not to have been executed.
 	release(id []byte, nonce uint64)
 }
 
-// claimer takes once-only ids at the control state before anything starts, so that one id
-// can't run through two dispatchers. Ids are spread over the parts; what waits for a part
-// goes into one command.
+// claimer claims IDs at the control state before anything starts, so that one ID can't be executed through
+// two proxies. The IDs are spread over the shards; the claims that wait for a shard go into one command.
 type claimer struct {
 	control   *controlclient.Client
 	queues    [controlclient.ShardCount]*queue.Ring[pendingClaim]
@@ -42,30 +53,31 @@
 	err     error
 }
 
-// Claim ids are told apart by tenant and request id.
+// onceID is the ID by which the control state remembers a tenant's request.
 func onceID(tenant, request string) []byte {
-	h := sha256.Sum256([]byte(tenant + "\x00" + request))
-	return h[:16]
+	sum := sha256.Sum256([]byte(tenant + "\x00" + request))
+	return sum[:onceIDBytes]
 }
 
-func newClaimer(l *daemon.Process, fol func() *updatestream.Snapshot, calls *daemon.Clients, inc uint64) *claimer {
+// newClaimer starts a claimer. The seed has to be above all nonces of earlier incarnations of this process: a
+// nonce is never used twice.
+func newClaimer(process *daemon.Process, snapshot func() *updatestream.Snapshot, clients *daemon.Clients, seed uint64) *claimer {
 	view := func() clustermembership.View {
-		if s := fol(); s != nil {
-			return clustermembership.View{Nodes: s.Nodes}
+		if current := snapshot(); current != nil {
+			return clustermembership.View{Nodes: current.Nodes}
 		}
 		return clustermembership.View{}
 	}
-	c := &claimer{control: controlclient.New(l.Settings.Core, view, calls, l.Settings.Bounds), timeout: l.Settings.Bounds.Heal(1.0 / 6)}
-	c.lastNonce.Store(inc) // a nonce is never used again, also not by a later life
-	for i := range c.queues {
-		c.queues[i] = queue.NewRing[pendingClaim](l.Settings.Bounds.MaxConcurrentRequests)
-		l.Go(func() { c.runShard(l.Ctx, uint32(i)) })
+	bounds := process.Settings.Bounds
+	c := &claimer{control: controlclient.New(process.Settings.Core, view, clients, bounds), timeout: bounds.Heal(claimTimeoutRatio)}
+	c.lastNonce.Store(seed)
+	for shard := range c.queues {
+		c.queues[shard] = queue.NewRing[pendingClaim](bounds.MaxConcurrentRequests)
+		process.Go(func() { c.runShard(process.Ctx, uint32(shard)) })
 	}
 	return c
 }
 
-// acquire claims an id. An error means that it isn't known whether the claim was granted; the
-// request must not start then.
 func (c *claimer) acquire(ctx context.Context, id []byte) (nonce uint64, granted bool, err error) {
 	nonce = c.lastNonce.Add(1)
 	result := make(chan claimResult, 1)
@@ -80,42 +92,58 @@
 	}
 }
 
-// release gives an id back whose request is proved not to have run.
+// release doesn't wait. If the queue is full, the ID stays claimed, which is safe.
 func (c *claimer) release(id []byte, nonce uint64) {
-	c.queueOf(id).Offer(pendingClaim{claim: &wire.Claim{Id: id, Nonce: nonce, Release: true}}) // when full, the id stays taken: safe
+	c.queueOf(id).Offer(pendingClaim{claim: &wire.Claim{Id: id, Nonce: nonce, Release: true}})
 }
 
+// queueOf is the queue of an ID's shard. Shard 0 holds no claims.
 func (c *claimer) queueOf(id []byte) *queue.Ring[pendingClaim] {
 	return c.queues[1+binary.LittleEndian.Uint64(id)%(controlclient.ShardCount-1)]
 }
 
-// runShard carries one part's claims, one command at a time; what comes meanwhile joins the next.
-func (c *claimer) runShard(ctx context.Context, part uint32) {
+// runShard sends one shard's claims, one command at a time; those that come meanwhile join the next.
+func (c *claimer) runShard(ctx context.Context, shard uint32) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case x := <-c.queues[part].Out():
-			l := append([]pendingClaim{x}, c.queues[part].Drain(255)...)
-			cs := &wire.Claims{}
-			for _, y := range l {
-				cs.Claims = append(cs.Claims, y.claim)
-			}
-			one, end := context.WithTimeout(ctx, c.timeout)
-			t, err := c.control.Change(one, &wire.ChangeRequest{Shard: part, Command: &wire.Command{Kind: &wire.Command_Claims{Claims: cs}}})
-			end()
-			if err == nil && len(t.Granted) != len(l) {
-				err = errs.New(errs.Internal, "%d claims, %d answers", len(l), len(t.Granted))
-			}
-			for i, y := range l {
-				r := claimResult{err == nil && t.Granted[i], err}
-				if err == nil && i < len(t.Full) && t.Full[i] {
-					r.err = errs.New(errs.Overloaded, "the part remembers as many once-only ids as it may")
-				}
-				if y.result != nil {
-					y.result <- r
-				}
+		case first := <-c.queues[shard].Out():
+			batch := append([]pendingClaim{first}, c.queues[shard].Drain(maxClaimsPerCommand-1)...)
+			response, err := c.send(ctx, shard, batch)
+			deliver(batch, response, err)
+		}
+	}
+}
+
+// send sends claims in one command. The response has a result for each of them if there is no error.
+func (c *claimer) send(ctx context.Context, shard uint32, batch []pendingClaim) (*wire.ChangeResponse, error) {
+	claims := &wire.Claims{}
+	for _, pending := range batch {
+		claims.Claims = append(claims.Claims, pending.claim)
+	}
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
+	defer cancel()
+	command := &wire.Command{Kind: &wire.Command_Claims{Claims: claims}}
+	response, err := c.control.Change(ctx, &wire.ChangeRequest{Shard: shard, Command: command})
+	if err == nil && len(response.Granted) != len(batch) {
+		err = errs.New(errs.Internal, "%d claims, %d results", len(batch), len(response.Granted))
+	}
+	return response, err
+}
+
+// deliver passes each claim's result on to the request that waits for it.
+func deliver(batch []pendingClaim, response *wire.ChangeResponse, err error) {
+	for i, pending := range batch {
+		result := claimResult{err: err}
+		if err == nil {
+			result.granted = response.Granted[i]
+			if i < len(response.Full) && response.Full[i] {
+				result.err = errs.New(errs.Overloaded, "the shard remembers as many once-only IDs as it may")
 			}
 		}
+		if pending.result != nil {
+			pending.result <- result
+		}
 	}
 }
--- /dev/null
+++ b/internal/data/callerproxy/cost.go
@@ -0,0 +1,84 @@
+package callerproxy
+
+import (
+	"fmt"
+
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/wire"
+)
+
+// freeSlotWaitRatio of the time that a full worker's queue would take is the wait at a worker with a free
+// slot: its other requests' prefill delays this one.
+const freeSlotWaitRatio = 0.25
+
+// microsecondsPerSecond converts bandwidths to times.
+const microsecondsPerSecond = 1e6
+
+// estimateCost estimates what a request costs at a worker: the wait for a slot, fetches, and prefill.
+func (q *Query) estimateCost(worker *wire.Worker, entries []prefix.Entry, view *siteView) *candidate {
+	c := &candidate{worker: worker, entries: entries}
+	missingTokens, fetchUs := q.planFetches(c, view)
+	c.waitUs = q.waitUs(worker)
+	c.costUs = c.waitUs + fetchUs
+	if missingTokens > 0 {
+		c.costUs += q.PrefillCurve.At(float64(missingTokens))
+	}
+	return c
+}
+
+// planFetches goes through the entries from the front, as far as the worker holds them or can fetch them for
+// less than their prefill. It returns the tokens that have to be prefilled, and the time of the fetches.
+func (q *Query) planFetches(c *candidate, view *siteView) (missingTokens int, fetchUs float64) {
+	if len(c.entries) > 0 {
+		missingTokens = c.entries[len(c.entries)-1].CumulativeTokens
+	}
+	for i, entry := range c.entries {
+		if view.holders[entry.Key][c.worker.Name] {
+			c.hitTokens += entry.Tokens
+			missingTokens -= entry.Tokens
+			continue
+		}
+		source, bandwidth := q.fastestSource(entry.Key, c.worker.Zone, view)
+		if source == "" || bandwidth <= 0 {
+			break
+		}
+		entryUs := float64(entry.Tokens) / bandwidth * microsecondsPerSecond
+		savedUs := q.PrefillCurve.At(float64(missingTokens)) - q.PrefillCurve.At(float64(missingTokens-entry.Tokens))
+		if entryUs >= savedUs {
+			break
+		}
+		fetchUs += entryUs
+		missingTokens -= entry.Tokens
+		c.fetchTokens += entry.Tokens
+		c.fetchFrom = append(c.fetchFrom, fmt.Sprintf("%d=%s", i, source))
+	}
+	return missingTokens, fetchUs
+}
+
+// fastestSource returns the address of the holder of an entry with the highest bandwidth to a zone; among
+// equals the lowest address. It is "" if there is none.
+func (q *Query) fastestSource(key prefix.Key, zone string, view *siteView) (source string, bandwidth float64) {
+	for holder := range view.holders[key] {
+		holderBandwidth := q.FarBandwidth
+		if _, isStore := q.Stores[holder]; isStore {
+			holderBandwidth = q.StoreBandwidth
+		} else if view.zone[holder] == zone {
+			holderBandwidth = q.NearBandwidth
+		}
+		addr := view.addr[holder]
+		if addr != "" && (holderBandwidth > bandwidth || holderBandwidth == bandwidth && addr < source) {
+			source, bandwidth = addr, holderBandwidth
+		}
+	}
+	return source, bandwidth
+}
+
+// waitUs estimates the time until a worker begins the request.
+func (q *Query) waitUs(worker *wire.Worker) float64 {
+	slots := float64(max(1, worker.Slots))
+	load := q.Load(worker.Name)
+	if load >= slots {
+		return (load - slots + 1) / slots * q.MeanAttemptUs
+	}
+	return load / slots * q.MeanAttemptUs * freeSlotWaitRatio
+}
--- /dev/null
+++ b/internal/data/callerproxy/freshness_test.go
@@ -0,0 +1,84 @@
+package callerproxy
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"pebbleloom/api/caller"
+	"pebbleloom/internal/data/updatestream"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/sim/loadgen"
+	"pebbleloom/internal/wire"
+)
+
+// The deadline is converted to the worker's clock, which may be ahead or behind by any time. Whenever during a
+// health check that clock was read, the worker refuses the attempt no later than the instant meant here, and
+// earlier by the duration of the check at most.
+func TestWorkerStartDeadlineHoldsOnAnyClock(t *testing.T) {
+	const until = 100 * time.Second
+	for _, ahead := range []time.Duration{-time.Hour, 0, 90 * time.Hour} {
+		for _, probe := range []time.Duration{0, time.Millisecond, 700 * time.Millisecond} {
+			for _, read := range []time.Duration{0, probe / 2, probe} {
+				asked := 98 * time.Second
+				worker := &wire.Worker{ClockNs: uint64(200*time.Hour + asked + read + ahead), ClockReadAt: uint64(asked + probe)}
+				here := time.Duration(workerStartDeadline(worker, until))*time.Microsecond - 200*time.Hour - ahead
+				if here > until || here < until-probe {
+					t.Errorf("ahead %v, probe %v read after %v: converted deadline is %v here, %v is meant", ahead, probe, read, here, until)
+				}
+			}
+		}
+	}
+	if workerStartDeadline(&wire.Worker{}, until) != 0 {
+		t.Error("a worker that reports no clock was given a deadline")
+	}
+}
+
+// The deadline is the earliest of the configuration's and that of the worker's superseded weights.
+func TestStartDeadline(t *testing.T) {
+	test := newTestProxy(t, "well")
+	bounds, now := settings.DefaultBounds(), test.clock.Now()
+	test.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: now - bounds.Weights(0.9)}, {Version: 2, NewestUntil: now}}}}
+	req := &request{proxy: test.proxy, snapshot: test.snapshot, ask: &caller.Ask{Model: "m"}}
+	for weights, want := range map[uint64]time.Duration{
+		1: now + bounds.Weights(0.05),
+		2: now + bounds.Config(0.95),
+		3: now + bounds.Config(0.95),
+	} {
+		if got := req.startDeadline(&wire.Worker{Weights: weights}); got != want {
+			t.Errorf("weights %d: until %v, %v is due", weights, got-now, want-now)
+		}
+	}
+	// A queue that is longer than that is waited for here, where the configuration is checked again.
+	test.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 200000 })
+	test.started = func() { t.Error("it was sent to a worker whose queue outlasts its proof") }
+	test.snapshot.ProofAt = now - bounds.Config(0.7)
+	test.snapshot.Workers[0].Weights = 3
+	none, looks := *test.snapshot, 0
+	none.Workers = nil
+	test.proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
+		test.mu.Lock()
+		defer test.mu.Unlock()
+		if looks++; looks > 10 { // the worker leaves while the request waits
+			return &none
+		}
+		return test.snapshot
+	})
+	if outcome := test.ask("r", true); outcome.Denied != "not-run" || looks <= 10 {
+		t.Errorf("denied as %s after %d looks", outcome.Denied, looks)
+	}
+}
+
+// The end of the caller's wait ends the request, whatever the clocks say: a clock that runs a little slower than
+// the timer must not make a waiting request spin.
+func TestExpiredWaitIsAnswered(t *testing.T) {
+	test := newTestProxy(t, "well") // its clock stands still
+	test.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 1000 })
+	test.snapshot.ProofAt = test.clock.Now() - settings.DefaultBounds().Config(0.799)
+	test.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
+	request := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
+	outcome := loadgen.NewCaller([]string{test.edge.Listener.Addr().String()}).Ask(context.Background(), 0, request)
+	if outcome.Denied != "not-run" || test.attemptsStarted("r") > 0 {
+		t.Errorf("%s %s", outcome.Denied, outcome.Message)
+	}
+}
--- /dev/null
+++ b/internal/data/callerproxy/request.go
@@ -0,0 +1,247 @@
+package callerproxy
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"pebbleloom/api/caller"
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/updatestream"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/wire"
+)
+
+const (
+	// recheckRatio of the configuration bound is the pause before a request whose attempt can't start yet
+	// is looked at again.
+	recheckRatio = 0.02
+	// claimRetryRatio and failureRetryRatio of the healing bound are the Retry-After where an ID can't be
+	// claimed and where all attempts have failed.
+	claimRetryRatio   = 1.0 / 12
+	failureRetryRatio = 1.0 / 24
+)
+
+// request is one request of a caller: what it was admitted under, and what became of its attempts.
+type request struct {
+	proxy     *Proxy
+	ask       *caller.Ask
+	tenantKey string
+	tenant    string
+	once      bool            // it may be executed only once, whatever the outcome
+	ctx       context.Context // done when the caller's wait is over, or it disconnects
+	cancel    context.CancelFunc
+	startedAt time.Duration
+	wait      time.Duration // from startedAt: how long the caller waits for the first chunk
+
+	snapshot        *updatestream.Snapshot // checked again right before each attempt starts
+	entries         map[uint64][]prefix.Entry
+	found           map[prefix.Key]*wire.LookupResult
+	tried           map[string]bool // workers of failed attempts, by name
+	budgeted        bool            // its first attempt was counted for the retry budget
+	claimNonce      uint64          // of its claim; 0: none
+	mayHaveExecuted bool
+}
+
+// Answer answers one request; see the package's comment.
+//
+// Example: POST /v1/answers {"request_id": "r1", "model": "lector", "parts": ["…"], "wait_ms": 8000}
+func (p *Proxy) Answer(ctx context.Context, ask *caller.Ask, params caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
+	req, err := p.admit(ctx, ask, params)
+	if err != nil {
+		return nil, err
+	}
+	if err := req.claimID(); err != nil {
+		req.release()
+		return nil, err
+	}
+	req.lookUpPrefixes()
+	for {
+		started, err := req.tryWorker()
+		if started != nil {
+			started.release = req.release
+			return &caller.AnswerOKHeaders{
+				XRequestID:  ask.RequestID,
+				XWorker:     started.worker,
+				XSetupEpoch: fmt.Sprint(req.snapshot.ConfigVersion),
+				Response:    caller.AnswerOK{Data: started},
+			}, nil
+		}
+		if err != nil {
+			req.release()
+			return nil, withholdNotExecuted(err, req.mayHaveExecuted)
+		}
+	}
+}
+
+// admit admits a request under the newest configuration, or rejects it.
+func (p *Proxy) admit(ctx context.Context, ask *caller.Ask, params caller.AnswerParams) (*request, error) {
+	req := &request{proxy: p, ask: ask, tenantKey: params.XTenantKey, once: ask.Once.Or(false), startedAt: p.clock.Now(), tried: map[string]bool{}}
+	var err error
+	if req.snapshot, err = p.freshSnapshot(ask.RequestID); err != nil {
+		return nil, err
+	}
+	config := req.snapshot.Config
+	req.wait = time.Duration(ask.WaitMs) * time.Millisecond
+	if config.MaxWaitMs > 0 {
+		req.wait = min(req.wait, time.Duration(config.MaxWaitMs)*time.Millisecond)
+	}
+	if size, limit := promptBytes(ask), p.bounds.MaxBodyKB<<10; size > limit {
+		return nil, reject(errs.TooLarge, ask.RequestID, 0, "parts: %d bytes, at most %d", size, limit)
+	}
+	tenant, limits, ok := config.Tenant(req.tenantKey)
+	if !ok {
+		return nil, reject(errs.BadKey, ask.RequestID, 0, "the key is not in force")
+	}
+	req.tenant = tenant
+	var refused *refusal
+	p.traffic.Ask(func(table *trafficTable) {
+		refused = table.admit(tenant, limits, p.bounds.MaxConcurrentRequests, countEdgeNodes(req.snapshot, false), req.startedAt)
+	})
+	if refused != nil {
+		return nil, reject(refused.kind, ask.RequestID, refused.retryAfter, "%s", refused.reason)
+	}
+	req.ctx, req.cancel = context.WithTimeout(ctx, req.timeRemaining())
+	return req, nil
+}
+
+func promptBytes(ask *caller.Ask) (size int) {
+	for _, part := range ask.Parts {
+		size += len(part)
+	}
+	return size
+}
+
+// release ends the request. Its claim is released only if it is proven that nothing was executed: then the
+// caller may send the ID again.
+func (req *request) release() {
+	req.cancel()
+	req.proxy.traffic.TrySend(func(table *trafficTable) { table.endRequest(req.tenant) })
+	if req.claimNonce != 0 && !req.mayHaveExecuted {
+		req.proxy.claims.release(onceID(req.tenant, req.ask.RequestID), req.claimNonce)
+	}
+}
+
+// claimID claims the ID of a once-only request before anything starts.
+func (req *request) claimID() error {
+	if !req.once {
+		return nil
+	}
+	id := req.ask.RequestID
+	nonce, granted, err := req.proxy.claims.acquire(req.ctx, onceID(req.tenant, id))
+	if err != nil {
+		req.claimNonce = nonce // it may have been granted
+		return reject(errs.NotExecuted, id, req.proxy.bounds.Heal(claimRetryRatio), "its ID can't be claimed now: %v", err)
+	}
+	if !granted {
+		return reject(errs.MayHaveExecuted, id, 0, "a once-only request with this ID was accepted before")
+	}
+	req.claimNonce = nonce
+	return nil
+}
+
+// lookUpPrefixes asks the prompt index who holds the prompt's prefixes.
+func (req *request) lookUpPrefixes() {
+	req.entries = req.prefixEntries(nil)
+	req.found = req.proxy.index.lookUp(req.ctx, entryKeys(req.entries))
+}
+
+// tryWorker makes one attempt. It returns a stream that has started, or the request's final error; if
+// neither, it may be called again.
+func (req *request) tryWorker() (*stream, error) {
+	p := req.proxy
+	service, err := req.resolveRoute()
+	if err != nil {
+		return nil, err
+	}
+	choice, err := req.selectWorker(service)
+	if err != nil {
+		return nil, err
+	}
+	worker := choice.Worker
+	deadline := req.startDeadline(worker)
+	if ready, pause, err := req.mayStart(choice, service, deadline); !ready {
+		p.traffic.TrySend(func(table *trafficTable) { table.cancelAttempt(worker.Name) })
+		if pause > 0 {
+			clock.Sleep(req.ctx, pause)
+		}
+		return nil, err
+	}
+	started, notExecuted, err := req.startAttempt(service, choice, deadline)
+	req.mayHaveExecuted = req.mayHaveExecuted || !notExecuted
+	if err == nil {
+		return started, nil
+	}
+	req.tried[worker.Name] = true
+	p.process.Log.Debug("callerproxy: attempt failed", "request", req.ask.RequestID, "worker", worker.Name, "not_executed", notExecuted, "error", err)
+	return nil, req.retryOrFail(service, worker.Name, notExecuted, err)
+}
+
+// resolveRoute takes over a newer configuration, and finds the service that the request is routed to.
+func (req *request) resolveRoute() (service string, err error) {
+	id := req.ask.RequestID
+	newest, err := req.proxy.freshSnapshot(id)
+	if err != nil {
+		return "", err
+	}
+	if newest.ConfigVersion != req.snapshot.ConfigVersion {
+		if req.snapshot = newest; !newest.Config.KeyBelongsTo(req.tenantKey, req.tenant) {
+			return "", reject(errs.BadKey, id, 0, "the key was revoked")
+		}
+		req.lookUpPrefixes()
+	}
+	config := req.snapshot.Config
+	route, ok := config.Routes[req.ask.Model]
+	if !ok {
+		return "", reject(errs.NoSuchModel, id, 0, "no route leads to model %q", req.ask.Model)
+	}
+	if target := weightsFor(req.snapshot, req.ask); !config.Allows(target.Adapter, req.tenant) {
+		return "", reject(errs.NoSuchModel, id, 0, "adapter %q isn't for tenant %s", target.Adapter, req.tenant)
+	}
+	return route.ServiceFor(id), nil
+}
+
+// mayStart reports whether an attempt may start now: within the caller's wait, the deadline and the newest
+// configuration. If not, and without an error, the request is looked at again after the pause.
+func (req *request) mayStart(choice Choice, service string, deadline time.Duration) (ready bool, pause time.Duration, err error) {
+	p, queued := req.proxy, time.Duration(choice.WaitUs)*time.Microsecond
+	if req.timeRemaining() <= 0 || req.ctx.Err() != nil {
+		return false, 0, reject(errs.NotExecuted, req.ask.RequestID, 0, "the wait was over before an attempt could start")
+	}
+	if queued > req.timeRemaining() {
+		return false, 0, reject(errs.Overloaded, req.ask.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", choice.WaitUs/1000)
+	}
+	if p.clock.Now()+queued > deadline { // the request waits here, where its configuration is checked again
+		return false, p.bounds.Config(recheckRatio), nil
+	}
+	if !req.budgeted {
+		req.budgeted = true
+		p.traffic.TrySend(func(table *trafficTable) { table.depositRetryTokens(service, req.snapshot) })
+	}
+	return p.isCurrent(req.snapshot), 0, nil
+}
+
+// timeRemaining is how much of the caller's wait remains.
+func (req *request) timeRemaining() time.Duration {
+	return req.wait - (req.proxy.clock.Now() - req.startedAt)
+}
+
+// retryOrFail returns nil if another attempt may follow a failed one, and else the request's final error.
+func (req *request) retryOrFail(service, worker string, notExecuted bool, err error) error {
+	p, id := req.proxy, req.ask.RequestID
+	retry, expired := false, req.ctx.Err() != nil
+	if (notExecuted || !req.once) && !expired {
+		p.traffic.Ask(func(table *trafficTable) { retry = table.spendRetryBudget(service, req.snapshot) })
+	}
+	switch {
+	case retry:
+		p.stats.retries.Add(1)
+		return nil
+	case !req.mayHaveExecuted || !expired && !req.once:
+		return reject(errs.NotExecuted, id, p.bounds.Heal(failureRetryRatio), "worker %s: %v", worker, err)
+	case req.once:
+		return reject(errs.MayHaveExecuted, id, 0, "worker %s: %v", worker, err)
+	}
+	return reject(errs.DeadlineExceeded, id, p.bounds.Heal(failureRetryRatio), "worker %s didn't begin in time", worker)
+}
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -12,51 +12,51 @@
 	"pebbleloom/internal/errs"
 )
 
-// stream passes a worker's lines on, one by one, each checked. It ends well only after the
-// worker's seal; anything else is an error, which breaks the caller's connection visibly.
+// stream passes a worker's answer on to the caller line by line, and verifies each line. It ends with io.EOF
+// only after the worker's seal; any other error aborts the caller's connection visibly.
 type stream struct {
 	proxy     *Proxy
-	id        string
+	id        string // of the request
 	worker    string
-	zone      string
+	zone      string // of the worker
 	snapshot  *updatestream.Snapshot
 	startedAt time.Duration
+	cancel    func()
+	release   func() // ends the request; nil while the attempt may still fail
 	body      io.ReadCloser
 	reader    *bufio.Reader
-	checker   *contract.StreamVerifier
-	line      []byte
-	cancel    func()
-	release   func()
-	err       error
+	verifier  *contract.StreamVerifier
+	line      []byte // verified, not yet read; valid until the next line is read
+	err       error  // that ended the stream; io.EOF after the seal
 
 	mu    sync.Mutex
-	watch *time.Timer
+	watch *time.Timer // checks that the worker is still known
 	ended bool
 }
 
-// readLine reads and checks the next line.
+// readLine reads and verifies the next line.
 func (s *stream) readLine() error {
-	raw, err := s.reader.ReadSlice('\n')
+	line, err := s.reader.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
 		return errs.New(errs.Internal, "a line longer than %d bytes", contract.MaxLineBytes)
-	case errors.Is(err, io.EOF) && len(raw) == 0 && s.checker.Sealed != nil:
+	case errors.Is(err, io.EOF) && len(line) == 0 && s.verifier.Sealed != nil:
 		return io.EOF
 	case errors.Is(err, io.EOF):
 		return errs.New(errs.Internal, "the stream ended without its seal")
 	case err != nil:
 		return errs.Wrap(err, "read stream")
 	}
-	if w := s.checker.Verify(raw); w != "" {
-		return errs.New(errs.Internal, "%s", w)
+	if fault := s.verifier.Verify(line); fault != "" {
+		return errs.New(errs.Internal, "%s", fault)
 	}
-	s.line = raw
+	s.line = line
 	return nil
 }
 
-// Read hands over at most one line at a time, so that each is flushed as it comes.
+// Read returns at most one line at a time, so that each is flushed as it comes.
 //
-// Example: n, err := s.Read(buf)
+// Example: n, err := s.Read(buffer)
 func (s *stream) Read(p []byte) (int, error) {
 	if s.err != nil {
 		return 0, s.err
@@ -71,22 +71,23 @@
 	return n, nil
 }
 
-// Close ends the attempt, also where the caller hung up: the worker's side is cancelled.
+// Close ends the attempt and the request. If the caller has disconnected, the worker's side is canceled.
 //
 // Example: defer s.Close()
 func (s *stream) Close() error {
-	ok := errors.Is(s.err, io.EOF)
-	if !ok && s.err != nil {
+	interrupted := s.err != nil && !errors.Is(s.err, io.EOF)
+	if interrupted {
 		s.proxy.stats.interrupted.Add(1)
-		s.proxy.process.Log.Warn("stream ended broken", "request", s.id, "worker", s.worker, "error", s.err)
+		s.proxy.process.Log.Warn("callerproxy: stream interrupted", "request", s.id, "worker", s.worker, "error", s.err)
 	}
-	s.finish(ok || s.err == nil) // a caller that hung up is no fault of the worker's
+	s.finish(!interrupted) // a caller that disconnects is no failure of the worker
 	if s.release != nil {
 		s.release()
 	}
 	return nil
 }
 
+// finish ends the attempt; ok says that the worker didn't fail it.
 func (s *stream) finish(ok bool) {
 	s.mu.Lock()
 	s.ended = true
@@ -96,26 +97,27 @@
 	if s.body != nil {
 		s.body.Close()
 	}
-	took := s.proxy.clock.Now() - s.startedAt
-	var last *contract.Chunk
-	if s.checker != nil {
-		last = s.checker.Sealed
+	duration := s.proxy.clock.Now() - s.startedAt
+	var sealed *contract.Chunk
+	if s.verifier != nil {
+		sealed = s.verifier.Sealed
 	}
-	s.proxy.traffic.TrySend(func(g *trafficTable) {
-		g.endAttempt(s.worker, ok, took, s.proxy.clock.Now())
-		if last != nil && last.Fetched > 0 && last.FetchUs > 0 {
-			s.proxy.learnBandwidth(g, s.snapshot, last, s.zone)
+	s.proxy.traffic.TrySend(func(table *trafficTable) {
+		table.endAttempt(s.worker, ok, duration, s.proxy.clock.Now())
+		if sealed != nil && sealed.Fetched > 0 && sealed.FetchUs > 0 {
+			s.proxy.learnBandwidth(table, s.snapshot, sealed, s.zone)
 		}
 	})
-	if last != nil {
-		s.proxy.stats.add(last)
+	if sealed != nil {
+		s.proxy.stats.addSealed(sealed)
 	}
 }
 
-func (s *stream) rescheduleWatch(d time.Duration, f func()) {
+// rescheduleWatch has the worker checked again after an interval, unless the attempt has ended.
+func (s *stream) rescheduleWatch(interval time.Duration, check func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ended {
-		s.watch = time.AfterFunc(d, f)
+		s.watch = time.AfterFunc(interval, check)
 	}
 }
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -8,39 +8,112 @@
 	"pebbleloom/internal/wire"
 )
 
-// weightsFor is the set of weights that answers a request under a configuration; where no route leads there,
-// what was asked for.
-func weightsFor(s *updatestream.Snapshot, q *caller.Ask) serviceconfig.Target {
-	if t, ok := s.Config.Target(q.Model, q.RequestID); ok {
-		return t
+// weightsFor returns the model, adapter and build that answer a request under a configuration. If no route
+// leads there, it is the model that the request names.
+func weightsFor(snapshot *updatestream.Snapshot, ask *caller.Ask) serviceconfig.Target {
+	if target, ok := snapshot.Config.Target(ask.Model, ask.RequestID); ok {
+		return target
 	}
-	return serviceconfig.Target{Model: q.Model}
+	return serviceconfig.Target{Model: ask.Model}
 }
 
-// viewForTarget shows a worker as it stands to a set of weights: with the version that it has of the base.
-// Nil: it hasn't the base, or not that build of the adapter, so it gets no such request.
-func viewForTarget(w *wire.Worker, t serviceconfig.Target) *wire.Worker {
-	if len(w.LoadedModels) == 0 {
-		if t.Adapter != "" || w.Model != "" && w.Model != t.Model {
+// viewForTarget returns a worker with the version of the target's base model that it has loaded. It is nil if
+// the worker hasn't loaded the base model, or not that build of the adapter, and so can't serve the target.
+func viewForTarget(worker *wire.Worker, target serviceconfig.Target) *wire.Worker {
+	if len(worker.LoadedModels) == 0 {
+		if target.Adapter != "" || worker.Model != "" && worker.Model != target.Model {
 			return nil
 		}
-		return w
+		return worker
 	}
-	for _, l := range w.LoadedModels {
-		if l.Model != t.Model || t.Adapter != "" && (t.Build == 0 || l.Adapters[t.Adapter] != t.Build) {
+	for _, loaded := range worker.LoadedModels {
+		if !serves(loaded, target) {
 			continue
 		}
-		if l.Model == w.Model && l.Weights == w.Weights {
-			return w
+		if loaded.Model == worker.Model && loaded.Weights == worker.Weights {
+			return worker
 		}
-		return &wire.Worker{Name: w.Name, Addr: w.Addr, Service: w.Service, Model: l.Model, Zone: w.Zone, Incarnation: w.Incarnation,
-			State: w.State, Weights: l.Weights, Slots: w.Slots, Busy: w.Busy, Queued: w.Queued, Kind: w.Kind, KvCapacity: w.KvCapacity, Successes: w.Successes, Failures: w.Failures,
-			ClockNs: w.ClockNs, ClockReadAt: w.ClockReadAt, LoadedModels: w.LoadedModels}
+		return withLoadedModel(worker, loaded)
 	}
 	return nil
 }
 
-// prefixChain names a prompt's prefixes under one set of weights.
-func prefixChain(s *updatestream.Snapshot, t serviceconfig.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
-	return prefix.Chain(s.Config.CacheDomain(tenant), prefix.QualifiedModel(t.Model, t.Adapter, t.Build), weights, parts)
+// serves reports whether a loaded model answers the requests of a target.
+func serves(loaded *wire.LoadedModel, target serviceconfig.Target) bool {
+	if loaded.Model != target.Model {
+		return false
+	}
+	return target.Adapter == "" || target.Build != 0 && loaded.Adapters[target.Adapter] == target.Build
+}
+
+// withLoadedModel copies a worker, since others share it, with one of its loaded models as its model.
+func withLoadedModel(worker *wire.Worker, loaded *wire.LoadedModel) *wire.Worker {
+	return &wire.Worker{
+		Name:         worker.Name,
+		Addr:         worker.Addr,
+		Service:      worker.Service,
+		Model:        loaded.Model,
+		Zone:         worker.Zone,
+		Incarnation:  worker.Incarnation,
+		State:        worker.State,
+		Weights:      loaded.Weights,
+		Slots:        worker.Slots,
+		Busy:         worker.Busy,
+		Queued:       worker.Queued,
+		Kind:         worker.Kind,
+		KvCapacity:   worker.KvCapacity,
+		Successes:    worker.Successes,
+		Failures:     worker.Failures,
+		ClockNs:      worker.ClockNs,
+		ClockReadAt:  worker.ClockReadAt,
+		LoadedModels: worker.LoadedModels,
+	}
+}
+
+// prefixChain returns the entries of a prompt under one version of a target's weights.
+func prefixChain(snapshot *updatestream.Snapshot, target serviceconfig.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
+	model := prefix.QualifiedModel(target.Model, target.Adapter, target.Build)
+	return prefix.Chain(snapshot.Config.CacheDomain(tenant), model, weights, parts)
+}
+
+// prefixEntries returns the prompt's entries under each version of the weights on which an attempt may still
+// start, by version. Which versions those are is decided anew every time. Entries that were computed under
+// the same configuration (known) are used again, because hashing a long prompt takes time.
+func (req *request) prefixEntries(known map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
+	snapshot, ask := req.snapshot, req.ask
+	entries := map[uint64][]prefix.Entry{}
+	target := weightsFor(snapshot, ask)
+	history := snapshot.WeightsAt[target.Model]
+	service := snapshot.Config.Routes[ask.Model].ServiceFor(ask.RequestID)
+	for _, worker := range snapshot.Workers {
+		if worker.Service != service || worker.State == updatestream.WorkerGone {
+			continue
+		}
+		view := viewForTarget(worker, target)
+		if view == nil {
+			continue
+		}
+		weights := view.Weights
+		if _, done := entries[weights]; done {
+			continue
+		}
+		if weights != history.Version && req.proxy.supersededTimeLeft(history, weights) <= 0 {
+			continue
+		}
+		if chain, ok := known[weights]; ok {
+			entries[weights] = chain
+			continue
+		}
+		entries[weights] = prefixChain(snapshot, target, req.tenant, weights, ask.Parts)
+	}
+	return entries
+}
+
+func entryKeys(entries map[uint64][]prefix.Entry) (keys []prefix.Key) {
+	for _, chain := range entries {
+		for _, entry := range chain {
+			keys = append(keys, entry.Key)
+		}
+	}
+	return keys
 }
--- a/internal/data/callerproxy/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -9,16 +9,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// A worker gets a request only if it has what answers it: the base in memory, the adapter in that build.
-// What has old weights alone, or says nothing of an adapter, gets none of the adapter's requests.
+// A worker gets a request only if it has loaded what answers it: the base model, and that build of the adapter.
+// One that reports no adapters gets none of their requests.
 func TestViewForTarget(t *testing.T) {
 	old := &wire.Worker{Name: "old", Model: "lector", Weights: 4}
 	both := &wire.Worker{Name: "both", Model: "lector", Weights: 4, Slots: 4, LoadedModels: []*wire.LoadedModel{
 		{Model: "lector", Weights: 4, Adapters: map[string]uint64{"rare": 1}}, {Model: "lector-2", Weights: 2, Adapters: map[string]uint64{"rare-2": 7}}}}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		w    *wire.Worker
 		t    serviceconfig.Target
-		want uint64 // the weights it stands on; 0: not at all
+		want uint64 // version of the weights; 0: it can't serve the target
 	}{
 		"its one model":                   {old, serviceconfig.Target{Model: "lector"}, 4},
 		"another model":                   {old, serviceconfig.Target{Model: "lector-2"}, 0},
@@ -34,30 +34,30 @@
 		"an adapter on an unknown worker": {&wire.Worker{}, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
 	} {
 		got := uint64(0)
-		if y := viewForTarget(x.w, x.t); y != nil {
-			if got = y.Weights; y.Name != x.w.Name || y.Slots != x.w.Slots || x.w.Model != "" && y.Model != x.t.Model {
-				t.Errorf("%s: %+v", name, y)
+		if view := viewForTarget(test.w, test.t); view != nil {
+			if got = view.Weights; view.Name != test.w.Name || view.Slots != test.w.Slots || test.w.Model != "" && view.Model != test.t.Model {
+				t.Errorf("%s: %+v", name, view)
 			}
 		}
-		if got != x.want {
-			t.Errorf("%s: weights %d, want %d", name, got, x.want)
+		if got != test.want {
+			t.Errorf("%s: weights %d, want %d", name, got, test.want)
 		}
 	}
 	if both.Weights != 4 || both.Model != "lector" {
-		t.Error("a row that others share was changed")
+		t.Error("a worker that others share was changed")
 	}
 }
 
-// A route's requests are moved by share, each id always the same way, and the keys of what one set of
-// weights has made are no other's.
+// A route's requests are split by share, each ID always the same way, and the keys of different weights are
+// different.
 func TestRequestsAreSplitByShare(t *testing.T) {
-	s := &updatestream.Snapshot{Config: (&serviceconfig.Config{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
+	snapshot := &updatestream.Snapshot{Config: (&serviceconfig.Config{Models: map[string]serviceconfig.Model{"a": {Weights: 1}, "b": {Weights: 1}},
 		Adapters: map[string]serviceconfig.Adapter{"r": {BaseModel: "a", Build: 1}, "r2": {BaseModel: "b", Build: 1}},
 		Routes:   map[string]serviceconfig.Route{"r": {Service: "s", MoveTo: "r2", MovedPercent: 30}}}).BuildIndex()}
 	moved := 0
 	for i := range 1000 {
 		q := &caller.Ask{Model: "r", RequestID: string(rune(i + 32))}
-		a, b := weightsFor(s, q), weightsFor(s, q)
+		a, b := weightsFor(snapshot, q), weightsFor(snapshot, q)
 		if a != b {
 			t.Fatalf("%+v and %+v", a, b)
 		}
@@ -70,13 +70,13 @@
 	}
 	seen := map[string]bool{}
 	for _, x := range []serviceconfig.Target{{Model: "a"}, {Model: "b"}, {Model: "a", Adapter: "r", Build: 1}, {Model: "a", Adapter: "r", Build: 2}, {Model: "b", Adapter: "r", Build: 1}} {
-		k := prefixChain(s, x, "t", 1, []string{"p"})[0].Key.String()
+		k := prefixChain(snapshot, x, "t", 1, []string{"p"})[0].Key.String()
 		if seen[k] {
 			t.Errorf("%+v has another's key", x)
 		}
 		seen[k] = true
 	}
-	if x := weightsFor(s, &caller.Ask{Model: "none"}); x.Model != "none" {
+	if x := weightsFor(snapshot, &caller.Ask{Model: "none"}); x.Model != "none" {
 		t.Errorf("%+v", x)
 	}
 }
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -44,16 +44,16 @@
 	release chan struct{}
 }
 
-func (w *blockingWorker) serve(listener net.Listener) {
+func (worker *blockingWorker) serve(listener net.Listener) {
 	for {
 		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		w.mu.Lock()
-		w.conns = append(w.conns, c)
-		w.mu.Unlock()
-		go w.serveConn(c)
+		worker.mu.Lock()
+		worker.conns = append(worker.conns, c)
+		worker.mu.Unlock()
+		go worker.serveConn(c)
 	}
 }
 
@@ -85,11 +85,11 @@
 }
 
 // spoil leaves something on each connection: a response to an earlier request, garbage, a FIN, or a reset.
-func (w *blockingWorker) spoil() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i, c := range w.conns {
-		w.strays[c] = true
+func (worker *blockingWorker) spoil() {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	for i, c := range worker.conns {
+		worker.strays[c] = true
 		switch i % 4 {
 		case 0:
 			_, _ = c.Write(plainResponse("warm0"))
