--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -25,17 +25,17 @@
 
 // StartRequest is one go at a request.
 type StartRequest struct {
-	RequestID string   `json:"request_id"`
-	Tenant    string   `json:"tenant"`
-	Domain    string   `json:"domain"`
-	Model     string   `json:"model"`
-	Weights   uint64   `json:"weights"`
-	Parts     []string `json:"parts"`
-	Pieces    int      `json:"pieces"`
-	WaitMs    int      `json:"wait_ms"`
-	Once      bool     `json:"once"`
-	Adapter   string   `json:"adapter,omitempty"` // on the model; empty: the model alone
-	Build     uint64   `json:"build,omitempty"`   // of the adapter
+	RequestID   string   `json:"request_id"`
+	Tenant      string   `json:"tenant"`
+	CacheDomain string   `json:"domain"`
+	Model       string   `json:"model"`
+	Weights     uint64   `json:"weights"`
+	Parts       []string `json:"parts"`
+	Chunks      int      `json:"pieces"`
+	WaitMs      int      `json:"wait_ms"`
+	AtMostOnce  bool     `json:"once"`
+	Adapter     string   `json:"adapter,omitempty"` // on the model; empty: the model alone
+	Build       uint64   `json:"build,omitempty"`   // of the adapter
 	// It may begin as long as this life's own clock is before this; zero: while it may wait.
 	Incarnation string `json:"incarnation,omitempty"`
 	BeginByUs   int64  `json:"begin_by_us,omitempty"`
@@ -57,21 +57,21 @@
 
 // Chunk is one line of a stream. The last one carries the seal.
 type Chunk struct {
-	R         string `json:"r"`
-	N         int    `json:"n"`
-	T         string `json:"t,omitempty"`
-	Seal      string `json:"seal,omitempty"`
-	Worker    string `json:"worker,omitempty"`
-	Weights   uint64 `json:"weights,omitempty"`
-	Hit       int    `json:"hit,omitempty"`
-	Fetched   int    `json:"fetched,omitempty"`
-	Prefilled int    `json:"prefilled,omitempty"`
-	FetchUs   int64  `json:"fetch_us,omitempty"`
-	PrefillUs int64  `json:"prefill_us,omitempty"`
-	FetchAddr string `json:"fetch_addr,omitempty"`
-	Model     string `json:"model,omitempty"`   // what answered, with the seal
-	Adapter   string `json:"adapter,omitempty"` // and the adapter on it
-	Build     uint64 `json:"build,omitempty"`
+	RequestID       string `json:"r"`
+	Number          int    `json:"n"`
+	Text            string `json:"t,omitempty"`
+	Seal            string `json:"seal,omitempty"`
+	Worker          string `json:"worker,omitempty"`
+	Weights         uint64 `json:"weights,omitempty"`
+	CachedTokens    int    `json:"hit,omitempty"`
+	FetchedTokens   int    `json:"fetched,omitempty"`
+	PrefilledTokens int    `json:"prefilled,omitempty"`
+	FetchUs         int64  `json:"fetch_us,omitempty"`
+	PrefillUs       int64  `json:"prefill_us,omitempty"`
+	FetchAddr       string `json:"fetch_addr,omitempty"`
+	Model           string `json:"model,omitempty"`   // what answered, with the seal
+	Adapter         string `json:"adapter,omitempty"` // and the adapter on it
+	Build           uint64 `json:"build,omitempty"`
 }
 
 // Rejection is a worker's proof that a go never started. One without the request's id proves it only on a
@@ -221,17 +221,17 @@
 	switch {
 	case v.Sealed != nil:
 		return "a line after the seal"
-	case p.R != v.requestID:
+	case p.RequestID != v.requestID:
 		return "a piece of another answer"
-	case p.N != v.next:
-		return fmt.Sprintf("piece %d where %d was due", p.N, v.next)
+	case p.Number != v.next:
+		return fmt.Sprintf("piece %d where %d was due", p.Number, v.next)
 	case p.Seal != "":
 		if p.Seal != v.seal.Close() {
 			return "a seal that doesn't fit the pieces"
 		}
 		v.Sealed = &p
 	default:
-		v.seal.Add(p.N, p.T)
+		v.seal.Add(p.Number, p.Text)
 		v.next++
 	}
 	return ""
--- a/internal/contract/fuzz_test.go
+++ b/internal/contract/fuzz_test.go
@@ -20,13 +20,13 @@
 		var lines [][]byte
 		for n, text := range []string{"one", "two"} {
 			s.Add(n, text)
-			l, err := json.Marshal(Chunk{R: "r1", N: n, T: text})
+			l, err := json.Marshal(Chunk{RequestID: "r1", Number: n, Text: text})
 			if err != nil {
 				t.Fatal(err)
 			}
 			lines = append(lines, l)
 		}
-		l, err := json.Marshal(Chunk{R: "r1", N: 2, Seal: s.Close()})
+		l, err := json.Marshal(Chunk{RequestID: "r1", Number: 2, Seal: s.Close()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 			ok = ok && c.Verify(l) == ""
 		}
 		// Fields beside the sealed ones may differ; pieces, their order and the seal may not.
-		if ok && c.Sealed != nil && !same && (is.R != was.R || is.N != was.N || is.T != was.T || is.Seal != was.Seal) {
+		if ok && c.Sealed != nil && !same && (is.RequestID != was.RequestID || is.Number != was.Number || is.Text != was.Text || is.Seal != was.Seal) {
 			t.Fatalf("%q passes for %q", changed, lines[k])
 		}
 	})
--- a/internal/control/calendar/calendar_test.go
+++ b/internal/control/calendar/calendar_test.go
@@ -232,7 +232,7 @@
 	if e = advanceEntry(t, tb, p, e, 20); len(tb.applied) != n {
 		t.Fatal("moved while paused")
 	}
-	if err := e.Request("undo"); err != nil {
+	if err := e.ApplyVerb("undo"); err != nil {
 		t.Fatal(err)
 	}
 	if e = advanceEntry(t, tb, p, e, 3); e.State != StateUndone || tb.observe(t).Config.Routes["m"] != (serviceconfig.Route{Service: "s"}) {
@@ -240,13 +240,13 @@
 	}
 	tb = newTestSite()
 	e = advanceEntry(t, tb, p, entriesByKind[1], 3)
-	if err := e.Request("undo"); err != nil {
+	if err := e.ApplyVerb("undo"); err != nil {
 		t.Fatal(err)
 	}
 	if e = advanceEntry(t, tb, p, e, 3); e.State != StateUndone || len(tb.observe(t).Config.Draining) > 0 {
 		t.Fatalf("undone: %s, drains %v", e.State, tb.observe(t).Config.Draining)
 	}
-	if err := e.Request("resume"); errs.KindOf(err) != errs.Conflict {
+	if err := e.ApplyVerb("resume"); errs.KindOf(err) != errs.Conflict {
 		t.Errorf("resumed after it was undone: %v", err)
 	}
 }
@@ -275,15 +275,15 @@
 func TestConflictNamesBothEntries(t *testing.T) {
 	a, b := newEntry(Entry{Kind: KindRelease}), newEntry(Entry{Kind: KindWeights, Model: "m", Weights: 3})
 	b.Name = "other"
-	err := a.ConflictWith([]*Entry{b})
+	err := a.CheckConflicts([]*Entry{b})
 	if err == nil || !strings.Contains(err.Error(), `"e"`) || !strings.Contains(err.Error(), `"other"`) {
 		t.Errorf("%v", err)
 	}
-	if b.State = StateDone; a.ConflictWith([]*Entry{b}) != nil {
+	if b.State = StateDone; a.CheckConflicts([]*Entry{b}) != nil {
 		t.Error("clashes with one that is over")
 	}
 	var f errs.Batch
-	(&Entry{Kind: "x", MaxFailureRatio: 2, NotBefore: "noon"}).Check(&f)
+	(&Entry{Kind: "x", MaxFailureRatio: 2, NotBefore: "noon"}).Validate(&f)
 	if n := len(f.Lines()); n != 5 {
 		t.Errorf("%d faults: %v", n, f.Lines())
 	}
--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -95,10 +95,10 @@
 	return e.State == StatePlanned || e.State == StateRunning || e.State == StatePaused || e.State == StateUndoing
 }
 
-// Check notes every fault of a new entry.
+// Validate notes every fault of a new entry.
 //
 // Example: e.Check(&b)
-func (e *Entry) Check(b *errs.Batch) {
+func (e *Entry) Validate(b *errs.Batch) {
 	bad := func(f, format string, a ...any) { b.Addf(errs.BadInput, "%s: %s", f, fmt.Sprintf(format, a...)) }
 	for f, v := range map[string]string{"name": e.Name, "service": e.Service} {
 		if v == "" || len(v) > 64 || strings.ContainsAny(v, " /\x00\n") {
@@ -145,10 +145,10 @@
 	}
 }
 
-// ConflictWith says which of the other entries can't stand beside this one; both are named.
+// CheckConflicts says which of the other entries can't stand beside this one; both are named.
 //
 // Example: if err := e.Clash(others); err != nil { return err }
-func (e *Entry) ConflictWith(others []*Entry) error {
+func (e *Entry) CheckConflicts(others []*Entry) error {
 	for _, o := range others {
 		if o.Name == e.Name && o.Service == e.Service || !o.Active() || !e.Active() {
 			continue
@@ -172,11 +172,11 @@
 	return l
 }
 
-// Request is what an operator asks of an entry: pause, resume, cancel or undo. It changes the
+// ApplyVerb is what an operator asks of an entry: pause, resume, cancel or undo. It changes the
 // state alone; what follows from it is carried out by the holder of the lease.
 //
 // Example: err := e.Ask("pause")
-func (e *Entry) Request(verb string) error {
+func (e *Entry) ApplyVerb(verb string) error {
 	switch {
 	case verb == "pause" && (e.State == StatePlanned || e.State == StateRunning):
 		e.State, e.Reason = StatePaused, "by an operator"
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -113,7 +113,7 @@
 
 func newCatchUpWorld(t testing.TB, seed uint64, machines, rate int) *catchUpWorld {
 	w := &catchUpWorld{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
-		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: tailBytes}
+		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: trailingLogBytes}
 	for range machines {
 		node := w.addNode()
 		if len(w.seeds) < 3 {
@@ -142,7 +142,7 @@
 			w.send(message)
 		}
 	})
-	openGroup(replica, &group{codec: textPlanCodec{}, disk: node.disk, targetSize: 3, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
+	openGroupShard(replica, &group{codec: textPlanCodec{}, disk: node.disk, targetSize: 3, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: w.tailBytes,
 			Rand: rand.New(rand.NewPCG(w.random.Uint64(), 9))},
 		initialSnapshot: func() *wire.Snapshot { return initialGroupSnapshot(first, node.addr, w.seeds, w.random.Uint64) }})
@@ -241,7 +241,7 @@
 		if node.shard.failure == nil {
 			node.shard.core.Tick()
 		}
-		node.shard.tickGroup()
+		node.shard.maintainGroup()
 		w.runStep(node)
 		if w.isHealthy(node) && w.now >= node.nextJoin && node.shard.needsJoin() {
 			node.nextJoin = w.now + 800*time.Millisecond
--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -7,15 +7,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// send hands a message to the thread that carries messages to its receiver. A full ring
+// enqueue hands a message to the thread that carries messages to its receiver. A full ring
 // drops it: messages may be lost.
-func (n *Node) send(message *wire.Message) {
+func (n *Node) enqueue(message *wire.Message) {
 	if messages := n.outgoing[message.To]; messages != nil {
 		messages.Offer(message)
 	}
 }
 
-func (n *Node) deliver(to string, messages *queue.Ring[*wire.Message]) {
+func (n *Node) sendQueued(to string, messages *queue.Ring[*wire.Message]) {
 	for {
 		select {
 		case <-n.process.Ctx.Done():
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -54,7 +54,7 @@
 	proven := known[request.ProofKey]
 	docs := v.documents
 	if request.AcceptsCompressed {
-		docs = v.packedDocuments
+		docs = v.compressedDocuments
 	}
 	for _, item := range request.Known {
 		if strings.HasSuffix(item.Key, "/") {
--- a/internal/control/controlstate/forgotten_change_test.go
+++ b/internal/control/controlstate/forgotten_change_test.go
@@ -26,7 +26,7 @@
 		for _, node := range cluster.nodes {
 			replica := node.shards[0]
 			replica.runOnLoop(ctx, func() {
-				record := replica.state.recordsOf(routingconfig.DocumentKey)
+				record := replica.state.idempotencyRecordsOf(routingconfig.DocumentKey)
 				record.forgottenVersion = 3
 				record.records = slices.DeleteFunc(record.records, func(c idempotencyRecord) bool { return c.version <= record.forgottenVersion })
 				replica.state.recentTokens = nil
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -34,9 +34,9 @@
 	stopping        bool           // this process is to stop
 }
 
-// openGroup makes the one shard of a group. A disk that can't be opened leaves its member out
+// openGroupShard makes the one shard of a group. A disk that can't be opened leaves its member out
 // until it can.
-func openGroup(shard *shard, groupState *group) *shard {
+func openGroupShard(shard *shard, groupState *group) *shard {
 	shard.group, groupState.consensusConfig.DynamicMembership = groupState, true
 	groupState.leaving = map[string]int{}
 	shard.core = consensus.New(groupState.consensusConfig, consensus.LearnerSnapshot(""), nil)
@@ -90,8 +90,8 @@
 	s.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 }
 
-// tickGroup is what a member of a group does at each tick beside the core's own time.
-func (s *shard) tickGroup() {
+// maintainGroup is what a member of a group does at each tick beside the core's own time.
+func (s *shard) maintainGroup() {
 	if s.group == nil {
 		return
 	}
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -28,7 +28,7 @@
 			d.crashed, d.writesUntilCrash = false, -1
 			replica = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 			replica.compactThreshold = 400
-			openGroup(replica, &group{codec: versionCodec{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
+			openGroupShard(replica, &group{codec: versionCodec{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
 				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: random},
 				initialSnapshot: func() *wire.Snapshot {
 					return initialGroupSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, random.Uint64)
@@ -39,7 +39,7 @@
 				if replica.failure == nil {
 					replica.core.Tick()
 				}
-				replica.tickGroup()
+				replica.maintainGroup()
 				replica.handleReady()
 				if d.crashed {
 					if ends++; random.IntN(2) == 0 {
--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -25,7 +25,7 @@
 // idempotencyRecord is one change that was taken under a token. The token is kept as the start of its hash,
 // so that a record has the same size whatever operators send.
 type idempotencyRecord struct {
-	token          [tokenHashBytes]byte
+	tokenHash      [tokenHashBytes]byte
 	digest         [digestBytes]byte
 	version        uint64 // that the change made
 	digestWithBase bool   // the digest is Put.digest, of a release that knew no content digest
@@ -46,7 +46,7 @@
 	return maxDocumentRecords
 }
 
-func tokenHash(token string) (hash [tokenHashBytes]byte) {
+func hashToken(token string) (hash [tokenHashBytes]byte) {
 	sum := sha256.Sum256([]byte(token))
 	copy(hash[:], sum[:])
 	return hash
@@ -72,7 +72,7 @@
 
 // newIdempotencyRecord is the record of a change that has just made a version.
 func newIdempotencyRecord(put *wire.Put, version uint64) idempotencyRecord {
-	change := idempotencyRecord{token: tokenHash(put.Token), version: version}
+	change := idempotencyRecord{tokenHash: hashToken(put.Token), version: version}
 	digest := put.ContentDigest
 	if len(digest) == 0 {
 		digest, change.digestWithBase = put.Digest, true
@@ -106,9 +106,9 @@
 	if r == nil || token == "" {
 		return idempotencyRecord{}, false
 	}
-	hash := tokenHash(token)
+	hash := hashToken(token)
 	for i := len(r.records) - 1; i >= 0; i-- {
-		if r.records[i].token == hash {
+		if r.records[i].tokenHash == hash {
 			return r.records[i], true
 		}
 	}
@@ -131,10 +131,10 @@
 	if len(s.recentTokens) > maxRecentTokens {
 		s.recentTokens = s.recentTokens[1:]
 	}
-	s.recordsOf(put.Key).add(newIdempotencyRecord(put, version), maxRecords(put.Key))
+	s.idempotencyRecordsOf(put.Key).add(newIdempotencyRecord(put, version), maxRecords(put.Key))
 }
 
-func (s *state) recordsOf(key string) *idempotencyRecords {
+func (s *state) idempotencyRecordsOf(key string) *idempotencyRecords {
 	if s.idempotency[key] == nil {
 		s.idempotency[key] = &idempotencyRecords{}
 	}
@@ -177,7 +177,7 @@
 		saved := &wire.AcceptedChanges{Key: key, ForgottenVersion: records.forgottenVersion}
 		for i := range records.records {
 			change := &records.records[i]
-			saved.Changes = append(saved.Changes, &wire.AcceptedChange{Token: change.token[:], Digest: change.digest[:], Version: change.version, DigestWithBase: change.digestWithBase})
+			saved.Changes = append(saved.Changes, &wire.AcceptedChange{Token: change.tokenHash[:], Digest: change.digest[:], Version: change.version, DigestWithBase: change.digestWithBase})
 		}
 		all = append(all, saved)
 	}
@@ -188,11 +188,11 @@
 // of all documents, and where these are as many as it keeps, older ones were forgotten.
 func (s *state) loadIdempotency(all []*wire.AcceptedChanges) {
 	for _, saved := range all {
-		records := s.recordsOf(saved.Key)
+		records := s.idempotencyRecordsOf(saved.Key)
 		records.forgottenVersion = saved.ForgottenVersion
 		for _, savedRecord := range saved.Changes {
 			record := idempotencyRecord{version: savedRecord.Version, digestWithBase: savedRecord.DigestWithBase}
-			copy(record.token[:], savedRecord.Token)
+			copy(record.tokenHash[:], savedRecord.Token)
 			copy(record.digest[:], savedRecord.Digest)
 			records.records = append(records.records, record)
 		}
@@ -202,13 +202,13 @@
 	}
 	for _, token := range s.recentTokens {
 		put := &wire.Put{Token: token.Token, Digest: token.Digest}
-		s.recordsOf(token.Key).add(newIdempotencyRecord(put, token.Version), maxRecords(token.Key))
+		s.idempotencyRecordsOf(token.Key).add(newIdempotencyRecord(put, token.Version), maxRecords(token.Key))
 	}
 	if len(s.recentTokens) < maxRecentTokens {
 		return
 	}
 	for key, document := range s.documents {
-		records := s.recordsOf(key)
+		records := s.idempotencyRecordsOf(key)
 		records.forgottenVersion = document.Version
 		if len(records.records) > 0 {
 			records.forgottenVersion = records.records[0].version - 1
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -22,7 +22,7 @@
 	s := newState()
 	s.applyPut(&wire.Put{Key: "k", Body: []byte("one"), AnyVersion: true})
 	first.State, _ = s.save()
-	openGroup(replica, &group{codec: versionCodec{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
+	openGroupShard(replica, &group{codec: versionCodec{}, disk: d, targetSize: 3, reopenTicks: 1, zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: testRand()},
 		initialSnapshot: func() *wire.Snapshot { return first }})
 	if replica.failure != nil {
@@ -53,7 +53,7 @@
 			t.Errorf("%s: the disk holds snapshot %d, %v", what, recovered.Snapshot.GetIndex(), err)
 		}
 		replica.ticks = 0
-		if replica.tickGroup(); replica.failure != nil || replica.state.documents["k"].GetVersion() != 1 {
+		if replica.maintainGroup(); replica.failure != nil || replica.state.documents["k"].GetVersion() != 1 {
 			t.Errorf("%s: opened again: %v, %v", what, replica.failure, replica.state.documents["k"])
 		}
 	}
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -56,15 +56,15 @@
 func joinCandidates(addresses []string, isSilent func(addr string) bool, turn int) []string {
 	answering := slices.DeleteFunc(slices.Clone(addresses), isSilent)
 	silent := slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return !isSilent(address) })
-	ordered := append(rotated(answering, turn), rotated(silent, turn/silentTurnInterval)...)
+	ordered := append(rotate(answering, turn), rotate(silent, turn/silentTurnInterval)...)
 	if turn%silentTurnInterval == silentTurnInterval-1 && len(silent) > 0 && len(answering) > 1 {
 		ordered[1] = silent[turn/silentTurnInterval%len(silent)]
 	}
 	return ordered[:min(len(ordered), 2)]
 }
 
-// rotated is a list that begins at another element each turn.
-func rotated(items []string, turn int) []string {
+// rotate is a list that begins at another element each turn.
+func rotate(items []string, turn int) []string {
 	if len(items) == 0 {
 		return nil
 	}
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -12,7 +12,7 @@
 const (
 	replaceAfterTicks = int(1.0 / 6 / groupTick)
 	aliveTicks        = 4 * heartbeatTicks
-	spareFreshTicks   = 2 * electionTicks
+	spareReadyTicks   = 2 * electionTicks
 )
 
 // membershipPlanner is what the leader's choice of the next membership rests on.
@@ -141,7 +141,7 @@
 func (p *membershipPlanner) bestSpare() string {
 	best := ""
 	for _, peer := range p.peers {
-		if p.isReady(peer) && (best == "" || p.sharesZone(best) && !p.sharesZone(peer.Name)) {
+		if p.isReady(peer) && (best == "" || p.hasZoneWithMember(best) && !p.hasZoneWithMember(peer.Name)) {
 			best = peer.Name
 		}
 	}
@@ -151,7 +151,7 @@
 // isReady reports whether a learner is there, holds what is committed, and is alone at its address:
 // neither a member nor a later incarnation stands there.
 func (p *membershipPlanner) isReady(peer consensus.PeerStatus) bool {
-	if peer.IsVoter || !peer.CaughtUp || peer.ContactAge >= spareFreshTicks {
+	if peer.IsVoter || !peer.CaughtUp || peer.ContactAge >= spareReadyTicks {
 		return false
 	}
 	if slices.ContainsFunc(p.members, func(member string) bool { return sameAddress(member, peer.Name) }) {
@@ -162,8 +162,8 @@
 	})
 }
 
-// sharesZone reports whether a member that stays is in a learner's zone.
-func (p *membershipPlanner) sharesZone(name string) bool {
+// hasZoneWithMember reports whether a member that stays is in a learner's zone.
+func (p *membershipPlanner) hasZoneWithMember(name string) bool {
 	zone := p.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(p.members, func(member string) bool {
 		return zone != "" && !p.isLeaving(member) && p.zoneOf(controlclient.MemberAddr(member)) == zone
--- a/internal/control/controlstate/persistence.go
+++ b/internal/control/controlstate/persistence.go
@@ -10,8 +10,8 @@
 // Bytes of the log at which it is compacted, and of compacted entries that stay in memory for peers
 // that lag; where the state is larger, its size counts in both.
 const (
-	compactBytes = 1 << 20
-	tailBytes    = 1 << 20
+	compactLogBytes  = 1 << 20
+	trailingLogBytes = 1 << 20
 )
 
 // load reads the disk, state included; an empty disk gets a first snapshot.
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -15,17 +15,17 @@
 // before any peer hears so; so whoever reads the view sees all that this member has acknowledged
 // to hold, also while its thread waits for the disk.
 type publishedView struct {
-	self              string
-	documents         map[string]*wire.Document
-	packedDocuments   map[string]*wire.Document // the same, for those that take them so
-	unappliedVersions map[string]uint64         // what entries that aren't applied yet may bring
-	members           []string
-	term              uint64
-	index             uint64
-	isVoter           bool // it is a member, and its disk is well
-	leader            string
-	isLeader          bool
-	changed           chan struct{} // closed once there is news
+	self                string
+	documents           map[string]*wire.Document
+	compressedDocuments map[string]*wire.Document // the same, for those that take them so
+	unappliedVersions   map[string]uint64         // what entries that aren't applied yet may bring
+	members             []string
+	term                uint64
+	index               uint64
+	isVoter             bool // it is a member, and its disk is well
+	leader              string
+	isLeader            bool
+	changed             chan struct{} // closed once there is news
 }
 
 // viewPublisher holds the newest view.
@@ -61,9 +61,9 @@
 	}
 	if changed {
 		view.documents = maps.Clone(s.state.documents)
-		view.packedDocuments = packDocuments(view.documents, previous)
+		view.compressedDocuments = compressDocuments(view.documents, previous)
 	} else {
-		view.documents, view.packedDocuments = previous.documents, previous.packedDocuments
+		view.documents, view.compressedDocuments = previous.documents, previous.compressedDocuments
 	}
 	if previous != nil {
 		view.changed = previous.changed
@@ -81,12 +81,12 @@
 	s.published.view.Store(view)
 }
 
-// packDocuments packs documents; those that the view before held already aren't packed again.
-func packDocuments(docs map[string]*wire.Document, previous *publishedView) map[string]*wire.Document {
+// compressDocuments packs documents; those that the view before held already aren't packed again.
+func compressDocuments(docs map[string]*wire.Document, previous *publishedView) map[string]*wire.Document {
 	result := make(map[string]*wire.Document, len(docs))
 	for key, document := range docs {
 		if previous != nil && previous.documents[key] == document {
-			result[key] = previous.packedDocuments[key]
+			result[key] = previous.compressedDocuments[key]
 		} else {
 			result[key] = fleet.Compress(document)
 		}
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -67,7 +67,7 @@
 	replica := newShard(ctx, 0, &clock.Manual{}, hclog.NewNullLogger(), func(message *wire.Message) {
 		c.inFlight = append(c.inFlight, proto.Clone(message).(*wire.Message))
 	})
-	openGroup(replica, &group{codec: versionCodec{}, disk: member.disk, targetSize: 3, reopenTicks: 3, zoneOf: func(string) string { return "" },
+	openGroupShard(replica, &group{codec: versionCodec{}, disk: member.disk, targetSize: 3, reopenTicks: 3, zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(uint64(member.addr[1]), 1))},
 		initialSnapshot: func() *wire.Snapshot {
 			return initialGroupSnapshot(first, member.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -54,7 +54,7 @@
 func newShard(ctx context.Context, id uint32, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) *shard {
 	return &shard{id: id, state: newState(), clock: clk, log: log.With("shard", id), send: send, ctx: ctx,
 		commands: queue.NewRing[func()](512), pendingProposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan bool{},
-		watchers: map[chan struct{}]bool{}, compactThreshold: compactBytes, claimRetention: defaultClaimRetention, mergeLock: make(chan struct{}, 1)}
+		watchers: map[chan struct{}]bool{}, compactThreshold: compactLogBytes, claimRetention: defaultClaimRetention, mergeLock: make(chan struct{}, 1)}
 }
 
 func (s *shard) run(tick time.Duration) {
@@ -64,7 +64,7 @@
 		if s.failure == nil {
 			s.core.Tick()
 		}
-		s.tickGroup()
+		s.maintainGroup()
 	}
 	onTick() // a member that has just started doesn't wait for the first tick
 	s.handleReady()
@@ -92,7 +92,7 @@
 	}
 	ready := s.core.Ready()
 	if err := s.persist(ready); err != nil {
-		s.markFailed(err)
+		s.halt(err)
 		return
 	}
 	s.publish(consensus.Ready{Snapshot: ready.Snapshot, Records: ready.Records}) // before any message says that it is on this disk
@@ -111,13 +111,13 @@
 	s.releasePendingProposals()
 	if len(ready.CommittedEntries) > 0 && s.failure == nil && s.store.LogBytes() > max(s.compactThreshold, s.snapshotBytes) {
 		if err := s.compact(); err != nil {
-			s.markFailed(err)
+			s.halt(err)
 		}
 	}
 	s.publish(consensus.Ready{CommittedEntries: ready.CommittedEntries})
 }
 
-func (s *shard) markFailed(err error) {
+func (s *shard) halt(err error) {
 	s.failure = err
 	s.log.Error("member is out", "error", errs.Text(err))
 	for id := range s.pendingReads {
@@ -139,7 +139,7 @@
 	if len(entry.Body) > 0 {
 		command := &wire.Command{}
 		if err := proto.Unmarshal(entry.Body, command); err != nil {
-			s.markFailed(errs.WrapAs(err, errs.DiskFailure, "read committed entry"))
+			s.halt(errs.WrapAs(err, errs.DiskFailure, "read committed entry"))
 			return
 		}
 		response = s.state.apply(command, s.clock.Now())
@@ -154,8 +154,8 @@
 	}
 }
 
-// reportLost says to the core that a message of its own wasn't sent.
-func (s *shard) reportLost(message *wire.Message) {
+// reportSendFailure says to the core that a message of its own wasn't sent.
+func (s *shard) reportSendFailure(message *wire.Message) {
 	s.commands.Offer(func() {
 		if s.failure == nil {
 			s.core.ReportSendFailure(message)
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -160,7 +160,7 @@
 		node.shard.core.Tick()
 	}
 	was, _, _ := node.shard.core.Members()
-	node.shard.tickGroup()
+	node.shard.maintainGroup()
 	now, _, _ := node.shard.core.Members()
 	changed := !slices.Equal(was, now)
 	if changed {
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -169,7 +169,7 @@
 		replica.compactThreshold = defaultCompactAt
 	}
 	node.shard = nil
-	openGroup(replica, &group{codec: versionCodec{}, disk: node.disk, targetSize: 2*s.toleratedLosses + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
+	openGroupShard(replica, &group{codec: versionCodec{}, disk: node.disk, targetSize: 2*s.toleratedLosses + 1, reopenTicks: int(reopenIntervalRatio / groupTick), zoneOf: func(string) string { return "" },
 		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, TrailingLogBytes: s.tailBytes, Rand: rand.New(rand.NewPCG(s.seed, uint64(incarnation)*1000+uint64(node.addr[1])))},
 		initialSnapshot: func() *wire.Snapshot {
 			if s.plantedFault == "same-incarnation" && !s.founding { // planted: a lost disk comes back as the member that it was
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -37,8 +37,8 @@
 	tick := process.Settings.Bounds.Heal(groupTick)
 	shard := newShard(process.Ctx, 0, process.Clock, process.Log, node.transport.send)
 	shard.claimRetention, shard.confirmTimeout = process.Settings.Bounds.RequestIDRetention(1), settings.Fraction(site.AckTimeoutMs, operatorTimeoutRatio*confirmTimeoutRatio)
-	openGroup(shard, &group{codec: codec, disk: openDisk(process, "part-0"), zoneOf: node.zoneOf, targetSize: 2*site.ToleratedFailures + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
-		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+	openGroupShard(shard, &group{codec: codec, disk: shardDisk(process, "part-0"), zoneOf: node.zoneOf, targetSize: 2*site.ToleratedFailures + 1, reopenTicks: int(reopenIntervalRatio / groupTick),
+		consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 256 << 10, TrailingLogBytes: trailingLogBytes,
 			Rand: rand.New(rand.NewPCG(process.Seed(), queue.Hash(process.Settings.Name)))},
 		initialSnapshot: func() *wire.Snapshot {
 			return initialGroupSnapshot(site.FirstStart, address, process.Settings.Seeds, process.Seed)
@@ -99,18 +99,18 @@
 		if member != process.Settings.Name {
 			messages := queue.NewRing[*wire.Message](1024)
 			node.outgoing[member] = messages
-			process.Go(func() { node.deliver(member, messages) })
+			process.Go(func() { node.sendQueued(member, messages) })
 		}
 	}
 	tick := process.Settings.Bounds.Heal(1.0 / 240)
 	for shardID := range uint32(controlclient.ShardCount) {
 		members := controlclient.Members(shardID, core)
-		config := consensus.Config{Shard: shardID, Self: process.Settings.Name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: tailBytes,
+		config := consensus.Config{Shard: shardID, Self: process.Settings.Name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 256 << 10, TrailingLogBytes: trailingLogBytes,
 			Rand: rand.New(rand.NewPCG(process.Seed(), uint64(shardID)+queue.Hash(process.Settings.Name)))}
 		if !containsName(members, process.Settings.Name) {
 			continue
 		}
-		shard, err := openShard(process.Ctx, config, openDisk(process, fmt.Sprintf("part-%d", shardID)), newIncarnation, clk, process.Log, node.send)
+		shard, err := openShard(process.Ctx, config, shardDisk(process, fmt.Sprintf("part-%d", shardID)), newIncarnation, clk, process.Log, node.enqueue)
 		if err != nil {
 			// One shard's bad disk doesn't take the others out.
 			process.Log.Error("shard stays closed", "shard", shardID, "error", errs.Text(err))
@@ -137,14 +137,14 @@
 		}
 	})
 	node.registerMetrics()
-	process.Every(process.Settings.Bounds.Heal(0.25), func() { node.followSeeds(client) })
+	process.Every(process.Settings.Bounds.Heal(0.25), func() { node.refreshSeeds(client) })
 	process.Ready.Store(true)
 	process.Log.Info("serving", "shards", len(node.shards), "incarnation", node.incarnation)
 	return nil
 }
 
-// followSeeds takes the seeds that the configuration in force names.
-func (n *Node) followSeeds(client *controlclient.Client) {
+// refreshSeeds takes the seeds that the configuration in force names.
+func (n *Node) refreshSeeds(client *controlclient.Client) {
 	response, err := client.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(response.Documents) == 0 {
 		return // the seeds that are known stay
@@ -154,8 +154,8 @@
 	}
 }
 
-// openDisk is a shard's folder; where the place names a switch, faults can be brought about.
-func openDisk(process *daemon.Process, folder string) storage.Disk {
+// shardDisk is a shard's folder; where the place names a switch, faults can be brought about.
+func shardDisk(process *daemon.Process, folder string) storage.Disk {
 	disk := process.Disk(filepath.Join(process.Settings.Data, folder))
 	if faults := process.Settings.Option("faults", ""); faults != "" {
 		return storage.WithFaults(disk, faults)
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -48,9 +48,9 @@
 	box := t.outboxes[to]
 	if box == nil {
 		if len(t.outboxes) >= maxOutboxes {
-			t.closeLeastRecentlyUsed()
+			t.evictIdlest()
 		}
-		box = t.open(to)
+		box = t.openOutbox(to)
 	}
 	t.sent++
 	box.lastUsed = t.sent
@@ -61,7 +61,7 @@
 	}
 }
 
-func (t *transport) open(to string) *outbox {
+func (t *transport) openOutbox(to string) *outbox {
 	ctx, stop := context.WithCancel(t.ctx)
 	box := &outbox{small: queue.NewRing[*wire.Message](maxQueuedSmall), large: queue.NewRing[*wire.Message](maxQueuedLarge), stop: stop}
 	t.outboxes[to] = box
@@ -71,7 +71,7 @@
 	return box
 }
 
-func (t *transport) closeLeastRecentlyUsed() {
+func (t *transport) evictIdlest() {
 	oldest := ""
 	for addr, box := range t.outboxes {
 		if oldest == "" || box.lastUsed < t.outboxes[oldest].lastUsed {
@@ -105,7 +105,7 @@
 	return p.node.process.Settings.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
-func (p *peerSender) post(ctx context.Context, messages []*wire.Message) error {
+func (p *peerSender) deliver(ctx context.Context, messages []*wire.Message) error {
 	_, err := p.node.clients.ControlNode(p.to).Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 	if err != nil {
 		p.node.process.Log.Debug("messages lost", "to", p.to, "messages", len(messages), "error", err)
@@ -120,7 +120,7 @@
 			return
 		case message := <-queued.Out():
 			sendCtx, cancel := context.WithTimeout(ctx, p.timeout(0))
-			err := p.post(sendCtx, append([]*wire.Message{message}, queued.Drain(maxBatchMessages-1)...))
+			err := p.deliver(sendCtx, append([]*wire.Message{message}, queued.Drain(maxBatchMessages-1)...))
 			cancel()
 			p.recordSmallResult(err != nil)
 		}
@@ -147,10 +147,10 @@
 		case message := <-queued.Out():
 			sendCtx, cancel := context.WithTimeout(ctx, p.timeout(payloadBytes(message)))
 			p.setAbort(cancel)
-			err := p.post(sendCtx, []*wire.Message{message})
+			err := p.deliver(sendCtx, []*wire.Message{message})
 			p.setAbort(nil)
 			if cancel(); err != nil {
-				p.node.shards[message.Shard].reportLost(message)
+				p.node.shards[message.Shard].reportSendFailure(message)
 			}
 		}
 	}
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -16,7 +16,7 @@
 		return err
 	}
 	var faults errs.Batch
-	if entry.Check(&faults); calendar.Key(entry.Service, entry.Name) != put.Key {
+	if entry.Validate(&faults); calendar.Key(entry.Service, entry.Name) != put.Key {
 		faults.Addf(errs.BadInput, "entry %q of service %q doesn't belong under %s", entry.Name, entry.Service, put.Key)
 	}
 	if len(s.core.UnappliedEntries()) > 0 {
@@ -31,7 +31,7 @@
 			}
 		}
 	}
-	faults.Add("calendar", entry.ConflictWith(others))
+	faults.Add("calendar", entry.CheckConflicts(others))
 	if entry.Active() {
 		for _, retirement := range s.retirements(&faults) {
 			if retirement.Service == entry.Service && retirement.Active() && retirement.State != retire.StatePlanned {
--- a/internal/control/operatorapi/moves.go
+++ b/internal/control/operatorapi/moves.go
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	var b errs.Batch
-	e.Check(&b)
+	e.Validate(&b)
 	var others []*calendar.Entry
 	old := uint64(0)
 	for _, x := range ds {
@@ -72,7 +72,7 @@
 		}
 		others = append(others, o)
 	}
-	b.Add("calendar", e.ConflictWith(others))
+	b.Add("calendar", e.CheckConflicts(others))
 	if err := b.Err(); err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := e.Request(string(q.Verb)); err != nil {
+		if err := e.ApplyVerb(string(q.Verb)); err != nil {
 			return nil, err
 		}
 		c, err := s.putEntry(ctx, e, t.Documents[0].Version, false)
--- a/internal/control/placementcontroller/retire.go
+++ b/internal/control/placementcontroller/retire.go
@@ -196,8 +196,8 @@
 // seal, which names the weights that answered.
 func (c *Controller) proveNode(ctx context.Context, r *retire.Retirement, x retire.Action, addr string) error {
 	for i, l := range append([]retire.AdapterBuild{{}}, x.ProofSet.Adapters...) {
-		s := contract.StartRequest{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, c.clock.Now(), i), Domain: proofDomain, Model: x.ProofSet.Base, Weights: x.ProofSet.Weights,
-			Adapter: l.Name, Build: l.Build, Parts: []string{"proof"}, Pieces: 1, WaitMs: int(c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio) / time.Millisecond), Incarnation: x.Incarnation}
+		s := contract.StartRequest{RequestID: fmt.Sprintf("retire/%s/%s/%x/%d", r.Name, x.Node, c.clock.Now(), i), CacheDomain: proofDomain, Model: x.ProofSet.Base, Weights: x.ProofSet.Weights,
+			Adapter: l.Name, Build: l.Build, Parts: []string{"proof"}, Chunks: 1, WaitMs: int(c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio) / time.Millisecond), Incarnation: x.Incarnation}
 		if err := c.verifyAnswer(ctx, addr, x.Node, s); err != nil {
 			return errs.Wrap(err, strings.TrimSpace("base model "+x.ProofSet.Base+" "+l.Name))
 		}
@@ -225,7 +225,7 @@
 			return errs.New(errs.Internal, "%s", why)
 		}
 	}
-	if l := check.Sealed; l == nil || l.N != s.Pieces || l.Model != s.Model || l.Weights != s.Weights || l.Adapter != s.Adapter || l.Build != s.Build {
+	if l := check.Sealed; l == nil || l.Number != s.Chunks || l.Model != s.Model || l.Weights != s.Weights || l.Adapter != s.Adapter || l.Build != s.Build {
 		return errs.New(errs.Internal, "its answer isn't sealed under what was asked for")
 	}
 	return nil
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -108,8 +108,8 @@
 }
 
 func (test *testProxy) ask(id string, once bool) loadgen.Outcome {
-	request := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
-	return loadgen.NewCaller([]string{test.edge.Listener.Addr().String()}).Ask(context.Background(), 0, request)
+	request := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, WaitMs: 5000, Once: once}
+	return loadgen.NewClient([]string{test.edge.Listener.Addr().String()}).Send(context.Background(), 0, request)
 }
 
 // Both workers crash, reject or misbehave at a step of an attempt: what the caller learns, and how often the
@@ -144,16 +144,16 @@
 	t.Helper()
 	test := newTestProxy(t, mode, mode)
 	outcome := test.ask("r", once)
-	got := outcome.Denied
+	got := outcome.Rejected
 	if outcome.Sealed {
 		got = "sealed"
-	} else if outcome.Broken != "" {
+	} else if outcome.Interrupted != "" {
 		got = "broken"
 	}
 	if starts := test.attemptsStarted("r"); got != want || starts != wantStarts || len(outcome.Faults) > 0 {
 		t.Errorf("%s after %d starts, want %s after %d; faults %v, %s", got, starts, want, wantStarts, outcome.Faults, outcome.Message)
 	}
-	if strings.HasPrefix(got, "not") && outcome.BackMs <= 0 {
+	if strings.HasPrefix(got, "not") && outcome.RetryAfterMs <= 0 {
 		t.Error("no Retry-After")
 	}
 }
@@ -178,12 +178,12 @@
 	if outcome := test.ask("r", true); !outcome.Sealed {
 		t.Fatalf("%+v", outcome)
 	}
-	if outcome := test.ask("r", true); outcome.Denied != "may-have-run" || test.attemptsStarted("r") != 1 {
+	if outcome := test.ask("r", true); outcome.Rejected != "may-have-run" || test.attemptsStarted("r") != 1 {
 		t.Errorf("%+v after %d starts", outcome, test.attemptsStarted("r"))
 	}
 	test = newTestProxy(t, "refuse")
 	for range 2 {
-		if outcome := test.ask("r", true); outcome.Denied != "not-run" {
+		if outcome := test.ask("r", true); outcome.Rejected != "not-run" {
 			t.Errorf("%+v", outcome)
 		}
 	}
@@ -207,7 +207,7 @@
 	} {
 		test := newTestProxy(t, "well")
 		rejected.do(test)
-		if outcome := test.ask("r", true); outcome.Denied != rejected.kind || test.attemptsStarted("r") > 0 {
+		if outcome := test.ask("r", true); outcome.Rejected != rejected.kind || test.attemptsStarted("r") > 0 {
 			t.Errorf("%s: %+v after %d starts", name, outcome, test.attemptsStarted("r"))
 		}
 	}
@@ -238,8 +238,8 @@
 			change(&s)
 			test.snapshot = &s
 		}
-		if outcome := test.ask("r", false); outcome.Denied != "may-have-run" || test.attemptsStarted("r") != 1 {
-			t.Errorf("%s: %s (%s) after %d starts", name, outcome.Denied, outcome.Message, test.attemptsStarted("r"))
+		if outcome := test.ask("r", false); outcome.Rejected != "may-have-run" || test.attemptsStarted("r") != 1 {
+			t.Errorf("%s: %s (%s) after %d starts", name, outcome.Rejected, outcome.Message, test.attemptsStarted("r"))
 		}
 	}
 }
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -143,15 +143,15 @@
 	return contract.StartRequest{
 		RequestID:   ask.RequestID,
 		Tenant:      req.tenant,
-		Domain:      req.snapshot.Config.CacheDomain(req.tenant),
+		CacheDomain: req.snapshot.Config.CacheDomain(req.tenant),
 		Model:       target.Model,
 		Adapter:     target.Adapter,
 		Build:       target.Build,
 		Weights:     worker.Weights,
 		Parts:       ask.Parts,
-		Pieces:      ask.Pieces.Or(defaultAnswerChunks),
+		Chunks:      ask.Pieces.Or(defaultAnswerChunks),
 		WaitMs:      int(min(remaining, deadline-req.proxy.clock.Now()).Milliseconds()),
-		Once:        req.once,
+		AtMostOnce:  req.once,
 		Incarnation: worker.Incarnation,
 		BeginByUs:   workerStartDeadline(worker, deadline),
 	}
--- a/internal/data/callerproxy/decision.go
+++ b/internal/data/callerproxy/decision.go
@@ -42,7 +42,7 @@
 		SaveTo:  choice.SaveAddrs,
 	}
 	if current := req.snapshot.Placements[choice.Worker.Service]; current != nil {
-		decision.Placement = current.Epoch
+		decision.Placement = current.Version
 	}
 	body, err := json.Marshal(decision)
 	if err == nil {
--- a/internal/data/callerproxy/freshness_test.go
+++ b/internal/data/callerproxy/freshness_test.go
@@ -64,8 +64,8 @@
 		}
 		return test.snapshot
 	})
-	if outcome := test.ask("r", true); outcome.Denied != "not-run" || looks <= 10 {
-		t.Errorf("denied as %s after %d looks", outcome.Denied, looks)
+	if outcome := test.ask("r", true); outcome.Rejected != "not-run" || looks <= 10 {
+		t.Errorf("denied as %s after %d looks", outcome.Rejected, looks)
 	}
 }
 
@@ -76,9 +76,9 @@
 	test.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 1000 })
 	test.snapshot.ProofAt = test.clock.Now() - settings.DefaultBounds().Config(0.799)
 	test.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
-	request := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
-	outcome := loadgen.NewCaller([]string{test.edge.Listener.Addr().String()}).Ask(context.Background(), 0, request)
-	if outcome.Denied != "not-run" || test.attemptsStarted("r") > 0 {
-		t.Errorf("%s %s", outcome.Denied, outcome.Message)
+	request := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Chunks: 5, WaitMs: 60, Once: true}
+	outcome := loadgen.NewClient([]string{test.edge.Listener.Addr().String()}).Send(context.Background(), 0, request)
+	if outcome.Rejected != "not-run" || test.attemptsStarted("r") > 0 {
+		t.Errorf("%s %s", outcome.Rejected, outcome.Message)
 	}
 }
--- a/internal/data/callerproxy/links.go
+++ b/internal/data/callerproxy/links.go
@@ -48,9 +48,9 @@
 func (p *Proxy) learnBandwidth(table *trafficTable, snapshot *updatestream.Snapshot, sealed *contract.Chunk, zone string) {
 	class := classOf(snapshot, sealed.FetchAddr, zone)
 	duration := time.Duration(sealed.FetchUs) * time.Microsecond
-	table.recordTransfer(class, sealed.Fetched, duration)
+	table.recordTransfer(class, sealed.FetchedTokens, duration)
 	estimate := p.links.of(class)
-	observed := float64(sealed.Fetched) / duration.Seconds()
+	observed := float64(sealed.FetchedTokens) / duration.Seconds()
 	estimate.Store((1-bandwidthSmoothing)*estimate.Load() + bandwidthSmoothing*observed)
 }
 
--- a/internal/data/callerproxy/metrics.go
+++ b/internal/data/callerproxy/metrics.go
@@ -12,9 +12,9 @@
 
 func (s *stats) addSealed(seal *contract.Chunk) {
 	s.sealed.Add(1)
-	s.hitTokens.Add(int64(seal.Hit))
-	s.fetchedTokens.Add(int64(seal.Fetched))
-	s.prefilledTokens.Add(int64(seal.Prefilled))
+	s.hitTokens.Add(int64(seal.CachedTokens))
+	s.fetchedTokens.Add(int64(seal.FetchedTokens))
+	s.prefilledTokens.Add(int64(seal.PrefilledTokens))
 }
 
 func (p *Proxy) registerMetrics(meter *daemon.Meter) {
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -104,7 +104,7 @@
 	}
 	s.proxy.traffic.TrySend(func(table *trafficTable) {
 		table.endAttempt(s.worker, ok, duration, s.proxy.clock.Now())
-		if sealed != nil && sealed.Fetched > 0 && sealed.FetchUs > 0 {
+		if sealed != nil && sealed.FetchedTokens > 0 && sealed.FetchUs > 0 {
 			s.proxy.learnBandwidth(table, s.snapshot, sealed, s.zone)
 		}
 	})
--- a/internal/data/callerproxy/testworker_test.go
+++ b/internal/data/callerproxy/testworker_test.go
@@ -60,18 +60,18 @@
 
 // writeChunks writes the chunks; false: the answer ends without its seal.
 func (a *workerAnswer) writeChunks(r *http.Request) bool {
-	entries := prefix.Chain(a.start.Domain, a.start.Model, a.start.Weights, a.start.Parts)
+	entries := prefix.Chain(a.start.CacheDomain, a.start.Model, a.start.Weights, a.start.Parts)
 	prompt := entries[len(entries)-1].Key.String()
-	for number := range a.start.Pieces {
-		chunk := contract.Chunk{R: a.start.RequestID, N: number, T: contract.SyntheticText(prompt, a.start.Weights, number)}
-		a.seal.Add(number, chunk.T)
+	for number := range a.start.Chunks {
+		chunk := contract.Chunk{RequestID: a.start.RequestID, Number: number, Text: contract.SyntheticText(prompt, a.start.Weights, number)}
+		a.seal.Add(number, chunk.Text)
 		switch {
 		case number == faultyChunk && a.mode == "loses":
 			continue
 		case number == faultyChunk && a.mode == "mixes":
-			chunk.R = "another"
+			chunk.RequestID = "another"
 		case number == faultyChunk && a.mode == "long":
-			chunk.T = strings.Repeat("x", contract.MaxLineBytes)
+			chunk.Text = strings.Repeat("x", contract.MaxLineBytes)
 		case number == faultyChunk && a.mode == "dies-within":
 			panic(http.ErrAbortHandler)
 		case number == 0 && a.mode == "hangs":
@@ -90,7 +90,7 @@
 }
 
 func (a *workerAnswer) writeSeal() {
-	last := contract.Chunk{R: a.start.RequestID, N: a.start.Pieces, Seal: a.seal.Close(), Worker: a.name, Weights: a.start.Weights}
+	last := contract.Chunk{RequestID: a.start.RequestID, Number: a.start.Chunks, Seal: a.seal.Close(), Worker: a.name, Weights: a.start.Weights}
 	switch a.mode {
 	case "unsealed":
 		return
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -23,7 +23,7 @@
 	// Run executes a runbook from a step on. Every step is recorded as begun before, and as done after; a
 	// dry run only checks, and neither waits, acts nor asks. Each action has a token of its own, so that
 	// one whose response was lost isn't executed twice by resuming.
-	Run     string            `json:"run"`
+	RunID   string            `json:"run"`
 	Runbook string            `json:"book"`
 	Params  map[string]string `json:"set,omitempty"`
 	Step    int               `json:"step"`
@@ -49,7 +49,7 @@
 			continue
 		}
 		note := func(state, detail string) error {
-			return errs.Wrap(record(RecordEntry{Run: run, Runbook: b.Name, Params: set, Step: i, Type: s.Type, Text: s.Text, State: state, Detail: detail}), "record")
+			return errs.Wrap(record(RecordEntry{RunID: run, Runbook: b.Name, Params: set, Step: i, Type: s.Type, Text: s.Text, State: state, Detail: detail}), "record")
 		}
 		if dry && s.Type != "check" {
 			if err := note("planned", strings.TrimSpace(s.Action+" "+formatPairs(s.Args)+formatPairs(s.Match))); err != nil {
@@ -161,7 +161,7 @@
 			return 0, nil, "", errs.New(errs.BadInput, "the record is of runbook %q", l.Runbook)
 		}
 		n++
-		set, run = l.Params, l.Run
+		set, run = l.Params, l.RunID
 		if l.State == "done" && l.Step == from {
 			from++
 		}
--- a/internal/sim/workersim/cab_test.go
+++ b/internal/sim/workersim/cab_test.go
@@ -32,7 +32,7 @@
 	be, ctx := contract.NewBackends((&net.Dialer{}).DialContext), context.Background()
 	opening := "o"
 	ask := func(id string, weights uint64, domain string) (contract.Attempt, *contract.StreamVerifier) {
-		g := be.Start(ctx, addr, contract.StartRequest{RequestID: id, Domain: domain, Model: "m", Weights: weights, Parts: []string{strings.Repeat(opening, 160), "question"}, Pieces: 3, WaitMs: 2000}, nil)
+		g := be.Start(ctx, addr, contract.StartRequest{RequestID: id, CacheDomain: domain, Model: "m", Weights: weights, Parts: []string{strings.Repeat(opening, 160), "question"}, Chunks: 3, WaitMs: 2000}, nil)
 		c := contract.NewStreamVerifier(id, "cab-1")
 		if g.Body != nil {
 			var b bytes.Buffer
@@ -48,13 +48,13 @@
 		}
 		return g, c
 	}
-	if _, c := ask("a", 1, "shared"); c.Sealed == nil || c.Sealed.Prefilled != 42 {
+	if _, c := ask("a", 1, "shared"); c.Sealed == nil || c.Sealed.PrefilledTokens != 42 {
 		t.Fatalf("the first go: %+v", c.Sealed)
 	}
-	if _, c := ask("b", 1, "shared"); c.Sealed == nil || c.Sealed.Hit != 42 {
+	if _, c := ask("b", 1, "shared"); c.Sealed == nil || c.Sealed.CachedTokens != 42 {
 		t.Errorf("the same prompt again: %+v", c.Sealed)
 	}
-	if _, c := ask("c", 1, "t:walled"); c.Sealed == nil || c.Sealed.Hit != 0 {
+	if _, c := ask("c", 1, "t:walled"); c.Sealed == nil || c.Sealed.CachedTokens != 0 {
 		t.Errorf("the same prompt behind a wall: %+v", c.Sealed)
 	}
 	if err := be.Order(ctx, addr, contract.Order{FencingToken: 5, Kind: "weights", Weights: 2}); err != nil {
@@ -66,7 +66,7 @@
 	if g, _ := ask("d", 1, "shared"); !g.NotExecuted() || g.Rejected.Reason != "weights" {
 		t.Errorf("a start on older weights: %+v", g)
 	}
-	if _, c := ask("e", 2, "shared"); c.Sealed == nil || c.Sealed.Hit != 0 || c.Sealed.Weights != 2 {
+	if _, c := ask("e", 2, "shared"); c.Sealed == nil || c.Sealed.CachedTokens != 0 || c.Sealed.Weights != 2 {
 		t.Errorf("the same prompt under newer weights: %+v", c.Sealed)
 	}
 	// A prefix of older weights is handed over late, by a colleague that is behind: it is
@@ -80,7 +80,7 @@
 		t.Fatalf("%v %v", r, err)
 	}
 	opening = "p"
-	if _, c := ask("f", 2, "shared"); c.Sealed == nil || c.Sealed.Hit != 0 || c.Sealed.Prefilled != 42 {
+	if _, c := ask("f", 2, "shared"); c.Sealed == nil || c.Sealed.CachedTokens != 0 || c.Sealed.PrefilledTokens != 42 {
 		t.Errorf("a prompt whose opening is held under older weights: %+v", c.Sealed)
 	}
 	s, err := be.State(ctx, addr)
@@ -91,19 +91,19 @@
 
 // The longest unused goes first, reports are numbered, and one lost on the way is a gap.
 func TestCacheAndReports(t *testing.T) {
-	k := NewKV(100)
-	k.Keep("a", 40)
-	k.Keep("b", 40)
-	k.Has("a")
-	k.Turn(false, 1)
-	k.Keep("c", 40) // b goes
-	k.Turn(true, 1)
-	k.Keep("d", 20)
-	k.Turn(false, 1)
-	if _, ok := k.Has("b"); ok {
+	k := NewCache(100)
+	k.Store("a", 40)
+	k.Store("b", 40)
+	k.Lookup("a")
+	k.CloseReport(false, 1)
+	k.Store("c", 40) // b goes
+	k.CloseReport(true, 1)
+	k.Store("d", 20)
+	k.CloseReport(false, 1)
+	if _, ok := k.Lookup("b"); ok {
 		t.Error("b was used longest ago, and is still held")
 	}
-	if _, ok := k.Has("a"); !ok {
+	if _, ok := k.Lookup("a"); !ok {
 		t.Error("a was used after b, and is gone")
 	}
 	r := k.Reports(0, false, 1)
@@ -116,7 +116,7 @@
 	if w := k.Reports(0, true, 1); !w.Complete || len(w.Cached) != 3 {
 		t.Errorf("%+v", w)
 	}
-	k.Keep("huge", 101)
+	k.Store("huge", 101)
 	if used, room := k.Used(); used != 100 || room != 100 {
 		t.Errorf("%d of %d", used, room)
 	}
