--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -88,7 +88,7 @@
 		}
 		if json.Unmarshal([]byte(last), &list) == nil {
 			for _, retirement := range list.Retirements {
-				if last = fmt.Sprintf("%s, %s, %s, held by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers); retirement.Name == name && (retirement.State == argument || retirement.Phase == argument) {
+				if last = fmt.Sprintf("%s, %s, %s, held by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers); retirement.Name == name && (string(retirement.State) == argument || string(retirement.Phase) == argument) {
 					return run.checkFleetAfterRetirement(ctx, retirement)
 				}
 			}
@@ -108,7 +108,7 @@
 	}
 	retiredBase, base, adapters := retirement.OldBase, retirement.NewBase, []string{}
 	for _, worker := range queue.Keys(retirement.Replacements) {
-		adapters = append(adapters, map[string]string{retire.StateDone: retirement.Replacements[worker], retire.StateAborted: worker}[retirement.State])
+		adapters = append(adapters, map[retire.State]string{retire.StateDone: retirement.Replacements[worker], retire.StateAborted: worker}[retirement.State])
 	}
 	if retirement.State == retire.StateAborted {
 		retiredBase, base = retirement.NewBase, retirement.OldBase
