--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -1,6 +1,7 @@
 package nodeagent
 
 import (
+	"context"
 	"maps"
 	"slices"
 	"time"
@@ -12,135 +13,200 @@
 	"pebbleloom/internal/wire"
 )
 
-const maxWorkers = 1024
+const (
+	maxWorkers = 1024
+	// silenceRatio is the time since its last successful probe from which a worker gets no requests, as a
+	// ratio of the leave bound.
+	silenceRatio = 0.6
+)
 
-type worker struct {
-	listed        contract.ListedWorker
-	state         contract.WorkerState
-	probedAt      time.Duration // start of the last successful probe
-	firstListedAt time.Duration // when it was first listed
-	failedAt      time.Duration // last failed attempt or probe
-	respondedAt   time.Duration // end of the last successful probe
-	probing       bool
+// refreshWorkers applies the platform's list of workers; without a response the last list stays.
+func (a *Agent) refreshWorkers() {
+	requestedAt := a.clock.Now()
+	ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Leave(listTimeoutRatio))
+	defer cancel()
+	list, err := a.backends.List(ctx, a.process.Settings.WorkerList)
+	if err != nil {
+		a.process.Log.Debug("platform doesn't respond: the last list stays", "error", err)
+		return
+	}
+	a.actor.TrySend(func(t *table) { t.workers.ApplyList(list, requestedAt); a.publishWorkers(t) })
+}
+
+// probeWorkers starts a health check of each worker without one in flight. A probe ends with its timeout,
+// which the process's end cuts short.
+func (a *Agent) probeWorkers() {
+	var due []contract.ListedWorker
+	a.actor.Ask(func(t *table) { due = t.workers.StartProbes() })
+	for _, worker := range due {
+		go func() {
+			startedAt := a.clock.Now()
+			ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Leave(probeTimeoutRatio))
+			defer cancel()
+			state, err := a.backends.State(ctx, worker.Addr)
+			a.actor.Ask(func(t *table) { t.workers.RecordProbe(worker, state, err == nil, startedAt, a.clock.Now()) })
+		}()
+	}
+	a.actor.TrySend(a.publishWorkers)
 }
 
-// WorkerTable is the table that listing, probes and failed attempts feed.
+// publishWorkers makes new rows of the worker table, and wakes the waiting requests unless only loads have
+// changed.
+func (a *Agent) publishWorkers(t *table) {
+	var draining map[string]bool
+	if t.config != nil {
+		draining = t.config.Draining
+	}
+	rows := t.workers.Rows(draining, a.clock.Now())
+	for _, row := range rows {
+		if outcomes := t.outcomes[row.Name]; outcomes != nil {
+			outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeWindowRatio))
+			row.Successes, row.Failures = outcomes.succeeded, outcomes.failed
+		}
+	}
+	isSame := slices.EqualFunc(rows, t.rows, isSameButForLoad)
+	t.rows = rows
+	t.listsVersion++
+	if !isSame {
+		t.notifyWaiting()
+	}
+}
+
+// isSameButForLoad reports whether two rows differ in nothing but load and recent outcomes.
+func isSameButForLoad(a, b *wire.Worker) bool {
+	return a.Name == b.Name && a.Addr == b.Addr && a.State == b.State && a.Weights == b.Weights &&
+		a.Incarnation == b.Incarnation && a.Model == b.Model && slices.EqualFunc(a.LoadedModels, b.LoadedModels, isSameLoadedModel)
+}
+
+func isSameLoadedModel(a, b *wire.LoadedModel) bool {
+	return a.Model == b.Model && a.Weights == b.Weights && maps.Equal(a.Adapters, b.Adapters)
+}
+
+// WorkerTable is the health of the workers: lists, probes and failed attempts feed it. It isn't safe for
+// concurrent use.
 type WorkerTable struct {
 	bounds   settings.Bounds
 	workers  map[string]*worker
-	listedAt time.Duration
+	listedAt time.Duration // when the last list was requested
 }
 
-// NewWorkerTable returns an empty table.
+// worker is one listed worker.
+type worker struct {
+	listed      contract.ListedWorker
+	state       contract.WorkerState // by the last successful probe
+	probedAt    time.Duration        // start of the last successful probe; 0: none
+	respondedAt time.Duration        // end of it
+	failedAt    time.Duration        // the last failed attempt or probe
+	isProbing   bool                 // a probe is in flight
+}
+
+// NewWorkerTable makes an empty table.
 //
 // Example: w := nodeagent.NewWorkerTable(bounds)
-func NewWorkerTable(b settings.Bounds) *WorkerTable {
-	return &WorkerTable{bounds: b, workers: map[string]*worker{}}
+func NewWorkerTable(bounds settings.Bounds) *WorkerTable {
+	return &WorkerTable{bounds: bounds, workers: map[string]*worker{}}
 }
 
-// ApplyList applies the platform's list. A worker that isn't in it is removed at once.
+// ApplyList applies the platform's list, which was requested at an instant. A worker that isn't in it is
+// removed at once; another address is another incarnation.
 //
-// Example: w.Listed(list, askedAt)
-func (w *WorkerTable) ApplyList(l []contract.ListedWorker, asked time.Duration) {
-	w.listedAt = asked
-	here := map[string]bool{}
-	for _, x := range l {
-		if len(here) >= maxWorkers {
+// Example: w.ApplyList(list, requestedAt)
+func (workers *WorkerTable) ApplyList(list []contract.ListedWorker, requestedAt time.Duration) {
+	workers.listedAt = requestedAt
+	isListed := map[string]bool{}
+	for _, listed := range list {
+		if len(isListed) >= maxWorkers {
 			break
 		}
-		here[x.Name] = true
-		o := w.workers[x.Name]
-		if o == nil || o.listed.Addr != x.Addr {
-			o = &worker{firstListedAt: asked} // another address is another incarnation
-			w.workers[x.Name] = o
+		isListed[listed.Name] = true
+		known := workers.workers[listed.Name]
+		if known == nil || known.listed.Addr != listed.Addr {
+			known = &worker{}
+			workers.workers[listed.Name] = known
 		}
-		o.listed = x
+		known.listed = listed
 	}
-	for n := range w.workers {
-		if !here[n] {
-			delete(w.workers, n)
+	for name := range workers.workers {
+		if !isListed[name] {
+			delete(workers.workers, name)
 		}
 	}
 }
 
 // StartProbes returns the workers to probe now; each has at most one probe in flight.
 //
-// Example: for _, l := range w.Probe() { go probe(l) }
-func (w *WorkerTable) StartProbes() []contract.ListedWorker {
-	var l []contract.ListedWorker
-	for _, n := range w.names() {
-		if x := w.workers[n]; !x.probing {
-			x.probing = true
-			l = append(l, x.listed)
+// Example: for _, worker := range w.StartProbes() { go probe(worker) }
+func (workers *WorkerTable) StartProbes() (due []contract.ListedWorker) {
+	for _, name := range queue.Keys(workers.workers) {
+		if known := workers.workers[name]; !known.isProbing {
+			known.isProbing = true
+			due = append(due, known.listed)
 		}
 	}
-	return l
+	return due
 }
 
-func (w *WorkerTable) names() []string { return queue.Keys(w.workers) }
-
 // RecordProbe records the result of a probe. Another worker at the address counts as a failure.
 //
-// Example: w.Probed(listed, state, err == nil, askedAt, now)
-func (w *WorkerTable) RecordProbe(l contract.ListedWorker, s contract.WorkerState, ok bool, asked, now time.Duration) {
-	x := w.workers[l.Name]
-	if x == nil || x.listed.Addr != l.Addr {
+// Example: w.RecordProbe(worker, state, err == nil, startedAt, now)
+func (workers *WorkerTable) RecordProbe(probed contract.ListedWorker, state contract.WorkerState, succeeded bool, startedAt, now time.Duration) {
+	known := workers.workers[probed.Name]
+	if known == nil || known.listed.Addr != probed.Addr {
 		return
 	}
-	x.probing = false
-	if ok && s.Name == l.Name {
-		x.state, x.probedAt, x.respondedAt = s, asked, now
+	known.isProbing = false
+	if succeeded && state.Name == probed.Name {
+		known.state, known.probedAt, known.respondedAt = state, startedAt, now
 		return
 	}
-	x.failedAt = now
+	known.failedAt = now
 }
 
 // RecordAttempts records how the proxy's attempts ended.
 //
 // Example: w.RecordAttempts(reports, now)
-func (w *WorkerTable) RecordAttempts(l []*wire.AttemptReport, now time.Duration) {
-	for _, g := range l {
-		if x := w.workers[g.Worker]; x != nil && g.Failures > 0 {
-			x.failedAt = now
+func (workers *WorkerTable) RecordAttempts(reports []*wire.AttemptReport, now time.Duration) {
+	for _, report := range reports {
+		if known := workers.workers[report.Worker]; known != nil && report.Failures > 0 {
+			known.failedAt = now
 		}
 	}
 }
 
-// Rows returns the workers as proxies are to see them.
+// Rows returns the workers as proxies are to see them, by name. draining are those that the configuration
+// drains.
 //
-// Example: rows := w.Table(drains, now)
-func (w *WorkerTable) Rows(drains map[string]bool, now time.Duration) []*wire.Worker {
-	var l []*wire.Worker
-	for _, n := range w.names() {
-		x := w.workers[n]
-		st := updatestream.WorkerUp
-		switch {
-		case x.probedAt == 0 || now-x.probedAt > w.bounds.Leave(0.6):
-			st = updatestream.WorkerGone // never seen, or silent for too long, as in a partition
-		case x.listed.Draining || x.state.Draining || drains[n]:
-			st = updatestream.WorkerDraining
-		case x.failedAt > x.probedAt:
-			st = updatestream.WorkerSuspect
-		}
-		l = append(l, &wire.Worker{Name: n, Addr: x.listed.Addr, Service: x.listed.Service, Model: x.state.Model, Zone: x.listed.Zone,
-			Incarnation: x.state.Incarnation, State: st, Weights: x.state.Weights, Slots: uint32(x.state.Slots), Busy: uint32(x.state.Busy),
-			Queued: uint32(x.state.Queued), Kind: x.listed.Kind, KvCapacity: uint64(x.state.KVCapacity),
-			ClockNs: uint64(x.state.ClockUs) * 1000, ClockReadAt: uint64(x.respondedAt), LoadedModels: loaded(x.state)})
+// Example: rows := w.Rows(config.Draining, now)
+func (workers *WorkerTable) Rows(draining map[string]bool, now time.Duration) (rows []*wire.Worker) {
+	for _, name := range queue.Keys(workers.workers) {
+		known := workers.workers[name]
+		state := known.state
+		rows = append(rows, &wire.Worker{Name: name, Addr: known.listed.Addr, Service: known.listed.Service, Model: state.Model, Zone: known.listed.Zone,
+			Incarnation: state.Incarnation, State: workers.health(known, draining[name], now), Weights: state.Weights, Slots: uint32(state.Slots), Busy: uint32(state.Busy),
+			Queued: uint32(state.Queued), Kind: known.listed.Kind, KvCapacity: uint64(state.KVCapacity),
+			ClockNs: uint64(state.ClockUs) * 1000, ClockReadAt: uint64(known.respondedAt), LoadedModels: loadedModels(state)})
 	}
-	return l
+	return rows
 }
 
-// loaded is what a worker says it has in memory beside its one model.
-func loaded(s contract.WorkerState) []*wire.LoadedModel {
-	var l []*wire.LoadedModel
-	for _, x := range s.Loaded {
-		l = append(l, &wire.LoadedModel{Model: x.Model, Weights: x.Weights, Adapters: x.Adapters})
+// health is a worker's state on the wire. One that was never probed successfully, or is silent for too long,
+// as in a partition, gets no requests.
+func (workers *WorkerTable) health(known *worker, isDrained bool, now time.Duration) uint32 {
+	switch {
+	case known.probedAt == 0 || now-known.probedAt > workers.bounds.Leave(silenceRatio):
+		return updatestream.WorkerGone
+	case known.listed.Draining || known.state.Draining || isDrained:
+		return updatestream.WorkerDraining
+	case known.failedAt > known.probedAt:
+		return updatestream.WorkerSuspect
 	}
-	return l
+	return updatestream.WorkerUp
 }
 
-func sameLoaded(a, b []*wire.LoadedModel) bool {
-	return slices.EqualFunc(a, b, func(x, y *wire.LoadedModel) bool {
-		return x.Model == y.Model && x.Weights == y.Weights && maps.Equal(x.Adapters, y.Adapters)
-	})
+// loadedModels is what a worker reports to have in memory beside its one model.
+func loadedModels(state contract.WorkerState) (models []*wire.LoadedModel) {
+	for _, loaded := range state.Loaded {
+		models = append(models, &wire.LoadedModel{Model: loaded.Model, Weights: loaded.Weights, Adapters: loaded.Adapters})
+	}
+	return models
 }
