--- /dev/null
+++ b/internal/sim/loadgen/summary.go
@@ -0,0 +1,216 @@
+package loadgen
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+
+	"pebbleloom/internal/sim/workersim"
+)
+
+// OutcomeLog keeps all outcomes.
+type OutcomeLog struct {
+	mu  sync.Mutex
+	all []Outcome
+}
+
+// Add writes one outcome down.
+//
+// Example: book.Add(out)
+func (b *OutcomeLog) Add(o Outcome) { b.mu.Lock(); b.all = append(b.all, o); b.mu.Unlock() }
+
+// Summary is what a run of callers has shown.
+type Summary struct {
+	Requests        int            `json:"requests"`
+	Sealed          int            `json:"sealed"`
+	Interrupted     int            `json:"broken"`
+	SentTwice       int            `json:"sent_twice"`
+	Samples         []string       `json:"denials,omitempty"`
+	Rejected        map[string]int `json:"denied,omitempty"`
+	CachedTokens    int            `json:"hit_tokens"`
+	FetchedTokens   int            `json:"fetched_tokens"`
+	PrefilledTokens int            `json:"prefilled_tokens"`
+	HitShare        float64        `json:"hit_share"`
+	FetchedShare    float64        `json:"fetched_share"`
+	LoadMaxToMean   float64        `json:"load_max_to_mean"`
+	P50Ms           int64          `json:"p50_ms"`
+	P99Ms           int64          `json:"p99_ms"`
+	First50Ms       int64          `json:"p50_first_piece_ms"`
+	First95Ms       int64          `json:"p95_first_piece_ms"`
+	OnceP50Ms       int64          `json:"p50_once_only_ms"`  // what claims cost shows against
+	RepeatableP50Ms int64          `json:"p50_repeatable_ms"` // these, in the same run
+	Workers         map[string]int `json:"workers,omitempty"`
+	Faults          []string       `json:"faults"`
+}
+
+// All gives the outcomes; of a request that was sent twice the one that was let in.
+//
+// Example: for _, o := range book.All() { fmt.Println(o.Denied) }
+func (b *OutcomeLog) All() []Outcome {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	duplicates := map[string]Outcome{}
+	for _, outcome := range b.all {
+		if outcome.Request.Duplicate {
+			duplicates[outcome.Request.ID] = outcome
+		}
+	}
+	var outcomes []Outcome
+	for _, outcome := range b.all {
+		if outcome.Request.Duplicate {
+			continue
+		}
+		duplicate, ok := duplicates[outcome.Request.ID]
+		if outcome.SentTwice = ok; ok {
+			outcome.Faults = append(append([]string(nil), outcome.Faults...), duplicate.Faults...)
+			outcome.BothSealed = outcome.Sealed && duplicate.Sealed
+			if duplicate.Sealed && !outcome.Sealed { // the copy that was let in counts
+				duplicate.Faults, duplicate.SentTwice = outcome.Faults, true
+				outcome = duplicate
+			}
+		}
+		outcomes = append(outcomes, outcome)
+	}
+	return outcomes
+}
+
+// summarizer adds outcomes up.
+type summarizer struct {
+	summary  Summary
+	timesRun map[string]int // by request ID: how often workers say that they ran it
+	complete bool           // no journal was lost with a killed worker
+
+	// Latencies in milliseconds of sealed responses.
+	all, once, repeatable, firstChunk []int64
+}
+
+// Bounds of what a summary lists.
+const (
+	maxFaults  = 100
+	maxSamples = 8
+)
+
+// Summarize adds everything up. Journals are what the workers say they ran; complete tells
+// that no journal was lost with a killed worker.
+//
+// Example: sum := log.Summarize(journals, true)
+func (b *OutcomeLog) Summarize(journals map[string][]workersim.Run, complete bool) Summary {
+	s := &summarizer{summary: Summary{Rejected: map[string]int{}, Workers: map[string]int{}, Faults: []string{}}, timesRun: map[string]int{}, complete: complete}
+	for _, runs := range journals {
+		for _, run := range runs {
+			s.timesRun[run.RequestID]++
+		}
+	}
+	for _, outcome := range b.All() {
+		s.add(outcome)
+		s.check(outcome)
+	}
+	s.addShares()
+	s.summary.P50Ms, s.summary.P99Ms = percentile(s.all, 0.5), percentile(s.all, 0.99)
+	s.summary.First50Ms, s.summary.First95Ms = percentile(s.firstChunk, 0.5), percentile(s.firstChunk, 0.95)
+	s.summary.OnceP50Ms, s.summary.RepeatableP50Ms = percentile(s.once, 0.5), percentile(s.repeatable, 0.5)
+	return s.summary
+}
+
+func (s *summarizer) fault(outcome Outcome, format string, a ...any) {
+	if len(s.summary.Faults) < maxFaults {
+		s.summary.Faults = append(s.summary.Faults, outcome.Request.ID+": "+fmt.Sprintf(format, a...))
+	}
+}
+
+// add counts an outcome.
+func (s *summarizer) add(outcome Outcome) {
+	s.summary.Requests++
+	if outcome.SentTwice {
+		s.summary.SentTwice++
+	}
+	for _, f := range outcome.Faults {
+		s.fault(outcome, "%s", f)
+	}
+	switch {
+	case outcome.Sealed:
+		s.addSealed(outcome)
+	case outcome.Interrupted != "":
+		s.summary.Interrupted++
+	default:
+		s.summary.Rejected[outcome.Rejected]++
+		if len(s.summary.Samples) < maxSamples && !strings.Contains(strings.Join(s.summary.Samples, "\n"), outcome.Message) {
+			s.summary.Samples = append(s.summary.Samples, outcome.Rejected+": "+outcome.Message)
+		}
+	}
+}
+
+// addSealed counts a complete response, its tokens and its latency.
+func (s *summarizer) addSealed(outcome Outcome) {
+	s.summary.Sealed++
+	s.summary.CachedTokens += outcome.Final.CachedTokens
+	s.summary.FetchedTokens += outcome.Final.FetchedTokens
+	s.summary.PrefilledTokens += outcome.Final.PrefilledTokens
+	s.all = append(s.all, outcome.TookMs)
+	if outcome.Request.Once {
+		s.once = append(s.once, outcome.TookMs)
+	} else {
+		s.repeatable = append(s.repeatable, outcome.TookMs)
+	}
+	if outcome.Request.App {
+		return
+	}
+	s.firstChunk = append(s.firstChunk, outcome.FirstChunkMs)
+	s.summary.Workers[outcome.Worker]++
+	if s.timesRun[outcome.Request.ID] == 0 && s.complete {
+		s.fault(outcome, "sealed, yet no worker ran it")
+	}
+}
+
+// check compares an outcome with what the workers say they ran.
+func (s *summarizer) check(outcome Outcome) {
+	timesRun := s.timesRun[outcome.Request.ID]
+	if outcome.Rejected == "held-past-wait" {
+		s.fault(outcome, "held past its wait")
+	}
+	if outcome.BothSealed {
+		s.fault(outcome, "both copies of a once-only request were answered")
+	}
+	if outcome.Request.Once && timesRun > 1 {
+		s.fault(outcome, "a once-only request ran %d times", timesRun)
+	}
+	if MeansNotExecuted(outcome.Rejected) && timesRun > 0 && !outcome.SentTwice {
+		s.fault(outcome, "denied as %s, yet it ran", outcome.Rejected)
+	}
+}
+
+// addShares works out the shares of tokens, and how unevenly the workers were used.
+func (s *summarizer) addShares() {
+	if tokens := s.summary.CachedTokens + s.summary.FetchedTokens + s.summary.PrefilledTokens; tokens > 0 {
+		s.summary.HitShare = float64(s.summary.CachedTokens) / float64(tokens)
+		s.summary.FetchedShare = float64(s.summary.FetchedTokens) / float64(tokens)
+	}
+	highest, sum := 0, 0
+	for _, requests := range s.summary.Workers {
+		highest, sum = max(highest, requests), sum+requests
+	}
+	if sum > 0 {
+		s.summary.LoadMaxToMean = float64(highest) * float64(len(s.summary.Workers)) / float64(sum)
+	}
+}
+
+// percentile is the value below which that share of a list lies.
+func percentile(values []int64, share float64) int64 {
+	if len(values) == 0 {
+		return 0
+	}
+	slices.Sort(values)
+	return values[min(len(values)-1, int(float64(len(values))*share))]
+}
+
+// MeansNotExecuted tells whether a denial's kind says that nothing ran.
+//
+// Example: loadgen.MeansNotExecuted("over-budget")
+func MeansNotExecuted(kind string) bool {
+	switch kind {
+	case connectionRefused, "not-run", "overloaded", "over-budget", "bad-key", "no-such-model", "too-big", "bad-input":
+		return true
+	}
+	return false
+}
--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -41,42 +41,61 @@
 	case "platform":
 		run.background.Go(func() { run.replaceDrainedWorkers(ctx) })
 		return nil
-	case "second": // these workers are the second service's from now on
-		targets, err := run.resolveTargets(ctx, target)
-		if err != nil {
-			return err
-		}
-		for _, name := range targets {
-			for _, worker := range run.fleet.Site.WorkerList {
-				if worker.Name == name {
-					worker.Service = run.fleet.Site.Traffic.Model + "-two"
-					if err := run.listWorker(ctx, worker); err != nil {
-						return err
-					}
-				}
+	case "second":
+		return run.moveToSecondService(ctx, target)
+	}
+	return run.awaitCalendarEntry(ctx, target, argument)
+}
+
+// moveToSecondService has the platform list workers under the site's second service from now on.
+func (run *scenarioRun) moveToSecondService(ctx context.Context, target string) error {
+	names, err := run.resolveTargets(ctx, target)
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		for _, worker := range run.fleet.Site.WorkerList {
+			if worker.Name != name {
+				continue
+			}
+			worker.Service = run.fleet.Site.Traffic.Model + "-two"
+			if err := run.listWorker(ctx, worker); err != nil {
+				return err
 			}
 		}
-		return nil
 	}
+	return nil
+}
+
+const (
+	calendarPolls     = 60 // until an entry has to be in its state
+	calendarPollPause = 500 * time.Millisecond
+)
+
+// awaitCalendarEntry waits until a calendar entry, service/name, has come to a state.
+func (run *scenarioRun) awaitCalendarEntry(ctx context.Context, target, state string) error {
 	for i := 0; ; i++ {
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/calendar")
-		var targets struct {
+		var list struct {
 			Moves []json.RawMessage `json:"moves"`
 		}
 		last := body
-		if json.Unmarshal([]byte(body), &targets) == nil {
-			for _, m := range targets.Moves {
-				if entry, err := calendar.Decode(m); err == nil && entry.Service+"/"+entry.Name == target {
-					if last = fmt.Sprintf("%s, step %d of %d, %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason); string(entry.State) == argument {
-						return nil
-					}
+		if json.Unmarshal([]byte(body), &list) == nil {
+			for _, move := range list.Moves {
+				entry, err := calendar.Decode(move)
+				if err != nil || entry.Service+"/"+entry.Name != target {
+					continue
+				}
+				last = fmt.Sprintf("%s, step %d of %d, %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason)
+				if string(entry.State) == state {
+					return nil
 				}
 			}
 		}
-		if i >= 60 {
-			return errs.New(errs.Internal, "%s isn't %s: %s", target, argument, last)
+		if i >= calendarPolls {
+			return errs.New(errs.Internal, "%s isn't %s: %s", target, state, last)
 		}
-		time.Sleep(500 * time.Millisecond)
+		time.Sleep(calendarPollPause)
 	}
 }
 
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -46,7 +46,7 @@
 
 // recordPlacement notes the placement that is in force in the end.
 func (run *scenarioRun) recordPlacement(ctx context.Context) {
-	_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/placements/"+run.fleet.Site.Traffic.Model+"-main")
+	_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/placements/"+mainService(run.fleet.Site.Traffic.Model))
 	var s struct {
 		Placement struct {
 			RMax       float64  `json:"r_max"`
--- /dev/null
+++ b/internal/sim/testbed/faultkinds.go
@@ -0,0 +1,217 @@
+package testbed
+
+import (
+	"fmt"
+	"strings"
+)
+
+// faultKind is one kind of fault that a mixture may hold.
+type faultKind struct {
+	name string
+	draw func(gen *faultGenerator, fault *Fault)
+}
+
+// faultKinds are drawn by their position: a seed's faults change if they are reordered.
+var faultKinds = []faultKind{
+	{"workers-killed", onWorkers("kill", "start", 4)},
+	{"workers-vanish", onWorkers("off", "mend", 2)},
+	{"edge-killed", onEdges("kill", "start", edgeProcesses, 1)},
+	{"edge-frozen", onEdges("freeze", "thaw", edgeProcesses, 1)},
+	{"edge-cut", onEdges("off", "mend", "%", 1)},
+	{"edge-half-cut", drawEdgeHalfCut},
+	{"edges-killed", onEdges("kill", "start", edgeProcesses, 3)},
+	{"worker-frozen", onWorkers("freeze", "thaw", 2)},
+	{"core-killed", onCoreMachine("kill", "start", coreProcesses)},
+	{"core-frozen", onCoreMachine("freeze", "thaw", coreProcesses)},
+	{"core-cut", onCoreMachine("off", "mend", "%")},
+	{"disk-lost", drawDiskLost},
+	{"disk-full", drawDiskFull},
+	{"disk-stalls", drawDiskStalls},
+	{"power", drawPowerLost},
+	{"clock", drawClockJump},
+	{"weights", drawWeights},
+	{"weights-again", drawWeightsTwice},
+	{"revoke", drawRevocation},
+	{"drain", drawDrain},
+	{"warn", drawWarning},
+	{"storm", concurrentChanges("storm")},
+	{"race", concurrentChanges("race")},
+	{"grow", drawGrowth},
+	{"store", drawStoreKilled},
+	{"slow", drawSlowLinks},
+	{"gaps", withWorkerOption("drop=0.3")},
+	{"late", withWorkerOption("late_ms=4000")},
+	{"mute", withWorkerOption("mute=yes")},
+	{"seeds", drawSeedsChange},
+	{"index", drawIndexKilled},
+}
+
+// atStart adds a step at the fault's beginning.
+func (gen *faultGenerator) atStart(fault *Fault, action, targets, argument string) {
+	fault.Steps = append(fault.Steps, Step{At: gen.startMs, Action: action, Targets: targets, Argument: argument})
+}
+
+// atEnd adds a step at the fault's end.
+func (gen *faultGenerator) atEnd(fault *Fault, action, targets, argument string) {
+	fault.Steps = append(fault.Steps, Step{At: gen.endMs, Action: action, Targets: targets, Argument: argument})
+}
+
+// after adds a step some milliseconds after the fault's beginning.
+func (gen *faultGenerator) after(fault *Fault, ms int, action, targets, argument string) {
+	fault.Steps = append(fault.Steps, Step{At: gen.startMs + ms, Action: action, Targets: targets, Argument: argument})
+}
+
+// onWorkers is a fault of one to so many workers.
+func onWorkers(action, undo string, atMost int) func(*faultGenerator, *Fault) {
+	return func(gen *faultGenerator, fault *Fault) {
+		if names := gen.takeHealthy("cab", workers, 1+gen.random.IntN(atMost)); len(names) > 0 {
+			fault.Steps = gen.faultAndRepair(action, undo, expandNames("%", names))
+		}
+	}
+}
+
+// onEdges is a fault of so many edge machines, or of as many as are healthy.
+func onEdges(action, undo, processes string, count int) func(*faultGenerator, *Fault) {
+	return func(gen *faultGenerator, fault *Fault) {
+		if names := gen.takeHealthy("edge", edgeMachines, count); len(names) > 0 {
+			fault.Steps = gen.faultAndRepair(action, undo, expandNames(processes, names))
+		}
+	}
+}
+
+// onCoreMachine is a fault of one core machine.
+func onCoreMachine(action, undo, processes string) func(*faultGenerator, *Fault) {
+	return func(gen *faultGenerator, fault *Fault) {
+		if machine, ok := gen.takeCoreMachine(); ok {
+			fault.Steps = gen.faultAndRepair(action, undo, expandNames(processes, machine))
+		}
+	}
+}
+
+// concurrentChanges is many operators' changes at once.
+func concurrentChanges(action string) func(*faultGenerator, *Fault) {
+	return func(gen *faultGenerator, fault *Fault) {
+		gen.atStart(fault, action, "", fmt.Sprint(3+gen.random.IntN(12)))
+	}
+}
+
+// withWorkerOption has all workers misbehave throughout.
+func withWorkerOption(option string) func(*faultGenerator, *Fault) {
+	return func(_ *faultGenerator, fault *Fault) { fault.WorkerOptions = []string{option} }
+}
+
+// drawEdgeHalfCut: what an edge machine sends to the core is lost, what it receives isn't.
+func drawEdgeHalfCut(gen *faultGenerator, fault *Fault) {
+	const core = "core-1 core-2 core-3 core-4"
+	if names := gen.takeHealthy("edge", edgeMachines, 1); len(names) > 0 {
+		gen.atStart(fault, "cut", names[0], core)
+		gen.atEnd(fault, "mend", names[0], core)
+	}
+}
+
+// drawDiskLost: a core machine dies right after changes were acknowledged, and comes back with an empty
+// disk, half of the times at another address.
+func drawDiskLost(gen *faultGenerator, fault *Fault) {
+	machine, ok := gen.takeCoreMachine()
+	if !ok {
+		return
+	}
+	gen.atStart(fault, "storm", "", "5")
+	gen.after(fault, 1, "kill", expandNames(coreProcesses, machine), "")
+	gen.after(fault, 2, "wipe", expandNames(controlNode, machine), "")
+	if gen.random.IntN(2) == 0 {
+		gen.after(fault, 3, "move", expandNames(controlNode, machine), "")
+	}
+	gen.atEnd(fault, "start", expandNames(coreProcesses, machine), "")
+}
+
+// drawDiskFull: a core machine's disk refuses writes; it is restarted once there is space again.
+func drawDiskFull(gen *faultGenerator, fault *Fault) {
+	machine, ok := gen.takeCoreMachine()
+	if !ok {
+		return
+	}
+	node := expandNames(controlNode, machine)
+	gen.atStart(fault, "disk", node, "full")
+	gen.atEnd(fault, "disk", node, "")
+	fault.Steps = append(fault.Steps, Step{At: gen.endMs + 100, Action: "kill", Targets: node}, Step{At: gen.endMs + 200, Action: "start", Targets: node})
+}
+
+func drawDiskStalls(gen *faultGenerator, fault *Fault) {
+	if machine, ok := gen.takeCoreMachine(); ok {
+		gen.atStart(fault, "disk", expandNames(controlNode, machine), fmt.Sprint("stall ", 100+gen.random.IntN(1500)))
+		gen.atEnd(fault, "disk", expandNames(controlNode, machine), "")
+	}
+}
+
+// drawPowerLost: all core machines lose power right after something was acknowledged.
+func drawPowerLost(gen *faultGenerator, fault *Fault) {
+	if gen.nextCoreFaultMs != 0 {
+		return
+	}
+	gen.atStart(fault, "storm", "", "5")
+	gen.atStart(fault, "kill", allControlNodes, "")
+	gen.after(fault, 300, "start", allControlNodes, "")
+	gen.nextCoreFaultMs = latestFaultMs + 1
+}
+
+func drawClockJump(gen *faultGenerator, fault *Fault) {
+	gen.atStart(fault, "wall", fmt.Sprintf("archive-core-%d", 1+gen.random.IntN(4)), fmt.Sprint(gen.random.IntN(20000000)-10000000))
+}
+
+func drawWeights(gen *faultGenerator, fault *Fault) {
+	if gen.weightsNamed++; gen.weightsNamed == 1 {
+		gen.atStart(fault, "weights", "", "2")
+	}
+}
+
+// drawWeightsTwice names newer weights while the ones before are being rolled out.
+func drawWeightsTwice(gen *faultGenerator, fault *Fault) {
+	if gen.weightsNamed++; gen.weightsNamed == 1 {
+		gen.atStart(fault, "weights", "", "2")
+		gen.after(fault, 1000+gen.random.IntN(3000), "weights", "", "3")
+	}
+}
+
+func drawRevocation(gen *faultGenerator, fault *Fault) {
+	gen.atStart(fault, "revoke", fmt.Sprintf("tenant-%d", 3+gen.random.IntN(6)), "")
+}
+
+func drawDrain(gen *faultGenerator, fault *Fault) {
+	if names := gen.takeHealthy("cab", workers, 2); len(names) > 0 {
+		gen.atStart(fault, "drain", strings.Join(names, " "), "")
+	}
+}
+
+func drawWarning(gen *faultGenerator, fault *Fault) {
+	if names := gen.takeHealthy("cab", workers, 1); len(names) > 0 {
+		gen.atStart(fault, "warn", names[0], "")
+	}
+}
+
+func drawGrowth(gen *faultGenerator, fault *Fault) {
+	gen.atStart(fault, "grow", "", fmt.Sprint(20+gen.random.IntN(60)))
+}
+
+func drawStoreKilled(gen *faultGenerator, fault *Fault) {
+	fault.Steps = gen.faultAndRepair("kill", "start", "depot-1")
+}
+
+func drawSlowLinks(gen *faultGenerator, fault *Fault) {
+	if names := gen.takeHealthy("cab", workers, 3); len(names) > 0 {
+		gen.atStart(fault, "slow", strings.Join(names, " "), fmt.Sprint(5000+gen.random.IntN(100000)))
+		gen.atEnd(fault, "mend", strings.Join(names, " "), "*")
+	}
+}
+
+func drawSeedsChange(gen *faultGenerator, fault *Fault) {
+	gen.atStart(fault, "seeds", "", "127.{net}.2.1:7003 127.{net}.3.1:7003 127.{net}.2.11:7000")
+}
+
+func drawIndexKilled(gen *faultGenerator, fault *Fault) {
+	machine := fmt.Sprintf("edge-%d", 1+gen.random.IntN(edgeMachines))
+	if !gen.faulty[machine] {
+		gen.faulty[machine] = true
+		fault.Steps = gen.faultAndRepair("kill", "start", "catalogue-"+machine)
+	}
+}
--- a/internal/sim/testbed/faults.go
+++ b/internal/sim/testbed/faults.go
@@ -57,6 +57,9 @@
 const (
 	edgeProcesses = "runner-% catalogue-% dispatcher-%"
 	coreProcesses = "archive-% appraiser-%"
+	controlNode   = "archive-%"
+
+	allControlNodes = "archive-*"
 )
 
 // takeCoreMachine is a core machine's trouble: these come one after the other.
@@ -74,135 +77,24 @@
 	return []Step{{At: gen.startMs, Action: do, Targets: who}, {At: gen.endMs, Action: undo, Targets: who}}
 }
 
-var faultKinds = []string{"workers-killed", "workers-vanish", "edge-killed", "edge-frozen", "edge-cut", "edge-half-cut", "edges-killed", "worker-frozen", "core-killed", "core-frozen",
-	"core-cut", "disk-lost", "disk-full", "disk-stalls", "power", "clock", "weights", "weights-again", "revoke", "drain", "warn", "storm", "race", "grow", "store", "slow", "gaps", "late", "mute", "seeds", "index"}
-
-func (gen *faultGenerator) draw(k string) (t Fault) {
-	at := func(do, who, to string) {
-		t.Steps = append(t.Steps, Step{At: gen.startMs, Action: do, Targets: who, Argument: to})
-	}
-	then := func(do, who, to string) {
-		t.Steps = append(t.Steps, Step{At: gen.endMs, Action: do, Targets: who, Argument: to})
+// draw draws a fault of a kind. It has neither steps nor options if the site bears no more of that kind.
+func (gen *faultGenerator) draw(kind faultKind) Fault {
+	fault := Fault{Name: kind.name}
+	kind.draw(gen, &fault)
+	for _, step := range fault.Steps {
+		fault.Links = fault.Links || slices.Contains(linkActions, step.Action)
 	}
-	onOff := func(do, undo, form, kind string, of, n int) {
-		if l := gen.takeHealthy(kind, of, n); len(l) > 0 {
-			t.Steps = gen.faultAndRepair(do, undo, expandNames(form, l))
-		}
-	}
-	onOne := func(do, undo, form string) {
-		if l, ok := gen.takeCoreMachine(); ok {
-			t.Steps = gen.faultAndRepair(do, undo, expandNames(form, l))
-		}
+	for i := range fault.Steps {
+		fault.Steps[i].Background = slices.Contains(operatorActions, fault.Steps[i].Action)
 	}
-	t.Name = k
-	switch k {
-	case "workers-killed":
-		onOff("kill", "start", "%", "cab", 18, 1+gen.random.IntN(4))
-	case "workers-vanish":
-		onOff("off", "mend", "%", "cab", 18, 1+gen.random.IntN(2))
-	case "worker-frozen":
-		onOff("freeze", "thaw", "%", "cab", 18, 1+gen.random.IntN(2))
-	case "edge-killed":
-		onOff("kill", "start", edgeProcesses, "edge", 9, 1)
-	case "edges-killed":
-		onOff("kill", "start", edgeProcesses, "edge", 9, 3)
-	case "edge-frozen":
-		onOff("freeze", "thaw", edgeProcesses, "edge", 9, 1)
-	case "edge-cut":
-		onOff("off", "mend", "%", "edge", 9, 1)
-	case "edge-half-cut":
-		if l := gen.takeHealthy("edge", 9, 1); len(l) > 0 {
-			at("cut", l[0], "core-1 core-2 core-3 core-4")
-			then("mend", l[0], "core-1 core-2 core-3 core-4")
-		}
-	case "core-killed":
-		onOne("kill", "start", coreProcesses)
-	case "core-frozen":
-		onOne("freeze", "thaw", coreProcesses)
-	case "core-cut":
-		onOne("off", "mend", "%")
-	case "disk-lost":
-		if l, ok := gen.takeCoreMachine(); ok {
-			at("storm", "", "5")
-			t.Steps = append(t.Steps, Step{At: gen.startMs + 1, Action: "kill", Targets: expandNames(coreProcesses, l)}, Step{At: gen.startMs + 2, Action: "wipe", Targets: expandNames("archive-%", l)})
-			if gen.random.IntN(2) == 0 {
-				t.Steps = append(t.Steps, Step{At: gen.startMs + 3, Action: "move", Targets: expandNames("archive-%", l)})
-			}
-			then("start", expandNames(coreProcesses, l), "")
-		}
-	case "disk-full":
-		if l, ok := gen.takeCoreMachine(); ok {
-			at("disk", expandNames("archive-%", l), "full")
-			then("disk", expandNames("archive-%", l), "")
-			t.Steps = append(t.Steps, Step{At: gen.endMs + 100, Action: "kill", Targets: expandNames("archive-%", l)}, Step{At: gen.endMs + 200, Action: "start", Targets: expandNames("archive-%", l)})
-		}
-	case "disk-stalls":
-		if l, ok := gen.takeCoreMachine(); ok {
-			at("disk", expandNames("archive-%", l), fmt.Sprint("stall ", 100+gen.random.IntN(1500)))
-			then("disk", expandNames("archive-%", l), "")
-		}
-	case "power": // at all core machines, right after something was acknowledged
-		if gen.nextCoreFaultMs == 0 {
-			at("storm", "", "5")
-			at("kill", "archive-*", "")
-			t.Steps = append(t.Steps, Step{At: gen.startMs + 300, Action: "start", Targets: "archive-*"})
-			gen.nextCoreFaultMs = latestFaultMs + 1
-		}
-	case "clock":
-		at("wall", fmt.Sprintf("archive-core-%d", 1+gen.random.IntN(4)), fmt.Sprint(gen.random.IntN(20000000)-10000000))
-	case "weights", "weights-again":
-		if gen.weightsNamed++; k == "weights" && gen.weightsNamed == 1 {
-			at("weights", "", "2")
-		} else if gen.weightsNamed == 1 {
-			at("weights", "", "2")
-			t.Steps = append(t.Steps, Step{At: gen.startMs + 1000 + gen.random.IntN(3000), Action: "weights", Argument: "3"})
-		}
-	case "revoke":
-		at("revoke", fmt.Sprintf("tenant-%d", 3+gen.random.IntN(6)), "")
-	case "drain":
-		if l := gen.takeHealthy("cab", 18, 2); len(l) > 0 {
-			at("drain", strings.Join(l, " "), "")
-		}
-	case "warn":
-		if l := gen.takeHealthy("cab", 18, 1); len(l) > 0 {
-			at("warn", l[0], "")
-		}
-	case "storm", "race":
-		at(k, "", fmt.Sprint(3+gen.random.IntN(12)))
-	case "grow":
-		at("grow", "", fmt.Sprint(20+gen.random.IntN(60)))
-	case "store":
-		t.Steps = gen.faultAndRepair("kill", "start", "depot-1")
-	case "slow":
-		if l := gen.takeHealthy("cab", 18, 3); len(l) > 0 {
-			at("slow", strings.Join(l, " "), fmt.Sprint(5000+gen.random.IntN(100000)))
-			then("mend", strings.Join(l, " "), "*")
-		}
-	case "gaps":
-		t.WorkerOptions = []string{"drop=0.3"}
-	case "late":
-		t.WorkerOptions = []string{"late_ms=4000"}
-	case "mute":
-		t.WorkerOptions = []string{"mute=yes"}
-	case "seeds":
-		at("seeds", "", "127.{net}.2.1:7003 127.{net}.3.1:7003 127.{net}.2.11:7000")
-	case "index":
-		t.Steps = gen.faultAndRepair("kill", "start", fmt.Sprintf("catalogue-edge-%d", 1+gen.random.IntN(9)))
-		if n := strings.TrimPrefix(t.Steps[0].Targets, "catalogue-"); gen.faulty[n] {
-			t.Steps = nil
-		} else {
-			gen.faulty[n] = true
-		}
-	}
-	for _, step := range t.Steps {
-		t.Links = t.Links || slices.Contains([]string{"off", "cut", "slow"}, step.Action)
-	}
-	for i := range t.Steps {
-		t.Steps[i].Background = slices.Contains([]string{"weights", "revoke", "drain", "storm", "race", "grow", "seeds"}, t.Steps[i].Action)
-	}
-	return t
+	return fault
 }
 
+var (
+	linkActions     = []string{"off", "cut", "slow"}
+	operatorActions = []string{"weights", "revoke", "drain", "storm", "race", "grow", "seeds"}
+)
+
 // DrawFaults draws the troubles of a seed: three to seven kinds of the brief's list, within what a
 // site must bear at once.
 //
@@ -212,10 +104,10 @@
 	generator := &faultGenerator{random: random, faulty: map[string]bool{}, drawn: map[string]bool{}}
 	for n := 3 + random.IntN(5); len(faults) < n; {
 		kind := faultKinds[random.IntN(len(faultKinds))]
-		if generator.drawn[kind] {
+		if generator.drawn[kind.name] {
 			continue
 		}
-		generator.drawn[kind] = true
+		generator.drawn[kind.name] = true
 		generator.startMs = earliestFaultMs + random.IntN(latestFaultMs-earliestFaultMs)
 		generator.endMs = generator.startMs + 300 + random.IntN(5000)
 		if fault := generator.draw(kind); len(fault.Steps)+len(fault.WorkerOptions) > 0 {
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -142,7 +142,7 @@
 }
 
 func (f *Fleet) hasPlacement(ctx context.Context) bool {
-	code, _ := f.Get(ctx, f.Site.Operators[0], "/v1/placements/"+f.Site.Traffic.Model+"-main")
+	code, _ := f.Get(ctx, f.Site.Operators[0], "/v1/placements/"+mainService(f.Site.Traffic.Model))
 	return code == 200
 }
 
--- /dev/null
+++ b/internal/sim/testbed/layout.go
@@ -0,0 +1,215 @@
+package testbed
+
+import (
+	"fmt"
+	"path/filepath"
+	"slices"
+
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/serviceconfig"
+	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/sim/loadgen"
+)
+
+// Sizes of a site today, and how often they can be multiplied.
+const (
+	zones           = 4
+	edgeMachines    = 9
+	workers         = 18
+	tenants         = 8
+	heavyTenants    = 2 // the first ones
+	heavyWeight     = 5 // of their share of the traffic, against 1
+	maxTimes        = 4
+	simulatorsZone  = 9 // third byte of the platform simulator's address
+	initialWeights  = 1
+	maxClientWaitMs = 30000
+)
+
+// Ports of the programs.
+const (
+	agentPort            = 7000
+	proxyPort            = 7001
+	indexPort            = 7002
+	controlPort          = 7003
+	placementPort        = 7004
+	clientPort           = 8080
+	operatorPort         = 8090
+	workerPort           = 9000
+	workerInternalPort   = 9001
+	platformPort         = 9100
+	platformInternalPort = 9101
+)
+
+// layout lays one site out.
+type layout struct {
+	site          *Site
+	dir           string
+	addressByte   int // second byte of the loopback addresses
+	bounds        settings.Bounds
+	linkOptions   []string // of every worker: the speed of its links
+	workerOptions []string // further options of every worker
+	seeds, core   []string
+	platformAddr  string
+}
+
+// LayOut lays a site out. net is the second byte of its loopback addresses; the options go to
+// every worker.
+//
+// Example: s, err := testbed.LayOut("paramo", "/tmp/run", 10, nil)
+func LayOut(name, dir string, net int, workerOptions []string) (*Site, error) {
+	return LayOutTimes(name, dir, net, workerOptions, 1)
+}
+
+// LayOutTimes lays a site out at several times today's size: edge machines, workers and
+// traffic grow, the four core machines stay.
+//
+// Example: s, err := testbed.LayOutTimes("daegu", "/tmp/run", 10, nil, 4)
+func LayOutTimes(name, dir string, net int, workerOptions []string, times int) (*Site, error) {
+	if times < 1 || times > maxTimes {
+		return nil, errs.New(errs.BadInput, "times %d: give 1 to %d", times, maxTimes)
+	}
+	l := &layout{site: &Site{Name: name, Workers: map[string]string{}}, dir: dir, addressByte: net, bounds: settings.DefaultBounds(), workerOptions: workerOptions}
+	fetchTolerance, err := l.setTraffic(name)
+	if err != nil {
+		return nil, err
+	}
+	l.setConfig(fetchTolerance)
+	l.site.Traffic.Rate *= float64(times)
+	l.addTenants()
+	l.seeds = []string{l.addr(1, 1, controlPort), l.addr(2, 1, controlPort), l.addr(1, 11, agentPort)}
+	l.core = []string{"core-1", "core-2", "core-3", "core-4"}
+	l.platformAddr = l.addr(simulatorsZone, 1, platformPort)
+	l.addCoreMachines()
+	l.addEdgeMachines(edgeMachines * times)
+	l.addWorkers(workers * times)
+	l.addSimulators()
+	return l.site, nil
+}
+
+// setTraffic sets what the site's clients send and how fast its links are. It returns how much of a
+// prefill a fetch may take.
+func (l *layout) setTraffic(name string) (fetchTolerance float64, err error) {
+	switch name {
+	case "paramo":
+		l.linkOptions = []string{"link=40000", "far=25000"}
+		l.site.Traffic = loadgen.Traffic{Site: name, Model: "lector", App: "caja", Rate: 45, WaitMs: 8000, OnceShare: 0.3, DuplicateShare: 0.2, AppShare: 0.05, Kinds: []loadgen.Kind{
+			{Name: "appraise", Share: 0.35, Prefixes: 60, PrefixTokens: 3000, Skew: 1.0, QuestionTokens: 40, Chunks: 4},
+			{Name: "catalogue", Share: 0.35, Prefixes: 160, PrefixTokens: 900, Skew: 0.8, SessionTokens: 300, Sessions: 300, QuestionTokens: 60, Chunks: 6},
+			{Name: "copies", Share: 0.30, Prefixes: 60, PrefixTokens: 200, Skew: 0.9, QuestionTokens: 30, Chunks: 10}}}
+		return 0.3, nil
+	case "daegu":
+		l.bounds.WeightsMs = 25000
+		l.linkOptions = []string{"link=300000", "far=200000"}
+		l.site.Traffic = loadgen.Traffic{Site: name, Model: "gisa", App: "jeonpyo", Rate: 30, WaitMs: 8000, OnceShare: 0.4, DuplicateShare: 0.2, AppShare: 0.05, Kinds: []loadgen.Kind{
+			{Name: "ruling", Share: 0.4, Prefixes: 40, PrefixTokens: 2600, Skew: 1.1, QuestionTokens: 30, Chunks: 4},
+			{Name: "route", Share: 0.3, Prefixes: 120, PrefixTokens: 800, Skew: 0.8, QuestionTokens: 50, Chunks: 5},
+			{Name: "booking", Share: 0.3, Prefixes: 40, PrefixTokens: 180, Skew: 0.9, SessionTokens: 400, Sessions: 120, QuestionTokens: 40, Chunks: 10}}}
+		return 0.05, nil
+	}
+	return 0, errs.New(errs.BadInput, "site %q: give one of %v", name, Sites())
+}
+
+// setConfig sets the site's first configuration: a service each for the model and the application.
+func (l *layout) setConfig(fetchTolerance float64) {
+	model, app := l.site.Traffic.Model, l.site.Traffic.App
+	l.site.Config = serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{}, MaxWaitMs: maxClientWaitMs,
+		Models:   map[string]serviceconfig.Model{model: {Weights: initialWeights}, app: {Weights: 1}},
+		Services: map[string]serviceconfig.Service{mainService(model): {Model: model, FetchTolerance: fetchTolerance}, mainService(app): {Model: app}},
+		Routes:   map[string]serviceconfig.Route{model: {Service: mainService(model)}, app: {Service: mainService(app)}}}
+}
+
+// mainService is the service of a model.
+func mainService(model string) string { return model + "-main" }
+
+// addTenants adds the site's tenants: a few heavy ones, and an isolated one at the end.
+func (l *layout) addTenants() {
+	for i := range tenants {
+		tenant := loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", l.site.Name, i+1), Weight: 1, Isolated: i == tenants-1}
+		if i < heavyTenants {
+			tenant.Weight = heavyWeight
+		}
+		l.site.Traffic.Tenants = append(l.site.Traffic.Tenants, tenant)
+		l.site.Config.Tenants[tenant.Name] = serviceconfig.Tenant{Keys: []string{tenant.Key}, Isolated: tenant.Isolated}
+	}
+}
+
+// addr is a machine's address with a port; the third byte is its zone.
+func (l *layout) addr(zone, machine, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", l.addressByte, zone, machine, port)
+}
+
+func zoneName(zone int) string { return fmt.Sprintf("district-%d", zone) }
+
+// add adds a process, with the settings that all have.
+func (l *layout) add(name, program string, process settings.Process) {
+	process.Seeds = slices.Clone(l.seeds)
+	process.Bounds, process.Core, process.WorkerList = l.bounds, l.core, l.platformAddr
+	l.site.Processes = append(l.site.Processes, Process{Name: name, Program: program, Settings: process})
+}
+
+// addCoreMachines adds a core machine in each zone: a control node and a placement controller.
+func (l *layout) addCoreMachines() {
+	for zone := 1; zone <= zones; zone++ {
+		machine := l.core[zone-1]
+		base := settings.Process{Name: machine, Zone: zoneName(zone)}
+		control := base
+		control.Listen, control.Operator = l.addr(zone, 1, controlPort), l.addr(zone, 1, operatorPort)
+		control.Data = filepath.Join(l.dir, "data", machine)
+		l.add("archive-"+machine, programs.ControlNode, control)
+		placement := base
+		placement.Listen = l.addr(zone, 1, placementPort)
+		l.add("appraiser-"+machine, programs.PlacementController, placement)
+		l.site.Operators = append(l.site.Operators, control.Operator)
+	}
+}
+
+// addEdgeMachines adds edge machines, zone after zone: a node agent, an index node and a proxy each.
+func (l *layout) addEdgeMachines(count int) {
+	for i := range count {
+		zone, host := i%zones+1, 11+i/zones
+		machine := fmt.Sprintf("edge-%d", i+1)
+		base := settings.Process{Name: machine, Zone: zoneName(zone)}
+		agent := base
+		agent.Listen, agent.Operator = l.addr(zone, host, agentPort), l.addr(zone, host, operatorPort)
+		l.add("runner-"+machine, programs.NodeAgent, agent)
+		index := base
+		index.Listen, index.NodeAgent = l.addr(zone, host, indexPort), agent.Listen
+		l.add("catalogue-"+machine, programs.PromptIndex, index)
+		proxy := base
+		proxy.Listen, proxy.Public, proxy.NodeAgent = l.addr(zone, host, proxyPort), l.addr(zone, host, clientPort), agent.Listen
+		l.add("dispatcher-"+machine, programs.Proxy, proxy)
+		l.site.Edges = append(l.site.Edges, proxy.Public)
+		l.site.Operators = append(l.site.Operators, agent.Operator)
+	}
+}
+
+// addWorkers adds simulated workers, zone after zone.
+func (l *layout) addWorkers(count int) {
+	model := l.site.Traffic.Model
+	for i := range count {
+		zone, host := i%zones+1, 21+i/zones
+		name, addr := fmt.Sprintf("cab-%d", i+1), l.addr(zone, host, workerPort)
+		l.site.WorkerList = append(l.site.WorkerList, contract.ListedWorker{Name: name, Addr: addr, Kind: "lm", Service: mainService(model), Zone: zoneName(zone)})
+		l.site.Workers[name] = addr
+		options := append([]string{"service=" + mainService(model), "model=" + model}, l.linkOptions...)
+		options = append(options, fmt.Sprintf("weights=%d", initialWeights), "journal="+filepath.Join(l.dir, name+".runs"))
+		l.add(name, programs.WorkerSim, settings.Process{Name: name, Zone: zoneName(zone), Listen: l.addr(zone, host, workerInternalPort), Public: addr,
+			Options: append(options, l.workerOptions...)})
+	}
+}
+
+// addSimulators adds the application service, the prompt store and the platform.
+func (l *layout) addSimulators() {
+	app := l.site.Traffic.App
+	appAddr, storeAddr := l.addr(2, 40, workerPort), l.addr(3, 40, workerPort)
+	l.site.WorkerList = append(l.site.WorkerList,
+		contract.ListedWorker{Name: "app-1", Addr: appAddr, Kind: "app", Service: mainService(app), Zone: zoneName(2)},
+		contract.ListedWorker{Name: "depot-1", Addr: storeAddr, Kind: "store", Zone: zoneName(3)})
+	l.add("app-1", programs.AppServiceSim, settings.Process{Name: "app-1", Zone: zoneName(2), Listen: l.addr(2, 40, workerInternalPort), Public: appAddr,
+		Options: []string{"service=" + mainService(app), "model=" + app}})
+	l.add("depot-1", programs.StoreSim, settings.Process{Name: "depot-1", Zone: zoneName(3), Listen: l.addr(3, 40, workerInternalPort), Public: storeAddr})
+	l.add("rank-1", programs.PlatformSim, settings.Process{Name: "rank-1", Zone: zoneName(1), Listen: l.addr(simulatorsZone, 1, platformInternalPort), Public: l.platformAddr,
+		Options: []string{"list=" + filepath.Join(l.dir, "list.json")}})
+}
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -22,18 +22,51 @@
 
 // Options are what the test bed's commands take.
 type Options struct {
-	Site, Dir, Programs, Mode   string
-	EarlierRelease              string // folder of an earlier release's programs
-	Scenario                    string
-	Seconds, AddressByte, Seeds int
-	Times                       int
-	Part, Out                   string // with capacity
-	Quick                       bool
-	Seed                        uint64
-	Rate                        float64
+	Site           string
+	Dir            string // folder for settings, data and logs; empty: a new one
+	Programs       string // folder with the programs; empty: that of this program
+	EarlierRelease string // with upgrade: folder of an earlier release's programs
+	Mode           string // placement that is forced; empty: the site's own
+	Scenario       string // with play; empty: all
+	Seconds        int    // how long clients send
+	AddressByte    int    // second byte of the site's loopback addresses
+	Seeds          int    // how many seeds, from Seed on
+	Times          int    // times today's size, 1 to 4
+	Seed           uint64
+	Rate           float64 // requests a second; 0: the site's own
+	Part           string  // with capacity: what is measured; empty: all
+	Out            string  // with capacity: file that keeps what was measured
+	Quick          bool    // with capacity: sizes so small that the figures mean nothing
 }
 
-// Main is the command line of the test bed.
+const (
+	defaultSite = "paramo"
+	exitFaults  = 1 // a run saw a fault
+)
+
+// command is one command of the test bed. Its exit code counts only if there is no error.
+type command struct {
+	name  string
+	about string
+	run   func(ctx context.Context, options Options, out io.Writer) (exitCode int, err error)
+}
+
+func commands() []command {
+	return []command{
+		{"up", "start a site and keep it until interrupted", runUp},
+		{"run", "start a site, send callers' traffic, check it all, stop", runOnce},
+		{"compare", "run a site under each placement in turn, over several seeds, and print a table", runCompare},
+		{"scenarios", "list the runs with failures", listScenarios},
+		{"mix", "draw faults by the seed and run them: testbed mix --seed 7 --seeds 10", runMix},
+		{"play", "run one scenario, or all: testbed play --scenario owner-killed", runPlay},
+		{"tally", "draw a table from the lines of many runs, which come in on standard input", runTally},
+		{"upgrade", "bring a site of an earlier release to this one and back: testbed upgrade --old /tmp/old-bin", runUpgrade},
+		{"capacity", "measure what each role costs as the fleet grows (docs/CAPACITY.md)", nil},
+		{"fit", "measure a worker's prefill and fit the curve (JSON, to be kept as internal/data/placement/curve.json)", runFit},
+	}
+}
+
+// Main is the command line of the test bed. It returns the exit code.
 //
 // Example: os.Exit(testbed.Main([]string{"up", "--site", "paramo"}, os.Stdout, os.Stderr))
 func Main(args []string, out, bad io.Writer) int {
@@ -41,155 +74,219 @@
 		return capacity.Hollow(os.Stdin, out)
 	}
 	options := Options{Seconds: 20, Seed: 1, AddressByte: 10}
-	ps := flaggy.NewParser("testbed")
-	ps.Description = "runs a whole site on this machine\n\n  testbed up --site paramo              run until interrupted\n  testbed run --site daegu --seconds 20  run with callers, check, report, stop\n  testbed fit > curve.json               fit the prefill curve on a worker"
-	ps.ShowHelpOnUnexpected = false
-	ps.DisableShowVersionWithVersion()
-	ps.ShowCompletion = false
-	sub := map[string]*flaggy.Subcommand{}
-	for _, c := range [][2]string{{"up", "start a site and keep it until interrupted"}, {"run", "start a site, send callers' traffic, check it all, stop"},
-		{"compare", "run a site under each placement in turn, over several seeds, and print a table"},
-		{"scenarios", "list the runs with failures"},
-		{"mix", "draw troubles by the seed and run them: testbed mix --seed 7 --seeds 10"},
-		{"play", "run one scenario, or all: testbed play --scenario owner-killed"},
-		{"tally", "draw a table from the lines of many runs, which come in on standard input"},
-		{"upgrade", "bring a site of an earlier release to this one and back: testbed upgrade --old /tmp/old-bin"},
-		{"capacity", "measure what each role costs as the fleet grows (docs/CAPACITY.md)"},
-		{"fit", "measure a worker's prefill and fit the curve (JSON, to be kept as internal/data/placement/curve.json)"}} {
-		s := flaggy.NewSubcommand(c[0])
-		s.Description = c[1]
-		s.String(&options.Site, "s", "site", "paramo or daegu")
-		s.String(&options.Dir, "d", "dir", "folder for settings, data and logs")
-		s.String(&options.Programs, "b", "bin", "folder with the programs")
-		s.String(&options.EarlierRelease, "o", "old", "with upgrade: folder with an earlier release's programs")
-		s.String(&options.Mode, "m", "mode", "placement: hrcs, all-replicated, all-sharded or no-index")
-		s.Int(&options.Seconds, "t", "seconds", "how long callers send")
-		s.Int(&options.AddressByte, "n", "net", "second byte of the loopback addresses")
-		s.String(&options.Scenario, "c", "scenario", "with play: its name; all of them without")
-		s.Int(&options.Times, "x", "times", "times today's size, 1 to 4")
-		s.Int(&options.Seeds, "k", "seeds", "with compare: how many seeds")
-		s.UInt64(&options.Seed, "e", "seed", "seed of the callers")
-		s.Float64(&options.Rate, "r", "rate", "requests a second; 0: the site's own")
-		s.String(&options.Part, "p", "part", "with capacity: nodes, workers, plans, kept, placement, calls, follow, group or traffic; all without; page: write the page anew")
-		s.String(&options.Out, "f", "out", "with capacity: file that keeps what was measured; with page: the folder docs")
-		s.Bool(&options.Quick, "q", "quick", "with capacity: a few sizes so small that the figures mean nothing")
-		ps.AttachSubcommand(s, 1)
-		sub[c[0]] = s
-	}
-	fail := func(err error) int {
+	c, err := parseCommand(args, &options)
+	exitCode := 0
+	if err == nil && c.name == "capacity" {
+		err = measureCapacity(options, out, bad)
+	} else if err == nil {
+		exitCode, err = runCommand(c, options, out)
+	}
+	if err != nil {
 		fmt.Fprintln(bad, "testbed: "+errs.Text(err))
 		return errs.KindOf(err).ExitCode
 	}
-	words, err := settings.ParseStrict(ps, args)
+	return exitCode
+}
+
+// parseCommand fills the options from the flags and returns the command.
+func parseCommand(args []string, options *Options) (*command, error) {
+	parser := flaggy.NewParser("testbed")
+	parser.Description = "runs a whole site on this machine\n\n  testbed up --site paramo              run until interrupted\n  testbed run --site daegu --seconds 20  run with callers, check, report, stop\n  testbed fit > curve.json               fit the prefill curve on a worker"
+	parser.ShowHelpOnUnexpected = false
+	parser.DisableShowVersionWithVersion()
+	parser.ShowCompletion = false
+	subcommands := map[string]*flaggy.Subcommand{}
+	for _, c := range commands() {
+		subcommands[c.name] = newSubcommand(c, options)
+		parser.AttachSubcommand(subcommands[c.name], 1)
+	}
+	words, err := settings.ParseStrict(parser, args)
 	if err == nil && len(words) > 1 {
 		err = errs.New(errs.BadInput, "%q: give one command: see --help", words)
 	}
 	if err == nil {
-		err = errs.WrapAs(ps.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
-		return fail(err)
-	}
-	used := ""
-	for n, c := range sub {
-		if c.Used {
-			used = n
-		}
-	}
-	if used == "" {
-		return fail(errs.New(errs.BadInput, "no command: give up, run, compare, scenarios, play, mix, capacity or fit (see --help)"))
+		return nil, err
 	}
-	if used == "capacity" {
-		if err := measureCapacity(options, out, bad); err != nil {
-			return fail(err)
+	for _, c := range commands() {
+		if subcommands[c.name].Used {
+			return &c, nil
 		}
-		return 0
 	}
+	return nil, errs.New(errs.BadInput, "no command: give up, run, compare, scenarios, play, mix, capacity or fit (see --help)")
+}
+
+// newSubcommand declares a command; all take the same flags.
+func newSubcommand(c command, options *Options) *flaggy.Subcommand {
+	sub := flaggy.NewSubcommand(c.name)
+	sub.Description = c.about
+	sub.String(&options.Site, "s", "site", "paramo or daegu")
+	sub.String(&options.Dir, "d", "dir", "folder for settings, data and logs")
+	sub.String(&options.Programs, "b", "bin", "folder with the programs")
+	sub.String(&options.EarlierRelease, "o", "old", "with upgrade: folder with an earlier release's programs")
+	sub.String(&options.Mode, "m", "mode", "placement: hrcs, all-replicated, all-sharded or no-index")
+	sub.Int(&options.Seconds, "t", "seconds", "how long callers send")
+	sub.Int(&options.AddressByte, "n", "net", "second byte of the loopback addresses")
+	sub.String(&options.Scenario, "c", "scenario", "with play: its name; all of them without")
+	sub.Int(&options.Times, "x", "times", "times today's size, 1 to 4")
+	sub.Int(&options.Seeds, "k", "seeds", "with compare: how many seeds")
+	sub.UInt64(&options.Seed, "e", "seed", "seed of the callers")
+	sub.Float64(&options.Rate, "r", "rate", "requests a second; 0: the site's own")
+	sub.String(&options.Part, "p", "part", "with capacity: nodes, workers, plans, kept, placement, calls, follow, group or traffic; all without; page: write the page anew")
+	sub.String(&options.Out, "f", "out", "with capacity: file that keeps what was measured; with page: the folder docs")
+	sub.Bool(&options.Quick, "q", "quick", "with capacity: a few sizes so small that the figures mean nothing")
+	return sub
+}
+
+// runCommand fills in the folders that weren't given, and runs a command until it ends or is interrupted.
+func runCommand(c *command, options Options, out io.Writer) (exitCode int, err error) {
 	if options.Programs == "" {
-		exe, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
-			return fail(errs.Wrap(err, "find programs"))
+			return 0, errs.Wrap(err, "find programs")
 		}
-		options.Programs = filepath.Dir(exe)
+		options.Programs = filepath.Dir(executable)
 	}
 	if options.Dir == "" {
-		d, err := os.MkdirTemp("", "testbed-")
-		if err != nil {
-			return fail(errs.Wrap(err, "make folder"))
+		if options.Dir, err = os.MkdirTemp("", "testbed-"); err != nil {
+			return 0, errs.Wrap(err, "make folder")
 		}
-		options.Dir = d
 	}
-	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer end()
-	if used == "up" {
-		if options.Site == "" {
-			options.Site = "paramo"
-		}
-		return up(ctx, options, out, fail)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer cancel()
+	return c.run(ctx, options, out)
+}
+
+// withDefaultSite fills in the site for commands that run one.
+func (options Options) withDefaultSite() Options {
+	if options.Site == "" {
+		options.Site = defaultSite
 	}
+	return options
+}
+
+// writeJSONTo prints a result, indented.
+func writeJSONTo(out io.Writer, result any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
-	if used == "mix" {
-		return playSeeds(ctx, options, out, fail, func(seed uint64) []Scenario {
-			l := []Scenario{}
-			for _, s := range Sites() {
-				if options.Site == "" || options.Site == s {
-					l = append(l, FaultScenario(s, seed, DrawFaults(seed)))
-				}
-			}
-			return l
-		})
+	return errs.Wrap(enc.Encode(result), "write report")
+}
+
+func runUp(ctx context.Context, options Options, out io.Writer) (int, error) {
+	options = options.withDefaultSite()
+	fleet, err := options.start(ctx)
+	if err != nil {
+		return 0, err
 	}
-	if used == "scenarios" || used == "play" {
-		return scenarios(ctx, options, used, out, bad, fail)
+	fmt.Fprintf(out, "site %s is up: %d processes, logs and settings in %s\nask at      http://%s/v1/answers\noperate at  pebblectl --node %s\n",
+		options.Site, len(fleet.Site.Processes), options.Dir, fleet.Site.Edges[0], fleet.Site.Operators[0])
+	<-ctx.Done()
+	fleet.Stop()
+	return 0, nil
+}
+
+func runOnce(ctx context.Context, options Options, out io.Writer) (int, error) {
+	result, err := Run(ctx, options.withDefaultSite())
+	if err != nil {
+		return 0, err
 	}
-	if options.Site == "" {
-		options.Site = "paramo"
+	if err := writeJSONTo(out, result); err != nil {
+		return 0, err
 	}
-	if used == "tally" {
-		if err := Tally(os.Stdin, out); err != nil {
-			return fail(err)
-		}
-		return 0
+	if len(result.Faults) > 0 || result.Sealed == 0 {
+		return exitFaults, nil
 	}
-	if used == "upgrade" {
-		if options.EarlierRelease == "" {
-			return fail(errs.New(errs.BadInput, "--old is missing: name the folder of an earlier release's programs"))
-		}
-		report, err := Upgrade(ctx, options)
-		if err != nil {
-			return fail(err)
-		}
-		return printReport(out, report, "upgrade --old "+options.EarlierRelease, options.Dir)
+	return 0, nil
+}
+
+func runCompare(ctx context.Context, options Options, out io.Writer) (int, error) {
+	options.Seeds = max(1, options.Seeds)
+	return 0, Compare(ctx, options.withDefaultSite(), out)
+}
+
+func runFit(ctx context.Context, options Options, out io.Writer) (int, error) {
+	curve, err := Fit(ctx, options.withDefaultSite())
+	if err != nil {
+		return 0, err
 	}
-	if used == "fit" {
-		c, err := Fit(ctx, options)
-		if err == nil {
-			err = enc.Encode(c)
-		}
-		if err != nil {
-			return fail(err)
-		}
-		return 0
+	return 0, writeJSONTo(out, curve)
+}
+
+func runTally(_ context.Context, _ Options, out io.Writer) (int, error) {
+	return 0, Tally(os.Stdin, out)
+}
+
+func runUpgrade(ctx context.Context, options Options, out io.Writer) (int, error) {
+	if options.EarlierRelease == "" {
+		return 0, errs.New(errs.BadInput, "--old is missing: name the folder of an earlier release's programs")
+	}
+	report, err := Upgrade(ctx, options.withDefaultSite())
+	if err != nil {
+		return 0, err
 	}
-	if used == "compare" {
-		options.Seeds = max(1, options.Seeds)
-		if err := Compare(ctx, options, out); err != nil {
-			return fail(err)
+	return printReport(out, report, "upgrade --old "+options.EarlierRelease, options.Dir), nil
+}
+
+// runMix draws faults for each seed, at one site or at all.
+func runMix(ctx context.Context, options Options, out io.Writer) (int, error) {
+	return playSeeds(ctx, options, out, func(seed uint64) []Scenario {
+		scenarios := []Scenario{}
+		for _, site := range Sites() {
+			if options.Site == "" || options.Site == site {
+				scenarios = append(scenarios, FaultScenario(site, seed, DrawFaults(seed)))
+			}
 		}
-		return 0
+		return scenarios
+	})
+}
+
+func listScenarios(_ context.Context, _ Options, out io.Writer) (int, error) {
+	scenarios, err := Scenarios()
+	for _, scenario := range scenarios {
+		fmt.Fprintf(out, "%-16s %-7s %s\n", scenario.Name, scenario.Site, scenario.About)
 	}
-	sum, err := Run(ctx, options)
+	return 0, err
+}
+
+// runPlay plays one scenario or all.
+func runPlay(ctx context.Context, options Options, out io.Writer) (int, error) {
+	all, err := Scenarios()
 	if err != nil {
-		return fail(err)
+		return 0, err
 	}
-	if err := enc.Encode(sum); err != nil {
-		return fail(errs.Wrap(err, "write report"))
+	var selected []Scenario
+	for _, scenario := range all {
+		if options.Scenario == "" || options.Scenario == scenario.Name {
+			selected = append(selected, scenario)
+		}
 	}
-	if len(sum.Faults) > 0 || sum.Sealed == 0 {
-		return 1
+	if len(selected) == 0 {
+		return 0, errs.New(errs.NotFound, "no scenario %s: see testbed scenarios", options.Scenario)
 	}
-	return 0
+	return playSeeds(ctx, options, out, func(uint64) []Scenario { return selected })
+}
+
+// playSeeds plays the scenarios of each seed, and prints a line for each and what is wrong.
+func playSeeds(ctx context.Context, options Options, out io.Writer, scenariosOf func(seed uint64) []Scenario) (exitCode int, err error) {
+	for i := range uint64(max(1, options.Seeds)) {
+		for _, scenario := range scenariosOf(options.Seed + i) {
+			one := options
+			one.Seed = options.Seed + i
+			one.Dir = filepath.Join(options.Dir, fmt.Sprintf("%s-%s-%d", scenario.Name, scenario.Site, one.Seed))
+			report, err := Play(ctx, scenario, one)
+			if err != nil {
+				return 0, errs.Wrap(err, "scenario "+scenario.Name)
+			}
+			replayCommand := "play --scenario " + scenario.Name
+			if strings.HasPrefix(scenario.Name, "mix-") {
+				replayCommand = "mix"
+			}
+			exitCode = max(exitCode, printReport(out, report, replayCommand, one.Dir))
+		}
+	}
+	return exitCode, nil
 }
 
 func (options Options) start(ctx context.Context) (*Fleet, error) {
@@ -198,9 +295,9 @@
 		return nil, err
 	}
 	if options.Mode != "" {
-		v := s.Config.Services[s.Traffic.Model+"-main"]
+		v := s.Config.Services[mainService(s.Traffic.Model)]
 		v.Placement = options.Mode
-		s.Config.Services[s.Traffic.Model+"-main"] = v
+		s.Config.Services[mainService(s.Traffic.Model)] = v
 	}
 	if options.Rate > 0 {
 		s.Traffic.Rate = options.Rate
@@ -208,18 +305,6 @@
 	return Up(ctx, s, options.Dir, options.Programs)
 }
 
-func up(ctx context.Context, options Options, out io.Writer, fail func(error) int) int {
-	f, err := options.start(ctx)
-	if err != nil {
-		return fail(err)
-	}
-	fmt.Fprintf(out, "site %s is up: %d processes, logs and settings in %s\nask at      http://%s/v1/answers\noperate at  pebblectl --node %s\n",
-		options.Site, len(f.Site.Processes), options.Dir, f.Site.Edges[0], f.Site.Operators[0])
-	<-ctx.Done()
-	f.Stop()
-	return 0
-}
-
 // Run runs a site with callers for a while, and settles what they saw with what ran.
 //
 // Example: sum, err := testbed.Run(ctx, testbed.Options{Site: "daegu", Seconds: 10, Seed: 1})
@@ -242,51 +327,6 @@
 	return RunResult{log.Summarize(journals, true), use}, nil
 }
 
-// scenarios lists them, or plays one or all.
-func scenarios(ctx context.Context, options Options, used string, out, bad io.Writer, fail func(error) int) int {
-	all, err := Scenarios()
-	if err != nil {
-		return fail(err)
-	}
-	var l []Scenario
-	for _, scenario := range all {
-		if used == "scenarios" {
-			fmt.Fprintf(out, "%-16s %-7s %s\n", scenario.Name, scenario.Site, scenario.About)
-		} else if options.Scenario == "" || options.Scenario == scenario.Name {
-			l = append(l, scenario)
-		}
-	}
-	if used == "scenarios" {
-		return 0
-	}
-	if len(l) == 0 {
-		fmt.Fprintln(bad, "testbed: no scenario "+options.Scenario+": see testbed scenarios")
-		return errs.NotFound.ExitCode
-	}
-	return playSeeds(ctx, options, out, fail, func(uint64) []Scenario { return l })
-}
-
-// playSeeds plays the scenarios of each seed, and prints a line for each and what is wrong.
-func playSeeds(ctx context.Context, options Options, out io.Writer, fail func(error) int, of func(seed uint64) []Scenario) (code int) {
-	base := options.Dir
-	for i := range uint64(max(1, options.Seeds)) {
-		for _, scenario := range of(options.Seed + i) {
-			p := options
-			p.Seed, p.Dir = options.Seed+i, filepath.Join(base, fmt.Sprintf("%s-%s-%d", scenario.Name, scenario.Site, options.Seed+i))
-			report, err := Play(ctx, scenario, p)
-			if err != nil {
-				return fail(errs.Wrap(err, "scenario "+scenario.Name))
-			}
-			how := "play --scenario " + scenario.Name
-			if strings.HasPrefix(scenario.Name, "mix-") {
-				how = "mix"
-			}
-			code = max(code, printReport(out, report, how, p.Dir))
-		}
-	}
-	return code
-}
-
 // printReport prints a run's line and what is wrong; 1 if anything is.
 func printReport(out io.Writer, report *Report, how, dir string) int {
 	fmt.Fprintln(out, Line(report))
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -27,7 +27,7 @@
 		return
 	}
 	model := s.Traffic.Model
-	service := model + "-main"
+	service := mainService(model)
 	s.Config.Models[model] = serviceconfig.Model{Weights: s.Config.Models[model].Weights, MemoryMB: 100}
 	s.Config.Models[nextBuild(model)] = serviceconfig.Model{Weights: 1, MemoryMB: 100}
 	mainService := s.Config.Services[service]
@@ -58,7 +58,7 @@
 // to plan and start it, to ask something of it, to wait until it has come to a state.
 func (run *scenarioRun) executeRetirementStep(ctx context.Context, action, name, argument string) error {
 	model := run.fleet.Site.Traffic.Model
-	service := model + "-main"
+	service := mainService(model)
 	switch action {
 	case "retire":
 		retirement := &retire.Retirement{}
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -13,45 +13,33 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// run carries a go on a slot: what others hold is fetched, and once the prefill's turn has
-// come the request starts, if it still may before the wait is over. Then what is missing is
-// prefilled, the pieces are streamed, the seal closes them. False: its wait was over.
+// attempt is one request on a slot.
+type attempt struct {
+	worker  *Worker
+	http    *http.Request
+	rw      http.ResponseWriter
+	request *contract.StartRequest
+	entries []prefix.Entry
+	final   contract.Chunk // the last line of its stream, with the seal
+	run     *Run           // its journal entry
+}
+
+// run executes a request on a slot: prefixes that others hold are fetched, and once it is its turn to
+// prefill the request starts, if it still may before the wait is over. Then what is missing is
+// prefilled, the chunks are streamed, the seal closes them. False: its wait was over.
 func (w *Worker) run(wait context.Context, rw http.ResponseWriter, r *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
 	if w.plantedFault == "walls" {
 		request.CacheDomain = "shared"
 	}
-	entries := prefix.Chain(request.CacheDomain, prefix.QualifiedModel(request.Model, request.Adapter, request.Build), request.Weights, request.Parts)
-	final := contract.Chunk{RequestID: request.RequestID, Worker: w.process.Settings.Name, Weights: request.Weights, Model: request.Model, Adapter: request.Adapter, Build: request.Build}
-	hints := contract.ParseFetchFrom(r.Header.Get(contract.FetchFrom))
-	i, startedAt := 0, time.Now()
-	for ; i < len(entries); i++ {
-		if index, ok := w.cache.Lookup(entries[i].Key.String()); ok {
-			final.CachedTokens += index
-		} else if addr := hints[i]; addr != "" && w.fetch(r, addr, entries[i].Key.String()) {
-			final.FetchedTokens += entries[i].Tokens
-			final.FetchAddr = addr
-			final.FetchUs += time.Since(startedAt).Microseconds()
-		} else {
-			break
-		}
-		startedAt = time.Now()
-	}
-	for _, entry := range entries[i:] {
-		final.PrefilledTokens += entry.Tokens
-	}
-	if final.PrefilledTokens > 0 && !w.acquire(wait, w.prefill) {
+	a := &attempt{worker: w, http: r, rw: rw, request: request,
+		entries: prefix.Chain(request.CacheDomain, prefix.QualifiedModel(request.Model, request.Adapter, request.Build), request.Weights, request.Parts),
+		final:   contract.Chunk{RequestID: request.RequestID, Worker: w.process.Settings.Name, Weights: request.Weights, Model: request.Model, Adapter: request.Adapter, Build: request.Build}}
+	a.fetchPrefixes()
+	if a.final.PrefilledTokens > 0 && !w.acquire(wait, w.prefill) {
 		return false
 	}
-	run, reason := w.beginRun(request)
-	if final.PrefilledTokens > 0 {
-		startedAt = time.Now()
-		if run != nil {
-			w.sleep(r, w.speed.Prefill(final.PrefilledTokens))
-		}
-		final.PrefillUs = time.Since(startedAt).Microseconds()
-		<-w.prefill
-	}
-	if run == nil {
+	reason := a.begin()
+	if a.run == nil {
 		reject(409, reason)
 		return true
 	}
@@ -62,37 +50,90 @@
 	case "dies":
 		panic(http.ErrAbortHandler)
 	}
+	current := a.cachePrefixes()
+	if a.stream() && current {
+		w.saveTo(r.Header.Get(contract.SaveTo), r.Header.Get(contract.SaveUpTo), a.entries)
+	}
+	return true
+}
+
+// fetchPrefixes takes prefixes from the cache, or from where the request says, up to the first that
+// can't be had; what follows is to be prefilled.
+func (a *attempt) fetchPrefixes() {
+	sources := contract.ParseFetchFrom(a.http.Header.Get(contract.FetchFrom))
+	i, startedAt := 0, time.Now()
+	for ; i < len(a.entries); i++ {
+		entry := a.entries[i]
+		if tokens, ok := a.worker.cache.Lookup(entry.Key.String()); ok {
+			a.final.CachedTokens += tokens
+		} else if addr := sources[i]; addr != "" && a.worker.fetch(a.http, addr, entry.Key.String()) {
+			a.final.FetchedTokens += entry.Tokens
+			a.final.FetchAddr = addr
+			a.final.FetchUs += time.Since(startedAt).Microseconds()
+		} else {
+			break
+		}
+		startedAt = time.Now()
+	}
+	for _, entry := range a.entries[i:] {
+		a.final.PrefilledTokens += entry.Tokens
+	}
+}
+
+// begin journals the start and prefills; it frees the turn to prefill. It returns why the request may
+// not start, if so.
+func (a *attempt) begin() (reason string) {
+	a.run, reason = a.worker.beginRun(a.request)
+	if a.final.PrefilledTokens == 0 {
+		return reason
+	}
+	startedAt := time.Now()
+	if a.run != nil {
+		a.worker.sleep(a.http, a.worker.speed.Prefill(a.final.PrefilledTokens))
+	}
+	a.final.PrefillUs = time.Since(startedAt).Microseconds()
+	<-a.worker.prefill
+	return reason
+}
+
+// cachePrefixes keeps the prompt's prefixes. It reports false if the weights have changed meanwhile:
+// what was made under others than the cache's isn't kept.
+func (a *attempt) cachePrefixes() (current bool) {
+	w := a.worker
 	w.mu.Lock()
-	current := w.missing(request) == "" // KV made under other weights than the cache's isn't kept
-	run.CachedTokens, run.FetchedTokens, run.PrefilledTokens = final.CachedTokens, final.FetchedTokens, final.PrefilledTokens
+	defer w.mu.Unlock()
+	current = w.missing(a.request) == ""
+	a.run.CachedTokens, a.run.FetchedTokens, a.run.PrefilledTokens = a.final.CachedTokens, a.final.FetchedTokens, a.final.PrefilledTokens
 	if current {
-		for _, entry := range entries {
+		for _, entry := range a.entries {
 			w.cache.Store(entry.Key.String(), entry.Tokens)
 		}
 	}
-	w.mu.Unlock()
+	return current
+}
+
+// stream sends the chunks and the seal. It reports false if the client has gone before the seal.
+func (a *attempt) stream() bool {
+	w := a.worker
 	ended := "broken"
-	defer func() { w.mu.Lock(); run.Ended = ended; w.mu.Unlock() }()
-	rw.Header().Set("Content-Type", "application/x-ndjson")
-	rw.WriteHeader(200)
-	seal, key := contract.NewSeal(request.RequestID, w.process.Settings.Name), entries[len(entries)-1].Key.String()
-	enc := json.NewEncoder(rw)
-	for index := range request.Chunks {
-		w.sleep(r, time.Duration(w.speed.ChunkUs)*time.Microsecond)
-		text := contract.SyntheticText(key, request.Weights, index)
+	defer func() { w.mu.Lock(); a.run.Ended = ended; w.mu.Unlock() }()
+	a.rw.Header().Set("Content-Type", "application/x-ndjson")
+	a.rw.WriteHeader(200)
+	seal, key := contract.NewSeal(a.request.RequestID, w.process.Settings.Name), a.entries[len(a.entries)-1].Key.String()
+	enc := json.NewEncoder(a.rw)
+	for index := range a.request.Chunks {
+		w.sleep(a.http, time.Duration(w.speed.ChunkUs)*time.Microsecond)
+		text := contract.SyntheticText(key, a.request.Weights, index)
 		seal.Add(index, text)
-		if r.Context().Err() != nil || enc.Encode(contract.Chunk{RequestID: request.RequestID, Number: index, Text: text}) != nil {
-			return true
+		if a.http.Context().Err() != nil || enc.Encode(contract.Chunk{RequestID: a.request.RequestID, Number: index, Text: text}) != nil {
+			return false
 		}
-		http.NewResponseController(rw).Flush()
+		http.NewResponseController(a.rw).Flush()
 	}
-	final.Number, final.Seal = request.Chunks, seal.Close()
-	if enc.Encode(final) == nil {
+	a.final.Number, a.final.Seal = a.request.Chunks, seal.Close()
+	if enc.Encode(a.final) == nil {
 		ended = "sealed"
 	}
-	if current {
-		w.saveTo(r.Header.Get(contract.SaveTo), r.Header.Get(contract.SaveUpTo), entries)
-	}
 	return true
 }
 
