--- a/internal/control/calendar/planner.go
+++ b/internal/control/calendar/planner.go
@@ -203,9 +203,9 @@
 }
 
 // actionToken names one step's action, the same for every holder: nobody writes the entry while the
-// step is doing. The version of the entry's document tells it from a later entry of the same name,
-// whose actions would otherwise count as taken; a step that is resumed after a pause acts again, which
-// changes nothing where it acted before.
+// step is doing. The version of the entry's document distinguishes it from a later entry of the
+// same name, whose actions would otherwise count as taken; a step that is resumed after a pause acts
+// again, which changes nothing where it acted before.
 func actionToken(e *Entry, observed Observation, suffix string) string {
 	return fmt.Sprintf("calendar/%s/%s/%d/%d%s", e.Service, e.Name, observed.EntryVersion, e.CurrentStep, suffix)
 }
--- a/internal/control/calendar/planner_test.go
+++ b/internal/control/calendar/planner_test.go
@@ -45,7 +45,15 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return Observation{WallTime: s.wallTime, Now: s.now, ConfigVersion: s.version, Config: config, Workers: slices.Clone(s.workers), Succeeded: 100 - s.failed, Failed: s.failed}
+	return Observation{
+		WallTime:      s.wallTime,
+		Now:           s.now,
+		ConfigVersion: s.version,
+		Config:        config,
+		Workers:       slices.Clone(s.workers),
+		Succeeded:     100 - s.failed,
+		Failed:        s.failed,
+	}
 }
 
 // apply takes an action on a version of the configuration, once a token, and reports whether it was
--- a/internal/control/calendar/steps.go
+++ b/internal/control/calendar/steps.go
@@ -135,8 +135,8 @@
 	return ""
 }
 
-// recordIncarnations records the incarnations of the workers that the step drains, which tell their
-// replacements apart.
+// recordIncarnations records the incarnations of the workers that the step drains, which distinguish
+// their replacements.
 func (s *Step) recordIncarnations(observed Observation) {
 	if s.Kind != StepDrain {
 		return
--- a/internal/control/controlclient/addresses.go
+++ b/internal/control/controlclient/addresses.go
@@ -25,7 +25,7 @@
 
 // SetSeeds replaces the seed addresses at run time.
 //
-// Example: c.SetSeeds(place.Seeds)
+// Example: c.SetSeeds(process.Settings.Seeds)
 func (c *Client) SetSeeds(seeds []string) { c.group.seeds.Store(&seeds) }
 
 // SetMembers gives the newest membership that this process knows, and its own name in the group. A
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -36,7 +36,7 @@
 
 // New makes a client of the shards that the control nodes on the named machines replicate.
 //
-// Example: c := controlclient.New(place.Core, member.View, calls, place.Bounds)
+// Example: c := controlclient.New(process.Settings.Core, member.View, clients, process.Settings.Bounds)
 func New(controlNodes []string, view func() clustermembership.View, clients *daemon.Clients, bounds settings.Bounds) *Client {
 	return &Client{controlNodes: controlNodes, view: view, clients: clients, bounds: bounds}
 }
@@ -134,8 +134,8 @@
 	return final, ErrorOf(final)
 }
 
-// isConnectionRefused reports whether an error proves that a request was never sent. The RPC library
-// passes on the text of a network error, not its type.
+// isConnectionRefused reports whether an error proves that a request was never sent. It compares the
+// text, since the simulated networks of package controlstate return errors without a syscall.Errno.
 func isConnectionRefused(err error) bool {
 	return strings.Contains(err.Error(), "connection refused")
 }
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -21,7 +21,7 @@
 // NewGroupClient makes a client of the one group of a site whose settings name no members: it finds
 // them by the seeds, the cluster membership and what members say.
 //
-// Example: c := controlclient.NewGroupClient(place.Seeds, member.View, calls, place.Bounds)
+// Example: c := controlclient.NewGroupClient(process.Settings.Seeds, member.View, clients, process.Settings.Bounds)
 func NewGroupClient(seeds []string, view func() clustermembership.View, clients *daemon.Clients, bounds settings.Bounds) *Client {
 	c := &Client{view: view, clients: clients, bounds: bounds, group: &groupAddresses{unresponsive: map[string]bool{}}}
 	c.SetSeeds(seeds)
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -165,7 +165,8 @@
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-1", Addr: member.addr}}}
 	client := New([]string{"core-1"}, func() clustermembership.View { return view }, newTestClients(bounds), bounds)
 	change := func(key, token string) error {
-		_, err := client.Change(context.Background(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: key, Token: token, AnyVersion: true}}}})
+		put := &wire.Put{Key: key, Token: token, AnyVersion: true}
+		_, err := client.Change(context.Background(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 		return err
 	}
 	if err := change("first", "first"); err != nil {
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -35,7 +35,8 @@
 // until then it costs one listener.
 //
 // Example: err := operatorapi.ServeSite(process, control, member.View, clients, codec.Read)
-func ServeSite(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients, decodePlan func([]byte) (*routingconfig.Plan, error)) error {
+func ServeSite(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients,
+	decodePlan func([]byte) (*routingconfig.Plan, error)) error {
 	s := &siteServer{
 		Server:     newServer(process, control, view, clients, routingconfig.DocumentKey),
 		site:       process.Settings.Site,
--- a/internal/control/operatorapi/site_group.go
+++ b/internal/control/operatorapi/site_group.go
@@ -102,10 +102,12 @@
 	}
 	group.checkMembers(report)
 	if needed := 2*s.site.ToleratedFailures + 1; len(group.members) < needed {
-		report.addProblem("members-few", entireSite, fmt.Sprintf("%d members: %d are needed for the losses that the site tolerates", len(group.members), needed), "see that as many core machines run and reach each other", runbookCoreDown)
+		report.addProblem("members-few", entireSite, fmt.Sprintf("%d members: %d are needed for the losses that the site tolerates", len(group.members), needed),
+			"see that as many core machines run and reach each other", runbookCoreDown)
 	}
 	if !hasLeader {
-		report.addProblem("part-unowned", entireSite, "no responding core machine leads the control state: nothing can be read or changed", "see that a majority of the members run and reach each other", runbookCorePartitioned)
+		report.addProblem("part-unowned", entireSite, "no responding core machine leads the control state: nothing can be read or changed",
+			"see that a majority of the members run and reach each other", runbookCorePartitioned)
 	}
 	return hasLeader
 }
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -69,7 +69,8 @@
 	}
 	for shard := range uint32(controlclient.ShardCount) {
 		if !hasLeader[shard] {
-			report.addProblem("part-unowned", fmt.Sprintf("shard %d", shard), "no responding core machine is its leader", "see that two of its three members run and reach each other", runbookCorePartitioned)
+			report.addProblem("part-unowned", fmt.Sprintf("shard %d", shard), "no responding core machine is its leader",
+				"see that two of its three members run and reach each other", runbookCorePartitioned)
 		}
 	}
 }
@@ -133,7 +134,8 @@
 		}
 	}
 	for _, model := range queue.Keys(outdated) {
-		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], modelWorkers, snapshot.WeightsAt[model].Version),
+		named := snapshot.WeightsAt[model].Version
+		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], modelWorkers, named),
 			"wait for the rollout; else see the placement controllers' logs", runbookOutdatedWeights)
 	}
 	if stores == 0 {
--- a/internal/control/serviceconfig/fuzz_test.go
+++ b/internal/control/serviceconfig/fuzz_test.go
@@ -10,8 +10,18 @@
 // Any configuration or patch is decoded or rejected with a typed error; what is decoded is encoded in a
 // form that decodes to the same. `go test ./internal/control/serviceconfig -fuzz FuzzConfigs`
 func FuzzConfigs(f *testing.F) {
-	for _, seed := range []string{`{}`, `{"models":{"m":{"weights":1}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`, `{"tenants":{"t":{"keys":["12345678"]}}}`,
-		`[]`, `null`, `{"models":{"m":null}}`, `{"models":{"m":{"weights":-1}}}`, `{"wait_max_ms":1e99}`, "\x00", `{"tenants":{"t":{"rate":1e308}}}`} {
+	for _, seed := range []string{
+		`{}`,
+		`{"models":{"m":{"weights":1}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`,
+		`{"tenants":{"t":{"keys":["12345678"]}}}`,
+		`[]`,
+		`null`,
+		`{"models":{"m":null}}`,
+		`{"models":{"m":{"weights":-1}}}`,
+		`{"wait_max_ms":1e99}`,
+		"\x00",
+		`{"tenants":{"t":{"rate":1e308}}}`,
+	} {
 		f.Add([]byte(seed), []byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, document, patch []byte) {
