--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -33,9 +33,9 @@
 }
 
 // makeChange proposes a change of the configuration and waits for its outcome.
-func (replica *shard) makeChange(put *wire.Put, patch bool) *wire.ChangeResponse {
-	pending, response := replica.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
-	if replica.handleReady(); response == nil {
+func (s *shard) makeChange(put *wire.Put, patch bool) *wire.ChangeResponse {
+	pending, response := s.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
+	if s.handleReady(); response == nil {
 		response = <-pending.response
 	}
 	return response
