--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -156,7 +156,8 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: record.version, TokenReuse: "the change was made before"}
 	}
 	if ok || s.isRecentToken(put.Token) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"token " + put.Token + " was used for another change: give each change its own"}}
+		reused := "token " + put.Token + " was used for another change: give each change its own"
+		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{reused}}
 	}
 	return nil
 }
--- a/internal/control/controlstate/merge.go
+++ b/internal/control/controlstate/merge.go
@@ -98,7 +98,7 @@
 		config = s.mergeConfig(old, put, request.Patch)
 	}
 	if config.err != nil {
-		return &wire.ChangeResponse{Outcome: errs.KindOf(config.err).Name, Version: old.GetVersion(), Errors: []string{config.err.Error()}}
+		return rejection(config.err, old.GetVersion())
 	}
 	if put.AnyVersion && len(s.core.UnappliedEntries()) > 0 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an entry in flight may replace what it was validated against
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -13,9 +13,10 @@
 	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return gaugeOf(shard.IsLeader)
 	}))
-	meter.Gauge("pebbleloom_parts_out", "shards whose member here has failed, is blank or can't rejoin", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+	isOut := func(shard *wire.ShardStatus) float64 {
 		return gaugeOf(shard.Failure != "" || shard.Blank || shard.Stuck != "")
-	}))
+	}
+	meter.Gauge("pebbleloom_parts_out", "shards whose member here has failed, is blank or can't rejoin", n.sumOverShards(isOut))
 	meter.Gauge("pebbleloom_state_bytes", "bytes of the documents in the applied state", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return float64(shard.StateBytes)
 	}))
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -126,7 +126,8 @@
 		if shard != nil {
 			response.Shards = append(response.Shards, shard.queryStatus(ctx, shardID, name))
 		} else if slices.Contains(controlclient.Members(shardID, n.coreMembers), name) {
-			response.Shards = append(response.Shards, &wire.ShardStatus{Shard: shardID, Member: name, Failure: "its folder can't be read: see the log at the start"})
+			unreadable := &wire.ShardStatus{Shard: shardID, Member: name, Failure: "its folder can't be read: see the log at the start"}
+			response.Shards = append(response.Shards, unreadable)
 		}
 	}
 	return response, nil
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -143,7 +143,7 @@
 		}
 	}
 	if err := s.validateDocument(put); err != nil {
-		return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: old.GetVersion(), Errors: []string{err.Error()}}
+		return rejection(err, old.GetVersion())
 	}
 	if request.DryRun {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeValid, Version: old.GetVersion()}
@@ -151,6 +151,11 @@
 	return nil
 }
 
+// rejection is the response to a change that an error rules out at a version of its document.
+func rejection(err error, version uint64) *wire.ChangeResponse {
+	return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: version, Errors: []string{err.Error()}}
+}
+
 // prepareGrant decides whether a lease may be granted, renewed or released now.
 func (s *shard) prepareGrant(grant *wire.Grant) *wire.ChangeResponse {
 	// A new leader knows every holder only after it has applied the grants of earlier terms.
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -45,13 +45,15 @@
 	previous, status := s.published.current(), s.core.Status()
 	isReplaced := previous == nil || ready.Snapshot != nil // whatever was shown before
 	isLeader := status.IsLeader && s.failure == nil
-	if !isReplaced && len(ready.Records) == 0 && len(ready.CommittedEntries) == 0 && previous.leader == status.Leader && previous.isLeader == isLeader && s.failure == nil {
+	hasNewEntries := len(ready.Records) > 0 || len(ready.CommittedEntries) > 0
+	if !isReplaced && !hasNewEntries && s.failure == nil && previous.leader == status.Leader && previous.isLeader == isLeader {
 		return
 	}
 	if isLeader && (previous == nil || !previous.isLeader) {
 		s.log.Info("became the leader", "term", status.Term)
 	}
-	view := &publishedView{self: s.core.Self(), leader: status.Leader, isLeader: isLeader, unappliedVersions: highestVersions(s.core.UnappliedEntries())}
+	view := &publishedView{self: s.core.Self(), leader: status.Leader, isLeader: isLeader}
+	view.unappliedVersions = highestVersions(s.core.UnappliedEntries())
 	view.members, view.term, view.index = s.core.Members()
 	view.isVoter = s.failure == nil && s.core.IsVoter(view.self)
 	if isReplaced || containsCommand(ready.CommittedEntries) {
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -52,7 +52,8 @@
 
 // openShard opens a member of a shard with fixed members. An empty disk starts blank, under a new
 // incarnation: whatever this node has acknowledged before under another one is lost.
-func openShard(ctx context.Context, config consensus.Config, disk storage.Disk, newIncarnation func() string, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) (*shard, error) {
+func openShard(ctx context.Context, config consensus.Config, disk storage.Disk, newIncarnation func() string,
+	clk clock.Clock, log hclog.Logger, send func(*wire.Message)) (*shard, error) {
 	shard := newShard(ctx, config.Shard, clk, log, send)
 	recovered, err := shard.load(disk, func() *wire.Snapshot { return consensus.BlankSnapshot(newIncarnation()) })
 	if err != nil {
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"path/filepath"
 
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/storage"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/wire"
@@ -15,6 +16,16 @@
 // maxMessageBatchBytes bounds the log entries that one replication message carries, in bytes.
 const maxMessageBatchBytes = 256 << 10
 
+func newNode(process *daemon.Process) *Node {
+	return &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
+}
+
+// startMembership announces this node to the cluster membership.
+func (n *Node) startMembership() {
+	process := n.process
+	n.membership = clustermembership.Start(process.Ctx, process.Settings, roleName, process.Clock, process.Log, n.clients.Membership, nil)
+}
+
 // peerHandler serves the requests of other nodes.
 func (n *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
--- a/internal/control/controlstate/start_fixed.go
+++ b/internal/control/controlstate/start_fixed.go
@@ -5,7 +5,6 @@
 	"math/rand/v2"
 	"slices"
 
-	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/control/operatorapi"
@@ -41,9 +40,8 @@
 	if err := process.Serve(process.Settings.Listen, node.peerHandler()); err != nil {
 		return err
 	}
-	view := func() clustermembership.View { return node.membership.View() }
-	client := controlclient.New(node.coreMembers, view, node.clients, process.Settings.Bounds)
-	if err := operatorapi.Serve(process, client, view, node.clients); err != nil {
+	client := controlclient.New(node.coreMembers, node.membership.View, node.clients, process.Settings.Bounds)
+	if err := operatorapi.Serve(process, client, node.membership.View, node.clients); err != nil {
 		return err
 	}
 	process.Go(func() {
@@ -60,10 +58,11 @@
 }
 
 func newFixedNode(process *daemon.Process) *Node {
-	node := &Node{process: process, shards: map[uint32]*shard{}, outgoing: map[string]*queue.Ring[*wire.Message]{}, clients: daemon.NewClients(process)}
+	node := newNode(process)
+	node.outgoing = map[string]*queue.Ring[*wire.Message]{}
 	node.coreMembers = slices.Sorted(slices.Values(process.Settings.Core))
 	node.incarnation = node.newIncarnation()
-	node.membership = clustermembership.Start(process.Ctx, process.Settings, roleName, process.Clock, process.Log, node.clients.Membership, nil)
+	node.startMembership()
 	return node
 }
 
--- a/internal/control/controlstate/start_group.go
+++ b/internal/control/controlstate/start_group.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 	"net/http"
 
-	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/control/operatorapi"
@@ -47,8 +46,8 @@
 }
 
 func newGroupNode(process *daemon.Process) *Node {
-	node := &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
-	node.membership = clustermembership.Start(process.Ctx, process.Settings, roleName, process.Clock, process.Log, node.clients.Membership, nil)
+	node := newNode(process)
+	node.startMembership()
 	node.controlClient = controlclient.NewGroupClient(process.Settings.Seeds, node.membership.View, node.clients, process.Settings.Bounds)
 	process.OnSettingsChanged(func(changed settings.Process) {
 		node.controlClient.SetSeeds(changed.Seeds)
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -64,7 +64,11 @@
 
 func (t *transport) openOutbox(to string) *outbox {
 	ctx, stop := context.WithCancel(t.ctx)
-	box := &outbox{small: queue.NewRing[*wire.Message](maxQueuedSmall), large: queue.NewRing[*wire.Message](maxQueuedLarge), stop: stop}
+	box := &outbox{
+		small: queue.NewRing[*wire.Message](maxQueuedSmall),
+		large: queue.NewRing[*wire.Message](maxQueuedLarge),
+		stop:  stop,
+	}
 	t.outboxes[to] = box
 	sender := &peerSender{node: t.node, to: to}
 	go sender.sendSmall(ctx, box.small)
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -60,7 +60,8 @@
 	document := s.state.documents[request.Key]
 	switch {
 	case s.failure == nil && document.GetVersion() > request.KnownVersion:
-		return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, Document: document, Member: member, NothingNewer: s.hasNothingNewer(request.Key)}
+		nothingNewer := s.hasNothingNewer(request.Key)
+		return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, Document: document, Member: member, NothingNewer: nothingNewer}
 	case expired && s.hasNothingNewer(request.Key) && document.GetVersion() == request.KnownVersion:
 		return &wire.WatchResponse{Outcome: wire.OutcomeUnchanged, Member: member}
 	case expired || s.failure != nil || len(s.watchers) >= maxWatchers:
