--- a/internal/control/controllers/controller_test.go
+++ b/internal/control/controllers/controller_test.go
@@ -9,194 +9,195 @@
 	"time"
 )
 
-// newRunningSite is a site whose four core machines are up, whose worker list is written and whose weights
-// have just been named anew.
-func newRunningSite(t *testing.T, n int) *testSite {
-	s := newTestSite(t, n)
+// newRunningSite is a site whose four core machines are up, whose worker list is written, and where version
+// 2 of the weights has just been named.
+func newRunningSite(t *testing.T, workers int) *testSite {
+	t.Helper()
+	site := newTestSite(t, workers)
 	for i := range 4 {
-		s.core(fmt.Sprint("core-", i+1))
+		site.startCore(fmt.Sprint("core-", i+1))
 	}
-	s.wait(func() bool { return s.settled(1) }, 2*time.Second)
-	s.name("daka", 2)
-	return s
+	site.waitUntil(func() bool { return site.rolledOut(1) }, 2*time.Second)
+	site.nameVersion("daka", 2)
+	return site
 }
 
-func TestWeightsReachAllWorkers(t *testing.T) {
-	for _, n := range []int{1, 3, 18, 60} {
-		t.Run(fmt.Sprint(n), func(t *testing.T) {
+func TestRolloutReachesAllWorkers(t *testing.T) {
+	for _, workers := range []int{1, 3, 18, 60} {
+		t.Run(fmt.Sprint(workers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newRunningSite(t, n)
-				defer s.stop()
-				took := s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(0.9))
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				if s.orders != n || s.maxLoading > max(1, n/3) {
-					t.Errorf("%d orders for %d workers, %d at once", s.orders, n, s.maxLoading)
+				site := newRunningSite(t, workers)
+				defer site.stop()
+				elapsed := site.waitUntil(func() bool { return site.rolledOut(2) }, site.bounds.Weights(0.9))
+				site.mu.Lock()
+				defer site.mu.Unlock()
+				if site.ordersReceived != workers || site.maxLoading > max(1, workers/3) {
+					t.Errorf("%d orders for %d workers, %d at once", site.ordersReceived, workers, site.maxLoading)
 				}
-				t.Logf("%d workers: %v, %d at once, calls %v", n, took, s.maxLoading, s.calls)
+				t.Logf("%d workers: %v, %d at once, calls %v", workers, elapsed, site.maxLoading, site.callCounts)
 			})
 		})
 	}
 }
 
-// The holder dies, or is stopped, between any two effects of a roll-out: nothing is ordered
-// twice, no two holders order too near each other, nobody stays set aside, and all have the
-// weights within the bound, counted from when the core is settled again.
-func TestHolderDiesBetweenAnyTwoEffects(t *testing.T) {
+// The lease holder dies, or is stopped, between any two effects of a rollout: nothing is ordered twice,
+// orders of two holders keep their distance, no worker stays cordoned, and all have the weights within
+// the bound, counted from when the lease is held again.
+func TestRolloutSurvivesHolderDeathBetweenAnyTwoEffects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRunningSite(t, 4)
-		from := s.effects
-		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
-		whole := s.effects - from
-		s.stop()
-		if whole < 30 {
-			t.Fatalf("only %d effects", whole)
+		site := newRunningSite(t, 4)
+		before := site.effects
+		site.waitUntil(func() bool { return site.rolledOut(2) }, site.bounds.Weights(1))
+		total := site.effects - before
+		site.stop()
+		if total < 30 {
+			t.Fatalf("only %d effects", total)
 		}
-		for _, how := range []string{"before", "after", "stop"} {
-			for k := 1; k <= whole; k++ {
-				runUntilDeath(t, how, k)
+		for _, kind := range []deathKind{diesBefore, diesAfter, stops} {
+			for effect := 1; effect <= total; effect++ {
+				runWithHolderDeath(t, kind, effect)
 				if t.Failed() {
-					t.Fatalf("%s effect %d of %d", how, k, whole)
+					t.Fatalf("%s effect %d of %d", kind, effect, total)
 				}
 			}
 		}
 	})
 }
 
-func runUntilDeath(t *testing.T, how string, k int) {
-	s := newRunningSite(t, 4)
-	defer s.stop()
-	s.mu.Lock()
-	s.deathKind, s.deathAt = how, s.effects+k
-	s.mu.Unlock()
-	s.wait(func() bool { return s.settled(2) }, 3*time.Second+s.bounds.Weights(1))
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.victim == "" {
+func runWithHolderDeath(t *testing.T, kind deathKind, effect int) {
+	t.Helper()
+	site := newRunningSite(t, 4)
+	defer site.stop()
+	site.mu.Lock()
+	site.deathKind, site.deathAt = kind, site.effects+effect
+	site.mu.Unlock()
+	site.waitUntil(func() bool { return site.rolledOut(2) }, 3*time.Second+site.bounds.Weights(1))
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	if site.victim == "" {
 		t.Error("nobody died")
 	}
-	if how == "stop" && strings.HasPrefix(s.lease.Holder, s.victim+"/") {
-		t.Errorf("the lease wasn't given back: %v", s.lease)
+	if kind == stops && strings.HasPrefix(site.lease.Holder, site.victim+"/") {
+		t.Errorf("the lease wasn't released: %v", site.lease)
 	}
 }
 
-// Answers get lost at random: still no load is ordered twice.
-func TestLostAnswers(t *testing.T) {
+// Responses are lost at random: still no load is ordered twice.
+func TestLostResponsesCauseNoSecondLoad(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			s := newTestSite(t, 6)
-			s.random = rand.New(rand.NewPCG(seed, 7))
-			defer s.stop()
-			s.core("core-1")
-			s.core("core-2")
-			s.wait(func() bool { return s.settled(1) }, 2*time.Second)
-			s.mu.Lock()
-			s.lossy = 0.1
-			s.mu.Unlock()
-			s.name("daka", 2)
-			s.wait(func() bool { return s.settled(2) }, 3*s.bounds.Weights(1))
+			site := newTestSite(t, 6)
+			site.random = rand.New(rand.NewPCG(seed, 7))
+			defer site.stop()
+			site.startCore("core-1")
+			site.startCore("core-2")
+			site.waitUntil(func() bool { return site.rolledOut(1) }, 2*time.Second)
+			site.mu.Lock()
+			site.lossProbability = 0.1
+			site.mu.Unlock()
+			site.nameVersion("daka", 2)
+			site.waitUntil(func() bool { return site.rolledOut(2) }, 3*site.bounds.Weights(1))
 		})
 	}
 }
 
-func TestNamedTwiceAndSilentWorkers(t *testing.T) {
+func TestRenamingDuringRolloutSkipsIntermediateVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRunningSite(t, 18)
-		defer s.stop()
-		s.mu.Lock()
-		s.workers["w00"].silent, s.workers["w07"].silent = true, true
-		s.mu.Unlock()
+		site := newRunningSite(t, 18)
+		defer site.stop()
+		site.mu.Lock()
+		site.workers["w00"].silent, site.workers["w07"].silent = true, true
+		site.mu.Unlock()
 		<-time.After(2 * time.Second)
-		s.name("daka", 3)
-		s.wait(func() bool { return s.settled(3) }, s.bounds.Weights(1))
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		middle := 0
-		for _, h := range s.workers {
-			middle += h.loads[2]
+		site.nameVersion("daka", 3)
+		site.waitUntil(func() bool { return site.rolledOut(3) }, site.bounds.Weights(1))
+		site.mu.Lock()
+		defer site.mu.Unlock()
+		intermediate := 0
+		for _, worker := range site.workers {
+			intermediate += worker.loads[2]
 		}
-		if middle > 6 {
-			t.Errorf("%d loaded what was named in between", middle)
+		if intermediate > 6 {
+			t.Errorf("%d loaded what was named in between", intermediate)
 		}
 	})
 }
 
-// What the list shows is in force well within the bound on workers that left, also when the
-// holder of the lease dies just then; and while the list can't be had the table stays.
+// What the platform's list shows is published well within the bound on workers that left, also when the
+// lease holder dies just then. While the list can't be read the published one stays.
 func TestWorkerListFollowsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRunningSite(t, 5)
-		defer s.stop()
-		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
-		gone := func(id string) func() bool {
-			return func() bool { s.mu.Lock(); defer s.mu.Unlock(); _, ok := s.table()[id]; return !ok }
+		site := newRunningSite(t, 5)
+		defer site.stop()
+		site.waitUntil(func() bool { return site.rolledOut(2) }, site.bounds.Weights(1))
+		removed := func(id string) func() bool {
+			return func() bool { site.mu.Lock(); defer site.mu.Unlock(); _, ok := site.publishedVersions()[id]; return !ok }
 		}
-		s.mu.Lock()
-		s.workers["w01"].w.Draining = true
-		s.mu.Unlock()
-		s.wait(gone("w01"), s.bounds.Leave(0.35))
+		site.mu.Lock()
+		site.workers["w01"].worker.Draining = true
+		site.mu.Unlock()
+		site.waitUntil(removed("w01"), site.bounds.Leave(0.35))
 
-		s.mu.Lock()
-		s.listDown = true
-		reads := s.reads
-		delete(s.workers, "w02")
-		s.mu.Unlock()
+		site.mu.Lock()
+		site.listDown = true
+		before := site.listReads
+		delete(site.workers, "w02")
+		site.mu.Unlock()
 		<-time.After(10 * time.Second)
-		s.mu.Lock()
-		if _, ok := s.table()["w02"]; !ok || s.reads-reads > 10 {
-			t.Errorf("%v after %d readings that came to nothing", s.table(), s.reads-reads)
+		site.mu.Lock()
+		if _, ok := site.publishedVersions()["w02"]; !ok || site.listReads-before > 10 {
+			t.Errorf("%v after %d failed reads", site.publishedVersions(), site.listReads-before)
 		}
-		s.listDown = false
-		s.mu.Unlock()
-		s.wait(gone("w02"), s.bounds.Leave(0.6))
+		site.listDown = false
+		site.mu.Unlock()
+		site.waitUntil(removed("w02"), site.bounds.Leave(0.6))
 
-		for i := range 3 { // the holder dies as a worker begins to leave
+		for i := range 3 { // the holder dies as a worker begins to drain
 			<-time.After(time.Duration(3000+70*i) * time.Millisecond)
 			id := fmt.Sprint("w0", []int{0, 3, 4}[i])
-			s.mu.Lock()
-			holder := s.lease.Holder[:len("core-1")]
-			s.kill(holder)
-			s.workers[id].w.Draining = true
-			s.mu.Unlock()
-			t.Logf("followed after %v", s.wait(gone(id), s.bounds.Leave(0.8)))
+			site.mu.Lock()
+			holder := site.lease.Holder[:len("core-1")]
+			site.kill(holder)
+			site.workers[id].worker.Draining = true
+			site.mu.Unlock()
+			t.Logf("published after %v", site.waitUntil(removed(id), site.bounds.Leave(0.8)))
 		}
 	})
 }
 
-// A new worker is in the table soon, and one that comes back with the weights it had is brought
-// to the newest.
+// A new worker is published soon, and one that restarts with its old weights is updated.
 func TestRestartedWorkerIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRunningSite(t, 5)
-		defer s.stop()
-		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
-		s.mu.Lock()
-		delete(s.workers, "w01")
-		s.add("x01", 1)
-		s.mu.Unlock()
-		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(0.5))
+		site := newRunningSite(t, 5)
+		defer site.stop()
+		site.waitUntil(func() bool { return site.rolledOut(2) }, site.bounds.Weights(1))
+		site.mu.Lock()
+		delete(site.workers, "w01")
+		site.addWorker("x01", 1)
+		site.mu.Unlock()
+		site.waitUntil(func() bool { return site.rolledOut(2) }, site.bounds.Weights(0.5))
 	})
 }
 
-// Quiet hours cost little.
+// An idle site costs few calls.
 func TestIdleSiteMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newRunningSite(t, 18)
-		defer s.stop()
-		s.wait(func() bool { return s.settled(2) }, s.bounds.Weights(1))
+		site := newRunningSite(t, 18)
+		defer site.stop()
+		site.waitUntil(func() bool { return site.rolledOut(2) }, site.bounds.Weights(1))
 		<-time.After(time.Second)
-		s.mu.Lock()
-		was := map[string]int{}
-		for k, v := range s.calls {
-			was[k] = v
+		site.mu.Lock()
+		before := map[callKind]int{}
+		for kind, count := range site.callCounts {
+			before[kind] = count
 		}
-		s.mu.Unlock()
+		site.mu.Unlock()
 		<-time.After(100 * time.Second)
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		for k, most := range map[string]int{"put": 0, "order": 0, "report": 0, "read": 0, "list": 140, "grant": 700} {
-			if n := s.calls[k] - was[k]; n > most {
-				t.Errorf("%d × %s in 100 s", n, k)
+		site.mu.Lock()
+		defer site.mu.Unlock()
+		for kind, limit := range map[callKind]int{callPut: 0, callOrder: 0, callReport: 0, callRead: 0, callList: 140, callGrant: 700} {
+			if calls := site.callCounts[kind] - before[kind]; calls > limit {
+				t.Errorf("%d × %s in 100 s", calls, kind)
 			}
 		}
 	})
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -17,274 +17,296 @@
 	"pebbleloom/internal/wire"
 )
 
-// machine is one core machine's way to all of it.
-type machine struct {
-	s    *testSite
+// coreMachine is a core machine's view of the site: its clients of the control state, the platform's list
+// and the workers.
+type coreMachine struct {
+	site *testSite
 	name string
 }
 
-// call is one call of the machine: it travels, does what it does, and the answer travels back.
-// Where the machine's time has come, it dies before or after that.
-func (m *machine) call(ctx context.Context, kind string, do func() error) error {
+// call is one call of the machine: the request travels, has its effect, and the response travels back.
+// The machine may be planned to die before or after the effect.
+func (m *coreMachine) call(ctx context.Context, kind callKind, effect func() error) error {
 	clock.Sleep(ctx, callDelay)
-	s := m.s
-	s.mu.Lock()
-	if _, ok := s.dead[m.name]; ok || ctx.Err() != nil {
-		s.mu.Unlock()
-		return errLost
+	site := m.site
+	site.mu.Lock()
+	if _, ok := site.dead[m.name]; ok || ctx.Err() != nil {
+		site.mu.Unlock()
+		return errNoResponse
 	}
-	s.calls[kind]++
-	if kind == "put" || kind == "order" || kind == "report" {
-		s.effects++
+	site.callCounts[kind]++
+	if kind == callPut || kind == callOrder || kind == callReport {
+		site.effects++
 	}
-	die := s.effects == s.deathAt && s.victim == "" && s.lease.GetHolder() != "" && strings.HasPrefix(s.lease.Holder, m.name+"/")
-	if die && s.deathKind == "before" {
-		s.kill(m.name)
-		s.mu.Unlock()
-		return errLost
+	die := site.effects == site.deathAt && site.victim == "" && site.lease.GetHolder() != "" && strings.HasPrefix(site.lease.Holder, m.name+"/")
+	if die && site.deathKind == diesBefore {
+		site.kill(m.name)
+		site.mu.Unlock()
+		return errNoResponse
 	}
-	err := do()
-	if die && s.deathKind == "after" {
-		s.kill(m.name)
-		err = errLost
+	err := effect()
+	if die && site.deathKind == diesAfter {
+		site.kill(m.name)
+		err = errNoResponse
 	}
-	if die && s.deathKind == "stop" {
-		s.victim = m.name
-		l := s.processes[m.name]
-		s.stopping.Go(func() { l.Stop(s.bounds.Leave(1)) })
+	if die && site.deathKind == stops {
+		site.victim = m.name
+		process := site.processes[m.name]
+		site.stopping.Go(func() { process.Stop(site.bounds.Leave(1)) })
 	}
-	if s.lossy > 0 && s.random.Float64() < s.lossy {
-		err = errLost
+	if site.lossProbability > 0 && site.random.Float64() < site.lossProbability {
+		err = errNoResponse
 	}
-	s.mu.Unlock()
+	site.mu.Unlock()
 	clock.Sleep(ctx, callDelay)
 	if ctx.Err() != nil {
-		return errLost
+		return errNoResponse
 	}
 	return err
 }
 
 func (s *testSite) kill(name string) { s.dead[name], s.victim = s.clock.Now(), name }
 
-func (m *machine) Change(ctx context.Context, a *wire.ChangeRequest) (t *wire.ChangeResponse, err error) {
-	kind := "put"
-	if a.Command.GetGrant() != nil {
-		kind = "grant"
+func (m *coreMachine) Change(ctx context.Context, request *wire.ChangeRequest) (response *wire.ChangeResponse, err error) {
+	kind := callPut
+	if request.Command.GetGrant() != nil {
+		kind = callGrant
 	}
 	err = m.call(ctx, kind, func() error {
-		if g := a.Command.GetGrant(); g != nil {
-			t = m.s.grant(g)
+		if grant := request.Command.GetGrant(); grant != nil {
+			response = m.site.grant(grant)
 		} else {
-			t = m.s.put(a.Command.GetPut())
+			response = m.site.put(request.Command.GetPut())
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, errs.WrapAs(err, errs.MayHaveExecuted, "change")
 	}
-	if t.Outcome != wire.OutcomeDone {
-		return t, errs.New(errs.Conflict, "%s", t.Outcome)
+	if response.Outcome != wire.OutcomeDone {
+		return response, errs.New(errs.Conflict, "%s", response.Outcome)
 	}
-	return t, nil
+	return response, nil
 }
 
-func (s *testSite) grant(g *wire.Grant) *wire.ChangeResponse {
-	now, l := s.clock.Now(), s.lease
-	if l == nil {
-		l = &wire.Lease{}
+// grant applies a request for the lease, as the control state does.
+func (s *testSite) grant(request *wire.Grant) *wire.ChangeResponse {
+	now, lease := s.clock.Now(), s.lease
+	if lease == nil {
+		lease = &wire.Lease{}
 	}
-	ttl := time.Duration(l.TtlNs)
-	free := l.Holder == "" || l.Holder == g.Holder || now-s.grantedAt > ttl+ttl/8
-	if g.IfFence != l.Fence || !free || g.Release && l.Holder != g.Holder {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: l.Fence, Leader: l.Holder}
+	ttl := time.Duration(lease.TtlNs)
+	free := lease.Holder == "" || lease.Holder == request.Holder || now-s.grantedAt > ttl+ttl/8
+	if request.IfFence != lease.Fence || !free || request.Release && lease.Holder != request.Holder {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.Fence, Leader: lease.Holder}
 	}
-	n := &wire.Lease{Name: g.Lease, Holder: g.Holder, Fence: l.Fence, TtlNs: g.TtlNs}
-	if g.Release {
-		if s.inFlight[g.Holder] > 0 {
-			s.t.Errorf("%s gives the lease back while its order is under way", g.Holder)
+	next := &wire.Lease{Name: request.Lease, Holder: request.Holder, Fence: lease.Fence, TtlNs: request.TtlNs}
+	if request.Release {
+		if s.inFlight[request.Holder] > 0 {
+			s.t.Errorf("%s releases the lease while its order is in flight", request.Holder)
 		}
-		n.Holder = ""
-	} else if l.Holder != g.Holder {
-		n.Fence++
+		next.Holder = ""
+	} else if lease.Holder != request.Holder {
+		next.Fence++
 	}
-	s.lease, s.grantedAt = n, now
-	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: n.Fence, Leader: n.Holder}
+	s.lease, s.grantedAt = next, now
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: next.Fence, Leader: next.Holder}
 }
 
-func (s *testSite) put(p *wire.Put) *wire.ChangeResponse {
-	d := s.docs[p.Key]
-	if l := s.lease; p.Lease != LeaseName || l.GetFence() != p.Fence || l.GetHolder() != p.Holder || p.AnyVersion || p.IfVersion != d.GetVersion() {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: d.GetVersion()}
+// put writes a document, as the control state does.
+func (s *testSite) put(put *wire.Put) *wire.ChangeResponse {
+	document := s.documents[put.Key]
+	if lease := s.lease; put.Lease != LeaseName || lease.GetFence() != put.Fence || lease.GetHolder() != put.Holder || put.AnyVersion || put.IfVersion != document.GetVersion() {
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: document.GetVersion()}
 	}
-	s.docs[p.Key] = &wire.Document{Key: p.Key, Body: p.Body, Version: p.IfVersion + 1}
-	if strings.HasPrefix(p.Key, fleet.PlacementKey) {
-		now := map[string]time.Duration{}
-		for _, id := range s.rolling() {
-			if now[id] = s.clock.Now(); s.setAsideAt[id] != 0 {
-				now[id] = s.setAsideAt[id]
+	s.documents[put.Key] = &wire.Document{Key: put.Key, Body: put.Body, Version: put.IfVersion + 1}
+	if strings.HasPrefix(put.Key, fleet.PlacementKey) {
+		cordonedAt := map[string]time.Duration{}
+		for _, id := range s.cordoned() {
+			if cordonedAt[id] = s.clock.Now(); s.cordonedAt[id] != 0 {
+				cordonedAt[id] = s.cordonedAt[id]
 			}
 		}
-		s.setAsideAt = now
+		s.cordonedAt = cordonedAt
 	}
-	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: p.IfVersion + 1}
+	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: put.IfVersion + 1}
 }
 
-func (s *testSite) rolling() []string {
-	var p struct {
-		Rolling []string `json:"rolling"`
+// cordoned are the workers that the stored placement cordons.
+func (s *testSite) cordoned() []string {
+	var placement struct {
+		Cordoned []string `json:"rolling"`
 	}
-	if d := s.docs[fleet.PlacementKey+"reading"]; d != nil {
-		if err := json.Unmarshal(d.Body, &p); err != nil {
+	if document := s.documents[fleet.PlacementKey+"reading"]; document != nil {
+		if err := json.Unmarshal(document.Body, &placement); err != nil {
 			s.t.Error(err)
 		}
 	}
-	return p.Rolling
+	return placement.Cordoned
 }
 
-func (s *testSite) table() map[string]uint64 {
-	var doc fleet.WorkerList
-	if d := s.docs[fleet.WorkersKey]; d != nil {
-		if err := json.Unmarshal(d.Body, &doc); err != nil {
+// publishedVersions are the versions that the stored worker list shows, by worker that isn't draining.
+func (s *testSite) publishedVersions() map[string]uint64 {
+	var list fleet.WorkerList
+	if document := s.documents[fleet.WorkersKey]; document != nil {
+		if err := json.Unmarshal(document.Body, &list); err != nil {
 			s.t.Error(err)
 		}
 	}
-	m := map[string]uint64{}
-	for _, w := range doc.Workers {
-		if !w.Draining {
-			m[w.ID] = w.Weights["daka"]
+	versions := map[string]uint64{}
+	for _, worker := range list.Workers {
+		if !worker.Draining {
+			versions[worker.ID] = worker.Weights["daka"]
 		}
 	}
-	return m
+	return versions
 }
 
-func (m *machine) Read(ctx context.Context, a *wire.ReadRequest) (*wire.ReadResponse, error) {
-	t := &wire.ReadResponse{Outcome: wire.OutcomeDone}
-	err := m.call(ctx, "read", func() error {
-		for _, k := range queue.Keys(m.s.docs) {
-			if k == a.Key || a.Prefix && strings.HasPrefix(k, a.Key) {
-				t.Documents = append(t.Documents, proto.Clone(m.s.docs[k]).(*wire.Document))
+func (m *coreMachine) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
+	response := &wire.ReadResponse{Outcome: wire.OutcomeDone}
+	err := m.call(ctx, callRead, func() error {
+		for _, key := range queue.Keys(m.site.documents) {
+			if key == request.Key || request.Prefix && strings.HasPrefix(key, request.Key) {
+				response.Documents = append(response.Documents, proto.Clone(m.site.documents[key]).(*wire.Document))
 			}
 		}
 		return nil
 	})
-	return t, err
+	return response, err
 }
 
-func (m *machine) ListWorkers(ctx context.Context, page string) (ws []fleet.Worker, next string, err error) {
-	err = m.call(ctx, "list", func() error {
-		s := m.s
-		if s.reads++; s.listDown {
-			return errs.New(errs.Overloaded, "asked too often")
+func (m *coreMachine) ListWorkers(ctx context.Context, page string) (workers []fleet.Worker, next string, err error) {
+	err = m.call(ctx, callList, func() error {
+		site := m.site
+		if site.listReads++; site.listDown {
+			return errs.New(errs.Overloaded, "called too often")
 		}
-		ids := queue.Keys(s.workers)
+		ids := queue.Keys(site.workers)
 		if i := slices.Index(ids, page); i > 0 {
 			ids = ids[i:]
 		}
-		if len(ids) > 50 {
-			ids, next = ids[:50], ids[50]
+		if len(ids) > pageSize {
+			ids, next = ids[:pageSize], ids[pageSize]
 		}
 		for _, id := range ids {
-			w := s.workers[id].w
-			w.Weights = map[string]uint64{"daka": s.workers[id].at(s.clock.Now() - listLag).has}
-			ws = append(ws, w)
+			worker := site.workers[id].worker
+			worker.Weights = map[string]uint64{"daka": site.workers[id].stateAt(site.clock.Now() - listLag).version}
+			workers = append(workers, worker)
 		}
 		return nil
 	})
-	return ws, next, err
+	return workers, next, err
 }
 
-func (m *machine) workerAt(addr string) *testWorker {
-	for _, h := range m.s.workers {
-		if h.w.Addr == addr && !h.silent {
-			return h
+func (m *coreMachine) workerAt(addr string) *testWorker {
+	for _, worker := range m.site.workers {
+		if worker.worker.Addr == addr && !worker.silent {
+			return worker
 		}
 	}
 	return nil
 }
 
-func (m *machine) Report(ctx context.Context, addr string) (r backend.Report, err error) {
-	err = m.call(ctx, "report", func() error {
-		h := m.workerAt(addr)
-		if h == nil {
-			return errLost
+func (m *coreMachine) Report(ctx context.Context, addr string) (report backend.Report, err error) {
+	err = m.call(ctx, callReport, func() error {
+		worker := m.workerAt(addr)
+		if worker == nil {
+			return errNoResponse
 		}
-		x := h.at(m.s.clock.Now() - reportAge)
-		r = backend.Report{Busy: x.busy, Sequence: x.sequence, Weights: map[string]uint64{"daka": x.has}}
+		state := worker.stateAt(m.site.clock.Now() - reportAge)
+		report = backend.Report{Busy: state.busy, Sequence: state.sequence, Weights: map[string]uint64{"daka": state.version}}
 		return nil
 	})
-	return r, err
+	return report, err
 }
 
-func (m *machine) Order(ctx context.Context, addr string, o backend.Order) (out backend.Outcome, err error) {
-	m.countInFlight(o.LeaseHolder, 1)
-	defer m.countInFlight(o.LeaseHolder, -1)
-	err = m.call(ctx, "order", func() error {
-		h := m.workerAt(addr)
-		if h == nil {
-			return errLost
+func (m *coreMachine) Order(ctx context.Context, addr string, order backend.Order) (outcome backend.Outcome, err error) {
+	m.countInFlight(order.LeaseHolder, 1)
+	defer m.countInFlight(order.LeaseHolder, -1)
+	err = m.call(ctx, callOrder, func() error {
+		worker := m.workerAt(addr)
+		if worker == nil {
+			return errNoResponse
 		}
-		out = m.s.order(h, o)
+		outcome = m.site.receiveOrder(worker, order)
 		return nil
 	})
-	return out, err
+	return outcome, err
 }
 
 // countInFlight counts a holder's orders that aren't answered yet.
-func (m *machine) countInFlight(holder string, n int) {
-	m.s.mu.Lock()
-	defer m.s.mu.Unlock()
-	m.s.inFlight[holder] += n
+func (m *coreMachine) countInFlight(holder string, delta int) {
+	m.site.mu.Lock()
+	defer m.site.mu.Unlock()
+	m.site.inFlight[holder] += delta
 }
 
-// order is how a worker takes an order; the rules of the site are checked here.
-func (s *testSite) order(h *testWorker, o backend.Order) backend.Outcome {
-	now, id := s.clock.Now(), h.w.ID
-	s.orders++
-	if x, ok := s.last[id]; ok && (x.fence > o.FencingToken || x.fence == o.FencingToken && x.holder != o.LeaseHolder) {
-		s.t.Errorf("%s: fence %d of %s after %d of %s", id, o.FencingToken, o.LeaseHolder, x.fence, x.holder)
-	}
-	if x, ok := s.last[id]; ok && x.holder != o.LeaseHolder && now-x.at < 3*time.Second { // the rule is a worker's
-		s.t.Errorf("%s: %s orders %v after %s", id, o.LeaseHolder, now-x.at, x.holder)
-	}
-	s.last[id] = sentOrder{o.LeaseHolder, o.FencingToken, now}
-	if at := s.setAsideAt[id]; at == 0 || now-at < s.bounds.Leave(cordonLeadRatio) {
-		s.t.Errorf("%s is ordered before edges were reported to send it nothing new", id)
-	}
-	if o.Instance != id || o.Mode != backend.ModeAwait || o.Model != "daka" || o.Version > s.named["daka"] {
-		s.t.Errorf("%s: %+v", id, o)
-	}
-	switch x := h.at(now); {
-	case o.FencingToken < h.fence:
+// receiveOrder is how a worker responds to an order. It also checks the rules that hold for every order.
+func (s *testSite) receiveOrder(worker *testWorker, order backend.Order) backend.Outcome {
+	now, id := s.clock.Now(), worker.worker.ID
+	s.ordersReceived++
+	s.checkOrder(id, order, now)
+	s.lastOrders[id] = receivedOrder{order.LeaseHolder, order.FencingToken, now}
+	current := worker.stateAt(now)
+	switch {
+	case order.FencingToken < worker.fencingToken:
 		return backend.OutcomeFenced
-	case x.busy || o.Sequence != nil && *o.Sequence != x.sequence:
+	case current.busy || order.Sequence != nil && *order.Sequence != current.sequence:
 		return backend.OutcomeBusy
-	case x.has >= o.Version:
+	case current.version >= order.Version:
 		return backend.OutcomeAlreadyDone
 	}
-	h.fence = o.FencingToken
-	busy := 1
-	for _, x := range s.workers {
-		if x.at(now).busy {
-			busy++
+	worker.fencingToken = order.FencingToken
+	if worker.loads[order.Version]++; worker.loads[order.Version] > 1 {
+		s.t.Errorf("%s loads %d twice", id, order.Version)
+	}
+	loaded := now + drainTime + s.loadTime(now)
+	worker.states = append(worker.states,
+		workerState{since: now, busy: true, version: current.version, sequence: current.sequence + 1},
+		workerState{since: loaded, version: order.Version, sequence: current.sequence + 1})
+	return backend.OutcomeStarted
+}
+
+// checkOrder checks that an order is meant for the worker, that fencing tokens never decrease, that orders
+// of two holders keep their distance, and that the worker was cordoned long enough before.
+func (s *testSite) checkOrder(id string, order backend.Order, now time.Duration) {
+	if last, ok := s.lastOrders[id]; ok {
+		otherHolder := last.holder != order.LeaseHolder
+		if last.fencingToken > order.FencingToken || last.fencingToken == order.FencingToken && otherHolder {
+			s.t.Errorf("%s: fencing token %d of %s after %d of %s", id, order.FencingToken, order.LeaseHolder, last.fencingToken, last.holder)
+		}
+		if otherHolder && now-last.at < orderDistance {
+			s.t.Errorf("%s: %s orders %v after %s", id, order.LeaseHolder, now-last.at, last.holder)
 		}
 	}
-	s.maxLoading = max(s.maxLoading, busy)
-	takes := 1100 * time.Millisecond
-	if many := max(1, len(s.workers)/5); busy > many {
-		takes = takes * time.Duration(busy) / time.Duration(many)
+	if at := s.cordonedAt[id]; at == 0 || now-at < s.bounds.Leave(cordonLeadRatio) {
+		s.t.Errorf("%s is ordered before proxies can know that it is cordoned", id)
 	}
-	if h.loads[o.Version]++; h.loads[o.Version] > 1 {
-		s.t.Errorf("%s loads %d twice", id, o.Version)
+	if order.Instance != id || order.Mode != backend.ModeAwait || order.Model != "daka" || order.Version > s.named["daka"] {
+		s.t.Errorf("%s: %+v", id, order)
 	}
-	old := h.at(now)
-	h.states = append(h.states, state{now, true, old.has, old.sequence + 1}, state{now + drainTime + takes, false, o.Version, old.sequence + 1})
-	return backend.OutcomeStarted
 }
 
-func (m *machine) CacheEvents(context.Context, string, uint64, time.Duration) (backend.CacheEvents, error) {
-	return backend.CacheEvents{}, errLost
+// loadTime is how long a load takes that starts now: longer when many load at once.
+func (s *testSite) loadTime(now time.Duration) time.Duration {
+	loading := 1
+	for _, worker := range s.workers {
+		if worker.stateAt(now).busy {
+			loading++
+		}
+	}
+	s.maxLoading = max(s.maxLoading, loading)
+	duration := 1100 * time.Millisecond
+	if many := max(1, len(s.workers)/5); loading > many {
+		duration = duration * time.Duration(loading) / time.Duration(many)
+	}
+	return duration
+}
+
+func (m *coreMachine) CacheEvents(context.Context, string, uint64, time.Duration) (backend.CacheEvents, error) {
+	return backend.CacheEvents{}, errNoResponse
 }
 
-func (m *machine) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
-	return backend.CacheEvents{}, errLost
+func (m *coreMachine) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
+	return backend.CacheEvents{}, errNoResponse
 }
--- a/internal/control/controllers/placement_test.go
+++ b/internal/control/controllers/placement_test.go
@@ -12,65 +12,65 @@
 	"pebbleloom/internal/wire"
 )
 
-func engine(mbps float64) routingconfig.Service {
+func serviceWithLink(mbps float64) routingconfig.Service {
 	return routingconfig.Service{Name: "reading", Engine: &routingconfig.Engine{CapacityTokens: 100000, TokenBytes: 18432, LinkMbps: mbps}}
 }
 
-// head gives n entries whose hotness falls from f by one each.
-func head(n int, f float64) (l []*wire.HotPrefix) {
-	for i := range n {
-		l = append(l, &wire.HotPrefix{Key: fmt.Appendf(nil, "k%02d", i), Hotness: f - float64(i), Tokens: 1000, Head: i < n/2})
+// hotPrefixes returns so many entries, each colder than the one before by one.
+func hotPrefixes(count int, hottest float64) (prefixes []*wire.HotPrefix) {
+	for i := range count {
+		prefixes = append(prefixes, &wire.HotPrefix{Key: fmt.Appendf(nil, "k%02d", i), Hotness: hottest - float64(i), Tokens: 1000, Head: i < count/2})
 	}
-	return l
+	return prefixes
 }
 
-// The bandwidth is the engine's own link, whatever is believed before anything is known.
-func TestBandwidthIsThePlans(t *testing.T) {
-	p := placementcontroller.Compute(placementInputs(engine(370000), head(20, 30), []string{"1", "2", "3"}), nil)
+// The bandwidth is that of the engine's own link, whatever the prior is.
+func TestBandwidthIsThatOfTheEnginesLink(t *testing.T) {
+	fast := placementcontroller.Compute(placementInputs(serviceWithLink(370000), hotPrefixes(20, 30), []string{"1", "2", "3"}), nil)
 	want := 370000e6 / 8 / 18432
-	if p.FetchBandwidth < 0.99*want || p.FetchBandwidth > 1.01*want {
-		t.Errorf("%v, want %v", p.FetchBandwidth, want)
+	if fast.FetchBandwidth < 0.99*want || fast.FetchBandwidth > 1.01*want {
+		t.Errorf("%v, want %v", fast.FetchBandwidth, want)
 	}
-	slow := placementcontroller.Compute(placementInputs(engine(10), head(20, 30), []string{"1", "2", "3"}), nil)
-	if len(slow.Replicated) <= len(p.Replicated) {
-		t.Errorf("slow links replicate %d, fast ones %d", len(slow.Replicated), len(p.Replicated))
+	slow := placementcontroller.Compute(placementInputs(serviceWithLink(10), hotPrefixes(20, 30), []string{"1", "2", "3"}), nil)
+	if len(slow.Replicated) <= len(fast.Replicated) {
+		t.Errorf("slow links replicate %d, fast ones %d", len(slow.Replicated), len(fast.Replicated))
 	}
 }
 
-func TestWhenAPlacementIsPublished(t *testing.T) {
-	const whole = 12 * time.Second
-	ws := []string{"1", "2"}
+func TestNextPlacement(t *testing.T) {
+	const interval = 12 * time.Second
+	workers := []string{"1", "2"}
 	first := &servicePlacement{}
-	old, changed := nextPlacement(first, engine(10), head(20, 30), ws, time.Minute, whole)
+	old, changed := nextPlacement(first, serviceWithLink(10), hotPrefixes(20, 30), workers, time.Minute, interval)
 	if !changed || first.recomputedAt != time.Minute {
-		t.Fatal("the first isn't reported")
+		t.Fatal("the first placement isn't published")
 	}
 	old.Cordoned = []string{"2"}
-	burst := append(head(20, 30), &wire.HotPrefix{Key: []byte("new"), Hotness: 90, Tokens: 1000})
-	for _, c := range []struct {
+	burst := append(hotPrefixes(20, 30), &wire.HotPrefix{Key: []byte("new"), Hotness: 90, Tokens: 1000})
+	for _, test := range []struct {
 		name    string
 		hot     []*wire.HotPrefix
 		workers []string
-		after   time.Duration
+		after   time.Duration // the last full computation
 		changed bool
-		whole   bool
+		full    bool // a full computation
 	}{
-		{"nothing new", head(20, 30), ws, time.Second, false, false},
-		{"nothing new in the whole", head(20, 30), ws, whole, false, true},
-		{"a burst", burst, ws, time.Second, true, false},
-		{"another worker", head(20, 30), []string{"1", "2", "3"}, time.Second, true, true},
+		{"nothing new", hotPrefixes(20, 30), workers, time.Second, false, false},
+		{"nothing new in a full computation", hotPrefixes(20, 30), workers, interval, false, true},
+		{"a burst", burst, workers, time.Second, true, false},
+		{"another worker", hotPrefixes(20, 30), []string{"1", "2", "3"}, time.Second, true, true},
 	} {
-		p := &servicePlacement{desired: old, recomputedAt: time.Minute}
-		next, changed := nextPlacement(p, engine(10), c.hot, c.workers, time.Minute+c.after, whole)
-		if changed != c.changed || (p.recomputedAt != time.Minute) != c.whole {
-			t.Errorf("%s: changed %v, computed at %v", c.name, changed, p.recomputedAt)
+		current := &servicePlacement{desired: old, recomputedAt: time.Minute}
+		next, changed := nextPlacement(current, serviceWithLink(10), test.hot, test.workers, time.Minute+test.after, interval)
+		if changed != test.changed || (current.recomputedAt != time.Minute) != test.full {
+			t.Errorf("%s: changed %v, computed at %v", test.name, changed, current.recomputedAt)
 		}
 		if !slices.Equal(next.Cordoned, old.Cordoned) {
-			t.Errorf("%s: who is set aside got lost", c.name)
+			t.Errorf("%s: the cordoned workers got lost", test.name)
 		}
 	}
 	var none *placement.Placement
-	if next, changed := nextPlacement(&servicePlacement{desired: none}, engine(10), head(20, 30), ws, time.Minute, whole); !changed || next.Mode != "hrcs" {
+	if next, changed := nextPlacement(&servicePlacement{desired: none}, serviceWithLink(10), hotPrefixes(20, 30), workers, time.Minute, interval); !changed || next.Mode != placement.ModeHRCS {
 		t.Errorf("%+v", next)
 	}
 }
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -14,71 +14,71 @@
 	"pebbleloom/internal/wire"
 )
 
-// indexNode is an index node; without entries a silent one.
+// indexNode is an index node; one without entries doesn't respond.
 type indexNode struct {
 	wire.PromptIndex
 	hot []*wire.HotPrefix
 }
 
-func (n indexNode) Hottest(ctx context.Context, a *wire.HottestRequest) (*wire.HottestResponse, error) {
+func (n indexNode) Hottest(ctx context.Context, request *wire.HottestRequest) (*wire.HottestResponse, error) {
 	if n.hot == nil {
 		<-ctx.Done()
-		return nil, errors.New("no answer")
+		return nil, errors.New("no response")
 	}
-	if a.Service != "reading" {
+	if request.Service != "reading" {
 		return nil, errors.New("another service")
 	}
 	return &wire.HottestResponse{Prefixes: n.hot}, nil
 }
 
-// Two index nodes hold each entry, and the higher count is taken; a silent node holds up nobody
-// for long; nobody there is no hot entry at all.
-func TestHotEntriesOfIndexNodes(t *testing.T) {
+// Two index nodes hold each entry, and the higher count is used. A silent node delays the query by its
+// timeout at most. Without index nodes there are no hot entries.
+func TestQueryIndexNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
+		process := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
 		nodes := map[string]indexNode{
 			"a": {hot: []*wire.HotPrefix{{Key: []byte("x"), Hotness: 3}, {Key: []byte("y"), Hotness: 1}}},
 			"b": {hot: []*wire.HotPrefix{{Key: []byte("x"), Hotness: 5}, {Key: []byte("z"), Hotness: 2}}},
 			"c": {},
 		}
-		var v clustermembership.View
-		for _, n := range []string{"a", "b", "c"} {
-			v.Nodes = append(v.Nodes, &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex, Addr: n, Zone: n})
+		var view clustermembership.View
+		for _, name := range []string{"a", "b", "c"} {
+			view.Nodes = append(view.Nodes, &wire.Node{Name: clustermembership.RolePromptIndex + "/" + name, Role: clustermembership.RolePromptIndex, Addr: name, Zone: name})
 		}
-		ask := func(v clustermembership.View) map[string]float64 {
-			m := map[string]float64{}
-			for _, h := range queryIndexNodes(l, func() clustermembership.View { return v }, func(a string) wire.PromptIndex { return nodes[a] })(t.Context(), "reading") {
-				m[string(h.Key)] = h.Hotness
+		query := func(view clustermembership.View) map[string]float64 {
+			hotness := map[string]float64{}
+			for _, entry := range queryIndexNodes(process, func() clustermembership.View { return view }, func(a string) wire.PromptIndex { return nodes[a] })(t.Context(), "reading") {
+				hotness[string(entry.Key)] = entry.Hotness
 			}
-			return m
+			return hotness
 		}
-		from := l.Clock.Now()
-		for _, two := range [][]int{{0, 1}, {1, 2}, {0, 2}} {
-			got := ask(clustermembership.View{Nodes: []*wire.Node{v.Nodes[two[0]], v.Nodes[two[1]]}})
+		start := process.Clock.Now()
+		for _, pair := range [][]int{{0, 1}, {1, 2}, {0, 2}} {
+			got := query(clustermembership.View{Nodes: []*wire.Node{view.Nodes[pair[0]], view.Nodes[pair[1]]}})
 			want := map[string]float64{}
-			for _, i := range two {
-				for _, h := range nodes[v.Nodes[i].Addr].hot {
-					want[string(h.Key)] = max(want[string(h.Key)], h.Hotness)
+			for _, i := range pair {
+				for _, entry := range nodes[view.Nodes[i].Addr].hot {
+					want[string(entry.Key)] = max(want[string(entry.Key)], entry.Hotness)
 				}
 			}
 			for k, x := range want {
 				if got[k] != x || len(got) != len(want) {
-					t.Errorf("%v: %v, want %v", two, got, want)
+					t.Errorf("%v: %v, want %v", pair, got, want)
 				}
 			}
 		}
-		if d := l.Clock.Now() - from; d > 2*bounds().Heal(hotEntriesTimeoutRatio) {
-			t.Errorf("waited %v for silent nodes", d)
+		if elapsed := process.Clock.Now() - start; elapsed > 2*bounds().Heal(hotEntriesTimeoutRatio) {
+			t.Errorf("waited %v for silent nodes", elapsed)
 		}
-		if got := ask(clustermembership.View{}); len(got) != 0 {
+		if got := query(clustermembership.View{}); len(got) != 0 {
 			t.Errorf("%v", got)
 		}
 	})
 }
 
 func TestStartProcessNeedsASite(t *testing.T) {
-	l := daemon.New("controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
-	if err := StartProcess(l, nil, nil); errs.KindOf(err) != errs.BadInput {
+	process := daemon.New("controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
+	if err := StartProcess(process, nil, nil); errs.KindOf(err) != errs.BadInput {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -20,13 +20,36 @@
 )
 
 const (
-	callDelay = 4 * time.Millisecond   // of every call
-	reportAge = 200 * time.Millisecond // reports are as old
-	listLag   = 800 * time.Millisecond // the list shows weights as they were then
-	drainTime = 100 * time.Millisecond // what runs at a worker ends within this
+	callDelay     = 4 * time.Millisecond   // of a request, and of its response
+	reportAge     = 200 * time.Millisecond // age of the state that a report shows
+	listLag       = 800 * time.Millisecond // age of the weights that the list shows
+	drainTime     = 100 * time.Millisecond // until the requests at a worker have ended
+	orderDistance = 3 * time.Second        // least time between a worker's orders of two holders
+	pageSize      = 50                     // workers on one page of the list
 )
 
-var errLost = errors.New("no answer")
+// callKind is a kind of call that core machines make.
+type callKind string
+
+const (
+	callPut    callKind = "put"
+	callGrant  callKind = "grant"
+	callRead   callKind = "read"
+	callList   callKind = "list"
+	callReport callKind = "report"
+	callOrder  callKind = "order"
+)
+
+// deathKind is how a lease holder ends.
+type deathKind string
+
+const (
+	diesBefore deathKind = "before" // before an effect
+	diesAfter  deathKind = "after"  // after an effect, whose response it doesn't get
+	stops      deathKind = "stop"   // it is stopped, and releases the lease
+)
+
+var errNoResponse = errors.New("no response")
 
 // testSite is a site made of test doubles: control state, list, workers and four core machines.
 type testSite struct {
@@ -34,104 +57,105 @@
 	clock      clock.Clock
 	bounds     settings.Bounds
 	mu         sync.Mutex
-	docs       map[string]*wire.Document
+	documents  map[string]*wire.Document
 	lease      *wire.Lease
 	grantedAt  time.Duration // when the lease was granted
 	workers    map[string]*testWorker
 	named      map[string]uint64
-	since      map[string]time.Duration
-	setAsideAt map[string]time.Duration // by worker: since when the placement in force sets it aside
+	namedAt    map[string]time.Duration
+	cordonedAt map[string]time.Duration // by worker: since when the stored placement cordons it
 	processes  map[string]*daemon.Process
 	dead       map[string]time.Duration
-	listDown   bool // the list answers nobody
-
-	effects   int    // so far
-	deathAt   int    // the holder dies at this one
-	deathKind string // before, after, stop
-	lossy     float64
-	random    *rand.Rand
-	victim    string
-	stopping  sync.WaitGroup
-
-	last       map[string]sentOrder // by worker
-	orders     int
-	reads      int
-	maxLoading int
-	calls      map[string]int
-	inFlight   map[string]int // by holder
+	listDown   bool // the list can't be read
+
+	effects         int // so far
+	deathAt         int // the effect at which the holder dies; 0: none
+	deathKind       deathKind
+	lossProbability float64 // of each response
+	random          *rand.Rand
+	victim          string
+	stopping        sync.WaitGroup
+
+	lastOrders     map[string]receivedOrder // by worker
+	ordersReceived int
+	listReads      int
+	maxLoading     int
+	callCounts     map[callKind]int
+	inFlight       map[string]int // orders, by holder
 }
 
-type sentOrder struct {
-	holder string
-	fence  uint64
-	at     time.Duration
+// receivedOrder is the last order that a worker received.
+type receivedOrder struct {
+	holder       string
+	fencingToken uint64
+	at           time.Duration
 }
 
-// testWorker is one worker.
+// testWorker is a worker whose states are known for all time.
 type testWorker struct {
-	w      fleet.Worker
-	fence  uint64
-	states []state // oldest first
-	loads  map[uint64]int
-	silent bool
+	worker       fleet.Worker
+	fencingToken uint64
+	states       []workerState  // oldest first
+	loads        map[uint64]int // how often it loaded each version
+	silent       bool           // it responds to nobody
 }
 
-type state struct {
-	from     time.Duration
+type workerState struct {
+	since    time.Duration
 	busy     bool
-	has      uint64
-	sequence uint64 // orders taken
+	version  uint64
+	sequence uint64 // orders accepted
 }
 
-func (h *testWorker) at(t time.Duration) state {
-	s := h.states[0]
-	for _, x := range h.states {
-		if x.from <= t {
-			s = x
+func (w *testWorker) stateAt(instant time.Duration) workerState {
+	current := w.states[0]
+	for _, state := range w.states {
+		if state.since <= instant {
+			current = state
 		}
 	}
-	return s
+	return current
 }
 
-func newTestSite(t *testing.T, n int) *testSite {
-	s := &testSite{t: t, clock: clock.Synctest(), bounds: bounds(), docs: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
-		since: map[string]time.Duration{}, setAsideAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, dead: map[string]time.Duration{},
-		last: map[string]sentOrder{}, random: rand.New(rand.NewPCG(1, 2)), calls: map[string]int{}, inFlight: map[string]int{}}
-	for i := range n {
-		s.add(fmt.Sprintf("w%02d", i), 1)
+func newTestSite(t *testing.T, workers int) *testSite {
+	s := &testSite{t: t, clock: clock.Synctest(), bounds: bounds(), documents: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
+		namedAt: map[string]time.Duration{}, cordonedAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, dead: map[string]time.Duration{},
+		lastOrders: map[string]receivedOrder{}, random: rand.New(rand.NewPCG(1, 2)), callCounts: map[callKind]int{}, inFlight: map[string]int{}}
+	for i := range workers {
+		s.addWorker(fmt.Sprintf("w%02d", i), 1)
 	}
 	return s
 }
 
-func (s *testSite) add(id string, has uint64) {
-	s.workers[id] = &testWorker{w: worker(id, has), states: []state{{has: has}}, loads: map[uint64]int{}}
+func (s *testSite) addWorker(id string, version uint64) {
+	s.workers[id] = &testWorker{worker: worker(id, version), states: []workerState{{version: version}}, loads: map[uint64]int{}}
 }
 
-func (s *testSite) core(name string) *Controller {
-	p := settings.Process{Name: name, Bounds: s.bounds, Options: []string{"log=off"}, Site: &settings.Site{LeaseMs: 3000, WorkerListRate: 47}}
-	l := daemon.NewIn(daemon.Environment{Clock: s.clock}, "controllers", p)
+func (s *testSite) startCore(name string) *Controller {
+	processSettings := settings.Process{Name: name, Bounds: s.bounds, Options: []string{"log=off"}, Site: &settings.Site{LeaseMs: 3000, WorkerListRate: 47}}
+	process := daemon.NewIn(daemon.Environment{Clock: s.clock}, "controllers", processSettings)
 	s.mu.Lock()
-	s.processes[name] = l
+	s.processes[name] = process
 	s.mu.Unlock()
-	me := &machine{s, name}
-	return Start(l, me, me, s.snapshot, s.view, func(context.Context, string) []*wire.HotPrefix {
+	machine := &coreMachine{s, name}
+	return Start(process, machine, machine, s.snapshot, s.view, func(context.Context, string) []*wire.HotPrefix {
 		return []*wire.HotPrefix{{Key: []byte("k1"), Hotness: 9, Tokens: 300, Holders: 1}, {Key: []byte("k2"), Hotness: 5, Tokens: 300}}
 	})
 }
 
 func (s *testSite) stop() {
 	s.mu.Lock()
-	for n := range s.processes {
-		if _, ok := s.dead[n]; !ok {
-			s.dead[n] = s.clock.Now()
+	for name := range s.processes {
+		if _, ok := s.dead[name]; !ok {
+			s.dead[name] = s.clock.Now()
 		}
 	}
-	ls := s.processes
+	processes := s.processes
 	s.mu.Unlock()
 	s.stopping.Wait()
-	for _, n := range queue.Keys(ls) {
-		if ls[n].Ctx.Err() == nil {
-			ls[n].Stop(0)
+	for _, name := range queue.Keys(processes) {
+		if processes[name].Ctx.Err() == nil {
+			processes[name].Stop(0)
 		}
 	}
 }
@@ -139,62 +163,62 @@
 func (s *testSite) snapshot() *fleet.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := &fleet.Snapshot{Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
+	snapshot := &fleet.Snapshot{Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
-	for m, v := range s.named {
-		x.Named[m], x.NamedAt[m] = v, s.since[m]
+	for model, version := range s.named {
+		snapshot.Named[model], snapshot.NamedAt[model] = version, s.namedAt[model]
 	}
-	return x
+	return snapshot
 }
 
 func (s *testSite) view() clustermembership.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var v clustermembership.View
-	for _, n := range queue.Keys(s.processes) {
-		x := &wire.Node{Name: clustermembership.RolePromptIndex + "/" + n, Role: clustermembership.RolePromptIndex}
-		if at, ok := s.dead[n]; ok && s.clock.Now()-at > 4*time.Second {
-			x.State = clustermembership.Dead
+	var view clustermembership.View
+	for _, name := range queue.Keys(s.processes) {
+		node := &wire.Node{Name: clustermembership.RolePromptIndex + "/" + name, Role: clustermembership.RolePromptIndex}
+		if at, ok := s.dead[name]; ok && s.clock.Now()-at > 4*time.Second {
+			node.State = clustermembership.Dead
 		}
-		v.Nodes = append(v.Nodes, x)
+		view.Nodes = append(view.Nodes, node)
 	}
-	return v
+	return view
 }
 
-func (s *testSite) name(model string, v uint64) {
+func (s *testSite) nameVersion(model string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.named[model], s.since[model] = v, s.clock.Now()
+	s.named[model], s.namedAt[model] = version, s.clock.Now()
 }
 
-// settled reports whether the documents say that all have a version and nobody is set aside.
-func (s *testSite) settled(version uint64) bool {
+// rolledOut reports whether all workers serve a version, the documents say so, and none is cordoned.
+func (s *testSite) rolledOut(version uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m, n := s.table(), 0
-	for id, h := range s.workers {
-		if h.w.Draining || h.silent {
+	published, serving := s.publishedVersions(), 0
+	for id, worker := range s.workers {
+		if worker.worker.Draining || worker.silent {
 			continue
 		}
-		if n++; m[id] < version || h.at(s.clock.Now()).has < version {
+		if serving++; published[id] < version || worker.stateAt(s.clock.Now()).version < version {
 			return false
 		}
 	}
-	return n > 0 && len(s.rolling()) == 0
+	return serving > 0 && len(s.cordoned()) == 0
 }
 
-// wait lets time go on until it is so; it gives how long that took.
-func (s *testSite) wait(so func() bool, most time.Duration) time.Duration {
+// waitUntil lets time pass until a condition holds, and returns how long that took.
+func (s *testSite) waitUntil(condition func() bool, timeout time.Duration) time.Duration {
 	s.t.Helper()
-	from := s.clock.Now()
-	for !so() {
-		if s.clock.Now()-from > most {
+	start := s.clock.Now()
+	for !condition() {
+		if s.clock.Now()-start > timeout {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.t.Errorf("not so after %v: table %v, rolling %v, lease %v, dead %v", most, s.table(), s.rolling(), s.lease, s.dead)
-			return most
+			s.t.Errorf("the condition doesn't hold after %v: workers %v, cordoned %v, lease %v, dead %v", timeout, s.publishedVersions(), s.cordoned(), s.lease, s.dead)
+			return timeout
 		}
 		<-time.After(25 * time.Millisecond)
 	}
-	return s.clock.Now() - from
+	return s.clock.Now() - start
 }
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -31,7 +31,7 @@
 // Timing of the controller, as ratios of the heal bound.
 const (
 	reconcileRatio    = 1.0 / 24 // between two steps of a service, and between two lease renewals
-	updateHoldRatio   = 1.0 / 12 // how long a node agent may hold a request for updates
+	updateWaitRatio   = 1.0 / 12 // how long a node agent may hold a request for updates
 	queryTimeoutRatio = 1.0 / 48 // timeout of one query of other nodes or of the platform's list
 )
 
@@ -77,26 +77,26 @@
 // Example: daemon.Main("appraiser", "placement under a lease", need, placementcontroller.Start)
 func Start(process *daemon.Process) error {
 	bounds := process.Settings.Bounds
-	c := &Controller{
+	controller := &Controller{
 		process:  process,
 		clock:    process.Clock,
 		clients:  daemon.NewClients(process),
 		backends: contract.NewBackends(process.Dial),
 		services: map[string]*serviceController{},
 	}
-	process.OnStop(c.backends.Close)
-	c.holder = fmt.Sprintf("%s/%x", process.Settings.Name, c.clock.Now())
-	c.members = clustermembership.Start(process.Ctx, process.Settings, clustermembership.RolePlacementController, c.clock, process.Log, c.clients.Membership, nil)
-	view := func() clustermembership.View { return c.members.View() }
-	c.store = controlclient.New(process.Settings.Core, view, c.clients, bounds)
-	c.updates = updatestream.Follow(process.Ctx, c.clock, process.Log, c.nodeAgent, bounds.Heal(updateHoldRatio), nil, updatestream.OnSeedsChanged(c.members.SetSeeds))
-	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", c.countBlockedNodes)
+	process.OnStop(controller.backends.Close)
+	controller.holder = fmt.Sprintf("%s/%x", process.Settings.Name, controller.clock.Now())
+	controller.members = clustermembership.Start(process.Ctx, process.Settings, clustermembership.RolePlacementController, controller.clock, process.Log, controller.clients.Membership, nil)
+	view := func() clustermembership.View { return controller.members.View() }
+	controller.store = controlclient.New(process.Settings.Core, view, controller.clients, bounds)
+	controller.updates = updatestream.Follow(process.Ctx, controller.clock, process.Log, controller.nodeAgent, bounds.Heal(updateWaitRatio), nil, updatestream.OnSeedsChanged(controller.members.SetSeeds))
+	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", controller.countBlockedNodes)
 	mux := http.NewServeMux()
-	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(c.members))
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(controller.members))
 	if err := process.Serve(process.Settings.Listen, mux); err != nil {
 		return err
 	}
-	process.Every(bounds.Heal(reconcileRatio), c.assignServices)
+	process.Every(bounds.Heal(reconcileRatio), controller.assignServices)
 	process.Ready.Store(true)
 	return nil
 }
--- /dev/null
+++ b/internal/control/placementcontroller/orders_test.go
@@ -0,0 +1,63 @@
+package placementcontroller
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pebbleloom/internal/clock"
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/controlclient"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+// Eighteen silent workers delay an order no longer than one does, and every order has been answered or
+// has timed out before another machine may hold the lease. Once the lease has expired none is sent.
+func TestSilentWorkersDelayNoOrder(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		bounds := settings.DefaultBounds()
+		clk := clock.Synctest()
+		sent := atomic.Int32{}
+		environment := daemon.Environment{Clock: clk, Dial: func(context.Context, string, string) (net.Conn, error) {
+			sent.Add(1)
+			<-time.After(bounds.Leave(1.0 / 3)) // the dial times out by itself
+			return nil, errors.New("timeout")
+		}}
+		process := daemon.NewIn(environment, "placement", settings.Process{Name: "core-1", Bounds: bounds, Options: []string{"log=off"}})
+		defer process.Stop(0)
+		controller := &Controller{process: process, clock: clk, backends: contract.NewBackends(process.Dial)}
+		ttl := bounds.Heal(settings.LeaseRatio)
+		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", ttl)
+		requestedAt := clk.Now()
+		lease.HandleResponse(requestedAt, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
+		var workers []*wire.Worker
+		for i := range 18 {
+			workers = append(workers, &wire.Worker{Name: fmt.Sprint("w", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1)})
+		}
+		start := time.Now()
+		if err := controller.sendOrders(lease, workers, 2); err == nil || time.Since(start) != bounds.Heal(settings.OrderTimeoutRatio) || sent.Load() != 18 {
+			t.Errorf("%v after %v, %d sent", err, time.Since(start), sent.Load())
+		}
+		last := time.NewTimer(requestedAt + ttl - time.Duration(float64(ttl)*settings.LeaseMarginRatio) - clk.Now() - 1)
+		<-last.C // the last instant at which the lease is held
+		sent.Store(0)
+		if err := controller.sendOrders(lease, workers, 2); err == nil || sent.Load() != 18 {
+			t.Errorf("lease still held: %v, %d sent", err, sent.Load())
+		}
+		if next := requestedAt + ttl + time.Duration(float64(ttl)*settings.LeaseMarginRatio); clk.Now() >= next {
+			t.Errorf("the last order ended at %v, the next holder may order from %v on", clk.Now(), next)
+		}
+		sent.Store(0)
+		if err := controller.sendOrders(lease, workers, 2); err != nil || sent.Load() != 0 {
+			t.Errorf("lease expired: %v, %d sent", err, sent.Load())
+		}
+		<-time.After(bounds.Leave(1)) // all dials are over
+	})
+}
--- /dev/null
+++ b/internal/control/placementcontroller/rollout_test.go
@@ -0,0 +1,85 @@
+package placementcontroller
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pebbleloom/internal/settings"
+	"pebbleloom/internal/wire"
+)
+
+func workersWithOldWeights(n int) []*wire.Worker {
+	var workers []*wire.Worker
+	for i := range n {
+		workers = append(workers, &wire.Worker{Name: fmt.Sprintf("w%02d", i), Weights: 1})
+	}
+	return workers
+}
+
+// A rollout cordons a batch before it orders it, keeps two thirds of the workers in service, and is done
+// within the bound: also when the lease changes hands in the middle, when a worker doesn't obey the first
+// orders, and under both sites' bounds.
+func TestRolloutIsPaced(t *testing.T) {
+	for _, bound := range []int{20000, 25000} {
+		bounds := settings.DefaultBounds()
+		bounds.WeightsMs = bound
+		workers := workersWithOldWeights(18)
+		rollout, orders, largest, done := &Rollout{}, map[string]int{}, 0, time.Duration(0)
+		cordonedAt := map[string]time.Duration{}
+		for now := time.Duration(0); now < 30*time.Second; now += 500 * time.Millisecond {
+			if now == 4*time.Second {
+				rollout = &Rollout{Batch: rollout.Batch, CordonedAt: now} // another holder resumes from the stored placement
+			}
+			due, changed := rollout.Step(workers, 2, func(uint64) time.Duration { return now }, now, bounds)
+			if changed {
+				for _, name := range rollout.Batch {
+					cordonedAt[name] = now
+				}
+			}
+			largest = max(largest, len(rollout.Batch))
+			for _, worker := range due {
+				if now-cordonedAt[worker.Name] < bounds.Heal(cordonRatio) {
+					t.Fatalf("%s was ordered %v after it was cordoned", worker.Name, now-cordonedAt[worker.Name])
+				}
+				if orders[worker.Name]++; worker.Name != "w03" || orders[worker.Name] > 2 {
+					worker.Weights = 2
+				}
+			}
+			behind := slices.ContainsFunc(workers, func(worker *wire.Worker) bool { return worker.Weights < 2 })
+			if !behind && done == 0 {
+				done = now
+			}
+		}
+		if limit := time.Duration(bound) * time.Millisecond * 8 / 10; done == 0 || done > limit {
+			t.Errorf("bound %d ms: done after %v, %v at most", bound, done, limit)
+		}
+		if largest > 6 || len(rollout.Batch) > 0 {
+			t.Errorf("%d cordoned at once, %v still cordoned", largest, rollout.Batch)
+		}
+	}
+}
+
+// When weights are named again in quick succession, the workers with the oldest go first, and are done
+// within the bound from when those were superseded, not from the latest naming.
+func TestRolloutOfWeightsNamedAgain(t *testing.T) {
+	bounds := settings.DefaultBounds()
+	workers := workersWithOldWeights(18)
+	rollout, want := &Rollout{}, uint64(2)
+	for now := time.Duration(0); now < 30*time.Second; now += 500 * time.Millisecond {
+		if now == 6*time.Second {
+			want = 3
+		}
+		since := func(weights uint64) time.Duration { return now - 6*time.Second*time.Duration(weights-1) }
+		due, _ := rollout.Step(workers, want, since, now, bounds)
+		for _, worker := range due {
+			worker.Weights = want
+		}
+		for _, worker := range workers {
+			if limit := bounds.Weights(0.8) + 6*time.Second*time.Duration(worker.Weights-1); worker.Weights < want && now > limit {
+				t.Fatalf("%s has weights %d at %v", worker.Name, worker.Weights, now)
+			}
+		}
+	}
+}
--- a/internal/control/retire/repair.go
+++ b/internal/control/retire/repair.go
@@ -18,24 +18,24 @@
 	if !ok || len(adapters) == 0 {
 		return nil
 	}
-	e := &evaluation{
+	plan := &evaluation{
 		Planner:    NewPlanner(),
 		retirement: &Retirement{Service: service, MaxConcurrent: len(nodes)},
 		observed:   Observation{Nodes: nodes},
 	}
-	e.catchUp(NewWeightSet(config, base, adapters), adaptersLoaded, passNone)
-	behind := e.blockedNodes()
+	plan.catchUp(NewWeightSet(config, base, adapters), adaptersLoaded, passNone)
+	behind := plan.blockedNodes()
 	for _, node := range nodes {
 		for _, old := range retired {
 			if old != base && !behind[node.Name] && hasModelLoaded(node, old) && !anyRouteTo(config, service, old) {
-				e.addOrder(node, contract.Order{Kind: OrderUnload, Model: old})
+				plan.addOrder(node, contract.Order{Kind: OrderUnload, Model: old})
 			}
 		}
 	}
-	for _, action := range e.actions {
+	for _, action := range plan.actions {
 		action.Order.Plan, action.Order.Step = "", 0 // no document orders them
 	}
-	return e.actions
+	return plan.actions
 }
 
 // anyRouteTo reports whether any route of a service leads to a base, or is being moved there.
