--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/cluster.go
@@ -157,11 +157,11 @@
 }
 
 func (c *Cluster) linkRule(from, to string) (testbed.LinkRule, <-chan struct{}) {
-	r, c := c.RuleBetween(from, to)
+	rule, changed := c.RuleBetween(from, to)
 	if from == to || from == "people" || to == "people" {
-		r = testbed.LinkRule{} // loopback, and those outside
+		rule = testbed.LinkRule{} // loopback, and those outside
 	}
-	return r, c
+	return rule, changed
 }
 
 func (c *Cluster) machineAt(a netip.Addr) string {
@@ -353,12 +353,12 @@
 // Example: defer t.Down()
 func (c *Cluster) Stop() {
 	c.mu.Lock()
-	var l []*proc
+	var all []*proc
 	for _, p := range c.processes {
-		l = append(l, p)
+		all = append(all, p)
 	}
 	c.mu.Unlock()
-	for _, p := range l {
+	for _, p := range all {
 		p.kill()
 		c.stopGracefully(p, 0)
 	}
