--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -44,56 +44,56 @@
 exit codes: 0 done, 1 something is wrong (status, retire status, runbook), 2 bad input, 3 bad key, 4 not found, 5 version conflict, 6 rejected for now,
 7 may have taken effect, 8 outcome unknown, 9 internal error, 10 not on this kind of site`
 
-// request is a parsed command line.
-type request struct {
+// invocation is a parsed command line.
+type invocation struct {
 	node, file, token, model, tenant, key, worker, service, request, name string
 	record, resume, keyFile                                               string
-	asJSON, back, dry, yes                                                bool
-	ifEpoch, weights                                                      int64
-	parts, set, overlays                                                  []string
-	bad                                                                   io.Writer // where a runbook reports its progress
+	asJSON, undrain, dryRun, assumeYes                                    bool
+	ifVersion, weights                                                    int64
+	parts, parameters, overlays                                           []string
+	progress                                                              io.Writer // where a runbook reports its progress
 }
 
 type command struct {
 	path  string // "config get"
 	about string
-	run   func(context.Context, *operator.Client, *request, io.Reader) (any, error)
+	run   func(context.Context, *operator.Client, *invocation, io.Reader) (any, error)
 }
 
 func commands() []command {
 	return []command{
 		{"config get", "read back the configuration in force", getConfig},
-		{"config apply", "apply a whole configuration", apply(false, false)},
-		{"config patch", "merge a partial configuration into the one in force", apply(true, false)},
-		{"config validate", "check a whole configuration without applying it", apply(false, true)},
-		{"config render", "fill in a template, apply overlays, show each value's origin", render},
-		{"config diff", "show what a whole configuration would change", diff},
+		{"config apply", "apply a whole configuration", applyConfig(false, false)},
+		{"config patch", "merge a partial configuration into the one in force", applyConfig(true, false)},
+		{"config validate", "check a whole configuration without applying it", applyConfig(false, true)},
+		{"config render", "fill in a template, apply overlays, show each value's origin", renderConfig},
+		{"config diff", "show what a whole configuration would change", diffConfig},
 		{"weights name", "name new weights for a model", nameWeights},
-		{"keys revoke", "revoke a tenant's key", revoke},
-		{"drain", "take a worker out of use", drain},
-		{"status", "show what is wrong and the remedies", status},
-		{"nodes", "list the nodes", nodes},
-		{"workers", "list the workers", workers},
+		{"keys revoke", "revoke a tenant's key", revokeKey},
+		{"drain", "take a worker out of use", drainWorker},
+		{"status", "show what is wrong and the remedies", getStatus},
+		{"nodes", "list the nodes", listNodes},
+		{"workers", "list the workers", listWorkers},
 		{"placement show", "show a service's placement", getPlacement},
 		{"calendar list", "list the planned moves and their progress", listMoves},
 		{"calendar write", "write a planned move", writeMove(false)},
 		{"calendar check", "check a planned move without writing it", writeMove(true)},
-		{"calendar pause", "pause a move", askMove("pause")},
-		{"calendar resume", "resume a move", askMove("resume")},
-		{"calendar cancel", "cancel a move that hasn't started", askMove("cancel")},
-		{"calendar undo", "undo a move", askMove("undo")},
+		{"calendar pause", "pause a move", controlMove("pause")},
+		{"calendar resume", "resume a move", controlMove("resume")},
+		{"calendar cancel", "cancel a move that hasn't started", controlMove("cancel")},
+		{"calendar undo", "undo a move", controlMove("undo")},
 		{"retire plan", "write a planned retirement of a base model (--dry-run: check it)", planRetirement},
-		{"retire start", "start a planned retirement", askRetirement("start")},
+		{"retire start", "start a planned retirement", controlRetirement("start")},
 		{"retire status", "show the progress of retirements and what blocks them", listRetirements(false)},
-		{"retire pause", "pause a retirement", askRetirement("pause")},
-		{"retire resume", "resume a retirement", askRetirement("resume")},
-		{"retire abort", "revert to the old base, at any point before the barrier", askRetirement("abort")},
+		{"retire pause", "pause a retirement", controlRetirement("pause")},
+		{"retire resume", "resume a retirement", controlRetirement("resume")},
+		{"retire abort", "revert to the old base, at any point before the barrier", controlRetirement("abort")},
 		{"retire history", "show the states and phases of retirements", listRetirements(true)},
-		{"runbook list", "list the runbooks that come with the programs", listBooks},
-		{"runbook check", "check a runbook, shipped or a .json file", checkBook},
-		{"runbook run", "run a runbook step by step", runBook},
-		{"explain", "show how a request was routed", explain},
-		{"index lookup", "show the holders of a prompt's prefixes", lookup},
+		{"runbook list", "list the runbooks that come with the programs", listRunbooks},
+		{"runbook check", "check a runbook, shipped or a .json file", checkRunbook},
+		{"runbook run", "run a runbook step by step", runRunbook},
+		{"explain", "show how a request was routed", explainRequest},
+		{"index lookup", "show the holders of a prompt's prefixes", lookUpPrefixes},
 	}
 }
 
@@ -112,19 +112,19 @@
 
 // runCommand runs one command; transport carries its calls to a node.
 func runCommand(args []string, in io.Reader, out, bad io.Writer, transport http.RoundTripper) int {
-	r := &request{node: os.Getenv("PEBBLELOOM_NODE"), ifEpoch: -1, bad: bad}
-	if r.node == "" {
-		r.node = defaultNode
+	inv := &invocation{node: os.Getenv("PEBBLELOOM_NODE"), ifVersion: -1, progress: bad}
+	if inv.node == "" {
+		inv.node = defaultNode
 	}
 	for _, a := range args {
-		r.asJSON = r.asJSON || a == "--json" || a == "-j" // also for errors in the flags
+		inv.asJSON = inv.asJSON || a == "--json" || a == "-j" // also for errors in the flags
 	}
-	result, err := parseAndRun(args, r, in, transport)
+	result, err := parseAndRun(args, inv, in, transport)
 	if err == nil {
-		err = writeResult(out, r.asJSON, result)
+		err = writeResult(out, inv.asJSON, result)
 	}
 	if err != nil {
-		writeError(bad, r.asJSON, err)
+		writeError(bad, inv.asJSON, err)
 		return errs.KindOf(err).ExitCode
 	}
 	if needsAttention(result) {
@@ -137,24 +137,24 @@
 const exitWrong = 1
 
 // parseAndRun parses a command line and runs its command against the node.
-func parseAndRun(args []string, r *request, in io.Reader, transport http.RoundTripper) (any, error) {
-	c, err := parseCommand(args, r)
+func parseAndRun(args []string, inv *invocation, in io.Reader, transport http.RoundTripper) (any, error) {
+	c, err := parseCommand(args, inv)
 	if err != nil {
 		return nil, err
 	}
-	key, err := operatorKey(r)
+	key, err := operatorKey(inv)
 	if err != nil {
 		return nil, err
 	}
-	client, err := operator.NewClient("http://"+r.node, operator.WithClient(&http.Client{Transport: keyTransport{key, transport}}))
+	client, err := operator.NewClient("http://"+inv.node, operator.WithClient(&http.Client{Transport: keyTransport{key, transport}}))
 	if err != nil {
-		return nil, errs.WrapAs(err, errs.BadInput, "node "+r.node)
+		return nil, errs.WrapAs(err, errs.BadInput, "node "+inv.node)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	result, err := c.run(ctx, client, r, in)
+	result, err := c.run(ctx, client, inv, in)
 	if err != nil {
-		return nil, typedError(err, r.node)
+		return nil, typedError(err, inv.node)
 	}
 	return result, nil
 }
@@ -187,8 +187,8 @@
 	switch x := result.(type) {
 	case *operator.Status:
 		return !x.Ok
-	case *Retired:
-		return x.Wrong()
+	case *RetirementList:
+		return x.NeedsAttention()
 	}
 	return false
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -90,7 +90,7 @@
 }
 
 // What a node rejects comes back under its kind, with that kind's exit code.
-func TestDenialsKeepTheirKind(t *testing.T) {
+func TestRejectionsKeepTheirKind(t *testing.T) {
 	for _, k := range errs.Kinds() {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -19,21 +19,21 @@
 	"pebbleloom/internal/queue"
 )
 
-func getConfig(ctx context.Context, c *operator.Client, _ *request, _ io.Reader) (any, error) {
+func getConfig(ctx context.Context, c *operator.Client, _ *invocation, _ io.Reader) (any, error) {
 	return c.GetSetup(ctx)
 }
 
-func apply(partial, dry bool) func(context.Context, *operator.Client, *request, io.Reader) (any, error) {
-	return func(ctx context.Context, c *operator.Client, r *request, in io.Reader) (any, error) {
-		b, err := read(r, in)
+func applyConfig(partial, dry bool) func(context.Context, *operator.Client, *invocation, io.Reader) (any, error) {
+	return func(ctx context.Context, c *operator.Client, inv *invocation, in io.Reader) (any, error) {
+		raw, err := readFile(inv, in)
 		if err != nil {
 			return nil, err
 		}
-		q := &operator.SetupChange{Setup: jx.Raw(b), Partial: operator.NewOptBool(partial), Dry: operator.NewOptBool(dry), Token: operator.NewOptString(token(r))}
-		if r.ifEpoch >= 0 {
-			q.IfEpoch = operator.NewOptInt64(r.ifEpoch)
+		change := &operator.SetupChange{Setup: jx.Raw(raw), Partial: operator.NewOptBool(partial), Dry: operator.NewOptBool(dry), Token: operator.NewOptString(token(inv))}
+		if inv.ifVersion >= 0 {
+			change.IfEpoch = operator.NewOptInt64(inv.ifVersion)
 		}
-		return c.ChangeSetup(ctx, q)
+		return c.ChangeSetup(ctx, change)
 	}
 }
 
@@ -44,16 +44,16 @@
 	New  string `json:"new,omitempty"`
 }
 
-func flat(prefix string, v any, to map[string]string) {
-	if m, ok := v.(map[string]any); ok {
-		for k, x := range m {
-			flat(strings.TrimPrefix(prefix+"."+k, "."), x, to)
+func flatten(prefix string, v any, values map[string]string) {
+	if object, ok := v.(map[string]any); ok {
+		for key, item := range object {
+			flatten(strings.TrimPrefix(prefix+"."+key, "."), item, values)
 		}
 		return
 	}
-	if l, ok := v.([]any); ok && len(l) > 0 && allNamed(l) {
-		for _, x := range l {
-			flat(prefix+"."+x.(map[string]any)["name"].(string), x, to)
+	if list, ok := v.([]any); ok && len(list) > 0 && allNamed(list) {
+		for _, item := range list {
+			flatten(prefix+"."+item.(map[string]any)["name"].(string), item, values)
 		}
 		return
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		b = []byte(err.Error())
 	}
-	to[prefix] = string(b)
+	values[prefix] = string(b)
 }
 
 // allNamed reports whether all items of a list have a name: then each is compared by itself.
@@ -73,100 +73,100 @@
 	})
 }
 
-func diff(ctx context.Context, c *operator.Client, r *request, in io.Reader) (any, error) {
-	b, err := read(r, in)
+func diffConfig(ctx context.Context, c *operator.Client, inv *invocation, in io.Reader) (any, error) {
+	raw, err := readFile(inv, in)
 	if err != nil {
 		return nil, err
 	}
-	have, err := c.GetSetup(ctx)
+	inForce, err := c.GetSetup(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := serviceconfig.Decode(have.Setup); err == nil { // a plan of another format is compared as it was sent
-		if b, err = serviceconfig.Merge(nil, b); err != nil {
+	if _, err := serviceconfig.Decode(inForce.Setup); err == nil { // a plan of another format is compared as it was sent
+		if raw, err = serviceconfig.Merge(nil, raw); err != nil {
 			return nil, err
 		}
 	}
-	var x, y any
-	var f errs.Batch
-	f.Add("read configuration in force", json.Unmarshal(have.Setup, &x))
-	f.Add("read file", json.Unmarshal(b, &y))
-	if err := f.Err(); err != nil {
+	var inForceValue, fileValue any
+	var batch errs.Batch
+	batch.Add("read configuration in force", json.Unmarshal(inForce.Setup, &inForceValue))
+	batch.Add("read file", json.Unmarshal(raw, &fileValue))
+	if err := batch.Err(); err != nil {
 		return nil, err
 	}
 	old, now := map[string]string{}, map[string]string{}
-	flat("", x, old)
-	flat("", y, now)
-	l := []Diff{}
-	for k, v := range old {
-		if now[k] != v {
-			l = append(l, Diff{k, v, now[k]})
+	flatten("", inForceValue, old)
+	flatten("", fileValue, now)
+	diffs := []Diff{}
+	for path, v := range old {
+		if now[path] != v {
+			diffs = append(diffs, Diff{path, v, now[path]})
 		}
 	}
-	for k, v := range now {
-		if _, ok := old[k]; !ok {
-			l = append(l, Diff{k, "", v})
+	for path, v := range now {
+		if _, ok := old[path]; !ok {
+			diffs = append(diffs, Diff{path, "", v})
 		}
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].Path < l[j].Path })
-	return l, nil
+	sort.Slice(diffs, func(i, j int) bool { return diffs[i].Path < diffs[j].Path })
+	return diffs, nil
 }
 
-func nameWeights(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
-	if err := need("model", r.model); err != nil {
+func nameWeights(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+	if err := requireFlags("model", inv.model); err != nil {
 		return nil, err
 	}
-	if r.weights < 1 {
+	if inv.weights < 1 {
 		return nil, errs.New(errs.BadInput, "--weights is missing: give the version, from 1")
 	}
-	return c.NameWeights(ctx, &operator.Weights{Model: r.model, Weights: r.weights, Token: operator.NewOptString(token(r))})
+	return c.NameWeights(ctx, &operator.Weights{Model: inv.model, Weights: inv.weights, Token: operator.NewOptString(token(inv))})
 }
 
-func revoke(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
-	if err := need("tenant", r.tenant, "key", r.key); err != nil {
+func revokeKey(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+	if err := requireFlags("tenant", inv.tenant, "key", inv.key); err != nil {
 		return nil, err
 	}
-	return c.RevokeKey(ctx, &operator.Revoke{Tenant: r.tenant, Key: r.key})
+	return c.RevokeKey(ctx, &operator.Revoke{Tenant: inv.tenant, Key: inv.key})
 }
 
-func drain(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
-	if err := need("worker", r.worker); err != nil {
+func drainWorker(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+	if err := requireFlags("worker", inv.worker); err != nil {
 		return nil, err
 	}
-	return c.Drain(ctx, &operator.Drain{Worker: r.worker, Drain: !r.back})
+	return c.Drain(ctx, &operator.Drain{Worker: inv.worker, Drain: !inv.undrain})
 }
 
-func status(ctx context.Context, c *operator.Client, _ *request, _ io.Reader) (any, error) {
+func getStatus(ctx context.Context, c *operator.Client, _ *invocation, _ io.Reader) (any, error) {
 	return c.GetStatus(ctx)
 }
 
-func nodes(ctx context.Context, c *operator.Client, _ *request, _ io.Reader) (any, error) {
+func listNodes(ctx context.Context, c *operator.Client, _ *invocation, _ io.Reader) (any, error) {
 	return c.ListNodes(ctx)
 }
 
-func workers(ctx context.Context, c *operator.Client, _ *request, _ io.Reader) (any, error) {
+func listWorkers(ctx context.Context, c *operator.Client, _ *invocation, _ io.Reader) (any, error) {
 	return c.ListWorkers(ctx)
 }
 
-func getPlacement(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
-	if err := need("service", r.service); err != nil {
+func getPlacement(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+	if err := requireFlags("service", inv.service); err != nil {
 		return nil, err
 	}
-	return c.GetPlacement(ctx, operator.GetPlacementParams{Service: r.service})
+	return c.GetPlacement(ctx, operator.GetPlacementParams{Service: inv.service})
 }
 
-func explain(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
-	if err := need("request", r.request); err != nil {
+func explainRequest(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+	if err := requireFlags("request", inv.request); err != nil {
 		return nil, err
 	}
-	return c.Explain(ctx, operator.ExplainParams{Request: r.request})
+	return c.Explain(ctx, operator.ExplainParams{Request: inv.request})
 }
 
-func lookup(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
-	if err := need("model", r.model, "tenant", r.tenant, "part", strings.Join(r.parts, " ")); err != nil {
+func lookUpPrefixes(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+	if err := requireFlags("model", inv.model, "tenant", inv.tenant, "part", strings.Join(inv.parts, " ")); err != nil {
 		return nil, err
 	}
-	return c.LookUp(ctx, &operator.Lookup{Model: r.model, Tenant: r.tenant, Parts: r.parts})
+	return c.LookUp(ctx, &operator.Lookup{Model: inv.model, Tenant: inv.tenant, Parts: inv.parts})
 }
 
 func indent(raw []byte) string {
@@ -191,73 +191,73 @@
 
 // formatText formats a response for people.
 func formatText(v any) string {
-	var b strings.Builder
-	w := tabwriter.NewWriter(&b, 2, 8, 2, ' ', 0)
-	switch x := v.(type) {
+	var text strings.Builder
+	table := tabwriter.NewWriter(&text, 2, 8, 2, ' ', 0)
+	switch result := v.(type) {
 	case *operator.SetupInForce:
-		fmt.Fprintf(w, "epoch %d\n%s\n", x.Epoch, indent(x.Setup))
+		fmt.Fprintf(table, "epoch %d\n%s\n", result.Epoch, indent(result.Setup))
 	case *operator.PlacementInForce:
-		fmt.Fprintf(w, "epoch %d\n%s\n", x.Epoch, indent(x.Placement))
+		fmt.Fprintf(table, "epoch %d\n%s\n", result.Epoch, indent(result.Placement))
 	case *operator.Changed:
-		fmt.Fprintf(w, "%s, epoch %d", x.Outcome, x.Epoch)
-		if n, ok := x.Note.Get(); ok {
-			fmt.Fprintf(w, " (%s)", n)
+		fmt.Fprintf(table, "%s, epoch %d", result.Outcome, result.Epoch)
+		if node, ok := result.Note.Get(); ok {
+			fmt.Fprintf(table, " (%s)", node)
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(table)
 	case []Diff:
-		for _, d := range x {
-			fmt.Fprintf(w, "%s\t%s\t→\t%s\n", d.Path, d.Old, d.New)
+		for _, difference := range result {
+			fmt.Fprintf(table, "%s\t%s\t→\t%s\n", difference.Path, difference.Old, difference.New)
 		}
-		if len(x) == 0 {
-			fmt.Fprintln(w, "no difference")
+		if len(result) == 0 {
+			fmt.Fprintln(table, "no difference")
 		}
 	case *operator.Status:
-		if x.Ok {
-			fmt.Fprintln(w, "all is well")
+		if result.Ok {
+			fmt.Fprintln(table, "all is well")
 		}
-		for _, f := range x.Facts {
-			fmt.Fprintf(w, "%s:\t%s\n", f.Name, f.Value)
+		for _, fact := range result.Facts {
+			fmt.Fprintf(table, "%s:\t%s\n", fact.Name, fact.Value)
 		}
-		for _, p := range x.Problems {
-			fmt.Fprintf(w, "%s\t%s\t%s\n\tdo:\t%s (pebblectl runbook run %s)\n", p.Kind, p.Where, p.Text, p.Remedy, p.Runbook)
+		for _, problem := range result.Problems {
+			fmt.Fprintf(table, "%s\t%s\t%s\n\tdo:\t%s (pebblectl runbook run %s)\n", problem.Kind, problem.Where, problem.Text, problem.Remedy, problem.Runbook)
 		}
 	case *operator.NodeList:
-		fmt.Fprintf(w, "NAME\tROLE\tDISTRICT\tADDRESS\tSTATE\tOPERATOR\n")
-		for _, n := range x.Nodes {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.Role, n.District, n.Addr, n.State, n.Operator.Or("-"))
+		fmt.Fprintf(table, "NAME\tROLE\tDISTRICT\tADDRESS\tSTATE\tOPERATOR\n")
+		for _, node := range result.Nodes {
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", node.Name, node.Role, node.District, node.Addr, node.State, node.Operator.Or("-"))
 		}
-		fmt.Fprintf(w, "as seen by %s\n", x.SeenBy)
+		fmt.Fprintf(table, "as seen by %s\n", result.SeenBy)
 	case *operator.WorkerList:
-		fmt.Fprintf(w, "NAME\tSERVICE\tDISTRICT\tADDRESS\tSTATE\tWEIGHTS\tBUSY\tQUEUED\tSLOTS\n")
-		for _, n := range x.Workers {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", n.Name, n.Service, n.District, n.Addr, n.State, n.Weights, optional(n.Busy), optional(n.Queued), n.Slots)
+		fmt.Fprintf(table, "NAME\tSERVICE\tDISTRICT\tADDRESS\tSTATE\tWEIGHTS\tBUSY\tQUEUED\tSLOTS\n")
+		for _, node := range result.Workers {
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", node.Name, node.Service, node.District, node.Addr, node.State, node.Weights, optional(node.Busy), optional(node.Queued), node.Slots)
 		}
-		for _, m := range queue.Keys(x.Named.Or(nil)) {
-			fmt.Fprintf(w, "named weights of %s: %d\n", m, x.Named.Value[m])
+		for _, model := range queue.Keys(result.Named.Or(nil)) {
+			fmt.Fprintf(table, "named weights of %s: %d\n", model, result.Named.Value[model])
 		}
-		fmt.Fprintf(w, "as seen by %s\n", x.SeenBy)
+		fmt.Fprintf(table, "as seen by %s\n", result.SeenBy)
 	case *Rendered:
-		formatRendered(w, x)
+		formatRendered(table, result)
 	case *Listing:
-		formatBooks(w, x)
-	case *Ran:
-		fmt.Fprintf(w, "run %s is through; record: %s\n", x.Run, x.Record)
-	case *Retired:
-		formatRetirements(w, x)
+		formatRunbooks(table, result)
+	case *RunResult:
+		fmt.Fprintf(table, "run %s is through; record: %s\n", result.Run, result.Record)
+	case *RetirementList:
+		formatRetirements(table, result)
 	case *operator.Moves:
-		formatMoves(w, x)
+		formatMoves(table, result)
 	case *operator.Explained:
-		for _, g := range x.Goes {
-			fmt.Fprintln(w, indent(g))
+		for _, attempt := range result.Goes {
+			fmt.Fprintln(table, indent(attempt))
 		}
 	case *operator.Found:
-		fmt.Fprintf(w, "KEY\tTOKENS\tHOTNESS\tHOLDERS\n")
-		for _, p := range x.Prefixes {
-			fmt.Fprintf(w, "%s\t%s\t%.2f\t%s\n", p.Key, optional(p.Tokens), p.Hotness, strings.Join(p.Holders, " "))
+		fmt.Fprintf(table, "KEY\tTOKENS\tHOTNESS\tHOLDERS\n")
+		for _, problem := range result.Prefixes {
+			fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\n", problem.Key, optional(problem.Tokens), problem.Hotness, strings.Join(problem.Holders, " "))
 		}
 	}
-	if err := w.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err.Error()
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/cli/moves.go
+++ b/internal/cli/moves.go
@@ -13,13 +13,13 @@
 	"pebbleloom/internal/errs"
 )
 
-func listMoves(ctx context.Context, c *operator.Client, _ *request, _ io.Reader) (any, error) {
+func listMoves(ctx context.Context, c *operator.Client, _ *invocation, _ io.Reader) (any, error) {
 	return c.ListMoves(ctx)
 }
 
-func writeMove(dry bool) func(context.Context, *operator.Client, *request, io.Reader) (any, error) {
-	return func(ctx context.Context, c *operator.Client, r *request, in io.Reader) (any, error) {
-		b, err := read(r, in)
+func writeMove(dry bool) func(context.Context, *operator.Client, *invocation, io.Reader) (any, error) {
+	return func(ctx context.Context, c *operator.Client, inv *invocation, in io.Reader) (any, error) {
+		b, err := readFile(inv, in)
 		if err != nil {
 			return nil, err
 		}
@@ -27,28 +27,28 @@
 	}
 }
 
-func askMove(verb operator.AskMoveVerb) func(context.Context, *operator.Client, *request, io.Reader) (any, error) {
-	return func(ctx context.Context, c *operator.Client, r *request, _ io.Reader) (any, error) {
-		if err := need("service", r.service, "name", r.name); err != nil {
+func controlMove(verb operator.AskMoveVerb) func(context.Context, *operator.Client, *invocation, io.Reader) (any, error) {
+	return func(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+		if err := requireFlags("service", inv.service, "name", inv.name); err != nil {
 			return nil, err
 		}
-		return c.AskMove(ctx, operator.AskMoveParams{Service: r.service, Name: r.name, Verb: verb})
+		return c.AskMove(ctx, operator.AskMoveParams{Service: inv.service, Name: inv.name, Verb: verb})
 	}
 }
 
-func formatMoves(w io.Writer, l *operator.Moves) {
-	fmt.Fprintf(w, "SERVICE\tNAME\tKIND\tSTATE\tSTEP\tWHY\n")
-	for _, m := range l.Moves {
-		e, err := calendar.Decode(m)
+func formatMoves(out io.Writer, list *operator.Moves) {
+	fmt.Fprintf(out, "SERVICE\tNAME\tKIND\tSTATE\tSTEP\tWHY\n")
+	for _, move := range list.Moves {
+		entry, err := calendar.Decode(move)
 		if err != nil {
-			fmt.Fprintf(w, "?\t?\t?\t?\t?\t%s\n", errs.Text(err))
+			fmt.Fprintf(out, "?\t?\t?\t?\t?\t%s\n", errs.Text(err))
 			continue
 		}
-		step := fmt.Sprintf("%d of %d", e.CurrentStep, len(e.Steps))
-		if e.CurrentStep < len(e.Steps) {
-			s := e.Steps[e.CurrentStep]
-			step += ": " + string(s.Kind) + " " + strings.Join(s.Workers, " ")
+		step := fmt.Sprintf("%d of %d", entry.CurrentStep, len(entry.Steps))
+		if entry.CurrentStep < len(entry.Steps) {
+			current := entry.Steps[entry.CurrentStep]
+			step += ": " + string(current.Kind) + " " + strings.Join(current.Workers, " ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", e.Service, e.Name, e.Kind, e.State, step, e.Reason)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\n", entry.Service, entry.Name, entry.Kind, entry.State, step, entry.Reason)
 	}
 }
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -17,40 +17,40 @@
 )
 
 // newParser declares the flags, which fill the request.
-func newParser(r *request) *flaggy.Parser {
-	ps := flaggy.NewParser("pebblectl")
-	ps.Description = about
-	ps.ShowHelpOnUnexpected = false
-	ps.DisableShowVersionWithVersion()
-	ps.ShowCompletion = false
-	ps.String(&r.node, "n", "node", "operator address of any node (also PEBBLELOOM_NODE)")
-	ps.String(&r.keyFile, "", "operator-key", "file with the operators' key (or the key itself in PEBBLELOOM_KEY)")
-	ps.Bool(&r.asJSON, "j", "json", "answer in JSON")
-	ps.String(&r.file, "f", "file", "file to read (- for standard input)")
-	ps.Int64(&r.ifEpoch, "e", "if-epoch", "only onto this version")
-	ps.String(&r.token, "t", "token", "idempotency token of the change")
-	ps.String(&r.model, "m", "model", "model")
-	ps.Int64(&r.weights, "w", "weights", "version of the weights")
-	ps.String(&r.tenant, "", "tenant", "tenant")
-	ps.String(&r.key, "k", "key", "tenant's key")
-	ps.String(&r.worker, "", "worker", "worker")
-	ps.Bool(&r.back, "b", "back", "with drain: take the worker into use again")
-	ps.String(&r.service, "s", "service", "service")
-	ps.String(&r.name, "", "name", "name of a planned move or a runbook")
-	ps.String(&r.record, "", "record", "where a run's record is kept")
-	ps.String(&r.resume, "", "resume", "the record to resume from")
-	ps.Bool(&r.dry, "", "dry-run", "check only: no waiting, actions or prompts")
-	ps.Bool(&r.yes, "y", "yes", "confirm everything")
-	ps.StringSlice(&r.overlays, "", "overlay", "with setup render: a partial configuration to merge in; repeatable")
-	ps.StringSlice(&r.set, "", "set", "a parameter, name=value")
-	ps.String(&r.request, "r", "request", "request id")
-	ps.StringSlice(&r.parts, "p", "part", "prompt part, in order")
-	return ps
+func newParser(inv *invocation) *flaggy.Parser {
+	parser := flaggy.NewParser("pebblectl")
+	parser.Description = about
+	parser.ShowHelpOnUnexpected = false
+	parser.DisableShowVersionWithVersion()
+	parser.ShowCompletion = false
+	parser.String(&inv.node, "n", "node", "operator address of any node (also PEBBLELOOM_NODE)")
+	parser.String(&inv.keyFile, "", "operator-key", "file with the operators' key (or the key itself in PEBBLELOOM_KEY)")
+	parser.Bool(&inv.asJSON, "j", "json", "answer in JSON")
+	parser.String(&inv.file, "f", "file", "file to read (- for standard input)")
+	parser.Int64(&inv.ifVersion, "e", "if-epoch", "only onto this version")
+	parser.String(&inv.token, "t", "token", "idempotency token of the change")
+	parser.String(&inv.model, "m", "model", "model")
+	parser.Int64(&inv.weights, "w", "weights", "version of the weights")
+	parser.String(&inv.tenant, "", "tenant", "tenant")
+	parser.String(&inv.key, "k", "key", "tenant's key")
+	parser.String(&inv.worker, "", "worker", "worker")
+	parser.Bool(&inv.undrain, "b", "back", "with drain: take the worker into use again")
+	parser.String(&inv.service, "s", "service", "service")
+	parser.String(&inv.name, "", "name", "name of a planned move or a runbook")
+	parser.String(&inv.record, "", "record", "where a run's record is kept")
+	parser.String(&inv.resume, "", "resume", "the record to resume from")
+	parser.Bool(&inv.dryRun, "", "dry-run", "check only: no waiting, actions or prompts")
+	parser.Bool(&inv.assumeYes, "y", "yes", "confirm everything")
+	parser.StringSlice(&inv.overlays, "", "overlay", "with setup render: a partial configuration to merge in; repeatable")
+	parser.StringSlice(&inv.parameters, "", "set", "a parameter, name=value")
+	parser.String(&inv.request, "r", "request", "request id")
+	parser.StringSlice(&inv.parts, "p", "part", "prompt part, in order")
+	return parser
 }
 
 // parseCommand fills the request from the flags and returns the command.
-func parseCommand(args []string, r *request) (*command, error) {
-	parser := newParser(r)
+func parseCommand(args []string, inv *invocation) (*command, error) {
+	parser := newParser(inv)
 	tree := newCommandTree(parser)
 	words, err := set.ParseStrict(parser, args)
 	if err == nil {
@@ -66,8 +66,8 @@
 	if strings.Join(words, " ") != path {
 		return nil, errs.New(errs.BadInput, "%q: pebblectl %s takes flags alone: see pebblectl --help", words, c.path)
 	}
-	if path != c.path && !r.asJSON {
-		fmt.Fprintf(r.bad, "pebblectl: `%s` is now `%s`; the first name still works\n", path, c.path)
+	if path != c.path && !inv.asJSON {
+		fmt.Fprintf(inv.progress, "pebblectl: `%s` is now `%s`; the first name still works\n", path, c.path)
 	}
 	return c, nil
 }
@@ -134,16 +134,16 @@
 	return path
 }
 
-func token(r *request) string {
-	if r.token != "" {
-		return r.token
+func token(inv *invocation) string {
+	if inv.token != "" {
+		return inv.token
 	}
 	b := make([]byte, 8)
 	_, _ = rand.Read(b) // never fails, as its documentation says
 	return "pebblectl-" + hex.EncodeToString(b)
 }
 
-func need(pairs ...string) error {
+func requireFlags(pairs ...string) error {
 	var b errs.Batch
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if pairs[i+1] == "" {
@@ -153,22 +153,22 @@
 	return b.Err()
 }
 
-func read(r *request, in io.Reader) ([]byte, error) {
-	if r.file == "" {
+func readFile(inv *invocation, in io.Reader) ([]byte, error) {
+	if inv.file == "" {
 		return nil, errs.New(errs.BadInput, "--file is missing: name a file, or - for standard input")
 	}
 	var b []byte
 	var err error
-	if r.file == "-" {
+	if inv.file == "-" {
 		b, err = io.ReadAll(io.LimitReader(in, 4<<20))
 	} else {
-		b, err = os.ReadFile(r.file)
+		b, err = os.ReadFile(inv.file)
 	}
 	if err != nil {
 		return nil, errs.WrapAs(err, errs.BadInput, "read file")
 	}
 	if !json.Valid(b) {
-		return nil, errs.New(errs.BadInput, "%s isn't JSON: correct it first", r.file)
+		return nil, errs.New(errs.BadInput, "%s isn't JSON: correct it first", inv.file)
 	}
 	return b, nil
 }
--- a/internal/cli/render.go
+++ b/internal/cli/render.go
@@ -19,19 +19,19 @@
 	Origins []serviceconfig.Origin `json:"origins"`
 }
 
-// render fills in a template and applies overlays; it calls no node. Its output, with --json and the
+// renderConfig fills in a template and applies overlays; it calls no node. Its output, with --json and the
 // field of that name taken out, can be applied.
-func render(_ context.Context, _ *operator.Client, r *request, in io.Reader) (any, error) {
-	raw, err := read(r, in)
+func renderConfig(_ context.Context, _ *operator.Client, inv *invocation, in io.Reader) (any, error) {
+	raw, err := readFile(inv, in)
 	if err != nil {
 		return nil, err
 	}
-	set, err := parseSettings(r.set)
+	set, err := parseParameters(inv.parameters)
 	if err != nil {
 		return nil, err
 	}
 	var ls []serviceconfig.Overlay
-	for _, f := range r.overlays {
+	for _, f := range inv.overlays {
 		b, err := os.ReadFile(f)
 		if err != nil {
 			return nil, errs.WrapAs(err, errs.BadInput, "overlay")
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -26,14 +26,14 @@
 	Books []runbook.Runbook `json:"books"`
 }
 
-// Ran is the output of a run.
-type Ran struct {
+// RunResult is the output of a run.
+type RunResult struct {
 	Run    string                `json:"run"`
 	Record string                `json:"record"`
 	Lines  []runbook.RecordEntry `json:"lines"`
 }
 
-func bookNamed(name string) (*runbook.Runbook, error) {
+func findRunbook(name string) (*runbook.Runbook, error) {
 	if strings.HasSuffix(name, ".json") {
 		raw, err := os.ReadFile(name)
 		if err != nil {
@@ -53,209 +53,264 @@
 	return nil, errs.New(errs.NotFound, "no runbook %q: see pebblectl runbook list, or name a .json file", name)
 }
 
-func listBooks(context.Context, *operator.Client, *request, io.Reader) (any, error) {
+func listRunbooks(context.Context, *operator.Client, *invocation, io.Reader) (any, error) {
 	l, err := runbook.Builtin()
 	return &Listing{l}, err
 }
 
-func checkBook(_ context.Context, _ *operator.Client, r *request, _ io.Reader) (any, error) {
-	if err := need("name", r.name); err != nil {
+func checkRunbook(_ context.Context, _ *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+	if err := requireFlags("name", inv.name); err != nil {
 		return nil, err
 	}
-	b, err := bookNamed(r.name)
+	b, err := findRunbook(inv.name)
 	if err != nil {
 		return nil, err
 	}
 	return &Listing{[]runbook.Runbook{*b}}, nil
 }
 
-func parseSettings(l []string) (map[string]string, error) {
-	m := map[string]string{}
+func parseParameters(pairs []string) (map[string]string, error) {
+	parameters := map[string]string{}
 	var b errs.Batch
-	for _, x := range l {
+	for _, x := range pairs {
 		k, v, ok := strings.Cut(x, "=")
 		if !ok || k == "" {
 			b.Addf(errs.BadInput, "--set %q: give name=value", x)
 		}
-		m[k] = v
+		parameters[k] = v
 	}
-	return m, b.Err()
+	return parameters, b.Err()
 }
 
-func runBook(_ context.Context, c *operator.Client, r *request, in io.Reader) (any, error) {
-	if err := need("name", r.name); err != nil {
+// recordedRun is one run of a runbook, recorded line by line so that it can be resumed.
+type recordedRun struct {
+	runbook  *runbook.Runbook
+	progress runbook.Progress
+	result   *RunResult
+	record   *os.File  // nil with --dry-run
+	shownOn  io.Writer // where each line is shown; nil: nowhere
+}
+
+func runRunbook(_ context.Context, c *operator.Client, inv *invocation, in io.Reader) (any, error) {
+	run, err := newRecordedRun(inv)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := run.runbook.Substitute(run.progress.Params); err != nil {
+		return nil, err
+	}
+	if !inv.dryRun {
+		if run.record, err = os.OpenFile(run.result.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
+			return nil, errs.WrapAs(err, errs.BadInput, "open record")
+		}
+		defer run.record.Close()
+	}
+	world := &nodeEnvironment{client: c, in: bufio.NewReader(in), out: inv.progress, assumeYes: inv.assumeYes}
+	err = run.runbook.Run(run.progress, inv.dryRun, world, run.writeEntry)
+	if err != nil && !inv.dryRun {
+		return nil, errs.Wrap(err, "go on with --resume "+run.result.Record)
+	}
+	return run.result, err
+}
+
+// newRecordedRun prepares a run from its beginning, or from where a record says that an earlier one stopped.
+func newRecordedRun(inv *invocation) (*recordedRun, error) {
+	if err := requireFlags("name", inv.name); err != nil {
 		return nil, err
 	}
-	b, err := bookNamed(r.name)
+	book, err := findRunbook(inv.name)
 	if err != nil {
 		return nil, err
 	}
-	set, err := parseSettings(r.set)
+	parameters, err := parseParameters(inv.parameters)
 	if err != nil {
 		return nil, err
 	}
 	id := make([]byte, 6)
 	_, _ = rand.Read(id) // never fails, as its documentation says
-	progress := runbook.Progress{RunID: b.Name + "-" + hex.EncodeToString(id), Params: set}
-	ran := &Ran{Record: r.record}
-	if r.resume != "" {
-		f, err := os.Open(r.resume)
-		if err != nil {
-			return nil, errs.WrapAs(err, errs.BadInput, "open record")
-		}
-		defer f.Close()
-		if progress, err = b.Resume(f); err != nil {
+	run := &recordedRun{runbook: book, result: &RunResult{Record: inv.record},
+		progress: runbook.Progress{RunID: book.Name + "-" + hex.EncodeToString(id), Params: parameters}}
+	if !inv.asJSON {
+		run.shownOn = inv.progress
+	}
+	if inv.resume != "" {
+		if err := run.resume(inv.resume); err != nil {
 			return nil, err
 		}
-		ran.Record = r.resume
 	}
-	ran.Run = progress.RunID
-	if ran.Record == "" {
-		ran.Record = ran.Run + ".jsonl"
+	run.result.Run = run.progress.RunID
+	if run.result.Record == "" {
+		run.result.Record = run.result.Run + ".jsonl"
 	}
-	if _, err := b.Substitute(progress.Params); err != nil {
-		return nil, err
+	return run, nil
+}
+
+// resume goes on with an earlier run by its record.
+func (run *recordedRun) resume(record string) error {
+	file, err := os.Open(record)
+	if err != nil {
+		return errs.WrapAs(err, errs.BadInput, "open record")
 	}
-	var f *os.File
-	if !r.dry {
-		if f, err = os.OpenFile(ran.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
-			return nil, errs.WrapAs(err, errs.BadInput, "open record")
-		}
-		defer f.Close()
-	}
-	w := &nodeWorld{c: c, in: bufio.NewReader(in), out: r.bad, yes: r.yes}
-	err = b.Run(progress, r.dry, w, func(l runbook.RecordEntry) error {
-		l.At = time.Now().UTC().Format(time.RFC3339)
-		ran.Lines = append(ran.Lines, l)
-		if !r.asJSON {
-			fmt.Fprintf(r.bad, "%2d %-8s %-8s %s %s\n", l.Step, l.Type, l.State, l.Text, l.Detail)
-		}
-		if f == nil {
-			return nil
-		}
-		if err := json.NewEncoder(f).Encode(l); err != nil {
-			return errs.Wrap(err, "write record")
-		}
-		return errs.Wrap(f.Sync(), "sync record")
-	})
-	if err != nil && !r.dry {
-		return nil, errs.Wrap(err, "go on with --resume "+ran.Record)
+	defer file.Close()
+	run.result.Record = record
+	run.progress, err = run.runbook.Resume(file)
+	return err
+}
+
+// writeEntry shows a step's outcome and writes it to the record, synced: a step that was recorded is not
+// executed again by a run that is resumed.
+func (run *recordedRun) writeEntry(entry runbook.RecordEntry) error {
+	entry.At = time.Now().UTC().Format(time.RFC3339)
+	run.result.Lines = append(run.result.Lines, entry)
+	if run.shownOn != nil {
+		fmt.Fprintf(run.shownOn, "%2d %-8s %-8s %s %s\n", entry.Step, entry.Type, entry.State, entry.Text, entry.Detail)
+	}
+	if run.record == nil {
+		return nil
+	}
+	if err := json.NewEncoder(run.record).Encode(entry); err != nil {
+		return errs.Wrap(err, "write record")
 	}
-	return ran, err
+	return errs.Wrap(run.record.Sync(), "sync record")
 }
 
-// nodeWorld is the site as a runbook sees it, through a node's operator address.
-type nodeWorld struct {
-	c   *operator.Client
-	in  *bufio.Reader
-	out io.Writer
-	yes bool
+// nodeEnvironment is the site as a runbook sees it, through a node's operator address.
+type nodeEnvironment struct {
+	client    *operator.Client
+	in        *bufio.Reader
+	out       io.Writer
+	assumeYes bool
 }
 
-func (w *nodeWorld) ctx() (context.Context, context.CancelFunc) {
+func (env *nodeEnvironment) ctx() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), 15*time.Second)
 }
 
+// row is one line of a view, as runbooks read it: values by column.
+type row = map[string]string
+
 // Rows returns a view as rows of values.
 //
 // Example: rows, err := w.Rows("workers")
-func (w *nodeWorld) Rows(view string) ([]map[string]string, error) {
-	ctx, end := w.ctx()
-	defer end()
-	var l []map[string]string
-	switch view {
-	case "nodes":
-		n, err := w.c.ListNodes(ctx)
-		if err != nil {
-			return nil, typedError(err, "")
-		}
-		for _, x := range n.Nodes {
-			l = append(l, map[string]string{"name": x.Name, "role": x.Role, "district": x.District, "state": x.State, "addr": x.Addr})
-		}
-	case "workers":
-		n, err := w.c.ListWorkers(ctx)
-		if err != nil {
-			return nil, typedError(err, "")
-		}
-		for _, x := range n.Workers {
-			l = append(l, map[string]string{"name": x.Name, "service": x.Service, "district": x.District, "state": x.State, "weights": strconv.FormatInt(x.Weights, 10)})
-		}
-	case "parts", "problems":
-		s, err := w.c.GetStatus(ctx)
-		if err != nil {
-			return nil, typedError(err, "")
-		}
-		for _, x := range s.Parts {
-			if view == "parts" {
-				l = append(l, map[string]string{"name": fmt.Sprintf("%d@%s", x.Part, x.Member), "part": strconv.Itoa(x.Part), "member": x.Member, "state": x.State})
-			}
-		}
-		for _, x := range s.Problems {
-			if view == "problems" {
-				l = append(l, map[string]string{"name": x.Kind + ":" + x.Where, "kind": x.Kind, "where": x.Where})
-			}
-		}
-	case "moves":
-		m, err := w.c.ListMoves(ctx)
-		if err != nil {
-			return nil, typedError(err, "")
-		}
-		for _, x := range m.Moves {
-			e, err := calendar.Decode(x)
-			if err != nil {
-				return nil, err
-			}
-			l = append(l, map[string]string{"name": e.Name, "service": e.Service, "kind": string(e.Kind), "state": string(e.State)})
-		}
-	case "retirements":
-		return w.retirements(ctx)
-	case "setup":
-		s, err := w.c.GetSetup(ctx)
+func (env *nodeEnvironment) Rows(view string) ([]map[string]string, error) {
+	ctx, cancel := env.ctx()
+	defer cancel()
+	read := map[string]func(context.Context) ([]row, error){"nodes": env.nodeRows, "workers": env.workerRows, "parts": env.shardRows,
+		"problems": env.problemRows, "moves": env.moveRows, "setup": env.configRows}[view]
+	if view == "retirements" {
+		return env.retirements(ctx)
+	}
+	if read == nil {
+		return nil, nil
+	}
+	return read(ctx)
+}
+
+func (env *nodeEnvironment) nodeRows(ctx context.Context) (rows []row, err error) {
+	list, err := env.client.ListNodes(ctx)
+	if err != nil {
+		return nil, typedError(err, "")
+	}
+	for _, node := range list.Nodes {
+		rows = append(rows, row{"name": node.Name, "role": node.Role, "district": node.District, "state": node.State, "addr": node.Addr})
+	}
+	return rows, nil
+}
+
+func (env *nodeEnvironment) workerRows(ctx context.Context) (rows []row, err error) {
+	list, err := env.client.ListWorkers(ctx)
+	if err != nil {
+		return nil, typedError(err, "")
+	}
+	for _, worker := range list.Workers {
+		rows = append(rows, row{"name": worker.Name, "service": worker.Service, "district": worker.District, "state": worker.State, "weights": strconv.FormatInt(worker.Weights, 10)})
+	}
+	return rows, nil
+}
+
+func (env *nodeEnvironment) shardRows(ctx context.Context) (rows []row, err error) {
+	status, err := env.client.GetStatus(ctx)
+	if err != nil {
+		return nil, typedError(err, "")
+	}
+	for _, shard := range status.Parts {
+		rows = append(rows, row{"name": fmt.Sprintf("%d@%s", shard.Part, shard.Member), "part": strconv.Itoa(shard.Part), "member": shard.Member, "state": shard.State})
+	}
+	return rows, nil
+}
+
+func (env *nodeEnvironment) problemRows(ctx context.Context) (rows []row, err error) {
+	status, err := env.client.GetStatus(ctx)
+	if err != nil {
+		return nil, typedError(err, "")
+	}
+	for _, problem := range status.Problems {
+		rows = append(rows, row{"name": problem.Kind + ":" + problem.Where, "kind": problem.Kind, "where": problem.Where})
+	}
+	return rows, nil
+}
+
+func (env *nodeEnvironment) moveRows(ctx context.Context) (rows []row, err error) {
+	list, err := env.client.ListMoves(ctx)
+	if err != nil {
+		return nil, typedError(err, "")
+	}
+	for _, move := range list.Moves {
+		entry, err := calendar.Decode(move)
 		if err != nil {
-			return nil, typedError(err, "")
-		}
-		var v any
-		if err := json.Unmarshal(s.Setup, &v); err != nil {
-			return nil, errs.Wrap(err, "read configuration")
-		}
-		m := map[string]string{}
-		flat("", v, m)
-		for k, x := range m {
-			l = append(l, map[string]string{"name": k, "value": strings.Trim(x, `"`)})
+			return nil, err
 		}
+		rows = append(rows, row{"name": entry.Name, "service": entry.Service, "kind": string(entry.Kind), "state": string(entry.State)})
+	}
+	return rows, nil
+}
+
+func (env *nodeEnvironment) configRows(ctx context.Context) (rows []row, err error) {
+	inForce, err := env.client.GetSetup(ctx)
+	if err != nil {
+		return nil, typedError(err, "")
+	}
+	var config any
+	if err := json.Unmarshal(inForce.Setup, &config); err != nil {
+		return nil, errs.Wrap(err, "read configuration")
+	}
+	values := map[string]string{}
+	flatten("", config, values)
+	for path, value := range values {
+		rows = append(rows, row{"name": path, "value": strings.Trim(value, `"`)})
 	}
-	return l, nil
+	return rows, nil
 }
 
 // Do executes an action, under the step's token if the action takes one.
 //
 // Example: err := w.Do("drain", map[string]string{"worker": "worker-3"}, "run-1/2")
-func (w *nodeWorld) Do(action string, a map[string]string, token string) error {
-	ctx, end := w.ctx()
+func (env *nodeEnvironment) Do(action string, arguments map[string]string, token string) error {
+	ctx, end := env.ctx()
 	defer end()
-	r := &request{file: a["file"], token: token, ifEpoch: -1, worker: a["worker"], back: action == "undrain", tenant: a["tenant"], key: a["key"],
-		model: a["model"], service: a["service"], name: a["name"]}
+	inv := &invocation{file: arguments["file"], token: token, ifVersion: -1, worker: arguments["worker"], undrain: action == "undrain", tenant: arguments["tenant"], key: arguments["key"],
+		model: arguments["model"], service: arguments["service"], name: arguments["name"]}
 	var err error
 	switch action {
 	case "drain", "undrain":
-		_, err = drain(ctx, w.c, r, nil)
+		_, err = drainWorker(ctx, env.client, inv, nil)
 	case "name-weights":
-		if r.weights, err = strconv.ParseInt(a["weights"], 10, 64); err != nil {
+		if inv.weights, err = strconv.ParseInt(arguments["weights"], 10, 64); err != nil {
 			return errs.WrapAs(err, errs.BadInput, "weights")
 		}
-		_, err = nameWeights(ctx, w.c, r, nil)
+		_, err = nameWeights(ctx, env.client, inv, nil)
 	case "revoke-key":
-		if _, err = revoke(ctx, w.c, r, nil); err != nil && errs.KindOf(typedError(err, "")) == errs.NotFound && strings.Contains(err.Error(), "no such key") {
+		if _, err = revokeKey(ctx, env.client, inv, nil); err != nil && errs.KindOf(typedError(err, "")) == errs.NotFound && strings.Contains(err.Error(), "no such key") {
 			err = nil // it is revoked already: an earlier attempt whose response was lost
 		}
 	case "patch-setup":
-		_, err = apply(true, false)(ctx, w.c, r, nil)
+		_, err = applyConfig(true, false)(ctx, env.client, inv, nil)
 	case "write-move":
-		_, err = writeMove(false)(ctx, w.c, r, nil)
+		_, err = writeMove(false)(ctx, env.client, inv, nil)
 	case "ask-move":
-		_, err = askMove(operator.AskMoveVerb(a["verb"]))(ctx, w.c, r, nil)
+		_, err = controlMove(operator.AskMoveVerb(arguments["verb"]))(ctx, env.client, inv, nil)
 	case "ask-retirement":
-		_, err = askRetirement(operator.AskRetirementVerb(a["verb"]))(ctx, w.c, r, nil)
+		_, err = controlRetirement(operator.AskRetirementVerb(arguments["verb"]))(ctx, env.client, inv, nil)
 	default:
 		err = errs.New(errs.BadInput, "action %q", action)
 	}
@@ -268,27 +323,27 @@
 // Confirm asks the operator.
 //
 // Example: if !w.Confirm("Is the disk replaced?") { stop() }
-func (w *nodeWorld) Confirm(text string) bool {
-	if w.yes {
+func (env *nodeEnvironment) Confirm(text string) bool {
+	if env.assumeYes {
 		return true
 	}
-	fmt.Fprintf(w.out, "   %s [yes/no] ", text)
-	s, err := w.in.ReadString('\n')
+	fmt.Fprintf(env.out, "   %s [yes/no] ", text)
+	s, err := env.in.ReadString('\n')
 	return (err == nil || err == io.EOF) && strings.TrimSpace(s) == "yes"
 }
 
 // Pause waits for a second.
 //
 // Example: w.Pause(1)
-func (w *nodeWorld) Pause(int) { time.Sleep(time.Second) }
+func (env *nodeEnvironment) Pause(int) { time.Sleep(time.Second) }
 
-func formatBooks(w io.Writer, l *Listing) {
-	fmt.Fprintln(w, "RUNBOOK\tWHEN\tPARAMETERS")
-	for _, b := range l.Books {
+func formatRunbooks(out io.Writer, listing *Listing) {
+	fmt.Fprintln(out, "RUNBOOK\tWHEN\tPARAMETERS")
+	for _, book := range listing.Books {
 		var ps []string
-		for k := range b.Params {
+		for k := range book.Params {
 			ps = append(ps, k)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", b.Name, b.When, strings.Join(ps, " "))
+		fmt.Fprintf(out, "%s\t%s\t%s\n", book.Name, book.When, strings.Join(ps, " "))
 	}
 }
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -13,24 +13,24 @@
 	set "pebbleloom/internal/settings"
 )
 
-// whole starts all of a site, and waits until its group has formed and all have heard of each other.
-func whole(t *testing.T) *testSite {
-	p := newTestSite(t)
+// startSite starts all of a site, and waits until its group has formed and all have heard of each other.
+func startSite(t *testing.T) *testSite {
+	site := newTestSite(t)
 	for i := 1; i <= 4; i++ {
-		p.state(i)
-		p.index(i)
+		site.startStateProcess(i)
+		site.startIndexProcess(i)
 	}
-	p.edge(5)
-	p.until("a group", 10*time.Second, func() bool {
+	site.startEdgeProcess(5)
+	site.waitUntil("a group", 10*time.Second, func() bool {
 		for i := 1; i <= 4; i++ {
-			_, nodes, _ := p.runOn(i, "", "nodes")
-			if code, _, _ := p.runOn(i, "", "config get"); code != 4 || strings.Count(nodes, "alive") != 9 {
+			_, nodes, _ := site.runOn(i, "", "nodes")
+			if code, _, _ := site.runOn(i, "", "config get"); code != 4 || strings.Count(nodes, "alive") != 9 {
 				return false
 			}
 		}
 		return true
 	})
-	return p
+	return site
 }
 
 // Every command that has a meaning on a site with agreed membership is answered by any core
@@ -38,11 +38,11 @@
 func TestCommandsOnASite(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		p := whole(t)
-		defer p.down()
+		site := startSite(t)
+		defer site.stopAll()
 		tried := ""
 		first := `{"version": 7,  "routes": [{"name":"a","to":"reading"}]}`
-		for i, c := range []struct {
+		for i, command := range []struct {
 			args, in string
 			code     int
 			says     string // in the answer, or in what is wrong
@@ -84,29 +84,29 @@
 			{"index lookup --model daka --tenant nobody --part x", "", 4, "nobody"},
 			{"index lookup --model none --tenant t --part x", "", 4, "none"},
 		} {
-			tried += c.args + "\n"
+			tried += command.args + "\n"
 			node := 1 + i%4
-			if code, out, bad := p.runOn(node, c.in, c.args); code != c.code || !strings.Contains(out+bad, c.says) || code > 1 && !strings.Contains(bad, "remedy") {
-				t.Errorf("pebblectl %s: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
+			if code, out, bad := site.runOn(node, command.in, command.args); code != command.code || !strings.Contains(out+bad, command.says) || code > 1 && !strings.Contains(bad, "remedy") {
+				t.Errorf("pebblectl %s: exit %d, want %d; %s%s", command.args, code, command.code, out, bad)
 			}
-			if strings.Contains(c.args, "apply") || strings.Contains(c.args, "patch") {
+			if strings.Contains(command.args, "apply") || strings.Contains(command.args, "patch") {
 				continue // a change that was made isn't made again
 			}
-			code, out, bad := p.runOn(node, c.in, c.args+" --json")
-			if code != c.code || !json.Valid([]byte(out+bad)) {
-				t.Errorf("pebblectl %s --json: exit %d, want %d; %s%s", c.args, code, c.code, out, bad)
+			code, out, bad := site.runOn(node, command.in, command.args+" --json")
+			if code != command.code || !json.Valid([]byte(out+bad)) {
+				t.Errorf("pebblectl %s --json: exit %d, want %d; %s%s", command.args, code, command.code, out, bad)
 			}
 		}
-		for _, c := range commands() { // whoever adds one says what it does here
-			if !strings.Contains("\n"+tried, "\n"+c.path) && c.path != "config render" && !strings.HasPrefix(c.path, "runbook ") {
-				t.Errorf("pebblectl %s: not tried", c.path)
+		for _, command := range commands() { // whoever adds one says what it does here
+			if !strings.Contains("\n"+tried, "\n"+command.path) && command.path != "config render" && !strings.HasPrefix(command.path, "runbook ") {
+				t.Errorf("pebblectl %s: not tried", command.path)
 			}
 		}
 	})
 }
 
-// answers are the fields of what a command with --json writes.
-type answers struct {
+// commandOutput are the fields of what a command with --json writes.
+type commandOutput struct {
 	Ok       bool
 	Facts    []struct{ Name, Value string }
 	Problems []struct{ Kind, Where string }
@@ -124,17 +124,17 @@
 	Placement struct{ Service, Mode string }
 }
 
-func (p *testSite) query(i int, args string) (a answers) {
-	_, out, bad := p.runOn(i, "", args+" --json")
+func (site *testSite) query(i int, args string) (a commandOutput) {
+	_, out, bad := site.runOn(i, "", args+" --json")
 	if err := json.Unmarshal([]byte(out+bad), &a); err != nil {
-		p.t.Fatalf("pebblectl %s: %v: %s%s", args, err, out, bad)
+		site.t.Fatalf("pebblectl %s: %v: %s%s", args, err, out, bad)
 	}
 	return a
 }
 
 // has reports whether a status names a problem.
-func (a answers) has(kind, where string) bool {
-	for _, x := range a.Problems {
+func (output commandOutput) has(kind, where string) bool {
+	for _, x := range output.Problems {
 		if x.Kind == kind && strings.Contains(x.Where, where) {
 			return true
 		}
@@ -142,8 +142,8 @@
 	return false
 }
 
-func (a answers) fact(name string) string {
-	for _, x := range a.Facts {
+func (output commandOutput) fact(name string) string {
+	for _, x := range output.Facts {
 		if x.Name == name {
 			return x.Value
 		}
@@ -151,9 +151,9 @@
 	return ""
 }
 
-func (a answers) states() map[string]int {
+func (output commandOutput) states() map[string]int {
 	m := map[string]int{}
-	for _, x := range a.Parts {
+	for _, x := range output.Parts {
 		m[x.State]++
 	}
 	return m
@@ -164,92 +164,92 @@
 func TestStatusFollowsASite(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		p := whole(t)
-		defer p.down()
-		if code, out, bad := p.runOn(2, `{"version":3}`, "config apply --file -"); code != 0 {
+		site := startSite(t)
+		defer site.stopAll()
+		if code, out, bad := site.runOn(2, `{"version":3}`, "config apply --file -"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
-		p.until("all is well", 20*time.Second, func() bool { return p.query(3, "status").Ok })
-		a := p.query(4, "status")
-		if m := a.states(); m["owns"] != 1 || m["follows"] != 2 || m["learner"] != 1 {
-			t.Errorf("the group: %+v", a.Parts)
+		site.waitUntil("all is well", 20*time.Second, func() bool { return site.query(3, "status").Ok })
+		status := site.query(4, "status")
+		if m := status.states(); m["owns"] != 1 || m["follows"] != 2 || m["learner"] != 1 {
+			t.Errorf("the group: %+v", status.Parts)
 		}
 		for name, says := range map[string]string{"plan": "version 3", "members": "archive/m1 archive/m2 archive/m3", "index nodes": "4, serving: catalogue/m",
 			"duties of the site": "fence ", "workers": "3: 2 up, 1 draining"} {
-			if !strings.Contains(a.fact(name), says) {
-				t.Errorf("%s: %q, want %q", name, a.fact(name), says)
+			if !strings.Contains(status.fact(name), says) {
+				t.Errorf("%s: %q, want %q", name, status.fact(name), says)
 			}
 		}
-		p.until("what workers keep", 20*time.Second, func() bool { // their events arrive one after another
-			_, out, _ := p.runOn(2, "", "index lookup --model daka --tenant t --part p1 --part p2")
+		site.waitUntil("what workers keep", 20*time.Second, func() bool { // their events arrive one after another
+			_, out, _ := site.runOn(2, "", "index lookup --model daka --tenant t --part p1 --part p2")
 			return strings.Contains(out, "w1:confirmed") && strings.Contains(out, "w2:confirmed") && strings.Count(out, "\n") == 3
 		})
-		if code, out, bad := p.runOn(2, "", "index lookup --model daka --tenant walled --part p1"); code != 0 || strings.Contains(out, "confirmed") {
+		if code, out, bad := site.runOn(2, "", "index lookup --model daka --tenant walled --part p1"); code != 0 || strings.Contains(out, "confirmed") {
 			t.Errorf("behind a wall: exit %d, %s%s", code, out, bad)
 		}
-		p.mu.Lock()
-		p.ordersRejected = true
-		p.mu.Unlock()
-		if code, out, bad := p.runOn(2, "", "weights name --model daka --weights 2"); code != 0 {
+		site.mu.Lock()
+		site.ordersRejected = true
+		site.mu.Unlock()
+		if code, out, bad := site.runOn(2, "", "weights name --model daka --weights 2"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
-		if code, _, bad := p.runOn(3, "", "weights name --model daka --weights 1"); code != 2 || !strings.Contains(bad, "older than 2") {
+		if code, _, bad := site.runOn(3, "", "weights name --model daka --weights 1"); code != 2 || !strings.Contains(bad, "older than 2") {
 			t.Errorf("older weights: exit %d, %s", code, bad)
 		}
-		if code, out, _ := p.runOn(3, "", "weights name --model daka --weights 2"); code != 0 || !strings.Contains(out, "named already") {
+		if code, out, _ := site.runOn(3, "", "weights name --model daka --weights 2"); code != 0 || !strings.Contains(out, "named already") {
 			t.Errorf("the same weights again: exit %d, %s", code, out)
 		}
-		if a := p.query(1, "status"); !a.has("older-weights", "daka") || !strings.Contains(a.fact("weights of daka"), "version 2 named, 2 workers behind") {
-			t.Errorf("older weights: %+v", a)
+		if status := site.query(1, "status"); !status.has("older-weights", "daka") || !strings.Contains(status.fact("weights of daka"), "version 2 named, 2 workers behind") {
+			t.Errorf("older weights: %+v", status)
 		}
-		if a := p.query(1, "workers"); a.Named["daka"] != 2 || len(a.Workers) != 3 || a.Workers[0].Weights != 1 || a.Workers[0].State == "up" || a.Workers[2].State != "draining" {
-			t.Errorf("workers: %+v", a)
+		if status := site.query(1, "workers"); status.Named["daka"] != 2 || len(status.Workers) != 3 || status.Workers[0].Weights != 1 || status.Workers[0].State == "up" || status.Workers[2].State != "draining" {
+			t.Errorf("workers: %+v", status)
 		}
-		p.mu.Lock()
-		p.ordersRejected = false
-		p.mu.Unlock()
-		p.until("the roll-out's end", 40*time.Second, func() bool { return p.query(1, "status").Ok })
-		if a := p.query(2, "placement show --service reading"); a.Epoch < 1 || a.Placement.Service != "reading" {
-			t.Errorf("placement: %+v", a)
+		site.mu.Lock()
+		site.ordersRejected = false
+		site.mu.Unlock()
+		site.waitUntil("the roll-out's end", 40*time.Second, func() bool { return site.query(1, "status").Ok })
+		if status := site.query(2, "placement show --service reading"); status.Epoch < 1 || status.Placement.Service != "reading" {
+			t.Errorf("placement: %+v", status)
 		}
-		p.stop("edge5")
-		p.stop("index2")
-		p.until("the edge's end", 10*time.Second, func() bool { return !strings.Contains(p.query(1, "status").fact("index nodes"), "4,") })
+		site.stop("edge5")
+		site.stop("index2")
+		site.waitUntil("the edge's end", 10*time.Second, func() bool { return !strings.Contains(site.query(1, "status").fact("index nodes"), "4,") })
 		// A member comes back without its disk, at its own address.
-		p.stop("state3")
-		p.disks[ip(3)+":7360"] = nil
-		p.until("a spare's place", 30*time.Second, func() bool { return strings.Contains(p.query(1, "status").fact("members"), "m4") })
-		p.state(3)
-		p.until("all four", 20*time.Second, func() bool { return p.query(1, "status").states()["learner"] == 1 })
+		site.stop("state3")
+		site.disks[ip(3)+":7360"] = nil
+		site.waitUntil("a spare's place", 30*time.Second, func() bool { return strings.Contains(site.query(1, "status").fact("members"), "m4") })
+		site.startStateProcess(3)
+		site.waitUntil("all four", 20*time.Second, func() bool { return site.query(1, "status").states()["learner"] == 1 })
 	})
 }
 
 // Without a majority every question that needs one says so within the bound, and status says who
 // is silent; nothing hangs, and what asks nobody is still answered.
-func TestASiteWithoutAMajoritySaysSo(t *testing.T) {
+func TestStatusReportsALostQuorum(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		p := whole(t)
-		defer p.down()
-		if code, out, bad := p.runOn(2, `{"version":3}`, "config apply --file -"); code != 0 {
+		site := startSite(t)
+		defer site.stopAll()
+		if code, out, bad := site.runOn(2, `{"version":3}`, "config apply --file -"); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
 		for _, i := range []int{2, 3, 4} { // killed without a shutdown: no hand-over
-			p.processes[fmt.Sprint("state", i)].Stop(0)
-			delete(p.processes, fmt.Sprint("state", i))
+			site.processes[fmt.Sprint("state", i)].Stop(0)
+			delete(site.processes, fmt.Sprint("state", i))
 		}
 		for args, code := range map[string]int{"config get": 8, "workers": 8, "placement show --service reading": 8, "weights name --model daka --weights 5": 8,
 			"config diff --file -": 8, "config validate --file -": 8, "nodes": 0, "status": 1} {
 			from := time.Now()
-			got, out, bad := p.runOn(1, `{"version":4}`, args)
+			got, out, bad := site.runOn(1, `{"version":4}`, args)
 			if d := time.Since(from); got != code || d > set.DefaultBounds().Heal(0.75) {
 				t.Errorf("pebblectl %s: exit %d after %v, want %d; %s%s", args, got, d, code, out, bad)
 			}
 		}
-		if a := p.query(1, "status"); !a.has("part-unowned", "site") || a.has("plan-unknown", "") {
+		if a := site.query(1, "status"); !a.has("part-unowned", "site") || a.has("plan-unknown", "") {
 			t.Errorf("%+v", a)
 		}
-		if code, _, bad := p.runOn(2, "", "nodes"); code != 8 || !strings.Contains(bad, "can't be reached") {
+		if code, _, bad := site.runOn(2, "", "nodes"); code != 8 || !strings.Contains(bad, "can't be reached") {
 			t.Errorf("a machine that is down: exit %d, %s", code, bad)
 		}
 	})
@@ -257,14 +257,14 @@
 
 // An address that isn't an operator's is named as such, with what to do: another process's port,
 // a port where operators are served in another form, one that speaks no HTTP.
-func TestAnotherPortSaysSo(t *testing.T) {
+func TestAWrongPortIsReported(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		p := whole(t)
-		defer p.down()
+		site := startSite(t)
+		defer site.stopAll()
 		odd := func(addr string, play func(net.Conn)) {
-			ln, err := p.processes["edge5"].Listen(addr)
-			p.must(err)
+			ln, err := site.processes["edge5"].Listen(addr)
+			site.requireNoError(err)
 			t.Cleanup(func() { ln.Close() })
 			go func() {
 				for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
@@ -283,13 +283,13 @@
 		})
 		odd("10.0.0.9:3", func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 		for port, says := range map[string]string{"2": "broke off", "3": "no answer in time"} {
-			if code, out, bad := p.at("10.0.0.9:"+port, "", "drain --worker w"); code != 7 || !strings.Contains(bad, says) {
+			if code, out, bad := site.runOnAddr("10.0.0.9:"+port, "", "drain --worker w"); code != 7 || !strings.Contains(bad, says) {
 				t.Errorf("%s: exit %d; %s%s", says, code, out, bad)
 			}
 		}
 		for _, addr := range []string{ip(1) + ":7360", ip(1) + ":7361", ip(1) + ":8683", ip(5) + ":7360", ip(5) + ":8689", ip(5) + ":8687", "10.0.0.9:1"} {
 			for _, args := range []string{"status", "config get", "nodes --json", "weights name --model m --weights 3"} {
-				if code, out, bad := p.at(addr, "", args); code != 2 || !strings.Contains(bad, "something else answers there") {
+				if code, out, bad := site.runOnAddr(addr, "", args); code != 2 || !strings.Contains(bad, "something else answers there") {
 					t.Errorf("pebblectl --node %s %s: exit %d; %s%s", addr, args, code, out, bad)
 				}
 			}
@@ -302,14 +302,14 @@
 func TestMetricsOfASite(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		p := whole(t)
-		defer p.down()
+		site := startSite(t)
+		defer site.stopAll()
 		for addr, want := range map[string]string{
 			ip(1) + ":7360": "group_members group_votes plan_version parts_owned parts_out state_bytes log_bytes log_behind",
 			ip(1) + ":7361": "index_entries lease_held lease_fence plan_version proof_age_seconds workers_known",
 			ip(5) + ":7360": "requests extra_attempts_total plan_version proof_age_seconds workers_known seek_calls_total",
 		} {
-			names, series := p.scrape(addr)
+			names, series := site.scrape(addr)
 			for _, n := range strings.Fields(want) {
 				if !names["pebbleloom_"+n] {
 					t.Errorf("%s: no pebbleloom_%s among %v", addr, n, names)
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -37,7 +37,7 @@
 	t              *testing.T
 	mu             sync.Mutex
 	listeners      map[string]*pipeListener
-	disks          map[string]*memory
+	disks          map[string]*memoryDisk
 	processes      map[string]*daemon.Process // by role and number
 	workerWeights  map[string]uint64          // by worker: the weights it serves
 	ordersRejected bool                       // workers take no orders
@@ -76,41 +76,41 @@
 
 func (m *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// memory is a disk that loses nothing.
-type memory struct {
+// memoryDisk is a disk that loses nothing.
+type memoryDisk struct {
 	mu sync.Mutex
 	m  map[string][]byte
 }
 
-func (d *memory) Read(n string) ([]byte, bool, error) {
+func (d *memoryDisk) Read(n string) ([]byte, bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b, ok := d.m[n]
 	return bytes.Clone(b), ok, nil
 }
 
-func (d *memory) set(n string, f func(old []byte) []byte) error {
+func (d *memoryDisk) set(n string, f func(old []byte) []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.m[n] = f(d.m[n])
 	return nil
 }
 
-func (d *memory) Write(n string, b []byte) error {
+func (d *memoryDisk) Write(n string, b []byte) error {
 	return d.set(n, func([]byte) []byte { return bytes.Clone(b) })
 }
-func (d *memory) Append(n string, b []byte) error {
+func (d *memoryDisk) Append(n string, b []byte) error {
 	return d.set(n, func(old []byte) []byte { return append(old, b...) })
 }
-func (d *memory) Truncate(n string, s int) error {
+func (d *memoryDisk) Truncate(n string, s int) error {
 	return d.set(n, func(old []byte) []byte { return old[:s] })
 }
 
 func newTestSite(t *testing.T) *testSite {
-	p := &testSite{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*memory{}, processes: map[string]*daemon.Process{},
+	site := &testSite{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*memoryDisk{}, processes: map[string]*daemon.Process{},
 		workerWeights: map[string]uint64{"w1": 1, "w2": 1, "w3": 1}}
-	p.http = &http.Transport{DialContext: p.dial}
-	return p
+	site.http = &http.Transport{DialContext: site.dial}
+	return site
 }
 
 func ip(i int) string { return fmt.Sprintf("10.0.0.%d", i) }
@@ -118,10 +118,10 @@
 // operatorAt is the operator address of a core machine.
 func operatorAt(i int) string { return ip(i) + ":7362" }
 
-func (p *testSite) dial(ctx context.Context, _, addr string) (net.Conn, error) {
-	p.mu.Lock()
-	m := p.listeners[addr]
-	p.mu.Unlock()
+func (site *testSite) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+	site.mu.Lock()
+	m := site.listeners[addr]
+	site.mu.Unlock()
 	if m == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
@@ -136,105 +136,105 @@
 	}
 }
 
-func (p *testSite) newProcess(role string, i, offset int) *daemon.Process {
-	p.seed++
-	seed := p.seed
+func (site *testSite) newProcess(role string, i, offset int) *daemon.Process {
+	site.seed++
+	seed := site.seed
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
-	site := &set.Site{FirstStart: true, ToleratedFailures: 1, IP: ip(i), AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, LeaseMs: 3000,
+	siteSettings := &set.Site{FirstStart: true, ToleratedFailures: 1, IP: ip(i), AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, LeaseMs: 3000,
 		WorkerListRate: 47, MemoryLimitMB: 284, PortRange: [2]int{7360, 7375}, EnforceRevocation: true}
 	place := set.Process{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.DefaultBounds(),
-		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Options: []string{"log=off"}, Site: site}
+		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Options: []string{"log=off"}, Site: siteSettings}
 	w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
-			if p.disks[at] == nil {
-				p.disks[at] = &memory{m: map[string][]byte{}}
+			if site.disks[at] == nil {
+				site.disks[at] = &memoryDisk{m: map[string][]byte{}}
 			}
-			return p.disks[at]
+			return site.disks[at]
 		},
 		Listen: func(a string) (net.Listener, error) {
-			m := &pipeListener{p: p, addr: a, in: make(chan net.Conn), end: make(chan struct{})}
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.listeners[a] = m
+			m := &pipeListener{p: site, addr: a, in: make(chan net.Conn), end: make(chan struct{})}
+			site.mu.Lock()
+			defer site.mu.Unlock()
+			site.listeners[a] = m
 			return m, nil
 		},
-		Dial: p.dial, Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
+		Dial: site.dial, Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 	l := daemon.NewIn(w, role, place)
-	p.processes[fmt.Sprint(role, i)] = l
+	site.processes[fmt.Sprint(role, i)] = l
 	return l
 }
 
-func (p *testSite) must(err error) {
-	p.t.Helper()
+func (site *testSite) requireNoError(err error) {
+	site.t.Helper()
 	if err != nil {
-		p.t.Fatal(err)
+		site.t.Fatal(err)
 	}
 }
 
-func (p *testSite) state(i int) {
-	l := p.newProcess("state", i, set.PortState)
+func (site *testSite) startStateProcess(i int) {
+	l := site.newProcess("state", i, set.PortState)
 	l.Settings.Site.ControlPlaneListen, l.Settings.Operator = ip(i)+":8683", operatorAt(i)
-	p.must(controlstate.StartGroup(l, pondPlans{}, func(*controlstate.Node) http.Handler { return http.NotFoundHandler() }))
+	site.requireNoError(controlstate.StartGroup(l, testCodec{}, func(*controlstate.Node) http.Handler { return http.NotFoundHandler() }))
 }
 
-func (p *testSite) index(i int) {
-	p.must(controllers.StartProcess(p.newProcess("index", i, set.PortIndex), pondPlans{}, p))
+func (site *testSite) startIndexProcess(i int) {
+	site.requireNoError(controllers.StartProcess(site.newProcess("index", i, set.PortIndex), testCodec{}, site))
 }
 
-func (p *testSite) edge(i int) {
-	l := p.newProcess("edge", i, set.PortState)
+func (site *testSite) startEdgeProcess(i int) {
+	l := site.newProcess("edge", i, set.PortState)
 	l.Settings.Public, l.Settings.Site.ReadinessListen = ip(i)+":8689", ip(i)+":8687"
-	a, err := agent.Start(l, pondPlans{}, "runner")
-	p.must(err)
+	a, err := agent.Start(l, testCodec{}, "runner")
+	site.requireNoError(err)
 	mux := http.NewServeMux()
 	mux.Handle(wire.MembershipPathPrefix, a.Handler())
-	p.must(l.Serve(l.Settings.Listen, mux))
+	site.requireNoError(l.Serve(l.Settings.Listen, mux))
 	s := indexclient.New(l, func() []*wire.Node { return a.Snapshot().Nodes })
-	p.must(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s)}))
+	site.requireNoError(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s)}))
 }
 
-func (p *testSite) stop(who string) {
-	p.processes[who].Stop(time.Second)
-	delete(p.processes, who)
+func (site *testSite) stop(who string) {
+	site.processes[who].Stop(time.Second)
+	delete(site.processes, who)
 }
 
-func (p *testSite) down() {
-	p.http.CloseIdleConnections()
+func (site *testSite) stopAll() {
+	site.http.CloseIdleConnections()
 	var all sync.WaitGroup
-	for _, l := range p.processes {
+	for _, l := range site.processes {
 		all.Go(func() { l.Stop(time.Second) })
 	}
 	all.Wait()
 }
 
 // runOn sends a command to a core machine.
-func (p *testSite) runOn(i int, in, args string) (code int, out, bad string) {
-	return p.at(operatorAt(i), in, args)
+func (site *testSite) runOn(i int, in, args string) (code int, out, bad string) {
+	return site.runOnAddr(operatorAt(i), in, args)
 }
 
-func (p *testSite) at(node, in, args string) (code int, out, bad string) {
+func (site *testSite) runOnAddr(node, in, args string) (code int, out, bad string) {
 	var o, b bytes.Buffer
-	code = runCommand(append([]string{"--node", node}, strings.Fields(args)...), strings.NewReader(in), &o, &b, p.http)
+	code = runCommand(append([]string{"--node", node}, strings.Fields(args)...), strings.NewReader(in), &o, &b, site.http)
 	return code, o.String(), b.String()
 }
 
-func (p *testSite) until(what string, within time.Duration, so func() bool) {
-	p.t.Helper()
+func (site *testSite) waitUntil(what string, within time.Duration, so func() bool) {
+	site.t.Helper()
 	for from := time.Now(); !so(); clock.Sleep(context.Background(), 100*time.Millisecond) {
 		if time.Since(from) > within {
-			_, out, bad := p.runOn(1, "", "status")
-			p.t.Fatalf("%s: not within %v\n%s%s", what, within, out, bad)
+			_, out, bad := site.runOn(1, "", "status")
+			site.t.Fatalf("%s: not within %v\n%s%s", what, within, out, bad)
 		}
 	}
 }
 
 // scrape gives the names of what a process shows at an address, and how many series.
-func (p *testSite) scrape(addr string) (names map[string]bool, series int) {
-	r, err := (&http.Client{Transport: p.http}).Get("http://" + addr + "/metrics")
-	p.must(err)
+func (site *testSite) scrape(addr string) (names map[string]bool, series int) {
+	r, err := (&http.Client{Transport: site.http}).Get("http://" + addr + "/metrics")
+	site.requireNoError(err)
 	defer r.Body.Close()
 	b, err := io.ReadAll(r.Body)
-	p.must(err)
+	site.requireNoError(err)
 	names = map[string]bool{}
 	for s := range strings.Lines(string(b)) {
 		if strings.HasPrefix(s, "pebbleloom_") {
@@ -248,13 +248,13 @@
 
 // The workers: pond implements backend.Client.
 
-func (p *testSite) ListWorkers(context.Context, string) (l []fleet.Worker, next string, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for i := 1; i <= len(p.workerWeights); i++ {
+func (site *testSite) ListWorkers(context.Context, string) (l []fleet.Worker, next string, err error) {
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	for i := 1; i <= len(site.workerWeights); i++ {
 		id := fmt.Sprint("w", i)
 		l = append(l, fleet.Worker{ID: id, Service: "reading", Addr: "10.9.0." + fmt.Sprint(i) + ":1", Zone: "d1", Slots: 8, Draining: i == 3,
-			Weights: map[string]uint64{"daka": p.workerWeights[id]}})
+			Weights: map[string]uint64{"daka": site.workerWeights[id]}})
 	}
 	return l, "", nil
 }
@@ -263,56 +263,56 @@
 	return "w" + strings.TrimSuffix(strings.TrimPrefix(addr, "10.9.0."), ":1")
 }
 
-func (p *testSite) Report(_ context.Context, addr string) (backend.Report, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return backend.Report{Weights: map[string]uint64{"daka": p.workerWeights[worker(addr)]}}, nil
+func (site *testSite) Report(_ context.Context, addr string) (backend.Report, error) {
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	return backend.Report{Weights: map[string]uint64{"daka": site.workerWeights[worker(addr)]}}, nil
 }
 
-func (p *testSite) Order(_ context.Context, addr string, o backend.Order) (backend.Outcome, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ordersRejected {
+func (site *testSite) Order(_ context.Context, addr string, o backend.Order) (backend.Outcome, error) {
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	if site.ordersRejected {
 		return backend.OutcomeRejected, nil
 	}
-	p.workerWeights[worker(addr)] = o.Version
+	site.workerWeights[worker(addr)] = o.Version
 	return backend.OutcomeStarted, nil
 }
 
 // CacheEvents: all workers keep part p1 of the weights that they serve, from the start.
-func (p *testSite) CacheEvents(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
+func (site *testSite) CacheEvents(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	if since == 0 {
-		return p.CachedPrefixes(ctx, addr)
+		return site.CachedPrefixes(ctx, addr)
 	}
 	clock.Sleep(ctx, wait)
 	return backend.CacheEvents{BootID: 1, NextSequence: since}, ctx.Err()
 }
 
-func (p *testSite) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	text := selection.CacheSalt("daka", p.workerWeights[worker(addr)], nil)
+func (site *testSite) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	text := selection.CacheSalt("daka", site.workerWeights[worker(addr)], nil)
 	return backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
 }
 
-// pondPlans is a form of plans: {"version": 7, "routes": [{"name": "a", "to": "reading"}]}.
-type pondPlans struct{}
+// testCodec is a form of plans: {"version": 7, "routes": [{"name": "a", "to": "reading"}]}.
+type testCodec struct{}
 
-type pondPlan struct {
+type testPlan struct {
 	Version uint64           `json:"version"`
 	Routes  []map[string]any `json:"routes,omitempty"`
 }
 
-func (pondPlans) Read(b []byte) (*routingconfig.Plan, error) {
-	v := pondPlan{}
+func (testCodec) Read(b []byte) (*routingconfig.Plan, error) {
+	v := testPlan{}
 	err := json.Unmarshal(b, &v)
 	x := &routingconfig.Plan{Version: v.Version, Tenants: []routingconfig.Tenant{{Name: "t", Priority: -1}, {Name: "walled", Priority: -1, Isolated: true}}, Services: []routingconfig.Service{{Name: "reading", MaxConns: 100,
 		Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000, MaxPolls: 4, Models: []string{"daka"}}}}}
 	return x.BuildIndex(), err
 }
 
-func (pondPlans) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
-	var o, v pondPlan
+func (testCodec) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
+	var o, v testPlan
 	if err := json.Unmarshal(sent, &v); err != nil {
 		return nil, 0, err
 	}
--- a/internal/cli/transport.go
+++ b/internal/cli/transport.go
@@ -16,8 +16,8 @@
 
 // keyTransport adds the operators' key to every call.
 type keyTransport struct {
-	key string
-	by  http.RoundTripper
+	key  string
+	base http.RoundTripper
 }
 
 // RoundTrip sends a call with the key.
@@ -28,14 +28,14 @@
 		r = r.Clone(r.Context())
 		r.Header.Set(operatorapi.KeyHeader, s.key)
 	}
-	return s.by.RoundTrip(r)
+	return s.base.RoundTrip(r)
 }
 
-func operatorKey(r *request) (string, error) {
-	if r.keyFile == "" {
+func operatorKey(inv *invocation) (string, error) {
+	if inv.keyFile == "" {
 		return os.Getenv("PEBBLELOOM_KEY"), nil
 	}
-	raw, err := os.ReadFile(r.keyFile)
+	raw, err := os.ReadFile(inv.keyFile)
 	return strings.TrimSpace(string(raw)), errs.WrapAs(err, errs.BadInput, "--operator-key")
 }
 
