--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -1,384 +1,171 @@
-// Package promptindex is an index node: for every prefix of its shards, which workers hold it and how
-// hot it is. It holds no data and has no disk. Core is a pure state machine.
+// Package promptindex is an index node: for every part of a prompt that is assigned to it, it knows which
+// workers and stores cache the part, and how often it was used lately. It caches no data itself and has no
+// disk.
+//
+// Core is a pure state machine. Node serves it and feeds it with the workers' numbered reports; StartSite
+// does the same with the events of a site's workers. Shards assigns keys to index nodes.
 package promptindex
 
 import (
 	"math"
-	"sort"
 	"time"
 
-	"pebbleloom/internal/contract"
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/settings"
-	"pebbleloom/internal/wire"
 )
 
-// How certain the index is of a holder.
 const (
-	Presumed  uint32 = iota + 1 // a request was routed there, or a save was ordered
-	Confirmed                   // the worker reported it
+	// hotnessWindow is the time in which an access decays to 1/e.
+	hotnessWindow = 30 * time.Second
+	// evictionSample is the number of entries of which the coldest one is evicted.
+	evictionSample = 16
+	// minEntryHotness is the hotness below which an entry without holders is dropped.
+	minEntryHotness = 0.05
+	// minReportedHotness is the hotness from which an entry is listed among the hottest.
+	minReportedHotness = 0.01
 )
 
-type holding struct {
-	certainty    uint32
-	updatedAt    time.Duration
-	generation   uint32
-	cachedTokens uint32 // cached of the entry's, if reported; 0: all
-}
-
-type entry struct {
-	tokens    uint32
-	hotness   float64
-	decayedAt time.Duration
-	service   string
-	isHead    bool // a prompt begins with it
-	holders   map[string]holding
-}
-
-type worker struct {
-	incarnation string
-	generation  uint32
-	lastNumber  uint64
-	needsFull   bool // a full report is needed
-	lastHeardAt time.Duration
-	polled      bool   // it is polled for reports
-	complete    bool   // it has reported everything it holds
-	sequence    uint64 // counts its removals and its reports
-}
-
-type reporter struct {
-	incarnation, lastNumber uint64
-	previous                uint64 // the previous incarnation: its late batches aren't counted
-	lastHeardAt             time.Duration
-}
-
-// Core is one index node's tables.
+// Core is one index node's tables. It isn't safe for concurrent use: an actor guards it. Instants are those
+// of the process's clock.
 type Core struct {
 	bounds             settings.Bounds
-	hotnessWindow      time.Duration
 	entries            map[prefix.Key]*entry
 	workers            map[string]*worker
 	reporters          map[string]*reporter
 	isAssigned         func(prefix.Key) bool
-	maxIncompleteRatio float64 // share of polled workers that may be incomplete while the index is warm
+	maxIncompleteRatio float64 // of the polled workers: the index is warm without their reports
 	loads              *LoadAggregator
 	// Stats counts what the index has done.
 	Stats Stats
 }
 
-// Stats counts what the index has done.
-type Stats struct{ Lapsed, Gaps, FullReports, Evicted, Duplicates uint64 }
+// Stats counts what an index has done since it started.
+type Stats struct {
+	Lapsed      uint64 // holdings that weren't confirmed, or whose worker fell silent
+	Gaps        uint64 // gaps in workers' reports
+	FullReports uint64
+	Evicted     uint64 // entries that made room for others
+	Duplicates  uint64 // batches of accesses that were counted already
+}
 
-// NewCore makes an empty index; isAssigned reports which keys are this node's.
-//
-// Example: c := promptindex.New(bounds, func(k prefix.Key) bool { return shards.Holds(name, k) })
-func NewCore(b settings.Bounds, mine func(prefix.Key) bool) *Core {
-	return &Core{bounds: b, hotnessWindow: 30 * time.Second, entries: map[prefix.Key]*entry{}, workers: map[string]*worker{},
-		reporters: map[string]*reporter{}, isAssigned: mine, loads: NewLoadAggregator(b)}
+// entry is what the index knows of one key.
+type entry struct {
+	tokens    uint32
+	hotness   float64 // accesses, each of which decays
+	decayedAt time.Duration
+	service   string
+	isHead    bool // a prompt begins with it
+	holders   map[string]holding
 }
 
-func (c *Core) decay(e *entry, now time.Duration) {
-	if dt := now - e.decayedAt; dt > 0 {
-		e.hotness *= math.Exp(-float64(dt) / float64(c.hotnessWindow))
+// NewCore makes an empty index; isAssigned reports which keys this node is responsible for.
+//
+// Example: c := promptindex.NewCore(bounds, func(k prefix.Key) bool { return shards.IsAssigned(name, k) })
+func NewCore(bounds settings.Bounds, isAssigned func(prefix.Key) bool) *Core {
+	return &Core{
+		bounds:     bounds,
+		entries:    map[prefix.Key]*entry{},
+		workers:    map[string]*worker{},
+		reporters:  map[string]*reporter{},
+		isAssigned: isAssigned,
+		loads:      NewLoadAggregator(bounds),
+	}
+}
+
+// decay lets an entry's hotness decay to an instant.
+func (e *entry) decay(now time.Duration) {
+	if age := now - e.decayedAt; age > 0 {
+		e.hotness *= math.Exp(-float64(age) / float64(hotnessWindow))
 		e.decayedAt = now
 	}
 }
 
-func (c *Core) entry(k prefix.Key, now time.Duration) *entry {
-	e := c.entries[k]
+// entry returns the entry of a key, a new one if there is none.
+func (c *Core) entry(key prefix.Key, now time.Duration) *entry {
+	e := c.entries[key]
 	if e == nil {
 		if len(c.entries) >= c.bounds.MaxIndexEntries {
 			c.evict(now)
 		}
 		e = &entry{decayedAt: now, holders: map[string]holding{}}
-		c.entries[k] = e
+		c.entries[key] = e
 	}
 	return e
 }
 
-// evict drops the coldest of a small sample, so that the table stays within its bound.
+// evict drops the coldest one of a small random sample, so that the table stays within its bound.
 func (c *Core) evict(now time.Duration) {
-	var cold prefix.Key
-	best, n := math.Inf(1), 0
-	for k, e := range c.entries {
-		c.decay(e, now)
-		if e.hotness < best {
-			best, cold = e.hotness, k
-		}
-		if n++; n >= 16 {
+	var evicted prefix.Key
+	lowest, sampled := math.Inf(1), 0
+	for key, e := range c.entries {
+		e.decay(now)
+		if e.hotness < lowest {
+			lowest, evicted = e.hotness, key
+		}
+		if sampled++; sampled >= evictionSample {
 			break
 		}
 	}
-	delete(c.entries, cold)
+	delete(c.entries, evicted)
 	c.Stats.Evicted++
 }
 
-func (c *Core) worker(name string) *worker {
-	w := c.workers[name]
-	if w == nil {
-		w = &worker{needsFull: true}
-		c.workers[name] = w
+// dropIfUnused removes an entry without holders and accesses.
+func (c *Core) dropIfUnused(key prefix.Key, e *entry, now time.Duration) {
+	e.decay(now)
+	if len(e.holders) == 0 && e.hotness < minEntryHotness {
+		delete(c.entries, key)
 	}
-	return w
 }
 
-// NextReport returns the next request to a worker.
+// Sweep removes holdings that no longer count, entries without any, and workers that left.
 //
-// Example: q := c.NextReport("worker-3", "lectores"); reports := call(q.After, q.Whole); c.ApplyReport(q, reports, now)
-func (c *Core) NextReport(name, service string) ReportRequest {
-	w := c.worker(name)
-	w.polled = true
-	return ReportRequest{name, service, w.lastNumber, w.needsFull, w.sequence}
-}
-
-// ReportRequest is a request to a worker. A response to one from before the worker was removed, or
-// from before another response, is outdated.
-type ReportRequest struct {
-	Name, Service string
-	After         uint64
-	Full          bool
-	sequence      uint64
-}
-
-// ApplyReport applies a worker's response. After a gap in the numbers or a new incarnation a full
-// report is requested next; until then known holdings stay, and lapse as usual.
-//
-// Example: c.ApplyReport(request, response, now)
-func (c *Core) ApplyReport(q ReportRequest, r contract.CacheReports, now time.Duration) {
-	name, service, w := q.Name, q.Service, c.worker(q.Name)
-	if q.sequence != w.sequence {
-		return
-	}
-	w.lastHeardAt = now
-	w.sequence++ // each request is answered once
-	if r.Incarnation != w.incarnation {
-		w.incarnation, w.lastNumber, w.needsFull = r.Incarnation, 0, true
-		w.generation++ // the old incarnation's holdings are gone
-	}
-	if r.Complete {
-		w.generation++
-		c.Stats.FullReports++
-		for _, h := range r.Cached {
-			c.addHolding(name, service, w, h, now)
-		}
-		w.lastNumber, w.needsFull, w.complete = r.Number, false, true
-		return
-	}
-	if w.needsFull {
-		return
-	}
-	for _, p := range r.Reports {
-		if p.Number <= w.lastNumber {
-			continue
-		}
-		if p.Number != w.lastNumber+1 {
-			break
-		}
-		for _, h := range p.Added {
-			c.addHolding(name, service, w, h, now)
-		}
-		for _, g := range p.Removed {
-			if k, ok := prefix.Parse(g); ok && c.entries[k] != nil {
-				delete(c.entries[k].holders, name)
+// Example: c.Sweep(listed, now)
+func (c *Core) Sweep(listed map[string]bool, now time.Duration) {
+	for key, e := range c.entries {
+		for holder, h := range e.holders {
+			if !c.isValid(holder, h, now) {
+				delete(e.holders, holder)
+				c.Stats.Lapsed++
 			}
 		}
-		w.lastNumber = p.Number
-	}
-	if w.lastNumber != r.Number {
-		w.needsFull = true
-		c.Stats.Gaps++
-	}
-}
-
-func (c *Core) addHolding(name, service string, w *worker, h contract.CachedPrefix, now time.Duration) {
-	k, ok := prefix.Parse(h.Key)
-	if !ok || !c.isAssigned(k) {
-		return
+		c.dropIfUnused(key, e, now)
 	}
-	e := c.entry(k, now)
-	if h.Tokens > 0 {
-		e.tokens = uint32(h.Tokens)
-	}
-	if e.service == "" {
-		e.service = service
-	}
-	e.holders[name] = holding{certainty: Confirmed, updatedAt: now, generation: w.generation}
-}
-
-// RemoveWorker forgets a worker that has left.
-//
-// Example: c.RemoveWorker("worker-3")
-func (c *Core) RemoveWorker(name string) {
-	if w := c.workers[name]; w != nil {
-		w.generation++
-		w.sequence++
-		w.incarnation, w.lastNumber, w.needsFull, w.polled, w.complete = "", 0, true, false, false
+	for name, w := range c.workers {
+		if !listed[name] && now-w.respondedAt > c.bounds.Heal(maxReportAgeRatio) {
+			delete(c.workers, name)
+		}
 	}
 }
 
-// Reshard requests full reports from all workers, after this node's shards have changed.
+// Reshard requests full reports from all workers, after this node's shards have changed, and drops the
+// entries that aren't assigned to it any more.
 //
 // Example: c.Reshard()
 func (c *Core) Reshard() {
 	for _, w := range c.workers {
-		w.needsFull, w.complete = true, false
-	}
-	for k := range c.entries {
-		if !c.isAssigned(k) {
-			delete(c.entries, k)
-		}
-	}
-}
-
-// isValid reports whether a holding still counts: presumed ones lapse unless confirmed, and confirmed
-// ones lapse when the worker hasn't reported for long.
-func (c *Core) isValid(name string, h holding, now time.Duration) bool {
-	w := c.workers[name]
-	if w == nil || h.generation != w.generation {
-		return false
-	}
-	if h.certainty == Presumed {
-		return now-h.updatedAt < c.bounds.Heal(0.5)
-	}
-	return now-max(w.lastHeardAt, h.updatedAt) < c.bounds.Heal(2.5)
-}
-
-// Lookup answers a batch of keys.
-//
-// Example: found := c.Lookup(keys, now)
-func (c *Core) Lookup(keys []prefix.Key, now time.Duration) []*wire.LookupResult {
-	l := make([]*wire.LookupResult, 0, len(keys))
-	for _, k := range keys {
-		f := &wire.LookupResult{}
-		if e := c.entries[k]; e != nil {
-			c.decay(e, now)
-			f.Hotness = e.hotness
-			for n, h := range e.holders {
-				if c.isValid(n, h, now) {
-					if h.isPartial(e) {
-						continue
-					}
-					f.Holders = append(f.Holders, &wire.Holder{Worker: n, State: h.certainty})
-				} else {
-					delete(e.holders, n)
-					c.Stats.Lapsed++
-				}
-			}
-			sort.Slice(f.Holders, func(i, j int) bool { return f.Holders[i].Worker < f.Holders[j].Worker })
-		}
-		l = append(l, f)
-	}
-	return l
-}
-
-// RecordAccesses applies a reporter's batch of accesses once: a repeated number isn't counted again. A reporter
-// that this index doesn't remember is asked to send its whole window again.
-//
-// Example: t := c.Count(ask, now)
-func (c *Core) RecordAccesses(a *wire.CountRequest, now time.Duration) *wire.CountResponse {
-	t := c.reporters[a.Reporter]
-	if t == nil {
-		if len(c.reporters) >= maxReporters && !c.dropOldestReporter(now) {
-			return &wire.CountResponse{Sequence: a.Sequence} // not counted: undercounting is better than counting twice
-		}
-		t = &reporter{}
-		c.reporters[a.Reporter] = t
-	}
-	t.lastHeardAt = now
-	if t.incarnation != a.Incarnation && t.previous != a.Incarnation {
-		t.previous, t.incarnation, t.lastNumber = t.incarnation, a.Incarnation, 0
-	}
-	if a.Sequence <= t.lastNumber || t.incarnation != a.Incarnation {
-		c.Stats.Duplicates++
-		return &wire.CountResponse{Sequence: t.lastNumber}
-	}
-	again := t.lastNumber == 0 && a.Sequence > 1
-	t.lastNumber = a.Sequence
-	for _, x := range a.Accesses {
-		if len(x.Key) != len(prefix.Key{}) {
-			continue
-		}
-		k := prefix.Key(x.Key)
-		if !c.isAssigned(k) {
-			continue
-		}
-		e := c.entry(k, now)
-		c.decay(e, now)
-		e.hotness += float64(x.Count)
-		e.service, e.isHead = x.Service, e.isHead || x.Head
-		if x.Tokens > 0 {
-			e.tokens = x.Tokens
-		}
-		for _, p := range x.PresumedHolders {
-			w := c.worker(p)
-			if h, ok := e.holders[p]; !ok || h.generation != w.generation || h.certainty == Presumed || h.isPartial(e) {
-				e.holders[p] = holding{certainty: Presumed, updatedAt: now, generation: w.generation}
-			}
-		}
-	}
-	return &wire.CountResponse{Sequence: t.lastNumber, ResendWindow: again}
-}
-
-const maxReporters = 1024
-
-// dropOldestReporter makes room by dropping the reporter that was silent longest, if that is longer
-// than any batch is retried.
-func (c *Core) dropOldestReporter(now time.Duration) bool {
-	name, at := "", now
-	for n, t := range c.reporters {
-		if t.lastHeardAt < at || t.lastHeardAt == at && n < name {
-			name, at = n, t.lastHeardAt
-		}
-	}
-	if now-at < c.bounds.Heal(1) {
-		return false
-	}
-	delete(c.reporters, name)
-	return true
-}
-
-// Hottest lists a service's hottest entries with the sum over all of them.
-//
-// Example: t := c.Hottest("appraisals", 1000, now)
-func (c *Core) Hottest(service string, limit int, now time.Duration) *wire.HottestResponse {
-	t := &wire.HottestResponse{Warm: c.Warm()}
-	for k, e := range c.entries {
-		if e.service != service {
-			continue
-		}
-		c.decay(e, now)
-		if e.hotness < 0.01 {
-			continue
-		}
-		t.Entries++
-		t.TotalHotness += e.hotness
-		t.Prefixes = append(t.Prefixes, &wire.HotPrefix{Key: k[:], Hotness: e.hotness, Tokens: e.tokens, Holders: uint32(len(e.holders)), Head: e.isHead})
+		w.needsFull, w.isComplete = true, false
 	}
-	sort.Slice(t.Prefixes, func(i, j int) bool {
-		if t.Prefixes[i].Hotness != t.Prefixes[j].Hotness {
-			return t.Prefixes[i].Hotness > t.Prefixes[j].Hotness
+	for key := range c.entries {
+		if !c.isAssigned(key) {
+			delete(c.entries, key)
 		}
-		return string(t.Prefixes[i].Key) < string(t.Prefixes[j].Key)
-	})
-	if len(t.Prefixes) > limit {
-		t.Prefixes = t.Prefixes[:limit]
 	}
-	return t
 }
 
-// Warm reports whether every worker, or all but a few, has reported everything it holds since this
-// index started.
+// Warm reports whether every worker, or all but a few, has reported everything it caches since this index
+// started: an index that isn't warm can't know that nobody caches a part.
 //
 // Example: if c.Warm() { … }
 func (c *Core) Warm() bool {
-	n, untold := 0, 0
+	complete, incomplete := 0, 0
 	for _, w := range c.workers {
-		if w.polled && !w.complete {
-			untold++
+		if w.isPolled && !w.isComplete {
+			incomplete++
 		}
-		if w.complete {
-			n++
+		if w.isComplete {
+			complete++
 		}
 	}
-	return n > 0 && float64(untold) <= c.maxIncompleteRatio*float64(n+untold)
+	return complete > 0 && float64(incomplete) <= c.maxIncompleteRatio*float64(complete+incomplete)
 }
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -1,162 +1,100 @@
 package promptindex
 
 import (
-	"crypto/sha256"
 	"strconv"
 	"time"
 
 	"pebbleloom/internal/data/backend"
-	"pebbleloom/internal/data/prefix"
 )
 
-const (
-	minHolderRatio = 0.9 // of a part's tokens: a worker with fewer doesn't count as a holder
-	blockTokens    = 16  // tokens of a worker's cache block: it caches whole blocks
-	minHotness     = 0.05
-	keyBuffer      = 256 // bytes of a salt and part that are hashed without an allocation
-)
-
-// PartKey is the key of one part as it is cached under a salt. A part's ID stands for the whole prefix
-// up to it; the salt for isolation, model and version.
-//
-// Example: k := promptindex.PartKey("1.2.m0", "5c1e07a2")
-func PartKey(salt, part string) (k prefix.Key) {
-	var a [keyBuffer]byte
-	b := strconv.AppendInt(a[:0], int64(len(salt)), 10)
-	b = append(append(append(b, ' '), salt...), part...)
-	sum := sha256.Sum256(b)
-	copy(k[:], sum[:])
-	return k
-}
-
-// StoreHealthKey is held by a store for as long as it answers.
+// NextEvents returns the next request to a worker or store of a site. One that never responded is asked
+// for its events from its start on: usually that is everything it caches.
 //
-// Example: up := len(found[promptindex.StoreHealthKey("cartons")].GetHolders()) > 0
-func StoreHealthKey(store string) prefix.Key { return PartKey("\x00up", store) }
-
-// isPartial reports whether too little of an entry is held to count.
-func (h holding) isPartial(e *entry) bool {
-	return h.cachedTokens > 0 && h.cachedTokens+blockTokens <= e.tokens && float64(h.cachedTokens) < minHolderRatio*float64(e.tokens)
-}
-
-// NextEvents returns the next request to a worker or store of a site. One that never answered is asked
-// from its start: usually that is everything.
-//
-// Example: q := c.NextEvents(w.ID, w.Service); e, err := calls.Events(ctx, w.Addr, q.After, wait)
+// Example: request := c.NextEvents(w.ID, w.Service); events, err := client.CacheEvents(ctx, w.Addr, request.After, wait)
 func (c *Core) NextEvents(name, service string) ReportRequest {
-	q := c.NextReport(name, service)
-	q.Full = q.Full && c.worker(name).incarnation != ""
-	return q
+	request := c.NextReport(name, service)
+	request.Full = request.Full && c.worker(name).incarnation != ""
+	return request
 }
 
-// ApplyEvents applies a worker's response: changes since q.After, or everything it caches if q.Whole.
-// After a gap known holdings stay, and a full list is requested later; another boot has dropped the
-// whole cache.
+// ApplyEvents applies a worker's response: changes since request.After, or everything it caches if
+// request.Full. After a gap known holdings stay, and a full list is requested later; another boot has
+// dropped the whole cache.
 //
-// Example: c.ApplyEvents(q, events, now)
-func (c *Core) ApplyEvents(q ReportRequest, e backend.CacheEvents, now time.Duration) {
-	w := c.worker(q.Name)
-	if q.sequence != w.sequence || e.Throttled {
+// Example: c.ApplyEvents(request, events, now)
+func (c *Core) ApplyEvents(request ReportRequest, events backend.CacheEvents, now time.Duration) {
+	w := c.worker(request.Name)
+	if request.sequence != w.sequence || events.Throttled {
 		return
 	}
-	w.lastHeardAt = now
-	w.sequence++ // each request is answered once
-	if boot := strconv.FormatUint(e.BootID, 10); boot != w.incarnation {
-		old := w.incarnation
-		w.incarnation, w.needsFull = boot, false
-		if old != "" {
-			w.generation++ // the old boot's holdings are gone
-		}
-		if !q.Full && q.After > 0 && old != "" {
-			w.lastNumber, w.complete = 0, false
-			return // requested with another boot's number: start again
-		}
+	w.respondedAt = now
+	w.sequence++ // each request has one response
+	if boot := strconv.FormatUint(events.BootID, 10); boot != w.incarnation && !w.applyBoot(request, boot) {
+		return
 	}
-	if q.Full {
-		w.generation++
+	if request.Full {
+		w.generation++ // what isn't in the list isn't cached any more
 		c.Stats.FullReports++
-	} else if e.Gap {
+	} else if events.Gap {
 		w.needsFull = true
 		c.Stats.Gaps++
 	}
-	for _, x := range e.Changes {
-		c.applyChange(q, w, x, now)
+	for _, change := range events.Changes {
+		c.applyChange(request, w, change, now)
 	}
-	w.lastNumber = e.NextSequence
-	if q.Full {
+	w.lastNumber = events.NextSequence
+	if request.Full {
 		w.needsFull = false
 	}
-	w.complete = w.complete || !e.Gap || q.Full
+	w.isComplete = w.isComplete || !events.Gap || request.Full
+}
+
+// applyBoot records another boot of a worker. It reports whether the response can be used: one to a request
+// with another boot's number can't, and the events of the new boot are requested from their start on.
+func (w *worker) applyBoot(request ReportRequest, boot string) (isUsable bool) {
+	isFirst := w.incarnation == ""
+	w.incarnation, w.needsFull = boot, false
+	if isFirst {
+		return true
+	}
+	w.generation++ // the old boot's holdings are void
+	if request.Full || request.After == 0 {
+		return true
+	}
+	w.lastNumber, w.isComplete = 0, false
+	return false
 }
 
-func (c *Core) applyChange(q ReportRequest, w *worker, x backend.CacheChange, now time.Duration) {
-	k := PartKey(x.Salt, x.Part)
-	if !c.isAssigned(k) {
+// applyChange records that a worker or store caches a part now, or has dropped it.
+func (c *Core) applyChange(request ReportRequest, w *worker, change backend.CacheChange, now time.Duration) {
+	key := PartKey(change.Salt, change.Part)
+	if !c.isAssigned(key) {
 		return
 	}
-	if x.Tokens <= 0 {
-		if e := c.entries[k]; e != nil {
-			delete(e.holders, q.Name)
-			c.dropIfUnused(k, e, now)
+	if change.Tokens <= 0 {
+		if e := c.entries[key]; e != nil {
+			delete(e.holders, request.Name)
+			c.dropIfUnused(key, e, now)
 		}
 		return
 	}
-	e := c.entry(k, now)
-	e.tokens = max(e.tokens, uint32(x.Tokens))
+	e := c.entry(key, now)
+	e.tokens = max(e.tokens, uint32(change.Tokens))
 	if e.service == "" {
-		e.service = q.Service
+		e.service = request.Service
 	}
-	e.holders[q.Name] = holding{Confirmed, now, w.generation, uint32(x.Tokens)}
+	e.holders[request.Name] = holding{Confirmed, now, w.generation, uint32(change.Tokens)}
 }
 
-// StoreUp records that a store answers.
+// StoreUp records that a store responds.
 //
 // Example: c.StoreUp("cartons", now)
 func (c *Core) StoreUp(store string, now time.Duration) {
 	c.entry(StoreHealthKey(store), now).holders[store] = holding{certainty: Presumed, updatedAt: now, generation: c.worker(store).generation}
 }
 
-// StoreDown records that a store doesn't answer. Its holdings stay known: only the path to it may be
+// StoreDown records that a store doesn't respond. Its holdings stay known: only the path to it may be
 // broken.
 //
 // Example: c.StoreDown("cartons")
 func (c *Core) StoreDown(store string) { delete(c.entries, StoreHealthKey(store)) }
-
-// dropIfUnused removes an entry without holders and requests.
-func (c *Core) dropIfUnused(k prefix.Key, e *entry, now time.Duration) bool {
-	c.decay(e, now)
-	if len(e.holders) > 0 || e.hotness >= minHotness {
-		return false
-	}
-	delete(c.entries, k)
-	return true
-}
-
-// Sweep removes holdings that no longer count, entries without any, and workers that left.
-//
-// Example: c.Sweep(listed, now)
-func (c *Core) Sweep(listed map[string]bool, now time.Duration) {
-	for k, e := range c.entries {
-		for n, h := range e.holders {
-			if !c.isValid(n, h, now) {
-				delete(e.holders, n)
-				c.Stats.Lapsed++
-			}
-		}
-		c.dropIfUnused(k, e, now)
-	}
-	for n, w := range c.workers {
-		if !listed[n] && now-w.lastHeardAt > c.bounds.Heal(2.5) {
-			delete(c.workers, n)
-		}
-	}
-}
-
-// MarkIncomplete marks all workers as incomplete: the index hasn't followed them.
-//
-// Example: c.MarkIncomplete()
-func (c *Core) MarkIncomplete() {
-	for _, w := range c.workers {
-		w.complete = false
-	}
-}
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -3,158 +3,96 @@
 import (
 	"context"
 	"net/http"
-	"sync/atomic"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/contract"
 	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/prefix"
-	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
 
-// Node is an index node: one actor holds the tables; others poll workers and serve.
+// Node is an index node: an actor guards its tables, a poller feeds them, and its methods serve edge
+// machines and the placement controller.
 type Node struct {
-	process  *daemon.Process
-	actor    *queue.Actor[Core]
-	clock    clock.Clock
-	shards   atomic.Pointer[Shards]
-	name     string
-	backends *contract.Backends
-	updates  *updatestream.Follower
-	polling  map[string]bool // workers with a poll in flight; owned by the actor
-	listed   map[string]bool
+	process *daemon.Process
+	actor   *queue.Actor[Core]
+	clock   clock.Clock
+	name    string // in the cluster membership
 }
 
-// Start runs an index node.
-//
-// Example: daemon.Main("catalogue", "index node", need, promptindex.Start)
-func Start(l *daemon.Process) error {
-	n := &Node{process: l, clock: l.Clock, name: clustermembership.RolePromptIndex + "/" + l.Settings.Name, backends: contract.NewBackends(l.Dial),
-		polling: map[string]bool{}, listed: map[string]bool{}}
-	n.actor = queue.NewActor(NewCore(l.Settings.Bounds, func(k prefix.Key) bool {
-		s := n.shards.Load()
-		return s != nil && s.IsAssigned(n.name, k)
-	}), 1024)
-	l.OnStop(n.actor.Stop)
-	l.OnStop(n.backends.Close)
-	calls := daemon.NewClients(l)
-	ros := clustermembership.Start(l.Ctx, l.Settings, clustermembership.RolePromptIndex, n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
-	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Settings.NodeAgent) }, l.Settings.Bounds.Heal(1.0/24), nil, updatestream.OnSeedsChanged(ros.SetSeeds))
-	l.Every(l.Settings.Bounds.Heal(1.0/12), n.poll)
-	count := func(f func(*Core) float64) func() float64 {
-		return func() (v float64) { n.actor.Ask(func(c *Core) { v = f(c) }); return v }
-	}
-	l.Go(func() { <-l.Draining; ros.Leave() })
-	l.Meter.Gauge("pebbleloom_index_entries", "prefix entries held", count(func(c *Core) float64 { return float64(len(c.entries)) }))
-	l.Meter.Counter("pebbleloom_index_gaps_total", "gaps seen in workers' reports", count(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
-	l.Meter.Counter("pebbleloom_index_whole_reports_total", "full reports received", count(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
-	l.Meter.Counter("pebbleloom_index_evicted_total", "entries dropped for room", count(func(c *Core) float64 { return float64(c.Stats.Evicted) }))
-	l.Meter.Gauge("pebbleloom_index_warm", "1 once every worker has reported everything it holds", count(func(c *Core) float64 {
-		if c.Warm() {
-			return 1
-		}
-		return 0
-	}))
-	mux := http.NewServeMux()
-	mux.Handle(wire.PromptIndexPathPrefix, wire.NewPromptIndexServer(n))
-	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(ros))
-	if err := l.Serve(l.Settings.Listen, mux); err != nil {
-		return err
-	}
-	l.Ready.Store(true)
-	return nil
+func nodeName(process *daemon.Process) string {
+	return clustermembership.RolePromptIndex + "/" + process.Settings.Name
 }
 
-func (n *Node) reshard(nodes []*wire.Node) {
-	s := NewShards(nodes)
-	if old := n.shards.Swap(s); !s.SameAssignment(old, n.name) {
-		n.actor.TrySend(func(c *Core) { c.Reshard() })
-	}
+// newNode makes a node over an index. It stops with the process.
+func newNode(process *daemon.Process, core *Core) *Node {
+	n := &Node{process: process, clock: process.Clock, name: nodeName(process), actor: queue.NewActor(core, 1024)}
+	process.OnStop(n.actor.Stop)
+	return n
 }
 
-// poll polls every listed worker, and the store, for what it caches.
-func (n *Node) poll() {
-	s := n.updates.Snapshot()
-	if s == nil {
-		return
-	}
-	n.actor.Ask(func(c *Core) {
-		here := map[string]bool{}
-		for _, w := range s.Workers {
-			if w.State == updatestream.WorkerGone || w.Kind == "app" {
-				continue
-			}
-			here[w.Name] = true
-			if n.polling[w.Name] {
-				continue
-			}
-			n.polling[w.Name] = true
-			go n.pollWorker(w.Addr, c.NextReport(w.Name, w.Service))
-		}
-		for name := range n.listed {
-			if !here[name] {
-				c.RemoveWorker(name)
-			}
-		}
-		n.listed = here
-	})
+// addMetrics adds the metrics that all index nodes have.
+func (n *Node) addMetrics() {
+	meter := n.process.Meter
+	meter.Gauge("pebbleloom_index_entries", "prefix entries in the index", n.coreMetric(func(c *Core) float64 { return float64(len(c.entries)) }))
+	meter.Counter("pebbleloom_index_gaps_total", "gaps seen in workers' reports", n.coreMetric(func(c *Core) float64 { return float64(c.Stats.Gaps) }))
+	meter.Counter("pebbleloom_index_whole_reports_total", "full reports received", n.coreMetric(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
 }
 
-func (n *Node) pollWorker(addr string, q ReportRequest) {
-	ctx, end := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(1.0/6))
-	defer end()
-	r, err := n.backends.CachedPrefixes(ctx, addr, q.After, q.Full)
-	n.actor.Ask(func(c *Core) {
-		delete(n.polling, q.Name)
-		if err == nil {
-			c.ApplyReport(q, r, n.clock.Now())
-		}
-	})
+// coreMetric makes a metric of a value that is read from the tables.
+func (n *Node) coreMetric(read func(*Core) float64) func() float64 {
+	return func() (value float64) {
+		n.actor.Ask(func(c *Core) { value = read(c) })
+		return value
+	}
 }
 
-// Lookup serves lookups.
+// Handler serves the calls of edge machines and the placement controller.
+//
+// Example: mux.Handle(wire.PromptIndexPathPrefix, n.Handler())
+func (n *Node) Handler() http.Handler { return wire.NewPromptIndexServer(n) }
+
+// Lookup serves lookups. Keys of another length are ignored.
 //
-// Example: wire.NewCatalogueProtobufClient(url, h).Seek(ctx, ask)
-func (n *Node) Lookup(_ context.Context, a *wire.LookupRequest) (*wire.LookupResponse, error) {
-	t := &wire.LookupResponse{}
-	ks := make([]prefix.Key, 0, len(a.Keys))
-	for _, k := range a.Keys {
-		if len(k) == len(prefix.Key{}) {
-			ks = append(ks, prefix.Key(k))
+// Example: wire.NewPromptIndexProtobufClient(url, h).Lookup(ctx, request)
+func (n *Node) Lookup(_ context.Context, request *wire.LookupRequest) (*wire.LookupResponse, error) {
+	response := &wire.LookupResponse{}
+	keys := make([]prefix.Key, 0, len(request.Keys))
+	for _, key := range request.Keys {
+		if len(key) == len(prefix.Key{}) {
+			keys = append(keys, prefix.Key(key))
 		}
 	}
 	n.actor.Ask(func(c *Core) {
 		now := n.clock.Now()
-		t.Results, t.Warm = c.Lookup(ks, now), c.Warm()
-		if a.Loads != nil {
-			c.loads.Record(a.Reporter, a.Loads, now)
-			t.Loads = c.loads.Others(a.Reporter, a.Loads.WorkerListHash, now)
+		response.Results, response.Warm = c.Lookup(keys, now), c.Warm()
+		if request.Loads != nil {
+			c.loads.Record(request.Reporter, request.Loads, now)
+			response.Loads = c.loads.Others(request.Reporter, request.Loads.WorkerListHash, now)
 		}
 	})
-	return t, nil
+	return response, nil
 }
 
 // Count serves reports of accesses.
 //
-// Example: wire.NewCatalogueProtobufClient(url, h).Count(ctx, ask)
-func (n *Node) Count(_ context.Context, a *wire.CountRequest) (*wire.CountResponse, error) {
-	t := &wire.CountResponse{}
+// Example: wire.NewPromptIndexProtobufClient(url, h).Count(ctx, request)
+func (n *Node) Count(_ context.Context, request *wire.CountRequest) (*wire.CountResponse, error) {
+	response := &wire.CountResponse{}
 	n.actor.Ask(func(c *Core) {
 		now := n.clock.Now()
-		c.loads.Record(a.Reporter, a.Loads, now)
-		t = c.RecordAccesses(a, now)
+		c.loads.Record(request.Reporter, request.Loads, now)
+		response = c.RecordAccesses(request, now)
 	})
-	return t, nil
+	return response, nil
 }
 
 // Hottest serves the hottest entries.
 //
-// Example: wire.NewCatalogueProtobufClient(url, h).Hottest(ctx, ask)
-func (n *Node) Hottest(_ context.Context, a *wire.HottestRequest) (*wire.HottestResponse, error) {
-	t := &wire.HottestResponse{}
-	n.actor.Ask(func(c *Core) { t = c.Hottest(a.Service, int(a.Limit), n.clock.Now()) })
-	return t, nil
+// Example: wire.NewPromptIndexProtobufClient(url, h).Hottest(ctx, request)
+func (n *Node) Hottest(_ context.Context, request *wire.HottestRequest) (*wire.HottestResponse, error) {
+	response := &wire.HottestResponse{}
+	n.actor.Ask(func(c *Core) { response = c.Hottest(request.Service, int(request.Limit), n.clock.Now()) })
+	return response, nil
 }
--- /dev/null
+++ b/internal/data/promptindex/reportpoller.go
@@ -0,0 +1,123 @@
+package promptindex
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+
+	"pebbleloom/internal/contract"
+	"pebbleloom/internal/control/clustermembership"
+	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/data/updatestream"
+	"pebbleloom/internal/wire"
+)
+
+// Timing, as ratios of the heal bound. Chosen, not measured.
+const (
+	reportPollRatio    = 1.0 / 12 // between two requests to a worker for its reports
+	reportTimeoutRatio = 1.0 / 6  // of such a request
+	updatePollRatio    = 1.0 / 24 // how long the node agent may wait for an update before it responds
+)
+
+// reportPoller feeds an index node with the numbered reports of the workers that the node agent lists.
+type reportPoller struct {
+	node     *Node
+	shards   atomic.Pointer[Shards] // nil before the first cluster membership
+	backends *contract.Backends
+	updates  *updatestream.Follower
+
+	// Guarded by the node's actor.
+	isPolling map[string]bool // workers with a poll in flight
+	isListed  map[string]bool // workers at the last poll
+}
+
+// Start runs an index node until the process stops.
+//
+// Example: daemon.Main(programs.PromptIndex, "index node", required, promptindex.Start)
+func Start(process *daemon.Process) error {
+	settings, name := process.Settings, nodeName(process)
+	p := &reportPoller{backends: contract.NewBackends(process.Dial), isPolling: map[string]bool{}, isListed: map[string]bool{}}
+	p.node = newNode(process, NewCore(settings.Bounds, func(key prefix.Key) bool {
+		shards := p.shards.Load()
+		return shards != nil && shards.IsAssigned(name, key)
+	}))
+	process.OnStop(p.backends.Close)
+	clients := daemon.NewClients(process)
+	member := clustermembership.Start(process.Ctx, settings, clustermembership.RolePromptIndex, process.Clock, process.Log, clients.Membership,
+		func(view clustermembership.View) { p.reshard(view.Nodes) })
+	p.updates = updatestream.Follow(process.Ctx, process.Clock, process.Log, func() wire.NodeAgent { return clients.NodeAgent(settings.NodeAgent) },
+		settings.Bounds.Heal(updatePollRatio), nil, updatestream.OnSeedsChanged(member.SetSeeds))
+	process.Every(settings.Bounds.Heal(reportPollRatio), p.poll)
+	process.Go(func() { <-process.Draining; member.Leave() })
+	p.addMetrics()
+	mux := http.NewServeMux()
+	mux.Handle(wire.PromptIndexPathPrefix, p.node.Handler())
+	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(member))
+	if err := process.Serve(settings.Listen, mux); err != nil {
+		return err
+	}
+	process.Ready.Store(true)
+	return nil
+}
+
+func (p *reportPoller) addMetrics() {
+	p.node.addMetrics()
+	meter := p.node.process.Meter
+	meter.Counter("pebbleloom_index_evicted_total", "entries evicted for capacity", p.node.coreMetric(func(c *Core) float64 { return float64(c.Stats.Evicted) }))
+	meter.Gauge("pebbleloom_index_warm", "1 once every worker has reported everything it caches", p.node.coreMetric(func(c *Core) float64 {
+		if c.Warm() {
+			return 1
+		}
+		return 0
+	}))
+}
+
+// reshard assigns the keys again after the index nodes may have changed.
+func (p *reportPoller) reshard(nodes []*wire.Node) {
+	shards := NewShards(nodes)
+	if old := p.shards.Swap(shards); !shards.SameAssignment(old, p.node.name) {
+		p.node.actor.TrySend(func(c *Core) { c.Reshard() })
+	}
+}
+
+// poll polls every listed worker, and the stores, for what they cache. Each has at most one poll in flight.
+func (p *reportPoller) poll() {
+	snapshot := p.updates.Snapshot()
+	if snapshot == nil {
+		return
+	}
+	p.node.actor.Ask(func(c *Core) {
+		isListed := map[string]bool{}
+		for _, worker := range snapshot.Workers {
+			if worker.State == updatestream.WorkerGone || worker.Kind == "app" {
+				continue
+			}
+			isListed[worker.Name] = true
+			if !p.isPolling[worker.Name] {
+				p.isPolling[worker.Name] = true
+				go p.pollWorker(worker.Addr, c.NextReport(worker.Name, worker.Service))
+			}
+		}
+		for name := range p.isListed {
+			if !isListed[name] {
+				c.RemoveWorker(name)
+			}
+		}
+		p.isListed = isListed
+	})
+}
+
+// pollWorker makes one request to a worker and applies its response.
+func (p *reportPoller) pollWorker(addr string, request ReportRequest) {
+	process := p.node.process
+	ctx, cancel := context.WithTimeout(process.Ctx, process.Settings.Bounds.Heal(reportTimeoutRatio))
+	defer cancel()
+	response, err := p.backends.CachedPrefixes(ctx, addr, request.After, request.Full)
+	p.node.actor.Ask(func(c *Core) {
+		delete(p.isPolling, request.Name)
+		if err == nil {
+			c.ApplyReport(request, response, p.node.clock.Now())
+		}
+	})
+}
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -7,160 +7,173 @@
 	"sync"
 	"time"
 
-	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
 
+// shardCount is the number of shards: a key's first byte is its shard.
 const shardCount = 256
 
-// Shards maps each key to the two index nodes that hold it: the first by rendezvous hashing, and the
-// next one in another zone.
+// Shards assigns each key to two index nodes: the first by rendezvous hashing, and the next one in another
+// zone. It is immutable.
 type Shards struct {
-	nodes     [shardCount][2]string
-	addresses map[string]string
+	nodes     [shardCount][2]string // names; "": none
+	addresses map[string]string     // by name
 }
 
-// NewShards assigns the slots to the live index nodes.
+// NewShards assigns the shards to the live index nodes.
 //
 // Example: s := promptindex.NewShards(snapshot.Nodes)
 func NewShards(nodes []*wire.Node) *Shards {
 	s := &Shards{addresses: map[string]string{}}
-	dist := map[string]string{}
+	zones := map[string]string{}
 	var names []string
-	for _, n := range nodes {
-		if n.Role == clustermembership.RolePromptIndex && n.State < 2 {
-			names = append(names, n.Name)
-			s.addresses[n.Name], dist[n.Name] = n.Addr, n.Zone
+	for _, node := range nodes {
+		if isLive(node) {
+			names = append(names, node.Name)
+			s.addresses[node.Name], zones[node.Name] = node.Addr, node.Zone
 		}
 	}
 	sort.Strings(names)
-	for i := range s.nodes {
-		l := queue.Rendezvous(string([]byte{byte(i)}), names)
-		if len(l) == 0 {
+	for shard := range s.nodes {
+		ranked := queue.Rendezvous(string([]byte{byte(shard)}), names)
+		if len(ranked) == 0 {
 			continue
 		}
-		s.nodes[i][0] = l[0]
-		for _, n := range l[1:] {
-			if s.nodes[i][1] == "" || dist[s.nodes[i][1]] == dist[l[0]] && dist[n] != dist[l[0]] {
-				s.nodes[i][1] = n
+		first, second := ranked[0], ""
+		for _, name := range ranked[1:] {
+			if second == "" || zones[second] == zones[first] && zones[name] != zones[first] {
+				second = name
 			}
 		}
+		s.nodes[shard] = [2]string{first, second}
 	}
 	return s
 }
 
-// NodesOf returns the index nodes of a key.
+// NodesOf returns the names of the index nodes of a key; "" where there is none.
 //
-// Example: s.Holders(k)[0]
-func (s *Shards) NodesOf(k prefix.Key) [2]string { return s.nodes[k[0]] }
+// Example: first := s.NodesOf(key)[0]
+func (s *Shards) NodesOf(key prefix.Key) [2]string { return s.nodes[key[0]] }
 
-// IsAssigned reports whether a node holds a key.
+// IsAssigned reports whether a key is assigned to a node.
 //
-// Example: s.Holds("catalogue/edge-1", k)
-func (s *Shards) IsAssigned(name string, k prefix.Key) bool {
-	h := s.nodes[k[0]]
-	return h[0] == name || h[1] == name
+// Example: s.IsAssigned("catalogue/edge-1", key)
+func (s *Shards) IsAssigned(name string, key prefix.Key) bool { return s.isAssigned(name, int(key[0])) }
+
+func (s *Shards) isAssigned(name string, shard int) bool {
+	nodes := s.nodes[shard]
+	return nodes[0] == name || nodes[1] == name
 }
 
-// SameAssignment reports whether two layouts are the same for a node.
+// SameAssignment reports whether the same shards are assigned to a node; false if the other assignment is
+// nil.
 //
 // Example: if !old.SameAssignment(s, name) { core.Reshard() }
-func (s *Shards) SameAssignment(o *Shards, name string) bool {
-	if o == nil {
+func (s *Shards) SameAssignment(other *Shards, name string) bool {
+	if other == nil {
 		return false
 	}
-	for i := range s.nodes {
-		a := s.nodes[i][0] == name || s.nodes[i][1] == name
-		b := o.nodes[i][0] == name || o.nodes[i][1] == name
-		if a != b {
+	for shard := range s.nodes {
+		if s.isAssigned(name, shard) != other.isAssigned(name, shard) {
 			return false
 		}
 	}
 	return true
 }
 
-// Lookup looks keys up, one call per node, all at once. If a holder doesn't answer in time, or isn't
-// warm yet, the other one is asked; a missing shard never fails a request.
+// Addr returns the address of an index node; "" if it isn't live.
+//
+// Example: addr := s.Addr("catalogue/edge-1")
+func (s *Shards) Addr(name string) string { return s.addresses[name] }
+
+// Lookup looks keys up, one call per node, all at once. If a node doesn't respond in time, or isn't warm
+// yet, the other one of its keys is asked; a missing shard never fails a request. Each of the two attempts
+// waits no longer than wait.
 //
 // Example: found := s.Lookup(ctx, keys, clients.PromptIndex, 20*time.Millisecond)
-func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, call func(string) wire.PromptIndex, wait time.Duration) map[prefix.Key]*wire.LookupResult {
-	got := make(map[prefix.Key]*wire.LookupResult, len(keys))
-	sure := make(map[prefix.Key]bool, len(keys))
-	var mu sync.Mutex
-	for try := range 2 {
-		by := map[string][]prefix.Key{}
-		for _, k := range keys {
-			if h := s.nodes[k[0]][try]; !sure[k] && h != "" {
-				by[h] = append(by[h], k)
+func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, connect func(addr string) wire.PromptIndex, wait time.Duration) map[prefix.Key]*wire.LookupResult {
+	found := make(map[prefix.Key]*wire.LookupResult, len(keys))
+	isFinal := make(map[prefix.Key]bool, len(keys)) // a warm node has responded
+	var mu sync.Mutex                               // guards found and isFinal
+	for attempt := range 2 {
+		keysByNode := map[string][]prefix.Key{}
+		for _, key := range keys {
+			if node := s.NodesOf(key)[attempt]; !isFinal[key] && node != "" {
+				keysByNode[node] = append(keysByNode[node], key)
 			}
 		}
-		if len(by) == 0 {
+		if len(keysByNode) == 0 {
 			break
 		}
-		var wg sync.WaitGroup
-		one, end := context.WithTimeout(ctx, wait)
-		for n, ks := range by {
-			wg.Go(func() {
-				a := &wire.LookupRequest{}
-				for _, k := range ks {
-					a.Keys = append(a.Keys, k[:])
-				}
-				t, err := call(s.addresses[n]).Lookup(one, a)
-				if err != nil || len(t.Results) != len(ks) {
+		var calls sync.WaitGroup
+		callCtx, cancel := context.WithTimeout(ctx, wait)
+		for node, nodeKeys := range keysByNode {
+			calls.Go(func() {
+				response := lookUpAt(callCtx, connect(s.addresses[node]), nodeKeys)
+				if response == nil {
 					return // a miss
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				for i, k := range ks {
-					got[k], sure[k] = MergeFound(got[k], t.Results[i]), t.Warm
+				for i, key := range nodeKeys {
+					found[key], isFinal[key] = MergeFound(found[key], response.Results[i]), response.Warm
 				}
 			})
 		}
-		wg.Wait()
-		end()
+		calls.Wait()
+		cancel()
+	}
+	return found
+}
+
+// lookUpAt looks keys up at one index node; nil without a complete response.
+func lookUpAt(ctx context.Context, client wire.PromptIndex, keys []prefix.Key) *wire.LookupResponse {
+	request := &wire.LookupRequest{}
+	for _, key := range keys {
+		request.Keys = append(request.Keys, key[:])
 	}
-	return got
+	response, err := client.Lookup(ctx, request)
+	if err != nil || len(response.Results) != len(keys) {
+		return nil
+	}
+	return response
 }
 
-// MergeFound combines the findings of two index nodes; either may be nil.
+// MergeFound combines the results of two index nodes for a key; a may be nil. Where both know a holder, b's
+// certainty of it counts.
 //
-// Example: got[k] = promptindex.MergeFound(got[k], response.Found[i])
+// Example: found[key] = promptindex.MergeFound(found[key], response.Results[i])
 func MergeFound(a, b *wire.LookupResult) *wire.LookupResult {
 	if a == nil {
 		return b
 	}
-	f := &wire.LookupResult{Hotness: max(a.Hotness, b.Hotness), Holders: b.Holders}
-	for _, h := range a.Holders {
-		if !slices.ContainsFunc(b.Holders, func(x *wire.Holder) bool { return x.Worker == h.Worker }) {
-			f.Holders = append(f.Holders, h)
+	merged := &wire.LookupResult{Hotness: max(a.Hotness, b.Hotness), Holders: b.Holders}
+	for _, holder := range a.Holders {
+		if !slices.ContainsFunc(b.Holders, func(other *wire.Holder) bool { return other.Worker == holder.Worker }) {
+			merged.Holders = append(merged.Holders, holder)
 		}
 	}
-	return f
+	return merged
 }
 
-// Addr returns the address of an index node.
-//
-// Example: addr := s.Addr("catalogue/edge-1")
-func (s *Shards) Addr(name string) string { return s.addresses[name] }
-
-// MergeHot combines the hot entries that index nodes report. Two nodes hold each entry: the higher
-// count is taken. The result is sorted by key.
+// MergeHot combines the hot entries that index nodes report. Two nodes count each entry: the higher count
+// is used. The result is sorted by key.
 //
 // Example: hot := promptindex.MergeHot(responses)
 func MergeHot(responses []*wire.HottestResponse) []*wire.HotPrefix {
 	byKey := map[string]*wire.HotPrefix{}
-	for _, r := range responses {
-		for _, h := range r.Prefixes {
-			if old := byKey[string(h.Key)]; old == nil || old.Hotness < h.Hotness {
-				byKey[string(h.Key)] = h
+	for _, response := range responses {
+		for _, hot := range response.Prefixes {
+			if known := byKey[string(hot.Key)]; known == nil || known.Hotness < hot.Hotness {
+				byKey[string(hot.Key)] = hot
 			}
 		}
 	}
-	hot := make([]*wire.HotPrefix, 0, len(byKey))
-	for _, k := range queue.Keys(byKey) {
-		hot = append(hot, byKey[k])
+	merged := make([]*wire.HotPrefix, 0, len(byKey))
+	for _, key := range queue.Keys(byKey) {
+		merged = append(merged, byKey[key])
 	}
-	return hot
+	return merged
 }
--- a/internal/data/selection/loadsharing.go
+++ b/internal/data/selection/loadsharing.go
@@ -5,6 +5,7 @@
 	"math"
 	"time"
 
+	"pebbleloom/internal/data/promptindex"
 	"pebbleloom/internal/fleet"
 	"pebbleloom/internal/wire"
 )
@@ -77,16 +78,10 @@
 	return overdue, tokens
 }
 
-// isValidLoads reports whether all arrays of a report have one element for each worker in it.
-func isValidLoads(loads *wire.WorkerLoads) bool {
-	count := len(loads.WorkerIndexes)
-	return len(loads.InFlight) == count && len(loads.PendingPrefill) == count && len(loads.Successes) == count && len(loads.Failures) == count
-}
-
 // applyOthersLoads applies the loads of the other edge machines. They are ignored if they are on another
 // list of workers, or if no other edge machine reported any.
 func (t *table) applyOthersLoads(loads *wire.WorkerLoads, now time.Duration) {
-	if t.layout == nil || loads.WorkerListHash != t.layout.workerListHash || loads.Reporters == 0 || !isValidLoads(loads) {
+	if t.layout == nil || loads.WorkerListHash != t.layout.workerListHash || loads.Reporters == 0 || !promptindex.IsValidReport(loads) {
 		return
 	}
 	rows := make(map[uint32]int, len(loads.WorkerIndexes))
