--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -74,23 +74,38 @@
 	return p.Bounds
 }
 
-// Start makes this process a member of its site in a role, until ctx ends. client returns the client
-// of the member at an address. onChange, unless it is nil, is called with every changed view; it must
-// not block.
+// Config is what a member needs to join its site.
+type Config struct {
+	Process  settings.Process // names the node, its addresses, seeds and bounds
+	Role     string
+	Clock    clock.Clock // monotonic, and counts sleep
+	Log      hclog.Logger
+	Client   func(addr string) wire.Membership // of the member at an address
+	OnChange func(View)                        // called with every changed view, must not block; nil: not called
+}
+
+// Start makes this process a member of its site until ctx ends. The time of the start is the node's
+// incarnation.
 //
-// Example: m := clustermembership.Start(ctx, place, "runner", clock, log, client, nil)
-func Start(ctx context.Context, p settings.Process, role string, clk clock.Clock, log hclog.Logger,
-	client func(addr string) wire.Membership, onChange func(View)) *Member {
-	self := &wire.Node{Name: role + "/" + p.Name, Incarnation: uint64(clk.Now()), Role: role, Zone: p.Zone,
-		Addr: p.AdvertisedAddr(), Operator: p.Operator}
-	bounds := siteBounds(p)
+// Example: m := clustermembership.Start(ctx, clustermembership.Config{Process: process.Settings, Role: clustermembership.RoleNodeAgent, Clock: clk, Log: log, Client: clients.Membership})
+func Start(ctx context.Context, config Config) *Member {
+	process := config.Process
+	self := &wire.Node{
+		Name:        config.Role + "/" + process.Name,
+		Incarnation: uint64(config.Clock.Now()),
+		Role:        config.Role,
+		Zone:        process.Zone,
+		Addr:        process.AdvertisedAddr(),
+		Operator:    process.Operator,
+	}
+	bounds := siteBounds(process)
 	m := &Member{
-		actor:    queue.NewActor(New(bounds, self, p.Seeds), maxPendingCommands),
-		clock:    clk,
+		actor:    queue.NewActor(New(bounds, self, process.Seeds), maxPendingCommands),
+		clock:    config.Clock,
 		bounds:   bounds,
-		log:      log,
-		client:   client,
-		onChange: onChange,
+		log:      config.Log,
+		client:   config.Client,
+		onChange: config.OnChange,
 	}
 	m.actor.Ask(func(c *Core) { m.publish(c) })
 	go m.run(ctx)
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -71,7 +71,7 @@
 		period := siteBounds(process).Leave(heartbeatRatio)
 		for i := range nodes {
 			process.Name, process.Listen = strconv.Itoa(i), strconv.Itoa(i)
-			member := Start(ctx, process, RoleNodeAgent, clock.Synctest(), hclog.NewNullLogger(), network.client, nil)
+			member := Start(ctx, Config{Process: process, Role: RoleNodeAgent, Clock: clock.Synctest(), Log: hclog.NewNullLogger(), Client: network.client})
 			members = append(members, member)
 			network.add(process.Listen, member)
 			<-time.NewTimer(period / 4 / nodes).C
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -23,7 +23,13 @@
 // startMembership announces this node to the cluster membership.
 func (n *Node) startMembership() {
 	process := n.process
-	n.membership = clustermembership.Start(process.Ctx, process.Settings, roleName, process.Clock, process.Log, n.clients.Membership, nil)
+	n.membership = clustermembership.Start(process.Ctx, clustermembership.Config{
+		Process: process.Settings,
+		Role:    roleName,
+		Clock:   process.Clock,
+		Log:     process.Log,
+		Client:  n.clients.Membership,
+	})
 }
 
 // peerHandler serves the requests of other nodes.
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -86,7 +86,13 @@
 	}
 	process.OnStop(controller.backends.Close)
 	controller.holder = fmt.Sprintf("%s/%x", process.Settings.Name, controller.clock.Now())
-	controller.members = clustermembership.Start(process.Ctx, process.Settings, clustermembership.RolePlacementController, controller.clock, process.Log, controller.clients.Membership, nil)
+	controller.members = clustermembership.Start(process.Ctx, clustermembership.Config{
+		Process: process.Settings,
+		Role:    clustermembership.RolePlacementController,
+		Clock:   controller.clock,
+		Log:     process.Log,
+		Client:  controller.clients.Membership,
+	})
 	view := func() clustermembership.View { return controller.members.View() }
 	controller.store = controlclient.New(process.Settings.Core, view, controller.clients, bounds)
 	controller.updates = updatestream.Follow(process.Ctx, controller.clock, process.Log, controller.nodeAgent, bounds.Heal(updateWaitRatio), nil, updatestream.OnSeedsChanged(controller.members.SetSeeds))
--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -44,9 +44,16 @@
 func Start(process *daemon.Process, codec backend.Codec, role string) (*Agent, error) {
 	clients := daemon.NewClients(process)
 	a := newAgent(process, codec, clients.ControlNode)
-	a.member = clustermembership.Start(process.Ctx, process.Settings, role, process.Clock, process.Log, clients.Membership, func(view clustermembership.View) {
-		a.view.Store(&view)
-		a.actor.TrySend(a.updateMembership)
+	a.member = clustermembership.Start(process.Ctx, clustermembership.Config{
+		Process: process.Settings,
+		Role:    role,
+		Clock:   process.Clock,
+		Log:     process.Log,
+		Client:  clients.Membership,
+		OnChange: func(view clustermembership.View) {
+			a.view.Store(&view)
+			a.actor.TrySend(a.updateMembership)
+		},
 	})
 	process.OnSettingsChanged(func(changed settings.Process) { a.member.SetSeeds(changed.Seeds) })
 	process.Go(func() { <-process.Draining; a.member.Leave() })
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -88,8 +88,15 @@
 	members := controlclient.Members(0, process.Settings.Core)
 	a.actor = queue.NewActor(newTable(process), 1024)
 	process.OnStop(a.actor.Stop)
-	a.member = clustermembership.Start(process.Ctx, process.Settings, clustermembership.RoleNodeAgent, a.clock, process.Log, a.clients.Membership, func(view clustermembership.View) {
-		a.actor.TrySend(func(t *table) { t.membership = view; t.notifyListsChanged() })
+	a.member = clustermembership.Start(process.Ctx, clustermembership.Config{
+		Process: process.Settings,
+		Role:    clustermembership.RoleNodeAgent,
+		Clock:   a.clock,
+		Log:     process.Log,
+		Client:  a.clients.Membership,
+		OnChange: func(view clustermembership.View) {
+			a.actor.TrySend(func(t *table) { t.membership = view; t.notifyListsChanged() })
+		},
 	})
 	for _, member := range members {
 		process.Go(func() { a.followConfig(member) })
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -41,7 +41,14 @@
 	l.OnStop(n.actor.Stop)
 	l.OnStop(n.backends.Close)
 	calls := daemon.NewClients(l)
-	ros := clustermembership.Start(l.Ctx, l.Settings, clustermembership.RolePromptIndex, n.clock, l.Log, calls.Membership, func(v clustermembership.View) { n.reshard(v.Nodes) })
+	ros := clustermembership.Start(l.Ctx, clustermembership.Config{
+		Process:  l.Settings,
+		Role:     clustermembership.RolePromptIndex,
+		Clock:    n.clock,
+		Log:      l.Log,
+		Client:   calls.Membership,
+		OnChange: func(v clustermembership.View) { n.reshard(v.Nodes) },
+	})
 	n.updates = updatestream.Follow(l.Ctx, n.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Settings.NodeAgent) }, l.Settings.Bounds.Heal(1.0/24), nil, updatestream.OnSeedsChanged(ros.SetSeeds))
 	l.Every(l.Settings.Bounds.Heal(1.0/12), n.poll)
 	count := func(f func(*Core) float64) func() float64 {
