--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -44,8 +44,14 @@
 	}))
 	process.OnStop(p.backends.Close)
 	clients := daemon.NewClients(process)
-	member := clustermembership.Start(process.Ctx, settings, clustermembership.RolePromptIndex, process.Clock, process.Log, clients.Membership,
-		func(view clustermembership.View) { p.reshard(view.Nodes) })
+	member := clustermembership.Start(process.Ctx, clustermembership.Config{
+		Process:  settings,
+		Role:     clustermembership.RolePromptIndex,
+		Clock:    process.Clock,
+		Log:      process.Log,
+		Client:   clients.Membership,
+		OnChange: func(view clustermembership.View) { p.reshard(view.Nodes) },
+	})
 	p.updates = updatestream.Follow(process.Ctx, process.Clock, process.Log, func() wire.NodeAgent { return clients.NodeAgent(settings.NodeAgent) },
 		settings.Bounds.Heal(updatePollRatio), nil, updatestream.OnSeedsChanged(member.SetSeeds))
 	process.Every(settings.Bounds.Heal(reportPollRatio), p.poll)
