--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -40,23 +40,43 @@
 // before it begins; now is its own clock.
 //
 // Example: if reason := request.Refusal(incarnation, clock.Now()); reason != "" { reject(409, reason) }
-func (s *StartRequest) Refusal(incarnation string, now time.Duration) string {
+func (s *StartRequest) Refusal(incarnation string, now time.Duration) RejectionReason {
 	switch {
 	case s.Incarnation != "" && s.Incarnation != incarnation:
-		return "incarnation"
+		return OtherIncarnation
 	case s.BeginByUs > 0 && now.Microseconds() >= s.BeginByUs:
-		return "late"
+		return TooLate
 	}
 	return ""
 }
 
+// RejectionReason is why a worker rejected a request or an order. It is a string on the wire; a reader treats
+// those that it doesn't know like any other.
+type RejectionReason = string
+
+// Reasons for rejections.
+const (
+	Invalid          RejectionReason = "bad"
+	OtherWeights     RejectionReason = "weights"     // it has another version of the model's weights
+	OtherModel       RejectionReason = "model"       // it doesn't have the model
+	OtherAdapter     RejectionReason = "adapter"     // it doesn't have the adapter, or another build of it
+	OtherIncarnation RejectionReason = "incarnation" // another incarnation was meant
+	TooLate          RejectionReason = "late"        // BeginByUs has passed
+	Draining         RejectionReason = "draining"
+	QueueFull        RejectionReason = "full"
+	Fenced           RejectionReason = "fence" // of an order: it has seen a later fencing token
+	Stale            RejectionReason = "stale" // of an order: it has obeyed a later one
+	NoMemory         RejectionReason = "room"  // of an order: the weights don't fit
+	Busy             RejectionReason = "busy"  // of an order: requests use what it would unload
+)
+
 // Rejection is a worker's proof that a request wasn't executed. Without the request's id it is proof only
 // on a connection that has served no other request: it could be a surplus response to an earlier one.
 type Rejection struct {
-	RequestID    string `json:"request_id,omitempty"`
-	NotExecuted  bool   `json:"not_run"`
-	Reason       string `json:"reason"` // weights, draining, full, model, adapter, late, incarnation, bad; of an order: fence, stale, room, busy
-	FencingToken uint64 `json:"fence,omitempty"`
+	RequestID    string          `json:"request_id,omitempty"`
+	NotExecuted  bool            `json:"not_run"`
+	Reason       RejectionReason `json:"reason"`
+	FencingToken uint64          `json:"fence,omitempty"`
 }
 
 // Order is a command to a worker, under the fencing token of the lease that its sender holds.
