--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,26 +18,26 @@
 (on a platform site: any core machine, at its third internal port)
 
   pebblectl --node 127.10.1.1:8090 config get
-  pebblectl config apply --file config.json --if-epoch 7      whole configuration, only onto version 7
-  pebblectl config patch --file part.json                    partial configuration (null removes)
+  pebblectl config apply --file config.json --if-version 7    whole configuration, only onto version 7
+  pebblectl config patch --file part.json                     partial configuration (null removes)
   pebblectl config validate --file config.json                checked, not applied
   pebblectl config diff --file config.json                    what apply would change
   pebblectl config render --file site.tmpl.json --set weights=3 --overlay night.json
   pebblectl weights name --model lector --weights 4
   pebblectl keys revoke --tenant hotline --key KEY
-  pebblectl drain --worker worker-3         (--back takes it into use again)
-  pebblectl status                              exit code 1 when something is wrong
+  pebblectl drain --worker worker-3                           (--back takes it into use again)
+  pebblectl status                                            exit code 1 when something is wrong
   pebblectl nodes | pebblectl workers
   pebblectl placement show --service lector-main
-  pebblectl calendar write --file move.json     (check: without writing it)
+  pebblectl calendar write --file move.json                   (check: without writing it)
   pebblectl calendar list
-  pebblectl calendar pause --service lector-main --name spring     (resume, cancel, undo)
+  pebblectl calendar pause --service lector-main --name spring (resume, cancel, undo)
   pebblectl retire plan --file retirement.json  (--dry-run: without writing it)
-  pebblectl retire start --service lector-main --name spring       (pause, resume, abort)
-  pebblectl retire status                       exit code 1 when one needs an operator
+  pebblectl retire start --service lector-main --name spring  (pause, resume, abort)
+  pebblectl retire status                                     exit code 1 when one needs an operator
   pebblectl retire history
   pebblectl runbook list
-  pebblectl runbook run --name worker-gone --set worker=worker-3   (--dry-run, --resume RECORD, --yes)
+  pebblectl runbook run --name worker-gone --set worker=worker-3 (--dry-run, --resume RECORD, --yes)
   pebblectl explain --request r1
   pebblectl index lookup --model lector --tenant hotline --part "opening" --part "question"
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -121,6 +121,16 @@
 	}
 }
 
+// --if-epoch is --if-version by its first name.
+func TestFirstNameOfIfVersionSetsTheSame(t *testing.T) {
+	for _, flag := range []string{"--if-version", "--if-epoch", "-e"} {
+		inv := &invocation{ifVersion: -1}
+		if _, err := parseCommand([]string{"config", "apply", "--file", "-", flag, "7"}, inv); err != nil || inv.ifVersion != 7 {
+			t.Errorf("%s sets %d, %v", flag, inv.ifVersion, err)
+		}
+	}
+}
+
 // Commands that were renamed answer by their first names as before, and say what to use.
 func TestFirstNamesOfCommandsAnswerAsBefore(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -27,7 +27,7 @@
 	parser.String(&inv.keyFile, "", "operator-key", "file with the operators' key (or the key itself in PEBBLELOOM_KEY)")
 	parser.Bool(&inv.asJSON, "j", "json", "answer in JSON")
 	parser.String(&inv.file, "f", "file", "file to read (- for standard input)")
-	parser.Int64(&inv.ifVersion, "e", "if-epoch", "only onto this version")
+	parser.Int64(&inv.ifVersion, "e", "if-version", "only onto this version")
 	parser.String(&inv.token, "t", "token", "idempotency token of the change")
 	parser.String(&inv.model, "m", "model", "model")
 	parser.Int64(&inv.weights, "w", "weights", "version of the weights")
@@ -41,10 +41,11 @@
 	parser.String(&inv.resume, "", "resume", "the record to resume from")
 	parser.Bool(&inv.dryRun, "", "dry-run", "check only: no waiting, actions or prompts")
 	parser.Bool(&inv.assumeYes, "y", "yes", "confirm everything")
-	parser.StringSlice(&inv.overlays, "", "overlay", "with setup render: a partial configuration to merge in; repeatable")
+	parser.StringSlice(&inv.overlays, "", "overlay", "with config render: a partial configuration to merge in; repeatable")
 	parser.StringSlice(&inv.parameters, "", "set", "a parameter, name=value")
 	parser.String(&inv.request, "r", "request", "request id")
 	parser.StringSlice(&inv.parts, "p", "part", "prompt part, in order")
+	set.AddFirstNames(parser)
 	return parser
 }
 
--- a/internal/programs/programs.go
+++ b/internal/programs/programs.go
@@ -55,6 +55,19 @@
 // Example: for _, c := range programs.Commands() { fmt.Println(c.First, "is now", c.Name) }
 func Commands() []Renamed { return []Renamed{{"config", "setup"}} }
 
+// Flags lists the flags that were renamed, without their dashes: the first names still do the same.
+//
+// Example: for _, f := range programs.Flags() { fmt.Println("--"+f.First, "is now", "--"+f.Name) }
+func Flags() []Renamed {
+	return []Renamed{
+		{"zone", "district"},
+		{"node-agent", "runner"},
+		{"worker-list", "rank"},
+		{"options", "extra"},
+		{"if-version", "if-epoch"},
+	}
+}
+
 // FirstName is the name that a program had first; its own if it was never renamed.
 //
 // Example: programs.FirstName("control-node") == "archive"
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -2,11 +2,13 @@
 
 import (
 	"os"
+	"slices"
 	"strings"
 
 	"github.com/integrii/flaggy"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 )
 
 // flagValues are the values of a command line; empty where a flag wasn't given.
@@ -19,16 +21,38 @@
 func (f *flagValues) register(parser *flaggy.Parser) {
 	parser.String(&f.file, "s", "settings", "settings file (JSON)")
 	parser.String(&f.Name, "n", "name", "name of the machine or worker")
-	parser.String(&f.Zone, "d", "district", "zone that it runs in")
+	parser.String(&f.Zone, "d", "zone", "zone that it runs in")
 	parser.String(&f.Listen, "l", "listen", "own address (IP:port) towards pebbleloom's processes")
 	parser.String(&f.Public, "p", "public", "own address (IP:port) towards clients")
 	parser.String(&f.Operator, "o", "operator", "own address (IP:port) towards operators")
 	parser.String(&f.seeds, "", "seeds", "three seeds, joined by commas")
 	parser.String(&f.core, "", "core", "names of the core machines, joined by commas")
 	parser.String(&f.Data, "", "data", "data folder")
-	parser.String(&f.NodeAgent, "", "runner", "address of the node agent beside it")
-	parser.String(&f.WorkerList, "", "rank", "address where the platform lists workers")
-	parser.String(&f.options, "", "extra", "the program's own options, key=value joined by commas")
+	parser.String(&f.NodeAgent, "", "node-agent", "address of the node agent beside it")
+	parser.String(&f.WorkerList, "", "worker-list", "address where the platform lists workers")
+	parser.String(&f.options, "", "options", "the program's own options, key=value joined by commas")
+	AddFirstNames(parser)
+}
+
+// AddFirstNames declares the flags of a parser that were renamed under their first names, too. These do
+// the same as before; --help doesn't show them.
+//
+// Example: settings.AddFirstNames(parser)
+func AddFirstNames(parser *flaggy.Parser) {
+	for _, flag := range slices.Clone(parser.Flags) {
+		for _, renamed := range programs.Flags() {
+			if flag.LongName != renamed.Name {
+				continue
+			}
+			switch value := flag.AssignmentVar.(type) {
+			case *string:
+				parser.String(value, "", renamed.First, "now --"+renamed.Name)
+			case *int64:
+				parser.Int64(value, "", renamed.First, "now --"+renamed.Name)
+			}
+			parser.Flags[len(parser.Flags)-1].Hidden = true
+		}
+	}
 }
 
 // override replaces the settings whose flags were given.
