--- /dev/null
+++ b/internal/control/storage/disk_test.go
@@ -0,0 +1,54 @@
+package storage
+
+import (
+	"bytes"
+	"errors"
+)
+
+// noLimit is the write budget of a disk whose power isn't lost.
+const noLimit = -1
+
+var errPowerLost = errors.New("power lost")
+
+// memoryDisk is a disk in memory whose power is lost after writeBudget bytes were written.
+type memoryDisk struct {
+	files       map[string][]byte
+	writeBudget int
+}
+
+func newMemoryDisk(writeBudget int) *memoryDisk {
+	return &memoryDisk{files: map[string][]byte{}, writeBudget: writeBudget}
+}
+
+func (d *memoryDisk) Read(name string) ([]byte, bool, error) {
+	content, exists := d.files[name]
+	return bytes.Clone(content), exists, nil
+}
+
+func (d *memoryDisk) Write(name string, content []byte) error {
+	if d.writeBudget == 0 {
+		return errPowerLost
+	}
+	d.files[name] = nil
+	return d.Append(name, content)
+}
+
+func (d *memoryDisk) Append(name string, content []byte) error {
+	if d.writeBudget != noLimit && len(content) > d.writeBudget {
+		d.files[name], d.writeBudget = append(d.files[name], content[:d.writeBudget]...), 0
+		return errPowerLost
+	}
+	d.files[name] = append(d.files[name], content...)
+	if d.writeBudget != noLimit {
+		d.writeBudget -= len(content)
+	}
+	return nil
+}
+
+func (d *memoryDisk) Truncate(name string, size int) error {
+	if size > len(d.files[name]) {
+		return errors.New("truncated beyond the end")
+	}
+	d.files[name] = d.files[name][:size]
+	return nil
+}
--- /dev/null
+++ b/internal/control/storage/format.go
@@ -0,0 +1,149 @@
+package storage
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+
+	"google.golang.org/protobuf/proto"
+
+	"pebbleloom/internal/wire"
+)
+
+// The formats of the files. Integers are little-endian, checksums CRC-32C.
+//
+//	snapshot: magic (4 bytes), generation (8), wire.Snapshot, checksum of all that precedes it (4)
+//	log:      magic (4), generation (8), number of initial records (4), checksum of these (4), records
+//	record:   size of the body (4), checksum of the size (4), checksum of the body (4), body: wire.Record
+const (
+	// formatMagic marks the format of both kinds of file ("PBL1"). A later format gets another one.
+	formatMagic = 0x50424c31
+
+	logHeaderBytes        = 20
+	recordHeaderBytes     = 12
+	snapshotHeaderBytes   = 12
+	snapshotChecksumBytes = 4
+
+	// maxRecordBytes bounds the body of a record. A larger size is a sign of corruption.
+	maxRecordBytes = 16 << 20
+)
+
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
+
+func checksum(content []byte) uint32 { return crc32.Checksum(content, castagnoliTable) }
+
+// logHeader is the header of a log.
+type logHeader struct {
+	generation     uint64 // of the snapshot that the log continues
+	initialRecords int    // number of records that were written together with the header
+}
+
+// encodeSnapshot returns the content of a snapshot file. A snapshot may be large: it is copied once.
+func encodeSnapshot(snapshot *wire.Snapshot, generation uint64) ([]byte, error) {
+	content := make([]byte, snapshotHeaderBytes, snapshotHeaderBytes+proto.Size(snapshot)+snapshotChecksumBytes)
+	binary.LittleEndian.PutUint32(content, formatMagic)
+	binary.LittleEndian.PutUint64(content[4:], generation)
+	content, err := proto.MarshalOptions{}.MarshalAppend(content, snapshot)
+	if err != nil {
+		return nil, err
+	}
+	return binary.LittleEndian.AppendUint32(content, checksum(content)), nil
+}
+
+// decodeSnapshot returns the snapshot in a file and its generation; nil and 0 if the file is incomplete or
+// corrupted.
+func decodeSnapshot(content []byte) (*wire.Snapshot, uint64) {
+	if len(content) < snapshotHeaderBytes+snapshotChecksumBytes || binary.LittleEndian.Uint32(content) != formatMagic {
+		return nil, 0
+	}
+	end := len(content) - snapshotChecksumBytes
+	if checksum(content[:end]) != binary.LittleEndian.Uint32(content[end:]) {
+		return nil, 0
+	}
+	snapshot := &wire.Snapshot{}
+	if proto.Unmarshal(content[snapshotHeaderBytes:end], snapshot) != nil {
+		return nil, 0
+	}
+	return snapshot, binary.LittleEndian.Uint64(content[4:])
+}
+
+func encodeLogHeader(generation uint64, initialRecords int) []byte {
+	header := make([]byte, logHeaderBytes)
+	binary.LittleEndian.PutUint32(header, formatMagic)
+	binary.LittleEndian.PutUint64(header[4:], generation)
+	binary.LittleEndian.PutUint32(header[12:], uint32(initialRecords))
+	binary.LittleEndian.PutUint32(header[16:], checksum(header[:16]))
+	return header
+}
+
+// decodeLogHeader returns the header of a log; false if it is incomplete or corrupted.
+func decodeLogHeader(content []byte) (logHeader, bool) {
+	if len(content) < logHeaderBytes || binary.LittleEndian.Uint32(content) != formatMagic ||
+		checksum(content[:16]) != binary.LittleEndian.Uint32(content[16:]) {
+		return logHeader{}, false
+	}
+	return logHeader{
+		generation:     binary.LittleEndian.Uint64(content[4:]),
+		initialRecords: int(binary.LittleEndian.Uint32(content[12:])),
+	}, true
+}
+
+// encodeRecords returns records as they are stored in a log.
+func encodeRecords(records []*wire.Record) []byte {
+	var content []byte
+	for _, record := range records {
+		body, err := proto.Marshal(record)
+		if err != nil {
+			panic("storage: a record can't be marshalled: " + err.Error())
+		}
+		header := make([]byte, recordHeaderBytes)
+		binary.LittleEndian.PutUint32(header, uint32(len(body)))
+		binary.LittleEndian.PutUint32(header[4:], checksum(header[:4]))
+		binary.LittleEndian.PutUint32(header[8:], checksum(body))
+		content = append(append(content, header...), body...)
+	}
+	return content
+}
+
+// decodeRecord returns the record at the beginning of content, and its size; nil and 0 if it is incomplete or
+// corrupted.
+func decodeRecord(content []byte) (record *wire.Record, size int) {
+	if len(content) < recordHeaderBytes || checksum(content[:4]) != binary.LittleEndian.Uint32(content[4:]) {
+		return nil, 0
+	}
+	end := recordHeaderBytes + int(binary.LittleEndian.Uint32(content))
+	if end > recordHeaderBytes+maxRecordBytes || len(content) < end || checksum(content[recordHeaderBytes:end]) != binary.LittleEndian.Uint32(content[8:]) {
+		return nil, 0
+	}
+	record = &wire.Record{}
+	if proto.Unmarshal(content[recordHeaderBytes:end], record) != nil {
+		return nil, 0
+	}
+	return record, end
+}
+
+// logScan is what can be decoded of a log.
+type logScan struct {
+	records   []*wire.Record
+	end       int  // offset after the last of records
+	corrupted bool // complete records follow what can't be decoded
+}
+
+// scanLog decodes the records of a log up to the first one that is incomplete. An append that was interrupted leaves
+// such a record at the end; if complete records follow it, the log is corrupted.
+func scanLog(content []byte) logScan {
+	var scan logScan
+	for scan.end < len(content) {
+		record, size := decodeRecord(content[scan.end:])
+		if size == 0 {
+			break
+		}
+		scan.records, scan.end = append(scan.records, record), scan.end+size
+	}
+	for offset := scan.end + 1; offset < len(content); offset++ {
+		if record, size := decodeRecord(content[offset:]); size > recordHeaderBytes && record.Kind != nil {
+			scan.corrupted = true
+			break
+		}
+	}
+	return scan
+}
