--- /dev/null
+++ b/internal/clock/clock_test.go
@@ -0,0 +1,44 @@
+package clock
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestBootTimeDoesNotGoBack(t *testing.T) {
+	boot := BootTime()
+	for last, n := time.Duration(0), 0; n < 1000; n++ {
+		now := boot.Now()
+		if now < last {
+			t.Fatalf("%v after %v", now, last)
+		}
+		last = now
+	}
+}
+
+func TestSleepEndsWithItsContext(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		clk := Synctest()
+		start := clk.Now()
+		Sleep(context.Background(), time.Minute)
+		if slept := clk.Now() - start; slept != time.Minute {
+			t.Errorf("slept %v", slept)
+		}
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		Sleep(ctx, time.Minute)
+		if slept := clk.Now() - start; slept != time.Minute {
+			t.Errorf("slept %v after the context had ended", slept-time.Minute)
+		}
+	})
+}
+
+func TestTickerAcceptsAnIntervalOfZero(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ticker := NewTicker(0)
+		defer ticker.Stop()
+		<-ticker.C
+	})
+}
--- /dev/null
+++ b/internal/queue/queue_test.go
@@ -0,0 +1,69 @@
+package queue
+
+import (
+	"slices"
+	"testing"
+	"testing/synctest"
+)
+
+func TestFullRingRejects(t *testing.T) {
+	ring := NewRing[int](2)
+	if !ring.Offer(1) || !ring.Offer(2) || ring.Offer(3) {
+		t.Fatal("a ring of two accepts two items")
+	}
+	if drained := ring.Drain(5); !slices.Equal(drained, []int{1, 2}) || ring.Len() != 0 {
+		t.Fatalf("drained %v, %d left", drained, ring.Len())
+	}
+}
+
+func TestDrainLeavesWhatExceedsItsLimit(t *testing.T) {
+	ring := NewRing[int](3)
+	for item := range 3 {
+		ring.Offer(item)
+	}
+	if drained := ring.Drain(2); !slices.Equal(drained, []int{0, 1}) || ring.Len() != 1 {
+		t.Fatalf("drained %v, %d left", drained, ring.Len())
+	}
+}
+
+func TestActorRunsCommandsInOrder(t *testing.T) {
+	var table []int
+	actor := NewActor(&table, 4)
+	defer actor.Stop()
+	for item := range 3 {
+		if !actor.TrySend(func(table *[]int) { *table = append(*table, item) }) {
+			t.Fatal("a command is rejected although the queue has room")
+		}
+	}
+	var seen []int
+	if !actor.Ask(func(table *[]int) { seen = slices.Clone(*table) }) || !slices.Equal(seen, []int{0, 1, 2}) {
+		t.Fatalf("the table is %v", seen)
+	}
+}
+
+func TestAskFailsOnAStoppedActor(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		actor := NewActor(new(int), 1)
+		actor.Stop()
+		actor.Stop()
+		synctest.Wait() // for the end of its goroutine
+		if actor.Ask(func(*int) {}) {
+			t.Fatal("a command has run after Stop")
+		}
+	})
+}
+
+// A name that is removed moves only the keys that it was first for.
+func TestRendezvousMovesOnlyKeysOfARemovedName(t *testing.T) {
+	names := []string{"a", "b", "c", "d"}
+	for _, key := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
+		ordered := Rendezvous(key, names)
+		for _, removed := range names {
+			rest := Rendezvous(key, slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == removed }))
+			want := slices.DeleteFunc(slices.Clone(ordered), func(name string) bool { return name == removed })
+			if !slices.Equal(rest, want) {
+				t.Fatalf("key %s without %s: %v, want %v", key, removed, rest, want)
+			}
+		}
+	}
+}
