--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -281,7 +281,7 @@
 		svc.document = nil // read it again before the next attempt
 		return errs.Wrap(err, "publish placement")
 	}
-	p.Epoch = t.Version
+	p.Version = t.Version
 	svc.document, svc.placement = &wire.Document{Body: body, Version: t.Version}, p
 	c.process.Log.Info("placement", "service", name, "epoch", t.Version, "fence", fence, "replicated", len(p.Replicated),
 		"entries", p.Entries, "r_max", p.RMax, "b", p.FetchBandwidth, "why", p.Reason)
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -173,8 +173,8 @@
 }
 
 func (b *testProxy) ask(id string, once bool) loadgen.Outcome {
-	q := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
-	return loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
+	q := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, WaitMs: 5000, Once: once}
+	return loadgen.NewClient([]string{b.edge.Listener.Addr().String()}).Send(context.Background(), 0, q)
 }
 
 // A worker dies, refuses or misbehaves at every step of an attempt, and the other worker is well
@@ -206,16 +206,16 @@
 			if once {
 				want, starts = c.once, c.starts
 			}
-			got := o.Denied
+			got := o.Rejected
 			if o.Sealed {
 				got = "sealed"
-			} else if o.Broken != "" {
+			} else if o.Interrupted != "" {
 				got = "broken"
 			}
 			if got != want || b.attemptsStarted("r") != starts || len(o.Faults) > 0 {
 				t.Errorf("%s, once %v: %s after %d starts, want %s after %d; faults %v, %s", c.mode, once, got, b.attemptsStarted("r"), want, starts, o.Faults, o.Message)
 			}
-			if strings.HasPrefix(got, "not") && o.BackMs <= 0 {
+			if strings.HasPrefix(got, "not") && o.RetryAfterMs <= 0 {
 				t.Errorf("%s, once %v: no time to come back", c.mode, once)
 			}
 		}
@@ -241,12 +241,12 @@
 	if o := b.ask("r", true); !o.Sealed {
 		t.Fatalf("%+v", o)
 	}
-	if o := b.ask("r", true); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
+	if o := b.ask("r", true); o.Rejected != "may-have-run" || b.attemptsStarted("r") != 1 {
 		t.Errorf("%+v after %d starts", o, b.attemptsStarted("r"))
 	}
 	b = newTestProxy(t, "refuse")
 	for range 2 {
-		if o := b.ask("r", true); o.Denied != "not-run" {
+		if o := b.ask("r", true); o.Rejected != "not-run" {
 			t.Errorf("%+v", o)
 		}
 	}
@@ -270,7 +270,7 @@
 	} {
 		b := newTestProxy(t, "well")
 		c.do(b)
-		if o := b.ask("r", true); o.Denied != c.kind || b.attemptsStarted("r") > 0 {
+		if o := b.ask("r", true); o.Rejected != c.kind || b.attemptsStarted("r") > 0 {
 			t.Errorf("%s: %+v after %d starts", name, o, b.attemptsStarted("r"))
 		}
 	}
@@ -301,8 +301,8 @@
 			change(&s)
 			b.snapshot = &s
 		}
-		if o := b.ask("r", false); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
-			t.Errorf("%s: %s (%s) after %d starts", name, o.Denied, o.Message, b.attemptsStarted("r"))
+		if o := b.ask("r", false); o.Rejected != "may-have-run" || b.attemptsStarted("r") != 1 {
+			t.Errorf("%s: %s (%s) after %d starts", name, o.Rejected, o.Message, b.attemptsStarted("r"))
 		}
 	}
 }
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -65,8 +65,8 @@
 		}
 		return b.snapshot
 	})
-	if o := b.ask("r", true); o.Denied != "not-run" || looks <= 10 {
-		t.Errorf("denied as %s after %d looks", o.Denied, looks)
+	if o := b.ask("r", true); o.Rejected != "not-run" || looks <= 10 {
+		t.Errorf("denied as %s after %d looks", o.Rejected, looks)
 	}
 }
 
@@ -77,9 +77,9 @@
 	b.proxy.traffic.Ask(func(g *trafficTable) { g.worker("w0").attempts, g.meanAttemptUs = 40, 1000 })
 	b.snapshot.ProofAt = b.clock.Now() - settings.DefaultBounds().Config(0.799)
 	b.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
-	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
-	o := loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
-	if o.Denied != "not-run" || b.attemptsStarted("r") > 0 {
-		t.Errorf("%s %s", o.Denied, o.Message)
+	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Chunks: 5, WaitMs: 60, Once: true}
+	o := loadgen.NewClient([]string{b.edge.Listener.Addr().String()}).Send(context.Background(), 0, q)
+	if o.Rejected != "not-run" || b.attemptsStarted("r") > 0 {
+		t.Errorf("%s %s", o.Rejected, o.Message)
 	}
 }
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -282,7 +282,7 @@
 	x := Decision{Request: id, Worker: c.Worker.Name, Config: s.ConfigVersion, Hit: c.HitTokens, Fetch: c.FetchTokens, WaitUs: c.WaitUs, CostUs: c.CostUs, Hot: c.Hot, Home: c.PreferredWorker, SaveTo: c.SaveAddrs,
 		Session: c.Session, Fetches: c.FetchFrom, Machine: d.process.Settings.Name}
 	if p := s.Placements[c.Worker.Service]; p != nil {
-		x.Placement = p.Epoch
+		x.Placement = p.Version
 	}
 	body, err := json.Marshal(x)
 	if err == nil {
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	for _, d := range t.Placements {
-		if old != nil && old.Placements[d.Key] != nil && old.Placements[d.Key].Epoch == d.Version {
+		if old != nil && old.Placements[d.Key] != nil && old.Placements[d.Key].Version == d.Version {
 			s.Placements[d.Key] = old.Placements[d.Key]
 			continue
 		}
--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/table.go
@@ -39,96 +39,96 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-var starts = map[string]func(*daemon.Process) error{programs.ControlNode: controlstate.Start, programs.PlacementController: placementcontroller.Start, programs.NodeAgent: nodeagent.Start,
+var programStarts = map[string]func(*daemon.Process) error{programs.ControlNode: controlstate.Start, programs.PlacementController: placementcontroller.Start, programs.NodeAgent: nodeagent.Start,
 	programs.PromptIndex: promptindex.Start, programs.Proxy: callerproxy.Start, programs.WorkerSim: workersim.Start, programs.AppServiceSim: appservicesim.Start, programs.StoreSim: storesim.Start, programs.PlatformSim: platformsim.Start}
 
-// Table is the ground of a site on virtual time.
-type Table struct {
+// Cluster is the ground of a site on virtual time.
+type Cluster struct {
 	*testbed.Links
-	seed     uint64
-	begin    time.Time
-	patience time.Duration // of one that connects
-	wg       sync.WaitGroup
-	mu       sync.Mutex
-	procs    map[string]*proc
-	lives    int
-	machines map[string]*machine
-	hosts    map[netip.Addr]string // machine by address
-	doors    map[string]*listener
-	files    map[string]*file
-	people   *proc               // callers and operators
-	tamper   func([]byte) []byte // what people read is changed on its way: a planted fault
+	seed            uint64
+	begin           time.Time
+	dialTimeout     time.Duration // of one that connects
+	wg              sync.WaitGroup
+	mu              sync.Mutex
+	processes       map[string]*proc
+	starts          int
+	machines        map[string]*machine
+	hosts           map[netip.Addr]string // machine by address
+	listeners       map[string]*listener
+	files           map[string]*file
+	outside         *proc               // callers and operators
+	tamperWithReads func([]byte) []byte // what people read is changed on its way: a planted fault
 }
 
 type file struct {
-	mu sync.Mutex
-	b  []byte
+	mu   sync.Mutex
+	data []byte
 }
 
 // machine has what its processes share: clocks and a disk.
 type machine struct {
-	name   string
-	begin  time.Time
-	base   time.Duration // since it booted
-	drift  float64
-	mu     sync.Mutex
-	jump   time.Duration // of the wall
-	bad    string        // what its disk suffers from
-	disk   map[string][]byte
-	writer map[string]*proc // whose life wrote a file last
+	name          string
+	begin         time.Time
+	bootOffset    time.Duration // since it booted
+	drift         float64
+	mu            sync.Mutex
+	wallClockJump time.Duration // of the wall
+	diskFault     string        // what its disk suffers from
+	disk          map[string][]byte
+	lastWriter    map[string]*proc // whose life wrote a file last
 }
 
 // New lays a table for a site.
 //
 // Example: t := tabletop.New(7, site); defer t.Down()
-func New(seed uint64, s *testbed.Site) *Table {
-	t := &Table{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), patience: settings.DefaultBounds().Leave(1.0 / 3), procs: map[string]*proc{},
-		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, doors: map[string]*listener{}, files: map[string]*file{}}
-	t.people = newProc(t, testbed.Process{}, t.machine("people"), seed)
-	for _, p := range s.Processes {
-		t.stands(p)
+func New(seed uint64, site *testbed.Site) *Cluster {
+	cluster := &Cluster{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), dialTimeout: settings.DefaultBounds().Leave(1.0 / 3), processes: map[string]*proc{},
+		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, listeners: map[string]*listener{}, files: map[string]*file{}}
+	cluster.outside = newProc(cluster, testbed.Process{}, cluster.machine("people"), seed)
+	for _, p := range site.Processes {
+		cluster.machineOf(p)
 	}
-	return t
+	return cluster
 }
 
-func (t *Table) machine(name string) *machine {
-	m := t.machines[name]
+func (c *Cluster) machine(name string) *machine {
+	m := c.machines[name]
 	if m == nil {
-		r := rand.New(rand.NewPCG(t.seed, queue.Hash(name)))
-		m = &machine{name: name, begin: t.begin, base: time.Duration(1+r.Int64N(3600*100)) * time.Second, drift: (r.Float64() - 0.5) / 5000,
-			disk: map[string][]byte{}, writer: map[string]*proc{}}
-		t.machines[name] = m
+		r := rand.New(rand.NewPCG(c.seed, queue.Hash(name)))
+		m = &machine{name: name, begin: c.begin, bootOffset: time.Duration(1+r.Int64N(3600*100)) * time.Second, drift: (r.Float64() - 0.5) / 5000,
+			disk: map[string][]byte{}, lastWriter: map[string]*proc{}}
+		c.machines[name] = m
 	}
 	return m
 }
 
-// stands notes which addresses a machine has.
-func (t *Table) stands(p testbed.Process) *machine {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, a := range []string{p.Place.Listen, p.Place.Public, p.Place.Operator} {
+// machineOf notes which addresses a machine has.
+func (c *Cluster) machineOf(p testbed.Process) *machine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, a := range []string{p.Settings.Listen, p.Settings.Public, p.Settings.Operator} {
 		if x, err := netip.ParseAddrPort(a); err == nil {
-			t.hosts[x.Addr()] = p.Place.Name
+			c.hosts[x.Addr()] = p.Settings.Name
 		}
 	}
-	return t.machine(p.Place.Name)
+	return c.machine(p.Settings.Name)
 }
 
 func (m *machine) now() time.Duration {
 	d := time.Since(m.begin)
-	return m.base + d + time.Duration(float64(d)*m.drift)
+	return m.bootOffset + d + time.Duration(float64(d)*m.drift)
 }
 
 func (m *machine) wall() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Now().Add(m.jump)
+	return time.Now().Add(m.wallClockJump)
 }
 
 func (m *machine) fault() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.bad
+	return m.diskFault
 }
 
 func (m *machine) read(folder, name string) ([]byte, bool) {
@@ -142,11 +142,11 @@
 func (m *machine) write(p *proc, folder, name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := folder + "/" + name
-	if w := m.writer[k]; w != nil && w != p && done(p.dead) {
+	key := folder + "/" + name
+	if last := m.lastWriter[key]; last != nil && last != p && isClosed(p.dead) {
 		return
 	}
-	m.disk[k], m.writer[k] = change(m.disk[k]), p
+	m.disk[key], m.lastWriter[key] = change(m.disk[key]), p
 }
 
 func (m *machine) ip(p settings.Process) netip.Addr {
@@ -156,28 +156,28 @@
 	return netip.MustParseAddr("127.0.0.1")
 }
 
-func (t *Table) rule(from, to string) (testbed.Rule, <-chan struct{}) {
-	r, c := t.At(from, to)
+func (c *Cluster) linkRule(from, to string) (testbed.LinkRule, <-chan struct{}) {
+	r, c := c.RuleBetween(from, to)
 	if from == to || from == "people" || to == "people" {
-		r = testbed.Rule{} // loopback, and those outside
+		r = testbed.LinkRule{} // loopback, and those outside
 	}
 	return r, c
 }
 
-func (t *Table) machineAt(a netip.Addr) string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.hosts[a]
+func (c *Cluster) machineAt(a netip.Addr) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hosts[a]
 }
 
 // delay is one way's: districts are a millisecond apart.
-func (t *Table) delay(m *machine, to, addr string) time.Duration {
+func (c *Cluster) delay(m *machine, to, addr string) time.Duration {
 	if m.name == to {
 		return 20 * time.Microsecond
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for a, n := range t.hosts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for a, n := range c.hosts {
 		if n == m.name && strings.Split(a.String(), ".")[2] == strings.Split(addr, ".")[2] {
 			return 200 * time.Microsecond
 		}
@@ -185,64 +185,64 @@
 	return time.Millisecond
 }
 
-func (t *Table) listen(addr string, l *listener) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.doors[addr] != nil {
+func (c *Cluster) listen(addr string, l *listener) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.listeners[addr] != nil {
 		return false
 	}
-	t.doors[addr] = l
+	c.listeners[addr] = l
 	return true
 }
 
-func (t *Table) unlisten(l *listener) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.doors[l.addr.String()] == l {
-		delete(t.doors, l.addr.String())
+func (c *Cluster) unlisten(l *listener) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.listeners[l.addr.String()] == l {
+		delete(c.listeners, l.addr.String())
 	}
 }
 
-func (t *Table) door(addr string) *listener {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.doors[addr]
+func (c *Cluster) listenerAt(addr string) *listener {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.listeners[addr]
 }
 
-func (t *Table) file(name string) *file {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.files[name] == nil {
-		t.files[name] = &file{}
+func (c *Cluster) file(name string) *file {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.files[name] == nil {
+		c.files[name] = &file{}
 	}
-	return t.files[name]
+	return c.files[name]
 }
 
 // Start begins a life of a process.
 //
 // Example: err := t.Start(process)
-func (t *Table) Start(q testbed.Process) error {
-	m := t.stands(q)
-	t.mu.Lock()
-	if o := t.procs[q.Name]; o != nil && !done(o.dead) {
-		t.mu.Unlock()
-		return errs.New(errs.Internal, "%s runs already", q.Name)
+func (c *Cluster) Start(process testbed.Process) error {
+	machine := c.machineOf(process)
+	c.mu.Lock()
+	if running := c.processes[process.Name]; running != nil && !isClosed(running.dead) {
+		c.mu.Unlock()
+		return errs.New(errs.Internal, "%s runs already", process.Name)
 	}
-	t.lives++
-	p := newProc(t, q, m, t.seed^queue.Hash(fmt.Sprint(q.Name, t.lives)))
-	t.procs[q.Name] = p
-	t.mu.Unlock()
-	place := q.Place
+	c.starts++
+	proc := newProc(c, process, machine, c.seed^queue.Hash(fmt.Sprint(process.Name, c.starts)))
+	c.processes[process.Name] = proc
+	c.mu.Unlock()
+	place := process.Settings
 	level := "off"
 	if v := os.Getenv("TABLE_LOG"); v != "" {
 		level = v
 	}
 	place.Options = append([]string{"log=" + level}, place.Options...)
-	p.life = daemon.NewIn(p.world(), q.Program, place)
-	t.wg.Go(func() {
-		defer close(p.started)
-		if err := starts[q.Program](p.life); err != nil {
-			p.life.Log.Error("start failed", "error", errs.Text(err))
+	proc.daemon = daemon.NewIn(proc.environment(), process.Program, place)
+	c.wg.Go(func() {
+		defer close(proc.started)
+		if err := programStarts[process.Program](proc.daemon); err != nil {
+			proc.daemon.Log.Error("start failed", "error", errs.Text(err))
 		}
 	})
 	return nil
@@ -251,77 +251,77 @@
 // Signal does to a process what its machine would.
 //
 // Example: err := t.Signal("cab-3", syscall.SIGKILL)
-func (t *Table) Signal(name string, s syscall.Signal) error {
-	t.mu.Lock()
-	p := t.procs[name]
-	t.mu.Unlock()
+func (c *Cluster) Signal(name string, s syscall.Signal) error {
+	c.mu.Lock()
+	p := c.processes[name]
+	c.mu.Unlock()
 	if p == nil {
 		return errs.New(errs.NotFound, "process %q", name)
 	}
-	if done(p.dead) {
+	if isClosed(p.dead) {
 		return errs.New(errs.Internal, "%s has ended", name)
 	}
 	switch s {
 	case syscall.SIGSTOP, syscall.SIGCONT:
 		p.freeze(s == syscall.SIGSTOP)
 	case syscall.SIGTERM:
-		t.end(p, p.p.Place.Bounds.Leave(1))
+		c.stopGracefully(p, p.process.Settings.Bounds.Leave(1))
 	case syscall.SIGKILL:
-		p.die()
-		t.end(p, 0)
+		p.kill()
+		c.stopGracefully(p, 0)
 	}
 	return nil
 }
 
-// end lets a life's threads wind up; once they have, the process is gone.
-func (t *Table) end(p *proc, grace time.Duration) {
-	p.stop.Do(func() {
-		t.wg.Go(func() {
+// stopGracefully lets a life's threads wind up; once they have, the process is gone.
+func (c *Cluster) stopGracefully(p *proc, grace time.Duration) {
+	p.stopOnce.Do(func() {
+		c.wg.Go(func() {
 			<-p.started
-			p.life.Stop(grace)
-			p.die()
+			p.daemon.Stop(grace)
+			p.kill()
 		})
 	})
 }
 
-// Put notes where a process stands from its next start on.
+// WriteSettings notes where a process stands from its next start on.
 //
 // Example: err := t.Put(process)
-func (t *Table) Put(p testbed.Process) error { t.stands(p); return nil }
+func (c *Cluster) WriteSettings(p testbed.Process) error { c.machineOf(p); return nil }
 
-// Wipe loses a machine's disk.
+// WipeDisk loses a machine's disk.
 //
 // Example: err := t.Wipe(process)
-func (t *Table) Wipe(p testbed.Process) error {
-	t.mu.Lock()
-	m := t.machine(p.Place.Name)
-	t.mu.Unlock()
+func (c *Cluster) WipeDisk(p testbed.Process) error {
+	c.mu.Lock()
+	m := c.machine(p.Settings.Name)
+	c.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for k := range m.disk {
-		if strings.HasPrefix(k, p.Place.Data+"/") {
+		if strings.HasPrefix(k, p.Settings.Data+"/") {
 			delete(m.disk, k)
 		}
 	}
 	return nil
 }
 
-// Switch makes a machine's disk or wall clock misbehave, or well again.
+// SetFault makes a machine's disk or wall clock misbehave, or well again.
 //
 // Example: err := t.Switch(process, "disk", "stall 800")
-func (t *Table) Switch(p testbed.Process, what, word string) error {
-	t.mu.Lock()
-	m := t.machine(p.Place.Name)
-	t.mu.Unlock()
+func (c *Cluster) SetFault(p testbed.Process, what, word string) error {
+	c.mu.Lock()
+	m := c.machine(p.Settings.Name)
+	c.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if what == "disk" {
-		m.bad = word
+		m.diskFault = word
 		return nil
 	}
 	ms, err := strconv.Atoi("0" + strings.TrimPrefix(word, "-"))
-	if m.jump = time.Duration(ms) * time.Millisecond; strings.HasPrefix(word, "-") {
-		m.jump = -m.jump
+	if m.wallClockJump = time.Duration(ms) * time.Millisecond; strings.HasPrefix(word, "-") {
+		m.wallClockJump = -m.wallClockJump
 	}
 	return errs.WrapAs(err, errs.BadInput, "wall")
 }
@@ -329,40 +329,40 @@
 // Journal reads what a worker wrote down, in all its lives.
 //
 // Example: runs, err := t.Journal(process)
-func (t *Table) Journal(p testbed.Process) ([]workersim.Run, error) {
-	f := t.file(p.Place.Option("journal", ""))
+func (c *Cluster) Journal(p testbed.Process) ([]workersim.Run, error) {
+	f := c.file(p.Settings.Option("journal", ""))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return loadgen.ReadJournal(bytes.NewReader(f.b))
+	return loadgen.ReadJournal(bytes.NewReader(f.data))
 }
 
-// Link puts a rule on a way.
+// SetLink puts a rule on a way.
 //
-// Example: err := t.Link("edge-1", "core-2", testbed.Rule{Cut: true})
-func (t *Table) Link(from, to string, r testbed.Rule) error { t.Set(from, to, r); return nil }
+// Example: err := t.Link("edge-1", "core-2", testbed.LinkRule{Cut: true})
+func (c *Cluster) SetLink(from, to string, r testbed.LinkRule) error { c.Set(from, to, r); return nil }
 
 // Dial connects as people and callers do.
 //
 // Example: c, err := t.Dial(ctx, "tcp", "127.10.1.11:8080")
-func (t *Table) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return t.people.dial(ctx, network, addr)
+func (c *Cluster) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	return c.outside.dial(ctx, network, addr)
 }
 
-// Down ends every life and waits until all threads have wound up.
+// Stop ends every life and waits until all threads have wound up.
 //
 // Example: defer t.Down()
-func (t *Table) Down() {
-	t.mu.Lock()
+func (c *Cluster) Stop() {
+	c.mu.Lock()
 	var l []*proc
-	for _, p := range t.procs {
+	for _, p := range c.processes {
 		l = append(l, p)
 	}
-	t.mu.Unlock()
+	c.mu.Unlock()
 	for _, p := range l {
-		p.die()
-		t.end(p, 0)
+		p.kill()
+		c.stopGracefully(p, 0)
 	}
-	t.wg.Wait()
-	t.people.die()
+	c.wg.Wait()
+	c.outside.kill()
 	<-time.After(time.Minute) // timers of what was given up run out
 }
