--- a/internal/sim/loadgen/fares.go
+++ b/internal/sim/loadgen/traffic.go
@@ -1,23 +1,13 @@
 package loadgen
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"math"
 	"math/rand/v2"
-	"net"
-	"net/http"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
-
-	"pebbleloom/internal/errs"
-	"pebbleloom/internal/sim/workersim"
 )
 
 // Tenant is a caller's tenant.
@@ -57,6 +47,7 @@
 	AppShare       float64 // share of requests to the application service
 }
 
+// Source is the stream of requests of a seed: the same seed gives the same prompts.
 type Source struct {
 	traffic   Traffic
 	random    *rand.Rand
@@ -139,98 +130,6 @@
 	return request
 }
 
-// Client sends requests to the edge.
-type Client struct {
-	Edges []string
-	http  *http.Client
-}
-
-// NewClient makes a caller of some edge addresses.
-//
-// Example: c := loadgen.NewClient([]string{"127.10.1.1:8080"})
-func NewClient(edges []string) *Client {
-	return NewClientWithDialer((&net.Dialer{Timeout: time.Second}).DialContext, edges)
-}
-
-// NewClientWithDialer makes a caller that connects as it is told to.
-//
-// Example: c := loadgen.NewClientWithDialer(world.Dial, []string{"127.10.1.1:8080"})
-func NewClientWithDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error), edges []string) *Client {
-	return &Client{edges, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: dial}}}
-}
-
-// Close lets go of idle connections.
-//
-// Example: defer c.Close()
-func (c *Client) Close() { c.http.CloseIdleConnections() }
-
-const connectionRefused = "refused" // no connection was made
-
-// Send sends one request to an edge and checks the answer.
-//
-// Example: out := c.Ask(ctx, 0, q)
-func (c *Client) Send(ctx context.Context, edge int, request Request) Outcome {
-	sentAt := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+2*time.Second)
-	defer cancel()
-	outcome := c.sendTo(ctx, c.Edges[edge%len(c.Edges)], request)
-	for i := 1; i < len(c.Edges) && outcome.Rejected == connectionRefused; i++ {
-		outcome = c.sendTo(ctx, c.Edges[(edge+i)%len(c.Edges)], request) // nothing was sent: another edge may be asked
-	}
-	outcome.SentMs, outcome.TookMs = sentAt.UnixMilli(), time.Since(sentAt).Milliseconds()
-	if !outcome.FirstChunkAt.IsZero() {
-		outcome.FirstChunkMs = outcome.FirstChunkAt.Sub(sentAt).Milliseconds()
-	}
-	return outcome
-}
-
-func (c *Client) sendTo(ctx context.Context, edge string, request Request) Outcome {
-	outcome := Outcome{Request: request}
-	raw, err := json.Marshal(map[string]any{"request_id": request.ID, "model": request.Model, "parts": request.Parts, "wait_ms": request.WaitMs, "once": request.Once, "pieces": request.Chunks})
-	if err != nil {
-		outcome.Faults = append(outcome.Faults, "request can't be written: "+err.Error())
-		return outcome
-	}
-	post, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/answers", bytes.NewReader(raw))
-	if err != nil {
-		outcome.Rejected = "unreachable"
-		return outcome
-	}
-	post.GetBody = nil
-	post.Header.Set("Content-Type", "application/json")
-	post.Header.Set("X-Tenant-Key", request.Key)
-	response, err := c.http.Do(post)
-	if err != nil {
-		outcome.Rejected = "unreachable"
-		if errors.Is(err, syscall.ECONNREFUSED) {
-			outcome.Rejected = connectionRefused
-		}
-		if errors.Is(err, context.DeadlineExceeded) {
-			outcome.Rejected = "held-past-wait"
-		}
-		return outcome
-	}
-	defer response.Body.Close()
-	if response.StatusCode != 200 {
-		var rejection struct {
-			Kind         string `json:"kind"`
-			Message      string `json:"message"`
-			RetryAfterMs int    `json:"retry_after_ms"`
-		}
-		raw, err := io.ReadAll(io.LimitReader(response.Body, 1<<16))
-		if err == nil {
-			err = json.Unmarshal(raw, &rejection)
-		}
-		if err != nil || rejection.Kind == "" {
-			rejection.Kind = fmt.Sprintf("untyped-%d", response.StatusCode)
-			outcome.Faults = append(outcome.Faults, "a denial without a kind")
-		}
-		outcome.Rejected, outcome.RetryAfterMs, outcome.Message = rejection.Kind, rejection.RetryAfterMs, rejection.Message
-		return outcome
-	}
-	return ReadStream(request, response.Header.Get("X-Worker"), response.Body)
-}
-
 // SendTraffic sends traffic at its rate until the context ends or n requests were sent, spread
 // over all edges.
 //
@@ -255,44 +154,3 @@
 	}
 	wg.Wait()
 }
-
-// ReadJournal reads the journal that a worker has kept on disk; a line cut off by a kill
-// is its last.
-//
-// Example: runs, err := loadgen.ReadJournal(file)
-func ReadJournal(f io.Reader) ([]workersim.Run, error) {
-	var runs []workersim.Run
-	for decoder := json.NewDecoder(f); ; {
-		var run workersim.Run
-		if err := decoder.Decode(&run); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return runs, nil
-		} else if err != nil {
-			return runs, errs.Wrap(err, "read journal")
-		}
-		runs = append(runs, run)
-	}
-}
-
-// Journals asks workers what they ran.
-//
-// Example: js, err := loadgen.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
-func Journals(ctx context.Context, addrs map[string]string) (map[string][]workersim.Run, error) {
-	journals := map[string][]workersim.Run{}
-	var batch errs.Batch
-	for name, addr := range addrs {
-		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/runs", nil)
-		if err != nil {
-			return nil, errs.Wrap(err, "ask for journal")
-		}
-		response, err := http.DefaultClient.Do(request)
-		if err != nil {
-			batch.Add("journal of "+name, err)
-			continue
-		}
-		var runs []workersim.Run
-		batch.Add("journal of "+name, json.NewDecoder(response.Body).Decode(&runs))
-		response.Body.Close()
-		journals[name] = runs
-	}
-	return journals, batch.Err()
-}
