--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// BlankSnapshot returns the first snapshot of a fixed member whose disk was empty. The incarnation tells
-// it apart from earlier members of its name; the member doesn't vote before it has rejoined.
+// BlankSnapshot returns the first snapshot of a fixed member whose disk was empty. The incarnation
+// distinguishes it from earlier members of its name; the member doesn't vote before it has rejoined.
 //
 // Example: err := store.SaveSnapshot(consensus.BlankSnapshot("core-1/9f3a"), nil)
 func BlankSnapshot(incarnation string) *wire.Snapshot {
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -121,8 +121,8 @@
 	return message.From < c.cfg.Self || message.LogTerm > c.lastTerm() || message.Index > c.lastIndex()
 }
 
-// handlePreVoteResponse counts a pre-vote. Probe is the term that was asked about, which tells late
-// responses to earlier pre-votes apart.
+// handlePreVoteResponse counts a pre-vote. Probe is the term that was asked about: late responses
+// to earlier pre-votes don't count.
 func (c *Core) handlePreVoteResponse(message *wire.Message) {
 	if c.role != preCandidate || !message.Ok || message.Probe != c.hardState.Term+1 {
 		return
--- a/internal/control/consensus/peer_status_test.go
+++ b/internal/control/consensus/peer_status_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A learner that was added and never responded is told apart from one that is up.
+// The status distinguishes a learner that was added and never responded from one that is up.
 func TestSilentLearnerHasNotResponded(t *testing.T) {
 	group := newTestGroup(t, "a b c", "")
 	group.elect("a")
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -94,7 +94,7 @@
 	return progress.batchLosses >= batchLossesBeforeSnapshot && progress.acceptsChunks && progress.next <= c.snapshot.Index
 }
 
-// ReportSendFailure tells the core that the driver has given up sending a message. Its content is sent
+// ReportSendFailure reports that the driver has given up sending a message. Its content is sent
 // again at the next heartbeat, a snapshot in smaller chunks.
 //
 // Example: c.ReportSendFailure(message); drive(c.Ready())
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -74,7 +74,7 @@
 }
 
 // A flipped bit either has no effect on what is recovered, or the disk is rejected with errs.DiskFailure. In the
-// last record corruption can't be told from a torn append.
+// last record corruption can't be distinguished from a torn append.
 func TestBitRotIsDetected(t *testing.T) {
 	intact := newMemoryDisk(noLimit)
 	want := runWorkload(intact)
--- a/internal/queue/actor.go
+++ b/internal/queue/actor.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Actor owns a table: commands run on it one at a time, on the actor's own goroutine, so the table needs no lock.
+// Actor guards a table: commands run on it one at a time, on the actor's own goroutine, so the table needs no lock.
 type Actor[T any] struct {
 	commands *Ring[func(*T)]
 	stopped  chan struct{}
 	once     sync.Once
 }
 
-// NewActor starts an actor that owns a table and queues at most capacity commands. The caller must Stop it.
+// NewActor starts an actor that guards a table and queues at most capacity commands. The caller must Stop it.
 //
 // Example: actor := queue.NewActor(&table{}, 256)
 func NewActor[T any](table *T, capacity int) *Actor[T] {
