--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -66,26 +66,26 @@
 // vary measures several quantities while one factor grows. The repeats go round over all sizes, so
 // that a busy moment of the machine spoils no size alone.
 func (b *bench) vary(part, factor string, sizes []float64, kinds []kind, run func(size float64) ([]float64, error)) error {
-	l := make([]Series, len(kinds))
-	for i, k := range kinds {
-		l[i] = Series{Name: k.name, Part: part, Factor: factor, Unit: k.unit, How: k.how}
+	series := make([]Series, len(kinds))
+	for i, quantity := range kinds {
+		series[i] = Series{Name: quantity.name, Part: part, Factor: factor, Unit: quantity.unit, How: quantity.how}
 	}
 	for range b.repeats {
-		for _, n := range sizes {
-			v, err := run(n)
+		for _, size := range sizes {
+			values, err := run(size)
 			if err != nil {
-				return errs.Wrap(err, fmt.Sprintf("%s at %v %s", part, n, factor))
+				return errs.Wrap(err, fmt.Sprintf("%s at %v %s", part, size, factor))
 			}
-			for i := range l {
-				l[i].Points = append(l[i].Points, Point{n, v[i]})
+			for i := range series {
+				series[i].Points = append(series[i].Points, Point{size, values[i]})
 			}
 		}
 	}
-	for i := range l {
-		slices.SortStableFunc(l[i].Points, func(a, b Point) int { return int(a.Size - b.Size) })
-		b.out = append(b.out, l[i])
-		x := fit(&l[i])
-		fmt.Fprintf(b.log, "%-22s %-10s slope %.4g base %.4g residual %.0f%% spread %.0f%% %s\n", l[i].Name, factor, x.Slope, x.Base, 100*x.Residual, 100*x.Spread, l[i].Unit)
+	for i := range series {
+		slices.SortStableFunc(series[i].Points, func(a, b Point) int { return int(a.Size - b.Size) })
+		b.out = append(b.out, series[i])
+		line := fit(&series[i])
+		fmt.Fprintf(b.log, "%-22s %-10s slope %.4g base %.4g residual %.0f%% spread %.0f%% %s\n", series[i].Name, factor, line.Slope, line.Base, 100*line.Residual, 100*line.Spread, series[i].Unit)
 	}
 	return nil
 }
@@ -131,7 +131,7 @@
 var parts = []struct {
 	name string
 	run  func(*bench) error
-}{{"nodes", nodes}, {"workers", workers}, {"plans", plans}, {"kept", kept}, {"placement", placements}, {"calls", calls}, {"follow", follow}, {"group", group}, {"traffic", traffic}}
+}{{"nodes", measureMembership}, {"workers", measureWorkers}, {"plans", measurePlans}, {"kept", measureIndex}, {"placement", measurePlacements}, {"calls", measureCalls}, {"follow", measureFollowers}, {"group", measureGroup}, {"traffic", measureTraffic}}
 
 // Measure runs one part, or all of them ("").
 //
--- a/internal/capacity/hollow.go
+++ b/internal/capacity/hollowprocess.go
@@ -24,9 +24,9 @@
 // that either end's processor time is its own: it holds what that process is to do.
 const HollowVariable = "PEBBLELOOM_HOLLOW"
 
-// task is what a hollow process does. It says "up" once all is ready; then it answers each line on
+// hollowTask is what a hollow process does. It says "up" once all is ready; then it answers each line on
 // its standard input with a sum, and ends with it.
-type task struct {
+type hollowTask struct {
 	Kind   string `json:"kind"` // seek, count, follow or traffic
 	Addr   string `json:"addr"`
 	Nodes  int    `json:"nodes"`   // hollow nodes in this process
@@ -37,8 +37,8 @@
 	Events int    `json:"events"`  // of an answer
 }
 
-// sum is what a hollow process has done since the last line.
-type sum struct {
+// hollowResult is what a hollow process has done since the last line.
+type hollowResult struct {
 	Calls   float64 `json:"calls"`
 	Docs    float64 `json:"docs"` // since its start
 	CPU     float64 `json:"cpu_us"`
@@ -50,50 +50,50 @@
 //
 // Example: if os.Getenv(capacity.HollowVariable) != "" { os.Exit(capacity.Hollow(os.Stdin, os.Stdout)) }
 func Hollow(in io.Reader, out io.Writer) int {
-	var t task
-	if err := json.Unmarshal([]byte(os.Getenv(HollowVariable)), &t); err != nil {
+	var task hollowTask
+	if err := json.Unmarshal([]byte(os.Getenv(HollowVariable)), &task); err != nil {
 		fmt.Fprintln(os.Stderr, "hollow process: "+err.Error())
 		return errs.BadInput.ExitCode
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	ends := map[string]func(context.Context, task) (string, func() (float64, float64, error), error){
-		"seek": callers, "count": callers, "follow": followers, "traffic": streams}
-	begin := ends[t.Kind]
+	ends := map[string]func(context.Context, hollowTask) (string, func() (float64, float64, error), error){
+		"seek": callIndex, "count": callIndex, "follow": followGroup, "traffic": streamTraffic}
+	begin := ends[task.Kind]
 	if begin == nil {
-		fmt.Fprintf(os.Stderr, "hollow process: %q: no such kind\n", t.Kind)
+		fmt.Fprintf(os.Stderr, "hollow process: %q: no such kind\n", task.Kind)
 		return errs.BadInput.ExitCode
 	}
 	enc := json.NewEncoder(out)
-	packed, run, err := begin(ctx, t)
+	addr, run, err := begin(ctx, task)
 	if err != nil {
-		_ = enc.Encode(sum{Error: err.Error()})
+		_ = enc.Encode(hollowResult{Error: err.Error()})
 		return errs.Internal.ExitCode
 	}
-	_ = enc.Encode(sum{Address: packed})
-	at := cpu()
+	_ = enc.Encode(hollowResult{Address: addr})
+	cpuBefore := cpu()
 	for s := bufio.NewScanner(in); s.Scan(); {
-		n, docs, err := run()
+		calls, docs, err := run()
 		now := cpu()
-		x := sum{Calls: n, Docs: docs, CPU: now - at}
-		if at = now; err != nil {
-			x.Error = err.Error()
+		result := hollowResult{Calls: calls, Docs: docs, CPU: now - cpuBefore}
+		if cpuBefore = now; err != nil {
+			result.Error = err.Error()
 		}
-		_ = enc.Encode(x)
+		_ = enc.Encode(result)
 	}
 	return 0
 }
 
-// far is a hollow process as its starter sees it.
-type far struct {
+// hollowProcess is a hollow process as its starter sees it.
+type hollowProcess struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	out     *json.Decoder
 	address string
 }
 
-func start(t task) (*far, error) {
-	raw, err := json.Marshal(t)
+func startHollow(task hollowTask) (*hollowProcess, error) {
+	raw, err := json.Marshal(task)
 	if err != nil {
 		return nil, err
 	}
@@ -101,51 +101,51 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &far{cmd: exec.Command(exe)}
-	f.cmd.Env = append(os.Environ(), HollowVariable+"="+string(raw), fmt.Sprintf("GOMAXPROCS=%d", threads))
-	f.cmd.Stderr = os.Stderr
-	if f.in, err = f.cmd.StdinPipe(); err != nil {
+	hollow := &hollowProcess{cmd: exec.Command(exe)}
+	hollow.cmd.Env = append(os.Environ(), HollowVariable+"="+string(raw), fmt.Sprintf("GOMAXPROCS=%d", threads))
+	hollow.cmd.Stderr = os.Stderr
+	if hollow.in, err = hollow.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := f.cmd.StdoutPipe()
+	out, err := hollow.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	f.out = json.NewDecoder(out)
-	if err := f.cmd.Start(); err != nil {
+	hollow.out = json.NewDecoder(out)
+	if err := hollow.cmd.Start(); err != nil {
 		return nil, err
 	}
-	s, err := f.heard()
+	s, err := hollow.heard()
 	if err != nil {
-		f.end()
-		return nil, errs.Wrap(err, "hollow "+t.Kind)
+		hollow.end()
+		return nil, errs.Wrap(err, "hollow "+task.Kind)
 	}
-	f.address = s.Address
-	return f, nil
+	hollow.address = s.Address
+	return hollow, nil
 }
 
-func (f *far) heard() (s sum, err error) {
-	if err = f.out.Decode(&s); err == nil && s.Error != "" {
+func (h *hollowProcess) heard() (s hollowResult, err error) {
+	if err = h.out.Decode(&s); err == nil && s.Error != "" {
 		err = errs.New(errs.Internal, "%s", s.Error)
 	}
 	return s, err
 }
 
 // run has it do its task once, and gives the sum.
-func (f *far) run() (sum, error) {
-	if _, err := io.WriteString(f.in, "go\n"); err != nil {
-		return sum{}, err
+func (h *hollowProcess) run() (hollowResult, error) {
+	if _, err := io.WriteString(h.in, "go\n"); err != nil {
+		return hollowResult{}, err
 	}
-	return f.heard()
+	return h.heard()
 }
 
-func (f *far) end() {
-	f.in.Close()
-	_ = f.cmd.Wait()
+func (h *hollowProcess) end() {
+	h.in.Close()
+	_ = h.cmd.Wait()
 }
 
-// callers are hollow edges that ask or tell an index node.
-func callers(ctx context.Context, t task) (string, func() (float64, float64, error), error) {
+// callIndex are hollow edges that ask or tell an index node.
+func callIndex(ctx context.Context, t hollowTask) (string, func() (float64, float64, error), error) {
 	l := newProcess("hollow", bounds(), nil)
 	c := daemon.NewClients(l).PromptIndex(t.Addr)
 	key := func(i int) []byte { k := promptindex.PartKey(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
@@ -189,8 +189,8 @@
 	return "", run, err
 }
 
-// followers are hollow nodes that follow the control state, each over a connection of its own.
-func followers(ctx context.Context, t task) (string, func() (float64, float64, error), error) {
+// followGroup are hollow nodes that follow the control state, each over a connection of its own.
+func followGroup(ctx context.Context, t hollowTask) (string, func() (float64, float64, error), error) {
 	var polls, docs atomic.Int64
 	var up sync.WaitGroup
 	hold := time.Duration(t.HoldMs) * time.Millisecond
@@ -223,22 +223,22 @@
 	return "", func() (float64, float64, error) { return float64(polls.Swap(0)), float64(docs.Load()), nil }, nil
 }
 
-// tap is a listener whose connections are counted.
-type tap struct {
+// byteCounter is a listener whose connections are counted.
+type byteCounter struct {
 	net.Listener
 	bytes atomic.Int64
 	open  atomic.Int64 // connections
 }
 
-func newTap() (*tap, error) {
+func newByteCounter() (*byteCounter, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	return &tap{Listener: ln}, err
+	return &byteCounter{Listener: ln}, err
 }
 
-func (t *tap) addr() string { return t.Addr().String() }
+func (t *byteCounter) addr() string { return t.Addr().String() }
 
 // listen gives this listener for its own address, and any other for others.
-func (t *tap) listen(addr string) (net.Listener, error) {
+func (t *byteCounter) listen(addr string) (net.Listener, error) {
 	if addr == t.addr() {
 		return t, nil
 	}
@@ -248,23 +248,23 @@
 // Accept counts what goes over a connection, both ways.
 //
 // Example: c, err := t.Accept()
-func (t *tap) Accept() (net.Conn, error) {
+func (t *byteCounter) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	t.open.Add(1)
-	return &tapped{Conn: c, t: t}, nil
+	return &countedConn{Conn: c, t: t}, nil
 }
 
-type tapped struct {
+type countedConn struct {
 	net.Conn
-	t    *tap
+	t    *byteCounter
 	also *atomic.Int64 // counted there too
 	over sync.Once
 }
 
-func (c *tapped) count(n int) {
+func (c *countedConn) count(n int) {
 	c.t.bytes.Add(int64(n))
 	if c.also != nil {
 		c.also.Add(int64(n))
@@ -274,18 +274,18 @@
 // Close ends it.
 //
 // Example: c.Close()
-func (c *tapped) Close() error {
+func (c *countedConn) Close() error {
 	c.over.Do(func() { c.t.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-func (c *tapped) Read(p []byte) (int, error) {
+func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(n)
 	return n, err
 }
 
-func (c *tapped) Write(p []byte) (int, error) {
+func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n)
 	return n, err
--- a/internal/capacity/kept.go
+++ b/internal/capacity/index.go
@@ -16,9 +16,9 @@
 
 func partName(i int) string { return fmt.Sprintf("%08x", uint32(i*2654435761)) }
 
-// changes are so many parts that a worker began to keep, from one on; each kind of removal is the
+// cacheChanges are so many parts that a worker began to keep, from one on; each kind of removal is the
 // same with no tokens.
-func changes(from, n, tokens int) []backend.CacheChange {
+func cacheChanges(from, n, tokens int) []backend.CacheChange {
 	l := make([]backend.CacheChange, n)
 	for i := range l {
 		l[i] = backend.CacheChange{Salt: cacheText, Part: partName(from + i), Model: modelName(0), Tokens: tokens}
@@ -26,14 +26,14 @@
 	return l
 }
 
-// index is an index node's table with so many parts, each kept by one worker of some.
-func index(parts, workers int, now time.Duration) *promptindex.Core {
-	c := emptyIndex()
+// newIndex is an index node's table with so many parts, each kept by one worker of some.
+func newIndex(parts, workers int, now time.Duration) *promptindex.Core {
+	core := emptyIndex()
 	per := (parts + workers - 1) / workers
 	for w := range workers {
-		applyEvents(c, w, 1, changes(w*per, max(0, min(per, parts-w*per)), 800), now)
+		applyEvents(core, w, 1, cacheChanges(w*per, max(0, min(per, parts-w*per)), 800), now)
 	}
-	return c
+	return core
 }
 
 func emptyIndex() *promptindex.Core {
@@ -47,46 +47,46 @@
 	c.ApplyEvents(q, backend.CacheEvents{BootID: 7, NextSequence: next, Changes: l}, now)
 }
 
-// kept measures the index: by how many parts are kept, how many workers keep each, and how many
+// measureIndex measures the index: by how many parts are kept, how many workers keep each, and how many
 // changes one answer of a worker tells.
-func kept(b *bench) error {
-	if err := byParts(b); err != nil {
+func measureIndex(b *bench) error {
+	if err := measureParts(b); err != nil {
 		return err
 	}
-	if err := byHolders(b); err != nil {
+	if err := measureHolders(b); err != nil {
 		return err
 	}
-	return byEvents(b)
+	return measureEvents(b)
 }
 
-func byParts(b *bench) error {
+func measureParts(b *bench) error {
 	return b.vary("kept", "parts", b.sizes(60000, 120000, 240000, 480000, 960000), []kind{
 		{"part-memory", "B", "heap of an index node with so many parts, each kept by one worker"},
 		{"part-seek", "µs", "processor time of one key's look-up there, keys drawn evenly"},
 		{"part-hottest", "µs", "processor time to list a service's hottest parts there: all parts are walked"},
 		{"part-sweep", "µs", "processor time of one sweep over it"},
-	}, func(n float64) ([]float64, error) {
+	}, func(parts float64) ([]float64, error) {
 		now := time.Hour
 		was := heap()
-		c := index(int(n), 16, now)
+		core := newIndex(int(parts), 16, now)
 		memory := heap() - was
 		i := 0
 		keys := make([]prefix.Key, 8)
 		seek := b.spend(func() {
 			for j := range keys {
 				i++
-				keys[j] = promptindex.PartKey(cacheText, partName(i*7919%int(n)))
+				keys[j] = promptindex.PartKey(cacheText, partName(i*7919%int(parts)))
 			}
-			c.Lookup(keys, now)
+			core.Lookup(keys, now)
 		}) / float64(len(keys))
-		hottest := b.spend(func() { c.Hottest(serviceName(0), 1000, now) })
-		sweep := b.spend(func() { c.Sweep(map[string]bool{}, now) })
-		runtime.KeepAlive(c)
+		hottest := b.spend(func() { core.Hottest(serviceName(0), 1000, now) })
+		sweep := b.spend(func() { core.Sweep(map[string]bool{}, now) })
+		runtime.KeepAlive(core)
 		return []float64{max(1, memory), seek, hottest, sweep}, nil
 	})
 }
 
-func byHolders(b *bench) error {
+func measureHolders(b *bench) error {
 	return b.vary("kept", "holders", b.sizes(1, 2, 4, 8), []kind{
 		{"holder-memory", "B", "heap of one part that so many workers keep"},
 	}, func(n float64) ([]float64, error) {
@@ -95,19 +95,19 @@
 			parts = 500
 		}
 		was := heap()
-		c := emptyIndex()
+		core := emptyIndex()
 		for w := range int(n) {
-			applyEvents(c, w, 1, changes(0, parts, 800), time.Hour)
+			applyEvents(core, w, 1, cacheChanges(0, parts, 800), time.Hour)
 		}
 		memory := (heap() - was) / float64(parts)
-		runtime.KeepAlive(c)
+		runtime.KeepAlive(core)
 		return []float64{max(1, memory)}, nil
 	})
 }
 
-// byEvents measures answers of workers that tell so many changes, half of them removals, at an
+// measureEvents measures answers of workers that tell so many changes, half of them removals, at an
 // index of 240,000 parts: reading the answer, and laying it over the table.
-func byEvents(b *bench) error {
+func measureEvents(b *bench) error {
 	have := 240000
 	if b.quick {
 		have = 1000
@@ -117,29 +117,29 @@
 		{"events-read", "µs", "processor time to read such an answer"},
 		{"events-bytes", "B", "such an answer, without the head"},
 		{"count-table", "µs", "processor time to add so many accesses that an edge counted"},
-	}, func(n float64) ([]float64, error) {
+	}, func(changes float64) ([]float64, error) {
 		now, next := time.Hour, uint64(1)
-		c := index(have, 16, now)
-		add := changes(have, int(n)/2, 800)
-		gone := changes(have, int(n)/2, 0)
+		core := newIndex(have, 16, now)
+		additions := cacheChanges(have, int(changes)/2, 800)
+		removals := cacheChanges(have, int(changes)/2, 0)
 		table := b.spend(func() {
 			next++
-			applyEvents(c, 0, next, add, now)
+			applyEvents(core, 0, next, additions, now)
 			next++
-			applyEvents(c, 0, next, gone, now)
+			applyEvents(core, 0, next, removals, now)
 		})
-		var s strings.Builder
-		for i, x := range add {
-			fmt.Fprintf(&s, `,[%d,"+","%s","%s",%d,"%s"],[%d,"-","%s","%s",0,"%s"]`, i, x.Salt, x.Part, x.Tokens, x.Model, i, x.Salt, x.Part, x.Model)
+		var text strings.Builder
+		for i, change := range additions {
+			fmt.Fprintf(&text, `,[%d,"+","%s","%s",%d,"%s"],[%d,"-","%s","%s",0,"%s"]`, i, change.Salt, change.Part, change.Tokens, change.Model, i, change.Salt, change.Part, change.Model)
 		}
-		body := []byte("[" + strings.TrimPrefix(s.String(), ",") + "]")
+		body := []byte("[" + strings.TrimPrefix(text.String(), ",") + "]")
 		read := b.spend(func() { _, _ = readChanges(body) })
-		a := &wire.CountRequest{Reporter: "edge/edge-1", Incarnation: 1}
-		for i := range int(n) {
+		counts := &wire.CountRequest{Reporter: "edge/edge-1", Incarnation: 1}
+		for i := range int(changes) {
 			k := promptindex.PartKey(cacheText, partName(i*31%have))
-			a.Accesses = append(a.Accesses, &wire.Access{Key: k[:], Count: 2, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
+			counts.Accesses = append(counts.Accesses, &wire.Access{Key: k[:], Count: 2, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
 		}
-		count := b.spend(func() { a.Sequence++; c.RecordAccesses(a, now) })
+		count := b.spend(func() { counts.Sequence++; core.RecordAccesses(counts, now) })
 		return []float64{table, read, float64(len(body)), count}, nil
 	})
 }
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -49,7 +49,7 @@
 	used   map[string]bool // series that some formula used
 }
 
-func work(rawModel []byte, m *Measured) (*sheet, error) {
+func computeSheet(rawModel []byte, m *Measured) (*sheet, error) {
 	s := &sheet{model: &model{}, m: m, lines: map[string]*line{}, units: map[string]string{}, values: map[string]float64{}, used: map[string]bool{}}
 	if err := json.Unmarshal(rawModel, s.model); err != nil {
 		return nil, errs.WrapAs(err, errs.BadInput, "model")
@@ -181,8 +181,8 @@
 	return 0, errs.New(errs.BadInput, "%s of series %q: no such function, or the series is bent (%.0f%% off a line)", f.Name, name, 100*l.Residual)
 }
 
-// show writes a number with its unit, to three digits.
-func show(v float64, unit string) string {
+// formatValue writes a number with its unit, to three digits.
+func formatValue(v float64, unit string) string {
 	scaled := func(step float64, names ...string) string {
 		i := 0
 		for i < len(names)-1 && math.Abs(v) >= 1000 {
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -18,14 +18,14 @@
 	return b
 }
 
-// ring is a fleet of hollow nodes: the real views, and letters between them in the real form.
-type ring struct {
-	all   map[string]*clustermembership.Core
-	names []string
-	now   time.Duration
-	beat  time.Duration
-	bytes float64 // payload
-	calls float64
+// hollowFleet is a fleet of hollow nodes: the real views, and letters between them in the real form.
+type hollowFleet struct {
+	cores             map[string]*clustermembership.Core
+	names             []string
+	now               time.Duration
+	heartbeatInterval time.Duration
+	bytes             float64 // payload
+	calls             float64
 }
 
 func hollowNode(i int) *wire.Node {
@@ -33,46 +33,46 @@
 		Zone: fmt.Sprintf("district-%d", i%5), Addr: fmt.Sprintf("10.%d.%d.%d:7360", i%5, i/200, i%200)}
 }
 
-func newRing(n int) *ring {
-	b := bounds()
-	r := &ring{all: map[string]*clustermembership.Core{}, now: time.Hour, beat: b.Leave(0.1)}
+func newHollowFleet(size int) *hollowFleet {
+	limits := bounds()
+	fleet := &hollowFleet{cores: map[string]*clustermembership.Core{}, now: time.Hour, heartbeatInterval: limits.Leave(0.1)}
 	var every []*wire.Node
-	for i := range n {
+	for i := range size {
 		every = append(every, hollowNode(i))
 	}
-	for i, x := range every {
-		r.all[x.Addr] = clustermembership.New(b, hollowNode(i), []string{every[0].Addr, every[n/3].Addr, every[2*n/3].Addr})
-		r.names = append(r.names, x.Addr)
+	for i, node := range every {
+		fleet.cores[node.Addr] = clustermembership.New(limits, hollowNode(i), []string{every[0].Addr, every[size/3].Addr, every[2*size/3].Addr})
+		fleet.names = append(fleet.names, node.Addr)
 	}
-	for i, a := range r.names {
-		r.all[a].HandleHeartbeat(&wire.Heartbeat{Format: 1, From: every[(i+1)%n], Updates: every, FullView: true}, r.now)
+	for i, a := range fleet.names {
+		fleet.cores[a].HandleHeartbeat(&wire.Heartbeat{Format: 1, From: every[(i+1)%size], Updates: every, FullView: true}, fleet.now)
 	}
-	return r
+	return fleet
 }
 
-// turn is one period of all nodes.
-func (r *ring) turn(wired bool) {
-	r.now += r.beat
-	for _, a := range r.names {
-		c := r.all[a]
-		if c == nil {
+// runPeriod is one period of all nodes.
+func (f *hollowFleet) runPeriod(wired bool) {
+	f.now += f.heartbeatInterval
+	for _, addr := range f.names {
+		core := f.cores[addr]
+		if core == nil {
 			continue
 		}
-		for _, x := range c.Tick(r.now) {
-			r.calls++
-			to := r.all[x.Address]
+		for _, message := range core.Tick(f.now) {
+			f.calls++
+			to := f.cores[message.Address]
 			if to == nil {
 				continue // its machine is gone
 			}
-			if response := r.carry(to.HandleHeartbeat(r.carry(x.Heartbeat, wired), r.now), wired); response != nil {
-				c.HandleResponse(x.Address, response, r.now)
+			if response := f.encodeAndDecode(to.HandleHeartbeat(f.encodeAndDecode(message.Heartbeat, wired), f.now), wired); response != nil {
+				core.HandleResponse(message.Address, response, f.now)
 			}
 		}
 	}
 }
 
-// carry writes a letter and reads it, as the two ends of a connection do.
-func (r *ring) carry(b *wire.Heartbeat, wired bool) *wire.Heartbeat {
+// encodeAndDecode writes a letter and reads it, as the two ends of a connection do.
+func (f *hollowFleet) encodeAndDecode(b *wire.Heartbeat, wired bool) *wire.Heartbeat {
 	if !wired {
 		return b
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil
 	}
-	r.bytes += float64(len(raw))
+	f.bytes += float64(len(raw))
 	to := &wire.Heartbeat{}
 	if proto.Unmarshal(raw, to) != nil {
 		return nil
@@ -88,9 +88,9 @@
 	return to
 }
 
-// gone tells whether all that are left know that a machine went.
-func (r *ring) gone(name string) bool {
-	for _, c := range r.all {
+// knowsDead tells whether all that are left know that a machine went.
+func (f *hollowFleet) knowsDead(name string) bool {
+	for _, c := range f.cores {
 		for _, n := range c.Nodes() {
 			if n.Name == name && n.State != clustermembership.Dead {
 				return false
@@ -101,12 +101,12 @@
 }
 
 const (
-	settle = 30 // periods until all news of the start has been told
-	calm   = 8  // periods that are measured
+	settlingPeriods = 30 // periods until all news of the start has been told
+	measuredPeriods = 8  // periods that are measured
 )
 
-// nodes measures the roster: calm beats, the news of one machine that goes, the memory of a view.
-func nodes(b *bench) error {
+// measureMembership measures the roster: calm beats, the news of one machine that goes, the memory of a view.
+func measureMembership(b *bench) error {
 	return b.vary("nodes", "nodes", b.sizes(43, 85, 170, 340), []kind{
 		{"beat-cpu", "µs", "processor time of a hollow node's period: its own beats made, written, read, heard and answered"},
 		{"beat-bytes", "B", "payload of a node's calls and their answers in a calm period"},
@@ -114,36 +114,36 @@
 		{"news-bytes", "B", "payload beyond calm beats, of a node's calls and answers, until one machine's silent end is known to all and told no more"},
 		{"news-periods", "periods", "until all nodes know that a machine went silent"},
 		{"view-memory", "B", "heap of one node's view"},
-	}, func(n float64) ([]float64, error) {
-		was := heap()
-		r := newRing(int(n))
-		for range settle {
-			r.turn(false)
+	}, func(size float64) ([]float64, error) {
+		heapBefore := heap()
+		hollow := newHollowFleet(int(size))
+		for range settlingPeriods {
+			hollow.runPeriod(false)
 		}
-		memory := (heap() - was) / n
-		r.bytes, r.calls = 0, 0
-		at := cpu()
-		for range calm {
-			r.turn(true)
+		memory := (heap() - heapBefore) / size
+		hollow.bytes, hollow.calls = 0, 0
+		cpuBefore := cpu()
+		for range measuredPeriods {
+			hollow.runPeriod(true)
 		}
-		spent := (cpu() - at) / n / calm
-		calls, calmBytes := r.calls/n/calm, r.bytes/n/calm
-		lost := r.names[len(r.names)/2]
-		name := r.all[lost].Nodes()[0].Name
-		for _, x := range r.all[lost].Nodes() {
-			if x.Addr == lost {
-				name = x.Name
+		spent := (cpu() - cpuBefore) / size / measuredPeriods
+		calls, calmBytes := hollow.calls/size/measuredPeriods, hollow.bytes/size/measuredPeriods
+		lost := hollow.names[len(hollow.names)/2]
+		name := hollow.cores[lost].Nodes()[0].Name
+		for _, node := range hollow.cores[lost].Nodes() {
+			if node.Addr == lost {
+				name = node.Name
 			}
 		}
-		delete(r.all, lost)
-		r.bytes = 0
+		delete(hollow.cores, lost)
+		hollow.bytes = 0
 		known := 0
-		for i := 1; i <= 2*settle; i++ {
-			r.turn(true)
-			if known == 0 && r.gone(name) {
+		for i := 1; i <= 2*settlingPeriods; i++ {
+			hollow.runPeriod(true)
+			if known == 0 && hollow.knowsDead(name) {
 				known = i
 			}
 		}
-		return []float64{spent, calmBytes, calls, max(1, r.bytes/n-calmBytes*2*settle), float64(known), memory}, nil
+		return []float64{spent, calmBytes, calls, max(1, hollow.bytes/size-calmBytes*2*settlingPeriods), float64(known), memory}, nil
 	})
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -74,7 +74,7 @@
 }
 
 func render(rawModel []byte, m *Measured, text string) (string, error) {
-	s, err := work(rawModel, m)
+	s, err := computeSheet(rawModel, m)
 	if err != nil {
 		return "", err
 	}
@@ -95,7 +95,7 @@
 	if !ok {
 		return "", errs.New(errs.BadInput, "%q: no such size or figure", id)
 	}
-	return show(x, s.units[id]), nil
+	return formatValue(x, s.units[id]), nil
 }
 
 // of is a figure as a multiple of its limit.
@@ -116,9 +116,9 @@
 		l := s.lines[x.Name]
 		var at []string
 		for i, n := range l.Sizes {
-			at = append(at, fmt.Sprintf("%s: %s", digits(n), show(l.Medians[i], x.Unit)))
+			at = append(at, fmt.Sprintf("%s: %s", digits(n), formatValue(l.Medians[i], x.Unit)))
 		}
-		slope, base := fmt.Sprintf("%s (%s to %s)", show(l.Slope, x.Unit), show(l.Low, x.Unit), show(l.High, x.Unit)), show(l.Base, x.Unit)
+		slope, base := fmt.Sprintf("%s (%s to %s)", formatValue(l.Slope, x.Unit), formatValue(l.Low, x.Unit), formatValue(l.High, x.Unit)), formatValue(l.Base, x.Unit)
 		if l.Bent {
 			slope, base = "**bent**", "–"
 		}
@@ -131,7 +131,7 @@
 	var t strings.Builder
 	t.WriteString("| name | size | from | |\n|---|---|---|---|\n")
 	for _, x := range s.Sizes {
-		fmt.Fprintf(&t, "| `%s` | %s | %s | %s |\n", x.ID, show(x.Value, x.Unit), x.From, x.Note)
+		fmt.Fprintf(&t, "| `%s` | %s | %s | %s |\n", x.ID, formatValue(x.Value, x.Unit), x.From, x.Note)
 	}
 	return t.String()
 }
@@ -146,12 +146,12 @@
 			continue
 		}
 		n++
-		v, limit := show(s.values[f.ID], f.Unit), ""
+		v, limit := formatValue(s.values[f.ID], f.Unit), ""
 		if f.AtLeast {
 			v = "at least " + v
 		}
 		if f.Limit != "" {
-			limit = show(s.values[f.Limit], s.units[f.Limit])
+			limit = formatValue(s.values[f.Limit], s.units[f.Limit])
 			if s.values[f.ID] > s.values[f.Limit] {
 				limit += fmt.Sprintf(", **over: %s ×**", digits(s.values[f.ID]/s.values[f.Limit]))
 			}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -79,7 +79,7 @@
 			m.Series[i].Points[j].Value /= 1.5
 		}
 	}
-	s, err := work(rawModel, m)
+	s, err := computeSheet(rawModel, m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := work(read(t, modelFile), m)
+	s, err := computeSheet(read(t, modelFile), m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,12 +162,12 @@
 	}
 	for formula, want := range map[string]float64{`"n * (2 + 3) / 3 - 1"`: 49, `"slope(\"s\") * n + base(\"s\")"`: 95, `"at(\"s\", n)"`: 95, `"at(\"b\", n)"`: 1000,
 		`"last(\"b\")"`: 1600, `"lastSize(\"b\")"`: 40, `"max(n, 7)"`: 30, `"ceil(n / 7)"`: 5} {
-		if s, err := work([]byte(of(formula)), m); err != nil || s.values["f"] < want-1e-6 || s.values["f"] > want+1e-6 {
+		if s, err := computeSheet([]byte(of(formula)), m); err != nil || s.values["f"] < want-1e-6 || s.values["f"] > want+1e-6 {
 			t.Errorf("%s: %v, want %v", formula, err, want)
 		}
 	}
 	for _, formula := range []string{`"slope(\"b\")"`, `"base(\"b\")"`, `"at(\"b\", 41)"`, `"at(\"none\", 1)"`, `"none"`, `"f"`, `"n +"`, `"n % 2"`, `"slope(n)"`, `"other(\"s\")"`, `"n; 1"`} {
-		if _, err := work([]byte(of(formula)), m); err == nil {
+		if _, err := computeSheet([]byte(of(formula)), m); err == nil {
 			t.Errorf("%s was worked out", formula)
 		}
 	}
@@ -179,7 +179,7 @@
 		unit, want string
 	}{{0, "B", "0 B"}, {1234, "B", "1.23 KB"}, {999, "B", "999 B"}, {16123456789, "B", "16.1 GB"}, {60000, "parts", "60,000 parts"}, {1234567, "", "1,230,000"}, {0.01234, "%", "0.0123 %"},
 		{2.5, "µs", "2.5 µs"}, {2500, "µs", "2.5 ms"}, {13, "s", "13 s"}, {-1500, "B/s", "-1.5 KB/s"}, {100, "1", "100"}, {1024, "polls", "1,024 polls"}, {1024.5, "polls", "1,020 polls"}} {
-		if got := show(x.v, x.unit); got != x.want {
+		if got := formatValue(x.v, x.unit); got != x.want {
 			t.Errorf("%v %s: %q, want %q", x.v, x.unit, got, x.want)
 		}
 	}
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -13,21 +13,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// looks are how many times in a row a placement is looked at in one run.
-const looks = 200
+// recomputations are how many times in a row a placement is looked at in one run.
+const recomputations = 200
 
-// placements measures one service's placement by how many hot parts there are: a look's cost, its
+// measurePlacements measures one service's placement by how many hot parts there are: a look's cost, its
 // document, and the share of looks that change it while the same parts stay as popular as they are
 // and only chance moves the counts. Once with links as fast as today's, and once with links so slow
 // that much has to be everywhere.
-func placements(b *bench) error {
-	if err := byHot(b, "place", "links as fast as today's", 370000); err != nil {
+func measurePlacements(b *bench) error {
+	if err := measureHotPrefixes(b, "place", "links as fast as today's", 370000); err != nil {
 		return err
 	}
-	return byHot(b, "tight", "links of 100 Mbit/s", 100)
+	return measureHotPrefixes(b, "tight", "links of 100 Mbit/s", 100)
 }
 
-func byHot(b *bench, name, links string, mbps float64) error {
+func measureHotPrefixes(b *bench, name, links string, mbps float64) error {
 	seed := uint64(0)
 	return b.vary("placement", "hot parts", b.sizes(125, 250, 500, 1000), []kind{
 		{name + "-cpu", "µs", "processor time of one look at a service's placement; " + links},
@@ -36,12 +36,12 @@
 		{name + "-share", "1", "share of looks that change the document under steady traffic: counts fall off by a 30 s window, parts by rank^-0.3, as many accesses as a model gets; " + links},
 	}, func(n float64) ([]float64, error) {
 		seed++
-		return watch(rand.New(rand.NewPCG(seed, uint64(n))), int(n), mbps)
+		return measurePlacementChurn(rand.New(rand.NewPCG(seed, uint64(n))), int(n), mbps)
 	})
 }
 
-// watch looks at one service's placement again and again.
-func watch(d *rand.Rand, n int, mbps float64) ([]float64, error) {
+// measurePlacementChurn looks at one service's placement again and again.
+func measurePlacementChurn(d *rand.Rand, n int, mbps float64) ([]float64, error) {
 	weight, total := make([]float64, n), 0.0
 	for i := range weight {
 		weight[i] = math.Pow(float64(i+1), -0.3)
@@ -53,7 +53,7 @@
 		hot[i] = &wire.HotPrefix{Key: k[:], Hotness: 30 * rate * weight[i] / total, Tokens: 8000, Head: true}
 	}
 	var ws []string
-	for _, w := range roll(20, 1) {
+	for _, w := range workerList(20, 1) {
 		ws = append(ws, w.ID)
 	}
 	const span = 1000.0
@@ -63,7 +63,7 @@
 	p := placementcontroller.Compute(f, nil)
 	changed := 0
 	at := cpu()
-	for i := range looks {
+	for i := range recomputations {
 		for j := range hot { // three seconds pass between two looks
 			hot[j].Hotness = hot[j].Hotness*math.Exp(-0.1) + float64(poisson(d, 3*rate*weight[j]/total))
 		}
@@ -79,10 +79,10 @@
 			changed++
 		}
 	}
-	spent := (cpu() - at) / looks
+	spent := (cpu() - at) / recomputations
 	body, err := json.Marshal(p)
 	packed := fleet.Compress(&wire.Document{Key: fleet.PlacementKey + p.Service, Body: body, Version: 1})
-	return []float64{spent, float64(len(body)), float64(len(packed.Body)), float64(changed) / looks}, err
+	return []float64{spent, float64(len(body)), float64(len(packed.Body)), float64(changed) / recomputations}, err
 }
 
 // rate is how many accesses a service's hot parts get a second: 5,700 requests over 35 models.
--- a/internal/capacity/plans.go
+++ b/internal/capacity/plans.go
@@ -10,16 +10,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// plans measures what grows with routes and with tenants: the plan's bytes, its reading, its memory,
+// measurePlans measures what grows with routes and with tenants: the plan's bytes, its reading, its memory,
 // and a request's look-up in it.
-func plans(b *bench) error {
+func measurePlans(b *bench) error {
 	for _, f := range []struct {
 		name, factor string
 		sizes        []float64
 		make         func(n int) *routingconfig.Plan
 	}{
-		{"route", "routes", b.sizes(100, 400, 1600), func(n int) *routingconfig.Plan { return sample(1, n, 0) }},
-		{"tenant", "tenants", b.sizes(725, 1450, 2900), func(n int) *routingconfig.Plan { return sample(1, 0, n) }},
+		{"route", "routes", b.sizes(100, 400, 1600), func(n int) *routingconfig.Plan { return samplePlan(1, n, 0) }},
+		{"tenant", "tenants", b.sizes(725, 1450, 2900), func(n int) *routingconfig.Plan { return samplePlan(1, 0, n) }},
 	} {
 		if err := b.vary("plans", f.factor, f.sizes, []kind{
 			{f.name + "-bytes", "B", "a plan's document"},
@@ -29,9 +29,9 @@
 			{f.name + "-memory", "B", "heap of the plan in use"},
 			{f.name + "-lookup", "µs", "processor time of a request's look-ups in it"},
 		}, func(n float64) ([]float64, error) {
-			body := written(f.make(int(n)))
+			body := encodePlan(f.make(int(n)))
 			was := heap()
-			p, err := form{}.Read(body)
+			p, err := benchCodec{}.Read(body)
 			if err != nil {
 				return nil, err
 			}
@@ -41,7 +41,7 @@
 			pack := b.spend(func() { fleet.Compress(doc) })
 			read := b.spend(func() {
 				if d, err := fleet.Decompress(packed); err == nil {
-					_, _ = form{}.Read(d.Body)
+					_, _ = benchCodec{}.Read(d.Body)
 				}
 			})
 			i := 0
@@ -73,9 +73,9 @@
 		return d.Arr(func(d *jx.Decoder) error {
 			defer func() { i++ }()
 			if d.Next() == jx.Number {
-				return whole(d, &number)
+				return decodeInt(d, &number)
 			}
-			return text(d, &a[i&3])
+			return decodeText(d, &a[i&3])
 		})
 	})
 	return n, err
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -27,8 +27,8 @@
 func modelName(i int) string   { return fmt.Sprintf("model-%02d-70000", i) }
 func serviceName(i int) string { return fmt.Sprintf("service-%02d", i) }
 
-// roll lists workers, spread over so many services.
-func roll(n, services int) []fleet.Worker {
+// workerList lists workers, spread over so many services.
+func workerList(n, services int) []fleet.Worker {
 	l, d := make([]fleet.Worker, n), rand.New(rand.NewPCG(3, 5))
 	for i := range l {
 		s := i % services
@@ -39,7 +39,7 @@
 }
 
 // newProcess makes a program's process runtime in this process; listen, if any, is where its connections are counted.
-func newProcess(name string, b settings.Bounds, tap *tap) *daemon.Process {
+func newProcess(name string, b settings.Bounds, tap *byteCounter) *daemon.Process {
 	p := settings.Process{Name: name, Zone: "district-0", Listen: "127.0.0.1:0", Bounds: b, Options: []string{"log=off"},
 		Site: &settings.Site{FirstStart: true, IP: "127.0.0.1", MemoryLimitMB: 4096, ReadinessListen: "127.0.0.1:0", HeartbeatMs: 1200, GraceMs: 100, LeaseMs: 3000, AckTimeoutMs: 60000, TransitMs: 1000}}
 	w := daemon.RealEnvironment(p)
@@ -55,8 +55,8 @@
 	return &routingconfig.Engine{Slots: 128, CapacityTokens: 320000, TokenBytes: 18432, LinkMbps: 370000, MaxPolls: 4}
 }
 
-// workers measures what grows with how many workers there are.
-func workers(b *bench) error {
+// measureWorkers measures what grows with how many workers there are.
+func measureWorkers(b *bench) error {
 	if err := b.vary("workers", "workers", b.sizes(89, 178, 355, 710), []kind{
 		{"table-bytes", "B", "the document of workers"},
 		{"table-told", "B", "the same as it is told to nodes, packed"},
@@ -64,7 +64,7 @@
 		{"table-take", "µs", "processor time to lay one whole reading of the list over the table and write the document anew"},
 		{"table-memory", "B", "heap of the workers that a snapshot holds"},
 	}, func(n float64) ([]float64, error) {
-		l := roll(int(n), models)
+		l := workerList(int(n), models)
 		t := controllers.NewWorkerList(fleet.WorkerList{Workers: l})
 		body, err := json.Marshal(t.Document())
 		if err != nil {
@@ -89,14 +89,14 @@
 	}); err != nil {
 		return err
 	}
-	if err := choice(b); err != nil {
+	if err := measureSelection(b); err != nil {
 		return err
 	}
-	return polls(b)
+	return measurePolls(b)
 }
 
-// choice measures one choice of a worker, and the first one under a new table.
-func choice(b *bench) error {
+// measureSelection measures one choice of a worker, and the first one under a new table.
+func measureSelection(b *bench) error {
 	return b.vary("workers", "workers", b.sizes(20, 89, 178, 355, 710), []kind{
 		{"pick-cpu", "µs", "processor time of one choice among so many workers of one service, noted as sent and as ended"},
 		{"pick-table", "µs", "the same where the table of workers has just changed"},
@@ -105,7 +105,7 @@
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
 			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.EventStream, Timeout: 8 * time.Second, LatencyTarget: time.Second, NamesPromptParts: true, MaxAttempts: 2, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}}}
-		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Workers: roll(int(n), 1), Edges: 340}
+		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Workers: workerList(int(n), 1), Edges: 340}
 		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }))
 		i, d := 0, rand.New(rand.NewPCG(1, 2))
 		one := func(s *fleet.Snapshot) {
@@ -123,24 +123,24 @@
 	})
 }
 
-// idle answers as workers do that have nothing new to tell.
-type idle struct {
+// idleWorkerClient answers as workers do that have nothing new to tell.
+type idleWorkerClient struct {
 	backend.Client
 	asked chan struct{}
 }
 
-func (c *idle) CacheEvents(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
+func (c *idleWorkerClient) CacheEvents(ctx context.Context, _ string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	c.asked <- struct{}{}
 	return backend.CacheEvents{BootID: 1, NextSequence: since + 1}, nil
 }
 
-func (c *idle) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
+func (c *idleWorkerClient) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
 	return backend.CacheEvents{BootID: 1, NextSequence: 1}, nil
 }
 
-// polls measures an index node's round over all workers, without the calls themselves: its bounds
+// measurePolls measures an index node's round over all workers, without the calls themselves: its bounds
 // are so short that it asks all the time.
-func polls(b *bench) error {
+func measurePolls(b *bench) error {
 	return b.vary("workers", "workers", b.sizes(89, 178, 355, 710), []kind{
 		{"round-cpu", "µs", "processor time at an index node for each question to a worker, beside the call itself and the events in it"},
 	}, func(n float64) ([]float64, error) {
@@ -150,9 +150,9 @@
 			short.HealMs = 240
 		}
 		l := newProcess("core-1", short, nil)
-		s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: roll(int(n), 1),
+		s := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: workerList(int(n), 1),
 			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: "district-0", Addr: "127.0.0.1:1"}}}
-		c := &idle{asked: make(chan struct{}, 1<<16)}
+		c := &idleWorkerClient{asked: make(chan struct{}, 1<<16)}
 		if _, err := promptindex.StartSite(l, c, func() *fleet.Snapshot { return s }); err != nil {
 			return nil, err
 		}
