--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -1,12 +1,12 @@
 package mutation
 
-// manySeeds bound the search, which ends soon after the first seed that fails.
+// manySeeds bounds the search, which ends soon after the first seed that fails.
 var manySeeds = []string{"SIM_SEED=0", "SIM_SEEDS=120"}
 
-// Faults that only a history, or a seed of the group's simulator, finds. The number of seeds that each
-// took is logged, and stands in docs/control.md.
+// Faults that only a check of histories, or a seed of the group's simulator, finds. How many seeds each
+// takes is logged; docs/control.md lists it.
 var _ = register(
-	mutant{point: 2, name: "an order is acknowledged before it is committed",
+	mutant{point: 2, name: "a change is acknowledged before it is committed",
 		file: "internal/control/controlstate/propose.go",
 		original: `	s.pendingProposals[index] = proposal
 	return proposal, nil`,
@@ -16,32 +16,32 @@
 		s.pendingProposals[index] = proposal
 	}
 	return proposal, nil`,
-		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
-	mutant{point: 1, name: "a read is answered from the applied state without a quorum",
+		pkg: statePackage, run: "TestSimGroup$", env: manySeeds},
+	mutant{point: 1, name: "a read is answered from the applied state, unconfirmed",
 		file: "internal/control/controlstate/read.go",
 		original: `			s.pendingReads[readID] = result
 `,
 		replacement: `			result <- true
 `,
-		pkg: "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
-	mutant{point: 2, name: "a snapshot forgets the orders that were taken",
+		pkg: statePackage, run: "TestSimGroup$", env: manySeeds},
+	mutant{point: 2, name: "a snapshot has no idempotency records",
 		file:        "internal/control/controlstate/state.go",
 		original:    "Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}",
 		replacement: "Claims: s.claims.save(), AgeNs: s.claims.age}",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
-	mutant{point: 1, name: "a lease is granted before the last one has run out",
+		pkg:         statePackage, run: "TestSimGroup$", env: manySeeds},
+	mutant{point: 1, name: "a lease is granted before the previous one has run out",
 		file:        "internal/control/controlstate/state.go",
 		original:    "> ttl+time.Duration(float64(ttl)*settings.LeaseMarginRatio)",
 		replacement: "> time.Duration(float64(ttl)*settings.LeaseMarginRatio)",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
-	mutant{point: 2, name: "an order under way is refused when its leader stops leading",
+		pkg:         statePackage, run: "TestSimGroup$", env: manySeeds},
+	mutant{point: 2, name: "a pending change is rejected at its leader's step-down",
 		file:        "internal/control/controlstate/propose.go",
 		original:    "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
 		replacement: "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: s.state.documents[s.configKey()].GetVersion()}",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
-	mutant{point: 4, name: "a vote isn't synced",
+		pkg:         statePackage, run: "TestSimGroup$", env: manySeeds},
+	mutant{point: 4, name: "a vote isn't synced to the disk",
 		file:        "internal/control/consensus/core.go",
 		original:    "	c.persistHardState(&wire.HardState{Term: term, Vote: vote,",
 		replacement: "	c.hardState = (&wire.HardState{Term: term, Vote: vote,",
-		pkg:         "internal/control/controlstate", run: "TestSimGroup$", env: manySeeds},
+		pkg:         statePackage, run: "TestSimGroup$", env: manySeeds},
 )
--- a/internal/control/mutation/model_test.go
+++ b/internal/control/mutation/model_test.go
@@ -1,88 +1,87 @@
 package mutation
 
 const (
-	consensusPkg  = "internal/control/consensus"
-	coreFile      = consensusPkg + "/core.go"
-	stepFile      = consensusPkg + "/step.go"
-	electionFile  = consensusPkg + "/election.go"
-	appendFile    = consensusPkg + "/append.go"
-	readFile      = consensusPkg + "/read_index.go"
-	memberFile    = consensusPkg + "/membership.go"
-	logFile       = consensusPkg + "/log.go"
-	leaderFile    = consensusPkg + "/replication.go"
-	installFile   = consensusPkg + "/snapshot_receive.go"
-	statusFile    = consensusPkg + "/status.go"
-	modelSearches = "TestModelChecker/"
+	coreFile     = consensusPackage + "/core.go"
+	stepFile     = consensusPackage + "/step.go"
+	electionFile = consensusPackage + "/election.go"
+	appendFile   = consensusPackage + "/append.go"
+	readFile     = consensusPackage + "/read_index.go"
+	memberFile   = consensusPackage + "/membership.go"
+	logFile      = consensusPackage + "/log.go"
+	leaderFile   = consensusPackage + "/replication.go"
+	installFile  = consensusPackage + "/snapshot_receive.go"
+	statusFile   = consensusPackage + "/status.go"
+	modelChecker = "TestModelChecker/"
 )
 
-// wideSearches has the model checker search within its wider bounds.
-var wideSearches = []string{"CONSENSUS_MODEL=wide"}
+// wideModelChecker has the model checker search within wider bounds.
+var wideModelChecker = []string{"CONSENSUS_MODEL=wide"}
 
-// Faults of the consensus core, found by the model checker; point 0 is that of the searches. The
-// failing test prints the trace and how many states it took.
+// Faults of the consensus core that the model checker finds; they belong to no point (0). The failing test
+// prints the trace of messages, and how many states the search took.
 var _ = register(
 	mutant{name: "a vote isn't persisted", file: electionFile,
 		original:    "c.saveHardState(c.hardState.Term, message.From)",
 		replacement: "c.hardState = &wire.HardState{Term: c.hardState.Term, Vote: message.From, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
-		pkg:         consensusPkg, run: modelSearches + "elections$"},
+		pkg:         consensusPackage, run: modelChecker + "elections$"},
 	mutant{name: "a vote is given to a shorter log", file: electionFile,
 		original:    "message.LogTerm == lastTerm && message.Index >= c.lastIndex()",
 		replacement: "message.LogTerm == lastTerm",
-		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
+		pkg:         consensusPackage, run: modelChecker + "elections_and_log"},
 	mutant{name: "a second vote is given in a term", file: electionFile,
 		original:    `(c.hardState.Vote == "" || c.hardState.Vote == message.From) && `,
 		replacement: "",
-		pkg:         consensusPkg, run: modelSearches + "elections$"},
+		pkg:         consensusPackage, run: modelChecker + "elections$"},
 	mutant{name: "an entry of an older term is committed by counting", file: leaderFile,
 		original:    "if term, _ := c.termAt(index); term != c.hardState.Term {",
 		replacement: "if term, _ := c.termAt(index); term > c.hardState.Term {",
-		pkg:         consensusPkg, run: modelSearches + "entries_of_older_terms"},
-	mutant{name: "a candidate forgets the term it stands in", file: electionFile,
+		pkg:         consensusPackage, run: modelChecker + "entries_of_older_terms"},
+	mutant{name: "a candidate doesn't persist its term", file: electionFile,
 		original:    "c.saveHardState(term, c.cfg.Self)",
 		replacement: "c.hardState = &wire.HardState{Term: term, Vote: c.cfg.Self, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
-		pkg:         consensusPkg, run: modelSearches + "elections$"},
-	mutant{name: "a record of a cut log is forgotten", file: appendFile,
+		pkg:         consensusPackage, run: modelChecker + "elections$"},
+	mutant{name: "the truncation of a log isn't persisted", file: appendFile,
 		original:    "c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_TruncateFrom{TruncateFrom: entry.Index}})",
 		replacement: "_ = exists",
-		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
+		pkg:         consensusPackage, run: modelChecker + "elections_and_log"},
 	mutant{name: "an answer to another incarnation is counted", file: stepFile,
 		original:    "if handler.isResponse && message.AboutIncarnation != c.hardState.Incarnation {",
 		replacement: `if handler.isResponse && message.AboutIncarnation == "" {`,
-		pkg:         consensusPkg, run: modelSearches + "fixed_members_and_a_lost_disk"},
+		pkg:         consensusPackage, run: modelChecker + "fixed_members_and_a_lost_disk"},
 	mutant{name: "members change before the last change is committed", file: memberFile,
 		original:    "return c.role == leader && term == c.hardState.Term && c.voters.index <= c.commit",
 		replacement: "return c.role == leader && term == c.hardState.Term",
-		pkg:         consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
+		pkg:         consensusPackage, run: modelChecker + "membership_changes_and_wipe"},
 	mutant{name: "two members are added or removed at once", file: memberFile,
 		original:    "len(added)+len(removed) != 1 || len(proposed) == 0",
 		replacement: "len(added)+len(removed) > 2 || len(proposed) == 0",
-		pkg:         consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
+		pkg:         consensusPackage, run: modelChecker + "membership_changes_and_wipe"},
 	mutant{name: "a read is confirmed without asking a quorum", file: readFile,
 		original:    "return c.peers[voter].ackedReadSequence >= read.sequence",
 		replacement: "return true",
-		pkg:         consensusPkg, run: modelSearches + "reads_and_leader_transfer"},
-	mutant{name: "a read is taken before the leader has committed in its term", file: readFile,
+		pkg:         consensusPackage, run: modelChecker + "reads_and_leader_transfer"},
+	mutant{name: "a read is accepted before the leader has committed in its term", file: readFile,
 		original:    "c.role != leader || term != c.hardState.Term {\n\t\treturn 0, false",
 		replacement: "c.role != leader || term > c.hardState.Term {\n\t\treturn 0, false",
-		pkg:         consensusPkg, run: modelSearches + "reads_and_leader_transfer", env: wideSearches},
+		pkg:         consensusPackage, run: modelChecker + "reads_and_leader_transfer", env: wideModelChecker},
 	mutant{name: "a compaction forgets entries that aren't applied", file: logFile,
 		original:    "remaining := append([]*wire.Entry(nil), c.entriesFrom(c.applied+1)...)",
 		replacement: "var remaining []*wire.Entry",
-		pkg:         consensusPkg, run: modelSearches + "compaction_and_conflicting_logs"},
+		pkg:         consensusPackage, run: modelChecker + "compaction_and_conflicting_logs"},
 	mutant{name: "a compaction forgets the vote", file: logFile,
 		original:    "Index: c.applied, Term: term, HardState: c.hardState, State: state,",
 		replacement: "Index: c.applied, Term: term, HardState: &wire.HardState{Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState, Term: c.hardState.Term}, State: state,",
-		pkg:         consensusPkg, run: modelSearches + "compaction_and_restart"},
+		pkg:         consensusPackage, run: modelChecker + "compaction_and_restart"},
 	mutant{name: "a newer term isn't persisted", file: electionFile,
 		original:    "c.saveHardState(term, \"\")",
 		replacement: "c.hardState = &wire.HardState{Term: term, Incarnation: c.hardState.Incarnation, DiskState: c.hardState.DiskState}",
-		pkg:         consensusPkg, run: modelSearches + "elections_and_log"},
-	mutant{name: "a leader goes on in a term that it only heard of", file: stepFile,
+		pkg:         consensusPackage, run: modelChecker + "elections_and_log"},
+	mutant{name: "a leader continues in a newer term that it received", file: stepFile,
 		original: `if message.Term > c.hardState.Term && !handler.keepsTerm {
 		c.becomeFollower(message.Term, "")`,
 		replacement: `if message.Term > c.hardState.Term && !handler.keepsTerm {
 		c.saveHardState(message.Term, "")`,
-		pkg: consensusPkg, run: modelSearches + "elections$"},
+		pkg: consensusPackage, run: modelChecker + "elections$"},
 	mutant{name: "a snapshot is installed over newer state", file: installFile,
 		original: "if message.Snapshot.Index <= c.commit {",
 		replacement: `if message.Snapshot.Index < c.commit && uint64(len(message.Chunk.Data)) == message.Chunk.Total {
@@ -91,7 +90,7 @@
 		c.restoreSnapshot(older, nil)
 	}
 	if message.Snapshot.Index <= c.commit {`,
-		pkg: consensusPkg, run: modelSearches + "snapshot_to_a_learner"},
+		pkg: consensusPackage, run: modelChecker + "snapshot_to_a_learner"},
 	mutant{name: "a removed leader counts itself", file: coreFile,
 		original: `func (c *Core) hasQuorum(satisfies func(voter string) bool) bool {
 	count := 0`,
@@ -100,9 +99,9 @@
 	if !c.IsVoter(c.cfg.Self) {
 		count = 1
 	}`,
-		pkg: consensusPkg, run: modelSearches + "membership_changes_and_wipe"},
-	mutant{name: "what isn't applied is left out of a vouch", file: statusFile,
+		pkg: consensusPackage, run: modelChecker + "membership_changes_and_wipe"},
+	mutant{name: "unapplied entries are left out of a proof of freshness", file: statusFile,
 		original:    "return c.entriesFrom(c.applied + 1) }",
 		replacement: "return nil }",
-		pkg:         consensusPkg, run: modelSearches + "proofs_of_freshness"},
+		pkg:         consensusPackage, run: modelChecker + "proofs_of_freshness"},
 )
