--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -9,88 +9,123 @@
 	"github.com/hashicorp/go-hclog"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/wire"
 )
 
-// A group of one has nothing but its disk. Whatever becomes of the process, of the machine's power
-// and of single writes and syncs, what it acknowledged is there once it runs again; and it takes
-// changes again as soon as the disk does.
-func TestAcknowledgedChangesAreDurable(t *testing.T) {
-	acked, all, ends := uint64(0), 0, 0
-	for seed := range uint64(400) {
-		random := rand.New(rand.NewPCG(seed, 3))
-		d := newCacheDisk(random)
-		var replica *shard
-		newest, boots := uint64(0), 0
-		boot := func() {
-			boots, all = boots+1, all+1
-			d.crashed, d.writesUntilCrash = false, -1
-			replica = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
-			replica.compactThreshold = 400
-			openGroupShard(replica, &group{codec: versionCodec{}, disk: d, targetSize: 1, reopenTicks: 3, zoneOf: func(string) string { return "" },
-				consensusConfig: consensus.Config{HeartbeatTicks: heartbeatTicks, ElectionTicks: electionTicks, MaxBatchBytes: 4096, Rand: random},
-				initialSnapshot: func() *wire.Snapshot {
-					return initialGroupSnapshot(boots == 1 || newest == 0, "a:1", []string{"a:1"}, random.Uint64)
-				}})
+// singleMember is a group of one, on a disk that fails: it has nothing but this disk.
+type singleMember struct {
+	random    *rand.Rand
+	disk      *cacheDisk
+	replica   *shard
+	newest    uint64 // the newest version that was acknowledged
+	starts    int
+	crashes   int // in a write
+	ackedPuts int
+}
+
+func newSingleMember(seed uint64) *singleMember {
+	random := rand.New(rand.NewPCG(seed, 3))
+	m := &singleMember{random: random, disk: newCacheDisk(random)}
+	m.start()
+	return m
+}
+
+func (m *singleMember) start() {
+	m.starts++
+	m.disk.crashed, m.disk.writesUntilCrash = false, -1
+	m.replica = newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	m.replica.compactThreshold = 400
+	config := newTestGroup(m.disk, m.random, func() *wire.Snapshot {
+		return initialGroupSnapshot(m.starts == 1 || m.newest == 0, "a:1", []string{"a:1"}, m.random.Uint64)
+	})
+	config.targetSize = 1
+	openGroupShard(m.replica, config)
+}
+
+// tick lets time pass; a process that crashes in a write starts again, at times after a loss of power.
+func (m *singleMember) tick(ticks int) {
+	for range ticks {
+		if m.replica.failure == nil {
+			m.replica.core.Tick()
 		}
-		tick := func(n int) {
-			for range n {
-				if replica.failure == nil {
-					replica.core.Tick()
-				}
-				replica.maintainGroup()
-				replica.handleReady()
-				if d.crashed {
-					if ends++; random.IntN(2) == 0 {
-						d.losePower()
-					}
-					boot()
-				}
-			}
+		m.replica.maintainGroup()
+		m.replica.handleReady()
+		if m.disk.crashed {
+			m.crashes++
+			m.restart()
 		}
+	}
+}
 
-		boot()
-		for index := range 60 {
-			switch random.IntN(6) {
-			case 0:
-				d.failWrites = !d.failWrites
-			case 1:
-				d.writesUntilCrash = random.IntN(4)
-			case 2:
-				if random.IntN(2) == 0 {
-					d.losePower()
-				}
-				boot()
-			}
-			tick(1 + random.IntN(30))
-			if index%10 == 9 {
-				d.failWrites = false
-				tick(60)
-			}
-			request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: fmt.Append(nil, index)}}}}
-			pending, response := replica.propose(request, nil)
-			incarnation := replica
-			tick(1)
-			if response == nil && incarnation == replica {
-				select {
-				case response = <-pending.response:
-				default:
-				}
-			}
-			if response.GetOutcome() == wire.OutcomeDone {
-				acked++
-				newest = response.Version
+// restart starts the process again, at times after a loss of power.
+func (m *singleMember) restart() {
+	if m.random.IntN(2) == 0 {
+		m.disk.losePower()
+	}
+	m.start()
+}
+
+// injectFault fills the disk or frees it, has the process crash in a coming write, or restarts it.
+func (m *singleMember) injectFault() {
+	switch m.random.IntN(6) {
+	case 0:
+		m.disk.failWrites = !m.disk.failWrites
+	case 1:
+		m.disk.writesUntilCrash = m.random.IntN(4)
+	case 2:
+		m.restart()
+	}
+}
+
+// put proposes a change. It returns the answer, nil where there is none after a tick, and whether the
+// process has lived on.
+func (m *singleMember) put(body []byte) (response *wire.ChangeResponse, survived bool) {
+	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: body}}}}
+	pending, response := m.replica.propose(request, nil)
+	before := m.replica
+	m.tick(1)
+	survived = before == m.replica
+	if response == nil && survived {
+		select {
+		case response = <-pending.response:
+		default:
+		}
+	}
+	if response.GetOutcome() == wire.OutcomeDone {
+		m.ackedPuts++
+		m.newest = response.Version
+	}
+	return response, survived
+}
+
+// Whatever becomes of the process, of the machine's power and of single writes and syncs, what a group of
+// one has acknowledged is there once it runs again; and it accepts changes again as soon as its disk
+// accepts writes.
+func TestAcknowledgedChangesAreDurable(t *testing.T) {
+	acked, starts, crashes := 0, 0, 0
+	for seed := range uint64(400) {
+		m := newSingleMember(seed)
+		for step := range 60 {
+			m.injectFault()
+			m.tick(1 + m.random.IntN(30))
+			diskIsWell := step%10 == 9
+			if diskIsWell {
+				m.disk.failWrites = false
+				m.tick(60)
 			}
-			if index%10 == 9 && (replica.failure != nil || response.GetOutcome() != wire.OutcomeDone && d.writesUntilCrash < 0 && incarnation == replica) {
-				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, replica.failure, response)
+			response, survived := m.put(fmt.Append(nil, step))
+			refused := response.GetOutcome() != wire.OutcomeDone && m.disk.writesUntilCrash < 0 && survived
+			if diskIsWell && (m.replica.failure != nil || refused) {
+				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, m.replica.failure, response)
 			}
-			if e := replica.state.documents["k"].GetVersion(); replica.failure == nil && replica.core.HasAppliedCurrentTerm() && e < newest {
-				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, index, newest, e)
+			if version := m.replica.state.documents["k"].GetVersion(); m.replica.failure == nil && m.replica.core.HasAppliedCurrentTerm() && version < m.newest {
+				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, step, m.newest, version)
 			}
 		}
+		acked, starts, crashes = acked+m.ackedPuts, starts+m.starts, crashes+m.crashes
 	}
-	if acked < 2000 || all < 1000 || ends < 200 {
-		t.Errorf("%d acknowledged, %d starts, %d ends in a write", acked, all, ends)
+	t.Logf("%d acknowledged, %d starts, %d crashes in a write", acked, starts, crashes)
+	if acked < 2000 || starts < 1000 || crashes < 200 {
+		t.Errorf("%d acknowledged, %d starts, %d crashes in a write: the test doesn't reach enough", acked, starts, crashes)
 	}
 }
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -146,7 +146,7 @@
 			replaceLeaderForGood(cluster, 5+i)
 			cluster.putVersion(uint64(4 + i))
 		}
-		restartAll(cluster, 6)
+		restartMachines(cluster, 6)
 		cluster.putVersion(6)
 		for _, node := range cluster.nodes {
 			if _, version, err := node.ReadRoutingConfig(context.Background()); err != nil || version != 6 {
@@ -193,8 +193,8 @@
 	cluster.awaitMembers("three members", 8*time.Second, func([]string) bool { return !cluster.isMember(leader) })
 }
 
-// restartAll stops all machines that run, and starts the first ones.
-func restartAll(cluster *testCluster, machines int) {
+// restartMachines stops all machines that run, and starts the first ones.
+func restartMachines(cluster *testCluster, machines int) {
 	for i := range 8 {
 		if cluster.node(i+1) != nil {
 			cluster.stop(i + 1)
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -15,60 +15,72 @@
 	"pebbleloom/internal/wire"
 )
 
-// partitionWorld is one row being played: real nodes, operators, an edge and two lease holders.
-type partitionWorld struct {
+// isolationWorld plays a scenario with real nodes, operators, edges and two lease holders.
+type isolationWorld struct {
 	*testCluster
 	t        *testing.T
-	scenario partitionScenario
+	scenario isolationScenario
 	victim   int
-	// companion is cut off together with the victim, and still reaches it; 0: there is none.
+	// companion is isolated together with the victim, and still reaches it; 0: there is none.
 	companion int
 	others    []int
 
 	mu           sync.Mutex
-	ackedVersion uint64        // the newest acknowledged
-	ackedAt      map[uint64]at // when each version was acknowledged
-	edges        []*partitionEdge
-	leases       [2]*controlclient.Lease // one at the cut-off member, one at the others
-	lastHeld     [2]time.Duration        // when each was seen to hold the lease last
-	longestWait  time.Duration           // that an order waited for the other side
-	// restarted tells whether the row's restarts are over.
-	restarted bool
-	startedAt time.Time
+	ackedVersion uint64               // the newest acknowledged
+	ackedAt      map[uint64]time.Time // when each version was acknowledged first
+	edges        []*isolationEdge
+	leases       [2]*controlclient.Lease // one at the isolated member, one at the others
+	lastHeld     [2]time.Duration        // when each held the lease last
+	longestWait  time.Duration           // until the other members acknowledged a change
+	restarted    bool                    // the restarts of the scenario are over
+	startedAt    time.Time
 }
 
-type at = time.Time
-
-// partitionEdge follows some members by long polls, as an edge's agent does.
-type partitionEdge struct {
+// isolationEdge follows some members by long polls, as an edge's agent does.
+type isolationEdge struct {
 	machines []int // the machines that it reaches
 	mu       sync.Mutex
 	proof    *agent.FreshnessProof
 	version  uint64
 }
 
-func (w *partitionWorld) elapsed() time.Duration { return time.Since(w.startedAt) }
+func (w *isolationWorld) elapsed() time.Duration { return time.Since(w.startedAt) }
+
+// newestAcked is the newest version that was acknowledged.
+func (w *isolationWorld) newestAcked() uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.ackedVersion
+}
+
+// freshUntil is up to when the edge's version is proven to be the newest.
+func (e *isolationEdge) freshUntil() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.proof.FreshUntil(e.version)
+}
 
-// isolateVictim begins the cut between the victim, with its companion if it has one, and all others.
-func (w *partitionWorld) isolateVictim() {
+// isolateVictim partitions the victim, with its companion if it has one, from all others.
+func (w *isolationWorld) isolateVictim() {
 	w.network.update(func(partitioned map[[2]string]bool) {
-		for _, i := range []int{w.victim, w.companion} {
-			for j := range 9 {
-				if i == 0 || j+1 == w.victim || j+1 == w.companion {
+		for _, isolated := range []int{w.victim, w.companion} {
+			for other := 1; other <= 9; other++ {
+				if isolated == 0 || other == w.victim || other == w.companion {
 					continue
 				}
-				if w.scenario.direction != "in" {
-					partitioned[[2]string{w.addr(i), w.addr(j + 1)}] = true
+				if w.scenario.direction != isolatedIn {
+					partitioned[[2]string{w.addr(isolated), w.addr(other)}] = true
 				}
-				if w.scenario.direction != "out" {
-					partitioned[[2]string{w.addr(j + 1), w.addr(i)}] = true
+				if w.scenario.direction != isolatedOut {
+					partitioned[[2]string{w.addr(other), w.addr(isolated)}] = true
 				}
 			}
 		}
 	})
 }
 
-func (w *partitionWorld) kill(i int) {
+// kill ends a machine's process without a shutdown.
+func (w *isolationWorld) kill(i int) {
 	process := w.processes[w.addr(i)]
 	w.testCluster.mu.Lock()
 	delete(w.nodes, w.addr(i))
@@ -76,107 +88,107 @@
 	process.Stop(0)
 }
 
-// restartMachines restarts what the row says; those of the majority's side one after the other.
-func (w *partitionWorld) restartMachines() {
-	var l []int
-	switch w.scenario.restarted {
-	case "itself":
-		l = []int{w.victim}
-	case "another":
-		l = w.others[:1]
-	case "all":
-		l = append([]int{w.victim}, w.others[:2]...)
+// restartMachines restarts the members of the scenario, one after the other.
+func (w *isolationWorld) restartMachines() {
+	var machines []int
+	switch w.scenario.restarts {
+	case restartIsolated:
+		machines = []int{w.victim}
+	case restartOther:
+		machines = w.others[:1]
+	case restartAll:
+		machines = append([]int{w.victim}, w.others[:2]...)
 	}
 	if w.scenario.onlyIsolatedSeeds {
 		w.seeds = []string{w.addr(w.victim)}
 	}
-	for _, i := range l {
-		w.kill(i)
-		w.start(i, false)
+	for _, machine := range machines {
+		w.kill(machine)
+		w.start(machine, false)
 	}
 }
 
-// followMember has an edge follow one member until the end.
-func (w *partitionWorld) followMember(ctx context.Context, edge *partitionEdge, i int) {
+// followMember has an edge follow one member until the context ends, and checks the edge's proof.
+func (w *isolationWorld) followMember(ctx context.Context, edge *isolationEdge, machine int) {
 	for ctx.Err() == nil {
-		node := w.node(i)
+		node := w.node(machine)
 		if node == nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
 		edge.mu.Lock()
-		have, asked := edge.version, w.elapsed()
+		known, sentAt := edge.version, w.elapsed()
 		edge.mu.Unlock()
-		response, err := node.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: have}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.DocumentKey})
+		response, err := node.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: known}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.DocumentKey})
 		if err != nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
 		edge.mu.Lock()
-		heard := have
+		received := known
 		for _, document := range response.Documents {
-			heard = max(heard, document.Version)
+			received = max(received, document.Version)
 		}
-		edge.version = max(edge.version, heard)
-		edge.proof.AddResponse(response, heard, asked)
-		proven := edge.proof.FreshUntil(edge.version)
-		version := edge.version
+		edge.version = max(edge.version, received)
+		edge.proof.AddResponse(response, received, sentAt)
+		freshUntil, version := edge.proof.FreshUntil(edge.version), edge.version
 		edge.mu.Unlock()
 		w.mu.Lock()
-		for v, when := range w.ackedAt {
-			if v > version && when.Sub(w.startedAt) < proven {
-				w.t.Errorf("%v: an edge of %v has the proof for version %d up to %v, yet %d was acknowledged at %v", w.elapsed(), edge.machines, version, proven, v, when.Sub(w.startedAt))
+		for newer, ackedAt := range w.ackedAt {
+			if newer > version && ackedAt.Sub(w.startedAt) < freshUntil {
+				w.t.Errorf("%v: an edge of %v has the proof for version %d up to %v, yet %d was acknowledged at %v", w.elapsed(), edge.machines, version, freshUntil, newer, ackedAt.Sub(w.startedAt))
 			}
 		}
 		w.mu.Unlock()
 	}
 }
 
-// renewLease has a holder ask for the lease again and again, at the cut-off member or at the others.
-func (w *partitionWorld) renewLease(ctx context.Context, k int) {
-	l := w.leases[k]
+// renewLease has a holder request the lease again and again, at the isolated member (0) or at the others
+// (1).
+func (w *isolationWorld) renewLease(ctx context.Context, holder int) {
+	lease := w.leases[holder]
+	machines := w.others
+	if holder == 0 {
+		machines = []int{w.victim}
+	}
 	for ; ctx.Err() == nil; clock.Sleep(ctx, leaseTTL*2/5) {
-		asked := w.elapsed() + time.Hour
-		ask := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: l.GrantRequest()}}}
-		one, end := context.WithTimeout(ctx, leaseTTL)
+		requestedAt := w.elapsed() + time.Hour
+		request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: lease.GrantRequest()}}}
+		attempt, end := context.WithTimeout(ctx, leaseTTL)
 		var response *wire.ChangeResponse
-		near := w.others
-		if k == 0 {
-			near = []int{w.victim}
-		}
-		for _, i := range near {
-			if node := w.node(i); node != nil {
-				response, _ = node.controlClient.Change(one, ask)
+		for _, machine := range machines {
+			if node := w.node(machine); node != nil {
+				response, _ = node.controlClient.Change(attempt, request)
 				break
 			}
 		}
 		end()
-		l.HandleResponse(asked, response)
+		lease.HandleResponse(requestedAt, response)
 	}
 }
 
-// checkSingleHolder sees to it that nobody holds the lease beside another.
-func (w *partitionWorld) checkSingleHolder(ctx context.Context) {
+// checkSingleHolder checks until the context ends that the two don't hold the lease at once.
+func (w *isolationWorld) checkSingleHolder(ctx context.Context) {
 	for ; ctx.Err() == nil; clock.Sleep(ctx, 20*time.Millisecond) {
-		_, a := w.leases[0].FencingToken()
-		_, b := w.leases[1].FencingToken()
-		if a && b {
+		_, firstHolds := w.leases[0].FencingToken()
+		_, secondHolds := w.leases[1].FencingToken()
+		if firstHolds && secondHolds {
 			w.t.Errorf("%v: two hold the lease at once", w.elapsed())
 			return
 		}
 		w.mu.Lock()
-		if a {
+		if firstHolds {
 			w.lastHeld[0] = w.elapsed()
 		}
-		if b {
+		if secondHolds {
 			w.lastHeld[1] = w.elapsed()
 		}
 		w.mu.Unlock()
 	}
 }
 
-// recordAck notes an acknowledgement.
-func (w *partitionWorld) recordAck(version uint64) {
+// recordAck records an acknowledgement.
+func (w *isolationWorld) recordAck(version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ackedVersion = max(w.ackedVersion, version)
@@ -185,15 +197,15 @@
 	}
 }
 
-// putPlan sends one order to a machine, and says what came of it; it is never refused, nor held long.
-func (w *partitionWorld) putPlan(i int, base uint64, b []byte) error {
+// putPlan sends a change to a machine; it must be answered in time and not be rejected.
+func (w *isolationWorld) putPlan(machine int, base uint64, plan []byte) error {
 	begun := time.Now()
-	version, err := w.node(i).PutRoutingConfig(context.Background(), base, b, false)
-	if d := time.Since(begun); d > answerWithin {
-		w.t.Errorf("%v: machine %d answers an order after %v", w.elapsed(), i, d)
+	version, err := w.node(machine).PutRoutingConfig(context.Background(), base, plan, false)
+	if waited := time.Since(begun); waited > answerWithin {
+		w.t.Errorf("%v: machine %d answers a change after %v", w.elapsed(), machine, waited)
 	}
 	if err != nil && errs.KindOf(err).HTTPStatus != 503 {
-		w.t.Errorf("%v: machine %d refuses an order on version %d: %v", w.elapsed(), i, base, err)
+		w.t.Errorf("%v: machine %d rejects a change on version %d: %v", w.elapsed(), machine, base, err)
 	}
 	if err == nil {
 		w.recordAck(version)
@@ -201,37 +213,36 @@
 	return err
 }
 
-// readPlan reads the plan at a machine, never older than what was acknowledged before.
-func (w *partitionWorld) readPlan(i int) error {
-	w.mu.Lock()
-	least := w.ackedVersion
-	w.mu.Unlock()
+// readPlan reads the configuration at a machine; it must be answered in time, and with nothing older than
+// what was acknowledged before.
+func (w *isolationWorld) readPlan(machine int) error {
+	ackedBefore := w.newestAcked()
 	begun := time.Now()
-	_, version, err := w.node(i).ReadRoutingConfig(context.Background())
-	if d := time.Since(begun); d > answerWithin {
-		w.t.Errorf("%v: machine %d answers a read after %v", w.elapsed(), i, d)
+	_, version, err := w.node(machine).ReadRoutingConfig(context.Background())
+	if waited := time.Since(begun); waited > answerWithin {
+		w.t.Errorf("%v: machine %d answers a read after %v", w.elapsed(), machine, waited)
 	}
-	if err == nil && version < least {
-		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.elapsed(), i, version, least)
+	if err == nil && version < ackedBefore {
+		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.elapsed(), machine, version, ackedBefore)
 	}
 	if err != nil && errs.KindOf(err).HTTPStatus != 503 {
-		w.t.Errorf("%v: a read at machine %d: %v", w.elapsed(), i, err)
+		w.t.Errorf("%v: a read at machine %d: %v", w.elapsed(), machine, err)
 	}
 	return err
 }
 
-func newPartitionWorld(t *testing.T, scenario partitionScenario) *partitionWorld {
-	w := &partitionWorld{testCluster: newTestCluster(t), t: t, scenario: scenario, ackedAt: map[uint64]at{}, startedAt: time.Now()}
+func newIsolationWorld(t *testing.T, scenario isolationScenario) *isolationWorld {
+	w := &isolationWorld{testCluster: newTestCluster(t), t: t, scenario: scenario, ackedAt: map[uint64]time.Time{}, startedAt: time.Now()}
 	w.network = newSimNetwork()
-	clk := clock.Synctest()
-	for k := range w.leases {
-		w.leases[k] = controlclient.NewLease(nil, clk, "site", 0, fmt.Sprintf("holder-%d", k), leaseTTL)
+	leaseClock := clock.Synctest()
+	for holder := range w.leases {
+		w.leases[holder] = controlclient.NewLease(nil, leaseClock, "site", 0, fmt.Sprintf("holder-%d", holder), leaseTTL)
 	}
 	return w
 }
 
 // term is the highest term that a machine is in.
-func (w *partitionWorld) term() (term uint64) {
+func (w *isolationWorld) term() (term uint64) {
 	for i := range 5 {
 		if node := w.node(i + 1); node != nil {
 			replica := node.shards[0]
@@ -241,16 +252,16 @@
 	return term
 }
 
-// chooseVictim picks the member to cut off, the leader or a follower, and its companion.
-func (w *partitionWorld) chooseVictim(machines int) {
-	for i := range machines {
-		switch isLeader := i+1 == w.leader(); {
+// chooseVictim chooses the member to isolate, the leader or a follower, and its companion.
+func (w *isolationWorld) chooseVictim(machines int) {
+	for machine := 1; machine <= machines; machine++ {
+		switch isLeader := machine == w.leader(); {
 		case w.victim == 0 && isLeader == w.scenario.isolatesLeader:
-			w.victim = i + 1
+			w.victim = machine
 		case w.scenario.isolatesPair && w.companion == 0 && !isLeader:
-			w.companion = i + 1
+			w.companion = machine
 		default:
-			w.others = append(w.others, i+1)
+			w.others = append(w.others, machine)
 		}
 	}
 }
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// simNetwork carries the connections of a ground's machines, and can be cut in one direction or both.
-// As with TCP, what is sent into a cut waits in the sender's buffer and arrives after it; nobody is
-// told that it doesn't arrive; and a new connection needs both directions.
+// simNetwork carries the connections of a testCluster's machines, and can be partitioned in one direction or
+// both. As with TCP, what is sent into a partition waits in the sender's buffer and arrives after it,
+// neither end gets an error, and a new connection needs both directions.
 type simNetwork struct {
 	mu          sync.Mutex
 	partitioned map[[2]string]bool // from, to
-	changed     chan struct{}      // closed whenever a cut begins or ends
+	changed     chan struct{}      // closed whenever a partition begins or ends
 }
 
-// dialTimeout ends a try to connect, as that of a place's dialer does.
+// dialTimeout ends an attempt to connect, as that of a process's dialer does.
 const dialTimeout = time.Second
 
 func newSimNetwork() *simNetwork {
 	return &simNetwork{partitioned: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
+// update changes which links are partitioned.
 func (n *simNetwork) update(f func(partitioned map[[2]string]bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,7 +35,13 @@
 	n.changed = make(chan struct{})
 }
 
-// isOpen tells whether packets get from one address to another, and gives the channel to wait on.
+// heal ends all partitions.
+func (n *simNetwork) heal() {
+	n.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
+}
+
+// isOpen reports whether packets get from one address to another. The channel is closed when that may have
+// changed.
 func (n *simNetwork) isOpen(from, to string) (bool, chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,9 +52,9 @@
 	ctx, end := context.WithTimeout(ctx, dialTimeout)
 	defer end()
 	for {
-		out, changed := n.isOpen(from, to)
-		back, _ := n.isOpen(to, from)
-		if out && back {
+		outward, changed := n.isOpen(from, to)
+		inward, _ := n.isOpen(to, from)
+		if outward && inward {
 			break
 		}
 		select {
@@ -62,10 +69,10 @@
 	if listener == nil {
 		return nil, errors.New("connection refused")
 	}
-	there, back := newHalfConn(n, from, to), newHalfConn(n, to, from)
+	outward, inward := newHalfConn(n, from, to), newHalfConn(n, to, from)
 	select {
-	case listener.connections <- &netConn{in: there, out: back}:
-		return &netConn{in: back, out: there}, nil
+	case listener.connections <- &netConn{in: outward, out: inward}:
+		return &netConn{in: inward, out: outward}, nil
 	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
@@ -79,14 +86,14 @@
 	from, to       string
 	mu             sync.Mutex
 	buffer         []byte
-	senderClosed   bool // the sender has closed it
-	receiverClosed bool // the receiver has closed it
+	senderClosed   bool
+	receiverClosed bool
 	deadline       time.Time
 	changed        chan struct{}
 }
 
-func newHalfConn(n *simNetwork, from, to string) *halfConn {
-	return &halfConn{network: n, from: from, to: to, changed: make(chan struct{})}
+func newHalfConn(network *simNetwork, from, to string) *halfConn {
+	return &halfConn{network: network, from: from, to: to, changed: make(chan struct{})}
 }
 
 func (h *halfConn) update(f func()) {
@@ -116,19 +123,19 @@
 			return 0, io.EOF
 		}
 		h.mu.Unlock()
-		var over <-chan time.Time
+		var timeout <-chan time.Time
 		if !deadline.IsZero() {
 			if !time.Now().Before(deadline) {
 				return 0, os.ErrDeadlineExceeded
 			}
 			t := time.NewTimer(time.Until(deadline))
 			defer t.Stop()
-			over = t.C
+			timeout = t.C
 		}
 		select {
 		case <-changed:
 		case <-healed:
-		case <-over:
+		case <-timeout:
 		}
 	}
 }
@@ -159,11 +166,11 @@
 	c.out.update(func() { c.out.senderClosed = true })
 	return nil
 }
-func (c *netConn) LocalAddr() net.Addr               { return &net.TCPAddr{} }
-func (c *netConn) RemoteAddr() net.Addr              { return &net.TCPAddr{} }
-func (c *netConn) SetWriteDeadline(time.Time) error  { return nil }
-func (c *netConn) SetDeadline(begun time.Time) error { return c.SetReadDeadline(begun) }
-func (c *netConn) SetReadDeadline(begun time.Time) error {
-	c.in.update(func() { c.in.deadline = begun })
+func (c *netConn) LocalAddr() net.Addr                  { return &net.TCPAddr{} }
+func (c *netConn) RemoteAddr() net.Addr                 { return &net.TCPAddr{} }
+func (c *netConn) SetWriteDeadline(time.Time) error     { return nil }
+func (c *netConn) SetDeadline(deadline time.Time) error { return c.SetReadDeadline(deadline) }
+func (c *netConn) SetReadDeadline(deadline time.Time) error {
+	c.in.update(func() { c.in.deadline = deadline })
 	return nil
 }
