--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -18,17 +18,17 @@
 )
 
 // The search of TestEightConcurrentChanges: operators of a group of real nodes, with real requests between
-// them, while machines stop, start, go dark and lose their leadership.
+// them, while machines stop, start, become unreachable and lose their leadership.
 const (
-	searchOperators   = 8 // as many orders are under way at once
+	searchOperators   = 8 // as many changes are in flight at once
 	searchMachines    = 5
 	searchTime        = 15 * time.Second
 	searchSeeds       = 2
-	searchSeedsVar    = "ORDERS_SEEDS" // how many seeds instead
-	earlierChangeOdds = 3              // one order in so many is an old one that is sent again
+	searchSeedsVar    = "ORDERS_SEEDS" // the environment variable of another number of seeds
+	earlierChangeOdds = 3              // one change in so many is an earlier one that is retried
 )
 
-// sentChange is one order with all that operators heard of it.
+// sentChange is a change with all answers that operators got to it.
 type sentChange struct {
 	baseVersion, newVersion uint64
 	text                    string
@@ -38,39 +38,40 @@
 	attempts                int
 }
 
-func (change *sentChange) name() string {
-	return fmt.Sprintf("%d by %s", change.newVersion, change.text)
+func (c *sentChange) name() string {
+	return fmt.Sprintf("%d by %s", c.newVersion, c.text)
 }
 
+// changeSearch is one seed of the search.
 type changeSearch struct {
 	t            *testing.T
 	cluster      *testCluster
 	ctx          context.Context
 	mu           sync.Mutex
-	nodes        map[int]*Node // those that run
+	nodes        map[int]*Node // of the machines that run
 	changes      []*sentChange
 	knownVersion uint64 // the newest version that was acknowledged or read
 	ackedVersion uint64 // the newest version that was acknowledged
 	counts       map[string]int
-	readBodies   map[string]bool // what was read
+	readBodies   map[string]bool // that were read
 	violations   []string
 	stopped      atomic.Bool
 }
 
-// locked runs f alone; f waits for nothing.
-func (s *changeSearch) locked(f func()) {
+// locked runs a function under the lock; it must not block.
+func (s *changeSearch) locked(run func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f()
+	run()
 }
 
 func (s *changeSearch) violationf(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-func (s *changeSearch) count(what string) { s.locked(func() { s.counts[what]++ }) }
+func (s *changeSearch) count(event string) { s.locked(func() { s.counts[event]++ }) }
 
-// randomNode is one to send to: seldom the leader. Nil: none runs.
+// randomNode draws a node to send to, seldom the leader; nil: none runs.
 func (s *changeSearch) randomNode(random *rand.Rand) (chosen *Node) {
 	s.locked(func() {
 		for range 4 {
@@ -84,37 +85,37 @@
 	return chosen
 }
 
-// nextChange is the order that an operator sends now: a new one on the newest version it knows of, perhaps
-// under the number of another, or one that was sent before, whatever became of it.
-func (s *changeSearch) nextChange(random *rand.Rand, operator int) (order *sentChange) {
+// nextChange is the change that an operator sends now: a new one on the newest version it knows of, perhaps
+// for the same version as another one, or one that was sent before, whatever its outcome was.
+func (s *changeSearch) nextChange(random *rand.Rand, operator int) (change *sentChange) {
 	s.locked(func() {
 		if n := len(s.changes); n > 0 && random.IntN(earlierChangeOdds) == 0 {
-			order = s.changes[random.IntN(n)]
-			s.counts["sent again"]++
+			change = s.changes[random.IntN(n)]
+			s.counts["retried"]++
 			return
 		}
-		order = &sentChange{baseVersion: s.knownVersion, newVersion: s.knownVersion + 1 + random.Uint64N(2), partial: random.IntN(3) == 0}
+		change = &sentChange{baseVersion: s.knownVersion, newVersion: s.knownVersion + 1 + random.Uint64N(2), partial: random.IntN(3) == 0}
 		author := fmt.Sprint(operator)
 		if random.IntN(4) == 0 {
-			author = "any" // two operators, one number, one content: the same order
+			author = "any" // two operators, one version, one content: the same change
 		}
-		order.text = fmt.Sprintf("%s on %d, part %v", author, order.baseVersion, order.partial) // no two orders make one body
-		for _, change := range s.changes {
-			if change.baseVersion == order.baseVersion && change.newVersion == order.newVersion && change.text == order.text {
-				order = change
+		change.text = fmt.Sprintf("%s on %d, part %v", author, change.baseVersion, change.partial) // no two changes have one body
+		for _, other := range s.changes {
+			if other.baseVersion == change.baseVersion && other.newVersion == change.newVersion && other.text == change.text {
+				change = other
 				return
 			}
 		}
-		s.changes = append(s.changes, order)
+		s.changes = append(s.changes, change)
 	})
-	return order
+	return change
 }
 
-// send sends one copy of an order, and notes the answer unless it is lost.
+// send sends a change once, and records the answer unless it is lost.
 func (s *changeSearch) send(random *rand.Rand, change *sentChange, node *Node, lost bool) (answered bool) {
 	version, err := node.PutRoutingConfig(s.ctx, change.baseVersion, body(change.newVersion, change.text), change.partial)
 	kind := errs.KindOf(err)
-	refused := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooLarge)
+	isRejected := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooLarge)
 	if lost {
 		return false
 	}
@@ -123,7 +124,7 @@
 		switch {
 		case err == nil:
 			if version != change.newVersion {
-				s.violationf("order %s is acknowledged as %d", change.name(), version)
+				s.violationf("change %s is acknowledged as %d", change.name(), version)
 			}
 			if change.acked {
 				s.counts["acknowledged again"]++
@@ -131,36 +132,37 @@
 				s.counts["acknowledged"]++
 			}
 			change.acked, s.knownVersion, s.ackedVersion = true, max(s.knownVersion, change.newVersion), max(s.ackedVersion, change.newVersion)
-		case refused:
-			s.counts["refused"]++
+		case isRejected:
+			s.counts["rejected"]++
 			change.rejection = err
 		default:
-			s.counts["unclear"]++
+			s.counts["left unknown"]++
 		}
 		if change.acked && change.rejection != nil {
-			s.violationf("an acknowledged order is never refused, a refused one never in force: %s: %v", change.name(), change.rejection)
+			s.violationf("an acknowledged change is never rejected, a rejected one never in force: %s: %v", change.name(), change.rejection)
 		}
 	})
-	return err == nil || refused
+	return err == nil || isRejected
 }
 
-// runOperator is one operator: it sends an order until it has a clear answer, at times two copies at once.
+// runOperator is one operator: it retries a change until it knows the outcome, and at times sends it to two
+// nodes at once.
 func (s *changeSearch) runOperator(random *rand.Rand, operator int) {
 	for !s.stopped.Load() {
 		change := s.nextChange(random, operator)
-		for tries := 0; tries < 8 && !s.stopped.Load(); tries++ {
-			node, twin := s.randomNode(random), s.randomNode(random)
-			if node == nil || twin == nil {
+		for attempt := 0; attempt < 8 && !s.stopped.Load(); attempt++ {
+			node, second := s.randomNode(random), s.randomNode(random)
+			if node == nil || second == nil {
 				clock.Sleep(s.ctx, 100*time.Millisecond)
 				continue
 			}
 			lost := random.IntN(5) == 0
-			var copies sync.WaitGroup
+			var concurrent sync.WaitGroup
 			if random.IntN(4) == 0 {
-				copies.Go(func() { s.send(random, change, twin, false) })
+				concurrent.Go(func() { s.send(random, change, second, false) })
 			}
 			answered := s.send(random, change, node, lost)
-			if copies.Wait(); answered {
+			if concurrent.Wait(); answered {
 				break
 			}
 			clock.Sleep(s.ctx, time.Duration(10+random.IntN(200))*time.Millisecond)
@@ -169,7 +171,7 @@
 	}
 }
 
-// runReader is one reader: versions climb, what was acknowledged before is there, and no refused order is.
+// runReader is one reader: versions never fall, and what was acknowledged before is there.
 func (s *changeSearch) runReader(random *rand.Rand) {
 	for !s.stopped.Load() {
 		clock.Sleep(s.ctx, 50*time.Millisecond)
@@ -185,7 +187,7 @@
 		}
 		s.locked(func() {
 			if version < before {
-				s.violationf("versions climb: %d was acknowledged or read, then %d is read: %s", before, version, got)
+				s.violationf("versions never fall: %d was acknowledged or read, then %d is read: %s", before, version, got)
 			}
 			s.knownVersion = max(s.knownVersion, version)
 			s.counts["read"]++
@@ -194,27 +196,26 @@
 	}
 }
 
-// injectFaults stops, starts and darkens machines, one at a time, at times all; and has logs turned into
-// snapshots often.
+// injectFaults restarts machines or makes them unreachable, one at a time, and at times restarts all.
 func (s *changeSearch) injectFaults(random *rand.Rand) {
 	cluster := s.cluster
 	for !s.stopped.Load() {
 		clock.Sleep(s.ctx, time.Duration(200+random.IntN(1500))*time.Millisecond)
-		i := 1 + random.IntN(searchMachines)
-		if o := cluster.leader(); o > 0 && random.IntN(2) == 0 {
-			i = o
+		machine := 1 + random.IntN(searchMachines)
+		if leader := cluster.leader(); leader > 0 && random.IntN(2) == 0 {
+			machine = leader
 		}
 		switch random.IntN(5) {
 		case 0, 1:
 			s.count("restarted")
-			s.stop(i)
+			s.stop(machine)
 			clock.Sleep(s.ctx, time.Duration(random.IntN(1000))*time.Millisecond)
-			s.start(i, false)
+			s.start(machine, false)
 		case 2, 3:
-			s.count("dark")
-			cluster.setUnreachable(i, true)
+			s.count("unreachable")
+			cluster.setUnreachable(machine, true)
 			clock.Sleep(s.ctx, time.Duration(500+random.IntN(3000))*time.Millisecond)
-			cluster.setUnreachable(i, false)
+			cluster.setUnreachable(machine, false)
 		case 4:
 			s.count("all restarted")
 			for i := range searchMachines {
@@ -227,18 +228,19 @@
 	}
 }
 
-func (s *changeSearch) stop(i int) {
-	s.locked(func() { delete(s.nodes, i) })
-	s.cluster.stop(i)
+func (s *changeSearch) stop(machine int) {
+	s.locked(func() { delete(s.nodes, machine) })
+	s.cluster.stop(machine)
 }
 
-func (s *changeSearch) start(i int, first bool) {
-	node := s.cluster.start(i, first)
+// start starts a machine whose log is compacted often.
+func (s *changeSearch) start(machine int, firstStart bool) {
+	node := s.cluster.start(machine, firstStart)
 	node.shards[0].runOnLoop(s.ctx, func() { node.shards[0].compactThreshold = 4000 })
-	s.locked(func() { s.nodes[i] = node })
+	s.locked(func() { s.nodes[machine] = node })
 }
 
-// checkFinal checks the whole history, and what is read back in the end.
+// checkFinal checks all answers together, and what is read back in the end.
 func (s *changeSearch) checkFinal() {
 	byBase := map[uint64]*sentChange{}
 	acked := map[uint64]*sentChange{}
@@ -254,24 +256,25 @@
 		}
 		byBase[change.baseVersion], acked[change.newVersion] = change, change
 	}
-	for i, node := range s.nodes {
+	for machine, node := range s.nodes {
 		got, version, err := node.ReadRoutingConfig(s.ctx)
 		if err != nil || version < s.ackedVersion {
-			s.violationf("what is read back is the newest that was acknowledged: %d gives %d, %v; %d was acknowledged", i, version, err, s.ackedVersion)
+			s.violationf("what is read back is the newest that was acknowledged: %d gives %d, %v; %d was acknowledged", machine, version, err, s.ackedVersion)
 			continue
 		}
 		if change := acked[version]; change != nil && !change.partial && string(got) != string(body(change.newVersion, change.text)) {
-			s.violationf("%d gives %s as version %d, %s was acknowledged", i, got, version, change.name())
+			s.violationf("%d gives %s as version %d, %s was acknowledged", machine, got, version, change.name())
 		}
 		s.readBodies[string(got)] = true
 	}
 	for _, change := range s.changes {
 		if change.rejection != nil && s.readBodies[string(body(change.newVersion, change.text))] {
-			s.violationf("%s was refused, and was read as in force: %v", change.name(), change.rejection)
+			s.violationf("%s was rejected, and was read as in force: %v", change.name(), change.rejection)
 		}
 	}
 }
 
+// searchChanges runs one seed.
 func searchChanges(t *testing.T, seed uint64) *changeSearch {
 	random := rand.New(rand.NewPCG(seed, 22))
 	s := &changeSearch{t: t, cluster: newTestCluster(t), ctx: t.Context(), nodes: map[int]*Node{}, counts: map[string]int{}, readBodies: map[string]bool{}}
@@ -281,50 +284,50 @@
 	}
 	defer s.cluster.stopAll()
 	s.cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(s.cluster.members()) == 3 })
-	var all sync.WaitGroup
-	all.Go(func() { s.runReader(rand.New(rand.NewPCG(seed, 23))) })
-	all.Go(func() { s.injectFaults(rand.New(rand.NewPCG(seed, 24))) })
+	var clients sync.WaitGroup
+	clients.Go(func() { s.runReader(rand.New(rand.NewPCG(seed, 23))) })
+	clients.Go(func() { s.injectFaults(rand.New(rand.NewPCG(seed, 24))) })
 	for i := range searchOperators {
-		own := rand.New(rand.NewPCG(seed, random.Uint64()))
-		all.Go(func() { s.runOperator(own, i) })
+		operatorRandom := rand.New(rand.NewPCG(seed, random.Uint64()))
+		clients.Go(func() { s.runOperator(operatorRandom, i) })
 	}
 	clock.Sleep(s.ctx, searchTime)
 	s.stopped.Store(true)
-	all.Wait()
+	clients.Wait()
 	clock.Sleep(s.ctx, settings.DefaultBounds().Heal(1))
 	s.checkFinal()
 	return s
 }
 
-// Eight orders at once, from as many operators and mostly by nodes that aren't the leader, with answers
-// lost, two copies at once, copies of orders long overtaken, and machines that stop, go dark and begin
-// anew: at most one change is acknowledged on a version, what was acknowledged is never refused, what
-// was refused never comes into force, versions climb, and the newest acknowledged is read back.
+// Eight concurrent changes from as many operators, mostly by nodes that don't lead, with lost answers,
+// concurrent attempts, retries of changes that others have overtaken, and machines that restart and become
+// unreachable. At most one change is acknowledged on a version, what was acknowledged is never rejected,
+// what was rejected never comes into force, versions never fall, and the newest acknowledged is read back.
 func TestEightConcurrentChanges(t *testing.T) {
 	seeds := searchSeeds
-	if n, err := strconv.Atoi(os.Getenv(searchSeedsVar)); err == nil {
-		seeds = n
+	if count, err := strconv.Atoi(os.Getenv(searchSeedsVar)); err == nil {
+		seeds = count
 	}
 	total := map[string]int{}
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
 			s := searchChanges(t, seed)
 			if len(s.violations) > 0 {
-				t.Errorf("seed %d: %d faults: %v", seed, len(s.violations), s.violations[:min(3, len(s.violations))])
+				t.Errorf("seed %d: %d violations: %v", seed, len(s.violations), s.violations[:min(3, len(s.violations))])
 			}
-			for name, n := range s.counts {
-				total[name] += n
+			for event, count := range s.counts {
+				total[event] += count
 			}
-			total["orders"] += len(s.changes)
+			total["changes"] += len(s.changes)
 		})
 		if t.Failed() {
 			break
 		}
 	}
 	t.Logf("%d seeds: %v", seeds, total)
-	for _, name := range []string{"acknowledged", "acknowledged again", "refused", "unclear", "read", "restarted", "dark"} {
-		if total[name] == 0 {
-			t.Errorf("nothing was %s", name)
+	for _, event := range []string{"acknowledged", "acknowledged again", "rejected", "left unknown", "read", "restarted", "unreachable"} {
+		if total[event] == 0 {
+			t.Errorf("nothing was %s", event)
 		}
 	}
 }
--- a/internal/control/controlstate/taken_test.go
+++ b/internal/control/controlstate/idempotency_test.go
@@ -22,12 +22,13 @@
 	return &wire.Command{Kind: &wire.Command_Put{Put: put}}
 }
 
-// planChange is the n-th change of the plan, the first is 1: it makes version 2n on version 2n-2.
+// planChange is the n-th change of the routing configuration, from 1 on: it makes version 2n on version
+// 2n-2.
 func planChange(n int) *wire.Command {
 	return changeCommand(routingconfig.DocumentKey, fmt.Sprint("plan ", n), fmt.Sprintf("%032x", n), uint64(2*n-2), uint64(2*n))
 }
 
-// stateAfter is a state in which that many changes of the plan were taken.
+// stateAfter is a state to which that many changes of the routing configuration were applied.
 func stateAfter(t *testing.T, changes int) *state {
 	t.Helper()
 	s := newState()
@@ -39,20 +40,21 @@
 	return s
 }
 
+// reloaded is the state that a member has that installs a snapshot of s.
 func reloaded(t *testing.T, s *state) *state {
 	t.Helper()
 	saved, err := s.save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := newState()
-	if err := again.load(saved, 0); err != nil {
+	restored := newState()
+	if err := restored.load(saved, 0); err != nil {
 		t.Fatal(err)
 	}
-	return again
+	return restored
 }
 
-// A change sent again after a day's changes, or after hundreds to other documents, was taken and is
+// A change that is retried after a day's changes, or after hundreds of changes of other documents, is
 // acknowledged again, also by a member that got the state by a snapshot.
 func TestLateRetryIsAcknowledged(t *testing.T) {
 	s := stateAfter(t, configChangesPerDay)
@@ -71,8 +73,8 @@
 	}
 }
 
-// Past the bound a change may have been taken or not: it is left without a clear answer. One on a base
-// that is remembered and wasn't taken is a conflict.
+// A change older than the records may have been applied or not: its outcome is unknown. One on a base that
+// is recorded, and that wasn't applied, is a conflict.
 func TestForgottenChangeHasUnknownOutcome(t *testing.T) {
 	const past = 50
 	s := stateAfter(t, maxConfigRecords+past)
@@ -93,7 +95,7 @@
 	}
 }
 
-// All members forget the same, whenever each of them read a snapshot.
+// All members forget the same changes, whenever each of them has installed a snapshot.
 func TestMembersForgetTheSameChanges(t *testing.T) {
 	s := stateAfter(t, maxConfigRecords-20)
 	other := reloaded(t, s)
@@ -111,11 +113,11 @@
 	}
 }
 
-// What the record costs, at a day's changes of the target size and at its bound.
+// The bytes of the records in a snapshot: for each change, after a day's changes, and at the bound.
 func TestIdempotencyRecordSize(t *testing.T) {
 	size := func(changes int) int {
 		s := stateAfter(t, changes)
-		s.recentTokens = nil // what earlier releases go by has a bound of its own
+		s.recentTokens = nil // the records of earlier releases have a bound of their own
 		saved, err := s.save()
 		if err != nil {
 			t.Fatal(err)
@@ -136,7 +138,7 @@
 	}
 }
 
-// earlierRelease applies changes as the releases before the record by document did.
+// earlierRelease applies changes as the releases did that had no records by document.
 type earlierRelease struct {
 	docs   map[string]*wire.Document
 	tokens []*wire.ChangeToken
@@ -162,8 +164,8 @@
 	}
 }
 
-// Members of an earlier release and of this one make the same documents of the same log, whatever
-// leaders of either put into it; and what an earlier release reads of a snapshot is what it would hold.
+// Members of an earlier release and of this one have the same documents after the same log, whichever
+// release's leader proposed an entry; and what an earlier release reads of a snapshot is what it would hold.
 func TestEarlierReleaseAppliesTheSameState(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 17))
@@ -178,7 +180,7 @@
 			case 1:
 				command.GetPut().AnyVersion = true
 			case 2:
-				command.GetPut().Token = fmt.Sprint("t", random.IntN(i+1)) // of another change, perhaps forgotten
+				command.GetPut().Token = fmt.Sprint("t", random.IntN(i+1)) // of another change, which may be forgotten
 			}
 			if random.IntN(2) == 0 {
 				command.GetPut().ContentDigest = nil // an earlier release proposed it
@@ -201,44 +203,44 @@
 	}
 }
 
-// A snapshot of an earlier release holds the newest changes alone. What it may have forgotten has no
-// clear answer; where it can't have forgotten any, an unknown change is a conflict.
+// A snapshot of an earlier release has records of the newest changes alone. A change that it may have
+// forgotten has an unknown outcome; where it can't have forgotten any, an unknown change is a conflict.
 func TestSnapshotOfEarlierReleaseIsReadable(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		changes int
-		first   wire.Outcome // what becomes of the first change, sent again
-		fresh   wire.Outcome // and of another one on its base
+		first   wire.Outcome // of the first change, retried
+		fresh   wire.Outcome // of another change on its base
 	}{{maxRecentTokens - 1, wire.OutcomeDone, wire.OutcomeConflict}, {maxRecentTokens + 44, wire.OutcomeUnknown, wire.OutcomeUnknown}} {
 		state := newState()
-		for n := 1; n <= x.changes; n++ {
+		for n := 1; n <= test.changes; n++ {
 			command := planChange(n)
 			command.GetPut().ContentDigest = nil
 			state.apply(command, 0)
 		}
 		state.idempotency = nil // as an earlier release writes it
 		state = reloaded(t, state)
-		if response := state.apply(planChange(1), 0); response.Outcome != x.first {
-			t.Errorf("%d changes: the first sent again: %v, want %s", x.changes, response, x.first)
+		if response := state.apply(planChange(1), 0); response.Outcome != test.first {
+			t.Errorf("%d changes: the first sent again: %v, want %s", test.changes, response, test.first)
 		}
-		if response := state.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); response.Outcome != x.fresh {
-			t.Errorf("%d changes: another on the first base: %v, want %s", x.changes, response, x.fresh)
+		if response := state.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); response.Outcome != test.fresh {
+			t.Errorf("%d changes: another on the first base: %v, want %s", test.changes, response, test.fresh)
 		}
-		if response := state.apply(planChange(x.changes), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*x.changes) {
-			t.Errorf("%d changes: the last sent again: %v", x.changes, response)
+		if response := state.apply(planChange(test.changes), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*test.changes) {
+			t.Errorf("%d changes: the last sent again: %v", test.changes, response)
 		}
-		if response := state.apply(planChange(x.changes+1), 0); response.Outcome != wire.OutcomeDone {
-			t.Errorf("%d changes: the next: %v", x.changes, response)
+		if response := state.apply(planChange(test.changes+1), 0); response.Outcome != wire.OutcomeDone {
+			t.Errorf("%d changes: the next: %v", test.changes, response)
 		}
 	}
 }
 
-// The same change under its token is done again on whatever version it is sent; another one under that
-// token is refused, on this document or on any other.
+// The same change under its token is acknowledged again, whatever version it builds on; another one under
+// that token is rejected, of this document or of any other.
 func TestTokenIdentifiesOneChange(t *testing.T) {
 	state := newState()
 	state.apply(changeCommand("k", "step", "token", 0, 0), 0)
 	state.apply(changeCommand("k", "later", "", 1, 0), 0)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		command *wire.Command
 		want    wire.Outcome
@@ -249,8 +251,8 @@
 		{"another document", changeCommand("l", "step", "token", 0, 0), wire.OutcomeBadInput},
 		{"another token", changeCommand("k", "step", "token 2", 0, 0), wire.OutcomeConflict},
 	} {
-		if response := state.apply(x.command, 0); response.Outcome != x.want {
-			t.Errorf("%s: %v, want %s", x.name, response, x.want)
+		if response := state.apply(test.command, 0); response.Outcome != test.want {
+			t.Errorf("%s: %v, want %s", test.name, response, test.want)
 		}
 	}
 	if version := state.documents["k"].Version; version != 2 {
--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -32,26 +32,26 @@
 	return replica
 }
 
-// makeChange proposes a change of the configuration and waits for its outcome.
-func (replica *shard) makeChange(put *wire.Put, patch bool) *wire.ChangeResponse {
-	pending, response := replica.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
-	if replica.handleReady(); response == nil {
+// makeChange proposes a change and returns its outcome.
+func makeChange(s *shard, put *wire.Put, patch bool) *wire.ChangeResponse {
+	pending, response := s.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
+	if s.handleReady(); response == nil {
 		response = <-pending.response
 	}
 	return response
 }
 
-// A holder of the lease makes a calendar step's move and ends before it writes the step as done.
-// Somebody else changes the configuration meanwhile. The next holder makes the move again, under the
-// same token and on a later version: it is acknowledged as done, and changes nothing.
+// A lease holder makes the change of a calendar step, and ends before it records the step as done. Another
+// client changes the configuration meanwhile. The next holder makes the change again, under the same token
+// and on a later version: it is acknowledged, and changes nothing.
 func TestRepeatedCalendarStepIsAcknowledged(t *testing.T) {
 	replica := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
-	if response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); response.Outcome != wire.OutcomeDone {
+	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); response.Outcome != wire.OutcomeDone {
 		t.Fatal(response)
 	}
 	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
-	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each time a new holder's
+	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each call is that of a new holder
 		doc := replica.state.documents[controlclient.ConfigKey]
 		config, err := serviceconfig.Decode(doc.Body)
 		if err != nil {
@@ -63,14 +63,14 @@
 	entry, _, _ = next(entry)
 	entry, _, _ = next(entry)
 	_, move, version := next(entry)
-	if response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); response.Outcome != wire.OutcomeDone || response.Version != 2 {
+	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); response.Outcome != wire.OutcomeDone || response.Version != 2 {
 		t.Fatal(response)
 	}
-	if response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); response.Outcome != wire.OutcomeDone {
+	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); response.Outcome != wire.OutcomeDone {
 		t.Fatal(response)
 	}
 	_, again, version := next(entry)
-	response := replica.makeChange(&wire.Put{Key: controlclient.ConfigKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
+	response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
 	if version != 3 || again.Token != move.Token || response.Outcome != wire.OutcomeDone || response.Version != 2 || response.TokenReuse == "" {
 		t.Errorf("made again on version %d under %s: %v", version, again.Token, response)
 	}
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -17,31 +17,32 @@
 	"pebbleloom/internal/wire"
 )
 
-// scriptedCluster is a group of three real shards whose goroutines, messages and ticks a test moves by
-// hand, inside a synctest bubble: requests run the shard's own change, and stand wherever the test
-// leaves them. It watches over what operators may rely on.
+// scriptedCluster is a group of three real shards whose loops, messages and ticks a test runs step by step,
+// inside a synctest bubble. Requests run the shard's own change, and wait wherever the test leaves them.
+// After each step it checks what operators may rely on.
 type scriptedCluster struct {
-	mu          sync.Mutex // guards what the orders came to, and newest
+	mu          sync.Mutex // guards the outcomes of changes, and newestAcked
 	t           *testing.T
-	key         string // the document that is watched
+	key         string // of the document that changes are made of
 	members     []*scriptedMember
 	inFlight    []*wire.Message
-	isolated    *scriptedMember // nothing reaches it, and nothing it sends arrives
+	isolated    *scriptedMember // it neither receives nor reaches anything; nil: none
 	bodies      map[uint64]string
-	newestAcked uint64 // the highest version that was acknowledged
+	newestAcked uint64 // the highest acknowledged version
 	changes     []*testChange
 	violations  []string
 }
 
+// scriptedMember is one machine of a scriptedCluster.
 type scriptedMember struct {
 	addr           string
 	disk           *simDisk
 	shard          *shard
 	stop           context.CancelFunc
-	highestApplied uint64 // the highest version that it applied
+	highestApplied uint64 // version
 }
 
-// testChange is one operator's change, whose copies may be sent at any time.
+// testChange is an operator's change, which may be sent any number of times.
 type testChange struct {
 	name                    string
 	baseVersion, newVersion uint64
@@ -73,7 +74,7 @@
 	member.shard = replica
 }
 
-// runMember lets a member do what it was asked to, and looks at what it applied.
+// runMember runs what is queued for a member, and checks what it has applied.
 func (c *scriptedCluster) runMember(member *scriptedMember) {
 	for {
 		select {
@@ -87,7 +88,7 @@
 	member.shard.handleReady()
 	doc := member.shard.state.documents[c.key]
 	if doc.GetVersion() < member.highestApplied {
-		c.violationf("versions climb: %s goes from %d back to %d", member.addr, member.highestApplied, doc.GetVersion())
+		c.violationf("versions never fall: %s goes from %d back to %d", member.addr, member.highestApplied, doc.GetVersion())
 	}
 	member.highestApplied = doc.GetVersion()
 	if doc == nil {
@@ -101,6 +102,7 @@
 	c.checkInvariants()
 }
 
+// recordApplied records which changes have come into force.
 func (c *scriptedCluster) recordApplied(doc *wire.Document) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,14 +113,14 @@
 
 func (change *testChange) body() []byte { return body(change.newVersion, change.name) }
 
-// checkInvariants looks at all orders: what was answered must hold together, at any moment.
+// checkInvariants checks all answers together; they must agree at any time.
 func (c *scriptedCluster) checkInvariants() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	byBase := map[uint64]string{}
 	for _, change := range c.changes {
 		if change.rejected && (change.acked || change.inForce) {
-			c.violationf("a refused order never comes into force, and an acknowledged one is never refused: %+v", *change)
+			c.violationf("a rejected change never comes into force, and an acknowledged one is never rejected: %+v", *change)
 		}
 		if !change.acked {
 			continue
@@ -136,7 +138,8 @@
 	}
 }
 
-// deliverRound lets all members run, and delivers what was sent before; false: nothing was left to do.
+// deliverRound lets all members run, and delivers what was sent before. It reports whether anything is left
+// to do.
 func (c *scriptedCluster) deliverRound() bool {
 	synctest.Wait()
 	for _, member := range c.members {
@@ -155,13 +158,14 @@
 	return len(due) > 0 || len(c.inFlight) > 0 || slices.ContainsFunc(c.members, func(member *scriptedMember) bool { return member.shard.commands.Len() > 0 })
 }
 
+// deliverAll delivers messages until the group is idle.
 func (c *scriptedCluster) deliverAll() {
 	for range 200 {
 		if !c.deliverRound() {
 			return
 		}
 	}
-	c.t.Fatal("the group doesn't come to rest")
+	c.t.Fatal("the group doesn't become idle")
 }
 
 func (c *scriptedCluster) member(name string) *scriptedMember {
@@ -173,7 +177,7 @@
 	return nil
 }
 
-// leader is the one of the highest term that isn't cut off.
+// leader is the leader of the highest term that isn't isolated; nil: there is none.
 func (c *scriptedCluster) leader() (best *scriptedMember) {
 	for _, member := range c.members {
 		if status := member.shard.core.Status(); status.IsLeader && member != c.isolated && (best == nil || status.Term > best.shard.core.Status().Term) {
@@ -183,7 +187,7 @@
 	return best
 }
 
-// awaitLeader lets time pass until a member leads that isn't cut off.
+// awaitLeader lets time pass until a member leads that isn't isolated.
 func (c *scriptedCluster) awaitLeader() {
 	for range 10 * electionTicks {
 		if leader := c.leader(); leader != nil && leader.shard.core.HasAppliedCurrentTerm() {
@@ -199,7 +203,7 @@
 	c.t.Fatal("no leader")
 }
 
-// heal joins all members again, and lets time pass until no leader of the past is left.
+// heal ends an isolation, and lets time pass until no deposed leader is left.
 func (c *scriptedCluster) heal() {
 	c.isolated = nil
 	for range 2 * heartbeatTicks {
@@ -211,8 +215,8 @@
 	c.awaitLeader()
 }
 
-// changeLeader cuts the leader off, if nobody is, and lets the others elect another: at the least
-// possible progress, so that the new leader hasn't applied what the old one replicated.
+// changeLeader isolates the leader, if there is one, and lets the others elect another with as few messages
+// as possible, so that the new leader hasn't applied what the old one replicated.
 func (c *scriptedCluster) changeLeader() {
 	old := c.leader()
 	if old == nil {
@@ -235,7 +239,7 @@
 	c.t.Fatal("no other leader")
 }
 
-// restart turns all logs into snapshots and starts all members again from their disks.
+// restart compacts all logs and starts all members again from their disks.
 func (c *scriptedCluster) restart() {
 	for _, member := range c.members {
 		saved, err := member.shard.state.save()
@@ -253,11 +257,11 @@
 	c.awaitLeader()
 }
 
-// send sends a copy of an order to a member; its answer is noted whenever it comes.
+// send sends a change to a member; the answer is recorded whenever it comes.
 func (c *scriptedCluster) send(ctx context.Context, change *testChange, receiver *scriptedMember) {
 	put := &wire.Put{Key: c.key, Body: change.body(), IfVersion: change.baseVersion, Token: change.name}
 	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}
-	replica := receiver.shard // as it is now: the member may be started again meanwhile
+	replica := receiver.shard // the member may be started again meanwhile
 	go func() {
 		response := replica.change(ctx, request)
 		c.mu.Lock()
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -11,56 +11,76 @@
 	"pebbleloom/internal/wire"
 )
 
-// permutations calls f with every order of 0…n-1.
-func permutations(n int, f func([]int)) (count int) {
-	var walk func(done []int, used int)
-	walk = func(done []int, used int) {
-		if len(done) == n {
-			count++
-			f(done)
+// permutations calls visit with every order of 0…count-1, and returns how many there are.
+func permutations(count int, visit func([]int)) (orders int) {
+	var walk func(chosen []int, used int)
+	walk = func(chosen []int, used int) {
+		if len(chosen) == count {
+			orders++
+			visit(chosen)
 			return
 		}
-		for i := range n {
-			if used&(1<<i) == 0 {
-				walk(append(append([]int(nil), done...), i), used|1<<i)
+		for next := range count {
+			if used&(1<<next) == 0 {
+				walk(append(append([]int(nil), chosen...), next), used|1<<next)
 			}
 		}
 	}
 	walk(nil, 0)
-	return count
+	return orders
 }
 
-func putCommand(key, body, token string, epoch uint64) *wire.Command {
-	put := &wire.Put{Key: key, Body: []byte(body), IfVersion: epoch, Token: token}
+func putCommand(key, body, token string, base uint64) *wire.Command {
+	put := &wire.Put{Key: key, Body: []byte(body), IfVersion: base, Token: token}
 	put.Digest = requestDigest(put, false)
 	return &wire.Command{Kind: &wire.Command_Put{Put: put}}
 }
 
-// Two operators race on one epoch, each sends its change again under its token because an
-// answer was lost, and a third comes without an epoch to go by. In every order: one of the
-// racers wins, a change sent again is the same change, and no epoch is told twice.
+// putOnAnyVersion builds on whatever version is in force.
+func putOnAnyVersion(key, body, token string) *wire.Command {
+	command := putCommand(key, body, token, 0)
+	put := command.GetPut()
+	put.AnyVersion = true
+	put.Digest = requestDigest(put, false)
+	return command
+}
+
+func grantCommand(holder string, ifFence uint64, release bool) *wire.Command {
+	return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: holder, IfFence: ifFence, TtlNs: 1e9, Release: release}}}
+}
+
+// fencedPut is a holder's write under its lease.
+func fencedPut(holder string, fence uint64) *wire.Command {
+	command := putCommand("p", holder, "", 0)
+	put := command.GetPut()
+	put.AnyVersion, put.Lease, put.Fence, put.Holder = true, "d", fence, holder
+	return command
+}
+
+// Two operators race on one version, each retries its change under its token because an answer was lost,
+// and a third one builds on any version. In every order one of the racers wins, a retry is the same change,
+// and no version is acknowledged for two contents.
 func TestRacingChangesInEveryOrder(t *testing.T) {
-	commands := []*wire.Command{putCommand("k", "a", "ta", 1), putCommand("k", "a", "ta", 1), putCommand("k", "b", "tb", 1), putCommand("k", "b", "tb", 1), putCommand("k", "c", "tc", 0)}
-	commands[4].GetPut().AnyVersion = true
-	commands[4].GetPut().Digest = requestDigest(commands[4].GetPut(), false)
+	commands := []*wire.Command{putCommand("k", "a", "ta", 1), putCommand("k", "a", "ta", 1), putCommand("k", "b", "tb", 1), putCommand("k", "b", "tb", 1), putOnAnyVersion("k", "c", "tc")}
 	count := permutations(len(commands), func(order []int) {
-		state := newState()
-		state.apply(putCommand("k", "first", "t0", 0), 0)
-		won, epochs := map[int]uint64{}, map[uint64]string{}
-		for _, i := range order {
-			response := state.apply(proto.Clone(commands[i]).(*wire.Command), 0)
-			if response.Outcome == wire.OutcomeDone {
-				body := string(commands[i].GetPut().Body)
-				if b, ok := epochs[response.Version]; ok && b != body {
-					t.Fatalf("%v: epoch %d was told for %s and for %s", order, response.Version, b, body)
-				}
-				epochs[response.Version], won[i/2] = body, response.Version
+		s := newState()
+		s.apply(putCommand("k", "first", "t0", 0), 0)
+		won, bodies := map[int]uint64{}, map[uint64]string{} // the version by operator, the body by version
+		for _, index := range order {
+			response := s.apply(proto.Clone(commands[index]).(*wire.Command), 0)
+			if response.Outcome != wire.OutcomeDone {
+				continue
+			}
+			body := string(commands[index].GetPut().Body)
+			if other, ok := bodies[response.Version]; ok && other != body {
+				t.Fatalf("%v: version %d was acknowledged for %s and for %s", order, response.Version, other, body)
 			}
+			bodies[response.Version], won[index/2] = body, response.Version
 		}
-		_, a := won[0]
-		_, b := won[1]
-		if won[2] == 0 || a && b || state.documents["k"].Version != uint64(1+len(won)) {
-			t.Fatalf("%v: won %v, epoch %d", order, won, state.documents["k"].Version)
+		_, firstWon := won[0]
+		_, secondWon := won[1]
+		if won[2] == 0 || firstWon && secondWon || s.documents["k"].Version != uint64(1+len(won)) {
+			t.Fatalf("%v: won %v, version %d", order, won, s.documents["k"].Version)
 		}
 	})
 	if count != 120 {
@@ -68,36 +88,27 @@
 	}
 }
 
-// A lease passes from one holder to another while renewals and late writes of the first
-// are under way, in every order: fences only rise, a write under an older fence is denied,
-// and both are never let write under one fence.
+// A lease passes from one holder to another while renewals and late writes of the first are in flight, in
+// every order: fencing tokens only rise, a write under an older one is rejected, and two holders never
+// write under the same one.
 func TestLeaseHandoverInEveryOrder(t *testing.T) {
-	grant := func(h string, fence uint64, up bool) *wire.Command {
-		return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: h, IfFence: fence, TtlNs: 1e9, Release: up}}}
-	}
-	write := func(h string, fence uint64) *wire.Command {
-		command := putCommand("p", h, "", 0)
-		put := command.GetPut()
-		put.AnyVersion, put.Lease, put.Fence, put.Holder = true, "d", fence, h
-		return command
-	}
-	commands := []*wire.Command{grant("a", 1, false), write("a", 1), grant("b", 1, false), write("b", 2), grant("a", 1, true), write("a", 2)}
+	commands := []*wire.Command{grantCommand("a", 1, false), fencedPut("a", 1), grantCommand("b", 1, false), fencedPut("b", 2), grantCommand("a", 1, true), fencedPut("a", 2)}
 	count := permutations(len(commands), func(order []int) {
 		s := newState()
-		s.apply(grant("a", 0, false), 0)
-		last, by := uint64(1), map[uint64]string{}
-		for _, i := range order {
-			response := s.apply(commands[i], 0)
-			f := s.leases["d"].Fence
-			if f < last {
-				t.Fatalf("%v: the fence fell from %d to %d", order, last, f)
+		s.apply(grantCommand("a", 0, false), 0)
+		last, writers := uint64(1), map[uint64]string{}
+		for _, index := range order {
+			response := s.apply(commands[index], 0)
+			token := s.leases["d"].Fence
+			if token < last {
+				t.Fatalf("%v: the fencing token fell from %d to %d", order, last, token)
 			}
-			last = f
-			if put := commands[i].GetPut(); put != nil && response.Outcome == wire.OutcomeDone {
-				if put.Fence != f || by[f] != "" && by[f] != put.Holder {
-					t.Fatalf("%v: %s wrote under fence %d, %d is in force, %q wrote under it", order, put.Holder, put.Fence, f, by[f])
+			last = token
+			if put := commands[index].GetPut(); put != nil && response.Outcome == wire.OutcomeDone {
+				if put.Fence != token || writers[token] != "" && writers[token] != put.Holder {
+					t.Fatalf("%v: %s wrote under fencing token %d, %d is in force, %q wrote under it", order, put.Holder, put.Fence, token, writers[token])
 				}
-				by[f] = put.Holder
+				writers[token] = put.Holder
 			}
 		}
 	})
@@ -106,35 +117,37 @@
 	}
 }
 
-// A duty is free for another only when the lease has run out by the member's own clock,
-// with a margin; for its holder always.
+// A lease is grantable to another holder only when it has run out by the member's own clock, with a
+// margin; to its holder always.
 func TestWhenALeaseIsGrantable(t *testing.T) {
 	s := newState()
-	g := func(h string) *wire.Grant { return &wire.Grant{Lease: "d", Holder: h, TtlNs: uint64(8 * time.Second)} }
-	s.apply(&wire.Command{Kind: &wire.Command_Grant{Grant: g("a")}}, 10*time.Second)
-	for _, c := range []struct {
-		h    string
-		at   time.Duration
-		want bool
+	grantTo := func(holder string) *wire.Grant {
+		return &wire.Grant{Lease: "d", Holder: holder, TtlNs: uint64(8 * time.Second)}
+	}
+	s.apply(&wire.Command{Kind: &wire.Command_Grant{Grant: grantTo("a")}}, 10*time.Second)
+	for _, test := range []struct {
+		holder string
+		at     time.Duration
+		want   bool
 	}{{"a", 11, true}, {"b", 11, false}, {"b", 18, false}, {"b", 19, false}, {"b", 20, true}} {
-		if got := s.isGrantable(g(c.h), c.at*time.Second); got != c.want {
-			t.Errorf("%s at %d s: %v", c.h, c.at, got)
+		if got := s.isGrantable(grantTo(test.holder), test.at*time.Second); got != test.want {
+			t.Errorf("%s at %d s: %v", test.holder, test.at, got)
 		}
 	}
-	body, err := s.save()
+	saved, err := s.save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := newState()
-	if err := o.load(body, 100*time.Second); err != nil {
+	restarted := newState()
+	if err := restarted.load(saved, 100*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if o.isGrantable(g("b"), 108*time.Second) {
+	if restarted.isGrantable(grantTo("b"), 108*time.Second) {
 		t.Error("after a restart the lease isn't counted anew")
 	}
 }
 
-// Bounds: documents and tokens stay within theirs.
+// Documents and tokens stay within their bounds.
 func TestStateIsBounded(t *testing.T) {
 	s := newState()
 	for i := range maxDocuments + 10 {
@@ -151,80 +164,96 @@
 	}
 }
 
-func claimOf(i int, nonce uint64) *wire.Claim {
-	return &wire.Claim{Id: fmt.Appendf(nil, "%016d", i), Nonce: nonce}
+// claimOf claims one of many ids.
+func claimOf(number int, nonce uint64) *wire.Claim {
+	return &wire.Claim{Id: fmt.Appendf(nil, "%016d", number), Nonce: nonce}
+}
+
+// applyClaim applies a claim, or a release, when a time has passed since the last one.
+func applyClaim(s *state, elapsed time.Duration, claim *wire.Claim) (granted, full bool) {
+	claims := &wire.Claims{Claims: []*wire.Claim{claim}, ElapsedNs: uint64(elapsed), RetentionNs: uint64(defaultClaimRetention)}
+	response := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: claims}}, 0)
+	return response.Granted[0], response.Full[0]
 }
 
-// A flood of ids never makes an old one runnable again while its caller may repeat it: a full
-// part takes no more. Ids go by age alone, the same at every member, also through a slot; ids
-// given back leave room at once, and the order of what was given back stays bounded.
+func releaseOf(number int, nonce uint64) *wire.Claim {
+	claim := claimOf(number, nonce)
+	claim.Release = true
+	return claim
+}
+
+// A flood of claims never releases an older one while its caller may retry: a full shard accepts no more.
+// Claims are released by age alone, at the same time by every member, also through a snapshot. Released ids
+// leave room at once, and the list of them stays bounded.
 func TestClaimsAreReleasedByAge(t *testing.T) {
-	apply := func(s *state, passed time.Duration, request *wire.Claim) (bool, bool) {
-		response := s.apply(&wire.Command{Kind: &wire.Command_Claims{Claims: &wire.Claims{Claims: []*wire.Claim{request}, ElapsedNs: uint64(passed), RetentionNs: uint64(defaultClaimRetention)}}}, 0)
-		return response.Granted[0], response.Full[0]
-	}
 	s := newState()
-	for i := range maxClaims {
-		if ok, full := apply(s, 0, claimOf(i, 1)); !ok || full {
-			t.Fatalf("claim %d was denied", i)
+	for number := range maxClaims {
+		if granted, full := applyClaim(s, 0, claimOf(number, 1)); !granted || full {
+			t.Fatalf("claim %d was denied", number)
 		}
 	}
-	if ok, full := apply(s, defaultClaimRetention-1, claimOf(maxClaims, 1)); ok || !full {
-		t.Fatalf("a full part took one more: %v %v", ok, full)
+	if granted, full := applyClaim(s, defaultClaimRetention-1, claimOf(maxClaims, 1)); granted || !full {
+		t.Fatalf("a full shard accepted one more claim: %v %v", granted, full)
 	}
-	if ok, _ := apply(s, 0, claimOf(0, 2)); ok {
-		t.Fatal("the oldest id was given away while it was young")
+	if granted, _ := applyClaim(s, 0, claimOf(0, 2)); granted {
+		t.Fatal("the oldest claim was released too early")
 	}
-	if ok, _ := apply(s, 0, claimOf(0, 1)); !ok {
-		t.Fatal("a claim asked for again by its holder was denied")
+	if granted, _ := applyClaim(s, 0, claimOf(0, 1)); !granted {
+		t.Fatal("a claim that its holder retried was denied")
 	}
-	body, err := s.save()
-	if err != nil || len(body) > 4<<20 {
-		t.Fatalf("a full part's slot: %d bytes, %v", len(body), err)
+	saved, err := s.save()
+	if err != nil || len(saved) > 4<<20 {
+		t.Fatalf("a full shard's snapshot: %d bytes, %v", len(saved), err)
 	}
-	o := newState()
-	if err := o.load(body, 0); err != nil {
+	restored := newState()
+	if err := restored.load(saved, 0); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []*state{s, o} {
-		if ok, _ := apply(x, 0, &wire.Claim{Id: claimOf(7, 1).Id, Nonce: 1, Release: true}); !ok {
-			t.Fatal("an id can't be given back")
-		}
-		if ok, _ := apply(x, 0, claimOf(7, 9)); !ok {
-			t.Fatal("an id that was given back can't be taken")
-		}
-		if ok, _ := apply(x, 1, claimOf(0, 2)); !ok {
-			t.Fatal("an id outlived its age")
-		}
-		if ok, _ := apply(x, 0, claimOf(7, 8)); ok {
-			t.Fatal("an id taken again goes by its first incarnation's age")
-		}
-	}
-	a, _ := s.save()
-	b, _ := o.save()
-	if string(a) != string(b) {
-		t.Error("members that read a slot differ from those that applied the log")
+	checkReleases(t, s)
+	checkReleases(t, restored)
+	byLog, _ := s.save()
+	bySnapshot, _ := restored.save()
+	if string(byLog) != string(bySnapshot) {
+		t.Error("members that read a snapshot differ from those that applied the log")
 	}
-	for i := range 4 * maxClaims {
-		apply(s, 0, claimOf(3, uint64(i+100)))
-		apply(s, 0, &wire.Claim{Id: claimOf(3, 1).Id, Nonce: uint64(i + 100), Release: true})
+	for number := range 4 * maxClaims {
+		nonce := uint64(number + 100)
+		applyClaim(s, 0, claimOf(3, nonce))
+		applyClaim(s, 0, releaseOf(3, nonce))
 	}
 	if len(s.claims.order) > 2*maxClaims+2 {
 		t.Errorf("%d places for %d ids", len(s.claims.order), len(s.claims.holders))
 	}
 }
 
-// The part's age is what its owners saw pass: none between owners, none twice.
+// checkReleases releases an id and claims it again, in a state that is full and about to release the oldest.
+func checkReleases(t *testing.T, s *state) {
+	t.Helper()
+	if granted, _ := applyClaim(s, 0, releaseOf(7, 1)); !granted {
+		t.Fatal("an id can't be released")
+	}
+	if granted, _ := applyClaim(s, 0, claimOf(7, 9)); !granted {
+		t.Fatal("an id that was released can't be claimed")
+	}
+	if granted, _ := applyClaim(s, 1, claimOf(0, 2)); !granted {
+		t.Fatal("a claim outlived its age")
+	}
+	if granted, _ := applyClaim(s, 0, claimOf(7, 8)); granted {
+		t.Fatal("an id that was claimed again is released by the age of its first claim")
+	}
+}
+
+// A shard's age is the time that its leaders saw pass: none between two leaders, none twice.
 func TestShardAgeCountsLeadershipTime(t *testing.T) {
-	clock := &clock.Manual{Time: time.Hour}
-	replica := &shard{clock: clock}
-	for _, x := range []struct {
+	manual := &clock.Manual{Time: time.Hour}
+	replica := &shard{clock: manual}
+	for _, test := range []struct {
 		at, term uint64
 		want     time.Duration
 	}{{0, 1, 0}, {5, 1, 5}, {9, 2, 0}, {10, 2, 1}, {30, 4, 0}} {
-		clock.Time = time.Hour + time.Duration(x.at)
-		if got := replica.elapsedInTerm(x.term); got != x.want {
-			t.Errorf("%+v: %d", x, got)
+		manual.Time = time.Hour + time.Duration(test.at)
+		if got := replica.elapsedInTerm(test.term); got != test.want {
+			t.Errorf("%+v: %d", test, got)
 		}
 	}
 }
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -10,9 +10,9 @@
 	"pebbleloom/internal/control/routingconfig"
 )
 
-// The events of TestTwoChangesInEveryOrder: two operators send a change each, on the same version and
-// under the same number, and each sends it again; the leader changes, and all members go through a
-// snapshot and a restart.
+// The events of TestTwoChangesInEveryOrder: two operators send a change each, on the same version and for
+// the same new version, and each retries it; the leader changes, and all members are compacted and
+// restarted.
 const (
 	firstAttemptA = iota
 	secondAttemptA
@@ -27,24 +27,24 @@
 // longSearchVar, set to anything, adds a second change of leader to every order of events.
 const longSearchVar = "ORDERS_LONG"
 
-// roundsAfterSend is how many rounds of messages follow a copy: none (the quorum is being asked), two
-// (it is proposed), three (it is on other disks, uncommitted), or all that there are.
+// roundsAfterSend is how many rounds of messages follow an attempt: none (the leadership is being confirmed),
+// two (it is proposed), three (it is on other disks, uncommitted), or all that there are.
 var roundsAfterSend = []int{0, 2, 3, 100}
 
-// sendTarget is whom a copy is sent to.
+// sendTarget is to whom an attempt is sent.
 type sendTarget int
 
 const (
 	toLeader         sendTarget = iota
-	toIsolatedMember            // as long as one is, else to the leader
+	toIsolatedMember            // while there is one, else to the leader
 )
 
-// otherKey is a document that is neither merged nor validated ahead.
+// otherKey is the key of a document that is neither merged nor validated before it is proposed.
 const otherKey = "other"
 
-// Two orders on one version, two copies each, a change of leader, a snapshot and a restart, in every
-// order, each copy left wherever it stands when the next event comes. At the end a third change is made
-// on top, and both are sent once more.
+// Two changes on one version, two attempts each, a change of leader, a snapshot and a restart, in every order,
+// each attempt left wherever it is when the next event comes. At the end a third change builds on the one
+// that won, and both are retried.
 func TestTwoChangesInEveryOrder(t *testing.T) {
 	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		t.Run(key, func(t *testing.T) {
@@ -53,6 +53,7 @@
 	}
 }
 
+// playEveryOrder plays every order of events that isn't another one with the operators exchanged.
 func playEveryOrder(t *testing.T, key string) (runs int) {
 	events := eventCount
 	if os.Getenv(longSearchVar) != "" {
