--- a/internal/control/controlstate/forgotten_change_test.go
+++ b/internal/control/controlstate/forgotten_change_test.go
@@ -11,8 +11,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// At the operators' door: an order that may have been forgotten gets no clear answer, at the leader and
-// elsewhere, before the operator's patience ends; what is remembered is done again or a conflict.
+// A change that may have been forgotten has an unknown outcome, at the leader and elsewhere, and is answered
+// before the operator's time-out; one that is recorded is acknowledged again, or a conflict.
 func TestForgottenChangeAtTheOperatorAPI(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
@@ -28,24 +28,24 @@
 			replica.runOnLoop(ctx, func() {
 				record := replica.state.idempotencyRecordsOf(routingconfig.DocumentKey)
 				record.forgottenVersion = 3
-				record.records = slices.DeleteFunc(record.records, func(c idempotencyRecord) bool { return c.version <= record.forgottenVersion })
+				record.records = slices.DeleteFunc(record.records, func(change idempotencyRecord) bool { return change.version <= record.forgottenVersion })
 				replica.state.recentTokens = nil
 			})
 		}
 		for i := range 4 {
 			node := cluster.node(i + 1)
-			for _, x := range []struct {
+			for _, test := range []struct {
 				base uint64
 				text string
-				kind *errs.Kind // nil: done
+				kind *errs.Kind // nil: acknowledged
 			}{{0, "x", errs.OutcomeUnknown}, {2, "x", errs.OutcomeUnknown}, {2, "y", errs.OutcomeUnknown}, {3, "x", nil}, {4, "x", nil}, {3, "y", errs.Conflict}, {4, "y", errs.Conflict}} {
-				at := time.Now()
-				_, err := node.PutRoutingConfig(ctx, x.base, body(x.base+1, x.text), false)
-				if (err != nil) != (x.kind != nil) || err != nil && errs.KindOf(err) != x.kind {
-					t.Errorf("node %d: %q on %d: %v", i+1, x.text, x.base, err)
+				begun := time.Now()
+				_, err := node.PutRoutingConfig(ctx, test.base, body(test.base+1, test.text), false)
+				if (err != nil) != (test.kind != nil) || err != nil && errs.KindOf(err) != test.kind {
+					t.Errorf("node %d: %q on %d: %v", i+1, test.text, test.base, err)
 				}
-				if d := time.Since(at); d > 950*time.Millisecond {
-					t.Errorf("node %d: %q on %d: answered after %v", i+1, x.text, x.base, d)
+				if waited := time.Since(begun); waited > answerWithin {
+					t.Errorf("node %d: %q on %d: answered after %v", i+1, test.text, test.base, waited)
 				}
 			}
 		}
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// newTestMember is a group's member that holds a document under version 1 in its snapshot.
+// newTestMember is a member of a group whose snapshot holds a document at version 1.
 func newTestMember(t *testing.T) (*shard, *simDisk) {
 	t.Helper()
 	d := newSimDisk()
@@ -35,8 +35,8 @@
 	return &wire.Message{From: "b", To: "a", Incarnation: "b", Kind: wire.MessageKind_SNAPSHOT_REQUEST, Term: 5, Snapshot: snapshot}
 }
 
-// A snapshot whose state can't be read, or that a later release wrote, is never stored in place of
-// what is held: the member is out, and its disk opens with what it held before.
+// A snapshot whose state can't be read, or that a later release wrote, is never stored: the member fails,
+// and opens its disk with what it held before.
 func TestUnreadableSnapshotIsNotStored(t *testing.T) {
 	later, _ := (&state{}).save()
 	for what, snapshot := range map[string]*wire.Snapshot{
@@ -46,7 +46,7 @@
 		replica, d := newTestMember(t)
 		replica.core.Step(snapshotMessage(snapshot))
 		if replica.handleReady(); replica.failure == nil {
-			t.Errorf("%s: the member goes on", what)
+			t.Errorf("%s: the member doesn't fail", what)
 		}
 		_, recovered, err := storage.Open(d)
 		if err != nil || recovered.Snapshot.Index != 0 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// A change that was under way when a snapshot of another leader passed it gets an unknown outcome at
-// once, and its place among the pending changes is free again.
+// A change that is pending when a snapshot of another leader supersedes its entry gets an unknown outcome at
+// once, and isn't pending any more.
 func TestSnapshotCompletesTheChangesItSupersedes(t *testing.T) {
 	replica, _ := newTestMember(t)
 	passed := pendingProposal{1, make(chan *wire.ChangeResponse, 1)}
@@ -83,7 +83,7 @@
 	}
 }
 
-// When a member says that it holds a snapshot, its disk does.
+// A member acknowledges a snapshot only when its disk holds it.
 func TestSnapshotIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	replica, d := newTestMember(t)
 	acknowledged := 0
--- a/internal/control/controlstate/isolation_requests_test.go
+++ b/internal/control/controlstate/isolation_requests_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"testing"
 	"testing/synctest"
@@ -111,11 +110,8 @@
 		defer w.healAndStop()
 		node := w.node(w.victim)
 		w.waitUntil("no leader known", 5*time.Second, func() bool { return node.shards[0].published.current().leader == "" })
-		listener := &pipeListener{cluster: w.testCluster, addr: w.addr(10), connections: make(chan net.Conn), closed: make(chan struct{})}
-		w.testCluster.mu.Lock()
-		w.listeners[w.addr(10)] = listener
-		w.testCluster.mu.Unlock()
 		server := &http.Server{Handler: wire.NewControlNodeServer(contestedNode{})}
+		listener := w.listen(w.addr(10))
 		go func() { _ = server.Serve(listener) }()
 		defer server.Close()
 		node.controlClient.HintLeader(w.addr(10))
--- a/internal/control/controlstate/join_test.go
+++ b/internal/control/controlstate/join_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// A machine that asks to be taken in asks those that answered the last time in rotation, and a silent
-// one where there are fewer than two, or each fourth turn: a silent one may be the leader that is back.
+// A machine sends its join requests in rotation to those that answered the last one, and to a silent one where
+// fewer than two answered, or each fourth turn: a silent one may be the leader that has returned.
 func TestJoinCandidates(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		silent string
-		asked  string // by the turns 0 to 8
+		want   string // by the turns 0 to 8
 	}{
 		{"", "[[a b] [b c] [c d] [d a] [a b] [b c] [c d] [d a] [a b]]"},
 		{"a", "[[b c] [c d] [d b] [b a] [c d] [d b] [b c] [c a] [d b]]"},
@@ -20,7 +20,7 @@
 		{"abcd", "[[a b] [a b] [a b] [a b] [b c] [b c] [b c] [b c] [c d]]"},
 	} {
 		isSilent := func(addr string) bool {
-			for _, s := range x.silent {
+			for _, s := range test.silent {
 				if string(s) == addr {
 					return true
 				}
@@ -31,11 +31,11 @@
 		for turn := range 9 {
 			asked = append(asked, joinCandidates(all, isSilent, turn))
 		}
-		if got := fmt.Sprint(asked); got != x.asked {
-			t.Errorf("silent %q: %s, want %s", x.silent, got, x.asked)
+		if got := fmt.Sprint(asked); got != test.want {
+			t.Errorf("silent %q: %s, want %s", test.silent, got, test.want)
 		}
 	}
 	if got := joinCandidates(nil, func(string) bool { return false }, 3); len(got) != 0 {
-		t.Errorf("nobody is known, and %v are asked", got)
+		t.Errorf("no address is known, and the candidates are %v", got)
 	}
 }
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -45,15 +45,15 @@
 	return replica
 }
 
-// A data folder that a core machine of the first release left behind is read as it was:
-// testdata/recorded-1 is such a folder, with the setup at epoch 4.
+// The data folder of a control node of the first release is readable: testdata/recorded-1 is one, with the
+// configuration at version 4.
 func TestFirstReleaseDataIsReadable(t *testing.T) {
 	replica := openRecorded(t)
 	status := replica.core.Status()
 	if status.Blank || status.LastIndex < 4 || status.Term == 0 {
 		t.Fatalf("%+v", status)
 	}
-	for _, entry := range replica.core.UnappliedEntries() { // it commits with the colleagues; here it is enough that it is read
+	for _, entry := range replica.core.UnappliedEntries() { // it would be committed with the peers
 		replica.applyEntry(entry)
 	}
 	config, err := serviceconfig.Decode(replica.state.documents[controlclient.ConfigKey].GetBody())
@@ -62,15 +62,15 @@
 	}
 }
 
-// What a later release wrote is refused, not guessed at.
+// The formats of later releases are rejected.
 func TestLaterFormatsAreRejected(t *testing.T) {
 	state, err := proto.Marshal(&wire.ShardState{Format: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, slot := range map[string]*wire.Snapshot{
-		"a later slot":  {Format: 2, HardState: &wire.HardState{Incarnation: "x"}},
-		"a later state": {Format: 1, HardState: &wire.HardState{Incarnation: "x"}, State: state},
+		"a later snapshot": {Format: 2, HardState: &wire.HardState{Incarnation: "x"}},
+		"a later state":    {Format: 1, HardState: &wire.HardState{Incarnation: "x"}, State: state},
 	} {
 		d := newSimDisk()
 		store, _, err := storage.Open(d)
--- a/internal/control/controlstate/repeated_weights_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -13,9 +13,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// Names of weights, eight at once by nodes that aren't the leader, each sent twice, a lower version
-// after a higher one, across a restart of all: each ends acknowledged, the named version of a model
-// never falls, and the highest of each model is named in the end.
+// Weights versions are set, eight at once by nodes that don't lead, each twice, a lower version after a
+// higher one, across a restart of all. Each is acknowledged in the end, the version of a model never falls,
+// and the highest version of each model is in force in the end.
 func TestRepeatedWeightsVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
@@ -44,7 +44,7 @@
 			}
 			named = weights.Named
 		}
-		name := func(node *Node, model string, version uint64) {
+		set := func(node *Node, model string, version uint64) {
 			for range 100 {
 				if node.SetWeightsVersion(ctx, model, version) == nil {
 					return
@@ -53,14 +53,14 @@
 			t.Errorf("weights %d of %s are never acknowledged", version, model)
 		}
 		for _, versions := range [][]uint64{{3, 1, 4, 2}, {1, 6, 5, 6}} {
-			var all sync.WaitGroup
+			var operators sync.WaitGroup
 			for i := range 8 {
-				all.Go(func() {
-					name(nodes[i%len(nodes)], fmt.Sprint("m", i%2), versions[i/2])
-					name(nodes[(i+1)%len(nodes)], fmt.Sprint("m", i%2), versions[i/2])
+				operators.Go(func() {
+					set(nodes[i%len(nodes)], fmt.Sprint("m", i%2), versions[i/2])
+					set(nodes[(i+1)%len(nodes)], fmt.Sprint("m", i%2), versions[i/2])
 				})
 			}
-			all.Wait()
+			operators.Wait()
 			follow()
 		}
 		for i := range 5 {
@@ -70,7 +70,7 @@
 			cluster.start(i+1, false)
 		}
 		nodes = []*Node{cluster.node(1)}
-		name(nodes[0], "m0", 2) // a lower one, again
+		set(nodes[0], "m0", 2) // a lower one, again
 		cluster.waitUntil("the highest of each", 3*time.Second, func() bool { follow(); return named["m0"] == 6 && named["m1"] == 6 })
 	})
 }
--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -10,14 +10,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// A service's part takes a retirement only beside what it can stand beside: no other one of the base, no
-// move of the service that is under way; and no move once it has begun. Both are named.
+// A service's shard accepts a retirement unless it conflicts with another one of the base model, or with a
+// calendar entry that moves the service; and no calendar entry once the retirement runs. Errors name what
+// it conflicts with.
 func TestConflictingRetirementsAreRejected(t *testing.T) {
 	replica, err := openTestShard(t, newSimDisk())
 	if err != nil {
 		t.Fatal(err)
 	}
-	have := func(key string, body []byte, err error) {
+	store := func(key string, body []byte, err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
@@ -27,7 +28,7 @@
 	ret := func(name, state string) *retire.Retirement {
 		return &retire.Retirement{Name: name, Service: "s", OldBase: "a", NewBase: "b", State: state}
 	}
-	try := func(retirement *retire.Retirement) error {
+	validate := func(retirement *retire.Retirement) error {
 		b, err := retirement.Write()
 		if err != nil {
 			t.Fatal(err)
@@ -35,12 +36,12 @@
 		return replica.validateRetirement(&wire.Put{Key: retire.Key("s", retirement.Name), Body: b})
 	}
 	move := &calendar.Entry{Name: "night", Service: "s", Kind: calendar.KindRelease, State: calendar.StatePlanned}
-	if err := try(ret("spring", retire.StatePlanned)); err != nil {
+	if err := validate(ret("spring", retire.StatePlanned)); err != nil {
 		t.Errorf("alone: %v", err)
 	}
 	b, err := ret("spring", retire.StatePlanned).Write()
-	have(retire.Key("s", "spring"), b, err)
-	if err := try(ret("summer", retire.StatePlanned)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
+	store(retire.Key("s", "spring"), b, err)
+	if err := validate(ret("summer", retire.StatePlanned)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
 		t.Errorf("two of one base: %v", err)
 	}
 	if err := replica.validateRetirement(&wire.Put{Key: retire.Key("other", "spring"), Body: b}); errs.KindOf(err) != errs.BadInput {
@@ -50,16 +51,16 @@
 		t.Errorf("what can't be read: %v", err)
 	}
 	m, err := move.Encode()
-	have(calendar.Key("s", "night"), m, err)
-	if err := try(ret("spring", retire.StateRunning)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
+	store(calendar.Key("s", "night"), m, err)
+	if err := validate(ret("spring", retire.StateRunning)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
 		t.Errorf("begun beside a planned move: %v", err)
 	}
 	delete(replica.state.documents, calendar.Key("s", "night"))
-	if err := try(ret("spring", retire.StateRunning)); err != nil {
+	if err := validate(ret("spring", retire.StateRunning)); err != nil {
 		t.Errorf("begun: %v", err)
 	}
 	b, err = ret("spring", retire.StateRunning).Write()
-	have(retire.Key("s", "spring"), b, err)
+	store(retire.Key("s", "spring"), b, err)
 	if err := replica.validateCalendarEntry(&wire.Put{Key: calendar.Key("s", "night"), Body: m}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
 		t.Errorf("a move beside one that runs: %v", err)
 	}
--- a/internal/control/controlstate/sim_group_main_test.go
+++ b/internal/control/controlstate/sim_group_main_test.go
@@ -21,13 +21,13 @@
 	"lost disk", "replaced", "taken in", "members change", "loss timed by an order's sending",
 	"second strike: order sent", "second strike: acknowledged", "second strike: taken in", "second strike: members change", "second strike: new leader"}
 
-// minOccurrences is how many times each of them must happen there.
+// minOccurrences is how often each of groupSimEvents must happen in thirty runs.
 const minOccurrences = 3
 
-// wideSearchSeeds is a search of so many seeds that it goes on after a failure, to find all there are.
+// wideSearchSeeds is the number of seeds from which on a search continues after a failure, to find all.
 const wideSearchSeeds = 200
 
-// runGroupSims plays seeds side by side, and gives those that failed, by seed, and the sums of counts.
+// runGroupSims runs seeds in parallel. It returns the runs that failed, by seed, and the sums of all counts.
 func runGroupSims(from, n uint64, plant string) (failed []*groupSim, sum map[string]int) {
 	var next atomic.Uint64
 	var mu sync.Mutex
@@ -58,7 +58,7 @@
 	return failed, sum
 }
 
-// Many seeded lives of a group whose members are agreed data, with all troubles of the worst days.
+// Many seeded runs of a group with dynamic membership, with faults of all kinds.
 // `SIM_SEEDS=10000 go test -timeout 3h ./internal/control/controlstate -run 'TestSimGroup$' -v` runs
 // wide; `SIM_SEED=17 SIM_SEEDS=1` replays one.
 func TestSimGroup(t *testing.T) {
@@ -67,7 +67,7 @@
 	for i, s := range failed {
 		t.Errorf("seed %d: %s", s.seed, s.violations[0])
 		if i == 0 {
-			t.Errorf("replay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimGroup\n%s", s.seed, strings.Join(s.trace[max(0, len(s.trace)-40):], "\n"))
+			t.Errorf("replay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimGroup\n%s", s.seed, s.lastTrace(40))
 		}
 	}
 	t.Logf("%d seeds, %d failed: %v", n, len(failed), sum)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Planted faults are caught.
+// The checks of the simulator find planted faults.
 func TestSimGroupCatchesPlantedFaults(t *testing.T) {
 	const batch, most = 3, 300
 	for plant, want := range map[string]string{"same-incarnation": "", "vouch-open": "the proof says", "lease-late": "hold the duty"} {
--- a/internal/control/controlstate/sim_shard_main_test.go
+++ b/internal/control/controlstate/sim_shard_main_test.go
@@ -27,10 +27,10 @@
 	return value
 }
 
-// Many seeded lives of a part: nothing acknowledged is lost, reads are linearizable, one
-// holder has the duty at a time, a proof of freshness is never wrong, and service is back
-// within the bound. `SIM_SEEDS=5000 go test ./internal/control/controlstate -run Sim` runs wide;
-// `SIM_SEED=17 SIM_SEEDS=1` replays one.
+// Many seeded runs of a shard: nothing acknowledged is lost, reads are linearizable, one holder has the lease
+// at a time, a proof of freshness is never wrong, and the shard serves again within the bound.
+// `SIM_SEEDS=5000 go test ./internal/control/controlstate -run Sim` runs wide; `SIM_SEED=17 SIM_SEEDS=1`
+// replays one.
 func TestSimShard(t *testing.T) {
 	from, n := seedsFromEnv(t, 60)
 	sum := map[string]int{}
@@ -39,7 +39,7 @@
 		s.run(3)
 		if len(s.violations) > 0 {
 			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimShard\n%s", seed,
-				s.violations[0], seed, strings.Join(s.trace[max(0, len(s.trace)-25):], "\n"))
+				s.violations[0], seed, s.lastTrace(25))
 		}
 		for k, v := range s.counts {
 			sum[k] += v
--- a/internal/control/controlstate/snapshot_cost_test.go
+++ b/internal/control/controlstate/snapshot_cost_test.go
@@ -5,13 +5,11 @@
 	"math/rand/v2"
 	"testing"
 
-	"google.golang.org/protobuf/proto"
-
 	"pebbleloom/internal/control/storage"
 	"pebbleloom/internal/wire"
 )
 
-// stateOf is a state of documents that are configurations, of so many bytes in all.
+// stateOf is a state with documents of so many bytes in all.
 func stateOf(bytes int) *state {
 	s := newState()
 	random := rand.New(rand.NewPCG(1, 6))
@@ -54,7 +52,7 @@
 	}
 }
 
-// The disk is memory here: what is measured is the processor's time.
+// The disk is in memory: what is measured is the processor's time.
 func BenchmarkStoreSaveAndOpen(b *testing.B) {
 	for _, size := range []int{1 << 20, 4 << 20, 8 << 20} {
 		body, _ := stateOf(size).save()
@@ -81,5 +79,4 @@
 			}
 		})
 	}
-	_ = proto.Size
 }
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -162,6 +162,15 @@
 	return c.Conn.Write(b)
 }
 
+// listen accepts connections to an address.
+func (c *testCluster) listen(addr string) *pipeListener {
+	listener := &pipeListener{cluster: c, addr: addr, connections: make(chan net.Conn), closed: make(chan struct{})}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.listeners[addr] = listener
+	return listener
+}
+
 // start starts a machine's node; firstStart: it is the first start of the whole site.
 func (c *testCluster) start(index int, firstStart bool) *Node {
 	c.t.Helper()
@@ -174,20 +183,14 @@
 	config := settings.Process{Name: fmt.Sprint("core-", index), Zone: fmt.Sprint("d", index), Listen: addr, Seeds: c.seeds, Data: "x", Bounds: settings.DefaultBounds(),
 		Options: []string{"log=off"}, Site: &settings.Site{FirstStart: firstStart, ToleratedFailures: max(1, c.toleratedLosses), IP: addr, AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, PortRange: [2]int{7360, 7375}}}
 	environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
-		Disk: func(string) storage.Disk { return c.disks[addr] },
-		Listen: func(a string) (net.Listener, error) {
-			listener := &pipeListener{cluster: c, addr: a, connections: make(chan net.Conn), closed: make(chan struct{})}
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			c.listeners[a] = listener
-			return listener, nil
-		},
+		Disk:    func(string) storage.Disk { return c.disks[addr] },
+		Listen:  func(listenAddr string) (net.Listener, error) { return c.listen(listenAddr), nil },
 		Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return c.dial(ctx, addr, to) },
 		Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 	process := daemon.NewIn(environment, "archive", config)
 	var node *Node
 	process.Settings.Site.ControlPlaneListen = fmt.Sprintf("10.0.0.%d:8683", index)
-	if err := StartGroup(process, versionCodec{}, func(x *Node) http.Handler { node = x; return http.NotFoundHandler() }); err != nil {
+	if err := StartGroup(process, versionCodec{}, func(started *Node) http.Handler { node = started; return http.NotFoundHandler() }); err != nil {
 		c.t.Fatal(err)
 	}
 	c.mu.Lock()
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -17,33 +17,33 @@
 	"pebbleloom/internal/wire"
 )
 
-// stalledMember takes small messages, and holds large ones while it is told to.
+// stalledMember accepts small messages, and stalls large ones until a channel is closed.
 type stalledMember struct {
 	wire.ControlNode
 	mu                           sync.Mutex
-	stalled                      chan struct{}
+	stalled                      chan struct{} // nil: it doesn't stall
 	smallMessages, largeMessages int
 	largeBegun                   int // large messages that have begun to arrive
 }
 
 func (s *stalledMember) Deliver(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
-	large := payloadBytes(b.Messages[0]) >= largeMessageBytes
+	isLarge := payloadBytes(b.Messages[0]) >= largeMessageBytes
 	s.mu.Lock()
-	hold := s.stalled
-	if large {
+	stalled := s.stalled
+	if isLarge {
 		s.largeBegun++
 	}
 	s.mu.Unlock()
-	if large && hold != nil {
+	if isLarge && stalled != nil {
 		select {
-		case <-hold:
+		case <-stalled:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if large {
+	if isLarge {
 		s.largeMessages++
 	} else {
 		s.smallMessages += len(b.Messages)
@@ -57,10 +57,11 @@
 	return s.smallMessages, s.largeMessages, s.largeBegun
 }
 
+// stalledAddress is the address of machine 2.
 const stalledAddress = "10.0.0.2:7360"
 
-// runTransportTest is a transport and the member that it sends to, in a test's bubble.
-func runTransportTest(t *testing.T, f func(*transport, *shard, *stalledMember, *testCluster)) {
+// runTransportTest runs a test of a transport and of the member that it sends to, in a synctest bubble.
+func runTransportTest(t *testing.T, run func(*transport, *shard, *stalledMember, *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		config := settings.Process{Name: "core-1", Listen: cluster.addr(1), Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
@@ -71,13 +72,11 @@
 			Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
 		process := daemon.NewIn(environment, "archive", config)
 		member := &stalledMember{}
-		door := &pipeListener{cluster: cluster, addr: stalledAddress, connections: make(chan net.Conn), closed: make(chan struct{})}
-		cluster.listeners[stalledAddress] = door
 		server := &http.Server{Handler: wire.NewControlNodeServer(member)}
-		go server.Serve(door)
+		go server.Serve(cluster.listen(stalledAddress))
 		replica, _ := newTestMember(t)
 		node := &Node{process: process, shards: map[uint32]*shard{0: replica}, clients: daemon.NewClients(process)}
-		f(newTransport(process.Ctx, node), replica, member, cluster)
+		run(newTransport(process.Ctx, node), replica, member, cluster)
 		process.Stop(time.Second)
 		server.Close()
 	})
@@ -91,7 +90,7 @@
 	return &wire.Message{To: stalledAddress + "/0", Kind: wire.MessageKind_APPEND_REQUEST, Entries: []*wire.Entry{{Index: 1, Body: make([]byte, 600<<10)}}}
 }
 
-// Heartbeats pass beside a large message that hangs.
+// Heartbeats are sent while a large message stalls.
 func TestHeartbeatsBypassLargeMessages(t *testing.T) {
 	runTransportTest(t, func(sender *transport, _ *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
@@ -111,14 +110,14 @@
 	})
 }
 
-// A large message has time by its size; what is given up is reported to the core.
+// The time-out of a large message grows with its size; one that timed out is reported to the core.
 func TestLostLargeMessageIsReported(t *testing.T) {
 	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
 		sender.send(largeMessage())
 		clock.Sleep(context.Background(), 5*time.Second) // 600 KB may take some 7.5 s of a heal bound of 12 s
 		if replica.commands.Len() != 0 {
-			t.Error("it was given up too early")
+			t.Error("it timed out too early")
 		}
 		clock.Sleep(context.Background(), 5*time.Second)
 		if replica.commands.Len() != 1 {
@@ -128,22 +127,17 @@
 	})
 }
 
-// A large message that was begun while its address said nothing ends as soon as the address answers
-// again, so that what it carries is sent anew at once.
+// A large message that stalls while its peer doesn't answer is aborted as soon as the peer answers again, so
+// that its content is sent again at once.
 func TestLargeMessageAbortsWhenThePeerAnswersAgain(t *testing.T) {
 	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, cluster *testCluster) {
-		set := func(dark bool) {
-			cluster.mu.Lock()
-			cluster.unreachable[stalledAddress] = dark
-			cluster.mu.Unlock()
-		}
 		member.stalled = make(chan struct{})
 		sender.send(largeMessage())
 		synctest.Wait()
-		set(true)
+		cluster.setUnreachable(2, true)
 		sender.send(smallMessage())
 		clock.Sleep(context.Background(), time.Second)
-		set(false)
+		cluster.setUnreachable(2, false)
 		sender.send(smallMessage())
 		clock.Sleep(context.Background(), time.Second)
 		if replica.commands.Len() != 1 {
