--- /dev/null
+++ b/internal/control/controlstate/catch_up_plans_test.go
@@ -0,0 +1,43 @@
+package controlstate
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+
+	"pebbleloom/internal/control/routingconfig"
+	"pebbleloom/internal/errs"
+)
+
+// textPlanCodec reads the version at the front of a configuration and keeps the rest as it is.
+type textPlanCodec struct{}
+
+func planVersion(plan []byte) (uint64, error) {
+	rest, ok := bytes.CutPrefix(plan, []byte(`{"version":`))
+	end := bytes.IndexByte(rest, ',')
+	if !ok || end < 0 {
+		return 0, errs.New(errs.BadInput, "no version")
+	}
+	return strconv.ParseUint(string(rest[:end]), 10, 64)
+}
+
+func (textPlanCodec) Read(plan []byte) (*routingconfig.Plan, error) {
+	version, err := planVersion(plan)
+	return &routingconfig.Plan{Version: version}, err
+}
+
+func (textPlanCodec) Merge(_, sent []byte, _ bool) ([]byte, uint64, error) {
+	version, err := planVersion(sent)
+	return sent, version, err
+}
+
+// planText is a configuration of so many routes, about 300 bytes each. The hosts differ from version to
+// version, so that no two versions have one content.
+func planText(version uint64, routes int) []byte {
+	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
+	for i := range routes {
+		text = fmt.Appendf(text, `{"name":"route-%d-%d","host":"h%d.tenant-%d.example","prefix":"/v1/%d","kind":"once","timeout":%d,"priority":%d,"split":[{"service":"service-%d","weight":90},{"service":"service-%d-canary","weight":10}],"attempts":3,"public":true,"session":%v,"comment":"%0100d"},`,
+			i, version, i%97, i%31, i, 1000+i, i%4, i%120, i%120, i%2 == 0, version)
+	}
+	return append(text[:len(text)-1], "]}"...)
+}
--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -10,28 +10,28 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// Routes of a configuration, and what its text takes; large is what the users call a large one.
+// planSizes are numbers of routes of a configuration: a usual one, and a large one by the contract.
 var planSizes = []int{350, 2000}
 
-// A link in these worlds carries 125 MB/s unless a test says otherwise, as a core machine's does.
+// fastLinkRate is the bandwidth of a control machine's link, in bytes a second.
 const fastLinkRate = 125 << 20
 
-// catchUpBound is within how long a member is up to date again: its election or its being taken in,
-// and the state's time on the link, four times.
-func catchUpBound(state, rate int) time.Duration {
-	return 6*time.Second + 4*time.Duration(float64(state)/float64(rate)*float64(time.Second))
+// catchUpBound is within how long a member catches up: an election or a join, and four times the state's
+// time on the link. Sizes are in bytes, the rate in bytes a second.
+func catchUpBound(stateBytes, rate int) time.Duration {
+	return 6*time.Second + 4*time.Duration(float64(stateBytes)/float64(rate)*float64(time.Second))
 }
 
-// changesFromEnv is how many there are in a run: CATCH_UP_CHANGES, or as many as reach each trouble once.
+// changesFromEnv is the number of changes of a run: CATCH_UP_CHANGES, or as many as reach each fault.
 func changesFromEnv() int {
-	if n, err := strconv.Atoi(os.Getenv("CATCH_UP_CHANGES")); err == nil {
-		return n
+	if count, err := strconv.Atoi(os.Getenv("CATCH_UP_CHANGES")); err == nil {
+		return count
 	}
 	return changesForAllFaults
 }
 
-// Each trouble comes once in allFaults changes, with fewChanges while a member is away; in a longer run
-// there are moreChanges.
+// Each fault comes at least once in changesForAllFaults changes, with fewChanges while a member is away; in a
+// longer run there are moreChanges.
 const (
 	changesForAllFaults = 135
 	fewChanges          = 6
@@ -51,77 +51,77 @@
 	return seed
 }
 
-// Hundreds of changes of configurations of 350 and of 2,000 routes, with compaction running. All the
-// time members are restarted, torn down in a write, wiped, replaced and cut off, one by one and all at
-// once, and changes go on. Each is up to date again within the bound; see catchUpWorld.after for what
-// holds at any moment.
+// Hundreds of changes of configurations of 350 and of 2,000 routes, with compactions. Meanwhile members are
+// restarted, killed in a write, wiped, replaced and isolated, one by one and all at once. Each catches up
+// within the bound; catchUpWorld.runStep checks what holds at any time.
 func TestCatchUpAfterHundredsOfChanges(t *testing.T) {
 	changes := changesFromEnv()
 	for _, routes := range planSizes {
 		t.Run(fmt.Sprint(routes, " routes"), func(t *testing.T) {
 			w := newCatchUpWorld(t, uint64(routes)+catchUpSeedFromEnv(), 4, fastLinkRate)
-			c := &catchUpRun{catchUpWorld: w, routes: routes, longest: map[string]time.Duration{}, counts: map[string]int{}}
-			c.change(routes, 10*time.Second)
-			for i := 0; w.ackedVersion < uint64(changes); i++ {
-				c.injectFault(i)
+			r := &catchUpRun{catchUpWorld: w, routes: routes, longest: map[string]time.Duration{}, counts: map[string]int{}}
+			r.change(routes, 10*time.Second)
+			for number := 0; w.ackedVersion < uint64(changes); number++ {
+				r.injectFault(number)
 			}
-			for _, what := range []string{"restarted", "leader restarted", "torn in a write", "wiped", "replaced", "cut off", "leader cut off", "all restarted"} {
-				t.Logf("%-16s %2d times, up to date again within %v", what, c.counts[what], c.longest[what])
-				if c.counts[what] == 0 && changes >= changesForAllFaults {
-					t.Errorf("%s: never happened", what)
+			for _, fault := range []string{"restarted", "leader restarted", "torn in a write", "wiped", "replaced", "cut off", "leader cut off", "all restarted"} {
+				t.Logf("%-16s %2d times, up to date again within %v", fault, r.counts[fault], r.longest[fault])
+				if r.counts[fault] == 0 && changes >= changesForAllFaults {
+					t.Errorf("%s: never happened", fault)
 				}
 			}
 		})
 	}
 }
 
+// catchUpRun injects faults while changes are made.
 type catchUpRun struct {
 	*catchUpWorld
 	routes  int
-	longest map[string]time.Duration // the longest
-	counts  map[string]int
+	longest map[string]time.Duration // until a member had caught up, by fault
+	counts  map[string]int           // by fault
 }
 
-func (r *catchUpRun) makeChanges(n int) {
+func (r *catchUpRun) makeChanges(count int) {
 	r.t.Helper()
-	for range n {
+	for range count {
 		r.change(r.routes, 20*time.Second)
 	}
 }
 
-// member is one that doesn't lead; or the one that leads.
-func (r *catchUpRun) member(leads bool) *catchUpNode {
+// member is the leader, or a follower where there is a healthy one.
+func (r *catchUpRun) member(isLeader bool) *catchUpNode {
 	r.t.Helper()
 	r.waitUntil("a leader", 10*time.Second, func() bool { return r.leader() != nil })
 	leader := r.leader()
-	if leads {
+	if isLeader {
 		return leader
 	}
 	members, _, _ := leader.shard.core.Members()
-	for _, m := range members {
-		if node := r.node(controlclient.MemberAddr(m)); node != leader && r.isHealthy(node) {
+	for _, name := range members {
+		if node := r.node(controlclient.MemberAddr(name)); node != leader && r.isHealthy(node) {
 			return node
 		}
 	}
 	return leader
 }
 
-// awaitCaughtUp waits until a member is up to date, while changes go on.
-func (r *catchUpRun) awaitCaughtUp(what string, node *catchUpNode) {
+// awaitCaughtUp waits until a member has caught up and the group is complete.
+func (r *catchUpRun) awaitCaughtUp(fault string, node *catchUpNode) {
 	r.t.Helper()
-	begin := r.now
+	begun := r.now
 	bound := catchUpBound(len(r.bodies[r.ackedVersion]), r.bytesPerSecond)
-	for !r.caughtUp(node) {
-		if r.step(); r.now-begin > bound {
+	for !r.hasCaughtUp(node) {
+		if r.step(); r.now-begun > bound {
 			r.logStatus()
-			r.t.Fatalf("%s: %s isn't up to date within %v", what, node.addr, bound)
+			r.t.Fatalf("%s: %s isn't up to date within %v", fault, node.addr, bound)
 		}
 	}
-	r.longest[what], r.counts[what] = max(r.longest[what], r.now-begin), r.counts[what]+1
+	r.longest[fault], r.counts[fault] = max(r.longest[fault], r.now-begun), r.counts[fault]+1
 	r.awaitComplete()
 }
 
-// awaitComplete waits until the group has three members again that are all up to date.
+// awaitComplete waits until the group has three members that have all caught up.
 func (r *catchUpRun) awaitComplete() {
 	r.t.Helper()
 	r.waitUntil("three members that are up to date", 30*time.Second, func() bool {
@@ -130,8 +130,8 @@
 			return false
 		}
 		members, _, _ := leader.shard.core.Members()
-		for _, m := range members {
-			if node := r.node(controlclient.MemberAddr(m)); !r.caughtUp(node) || node.shard.core.Self() != m {
+		for _, name := range members {
+			if node := r.node(controlclient.MemberAddr(name)); !r.hasCaughtUp(node) || node.shard.core.Self() != name {
 				return false
 			}
 		}
@@ -139,72 +139,100 @@
 	})
 }
 
-func (r *catchUpRun) injectFault(i int) {
+// injectFault injects one of eight faults, in turn: eight times to a follower, then eight times to the
+// leader. It waits until the member has caught up.
+func (r *catchUpRun) injectFault(number int) {
 	r.t.Helper()
-	leads := i%16 >= 8
-	node := r.member(leads)
-	what := map[bool]string{true: "leader "}[leads]
-	switch i % 8 {
+	hitsLeader := number%16 >= 8
+	node := r.member(hitsLeader)
+	prefix := ""
+	if hitsLeader {
+		prefix = "leader "
+	}
+	switch number % 8 {
 	case 0, 1:
-		r.kill(node, false)
-		r.makeChanges(changesPerFault())
-		r.start(node, false)
-		r.makeChanges(3)
-		r.awaitCaughtUp(what+"restarted", node)
+		r.restart(prefix+"restarted", node, false)
 	case 2:
-		r.kill(node, true)
-		r.makeChanges(changesPerFault())
-		r.start(node, false)
-		r.makeChanges(3)
-		r.awaitCaughtUp("torn in a write", node)
+		r.restart("torn in a write", node, true)
 	case 3:
-		r.wipe(node)
-		r.makeChanges(changesPerFault() / 2)
-		r.start(node, false)
-		r.makeChanges(3)
-		r.awaitCaughtUp("wiped", node)
+		r.replaceDisk(node)
 	case 4:
-		r.kill(node, false)
-		node.isRemoved = true
-		next := r.addNode()
-		r.start(next, false)
-		r.makeChanges(changesPerFault())
-		r.awaitCaughtUp("replaced", next)
+		r.replaceMachine(node)
 	case 5, 6:
-		r.isolated[node.addr] = true
-		begin := r.now
-		r.makeChanges(changesPerFault())
-		r.advance(max(0, 20*time.Second-(r.now-begin)))
-		delete(r.isolated, node.addr)
-		r.makeChanges(3)
-		r.awaitCaughtUp(what+"cut off", node)
+		r.isolate(prefix+"cut off", node)
 	case 7:
-		for _, peer := range r.nodes {
-			if !peer.isRemoved {
-				r.kill(peer, false)
-			}
+		r.restartAll(node)
+	}
+}
+
+// restart keeps a member down for some changes; where torn, it ends in the middle of a write.
+func (r *catchUpRun) restart(fault string, node *catchUpNode, torn bool) {
+	r.t.Helper()
+	r.kill(node, torn)
+	r.makeChanges(changesPerFault())
+	r.start(node, false)
+	r.makeChanges(3)
+	r.awaitCaughtUp(fault, node)
+}
+
+func (r *catchUpRun) replaceDisk(node *catchUpNode) {
+	r.t.Helper()
+	r.wipe(node)
+	r.makeChanges(changesPerFault() / 2)
+	r.start(node, false)
+	r.makeChanges(3)
+	r.awaitCaughtUp("wiped", node)
+}
+
+func (r *catchUpRun) replaceMachine(node *catchUpNode) {
+	r.t.Helper()
+	r.kill(node, false)
+	node.isRemoved = true
+	replacement := r.addNode()
+	r.start(replacement, false)
+	r.makeChanges(changesPerFault())
+	r.awaitCaughtUp("replaced", replacement)
+}
+
+// isolate isolates a member for twenty seconds.
+func (r *catchUpRun) isolate(fault string, node *catchUpNode) {
+	r.t.Helper()
+	r.isolated[node.addr] = true
+	begun := r.now
+	r.makeChanges(changesPerFault())
+	r.advance(max(0, isolationTime-(r.now-begun)))
+	delete(r.isolated, node.addr)
+	r.makeChanges(3)
+	r.awaitCaughtUp(fault, node)
+}
+
+func (r *catchUpRun) restartAll(node *catchUpNode) {
+	r.t.Helper()
+	for _, peer := range r.nodes {
+		if !peer.isRemoved {
+			r.kill(peer, false)
 		}
-		for _, peer := range r.nodes {
-			if !peer.isRemoved {
-				r.start(peer, false)
-			}
+	}
+	for _, peer := range r.nodes {
+		if !peer.isRemoved {
+			r.start(peer, false)
 		}
-		r.makeChanges(3)
-		r.awaitCaughtUp("all restarted", node)
 	}
+	r.makeChanges(3)
+	r.awaitCaughtUp("all restarted", node)
 }
 
-// Time to catch up after a restart, by the size of the state, the number of changes missed and the
-// link. Virtual time; the processor's own is in snapshot_cost_test.go.
+// The virtual time to catch up after a restart, by the size of the state, the number of changes missed and the
+// bandwidth. The processor's time is measured in snapshot_cost_test.go.
 func TestTimeToCatchUp(t *testing.T) {
-	rates, missing := []int{fastLinkRate, 128 << 10}, []int{10}
+	rates, missedChanges := []int{fastLinkRate, 128 << 10}, []int{10}
 	if changesFromEnv() > changesForAllFaults {
-		rates, missing = []int{fastLinkRate, 1 << 20, 128 << 10}, []int{1, 10, 100}
+		rates, missedChanges = []int{fastLinkRate, 1 << 20, 128 << 10}, []int{1, 10, 100}
 	}
 	t.Logf("%8s %10s %8s %12s %10s %12s", "routes", "state KB", "missed", "link MB/s", "ms", "KB sent")
 	for _, rate := range rates {
 		for _, routes := range []int{350, 1000, 2000} {
-			for _, missed := range missing {
+			for _, missed := range missedChanges {
 				w := newCatchUpWorld(t, 1, 3, fastLinkRate)
 				w.change(routes, 10*time.Second)
 				w.advance(time.Second)
@@ -217,8 +245,8 @@
 				w.start(node, false)
 				node.receivedBytes = 0
 				size := len(planText(w.ackedVersion, routes))
-				took := w.waitUntil("caught up", 2*catchUpBound(size, rate), func() bool { return w.caughtUp(node) })
-				t.Logf("%8d %10d %8d %12.3f %10d %12d", routes, size>>10, missed, float64(rate)/(1<<20), took.Milliseconds(), node.receivedBytes>>10)
+				duration := w.waitUntil("caught up", 2*catchUpBound(size, rate), func() bool { return w.hasCaughtUp(node) })
+				t.Logf("%8d %10d %8d %12.3f %10d %12d", routes, size>>10, missed, float64(rate)/(1<<20), duration.Milliseconds(), node.receivedBytes>>10)
 			}
 		}
 	}
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"sort"
-	"strconv"
 	"testing"
 	"time"
 
@@ -15,12 +14,11 @@
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/control/routingconfig"
-	"pebbleloom/internal/errs"
 	"pebbleloom/internal/wire"
 )
 
-// catchUpWorld runs the real members (core, state, disk format, membership policy) of one group on
-// virtual time, over links of a bandwidth. It is for large configurations: what is sent isn't copied.
+// catchUpWorld runs the real members (consensus core, state, storage, membership planner) of one group on
+// virtual time, over links of a bandwidth. It is for large configurations: messages aren't cloned.
 type catchUpWorld struct {
 	t              testing.TB
 	random         *rand.Rand
@@ -30,33 +28,35 @@
 	queued         []catchUpMessage
 	sentMessages   int
 	links          map[string]*simLink // from>to
-	bytesPerSecond int                 // bytes a second of a link
-	isolated       map[string]bool     // addresses that are cut off
-	ackedVersion   uint64              // version that was acknowledged last
-	bodies         map[uint64][]byte   // of each version, for as long as it may be seen
-	termLeaders    map[uint64]string   // who led which term
+	bytesPerSecond int                 // of a link
+	isolated       map[string]bool     // addresses
+	ackedVersion   uint64              // acknowledged last
+	bodies         map[uint64][]byte   // by version, for as long as it may be read
+	termLeaders    map[uint64]string   // by term
 	tailBytes      int
 }
 
+// catchUpNode is one machine.
 type catchUpNode struct {
 	addr          string
 	disk          *simDisk
 	shard         *shard // nil: down
 	clock         *clock.Manual
 	starts        int
-	nextTick      time.Duration // its next tick
+	nextTick      time.Duration
 	nextJoin      time.Duration
-	version       uint64 // what it has applied since it was started
+	version       uint64 // that it has applied since its start
 	isRemoved     bool   // for good
 	receivedBytes int    // bytes of large messages
 }
 
+// catchUpMessage is a message on its way.
 type catchUpMessage struct {
 	deliverAt      time.Duration
 	sequence       int
 	receiverStarts int // of the receiver when it was sent
 	message        *wire.Message
-	isLost         bool // its sender hears that it didn't arrive
+	isLost         bool // it times out
 	link           *simLink
 }
 
@@ -66,50 +66,20 @@
 	queuedMessages int
 }
 
+// largeMessageTimeout is the transport's time-out for a large message.
 func largeMessageTimeout(size int) time.Duration {
 	return time.Duration(float64(catchUpHeal) * (sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20)))
 }
 
+// Virtual time passes in steps; ticks are those of the default heal bound.
 const (
 	catchUpStep = 5 * time.Millisecond
-	catchUpTick = 100 * time.Millisecond // of a heal bound of 12 s
+	catchUpTick = 100 * time.Millisecond // groupTick of the heal bound
 	catchUpHeal = 12 * time.Second
 	linkDelay   = 2 * time.Millisecond
 )
 
-// textPlanCodec reads the version from the front of a configuration and keeps the rest as it is.
-type textPlanCodec struct{}
-
-func planVersion(b []byte) (uint64, error) {
-	rest, ok := bytes.CutPrefix(b, []byte(`{"version":`))
-	end := bytes.IndexByte(rest, ',')
-	if !ok || end < 0 {
-		return 0, errs.New(errs.BadInput, "no version")
-	}
-	return strconv.ParseUint(string(rest[:end]), 10, 64)
-}
-
-func (textPlanCodec) Read(b []byte) (*routingconfig.Plan, error) {
-	version, err := planVersion(b)
-	return &routingconfig.Plan{Version: version}, err
-}
-
-func (textPlanCodec) Merge(_, sent []byte, _ bool) ([]byte, uint64, error) {
-	version, err := planVersion(sent)
-	return sent, version, err
-}
-
-// planText is a configuration of so many routes, about 300 bytes each; the hosts differ from version to
-// version, so that two don't pass for one another.
-func planText(version uint64, routes int) []byte {
-	b := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
-	for i := range routes {
-		b = fmt.Appendf(b, `{"name":"route-%d-%d","host":"h%d.tenant-%d.example","prefix":"/v1/%d","kind":"once","timeout":%d,"priority":%d,"split":[{"service":"service-%d","weight":90},{"service":"service-%d-canary","weight":10}],"attempts":3,"public":true,"session":%v,"comment":"%0100d"},`,
-			i, version, i%97, i%31, i, 1000+i, i%4, i%120, i%120, i%2 == 0, version)
-	}
-	return append(b[:len(b)-1], "]}"...)
-}
-
+// newCatchUpWorld founds a group; rate is the bandwidth of its links in bytes a second.
 func newCatchUpWorld(t testing.TB, seed uint64, machines, rate int) *catchUpWorld {
 	w := &catchUpWorld{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
 		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: trailingLogBytes}
@@ -132,7 +102,8 @@
 	return node
 }
 
-func (w *catchUpWorld) start(node *catchUpNode, first bool) {
+// start starts a machine from its disk.
+func (w *catchUpWorld) start(node *catchUpNode, firstStart bool) {
 	node.starts++
 	starts := node.starts
 	node.disk.powerBudget = -1
@@ -142,7 +113,7 @@
 		}
 	})
 	config := newTestGroup(node.disk, rand.New(rand.NewPCG(w.random.Uint64(), 9)), func() *wire.Snapshot {
-		return initialGroupSnapshot(first, node.addr, w.seeds, w.random.Uint64)
+		return initialGroupSnapshot(firstStart, node.addr, w.seeds, w.random.Uint64)
 	})
 	config.codec = textPlanCodec{}
 	config.reopenTicks = int(reopenIntervalRatio / groupTick)
@@ -152,7 +123,7 @@
 	node.shard, node.nextTick, node.version = replica, w.now, 0
 }
 
-// kill ends a process; in the middle of a write where torn says so.
+// kill ends a process, in the middle of a write where torn.
 func (w *catchUpWorld) kill(node *catchUpNode, torn bool) {
 	if torn && node.shard != nil {
 		node.disk.powerBudget = w.random.IntN(1 << 20)
@@ -165,6 +136,7 @@
 	node.shard, node.starts = nil, node.starts+1
 }
 
+// wipe ends a process and empties its disk.
 func (w *catchUpWorld) wipe(node *catchUpNode) {
 	w.kill(node, false)
 	node.disk = newSimDisk()
@@ -183,6 +155,13 @@
 	return node != nil && node.shard != nil && node.shard.failure == nil
 }
 
+// isLargeMessage reports whether the transport sends a message by itself, as product code decides it.
+func isLargeMessage(message *wire.Message) bool {
+	return len(message.GetChunk().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes
+}
+
+// send puts a message on its way. Large ones share the link between two machines, one after another; one
+// that takes longer than its time-out is lost.
 func (w *catchUpWorld) send(message *wire.Message) {
 	from, to := controlclient.MemberAddr(message.From), controlclient.MemberAddr(message.To)
 	receiver := w.node(to)
@@ -190,70 +169,87 @@
 		return
 	}
 	queued := catchUpMessage{deliverAt: w.now + linkDelay, receiverStarts: receiver.starts, message: message}
-	if size := payloadBytes(message); len(message.GetChunk().GetData()) > 0 || size >= largeMessageBytes {
-		link := w.links[from+">"+to]
-		if link == nil {
-			link = &simLink{}
-			w.links[from+">"+to] = link
-		}
+	if isLargeMessage(message) {
+		link := w.link(from, to)
 		if link.queuedMessages > maxQueuedLarge {
-			return // the queue is full, one beside it is being sent
+			return // the queue is full, and one more is being sent
 		}
-		takes := time.Duration(float64(size) / float64(w.bytesPerSecond) * float64(time.Second))
+		size := payloadBytes(message)
+		sendTime, timeout := time.Duration(float64(size)/float64(w.bytesPerSecond)*float64(time.Second)), largeMessageTimeout(size)
 		receiver.receivedBytes += size
 		link.queuedMessages++
-		link.freeAt = max(link.freeAt, w.now) + min(takes, largeMessageTimeout(size))
-		queued.deliverAt, queued.isLost, queued.link = link.freeAt+linkDelay, takes > largeMessageTimeout(size), link
+		link.freeAt = max(link.freeAt, w.now) + min(sendTime, timeout)
+		queued.deliverAt, queued.isLost, queued.link = link.freeAt+linkDelay, sendTime > timeout, link
 	}
 	w.sentMessages++
 	queued.sequence = w.sentMessages
 	w.queued = append(w.queued, queued)
 }
 
+func (w *catchUpWorld) link(from, to string) *simLink {
+	name := from + ">" + to
+	if w.links[name] == nil {
+		w.links[name] = &simLink{}
+	}
+	return w.links[name]
+}
+
+// step moves virtual time on, delivers what is due and ticks the members.
 func (w *catchUpWorld) step() {
 	w.now += catchUpStep
 	for _, node := range w.nodes {
 		node.clock.Time += catchUpStep
 	}
+	w.deliver()
+	for _, node := range w.nodes {
+		w.tick(node)
+	}
+}
+
+// deliver hands over the messages that are due. The sender of a large one that is lost gets a report.
+func (w *catchUpWorld) deliver() {
 	sort.SliceStable(w.queued, func(i, j int) bool { return w.queued[i].deliverAt < w.queued[j].deliverAt })
 	due := w.queued
 	w.queued = nil
-	for i, queued := range due {
+	for index, queued := range due {
 		if queued.deliverAt > w.now {
-			w.queued = append(w.queued, due[i:]...)
+			w.queued = append(w.queued, due[index:]...)
 			break
 		}
-		from, node := w.node(controlclient.MemberAddr(queued.message.From)), w.node(controlclient.MemberAddr(queued.message.To))
+		from, to := w.node(controlclient.MemberAddr(queued.message.From)), w.node(controlclient.MemberAddr(queued.message.To))
 		if queued.link != nil {
 			queued.link.queuedMessages--
 		}
-		if queued.isLost || node.shard == nil || node.starts != queued.receiverStarts || w.isolated[node.addr] || w.isolated[from.addr] {
+		if queued.isLost || to.shard == nil || to.starts != queued.receiverStarts || w.isolated[to.addr] || w.isolated[from.addr] {
 			if queued.link != nil && w.isHealthy(from) {
 				from.shard.core.ReportSendFailure(queued.message)
 			}
-		} else if w.isHealthy(node) {
-			node.shard.core.Step(queued.message)
-			w.runStep(node)
+		} else if w.isHealthy(to) {
+			to.shard.core.Step(queued.message)
+			w.runStep(to)
 		}
 	}
-	for _, node := range w.nodes {
-		if node.shard == nil || w.now < node.nextTick {
-			continue
-		}
-		node.nextTick = w.now + catchUpTick
-		if node.shard.failure == nil {
-			node.shard.core.Tick()
-		}
-		node.shard.maintainGroup()
-		w.runStep(node)
-		if w.isHealthy(node) && w.now >= node.nextJoin && node.shard.needsJoin() {
-			node.nextJoin = w.now + 800*time.Millisecond
-			w.join(node)
-		}
+}
+
+// tick ticks a member once a catchUpTick; one that isn't a member of the group requests to join.
+func (w *catchUpWorld) tick(node *catchUpNode) {
+	if node.shard == nil || w.now < node.nextTick {
+		return
+	}
+	node.nextTick = w.now + catchUpTick
+	if node.shard.failure == nil {
+		node.shard.core.Tick()
+	}
+	node.shard.maintainGroup()
+	w.runStep(node)
+	if w.isHealthy(node) && w.now >= node.nextJoin && node.shard.needsJoin() {
+		node.nextJoin = w.now + 800*time.Millisecond
+		w.join(node)
 	}
 }
 
-// runStep lets a member act on what it was given, and checks what holds at any time.
+// runStep lets a member act on its input, and checks the invariants: state never goes back to an older one, a
+// version has one content, a term has one leader, and no leader has older state than was acknowledged.
 func (w *catchUpWorld) runStep(node *catchUpNode) {
 	before := node.shard.core.Status()
 	node.shard.handleReady()
@@ -277,8 +273,8 @@
 	if !status.IsLeader {
 		return
 	}
-	if who := w.termLeaders[status.Term]; who != "" && who != node.shard.core.Self() {
-		w.t.Fatalf("one leader a term: %d has %s and %s", status.Term, who, node.shard.core.Self())
+	if leader := w.termLeaders[status.Term]; leader != "" && leader != node.shard.core.Self() {
+		w.t.Fatalf("one leader a term: %d has %s and %s", status.Term, leader, node.shard.core.Self())
 	}
 	w.termLeaders[status.Term] = node.shard.core.Self()
 	if node.shard.core.HasAppliedCurrentTerm() && status.Term >= w.highestTerm() && node.version < w.ackedVersion {
@@ -286,6 +282,7 @@
 	}
 }
 
+// highestTerm is the highest one that had a leader.
 func (w *catchUpWorld) highestTerm() (highest uint64) {
 	for term := range w.termLeaders {
 		highest = max(highest, term)
@@ -293,6 +290,7 @@
 	return highest
 }
 
+// join requests to join from a random machine, then from the leader that it names.
 func (w *catchUpWorld) join(node *catchUpNode) {
 	peer := w.nodes[w.random.IntN(len(w.nodes))]
 	for peer.isRemoved {
@@ -310,32 +308,39 @@
 	}
 }
 
+// leader is the leader of the highest term that has applied an entry of its term; nil: there is none.
 func (w *catchUpWorld) leader() *catchUpNode {
-	var found *catchUpNode
+	var leader *catchUpNode
 	for _, node := range w.nodes {
-		if w.isHealthy(node) && !w.isolated[node.addr] && node.shard.core.HasAppliedCurrentTerm() && (found == nil || node.shard.core.Status().Term > found.shard.core.Status().Term) {
-			found = node
+		if !w.isHealthy(node) || w.isolated[node.addr] || !node.shard.core.HasAppliedCurrentTerm() {
+			continue
+		}
+		if leader == nil || node.shard.core.Status().Term > leader.shard.core.Status().Term {
+			leader = node
 		}
 	}
-	return found
+	return leader
 }
 
-func (w *catchUpWorld) advance(d time.Duration) {
-	for end := w.now + d; w.now < end; {
+// advance lets time pass.
+func (w *catchUpWorld) advance(duration time.Duration) {
+	for end := w.now + duration; w.now < end; {
 		w.step()
 	}
 }
 
-func (w *catchUpWorld) waitUntil(what string, within time.Duration, done func() bool) time.Duration {
+// waitUntil lets time pass until a condition holds, and fails the test when it doesn't hold in time. It
+// returns how long that took.
+func (w *catchUpWorld) waitUntil(what string, within time.Duration, holds func() bool) time.Duration {
 	w.t.Helper()
-	begin := w.now
-	for !done() {
-		if w.step(); w.now-begin > within {
+	begun := w.now
+	for !holds() {
+		if w.step(); w.now-begun > within {
 			w.logStatus()
 			w.t.Fatalf("%s: not within %v", what, within)
 		}
 	}
-	return w.now - begin
+	return w.now - begun
 }
 
 func (w *catchUpWorld) logStatus() {
@@ -347,15 +352,15 @@
 	}
 }
 
-// change has an operator bring the next version, again and again until it is acknowledged.
+// change has an operator put the next version until it is acknowledged, within a bound.
 func (w *catchUpWorld) change(routes int, within time.Duration) {
 	w.t.Helper()
 	next := w.ackedVersion + 1
-	sent := planText(next, routes)
-	w.bodies[next] = sent
+	plan := planText(next, routes)
+	w.bodies[next] = plan
 	delete(w.bodies, next-8)
-	for begin := w.now; ; {
-		if w.now-begin > within {
+	for begun := w.now; ; {
+		if w.now-begun > within {
 			w.logStatus()
 			w.t.Fatalf("version %d: not acknowledged within %v", next, within)
 		}
@@ -364,20 +369,10 @@
 			w.step()
 			continue
 		}
-		if node.version >= next { // a copy sent before was taken
+		if node.version >= next { // an earlier attempt was applied
 			break
 		}
-		starts := node.starts
-		pending, response := node.shard.propose(&wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: sent, IfVersion: w.ackedVersion}}}}, nil)
-		w.runStep(node)
-		for asked := w.now; response == nil && node.starts == starts && w.now-asked < 10*time.Second; {
-			select {
-			case response = <-pending.response:
-			default:
-				w.step()
-			}
-		}
-		if response.GetOutcome() == wire.OutcomeDone {
+		if w.put(node, plan).GetOutcome() == wire.OutcomeDone {
 			break
 		}
 		w.step()
@@ -385,7 +380,23 @@
 	w.ackedVersion = next
 }
 
-// caughtUp tells whether a member has applied what was acknowledged.
-func (w *catchUpWorld) caughtUp(node *catchUpNode) bool {
+// put proposes a change to a node, and waits for its answer; nil: none came in time.
+func (w *catchUpWorld) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
+	starts := node.starts
+	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: w.ackedVersion}
+	pending, response := node.shard.propose(&wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
+	w.runStep(node)
+	for begun := w.now; response == nil && node.starts == starts && w.now-begun < answerTimeout; {
+		select {
+		case response = <-pending.response:
+		default:
+			w.step()
+		}
+	}
+	return response
+}
+
+// hasCaughtUp reports whether a member has applied what was acknowledged.
+func (w *catchUpWorld) hasCaughtUp(node *catchUpNode) bool {
 	return w.isHealthy(node) && node.version >= w.ackedVersion
 }
