--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -7,4 +7,4 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-func main() { os.Exit(testbed.Callers(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(testbed.LoadGenerator(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -158,7 +158,7 @@
 // queuePlacement makes a placement the service's desired one and queues it for writing. It runs on the
 // actor's goroutine.
 func (s *session) queuePlacement(service *servicePlacement, desired *placement.Placement) {
-	desired.FencingToken, desired.Epoch = s.fencingToken, 0
+	desired.FencingToken, desired.Version = s.fencingToken, 0
 	body, err := json.Marshal(desired)
 	if err != nil {
 		s.logWarning("placement")(err)
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -114,13 +114,13 @@
 		case w.Kind == "store":
 			stores++
 		case snap.Config != nil && w.Kind == "lm":
-			if all++; w.Weights > 0 && w.Weights < snap.WeightsAt[w.Model].Version {
+			if all++; w.Weights > 0 && w.Weights < snap.Weights[w.Model].Version {
 				old[w.Model]++
 			}
 		}
 	}
 	for _, m := range queue.Keys(old) {
-		f.add("older-weights", m, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", old[m], all, snap.WeightsAt[m].Version),
+		f.add("older-weights", m, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", old[m], all, snap.Weights[m].Version),
 			"wait for the rollout; else see the placement controllers' logs", "weights-midday")
 	}
 	if stores == 0 {
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -176,7 +176,7 @@
 // stepRollout advances the service to the named weights.
 func (c *Controller) stepRollout(svc *serviceController, s *updatestream.Snapshot, name string, config serviceconfig.Service) error {
 	ws := slices.DeleteFunc(languageModelWorkers(s, name), func(w *wire.Worker) bool { return w.Model != config.Model && w.Model != "" }) // others have another base model
-	seen := s.WeightsAt[config.Model]
+	seen := s.Weights[config.Model]
 	now := c.clock.Now()
 	if svc.placement == nil {
 		return nil // the stored placement isn't read yet
@@ -281,7 +281,7 @@
 		svc.document = nil // read it again before the next attempt
 		return errs.Wrap(err, "publish placement")
 	}
-	p.Epoch = t.Version
+	p.Version = t.Version
 	svc.document, svc.placement = &wire.Document{Body: body, Version: t.Version}, p
 	c.process.Log.Info("placement", "service", name, "epoch", t.Version, "fence", fence, "replicated", len(p.Replicated),
 		"entries", p.Entries, "r_max", p.RMax, "b", p.FetchBandwidth, "why", p.Reason)
--- a/internal/data/callerproxy/answer.go
+++ b/internal/data/callerproxy/answer.go
@@ -259,7 +259,7 @@
 	if d.isDraining() {
 		return nil, reject(errs.NotExecuted, id, d.bounds.Config(0.1), "this dispatcher is draining: ask another")
 	}
-	if !s.Fresh(d.clock.Now(), d.bounds.Config(0.8)) {
+	if !s.IsFresh(d.clock.Now(), d.bounds.Config(0.8)) {
 		return nil, reject(errs.NotExecuted, id, d.bounds.Config(0.25), "no proof that the setup is the newest")
 	}
 	return s, nil
@@ -268,7 +268,7 @@
 // isCurrent reports whether a pinned configuration is still the newest, and proved so.
 func (d *Proxy) isCurrent(s *updatestream.Snapshot) bool {
 	n := d.follower.Snapshot()
-	return n.ConfigVersion == s.ConfigVersion && n.Fresh(d.clock.Now(), d.bounds.Config(0.8))
+	return n.ConfigVersion == s.ConfigVersion && n.IsFresh(d.clock.Now(), d.bounds.Config(0.8))
 }
 
 // prefixEntries names a prompt's prefixes under each weights epoch that may still start. Which
@@ -277,7 +277,7 @@
 func (d *Proxy) prefixEntries(s *updatestream.Snapshot, q *caller.Ask, tenant string, have map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
 	m := map[uint64][]prefix.Entry{}
 	on := weightsFor(s, q)
-	w := s.WeightsAt[on.Model]
+	w := s.Weights[on.Model]
 	service := s.Config.Routes[q.Model].ServiceFor(q.RequestID)
 	for _, x := range s.Workers {
 		if x.Service != service || x.State == updatestream.WorkerGone {
@@ -305,7 +305,7 @@
 // little later; a worker that isn't told apart by its clock is held to them by the wait alone.
 func (d *Proxy) startDeadline(s *updatestream.Snapshot, q *caller.Ask, w *wire.Worker) time.Duration {
 	t := s.ProofAt + d.bounds.Config(0.95)
-	if not, _, ok := s.WeightsAt[weightsFor(s, q).Model].SupersededAt(w.Weights); ok {
+	if not, _, ok := s.Weights[weightsFor(s, q).Model].SupersededAt(w.Weights); ok {
 		t = min(t, not+d.bounds.Weights(0.95))
 	}
 	return t
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -128,7 +128,7 @@
 	p := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
 	l := daemon.New("dispatcher", p)
 	b := &testProxy{starts: map[string]int{}, granted: map[string]bool{}, clock: &clock.Manual{Time: time.Hour}}
-	b.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
+	b.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, Weights: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
 		Config: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
 			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
 	for i, m := range modes {
@@ -173,8 +173,8 @@
 }
 
 func (b *testProxy) ask(id string, once bool) loadgen.Outcome {
-	q := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, WaitMs: 5000, Once: once}
-	return loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
+	q := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, WaitMs: 5000, Once: once}
+	return loadgen.NewClient([]string{b.edge.Listener.Addr().String()}).Send(context.Background(), 0, q)
 }
 
 // A worker dies, refuses or misbehaves at every step of an attempt, and the other worker is well
@@ -206,16 +206,16 @@
 			if once {
 				want, starts = c.once, c.starts
 			}
-			got := o.Denied
+			got := o.Rejected
 			if o.Sealed {
 				got = "sealed"
-			} else if o.Broken != "" {
+			} else if o.Interrupted != "" {
 				got = "broken"
 			}
 			if got != want || b.attemptsStarted("r") != starts || len(o.Faults) > 0 {
 				t.Errorf("%s, once %v: %s after %d starts, want %s after %d; faults %v, %s", c.mode, once, got, b.attemptsStarted("r"), want, starts, o.Faults, o.Message)
 			}
-			if strings.HasPrefix(got, "not") && o.BackMs <= 0 {
+			if strings.HasPrefix(got, "not") && o.RetryAfterMs <= 0 {
 				t.Errorf("%s, once %v: no time to come back", c.mode, once)
 			}
 		}
@@ -241,12 +241,12 @@
 	if o := b.ask("r", true); !o.Sealed {
 		t.Fatalf("%+v", o)
 	}
-	if o := b.ask("r", true); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
+	if o := b.ask("r", true); o.Rejected != "may-have-run" || b.attemptsStarted("r") != 1 {
 		t.Errorf("%+v after %d starts", o, b.attemptsStarted("r"))
 	}
 	b = newTestProxy(t, "refuse")
 	for range 2 {
-		if o := b.ask("r", true); o.Denied != "not-run" {
+		if o := b.ask("r", true); o.Rejected != "not-run" {
 			t.Errorf("%+v", o)
 		}
 	}
@@ -265,17 +265,17 @@
 		"no way leads there":      {func(b *testProxy) { b.snapshot.Config.Routes = nil }, "no-such-model"},
 		"all workers are leaving": {func(b *testProxy) { b.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
 		"older weights alone": {func(b *testProxy) {
-			b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
+			b.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
 		b := newTestProxy(t, "well")
 		c.do(b)
-		if o := b.ask("r", true); o.Denied != c.kind || b.attemptsStarted("r") > 0 {
+		if o := b.ask("r", true); o.Rejected != c.kind || b.attemptsStarted("r") > 0 {
 			t.Errorf("%s: %+v after %d starts", name, o, b.attemptsStarted("r"))
 		}
 	}
 	b := newTestProxy(t, "well")
-	b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: time.Hour - time.Second}}}}
+	b.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: time.Hour - time.Second}}}}
 	if o := b.ask("r", true); !o.Sealed {
 		t.Errorf("older weights within their bound: %+v", o)
 	}
@@ -301,8 +301,8 @@
 			change(&s)
 			b.snapshot = &s
 		}
-		if o := b.ask("r", false); o.Denied != "may-have-run" || b.attemptsStarted("r") != 1 {
-			t.Errorf("%s: %s (%s) after %d starts", name, o.Denied, o.Message, b.attemptsStarted("r"))
+		if o := b.ask("r", false); o.Rejected != "may-have-run" || b.attemptsStarted("r") != 1 {
+			t.Errorf("%s: %s (%s) after %d starts", name, o.Rejected, o.Message, b.attemptsStarted("r"))
 		}
 	}
 }
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -20,7 +20,7 @@
 func (d *Proxy) selectWorker(s *updatestream.Snapshot, q *caller.Ask, tenant, service string, es map[uint64][]prefix.Entry, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, error) {
 	p, on := s.Placements[service], weightsFor(s, q)
 	u := Query{ID: q.RequestID, Mode: placementMode(s.Config, service), Zone: d.process.Settings.Zone, Entries: d.prefixEntries(s, q, tenant, es), Found: found,
-		Tried: tried, NewestWeights: s.WeightsAt[on.Model].Version, Placement: p, PrefillCurve: d.prefillCurve, NearBandwidth: d.nearBandwidth.Load(), FarBandwidth: d.farBandwidth.Load(), StoreBandwidth: d.storeBandwidth.Load(), Stores: map[string]string{}}
+		Tried: tried, NewestWeights: s.Weights[on.Model].Version, Placement: p, PrefillCurve: d.prefillCurve, NearBandwidth: d.nearBandwidth.Load(), FarBandwidth: d.farBandwidth.Load(), StoreBandwidth: d.storeBandwidth.Load(), Stores: map[string]string{}}
 	if p != nil {
 		u.PrefillCurve = p.PrefillCurve
 	}
--- a/internal/data/callerproxy/begin_test.go
+++ b/internal/data/callerproxy/begin_test.go
@@ -39,7 +39,7 @@
 func TestStartDeadline(t *testing.T) {
 	b := newTestProxy(t, "well")
 	bounds, now := settings.DefaultBounds(), b.clock.Now()
-	b.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: now - bounds.Weights(0.9)}, {Version: 2, NewestUntil: now}}}}
+	b.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: now - bounds.Weights(0.9)}, {Version: 2, ProvenNewestUntil: now}}}}
 	q := &caller.Ask{Model: "m"}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
@@ -65,8 +65,8 @@
 		}
 		return b.snapshot
 	})
-	if o := b.ask("r", true); o.Denied != "not-run" || looks <= 10 {
-		t.Errorf("denied as %s after %d looks", o.Denied, looks)
+	if o := b.ask("r", true); o.Rejected != "not-run" || looks <= 10 {
+		t.Errorf("denied as %s after %d looks", o.Rejected, looks)
 	}
 }
 
@@ -77,9 +77,9 @@
 	b.proxy.traffic.Ask(func(g *trafficTable) { g.worker("w0").attempts, g.meanAttemptUs = 40, 1000 })
 	b.snapshot.ProofAt = b.clock.Now() - settings.DefaultBounds().Config(0.799)
 	b.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
-	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Pieces: 5, WaitMs: 60, Once: true}
-	o := loadgen.NewCaller([]string{b.edge.Listener.Addr().String()}).Ask(context.Background(), 0, q)
-	if o.Denied != "not-run" || b.attemptsStarted("r") > 0 {
-		t.Errorf("%s %s", o.Denied, o.Message)
+	q := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Chunks: 5, WaitMs: 60, Once: true}
+	o := loadgen.NewClient([]string{b.edge.Listener.Addr().String()}).Send(context.Background(), 0, q)
+	if o.Rejected != "not-run" || b.attemptsStarted("r") > 0 {
+		t.Errorf("%s %s", o.Rejected, o.Message)
 	}
 }
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -73,7 +73,7 @@
 	calls := daemon.NewClients(l)
 	d.follower = updatestream.Follow(l.Ctx, d.clock, l.Log, func() wire.NodeAgent { return calls.NodeAgent(l.Settings.NodeAgent) }, d.bounds.Config(0.1), d.fillReport, func(s *updatestream.Snapshot) {
 		d.index.updateShards(s.Nodes)
-		l.Ready.Store(s.Fresh(d.clock.Now(), d.bounds.Config(0.8)))
+		l.Ready.Store(s.IsFresh(d.clock.Now(), d.bounds.Config(0.8)))
 	})
 	d.claims = newClaimer(l, d.follower.Snapshot, calls, l.Seed())
 	srv, err := caller.NewServer(d, caller.WithErrorHandler(handleRequestError))
@@ -93,7 +93,7 @@
 	defer t.Stop()
 	for {
 		s := d.follower.Snapshot()
-		if s.Fresh(d.clock.Now(), d.bounds.Config(0.8)) && hasRoutedWorker(s) {
+		if s.IsFresh(d.clock.Now(), d.bounds.Config(0.8)) && hasRoutedWorker(s) {
 			break
 		}
 		select {
@@ -282,7 +282,7 @@
 	x := Decision{Request: id, Worker: c.Worker.Name, Config: s.ConfigVersion, Hit: c.HitTokens, Fetch: c.FetchTokens, WaitUs: c.WaitUs, CostUs: c.CostUs, Hot: c.Hot, Home: c.PreferredWorker, SaveTo: c.SaveAddrs,
 		Session: c.Session, Fetches: c.FetchFrom, Machine: d.process.Settings.Name}
 	if p := s.Placements[c.Worker.Service]; p != nil {
-		x.Placement = p.Epoch
+		x.Placement = p.Version
 	}
 	body, err := json.Marshal(x)
 	if err == nil {
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -24,7 +24,7 @@
 // Placement is the placement controller's decision for one service. It is stored as a JSON document in
 // the control state.
 type Placement struct {
-	Epoch            uint64   `json:"-"` // the document's version
+	Version          uint64   `json:"-"` // the document's version
 	Service          string   `json:"service"`
 	Mode             Mode     `json:"mode"`
 	FencingToken     uint64   `json:"fence"` // of the lease under which it was written
@@ -51,7 +51,7 @@
 	if err := json.Unmarshal(body, p); err != nil {
 		return nil, errs.WrapAs(err, errs.BadInput, "read placement")
 	}
-	p.Epoch = version
+	p.Version = version
 	p.replicated = make(map[string]bool, len(p.Replicated))
 	for _, key := range p.Replicated {
 		p.replicated[key] = true
--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -15,45 +15,45 @@
 // Start runs the application service.
 //
 // Example: daemon.Main(programs.AppServiceSim, "a simulated application service", need, appservicesim.Start)
-func Start(l *daemon.Process) error {
+func Start(process *daemon.Process) error {
 	slots := make(chan struct{}, 8)
-	inc := fmt.Sprintf("%s/%x", l.Settings.Name, l.WallClock().UnixNano())
+	incarnation := fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
-		contract.WriteJSON(w, 200, contract.WorkerState{Name: l.Settings.Name, Incarnation: inc, Service: l.Settings.Option("service", ""), Model: l.Settings.Option("model", ""),
-			Zone: l.Settings.Zone, Weights: 1, Slots: cap(slots), Busy: len(slots), ClockUs: l.Clock.Now().Microseconds()})
+		contract.WriteJSON(w, 200, contract.WorkerState{Name: process.Settings.Name, Incarnation: incarnation, Service: process.Settings.Option("service", ""), Model: process.Settings.Option("model", ""),
+			Zone: process.Settings.Zone, Weights: 1, Slots: cap(slots), Busy: len(slots), ClockUs: process.Clock.Now().Microseconds()})
 	})
 	mux.HandleFunc("POST /v1/start", func(w http.ResponseWriter, r *http.Request) {
-		var s contract.StartRequest
-		if err := json.NewDecoder(io.LimitReader(r.Body, 1<<20)).Decode(&s); err != nil || s.RequestID == "" {
-			contract.WriteJSON(w, 400, contract.Rejection{RequestID: s.RequestID, NotExecuted: true, Reason: "bad"})
+		var request contract.StartRequest
+		if err := json.NewDecoder(io.LimitReader(r.Body, 1<<20)).Decode(&request); err != nil || request.RequestID == "" {
+			contract.WriteJSON(w, 400, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: "bad"})
 			return
 		}
-		if why := s.Refusal(inc, l.Clock.Now()); why != "" {
-			contract.WriteJSON(w, 409, contract.Rejection{RequestID: s.RequestID, NotExecuted: true, Reason: why})
+		if reason := request.Refusal(incarnation, process.Clock.Now()); reason != "" {
+			contract.WriteJSON(w, 409, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: reason})
 			return
 		}
 		select {
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		default:
-			contract.WriteJSON(w, 409, contract.Rejection{RequestID: s.RequestID, NotExecuted: true, Reason: "full"})
+			contract.WriteJSON(w, 409, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: "full"})
 			return
 		}
 		w.Header().Set("Content-Type", "application/x-ndjson")
-		enc, seal := json.NewEncoder(w), contract.NewSeal(s.RequestID, l.Settings.Name)
-		for n := range s.Chunks {
-			t := contract.SyntheticText(s.RequestID, s.Weights, n)
+		enc, seal := json.NewEncoder(w), contract.NewSeal(request.RequestID, process.Settings.Name)
+		for n := range request.Chunks {
+			t := contract.SyntheticText(request.RequestID, request.Weights, n)
 			seal.Add(n, t)
-			if enc.Encode(contract.Chunk{RequestID: s.RequestID, Number: n, Text: t}) != nil {
+			if enc.Encode(contract.Chunk{RequestID: request.RequestID, Number: n, Text: t}) != nil {
 				return
 			}
 		}
-		_ = enc.Encode(contract.Chunk{RequestID: s.RequestID, Number: s.Chunks, Seal: seal.Close(), Worker: l.Settings.Name, Weights: s.Weights})
+		_ = enc.Encode(contract.Chunk{RequestID: request.RequestID, Number: request.Chunks, Seal: seal.Close(), Worker: process.Settings.Name, Weights: request.Weights})
 	})
-	if err := l.Serve(l.Settings.Public, mux); err != nil {
+	if err := process.Serve(process.Settings.Public, mux); err != nil {
 		return err
 	}
-	l.Ready.Store(true)
+	process.Ready.Store(true)
 	return nil
 }
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -23,15 +23,15 @@
 	if w := os.Getenv("TABLE_MODES"); w != "" {
 		modes = strings.Split(w, ",")
 	}
-	from, n := number(t, "TABLE_SEED", 1), number(t, "TABLE_SEEDS", 5)
+	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 5)
 	got := map[string][]*testbed.Report{}
 	for seed := from; seed < from+n; seed++ {
 		for _, m := range modes {
-			sc := testbed.Scenario{Name: m, HealMs: 1000, TailMs: 59000}
-			r := play(t, sc, site, seed, func(s *testbed.Site) *Table {
-				v := s.Setup.Services[s.Traffic.Model+"-main"]
+			scenario := testbed.Scenario{Name: m, RecoveryMs: 1000, AfterRecoveryMs: 59000}
+			r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster {
+				v := s.Config.Services[s.Traffic.Model+"-main"]
 				v.Placement = m
-				s.Setup.Services[s.Traffic.Model+"-main"] = v
+				s.Config.Services[s.Traffic.Model+"-main"] = v
 				s.Traffic.Rate = map[string]float64{"paramo": 45, "daegu": 30}[site]
 				for _, w := range strings.Fields(words) {
 					if x, ok := strings.CutPrefix(w, "skew="); ok {
@@ -44,7 +44,7 @@
 					}
 					for i := range s.Processes {
 						if s.Processes[i].Program == programs.WorkerSim { // the first word of a name counts
-							s.Processes[i].Place.Options = append([]string{w}, s.Processes[i].Place.Options...)
+							s.Processes[i].Settings.Options = append([]string{w}, s.Processes[i].Settings.Options...)
 						}
 					}
 				}
@@ -68,9 +68,9 @@
 			return fmt.Sprintf(form+" ("+form+" to "+form+")", l[len(l)/2], l[0], l[len(l)-1])
 		}
 		fmt.Printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", m, col("%.3f", func(r *testbed.Report) float64 { return r.Sum.HitShare }),
-			col("%.3f", func(r *testbed.Report) float64 { return r.Sum.FetchPart }), col("%.2f", func(r *testbed.Report) float64 { return r.RMax }),
-			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Copied) }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.Prefilled) }),
-			col("%.2f", func(r *testbed.Report) float64 { return r.Sum.MaxToMean }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First50Ms) }),
+			col("%.3f", func(r *testbed.Report) float64 { return r.Sum.FetchedShare }), col("%.2f", func(r *testbed.Report) float64 { return r.RMax }),
+			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Replicated) }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.PrefilledTokens) }),
+			col("%.2f", func(r *testbed.Report) float64 { return r.Sum.LoadMaxToMean }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First50Ms) }),
 			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First95Ms) }))
 	}
 }
--- a/internal/sim/clustersim/plain_test.go
+++ b/internal/sim/clustersim/plain_test.go
@@ -2,4 +2,4 @@
 
 package clustersim
 
-const raced = false
+const raceDetector = false
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -10,20 +10,20 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// lax loosens bounds of a program's processes; those that the run is judged by stay.
-func lax(s *testbed.Site, program string, f func(*settings.Bounds)) {
+// loosenBounds loosens bounds of a program's processes; those that the run is judged by stay.
+func loosenBounds(s *testbed.Site, program string, f func(*settings.Bounds)) {
 	for i := range s.Processes {
 		if s.Processes[i].Program == program {
-			f(&s.Processes[i].Place.Bounds)
+			f(&s.Processes[i].Settings.Bounds)
 		}
 	}
 }
 
-// lie makes some workers lie.
-func lie(s *testbed.Site, word string, every int) {
+// plantWorkerFault makes some workers lie.
+func plantWorkerFault(s *testbed.Site, word string, every int) {
 	n := 0
 	for i := range s.Processes {
-		if p := &s.Processes[i].Place; s.Processes[i].Program == programs.WorkerSim {
+		if p := &s.Processes[i].Settings; s.Processes[i].Program == programs.WorkerSim {
 			if n++; n%every == 0 {
 				p.Options = append(p.Options, "lie="+word)
 			}
@@ -31,18 +31,20 @@
 	}
 }
 
-func swap(from, to string) func([]byte) []byte {
+func replaceBytes(from, to string) func([]byte) []byte {
 	return func(b []byte) []byte { return bytes.ReplaceAll(b, []byte(from), []byte(to)) }
 }
 
 // One fault for each point of the brief is planted, and the run must see it. The last row has
 // none planted, and nothing must be seen.
 func TestPlantedFaultsAreSeen(t *testing.T) {
-	step := func(at int, do, who, to string) testbed.Step { return testbed.Step{At: at, Do: do, Who: who, To: to} }
+	step := func(at int, do, who, to string) testbed.Step {
+		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
+	}
 	cores := "core-1 core-2 core-3 core-4"
 	cut := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
 	stale := func(s *testbed.Site) { // edges that follow what they have, however old
-		lax(s, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
+		loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
 	}
 	for _, x := range []struct {
 		point, want string
@@ -51,34 +53,34 @@
 		plant       func(*testbed.Site)
 		tamper      func([]byte) []byte
 	}{
-		{"a once-only request runs twice", "ran 2 times", nil, 1000, func(s *testbed.Site) { lie(s, "twice", 2) }, nil},
-		{"not run, and it ran", "yet it ran", nil, 1000, func(s *testbed.Site) { lie(s, "denies", 1) }, nil},
-		{"an answer is mixed with another", "a piece of another answer", nil, 1000, nil, swap(`"r":"paramo`, `"r":"parano`)},
-		{"pieces are lost", "where 1 was due", nil, 1000, nil, swap(`"n":1,`, `"n":2,`)},
-		{"a seal is missing", "seal", nil, 1000, nil, swap(`"seal"`, `"seel"`)},
+		{"a once-only request runs twice", "ran 2 times", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "twice", 2) }, nil},
+		{"not run, and it ran", "yet it ran", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "denies", 1) }, nil},
+		{"an answer is mixed with another", "a piece of another answer", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
+		{"pieces are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
+		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
 		{"a revoked key is let in", "was let in", cut, 2000, stale, nil},
 		{"a drained worker gets requests", "after it was drained", cut, 2000, stale, nil},
 		{"older weights start", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(s *testbed.Site) {
-			lie(s, "deaf", 2)
-			lax(s, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
+			plantWorkerFault(s, "deaf", 2)
+			loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
 		}, nil},
-		{"another tenant's cache", "under its tenant", nil, 1000, func(s *testbed.Site) { lie(s, "walls", 1) }, nil},
+		{"another tenant's cache", "under its tenant", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "walls", 1) }, nil},
 		{"too many extra tries", "extra runs on", nil, 12000, func(s *testbed.Site) {
-			lie(s, "dies", 2)
-			lax(s, programs.Proxy, func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
+			plantWorkerFault(s, "dies", 2)
+			loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
 		}, nil},
 		{"an acknowledged setup is lost", "doesn't read the setup back", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
 		{"service isn't back", "service is not back", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
 		{"nothing", "", nil, 1000, nil, nil},
 	} {
 		t.Run(x.point, func(t *testing.T) {
-			sc := testbed.Scenario{Name: "planted", Rate: 10, Steps: x.steps, HealMs: x.heal, TailMs: 3000, ReadAll: true}
-			r := play(t, sc, "paramo", 3, func(s *testbed.Site) *Table {
+			scenario := testbed.Scenario{Name: "planted", Rate: 10, Steps: x.steps, RecoveryMs: x.heal, AfterRecoveryMs: 3000, ReadAll: true}
+			r := runScenario(t, scenario, "paramo", 3, func(s *testbed.Site) *Cluster {
 				if x.plant != nil {
 					x.plant(s)
 				}
 				table := New(3, s)
-				table.tamper = x.tamper
+				table.tamperWithReads = x.tamper
 				return table
 			})
 			if all := strings.Join(r.Faults, "\n"); x.want == "" && all != "" || !strings.Contains(all, x.want) {
--- a/internal/sim/clustersim/proc.go
+++ b/internal/sim/clustersim/proc.go
@@ -20,33 +20,33 @@
 // proc is one life of a process. All that it meets goes through pass: while it is frozen nothing
 // gets on, and once it is dead nothing that it does has any effect.
 type proc struct {
-	t       *Table
-	p       testbed.Process
-	m       *machine
-	life    *daemon.Process
-	started chan struct{}
-	dead    chan struct{}
-	stop    sync.Once
-	kill    sync.Once
-	mu      sync.Mutex
-	frozen  chan struct{} // closed when it is thawed; nil: it isn't frozen
-	conns   map[*conn]bool
-	lns     map[*listener]bool
-	r       *rand.Rand
+	cluster   *Cluster
+	process   testbed.Process
+	machine   *machine
+	daemon    *daemon.Process
+	started   chan struct{}
+	dead      chan struct{}
+	stopOnce  sync.Once
+	killOnce  sync.Once
+	mu        sync.Mutex
+	frozen    chan struct{} // closed when it is thawed; nil: it isn't frozen
+	conns     map[*conn]bool
+	listeners map[*listener]bool
+	random    *rand.Rand
 }
 
-func newProc(t *Table, p testbed.Process, m *machine, seed uint64) *proc {
-	return &proc{t: t, p: p, m: m, started: make(chan struct{}), dead: make(chan struct{}), conns: map[*conn]bool{}, lns: map[*listener]bool{},
-		r: rand.New(rand.NewPCG(seed, 17))}
+func newProc(t *Cluster, p testbed.Process, m *machine, seed uint64) *proc {
+	return &proc{cluster: t, process: p, machine: m, started: make(chan struct{}), dead: make(chan struct{}), conns: map[*conn]bool{}, listeners: map[*listener]bool{},
+		random: rand.New(rand.NewPCG(seed, 17))}
 }
 
-// pass waits while the process is frozen; false: it is dead.
-func (p *proc) pass() bool {
+// awaitRunning waits while the process is frozen; false: it is dead.
+func (p *proc) awaitRunning() bool {
 	for {
 		p.mu.Lock()
 		f := p.frozen
 		p.mu.Unlock()
-		if done(p.dead) {
+		if isClosed(p.dead) {
 			return false
 		}
 		if f == nil {
@@ -70,9 +70,9 @@
 	}
 }
 
-// die ends the life at once: connections are reset, doors shut, disk and clock out of reach.
-func (p *proc) die() {
-	p.kill.Do(func() {
+// kill ends the life at once: connections are reset, doors shut, disk and clock out of reach.
+func (p *proc) kill() {
+	p.killOnce.Do(func() {
 		p.mu.Lock()
 		close(p.dead)
 		var cs []*conn
@@ -80,7 +80,7 @@
 			cs = append(cs, c)
 		}
 		var ls []*listener
-		for l := range p.lns {
+		for l := range p.listeners {
 			ls = append(ls, l)
 		}
 		p.mu.Unlock()
@@ -88,48 +88,48 @@
 			l.Close()
 		}
 		for _, c := range cs {
-			c.shut(true)
+			c.closeWith(true)
 		}
 	})
 }
 
-func (p *proc) forget(c *conn) {
+func (p *proc) removeConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-func (p *proc) chance(n int64) int64 {
+func (p *proc) randomBelow(n int64) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.r.Int64N(n)
+	return p.random.Int64N(n)
 }
 
-// world is what the program meets outside itself.
-func (p *proc) world() daemon.Environment {
+// environment is what the program meets outside itself.
+func (p *proc) environment() daemon.Environment {
 	return daemon.Environment{Clock: p, WallClock: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
-		Seed: func() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.r.Uint64() }}
+		Seed: func() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.random.Uint64() }}
 }
 
 // Now is the machine's clock, which counts sleep; the process sees it once it runs.
 //
 // Example: p.Now()
-func (p *proc) Now() time.Duration { p.pass(); return p.m.now() }
+func (p *proc) Now() time.Duration { p.awaitRunning(); return p.machine.now() }
 
-func (p *proc) wall() time.Time { p.pass(); return p.m.wall() }
+func (p *proc) wall() time.Time { p.awaitRunning(); return p.machine.wall() }
 
 func (p *proc) listen(addr string) (net.Listener, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	l := &listener{p: p, addr: net.TCPAddrFromAddrPort(a), come: make(chan *conn, 512), shut: make(chan struct{})}
-	if !p.pass() || !p.t.listen(addr, l) {
+	l := &listener{proc: p, addr: net.TCPAddrFromAddrPort(a), incoming: make(chan *conn, 512), closed: make(chan struct{})}
+	if !p.awaitRunning() || !p.cluster.listen(addr, l) {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: l.addr, Err: os.NewSyscallError("bind", syscall.EADDRINUSE)}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lns[l] = true
+	p.listeners[l] = true
 	return l, nil
 }
 
@@ -143,16 +143,16 @@
 	fail := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: far, Err: err}
 	}
-	to := p.t.machineAt(a.Addr())
-	delay := p.t.delay(p.m, to, addr)
-	late := time.NewTimer(p.t.patience)
+	to := p.cluster.machineAt(a.Addr())
+	delay := p.cluster.delay(p.machine, to, addr)
+	late := time.NewTimer(p.cluster.dialTimeout)
 	defer late.Stop()
 	for trip := time.NewTimer(2 * delay); ; {
-		if !p.pass() {
+		if !p.awaitRunning() {
 			return fail(net.ErrClosed)
 		}
-		one, changed := p.t.rule(p.m.name, to)
-		two, _ := p.t.rule(to, p.m.name)
+		one, changed := p.cluster.linkRule(p.machine.name, to)
+		two, _ := p.cluster.linkRule(to, p.machine.name)
 		open := trip.C
 		if one.Cut || two.Cut {
 			open = nil
@@ -170,33 +170,33 @@
 		}
 		break
 	}
-	l := p.t.door(addr)
+	l := p.cluster.listenerAt(addr)
 	if l == nil {
 		return fail(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 	}
-	there := &pipe{t: p.t, from: p.m.name, to: to, delay: delay, bell: make(chan struct{})}
-	back := &pipe{t: p.t, from: to, to: p.m.name, delay: delay, bell: make(chan struct{})}
-	here := net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.m.ip(p.p.Place), uint16(30000+p.chance(30000))))
-	mine := p.hold(back, there, here, far)
-	its := l.p.hold(there, back, far, here)
+	there := &pipe{cluster: p.cluster, from: p.machine.name, to: to, delay: delay, changed: make(chan struct{})}
+	back := &pipe{cluster: p.cluster, from: to, to: p.machine.name, delay: delay, changed: make(chan struct{})}
+	here := net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.machine.ip(p.process.Settings), uint16(30000+p.randomBelow(30000))))
+	mine := p.addConn(back, there, here, far)
+	its := l.proc.addConn(there, back, far, here)
 	if mine == nil || its == nil {
 		return fail(net.ErrClosed)
 	}
 	select {
-	case l.come <- its:
+	case l.incoming <- its:
 		return mine, nil
 	default:
-		its.shut(true)
+		its.closeWith(true)
 		return fail(os.ErrDeadlineExceeded) // too many stand before the door
 	}
 }
 
-func (p *proc) hold(in, out *pipe, at, far net.Addr) *conn {
-	c := &conn{p: p, in: in, out: out, at: at, far: far, closed: make(chan struct{})}
-	c.rd.c, c.wr.c = make(chan struct{}), make(chan struct{})
+func (p *proc) addConn(in, out *pipe, at, far net.Addr) *conn {
+	c := &conn{proc: p, in: in, out: out, local: at, remote: far, closed: make(chan struct{})}
+	c.readDeadline.c, c.writeDeadline.c = make(chan struct{}), make(chan struct{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if done(p.dead) {
+	if isClosed(p.dead) {
 		return nil
 	}
 	p.conns[c] = true
@@ -204,33 +204,35 @@
 }
 
 // journal keeps a stand-in's journal beyond its life.
-func (p *proc) journal(file string) (io.Writer, error) { return &writer{p, p.t.file(file)}, nil }
+func (p *proc) journal(file string) (io.Writer, error) {
+	return &journalWriter{p, p.cluster.file(file)}, nil
+}
 
-type writer struct {
-	p *proc
-	f *file
+type journalWriter struct {
+	proc *proc
+	file *file
 }
 
 // Write adds a line, as long as the process lives.
 //
 // Example: n, err := w.Write(line)
-func (w *writer) Write(b []byte) (int, error) {
-	if !w.p.pass() {
-		return 0, errDead
+func (w *journalWriter) Write(b []byte) (int, error) {
+	if !w.proc.awaitRunning() {
+		return 0, errProcessDead
 	}
-	w.f.mu.Lock()
-	defer w.f.mu.Unlock()
-	w.f.b = append(w.f.b, b...)
+	w.file.mu.Lock()
+	defer w.file.mu.Unlock()
+	w.file.data = append(w.file.data, b...)
 	return len(b), nil
 }
 
-var errDead = errors.New("the process is dead")
+var errProcessDead = errors.New("the process is dead")
 
 // disk is a folder of the machine's disk, as this life sees it.
 func (p *proc) disk(folder string) storage.Disk { return &disk{p, folder} }
 
 type disk struct {
-	p      *proc
+	proc   *proc
 	folder string
 }
 
@@ -238,34 +240,34 @@
 //
 // Example: b, there, err := d.Read("slot-0")
 func (d *disk) Read(name string) ([]byte, bool, error) {
-	if !d.p.pass() {
-		return nil, false, errDead
+	if !d.proc.awaitRunning() {
+		return nil, false, errProcessDead
 	}
-	b, ok := d.p.m.read(d.folder, name)
+	b, ok := d.proc.machine.read(d.folder, name)
 	return b, ok, nil
 }
 
 // change carries out a write that takes its time. A life that ends meanwhile leaves any part of
 // it behind: the power goes at any byte.
 func (d *disk) change(name string, b []byte, write func(old, b []byte) []byte) error {
-	if !d.p.pass() {
-		return errDead
+	if !d.proc.awaitRunning() {
+		return errProcessDead
 	}
-	stall, err := storage.ParseFault(d.p.m.fault())
+	stall, err := storage.ParseFault(d.proc.machine.fault())
 	if err != nil {
 		return err
 	}
-	t := time.NewTimer(max(stall, time.Duration(200+d.p.chance(1800))*time.Microsecond))
+	t := time.NewTimer(max(stall, time.Duration(200+d.proc.randomBelow(1800))*time.Microsecond))
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-d.p.dead:
+	case <-d.proc.dead:
 	}
-	if !d.p.pass() {
-		d.p.m.write(d.p, d.folder, name, func(old []byte) []byte { return write(old, b[:d.p.chance(int64(len(b)+1))]) })
-		return errDead
+	if !d.proc.awaitRunning() {
+		d.proc.machine.write(d.proc, d.folder, name, func(old []byte) []byte { return write(old, b[:d.proc.randomBelow(int64(len(b)+1))]) })
+		return errProcessDead
 	}
-	d.p.m.write(d.p, d.folder, name, func(old []byte) []byte { return write(old, b) })
+	d.proc.machine.write(d.proc, d.folder, name, func(old []byte) []byte { return write(old, b) })
 	return nil
 }
 
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -15,10 +15,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, sc := range l {
-		if sc.Name == name {
-			sc.Rate = 10
-			return sc
+	for _, scenario := range l {
+		if scenario.Name == name {
+			scenario.Rate = 10
+			return scenario
 		}
 	}
 	t.Fatalf("no scenario %s", name)
@@ -30,8 +30,8 @@
 func TestRetirementsUnderTraffic(t *testing.T) {
 	late := func(r *testbed.Report) int { return r.Sum.Requests - r.Sum.Sealed }
 	for _, name := range []string{"retire-calm", "retire-troubles", "retire-abort"} {
-		sc := scenario(t, name)
-		r := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
+		scenario := scenario(t, name)
+		r := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(r))
 		if len(r.Faults) > 0 {
 			t.Errorf("%s:\n%s\n%s", name, strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
@@ -39,9 +39,9 @@
 		if name != "retire-calm" {
 			continue
 		}
-		last := sc.Steps[len(sc.Steps)-1].At
-		sc.Steps, sc.TailMs = nil, 40000+last
-		o := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
+		last := scenario.Steps[len(scenario.Steps)-1].At
+		scenario.Steps, scenario.AfterRecoveryMs = nil, 40000+last
+		o := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(o))
 		if a, b := late(r), late(o); a > b {
 			t.Errorf("%d of %d requests weren't answered in time with a retirement, %d of %d without", a, r.Sum.Requests, b, o.Sum.Requests)
@@ -54,28 +54,28 @@
 // ends (a drained worker that isn't replaced). `TABLE_SEEDS=20 go test ./internal/sim/clustersim -run
 // TestMixturesInARetirement -timeout 2h` runs wide.
 func TestMixturesInARetirement(t *testing.T) {
-	from, n := number(t, "TABLE_SEED", 1), number(t, "TABLE_SEEDS", 1)
+	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
 		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			var l []testbed.Trouble
-			for _, x := range testbed.Mix(seed) {
+			var l []testbed.Fault
+			for _, x := range testbed.DrawFaults(seed) {
 				switch x.Name {
 				case "weights", "weights-again", "drain", "warn", "clock":
 				default:
 					l = append(l, x)
 				}
 			}
-			sc := testbed.Script(site, seed, l)
-			sc.Rate, sc.Retire = 10, true
+			scenario := testbed.FaultScenario(site, seed, l)
+			scenario.Rate, scenario.Retire = 10, true
 			last := 0
-			for _, x := range sc.Steps {
+			for _, x := range scenario.Steps {
 				last = max(last, x.At)
 			}
-			sc.Steps = append(append([]testbed.Step{{At: 500, Do: "retire", Who: "spring", To: `{"shares":[25,100],"soak_s":1,"at_once":3,"abort_at":1}`}}, sc.Steps...),
-				testbed.Step{At: last + 1000, Do: "retired", Who: "spring", To: "done"})
-			r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
-			t.Logf("%s: %s", testbed.Line(r), sc.About)
+			scenario.Steps = append(append([]testbed.Step{{At: 500, Action: "retire", Targets: "spring", Argument: `{"shares":[25,100],"soak_s":1,"at_once":3,"abort_at":1}`}}, scenario.Steps...),
+				testbed.Step{At: last + 1000, Action: "retired", Targets: "spring", Argument: "done"})
+			r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
+			t.Logf("%s: %s", testbed.Line(r), scenario.About)
 			if len(r.Faults) > 0 {
 				t.Errorf("%d faults:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
 			}
@@ -91,9 +91,9 @@
 		t.Skip("a measurement: run it by hand")
 	}
 	for _, n := range strings.Split(words, ",") {
-		sc := scenario(t, "retire-calm")
-		sc.Steps[0].To = `{"shares":[100],"at_once":` + n + `}`
-		r := play(t, sc, sc.Site, 1, func(s *testbed.Site) *Table { return New(1, s) })
+		scenario := scenario(t, "retire-calm")
+		scenario.Steps[0].Argument = `{"shares":[100],"at_once":` + n + `}`
+		r := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		if len(r.Faults) > 0 {
 			t.Errorf("%v", r.Faults)
 		}
@@ -104,23 +104,25 @@
 // Planted faults that only the programs can show: a worker that boasts of adapters holds the barrier, so
 // the old base stays; and one that answers under the wrong weights is seen by its callers.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
-	step := func(at int, do, who, to string) testbed.Step { return testbed.Step{At: at, Do: do, Who: who, To: to} }
+	step := func(at int, do, who, to string) testbed.Step {
+		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
+	}
 	for _, x := range []struct {
 		point, want, state string
 		every              int
 		tamper             func([]byte) []byte
 	}{
 		{"a worker boasts", "its proof failed", "done", 18, nil},
-		{"an answer is another adapter's", "isn't what", "move", 0, swap(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
+		{"an answer is another adapter's", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
-		sc := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, HealMs: 1000, TailMs: 2000,
+		scenario := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
 			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", x.state)}}
-		r := play(t, sc, "paramo", 3, func(s *testbed.Site) *Table {
+		r := runScenario(t, scenario, "paramo", 3, func(s *testbed.Site) *Cluster {
 			if x.every > 0 {
-				lie(s, "boasts", x.every)
+				plantWorkerFault(s, "boasts", x.every)
 			}
 			table := New(3, s)
-			table.tamper = x.tamper
+			table.tamperWithReads = x.tamper
 			return table
 		})
 		if all := strings.Join(r.Faults, "\n"); !strings.Contains(all, x.want) {
--- a/internal/sim/clustersim/table_test.go
+++ b/internal/sim/clustersim/table_test.go
@@ -11,7 +11,7 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-func number(t *testing.T, key string, or uint64) uint64 {
+func envNumber(t *testing.T, key string, or uint64) uint64 {
 	t.Helper()
 	v := os.Getenv(key)
 	if v == "" {
@@ -24,16 +24,16 @@
 	return n
 }
 
-// play runs a scenario on the table, in a bubble of virtual time.
-func play(t *testing.T, sc testbed.Scenario, site string, seed uint64, on func(*testbed.Site) *Table) (rep *testbed.Report) {
+// runScenario runs a scenario on the table, in a bubble of virtual time.
+func runScenario(t *testing.T, scenario testbed.Scenario, site string, seed uint64, on func(*testbed.Site) *Cluster) (rep *testbed.Report) {
 	t.Helper()
-	if raced {
+	if raceDetector {
 		t.Skip("without the race detector: see README")
 	}
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		rep, err = testbed.PlayOn(t.Context(), sc, testbed.Options{Site: site, Seed: seed, Dir: dir, Net: 10}, func(s *testbed.Site) (testbed.Ground, error) {
+		rep, err = testbed.PlayOn(t.Context(), scenario, testbed.Options{Site: site, Seed: seed, Dir: dir, AddressByte: 10}, func(s *testbed.Site) (testbed.Environment, error) {
 			return on(s), nil
 		})
 		if err != nil {
@@ -54,9 +54,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	from, n := number(t, "TABLE_SEED", 1), number(t, "TABLE_SEEDS", 1)
-	for _, sc := range l {
-		if w := os.Getenv("TABLE_SCENARIO"); w != "all" && w != sc.Name && (w != "" || sc.Name != "all-together") {
+	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
+	for _, scenario := range l {
+		if w := os.Getenv("TABLE_SCENARIO"); w != "all" && w != scenario.Name && (w != "" || scenario.Name != "all-together") {
 			continue
 		}
 		for _, site := range testbed.Sites() {
@@ -64,15 +64,15 @@
 				continue
 			}
 			for seed := from; seed < from+n; seed++ {
-				t.Run(fmt.Sprintf("%s/%s/%d", sc.Name, site, seed), func(t *testing.T) {
-					if sc.Rate == 0 {
-						sc.Rate = 10
+				t.Run(fmt.Sprintf("%s/%s/%d", scenario.Name, site, seed), func(t *testing.T) {
+					if scenario.Rate == 0 {
+						scenario.Rate = 10
 					}
-					r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
+					r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 					t.Log(testbed.Line(r))
 					if len(r.Faults) > 0 {
 						t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
-							len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), sc.Name, site, seed)
+							len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), scenario.Name, site, seed)
 					}
 				})
 			}
@@ -80,13 +80,13 @@
 	}
 }
 
-// judge plays a script and says what was wrong with it.
-func judge(t *testing.T, site string, seed uint64, l []testbed.Trouble) *testbed.Report {
+// runMixture plays a script and says what was wrong with it.
+func runMixture(t *testing.T, site string, seed uint64, l []testbed.Fault) *testbed.Report {
 	t.Helper()
-	sc := testbed.Script(site, seed, l)
-	sc.Rate = 10
-	r := play(t, sc, site, seed, func(s *testbed.Site) *Table { return New(seed, s) })
-	t.Logf("%s: %s", testbed.Line(r), sc.About)
+	scenario := testbed.FaultScenario(site, seed, l)
+	scenario.Rate = 10
+	r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
+	t.Logf("%s: %s", testbed.Line(r), scenario.About)
 	return r
 }
 
@@ -94,18 +94,18 @@
 // go test ./internal/sim/clustersim -run TestMixtures -timeout 12h` runs wide; TABLE_SEED replays one, and
 // with TABLE_SHRINK=1 leaves out what a fault doesn't need.
 func TestMixtures(t *testing.T) {
-	from, n := number(t, "TABLE_SEED", 1), number(t, "TABLE_SEEDS", 1)
+	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
 		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			l := testbed.Mix(seed)
-			r := judge(t, site, seed, l)
+			l := testbed.DrawFaults(seed)
+			r := runMixture(t, site, seed, l)
 			if len(r.Faults) == 0 {
 				return
 			}
 			for i := 0; os.Getenv("TABLE_SHRINK") != "" && i < len(l); {
-				fewer := append(append([]testbed.Trouble(nil), l[:i]...), l[i+1:]...)
-				if o := judge(t, site, seed, fewer); len(o.Faults) > 0 {
+				fewer := append(append([]testbed.Fault(nil), l[:i]...), l[i+1:]...)
+				if o := runMixture(t, site, seed, fewer); len(o.Faults) > 0 {
 					l, r = fewer, o
 				} else {
 					i++
--- a/internal/sim/clustersim/wire.go
+++ b/internal/sim/clustersim/wire.go
@@ -9,55 +9,55 @@
 	"time"
 )
 
-// most is how many bytes a pipe holds before its writer waits, as a socket's buffers do.
-const most = 256 << 10
+// maxInFlight is how many bytes a pipe holds before its writer waits, as a socket's buffers do.
+const maxInFlight = 256 << 10
 
 // pipe carries bytes one way between two processes. What is under way waits where the link is
 // cut, as a stream that is sent again and again does; nothing is lost or reordered.
 type pipe struct {
-	t        *Table
+	cluster  *Cluster
 	from, to string // machines
 	delay    time.Duration
 	mu       sync.Mutex
-	bell     chan struct{} // closed at every change
-	segs     []seg
+	changed  chan struct{} // closed at every change
+	segs     []segment
 	size     int
 	last     time.Time // when the latest arrives
 	fin, rst bool
 	over     time.Time // when fin or rst arrives
 }
 
-type seg struct {
+type segment struct {
 	at time.Time
 	b  []byte
 }
 
-func (p *pipe) ring() { close(p.bell); p.bell = make(chan struct{}) }
+func (p *pipe) notify() { close(p.changed); p.changed = make(chan struct{}) }
 
-// put sends bytes off; false while the pipe is full.
-func (p *pipe) put(b []byte) (bool, <-chan struct{}) {
-	r, _ := p.t.rule(p.from, p.to)
+// write sends bytes off; false while the pipe is full.
+func (p *pipe) write(b []byte) (bool, <-chan struct{}) {
+	r, _ := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.size > most {
-		return false, p.bell
+	if p.size > maxInFlight {
+		return false, p.changed
 	}
 	at := time.Now().Add(p.delay + r.Delay)
 	if at.Before(p.last) {
 		at = p.last
 	}
-	if r.Bytes > 0 {
-		at = at.Add(time.Duration(float64(len(b)) / r.Bytes * float64(time.Second)))
+	if r.BytesPerSecond > 0 {
+		at = at.Add(time.Duration(float64(len(b)) / r.BytesPerSecond * float64(time.Second)))
 	}
 	p.last = at
-	p.segs = append(p.segs, seg{at, append([]byte(nil), b...)})
+	p.segs = append(p.segs, segment{at, append([]byte(nil), b...)})
 	p.size += len(b)
-	p.ring()
+	p.notify()
 	return true, nil
 }
 
-// end closes the pipe after what is in it, or with a reset before it.
-func (p *pipe) end(reset bool) {
+// closeWrite closes the pipe after what is in it, or with a reset before it.
+func (p *pipe) closeWrite(reset bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rst || p.fin && !reset {
@@ -72,17 +72,17 @@
 			p.over = p.last
 		}
 	}
-	p.ring()
+	p.notify()
 }
 
-// take hands over what has arrived, or says how long to wait and for what.
-func (p *pipe) take(b []byte) (n int, wait time.Duration, bell, link <-chan struct{}, err error) {
-	r, changed := p.t.rule(p.from, p.to)
+// read hands over what has arrived, or says how long to wait and for what.
+func (p *pipe) read(b []byte) (n int, wait time.Duration, bell, link <-chan struct{}, err error) {
+	r, changed := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	if r.Cut {
-		return 0, 0, p.bell, changed, nil
+		return 0, 0, p.changed, changed, nil
 	}
 	if p.rst && !now.Before(p.over) {
 		return 0, 0, nil, nil, syscall.ECONNRESET
@@ -90,14 +90,14 @@
 	if len(p.segs) > 0 {
 		s := &p.segs[0]
 		if now.Before(s.at) {
-			return 0, s.at.Sub(now), p.bell, changed, nil
+			return 0, s.at.Sub(now), p.changed, changed, nil
 		}
 		n = copy(b, s.b)
 		if s.b = s.b[n:]; len(s.b) == 0 {
 			p.segs = p.segs[1:]
 		}
 		p.size -= n
-		p.ring()
+		p.notify()
 		return n, 0, nil, nil, nil
 	}
 	if p.fin && !now.Before(p.over) {
@@ -106,29 +106,29 @@
 	if p.fin || p.rst {
 		wait = p.over.Sub(now)
 	}
-	return 0, wait, p.bell, changed, nil
+	return 0, wait, p.changed, changed, nil
 }
 
-func (p *pipe) broken() bool {
+func (p *pipe) isReset() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rst && !time.Now().Before(p.over)
 }
 
-func (p *pipe) unread() bool {
+func (p *pipe) hasUnreadData() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.segs) > 0
 }
 
-// limit is a deadline that wakes whoever waits.
-type limit struct {
+// deadline is a deadline that wakes whoever waits.
+type deadline struct {
 	mu sync.Mutex
 	t  *time.Timer
 	c  chan struct{}
 }
 
-func (l *limit) set(at time.Time) {
+func (l *deadline) set(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.t != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (l *limit) over() <-chan struct{} {
+func (l *deadline) expired() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.c
@@ -170,12 +170,12 @@
 
 // conn is one end of a connection.
 type conn struct {
-	p       *proc // whose end it is
-	in, out *pipe
-	at, far net.Addr
-	rd, wr  limit
-	once    sync.Once
-	closed  chan struct{}
+	proc                        *proc // whose end it is
+	in, out                     *pipe
+	local, remote               net.Addr
+	readDeadline, writeDeadline deadline
+	once                        sync.Once
+	closed                      chan struct{}
 }
 
 // Read reads what has arrived.
@@ -183,19 +183,19 @@
 // Example: n, err := c.Read(b)
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		over := c.rd.over()
-		if !c.p.pass() || done(c.closed) {
+		over := c.readDeadline.expired()
+		if !c.proc.awaitRunning() || isClosed(c.closed) {
 			return 0, net.ErrClosed
 		}
-		if done(over) {
+		if isClosed(over) {
 			return 0, os.ErrDeadlineExceeded
 		}
 		if len(b) == 0 {
 			return 0, nil
 		}
-		n, wait, bell, link, err := c.in.take(b)
-		if n > 0 && c.p == c.p.t.people && c.p.t.tamper != nil {
-			n = copy(b, c.p.t.tamper(b[:n]))
+		n, wait, bell, link, err := c.in.read(b)
+		if n > 0 && c.proc == c.proc.cluster.outside && c.proc.cluster.tamperWithReads != nil {
+			n = copy(b, c.proc.cluster.tamperWithReads(b[:n]))
 		}
 		if n > 0 || err != nil {
 			return n, err
@@ -212,7 +212,7 @@
 		case <-late:
 		case <-over:
 		case <-c.closed:
-		case <-c.p.dead:
+		case <-c.proc.dead:
 		}
 		if t != nil {
 			t.Stop()
@@ -226,17 +226,17 @@
 func (c *conn) Write(b []byte) (int, error) {
 	sent := 0
 	for sent < len(b) {
-		over := c.wr.over()
+		over := c.writeDeadline.expired()
 		switch {
-		case !c.p.pass() || done(c.closed):
+		case !c.proc.awaitRunning() || isClosed(c.closed):
 			return sent, net.ErrClosed
-		case done(over):
+		case isClosed(over):
 			return sent, os.ErrDeadlineExceeded
-		case c.in.broken():
+		case c.in.isReset():
 			return sent, syscall.EPIPE
 		}
-		part := b[sent:min(len(b), sent+most/4)]
-		ok, bell := c.out.put(part)
+		part := b[sent:min(len(b), sent+maxInFlight/4)]
+		ok, bell := c.out.write(part)
 		if ok {
 			sent += len(part)
 			continue
@@ -245,7 +245,7 @@
 		case <-bell:
 		case <-over:
 		case <-c.closed:
-		case <-c.p.dead:
+		case <-c.proc.dead:
 		}
 	}
 	return sent, nil
@@ -255,49 +255,53 @@
 //
 // Example: defer c.Close()
 func (c *conn) Close() error {
-	if !c.p.pass() {
+	if !c.proc.awaitRunning() {
 		return net.ErrClosed
 	}
-	c.shut(c.in.unread())
+	c.closeWith(c.in.hasUnreadData())
 	return nil
 }
 
-func (c *conn) shut(reset bool) {
+func (c *conn) closeWith(reset bool) {
 	c.once.Do(func() {
-		c.p.forget(c)
+		c.proc.removeConn(c)
 		close(c.closed)
-		c.out.end(reset)
-		c.rd.set(time.Time{})
-		c.wr.set(time.Time{})
+		c.out.closeWrite(reset)
+		c.readDeadline.set(time.Time{})
+		c.writeDeadline.set(time.Time{})
 	})
 }
 
 // LocalAddr is this end's address.
 //
 // Example: c.LocalAddr().String()
-func (c *conn) LocalAddr() net.Addr { return c.at }
+func (c *conn) LocalAddr() net.Addr { return c.local }
 
 // RemoteAddr is the other end's address.
 //
 // Example: c.RemoteAddr().String()
-func (c *conn) RemoteAddr() net.Addr { return c.far }
+func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
 // SetDeadline bounds reads and writes.
 //
 // Example: c.SetDeadline(time.Now().Add(time.Second))
-func (c *conn) SetDeadline(t time.Time) error { c.rd.set(t); c.wr.set(t); return nil }
+func (c *conn) SetDeadline(t time.Time) error {
+	c.readDeadline.set(t)
+	c.writeDeadline.set(t)
+	return nil
+}
 
 // SetReadDeadline bounds reads.
 //
 // Example: c.SetReadDeadline(time.Time{})
-func (c *conn) SetReadDeadline(t time.Time) error { c.rd.set(t); return nil }
+func (c *conn) SetReadDeadline(t time.Time) error { c.readDeadline.set(t); return nil }
 
 // SetWriteDeadline bounds writes.
 //
 // Example: c.SetWriteDeadline(time.Time{})
-func (c *conn) SetWriteDeadline(t time.Time) error { c.wr.set(t); return nil }
+func (c *conn) SetWriteDeadline(t time.Time) error { c.writeDeadline.set(t); return nil }
 
-func done(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -308,11 +312,11 @@
 
 // listener is a process's open door.
 type listener struct {
-	p    *proc
-	addr net.Addr
-	come chan *conn
-	once sync.Once
-	shut chan struct{}
+	proc     *proc
+	addr     net.Addr
+	incoming chan *conn
+	once     sync.Once
+	closed   chan struct{}
 }
 
 // Accept takes the next caller in.
@@ -320,17 +324,17 @@
 // Example: c, err := l.Accept()
 func (l *listener) Accept() (net.Conn, error) {
 	for {
-		if !l.p.pass() || done(l.shut) {
+		if !l.proc.awaitRunning() || isClosed(l.closed) {
 			return nil, net.ErrClosed
 		}
 		select {
-		case c := <-l.come:
-			if !l.p.pass() {
+		case c := <-l.incoming:
+			if !l.proc.awaitRunning() {
 				return nil, net.ErrClosed
 			}
 			return c, nil
-		case <-l.shut:
-		case <-l.p.dead:
+		case <-l.closed:
+		case <-l.proc.dead:
 		}
 	}
 }
@@ -340,12 +344,12 @@
 // Example: defer l.Close()
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.p.t.unlisten(l)
-		close(l.shut)
+		l.proc.cluster.unlisten(l)
+		close(l.closed)
 		for {
 			select {
-			case c := <-l.come:
-				c.shut(true)
+			case c := <-l.incoming:
+				c.closeWith(true)
 			default:
 				return
 			}
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-var ask = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Pieces: 5, Once: true}
+var ask = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, Once: true}
 
 // lines is a right answer, as a worker sends it.
 func lines(q Request, domain string, weights uint64) [][]byte {
@@ -27,12 +27,12 @@
 		}
 		l = append(l, append(b, '\n'))
 	}
-	for n := range q.Pieces {
+	for n := range q.Chunks {
 		t := contract.SyntheticText(es[len(es)-1].Key.String(), weights, n)
 		s.Add(n, t)
 		put(contract.Chunk{RequestID: q.ID, Number: n, Text: t})
 	}
-	put(contract.Chunk{RequestID: q.ID, Number: q.Pieces, Seal: s.Close(), Worker: "cab-1", Weights: weights})
+	put(contract.Chunk{RequestID: q.ID, Number: q.Chunks, Seal: s.Close(), Worker: "cab-1", Weights: weights})
 	return l
 }
 
@@ -49,7 +49,7 @@
 // Each fault is planted into a right answer; the checker must say so.
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	right := func() [][]byte { return lines(ask, "shared", 3) }
-	if o := Read(ask, "cab-1", bytes.NewReader(bytes.Join(right(), nil))); !o.Sealed || len(o.Faults) > 0 {
+	if o := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(right(), nil))); !o.Sealed || len(o.Faults) > 0 {
 		t.Fatalf("the right answer: %+v", o)
 	}
 	other := ask
@@ -63,13 +63,13 @@
 		"a changed byte":          func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
 		"a line after the seal":   func(l [][]byte) [][]byte { return append(l, l[5]) },
 		"another tenant's answer": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
-		"cut short, sealed anew":  func([][]byte) [][]byte { q := ask; q.Pieces = 3; return lines(q, "shared", 3) },
+		"cut short, sealed anew":  func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
-		if o := Read(ask, "cab-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(o.Faults) == 0 {
+		if o := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(o.Faults) == 0 {
 			t.Errorf("%s: not caught: %+v", name, o)
 		}
 	}
-	if o := Read(ask, "cab-1", broken{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(o.Faults) > 0 || o.Sealed || o.Broken == "" {
+	if o := ReadStream(ask, "cab-1", broken{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(o.Faults) > 0 || o.Sealed || o.Interrupted == "" {
 		t.Errorf("a visibly broken stream is no fault: %+v", o)
 	}
 }
@@ -84,13 +84,13 @@
 	}{
 		{"ran once, sealed", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}}, ""},
 		{"a doubled run", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}, "b": {run}}, "ran 2 times"},
-		{"not run, yet it ran", Outcome{Request: ask, Denied: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
-		{"may have run, and did", Outcome{Request: ask, Denied: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
+		{"not run, yet it ran", Outcome{Request: ask, Rejected: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
+		{"may have run, and did", Outcome{Request: ask, Rejected: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
 		{"sealed by nobody", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
 	} {
-		b := &Book{}
+		b := &OutcomeLog{}
 		b.Add(c.o)
-		got := strings.Join(b.Settle(c.js, true).Faults, "; ")
+		got := strings.Join(b.Summarize(c.js, true).Faults, "; ")
 		if c.want == "" && got != "" || c.want != "" && !strings.Contains(got, c.want) {
 			t.Errorf("%s: faults %q", c.name, got)
 		}
@@ -101,22 +101,22 @@
 // answered is a fault.
 func TestTwinsAreOneRequest(t *testing.T) {
 	twin := ask
-	twin.Twin = true
+	twin.Duplicate = true
 	for _, c := range []struct {
 		name   string
 		a, b   Outcome
 		sealed int
 		faults bool
 	}{
-		{"the first is let in", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Denied: "may-have-run"}, 1, false},
-		{"the second is let in", Outcome{Request: ask, Denied: "may-have-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
-		{"one is refused though the other ran", Outcome{Request: ask, Denied: "not-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
+		{"the first is let in", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Rejected: "may-have-run"}, 1, false},
+		{"the second is let in", Outcome{Request: ask, Rejected: "may-have-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
+		{"one is refused though the other ran", Outcome{Request: ask, Rejected: "not-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
 		{"both are let in", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Sealed: true}, 1, true},
 	} {
-		b := &Book{}
+		b := &OutcomeLog{}
 		b.Add(c.a)
 		b.Add(c.b)
-		if s := b.Settle(map[string][]workersim.Run{"a": {{RequestID: "r1"}}}, true); s.Requests != 1 || s.Twins != 1 || s.Sealed != c.sealed || (len(s.Faults) > 0) != c.faults {
+		if s := b.Summarize(map[string][]workersim.Run{"a": {{RequestID: "r1"}}}, true); s.Requests != 1 || s.SentTwice != 1 || s.Sealed != c.sealed || (len(s.Faults) > 0) != c.faults {
 			t.Errorf("%s: %+v", c.name, s)
 		}
 	}
--- a/internal/sim/loadgen/fares.go
+++ b/internal/sim/loadgen/fares.go
@@ -22,70 +22,70 @@
 
 // Tenant is a caller's tenant.
 type Tenant struct {
-	Name   string
-	Key    string
-	Walled bool
-	Weight float64
+	Name     string
+	Key      string
+	Isolated bool
+	Weight   float64
 }
 
 // Kind is one of a site's kinds of request.
 type Kind struct {
-	Name     string
-	Share    float64
-	Openings int     // how many different openings
-	Tokens   int     // of an opening
-	Skew     float64 // Zipf exponent of the openings' use
-	Session  int     // tokens of a caller's own middle part; 0: none
-	Sessions int     // how many of these there are
-	Tail     int     // tokens of the question
-	Pieces   int
-	Model    string   // what they name; empty: the traffic's
-	Under    []string // what may answer them, base/adapter@build; none: the model named
+	Name           string
+	Share          float64
+	Prefixes       int     // how many different openings
+	PrefixTokens   int     // of an opening
+	Skew           float64 // Zipf exponent of the openings' use
+	SessionTokens  int     // tokens of a caller's own middle part; 0: none
+	Sessions       int     // how many of these there are
+	QuestionTokens int     // tokens of the question
+	Chunks         int
+	Model          string   // what they name; empty: the traffic's
+	ServedBy       []string // what may answer them, base/adapter@build; none: the model named
 }
 
 // Traffic is what a site's callers send.
 type Traffic struct {
-	Site    string
-	Model   string
-	App     string // model of the application service
-	Tenants []Tenant
-	Kinds   []Kind
-	Rate    float64 // requests a second
-	WaitMs  int
-	Once    float64 // share of once-only requests
-	Twins   float64 // share of once-only requests that are sent to two edges
-	AppPart float64 // share of requests to the application service
+	Site           string
+	Model          string
+	App            string // model of the application service
+	Tenants        []Tenant
+	Kinds          []Kind
+	Rate           float64 // requests a second
+	WaitMs         int
+	OnceShare      float64 // share of once-only requests
+	DuplicateShare float64 // share of once-only requests that are sent to two edges
+	AppShare       float64 // share of requests to the application service
 }
 
-type source struct {
-	t    Traffic
-	r    *rand.Rand
-	cdf  [][]float64
-	n    int
-	seed uint64
-	run  string
+type Source struct {
+	traffic   Traffic
+	random    *rand.Rand
+	prefixCDF [][]float64
+	sent      int
+	seed      uint64
+	run       string
 }
 
 // NewSource makes the stream of requests of a seed: the same seed gives the same prompts.
 //
 // Example: s := loadgen.NewSource(traffic, 7, "a")
-func NewSource(t Traffic, seed uint64, run string) *source {
-	s := &source{t: t, r: rand.New(rand.NewPCG(seed, 99)), seed: seed, run: run}
-	for _, k := range t.Kinds {
-		c, sum := make([]float64, k.Openings), 0.0
-		for i := range c {
-			sum += 1 / math.Pow(float64(i+1), k.Skew)
-			c[i] = sum
+func NewSource(traffic Traffic, seed uint64, run string) *Source {
+	source := &Source{traffic: traffic, random: rand.New(rand.NewPCG(seed, 99)), seed: seed, run: run}
+	for _, kind := range traffic.Kinds {
+		cdf, sum := make([]float64, kind.Prefixes), 0.0
+		for i := range cdf {
+			sum += 1 / math.Pow(float64(i+1), kind.Skew)
+			cdf[i] = sum
 		}
-		for i := range c {
-			c[i] /= sum
+		for i := range cdf {
+			cdf[i] /= sum
 		}
-		s.cdf = append(s.cdf, c)
+		source.prefixCDF = append(source.prefixCDF, cdf)
 	}
-	return s
+	return source
 }
 
-func text(name string, tokens int) string {
+func repeatedText(name string, tokens int) string {
 	var b strings.Builder
 	for b.Len() < tokens*4 {
 		fmt.Fprintf(&b, "%s ", name)
@@ -96,160 +96,160 @@
 // Next gives the next request.
 //
 // Example: q := s.Next()
-func (s *source) Next() Request {
-	s.n++
-	q := Request{ID: fmt.Sprintf("%s-%d-%s%d", s.t.Site, s.seed, s.run, s.n), Model: s.t.Model, WaitMs: s.t.WaitMs, Once: s.r.Float64() < s.t.Once}
-	x, w := s.r.Float64(), 0.0
-	for _, t := range s.t.Tenants {
-		w += t.Weight
+func (s *Source) Next() Request {
+	s.sent++
+	request := Request{ID: fmt.Sprintf("%s-%d-%s%d", s.traffic.Site, s.seed, s.run, s.sent), Model: s.traffic.Model, WaitMs: s.traffic.WaitMs, Once: s.random.Float64() < s.traffic.OnceShare}
+	draw, totalWeight := s.random.Float64(), 0.0
+	for _, tenant := range s.traffic.Tenants {
+		totalWeight += tenant.Weight
 	}
-	x *= w
-	for _, t := range s.t.Tenants {
-		q.Tenant, q.Key, q.Domain = t.Name, t.Key, "shared"
-		if t.Walled {
-			q.Domain = "t:" + t.Name
+	draw *= totalWeight
+	for _, tenant := range s.traffic.Tenants {
+		request.Tenant, request.Key, request.Domain = tenant.Name, tenant.Key, "shared"
+		if tenant.Isolated {
+			request.Domain = "t:" + tenant.Name
 		}
-		if x -= t.Weight; x < 0 {
+		if draw -= tenant.Weight; draw < 0 {
 			break
 		}
 	}
-	if s.r.Float64() < s.t.AppPart {
-		q.Kind, q.Model, q.App, q.Pieces, q.Parts = "app", s.t.App, true, 2, []string{fmt.Sprintf("booking %d", s.n)}
-		return q
+	if s.random.Float64() < s.traffic.AppShare {
+		request.Kind, request.Model, request.App, request.Chunks, request.Parts = "app", s.traffic.App, true, 2, []string{fmt.Sprintf("booking %d", s.sent)}
+		return request
 	}
-	x = s.r.Float64()
-	for i, k := range s.t.Kinds {
-		if x -= k.Share; x < 0 || i == len(s.t.Kinds)-1 {
-			y, o := s.r.Float64(), 0
-			for s.cdf[i][o] < y {
-				o++
+	draw = s.random.Float64()
+	for i, kind := range s.traffic.Kinds {
+		if draw -= kind.Share; draw < 0 || i == len(s.traffic.Kinds)-1 {
+			position, rank := s.random.Float64(), 0
+			for s.prefixCDF[i][rank] < position {
+				rank++
 			}
-			q.Kind, q.Pieces, q.Under = k.Name, k.Pieces, k.Under
-			if k.Model != "" {
-				q.Model = k.Model
+			request.Kind, request.Chunks, request.ServedBy = kind.Name, kind.Chunks, kind.ServedBy
+			if kind.Model != "" {
+				request.Model = kind.Model
 			}
-			q.Parts = []string{text(fmt.Sprintf("%s-opening-%d", k.Name, o), k.Tokens)}
-			if k.Session > 0 {
-				q.Parts = append(q.Parts, text(fmt.Sprintf("%s-session-%d", k.Name, s.r.IntN(k.Sessions)), k.Session))
+			request.Parts = []string{repeatedText(fmt.Sprintf("%s-opening-%d", kind.Name, rank), kind.PrefixTokens)}
+			if kind.SessionTokens > 0 {
+				request.Parts = append(request.Parts, repeatedText(fmt.Sprintf("%s-session-%d", kind.Name, s.random.IntN(kind.Sessions)), kind.SessionTokens))
 			}
-			q.Parts = append(q.Parts, text(fmt.Sprintf("%s-question-%s-%d-%d", k.Name, s.run, s.seed, s.n), k.Tail))
+			request.Parts = append(request.Parts, repeatedText(fmt.Sprintf("%s-question-%s-%d-%d", kind.Name, s.run, s.seed, s.sent), kind.QuestionTokens))
 			break
 		}
 	}
-	return q
+	return request
 }
 
-// Caller sends requests to the edge.
-type Caller struct {
+// Client sends requests to the edge.
+type Client struct {
 	Edges []string
-	h     *http.Client
+	http  *http.Client
 }
 
-// NewCaller makes a caller of some edge addresses.
+// NewClient makes a caller of some edge addresses.
 //
-// Example: c := loadgen.NewCaller([]string{"127.10.1.1:8080"})
-func NewCaller(edges []string) *Caller {
-	return NewCallerIn((&net.Dialer{Timeout: time.Second}).DialContext, edges)
+// Example: c := loadgen.NewClient([]string{"127.10.1.1:8080"})
+func NewClient(edges []string) *Client {
+	return NewClientWithDialer((&net.Dialer{Timeout: time.Second}).DialContext, edges)
 }
 
-// NewCallerIn makes a caller that connects as it is told to.
+// NewClientWithDialer makes a caller that connects as it is told to.
 //
-// Example: c := loadgen.NewCallerIn(world.Dial, []string{"127.10.1.1:8080"})
-func NewCallerIn(dial func(ctx context.Context, network, addr string) (net.Conn, error), edges []string) *Caller {
-	return &Caller{edges, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: dial}}}
+// Example: c := loadgen.NewClientWithDialer(world.Dial, []string{"127.10.1.1:8080"})
+func NewClientWithDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error), edges []string) *Client {
+	return &Client{edges, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: dial}}}
 }
 
 // Close lets go of idle connections.
 //
 // Example: defer c.Close()
-func (c *Caller) Close() { c.h.CloseIdleConnections() }
+func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-const refused = "refused" // no connection was made
+const connectionRefused = "refused" // no connection was made
 
-// Ask sends one request to an edge and checks the answer.
+// Send sends one request to an edge and checks the answer.
 //
 // Example: out := c.Ask(ctx, 0, q)
-func (c *Caller) Ask(ctx context.Context, edge int, q Request) Outcome {
-	t0 := time.Now()
-	ctx, end := context.WithTimeout(ctx, time.Duration(q.WaitMs)*time.Millisecond+2*time.Second)
-	defer end()
-	o := c.ask(ctx, c.Edges[edge%len(c.Edges)], q)
-	for i := 1; i < len(c.Edges) && o.Denied == refused; i++ {
-		o = c.ask(ctx, c.Edges[(edge+i)%len(c.Edges)], q) // nothing was sent: another edge may be asked
+func (c *Client) Send(ctx context.Context, edge int, request Request) Outcome {
+	sentAt := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+2*time.Second)
+	defer cancel()
+	outcome := c.sendTo(ctx, c.Edges[edge%len(c.Edges)], request)
+	for i := 1; i < len(c.Edges) && outcome.Rejected == connectionRefused; i++ {
+		outcome = c.sendTo(ctx, c.Edges[(edge+i)%len(c.Edges)], request) // nothing was sent: another edge may be asked
 	}
-	o.SentMs, o.TookMs = t0.UnixMilli(), time.Since(t0).Milliseconds()
-	if !o.First.IsZero() {
-		o.FirstMs = o.First.Sub(t0).Milliseconds()
+	outcome.SentMs, outcome.TookMs = sentAt.UnixMilli(), time.Since(sentAt).Milliseconds()
+	if !outcome.FirstChunkAt.IsZero() {
+		outcome.FirstChunkMs = outcome.FirstChunkAt.Sub(sentAt).Milliseconds()
 	}
-	return o
+	return outcome
 }
 
-func (c *Caller) ask(ctx context.Context, edge string, q Request) Outcome {
-	o := Outcome{Request: q}
-	raw, err := json.Marshal(map[string]any{"request_id": q.ID, "model": q.Model, "parts": q.Parts, "wait_ms": q.WaitMs, "once": q.Once, "pieces": q.Pieces})
+func (c *Client) sendTo(ctx context.Context, edge string, request Request) Outcome {
+	outcome := Outcome{Request: request}
+	raw, err := json.Marshal(map[string]any{"request_id": request.ID, "model": request.Model, "parts": request.Parts, "wait_ms": request.WaitMs, "once": request.Once, "pieces": request.Chunks})
 	if err != nil {
-		o.Faults = append(o.Faults, "request can't be written: "+err.Error())
-		return o
+		outcome.Faults = append(outcome.Faults, "request can't be written: "+err.Error())
+		return outcome
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/answers", bytes.NewReader(raw))
+	post, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/answers", bytes.NewReader(raw))
 	if err != nil {
-		o.Denied = "unreachable"
-		return o
+		outcome.Rejected = "unreachable"
+		return outcome
 	}
-	r.GetBody = nil
-	r.Header.Set("Content-Type", "application/json")
-	r.Header.Set("X-Tenant-Key", q.Key)
-	a, err := c.h.Do(r)
+	post.GetBody = nil
+	post.Header.Set("Content-Type", "application/json")
+	post.Header.Set("X-Tenant-Key", request.Key)
+	response, err := c.http.Do(post)
 	if err != nil {
-		o.Denied = "unreachable"
+		outcome.Rejected = "unreachable"
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			o.Denied = refused
+			outcome.Rejected = connectionRefused
 		}
 		if errors.Is(err, context.DeadlineExceeded) {
-			o.Denied = "held-past-wait"
+			outcome.Rejected = "held-past-wait"
 		}
-		return o
+		return outcome
 	}
-	defer a.Body.Close()
-	if a.StatusCode != 200 {
-		var d struct {
+	defer response.Body.Close()
+	if response.StatusCode != 200 {
+		var rejection struct {
 			Kind         string `json:"kind"`
 			Message      string `json:"message"`
 			RetryAfterMs int    `json:"retry_after_ms"`
 		}
-		raw, err := io.ReadAll(io.LimitReader(a.Body, 1<<16))
+		raw, err := io.ReadAll(io.LimitReader(response.Body, 1<<16))
 		if err == nil {
-			err = json.Unmarshal(raw, &d)
+			err = json.Unmarshal(raw, &rejection)
 		}
-		if err != nil || d.Kind == "" {
-			d.Kind = fmt.Sprintf("untyped-%d", a.StatusCode)
-			o.Faults = append(o.Faults, "a denial without a kind")
+		if err != nil || rejection.Kind == "" {
+			rejection.Kind = fmt.Sprintf("untyped-%d", response.StatusCode)
+			outcome.Faults = append(outcome.Faults, "a denial without a kind")
 		}
-		o.Denied, o.BackMs, o.Message = d.Kind, d.RetryAfterMs, d.Message
-		return o
+		outcome.Rejected, outcome.RetryAfterMs, outcome.Message = rejection.Kind, rejection.RetryAfterMs, rejection.Message
+		return outcome
 	}
-	return Read(q, a.Header.Get("X-Worker"), a.Body)
+	return ReadStream(request, response.Header.Get("X-Worker"), response.Body)
 }
 
-// Drive sends traffic at its rate until the context ends or n requests were sent, spread
+// SendTraffic sends traffic at its rate until the context ends or n requests were sent, spread
 // over all edges.
 //
 // Example: loadgen.Drive(ctx, traffic, caller, 7, "a", 1000, book)
-func Drive(ctx context.Context, t Traffic, c *Caller, seed uint64, run string, n int, book *Book) {
-	s := NewSource(t, seed, run)
+func SendTraffic(ctx context.Context, traffic Traffic, client *Client, seed uint64, run string, n int, log *OutcomeLog) {
+	source := NewSource(traffic, seed, run)
 	var wg sync.WaitGroup
-	tick := time.NewTicker(time.Duration(float64(time.Second) / t.Rate))
+	tick := time.NewTicker(time.Duration(float64(time.Second) / traffic.Rate))
 	defer tick.Stop()
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-			q := s.Next()
-			wg.Go(func() { book.Add(c.Ask(context.WithoutCancel(ctx), i, q)) })
-			if q.Once && s.r.Float64() < t.Twins { // an impatient caller: the same id at another edge at once
-				t := q
-				t.Twin = true
-				wg.Go(func() { book.Add(c.Ask(context.WithoutCancel(ctx), i+1+i%3, t)) })
+			request := source.Next()
+			wg.Go(func() { log.Add(client.Send(context.WithoutCancel(ctx), i, request)) })
+			if request.Once && source.random.Float64() < traffic.DuplicateShare { // an impatient caller: the same id at another edge at once
+				traffic := request
+				traffic.Duplicate = true
+				wg.Go(func() { log.Add(client.Send(context.WithoutCancel(ctx), i+1+i%3, traffic)) })
 			}
 		}
 	}
@@ -261,15 +261,15 @@
 //
 // Example: runs, err := loadgen.ReadJournal(file)
 func ReadJournal(f io.Reader) ([]workersim.Run, error) {
-	var l []workersim.Run
-	for d := json.NewDecoder(f); ; {
-		var r workersim.Run
-		if err := d.Decode(&r); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return l, nil
+	var runs []workersim.Run
+	for decoder := json.NewDecoder(f); ; {
+		var run workersim.Run
+		if err := decoder.Decode(&run); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+			return runs, nil
 		} else if err != nil {
-			return l, errs.Wrap(err, "read journal")
+			return runs, errs.Wrap(err, "read journal")
 		}
-		l = append(l, r)
+		runs = append(runs, run)
 	}
 }
 
@@ -277,22 +277,22 @@
 //
 // Example: js, err := loadgen.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
 func Journals(ctx context.Context, addrs map[string]string) (map[string][]workersim.Run, error) {
-	m := map[string][]workersim.Run{}
-	var b errs.Batch
-	for n, a := range addrs {
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a+"/v1/runs", nil)
+	journals := map[string][]workersim.Run{}
+	var batch errs.Batch
+	for name, addr := range addrs {
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/runs", nil)
 		if err != nil {
 			return nil, errs.Wrap(err, "ask for journal")
 		}
-		x, err := http.DefaultClient.Do(r)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			b.Add("journal of "+n, err)
+			batch.Add("journal of "+name, err)
 			continue
 		}
-		var l []workersim.Run
-		b.Add("journal of "+n, json.NewDecoder(x.Body).Decode(&l))
-		x.Body.Close()
-		m[n] = l
+		var runs []workersim.Run
+		batch.Add("journal of "+name, json.NewDecoder(response.Body).Decode(&runs))
+		response.Body.Close()
+		journals[name] = runs
 	}
-	return m, b.Err()
+	return journals, batch.Err()
 }
--- a/internal/sim/platformsim/rank.go
+++ b/internal/sim/platformsim/rank.go
@@ -17,103 +17,103 @@
 )
 
 type platform struct {
-	mu    sync.Mutex
-	list  map[string]contract.ListedWorker
-	probe map[string]string
-	h     *http.Client
+	mu           sync.Mutex
+	workers      map[string]contract.ListedWorker
+	probeResults map[string]string
+	client       *http.Client
 }
 
 // Start runs the platform; its first list is a file named by the word `list`.
 //
 // Example: daemon.Main(programs.PlatformSim, "a simulated platform", need, platformsim.Start)
-func Start(l *daemon.Process) error {
-	p := &platform{list: map[string]contract.ListedWorker{}, probe: map[string]string{},
-		h: &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: l.Dial}}}
-	l.OnStop(p.h.CloseIdleConnections)
-	if f := l.Settings.Option("list", ""); f != "" {
-		raw, err := os.ReadFile(f)
-		var ls []contract.ListedWorker
+func Start(process *daemon.Process) error {
+	platform := &platform{workers: map[string]contract.ListedWorker{}, probeResults: map[string]string{},
+		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: process.Dial}}}
+	process.OnStop(platform.client.CloseIdleConnections)
+	if file := process.Settings.Option("list", ""); file != "" {
+		raw, err := os.ReadFile(file)
+		var workers []contract.ListedWorker
 		if err == nil {
-			err = json.Unmarshal(raw, &ls)
+			err = json.Unmarshal(raw, &workers)
 		}
 		if err != nil {
-			return errs.WrapAs(err, errs.BadInput, "read list "+f)
+			return errs.WrapAs(err, errs.BadInput, "read list "+file)
 		}
-		for _, x := range ls {
-			p.list[x.Name] = x
+		for _, worker := range workers {
+			platform.workers[worker.Name] = worker
 		}
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/workers", p.get)
-	mux.HandleFunc("POST /v1/workers", p.set)
-	mux.HandleFunc("DELETE /v1/workers/{name}", p.drop)
-	mux.HandleFunc("POST /v1/warn/{name}", p.warn)
-	mux.HandleFunc("GET /v1/probes", p.probes)
-	for _, s := range l.Settings.Seeds {
-		l.Every(time.Second, func() { p.ask(s) })
+	mux.HandleFunc("GET /v1/workers", platform.listWorkers)
+	mux.HandleFunc("POST /v1/workers", platform.putWorker)
+	mux.HandleFunc("DELETE /v1/workers/{name}", platform.deleteWorker)
+	mux.HandleFunc("POST /v1/warn/{name}", platform.warnWorker)
+	mux.HandleFunc("GET /v1/probes", platform.listProbes)
+	for _, s := range process.Settings.Seeds {
+		process.Every(time.Second, func() { platform.probe(s) })
 	}
-	if err := l.Serve(l.Settings.Public, mux); err != nil {
+	if err := process.Serve(process.Settings.Public, mux); err != nil {
 		return err
 	}
-	l.Ready.Store(true)
+	process.Ready.Store(true)
 	return nil
 }
 
-func (p *platform) get(w http.ResponseWriter, _ *http.Request) {
+func (p *platform) listWorkers(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
-	ls := make([]contract.ListedWorker, 0, len(p.list))
-	for _, x := range p.list {
-		ls = append(ls, x)
+	workers := make([]contract.ListedWorker, 0, len(p.workers))
+	for _, worker := range p.workers {
+		workers = append(workers, worker)
 	}
 	p.mu.Unlock()
-	sort.Slice(ls, func(i, j int) bool { return ls[i].Name < ls[j].Name })
-	contract.WriteJSON(w, 200, ls)
+	sort.Slice(workers, func(i, j int) bool { return workers[i].Name < workers[j].Name })
+	contract.WriteJSON(w, 200, workers)
 }
 
-func (p *platform) set(w http.ResponseWriter, r *http.Request) {
+func (p *platform) putWorker(w http.ResponseWriter, r *http.Request) {
 	var x contract.ListedWorker
 	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&x); err != nil || x.Name == "" || x.Addr == "" {
 		http.Error(w, "give name and addr", 400)
 		return
 	}
 	p.mu.Lock()
-	p.list[x.Name] = x
+	p.workers[x.Name] = x
 	p.mu.Unlock()
 }
 
-func (p *platform) drop(_ http.ResponseWriter, r *http.Request) {
+func (p *platform) deleteWorker(_ http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	delete(p.list, r.PathValue("name"))
+	delete(p.workers, r.PathValue("name"))
 	p.mu.Unlock()
 }
 
-func (p *platform) warn(w http.ResponseWriter, r *http.Request) {
+func (p *platform) warnWorker(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x, ok := p.list[r.PathValue("name")]
+	x, ok := p.workers[r.PathValue("name")]
 	if !ok {
 		http.Error(w, "no such worker", 404)
 		return
 	}
 	x.Draining = true
-	p.list[x.Name] = x
+	p.workers[x.Name] = x
 }
 
-func (p *platform) ask(addr string) {
-	said := "ok"
-	r, err := p.h.Get("http://" + addr + "/healthz")
+func (p *platform) probe(addr string) {
+	result := "ok"
+	r, err := p.client.Get("http://" + addr + "/healthz")
 	if err != nil {
-		said = err.Error()
+		result = err.Error()
 	} else {
 		r.Body.Close()
 	}
 	p.mu.Lock()
-	p.probe[addr] = said
+	p.probeResults[addr] = result
 	p.mu.Unlock()
 }
 
-func (p *platform) probes(w http.ResponseWriter, _ *http.Request) {
+func (p *platform) listProbes(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	contract.WriteJSON(w, 200, p.probe)
+	contract.WriteJSON(w, 200, p.probeResults)
 }
--- a/internal/sim/storesim/depot.go
+++ b/internal/sim/storesim/depot.go
@@ -18,28 +18,28 @@
 // Start runs the store.
 //
 // Example: daemon.Main(programs.StoreSim, "a simulated prompt store", need, storesim.Start)
-func Start(l *daemon.Process) error {
-	room, err := strconv.Atoi(l.Settings.Option("kv", "400000"))
+func Start(process *daemon.Process) error {
+	capacity, err := strconv.Atoi(process.Settings.Option("kv", "400000"))
 	if err != nil {
-		room = 400000
+		capacity = 400000
 	}
-	kv, inc := workersim.NewKV(room), fmt.Sprintf("%s/%x", l.Settings.Name, l.WallClock().UnixNano())
+	cache, incarnation := workersim.NewCache(capacity), fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
-		used, room := kv.Used()
-		contract.WriteJSON(w, 200, contract.WorkerState{Name: l.Settings.Name, Incarnation: inc, Zone: l.Settings.Zone, KVTokens: used, KVCapacity: room})
+		used, capacity := cache.Used()
+		contract.WriteJSON(w, 200, contract.WorkerState{Name: process.Settings.Name, Incarnation: incarnation, Zone: process.Settings.Zone, KVTokens: used, KVCapacity: capacity})
 	})
 	mux.HandleFunc("GET /v1/kept", func(w http.ResponseWriter, r *http.Request) {
 		after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 		if err != nil {
 			after = 0
 		}
-		rep := kv.Reports(after, r.URL.Query().Get("whole") == "true", l.Clock.Now())
-		rep.Incarnation = inc
-		contract.WriteJSON(w, 200, rep)
+		reports := cache.Reports(after, r.URL.Query().Get("whole") == "true", process.Clock.Now())
+		reports.Incarnation = incarnation
+		contract.WriteJSON(w, 200, reports)
 	})
 	mux.HandleFunc("GET /kv/{key}", func(w http.ResponseWriter, r *http.Request) {
-		if n, ok := kv.Has(r.PathValue("key")); ok {
+		if n, ok := cache.Lookup(r.PathValue("key")); ok {
 			contract.WriteJSON(w, 200, contract.CachedPrefix{Key: r.PathValue("key"), Tokens: n})
 			return
 		}
@@ -51,13 +51,13 @@
 			contract.WriteJSON(w, 400, map[string]string{"error": "give k and n"})
 			return
 		}
-		kv.Keep(k.Key, k.Tokens)
+		cache.Store(k.Key, k.Tokens)
 		contract.WriteJSON(w, 200, k)
 	})
-	l.Every(500*time.Millisecond, func() { kv.Turn(false, l.Clock.Now()) })
-	if err := l.Serve(l.Settings.Public, mux); err != nil {
+	process.Every(500*time.Millisecond, func() { cache.CloseReport(false, process.Clock.Now()) })
+	if err := process.Serve(process.Settings.Public, mux); err != nil {
 		return err
 	}
-	l.Ready.Store(true)
+	process.Ready.Store(true)
 	return nil
 }
--- a/internal/sim/testbed/callers.go
+++ b/internal/sim/testbed/callers.go
@@ -14,10 +14,10 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Callers is the command line of the callers: they send to a site that is up.
+// LoadGenerator is the command line of the callers: they send to a site that is up.
 //
 // Example: os.Exit(testbed.Callers([]string{"--site", "paramo", "--seconds", "10"}, os.Stdout, os.Stderr))
-func Callers(args []string, out, bad io.Writer) int {
+func LoadGenerator(args []string, out, bad io.Writer) int {
 	site, seconds, net, seed := "paramo", 10, 10, uint64(1)
 	ps := flaggy.NewParser("loadgen")
 	ps.Description = "sends a site's traffic and checks every answer"
@@ -39,20 +39,20 @@
 	if err != nil {
 		return fail(err)
 	}
-	s, err := Plan(site, "", net, nil)
+	s, err := LayOut(site, "", net, nil)
 	if err != nil {
 		return fail(err)
 	}
 	ctx, end := context.WithTimeout(context.Background(), time.Duration(seconds)*2*time.Second+time.Minute)
 	defer end()
-	book := &loadgen.Book{}
+	log := &loadgen.OutcomeLog{}
 	run := fmt.Sprintf("f%d-", time.Now().UnixMilli()) // an id is used once, also over several calls
-	loadgen.Drive(ctx, s.Traffic, loadgen.NewCaller(s.Edges), seed, run, int(float64(seconds)*s.Traffic.Rate), book)
-	js, err := loadgen.Journals(ctx, s.Cabs)
+	loadgen.SendTraffic(ctx, s.Traffic, loadgen.NewClient(s.Edges), seed, run, int(float64(seconds)*s.Traffic.Rate), log)
+	journals, err := loadgen.Journals(ctx, s.Workers)
 	if err != nil {
 		return fail(errs.Wrap(err, "journals"))
 	}
-	sum := book.Settle(js, true)
+	sum := log.Summarize(journals, true)
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
 	if err := enc.Encode(sum); err != nil {
--- a/internal/sim/testbed/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -8,20 +8,20 @@
 	"pebbleloom/internal/errs"
 )
 
-// sizes measures what each role costs as the fleet grows, into a file whose other series stay; or it
+// measureCapacity measures what each role costs as the fleet grows, into a file whose other series stay; or it
 // writes the page anew from the folder with what was measured.
-func sizes(o Options, out, bad io.Writer) error {
-	if o.Part == "page" {
-		return capacity.WritePage(o.Out)
+func measureCapacity(options Options, out, bad io.Writer) error {
+	if options.Part == "page" {
+		return capacity.WritePage(options.Out)
 	}
-	m, err := capacity.Measure(o.Part, o.Quick, bad)
+	m, err := capacity.Measure(options.Part, options.Quick, bad)
 	if err != nil {
 		return err
 	}
-	if raw, err := os.ReadFile(o.Out); o.Out != "" && err == nil {
+	if raw, err := os.ReadFile(options.Out); options.Out != "" && err == nil {
 		old, err := capacity.Read(raw)
 		if err != nil {
-			return errs.Wrap(err, o.Out)
+			return errs.Wrap(err, options.Out)
 		}
 		m = capacity.Join(old, m)
 	}
@@ -29,10 +29,10 @@
 	if err != nil {
 		return err
 	}
-	if o.Out == "" {
+	if options.Out == "" {
 		_, err = out.Write(raw)
 	} else {
-		err = os.WriteFile(o.Out, raw, 0o644)
+		err = os.WriteFile(options.Out, raw, 0o644)
 	}
 	return errs.WrapAs(err, errs.BadInput, "write what was measured")
 }
--- a/internal/sim/testbed/compare.go
+++ b/internal/sim/testbed/compare.go
@@ -22,13 +22,13 @@
 // the machine hits all alike, and prints medians with their spread.
 //
 // Example: err := testbed.Compare(ctx, testbed.Options{Site: "paramo", Seconds: 20, Seeds: 3, Seed: 1}, os.Stdout)
-func Compare(ctx context.Context, o Options, out io.Writer) error {
-	got := map[string][]loadgen.Sum{}
-	base := o.Dir
-	for i := range o.Seeds {
+func Compare(ctx context.Context, options Options, out io.Writer) error {
+	got := map[string][]loadgen.Summary{}
+	base := options.Dir
+	for i := range options.Seeds {
 		for _, m := range Modes() {
-			p := o
-			p.Mode, p.Seed, p.Dir = m, o.Seed+uint64(i), filepath.Join(base, fmt.Sprintf("%s-%d", m, i))
+			p := options
+			p.Mode, p.Seed, p.Dir = m, options.Seed+uint64(i), filepath.Join(base, fmt.Sprintf("%s-%d", m, i))
 			if err := os.MkdirAll(p.Dir, 0o755); err != nil {
 				return errs.Wrap(err, "make folder")
 			}
@@ -36,14 +36,14 @@
 			if err != nil {
 				return errs.Wrap(err, m)
 			}
-			got[m] = append(got[m], s.Sum)
+			got[m] = append(got[m], s.Summary)
 		}
 	}
 	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "%s, %d s, seeds %d to %d: median (least to most)\n", o.Site, o.Seconds, o.Seed, o.Seed+uint64(o.Seeds)-1)
+	fmt.Fprintf(w, "%s, %d s, seeds %d to %d: median (least to most)\n", options.Site, options.Seconds, options.Seed, options.Seed+uint64(options.Seeds)-1)
 	fmt.Fprintln(w, "placement\thit share\tfetched share\tprefilled tokens\tload max/mean\tsealed\tfaults")
 	for _, m := range Modes() {
-		row := func(f func(loadgen.Sum) float64, form string) string {
+		row := func(f func(loadgen.Summary) float64, form string) string {
 			var l []float64
 			for _, s := range got[m] {
 				l = append(l, f(s))
@@ -51,10 +51,10 @@
 			sort.Float64s(l)
 			return fmt.Sprintf(form+" ("+form+" to "+form+")", l[len(l)/2], l[0], l[len(l)-1])
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m, row(func(s loadgen.Sum) float64 { return s.HitShare }, "%.3f"),
-			row(func(s loadgen.Sum) float64 { return s.FetchPart }, "%.3f"), row(func(s loadgen.Sum) float64 { return float64(s.Prefilled) }, "%.0f"),
-			row(func(s loadgen.Sum) float64 { return s.MaxToMean }, "%.2f"), row(func(s loadgen.Sum) float64 { return float64(s.Sealed) / float64(s.Requests) }, "%.3f"),
-			row(func(s loadgen.Sum) float64 { return float64(len(s.Faults)) }, "%.0f"))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m, row(func(s loadgen.Summary) float64 { return s.HitShare }, "%.3f"),
+			row(func(s loadgen.Summary) float64 { return s.FetchedShare }, "%.3f"), row(func(s loadgen.Summary) float64 { return float64(s.PrefilledTokens) }, "%.0f"),
+			row(func(s loadgen.Summary) float64 { return s.LoadMaxToMean }, "%.2f"), row(func(s loadgen.Summary) float64 { return float64(s.Sealed) / float64(s.Requests) }, "%.3f"),
+			row(func(s loadgen.Summary) float64 { return float64(len(s.Faults)) }, "%.0f"))
 	}
 	return errs.Wrap(w.Flush(), "write table")
 }
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -17,22 +17,22 @@
 // fits the curve that the placement estimates prefill time with.
 //
 // Example: c, err := testbed.Fit(ctx, testbed.Options{Site: "paramo", Dir: dir, Bin: "bin", Net: 10})
-func Fit(ctx context.Context, o Options) (placement.Curve, error) {
-	s, err := Plan(o.Site, o.Dir, o.Net, []string{"piece_us=1"})
+func Fit(ctx context.Context, options Options) (placement.Curve, error) {
+	s, err := LayOut(options.Site, options.Dir, options.AddressByte, []string{"piece_us=1"})
 	if err != nil {
 		return placement.Curve{}, err
 	}
-	f := newFleet(s, o.Dir, newMachines(o.Dir, o.Bin))
-	if err := s.Write(o.Dir); err != nil {
+	f := newFleet(s, options.Dir, newLocalEnvironment(options.Dir, options.Programs))
+	if err := s.Write(options.Dir); err != nil {
 		return placement.Curve{}, err
 	}
 	if err := f.Start("cab-1"); err != nil {
 		return placement.Curve{}, err
 	}
-	defer f.Down()
+	defer f.Stop()
 	be := contract.NewBackends((&net.Dialer{}).DialContext)
 	for i := 0; ; i++ {
-		if _, err := be.State(ctx, s.Cabs["cab-1"]); err == nil {
+		if _, err := be.State(ctx, s.Workers["cab-1"]); err == nil {
 			break
 		} else if i > 50 || ctx.Err() != nil {
 			return placement.Curve{}, errs.Wrap(err, "wait for worker")
@@ -44,7 +44,7 @@
 		for n := 50; n <= 4000; n += 200 {
 			p := strings.Repeat(fmt.Sprintf("%02d%06d", round, n), n/2)
 			id := fmt.Sprintf("fit-%d-%d", round, n)
-			g := be.Start(ctx, s.Cabs["cab-1"], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: s.Traffic.Model, Weights: 1, Parts: []string{p}, Chunks: 1, WaitMs: 5000}, nil)
+			g := be.Start(ctx, s.Workers["cab-1"], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: s.Traffic.Model, Weights: 1, Parts: []string{p}, Chunks: 1, WaitMs: 5000}, nil)
 			if g.Err != nil {
 				return placement.Curve{}, errs.Wrap(g.Err, "measure")
 			}
--- a/internal/sim/testbed/ground.go
+++ b/internal/sim/testbed/ground.go
@@ -16,45 +16,45 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// Ground is what a site runs on: processes of this machine, or a table on virtual time. Both
+// Environment is what a site runs on: processes of this machine, or a table on virtual time. Both
 // run the same programs, and what is done to them is the same.
-type Ground interface {
+type Environment interface {
 	Start(p Process) error
 	Signal(name string, s syscall.Signal) error
-	Put(p Process) error // writes the settings that it is started with next
-	Wipe(p Process) error
-	Switch(p Process, what, word string) error // "disk": full, sync, stall MS; "wall": MS; "" takes it back
+	WriteSettings(p Process) error // writes the settings that it is started with next
+	WipeDisk(p Process) error
+	SetFault(p Process, what, word string) error // "disk": full, sync, stall MS; "wall": MS; "" takes it back
 	Journal(p Process) ([]workersim.Run, error)
-	Link(from, to string, r Rule) error
-	Heal()
+	SetLink(from, to string, r LinkRule) error
+	HealLinks()
 	Dial(ctx context.Context, network, addr string) (net.Conn, error) // as people and callers do
-	Down()
+	Stop()
 }
 
-// machines is the ground of real processes.
-type machines struct {
-	dir, bin string
-	links    *Links // nil: the site has none
-	old      string // the folder of an earlier release, in upgrades
-	mu       sync.Mutex
-	proc     map[string]*exec.Cmd
-	done     map[string]chan struct{}
+// localEnvironment is the ground of real processes.
+type localEnvironment struct {
+	dir, bin       string
+	links          *Links // nil: the site has none
+	earlierRelease string // the folder of an earlier release, in upgrades
+	mu             sync.Mutex
+	processes      map[string]*exec.Cmd
+	exited         map[string]chan struct{}
 }
 
-func newMachines(dir, bin string) *machines {
-	return &machines{dir: dir, bin: bin, proc: map[string]*exec.Cmd{}, done: map[string]chan struct{}{}}
+func newLocalEnvironment(dir, bin string) *localEnvironment {
+	return &localEnvironment{dir: dir, bin: bin, processes: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}}
 }
 
-func (m *machines) Start(p Process) error {
-	log, err := os.OpenFile(filepath.Join(m.dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (env *localEnvironment) Start(p Process) error {
+	log, err := os.OpenFile(filepath.Join(env.dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return errs.Wrap(err, "open log")
 	}
 	bin := p.Bin
 	if bin == "" {
-		bin = m.bin
+		bin = env.bin
 	}
-	c := exec.Command(programs.Find(bin, p.Program), "--settings", filepath.Join(m.dir, p.Name+".json"))
+	c := exec.Command(programs.Find(bin, p.Program), "--settings", filepath.Join(env.dir, p.Name+".json"))
 	c.Stdout, c.Stderr = log, log
 	// Small machines: two threads at once, and a heap that stays within 200 MB a machine.
 	c.Env = append(os.Environ(), "GOMAXPROCS=2", "GOMEMLIMIT=60MiB")
@@ -64,9 +64,9 @@
 		return errs.Wrap(err, "start "+p.Name)
 	}
 	d := make(chan struct{})
-	m.mu.Lock()
-	m.proc[p.Name], m.done[p.Name] = c, d
-	m.mu.Unlock()
+	env.mu.Lock()
+	env.processes[p.Name], env.exited[p.Name] = c, d
+	env.mu.Unlock()
 	go func() {
 		_ = c.Wait() // how it ended is in its log
 		log.Close()
@@ -75,10 +75,10 @@
 	return nil
 }
 
-func (m *machines) Signal(name string, s syscall.Signal) error {
-	m.mu.Lock()
-	c, d := m.proc[name], m.done[name]
-	m.mu.Unlock()
+func (env *localEnvironment) Signal(name string, s syscall.Signal) error {
+	env.mu.Lock()
+	c, d := env.processes[name], env.exited[name]
+	env.mu.Unlock()
 	if c == nil {
 		return errs.New(errs.NotFound, "process %q", name)
 	}
@@ -91,21 +91,21 @@
 	return nil
 }
 
-func (m *machines) Put(p Process) error { return m.settingsOf(p) }
+func (env *localEnvironment) WriteSettings(p Process) error { return env.writeSettings(p) }
 
-func (m *machines) Wipe(p Process) error { return os.RemoveAll(p.Place.Data) }
+func (env *localEnvironment) WipeDisk(p Process) error { return os.RemoveAll(p.Settings.Data) }
 
-// Switch writes the file that the program looks at, where its place names one.
-func (m *machines) Switch(p Process, what, word string) error {
-	f := filepath.Join(m.dir, p.Place.Name+map[string]string{"disk": ".fault", "wall": ".wall"}[what])
+// SetFault writes the file that the program looks at, where its place names one.
+func (env *localEnvironment) SetFault(p Process, what, word string) error {
+	f := filepath.Join(env.dir, p.Settings.Name+map[string]string{"disk": ".fault", "wall": ".wall"}[what])
 	if word == "" {
 		return os.Remove(f)
 	}
 	return os.WriteFile(f, []byte(word), 0o644)
 }
 
-func (m *machines) Journal(p Process) ([]workersim.Run, error) {
-	f, err := os.Open(filepath.Join(m.dir, p.Name+".runs"))
+func (env *localEnvironment) Journal(p Process) ([]workersim.Run, error) {
+	f, err := os.Open(filepath.Join(env.dir, p.Name+".runs"))
 	if err != nil {
 		return nil, errs.Wrap(err, "open journal")
 	}
@@ -113,41 +113,41 @@
 	return loadgen.ReadJournal(f)
 }
 
-func (m *machines) Link(from, to string, r Rule) error {
-	if m.links == nil {
+func (env *localEnvironment) SetLink(from, to string, r LinkRule) error {
+	if env.links == nil {
 		return errs.New(errs.BadInput, "the scenario has no links: set \"links\": true")
 	}
-	m.links.Set(from, to, r)
+	env.links.Set(from, to, r)
 	return nil
 }
 
-func (m *machines) Heal() {
-	if m.links != nil {
-		m.links.Heal()
+func (env *localEnvironment) HealLinks() {
+	if env.links != nil {
+		env.links.HealLinks()
 	}
 }
 
-func (m *machines) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (env *localEnvironment) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
 }
 
-func (m *machines) Down() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, c := range m.proc {
+func (env *localEnvironment) Stop() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, c := range env.processes {
 		_ = c.Process.Signal(syscall.SIGCONT) // one that ended already can't be signalled, nor need it be
 		_ = c.Process.Signal(syscall.SIGTERM)
 	}
 	late := time.After(6 * time.Second)
-	for n, d := range m.done {
+	for n, d := range env.exited {
 		select {
 		case <-d:
 		case <-late:
-			_ = m.proc[n].Process.Kill()
+			_ = env.processes[n].Process.Kill()
 			<-d
 		}
 	}
-	if m.links != nil {
-		m.links.Down()
+	if env.links != nil {
+		env.links.Close()
 	}
 }
--- a/internal/sim/testbed/history.go
+++ b/internal/sim/testbed/history.go
@@ -14,13 +14,13 @@
 
 // What operators and readers of a run wait for, and how often an unclear order is sent again.
 const (
-	operatorPatience = 3 * time.Second
-	operatorAttempts = 6
-	mustAttempts     = 40
-	readerPause      = 60 * time.Millisecond
-	readerPatience   = time.Second
-	retryPause       = 100 * time.Millisecond
-	judgeTime        = 30 * time.Second
+	operatorPatience   = 3 * time.Second
+	operatorAttempts   = 6
+	mustChangeAttempts = 40
+	readerPause        = 60 * time.Millisecond
+	readerPatience     = time.Second
+	retryPause         = 100 * time.Millisecond
+	checkTime          = 30 * time.Second
 )
 
 // configurationKey is the document whose history is recorded.
@@ -30,8 +30,8 @@
 var unrecordedSteps = []string{"weights", "revoke", "drain", "undrain", "write", "platform", "patch", "second", "clash", "retire", "retire-ask", "retired", "release", "swap"}
 
 // isJudged tells whether all changes of a scenario's configuration are recorded.
-func (sc Scenario) isJudged() bool {
-	return !slices.ContainsFunc(sc.Steps, func(x Step) bool { return slices.Contains(unrecordedSteps, x.Do) })
+func (scenario Scenario) isJudged() bool {
+	return !slices.ContainsFunc(scenario.Steps, func(step Step) bool { return slices.Contains(unrecordedSteps, step.Action) })
 }
 
 // configurationChange is an operator's change of some items of the configuration.
@@ -41,7 +41,7 @@
 	patch map[string]any
 }
 
-func (c configurationChange) order() history.Change {
+func (c configurationChange) operation() history.Change {
 	o := history.Change{Key: configurationKey, Token: c.token, AnyVersion: c.base == nil}
 	if c.base != nil {
 		o.BaseVersion = *c.base
@@ -60,13 +60,13 @@
 
 // change sends a change to the operator address of a number, and again to the next ones as long as
 // the answer is unclear, as operators do. It gives the version where the change was acknowledged.
-func (p *play) change(ctx context.Context, c configurationChange, first int) (version uint64, ok bool) {
+func (run *scenarioRun) change(ctx context.Context, c configurationChange, first int) (version uint64, ok bool) {
 	raw, err := c.body()
 	if err != nil {
 		return 0, false
 	}
 	for i := range operatorAttempts {
-		outcome, version := p.attempt(ctx, c, raw, p.f.Site.Operators[(first+i)%len(p.f.Site.Operators)])
+		outcome, version := run.attempt(ctx, c, raw, run.fleet.Site.Operators[(first+i)%len(run.fleet.Site.Operators)])
 		switch outcome {
 		case history.Acknowledged:
 			return version, true
@@ -79,9 +79,9 @@
 }
 
 // mustChange sends a change until it is acknowledged.
-func (p *play) mustChange(ctx context.Context, c configurationChange) error {
-	for range mustAttempts / operatorAttempts {
-		if _, ok := p.change(ctx, c, p.chance(len(p.f.Site.Operators))); ok {
+func (run *scenarioRun) mustChange(ctx context.Context, c configurationChange) error {
+	for range mustChangeAttempts / operatorAttempts {
+		if _, ok := run.change(ctx, c, run.randomBelow(len(run.fleet.Site.Operators))); ok {
 			return nil
 		}
 	}
@@ -89,24 +89,24 @@
 }
 
 // attempt sends a change once, and records how that was answered.
-func (p *play) attempt(ctx context.Context, c configurationChange, raw []byte, addr string) (history.Outcome, uint64) {
+func (run *scenarioRun) attempt(ctx context.Context, c configurationChange, raw []byte, addr string) (history.Outcome, uint64) {
 	one, end := context.WithTimeout(ctx, operatorPatience) // the node may be frozen
 	defer end()
-	a := p.history.BeginAttempt(c.order())
-	code, said := p.f.Post(one, addr, "/v1/setup", raw)
+	a := run.history.BeginAttempt(c.operation())
+	code, body := run.fleet.Post(one, addr, "/v1/setup", raw)
 	var answer struct {
 		Version uint64 `json:"epoch"`
 		Kind    string `json:"kind"`
 	}
-	if json.Unmarshal([]byte(said), &answer) != nil {
+	if json.Unmarshal([]byte(body), &answer) != nil {
 		return history.Unknown, 0
 	}
 	switch {
 	case code == 200:
 		a.Complete(history.Acknowledged, answer.Version)
-		p.mu.Lock()
-		p.acked = max(p.acked, int64(answer.Version))
-		p.mu.Unlock()
+		run.mu.Lock()
+		run.acknowledgedVersion = max(run.acknowledgedVersion, int64(answer.Version))
+		run.mu.Unlock()
 		return history.Acknowledged, answer.Version
 	case answer.Kind == errs.Conflict.Name && c.base != nil:
 		a.Complete(history.Rejected, 0)
@@ -122,16 +122,16 @@
 }
 
 // read reads the configuration at an operator address, and records what it gave.
-func (p *play) read(ctx context.Context, addr string, patience time.Duration) (version uint64, ok bool) {
+func (run *scenarioRun) read(ctx context.Context, addr string, patience time.Duration) (version uint64, ok bool) {
 	one, end := context.WithTimeout(ctx, patience)
 	defer end()
-	q := p.history.BeginRead(configurationKey)
-	code, said := p.f.Get(one, addr, "/v1/setup")
+	q := run.history.BeginRead(configurationKey)
+	code, body := run.fleet.Get(one, addr, "/v1/setup")
 	var answer struct {
 		Version uint64          `json:"epoch"`
 		Setup   json.RawMessage `json:"setup"`
 	}
-	if code != 200 || json.Unmarshal([]byte(said), &answer) != nil {
+	if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
 		return 0, false
 	}
 	q.Complete(answer.Version, digest(answer.Setup))
@@ -145,9 +145,9 @@
 }
 
 // readSomewhere reads the configuration at some address that answers.
-func (p *play) readSomewhere(ctx context.Context) (uint64, error) {
+func (run *scenarioRun) readSomewhere(ctx context.Context) (uint64, error) {
 	for range operatorAttempts {
-		if version, ok := p.read(ctx, p.f.Site.Operators[p.chance(len(p.f.Site.Operators))], operatorPatience); ok {
+		if version, ok := run.read(ctx, run.fleet.Site.Operators[run.randomBelow(len(run.fleet.Site.Operators))], operatorPatience); ok {
 			return version, nil
 		}
 	}
@@ -155,21 +155,21 @@
 }
 
 // beginHistory notes the configuration that a run begins with.
-func (p *play) beginHistory(ctx context.Context) error {
-	p.history = &history.History{}
-	version, err := p.readSomewhere(ctx)
+func (run *scenarioRun) beginHistory(ctx context.Context) error {
+	run.history = &history.History{}
+	version, err := run.readSomewhere(ctx)
 	if err != nil {
 		return err
 	}
-	p.history = &history.History{}
-	p.history.BeginAttempt(history.Change{Key: configurationKey, Token: "first", NewVersion: version}).Complete(history.Acknowledged, version)
+	run.history = &history.History{}
+	run.history.BeginAttempt(history.Change{Key: configurationKey, Token: "first", NewVersion: version}).Complete(history.Acknowledged, version)
 	return nil
 }
 
-// readOn reads the configuration at one address after the other until the run ends.
-func (p *play) readOn(ctx context.Context) {
+// readUntilDone reads the configuration at one address after the other until the run ends.
+func (run *scenarioRun) readUntilDone(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
-		p.read(ctx, p.f.Site.Operators[i%len(p.f.Site.Operators)], readerPatience)
+		run.read(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], readerPatience)
 		pause(ctx, readerPause)
 	}
 }
@@ -183,14 +183,14 @@
 	}
 }
 
-// judge has the checker judge what operators and readers saw.
-func (p *play) judge() {
-	if !p.sc.isJudged() {
+// checkHistory has the checker judge what operators and readers saw.
+func (run *scenarioRun) checkHistory() {
+	if !run.scenario.isJudged() {
 		return
 	}
-	v := p.history.Check(judgeTime)
-	p.rep.Judged, p.rep.Unclear = v.Operations, v.Indeterminate
+	v := run.history.Check(checkTime)
+	run.report.Judged, run.report.Unclear = v.Operations, v.Indeterminate
 	for _, f := range v.Violations {
-		p.fault("%s", f)
+		run.addFault("%s", f)
 	}
 }
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -14,32 +14,32 @@
 // a relay on an address of its own, which knows who calls by the caller's address. A link
 // can be cut one way or both, stalled, or slowed.
 type Links struct {
-	mu    sync.Mutex
-	rules map[[2]string]Rule
-	wake  chan struct{}
-	names map[netip.Addr]string // machine by address
-	lns   []net.Listener
-	quit  chan struct{}
+	mu        sync.Mutex
+	rules     map[[2]string]LinkRule
+	wake      chan struct{}
+	names     map[netip.Addr]string // machine by address
+	listeners []net.Listener
+	quit      chan struct{}
 }
 
-// Rule is what a link does to bytes from one machine to another.
-type Rule struct {
-	Cut   bool
-	Delay time.Duration
-	Bytes float64 // a second; 0: no bound
+// LinkRule is what a link does to bytes from one machine to another.
+type LinkRule struct {
+	Cut            bool
+	Delay          time.Duration
+	BytesPerSecond float64 // a second; 0: no bound
 }
 
 // NewLinks makes links without rules.
 //
 // Example: l := testbed.NewLinks()
 func NewLinks() *Links {
-	return &Links{rules: map[[2]string]Rule{}, wake: make(chan struct{}), names: map[netip.Addr]string{}, quit: make(chan struct{})}
+	return &Links{rules: map[[2]string]LinkRule{}, wake: make(chan struct{}), names: map[netip.Addr]string{}, quit: make(chan struct{})}
 }
 
-// Name tells which machine an address belongs to.
+// NameAddress tells which machine an address belongs to.
 //
 // Example: l.Name("127.10.1.11", "edge-1")
-func (l *Links) Name(ip, machine string) {
+func (l *Links) NameAddress(ip, machine string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.names[netip.MustParseAddr(ip)] = machine
@@ -47,11 +47,11 @@
 
 // Set puts a rule on the way from one machine to another; "*" is any.
 //
-// Example: l.Set("edge-1", "core-2", testbed.Rule{Cut: true})
-func (l *Links) Set(from, to string, r Rule) {
+// Example: l.Set("edge-1", "core-2", testbed.LinkRule{Cut: true})
+func (l *Links) Set(from, to string, r LinkRule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r == (Rule{}) {
+	if r == (LinkRule{}) {
 		delete(l.rules, [2]string{from, to})
 	} else {
 		l.rules[[2]string{from, to}] = r
@@ -60,10 +60,10 @@
 	l.wake = make(chan struct{})
 }
 
-// Heal takes all rules away.
+// HealLinks takes all rules away.
 //
 // Example: l.Heal()
-func (l *Links) Heal() {
+func (l *Links) HealLinks() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.rules)
@@ -71,19 +71,19 @@
 	l.wake = make(chan struct{})
 }
 
-// At gives the rule on the way from one machine to another, and what is closed when rules change.
+// RuleBetween gives the rule on the way from one machine to another, and what is closed when rules change.
 //
 // Example: r, changed := l.At("edge-1", "core-2")
-func (l *Links) At(from, to string) (Rule, <-chan struct{}) {
+func (l *Links) RuleBetween(from, to string) (LinkRule, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var r Rule
+	var r LinkRule
 	for _, k := range [][2]string{{from, to}, {"*", to}, {from, "*"}} {
 		x := l.rules[k]
 		r.Cut = r.Cut || x.Cut
 		r.Delay = max(r.Delay, x.Delay)
-		if x.Bytes > 0 && (r.Bytes == 0 || x.Bytes < r.Bytes) {
-			r.Bytes = x.Bytes
+		if x.BytesPerSecond > 0 && (r.BytesPerSecond == 0 || x.BytesPerSecond < r.BytesPerSecond) {
+			r.BytesPerSecond = x.BytesPerSecond
 		}
 	}
 	return r, l.wake
@@ -97,20 +97,20 @@
 	if err != nil {
 		return errs.WrapAs(err, errs.BadInput, "relay at "+at)
 	}
-	l.lns = append(l.lns, ln)
+	l.listeners = append(l.listeners, ln)
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return // closed
 			}
-			go l.carry(c, to, machine)
+			go l.proxyConn(c, to, machine)
 		}
 	}()
 	return nil
 }
 
-func (l *Links) carry(c net.Conn, to, machine string) {
+func (l *Links) proxyConn(c net.Conn, to, machine string) {
 	from := "?"
 	if a, err := netip.ParseAddrPort(c.RemoteAddr().String()); err == nil {
 		l.mu.Lock()
@@ -120,7 +120,7 @@
 		l.mu.Unlock()
 	}
 	defer c.Close()
-	if !l.pass(from, machine, 0) { // the first packet waits with the rest
+	if !l.awaitLink(from, machine, 0) { // the first packet waits with the rest
 		return
 	}
 	d, err := net.DialTimeout("tcp", to, time.Second)
@@ -148,7 +148,7 @@
 	for {
 		n, err := src.Read(b)
 		if n > 0 {
-			if !l.pass(from, to, n) {
+			if !l.awaitLink(from, to, n) {
 				break
 			}
 			if _, e := dst.Write(b[:n]); e != nil {
@@ -172,14 +172,14 @@
 	src.Close()
 }
 
-// pass waits as the link's rule says; false when the links are taken down.
-func (l *Links) pass(from, to string, n int) bool {
+// awaitLink waits as the link's rule says; false when the links are taken down.
+func (l *Links) awaitLink(from, to string, n int) bool {
 	for {
-		r, wake := l.At(from, to)
+		r, wake := l.RuleBetween(from, to)
 		if !r.Cut {
 			d := r.Delay
-			if r.Bytes > 0 {
-				d += time.Duration(float64(n) / r.Bytes * float64(time.Second))
+			if r.BytesPerSecond > 0 {
+				d += time.Duration(float64(n) / r.BytesPerSecond * float64(time.Second))
 			}
 			if d > 0 {
 				time.Sleep(d)
@@ -194,12 +194,12 @@
 	}
 }
 
-// Down closes all relays.
+// Close closes all relays.
 //
 // Example: defer l.Down()
-func (l *Links) Down() {
+func (l *Links) Close() {
 	close(l.quit)
-	for _, ln := range l.lns {
+	for _, ln := range l.listeners {
 		ln.Close()
 	}
 }
--- a/internal/sim/testbed/mix.go
+++ b/internal/sim/testbed/mix.go
@@ -8,45 +8,45 @@
 	"strings"
 )
 
-// Trouble is one thing that goes wrong in a mixture, with the steps that bring it about and
+// Fault is one thing that goes wrong in a mixture, with the steps that bring it about and
 // end it.
-type Trouble struct {
-	Name  string
-	Steps []Step
-	Links bool
-	Cab   []string
+type Fault struct {
+	Name          string
+	Steps         []Step
+	Links         bool
+	WorkerOptions []string
 }
 
-// mixer draws troubles that a site must bear together: one core machine at a time, a few
+// faultGenerator draws troubles that a site must bear together: one core machine at a time, a few
 // workers and edges, each machine in one trouble at a time.
-type mixer struct {
-	r       *rand.Rand
-	from    int // when this trouble begins
-	to      int // and ends
-	core    int // when a core machine may get into trouble next
-	busy    map[string]bool
-	weights int
-	kinds   map[string]bool
+type faultGenerator struct {
+	random          *rand.Rand
+	startMs         int // when this trouble begins
+	endMs           int // and ends
+	nextCoreFaultMs int // when a core machine may get into trouble next
+	faulty          map[string]bool
+	weightsNamed    int
+	drawn           map[string]bool
 }
 
 const (
-	mixFrom = 1000
-	mixTo   = 9000
-	mixCore = 5000 // a core machine's next trouble begins that long after the last one ended
+	earliestFaultMs = 1000
+	latestFaultMs   = 9000
+	coreFaultGapMs  = 5000 // a core machine's next trouble begins that long after the last one ended
 )
 
-// free picks n machines of a kind that are in no trouble yet.
-func (m *mixer) free(kind string, of, n int) (l []string) {
-	for _, i := range m.r.Perm(of) {
-		if x := fmt.Sprintf("%s-%d", kind, i+1); len(l) < n && !m.busy[x] {
-			m.busy[x] = true
+// takeHealthy picks n machines of a kind that are in no trouble yet.
+func (gen *faultGenerator) takeHealthy(kind string, of, n int) (l []string) {
+	for _, i := range gen.random.Perm(of) {
+		if x := fmt.Sprintf("%s-%d", kind, i+1); len(l) < n && !gen.faulty[x] {
+			gen.faulty[x] = true
 			l = append(l, x)
 		}
 	}
 	return l
 }
 
-func each(form string, names []string) string {
+func expandNames(form string, names []string) string {
 	var l []string
 	for _, n := range names {
 		l = append(l, strings.ReplaceAll(form, "%", n))
@@ -55,185 +55,189 @@
 }
 
 const (
-	onEdge = "runner-% catalogue-% dispatcher-%"
-	onCore = "archive-% appraiser-%"
+	edgeProcesses = "runner-% catalogue-% dispatcher-%"
+	coreProcesses = "archive-% appraiser-%"
 )
 
-// one is a core machine's trouble: these come one after the other.
-func (m *mixer) one() ([]string, bool) {
-	if m.core > mixTo || m.kinds["power"] {
+// takeCoreMachine is a core machine's trouble: these come one after the other.
+func (gen *faultGenerator) takeCoreMachine() ([]string, bool) {
+	if gen.nextCoreFaultMs > latestFaultMs || gen.drawn["power"] {
 		return nil, false
 	}
-	m.from = max(m.from, m.core)
-	m.to = max(m.to, m.from+500)
-	m.core = m.to + mixCore
-	return []string{fmt.Sprintf("core-%d", 1+m.r.IntN(4))}, true
+	gen.startMs = max(gen.startMs, gen.nextCoreFaultMs)
+	gen.endMs = max(gen.endMs, gen.startMs+500)
+	gen.nextCoreFaultMs = gen.endMs + coreFaultGapMs
+	return []string{fmt.Sprintf("core-%d", 1+gen.random.IntN(4))}, true
 }
 
-func (m *mixer) pair(do, undo, who string) []Step {
-	return []Step{{At: m.from, Do: do, Who: who}, {At: m.to, Do: undo, Who: who}}
+func (gen *faultGenerator) faultAndRepair(do, undo, who string) []Step {
+	return []Step{{At: gen.startMs, Action: do, Targets: who}, {At: gen.endMs, Action: undo, Targets: who}}
 }
 
-var mixKinds = []string{"workers-killed", "workers-vanish", "edge-killed", "edge-frozen", "edge-cut", "edge-half-cut", "edges-killed", "worker-frozen", "core-killed", "core-frozen",
+var faultKinds = []string{"workers-killed", "workers-vanish", "edge-killed", "edge-frozen", "edge-cut", "edge-half-cut", "edges-killed", "worker-frozen", "core-killed", "core-frozen",
 	"core-cut", "disk-lost", "disk-full", "disk-stalls", "power", "clock", "weights", "weights-again", "revoke", "drain", "warn", "storm", "race", "grow", "store", "slow", "gaps", "late", "mute", "seeds", "index"}
 
-func (m *mixer) draw(k string) (t Trouble) {
-	at := func(do, who, to string) { t.Steps = append(t.Steps, Step{At: m.from, Do: do, Who: who, To: to}) }
-	then := func(do, who, to string) { t.Steps = append(t.Steps, Step{At: m.to, Do: do, Who: who, To: to}) }
+func (gen *faultGenerator) draw(k string) (t Fault) {
+	at := func(do, who, to string) {
+		t.Steps = append(t.Steps, Step{At: gen.startMs, Action: do, Targets: who, Argument: to})
+	}
+	then := func(do, who, to string) {
+		t.Steps = append(t.Steps, Step{At: gen.endMs, Action: do, Targets: who, Argument: to})
+	}
 	onOff := func(do, undo, form, kind string, of, n int) {
-		if l := m.free(kind, of, n); len(l) > 0 {
-			t.Steps = m.pair(do, undo, each(form, l))
+		if l := gen.takeHealthy(kind, of, n); len(l) > 0 {
+			t.Steps = gen.faultAndRepair(do, undo, expandNames(form, l))
 		}
 	}
 	onOne := func(do, undo, form string) {
-		if l, ok := m.one(); ok {
-			t.Steps = m.pair(do, undo, each(form, l))
+		if l, ok := gen.takeCoreMachine(); ok {
+			t.Steps = gen.faultAndRepair(do, undo, expandNames(form, l))
 		}
 	}
 	t.Name = k
 	switch k {
 	case "workers-killed":
-		onOff("kill", "start", "%", "cab", 18, 1+m.r.IntN(4))
+		onOff("kill", "start", "%", "cab", 18, 1+gen.random.IntN(4))
 	case "workers-vanish":
-		onOff("off", "mend", "%", "cab", 18, 1+m.r.IntN(2))
+		onOff("off", "mend", "%", "cab", 18, 1+gen.random.IntN(2))
 	case "worker-frozen":
-		onOff("freeze", "thaw", "%", "cab", 18, 1+m.r.IntN(2))
+		onOff("freeze", "thaw", "%", "cab", 18, 1+gen.random.IntN(2))
 	case "edge-killed":
-		onOff("kill", "start", onEdge, "edge", 9, 1)
+		onOff("kill", "start", edgeProcesses, "edge", 9, 1)
 	case "edges-killed":
-		onOff("kill", "start", onEdge, "edge", 9, 3)
+		onOff("kill", "start", edgeProcesses, "edge", 9, 3)
 	case "edge-frozen":
-		onOff("freeze", "thaw", onEdge, "edge", 9, 1)
+		onOff("freeze", "thaw", edgeProcesses, "edge", 9, 1)
 	case "edge-cut":
 		onOff("off", "mend", "%", "edge", 9, 1)
 	case "edge-half-cut":
-		if l := m.free("edge", 9, 1); len(l) > 0 {
+		if l := gen.takeHealthy("edge", 9, 1); len(l) > 0 {
 			at("cut", l[0], "core-1 core-2 core-3 core-4")
 			then("mend", l[0], "core-1 core-2 core-3 core-4")
 		}
 	case "core-killed":
-		onOne("kill", "start", onCore)
+		onOne("kill", "start", coreProcesses)
 	case "core-frozen":
-		onOne("freeze", "thaw", onCore)
+		onOne("freeze", "thaw", coreProcesses)
 	case "core-cut":
 		onOne("off", "mend", "%")
 	case "disk-lost":
-		if l, ok := m.one(); ok {
+		if l, ok := gen.takeCoreMachine(); ok {
 			at("storm", "", "5")
-			t.Steps = append(t.Steps, Step{At: m.from + 1, Do: "kill", Who: each(onCore, l)}, Step{At: m.from + 2, Do: "wipe", Who: each("archive-%", l)})
-			if m.r.IntN(2) == 0 {
-				t.Steps = append(t.Steps, Step{At: m.from + 3, Do: "move", Who: each("archive-%", l)})
+			t.Steps = append(t.Steps, Step{At: gen.startMs + 1, Action: "kill", Targets: expandNames(coreProcesses, l)}, Step{At: gen.startMs + 2, Action: "wipe", Targets: expandNames("archive-%", l)})
+			if gen.random.IntN(2) == 0 {
+				t.Steps = append(t.Steps, Step{At: gen.startMs + 3, Action: "move", Targets: expandNames("archive-%", l)})
 			}
-			then("start", each(onCore, l), "")
+			then("start", expandNames(coreProcesses, l), "")
 		}
 	case "disk-full":
-		if l, ok := m.one(); ok {
-			at("disk", each("archive-%", l), "full")
-			then("disk", each("archive-%", l), "")
-			t.Steps = append(t.Steps, Step{At: m.to + 100, Do: "kill", Who: each("archive-%", l)}, Step{At: m.to + 200, Do: "start", Who: each("archive-%", l)})
+		if l, ok := gen.takeCoreMachine(); ok {
+			at("disk", expandNames("archive-%", l), "full")
+			then("disk", expandNames("archive-%", l), "")
+			t.Steps = append(t.Steps, Step{At: gen.endMs + 100, Action: "kill", Targets: expandNames("archive-%", l)}, Step{At: gen.endMs + 200, Action: "start", Targets: expandNames("archive-%", l)})
 		}
 	case "disk-stalls":
-		if l, ok := m.one(); ok {
-			at("disk", each("archive-%", l), fmt.Sprint("stall ", 100+m.r.IntN(1500)))
-			then("disk", each("archive-%", l), "")
+		if l, ok := gen.takeCoreMachine(); ok {
+			at("disk", expandNames("archive-%", l), fmt.Sprint("stall ", 100+gen.random.IntN(1500)))
+			then("disk", expandNames("archive-%", l), "")
 		}
 	case "power": // at all core machines, right after something was acknowledged
-		if m.core == 0 {
+		if gen.nextCoreFaultMs == 0 {
 			at("storm", "", "5")
 			at("kill", "archive-*", "")
-			t.Steps = append(t.Steps, Step{At: m.from + 300, Do: "start", Who: "archive-*"})
-			m.core = mixTo + 1
+			t.Steps = append(t.Steps, Step{At: gen.startMs + 300, Action: "start", Targets: "archive-*"})
+			gen.nextCoreFaultMs = latestFaultMs + 1
 		}
 	case "clock":
-		at("wall", fmt.Sprintf("archive-core-%d", 1+m.r.IntN(4)), fmt.Sprint(m.r.IntN(20000000)-10000000))
+		at("wall", fmt.Sprintf("archive-core-%d", 1+gen.random.IntN(4)), fmt.Sprint(gen.random.IntN(20000000)-10000000))
 	case "weights", "weights-again":
-		if m.weights++; k == "weights" && m.weights == 1 {
+		if gen.weightsNamed++; k == "weights" && gen.weightsNamed == 1 {
 			at("weights", "", "2")
-		} else if m.weights == 1 {
+		} else if gen.weightsNamed == 1 {
 			at("weights", "", "2")
-			t.Steps = append(t.Steps, Step{At: m.from + 1000 + m.r.IntN(3000), Do: "weights", To: "3"})
+			t.Steps = append(t.Steps, Step{At: gen.startMs + 1000 + gen.random.IntN(3000), Action: "weights", Argument: "3"})
 		}
 	case "revoke":
-		at("revoke", fmt.Sprintf("tenant-%d", 3+m.r.IntN(6)), "")
+		at("revoke", fmt.Sprintf("tenant-%d", 3+gen.random.IntN(6)), "")
 	case "drain":
-		if l := m.free("cab", 18, 2); len(l) > 0 {
+		if l := gen.takeHealthy("cab", 18, 2); len(l) > 0 {
 			at("drain", strings.Join(l, " "), "")
 		}
 	case "warn":
-		if l := m.free("cab", 18, 1); len(l) > 0 {
+		if l := gen.takeHealthy("cab", 18, 1); len(l) > 0 {
 			at("warn", l[0], "")
 		}
 	case "storm", "race":
-		at(k, "", fmt.Sprint(3+m.r.IntN(12)))
+		at(k, "", fmt.Sprint(3+gen.random.IntN(12)))
 	case "grow":
-		at("grow", "", fmt.Sprint(20+m.r.IntN(60)))
+		at("grow", "", fmt.Sprint(20+gen.random.IntN(60)))
 	case "store":
-		t.Steps = m.pair("kill", "start", "depot-1")
+		t.Steps = gen.faultAndRepair("kill", "start", "depot-1")
 	case "slow":
-		if l := m.free("cab", 18, 3); len(l) > 0 {
-			at("slow", strings.Join(l, " "), fmt.Sprint(5000+m.r.IntN(100000)))
+		if l := gen.takeHealthy("cab", 18, 3); len(l) > 0 {
+			at("slow", strings.Join(l, " "), fmt.Sprint(5000+gen.random.IntN(100000)))
 			then("mend", strings.Join(l, " "), "*")
 		}
 	case "gaps":
-		t.Cab = []string{"drop=0.3"}
+		t.WorkerOptions = []string{"drop=0.3"}
 	case "late":
-		t.Cab = []string{"late_ms=4000"}
+		t.WorkerOptions = []string{"late_ms=4000"}
 	case "mute":
-		t.Cab = []string{"mute=yes"}
+		t.WorkerOptions = []string{"mute=yes"}
 	case "seeds":
 		at("seeds", "", "127.{net}.2.1:7003 127.{net}.3.1:7003 127.{net}.2.11:7000")
 	case "index":
-		t.Steps = m.pair("kill", "start", fmt.Sprintf("catalogue-edge-%d", 1+m.r.IntN(9)))
-		if n := strings.TrimPrefix(t.Steps[0].Who, "catalogue-"); m.busy[n] {
+		t.Steps = gen.faultAndRepair("kill", "start", fmt.Sprintf("catalogue-edge-%d", 1+gen.random.IntN(9)))
+		if n := strings.TrimPrefix(t.Steps[0].Targets, "catalogue-"); gen.faulty[n] {
 			t.Steps = nil
 		} else {
-			m.busy[n] = true
+			gen.faulty[n] = true
 		}
 	}
-	for _, x := range t.Steps {
-		t.Links = t.Links || slices.Contains([]string{"off", "cut", "slow"}, x.Do)
+	for _, step := range t.Steps {
+		t.Links = t.Links || slices.Contains([]string{"off", "cut", "slow"}, step.Action)
 	}
 	for i := range t.Steps {
-		t.Steps[i].Aside = slices.Contains([]string{"weights", "revoke", "drain", "storm", "race", "grow", "seeds"}, t.Steps[i].Do)
+		t.Steps[i].Background = slices.Contains([]string{"weights", "revoke", "drain", "storm", "race", "grow", "seeds"}, t.Steps[i].Action)
 	}
 	return t
 }
 
-// Mix draws the troubles of a seed: three to seven kinds of the brief's list, within what a
+// DrawFaults draws the troubles of a seed: three to seven kinds of the brief's list, within what a
 // site must bear at once.
 //
 // Example: sc := testbed.Script("paramo", 7, testbed.Mix(7))
-func Mix(seed uint64) (l []Trouble) {
-	r := rand.New(rand.NewPCG(seed, 41))
-	m := &mixer{r: r, busy: map[string]bool{}, kinds: map[string]bool{}}
-	for n := 3 + r.IntN(5); len(l) < n; {
-		k := mixKinds[r.IntN(len(mixKinds))]
-		if m.kinds[k] {
+func DrawFaults(seed uint64) (faults []Fault) {
+	random := rand.New(rand.NewPCG(seed, 41))
+	generator := &faultGenerator{random: random, faulty: map[string]bool{}, drawn: map[string]bool{}}
+	for n := 3 + random.IntN(5); len(faults) < n; {
+		kind := faultKinds[random.IntN(len(faultKinds))]
+		if generator.drawn[kind] {
 			continue
 		}
-		m.kinds[k] = true
-		m.from = mixFrom + r.IntN(mixTo-mixFrom)
-		m.to = m.from + 300 + r.IntN(5000)
-		if t := m.draw(k); len(t.Steps)+len(t.Cab) > 0 {
-			l = append(l, t)
+		generator.drawn[kind] = true
+		generator.startMs = earliestFaultMs + random.IntN(latestFaultMs-earliestFaultMs)
+		generator.endMs = generator.startMs + 300 + random.IntN(5000)
+		if fault := generator.draw(kind); len(fault.Steps)+len(fault.WorkerOptions) > 0 {
+			faults = append(faults, fault)
 		}
 	}
-	return l
+	return faults
 }
 
-// Script makes a scenario of troubles.
+// FaultScenario makes a scenario of troubles.
 //
 // Example: rep, err := testbed.Play(ctx, testbed.Script("daegu", 7, testbed.Mix(7)), o)
-func Script(site string, seed uint64, l []Trouble) Scenario {
-	sc := Scenario{Name: fmt.Sprintf("mix-%d", seed), Site: site, Rate: 15, ReadAll: true, Least: 0.3}
+func FaultScenario(site string, seed uint64, faults []Fault) Scenario {
+	scenario := Scenario{Name: fmt.Sprintf("mix-%d", seed), Site: site, Rate: 15, ReadAll: true, MinSealedShare: 0.3}
 	var names []string
-	for _, t := range l {
-		names = append(names, t.Name)
-		sc.Steps = append(sc.Steps, t.Steps...)
-		sc.Cab = append(sc.Cab, t.Cab...)
-		sc.Links = sc.Links || t.Links
+	for _, fault := range faults {
+		names = append(names, fault.Name)
+		scenario.Steps = append(scenario.Steps, fault.Steps...)
+		scenario.WorkerOptions = append(scenario.WorkerOptions, fault.WorkerOptions...)
+		scenario.Links = scenario.Links || fault.Links
 	}
-	sort.SliceStable(sc.Steps, func(i, j int) bool { return sc.Steps[i].At < sc.Steps[j].At })
-	sc.About = strings.Join(names, ", ")
-	return sc
+	sort.SliceStable(scenario.Steps, func(i, j int) bool { return scenario.Steps[i].At < scenario.Steps[j].At })
+	scenario.About = strings.Join(names, ", ")
+	return scenario
 }
--- a/internal/sim/testbed/operate.go
+++ b/internal/sim/testbed/operate.go
@@ -15,30 +15,30 @@
 	"pebbleloom/internal/wire"
 )
 
-// place is where a process stands.
-func (f *Fleet) place(name string) settings.Process {
+// settingsOf is where a process stands.
+func (f *Fleet) settingsOf(name string) settings.Process {
 	p, _ := f.process(name) // none: no place
-	return p.Place
+	return p.Settings
 }
 
-// usurp starts an empty machine under the name that a process has, at another address,
+// startImpostor starts an empty machine under the name that a process has, at another address,
 // while the process itself lives on, frozen or not.
-func (f *Fleet) usurp(name string) error {
+func (f *Fleet) startImpostor(name string) error {
 	for _, p := range f.Site.Processes {
 		if p.Name != name {
 			continue
 		}
 		p.Name += "-again"
-		at := strings.Split(p.Place.Listen, ".")
+		at := strings.Split(p.Settings.Listen, ".")
 		at[3] = "98:" + strings.Split(at[3], ":")[1]
-		p.Place.Listen = strings.Join(at, ".")
-		if p.Place.Operator != "" {
-			p.Place.Operator = strings.Join(at[:3], ".") + ".98:8090"
+		p.Settings.Listen = strings.Join(at, ".")
+		if p.Settings.Operator != "" {
+			p.Settings.Operator = strings.Join(at[:3], ".") + ".98:8090"
 		}
-		if p.Place.Data != "" {
-			p.Place.Data += "-again"
+		if p.Settings.Data != "" {
+			p.Settings.Data += "-again"
 		}
-		if err := f.on.Put(p); err != nil {
+		if err := f.env.WriteSettings(p); err != nil {
 			return err
 		}
 		f.Site.Processes = append(f.Site.Processes, p)
@@ -47,85 +47,85 @@
 	return errs.New(errs.NotFound, "process %q", name)
 }
 
-// net is the second byte of the site's addresses.
-func (f *Fleet) net() string { return strings.Split(f.rank(), ".")[1] }
+// addressByte is the second byte of the site's addresses.
+func (f *Fleet) addressByte() string { return strings.Split(f.platformAddr(), ".")[1] }
 
-func (f *Fleet) rank() string { return f.place("rank-1").Public }
+func (f *Fleet) platformAddr() string { return f.settingsOf("rank-1").Public }
 
-// owner names the core machine that owns the setup's part.
-func (f *Fleet) owner(ctx context.Context) (string, error) {
+// configLeader names the core machine that owns the setup's part.
+func (f *Fleet) configLeader(ctx context.Context) (string, error) {
 	for _, p := range f.Site.Processes {
 		if p.Program != programs.ControlNode {
 			continue
 		}
 		one, end := context.WithTimeout(ctx, time.Second)
-		t, err := wire.NewControlNodeClient("http://"+p.Place.Listen, f.h).Status(one, &wire.StatusRequest{})
+		t, err := wire.NewControlNodeClient("http://"+p.Settings.Listen, f.client).Status(one, &wire.StatusRequest{})
 		end()
 		for _, x := range t.GetShards() {
 			if err == nil && x.Shard == 0 && x.IsLeader {
-				return p.Place.Name, nil
+				return p.Settings.Name, nil
 			}
 		}
 	}
 	return "", errs.New(errs.OutcomeUnknown, "nobody owns the setup's part")
 }
 
-// move gives a process of a core machine a new address; it is started there by a later step.
-func (f *Fleet) move(name string) error {
+// moveAddress gives a process of a core machine a new address; it is started there by a later step.
+func (f *Fleet) moveAddress(name string) error {
 	for i := range f.Site.Processes {
 		p := &f.Site.Processes[i]
 		if p.Name != name {
 			continue
 		}
-		h, port, err := net.SplitHostPort(p.Place.Listen)
+		h, port, err := net.SplitHostPort(p.Settings.Listen)
 		if err != nil {
 			return errs.Wrap(err, "move")
 		}
 		q := strings.Split(h, ".")
 		h = strings.Join(append(q[:3], "99"), ".")
-		old := p.Place.Operator
-		p.Place.Listen = h + ":" + port
+		old := p.Settings.Operator
+		p.Settings.Listen = h + ":" + port
 		if old != "" {
-			p.Place.Operator = h + ":8090"
+			p.Settings.Operator = h + ":8090"
 			for j, o := range f.Site.Operators {
 				if o == old {
-					f.Site.Operators[j] = p.Place.Operator
+					f.Site.Operators[j] = p.Settings.Operator
 				}
 			}
 		}
-		return f.on.Put(*p)
+		return f.env.WriteSettings(*p)
 	}
 	return errs.New(errs.NotFound, "process %q", name)
 }
 
-func (p *play) chance(n int) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.r.IntN(n)
+func (run *scenarioRun) randomBelow(n int) int {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return run.random.IntN(n)
 }
 
 // operator is a living operator address, another one at each try.
-func (p *play) post(ctx context.Context, path string, v any) (int64, error) {
-	raw, err := json.Marshal(v)
+func (run *scenarioRun) post(ctx context.Context, path string, request any) (int64, error) {
+	raw, err := json.Marshal(request)
 	if err != nil {
 		return 0, errs.Wrap(err, "write")
 	}
 	last := ""
 	for i := range 40 {
 		one, end := context.WithTimeout(ctx, 8*time.Second)
-		code, said := p.f.Post(one, p.f.Site.Operators[(i+p.chance(3))%len(p.f.Site.Operators)], path, raw)
+		code, body := run.fleet.Post(one, run.fleet.Site.Operators[(i+run.randomBelow(3))%len(run.fleet.Site.Operators)], path, raw)
 		end()
-		var c struct {
+		var response struct {
 			Epoch int64  `json:"epoch"`
 			Kind  string `json:"kind"`
 		}
-		if json.Unmarshal([]byte(said), &c) == nil && code == 200 {
-			p.mu.Lock()
-			p.acked = max(p.acked, c.Epoch)
-			p.mu.Unlock()
-			return c.Epoch, nil
+		if json.Unmarshal([]byte(body), &response) == nil && code == 200 {
+			run.mu.Lock()
+			run.acknowledgedVersion = max(run.acknowledgedVersion, response.Epoch)
+			run.mu.Unlock()
+			return response.Epoch, nil
 		}
-		if last = fmt.Sprintf("%d %s", code, said); code == 400 || code == 404 {
+		if last = fmt.Sprintf("%d %s", code, body); code == 400 || code == 404 {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -133,74 +133,74 @@
 	return 0, errs.New(errs.OutcomeUnknown, "%s: %s", path, last)
 }
 
-// operate does what operators do, and notes when it was acknowledged.
-func (p *play) operate(ctx context.Context, x Step) error {
+// executeOperatorStep does what operators do, and notes when it was acknowledged.
+func (run *scenarioRun) executeOperatorStep(ctx context.Context, step Step) error {
 	now := func() int64 { return time.Now().UnixMilli() }
-	switch x.Do {
+	switch step.Action {
 	case "weights":
 		var n uint64
-		if _, err := fmt.Sscan(x.To, &n); err != nil {
-			return errs.New(errs.BadInput, "weights %q", x.To)
+		if _, err := fmt.Sscan(step.Argument, &n); err != nil {
+			return errs.New(errs.BadInput, "weights %q", step.Argument)
 		}
-		_, err := p.post(ctx, "/v1/weights", map[string]any{"model": p.f.Site.Traffic.Model, "weights": n, "token": "weights-" + x.To})
-		p.mu.Lock()
-		p.weights[n] = now()
-		p.mu.Unlock()
+		_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": n, "token": "weights-" + step.Argument})
+		run.mu.Lock()
+		run.weightsNamedMs[n] = now()
+		run.mu.Unlock()
 		return err
 	case "revoke":
-		t := p.f.Site.Setup.Tenants[x.Who]
-		if len(t.Keys) == 0 {
-			return errs.New(errs.BadInput, "revoke: tenant %q", x.Who)
-		}
-		_, err := p.post(ctx, "/v1/keys/revoke", map[string]any{"tenant": x.Who, "key": t.Keys[0]})
-		p.mu.Lock()
-		p.revoked[t.Keys[0]] = now()
-		p.mu.Unlock()
+		tenant := run.fleet.Site.Config.Tenants[step.Targets]
+		if len(tenant.Keys) == 0 {
+			return errs.New(errs.BadInput, "revoke: tenant %q", step.Targets)
+		}
+		_, err := run.post(ctx, "/v1/keys/revoke", map[string]any{"tenant": step.Targets, "key": tenant.Keys[0]})
+		run.mu.Lock()
+		run.keyRevokedMs[tenant.Keys[0]] = now()
+		run.mu.Unlock()
 		return err
 	case "drain", "undrain":
-		l, err := p.who(ctx, x.Who)
+		targets, err := run.resolveTargets(ctx, step.Targets)
 		if err != nil {
 			return err
 		}
-		for _, n := range l {
-			if _, err := p.post(ctx, "/v1/drain", map[string]any{"worker": n, "drain": x.Do == "drain"}); err != nil {
+		for _, n := range targets {
+			if _, err := run.post(ctx, "/v1/drain", map[string]any{"worker": n, "drain": step.Action == "drain"}); err != nil {
 				return err
 			}
-			p.mu.Lock()
-			if p.drained[n] = now(); x.Do == "undrain" {
-				delete(p.drained, n)
+			run.mu.Lock()
+			if run.drainedMs[n] = now(); step.Action == "undrain" {
+				delete(run.drainedMs, n)
 			}
-			p.mu.Unlock()
+			run.mu.Unlock()
 		}
 		return nil
 	case "seeds":
-		seeds := strings.Fields(strings.ReplaceAll(x.To, "{net}", p.f.net()))
-		return p.mustChange(ctx, configurationChange{token: "seeds", patch: map[string]any{"seeds": seeds}})
+		seeds := strings.Fields(strings.ReplaceAll(step.Argument, "{net}", run.fleet.addressByte()))
+		return run.mustChange(ctx, configurationChange{token: "seeds", patch: map[string]any{"seeds": seeds}})
 	case "grow":
 		var n int
-		if _, err := fmt.Sscan(x.To, &n); err != nil {
-			return errs.New(errs.BadInput, "grow %q", x.To)
+		if _, err := fmt.Sscan(step.Argument, &n); err != nil {
+			return errs.New(errs.BadInput, "grow %q", step.Argument)
 		}
-		ms, ss, ws := map[string]any{}, map[string]any{}, map[string]any{}
+		models, services, routes := map[string]any{}, map[string]any{}, map[string]any{}
 		for i := range n {
-			m := fmt.Sprintf("model-%d", i)
-			ms[m], ss["service-"+m], ws[m] = map[string]any{"weights": 1}, map[string]any{"model": m}, map[string]any{"service": "service-" + m}
+			model := fmt.Sprintf("model-%d", i)
+			models[model], services["service-"+model], routes[model] = map[string]any{"weights": 1}, map[string]any{"model": model}, map[string]any{"service": "service-" + model}
 		}
-		return p.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": ms, "services": ss, "ways": ws}})
+		return run.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": models, "services": services, "ways": routes}})
 	}
-	return p.storm(ctx, x)
+	return run.executeConcurrentChanges(ctx, step)
 }
 
-// storm and race: many operators at once. A race is compare-and-set on one version: of all
+// executeConcurrentChanges and race: many operators at once. A race is compare-and-set on one version: of all
 // that ask for a version exactly one may get it.
-func (p *play) storm(ctx context.Context, x Step) error {
-	var n int
-	if _, err := fmt.Sscan(x.To, &n); err != nil {
-		return errs.New(errs.BadInput, "%s %q", x.Do, x.To)
+func (run *scenarioRun) executeConcurrentChanges(ctx context.Context, step Step) error {
+	var changes int
+	if _, err := fmt.Sscan(step.Argument, &changes); err != nil {
+		return errs.New(errs.BadInput, "%s %q", step.Action, step.Argument)
 	}
 	var base *uint64
-	if x.Do == "race" {
-		version, err := p.readSomewhere(ctx)
+	if step.Action == "race" {
+		version, err := run.readSomewhere(ctx)
 		if err != nil {
 			return err
 		}
@@ -208,29 +208,29 @@
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	got := map[uint64]int{}
-	for i := range n {
+	acknowledged := map[uint64]int{}
+	for i := range changes {
 		wg.Go(func() {
-			tenant := map[string]any{fmt.Sprintf("%s-%d", x.Do, i): map[string]any{"rate": i + 1}}
-			c := configurationChange{token: fmt.Sprintf("%s-%d-%d", x.Do, x.At, i), base: base, patch: map[string]any{"tenants": tenant}}
-			if version, ok := p.change(ctx, c, i); ok {
+			tenant := map[string]any{fmt.Sprintf("%s-%d", step.Action, i): map[string]any{"rate": i + 1}}
+			change := configurationChange{token: fmt.Sprintf("%s-%d-%d", step.Action, step.At, i), base: base, patch: map[string]any{"tenants": tenant}}
+			if version, ok := run.change(ctx, change, i); ok {
 				mu.Lock()
-				got[version]++
+				acknowledged[version]++
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	for version, k := range got {
-		if k > 1 {
-			p.fault("%d changes were acknowledged under version %d", k, version)
+	for version, times := range acknowledged {
+		if times > 1 {
+			run.addFault("%d changes were acknowledged under version %d", times, version)
 		}
 	}
-	if x.Do == "race" && len(got) > 1 {
-		p.fault("%d changes onto version %d were acknowledged", len(got), *base)
+	if step.Action == "race" && len(acknowledged) > 1 {
+		run.addFault("%d changes onto version %d were acknowledged", len(acknowledged), *base)
 	}
-	if len(got) == 0 {
-		return errs.New(errs.OutcomeUnknown, "%s: none of %d changes was acknowledged", x.Do, n)
+	if len(acknowledged) == 0 {
+		return errs.New(errs.OutcomeUnknown, "%s: none of %d changes was acknowledged", step.Action, changes)
 	}
 	return nil
 }
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -17,166 +17,166 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// next is the second build of a base or an adapter.
-func next(name string) string { return name + "-2" }
+// nextBuild is the second build of a base or an adapter.
+func nextBuild(name string) string { return name + "-2" }
 
-// adapt gives a site two adapters, which its first two kinds of request name, and a second base
+// addAdapters gives a site two adapters, which its first two kinds of request name, and a second base
 // model with replacements for them. Its workers have room for both sets.
-func (s *Site) adapt(yes bool) {
+func (s *Site) addAdapters(yes bool) {
 	if !yes {
 		return
 	}
-	lm := s.Traffic.Model
-	service := lm + "-main"
-	s.Setup.Models[lm] = serviceconfig.Model{Weights: s.Setup.Models[lm].Weights, MemoryMB: 100}
-	s.Setup.Models[next(lm)] = serviceconfig.Model{Weights: 1, MemoryMB: 100}
-	v := s.Setup.Services[service]
-	v.WorkerMemoryMB = 260
-	s.Setup.Services[service] = v
-	s.Setup.Adapters = map[string]serviceconfig.Adapter{}
+	model := s.Traffic.Model
+	service := model + "-main"
+	s.Config.Models[model] = serviceconfig.Model{Weights: s.Config.Models[model].Weights, MemoryMB: 100}
+	s.Config.Models[nextBuild(model)] = serviceconfig.Model{Weights: 1, MemoryMB: 100}
+	mainService := s.Config.Services[service]
+	mainService.WorkerMemoryMB = 260
+	s.Config.Services[service] = mainService
+	s.Config.Adapters = map[string]serviceconfig.Adapter{}
 	var words []string
 	for i := range s.Traffic.Kinds {
-		k := &s.Traffic.Kinds[i]
-		k.Under = []string{lm, next(lm)}
+		kind := &s.Traffic.Kinds[i]
+		kind.ServedBy = []string{model, nextBuild(model)}
 		if i == 2 {
 			break
 		}
-		k.Model, k.Under = k.Name, []string{fmt.Sprintf("%s/%s@1", lm, k.Name), fmt.Sprintf("%s/%s@1", next(lm), next(k.Name))}
-		s.Setup.Adapters[k.Name] = serviceconfig.Adapter{BaseModel: lm, Build: 1, Services: []string{service}, MemoryMB: 10}
-		s.Setup.Adapters[next(k.Name)] = serviceconfig.Adapter{BaseModel: next(lm), Build: 1, Services: []string{service}, MemoryMB: 10}
-		s.Setup.Routes[k.Name] = serviceconfig.Route{Service: service}
-		words = append(words, k.Name+"@1")
+		kind.Model, kind.ServedBy = kind.Name, []string{fmt.Sprintf("%s/%s@1", model, kind.Name), fmt.Sprintf("%s/%s@1", nextBuild(model), nextBuild(kind.Name))}
+		s.Config.Adapters[kind.Name] = serviceconfig.Adapter{BaseModel: model, Build: 1, Services: []string{service}, MemoryMB: 10}
+		s.Config.Adapters[nextBuild(kind.Name)] = serviceconfig.Adapter{BaseModel: nextBuild(model), Build: 1, Services: []string{service}, MemoryMB: 10}
+		s.Config.Routes[kind.Name] = serviceconfig.Route{Service: service}
+		words = append(words, kind.Name+"@1")
 	}
 	for i := range s.Processes {
-		if p := &s.Processes[i]; p.Program == programs.WorkerSim {
-			p.Place.Options = append(p.Place.Options, "memory=260", "model_room=100", "adapter_room=10", "adapters="+strings.Join(words, ","))
+		if process := &s.Processes[i]; process.Program == programs.WorkerSim {
+			process.Settings.Options = append(process.Settings.Options, "memory=260", "model_room=100", "adapter_room=10", "adapters="+strings.Join(words, ","))
 		}
 	}
 }
 
-// retirement carries out the steps of a scenario that have to do with retiring the site's base model:
+// executeRetirementStep carries out the steps of a scenario that have to do with retiring the site's base model:
 // to plan and start it, to ask something of it, to wait until it has come to a state.
-func (p *play) retirement(ctx context.Context, do, who, to string) error {
-	lm := p.f.Site.Traffic.Model
-	service := lm + "-main"
-	switch do {
+func (run *scenarioRun) executeRetirementStep(ctx context.Context, action, name, argument string) error {
+	model := run.fleet.Site.Traffic.Model
+	service := model + "-main"
+	switch action {
 	case "retire":
-		r := &retire.Retirement{}
-		if to != "" {
-			if err := json.Unmarshal([]byte(to), r); err != nil {
+		retirement := &retire.Retirement{}
+		if argument != "" {
+			if err := json.Unmarshal([]byte(argument), retirement); err != nil {
 				return errs.WrapAs(err, errs.BadInput, "retirement")
 			}
 		}
-		r.Name, r.Service, r.OldBase, r.NewBase, r.Replacements = who, service, lm, next(lm), map[string]string{}
-		for _, k := range p.f.Site.Traffic.Kinds[:2] {
-			r.Replacements[k.Name] = next(k.Name)
+		retirement.Name, retirement.Service, retirement.OldBase, retirement.NewBase, retirement.Replacements = name, service, model, nextBuild(model), map[string]string{}
+		for _, kind := range run.fleet.Site.Traffic.Kinds[:2] {
+			retirement.Replacements[kind.Name] = nextBuild(kind.Name)
 		}
-		_, p.before = p.f.Get(ctx, p.f.Site.Operators[0], "/v1/setup")
-		if _, err := p.post(ctx, "/v1/retirements", map[string]any{"retirement": r}); err != nil {
+		_, run.configBeforeRetirement = run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/setup")
+		if _, err := run.post(ctx, "/v1/retirements", map[string]any{"retirement": retirement}); err != nil {
 			return err
 		}
-		_, err := p.post(ctx, "/v1/retirements/"+service+"/"+who+"/start", map[string]any{})
+		_, err := run.post(ctx, "/v1/retirements/"+service+"/"+name+"/start", map[string]any{})
 		return err
 	case "retire-ask":
-		_, err := p.post(ctx, "/v1/retirements/"+service+"/"+who+"/"+to, map[string]any{})
+		_, err := run.post(ctx, "/v1/retirements/"+service+"/"+name+"/"+argument, map[string]any{})
 		return err
 	}
 	for i := 0; ; i++ {
-		_, last := p.f.Get(ctx, p.f.Site.Operators[i%len(p.f.Site.Operators)], "/v1/retirements")
-		var l struct {
+		_, last := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/retirements")
+		var list struct {
 			Retirements []*retire.Retirement `json:"retirements"`
 		}
-		if json.Unmarshal([]byte(last), &l) == nil {
-			for _, r := range l.Retirements {
-				if last = fmt.Sprintf("%s, %s, %s, held by %v", r.State, r.Progress(), r.Reason, r.Blockers); r.Name == who && (r.State == to || r.Phase == to) {
-					return p.afterwards(ctx, r)
+		if json.Unmarshal([]byte(last), &list) == nil {
+			for _, retirement := range list.Retirements {
+				if last = fmt.Sprintf("%s, %s, %s, held by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers); retirement.Name == name && (retirement.State == argument || retirement.Phase == argument) {
+					return run.checkFleetAfterRetirement(ctx, retirement)
 				}
 			}
 		}
 		if i >= 400 {
-			return errs.New(errs.Internal, "%s isn't %s: %s", who, to, last)
+			return errs.New(errs.Internal, "%s isn't %s: %s", name, argument, last)
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
 }
 
-// afterwards looks at the fleet once a retirement is over: the old base is gone from every worker that
+// checkFleetAfterRetirement looks at the fleet once a retirement is over: the old base is gone from every worker that
 // answers, or all is as it was before.
-func (p *play) afterwards(ctx context.Context, r *retire.Retirement) error {
-	if r.Active() {
+func (run *scenarioRun) checkFleetAfterRetirement(ctx context.Context, retirement *retire.Retirement) error {
+	if retirement.Active() {
 		return nil
 	}
-	gone, base, adapters := r.OldBase, r.NewBase, []string{}
-	for _, n := range queue.Keys(r.Replacements) {
-		adapters = append(adapters, map[string]string{retire.StateDone: r.Replacements[n], retire.StateAborted: n}[r.State])
+	retiredBase, base, adapters := retirement.OldBase, retirement.NewBase, []string{}
+	for _, worker := range queue.Keys(retirement.Replacements) {
+		adapters = append(adapters, map[string]string{retire.StateDone: retirement.Replacements[worker], retire.StateAborted: worker}[retirement.State])
 	}
-	if r.State == retire.StateAborted {
-		gone, base = r.NewBase, r.OldBase
-		if _, now := p.f.Get(ctx, p.f.Site.Operators[0], "/v1/setup"); setupIn(now) != setupIn(p.before) {
-			p.fault("after the abort the setup is %s, it was %s", setupIn(now), setupIn(p.before))
+	if retirement.State == retire.StateAborted {
+		retiredBase, base = retirement.NewBase, retirement.OldBase
+		if _, now := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/setup"); configIn(now) != configIn(run.configBeforeRetirement) {
+			run.addFault("after the abort the setup is %s, it was %s", configIn(now), configIn(run.configBeforeRetirement))
 		}
 	}
-	be := contract.NewBackends(p.f.on.Dial)
-	defer be.Close()
-	for _, n := range queue.Keys(p.f.Site.Cabs) {
-		st, err := be.State(ctx, p.f.Site.Cabs[n])
+	backends := contract.NewBackends(run.fleet.env.Dial)
+	defer backends.Close()
+	for _, worker := range queue.Keys(run.fleet.Site.Workers) {
+		state, err := backends.State(ctx, run.fleet.Site.Workers[worker])
 		if err != nil {
 			continue // it is down: when it is back it is caught up
 		}
-		held := false
-		for _, l := range st.LoadedModels() {
-			if l.Model == gone {
-				p.fault("%s still holds %s, the retirement is %s", n, gone, r.State)
+		hasAll := false
+		for _, loaded := range state.LoadedModels() {
+			if loaded.Model == retiredBase {
+				run.addFault("%s still holds %s, the retirement is %s", worker, retiredBase, retirement.State)
 			}
-			held = held || l.Model == base && len(l.Adapters) >= len(adapters)
-			for _, a := range adapters {
-				held = held && (l.Model != base || l.Adapters[a] > 0)
+			hasAll = hasAll || loaded.Model == base && len(loaded.Adapters) >= len(adapters)
+			for _, adapter := range adapters {
+				hasAll = hasAll && (loaded.Model != base || loaded.Adapters[adapter] > 0)
 			}
 		}
-		if !held {
-			p.fault("%s holds %v, %s with %v are due", n, st.LoadedModels(), base, adapters)
+		if !hasAll {
+			run.addFault("%s holds %v, %s with %v are due", worker, state.LoadedModels(), base, adapters)
 		}
 	}
 	return nil
 }
 
-// setupIn is the setup of an answer without its version.
-func setupIn(said string) string {
+// configIn is the setup of an answer without its version.
+func configIn(body string) string {
 	var s struct {
 		Setup json.RawMessage `json:"setup"`
 	}
-	if json.Unmarshal([]byte(said), &s) != nil {
-		return said
+	if json.Unmarshal([]byte(body), &s) != nil {
+		return body
 	}
 	return string(s.Setup)
 }
 
-// retired: the old base leaves no worker before every worker has answered under the new base and
+// checkOldBaseOutlivesMigration: the old base leaves no worker before every worker has answered under the new base and
 // each adapter on it.
-func (p *play) retired(js, orders map[string][]workersim.Run) (faults []string) {
-	if !p.sc.Retire {
+func (run *scenarioRun) checkOldBaseOutlivesMigration(journals, orders map[string][]workersim.Run) (faults []string) {
+	if !run.scenario.Retire {
 		return nil
 	}
-	lm := p.f.Site.Traffic.Model
-	first, who := int64(math.MaxInt64), ""
-	for _, n := range queue.Keys(orders) {
-		for _, o := range orders[n] {
-			if o.Kind == "unload" && o.Model == lm && o.AtMs < first {
-				first, who = o.AtMs, n
+	model := run.fleet.Site.Traffic.Model
+	firstUnloadMs, orderedWorker := int64(math.MaxInt64), ""
+	for _, worker := range queue.Keys(orders) {
+		for _, order := range orders[worker] {
+			if order.Kind == "unload" && order.Model == model && order.AtMs < firstUnloadMs {
+				firstUnloadMs, orderedWorker = order.AtMs, worker
 			}
 		}
 	}
-	if who == "" {
+	if orderedWorker == "" {
 		return nil
 	}
-	for _, n := range queue.Keys(js) {
-		for _, a := range []string{"", next(p.f.Site.Traffic.Kinds[0].Name), next(p.f.Site.Traffic.Kinds[1].Name)} {
-			ok := false
-			for _, r := range js[n] {
-				ok = ok || r.Model == next(lm) && r.Adapter == a && r.AtMs <= first
+	for _, worker := range queue.Keys(journals) {
+		for _, adapter := range []string{"", nextBuild(run.fleet.Site.Traffic.Kinds[0].Name), nextBuild(run.fleet.Site.Traffic.Kinds[1].Name)} {
+			answered := false
+			for _, workerRun := range journals[worker] {
+				answered = answered || workerRun.Model == nextBuild(model) && workerRun.Adapter == adapter && workerRun.AtMs <= firstUnloadMs
 			}
-			if !ok {
-				faults = append(faults, fmt.Sprintf("%s was told to drop %s before %s had answered under %s %s", who, lm, n, next(lm), a))
+			if !answered {
+				faults = append(faults, fmt.Sprintf("%s was told to drop %s before %s had answered under %s %s", orderedWorker, model, worker, nextBuild(model), adapter))
 			}
 		}
 	}
--- a/internal/sim/testbed/retire_test.go
+++ b/internal/sim/testbed/retire_test.go
@@ -14,9 +14,9 @@
 	"pebbleloom/internal/control/retire"
 )
 
-// retireAtTheDesk retires a site's base model by the pebblectl's commands alone, with their exit codes. In the
+// retireByCommandLine retires a site's base model by the pebblectl's commands alone, with their exit codes. In the
 // middle somebody holds it up, which trouble brings about and a runbook ends.
-func retireAtTheDesk(t *testing.T, f *Fleet, node string, trouble func(held string)) {
+func retireByCommandLine(t *testing.T, f *Fleet, node string, trouble func(held string)) {
 	t.Helper()
 	do := func(want int, args ...string) string {
 		t.Helper()
@@ -28,7 +28,7 @@
 	}
 	lm := f.Site.Traffic.Model
 	service, file := lm+"-main", filepath.Join(t.TempDir(), "spring.json")
-	r := retire.Retirement{Name: "spring", Service: service, OldBase: lm, NewBase: next(lm), Replacements: map[string]string{}, TrafficPercents: []int{50, 100}, MaxConcurrent: 6}
+	r := retire.Retirement{Name: "spring", Service: service, OldBase: lm, NewBase: nextBuild(lm), Replacements: map[string]string{}, TrafficPercents: []int{50, 100}, MaxConcurrent: 6}
 	write := func() {
 		t.Helper()
 		raw, err := json.Marshal(r)
@@ -40,11 +40,11 @@
 		}
 	}
 	write()
-	if said := do(2, "retire", "plan", "--file", file, "--dry-run"); !strings.Contains(said, "has no replacement") {
-		t.Errorf("a plan without replacements: %s", said)
+	if body := do(2, "retire", "plan", "--file", file, "--dry-run"); !strings.Contains(body, "has no replacement") {
+		t.Errorf("a plan without replacements: %s", body)
 	}
 	for _, k := range f.Site.Traffic.Kinds[:2] {
-		r.Replacements[k.Name] = next(k.Name)
+		r.Replacements[k.Name] = nextBuild(k.Name)
 	}
 	write()
 	do(0, "retire", "plan", "--file", file, "--dry-run")
@@ -56,8 +56,8 @@
 	one("start")
 	one("pause")
 	one("pause")
-	if said := do(1, "retire", "status"); !strings.Contains(said, "by an operator") {
-		t.Errorf("%s", said)
+	if body := do(1, "retire", "status"); !strings.Contains(body, "by an operator") {
+		t.Errorf("%s", body)
 	}
 	one("resume")
 	trouble(`"retirement-held"`)
@@ -74,8 +74,8 @@
 		}
 	}
 	do(5, "retire", "abort", "--service", service, "--name", "spring")
-	if said := do(0, "retire", "history", "--name", "spring"); !strings.Contains(said, "running barrier") || !strings.Contains(said, "done") {
-		t.Errorf("history: %s", said)
+	if body := do(0, "retire", "history", "--name", "spring"); !strings.Contains(body, "running barrier") || !strings.Contains(body, "done") {
+		t.Errorf("history: %s", body)
 	}
 	do(4, "retire", "status", "--name", "summer")
 }
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -13,13 +13,13 @@
 	"pebbleloom/internal/cli"
 )
 
-// hand is the person at the pebblectl: asked to confirm, it does what the book says first.
-type hand struct{ do func() }
+// operatorHand is the person at the pebblectl: asked to confirm, it does what the book says first.
+type operatorHand struct{ confirm func() }
 
-func (h *hand) Read(p []byte) (int, error) {
-	if h.do != nil {
-		h.do()
-		h.do = nil
+func (h *operatorHand) Read(p []byte) (int, error) {
+	if h.confirm != nil {
+		h.confirm()
+		h.confirm = nil
 	}
 	return copy(p, "yes\n"), nil
 }
@@ -28,18 +28,18 @@
 // is run, and in the end nothing is wrong.
 func TestRunbooksOnASite(t *testing.T) {
 	dir := t.TempDir()
-	s, err := Plan("daegu", dir, 34, nil)
+	s, err := LayOut("daegu", dir, 34, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.adapt(true)
+	s.addAdapters(true)
 	f, err := Up(context.Background(), s, dir, builtPrograms(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Down()
+	defer f.Stop()
 	node := s.Operators[4]
-	run := func(in *hand, args ...string) {
+	run := func(in *operatorHand, args ...string) {
 		t.Helper()
 		var out, bad bytes.Buffer
 		rec := filepath.Join(dir, args[0]+".jsonl")
@@ -67,7 +67,7 @@
 		ctx, end := context.WithTimeout(context.Background(), 30*time.Second)
 		defer end()
 		for ctx.Err() == nil { // each look takes its time: it asks every core machine
-			if _, said := f.Get(ctx, node, "/v1/status"); strings.Contains(said, view) {
+			if _, body := f.Get(ctx, node, "/v1/status"); strings.Contains(body, view) {
 				return
 			}
 		}
@@ -76,41 +76,41 @@
 
 	each(kill, "cab-3")()
 	gone(`"worker-gone"`)
-	run(&hand{each(f.Start, "cab-3")}, "worker-gone", "--set", "worker=cab-3")
+	run(&operatorHand{each(f.Start, "cab-3")}, "worker-gone", "--set", "worker=cab-3")
 
 	each(kill, "depot-1")()
 	gone(`"no-store"`)
-	run(&hand{each(f.Start, "depot-1")}, "store-empty")
+	run(&operatorHand{each(f.Start, "depot-1")}, "store-empty")
 
 	// A core machine's disk is lost: it comes back empty under its name.
 	each(kill, "archive-core-2", "appraiser-core-2")()
-	if err := os.RemoveAll(f.place("archive-core-2").Data); err != nil {
+	if err := os.RemoveAll(f.settingsOf("archive-core-2").Data); err != nil {
 		t.Fatal(err)
 	}
-	run(&hand{each(f.Start, "archive-core-2", "appraiser-core-2")}, "disk-lost", "--set", "machine=core-2")
+	run(&operatorHand{each(f.Start, "archive-core-2", "appraiser-core-2")}, "disk-lost", "--set", "machine=core-2")
 
 	each(kill, "runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2")()
-	run(&hand{each(f.Start, "runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2")}, "edge-gone", "--set", "machine=edge-2")
+	run(&operatorHand{each(f.Start, "runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2")}, "edge-gone", "--set", "machine=edge-2")
 
 	each(kill, "archive-core-3", "appraiser-core-3")()
-	run(&hand{each(f.Start, "archive-core-3", "appraiser-core-3")}, "core-gone", "--set", "machine=core-3")
+	run(&operatorHand{each(f.Start, "archive-core-3", "appraiser-core-3")}, "core-gone", "--set", "machine=core-3")
 
 	// A core machine is replaced: empty, at another address, under its name.
 	each(kill, "archive-core-4", "appraiser-core-4")()
-	if err := os.RemoveAll(f.place("archive-core-4").Data); err != nil {
+	if err := os.RemoveAll(f.settingsOf("archive-core-4").Data); err != nil {
 		t.Fatal(err)
 	}
-	each(f.move, "archive-core-4")()
-	run(&hand{each(f.Start, "archive-core-4", "appraiser-core-4")}, "core-replaced", "--set", "machine=core-4")
+	each(f.moveAddress, "archive-core-4")()
+	run(&operatorHand{each(f.Start, "archive-core-4", "appraiser-core-4")}, "core-replaced", "--set", "machine=core-4")
 
 	edge3 := []string{"runner-edge-3", "catalogue-edge-3", "dispatcher-edge-3"}
 	signal := func(s syscall.Signal) func(string) error { return func(n string) error { return f.Signal(n, s) } }
 	each(signal(syscall.SIGSTOP), edge3...)()
-	run(&hand{each(signal(syscall.SIGCONT), edge3...)}, "machine-frozen", "--set", "machine=edge-3")
+	run(&operatorHand{each(signal(syscall.SIGCONT), edge3...)}, "machine-frozen", "--set", "machine=edge-3")
 
 	many := append([]string{"archive-core-1", "appraiser-core-1", "runner-edge-4", "catalogue-edge-4", "dispatcher-edge-4"}, edge3...)
 	each(kill, many...)()
-	run(&hand{each(f.Start, many...)}, "many-gone")
+	run(&operatorHand{each(f.Start, many...)}, "many-gone")
 
 	part := func(name, body string) string {
 		file := filepath.Join(dir, name)
@@ -119,20 +119,20 @@
 		}
 		return "file=" + file
 	}
-	run(&hand{}, "seeds-change", "--set", part("seeds.json", `{"seeds":["127.34.2.1:7003","127.34.3.1:7003","127.34.2.11:7000"]}`))
-	run(&hand{}, "setup-wrong", "--set", part("right.json", `{"tenants":{"tenant-5":{"inflight":40}}}`))
+	run(&operatorHand{}, "seeds-change", "--set", part("seeds.json", `{"seeds":["127.34.2.1:7003","127.34.3.1:7003","127.34.2.11:7000"]}`))
+	run(&operatorHand{}, "setup-wrong", "--set", part("right.json", `{"tenants":{"tenant-5":{"inflight":40}}}`))
 
-	run(&hand{}, "weights-midday", "--set", "model=gisa", "--set", "weights=2", "--set", "service=gisa-main")
-	run(&hand{}, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
+	run(&operatorHand{}, "weights-midday", "--set", "model=gisa", "--set", "weights=2", "--set", "service=gisa-main")
+	run(&operatorHand{}, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
 
-	retireAtTheDesk(t, f, node, func(held string) {
+	retireByCommandLine(t, f, node, func(held string) {
 		each(kill, "cab-7")()
 		gone(held)
-		run(&hand{each(f.Start, "cab-7")}, "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
+		run(&operatorHand{each(f.Start, "cab-7")}, "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
 	})
 
 	var out, bad bytes.Buffer
-	if code := cli.Main([]string{"--node", node, "status"}, &hand{}, &out, &bad); code != 0 {
+	if code := cli.Main([]string{"--node", node, "status"}, &operatorHand{}, &out, &bad); code != 0 {
 		t.Errorf("in the end something is wrong: %s%s", out.String(), bad.String())
 	}
 }
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -23,32 +23,32 @@
 
 // Scenario is a run of a whole site with failures, as a file describes it.
 type Scenario struct {
-	Name    string   `json:"name"`
-	About   string   `json:"about"`
-	Site    string   `json:"site"`
-	Rate    float64  `json:"rate"`
-	ColdMs  int      `json:"cold_ms"` // callers come that long after the machines start, whatever is ready
-	Burst   float64  `json:"burst"`   // requests a second beside these, until the last step
-	Links   bool     `json:"links"`   // relays stand in the path of every link
-	Cab     []string `json:"cab"`     // words of every worker
-	Steps   []Step   `json:"steps"`
-	HealMs  int      `json:"heal_ms"`  // after the last step all is well again within this; 0: the bound
-	TailMs  int      `json:"tail_ms"`  // how long callers go on after that
-	Least   float64  `json:"least"`    // share of requests that is sealed over the whole run
-	Kinds   []string `json:"kinds"`    // denials that may occur; empty: any typed one
-	ReadAll bool     `json:"read_all"` // every operator address gives the same setup in the end
-	Retire  bool     `json:"retire"`   // the site has adapters, and a second base model to move them to
+	Name              string   `json:"name"`
+	About             string   `json:"about"`
+	Site              string   `json:"site"`
+	Rate              float64  `json:"rate"`
+	ColdStartMs       int      `json:"cold_ms"` // callers come that long after the machines start, whatever is ready
+	Burst             float64  `json:"burst"`   // requests a second beside these, until the last step
+	Links             bool     `json:"links"`   // relays stand in the path of every link
+	WorkerOptions     []string `json:"cab"`     // words of every worker
+	Steps             []Step   `json:"steps"`
+	RecoveryMs        int      `json:"heal_ms"`  // after the last step all is well again within this; 0: the bound
+	AfterRecoveryMs   int      `json:"tail_ms"`  // how long callers go on after that
+	MinSealedShare    float64  `json:"least"`    // share of requests that is sealed over the whole run
+	AllowedRejections []string `json:"kinds"`    // denials that may occur; empty: any typed one
+	ReadAll           bool     `json:"read_all"` // every operator address gives the same setup in the end
+	Retire            bool     `json:"retire"`   // the site has adapters, and a second base model to move them to
 }
 
 // Step is one thing that happens.
 type Step struct {
-	At  int    `json:"at_ms"`
-	Do  string `json:"do"`  // see Fleet.do
-	Who string `json:"who"` // names or patterns; "pattern:2" picks two; "@owner" owns the setup's part
-	To  string `json:"to"`  // the other end of a link, or a value
+	At       int    `json:"at_ms"`
+	Action   string `json:"do"`  // see Fleet.do
+	Targets  string `json:"who"` // names or patterns; "pattern:2" picks two; "@owner" owns the setup's part
+	Argument string `json:"to"`  // the other end of a link, or a value
 	// The steps after it don't wait for its end; where nobody can say whether it was done, that
 	// is no fault of the run's.
-	Aside bool `json:"aside"`
+	Background bool `json:"aside"`
 }
 
 //go:embed scenarios/*.json
@@ -82,147 +82,147 @@
 	return l, nil
 }
 
-// play is a scenario under way.
-type play struct {
-	o       Options
-	sc      Scenario
-	f       *Fleet
-	r       *rand.Rand
-	mu      sync.Mutex
-	rep     *Report
-	picked  map[string][]string
-	history *history.History // of the configuration
-	aside   sync.WaitGroup   // what goes on beside the steps, until the run ends
-	began   int64            // the wall's milliseconds of this one machine
+// scenarioRun is a scenario under way.
+type scenarioRun struct {
+	options    Options
+	scenario   Scenario
+	fleet      *Fleet
+	random     *rand.Rand
+	mu         sync.Mutex
+	report     *Report
+	resolved   map[string][]string
+	history    *history.History // of the configuration
+	background sync.WaitGroup   // what goes on beside the steps, until the run ends
+	startedMs  int64            // the wall's milliseconds of this one machine
 	// What was acknowledged, and when, in the wall's milliseconds of this one machine.
-	revoked map[string]int64
-	weights map[uint64]int64
-	drained map[string]int64
-	acked   int64  // the latest epoch
-	before  string // the setup when a retirement was planned
+	keyRevokedMs           map[string]int64
+	weightsNamedMs         map[uint64]int64
+	drainedMs              map[string]int64
+	acknowledgedVersion    int64  // the latest epoch
+	configBeforeRetirement string // the setup when a retirement was planned
 }
 
 // Play runs a scenario and gives its report.
 //
 // Example: rep, err := testbed.Play(ctx, scenario, testbed.Options{Seed: 1, Net: 10, Dir: dir, Bin: "bin"})
-func Play(ctx context.Context, sc Scenario, o Options) (*Report, error) {
-	return PlayOn(ctx, sc, o, func(s *Site) (Ground, error) {
-		m := newMachines(o.Dir, o.Bin)
+func Play(ctx context.Context, scenario Scenario, options Options) (*Report, error) {
+	return PlayOn(ctx, scenario, options, func(s *Site) (Environment, error) {
+		m := newLocalEnvironment(options.Dir, options.Programs)
 		for i := range s.Processes {
 			p := &s.Processes[i]
 			if p.Program == programs.ControlNode {
-				p.Place.Options = append(p.Place.Options, "faults="+filepath.Join(o.Dir, p.Place.Name+".fault"), "wall="+filepath.Join(o.Dir, p.Place.Name+".wall"))
+				p.Settings.Options = append(p.Settings.Options, "faults="+filepath.Join(options.Dir, p.Settings.Name+".fault"), "wall="+filepath.Join(options.Dir, p.Settings.Name+".wall"))
 			}
 		}
-		if !sc.Links {
+		if !scenario.Links {
 			return m, nil
 		}
 		m.links = NewLinks()
-		return m, s.relay(m.links, o.Net)
+		return m, s.addRelays(m.links, options.AddressByte)
 	})
 }
 
 // PlayOn runs a scenario on a ground that is made for its site.
 //
-// Example: rep, err := testbed.PlayOn(ctx, scenario, o, func(s *testbed.Site) (testbed.Ground, error) { return table, nil })
-func PlayOn(ctx context.Context, sc Scenario, o Options, on func(*Site) (Ground, error)) (*Report, error) {
-	if o.Site != "" {
-		sc.Site = o.Site
+// Example: rep, err := testbed.PlayOn(ctx, scenario, o, func(s *testbed.Site) (testbed.Environment, error) { return table, nil })
+func PlayOn(ctx context.Context, scenario Scenario, options Options, on func(*Site) (Environment, error)) (*Report, error) {
+	if options.Site != "" {
+		scenario.Site = options.Site
 	}
-	s, err := Plan(sc.Site, o.Dir, o.Net, sc.Cab)
+	s, err := LayOut(scenario.Site, options.Dir, options.AddressByte, scenario.WorkerOptions)
 	if err != nil {
 		return nil, err
 	}
-	s.adapt(sc.Retire)
-	if s.Traffic.Rate = sc.Rate; sc.Rate == 0 {
+	s.addAdapters(scenario.Retire)
+	if s.Traffic.Rate = scenario.Rate; scenario.Rate == 0 {
 		s.Traffic.Rate = 25
 	}
-	p := &play{o: o, sc: sc, r: rand.New(rand.NewPCG(o.Seed, 11)), rep: &Report{Scenario: sc.Name, Site: sc.Site, Seed: o.Seed, Faults: []string{}},
-		picked: map[string][]string{}, revoked: map[string]int64{}, weights: map[uint64]int64{}, drained: map[string]int64{}}
+	p := &scenarioRun{options: options, scenario: scenario, random: rand.New(rand.NewPCG(options.Seed, 11)), report: &Report{Scenario: scenario.Name, Site: scenario.Site, Seed: options.Seed, Faults: []string{}},
+		resolved: map[string][]string{}, keyRevokedMs: map[string]int64{}, weightsNamedMs: map[uint64]int64{}, drainedMs: map[string]int64{}}
 	ground, err := on(s)
 	if err != nil {
 		return nil, err
 	}
-	if p.f, err = raise(ctx, s, o.Dir, ground, time.Duration(sc.ColdMs)*time.Millisecond); err != nil {
+	if p.fleet, err = startSite(ctx, s, options.Dir, ground, time.Duration(scenario.ColdStartMs)*time.Millisecond); err != nil {
 		return nil, err
 	}
-	defer p.f.Down()
+	defer p.fleet.Stop()
 	if err := p.beginHistory(ctx); err != nil {
 		return nil, err
 	}
 	ctx, end := context.WithCancel(ctx)
-	defer p.aside.Wait()
+	defer p.background.Wait()
 	defer end()
-	heal := s.Processes[0].Place.Bounds.HealMs
-	if sc.HealMs > 0 {
-		heal = sc.HealMs
+	heal := s.Processes[0].Settings.Bounds.HealMs
+	if scenario.RecoveryMs > 0 {
+		heal = scenario.RecoveryMs
 	}
-	tail, last := sc.TailMs, 0
+	tail, last := scenario.AfterRecoveryMs, 0
 	if tail == 0 {
 		tail = 4000
 	}
-	for _, x := range sc.Steps {
-		last = max(last, x.At)
+	for _, step := range scenario.Steps {
+		last = max(last, step.At)
 	}
-	book, t0 := &loadgen.Book{}, time.Now()
-	p.began = t0.UnixMilli()
-	caller := loadgen.NewCallerIn(ground.Dial, s.Edges)
+	log, t0 := &loadgen.OutcomeLog{}, time.Now()
+	p.startedMs = t0.UnixMilli()
+	caller := loadgen.NewClientWithDialer(ground.Dial, s.Edges)
 	defer caller.Close()
 	driving, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg, asides sync.WaitGroup
 	wg.Go(func() {
-		loadgen.Drive(driving, s.Traffic, caller, o.Seed, "s", 1<<30, book)
+		loadgen.SendTraffic(driving, s.Traffic, caller, options.Seed, "s", 1<<30, log)
 	})
-	wg.Go(func() { p.readOn(driving) })
+	wg.Go(func() { p.readUntilDone(driving) })
 	more := s.Traffic
-	more.Rate = sc.Burst
+	more.Rate = scenario.Burst
 	burst, calm := context.WithCancel(driving)
 	defer calm()
-	if sc.Burst > 0 {
-		wg.Go(func() { loadgen.Drive(burst, more, caller, o.Seed, "b", 1<<30, book) })
+	if scenario.Burst > 0 {
+		wg.Go(func() { loadgen.SendTraffic(burst, more, caller, options.Seed, "b", 1<<30, log) })
 	}
-	for _, x := range sc.Steps {
-		if err := p.await(ctx, t0, x.At); err != nil {
+	for _, step := range scenario.Steps {
+		if err := p.waitUntil(ctx, t0, step.At); err != nil {
 			return nil, err
 		}
-		if x.Aside {
-			asides.Go(func() { p.carry(ctx, t0, x) })
+		if step.Background {
+			asides.Go(func() { p.runStep(ctx, t0, step) })
 		} else {
-			p.carry(ctx, t0, x)
+			p.runStep(ctx, t0, step)
 		}
 	}
 	asides.Wait()
 	calm()
 	closed := max(time.Now().UnixMilli(), t0.UnixMilli()+int64(last))
-	if err := p.await(ctx, t0, int(closed-t0.UnixMilli())+heal+tail); err != nil {
+	if err := p.waitUntil(ctx, t0, int(closed-t0.UnixMilli())+heal+tail); err != nil {
 		return nil, err
 	}
 	stop()
 	wg.Wait()
-	return p.rep, p.settle(ctx, book, closed, heal)
+	return p.report, p.checkRun(ctx, log, closed, heal)
 }
 
-// carry carries a step out and notes how that went.
-func (p *play) carry(ctx context.Context, t0 time.Time, x Step) {
-	said := "done"
-	if err := p.step(ctx, x); err != nil {
-		if said = err.Error(); !x.Aside || errs.KindOf(err) != errs.OutcomeUnknown {
-			p.fault("step %s %s: %v", x.Do, x.Who, err)
+// runStep carries a step out and notes how that went.
+func (run *scenarioRun) runStep(ctx context.Context, startedAt time.Time, step Step) {
+	body := "done"
+	if err := run.execute(ctx, step); err != nil {
+		if body = err.Error(); !step.Background || errs.KindOf(err) != errs.OutcomeUnknown {
+			run.addFault("step %s %s: %v", step.Action, step.Targets, err)
 		}
 	}
-	names := x.Who
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, w := range strings.Fields(x.Who) {
-		if l := p.picked[w]; l != nil {
-			names = strings.Replace(names, w, strings.Join(l, " "), 1)
+	names := step.Targets
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for _, word := range strings.Fields(step.Targets) {
+		if matches := run.resolved[word]; matches != nil {
+			names = strings.Replace(names, word, strings.Join(matches, " "), 1)
 		}
 	}
-	p.rep.Steps = append(p.rep.Steps, fmt.Sprintf("%d ms: %s %s %s: %s", time.Since(t0).Milliseconds(), x.Do, names, x.To, said))
+	run.report.Steps = append(run.report.Steps, fmt.Sprintf("%d ms: %s %s %s: %s", time.Since(startedAt).Milliseconds(), step.Action, names, step.Argument, body))
 }
 
-func (p *play) await(ctx context.Context, t0 time.Time, ms int) error {
+func (run *scenarioRun) waitUntil(ctx context.Context, t0 time.Time, ms int) error {
 	t := time.NewTimer(time.Until(t0.Add(time.Duration(ms) * time.Millisecond)))
 	defer t.Stop()
 	select {
@@ -233,154 +233,154 @@
 	}
 }
 
-func (p *play) fault(format string, a ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.rep.Faults) < 50 {
-		p.rep.Faults = append(p.rep.Faults, fmt.Sprintf(format, a...))
+func (run *scenarioRun) addFault(format string, a ...any) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	if len(run.report.Faults) < 50 {
+		run.report.Faults = append(run.report.Faults, fmt.Sprintf(format, a...))
 	}
 }
 
-// who names the processes that a step means; a word means the same ones throughout a run.
-func (p *play) who(ctx context.Context, w string) ([]string, error) {
-	var l []string
-	for _, x := range strings.Fields(w) {
-		p.mu.Lock()
-		hit, ok := p.picked[x]
-		p.mu.Unlock()
+// resolveTargets names the processes that a step means; a word means the same ones throughout a run.
+func (run *scenarioRun) resolveTargets(ctx context.Context, targets string) ([]string, error) {
+	var names []string
+	for _, x := range strings.Fields(targets) {
+		run.mu.Lock()
+		matches, ok := run.resolved[x]
+		run.mu.Unlock()
 		if !ok {
 			var err error
-			if hit, err = p.word(ctx, x); err != nil {
+			if matches, err = run.resolvePattern(ctx, x); err != nil {
 				return nil, err
 			}
-			p.mu.Lock()
-			p.picked[x] = hit
-			p.mu.Unlock()
+			run.mu.Lock()
+			run.resolved[x] = matches
+			run.mu.Unlock()
 		}
-		l = append(l, hit...)
+		names = append(names, matches...)
 	}
-	if len(l) == 0 {
-		return nil, errs.New(errs.BadInput, "%q names no process", w)
+	if len(names) == 0 {
+		return nil, errs.New(errs.BadInput, "%q names no process", targets)
 	}
-	sort.Strings(l)
-	return slices.Compact(l), nil
+	sort.Strings(names)
+	return slices.Compact(names), nil
 }
 
-func (p *play) word(ctx context.Context, x string) ([]string, error) {
+func (run *scenarioRun) resolvePattern(ctx context.Context, x string) ([]string, error) {
 	if x == "@owner" {
-		n, err := p.f.owner(ctx)
-		return []string{"archive-" + n}, err
+		count, err := run.fleet.configLeader(ctx)
+		return []string{"archive-" + count}, err
 	}
-	pat, n, few := strings.Cut(x, ":")
-	var hit []string
-	for _, q := range p.f.Site.Processes {
-		if ok, err := path.Match(pat, q.Name); ok && err == nil {
-			hit = append(hit, q.Name)
+	pattern, count, limited := strings.Cut(x, ":")
+	var matches []string
+	for _, process := range run.fleet.Site.Processes {
+		if ok, err := path.Match(pattern, process.Name); ok && err == nil {
+			matches = append(matches, process.Name)
 		}
 	}
-	if few {
-		var k int
-		if _, err := fmt.Sscan(n, &k); err != nil {
+	if limited {
+		var limit int
+		if _, err := fmt.Sscan(count, &limit); err != nil {
 			return nil, errs.New(errs.BadInput, "%q: give pattern:count", x)
 		}
-		p.mu.Lock()
-		p.r.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-		p.mu.Unlock()
-		hit = hit[:min(k, len(hit))]
+		run.mu.Lock()
+		run.random.Shuffle(len(matches), func(i, j int) { matches[i], matches[j] = matches[j], matches[i] })
+		run.mu.Unlock()
+		matches = matches[:min(limit, len(matches))]
 	}
-	return hit, nil
+	return matches, nil
 }
 
-// step carries out one step.
-func (p *play) step(ctx context.Context, x Step) error {
-	switch x.Do {
+// execute carries out one step.
+func (run *scenarioRun) execute(ctx context.Context, step Step) error {
+	switch step.Action {
 	case "heal":
-		p.f.on.Heal()
+		run.fleet.env.HealLinks()
 		return nil
 	case "write", "platform", "ask", "ended", "patch", "second", "clash", "retire", "retire-ask", "retired":
-		return p.calendar(ctx, x)
+		return run.executeCalendarStep(ctx, step)
 	case "weights", "revoke", "drain", "undrain", "storm", "grow", "race", "seeds":
-		return p.operate(ctx, x)
+		return run.executeOperatorStep(ctx, step)
 	case "cut", "slow", "off", "mend":
-		return p.link(x)
+		return run.setLinks(step)
 	}
-	l, err := p.who(ctx, x.Who)
+	names, err := run.resolveTargets(ctx, step.Targets)
 	if err != nil {
 		return err
 	}
-	var b errs.Batch
-	for _, n := range l {
-		switch x.Do {
+	var batch errs.Batch
+	for _, name := range names {
+		switch step.Action {
 		case "kill":
-			b.Add(n, p.f.Signal(n, syscall.SIGKILL))
+			batch.Add(name, run.fleet.Signal(name, syscall.SIGKILL))
 		case "warn":
-			code, said := p.f.Post(ctx, p.f.rank(), "/v1/warn/"+n, nil)
+			code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/warn/"+name, nil)
 			if code != 200 {
-				b.Addf(errs.Internal, "warn %s: %d %s", n, code, said)
+				batch.Addf(errs.Internal, "warn %s: %d %s", name, code, body)
 			}
-			p.mu.Lock()
-			p.drained[n] = time.Now().UnixMilli()
-			p.mu.Unlock()
+			run.mu.Lock()
+			run.drainedMs[name] = time.Now().UnixMilli()
+			run.mu.Unlock()
 		case "term":
-			b.Add(n, p.f.Signal(n, syscall.SIGTERM))
+			batch.Add(name, run.fleet.Signal(name, syscall.SIGTERM))
 		case "freeze":
-			b.Add(n, p.f.Signal(n, syscall.SIGSTOP))
+			batch.Add(name, run.fleet.Signal(name, syscall.SIGSTOP))
 		case "thaw":
-			b.Add(n, p.f.Signal(n, syscall.SIGCONT))
+			batch.Add(name, run.fleet.Signal(name, syscall.SIGCONT))
 		case "start":
-			b.Add(n, p.f.Start(n))
+			batch.Add(name, run.fleet.Start(name))
 		case "wipe":
-			b.Add(n, p.on(n, p.f.on.Wipe))
+			batch.Add(name, run.onProcess(name, run.fleet.env.WipeDisk))
 		case "swap":
-			bin, err := p.o.binOf(x.To)
-			if b.Add(n, err); err == nil {
-				b.Add(n, p.f.swap(n, bin))
+			bin, err := run.options.programsOf(step.Argument)
+			if batch.Add(name, err); err == nil {
+				batch.Add(name, run.fleet.switchRelease(name, bin))
 			}
 		case "usurp":
-			b.Add(n, p.f.usurp(n))
+			batch.Add(name, run.fleet.startImpostor(name))
 		case "move":
-			b.Add(n, p.f.move(n))
+			batch.Add(name, run.fleet.moveAddress(name))
 		case "disk", "wall":
-			b.Add(n, p.on(n, func(q Process) error { return p.f.on.Switch(q, x.Do, x.To) }))
+			batch.Add(name, run.onProcess(name, func(q Process) error { return run.fleet.env.SetFault(q, step.Action, step.Argument) }))
 		default:
-			b.Addf(errs.BadInput, "%q: no such step", x.Do)
+			batch.Addf(errs.BadInput, "%q: no such step", step.Action)
 		}
 	}
-	return b.Err()
+	return batch.Err()
 }
 
-// link sets rules; machines are named, "*" is any, and several are joined by spaces.
-func (p *play) link(x Step) error {
+// setLinks sets rules; machines are named, "*" is any, and several are joined by spaces.
+func (run *scenarioRun) setLinks(step Step) error {
 	var err errs.Batch
-	for _, a := range strings.Fields(x.Who) {
-		to, r := x.To, Rule{Cut: true}
-		if x.Do == "slow" {
-			to, r = "*", Rule{}
-			if _, err := fmt.Sscan(x.To, &r.Bytes); err != nil {
-				return errs.New(errs.BadInput, "slow: %q: give bytes a second", x.To)
+	for _, from := range strings.Fields(step.Targets) {
+		to, rule := step.Argument, LinkRule{Cut: true}
+		if step.Action == "slow" {
+			to, rule = "*", LinkRule{}
+			if _, err := fmt.Sscan(step.Argument, &rule.BytesPerSecond); err != nil {
+				return errs.New(errs.BadInput, "slow: %q: give bytes a second", step.Argument)
 			}
 		}
-		if x.Do == "off" {
+		if step.Action == "off" {
 			to = "*"
 		}
-		if x.Do == "mend" {
-			r = Rule{}
+		if step.Action == "mend" {
+			rule = LinkRule{}
 			if to == "" {
 				to = "*"
 			}
 		}
-		for _, b := range strings.Fields(to) {
-			err.Add(x.Do, p.f.on.Link(a, b, r))
-			if x.Do != "cut" {
-				err.Add(x.Do, p.f.on.Link(b, a, r))
+		for _, peer := range strings.Fields(to) {
+			err.Add(step.Action, run.fleet.env.SetLink(from, peer, rule))
+			if step.Action != "cut" {
+				err.Add(step.Action, run.fleet.env.SetLink(peer, from, rule))
 			}
 		}
 	}
 	return err.Err()
 }
 
-func (p *play) on(name string, do func(Process) error) error {
-	q, err := p.f.process(name)
+func (run *scenarioRun) onProcess(name string, do func(Process) error) error {
+	q, err := run.fleet.process(name)
 	if err != nil {
 		return err
 	}
