--- a/internal/sim/testbed/settle.go
+++ b/internal/sim/testbed/settle.go
@@ -14,212 +14,212 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// settle checks a finished run against what must never happen.
-func (p *play) settle(ctx context.Context, book *loadgen.Book, closed int64, heal int) error {
-	js, err := p.f.Journals()
+// checkRun checks a finished run against what must never happen.
+func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.OutcomeLog, closed int64, heal int) error {
+	journals, err := run.fleet.Journals()
 	if err != nil {
 		return errs.Wrap(err, "journals")
 	}
-	p.rep.Sum = book.Settle(js, true)
-	for _, f := range p.rep.Sum.Faults {
-		p.fault("%s", f)
+	run.report.Sum = log.Summarize(journals, true)
+	for _, f := range run.report.Sum.Faults {
+		run.addFault("%s", f)
 	}
-	p.shares(book, closed, int64(heal))
-	p.keys(book, js)
-	p.workers(js)
-	p.extra(book, js)
-	orders, err := p.f.Orders()
+	run.checkSealedShares(log, closed, int64(heal))
+	run.checkRevokedKeys(log, journals)
+	run.checkWeightsAndDrains(journals)
+	run.checkRetryBudget(log, journals)
+	orders, err := run.fleet.Orders()
 	if err != nil {
 		return errs.Wrap(err, "orders")
 	}
-	for _, f := range append(commands(orders), p.retired(js, orders)...) {
-		p.fault("%s", f)
+	for _, f := range append(checkFencing(orders), run.checkOldBaseOutlivesMigration(journals, orders)...) {
+		run.addFault("%s", f)
 	}
-	if p.sc.ReadAll {
-		p.readAll(ctx)
+	if run.scenario.ReadAll {
+		run.checkReadBack(ctx)
 	}
-	p.placed(ctx)
-	p.judge()
-	sort.Strings(p.rep.Faults)
+	run.recordPlacement(ctx)
+	run.checkHistory()
+	sort.Strings(run.report.Faults)
 	return nil
 }
 
-// placed notes the placement that is in force in the end.
-func (p *play) placed(ctx context.Context) {
-	_, said := p.f.Get(ctx, p.f.Site.Operators[0], "/v1/placements/"+p.f.Site.Traffic.Model+"-main")
+// recordPlacement notes the placement that is in force in the end.
+func (run *scenarioRun) recordPlacement(ctx context.Context) {
+	_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/placements/"+run.fleet.Site.Traffic.Model+"-main")
 	var s struct {
 		Placement struct {
 			RMax       float64  `json:"r_max"`
 			Replicated []string `json:"replicated"`
 		} `json:"placement"`
 	}
-	if json.Unmarshal([]byte(said), &s) == nil { // else nobody can say, which other checks look at
-		p.rep.RMax, p.rep.Copied = s.Placement.RMax, len(s.Placement.Replicated)
+	if json.Unmarshal([]byte(body), &s) == nil { // else nobody can say, which other checks look at
+		run.report.RMax, run.report.Replicated = s.Placement.RMax, len(s.Placement.Replicated)
 	}
 }
 
-// tally adds up how many prompt tokens were found kept.
-type tally struct{ hit, all int }
+// hitCounter adds up how many prompt tokens were found kept.
+type hitCounter struct{ hit, all int }
 
-func (t *tally) add(o loadgen.Outcome) {
-	t.hit += o.Last.CachedTokens
-	t.all += o.Last.CachedTokens + o.Last.FetchedTokens + o.Last.PrefilledTokens
+func (t *hitCounter) add(o loadgen.Outcome) {
+	t.hit += o.Final.CachedTokens
+	t.all += o.Final.CachedTokens + o.Final.FetchedTokens + o.Final.PrefilledTokens
 }
 
-func (t *tally) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
+func (t *hitCounter) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
 
-// shares: service is back within the bound, and only allowed denials occur.
-func (p *play) shares(book *loadgen.Book, closed, heal int64) {
-	n, ok, dn, dok := 0, 0, 0, 0
-	var before, during, after tally
-	first := closed
-	for _, x := range p.sc.Steps {
-		if x.Do != "patch" {
-			first = min(first, p.began+int64(x.At))
+// checkSealedShares: service is back within the bound, and only allowed denials occur.
+func (run *scenarioRun) checkSealedShares(log *loadgen.OutcomeLog, closed, heal int64) {
+	afterTotal, afterSealed, duringTotal, duringSealed := 0, 0, 0, 0
+	var before, during, after hitCounter
+	firstStepMs := closed
+	for _, step := range run.scenario.Steps {
+		if step.Action != "patch" {
+			firstStepMs = min(firstStepMs, run.startedMs+int64(step.At))
 		}
 	}
-	for _, o := range book.All() {
+	for _, outcome := range log.All() {
 		switch {
-		case o.SentMs < first:
-			before.add(o)
-		case o.SentMs < closed+heal: // trouble and what it takes to get over it
-			during.add(o)
+		case outcome.SentMs < firstStepMs:
+			before.add(outcome)
+		case outcome.SentMs < closed+heal: // trouble and what it takes to get over it
+			during.add(outcome)
 		default:
-			after.add(o)
+			after.add(outcome)
 		}
-		if _, gone := p.revoked[o.Request.Key]; gone {
+		if _, gone := run.keyRevokedMs[outcome.Request.Key]; gone {
 			continue
 		}
-		if o.SentMs >= closed+heal {
-			if n++; o.Sealed {
-				ok++
+		if outcome.SentMs >= closed+heal {
+			if afterTotal++; outcome.Sealed {
+				afterSealed++
 			}
-		} else if dn++; o.Sealed {
-			dok++
+		} else if duringTotal++; outcome.Sealed {
+			duringSealed++
 		}
-		if o.Denied == "" {
+		if outcome.Rejected == "" {
 			continue
 		}
-		allowed := len(p.sc.Kinds) == 0
-		for _, k := range p.sc.Kinds {
-			allowed = allowed || k == o.Denied
+		allowed := len(run.scenario.AllowedRejections) == 0
+		for _, kind := range run.scenario.AllowedRejections {
+			allowed = allowed || kind == outcome.Rejected
 		}
-		if !allowed || strings.HasPrefix(o.Denied, "untyped") {
-			p.fault("%s: rejected as %s", o.Request.ID, o.Denied)
+		if !allowed || strings.HasPrefix(outcome.Rejected, "untyped") {
+			run.addFault("%s: rejected as %s", outcome.Request.ID, outcome.Rejected)
 		}
 	}
-	p.rep.Hits = [3]float64{before.share(), during.share(), after.share()}
-	if n > 0 {
-		p.rep.Healed = float64(ok) / float64(n)
+	run.report.HitShares = [3]float64{before.share(), during.share(), after.share()}
+	if afterTotal > 0 {
+		run.report.SealedAfterRecovery = float64(afterSealed) / float64(afterTotal)
 	}
-	if dn > 0 {
-		p.rep.During = float64(dok) / float64(dn)
+	if duringTotal > 0 {
+		run.report.SealedDuring = float64(duringSealed) / float64(duringTotal)
 	}
-	if p.rep.Healed < 0.97 {
-		p.fault("service is not back: %.3f of %d requests sealed from %d ms after the last step on", p.rep.Healed, n, heal)
+	if run.report.SealedAfterRecovery < 0.97 {
+		run.addFault("service is not back: %.3f of %d requests sealed from %d ms after the last step on", run.report.SealedAfterRecovery, afterTotal, heal)
 	}
-	if all := float64(p.rep.Sum.Sealed) / float64(max(1, p.rep.Sum.Requests)); all < p.sc.Least {
-		p.fault("only %.3f of all requests sealed, at least %.3f are due", all, p.sc.Least)
+	if all := float64(run.report.Sum.Sealed) / float64(max(1, run.report.Sum.Requests)); all < run.scenario.MinSealedShare {
+		run.addFault("only %.3f of all requests sealed, at least %.3f are due", all, run.scenario.MinSealedShare)
 	}
 }
 
-// keys: a revoked key works no longer than its bound, by when its requests were sent and by when
+// checkRevokedKeys: a revoked key works no longer than its bound, by when its requests were sent and by when
 // workers began them.
-func (p *play) keys(book *loadgen.Book, js map[string][]workersim.Run) {
-	gone := map[string]int64{} // request -> when its key was revoked
-	for _, o := range book.All() {
-		if at, ok := p.revoked[o.Request.Key]; ok {
-			gone[o.Request.ID] = at
+func (run *scenarioRun) checkRevokedKeys(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
+	revokedMs := map[string]int64{} // request -> when its key was revoked
+	for _, outcome := range log.All() {
+		if revokedAtMs, ok := run.keyRevokedMs[outcome.Request.Key]; ok {
+			revokedMs[outcome.Request.ID] = revokedAtMs
 		}
 	}
-	for name, l := range js {
-		for _, r := range l {
-			if at, ok := gone[r.RequestID]; ok && r.AtMs > at+int64(p.f.Site.Processes[0].Place.Bounds.KeyRevocationMs) {
-				p.fault("%s started %s %d ms after its key was revoked", name, r.RequestID, r.AtMs-at)
+	for name, runs := range journals {
+		for _, workerRun := range runs {
+			if revokedAtMs, ok := revokedMs[workerRun.RequestID]; ok && workerRun.AtMs > revokedAtMs+int64(run.fleet.Site.Processes[0].Settings.Bounds.KeyRevocationMs) {
+				run.addFault("%s started %s %d ms after its key was revoked", name, workerRun.RequestID, workerRun.AtMs-revokedAtMs)
 			}
 		}
 	}
-	bound := int64(p.f.Site.Processes[0].Place.Bounds.KeyRevocationMs)
+	bound := int64(run.fleet.Site.Processes[0].Settings.Bounds.KeyRevocationMs)
 	late, rejected := 0, 0
-	for _, o := range book.All() {
-		at, gone := p.revoked[o.Request.Key]
-		if !gone || o.SentMs < at+bound {
+	for _, outcome := range log.All() {
+		revokedAtMs, revokedMs := run.keyRevokedMs[outcome.Request.Key]
+		if !revokedMs || outcome.SentMs < revokedAtMs+bound {
 			continue
 		}
-		if o.Sealed || o.Broken != "" {
+		if outcome.Sealed || outcome.Interrupted != "" {
 			late++
-			p.fault("%s: a key revoked %d ms before was let in", o.Request.ID, o.SentMs-at)
-		} else if o.Denied == "bad-key" {
+			run.addFault("%s: a key revoked %d ms before was let in", outcome.Request.ID, outcome.SentMs-revokedAtMs)
+		} else if outcome.Rejected == "bad-key" {
 			rejected++
 		}
 	}
-	if len(p.revoked) > 0 && late == 0 && rejected == 0 {
-		p.fault("no request came with the revoked key: the check saw nothing")
+	if len(run.keyRevokedMs) > 0 && late == 0 && rejected == 0 {
+		run.addFault("no request came with the revoked key: the check saw nothing")
 	}
 }
 
-// workers: older weights start no later than their bound; drained workers get nothing.
-func (p *play) workers(js map[string][]workersim.Run) {
-	b := p.f.Site.Processes[0].Place.Bounds
+// checkWeightsAndDrains: older weights start no later than their bound; drained workers get nothing.
+func (run *scenarioRun) checkWeightsAndDrains(journals map[string][]workersim.Run) {
+	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	newer := map[uint64]int{}
-	for name, l := range js {
-		for _, r := range l {
-			for w, at := range p.weights {
-				if r.Weights < w && r.AtMs > at+int64(b.WeightsMs) {
-					p.fault("%s started %s on weights %d, %d ms after %d were acknowledged", name, r.RequestID, r.Weights, r.AtMs-at, w)
+	for name, runs := range journals {
+		for _, workerRun := range runs {
+			for weights, atMs := range run.weightsNamedMs {
+				if workerRun.Weights < weights && workerRun.AtMs > atMs+int64(bounds.WeightsMs) {
+					run.addFault("%s started %s on weights %d, %d ms after %d were acknowledged", name, workerRun.RequestID, workerRun.Weights, workerRun.AtMs-atMs, weights)
 				}
-				if r.Weights >= w {
-					newer[w]++
+				if workerRun.Weights >= weights {
+					newer[weights]++
 				}
 			}
-			if at, ok := p.drained[name]; ok && r.AtMs > at+int64(b.LeaveMs) {
-				p.fault("%s started %s %d ms after it was drained", name, r.RequestID, r.AtMs-at)
+			if atMs, ok := run.drainedMs[name]; ok && workerRun.AtMs > atMs+int64(bounds.LeaveMs) {
+				run.addFault("%s started %s %d ms after it was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
 			}
 		}
 	}
-	for w := range p.weights {
-		if newer[w] == 0 {
-			p.fault("nothing ever ran on weights %d", w)
+	for weights := range run.weightsNamedMs {
+		if newer[weights] == 0 {
+			run.addFault("nothing ever ran on weights %d", weights)
 		}
 	}
 }
 
-// extra: second runs of a service's requests, in any ten seconds, against the share of its
+// checkRetryBudget: second runs of a service's requests, in any ten seconds, against the share of its
 // requests and the site's allowance.
-func (p *play) extra(book *loadgen.Book, js map[string][]workersim.Run) {
-	b := p.f.Site.Processes[0].Place.Bounds
+func (run *scenarioRun) checkRetryBudget(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
+	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	seen := map[string]bool{}
 	var all []workersim.Run
-	for _, l := range js {
-		all = append(all, l...)
+	for _, runs := range journals {
+		all = append(all, runs...)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].AtMs < all[j].AtMs })
 	var extra, first []int64
-	for _, r := range all {
-		if seen[r.RequestID] {
-			extra = append(extra, r.AtMs)
+	for _, workerRun := range all {
+		if seen[workerRun.RequestID] {
+			extra = append(extra, workerRun.AtMs)
 		}
-		seen[r.RequestID] = true
+		seen[workerRun.RequestID] = true
 	}
-	for _, o := range book.All() {
-		if !o.Request.App {
-			first = append(first, o.SentMs)
+	for _, outcome := range log.All() {
+		if !outcome.Request.App {
+			first = append(first, outcome.SentMs)
 		}
 	}
-	p.rep.Extra = len(extra)
-	allow := float64(max(b.RetryAllowance, len(p.f.Site.Edges))) // an edge's part is one at least
-	if e, f := worst(extra, first, int64(b.RetryWindowMs), float64(b.RetryPercent)/100); float64(e) > float64(b.RetryPercent)/100*float64(f)+allow {
-		p.fault("%d extra runs on %d requests in ten seconds", e, f)
+	run.report.ExtraRuns = len(extra)
+	allow := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // an edge's part is one at least
+	if extraRuns, firstRuns := worstWindow(extra, first, int64(bounds.RetryWindowMs), float64(bounds.RetryPercent)/100); float64(extraRuns) > float64(bounds.RetryPercent)/100*float64(firstRuns)+allow {
+		run.addFault("%d extra runs on %d requests in ten seconds", extraRuns, firstRuns)
 	}
 }
 
-// worst finds the window, wherever it begins, that holds the most extra runs over the share of
+// worstWindow finds the window, wherever it begins, that holds the most extra runs over the share of
 // its requests. A run may begin up to a tenth of the window after its request earned it.
-func worst(extra, first []int64, span int64, share float64) (e, f int) {
+func worstWindow(extra, first []int64, span int64, share float64) (extraRuns, firstRuns int) {
 	slices.Sort(extra)
 	slices.Sort(first)
-	count := func(l []int64, from, to int64) int { // from <= t < to
-		at := func(t int64) int { i, _ := slices.BinarySearch(l, t); return i }
+	count := func(times []int64, from, to int64) int { // from <= t < to
+		at := func(t int64) int { i, _ := slices.BinarySearch(times, t); return i }
 		return at(to) - at(from)
 	}
 	var begins []int64
@@ -229,61 +229,61 @@
 	for _, t := range first {
 		begins = append(begins, t+1)
 	}
-	most := 0.0
+	worstExcess := 0.0
 	for _, t := range begins {
-		n, m := count(extra, t, t+span), count(first, t-span/10, t+span)
-		if over := float64(n) - share*float64(m); n > 0 && (over > most || e == 0) {
-			most, e, f = over, n, m
+		runs, requests := count(extra, t, t+span), count(first, t-span/10, t+span)
+		if over := float64(runs) - share*float64(requests); runs > 0 && (over > worstExcess || extraRuns == 0) {
+			worstExcess, extraRuns, firstRuns = over, runs, requests
 		}
 	}
-	return e, f
+	return extraRuns, firstRuns
 }
 
-// readAll: every operator address tells the same setup, no older than what was acknowledged.
-func (p *play) readAll(ctx context.Context) {
+// checkReadBack: every operator address tells the same setup, no older than what was acknowledged.
+func (run *scenarioRun) checkReadBack(ctx context.Context) {
 	bodies := map[string][]string{}
-	for _, a := range p.f.Site.Operators {
-		code, said := p.f.Get(ctx, a, "/v1/setup")
-		var s struct {
+	for _, addr := range run.fleet.Site.Operators {
+		code, body := run.fleet.Get(ctx, addr, "/v1/setup")
+		var answer struct {
 			Epoch int64           `json:"epoch"`
 			Setup json.RawMessage `json:"setup"`
 		}
-		if code != 200 || json.Unmarshal([]byte(said), &s) != nil {
-			p.fault("%s doesn't read the setup back: %d %.200s", a, code, said)
+		if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
+			run.addFault("%s doesn't read the setup back: %d %.200s", addr, code, body)
 			continue
 		}
-		if s.Epoch < p.acked {
-			p.fault("%s reads epoch %d back, %d was acknowledged", a, s.Epoch, p.acked)
+		if answer.Epoch < run.acknowledgedVersion {
+			run.addFault("%s reads epoch %d back, %d was acknowledged", addr, answer.Epoch, run.acknowledgedVersion)
 		}
-		k := fmt.Sprintf("%d %s", s.Epoch, s.Setup)
-		bodies[k] = append(bodies[k], a)
+		content := fmt.Sprintf("%d %s", answer.Epoch, answer.Setup)
+		bodies[content] = append(bodies[content], addr)
 	}
 	if len(bodies) > 1 {
-		p.fault("%d different setups are read back", len(bodies))
+		run.addFault("%d different setups are read back", len(bodies))
 	}
 }
 
-// relay puts links into the path of a site: others are told a relay's address.
-func (s *Site) relay(l *Links, net int) error {
+// addRelays puts links into the path of a site: others are told a relay's address.
+func (s *Site) addRelays(links *Links, net int) error {
 	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
 	to := func(a string) string { return strings.Replace(a, old, via, 1) }
-	var b errs.Batch
+	var batch errs.Batch
 	for i := range s.Processes {
-		p := &s.Processes[i].Place
-		l.Name(strings.Split(p.Listen, ":")[0], p.Name)
-		b.Add("relay", l.Relay(to(p.Listen), p.Listen, p.Name))
-		p.Advertise = to(p.Listen)
+		process := &s.Processes[i].Settings
+		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
+		batch.Add("relay", links.Relay(to(process.Listen), process.Listen, process.Name))
+		process.Advertise = to(process.Listen)
 		switch s.Processes[i].Program {
 		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
-			b.Add("relay", l.Relay(to(p.Public), p.Public, p.Name))
+			batch.Add("relay", links.Relay(to(process.Public), process.Public, process.Name))
 		}
-		for j := range p.Seeds {
-			p.Seeds[j] = strings.Replace(p.Seeds[j], old, via, 1)
+		for j := range process.Seeds {
+			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
 		}
-		p.WorkerList = to(p.WorkerList)
+		process.WorkerList = to(process.WorkerList)
 	}
-	for i := range s.List {
-		s.List[i].Addr = to(s.List[i].Addr)
+	for i := range s.WorkerList {
+		s.WorkerList[i].Addr = to(s.WorkerList[i].Addr)
 	}
-	return b.Err()
+	return batch.Err()
 }
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -18,24 +18,24 @@
 // Example: fmt.Println(testbed.Line(rep))
 func Line(r *Report) string {
 	return fmt.Sprintf("%-16s %-7s seed %d: sealed %d of %d, during %.3f, after healing %.3f, hit share %.2f %.2f %.2f, extra runs %d, denied %v, broken %d, faults %d",
-		r.Scenario, r.Site, r.Seed, r.Sum.Sealed, r.Sum.Requests, r.During, r.Healed, r.Hits[0], r.Hits[1], r.Hits[2], r.Extra, r.Sum.Denied, r.Sum.Broken, len(r.Faults))
+		r.Scenario, r.Site, r.Seed, r.Sum.Sealed, r.Sum.Requests, r.SealedDuring, r.SealedAfterRecovery, r.HitShares[0], r.HitShares[1], r.HitShares[2], r.ExtraRuns, r.Sum.Rejected, r.Sum.Interrupted, len(r.Faults))
 }
 
-var lineForm = regexp.MustCompile(`(\S+) +(paramo|daegu) +seed \d+: sealed (\d+) of (\d+), during ([\d.]+), after (?:healing )?([\d.]+),.* extra runs (\d+), denied map\[[^]]*\](?:, broken \d+, faults (\d+))?`)
+var linePattern = regexp.MustCompile(`(\S+) +(paramo|daegu) +seed \d+: sealed (\d+) of (\d+), during ([\d.]+), after (?:healing )?([\d.]+),.* extra runs (\d+), denied map\[[^]]*\](?:, broken \d+, faults (\d+))?`)
 
-// run is what one line says.
-type run struct{ sealed, during, after, extra, faults float64 }
+// tallyRow is what one line says.
+type tallyRow struct{ sealed, during, after, extra, faults float64 }
 
 // Tally draws a table from the lines of many runs: how many, the median and the worst of what
 // was sealed, and every fault. Mixtures count as one row a site.
 //
 // Example: err := testbed.Tally(os.Stdin, os.Stdout)
 func Tally(in io.Reader, out io.Writer) error {
-	rows := map[string][]run{}
+	rows := map[string][]tallyRow{}
 	b := bufio.NewScanner(in)
 	b.Buffer(nil, 1<<20)
 	for b.Scan() {
-		m := lineForm.FindStringSubmatch(b.Text())
+		m := linePattern.FindStringSubmatch(b.Text())
 		if m == nil {
 			continue
 		}
@@ -53,7 +53,7 @@
 			name = "mixtures"
 		}
 		k := name + " | " + m[2]
-		rows[k] = append(rows[k], run{n[3] / max(1, n[4]), n[5], n[6], n[7], n[8]})
+		rows[k] = append(rows[k], tallyRow{n[3] / max(1, n[4]), n[5], n[6], n[7], n[8]})
 	}
 	if err := b.Err(); err != nil {
 		return errs.Wrap(err, "read lines")
@@ -64,7 +64,7 @@
 	fmt.Fprintln(out, "| scenario | site | runs | faults | sealed | during | after | extra runs |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, k := range queue.Keys(rows) {
 		l := rows[k]
-		col := func(f func(run) float64) string {
+		col := func(f func(tallyRow) float64) string {
 			var v []float64
 			for _, x := range l {
 				v = append(v, f(x))
@@ -76,8 +76,8 @@
 		for _, x := range l {
 			faults, extra = faults+x.faults, max(extra, x.extra)
 		}
-		fmt.Fprintf(out, "| %s | %d | %.0f | %s | %s | %s | %.0f at most |\n", k, len(l), faults, col(func(x run) float64 { return x.sealed }),
-			col(func(x run) float64 { return x.during }), col(func(x run) float64 { return x.after }), extra)
+		fmt.Fprintf(out, "| %s | %d | %.0f | %s | %s | %s | %.0f at most |\n", k, len(l), faults, col(func(x tallyRow) float64 { return x.sealed }),
+			col(func(x tallyRow) float64 { return x.during }), col(func(x tallyRow) float64 { return x.after }), extra)
 	}
 	return nil
 }
--- a/internal/sim/testbed/upgrade.go
+++ b/internal/sim/testbed/upgrade.go
@@ -12,12 +12,12 @@
 	"pebbleloom/internal/errs"
 )
 
-// younger are the settings that the first release doesn't know yet: it is started without.
-var younger = map[string][]string{"": {"operator_key"}, "bounds": {"try_allow", "once_ms"}}
+// settingsAddedLater are the settings that the first release doesn't know yet: it is started without.
+var settingsAddedLater = map[string][]string{"": {"operator_key"}, "bounds": {"try_allow", "once_ms"}}
 
-// forOld is a place as the first release reads it.
-func forOld(p Process) (map[string]any, error) {
-	raw, err := json.Marshal(p.Place)
+// settingsForEarlierRelease is a place as the first release reads it.
+func settingsForEarlierRelease(p Process) (map[string]any, error) {
+	raw, err := json.Marshal(p.Settings)
 	if err != nil {
 		return nil, errs.Wrap(err, "write settings")
 	}
@@ -25,7 +25,7 @@
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, errs.Wrap(err, "write settings")
 	}
-	for in, ks := range younger {
+	for in, ks := range settingsAddedLater {
 		for _, k := range ks {
 			if in == "" {
 				delete(m, k)
@@ -37,8 +37,8 @@
 	return m, nil
 }
 
-// swap stops a process and starts it from another folder of programs.
-func (f *Fleet) swap(name, bin string) error {
+// switchRelease stops a process and starts it from another folder of programs.
+func (f *Fleet) switchRelease(name, bin string) error {
 	for i := range f.Site.Processes {
 		p := &f.Site.Processes[i]
 		if p.Name != name {
@@ -47,10 +47,10 @@
 		if err := f.Signal(name, syscall.SIGTERM); err != nil {
 			return err
 		}
-		<-time.After(p.Place.Bounds.Leave(0.3)) // it hands over and ends its streams
-		_ = f.Signal(name, syscall.SIGKILL)     // it may have ended by itself
+		<-time.After(p.Settings.Bounds.Leave(0.3)) // it hands over and ends its streams
+		_ = f.Signal(name, syscall.SIGKILL)        // it may have ended by itself
 		p.Bin = bin
-		if err := f.on.Put(*p); err != nil {
+		if err := f.env.WriteSettings(*p); err != nil {
 			return err
 		}
 		return f.Start(name)
@@ -62,14 +62,14 @@
 // under traffic, and back: core machines first on the way up, and last on the way down.
 //
 // Example: rep, err := testbed.Upgrade(ctx, testbed.Options{Site: "paramo", Bin: "bin", Old: "/tmp/old-bin", Dir: dir, Net: 10})
-func Upgrade(ctx context.Context, o Options) (*Report, error) {
-	sc := Scenario{Name: "upgrade", About: "an earlier release is upgraded machine by machine, and back", Site: o.Site, Rate: 25, ReadAll: true, Least: 0.97}
+func Upgrade(ctx context.Context, options Options) (*Report, error) {
+	scenario := Scenario{Name: "upgrade", About: "an earlier release is upgraded machine by machine, and back", Site: options.Site, Rate: 25, ReadAll: true, MinSealedShare: 0.97}
 	var ms []string
 	for i := range 4 {
-		ms = append(ms, each(onCore, []string{fmt.Sprintf("core-%d", i+1)}))
+		ms = append(ms, expandNames(coreProcesses, []string{fmt.Sprintf("core-%d", i+1)}))
 	}
 	for i := range 9 {
-		ms = append(ms, each(onEdge, []string{fmt.Sprintf("edge-%d", i+1)}))
+		ms = append(ms, expandNames(edgeProcesses, []string{fmt.Sprintf("edge-%d", i+1)}))
 	}
 	at := 1000
 	for i := range 2 * len(ms) {
@@ -77,43 +77,43 @@
 		if i >= len(ms) {
 			to, m = "old", ms[2*len(ms)-1-i]
 		}
-		sc.Steps = append(sc.Steps, Step{At: at, Do: "swap", Who: m, To: to})
+		scenario.Steps = append(scenario.Steps, Step{At: at, Action: "swap", Targets: m, Argument: to})
 		if at += 3000; i%5 == 2 {
-			sc.Steps = append(sc.Steps, Step{At: at - 500, Do: "storm", To: "3"})
+			scenario.Steps = append(scenario.Steps, Step{At: at - 500, Action: "storm", Argument: "3"})
 		}
 	}
-	return PlayOn(ctx, sc, o, func(s *Site) (Ground, error) {
+	return PlayOn(ctx, scenario, options, func(s *Site) (Environment, error) {
 		for i := range s.Processes {
 			p := &s.Processes[i]
-			if strings.HasPrefix(p.Place.Name, "core-") || strings.HasPrefix(p.Place.Name, "edge-") {
-				p.Bin = o.Old
+			if strings.HasPrefix(p.Settings.Name, "core-") || strings.HasPrefix(p.Settings.Name, "edge-") {
+				p.Bin = options.EarlierRelease
 			}
 		}
-		m := newMachines(o.Dir, o.Bin)
-		m.old = o.Old
+		m := newLocalEnvironment(options.Dir, options.Programs)
+		m.earlierRelease = options.EarlierRelease
 		return m, nil
 	})
 }
 
-// settingsOf writes a process's settings as its release reads them.
-func (m *machines) settingsOf(p Process) error {
-	if m.old == "" || p.Bin != m.old {
-		return put(m.dir, p.Name+".json", p.Place)
+// writeSettings writes a process's settings as its release reads them.
+func (env *localEnvironment) writeSettings(p Process) error {
+	if env.earlierRelease == "" || p.Bin != env.earlierRelease {
+		return writeJSON(env.dir, p.Name+".json", p.Settings)
 	}
-	v, err := forOld(p)
+	v, err := settingsForEarlierRelease(p)
 	if err != nil {
 		return err
 	}
-	return put(m.dir, p.Name+".json", v)
+	return writeJSON(env.dir, p.Name+".json", v)
 }
 
-// binOf is the folder that a word of an upgrade means.
-func (o Options) binOf(word string) (string, error) {
+// programsOf is the folder that a word of an upgrade means.
+func (options Options) programsOf(word string) (string, error) {
 	switch word {
 	case "new":
-		return filepath.Clean(o.Bin), nil
+		return filepath.Clean(options.Programs), nil
 	case "old":
-		return o.Old, nil
+		return options.EarlierRelease, nil
 	}
 	return "", errs.New(errs.BadInput, "swap to %q: give old or new", word)
 }
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -9,14 +9,14 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Ran is what a run of a site has shown.
-type Ran struct {
-	loadgen.Sum
-	Usage map[string]Use `json:"usage"`
+// RunResult is what a run of a site has shown.
+type RunResult struct {
+	loadgen.Summary
+	Usage map[string]ResourceUsage `json:"usage"`
 }
 
-// Use is what a program's processes have used, the one that used most.
-type Use struct {
+// ResourceUsage is what a program's processes have used, the one that used most.
+type ResourceUsage struct {
 	Processes int     `json:"processes"`
 	PeakMB    float64 `json:"peak_mb"`     // resident, at the most
 	CPUShare  float64 `json:"cpu_percent"` // of one core, since it started
@@ -25,29 +25,29 @@
 // Usage reads what the running processes have used, by program.
 //
 // Example: for prog, u := range f.Usage() { fmt.Println(prog, u.PeakMB) }
-func (f *Fleet) Usage() map[string]Use {
-	m := map[string]Use{}
-	on, real := f.on.(*machines)
+func (f *Fleet) Usage() map[string]ResourceUsage {
+	m := map[string]ResourceUsage{}
+	on, real := f.env.(*localEnvironment)
 	if !real {
 		return m
 	}
 	for _, p := range f.Site.Processes {
 		on.mu.Lock()
-		c := on.proc[p.Name]
+		c := on.processes[p.Name]
 		on.mu.Unlock()
 		if c == nil || c.Process == nil {
 			continue
 		}
 		u := m[p.Program]
 		u.Processes++
-		u.PeakMB = max(u.PeakMB, peak(c.Process.Pid))
-		u.CPUShare = max(u.CPUShare, cpu(c.Process.Pid))
+		u.PeakMB = max(u.PeakMB, peakMemoryMB(c.Process.Pid))
+		u.CPUShare = max(u.CPUShare, cpuPercent(c.Process.Pid))
 		m[p.Program] = u
 	}
 	return m
 }
 
-func peak(pid int) float64 {
+func peakMemoryMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0 // it has ended
@@ -62,8 +62,8 @@
 	return 0
 }
 
-// cpu is the share of one core since the process started, in percent.
-func cpu(pid int) float64 {
+// cpuPercent is the share of one core since the process started, in percent.
+func cpuPercent(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	up, err2 := os.ReadFile("/proc/uptime")
 	if err != nil || err2 != nil {
--- a/internal/sim/testbed/yard_test.go
+++ b/internal/sim/testbed/yard_test.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-var built = sync.OnceValues(func() (string, error) {
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	bin, err := os.MkdirTemp("", "pebbleloom-bin-")
 	if err != nil {
 		return "", err
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if bin, err := built(); err == nil {
+	if bin, err := buildPrograms(); err == nil {
 		os.RemoveAll(bin)
 	}
 	os.Exit(code)
@@ -37,7 +37,7 @@
 // builtPrograms builds all programs once for the fleet tests.
 func builtPrograms(t *testing.T) string {
 	t.Helper()
-	bin, err := built()
+	bin, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	for i, site := range Sites() {
 		t.Run(site, func(t *testing.T) {
 			dir := t.TempDir()
-			sum, err := Run(context.Background(), Options{Site: site, Dir: dir, Bin: bin, Seconds: 6, Net: 30 + i, Seed: 1, Rate: 15})
+			sum, err := Run(context.Background(), Options{Site: site, Dir: dir, Programs: bin, Seconds: 6, AddressByte: 30 + i, Seed: 1, Rate: 15})
 			if err != nil {
 				for _, n := range []string{"archive-core-1", "runner-edge-1", "dispatcher-edge-1", "appraiser-core-1"} {
 					if raw, e := os.ReadFile(filepath.Join(dir, n+".log")); e == nil {
@@ -64,9 +64,9 @@
 				t.Errorf("faults: %v", sum.Faults)
 			}
 			if sum.Sealed < sum.Requests*8/10 {
-				t.Errorf("%d of %d sealed; denied: %v", sum.Sealed, sum.Requests, sum.Denied)
+				t.Errorf("%d of %d sealed; denied: %v", sum.Sealed, sum.Requests, sum.Rejected)
 			}
-			if sum.Hit == 0 {
+			if sum.CachedTokens == 0 {
 				t.Error("no kept prefix was ever used again")
 			}
 		})
@@ -80,22 +80,22 @@
 	if err != nil || len(l) < 20 {
 		t.Fatalf("%d scenarios, %v", len(l), err)
 	}
-	for _, sc := range l {
-		if sc.Name != "owner-killed" {
+	for _, scenario := range l {
+		if scenario.Name != "owner-killed" {
 			continue
 		}
-		sc.Rate, sc.TailMs = 12, 2000
-		rep, err := Play(context.Background(), sc, Options{Dir: t.TempDir(), Bin: builtPrograms(t), Net: 33, Seed: 1})
+		scenario.Rate, scenario.AfterRecoveryMs = 12, 2000
+		report, err := Play(context.Background(), scenario, Options{Dir: t.TempDir(), Programs: builtPrograms(t), AddressByte: 33, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, f := range rep.Faults {
+		for _, f := range report.Faults {
 			t.Error(f)
 		}
-		if rep.Judged < 60 {
-			t.Errorf("only %d operations on the configuration were judged", rep.Judged)
+		if report.Judged < 60 {
+			t.Errorf("only %d operations on the configuration were judged", report.Judged)
 		}
-		t.Logf("%s: sealed %d of %d; %d operations judged, %d unclear attempts; %v", sc.Name, rep.Sum.Sealed, rep.Sum.Requests, rep.Judged, rep.Unclear, rep.Steps)
+		t.Logf("%s: sealed %d of %d; %d operations judged, %d unclear attempts; %v", scenario.Name, report.Sum.Sealed, report.Sum.Requests, report.Judged, report.Unclear, report.Steps)
 	}
 }
 
@@ -110,7 +110,7 @@
 		extra       []int64
 		e, least, f int
 	}{{[]int64{5000, 5001, 5002}, 3, 40, 100}, {[]int64{18000, 18001, 18002, 18003}, 4, 0, 30}, {nil, 0, 0, 0}} {
-		if e, f := worst(x.extra, first, 10000, 0.2); e != x.e || f < x.least || f > x.f {
+		if e, f := worstWindow(x.extra, first, 10000, 0.2); e != x.e || f < x.least || f > x.f {
 			t.Errorf("%v: %d extra runs on %d requests", x.extra, e, f)
 		}
 	}
@@ -118,10 +118,10 @@
 
 // The table of many runs is drawn from their lines, and loses neither a run nor a fault.
 func TestTally(t *testing.T) {
-	r := &Report{Scenario: "mix-3", Site: "daegu", Seed: 3, During: 0.9, Healed: 1}
-	r.Sum.Sealed, r.Sum.Requests, r.Sum.Denied = 8, 10, map[string]int{"not-run": 2}
+	r := &Report{Scenario: "mix-3", Site: "daegu", Seed: 3, SealedDuring: 0.9, SealedAfterRecovery: 1}
+	r.Sum.Sealed, r.Sum.Requests, r.Sum.Rejected = 8, 10, map[string]int{"not-run": 2}
 	bad := *r
-	bad.Scenario, bad.Faults, bad.Extra = "mix-4", []string{"one", "two"}, 3
+	bad.Scenario, bad.Faults, bad.ExtraRuns = "mix-4", []string{"one", "two"}, 3
 	var out strings.Builder
 	if err := Tally(strings.NewReader("noise\n"+Line(r)+"\n  "+Line(&bad)+"\n"), &out); err != nil || !strings.Contains(out.String(), "| mixtures | daegu | 2 | 2 | 0.800, worst 0.800 | 0.900, worst 0.900 | 1.000, worst 1.000 | 3 at most |") {
 		t.Errorf("%v\n%s", err, out.String())
@@ -135,7 +135,7 @@
 // no fault.
 func TestTwoCommandersAreSeen(t *testing.T) {
 	o := func(at int64, fence uint64, holder string) workersim.Run {
-		return workersim.Run{AtMs: at, Fence: fence, Holder: holder}
+		return workersim.Run{AtMs: at, FencingToken: fence, Holder: holder}
 	}
 	for name, x := range map[string]struct {
 		orders map[string][]workersim.Run
@@ -145,7 +145,7 @@
 		"two under one fence": {map[string][]workersim.Run{"w1": {o(1, 1, "a")}, "w2": {o(2, 1, "b")}}, 1},
 		"a worker goes back":  {map[string][]workersim.Run{"w1": {o(1, 2, "b"), o(1, 1, "a")}}, 1},
 	} {
-		if f := commands(x.orders); len(f) != x.faults {
+		if f := checkFencing(x.orders); len(f) != x.faults {
 			t.Errorf("%s: %v", name, f)
 		}
 	}
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -22,7 +22,7 @@
 	for name, x := range map[string]struct {
 		by     time.Duration // from now; zero: none
 		inc    string
-		change func(*Cab)
+		change func(*Worker)
 		why    string // empty: it runs
 		within time.Duration
 	}{
@@ -30,7 +30,7 @@
 		"its time is long enough": {9 * time.Second, "", nil, "", 11 * time.Second},
 		"its time ends in line":   {2 * time.Second, "", nil, "full", 2 * time.Second},
 		"its time was over":       {-time.Second, "", nil, "full", 0},
-		"newer weights":           {0, "", func(c *Cab) { c.weights = 2 }, "weights", 6 * time.Second},
+		"newer weights":           {0, "", func(c *Worker) { c.weights = 2 }, "weights", 6 * time.Second},
 		"another life":            {0, "cab-1/before", nil, "incarnation", 6 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			l := daemon.NewIn(w, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
 				Options: []string{"log=off", "model=m", "slots=1", "fixed_us=5000000", "token_us=0", "square_us=0"}})
 			defer l.Stop(0)
-			c, err := open(l)
+			c, err := openWorker(l)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -47,7 +47,7 @@
 				s.Model, s.Weights, s.Parts, s.WaitMs, s.Chunks = "m", 1, []string{s.RequestID}, 60000, 1
 				raw, _ := json.Marshal(s) // plain fields: can't fail
 				r := httptest.NewRecorder()
-				c.start(r, httptest.NewRequest("POST", "/v1/start", strings.NewReader(string(raw))))
+				c.serveStart(r, httptest.NewRequest("POST", "/v1/start", strings.NewReader(string(raw))))
 				return r
 			}
 			var first sync.WaitGroup
--- a/internal/sim/workersim/cab_test.go
+++ b/internal/sim/workersim/cab_test.go
@@ -91,19 +91,19 @@
 
 // The longest unused goes first, reports are numbered, and one lost on the way is a gap.
 func TestCacheAndReports(t *testing.T) {
-	k := NewKV(100)
-	k.Keep("a", 40)
-	k.Keep("b", 40)
-	k.Has("a")
-	k.Turn(false, 1)
-	k.Keep("c", 40) // b goes
-	k.Turn(true, 1)
-	k.Keep("d", 20)
-	k.Turn(false, 1)
-	if _, ok := k.Has("b"); ok {
+	k := NewCache(100)
+	k.Store("a", 40)
+	k.Store("b", 40)
+	k.Lookup("a")
+	k.CloseReport(false, 1)
+	k.Store("c", 40) // b goes
+	k.CloseReport(true, 1)
+	k.Store("d", 20)
+	k.CloseReport(false, 1)
+	if _, ok := k.Lookup("b"); ok {
 		t.Error("b was used longest ago, and is still held")
 	}
-	if _, ok := k.Has("a"); !ok {
+	if _, ok := k.Lookup("a"); !ok {
 		t.Error("a was used after b, and is gone")
 	}
 	r := k.Reports(0, false, 1)
@@ -116,7 +116,7 @@
 	if w := k.Reports(0, true, 1); !w.Complete || len(w.Cached) != 3 {
 		t.Errorf("%+v", w)
 	}
-	k.Keep("huge", 101)
+	k.Store("huge", 101)
 	if used, room := k.Used(); used != 100 || room != 100 {
 		t.Errorf("%d of %d", used, room)
 	}
--- a/internal/sim/workersim/kv.go
+++ b/internal/sim/workersim/kv.go
@@ -10,137 +10,139 @@
 	"pebbleloom/internal/contract"
 )
 
-// KV is a worker's cache of kept prefixes: the longest unused goes first.
-type KV struct {
-	mu     sync.Mutex
-	room   int // tokens
-	used   int
-	order  *list.List
-	at     map[string]*list.Element
-	number uint64
-	now    contract.CacheReport
-	past   []contract.CacheReport
-	turned []time.Duration // when each of the past was closed
+// Cache is a worker's cache of kept prefixes: the longest unused goes first.
+type Cache struct {
+	mu            sync.Mutex
+	capacity      int // tokens
+	used          int
+	order         *list.List
+	entries       map[string]*list.Element
+	number        uint64
+	openReport    contract.CacheReport
+	closedReports []contract.CacheReport
+	closedAt      []time.Duration // when each of the past was closed
 }
 
-type held struct {
+type cachedEntry struct {
 	key    string
 	tokens int
 }
 
-const pastReports = 64
+const maxClosedReports = 64
 
-// NewKV makes a cache with room for so many tokens.
+// NewCache makes a cache with room for so many tokens.
 //
-// Example: kv := cab.NewKV(40000)
-func NewKV(room int) *KV { return &KV{room: room, order: list.New(), at: map[string]*list.Element{}} }
+// Example: kv := cab.NewCache(40000)
+func NewCache(capacity int) *Cache {
+	return &Cache{capacity: capacity, order: list.New(), entries: map[string]*list.Element{}}
+}
 
-// Has tells whether a key is held, and counts it as used.
+// Lookup tells whether a key is held, and counts it as used.
 //
 // Example: n, ok := kv.Has(key)
-func (k *KV) Has(key string) (int, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e, ok := k.at[key]
+func (c *Cache) Lookup(key string) (int, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e, ok := c.entries[key]
 	if !ok {
 		return 0, false
 	}
-	k.order.MoveToFront(e)
-	return e.Value.(held).tokens, true
+	c.order.MoveToFront(e)
+	return e.Value.(cachedEntry).tokens, true
 }
 
-// Keep holds a key; the longest unused make room for it.
+// Store holds a key; the longest unused make room for it.
 //
 // Example: kv.Keep(key, 800)
-func (k *KV) Keep(key string, tokens int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if e, ok := k.at[key]; ok {
-		k.order.MoveToFront(e)
+func (c *Cache) Store(key string, tokens int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if e, ok := c.entries[key]; ok {
+		c.order.MoveToFront(e)
 		return
 	}
-	if tokens > k.room {
+	if tokens > c.capacity {
 		return
 	}
-	for k.used+tokens > k.room {
-		e := k.order.Back()
-		h := e.Value.(held)
-		k.order.Remove(e)
-		delete(k.at, h.key)
-		k.used -= h.tokens
-		k.now.Removed = append(k.now.Removed, h.key)
+	for c.used+tokens > c.capacity {
+		e := c.order.Back()
+		h := e.Value.(cachedEntry)
+		c.order.Remove(e)
+		delete(c.entries, h.key)
+		c.used -= h.tokens
+		c.openReport.Removed = append(c.openReport.Removed, h.key)
 	}
-	k.at[key] = k.order.PushFront(held{key, tokens})
-	k.used += tokens
-	k.now.Added = append(k.now.Added, contract.CachedPrefix{Key: key, Tokens: tokens})
+	c.entries[key] = c.order.PushFront(cachedEntry{key, tokens})
+	c.used += tokens
+	c.openReport.Added = append(c.openReport.Added, contract.CachedPrefix{Key: key, Tokens: tokens})
 }
 
 // Clear forgets everything, as new weights or an emptied store do.
 //
 // Example: kv.Clear()
-func (k *KV) Clear() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for key := range k.at {
-		k.now.Removed = append(k.now.Removed, key)
+func (c *Cache) Clear() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for key := range c.entries {
+		c.openReport.Removed = append(c.openReport.Removed, key)
 	}
-	k.order.Init()
-	clear(k.at)
-	k.used = 0
+	c.order.Init()
+	clear(c.entries)
+	c.used = 0
 }
 
-// Turn closes the report in hand; drop loses it on the way, so that its number is a gap.
+// CloseReport closes the report in hand; drop loses it on the way, so that its number is a gap.
 //
 // Example: kv.Turn(false, clk.Now())
-func (k *KV) Turn(drop bool, now time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.now.Added)+len(k.now.Removed) == 0 {
+func (c *Cache) CloseReport(drop bool, now time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.openReport.Added)+len(c.openReport.Removed) == 0 {
 		return
 	}
-	k.number++
-	k.now.Number = k.number
+	c.number++
+	c.openReport.Number = c.number
 	if !drop {
-		k.past, k.turned = append(k.past, k.now), append(k.turned, now)
-		if len(k.past) > pastReports {
-			k.past, k.turned = k.past[1:], k.turned[1:]
+		c.closedReports, c.closedAt = append(c.closedReports, c.openReport), append(c.closedAt, now)
+		if len(c.closedReports) > maxClosedReports {
+			c.closedReports, c.closedAt = c.closedReports[1:], c.closedAt[1:]
 		}
 	}
-	k.now = contract.CacheReport{}
+	c.openReport = contract.CacheReport{}
 }
 
 // Reports answers what came after a number, or all that is held. Reports that were closed after
 // an instant aren't shown yet.
 //
 // Example: r := kv.Reports(41, false, clk.Now())
-func (k *KV) Reports(after uint64, whole bool, until time.Duration) contract.CacheReports {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := contract.CacheReports{Number: k.number, Complete: whole}
-	if whole {
-		for e := k.order.Front(); e != nil; e = e.Next() {
-			h := e.Value.(held)
-			r.Cached = append(r.Cached, contract.CachedPrefix{Key: h.key, Tokens: h.tokens})
+func (c *Cache) Reports(after uint64, complete bool, until time.Duration) contract.CacheReports {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	reports := contract.CacheReports{Number: c.number, Complete: complete}
+	if complete {
+		for e := c.order.Front(); e != nil; e = e.Next() {
+			h := e.Value.(cachedEntry)
+			reports.Cached = append(reports.Cached, contract.CachedPrefix{Key: h.key, Tokens: h.tokens})
 		}
-		return r
+		return reports
 	}
-	for i, p := range k.past {
-		if k.turned[i] > until {
-			r.Number = p.Number - 1 // as far as is shown
+	for i, p := range c.closedReports {
+		if c.closedAt[i] > until {
+			reports.Number = p.Number - 1 // as far as is shown
 			break
 		}
 		if p.Number > after {
-			r.Reports = append(r.Reports, p)
+			reports.Reports = append(reports.Reports, p)
 		}
 	}
-	return r
+	return reports
 }
 
 // Used tells how many tokens are held, and how many could be.
 //
 // Example: used, room := kv.Used()
-func (k *KV) Used() (int, int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.used, k.room
+func (c *Cache) Used() (int, int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.used, c.capacity
 }
--- a/internal/sim/workersim/lies.go
+++ b/internal/sim/workersim/lies.go
@@ -4,8 +4,8 @@
 // and says that it didn't, "twice" runs it twice, "walls" uses the shared cache for all tenants,
 // "deaf" doesn't load newer weights, "boasts" says that
 // it holds adapters and has none, "dies" breaks off whatever it has begun.
-func (c *Cab) lies(run *Run) {
-	if c.lie == "twice" {
-		_ = c.write(run) // logged there; what can't be planted is missed by its test
+func (w *Worker) plantSecondRun(run *Run) {
+	if w.plantedFault == "twice" {
+		_ = w.writeJournal(run) // logged there; what can't be planted is missed by its test
 	}
 }
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -13,212 +13,212 @@
 // memory is what a worker has room for: base models and the adapters on them. Its first base is
 // the worker's model and weights; further ones stand in bases.
 type memory struct {
-	total    int // MB; 0: without a bound
-	bases    map[string]uint64
-	adapters map[string]map[string]uint64 // base -> adapter -> build
-	takes    map[string]int               // MB, of "base" and "base/adapter"
-	busy     map[string]int               // requests that run or wait, by base
-	loading  string
-	steps    map[string]uint64 // the latest step that was obeyed of each plan
-	baseTime time.Duration
-	addTime  time.Duration
-	asTold   int // MB of a base whose order told none
+	totalMB         int // MB; 0: without a bound
+	bases           map[string]uint64
+	adapters        map[string]map[string]uint64 // base -> adapter -> build
+	sizesMB         map[string]int               // MB, of "base" and "base/adapter"
+	busy            map[string]int               // requests that run or wait, by base
+	loading         string
+	latestSteps     map[string]uint64 // the latest step that was obeyed of each plan
+	baseLoadTime    time.Duration
+	adapterLoadTime time.Duration
+	defaultBaseMB   int // MB of a base whose order told none
 }
 
-// fill takes what the settings say is in memory at the start: "empty=yes" is nothing, "adapters=a@1,b@2"
+// loadInitialModels takes what the settings say is in memory at the start: "empty=yes" is nothing, "adapters=a@1,b@2"
 // stand on the model.
-func (c *Cab) fill() error {
-	l := c.life
-	c.memory = memory{total: int(num(l, "memory", 0)), bases: map[string]uint64{}, adapters: map[string]map[string]uint64{}, takes: map[string]int{},
-		busy: map[string]int{}, steps: map[string]uint64{}, asTold: int(num(l, "model_room", 0)),
-		baseTime: time.Duration(num(l, "load_ms", 400)) * time.Millisecond, addTime: time.Duration(num(l, "adapter_ms", 100)) * time.Millisecond}
-	if l.Settings.Option("empty", "") == "yes" {
-		c.model, c.weights = "", 0
+func (w *Worker) loadInitialModels() error {
+	process := w.process
+	w.memory = memory{totalMB: int(numberOption(process, "memory", 0)), bases: map[string]uint64{}, adapters: map[string]map[string]uint64{}, sizesMB: map[string]int{},
+		busy: map[string]int{}, latestSteps: map[string]uint64{}, defaultBaseMB: int(numberOption(process, "model_room", 0)),
+		baseLoadTime: time.Duration(numberOption(process, "load_ms", 400)) * time.Millisecond, adapterLoadTime: time.Duration(numberOption(process, "adapter_ms", 100)) * time.Millisecond}
+	if process.Settings.Option("empty", "") == "yes" {
+		w.model, w.weights = "", 0
 		return nil
 	}
-	c.takes[c.model] = c.asTold
-	for _, x := range strings.Split(l.Settings.Option("adapters", ""), ",") {
-		if x == "" {
+	w.sizesMB[w.model] = w.defaultBaseMB
+	for _, option := range strings.Split(process.Settings.Option("adapters", ""), ",") {
+		if option == "" {
 			continue
 		}
-		n, b, ok := strings.Cut(x, "@")
+		name, buildText, ok := strings.Cut(option, "@")
 		var build uint64
-		if _, err := fmt.Sscan(b, &build); !ok || err != nil {
-			return errs.New(errs.BadInput, "adapters: %q: give name@build", x)
+		if _, err := fmt.Sscan(buildText, &build); !ok || err != nil {
+			return errs.New(errs.BadInput, "adapters: %q: give name@build", option)
 		}
-		c.put(c.model, n, build, int(num(l, "adapter_room", 0)))
+		w.addAdapter(w.model, name, build, int(numberOption(process, "adapter_room", 0)))
 	}
 	return nil
 }
 
-func (c *Cab) put(base, adapter string, build uint64, room int) {
-	if c.adapters[base] == nil {
-		c.adapters[base] = map[string]uint64{}
+func (w *Worker) addAdapter(base, adapter string, build uint64, memoryMB int) {
+	if w.adapters[base] == nil {
+		w.adapters[base] = map[string]uint64{}
 	}
-	c.adapters[base][adapter], c.takes[base+"/"+adapter] = build, room
+	w.adapters[base][adapter], w.sizesMB[base+"/"+adapter] = build, memoryMB
 }
 
 // weightsOf tells a base's epoch in memory; 0: it isn't there.
-func (c *Cab) weightsOf(base string) uint64 {
-	if base == c.model && base != "" {
-		return c.weights
+func (w *Worker) weightsOf(base string) uint64 {
+	if base == w.model && base != "" {
+		return w.weights
 	}
-	return c.bases[base]
+	return w.bases[base]
 }
 
-// lacks says why a start can't run on what is in memory, or "".
-func (c *Cab) lacks(s *contract.StartRequest) string {
-	w := c.weightsOf(s.Model)
+// missing says why a start can't run on what is in memory, or "".
+func (w *Worker) missing(request *contract.StartRequest) string {
+	weights := w.weightsOf(request.Model)
 	switch {
-	case w == 0:
+	case weights == 0:
 		return "model"
-	case w != s.Weights:
+	case weights != request.Weights:
 		return "weights"
-	case s.Adapter != "" && (c.adapters[s.Model][s.Adapter] != s.Build || s.Build == 0):
+	case request.Adapter != "" && (w.adapters[request.Model][request.Adapter] != request.Build || request.Build == 0):
 		return "adapter"
-	case s.Adapter != "" && c.lie == "boasts": // it says it has loaded what it hasn't
+	case request.Adapter != "" && w.plantedFault == "boasts": // it says it has loaded what it hasn't
 		return "adapter"
 	}
 	return ""
 }
 
-// holds tells what is in memory. It stays silent where there is the one model alone.
-func (c *Cab) holds() []contract.LoadedModel {
-	if c.model == "" || len(c.bases) == 0 && len(c.adapters[c.model]) == 0 && len(c.steps) == 0 {
+// loadedModels tells what is in memory. It stays silent where there is the one model alone.
+func (w *Worker) loadedModels() []contract.LoadedModel {
+	if w.model == "" || len(w.bases) == 0 && len(w.adapters[w.model]) == 0 && len(w.latestSteps) == 0 {
 		return nil
 	}
-	l := []contract.LoadedModel{}
-	for _, b := range append([]string{c.model}, queue.Keys(c.bases)...) {
-		x := contract.LoadedModel{Model: b, Weights: c.weightsOf(b), Busy: c.busy[b]}
-		for a, n := range c.adapters[b] {
-			if x.Adapters == nil {
-				x.Adapters = map[string]uint64{}
+	models := []contract.LoadedModel{}
+	for _, base := range append([]string{w.model}, queue.Keys(w.bases)...) {
+		loaded := contract.LoadedModel{Model: base, Weights: w.weightsOf(base), Busy: w.busy[base]}
+		for adapter, build := range w.adapters[base] {
+			if loaded.Adapters == nil {
+				loaded.Adapters = map[string]uint64{}
 			}
-			x.Adapters[a] = n
+			loaded.Adapters[adapter] = build
 		}
-		l = append(l, x)
+		models = append(models, loaded)
 	}
-	return l
+	return models
 }
 
-func (c *Cab) free() int {
-	if c.total == 0 {
+func (w *Worker) freeMemoryMB() int {
+	if w.totalMB == 0 {
 		return 0
 	}
-	n := c.total
-	for _, x := range c.takes {
-		n -= x
+	free := w.totalMB
+	for _, size := range w.sizesMB {
+		free -= size
 	}
-	return n
+	return free
 }
 
-// stale denies an order for another life, and one thought out before one that was obeyed.
-func (c *Cab) stale(o *contract.Order) string {
+// rejectStale denies an order for another life, and one thought out before one that was obeyed.
+func (w *Worker) rejectStale(order *contract.Order) string {
 	switch {
-	case o.Kind != "load" && o.Kind != "unload":
+	case order.Kind != "load" && order.Kind != "unload":
 		return ""
-	case o.Incarnation != "" && o.Incarnation != c.inc:
+	case order.Incarnation != "" && order.Incarnation != w.incarnation:
 		return "incarnation"
-	case o.Step < c.steps[o.Plan]:
+	case order.Step < w.latestSteps[order.Plan]:
 		return "stale"
 	}
-	c.steps[o.Plan] = o.Step
+	w.latestSteps[order.Plan] = order.Step
 	return ""
 }
 
-// remember obeys an order that loads or unloads, or says why it can't. Loading takes its time and is
+// executeOrder obeys an order that loads or unloads, or says why it can't. Loading takes its time and is
 // done one at a time; what is in use isn't unloaded.
-func (c *Cab) remember(o *contract.Order) string {
-	key := o.Model
-	if o.Adapter != "" {
-		key += "/" + o.Adapter
+func (w *Worker) executeOrder(order *contract.Order) string {
+	key := order.Model
+	if order.Adapter != "" {
+		key += "/" + order.Adapter
 	}
-	have := c.weightsOf(o.Model)
-	if o.Adapter != "" && have != 0 {
-		have = c.adapters[o.Model][o.Adapter]
+	have := w.weightsOf(order.Model)
+	if order.Adapter != "" && have != 0 {
+		have = w.adapters[order.Model][order.Adapter]
 	}
-	if o.Kind == "unload" && c.loading != "" && (c.loading == key || o.Adapter == "" && strings.HasPrefix(c.loading, o.Model+"/")) {
-		delete(c.takes, c.loading) // what was being loaded isn't any more
-		c.loading = ""
+	if order.Kind == "unload" && w.loading != "" && (w.loading == key || order.Adapter == "" && strings.HasPrefix(w.loading, order.Model+"/")) {
+		delete(w.sizesMB, w.loading) // what was being loaded isn't any more
+		w.loading = ""
 	}
 	switch {
-	case o.Kind == "unload" && o.Adapter == "" && have != 0:
-		if c.busy[o.Model] > 0 {
+	case order.Kind == "unload" && order.Adapter == "" && have != 0:
+		if w.busy[order.Model] > 0 {
 			return "busy"
 		}
-		c.forget(o.Model)
-	case o.Kind == "unload" && have != 0:
-		if c.busy[o.Model] > 0 {
+		w.unload(order.Model)
+	case order.Kind == "unload" && have != 0:
+		if w.busy[order.Model] > 0 {
 			return "busy"
 		}
-		delete(c.adapters[o.Model], o.Adapter)
-		delete(c.takes, key)
-	case o.Kind == "load" && (o.Adapter == "" && have != o.Weights || o.Adapter != "" && have != o.Build):
-		if c.loading != "" || o.Adapter != "" && c.weightsOf(o.Model) == 0 {
+		delete(w.adapters[order.Model], order.Adapter)
+		delete(w.sizesMB, key)
+	case order.Kind == "load" && (order.Adapter == "" && have != order.Weights || order.Adapter != "" && have != order.Build):
+		if w.loading != "" || order.Adapter != "" && w.weightsOf(order.Model) == 0 {
 			return "busy"
 		}
-		if c.total > 0 && c.free() < o.WeightMemoryMB-c.takes[key] {
+		if w.totalMB > 0 && w.freeMemoryMB() < order.WeightMemoryMB-w.sizesMB[key] {
 			return "room"
 		}
-		c.load(*o, key)
+		w.load(*order, key)
 	}
 	return ""
 }
 
-func (c *Cab) forget(base string) {
-	for a := range c.adapters[base] {
-		delete(c.takes, base+"/"+a)
-	}
-	delete(c.adapters, base)
-	delete(c.takes, base)
-	if base != c.model {
-		delete(c.bases, base)
+func (w *Worker) unload(base string) {
+	for adapter := range w.adapters[base] {
+		delete(w.sizesMB, base+"/"+adapter)
+	}
+	delete(w.adapters, base)
+	delete(w.sizesMB, base)
+	if base != w.model {
+		delete(w.bases, base)
 		return
 	}
-	c.model, c.weights = "", 0
-	for _, b := range queue.Keys(c.bases) { // the next one takes its place
-		c.model, c.weights = b, c.bases[b]
-		delete(c.bases, b)
+	w.model, w.weights = "", 0
+	for _, next := range queue.Keys(w.bases) { // the next one takes its place
+		w.model, w.weights = next, w.bases[next]
+		delete(w.bases, next)
 		break
 	}
-	c.life.Log.Info("weights unloaded", "model", base)
+	w.process.Log.Info("weights unloaded", "model", base)
 }
 
-func (c *Cab) load(o contract.Order, key string) {
-	took := c.baseTime
-	if o.Adapter != "" {
-		took = c.addTime
+func (w *Worker) load(order contract.Order, key string) {
+	duration := w.baseLoadTime
+	if order.Adapter != "" {
+		duration = w.adapterLoadTime
 	}
-	c.loading, c.takes[key] = key, o.WeightMemoryMB
+	w.loading, w.sizesMB[key] = key, order.WeightMemoryMB
 	done := func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		mine := c.loading == key
-		if mine {
-			c.loading = ""
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		current := w.loading == key
+		if current {
+			w.loading = ""
 		}
 		switch {
-		case !mine: // it was taken back meanwhile
+		case !current: // it was taken back meanwhile
 			return
-		case o.Adapter != "" && c.weightsOf(o.Model) == 0:
-			delete(c.takes, key)
+		case order.Adapter != "" && w.weightsOf(order.Model) == 0:
+			delete(w.sizesMB, key)
 			return
-		case o.Adapter != "":
-			c.put(o.Model, o.Adapter, o.Build, o.WeightMemoryMB)
-		case c.model == "" || c.model == o.Model:
-			c.model, c.weights = o.Model, o.Weights
+		case order.Adapter != "":
+			w.addAdapter(order.Model, order.Adapter, order.Build, order.WeightMemoryMB)
+		case w.model == "" || w.model == order.Model:
+			w.model, w.weights = order.Model, order.Weights
 		default:
-			c.bases[o.Model] = o.Weights
+			w.bases[order.Model] = order.Weights
 		}
-		c.life.Log.Info("weights loaded", "model", o.Model, "weights", o.Weights, "adapter", o.Adapter, "build", o.Build)
+		w.process.Log.Info("weights loaded", "model", order.Model, "weights", order.Weights, "adapter", order.Adapter, "build", order.Build)
 	}
-	c.life.Go(func() {
-		t := time.NewTimer(took)
-		defer t.Stop()
+	w.process.Go(func() {
+		timer := time.NewTimer(duration)
+		defer timer.Stop()
 		select {
-		case <-t.C:
+		case <-timer.C:
 			done()
-		case <-c.life.Ctx.Done():
+		case <-w.process.Ctx.Done():
 		}
 	})
 }
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -16,7 +16,7 @@
 	"pebbleloom/internal/settings"
 )
 
-func inBubble(t *testing.T, words []string, do func(t *testing.T, c *Cab, order func(contract.Order) string, ask func(model, adapter string, build uint64) string)) {
+func inBubble(t *testing.T, words []string, do func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(model, adapter string, build uint64) string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := daemon.RealEnvironment(settings.Process{})
@@ -24,7 +24,7 @@
 		l := daemon.NewIn(w, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
 			Options: append([]string{"log=off", "model=m", "slots=4", "fixed_us=1000", "load_ms=400", "adapter_ms=100", "memory=100", "model_room=40", "adapter_room=5", "adapters=a@1"}, words...)})
 		defer l.Stop(0)
-		c, err := open(l)
+		c, err := openWorker(l)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,13 +40,17 @@
 			return d.Reason
 		}
 		order := func(o contract.Order) string {
-			return reason(post(func(w *httptest.ResponseRecorder, b *bytes.Reader) { c.order(w, httptest.NewRequest("POST", "/", b)) }, o))
+			return reason(post(func(w *httptest.ResponseRecorder, b *bytes.Reader) {
+				c.serveOrder(w, httptest.NewRequest("POST", "/", b))
+			}, o))
 		}
 		n := 0
 		ask := func(model, adapter string, build uint64) string {
 			n++
 			s := contract.StartRequest{RequestID: fmt.Sprint("r", n), Model: model, Weights: 1, Adapter: adapter, Build: build, Parts: []string{"p"}, Chunks: 1, WaitMs: 5000}
-			r := post(func(w *httptest.ResponseRecorder, b *bytes.Reader) { c.start(w, httptest.NewRequest("POST", "/", b)) }, s)
+			r := post(func(w *httptest.ResponseRecorder, b *bytes.Reader) {
+				c.serveStart(w, httptest.NewRequest("POST", "/", b))
+			}, s)
 			if r.Code == 200 {
 				lines := strings.Split(strings.TrimSpace(r.Body.String()), "\n")
 				var last contract.Chunk
@@ -64,7 +68,7 @@
 // A worker holds several bases and adapters within its memory; loading takes its time, is done one at
 // a time, and whatever isn't in memory answers nothing.
 func TestSeveralModelsInMemory(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, c *Cab, order func(contract.Order) string, ask func(string, string, uint64) string) {
+	inBubble(t, nil, func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
 		is := func(what, got, want string) {
 			t.Helper()
 			if got != want {
@@ -80,7 +84,7 @@
 		is("a second base", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 40}), "")
 		is("a third meanwhile", order(contract.Order{Kind: "load", Model: "m3", Weights: 1, WeightMemoryMB: 1}), "busy")
 		is("before it is loaded", ask("m2", "", 0), "model")
-		if s := c.now(); s.Loading != "m2" || s.FreeWeightMemoryMB != 15 || s.Model != "m" {
+		if s := c.workerState(); s.Loading != "m2" || s.FreeWeightMemoryMB != 15 || s.Model != "m" {
 			t.Errorf("%+v", s)
 		}
 		time.Sleep(400 * time.Millisecond) // virtual
@@ -90,17 +94,17 @@
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		is("under the adapter", ask("m2", "a2", 3), "")
-		if l := c.now().LoadedModels(); len(l) != 2 || l[0].Model != "m" || l[0].Adapters["a"] != 1 || l[1].Adapters["a2"] != 3 {
+		if l := c.workerState().LoadedModels(); len(l) != 2 || l[0].Model != "m" || l[0].Adapters["a"] != 1 || l[1].Adapters["a2"] != 3 {
 			t.Errorf("%+v", l)
 		}
 		is("the first base goes", order(contract.Order{Kind: "unload", Model: "m"}), "")
 		is("and answers nothing", ask("m", "a", 1), "model")
 		is("the second stays", ask("m2", "a2", 3), "")
-		if s := c.now(); s.Model != "m2" || s.Weights != 1 || s.FreeWeightMemoryMB != 55 || len(s.LoadedModels()) != 1 {
+		if s := c.workerState(); s.Model != "m2" || s.Weights != 1 || s.FreeWeightMemoryMB != 55 || len(s.LoadedModels()) != 1 {
 			t.Errorf("%+v", s)
 		}
 		is("the last goes", order(contract.Order{Kind: "unload", Model: "m2"}), "")
-		if s := c.now(); s.Model != "" || len(s.LoadedModels()) != 0 || s.FreeWeightMemoryMB != 100 {
+		if s := c.workerState(); s.Model != "" || len(s.LoadedModels()) != 0 || s.FreeWeightMemoryMB != 100 {
 			t.Errorf("%+v", s)
 		}
 	})
@@ -109,7 +113,7 @@
 // What runs on a base keeps it; an order for another life, or one thought out before one that was
 // obeyed, is denied; an unload takes back what is still being loaded.
 func TestOrdersThatComeLate(t *testing.T) {
-	inBubble(t, []string{"piece_us=1000000"}, func(t *testing.T, c *Cab, order func(contract.Order) string, ask func(string, string, uint64) string) {
+	inBubble(t, []string{"piece_us=1000000"}, func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
 		done := make(chan string, 1)
 		go func() { done <- ask("m", "", 0) }()
 		synctest.Wait()
@@ -131,8 +135,8 @@
 		}
 		time.Sleep(time.Second) // virtual
 		synctest.Wait()
-		if l := c.now().LoadedModels(); len(l) != 1 || c.now().FreeWeightMemoryMB != 55 || c.now().Loading != "" {
-			t.Errorf("it was loaded though it was taken back: %+v", c.now())
+		if l := c.workerState().LoadedModels(); len(l) != 1 || c.workerState().FreeWeightMemoryMB != 55 || c.workerState().Loading != "" {
+			t.Errorf("it was loaded though it was taken back: %+v", c.workerState())
 		}
 		if w := order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Incarnation: "cab-1/before"}); w != "incarnation" {
 			t.Errorf("an order for another life: %q", w)
@@ -142,13 +146,13 @@
 
 // It may start empty, and it may boast: say that it holds an adapter and answer nothing under it.
 func TestEmptyAndBoasting(t *testing.T) {
-	inBubble(t, []string{"empty=yes"}, func(t *testing.T, c *Cab, _ func(contract.Order) string, ask func(string, string, uint64) string) {
-		if s := c.now(); s.Model != "" || len(s.LoadedModels()) != 0 || ask("m", "", 0) != "model" {
+	inBubble(t, []string{"empty=yes"}, func(t *testing.T, c *Worker, _ func(contract.Order) string, ask func(string, string, uint64) string) {
+		if s := c.workerState(); s.Model != "" || len(s.LoadedModels()) != 0 || ask("m", "", 0) != "model" {
 			t.Errorf("%+v", s)
 		}
 	})
-	inBubble(t, []string{"lie=boasts"}, func(t *testing.T, c *Cab, _ func(contract.Order) string, ask func(string, string, uint64) string) {
-		if l := c.now().LoadedModels(); len(l) != 1 || l[0].Adapters["a"] != 1 || ask("m", "a", 1) != "adapter" || ask("m", "", 0) != "" {
+	inBubble(t, []string{"lie=boasts"}, func(t *testing.T, c *Worker, _ func(contract.Order) string, ask func(string, string, uint64) string) {
+		if l := c.workerState().LoadedModels(); len(l) != 1 || l[0].Adapters["a"] != 1 || ask("m", "a", 1) != "adapter" || ask("m", "", 0) != "" {
 			t.Errorf("%+v", l)
 		}
 	})
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -16,87 +16,87 @@
 // run carries a go on a slot: what others hold is fetched, and once the prefill's turn has
 // come the request starts, if it still may before the wait is over. Then what is missing is
 // prefilled, the pieces are streamed, the seal closes them. False: its wait was over.
-func (c *Cab) run(wait context.Context, w http.ResponseWriter, r *http.Request, s *contract.StartRequest, deny func(int, string)) bool {
-	if c.lie == "walls" {
-		s.CacheDomain = "shared"
+func (w *Worker) run(wait context.Context, rw http.ResponseWriter, r *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
+	if w.plantedFault == "walls" {
+		request.CacheDomain = "shared"
 	}
-	es := prefix.Chain(s.CacheDomain, prefix.QualifiedModel(s.Model, s.Adapter, s.Build), s.Weights, s.Parts)
-	last := contract.Chunk{RequestID: s.RequestID, Worker: c.life.Settings.Name, Weights: s.Weights, Model: s.Model, Adapter: s.Adapter, Build: s.Build}
+	entries := prefix.Chain(request.CacheDomain, prefix.QualifiedModel(request.Model, request.Adapter, request.Build), request.Weights, request.Parts)
+	final := contract.Chunk{RequestID: request.RequestID, Worker: w.process.Settings.Name, Weights: request.Weights, Model: request.Model, Adapter: request.Adapter, Build: request.Build}
 	hints := contract.ParseFetchFrom(r.Header.Get(contract.FetchFrom))
-	i, t0 := 0, time.Now()
-	for ; i < len(es); i++ {
-		if n, ok := c.kv.Has(es[i].Key.String()); ok {
-			last.CachedTokens += n
-		} else if a := hints[i]; a != "" && c.fetch(r, a, es[i].Key.String()) {
-			last.FetchedTokens += es[i].Tokens
-			last.FetchAddr = a
-			last.FetchUs += time.Since(t0).Microseconds()
+	i, startedAt := 0, time.Now()
+	for ; i < len(entries); i++ {
+		if index, ok := w.cache.Lookup(entries[i].Key.String()); ok {
+			final.CachedTokens += index
+		} else if addr := hints[i]; addr != "" && w.fetch(r, addr, entries[i].Key.String()) {
+			final.FetchedTokens += entries[i].Tokens
+			final.FetchAddr = addr
+			final.FetchUs += time.Since(startedAt).Microseconds()
 		} else {
 			break
 		}
-		t0 = time.Now()
+		startedAt = time.Now()
 	}
-	for _, e := range es[i:] {
-		last.PrefilledTokens += e.Tokens
+	for _, entry := range entries[i:] {
+		final.PrefilledTokens += entry.Tokens
 	}
-	if last.PrefilledTokens > 0 && !c.hold(wait, c.prefill) {
+	if final.PrefilledTokens > 0 && !w.acquire(wait, w.prefill) {
 		return false
 	}
-	run, why := c.begin(s)
-	if last.PrefilledTokens > 0 {
-		t0 = time.Now()
+	run, reason := w.beginRun(request)
+	if final.PrefilledTokens > 0 {
+		startedAt = time.Now()
 		if run != nil {
-			c.sleep(r, c.sp.Prefill(last.PrefilledTokens))
+			w.sleep(r, w.speed.Prefill(final.PrefilledTokens))
 		}
-		last.PrefillUs = time.Since(t0).Microseconds()
-		<-c.prefill
+		final.PrefillUs = time.Since(startedAt).Microseconds()
+		<-w.prefill
 	}
 	if run == nil {
-		deny(409, why)
+		reject(409, reason)
 		return true
 	}
-	switch c.lie {
+	switch w.plantedFault {
 	case "denies":
-		deny(409, "full")
+		reject(409, "full")
 		return true
 	case "dies":
 		panic(http.ErrAbortHandler)
 	}
-	c.mu.Lock()
-	same := c.lacks(s) == "" // KV made under other weights than the cache's isn't kept
-	run.Hit, run.Fetched, run.Prefilled = last.CachedTokens, last.FetchedTokens, last.PrefilledTokens
-	if same {
-		for _, e := range es {
-			c.kv.Keep(e.Key.String(), e.Tokens)
+	w.mu.Lock()
+	current := w.missing(request) == "" // KV made under other weights than the cache's isn't kept
+	run.CachedTokens, run.FetchedTokens, run.PrefilledTokens = final.CachedTokens, final.FetchedTokens, final.PrefilledTokens
+	if current {
+		for _, entry := range entries {
+			w.cache.Store(entry.Key.String(), entry.Tokens)
 		}
 	}
-	c.mu.Unlock()
+	w.mu.Unlock()
 	ended := "broken"
-	defer func() { c.mu.Lock(); run.Ended = ended; c.mu.Unlock() }()
-	w.Header().Set("Content-Type", "application/x-ndjson")
-	w.WriteHeader(200)
-	seal, key := contract.NewSeal(s.RequestID, c.life.Settings.Name), es[len(es)-1].Key.String()
-	enc := json.NewEncoder(w)
-	for n := range s.Chunks {
-		c.sleep(r, time.Duration(c.sp.PieceUs)*time.Microsecond)
-		text := contract.SyntheticText(key, s.Weights, n)
-		seal.Add(n, text)
-		if r.Context().Err() != nil || enc.Encode(contract.Chunk{RequestID: s.RequestID, Number: n, Text: text}) != nil {
+	defer func() { w.mu.Lock(); run.Ended = ended; w.mu.Unlock() }()
+	rw.Header().Set("Content-Type", "application/x-ndjson")
+	rw.WriteHeader(200)
+	seal, key := contract.NewSeal(request.RequestID, w.process.Settings.Name), entries[len(entries)-1].Key.String()
+	enc := json.NewEncoder(rw)
+	for index := range request.Chunks {
+		w.sleep(r, time.Duration(w.speed.ChunkUs)*time.Microsecond)
+		text := contract.SyntheticText(key, request.Weights, index)
+		seal.Add(index, text)
+		if r.Context().Err() != nil || enc.Encode(contract.Chunk{RequestID: request.RequestID, Number: index, Text: text}) != nil {
 			return true
 		}
-		http.NewResponseController(w).Flush()
+		http.NewResponseController(rw).Flush()
 	}
-	last.Number, last.Seal = s.Chunks, seal.Close()
-	if enc.Encode(last) == nil {
+	final.Number, final.Seal = request.Chunks, seal.Close()
+	if enc.Encode(final) == nil {
 		ended = "sealed"
 	}
-	if same {
-		c.save(r.Header.Get(contract.SaveTo), r.Header.Get(contract.SaveUpTo), es)
+	if current {
+		w.saveTo(r.Header.Get(contract.SaveTo), r.Header.Get(contract.SaveUpTo), entries)
 	}
 	return true
 }
 
-func (c *Cab) hold(ctx context.Context, ch chan struct{}) bool {
+func (w *Worker) acquire(ctx context.Context, ch chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -110,7 +110,7 @@
 	}
 }
 
-func (c *Cab) sleep(r *http.Request, d time.Duration) {
+func (w *Worker) sleep(r *http.Request, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -120,55 +120,55 @@
 }
 
 // fetch reads a prefix from a colleague or the store at the link's speed.
-func (c *Cab) fetch(r *http.Request, addr, key string) bool {
-	q, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+addr+"/kv/"+key, nil)
+func (w *Worker) fetch(r *http.Request, addr, key string) bool {
+	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+addr+"/kv/"+key, nil)
 	if err != nil {
 		return false
 	}
-	a, err := c.h.Do(q)
+	response, err := w.client.Do(request)
 	if err != nil {
 		return false
 	}
-	defer a.Body.Close()
-	var k contract.CachedPrefix
-	if a.StatusCode != 200 || json.NewDecoder(io.LimitReader(a.Body, 4096)).Decode(&k) != nil {
+	defer response.Body.Close()
+	var entry contract.CachedPrefix
+	if response.StatusCode != 200 || json.NewDecoder(io.LimitReader(response.Body, 4096)).Decode(&entry) != nil {
 		return false
 	}
-	rate := c.sp.LinkTok
-	if far(addr, c.life.Settings.Public) {
-		rate = c.sp.FarTok
+	rate := w.speed.LinkTokensPerSecond
+	if crossesZones(addr, w.process.Settings.Public) {
+		rate = w.speed.CrossZoneTokensPerSecond
 	}
-	c.sleep(r, time.Duration(float64(k.Tokens)/rate*float64(time.Second)))
+	w.sleep(r, time.Duration(float64(entry.Tokens)/rate*float64(time.Second)))
 	return true
 }
 
-// far tells whether two addresses stand in different districts: the third byte says.
-func far(a, b string) bool {
+// crossesZones tells whether two addresses stand in different districts: the third byte says.
+func crossesZones(a, b string) bool {
 	x, y := strings.Split(a, "."), strings.Split(b, ".")
 	return len(x) > 2 && len(y) > 2 && x[2] != y[2]
 }
 
-func (c *Cab) save(to, upto string, es []prefix.Entry) {
-	n, err := strconv.Atoi(upto)
-	if err != nil || n > len(es) {
-		n = len(es)
+func (w *Worker) saveTo(to, upTo string, entries []prefix.Entry) {
+	count, err := strconv.Atoi(upTo)
+	if err != nil || count > len(entries) {
+		count = len(entries)
 	}
-	for _, a := range strings.Split(to, ",") {
-		if a == "" {
+	for _, addr := range strings.Split(to, ",") {
+		if addr == "" {
 			continue
 		}
-		c.life.Go(func() {
-			for _, e := range es[:n] {
-				raw, _ := json.Marshal(contract.CachedPrefix{Key: e.Key.String(), Tokens: e.Tokens}) // plain fields: can't fail
-				q, err := http.NewRequestWithContext(c.life.Ctx, http.MethodPut, "http://"+a+"/kv/"+e.Key.String(), strings.NewReader(string(raw)))
+		w.process.Go(func() {
+			for _, entry := range entries[:count] {
+				raw, _ := json.Marshal(contract.CachedPrefix{Key: entry.Key.String(), Tokens: entry.Tokens}) // plain fields: can't fail
+				request, err := http.NewRequestWithContext(w.process.Ctx, http.MethodPut, "http://"+addr+"/kv/"+entry.Key.String(), strings.NewReader(string(raw)))
 				if err != nil {
 					return
 				}
-				r, err := c.h.Do(q)
+				response, err := w.client.Do(request)
 				if err != nil {
 					return // the receiver is gone: a save is only an offer
 				}
-				r.Body.Close()
+				response.Body.Close()
 			}
 		})
 	}
