--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -68,8 +68,7 @@
 // joinCandidates returns the addresses to ask in a turn: those that responded the last time, in
 // rotation, and an unresponsive one if there are too few of them or it is its turn.
 func joinCandidates(addresses []string, isUnresponsive func(addr string) bool, turn int) []string {
-	responsive := slices.DeleteFunc(slices.Clone(addresses), isUnresponsive)
-	unresponsive := slices.DeleteFunc(slices.Clone(addresses), func(addr string) bool { return !isUnresponsive(addr) })
+	responsive, unresponsive := controlclient.SplitByResponsiveness(addresses, isUnresponsive)
 	unresponsiveTurn := turn / unresponsiveTurnInterval
 	candidates := append(rotate(responsive, turn), rotate(unresponsive, unresponsiveTurn)...)
 	if turn%unresponsiveTurnInterval == unresponsiveTurnInterval-1 && len(unresponsive) > 0 && len(responsive) > 1 {
