--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -128,13 +128,13 @@
 		case worker.Kind == "store":
 			stores++
 		case snapshot.Config != nil && worker.Kind == "lm":
-			if modelWorkers++; worker.Weights > 0 && worker.Weights < snapshot.WeightsAt[worker.Model].Version {
+			if modelWorkers++; worker.Weights > 0 && worker.Weights < snapshot.Weights[worker.Model].Version {
 				outdated[worker.Model]++
 			}
 		}
 	}
 	for _, model := range queue.Keys(outdated) {
-		named := snapshot.WeightsAt[model].Version
+		named := snapshot.Weights[model].Version
 		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], modelWorkers, named),
 			"wait for the rollout; else see the placement controllers' logs", runbookOutdatedWeights)
 	}
