--- a/internal/control/mutation/point3_test.go
+++ b/internal/control/mutation/point3_test.go
@@ -68,7 +68,7 @@
 		pkg:         "internal/control/controlstate", run: "TestRepairEndsBeforeTheLossDoes"},
 	mutant{point: 3, name: "addresses that are silent are asked as the others are",
 		file:        "internal/control/controlstate/join.go",
-		original:    "responsive := slices.DeleteFunc(slices.Clone(addresses), isUnresponsive)",
-		replacement: "responsive := slices.Clone(addresses)",
+		original:    "responsive, unresponsive := controlclient.SplitByResponsiveness(addresses, isUnresponsive)",
+		replacement: "_, unresponsive := controlclient.SplitByResponsiveness(addresses, isUnresponsive)\n\tresponsive := slices.Clone(addresses)",
 		pkg:         "internal/control/controlstate", run: "TestJoinCandidates"},
 )
