--- a/internal/sim/clustersim/table.go
+++ b/internal/sim/clustersim/cluster.go
@@ -81,37 +81,37 @@
 // New lays a table for a site.
 //
 // Example: t := tabletop.New(7, site); defer t.Down()
-func New(seed uint64, s *testbed.Site) *Cluster {
-	t := &Cluster{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), dialTimeout: settings.DefaultBounds().Leave(1.0 / 3), processes: map[string]*proc{},
+func New(seed uint64, site *testbed.Site) *Cluster {
+	cluster := &Cluster{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), dialTimeout: settings.DefaultBounds().Leave(1.0 / 3), processes: map[string]*proc{},
 		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, listeners: map[string]*listener{}, files: map[string]*file{}}
-	t.outside = newProc(t, testbed.Process{}, t.machine("people"), seed)
-	for _, p := range s.Processes {
-		t.machineOf(p)
+	cluster.outside = newProc(cluster, testbed.Process{}, cluster.machine("people"), seed)
+	for _, p := range site.Processes {
+		cluster.machineOf(p)
 	}
-	return t
+	return cluster
 }
 
-func (t *Cluster) machine(name string) *machine {
-	m := t.machines[name]
+func (c *Cluster) machine(name string) *machine {
+	m := c.machines[name]
 	if m == nil {
-		r := rand.New(rand.NewPCG(t.seed, queue.Hash(name)))
-		m = &machine{name: name, begin: t.begin, bootOffset: time.Duration(1+r.Int64N(3600*100)) * time.Second, drift: (r.Float64() - 0.5) / 5000,
+		r := rand.New(rand.NewPCG(c.seed, queue.Hash(name)))
+		m = &machine{name: name, begin: c.begin, bootOffset: time.Duration(1+r.Int64N(3600*100)) * time.Second, drift: (r.Float64() - 0.5) / 5000,
 			disk: map[string][]byte{}, lastWriter: map[string]*proc{}}
-		t.machines[name] = m
+		c.machines[name] = m
 	}
 	return m
 }
 
 // machineOf notes which addresses a machine has.
-func (t *Cluster) machineOf(p testbed.Process) *machine {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *Cluster) machineOf(p testbed.Process) *machine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, a := range []string{p.Settings.Listen, p.Settings.Public, p.Settings.Operator} {
 		if x, err := netip.ParseAddrPort(a); err == nil {
-			t.hosts[x.Addr()] = p.Settings.Name
+			c.hosts[x.Addr()] = p.Settings.Name
 		}
 	}
-	return t.machine(p.Settings.Name)
+	return c.machine(p.Settings.Name)
 }
 
 func (m *machine) now() time.Duration {
@@ -142,11 +142,11 @@
 func (m *machine) write(p *proc, folder, name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := folder + "/" + name
-	if w := m.lastWriter[k]; w != nil && w != p && isClosed(p.dead) {
+	key := folder + "/" + name
+	if last := m.lastWriter[key]; last != nil && last != p && isClosed(p.dead) {
 		return
 	}
-	m.disk[k], m.lastWriter[k] = change(m.disk[k]), p
+	m.disk[key], m.lastWriter[key] = change(m.disk[key]), p
 }
 
 func (m *machine) ip(p settings.Process) netip.Addr {
@@ -156,28 +156,28 @@
 	return netip.MustParseAddr("127.0.0.1")
 }
 
-func (t *Cluster) linkRule(from, to string) (testbed.LinkRule, <-chan struct{}) {
-	r, c := t.RuleBetween(from, to)
+func (c *Cluster) linkRule(from, to string) (testbed.LinkRule, <-chan struct{}) {
+	rule, changed := c.RuleBetween(from, to)
 	if from == to || from == "people" || to == "people" {
-		r = testbed.LinkRule{} // loopback, and those outside
+		rule = testbed.LinkRule{} // loopback, and those outside
 	}
-	return r, c
+	return rule, changed
 }
 
-func (t *Cluster) machineAt(a netip.Addr) string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.hosts[a]
+func (c *Cluster) machineAt(a netip.Addr) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hosts[a]
 }
 
 // delay is one way's: districts are a millisecond apart.
-func (t *Cluster) delay(m *machine, to, addr string) time.Duration {
+func (c *Cluster) delay(m *machine, to, addr string) time.Duration {
 	if m.name == to {
 		return 20 * time.Microsecond
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for a, n := range t.hosts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for a, n := range c.hosts {
 		if n == m.name && strings.Split(a.String(), ".")[2] == strings.Split(addr, ".")[2] {
 			return 200 * time.Microsecond
 		}
@@ -185,64 +185,64 @@
 	return time.Millisecond
 }
 
-func (t *Cluster) listen(addr string, l *listener) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.listeners[addr] != nil {
+func (c *Cluster) listen(addr string, l *listener) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.listeners[addr] != nil {
 		return false
 	}
-	t.listeners[addr] = l
+	c.listeners[addr] = l
 	return true
 }
 
-func (t *Cluster) unlisten(l *listener) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.listeners[l.addr.String()] == l {
-		delete(t.listeners, l.addr.String())
+func (c *Cluster) unlisten(l *listener) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.listeners[l.addr.String()] == l {
+		delete(c.listeners, l.addr.String())
 	}
 }
 
-func (t *Cluster) listenerAt(addr string) *listener {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.listeners[addr]
+func (c *Cluster) listenerAt(addr string) *listener {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.listeners[addr]
 }
 
-func (t *Cluster) file(name string) *file {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.files[name] == nil {
-		t.files[name] = &file{}
+func (c *Cluster) file(name string) *file {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.files[name] == nil {
+		c.files[name] = &file{}
 	}
-	return t.files[name]
+	return c.files[name]
 }
 
 // Start begins a life of a process.
 //
 // Example: err := t.Start(process)
-func (t *Cluster) Start(q testbed.Process) error {
-	m := t.machineOf(q)
-	t.mu.Lock()
-	if o := t.processes[q.Name]; o != nil && !isClosed(o.dead) {
-		t.mu.Unlock()
-		return errs.New(errs.Internal, "%s runs already", q.Name)
+func (c *Cluster) Start(process testbed.Process) error {
+	machine := c.machineOf(process)
+	c.mu.Lock()
+	if running := c.processes[process.Name]; running != nil && !isClosed(running.dead) {
+		c.mu.Unlock()
+		return errs.New(errs.Internal, "%s runs already", process.Name)
 	}
-	t.starts++
-	p := newProc(t, q, m, t.seed^queue.Hash(fmt.Sprint(q.Name, t.starts)))
-	t.processes[q.Name] = p
-	t.mu.Unlock()
-	place := q.Settings
+	c.starts++
+	proc := newProc(c, process, machine, c.seed^queue.Hash(fmt.Sprint(process.Name, c.starts)))
+	c.processes[process.Name] = proc
+	c.mu.Unlock()
+	place := process.Settings
 	level := "off"
 	if v := os.Getenv("TABLE_LOG"); v != "" {
 		level = v
 	}
 	place.Options = append([]string{"log=" + level}, place.Options...)
-	p.daemon = daemon.NewIn(p.environment(), q.Program, place)
-	t.wg.Go(func() {
-		defer close(p.started)
-		if err := programStarts[q.Program](p.daemon); err != nil {
-			p.daemon.Log.Error("start failed", "error", errs.Text(err))
+	proc.daemon = daemon.NewIn(proc.environment(), process.Program, place)
+	c.wg.Go(func() {
+		defer close(proc.started)
+		if err := programStarts[process.Program](proc.daemon); err != nil {
+			proc.daemon.Log.Error("start failed", "error", errs.Text(err))
 		}
 	})
 	return nil
@@ -251,10 +251,10 @@
 // Signal does to a process what its machine would.
 //
 // Example: err := t.Signal("cab-3", syscall.SIGKILL)
-func (t *Cluster) Signal(name string, s syscall.Signal) error {
-	t.mu.Lock()
-	p := t.processes[name]
-	t.mu.Unlock()
+func (c *Cluster) Signal(name string, s syscall.Signal) error {
+	c.mu.Lock()
+	p := c.processes[name]
+	c.mu.Unlock()
 	if p == nil {
 		return errs.New(errs.NotFound, "process %q", name)
 	}
@@ -265,18 +265,18 @@
 	case syscall.SIGSTOP, syscall.SIGCONT:
 		p.freeze(s == syscall.SIGSTOP)
 	case syscall.SIGTERM:
-		t.stopGracefully(p, p.process.Settings.Bounds.Leave(1))
+		c.stopGracefully(p, p.process.Settings.Bounds.Leave(1))
 	case syscall.SIGKILL:
 		p.kill()
-		t.stopGracefully(p, 0)
+		c.stopGracefully(p, 0)
 	}
 	return nil
 }
 
 // stopGracefully lets a life's threads wind up; once they have, the process is gone.
-func (t *Cluster) stopGracefully(p *proc, grace time.Duration) {
+func (c *Cluster) stopGracefully(p *proc, grace time.Duration) {
 	p.stopOnce.Do(func() {
-		t.wg.Go(func() {
+		c.wg.Go(func() {
 			<-p.started
 			p.daemon.Stop(grace)
 			p.kill()
@@ -287,15 +287,15 @@
 // WriteSettings notes where a process stands from its next start on.
 //
 // Example: err := t.Put(process)
-func (t *Cluster) WriteSettings(p testbed.Process) error { t.machineOf(p); return nil }
+func (c *Cluster) WriteSettings(p testbed.Process) error { c.machineOf(p); return nil }
 
 // WipeDisk loses a machine's disk.
 //
 // Example: err := t.Wipe(process)
-func (t *Cluster) WipeDisk(p testbed.Process) error {
-	t.mu.Lock()
-	m := t.machine(p.Settings.Name)
-	t.mu.Unlock()
+func (c *Cluster) WipeDisk(p testbed.Process) error {
+	c.mu.Lock()
+	m := c.machine(p.Settings.Name)
+	c.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for k := range m.disk {
@@ -309,10 +309,10 @@
 // SetFault makes a machine's disk or wall clock misbehave, or well again.
 //
 // Example: err := t.Switch(process, "disk", "stall 800")
-func (t *Cluster) SetFault(p testbed.Process, what, word string) error {
-	t.mu.Lock()
-	m := t.machine(p.Settings.Name)
-	t.mu.Unlock()
+func (c *Cluster) SetFault(p testbed.Process, what, word string) error {
+	c.mu.Lock()
+	m := c.machine(p.Settings.Name)
+	c.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if what == "disk" {
@@ -329,8 +329,8 @@
 // Journal reads what a worker wrote down, in all its lives.
 //
 // Example: runs, err := t.Journal(process)
-func (t *Cluster) Journal(p testbed.Process) ([]workersim.Run, error) {
-	f := t.file(p.Settings.Option("journal", ""))
+func (c *Cluster) Journal(p testbed.Process) ([]workersim.Run, error) {
+	f := c.file(p.Settings.Option("journal", ""))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return loadgen.ReadJournal(bytes.NewReader(f.data))
@@ -339,30 +339,30 @@
 // SetLink puts a rule on a way.
 //
 // Example: err := t.Link("edge-1", "core-2", testbed.LinkRule{Cut: true})
-func (t *Cluster) SetLink(from, to string, r testbed.LinkRule) error { t.Set(from, to, r); return nil }
+func (c *Cluster) SetLink(from, to string, r testbed.LinkRule) error { c.Set(from, to, r); return nil }
 
 // Dial connects as people and callers do.
 //
 // Example: c, err := t.Dial(ctx, "tcp", "127.10.1.11:8080")
-func (t *Cluster) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return t.outside.dial(ctx, network, addr)
+func (c *Cluster) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	return c.outside.dial(ctx, network, addr)
 }
 
 // Stop ends every life and waits until all threads have wound up.
 //
 // Example: defer t.Down()
-func (t *Cluster) Stop() {
-	t.mu.Lock()
-	var l []*proc
-	for _, p := range t.processes {
-		l = append(l, p)
+func (c *Cluster) Stop() {
+	c.mu.Lock()
+	var all []*proc
+	for _, p := range c.processes {
+		all = append(all, p)
 	}
-	t.mu.Unlock()
-	for _, p := range l {
+	c.mu.Unlock()
+	for _, p := range all {
 		p.kill()
-		t.stopGracefully(p, 0)
+		c.stopGracefully(p, 0)
 	}
-	t.wg.Wait()
-	t.outside.kill()
+	c.wg.Wait()
+	c.outside.kill()
 	<-time.After(time.Minute) // timers of what was given up run out
 }
--- a/internal/sim/clustersim/proc.go
+++ b/internal/sim/clustersim/process.go
@@ -44,16 +44,16 @@
 func (p *proc) awaitRunning() bool {
 	for {
 		p.mu.Lock()
-		f := p.frozen
+		thawed := p.frozen
 		p.mu.Unlock()
 		if isClosed(p.dead) {
 			return false
 		}
-		if f == nil {
+		if thawed == nil {
 			return true
 		}
 		select {
-		case <-f:
+		case <-thawed:
 		case <-p.dead:
 		}
 	}
@@ -75,19 +75,19 @@
 	p.killOnce.Do(func() {
 		p.mu.Lock()
 		close(p.dead)
-		var cs []*conn
+		var conns []*conn
 		for c := range p.conns {
-			cs = append(cs, c)
+			conns = append(conns, c)
 		}
-		var ls []*listener
+		var listeners []*listener
 		for l := range p.listeners {
-			ls = append(ls, l)
+			listeners = append(listeners, l)
 		}
 		p.mu.Unlock()
-		for _, l := range ls {
+		for _, l := range listeners {
 			l.Close()
 		}
-		for _, c := range cs {
+		for _, c := range conns {
 			c.closeWith(true)
 		}
 	})
@@ -135,58 +135,58 @@
 
 // dial connects: after a round trip, once the link lets it, or not within its time.
 func (p *proc) dial(_ context.Context, _, addr string) (net.Conn, error) {
-	a, err := netip.ParseAddrPort(addr)
+	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	far := net.TCPAddrFromAddrPort(a)
+	remote := net.TCPAddrFromAddrPort(target)
 	fail := func(err error) (net.Conn, error) {
-		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: far, Err: err}
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: remote, Err: err}
 	}
-	to := p.cluster.machineAt(a.Addr())
-	delay := p.cluster.delay(p.machine, to, addr)
-	late := time.NewTimer(p.cluster.dialTimeout)
-	defer late.Stop()
-	for trip := time.NewTimer(2 * delay); ; {
+	machine := p.cluster.machineAt(target.Addr())
+	delay := p.cluster.delay(p.machine, machine, addr)
+	timeout := time.NewTimer(p.cluster.dialTimeout)
+	defer timeout.Stop()
+	for roundTrip := time.NewTimer(2 * delay); ; {
 		if !p.awaitRunning() {
 			return fail(net.ErrClosed)
 		}
-		one, changed := p.cluster.linkRule(p.machine.name, to)
-		two, _ := p.cluster.linkRule(to, p.machine.name)
-		open := trip.C
-		if one.Cut || two.Cut {
-			open = nil
+		outbound, changed := p.cluster.linkRule(p.machine.name, machine)
+		inbound, _ := p.cluster.linkRule(machine, p.machine.name)
+		connected := roundTrip.C
+		if outbound.Cut || inbound.Cut {
+			connected = nil
 		}
 		select {
-		case <-late.C:
-			trip.Stop()
+		case <-timeout.C:
+			roundTrip.Stop()
 			return fail(os.ErrDeadlineExceeded)
 		case <-p.dead:
-			trip.Stop()
+			roundTrip.Stop()
 			return fail(net.ErrClosed)
 		case <-changed:
 			continue
-		case <-open:
+		case <-connected:
 		}
 		break
 	}
-	l := p.cluster.listenerAt(addr)
-	if l == nil {
+	listener := p.cluster.listenerAt(addr)
+	if listener == nil {
 		return fail(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 	}
-	there := &pipe{cluster: p.cluster, from: p.machine.name, to: to, delay: delay, changed: make(chan struct{})}
-	back := &pipe{cluster: p.cluster, from: to, to: p.machine.name, delay: delay, changed: make(chan struct{})}
-	here := net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.machine.ip(p.process.Settings), uint16(30000+p.randomBelow(30000))))
-	mine := p.addConn(back, there, here, far)
-	its := l.proc.addConn(there, back, far, here)
-	if mine == nil || its == nil {
+	request := &pipe{cluster: p.cluster, from: p.machine.name, to: machine, delay: delay, changed: make(chan struct{})}
+	response := &pipe{cluster: p.cluster, from: machine, to: p.machine.name, delay: delay, changed: make(chan struct{})}
+	local := net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.machine.ip(p.process.Settings), uint16(30000+p.randomBelow(30000))))
+	dialed := p.addConn(response, request, local, remote)
+	accepted := listener.proc.addConn(request, response, remote, local)
+	if dialed == nil || accepted == nil {
 		return fail(net.ErrClosed)
 	}
 	select {
-	case l.incoming <- its:
-		return mine, nil
+	case listener.incoming <- accepted:
+		return dialed, nil
 	default:
-		its.closeWith(true)
+		accepted.closeWith(true)
 		return fail(os.ErrDeadlineExceeded) // too many stand before the door
 	}
 }
@@ -257,10 +257,10 @@
 	if err != nil {
 		return err
 	}
-	t := time.NewTimer(max(stall, time.Duration(200+d.proc.randomBelow(1800))*time.Microsecond))
-	defer t.Stop()
+	timer := time.NewTimer(max(stall, time.Duration(200+d.proc.randomBelow(1800))*time.Microsecond))
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-d.proc.dead:
 	}
 	if !d.proc.awaitRunning() {
