--- a/internal/control/mutation/histories_test.go
+++ b/internal/control/mutation/histories_test.go
@@ -18,12 +18,10 @@
 	return proposal, nil`,
 		pkg: statePackage, run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 1, name: "a read is answered from the applied state, unconfirmed",
-		file: "internal/control/controlstate/read.go",
-		original: `			s.pendingReads[readID] = result
-`,
-		replacement: `			result <- true
-`,
-		pkg: statePackage, run: "TestSimGroup$", env: manySeeds},
+		file:        "internal/control/controlstate/read.go",
+		original:    "			s.pendingReads[readID] = confirmation\n",
+		replacement: "			confirmation <- true\n",
+		pkg:         statePackage, run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "a snapshot has no idempotency records",
 		file:        "internal/control/controlstate/state.go",
 		original:    "Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}",
@@ -35,10 +33,13 @@
 		replacement: "> time.Duration(float64(ttl)*settings.LeaseMarginRatio)",
 		pkg:         statePackage, run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 2, name: "a pending change is rejected at its leader's step-down",
-		file:        "internal/control/controlstate/propose.go",
-		original:    "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}",
-		replacement: "proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: s.state.documents[s.configKey()].GetVersion()}",
-		pkg:         statePackage, run: "TestSimGroup$", env: manySeeds},
+		file:     "internal/control/controlstate/propose.go",
+		original: "	s.abandonProposals()",
+		replacement: `	for index, proposal := range s.pendingProposals {
+		proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: s.state.documents[s.configKey()].GetVersion()}
+		delete(s.pendingProposals, index)
+	}`,
+		pkg: statePackage, run: "TestSimGroup$", env: manySeeds},
 	mutant{point: 4, name: "a vote isn't synced to the disk",
 		file:        "internal/control/consensus/core.go",
 		original:    "	c.persistHardState(&wire.HardState{Term: term, Vote: vote,",
--- a/internal/control/mutation/mutation_test.go
+++ b/internal/control/mutation/mutation_test.go
@@ -36,14 +36,6 @@
 	return true
 }
 
-// Packages whose tests find planted faults.
-const (
-	consensusPackage = "internal/control/consensus"
-	statePackage     = "internal/control/controlstate"
-	clientPackage    = "internal/control/controlclient"
-	proxyPackage     = "internal/data/proxy"
-)
-
 // root is the project's root, from this package.
 const root = "../../.."
 
