--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -196,11 +196,11 @@
 		do   func(*testProxy)
 		kind string
 	}{
-		"the proof is too old":    {func(test *testProxy) { test.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
-		"there is no setup":       {func(test *testProxy) { test.snapshot = &updatestream.Snapshot{} }, "not-run"},
-		"the key is unknown":      {func(test *testProxy) { test.snapshot.Config.Tenants = nil; test.snapshot.Config.BuildIndex() }, "bad-key"},
-		"no way leads there":      {func(test *testProxy) { test.snapshot.Config.Routes = nil }, "no-such-model"},
-		"all workers are leaving": {func(test *testProxy) { test.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
+		"the proof is too old":      {func(test *testProxy) { test.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
+		"there is no configuration": {func(test *testProxy) { test.snapshot = &updatestream.Snapshot{} }, "not-run"},
+		"the key is unknown":        {func(test *testProxy) { test.snapshot.Config.Tenants = nil; test.snapshot.Config.BuildIndex() }, "bad-key"},
+		"no way leads there":        {func(test *testProxy) { test.snapshot.Config.Routes = nil }, "no-such-model"},
+		"all workers are leaving":   {func(test *testProxy) { test.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
 		"older weights alone": {func(test *testProxy) {
 			test.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// hints are the header fields that tell the worker where to fetch prefixes from and where to save them.
+// hints are the header fields that name where the worker fetches prefixes from and where it saves them.
 func (c *Choice) hints() map[string]string {
 	hints := map[string]string{}
 	if c.FetchFrom != "" {
--- a/internal/data/callerproxy/freshness_test.go
+++ b/internal/data/callerproxy/freshness_test.go
@@ -65,7 +65,7 @@
 		return test.snapshot
 	})
 	if outcome := test.ask("r", true); outcome.Rejected != "not-run" || looks <= 10 {
-		t.Errorf("denied as %s after %d looks", outcome.Rejected, looks)
+		t.Errorf("rejected as %s after %d looks", outcome.Rejected, looks)
 	}
 }
 
--- a/internal/data/callerproxy/rejection.go
+++ b/internal/data/callerproxy/rejection.go
@@ -19,7 +19,7 @@
 type rejection struct {
 	error
 	requestID  string
-	retryAfter time.Duration // 0: at once, or never
+	retryAfter time.Duration
 }
 
 // Unwrap returns the error without the request.
@@ -27,8 +27,8 @@
 // Example: errs.KindOf(errors.Unwrap(rejection))
 func (r rejection) Unwrap() error { return r.error }
 
-// retryJitter is added to every Retry-After, beside up to half of it, so that callers that were rejected
-// together don't come back together.
+// retryJitter and half of the Retry-After are the most by which a Retry-After is lengthened at random, so that
+// callers that were rejected together don't come back together.
 const retryJitter = 50 * time.Millisecond
 
 func reject(kind *errs.Kind, requestID string, retryAfter time.Duration, format string, arguments ...any) error {
--- /dev/null
+++ b/internal/data/proxy/client_test.go
@@ -0,0 +1,76 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+// reply is a response as the client received it.
+type reply struct {
+	status int
+	head   http.Header
+	body   string
+	err    error // the body is incomplete, or there was no response
+	closes bool  // the connection ends with this response
+}
+
+// clientConn is one client's connection.
+type clientConn struct {
+	net.Conn
+	br *bufio.Reader
+}
+
+func (s *testSite) dialClient() *clientConn {
+	c, err := s.network.Dial(context.Background(), "tcp", front)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	return &clientConn{c, bufio.NewReader(c)}
+}
+
+// roundTrip sends one request and reads its response.
+func (client *clientConn) roundTrip(text string) reply {
+	go func() { _, _ = io.WriteString(client, text) }()
+	return client.readReply(text)
+}
+
+func (client *clientConn) readReply(text string) reply {
+	method, _, _ := strings.Cut(text, " ")
+	a, err := http.ReadResponse(client.br, &http.Request{Method: method})
+	if err == nil && a.StatusCode == http.StatusContinue {
+		a, err = http.ReadResponse(client.br, &http.Request{Method: method})
+	}
+	if err != nil {
+		return reply{err: err}
+	}
+	all, err := io.ReadAll(a.Body)
+	return reply{a.StatusCode, a.Header, string(all), err, a.Close}
+}
+
+// send sends one request on a new connection.
+func (s *testSite) send(text string) reply {
+	client := s.dialClient()
+	defer client.Close()
+	return client.roundTrip(text)
+}
+
+// postRequest returns the text of a POST request.
+func postRequest(route, id, body string, more ...string) string {
+	return "POST /" + route + "/x HTTP/1.1\r\nHost: " + host + "\r\nGo-Id: " + id + "\r\nGo-Left: 4000\r\n" +
+		strings.Join(append(more, ""), "\r\n") + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+}
+
+// getReadyPage makes a readiness check and returns its status.
+func (s *testSite) getReadyPage(path string) int {
+	c, err := s.network.Dial(context.Background(), "tcp", readyAt)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	defer c.Close()
+	return (&clientConn{c, bufio.NewReader(c)}).roundTrip("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").status
+}
--- a/internal/data/proxy/readiness.go
+++ b/internal/data/proxy/readiness.go
@@ -8,7 +8,7 @@
 	"pebbleloom/internal/settings"
 )
 
-// keyProofRatio of the bound on revoked keys (Bounds.KeyMs) is how old the proof may be that a plan is
+// keyProofRatio of the bound on revoked keys (Bounds.KeyRevocationMs) is how old the proof may be that a plan is
 // the newest, for a key to be accepted under it. The rest of the bound covers the time from reading the
 // request to sending it.
 const keyProofRatio = 0.95
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -46,8 +46,8 @@
 var pastTime = time.Unix(1, 0)
 
 const (
-	// transitRatio of settings.Site.TransitMs is how much longer than the deadline a request's context
-	// lives, so that a response which the worker sent in time still reaches the client.
+	// transitRatio of settings.Site.TransitMs is by how much a request's context outlasts its deadline, so
+	// that a response which the worker sent in time still reaches the client.
 	transitRatio = 0.5
 	// retryAfterDivisor of the route's latency target is the default Retry-After: short enough that the
 	// next try can still be served within the target.
--- a/internal/data/proxy/response.go
+++ b/internal/data/proxy/response.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -44,7 +45,7 @@
 	switch {
 	case fallback != nil && (fallback.executed || !req.mayHaveExecuted):
 		req.respondBuffered(fallback)
-	case req.mayHaveExecuted && (req.ctx.Err() == context.DeadlineExceeded || req.timeRemaining() <= 0):
+	case req.mayHaveExecuted && (errors.Is(req.ctx.Err(), context.DeadlineExceeded) || req.timeRemaining() <= 0):
 		req.reject(errs.DeadlineExceeded, "the deadline passed while a worker may have been executing the request", 0)
 	case req.mayHaveExecuted:
 		req.reject(errs.MayHaveExecuted, "a worker accepted the request and gave no complete response", 0)
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -11,6 +11,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"log"
 	"net"
@@ -175,7 +176,7 @@
 }
 
 func (s *server) serveHTTP(httpServer *http.Server, listener net.Listener) {
-	if err := httpServer.Serve(listener); err != http.ErrServerClosed {
+	if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		s.process.Log.Error("proxy: HTTP server ended", "addr", listener.Addr().String(), "error", err)
 	}
 }
