--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -95,7 +95,13 @@
 	})
 	view := func() clustermembership.View { return controller.members.View() }
 	controller.store = controlclient.New(process.Settings.Core, view, controller.clients, bounds)
-	controller.updates = updatestream.Follow(process.Ctx, controller.clock, process.Log, controller.nodeAgent, bounds.Heal(updateWaitRatio), nil, updatestream.OnSeedsChanged(controller.members.SetSeeds))
+	controller.updates = updatestream.Follow(process.Ctx, updatestream.Config{
+		Clock:        controller.clock,
+		Log:          process.Log,
+		NodeAgent:    controller.nodeAgent,
+		LongPollTime: bounds.Heal(updateWaitRatio),
+		OnSnapshot:   updatestream.OnSeedsChanged(controller.members.SetSeeds),
+	})
 	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", controller.countBlockedNodes)
 	mux := http.NewServeMux()
 	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(controller.members))
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -91,7 +91,14 @@
 		p.index.updateShards(snapshot.Nodes)
 		p.process.Ready.Store(p.isFresh(snapshot))
 	}
-	p.follower = updatestream.Follow(p.process.Ctx, p.clock, p.process.Log, nodeAgent, p.bounds.Config(feedWaitRatio), p.fillReport, onSnapshot)
+	p.follower = updatestream.Follow(p.process.Ctx, updatestream.Config{
+		Clock:        p.clock,
+		Log:          p.process.Log,
+		NodeAgent:    nodeAgent,
+		LongPollTime: p.bounds.Config(feedWaitRatio),
+		AddReports:   p.fillReport,
+		OnSnapshot:   onSnapshot,
+	})
 }
 
 // maxRequestBytes is the limit of a request's JSON: half as much again as the prompt may have, for escapes.
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -52,8 +52,13 @@
 		Client:   clients.Membership,
 		OnChange: func(view clustermembership.View) { p.reshard(view.Nodes) },
 	})
-	p.updates = updatestream.Follow(process.Ctx, process.Clock, process.Log, func() wire.NodeAgent { return clients.NodeAgent(settings.NodeAgent) },
-		settings.Bounds.Heal(updatePollRatio), nil, updatestream.OnSeedsChanged(member.SetSeeds))
+	p.updates = updatestream.Follow(process.Ctx, updatestream.Config{
+		Clock:        process.Clock,
+		Log:          process.Log,
+		NodeAgent:    func() wire.NodeAgent { return clients.NodeAgent(settings.NodeAgent) },
+		LongPollTime: settings.Bounds.Heal(updatePollRatio),
+		OnSnapshot:   updatestream.OnSeedsChanged(member.SetSeeds),
+	})
 	process.Every(settings.Bounds.Heal(reportPollRatio), p.poll)
 	process.Go(func() { <-process.Draining; member.Leave() })
 	p.addMetrics()
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -1,5 +1,5 @@
-// Package updatestream is how a process without its own link to the control state follows the node
-// agent on its machine: it long-polls with the version that it has and receives what changed.
+// Package updatestream is how a process without its own link to the control state follows the node agent on
+// its machine: it long-polls with the versions that it has and receives what changed.
 package updatestream
 
 import (
@@ -10,81 +10,47 @@
 	"github.com/hashicorp/go-hclog"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/control/serviceconfig"
-	"pebbleloom/internal/data/placement"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/wire"
 )
 
-// The states of a worker.
-const (
-	WorkerUp uint32 = iota
-	WorkerSuspect
-	WorkerDraining
-	WorkerGone
-)
+// responseGrace is how much longer than twice its wait a request for an update may take.
+const responseGrace = time.Second
 
-// Snapshot is everything that a request uses: it never changes once it is shared.
-type Snapshot struct {
-	Version         uint64
-	ConfigVersion   uint64 // of the configuration
-	ListsVersion    uint64 // of workers, nodes, placements and stores
-	Config          *serviceconfig.Config
-	ProofAt         time.Duration // no configuration newer than ConfigVersion had been acknowledged then
-	LatestProofAt   time.Duration // the latest such instant known, also after a restart of the node agent
-	WorkersListedAt time.Duration // when the worker table was last known good
-	Workers         []*wire.Worker
-	Nodes           []*wire.Node
-	Placements      map[string]*placement.Placement
-	Stores          []string
-	Weights         map[string]WeightsHistory // by model: when each weights version was first seen here
+// Config is how a process follows its node agent.
+type Config struct {
+	Clock        clock.Clock
+	Log          hclog.Logger
+	NodeAgent    func() wire.NodeAgent   // called before each request; nil: none is known yet
+	LongPollTime time.Duration           // how long the node agent may wait for an update before it responds
+	AddReports   func(*wire.FeedRequest) // adds what the process has seen since the last request; nil: nothing
+	OnSnapshot   func(*Snapshot)         // called with every new snapshot, must not block; nil: not called
 }
 
-// IsFresh reports whether the configuration may still be used at an instant: its proof is younger than
-// age.
-//
-// Example: if !s.Fresh(clock.Now(), bounds.Config(0.8)) { reject() }
-func (s *Snapshot) IsFresh(now, age time.Duration) bool {
-	return s != nil && s.Config != nil && s.ProofAt > 0 && now-s.ProofAt < age
-}
-
-// Follower keeps the newest snapshot.
+// Follower keeps the newest snapshot. Its methods are safe for concurrent use.
 type Follower struct {
-	current    atomic.Pointer[Snapshot]
-	clock      clock.Clock
-	log        hclog.Logger
-	onSnapshot func(*Snapshot) // called with every new snapshot; may be nil
-	addReports func(*wire.FeedRequest)
-	fixed      func() *Snapshot
+	config  Config
+	current atomic.Pointer[Snapshot]
+	fixed   func() *Snapshot // instead of current, for tests; nil: none
 }
 
-// Follow starts to follow the node agent that link returns; addReports, if not nil, adds to each
-// request what the process has seen since the last one.
+// Follow follows a node agent until ctx is canceled.
 //
-// Example: f := updatestream.Follow(ctx, clock, log, func() wire.NodeAgent { return clients.NodeAgent(addr) }, hold, nil, nil)
-func Follow(ctx context.Context, clk clock.Clock, log hclog.Logger, link func() wire.NodeAgent, hold time.Duration,
-	addReports func(*wire.FeedRequest), onSnapshot func(*Snapshot)) *Follower {
-	f := &Follower{clock: clk, log: log, addReports: addReports, onSnapshot: onSnapshot}
-	go f.run(ctx, link, hold)
+// Example: f := updatestream.Follow(ctx, updatestream.Config{Clock: clk, Log: log, NodeAgent: nodeAgent, LongPollTime: time.Second})
+func Follow(ctx context.Context, config Config) *Follower {
+	f := &Follower{config: config}
+	go f.run(ctx)
 	return f
 }
 
-// OnSeedsChanged makes an onSnapshot callback that passes the configuration's seeds on when they change.
+// NewFixedFollower makes a follower of snapshots that a function returns, for tests.
 //
-// Example: updatestream.Follow(ctx, clock, log, link, hold, nil, updatestream.Seeds(member.SetSeeds))
-func OnSeedsChanged(set func([]string)) func(*Snapshot) {
-	var version uint64
-	return func(s *Snapshot) {
-		if s.Config != nil && s.ConfigVersion != version && len(s.Config.Seeds) == 3 {
-			set(s.Config.Seeds)
-		}
-		version = s.ConfigVersion
-	}
-}
+// Example: f := updatestream.NewFixedFollower(func() *updatestream.Snapshot { return snapshot })
+func NewFixedFollower(snapshot func() *Snapshot) *Follower { return &Follower{fixed: snapshot} }
 
-// Snapshot returns the newest snapshot; nil before the first.
+// Snapshot returns the newest snapshot; nil before the first. It must not be changed.
 //
-// Example: s := f.Now()
+// Example: snapshot := f.Snapshot()
 func (f *Follower) Snapshot() *Snapshot {
 	if f.fixed != nil {
 		return f.fixed()
@@ -92,98 +58,59 @@
 	return f.current.Load()
 }
 
-// NewFixedFollower returns a follower of fixed snapshots, for tests.
+// OnSeedsChanged makes an OnSnapshot callback that passes the configuration's seeds on when they change.
 //
-// Example: f := updatestream.Fixed(func() *updatestream.Snapshot { return snap })
-func NewFixedFollower(now func() *Snapshot) *Follower { return &Follower{fixed: now} }
+// Example: updatestream.Config{OnSnapshot: updatestream.OnSeedsChanged(member.SetSeeds)}
+func OnSeedsChanged(setSeeds func([]string)) func(*Snapshot) {
+	var version uint64
+	return func(s *Snapshot) {
+		if s.Config != nil && s.ConfigVersion != version && len(s.Config.Seeds) == 3 {
+			setSeeds(s.Config.Seeds)
+		}
+		version = s.ConfigVersion
+	}
+}
 
-func (f *Follower) run(ctx context.Context, link func() wire.NodeAgent, hold time.Duration) {
+// run polls the node agent until ctx is canceled.
+func (f *Follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		a := &wire.FeedRequest{MaxWaitNs: uint64(hold)}
-		if s := f.current.Load(); s != nil {
-			a.KnownVersion, a.KnownConfigVersion, a.KnownListsVersion = s.Version, s.ConfigVersion, s.ListsVersion
-		}
-		if f.addReports != nil {
-			f.addReports(a)
-		}
-		one, end := context.WithTimeout(ctx, 2*hold+time.Second)
-		l := link()
-		var t *wire.FeedResponse
-		err := errs.New(errs.OutcomeUnknown, "no node agent is known yet")
-		if l != nil {
-			t, err = l.Feed(one, a)
-		}
-		end()
+		response, err := f.poll(ctx)
 		if err != nil {
-			f.log.Debug("no update", "error", err)
-			clock.Sleep(ctx, hold/2)
+			f.config.Log.Debug("no update", "error", err)
+			clock.Sleep(ctx, f.config.LongPollTime/2)
 			continue
 		}
-		f.apply(t)
+		f.apply(response)
 	}
 }
 
-func (f *Follower) apply(t *wire.FeedResponse) {
-	old := f.current.Load()
-	s, err := ReadSnapshot(t, old, f.clock.Now())
-	if err != nil {
-		f.log.Error("update can't be read", "error", errs.Text(err))
-		return
-	}
-	f.current.Store(s)
-	if f.onSnapshot != nil {
-		f.onSnapshot(s)
+// poll asks the node agent for an update to the current snapshot.
+func (f *Follower) poll(ctx context.Context) (*wire.FeedResponse, error) {
+	request := &wire.FeedRequest{MaxWaitNs: uint64(f.config.LongPollTime)}
+	if s := f.current.Load(); s != nil {
+		request.KnownVersion, request.KnownConfigVersion, request.KnownListsVersion = s.Version, s.ConfigVersion, s.ListsVersion
 	}
-}
-
-// ReadSnapshot makes a snapshot of a node agent's response, reusing what hasn't changed.
-//
-// Example: s, err := updatestream.Read(response, old, clock.Now())
-func ReadSnapshot(t *wire.FeedResponse, old *Snapshot, now time.Duration) (*Snapshot, error) {
-	if old != nil && t.ListsVersion == old.ListsVersion && t.ListsVersion != 0 {
-		o := *old // the lists are the same; shared data is never changed
-		s := &o
-		s.Version, s.ProofAt, s.WorkersListedAt = t.Version, time.Duration(t.ProofAtNs), time.Duration(t.WorkersListedAtNs)
-		return s, s.applyConfig(t, old, now)
+	if f.config.AddReports != nil {
+		f.config.AddReports(request)
 	}
-	s := &Snapshot{Version: t.Version, ListsVersion: t.ListsVersion, ProofAt: time.Duration(t.ProofAtNs), WorkersListedAt: time.Duration(t.WorkersListedAtNs), Workers: t.Workers,
-		Nodes: t.Nodes, Stores: t.Stores, Placements: map[string]*placement.Placement{}, Weights: map[string]WeightsHistory{}}
-	if err := s.applyConfig(t, old, now); err != nil {
-		return nil, err
+	ctx, cancel := context.WithTimeout(ctx, 2*f.config.LongPollTime+responseGrace)
+	defer cancel()
+	nodeAgent := f.config.NodeAgent()
+	if nodeAgent == nil {
+		return nil, errs.New(errs.OutcomeUnknown, "no node agent is known yet")
 	}
-	for _, d := range t.Placements {
-		if old != nil && old.Placements[d.Key] != nil && old.Placements[d.Key].Version == d.Version {
-			s.Placements[d.Key] = old.Placements[d.Key]
-			continue
-		}
-		p, err := placement.Read(d.Body, d.Version)
-		if err != nil {
-			return nil, errs.Wrap(err, "placement in update")
-		}
-		s.Placements[d.Key] = p
-	}
-	return s, nil
+	return nodeAgent.Feed(ctx, request)
 }
 
-// applyConfig takes the configuration of a response, or keeps the previous one.
-func (s *Snapshot) applyConfig(t *wire.FeedResponse, old *Snapshot, now time.Duration) error {
-	if old != nil && old.Config != nil && (t.Config == nil || old.ConfigVersion == t.Config.Version) {
-		s.ConfigVersion, s.Config, s.Weights = old.ConfigVersion, old.Config, old.Weights
-		s.LatestProofAt = max(old.LatestProofAt, s.ProofAt) // a proof of this version stays valid
-	} else if t.Config != nil {
-		v, err := serviceconfig.Decode(t.Config.Body)
-		if err != nil {
-			return errs.Wrap(err, "configuration in update")
-		}
-		s.ConfigVersion, s.Config, s.LatestProofAt, s.Weights = t.Config.Version, v.BuildIndex(), s.ProofAt, map[string]WeightsHistory{}
-		for n, m := range v.Models {
-			var o WeightsHistory
-			proved := time.Duration(0)
-			if old != nil {
-				o, proved = old.Weights[n], old.LatestProofAt
-			}
-			s.Weights[n] = o.next(m.Weights, proved, now)
-		}
+// apply makes a response the current snapshot. One that this program can't read leaves the previous one.
+func (f *Follower) apply(response *wire.FeedResponse) {
+	snapshot, err := ReadSnapshot(response, f.current.Load(), f.config.Clock.Now())
+	if err != nil {
+		f.config.Log.Error("update can't be read", "error", errs.Text(err))
+		return
+	}
+	f.current.Store(snapshot)
+	if f.config.OnSnapshot != nil {
+		f.config.OnSnapshot(snapshot)
 	}
-	return nil
 }
