--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// executeCalendarStep carries out the steps of a scenario that have to do with planned moves.
+// executeCalendarStep executes a scenario step that concerns the calendar, retirements or the worker list.
 func (run *scenarioRun) executeCalendarStep(ctx context.Context, step Step) error {
 	argument := strings.ReplaceAll(step.Argument, "{model}", run.fleet.Site.Traffic.Model)
 	target := strings.ReplaceAll(step.Targets, "{model}", run.fleet.Site.Traffic.Model)
@@ -29,7 +29,7 @@
 			return errs.Wrap(err, "write")
 		}
 		if code, body := run.fleet.Post(ctx, run.fleet.Site.Operators[0], "/v1/calendar", raw); code != 409 || !strings.Contains(body, "clashes") {
-			return errs.New(errs.Internal, "a clash was answered by %d %s", code, body)
+			return errs.New(errs.Internal, "a clashing calendar entry was answered with %d %s, want 409", code, body)
 		}
 		return nil
 	case "patch":
@@ -47,7 +47,7 @@
 	return run.awaitCalendarEntry(ctx, target, argument)
 }
 
-// moveToSecondService has the platform list workers under the site's second service from now on.
+// moveToSecondService makes the platform simulator list the workers under the site's second service.
 func (run *scenarioRun) moveToSecondService(ctx context.Context, target string) error {
 	names, err := run.resolveTargets(ctx, target)
 	if err != nil {
@@ -68,11 +68,14 @@
 }
 
 const (
-	calendarPolls     = 60 // until an entry has to be in its state
+	calendarPolls     = 60 // polls after which an entry that hasn't reached its state is an error
 	calendarPollPause = 500 * time.Millisecond
+
+	workerReplacementPollPause = 300 * time.Millisecond // between polls for drained workers
+	workerStopGrace            = 300 * time.Millisecond // from SIGTERM to SIGKILL of a replaced worker
 )
 
-// awaitCalendarEntry waits until a calendar entry, service/name, has come to a state.
+// awaitCalendarEntry polls until the calendar entry target, given as service/name, reaches a state.
 func (run *scenarioRun) awaitCalendarEntry(ctx context.Context, target, state string) error {
 	for i := 0; ; i++ {
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/calendar")
@@ -99,6 +102,7 @@
 	}
 }
 
+// listWorker adds a worker to the platform simulator's list, or replaces its entry.
 func (run *scenarioRun) listWorker(ctx context.Context, w contract.ListedWorker) error {
 	raw, err := json.Marshal(w)
 	if err != nil {
@@ -110,14 +114,14 @@
 	return nil
 }
 
-// replaceDrainedWorkers replaces every worker that the setup drains, once it is idle: it warns it, ends
-// it and starts it anew.
+// replaceDrainedWorkers acts as the platform does: it restarts every worker that the configuration drains,
+// once the worker is idle, until ctx is done. Each worker is restarted once.
 func (run *scenarioRun) replaceDrainedWorkers(ctx context.Context) {
 	backends := contract.NewBackends(run.fleet.env.Dial)
 	defer backends.Close()
 	done := map[string]bool{}
 	for ctx.Err() == nil {
-		time.Sleep(300 * time.Millisecond)
+		time.Sleep(workerReplacementPollPause)
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[5], "/v1/setup")
 		var config struct {
 			Setup struct {
@@ -134,7 +138,7 @@
 			}
 			done[worker] = true
 			if run.fleet.Signal(worker, syscall.SIGTERM) == nil {
-				time.Sleep(300 * time.Millisecond)
+				time.Sleep(workerStopGrace)
 				if err := run.fleet.Signal(worker, syscall.SIGKILL); err == nil || errs.KindOf(err) == errs.Internal {
 					if err := run.fleet.Start(worker); err != nil {
 						run.addFault("platform: %v", err)
--- a/internal/sim/testbed/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// measureCapacity measures what each role costs as the fleet grows, into a file whose other series stay; or it
-// writes the page anew from the folder with what was measured.
+// measureCapacity measures the resource use of each role over the size of the fleet and merges the series into
+// options.Out, which keeps its other series. With the part "page" it regenerates the page in the folder options.Out.
 func measureCapacity(options Options, out, bad io.Writer) error {
 	if options.Part == "page" {
 		return capacity.WritePage(options.Out)
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -14,7 +14,8 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// checkRun checks a finished run against what must never happen.
+// checkRun checks the invariants on a finished run: closed is the wall time in milliseconds at which the last step
+// ended, heal the recovery bound in milliseconds.
 func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.OutcomeLog, closed int64, heal int) error {
 	journals, err := run.fleet.Journals()
 	if err != nil {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// recordPlacement notes the placement that is in force in the end.
+// recordPlacement puts the placement that is in force at the end into the report.
 func (run *scenarioRun) recordPlacement(ctx context.Context) {
 	_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/placements/"+mainService(run.fleet.Site.Traffic.Model))
 	var s struct {
@@ -53,12 +54,12 @@
 			Replicated []string `json:"replicated"`
 		} `json:"placement"`
 	}
-	if json.Unmarshal([]byte(body), &s) == nil { // else nobody can say, which other checks look at
+	if json.Unmarshal([]byte(body), &s) == nil { // otherwise the placement is unknown, which other checks report
 		run.report.RMax, run.report.Replicated = s.Placement.RMax, len(s.Placement.Replicated)
 	}
 }
 
-// hitCounter adds up how many prompt tokens were found kept.
+// hitCounter counts prompt tokens, and those of them that were cache hits.
 type hitCounter struct{ hit, all int }
 
 func (t *hitCounter) add(o loadgen.Outcome) {
@@ -68,7 +69,7 @@
 
 func (t *hitCounter) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
 
-// checkSealedShares: service is back within the bound, and only allowed denials occur.
+// checkSealedShares checks that service recovers within the bound and that only allowed rejections occur.
 func (run *scenarioRun) checkSealedShares(log *loadgen.OutcomeLog, closed, heal int64) {
 	afterTotal, afterSealed, duringTotal, duringSealed := 0, 0, 0, 0
 	var before, during, after hitCounter
@@ -82,7 +83,7 @@
 		switch {
 		case outcome.SentMs < firstStepMs:
 			before.add(outcome)
-		case outcome.SentMs < closed+heal: // trouble and what it takes to get over it
+		case outcome.SentMs < closed+heal: // the fault and the recovery from it
 			during.add(outcome)
 		default:
 			after.add(outcome)
@@ -116,15 +117,15 @@
 		run.report.SealedDuring = float64(duringSealed) / float64(duringTotal)
 	}
 	if run.report.SealedAfterRecovery < 0.97 {
-		run.addFault("service is not back: %.3f of %d requests sealed from %d ms after the last step on", run.report.SealedAfterRecovery, afterTotal, heal)
+		run.addFault("service did not recover: %.3f of %d requests sealed from %d ms after the last step on", run.report.SealedAfterRecovery, afterTotal, heal)
 	}
 	if all := float64(run.report.Sum.Sealed) / float64(max(1, run.report.Sum.Requests)); all < run.scenario.MinSealedShare {
 		run.addFault("only %.3f of all requests sealed, at least %.3f are due", all, run.scenario.MinSealedShare)
 	}
 }
 
-// checkRevokedKeys: a revoked key works no longer than its bound, by when its requests were sent and by when
-// workers began them.
+// checkRevokedKeys checks that a revoked key is accepted no longer than its bound, both by the time at which
+// requests were sent and by the time at which workers started them.
 func (run *scenarioRun) checkRevokedKeys(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
 	revokedMs := map[string]int64{} // request -> when its key was revoked
 	for _, outcome := range log.All() {
@@ -148,17 +149,17 @@
 		}
 		if outcome.Sealed || outcome.Interrupted != "" {
 			late++
-			run.addFault("%s: a key revoked %d ms before was let in", outcome.Request.ID, outcome.SentMs-revokedAtMs)
+			run.addFault("%s: a key revoked %d ms before was accepted", outcome.Request.ID, outcome.SentMs-revokedAtMs)
 		} else if outcome.Rejected == "bad-key" {
 			rejected++
 		}
 	}
 	if len(run.keyRevokedMs) > 0 && late == 0 && rejected == 0 {
-		run.addFault("no request came with the revoked key: the check saw nothing")
+		run.addFault("no request used the revoked key: the check had nothing to judge")
 	}
 }
 
-// checkWeightsAndDrains: older weights start no later than their bound; drained workers get nothing.
+// checkWeightsAndDrains checks that no request starts on older weights after their bound, nor on a drained worker.
 func (run *scenarioRun) checkWeightsAndDrains(journals map[string][]workersim.Run) {
 	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	newer := map[uint64]int{}
@@ -184,8 +185,8 @@
 	}
 }
 
-// checkRetryBudget: second runs of a service's requests, in any ten seconds, against the share of its
-// requests and the site's allowance.
+// checkRetryBudget checks the repeated runs in every retry window against the budget: a share of the window's
+// requests plus the site's allowance.
 func (run *scenarioRun) checkRetryBudget(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
 	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	seen := map[string]bool{}
@@ -207,14 +208,13 @@
 		}
 	}
 	run.report.ExtraRuns = len(extra)
-	allow := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // an edge's part is one at least
+	allow := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // an edge machine's share is at least one
 	if extraRuns, firstRuns := worstWindow(extra, first, int64(bounds.RetryWindowMs), float64(bounds.RetryPercent)/100); float64(extraRuns) > float64(bounds.RetryPercent)/100*float64(firstRuns)+allow {
-		run.addFault("%d extra runs on %d requests in ten seconds", extraRuns, firstRuns)
+		run.addFault("%d extra runs on %d requests in a retry window", extraRuns, firstRuns)
 	}
 }
 
-// worstWindow finds the window, wherever it begins, that holds the most extra runs over the share of
-// its requests. A run may begin up to a tenth of the window after its request earned it.
+// worstWindow finds the window, at any start, whose extra runs exceed the share of its requests by the most. A run may begin up to a tenth of the window after its request earned it.
 func worstWindow(extra, first []int64, span int64, share float64) (extraRuns, firstRuns int) {
 	slices.Sort(extra)
 	slices.Sort(first)
@@ -239,7 +239,8 @@
 	return extraRuns, firstRuns
 }
 
-// checkReadBack: every operator address tells the same setup, no older than what was acknowledged.
+// checkReadBack checks that every operator address returns the same configuration, at least as new as the latest
+// acknowledged version.
 func (run *scenarioRun) checkReadBack(ctx context.Context) {
 	bodies := map[string][]string{}
 	for _, addr := range run.fleet.Site.Operators {
@@ -249,21 +250,22 @@
 			Setup json.RawMessage `json:"setup"`
 		}
 		if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
-			run.addFault("%s doesn't read the setup back: %d %.200s", addr, code, body)
+			run.addFault("%s doesn't return the configuration: %d %.200s", addr, code, body)
 			continue
 		}
 		if answer.Epoch < run.acknowledgedVersion {
-			run.addFault("%s reads epoch %d back, %d was acknowledged", addr, answer.Epoch, run.acknowledgedVersion)
+			run.addFault("%s returned configuration version %d, but %d was acknowledged", addr, answer.Epoch, run.acknowledgedVersion)
 		}
 		content := fmt.Sprintf("%d %s", answer.Epoch, answer.Setup)
 		bodies[content] = append(bodies[content], addr)
 	}
 	if len(bodies) > 1 {
-		run.addFault("%d different setups are read back", len(bodies))
+		run.addFault("the operator addresses return %d different configurations", len(bodies))
 	}
 }
 
-// addRelays puts links into the path of a site: others are told a relay's address.
+// addRelays routes a site's connections through links: each process advertises a relay's address, whose second
+// byte is net+100.
 func (s *Site) addRelays(links *Links, net int) error {
 	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
 	to := func(a string) string { return strings.Replace(a, old, via, 1) }
--- a/internal/sim/testbed/compare.go
+++ b/internal/sim/testbed/compare.go
@@ -13,13 +13,13 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Modes are the placements that can be compared.
+// Modes returns the placement modes that Compare runs.
 //
 // Example: for _, m := range testbed.Modes() { run(m) }
 func Modes() []string { return []string{"hrcs", "all-replicated", "all-sharded", "no-index"} }
 
-// Compare runs a site under each placement in turn, seed by seed, so that a slow minute of
-// the machine hits all alike, and prints medians with their spread.
+// Compare runs a site under each placement mode and prints medians with their range. The modes take turns within
+// a seed, so that a slow phase of the machine affects all alike.
 //
 // Example: err := testbed.Compare(ctx, testbed.Options{Site: "paramo", Seconds: 20, Seeds: 3, Seed: 1}, os.Stdout)
 func Compare(ctx context.Context, options Options, out io.Writer) error {
--- a/internal/sim/testbed/confighistory.go
+++ b/internal/sim/testbed/confighistory.go
@@ -12,29 +12,29 @@
 	"pebbleloom/internal/sim/history"
 )
 
-// What operators and readers of a run wait for, and how often an unclear order is sent again.
+// Time-outs and attempts of a run's simulated operators and readers.
 const (
-	operatorPatience   = 3 * time.Second
-	operatorAttempts   = 6
-	mustChangeAttempts = 40
+	operatorTimeout    = 3 * time.Second // of one attempt: the node may be frozen
+	operatorAttempts   = 6               // of one change whose outcome is unknown
+	mustChangeAttempts = 40              // of a change that the run depends on
 	readerPause        = 60 * time.Millisecond
-	readerPatience     = time.Second
+	readerTimeout      = time.Second
 	retryPause         = 100 * time.Millisecond
-	checkTime          = 30 * time.Second
+	checkTime          = 30 * time.Second // for the linearizability checker
 )
 
 // configurationKey is the document whose history is recorded.
 const configurationKey = "configuration"
 
-// unrecordedSteps change the configuration by other calls than those that are recorded.
+// unrecordedSteps are actions that change the configuration by calls that the history doesn't record.
 var unrecordedSteps = []string{"weights", "revoke", "drain", "undrain", "write", "platform", "patch", "second", "clash", "retire", "retire-ask", "retired", "release", "swap"}
 
-// isJudged tells whether all changes of a scenario's configuration are recorded.
+// isJudged reports whether the history holds all of a scenario's configuration changes, so that it can be checked.
 func (scenario Scenario) isJudged() bool {
 	return !slices.ContainsFunc(scenario.Steps, func(step Step) bool { return slices.Contains(unrecordedSteps, step.Action) })
 }
 
-// configurationChange is an operator's change of some items of the configuration.
+// configurationChange is an operator's partial change of the configuration.
 type configurationChange struct {
 	token string
 	base  *uint64 // nil: whatever version is in force
@@ -58,8 +58,8 @@
 	return raw, errs.Wrap(err, "write a change")
 }
 
-// change sends a change to the operator address of a number, and again to the next ones as long as
-// the answer is unclear, as operators do. It gives the version where the change was acknowledged.
+// change sends a change to the operator address with the index first, and retries at the following addresses
+// while the outcome is unknown. It returns the new version if the change was acknowledged.
 func (run *scenarioRun) change(ctx context.Context, c configurationChange, first int) (version uint64, ok bool) {
 	raw, err := c.body()
 	if err != nil {
@@ -88,9 +88,9 @@
 	return errs.New(errs.OutcomeUnknown, "%s: it was never acknowledged", c.token)
 }
 
-// attempt sends a change once, and records how that was answered.
+// attempt sends a change once and records the outcome.
 func (run *scenarioRun) attempt(ctx context.Context, c configurationChange, raw []byte, addr string) (history.Outcome, uint64) {
-	one, end := context.WithTimeout(ctx, operatorPatience) // the node may be frozen
+	one, end := context.WithTimeout(ctx, operatorTimeout)
 	defer end()
 	a := run.history.BeginAttempt(c.operation())
 	code, body := run.fleet.Post(one, addr, "/v1/setup", raw)
@@ -111,7 +111,7 @@
 	case answer.Kind == errs.Conflict.Name && c.base != nil:
 		a.Complete(history.Rejected, 0)
 		return history.Rejected, 0
-	case answer.Kind == errs.Conflict.Name: // it was merged onto a version that isn't in force any more
+	case answer.Kind == errs.Conflict.Name: // it was merged onto a version that has been superseded
 		a.Complete(history.NotExecuted, 0)
 		return history.NotExecuted, 0
 	case answer.Kind == errs.BadInput.Name:
@@ -121,9 +121,9 @@
 	return history.Unknown, 0
 }
 
-// read reads the configuration at an operator address, and records what it gave.
-func (run *scenarioRun) read(ctx context.Context, addr string, patience time.Duration) (version uint64, ok bool) {
-	one, end := context.WithTimeout(ctx, patience)
+// read reads the configuration at an operator address and records the result.
+func (run *scenarioRun) read(ctx context.Context, addr string, timeout time.Duration) (version uint64, ok bool) {
+	one, end := context.WithTimeout(ctx, timeout)
 	defer end()
 	q := run.history.BeginRead(configurationKey)
 	code, body := run.fleet.Get(one, addr, "/v1/setup")
@@ -144,17 +144,17 @@
 	return hex.EncodeToString(sum[:shown])
 }
 
-// readSomewhere reads the configuration at some address that answers.
+// readSomewhere reads the configuration at the first of several random addresses that answers.
 func (run *scenarioRun) readSomewhere(ctx context.Context) (uint64, error) {
 	for range operatorAttempts {
-		if version, ok := run.read(ctx, run.fleet.Site.Operators[run.randomBelow(len(run.fleet.Site.Operators))], operatorPatience); ok {
+		if version, ok := run.read(ctx, run.fleet.Site.Operators[run.randomBelow(len(run.fleet.Site.Operators))], operatorTimeout); ok {
 			return version, nil
 		}
 	}
-	return 0, errs.New(errs.OutcomeUnknown, "nobody reads the configuration back")
+	return 0, errs.New(errs.OutcomeUnknown, "no operator address returns the configuration")
 }
 
-// beginHistory notes the configuration that a run begins with.
+// beginHistory starts the history with the configuration that is in force.
 func (run *scenarioRun) beginHistory(ctx context.Context) error {
 	run.history = &history.History{}
 	version, err := run.readSomewhere(ctx)
@@ -166,10 +166,10 @@
 	return nil
 }
 
-// readUntilDone reads the configuration at one address after the other until the run ends.
+// readUntilDone reads the configuration at each address in turn until ctx is done.
 func (run *scenarioRun) readUntilDone(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
-		run.read(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], readerPatience)
+		run.read(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], readerTimeout)
 		pause(ctx, readerPause)
 	}
 }
@@ -183,7 +183,7 @@
 	}
 }
 
-// checkHistory has the checker judge what operators and readers saw.
+// checkHistory checks the recorded history of the configuration for linearizability.
 func (run *scenarioRun) checkHistory() {
 	if !run.scenario.isJudged() {
 		return
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -16,35 +16,52 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// Environment is what a site runs on: processes of this machine, or a table on virtual time. Both
-// run the same programs, and what is done to them is the same.
+// Environment runs a site's processes and injects faults into them: as processes of this machine, or as a simulated
+// cluster in virtual time. Both run the same programs.
 type Environment interface {
+	// Start starts a process with the settings that were written last.
 	Start(p Process) error
+	// Signal sends a signal to a process; after SIGKILL it returns once the process has ended.
 	Signal(name string, s syscall.Signal) error
-	WriteSettings(p Process) error // writes the settings that it is started with next
+	// WriteSettings writes the settings that the process's next start reads.
+	WriteSettings(p Process) error
+	// WipeDisk removes a process's data.
 	WipeDisk(p Process) error
-	SetFault(p Process, what, word string) error // "disk": full, sync, stall MS; "wall": MS; "" takes it back
+	// SetFault sets a fault of a machine's "disk" (full, sync or stall MS) or "wall" clock (an offset in
+	// milliseconds); an empty word ends it.
+	SetFault(p Process, what, word string) error
+	// Journal reads a worker simulator's journal of runs and orders.
 	Journal(p Process) ([]workersim.Run, error)
+	// SetLink sets the rule of the link from one machine to another; "*" is any machine.
 	SetLink(from, to string, r LinkRule) error
+	// HealLinks removes all link rules.
 	HealLinks()
-	Dial(ctx context.Context, network, addr string) (net.Conn, error) // as people and callers do
+	// Dial connects to a process as a client or an operator outside the site does.
+	Dial(ctx context.Context, network, addr string) (net.Conn, error)
+	// Stop ends all processes that were started.
 	Stop()
 }
 
-// localEnvironment is the ground of real processes.
+// localEnvironment runs a site as processes of this machine.
 type localEnvironment struct {
 	dir, bin       string
-	links          *Links // nil: the site has none
+	links          *Links // nil: connections go directly
 	earlierRelease string // the folder of an earlier release, in upgrades
 	mu             sync.Mutex
 	processes      map[string]*exec.Cmd
 	exited         map[string]chan struct{}
 }
 
+const (
+	stopGrace   = 6 * time.Second // from SIGTERM to SIGKILL when the environment stops
+	dialTimeout = time.Second
+)
+
 func newLocalEnvironment(dir, bin string) *localEnvironment {
 	return &localEnvironment{dir: dir, bin: bin, processes: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}}
 }
 
+// Start implements Environment; the process's output is appended to its log file.
 func (env *localEnvironment) Start(p Process) error {
 	log, err := os.OpenFile(filepath.Join(env.dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -75,6 +92,7 @@
 	return nil
 }
 
+// Signal implements Environment.
 func (env *localEnvironment) Signal(name string, s syscall.Signal) error {
 	env.mu.Lock()
 	c, d := env.processes[name], env.exited[name]
@@ -91,11 +109,13 @@
 	return nil
 }
 
+// WriteSettings implements Environment.
 func (env *localEnvironment) WriteSettings(p Process) error { return env.writeSettings(p) }
 
+// WipeDisk implements Environment.
 func (env *localEnvironment) WipeDisk(p Process) error { return os.RemoveAll(p.Settings.Data) }
 
-// SetFault writes the file that the program looks at, where its place names one.
+// SetFault implements Environment: it writes the file that the process's faults= or wall= option names.
 func (env *localEnvironment) SetFault(p Process, what, word string) error {
 	f := filepath.Join(env.dir, p.Settings.Name+map[string]string{"disk": ".fault", "wall": ".wall"}[what])
 	if word == "" {
@@ -104,6 +124,7 @@
 	return os.WriteFile(f, []byte(word), 0o644)
 }
 
+// Journal implements Environment.
 func (env *localEnvironment) Journal(p Process) ([]workersim.Run, error) {
 	f, err := os.Open(filepath.Join(env.dir, p.Name+".runs"))
 	if err != nil {
@@ -113,6 +134,7 @@
 	return loadgen.ReadJournal(f)
 }
 
+// SetLink implements Environment. It fails with errs.BadInput if the scenario has no links.
 func (env *localEnvironment) SetLink(from, to string, r LinkRule) error {
 	if env.links == nil {
 		return errs.New(errs.BadInput, "the scenario has no links: set \"links\": true")
@@ -121,16 +143,19 @@
 	return nil
 }
 
+// HealLinks implements Environment.
 func (env *localEnvironment) HealLinks() {
 	if env.links != nil {
 		env.links.HealLinks()
 	}
 }
 
+// Dial implements Environment.
 func (env *localEnvironment) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
+	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 }
 
+// Stop implements Environment: it sends SIGTERM, and SIGKILL to processes that outlive stopGrace.
 func (env *localEnvironment) Stop() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -138,7 +163,7 @@
 		_ = c.Process.Signal(syscall.SIGCONT) // one that ended already can't be signalled, nor need it be
 		_ = c.Process.Signal(syscall.SIGTERM)
 	}
-	late := time.After(6 * time.Second)
+	late := time.After(stopGrace)
 	for n, d := range env.exited {
 		select {
 		case <-d:
--- a/internal/sim/testbed/faultkinds.go
+++ b/internal/sim/testbed/faultkinds.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// faultKind is one kind of fault that a mixture may hold.
+// faultKind is a kind of fault that a mixture may contain.
 type faultKind struct {
 	name string
 	draw func(gen *faultGenerator, fault *Fault)
 }
 
-// faultKinds are drawn by their position: a seed's faults change if they are reordered.
+// faultKinds are drawn by index: a seed draws other faults if they are reordered.
 var faultKinds = []faultKind{
 	{"workers-killed", onWorkers("kill", "start", 4)},
 	{"workers-vanish", onWorkers("off", "mend", 2)},
@@ -61,7 +61,7 @@
 	fault.Steps = append(fault.Steps, Step{At: gen.startMs + ms, Action: action, Targets: targets, Argument: argument})
 }
 
-// onWorkers is a fault of one to so many workers.
+// onWorkers returns a fault of one to atMost healthy workers.
 func onWorkers(action, undo string, atMost int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if names := gen.takeHealthy("cab", workers, 1+gen.random.IntN(atMost)); len(names) > 0 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// onEdges is a fault of so many edge machines, or of as many as are healthy.
+// onEdges returns a fault of count edge machines, or of as many as are healthy.
 func onEdges(action, undo, processes string, count int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if names := gen.takeHealthy("edge", edgeMachines, count); len(names) > 0 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// onCoreMachine is a fault of one core machine.
+// onCoreMachine returns a fault of one core machine.
 func onCoreMachine(action, undo, processes string) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if machine, ok := gen.takeCoreMachine(); ok {
@@ -88,19 +88,19 @@
 	}
 }
 
-// concurrentChanges is many operators' changes at once.
+// concurrentChanges returns a step in which 3 to 14 operators change the configuration concurrently.
 func concurrentChanges(action string) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		gen.atStart(fault, action, "", fmt.Sprint(3+gen.random.IntN(12)))
 	}
 }
 
-// withWorkerOption has all workers misbehave throughout.
+// withWorkerOption returns a fault of all workers throughout the run.
 func withWorkerOption(option string) func(*faultGenerator, *Fault) {
 	return func(_ *faultGenerator, fault *Fault) { fault.WorkerOptions = []string{option} }
 }
 
-// drawEdgeHalfCut: what an edge machine sends to the core is lost, what it receives isn't.
+// drawEdgeHalfCut draws a one-way partition: what an edge machine sends to the core is lost, what it receives isn't.
 func drawEdgeHalfCut(gen *faultGenerator, fault *Fault) {
 	const core = "core-1 core-2 core-3 core-4"
 	if names := gen.takeHealthy("edge", edgeMachines, 1); len(names) > 0 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// drawDiskLost: a core machine dies right after changes were acknowledged, and comes back with an empty
-// disk, half of the times at another address.
+// drawDiskLost draws the crash of a core machine during concurrent changes. It restarts with an empty disk, in half
+// of the cases at another address.
 func drawDiskLost(gen *faultGenerator, fault *Fault) {
 	machine, ok := gen.takeCoreMachine()
 	if !ok {
@@ -125,7 +125,7 @@
 	gen.atEnd(fault, "start", expandNames(coreProcesses, machine), "")
 }
 
-// drawDiskFull: a core machine's disk refuses writes; it is restarted once there is space again.
+// drawDiskFull draws a full disk of a core machine, whose control node restarts once there is space again.
 func drawDiskFull(gen *faultGenerator, fault *Fault) {
 	machine, ok := gen.takeCoreMachine()
 	if !ok {
@@ -144,7 +144,8 @@
 	}
 }
 
-// drawPowerLost: all core machines lose power right after something was acknowledged.
+// drawPowerLost draws a power loss of all core machines during concurrent changes. No other fault of a core machine
+// is drawn beside it.
 func drawPowerLost(gen *faultGenerator, fault *Fault) {
 	if gen.nextCoreFaultMs != 0 {
 		return
@@ -165,7 +166,7 @@
 	}
 }
 
-// drawWeightsTwice names newer weights while the ones before are being rolled out.
+// drawWeightsTwice draws a rollout of weights that starts during the rollout of the ones before.
 func drawWeightsTwice(gen *faultGenerator, fault *Fault) {
 	if gen.weightsNamed++; gen.weightsNamed == 1 {
 		gen.atStart(fault, "weights", "", "2")
--- a/internal/sim/testbed/faults.go
+++ b/internal/sim/testbed/faults.go
@@ -8,22 +8,21 @@
 	"strings"
 )
 
-// Fault is one thing that goes wrong in a mixture, with the steps that bring it about and
-// end it.
+// Fault is a fault of a mixture, with the steps that inject and end it.
 type Fault struct {
 	Name          string
 	Steps         []Step
-	Links         bool
-	WorkerOptions []string
+	Links         bool     // it needs relays in the path of every link
+	WorkerOptions []string // of every worker simulator, throughout the run
 }
 
-// faultGenerator draws troubles that a site must bear together: one core machine at a time, a few
-// workers and edges, each machine in one trouble at a time.
+// faultGenerator draws faults that a site must tolerate together: one core machine at a time, a few workers and
+// edge machines, and no machine in two faults.
 type faultGenerator struct {
 	random          *rand.Rand
-	startMs         int // when this trouble begins
-	endMs           int // and ends
-	nextCoreFaultMs int // when a core machine may get into trouble next
+	startMs         int // when the present fault begins
+	endMs           int // and when it ends
+	nextCoreFaultMs int // earliest start of the next fault of a core machine
 	faulty          map[string]bool
 	weightsNamed    int
 	drawn           map[string]bool
@@ -32,10 +31,11 @@
 const (
 	earliestFaultMs = 1000
 	latestFaultMs   = 9000
-	coreFaultGapMs  = 5000 // a core machine's next trouble begins that long after the last one ended
+	coreFaultGapMs  = 5000 // from the end of a core machine's fault to the start of the next
 )
 
-// takeHealthy picks n machines of a kind that are in no trouble yet.
+// takeHealthy draws up to n of the machines of a kind, numbered from 1 to of, that have no fault yet, and marks them
+// as faulty.
 func (gen *faultGenerator) takeHealthy(kind string, of, n int) (l []string) {
 	for _, i := range gen.random.Perm(of) {
 		if x := fmt.Sprintf("%s-%d", kind, i+1); len(l) < n && !gen.faulty[x] {
@@ -62,7 +62,8 @@
 	allControlNodes = "archive-*"
 )
 
-// takeCoreMachine is a core machine's trouble: these come one after the other.
+// takeCoreMachine draws a core machine and moves the fault's time behind the core machine fault before it. It
+// reports false if there is no time left.
 func (gen *faultGenerator) takeCoreMachine() ([]string, bool) {
 	if gen.nextCoreFaultMs > latestFaultMs || gen.drawn["power"] {
 		return nil, false
@@ -77,7 +78,7 @@
 	return []Step{{At: gen.startMs, Action: do, Targets: who}, {At: gen.endMs, Action: undo, Targets: who}}
 }
 
-// draw draws a fault of a kind. It has neither steps nor options if the site bears no more of that kind.
+// draw draws a fault of a kind. The fault has neither steps nor options if the site tolerates no more of that kind.
 func (gen *faultGenerator) draw(kind faultKind) Fault {
 	fault := Fault{Name: kind.name}
 	kind.draw(gen, &fault)
@@ -95,10 +96,9 @@
 	operatorActions = []string{"weights", "revoke", "drain", "storm", "race", "grow", "seeds"}
 )
 
-// DrawFaults draws the troubles of a seed: three to seven kinds of the brief's list, within what a
-// site must bear at once.
+// DrawFaults draws the faults of a seed: three to seven kinds, within what a site must tolerate at once.
 //
-// Example: sc := testbed.Script("paramo", 7, testbed.Mix(7))
+// Example: scenario := testbed.FaultScenario("paramo", 7, testbed.DrawFaults(7))
 func DrawFaults(seed uint64) (faults []Fault) {
 	random := rand.New(rand.NewPCG(seed, 41))
 	generator := &faultGenerator{random: random, faulty: map[string]bool{}, drawn: map[string]bool{}}
@@ -117,9 +117,9 @@
 	return faults
 }
 
-// FaultScenario makes a scenario of troubles.
+// FaultScenario returns a scenario that injects the faults at a site.
 //
-// Example: rep, err := testbed.Play(ctx, testbed.Script("daegu", 7, testbed.Mix(7)), o)
+// Example: report, err := testbed.Play(ctx, testbed.FaultScenario("daegu", 7, testbed.DrawFaults(7)), options)
 func FaultScenario(site string, seed uint64, faults []Fault) Scenario {
 	scenario := Scenario{Name: fmt.Sprintf("mix-%d", seed), Site: site, Rate: 15, ReadAll: true, MinSealedShare: 0.3}
 	var names []string
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -13,10 +13,10 @@
 	"pebbleloom/internal/errs"
 )
 
-// Fit starts one worker, has it prefill prompts of many lengths that it doesn't hold, and
-// fits the curve that the placement estimates prefill time with.
+// Fit starts one worker simulator, measures its prefill time for uncached prompts of many lengths, and fits the
+// curve with which the placement estimates prefill time.
 //
-// Example: c, err := testbed.Fit(ctx, testbed.Options{Site: "paramo", Dir: dir, Bin: "bin", Net: 10})
+// Example: curve, err := testbed.Fit(ctx, testbed.Options{Site: "paramo", Dir: dir, Programs: "bin", AddressByte: 10})
 func Fit(ctx context.Context, options Options) (placement.Curve, error) {
 	s, err := LayOut(options.Site, options.Dir, options.AddressByte, []string{"piece_us=1"})
 	if err != nil {
@@ -56,7 +56,7 @@
 			}
 			g.Body.Close()
 			if c.Sealed == nil || c.Sealed.PrefilledTokens != n {
-				return placement.Curve{}, errs.New(errs.Internal, "measure: %d tokens asked for, seal says %+v", n, c.Sealed)
+				return placement.Curve{}, errs.New(errs.Internal, "measure: %d tokens requested, final record is %+v", n, c.Sealed)
 			}
 			l = append(l, placement.Sample{Tokens: n, Micros: float64(c.Sealed.PrefillUs)})
 		}
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -14,7 +14,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// Fleet is a site that runs.
+// Fleet is a running site.
 type Fleet struct {
 	Site   *Site
 	Dir    string
@@ -22,19 +22,24 @@
 	client *http.Client
 }
 
+const (
+	firstConfigTimeout = 60 * time.Second
+	startPollPause     = 200 * time.Millisecond // between polls of a starting site
+)
+
 func newFleet(site *Site, dir string, env Environment) *Fleet {
 	return &Fleet{Site: site, Dir: dir, env: env, client: &http.Client{Transport: &http.Transport{DialContext: env.Dial}}}
 }
 
-// Up starts every process of a site on this machine, and waits until it serves its first setup.
+// Up starts every process of a site on this machine and waits until the site serves its first configuration.
 //
-// Example: f, err := testbed.Up(ctx, site, "/tmp/run", "bin")
+// Example: fleet, err := testbed.Up(ctx, site, "/tmp/run", "bin")
 func Up(ctx context.Context, s *Site, dir, bin string) (*Fleet, error) {
 	return startSite(ctx, s, dir, newLocalEnvironment(dir, bin), 0)
 }
 
-// startSite starts a site, and waits until all is ready; or, cold, only as long as said from the
-// start of its machines, whatever is ready then.
+// startSite starts a site and waits until all processes are ready. A coldStart over 0 is waited for instead, from the
+// start of the first process, whether the site is ready or not.
 func startSite(ctx context.Context, site *Site, dir string, env Environment, coldStart time.Duration) (*Fleet, error) {
 	begun := time.Now()
 	fleet := newFleet(site, dir, env)
@@ -75,9 +80,9 @@
 	return Process{}, errs.New(errs.NotFound, "process %q", name)
 }
 
-// Start starts one process, or starts it again.
+// Start starts or restarts a process.
 //
-// Example: err := f.Start("cab-3")
+// Example: err := fleet.Start("cab-3")
 func (f *Fleet) Start(name string) error {
 	p, err := f.process(name)
 	if err != nil {
@@ -86,26 +91,26 @@
 	return f.env.Start(p)
 }
 
-// Signal sends a signal to one process that this fleet started.
+// Signal sends a signal to a process that this fleet started.
 //
-// Example: err := f.Signal("cab-3", syscall.SIGKILL)
+// Example: err := fleet.Signal("cab-3", syscall.SIGKILL)
 func (f *Fleet) Signal(name string, s syscall.Signal) error { return f.env.Signal(name, s) }
 
 // Stop ends every process that this fleet started.
 //
-// Example: defer f.Down()
+// Example: defer fleet.Stop()
 func (f *Fleet) Stop() {
 	f.env.Stop()
 	f.client.CloseIdleConnections()
 }
 
-// applyFirstConfig applies the site's first setup through any operator address.
+// applyFirstConfig applies the site's first configuration through any operator address.
 func (f *Fleet) applyFirstConfig(ctx context.Context) error {
-	ctx, end := context.WithTimeout(ctx, 60*time.Second)
+	ctx, end := context.WithTimeout(ctx, firstConfigTimeout)
 	defer end()
 	raw, err := json.Marshal(map[string]any{"setup": f.Site.Config, "token": "first", "if_epoch": 0})
 	if err != nil {
-		return errs.Wrap(err, "write first setup")
+		return errs.Wrap(err, "write first configuration")
 	}
 	last := "nothing answered"
 	for i := 0; ctx.Err() == nil; i++ {
@@ -114,11 +119,12 @@
 			return nil
 		}
 		last = fmt.Sprintf("%d %s", code, body)
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(startPollPause)
 	}
-	return errs.New(errs.OutcomeUnknown, "first setup: %s", last)
+	return errs.New(errs.OutcomeUnknown, "first configuration: %s", last)
 }
 
+// awaitReady polls until every process is ready and the main service has a placement.
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	for ctx.Err() == nil {
 		n := 0
@@ -136,7 +142,7 @@
 		if n == len(f.Site.Processes) && f.hasPlacement(ctx) {
 			return nil
 		}
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(startPollPause)
 	}
 	return errs.New(errs.OutcomeUnknown, "the site isn't ready: see the logs in %s", f.Dir)
 }
@@ -146,16 +152,16 @@
 	return code == 200
 }
 
-// Journals reads what every worker has run, killed ones included.
+// Journals reads the runs of every worker, including killed ones, by worker.
 //
-// Example: js, err := f.Journals()
+// Example: journals, err := fleet.Journals()
 func (f *Fleet) Journals() (map[string][]workersim.Run, error) {
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken == 0 })
 }
 
-// Orders reads which orders every worker has obeyed.
+// Orders reads the orders that every worker has executed, by worker.
 //
-// Example: orders, err := f.Orders()
+// Example: orders, err := fleet.Orders()
 func (f *Fleet) Orders() (map[string][]workersim.Run, error) {
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken > 0 })
 }
@@ -191,16 +197,17 @@
 	return r.StatusCode, b.String()
 }
 
-// Post sends JSON to an operator address.
+// Post sends JSON to an operator address and returns the status and the body; the status is 0, and the body the
+// error, if there was no response.
 //
-// Example: code, said := f.Post(ctx, addr, "/v1/setup", raw)
+// Example: code, body := fleet.Post(ctx, addr, "/v1/setup", raw)
 func (f *Fleet) Post(ctx context.Context, addr, path string, raw []byte) (int, string) {
 	return f.call(http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(raw)))
 }
 
-// Get reads from an operator address.
+// Get reads from an operator address; its results are those of Post.
 //
-// Example: code, said := f.Get(ctx, addr, "/v1/nodes")
+// Example: code, body := fleet.Get(ctx, addr, "/v1/nodes")
 func (f *Fleet) Get(ctx context.Context, addr, path string) (int, string) {
 	return f.call(http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil))
 }
--- a/internal/sim/testbed/layout.go
+++ b/internal/sim/testbed/layout.go
@@ -13,14 +13,14 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Sizes of a site today, and how often they can be multiplied.
+// Sizes of a site today, and how far it can be multiplied.
 const (
 	zones           = 4
 	edgeMachines    = 9
 	workers         = 18
 	tenants         = 8
 	heavyTenants    = 2 // the first ones
-	heavyWeight     = 5 // of their share of the traffic, against 1
+	heavyWeight     = 5 // their weight in the traffic; the others have 1
 	maxTimes        = 4
 	simulatorsZone  = 9 // third byte of the platform simulator's address
 	initialWeights  = 1
@@ -42,7 +42,7 @@
 	platformInternalPort = 9101
 )
 
-// layout lays one site out.
+// layout collects the processes of a site.
 type layout struct {
 	site          *Site
 	dir           string
@@ -54,18 +54,18 @@
 	platformAddr  string
 }
 
-// LayOut lays a site out. net is the second byte of its loopback addresses; the options go to
-// every worker.
+// LayOut returns a site of today's size. net is the second byte of its loopback addresses; workerOptions go to every
+// worker simulator. It fails with errs.BadInput for an unknown site.
 //
-// Example: s, err := testbed.LayOut("paramo", "/tmp/run", 10, nil)
+// Example: site, err := testbed.LayOut("paramo", "/tmp/run", 10, nil)
 func LayOut(name, dir string, net int, workerOptions []string) (*Site, error) {
 	return LayOutTimes(name, dir, net, workerOptions, 1)
 }
 
-// LayOutTimes lays a site out at several times today's size: edge machines, workers and
-// traffic grow, the four core machines stay.
+// LayOutTimes returns a site of 1 to 4 times today's size: the edge machines, the workers and the traffic are
+// multiplied, the four core machines aren't.
 //
-// Example: s, err := testbed.LayOutTimes("daegu", "/tmp/run", 10, nil, 4)
+// Example: site, err := testbed.LayOutTimes("daegu", "/tmp/run", 10, nil, 4)
 func LayOutTimes(name, dir string, net int, workerOptions []string, times int) (*Site, error) {
 	if times < 1 || times > maxTimes {
 		return nil, errs.New(errs.BadInput, "times %d: give 1 to %d", times, maxTimes)
@@ -88,8 +88,8 @@
 	return l.site, nil
 }
 
-// setTraffic sets what the site's clients send and how fast its links are. It returns how much of a
-// prefill a fetch may take.
+// setTraffic sets the traffic of the site's clients and the speed of its links. It returns the service's fetch
+// tolerance, a share of the prefill time.
 func (l *layout) setTraffic(name string) (fetchTolerance float64, err error) {
 	switch name {
 	case "paramo":
@@ -111,7 +111,7 @@
 	return 0, errs.New(errs.BadInput, "site %q: give one of %v", name, Sites())
 }
 
-// setConfig sets the site's first configuration: a service each for the model and the application.
+// setConfig sets the site's first configuration, with a service for the model and one for the application.
 func (l *layout) setConfig(fetchTolerance float64) {
 	model, app := l.site.Traffic.Model, l.site.Traffic.App
 	l.site.Config = serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{}, MaxWaitMs: maxClientWaitMs,
@@ -120,7 +120,7 @@
 		Routes:   map[string]serviceconfig.Route{model: {Service: mainService(model)}, app: {Service: mainService(app)}}}
 }
 
-// mainService is the service of a model.
+// mainService returns the name of a model's service.
 func mainService(model string) string { return model + "-main" }
 
 // addTenants adds the site's tenants: a few heavy ones, and an isolated one at the end.
@@ -135,14 +135,14 @@
 	}
 }
 
-// addr is a machine's address with a port; the third byte is its zone.
+// addr returns a machine's address with a port; the third byte is its zone.
 func (l *layout) addr(zone, machine, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", l.addressByte, zone, machine, port)
 }
 
 func zoneName(zone int) string { return fmt.Sprintf("district-%d", zone) }
 
-// add adds a process, with the settings that all have.
+// add adds a process and completes the settings that all processes share.
 func (l *layout) add(name, program string, process settings.Process) {
 	process.Seeds = slices.Clone(l.seeds)
 	process.Bounds, process.Core, process.WorkerList = l.bounds, l.core, l.platformAddr
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -10,9 +10,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// Links stand in the path between all machines of a site: each process is reached through
-// a relay on an address of its own, which knows who calls by the caller's address. A link
-// can be cut one way or both, stalled, or slowed.
+// Links relay all connections between the machines of a site: each process is reached through a relay at an address
+// of its own, which knows the client by its address. A link can be cut in one or both directions, delayed or slowed.
 type Links struct {
 	mu        sync.Mutex
 	rules     map[[2]string]LinkRule
@@ -22,32 +21,32 @@
 	quit      chan struct{}
 }
 
-// LinkRule is what a link does to bytes from one machine to another.
+// LinkRule is how a link treats the bytes from one machine to another; the zero value passes them on at once.
 type LinkRule struct {
 	Cut            bool
 	Delay          time.Duration
-	BytesPerSecond float64 // a second; 0: no bound
+	BytesPerSecond float64 // 0: no limit
 }
 
-// NewLinks makes links without rules.
+// NewLinks returns links without rules.
 //
-// Example: l := testbed.NewLinks()
+// Example: links := testbed.NewLinks()
 func NewLinks() *Links {
 	return &Links{rules: map[[2]string]LinkRule{}, wake: make(chan struct{}), names: map[netip.Addr]string{}, quit: make(chan struct{})}
 }
 
-// NameAddress tells which machine an address belongs to.
+// NameAddress records the machine that an address belongs to.
 //
-// Example: l.Name("127.10.1.11", "edge-1")
+// Example: links.NameAddress("127.10.1.11", "edge-1")
 func (l *Links) NameAddress(ip, machine string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.names[netip.MustParseAddr(ip)] = machine
 }
 
-// Set puts a rule on the way from one machine to another; "*" is any.
+// Set sets the rule of the link from one machine to another; "*" is any machine. The zero rule removes it.
 //
-// Example: l.Set("edge-1", "core-2", testbed.LinkRule{Cut: true})
+// Example: links.Set("edge-1", "core-2", testbed.LinkRule{Cut: true})
 func (l *Links) Set(from, to string, r LinkRule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,9 +59,9 @@
 	l.wake = make(chan struct{})
 }
 
-// HealLinks takes all rules away.
+// HealLinks removes all rules.
 //
-// Example: l.Heal()
+// Example: links.HealLinks()
 func (l *Links) HealLinks() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,9 +70,10 @@
 	l.wake = make(chan struct{})
 }
 
-// RuleBetween gives the rule on the way from one machine to another, and what is closed when rules change.
+// RuleBetween returns the strictest combination of the rules that apply from one machine to another, and a channel
+// that is closed when rules change.
 //
-// Example: r, changed := l.At("edge-1", "core-2")
+// Example: rule, changed := links.RuleBetween("edge-1", "core-2")
 func (l *Links) RuleBetween(from, to string) (LinkRule, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,9 +89,9 @@
 	return r, l.wake
 }
 
-// Relay listens at one address for a machine's process, and passes all on to the other.
+// Relay listens at one address and relays connections to another, that of a machine's process.
 //
-// Example: err := l.Relay("127.110.1.11:7000", "127.10.1.11:7000", "edge-1")
+// Example: err := links.Relay("127.110.1.11:7000", "127.10.1.11:7000", "edge-1")
 func (l *Links) Relay(at, to, machine string) error {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
@@ -120,14 +120,14 @@
 		l.mu.Unlock()
 	}
 	defer c.Close()
-	if !l.awaitLink(from, machine, 0) { // the first packet waits with the rest
+	if !l.awaitLink(from, machine, 0) { // connecting waits like the bytes after it
 		return
 	}
 	d, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
-		// Nobody listens: the caller is to see a refusal, as from the machine itself.
+		// Nobody listens: reset the connection, as the machine itself would refuse it.
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a reset, not an end
+			_ = t.SetLinger(0) // sends a reset instead of an orderly end
 		}
 		return
 	}
@@ -142,7 +142,7 @@
 	}
 }
 
-// copy moves bytes one way; a half that ends is ended on the other side as well.
+// copy relays bytes in one direction, and an orderly end or a reset of it.
 func (l *Links) copy(dst, src net.Conn, from, to string) {
 	b := make([]byte, 16<<10)
 	for {
@@ -158,12 +158,12 @@
 		if err != nil {
 			if err != io.EOF {
 				if t, ok := dst.(*net.TCPConn); ok {
-					_ = t.SetLinger(0) // broken here is broken there
+					_ = t.SetLinger(0) // a reset is relayed as a reset
 				}
 				break
 			}
 			if t, ok := dst.(*net.TCPConn); ok {
-				_ = t.CloseWrite() // an end that can't be passed on is seen as a reset
+				_ = t.CloseWrite() // if it fails, the peer sees a reset
 			}
 			return
 		}
@@ -172,7 +172,7 @@
 	src.Close()
 }
 
-// awaitLink waits as the link's rule says; false when the links are taken down.
+// awaitLink waits until n bytes may pass by the link's rule; it reports false if the links are closed.
 func (l *Links) awaitLink(from, to string, n int) bool {
 	for {
 		r, wake := l.RuleBetween(from, to)
@@ -196,7 +196,7 @@
 
 // Close closes all relays.
 //
-// Example: defer l.Down()
+// Example: defer links.Close()
 func (l *Links) Close() {
 	close(l.quit)
 	for _, ln := range l.listeners {
--- a/internal/sim/testbed/loadgenerator.go
+++ b/internal/sim/testbed/loadgenerator.go
@@ -14,13 +14,14 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// LoadGenerator is the command line of the callers: they send to a site that is up.
+// LoadGenerator is the command line of the load generator, which sends clients' traffic to a running site. It returns
+// the exit code.
 //
-// Example: os.Exit(testbed.Callers([]string{"--site", "paramo", "--seconds", "10"}, os.Stdout, os.Stderr))
+// Example: os.Exit(testbed.LoadGenerator([]string{"--site", "paramo", "--seconds", "10"}, os.Stdout, os.Stderr))
 func LoadGenerator(args []string, out, bad io.Writer) int {
 	site, seconds, net, seed := "paramo", 10, 10, uint64(1)
 	ps := flaggy.NewParser("loadgen")
-	ps.Description = "sends a site's traffic and checks every answer"
+	ps.Description = "sends a site's traffic and checks every response"
 	ps.ShowHelpOnUnexpected = false
 	ps.DisableShowVersionWithVersion()
 	ps.ShowCompletion = false
@@ -46,7 +47,7 @@
 	ctx, end := context.WithTimeout(context.Background(), time.Duration(seconds)*2*time.Second+time.Minute)
 	defer end()
 	log := &loadgen.OutcomeLog{}
-	run := fmt.Sprintf("f%d-", time.Now().UnixMilli()) // an id is used once, also over several calls
+	run := fmt.Sprintf("f%d-", time.Now().UnixMilli()) // request ids must be unique over several runs of the load generator
 	loadgen.SendTraffic(ctx, s.Traffic, loadgen.NewClient(s.Edges), seed, run, int(float64(seconds)*s.Traffic.Rate), log)
 	journals, err := loadgen.Journals(ctx, s.Workers)
 	if err != nil {
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -20,7 +20,7 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Options are what the test bed's commands take.
+// Options are the options of the test bed's commands.
 type Options struct {
 	Site           string
 	Dir            string // folder for settings, data and logs; empty: a new one
@@ -32,11 +32,11 @@
 	AddressByte    int    // second byte of the site's loopback addresses
 	Seeds          int    // how many seeds, from Seed on
 	Times          int    // times today's size, 1 to 4
-	Seed           uint64
+	Seed           uint64 // of the traffic and of drawn faults
 	Rate           float64 // requests a second; 0: the site's own
 	Part           string  // with capacity: what is measured; empty: all
-	Out            string  // with capacity: file that keeps what was measured
-	Quick          bool    // with capacity: sizes so small that the figures mean nothing
+	Out            string  // with capacity: file with the measured series
+	Quick          bool    // with capacity: sizes too small for meaningful figures
 }
 
 const (
@@ -54,15 +54,15 @@
 func commands() []command {
 	return []command{
 		{"up", "start a site and keep it until interrupted", runUp},
-		{"run", "start a site, send callers' traffic, check it all, stop", runOnce},
-		{"compare", "run a site under each placement in turn, over several seeds, and print a table", runCompare},
-		{"scenarios", "list the runs with failures", listScenarios},
+		{"run", "start a site, send clients' traffic, check it, stop", runOnce},
+		{"compare", "run a site under each placement mode in turn, over several seeds, and print a table", runCompare},
+		{"scenarios", "list the scenarios", listScenarios},
 		{"mix", "draw faults by the seed and run them: testbed mix --seed 7 --seeds 10", runMix},
 		{"play", "run one scenario, or all: testbed play --scenario owner-killed", runPlay},
-		{"tally", "draw a table from the lines of many runs, which come in on standard input", runTally},
-		{"upgrade", "bring a site of an earlier release to this one and back: testbed upgrade --old /tmp/old-bin", runUpgrade},
-		{"capacity", "measure what each role costs as the fleet grows (docs/CAPACITY.md)", nil},
-		{"fit", "measure a worker's prefill and fit the curve (JSON, to be kept as internal/data/placement/curve.json)", runFit},
+		{"tally", "print a table from the lines of many runs on standard input", runTally},
+		{"upgrade", "upgrade a site of an earlier release to this one and downgrade it again: testbed upgrade --old /tmp/old-bin", runUpgrade},
+		{"capacity", "measure the resource use of each role over the size of the fleet (docs/CAPACITY.md)", nil},
+		{"fit", "measure a worker's prefill time and fit the curve (JSON, stored as internal/data/placement/curve.json)", runFit},
 	}
 }
 
@@ -70,7 +70,7 @@
 //
 // Example: os.Exit(testbed.Main([]string{"up", "--site", "paramo"}, os.Stdout, os.Stderr))
 func Main(args []string, out, bad io.Writer) int {
-	if os.Getenv(capacity.HollowVariable) != "" { // the far end of another test bed's measurement
+	if os.Getenv(capacity.HollowVariable) != "" { // this process is the peer of another test bed's measurement
 		return capacity.Hollow(os.Stdin, out)
 	}
 	options := Options{Seconds: 20, Seed: 1, AddressByte: 10}
@@ -91,7 +91,7 @@
 // parseCommand fills the options from the flags and returns the command.
 func parseCommand(args []string, options *Options) (*command, error) {
 	parser := flaggy.NewParser("testbed")
-	parser.Description = "runs a whole site on this machine\n\n  testbed up --site paramo              run until interrupted\n  testbed run --site daegu --seconds 20  run with callers, check, report, stop\n  testbed fit > curve.json               fit the prefill curve on a worker"
+	parser.Description = "runs a complete site on this machine\n\n  testbed up --site paramo              run until interrupted\n  testbed run --site daegu --seconds 20  run with clients, check, report, stop\n  testbed fit > curve.json               fit the prefill curve on a worker"
 	parser.ShowHelpOnUnexpected = false
 	parser.DisableShowVersionWithVersion()
 	parser.ShowCompletion = false
@@ -127,20 +127,20 @@
 	sub.String(&options.Programs, "b", "bin", "folder with the programs")
 	sub.String(&options.EarlierRelease, "o", "old", "with upgrade: folder with an earlier release's programs")
 	sub.String(&options.Mode, "m", "mode", "placement: hrcs, all-replicated, all-sharded or no-index")
-	sub.Int(&options.Seconds, "t", "seconds", "how long callers send")
+	sub.Int(&options.Seconds, "t", "seconds", "how long clients send")
 	sub.Int(&options.AddressByte, "n", "net", "second byte of the loopback addresses")
-	sub.String(&options.Scenario, "c", "scenario", "with play: its name; all of them without")
+	sub.String(&options.Scenario, "c", "scenario", "with play: its name; without: all of them")
 	sub.Int(&options.Times, "x", "times", "times today's size, 1 to 4")
 	sub.Int(&options.Seeds, "k", "seeds", "with compare: how many seeds")
-	sub.UInt64(&options.Seed, "e", "seed", "seed of the callers")
+	sub.UInt64(&options.Seed, "e", "seed", "seed of the traffic")
 	sub.Float64(&options.Rate, "r", "rate", "requests a second; 0: the site's own")
-	sub.String(&options.Part, "p", "part", "with capacity: nodes, workers, plans, kept, placement, calls, follow, group or traffic; all without; page: write the page anew")
-	sub.String(&options.Out, "f", "out", "with capacity: file that keeps what was measured; with page: the folder docs")
-	sub.Bool(&options.Quick, "q", "quick", "with capacity: a few sizes so small that the figures mean nothing")
+	sub.String(&options.Part, "p", "part", "with capacity: nodes, workers, plans, kept, placement, calls, follow, group or traffic; without: all; page: regenerate the page")
+	sub.String(&options.Out, "f", "out", "with capacity: file with the measured series; with page: the folder docs")
+	sub.Bool(&options.Quick, "q", "quick", "with capacity: a few sizes too small for meaningful figures")
 	return sub
 }
 
-// runCommand fills in the folders that weren't given, and runs a command until it ends or is interrupted.
+// runCommand sets the folders that weren't given and runs a command until it ends or is interrupted.
 func runCommand(c *command, options Options, out io.Writer) (exitCode int, err error) {
 	if options.Programs == "" {
 		executable, err := os.Executable()
@@ -159,7 +159,7 @@
 	return c.run(ctx, options, out)
 }
 
-// withDefaultSite fills in the site for commands that run one.
+// withDefaultSite sets the site for commands that run a single one.
 func (options Options) withDefaultSite() Options {
 	if options.Site == "" {
 		options.Site = defaultSite
@@ -268,7 +268,7 @@
 	return playSeeds(ctx, options, out, func(uint64) []Scenario { return selected })
 }
 
-// playSeeds plays the scenarios of each seed, and prints a line for each and what is wrong.
+// playSeeds plays the scenarios of each seed and prints a line and the faults of each.
 func playSeeds(ctx context.Context, options Options, out io.Writer, scenariosOf func(seed uint64) []Scenario) (exitCode int, err error) {
 	for i := range uint64(max(1, options.Seeds)) {
 		for _, scenario := range scenariosOf(options.Seed + i) {
@@ -305,9 +305,9 @@
 	return Up(ctx, s, options.Dir, options.Programs)
 }
 
-// Run runs a site with callers for a while, and settles what they saw with what ran.
+// Run runs a site with client traffic for options.Seconds, and checks the outcomes against the workers' journals.
 //
-// Example: sum, err := testbed.Run(ctx, testbed.Options{Site: "daegu", Seconds: 10, Seed: 1})
+// Example: result, err := testbed.Run(ctx, testbed.Options{Site: "daegu", Seconds: 10, Seed: 1})
 func Run(ctx context.Context, options Options) (RunResult, error) {
 	f, err := options.start(ctx)
 	if err != nil {
@@ -327,7 +327,7 @@
 	return RunResult{log.Summarize(journals, true), use}, nil
 }
 
-// printReport prints a run's line and what is wrong; 1 if anything is.
+// printReport prints a run's line and its faults, and returns the exit code: exitFaults if there are any.
 func printReport(out io.Writer, report *Report, how, dir string) int {
 	fmt.Fprintln(out, Line(report))
 	for _, m := range report.Sum.Samples {
@@ -340,5 +340,5 @@
 		return 0
 	}
 	fmt.Fprintf(out, "  steps: %s\n  replay: testbed %s --site %s --seed %d (logs in %s)\n", strings.Join(report.Steps, "; "), how, report.Site, report.Seed, dir)
-	return 1
+	return exitFaults
 }
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -15,14 +15,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// settingsOf is where a process stands.
+// Bounds of one call to the operator addresses.
+const (
+	postAttempts = 40
+	postTimeout  = 8 * time.Second // of one attempt
+)
+
+// settingsOf returns a process's settings; the zero value for an unknown process.
 func (f *Fleet) settingsOf(name string) settings.Process {
-	p, _ := f.process(name) // none: no place
+	p, _ := f.process(name)
 	return p.Settings
 }
 
-// startImpostor starts an empty machine under the name that a process has, at another address,
-// while the process itself lives on, frozen or not.
+// startImpostor starts a second process, with an empty disk, under the machine name of an existing one and at
+// another address, while the existing process keeps running or is frozen.
 func (f *Fleet) startImpostor(name string) error {
 	for _, p := range f.Site.Processes {
 		if p.Name != name {
@@ -47,12 +53,12 @@
 	return errs.New(errs.NotFound, "process %q", name)
 }
 
-// addressByte is the second byte of the site's addresses.
+// addressByte returns the second byte of the site's addresses.
 func (f *Fleet) addressByte() string { return strings.Split(f.platformAddr(), ".")[1] }
 
 func (f *Fleet) platformAddr() string { return f.settingsOf("rank-1").Public }
 
-// configLeader names the core machine that owns the setup's part.
+// configLeader returns the core machine that leads the configuration's shard.
 func (f *Fleet) configLeader(ctx context.Context) (string, error) {
 	for _, p := range f.Site.Processes {
 		if p.Program != programs.ControlNode {
@@ -67,10 +73,10 @@
 			}
 		}
 	}
-	return "", errs.New(errs.OutcomeUnknown, "nobody owns the setup's part")
+	return "", errs.New(errs.OutcomeUnknown, "the configuration's shard has no leader")
 }
 
-// moveAddress gives a process of a core machine a new address; it is started there by a later step.
+// moveAddress gives a core machine's process a new address, which its next start uses.
 func (f *Fleet) moveAddress(name string) error {
 	for i := range f.Site.Processes {
 		p := &f.Site.Processes[i]
@@ -98,21 +104,23 @@
 	return errs.New(errs.NotFound, "process %q", name)
 }
 
+// randomBelow draws from [0, n).
 func (run *scenarioRun) randomBelow(n int) int {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return run.random.IntN(n)
 }
 
-// operator is a living operator address, another one at each try.
+// post sends a request to the operator addresses in turn until one succeeds, rejects it as invalid, or postAttempts
+// are used up. It returns the configuration version of the response.
 func (run *scenarioRun) post(ctx context.Context, path string, request any) (int64, error) {
 	raw, err := json.Marshal(request)
 	if err != nil {
 		return 0, errs.Wrap(err, "write")
 	}
 	last := ""
-	for i := range 40 {
-		one, end := context.WithTimeout(ctx, 8*time.Second)
+	for i := range postAttempts {
+		one, end := context.WithTimeout(ctx, postTimeout)
 		code, body := run.fleet.Post(one, run.fleet.Site.Operators[(i+run.randomBelow(3))%len(run.fleet.Site.Operators)], path, raw)
 		end()
 		var response struct {
@@ -133,7 +141,7 @@
 	return 0, errs.New(errs.OutcomeUnknown, "%s: %s", path, last)
 }
 
-// executeOperatorStep does what operators do, and notes when it was acknowledged.
+// executeOperatorStep executes an operator's step and records when it was acknowledged.
 func (run *scenarioRun) executeOperatorStep(ctx context.Context, step Step) error {
 	now := func() int64 { return time.Now().UnixMilli() }
 	switch step.Action {
@@ -191,8 +199,8 @@
 	return run.executeConcurrentChanges(ctx, step)
 }
 
-// executeConcurrentChanges and race: many operators at once. A race is compare-and-set on one version: of all
-// that ask for a version exactly one may get it.
+// executeConcurrentChanges changes the configuration as several operators at once. In a "race" all changes are
+// conditional on one version, and at most one of them may be acknowledged.
 func (run *scenarioRun) executeConcurrentChanges(ctx context.Context, step Step) error {
 	var changes int
 	if _, err := fmt.Sscan(step.Argument, &changes); err != nil {
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -17,11 +17,16 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// nextBuild is the second build of a base or an adapter.
+const (
+	retirementPolls     = 400 // polls after which a retirement that hasn't reached its state is an error
+	retirementPollPause = 250 * time.Millisecond
+)
+
+// nextBuild returns the name of a base model's or adapter's replacement.
 func nextBuild(name string) string { return name + "-2" }
 
-// addAdapters gives a site two adapters, which its first two kinds of request name, and a second base
-// model with replacements for them. Its workers have room for both sets.
+// addAdapters adds two adapters, for the site's first two kinds of request, and a second base model with
+// replacements for them. The workers have capacity for both sets.
 func (s *Site) addAdapters(yes bool) {
 	if !yes {
 		return
@@ -54,8 +59,8 @@
 	}
 }
 
-// executeRetirementStep carries out the steps of a scenario that have to do with retiring the site's base model:
-// to plan and start it, to ask something of it, to wait until it has come to a state.
+// executeRetirementStep executes a step that concerns the retirement of the site's base model: it plans and starts
+// it, sends it a command, or waits until it reaches a state or phase.
 func (run *scenarioRun) executeRetirementStep(ctx context.Context, action, name, argument string) error {
 	model := run.fleet.Site.Traffic.Model
 	service := mainService(model)
@@ -88,20 +93,20 @@
 		}
 		if json.Unmarshal([]byte(last), &list) == nil {
 			for _, retirement := range list.Retirements {
-				if last = fmt.Sprintf("%s, %s, %s, held by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers); retirement.Name == name && (string(retirement.State) == argument || string(retirement.Phase) == argument) {
+				if last = fmt.Sprintf("%s, %s, %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers); retirement.Name == name && (string(retirement.State) == argument || string(retirement.Phase) == argument) {
 					return run.checkFleetAfterRetirement(ctx, retirement)
 				}
 			}
 		}
-		if i >= 400 {
+		if i >= retirementPolls {
 			return errs.New(errs.Internal, "%s isn't %s: %s", name, argument, last)
 		}
-		time.Sleep(250 * time.Millisecond)
+		time.Sleep(retirementPollPause)
 	}
 }
 
-// checkFleetAfterRetirement looks at the fleet once a retirement is over: the old base is gone from every worker that
-// answers, or all is as it was before.
+// checkFleetAfterRetirement checks the fleet after a retirement. Every worker that responds holds the new base with
+// its adapters and no longer the old one; after an abort it is the reverse, and the configuration is unchanged.
 func (run *scenarioRun) checkFleetAfterRetirement(ctx context.Context, retirement *retire.Retirement) error {
 	if retirement.Active() {
 		return nil
@@ -113,7 +118,7 @@
 	if retirement.State == retire.StateAborted {
 		retiredBase, base = retirement.NewBase, retirement.OldBase
 		if _, now := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/setup"); configIn(now) != configIn(run.configBeforeRetirement) {
-			run.addFault("after the abort the setup is %s, it was %s", configIn(now), configIn(run.configBeforeRetirement))
+			run.addFault("after the abort the configuration is %s, it was %s", configIn(now), configIn(run.configBeforeRetirement))
 		}
 	}
 	backends := contract.NewBackends(run.fleet.env.Dial)
@@ -121,7 +126,7 @@
 	for _, worker := range queue.Keys(run.fleet.Site.Workers) {
 		state, err := backends.State(ctx, run.fleet.Site.Workers[worker])
 		if err != nil {
-			continue // it is down: when it is back it is caught up
+			continue // it is down, and catches up after its restart
 		}
 		hasAll := false
 		for _, loaded := range state.LoadedModels() {
@@ -134,13 +139,13 @@
 			}
 		}
 		if !hasAll {
-			run.addFault("%s holds %v, %s with %v are due", worker, state.LoadedModels(), base, adapters)
+			run.addFault("%s holds %v, want %s with %v", worker, state.LoadedModels(), base, adapters)
 		}
 	}
 	return nil
 }
 
-// configIn is the setup of an answer without its version.
+// configIn returns the configuration of a response without its version.
 func configIn(body string) string {
 	var s struct {
 		Setup json.RawMessage `json:"setup"`
@@ -151,8 +156,8 @@
 	return string(s.Setup)
 }
 
-// checkOldBaseOutlivesMigration: the old base leaves no worker before every worker has answered under the new base and
-// each adapter on it.
+// checkOldBaseOutlivesMigration checks that no worker is ordered to unload the old base before every worker has
+// executed requests with the new base and with each of its adapters.
 func (run *scenarioRun) checkOldBaseOutlivesMigration(journals, orders map[string][]workersim.Run) (faults []string) {
 	if !run.scenario.Retire {
 		return nil
@@ -176,7 +181,7 @@
 				answered = answered || workerRun.Model == nextBuild(model) && workerRun.Adapter == adapter && workerRun.AtMs <= firstUnloadMs
 			}
 			if !answered {
-				faults = append(faults, fmt.Sprintf("%s was told to drop %s before %s had answered under %s %s", orderedWorker, model, worker, nextBuild(model), adapter))
+				faults = append(faults, fmt.Sprintf("%s was ordered to unload %s before %s had executed a request with %s %s", orderedWorker, model, worker, nextBuild(model), adapter))
 			}
 		}
 	}
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -8,42 +8,41 @@
 	"pebbleloom/internal/errs"
 )
 
-// Scenario is a run of a whole site with failures, as a file describes it.
+// Scenario describes a run of a site with faults; scenario files hold it as JSON.
 type Scenario struct {
 	Name              string   `json:"name"`
 	About             string   `json:"about"`
 	Site              string   `json:"site"`
 	Rate              float64  `json:"rate"`
-	ColdStartMs       int      `json:"cold_ms"` // callers come that long after the machines start, whatever is ready
-	Burst             float64  `json:"burst"`   // requests a second beside these, until the last step
-	Links             bool     `json:"links"`   // relays stand in the path of every link
-	WorkerOptions     []string `json:"cab"`     // words of every worker
+	ColdStartMs       int      `json:"cold_ms"` // clients start that long after the machines, whether the site is ready or not
+	Burst             float64  `json:"burst"`   // further requests a second, until the last step
+	Links             bool     `json:"links"`   // every link goes through a relay
+	WorkerOptions     []string `json:"cab"`     // options of every worker simulator
 	Steps             []Step   `json:"steps"`
-	RecoveryMs        int      `json:"heal_ms"`  // after the last step all is well again within this; 0: the bound
-	AfterRecoveryMs   int      `json:"tail_ms"`  // how long callers go on after that
-	MinSealedShare    float64  `json:"least"`    // share of requests that is sealed over the whole run
-	AllowedRejections []string `json:"kinds"`    // denials that may occur; empty: any typed one
-	ReadAll           bool     `json:"read_all"` // every operator address gives the same setup in the end
-	Retire            bool     `json:"retire"`   // the site has adapters, and a second base model to move them to
+	RecoveryMs        int      `json:"heal_ms"`  // time to recover after the last step; 0: the bound of the settings
+	AfterRecoveryMs   int      `json:"tail_ms"`  // how long clients go on after that
+	MinSealedShare    float64  `json:"least"`    // share of all requests that must be sealed
+	AllowedRejections []string `json:"kinds"`    // rejections that may occur; empty: any typed one
+	ReadAll           bool     `json:"read_all"` // check that every operator address returns the same configuration at the end
+	Retire            bool     `json:"retire"`   // the site has adapters and a second base model to retire the first for
 }
 
-// Step is one thing that happens.
+// Step is one action of a scenario.
 type Step struct {
 	At       int    `json:"at_ms"`
-	Action   string `json:"do"`  // see Fleet.do
-	Targets  string `json:"who"` // names or patterns; "pattern:2" picks two; "@owner" owns the setup's part
+	Action   string `json:"do"`  // see scenarioRun.execute
+	Targets  string `json:"who"` // names or patterns; "pattern:2" draws two; "@owner" leads the configuration's shard
 	Argument string `json:"to"`  // the other end of a link, or a value
-	// The steps after it don't wait for its end; where nobody can say whether it was done, that
-	// is no fault of the run's.
+	// Later steps don't wait for its end, and an unknown outcome isn't a fault of the run.
 	Background bool `json:"aside"`
 }
 
 //go:embed scenarios/*.json
 var scenarioFiles embed.FS
 
-// Scenarios reads all scenario files, by name.
+// Scenarios returns the scenarios of all files, sorted by name. It fails with errs.BadInput for an invalid file.
 //
-// Example: l, err := testbed.Scenarios()
+// Example: scenarios, err := testbed.Scenarios()
 func Scenarios() ([]Scenario, error) {
 	es, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
@@ -62,7 +61,7 @@
 			return nil, errs.WrapAs(err, errs.BadInput, "scenario "+e.Name())
 		}
 		if s.Name+".json" != e.Name() {
-			return nil, errs.New(errs.BadInput, "scenario %s calls itself %q", e.Name(), s.Name)
+			return nil, errs.New(errs.BadInput, "scenario file %s holds the name %q", e.Name(), s.Name)
 		}
 		l = append(l, s)
 	}
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -15,7 +15,7 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// scenarioRun is a scenario under way.
+// scenarioRun is the state of a scenario that is being played.
 type scenarioRun struct {
 	options    Options
 	scenario   Scenario
@@ -25,19 +25,19 @@
 	report     *Report
 	resolved   map[string][]string
 	history    *history.History // of the configuration
-	background sync.WaitGroup   // what goes on beside the steps, until the run ends
-	startedMs  int64            // the wall's milliseconds of this one machine
-	// What was acknowledged, and when, in the wall's milliseconds of this one machine.
+	background sync.WaitGroup   // goroutines that run until the run ends
+	startedMs  int64            // wall time in milliseconds, of the machine that runs the test bed
+	// When changes were acknowledged, on the same clock.
 	keyRevokedMs           map[string]int64
 	weightsNamedMs         map[uint64]int64
 	drainedMs              map[string]int64
-	acknowledgedVersion    int64  // the latest epoch
-	configBeforeRetirement string // the setup when a retirement was planned
+	acknowledgedVersion    int64  // the highest configuration version
+	configBeforeRetirement string // as of when the retirement was planned
 }
 
-// Play runs a scenario and gives its report.
+// Play runs a scenario as processes of this machine and returns its report.
 //
-// Example: rep, err := testbed.Play(ctx, scenario, testbed.Options{Seed: 1, Net: 10, Dir: dir, Bin: "bin"})
+// Example: report, err := testbed.Play(ctx, scenario, testbed.Options{Seed: 1, AddressByte: 10, Dir: dir, Programs: "bin"})
 func Play(ctx context.Context, scenario Scenario, options Options) (*Report, error) {
 	return PlayOn(ctx, scenario, options, func(s *Site) (Environment, error) {
 		m := newLocalEnvironment(options.Dir, options.Programs)
@@ -58,11 +58,12 @@
 const (
 	defaultRate            = 25   // requests a second of a scenario that gives none
 	defaultAfterRecoveryMs = 4000 // how long clients go on after the recovery bound
+	maxReportedFaults      = 50
 )
 
-// PlayOn runs a scenario in an environment that is made for its site.
+// PlayOn runs a scenario in the environment that on returns for its site, and returns its report.
 //
-// Example: rep, err := testbed.PlayOn(ctx, scenario, o, func(s *testbed.Site) (testbed.Environment, error) { return cluster, nil })
+// Example: report, err := testbed.PlayOn(ctx, scenario, options, func(s *testbed.Site) (testbed.Environment, error) { return cluster, nil })
 func PlayOn(ctx context.Context, scenario Scenario, options Options, on func(*Site) (Environment, error)) (*Report, error) {
 	if options.Site != "" {
 		scenario.Site = options.Site
@@ -103,7 +104,7 @@
 		resolved: map[string][]string{}, keyRevokedMs: map[string]int64{}, weightsNamedMs: map[uint64]int64{}, drainedMs: map[string]int64{}}
 }
 
-// recoveryMs is the bound within which service is back after the last step.
+// recoveryMs returns the bound within which service recovers after the last step.
 func (run *scenarioRun) recoveryMs() int {
 	if run.scenario.RecoveryMs > 0 {
 		return run.scenario.RecoveryMs
@@ -111,7 +112,7 @@
 	return run.fleet.Site.Processes[0].Settings.Bounds.HealMs
 }
 
-// lastStepMs is when the last step is due.
+// lastStepMs returns when the last step is due, from the start of the steps.
 func (run *scenarioRun) lastStepMs() (last int) {
 	for _, step := range run.scenario.Steps {
 		last = max(last, step.At)
@@ -119,7 +120,7 @@
 	return last
 }
 
-// playSteps carries out the steps under traffic, and keeps the traffic up until after the recovery bound.
+// playSteps executes the steps under traffic, and keeps up the traffic until after the recovery bound.
 // closedMs is the wall time at which the last step had ended.
 func (run *scenarioRun) playSteps(ctx context.Context) (log *loadgen.OutcomeLog, closedMs int64, err error) {
 	afterRecovery := run.scenario.AfterRecoveryMs
@@ -162,7 +163,7 @@
 	}
 }
 
-// executeSteps carries out each step at its time. It waits for those in the background, too.
+// executeSteps executes each step at its time and waits for the background steps.
 func (run *scenarioRun) executeSteps(ctx context.Context, startedAt time.Time) error {
 	var inBackground sync.WaitGroup
 	for _, step := range run.scenario.Steps {
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// runStep carries a step out and notes how that went.
+// runStep executes a step and records its outcome in the report.
 func (run *scenarioRun) runStep(ctx context.Context, startedAt time.Time, step Step) {
 	body := "done"
 	if err := run.execute(ctx, step); err != nil {
@@ -209,10 +210,11 @@
 	}
 }
 
+// addFault adds a fault to the report; those beyond maxReportedFaults are dropped.
 func (run *scenarioRun) addFault(format string, a ...any) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if len(run.report.Faults) < 50 {
+	if len(run.report.Faults) < maxReportedFaults {
 		run.report.Faults = append(run.report.Faults, fmt.Sprintf(format, a...))
 	}
 }
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -1,5 +1,5 @@
-// Package testbed runs a whole site on one machine: every program as a process of its own, on
-// loopback addresses.
+// Package testbed runs a complete site, as processes of one machine on loopback addresses or in another Environment,
+// plays scenarios of faults on it and checks the outcome.
 package testbed
 
 import (
@@ -14,34 +14,34 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Process is one program of a site.
+// Process is a process of a site.
 type Process struct {
 	Name     string // unique in the site
 	Program  string
-	Bin      string // the folder of its program, where it isn't the site's
+	Bin      string // folder of its program; empty: that of the environment
 	Settings settings.Process
 }
 
-// Site is a whole site: its processes, its first setup and its callers' traffic.
+// Site describes a site: its processes, its first configuration and the traffic of its clients.
 type Site struct {
 	Name       string
 	Processes  []Process
 	WorkerList []contract.ListedWorker
 	Config     serviceconfig.Config
 	Traffic    loadgen.Traffic
-	Edges      []string // where callers ask
-	Operators  []string
-	Workers    map[string]string
+	Edges      []string          // addresses for clients
+	Operators  []string          // addresses for operators
+	Workers    map[string]string // addresses by name
 }
 
-// Sites names the sites that can be run.
+// Sites returns the names of the sites that can be run.
 //
-// Example: for _, n := range testbed.Sites() { fmt.Println(n) }
+// Example: for _, name := range testbed.Sites() { fmt.Println(name) }
 func Sites() []string { return []string{"paramo", "daegu"} }
 
-// Write puts the site's settings files into its folder.
+// Write writes the site's worker list and first configuration into a folder, which it creates if necessary.
 //
-// Example: err := s.Write("/tmp/run")
+// Example: err := site.Write("/tmp/run")
 func (s *Site) Write(dir string) error {
 	var b errs.Batch
 	put := func(name string, v any) { b.Add("write "+name, writeJSON(dir, name, v)) }
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// resolveTargets names the processes that a step means; a word means the same ones throughout a run.
+// resolveTargets returns the processes that a step names. A pattern resolves to the same processes throughout a run.
 func (run *scenarioRun) resolveTargets(ctx context.Context, targets string) ([]string, error) {
 	var names []string
 	for _, x := range strings.Fields(targets) {
@@ -32,12 +32,13 @@
 		names = append(names, matches...)
 	}
 	if len(names) == 0 {
-		return nil, errs.New(errs.BadInput, "%q names no process", targets)
+		return nil, errs.New(errs.BadInput, "%q matches no process", targets)
 	}
 	sort.Strings(names)
 	return slices.Compact(names), nil
 }
 
+// resolvePattern returns the processes that match "@owner", a pattern, or "pattern:count".
 func (run *scenarioRun) resolvePattern(ctx context.Context, x string) ([]string, error) {
 	if x == "@owner" {
 		count, err := run.fleet.configLeader(ctx)
@@ -63,7 +64,7 @@
 	return matches, nil
 }
 
-// execute carries out one step.
+// execute executes one step.
 func (run *scenarioRun) execute(ctx context.Context, step Step) error {
 	switch step.Action {
 	case "heal":
@@ -115,13 +116,13 @@
 		case "disk", "wall":
 			batch.Add(name, run.onProcess(name, func(q Process) error { return run.fleet.env.SetFault(q, step.Action, step.Argument) }))
 		default:
-			batch.Addf(errs.BadInput, "%q: no such step", step.Action)
+			batch.Addf(errs.BadInput, "unknown step %q", step.Action)
 		}
 	}
 	return batch.Err()
 }
 
-// setLinks sets rules; machines are named, "*" is any, and several are joined by spaces.
+// setLinks sets or removes link rules. Targets are machines separated by spaces; "*" is any machine.
 func (run *scenarioRun) setLinks(step Step) error {
 	var err errs.Batch
 	for _, from := range strings.Fields(step.Targets) {
@@ -151,6 +152,7 @@
 	return err.Err()
 }
 
+// onProcess calls do with the named process.
 func (run *scenarioRun) onProcess(name string, do func(Process) error) error {
 	q, err := run.fleet.process(name)
 	if err != nil {
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -13,9 +13,9 @@
 	"pebbleloom/internal/queue"
 )
 
-// Line is a run in one line, as Tally reads it again.
+// Line formats a run's report as one line, which Tally parses.
 //
-// Example: fmt.Println(testbed.Line(rep))
+// Example: fmt.Println(testbed.Line(report))
 func Line(r *Report) string {
 	return fmt.Sprintf("%-16s %-7s seed %d: sealed %d of %d, during %.3f, after healing %.3f, hit share %.2f %.2f %.2f, extra runs %d, denied %v, broken %d, faults %d",
 		r.Scenario, r.Site, r.Seed, r.Sum.Sealed, r.Sum.Requests, r.SealedDuring, r.SealedAfterRecovery, r.HitShares[0], r.HitShares[1], r.HitShares[2], r.ExtraRuns, r.Sum.Rejected, r.Sum.Interrupted, len(r.Faults))
@@ -23,11 +23,11 @@
 
 var linePattern = regexp.MustCompile(`(\S+) +(paramo|daegu) +seed \d+: sealed (\d+) of (\d+), during ([\d.]+), after (?:healing )?([\d.]+),.* extra runs (\d+), denied map\[[^]]*\](?:, broken \d+, faults (\d+))?`)
 
-// tallyRow is what one line says.
+// tallyRow holds the figures of one line.
 type tallyRow struct{ sealed, during, after, extra, faults float64 }
 
-// Tally draws a table from the lines of many runs: how many, the median and the worst of what
-// was sealed, and every fault. Mixtures count as one row a site.
+// Tally prints a table from the lines of many runs: their number, the median and the worst sealed shares, and the
+// number of faults. All mixtures of a site share a row. It fails with errs.BadInput if there is no line of a run.
 //
 // Example: err := testbed.Tally(os.Stdin, os.Stdout)
 func Tally(in io.Reader, out io.Writer) error {
@@ -59,7 +59,7 @@
 		return errs.Wrap(err, "read lines")
 	}
 	if len(rows) == 0 {
-		return errs.New(errs.BadInput, "no line of a run comes in: give what `testbed play` or the table printed")
+		return errs.New(errs.BadInput, "no line of a run in the input: give the output of `testbed play` or of the simulated cluster")
 	}
 	fmt.Fprintln(out, "| scenario | site | runs | faults | sealed | during | after | extra runs |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, k := range queue.Keys(rows) {
--- a/internal/sim/testbed/upgrade.go
+++ b/internal/sim/testbed/upgrade.go
@@ -12,10 +12,10 @@
 	"pebbleloom/internal/errs"
 )
 
-// settingsAddedLater are the settings that the first release doesn't know yet: it is started without.
+// settingsAddedLater are settings that the first release rejects as unknown, by section.
 var settingsAddedLater = map[string][]string{"": {"operator_key"}, "bounds": {"try_allow", "once_ms"}}
 
-// settingsForEarlierRelease is a place as the first release reads it.
+// settingsForEarlierRelease returns a process's settings as the first release reads them.
 func settingsForEarlierRelease(p Process) (map[string]any, error) {
 	raw, err := json.Marshal(p.Settings)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return m, nil
 }
 
-// switchRelease stops a process and starts it from another folder of programs.
+// switchRelease stops a process gracefully and starts it with another folder of programs.
 func (f *Fleet) switchRelease(name, bin string) error {
 	for i := range f.Site.Processes {
 		p := &f.Site.Processes[i]
@@ -47,7 +47,7 @@
 		if err := f.Signal(name, syscall.SIGTERM); err != nil {
 			return err
 		}
-		<-time.After(p.Settings.Bounds.Leave(0.3)) // it hands over and ends its streams
+		<-time.After(p.Settings.Bounds.Leave(0.3)) // graceful shutdown: it hands over its leases and ends its streams
 		_ = f.Signal(name, syscall.SIGKILL)        // it may have ended by itself
 		p.Bin = bin
 		if err := f.env.WriteSettings(*p); err != nil {
@@ -58,10 +58,10 @@
 	return errs.New(errs.NotFound, "process %q", name)
 }
 
-// Upgrade runs a site of an earlier release, brings it to the present one machine by machine
-// under traffic, and back: core machines first on the way up, and last on the way down.
+// Upgrade runs a site of an earlier release, upgrades it to the present one machine by machine under traffic, and
+// downgrades it again. Core machines are upgraded first and downgraded last.
 //
-// Example: rep, err := testbed.Upgrade(ctx, testbed.Options{Site: "paramo", Bin: "bin", Old: "/tmp/old-bin", Dir: dir, Net: 10})
+// Example: report, err := testbed.Upgrade(ctx, testbed.Options{Site: "paramo", Programs: "bin", EarlierRelease: "/tmp/old-bin", Dir: dir, AddressByte: 10})
 func Upgrade(ctx context.Context, options Options) (*Report, error) {
 	scenario := Scenario{Name: "upgrade", About: "an earlier release is upgraded machine by machine, and back", Site: options.Site, Rate: 25, ReadAll: true, MinSealedShare: 0.97}
 	var ms []string
@@ -107,7 +107,7 @@
 	return writeJSON(env.dir, p.Name+".json", v)
 }
 
-// programsOf is the folder that a word of an upgrade means.
+// programsOf returns the folder of the release that a step names, "old" or "new".
 func (options Options) programsOf(word string) (string, error) {
 	switch word {
 	case "new":
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -9,22 +9,22 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// RunResult is what a run of a site has shown.
+// RunResult is the result of a run of a site without faults.
 type RunResult struct {
 	loadgen.Summary
 	Usage map[string]ResourceUsage `json:"usage"`
 }
 
-// ResourceUsage is what a program's processes have used, the one that used most.
+// ResourceUsage is the resource use of a program's processes; figures are the maximum over them.
 type ResourceUsage struct {
 	Processes int     `json:"processes"`
-	PeakMB    float64 `json:"peak_mb"`     // resident, at the most
-	CPUShare  float64 `json:"cpu_percent"` // of one core, since it started
+	PeakMB    float64 `json:"peak_mb"`     // resident memory at its peak
+	CPUShare  float64 `json:"cpu_percent"` // of one core, from its start
 }
 
-// Usage reads what the running processes have used, by program.
+// Usage reads the resource use of the running processes, by program; it is empty in a simulated environment.
 //
-// Example: for prog, u := range f.Usage() { fmt.Println(prog, u.PeakMB) }
+// Example: for program, usage := range fleet.Usage() { fmt.Println(program, usage.PeakMB) }
 func (f *Fleet) Usage() map[string]ResourceUsage {
 	m := map[string]ResourceUsage{}
 	on, real := f.env.(*localEnvironment)
