--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -1,5 +1,5 @@
-// Package appservicesim is the stand-in for a site's small application service: it answers
-// like a worker without a cache, in few pieces.
+// Package appservicesim simulates a site's application service: it responds like a worker without a cache, in few
+// chunks and without a queue.
 package appservicesim
 
 import (
@@ -12,11 +12,16 @@
 	"pebbleloom/internal/daemon"
 )
 
-// Start runs the application service.
+const (
+	concurrentRequests = 8
+	maxBody            = 1 << 20 // bytes of a request
+)
+
+// Start starts the application service.
 //
 // Example: daemon.Main(programs.AppServiceSim, "a simulated application service", need, appservicesim.Start)
 func Start(process *daemon.Process) error {
-	slots := make(chan struct{}, 8)
+	slots := make(chan struct{}, concurrentRequests)
 	incarnation := fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
@@ -25,7 +30,7 @@
 	})
 	mux.HandleFunc("POST /v1/start", func(w http.ResponseWriter, r *http.Request) {
 		var request contract.StartRequest
-		if err := json.NewDecoder(io.LimitReader(r.Body, 1<<20)).Decode(&request); err != nil || request.RequestID == "" {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&request); err != nil || request.RequestID == "" {
 			contract.WriteJSON(w, 400, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: "bad"})
 			return
 		}
--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -1,10 +1,10 @@
-// Package clustersim is a whole site in one test process, on virtual time. The programs are the
-// real ones; network, clocks, disks, journals and chance are swapped through the seam that they
-// take at their start (daemon.World), and the test bed's scenarios and checks are used as they are.
+// Package clustersim simulates a complete site in one test process, in virtual time. The programs are the real ones;
+// network, clocks, disks, journals and random numbers are replaced through the daemon.Environment that they get at
+// their start. The test bed's scenarios and checks are used unchanged.
 //
-// What repeats under a seed: the site, its traffic, the script and its instants, clocks, drift
-// and what the disks do. Which of several threads that are ready at one instant goes first is
-// Go's to choose; so a run is much the same again, not the same to the letter.
+// A seed determines the site, its traffic, the scenario's times, the clocks with their drift, and the behaviour of the
+// disks. It doesn't determine the order of goroutines that are ready at the same instant, which the Go scheduler
+// chooses: runs of one seed are similar, not identical.
 package clustersim
 
 import (
@@ -39,15 +39,16 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
+// programStarts are the entry points of the programs.
 var programStarts = map[string]func(*daemon.Process) error{programs.ControlNode: controlstate.Start, programs.PlacementController: placementcontroller.Start, programs.NodeAgent: nodeagent.Start,
 	programs.PromptIndex: promptindex.Start, programs.Proxy: callerproxy.Start, programs.WorkerSim: workersim.Start, programs.AppServiceSim: appservicesim.Start, programs.StoreSim: storesim.Start, programs.PlatformSim: platformsim.Start}
 
-// Cluster is the ground of a site on virtual time.
+// Cluster is a testbed.Environment in virtual time.
 type Cluster struct {
 	*testbed.Links
 	seed            uint64
 	begin           time.Time
-	dialTimeout     time.Duration // of one that connects
+	dialTimeout     time.Duration
 	wg              sync.WaitGroup
 	mu              sync.Mutex
 	processes       map[string]*proc
@@ -56,41 +57,57 @@
 	hosts           map[netip.Addr]string // machine by address
 	listeners       map[string]*listener
 	files           map[string]*file
-	outside         *proc               // callers and operators
-	tamperWithReads func([]byte) []byte // what people read is changed on its way: a planted fault
+	outside         *proc               // clients and operators
+	tamperWithReads func([]byte) []byte // planted fault: changes what clients and operators read; nil: none
 }
 
+// outsideMachine is the machine of clients and operators; link rules don't apply to it. The name seeds its clock.
+const outsideMachine = "people"
+
+// pendingTimersTimeout is how long abandoned timers may still be pending after all processes have ended, in virtual time.
+const pendingTimersTimeout = time.Minute
+
+// One-way delays of the simulated network.
+const (
+	loopbackDelay  = 20 * time.Microsecond
+	sameZoneDelay  = 200 * time.Microsecond
+	crossZoneDelay = time.Millisecond
+)
+
+// file is a journal, which outlives the processes that write it.
 type file struct {
 	mu   sync.Mutex
 	data []byte
 }
 
-// machine has what its processes share: clocks and a disk.
+// machine holds what the processes of a machine share: clocks and a disk.
 type machine struct {
 	name          string
 	begin         time.Time
-	bootOffset    time.Duration // since it booted
-	drift         float64
+	bootOffset    time.Duration // from its boot to begin
+	drift         float64       // of the boot clock, as a share
 	mu            sync.Mutex
-	wallClockJump time.Duration // of the wall
-	diskFault     string        // what its disk suffers from
+	wallClockJump time.Duration // offset of the wall clock
+	diskFault     string        // as storage.ParseFault reads it
 	disk          map[string][]byte
-	lastWriter    map[string]*proc // whose life wrote a file last
+	lastWriter    map[string]*proc // process incarnation that wrote a file last
 }
 
-// New lays a table for a site.
+// New returns a cluster for a site.
 //
-// Example: t := tabletop.New(7, site); defer t.Down()
+// Example: cluster := clustersim.New(7, site); defer cluster.Stop()
 func New(seed uint64, site *testbed.Site) *Cluster {
 	cluster := &Cluster{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), dialTimeout: settings.DefaultBounds().Leave(1.0 / 3), processes: map[string]*proc{},
 		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, listeners: map[string]*listener{}, files: map[string]*file{}}
-	cluster.outside = newProc(cluster, testbed.Process{}, cluster.machine("people"), seed)
+	cluster.outside = newProc(cluster, testbed.Process{}, cluster.machine(outsideMachine), seed)
 	for _, p := range site.Processes {
 		cluster.machineOf(p)
 	}
 	return cluster
 }
 
+// machine returns the machine of a name, which it creates at first use. Its clocks depend on the seed and the name.
+// The cluster's lock is held, except while it is being made.
 func (c *Cluster) machine(name string) *machine {
 	m := c.machines[name]
 	if m == nil {
@@ -102,7 +119,7 @@
 	return m
 }
 
-// machineOf notes which addresses a machine has.
+// machineOf returns a process's machine and records the machine's addresses.
 func (c *Cluster) machineOf(p testbed.Process) *machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,6 +131,7 @@
 	return c.machine(p.Settings.Name)
 }
 
+// now returns the boot clock.
 func (m *machine) now() time.Duration {
 	d := time.Since(m.begin)
 	return m.bootOffset + d + time.Duration(float64(d)*m.drift)
@@ -138,7 +156,7 @@
 	return append([]byte(nil), b...), ok
 }
 
-// write changes a file; a dead life's late rest doesn't touch what the next one has written.
+// write changes a file. A late write of a dead process is dropped if another process has written the file since.
 func (m *machine) write(p *proc, folder, name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,10 +174,11 @@
 	return netip.MustParseAddr("127.0.0.1")
 }
 
+// linkRule returns the rule between two machines, and a channel that is closed when rules change.
 func (c *Cluster) linkRule(from, to string) (testbed.LinkRule, <-chan struct{}) {
 	rule, changed := c.RuleBetween(from, to)
-	if from == to || from == "people" || to == "people" {
-		rule = testbed.LinkRule{} // loopback, and those outside
+	if from == to || from == outsideMachine || to == outsideMachine {
+		rule = testbed.LinkRule{} // loopback, and connections from outside the site
 	}
 	return rule, changed
 }
@@ -170,21 +189,22 @@
 	return c.hosts[a]
 }
 
-// delay is one way's: districts are a millisecond apart.
+// delay returns the one-way delay from a machine to the machine named to, which has the address addr.
 func (c *Cluster) delay(m *machine, to, addr string) time.Duration {
 	if m.name == to {
-		return 20 * time.Microsecond
+		return loopbackDelay
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for a, n := range c.hosts {
 		if n == m.name && strings.Split(a.String(), ".")[2] == strings.Split(addr, ".")[2] {
-			return 200 * time.Microsecond
+			return sameZoneDelay
 		}
 	}
-	return time.Millisecond
+	return crossZoneDelay
 }
 
+// listen registers a listener; it reports false if the address is in use.
 func (c *Cluster) listen(addr string, l *listener) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,9 +238,9 @@
 	return c.files[name]
 }
 
-// Start begins a life of a process.
+// Start starts a new incarnation of a process.
 //
-// Example: err := t.Start(process)
+// Example: err := cluster.Start(process)
 func (c *Cluster) Start(process testbed.Process) error {
 	machine := c.machineOf(process)
 	c.mu.Lock()
@@ -232,13 +252,13 @@
 	proc := newProc(c, process, machine, c.seed^queue.Hash(fmt.Sprint(process.Name, c.starts)))
 	c.processes[process.Name] = proc
 	c.mu.Unlock()
-	place := process.Settings
+	configuration := process.Settings
 	level := "off"
 	if v := os.Getenv("TABLE_LOG"); v != "" {
 		level = v
 	}
-	place.Options = append([]string{"log=" + level}, place.Options...)
-	proc.daemon = daemon.NewIn(proc.environment(), process.Program, place)
+	configuration.Options = append([]string{"log=" + level}, configuration.Options...)
+	proc.daemon = daemon.NewIn(proc.environment(), process.Program, configuration)
 	c.wg.Go(func() {
 		defer close(proc.started)
 		if err := programStarts[process.Program](proc.daemon); err != nil {
@@ -248,9 +268,9 @@
 	return nil
 }
 
-// Signal does to a process what its machine would.
+// Signal freezes, thaws, stops or kills a process, as the signal would.
 //
-// Example: err := t.Signal("cab-3", syscall.SIGKILL)
+// Example: err := cluster.Signal("cab-3", syscall.SIGKILL)
 func (c *Cluster) Signal(name string, s syscall.Signal) error {
 	c.mu.Lock()
 	p := c.processes[name]
@@ -273,7 +293,7 @@
 	return nil
 }
 
-// stopGracefully lets a life's threads wind up; once they have, the process is gone.
+// stopGracefully stops a process within grace, in the background, and kills it once its goroutines have ended.
 func (c *Cluster) stopGracefully(p *proc, grace time.Duration) {
 	p.stopOnce.Do(func() {
 		c.wg.Go(func() {
@@ -284,14 +304,14 @@
 	})
 }
 
-// WriteSettings notes where a process stands from its next start on.
+// WriteSettings records a process's addresses; Start gets the settings themselves.
 //
-// Example: err := t.Put(process)
+// Example: err := cluster.WriteSettings(process)
 func (c *Cluster) WriteSettings(p testbed.Process) error { c.machineOf(p); return nil }
 
-// WipeDisk loses a machine's disk.
+// WipeDisk removes a process's data from its machine's disk.
 //
-// Example: err := t.Wipe(process)
+// Example: err := cluster.WipeDisk(process)
 func (c *Cluster) WipeDisk(p testbed.Process) error {
 	c.mu.Lock()
 	m := c.machine(p.Settings.Name)
@@ -306,9 +326,9 @@
 	return nil
 }
 
-// SetFault makes a machine's disk or wall clock misbehave, or well again.
+// SetFault sets or ends a fault of the disk or the wall clock of a process's machine.
 //
-// Example: err := t.Switch(process, "disk", "stall 800")
+// Example: err := cluster.SetFault(process, "disk", "stall 800")
 func (c *Cluster) SetFault(p testbed.Process, what, word string) error {
 	c.mu.Lock()
 	m := c.machine(p.Settings.Name)
@@ -326,9 +346,9 @@
 	return errs.WrapAs(err, errs.BadInput, "wall")
 }
 
-// Journal reads what a worker wrote down, in all its lives.
+// Journal reads a worker's journal of all its incarnations.
 //
-// Example: runs, err := t.Journal(process)
+// Example: runs, err := cluster.Journal(process)
 func (c *Cluster) Journal(p testbed.Process) ([]workersim.Run, error) {
 	f := c.file(p.Settings.Option("journal", ""))
 	f.mu.Lock()
@@ -336,21 +356,21 @@
 	return loadgen.ReadJournal(bytes.NewReader(f.data))
 }
 
-// SetLink puts a rule on a way.
+// SetLink sets the rule of the link from one machine to another.
 //
-// Example: err := t.Link("edge-1", "core-2", testbed.LinkRule{Cut: true})
+// Example: err := cluster.SetLink("edge-1", "core-2", testbed.LinkRule{Cut: true})
 func (c *Cluster) SetLink(from, to string, r testbed.LinkRule) error { c.Set(from, to, r); return nil }
 
-// Dial connects as people and callers do.
+// Dial connects as clients and operators outside the site do.
 //
-// Example: c, err := t.Dial(ctx, "tcp", "127.10.1.11:8080")
+// Example: conn, err := cluster.Dial(ctx, "tcp", "127.10.1.11:8080")
 func (c *Cluster) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return c.outside.dial(ctx, network, addr)
 }
 
-// Stop ends every life and waits until all threads have wound up.
+// Stop kills every process and waits until all goroutines have ended.
 //
-// Example: defer t.Down()
+// Example: defer cluster.Stop()
 func (c *Cluster) Stop() {
 	c.mu.Lock()
 	var all []*proc
@@ -364,5 +384,5 @@
 	}
 	c.wg.Wait()
 	c.outside.kill()
-	<-time.After(time.Minute) // timers of what was given up run out
+	<-time.After(pendingTimersTimeout)
 }
--- a/internal/sim/clustersim/network.go
+++ b/internal/sim/clustersim/network.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// maxInFlight is how many bytes a pipe holds before its writer waits, as a socket's buffers do.
+// maxInFlight is the number of bytes, as in a socket's buffers, beyond which a pipe's writer blocks.
 const maxInFlight = 256 << 10
 
-// pipe carries bytes one way between two processes. What is under way waits where the link is
-// cut, as a stream that is sent again and again does; nothing is lost or reordered.
+// pipe carries bytes in one direction between two processes. Bytes in flight are delayed while the link is cut, as by
+// TCP retransmission; none are lost or reordered.
 type pipe struct {
 	cluster  *Cluster
 	from, to string // machines
@@ -22,19 +22,20 @@
 	changed  chan struct{} // closed at every change
 	segs     []segment
 	size     int
-	last     time.Time // when the latest arrives
+	last     time.Time // when the last segment arrives
 	fin, rst bool
-	over     time.Time // when fin or rst arrives
+	closedAt time.Time // when fin or rst arrives
 }
 
+// segment is the bytes of one write.
 type segment struct {
-	at time.Time
+	at time.Time // of arrival
 	b  []byte
 }
 
 func (p *pipe) notify() { close(p.changed); p.changed = make(chan struct{}) }
 
-// write sends bytes off; false while the pipe is full.
+// write sends bytes. If the pipe is full it reports false and returns a channel that is closed at the next change.
 func (p *pipe) write(b []byte) (bool, <-chan struct{}) {
 	r, _ := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
@@ -56,26 +57,27 @@
 	return true, nil
 }
 
-// closeWrite closes the pipe after what is in it, or with a reset before it.
+// closeWrite closes the pipe: after the bytes in flight, or by a reset that overtakes them.
 func (p *pipe) closeWrite(reset bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rst || p.fin && !reset {
 		return
 	}
-	p.over = time.Now().Add(p.delay)
+	p.closedAt = time.Now().Add(p.delay)
 	if reset {
 		p.rst = true
 	} else {
 		p.fin = true
-		if p.over.Before(p.last) {
-			p.over = p.last
+		if p.closedAt.Before(p.last) {
+			p.closedAt = p.last
 		}
 	}
 	p.notify()
 }
 
-// read hands over what has arrived, or says how long to wait and for what.
+// read returns bytes that have arrived. If there are none it returns how long to wait (0: without limit) and the
+// channels that are closed when the pipe or the link rules change.
 func (p *pipe) read(b []byte) (n int, wait time.Duration, bell, link <-chan struct{}, err error) {
 	r, changed := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
@@ -84,7 +86,7 @@
 	if r.Cut {
 		return 0, 0, p.changed, changed, nil
 	}
-	if p.rst && !now.Before(p.over) {
+	if p.rst && !now.Before(p.closedAt) {
 		return 0, 0, nil, nil, syscall.ECONNRESET
 	}
 	if len(p.segs) > 0 {
@@ -100,11 +102,11 @@
 		p.notify()
 		return n, 0, nil, nil, nil
 	}
-	if p.fin && !now.Before(p.over) {
+	if p.fin && !now.Before(p.closedAt) {
 		return 0, 0, nil, nil, io.EOF
 	}
 	if p.fin || p.rst {
-		wait = p.over.Sub(now)
+		wait = p.closedAt.Sub(now)
 	}
 	return 0, wait, p.changed, changed, nil
 }
@@ -112,7 +114,7 @@
 func (p *pipe) isReset() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rst && !time.Now().Before(p.over)
+	return p.rst && !time.Now().Before(p.closedAt)
 }
 
 func (p *pipe) hasUnreadData() bool {
@@ -121,7 +123,7 @@
 	return len(p.segs) > 0
 }
 
-// deadline is a deadline that wakes whoever waits.
+// deadline is a read or write deadline; its channel is closed once it has passed.
 type deadline struct {
 	mu sync.Mutex
 	t  *time.Timer
@@ -147,7 +149,7 @@
 	over := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.c == c { // not set anew
+		if l.c == c { // it was not set again
 			select {
 			case <-c:
 			default:
@@ -168,9 +170,9 @@
 	return l.c
 }
 
-// conn is one end of a connection.
+// conn is one end of a simulated connection.
 type conn struct {
-	proc                        *proc // whose end it is
+	proc                        *proc // of this end
 	in, out                     *pipe
 	local, remote               net.Addr
 	readDeadline, writeDeadline deadline
@@ -178,9 +180,9 @@
 	closed                      chan struct{}
 }
 
-// Read reads what has arrived.
+// Read implements net.Conn.
 //
-// Example: n, err := c.Read(b)
+// Example: n, err := conn.Read(b)
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		over := c.readDeadline.expired()
@@ -220,9 +222,9 @@
 	}
 }
 
-// Write sends bytes off, and waits where too many are under way.
+// Write implements net.Conn. It blocks while more than maxInFlight bytes are in flight.
 //
-// Example: n, err := c.Write(b)
+// Example: n, err := conn.Write(b)
 func (c *conn) Write(b []byte) (int, error) {
 	sent := 0
 	for sent < len(b) {
@@ -251,9 +253,9 @@
 	return sent, nil
 }
 
-// Close ends this side; what was not read yet makes it a reset.
+// Close implements net.Conn. As with TCP, unread bytes turn it into a reset.
 //
-// Example: defer c.Close()
+// Example: defer conn.Close()
 func (c *conn) Close() error {
 	if !c.proc.awaitRunning() {
 		return net.ErrClosed
@@ -272,33 +274,33 @@
 	})
 }
 
-// LocalAddr is this end's address.
+// LocalAddr implements net.Conn.
 //
-// Example: c.LocalAddr().String()
+// Example: conn.LocalAddr().String()
 func (c *conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr is the other end's address.
+// RemoteAddr implements net.Conn.
 //
-// Example: c.RemoteAddr().String()
+// Example: conn.RemoteAddr().String()
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
-// SetDeadline bounds reads and writes.
+// SetDeadline implements net.Conn.
 //
-// Example: c.SetDeadline(time.Now().Add(time.Second))
+// Example: conn.SetDeadline(time.Now().Add(time.Second))
 func (c *conn) SetDeadline(t time.Time) error {
 	c.readDeadline.set(t)
 	c.writeDeadline.set(t)
 	return nil
 }
 
-// SetReadDeadline bounds reads.
+// SetReadDeadline implements net.Conn.
 //
-// Example: c.SetReadDeadline(time.Time{})
+// Example: conn.SetReadDeadline(time.Time{})
 func (c *conn) SetReadDeadline(t time.Time) error { c.readDeadline.set(t); return nil }
 
-// SetWriteDeadline bounds writes.
+// SetWriteDeadline implements net.Conn.
 //
-// Example: c.SetWriteDeadline(time.Time{})
+// Example: conn.SetWriteDeadline(time.Time{})
 func (c *conn) SetWriteDeadline(t time.Time) error { c.writeDeadline.set(t); return nil }
 
 func isClosed(c <-chan struct{}) bool {
@@ -310,7 +312,7 @@
 	}
 }
 
-// listener is a process's open door.
+// listener is a process's listening socket.
 type listener struct {
 	proc     *proc
 	addr     net.Addr
@@ -319,9 +321,9 @@
 	closed   chan struct{}
 }
 
-// Accept takes the next caller in.
+// Accept implements net.Listener.
 //
-// Example: c, err := l.Accept()
+// Example: conn, err := listener.Accept()
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		if !l.proc.awaitRunning() || isClosed(l.closed) {
@@ -339,9 +341,9 @@
 	}
 }
 
-// Close shuts the door; who stands before it is reset.
+// Close implements net.Listener. Connections that were not accepted yet are reset.
 //
-// Example: defer l.Close()
+// Example: defer listener.Close()
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.proc.cluster.unlisten(l)
@@ -358,7 +360,7 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr implements net.Listener.
 //
-// Example: l.Addr().String()
+// Example: listener.Addr().String()
 func (l *listener) Addr() net.Addr { return l.addr }
--- a/internal/sim/clustersim/plain_test.go
+++ b/internal/sim/clustersim/plain_test.go
@@ -2,4 +2,5 @@
 
 package clustersim
 
+// raceDetector reports that the race detector is off.
 const raceDetector = false
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -58,7 +58,7 @@
 		{"an answer is mixed with another", "a piece of another answer", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
 		{"pieces are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
 		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
-		{"a revoked key is let in", "was let in", cut, 2000, stale, nil},
+		{"a revoked key is let in", "was accepted", cut, 2000, stale, nil},
 		{"a drained worker gets requests", "after it was drained", cut, 2000, stale, nil},
 		{"older weights start", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(s *testbed.Site) {
 			plantWorkerFault(s, "deaf", 2)
@@ -69,8 +69,8 @@
 			plantWorkerFault(s, "dies", 2)
 			loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
 		}, nil},
-		{"an acknowledged setup is lost", "doesn't read the setup back", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
-		{"service isn't back", "service is not back", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
+		{"an acknowledged setup is lost", "doesn't return the configuration", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
+		{"service isn't back", "service did not recover", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
 		{"nothing", "", nil, 1000, nil, nil},
 	} {
 		t.Run(x.point, func(t *testing.T) {
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -17,8 +17,8 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// proc is one life of a process. All that it meets goes through pass: while it is frozen nothing
-// gets on, and once it is dead nothing that it does has any effect.
+// proc is one incarnation of a process. Everything in its environment calls awaitRunning first: calls block while the
+// process is frozen, and have no effect once it is dead.
 type proc struct {
 	cluster   *Cluster
 	process   testbed.Process
@@ -29,7 +29,7 @@
 	stopOnce  sync.Once
 	killOnce  sync.Once
 	mu        sync.Mutex
-	frozen    chan struct{} // closed when it is thawed; nil: it isn't frozen
+	frozen    chan struct{} // closed when the process is thawed; nil: it isn't frozen
 	conns     map[*conn]bool
 	listeners map[*listener]bool
 	random    *rand.Rand
@@ -40,7 +40,7 @@
 		random: rand.New(rand.NewPCG(seed, 17))}
 }
 
-// awaitRunning waits while the process is frozen; false: it is dead.
+// awaitRunning blocks while the process is frozen. It reports false if the process is dead.
 func (p *proc) awaitRunning() bool {
 	for {
 		p.mu.Lock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// kill ends the life at once: connections are reset, doors shut, disk and clock out of reach.
+// kill ends the process at once: its connections are reset, its listeners closed, and its calls have no further effect.
 func (p *proc) kill() {
 	p.killOnce.Do(func() {
 		p.mu.Lock()
@@ -105,15 +105,15 @@
 	return p.random.Int64N(n)
 }
 
-// environment is what the program meets outside itself.
+// environment returns the environment that the program runs in.
 func (p *proc) environment() daemon.Environment {
 	return daemon.Environment{Clock: p, WallClock: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
 		Seed: func() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.random.Uint64() }}
 }
 
-// Now is the machine's clock, which counts sleep; the process sees it once it runs.
+// Now implements clock.Clock with the machine's boot clock; it blocks while the process is frozen.
 //
-// Example: p.Now()
+// Example: process.Now()
 func (p *proc) Now() time.Duration { p.awaitRunning(); return p.machine.now() }
 
 func (p *proc) wall() time.Time { p.awaitRunning(); return p.machine.wall() }
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &listener{proc: p, addr: net.TCPAddrFromAddrPort(a), incoming: make(chan *conn, 512), closed: make(chan struct{})}
+	l := &listener{proc: p, addr: net.TCPAddrFromAddrPort(a), incoming: make(chan *conn, listenBacklog), closed: make(chan struct{})}
 	if !p.awaitRunning() || !p.cluster.listen(addr, l) {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: l.addr, Err: os.NewSyscallError("bind", syscall.EADDRINUSE)}
 	}
@@ -133,7 +133,7 @@
 	return l, nil
 }
 
-// dial connects: after a round trip, once the link lets it, or not within its time.
+// dial connects after a round trip on an uncut link, or fails after the cluster's dial time-out.
 func (p *proc) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -187,7 +187,7 @@
 		return dialed, nil
 	default:
 		accepted.closeWith(true)
-		return fail(os.ErrDeadlineExceeded) // too many stand before the door
+		return fail(os.ErrDeadlineExceeded) // the listener's backlog is full
 	}
 }
 
@@ -203,19 +203,20 @@
 	return c
 }
 
-// journal keeps a stand-in's journal beyond its life.
+// journal opens a simulator's journal, which outlives the process.
 func (p *proc) journal(file string) (io.Writer, error) {
 	return &journalWriter{p, p.cluster.file(file)}, nil
 }
 
+// journalWriter appends to a journal.
 type journalWriter struct {
 	proc *proc
 	file *file
 }
 
-// Write adds a line, as long as the process lives.
+// Write implements io.Writer; it fails once the process is dead.
 //
-// Example: n, err := w.Write(line)
+// Example: n, err := writer.Write(line)
 func (w *journalWriter) Write(b []byte) (int, error) {
 	if !w.proc.awaitRunning() {
 		return 0, errProcessDead
@@ -226,19 +227,27 @@
 	return len(b), nil
 }
 
+const (
+	listenBacklog = 512  // connections that wait to be accepted
+	minWriteUs    = 200  // shortest latency of a disk write, in microseconds
+	writeRangeUs  = 1800 // above which it is drawn
+)
+
+// errProcessDead is what calls of a dead process's environment return.
 var errProcessDead = errors.New("the process is dead")
 
-// disk is a folder of the machine's disk, as this life sees it.
+// disk returns a folder of the machine's disk.
 func (p *proc) disk(folder string) storage.Disk { return &disk{p, folder} }
 
+// disk is a folder of a machine's disk, accessed by one incarnation of a process.
 type disk struct {
 	proc   *proc
 	folder string
 }
 
-// Read reads a whole file.
+// Read implements storage.Disk.
 //
-// Example: b, there, err := d.Read("slot-0")
+// Example: content, exists, err := disk.Read("slot-0")
 func (d *disk) Read(name string) ([]byte, bool, error) {
 	if !d.proc.awaitRunning() {
 		return nil, false, errProcessDead
@@ -247,8 +256,8 @@
 	return b, ok, nil
 }
 
-// change carries out a write that takes its time. A life that ends meanwhile leaves any part of
-// it behind: the power goes at any byte.
+// change executes a write after a random latency, or after a stall of the disk. If the process dies meanwhile, a
+// random prefix of b is written, as by a power loss at any byte.
 func (d *disk) change(name string, b []byte, write func(old, b []byte) []byte) error {
 	if !d.proc.awaitRunning() {
 		return errProcessDead
@@ -257,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	timer := time.NewTimer(max(stall, time.Duration(200+d.proc.randomBelow(1800))*time.Microsecond))
+	timer := time.NewTimer(max(stall, time.Duration(minWriteUs+d.proc.randomBelow(writeRangeUs))*time.Microsecond))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -271,23 +280,23 @@
 	return nil
 }
 
-// Write replaces a file.
+// Write implements storage.Disk: it replaces a file.
 //
-// Example: err := d.Write("slot-0", b)
+// Example: err := disk.Write("slot-0", b)
 func (d *disk) Write(name string, b []byte) error {
 	return d.change(name, b, func(_, b []byte) []byte { return append([]byte(nil), b...) })
 }
 
-// Append adds to a file.
+// Append implements storage.Disk.
 //
-// Example: err := d.Append("log-0", rec)
+// Example: err := disk.Append("log-0", rec)
 func (d *disk) Append(name string, b []byte) error {
 	return d.change(name, b, func(old, b []byte) []byte { return append(append([]byte(nil), old...), b...) })
 }
 
-// Truncate shortens a file.
+// Truncate implements storage.Disk.
 //
-// Example: err := d.Cut("log-0", 128)
+// Example: err := disk.Truncate("log-0", 128)
 func (d *disk) Truncate(name string, size int) error {
 	return d.change(name, nil, func(old, _ []byte) []byte { return old[:min(size, len(old))] })
 }
--- a/internal/sim/clustersim/race_test.go
+++ b/internal/sim/clustersim/race_test.go
@@ -2,6 +2,6 @@
 
 package clustersim
 
-// raced tells that the race detector is on: its runtime gives up on so long a run of so many
-// threads in a bubble of virtual time.
-const raced = true
+// raceDetector reports that the race detector is on: its runtime doesn't support so long a run of so many goroutines in
+// a bubble of virtual time.
+const raceDetector = true
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -1,6 +1,5 @@
-// Package loadgen is the stand-in for the callers of both sites. It sends streamed traffic,
-// checks every byte of every answer, and reconciles what it was told with what the workers
-// say they ran.
+// Package loadgen simulates the clients of a site. It sends requests, checks every byte of the streamed responses, and
+// compares their outcomes with the workers' journals of what they ran.
 package loadgen
 
 import (
@@ -21,41 +20,41 @@
 	ID        string
 	Kind      string
 	Tenant    string
-	Domain    string
-	Key       string
+	Domain    string // of the prefix cache
+	Key       string // of the tenant
 	Model     string
 	Parts     []string
 	Chunks    int
 	WaitMs    int
-	Once      bool
+	Once      bool     // it may run at most once
 	Duplicate bool     // the second copy of a once-only request
-	App       bool     // answered by the application service, which keeps no prefixes
-	ServedBy  []string // what may answer it, base/adapter@build; none: the model that it names
+	App       bool     // for the application service, which caches no prefixes
+	ServedBy  []string // models that may serve it, base/adapter@build; none: the model that it names
 }
 
-// Outcome is what the caller learnt.
+// Outcome is the result of a request as its client saw it.
 type Outcome struct {
 	Request      Request
 	Sealed       bool
-	Interrupted  string // a stream that ended visibly broken
-	Rejected     string // the denial's kind
+	Interrupted  string // error of a stream that ended visibly incomplete; empty: none
+	Rejected     string // kind of the rejection; empty: none
 	RetryAfterMs int
 	Worker       string
 	Final        contract.Chunk
 	Message      string
-	SentTwice    bool // it was sent to two edges
+	SentTwice    bool // it was sent to two edge nodes
 	BothSealed   bool
-	Faults       []string // what must never happen
+	Faults       []string // violations of the contract
 	SentMs       int64
 	TookMs       int64
-	FirstChunkAt time.Time // when the first piece came
+	FirstChunkAt time.Time // zero: no chunk was received
 	FirstChunkMs int64
 }
 
-// ReadStream checks a stream to its end. A stream that ends broken is no fault as long as it
-// looks broken; one that looks whole must be whole, and nothing but the answer to this request.
+// ReadStream reads a response to its end and checks it. A stream that is interrupted visibly is no fault; one that ends
+// in order must be complete and be the response to this request.
 //
-// Example: out := loadgen.Read(req, "cab-3", resp.Body)
+// Example: outcome := loadgen.ReadStream(request, "cab-3", response.Body)
 func ReadStream(request Request, worker string, r io.Reader) Outcome {
 	outcome := Outcome{Request: request, Worker: worker}
 	verifier := contract.NewStreamVerifier(request.ID, worker)
@@ -79,7 +78,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if verifier.Sealed == nil || len(raw) > 0 {
-				outcome.Faults = append(outcome.Faults, "a stream that looks whole without its seal")
+				outcome.Faults = append(outcome.Faults, "a stream that ended in order without its seal")
 			}
 			break
 		}
@@ -91,7 +90,7 @@
 	}
 	outcome.Sealed, outcome.Final = true, *verifier.Sealed
 	if len(texts) != request.Chunks {
-		outcome.Faults = append(outcome.Faults, fmt.Sprintf("%d pieces where %d were asked for", len(texts), request.Chunks))
+		outcome.Faults = append(outcome.Faults, fmt.Sprintf("%d chunks received, %d requested", len(texts), request.Chunks))
 	}
 	key := request.ID
 	if !request.App {
@@ -100,21 +99,21 @@
 			model = prefix.QualifiedModel(final.Model, final.Adapter, final.Build)
 		}
 		if served := servedName(final.Model, final.Adapter, final.Build); len(request.ServedBy) > 0 && !slices.Contains(request.ServedBy, served) || len(request.ServedBy) == 0 && final.Model != "" && served != request.Model {
-			outcome.Faults = append(outcome.Faults, "answered by "+served+", which isn't what "+request.Model+" stands for")
+			outcome.Faults = append(outcome.Faults, "served by "+served+", which isn't what "+request.Model+" maps to")
 		}
 		entries := prefix.Chain(request.Domain, model, final.Weights, request.Parts)
 		key = entries[len(entries)-1].Key.String()
 	}
 	for n, t := range texts {
 		if t != contract.SyntheticText(key, outcome.Final.Weights, n) {
-			outcome.Faults = append(outcome.Faults, fmt.Sprintf("piece %d isn't the answer to this prompt under its tenant and weights", n))
+			outcome.Faults = append(outcome.Faults, fmt.Sprintf("chunk %d isn't the response to this prompt under its tenant and weights", n))
 			break
 		}
 	}
 	return outcome
 }
 
-// servedName names what answered: the base, or an adapter on it.
+// servedName returns the name of what served a request: a base model, or base/adapter@build.
 func servedName(model, adapter string, build uint64) string {
 	if adapter == "" {
 		return model
--- a/internal/sim/loadgen/client.go
+++ b/internal/sim/loadgen/client.go
@@ -13,43 +13,55 @@
 	"time"
 )
 
-// Client sends requests to the edge.
+// Client sends requests to edge nodes and checks their responses.
 type Client struct {
 	Edges []string
 	http  *http.Client
 }
 
-// NewClient makes a caller of some edge addresses.
+// NewClient returns a client of edge addresses.
 //
-// Example: c := loadgen.NewClient([]string{"127.10.1.1:8080"})
+// Example: client := loadgen.NewClient([]string{"127.10.1.1:8080"})
 func NewClient(edges []string) *Client {
-	return NewClientWithDialer((&net.Dialer{Timeout: time.Second}).DialContext, edges)
+	return NewClientWithDialer((&net.Dialer{Timeout: dialTimeout}).DialContext, edges)
 }
 
-// NewClientWithDialer makes a caller that connects as it is told to.
+// NewClientWithDialer returns a client that connects with dial.
 //
-// Example: c := loadgen.NewClientWithDialer(world.Dial, []string{"127.10.1.1:8080"})
+// Example: client := loadgen.NewClientWithDialer(environment.Dial, []string{"127.10.1.1:8080"})
 func NewClientWithDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error), edges []string) *Client {
 	return &Client{edges, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: dial}}}
 }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 //
-// Example: defer c.Close()
+// Example: defer client.Close()
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-const connectionRefused = "refused" // no connection was made
+// Outcomes that the client itself finds, beside the kinds of rejections in responses.
+const (
+	connectionRefused = "refused"        // nothing was sent
+	unreachable       = "unreachable"    // the connection failed
+	heldPastWait      = "held-past-wait" // no response within the request's wait and clientGrace
+)
+
+const (
+	dialTimeout      = time.Second
+	clientGrace      = 2 * time.Second // beyond a request's wait
+	maxRejectionBody = 1 << 16         // bytes
+)
 
-// Send sends one request to an edge and checks the answer.
+// Send sends a request to the edge node with an index and checks the response. If a node refuses the connection it
+// tries the next one.
 //
-// Example: out := c.Ask(ctx, 0, q)
+// Example: outcome := client.Send(ctx, 0, request)
 func (c *Client) Send(ctx context.Context, edge int, request Request) Outcome {
 	sentAt := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+2*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+clientGrace)
 	defer cancel()
 	outcome := c.sendTo(ctx, c.Edges[edge%len(c.Edges)], request)
 	for i := 1; i < len(c.Edges) && outcome.Rejected == connectionRefused; i++ {
-		outcome = c.sendTo(ctx, c.Edges[(edge+i)%len(c.Edges)], request) // nothing was sent: another edge may be asked
+		outcome = c.sendTo(ctx, c.Edges[(edge+i)%len(c.Edges)], request) // nothing was sent: another edge node may be tried
 	}
 	outcome.SentMs, outcome.TookMs = sentAt.UnixMilli(), time.Since(sentAt).Milliseconds()
 	if !outcome.FirstChunkAt.IsZero() {
@@ -58,16 +70,17 @@
 	return outcome
 }
 
+// sendTo sends a request to one edge address.
 func (c *Client) sendTo(ctx context.Context, edge string, request Request) Outcome {
 	outcome := Outcome{Request: request}
 	raw, err := json.Marshal(map[string]any{"request_id": request.ID, "model": request.Model, "parts": request.Parts, "wait_ms": request.WaitMs, "once": request.Once, "pieces": request.Chunks})
 	if err != nil {
-		outcome.Faults = append(outcome.Faults, "request can't be written: "+err.Error())
+		outcome.Faults = append(outcome.Faults, "request can't be encoded: "+err.Error())
 		return outcome
 	}
 	post, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/answers", bytes.NewReader(raw))
 	if err != nil {
-		outcome.Rejected = "unreachable"
+		outcome.Rejected = unreachable
 		return outcome
 	}
 	post.GetBody = nil
@@ -75,12 +88,12 @@
 	post.Header.Set("X-Tenant-Key", request.Key)
 	response, err := c.http.Do(post)
 	if err != nil {
-		outcome.Rejected = "unreachable"
+		outcome.Rejected = unreachable
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			outcome.Rejected = connectionRefused
 		}
 		if errors.Is(err, context.DeadlineExceeded) {
-			outcome.Rejected = "held-past-wait"
+			outcome.Rejected = heldPastWait
 		}
 		return outcome
 	}
@@ -91,13 +104,13 @@
 			Message      string `json:"message"`
 			RetryAfterMs int    `json:"retry_after_ms"`
 		}
-		raw, err := io.ReadAll(io.LimitReader(response.Body, 1<<16))
+		raw, err := io.ReadAll(io.LimitReader(response.Body, maxRejectionBody))
 		if err == nil {
 			err = json.Unmarshal(raw, &rejection)
 		}
 		if err != nil || rejection.Kind == "" {
 			rejection.Kind = fmt.Sprintf("untyped-%d", response.StatusCode)
-			outcome.Faults = append(outcome.Faults, "a denial without a kind")
+			outcome.Faults = append(outcome.Faults, "a rejection without a kind")
 		}
 		outcome.Rejected, outcome.RetryAfterMs, outcome.Message = rejection.Kind, rejection.RetryAfterMs, rejection.Message
 		return outcome
--- a/internal/sim/loadgen/journals.go
+++ b/internal/sim/loadgen/journals.go
@@ -11,8 +11,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// ReadJournal reads the journal that a worker has kept on disk; a line cut off by a kill
-// is its last.
+// ReadJournal reads a worker's journal. A last line that was truncated when the worker was killed is ignored.
 //
 // Example: runs, err := loadgen.ReadJournal(file)
 func ReadJournal(f io.Reader) ([]workersim.Run, error) {
@@ -28,16 +27,16 @@
 	}
 }
 
-// Journals asks workers what they ran.
+// Journals requests the journals of running workers, given by name and address.
 //
-// Example: js, err := loadgen.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
+// Example: journals, err := loadgen.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
 func Journals(ctx context.Context, addrs map[string]string) (map[string][]workersim.Run, error) {
 	journals := map[string][]workersim.Run{}
 	var batch errs.Batch
 	for name, addr := range addrs {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/runs", nil)
 		if err != nil {
-			return nil, errs.Wrap(err, "ask for journal")
+			return nil, errs.Wrap(err, "request journal")
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
--- a/internal/sim/loadgen/summary.go
+++ b/internal/sim/loadgen/summary.go
@@ -9,18 +9,18 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// OutcomeLog keeps all outcomes.
+// OutcomeLog collects outcomes. It is safe for concurrent use.
 type OutcomeLog struct {
 	mu  sync.Mutex
 	all []Outcome
 }
 
-// Add writes one outcome down.
+// Add adds an outcome.
 //
-// Example: book.Add(out)
+// Example: log.Add(outcome)
 func (b *OutcomeLog) Add(o Outcome) { b.mu.Lock(); b.all = append(b.all, o); b.mu.Unlock() }
 
-// Summary is what a run of callers has shown.
+// Summary summarizes the outcomes of a run.
 type Summary struct {
 	Requests        int            `json:"requests"`
 	Sealed          int            `json:"sealed"`
@@ -38,15 +38,15 @@
 	P99Ms           int64          `json:"p99_ms"`
 	First50Ms       int64          `json:"p50_first_piece_ms"`
 	First95Ms       int64          `json:"p95_first_piece_ms"`
-	OnceP50Ms       int64          `json:"p50_once_only_ms"`  // what claims cost shows against
-	RepeatableP50Ms int64          `json:"p50_repeatable_ms"` // these, in the same run
+	OnceP50Ms       int64          `json:"p50_once_only_ms"`  // differs from RepeatableP50Ms by the cost of claims
+	RepeatableP50Ms int64          `json:"p50_repeatable_ms"` // of idempotent requests
 	Workers         map[string]int `json:"workers,omitempty"`
 	Faults          []string       `json:"faults"`
 }
 
-// All gives the outcomes; of a request that was sent twice the one that was let in.
+// All returns the outcomes; of a request that was sent twice, the one of the copy that was admitted.
 //
-// Example: for _, o := range book.All() { fmt.Println(o.Denied) }
+// Example: for _, outcome := range log.All() { fmt.Println(outcome.Rejected) }
 func (b *OutcomeLog) All() []Outcome {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,7 +65,7 @@
 		if outcome.SentTwice = ok; ok {
 			outcome.Faults = append(append([]string(nil), outcome.Faults...), duplicate.Faults...)
 			outcome.BothSealed = outcome.Sealed && duplicate.Sealed
-			if duplicate.Sealed && !outcome.Sealed { // the copy that was let in counts
+			if duplicate.Sealed && !outcome.Sealed { // the admitted copy counts
 				duplicate.Faults, duplicate.SentTwice = outcome.Faults, true
 				outcome = duplicate
 			}
@@ -75,24 +75,24 @@
 	return outcomes
 }
 
-// summarizer adds outcomes up.
+// summarizer accumulates a summary.
 type summarizer struct {
 	summary  Summary
-	timesRun map[string]int // by request ID: how often workers say that they ran it
-	complete bool           // no journal was lost with a killed worker
+	timesRun map[string]int // by request ID, from the workers' journals
+	complete bool           // no journal is missing
 
 	// Latencies in milliseconds of sealed responses.
 	all, once, repeatable, firstChunk []int64
 }
 
-// Bounds of what a summary lists.
+// Limits of a summary's lists.
 const (
 	maxFaults  = 100
 	maxSamples = 8
 )
 
-// Summarize adds everything up. Journals are what the workers say they ran; complete tells
-// that no journal was lost with a killed worker.
+// Summarize summarizes the outcomes and checks them against the workers' journals. complete means that no worker's
+// journal is missing.
 //
 // Example: sum := log.Summarize(journals, true)
 func (b *OutcomeLog) Summarize(journals map[string][]workersim.Run, complete bool) Summary {
@@ -163,24 +163,24 @@
 	}
 }
 
-// check compares an outcome with what the workers say they ran.
+// check compares an outcome with the workers' journals.
 func (s *summarizer) check(outcome Outcome) {
 	timesRun := s.timesRun[outcome.Request.ID]
-	if outcome.Rejected == "held-past-wait" {
-		s.fault(outcome, "held past its wait")
+	if outcome.Rejected == heldPastWait {
+		s.fault(outcome, "no response within its wait")
 	}
 	if outcome.BothSealed {
-		s.fault(outcome, "both copies of a once-only request were answered")
+		s.fault(outcome, "both copies of an at-most-once request were executed")
 	}
 	if outcome.Request.Once && timesRun > 1 {
-		s.fault(outcome, "a once-only request ran %d times", timesRun)
+		s.fault(outcome, "an at-most-once request ran %d times", timesRun)
 	}
 	if MeansNotExecuted(outcome.Rejected) && timesRun > 0 && !outcome.SentTwice {
-		s.fault(outcome, "denied as %s, yet it ran", outcome.Rejected)
+		s.fault(outcome, "rejected as %s, yet it ran", outcome.Rejected)
 	}
 }
 
-// addShares works out the shares of tokens, and how unevenly the workers were used.
+// addShares computes the shares of tokens and the ratio of the highest to the mean load of a worker.
 func (s *summarizer) addShares() {
 	if tokens := s.summary.CachedTokens + s.summary.FetchedTokens + s.summary.PrefilledTokens; tokens > 0 {
 		s.summary.HitShare = float64(s.summary.CachedTokens) / float64(tokens)
@@ -195,7 +195,7 @@
 	}
 }
 
-// percentile is the value below which that share of a list lies.
+// percentile returns the value below which a share of the values lies. It sorts them in place.
 func percentile(values []int64, share float64) int64 {
 	if len(values) == 0 {
 		return 0
@@ -204,7 +204,7 @@
 	return values[min(len(values)-1, int(float64(len(values))*share))]
 }
 
-// MeansNotExecuted tells whether a denial's kind says that nothing ran.
+// MeansNotExecuted reports whether a rejection's kind guarantees that the request didn't run.
 //
 // Example: loadgen.MeansNotExecuted("over-budget")
 func MeansNotExecuted(kind string) bool {
--- a/internal/sim/loadgen/traffic.go
+++ b/internal/sim/loadgen/traffic.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// Tenant is a caller's tenant.
+// Tenant is a tenant that sends requests.
 type Tenant struct {
 	Name     string
 	Key      string
-	Isolated bool
-	Weight   float64
+	Isolated bool    // it has a cache domain of its own
+	Weight   float64 // in the traffic
 }
 
-// Kind is one of a site's kinds of request.
+// Kind is a kind of request of a site.
 type Kind struct {
 	Name           string
-	Share          float64
-	Prefixes       int     // how many different openings
-	PrefixTokens   int     // of an opening
-	Skew           float64 // Zipf exponent of the openings' use
-	SessionTokens  int     // tokens of a caller's own middle part; 0: none
-	Sessions       int     // how many of these there are
+	Share          float64 // of the requests to the model
+	Prefixes       int     // number of different prefixes
+	PrefixTokens   int     // tokens of a prefix
+	Skew           float64 // Zipf exponent of the prefixes
+	SessionTokens  int     // tokens of the session part after the prefix; 0: none
+	Sessions       int     // number of different sessions
 	QuestionTokens int     // tokens of the question
 	Chunks         int
-	Model          string   // what they name; empty: the traffic's
-	ServedBy       []string // what may answer them, base/adapter@build; none: the model named
+	Model          string   // that they name; empty: the traffic's
+	ServedBy       []string // models that may serve them, base/adapter@build; none: the model named
 }
 
-// Traffic is what a site's callers send.
+// Traffic describes the requests of a site's clients.
 type Traffic struct {
 	Site           string
 	Model          string
@@ -42,12 +42,12 @@
 	Kinds          []Kind
 	Rate           float64 // requests a second
 	WaitMs         int
-	OnceShare      float64 // share of once-only requests
-	DuplicateShare float64 // share of once-only requests that are sent to two edges
+	OnceShare      float64 // share of requests that may run at most once
+	DuplicateShare float64 // share of these that are sent to two edge nodes
 	AppShare       float64 // share of requests to the application service
 }
 
-// Source is the stream of requests of a seed: the same seed gives the same prompts.
+// Source generates the requests of a seed. The same seed gives the same prompts.
 type Source struct {
 	traffic   Traffic
 	random    *rand.Rand
@@ -57,9 +57,9 @@
 	run       string
 }
 
-// NewSource makes the stream of requests of a seed: the same seed gives the same prompts.
+// NewSource returns a source of requests. run is part of the request ids, which must be unique within a site.
 //
-// Example: s := loadgen.NewSource(traffic, 7, "a")
+// Example: source := loadgen.NewSource(traffic, 7, "a")
 func NewSource(traffic Traffic, seed uint64, run string) *Source {
 	source := &Source{traffic: traffic, random: rand.New(rand.NewPCG(seed, 99)), seed: seed, run: run}
 	for _, kind := range traffic.Kinds {
@@ -76,6 +76,7 @@
 	return source
 }
 
+// repeatedText returns a text of a number of tokens, at four bytes each, that repeats a name.
 func repeatedText(name string, tokens int) string {
 	var b strings.Builder
 	for b.Len() < tokens*4 {
@@ -84,9 +85,9 @@
 	return b.String()[:tokens*4]
 }
 
-// Next gives the next request.
+// Next returns the next request.
 //
-// Example: q := s.Next()
+// Example: request := source.Next()
 func (s *Source) Next() Request {
 	s.sent++
 	request := Request{ID: fmt.Sprintf("%s-%d-%s%d", s.traffic.Site, s.seed, s.run, s.sent), Model: s.traffic.Model, WaitMs: s.traffic.WaitMs, Once: s.random.Float64() < s.traffic.OnceShare}
@@ -130,10 +131,10 @@
 	return request
 }
 
-// SendTraffic sends traffic at its rate until the context ends or n requests were sent, spread
-// over all edges.
+// SendTraffic sends traffic at its rate, spread over all edge nodes, until ctx is done or n requests were sent, and adds
+// the outcomes to log. It returns once all requests have ended.
 //
-// Example: loadgen.Drive(ctx, traffic, caller, 7, "a", 1000, book)
+// Example: loadgen.SendTraffic(ctx, traffic, client, 7, "a", 1000, log)
 func SendTraffic(ctx context.Context, traffic Traffic, client *Client, seed uint64, run string, n int, log *OutcomeLog) {
 	source := NewSource(traffic, seed, run)
 	var wg sync.WaitGroup
@@ -145,10 +146,10 @@
 		case <-tick.C:
 			request := source.Next()
 			wg.Go(func() { log.Add(client.Send(context.WithoutCancel(ctx), i, request)) })
-			if request.Once && source.random.Float64() < traffic.DuplicateShare { // an impatient caller: the same id at another edge at once
-				traffic := request
-				traffic.Duplicate = true
-				wg.Go(func() { log.Add(client.Send(context.WithoutCancel(ctx), i+1+i%3, traffic)) })
+			if request.Once && source.random.Float64() < traffic.DuplicateShare { // an impatient client sends the same request to another edge node at once
+				duplicate := request
+				duplicate.Duplicate = true
+				wg.Go(func() { log.Add(client.Send(context.WithoutCancel(ctx), i+1+i%3, duplicate)) })
 			}
 		}
 	}
--- a/internal/sim/platformsim/platform.go
+++ b/internal/sim/platformsim/platform.go
@@ -1,5 +1,5 @@
-// Package platformsim is the stand-in for the platform: it lists back ends, marks those that were
-// warned, and probes edge nodes.
+// Package platformsim simulates the platform: it lists workers, marks those that it will terminate as draining, and
+// runs health checks on the seeds.
 package platformsim
 
 import (
@@ -16,19 +16,26 @@
 	"pebbleloom/internal/errs"
 )
 
+const (
+	probeInterval = time.Second
+	probeTimeout  = time.Second
+	maxBody       = 4096 // bytes of a request
+)
+
+// platform is the simulator's state.
 type platform struct {
 	mu           sync.Mutex
 	workers      map[string]contract.ListedWorker
-	probeResults map[string]string
+	probeResults map[string]string // by address: "ok" or the error
 	client       *http.Client
 }
 
-// Start runs the platform; its first list is a file named by the word `list`.
+// Start starts the platform. Its option "list" names a file with the initial worker list.
 //
 // Example: daemon.Main(programs.PlatformSim, "a simulated platform", need, platformsim.Start)
 func Start(process *daemon.Process) error {
 	platform := &platform{workers: map[string]contract.ListedWorker{}, probeResults: map[string]string{},
-		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: process.Dial}}}
+		client: &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DialContext: process.Dial}}}
 	process.OnStop(platform.client.CloseIdleConnections)
 	if file := process.Settings.Option("list", ""); file != "" {
 		raw, err := os.ReadFile(file)
@@ -50,7 +57,7 @@
 	mux.HandleFunc("POST /v1/warn/{name}", platform.warnWorker)
 	mux.HandleFunc("GET /v1/probes", platform.listProbes)
 	for _, s := range process.Settings.Seeds {
-		process.Every(time.Second, func() { platform.probe(s) })
+		process.Every(probeInterval, func() { platform.probe(s) })
 	}
 	if err := process.Serve(process.Settings.Public, mux); err != nil {
 		return err
@@ -72,7 +79,7 @@
 
 func (p *platform) putWorker(w http.ResponseWriter, r *http.Request) {
 	var x contract.ListedWorker
-	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&x); err != nil || x.Name == "" || x.Addr == "" {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&x); err != nil || x.Name == "" || x.Addr == "" {
 		http.Error(w, "give name and addr", 400)
 		return
 	}
--- a/internal/sim/storesim/store.go
+++ b/internal/sim/storesim/store.go
@@ -1,5 +1,5 @@
-// Package storesim is the stand-in for the prompt store: it keeps prefixes up to a bound and
-// may come back empty.
+// Package storesim simulates the prompt store: it keeps prefixes in memory up to a capacity, so that a restart empties
+// it.
 package storesim
 
 import (
@@ -15,13 +15,19 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// Start runs the store.
+const (
+	defaultCapacity = 400000 // tokens
+	reportInterval  = 500 * time.Millisecond
+	maxBody         = 4096 // bytes of a request
+)
+
+// Start starts the store. Its option "kv" is the capacity in tokens.
 //
 // Example: daemon.Main(programs.StoreSim, "a simulated prompt store", need, storesim.Start)
 func Start(process *daemon.Process) error {
-	capacity, err := strconv.Atoi(process.Settings.Option("kv", "400000"))
+	capacity, err := strconv.Atoi(process.Settings.Option("kv", ""))
 	if err != nil {
-		capacity = 400000
+		capacity = defaultCapacity
 	}
 	cache, incarnation := workersim.NewCache(capacity), fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano())
 	mux := http.NewServeMux()
@@ -47,14 +53,14 @@
 	})
 	mux.HandleFunc("PUT /kv/{key}", func(w http.ResponseWriter, r *http.Request) {
 		var k contract.CachedPrefix
-		if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&k); err != nil || k.Key != r.PathValue("key") || k.Tokens <= 0 {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&k); err != nil || k.Key != r.PathValue("key") || k.Tokens <= 0 {
 			contract.WriteJSON(w, 400, map[string]string{"error": "give k and n"})
 			return
 		}
 		cache.Store(k.Key, k.Tokens)
 		contract.WriteJSON(w, 200, k)
 	})
-	process.Every(500*time.Millisecond, func() { cache.CloseReport(false, process.Clock.Now()) })
+	process.Every(reportInterval, func() { cache.CloseReport(false, process.Clock.Now()) })
 	if err := process.Serve(process.Settings.Public, mux); err != nil {
 		return err
 	}
--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -124,14 +124,14 @@
 		time.Sleep(workerReplacementPollPause)
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[5], "/v1/setup")
 		var config struct {
-			Setup struct {
+			Configuration struct {
 				Drains map[string]bool `json:"drains"`
 			} `json:"setup"`
 		}
 		if json.Unmarshal([]byte(body), &config) != nil {
 			continue
 		}
-		for worker := range config.Setup.Drains {
+		for worker := range config.Configuration.Drains {
 			state, err := backends.State(ctx, run.fleet.Site.Workers[worker])
 			if done[worker] || err != nil || state.Busy > 0 || state.Queued > 0 {
 				continue
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -246,8 +246,8 @@
 	for _, addr := range run.fleet.Site.Operators {
 		code, body := run.fleet.Get(ctx, addr, "/v1/setup")
 		var answer struct {
-			Epoch int64           `json:"epoch"`
-			Setup json.RawMessage `json:"setup"`
+			Epoch         int64           `json:"epoch"`
+			Configuration json.RawMessage `json:"setup"`
 		}
 		if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
 			run.addFault("%s doesn't return the configuration: %d %.200s", addr, code, body)
@@ -256,7 +256,7 @@
 		if answer.Epoch < run.acknowledgedVersion {
 			run.addFault("%s returned configuration version %d, but %d was acknowledged", addr, answer.Epoch, run.acknowledgedVersion)
 		}
-		content := fmt.Sprintf("%d %s", answer.Epoch, answer.Setup)
+		content := fmt.Sprintf("%d %s", answer.Epoch, answer.Configuration)
 		bodies[content] = append(bodies[content], addr)
 	}
 	if len(bodies) > 1 {
--- a/internal/sim/testbed/confighistory.go
+++ b/internal/sim/testbed/confighistory.go
@@ -128,13 +128,13 @@
 	q := run.history.BeginRead(configurationKey)
 	code, body := run.fleet.Get(one, addr, "/v1/setup")
 	var answer struct {
-		Version uint64          `json:"epoch"`
-		Setup   json.RawMessage `json:"setup"`
+		Version       uint64          `json:"epoch"`
+		Configuration json.RawMessage `json:"setup"`
 	}
 	if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
 		return 0, false
 	}
-	q.Complete(answer.Version, digest(answer.Setup))
+	q.Complete(answer.Version, digest(answer.Configuration))
 	return answer.Version, true
 }
 
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -23,16 +23,16 @@
 // Options are the options of the test bed's commands.
 type Options struct {
 	Site           string
-	Dir            string // folder for settings, data and logs; empty: a new one
-	Programs       string // folder with the programs; empty: that of this program
-	EarlierRelease string // with upgrade: folder of an earlier release's programs
-	Mode           string // placement that is forced; empty: the site's own
-	Scenario       string // with play; empty: all
-	Seconds        int    // how long clients send
-	AddressByte    int    // second byte of the site's loopback addresses
-	Seeds          int    // how many seeds, from Seed on
-	Times          int    // times today's size, 1 to 4
-	Seed           uint64 // of the traffic and of drawn faults
+	Dir            string  // folder for settings, data and logs; empty: a new one
+	Programs       string  // folder with the programs; empty: that of this program
+	EarlierRelease string  // with upgrade: folder of an earlier release's programs
+	Mode           string  // placement that is forced; empty: the site's own
+	Scenario       string  // with play; empty: all
+	Seconds        int     // how long clients send
+	AddressByte    int     // second byte of the site's loopback addresses
+	Seeds          int     // how many seeds, from Seed on
+	Times          int     // times today's size, 1 to 4
+	Seed           uint64  // of the traffic and of drawn faults
 	Rate           float64 // requests a second; 0: the site's own
 	Part           string  // with capacity: what is measured; empty: all
 	Out            string  // with capacity: file with the measured series
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -148,12 +148,12 @@
 // configIn returns the configuration of a response without its version.
 func configIn(body string) string {
 	var s struct {
-		Setup json.RawMessage `json:"setup"`
+		Configuration json.RawMessage `json:"setup"`
 	}
 	if json.Unmarshal([]byte(body), &s) != nil {
 		return body
 	}
-	return string(s.Setup)
+	return string(s.Configuration)
 }
 
 // checkOldBaseOutlivesMigration checks that no worker is ordered to unload the old base before every worker has
--- a/internal/sim/workersim/cache.go
+++ b/internal/sim/workersim/cache.go
@@ -1,5 +1,5 @@
-// Package workersim is the stand-in for a language-model worker: it prefills, decodes, keeps
-// whatever it reads in a bounded cache, and reports late, with gaps or not at all.
+// Package workersim simulates a language-model worker: it prefills, decodes, keeps prefixes in a bounded cache, and
+// publishes cache reports, optionally late, with gaps or not at all.
 package workersim
 
 import (
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/contract"
 )
 
-// Cache is a worker's cache of kept prefixes: the longest unused goes first.
+// Cache is a worker's LRU prefix cache. Changes are collected in numbered reports. It is safe for concurrent use.
 type Cache struct {
 	mu            sync.Mutex
 	capacity      int // tokens
@@ -20,7 +20,7 @@
 	number        uint64
 	openReport    contract.CacheReport
 	closedReports []contract.CacheReport
-	closedAt      []time.Duration // when each of the past was closed
+	closedAt      []time.Duration // when each of closedReports was closed
 }
 
 type cachedEntry struct {
@@ -28,18 +28,19 @@
 	tokens int
 }
 
+// maxClosedReports is how many closed reports are kept; older ones are lost to readers.
 const maxClosedReports = 64
 
-// NewCache makes a cache with room for so many tokens.
+// NewCache returns a cache with a capacity in tokens.
 //
-// Example: kv := cab.NewCache(40000)
+// Example: cache := workersim.NewCache(40000)
 func NewCache(capacity int) *Cache {
 	return &Cache{capacity: capacity, order: list.New(), entries: map[string]*list.Element{}}
 }
 
-// Lookup tells whether a key is held, and counts it as used.
+// Lookup returns the tokens of a cached key and marks it as used.
 //
-// Example: n, ok := kv.Has(key)
+// Example: tokens, ok := cache.Lookup(key)
 func (c *Cache) Lookup(key string) (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,9 +52,9 @@
 	return e.Value.(cachedEntry).tokens, true
 }
 
-// Store holds a key; the longest unused make room for it.
+// Store caches a key and evicts the least recently used ones as necessary. A key above the capacity isn't cached.
 //
-// Example: kv.Keep(key, 800)
+// Example: cache.Store(key, 800)
 func (c *Cache) Store(key string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,9 +78,9 @@
 	c.openReport.Added = append(c.openReport.Added, contract.CachedPrefix{Key: key, Tokens: tokens})
 }
 
-// Clear forgets everything, as new weights or an emptied store do.
+// Clear removes all keys, as a change of weights does.
 //
-// Example: kv.Clear()
+// Example: cache.Clear()
 func (c *Cache) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,9 +92,9 @@
 	c.used = 0
 }
 
-// CloseReport closes the report in hand; drop loses it on the way, so that its number is a gap.
+// CloseReport closes the open report, unless it is empty. With drop the report is lost, so that its number is a gap.
 //
-// Example: kv.Turn(false, clk.Now())
+// Example: cache.CloseReport(false, clock.Now())
 func (c *Cache) CloseReport(drop bool, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,10 +112,10 @@
 	c.openReport = contract.CacheReport{}
 }
 
-// Reports answers what came after a number, or all that is held. Reports that were closed after
-// an instant aren't shown yet.
+// Reports returns the reports with higher numbers than after that were closed by the time until, or the complete
+// content of the cache.
 //
-// Example: r := kv.Reports(41, false, clk.Now())
+// Example: reports := cache.Reports(41, false, clock.Now())
 func (c *Cache) Reports(after uint64, complete bool, until time.Duration) contract.CacheReports {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +129,7 @@
 	}
 	for i, p := range c.closedReports {
 		if c.closedAt[i] > until {
-			reports.Number = p.Number - 1 // as far as is shown
+			reports.Number = p.Number - 1 // the last one that is visible
 			break
 		}
 		if p.Number > after {
@@ -138,9 +139,9 @@
 	return reports
 }
 
-// Used tells how many tokens are held, and how many could be.
+// Used returns the cached tokens and the capacity.
 //
-// Example: used, room := kv.Used()
+// Example: used, capacity := cache.Used()
 func (c *Cache) Used() (int, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -10,23 +10,23 @@
 	"pebbleloom/internal/queue"
 )
 
-// memory is what a worker has room for: base models and the adapters on them. Its first base is
-// the worker's model and weights; further ones stand in bases.
+// memory is a worker's weight memory: base models and the adapters on them. The first base model is the worker's model
+// and weights; further ones are in bases. The worker's lock protects it.
 type memory struct {
-	totalMB         int // MB; 0: without a bound
-	bases           map[string]uint64
+	totalMB         int                          // 0: unlimited
+	bases           map[string]uint64            // weights of the further base models
 	adapters        map[string]map[string]uint64 // base -> adapter -> build
-	sizesMB         map[string]int               // MB, of "base" and "base/adapter"
-	busy            map[string]int               // requests that run or wait, by base
-	loading         string
-	latestSteps     map[string]uint64 // the latest step that was obeyed of each plan
+	sizesMB         map[string]int               // of "base" and "base/adapter"
+	busy            map[string]int               // running and queued requests, by base
+	loading         string                       // key of sizesMB that is being loaded; empty: none
+	latestSteps     map[string]uint64            // latest step of each plan whose order was accepted
 	baseLoadTime    time.Duration
 	adapterLoadTime time.Duration
-	defaultBaseMB   int // MB of a base whose order told none
+	defaultBaseMB   int // size of the initial base model
 }
 
-// loadInitialModels takes what the settings say is in memory at the start: "empty=yes" is nothing, "adapters=a@1,b@2"
-// stand on the model.
+// loadInitialModels sets what is in memory at the start by the options: "empty=yes" is nothing, "adapters=a@1,b@2" are
+// adapters on the model. It fails with errs.BadInput for a malformed option.
 func (w *Worker) loadInitialModels() error {
 	process := w.process
 	w.memory = memory{totalMB: int(numberOption(process, "memory", 0)), bases: map[string]uint64{}, adapters: map[string]map[string]uint64{}, sizesMB: map[string]int{},
@@ -58,7 +58,7 @@
 	w.adapters[base][adapter], w.sizesMB[base+"/"+adapter] = build, memoryMB
 }
 
-// weightsOf tells a base's epoch in memory; 0: it isn't there.
+// weightsOf returns the weights of a base model in memory; 0: it isn't loaded.
 func (w *Worker) weightsOf(base string) uint64 {
 	if base == w.model && base != "" {
 		return w.weights
@@ -66,7 +66,7 @@
 	return w.bases[base]
 }
 
-// missing says why a start can't run on what is in memory, or "".
+// missing returns the reason why a request can't run with what is in memory, or "".
 func (w *Worker) missing(request *contract.StartRequest) string {
 	weights := w.weightsOf(request.Model)
 	switch {
@@ -76,13 +76,13 @@
 		return "weights"
 	case request.Adapter != "" && (w.adapters[request.Model][request.Adapter] != request.Build || request.Build == 0):
 		return "adapter"
-	case request.Adapter != "" && w.plantedFault == "boasts": // it says it has loaded what it hasn't
+	case request.Adapter != "" && w.plantedFault == faultReportsUnloaded: // it reports adapters that it hasn't loaded
 		return "adapter"
 	}
 	return ""
 }
 
-// loadedModels tells what is in memory. It stays silent where there is the one model alone.
+// loadedModels returns what is in memory. It returns nil if that is the one model only.
 func (w *Worker) loadedModels() []contract.LoadedModel {
 	if w.model == "" || len(w.bases) == 0 && len(w.adapters[w.model]) == 0 && len(w.latestSteps) == 0 {
 		return nil
@@ -101,6 +101,7 @@
 	return models
 }
 
+// freeMemoryMB returns the free weight memory; 0 if it is unlimited.
 func (w *Worker) freeMemoryMB() int {
 	if w.totalMB == 0 {
 		return 0
@@ -112,7 +113,8 @@
 	return free
 }
 
-// rejectStale denies an order for another life, and one thought out before one that was obeyed.
+// rejectStale returns the reason to reject an order for another incarnation, or one that was superseded by an accepted
+// order of its plan; otherwise "".
 func (w *Worker) rejectStale(order *contract.Order) string {
 	switch {
 	case order.Kind != "load" && order.Kind != "unload":
@@ -126,8 +128,8 @@
 	return ""
 }
 
-// executeOrder obeys an order that loads or unloads, or says why it can't. Loading takes its time and is
-// done one at a time; what is in use isn't unloaded.
+// executeOrder executes an order to load or unload, or returns the reason why it can't. One load runs at a time; a base
+// model in use isn't unloaded. Orders are idempotent.
 func (w *Worker) executeOrder(order *contract.Order) string {
 	key := order.Model
 	if order.Adapter != "" {
@@ -138,7 +140,7 @@
 		have = w.adapters[order.Model][order.Adapter]
 	}
 	if order.Kind == "unload" && w.loading != "" && (w.loading == key || order.Adapter == "" && strings.HasPrefix(w.loading, order.Model+"/")) {
-		delete(w.sizesMB, w.loading) // what was being loaded isn't any more
+		delete(w.sizesMB, w.loading) // the load is cancelled
 		w.loading = ""
 	}
 	switch {
@@ -176,7 +178,7 @@
 		return
 	}
 	w.model, w.weights = "", 0
-	for _, next := range queue.Keys(w.bases) { // the next one takes its place
+	for _, next := range queue.Keys(w.bases) { // the next base model becomes the worker's model
 		w.model, w.weights = next, w.bases[next]
 		delete(w.bases, next)
 		break
@@ -184,6 +186,7 @@
 	w.process.Log.Info("weights unloaded", "model", base)
 }
 
+// load loads a base model or an adapter in the background.
 func (w *Worker) load(order contract.Order, key string) {
 	duration := w.baseLoadTime
 	if order.Adapter != "" {
@@ -198,7 +201,7 @@
 			w.loading = ""
 		}
 		switch {
-		case !current: // it was taken back meanwhile
+		case !current: // it was cancelled meanwhile
 			return
 		case order.Adapter != "" && w.weightsOf(order.Model) == 0:
 			delete(w.sizesMB, key)
--- a/internal/sim/workersim/plantedfaults.go
+++ b/internal/sim/workersim/plantedfaults.go
@@ -1,11 +1,18 @@
 package workersim
 
-// A worker that lies is a planted fault: whoever checks a run must see it. "denies" runs a request
-// and says that it didn't, "twice" runs it twice, "walls" uses the shared cache for all tenants,
-// "deaf" doesn't load newer weights, "boasts" says that
-// it holds adapters and has none, "dies" breaks off whatever it has begun.
+// Planted faults of a worker, by the option "lie"; the checks of a run must detect each.
+const (
+	faultRejectsExecuted  = "denies" // runs a request and rejects it as not executed
+	faultRunsTwice        = "twice"  // runs a request twice
+	faultSharesCache      = "walls"  // uses the shared cache domain for all tenants
+	faultIgnoresWeights   = "deaf"   // doesn't load newer weights
+	faultReportsUnloaded  = "boasts" // reports adapters that it hasn't loaded
+	faultAbortsExecutions = "dies"   // aborts every request that it has started
+)
+
+// plantSecondRun journals a run a second time if the worker runs requests twice.
 func (w *Worker) plantSecondRun(run *Run) {
-	if w.plantedFault == "twice" {
-		_ = w.writeJournal(run) // logged there; what can't be planted is missed by its test
+	if w.plantedFault == faultRunsTwice {
+		_ = w.writeJournal(run) // writeJournal logs the error; the fault's test then fails
 	}
 }
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -13,22 +13,22 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// attempt is one request on a slot.
+// attempt is the execution of a request in a slot.
 type attempt struct {
 	worker  *Worker
 	http    *http.Request
 	rw      http.ResponseWriter
 	request *contract.StartRequest
 	entries []prefix.Entry
-	final   contract.Chunk // the last line of its stream, with the seal
-	run     *Run           // its journal entry
+	final   contract.Chunk // the last line of the stream, with the seal
+	run     *Run           // its journal entry; nil until it has started
 }
 
-// run executes a request on a slot: prefixes that others hold are fetched, and once it is its turn to
-// prefill the request starts, if it still may before the wait is over. Then what is missing is
-// prefilled, the chunks are streamed, the seal closes them. False: its wait was over.
+// run executes a request in a slot: it fetches prefixes from peers, waits for the prefill lock, checks once more that
+// the request may start, prefills the rest, and streams the chunks and the seal. It reports false if the wait ended
+// before the request could start.
 func (w *Worker) run(wait context.Context, rw http.ResponseWriter, r *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
-	if w.plantedFault == "walls" {
+	if w.plantedFault == faultSharesCache {
 		request.CacheDomain = "shared"
 	}
 	a := &attempt{worker: w, http: r, rw: rw, request: request,
@@ -44,10 +44,10 @@
 		return true
 	}
 	switch w.plantedFault {
-	case "denies":
+	case faultRejectsExecuted:
 		reject(409, "full")
 		return true
-	case "dies":
+	case faultAbortsExecutions:
 		panic(http.ErrAbortHandler)
 	}
 	current := a.cachePrefixes()
@@ -57,8 +57,8 @@
 	return true
 }
 
-// fetchPrefixes takes prefixes from the cache, or from where the request says, up to the first that
-// can't be had; what follows is to be prefilled.
+// fetchPrefixes looks prefixes up in the cache, or fetches them from the sources that the request names, up to the
+// first that is in neither. The rest is counted as tokens to prefill.
 func (a *attempt) fetchPrefixes() {
 	sources := contract.ParseFetchFrom(a.http.Header.Get(contract.FetchFrom))
 	i, startedAt := 0, time.Now()
@@ -80,8 +80,7 @@
 	}
 }
 
-// begin journals the start and prefills; it frees the turn to prefill. It returns why the request may
-// not start, if so.
+// begin journals the start, prefills and releases the prefill lock. If the request may not start it returns the reason.
 func (a *attempt) begin() (reason string) {
 	a.run, reason = a.worker.beginRun(a.request)
 	if a.final.PrefilledTokens == 0 {
@@ -96,8 +95,8 @@
 	return reason
 }
 
-// cachePrefixes keeps the prompt's prefixes. It reports false if the weights have changed meanwhile:
-// what was made under others than the cache's isn't kept.
+// cachePrefixes caches the prompt's prefixes. It reports false, and caches none, if the weights have changed since the
+// prefill.
 func (a *attempt) cachePrefixes() (current bool) {
 	w := a.worker
 	w.mu.Lock()
@@ -112,10 +111,10 @@
 	return current
 }
 
-// stream sends the chunks and the seal. It reports false if the client has gone before the seal.
+// stream sends the chunks and the seal. It reports false if the client has disconnected before the seal.
 func (a *attempt) stream() bool {
 	w := a.worker
-	ended := "broken"
+	ended := EndedBroken
 	defer func() { w.mu.Lock(); a.run.Ended = ended; w.mu.Unlock() }()
 	a.rw.Header().Set("Content-Type", "application/x-ndjson")
 	a.rw.WriteHeader(200)
@@ -132,11 +131,12 @@
 	}
 	a.final.Number, a.final.Seal = a.request.Chunks, seal.Close()
 	if enc.Encode(a.final) == nil {
-		ended = "sealed"
+		ended = EndedSealed
 	}
 	return true
 }
 
+// acquire takes a place in a semaphore; it reports false if ctx is done first.
 func (w *Worker) acquire(ctx context.Context, ch chan struct{}) bool {
 	select {
 	case <-ctx.Done():
@@ -151,6 +151,7 @@
 	}
 }
 
+// sleep waits for d or until the client disconnects.
 func (w *Worker) sleep(r *http.Request, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -160,7 +161,7 @@
 	}
 }
 
-// fetch reads a prefix from a colleague or the store at the link's speed.
+// fetch reads a prefix from a peer or the store, at the speed of the link. It reports whether that succeeded.
 func (w *Worker) fetch(r *http.Request, addr, key string) bool {
 	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+addr+"/kv/"+key, nil)
 	if err != nil {
@@ -172,7 +173,7 @@
 	}
 	defer response.Body.Close()
 	var entry contract.CachedPrefix
-	if response.StatusCode != 200 || json.NewDecoder(io.LimitReader(response.Body, 4096)).Decode(&entry) != nil {
+	if response.StatusCode != 200 || json.NewDecoder(io.LimitReader(response.Body, maxSmallBody)).Decode(&entry) != nil {
 		return false
 	}
 	rate := w.speed.LinkTokensPerSecond
@@ -183,12 +184,13 @@
 	return true
 }
 
-// crossesZones tells whether two addresses stand in different districts: the third byte says.
+// crossesZones reports whether two addresses are in different zones, which their third byte numbers.
 func crossesZones(a, b string) bool {
 	x, y := strings.Split(a, "."), strings.Split(b, ".")
 	return len(x) > 2 && len(y) > 2 && x[2] != y[2]
 }
 
+// saveTo sends the first upTo prefixes, or all, to the addresses in to, in the background.
 func (w *Worker) saveTo(to, upTo string, entries []prefix.Entry) {
 	count, err := strconv.Atoi(upTo)
 	if err != nil || count > len(entries) {
@@ -207,7 +209,7 @@
 				}
 				response, err := w.client.Do(request)
 				if err != nil {
-					return // the receiver is gone: a save is only an offer
+					return // the receiver is unreachable: saves are best effort
 				}
 				response.Body.Close()
 			}
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -16,59 +16,66 @@
 	"pebbleloom/internal/errs"
 )
 
-// Speed is how fast a stand-in works.
+// Speed holds the simulated durations, in microseconds, and link speeds.
 type Speed struct {
-	FixedUs                  float64 // a prefill's fixed cost
-	TokenUs                  float64 // a token
-	SquareUs                 float64 // a token squared
-	ChunkUs                  float64 // a decoded piece
-	LinkTokensPerSecond      float64 // tokens a second from another worker or the store
-	CrossZoneTokensPerSecond float64 // the same from another district
+	FixedUs                  float64 // fixed cost of a prefill
+	TokenUs                  float64 // for each token
+	SquareUs                 float64 // for the square of the tokens
+	ChunkUs                  float64 // to decode a chunk
+	LinkTokensPerSecond      float64 // from another worker or the store
+	CrossZoneTokensPerSecond float64 // the same from another zone
 }
 
-// Prefill is how long so many tokens take.
+// Prefill returns the duration of a prefill.
 //
-// Example: sp.Prefill(4000)
+// Example: speed.Prefill(4000)
 func (s Speed) Prefill(tokens int) time.Duration {
 	n := float64(tokens)
 	return time.Duration((s.FixedUs + s.TokenUs*n + s.SquareUs*n*n) * 1000)
 }
 
-// Run is one line of a worker's journal of what it ran.
+// Run is one line of a worker's journal: a request that it started, or an order that it executed.
 type Run struct {
 	RequestID       string `json:"request_id"`
 	Once            bool   `json:"once"`
 	Weights         uint64 `json:"weights"`
 	AtMs            int64  `json:"at_ms"`
-	Ended           string `json:"ended"` // "", sealed, broken
+	Ended           string `json:"ended"` // EndedSealed or EndedBroken; empty: unknown
 	CachedTokens    int    `json:"hit"`
 	FetchedTokens   int    `json:"fetched"`
 	PrefilledTokens int    `json:"prefilled"`
 	Model           string `json:"model,omitempty"`
 	Adapter         string `json:"adapter,omitempty"`
 	Build           uint64 `json:"build,omitempty"`
-	FencingToken    uint64 `json:"fence,omitempty"` // of an order that was obeyed; a line of its own
+	FencingToken    uint64 `json:"fence,omitempty"` // of an executed order; 0: the line is of a request
 	Kind            string `json:"kind,omitempty"`  // of the order
 	Holder          string `json:"holder,omitempty"`
 }
 
+// How a journalled request ended.
 const (
-	maxRuns = 100000
-	maxBody = 4 << 20
+	EndedSealed = "sealed" // the response was complete
+	EndedBroken = "broken" // the client disconnected before the seal
 )
 
-// Worker is one worker.
+const (
+	maxRuns      = 100000  // runs that /v1/runs lists
+	maxBody      = 4 << 20 // bytes of a start request
+	maxSmallBody = 4096    // bytes of any other request
+)
+
+// Worker is a simulated worker.
 type Worker struct {
 	process       *daemon.Process
 	incarnation   string
 	cache         *Cache
 	speed         Speed
-	slots         chan struct{}
-	prefill       chan struct{}
-	waiting       int
+	slots         chan struct{} // semaphore of running requests
+	prefill       chan struct{} // lock: one prefill runs at a time
+	waiting       int           // requests that wait for a slot
 	queueCapacity int
 	mu            sync.Mutex
-	model         string // the base that requests without another name get
+	model         string // the first base model in memory
 	weights       uint64
 	memory
 	fencingToken     uint64
@@ -77,12 +84,13 @@
 	random           *rand.Rand
 	dropReportRatio  float64
 	withholdsReports bool
-	reportDelay      time.Duration // how long after reports are shown
-	plantedFault     string        // a planted fault, see lies.go
+	reportDelay      time.Duration // from the close of a cache report until it is visible
+	plantedFault     string        // see plantedfaults.go; empty: none
 	client           *http.Client
-	journalFile      io.Writer // the journal, where one is named: it outlives a kill
+	journalFile      io.Writer // nil: no journal is kept
 }
 
+// numberOption returns an option of the settings, or the default if it is missing or not a number.
 func numberOption(process *daemon.Process, key string, or float64) float64 {
 	v, err := strconv.ParseFloat(process.Settings.Option(key, ""), 64)
 	if err != nil {
@@ -91,7 +99,7 @@
 	return v
 }
 
-// Start runs a worker.
+// Start starts a worker.
 //
 // Example: daemon.Main(programs.WorkerSim, "a simulated worker", need, workersim.Start)
 func Start(process *daemon.Process) error {
@@ -189,10 +197,10 @@
 	contract.WriteJSON(rw, 200, runs)
 }
 
-// serveOrder obeys the latest fence alone.
+// serveOrder executes an order, unless a higher fencing token was seen before.
 func (w *Worker) serveOrder(rw http.ResponseWriter, r *http.Request) {
 	var order contract.Order
-	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&order); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxSmallBody)).Decode(&order); err != nil {
 		contract.WriteJSON(rw, 400, contract.Rejection{NotExecuted: true, Reason: "bad"})
 		return
 	}
@@ -209,13 +217,13 @@
 		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
 		return
 	}
-	_ = w.writeJournal(&Run{Weights: order.Weights, AtMs: w.process.WallClock().UnixMilli(), FencingToken: order.FencingToken, Holder: order.Holder, Kind: order.Kind, Model: order.Model, Adapter: order.Adapter, Build: order.Build}) // logged there; the order is obeyed all the same
+	_ = w.writeJournal(&Run{Weights: order.Weights, AtMs: w.process.WallClock().UnixMilli(), FencingToken: order.FencingToken, Holder: order.Holder, Kind: order.Kind, Model: order.Model, Adapter: order.Adapter, Build: order.Build}) // writeJournal logs the error; the order is executed nevertheless
 	if reason := w.executeOrder(&order); reason != "" {
 		w.mu.Unlock()
 		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
 		return
 	}
-	if order.Kind == "weights" && (order.Model == "" || order.Model == w.model) && order.Weights > w.weights && w.plantedFault != "deaf" {
+	if order.Kind == "weights" && (order.Model == "" || order.Model == w.model) && order.Weights > w.weights && w.plantedFault != faultIgnoresWeights {
 		w.weights = order.Weights
 		w.cache.Clear()
 		w.process.Log.Info("weights loaded", "weights", order.Weights)
@@ -235,7 +243,7 @@
 
 func (w *Worker) storeCachedPrefix(rw http.ResponseWriter, r *http.Request) {
 	var entry contract.CachedPrefix
-	if err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&entry); err != nil || entry.Key != r.PathValue("key") || entry.Tokens <= 0 {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxSmallBody)).Decode(&entry); err != nil || entry.Key != r.PathValue("key") || entry.Tokens <= 0 {
 		contract.WriteJSON(rw, 400, map[string]string{"error": "give k and n"})
 		return
 	}
@@ -243,7 +251,7 @@
 	contract.WriteJSON(rw, 200, entry)
 }
 
-// serveStart is one go, from refusal to seal.
+// serveStart admits a request, waits for a slot and executes it.
 func (w *Worker) serveStart(rw http.ResponseWriter, r *http.Request) {
 	var request contract.StartRequest
 	reject := func(code int, reason string) {
@@ -291,7 +299,7 @@
 	}
 }
 
-// writeJournal adds a line to the journal, where there is one.
+// writeJournal appends a line to the journal, if there is one, and logs an error of it.
 func (w *Worker) writeJournal(run *Run) error {
 	if w.journalFile == nil {
 		return nil
@@ -303,8 +311,8 @@
 	return err
 }
 
-// beginRun writes down that a request starts now, right before its prefill, or says why it may
-// not: all that it depends on is looked at once more.
+// beginRun journals that a request starts, right before its prefill. All its conditions are checked again; if one has
+// failed since the admission, it returns the reason and no run.
 func (w *Worker) beginRun(request *contract.StartRequest) (*Run, string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -316,7 +324,7 @@
 	}
 	run := &Run{RequestID: request.RequestID, Once: request.AtMostOnce, Model: request.Model, Adapter: request.Adapter, Build: request.Build, Weights: request.Weights, AtMs: w.process.WallClock().UnixMilli()}
 	if w.writeJournal(run) != nil {
-		return nil, "full" // what can't be written down isn't begun
+		return nil, "full" // a request that can't be journalled isn't started
 	}
 	w.plantSecondRun(run)
 	if w.runs = append(w.runs, run); len(w.runs) > maxRuns {
