--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -1,7 +1,6 @@
-// Package capacity measures what each role of the fleet costs as one size grows at a time, and works
-// the page docs/CAPACITY.md out from that: every figure is slope × size + base. Real parts run over
-// real loopback connections; where they wouldn't fit on one machine, hollow nodes that share a
-// process speak the real protocol with the real code.
+// Package capacity measures the resource use of each role of the fleet as one size grows at a time, and generates the
+// page docs/CAPACITY.md from it: every figure is slope × size + base. Real components run over loopback connections.
+// Where they wouldn't fit on one machine, hollow nodes that share a process speak the real protocol with the real code.
 package capacity
 
 import (
@@ -17,30 +16,30 @@
 	"pebbleloom/internal/errs"
 )
 
-// Point is one run at one size.
+// Point is the result of one run at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Series is one quantity as one size grows, all else the same.
+// Series is a quantity measured as one size grows, with everything else unchanged.
 type Series struct {
 	Name   string  `json:"name"`
-	Part   string  `json:"part"` // of the measuring command
+	Part   string  `json:"part"` // of the measurement, as Measure takes it
 	Factor string  `json:"factor"`
 	Unit   string  `json:"unit"`
 	How    string  `json:"how"`
 	Points []Point `json:"points"`
 }
 
-// Measured is a run of the measuring command.
+// Measured holds the results of a run of the measuring command.
 type Measured struct {
 	Command string   `json:"command"`
 	Machine string   `json:"machine"`
 	Series  []Series `json:"series"`
 }
 
-// bench runs parts one after another and keeps what they measured.
+// bench runs parts one after another and collects their series.
 type bench struct {
 	quick   bool
 	log     io.Writer
@@ -48,31 +47,31 @@
 	out     []Series
 }
 
-// kind is one quantity that a part measures.
+// kind describes a quantity that a part measures.
 type kind struct{ name, unit, how string }
 
-// sizes are those of a full run, or their small stand-ins for a quick one.
+// sizes returns the sizes of a full run, or as many small ones for a quick run.
 func (b *bench) sizes(full ...float64) []float64 {
 	if !b.quick {
 		return full
 	}
-	l := make([]float64, len(full))
+	small := make([]float64, len(full))
 	for i := range full {
-		l[i] = float64(4 * (i + 1))
+		small[i] = float64(4 * (i + 1))
 	}
-	return l
+	return small
 }
 
-// vary measures several quantities while one factor grows. The repeats go round over all sizes, so
-// that a busy moment of the machine spoils no size alone.
-func (b *bench) vary(part, factor string, sizes []float64, kinds []kind, run func(size float64) ([]float64, error)) error {
+// vary measures several quantities while one factor grows. Each repeat covers all sizes, so that a busy phase of the
+// machine doesn't affect a single size only.
+func (b *bench) vary(part, factor string, sizes []float64, kinds []kind, measureSize func(size float64) ([]float64, error)) error {
 	series := make([]Series, len(kinds))
 	for i, quantity := range kinds {
 		series[i] = Series{Name: quantity.name, Part: part, Factor: factor, Unit: quantity.unit, How: quantity.how}
 	}
 	for range b.repeats {
 		for _, size := range sizes {
-			values, err := run(size)
+			values, err := measureSize(size)
 			if err != nil {
 				return errs.Wrap(err, fmt.Sprintf("%s at %v %s", part, size, factor))
 			}
@@ -90,7 +89,7 @@
 	return nil
 }
 
-// cpu is the processor time that this process has used, in µs.
+// cpu returns the processor time that this process has used, in µs.
 func cpu() float64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -100,25 +99,25 @@
 	return us(u.Utime) + us(u.Stime)
 }
 
-// spend is the processor time of one operation in µs, by doubling how many are done until they
-// have taken long enough to be told from the clock's grain.
+// spend returns the processor time of one operation in µs. It doubles the number of operations until they exceed the
+// resolution of the clock by far.
 func (b *bench) spend(op func()) float64 {
 	enough := 2e5
 	if b.quick {
 		enough = 2e3
 	}
 	for n := 1; ; n *= 2 {
-		at := cpu()
+		cpuBefore := cpu()
 		for range n {
 			op()
 		}
-		if d := cpu() - at; d >= enough || n >= 1<<24 {
+		if d := cpu() - cpuBefore; d >= enough || n >= 1<<24 {
 			return d / float64(n)
 		}
 	}
 }
 
-// heap is how many bytes live on the heap after a collection.
+// heap returns the bytes in use on the heap after a garbage collection.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -127,42 +126,43 @@
 	return float64(m.HeapAlloc)
 }
 
-// parts are what can be measured, in order.
+// parts are the parts that can be measured, in order.
 var parts = []struct {
 	name string
 	run  func(*bench) error
 }{{"nodes", measureMembership}, {"workers", measureWorkers}, {"plans", measurePlans}, {"kept", measureIndex}, {"placement", measurePlacements}, {"calls", measureCalls}, {"follow", measureFollowers}, {"group", measureGroup}, {"traffic", measureTraffic}}
 
-// Measure runs one part, or all of them ("").
+// Measure runs one part, or all of them (""). With quick the sizes are too small for meaningful figures; progress is
+// written to log. It fails with errs.BadInput for an unknown part.
 //
 // Example: m, err := capacity.Measure("nodes", false, os.Stderr)
 func Measure(part string, quick bool, log io.Writer) (*Measured, error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(threads))
-	b := &bench{quick: quick, log: log, repeats: 3}
+	bench := &bench{quick: quick, log: log, repeats: 3}
 	known := false
-	for _, p := range parts {
-		if part != "" && part != p.name {
+	for _, candidate := range parts {
+		if part != "" && part != candidate.name {
 			continue
 		}
 		known = true
-		if err := p.run(b); err != nil {
-			return nil, errs.Wrap(err, "part "+p.name)
+		if err := candidate.run(bench); err != nil {
+			return nil, errs.Wrap(err, "part "+candidate.name)
 		}
 	}
 	if !known {
-		var l []string
-		for _, p := range parts {
-			l = append(l, p.name)
+		var names []string
+		for _, candidate := range parts {
+			names = append(names, candidate.name)
 		}
-		return nil, errs.New(errs.BadInput, "part %q: give one of %s", part, strings.Join(l, ", "))
+		return nil, errs.New(errs.BadInput, "part %q: give one of %s", part, strings.Join(names, ", "))
 	}
-	return &Measured{Command: "testbed capacity", Machine: machine(), Series: b.out}, nil
+	return &Measured{Command: "testbed capacity", Machine: machine(), Series: bench.out}, nil
 }
 
-// threads is how many a measurement uses at once.
+// threads is the number of threads that a measurement uses.
 const threads = 4
 
-// machine says what the figures were measured on.
+// machine describes the machine that the figures were measured on.
 func machine() string {
 	name := "unknown processor"
 	raw, _ := os.ReadFile("/proc/cpuinfo")
@@ -175,26 +175,26 @@
 	return fmt.Sprintf("%s, %s/%s, %s, %d threads", name, runtime.GOOS, runtime.GOARCH, runtime.Version(), threads)
 }
 
-// Join lays the series of a run over those of an older one.
+// Join returns the series of both runs; those of the later run m replace those of the same name in old.
 //
 // Example: all := capacity.Join(old, m)
 func Join(old, m *Measured) *Measured {
 	if old == nil {
 		return m
 	}
-	l := slices.Clone(old.Series)
-	for _, s := range m.Series {
-		i := slices.IndexFunc(l, func(o Series) bool { return o.Name == s.Name })
+	joined := slices.Clone(old.Series)
+	for _, added := range m.Series {
+		i := slices.IndexFunc(joined, func(o Series) bool { return o.Name == added.Name })
 		if i < 0 {
-			l = append(l, s)
+			joined = append(joined, added)
 		} else {
-			l[i] = s
+			joined[i] = added
 		}
 	}
-	return &Measured{m.Command, m.Machine, l}
+	return &Measured{m.Command, m.Machine, joined}
 }
 
-// Read reads a file of measured series.
+// Read parses a file of measured series. It fails with errs.BadInput if the file is malformed.
 //
 // Example: m, err := capacity.Read(raw)
 func Read(raw []byte) (*Measured, error) {
@@ -205,11 +205,11 @@
 	return m, nil
 }
 
-// Write is the file's form: a series is a few lines, so that a change of one is read as one.
+// Write formats the series as a file, each in a few lines, so that a diff shows which have changed.
 //
 // Example: raw, err := m.Write()
 func (m *Measured) Write() ([]byte, error) {
-	var s strings.Builder
+	var text strings.Builder
 	enc := func(v any) string {
 		raw, err := json.Marshal(v)
 		if err != nil {
@@ -217,20 +217,20 @@
 		}
 		return string(raw)
 	}
-	fmt.Fprintf(&s, "{\n \"command\": %s,\n \"machine\": %s,\n \"series\": [\n", enc(m.Command), enc(m.Machine))
-	for i, x := range m.Series {
-		fmt.Fprintf(&s, "  {\"name\": %s, \"part\": %s, \"factor\": %s, \"unit\": %s,\n   \"how\": %s,\n   \"points\": %s}", enc(x.Name), enc(x.Part), enc(x.Factor), enc(x.Unit), enc(x.How), enc(x.Points))
+	fmt.Fprintf(&text, "{\n \"command\": %s,\n \"machine\": %s,\n \"series\": [\n", enc(m.Command), enc(m.Machine))
+	for i, entry := range m.Series {
+		fmt.Fprintf(&text, "  {\"name\": %s, \"part\": %s, \"factor\": %s, \"unit\": %s,\n   \"how\": %s,\n   \"points\": %s}", enc(entry.Name), enc(entry.Part), enc(entry.Factor), enc(entry.Unit), enc(entry.How), enc(entry.Points))
 		if i < len(m.Series)-1 {
-			s.WriteString(",")
+			text.WriteString(",")
 		}
-		s.WriteString("\n")
+		text.WriteString("\n")
 	}
-	s.WriteString(" ]\n}\n")
-	_, err := Read([]byte(s.String()))
-	return []byte(s.String()), err
+	text.WriteString(" ]\n}\n")
+	_, err := Read([]byte(text.String()))
+	return []byte(text.String()), err
 }
 
-// allocated is how many bytes were ever allocated.
+// allocated returns the bytes that were allocated since the start of the process.
 func allocated() float64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -5,92 +5,97 @@
 	"slices"
 )
 
-// bendMost is how far a median may lie off the line, as a share of itself, before the series counts
-// as bent; a series whose runs are further apart than that is given as much more.
-const bendMost = 0.12
+// maxResidual is how far a median may be off the line, as a share of itself, before the series counts as bent. The limit
+// is half the spread of the runs where that is more.
+const maxResidual = 0.12
 
-// line is what a series has shown: slope × size + base, unless it is bent.
+// line is the linear model of a series, slope × size + base, unless the series is bent.
 type line struct {
 	Slope, Base    float64
-	Low, High      float64 // the slopes of the repeats, taken alone
-	Residual       float64 // the worst, of a median, as a share of it
-	Spread         float64 // the widest, between the runs of one size, as a share of their median
-	Bent           bool
+	Low, High      float64 // range of the slopes of the single repeats
+	Residual       float64 // largest distance of a median from the line, as a share of the median
+	Spread         float64 // widest range of the runs of one size, as a share of their median
+	Bent           bool    // the medians are not on a line
 	Sizes, Medians []float64
 }
 
-// fit lays a line through the medians, each weighed by its own size, so that small ones count as
-// much as large ones.
-func fit(s *Series) line {
-	by := map[float64][]float64{}
-	for _, p := range s.Points {
-		by[p.Size] = append(by[p.Size], p.Value)
+// fit fits a line to the medians of a series. Each is weighted by its own size, so that small ones count as much as
+// large ones.
+func fit(series *Series) line {
+	valuesBySize := map[float64][]float64{}
+	for _, point := range series.Points {
+		valuesBySize[point.Size] = append(valuesBySize[point.Size], point.Value)
 	}
-	var x line
-	for n := range by {
-		x.Sizes = append(x.Sizes, n)
+	var fitted line
+	for size := range valuesBySize {
+		fitted.Sizes = append(fitted.Sizes, size)
 	}
-	slices.Sort(x.Sizes)
+	slices.Sort(fitted.Sizes)
 	runs := math.MaxInt
-	for _, n := range x.Sizes {
-		l := by[n]
-		runs = min(runs, len(l))
-		sorted := slices.Sorted(slices.Values(l))
-		m := sorted[len(sorted)/2]
-		x.Medians = append(x.Medians, m)
-		if m != 0 {
-			x.Spread = max(x.Spread, (sorted[len(sorted)-1]-sorted[0])/math.Abs(m))
-		}
+	for _, size := range fitted.Sizes {
+		values := valuesBySize[size]
+		runs = min(runs, len(values))
+		fitted.addMedian(values)
 	}
-	if len(x.Sizes) < 2 {
-		return x
+	if len(fitted.Sizes) < 2 {
+		return fitted
 	}
-	x.Slope, x.Base = least(x.Sizes, x.Medians)
-	x.Low, x.High = math.Inf(1), math.Inf(-1)
-	for i := range runs {
-		var l []float64
-		for _, n := range x.Sizes {
-			l = append(l, by[n][i])
+	fitted.Slope, fitted.Base = leastSquares(fitted.Sizes, fitted.Medians)
+	fitted.Low, fitted.High = math.Inf(1), math.Inf(-1)
+	for run := range runs {
+		var values []float64
+		for _, size := range fitted.Sizes {
+			values = append(values, valuesBySize[size][run])
 		}
-		k, _ := least(x.Sizes, l)
-		x.Low, x.High = min(x.Low, k), max(x.High, k)
+		slope, _ := leastSquares(fitted.Sizes, values)
+		fitted.Low, fitted.High = min(fitted.Low, slope), max(fitted.High, slope)
 	}
-	for i, n := range x.Sizes {
-		if m := x.Medians[i]; m != 0 {
-			x.Residual = max(x.Residual, math.Abs(x.Slope*n+x.Base-m)/math.Abs(m))
+	for i, size := range fitted.Sizes {
+		if median := fitted.Medians[i]; median != 0 {
+			fitted.Residual = max(fitted.Residual, math.Abs(fitted.Slope*size+fitted.Base-median)/math.Abs(median))
 		}
 	}
-	x.Bent = x.Residual > max(bendMost, x.Spread/2)
-	return x
+	fitted.Bent = fitted.Residual > max(maxResidual, fitted.Spread/2)
+	return fitted
+}
+
+// addMedian adds the median of the runs of the next size, and their spread.
+func (l *line) addMedian(values []float64) {
+	sorted := slices.Sorted(slices.Values(values))
+	median := sorted[len(sorted)/2]
+	l.Medians = append(l.Medians, median)
+	if median != 0 {
+		l.Spread = max(l.Spread, (sorted[len(sorted)-1]-sorted[0])/math.Abs(median))
+	}
 }
 
-// least is the line of least squared shares.
-func least(x, y []float64) (slope, base float64) {
-	var w, wx, wy, wxx, wxy float64
-	for i := range x {
-		g := 1.0
-		if y[i] != 0 {
-			g = 1 / (y[i] * y[i])
+// leastSquares returns the line with the least sum of squared relative errors.
+func leastSquares(sizes, values []float64) (slope, base float64) {
+	var w, wx, wy, wxx, wxy float64 // sums of the weights, and of their products with sizes and values
+	for i, size := range sizes {
+		weight, value := 1.0, values[i]
+		if value != 0 {
+			weight = 1 / (value * value)
 		}
-		w, wx, wy, wxx, wxy = w+g, wx+g*x[i], wy+g*y[i], wxx+g*x[i]*x[i], wxy+g*x[i]*y[i]
+		w, wx, wy, wxx, wxy = w+weight, wx+weight*size, wy+weight*value, wxx+weight*size*size, wxy+weight*size*value
 	}
-	d := w*wxx - wx*wx
-	if d == 0 {
+	determinant := w*wxx - wx*wx
+	if determinant == 0 {
 		return 0, wy / w
 	}
-	slope = (w*wxy - wx*wy) / d
+	slope = (w*wxy - wx*wy) / determinant
 	return slope, (wy - slope*wx) / w
 }
 
-// at is the value at a size: on the line, or between two neighbours of a bent series. Beyond a
-// bend nothing is known: false.
-func (x *line) at(n float64) (float64, bool) {
-	if !x.Bent {
-		return x.Slope*n + x.Base, true
+// at returns the value at a size: on the line, or interpolated between the measured sizes of a bent series. It reports
+// false for a size outside the measured range of a bent series.
+func (l *line) at(size float64) (float64, bool) {
+	if !l.Bent {
+		return l.Slope*size + l.Base, true
 	}
-	for i := 1; i < len(x.Sizes); i++ {
-		if a, b := x.Sizes[i-1], x.Sizes[i]; n >= a && n <= b {
-			return x.Medians[i-1] + (x.Medians[i]-x.Medians[i-1])*(n-a)/(b-a), true
+	for i := 1; i < len(l.Sizes); i++ {
+		if a, b := l.Sizes[i-1], l.Sizes[i]; size >= a && size <= b {
+			return l.Medians[i-1] + (l.Medians[i]-l.Medians[i-1])*(size-a)/(b-a), true
 		}
 	}
 	return 0, false
--- a/internal/capacity/follow.go
+++ b/internal/capacity/follow.go
@@ -11,12 +11,12 @@
 	"pebbleloom/internal/errs"
 )
 
-// groupMember is one real member of the control state's group, alone in it.
+// groupMember is a real control node that is the only member of its group.
 type groupMember struct {
 	node        *controlstate.Node
 	connections *byteCounter
 	stop        func()
-	base        uint64 // of the plan in force
+	base        uint64 // version of the plan in force
 }
 
 func newMember() (*groupMember, error) {
@@ -40,11 +40,11 @@
 	return member, nil
 }
 
-// commitPlan has a plan agreed on. While nobody owns the group yet it is asked again.
+// commitPlan commits a plan with a number of routes. It retries while the group has no leader yet.
 func (m *groupMember) commitPlan(routes int) error {
 	body := encodePlan(samplePlan(m.base+1, routes, 0))
 	var err error
-	if e := until("a plan is agreed on", func() bool {
+	if e := until("a plan is committed", func() bool {
 		_, err = m.node.PutRoutingConfig(context.Background(), m.base, body, false)
 		return err == nil || errs.KindOf(err) != errs.OutcomeUnknown && errs.KindOf(err) != errs.Overloaded
 	}); e != nil {
@@ -56,8 +56,8 @@
 	return err
 }
 
-// measureFollowers measures a member of the group under hollow nodes that follow it: calm long polls, and a
-// plan that all are told.
+// measureFollowers measures a control node with hollow nodes that follow it: long polls without changes, and the
+// delivery of a plan to all of them.
 func measureFollowers(b *bench) error {
 	member, err := newMember()
 	if err != nil {
@@ -73,22 +73,22 @@
 		pollMs, span = 50, 200*time.Millisecond
 	}
 	bootClock := clock.BootTime()
-	// What the member spends without anybody is taken off.
+	// What the member uses without followers is subtracted.
 	cpuBefore, from := cpu(), bootClock.Now()
 	clock.Sleep(context.Background(), span)
 	idle := (cpu() - cpuBefore) / (bootClock.Now() - from).Seconds()
-	own := member.connections.open.Load() // the member's way to itself
+	selfConnections := member.connections.open.Load() // the member's connections to itself
 	if err := b.vary("follow", "followers", b.sizes(43, 85, 170, 340), []kind{
 		{"poll-server", "µs", "processor time of one calm long poll at the member that holds it"},
 		{"poll-caller", "µs", "processor time of one calm long poll at the node that asks"},
 		{"poll-bytes", "B", "bytes of a calm long poll on its connection, both ways"},
 		{"poll-memory", "B", "heap of a member under so many held polls, beyond the same member alone"},
-	}, func(n float64) ([]float64, error) {
-		if err := until("earlier followers are gone", func() bool { return member.connections.open.Load() <= own }); err != nil {
+	}, func(followers float64) ([]float64, error) {
+		if err := until("earlier followers are gone", func() bool { return member.connections.open.Load() <= selfConnections }); err != nil {
 			return nil, err
 		}
 		alone := heap()
-		hollow, err := startHollow(hollowTask{Kind: "follow", Addr: member.connections.addr(), Nodes: int(n), HoldMs: pollMs})
+		hollow, err := startHollow(hollowTask{Kind: "follow", Addr: member.connections.addr(), Nodes: int(followers), MaxWaitMs: pollMs})
 		if err != nil {
 			return nil, err
 		}
@@ -109,17 +109,18 @@
 	}); err != nil {
 		return err
 	}
-	if err := measureDelivery(b, member, "put-nodes", "followers", b.sizes(43, 85, 170, 340), func(n float64) (int, int) { return int(n), 200 }); err != nil {
+	if err := measureDelivery(b, member, "put-nodes", "followers", b.sizes(43, 85, 170, 340), func(followers float64) (int, int) { return int(followers), 200 }); err != nil {
 		return err
 	}
 	nodes := 85
 	if b.quick {
 		nodes = 4
 	}
-	return measureDelivery(b, member, "put-size", "routes", b.sizes(100, 200, 400, 800), func(n float64) (int, int) { return nodes, int(n) })
+	return measureDelivery(b, member, "put-size", "routes", b.sizes(100, 200, 400, 800), func(followers float64) (int, int) { return nodes, int(followers) })
 }
 
-// measureDelivery measures the delivery of a plan to so many followers of one member.
+// measureDelivery measures the delivery of a plan to the followers of one member. Their number and that of the plan's
+// routes depend on the size.
 func measureDelivery(b *bench, member *groupMember, name, factor string, sizes []float64, of func(size float64) (nodes, routes int)) error {
 	return b.vary("follow", factor, sizes, []kind{
 		{name + "-server", "µs", "processor time of a member, from a plan's arrival until all followers were told it"},
@@ -127,7 +128,7 @@
 		{name + "-bytes", "B", "bytes that the member's connections carried for it"},
 	}, func(size float64) ([]float64, error) {
 		nodes, routes := of(size)
-		hollow, err := startHollow(hollowTask{Kind: "follow", Addr: member.connections.addr(), Nodes: nodes, HoldMs: 60000})
+		hollow, err := startHollow(hollowTask{Kind: "follow", Addr: member.connections.addr(), Nodes: nodes, MaxWaitMs: 60000})
 		if err != nil {
 			return nil, err
 		}
@@ -141,7 +142,7 @@
 			return nil, err
 		}
 		var bad error
-		if err := until("all followers are told", func() bool {
+		if err := until("all followers have the plan", func() bool {
 			result, err := hollow.run()
 			bad, caller = err, caller+result.CPU
 			return err != nil || result.Docs >= first.Docs+float64(nodes)
--- a/internal/capacity/hollowprocess.go
+++ b/internal/capacity/hollowprocess.go
@@ -20,36 +20,36 @@
 	"pebbleloom/internal/wire"
 )
 
-// HollowVariable is set for a process that this command starts as the far end of connections, so
-// that either end's processor time is its own: it holds what that process is to do.
+// HollowVariable is the environment variable that makes a process of this program a hollow process: the peer of a
+// measurement's connections, so that the processor time of both ends is known. It holds the task as JSON.
 const HollowVariable = "PEBBLELOOM_HOLLOW"
 
-// hollowTask is what a hollow process does. It says "up" once all is ready; then it answers each line on
-// its standard input with a sum, and ends with it.
+// hollowTask is the task of a hollow process. The process writes a first result once it is ready, and then one for each
+// line on its standard input. It ends with its standard input.
 type hollowTask struct {
-	Kind   string `json:"kind"` // seek, count, follow or traffic
-	Addr   string `json:"addr"`
-	Nodes  int    `json:"nodes"`   // hollow nodes in this process
-	Keys   int    `json:"keys"`    // a call
-	Calls  int    `json:"calls"`   // a line
-	Parts  int    `json:"parts"`   // known to the index
-	HoldMs int    `json:"hold_ms"` // of a long poll
-	Events int    `json:"events"`  // of an answer
+	Kind      string `json:"kind"` // seek, count, follow or traffic
+	Addr      string `json:"addr"`
+	Nodes     int    `json:"nodes"`   // hollow nodes in this process
+	Keys      int    `json:"keys"`    // in each call
+	Calls     int    `json:"calls"`   // for each line on the standard input
+	Parts     int    `json:"parts"`   // that the index knows
+	MaxWaitMs int    `json:"hold_ms"` // of a long poll
+	Events    int    `json:"events"`  // of a response
 }
 
-// hollowResult is what a hollow process has done since the last line.
+// hollowResult is what a hollow process has done since its last result.
 type hollowResult struct {
 	Calls   float64 `json:"calls"`
-	Docs    float64 `json:"docs"` // since its start
+	Docs    float64 `json:"docs"` // documents received since its start
 	CPU     float64 `json:"cpu_us"`
 	Error   string  `json:"error,omitempty"`
-	Address string  `json:"told,omitempty"` // an address
+	Address string  `json:"told,omitempty"` // of the listener, in the first result
 }
 
-// Hollow does what HollowVariable says, until its standard input ends.
+// Hollow executes the task in HollowVariable until its input ends, and returns the exit code.
 //
 // Example: if os.Getenv(capacity.HollowVariable) != "" { os.Exit(capacity.Hollow(os.Stdin, os.Stdout)) }
-func Hollow(in io.Reader, out io.Writer) int {
+func Hollow(input io.Reader, out io.Writer) int {
 	var task hollowTask
 	if err := json.Unmarshal([]byte(os.Getenv(HollowVariable)), &task); err != nil {
 		fmt.Fprintln(os.Stderr, "hollow process: "+err.Error())
@@ -61,7 +61,7 @@
 		"seek": callIndex, "count": callIndex, "follow": followGroup, "traffic": streamTraffic}
 	begin := ends[task.Kind]
 	if begin == nil {
-		fmt.Fprintf(os.Stderr, "hollow process: %q: no such kind\n", task.Kind)
+		fmt.Fprintf(os.Stderr, "hollow process: unknown kind %q\n", task.Kind)
 		return errs.BadInput.ExitCode
 	}
 	enc := json.NewEncoder(out)
@@ -72,7 +72,7 @@
 	}
 	_ = enc.Encode(hollowResult{Address: addr})
 	cpuBefore := cpu()
-	for s := bufio.NewScanner(in); s.Scan(); {
+	for lines := bufio.NewScanner(input); lines.Scan(); {
 		calls, docs, err := run()
 		now := cpu()
 		result := hollowResult{Calls: calls, Docs: docs, CPU: now - cpuBefore}
@@ -84,7 +84,7 @@
 	return 0
 }
 
-// hollowProcess is a hollow process as its starter sees it.
+// hollowProcess is a running hollow process, as the process that started it sees it.
 type hollowProcess struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
@@ -92,6 +92,7 @@
 	address string
 }
 
+// startHollow starts a hollow process and waits until it is ready.
 func startHollow(task hollowTask) (*hollowProcess, error) {
 	raw, err := json.Marshal(task)
 	if err != nil {
@@ -115,103 +116,109 @@
 	if err := hollow.cmd.Start(); err != nil {
 		return nil, err
 	}
-	s, err := hollow.heard()
+	first, err := hollow.receive()
 	if err != nil {
 		hollow.end()
 		return nil, errs.Wrap(err, "hollow "+task.Kind)
 	}
-	hollow.address = s.Address
+	hollow.address = first.Address
 	return hollow, nil
 }
 
-func (h *hollowProcess) heard() (s hollowResult, err error) {
+// receive reads the next result; a failed task is an error.
+func (h *hollowProcess) receive() (s hollowResult, err error) {
 	if err = h.out.Decode(&s); err == nil && s.Error != "" {
 		err = errs.New(errs.Internal, "%s", s.Error)
 	}
 	return s, err
 }
 
-// run has it do its task once, and gives the sum.
+// run executes the task once and returns its result.
 func (h *hollowProcess) run() (hollowResult, error) {
 	if _, err := io.WriteString(h.in, "go\n"); err != nil {
 		return hollowResult{}, err
 	}
-	return h.heard()
+	return h.receive()
 }
 
+// end closes the process's input and waits until it has ended.
 func (h *hollowProcess) end() {
 	h.in.Close()
 	_ = h.cmd.Wait()
 }
 
-// callIndex are hollow edges that ask or tell an index node.
-func callIndex(ctx context.Context, t hollowTask) (string, func() (float64, float64, error), error) {
-	l := newProcess("hollow", bounds(), nil)
-	c := daemon.NewClients(l).PromptIndex(t.Addr)
-	key := func(i int) []byte { k := promptindex.PartKey(cacheText, partName(i*31%max(1, t.Parts))); return k[:] }
+// callIndex returns a run of hollow proxies that send look-ups ("seek") or access counts ("count") to an index node.
+func callIndex(ctx context.Context, task hollowTask) (string, func() (float64, float64, error), error) {
+	process := newProcess("hollow", bounds(), nil)
+	client := daemon.NewClients(process).PromptIndex(task.Addr)
+	key := func(i int) []byte {
+		partKey := promptindex.PartKey(cacheText, partName(i*31%max(1, task.Parts)))
+		return partKey[:]
+	}
 	var number atomic.Uint64
 	one := func(i int) error {
-		if t.Kind == "seek" {
-			a := &wire.LookupRequest{}
-			for j := range t.Keys {
-				a.Keys = append(a.Keys, key(i*t.Keys+j))
+		if task.Kind == "seek" {
+			request := &wire.LookupRequest{}
+			for j := range task.Keys {
+				request.Keys = append(request.Keys, key(i*task.Keys+j))
 			}
-			_, err := c.Lookup(ctx, a)
+			_, err := client.Lookup(ctx, request)
 			return err
 		}
-		a := &wire.CountRequest{Reporter: "edge/edge-0001", Incarnation: 1, Sequence: number.Add(1)}
-		for j := range t.Keys {
-			a.Accesses = append(a.Accesses, &wire.Access{Key: key(i*t.Keys + j), Count: 1, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
+		request := &wire.CountRequest{Reporter: "edge/edge-0001", Incarnation: 1, Sequence: number.Add(1)}
+		for j := range task.Keys {
+			request.Accesses = append(request.Accesses, &wire.Access{Key: key(i*task.Keys + j), Count: 1, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
 		}
-		_, err := c.Count(ctx, a)
+		_, err := client.Count(ctx, request)
 		return err
 	}
 	run := func() (float64, float64, error) {
 		var wg sync.WaitGroup
-		var bad atomic.Pointer[error]
-		for w := range threads {
+		var failed atomic.Pointer[error]
+		for thread := range threads {
 			wg.Go(func() {
-				for i := w; i < t.Calls; i += threads {
+				for i := thread; i < task.Calls; i += threads {
 					if err := one(i); err != nil {
-						bad.Store(&err)
+						failed.Store(&err)
 						return
 					}
 				}
 			})
 		}
 		wg.Wait()
-		if p := bad.Load(); p != nil {
+		if p := failed.Load(); p != nil {
 			return 0, 0, *p
 		}
-		return float64(t.Calls), 0, nil
+		return float64(task.Calls), 0, nil
 	}
-	_, _, err := run() // connections come up
+	_, _, err := run() // it opens the connections
 	return "", run, err
 }
 
-// followGroup are hollow nodes that follow the control state, each over a connection of its own.
-func followGroup(ctx context.Context, t hollowTask) (string, func() (float64, float64, error), error) {
+// followGroup starts hollow nodes that follow the control state, each over a connection of its own, and waits until each
+// has its first response.
+func followGroup(ctx context.Context, task hollowTask) (string, func() (float64, float64, error), error) {
 	var polls, docs atomic.Int64
-	var up sync.WaitGroup
-	hold := time.Duration(t.HoldMs) * time.Millisecond
-	for i := range t.Nodes {
-		up.Add(1)
+	var started sync.WaitGroup
+	maxWait := time.Duration(task.MaxWaitMs) * time.Millisecond
+	for i := range task.Nodes {
+		started.Add(1)
 		go func() {
-			first := sync.OnceFunc(up.Done)
-			l := newProcess(fmt.Sprintf("hollow-%d", i), bounds(), nil)
-			c := daemon.NewClients(l).ControlNode(t.Addr)
-			have := map[string]uint64{}
+			first := sync.OnceFunc(started.Done)
+			process := newProcess(fmt.Sprintf("hollow-%d", i), bounds(), nil)
+			client := daemon.NewClients(process).ControlNode(task.Addr)
+			known := map[string]uint64{}
 			for ctx.Err() == nil {
-				a := &wire.FollowRequest{MaxWaitNs: uint64(hold), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true}
-				for _, k := range []string{routingconfig.DocumentKey, "workers", "weights", "placement/"} {
-					a.Known = append(a.Known, &wire.KnownVersion{Key: k, Version: have[k]})
+				request := &wire.FollowRequest{MaxWaitNs: uint64(maxWait), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true}
+				for _, key := range []string{routingconfig.DocumentKey, "workers", "weights", "placement/"} {
+					request.Known = append(request.Known, &wire.KnownVersion{Key: key, Version: known[key]})
 				}
-				response, err := c.Follow(ctx, a)
+				response, err := client.Follow(ctx, request)
 				if err != nil {
 					continue
 				}
-				for _, d := range response.Documents {
-					have[d.Key] = d.Version
+				for _, document := range response.Documents {
+					known[document.Key] = document.Version
 					docs.Add(1)
 				}
 				polls.Add(1)
@@ -219,11 +226,11 @@
 			}
 		}()
 	}
-	up.Wait()
+	started.Wait()
 	return "", func() (float64, float64, error) { return float64(polls.Swap(0)), float64(docs.Load()), nil }, nil
 }
 
-// byteCounter is a listener whose connections are counted.
+// byteCounter is a listener that counts its open connections and the bytes on them.
 type byteCounter struct {
 	net.Listener
 	bytes atomic.Int64
@@ -235,56 +242,63 @@
 	return &byteCounter{Listener: ln}, err
 }
 
-func (t *byteCounter) addr() string { return t.Addr().String() }
+func (c *byteCounter) addr() string { return c.Addr().String() }
 
-// listen gives this listener for its own address, and any other for others.
-func (t *byteCounter) listen(addr string) (net.Listener, error) {
-	if addr == t.addr() {
-		return t, nil
+// listen returns this listener for its own address, and a new one for any other.
+func (c *byteCounter) listen(addr string) (net.Listener, error) {
+	if addr == c.addr() {
+		return c, nil
 	}
 	return net.Listen("tcp", addr)
 }
 
-// Accept counts what goes over a connection, both ways.
+// Accept implements net.Listener; the bytes of the connection are counted in both directions.
 //
-// Example: c, err := t.Accept()
-func (t *byteCounter) Accept() (net.Conn, error) {
-	c, err := t.Listener.Accept()
+// Example: conn, err := counter.Accept()
+func (c *byteCounter) Accept() (net.Conn, error) {
+	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	t.open.Add(1)
-	return &countedConn{Conn: c, t: t}, nil
+	c.open.Add(1)
+	return &countedConn{Conn: conn, counter: c}, nil
 }
 
+// countedConn is a connection whose bytes are counted.
 type countedConn struct {
 	net.Conn
-	t    *byteCounter
-	also *atomic.Int64 // counted there too
-	over sync.Once
+	counter   *byteCounter
+	also      *atomic.Int64 // a further counter; nil: none
+	closeOnce sync.Once
 }
 
 func (c *countedConn) count(n int) {
-	c.t.bytes.Add(int64(n))
+	c.counter.bytes.Add(int64(n))
 	if c.also != nil {
 		c.also.Add(int64(n))
 	}
 }
 
-// Close ends it.
+// Close implements net.Conn.
 //
-// Example: c.Close()
+// Example: conn.Close()
 func (c *countedConn) Close() error {
-	c.over.Do(func() { c.t.open.Add(-1) })
+	c.closeOnce.Do(func() { c.counter.open.Add(-1) })
 	return c.Conn.Close()
 }
 
+// Read implements net.Conn.
+//
+// Example: n, err := conn.Read(buffer)
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(n)
 	return n, err
 }
 
+// Write implements net.Conn.
+//
+// Example: n, err := conn.Write(buffer)
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n)
--- a/internal/capacity/index.go
+++ b/internal/capacity/index.go
@@ -16,39 +16,40 @@
 
 func partName(i int) string { return fmt.Sprintf("%08x", uint32(i*2654435761)) }
 
-// cacheChanges are so many parts that a worker began to keep, from one on; each kind of removal is the
-// same with no tokens.
-func cacheChanges(from, n, tokens int) []backend.CacheChange {
-	l := make([]backend.CacheChange, n)
-	for i := range l {
-		l[i] = backend.CacheChange{Salt: cacheText, Part: partName(from + i), Model: modelName(0), Tokens: tokens}
+// cacheChanges returns changes by which a worker added count parts to its cache, or removed them if tokens is 0.
+func cacheChanges(from, count, tokens int) []backend.CacheChange {
+	changes := make([]backend.CacheChange, count)
+	for i := range changes {
+		changes[i] = backend.CacheChange{Salt: cacheText, Part: partName(from + i), Model: modelName(0), Tokens: tokens}
 	}
-	return l
+	return changes
 }
 
-// newIndex is an index node's table with so many parts, each kept by one worker of some.
+// newIndex returns an index with a number of parts, each cached by one of the workers.
 func newIndex(parts, workers int, now time.Duration) *promptindex.Core {
 	core := emptyIndex()
-	per := (parts + workers - 1) / workers
-	for w := range workers {
-		applyEvents(core, w, 1, cacheChanges(w*per, max(0, min(per, parts-w*per)), 800), now)
+	partsPerWorker := (parts + workers - 1) / workers
+	for worker := range workers {
+		applyEvents(core, worker, 1, cacheChanges(worker*partsPerWorker, max(0, min(partsPerWorker, parts-worker*partsPerWorker)), 800), now)
 	}
 	return core
 }
 
+// emptyIndex returns an index that evicts nothing.
 func emptyIndex() *promptindex.Core {
-	b := bounds()
-	b.MaxIndexEntries = 1 << 30 // as if nothing had to give way
-	return promptindex.NewCore(b, func(prefix.Key) bool { return true })
+	limits := bounds()
+	limits.MaxIndexEntries = 1 << 30 // no evictions
+	return promptindex.NewCore(limits, func(prefix.Key) bool { return true })
 }
 
-func applyEvents(c *promptindex.Core, w int, next uint64, l []backend.CacheChange, now time.Duration) {
-	q := c.NextEvents(fmt.Sprintf("i-%08x", w*40503), serviceName(0))
-	c.ApplyEvents(q, backend.CacheEvents{BootID: 7, NextSequence: next, Changes: l}, now)
+// applyEvents applies the changes of a worker, by its number, to an index.
+func applyEvents(core *promptindex.Core, worker int, next uint64, changes []backend.CacheChange, now time.Duration) {
+	cursor := core.NextEvents(fmt.Sprintf("i-%08x", worker*40503), serviceName(0))
+	core.ApplyEvents(cursor, backend.CacheEvents{BootID: 7, NextSequence: next, Changes: changes}, now)
 }
 
-// measureIndex measures the index: by how many parts are kept, how many workers keep each, and how many
-// changes one answer of a worker tells.
+// measureIndex measures the index over the number of cached parts, of workers that cache each, and of changes in one
+// response of a worker.
 func measureIndex(b *bench) error {
 	if err := measureParts(b); err != nil {
 		return err
@@ -59,6 +60,7 @@
 	return measureEvents(b)
 }
 
+// measureParts measures an index node over the number of its parts.
 func measureParts(b *bench) error {
 	return b.vary("kept", "parts", b.sizes(60000, 120000, 240000, 480000, 960000), []kind{
 		{"part-memory", "B", "heap of an index node with so many parts, each kept by one worker"},
@@ -67,9 +69,9 @@
 		{"part-sweep", "µs", "processor time of one sweep over it"},
 	}, func(parts float64) ([]float64, error) {
 		now := time.Hour
-		was := heap()
+		heapBefore := heap()
 		core := newIndex(int(parts), 16, now)
-		memory := heap() - was
+		memory := heap() - heapBefore
 		i := 0
 		keys := make([]prefix.Key, 8)
 		seek := b.spend(func() {
@@ -86,31 +88,32 @@
 	})
 }
 
+// measureHolders measures the memory of a part over the number of workers that cache it.
 func measureHolders(b *bench) error {
 	return b.vary("kept", "holders", b.sizes(1, 2, 4, 8), []kind{
 		{"holder-memory", "B", "heap of one part that so many workers keep"},
-	}, func(n float64) ([]float64, error) {
+	}, func(holders float64) ([]float64, error) {
 		parts := 60000
 		if b.quick {
 			parts = 500
 		}
-		was := heap()
+		heapBefore := heap()
 		core := emptyIndex()
-		for w := range int(n) {
-			applyEvents(core, w, 1, cacheChanges(0, parts, 800), time.Hour)
+		for worker := range int(holders) {
+			applyEvents(core, worker, 1, cacheChanges(0, parts, 800), time.Hour)
 		}
-		memory := (heap() - was) / float64(parts)
+		memory := (heap() - heapBefore) / float64(parts)
 		runtime.KeepAlive(core)
 		return []float64{max(1, memory)}, nil
 	})
 }
 
-// measureEvents measures answers of workers that tell so many changes, half of them removals, at an
-// index of 240,000 parts: reading the answer, and laying it over the table.
+// measureEvents measures the decoding of workers' responses with a number of changes, half of them removals, and their
+// application to an index of 240,000 parts.
 func measureEvents(b *bench) error {
-	have := 240000
+	parts := 240000
 	if b.quick {
-		have = 1000
+		parts = 1000
 	}
 	return b.vary("kept", "changes", b.sizes(10, 100, 1000, 10000), []kind{
 		{"events-table", "µs", "processor time to lay one answer with so many changes over the table"},
@@ -119,9 +122,9 @@
 		{"count-table", "µs", "processor time to add so many accesses that an edge counted"},
 	}, func(changes float64) ([]float64, error) {
 		now, next := time.Hour, uint64(1)
-		core := newIndex(have, 16, now)
-		additions := cacheChanges(have, int(changes)/2, 800)
-		removals := cacheChanges(have, int(changes)/2, 0)
+		core := newIndex(parts, 16, now)
+		additions := cacheChanges(parts, int(changes)/2, 800)
+		removals := cacheChanges(parts, int(changes)/2, 0)
 		table := b.spend(func() {
 			next++
 			applyEvents(core, 0, next, additions, now)
@@ -136,8 +139,8 @@
 		read := b.spend(func() { _, _ = readChanges(body) })
 		counts := &wire.CountRequest{Reporter: "edge/edge-1", Incarnation: 1}
 		for i := range int(changes) {
-			k := promptindex.PartKey(cacheText, partName(i*31%have))
-			counts.Accesses = append(counts.Accesses, &wire.Access{Key: k[:], Count: 2, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
+			key := promptindex.PartKey(cacheText, partName(i*31%parts))
+			counts.Accesses = append(counts.Accesses, &wire.Access{Key: key[:], Count: 2, Tokens: 800, Service: serviceName(0), PresumedHolders: []string{"i-00000000"}})
 		}
 		count := b.spend(func() { counts.Sequence++; core.RecordAccesses(counts, now) })
 		return []float64{table, read, float64(len(body)), count}, nil
--- a/internal/capacity/indexcalls.go
+++ b/internal/capacity/indexcalls.go
@@ -12,12 +12,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// prefixCacheWorker is one worker that keeps many parts, told at once.
+// prefixCacheWorker is a backend.Client of a worker that reports many cached parts at once.
 type prefixCacheWorker struct {
 	backend.Client
 	parts int
 }
 
+// CacheEvents implements backend.Client: the first call reports all parts, later ones report no change.
+//
+// Example: events, err := worker.CacheEvents(ctx, addr, 0, time.Second)
 func (w *prefixCacheWorker) CacheEvents(_ context.Context, _ string, since uint64, _ time.Duration) (backend.CacheEvents, error) {
 	e := backend.CacheEvents{BootID: 1, NextSequence: 2}
 	if since == 0 {
@@ -26,12 +29,15 @@
 	return e, nil
 }
 
+// CachedPrefixes implements backend.Client: it reports all parts.
+//
+// Example: events, err := worker.CachedPrefixes(ctx, addr)
 func (w *prefixCacheWorker) CachedPrefixes(context.Context, string) (backend.CacheEvents, error) {
 	return backend.CacheEvents{BootID: 1, NextSequence: 2, Changes: cacheChanges(0, w.parts, 800)}, nil
 }
 
-// measureCalls measures the edges' calls to an index node over real connections, by how many keys a call
-// holds: what a call costs at either end is the base, what a key costs is the slope.
+// measureCalls measures the proxies' calls to an index node over real connections, over the number of keys in a call: the
+// base is the cost of a call, the slope the cost of a key.
 func measureCalls(b *bench) error {
 	parts, callCount := 50000, 4000.0
 	if b.quick {
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -13,74 +13,75 @@
 	"pebbleloom/internal/errs"
 )
 
-// size is one thing that figures are worked out for.
+// size is a size of the fleet that figures are computed from.
 type size struct {
-	ID    string  `json:"id"`
-	Value float64 `json:"value"`
-	Unit  string  `json:"unit"`
-	From  string  `json:"from"` // letter, assumed or code
-	Note  string  `json:"note"`
+	ID     string  `json:"id"`
+	Value  float64 `json:"value"`
+	Unit   string  `json:"unit"`
+	From   string  `json:"from"` // letter, assumed or code
+	Remark string  `json:"note"`
 }
 
-// figure is one number of the page, worked out by its formula from sizes, series and earlier figures.
+// figure is a number on the page, computed by its formula from sizes, series and earlier figures.
 type figure struct {
-	ID      string `json:"id"`
-	Role    string `json:"role"`
-	What    string `json:"what"`
-	Unit    string `json:"unit"`
-	Formula string `json:"formula"`
-	Limit   string `json:"limit,omitempty"` // the size or figure that it may not exceed
-	AtLeast bool   `json:"at_least,omitempty"`
+	ID           string `json:"id"`
+	Role         string `json:"role"`
+	What         string `json:"what"`
+	Unit         string `json:"unit"`
+	Formula      string `json:"formula"`
+	Limit        string `json:"limit,omitempty"` // id of a size or figure that it may not exceed
+	IsLowerBound bool   `json:"at_least,omitempty"`
 }
 
-// model is the fleet that the page is about, and the formulas.
+// model is the fleet that the page describes, and the formulas.
 type model struct {
 	Sizes   []size   `json:"sizes"`
 	Figures []figure `json:"figures"`
 }
 
-// sheet is a model worked out over what was measured.
+// sheet is a model with its figures computed from the measured series.
 type sheet struct {
 	*model
-	m      *Measured
-	lines  map[string]*line
-	units  map[string]string
-	values map[string]float64
-	used   map[string]bool // series that some formula used
+	measured *Measured
+	lines    map[string]*line
+	units    map[string]string
+	values   map[string]float64
+	used     map[string]bool // series that a formula has used
 }
 
-func computeSheet(rawModel []byte, m *Measured) (*sheet, error) {
-	s := &sheet{model: &model{}, m: m, lines: map[string]*line{}, units: map[string]string{}, values: map[string]float64{}, used: map[string]bool{}}
-	if err := json.Unmarshal(rawModel, s.model); err != nil {
+// computeSheet computes the figures of a model. It fails with errs.BadInput for an invalid model.
+func computeSheet(rawModel []byte, measured *Measured) (*sheet, error) {
+	computed := &sheet{model: &model{}, measured: measured, lines: map[string]*line{}, units: map[string]string{}, values: map[string]float64{}, used: map[string]bool{}}
+	if err := json.Unmarshal(rawModel, computed.model); err != nil {
 		return nil, errs.WrapAs(err, errs.BadInput, "model")
 	}
-	for i := range m.Series {
-		x := fit(&m.Series[i])
-		s.lines[m.Series[i].Name] = &x
+	for i := range measured.Series {
+		item := fit(&measured.Series[i])
+		computed.lines[measured.Series[i].Name] = &item
 	}
-	var b errs.Batch
-	set := func(id, unit string, v float64) {
-		if _, dup := s.values[id]; dup {
-			b.Addf(errs.BadInput, "%s: named twice", id)
+	var batch errs.Batch
+	set := func(id, unit string, value float64) {
+		if _, dup := computed.values[id]; dup {
+			batch.Addf(errs.BadInput, "%s: defined twice", id)
 		}
-		s.values[id], s.units[id] = v, unit
+		computed.values[id], computed.units[id] = value, unit
 	}
-	for _, x := range s.Sizes {
-		set(x.ID, x.Unit, x.Value)
+	for _, item := range computed.Sizes {
+		set(item.ID, item.Unit, item.Value)
 	}
-	for _, f := range s.Figures {
-		v, err := s.formula(f.Formula)
-		b.Add("figure "+f.ID, err)
-		set(f.ID, f.Unit, v)
-		if _, ok := s.values[f.Limit]; f.Limit != "" && !ok {
-			b.Addf(errs.BadInput, "figure %s: limit %q: no such size", f.ID, f.Limit)
+	for _, item := range computed.Figures {
+		value, err := computed.formula(item.Formula)
+		batch.Add("figure "+item.ID, err)
+		set(item.ID, item.Unit, value)
+		if _, ok := computed.values[item.Limit]; item.Limit != "" && !ok {
+			batch.Addf(errs.BadInput, "figure %s: unknown limit %q", item.ID, item.Limit)
 		}
 	}
-	return s, b.Err()
+	return computed, batch.Err()
 }
 
-// formula works one out: + - * / and parentheses, numbers, sizes, earlier figures, and slope, base,
-// at (a size) and last (the largest measured) of a series.
+// formula evaluates a formula: + - * / and parentheses, numbers, sizes, earlier figures, max and ceil, and the functions
+// of a series: slope, base, at (a size), last (the value at the largest measured size) and lastSize.
 func (s *sheet) formula(text string) (float64, error) {
 	e, err := parser.ParseExpr(text)
 	if err != nil {
@@ -90,105 +91,105 @@
 }
 
 func (s *sheet) eval(e ast.Expr) (float64, error) {
-	switch x := e.(type) {
+	switch node := e.(type) {
 	case *ast.ParenExpr:
-		return s.eval(x.X)
+		return s.eval(node.X)
 	case *ast.BasicLit:
-		v, err := strconv.ParseFloat(x.Value, 64)
-		return v, errs.WrapAs(err, errs.BadInput, x.Value)
+		value, err := strconv.ParseFloat(node.Value, 64)
+		return value, errs.WrapAs(err, errs.BadInput, node.Value)
 	case *ast.Ident:
-		if v, ok := s.values[x.Name]; ok {
-			return v, nil
+		if value, ok := s.values[node.Name]; ok {
+			return value, nil
 		}
-		return 0, errs.New(errs.BadInput, "%s: no such size, nor an earlier figure", x.Name)
+		return 0, errs.New(errs.BadInput, "%s: unknown size or earlier figure", node.Name)
 	case *ast.BinaryExpr:
-		a, err := s.eval(x.X)
+		left, err := s.eval(node.X)
 		if err != nil {
 			return 0, err
 		}
-		b, err := s.eval(x.Y)
+		right, err := s.eval(node.Y)
 		if err != nil {
 			return 0, err
 		}
-		switch x.Op {
+		switch node.Op {
 		case token.ADD:
-			return a + b, nil
+			return left + right, nil
 		case token.SUB:
-			return a - b, nil
+			return left - right, nil
 		case token.MUL:
-			return a * b, nil
+			return left * right, nil
 		case token.QUO:
-			return a / b, nil
+			return left / right, nil
 		}
 	case *ast.CallExpr:
-		return s.call(x)
+		return s.call(node)
 	}
-	return 0, errs.New(errs.BadInput, "a formula holds + - * / ( ), numbers, names and calls alone")
+	return 0, errs.New(errs.BadInput, "a formula may contain + - * / ( ), numbers, names and calls only")
 }
 
-func (s *sheet) call(x *ast.CallExpr) (float64, error) {
-	f, ok := x.Fun.(*ast.Ident)
-	if !ok || len(x.Args) == 0 {
-		return 0, errs.New(errs.BadInput, "a call names a function and its arguments")
-	}
-	var nums []float64
-	if f.Name == "max" || f.Name == "ceil" {
-		for _, a := range x.Args {
-			v, err := s.eval(a)
+func (s *sheet) call(expression *ast.CallExpr) (float64, error) {
+	function, ok := expression.Fun.(*ast.Ident)
+	if !ok || len(expression.Args) == 0 {
+		return 0, errs.New(errs.BadInput, "a call needs a function and its arguments")
+	}
+	var values []float64
+	if function.Name == "max" || function.Name == "ceil" {
+		for _, argument := range expression.Args {
+			v, err := s.eval(argument)
 			if err != nil {
 				return 0, err
 			}
-			nums = append(nums, v)
+			values = append(values, v)
 		}
-		if f.Name == "ceil" {
-			return math.Ceil(nums[0]), nil
+		if function.Name == "ceil" {
+			return math.Ceil(values[0]), nil
 		}
-		v := nums[0]
-		for _, n := range nums {
+		v := values[0]
+		for _, n := range values {
 			v = max(v, n)
 		}
 		return v, nil
 	}
-	lit, ok := x.Args[0].(*ast.BasicLit)
+	lit, ok := expression.Args[0].(*ast.BasicLit)
 	if !ok || lit.Kind != token.STRING {
-		return 0, errs.New(errs.BadInput, "%s: its first argument names a series", f.Name)
+		return 0, errs.New(errs.BadInput, "%s: the first argument must be the name of a series", function.Name)
 	}
 	name := strings.Trim(lit.Value, `"`)
-	l := s.lines[name]
-	if l == nil {
-		return 0, errs.New(errs.BadInput, "series %q: it wasn't measured: run testbed capacity", name)
+	fitted := s.lines[name]
+	if fitted == nil {
+		return 0, errs.New(errs.BadInput, "series %q wasn't measured: run testbed capacity", name)
 	}
 	s.used[name] = true
 	switch {
-	case f.Name == "last" && len(x.Args) == 1:
-		return l.Medians[len(l.Medians)-1], nil
-	case f.Name == "lastSize" && len(x.Args) == 1:
-		return l.Sizes[len(l.Sizes)-1], nil
-	case f.Name == "slope" && len(x.Args) == 1 && !l.Bent:
-		return l.Slope, nil
-	case f.Name == "base" && len(x.Args) == 1 && !l.Bent:
-		return l.Base, nil
-	case f.Name == "at" && len(x.Args) == 2:
-		n, err := s.eval(x.Args[1])
+	case function.Name == "last" && len(expression.Args) == 1:
+		return fitted.Medians[len(fitted.Medians)-1], nil
+	case function.Name == "lastSize" && len(expression.Args) == 1:
+		return fitted.Sizes[len(fitted.Sizes)-1], nil
+	case function.Name == "slope" && len(expression.Args) == 1 && !fitted.Bent:
+		return fitted.Slope, nil
+	case function.Name == "base" && len(expression.Args) == 1 && !fitted.Bent:
+		return fitted.Base, nil
+	case function.Name == "at" && len(expression.Args) == 2:
+		n, err := s.eval(expression.Args[1])
 		if err != nil {
 			return 0, err
 		}
-		if v, ok := l.at(n); ok {
+		if v, ok := fitted.at(n); ok {
 			return v, nil
 		}
-		return 0, errs.New(errs.BadInput, "series %q is bent, and %v lies beyond what was measured", name, n)
+		return 0, errs.New(errs.BadInput, "series %q is bent, and %v is outside the measured sizes", name, n)
 	}
-	return 0, errs.New(errs.BadInput, "%s of series %q: no such function, or the series is bent (%.0f%% off a line)", f.Name, name, 100*l.Residual)
+	return 0, errs.New(errs.BadInput, "%s of series %q: unknown function, or the series is bent (residual %.0f%%)", function.Name, name, 100*fitted.Residual)
 }
 
-// formatValue writes a number with its unit, to three digits.
-func formatValue(v float64, unit string) string {
+// formatValue formats a number with its unit, to three digits.
+func formatValue(value float64, unit string) string {
 	scaled := func(step float64, names ...string) string {
 		i := 0
-		for i < len(names)-1 && math.Abs(v) >= 1000 {
-			v, i = v/step, i+1
+		for i < len(names)-1 && math.Abs(value) >= 1000 {
+			value, i = value/step, i+1
 		}
-		return digits(v) + " " + names[i]
+		return digits(value) + " " + names[i]
 	}
 	switch unit {
 	case "B":
@@ -198,39 +199,39 @@
 	case "µs":
 		return scaled(1000, "µs", "ms", "s")
 	case "", "1":
-		return digits(v)
+		return digits(value)
 	case "%":
-		return digits(v) + " %"
+		return digits(value) + " %"
 	}
-	return digits(v) + " " + unit
+	return digits(value) + " " + unit
 }
 
-// exact is up to where whole numbers are written with all their digits.
-const exact = 1e6
+// maxExactInteger is the value below which integers are formatted with all their digits.
+const maxExactInteger = 1e6
 
-// digits writes three of them, and commas between thousands.
-func digits(v float64) string {
-	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
-		return fmt.Sprint(v)
+// digits formats a number to three significant digits, with commas between thousands.
+func digits(value float64) string {
+	if value == 0 || math.IsNaN(value) || math.IsInf(value, 0) {
+		return fmt.Sprint(value)
 	}
-	p := 2 - int(math.Floor(math.Log10(math.Abs(v))))
-	if v == math.Trunc(v) && math.Abs(v) < exact {
-		p = 0
+	decimals := 2 - int(math.Floor(math.Log10(math.Abs(value))))
+	if value == math.Trunc(value) && math.Abs(value) < maxExactInteger {
+		decimals = 0
 	}
-	if p < 0 {
-		k := math.Pow10(-p)
-		v, p = math.Round(v/k)*k, 0
+	if decimals < 0 {
+		unit := math.Pow10(-decimals)
+		value, decimals = math.Round(value/unit)*unit, 0
 	}
-	t := strconv.FormatFloat(v, 'f', p, 64)
-	if strings.Contains(t, ".") {
-		t = strings.TrimRight(strings.TrimRight(t, "0"), ".")
+	text := strconv.FormatFloat(value, 'f', decimals, 64)
+	if strings.Contains(text, ".") {
+		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	whole, rest, _ := strings.Cut(t, ".")
-	for i := len(whole) - 3; i > 0 && whole[i-1] != '-'; i -= 3 {
-		whole = whole[:i] + "," + whole[i:]
+	integer, fraction, _ := strings.Cut(text, ".")
+	for i := len(integer) - 3; i > 0 && integer[i-1] != '-'; i -= 3 {
+		integer = integer[:i] + "," + integer[i:]
 	}
-	if rest != "" {
-		whole += "." + rest
+	if fraction != "" {
+		integer += "." + fraction
 	}
-	return whole
+	return integer
 }
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -11,14 +11,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// bounds are those of a fleet: what is in force everywhere within 13 s, all else as it is today.
+// bounds returns the bounds of a fleet of the target size: a configuration is in force everywhere within 13 s, the other
+// bounds are today's.
 func bounds() settings.Bounds {
 	b := settings.DefaultBounds()
-	b.ConfigMs, b.LeaveMs = 13000, 12000 // the roster's leave bound is ten beats of 1,200 ms
+	b.ConfigMs, b.LeaveMs = 13000, 12000 // the leave bound of the membership is ten heartbeats of 1,200 ms
 	return b
 }
 
-// hollowFleet is a fleet of hollow nodes: the real views, and letters between them in the real form.
+// hollowFleet is a fleet of hollow nodes: real membership cores that exchange encoded heartbeats without a network.
 type hollowFleet struct {
 	cores             map[string]*clustermembership.Core
 	names             []string
@@ -50,7 +51,7 @@
 	return fleet
 }
 
-// runPeriod is one period of all nodes.
+// runPeriod runs one heartbeat interval of all nodes. If wired, heartbeats are encoded and counted.
 func (f *hollowFleet) runPeriod(wired bool) {
 	f.now += f.heartbeatInterval
 	for _, addr := range f.names {
@@ -62,7 +63,7 @@
 			f.calls++
 			to := f.cores[message.Address]
 			if to == nil {
-				continue // its machine is gone
+				continue // the node has failed
 			}
 			if response := f.encodeAndDecode(to.HandleHeartbeat(f.encodeAndDecode(message.Heartbeat, wired), f.now), wired); response != nil {
 				core.HandleResponse(message.Address, response, f.now)
@@ -71,7 +72,7 @@
 	}
 }
 
-// encodeAndDecode writes a letter and reads it, as the two ends of a connection do.
+// encodeAndDecode encodes and decodes a heartbeat, as the two ends of a connection do, and counts its bytes.
 func (f *hollowFleet) encodeAndDecode(b *wire.Heartbeat, wired bool) *wire.Heartbeat {
 	if !wired {
 		return b
@@ -88,11 +89,11 @@
 	return to
 }
 
-// knowsDead tells whether all that are left know that a machine went.
-func (f *hollowFleet) knowsDead(name string) bool {
-	for _, c := range f.cores {
-		for _, n := range c.Nodes() {
-			if n.Name == name && n.State != clustermembership.Dead {
+// allKnowDead reports whether all remaining nodes know that a node is dead.
+func (f *hollowFleet) allKnowDead(name string) bool {
+	for _, core := range f.cores {
+		for _, node := range core.Nodes() {
+			if node.Name == name && node.State != clustermembership.Dead {
 				return false
 			}
 		}
@@ -101,11 +102,12 @@
 }
 
 const (
-	settlingPeriods = 30 // periods until all news of the start has been told
+	settlingPeriods = 30 // periods until all updates of the start have spread
 	measuredPeriods = 8  // periods that are measured
 )
 
-// measureMembership measures the roster: calm beats, the news of one machine that goes, the memory of a view.
+// measureMembership measures the membership: heartbeats without changes, the spread of the failure of one node, and the
+// memory of a view.
 func measureMembership(b *bench) error {
 	return b.vary("nodes", "nodes", b.sizes(43, 85, 170, 340), []kind{
 		{"beat-cpu", "µs", "processor time of a hollow node's period: its own beats made, written, read, heard and answered"},
@@ -140,7 +142,7 @@
 		known := 0
 		for i := 1; i <= 2*settlingPeriods; i++ {
 			hollow.runPeriod(true)
-			if known == 0 && hollow.knowsDead(name) {
+			if known == 0 && hollow.allKnowDead(name) {
 				known = i
 			}
 		}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// The files beside the page, in the folder docs.
+// The page and the files that it is generated from, in the folder docs.
 const (
 	pageFile     = "CAPACITY.md"
 	modelFile    = "capacity/model.json"
@@ -18,7 +18,7 @@
 	textFile     = "capacity/page.tmpl"
 )
 
-// Page works docs/CAPACITY.md out from the files beside it.
+// Page generates the text of docs/CAPACITY.md from the model, the measured series and the template in a folder.
 //
 // Example: text, err := capacity.Page("docs")
 func Page(folder string) (string, error) {
@@ -39,7 +39,7 @@
 	return render(rawModel, m, string(text))
 }
 
-// WritePage writes it.
+// WritePage generates and writes the page in a folder; empty: docs.
 //
 // Example: err := capacity.WritePage("docs")
 func WritePage(folder string) error {
@@ -53,113 +53,115 @@
 	return errs.WrapAs(os.WriteFile(filepath.Join(folder, pageFile), []byte(text), 0o644), errs.BadInput, "write the page")
 }
 
-// Differs tells the first line of a page that isn't what is worked out; "": none.
+// Differs describes the first line of a page that differs from the generated page; "" if there is none.
 //
 // Example: if d := capacity.Differs(page, want); d != "" { … }
 func Differs(page, want string) string {
-	p, w := strings.Split(page, "\n"), strings.Split(want, "\n")
-	for i := range max(len(p), len(w)) {
-		var a, b string
-		if i < len(p) {
-			a = p[i]
+	pageLines, wantLines := strings.Split(page, "\n"), strings.Split(want, "\n")
+	for i := range max(len(pageLines), len(wantLines)) {
+		var actual, expected string
+		if i < len(pageLines) {
+			actual = pageLines[i]
 		}
-		if i < len(w) {
-			b = w[i]
+		if i < len(wantLines) {
+			expected = wantLines[i]
 		}
-		if a != b || i >= len(p) || i >= len(w) {
-			return fmt.Sprintf("line %d: the page has %q, worked out is %q", i+1, a, b)
+		if actual != expected || i >= len(pageLines) || i >= len(wantLines) {
+			return fmt.Sprintf("line %d: the page has %q, generated is %q", i+1, actual, expected)
 		}
 	}
 	return ""
 }
 
-func render(rawModel []byte, m *Measured, text string) (string, error) {
-	s, err := computeSheet(rawModel, m)
+// render executes the page's template with the computed model.
+func render(rawModel []byte, measured *Measured, text string) (string, error) {
+	computed, err := computeSheet(rawModel, measured)
 	if err != nil {
 		return "", err
 	}
-	t, err := template.New("page").Option("missingkey=error").Funcs(template.FuncMap{"v": s.v, "of": s.of, "series": s.series, "sizes": s.sizeTable, "role": s.role, "machine": func() string { return m.Machine }}).Parse(text)
+	page, err := template.New("page").Option("missingkey=error").Funcs(template.FuncMap{"v": computed.v, "of": computed.of, "series": computed.series, "sizes": computed.sizeTable, "role": computed.role, "machine": func() string { return measured.Machine }}).Parse(text)
 	if err != nil {
-		return "", errs.WrapAs(err, errs.BadInput, "text of the page")
+		return "", errs.WrapAs(err, errs.BadInput, "template of the page")
 	}
 	var out strings.Builder
-	if err := t.Execute(&out, nil); err != nil {
-		return "", errs.WrapAs(err, errs.BadInput, "text of the page")
+	if err := page.Execute(&out, nil); err != nil {
+		return "", errs.WrapAs(err, errs.BadInput, "template of the page")
 	}
 	return out.String(), nil
 }
 
-// v is a size or figure with its unit.
+// v formats a size or figure with its unit.
 func (s *sheet) v(id string) (string, error) {
 	x, ok := s.values[id]
 	if !ok {
-		return "", errs.New(errs.BadInput, "%q: no such size or figure", id)
+		return "", errs.New(errs.BadInput, "%q: unknown size or figure", id)
 	}
 	return formatValue(x, s.units[id]), nil
 }
 
-// of is a figure as a multiple of its limit.
+// of formats a figure as a multiple of its limit.
 func (s *sheet) of(id, limit string) (string, error) {
 	a, ok := s.values[id]
 	b, ok2 := s.values[limit]
 	if !ok || !ok2 || b == 0 {
-		return "", errs.New(errs.BadInput, "%q of %q: no such sizes or figures", id, limit)
+		return "", errs.New(errs.BadInput, "%q of %q: unknown sizes or figures, or a limit of 0", id, limit)
 	}
 	return digits(a/b) + " ×", nil
 }
 
-// series is the table of what was measured.
+// series formats the table of the measured series.
 func (s *sheet) series() string {
-	var t strings.Builder
-	t.WriteString("| series | grows with | slope (runs alone) | base | off the line | between runs | medians at sizes |\n|---|---|---|---|---|---|---|\n")
-	for _, x := range s.m.Series {
-		l := s.lines[x.Name]
-		var at []string
-		for i, n := range l.Sizes {
-			at = append(at, fmt.Sprintf("%s: %s", digits(n), formatValue(l.Medians[i], x.Unit)))
+	var table strings.Builder
+	table.WriteString("| series | grows with | slope (runs alone) | base | off the line | between runs | medians at sizes |\n|---|---|---|---|---|---|---|\n")
+	for _, entry := range s.measured.Series {
+		fitted := s.lines[entry.Name]
+		var medians []string
+		for i, n := range fitted.Sizes {
+			medians = append(medians, fmt.Sprintf("%s: %s", digits(n), formatValue(fitted.Medians[i], entry.Unit)))
 		}
-		slope, base := fmt.Sprintf("%s (%s to %s)", formatValue(l.Slope, x.Unit), formatValue(l.Low, x.Unit), formatValue(l.High, x.Unit)), formatValue(l.Base, x.Unit)
-		if l.Bent {
+		slope, base := fmt.Sprintf("%s (%s to %s)", formatValue(fitted.Slope, entry.Unit), formatValue(fitted.Low, entry.Unit), formatValue(fitted.High, entry.Unit)), formatValue(fitted.Base, entry.Unit)
+		if fitted.Bent {
 			slope, base = "**bent**", "–"
 		}
-		fmt.Fprintf(&t, "| `%s` | %s | %s | %s | %.1f %% | %.1f %% | %s |\n", x.Name, x.Factor, slope, base, 100*l.Residual, 100*l.Spread, strings.Join(at, ", "))
+		fmt.Fprintf(&table, "| `%s` | %s | %s | %s | %.1f %% | %.1f %% | %s |\n", entry.Name, entry.Factor, slope, base, 100*fitted.Residual, 100*fitted.Spread, strings.Join(medians, ", "))
 	}
-	return t.String()
+	return table.String()
 }
 
+// sizeTable formats the table of the sizes.
 func (s *sheet) sizeTable() string {
-	var t strings.Builder
-	t.WriteString("| name | size | from | |\n|---|---|---|---|\n")
-	for _, x := range s.Sizes {
-		fmt.Fprintf(&t, "| `%s` | %s | %s | %s |\n", x.ID, formatValue(x.Value, x.Unit), x.From, x.Note)
+	var table strings.Builder
+	table.WriteString("| name | size | from | |\n|---|---|---|---|\n")
+	for _, item := range s.Sizes {
+		fmt.Fprintf(&table, "| `%s` | %s | %s | %s |\n", item.ID, formatValue(item.Value, item.Unit), item.From, item.Remark)
 	}
-	return t.String()
+	return table.String()
 }
 
-// role is the table of one role's figures.
+// role formats the table of a role's figures.
 func (s *sheet) role(name string) (string, error) {
-	var t strings.Builder
-	t.WriteString("| figure | at the letter's size | limit | formula |\n|---|---|---|---|\n")
-	n := 0
-	for _, f := range s.Figures {
-		if f.Role != name {
+	var table strings.Builder
+	table.WriteString("| figure | at the letter's size | limit | formula |\n|---|---|---|---|\n")
+	rows := 0
+	for _, item := range s.Figures {
+		if item.Role != name {
 			continue
 		}
-		n++
-		v, limit := formatValue(s.values[f.ID], f.Unit), ""
-		if f.AtLeast {
-			v = "at least " + v
+		rows++
+		value, limit := formatValue(s.values[item.ID], item.Unit), ""
+		if item.IsLowerBound {
+			value = "at least " + value
 		}
-		if f.Limit != "" {
-			limit = formatValue(s.values[f.Limit], s.units[f.Limit])
-			if s.values[f.ID] > s.values[f.Limit] {
-				limit += fmt.Sprintf(", **over: %s ×**", digits(s.values[f.ID]/s.values[f.Limit]))
+		if item.Limit != "" {
+			limit = formatValue(s.values[item.Limit], s.units[item.Limit])
+			if s.values[item.ID] > s.values[item.Limit] {
+				limit += fmt.Sprintf(", **over: %s ×**", digits(s.values[item.ID]/s.values[item.Limit]))
 			}
 		}
-		fmt.Fprintf(&t, "| %s (`%s`) | %s | %s | `%s` |\n", f.What, f.ID, v, limit, f.Formula)
+		fmt.Fprintf(&table, "| %s (`%s`) | %s | %s | `%s` |\n", item.What, item.ID, value, limit, item.Formula)
 	}
-	if n == 0 {
+	if rows == 0 {
 		return "", errs.New(errs.BadInput, "role %q: no figures", name)
 	}
-	return t.String(), nil
+	return table.String(), nil
 }
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -13,13 +13,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// recomputations are how many times in a row a placement is looked at in one run.
-const recomputations = 200
+// placementUpdates is how many times a run updates the placement.
+const placementUpdates = 200
 
-// measurePlacements measures one service's placement by how many hot parts there are: a look's cost, its
-// document, and the share of looks that change it while the same parts stay as popular as they are
-// and only chance moves the counts. Once with links as fast as today's, and once with links so slow
-// that much has to be everywhere.
+// measurePlacements measures the placement of one service over the number of hot parts: the cost of an update, the size of
+// the document, and the share of updates that change it while the parts keep their popularity and only chance changes
+// the counts. It does so with links as fast as today's, and with links so slow that many parts are replicated.
 func measurePlacements(b *bench) error {
 	if err := measureHotPrefixes(b, "place", "links as fast as today's", 370000); err != nil {
 		return err
@@ -27,6 +26,7 @@
 	return measureHotPrefixes(b, "tight", "links of 100 Mbit/s", 100)
 }
 
+// measureHotPrefixes measures the placement at one link speed; name is the prefix of the series.
 func measureHotPrefixes(b *bench, name, links string, mbps float64) error {
 	seed := uint64(0)
 	return b.vary("placement", "hot parts", b.sizes(125, 250, 500, 1000), []kind{
@@ -40,62 +40,64 @@
 	})
 }
 
-// measurePlacementChurn looks at one service's placement again and again.
-func measurePlacementChurn(d *rand.Rand, n int, mbps float64) ([]float64, error) {
-	weight, total := make([]float64, n), 0.0
+// measurePlacementChurn updates the placement of one service again and again under steady traffic. It returns the
+// processor time of an update in µs, the document's bytes, those compressed, and the share of updates that changed it.
+func measurePlacementChurn(random *rand.Rand, prefixes int, mbps float64) ([]float64, error) {
+	weight, total := make([]float64, prefixes), 0.0
 	for i := range weight {
 		weight[i] = math.Pow(float64(i+1), -0.3)
 		total += weight[i]
 	}
-	hot := make([]*wire.HotPrefix, n)
+	hot := make([]*wire.HotPrefix, prefixes)
 	for i := range hot {
-		k := promptindex.PartKey(cacheText, partName(i))
-		hot[i] = &wire.HotPrefix{Key: k[:], Hotness: 30 * rate * weight[i] / total, Tokens: 8000, Head: true}
+		key := promptindex.PartKey(cacheText, partName(i))
+		hot[i] = &wire.HotPrefix{Key: key[:], Hotness: 30 * accessesPerSecond * weight[i] / total, Tokens: 8000, Head: true}
 	}
-	var ws []string
-	for _, w := range workerList(20, 1) {
-		ws = append(ws, w.ID)
+	var workers []string
+	for _, worker := range workerList(20, 1) {
+		workers = append(workers, worker.ID)
 	}
 	const span = 1000.0
 	tokens := mbps * 1e6 / 8 / float64(engine().TokenBytes)
-	f := placementcontroller.Inputs{Service: serviceName(0), Mode: "hrcs", FetchTolerance: 1, Workers: ws, CapacityTokens: 320000, HotEntries: hot, PrefillCurve: placement.Default(),
+	inputs := placementcontroller.Inputs{Service: serviceName(0), Mode: "hrcs", FetchTolerance: 1, Workers: workers, CapacityTokens: 320000, HotEntries: hot, PrefillCurve: placement.Default(),
 		Links: []*wire.LinkThroughput{{Class: "plan", Tokens: tokens * span, ElapsedNs: span * 1e9}}}
-	p := placementcontroller.Compute(f, nil)
+	current := placementcontroller.Compute(inputs, nil)
 	changed := 0
-	at := cpu()
-	for i := range recomputations {
-		for j := range hot { // three seconds pass between two looks
-			hot[j].Hotness = hot[j].Hotness*math.Exp(-0.1) + float64(poisson(d, 3*rate*weight[j]/total))
+	cpuBefore := cpu()
+	for i := range placementUpdates {
+		for j := range hot { // three seconds pass between two updates
+			hot[j].Hotness = hot[j].Hotness*math.Exp(-0.1) + float64(poisson(random, 3*accessesPerSecond*weight[j]/total))
 		}
 		var next *placement.Placement
-		var moved bool
-		if i%4 == 3 { // the whole is computed once in four looks
-			next = placementcontroller.Compute(f, p)
-			moved = !slices.Equal(next.Replicated, p.Replicated) || next.Mode != p.Mode || math.Abs(next.AdmissionFloor-p.AdmissionFloor) > 0.25*p.AdmissionFloor+0.05
+		var updated bool
+		if i%4 == 3 { // every fourth update is a full computation
+			next = placementcontroller.Compute(inputs, current)
+			updated = !slices.Equal(next.Replicated, current.Replicated) || next.Mode != current.Mode || math.Abs(next.AdmissionFloor-current.AdmissionFloor) > 0.25*current.AdmissionFloor+0.05
 		} else {
-			next, moved = placementcontroller.SwapInBurst(p, hot)
+			next, updated = placementcontroller.SwapInBurst(current, hot)
 		}
-		if p = next; moved {
+		if current = next; updated {
 			changed++
 		}
 	}
-	spent := (cpu() - at) / recomputations
-	body, err := json.Marshal(p)
-	packed := fleet.Compress(&wire.Document{Key: fleet.PlacementKey + p.Service, Body: body, Version: 1})
-	return []float64{spent, float64(len(body)), float64(len(packed.Body)), float64(changed) / recomputations}, err
+	spent := (cpu() - cpuBefore) / placementUpdates
+	body, err := json.Marshal(current)
+	packed := fleet.Compress(&wire.Document{Key: fleet.PlacementKey + current.Service, Body: body, Version: 1})
+	return []float64{spent, float64(len(body)), float64(len(packed.Body)), float64(changed) / placementUpdates}, err
 }
 
-// rate is how many accesses a service's hot parts get a second: 5,700 requests over 35 models.
-const rate = 5700.0 / models
+// accessesPerSecond is the rate of accesses to a service's hot parts: 5,700 requests a second over all models.
+const accessesPerSecond = 5700.0 / modelCount
 
-func poisson(d *rand.Rand, mean float64) int {
+// poisson draws from the Poisson distribution; large means are approximated by the normal distribution.
+func poisson(random *rand.Rand, mean float64) int {
 	if mean > 30 {
-		return max(0, int(math.Round(mean+math.Sqrt(mean)*d.NormFloat64())))
+		return max(0, int(math.Round(mean+math.Sqrt(mean)*random.NormFloat64())))
 	}
-	n, p, low := 0, d.Float64(), math.Exp(-mean)
-	for p > low {
-		p *= d.Float64()
-		n++
+	count, product, low := 0, random.Float64(), math.Exp(-mean)
+	for product > low {
+		product *= random.Float64()
+		count++
 	}
-	return n
+	return count
 }
--- a/internal/capacity/plans.go
+++ b/internal/capacity/plans.go
@@ -10,52 +10,52 @@
 	"pebbleloom/internal/wire"
 )
 
-// measurePlans measures what grows with routes and with tenants: the plan's bytes, its reading, its memory,
-// and a request's look-up in it.
+// measurePlans measures a plan over the number of routes and of tenants: its bytes, the time to decode it, its memory, and
+// the time of a request's look-up in it.
 func measurePlans(b *bench) error {
-	for _, f := range []struct {
+	for _, dimension := range []struct {
 		name, factor string
 		sizes        []float64
-		make         func(n int) *routingconfig.Plan
+		make         func(count int) *routingconfig.Plan
 	}{
-		{"route", "routes", b.sizes(100, 400, 1600), func(n int) *routingconfig.Plan { return samplePlan(1, n, 0) }},
-		{"tenant", "tenants", b.sizes(725, 1450, 2900), func(n int) *routingconfig.Plan { return samplePlan(1, 0, n) }},
+		{"route", "routes", b.sizes(100, 400, 1600), func(count int) *routingconfig.Plan { return samplePlan(1, count, 0) }},
+		{"tenant", "tenants", b.sizes(725, 1450, 2900), func(count int) *routingconfig.Plan { return samplePlan(1, 0, count) }},
 	} {
-		if err := b.vary("plans", f.factor, f.sizes, []kind{
-			{f.name + "-bytes", "B", "a plan's document"},
-			{f.name + "-told", "B", "the same as it is told to nodes, packed"},
-			{f.name + "-pack", "µs", "processor time of a member to pack it, once"},
-			{f.name + "-read", "µs", "processor time to unpack, read, check and index it, as each agent does at each change"},
-			{f.name + "-memory", "B", "heap of the plan in use"},
-			{f.name + "-lookup", "µs", "processor time of a request's look-ups in it"},
-		}, func(n float64) ([]float64, error) {
-			body := encodePlan(f.make(int(n)))
-			was := heap()
-			p, err := benchCodec{}.Read(body)
+		if err := b.vary("plans", dimension.factor, dimension.sizes, []kind{
+			{dimension.name + "-bytes", "B", "a plan's document"},
+			{dimension.name + "-told", "B", "the same as it is told to nodes, packed"},
+			{dimension.name + "-pack", "µs", "processor time of a member to pack it, once"},
+			{dimension.name + "-read", "µs", "processor time to unpack, read, check and index it, as each agent does at each change"},
+			{dimension.name + "-memory", "B", "heap of the plan in use"},
+			{dimension.name + "-lookup", "µs", "processor time of a request's look-ups in it"},
+		}, func(count float64) ([]float64, error) {
+			body := encodePlan(dimension.make(int(count)))
+			heapBefore := heap()
+			plan, err := benchCodec{}.Read(body)
 			if err != nil {
 				return nil, err
 			}
-			memory := heap() - was
+			memory := heap() - heapBefore
 			doc := &wire.Document{Key: routingconfig.DocumentKey, Body: body, Version: 1}
 			packed := fleet.Compress(doc)
 			pack := b.spend(func() { fleet.Compress(doc) })
 			read := b.spend(func() {
-				if d, err := fleet.Decompress(packed); err == nil {
-					_, _ = benchCodec{}.Read(d.Body)
+				if decompressed, err := fleet.Decompress(packed); err == nil {
+					_, _ = benchCodec{}.Read(decompressed.Body)
 				}
 			})
 			i := 0
-			look := b.spend(func() {
+			lookup := b.spend(func() {
 				i++
-				if len(p.Routes) > 0 {
-					r := &p.Routes[i%len(p.Routes)]
-					p.MatchRoute(r.Host, r.Prefix+"some/more/path")
+				if len(plan.Routes) > 0 {
+					route := &plan.Routes[i%len(plan.Routes)]
+					plan.MatchRoute(route.Host, route.Prefix+"some/more/path")
 				} else {
-					p.TenantByKey(p.Tenants[i%len(p.Tenants)].Keys[0])
+					plan.TenantByKey(plan.Tenants[i%len(plan.Tenants)].Keys[0])
 				}
 			})
-			runtime.KeepAlive(p)
-			return []float64{float64(len(body)), float64(len(packed.Body)), pack, read, max(1, memory), look}, nil
+			runtime.KeepAlive(plan)
+			return []float64{float64(len(body)), float64(len(packed.Body)), pack, read, max(1, memory), lookup}, nil
 		}); err != nil {
 			return err
 		}
@@ -63,19 +63,19 @@
 	return nil
 }
 
-// readChanges reads what a worker kept and dropped, each change a short list as workers tell them.
+// readChanges decodes a worker's cache changes, each of which is a short list, and returns their number.
 func readChanges(body []byte) (n int, err error) {
 	var number int
 	var a [4]string
-	err = jx.DecodeBytes(body).Arr(func(d *jx.Decoder) error {
+	err = jx.DecodeBytes(body).Arr(func(decoder *jx.Decoder) error {
 		i := 0
 		n++
-		return d.Arr(func(d *jx.Decoder) error {
+		return decoder.Arr(func(decoder *jx.Decoder) error {
 			defer func() { i++ }()
-			if d.Next() == jx.Number {
-				return decodeInt(d, &number)
+			if decoder.Next() == jx.Number {
+				return decodeInt(decoder, &number)
 			}
-			return decodeText(d, &a[i&3])
+			return decodeText(decoder, &a[i&3])
 		})
 	})
 	return n, err
--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -22,7 +22,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// trafficHeaders are the header names of the hollow workers and callers.
+// trafficHeaders returns the header names of the hollow workers and clients.
 func trafficHeaders() proxy.Headers {
 	return proxy.Headers{ID: "Go-Id", TimeRemaining: "Go-Left", Tenant: "Go-Tenant", ExpectedInstance: "Go-Life", ExpectedVersion: "Go-Version",
 		Priority: "Go-Urgency", CacheSalt: "Go-Salt", FetchFrom: "Go-Fetch", SaveTo: "Go-Save", Model: "Go-Model", TokenUsage: "Go-Usage",
@@ -48,7 +48,7 @@
 
 const (
 	eventInterval     = 5 * time.Millisecond // between two events of a hollow worker
-	concurrentStreams = 48                   // streams
+	concurrentStreams = 48                   // of the hollow clients
 )
 
 // streamTraffic starts a hollow worker and returns its address, and a run of hollow clients that send to
@@ -68,7 +68,7 @@
 	}, nil
 }
 
-// streamingWorker responds to every request with so many events at an even pace.
+// streamingWorker returns a handler that responds to every request with a number of events at an even pace.
 func streamingWorker(events int) http.Handler {
 	headers := trafficHeaders()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -92,13 +92,13 @@
 // hollowClients send requests over connections that they keep.
 type hollowClients struct {
 	addr   string
-	events int // that a response has
+	events int // in a response
 	body   string
 	lastID atomic.Int64
 	idle   sync.Pool // *bufio.ReadWriter
 }
 
-// send sends so many requests, concurrentStreams at a time. It returns the error of one that failed.
+// send sends a number of requests, concurrentStreams at a time. It returns the error of one that failed.
 func (c *hollowClients) send(calls int) error {
 	var senders sync.WaitGroup
 	var failed atomic.Pointer[error]
@@ -147,8 +147,8 @@
 	return err
 }
 
-// measureTraffic measures the proxy itself, between hollow callers and a hollow worker: what a request
-// costs is the base, what an event of its answer costs is the slope.
+// measureTraffic measures the proxy between hollow clients and a hollow worker: the base is the cost of a request, the
+// slope the cost of an event of its response.
 func measureTraffic(b *bench) error {
 	calls := 480
 	if b.quick {
@@ -179,7 +179,7 @@
 		if err := proxy.Start(process, proxy.Config{Headers: trafficHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: selector}); err != nil {
 			return nil, err
 		}
-		if _, err := hollow.run(); err != nil { // connections come up
+		if _, err := hollow.run(); err != nil { // it opens the connections
 			return nil, err
 		}
 		cpuBefore, heapBefore := cpu(), allocated()
