--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -100,8 +100,8 @@
 	cluster := &Cluster{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), dialTimeout: settings.DefaultBounds().Leave(1.0 / 3), processes: map[string]*proc{},
 		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, listeners: map[string]*listener{}, files: map[string]*file{}}
 	cluster.outside = newProc(cluster, testbed.Process{}, cluster.machine(outsideMachine), seed)
-	for _, p := range site.Processes {
-		cluster.machineOf(p)
+	for _, process := range site.Processes {
+		cluster.machineOf(process)
 	}
 	return cluster
 }
@@ -111,8 +111,8 @@
 func (c *Cluster) machine(name string) *machine {
 	m := c.machines[name]
 	if m == nil {
-		r := rand.New(rand.NewPCG(c.seed, queue.Hash(name)))
-		m = &machine{name: name, begin: c.begin, bootOffset: time.Duration(1+r.Int64N(3600*100)) * time.Second, drift: (r.Float64() - 0.5) / 5000,
+		random := rand.New(rand.NewPCG(c.seed, queue.Hash(name)))
+		m = &machine{name: name, begin: c.begin, bootOffset: time.Duration(1+random.Int64N(3600*100)) * time.Second, drift: (random.Float64() - 0.5) / 5000,
 			disk: map[string][]byte{}, lastWriter: map[string]*proc{}}
 		c.machines[name] = m
 	}
@@ -123,9 +123,9 @@
 func (c *Cluster) machineOf(p testbed.Process) *machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, a := range []string{p.Settings.Listen, p.Settings.Public, p.Settings.Operator} {
-		if x, err := netip.ParseAddrPort(a); err == nil {
-			c.hosts[x.Addr()] = p.Settings.Name
+	for _, text := range []string{p.Settings.Listen, p.Settings.Public, p.Settings.Operator} {
+		if addr, err := netip.ParseAddrPort(text); err == nil {
+			c.hosts[addr.Addr()] = p.Settings.Name
 		}
 	}
 	return c.machine(p.Settings.Name)
--- a/internal/sim/clustersim/network.go
+++ b/internal/sim/clustersim/network.go
@@ -20,7 +20,7 @@
 	delay    time.Duration
 	mu       sync.Mutex
 	changed  chan struct{} // closed at every change
-	segs     []segment
+	segments []segment
 	size     int
 	last     time.Time // when the last segment arrives
 	fin, rst bool
@@ -29,29 +29,29 @@
 
 // segment is the bytes of one write.
 type segment struct {
-	at time.Time // of arrival
-	b  []byte
+	arrival time.Time // of arrival
+	data    []byte
 }
 
 func (p *pipe) notify() { close(p.changed); p.changed = make(chan struct{}) }
 
 // write sends bytes. If the pipe is full it reports false and returns a channel that is closed at the next change.
 func (p *pipe) write(b []byte) (bool, <-chan struct{}) {
-	r, _ := p.cluster.linkRule(p.from, p.to)
+	rule, _ := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.size > maxInFlight {
 		return false, p.changed
 	}
-	at := time.Now().Add(p.delay + r.Delay)
+	at := time.Now().Add(p.delay + rule.Delay)
 	if at.Before(p.last) {
 		at = p.last
 	}
-	if r.BytesPerSecond > 0 {
-		at = at.Add(time.Duration(float64(len(b)) / r.BytesPerSecond * float64(time.Second)))
+	if rule.BytesPerSecond > 0 {
+		at = at.Add(time.Duration(float64(len(b)) / rule.BytesPerSecond * float64(time.Second)))
 	}
 	p.last = at
-	p.segs = append(p.segs, segment{at, append([]byte(nil), b...)})
+	p.segments = append(p.segments, segment{at, append([]byte(nil), b...)})
 	p.size += len(b)
 	p.notify()
 	return true, nil
@@ -78,25 +78,25 @@
 
 // read returns bytes that have arrived. If there are none it returns how long to wait (0: without limit) and the
 // channels that are closed when the pipe or the link rules change.
-func (p *pipe) read(b []byte) (n int, wait time.Duration, bell, link <-chan struct{}, err error) {
-	r, changed := p.cluster.linkRule(p.from, p.to)
+func (p *pipe) read(b []byte) (n int, wait time.Duration, pipeChanged, rulesChanged <-chan struct{}, err error) {
+	rule, rules := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if r.Cut {
-		return 0, 0, p.changed, changed, nil
+	if rule.Cut {
+		return 0, 0, p.changed, rules, nil
 	}
 	if p.rst && !now.Before(p.closedAt) {
 		return 0, 0, nil, nil, syscall.ECONNRESET
 	}
-	if len(p.segs) > 0 {
-		s := &p.segs[0]
-		if now.Before(s.at) {
-			return 0, s.at.Sub(now), p.changed, changed, nil
+	if len(p.segments) > 0 {
+		first := &p.segments[0]
+		if now.Before(first.arrival) {
+			return 0, first.arrival.Sub(now), p.changed, rules, nil
 		}
-		n = copy(b, s.b)
-		if s.b = s.b[n:]; len(s.b) == 0 {
-			p.segs = p.segs[1:]
+		n = copy(b, first.data)
+		if first.data = first.data[n:]; len(first.data) == 0 {
+			p.segments = p.segments[1:]
 		}
 		p.size -= n
 		p.notify()
@@ -108,7 +108,7 @@
 	if p.fin || p.rst {
 		wait = p.closedAt.Sub(now)
 	}
-	return 0, wait, p.changed, changed, nil
+	return 0, wait, p.changed, rules, nil
 }
 
 func (p *pipe) isReset() bool {
@@ -120,36 +120,36 @@
 func (p *pipe) hasUnreadData() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.segs) > 0
+	return len(p.segments) > 0
 }
 
 // deadline is a read or write deadline; its channel is closed once it has passed.
 type deadline struct {
-	mu sync.Mutex
-	t  *time.Timer
-	c  chan struct{}
+	mu     sync.Mutex
+	timer  *time.Timer
+	passed chan struct{}
 }
 
-func (l *deadline) set(at time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.t != nil {
-		l.t.Stop()
-		l.t = nil
+func (d *deadline) set(at time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.timer != nil {
+		d.timer.Stop()
+		d.timer = nil
 	}
 	select {
-	case <-l.c:
-		l.c = make(chan struct{})
+	case <-d.passed:
+		d.passed = make(chan struct{})
 	default:
 	}
 	if at.IsZero() {
 		return
 	}
-	c := l.c
-	over := func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if l.c == c { // it was not set again
+	c := d.passed
+	closePassed := func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		if d.passed == c { // it was not set again
 			select {
 			case <-c:
 			default:
@@ -157,17 +157,17 @@
 			}
 		}
 	}
-	if d := time.Until(at); d > 0 {
-		l.t = time.AfterFunc(d, over)
+	if remaining := time.Until(at); remaining > 0 {
+		d.timer = time.AfterFunc(remaining, closePassed)
 	} else {
 		close(c)
 	}
 }
 
-func (l *deadline) expired() <-chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.c
+func (d *deadline) expired() <-chan struct{} {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.passed
 }
 
 // conn is one end of a simulated connection.
@@ -185,39 +185,39 @@
 // Example: n, err := conn.Read(b)
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		over := c.readDeadline.expired()
+		expired := c.readDeadline.expired()
 		if !c.proc.awaitRunning() || isClosed(c.closed) {
 			return 0, net.ErrClosed
 		}
-		if isClosed(over) {
+		if isClosed(expired) {
 			return 0, os.ErrDeadlineExceeded
 		}
 		if len(b) == 0 {
 			return 0, nil
 		}
-		n, wait, bell, link, err := c.in.read(b)
+		n, wait, changed, rulesChanged, err := c.in.read(b)
 		if n > 0 && c.proc == c.proc.cluster.outside && c.proc.cluster.tamperWithReads != nil {
 			n = copy(b, c.proc.cluster.tamperWithReads(b[:n]))
 		}
 		if n > 0 || err != nil {
 			return n, err
 		}
-		var late <-chan time.Time
-		var t *time.Timer
+		var arrived <-chan time.Time
+		var timer *time.Timer
 		if wait > 0 {
-			t = time.NewTimer(wait)
-			late = t.C
+			timer = time.NewTimer(wait)
+			arrived = timer.C
 		}
 		select {
-		case <-bell:
-		case <-link:
-		case <-late:
-		case <-over:
+		case <-changed:
+		case <-rulesChanged:
+		case <-arrived:
+		case <-expired:
 		case <-c.closed:
 		case <-c.proc.dead:
 		}
-		if t != nil {
-			t.Stop()
+		if timer != nil {
+			timer.Stop()
 		}
 	}
 }
@@ -228,24 +228,24 @@
 func (c *conn) Write(b []byte) (int, error) {
 	sent := 0
 	for sent < len(b) {
-		over := c.writeDeadline.expired()
+		expired := c.writeDeadline.expired()
 		switch {
 		case !c.proc.awaitRunning() || isClosed(c.closed):
 			return sent, net.ErrClosed
-		case isClosed(over):
+		case isClosed(expired):
 			return sent, os.ErrDeadlineExceeded
 		case c.in.isReset():
 			return sent, syscall.EPIPE
 		}
 		part := b[sent:min(len(b), sent+maxInFlight/4)]
-		ok, bell := c.out.write(part)
+		ok, changed := c.out.write(part)
 		if ok {
 			sent += len(part)
 			continue
 		}
 		select {
-		case <-bell:
-		case <-over:
+		case <-changed:
+		case <-expired:
 		case <-c.closed:
 		case <-c.proc.dead:
 		}
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -35,8 +35,8 @@
 	random    *rand.Rand
 }
 
-func newProc(t *Cluster, p testbed.Process, m *machine, seed uint64) *proc {
-	return &proc{cluster: t, process: p, machine: m, started: make(chan struct{}), dead: make(chan struct{}), conns: map[*conn]bool{}, listeners: map[*listener]bool{},
+func newProc(cluster *Cluster, process testbed.Process, host *machine, seed uint64) *proc {
+	return &proc{cluster: cluster, process: process, machine: host, started: make(chan struct{}), dead: make(chan struct{}), conns: map[*conn]bool{}, listeners: map[*listener]bool{},
 		random: rand.New(rand.NewPCG(seed, 17))}
 }
 
@@ -191,9 +191,9 @@
 	}
 }
 
-func (p *proc) addConn(in, out *pipe, at, far net.Addr) *conn {
-	c := &conn{proc: p, in: in, out: out, local: at, remote: far, closed: make(chan struct{})}
-	c.readDeadline.c, c.writeDeadline.c = make(chan struct{}), make(chan struct{})
+func (p *proc) addConn(in, out *pipe, local, remote net.Addr) *conn {
+	c := &conn{proc: p, in: in, out: out, local: local, remote: remote, closed: make(chan struct{})}
+	c.readDeadline.passed, c.writeDeadline.passed = make(chan struct{}), make(chan struct{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if isClosed(p.dead) {
--- a/internal/sim/testbed/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -14,7 +14,7 @@
 	if options.Part == "page" {
 		return capacity.WritePage(options.Out)
 	}
-	m, err := capacity.Measure(options.Part, options.Quick, bad)
+	measured, err := capacity.Measure(options.Part, options.Quick, bad)
 	if err != nil {
 		return err
 	}
@@ -23,9 +23,9 @@
 		if err != nil {
 			return errs.Wrap(err, options.Out)
 		}
-		m = capacity.Join(old, m)
+		measured = capacity.Join(old, measured)
 	}
-	raw, err := m.Write()
+	raw, err := measured.Write()
 	if err != nil {
 		return err
 	}
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -60,14 +60,14 @@
 }
 
 // hitCounter counts prompt tokens, and those of them that were cache hits.
-type hitCounter struct{ hit, all int }
+type hitCounter struct{ hit, total int }
 
-func (t *hitCounter) add(o loadgen.Outcome) {
-	t.hit += o.Final.CachedTokens
-	t.all += o.Final.CachedTokens + o.Final.FetchedTokens + o.Final.PrefilledTokens
+func (c *hitCounter) add(o loadgen.Outcome) {
+	c.hit += o.Final.CachedTokens
+	c.total += o.Final.CachedTokens + o.Final.FetchedTokens + o.Final.PrefilledTokens
 }
 
-func (t *hitCounter) share() float64 { return float64(t.hit) / float64(max(1, t.all)) }
+func (c *hitCounter) share() float64 { return float64(c.hit) / float64(max(1, c.total)) }
 
 // checkSealedShares checks that service recovers within the bound and that only allowed rejections occur.
 func (run *scenarioRun) checkSealedShares(log *loadgen.OutcomeLog, closed, heal int64) {
--- a/internal/sim/testbed/compare.go
+++ b/internal/sim/testbed/compare.go
@@ -23,38 +23,38 @@
 //
 // Example: err := testbed.Compare(ctx, testbed.Options{Site: "paramo", Seconds: 20, Seeds: 3, Seed: 1}, os.Stdout)
 func Compare(ctx context.Context, options Options, out io.Writer) error {
-	got := map[string][]loadgen.Summary{}
+	summaries := map[string][]loadgen.Summary{}
 	base := options.Dir
 	for i := range options.Seeds {
-		for _, m := range Modes() {
-			p := options
-			p.Mode, p.Seed, p.Dir = m, options.Seed+uint64(i), filepath.Join(base, fmt.Sprintf("%s-%d", m, i))
-			if err := os.MkdirAll(p.Dir, 0o755); err != nil {
+		for _, mode := range Modes() {
+			one := options
+			one.Mode, one.Seed, one.Dir = mode, options.Seed+uint64(i), filepath.Join(base, fmt.Sprintf("%s-%d", mode, i))
+			if err := os.MkdirAll(one.Dir, 0o755); err != nil {
 				return errs.Wrap(err, "make folder")
 			}
-			s, err := Run(ctx, p)
+			result, err := Run(ctx, one)
 			if err != nil {
-				return errs.Wrap(err, m)
+				return errs.Wrap(err, mode)
 			}
-			got[m] = append(got[m], s.Summary)
+			summaries[mode] = append(summaries[mode], result.Summary)
 		}
 	}
-	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "%s, %d s, seeds %d to %d: median (least to most)\n", options.Site, options.Seconds, options.Seed, options.Seed+uint64(options.Seeds)-1)
-	fmt.Fprintln(w, "placement\thit share\tfetched share\tprefilled tokens\tload max/mean\tsealed\tfaults")
-	for _, m := range Modes() {
-		row := func(f func(loadgen.Summary) float64, form string) string {
-			var l []float64
-			for _, s := range got[m] {
-				l = append(l, f(s))
+	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
+	fmt.Fprintf(table, "%s, %d s, seeds %d to %d: median (least to most)\n", options.Site, options.Seconds, options.Seed, options.Seed+uint64(options.Seeds)-1)
+	fmt.Fprintln(table, "placement\thit share\tfetched share\tprefilled tokens\tload max/mean\tsealed\tfaults")
+	for _, mode := range Modes() {
+		row := func(value func(loadgen.Summary) float64, form string) string {
+			var values []float64
+			for _, result := range summaries[mode] {
+				values = append(values, value(result))
 			}
-			sort.Float64s(l)
-			return fmt.Sprintf(form+" ("+form+" to "+form+")", l[len(l)/2], l[0], l[len(l)-1])
+			sort.Float64s(values)
+			return fmt.Sprintf(form+" ("+form+" to "+form+")", values[len(values)/2], values[0], values[len(values)-1])
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m, row(func(s loadgen.Summary) float64 { return s.HitShare }, "%.3f"),
-			row(func(s loadgen.Summary) float64 { return s.FetchedShare }, "%.3f"), row(func(s loadgen.Summary) float64 { return float64(s.PrefilledTokens) }, "%.0f"),
-			row(func(s loadgen.Summary) float64 { return s.LoadMaxToMean }, "%.2f"), row(func(s loadgen.Summary) float64 { return float64(s.Sealed) / float64(s.Requests) }, "%.3f"),
-			row(func(s loadgen.Summary) float64 { return float64(len(s.Faults)) }, "%.0f"))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", mode, row(func(result loadgen.Summary) float64 { return result.HitShare }, "%.3f"),
+			row(func(result loadgen.Summary) float64 { return result.FetchedShare }, "%.3f"), row(func(result loadgen.Summary) float64 { return float64(result.PrefilledTokens) }, "%.0f"),
+			row(func(result loadgen.Summary) float64 { return result.LoadMaxToMean }, "%.2f"), row(func(result loadgen.Summary) float64 { return float64(result.Sealed) / float64(result.Requests) }, "%.3f"),
+			row(func(result loadgen.Summary) float64 { return float64(len(result.Faults)) }, "%.0f"))
 	}
-	return errs.Wrap(w.Flush(), "write table")
+	return errs.Wrap(table.Flush(), "write table")
 }
--- a/internal/sim/testbed/confighistory.go
+++ b/internal/sim/testbed/confighistory.go
@@ -50,11 +50,11 @@
 }
 
 func (c configurationChange) body() ([]byte, error) {
-	v := map[string]any{"partial": true, "setup": c.patch, "token": c.token}
+	body := map[string]any{"partial": true, "setup": c.patch, "token": c.token}
 	if c.base != nil {
-		v["if_epoch"] = *c.base
+		body["if_epoch"] = *c.base
 	}
-	raw, err := json.Marshal(v)
+	raw, err := json.Marshal(body)
 	return raw, errs.Wrap(err, "write a change")
 }
 
@@ -90,10 +90,10 @@
 
 // attempt sends a change once and records the outcome.
 func (run *scenarioRun) attempt(ctx context.Context, c configurationChange, raw []byte, addr string) (history.Outcome, uint64) {
-	one, end := context.WithTimeout(ctx, operatorTimeout)
-	defer end()
-	a := run.history.BeginAttempt(c.operation())
-	code, body := run.fleet.Post(one, addr, "/v1/setup", raw)
+	attemptCtx, cancel := context.WithTimeout(ctx, operatorTimeout)
+	defer cancel()
+	attempt := run.history.BeginAttempt(c.operation())
+	code, body := run.fleet.Post(attemptCtx, addr, "/v1/setup", raw)
 	var answer struct {
 		Version uint64 `json:"epoch"`
 		Kind    string `json:"kind"`
@@ -103,19 +103,19 @@
 	}
 	switch {
 	case code == 200:
-		a.Complete(history.Acknowledged, answer.Version)
+		attempt.Complete(history.Acknowledged, answer.Version)
 		run.mu.Lock()
 		run.acknowledgedVersion = max(run.acknowledgedVersion, int64(answer.Version))
 		run.mu.Unlock()
 		return history.Acknowledged, answer.Version
 	case answer.Kind == errs.Conflict.Name && c.base != nil:
-		a.Complete(history.Rejected, 0)
+		attempt.Complete(history.Rejected, 0)
 		return history.Rejected, 0
 	case answer.Kind == errs.Conflict.Name: // it was merged onto a version that has been superseded
-		a.Complete(history.NotExecuted, 0)
+		attempt.Complete(history.NotExecuted, 0)
 		return history.NotExecuted, 0
 	case answer.Kind == errs.BadInput.Name:
-		a.Complete(history.Invalid, 0)
+		attempt.Complete(history.Invalid, 0)
 		return history.Invalid, 0
 	}
 	return history.Unknown, 0
@@ -123,10 +123,10 @@
 
 // read reads the configuration at an operator address and records the result.
 func (run *scenarioRun) read(ctx context.Context, addr string, timeout time.Duration) (version uint64, ok bool) {
-	one, end := context.WithTimeout(ctx, timeout)
-	defer end()
-	q := run.history.BeginRead(configurationKey)
-	code, body := run.fleet.Get(one, addr, "/v1/setup")
+	readCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	operation := run.history.BeginRead(configurationKey)
+	code, body := run.fleet.Get(readCtx, addr, "/v1/setup")
 	var answer struct {
 		Version       uint64          `json:"epoch"`
 		Configuration json.RawMessage `json:"setup"`
@@ -134,7 +134,7 @@
 	if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
 		return 0, false
 	}
-	q.Complete(answer.Version, digest(answer.Configuration))
+	operation.Complete(answer.Version, digest(answer.Configuration))
 	return answer.Version, true
 }
 
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -20,18 +20,18 @@
 // cluster in virtual time. Both run the same programs.
 type Environment interface {
 	// Start starts a process with the settings that were written last.
-	Start(p Process) error
+	Start(process Process) error
 	// Signal sends a signal to a process; after SIGKILL it returns once the process has ended.
 	Signal(name string, s syscall.Signal) error
 	// WriteSettings writes the settings that the process's next start reads.
-	WriteSettings(p Process) error
+	WriteSettings(process Process) error
 	// WipeDisk removes a process's data.
-	WipeDisk(p Process) error
+	WipeDisk(process Process) error
 	// SetFault sets a fault of a machine's "disk" (full, sync or stall MS) or "wall" clock (an offset in
 	// milliseconds); an empty word ends it.
-	SetFault(p Process, what, word string) error
+	SetFault(process Process, what, word string) error
 	// Journal reads a worker simulator's journal of runs and orders.
-	Journal(p Process) ([]workersim.Run, error)
+	Journal(process Process) ([]workersim.Run, error)
 	// SetLink sets the rule of the link from one machine to another; "*" is any machine.
 	SetLink(from, to string, r LinkRule) error
 	// HealLinks removes all link rules.
@@ -44,7 +44,7 @@
 
 // localEnvironment runs a site as processes of this machine.
 type localEnvironment struct {
-	dir, bin       string
+	dir, programs  string
 	links          *Links // nil: connections go directly
 	earlierRelease string // the folder of an earlier release, in upgrades
 	mu             sync.Mutex
@@ -58,36 +58,36 @@
 )
 
 func newLocalEnvironment(dir, bin string) *localEnvironment {
-	return &localEnvironment{dir: dir, bin: bin, processes: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}}
+	return &localEnvironment{dir: dir, programs: bin, processes: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}}
 }
 
 // Start implements Environment; the process's output is appended to its log file.
-func (env *localEnvironment) Start(p Process) error {
-	log, err := os.OpenFile(filepath.Join(env.dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (env *localEnvironment) Start(process Process) error {
+	log, err := os.OpenFile(filepath.Join(env.dir, process.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return errs.Wrap(err, "open log")
 	}
-	bin := p.Bin
-	if bin == "" {
-		bin = env.bin
+	folder := process.Bin
+	if folder == "" {
+		folder = env.programs
 	}
-	c := exec.Command(programs.Find(bin, p.Program), "--settings", filepath.Join(env.dir, p.Name+".json"))
-	c.Stdout, c.Stderr = log, log
+	command := exec.Command(programs.Find(folder, process.Program), "--settings", filepath.Join(env.dir, process.Name+".json"))
+	command.Stdout, command.Stderr = log, log
 	// Small machines: two threads at once, and a heap that stays within 200 MB a machine.
-	c.Env = append(os.Environ(), "GOMAXPROCS=2", "GOMEMLIMIT=60MiB")
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := c.Start(); err != nil {
+	command.Env = append(os.Environ(), "GOMAXPROCS=2", "GOMEMLIMIT=60MiB")
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := command.Start(); err != nil {
 		log.Close()
-		return errs.Wrap(err, "start "+p.Name)
+		return errs.Wrap(err, "start "+process.Name)
 	}
-	d := make(chan struct{})
+	exited := make(chan struct{})
 	env.mu.Lock()
-	env.processes[p.Name], env.exited[p.Name] = c, d
+	env.processes[process.Name], env.exited[process.Name] = command, exited
 	env.mu.Unlock()
 	go func() {
-		_ = c.Wait() // how it ended is in its log
+		_ = command.Wait() // how it ended is in its log
 		log.Close()
-		close(d)
+		close(exited)
 	}()
 	return nil
 }
@@ -95,43 +95,45 @@
 // Signal implements Environment.
 func (env *localEnvironment) Signal(name string, s syscall.Signal) error {
 	env.mu.Lock()
-	c, d := env.processes[name], env.exited[name]
+	command, exited := env.processes[name], env.exited[name]
 	env.mu.Unlock()
-	if c == nil {
+	if command == nil {
 		return errs.New(errs.NotFound, "process %q", name)
 	}
-	if err := c.Process.Signal(s); err != nil {
+	if err := command.Process.Signal(s); err != nil {
 		return errs.Wrap(err, "signal "+name)
 	}
 	if s == syscall.SIGKILL {
-		<-d
+		<-exited
 	}
 	return nil
 }
 
 // WriteSettings implements Environment.
-func (env *localEnvironment) WriteSettings(p Process) error { return env.writeSettings(p) }
+func (env *localEnvironment) WriteSettings(process Process) error { return env.writeSettings(process) }
 
 // WipeDisk implements Environment.
-func (env *localEnvironment) WipeDisk(p Process) error { return os.RemoveAll(p.Settings.Data) }
+func (env *localEnvironment) WipeDisk(process Process) error {
+	return os.RemoveAll(process.Settings.Data)
+}
 
 // SetFault implements Environment: it writes the file that the process's faults= or wall= option names.
-func (env *localEnvironment) SetFault(p Process, what, word string) error {
-	f := filepath.Join(env.dir, p.Settings.Name+map[string]string{"disk": ".fault", "wall": ".wall"}[what])
+func (env *localEnvironment) SetFault(process Process, what, word string) error {
+	file := filepath.Join(env.dir, process.Settings.Name+map[string]string{"disk": ".fault", "wall": ".wall"}[what])
 	if word == "" {
-		return os.Remove(f)
+		return os.Remove(file)
 	}
-	return os.WriteFile(f, []byte(word), 0o644)
+	return os.WriteFile(file, []byte(word), 0o644)
 }
 
 // Journal implements Environment.
-func (env *localEnvironment) Journal(p Process) ([]workersim.Run, error) {
-	f, err := os.Open(filepath.Join(env.dir, p.Name+".runs"))
+func (env *localEnvironment) Journal(process Process) ([]workersim.Run, error) {
+	file, err := os.Open(filepath.Join(env.dir, process.Name+".runs"))
 	if err != nil {
 		return nil, errs.Wrap(err, "open journal")
 	}
-	defer f.Close()
-	return loadgen.ReadJournal(f)
+	defer file.Close()
+	return loadgen.ReadJournal(file)
 }
 
 // SetLink implements Environment. It fails with errs.BadInput if the scenario has no links.
@@ -159,17 +161,17 @@
 func (env *localEnvironment) Stop() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	for _, c := range env.processes {
-		_ = c.Process.Signal(syscall.SIGCONT) // one that ended already can't be signalled, nor need it be
-		_ = c.Process.Signal(syscall.SIGTERM)
+	for _, command := range env.processes {
+		_ = command.Process.Signal(syscall.SIGCONT) // one that ended already can't be signalled, nor need it be
+		_ = command.Process.Signal(syscall.SIGTERM)
 	}
-	late := time.After(stopGrace)
-	for n, d := range env.exited {
+	timeout := time.After(stopGrace)
+	for name, exited := range env.exited {
 		select {
-		case <-d:
-		case <-late:
-			_ = env.processes[n].Process.Kill()
-			<-d
+		case <-exited:
+		case <-timeout:
+			_ = env.processes[name].Process.Kill()
+			<-exited
 		}
 	}
 	if env.links != nil {
--- a/internal/sim/testbed/faults.go
+++ b/internal/sim/testbed/faults.go
@@ -36,22 +36,22 @@
 
 // takeHealthy draws up to n of the machines of a kind, numbered from 1 to of, that have no fault yet, and marks them
 // as faulty.
-func (gen *faultGenerator) takeHealthy(kind string, of, n int) (l []string) {
+func (gen *faultGenerator) takeHealthy(kind string, of, n int) (names []string) {
 	for _, i := range gen.random.Perm(of) {
-		if x := fmt.Sprintf("%s-%d", kind, i+1); len(l) < n && !gen.faulty[x] {
-			gen.faulty[x] = true
-			l = append(l, x)
+		if name := fmt.Sprintf("%s-%d", kind, i+1); len(names) < n && !gen.faulty[name] {
+			gen.faulty[name] = true
+			names = append(names, name)
 		}
 	}
-	return l
+	return names
 }
 
-func expandNames(form string, names []string) string {
-	var l []string
-	for _, n := range names {
-		l = append(l, strings.ReplaceAll(form, "%", n))
+func expandNames(pattern string, names []string) string {
+	var expanded []string
+	for _, name := range names {
+		expanded = append(expanded, strings.ReplaceAll(pattern, "%", name))
 	}
-	return strings.Join(l, " ")
+	return strings.Join(expanded, " ")
 }
 
 const (
--- a/internal/sim/testbed/fencing.go
+++ b/internal/sim/testbed/fencing.go
@@ -13,15 +13,15 @@
 func checkFencing(orders map[string][]workersim.Run) (faults []string) {
 	holder := map[uint64]string{}
 	for _, worker := range queue.Keys(orders) {
-		last := uint64(0)
+		highest := uint64(0)
 		for _, order := range orders[worker] {
 			if first, ok := holder[order.FencingToken]; ok && first != order.Holder {
 				faults = append(faults, fmt.Sprintf("%s and %s both sent orders with fencing token %d", first, order.Holder, order.FencingToken))
 			}
-			if order.FencingToken < last {
-				faults = append(faults, fmt.Sprintf("%s executed an order with fencing token %d after %d", worker, order.FencingToken, last))
+			if order.FencingToken < highest {
+				faults = append(faults, fmt.Sprintf("%s executed an order with fencing token %d after %d", worker, order.FencingToken, highest))
 			}
-			holder[order.FencingToken], last = order.Holder, max(last, order.FencingToken)
+			holder[order.FencingToken], highest = order.Holder, max(highest, order.FencingToken)
 		}
 	}
 	return faults
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -34,8 +34,8 @@
 // Up starts every process of a site on this machine and waits until the site serves its first configuration.
 //
 // Example: fleet, err := testbed.Up(ctx, site, "/tmp/run", "bin")
-func Up(ctx context.Context, s *Site, dir, bin string) (*Fleet, error) {
-	return startSite(ctx, s, dir, newLocalEnvironment(dir, bin), 0)
+func Up(ctx context.Context, site *Site, dir, programs string) (*Fleet, error) {
+	return startSite(ctx, site, dir, newLocalEnvironment(dir, programs), 0)
 }
 
 // startSite starts a site and waits until all processes are ready. A coldStart over 0 is waited for instead, from the
@@ -72,9 +72,9 @@
 }
 
 func (f *Fleet) process(name string) (Process, error) {
-	for _, p := range f.Site.Processes {
-		if p.Name == name {
-			return p, nil
+	for _, process := range f.Site.Processes {
+		if process.Name == name {
+			return process, nil
 		}
 	}
 	return Process{}, errs.New(errs.NotFound, "process %q", name)
@@ -84,11 +84,11 @@
 //
 // Example: err := fleet.Start("cab-3")
 func (f *Fleet) Start(name string) error {
-	p, err := f.process(name)
+	process, err := f.process(name)
 	if err != nil {
 		return err
 	}
-	return f.env.Start(p)
+	return f.env.Start(process)
 }
 
 // Signal sends a signal to a process that this fleet started.
@@ -106,8 +106,8 @@
 
 // applyFirstConfig applies the site's first configuration through any operator address.
 func (f *Fleet) applyFirstConfig(ctx context.Context) error {
-	ctx, end := context.WithTimeout(ctx, firstConfigTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, firstConfigTimeout)
+	defer cancel()
 	raw, err := json.Marshal(map[string]any{"setup": f.Site.Config, "token": "first", "if_epoch": 0})
 	if err != nil {
 		return errs.Wrap(err, "write first configuration")
@@ -127,19 +127,19 @@
 // awaitReady polls until every process is ready and the main service has a placement.
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n := 0
-		for _, p := range f.Site.Processes {
-			a := p.Settings.Public
-			if a == "" {
-				a = p.Settings.Listen
+		ready := 0
+		for _, process := range f.Site.Processes {
+			addr := process.Settings.Public
+			if addr == "" {
+				addr = process.Settings.Listen
 			}
-			if r, err := f.client.Get("http://" + a + "/readyz"); err == nil {
-				if r.Body.Close(); r.StatusCode == 200 {
-					n++
+			if response, err := f.client.Get("http://" + addr + "/readyz"); err == nil {
+				if response.Body.Close(); response.StatusCode == 200 {
+					ready++
 				}
 			}
 		}
-		if n == len(f.Site.Processes) && f.hasPlacement(ctx) {
+		if ready == len(f.Site.Processes) && f.hasPlacement(ctx) {
 			return nil
 		}
 		time.Sleep(startPollPause)
@@ -169,32 +169,32 @@
 func (f *Fleet) readJournals(include func(workersim.Run) bool) (map[string][]workersim.Run, error) {
 	byWorker := map[string][]workersim.Run{}
 	var batch errs.Batch
-	for n := range f.Site.Workers {
-		p, err := f.process(n)
-		if batch.Add(n, err); err == nil {
-			runs, err := f.env.Journal(p)
-			batch.Add(n, err)
-			byWorker[n] = slices.DeleteFunc(runs, func(r workersim.Run) bool { return !include(r) })
+	for name := range f.Site.Workers {
+		process, err := f.process(name)
+		if batch.Add(name, err); err == nil {
+			runs, err := f.env.Journal(process)
+			batch.Add(name, err)
+			byWorker[name] = slices.DeleteFunc(runs, func(r workersim.Run) bool { return !include(r) })
 		}
 	}
 	return byWorker, batch.Err()
 }
 
-func (f *Fleet) call(q *http.Request, err error) (int, string) {
+func (f *Fleet) call(request *http.Request, err error) (int, string) {
 	if err != nil {
 		return 0, err.Error()
 	}
-	q.Header.Set("Content-Type", "application/json")
-	r, err := f.client.Do(q)
+	request.Header.Set("Content-Type", "application/json")
+	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer r.Body.Close()
-	var b bytes.Buffer
-	if _, err := b.ReadFrom(r.Body); err != nil {
-		return r.StatusCode, err.Error()
+	defer response.Body.Close()
+	var body bytes.Buffer
+	if _, err := body.ReadFrom(response.Body); err != nil {
+		return response.StatusCode, err.Error()
 	}
-	return r.StatusCode, b.String()
+	return response.StatusCode, body.String()
 }
 
 // Post sends JSON to an operator address and returns the status and the body; the status is 0, and the body the
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -77,64 +77,64 @@
 func (l *Links) RuleBetween(from, to string) (LinkRule, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var r LinkRule
-	for _, k := range [][2]string{{from, to}, {"*", to}, {from, "*"}} {
-		x := l.rules[k]
-		r.Cut = r.Cut || x.Cut
-		r.Delay = max(r.Delay, x.Delay)
-		if x.BytesPerSecond > 0 && (r.BytesPerSecond == 0 || x.BytesPerSecond < r.BytesPerSecond) {
-			r.BytesPerSecond = x.BytesPerSecond
+	var combined LinkRule
+	for _, link := range [][2]string{{from, to}, {"*", to}, {from, "*"}} {
+		rule := l.rules[link]
+		combined.Cut = combined.Cut || rule.Cut
+		combined.Delay = max(combined.Delay, rule.Delay)
+		if rule.BytesPerSecond > 0 && (combined.BytesPerSecond == 0 || rule.BytesPerSecond < combined.BytesPerSecond) {
+			combined.BytesPerSecond = rule.BytesPerSecond
 		}
 	}
-	return r, l.wake
+	return combined, l.wake
 }
 
 // Relay listens at one address and relays connections to another, that of a machine's process.
 //
 // Example: err := links.Relay("127.110.1.11:7000", "127.10.1.11:7000", "edge-1")
 func (l *Links) Relay(at, to, machine string) error {
-	ln, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", at)
 	if err != nil {
 		return errs.WrapAs(err, errs.BadInput, "relay at "+at)
 	}
-	l.listeners = append(l.listeners, ln)
+	l.listeners = append(l.listeners, listener)
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return // closed
 			}
-			go l.proxyConn(c, to, machine)
+			go l.proxyConn(conn, to, machine)
 		}
 	}()
 	return nil
 }
 
-func (l *Links) proxyConn(c net.Conn, to, machine string) {
+func (l *Links) proxyConn(client net.Conn, to, machine string) {
 	from := "?"
-	if a, err := netip.ParseAddrPort(c.RemoteAddr().String()); err == nil {
+	if addr, err := netip.ParseAddrPort(client.RemoteAddr().String()); err == nil {
 		l.mu.Lock()
-		if n := l.names[a.Addr().Unmap()]; n != "" {
-			from = n
+		if name := l.names[addr.Addr().Unmap()]; name != "" {
+			from = name
 		}
 		l.mu.Unlock()
 	}
-	defer c.Close()
+	defer client.Close()
 	if !l.awaitLink(from, machine, 0) { // connecting waits like the bytes after it
 		return
 	}
-	d, err := net.DialTimeout("tcp", to, time.Second)
+	server, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
 		// Nobody listens: reset the connection, as the machine itself would refuse it.
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // sends a reset instead of an orderly end
+		if tcp, ok := client.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // sends a reset instead of an orderly end
 		}
 		return
 	}
-	defer d.Close()
+	defer server.Close()
 	done := make(chan struct{}, 2)
-	go func() { l.copy(d, c, from, machine); done <- struct{}{} }()
-	go func() { l.copy(c, d, machine, from); done <- struct{}{} }()
+	go func() { l.copy(server, client, from, machine); done <- struct{}{} }()
+	go func() { l.copy(client, server, machine, from); done <- struct{}{} }()
 	select {
 	case <-done:
 		<-done
@@ -144,26 +144,26 @@
 
 // copy relays bytes in one direction, and an orderly end or a reset of it.
 func (l *Links) copy(dst, src net.Conn, from, to string) {
-	b := make([]byte, 16<<10)
+	buffer := make([]byte, 16<<10)
 	for {
-		n, err := src.Read(b)
+		n, err := src.Read(buffer)
 		if n > 0 {
 			if !l.awaitLink(from, to, n) {
 				break
 			}
-			if _, e := dst.Write(b[:n]); e != nil {
+			if _, e := dst.Write(buffer[:n]); e != nil {
 				break
 			}
 		}
 		if err != nil {
 			if err != io.EOF {
-				if t, ok := dst.(*net.TCPConn); ok {
-					_ = t.SetLinger(0) // a reset is relayed as a reset
+				if tcp, ok := dst.(*net.TCPConn); ok {
+					_ = tcp.SetLinger(0) // a reset is relayed as a reset
 				}
 				break
 			}
-			if t, ok := dst.(*net.TCPConn); ok {
-				_ = t.CloseWrite() // if it fails, the peer sees a reset
+			if tcp, ok := dst.(*net.TCPConn); ok {
+				_ = tcp.CloseWrite() // if it fails, the peer sees a reset
 			}
 			return
 		}
@@ -173,16 +173,16 @@
 }
 
 // awaitLink waits until n bytes may pass by the link's rule; it reports false if the links are closed.
-func (l *Links) awaitLink(from, to string, n int) bool {
+func (l *Links) awaitLink(from, to string, bytes int) bool {
 	for {
-		r, wake := l.RuleBetween(from, to)
-		if !r.Cut {
-			d := r.Delay
-			if r.BytesPerSecond > 0 {
-				d += time.Duration(float64(n) / r.BytesPerSecond * float64(time.Second))
+		rule, wake := l.RuleBetween(from, to)
+		if !rule.Cut {
+			delay := rule.Delay
+			if rule.BytesPerSecond > 0 {
+				delay += time.Duration(float64(bytes) / rule.BytesPerSecond * float64(time.Second))
 			}
-			if d > 0 {
-				time.Sleep(d)
+			if delay > 0 {
+				time.Sleep(delay)
 			}
 			return true
 		}
@@ -199,7 +199,7 @@
 // Example: defer links.Close()
 func (l *Links) Close() {
 	close(l.quit)
-	for _, ln := range l.listeners {
-		ln.Close()
+	for _, listener := range l.listeners {
+		listener.Close()
 	}
 }
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -290,55 +290,55 @@
 }
 
 func (options Options) start(ctx context.Context) (*Fleet, error) {
-	s, err := LayOutTimes(options.Site, options.Dir, options.AddressByte, nil, max(1, options.Times))
+	site, err := LayOutTimes(options.Site, options.Dir, options.AddressByte, nil, max(1, options.Times))
 	if err != nil {
 		return nil, err
 	}
 	if options.Mode != "" {
-		v := s.Config.Services[mainService(s.Traffic.Model)]
-		v.Placement = options.Mode
-		s.Config.Services[mainService(s.Traffic.Model)] = v
+		service := site.Config.Services[mainService(site.Traffic.Model)]
+		service.Placement = options.Mode
+		site.Config.Services[mainService(site.Traffic.Model)] = service
 	}
 	if options.Rate > 0 {
-		s.Traffic.Rate = options.Rate
+		site.Traffic.Rate = options.Rate
 	}
-	return Up(ctx, s, options.Dir, options.Programs)
+	return Up(ctx, site, options.Dir, options.Programs)
 }
 
 // Run runs a site with client traffic for options.Seconds, and checks the outcomes against the workers' journals.
 //
 // Example: result, err := testbed.Run(ctx, testbed.Options{Site: "daegu", Seconds: 10, Seed: 1})
 func Run(ctx context.Context, options Options) (RunResult, error) {
-	f, err := options.start(ctx)
+	fleet, err := options.start(ctx)
 	if err != nil {
 		return RunResult{}, err
 	}
-	defer f.Stop()
+	defer fleet.Stop()
 	log := &loadgen.OutcomeLog{}
-	n := int(float64(options.Seconds) * f.Site.Traffic.Rate)
-	one, end := context.WithTimeout(ctx, time.Duration(options.Seconds)*2*time.Second)
-	defer end()
-	loadgen.SendTraffic(one, f.Site.Traffic, loadgen.NewClient(f.Site.Edges), options.Seed, "r", n, log)
-	use := f.Usage()
-	journals, err := f.Journals()
+	requests := int(float64(options.Seconds) * fleet.Site.Traffic.Rate)
+	traffic, cancel := context.WithTimeout(ctx, time.Duration(options.Seconds)*2*time.Second)
+	defer cancel()
+	loadgen.SendTraffic(traffic, fleet.Site.Traffic, loadgen.NewClient(fleet.Site.Edges), options.Seed, "r", requests, log)
+	usage := fleet.Usage()
+	journals, err := fleet.Journals()
 	if err != nil {
 		return RunResult{}, errs.Wrap(err, "journals")
 	}
-	return RunResult{log.Summarize(journals, true), use}, nil
+	return RunResult{log.Summarize(journals, true), usage}, nil
 }
 
 // printReport prints a run's line and its faults, and returns the exit code: exitFaults if there are any.
-func printReport(out io.Writer, report *Report, how, dir string) int {
+func printReport(out io.Writer, report *Report, command, dir string) int {
 	fmt.Fprintln(out, Line(report))
-	for _, m := range report.Sum.Samples {
-		fmt.Fprintln(out, "  "+m)
+	for _, sample := range report.Sum.Samples {
+		fmt.Fprintln(out, "  "+sample)
 	}
-	for _, f := range report.Faults {
-		fmt.Fprintln(out, "  FAULT "+f)
+	for _, fault := range report.Faults {
+		fmt.Fprintln(out, "  FAULT "+fault)
 	}
 	if len(report.Faults) == 0 {
 		return 0
 	}
-	fmt.Fprintf(out, "  steps: %s\n  replay: testbed %s --site %s --seed %d (logs in %s)\n", strings.Join(report.Steps, "; "), how, report.Site, report.Seed, dir)
+	fmt.Fprintf(out, "  steps: %s\n  replay: testbed %s --site %s --seed %d (logs in %s)\n", strings.Join(report.Steps, "; "), command, report.Site, report.Seed, dir)
 	return exitFaults
 }
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -23,32 +23,32 @@
 
 // settingsOf returns a process's settings; the zero value for an unknown process.
 func (f *Fleet) settingsOf(name string) settings.Process {
-	p, _ := f.process(name)
-	return p.Settings
+	process, _ := f.process(name)
+	return process.Settings
 }
 
 // startImpostor starts a second process, with an empty disk, under the machine name of an existing one and at
 // another address, while the existing process keeps running or is frozen.
 func (f *Fleet) startImpostor(name string) error {
-	for _, p := range f.Site.Processes {
-		if p.Name != name {
+	for _, process := range f.Site.Processes {
+		if process.Name != name {
 			continue
 		}
-		p.Name += "-again"
-		at := strings.Split(p.Settings.Listen, ".")
-		at[3] = "98:" + strings.Split(at[3], ":")[1]
-		p.Settings.Listen = strings.Join(at, ".")
-		if p.Settings.Operator != "" {
-			p.Settings.Operator = strings.Join(at[:3], ".") + ".98:8090"
+		process.Name += "-again"
+		octets := strings.Split(process.Settings.Listen, ".")
+		octets[3] = "98:" + strings.Split(octets[3], ":")[1]
+		process.Settings.Listen = strings.Join(octets, ".")
+		if process.Settings.Operator != "" {
+			process.Settings.Operator = strings.Join(octets[:3], ".") + ".98:8090"
 		}
-		if p.Settings.Data != "" {
-			p.Settings.Data += "-again"
+		if process.Settings.Data != "" {
+			process.Settings.Data += "-again"
 		}
-		if err := f.env.WriteSettings(p); err != nil {
+		if err := f.env.WriteSettings(process); err != nil {
 			return err
 		}
-		f.Site.Processes = append(f.Site.Processes, p)
-		return f.Start(p.Name)
+		f.Site.Processes = append(f.Site.Processes, process)
+		return f.Start(process.Name)
 	}
 	return errs.New(errs.NotFound, "process %q", name)
 }
@@ -60,16 +60,16 @@
 
 // configLeader returns the core machine that leads the configuration's shard.
 func (f *Fleet) configLeader(ctx context.Context) (string, error) {
-	for _, p := range f.Site.Processes {
-		if p.Program != programs.ControlNode {
+	for _, process := range f.Site.Processes {
+		if process.Program != programs.ControlNode {
 			continue
 		}
-		one, end := context.WithTimeout(ctx, time.Second)
-		t, err := wire.NewControlNodeClient("http://"+p.Settings.Listen, f.client).Status(one, &wire.StatusRequest{})
-		end()
-		for _, x := range t.GetShards() {
-			if err == nil && x.Shard == 0 && x.IsLeader {
-				return p.Settings.Name, nil
+		statusCtx, cancel := context.WithTimeout(ctx, time.Second)
+		status, err := wire.NewControlNodeClient("http://"+process.Settings.Listen, f.client).Status(statusCtx, &wire.StatusRequest{})
+		cancel()
+		for _, shard := range status.GetShards() {
+			if err == nil && shard.Shard == 0 && shard.IsLeader {
+				return process.Settings.Name, nil
 			}
 		}
 	}
@@ -79,27 +79,27 @@
 // moveAddress gives a core machine's process a new address, which its next start uses.
 func (f *Fleet) moveAddress(name string) error {
 	for i := range f.Site.Processes {
-		p := &f.Site.Processes[i]
-		if p.Name != name {
+		process := &f.Site.Processes[i]
+		if process.Name != name {
 			continue
 		}
-		h, port, err := net.SplitHostPort(p.Settings.Listen)
+		host, port, err := net.SplitHostPort(process.Settings.Listen)
 		if err != nil {
 			return errs.Wrap(err, "move")
 		}
-		q := strings.Split(h, ".")
-		h = strings.Join(append(q[:3], "99"), ".")
-		old := p.Settings.Operator
-		p.Settings.Listen = h + ":" + port
+		octets := strings.Split(host, ".")
+		host = strings.Join(append(octets[:3], "99"), ".")
+		old := process.Settings.Operator
+		process.Settings.Listen = host + ":" + port
 		if old != "" {
-			p.Settings.Operator = h + ":8090"
-			for j, o := range f.Site.Operators {
-				if o == old {
-					f.Site.Operators[j] = p.Settings.Operator
+			process.Settings.Operator = host + ":8090"
+			for j, operator := range f.Site.Operators {
+				if operator == old {
+					f.Site.Operators[j] = process.Settings.Operator
 				}
 			}
 		}
-		return f.env.WriteSettings(*p)
+		return f.env.WriteSettings(*process)
 	}
 	return errs.New(errs.NotFound, "process %q", name)
 }
@@ -120,9 +120,9 @@
 	}
 	last := ""
 	for i := range postAttempts {
-		one, end := context.WithTimeout(ctx, postTimeout)
-		code, body := run.fleet.Post(one, run.fleet.Site.Operators[(i+run.randomBelow(3))%len(run.fleet.Site.Operators)], path, raw)
-		end()
+		attemptCtx, cancel := context.WithTimeout(ctx, postTimeout)
+		code, body := run.fleet.Post(attemptCtx, run.fleet.Site.Operators[(i+run.randomBelow(3))%len(run.fleet.Site.Operators)], path, raw)
+		cancel()
 		var response struct {
 			Epoch int64  `json:"epoch"`
 			Kind  string `json:"kind"`
@@ -146,13 +146,13 @@
 	now := func() int64 { return time.Now().UnixMilli() }
 	switch step.Action {
 	case "weights":
-		var n uint64
-		if _, err := fmt.Sscan(step.Argument, &n); err != nil {
+		var number uint64
+		if _, err := fmt.Sscan(step.Argument, &number); err != nil {
 			return errs.New(errs.BadInput, "weights %q", step.Argument)
 		}
-		_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": n, "token": "weights-" + step.Argument})
+		_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": number, "token": "weights-" + step.Argument})
 		run.mu.Lock()
-		run.weightsNamedMs[n] = now()
+		run.weightsNamedMs[number] = now()
 		run.mu.Unlock()
 		return err
 	case "revoke":
@@ -170,13 +170,13 @@
 		if err != nil {
 			return err
 		}
-		for _, n := range targets {
-			if _, err := run.post(ctx, "/v1/drain", map[string]any{"worker": n, "drain": step.Action == "drain"}); err != nil {
+		for _, number := range targets {
+			if _, err := run.post(ctx, "/v1/drain", map[string]any{"worker": number, "drain": step.Action == "drain"}); err != nil {
 				return err
 			}
 			run.mu.Lock()
-			if run.drainedMs[n] = now(); step.Action == "undrain" {
-				delete(run.drainedMs, n)
+			if run.drainedMs[number] = now(); step.Action == "undrain" {
+				delete(run.drainedMs, number)
 			}
 			run.mu.Unlock()
 		}
@@ -185,12 +185,12 @@
 		seeds := strings.Fields(strings.ReplaceAll(step.Argument, "{net}", run.fleet.addressByte()))
 		return run.mustChange(ctx, configurationChange{token: "seeds", patch: map[string]any{"seeds": seeds}})
 	case "grow":
-		var n int
-		if _, err := fmt.Sscan(step.Argument, &n); err != nil {
+		var number int
+		if _, err := fmt.Sscan(step.Argument, &number); err != nil {
 			return errs.New(errs.BadInput, "grow %q", step.Argument)
 		}
 		models, services, routes := map[string]any{}, map[string]any{}, map[string]any{}
-		for i := range n {
+		for i := range number {
 			model := fmt.Sprintf("model-%d", i)
 			models[model], services["service-"+model], routes[model] = map[string]any{"weights": 1}, map[string]any{"model": model}, map[string]any{"service": "service-" + model}
 		}
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -147,13 +147,13 @@
 
 // configIn returns the configuration of a response without its version.
 func configIn(body string) string {
-	var s struct {
+	var response struct {
 		Configuration json.RawMessage `json:"setup"`
 	}
-	if json.Unmarshal([]byte(body), &s) != nil {
+	if json.Unmarshal([]byte(body), &response) != nil {
 		return body
 	}
-	return string(s.Configuration)
+	return string(response.Configuration)
 }
 
 // checkOldBaseOutlivesMigration checks that no worker is ordered to unload the old base before every worker has
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -44,26 +44,26 @@
 //
 // Example: scenarios, err := testbed.Scenarios()
 func Scenarios() ([]Scenario, error) {
-	es, err := scenarioFiles.ReadDir("scenarios")
+	entries, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
 		return nil, errs.Wrap(err, "list scenarios")
 	}
-	var l []Scenario
-	for _, e := range es {
-		raw, err := scenarioFiles.ReadFile("scenarios/" + e.Name())
+	var scenarios []Scenario
+	for _, entry := range entries {
+		raw, err := scenarioFiles.ReadFile("scenarios/" + entry.Name())
 		if err != nil {
 			return nil, errs.Wrap(err, "read scenario")
 		}
-		var s Scenario
-		d := json.NewDecoder(strings.NewReader(string(raw)))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&s); err != nil {
-			return nil, errs.WrapAs(err, errs.BadInput, "scenario "+e.Name())
+		var scenario Scenario
+		decoder := json.NewDecoder(strings.NewReader(string(raw)))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&scenario); err != nil {
+			return nil, errs.WrapAs(err, errs.BadInput, "scenario "+entry.Name())
 		}
-		if s.Name+".json" != e.Name() {
-			return nil, errs.New(errs.BadInput, "scenario file %s holds the name %q", e.Name(), s.Name)
+		if scenario.Name+".json" != entry.Name() {
+			return nil, errs.New(errs.BadInput, "scenario file %s holds the name %q", entry.Name(), scenario.Name)
 		}
-		l = append(l, s)
+		scenarios = append(scenarios, scenario)
 	}
-	return l, nil
+	return scenarios, nil
 }
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -39,19 +39,19 @@
 //
 // Example: report, err := testbed.Play(ctx, scenario, testbed.Options{Seed: 1, AddressByte: 10, Dir: dir, Programs: "bin"})
 func Play(ctx context.Context, scenario Scenario, options Options) (*Report, error) {
-	return PlayOn(ctx, scenario, options, func(s *Site) (Environment, error) {
-		m := newLocalEnvironment(options.Dir, options.Programs)
-		for i := range s.Processes {
-			p := &s.Processes[i]
-			if p.Program == programs.ControlNode {
-				p.Settings.Options = append(p.Settings.Options, "faults="+filepath.Join(options.Dir, p.Settings.Name+".fault"), "wall="+filepath.Join(options.Dir, p.Settings.Name+".wall"))
+	return PlayOn(ctx, scenario, options, func(site *Site) (Environment, error) {
+		environment := newLocalEnvironment(options.Dir, options.Programs)
+		for i := range site.Processes {
+			process := &site.Processes[i]
+			if process.Program == programs.ControlNode {
+				process.Settings.Options = append(process.Settings.Options, "faults="+filepath.Join(options.Dir, process.Settings.Name+".fault"), "wall="+filepath.Join(options.Dir, process.Settings.Name+".wall"))
 			}
 		}
 		if !scenario.Links {
-			return m, nil
+			return environment, nil
 		}
-		m.links = NewLinks()
-		return m, s.addRelays(m.links, options.AddressByte)
+		environment.links = NewLinks()
+		return environment, site.addRelays(environment.links, options.AddressByte)
 	})
 }
 
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -43,12 +43,12 @@
 //
 // Example: err := site.Write("/tmp/run")
 func (s *Site) Write(dir string) error {
-	var b errs.Batch
-	put := func(name string, v any) { b.Add("write "+name, writeJSON(dir, name, v)) }
-	b.Add("make folder", os.MkdirAll(dir, 0o755))
-	put("list.json", s.WorkerList)
-	put("setup.json", s.Config)
-	return b.Err()
+	var batch errs.Batch
+	write := func(name string, value any) { batch.Add("write "+name, writeJSON(dir, name, value)) }
+	batch.Add("make folder", os.MkdirAll(dir, 0o755))
+	write("list.json", s.WorkerList)
+	write("setup.json", s.Config)
+	return batch.Err()
 }
 
 func writeJSON(dir, name string, v any) error {
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -16,17 +16,17 @@
 // resolveTargets returns the processes that a step names. A pattern resolves to the same processes throughout a run.
 func (run *scenarioRun) resolveTargets(ctx context.Context, targets string) ([]string, error) {
 	var names []string
-	for _, x := range strings.Fields(targets) {
+	for _, word := range strings.Fields(targets) {
 		run.mu.Lock()
-		matches, ok := run.resolved[x]
+		matches, ok := run.resolved[word]
 		run.mu.Unlock()
 		if !ok {
 			var err error
-			if matches, err = run.resolvePattern(ctx, x); err != nil {
+			if matches, err = run.resolvePattern(ctx, word); err != nil {
 				return nil, err
 			}
 			run.mu.Lock()
-			run.resolved[x] = matches
+			run.resolved[word] = matches
 			run.mu.Unlock()
 		}
 		names = append(names, matches...)
@@ -39,12 +39,12 @@
 }
 
 // resolvePattern returns the processes that match "@owner", a pattern, or "pattern:count".
-func (run *scenarioRun) resolvePattern(ctx context.Context, x string) ([]string, error) {
-	if x == "@owner" {
+func (run *scenarioRun) resolvePattern(ctx context.Context, word string) ([]string, error) {
+	if word == "@owner" {
 		count, err := run.fleet.configLeader(ctx)
 		return []string{"archive-" + count}, err
 	}
-	pattern, count, limited := strings.Cut(x, ":")
+	pattern, count, limited := strings.Cut(word, ":")
 	var matches []string
 	for _, process := range run.fleet.Site.Processes {
 		if ok, err := path.Match(pattern, process.Name); ok && err == nil {
@@ -54,7 +54,7 @@
 	if limited {
 		var limit int
 		if _, err := fmt.Sscan(count, &limit); err != nil {
-			return nil, errs.New(errs.BadInput, "%q: give pattern:count", x)
+			return nil, errs.New(errs.BadInput, "%q: give pattern:count", word)
 		}
 		run.mu.Lock()
 		run.random.Shuffle(len(matches), func(i, j int) { matches[i], matches[j] = matches[j], matches[i] })
@@ -114,7 +114,7 @@
 		case "move":
 			batch.Add(name, run.fleet.moveAddress(name))
 		case "disk", "wall":
-			batch.Add(name, run.onProcess(name, func(q Process) error { return run.fleet.env.SetFault(q, step.Action, step.Argument) }))
+			batch.Add(name, run.onProcess(name, func(process Process) error { return run.fleet.env.SetFault(process, step.Action, step.Argument) }))
 		default:
 			batch.Addf(errs.BadInput, "unknown step %q", step.Action)
 		}
@@ -124,12 +124,12 @@
 
 // setLinks sets or removes link rules. Targets are machines separated by spaces; "*" is any machine.
 func (run *scenarioRun) setLinks(step Step) error {
-	var err errs.Batch
+	var batch errs.Batch
 	for _, from := range strings.Fields(step.Targets) {
 		to, rule := step.Argument, LinkRule{Cut: true}
 		if step.Action == "slow" {
 			to, rule = "*", LinkRule{}
-			if _, err := fmt.Sscan(step.Argument, &rule.BytesPerSecond); err != nil {
+			if _, batch := fmt.Sscan(step.Argument, &rule.BytesPerSecond); batch != nil {
 				return errs.New(errs.BadInput, "slow: %q: give bytes a second", step.Argument)
 			}
 		}
@@ -143,20 +143,20 @@
 			}
 		}
 		for _, peer := range strings.Fields(to) {
-			err.Add(step.Action, run.fleet.env.SetLink(from, peer, rule))
+			batch.Add(step.Action, run.fleet.env.SetLink(from, peer, rule))
 			if step.Action != "cut" {
-				err.Add(step.Action, run.fleet.env.SetLink(peer, from, rule))
+				batch.Add(step.Action, run.fleet.env.SetLink(peer, from, rule))
 			}
 		}
 	}
-	return err.Err()
+	return batch.Err()
 }
 
 // onProcess calls do with the named process.
 func (run *scenarioRun) onProcess(name string, do func(Process) error) error {
-	q, err := run.fleet.process(name)
+	process, err := run.fleet.process(name)
 	if err != nil {
 		return err
 	}
-	return do(q)
+	return do(process)
 }
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -16,9 +16,9 @@
 // Line formats a run's report as one line, which Tally parses.
 //
 // Example: fmt.Println(testbed.Line(report))
-func Line(r *Report) string {
+func Line(report *Report) string {
 	return fmt.Sprintf("%-16s %-7s seed %d: sealed %d of %d, during %.3f, after healing %.3f, hit share %.2f %.2f %.2f, extra runs %d, denied %v, broken %d, faults %d",
-		r.Scenario, r.Site, r.Seed, r.Sum.Sealed, r.Sum.Requests, r.SealedDuring, r.SealedAfterRecovery, r.HitShares[0], r.HitShares[1], r.HitShares[2], r.ExtraRuns, r.Sum.Rejected, r.Sum.Interrupted, len(r.Faults))
+		report.Scenario, report.Site, report.Seed, report.Sum.Sealed, report.Sum.Requests, report.SealedDuring, report.SealedAfterRecovery, report.HitShares[0], report.HitShares[1], report.HitShares[2], report.ExtraRuns, report.Sum.Rejected, report.Sum.Interrupted, len(report.Faults))
 }
 
 var linePattern = regexp.MustCompile(`(\S+) +(paramo|daegu) +seed \d+: sealed (\d+) of (\d+), during ([\d.]+), after (?:healing )?([\d.]+),.* extra runs (\d+), denied map\[[^]]*\](?:, broken \d+, faults (\d+))?`)
@@ -32,52 +32,52 @@
 // Example: err := testbed.Tally(os.Stdin, os.Stdout)
 func Tally(in io.Reader, out io.Writer) error {
 	rows := map[string][]tallyRow{}
-	b := bufio.NewScanner(in)
-	b.Buffer(nil, 1<<20)
-	for b.Scan() {
-		m := linePattern.FindStringSubmatch(b.Text())
-		if m == nil {
+	lines := bufio.NewScanner(in)
+	lines.Buffer(nil, 1<<20)
+	for lines.Scan() {
+		match := linePattern.FindStringSubmatch(lines.Text())
+		if match == nil {
 			continue
 		}
-		n := make([]float64, len(m))
-		for i := 3; i < len(m); i++ {
-			if m[i] != "" {
+		numbers := make([]float64, len(match))
+		for i := 3; i < len(match); i++ {
+			if match[i] != "" {
 				var err error
-				if n[i], err = strconv.ParseFloat(m[i], 64); err != nil {
-					return errs.WrapAs(err, errs.BadInput, "line "+b.Text())
+				if numbers[i], err = strconv.ParseFloat(match[i], 64); err != nil {
+					return errs.WrapAs(err, errs.BadInput, "line "+lines.Text())
 				}
 			}
 		}
-		name := m[1]
+		name := match[1]
 		if strings.HasPrefix(name, "mix-") {
 			name = "mixtures"
 		}
-		k := name + " | " + m[2]
-		rows[k] = append(rows[k], tallyRow{n[3] / max(1, n[4]), n[5], n[6], n[7], n[8]})
+		key := name + " | " + match[2]
+		rows[key] = append(rows[key], tallyRow{numbers[3] / max(1, numbers[4]), numbers[5], numbers[6], numbers[7], numbers[8]})
 	}
-	if err := b.Err(); err != nil {
+	if err := lines.Err(); err != nil {
 		return errs.Wrap(err, "read lines")
 	}
 	if len(rows) == 0 {
 		return errs.New(errs.BadInput, "no line of a run in the input: give the output of `testbed play` or of the simulated cluster")
 	}
 	fmt.Fprintln(out, "| scenario | site | runs | faults | sealed | during | after | extra runs |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, k := range queue.Keys(rows) {
-		l := rows[k]
-		col := func(f func(tallyRow) float64) string {
-			var v []float64
-			for _, x := range l {
-				v = append(v, f(x))
+	for _, key := range queue.Keys(rows) {
+		group := rows[key]
+		column := func(value func(tallyRow) float64) string {
+			var values []float64
+			for _, row := range group {
+				values = append(values, value(row))
 			}
-			sort.Float64s(v)
-			return fmt.Sprintf("%.3f, worst %.3f", v[len(v)/2], v[0])
+			sort.Float64s(values)
+			return fmt.Sprintf("%.3f, worst %.3f", values[len(values)/2], values[0])
 		}
 		faults, extra := 0.0, 0.0
-		for _, x := range l {
-			faults, extra = faults+x.faults, max(extra, x.extra)
+		for _, row := range group {
+			faults, extra = faults+row.faults, max(extra, row.extra)
 		}
-		fmt.Fprintf(out, "| %s | %d | %.0f | %s | %s | %s | %.0f at most |\n", k, len(l), faults, col(func(x tallyRow) float64 { return x.sealed }),
-			col(func(x tallyRow) float64 { return x.during }), col(func(x tallyRow) float64 { return x.after }), extra)
+		fmt.Fprintf(out, "| %s | %d | %.0f | %s | %s | %s | %.0f at most |\n", key, len(group), faults, column(func(row tallyRow) float64 { return row.sealed }),
+			column(func(row tallyRow) float64 { return row.during }), column(func(row tallyRow) float64 { return row.after }), extra)
 	}
 	return nil
 }
--- a/internal/sim/testbed/upgrade.go
+++ b/internal/sim/testbed/upgrade.go
@@ -16,41 +16,41 @@
 var settingsAddedLater = map[string][]string{"": {"operator_key"}, "bounds": {"try_allow", "once_ms"}}
 
 // settingsForEarlierRelease returns a process's settings as the first release reads them.
-func settingsForEarlierRelease(p Process) (map[string]any, error) {
-	raw, err := json.Marshal(p.Settings)
+func settingsForEarlierRelease(process Process) (map[string]any, error) {
+	raw, err := json.Marshal(process.Settings)
 	if err != nil {
 		return nil, errs.Wrap(err, "write settings")
 	}
-	m := map[string]any{}
-	if err := json.Unmarshal(raw, &m); err != nil {
+	document := map[string]any{}
+	if err := json.Unmarshal(raw, &document); err != nil {
 		return nil, errs.Wrap(err, "write settings")
 	}
-	for in, ks := range settingsAddedLater {
-		for _, k := range ks {
-			if in == "" {
-				delete(m, k)
-			} else if b, ok := m[in].(map[string]any); ok {
-				delete(b, k)
+	for section, keys := range settingsAddedLater {
+		for _, key := range keys {
+			if section == "" {
+				delete(document, key)
+			} else if object, ok := document[section].(map[string]any); ok {
+				delete(object, key)
 			}
 		}
 	}
-	return m, nil
+	return document, nil
 }
 
 // switchRelease stops a process gracefully and starts it with another folder of programs.
 func (f *Fleet) switchRelease(name, bin string) error {
 	for i := range f.Site.Processes {
-		p := &f.Site.Processes[i]
-		if p.Name != name {
+		process := &f.Site.Processes[i]
+		if process.Name != name {
 			continue
 		}
 		if err := f.Signal(name, syscall.SIGTERM); err != nil {
 			return err
 		}
-		<-time.After(p.Settings.Bounds.Leave(0.3)) // graceful shutdown: it hands over its leases and ends its streams
-		_ = f.Signal(name, syscall.SIGKILL)        // it may have ended by itself
-		p.Bin = bin
-		if err := f.env.WriteSettings(*p); err != nil {
+		<-time.After(process.Settings.Bounds.Leave(0.3)) // graceful shutdown: it hands over its leases and ends its streams
+		_ = f.Signal(name, syscall.SIGKILL)              // it may have ended by itself
+		process.Bin = bin
+		if err := f.env.WriteSettings(*process); err != nil {
 			return err
 		}
 		return f.Start(name)
@@ -64,47 +64,47 @@
 // Example: report, err := testbed.Upgrade(ctx, testbed.Options{Site: "paramo", Programs: "bin", EarlierRelease: "/tmp/old-bin", Dir: dir, AddressByte: 10})
 func Upgrade(ctx context.Context, options Options) (*Report, error) {
 	scenario := Scenario{Name: "upgrade", About: "an earlier release is upgraded machine by machine, and back", Site: options.Site, Rate: 25, ReadAll: true, MinSealedShare: 0.97}
-	var ms []string
+	var targets []string
 	for i := range 4 {
-		ms = append(ms, expandNames(coreProcesses, []string{fmt.Sprintf("core-%d", i+1)}))
+		targets = append(targets, expandNames(coreProcesses, []string{fmt.Sprintf("core-%d", i+1)}))
 	}
 	for i := range 9 {
-		ms = append(ms, expandNames(edgeProcesses, []string{fmt.Sprintf("edge-%d", i+1)}))
+		targets = append(targets, expandNames(edgeProcesses, []string{fmt.Sprintf("edge-%d", i+1)}))
 	}
 	at := 1000
-	for i := range 2 * len(ms) {
-		to, m := "new", ms[min(i, len(ms)-1)]
-		if i >= len(ms) {
-			to, m = "old", ms[2*len(ms)-1-i]
+	for i := range 2 * len(targets) {
+		release, target := "new", targets[min(i, len(targets)-1)]
+		if i >= len(targets) {
+			release, target = "old", targets[2*len(targets)-1-i]
 		}
-		scenario.Steps = append(scenario.Steps, Step{At: at, Action: "swap", Targets: m, Argument: to})
+		scenario.Steps = append(scenario.Steps, Step{At: at, Action: "swap", Targets: target, Argument: release})
 		if at += 3000; i%5 == 2 {
 			scenario.Steps = append(scenario.Steps, Step{At: at - 500, Action: "storm", Argument: "3"})
 		}
 	}
-	return PlayOn(ctx, scenario, options, func(s *Site) (Environment, error) {
-		for i := range s.Processes {
-			p := &s.Processes[i]
-			if strings.HasPrefix(p.Settings.Name, "core-") || strings.HasPrefix(p.Settings.Name, "edge-") {
-				p.Bin = options.EarlierRelease
+	return PlayOn(ctx, scenario, options, func(site *Site) (Environment, error) {
+		for i := range site.Processes {
+			process := &site.Processes[i]
+			if strings.HasPrefix(process.Settings.Name, "core-") || strings.HasPrefix(process.Settings.Name, "edge-") {
+				process.Bin = options.EarlierRelease
 			}
 		}
-		m := newLocalEnvironment(options.Dir, options.Programs)
-		m.earlierRelease = options.EarlierRelease
-		return m, nil
+		target := newLocalEnvironment(options.Dir, options.Programs)
+		target.earlierRelease = options.EarlierRelease
+		return target, nil
 	})
 }
 
 // writeSettings writes a process's settings as its release reads them.
-func (env *localEnvironment) writeSettings(p Process) error {
-	if env.earlierRelease == "" || p.Bin != env.earlierRelease {
-		return writeJSON(env.dir, p.Name+".json", p.Settings)
+func (env *localEnvironment) writeSettings(process Process) error {
+	if env.earlierRelease == "" || process.Bin != env.earlierRelease {
+		return writeJSON(env.dir, process.Name+".json", process.Settings)
 	}
-	v, err := settingsForEarlierRelease(p)
+	earlier, err := settingsForEarlierRelease(process)
 	if err != nil {
 		return err
 	}
-	return writeJSON(env.dir, p.Name+".json", v)
+	return writeJSON(env.dir, process.Name+".json", earlier)
 }
 
 // programsOf returns the folder of the release that a step names, "old" or "new".
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -26,25 +26,25 @@
 //
 // Example: for program, usage := range fleet.Usage() { fmt.Println(program, usage.PeakMB) }
 func (f *Fleet) Usage() map[string]ResourceUsage {
-	m := map[string]ResourceUsage{}
-	on, real := f.env.(*localEnvironment)
-	if !real {
-		return m
+	usage := map[string]ResourceUsage{}
+	env, ok := f.env.(*localEnvironment)
+	if !ok {
+		return usage
 	}
-	for _, p := range f.Site.Processes {
-		on.mu.Lock()
-		c := on.processes[p.Name]
-		on.mu.Unlock()
-		if c == nil || c.Process == nil {
+	for _, process := range f.Site.Processes {
+		env.mu.Lock()
+		command := env.processes[process.Name]
+		env.mu.Unlock()
+		if command == nil || command.Process == nil {
 			continue
 		}
-		u := m[p.Program]
-		u.Processes++
-		u.PeakMB = max(u.PeakMB, peakMemoryMB(c.Process.Pid))
-		u.CPUShare = max(u.CPUShare, cpuPercent(c.Process.Pid))
-		m[p.Program] = u
+		total := usage[process.Program]
+		total.Processes++
+		total.PeakMB = max(total.PeakMB, peakMemoryMB(command.Process.Pid))
+		total.CPUShare = max(total.CPUShare, cpuPercent(command.Process.Pid))
+		usage[process.Program] = total
 	}
-	return m
+	return usage
 }
 
 func peakMemoryMB(pid int) float64 {
@@ -52,10 +52,10 @@
 	if err != nil {
 		return 0 // it has ended
 	}
-	for _, l := range strings.Split(string(raw), "\n") {
-		if v, ok := strings.CutPrefix(l, "VmHWM:"); ok {
-			if n, err := strconv.ParseFloat(strings.Fields(v)[0], 64); err == nil {
-				return n / 1024
+	for _, line := range strings.Split(string(raw), "\n") {
+		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
+			if kilobytes, err := strconv.ParseFloat(strings.Fields(value)[0], 64); err == nil {
+				return kilobytes / 1024
 			}
 		}
 	}
@@ -65,26 +65,26 @@
 // cpuPercent is the share of one core since the process started, in percent.
 func cpuPercent(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	up, err2 := os.ReadFile("/proc/uptime")
-	if err != nil || err2 != nil {
+	uptime, uptimeErr := os.ReadFile("/proc/uptime")
+	if err != nil || uptimeErr != nil {
 		return 0
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	fs := strings.Fields(rest)
-	num := func(s string) float64 {
+	fields := strings.Fields(rest)
+	number := func(s string) float64 {
 		n, err := strconv.ParseFloat(s, 64)
 		if err != nil {
 			return 0
 		}
 		return n
 	}
-	if len(fs) < 20 {
+	if len(fields) < 20 {
 		return 0
 	}
 	const ticks = 100 // a second, as Linux counts for user space
-	lived := num(strings.Fields(string(up))[0]) - num(fs[19])/ticks
-	if lived <= 0 {
+	elapsed := number(strings.Fields(string(uptime))[0]) - number(fields[19])/ticks
+	if elapsed <= 0 {
 		return 0
 	}
-	return (num(fs[11]) + num(fs[12])) / ticks / lived * 100
+	return (number(fields[11]) + number(fields[12])) / ticks / elapsed * 100
 }
