--- a/bench/randomday/main_test.go
+++ b/bench/randomday/main_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// What is written can be read, repeats under its seed, and lies within the day.
+// A day can be decoded, is the same for the same seed, and its entries begin within the day.
 func TestDaysAreDrawnFromTheSeed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "site.toml")
 	if err := os.WriteFile(path, []byte(smallSite), 0o600); err != nil {
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		if again, err := randomDay(path, "scale-1", seed); err != nil || again != text {
-			t.Fatalf("seed %d gives another day the second time: %v", seed, err)
+			t.Fatalf("seed %d gives different days: %v", seed, err)
 		}
 		w := written{}
 		if _, err := toml.Decode(text, &w); err != nil {
@@ -70,10 +70,10 @@
 	}
 	for _, x := range append(plans, faults...) {
 		if !seen[x.kind] {
-			t.Errorf("%s never came in 400 days", x.kind)
+			t.Errorf("%s was never drawn in 400 days", x.kind)
 		}
 	}
 	if _, err := randomDay(path, "none", 1); err == nil || !strings.Contains(err.Error(), "no day") {
-		t.Errorf("a day that isn't there: %v", err)
+		t.Errorf("an unknown day: %v", err)
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -14,15 +14,15 @@
 	os.Exit(m.Run())
 }
 
-// The measuring command runs every part, and each series has three sizes and three runs of each.
+// Every part can be measured, and each series has at least three sizes with three runs each.
 func TestEveryPartMeasures(t *testing.T) {
-	for _, p := range parts {
-		m, err := Measure(p.name, true, io.Discard)
+	for _, part := range parts {
+		m, err := Measure(part.name, true, io.Discard)
 		if err != nil {
-			t.Fatalf("%s: %v", p.name, err)
+			t.Fatalf("%s: %v", part.name, err)
 		}
 		if len(m.Series) == 0 {
-			t.Errorf("%s measures nothing", p.name)
+			t.Errorf("%s measures nothing", part.name)
 		}
 		for _, s := range m.Series {
 			runs := map[float64]int{}
@@ -32,7 +32,7 @@
 					t.Errorf("%s: %v at %v", s.Name, x.Value, x.Size)
 				}
 			}
-			if len(runs) < 3 || s.Name == "" || s.Unit == "" || s.How == "" || s.Part != p.name {
+			if len(runs) < 3 || s.Name == "" || s.Unit == "" || s.How == "" || s.Part != part.name {
 				t.Errorf("%s: %d sizes: %+v", s.Name, len(runs), s)
 			}
 			for n, k := range runs {
@@ -44,6 +44,7 @@
 	}
 }
 
+// An unknown part is an error.
 func TestAPartThatIsNone(t *testing.T) {
 	if _, err := Measure("none", true, io.Discard); err == nil {
 		t.Error("it was measured")
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -10,6 +10,7 @@
 
 const docs = "../../docs"
 
+// read reads a file in the folder docs.
 func read(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(docs, name))
@@ -19,7 +20,7 @@
 	return raw
 }
 
-// Every number of the page is worked out anew from the files beside it.
+// The page is what is generated from the files beside it.
 func TestThePageIsWhatTheFilesGive(t *testing.T) {
 	want, err := Page(docs)
 	if err != nil {
@@ -32,7 +33,7 @@
 
 var number = regexp.MustCompile(`[0-9][0-9,.]*`)
 
-// The check sees each number of the page that is changed, wherever it stands.
+// A change of any number on the page is detected.
 func TestAPlantedDifferenceIsSeen(t *testing.T) {
 	want, err := Page(docs)
 	if err != nil {
@@ -40,7 +41,7 @@
 	}
 	all := number.FindAllStringIndex(want, -1)
 	if len(all) < 300 {
-		t.Fatalf("%d numbers: that isn't the whole page", len(all))
+		t.Fatalf("%d numbers: that isn't the complete page", len(all))
 	}
 	for _, at := range all {
 		digit := "7"
@@ -91,7 +92,7 @@
 	}
 }
 
-// Every size in the model is used by a formula or told on the page, every figure's role has its table.
+// Every size in the model is used by a formula or shown on the page, and every figure is in a table.
 func TestNothingIsWorkedOutForNothing(t *testing.T) {
 	m, err := Read(read(t, measuredFile))
 	if err != nil {
@@ -104,7 +105,7 @@
 	page, text := string(read(t, pageFile)), string(read(t, textFile))
 	for _, f := range s.Figures {
 		if !strings.Contains(page, "(`"+f.ID+"`)") {
-			t.Errorf("figure %s stands on no table", f.ID)
+			t.Errorf("figure %s is in no table", f.ID)
 		}
 	}
 	for _, x := range s.Sizes {
@@ -113,7 +114,7 @@
 			used = used || f.Limit == x.ID || regexp.MustCompile(`\b`+x.ID+`\b`).MatchString(f.Formula)
 		}
 		if !used {
-			t.Errorf("size %s: nothing goes by it", x.ID)
+			t.Errorf("size %s isn't used", x.ID)
 		}
 	}
 }
@@ -122,6 +123,7 @@
 	return Series{Name: name, Unit: "µs", Factor: "nodes", Points: points}
 }
 
+// A line is fitted to a straight series only; a bent one is interpolated between its sizes.
 func TestALineIsDrawnThroughNoBend(t *testing.T) {
 	straight, bent := series("s"), series("b")
 	for _, n := range []float64{10, 20, 40, 80} {
@@ -151,10 +153,11 @@
 	}
 	noisy := series("n", Point{10, 10}, Point{10, 40}, Point{10, 20}, Point{20, 30}, Point{20, 31}, Point{20, 32}, Point{40, 50}, Point{40, 60}, Point{40, 70})
 	if l := fit(&noisy); l.Bent {
-		t.Errorf("its runs are further apart than it is off the line: %+v", l)
+		t.Errorf("bent, though its runs are further apart than the line is off: %+v", l)
 	}
 }
 
+// Formulas are evaluated, and invalid ones rejected.
 func TestFormulas(t *testing.T) {
 	m := &Measured{Series: []Series{series("s", Point{10, 35}, Point{20, 65}, Point{40, 125}), series("b", Point{10, 100}, Point{20, 400}, Point{40, 1600})}}
 	of := func(formula string) string {
@@ -168,7 +171,7 @@
 	}
 	for _, formula := range []string{`"slope(\"b\")"`, `"base(\"b\")"`, `"at(\"b\", 41)"`, `"at(\"none\", 1)"`, `"none"`, `"f"`, `"n +"`, `"n % 2"`, `"slope(n)"`, `"other(\"s\")"`, `"n; 1"`} {
 		if _, err := computeSheet([]byte(of(formula)), m); err == nil {
-			t.Errorf("%s was worked out", formula)
+			t.Errorf("%s was computed", formula)
 		}
 	}
 }
@@ -185,6 +188,7 @@
 	}
 }
 
+// Join replaces the series that a later run has measured, and keeps the others.
 func TestARunIsLaidOverAnOlderOne(t *testing.T) {
 	old := &Measured{Command: "c", Series: []Series{series("a", Point{1, 1}), series("b", Point{1, 2})}}
 	raw, err := Join(old, &Measured{Command: "c", Series: []Series{series("b", Point{1, 3}), series("c", Point{1, 4})}}).Write()
--- a/internal/sim/clustersim/cluster_test.go
+++ b/internal/sim/clustersim/cluster_test.go
@@ -11,6 +11,7 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
+// envNumber returns the number in an environment variable, or a default if it isn't set.
 func envNumber(t *testing.T, key string, or uint64) uint64 {
 	t.Helper()
 	v := os.Getenv(key)
@@ -24,7 +25,7 @@
 	return n
 }
 
-// runScenario runs a scenario on the table, in a bubble of virtual time.
+// runScenario plays a scenario on the cluster that on returns, in a bubble of virtual time.
 func runScenario(t *testing.T, scenario testbed.Scenario, site string, seed uint64, on func(*testbed.Site) *Cluster) (rep *testbed.Report) {
 	t.Helper()
 	if raceDetector {
@@ -46,9 +47,8 @@
 	return rep
 }
 
-// The scenarios of the test bed, on virtual time. `TABLE_SCENARIO=all go test ./internal/sim/clustersim -run
-// TestScenarios -timeout 2h` plays them all; TABLE_SITE, TABLE_SEED and TABLE_SEEDS say where and
-// with which seeds.
+// The scenarios of the test bed have no fault in virtual time. `TABLE_SCENARIO=all go test ./internal/sim/clustersim -run
+// TestScenarios -timeout 2h` plays them all; TABLE_SITE, TABLE_SEED and TABLE_SEEDS select the site and the seeds.
 func TestScenarios(t *testing.T) {
 	l, err := testbed.Scenarios()
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// runMixture plays a script and says what was wrong with it.
+// runMixture plays a mixture of faults and returns the report.
 func runMixture(t *testing.T, site string, seed uint64, l []testbed.Fault) *testbed.Report {
 	t.Helper()
 	scenario := testbed.FaultScenario(site, seed, l)
@@ -90,9 +90,9 @@
 	return r
 }
 
-// Seeded mixtures of all troubles of the brief, judged by the fleets' own checks. `TABLE_SEEDS=1000
-// go test ./internal/sim/clustersim -run TestMixtures -timeout 12h` runs wide; TABLE_SEED replays one, and
-// with TABLE_SHRINK=1 leaves out what a fault doesn't need.
+// The invariants hold under mixtures of faults that are drawn from seeds. `TABLE_SEEDS=1000 go test
+// ./internal/sim/clustersim -run TestMixtures -timeout 12h` plays many; TABLE_SEED replays one, and TABLE_SHRINK=1 omits
+// the faults that a violation doesn't need.
 func TestMixtures(t *testing.T) {
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -11,9 +11,9 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// What the placement is worth against its own switches, on virtual time, where the machine's speed
-// has no say. `TABLE_COMPARE="kv=6000 skew=1.0 link=40000" TABLE_SITE=paramo TABLE_SEEDS=5 go test
-// ./internal/sim/clustersim -run TestCompare -v -timeout 3h` prints a table; runs are interleaved.
+// A measurement of the placement modes in virtual time, where the speed of the machine has no influence.
+// `TABLE_COMPARE="kv=6000 skew=1.0 link=40000" TABLE_SITE=paramo TABLE_SEEDS=5 go test ./internal/sim/clustersim -run
+// TestCompare -v -timeout 3h` prints a table; the modes take turns within a seed.
 func TestCompare(t *testing.T) {
 	words := os.Getenv("TABLE_COMPARE")
 	if words == "" {
@@ -43,7 +43,7 @@
 						continue
 					}
 					for i := range s.Processes {
-						if s.Processes[i].Program == programs.WorkerSim { // the first word of a name counts
+						if s.Processes[i].Program == programs.WorkerSim { // the first option of a name has effect
 							s.Processes[i].Settings.Options = append([]string{w}, s.Processes[i].Settings.Options...)
 						}
 					}
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// loosenBounds loosens bounds of a program's processes; those that the run is judged by stay.
+// loosenBounds loosens bounds of a program's processes, not the bounds that the checks use.
 func loosenBounds(s *testbed.Site, program string, f func(*settings.Bounds)) {
 	for i := range s.Processes {
 		if s.Processes[i].Program == program {
@@ -19,7 +19,7 @@
 	}
 }
 
-// plantWorkerFault makes some workers lie.
+// plantWorkerFault plants a fault in every nth worker; see the package workersim.
 func plantWorkerFault(s *testbed.Site, word string, every int) {
 	n := 0
 	for i := range s.Processes {
@@ -31,19 +31,19 @@
 	}
 }
 
+// replaceBytes returns a function that replaces a text in what clients and operators read.
 func replaceBytes(from, to string) func([]byte) []byte {
 	return func(b []byte) []byte { return bytes.ReplaceAll(b, []byte(from), []byte(to)) }
 }
 
-// One fault for each point of the brief is planted, and the run must see it. The last row has
-// none planted, and nothing must be seen.
+// The checks of a run detect a planted violation of each guarantee, and nothing without one.
 func TestPlantedFaultsAreSeen(t *testing.T) {
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
 	}
 	cores := "core-1 core-2 core-3 core-4"
 	cut := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
-	stale := func(s *testbed.Site) { // edges that follow what they have, however old
+	stale := func(s *testbed.Site) { // proxies that apply their configuration however old it is
 		loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
 	}
 	for _, x := range []struct {
@@ -53,24 +53,24 @@
 		plant       func(*testbed.Site)
 		tamper      func([]byte) []byte
 	}{
-		{"a once-only request runs twice", "ran 2 times", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "twice", 2) }, nil},
-		{"not run, and it ran", "yet it ran", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "denies", 1) }, nil},
-		{"an answer is mixed with another", "a piece of another answer", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
-		{"pieces are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
+		{"an at-most-once request runs twice", "ran 2 times", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "twice", 2) }, nil},
+		{"rejected as not executed, yet it ran", "yet it ran", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "denies", 1) }, nil},
+		{"a response is mixed with another", "a piece of another answer", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
+		{"chunks are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
 		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
-		{"a revoked key is let in", "was accepted", cut, 2000, stale, nil},
+		{"a revoked key is accepted", "was accepted", cut, 2000, stale, nil},
 		{"a drained worker gets requests", "after it was drained", cut, 2000, stale, nil},
 		{"older weights start", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(s *testbed.Site) {
 			plantWorkerFault(s, "deaf", 2)
 			loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
 		}, nil},
 		{"another tenant's cache", "under its tenant", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "walls", 1) }, nil},
-		{"too many extra tries", "extra runs on", nil, 12000, func(s *testbed.Site) {
+		{"too many retries", "extra runs on", nil, 12000, func(s *testbed.Site) {
 			plantWorkerFault(s, "dies", 2)
 			loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
 		}, nil},
-		{"an acknowledged setup is lost", "doesn't return the configuration", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
-		{"service isn't back", "service did not recover", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
+		{"an acknowledged configuration is lost", "doesn't return the configuration", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
+		{"service doesn't recover", "service did not recover", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
 		{"nothing", "", nil, 1000, nil, nil},
 	} {
 		t.Run(x.point, func(t *testing.T) {
@@ -79,9 +79,9 @@
 				if x.plant != nil {
 					x.plant(s)
 				}
-				table := New(3, s)
-				table.tamperWithReads = x.tamper
-				return table
+				cluster := New(3, s)
+				cluster.tamperWithReads = x.tamper
+				return cluster
 			})
 			if all := strings.Join(r.Faults, "\n"); x.want == "" && all != "" || !strings.Contains(all, x.want) {
 				t.Errorf("%q isn't among %d faults:\n%.1500s\n%s", x.want, len(r.Faults), all, testbed.Line(r))
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -9,6 +9,7 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
+// scenario returns the scenario of a name, at ten requests a second.
 func scenario(t *testing.T, name string) testbed.Scenario {
 	t.Helper()
 	l, err := testbed.Scenarios()
@@ -25,8 +26,8 @@
 	return testbed.Scenario{}
 }
 
-// Whole retirements under live traffic, with the programs as they are. Beside the first stands the same
-// traffic without one: nobody waits past their bound because of it.
+// Retirements under traffic succeed without a violation. The first one is compared with the same traffic without a
+// retirement: no more requests may miss their deadline.
 func TestRetirementsUnderTraffic(t *testing.T) {
 	late := func(r *testbed.Report) int { return r.Sum.Requests - r.Sum.Sealed }
 	for _, name := range []string{"retire-calm", "retire-troubles", "retire-abort"} {
@@ -44,15 +45,15 @@
 		o := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(o))
 		if a, b := late(r), late(o); a > b {
-			t.Errorf("%d of %d requests weren't answered in time with a retirement, %d of %d without", a, r.Sum.Requests, b, o.Sum.Requests)
+			t.Errorf("%d of %d requests weren't completed in time with a retirement, %d of %d without", a, r.Sum.Requests, b, o.Sum.Requests)
 		}
 	}
 }
 
-// Seeded mixtures of the site's troubles while a retirement is under way: it ends, and no rule is broken.
-// Left out is what the run's own checks can't tell apart (other weights of the base), and what nobody
-// ends (a drained worker that isn't replaced). `TABLE_SEEDS=20 go test ./internal/sim/clustersim -run
-// TestMixturesInARetirement -timeout 2h` runs wide.
+// A retirement completes, and the invariants hold, under mixtures of faults that are drawn from seeds. Left out are faults
+// that the checks can't distinguish from the retirement (other weights of the base model), and those that never end (a
+// drained worker that isn't replaced). `TABLE_SEEDS=20 go test ./internal/sim/clustersim -run
+// TestMixturesInARetirement -timeout 2h` plays many.
 func TestMixturesInARetirement(t *testing.T) {
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
@@ -83,8 +84,8 @@
 	}
 }
 
-// How long a retirement takes, by how many nodes go together. `TABLE_PACES=1,2,3,6 go test
-// ./internal/sim/clustersim -run TestPaces -v` prints a line each.
+// A measurement of the duration of a retirement over the number of workers that migrate at once. `TABLE_PACES=1,2,3,6 go
+// test ./internal/sim/clustersim -run TestPaces -v` prints a line for each.
 func TestPaces(t *testing.T) {
 	words := os.Getenv("TABLE_PACES")
 	if words == "" {
@@ -101,8 +102,8 @@
 	}
 }
 
-// Planted faults that only the programs can show: a worker that boasts of adapters holds the barrier, so
-// the old base stays; and one that answers under the wrong weights is seen by its callers.
+// Planted faults of a retirement are detected: a worker that reports adapters it hasn't loaded blocks the barrier, so that
+// the old base model stays, and clients detect a response of the wrong adapter.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
@@ -112,8 +113,8 @@
 		every              int
 		tamper             func([]byte) []byte
 	}{
-		{"a worker boasts", "its proof failed", "done", 18, nil},
-		{"an answer is another adapter's", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
+		{"a worker reports adapters that it hasn't loaded", "its proof failed", "done", 18, nil},
+		{"a response of another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
 		scenario := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
 			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", x.state)}}
@@ -121,9 +122,9 @@
 			if x.every > 0 {
 				plantWorkerFault(s, "boasts", x.every)
 			}
-			table := New(3, s)
-			table.tamperWithReads = x.tamper
-			return table
+			cluster := New(3, s)
+			cluster.tamperWithReads = x.tamper
+			return cluster
 		})
 		if all := strings.Join(r.Faults, "\n"); !strings.Contains(all, x.want) {
 			t.Errorf("%s: %q isn't among the faults:\n%.1500s", x.point, x.want, all)
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -15,7 +15,7 @@
 
 var ask = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, Once: true}
 
-// lines is a right answer, as a worker sends it.
+// lines returns the lines of a correct response.
 func lines(q Request, domain string, weights uint64) [][]byte {
 	es := prefix.Chain(domain, q.Model, weights, q.Parts)
 	s := contract.NewSeal(q.ID, "cab-1")
@@ -36,6 +36,7 @@
 	return l
 }
 
+// broken is a reader that ends with an error.
 type broken struct{ r io.Reader }
 
 func (b broken) Read(p []byte) (int, error) {
@@ -46,34 +47,35 @@
 	return n, err
 }
 
-// Each fault is planted into a right answer; the checker must say so.
+// ReadStream detects each fault that is planted in a correct response, and no fault in an interrupted one.
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	right := func() [][]byte { return lines(ask, "shared", 3) }
 	if o := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(right(), nil))); !o.Sealed || len(o.Faults) > 0 {
-		t.Fatalf("the right answer: %+v", o)
+		t.Fatalf("a correct response: %+v", o)
 	}
 	other := ask
 	other.ID = "r2"
 	for name, plant := range map[string]func([][]byte) [][]byte{
-		"a lost piece":            func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
-		"a doubled piece":         func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
-		"a splice":                func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
-		"pieces swapped":          func(l [][]byte) [][]byte { l[1], l[2] = l[2], l[1]; return l },
-		"a missing seal":          func(l [][]byte) [][]byte { return l[:5] },
-		"a changed byte":          func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
-		"a line after the seal":   func(l [][]byte) [][]byte { return append(l, l[5]) },
-		"another tenant's answer": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
-		"cut short, sealed anew":  func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
+		"a lost chunk":              func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
+		"a doubled chunk":           func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
+		"a splice":                  func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
+		"chunks swapped":            func(l [][]byte) [][]byte { l[1], l[2] = l[2], l[1]; return l },
+		"a missing seal":            func(l [][]byte) [][]byte { return l[:5] },
+		"a changed byte":            func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
+		"a line after the seal":     func(l [][]byte) [][]byte { return append(l, l[5]) },
+		"another tenant's response": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
+		"cut short, sealed anew":    func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
 		if o := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(o.Faults) == 0 {
 			t.Errorf("%s: not caught: %+v", name, o)
 		}
 	}
 	if o := ReadStream(ask, "cab-1", broken{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(o.Faults) > 0 || o.Sealed || o.Interrupted == "" {
-		t.Errorf("a visibly broken stream is no fault: %+v", o)
+		t.Errorf("an interrupted stream is no fault: %+v", o)
 	}
 }
 
+// Outcomes are checked against the workers' journals.
 func TestJournalsAreReconciled(t *testing.T) {
 	run := workersim.Run{RequestID: "r1"}
 	for _, c := range []struct {
@@ -84,9 +86,9 @@
 	}{
 		{"ran once, sealed", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}}, ""},
 		{"a doubled run", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}, "b": {run}}, "ran 2 times"},
-		{"not run, yet it ran", Outcome{Request: ask, Rejected: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
+		{"rejected as not executed, yet it ran", Outcome{Request: ask, Rejected: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
 		{"may have run, and did", Outcome{Request: ask, Rejected: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
-		{"sealed by nobody", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
+		{"sealed, but in no journal", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
 	} {
 		b := &OutcomeLog{}
 		b.Add(c.o)
@@ -97,8 +99,7 @@
 	}
 }
 
-// Of a request that was sent to two edges the copy that was let in counts, and both being
-// answered is a fault.
+// Of a request that was sent to two edge nodes the admitted copy counts; it is a fault if both were executed.
 func TestTwinsAreOneRequest(t *testing.T) {
 	twin := ask
 	twin.Duplicate = true
@@ -108,10 +109,10 @@
 		sealed int
 		faults bool
 	}{
-		{"the first is let in", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Rejected: "may-have-run"}, 1, false},
-		{"the second is let in", Outcome{Request: ask, Rejected: "may-have-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
-		{"one is refused though the other ran", Outcome{Request: ask, Rejected: "not-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
-		{"both are let in", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Sealed: true}, 1, true},
+		{"the first is admitted", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Rejected: "may-have-run"}, 1, false},
+		{"the second is admitted", Outcome{Request: ask, Rejected: "may-have-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
+		{"one is rejected though the other ran", Outcome{Request: ask, Rejected: "not-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
+		{"both are admitted", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Sealed: true}, 1, true},
 	} {
 		b := &OutcomeLog{}
 		b.Add(c.a)
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -13,126 +13,171 @@
 	"pebbleloom/internal/cli"
 )
 
-// operatorHand is the person at the pebblectl: asked to confirm, it does what the book says first.
-type operatorHand struct{ confirm func() }
+// confirmation is the input of an operator who, when asked to confirm, first does what the runbook instructs.
+type confirmation struct{ do func() }
 
-func (h *operatorHand) Read(p []byte) (int, error) {
-	if h.confirm != nil {
-		h.confirm()
-		h.confirm = nil
+func (c *confirmation) Read(p []byte) (int, error) {
+	if c.do != nil {
+		c.do()
+		c.do = nil
 	}
 	return copy(p, "yes\n"), nil
 }
 
-// Runbooks are carried out on a site whose trouble is real: it is brought about, the book
-// is run, and in the end nothing is wrong.
-func TestRunbooksOnASite(t *testing.T) {
-	dir := t.TempDir()
-	s, err := LayOut("daegu", dir, 34, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.addAdapters(true)
-	f, err := Up(context.Background(), s, dir, builtPrograms(t))
-	if err != nil {
-		t.Fatal(err)
+// runbookTest runs runbooks on a site.
+type runbookTest struct {
+	*testing.T
+	fleet *Fleet
+	dir   string
+	node  string // operator address
+}
+
+// run runs a runbook by the command line. The operator does what is given when the runbook asks for confirmation.
+func (r *runbookTest) run(do func(), args ...string) {
+	r.Helper()
+	var out, bad bytes.Buffer
+	record := filepath.Join(r.dir, args[0]+".jsonl")
+	command := append([]string{"--node", r.node, "--record", record, "runbook", "run", "--name"}, args...)
+	if code := cli.Main(command, &confirmation{do}, &out, &bad); code != 0 {
+		raw, _ := os.ReadFile(record)
+		r.Fatalf("%v: exit %d: %s\n%s", args, code, bad.String(), raw)
 	}
-	defer f.Stop()
-	node := s.Operators[4]
-	run := func(in *operatorHand, args ...string) {
-		t.Helper()
-		var out, bad bytes.Buffer
-		rec := filepath.Join(dir, args[0]+".jsonl")
-		a := append([]string{"--node", node, "--record", rec, "runbook", "run", "--name"}, args...)
-		if code := cli.Main(a, in, &out, &bad); code != 0 {
-			raw, _ := os.ReadFile(rec)
-			t.Fatalf("%v: exit %d: %s\n%s", args, code, bad.String(), raw)
-		}
-		if raw, err := os.ReadFile(rec); err != nil || strings.Count(string(raw), `"state":"done"`) < 2 {
-			t.Fatalf("%v: record %s %v", args, raw, err)
-		}
+	if raw, err := os.ReadFile(record); err != nil || strings.Count(string(raw), `"state":"done"`) < 2 {
+		r.Fatalf("%v: record %s %v", args, raw, err)
 	}
-	each := func(do func(string) error, names ...string) func() {
-		return func() {
-			for _, n := range names {
-				if err := do(n); err != nil {
-					t.Errorf("%s: %v", n, err)
-				}
+}
+
+// forEach returns a function that does something to each of the processes.
+func (r *runbookTest) forEach(do func(string) error, names ...string) func() {
+	return func() {
+		for _, name := range names {
+			if err := do(name); err != nil {
+				r.Errorf("%s: %v", name, err)
 			}
 		}
 	}
-	kill := func(n string) error { return f.Signal(n, syscall.SIGKILL) }
-	gone := func(view string) {
-		t.Helper()
-		ctx, end := context.WithTimeout(context.Background(), 30*time.Second)
-		defer end()
-		for ctx.Err() == nil { // each look takes its time: it asks every core machine
-			if _, body := f.Get(ctx, node, "/v1/status"); strings.Contains(body, view) {
-				return
-			}
+}
+
+// signal returns a function that sends a signal to each of the processes.
+func (r *runbookTest) signal(signal syscall.Signal, names ...string) func() {
+	return r.forEach(func(name string) error { return r.fleet.Signal(name, signal) }, names...)
+}
+
+func (r *runbookTest) kill(names ...string)         { r.signal(syscall.SIGKILL, names...)() }
+func (r *runbookTest) start(names ...string) func() { return r.forEach(r.fleet.Start, names...) }
+
+// awaitStatus waits until the status of the site contains a text.
+func (r *runbookTest) awaitStatus(text string) {
+	r.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	defer cancel()
+	for ctx.Err() == nil { // no pause: each request takes its time, since it queries every core machine
+		if _, body := r.fleet.Get(ctx, r.node, "/v1/status"); strings.Contains(body, text) {
+			return
 		}
-		t.Fatalf("status never says %s", view)
 	}
+	r.Fatalf("the status never contains %s", text)
+}
 
-	each(kill, "cab-3")()
-	gone(`"worker-gone"`)
-	run(&operatorHand{each(f.Start, "cab-3")}, "worker-gone", "--set", "worker=cab-3")
+// wipeDisk removes the data of a process.
+func (r *runbookTest) wipeDisk(name string) {
+	r.Helper()
+	if err := os.RemoveAll(r.fleet.settingsOf(name).Data); err != nil {
+		r.Fatal(err)
+	}
+}
 
-	each(kill, "depot-1")()
-	gone(`"no-store"`)
-	run(&operatorHand{each(f.Start, "depot-1")}, "store-empty")
+// patchFile writes a partial configuration into a file, and returns the runbook's parameter that names it.
+func (r *runbookTest) patchFile(name, content string) string {
+	r.Helper()
+	file := filepath.Join(r.dir, name)
+	if err := os.WriteFile(file, []byte(content), 0o644); err != nil {
+		r.Fatal(err)
+	}
+	return "file=" + file
+}
 
-	// A core machine's disk is lost: it comes back empty under its name.
-	each(kill, "archive-core-2", "appraiser-core-2")()
-	if err := os.RemoveAll(f.settingsOf("archive-core-2").Data); err != nil {
+// Each runbook ends a real fault of a site, and in the end the site has no problem.
+func TestRunbooksOnASite(t *testing.T) {
+	dir := t.TempDir()
+	site, err := LayOut("daegu", dir, 34, nil)
+	if err != nil {
 		t.Fatal(err)
 	}
-	run(&operatorHand{each(f.Start, "archive-core-2", "appraiser-core-2")}, "disk-lost", "--set", "machine=core-2")
+	site.addAdapters(true)
+	fleet, err := Up(context.Background(), site, dir, builtPrograms(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer fleet.Stop()
+	r := &runbookTest{T: t, fleet: fleet, dir: dir, node: site.Operators[4]}
+	r.recoverSimulators()
+	r.recoverCoreMachines()
+	r.recoverEdgeMachines()
+	r.changeConfiguration()
+	retireByCommandLine(t, fleet, r.node, r.blockRetirement)
 
-	each(kill, "runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2")()
-	run(&operatorHand{each(f.Start, "runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2")}, "edge-gone", "--set", "machine=edge-2")
+	var out, bad bytes.Buffer
+	if code := cli.Main([]string{"--node", r.node, "status"}, &confirmation{}, &out, &bad); code != 0 {
+		t.Errorf("in the end the status has a problem: %s%s", out.String(), bad.String())
+	}
+}
 
-	each(kill, "archive-core-3", "appraiser-core-3")()
-	run(&operatorHand{each(f.Start, "archive-core-3", "appraiser-core-3")}, "core-gone", "--set", "machine=core-3")
+// recoverSimulators runs the runbooks for a lost worker and a lost store.
+func (r *runbookTest) recoverSimulators() {
+	r.kill("cab-3")
+	r.awaitStatus(`"worker-gone"`)
+	r.run(r.start("cab-3"), "worker-gone", "--set", "worker=cab-3")
 
-	// A core machine is replaced: empty, at another address, under its name.
-	each(kill, "archive-core-4", "appraiser-core-4")()
-	if err := os.RemoveAll(f.settingsOf("archive-core-4").Data); err != nil {
-		t.Fatal(err)
-	}
-	each(f.moveAddress, "archive-core-4")()
-	run(&operatorHand{each(f.Start, "archive-core-4", "appraiser-core-4")}, "core-replaced", "--set", "machine=core-4")
+	r.kill("depot-1")
+	r.awaitStatus(`"no-store"`)
+	r.run(r.start("depot-1"), "store-empty")
+}
+
+// recoverCoreMachines runs the runbooks for a lost disk, a lost edge and core machine, and a replaced core machine.
+func (r *runbookTest) recoverCoreMachines() {
+	// The disk of a core machine is lost: it restarts with an empty one.
+	r.kill("archive-core-2", "appraiser-core-2")
+	r.wipeDisk("archive-core-2")
+	r.run(r.start("archive-core-2", "appraiser-core-2"), "disk-lost", "--set", "machine=core-2")
+
+	edge2 := []string{"runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2"}
+	r.kill(edge2...)
+	r.run(r.start(edge2...), "edge-gone", "--set", "machine=edge-2")
+
+	r.kill("archive-core-3", "appraiser-core-3")
+	r.run(r.start("archive-core-3", "appraiser-core-3"), "core-gone", "--set", "machine=core-3")
+
+	// A core machine is replaced by one with an empty disk at another address, under the same name.
+	r.kill("archive-core-4", "appraiser-core-4")
+	r.wipeDisk("archive-core-4")
+	r.forEach(r.fleet.moveAddress, "archive-core-4")()
+	r.run(r.start("archive-core-4", "appraiser-core-4"), "core-replaced", "--set", "machine=core-4")
+}
 
+// recoverEdgeMachines runs the runbooks for a frozen machine, and for several lost at once.
+func (r *runbookTest) recoverEdgeMachines() {
 	edge3 := []string{"runner-edge-3", "catalogue-edge-3", "dispatcher-edge-3"}
-	signal := func(s syscall.Signal) func(string) error { return func(n string) error { return f.Signal(n, s) } }
-	each(signal(syscall.SIGSTOP), edge3...)()
-	run(&operatorHand{each(signal(syscall.SIGCONT), edge3...)}, "machine-frozen", "--set", "machine=edge-3")
+	r.signal(syscall.SIGSTOP, edge3...)()
+	r.run(r.signal(syscall.SIGCONT, edge3...), "machine-frozen", "--set", "machine=edge-3")
 
 	many := append([]string{"archive-core-1", "appraiser-core-1", "runner-edge-4", "catalogue-edge-4", "dispatcher-edge-4"}, edge3...)
-	each(kill, many...)()
-	run(&operatorHand{each(f.Start, many...)}, "many-gone")
-
-	part := func(name, body string) string {
-		file := filepath.Join(dir, name)
-		if err := os.WriteFile(file, []byte(body), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return "file=" + file
-	}
-	run(&operatorHand{}, "seeds-change", "--set", part("seeds.json", `{"seeds":["127.34.2.1:7003","127.34.3.1:7003","127.34.2.11:7000"]}`))
-	run(&operatorHand{}, "setup-wrong", "--set", part("right.json", `{"tenants":{"tenant-5":{"inflight":40}}}`))
+	r.kill(many...)
+	r.run(r.start(many...), "many-gone")
+}
 
-	run(&operatorHand{}, "weights-midday", "--set", "model=gisa", "--set", "weights=2", "--set", "service=gisa-main")
-	run(&operatorHand{}, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
+// changeConfiguration runs the runbooks that change the configuration.
+func (r *runbookTest) changeConfiguration() {
+	r.run(nil, "seeds-change", "--set", r.patchFile("seeds.json", `{"seeds":["127.34.2.1:7003","127.34.3.1:7003","127.34.2.11:7000"]}`))
+	r.run(nil, "setup-wrong", "--set", r.patchFile("right.json", `{"tenants":{"tenant-5":{"inflight":40}}}`))
 
-	retireByCommandLine(t, f, node, func(held string) {
-		each(kill, "cab-7")()
-		gone(held)
-		run(&operatorHand{each(f.Start, "cab-7")}, "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
-	})
+	r.run(nil, "weights-midday", "--set", "model=gisa", "--set", "weights=2", "--set", "service=gisa-main")
+	r.run(nil, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
+}
 
-	var out, bad bytes.Buffer
-	if code := cli.Main([]string{"--node", node, "status"}, &operatorHand{}, &out, &bad); code != 0 {
-		t.Errorf("in the end something is wrong: %s%s", out.String(), bad.String())
-	}
+// blockRetirement blocks the retirement under way by the loss of a worker, and runs the runbook for it.
+func (r *runbookTest) blockRetirement(problem string) {
+	r.kill("cab-7")
+	r.awaitStatus(problem)
+	r.run(r.start("cab-7"), "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
 }
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -44,8 +44,8 @@
 	return bin
 }
 
-// A short run of each whole site, as separate processes: all is streamed, sealed, checked
-// and reconciled, and the placement has a say in where requests go.
+// A short run of each site as separate processes: responses are streamed, sealed and checked against the journals, and
+// prefixes are reused.
 func TestWholeSites(t *testing.T) {
 	bin := builtPrograms(t)
 	for i, site := range Sites() {
@@ -64,23 +64,22 @@
 				t.Errorf("faults: %v", sum.Faults)
 			}
 			if sum.Sealed < sum.Requests*8/10 {
-				t.Errorf("%d of %d sealed; denied: %v", sum.Sealed, sum.Requests, sum.Rejected)
+				t.Errorf("%d of %d sealed; rejected: %v", sum.Sealed, sum.Requests, sum.Rejected)
 			}
 			if sum.CachedTokens == 0 {
-				t.Error("no kept prefix was ever used again")
+				t.Error("no cached prefix was ever reused")
 			}
 		})
 	}
 }
 
-// Every scenario file can be read and names only steps and processes that there are; one
-// of them is played here, the others by `testbed play`.
+// Every scenario file can be read. One scenario is played here; `testbed play` plays the others.
 func TestScenarios(t *testing.T) {
-	l, err := Scenarios()
-	if err != nil || len(l) < 20 {
-		t.Fatalf("%d scenarios, %v", len(l), err)
+	scenarios, err := Scenarios()
+	if err != nil || len(scenarios) < 20 {
+		t.Fatalf("%d scenarios, %v", len(scenarios), err)
 	}
-	for _, scenario := range l {
+	for _, scenario := range scenarios {
 		if scenario.Name != "owner-killed" {
 			continue
 		}
@@ -93,14 +92,14 @@
 			t.Error(f)
 		}
 		if report.Judged < 60 {
-			t.Errorf("only %d operations on the configuration were judged", report.Judged)
+			t.Errorf("only %d operations on the configuration were checked", report.Judged)
 		}
-		t.Logf("%s: sealed %d of %d; %d operations judged, %d unclear attempts; %v", scenario.Name, report.Sum.Sealed, report.Sum.Requests, report.Judged, report.Unclear, report.Steps)
+		t.Logf("%s: sealed %d of %d; %d operations checked, %d of unknown outcome; %v", scenario.Name, report.Sum.Sealed, report.Sum.Requests, report.Judged, report.Unclear, report.Steps)
 	}
 }
 
-// The check of extra runs looks at every window: a planted burst is seen where the traffic
-// before it has stopped, and where a window only begins with it.
+// The check of extra runs considers every window: it finds a planted burst after the traffic has stopped, and one at the
+// start of a window.
 func TestWorstWindowOfExtraRuns(t *testing.T) {
 	var first []int64
 	for i := range int64(100) {
@@ -116,7 +115,7 @@
 	}
 }
 
-// The table of many runs is drawn from their lines, and loses neither a run nor a fault.
+// The table of many runs loses neither a run nor a fault of their lines.
 func TestTally(t *testing.T) {
 	r := &Report{Scenario: "mix-3", Site: "daegu", Seed: 3, SealedDuring: 0.9, SealedAfterRecovery: 1}
 	r.Sum.Sealed, r.Sum.Requests, r.Sum.Rejected = 8, 10, map[string]int{"not-run": 2}
@@ -127,12 +126,12 @@
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if err := Tally(strings.NewReader("noise"), &out); err == nil {
-		t.Error("a table was drawn from nothing")
+		t.Error("a table was printed without a line")
 	}
 }
 
-// Two nodes that command at once are seen, in each way that this can be; one after the other is
-// no fault.
+// Each violation of the worker leases is found: two holders with one fencing token, and a worker that accepts a lower one.
+// A regular change of the holder is no violation.
 func TestTwoCommandersAreSeen(t *testing.T) {
 	o := func(at int64, fence uint64, holder string) workersim.Run {
 		return workersim.Run{AtMs: at, FencingToken: fence, Holder: holder}
@@ -141,9 +140,9 @@
 		orders map[string][]workersim.Run
 		faults int
 	}{
-		"one after the other": {map[string][]workersim.Run{"w1": {o(1, 1, "a"), o(9, 2, "b")}, "w2": {o(2, 1, "a"), o(9, 2, "b")}}, 0},
-		"two under one fence": {map[string][]workersim.Run{"w1": {o(1, 1, "a")}, "w2": {o(2, 1, "b")}}, 1},
-		"a worker goes back":  {map[string][]workersim.Run{"w1": {o(1, 2, "b"), o(1, 1, "a")}}, 1},
+		"one after the other":            {map[string][]workersim.Run{"w1": {o(1, 1, "a"), o(9, 2, "b")}, "w2": {o(2, 1, "a"), o(9, 2, "b")}}, 0},
+		"two with one fencing token":     {map[string][]workersim.Run{"w1": {o(1, 1, "a")}, "w2": {o(2, 1, "b")}}, 1},
+		"a worker accepts a lower token": {map[string][]workersim.Run{"w1": {o(1, 2, "b"), o(1, 1, "a")}}, 1},
 	} {
 		if f := checkFencing(x.orders); len(f) != x.faults {
 			t.Errorf("%s: %v", name, f)
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -15,23 +15,22 @@
 	"pebbleloom/internal/settings"
 )
 
-// A go that waits at a worker is looked at again right before its prefill begins. Between,
-// each thing that it depends on changes; what was let in never begins then, the denial says
-// that it didn't run, and it comes when its time is over, not when a slot is free.
+// The conditions of a queued request are checked again right before its prefill. If one has changed since the admission
+// the request is rejected as not executed; if its time is over, at once and not when a slot is free.
 func TestWhatWaitsIsLookedAtAgain(t *testing.T) {
 	for name, x := range map[string]struct {
-		by     time.Duration // from now; zero: none
-		inc    string
-		change func(*Worker)
-		why    string // empty: it runs
-		within time.Duration
+		beginBy     time.Duration // from now; zero: no limit
+		incarnation string
+		change      func(*Worker)
+		want        string // reason of the rejection; empty: it runs
+		within      time.Duration
 	}{
-		"nothing changes":         {0, "", nil, "", 11 * time.Second},
-		"its time is long enough": {9 * time.Second, "", nil, "", 11 * time.Second},
-		"its time ends in line":   {2 * time.Second, "", nil, "full", 2 * time.Second},
-		"its time was over":       {-time.Second, "", nil, "full", 0},
-		"newer weights":           {0, "", func(c *Worker) { c.weights = 2 }, "weights", 6 * time.Second},
-		"another life":            {0, "cab-1/before", nil, "incarnation", 6 * time.Second},
+		"nothing changes":            {0, "", nil, "", 11 * time.Second},
+		"its time is long enough":    {9 * time.Second, "", nil, "", 11 * time.Second},
+		"its time ends in the queue": {2 * time.Second, "", nil, "full", 2 * time.Second},
+		"its time was over":          {-time.Second, "", nil, "full", 0},
+		"newer weights":              {0, "", func(c *Worker) { c.weights = 2 }, "weights", 6 * time.Second},
+		"another incarnation":        {0, "cab-1/before", nil, "incarnation", 6 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			w := daemon.RealEnvironment(settings.Process{})
@@ -56,23 +55,23 @@
 			if x.change != nil {
 				time.AfterFunc(time.Second, func() { c.mu.Lock(); x.change(c); c.mu.Unlock() })
 			}
-			s := contract.StartRequest{RequestID: "second", Incarnation: x.inc}
-			if x.by != 0 {
-				s.BeginByUs = (l.Clock.Now() + x.by).Microseconds()
+			s := contract.StartRequest{RequestID: "second", Incarnation: x.incarnation}
+			if x.beginBy != 0 {
+				s.BeginByUs = (l.Clock.Now() + x.beginBy).Microseconds()
 			}
 			t0 := time.Now()
 			r := ask(s)
 			took := time.Since(t0)
 			first.Wait()
 			var d contract.Rejection
-			_ = json.Unmarshal(r.Body.Bytes(), &d) // a stream isn't one: its lines are no denial
+			_ = json.Unmarshal(r.Body.Bytes(), &d) // the lines of a stream decode as no rejection
 			ran := 0
 			for _, y := range c.runs {
 				if y.RequestID == "second" {
 					ran++
 				}
 			}
-			if d.Reason != x.why || d.NotExecuted != (x.why != "") || (ran > 0) == (x.why != "") || took > x.within {
+			if d.Reason != x.want || d.NotExecuted != (x.want != "") || (ran > 0) == (x.want != "") || took > x.within {
 				t.Errorf("%s: %d %+v, ran %d times, after %v", name, r.Code, d, ran, took)
 			}
 		})
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -16,6 +16,8 @@
 	"pebbleloom/internal/settings"
 )
 
+// inBubble runs a test with a worker in a bubble of virtual time. order sends an order and ask a request; both return the
+// reason of the rejection, if any.
 func inBubble(t *testing.T, words []string, do func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(model, adapter string, build uint64) string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -55,7 +57,7 @@
 				lines := strings.Split(strings.TrimSpace(r.Body.String()), "\n")
 				var last contract.Chunk
 				if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || last.Model != model || last.Adapter != adapter || last.Build != build {
-					t.Errorf("asked of %s %s@%d, sealed by %+v", model, adapter, build, last)
+					t.Errorf("requested %s %s@%d, sealed by %+v", model, adapter, build, last)
 				}
 				return ""
 			}
@@ -65,8 +67,8 @@
 	})
 }
 
-// A worker holds several bases and adapters within its memory; loading takes its time, is done one at
-// a time, and whatever isn't in memory answers nothing.
+// A worker holds several base models and adapters within its memory. It loads one at a time, and rejects requests for
+// what isn't loaded.
 func TestSeveralModelsInMemory(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
 		is := func(what, got, want string) {
@@ -79,10 +81,10 @@
 		is("its adapter", ask("m", "a", 1), "")
 		is("another build", ask("m", "a", 2), "adapter")
 		is("another base", ask("m2", "", 0), "model")
-		is("an adapter on what isn't there", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 1, WeightMemoryMB: 5}), "busy")
-		is("more than there is room for", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 56}), "room")
+		is("an adapter of a base model that isn't loaded", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 1, WeightMemoryMB: 5}), "busy")
+		is("more than the free memory", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 56}), "room")
 		is("a second base", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 40}), "")
-		is("a third meanwhile", order(contract.Order{Kind: "load", Model: "m3", Weights: 1, WeightMemoryMB: 1}), "busy")
+		is("a third while it loads", order(contract.Order{Kind: "load", Model: "m3", Weights: 1, WeightMemoryMB: 1}), "busy")
 		is("before it is loaded", ask("m2", "", 0), "model")
 		if s := c.workerState(); s.Loading != "m2" || s.FreeWeightMemoryMB != 15 || s.Model != "m" {
 			t.Errorf("%+v", s)
@@ -93,25 +95,25 @@
 		is("an adapter on it", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 3, WeightMemoryMB: 5}), "")
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		is("under the adapter", ask("m2", "a2", 3), "")
+		is("with the adapter", ask("m2", "a2", 3), "")
 		if l := c.workerState().LoadedModels(); len(l) != 2 || l[0].Model != "m" || l[0].Adapters["a"] != 1 || l[1].Adapters["a2"] != 3 {
 			t.Errorf("%+v", l)
 		}
-		is("the first base goes", order(contract.Order{Kind: "unload", Model: "m"}), "")
-		is("and answers nothing", ask("m", "a", 1), "model")
+		is("the first base is unloaded", order(contract.Order{Kind: "unload", Model: "m"}), "")
+		is("and rejects requests", ask("m", "a", 1), "model")
 		is("the second stays", ask("m2", "a2", 3), "")
 		if s := c.workerState(); s.Model != "m2" || s.Weights != 1 || s.FreeWeightMemoryMB != 55 || len(s.LoadedModels()) != 1 {
 			t.Errorf("%+v", s)
 		}
-		is("the last goes", order(contract.Order{Kind: "unload", Model: "m2"}), "")
+		is("the last is unloaded", order(contract.Order{Kind: "unload", Model: "m2"}), "")
 		if s := c.workerState(); s.Model != "" || len(s.LoadedModels()) != 0 || s.FreeWeightMemoryMB != 100 {
 			t.Errorf("%+v", s)
 		}
 	})
 }
 
-// What runs on a base keeps it; an order for another life, or one thought out before one that was
-// obeyed, is denied; an unload takes back what is still being loaded.
+// A base model in use isn't unloaded; an order for another incarnation, or one that a later step of its plan superseded, is
+// rejected; an unload cancels a load that is under way.
 func TestOrdersThatComeLate(t *testing.T) {
 	inBubble(t, []string{"piece_us=1000000"}, func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
 		done := make(chan string, 1)
@@ -125,10 +127,10 @@
 		}
 		load := contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 5, Plan: "p", Step: 2}
 		if w := order(load); w != "stale" {
-			t.Errorf("an order from before: %q", w)
+			t.Errorf("a superseded order: %q", w)
 		}
 		if load.Plan = "other"; order(load) != "" {
-			t.Error("another plan's order is denied")
+			t.Error("another plan's order is rejected")
 		}
 		if w := order(contract.Order{Kind: "unload", Model: "m2", Plan: "other", Step: 4}); w != "" {
 			t.Errorf("%q", w)
@@ -136,15 +138,15 @@
 		time.Sleep(time.Second) // virtual
 		synctest.Wait()
 		if l := c.workerState().LoadedModels(); len(l) != 1 || c.workerState().FreeWeightMemoryMB != 55 || c.workerState().Loading != "" {
-			t.Errorf("it was loaded though it was taken back: %+v", c.workerState())
+			t.Errorf("it was loaded though the load was cancelled: %+v", c.workerState())
 		}
 		if w := order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Incarnation: "cab-1/before"}); w != "incarnation" {
-			t.Errorf("an order for another life: %q", w)
+			t.Errorf("an order for another incarnation: %q", w)
 		}
 	})
 }
 
-// It may start empty, and it may boast: say that it holds an adapter and answer nothing under it.
+// A worker may start without a model. With the planted fault "boasts" it reports an adapter and rejects requests for it.
 func TestEmptyAndBoasting(t *testing.T) {
 	inBubble(t, []string{"empty=yes"}, func(t *testing.T, c *Worker, _ func(contract.Order) string, ask func(string, string, uint64) string) {
 		if s := c.workerState(); s.Model != "" || len(s.LoadedModels()) != 0 || ask("m", "", 0) != "model" {
--- a/internal/tools/ciresult/results_test.go
+++ b/internal/tools/ciresult/results_test.go
@@ -33,7 +33,7 @@
 	listed      = "internal/b.TestBad, it loses an answer, issue 21\n"
 )
 
-// Only a listed test may fail, and it has to: whatever else goes wrong ends CI.
+// Only a listed test may fail, and it has to; any other failure fails CI.
 func TestOnlyListedTestsMayFail(t *testing.T) {
 	for name, x := range map[string]struct {
 		known, events, want string // want: in the message; "": CI passes
@@ -93,7 +93,7 @@
 	}
 }
 
-// The last line says how many tests passed, failed and were skipped.
+// The last line is the number of tests that passed, failed and were skipped.
 func TestTotalsArePrinted(t *testing.T) {
 	events := filepath.Join(t.TempDir(), "events")
 	if err := os.WriteFile(events, []byte(green+red+`{"Action":"exit","Elapsed":1}`+"\n"), 0o600); err != nil {
