--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -8,6 +8,13 @@
 //
 // A worker that is to load other weights is cordoned first: the stored placement names it, and proxies
 // send it no new requests while it does.
+//
+// Durations are ratios of the site's bounds (settings.Bounds): the leave bound, within which a worker
+// that left gets no more requests, the weights bound, within which older weights are out of use, and the
+// heal bound, within which service is restored after a fault.
+//
+// The package drives workers through a backend.Client. Package placementcontroller is its counterpart for
+// workers that speak the product's own contract.
 package controllers
 
 import (
@@ -25,9 +32,9 @@
 type Controller struct {
 	process        *daemon.Process
 	store          stateStore
-	calls          backend.Client
+	workerClient   backend.Client
 	latestSnapshot func() *fleet.Snapshot
-	view           func() clustermembership.View
+	membership     func() clustermembership.View
 	hotEntries     HotEntriesFunc
 	lease          *siteLease
 	session        *session      // nil unless this machine holds the lease
@@ -38,14 +45,14 @@
 // Start campaigns for the lease and runs the controllers while it is held.
 //
 // Example: controllers.Start(process, client, calls, agent.Snapshot, agent.Membership, hotEntries)
-func Start(process *daemon.Process, store stateStore, calls backend.Client, latestSnapshot func() *fleet.Snapshot,
-	view func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
+func Start(process *daemon.Process, store stateStore, workerClient backend.Client, latestSnapshot func() *fleet.Snapshot,
+	membership func() clustermembership.View, hotEntries HotEntriesFunc) *Controller {
 	c := &Controller{
 		process:        process,
 		store:          store,
-		calls:          calls,
+		workerClient:   workerClient,
 		latestSnapshot: latestSnapshot,
-		view:           view,
+		membership:     membership,
 		hotEntries:     hotEntries,
 		released:       make(chan struct{}),
 	}
@@ -104,7 +111,7 @@
 
 // reconcileLease renews the lease when that is due, and starts or ends a session accordingly.
 func (c *Controller) reconcileLease() {
-	if !c.lease.renewalDue(c.process.Clock.Now(), c.view()) {
+	if !c.lease.renewalDue(c.process.Clock.Now(), c.membership()) {
 		return
 	}
 	if err := c.lease.renew(c.process.Ctx); err != nil && errs.KindOf(err) != errs.Conflict {
@@ -120,7 +127,7 @@
 }
 
 func (c *Controller) startSession(token uint64) {
-	c.process.Log.Info("lease acquired", "fence", token, "holder", c.lease.holderID())
+	c.process.Log.Info("lease acquired", "fencing_token", token, "holder", c.lease.holderID())
 	session, done := newSession(c, token), make(chan struct{})
 	c.session, c.sessionDone = session, done
 	c.process.Go(func() { defer close(done); session.run() })
--- a/internal/control/controllers/listsync.go
+++ b/internal/control/controllers/listsync.go
@@ -78,7 +78,7 @@
 	page := ""
 	for pages < maxPages {
 		ctx, cancel := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(pageTimeoutRatio))
-		workers, next, err := s.calls.ListWorkers(ctx, page)
+		workers, next, err := s.workerClient.ListWorkers(ctx, page)
 		cancel()
 		if err != nil {
 			return nil, pages, errs.Wrap(err, "list of workers")
--- a/internal/control/controllers/orders.go
+++ b/internal/control/controllers/orders.go
@@ -116,7 +116,7 @@
 		return
 	}
 	outcome := s.callOrder(order, min(left, s.process.Settings.Bounds.Leave(callTimeoutRatio)))
-	s.process.Log.Info("order", "worker", order.Worker.ID, "model", order.Model, "weights", order.Version, "fence", token, "outcome", int(outcome))
+	s.process.Log.Info("order", "worker", order.Worker.ID, "model", order.Model, "version", order.Version, "fencing_token", token, "outcome", int(outcome))
 	s.actor.Ask(func(*session) {
 		version := s.rollout.HandleOrderOutcome(order, outcome, s.process.Clock.Now())
 		s.recordVersion(order.Worker.ID, order.Model, version)
@@ -134,7 +134,7 @@
 		token, _, ok := s.lease.remaining()
 		return ok && token == s.fencingToken && s.process.Clock.Now() < deadline
 	})
-	outcome, err := s.calls.Order(ctx, order.Worker.Addr, backend.Order{
+	outcome, err := s.workerClient.Order(ctx, order.Worker.Addr, backend.Order{
 		Model:        order.Model,
 		Version:      order.Version,
 		Mode:         backend.ModeAwait,
@@ -153,7 +153,7 @@
 func (s *session) requestReport(worker fleet.Worker) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(callTimeoutRatio))
 	defer cancel()
-	report, err := s.calls.Report(ctx, worker.Addr)
+	report, err := s.workerClient.Report(ctx, worker.Addr)
 	s.actor.Ask(func(*session) {
 		model, version := s.rollout.HandleReport(worker.ID, report, err == nil, s.process.Clock.Now())
 		s.recordVersion(worker.ID, model, version)
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -70,8 +70,8 @@
 	next, changed := nextPlacement(p, service, hot, workers, now, s.process.Settings.Bounds.Heal(recomputeRatio))
 	if changed {
 		s.queuePlacement(p, next)
-		s.process.Log.Info("placement", "service", service.Name, "fence", s.fencingToken, "replicated", len(next.Replicated),
-			"entries", next.Entries, "r_max", next.RMax, "b", next.FetchBandwidth, "why", next.Reason)
+		s.process.Log.Info("placement", "service", service.Name, "fencing_token", s.fencingToken, "replicated", len(next.Replicated),
+			"entries", next.Entries, "r_max", next.RMax, "fetch_bandwidth", next.FetchBandwidth, "reason", next.Reason)
 	}
 }
 
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -24,7 +24,7 @@
 // kind errs.BadInput if the settings hold no site.
 //
 // Example: err := controllers.StartProcess(process, codec, calls)
-func StartProcess(process *daemon.Process, codec backend.Codec, calls backend.Client) error {
+func StartProcess(process *daemon.Process, codec backend.Codec, workerClient backend.Client) error {
 	site := process.Settings.Site
 	if site == nil {
 		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
@@ -34,7 +34,7 @@
 	if err != nil {
 		return errs.Wrap(err, "agent")
 	}
-	index, err := promptindex.StartSite(process, calls, member.Snapshot)
+	index, err := promptindex.StartSite(process, workerClient, member.Snapshot)
 	if err != nil {
 		return errs.Wrap(err, "index")
 	}
@@ -47,23 +47,23 @@
 	}
 	store := controlclient.NewGroupClient(process.Settings.Seeds, member.Membership, clients, process.Settings.Bounds)
 	hotEntries := queryIndexNodes(process, member.Membership, clients.PromptIndex)
-	Start(process, store, calls, member.Snapshot, member.Membership, hotEntries)
+	Start(process, store, workerClient, member.Snapshot, member.Membership, hotEntries)
 	process.Ready.Store(true)
 	return nil
 }
 
 // queryIndexNodes returns a function that asks all serving index nodes at once, within one short
 // timeout. Two nodes hold each entry: the higher count is used.
-func queryIndexNodes(process *daemon.Process, view func() clustermembership.View, node func(addr string) wire.PromptIndex) HotEntriesFunc {
+func queryIndexNodes(process *daemon.Process, membership func() clustermembership.View, client func(addr string) wire.PromptIndex) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.HotPrefix {
 		ctx, cancel := context.WithTimeout(ctx, process.Settings.Bounds.Heal(hotEntriesTimeoutRatio))
 		defer cancel()
-		nodes := promptindex.ServingNodes(view().Nodes)
+		nodes := promptindex.ServingNodes(membership().Nodes)
 		responses := make(chan *wire.HottestResponse, len(nodes))
 		var wg sync.WaitGroup
 		for _, n := range nodes {
 			wg.Go(func() {
-				if response, err := node(n.Addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: hotEntriesLimit}); err == nil {
+				if response, err := client(n.Addr).Hottest(ctx, &wire.HottestRequest{Service: service, Limit: hotEntriesLimit}); err == nil {
 					responses <- response
 				}
 			})
--- a/internal/control/controllers/rollout.go
+++ b/internal/control/controllers/rollout.go
@@ -28,7 +28,16 @@
 // notYet is a cordonedAt before the written placement cordons the worker.
 const notYet = time.Duration(-1)
 
-// loadStage is how far a worker's load has come.
+// loadStage is how far a worker's load has come:
+//
+//	cordoned -> ordered: the order is sent
+//	ordered  -> loading: accepted, or another order is running
+//	ordered  -> unknown: no response; reports show whether the order was accepted
+//	unknown  -> loading: a report shows a load in progress
+//	loading, unknown -> cordoned: a report shows the version, or that the order was not accepted
+//
+// The load ends once the worker has the named version, or leaves. It also ends when the order is rejected or
+// too many reports in a row are missed; then the worker is retried later.
 type loadStage int
 
 const (
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -22,7 +22,7 @@
 // only.
 type session struct {
 	process        *daemon.Process
-	calls          backend.Client
+	workerClient   backend.Client
 	latestSnapshot func() *fleet.Snapshot
 	hotEntries     HotEntriesFunc
 	lease          *siteLease
@@ -47,7 +47,7 @@
 func newSession(c *Controller, token uint64) *session {
 	s := &session{
 		process:        c.process,
-		calls:          c.calls,
+		workerClient:   c.workerClient,
 		latestSnapshot: c.latestSnapshot,
 		hotEntries:     c.hotEntries,
 		lease:          c.lease,
@@ -76,7 +76,7 @@
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { s.writer.run(s.ctx, s.wake, s.pendingWrites, s.logWarning("document")) })
+	wg.Go(func() { s.writer.run(s.ctx, s.wake, s.pendingWrites, s.logWarning("the document can't be written")) })
 	wg.Go(s.followWorkerList)
 	wg.Go(s.runPlacement)
 	s.runRollout()
@@ -86,7 +86,7 @@
 
 // logWarning returns a function that logs an error under a message.
 func (s *session) logWarning(message string) func(error) {
-	return func(err error) { s.process.Log.Warn(message, "fence", s.fencingToken, "error", errs.Text(err)) }
+	return func(err error) { s.process.Log.Warn(message, "fencing_token", s.fencingToken, "error", errs.Text(err)) }
 }
 
 // loadStoredDocuments takes over the state that the previous holder stored. It retries until it
@@ -96,7 +96,7 @@
 	for s.ctx.Err() == nil {
 		workers, placements, err := s.readStoredDocuments()
 		if err != nil {
-			s.logWarning("stored documents")(err)
+			s.logWarning("the stored documents can't be read")(err)
 			clock.Sleep(s.ctx, bounds.Leave(listRetryRatio))
 			continue
 		}
@@ -124,7 +124,7 @@
 func (s *session) decodeWorkerList(documents []*wire.Document) (list fleet.WorkerList) {
 	for _, document := range documents {
 		if err := json.Unmarshal(document.Body, &list); err != nil {
-			s.logWarning("stored worker list")(err) // the platform's list restores it
+			s.logWarning("the stored worker list can't be decoded")(err) // the platform's list restores it
 		}
 	}
 	return list
@@ -136,7 +136,7 @@
 	for _, document := range documents {
 		stored, err := placement.Read(document.Body, document.Version)
 		if err != nil {
-			s.logWarning("stored placement")(err)
+			s.logWarning("a stored placement can't be decoded")(err)
 			continue
 		}
 		byService[stored.Service] = &servicePlacement{desired: stored, publishedCordoned: stored.Cordoned}
@@ -149,7 +149,7 @@
 func (s *session) queueWorkerList() {
 	body, err := json.Marshal(s.workers.Document())
 	if err != nil {
-		s.logWarning("worker list")(err)
+		s.logWarning("the worker list can't be encoded")(err)
 		return
 	}
 	s.queueWrite(fleet.WorkersKey, body)
@@ -161,7 +161,7 @@
 	desired.FencingToken, desired.Version = s.fencingToken, 0
 	body, err := json.Marshal(desired)
 	if err != nil {
-		s.logWarning("placement")(err)
+		s.logWarning("the placement can't be encoded")(err)
 		return
 	}
 	service.desired = desired
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -78,7 +78,7 @@
 	if _, err := c.writeDocument(svc, token, document.Key, body, document.Version); err != nil {
 		return errs.Wrap(err, "write entry")
 	}
-	c.process.Log.Info("calendar", "entry", entry.Name, "service", entry.Service, "state", entry.State, "step", entry.CurrentStep, "why", entry.Reason)
+	c.process.Log.Info("calendar", "entry", entry.Name, "service", entry.Service, "state", entry.State, "step", entry.CurrentStep, "reason", entry.Reason)
 	return nil
 }
 
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -5,6 +5,9 @@
 // The Controller runs on every core machine. Each service has a lease of its own; the machine that
 // holds it works on that service. Documents are written, and orders sent, under the lease's fencing
 // token and onto the version that was read, so that a past holder can't change anything.
+//
+// Durations are ratios of the bounds (settings.Bounds): the weights bound, within which older weights are
+// out of use, and the heal bound, within which service is restored after a fault.
 package placementcontroller
 
 import (
@@ -199,12 +202,12 @@
 		return
 	}
 	if token != svc.fencingToken {
-		c.process.Log.Info("lease acquired", "service", svc.name, "fence", token)
+		c.process.Log.Info("lease acquired", "service", svc.name, "fencing_token", token)
 		svc.fencingToken, svc.document, svc.retirementPlanner = token, nil, retire.NewPlanner()
 	}
 	var failures errs.Batch
 	failures.Add("roll out weights", c.stepRollout(svc, snapshot, config))
-	failures.Add("place", c.updatePlacement(svc, snapshot, config))
+	failures.Add("update placement", c.updatePlacement(svc, snapshot, config))
 	failures.Add("calendar", c.stepCalendar(svc, snapshot))
 	failures.Add("retirement", c.stepRetirement(svc, snapshot))
 	if err := failures.Err(); err != nil {
--- a/internal/control/placementcontroller/orders.go
+++ b/internal/control/placementcontroller/orders.go
@@ -14,9 +14,6 @@
 	"pebbleloom/internal/wire"
 )
 
-// rolloutAtOnce is the setting of a service whose workers load new weights all at once.
-const rolloutAtOnce = "at-once"
-
 // loadWeightsOrder is the kind of an order to load other weights of the base model.
 const loadWeightsOrder = "weights"
 
@@ -34,7 +31,7 @@
 		_, superseded, _ := history.SupersededAt(weights)
 		return now - superseded
 	}
-	svc.rollout.AllAtOnce = config.Rollout == rolloutAtOnce
+	svc.rollout.AllAtOnce = config.Rollout == serviceconfig.RolloutAtOnce
 	due, changed := svc.rollout.Step(workers, history.Version, since, now, c.process.Settings.Bounds)
 	var failures errs.Batch
 	failures.Add("order", c.sendOrders(svc.lease, due, history.Version))
--- a/internal/control/placementcontroller/placement.go
+++ b/internal/control/placementcontroller/placement.go
@@ -101,8 +101,8 @@
 	}
 	next.Version = response.Version
 	svc.document, svc.placement = &wire.Document{Body: body, Version: response.Version}, next
-	c.process.Log.Info("placement", "service", svc.name, "epoch", response.Version, "fence", token, "replicated", len(next.Replicated),
-		"entries", next.Entries, "r_max", next.RMax, "b", next.FetchBandwidth, "why", next.Reason)
+	c.process.Log.Info("placement", "service", svc.name, "version", response.Version, "fencing_token", token, "replicated", len(next.Replicated),
+		"entries", next.Entries, "r_max", next.RMax, "fetch_bandwidth", next.FetchBandwidth, "reason", next.Reason)
 	return nil
 }
 
--- a/internal/control/placementcontroller/retirement.go
+++ b/internal/control/placementcontroller/retirement.go
@@ -84,7 +84,7 @@
 	next, actions, changed := svc.retirementPlanner.Next(stored.active, observation)
 	recorded, err := c.executeActions(svc, next, actions, configs.Documents[0].Version, addrs)
 	var failures errs.Batch
-	failures.Add("act", err)
+	failures.Add("execute actions", err)
 	if changed || recorded {
 		failures.Add("write "+stored.active.Name, c.writeRetirement(svc, stored.document, stored.active, next))
 	}
@@ -246,7 +246,7 @@
 		if len(next.Blockers) > 0 {
 			blocker = next.Blockers[0].Node + ": " + next.Blockers[0].Reason
 		}
-		c.process.Log.Info("retirement", "name", next.Name, "service", next.Service, "state", next.State, "phase", next.Phase, "ready", next.Ready, "nodes", next.Nodes, "why", next.Reason, "held_by", blocker)
+		c.process.Log.Info("retirement", "name", next.Name, "service", next.Service, "state", next.State, "phase", next.Phase, "ready", next.Ready, "nodes", next.Nodes, "reason", next.Reason, "blocked_by", blocker)
 	}
 	return nil
 }
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -8,19 +8,21 @@
 	"math"
 	"slices"
 
+	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/data/prefix"
 	"pebbleloom/internal/errs"
 	"pebbleloom/internal/queue"
 )
 
-// Mode is how a service's prefixes are placed.
+// Mode is how a service's prefixes are placed, as the service configuration names it.
 type Mode string
 
 // The modes. ModeHRCS is the regular one; the others exist to compare with it.
 const (
-	ModeHRCS          Mode = "hrcs"           // hot prefixes replicated, cold ones sharded
-	ModeAllSharded    Mode = "all-sharded"    // no prefix is replicated
-	ModeAllReplicated Mode = "all-replicated" // every prefix is replicated
+	ModeHRCS          Mode = serviceconfig.PlacementHRCS          // hot prefixes replicated, cold ones sharded
+	ModeAllSharded    Mode = serviceconfig.PlacementAllSharded    // no prefix is replicated
+	ModeAllReplicated Mode = serviceconfig.PlacementAllReplicated // every prefix is replicated
+	ModeNoIndex       Mode = serviceconfig.PlacementNoIndex       // proxies don't use the prompt index
 )
 
 // Placement is the placement controller's decision for one service. It is stored as a JSON document in
