--- a/internal/sim/history/check.go
+++ b/internal/sim/history/check.go
@@ -11,69 +11,70 @@
 	"pebbleloom/internal/queue"
 )
 
-// Result is what the checker found.
+// Result is what Check found.
 type Result struct {
-	Operations    int      // attempts and reads that were judged
-	Indeterminate int      // attempts whose outcome nobody was told
-	Violations    []string // one for each document whose history isn't linearizable, or wasn't judged in time
+	Operations    int      // attempts and reads that were checked
+	Indeterminate int      // attempts whose outcome is unknown
+	Violations    []string // one for each document whose history isn't linearizable, or wasn't checked in time
 }
 
-// Check checks the history of each document by itself. A check that isn't done within the limit is
-// a failure.
+// Check checks the history of each document by itself, for so long at most. A check that isn't done
+// within the limit is a violation.
 //
-// Example: v := h.Judge(10 * time.Second)
+// Example: result := h.Check(10 * time.Second)
 func (h *History) Check(limit time.Duration) Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	byKey := map[string][]*observation{}
-	for _, o := range h.observations {
-		if o.outcome != NotExecuted {
-			byKey[o.key] = append(byKey[o.key], o)
+	for _, seen := range h.observations {
+		if seen.outcome != NotExecuted {
+			byKey[seen.key] = append(byKey[seen.key], seen)
 		}
 	}
-	var v Result
+	var result Result
 	for _, key := range queue.Keys(byKey) {
-		ops, unclear := operations(byKey[key], true)
-		v.Operations += len(byKey[key])
-		v.Indeterminate += unclear
-		switch m := model(); porcupine.CheckOperationsTimeout(m, ops, limit) {
+		ops, indeterminate := operations(byKey[key], true)
+		result.Operations += len(byKey[key])
+		result.Indeterminate += indeterminate
+		switch model := model(); porcupine.CheckOperationsTimeout(model, ops, limit) {
 		case porcupine.Illegal:
-			v.Violations = append(v.Violations, fmt.Sprintf("the history of %s isn't linearizable: %s", key, explain(m, ops, limit)))
+			result.Violations = append(result.Violations, fmt.Sprintf("the history of %s isn't linearizable: %s", key, explain(model, ops, limit)))
 		case porcupine.Unknown:
-			v.Violations = append(v.Violations, fmt.Sprintf("the history of %s (%d operations, %d after reduction) wasn't judged within %v", key, len(byKey[key]), len(ops), limit))
+			result.Violations = append(result.Violations, fmt.Sprintf("the history of %s (%d operations, %d after reduction) wasn't checked within %v", key, len(byKey[key]), len(ops), limit))
 		}
 	}
-	return v
+	return result
 }
 
-// explain shows the longest order of operations that holds, its end, and what can't follow it.
-func explain(m porcupine.Model, ops []porcupine.Operation, limit time.Duration) string {
-	_, info := porcupine.CheckOperationsVerbose(m, ops, limit)
+// explain describes the end of the longest linearization of a part of the operations, and the first of
+// those that can't follow it.
+func explain(model porcupine.Model, ops []porcupine.Operation, limit time.Duration) string {
+	_, info := porcupine.CheckOperationsVerbose(model, ops, limit)
 	var longest []porcupine.Operation
-	for _, l := range slices.Concat(info.PartialLinearizationsOperations()...) {
-		if len(l) > len(longest) {
-			longest = l
+	for _, linearization := range slices.Concat(info.PartialLinearizationsOperations()...) {
+		if len(linearization) > len(longest) {
+			longest = linearization
 		}
 	}
-	in := map[int]bool{}
-	for _, o := range longest {
-		in[o.ClientId] = true
+	linearized := map[int]bool{}
+	for _, op := range longest {
+		linearized[op.ClientId] = true
 	}
-	var rest []porcupine.Operation
-	for _, o := range ops {
-		if !in[o.ClientId] {
-			rest = append(rest, o)
+	var others []porcupine.Operation
+	for _, op := range ops {
+		if !linearized[op.ClientId] {
+			others = append(others, op)
 		}
 	}
-	slices.SortFunc(rest, func(a, b porcupine.Operation) int { return int(min(1, max(-1, a.Return-b.Return))) })
+	slices.SortFunc(others, func(a, b porcupine.Operation) int { return int(min(1, max(-1, a.Return-b.Return))) })
 	const shown = 6
-	var said []string
-	for _, o := range longest[max(0, len(longest)-shown):] {
-		said = append(said, m.DescribeOperation(o.Input, o.Output))
+	var descriptions []string
+	for _, op := range longest[max(0, len(longest)-shown):] {
+		descriptions = append(descriptions, model.DescribeOperation(op.Input, op.Output))
 	}
-	said = append(said, "then none of")
-	for _, o := range rest[:min(shown, len(rest))] {
-		said = append(said, m.DescribeOperation(o.Input, o.Output))
+	descriptions = append(descriptions, "then none of")
+	for _, op := range others[:min(shown, len(others))] {
+		descriptions = append(descriptions, model.DescribeOperation(op.Input, op.Output))
 	}
-	return strings.Join(said, "; ")
+	return strings.Join(descriptions, "; ")
 }
--- a/internal/sim/history/history_test.go
+++ b/internal/sim/history/history_test.go
@@ -8,12 +8,14 @@
 	"time"
 )
 
-const key = "plan"
-
-const limit = 5 * time.Second
+// key is the document of these tests; limit is how long a check may take.
+const (
+	key   = "plan"
+	limit = 5 * time.Second
+)
 
-func newChange(token string, base, number uint64) Change {
-	return Change{Key: key, Token: token, BaseVersion: base, NewVersion: number, Body: token}
+func newChange(token string, base, version uint64) Change {
+	return Change{Key: key, Token: token, BaseVersion: base, NewVersion: version, Body: token}
 }
 
 // scriptedHistory builds a history step by step.
@@ -22,33 +24,37 @@
 func (s scriptedHistory) acknowledge(change Change) {
 	s.history.BeginAttempt(change).Complete(Acknowledged, change.NewVersion)
 }
-func (s scriptedHistory) reject(change Change, at uint64) {
-	s.history.BeginAttempt(change).Complete(Rejected, at)
+func (s scriptedHistory) reject(change Change, current uint64) {
+	s.history.BeginAttempt(change).Complete(Rejected, current)
+}
+func (s scriptedHistory) read(version uint64, body string) {
+	s.history.BeginRead(key).Complete(version, body)
 }
-func (s scriptedHistory) read(v uint64, body string) { s.history.BeginRead(key).Complete(v, body) }
-func (s scriptedHistory) chain(names string) {
-	for i, n := range strings.Fields(names) {
-		s.acknowledge(newChange(n, uint64(i), uint64(i+1)))
+
+// chain makes changes, each on the one before.
+func (s scriptedHistory) chain(tokens string) {
+	for base, token := range strings.Fields(tokens) {
+		s.acknowledge(newChange(token, uint64(base), uint64(base+1)))
 	}
 }
 
-// The checker itself: histories that are known good and known bad.
+// The checker on histories of which it is known whether they are linearizable.
 func TestCheckerOnKnownHistories(t *testing.T) {
-	for _, x := range []struct {
-		name string
-		good bool
-		play func(scriptedHistory)
+	for _, test := range []struct {
+		name         string
+		linearizable bool
+		play         func(scriptedHistory)
 	}{
 		{"nothing happened", true, func(s scriptedHistory) { s.read(0, "") }},
 		{"one after the other", true, func(s scriptedHistory) { s.chain("a b"); s.read(2, "b") }},
-		{"of two on one base one is refused", true, func(s scriptedHistory) {
+		{"of two on one base one is rejected", true, func(s scriptedHistory) {
 			first, second := s.history.BeginAttempt(newChange("a", 0, 1)), s.history.BeginAttempt(newChange("b", 0, 1))
 			first.Complete(Rejected, 1)
 			second.Complete(Acknowledged, 1)
 			s.read(1, "b")
 		}},
 		{"two are acknowledged on one base", false, func(s scriptedHistory) { s.acknowledge(newChange("a", 0, 1)); s.acknowledge(newChange("b", 0, 2)) }},
-		{"two are acknowledged under one number", false, func(s scriptedHistory) { s.acknowledge(newChange("a", 0, 1)); s.acknowledge(newChange("b", 0, 1)) }},
+		{"two are acknowledged as one version", false, func(s scriptedHistory) { s.acknowledge(newChange("a", 0, 1)); s.acknowledge(newChange("b", 0, 1)) }},
 		{"a stale read", false, func(s scriptedHistory) { s.chain("a b"); s.read(1, "a") }},
 		{"a read beside a change sees either", true, func(s scriptedHistory) {
 			s.chain("a")
@@ -65,59 +71,59 @@
 		}},
 		{"an acknowledged change is lost", false, func(s scriptedHistory) { s.chain("a b"); s.acknowledge(newChange("c", 1, 2)); s.read(2, "c") }},
 		{"a read finds another body", false, func(s scriptedHistory) { s.chain("a"); s.read(1, "x") }},
-		{"an unknown order comes into force late", true, func(s scriptedHistory) {
+		{"a change with an unknown outcome takes effect late", true, func(s scriptedHistory) {
 			s.history.BeginAttempt(newChange("a", 0, 1))
 			s.read(0, "")
 			s.read(1, "a")
 		}},
-		{"an unknown order never comes into force", true, func(s scriptedHistory) {
+		{"a change with an unknown outcome never takes effect", true, func(s scriptedHistory) {
 			s.history.BeginAttempt(newChange("a", 0, 1))
 			s.acknowledge(newChange("b", 0, 2))
 			s.read(2, "b")
 		}},
-		{"an unknown order comes into force before it was sent", false, func(s scriptedHistory) { s.read(1, "a"); s.history.BeginAttempt(newChange("a", 0, 1)) }},
-		{"an unknown order comes into force twice", false, func(s scriptedHistory) {
+		{"a change with an unknown outcome takes effect before it was sent", false, func(s scriptedHistory) { s.read(1, "a"); s.history.BeginAttempt(newChange("a", 0, 1)) }},
+		{"a change with an unknown outcome takes effect twice", false, func(s scriptedHistory) {
 			s.history.BeginAttempt(newChange("a", 0, 1))
 			s.read(1, "a")
 			s.acknowledge(newChange("b", 1, 2))
 			s.read(1, "a")
 		}},
-		{"sent again it is acknowledged again", true, func(s scriptedHistory) {
+		{"a retry is acknowledged again", true, func(s scriptedHistory) {
 			s.chain("a b")
 			s.acknowledge(newChange("a", 0, 1))
 			s.history.BeginAttempt(newChange("a", 0, 1))
 			s.read(2, "b")
 		}},
-		{"sent again it is refused", false, func(s scriptedHistory) { s.chain("a"); s.reject(newChange("a", 0, 1), 1) }},
-		{"sent again after others it is acknowledged again", true, func(s scriptedHistory) {
+		{"a retry is rejected", false, func(s scriptedHistory) { s.chain("a"); s.reject(newChange("a", 0, 1), 1) }},
+		{"a late retry is acknowledged again", true, func(s scriptedHistory) {
 			s.chain("a b c d e")
 			s.acknowledge(newChange("a", 0, 1))
 			s.read(5, "e")
 		}},
-		{"sent again after others it is refused", false, func(s scriptedHistory) {
+		{"a late retry is rejected", false, func(s scriptedHistory) {
 			s.chain("a b c d e")
 			s.reject(newChange("a", 0, 1), 5)
 		}},
-		{"sent again it is acknowledged as another version", false, func(s scriptedHistory) {
+		{"a retry is acknowledged as another version", false, func(s scriptedHistory) {
 			s.chain("a b")
 			s.history.BeginAttempt(newChange("a", 0, 1)).Complete(Acknowledged, 2)
 		}},
-		{"a refused order comes into force", false, func(s scriptedHistory) {
+		{"a rejected change takes effect", false, func(s scriptedHistory) {
 			s.chain("a")
 			s.reject(newChange("b", 0, 2), 1)
 			s.read(2, "b")
 		}},
-		{"an order is refused on the version that it builds on", false, func(s scriptedHistory) {
+		{"a change is rejected on the version that it builds on", false, func(s scriptedHistory) {
 			s.chain("a")
 			s.reject(newChange("b", 1, 2), 1)
 			s.read(1, "a")
 		}},
-		{"a refusal names a version of the past", false, func(s scriptedHistory) { s.chain("a b"); s.reject(newChange("c", 0, 3), 1) }},
-		{"an attempt that never ran comes into force", false, func(s scriptedHistory) {
+		{"a rejection names a version that is no longer current", false, func(s scriptedHistory) { s.chain("a b"); s.reject(newChange("c", 0, 3), 1) }},
+		{"an attempt that was not executed takes effect", false, func(s scriptedHistory) {
 			s.history.BeginAttempt(newChange("a", 0, 1)).Complete(NotExecuted, 0)
 			s.read(1, "a")
 		}},
-		{"an invalid order comes into force", false, func(s scriptedHistory) {
+		{"an invalid change takes effect", false, func(s scriptedHistory) {
 			s.history.BeginAttempt(newChange("a", 0, 1)).Complete(Invalid, 0)
 			s.read(1, "a")
 		}},
@@ -128,7 +134,7 @@
 			s.read(2, "ba")
 			s.read(2, "ba")
 		}},
-		{"a patch's outcome is read in two ways", false, func(s scriptedHistory) {
+		{"two contents are read after one patch", false, func(s scriptedHistory) {
 			s.history.BeginAttempt(Change{Key: key, Token: "a", AnyVersion: true}).Complete(Acknowledged, 1)
 			s.read(1, "x")
 			s.read(1, "y")
@@ -138,15 +144,17 @@
 			s.history.BeginRead("other").Complete(0, "")
 		}},
 	} {
-		s := scriptedHistory{&History{}}
-		x.play(s)
-		if result := s.history.Check(limit); (len(result.Violations) == 0) != x.good {
-			t.Errorf("%s: %+v", x.name, result)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			s := scriptedHistory{&History{}}
+			test.play(s)
+			if result := s.history.Check(limit); (len(result.Violations) == 0) != test.linearizable {
+				t.Errorf("%+v", result)
+			}
+		})
 	}
 }
 
-// A check that isn't done in time is a failure, not a pass.
+// A check that isn't done in time is a violation.
 func TestCheckTimeoutIsAViolation(t *testing.T) {
 	s := scriptedHistory{&History{}}
 	for range 40 {
@@ -154,29 +162,29 @@
 	}
 	s.acknowledge(newChange("z", 100, 101))
 	result := s.history.Check(50 * time.Millisecond)
-	if len(result.Violations) != 1 || !strings.Contains(result.Violations[0], "wasn't judged") {
+	if len(result.Violations) != 1 || !strings.Contains(result.Violations[0], "wasn't checked") {
 		t.Errorf("%+v", result)
 	}
 }
 
-// testPrograms drive the test bed; they are no part of the product.
+// testPrograms drive the test bed; they aren't part of the product.
 var testPrograms = []string{"pebbleloom/cmd/testbed", "pebbleloom/cmd/loadgen"}
 
 // No program of the product links the checker.
 func TestNoProductProgramLinksTheChecker(t *testing.T) {
 	command := exec.Command("go", "list", "-f", `{{.ImportPath}}{{range .Deps}} {{.}}{{end}}`, "./cmd/...", "./platform/...")
 	command.Dir = "../../.."
-	out, err := command.Output()
+	output, err := command.Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := strings.Split(strings.TrimSpace(string(out)), "\n")
+	lines := strings.Split(strings.TrimSpace(string(output)), "\n")
 	if len(lines) < 3 {
 		t.Fatalf("only %d packages listed", len(lines))
 	}
-	for _, l := range lines {
-		program, _, _ := strings.Cut(l, " ")
-		if strings.Contains(l, "anishathalye/porcupine") && strings.Contains(program, "/cmd/") && !slices.Contains(testPrograms, program) {
+	for _, line := range lines {
+		program, _, _ := strings.Cut(line, " ")
+		if strings.Contains(line, "anishathalye/porcupine") && strings.Contains(program, "/cmd/") && !slices.Contains(testPrograms, program) {
 			t.Errorf("%s links the checker", program)
 		}
 	}
--- a/internal/sim/history/operations.go
+++ b/internal/sim/history/operations.go
@@ -6,160 +6,194 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operations turns what was seen of a document into the checker's operations. Attempts without a
-// clear answer are one operation an order, without an end; where the order was acknowledged, they
-// only say since when it may have taken effect. An end marker follows all that was answered.
-// Reduced leaves out what can't change the verdict, on which the checker would spend its time.
-func operations(list []*observation, reduced bool) (ops []porcupine.Operation, unclear int) {
-	add := func(o *observation, call, answer int64) {
-		var input *Change
-		if o != nil {
-			input = o.change
+// operations turns the observations of a document into the checker's operations. Attempts with an unknown
+// outcome are one operation for each change, without an end; where the change was acknowledged, they only
+// tell from when on it may have taken effect. An end marker follows all that was answered. With reduced,
+// what can't change the result is left out, on which the checker would spend its time.
+func operations(observations []*observation, reduced bool) (ops []porcupine.Operation, indeterminate int) {
+	list := operationList{}
+	firstAcks, begun := indexAttempts(observations)
+	indeterminate, merged := list.addIndeterminate(observations, firstAcks)
+	constraints := versionConstraints{}
+	for _, seen := range observations {
+		token := ""
+		if seen.change != nil {
+			token = seen.change.Token
+		}
+		switch {
+		case seen.outcome == Unknown:
+		case token != "" && firstAcks[token] == seen:
+			list.add(seen, begun[token], seen.returnedAt)
+		case reduced && isRepeatedAcknowledgement(seen, firstAcks[token]):
+		case reduced && isVersionConstraint(seen, firstAcks[token] == nil && !merged[token]):
+			constraints.add(seen)
+		default:
+			list.add(seen, seen.calledAt, seen.returnedAt)
 		}
-		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: input, Call: call, Output: o, Return: answer})
 	}
-	first, begun := indexAttempts(list)
-	excluded := neverApplied(list)
-	merged := map[string]bool{}
-	for _, o := range list {
-		if o.outcome != Unknown {
+	for _, seen := range constraints.observations() {
+		list.add(seen, seen.calledAt, seen.returnedAt)
+	}
+	list.add(nil, math.MaxInt64-1, math.MaxInt64-1)
+	return list, indeterminate
+}
+
+// operationList is the input of the checker; each operation is of a client of its own.
+type operationList []porcupine.Operation
+
+func (l *operationList) add(seen *observation, calledAt, returnedAt int64) {
+	var change *Change
+	if seen != nil {
+		change = seen.change
+	}
+	*l = append(*l, porcupine.Operation{ClientId: len(*l), Input: change, Call: calledAt, Output: seen, Return: returnedAt})
+}
+
+// addIndeterminate adds an operation for each change that may have taken effect though no attempt was
+// acknowledged. It returns the number of attempts with an unknown outcome, and the tokens that it added.
+func (l *operationList) addIndeterminate(observations []*observation, firstAcks map[string]*observation) (attempts int, merged map[string]bool) {
+	isNeverApplied := neverApplied(observations)
+	merged = map[string]bool{}
+	for _, seen := range observations {
+		if seen.outcome != Unknown {
 			continue
 		}
-		unclear++
-		token := o.change.Token
-		if token != "" && (first[token] != nil || merged[token]) || excluded(o.change) {
+		attempts++
+		token := seen.change.Token
+		if token != "" && (firstAcks[token] != nil || merged[token]) || isNeverApplied(seen.change) {
 			continue
 		}
 		merged[token] = true
-		add(o, o.calledAt, math.MaxInt64)
+		l.add(seen, seen.calledAt, math.MaxInt64)
 	}
-	bounds := versionConstraints{}
-	for _, o := range list {
-		token := ""
-		if o.change != nil {
-			token = o.change.Token
-		}
-		switch {
-		case o.outcome == Unknown:
-		case token != "" && first[token] == o:
-			add(o, begun[token], o.returnedAt)
-		case reduced && isRepeatedAcknowledgement(o, first[token]):
-		case reduced && isVersionConstraint(o, first[token] == nil && !merged[token]):
-			bounds.add(o)
-		default:
-			add(o, o.calledAt, o.returnedAt)
-		}
-	}
-	for _, o := range bounds.observations() {
-		add(o, o.calledAt, o.returnedAt)
-	}
-	add(nil, math.MaxInt64-1, math.MaxInt64-1)
-	return ops, unclear
+	return attempts, merged
 }
 
-// isRepeatedAcknowledgement tells whether an acknowledgement only repeats the first one of its order. It holds
-// wherever that one does: the order took effect before the first answer, which came before this one.
-func isRepeatedAcknowledgement(o, first *observation) bool {
-	return o.outcome == Acknowledged && o.change != nil && o.change.Token != "" && first != nil && first != o && first.version == o.version
+// isRepeatedAcknowledgement reports whether an acknowledgement only repeats the first one of its change. It
+// holds wherever that one does: the change took effect before the first answer, which came before this one.
+func isRepeatedAcknowledgement(seen, first *observation) bool {
+	return seen.outcome == Acknowledged && seen.change != nil && seen.change.Token != "" && first != nil && first != seen && first.version == seen.version
 }
 
-// isVersionConstraint tells whether an operation changes nothing, and says only that a version was current at
-// some moment between its call and its answer: a read, or a refusal of an order that wasn't taken.
-func isVersionConstraint(o *observation, neverTaken bool) bool {
-	if o.change == nil {
+// isVersionConstraint reports whether an operation changes nothing, and tells only that a version was current
+// at some time between its call and its answer: a read, or a rejection of a change that was never applied.
+func isVersionConstraint(seen *observation, isNeverApplied bool) bool {
+	if seen.change == nil {
 		return true
 	}
-	return o.outcome == Rejected && o.version != 0 && o.change.Token != "" && neverTaken && !register{version: o.version}.isApplicable(o.change)
+	return seen.outcome == Rejected && seen.version != 0 && seen.change.Token != "" && isNeverApplied && !register{version: seen.version}.isApplicable(seen.change)
 }
 
-// versionConstraint is what pinned operations with the same content say of a version.
+// versionConstraint is what operations tell of a version that are alike but for their times.
 type versionConstraint struct {
 	version uint64
 	isRead  bool
 	body    string
 }
 
-// versionConstraints holds, of all that say the same, the one that was answered first and the one that was called
-// last. A version that is current from s to e meets all of them if, and only if, it meets these two:
-// s is before each answer, and e after each call.
-type versionConstraints map[versionConstraint]*[2]*observation
+// constraintBounds are, of all operations that tell the same, the one that was answered first and the one
+// that was called last.
+type constraintBounds struct{ firstAnswered, lastCalled *observation }
 
-func (p versionConstraints) add(o *observation) {
-	k := versionConstraint{o.version, o.change == nil, o.body}
-	if p[k] == nil {
-		p[k] = &[2]*observation{o, o}
+// versionConstraints hold the bounds of each constraint. A version that is current from s to e satisfies all
+// operations of a constraint if, and only if, it satisfies these two: s is before each answer, and e after
+// each call.
+type versionConstraints map[versionConstraint]*constraintBounds
+
+func (c versionConstraints) add(seen *observation) {
+	constraint := versionConstraint{seen.version, seen.change == nil, seen.body}
+	bounds := c[constraint]
+	if bounds == nil {
+		c[constraint] = &constraintBounds{seen, seen}
 		return
 	}
-	if o.returnedAt < p[k][0].returnedAt {
-		p[k][0] = o
+	if seen.returnedAt < bounds.firstAnswered.returnedAt {
+		bounds.firstAnswered = seen
 	}
-	if o.calledAt > p[k][1].calledAt {
-		p[k][1] = o
+	if seen.calledAt > bounds.lastCalled.calledAt {
+		bounds.lastCalled = seen
 	}
 }
 
-func (p versionConstraints) observations() (l []*observation) {
-	for _, x := range p {
-		if l = append(l, x[0]); x[1] != x[0] {
-			l = append(l, x[1])
+func (c versionConstraints) observations() (all []*observation) {
+	for _, bounds := range c {
+		if all = append(all, bounds.firstAnswered); bounds.lastCalled != bounds.firstAnswered {
+			all = append(all, bounds.lastCalled)
 		}
 	}
-	return l
+	return all
 }
 
-// indexAttempts gives, by token, the attempt that was acknowledged first, and when the first one began that
-// may have taken effect.
-func indexAttempts(list []*observation) (first map[string]*observation, begun map[string]int64) {
-	first, begun = map[string]*observation{}, map[string]int64{}
-	for _, o := range list {
-		if o.change == nil || o.change.Token == "" {
+// indexAttempts returns, by token, the attempt that was acknowledged first, and when the first attempt began
+// that may have taken effect.
+func indexAttempts(observations []*observation) (firstAcks map[string]*observation, begun map[string]int64) {
+	firstAcks, begun = map[string]*observation{}, map[string]int64{}
+	for _, seen := range observations {
+		if seen.change == nil || seen.change.Token == "" {
 			continue
 		}
-		t := o.change.Token
-		if f := first[t]; o.outcome == Acknowledged && (f == nil || o.returnedAt < f.returnedAt) {
-			first[t] = o
+		token := seen.change.Token
+		if first := firstAcks[token]; seen.outcome == Acknowledged && (first == nil || seen.returnedAt < first.returnedAt) {
+			firstAcks[token] = seen
 		}
-		if b, ok := begun[t]; (o.outcome == Unknown || o.outcome == Acknowledged) && (!ok || o.calledAt < b) {
-			begun[t] = o.calledAt
+		if earliest, ok := begun[token]; (seen.outcome == Unknown || seen.outcome == Acknowledged) && (!ok || seen.calledAt < earliest) {
+			begun[token] = seen.calledAt
 		}
 	}
-	return first, begun
+	return firstAcks, begun
+}
+
+// answeredVersions is what the answers tell of versions.
+type answeredVersions struct {
+	byBase    map[uint64]string // the token that was acknowledged on a version
+	byVersion map[uint64]string // the token that was acknowledged as a version
+	bodies    map[uint64]string // the content that a read found under a version
+	named     map[uint64]bool   // versions that an answer names, or that a change with an answer builds on
+	overtaken map[string]bool   // tokens of changes that were rejected because a later version is current
+	allNamed  bool              // each rejection names the current version
 }
 
-// neverApplied tells which orders without an answer can't have taken effect, or without anybody's
-// having seen it: another one was acknowledged on their version or under their number, a read found
-// another content under it, or no answer names the number though each refusal names one.
-func neverApplied(list []*observation) func(*Change) bool {
-	onBase, asNumber, content := map[uint64]string{}, map[uint64]string{}, map[uint64]string{}
-	named, overtaken, all := map[uint64]bool{}, map[string]bool{}, true
-	for _, o := range list {
-		if o.outcome == Unknown {
+func answeredVersionsOf(observations []*observation) answeredVersions {
+	versions := answeredVersions{byBase: map[uint64]string{}, byVersion: map[uint64]string{}, bodies: map[uint64]string{},
+		named: map[uint64]bool{}, overtaken: map[string]bool{}, allNamed: true}
+	for _, seen := range observations {
+		if seen.outcome == Unknown {
 			continue
 		}
-		named[o.version] = true
+		versions.named[seen.version] = true
 		switch {
-		case o.change == nil:
-			content[o.version] = o.body
+		case seen.change == nil:
+			versions.bodies[seen.version] = seen.body
 			continue
-		case o.outcome == Acknowledged && o.change.Token != "":
-			asNumber[o.version] = o.change.Token
-			if !o.change.AnyVersion {
-				onBase[o.change.BaseVersion] = o.change.Token
+		case seen.outcome == Acknowledged && seen.change.Token != "":
+			versions.byVersion[seen.version] = seen.change.Token
+			if !seen.change.AnyVersion {
+				versions.byBase[seen.change.BaseVersion] = seen.change.Token
 			}
-		case o.version == 0:
-			all = false
-		case o.outcome == Rejected && o.version > o.change.BaseVersion:
-			overtaken[o.change.Token] = true
+		case seen.version == 0:
+			versions.allNamed = false
+		case seen.outcome == Rejected && seen.version > seen.change.BaseVersion:
+			versions.overtaken[seen.change.Token] = true
 		}
-		named[o.change.BaseVersion] = true
+		versions.named[seen.change.BaseVersion] = true
 	}
-	return func(o *Change) bool {
-		if o.Token == "" || o.NewVersion == 0 || o.AnyVersion || o.Body == "" {
+	return versions
+}
+
+// neverApplied returns a function that reports which changes with an unknown outcome can't have taken effect,
+// or did so without any operation that could tell: another change was acknowledged on their base or as their
+// version, a read found another content under it, they were overtaken, or no answer names their version
+// though each rejection names one.
+func neverApplied(observations []*observation) func(*Change) bool {
+	versions := answeredVersionsOf(observations)
+	return func(change *Change) bool {
+		if change.Token == "" || change.NewVersion == 0 || change.AnyVersion || change.Body == "" {
 			return false
 		}
-		by, taken := onBase[o.BaseVersion]
-		as, used := asNumber[o.NewVersion]
-		body, seen := content[o.NewVersion]
-		return taken && by != o.Token || used && as != o.Token || seen && body != o.Body || all && !named[o.NewVersion] || overtaken[o.Token]
+		onBase, baseUsed := versions.byBase[change.BaseVersion]
+		asVersion, versionUsed := versions.byVersion[change.NewVersion]
+		body, wasRead := versions.bodies[change.NewVersion]
+		return baseUsed && onBase != change.Token || versionUsed && asVersion != change.Token || wasRead && body != change.Body ||
+			versions.allNamed && !versions.named[change.NewVersion] || versions.overtaken[change.Token]
 	}
 }
--- a/internal/sim/history/register.go
+++ b/internal/sim/history/register.go
@@ -6,50 +6,40 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// register is the state of one document in the model: a register with a version, and the orders
-// that it has taken.
+// register is the state of one document in the model: its version and content, and the changes that were
+// applied to it. It is never modified: each step returns another one.
 type register struct {
 	version      uint64
 	body         string
-	bodyKnown    bool // the body is known
-	applied      *appliedChange
-	allCompleted bool // all that was answered has its place
+	bodyKnown    bool
+	applied      *appliedChange // the last one
+	allCompleted bool           // all operations that were answered are linearized
 }
 
-// appliedChange is one order that took effect, and those before it.
+// appliedChange is a change that took effect, in a list of all of them.
 type appliedChange struct {
 	token    string
 	version  uint64
 	previous *appliedChange
 }
 
-// find gives the version under which an order was taken, and how many were taken since.
-func (t *appliedChange) find(token string) (version uint64, found bool) {
-	for x := t; x != nil && token != ""; x = x.previous {
-		if x.token == token {
-			return x.version, true
+// find returns the version that the change of a token made.
+func (a *appliedChange) find(token string) (version uint64, found bool) {
+	for applied := a; applied != nil && token != ""; applied = applied.previous {
+		if applied.token == token {
+			return applied.version, true
 		}
 	}
 	return 0, false
 }
 
-// model is a register with compare-and-set and reads. An order that was taken is acknowledged
-// again with its first outcome, or left unclear; however late it is sent again, it isn't refused.
+// model is a register with compare-and-set and reads. A change that was applied is acknowledged again with
+// its first version, or has an unknown outcome; however late it is retried, it isn't rejected.
 func model() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return register{bodyKnown: true} },
 		Step: func(state, input, output any) (bool, any) {
-			s, o, seen := state.(register), input.(*Change), output.(*observation)
-			switch {
-			case seen == nil:
-				s.allCompleted = true
-				return true, s
-			case o == nil:
-				return s.stepRead(seen)
-			case seen.outcome == Unknown:
-				return s.stepIndeterminate(o)
-			}
-			return s.stepChange(o, seen)
+			return state.(register).step(input.(*Change), output.(*observation))
 		},
 		Equal: func(a, b any) bool { return a.(register).equal(b.(register)) },
 		DescribeOperation: func(input, output any) string {
@@ -58,83 +48,99 @@
 	}
 }
 
-func (s register) stepRead(seen *observation) (bool, any) {
-	if seen.version != s.version || s.bodyKnown && seen.body != s.body {
-		return false, s
+// step reports whether an operation may take place in this state, and returns the state after it. The end
+// marker has neither a change nor an observation, a read has no change.
+func (r register) step(change *Change, seen *observation) (bool, any) {
+	switch {
+	case seen == nil:
+		r.allCompleted = true
+		return true, r
+	case change == nil:
+		return r.stepRead(seen)
+	case seen.outcome == Unknown:
+		return r.stepIndeterminate(change)
 	}
-	s.body, s.bodyKnown = seen.body, true // of a patch the first read tells what it led to
-	return true, s
+	return r.stepChange(change, seen)
 }
 
-func (s register) stepChange(o *Change, seen *observation) (bool, any) {
-	if version, found := s.applied.find(o.Token); found {
-		return seen.outcome == Acknowledged && seen.version == version, s
+func (r register) stepRead(seen *observation) (bool, any) {
+	if seen.version != r.version || r.bodyKnown && seen.body != r.body {
+		return false, r
 	}
-	if !s.isApplicable(o) {
-		named := seen.outcome == Rejected && seen.version != 0
-		return seen.outcome != Acknowledged && (!named || seen.version == s.version), s
+	r.body, r.bodyKnown = seen.body, true // after a patch the first read tells the content
+	return true, r
+}
+
+func (r register) stepChange(change *Change, seen *observation) (bool, any) {
+	if version, found := r.applied.find(change.Token); found {
+		return seen.outcome == Acknowledged && seen.version == version, r
+	}
+	if !r.isApplicable(change) {
+		namesVersion := seen.outcome == Rejected && seen.version != 0
+		return seen.outcome != Acknowledged && (!namesVersion || seen.version == r.version), r
 	}
 	switch seen.outcome {
 	case Rejected:
-		return false, s
+		return false, r
 	case Invalid:
-		return true, s
+		return true, r
 	}
-	next := s.apply(o)
+	next := r.apply(change)
 	return seen.version == next.version, next
 }
 
-// stepIndeterminate is an order without a clear answer: it takes effect where it fits, or, once all that was
-// answered has its place, never. So the checker doesn't try each place where it would do nothing.
-func (s register) stepIndeterminate(o *Change) (bool, any) {
-	if s.allCompleted {
-		return true, s
+// stepIndeterminate is a change with an unknown outcome: it takes effect where it is applicable or, once all
+// answered operations are linearized, never. So the checker doesn't try every place at which it would do
+// nothing.
+func (r register) stepIndeterminate(change *Change) (bool, any) {
+	if r.allCompleted {
+		return true, r
 	}
-	if _, found := s.applied.find(o.Token); found || !s.isApplicable(o) {
-		return false, s
+	if _, found := r.applied.find(change.Token); found || !r.isApplicable(change) {
+		return false, r
 	}
-	return true, s.apply(o)
+	return true, r.apply(change)
 }
 
-// isApplicable tells whether an order may take effect on the current version.
-func (s register) isApplicable(o *Change) bool {
-	return (o.AnyVersion || o.BaseVersion == s.version) && (o.NewVersion == 0 || o.NewVersion > s.version)
+// isApplicable reports whether a change may take effect on the current version.
+func (r register) isApplicable(change *Change) bool {
+	return (change.AnyVersion || change.BaseVersion == r.version) && (change.NewVersion == 0 || change.NewVersion > r.version)
 }
 
-func (s register) apply(o *Change) register {
-	n := register{version: o.NewVersion, body: o.Body, bodyKnown: o.Body != "", applied: s.applied}
-	if n.version == 0 {
-		n.version = s.version + 1
+func (r register) apply(change *Change) register {
+	next := register{version: change.NewVersion, body: change.Body, bodyKnown: change.Body != "", applied: r.applied}
+	if next.version == 0 {
+		next.version = r.version + 1
 	}
-	n.applied = &appliedChange{o.Token, n.version, s.applied}
-	return n
+	next.applied = &appliedChange{change.Token, next.version, r.applied}
+	return next
 }
 
-// equal tells whether two states can't be told apart by anything that follows.
-func (s register) equal(o register) bool {
-	if s.version != o.version || s.body != o.body || s.bodyKnown != o.bodyKnown || s.allCompleted != o.allCompleted {
+// equal reports whether no later operation can distinguish two states.
+func (r register) equal(other register) bool {
+	if r.version != other.version || r.body != other.body || r.bodyKnown != other.bodyKnown || r.allCompleted != other.allCompleted {
 		return false
 	}
-	x, y := s.applied, o.applied
-	for ; x != y; x, y = x.previous, y.previous {
-		if x == nil || y == nil || x.token != y.token || x.version != y.version {
+	ours, theirs := r.applied, other.applied
+	for ; ours != theirs; ours, theirs = ours.previous, theirs.previous {
+		if ours == nil || theirs == nil || ours.token != theirs.token || ours.version != theirs.version {
 			return false
 		}
 	}
 	return true
 }
 
-func describe(o *Change, seen *observation) string {
+// describe is an operation in words, with the times of its call and answer.
+func describe(change *Change, seen *observation) string {
 	if seen == nil {
 		return "end"
 	}
-	if o == nil {
+	if change == nil {
 		return fmt.Sprintf("[%d-%d] read version %d %q", seen.calledAt, seen.returnedAt, seen.version, seen.body)
 	}
-	said := [...]string{"unknown", "done", "refused", "invalid", "not taken"}[seen.outcome]
-	base := fmt.Sprint(o.BaseVersion)
-	if o.AnyVersion {
+	base := fmt.Sprint(change.BaseVersion)
+	if change.AnyVersion {
 		base = "any"
 	}
-	return fmt.Sprintf("[%d-%d] order %s on %s, number %d: %s, version %d", seen.calledAt, seen.returnedAt, o.Token, base, o.NewVersion, said, seen.version)
+	return fmt.Sprintf("[%d-%d] change %s on %s, new version %d: %s, version %d", seen.calledAt, seen.returnedAt, change.Token, base, change.NewVersion, seen.outcome, seen.version)
 }
