--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -41,7 +41,7 @@
 	group.leaving = map[string]int{}
 	shard.core = consensus.New(group.consensusConfig, consensus.LearnerSnapshot(""), nil)
 	shard.failure = shard.reopen()
-	shard.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
+	shard.publishRecovered()
 	return shard
 }
 
@@ -96,7 +96,7 @@
 	s.abandonProposals()
 	s.failure = nil
 	s.log.Info("disk works again")
-	s.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
+	s.publishRecovered()
 }
 
 // maintainGroup does at each tick what a member of a group does beside the core's own ticks: it retries
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -36,8 +36,13 @@
 
 func (p *viewPublisher) current() *publishedView { return p.view.Load() }
 
-// publish publishes a new view if the core's output has changed what it shows. It wakes long polls only
-// if there is something to respond with.
+// publishRecovered publishes what was recovered from the disk, in place of whatever was shown before.
+func (s *shard) publishRecovered() {
+	s.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
+}
+
+// publish publishes a new view if the part of the core's output that was carried out has changed what a
+// view shows. It wakes long polls only if there is something to respond with.
 func (s *shard) publish(ready consensus.Ready) {
 	if s.group == nil {
 		return
