--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -127,13 +127,13 @@
 		case worker.Kind == "store":
 			stores++
 		case snapshot.Config != nil && worker.Kind == "lm":
-			if modelWorkers++; worker.Weights > 0 && worker.Weights < snapshot.WeightsAt[worker.Model].Version {
+			if modelWorkers++; worker.Weights > 0 && worker.Weights < snapshot.Weights[worker.Model].Version {
 				outdated[worker.Model]++
 			}
 		}
 	}
 	for _, model := range queue.Keys(outdated) {
-		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], modelWorkers, snapshot.WeightsAt[model].Version),
+		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], modelWorkers, snapshot.Weights[model].Version),
 			"wait for the rollout; else see the placement controllers' logs", runbookOutdatedWeights)
 	}
 	if stores == 0 {
--- a/internal/control/placementcontroller/orders.go
+++ b/internal/control/placementcontroller/orders.go
@@ -28,7 +28,7 @@
 	workers := slices.DeleteFunc(languageModelWorkers(snapshot, svc.name), func(worker *wire.Worker) bool {
 		return worker.Model != config.Model && worker.Model != "" // it has another base model
 	})
-	history := snapshot.WeightsAt[config.Model]
+	history := snapshot.Weights[config.Model]
 	now := c.clock.Now()
 	since := func(weights uint64) time.Duration {
 		_, superseded, _ := history.SupersededAt(weights)
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -63,7 +63,7 @@
 	processSettings := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
 	process := daemon.New("dispatcher", processSettings)
 	test := &testProxy{starts: map[string]int{}, granted: map[string]bool{}, clock: &clock.Manual{Time: time.Hour}}
-	test.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
+	test.snapshot = &updatestream.Snapshot{ConfigVersion: 1, ProofAt: time.Hour, Placements: map[string]*placement.Placement{}, Weights: map[string]updatestream.WeightsHistory{"m": {Version: 1}},
 		Config: (&serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{"t": {Keys: []string{"key-of-t"}}}, Models: map[string]serviceconfig.Model{"m": {Weights: 1}},
 			Services: map[string]serviceconfig.Service{"s": {Model: "m"}}, Routes: map[string]serviceconfig.Route{"m": {Service: "s"}}}).BuildIndex()}
 	for i, mode := range modes {
@@ -202,7 +202,7 @@
 		"no way leads there":      {func(test *testProxy) { test.snapshot.Config.Routes = nil }, "no-such-model"},
 		"all workers are leaving": {func(test *testProxy) { test.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
 		"older weights alone": {func(test *testProxy) {
-			test.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
+			test.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
 		test := newTestProxy(t, "well")
@@ -212,7 +212,7 @@
 		}
 	}
 	test := newTestProxy(t, "well")
-	test.snapshot.WeightsAt = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, NewestUntil: time.Hour - time.Second}}}}
+	test.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: time.Hour - time.Second}}}}
 	if outcome := test.ask("r", true); !outcome.Sealed {
 		t.Errorf("older weights within their bound: %+v", outcome)
 	}
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -56,7 +56,7 @@
 		Entries:        req.prefixEntries(req.entries),
 		Found:          req.found,
 		Tried:          req.tried,
-		NewestWeights:  snapshot.WeightsAt[target.Model].Version,
+		NewestWeights:  snapshot.Weights[target.Model].Version,
 		Placement:      snapshot.Placements[service],
 		PrefillCurve:   p.prefillCurve,
 		NearBandwidth:  p.links.near.Load(),
--- a/internal/data/callerproxy/freshness.go
+++ b/internal/data/callerproxy/freshness.go
@@ -25,7 +25,7 @@
 
 // isFresh reports whether a snapshot's configuration was proven newest recently enough to serve under it.
 func (p *Proxy) isFresh(snapshot *updatestream.Snapshot) bool {
-	return snapshot.Fresh(p.clock.Now(), p.bounds.Config(maxProofAgeRatio))
+	return snapshot.IsFresh(p.clock.Now(), p.bounds.Config(maxProofAgeRatio))
 }
 
 // freshSnapshot returns the newest snapshot if a request may be served under it.
@@ -52,7 +52,7 @@
 func (req *request) startDeadline(worker *wire.Worker) time.Duration {
 	p := req.proxy
 	deadline := req.snapshot.ProofAt + p.bounds.Config(startDeadlineRatio)
-	history := req.snapshot.WeightsAt[weightsFor(req.snapshot, req.ask).Model]
+	history := req.snapshot.Weights[weightsFor(req.snapshot, req.ask).Model]
 	if supersededAt, _, ok := history.SupersededAt(worker.Weights); ok {
 		deadline = min(deadline, supersededAt+p.bounds.Weights(supersededStartRatio))
 	}
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -83,7 +83,7 @@
 	snapshot, ask := req.snapshot, req.ask
 	entries := map[uint64][]prefix.Entry{}
 	target := weightsFor(snapshot, ask)
-	history := snapshot.WeightsAt[target.Model]
+	history := snapshot.Weights[target.Model]
 	service := snapshot.Config.Routes[ask.Model].ServiceFor(ask.RequestID)
 	for _, worker := range snapshot.Workers {
 		if worker.Service != service || worker.State == updatestream.WorkerGone {
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -26,25 +26,25 @@
 
 // Snapshot is everything that a request uses: it never changes once it is shared.
 type Snapshot struct {
-	Number        uint64
-	ConfigVersion uint64 // of the configuration
-	ListsVersion  uint64 // of workers, nodes, placements and stores
-	Config        *serviceconfig.Config
-	ProofAt       time.Duration // no configuration newer than ConfigVersion had been acknowledged then
-	LatestProof   time.Duration // the latest such instant known, also after a restart of the node agent
-	WorkersAt     time.Duration // when the worker table was last known good
-	Workers       []*wire.Worker
-	Nodes         []*wire.Node
-	Placements    map[string]*placement.Placement
-	Stores        []string
-	WeightsAt     map[string]WeightsHistory // by model: when each weights version was first seen here
+	Version         uint64
+	ConfigVersion   uint64 // of the configuration
+	ListsVersion    uint64 // of workers, nodes, placements and stores
+	Config          *serviceconfig.Config
+	ProofAt         time.Duration // no configuration newer than ConfigVersion had been acknowledged then
+	LatestProofAt   time.Duration // the latest such instant known, also after a restart of the node agent
+	WorkersListedAt time.Duration // when the worker table was last known good
+	Workers         []*wire.Worker
+	Nodes           []*wire.Node
+	Placements      map[string]*placement.Placement
+	Stores          []string
+	Weights         map[string]WeightsHistory // by model: when each weights version was first seen here
 }
 
-// Fresh reports whether the configuration may still be used at an instant: its proof is younger than
+// IsFresh reports whether the configuration may still be used at an instant: its proof is younger than
 // age.
 //
 // Example: if !s.Fresh(clock.Now(), bounds.Config(0.8)) { reject() }
-func (s *Snapshot) Fresh(now, age time.Duration) bool {
+func (s *Snapshot) IsFresh(now, age time.Duration) bool {
 	return s != nil && s.Config != nil && s.ProofAt > 0 && now-s.ProofAt < age
 }
 
@@ -53,7 +53,7 @@
 	current    atomic.Pointer[Snapshot]
 	clock      clock.Clock
 	log        hclog.Logger
-	OnSnapshot func(*Snapshot) // called with every new snapshot; may be nil
+	onSnapshot func(*Snapshot) // called with every new snapshot; may be nil
 	addReports func(*wire.FeedRequest)
 	fixed      func() *Snapshot
 }
@@ -64,12 +64,12 @@
 // Example: f := updatestream.Follow(ctx, clock, log, func() wire.NodeAgent { return clients.NodeAgent(addr) }, hold, nil, nil)
 func Follow(ctx context.Context, clk clock.Clock, log hclog.Logger, link func() wire.NodeAgent, hold time.Duration,
 	addReports func(*wire.FeedRequest), onSnapshot func(*Snapshot)) *Follower {
-	f := &Follower{clock: clk, log: log, addReports: addReports, OnSnapshot: onSnapshot}
+	f := &Follower{clock: clk, log: log, addReports: addReports, onSnapshot: onSnapshot}
 	go f.run(ctx, link, hold)
 	return f
 }
 
-// OnSeedsChanged makes an OnSnapshot callback that passes the configuration's seeds on when they change.
+// OnSeedsChanged makes an onSnapshot callback that passes the configuration's seeds on when they change.
 //
 // Example: updatestream.Follow(ctx, clock, log, link, hold, nil, updatestream.Seeds(member.SetSeeds))
 func OnSeedsChanged(set func([]string)) func(*Snapshot) {
@@ -101,7 +101,7 @@
 	for ctx.Err() == nil {
 		a := &wire.FeedRequest{MaxWaitNs: uint64(hold)}
 		if s := f.current.Load(); s != nil {
-			a.KnownVersion, a.KnownConfigVersion, a.KnownListsVersion = s.Number, s.ConfigVersion, s.ListsVersion
+			a.KnownVersion, a.KnownConfigVersion, a.KnownListsVersion = s.Version, s.ConfigVersion, s.ListsVersion
 		}
 		if f.addReports != nil {
 			f.addReports(a)
@@ -131,8 +131,8 @@
 		return
 	}
 	f.current.Store(s)
-	if f.OnSnapshot != nil {
-		f.OnSnapshot(s)
+	if f.onSnapshot != nil {
+		f.onSnapshot(s)
 	}
 }
 
@@ -143,11 +143,11 @@
 	if old != nil && t.ListsVersion == old.ListsVersion && t.ListsVersion != 0 {
 		o := *old // the lists are the same; shared data is never changed
 		s := &o
-		s.Number, s.ProofAt, s.WorkersAt = t.Version, time.Duration(t.ProofAtNs), time.Duration(t.WorkersListedAtNs)
+		s.Version, s.ProofAt, s.WorkersListedAt = t.Version, time.Duration(t.ProofAtNs), time.Duration(t.WorkersListedAtNs)
 		return s, s.applyConfig(t, old, now)
 	}
-	s := &Snapshot{Number: t.Version, ListsVersion: t.ListsVersion, ProofAt: time.Duration(t.ProofAtNs), WorkersAt: time.Duration(t.WorkersListedAtNs), Workers: t.Workers,
-		Nodes: t.Nodes, Stores: t.Stores, Placements: map[string]*placement.Placement{}, WeightsAt: map[string]WeightsHistory{}}
+	s := &Snapshot{Version: t.Version, ListsVersion: t.ListsVersion, ProofAt: time.Duration(t.ProofAtNs), WorkersListedAt: time.Duration(t.WorkersListedAtNs), Workers: t.Workers,
+		Nodes: t.Nodes, Stores: t.Stores, Placements: map[string]*placement.Placement{}, Weights: map[string]WeightsHistory{}}
 	if err := s.applyConfig(t, old, now); err != nil {
 		return nil, err
 	}
@@ -168,21 +168,21 @@
 // applyConfig takes the configuration of a response, or keeps the previous one.
 func (s *Snapshot) applyConfig(t *wire.FeedResponse, old *Snapshot, now time.Duration) error {
 	if old != nil && old.Config != nil && (t.Config == nil || old.ConfigVersion == t.Config.Version) {
-		s.ConfigVersion, s.Config, s.WeightsAt = old.ConfigVersion, old.Config, old.WeightsAt
-		s.LatestProof = max(old.LatestProof, s.ProofAt) // a proof of this version stays valid
+		s.ConfigVersion, s.Config, s.Weights = old.ConfigVersion, old.Config, old.Weights
+		s.LatestProofAt = max(old.LatestProofAt, s.ProofAt) // a proof of this version stays valid
 	} else if t.Config != nil {
 		v, err := serviceconfig.Decode(t.Config.Body)
 		if err != nil {
 			return errs.Wrap(err, "configuration in update")
 		}
-		s.ConfigVersion, s.Config, s.LatestProof, s.WeightsAt = t.Config.Version, v.BuildIndex(), s.ProofAt, map[string]WeightsHistory{}
+		s.ConfigVersion, s.Config, s.LatestProofAt, s.Weights = t.Config.Version, v.BuildIndex(), s.ProofAt, map[string]WeightsHistory{}
 		for n, m := range v.Models {
 			var o WeightsHistory
 			proved := time.Duration(0)
 			if old != nil {
-				o, proved = old.WeightsAt[n], old.LatestProof
+				o, proved = old.Weights[n], old.LatestProofAt
 			}
-			s.WeightsAt[n] = o.next(m.Weights, proved, now)
+			s.Weights[n] = o.next(m.Weights, proved, now)
 		}
 	}
 	return nil
--- a/internal/data/updatestream/follower_test.go
+++ b/internal/data/updatestream/follower_test.go
@@ -23,7 +23,7 @@
 
 // What an answer leaves out stays as it was; what it brings replaces it; and a snapshot
 // that is shared is never changed.
-func TestOmittedFieldsStay(t *testing.T) {
+func TestOmittedFieldsAreKept(t *testing.T) {
 	a := mustRead(t, &wire.FeedResponse{Version: 1, ListsVersion: 7, ProofAtNs: 10, Config: newDocument(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
 	b := mustRead(t, &wire.FeedResponse{Version: 2, ListsVersion: 7, ProofAtNs: 20}, a, 200)
@@ -54,7 +54,7 @@
 // Each superseded epoch has its own instant, however many are named after it: newer weights
 // can't have been acknowledged before the last proof of the older ones. A process that never
 // saw the older ones knows no such instant, and allows none of them.
-func TestSinceWhenWeightsAreSuperseded(t *testing.T) {
+func TestInstantsAtWhichWeightsAreSuperseded(t *testing.T) {
 	for name, x := range map[string]struct {
 		chain [][3]uint64
 		since map[uint64]uint64 // zero: unknown
@@ -71,29 +71,29 @@
 	} {
 		s := readChain(t, x.chain...)
 		for w, want := range x.since {
-			if not, _, ok := s.WeightsAt["m"].SupersededAt(w); ok != (want > 0) || not != time.Duration(want) {
+			if not, _, ok := s.Weights["m"].SupersededAt(w); ok != (want > 0) || not != time.Duration(want) {
 				t.Errorf("%s: weights %d: %d %v, %d is due", name, w, not, ok, want)
 			}
 		}
 	}
 	a := readChain(t, [3]uint64{1, 50, 1})
-	if mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 500, Config: newDocument(2, "2")}, a, 510); a.WeightsAt["m"].Version != 1 {
+	if mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 500, Config: newDocument(2, "2")}, a, 510); a.Weights["m"].Version != 1 {
 		t.Error("a shared snapshot was changed")
 	}
 	many := [][3]uint64{}
 	for i := uint64(1); i <= 20; i++ {
 		many = append(many, [3]uint64{i, 100 * i, i})
 	}
-	s := readChain(t, many...).WeightsAt["m"]
-	if _, _, ok := s.SupersededAt(5); ok || len(s.Past) != maxPast {
+	s := readChain(t, many...).Weights["m"]
+	if _, _, ok := s.SupersededAt(5); ok || len(s.Past) != maxPastVersions {
 		t.Errorf("what was forgotten may start: %+v", s)
 	}
 }
 
-func TestFreshness(t *testing.T) {
+func TestProofAgeDecidesFreshness(t *testing.T) {
 	var none *Snapshot
 	s := mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 100, Config: newDocument(1, "1")}, nil, 0)
-	if none.Fresh(1, 10) || !s.Fresh(109, 10) || s.Fresh(110, 10) || (&Snapshot{Config: s.Config}).Fresh(1, 10) {
+	if none.IsFresh(1, 10) || !s.IsFresh(109, 10) || s.IsFresh(110, 10) || (&Snapshot{Config: s.Config}).IsFresh(1, 10) {
 		t.Error("freshness is judged wrongly")
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -36,7 +36,7 @@
 
 // Weights is the document of named weights: the newest version of each model.
 type Weights struct {
-	Named map[string]uint64 `json:"named"`
+	Versions map[string]uint64 `json:"named"`
 }
 
 // NamedVersion is a version of a model's weights, and when this process first saw it named.
@@ -47,15 +47,15 @@
 
 // Snapshot is everything that a request is routed by. It never changes once it is shared.
 type Snapshot struct {
-	Plan    *routingconfig.Plan
-	ProofAt time.Duration // the plan was proved to be the newest then; zero: no proof yet
-	Workers []Worker
-	Named   map[string]uint64
-	NamedAt map[string]time.Duration // when this process first saw that version named
+	Plan          *routingconfig.Plan
+	ProofAt       time.Duration // the plan was proved to be the newest then; zero: no proof yet
+	Workers       []Worker
+	NamedVersions map[string]uint64
+	NamedAt       map[string]time.Duration // when this process first saw that version named
 	// Superseding lists by model, oldest first, the versions before the named one that still bound how
 	// long versions older than them may be used: naming another doesn't extend that.
-	Superseding map[string][]NamedVersion
-	Placements  map[string]*placement.Placement
-	Nodes       []*wire.Node // the cluster membership
-	Edges       int          // edge machines, recently lost ones included; at least 1
+	EarlierVersions map[string][]NamedVersion
+	Placements      map[string]*placement.Placement
+	Nodes           []*wire.Node // the cluster membership
+	EdgeCount       int          // edge machines, recently lost ones included; at least 1
 }
