--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -21,7 +21,7 @@
 // The accesses of the last one to two half windows are kept beside the queues: they are queued again
 // for an index node that reports that it has lost its memory.
 //
-// It serves both senders of accesses: Client, and the index client of callerproxy (callerproxy/index.go).
+// It serves both senders of accesses: Client here, and the prompt index client of package callerproxy.
 // It does no I/O and isn't safe for concurrent use: the sender's actor guards it, sends what NextBatch
 // returns and passes the result on to Acknowledge or RecordFailure.
 type AccessCounter struct {
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -19,308 +19,329 @@
 	"pebbleloom/internal/wire"
 )
 
-// index stands in for the index nodes: each a real core of its own behind a mood.
-type index struct {
-	mu     sync.Mutex
-	mood   map[string]string // by address: "", hangs, errors, cold
-	asked  []string
-	keys   int
-	counts map[string][]*wire.CountRequest
-	held   map[prefix.Key]string
-	again  bool
-	gate   chan struct{}
+// fakeIndex is the index nodes: all know the same holders, and each has a behavior of its own.
+type fakeIndex struct {
+	mu           sync.Mutex
+	behavior     map[string]string // by address: "" (responds), hangs, errors, cold
+	called       []string
+	keyCount     int
+	batches      map[string][]*wire.CountRequest
+	holders      map[prefix.Key]string
+	resendWindow bool
+	unblock      chan struct{}
 }
 
-func (x *index) set(addr, mood string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.mood[addr] = mood
+func (i *fakeIndex) setBehavior(addr, behavior string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.behavior[addr] = behavior
 }
 
-type node struct {
-	x    *index
-	addr string
+type fakeNode struct {
+	index *fakeIndex
+	addr  string
 }
 
-func (n node) Lookup(ctx context.Context, a *wire.LookupRequest) (*wire.LookupResponse, error) {
-	n.x.mu.Lock()
-	n.x.asked = append(n.x.asked, n.addr)
-	n.x.keys += len(a.Keys)
-	mood, gate := n.x.mood[n.addr], n.x.gate
-	n.x.mu.Unlock()
-	if gate != nil {
-		<-gate
+func (n fakeNode) Lookup(ctx context.Context, request *wire.LookupRequest) (*wire.LookupResponse, error) {
+	n.index.mu.Lock()
+	n.index.called = append(n.index.called, n.addr)
+	n.index.keyCount += len(request.Keys)
+	behavior, unblock := n.index.behavior[n.addr], n.index.unblock
+	n.index.mu.Unlock()
+	if unblock != nil {
+		<-unblock
 	}
-	switch mood {
+	switch behavior {
 	case "hangs":
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case "errors":
 		return nil, errors.New("down")
 	}
-	t := &wire.LookupResponse{Warm: mood != "cold"}
-	for _, k := range a.Keys {
-		f := &wire.LookupResult{}
-		if h := n.x.held[prefix.Key(k)]; h != "" && mood != "cold" {
-			f.Holders = append(f.Holders, &wire.Holder{Worker: h, State: promptindex.Confirmed})
+	response := &wire.LookupResponse{Warm: behavior != "cold"}
+	for _, k := range request.Keys {
+		result := &wire.LookupResult{}
+		if holder := n.index.holders[prefix.Key(k)]; holder != "" && behavior != "cold" {
+			result.Holders = append(result.Holders, &wire.Holder{Worker: holder, State: promptindex.Confirmed})
 		}
-		t.Results = append(t.Results, f)
+		response.Results = append(response.Results, result)
 	}
-	return t, nil
+	return response, nil
 }
 
-func (n node) Count(ctx context.Context, a *wire.CountRequest) (*wire.CountResponse, error) {
-	n.x.mu.Lock()
-	defer n.x.mu.Unlock()
-	if n.x.mood[n.addr] == "errors" {
+func (n fakeNode) Count(ctx context.Context, batch *wire.CountRequest) (*wire.CountResponse, error) {
+	n.index.mu.Lock()
+	defer n.index.mu.Unlock()
+	if n.index.behavior[n.addr] == "errors" {
 		return nil, errors.New("down")
 	}
-	n.x.counts[n.addr] = append(n.x.counts[n.addr], a)
-	again := n.x.again
-	n.x.again = false
-	return &wire.CountResponse{Sequence: a.Sequence, ResendWindow: again}, nil
+	n.index.batches[n.addr] = append(n.index.batches[n.addr], batch)
+	again := n.index.resendWindow
+	n.index.resendWindow = false
+	return &wire.CountResponse{Sequence: batch.Sequence, ResendWindow: again}, nil
 }
 
-func (n node) Hottest(context.Context, *wire.HottestRequest) (*wire.HottestResponse, error) {
+func (n fakeNode) Hottest(context.Context, *wire.HottestRequest) (*wire.HottestResponse, error) {
 	return nil, nil
 }
 
-func nodes() (l []*wire.Node) {
-	for i, d := range []string{"a", "b", "c", "d"} {
-		l = append(l, &wire.Node{Name: "catalogue/core-" + d, Role: clustermembership.RolePromptIndex, Zone: d, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
+func newNodes() (nodes []*wire.Node) {
+	for i, zone := range []string{"a", "b", "c", "d"} {
+		nodes = append(nodes, &wire.Node{Name: "catalogue/core-" + zone, Role: clustermembership.RolePromptIndex, Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
-	return l
+	return nodes
 }
 
-func run(t *testing.T, x *index, f func(s *Client, serving []*wire.Node)) {
+func runClient(t *testing.T, index *fakeIndex, test func(client *Client, serving []*wire.Node)) {
 	t.Helper()
-	if x.mood == nil {
-		x.mood = map[string]string{}
+	if index.behavior == nil {
+		index.behavior = map[string]string{}
 	}
-	x.counts = map[string][]*wire.CountRequest{}
+	index.batches = map[string][]*wire.CountRequest{}
 	synctest.Test(t, func(t *testing.T) {
-		ns := nodes()
-		serving := promptindex.ServingNodes(ns)
-		w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
-		l := daemon.NewIn(w, "edge", settings.Process{Name: "edge-1", Zone: serving[1].Zone, Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
-		s := start(l, func() []*wire.Node { return ns }, func(addr string) wire.PromptIndex { return node{x, addr} })
-		f(s, serving)
-		l.Stop(time.Second)
+		nodes := newNodes()
+		serving := promptindex.ServingNodes(nodes)
+		environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
+		process := daemon.NewIn(environment, "edge", settings.Process{Name: "edge-1", Zone: serving[1].Zone, Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
+		client := start(process, func() []*wire.Node { return nodes }, func(addr string) wire.PromptIndex { return fakeNode{index, addr} })
+		test(client, serving)
+		process.Stop(time.Second)
 		synctest.Wait()
 	})
 }
 
-func pass(d time.Duration) {
+func advance(d time.Duration) {
 	<-time.NewTimer(d).C
 	synctest.Wait()
 }
 
-func key(i int) prefix.Key { return promptindex.PartKey("s", fmt.Sprint(i)) }
+func newKey(i int) prefix.Key { return promptindex.PartKey("s", fmt.Sprint(i)) }
 
-func keys(n int) (l []prefix.Key) {
+func newKeys(n int) (keys []prefix.Key) {
 	for i := range n {
-		l = append(l, key(i))
+		keys = append(keys, newKey(i))
 	}
-	return l
+	return keys
 }
 
-const wait = 12 * time.Millisecond
+const lookupWait = 12 * time.Millisecond
 
-// All keys of a question go in one call, to the serving node of this zone.
-func TestOneCallAQuestion(t *testing.T) {
-	x := &index{held: map[prefix.Key]string{key(3): "w"}}
-	run(t, x, func(s *Client, serving []*wire.Node) {
-		m := s.Lookup(context.Background(), keys(20), wait)
-		if len(m) != 20 || len(m[key(3)].Holders) != 1 || len(m[key(4)].Holders) != 0 {
-			t.Errorf("found %v", m)
+// All keys of a lookup go in one call, to the serving node of this zone.
+func TestOneCallForAllKeysOfALookup(t *testing.T) {
+	index := &fakeIndex{holders: map[prefix.Key]string{newKey(3): "w"}}
+	runClient(t, index, func(client *Client, serving []*wire.Node) {
+		found := client.Lookup(context.Background(), newKeys(20), lookupWait)
+		if len(found) != 20 || len(found[newKey(3)].Holders) != 1 || len(found[newKey(4)].Holders) != 0 {
+			t.Errorf("found %v", found)
 		}
-		if !slices.Equal(x.asked, []string{serving[1].Addr}) {
-			t.Errorf("asked %v, want %v alone", x.asked, serving[1].Addr)
+		if !slices.Equal(index.called, []string{serving[1].Addr}) {
+			t.Errorf("called %v, want %v alone", index.called, serving[1].Addr)
 		}
-		if m = s.Lookup(context.Background(), []prefix.Key{key(3)}, wait); len(m) != 1 || len(x.asked) != 1 {
-			t.Errorf("asked again at once: %v", x.asked)
+		if found = client.Lookup(context.Background(), []prefix.Key{newKey(3)}, lookupWait); len(found) != 1 || len(index.called) != 1 {
+			t.Errorf("called again at once: %v", index.called)
 		}
-		pass(s.bounds.Heal(cacheLifetimeRatio))
-		if s.Lookup(context.Background(), []prefix.Key{key(3)}, wait); len(x.asked) != 2 {
-			t.Errorf("an old answer was gone by: %v", x.asked)
+		advance(client.bounds.Heal(cacheLifetimeRatio))
+		if client.Lookup(context.Background(), []prefix.Key{newKey(3)}, lookupWait); len(index.called) != 2 {
+			t.Errorf("an outdated answer was used: %v", index.called)
 		}
-		if s.Lookup(context.Background(), nil, wait) != nil || len(x.asked) != 2 {
-			t.Errorf("asked for nothing: %v", x.asked)
+		if client.Lookup(context.Background(), nil, lookupWait) != nil || len(index.called) != 2 {
+			t.Errorf("called for no keys: %v", index.called)
 		}
 	})
 }
 
-// Questions that come while others are under way are joined into one call.
-func TestWaitingQuestionsAreJoined(t *testing.T) {
-	x := &index{}
-	run(t, x, func(s *Client, _ []*wire.Node) {
-		x.gate = make(chan struct{})
+// Lookups that arrive while others are in flight are joined into one call.
+func TestWaitingLookupsAreJoined(t *testing.T) {
+	index := &fakeIndex{}
+	runClient(t, index, func(client *Client, _ []*wire.Node) {
+		index.unblock = make(chan struct{})
 		var wg sync.WaitGroup
-		ask := func(i int) {
-			wg.Go(func() { s.Lookup(context.Background(), []prefix.Key{key(i), key(0)}, s.bounds.Heal(1)) })
+		lookUp := func(i int) {
+			wg.Go(func() { client.Lookup(context.Background(), []prefix.Key{newKey(i), newKey(0)}, client.bounds.Heal(1)) })
 			synctest.Wait()
 		}
 		for i := range maxConcurrentBatches + 21 {
-			ask(i)
+			lookUp(i)
 		}
-		if len(x.asked) != maxConcurrentBatches {
-			t.Errorf("%d calls under way", len(x.asked))
+		if len(index.called) != maxConcurrentBatches {
+			t.Errorf("%d calls in flight", len(index.called))
 		}
-		close(x.gate)
+		close(index.unblock)
 		wg.Wait()
-		// One question had been taken out of the ring already while the others waited in it.
-		if len(x.asked) != maxConcurrentBatches+1 || x.keys != 2*maxConcurrentBatches-1+22 {
-			t.Errorf("%d calls with %d keys", len(x.asked), x.keys)
+		// One lookup had left the ring already while the others waited in it.
+		if len(index.called) != maxConcurrentBatches+1 || index.keyCount != 2*maxConcurrentBatches-1+22 {
+			t.Errorf("%d calls with %d keys", len(index.called), index.keyCount)
 		}
 	})
 }
 
-func TestALateOrMissingAnswerIsAMiss(t *testing.T) {
-	x := &index{mood: map[string]string{}, held: map[prefix.Key]string{key(1): "w"}}
-	run(t, x, func(s *Client, serving []*wire.Node) {
-		x.set(serving[0].Addr, "hangs")
-		x.set(serving[1].Addr, "hangs")
-		from := s.clock.Now()
-		if m := s.Lookup(context.Background(), keys(2), wait); m != nil || s.clock.Now()-from > wait {
-			t.Errorf("%v after %v", m, s.clock.Now()-from)
-		}
-		x.set(serving[0].Addr, "")
-		pass(time.Second)
-		if m := s.Lookup(context.Background(), keys(2), wait); len(m[key(1)].GetHolders()) != 1 {
-			t.Errorf("the other holder wasn't asked in time: %v", m)
-		}
-		n := len(x.asked)
-		if s.Lookup(context.Background(), keys(1), wait); x.asked[n] != serving[0].Addr || len(x.asked) != n+1 {
-			t.Errorf("the one that was late was asked first: %v", x.asked[n:])
+func TestLateOrMissingResponseIsAMiss(t *testing.T) {
+	index := &fakeIndex{behavior: map[string]string{}, holders: map[prefix.Key]string{newKey(1): "w"}}
+	runClient(t, index, func(client *Client, serving []*wire.Node) {
+		index.setBehavior(serving[0].Addr, "hangs")
+		index.setBehavior(serving[1].Addr, "hangs")
+		startedAt := client.clock.Now()
+		if found := client.Lookup(context.Background(), newKeys(2), lookupWait); found != nil || client.clock.Now()-startedAt > lookupWait {
+			t.Errorf("%v after %v", found, client.clock.Now()-startedAt)
+		}
+		index.setBehavior(serving[0].Addr, "")
+		advance(time.Second)
+		if found := client.Lookup(context.Background(), newKeys(2), lookupWait); len(found[newKey(1)].GetHolders()) != 1 {
+			t.Errorf("the other node wasn't called in time: %v", found)
+		}
+		calls := len(index.called)
+		if client.Lookup(context.Background(), newKeys(1), lookupWait); index.called[calls] != serving[0].Addr || len(index.called) != calls+1 {
+			t.Errorf("the one that was late was called first: %v", index.called[calls:])
 		}
 	})
 }
 
-func TestAnErrorOrAColdIndexIsMadeUpForByTheOther(t *testing.T) {
+func TestOtherNodeIsAskedAfterAnErrorOrAColdResponse(t *testing.T) {
 	for _, mood := range []string{"errors", "cold"} {
-		x := &index{mood: map[string]string{}, held: map[prefix.Key]string{key(1): "w"}}
-		run(t, x, func(s *Client, serving []*wire.Node) {
-			x.set(serving[1].Addr, mood)
-			if m := s.Lookup(context.Background(), keys(2), wait); len(m[key(1)].GetHolders()) != 1 || len(x.asked) != 2 {
-				t.Errorf("%s: %v, asked %v", mood, m, x.asked)
+		index := &fakeIndex{behavior: map[string]string{}, holders: map[prefix.Key]string{newKey(1): "w"}}
+		runClient(t, index, func(client *Client, serving []*wire.Node) {
+			index.setBehavior(serving[1].Addr, mood)
+			if m := client.Lookup(context.Background(), newKeys(2), lookupWait); len(m[newKey(1)].GetHolders()) != 1 || len(index.called) != 2 {
+				t.Errorf("%s: %v, called %v", mood, m, index.called)
 			}
 		})
 	}
-	run(t, &index{}, func(s *Client, _ []*wire.Node) {
-		s.nodes = func() []*wire.Node { return nil }
-		if m := s.Lookup(context.Background(), keys(2), wait); m != nil {
+	runClient(t, &fakeIndex{}, func(client *Client, _ []*wire.Node) {
+		client.nodes = func() []*wire.Node { return nil }
+		if m := client.Lookup(context.Background(), newKeys(2), lookupWait); m != nil {
 			t.Errorf("no index: %v", m)
 		}
 	})
 }
 
-func part(i int) []prefix.Entry { return []prefix.Entry{{Key: key(i), Tokens: 100}} }
+func newPart(i int) []prefix.Entry { return []prefix.Entry{{Key: newKey(i), Tokens: 100}} }
 
-// What is counted goes to both holders in numbered batches; one that wasn't acknowledged is sent
-// again as it was.
-func TestCountsAreSentInNumberedBatches(t *testing.T) {
-	x := &index{mood: map[string]string{}}
-	run(t, x, func(s *Client, serving []*wire.Node) {
+// Accesses go to both nodes of a key in numbered batches; one that wasn't acknowledged is sent again as it was.
+func TestAccessesAreSentInNumberedBatches(t *testing.T) {
+	index := &fakeIndex{behavior: map[string]string{}}
+	runClient(t, index, func(client *Client, serving []*wire.Node) {
 		for range 3 {
-			s.RecordAccesses("llm", part(1), "w1", "")
+			client.RecordAccesses("llm", newPart(1), "w1", "")
 		}
-		s.RecordAccesses("llm", part(1), "w2", "store")
-		pass(s.bounds.Heal(flushRatio))
-		for _, n := range serving {
-			l := x.counts[n.Addr]
-			if len(l) != 1 || len(l[0].Accesses) != 1 || l[0].Sequence != 1 || l[0].Accesses[0].Count != 4 ||
-				!slices.Equal(l[0].Accesses[0].PresumedHolders, []string{"w1", "w2", "store"}) || !l[0].Accesses[0].Head {
-				t.Fatalf("%s was reported %v", n.Addr, l)
+		client.RecordAccesses("llm", newPart(1), "w2", "store")
+		advance(client.bounds.Heal(flushRatio))
+		for _, node := range serving {
+			batches := index.batches[node.Addr]
+			if len(batches) != 1 || len(batches[0].Accesses) != 1 || batches[0].Sequence != 1 || batches[0].Accesses[0].Count != 4 ||
+				!slices.Equal(batches[0].Accesses[0].PresumedHolders, []string{"w1", "w2", "store"}) || !batches[0].Accesses[0].Head {
+				t.Fatalf("%s was sent %v", node.Addr, batches)
 			}
 		}
-		pass(s.bounds.Heal(3 * flushRatio))
-		if len(x.counts[serving[0].Addr]) != 1 {
-			t.Error("reported again though there was no news")
+		advance(client.bounds.Heal(3 * flushRatio))
+		if len(index.batches[serving[0].Addr]) != 1 {
+			t.Error("sent again without new accesses")
 		}
-		x.set(serving[0].Addr, "errors")
-		s.RecordAccesses("llm", part(2), "w1", "")
-		pass(s.bounds.Heal(flushRatio))
-		s.RecordAccesses("llm", part(3), "w1", "")
-		x.set(serving[0].Addr, "")
-		pass(s.bounds.Heal(2 * flushRatio))
-		l := x.counts[serving[0].Addr][1:]
-		if len(l) != 2 || l[0].Sequence != 2 || l[1].Sequence != 3 || string(l[0].Accesses[0].Key) != string(part(2)[0].Key[:]) {
-			t.Errorf("after an error: %v", l)
+		index.setBehavior(serving[0].Addr, "errors")
+		client.RecordAccesses("llm", newPart(2), "w1", "")
+		advance(client.bounds.Heal(flushRatio))
+		client.RecordAccesses("llm", newPart(3), "w1", "")
+		index.setBehavior(serving[0].Addr, "")
+		advance(client.bounds.Heal(2 * flushRatio))
+		batches := index.batches[serving[0].Addr][1:]
+		if len(batches) != 2 || batches[0].Sequence != 2 || batches[1].Sequence != 3 || string(batches[0].Accesses[0].Key) != string(newPart(2)[0].Key[:]) {
+			t.Errorf("after an error: %v", batches)
 		}
 	})
 }
 
 func TestRestartedIndexNodeGetsTheWindow(t *testing.T) {
-	x := &index{}
-	run(t, x, func(s *Client, serving []*wire.Node) {
-		s.RecordAccesses("llm", part(1), "w1", "")
-		pass(s.bounds.Heal(flushRatio))
-		x.mu.Lock()
-		x.again = true
-		x.mu.Unlock()
-		s.RecordAccesses("llm", part(2), "w1", "")
-		pass(s.bounds.Heal(2 * flushRatio))
-		n := 0
-		for _, l := range x.counts {
-			if len(l) == 3 {
-				n++
-				if len(l[2].Accesses) != 2 || len(l[2].Accesses[0].PresumedHolders) != 0 {
-					t.Errorf("the window: %v", l[2])
+	index := &fakeIndex{}
+	runClient(t, index, func(client *Client, serving []*wire.Node) {
+		client.RecordAccesses("llm", newPart(1), "w1", "")
+		advance(client.bounds.Heal(flushRatio))
+		index.mu.Lock()
+		index.resendWindow = true
+		index.mu.Unlock()
+		client.RecordAccesses("llm", newPart(2), "w1", "")
+		advance(client.bounds.Heal(2 * flushRatio))
+		resent := 0
+		for _, batches := range index.batches {
+			if len(batches) == 3 {
+				resent++
+				if len(batches[2].Accesses) != 2 || len(batches[2].Accesses[0].PresumedHolders) != 0 {
+					t.Errorf("the window: %v", batches[2])
 				}
 			}
 		}
-		if n != 1 {
-			t.Errorf("%d nodes were reported the window", n)
+		if resent != 1 {
+			t.Errorf("%d nodes were sent the window", resent)
 		}
 	})
 }
 
-// A node that serves no more and then serves again knows this edge's numbers: they go on.
-func TestNumbersGoOnWhenANodeComesBack(t *testing.T) {
-	x := &index{}
-	run(t, x, func(s *Client, serving []*wire.Node) {
-		all := s.nodes()
-		s.RecordAccesses("llm", part(1), "w1", "")
-		pass(s.bounds.Heal(flushRatio))
+// A node that stops serving and then serves again knows this edge machine's batch numbers: they continue.
+func TestBatchNumbersContinueWhenANodeReturns(t *testing.T) {
+	index := &fakeIndex{}
+	runClient(t, index, func(client *Client, serving []*wire.Node) {
+		all := client.nodes()
+		client.RecordAccesses("llm", newPart(1), "w1", "")
+		advance(client.bounds.Heal(flushRatio))
 		without := slices.DeleteFunc(slices.Clone(all), func(n *wire.Node) bool { return n.Name == serving[0].Name })
-		swap := func(l []*wire.Node) { s.actor.Ask(func(*table) { s.nodes = func() []*wire.Node { return l } }) }
-		swap(without)
-		s.RecordAccesses("llm", part(2), "w1", "")
-		pass(s.bounds.Heal(2 * flushRatio))
-		swap(all)
-		s.RecordAccesses("llm", part(3), "w1", "")
-		pass(s.bounds.Heal(2 * flushRatio))
-		l := x.counts[serving[0].Addr]
-		if len(l) != 2 || l[1].Sequence != 2 {
-			t.Errorf("reported %v", l)
+		setNodes := func(batches []*wire.Node) {
+			client.actor.Ask(func(*table) { client.nodes = func() []*wire.Node { return batches } })
+		}
+		setNodes(without)
+		client.RecordAccesses("llm", newPart(2), "w1", "")
+		advance(client.bounds.Heal(2 * flushRatio))
+		setNodes(all)
+		client.RecordAccesses("llm", newPart(3), "w1", "")
+		advance(client.bounds.Heal(2 * flushRatio))
+		batches := index.batches[serving[0].Addr]
+		if len(batches) != 2 || batches[1].Sequence != 2 {
+			t.Errorf("sent %v", batches)
 		}
 	})
 }
 
-// While all index nodes are silent, requests don't wait for them one after another: now and then one
-// finds out whether they are back.
-func TestSilentNodesAreProbedNowAndThen(t *testing.T) {
-	x := &index{mood: map[string]string{}}
-	run(t, x, func(s *Client, serving []*wire.Node) {
-		for _, n := range serving {
-			x.set(n.Addr, "hangs")
+// While all index nodes are silent, requests don't wait for them one after another: one call now and then
+// probes whether they respond again.
+func TestSilentNodesAreProbed(t *testing.T) {
+	index := &fakeIndex{behavior: map[string]string{}}
+	runClient(t, index, func(client *Client, serving []*wire.Node) {
+		for _, calls := range serving {
+			index.setBehavior(calls.Addr, "hangs")
 		}
 		for range 3 {
-			s.Lookup(context.Background(), keys(1), wait)
+			client.Lookup(context.Background(), newKeys(1), lookupWait)
 		}
-		n, from := len(x.asked), s.clock.Now()
+		calls, startedAt := len(index.called), client.clock.Now()
 		for range 20 {
-			s.Lookup(context.Background(), keys(1), wait)
+			client.Lookup(context.Background(), newKeys(1), lookupWait)
+		}
+		if len(index.called) > calls+len(serving) || client.clock.Now()-startedAt > 2*lookupWait {
+			t.Errorf("%d calls in %v", len(index.called)-calls, client.clock.Now()-startedAt)
+		}
+		for _, calls := range serving {
+			index.setBehavior(calls.Addr, "")
+		}
+		advance(client.bounds.Heal(lateProbeRatio))
+		if client.Lookup(context.Background(), newKeys(1), lookupWait) == nil {
+			t.Error("they respond again and aren't called")
+		}
+	})
+}
+
+// Index nodes that have just started can't know that nobody caches a part: that is a miss, not an answer.
+func TestColdIndexCannotRuleOutHolders(t *testing.T) {
+	index := &fakeIndex{holders: map[prefix.Key]string{newKey(3): "w"}}
+	runClient(t, index, func(client *Client, serving []*wire.Node) {
+		for _, n := range serving {
+			index.setBehavior(n.Addr, "cold")
 		}
-		if len(x.asked) > n+len(serving) || s.clock.Now()-from > 2*wait {
-			t.Errorf("%d calls in %v", len(x.asked)-n, s.clock.Now()-from)
+		if found := client.Lookup(context.Background(), newKeys(5), lookupWait); len(found) != 0 {
+			t.Errorf("%d answers from nodes that aren't warm", len(found))
 		}
 		for _, n := range serving {
-			x.set(n.Addr, "")
+			index.setBehavior(n.Addr, "")
 		}
-		pass(s.bounds.Heal(lateProbeRatio))
-		if s.Lookup(context.Background(), keys(1), wait) == nil {
-			t.Error("they are back and aren't asked")
+		advance(client.bounds.Heal(lateNodeRatio))
+		if found := client.Lookup(context.Background(), newKeys(5), lookupWait); len(found) != 5 || len(found[newKey(3)].GetHolders()) != 1 {
+			t.Errorf("warm again: %d answers", len(found))
 		}
 	})
 }
