--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -32,8 +32,8 @@
 	RoleNodeAgent           = "runner"
 )
 
-// formatVersion is the version of the heartbeat format that this release sends and reads.
-const formatVersion = 1
+// FormatVersion is the version of the heartbeat format that this release sends and reads.
+const FormatVersion = 1
 
 // maxNodes bounds the view; nodes beyond it are ignored.
 const maxNodes = 4096
@@ -196,7 +196,7 @@
 	var heartbeats []OutgoingHeartbeat
 	for _, p := range c.peers {
 		if p.node.State == Alive && len(heartbeats) < maxLeaveAnnouncements {
-			heartbeats = append(heartbeats, OutgoingHeartbeat{p.node.Addr, &wire.Heartbeat{Format: formatVersion, From: clone(c.self)}})
+			heartbeats = append(heartbeats, OutgoingHeartbeat{p.node.Addr, &wire.Heartbeat{Format: FormatVersion, From: clone(c.self)}})
 		}
 	}
 	return heartbeats
--- a/internal/control/clustermembership/exchange.go
+++ b/internal/control/clustermembership/exchange.go
@@ -16,7 +16,7 @@
 
 // newHeartbeat returns a heartbeat with the recent changes of state, or with the full view.
 func (c *Core) newHeartbeat(full bool) *wire.Heartbeat {
-	heartbeat := &wire.Heartbeat{Format: formatVersion, From: clone(c.self), FullView: full, ViewChecksum: c.checksum}
+	heartbeat := &wire.Heartbeat{Format: FormatVersion, From: clone(c.self), FullView: full, ViewChecksum: c.checksum}
 	for _, p := range c.peers {
 		if full || p.transmitsLeft > 0 {
 			heartbeat.Updates = append(heartbeat.Updates, clone(p.node))
@@ -30,8 +30,8 @@
 //
 // Example: response := c.HandleHeartbeat(heartbeat, clock.Now())
 func (c *Core) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Duration) *wire.Heartbeat {
-	if heartbeat.GetFormat() != formatVersion {
-		return &wire.Heartbeat{Format: formatVersion, From: clone(c.self)}
+	if heartbeat.GetFormat() != FormatVersion {
+		return &wire.Heartbeat{Format: FormatVersion, From: clone(c.self)}
 	}
 	if heartbeat.GetFrom() == nil {
 		return c.newHeartbeat(true) // the sender only reads the view; it is no node itself
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -206,7 +206,7 @@
 		m.publish(c)
 	})
 	if response == nil { // the member has stopped
-		response = &wire.Heartbeat{Format: formatVersion}
+		response = &wire.Heartbeat{Format: FormatVersion}
 	}
 	return response, nil
 }
--- a/internal/control/operatorapi/views.go
+++ b/internal/control/operatorapi/views.go
@@ -16,9 +16,6 @@
 	"pebbleloom/internal/wire"
 )
 
-// heartbeatFormat is the version of the heartbeat format that the view of nodes is read in.
-const heartbeatFormat = 1
-
 // How requests' routing decisions are looked up.
 const (
 	explainQueries    = 2    // a proxy reports to its node agent a moment later: query once more
@@ -57,7 +54,7 @@
 	seenBy, err := s.firstResponding(clustermembership.RoleControlNode, func(addr string) (err error) {
 		ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
 		defer cancel()
-		view, err = s.clients.Membership(addr).Exchange(ctx, &wire.Heartbeat{Format: heartbeatFormat, FullView: true})
+		view, err = s.clients.Membership(addr).Exchange(ctx, &wire.Heartbeat{Format: clustermembership.FormatVersion, FullView: true})
 		return err
 	})
 	if err != nil {
