--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -90,16 +90,16 @@
 	if err != nil {
 		return nil, err
 	}
-	switch named, requested := weights.Named[request.Model], uint64(request.Weights); {
+	switch named, requested := weights.Versions[request.Model], uint64(request.Weights); {
 	case named == requested:
 		return &operator.Changed{Epoch: int64(version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are named already")}, nil
 	case named > requested:
 		return nil, errs.New(errs.BadInput, "weights %d are older than %d, which are named: name a later version", requested, named)
 	}
-	if weights.Named == nil {
-		weights.Named = map[string]uint64{}
+	if weights.Versions == nil {
+		weights.Versions = map[string]uint64{}
 	}
-	weights.Named[request.Model] = uint64(request.Weights)
+	weights.Versions[request.Model] = uint64(request.Weights)
 	body, err := json.Marshal(weights)
 	if err != nil {
 		return nil, errs.Wrap(err, "encode named weights")
--- a/internal/control/operatorapi/site_workers.go
+++ b/internal/control/operatorapi/site_workers.go
@@ -53,7 +53,7 @@
 			cordoned[id] = true
 		}
 	}
-	return &siteWorkers{workers: list.Workers, version: version, named: weights.Named, cordoned: cordoned, leases: placements.Leases}, nil
+	return &siteWorkers{workers: list.Workers, version: version, named: weights.Versions, cordoned: cordoned, leases: placements.Leases}, nil
 }
 
 // outdatedModel returns a model of which a worker serves older weights than are named; "" if none.
