--- a/internal/control/controllers/orders.go
+++ b/internal/control/controllers/orders.go
@@ -116,7 +116,8 @@
 		return
 	}
 	outcome := s.callOrder(order, min(left, s.process.Settings.Bounds.Leave(callTimeoutRatio)))
-	s.process.Log.Info("order", "worker", order.Worker.ID, "model", order.Model, "version", order.Version, "fencing_token", token, "outcome", int(outcome))
+	s.process.Log.Info("order", "worker", order.Worker.ID, "model", order.Model, "version", order.Version,
+		"fencing_token", token, "outcome", int(outcome))
 	s.actor.Ask(func(*session) {
 		version := s.rollout.HandleOrderOutcome(order, outcome, s.process.Clock.Now())
 		s.recordVersion(order.Worker.ID, order.Model, version)
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -40,7 +40,8 @@
 
 // stepEntry advances one entry of the calendar: it makes the entry's move, if one is due, and writes the
 // entry if it changed. It returns false if the lease is no longer held.
-func (c *Controller) stepEntry(svc *serviceController, document *wire.Document, entry *calendar.Entry, observation calendar.Observation, failures *errs.Batch) bool {
+func (c *Controller) stepEntry(svc *serviceController, document *wire.Document, entry *calendar.Entry,
+	observation calendar.Observation, failures *errs.Batch) bool {
 	next, move, changed := svc.calendarPlanner.Next(entry, observation)
 	if move.Patch != nil {
 		if _, ok := svc.lease.FencingToken(); !ok {
@@ -78,12 +79,14 @@
 	if _, err := c.writeDocument(svc, token, document.Key, body, document.Version); err != nil {
 		return errs.Wrap(err, "write entry")
 	}
-	c.process.Log.Info("calendar", "entry", entry.Name, "service", entry.Service, "state", entry.State, "step", entry.CurrentStep, "reason", entry.Reason)
+	c.process.Log.Info("calendar", "entry", entry.Name, "service", entry.Service, "state", entry.State,
+		"step", entry.CurrentStep, "reason", entry.Reason)
 	return nil
 }
 
 // observeCalendar gathers what an entry's next step depends on.
-func (c *Controller) observeCalendar(service string, snapshot *updatestream.Snapshot, entry *calendar.Entry, recentUsage func() usage) calendar.Observation {
+func (c *Controller) observeCalendar(service string, snapshot *updatestream.Snapshot, entry *calendar.Entry,
+	recentUsage func() usage) calendar.Observation {
 	observation := calendar.Observation{Now: c.clock.Now(), ConfigVersion: snapshot.ConfigVersion, Config: snapshot.Config}
 	if entry.State == calendar.StatePlanned && entry.NotBefore != "" {
 		observation.WallTime = c.medianWallClock()
--- a/internal/control/placementcontroller/placement.go
+++ b/internal/control/placementcontroller/placement.go
@@ -58,7 +58,8 @@
 
 // nextPlacement computes the next placement, and whether the change is worth publishing. In between full
 // computations it only swaps entries in.
-func (c *Controller) nextPlacement(svc *serviceController, workers []*wire.Worker, config serviceconfig.Service, now time.Duration) (*placement.Placement, bool) {
+func (c *Controller) nextPlacement(svc *serviceController, workers []*wire.Worker, config serviceconfig.Service,
+	now time.Duration) (*placement.Placement, bool) {
 	hot := c.hotEntries(svc.name)
 	names, mode, old := workerNames(workers), placementMode(config), svc.placement
 	if old != nil && now-svc.recomputedAt <= c.process.Settings.Bounds.Heal(recomputeRatio) && slices.Equal(names, old.Workers) && old.Mode == mode {
--- a/internal/control/placementcontroller/retirement.go
+++ b/internal/control/placementcontroller/retirement.go
@@ -10,7 +10,6 @@
 	"pebbleloom/internal/control/serviceconfig"
 	"pebbleloom/internal/data/updatestream"
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
 )
 
@@ -82,7 +81,14 @@
 	}
 	observation, addrs := c.observeRetirement(svc.name, config, stored.document.Version)
 	next, actions, changed := svc.retirementPlanner.Next(stored.active, observation)
-	recorded, err := c.executeActions(svc, next, actions, configs.Documents[0].Version, addrs)
+	batch := &actionBatch{
+		Controller:    c,
+		svc:           svc,
+		retirement:    next,
+		configVersion: configs.Documents[0].Version,
+		addrs:         addrs,
+	}
+	recorded, err := batch.execute(actions)
 	var failures errs.Batch
 	failures.Add("execute actions", err)
 	if changed || recorded {
@@ -118,7 +124,8 @@
 	if !listed {
 		return nil
 	}
-	_, err := c.executeActions(svc, nil, retire.Repair(snapshot.Config, svc.name, nodes, retired), 0, addrs)
+	batch := &actionBatch{Controller: c, svc: svc, addrs: addrs}
+	_, err := batch.execute(retire.Repair(snapshot.Config, svc.name, nodes, retired))
 	return err
 }
 
@@ -169,65 +176,6 @@
 	}
 }
 
-// executeActions performs the actions, all at once, and records in the retirement what was acknowledged;
-// recorded reports whether there was any. The retirement is nil for repairs. The lease is checked right
-// before each action, and none may take longer than an order.
-func (c *Controller) executeActions(svc *serviceController, retirement *retire.Retirement, actions []retire.Action, configVersion uint64, addrs map[string]string) (recorded bool, err error) {
-	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
-	defer cancel()
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var failures errs.Batch
-	for _, action := range actions {
-		wg.Go(func() {
-			token, ok := svc.lease.FencingToken()
-			if !ok {
-				return // another machine may hold it soon
-			}
-			err := c.executeAction(ctx, svc, token, retirement, action, configVersion, addrs[action.Node])
-			mu.Lock()
-			defer mu.Unlock()
-			if recordAction(svc, retirement, action, err, &failures) {
-				recorded = true
-			}
-		})
-	}
-	wg.Wait()
-	return recorded, failures.Err()
-}
-
-func (c *Controller) executeAction(ctx context.Context, svc *serviceController, token uint64, retirement *retire.Retirement, action retire.Action, configVersion uint64, addr string) error {
-	switch {
-	case action.Patch != nil:
-		return c.patchConfig(ctx, action.Patch, configVersion, "")
-	case action.Order != nil:
-		action.Order.FencingToken, action.Order.Holder = token, svc.lease.Holder
-		return c.backends.Order(ctx, addr, *action.Order)
-	default:
-		return c.proveNode(ctx, retirement, action, addr)
-	}
-}
-
-// recordAction records the result of an action, and reports whether the retirement changed.
-func recordAction(svc *serviceController, retirement *retire.Retirement, action retire.Action, err error, failures *errs.Batch) bool {
-	switch {
-	case err != nil && action.ProofSet != nil:
-		svc.retirementPlanner.RecordFailedProof(action.Node, err.Error())
-	case err != nil:
-		failures.Add("retire "+action.Node, err)
-	case action.Patch != nil:
-		retirement.RecordPatch()
-		return true
-	case action.ProofSet != nil:
-		retirement.RecordProof(action.Node, action.Incarnation, *action.ProofSet)
-		return true
-	case retirement != nil && action.Order.Kind == retire.OrderUnload:
-		retirement.RecordUnload(action.Node, action.Order.Incarnation)
-		return true
-	}
-	return false
-}
-
 // writeRetirement writes a retirement if the lease is still held, and logs its progress.
 func (c *Controller) writeRetirement(svc *serviceController, document *wire.Document, old, next *retire.Retirement) error {
 	token, ok := svc.lease.FencingToken()
@@ -246,7 +194,8 @@
 		if len(next.Blockers) > 0 {
 			blocker = next.Blockers[0].Node + ": " + next.Blockers[0].Reason
 		}
-		c.process.Log.Info("retirement", "name", next.Name, "service", next.Service, "state", next.State, "phase", next.Phase, "ready", next.Ready, "nodes", next.Nodes, "reason", next.Reason, "blocked_by", blocker)
+		c.process.Log.Info("retirement", "name", next.Name, "service", next.Service, "state", next.State, "phase", next.Phase,
+			"ready", next.Ready, "nodes", next.Nodes, "reason", next.Reason, "blocked_by", blocker)
 	}
 	return nil
 }
--- a/internal/control/placementcontroller/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -33,7 +33,8 @@
 // has its own bound.
 //
 // Example: order, changed := r.Step(workers, 4, since, now, bounds)
-func (r *Rollout) Step(workers []*wire.Worker, want uint64, since func(uint64) time.Duration, now time.Duration, bounds settings.Bounds) (order []*wire.Worker, changed bool) {
+func (r *Rollout) Step(workers []*wire.Worker, want uint64, since func(uint64) time.Duration, now time.Duration,
+	bounds settings.Bounds) (order []*wire.Worker, changed bool) {
 	behind, batch := r.workersBehind(workers, want)
 	if len(r.Batch) > 0 {
 		elapsed := now - r.CordonedAt
