--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -36,7 +36,7 @@
 )
 
 func (s step) String() string {
-	return [stepCount]string{"connected", "head came", "half of the body came", "body came", "first byte", "half of the head", "half of the answer", "answered", "later"}[s]
+	return [stepCount]string{"connected", "header received", "half of the body received", "body received", "first byte sent", "half of the header sent", "half of the body sent", "response sent", "after the response"}[s]
 }
 
 // fault is how a worker misbehaves.
@@ -55,7 +55,7 @@
 )
 
 func (f fault) String() string {
-	return [faultCount]string{"silence", "reset", "FIN", "extra bytes", "the answer doubled", "an earlier answer", "another's answer", "garbage"}[f]
+	return [faultCount]string{"hang", "reset", "FIN", "extra bytes", "duplicate response", "stale response", "another's response", "garbage"}[f]
 }
 
 // adversary is a worker on a real socket that misbehaves at one step of one request. It records what it
--- a/internal/data/proxy/eventsplitter_test.go
+++ b/internal/data/proxy/eventsplitter_test.go
@@ -39,7 +39,7 @@
 		}
 		splitter = &eventSplitter{lastID: "7", canResume: true, resuming: true}
 		if b, err := splitter.feed([]byte(text)); err == nil || len(b) != 0 {
-			t.Errorf("%.20q goes on behind another worker's: %.20q", text, b)
+			t.Errorf("%.20q is relayed after another worker's stream: %.20q", text, b)
 		}
 	}
 }
--- a/internal/data/proxy/faults_test.go
+++ b/internal/data/proxy/faults_test.go
@@ -23,13 +23,21 @@
 		t.Errorf("%s: %d promises that it hasn't run, and it ran %d times", id, response.status, runs)
 	}
 	if response.status == 200 && response.head.Get("Go-Id") != id {
-		t.Errorf("%s got an answer of %q", id, response.head.Get("Go-Id"))
+		t.Errorf("%s got a response to %q", id, response.head.Get("Go-Id"))
 	}
 	if response.status == 200 && response.err == nil && response.body != completeBody(route, id) {
-		t.Errorf("%s got %q, which looks whole", id, response.body)
+		t.Errorf("%s got %q, which looks complete", id, response.body)
 	}
 }
 
+// faultCase is one fault of a worker at one step of a request.
+type faultCase struct {
+	step   step
+	fault  fault
+	route  string
+	reused bool // the request is sent on a connection that has carried one before
+}
+
 // Every fault of a worker at every step of a request, for every kind of request, on a new and on a reused
 // connection. The second worker responds correctly. The next request, which isn't idempotent, is served on a
 // connection without leftover bytes.
@@ -40,7 +48,7 @@
 				for _, reused := range []bool{false, true} {
 					t.Run(fmt.Sprintf("%v/%v/%s/reused=%v", s, f, route, reused), func(t *testing.T) {
 						t.Parallel()
-						misbehave(t, s, f, route, reused)
+						faultCase{s, f, route, reused}.run(t)
 					})
 				}
 			}
@@ -48,56 +56,94 @@
 	}
 }
 
-func misbehave(t *testing.T, moment step, kind fault, route string, reused bool) {
-	var faulty *adversary
-	faulty = newAdversary(t, "w0", func(id string, served int) (step, fault, bool) {
-		select {
-		case <-faulty.misbehaved: // once
-			return moment, kind, id == "victim"
-		default:
-		}
-		return moment, kind, id == "victim" || id == "" && served == map[bool]int{true: 1}[reused]
-	})
+func (c faultCase) run(t *testing.T) {
+	faulty := c.newFaultyWorker(t)
 	working := newAdversary(t, "w1", func(string, int) (step, fault, bool) { return 0, 0, false })
 	site := newLoopbackSite(t, faulty.Worker, working.Worker)
-	if reused {
+	if c.reused {
 		if response := site.send("repeat", "warm", longWait); response.status != 200 || response.body != "of warm" {
 			t.Fatalf("the request before: %+v", response)
 		}
-		if moment == connected {
+		if c.step == connected {
 			<-faulty.misbehaved
 		}
 	}
-	wait := longWait
-	if (kind == hang || kind == wrongID) && moment < responseSent {
-		wait = shortWait
-	}
-	response := site.send(route, "victim", wait)
+	response := site.send(c.route, "victim", c.victimWait())
 	close(faulty.responseReceived)
-	runs := faulty.ran("victim") + working.ran("victim")
-	garbled := moment == halfBodySent && (kind == extraBytes || kind == duplicateResponse || kind == staleResponse || kind == wrongID || kind == garbage) && route != "resume"
-	if !garbled { // else the body has the declared length, and holds what the worker sent
-		checkReply(t, route, "victim", response, runs)
+	c.checkVictim(t, response, faulty.ran("victim")+working.ran("victim"))
+	<-faulty.misbehaved
+	c.checkNext(t, site, faulty, working)
+	if faulty.mu.Lock(); faulty.tainted > 0 {
+		t.Error("a connection with unexplained bytes was reused")
 	}
-	if response.status == 200 && runs == 0 && moment >= bodyReceived {
-		t.Error("an answer, and nobody ran it")
+	faulty.mu.Unlock()
+}
+
+// newFaultyWorker makes a worker that misbehaves once: at the request "victim", or on the connection that the
+// victim will get.
+func (c faultCase) newFaultyWorker(t *testing.T) *adversary {
+	servedBefore := 0
+	if c.reused {
+		servedBefore = 1
 	}
-	if moment >= responseSent && (response.status != 200 || response.err != nil) && (kind != reset || moment == afterResponse) {
-		t.Errorf("the whole answer had come: %+v", response)
+	var faulty *adversary
+	faulty = newAdversary(t, "w0", func(id string, served int) (step, fault, bool) {
+		select {
+		case <-faulty.misbehaved:
+			return c.step, c.fault, id == "victim"
+		default:
+		}
+		return c.step, c.fault, id == "victim" || id == "" && served == servedBefore
+	})
+	return faulty
+}
+
+// victimWait is short where the worker leaves the request without a response.
+func (c faultCase) victimWait() time.Duration {
+	if (c.fault == hang || c.fault == wrongID) && c.step < responseSent {
+		return shortWait
 	}
-	<-faulty.misbehaved
-	want := 200
-	if wait = longWait; kind == hang && moment >= responseSent { // nothing shows yet that it hangs: the next request finds out
+	return longWait
+}
+
+// isUndetectable reports whether the worker garbles the body itself: it has the declared length, and holds
+// what the worker sent.
+func (c faultCase) isUndetectable() bool {
+	if c.step != halfBodySent || c.route == "resume" {
+		return false
+	}
+	switch c.fault {
+	case extraBytes, duplicateResponse, staleResponse, wrongID, garbage:
+		return true
+	}
+	return false
+}
+
+func (c faultCase) checkVictim(t *testing.T, response reply, runs int) {
+	t.Helper()
+	if !c.isUndetectable() {
+		checkReply(t, c.route, "victim", response, runs)
+	}
+	if response.status == 200 && runs == 0 && c.step >= bodyReceived {
+		t.Error("a response, and no worker executed it")
+	}
+	if c.step >= responseSent && (response.status != 200 || response.err != nil) && (c.fault != reset || c.step == afterResponse) {
+		t.Errorf("the complete response had come: %+v", response)
+	}
+}
+
+// checkNext sends the next request. If nothing showed yet that the worker hangs, this request finds out.
+func (c faultCase) checkNext(t *testing.T, site *loopbackSite, faulty, working *adversary) {
+	t.Helper()
+	wait, want := longWait, 200
+	if c.fault == hang && c.step >= responseSent {
 		wait, want = shortWait, 504
 	}
 	next := site.send("once", "next", wait)
 	checkReply(t, "once", "next", next, faulty.ran("next")+working.ran("next"))
-	late := want == 504 && next.status == 503 // on a busy machine its deadline may pass before it is sent, which checkReply judges
-	if next.status != want && !late || next.err != nil {
+	// On a busy machine its deadline may pass before it is sent, which checkReply judges.
+	expiredBefore := want == 504 && next.status == 503
+	if next.status != want && !expiredBefore || next.err != nil {
 		t.Errorf("the next request: %+v", next)
 	}
-	if faulty.mu.Lock(); faulty.tainted > 0 {
-		t.Error("a connection with unexplained bytes was used again")
-	}
-	faulty.mu.Unlock()
 }
--- a/internal/data/proxy/idlelimit_test.go
+++ b/internal/data/proxy/idlelimit_test.go
@@ -82,7 +82,7 @@
 		limit.recordReuse(time.Second) // within the limit: proves nothing
 	}
 	if limit.allows(2*time.Second + 1) {
-		t.Error("longer, though nothing longer stood")
+		t.Error("a longer idle time is allowed without a longer reuse")
 	}
 	for range reusesToGrow {
 		limit.recordReuse(3 * time.Second)
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -93,7 +93,7 @@
 					}
 					for _, k := range []string{"X-Hop", "Keep-Alive", "Date", "Content-Type"} {
 						if response.head.Get(k) != "" {
-							t.Errorf("%s: %s came with the answer", route, k)
+							t.Errorf("%s: %s came with the response", route, k)
 						}
 					}
 				}
@@ -313,7 +313,7 @@
 			t.Errorf("%d requests hang on a client that doesn't read", n)
 		}
 		if response := client.readReply("POST"); response.err == nil {
-			t.Error("an answer that was given up looks whole")
+			t.Error("an aborted response looks complete")
 		}
 		client.Close()
 		synctest.Wait()
--- a/internal/data/proxy/reuse_test.go
+++ b/internal/data/proxy/reuse_test.go
@@ -58,7 +58,7 @@
 	defer here.Close()
 	defer there.Close()
 	if newWorkerConn(here, time.Hour, func() {}).hasUnreadData() {
-		t.Error("a connection that can't be asked")
+		t.Error("a connection that isn't a socket has unread data")
 	}
 }
 
--- a/internal/data/proxy/shutdown_test.go
+++ b/internal/data/proxy/shutdown_test.go
@@ -62,7 +62,7 @@
 		time.Sleep(2 * time.Second)
 		close(release)
 		if response := streaming.readReply("POST"); response.status != 200 || response.err != nil || response.body != streamedEvent(1)+streamedEvent(2) {
-			t.Errorf("what ran was cut: %+v", response)
+			t.Errorf("a request in flight was interrupted: %+v", response)
 		}
 		grace := 8 * time.Second
 		if d := <-stopped; d < 4*time.Second || d > grace*9/10 {
@@ -109,7 +109,7 @@
 			{"no worker yet", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
 			{"a worker that no route leads to", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
 			{"a worker", func(snapshot *fleet.Snapshot) { snapshot.Workers = ws }, 200},
-			{"workers gone", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
+			{"workers left", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
 			{"proof old", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
 			{"proof fresh", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 4*time.Second }, 200},
 			{"no proof", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 }, 503},
@@ -141,7 +141,7 @@
 			{"proved", true, 0, 0, 0},
 			{"proved soon", true, 100 * time.Millisecond, 100 * time.Millisecond, 130 * time.Millisecond},
 			{"never proved", true, time.Hour, bounds.Config(0.8 * firstPlanRatio), bounds.Config(firstPlanRatio)},
-			{"no proof is asked for", false, time.Hour, 0, 0},
+			{"no proof is needed", false, time.Hour, 0, 0},
 		} {
 			siteSettings := *site.server.siteSettings // the running server reads its own
 			siteSettings.EnforceRevocation = test.revokes
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -61,14 +61,14 @@
 		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
 			response := s.send(postRequest("resume", "a1", "body"))
 			if response.err != nil || response.status != 200 || response.body != fiveEvents() {
-				t.Errorf("cut after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
+				t.Errorf("closed after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			want := "first"
 			if bytesBeforeClose < len(streamedEvent(1)) {
 				want = "second" // nothing had been relayed
 			}
 			if response.head.Get("Go-Seal") != want {
-				t.Errorf("cut after %d bytes: seal %q", bytesBeforeClose, response.head.Get("Go-Seal"))
+				t.Errorf("closed after %d bytes: seal %q", bytesBeforeClose, response.head.Get("Go-Seal"))
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
 			response := s.send(postRequest("stream", "a1", "body"))
 			if bytesBeforeClose == 0 && response.status != 502 || bytesBeforeClose > 0 && response.err == nil || !strings.HasPrefix(fiveEvents(), response.body) && bytesBeforeClose > 0 {
-				t.Errorf("cut after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
+				t.Errorf("closed after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			if n := s.workers[1].runs(); n != 0 {
 				t.Errorf("the second worker ran it %d times", n)
@@ -119,7 +119,7 @@
 					t.Errorf("%v %q", response.err, response.body)
 				}
 				if id := s.workers[1].requests[0].Header.Get("Last-Event-Id"); id != "2" {
-					t.Errorf("asked to go on from %q", id)
+					t.Errorf("asked to resume from %q", id)
 				}
 			})
 		})
@@ -204,7 +204,7 @@
 				began := site.process.Clock.Now()
 				client.Close()
 				if err := <-ended; err == nil {
-					t.Error("the worker's connection goes on")
+					t.Error("the worker's connection stays open")
 				}
 				if d := site.process.Clock.Now() - began; d > 10*time.Millisecond {
 					t.Errorf("seen after %v", d)
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -96,7 +96,7 @@
 // Bytes after a complete response belong to no request: the next doesn't get them.
 func TestBytesAfterAResponseReachNoRequest(t *testing.T) {
 	late := strings.Replace(okResponse, "ID", "old", 1)
-	for name, stray := range map[string]string{"garbage": "\x00garbage", "another's answer": late, "its own answer again": okResponse, "a newline": "\r\n"} {
+	for name, stray := range map[string]string{"garbage": "\x00garbage", "another's response": late, "its own response again": okResponse, "a newline": "\r\n"} {
 		for _, when := range []string{"at once", "a while later"} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				n := 0
@@ -218,7 +218,7 @@
 	}{
 		{"its holder has sent", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")) }, true},
 		{"its holder has sent nothing", func(conn *workerConn) { conn.acquire(1) }, false},
-		{"nobody holds it", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")); conn.release(1, time.Hour) }, false},
+		{"it is idle", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")); conn.release(1, time.Hour) }, false},
 		{"the next holder has sent nothing", func(conn *workerConn) {
 			conn.acquire(1)
 			_, _ = conn.Write([]byte("x"))
@@ -233,7 +233,7 @@
 			t.Errorf("%s: %d, %v", test.name, n, err)
 		}
 		if !test.want && (n != 0 || err != io.EOF || !conn.closed) {
-			t.Errorf("%s: %d, %v: the line must end", test.name, n, err)
+			t.Errorf("%s: %d, %v: the connection must be closed", test.name, n, err)
 		}
 	}
 }
@@ -248,9 +248,9 @@
 		want bool
 	}{
 		{"not written", fakeConn{}, func(*workerConn) {}, true},
-		{"none taken", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
-		{"some taken", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
-		{"all taken", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
+		{"no byte accepted", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
+		{"some accepted", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
+		{"all accepted", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
 	} {
 		conn := newWorkerConn(&test.f, time.Hour, func() {})
 		conn.acquire(1)
@@ -259,7 +259,7 @@
 			t.Errorf("%s: %v", test.name, got)
 		}
 		if n, err := conn.Write([]byte("x")); n != 0 || err == nil {
-			t.Errorf("%s: bytes went after the stop", test.name)
+			t.Errorf("%s: bytes were written after it was discarded", test.name)
 		}
 	}
 	// The kernel may still accept a write in progress.
@@ -268,13 +268,13 @@
 	conn.acquire(1)
 	done := make(chan struct{})
 	go func() { defer close(done); _, _ = conn.Write([]byte("x")) }()
-	for under := false; !under; {
+	for writing := false; !writing; {
 		conn.mu.Lock()
-		under = conn.pendingWrites == 1
+		writing = conn.pendingWrites == 1
 		conn.mu.Unlock()
 	}
 	if conn.discard(1) {
-		t.Error("a write under way was no doubt")
+		t.Error("nothing was sent, though a write is in progress")
 	}
 	close(f.wait)
 	<-done
@@ -287,9 +287,9 @@
 	conn.acquire(2)
 	conn.release(1, time.Nanosecond)
 	if conn.discard(1) || conn.holder != 2 || conn.idleTimer != nil {
-		t.Error("the line was the first one's still")
+		t.Error("the former holder has changed the connection")
 	}
 	if n, err := conn.Write([]byte("x")); n == 0 || err != nil {
-		t.Error("the second can't write")
+		t.Error("the holder can't write")
 	}
 }
