--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -152,7 +152,7 @@
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
 			Routes: []routingconfig.Route{{Name: "r", Host: "host.example", Prefix: "/pre/", Kind: routingconfig.EventStream, Timeout: time.Minute, LatencyTarget: time.Minute, Public: true, NamesPromptParts: true, Resumable: true, MaxAttempts: 1, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}},
 			Limits: routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}}
-		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Edges: 1,
+		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), EdgeCount: 1,
 			Workers: []fleet.Worker{{ID: "i-0", Service: serviceName(0), Addr: f.address, Zone: "district-0", Slots: 128, Weights: map[string]uint64{modelName(0): 3}}}}
 		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }))
 		if err := proxy.Start(l, proxy.Config{Headers: names(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return s }, Selector: p}); err != nil {
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -105,7 +105,7 @@
 		defer l.Stop(time.Second)
 		x := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
 			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.EventStream, Timeout: 8 * time.Second, LatencyTarget: time.Second, NamesPromptParts: true, MaxAttempts: 2, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}}}
-		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Workers: roll(int(n), 1), Edges: 340}
+		s := &fleet.Snapshot{Plan: x.BuildIndex(), ProofAt: l.Clock.Now(), Workers: roll(int(n), 1), EdgeCount: 340}
 		p := selection.New(l, indexclient.New(l, func() []*wire.Node { return nil }))
 		i, d := 0, rand.New(rand.NewPCG(1, 2))
 		one := func(s *fleet.Snapshot) {
--- a/internal/control/controllers/namedweights.go
+++ b/internal/control/controllers/namedweights.go
@@ -19,7 +19,7 @@
 // update applies a snapshot. While a worker still lacks the previously named version of a model, the
 // rollout stays due since that one was named: naming another doesn't extend the bound.
 func (n *namedWeights) update(snapshot *fleet.Snapshot, workers []fleet.Worker) {
-	for model, version := range snapshot.Named {
+	for model, version := range snapshot.NamedVersions {
 		if version <= n.versions[model] {
 			continue
 		}
--- a/internal/control/controllers/namedweights_test.go
+++ b/internal/control/controllers/namedweights_test.go
@@ -10,7 +10,7 @@
 // The rollout is due since the oldest naming whose version a worker lacks.
 func TestRolloutIsDueSinceOldestMissingNaming(t *testing.T) {
 	snapshot := func(version uint64, atSeconds int) *fleet.Snapshot {
-		return &fleet.Snapshot{Named: map[string]uint64{"daka": version}, NamedAt: map[string]time.Duration{"daka": time.Duration(atSeconds) * time.Second}}
+		return &fleet.Snapshot{NamedVersions: map[string]uint64{"daka": version}, NamedAt: map[string]time.Duration{"daka": time.Duration(atSeconds) * time.Second}}
 	}
 	draining := worker("3", 1)
 	draining.Draining = true
@@ -34,7 +34,7 @@
 			t.Errorf("%s: %d since %v", test.name, weights.versions["daka"], weights.namedAt["daka"])
 		}
 	}
-	weights.update(&fleet.Snapshot{Named: map[string]uint64{"other": 1}}, nil)
+	weights.update(&fleet.Snapshot{NamedVersions: map[string]uint64{"other": 1}}, nil)
 	if _, ok := weights.namedAt["other"]; ok || weights.versions["other"] != 1 {
 		t.Error("a version without a naming time has one")
 	}
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -104,7 +104,7 @@
 	cluster.waitUntil("weights at the spare", 3*time.Second, func() bool {
 		weights := fleet.Weights{}
 		response, _ := spare.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
-		return len(response.Documents) == 1 && json.Unmarshal(response.Documents[0].Body, &weights) == nil && weights.Named["m"] == 3 && weights.Named["o"] == 1 && !response.NothingNewer
+		return len(response.Documents) == 1 && json.Unmarshal(response.Documents[0].Body, &weights) == nil && weights.Versions["m"] == 3 && weights.Versions["o"] == 1 && !response.NothingNewer
 	})
 }
 
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -110,7 +110,7 @@
 func (n *Node) hasAppliedWeights(model string, version uint64) bool {
 	document := n.shards[0].published.current().documents[fleet.WeightsKey]
 	weights := fleet.Weights{}
-	return json.Unmarshal(document.GetBody(), &weights) == nil && weights.Named[model] >= version
+	return json.Unmarshal(document.GetBody(), &weights) == nil && weights.Versions[model] >= version
 }
 
 // addWeightsVersion returns an encoded fleet.Weights with a model's version added; nil if the old one has
@@ -122,13 +122,13 @@
 			return nil, errs.Wrap(err, "read the weights that are named")
 		}
 	}
-	if weights.Named[model] >= version {
+	if weights.Versions[model] >= version {
 		return nil, nil
 	}
-	if weights.Named == nil {
-		weights.Named = map[string]uint64{}
+	if weights.Versions == nil {
+		weights.Versions = map[string]uint64{}
 	}
-	weights.Named[model] = version
+	weights.Versions[model] = version
 	body, err := json.Marshal(weights)
 	return body, errs.Wrap(err, "write the weights that are named")
 }
--- a/internal/control/controlstate/repeated_weights_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -38,11 +38,11 @@
 				t.Error(err)
 			}
 			for model, version := range named {
-				if weights.Named[model] < version {
-					t.Errorf("weights of %s fall from %d to %d", model, version, weights.Named[model])
+				if weights.Versions[model] < version {
+					t.Errorf("weights of %s fall from %d to %d", model, version, weights.Versions[model])
 				}
 			}
-			named = weights.Named
+			named = weights.Versions
 		}
 		name := func(node *Node, model string, version uint64) {
 			for range 100 {
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -307,7 +307,7 @@
 			t.Fatal(err)
 		}
 		wait(10 * time.Second)
-		if snapshot := a.Snapshot(); snapshot.Plan != nil || snapshot.ProofAt != 0 || snapshot.Edges != assumedEdges || len(snapshot.Nodes) != 1 || a.Membership().Nodes[0].Name != "runner/edge-1" {
+		if snapshot := a.Snapshot(); snapshot.Plan != nil || snapshot.ProofAt != 0 || snapshot.EdgeCount != assumedEdges || len(snapshot.Nodes) != 1 || a.Membership().Nodes[0].Name != "runner/edge-1" {
 			t.Fatalf("%+v", snapshot)
 		}
 		if a.Handler() == nil {
--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -36,7 +36,7 @@
 		if err := json.Unmarshal(document.Body, &weights); err != nil {
 			return errs.WrapAs(err, errs.Internal, "not a list of weights")
 		}
-		t.applyWeights(weights.Named, now)
+		t.applyWeights(weights.Versions, now)
 		return nil
 	}
 	return t.applyPlacement(document)
@@ -80,8 +80,8 @@
 	}
 	namedAt, superseding := map[string]time.Duration{}, map[string][]fleet.NamedVersion{}
 	for model, version := range named {
-		namedAt[model], superseding[model] = since, t.snapshot.Superseding[model]
-		previous, ok := t.snapshot.Named[model]
+		namedAt[model], superseding[model] = since, t.snapshot.EarlierVersions[model]
+		previous, ok := t.snapshot.NamedVersions[model]
 		switch {
 		case ok && previous == version:
 			namedAt[model] = t.snapshot.NamedAt[model]
@@ -90,7 +90,7 @@
 			superseding[model] = t.addSuperseding(superseding[model], before, now)
 		}
 	}
-	t.snapshot.Named, t.snapshot.NamedAt, t.snapshot.Superseding = named, namedAt, superseding
+	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = named, namedAt, superseding
 }
 
 // maxSuperseding bounds the versions that are kept of one model.
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -48,7 +48,7 @@
 		proof:      NewFreshnessProof(),
 		versions:   map[string]uint64{},
 		edgeSeenAt: map[string]time.Duration{},
-		snapshot:   fleet.Snapshot{Edges: assumedEdges},
+		snapshot:   fleet.Snapshot{EdgeCount: assumedEdges},
 	}
 }
 
@@ -135,12 +135,12 @@
 	}
 	edges := max(1, len(t.edgeSeenAt))
 	isJoining := now-t.startedAt < t.bounds.Leave(joiningRatio)
-	if isAlone && t.snapshot.Edges == assumedEdges || isJoining {
+	if isAlone && t.snapshot.EdgeCount == assumedEdges || isJoining {
 		edges = max(edges, assumedEdges)
 	}
-	if edges == t.snapshot.Edges && slices.Equal(view.Nodes, t.snapshot.Nodes) {
+	if edges == t.snapshot.EdgeCount && slices.Equal(view.Nodes, t.snapshot.Nodes) {
 		return false
 	}
-	t.snapshot.Edges, t.snapshot.Nodes = edges, view.Nodes
+	t.snapshot.EdgeCount, t.snapshot.Nodes = edges, view.Nodes
 	return true
 }
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -138,7 +138,7 @@
 	state := newTestTable()
 	bounds := state.bounds
 	name := func(v uint64, now time.Duration, named map[string]uint64) {
-		state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.WeightsKey, v, fleet.Weights{Named: named})), 1, now, now)
+		state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.WeightsKey, v, fleet.Weights{Versions: named})), 1, now, now)
 	}
 	name(1, startTime, map[string]uint64{"m": 1})
 	if at := state.snapshot.NamedAt["m"]; at != startTime-bounds.Weights(0.5) {
@@ -152,11 +152,11 @@
 	if a := state.snapshot.NamedAt; a["m"] != now+1 || a["n"] != now+2 {
 		t.Fatalf("in contact: named at %v", a)
 	}
-	if l := state.snapshot.Superseding; len(l["m"]) != 1 || l["m"][0].Version != 1 || len(l["n"]) != 1 || l["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
+	if l := state.snapshot.EarlierVersions; len(l["m"]) != 1 || l["m"][0].Version != 1 || len(l["n"]) != 1 || l["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
 		t.Fatalf("superseding %v", l)
 	}
 	name(4, now+bounds.Config(2), map[string]uint64{"m": 3})
-	if l := state.snapshot.Superseding["m"]; len(l) != 2 || l[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
+	if l := state.snapshot.EarlierVersions["m"]; len(l) != 2 || l[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
 		t.Fatalf("superseding %v", l)
 	}
 	if a := state.snapshot.NamedAt; a["m"] != now || len(a) != 1 {
@@ -166,13 +166,13 @@
 	if a := state.snapshot.NamedAt; a["m"] != now+bounds.Weights(2.5) {
 		t.Fatalf("out of contact for long: named at %v", a)
 	}
-	if l := state.snapshot.Superseding["m"]; len(l) != 1 || l[0].Version != 3 {
+	if l := state.snapshot.EarlierVersions["m"]; len(l) != 1 || l[0].Version != 3 {
 		t.Fatalf("past the bound of version 3 those before say nothing: %v", l)
 	}
 	for v := uint64(5); v < 30; v++ { // one right after another: the bound of none is extended
 		name(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
 	}
-	if l := state.snapshot.Superseding["m"]; len(l) != maxSuperseding || l[0].At != now {
+	if l := state.snapshot.EarlierVersions["m"]; len(l) != maxSuperseding || l[0].At != now {
 		t.Fatalf("superseding %v", l)
 	}
 }
@@ -192,33 +192,33 @@
 func TestEdgesThatLeftLatelyAreCounted(t *testing.T) {
 	state := newTestTable()
 	state.applyMembership(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: clustermembership.RoleNodeAgent}}}, startTime+state.bounds.Leave(1))
-	if state.snapshot.Edges != assumedEdges {
-		t.Fatalf("alone: %d edges", state.snapshot.Edges)
+	if state.snapshot.EdgeCount != assumedEdges {
+		t.Fatalf("alone: %d edges", state.snapshot.EdgeCount)
 	}
 	state = newTestTable()
-	if state.applyMembership(membershipOf(3, 0), startTime); state.snapshot.Edges != assumedEdges {
-		t.Fatalf("just started: %d edges", state.snapshot.Edges)
+	if state.applyMembership(membershipOf(3, 0), startTime); state.snapshot.EdgeCount != assumedEdges {
+		t.Fatalf("just started: %d edges", state.snapshot.EdgeCount)
 	}
 	now := startTime + state.bounds.Leave(1)
 	view := membershipOf(3, 0)
-	if !state.applyMembership(view, now) || state.snapshot.Edges != 3 || state.applyMembership(view, now) {
-		t.Fatalf("%d edges", state.snapshot.Edges)
+	if !state.applyMembership(view, now) || state.snapshot.EdgeCount != 3 || state.applyMembership(view, now) {
+		t.Fatalf("%d edges", state.snapshot.EdgeCount)
 	}
 	prove := func() { state.snapshot.ProofAt = now }
 	prove()
 	state.applyMembership(membershipOf(3, 2), now)
-	if state.snapshot.Edges != 3 {
-		t.Fatalf("just dead: %d edges", state.snapshot.Edges)
+	if state.snapshot.EdgeCount != 3 {
+		t.Fatalf("just dead: %d edges", state.snapshot.EdgeCount)
 	}
 	now += state.bounds.Heal(edgeMemoryRatio) + 1
-	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.Edges != 3 {
-		t.Fatalf("out of contact with the control nodes: %d edges", state.snapshot.Edges)
+	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.EdgeCount != 3 {
+		t.Fatalf("out of contact with the control nodes: %d edges", state.snapshot.EdgeCount)
 	}
 	prove()
-	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.Edges != 1 {
-		t.Fatalf("dead for long: %d edges", state.snapshot.Edges)
+	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.EdgeCount != 1 {
+		t.Fatalf("dead for long: %d edges", state.snapshot.EdgeCount)
 	}
-	if state.applyMembership(membershipOf(3, 3), now+state.bounds.Heal(2*edgeMemoryRatio)); state.snapshot.Edges != 1 {
-		t.Fatalf("none left: %d edges", state.snapshot.Edges)
+	if state.applyMembership(membershipOf(3, 3), now+state.bounds.Heal(2*edgeMemoryRatio)); state.snapshot.EdgeCount != 1 {
+		t.Fatalf("none left: %d edges", state.snapshot.EdgeCount)
 	}
 }
--- a/internal/data/proxy/admission.go
+++ b/internal/data/proxy/admission.go
@@ -68,7 +68,7 @@
 	req.selection.Service = req.selection.Route.SelectService(req.selection.ID)
 	req.maxConns = 0
 	if service, ok := snapshot.Plan.ServiceByName(req.selection.Service); ok && service.MaxConns > 0 {
-		req.maxConns = max(1, service.MaxConns/max(1, snapshot.Edges))
+		req.maxConns = max(1, service.MaxConns/max(1, snapshot.EdgeCount))
 	}
 }
 
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -300,7 +300,7 @@
 		return listener, err
 	}
 	process := daemon.NewIn(daemon.Environment{Clock: clk, Listen: listen, Dial: (&net.Dialer{}).DialContext}, "edge", processSettings)
-	snapshot := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), Edges: 1, Workers: workers}
+	snapshot := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), EdgeCount: 1, Workers: workers}
 	site.server = newServer(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: site.selector})
 	if err := site.server.start(); err != nil {
 		t.Fatal(err)
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -39,7 +39,7 @@
 		return net.Listen("tcp", addr)
 	}
 	process := daemon.NewIn(world, "edge", processSettings)
-	snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clock.BootTime().Now(), Edges: 1, Workers: []fleet.Worker{worker.Worker}}
+	snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clock.BootTime().Now(), EdgeCount: 1, Workers: []fleet.Worker{worker.Worker}}
 	if err := Start(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &fakeSelector{}}); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/data/proxy/handler.go
+++ b/internal/data/proxy/handler.go
@@ -106,7 +106,7 @@
 
 // depositRetryTokens counts the request's first attempt for the retry budgets.
 func (req *request) depositRetryTokens() {
-	edges := req.server.Snapshot().Edges
+	edges := req.server.Snapshot().EdgeCount
 	req.server.retryBudgets.Deposit(req.selection.Service, edges)
 	req.server.misdirectedBudget.Deposit(edges)
 }
@@ -127,7 +127,7 @@
 // edgeNodes is the number of nodes that share the retry budgets.
 func (req *request) edgeNodes() int {
 	if snapshot := req.server.Snapshot(); snapshot != nil {
-		return snapshot.Edges
+		return snapshot.EdgeCount
 	}
 	return 1
 }
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -81,7 +81,7 @@
 			Site: &settings.Site{ReadinessListen: readyAt, MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 120, EnforceRevocation: true}}
 		clk := clock.Synctest()
 		site.process = daemon.NewIn(daemon.Environment{Clock: clk, Listen: site.network.Listen, Dial: site.network.Dial}, "edge", processSettings)
-		snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), Edges: 1}
+		snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), EdgeCount: 1}
 		for i, x := range scripts {
 			worker := &testWorker{script: x}
 			worker.Worker = fleet.Worker{ID: "w" + strconv.Itoa(i), Service: "s", Addr: "10.0.1." + strconv.Itoa(i) + ":8080", Slots: 8}
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -157,7 +157,7 @@
 func TestConnectionsToAWorkerAreBounded(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(s *testSite) {
-		s.set(func(snapshot *fleet.Snapshot) { snapshot.Edges = 50 }) // of 100: 2 each
+		s.set(func(snapshot *fleet.Snapshot) { snapshot.EdgeCount = 50 }) // of 100: 2 each
 		var cs []*clientConn
 		for i := range 2 {
 			client := s.dialClient()
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -68,7 +68,7 @@
 // backlogged, the older ones are selected.
 func TestPromptsAreNotAssignedToBackloggedWorkers(t *testing.T) {
 	snapshot := newFleet(18)
-	snapshot.Named["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	for i := range 6 {
 		snapshot.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
@@ -125,7 +125,7 @@
 // parts: the first prefill under new weights has no cost beside its time.
 func TestAssignmentToNewWeightsCostsNoMoreThanPrefill(t *testing.T) {
 	snapshot := newFleet(18)
-	snapshot.Named["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	for i := range 12 {
 		snapshot.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
--- a/internal/data/selection/eligibility.go
+++ b/internal/data/selection/eligibility.go
@@ -18,7 +18,7 @@
 
 // usable lists the candidates that may be selected: those that are avoided only if no other is left.
 func (t *table) usable(group *serviceGroup, versions *modelVersions, snapshot *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
-	named, oldest := snapshot.Named[model], t.oldestAllowed(snapshot, model, versions, now)
+	named, oldest := snapshot.NamedVersions[model], t.oldestAllowed(snapshot, model, versions, now)
 	weakest := avoidNotReady
 	allowed, reasons := t.usableScratch[:0], t.reasonScratch[:0]
 	for i, candidate := range group.candidates {
--- a/internal/data/selection/leastloaded.go
+++ b/internal/data/selection/leastloaded.go
@@ -20,8 +20,8 @@
 		hash := queue.Hash(request.ID)
 		first := candidates[hash%uint64(len(candidates))]
 		second := candidates[(hash>>32)%uint64(len(candidates))]
-		firstLoad := t.effectiveLoad(&group.candidates[first], snapshot.Edges, now)
-		secondLoad := t.effectiveLoad(&group.candidates[second], snapshot.Edges, now)
+		firstLoad := t.effectiveLoad(&group.candidates[first], snapshot.EdgeCount, now)
+		secondLoad := t.effectiveLoad(&group.candidates[second], snapshot.EdgeCount, now)
 		if secondLoad < firstLoad {
 			return second, secondLoad
 		}
--- a/internal/data/selection/loadsharing_test.go
+++ b/internal/data/selection/loadsharing_test.go
@@ -24,7 +24,7 @@
 		sharing.aggregator.Record("before", &wire.WorkerLoads{}, sharing.now-settings.DefaultBounds().Heal(part))
 	}
 	snapshot := newFleet(workers)
-	snapshot.Edges = edges
+	snapshot.EdgeCount = edges
 	for i := range edges {
 		edge := newEdge(snapshot)
 		edge.requestCount = 1000 * i
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -161,7 +161,7 @@
 	t.prefillingParts = cleared(t.prefillingParts, count)
 	t.loads = cleared(t.loads, count)
 	for _, index := range s.usable {
-		t.loads[index] = t.estimatedLoad(s.group.candidates[index].stats, s.snapshot.Edges, s.now)
+		t.loads[index] = t.estimatedLoad(s.group.candidates[index].stats, s.snapshot.EdgeCount, s.now)
 		s.meanLoad += t.loads[index] / float64(len(s.usable))
 	}
 }
@@ -180,7 +180,7 @@
 // weights they serve can't share any: then each request has a salt of its own.
 func (s *scorer) cacheSalt(version uint64) string {
 	salt := CacheSalt(s.model, version, s.request.Tenant)
-	if !s.versions.reported && s.snapshot.Named[s.model] > 0 {
+	if !s.versions.reported && s.snapshot.NamedVersions[s.model] > 0 {
 		salt += "/" + url.QueryEscape(s.request.ID)
 	}
 	return salt
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -26,7 +26,7 @@
 }
 
 func newFleet(n int) *fleet.Snapshot {
-	snapshot := &fleet.Snapshot{Edges: 9, Named: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
+	snapshot := &fleet.Snapshot{EdgeCount: 9, NamedVersions: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, CapacityTokens: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
 			{Name: "app"},
@@ -281,7 +281,7 @@
 		snapshot.Workers = append(snapshot.Workers, fleet.Worker{ID: fmt.Sprint("a", i), Service: "app", Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("d", i%2), Slots: 2})
 	}
 	edge := newEdge(snapshot)
-	snapshot.Edges = 1
+	snapshot.EdgeCount = 1
 	byZone := map[string]int{}
 	for i := range 12 {
 		request := &Request{ID: fmt.Sprint("x", i), Service: "app", Route: route, Zone: "d0"}
--- a/internal/data/selection/versions.go
+++ b/internal/data/selection/versions.go
@@ -48,9 +48,9 @@
 // ends the use of those before it once its bound has run out, also where another was named meanwhile.
 func (t *table) oldestAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) (oldest uint64) {
 	if !t.olderAllowed(snapshot, model, versions, now) {
-		return snapshot.Named[model]
+		return snapshot.NamedVersions[model]
 	}
-	for _, named := range snapshot.Superseding[model] {
+	for _, named := range snapshot.EarlierVersions[model] {
 		if now >= t.unboundUntil && now-named.At >= t.bounds.Weights(rolloutTuning.olderVersionRatio) {
 			oldest = max(oldest, named.Version)
 		}
@@ -63,7 +63,7 @@
 // the bound of a version that was named before this process started is running already, half of it as
 // the agent assumes: then the older version is selected only while no worker serves the newer one.
 func (t *table) olderAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) bool {
-	named := snapshot.Named[model]
+	named := snapshot.NamedVersions[model]
 	if named == 0 {
 		return true
 	}
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -50,7 +50,7 @@
 // Older weights are selected until a ratio of their bound; then only the newest are.
 func TestOlderWeightsEndWithinTheirBound(t *testing.T) {
 	snapshot := newFleet(9)
-	snapshot.Named["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	edge := newEdge(snapshot)
 	if n := edge.countOlder(); n != 60 {
 		t.Errorf("nobody has the newest: %d of 60 on the old", n)
@@ -75,7 +75,7 @@
 // A process that has just started doesn't know how long the bound has been running.
 func TestNewProcessBoundsOlderWeights(t *testing.T) {
 	snapshot := newFleet(9)
-	snapshot.Named["m"], snapshot.NamedAt["m"] = 2, processStart
+	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart
 	edge := newEdge(snapshot)
 	edge.now = processStart + time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
@@ -103,7 +103,7 @@
 
 func TestCordonedAndNotReadyWorkersAreAvoided(t *testing.T) {
 	snapshot := newFleet(4)
-	snapshot.Named["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	snapshot.Placements["llm"] = &placement.Placement{Cordoned: []string{"w0", "w1"}}
 	edge := newEdge(snapshot)
 	selected := func() map[string]int {
@@ -199,7 +199,7 @@
 	for i := range snapshot.Workers {
 		snapshot.Workers[i].Weights = nil
 	}
-	snapshot.Named["m"] = 1
+	snapshot.NamedVersions["m"] = 1
 	edge = newEdge(snapshot)
 	if x, y := edge.mustSelect(t, edge.newRequest("p", 100)), edge.mustSelect(t, edge.newRequest("p", 100)); x.Salt == y.Salt {
 		t.Errorf("two requests share %q at workers of unknown version", x.Salt)
@@ -246,8 +246,8 @@
 func TestNamedAgainBeforeTheBoundIsOver(t *testing.T) {
 	snapshot := newFleet(4) // all of them have version 1
 	first, second := processStart+time.Minute, processStart+time.Minute+settings.DefaultBounds().Weights(0.6)
-	snapshot.Named["m"], snapshot.NamedAt["m"] = 3, second
-	snapshot.Superseding = map[string][]fleet.NamedVersion{"m": {{Version: 2, At: first}}}
+	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 3, second
+	snapshot.EarlierVersions = map[string][]fleet.NamedVersion{"m": {{Version: 2, At: first}}}
 	snapshot.Workers = append([]fleet.Worker(nil), snapshot.Workers...)
 	snapshot.Workers[0].Weights = map[string]uint64{"m": 2}
 	edge := newEdge(snapshot)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,7 +39,7 @@
 
 // Weights is the document of named weights: by model, the newest version that was named.
 type Weights struct {
-	Named map[string]uint64 `json:"named"`
+	Versions map[string]uint64 `json:"named"`
 }
 
 // NamedVersion is a version of a model's weights, and when this process first saw it named.
@@ -56,12 +56,12 @@
 	Workers    []Worker
 	Placements map[string]*placement.Placement // by service
 
-	Named   map[string]uint64        // by model: the named version
-	NamedAt map[string]time.Duration // by model: when this process first saw that version named
+	NamedVersions map[string]uint64        // by model: the named version
+	NamedAt       map[string]time.Duration // by model: when this process first saw that version named
 	// Superseding holds by model, oldest first, the versions that were named before the current one and still
 	// bound for how long versions older than them may be used: naming a newer version must not extend that.
-	Superseding map[string][]NamedVersion
+	EarlierVersions map[string][]NamedVersion
 
-	Nodes []*wire.Node // the cluster membership
-	Edges int          // number of edge machines, recently lost ones included; at least 1
+	Nodes     []*wire.Node // the cluster membership
+	EdgeCount int          // number of edge machines, recently lost ones included; at least 1
 }
