--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -52,7 +52,6 @@
 	query := Query{
 		ID:             req.ask.RequestID,
 		Mode:           placementMode(snapshot.Config, service),
-		Zone:           p.process.Settings.Zone,
 		Entries:        req.prefixEntries(req.entries),
 		Found:          req.found,
 		Tried:          req.tried,
--- a/internal/data/callerproxy/select.go
+++ b/internal/data/callerproxy/select.go
@@ -15,7 +15,6 @@
 type Query struct {
 	ID            string // of the request: it breaks ties
 	Mode          string // of the service's placement (serviceconfig.PlacementHRCS and others)
-	Zone          string // of this node
 	Entries       map[uint64][]prefix.Entry
 	Found         map[prefix.Key]*wire.LookupResult // what the prompt index knows of the entries
 	Workers       []*wire.Worker                    // of the service
--- a/internal/data/proxy/retrybudget_test.go
+++ b/internal/data/proxy/retrybudget_test.go
@@ -57,7 +57,7 @@
 	withSite(t, []workerScript{moved, moved, moved, moved}, func(s *testSite) {
 		const share, allowance = 0.2, 8.0
 		s.server.retryBudgets = retrybudget.NewByService(share, allowance)
-		s.server.misdirectedBudget = retrybudget.NewShared(share*misdirectedRatio, allowance*misdirectedAllowanceRatio)
+		s.server.misdirectedBudget = retrybudget.New(share*misdirectedRatio, allowance*misdirectedAllowanceRatio)
 		for range 1000 {
 			s.server.retryBudgets.Deposit("s", 1)
 			s.server.misdirectedBudget.Deposit(1)
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -45,7 +45,7 @@
 	siteSettings      *settings.Site
 	conns             *connPool
 	retryBudgets      *retrybudget.ByService
-	misdirectedBudget *retrybudget.Shared // of attempts after a 421; for all services together
+	misdirectedBudget *retrybudget.Budget // of attempts after a 421; for all services together
 	memoryLimit       int64               // bytes that all requests in flight may reserve
 	reservedMemory    atomic.Int64        // bytes
 	inFlight          atomic.Int64        // requests
@@ -116,7 +116,7 @@
 		siteSettings:      site,
 		conns:             newConnPool(process),
 		retryBudgets:      retrybudget.NewByService(retryRatio, retryAllowance),
-		misdirectedBudget: retrybudget.NewShared(retryRatio*misdirectedRatio, retryAllowance*misdirectedAllowanceRatio),
+		misdirectedBudget: retrybudget.New(retryRatio*misdirectedRatio, retryAllowance*misdirectedAllowanceRatio),
 		memoryLimit:       int64(site.MemoryLimitMB) << 20 / requestMemoryDivisor,
 	}
 	s.bufferPool.New = func() any { buffer := make([]byte, relayBufferBytes); return &buffer }
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -107,7 +107,7 @@
 				t.Errorf("%d attempts were never reported as done", site.selector.open)
 			}
 		}()
-		site.server.misdirectedBudget = retrybudget.NewShared(1, 100) // like the other budget: enough for one more attempt
+		site.server.misdirectedBudget = retrybudget.New(1, 100) // like the other budget: enough for one more attempt
 		act(site)
 	})
 }
