--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -64,8 +64,8 @@
 			for number := 0; w.ackedVersion < uint64(changes); number++ {
 				r.injectFault(number)
 			}
-			for _, fault := range []string{"restarted", "leader restarted", "torn in a write", "wiped", "replaced", "cut off", "leader cut off", "all restarted"} {
-				t.Logf("%-16s %2d times, up to date again within %v", fault, r.counts[fault], r.longest[fault])
+			for _, fault := range []string{"restarted", "leader restarted", "torn in a write", "wiped", "replaced", "isolated", "leader isolated", "all restarted"} {
+				t.Logf("%-16s %2d times, caught up within %v", fault, r.counts[fault], r.longest[fault])
 				if r.counts[fault] == 0 && changes >= changesForAllFaults {
 					t.Errorf("%s: never happened", fault)
 				}
@@ -114,7 +114,7 @@
 	for !r.hasCaughtUp(node) {
 		if r.step(); r.now-begun > bound {
 			r.logStatus()
-			r.t.Fatalf("%s: %s isn't up to date within %v", fault, node.addr, bound)
+			r.t.Fatalf("%s: %s hasn't caught up within %v", fault, node.addr, bound)
 		}
 	}
 	r.longest[fault], r.counts[fault] = max(r.longest[fault], r.now-begun), r.counts[fault]+1
@@ -124,7 +124,7 @@
 // awaitComplete waits until the group has three members that have all caught up.
 func (r *catchUpRun) awaitComplete() {
 	r.t.Helper()
-	r.waitUntil("three members that are up to date", 30*time.Second, func() bool {
+	r.waitUntil("three members that have caught up", 30*time.Second, func() bool {
 		leader := r.leader()
 		if leader == nil || !leader.shard.core.CanChangeMembership() {
 			return false
@@ -159,7 +159,7 @@
 	case 4:
 		r.replaceMachine(node)
 	case 5, 6:
-		r.isolate(prefix+"cut off", node)
+		r.isolate(prefix+"isolated", node)
 	case 7:
 		r.restartAll(node)
 	}
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// checkVictimGrantsNothing checks that a lease is neither granted nor denied.
+// checkVictimGrantsNothing checks that a lease request is neither granted nor rejected.
 func (w *isolationWorld) checkVictimGrantsNothing() {
 	begun := time.Now()
 	grant := &wire.Grant{Lease: "other", Holder: "x", TtlNs: uint64(leaseTTL)}
--- a/internal/control/controlstate/second_loss_join_test.go
+++ b/internal/control/controlstate/second_loss_join_test.go
@@ -87,7 +87,7 @@
 		return acknowledged
 	})
 	if !acknowledged {
-		r.violationf("the large document isn't taken")
+		r.violationf("the large document isn't acknowledged")
 	}
 }
 
--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -11,7 +11,7 @@
 // took until a change was acknowledged again.
 func (r *lossRun) runScenario() (tolerated bool, duration time.Duration) {
 	if !r.awaitStart() {
-		r.violationf("the group isn't whole at the start")
+		r.violationf("the group isn't complete at the start")
 		return false, 0
 	}
 	r.advanceFor(time.Second)
@@ -20,7 +20,7 @@
 		node = r.follower()
 	}
 	if node == nil {
-		r.violationf("nobody to strike")
+		r.violationf("no victim")
 		return false, 0
 	}
 	origin := r.originOf(node)
@@ -38,7 +38,7 @@
 	}
 	victim := r.secondVictim(origin)
 	if victim == nil {
-		r.count("nobody to strike") // there is no leader, or the successor is down
+		r.count("no victim") // there is no leader, or the successor is down
 		victim = r.follower()
 	}
 	if victim == nil {
@@ -226,7 +226,7 @@
 					}
 					longest = max(longest, duration)
 				}
-				t.Logf("%-9s %d machines, state of %d KB: whole again after %v at the longest", kind, machines, size>>10, longest)
+				t.Logf("%-9s %d machines, state of %d KB: complete again after %v at the longest", kind, machines, size>>10, longest)
 			}
 		}
 	}
@@ -243,7 +243,7 @@
 	duration, ok := r.waitUntil(completeWithin, func() bool { return r.isComplete() && r.memberCount() == 3 })
 	if !ok {
 		r.traceStatus()
-		r.violationf("whole-within: the group isn't whole within %v of the return", completeWithin)
+		r.violationf("complete-within: the group isn't complete within %v of the return", completeWithin)
 	}
 	return duration
 }
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -8,14 +8,14 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// lossKind is how a machine is lost, in the words of docs/control.md, section 3.
+// lossKind is how a machine is lost; docs/control.md, section 3, has a table of them.
 type lossKind string
 
 // Kinds of losses.
 const (
 	lossCrash          lossKind = "crash"           // power loss; back with its disk
 	lossWipe           lossKind = "wipe"            // back with an empty disk
-	lossPartition      lossKind = "cut off"         // in both directions; healed later
+	lossPartition      lossKind = "isolated"        // in both directions; healed later
 	lossShutdown       lossKind = "SIGTERM"         // planned; back with its disk
 	lossReplace        lossKind = "replaced"        // removed for good, a new machine starts
 	lossPlannedReplace lossKind = "planned replace" // SIGTERM, removed for good, a new machine starts
@@ -209,8 +209,8 @@
 // injectLoss has a machine be lost.
 func (r *lossRun) injectLoss(kind lossKind, node *groupSimNode) {
 	returnsAt := r.now + awayTime
-	r.tracef("STRIKE %s of %s", kind, node.addr)
-	r.count("struck " + string(kind))
+	r.tracef("LOSS %s of %s", kind, node.addr)
+	r.count("lost: " + string(kind))
 	switch kind {
 	case lossCrash:
 		r.kill(node, true, awayTime)
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -92,7 +92,7 @@
 
 // violationf records that something happened that must not.
 func (s *simBase) violationf(format string, a ...any) {
-	s.tracef("FAULT "+format, a...)
+	s.tracef("VIOLATION "+format, a...)
 	s.violations = append(s.violations, fmt.Sprintf(format, a...))
 }
 
@@ -119,7 +119,7 @@
 func (s *simBase) addLeaseHolders(count int) {
 	for i := range count {
 		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: s.randomClockRate()}
-		holder.lease = controlclient.NewLease(nil, holder.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), simLeaseTTL)
+		holder.lease = controlclient.NewLease(nil, holder.clock, "lease", 0, fmt.Sprintf("holder-%d", i+1), simLeaseTTL)
 		s.leaseHolders = append(s.leaseHolders, holder)
 	}
 }
@@ -139,7 +139,7 @@
 		}
 	}
 	if holders > 1 {
-		s.violationf("%d hold the duty at once", holders)
+		s.violationf("%d hold the lease at once", holders)
 	}
 }
 
--- a/internal/control/controlstate/sim_disk_test.go
+++ b/internal/control/controlstate/sim_disk_test.go
@@ -7,65 +7,68 @@
 	"sort"
 )
 
-// simDisk fails, stalls or loses power on demand. Whatever a call returned from is synced.
+// simDisk fails, stalls or loses power on demand. What a call has written when it returns is synced.
 type simDisk struct {
 	files       map[string][]byte
-	failWrites  bool   // every write fails: full, or a failed sync
-	powerBudget int    // bytes until the power goes; below zero: never
-	beforeWrite func() // called at every write: it may take its time
+	failWrites  bool   // every write fails, as on a full disk
+	powerBudget int    // bytes until the power fails; below zero: it doesn't
+	beforeWrite func() // called before every write
 }
 
 func newSimDisk() *simDisk { return &simDisk{files: map[string][]byte{}, powerBudget: -1} }
 
 var errPowerLost, errDiskFull = errors.New("power lost"), errors.New("disk full")
 
-func (d *simDisk) Read(n string) ([]byte, bool, error) {
-	b, ok := d.files[n]
-	return bytes.Clone(b), ok, nil
+func (d *simDisk) Read(name string) ([]byte, bool, error) {
+	content, ok := d.files[name]
+	return bytes.Clone(content), ok, nil
 }
 
-func (d *simDisk) appendBytes(n string, b []byte) error {
+func (d *simDisk) appendBytes(name string, appended []byte) error {
 	if d.beforeWrite != nil {
 		d.beforeWrite()
 	}
 	if d.failWrites {
-		d.files[n] = append(d.files[n], b[:len(b)/2]...)
+		d.files[name] = append(d.files[name], appended[:len(appended)/2]...)
 		return errDiskFull
 	}
-	if d.powerBudget >= 0 && len(b) > d.powerBudget {
-		d.files[n] = append(d.files[n], b[:d.powerBudget]...)
+	if d.powerBudget >= 0 && len(appended) > d.powerBudget {
+		d.files[name] = append(d.files[name], appended[:d.powerBudget]...)
 		d.powerBudget = 0
 		return errPowerLost
 	}
-	d.files[n] = append(d.files[n], b...)
+	d.files[name] = append(d.files[name], appended...)
 	if d.powerBudget >= 0 {
-		d.powerBudget -= len(b)
+		d.powerBudget -= len(appended)
 	}
 	return nil
 }
 
-func (d *simDisk) Write(n string, b []byte) error {
+func (d *simDisk) Write(name string, appended []byte) error {
 	if d.powerBudget == 0 {
 		return errPowerLost
 	}
 	if d.failWrites {
 		return errDiskFull
 	}
-	d.files[n] = nil
-	return d.appendBytes(n, b)
+	d.files[name] = nil
+	return d.appendBytes(name, appended)
+}
+func (d *simDisk) Append(name string, appended []byte) error { return d.appendBytes(name, appended) }
+func (d *simDisk) Truncate(name string, size int) error {
+	d.files[name] = d.files[name][:size]
+	return nil
 }
-func (d *simDisk) Append(n string, b []byte) error { return d.appendBytes(n, b) }
-func (d *simDisk) Truncate(n string, s int) error  { d.files[n] = d.files[n][:s]; return nil }
 
-// cacheDisk is a disk behind a cache. What was written and not synced lives on with the machine,
-// also when the process dies; a loss of power leaves each such file as it was, whole, or torn.
-// A sync that failed is told once: later ones of that file say nothing more and help nothing.
+// cacheDisk is a disk behind a cache. What was written and not synced survives the process, not a loss of
+// power, which leaves each such file as it was before, complete, or torn. A failed sync is reported once:
+// later ones of that file succeed, and sync nothing.
 type cacheDisk struct {
 	cached, synced   map[string][]byte
 	syncFailed       map[string]bool
 	random           *rand.Rand
 	failWrites       bool
-	writesUntilCrash int // writes until the process dies in one; below zero: never
+	writesUntilCrash int // until the process crashes in a write; below zero: it doesn't
 	crashed          bool
 	beforeWrite      func() // called before every write
 }
@@ -74,86 +77,91 @@
 	return &cacheDisk{cached: map[string][]byte{}, synced: map[string][]byte{}, syncFailed: map[string]bool{}, random: random, writesUntilCrash: -1}
 }
 
-var errCrashed = errors.New("the process has died")
+var errCrashed = errors.New("the process has crashed")
 
-func (d *cacheDisk) Read(n string) ([]byte, bool, error) {
-	b, ok := d.cached[n]
-	return bytes.Clone(b), ok, nil
+func (d *cacheDisk) Read(name string) ([]byte, bool, error) {
+	content, ok := d.cached[name]
+	return bytes.Clone(content), ok, nil
 }
 
-func (d *cacheDisk) write(name string, whole bool, old, b []byte) error {
+// write writes a file anew, or appends to its old content.
+func (d *cacheDisk) write(name string, isNew bool, old, appended []byte) error {
 	if d.crashed {
 		return errCrashed
 	}
 	if d.beforeWrite != nil {
 		d.beforeWrite()
 	}
-	to := append(bytes.Clone(old), b...)
+	content := append(bytes.Clone(old), appended...)
 	switch {
 	case d.writesUntilCrash == 0:
 		d.crashed = true
-		d.cached[name] = append(bytes.Clone(old), b[:d.random.IntN(len(b)+1)]...)
+		d.cached[name] = append(bytes.Clone(old), appended[:d.random.IntN(len(appended)+1)]...)
 		return errCrashed
 	case d.failWrites:
-		d.cached[name], d.syncFailed[name] = to[:len(old)+len(b)/2], true
+		d.cached[name], d.syncFailed[name] = content[:len(old)+len(appended)/2], true
 		if d.random.IntN(2) == 0 {
-			d.cached[name] = to // written, and the sync failed
+			d.cached[name] = content // written, and the sync failed
 		}
 		return errDiskFull
 	}
 	if d.writesUntilCrash > 0 {
 		d.writesUntilCrash--
 	}
-	d.cached[name] = to
-	if whole {
+	d.cached[name] = content
+	if isNew {
 		delete(d.syncFailed, name)
 	}
 	if !d.syncFailed[name] {
-		d.synced[name] = bytes.Clone(to)
+		d.synced[name] = bytes.Clone(content)
 	}
 	return nil
 }
 
-func (d *cacheDisk) Write(n string, b []byte) error  { return d.write(n, true, nil, b) }
-func (d *cacheDisk) Append(n string, b []byte) error { return d.write(n, false, d.cached[n], b) }
+func (d *cacheDisk) Write(name string, content []byte) error {
+	return d.write(name, true, nil, content)
+}
+func (d *cacheDisk) Append(name string, content []byte) error {
+	return d.write(name, false, d.cached[name], content)
+}
 
-func (d *cacheDisk) Truncate(n string, s int) error {
+func (d *cacheDisk) Truncate(name string, size int) error {
 	if d.crashed {
 		return errCrashed
 	}
-	d.cached[n] = d.cached[n][:s:s]
-	if !d.syncFailed[n] {
-		d.synced[n] = bytes.Clone(d.cached[n])
+	d.cached[name] = d.cached[name][:size:size]
+	if !d.syncFailed[name] {
+		d.synced[name] = bytes.Clone(d.cached[name])
 	}
 	return nil
 }
 
-// losePower leaves what a loss of power leaves.
+// losePower drops what isn't synced, or parts of it.
 func (d *cacheDisk) losePower() {
-	all := d.random.IntN(4) == 0 // at some, everything that wasn't synced is gone
+	dropAll := d.random.IntN(4) == 0 // at times everything that isn't synced is lost
 	var names []string
-	for n := range d.cached {
-		names = append(names, n)
+	for name := range d.cached {
+		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		c, s := d.cached[name], d.synced[name]
-		if bytes.Equal(c, s) {
+		cached, synced := d.cached[name], d.synced[name]
+		if bytes.Equal(cached, synced) {
 			continue
 		}
-		_, there := d.synced[name]
+		_, wasSynced := d.synced[name]
 		switch choice := d.random.IntN(3); {
-		case (all || choice == 0) && !there:
+		case (dropAll || choice == 0) && !wasSynced:
 			delete(d.cached, name)
-		case all || choice == 0:
-			d.cached[name] = bytes.Clone(s)
-		case choice == 1 && bytes.HasPrefix(c, s):
-			d.cached[name] = bytes.Clone(c[:len(s)+d.random.IntN(len(c)-len(s)+1)])
+		case dropAll || choice == 0:
+			d.cached[name] = bytes.Clone(synced)
+		case choice == 1 && bytes.HasPrefix(cached, synced):
+			d.cached[name] = bytes.Clone(cached[:len(synced)+d.random.IntN(len(cached)-len(synced)+1)])
 		case choice == 1:
-			d.cached[name] = bytes.Clone(c[:d.random.IntN(len(c)+1)])
+			d.cached[name] = bytes.Clone(cached[:d.random.IntN(len(cached)+1)])
 		}
-		if b, ok := d.cached[name]; ok {
-			d.synced[name] = bytes.Clone(b)
+		if content, ok := d.cached[name]; ok {
+			d.synced[name] = bytes.Clone(content)
 		}
 	}
 	clear(d.syncFailed)
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -83,7 +83,7 @@
 		return
 	}
 	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // else it is the only member
-		s.violationf("%s, cut off since %v, %s of %v", node.addr, s.isolatedSince, what, sentAt)
+		s.violationf("%s, isolated since %v, %s of %v", node.addr, s.isolatedSince, what, sentAt)
 	}
 }
 
@@ -154,11 +154,11 @@
 	}
 	switch s.random.IntN(12) {
 	case 0: // two operators, one version, different content
-		s.count("one number, two contents")
+		s.count("one version, two contents")
 		s.sendChange(s.newChange(next), s.randomNode(), acked)
 		s.sendChange(s.newChange(next), node, acked)
 	case 1: // two operators, one version, the same content
-		s.count("one number, one content")
+		s.count("one version, one content")
 		change := s.newChange(next)
 		s.sendChange(change, s.randomNode(), acked)
 		s.sendChange(change, node, acked)
@@ -191,12 +191,12 @@
 func (s *groupSim) sendChange(change *groupChange, node *groupSimNode, acked func(*groupSimNode)) {
 	attempt := s.history.BeginAttempt(history.Change{Key: routingconfig.DocumentKey, Token: change.body, BaseVersion: change.baseVersion, NewVersion: change.newVersion, Body: change.body})
 	if change.attempts++; change.attempts > 1 {
-		s.count("sent again")
+		s.count("retried")
 		if s.ackedCount-change.ackedBefore >= lateAfter {
-			s.count("sent again late")
+			s.count("retried late")
 		}
 		if s.ackedCount-change.ackedBefore >= veryLateAfter {
-			s.count("sent again very late")
+			s.count("retried very late")
 		}
 	}
 	s.fireEvent(eventChangeSent)
@@ -211,10 +211,10 @@
 	sentAt, wasAcked := s.now, change.ackedAt > 0
 	s.executeChange(leader, request, func(response *wire.ChangeResponse) {
 		if leader != node && s.callFails(node.addr, leader.addr) {
-			s.count("answer lost")
+			s.count("response lost")
 			return
 		}
-		s.checkIsolated(leader, sentAt, "answers "+string(response.Outcome)+" to an order")
+		s.checkIsolated(leader, sentAt, "answers "+string(response.Outcome)+" to a change")
 		s.handleAnswer(change, attempt, leader, response, wasAcked)
 		if response.Outcome == wire.OutcomeDone && acked != nil {
 			acked(leader)
@@ -264,7 +264,7 @@
 			s.ackedCount++
 			s.count("acked")
 		} else {
-			s.count("done again")
+			s.count("acknowledged again")
 		}
 		s.knownVersion = max(s.knownVersion, response.Version)
 		s.tracef("acked %s on %d as %d by %s", change.name, change.baseVersion, change.newVersion, leader.addr)
@@ -272,16 +272,16 @@
 	case wire.OutcomeConflict:
 		attempt.Complete(history.Rejected, response.Version)
 		s.knownVersion = max(s.knownVersion, response.Version)
-		s.count("refused")
+		s.count("rejected")
 	case wire.OutcomeBadInput:
 		attempt.Complete(history.Rejected, response.Version)
-		s.count("refused")
+		s.count("rejected")
 	case wire.OutcomeNotLeader, wire.OutcomeOverloaded:
 		attempt.Complete(history.NotExecuted, 0)
-		s.count("not taken")
+		s.count("not executed")
 	}
 	if wasAcked && (response.Outcome == wire.OutcomeConflict || response.Outcome == wire.OutcomeBadInput) {
-		s.violationf("%s was acknowledged, and is %s when it is sent again", change.name, response.Outcome)
+		s.violationf("%s was acknowledged, and is %s when it is retried", change.name, response.Outcome)
 	}
 }
 
@@ -309,7 +309,7 @@
 // checkFencingToken checks that no two holders were granted the lease under one fencing token.
 func (s *groupSim) checkFencingToken(token uint64, holder string) {
 	if other := s.fencingTokenHolders[token]; other != "" && other != holder {
-		s.violationf("fence %d is of %s and of %s", token, other, holder)
+		s.violationf("fencing token %d is of %s and of %s", token, other, holder)
 	}
 	s.fencingTokenHolders[token] = holder
 }
--- a/internal/control/controlstate/sim_group_faults_test.go
+++ b/internal/control/controlstate/sim_group_faults_test.go
@@ -32,31 +32,31 @@
 	}},
 	{"all killed", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(s.random.IntN(2) == 0) }},
 	{"leader first, then all", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
-	{"killed soon after an order", 1, func(s *groupSim, node *groupSimNode) {
+	{"leader killed after a change", 1, func(s *groupSim, node *groupSimNode) {
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { s.killLeader(s.random.IntN(2) == 0) }) }
 	}},
-	{"all lose power soon after an order", 1, func(s *groupSim, _ *groupSimNode) {
+	{"all lose power after a change", 1, func(s *groupSim, _ *groupSimNode) {
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { s.killAll(true) }) }
 	}},
-	{"cut off as an order is under way", 2, func(s *groupSim, _ *groupSimNode) {
+	{"leader isolated during a change", 2, func(s *groupSim, _ *groupSimNode) {
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.randomDuration(20*time.Millisecond), s.isolateLeader) }
 	}},
 	{"freeze", 1, func(s *groupSim, node *groupSimNode) { s.freeze(node, s.randomDuration(5*time.Second)) }},
-	{"cut one way", 1, func(s *groupSim, node *groupSimNode) { s.partitioned[node.addr+">"+s.randomNode().addr] = true }},
-	{"cut off", 1, func(s *groupSim, node *groupSimNode) {
-		s.tracef("cut off %s", node.addr)
+	{"one-way partition", 1, func(s *groupSim, node *groupSimNode) { s.partitioned[node.addr+">"+s.randomNode().addr] = true }},
+	{"isolated", 1, func(s *groupSim, node *groupSimNode) {
+		s.tracef("isolate %s", node.addr)
 		s.isolate(s.partitioned, node, true, true)
 	}},
-	{"cuts end", 2, func(s *groupSim, _ *groupSimNode) { clear(s.partitioned) }},
-	{"dies in a write", 1, func(s *groupSim, node *groupSimNode) { node.disk.writesUntilCrash = s.random.IntN(6) }},
+	{"partitions end", 2, func(s *groupSim, _ *groupSimNode) { clear(s.partitioned) }},
+	{"crash in a write", 1, func(s *groupSim, node *groupSimNode) { node.disk.writesUntilCrash = s.random.IntN(6) }},
 	{"full disk", 1, func(s *groupSim, node *groupSimNode) {
 		s.tracef("the disk of %s is full, or is no longer", node.addr)
 		node.disk.failWrites = !node.disk.failWrites
 	}},
 	{"slow disk", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 30 * time.Millisecond }},
 	{"stalled disk", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 2 * time.Second }},
-	{"disks are well", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 0 }},
-	{"hand over", 1, func(s *groupSim, _ *groupSimNode) { s.transferLeadership() }},
+	{"disks are healthy", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 0 }},
+	{"leadership transfer", 1, func(s *groupSim, _ *groupSimNode) { s.transferLeadership() }},
 	{"SIGTERM", 1, func(s *groupSim, node *groupSimNode) { s.terminate(node, s.randomDuration(time.Second)) }},
 	{"messages lost", 1, func(s *groupSim, _ *groupSimNode) { s.lossRate = [...]float64{0, 0.05, 0.3}[s.random.IntN(3)] }},
 }
@@ -125,7 +125,7 @@
 // isolateLeader has the leader receive nothing for a few seconds; at times it can send.
 func (s *groupSim) isolateLeader() {
 	if leader := s.leader(); leader != nil {
-		s.tracef("cut the leader %s off", leader.addr)
+		s.tracef("isolate the leader %s", leader.addr)
 		s.isolate(s.partitioned, leader, true, s.random.IntN(2) == 0)
 		s.schedule(s.randomDuration(4*time.Second), func() { clear(s.partitioned) })
 	}
@@ -136,7 +136,7 @@
 	for _, node := range s.nodes {
 		if s.isHealthy(node) && node.shard.core.TransferLeadership() {
 			s.runStep(node)
-			s.count("handed over")
+			s.count("leadership transferred")
 		}
 	}
 }
@@ -200,7 +200,7 @@
 			s.freeze(leader, s.randomDuration(4*time.Second))
 		}
 	}},
-	{"cut the leader off", 1, func(s *groupSim, _ *groupSimNode) { s.isolateLeader() }},
+	{"isolate the leader", 1, func(s *groupSim, _ *groupSimNode) { s.isolateLeader() }},
 	{"the leader's disk stalls", 1, func(s *groupSim, _ *groupSimNode) {
 		if leader := s.leader(); leader != nil {
 			leader.maxWriteTime = 2 * time.Second
@@ -221,8 +221,8 @@
 	}
 	s.eventHooks[event] = func() {
 		s.secondFaultInjected = true
-		s.count("second strike: " + event)
-		s.tracef("second strike at %q: %s, after %v", event, fault.name, delay)
+		s.count("second fault: " + event)
+		s.tracef("second fault at %q: %s, after %v", event, fault.name, delay)
 		s.schedule(delay, func() { fault.inject(s, s.randomNode()) })
 	}
 }
--- a/internal/control/controlstate/sim_group_main_test.go
+++ b/internal/control/controlstate/sim_group_main_test.go
@@ -11,15 +11,15 @@
 )
 
 // groupSimEvents must each happen often in thirty runs.
-var groupSimEvents = []string{"acked", "done again", "read", "proof", "granted", "refused", "sent again late", "sent again very late", "answer lost", "by a node that doesn't lead",
-	"one number, two contents", "one number, one content", "eight at once",
-	"kill", "all killed", "leader first, then all", "killed soon after an order", "all lose power soon after an order",
-	"cut off as an order is under way", "freeze", "cut one way", "cut off", "full disk", "slow disk", "stalled disk", "handed over", "SIGTERM", "died in a write",
-	"cut off for 20 s", "long cut: the leader", "long cut: both ways", "long cut: hears nothing", "long cut: not heard",
-	"seeds name only those cut off", "restarted on the cut side", "restarted on the other side",
+var groupSimEvents = []string{"acked", "acknowledged again", "read", "proof", "granted", "rejected", "retried late", "retried very late", "response lost", "by a node that doesn't lead",
+	"one version, two contents", "one version, one content", "eight at once",
+	"kill", "all killed", "leader first, then all", "leader killed after a change", "all lose power after a change",
+	"leader isolated during a change", "freeze", "one-way partition", "isolated", "full disk", "slow disk", "stalled disk", "leadership transferred", "SIGTERM", "crashed in a write",
+	"isolated for 20 s", "long isolation: the leader", "long isolation: both directions", "long isolation: can't receive", "long isolation: can't send",
+	"seeds name only the isolated", "isolated node restarted", "other nodes restarted",
 	"storm of changes", "planned replacements", "SIGTERM in turn", "changes of storms", "restart in a storm", "wiped after a storm",
-	"lost disk", "replaced", "taken in", "members change", "loss timed by an order's sending",
-	"second strike: order sent", "second strike: acknowledged", "second strike: taken in", "second strike: members change", "second strike: new leader"}
+	"lost disk", "replaced", "joined", "members changed", "loss timed by a change",
+	"second fault: change sent", "second fault: acknowledged", "second fault: joined", "second fault: members changed", "second fault: new leader"}
 
 // minOccurrences is how often each of groupSimEvents must happen in thirty runs.
 const minOccurrences = 3
@@ -28,20 +28,20 @@
 const wideSearchSeeds = 200
 
 // runGroupSims runs seeds in parallel. It returns the runs that failed, by seed, and the sums of all counts.
-func runGroupSims(from, n uint64, plant string) (failed []*groupSim, sum map[string]int) {
+func runGroupSims(from, count uint64, plantedFault string) (failed []*groupSim, sum map[string]int) {
 	var next atomic.Uint64
 	var mu sync.Mutex
-	var wg sync.WaitGroup
+	var workers sync.WaitGroup
 	sum = map[string]int{}
 	for range runtime.GOMAXPROCS(0) {
-		wg.Go(func() {
-			for seed := from + next.Add(1) - 1; seed < from+n; seed = from + next.Add(1) - 1 {
-				s := newGroupSim(seed, plant)
+		workers.Go(func() {
+			for seed := from + next.Add(1) - 1; seed < from+count; seed = from + next.Add(1) - 1 {
+				s := newGroupSim(seed, plantedFault)
 				s.run(2)
 				mu.Lock()
-				enough := n < wideSearchSeeds && len(failed) > 0
-				for k, v := range s.counts {
-					sum[k] += v
+				enough := count < wideSearchSeeds && len(failed) > 0
+				for event, occurrences := range s.counts {
+					sum[event] += occurrences
 				}
 				if len(s.violations) > 0 {
 					failed = append(failed, s)
@@ -53,7 +53,7 @@
 			}
 		})
 	}
-	wg.Wait()
+	workers.Wait()
 	slices.SortFunc(failed, func(a, b *groupSim) int { return int(a.seed) - int(b.seed) })
 	return failed, sum
 }
@@ -62,38 +62,38 @@
 // `SIM_SEEDS=10000 go test -timeout 3h ./internal/control/controlstate -run 'TestSimGroup$' -v` runs
 // wide; `SIM_SEED=17 SIM_SEEDS=1` replays one.
 func TestSimGroup(t *testing.T) {
-	from, n := seedsFromEnv(t, groupSeeds)
-	failed, sum := runGroupSims(from, n, "")
-	for i, s := range failed {
+	from, count := seedsFromEnv(t, groupSeeds)
+	failed, sum := runGroupSims(from, count, "")
+	for index, s := range failed {
 		t.Errorf("seed %d: %s", s.seed, s.violations[0])
-		if i == 0 {
+		if index == 0 {
 			t.Errorf("replay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimGroup\n%s", s.seed, s.lastTrace(40))
 		}
 	}
-	t.Logf("%d seeds, %d failed: %v", n, len(failed), sum)
-	for _, k := range groupSimEvents {
-		if n >= 30 && len(failed) == 0 && sum[k] < minOccurrences {
-			t.Errorf("%s happened only %d times: the simulator doesn't reach it", k, sum[k])
+	t.Logf("%d seeds, %d failed: %v", count, len(failed), sum)
+	for _, event := range groupSimEvents {
+		if count >= 30 && len(failed) == 0 && sum[event] < minOccurrences {
+			t.Errorf("%s happened only %d times: the simulator doesn't reach it", event, sum[event])
 		}
 	}
 }
 
 // The checks of the simulator find planted faults.
 func TestSimGroupCatchesPlantedFaults(t *testing.T) {
-	const batch, most = 3, 300
-	for plant, want := range map[string]string{"same-incarnation": "", "vouch-open": "the proof says", "lease-late": "hold the duty"} {
-		caught := ""
-		for from := uint64(0); from < most && caught == ""; from += batch {
-			failed, _ := runGroupSims(from, batch, plant)
+	const batch, maxSeeds = 3, 300
+	for planted, want := range map[string]string{plantedSameIncarnation: "", plantedStaleView: "the proof says", plantedLateLease: "hold the lease"} {
+		found := ""
+		for from := uint64(0); from < maxSeeds && found == ""; from += batch {
+			failed, _ := runGroupSims(from, batch, planted)
 			for _, s := range failed {
-				if strings.Contains(s.violations[0], want) && caught == "" {
-					caught = fmt.Sprintf("seed %d: %s", s.seed, s.violations[0])
+				if strings.Contains(s.violations[0], want) && found == "" {
+					found = fmt.Sprintf("seed %d: %s", s.seed, s.violations[0])
 				}
 			}
 		}
-		if caught == "" {
-			t.Errorf("%s: not caught by %d seeds", plant, most)
+		if found == "" {
+			t.Errorf("%s: not found by %d seeds", planted, maxSeeds)
 		}
-		t.Logf("%s: %s", plant, caught)
+		t.Logf("%s: %s", planted, found)
 	}
 }
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -14,8 +14,8 @@
 	name string
 	play func(*groupSim)
 }{
-	{"cut off for 20 s", (*groupSim).longPartitionPhase},
-	{"cut off for 20 s", (*groupSim).longPartitionPhase},
+	{"isolated for 20 s", (*groupSim).longPartitionPhase},
+	{"isolated for 20 s", (*groupSim).longPartitionPhase},
 	{"storm of changes", (*groupSim).stormPhase},
 	{"planned replacements", (*groupSim).plannedReplacementPhase},
 	{"SIGTERM in turn", (*groupSim).rollingRestartPhase},
@@ -27,20 +27,20 @@
 func (s *groupSim) longPartitionPhase() {
 	node := s.leader()
 	if s.random.IntN(3) > 0 && node != nil {
-		s.count("long cut: the leader")
+		s.count("long isolation: the leader")
 	} else {
 		node = s.randomNode()
 	}
 	direction := s.random.IntN(4)
 	s.isolate(s.longPartition, node, direction != 1, direction != 2)
-	s.tracef("%s is cut off for long, direction %d", node.addr, direction)
+	s.tracef("%s is isolated for long, direction %d", node.addr, direction)
 	switch direction {
 	case 1: // it can't send
-		s.count("long cut: not heard")
+		s.count("long isolation: can't send")
 	case 2: // it can't receive
-		s.count("long cut: hears nothing")
+		s.count("long isolation: can't receive")
 	default:
-		s.count("long cut: both ways")
+		s.count("long isolation: both directions")
 		s.isolatedAddr, s.isolatedSince = node.addr, s.now
 	}
 	noOtherFaults := s.random.IntN(3) == 0
@@ -60,7 +60,7 @@
 	const bound = 8 * time.Second
 	if noOtherFaults && (served == 0 || served > bound) {
 		s.traceStatus()
-		s.violationf("with %s cut off the others acknowledged after %v (0: never)", node.addr, served)
+		s.violationf("with %s isolated the others acknowledged after %v (0: never)", node.addr, served)
 	}
 	clear(s.longPartition)
 	s.isolatedAddr = ""
@@ -69,18 +69,18 @@
 // scheduleRestarts has the isolated node, or some of the others, restart during the partition.
 func (s *groupSim) scheduleRestarts(node *groupSimNode) {
 	if s.random.IntN(2) == 0 {
-		s.count("seeds name only those cut off")
+		s.count("seeds name only the isolated")
 		s.seeds = []string{node.addr}
 	}
 	if s.random.IntN(2) == 0 {
 		s.schedule(s.randomDuration(longPartitionTime), func() {
-			s.count("restarted on the cut side")
+			s.count("isolated node restarted")
 			s.kill(node, s.random.IntN(2) == 0, s.randomDuration(time.Second))
 		})
 	}
 	if s.random.IntN(2) == 0 {
 		s.schedule(s.randomDuration(longPartitionTime), func() {
-			s.count("restarted on the other side")
+			s.count("other nodes restarted")
 			for _, peer := range s.nodes {
 				if peer != node && s.random.IntN(2) == 0 {
 					s.kill(peer, s.random.IntN(2) == 0, s.randomDuration(time.Second))
@@ -224,7 +224,7 @@
 	}
 	acked := lose
 	if s.random.IntN(3) == 0 {
-		s.count("loss timed by an order's sending")
+		s.count("loss timed by a change")
 		acked = nil
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { lose(s.randomNode()) }) }
 	}
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -57,7 +57,7 @@
 	}
 	if len(s.violations) == 0 {
 		s.traceStatus()
-		s.violationf("%s: the group isn't whole within %v", why, repairedWithin)
+		s.violationf("%s: the group isn't complete within %v", why, repairedWithin)
 	}
 }
 
@@ -83,7 +83,7 @@
 	s.awaitRecovery("at the start")
 	for range rounds {
 		s.runWithFaults(10 * time.Second)
-		s.awaitRecovery("after troubles")
+		s.awaitRecovery("after faults")
 		phase := groupSimPhases[s.random.IntN(len(groupSimPhases))]
 		s.count(phase.name)
 		s.tracef("phase: %s", phase.name)
@@ -121,7 +121,7 @@
 		byBase[change.baseVersion], byVersion[change.newVersion] = change.name, change.name
 	}
 	result := s.history.Check(historyCheckTimeout)
-	s.counts["operations judged"], s.counts["without a clear answer"] = result.Operations, result.Indeterminate
+	s.counts["operations checked"], s.counts["indeterminate"] = result.Operations, result.Indeterminate
 	for _, violation := range result.Violations {
 		s.violationf("%s", violation)
 	}
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -55,8 +55,8 @@
 // runStep lets a node act on its input; the process dies where its disk crashes in a write.
 func (s *groupSim) runStep(node *groupSimNode) {
 	if node.shard.handleReady(); node.disk.crashed {
-		s.tracef("%s dies in a write", node.addr)
-		s.count("died in a write")
+		s.tracef("%s crashes in a write", node.addr)
+		s.count("crashed in a write")
 		s.kill(node, s.random.IntN(2) == 0, s.randomBelow(2*time.Second))
 	}
 }
@@ -132,7 +132,7 @@
 // tick starts a node when that is due, and ticks it once a groupSimTick.
 func (s *groupSim) tick(node *groupSimNode) {
 	if node.shard == nil && !node.isRemoved && node.restartAt > 0 && s.now >= node.restartAt {
-		s.tracef("boot %s", node.addr)
+		s.tracef("start %s", node.addr)
 		s.start(node)
 	}
 	if !s.isRunning(node) || s.now < node.nextTick {
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -32,10 +32,10 @@
 
 // Events of a run by which faults are timed.
 const (
-	eventChangeSent     = "order sent"
+	eventChangeSent     = "change sent"
 	eventAcknowledged   = "acknowledged"
-	eventJoined         = "taken in"
-	eventMembersChanged = "members change"
+	eventJoined         = "joined"
+	eventMembersChanged = "members changed"
 	eventNewLeader      = "new leader"
 )
 
--- a/internal/control/controlstate/sim_shard_main_test.go
+++ b/internal/control/controlstate/sim_shard_main_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -32,51 +33,51 @@
 // `SIM_SEEDS=5000 go test ./internal/control/controlstate -run Sim` runs wide; `SIM_SEED=17 SIM_SEEDS=1`
 // replays one.
 func TestSimShard(t *testing.T) {
-	from, n := seedsFromEnv(t, 60)
+	from, count := seedsFromEnv(t, 60)
 	sum := map[string]int{}
-	for seed := from; seed < from+n; seed++ {
+	for seed := from; seed < from+count; seed++ {
 		s := newShardSim(seed, "")
 		s.run(3)
 		if len(s.violations) > 0 {
 			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimShard\n%s", seed,
 				s.violations[0], seed, s.lastTrace(25))
 		}
-		for k, v := range s.counts {
-			sum[k] += v
+		for event, occurrences := range s.counts {
+			sum[event] += occurrences
 		}
 	}
-	t.Logf("%d seeds: %v", n, sum)
-	for _, k := range []string{"acked", "read", "proof", "granted", "claimed", "kill", "freeze", "cut", "power", "full", "lost disk", "kill after ack", "hand over", "stall", "replaced"} {
-		if n >= 60 && sum[k] < 20 {
-			t.Errorf("%s happened only %d times: the simulator doesn't reach it", k, sum[k])
+	t.Logf("%d seeds: %v", count, sum)
+	for _, event := range []string{"acked", "read", "proof", "granted", "claimed", "kill", "freeze", "partition", "power", "full", "lost disk", "kill after ack", "leadership transfer", "stall", "replaced"} {
+		if count >= 60 && sum[event] < 20 {
+			t.Errorf("%s happened only %d times: the simulator doesn't reach it", event, sum[event])
 		}
 	}
 }
 
 // The same seed gives the same trace.
 func TestSimIsDeterministic(t *testing.T) {
-	a, b := newShardSim(3, ""), newShardSim(3, "")
-	a.run(1)
-	b.run(1)
-	if x, y := strings.Join(a.trace, "\n"), strings.Join(b.trace, "\n"); x != y || len(a.trace) == 0 {
+	first, second := newShardSim(3, ""), newShardSim(3, "")
+	first.run(1)
+	second.run(1)
+	if !slices.Equal(first.trace, second.trace) || len(first.trace) == 0 {
 		t.Fatalf("two runs of one seed differ")
 	}
 }
 
-// Planted faults are caught: the checks can fail.
+// The checks of the simulator find planted faults.
 func TestSimCatchesPlantedFaults(t *testing.T) {
-	for plant, want := range map[string]string{"vote-blank": "", "vouch-unsettled": "the proof says", "lease-late": "hold the duty"} {
-		caught := ""
-		for seed := uint64(0); seed < 400 && caught == ""; seed++ {
-			s := newShardSim(seed, plant)
+	for planted, want := range map[string]string{plantedBlankVote: "", plantedStaleConfirm: "the proof says", plantedLateLease: "hold the lease"} {
+		found := ""
+		for seed := uint64(0); seed < 400 && found == ""; seed++ {
+			s := newShardSim(seed, planted)
 			s.run(3)
 			if len(s.violations) > 0 && strings.Contains(s.violations[0], want) {
-				caught = fmt.Sprintf("seed %d: %s", seed, s.violations[0])
+				found = fmt.Sprintf("seed %d: %s", seed, s.violations[0])
 			}
 		}
-		if caught == "" {
-			t.Errorf("%s: not caught by 400 seeds", plant)
+		if found == "" {
+			t.Errorf("%s: not found by 400 seeds", planted)
 		}
-		t.Logf("%s: %s", plant, caught)
+		t.Logf("%s: %s", planted, found)
 	}
 }
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -56,7 +56,7 @@
 		if response.Outcome == wire.OutcomeDone {
 			write.version, write.ackedAt = response.Version, s.now
 			s.count("acked")
-			s.tracef("acked %s epoch %d by %s", write.body, write.version, node.name)
+			s.tracef("acked %s version %d by %s", write.body, write.version, node.name)
 			if s.random.IntN(12) == 0 {
 				s.killAfterAck(node)
 			}
@@ -99,7 +99,7 @@
 				s.reads = append(s.reads, read)
 				s.count("read")
 				if s.debug {
-					s.tracef("read epoch %d by %s begun %v", read.version, node.name, begun)
+					s.tracef("read version %d by %s begun %v", read.version, node.name, begun)
 				}
 				s.checkRead(read)
 			}
@@ -193,15 +193,15 @@
 	case 2:
 		from, to := s.nodes[s.random.IntN(3)], s.nodes[s.random.IntN(3)]
 		s.partitioned[from.name+">"+to.name] = true
-		s.count("cut")
+		s.count("partition")
 	case 3:
 		for _, peer := range s.nodes {
 			if peer != node {
 				s.partitioned[peer.name+">"+node.name], s.partitioned[node.name+">"+peer.name] = true, true
 			}
 		}
-		s.tracef("cut off %s", node.name)
-		s.count("cut")
+		s.tracef("isolate %s", node.name)
+		s.count("partition")
 	case 4, 5:
 		clear(s.partitioned)
 	case 6:
@@ -220,7 +220,7 @@
 	case 9:
 		if s.isRunning(node) && node.shard.failure == nil && node.shard.core.TransferLeadership() {
 			node.shard.handleReady()
-			s.count("hand over")
+			s.count("leadership transfer")
 		}
 	case 8:
 		s.lossRate = [...]float64{0, 0, 0.05, 0.3}[s.random.IntN(4)]
@@ -243,7 +243,7 @@
 			s.count("lost disk")
 			s.tracef("%s loses its disk", node.name)
 		}
-		s.tracef("boot %s", node.name)
+		s.tracef("start %s", node.name)
 		s.start(node)
 	}
 }
@@ -262,15 +262,15 @@
 func (s *shardSim) checkRead(read *simRead) {
 	for _, write := range s.writes {
 		if write.ackedAt > 0 && write.ackedAt < read.sentAt && write.version > read.version {
-			s.violationf("read epoch %d after epoch %d was acknowledged", read.version, write.version)
+			s.violationf("read version %d after version %d was acknowledged", read.version, write.version)
 		}
 		if write.ackedAt > 0 && write.version == read.version && write.body != read.body {
-			s.violationf("read another body under epoch %d", read.version)
+			s.violationf("read another body under version %d", read.version)
 		}
 	}
 	for _, earlier := range s.reads {
 		if earlier.answeredAt < read.sentAt && earlier.version > read.version || earlier.version == read.version && earlier.body != read.body {
-			s.violationf("read epoch %d %q after a read of epoch %d %q", read.version, read.body, earlier.version, earlier.body)
+			s.violationf("read version %d %q after a read of version %d %q", read.version, read.body, earlier.version, earlier.body)
 		}
 	}
 }
@@ -340,7 +340,7 @@
 		recovered = s.counts["acked"] > acked+2
 	}
 	if !recovered {
-		s.violationf("no write is acknowledged within %v of the last trouble's end", bound)
+		s.violationf("no write is acknowledged within %v of the last fault's end", bound)
 	}
 }
 
@@ -356,13 +356,13 @@
 	sort.Slice(acked, func(i, j int) bool { return acked[i].version < acked[j].version })
 	for i := 1; i < len(acked); i++ {
 		if acked[i].version == acked[i-1].version {
-			s.violationf("two writes were acknowledged under epoch %d", acked[i].version)
+			s.violationf("two writes were acknowledged under version %d", acked[i].version)
 		}
 	}
 	for i, write := range acked {
 		for _, later := range acked[i+1:] {
 			if later.ackedAt < write.sentAt {
-				s.violationf("epoch %d was acknowledged before epoch %d began", later.version, write.version)
+				s.violationf("version %d was acknowledged before version %d began", later.version, write.version)
 			}
 		}
 	}
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -189,7 +189,7 @@
 	s := newState()
 	for number := range maxClaims {
 		if granted, full := applyClaim(s, 0, claimOf(number, 1)); !granted || full {
-			t.Fatalf("claim %d was denied", number)
+			t.Fatalf("claim %d was rejected", number)
 		}
 	}
 	if granted, full := applyClaim(s, defaultClaimRetention-1, claimOf(maxClaims, 1)); granted || !full {
@@ -199,7 +199,7 @@
 		t.Fatal("the oldest claim was released too early")
 	}
 	if granted, _ := applyClaim(s, 0, claimOf(0, 1)); !granted {
-		t.Fatal("a claim that its holder retried was denied")
+		t.Fatal("a claim that its holder retried was rejected")
 	}
 	saved, err := s.save()
 	if err != nil || len(saved) > 4<<20 {
--- a/internal/sim/history/operations.go
+++ b/internal/sim/history/operations.go
@@ -8,7 +8,7 @@
 
 // operations turns the observations of a document into the checker's operations. Attempts with an unknown
 // outcome are one operation for each change, without an end; where the change was acknowledged, they only
-// tell from when on it may have taken effect. An end marker follows all that was answered. With reduced,
+// show from when on it may have taken effect. An end marker follows all that was answered. With reduced,
 // what can't change the result is left out, on which the checker would spend its time.
 func operations(observations []*observation, reduced bool) (ops []porcupine.Operation, indeterminate int) {
 	list := operationList{}
@@ -75,7 +75,7 @@
 	return seen.outcome == Acknowledged && seen.change != nil && seen.change.Token != "" && first != nil && first != seen && first.version == seen.version
 }
 
-// isVersionConstraint reports whether an operation changes nothing, and tells only that a version was current
+// isVersionConstraint reports whether an operation changes nothing, and shows only that a version was current
 // at some time between its call and its answer: a read, or a rejection of a change that was never applied.
 func isVersionConstraint(seen *observation, isNeverApplied bool) bool {
 	if seen.change == nil {
@@ -84,14 +84,14 @@
 	return seen.outcome == Rejected && seen.version != 0 && seen.change.Token != "" && isNeverApplied && !register{version: seen.version}.isApplicable(seen.change)
 }
 
-// versionConstraint is what operations tell of a version that are alike but for their times.
+// versionConstraint is what operations show of a version that are alike but for their times.
 type versionConstraint struct {
 	version uint64
 	isRead  bool
 	body    string
 }
 
-// constraintBounds are, of all operations that tell the same, the one that was answered first and the one
+// constraintBounds are, of all operations that show the same, the one that was answered first and the one
 // that was called last.
 type constraintBounds struct{ firstAnswered, lastCalled *observation }
 
@@ -143,7 +143,7 @@
 	return firstAcks, begun
 }
 
-// answeredVersions is what the answers tell of versions.
+// answeredVersions is what the answers show of versions.
 type answeredVersions struct {
 	byBase    map[uint64]string // the token that was acknowledged on a version
 	byVersion map[uint64]string // the token that was acknowledged as a version
@@ -181,7 +181,7 @@
 }
 
 // neverApplied returns a function that reports which changes with an unknown outcome can't have taken effect,
-// or did so without any operation that could tell: another change was acknowledged on their base or as their
+// or did so unseen by any operation: another change was acknowledged on their base or as their
 // version, a read found another content under it, they were overtaken, or no answer names their version
 // though each rejection names one.
 func neverApplied(observations []*observation) func(*Change) bool {
--- a/internal/sim/history/register.go
+++ b/internal/sim/history/register.go
@@ -67,7 +67,7 @@
 	if seen.version != r.version || r.bodyKnown && seen.body != r.body {
 		return false, r
 	}
-	r.body, r.bodyKnown = seen.body, true // after a patch the first read tells the content
+	r.body, r.bodyKnown = seen.body, true // after a patch the first read shows the content
 	return true, r
 }
 
