--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -119,7 +119,7 @@
 func (s *simBase) addLeaseHolders(count int) {
 	for i := range count {
 		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: s.randomClockRate()}
-		holder.lease = controlclient.NewLease(nil, holder.clock, "lease", 0, fmt.Sprintf("holder-%d", i+1), simLeaseTTL)
+		holder.lease = controlclient.NewLease(nil, holder.clock, "site", 0, fmt.Sprintf("holder-%d", i+1), simLeaseTTL)
 		s.leaseHolders = append(s.leaseHolders, holder)
 	}
 }
