--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/group_server.go
@@ -21,9 +21,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// groupServer handles operators' requests on a site whose membership is part of the replicated log. All
-// control state is in shard 0 there, and the plan is the site's configuration, in the format in which
-// it was sent.
+// groupServer handles operators' requests on a site with a group: one shard holds all control state, its
+// membership is part of the replicated log, and the plan is the site's configuration, in the format in
+// which it was sent.
 type groupServer struct {
 	*Server
 	site       *settings.Site
@@ -31,8 +31,8 @@
 	decodePlan func(body []byte) (*routingconfig.Plan, error)
 }
 
-// ServeGroup serves the operators' API of such a site. The API's handler is built at the first request:
-// until then it costs one listener.
+// ServeGroup serves the operators' API of a site with a group. The API's handler is built at the first
+// request: until then it costs one listener.
 //
 // Example: err := operatorapi.ServeGroup(process, control, member.View, clients, codec.Read)
 func ServeGroup(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients,
--- a/internal/control/operatorapi/site_unsupported.go
+++ b/internal/control/operatorapi/group_unsupported.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// unsupported is the error for what a site whose membership is part of the replicated log doesn't have.
+// unsupported is the error for what a site with a group doesn't have.
 func unsupported(what, instead string) error {
 	return errs.New(errs.NotSupported, "a site whose membership is agreed has no %s: %s", what, instead)
 }
@@ -26,7 +26,7 @@
 	return nil, unsupported("drain of its own", "have the platform's list of workers mark the worker, and see pebblectl workers")
 }
 
-// insteadOfMoves is what operators of such a site do in place of calendar entries.
+// insteadOfMoves is what operators of a site with a group do in place of calendar entries.
 const insteadOfMoves = "name weights with pebblectl weights name, change the plan with pebblectl config patch"
 
 // ListMoves isn't supported here.
@@ -50,7 +50,7 @@
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// insteadOfRetirements is what operators of such a site do in place of retirements.
+// insteadOfRetirements is what operators of a site with a group do in place of retirements.
 const insteadOfRetirements = "name the new model's weights with pebblectl weights name, and move its routes with pebblectl config patch"
 
 // ListRetirements isn't supported here.
--- a/internal/control/operatorapi/site_workers.go
+++ b/internal/control/operatorapi/group_workers.go
@@ -11,8 +11,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// The states of a worker on a site whose membership is part of the replicated log, as the API names
-// them.
+// The states of a worker on a site with a group, as the API names them.
 const (
 	workerUp       = "up"
 	workerDraining = "draining"
