--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -61,10 +61,13 @@
 	CurrentStep int    `json:"step"` // the first that isn't done
 }
 
+// KeyPrefix begins the keys of all documents that hold entries.
+const KeyPrefix = "calendar/"
+
 // Key is the key of the document that holds an entry.
 //
 // Example: calendar.Key("lector-main", "spring") == "calendar/lector-main/spring"
-func Key(service, name string) string { return "calendar/" + service + "/" + name }
+func Key(service, name string) string { return KeyPrefix + service + "/" + name }
 
 // Decode decodes an entry; the error's kind is errs.BadInput.
 //
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -25,7 +25,8 @@
 	fixedPauseRatio   = 1.0 / 120 // pause once all members were tried
 )
 
-// Client sends requests to the leaders of the shards. It is safe for concurrent use.
+// Client sends requests to the leaders of the shards. It is safe for concurrent use. The methods about
+// seeds, members and addresses are for clients made by NewGroupClient alone.
 type Client struct {
 	controlNodes []string // machines that the settings name; none for a group
 	view         func() clustermembership.View
@@ -97,8 +98,8 @@
 	return attempt(ctx, c.clients.ControlNode(addr))
 }
 
-// Change makes a change at most once. A change that may come again without effect, because it has a
-// token or names the version it changes, is retried after a lost response; any other isn't.
+// Change makes a change at most once. A put that has no token and names no version isn't retried after
+// a lost response, since it could be made twice; all other changes are.
 //
 // Errors: errs.MayHaveExecuted if the change was sent and its outcome isn't known, the kind that the
 // leader names if it rejects the change, and errs.OutcomeUnknown if no leader was found.
--- a/internal/control/operatorapi/calendar.go
+++ b/internal/control/operatorapi/calendar.go
@@ -18,7 +18,7 @@
 const entryAttempts = 5
 
 func (s *Server) readCalendar(ctx context.Context) ([]*wire.Document, error) {
-	return s.readAllShards(ctx, "calendar/", "calendar")
+	return s.readAllShards(ctx, calendar.KeyPrefix, "calendar")
 }
 
 // ListMoves lists the calendar.
