--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -7,6 +7,10 @@
 // Consensus Algorithm" (Ongaro and Ousterhout, extended version: "paper") and to "Consensus: Bridging
 // Theory and Practice" (Ongaro: "thesis").
 //
+// The voters are either fixed by Config.Members, for shards of three members, or named by entries of the log
+// (Config.DynamicMembership), for groups that members join and leave. The two differ in how a lost disk comes back:
+// a fixed member rejoins under its name (rejoin.go), a member of a group as a learner under a new name (learner.go).
+//
 // One concern stands in one file: step.go dispatches messages, election.go holds roles, votes and
 // elections, replication.go the leader's side of replication and append.go the follower's, log.go the
 // log in memory, read_index.go linearizable reads, snapshot_send.go and snapshot_receive.go snapshot
@@ -19,7 +23,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Config is the configuration of one Core. All fields but Members and TrailingLogBytes are required.
+// Config is the configuration of one Core. Self, HeartbeatTicks, ElectionTicks, MaxBatchBytes and Rand are required.
 type Config struct {
 	Shard             uint32     // number of the shard; messages of other shards are ignored
 	Self              string     // name of this member
@@ -45,8 +49,8 @@
 
 // Core is the Raft state machine of one member. It isn't safe for concurrent use.
 //
-// Invariants: snapshot.Index <= applied <= commit <= lastIndex(); hardState is what the last record
-// of it says; log holds the entries snapshot.Index+1 to lastIndex() without a gap.
+// Invariants: snapshot.Index <= applied <= commit <= lastIndex(); log holds the entries from snapshot.Index+1 to
+// lastIndex() without a gap; term and commit never decrease.
 type Core struct {
 	cfg Config
 
@@ -61,19 +65,19 @@
 	applied  uint64            // highest index handed to the driver
 
 	role              role
-	leader            string // name of the leader of the current term; empty: unknown
-	ticks             int    // calls of Tick since New
-	electionElapsed   int    // ticks since the election timer was reset
-	electionTimeout   int    // randomized timeout that electionElapsed is compared with
-	heartbeatElapsed  int    // ticks since the last heartbeat
-	lastLeaderContact int    // value of ticks at the last contact with a leader
-	votes             map[string]bool
+	leader            string          // name of the leader of the current term; empty: unknown
+	ticks             int             // calls of Tick since New
+	electionElapsed   int             // ticks since the election timer was reset
+	electionTimeout   int             // randomized timeout that electionElapsed is compared with
+	heartbeatElapsed  int             // ticks since the last heartbeat
+	lastLeaderContact int             // value of ticks at the last contact with a leader
+	votes             map[string]bool // of a candidate or pre-candidate: the voters that have granted their votes
 
 	voters                voterSet                 // the newest in the log, committed or not
 	peers                 map[string]*peerProgress // of a leader: its voters but itself, and its learners
 	learnerHeartbeatCount int                      // heartbeats of this leader, for the ones that learners get
 
-	readSequence uint64 // sequence number of the newest read, carried by every append request
+	readSequence uint64 // sequence number of the newest read; every request of a leader carries it as its probe
 	pendingReads []pendingRead
 	lastReadID   uint64
 
@@ -189,8 +193,8 @@
 	return entry.Index
 }
 
-// Ready returns what the steps since the last call ask of the driver, which has to carry it out
-// completely before the next Step, Tick or proposal.
+// Ready returns what the steps since the last call ask of the driver, which has to carry it out completely
+// before it calls Ready or Compact.
 //
 // Example: ready := c.Ready()
 func (c *Core) Ready() Ready {
--- a/internal/control/consensus/rejoin.go
+++ b/internal/control/consensus/rejoin.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// requestState asks the peers for the generations that they know, or for their states once one is chosen.
 func (c *Core) requestState() {
 	c.forEachPeer(func(peer string) {
 		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_STATE_REQUEST, AboutIncarnation: c.hardState.Incarnation, Generation: c.generation})
@@ -113,15 +114,16 @@
 	c.requestState()
 }
 
+// restartRejoin makes this member choose another generation.
 func (c *Core) restartRejoin() {
 	c.generation = 0
 	clear(c.peerGenerations)
 	clear(c.peerStates)
 }
 
-// rejoin restores the more advanced of the peers' states. It waits where the peers don't recognize each
-// other's incarnations, and where one of them is blank although the other has a log: two disks are
-// lost then, and committed entries may be lost with them. If both are blank, the shard is new.
+// rejoin restores the more advanced of the peers' states, or an empty one if both are blank: the shard is new then.
+// It starts over where the peers don't recognize each other's incarnations. Where one peer is blank although
+// the other has a log, two disks are lost, and committed entries may be lost with them: this member stays blank.
 func (c *Core) rejoin() {
 	if !c.peersRecognizeEachOther() {
 		c.restartRejoin()
