--- a/internal/control/controllers/concurrency_test.go
+++ b/internal/control/controllers/concurrency_test.go
@@ -91,11 +91,13 @@
 func TestRolloutCompletesWithinBound(t *testing.T) {
 	for _, test := range []struct {
 		workers, silent int
-		loadMs          time.Duration
-	}{{1, 0, 1800}, {4, 0, 1100}, {18, 0, 1100}, {18, 2, 1100}, {18, 0, 1800}, {112, 5, 1800}} {
+		loadTime        time.Duration
+	}{
+		{1, 0, 1800 * time.Millisecond}, {4, 0, 1100 * time.Millisecond}, {18, 0, 1100 * time.Millisecond},
+		{18, 2, 1100 * time.Millisecond}, {18, 0, 1800 * time.Millisecond}, {112, 5, 1800 * time.Millisecond},
+	} {
 		t.Run(fmt.Sprint(test), func(t *testing.T) {
 			const step = 25 * time.Millisecond
-			loadTime := test.loadMs * time.Millisecond
 			bounds := bounds()
 			bounds.WeightsMs = 15000
 			rollout, sim := NewRollout(bounds, nil), newLoadingWorkers(test.workers)
@@ -111,7 +113,7 @@
 						rollout.HandleOrderOutcome(order, backend.OutcomeUnknown, now)
 						continue
 					}
-					sim.doneAt[i] = now + 20*time.Millisecond + loadTime
+					sim.doneAt[i] = now + 20*time.Millisecond + test.loadTime
 					rollout.HandleOrderOutcome(order, backend.OutcomeStarted, now)
 				}
 				if loading := sim.countLoading(now); loading > max(1, test.workers/3) {
@@ -129,7 +131,7 @@
 				if w.Weights["daka"] != 2 {
 					t.Errorf("%s has old weights at the bound", w.ID)
 				}
-				if cordoned := sim.cordonedIn[test.silent+i]; cordoned > loadTime+900*time.Millisecond {
+				if cordoned := sim.cordonedIn[test.silent+i]; cordoned > test.loadTime+900*time.Millisecond {
 					t.Errorf("%s was out of service for %v", w.ID, cordoned)
 				}
 			}
