--- a/internal/control/consensus/model_test.go
+++ b/internal/control/consensus/model_test.go
@@ -6,6 +6,18 @@
 	"testing"
 )
 
+// The model checker visits every state that a small group can reach within given bounds, and checks the invariants of
+// Raft in each. It runs the real Core, and models what surrounds it:
+//
+//   - model_node_test.go: a member with its disk and driver, and the events that can happen to it
+//   - model_space_test.go: states of a group, and the messages in flight between its members
+//   - model_actions_test.go: what may happen next in a state, and what becomes of the state
+//   - model_invariants_test.go: the invariants, and what an observer has to remember to check them
+//   - model_search_test.go: the breadth-first search, and the trace to a violation
+//   - model_encoding_test.go: copying, encoding and fingerprints of states
+//
+// Time is abstracted from: a timer may fire whenever its event is within the bounds.
+
 // modelSearch is one configuration of the model checker: the bounds of the search in CI, and of the wider one.
 type modelSearch struct {
 	name     string
--- a/internal/control/storage/disk_test.go
+++ b/internal/control/storage/disk_test.go
@@ -3,11 +3,22 @@
 import (
 	"bytes"
 	"errors"
+
+	"pebbleloom/internal/wire"
 )
 
 // noLimit is the write budget of a disk whose power isn't lost.
 const noLimit = -1
 
+// openNew opens an empty disk and saves a first snapshot. It returns nil if the power is lost meanwhile.
+func openNew(disk Disk) *Store {
+	store, _, err := Open(disk)
+	if err != nil || store.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}}, nil) != nil {
+		return nil
+	}
+	return store
+}
+
 var errPowerLost = errors.New("power lost")
 
 // memoryDisk is a disk in memory whose power is lost after writeBudget bytes were written.
--- a/internal/control/storage/large_snapshot_test.go
+++ b/internal/control/storage/large_snapshot_test.go
@@ -16,11 +16,8 @@
 // runLargeWorkload appends large records, and saves a large snapshot after every second one. It returns the index of
 // the last record that was acknowledged before the power was lost.
 func runLargeWorkload(disk Disk, body []byte) (acknowledged int) {
-	store, _, err := Open(disk)
-	if err != nil {
-		return 0
-	}
-	if store.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}}, nil) != nil {
+	store := openNew(disk)
+	if store == nil {
 		return 0
 	}
 	for i := 1; i <= largeRecords; i++ {
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -19,11 +19,8 @@
 // runWorkload appends records, and saves a snapshot of all but the last one after every fourth. It returns the
 // index of the last record that was acknowledged before the power was lost.
 func runWorkload(disk Disk) (acknowledged int) {
-	store, _, err := Open(disk)
-	if err != nil {
-		return 0
-	}
-	if store.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}}, nil) != nil {
+	store := openNew(disk)
+	if store == nil {
 		return 0
 	}
 	for i := 1; i <= workloadRecords; i++ {
