--- a/internal/control/controlstate/idempotency_test.go
+++ b/internal/control/controlstate/idempotency_test.go
@@ -64,7 +64,7 @@
 	for name, s := range map[string]*state{"by the log": s, "by a snapshot": reloaded(t, s)} {
 		for n := 1; n <= configChangesPerDay; n++ {
 			if response := s.apply(planChange(n), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*n) {
-				t.Fatalf("%s: change %d sent again: %v", name, n, response)
+				t.Fatalf("%s: change %d retried: %v", name, n, response)
 			}
 		}
 		if version := s.documents[routingconfig.DocumentKey].Version; version != 2*configChangesPerDay {
@@ -85,7 +85,7 @@
 				want, fresh = wire.OutcomeUnknown, wire.OutcomeUnknown
 			}
 			if response := s.apply(planChange(n), 0); response.Outcome != want {
-				t.Fatalf("%s: change %d sent again: %v, want %s", name, n, response, want)
+				t.Fatalf("%s: change %d retried: %v, want %s", name, n, response, want)
 			}
 			rival := changeCommand(routingconfig.DocumentKey, "another", fmt.Sprint("rival ", n), uint64(2*n-2), uint64(2*n))
 			if response := s.apply(rival, 0); response.Outcome != fresh {
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("a remembered change: %.1f bytes; %d changes: %d bytes; at the bound of %d: %d bytes; the whole state after %d changes: %d bytes",
+	t.Logf("a recorded change: %.1f bytes; %d changes: %d bytes; at the bound of %d: %d bytes; the complete state after %d changes: %d bytes",
 		perChange, configChangesPerDay, day, maxConfigRecords, full, configChangesPerDay, len(saved))
 	if perChange > 40 || full > 150<<10 {
 		t.Errorf("%.1f bytes a change, %d bytes at the bound", perChange, full)
@@ -220,13 +220,13 @@
 		state.idempotency = nil // as an earlier release writes it
 		state = reloaded(t, state)
 		if response := state.apply(planChange(1), 0); response.Outcome != test.first {
-			t.Errorf("%d changes: the first sent again: %v, want %s", test.changes, response, test.first)
+			t.Errorf("%d changes: the first retried: %v, want %s", test.changes, response, test.first)
 		}
 		if response := state.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); response.Outcome != test.fresh {
 			t.Errorf("%d changes: another on the first base: %v, want %s", test.changes, response, test.fresh)
 		}
 		if response := state.apply(planChange(test.changes), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*test.changes) {
-			t.Errorf("%d changes: the last sent again: %v", test.changes, response)
+			t.Errorf("%d changes: the last retried: %v", test.changes, response)
 		}
 		if response := state.apply(planChange(test.changes+1), 0); response.Outcome != wire.OutcomeDone {
 			t.Errorf("%d changes: the next: %v", test.changes, response)
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -103,7 +103,7 @@
 
 // checkVictim sends requests to the isolated member in one round: it must carry none out, nor reject any,
 // and answer in time. After a long isolation it must fail fast.
-func (w *isolationWorld) checkVictim(base uint64, plan []byte, round int, isLong bool) {
+func (w *isolationWorld) checkVictim(base uint64, plan []byte, attempt int, isLong bool) {
 	begun := time.Now()
 	if err := w.putPlan(w.victim, base, plan); err == nil {
 		w.t.Errorf("%v: the isolated member acknowledges version %d", w.elapsed(), base+1)
@@ -119,15 +119,15 @@
 	if err := w.readPlan(w.victim); err == nil {
 		w.t.Errorf("%v: the isolated member serves a read", w.elapsed())
 	}
-	w.checkVictimSetsNoWeights(round)
+	w.checkVictimSetsNoWeights(attempt)
 	w.checkVictimGrantsNothing()
 }
 
 // checkVictimSetsNoWeights checks that a new weights version isn't set, and that the one that was set
 // before the isolation is acknowledged.
-func (w *isolationWorld) checkVictimSetsNoWeights(round int) {
+func (w *isolationWorld) checkVictimSetsNoWeights(attempt int) {
 	ctx, begun := context.Background(), time.Now()
-	err := w.node(w.victim).SetWeightsVersion(ctx, "m", uint64(100+round))
+	err := w.node(w.victim).SetWeightsVersion(ctx, "m", uint64(100+attempt))
 	if waited := time.Since(begun); err == nil || errs.KindOf(err).HTTPStatus != 503 || waited > answerWithin {
 		w.t.Errorf("%v: the isolated member sets a weights version after %v: %v", w.elapsed(), waited, err)
 	}
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -58,7 +58,7 @@
 	}
 	config, err := serviceconfig.Decode(replica.state.documents[controlclient.ConfigKey].GetBody())
 	if err != nil || replica.state.documents[controlclient.ConfigKey].Version != 4 || config.Models["gisa"].Weights != 4 || len(config.Tenants) != 8 {
-		t.Fatalf("epoch %d, %+v, %v", replica.state.documents[controlclient.ConfigKey].GetVersion(), config, err)
+		t.Fatalf("version %d, %+v, %v", replica.state.documents[controlclient.ConfigKey].GetVersion(), config, err)
 	}
 }
 
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, slot := range map[string]*wire.Snapshot{
+	for name, snapshot := range map[string]*wire.Snapshot{
 		"a later snapshot": {Format: 2, HardState: &wire.HardState{Incarnation: "x"}},
 		"a later state":    {Format: 1, HardState: &wire.HardState{Incarnation: "x"}, State: state},
 	} {
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := store.SaveSnapshot(slot, nil); err != nil {
+		if err := store.SaveSnapshot(snapshot, nil); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := openTestShard(t, d); errs.KindOf(err) != errs.DiskFailure {
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -23,6 +23,8 @@
 type scriptedCluster struct {
 	mu          sync.Mutex // guards the outcomes of changes, and newestAcked
 	t           *testing.T
+	ctx         context.Context // of requests
+	cancel      context.CancelFunc
 	key         string // of the document that changes are made of
 	members     []*scriptedMember
 	inFlight    []*wire.Message
@@ -51,7 +53,8 @@
 }
 
 func newScriptedCluster(t *testing.T, key string) *scriptedCluster {
-	c := &scriptedCluster{t: t, key: key, bodies: map[uint64]string{}}
+	ctx, cancel := context.WithCancel(t.Context())
+	c := &scriptedCluster{t: t, ctx: ctx, cancel: cancel, key: key, bodies: map[uint64]string{}}
 	for i := range 3 {
 		c.members = append(c.members, &scriptedMember{addr: fmt.Sprintf("m%d:1", i+1), disk: newSimDisk()})
 	}
@@ -258,12 +261,12 @@
 }
 
 // send sends a change to a member; the answer is recorded whenever it comes.
-func (c *scriptedCluster) send(ctx context.Context, change *testChange, receiver *scriptedMember) {
+func (c *scriptedCluster) send(change *testChange, receiver *scriptedMember) {
 	put := &wire.Put{Key: c.key, Body: change.body(), IfVersion: change.baseVersion, Token: change.name}
 	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}
 	replica := receiver.shard // the member may be started again meanwhile
 	go func() {
-		response := replica.change(ctx, request)
+		response := replica.change(c.ctx, request)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
@@ -275,3 +278,18 @@
 		}
 	}()
 }
+
+// sendAndDeliver sends a change, and delivers messages until the group is idle.
+func (c *scriptedCluster) sendAndDeliver(change *testChange, receiver *scriptedMember) {
+	c.send(change, receiver)
+	c.deliverAll()
+}
+
+// stopAll ends all requests and stops the members.
+func (c *scriptedCluster) stopAll() {
+	c.cancel()
+	for _, member := range c.members {
+		member.stop()
+	}
+	synctest.Wait()
+}
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -111,9 +111,9 @@
 		a, b := s.inFlight[i], s.inFlight[j]
 		return a.deliverAt < b.deliverAt || a.deliverAt == b.deliverAt && a.sequence < b.sequence
 	})
-	taken := s.inFlight
+	all := s.inFlight
 	s.inFlight = nil
-	return taken
+	return all
 }
 
 func (s *simBase) addLeaseHolders(count int) {
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -44,11 +44,11 @@
 }
 
 // poll is the edge's long poll of one member, held open for a time, and the check of the edge's proof.
-func (s *groupSim) poll(node *groupSimNode, holdTime time.Duration) {
-	edge, sentAt, end, generation := s.edge, s.now, s.now+holdTime, node.generation
+func (s *groupSim) poll(node *groupSimNode, maxWait time.Duration) {
+	edge, sentAt, end, generation := s.edge, s.now, s.now+maxWait, node.generation
 	request := &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: edge.version}}, ProofKey: routingconfig.DocumentKey}
 	poll := func() bool {
-		if node.shard == nil || node.generation != generation || holdTime > 0 && s.now < node.frozenUntil {
+		if node.shard == nil || node.generation != generation || maxWait > 0 && s.now < node.frozenUntil {
 			return node.generation == generation && node.shard != nil
 		}
 		view := node.shard.published.current()
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -1,7 +1,6 @@
 package controlstate
 
 import (
-	"context"
 	"os"
 	"slices"
 	"testing"
@@ -67,12 +66,13 @@
 			return // by symmetry
 		}
 		for i := range len(roundsAfterSend) * len(roundsAfterSend) {
-			progress := []int{roundsAfterSend[i%len(roundsAfterSend)], roundsAfterSend[i/len(roundsAfterSend)]}
+			rounds := [2]int{roundsAfterSend[i%len(roundsAfterSend)], roundsAfterSend[i/len(roundsAfterSend)]}
 			for _, target := range []sendTarget{toLeader, toIsolatedMember} {
 				runs++
+				tc := twoChangesCase{events: sequence, rounds: rounds, target: target}
 				synctest.Test(t, func(t *testing.T) {
-					if faults := playTwoChanges(t, key, sequence, progress, target); len(faults) > 0 {
-						t.Errorf("run %d: %s, %v, rounds %v, to %d: %v", runs, key, sequence, progress, target, faults)
+					if violations := tc.play(t, key); len(violations) > 0 {
+						t.Errorf("run %d: %s, %+v: %v", runs, key, tc, violations)
 					}
 				})
 				if t.Failed() {
@@ -84,135 +84,129 @@
 	return runs
 }
 
-func playTwoChanges(t *testing.T, key string, sequence []int, progress []int, target sendTarget) []string {
+// twoChangesCase is one case of TestTwoChangesInEveryOrder.
+type twoChangesCase struct {
+	events []int
+	rounds [2]int // after a first attempt, and after a retry
+	target sendTarget
+}
+
+// play plays a case; it returns the violations.
+func (tc twoChangesCase) play(t *testing.T, key string) []string {
 	c := newScriptedCluster(t, key)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer c.stopAll(cancel)
+	defer c.stopAll()
 	c.awaitLeader()
-	number := uint64(1) // any document counts its versions itself, the configuration bears its own number
+	version := uint64(1) // documents count their versions, a configuration names its own
 	if key == routingconfig.DocumentKey {
-		number = 2
+		version = 2
 	}
-	first, second := &testChange{name: "a", newVersion: number}, &testChange{name: "b", newVersion: number}
+	first, second := &testChange{name: "a", newVersion: version}, &testChange{name: "b", newVersion: version}
 	c.changes = []*testChange{first, second}
-	for _, event := range sequence {
-		switch event {
-		case newLeader, secondNewLeader:
-			c.changeLeader()
-		case snapshotAndRestart:
-			c.restart()
-		default:
-			if c.leader() == nil { // one that was cut off is back, and has just stepped down
-				c.awaitLeader()
-			}
-			receiver := c.leader()
-			if target == toIsolatedMember && c.isolated != nil {
-				receiver = c.isolated
-			}
-			c.send(ctx, c.changes[event/2], receiver)
-			for range progress[event%2] { // of first copies, of second ones
-				if !c.deliverRound() {
-					break
-				}
-			}
-		}
+	for _, event := range tc.events {
+		tc.playEvent(c, event)
 	}
 	c.heal()
-	if !first.acked && !second.acked && !first.inForce && !second.inForce { // all copies were lost
-		c.send(ctx, first, c.leader())
-		c.deliverAll()
+	if !first.acked && !second.acked && !first.inForce && !second.inForce { // all attempts were lost
+		c.sendAndDeliver(first, c.leader())
 	}
-	third := &testChange{name: "third", baseVersion: number, newVersion: 2 * number}
+	third := &testChange{name: "third", baseVersion: version, newVersion: 2 * version}
 	c.changes = append(c.changes, third)
-	c.send(ctx, third, c.leader())
-	c.deliverAll()
-	c.send(ctx, first, c.leader())
-	c.send(ctx, second, c.leader())
-	c.deliverAll()
+	c.sendAndDeliver(third, c.leader())
+	c.send(first, c.leader())
+	c.sendAndDeliver(second, c.leader())
 	c.checkFinal(third)
 	if first.inForce != first.acked || second.inForce != second.acked || first.acked == second.acked || first.rejected == second.rejected {
-		c.violationf("the one in force is acknowledged when it is sent again, the other one is refused: %+v, %+v", *first, *second)
+		c.violationf("the one in force is acknowledged when it is retried, the other one is rejected: %+v, %+v", *first, *second)
 	}
 	return c.violations
 }
 
-// stopAll ends what is under way.
-func (c *scriptedCluster) stopAll(cancel context.CancelFunc) {
-	cancel()
-	for _, member := range c.members {
-		member.stop()
+func (tc twoChangesCase) playEvent(c *scriptedCluster, event int) {
+	switch event {
+	case newLeader, secondNewLeader:
+		c.changeLeader()
+		return
+	case snapshotAndRestart:
+		c.restart()
+		return
+	}
+	if c.leader() == nil { // one that was isolated has returned, and has just stepped down
+		c.awaitLeader()
+	}
+	receiver := c.leader()
+	if tc.target == toIsolatedMember && c.isolated != nil {
+		receiver = c.isolated
+	}
+	c.send(c.changes[event/2], receiver)
+	for range tc.rounds[event%2] {
+		if !c.deliverRound() {
+			break
+		}
 	}
-	synctest.Wait()
 }
 
-// checkFinal checks that the newest order that was acknowledged is what members read back.
+// checkFinal checks that all members hold the newest acknowledged change.
 func (c *scriptedCluster) checkFinal(newest *testChange) {
 	if !newest.acked || c.newestAcked != newest.newVersion {
-		c.violationf("the newest order isn't acknowledged: %+v, newest is %d", *newest, c.newestAcked)
+		c.violationf("the newest change isn't acknowledged: %+v, newest is %d", *newest, c.newestAcked)
 	}
-	c.heal() // and the others hear what is committed
+	c.heal() // so that all learn what is committed
 	for _, member := range c.members {
-		if doc := member.shard.state.documents[c.key]; doc.GetVersion() != newest.newVersion || string(doc.GetBody()) != string(newest.body()) {
-			c.violationf("what is read back is the newest that was acknowledged: %s holds %d %s", member.addr, doc.GetVersion(), doc.GetBody())
+		if document := member.shard.state.documents[c.key]; document.GetVersion() != newest.newVersion || string(document.GetBody()) != string(newest.body()) {
+			c.violationf("what is read back is the newest that was acknowledged: %s holds %d %s", member.addr, document.GetVersion(), document.GetBody())
 		}
 	}
 	c.checkInvariants()
 }
 
-// A document that isn't validated ahead: a leader of the past, cut off, is sent an order again that the
-// next leader took on top of others. It can't say, and says so; its own state would have it refused.
+// An isolated leader that was deposed gets a retry of a change that the next leader has applied on top of
+// others. By its own state it would reject the change; it answers that the outcome is unknown. The document
+// is one that isn't validated before it is proposed.
 func TestDeposedLeaderRejectsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newScriptedCluster(t, otherKey)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer c.stopAll(cancel)
+		defer c.stopAll()
 		c.awaitLeader()
-		c.send(ctx, &testChange{name: "1"}, c.leader())
-		c.deliverAll()
-		past := c.leader()
+		c.sendAndDeliver(&testChange{name: "1"}, c.leader())
+		deposed := c.leader()
 		c.changeLeader()
 		c.awaitLeader()
-		taken := &testChange{name: "3", baseVersion: 2}
-		c.send(ctx, &testChange{name: "2", baseVersion: 1}, c.leader())
-		c.deliverAll()
-		c.send(ctx, taken, c.leader())
-		c.deliverAll()
-		if !taken.acked || !past.shard.core.Status().IsLeader {
-			t.Fatalf("the order was to be taken, and the old leader to believe in itself: %+v", *taken)
+		applied := &testChange{name: "3", baseVersion: 2}
+		c.sendAndDeliver(&testChange{name: "2", baseVersion: 1}, c.leader())
+		c.sendAndDeliver(applied, c.leader())
+		if !applied.acked || !deposed.shard.core.Status().IsLeader {
+			t.Fatalf("the change isn't applied, or the deposed leader knows that it was deposed: %+v", *applied)
 		}
-		c.send(ctx, taken, past)
-		c.deliverAll()
-		if cancel(); taken.rejected {
-			t.Errorf("the old leader refuses what was taken: %+v", *taken)
+		c.sendAndDeliver(applied, deposed)
+		if c.cancel(); applied.rejected {
+			t.Errorf("the deposed leader rejects what was applied: %+v", *applied)
 		}
 	})
 }
 
-// A new leader holds two orders that the one before had replicated, and has applied neither. The second
-// one, sent again, builds on a version that isn't in force yet: it is taken a little later, not refused.
+// A new leader has two changes in its log that the one before had replicated, and has applied neither. The
+// second one, retried, builds on a version that isn't in force yet: it isn't rejected, and is acknowledged
+// once it is applied.
 func TestNewLeaderRejectsNothingInItsLog(t *testing.T) {
 	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newScriptedCluster(t, key)
-			ctx, cancel := context.WithCancel(t.Context())
-			defer c.stopAll(cancel)
+			defer c.stopAll()
 			c.awaitLeader()
 			first, second := &testChange{name: "1", newVersion: 1}, &testChange{name: "2", baseVersion: 1, newVersion: 2}
 			c.changes = append(c.changes, first, second)
-			c.send(ctx, first, c.leader())
-			c.deliverAll()
-			c.send(ctx, second, c.leader())
+			c.sendAndDeliver(first, c.leader())
+			c.send(second, c.leader())
 			for !slices.ContainsFunc(c.members, func(member *scriptedMember) bool {
 				return member != c.leader() && len(member.shard.core.UnappliedEntries()) > 0
 			}) {
 				c.deliverRound()
 			}
 			c.changeLeader()
-			c.send(ctx, second, c.leader())
+			c.send(second, c.leader())
 			c.deliverRound()
 			c.awaitLeader()
-			c.send(ctx, second, c.leader())
-			c.deliverAll()
+			c.sendAndDeliver(second, c.leader())
 			if !second.acked || second.rejected {
 				t.Errorf("%s: %+v", key, *second)
 			}
@@ -223,25 +217,22 @@
 	}
 }
 
-// An order whose base is proposed and not yet in force is neither refused nor proposed: it is asked for
-// again. One on a version that nobody has heard of is a conflict.
+// A change whose base is proposed and not yet in force is neither rejected nor proposed: the client has to
+// retry it. One on a version that nobody has proposed is a conflict.
 func TestChangeOnAProposedBaseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newScriptedCluster(t, otherKey)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer c.stopAll(cancel)
+		defer c.stopAll()
 		c.awaitLeader()
 		next, early := &testChange{name: "2", baseVersion: 1}, &testChange{name: "9", baseVersion: 8}
-		c.send(ctx, &testChange{name: "1"}, c.leader())
+		c.send(&testChange{name: "1"}, c.leader())
 		c.deliverRound()
-		c.send(ctx, next, c.leader())
-		c.deliverAll()
+		c.sendAndDeliver(next, c.leader())
 		if next.rejected || next.acked {
-			t.Errorf("its base was under way: %+v", *next)
+			t.Errorf("its base was proposed: %+v", *next)
 		}
-		c.send(ctx, next, c.leader())
-		c.deliverAll()
-		c.send(ctx, early, c.leader()) // nothing is under way now that its base might come from
+		c.sendAndDeliver(next, c.leader())
+		c.send(early, c.leader()) // nothing is proposed that might be its base
 		c.deliverAll()
 		if !next.acked || next.rejected || !early.rejected {
 			t.Errorf("%+v, %+v", *next, *early)
