--- a/internal/data/callerproxy/traffic.go
+++ b/internal/data/callerproxy/traffic.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// maxTenants is from how many tenants on those without a request in flight are forgotten. A tenant
-	// that is forgotten starts again with one token of its rate.
+	// maxTenants is the number of tenants at which those without a request in flight are forgotten. A
+	// tenant that is forgotten starts again with one token of its rate.
 	maxTenants = 4096
-	// maxWorkers is from how many workers on all are forgotten, with their attempts in flight and failures:
-	// their own reports of load still count.
+	// maxWorkers is the number of workers above which all are forgotten, with their attempts in flight and
+	// failures; the load that they report themselves still counts.
 	maxWorkers = 2048
 	// initialAttemptUs is the mean duration of an attempt before one has ended, in microseconds.
 	initialAttemptUs = 100000
--- a/internal/data/proxy/idlelimit.go
+++ b/internal/data/proxy/idlelimit.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// idleLimit learns for how long a connection may be idle and still be open at the workers. A worker, or a
-// firewall before it, may drop an idle connection silently and reset it at the next request. A request that
-// isn't idempotent would be lost by that, so it is sent on a connection within the learnt limit only;
-// idempotent requests try longer idle times, and their reuses raise the limit again.
+// idleLimit learns for how long a connection may be idle and still be open at the workers. A worker may drop
+// an idle connection silently and reset it at the next request. A request that isn't idempotent would be lost
+// by that, so it is sent on a connection within the learnt limit only; idempotent requests try longer idle
+// times, and their reuses raise the limit again.
 type idleLimit struct {
 	mu           sync.Mutex
 	maxSafe      time.Duration // the limit; 0: no connection was ever dropped
