--- a/internal/control/controlstate/doc.go
+++ b/internal/control/controlstate/doc.go
@@ -12,11 +12,16 @@
 //   - StartGroup runs a node of one shard, the group, whose membership is itself replicated data:
 //     nodes join as learners and the leader proposes changes of the membership (membershipPlanner).
 //
+// Terms: an incarnation names a member between two losses of its disk, by an address or name and a
+// number; a member that lost its disk comes back under another one, so that peers don't take it for the
+// one that held the log. A spare is a learner that is ready to become a voter. A member is out after its
+// disk failed.
+//
 // Invariants that all files rely on:
 //   - A change is acknowledged only after its entry is committed, which means that it is synced to the
 //     disks of a quorum.
-//   - A change is rejected only with an answer that no other leader can contradict: either from the
-//     log, or from the applied state after a quorum confirmed this leader (ReadIndex).
+//   - A change of a document is rejected only with a response that no other leader can contradict:
+//     either from the log, or from the applied state after a quorum confirmed this leader (ReadIndex).
 //   - Every member makes the same state of the same log: state.apply depends on nothing else, but for
 //     the local time at which a lease was seen granted.
 //   - Nothing is sent that claims durability before the disk has synced it (handleReady).
--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/queue"
 	"pebbleloom/internal/wire"
 )
@@ -42,7 +43,7 @@
 			return
 		case message := <-queued.Out():
 			batch := append([]*wire.Message{message}, queued.Drain(maxMessagesPerBatch-1)...)
-			if addr, known := n.membership.View().Addr(roleName + "/" + peer); known {
+			if addr, known := n.membership.View().Addr(clustermembership.RoleControlNode + "/" + peer); known {
 				n.sendBatch(peer, addr, batch)
 			}
 		}
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -18,8 +18,8 @@
 // heal bound.
 const joinTimeoutRatio = 1.0 / 30
 
-// Ticks without a message of the leader after which a member asks to join again. A voter waits for
-// longer: it may just be between two leaders, but it may also have been removed meanwhile.
+// Ticks without a message of the leader after which a member asks to join. A voter may have been removed
+// meanwhile: it asks after the time-out of an election, which it then can't win.
 const (
 	learnerJoinTicks = aliveTicks
 	voterJoinTicks   = electionTicks
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -106,8 +106,9 @@
 	return shard.watch(ctx, request, n.process.Settings.Name), nil
 }
 
-// Time returns this machine's wall clock, in nanoseconds since the Unix epoch. It is for display and
-// for comparing machines; no decision is made by it.
+// Time returns this machine's wall clock, in nanoseconds since the Unix epoch. Callers take the median
+// over the control nodes, so that a clock that jumps on one machine has no effect; this package makes
+// no decision by it.
 //
 // Example: response, err := n.Time(ctx, &wire.TimeRequest{})
 func (n *Node) Time(context.Context, *wire.TimeRequest) (*wire.TimeResponse, error) {
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -17,8 +17,8 @@
 
 // Bounds of a shard's queue of commands.
 const (
-	maxQueuedCommands   = 512 // more are rejected: the caller's request is overloaded
-	maxCommandsPerReady = 64  // executed before the core's output is handled once
+	maxQueuedCommands   = 512 // more are not accepted (runOnLoop) or dropped (messages)
+	maxCommandsPerReady = 64  // executed before the core's output is handled
 )
 
 // shard drives one member of one replicated shard. The goroutine of run owns core, state, store and
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -10,9 +10,6 @@
 	"pebbleloom/internal/wire"
 )
 
-// roleName is the role under which control nodes are listed in the cluster membership.
-const roleName = "archive"
-
 // maxMessageBatchBytes bounds the log entries that one replication message carries, in bytes.
 const maxMessageBatchBytes = 256 << 10
 
@@ -25,7 +22,7 @@
 	process := n.process
 	n.membership = clustermembership.Start(process.Ctx, clustermembership.Config{
 		Process: process.Settings,
-		Role:    roleName,
+		Role:    clustermembership.RoleControlNode,
 		Clock:   process.Clock,
 		Log:     process.Log,
 		Client:  n.clients.Membership,
--- a/internal/control/controlstate/start_group.go
+++ b/internal/control/controlstate/start_group.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"net/http"
 
+	"pebbleloom/internal/control/clustermembership"
 	"pebbleloom/internal/control/consensus"
 	"pebbleloom/internal/control/controlclient"
 	"pebbleloom/internal/control/operatorapi"
@@ -103,7 +104,7 @@
 
 // zoneOf is the zone of a control node by the cluster membership; "" if it isn't known.
 func (n *Node) zoneOf(addr string) string {
-	for _, member := range n.membership.View().WithRole(roleName) {
+	for _, member := range n.membership.View().WithRole(clustermembership.RoleControlNode) {
 		if member.Addr == addr {
 			return member.Zone
 		}
