--- a/internal/control/controlstate/start_group.go
+++ b/internal/control/controlstate/start_group.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	if process.Settings.Operator != "" {
-		if err := operatorapi.ServeSite(process, node.controlClient, node.membership.View, node.clients, codec.Read); err != nil {
+		if err := operatorapi.ServeGroup(process, node.controlClient, node.membership.View, node.clients, codec.Read); err != nil {
 			return err
 		}
 	}
--- a/internal/control/operatorapi/index.go
+++ b/internal/control/operatorapi/index.go
@@ -64,7 +64,7 @@
 // named version of the model's weights; if none is named, under the newest that a worker serves.
 //
 // Example: POST /v1/index {"model": "lector", "tenant": "biblioteca", "parts": ["5c1e07a2"]}
-func (s *siteServer) LookUp(ctx context.Context, request *operator.Lookup) (*operator.Found, error) {
+func (s *groupServer) LookUp(ctx context.Context, request *operator.Lookup) (*operator.Found, error) {
 	plan, err := s.readPlan(ctx)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 }
 
 // readPlan reads and decodes the plan in force.
-func (s *siteServer) readPlan(ctx context.Context) (*routingconfig.Plan, error) {
+func (s *groupServer) readPlan(ctx context.Context) (*routingconfig.Plan, error) {
 	document, err := s.readConfigDocument(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -2,7 +2,7 @@
 // same response: control state is read by majority, and a view of the nodes or workers is reported by
 // one node, which the response names.
 //
-// Server serves sites whose settings name the control nodes; siteServer serves sites whose membership
+// Server serves sites whose settings name the control nodes; groupServer serves sites whose membership
 // is part of the replicated log. The names of the methods and of their types are generated from the
 // API's schema, whose paths and JSON keys are those of the first release.
 package operatorapi
--- a/internal/control/operatorapi/site.go
+++ b/internal/control/operatorapi/site.go
@@ -21,23 +21,23 @@
 	"pebbleloom/internal/wire"
 )
 
-// siteServer handles operators' requests on a site whose membership is part of the replicated log. All
+// groupServer handles operators' requests on a site whose membership is part of the replicated log. All
 // control state is in shard 0 there, and the plan is the site's configuration, in the format in which
 // it was sent.
-type siteServer struct {
+type groupServer struct {
 	*Server
 	site       *settings.Site
 	name       string // of this node
 	decodePlan func(body []byte) (*routingconfig.Plan, error)
 }
 
-// ServeSite serves the operators' API of such a site. The API's handler is built at the first request:
+// ServeGroup serves the operators' API of such a site. The API's handler is built at the first request:
 // until then it costs one listener.
 //
-// Example: err := operatorapi.ServeSite(process, control, member.View, clients, codec.Read)
-func ServeSite(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients,
+// Example: err := operatorapi.ServeGroup(process, control, member.View, clients, codec.Read)
+func ServeGroup(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients,
 	decodePlan func([]byte) (*routingconfig.Plan, error)) error {
-	s := &siteServer{
+	s := &groupServer{
 		Server:     newServer(process, control, view, clients, routingconfig.DocumentKey),
 		site:       process.Settings.Site,
 		name:       clustermembership.RoleControlNode + "/" + process.Settings.Name,
@@ -59,7 +59,7 @@
 }
 
 // readDocument reads one document by majority; nil if there is none.
-func (s *siteServer) readDocument(ctx context.Context, key string) (*wire.Document, error) {
+func (s *groupServer) readDocument(ctx context.Context, key string) (*wire.Document, error) {
 	response, err := s.control.Read(ctx, &wire.ReadRequest{Key: key})
 	if err != nil {
 		return nil, errs.Wrap(err, "read "+key)
@@ -73,7 +73,7 @@
 }
 
 // readJSON decodes one document into value and returns its version; 0 if there is none.
-func (s *siteServer) readJSON(ctx context.Context, key string, value any) (uint64, error) {
+func (s *groupServer) readJSON(ctx context.Context, key string, value any) (uint64, error) {
 	document, err := s.readDocument(ctx, key)
 	if err == nil && document != nil {
 		err = errs.Wrap(json.Unmarshal(document.Body, value), "read "+key)
@@ -84,7 +84,7 @@
 // NameWeights names the version of a model's weights that its workers are to serve.
 //
 // Example: POST /v1/weights {"model": "lector", "weights": 4}
-func (s *siteServer) NameWeights(ctx context.Context, request *operator.Weights) (*operator.Changed, error) {
+func (s *groupServer) NameWeights(ctx context.Context, request *operator.Weights) (*operator.Changed, error) {
 	var weights fleet.Weights
 	version, err := s.readJSON(ctx, fleet.WeightsKey, &weights)
 	if err != nil {
@@ -115,7 +115,7 @@
 // ListNodes lists the nodes as this one sees them.
 //
 // Example: GET /v1/nodes
-func (s *siteServer) ListNodes(context.Context) (*operator.NodeList, error) {
+func (s *groupServer) ListNodes(context.Context) (*operator.NodeList, error) {
 	list := &operator.NodeList{SeenBy: s.name, Nodes: []operator.NodeListNodesItem{}}
 	for _, node := range s.view().Nodes {
 		item := newNodeItem(node)
@@ -131,7 +131,7 @@
 // GetPlacement reads a service's placement by majority.
 //
 // Example: GET /v1/placements/appraisals
-func (s *siteServer) GetPlacement(ctx context.Context, params operator.GetPlacementParams) (*operator.PlacementInForce, error) {
+func (s *groupServer) GetPlacement(ctx context.Context, params operator.GetPlacementParams) (*operator.PlacementInForce, error) {
 	document, err := s.readDocument(ctx, fleet.PlacementKey+params.Service)
 	if err != nil {
 		return nil, err
--- a/internal/control/operatorapi/site_group.go
+++ b/internal/control/operatorapi/site_group.go
@@ -29,7 +29,7 @@
 }
 
 // queryControlNodes asks all control nodes at once for their status, each with a short timeout.
-func (s *siteServer) queryControlNodes(ctx context.Context, view clustermembership.View) []controlNode {
+func (s *groupServer) queryControlNodes(ctx context.Context, view clustermembership.View) []controlNode {
 	ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
 	defer cancel()
 	var nodes []controlNode
@@ -56,7 +56,7 @@
 	return nodes
 }
 
-func (s *siteServer) readGroup(ctx context.Context, view clustermembership.View) *groupView {
+func (s *groupServer) readGroup(ctx context.Context, view clustermembership.View) *groupView {
 	group := &groupView{nodes: s.queryControlNodes(ctx, view), memberByAddr: map[string]string{}, nodeByAddr: map[string]string{}}
 	for _, node := range view.Nodes {
 		if node.Role != clustermembership.RoleControlNode {
@@ -95,7 +95,7 @@
 
 // checkGroup reports the state of the consensus group, and returns whether a responding member is its
 // leader.
-func (s *siteServer) checkGroup(ctx context.Context, view clustermembership.View, report *statusReport) (hasLeader bool) {
+func (s *groupServer) checkGroup(ctx context.Context, view clustermembership.View, report *statusReport) (hasLeader bool) {
 	group := s.readGroup(ctx, view)
 	for _, queried := range group.nodes {
 		hasLeader = group.checkNode(queried, report) || hasLeader
--- a/internal/control/operatorapi/site_status.go
+++ b/internal/control/operatorapi/site_status.go
@@ -16,7 +16,7 @@
 // GetStatus checks the whole site from here and reports problems, with remedies.
 //
 // Example: GET /v1/status
-func (s *siteServer) GetStatus(ctx context.Context) (*operator.Status, error) {
+func (s *groupServer) GetStatus(ctx context.Context) (*operator.Status, error) {
 	report := newStatusReport()
 	report.status.Facts = []operator.StatusFactsItem{}
 	view := s.view()
@@ -55,7 +55,7 @@
 }
 
 // checkDocuments reports the documents in force.
-func (s *siteServer) checkDocuments(ctx context.Context, view clustermembership.View, report *statusReport) {
+func (s *groupServer) checkDocuments(ctx context.Context, view clustermembership.View, report *statusReport) {
 	plan, err := s.readDocument(ctx, s.configKey)
 	if err != nil { // then nothing else can be read either
 		report.addProblem("plan-unknown", entireSite, err.Error(), errs.KindOf(err).Remedy, runbookCorePartitioned)
@@ -91,7 +91,7 @@
 }
 
 // check reports the workers' states and weights.
-func (s *siteWorkers) check(report *statusReport) {
+func (s *workerDocuments) check(report *statusReport) {
 	if s.version == 0 {
 		report.addProblem("workers-unknown", entireSite, "the list of workers hasn't been read yet", "see whether the platform's list answers", runbookCoreDown)
 	}
--- a/internal/control/operatorapi/site_workers.go
+++ b/internal/control/operatorapi/site_workers.go
@@ -20,8 +20,8 @@
 	workerOutdated = "behind"  // serves older weights than are named
 )
 
-// siteWorkers is what the control state holds about the workers.
-type siteWorkers struct {
+// workerDocuments is what the control state holds about the workers.
+type workerDocuments struct {
 	workers  []fleet.Worker
 	version  uint64            // of the list of workers; 0: there is none yet
 	named    map[string]uint64 // weights by model
@@ -29,7 +29,7 @@
 	leases   []*wire.Lease
 }
 
-func (s *siteServer) readWorkers(ctx context.Context) (*siteWorkers, error) {
+func (s *groupServer) readWorkers(ctx context.Context) (*workerDocuments, error) {
 	var list fleet.WorkerList
 	version, err := s.readJSON(ctx, fleet.WorkersKey, &list)
 	if err != nil {
@@ -53,11 +53,11 @@
 			cordoned[id] = true
 		}
 	}
-	return &siteWorkers{workers: list.Workers, version: version, named: weights.Versions, cordoned: cordoned, leases: placements.Leases}, nil
+	return &workerDocuments{workers: list.Workers, version: version, named: weights.Versions, cordoned: cordoned, leases: placements.Leases}, nil
 }
 
 // outdatedModel returns a model of which a worker serves older weights than are named; "" if none.
-func (s *siteWorkers) outdatedModel(worker fleet.Worker) string {
+func (s *workerDocuments) outdatedModel(worker fleet.Worker) string {
 	for _, model := range queue.Keys(worker.Weights) {
 		if worker.Weights[model] < s.named[model] {
 			return model
@@ -66,7 +66,7 @@
 	return ""
 }
 
-func (s *siteWorkers) state(worker fleet.Worker) string {
+func (s *workerDocuments) state(worker fleet.Worker) string {
 	switch {
 	case worker.Draining:
 		return workerDraining
@@ -79,7 +79,7 @@
 }
 
 // weightsInUse is the named version of a model's weights; the newest that a worker serves if none is.
-func (s *siteWorkers) weightsInUse(model string) uint64 {
+func (s *workerDocuments) weightsInUse(model string) uint64 {
 	if named := s.named[model]; named != 0 {
 		return named
 	}
@@ -94,7 +94,7 @@
 // those of the first of its models that is outdated, or else of its first model.
 //
 // Example: GET /v1/workers
-func (s *siteServer) ListWorkers(ctx context.Context) (*operator.WorkerList, error) {
+func (s *groupServer) ListWorkers(ctx context.Context) (*operator.WorkerList, error) {
 	state, err := s.readWorkers(ctx)
 	if err != nil {
 		return nil, err
