--- a/internal/control/placementcontroller/placement.go
+++ b/internal/control/placementcontroller/placement.go
@@ -58,7 +58,8 @@
 
 // nextPlacement computes the next placement, and whether the change is worth publishing. In between full
 // computations it only swaps entries in.
-func (c *Controller) nextPlacement(svc *serviceController, workers []*wire.Worker, config serviceconfig.Service, now time.Duration) (*placement.Placement, bool) {
+func (c *Controller) nextPlacement(svc *serviceController, workers []*wire.Worker, config serviceconfig.Service,
+	now time.Duration) (*placement.Placement, bool) {
 	hot := c.hotEntries(svc.name)
 	names, mode, old := workerNames(workers), placementMode(config), svc.placement
 	if old != nil && now-svc.recomputedAt <= c.process.Settings.Bounds.Heal(recomputeRatio) && slices.Equal(names, old.Workers) && old.Mode == mode {
@@ -101,8 +102,8 @@
 	}
 	next.Version = response.Version
 	svc.document, svc.placement = &wire.Document{Body: body, Version: response.Version}, next
-	c.process.Log.Info("placement", "service", svc.name, "epoch", response.Version, "fence", token, "replicated", len(next.Replicated),
-		"entries", next.Entries, "r_max", next.RMax, "b", next.FetchBandwidth, "why", next.Reason)
+	c.process.Log.Info("placement", "service", svc.name, "version", response.Version, "fencing_token", token, "replicated", len(next.Replicated),
+		"entries", next.Entries, "r_max", next.RMax, "fetch_bandwidth", next.FetchBandwidth, "reason", next.Reason)
 	return nil
 }
 
