--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -93,7 +93,7 @@
 		{"runbook check", "check a runbook, shipped or a .json file", checkRunbook},
 		{"runbook run", "run a runbook step by step", runRunbook},
 		{"explain", "show how a request was routed", explainRequest},
-		{"index lookup", "show the holders of a prompt's prefixes", lookUpPrefixes},
+		{"index lookup", "show the holders of a prompt's prefixes", queryIndex},
 	}
 }
 
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -162,7 +162,7 @@
 	return c.Explain(ctx, operator.ExplainParams{Request: inv.request})
 }
 
-func lookUpPrefixes(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
+func queryIndex(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
 	if err := requireFlags("model", inv.model, "tenant", inv.tenant, "part", strings.Join(inv.parts, " ")); err != nil {
 		return nil, err
 	}
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -75,7 +75,7 @@
 
 // commandTree finds the command that a parsed command line used.
 type commandTree struct {
-	leaves map[string]*flaggy.Subcommand // by the command's path, first names too
+	subcommands map[string]*flaggy.Subcommand // by the command's path, first names too
 }
 
 // newCommandTree declares every command to the parser, also under its group's first name.
@@ -103,12 +103,12 @@
 		}
 		parser.AttachSubcommand(groups[group], 1)
 	}
-	t.leaves[path] = groups[group]
+	t.subcommands[path] = groups[group]
 	if inGroup {
 		leaf := flaggy.NewSubcommand(command)
 		leaf.Description = about
 		groups[group].AttachSubcommand(leaf, 1)
-		t.leaves[path] = leaf
+		t.subcommands[path] = leaf
 	}
 }
 
@@ -116,7 +116,7 @@
 func (t *commandTree) used() (*command, string) {
 	for _, c := range commands() {
 		for _, path := range []string{c.path, firstPath(c.path)} {
-			if t.leaves[path].Used {
+			if t.subcommands[path].Used {
 				return &c, path
 			}
 		}
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -118,7 +118,7 @@
 	if err := requireFlags("name", inv.name); err != nil {
 		return nil, err
 	}
-	book, err := findRunbook(inv.name)
+	found, err := findRunbook(inv.name)
 	if err != nil {
 		return nil, err
 	}
@@ -128,8 +128,8 @@
 	}
 	id := make([]byte, 6)
 	_, _ = rand.Read(id) // never fails, as its documentation says
-	run := &recordedRun{runbook: book, result: &RunResult{Record: inv.record},
-		progress: runbook.Progress{RunID: book.Name + "-" + hex.EncodeToString(id), Params: parameters}}
+	run := &recordedRun{runbook: found, result: &RunResult{Record: inv.record},
+		progress: runbook.Progress{RunID: found.Name + "-" + hex.EncodeToString(id), Params: parameters}}
 	if !inv.asJSON {
 		run.shownOn = inv.progress
 	}
@@ -339,11 +339,11 @@
 
 func formatRunbooks(out io.Writer, listing *Listing) {
 	fmt.Fprintln(out, "RUNBOOK\tWHEN\tPARAMETERS")
-	for _, book := range listing.Books {
+	for _, listed := range listing.Books {
 		var ps []string
-		for k := range book.Params {
+		for k := range listed.Params {
 			ps = append(ps, k)
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\n", book.Name, book.When, strings.Join(ps, " "))
+		fmt.Fprintf(out, "%s\t%s\t%s\n", listed.Name, listed.When, strings.Join(ps, " "))
 	}
 }
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -120,7 +120,7 @@
 		Name, State string
 		Weights     int
 	}
-	Epoch     int
+	Version   int `json:"epoch"`
 	Placement struct{ Service, Mode string }
 }
 
@@ -159,7 +159,7 @@
 	return m
 }
 
-// The weights' roll-out, the workers, the placement and how the group stands can be followed from
+// The weights' roll-out, the workers, the placement and the state of the group can be followed from
 // any core machine; a machine that is gone, and one that came back without its disk, are named.
 func TestStatusFollowsASite(t *testing.T) {
 	skipUnderRace(t)
@@ -170,58 +170,85 @@
 			t.Fatalf("exit %d: %s%s", code, out, bad)
 		}
 		site.waitUntil("all is well", 20*time.Second, func() bool { return site.query(3, "status").Ok })
-		status := site.query(4, "status")
-		if m := status.states(); m["owns"] != 1 || m["follows"] != 2 || m["learner"] != 1 {
-			t.Errorf("the group: %+v", status.Parts)
-		}
-		for name, says := range map[string]string{"plan": "version 3", "members": "archive/m1 archive/m2 archive/m3", "index nodes": "4, serving: catalogue/m",
-			"duties of the site": "fence ", "workers": "3: 2 up, 1 draining"} {
-			if !strings.Contains(status.fact(name), says) {
-				t.Errorf("%s: %q, want %q", name, status.fact(name), says)
-			}
-		}
-		site.waitUntil("what workers keep", 20*time.Second, func() bool { // their events arrive one after another
-			_, out, _ := site.runOn(2, "", "index lookup --model daka --tenant t --part p1 --part p2")
-			return strings.Contains(out, "w1:confirmed") && strings.Contains(out, "w2:confirmed") && strings.Count(out, "\n") == 3
-		})
-		if code, out, bad := site.runOn(2, "", "index lookup --model daka --tenant walled --part p1"); code != 0 || strings.Contains(out, "confirmed") {
-			t.Errorf("behind a wall: exit %d, %s%s", code, out, bad)
-		}
-		site.mu.Lock()
-		site.ordersRejected = true
-		site.mu.Unlock()
-		if code, out, bad := site.runOn(2, "", "weights name --model daka --weights 2"); code != 0 {
-			t.Fatalf("exit %d: %s%s", code, out, bad)
-		}
-		if code, _, bad := site.runOn(3, "", "weights name --model daka --weights 1"); code != 2 || !strings.Contains(bad, "older than 2") {
-			t.Errorf("older weights: exit %d, %s", code, bad)
-		}
-		if code, out, _ := site.runOn(3, "", "weights name --model daka --weights 2"); code != 0 || !strings.Contains(out, "named already") {
-			t.Errorf("the same weights again: exit %d, %s", code, out)
-		}
-		if status := site.query(1, "status"); !status.has("older-weights", "daka") || !strings.Contains(status.fact("weights of daka"), "version 2 named, 2 workers behind") {
-			t.Errorf("older weights: %+v", status)
-		}
-		if status := site.query(1, "workers"); status.Named["daka"] != 2 || len(status.Workers) != 3 || status.Workers[0].Weights != 1 || status.Workers[0].State == "up" || status.Workers[2].State != "draining" {
-			t.Errorf("workers: %+v", status)
-		}
-		site.mu.Lock()
-		site.ordersRejected = false
-		site.mu.Unlock()
-		site.waitUntil("the roll-out's end", 40*time.Second, func() bool { return site.query(1, "status").Ok })
-		if status := site.query(2, "placement show --service reading"); status.Epoch < 1 || status.Placement.Service != "reading" {
-			t.Errorf("placement: %+v", status)
+		checkHealthySite(t, site)
+		checkCachedPrefixes(t, site)
+		checkRollout(t, site)
+		checkLostMachines(site)
+	})
+}
+
+// checkHealthySite: status names the group's members, the index nodes, the lease and the workers.
+func checkHealthySite(t *testing.T, site *testSite) {
+	t.Helper()
+	status := site.query(4, "status")
+	if m := status.states(); m["owns"] != 1 || m["follows"] != 2 || m["learner"] != 1 {
+		t.Errorf("the group: %+v", status.Parts)
+	}
+	for name, says := range map[string]string{"plan": "version 3", "members": "archive/m1 archive/m2 archive/m3", "index nodes": "4, serving: catalogue/m",
+		"duties of the site": "fence ", "workers": "3: 2 up, 1 draining"} {
+		if !strings.Contains(status.fact(name), says) {
+			t.Errorf("%s: %q, want %q", name, status.fact(name), says)
 		}
-		site.stop("edge5")
-		site.stop("index2")
-		site.waitUntil("the edge's end", 10*time.Second, func() bool { return !strings.Contains(site.query(1, "status").fact("index nodes"), "4,") })
-		// A member comes back without its disk, at its own address.
-		site.stop("state3")
-		site.disks[ip(3)+":7360"] = nil
-		site.waitUntil("a spare's place", 30*time.Second, func() bool { return strings.Contains(site.query(1, "status").fact("members"), "m4") })
-		site.startStateProcess(3)
-		site.waitUntil("all four", 20*time.Second, func() bool { return site.query(1, "status").states()["learner"] == 1 })
+	}
+}
+
+// checkCachedPrefixes: the index names the workers that cache a prefix, but not to an isolated tenant.
+func checkCachedPrefixes(t *testing.T, site *testSite) {
+	t.Helper()
+	site.waitUntil("what workers cache", 20*time.Second, func() bool { // their events arrive one after another
+		_, out, _ := site.runOn(2, "", "index lookup --model daka --tenant t --part p1 --part p2")
+		return strings.Contains(out, "w1:confirmed") && strings.Contains(out, "w2:confirmed") && strings.Count(out, "\n") == 3
 	})
+	if code, out, bad := site.runOn(2, "", "index lookup --model daka --tenant walled --part p1"); code != 0 || strings.Contains(out, "confirmed") {
+		t.Errorf("an isolated tenant: exit %d, %s%s", code, out, bad)
+	}
+}
+
+// rejectOrders has all workers reject orders, or obey them again.
+func (site *testSite) rejectOrders(rejected bool) {
+	site.mu.Lock()
+	defer site.mu.Unlock()
+	site.ordersRejected = rejected
+}
+
+// checkRollout: weights that are named are shown as behind until the workers serve them; older ones are
+// refused, and the same again is acknowledged again.
+func checkRollout(t *testing.T, site *testSite) {
+	t.Helper()
+	site.rejectOrders(true)
+	if code, out, bad := site.runOn(2, "", "weights name --model daka --weights 2"); code != 0 {
+		t.Fatalf("exit %d: %s%s", code, out, bad)
+	}
+	if code, _, bad := site.runOn(3, "", "weights name --model daka --weights 1"); code != 2 || !strings.Contains(bad, "older than 2") {
+		t.Errorf("older weights: exit %d, %s", code, bad)
+	}
+	if code, out, _ := site.runOn(3, "", "weights name --model daka --weights 2"); code != 0 || !strings.Contains(out, "named already") {
+		t.Errorf("the same weights again: exit %d, %s", code, out)
+	}
+	if status := site.query(1, "status"); !status.has("older-weights", "daka") || !strings.Contains(status.fact("weights of daka"), "version 2 named, 2 workers behind") {
+		t.Errorf("older weights: %+v", status)
+	}
+	if status := site.query(1, "workers"); status.Named["daka"] != 2 || len(status.Workers) != 3 || status.Workers[0].Weights != 1 || status.Workers[0].State == "up" || status.Workers[2].State != "draining" {
+		t.Errorf("workers: %+v", status)
+	}
+	site.rejectOrders(false)
+	site.waitUntil("the roll-out's end", 40*time.Second, func() bool { return site.query(1, "status").Ok })
+	if status := site.query(2, "placement show --service reading"); status.Version < 1 || status.Placement.Service != "reading" {
+		t.Errorf("placement: %+v", status)
+	}
+}
+
+// checkLostMachines: an index node that ends is dropped, and a member that comes back without its disk,
+// at its own address, is replaced by the spare and becomes a learner.
+func checkLostMachines(site *testSite) {
+	site.stop("edge5")
+	site.stop("index2")
+	site.waitUntil("the edge's end", 10*time.Second, func() bool { return !strings.Contains(site.query(1, "status").fact("index nodes"), "4,") })
+	site.stop("state3")
+	site.disks[ip(3)+":7360"] = nil
+	site.waitUntil("a spare's place", 30*time.Second, func() bool { return strings.Contains(site.query(1, "status").fact("members"), "m4") })
+	site.startStateProcess(3)
+	site.waitUntil("all four", 20*time.Second, func() bool { return site.query(1, "status").states()["learner"] == 1 })
 }
 
 // Without a majority every question that needs one says so within the bound, and status says who
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -142,7 +142,7 @@
 	at := fmt.Sprint(ip(i), ":", 7360+offset)
 	siteSettings := &set.Site{FirstStart: true, ToleratedFailures: 1, IP: ip(i), AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, LeaseMs: 3000,
 		WorkerListRate: 47, MemoryLimitMB: 284, PortRange: [2]int{7360, 7375}, EnforceRevocation: true}
-	place := set.Process{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.DefaultBounds(),
+	settings := set.Process{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.DefaultBounds(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Options: []string{"log=off"}, Site: siteSettings}
 	w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
@@ -159,7 +159,7 @@
 			return m, nil
 		},
 		Dial: site.dial, Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
-	l := daemon.NewIn(w, role, place)
+	l := daemon.NewIn(w, role, settings)
 	site.processes[fmt.Sprint(role, i)] = l
 	return l
 }
@@ -312,22 +312,22 @@
 }
 
 func (testCodec) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
-	var o, v testPlan
-	if err := json.Unmarshal(sent, &v); err != nil {
+	var inForce, plan testPlan
+	if err := json.Unmarshal(sent, &plan); err != nil {
 		return nil, 0, err
 	}
-	if v.Version == 0 {
+	if plan.Version == 0 {
 		return nil, 0, errs.New(errs.BadInput, "version: missing: give one above that in force")
 	}
 	if !part {
-		return sent, v.Version, nil
+		return sent, plan.Version, nil
 	}
 	if len(old) > 0 {
-		if err := json.Unmarshal(old, &o); err != nil {
+		if err := json.Unmarshal(old, &inForce); err != nil {
 			return nil, 0, err
 		}
 	}
-	v.Routes = append(o.Routes, v.Routes...)
-	b, err := json.Marshal(v)
-	return b, v.Version, err
+	plan.Routes = append(inForce.Routes, plan.Routes...)
+	b, err := json.Marshal(plan)
+	return b, plan.Version, err
 }
--- a/internal/codecheck/names_test.go
+++ b/internal/codecheck/names_test.go
@@ -74,12 +74,12 @@
 	return names
 }
 
-var wordStart = regexp.MustCompile(`[A-Z]+[a-z0-9]*|[a-z][a-z0-9]*`)
+var identifierWord = regexp.MustCompile(`[A-Z]+[a-z0-9]*|[a-z][a-z0-9]*`)
 
 // hides gives the standard term that a name hides; "" if none. A link is cut one way, and a test's
 // name is a sentence, in which something goes.
 func hides(name string) string {
-	ws := wordStart.FindAllString(name, -1)
+	ws := identifierWord.FindAllString(name, -1)
 	for i, w := range ws {
 		w = strings.ToLower(w)
 		if w == "way" && i > 0 && strings.EqualFold(ws[i-1], "one") || w == "goes" && ws[0] == "Test" {
@@ -102,7 +102,7 @@
 // plainIn lists the names that hold a plain word.
 func plainIn(names []string) (found []string) {
 	for _, n := range names {
-		if slices.ContainsFunc(wordStart.FindAllString(n, -1), func(w string) bool { return plain[strings.ToLower(w)] != "" }) {
+		if slices.ContainsFunc(identifierWord.FindAllString(n, -1), func(w string) bool { return plain[strings.ToLower(w)] != "" }) {
 			found = append(found, n)
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 func holdsWithdrawn(text string) bool {
-	return slices.ContainsFunc(wordStart.FindAllString(text, -1), func(w string) bool { return withdrawn[strings.ToLower(w)] != "" })
+	return slices.ContainsFunc(identifierWord.FindAllString(text, -1), func(w string) bool { return withdrawn[strings.ToLower(w)] != "" })
 }
 
 // Standard terms: attempt, route, timer, deadline, version and error are the field's own, and no
@@ -132,26 +132,15 @@
 			t.Fatalf("the check itself says that %s hides %q", name, got)
 		}
 	}
-	left := map[string]int{}
 	for p, b := range files(t) {
-		l, _, err := declared(p, b)
+		names, _, err := declared(p, b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, n := range l {
-			term := hides(n)
-			if term == "" {
-				continue
+		for _, name := range names {
+			if term := hides(name); term != "" {
+				t.Errorf("%s: %s hides a standard term: say %s", p, name, term)
 			}
-			left[folderOf(p)]++
-			if !slices.Contains(toRename, folderOf(p)) {
-				t.Errorf("%s: %s hides a standard term: say %s", p, n, term)
-			}
-		}
-	}
-	for _, f := range toRename {
-		if left[f] == 0 {
-			t.Errorf("%s: nothing is left to rename: take it off the list", f)
 		}
 	}
 }
--- a/internal/codecheck/platform_test.go
+++ b/internal/codecheck/platform_test.go
@@ -27,7 +27,7 @@
 var ownNames = map[string][]string{"../../internal/contract/contract.go": {"Kv-Fetch-From", "Kv-Save-To"}}
 
 // words of a string that could be such names; paths are looked for as a whole.
-var stringWord = regexp.MustCompile(`[A-Za-z][A-Za-z0-9_-]*`)
+var nameInString = regexp.MustCompile(`[A-Za-z][A-Za-z0-9_-]*`)
 
 // literals lists the strings of a file with their places, imports apart. A field's tag counts as
 // the names in it.
@@ -37,33 +37,33 @@
 	if err != nil {
 		return nil, err
 	}
-	l := map[string][]string{}
-	add := func(at token.Pos, s string) { l[s] = append(l[s], fs.Position(at).String()) }
+	positions := map[string][]string{}
+	add := func(at token.Pos, text string) { positions[text] = append(positions[text], fs.Position(at).String()) }
 	ast.Inspect(f, func(n ast.Node) bool {
-		switch x := n.(type) {
+		switch node := n.(type) {
 		case *ast.ImportSpec:
 			return false
 		case *ast.Field:
-			if x.Tag == nil {
+			if node.Tag == nil {
 				return true
 			}
-			raw, _ := strconv.Unquote(x.Tag.Value)
-			for _, k := range []string{"json", "toml"} {
-				if s, _, _ := strings.Cut(reflect.StructTag(raw).Get(k), ","); s != "" {
-					add(x.Pos(), s)
+			raw, _ := strconv.Unquote(node.Tag.Value)
+			for _, key := range []string{"json", "toml"} {
+				if text, _, _ := strings.Cut(reflect.StructTag(raw).Get(key), ","); text != "" {
+					add(node.Pos(), text)
 				}
 			}
-			x.Tag = nil // its names stand already
+			node.Tag = nil // its names stand already
 		case *ast.BasicLit:
-			if x.Kind == token.STRING {
-				if s, err := strconv.Unquote(x.Value); err == nil {
-					add(x.Pos(), s)
+			if node.Kind == token.STRING {
+				if text, err := strconv.Unquote(node.Value); err == nil {
+					add(node.Pos(), text)
 				}
 			}
 		}
 		return true
 	})
-	return l, nil
+	return positions, nil
 }
 
 // platformNames are those that the sources of platform/ spell out.
@@ -105,29 +105,29 @@
 	slices.Reverse(paths) // the longest first
 	path := regexp.MustCompile(`(?:^|[^a-zA-Z0-9_./-])(` + strings.Join(paths, "|") + `)(?:[^a-zA-Z0-9_/-]|$)`)
 	var stray []string
-	for p, b := range srcs {
-		if strings.HasPrefix(p, "../../platform/") {
+	for file, src := range srcs {
+		if strings.HasPrefix(file, "../../platform/") {
 			continue
 		}
-		l, err := literals(p, b)
+		positions, err := literals(file, src)
 		if err != nil {
 			return nil, err
 		}
-		for s, at := range l {
+		for text, at := range positions {
 			found := map[string]bool{}
-			for _, w := range stringWord.FindAllString(s, -1) {
-				if names[w] || folded[strings.ToLower(w)] {
-					found[w] = true
+			for _, word := range nameInString.FindAllString(text, -1) {
+				if names[word] || folded[strings.ToLower(word)] {
+					found[word] = true
 				}
 			}
-			if m := path.FindStringSubmatch(s); m != nil && m[1] != "" {
+			if m := path.FindStringSubmatch(text); m != nil && m[1] != "" {
 				found[m[1]] = true
 			}
-			for _, w := range slices.Sorted(maps.Keys(found)) {
-				if slices.Contains(ownNames[p], strings.TrimPrefix(w, "X-")) {
+			for _, word := range slices.Sorted(maps.Keys(found)) {
+				if slices.Contains(ownNames[file], strings.TrimPrefix(word, "X-")) {
 					continue
 				}
-				stray = append(stray, strings.Join(at, ", ")+": "+w)
+				stray = append(stray, strings.Join(at, ", ")+": "+word)
 			}
 		}
 	}
@@ -143,26 +143,26 @@
 			"var d = \"PEBBLELOOM_THINGS=1\"\ntype u struct{ B int `json:\"plantedAddr\"`; N int `json:\"name\"` }\n"),
 		"../../internal/x/a_test.go": []byte("package x\nvar a = \"X-Planted-Id: 1\"\nvar ok = \"Content-Type name state /things /things/reports X-Planted-Ids X-Of-Tests plantedAddrs\"\n"),
 	}
-	if l, err := strayNames(planted); err != nil || len(l) != 6 {
-		t.Fatalf("the check itself finds %d, %v:\n%s", len(l), err, strings.Join(l, "\n"))
+	if stray, err := strayNames(planted); err != nil || len(stray) != 6 {
+		t.Fatalf("the check itself finds %d, %v:\n%s", len(stray), err, strings.Join(stray, "\n"))
 	}
 	srcs := files(t)
 	names, err := platformNames(srcs)
 	if err != nil || len(names) < 50 {
 		t.Fatalf("only %d names found in platform/ (%v): the check reads it wrong", len(names), err)
 	}
-	for p, l := range ownNames {
-		for _, n := range l {
-			if !bytes.Contains(srcs[p], []byte("X-"+n)) || !names["X-"+n] {
-				t.Errorf("%s: %s is no exception any more: take it off the list", p, n)
+	for file, stray := range ownNames {
+		for _, name := range stray {
+			if !bytes.Contains(srcs[file], []byte("X-"+name)) || !names["X-"+name] {
+				t.Errorf("%s: %s is no exception any more: take it off the list", file, name)
 			}
 		}
 	}
-	l, err := strayNames(srcs)
+	stray, err := strayNames(srcs)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range l {
+	for _, s := range stray {
 		t.Errorf("%s: a name of the users' platform: only platform/ knows it; take it as a parameter", s)
 	}
 }
--- a/internal/codecheck/remaining_test.go
+++ b/internal/codecheck/remaining_test.go
@@ -66,28 +66,28 @@
 }
 
 // countFile adds up what one file holds.
-func countFile(file string, src []byte) (c counts, err error) {
+func countFile(file string, src []byte) (count counts, err error) {
 	set := token.NewFileSet()
-	f, err := parser.ParseFile(set, file, src, parser.ParseComments)
+	parsed, err := parser.ParseFile(set, file, src, parser.ParseComments)
 	if err != nil {
-		return c, err
+		return count, err
 	}
-	for _, d := range f.Decls {
+	for _, d := range parsed.Decls {
 		names := defined(d)
 		if x, ok := d.(*ast.FuncDecl); ok {
 			names = append(names, x.Name.Name)
-			c.short += len(longLived(set, x))
+			count.short += len(longLived(set, x))
 		}
-		c.withdrawn += len(withdrawnIn(names))
-		c.plain += len(plainIn(names))
+		count.withdrawn += len(withdrawnIn(names))
+		count.plain += len(plainIn(names))
 	}
 	texts, err := textsWithWithdrawn(file, src)
-	c.texts = len(texts)
-	c.long = len(longFunctions(set, f))
+	count.texts = len(texts)
+	count.long = len(longFunctions(set, parsed))
 	if !strings.HasSuffix(file, "_test.go") {
-		c.bare = len(undocumented(f))
+		count.bare = len(undocumented(parsed))
 	}
-	return c, err
+	return count, err
 }
 
 // plus adds two folders' or files' counts up.
--- a/internal/codecheck/shape_test.go
+++ b/internal/codecheck/shape_test.go
@@ -34,8 +34,8 @@
 		if cases == nil {
 			return true
 		}
-		for _, c := range cases.List {
-			if lines(c) > longestCase {
+		for _, clause := range cases.List {
+			if lines(clause) > longestCase {
 				return true
 			}
 		}
--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -48,10 +48,6 @@
 var hiding = map[string]string{"expiry": "deadline", "expiries": "deadlines", "expire": "deadline", "expires": "deadline",
 	"epoch": "version", "epochs": "version", "way": "route", "ways": "routes", "goes": "attempts"}
 
-// toRename are the packages from before that still have names hiding a standard term. They are
-// renamed as they are touched; nothing may be added here.
-var toRename = []string{"cli", "control/controlstate", "data/placement"}
-
 // wireForms are the places where a withdrawn word has to stand in a comment or a string: names that
 // mixed releases, operators' scripts and stored data share.
 var wireForms = regexp.MustCompile(strings.Join([]string{
@@ -69,29 +65,29 @@
 // fields' tags don't count.
 func textsWithWithdrawn(file string, src []byte) (found []string, err error) {
 	fs := token.NewFileSet()
-	f, err := parser.ParseFile(fs, file, src, parser.ParseComments)
+	parsed, err := parser.ParseFile(fs, file, src, parser.ParseComments)
 	if err != nil {
 		return nil, err
 	}
-	look := func(at token.Pos, text string) {
+	check := func(at token.Pos, text string) {
 		if holdsWithdrawn(text) && holdsWithdrawn(wireForms.ReplaceAllString(text, "")) {
 			found = append(found, fs.Position(at).String()+": "+text)
 		}
 	}
-	for _, g := range f.Comments {
+	for _, g := range parsed.Comments {
 		for _, c := range g.List {
-			look(c.Pos(), c.Text)
+			check(c.Pos(), c.Text)
 		}
 	}
-	ast.Inspect(f, func(n ast.Node) bool {
-		switch x := n.(type) {
+	ast.Inspect(parsed, func(n ast.Node) bool {
+		switch node := n.(type) {
 		case *ast.ImportSpec:
 			return false
 		case *ast.Field:
-			x.Tag = nil
+			node.Tag = nil
 		case *ast.BasicLit:
-			if x.Kind == token.STRING {
-				look(x.Pos(), x.Value)
+			if node.Kind == token.STRING {
+				check(node.Pos(), node.Value)
 			}
 		}
 		return true
