--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -97,3 +97,30 @@
 		t.Errorf("the embedded curve: %+v", d)
 	}
 }
+
+func TestChanged(t *testing.T) {
+	old := Placement{Mode: ModeHRCS, Workers: []string{"a", "b"}, Replicated: []string{"k1", "k2"}, AdmissionFloor: 2}
+	for _, test := range []struct {
+		name   string
+		change func(next *Placement)
+		want   bool
+	}{
+		{"nothing", func(*Placement) {}, false},
+		{"only the reason and the ratios", func(next *Placement) { next.Reason, next.RMax, next.ReplicatedRatio = "x", 0.5, 0.1 }, false},
+		{"the replicated set", func(next *Placement) { next.Replicated = []string{"k1"} }, true},
+		{"the order of the replicated set", func(next *Placement) { next.Replicated = []string{"k2", "k1"} }, true},
+		{"the workers", func(next *Placement) { next.Workers = []string{"a"} }, true},
+		{"the mode", func(next *Placement) { next.Mode = ModeAllSharded }, true},
+		{"the floor within its tolerance", func(next *Placement) { next.AdmissionFloor = 2.5 }, false},
+		{"the floor beyond its tolerance", func(next *Placement) { next.AdmissionFloor = 2.6 }, true},
+	} {
+		next := old
+		test.change(&next)
+		if got := Changed(&old, &next); got != test.want {
+			t.Errorf("%s: changed %v", test.name, got)
+		}
+	}
+	if !Changed(nil, &old) {
+		t.Error("the first placement is no change")
+	}
+}
