--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -190,17 +190,22 @@
 	return best
 }
 
+// tick ticks all members but the isolated one.
+func (c *scriptedCluster) tick() {
+	for _, member := range c.members {
+		if member != c.isolated {
+			member.shard.core.Tick()
+		}
+	}
+}
+
 // awaitLeader lets time pass until a member leads that isn't isolated.
 func (c *scriptedCluster) awaitLeader() {
 	for range 10 * electionTicks {
 		if leader := c.leader(); leader != nil && leader.shard.core.HasAppliedCurrentTerm() {
 			return
 		}
-		for _, member := range c.members {
-			if member != c.isolated {
-				member.shard.core.Tick()
-			}
-		}
+		c.tick()
 		c.deliverAll()
 	}
 	c.t.Fatal("no leader")
@@ -210,9 +215,7 @@
 func (c *scriptedCluster) heal() {
 	c.isolated = nil
 	for range 2 * heartbeatTicks {
-		for _, member := range c.members {
-			member.shard.core.Tick()
-		}
+		c.tick()
 		c.deliverAll()
 	}
 	c.awaitLeader()
@@ -232,11 +235,7 @@
 		if c.leader() != nil {
 			return
 		}
-		for _, member := range c.members {
-			if member != c.isolated {
-				member.shard.core.Tick()
-			}
-		}
+		c.tick()
 		c.deliverRound()
 	}
 	c.t.Fatal("no other leader")
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -116,6 +116,8 @@
 	return all
 }
 
+// addLeaseHolders adds holders of one lease. Its name is part of the log: with a longer one logs are compacted
+// at other times, and seeds give other runs.
 func (s *simBase) addLeaseHolders(count int) {
 	for i := range count {
 		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: s.randomClockRate()}
@@ -182,3 +184,22 @@
 func (s *simBase) lastTrace(lines int) string {
 	return strings.Join(s.trace[max(0, len(s.trace)-lines):], "\n")
 }
+
+// awaitResponse calls done with a response in the next step, or when it comes, unless the process
+// that was asked ends before, or answerTimeout passes.
+func (s *simBase) awaitResponse(response *wire.ChangeResponse, pending <-chan *wire.ChangeResponse, isSameProcess func() bool, done func(*wire.ChangeResponse)) {
+	begun := s.now
+	s.inProgress = append(s.inProgress, func() bool {
+		if response == nil {
+			select {
+			case response = <-pending:
+			default:
+				return isSameProcess() && s.now-begun < answerTimeout
+			}
+		}
+		if isSameProcess() {
+			done(response)
+		}
+		return false
+	})
+}
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -98,20 +98,13 @@
 		return
 	}
 	pending, response := node.shard.propose(request, nil)
-	generation, begun, lost, committed := node.generation, s.now, s.random.Float64() < s.lossRate, response == nil
+	generation, isLost, committed := node.generation, s.random.Float64() < s.lossRate, response == nil
+	isSameProcess := func() bool { return node.generation == generation }
 	s.runStep(node)
-	s.inProgress = append(s.inProgress, func() bool {
-		if response == nil {
-			select {
-			case response = <-pending.response:
-			default:
-				return node.generation == generation && s.now-begun < answerTimeout
-			}
-		}
-		if node.generation == generation && !lost && s.isRunning(node) {
+	s.awaitResponse(response, pending.response, isSameProcess, func(response *wire.ChangeResponse) {
+		if !isLost && s.isRunning(node) {
 			done(response, committed)
 		}
-		return false
 	})
 }
 
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -17,20 +17,13 @@
 	}
 	pending, response := node.shard.propose(request, nil)
 	node.shard.handleReady()
-	generation, begun := node.generation, s.now
-	lost := s.random.Float64() < s.lossRate
-	s.inProgress = append(s.inProgress, func() bool {
-		if response == nil {
-			select {
-			case response = <-pending.response:
-			default:
-				return node.generation == generation && s.now-begun < answerTimeout
-			}
-		}
-		if node.generation == generation && !lost && s.isRunning(node) {
+	generation := node.generation
+	isLost := s.random.Float64() < s.lossRate
+	isSameProcess := func() bool { return node.generation == generation }
+	s.awaitResponse(response, pending.response, isSameProcess, func(response *wire.ChangeResponse) {
+		if !isLost && s.isRunning(node) {
 			done(response)
 		}
-		return false
 	})
 }
 
