--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -34,15 +34,14 @@
 	stopping        bool           // this process stops
 }
 
-// openGroupShard makes the shard of a group. If its disk can't be opened, the shard runs without taking
+// openGroupShard makes a new shard the one of a group. If its disk can't be opened, the shard runs without taking
 // part until retryReopen succeeds.
-func openGroupShard(shard *shard, group *group) *shard {
+func openGroupShard(shard *shard, group *group) {
 	shard.group, group.consensusConfig.DynamicMembership = group, true
 	group.leaving = map[string]int{}
 	shard.core = consensus.New(group.consensusConfig, consensus.LearnerSnapshot(""), nil)
 	shard.failure = shard.reopen()
 	shard.publishRecovered()
-	return shard
 }
 
 // reopen recovers the member from its disk, as a new start does. What it reads may have been written by
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -151,7 +151,7 @@
 	if s.failure != nil || !status.IsLeader {
 		return &wire.JoinResponse{Outcome: wire.OutcomeNotLeader, Leader: status.Leader}
 	}
-	accepted := false
+	var accepted bool
 	if request.Leaving {
 		accepted = s.handleLeave(request.Name)
 	} else {
