--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -108,33 +108,33 @@
 // startAttempt starts an attempt and waits for its first line. If it fails, notExecuted says whether it is
 // proven that the attempt never started.
 func (req *request) startAttempt(service string, choice Choice, deadline time.Duration) (started *stream, notExecuted bool, err error) {
-	p, worker := req.proxy, choice.Worker
+	proxy, worker := req.proxy, choice.Worker
 	remaining := req.timeRemaining()
 	ctx, cancel := context.WithCancel(req.ctx)
-	s := &stream{
-		proxy:     p,
+	answer := &stream{
+		proxy:     proxy,
 		id:        req.ask.RequestID,
 		worker:    worker.Name,
 		zone:      worker.Zone,
-		startedAt: p.clock.Now(),
+		startedAt: proxy.clock.Now(),
 		cancel:    cancel,
 		snapshot:  req.snapshot,
 	}
-	s.watch = time.AfterFunc(p.bounds.Leave(watchIntervalRatio), func() { p.watchWorker(s, worker, cancel) })
-	response := p.backends.Start(ctx, worker.Addr, req.startRequest(worker, remaining, deadline), choice.hints())
+	answer.watch = time.AfterFunc(proxy.bounds.Leave(watchIntervalRatio), func() { proxy.watchWorker(answer, worker, cancel) })
+	response := proxy.backends.Start(ctx, worker.Addr, req.startRequest(worker, remaining, deadline), choice.hints())
 	if response.Err != nil {
-		s.finish(false)
+		answer.finish(false)
 		return nil, response.NotExecuted(), response.Err
 	}
-	p.index.recordAccesses(service, choice.Entries, worker.Name, choice.SaveNames, choice.SaveEntries)
-	s.body, s.reader = response.Body, bufio.NewReaderSize(response.Body, contract.MaxLineBytes)
-	s.verifier = contract.NewStreamVerifier(req.ask.RequestID, worker.Name)
-	if err := s.readLine(); err != nil {
-		s.finish(false)
+	proxy.index.recordAccesses(service, choice.Entries, worker.Name, choice.SaveNames, choice.SaveEntries)
+	answer.body, answer.reader = response.Body, bufio.NewReaderSize(response.Body, contract.MaxLineBytes)
+	answer.verifier = contract.NewStreamVerifier(req.ask.RequestID, worker.Name)
+	if err := answer.readLine(); err != nil {
+		answer.finish(false)
 		return nil, false, err
 	}
 	req.logDecision(choice)
-	return s, false, nil
+	return answer, false, nil
 }
 
 func (req *request) startRequest(worker *wire.Worker, remaining, deadline time.Duration) contract.StartRequest {
--- a/internal/data/callerproxy/cost.go
+++ b/internal/data/callerproxy/cost.go
@@ -16,29 +16,29 @@
 
 // estimateCost estimates what a request costs at a worker: the wait for a slot, fetches, and prefill.
 func (q *Query) estimateCost(worker *wire.Worker, entries []prefix.Entry, view *siteView) *candidate {
-	c := &candidate{worker: worker, entries: entries}
-	missingTokens, fetchUs := q.planFetches(c, view)
-	c.waitUs = q.waitUs(worker)
-	c.costUs = c.waitUs + fetchUs
+	estimate := &candidate{worker: worker, entries: entries}
+	missingTokens, fetchUs := q.planFetches(estimate, view)
+	estimate.waitUs = q.waitUs(worker)
+	estimate.costUs = estimate.waitUs + fetchUs
 	if missingTokens > 0 {
-		c.costUs += q.PrefillCurve.At(float64(missingTokens))
+		estimate.costUs += q.PrefillCurve.At(float64(missingTokens))
 	}
-	return c
+	return estimate
 }
 
 // planFetches goes through the entries from the front, as far as the worker holds them or can fetch them for
 // less than their prefill. It returns the tokens that have to be prefilled, and the time of the fetches.
-func (q *Query) planFetches(c *candidate, view *siteView) (missingTokens int, fetchUs float64) {
-	if len(c.entries) > 0 {
-		missingTokens = c.entries[len(c.entries)-1].CumulativeTokens
+func (q *Query) planFetches(plan *candidate, view *siteView) (missingTokens int, fetchUs float64) {
+	if len(plan.entries) > 0 {
+		missingTokens = plan.entries[len(plan.entries)-1].CumulativeTokens
 	}
-	for i, entry := range c.entries {
-		if view.holders[entry.Key][c.worker.Name] {
-			c.hitTokens += entry.Tokens
+	for i, entry := range plan.entries {
+		if view.holders[entry.Key][plan.worker.Name] {
+			plan.hitTokens += entry.Tokens
 			missingTokens -= entry.Tokens
 			continue
 		}
-		source, bandwidth := q.fastestSource(entry.Key, c.worker.Zone, view)
+		source, bandwidth := q.fastestSource(entry.Key, plan.worker.Zone, view)
 		if source == "" || bandwidth <= 0 {
 			break
 		}
@@ -49,8 +49,8 @@
 		}
 		fetchUs += entryUs
 		missingTokens -= entry.Tokens
-		c.fetchTokens += entry.Tokens
-		c.fetchFrom = append(c.fetchFrom, fmt.Sprintf("%d=%s", i, source))
+		plan.fetchTokens += entry.Tokens
+		plan.fetchFrom = append(plan.fetchFrom, fmt.Sprintf("%d=%s", i, source))
 	}
 	return missingTokens, fetchUs
 }
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -59,7 +59,7 @@
 //
 // Example: daemon.Main("dispatcher", "edge proxy", need, callerproxy.Start)
 func Start(process *daemon.Process) error {
-	p := &Proxy{
+	proxy := &Proxy{
 		process:      process,
 		bounds:       process.Settings.Bounds,
 		clock:        process.Clock,
@@ -67,20 +67,20 @@
 		prefillCurve: placement.Default(),
 		decisions:    queue.NewRing[*wire.Decision](decisionQueueLength),
 	}
-	p.links.reset()
-	p.traffic = queue.NewActor(newTrafficTable(p.bounds), trafficQueueLength)
-	process.OnStop(p.traffic.Stop)
-	process.OnStop(p.backends.Close)
-	p.index = newPromptIndex(process, p.clock)
+	proxy.links.reset()
+	proxy.traffic = queue.NewActor(newTrafficTable(proxy.bounds), trafficQueueLength)
+	process.OnStop(proxy.traffic.Stop)
+	process.OnStop(proxy.backends.Close)
+	proxy.index = newPromptIndex(process, proxy.clock)
 	clients := daemon.NewClients(process)
-	p.follow(clients)
-	p.claims = newClaimer(process, p.follower.Snapshot, clients, process.Seed())
-	api, err := caller.NewServer(p, caller.WithErrorHandler(handleRequestError))
+	proxy.follow(clients)
+	proxy.claims = newClaimer(process, proxy.follower.Snapshot, clients, process.Seed())
+	api, err := caller.NewServer(proxy, caller.WithErrorHandler(handleRequestError))
 	if err != nil {
 		return errs.Wrap(err, "caller API")
 	}
-	process.Go(func() { p.serveCallers(http.MaxBytesHandler(flushEveryWrite(api), p.maxRequestBytes())) })
-	p.registerMetrics(process.Meter)
+	process.Go(func() { proxy.serveCallers(http.MaxBytesHandler(flushEveryWrite(api), proxy.maxRequestBytes())) })
+	proxy.registerMetrics(process.Meter)
 	return process.Serve(process.Settings.Listen, http.NewServeMux())
 }
 
--- a/internal/data/callerproxy/request.go
+++ b/internal/data/callerproxy/request.go
@@ -92,7 +92,7 @@
 // tryWorker makes one attempt. It returns a stream that has started, or the request's final error; if
 // neither, it may be called again.
 func (req *request) tryWorker() (*stream, error) {
-	p := req.proxy
+	proxy := req.proxy
 	service, err := req.resolveRoute()
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	worker := choice.Worker
 	deadline := req.startDeadline(worker)
 	if ready, pause, err := req.mayStart(choice, service, deadline); !ready {
-		p.traffic.TrySend(func(table *trafficTable) { table.cancelAttempt(worker.Name) })
+		proxy.traffic.TrySend(func(table *trafficTable) { table.cancelAttempt(worker.Name) })
 		if pause > 0 {
 			clock.Sleep(req.ctx, pause)
 		}
@@ -116,7 +116,7 @@
 		return started, nil
 	}
 	req.tried[worker.Name] = true
-	p.process.Log.Debug("callerproxy: attempt failed", "request", req.ask.RequestID, "worker", worker.Name, "not_executed", notExecuted, "error", err)
+	proxy.process.Log.Debug("callerproxy: attempt failed", "request", req.ask.RequestID, "worker", worker.Name, "not_executed", notExecuted, "error", err)
 	return nil, req.retryOrFail(service, worker.Name, notExecuted, err)
 }
 
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -92,25 +92,25 @@
 // never the client's.
 func (req *request) workerHeader(choice selection.Choice, remaining time.Duration) http.Header {
 	headers := &req.server.Headers
-	to := headers.withoutHopByHop(req.incoming.Header)
+	header := headers.withoutHopByHop(req.incoming.Header)
 	for _, name := range headers.proxyOnly() {
-		to.Del(name)
+		header.Del(name)
 	}
-	req.setChoice(to, choice)
-	setIfAny(to, headers.TimeRemaining, headers.FormatTimeRemaining(remaining))
+	req.setChoice(header, choice)
+	setIfAny(header, headers.TimeRemaining, headers.FormatTimeRemaining(remaining))
 	if req.selection.Tenant != nil {
-		setIfAny(to, headers.Tenant, req.selection.Tenant.Name)
+		setIfAny(header, headers.Tenant, req.selection.Tenant.Name)
 	}
 	if req.events != nil {
-		setIfAny(to, headers.LastEventID, req.events.lastID)
+		setIfAny(header, headers.LastEventID, req.events.lastID)
 	}
-	if _, ok := to["User-Agent"]; !ok {
-		to["User-Agent"] = nil // net/http would add its own
+	if _, ok := header["User-Agent"]; !ok {
+		header["User-Agent"] = nil // net/http would add its own
 	}
 	if len(req.body) == 0 && !req.chunked {
-		hideIdempotencyKeys(to)
+		hideIdempotencyKeys(header)
 	}
-	return to
+	return header
 }
 
 // setChoice sets the fields by which the worker learns what the selector decided.
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -56,8 +56,8 @@
 
 // accept admits a request and reads its body. A request that can't be accepted is answered at once; nil
 // is returned then.
-func (s *server) accept(w http.ResponseWriter, r *http.Request) *request {
-	req := s.newRequest(w, r)
+func (s *server) accept(writer http.ResponseWriter, incoming *http.Request) *request {
+	req := s.newRequest(writer, incoming)
 	snapshot := s.Snapshot()
 	if snapshot == nil || snapshot.Plan == nil {
 		req.reject(errs.NotExecuted, "no plan is known here yet", s.planRetryAfter())
@@ -74,21 +74,21 @@
 	}
 	req.readPromptHeaders()
 	timeout := req.deadline - req.receivedAt + settings.Fraction(s.siteSettings.TransitMs, transitRatio)
-	req.ctx, req.cancel = context.WithTimeout(r.Context(), timeout)
+	req.ctx, req.cancel = context.WithTimeout(incoming.Context(), timeout)
 	return req
 }
 
-func (s *server) newRequest(w http.ResponseWriter, r *http.Request) *request {
+func (s *server) newRequest(writer http.ResponseWriter, incoming *http.Request) *request {
 	req := &request{
 		server:            s,
-		writer:            w,
-		controller:        http.NewResponseController(w),
-		incoming:          r,
+		writer:            writer,
+		controller:        http.NewResponseController(writer),
+		incoming:          incoming,
 		receivedAt:        s.process.Clock.Now(),
 		tried:             map[string]bool{},
 		stopWriteDeadline: func() bool { return true },
 	}
-	req.selection.ID, req.selection.Zone = r.Header.Get(s.Headers.ID), s.process.Settings.Zone
+	req.selection.ID, req.selection.Zone = incoming.Header.Get(s.Headers.ID), s.process.Settings.Zone
 	return req
 }
 
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -18,25 +18,25 @@
 // A connection that the worker keeps open is reused; one that it closes while idle loses no request, whatever
 // its kind.
 func TestIdleConnectionsAreReused(t *testing.T) {
-	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
+	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		for range 3 {
-			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
+			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 {
 				t.Fatal(response)
 			}
 		}
-		if n := s.network.dials[s.workers[0].Addr]; n != 1 {
+		if n := site.network.dials[site.workers[0].Addr]; n != 1 {
 			t.Errorf("%d connections for 3 requests", n)
 		}
 	})
-	withSite(t, []workerScript{respondThenClose(okResponse)}, func(s *testSite) {
+	withSite(t, []workerScript{respondThenClose(okResponse)}, func(site *testSite) {
 		for i := range 5 {
-			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
+			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 {
 				t.Fatal(i, response)
 			}
 			synctest.Wait()
 		}
-		if s.workers[0].runs() != 5 {
-			t.Errorf("ran %d times", s.workers[0].runs())
+		if site.workers[0].runs() != 5 {
+			t.Errorf("ran %d times", site.workers[0].runs())
 		}
 	})
 }
@@ -99,9 +99,9 @@
 	for name, stray := range map[string]string{"garbage": "\x00garbage", "another's response": late, "its own response again": okResponse, "a newline": "\r\n"} {
 		for _, when := range []string{"at once", "a while later"} {
 			t.Run(name+" "+when, func(t *testing.T) {
-				n := 0
+				requests := 0
 				play := func(c net.Conn, r *http.Request, b string) bool {
-					if n++; n > 1 {
+					if requests++; requests > 1 {
 						return respondWith(okResponse)(c, r, b)
 					}
 					if when == "at once" {
@@ -121,8 +121,8 @@
 							t.Errorf("%s: %+v", id, response)
 						}
 					}
-					if n := s.workers[0].runs(); n != 3 {
-						t.Errorf("ran %d times", n)
+					if requests := s.workers[0].runs(); requests != 3 {
+						t.Errorf("ran %d times", requests)
 					}
 				})
 			})
