--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -23,6 +23,8 @@
 type scriptedCluster struct {
 	mu          sync.Mutex // guards the outcomes of changes, and newestAcked
 	t           *testing.T
+	ctx         context.Context // of requests
+	cancel      context.CancelFunc
 	key         string // of the document that changes are made of
 	members     []*scriptedMember
 	inFlight    []*wire.Message
@@ -51,7 +53,8 @@
 }
 
 func newScriptedCluster(t *testing.T, key string) *scriptedCluster {
-	c := &scriptedCluster{t: t, key: key, bodies: map[uint64]string{}}
+	ctx, cancel := context.WithCancel(t.Context())
+	c := &scriptedCluster{t: t, ctx: ctx, cancel: cancel, key: key, bodies: map[uint64]string{}}
 	for i := range 3 {
 		c.members = append(c.members, &scriptedMember{addr: fmt.Sprintf("m%d:1", i+1), disk: newSimDisk()})
 	}
@@ -187,17 +190,22 @@
 	return best
 }
 
+// tick ticks all members but the isolated one.
+func (c *scriptedCluster) tick() {
+	for _, member := range c.members {
+		if member != c.isolated {
+			member.shard.core.Tick()
+		}
+	}
+}
+
 // awaitLeader lets time pass until a member leads that isn't isolated.
 func (c *scriptedCluster) awaitLeader() {
 	for range 10 * electionTicks {
 		if leader := c.leader(); leader != nil && leader.shard.core.HasAppliedCurrentTerm() {
 			return
 		}
-		for _, member := range c.members {
-			if member != c.isolated {
-				member.shard.core.Tick()
-			}
-		}
+		c.tick()
 		c.deliverAll()
 	}
 	c.t.Fatal("no leader")
@@ -207,9 +215,7 @@
 func (c *scriptedCluster) heal() {
 	c.isolated = nil
 	for range 2 * heartbeatTicks {
-		for _, member := range c.members {
-			member.shard.core.Tick()
-		}
+		c.tick()
 		c.deliverAll()
 	}
 	c.awaitLeader()
@@ -229,11 +235,7 @@
 		if c.leader() != nil {
 			return
 		}
-		for _, member := range c.members {
-			if member != c.isolated {
-				member.shard.core.Tick()
-			}
-		}
+		c.tick()
 		c.deliverRound()
 	}
 	c.t.Fatal("no other leader")
@@ -258,12 +260,12 @@
 }
 
 // send sends a change to a member; the answer is recorded whenever it comes.
-func (c *scriptedCluster) send(ctx context.Context, change *testChange, receiver *scriptedMember) {
+func (c *scriptedCluster) send(change *testChange, receiver *scriptedMember) {
 	put := &wire.Put{Key: c.key, Body: change.body(), IfVersion: change.baseVersion, Token: change.name}
 	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}
 	replica := receiver.shard // the member may be started again meanwhile
 	go func() {
-		response := replica.change(ctx, request)
+		response := replica.change(c.ctx, request)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch {
@@ -275,3 +277,18 @@
 		}
 	}()
 }
+
+// sendAndDeliver sends a change, and delivers messages until the group is idle.
+func (c *scriptedCluster) sendAndDeliver(change *testChange, receiver *scriptedMember) {
+	c.send(change, receiver)
+	c.deliverAll()
+}
+
+// stopAll ends all requests and stops the members.
+func (c *scriptedCluster) stopAll() {
+	c.cancel()
+	for _, member := range c.members {
+		member.stop()
+	}
+	synctest.Wait()
+}
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -92,7 +92,7 @@
 
 // violationf records that something happened that must not.
 func (s *simBase) violationf(format string, a ...any) {
-	s.tracef("FAULT "+format, a...)
+	s.tracef("VIOLATION "+format, a...)
 	s.violations = append(s.violations, fmt.Sprintf(format, a...))
 }
 
@@ -111,15 +111,17 @@
 		a, b := s.inFlight[i], s.inFlight[j]
 		return a.deliverAt < b.deliverAt || a.deliverAt == b.deliverAt && a.sequence < b.sequence
 	})
-	taken := s.inFlight
+	all := s.inFlight
 	s.inFlight = nil
-	return taken
+	return all
 }
 
+// addLeaseHolders adds holders of one lease. Its name is part of the log: with a longer one logs are compacted
+// at other times, and seeds give other runs.
 func (s *simBase) addLeaseHolders(count int) {
 	for i := range count {
 		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: s.randomClockRate()}
-		holder.lease = controlclient.NewLease(nil, holder.clock, "duty", 0, fmt.Sprintf("holder-%d", i+1), simLeaseTTL)
+		holder.lease = controlclient.NewLease(nil, holder.clock, "site", 0, fmt.Sprintf("holder-%d", i+1), simLeaseTTL)
 		s.leaseHolders = append(s.leaseHolders, holder)
 	}
 }
@@ -139,7 +141,7 @@
 		}
 	}
 	if holders > 1 {
-		s.violationf("%d hold the duty at once", holders)
+		s.violationf("%d hold the lease at once", holders)
 	}
 }
 
@@ -182,3 +184,22 @@
 func (s *simBase) lastTrace(lines int) string {
 	return strings.Join(s.trace[max(0, len(s.trace)-lines):], "\n")
 }
+
+// awaitResponse calls done with a response in the next step, or when it comes, unless the process
+// that was asked ends before, or answerTimeout passes.
+func (s *simBase) awaitResponse(response *wire.ChangeResponse, pending <-chan *wire.ChangeResponse, isSameProcess func() bool, done func(*wire.ChangeResponse)) {
+	begun := s.now
+	s.inProgress = append(s.inProgress, func() bool {
+		if response == nil {
+			select {
+			case response = <-pending:
+			default:
+				return isSameProcess() && s.now-begun < answerTimeout
+			}
+		}
+		if isSameProcess() {
+			done(response)
+		}
+		return false
+	})
+}
