--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -40,14 +40,14 @@
 	if len(fitted.Sizes) < 2 {
 		return fitted
 	}
-	fitted.Slope, fitted.Base = leastSquares(fitted.Sizes, fitted.Medians)
+	fitted.Slope, fitted.Base = weightedRegression(fitted.Sizes, fitted.Medians)
 	fitted.Low, fitted.High = math.Inf(1), math.Inf(-1)
 	for run := range runs {
 		var values []float64
 		for _, size := range fitted.Sizes {
 			values = append(values, valuesBySize[size][run])
 		}
-		slope, _ := leastSquares(fitted.Sizes, values)
+		slope, _ := weightedRegression(fitted.Sizes, values)
 		fitted.Low, fitted.High = min(fitted.Low, slope), max(fitted.High, slope)
 	}
 	for i, size := range fitted.Sizes {
@@ -69,8 +69,8 @@
 	}
 }
 
-// leastSquares returns the line with the least sum of squared relative errors.
-func leastSquares(sizes, values []float64) (slope, base float64) {
+// weightedRegression returns the line with the least sum of squared relative errors.
+func weightedRegression(sizes, values []float64) (slope, base float64) {
 	var w, wx, wy, wxx, wxy float64 // sums of the weights, and of their products with sizes and values
 	for i, size := range sizes {
 		weight, value := 1.0, values[i]
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -135,20 +135,20 @@
 	var values []float64
 	if function.Name == "max" || function.Name == "ceil" {
 		for _, argument := range expression.Args {
-			v, err := s.eval(argument)
+			value, err := s.eval(argument)
 			if err != nil {
 				return 0, err
 			}
-			values = append(values, v)
+			values = append(values, value)
 		}
 		if function.Name == "ceil" {
 			return math.Ceil(values[0]), nil
 		}
-		v := values[0]
-		for _, n := range values {
-			v = max(v, n)
+		value := values[0]
+		for _, size := range values {
+			value = max(value, size)
 		}
-		return v, nil
+		return value, nil
 	}
 	lit, ok := expression.Args[0].(*ast.BasicLit)
 	if !ok || lit.Kind != token.STRING {
@@ -170,14 +170,14 @@
 	case function.Name == "base" && len(expression.Args) == 1 && !fitted.Bent:
 		return fitted.Base, nil
 	case function.Name == "at" && len(expression.Args) == 2:
-		n, err := s.eval(expression.Args[1])
+		size, err := s.eval(expression.Args[1])
 		if err != nil {
 			return 0, err
 		}
-		if v, ok := fitted.at(n); ok {
-			return v, nil
+		if value, ok := fitted.at(size); ok {
+			return value, nil
 		}
-		return 0, errs.New(errs.BadInput, "series %q is bent, and %v is outside the measured sizes", name, n)
+		return 0, errs.New(errs.BadInput, "series %q is bent, and %v is outside the measured sizes", name, size)
 	}
 	return 0, errs.New(errs.BadInput, "%s of series %q: unknown function, or the series is bent (residual %.0f%%)", function.Name, name, 100*fitted.Residual)
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -60,33 +60,33 @@
 // A change of any measured series, or of any size of the fleet, shows on the page.
 func TestWhatIsMeasuredShowsOnThePage(t *testing.T) {
 	rawModel, text := read(t, modelFile), string(read(t, textFile))
-	m, err := Read(read(t, measuredFile))
+	measured, err := Read(read(t, measuredFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, err := render(rawModel, m, text)
+	was, err := render(rawModel, measured, text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range m.Series {
-		for j := range m.Series[i].Points {
-			m.Series[i].Points[j].Value *= 1.5
+	for i := range measured.Series {
+		for j := range measured.Series[i].Points {
+			measured.Series[i].Points[j].Value *= 1.5
 		}
-		now, err := render(rawModel, m, text)
-		if err == nil && now == was && m.Series[i].Points[0].Value != 0 {
-			t.Errorf("series %s half as large again: the page stays", m.Series[i].Name)
+		now, err := render(rawModel, measured, text)
+		if err == nil && now == was && measured.Series[i].Points[0].Value != 0 {
+			t.Errorf("series %s half as large again: the page stays", measured.Series[i].Name)
 		}
-		for j := range m.Series[i].Points {
-			m.Series[i].Points[j].Value /= 1.5
+		for j := range measured.Series[i].Points {
+			measured.Series[i].Points[j].Value /= 1.5
 		}
 	}
-	s, err := computeSheet(rawModel, m)
+	s, err := computeSheet(rawModel, measured)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range s.Sizes {
 		changed := strings.Replace(string(rawModel), `"`+x.ID+`", "value": `, `"`+x.ID+`", "value": 1`, 1)
-		if now, err := render([]byte(changed), m, text); changed == string(rawModel) || err == nil && now == was {
+		if now, err := render([]byte(changed), measured, text); changed == string(rawModel) || err == nil && now == was {
 			t.Errorf("size %s larger: the page stays", x.ID)
 		}
 	}
@@ -126,34 +126,34 @@
 // A line is fitted to a straight series only; a bent one is interpolated between its sizes.
 func TestALineIsDrawnThroughNoBend(t *testing.T) {
 	straight, bent := series("s"), series("b")
-	for _, n := range []float64{10, 20, 40, 80} {
+	for _, atSize := range []float64{10, 20, 40, 80} {
 		for _, d := range []float64{0.99, 1, 1.01} {
-			straight.Points = append(straight.Points, Point{n, (3*n + 5) * d})
-			bent.Points = append(bent.Points, Point{n, n * n * d})
+			straight.Points = append(straight.Points, Point{atSize, (3*atSize + 5) * d})
+			bent.Points = append(bent.Points, Point{atSize, atSize * atSize * d})
 		}
 	}
-	l := fit(&straight)
-	if l.Bent || l.Slope < 2.99 || l.Slope > 3.01 || l.Base < 4.9 || l.Base > 5.1 || l.Low > 2.98 || l.High < 3.02 {
-		t.Errorf("a straight one: %+v", l)
+	fitted := fit(&straight)
+	if fitted.Bent || fitted.Slope < 2.99 || fitted.Slope > 3.01 || fitted.Base < 4.9 || fitted.Base > 5.1 || fitted.Low > 2.98 || fitted.High < 3.02 {
+		t.Errorf("a straight one: %+v", fitted)
 	}
-	if v, ok := l.at(1000); !ok || v < 2990 || v > 3020 {
+	if v, ok := fitted.at(1000); !ok || v < 2990 || v > 3020 {
 		t.Errorf("far along the line: %v %v", v, ok)
 	}
-	l = fit(&bent)
-	if !l.Bent || l.Residual < 0.3 {
-		t.Errorf("a bent one: %+v", l)
+	fitted = fit(&bent)
+	if !fitted.Bent || fitted.Residual < 0.3 {
+		t.Errorf("a bent one: %+v", fitted)
 	}
-	if v, ok := l.at(60); !ok || v != 4000 {
+	if v, ok := fitted.at(60); !ok || v != 4000 {
 		t.Errorf("between two sizes: %v %v", v, ok)
 	}
-	for _, n := range []float64{9, 81} {
-		if v, ok := l.at(n); ok {
-			t.Errorf("beyond what was measured: %v at %v", v, n)
+	for _, atSize := range []float64{9, 81} {
+		if v, ok := fitted.at(atSize); ok {
+			t.Errorf("beyond what was measured: %v at %v", v, atSize)
 		}
 	}
 	noisy := series("n", Point{10, 10}, Point{10, 40}, Point{10, 20}, Point{20, 30}, Point{20, 31}, Point{20, 32}, Point{40, 50}, Point{40, 60}, Point{40, 70})
-	if l := fit(&noisy); l.Bent {
-		t.Errorf("bent, though its runs are further apart than the line is off: %+v", l)
+	if fitted := fit(&noisy); fitted.Bent {
+		t.Errorf("bent, though its runs are further apart than the line is off: %+v", fitted)
 	}
 }
 
--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -24,29 +24,29 @@
 	slots := make(chan struct{}, concurrentRequests)
 	incarnation := fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano())
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
-		contract.WriteJSON(w, 200, contract.WorkerState{Name: process.Settings.Name, Incarnation: incarnation, Service: process.Settings.Option("service", ""), Model: process.Settings.Option("model", ""),
+	mux.HandleFunc("GET /v1/state", func(writer http.ResponseWriter, _ *http.Request) {
+		contract.WriteJSON(writer, 200, contract.WorkerState{Name: process.Settings.Name, Incarnation: incarnation, Service: process.Settings.Option("service", ""), Model: process.Settings.Option("model", ""),
 			Zone: process.Settings.Zone, Weights: 1, Slots: cap(slots), Busy: len(slots), ClockUs: process.Clock.Now().Microseconds()})
 	})
-	mux.HandleFunc("POST /v1/start", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST /v1/start", func(writer http.ResponseWriter, r *http.Request) {
 		var request contract.StartRequest
 		if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&request); err != nil || request.RequestID == "" {
-			contract.WriteJSON(w, 400, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: "bad"})
+			contract.WriteJSON(writer, 400, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: "bad"})
 			return
 		}
 		if reason := request.Refusal(incarnation, process.Clock.Now()); reason != "" {
-			contract.WriteJSON(w, 409, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: reason})
+			contract.WriteJSON(writer, 409, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: reason})
 			return
 		}
 		select {
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		default:
-			contract.WriteJSON(w, 409, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: "full"})
+			contract.WriteJSON(writer, 409, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: "full"})
 			return
 		}
-		w.Header().Set("Content-Type", "application/x-ndjson")
-		enc, seal := json.NewEncoder(w), contract.NewSeal(request.RequestID, process.Settings.Name)
+		writer.Header().Set("Content-Type", "application/x-ndjson")
+		enc, seal := json.NewEncoder(writer), contract.NewSeal(request.RequestID, process.Settings.Name)
 		for n := range request.Chunks {
 			t := contract.SyntheticText(request.RequestID, request.Weights, n)
 			seal.Add(n, t)
--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -270,7 +270,7 @@
 
 // Signal freezes, thaws, stops or kills a process, as the signal would.
 //
-// Example: err := cluster.Signal("cab-3", syscall.SIGKILL)
+// Example: err := cluster.Signal("runner-edge-1", syscall.SIGKILL)
 func (c *Cluster) Signal(name string, s syscall.Signal) error {
 	c.mu.Lock()
 	p := c.processes[name]
@@ -329,18 +329,18 @@
 // SetFault sets or ends a fault of the disk or the wall clock of a process's machine.
 //
 // Example: err := cluster.SetFault(process, "disk", "stall 800")
-func (c *Cluster) SetFault(p testbed.Process, what, word string) error {
+func (c *Cluster) SetFault(p testbed.Process, what, value string) error {
 	c.mu.Lock()
 	m := c.machine(p.Settings.Name)
 	c.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if what == "disk" {
-		m.diskFault = word
+		m.diskFault = value
 		return nil
 	}
-	ms, err := strconv.Atoi("0" + strings.TrimPrefix(word, "-"))
-	if m.wallClockJump = time.Duration(ms) * time.Millisecond; strings.HasPrefix(word, "-") {
+	ms, err := strconv.Atoi("0" + strings.TrimPrefix(value, "-"))
+	if m.wallClockJump = time.Duration(ms) * time.Millisecond; strings.HasPrefix(value, "-") {
 		m.wallClockJump = -m.wallClockJump
 	}
 	return errs.WrapAs(err, errs.BadInput, "wall")
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -20,57 +20,57 @@
 		t.Skip("a measurement: run it by hand")
 	}
 	site, modes := os.Getenv("TABLE_SITE"), testbed.Modes()
-	if w := os.Getenv("TABLE_MODES"); w != "" {
-		modes = strings.Split(w, ",")
+	if option := os.Getenv("TABLE_MODES"); option != "" {
+		modes = strings.Split(option, ",")
 	}
-	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 5)
+	from, seeds := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 5)
 	got := map[string][]*testbed.Report{}
-	for seed := from; seed < from+n; seed++ {
-		for _, m := range modes {
-			scenario := testbed.Scenario{Name: m, RecoveryMs: 1000, AfterRecoveryMs: 59000}
-			r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster {
-				v := s.Config.Services[s.Traffic.Model+"-main"]
-				v.Placement = m
-				s.Config.Services[s.Traffic.Model+"-main"] = v
-				s.Traffic.Rate = map[string]float64{"paramo": 45, "daegu": 30}[site]
-				for _, w := range strings.Fields(words) {
-					if x, ok := strings.CutPrefix(w, "skew="); ok {
-						for i := range s.Traffic.Kinds {
-							if _, err := fmt.Sscan(x, &s.Traffic.Kinds[i].Skew); err != nil {
+	for seed := from; seed < from+seeds; seed++ {
+		for _, mode := range modes {
+			scenario := testbed.Scenario{Name: mode, RecoveryMs: 1000, AfterRecoveryMs: 59000}
+			report := runScenario(t, scenario, site, seed, func(laidOut *testbed.Site) *Cluster {
+				v := laidOut.Config.Services[laidOut.Traffic.Model+"-main"]
+				v.Placement = mode
+				laidOut.Config.Services[laidOut.Traffic.Model+"-main"] = v
+				laidOut.Traffic.Rate = map[string]float64{"paramo": 45, "daegu": 30}[site]
+				for _, option := range strings.Fields(words) {
+					if x, ok := strings.CutPrefix(option, "skew="); ok {
+						for i := range laidOut.Traffic.Kinds {
+							if _, err := fmt.Sscan(x, &laidOut.Traffic.Kinds[i].Skew); err != nil {
 								t.Fatal(err)
 							}
 						}
 						continue
 					}
-					for i := range s.Processes {
-						if s.Processes[i].Program == programs.WorkerSim { // the first option of a name has effect
-							s.Processes[i].Settings.Options = append([]string{w}, s.Processes[i].Settings.Options...)
+					for i := range laidOut.Processes {
+						if laidOut.Processes[i].Program == programs.WorkerSim { // the first option of a name has effect
+							laidOut.Processes[i].Settings.Options = append([]string{option}, laidOut.Processes[i].Settings.Options...)
 						}
 					}
 				}
-				return New(seed, s)
+				return New(seed, laidOut)
 			})
-			if len(r.Faults) > 0 {
-				t.Errorf("%s, seed %d: %v", m, seed, r.Faults)
+			if len(report.Faults) > 0 {
+				t.Errorf("%s, seed %d: %v", mode, seed, report.Faults)
 			}
-			got[m] = append(got[m], r)
+			got[mode] = append(got[mode], report)
 		}
 	}
 	fmt.Printf("%s, %s, seeds %d to %d: median (least to most)\n| placement | hit share | fetched share | R_max | replicated | prefilled | load max/mean | first piece ms, median | 95th |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-		site, words, from, from+n-1)
-	for _, m := range modes {
+		site, words, from, from+seeds-1)
+	for _, mode := range modes {
 		col := func(form string, f func(*testbed.Report) float64) string {
 			var l []float64
-			for _, r := range got[m] {
-				l = append(l, f(r))
+			for _, report := range got[mode] {
+				l = append(l, f(report))
 			}
 			sort.Float64s(l)
 			return fmt.Sprintf(form+" ("+form+" to "+form+")", l[len(l)/2], l[0], l[len(l)-1])
 		}
-		fmt.Printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", m, col("%.3f", func(r *testbed.Report) float64 { return r.Sum.HitShare }),
-			col("%.3f", func(r *testbed.Report) float64 { return r.Sum.FetchedShare }), col("%.2f", func(r *testbed.Report) float64 { return r.RMax }),
-			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Replicated) }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.PrefilledTokens) }),
-			col("%.2f", func(r *testbed.Report) float64 { return r.Sum.LoadMaxToMean }), col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First50Ms) }),
-			col("%.0f", func(r *testbed.Report) float64 { return float64(r.Sum.First95Ms) }))
+		fmt.Printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", mode, col("%.3f", func(report *testbed.Report) float64 { return report.Sum.HitShare }),
+			col("%.3f", func(report *testbed.Report) float64 { return report.Sum.FetchedShare }), col("%.2f", func(report *testbed.Report) float64 { return report.RMax }),
+			col("%.0f", func(report *testbed.Report) float64 { return float64(report.Replicated) }), col("%.0f", func(report *testbed.Report) float64 { return float64(report.Sum.PrefilledTokens) }),
+			col("%.2f", func(report *testbed.Report) float64 { return report.Sum.LoadMaxToMean }), col("%.0f", func(report *testbed.Report) float64 { return float64(report.Sum.First50Ms) }),
+			col("%.0f", func(report *testbed.Report) float64 { return float64(report.Sum.First95Ms) }))
 	}
 }
--- a/internal/sim/clustersim/network.go
+++ b/internal/sim/clustersim/network.go
@@ -78,12 +78,12 @@
 
 // read returns bytes that have arrived. If there are none it returns how long to wait (0: without limit) and the
 // channels that are closed when the pipe or the link rules change.
-func (p *pipe) read(b []byte) (n int, wait time.Duration, pipeChanged, rulesChanged <-chan struct{}, err error) {
+func (p *pipe) read(b []byte) (count int, wait time.Duration, pipeChanged, rulesChanged <-chan struct{}, err error) {
 	rule, rules := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if rule.Cut {
+	if rule.Partitioned {
 		return 0, 0, p.changed, rules, nil
 	}
 	if p.rst && !now.Before(p.closedAt) {
@@ -94,13 +94,13 @@
 		if now.Before(first.arrival) {
 			return 0, first.arrival.Sub(now), p.changed, rules, nil
 		}
-		n = copy(b, first.data)
-		if first.data = first.data[n:]; len(first.data) == 0 {
+		count = copy(b, first.data)
+		if first.data = first.data[count:]; len(first.data) == 0 {
 			p.segments = p.segments[1:]
 		}
-		p.size -= n
+		p.size -= count
 		p.notify()
-		return n, 0, nil, nil, nil
+		return count, 0, nil, nil, nil
 	}
 	if p.fin && !now.Before(p.closedAt) {
 		return 0, 0, nil, nil, io.EOF
@@ -130,7 +130,7 @@
 	passed chan struct{}
 }
 
-func (d *deadline) set(at time.Time) {
+func (d *deadline) set(until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.timer != nil {
@@ -142,7 +142,7 @@
 		d.passed = make(chan struct{})
 	default:
 	}
-	if at.IsZero() {
+	if until.IsZero() {
 		return
 	}
 	c := d.passed
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	if remaining := time.Until(at); remaining > 0 {
+	if remaining := time.Until(until); remaining > 0 {
 		d.timer = time.AfterFunc(remaining, closePassed)
 	} else {
 		close(c)
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -20,12 +20,12 @@
 }
 
 // plantWorkerFault plants a fault in every nth worker; see the package workersim.
-func plantWorkerFault(s *testbed.Site, word string, every int) {
+func plantWorkerFault(s *testbed.Site, fault string, every int) {
 	n := 0
 	for i := range s.Processes {
 		if p := &s.Processes[i].Settings; s.Processes[i].Program == programs.WorkerSim {
 			if n++; n%every == 0 {
-				p.Options = append(p.Options, "lie="+word)
+				p.Options = append(p.Options, "lie="+fault)
 			}
 		}
 	}
@@ -42,49 +42,49 @@
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
 	}
 	cores := "core-1 core-2 core-3 core-4"
-	cut := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
-	stale := func(s *testbed.Site) { // proxies that apply their configuration however old it is
-		loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
+	partition := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
+	stale := func(site *testbed.Site) { // proxies that apply their configuration however old it is
+		loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
 	}
-	for _, x := range []struct {
+	for _, planted := range []struct {
 		point, want string
 		steps       []testbed.Step
 		heal        int
 		plant       func(*testbed.Site)
 		tamper      func([]byte) []byte
 	}{
-		{"an at-most-once request runs twice", "ran 2 times", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "twice", 2) }, nil},
-		{"rejected as not executed, yet it ran", "yet it ran", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "denies", 1) }, nil},
+		{"an at-most-once request runs twice", "ran 2 times", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "twice", 2) }, nil},
+		{"rejected as not executed, yet it ran", "yet it ran", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "denies", 1) }, nil},
 		{"a response is mixed with another", "a piece of another answer", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
 		{"chunks are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
 		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
-		{"a revoked key is accepted", "was accepted", cut, 2000, stale, nil},
-		{"a drained worker gets requests", "after it was drained", cut, 2000, stale, nil},
-		{"older weights start", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(s *testbed.Site) {
-			plantWorkerFault(s, "deaf", 2)
-			loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
+		{"a revoked key is accepted", "was accepted", partition, 2000, stale, nil},
+		{"a drained worker gets requests", "after it was drained", partition, 2000, stale, nil},
+		{"older weights start", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(site *testbed.Site) {
+			plantWorkerFault(site, "deaf", 2)
+			loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
 		}, nil},
-		{"another tenant's cache", "under its tenant", nil, 1000, func(s *testbed.Site) { plantWorkerFault(s, "walls", 1) }, nil},
-		{"too many retries", "extra runs on", nil, 12000, func(s *testbed.Site) {
-			plantWorkerFault(s, "dies", 2)
-			loosenBounds(s, programs.Proxy, func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
+		{"another tenant's cache", "under its tenant", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "walls", 1) }, nil},
+		{"too many retries", "extra runs on", nil, 12000, func(site *testbed.Site) {
+			plantWorkerFault(site, "dies", 2)
+			loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
 		}, nil},
 		{"an acknowledged configuration is lost", "doesn't return the configuration", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
 		{"service doesn't recover", "service did not recover", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
 		{"nothing", "", nil, 1000, nil, nil},
 	} {
-		t.Run(x.point, func(t *testing.T) {
-			scenario := testbed.Scenario{Name: "planted", Rate: 10, Steps: x.steps, RecoveryMs: x.heal, AfterRecoveryMs: 3000, ReadAll: true}
-			r := runScenario(t, scenario, "paramo", 3, func(s *testbed.Site) *Cluster {
-				if x.plant != nil {
-					x.plant(s)
+		t.Run(planted.point, func(t *testing.T) {
+			scenario := testbed.Scenario{Name: "planted", Rate: 10, Steps: planted.steps, RecoveryMs: planted.heal, AfterRecoveryMs: 3000, ReadAll: true}
+			report := runScenario(t, scenario, "paramo", 3, func(site *testbed.Site) *Cluster {
+				if planted.plant != nil {
+					planted.plant(site)
 				}
-				cluster := New(3, s)
-				cluster.tamperWithReads = x.tamper
+				cluster := New(3, site)
+				cluster.tamperWithReads = planted.tamper
 				return cluster
 			})
-			if all := strings.Join(r.Faults, "\n"); x.want == "" && all != "" || !strings.Contains(all, x.want) {
-				t.Errorf("%q isn't among %d faults:\n%.1500s\n%s", x.want, len(r.Faults), all, testbed.Line(r))
+			if all := strings.Join(report.Faults, "\n"); planted.want == "" && all != "" || !strings.Contains(all, planted.want) {
+				t.Errorf("%q isn't among %d faults:\n%.1500s\n%s", planted.want, len(report.Faults), all, testbed.Line(report))
 			}
 		})
 	}
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -147,22 +147,22 @@
 	delay := p.cluster.delay(p.machine, machine, addr)
 	timeout := time.NewTimer(p.cluster.dialTimeout)
 	defer timeout.Stop()
-	for roundTrip := time.NewTimer(2 * delay); ; {
+	for connectTimer := time.NewTimer(2 * delay); ; {
 		if !p.awaitRunning() {
 			return fail(net.ErrClosed)
 		}
 		outbound, changed := p.cluster.linkRule(p.machine.name, machine)
 		inbound, _ := p.cluster.linkRule(machine, p.machine.name)
-		connected := roundTrip.C
-		if outbound.Cut || inbound.Cut {
+		connected := connectTimer.C
+		if outbound.Partitioned || inbound.Partitioned {
 			connected = nil
 		}
 		select {
 		case <-timeout.C:
-			roundTrip.Stop()
+			connectTimer.Stop()
 			return fail(os.ErrDeadlineExceeded)
 		case <-p.dead:
-			roundTrip.Stop()
+			connectTimer.Stop()
 			return fail(net.ErrClosed)
 		case <-changed:
 			continue
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -29,23 +29,23 @@
 // Retirements under traffic succeed without a violation. The first one is compared with the same traffic without a
 // retirement: no more requests may miss their deadline.
 func TestRetirementsUnderTraffic(t *testing.T) {
-	late := func(r *testbed.Report) int { return r.Sum.Requests - r.Sum.Sealed }
+	late := func(report *testbed.Report) int { return report.Sum.Requests - report.Sum.Sealed }
 	for _, name := range []string{"retire-calm", "retire-troubles", "retire-abort"} {
 		scenario := scenario(t, name)
-		r := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
-		t.Log(testbed.Line(r))
-		if len(r.Faults) > 0 {
-			t.Errorf("%s:\n%s\n%s", name, strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
+		report := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
+		t.Log(testbed.Line(report))
+		if len(report.Faults) > 0 {
+			t.Errorf("%s:\n%s\n%s", name, strings.Join(report.Faults, "\n"), strings.Join(report.Steps, "\n"))
 		}
 		if name != "retire-calm" {
 			continue
 		}
 		last := scenario.Steps[len(scenario.Steps)-1].At
 		scenario.Steps, scenario.AfterRecoveryMs = nil, 40000+last
-		o := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
-		t.Log(testbed.Line(o))
-		if a, b := late(r), late(o); a > b {
-			t.Errorf("%d of %d requests weren't completed in time with a retirement, %d of %d without", a, r.Sum.Requests, b, o.Sum.Requests)
+		comparison := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
+		t.Log(testbed.Line(comparison))
+		if a, b := late(report), late(comparison); a > b {
+			t.Errorf("%d of %d requests weren't completed in time with a retirement, %d of %d without", a, report.Sum.Requests, b, comparison.Sum.Requests)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
 	}
-	for _, x := range []struct {
+	for _, planted := range []struct {
 		point, want, state string
 		every              int
 		tamper             func([]byte) []byte
@@ -117,17 +117,17 @@
 		{"a response of another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
 		scenario := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
-			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", x.state)}}
-		r := runScenario(t, scenario, "paramo", 3, func(s *testbed.Site) *Cluster {
-			if x.every > 0 {
-				plantWorkerFault(s, "boasts", x.every)
+			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", planted.state)}}
+		report := runScenario(t, scenario, "paramo", 3, func(s *testbed.Site) *Cluster {
+			if planted.every > 0 {
+				plantWorkerFault(s, "boasts", planted.every)
 			}
 			cluster := New(3, s)
-			cluster.tamperWithReads = x.tamper
+			cluster.tamperWithReads = planted.tamper
 			return cluster
 		})
-		if all := strings.Join(r.Faults, "\n"); !strings.Contains(all, x.want) {
-			t.Errorf("%s: %q isn't among the faults:\n%.1500s", x.point, x.want, all)
+		if all := strings.Join(report.Faults, "\n"); !strings.Contains(all, planted.want) {
+			t.Errorf("%s: %q isn't among the faults:\n%.1500s", planted.point, planted.want, all)
 		}
 	}
 }
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -46,7 +46,7 @@
 	BothSealed   bool
 	Faults       []string // violations of the contract
 	SentMs       int64
-	TookMs       int64
+	DurationMs   int64
 	FirstChunkAt time.Time // zero: no chunk was received
 	FirstChunkMs int64
 }
@@ -54,7 +54,7 @@
 // ReadStream reads a response to its end and checks it. A stream that is interrupted visibly is no fault; one that ends
 // in order must be complete and be the response to this request.
 //
-// Example: outcome := loadgen.ReadStream(request, "cab-3", response.Body)
+// Example: outcome := loadgen.ReadStream(request, "worker-3", response.Body)
 func ReadStream(request Request, worker string, r io.Reader) Outcome {
 	outcome := Outcome{Request: request, Worker: worker}
 	verifier := contract.NewStreamVerifier(request.ID, worker)
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -16,30 +16,30 @@
 var ask = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, Once: true}
 
 // lines returns the lines of a correct response.
-func lines(q Request, domain string, weights uint64) [][]byte {
-	es := prefix.Chain(domain, q.Model, weights, q.Parts)
-	s := contract.NewSeal(q.ID, "cab-1")
-	var l [][]byte
+func lines(request Request, domain string, weights uint64) [][]byte {
+	entries := prefix.Chain(domain, request.Model, weights, request.Parts)
+	seal := contract.NewSeal(request.ID, "cab-1")
+	var encoded [][]byte
 	put := func(p contract.Chunk) {
 		b, err := json.Marshal(p)
 		if err != nil {
 			panic(err)
 		}
-		l = append(l, append(b, '\n'))
+		encoded = append(encoded, append(b, '\n'))
 	}
-	for n := range q.Chunks {
-		t := contract.SyntheticText(es[len(es)-1].Key.String(), weights, n)
-		s.Add(n, t)
-		put(contract.Chunk{RequestID: q.ID, Number: n, Text: t})
+	for n := range request.Chunks {
+		t := contract.SyntheticText(entries[len(entries)-1].Key.String(), weights, n)
+		seal.Add(n, t)
+		put(contract.Chunk{RequestID: request.ID, Number: n, Text: t})
 	}
-	put(contract.Chunk{RequestID: q.ID, Number: q.Chunks, Seal: s.Close(), Worker: "cab-1", Weights: weights})
-	return l
+	put(contract.Chunk{RequestID: request.ID, Number: request.Chunks, Seal: seal.Close(), Worker: "cab-1", Weights: weights})
+	return encoded
 }
 
-// broken is a reader that ends with an error.
-type broken struct{ r io.Reader }
+// interruptedReader is a reader that ends with an error.
+type interruptedReader struct{ r io.Reader }
 
-func (b broken) Read(p []byte) (int, error) {
+func (b interruptedReader) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -50,8 +50,8 @@
 // ReadStream detects each fault that is planted in a correct response, and no fault in an interrupted one.
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	right := func() [][]byte { return lines(ask, "shared", 3) }
-	if o := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(right(), nil))); !o.Sealed || len(o.Faults) > 0 {
-		t.Fatalf("a correct response: %+v", o)
+	if outcome := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(right(), nil))); !outcome.Sealed || len(outcome.Faults) > 0 {
+		t.Fatalf("a correct response: %+v", outcome)
 	}
 	other := ask
 	other.ID = "r2"
@@ -66,19 +66,19 @@
 		"another tenant's response": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
 		"cut short, sealed anew":    func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
-		if o := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(o.Faults) == 0 {
-			t.Errorf("%s: not caught: %+v", name, o)
+		if outcome := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(outcome.Faults) == 0 {
+			t.Errorf("%s: not caught: %+v", name, outcome)
 		}
 	}
-	if o := ReadStream(ask, "cab-1", broken{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(o.Faults) > 0 || o.Sealed || o.Interrupted == "" {
-		t.Errorf("an interrupted stream is no fault: %+v", o)
+	if outcome := ReadStream(ask, "cab-1", interruptedReader{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(outcome.Faults) > 0 || outcome.Sealed || outcome.Interrupted == "" {
+		t.Errorf("an interrupted stream is no fault: %+v", outcome)
 	}
 }
 
 // Outcomes are checked against the workers' journals.
 func TestJournalsAreReconciled(t *testing.T) {
 	run := workersim.Run{RequestID: "r1"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		o    Outcome
 		js   map[string][]workersim.Run
@@ -91,10 +91,10 @@
 		{"sealed, but in no journal", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
 	} {
 		b := &OutcomeLog{}
-		b.Add(c.o)
-		got := strings.Join(b.Summarize(c.js, true).Faults, "; ")
-		if c.want == "" && got != "" || c.want != "" && !strings.Contains(got, c.want) {
-			t.Errorf("%s: faults %q", c.name, got)
+		b.Add(test.o)
+		got := strings.Join(b.Summarize(test.js, true).Faults, "; ")
+		if test.want == "" && got != "" || test.want != "" && !strings.Contains(got, test.want) {
+			t.Errorf("%s: faults %q", test.name, got)
 		}
 	}
 }
--- a/internal/sim/loadgen/client.go
+++ b/internal/sim/loadgen/client.go
@@ -42,7 +42,7 @@
 const (
 	connectionRefused = "refused"        // nothing was sent
 	unreachable       = "unreachable"    // the connection failed
-	heldPastWait      = "held-past-wait" // no response within the request's wait and clientGrace
+	deadlinePassed    = "held-past-wait" // no response within the request's wait and clientGrace
 )
 
 const (
@@ -63,7 +63,7 @@
 	for i := 1; i < len(c.Edges) && outcome.Rejected == connectionRefused; i++ {
 		outcome = c.sendTo(ctx, c.Edges[(edge+i)%len(c.Edges)], request) // nothing was sent: another edge node may be tried
 	}
-	outcome.SentMs, outcome.TookMs = sentAt.UnixMilli(), time.Since(sentAt).Milliseconds()
+	outcome.SentMs, outcome.DurationMs = sentAt.UnixMilli(), time.Since(sentAt).Milliseconds()
 	if !outcome.FirstChunkAt.IsZero() {
 		outcome.FirstChunkMs = outcome.FirstChunkAt.Sub(sentAt).Milliseconds()
 	}
@@ -93,7 +93,7 @@
 			outcome.Rejected = connectionRefused
 		}
 		if errors.Is(err, context.DeadlineExceeded) {
-			outcome.Rejected = heldPastWait
+			outcome.Rejected = deadlinePassed
 		}
 		return outcome
 	}
--- a/internal/sim/loadgen/journals.go
+++ b/internal/sim/loadgen/journals.go
@@ -29,7 +29,7 @@
 
 // Journals requests the journals of running workers, given by name and address.
 //
-// Example: journals, err := loadgen.Journals(ctx, map[string]string{"cab-1": "127.10.1.21:9000"})
+// Example: journals, err := loadgen.Journals(ctx, map[string]string{"worker-1": "127.10.1.21:9000"})
 func Journals(ctx context.Context, addrs map[string]string) (map[string][]workersim.Run, error) {
 	journals := map[string][]workersim.Run{}
 	var batch errs.Batch
--- a/internal/sim/loadgen/summary.go
+++ b/internal/sim/loadgen/summary.go
@@ -147,11 +147,11 @@
 	s.summary.CachedTokens += outcome.Final.CachedTokens
 	s.summary.FetchedTokens += outcome.Final.FetchedTokens
 	s.summary.PrefilledTokens += outcome.Final.PrefilledTokens
-	s.all = append(s.all, outcome.TookMs)
+	s.all = append(s.all, outcome.DurationMs)
 	if outcome.Request.Once {
-		s.once = append(s.once, outcome.TookMs)
+		s.once = append(s.once, outcome.DurationMs)
 	} else {
-		s.repeatable = append(s.repeatable, outcome.TookMs)
+		s.repeatable = append(s.repeatable, outcome.DurationMs)
 	}
 	if outcome.Request.App {
 		return
@@ -166,7 +166,7 @@
 // check compares an outcome with the workers' journals.
 func (s *summarizer) check(outcome Outcome) {
 	timesRun := s.timesRun[outcome.Request.ID]
-	if outcome.Rejected == heldPastWait {
+	if outcome.Rejected == deadlinePassed {
 		s.fault(outcome, "no response within its wait")
 	}
 	if outcome.BothSealed {
--- a/internal/sim/loadgen/traffic.go
+++ b/internal/sim/loadgen/traffic.go
@@ -112,15 +112,15 @@
 	draw = s.random.Float64()
 	for i, kind := range s.traffic.Kinds {
 		if draw -= kind.Share; draw < 0 || i == len(s.traffic.Kinds)-1 {
-			position, rank := s.random.Float64(), 0
-			for s.prefixCDF[i][rank] < position {
-				rank++
+			position, index := s.random.Float64(), 0
+			for s.prefixCDF[i][index] < position {
+				index++
 			}
 			request.Kind, request.Chunks, request.ServedBy = kind.Name, kind.Chunks, kind.ServedBy
 			if kind.Model != "" {
 				request.Model = kind.Model
 			}
-			request.Parts = []string{repeatedText(fmt.Sprintf("%s-opening-%d", kind.Name, rank), kind.PrefixTokens)}
+			request.Parts = []string{repeatedText(fmt.Sprintf("%s-opening-%d", kind.Name, index), kind.PrefixTokens)}
 			if kind.SessionTokens > 0 {
 				request.Parts = append(request.Parts, repeatedText(fmt.Sprintf("%s-session-%d", kind.Name, s.random.IntN(kind.Sessions)), kind.SessionTokens))
 			}
--- a/internal/sim/storesim/store.go
+++ b/internal/sim/storesim/store.go
@@ -31,34 +31,34 @@
 	}
 	cache, incarnation := workersim.NewCache(capacity), fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano())
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /v1/state", func(writer http.ResponseWriter, _ *http.Request) {
 		used, capacity := cache.Used()
-		contract.WriteJSON(w, 200, contract.WorkerState{Name: process.Settings.Name, Incarnation: incarnation, Zone: process.Settings.Zone, KVTokens: used, KVCapacity: capacity})
+		contract.WriteJSON(writer, 200, contract.WorkerState{Name: process.Settings.Name, Incarnation: incarnation, Zone: process.Settings.Zone, KVTokens: used, KVCapacity: capacity})
 	})
-	mux.HandleFunc("GET /v1/kept", func(w http.ResponseWriter, r *http.Request) {
-		after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
+	mux.HandleFunc("GET /v1/kept", func(writer http.ResponseWriter, request *http.Request) {
+		after, err := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 		if err != nil {
 			after = 0
 		}
-		reports := cache.Reports(after, r.URL.Query().Get("whole") == "true", process.Clock.Now())
+		reports := cache.Reports(after, request.URL.Query().Get("whole") == "true", process.Clock.Now())
 		reports.Incarnation = incarnation
-		contract.WriteJSON(w, 200, reports)
+		contract.WriteJSON(writer, 200, reports)
 	})
-	mux.HandleFunc("GET /kv/{key}", func(w http.ResponseWriter, r *http.Request) {
-		if n, ok := cache.Lookup(r.PathValue("key")); ok {
-			contract.WriteJSON(w, 200, contract.CachedPrefix{Key: r.PathValue("key"), Tokens: n})
+	mux.HandleFunc("GET /kv/{key}", func(writer http.ResponseWriter, request *http.Request) {
+		if n, ok := cache.Lookup(request.PathValue("key")); ok {
+			contract.WriteJSON(writer, 200, contract.CachedPrefix{Key: request.PathValue("key"), Tokens: n})
 			return
 		}
-		contract.WriteJSON(w, 404, map[string]string{"error": "not held"})
+		contract.WriteJSON(writer, 404, map[string]string{"error": "not held"})
 	})
-	mux.HandleFunc("PUT /kv/{key}", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("PUT /kv/{key}", func(writer http.ResponseWriter, request *http.Request) {
 		var k contract.CachedPrefix
-		if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&k); err != nil || k.Key != r.PathValue("key") || k.Tokens <= 0 {
-			contract.WriteJSON(w, 400, map[string]string{"error": "give k and n"})
+		if err := json.NewDecoder(io.LimitReader(request.Body, maxBody)).Decode(&k); err != nil || k.Key != request.PathValue("key") || k.Tokens <= 0 {
+			contract.WriteJSON(writer, 400, map[string]string{"error": "give k and n"})
 			return
 		}
 		cache.Store(k.Key, k.Tokens)
-		contract.WriteJSON(w, 200, k)
+		contract.WriteJSON(writer, 200, k)
 	})
 	process.Every(reportInterval, func() { cache.CloseReport(false, process.Clock.Now()) })
 	if err := process.Serve(process.Settings.Public, mux); err != nil {
--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -125,13 +125,13 @@
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[5], "/v1/setup")
 		var config struct {
 			Configuration struct {
-				Drains map[string]bool `json:"drains"`
+				Draining map[string]bool `json:"drains"`
 			} `json:"setup"`
 		}
 		if json.Unmarshal([]byte(body), &config) != nil {
 			continue
 		}
-		for worker := range config.Configuration.Drains {
+		for worker := range config.Configuration.Draining {
 			state, err := backends.State(ctx, run.fleet.Site.Workers[worker])
 			if done[worker] || err != nil || state.Busy > 0 || state.Queued > 0 {
 				continue
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -27,7 +27,7 @@
 	}
 	run.checkSealedShares(log, closed, int64(heal))
 	run.checkRevokedKeys(log, journals)
-	run.checkWeightsAndDrains(journals)
+	run.checkWeightsAndDraining(journals)
 	run.checkRetryBudget(log, journals)
 	orders, err := run.fleet.Orders()
 	if err != nil {
@@ -37,7 +37,7 @@
 		run.addFault("%s", f)
 	}
 	if run.scenario.ReadAll {
-		run.checkReadBack(ctx)
+		run.checkConfigurationsAgree(ctx)
 	}
 	run.recordPlacement(ctx)
 	run.checkHistory()
@@ -88,7 +88,7 @@
 		default:
 			after.add(outcome)
 		}
-		if _, gone := run.keyRevokedMs[outcome.Request.Key]; gone {
+		if _, revoked := run.keyRevokedMs[outcome.Request.Key]; revoked {
 			continue
 		}
 		if outcome.SentMs >= closed+heal {
@@ -159,8 +159,8 @@
 	}
 }
 
-// checkWeightsAndDrains checks that no request starts on older weights after their bound, nor on a drained worker.
-func (run *scenarioRun) checkWeightsAndDrains(journals map[string][]workersim.Run) {
+// checkWeightsAndDraining checks that no request starts on older weights after their bound, nor on a drained worker.
+func (run *scenarioRun) checkWeightsAndDraining(journals map[string][]workersim.Run) {
 	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	newer := map[uint64]int{}
 	for name, runs := range journals {
@@ -239,24 +239,24 @@
 	return extraRuns, firstRuns
 }
 
-// checkReadBack checks that every operator address returns the same configuration, at least as new as the latest
+// checkConfigurationsAgree checks that every operator address returns the same configuration, at least as new as the latest
 // acknowledged version.
-func (run *scenarioRun) checkReadBack(ctx context.Context) {
+func (run *scenarioRun) checkConfigurationsAgree(ctx context.Context) {
 	bodies := map[string][]string{}
 	for _, addr := range run.fleet.Site.Operators {
 		code, body := run.fleet.Get(ctx, addr, "/v1/setup")
-		var answer struct {
-			Epoch         int64           `json:"epoch"`
+		var response struct {
+			Version       int64           `json:"epoch"`
 			Configuration json.RawMessage `json:"setup"`
 		}
-		if code != 200 || json.Unmarshal([]byte(body), &answer) != nil {
+		if code != 200 || json.Unmarshal([]byte(body), &response) != nil {
 			run.addFault("%s doesn't return the configuration: %d %.200s", addr, code, body)
 			continue
 		}
-		if answer.Epoch < run.acknowledgedVersion {
-			run.addFault("%s returned configuration version %d, but %d was acknowledged", addr, answer.Epoch, run.acknowledgedVersion)
+		if response.Version < run.acknowledgedVersion {
+			run.addFault("%s returned configuration version %d, but %d was acknowledged", addr, response.Version, run.acknowledgedVersion)
 		}
-		content := fmt.Sprintf("%d %s", answer.Epoch, answer.Configuration)
+		content := fmt.Sprintf("%d %s", response.Version, response.Configuration)
 		bodies[content] = append(bodies[content], addr)
 	}
 	if len(bodies) > 1 {
@@ -268,24 +268,24 @@
 // byte is net+100.
 func (s *Site) addRelays(links *Links, net int) error {
 	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
-	to := func(a string) string { return strings.Replace(a, old, via, 1) }
+	relayed := func(a string) string { return strings.Replace(a, old, via, 1) }
 	var batch errs.Batch
 	for i := range s.Processes {
 		process := &s.Processes[i].Settings
 		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
-		batch.Add("relay", links.Relay(to(process.Listen), process.Listen, process.Name))
-		process.Advertise = to(process.Listen)
+		batch.Add("relay", links.Relay(relayed(process.Listen), process.Listen, process.Name))
+		process.Advertise = relayed(process.Listen)
 		switch s.Processes[i].Program {
 		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
-			batch.Add("relay", links.Relay(to(process.Public), process.Public, process.Name))
+			batch.Add("relay", links.Relay(relayed(process.Public), process.Public, process.Name))
 		}
 		for j := range process.Seeds {
 			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
 		}
-		process.WorkerList = to(process.WorkerList)
+		process.WorkerList = relayed(process.WorkerList)
 	}
 	for i := range s.WorkerList {
-		s.WorkerList[i].Addr = to(s.WorkerList[i].Addr)
+		s.WorkerList[i].Addr = relayed(s.WorkerList[i].Addr)
 	}
 	return batch.Err()
 }
--- a/internal/sim/testbed/confighistory.go
+++ b/internal/sim/testbed/confighistory.go
@@ -89,10 +89,10 @@
 }
 
 // attempt sends a change once and records the outcome.
-func (run *scenarioRun) attempt(ctx context.Context, c configurationChange, raw []byte, addr string) (history.Outcome, uint64) {
+func (run *scenarioRun) attempt(ctx context.Context, change configurationChange, raw []byte, addr string) (history.Outcome, uint64) {
 	attemptCtx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	attempt := run.history.BeginAttempt(c.operation())
+	attempt := run.history.BeginAttempt(change.operation())
 	code, body := run.fleet.Post(attemptCtx, addr, "/v1/setup", raw)
 	var answer struct {
 		Version uint64 `json:"epoch"`
@@ -108,7 +108,7 @@
 		run.acknowledgedVersion = max(run.acknowledgedVersion, int64(answer.Version))
 		run.mu.Unlock()
 		return history.Acknowledged, answer.Version
-	case answer.Kind == errs.Conflict.Name && c.base != nil:
+	case answer.Kind == errs.Conflict.Name && change.base != nil:
 		attempt.Complete(history.Rejected, 0)
 		return history.Rejected, 0
 	case answer.Kind == errs.Conflict.Name: // it was merged onto a version that has been superseded
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -118,12 +118,12 @@
 }
 
 // SetFault implements Environment: it writes the file that the process's faults= or wall= option names.
-func (env *localEnvironment) SetFault(process Process, what, word string) error {
+func (env *localEnvironment) SetFault(process Process, what, value string) error {
 	file := filepath.Join(env.dir, process.Settings.Name+map[string]string{"disk": ".fault", "wall": ".wall"}[what])
-	if word == "" {
+	if value == "" {
 		return os.Remove(file)
 	}
-	return os.WriteFile(file, []byte(word), 0o644)
+	return os.WriteFile(file, []byte(value), 0o644)
 }
 
 // Journal implements Environment.
--- a/internal/sim/testbed/faultkinds.go
+++ b/internal/sim/testbed/faultkinds.go
@@ -18,7 +18,7 @@
 	{"edge-killed", onEdges("kill", "start", edgeProcesses, 1)},
 	{"edge-frozen", onEdges("freeze", "thaw", edgeProcesses, 1)},
 	{"edge-cut", onEdges("off", "mend", "%", 1)},
-	{"edge-half-cut", drawEdgeHalfCut},
+	{"edge-half-cut", drawOneWayPartition},
 	{"edges-killed", onEdges("kill", "start", edgeProcesses, 3)},
 	{"worker-frozen", onWorkers("freeze", "thaw", 2)},
 	{"core-killed", onCoreMachine("kill", "start", coreProcesses)},
@@ -62,9 +62,9 @@
 }
 
 // onWorkers returns a fault of one to atMost healthy workers.
-func onWorkers(action, undo string, atMost int) func(*faultGenerator, *Fault) {
+func onWorkers(action, undo string, limit int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
-		if names := gen.takeHealthy("cab", workers, 1+gen.random.IntN(atMost)); len(names) > 0 {
+		if names := gen.takeHealthy(workerPrefix, workers, 1+gen.random.IntN(limit)); len(names) > 0 {
 			fault.Steps = gen.faultAndRepair(action, undo, expandNames("%", names))
 		}
 	}
@@ -73,7 +73,7 @@
 // onEdges returns a fault of count edge machines, or of as many as are healthy.
 func onEdges(action, undo, processes string, count int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
-		if names := gen.takeHealthy("edge", edgeMachines, count); len(names) > 0 {
+		if names := gen.takeHealthy(edgePrefix, edgeMachines, count); len(names) > 0 {
 			fault.Steps = gen.faultAndRepair(action, undo, expandNames(processes, names))
 		}
 	}
@@ -100,10 +100,10 @@
 	return func(_ *faultGenerator, fault *Fault) { fault.WorkerOptions = []string{option} }
 }
 
-// drawEdgeHalfCut draws a one-way partition: what an edge machine sends to the core is lost, what it receives isn't.
-func drawEdgeHalfCut(gen *faultGenerator, fault *Fault) {
+// drawOneWayPartition draws a one-way partition: what an edge machine sends to the core is lost, what it receives isn't.
+func drawOneWayPartition(gen *faultGenerator, fault *Fault) {
 	const core = "core-1 core-2 core-3 core-4"
-	if names := gen.takeHealthy("edge", edgeMachines, 1); len(names) > 0 {
+	if names := gen.takeHealthy(edgePrefix, edgeMachines, 1); len(names) > 0 {
 		gen.atStart(fault, "cut", names[0], core)
 		gen.atEnd(fault, "mend", names[0], core)
 	}
@@ -157,7 +157,7 @@
 }
 
 func drawClockJump(gen *faultGenerator, fault *Fault) {
-	gen.atStart(fault, "wall", fmt.Sprintf("archive-core-%d", 1+gen.random.IntN(4)), fmt.Sprint(gen.random.IntN(20000000)-10000000))
+	gen.atStart(fault, "wall", fmt.Sprint(controlNodePrefix+corePrefix, 1+gen.random.IntN(coreMachines)), fmt.Sprint(gen.random.IntN(20000000)-10000000))
 }
 
 func drawWeights(gen *faultGenerator, fault *Fault) {
@@ -179,13 +179,13 @@
 }
 
 func drawDrain(gen *faultGenerator, fault *Fault) {
-	if names := gen.takeHealthy("cab", workers, 2); len(names) > 0 {
+	if names := gen.takeHealthy(workerPrefix, workers, 2); len(names) > 0 {
 		gen.atStart(fault, "drain", strings.Join(names, " "), "")
 	}
 }
 
 func drawWarning(gen *faultGenerator, fault *Fault) {
-	if names := gen.takeHealthy("cab", workers, 1); len(names) > 0 {
+	if names := gen.takeHealthy(workerPrefix, workers, 1); len(names) > 0 {
 		gen.atStart(fault, "warn", names[0], "")
 	}
 }
@@ -195,11 +195,11 @@
 }
 
 func drawStoreKilled(gen *faultGenerator, fault *Fault) {
-	fault.Steps = gen.faultAndRepair("kill", "start", "depot-1")
+	fault.Steps = gen.faultAndRepair("kill", "start", storeName)
 }
 
 func drawSlowLinks(gen *faultGenerator, fault *Fault) {
-	if names := gen.takeHealthy("cab", workers, 3); len(names) > 0 {
+	if names := gen.takeHealthy(workerPrefix, workers, 3); len(names) > 0 {
 		gen.atStart(fault, "slow", strings.Join(names, " "), fmt.Sprint(5000+gen.random.IntN(100000)))
 		gen.atEnd(fault, "mend", strings.Join(names, " "), "*")
 	}
@@ -210,9 +210,9 @@
 }
 
 func drawIndexKilled(gen *faultGenerator, fault *Fault) {
-	machine := fmt.Sprintf("edge-%d", 1+gen.random.IntN(edgeMachines))
+	machine := fmt.Sprint(edgePrefix, 1+gen.random.IntN(edgeMachines))
 	if !gen.faulty[machine] {
 		gen.faulty[machine] = true
-		fault.Steps = gen.faultAndRepair("kill", "start", "catalogue-"+machine)
+		fault.Steps = gen.faultAndRepair("kill", "start", indexPrefix+machine)
 	}
 }
--- a/internal/sim/testbed/faults.go
+++ b/internal/sim/testbed/faults.go
@@ -34,11 +34,11 @@
 	coreFaultGapMs  = 5000 // from the end of a core machine's fault to the start of the next
 )
 
-// takeHealthy draws up to n of the machines of a kind, numbered from 1 to of, that have no fault yet, and marks them
-// as faulty.
-func (gen *faultGenerator) takeHealthy(kind string, of, n int) (names []string) {
+// takeHealthy draws up to n of the machines with a name prefix, numbered from 1 to of, that have no fault yet. It marks
+// them as faulty.
+func (gen *faultGenerator) takeHealthy(prefix string, of, n int) (names []string) {
 	for _, i := range gen.random.Perm(of) {
-		if name := fmt.Sprintf("%s-%d", kind, i+1); len(names) < n && !gen.faulty[name] {
+		if name := fmt.Sprint(prefix, i+1); len(names) < n && !gen.faulty[name] {
 			gen.faulty[name] = true
 			names = append(names, name)
 		}
@@ -54,12 +54,13 @@
 	return strings.Join(expanded, " ")
 }
 
+// Patterns of process names; expandNames replaces "%" by a machine.
 const (
-	edgeProcesses = "runner-% catalogue-% dispatcher-%"
-	coreProcesses = "archive-% appraiser-%"
-	controlNode   = "archive-%"
+	edgeProcesses = agentPrefix + "% " + indexPrefix + "% " + proxyPrefix + "%"
+	coreProcesses = controlNodePrefix + "% " + placementPrefix + "%"
+	controlNode   = controlNodePrefix + "%"
 
-	allControlNodes = "archive-*"
+	allControlNodes = controlNodePrefix + "*"
 )
 
 // takeCoreMachine draws a core machine and moves the fault's time behind the core machine fault before it. It
@@ -71,7 +72,7 @@
 	gen.startMs = max(gen.startMs, gen.nextCoreFaultMs)
 	gen.endMs = max(gen.endMs, gen.startMs+500)
 	gen.nextCoreFaultMs = gen.endMs + coreFaultGapMs
-	return []string{fmt.Sprintf("core-%d", 1+gen.random.IntN(4))}, true
+	return []string{fmt.Sprint(corePrefix, 1+gen.random.IntN(coreMachines))}, true
 }
 
 func (gen *faultGenerator) faultAndRepair(do, undo, who string) []Step {
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -13,12 +13,15 @@
 	"pebbleloom/internal/errs"
 )
 
+// fittedWorker is the worker that Fit measures.
+const fittedWorker = workerPrefix + "1"
+
 // Fit starts one worker simulator, measures its prefill time for uncached prompts of many lengths, and fits the
 // curve with which the placement estimates prefill time.
 //
 // Example: curve, err := testbed.Fit(ctx, testbed.Options{Site: "paramo", Dir: dir, Programs: "bin", AddressByte: 10})
 func Fit(ctx context.Context, options Options) (placement.Curve, error) {
-	site, err := LayOut(options.Site, options.Dir, options.AddressByte, []string{"piece_us=1"})
+	site, err := NewSite(options.Site, options.Dir, options.AddressByte, []string{"piece_us=1"})
 	if err != nil {
 		return placement.Curve{}, err
 	}
@@ -26,13 +29,13 @@
 	if err := site.Write(options.Dir); err != nil {
 		return placement.Curve{}, err
 	}
-	if err := fleet.Start("cab-1"); err != nil {
+	if err := fleet.Start(fittedWorker); err != nil {
 		return placement.Curve{}, err
 	}
 	defer fleet.Stop()
 	backends := contract.NewBackends((&net.Dialer{}).DialContext)
 	for i := 0; ; i++ {
-		if _, err := backends.State(ctx, site.Workers["cab-1"]); err == nil {
+		if _, err := backends.State(ctx, site.Workers[fittedWorker]); err == nil {
 			break
 		} else if i > 50 || ctx.Err() != nil {
 			return placement.Curve{}, errs.Wrap(err, "wait for worker")
@@ -40,15 +43,15 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	var samples []placement.Sample
-	for round := range 3 {
+	for repeat := range 3 {
 		for tokens := 50; tokens <= 4000; tokens += 200 {
-			prompt := strings.Repeat(fmt.Sprintf("%02d%06d", round, tokens), tokens/2)
-			id := fmt.Sprintf("fit-%d-%d", round, tokens)
-			attempt := backends.Start(ctx, site.Workers["cab-1"], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: site.Traffic.Model, Weights: 1, Parts: []string{prompt}, Chunks: 1, WaitMs: 5000}, nil)
+			prompt := strings.Repeat(fmt.Sprintf("%02d%06d", repeat, tokens), tokens/2)
+			id := fmt.Sprintf("fit-%d-%d", repeat, tokens)
+			attempt := backends.Start(ctx, site.Workers[fittedWorker], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: site.Traffic.Model, Weights: 1, Parts: []string{prompt}, Chunks: 1, WaitMs: 5000}, nil)
 			if attempt.Err != nil {
 				return placement.Curve{}, errs.Wrap(attempt.Err, "measure")
 			}
-			verifier := contract.NewStreamVerifier(id, "cab-1")
+			verifier := contract.NewStreamVerifier(id, fittedWorker)
 			for lines := bufio.NewScanner(attempt.Body); lines.Scan(); {
 				if violation := verifier.Verify(lines.Bytes()); violation != "" {
 					return placement.Curve{}, errs.New(errs.Internal, "measure: %s", violation)
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -40,7 +40,7 @@
 
 // startSite starts a site and waits until all processes are ready. A coldStart over 0 is waited for instead, from the
 // start of the first process, whether the site is ready or not.
-func startSite(ctx context.Context, site *Site, dir string, env Environment, coldStart time.Duration) (*Fleet, error) {
+func startSite(ctx context.Context, site *Site, dir string, env Environment, startDelay time.Duration) (*Fleet, error) {
 	begun := time.Now()
 	fleet := newFleet(site, dir, env)
 	if err := site.Write(dir); err != nil {
@@ -56,12 +56,12 @@
 		}
 	}
 	err := fleet.applyFirstConfig(ctx)
-	if err == nil && coldStart == 0 {
+	if err == nil && startDelay == 0 {
 		err = fleet.awaitReady(ctx)
 	} else if err == nil {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(begun.Add(coldStart))):
+		case <-time.After(time.Until(begun.Add(startDelay))):
 		}
 	}
 	if err != nil {
@@ -82,7 +82,7 @@
 
 // Start starts or restarts a process.
 //
-// Example: err := fleet.Start("cab-3")
+// Example: err := fleet.Start("runner-edge-1")
 func (f *Fleet) Start(name string) error {
 	process, err := f.process(name)
 	if err != nil {
@@ -93,7 +93,7 @@
 
 // Signal sends a signal to a process that this fleet started.
 //
-// Example: err := fleet.Signal("cab-3", syscall.SIGKILL)
+// Example: err := fleet.Signal("runner-edge-1", syscall.SIGKILL)
 func (f *Fleet) Signal(name string, s syscall.Signal) error { return f.env.Signal(name, s) }
 
 // Stop ends every process that this fleet started.
--- a/internal/sim/testbed/layout.go
+++ b/internal/sim/testbed/layout.go
@@ -16,6 +16,7 @@
 // Sizes of a site today, and how far it can be multiplied.
 const (
 	zones           = 4
+	coreMachines    = zones // one in each zone
 	edgeMachines    = 9
 	workers         = 18
 	tenants         = 8
@@ -42,6 +43,22 @@
 	platformInternalPort = 9101
 )
 
+// Names of process instances, and prefixes of them. Scenarios, runbooks and logs of running sites hold them, so they keep
+// the first names of the programs.
+const (
+	controlNodePrefix = "archive-"    // before the machine's name
+	placementPrefix   = "appraiser-"  // before the machine's name
+	agentPrefix       = "runner-"     // before the machine's name
+	indexPrefix       = "catalogue-"  // before the machine's name
+	proxyPrefix       = "dispatcher-" // before the machine's name
+	workerPrefix      = "cab-"        // before a number from 1
+	edgePrefix        = "edge-"       // of an edge machine, before a number from 1
+	corePrefix        = "core-"       // of a core machine, before a number from 1
+	storeName         = "depot-1"
+	appName           = "app-1"
+	platformName      = "rank-1"
+)
+
 // layout collects the processes of a site.
 type layout struct {
 	site          *Site
@@ -54,19 +71,19 @@
 	platformAddr  string
 }
 
-// LayOut returns a site of today's size. net is the second byte of its loopback addresses; workerOptions go to every
+// NewSite returns a site of today's size. net is the second byte of its loopback addresses; workerOptions go to every
 // worker simulator. It fails with errs.BadInput for an unknown site.
 //
-// Example: site, err := testbed.LayOut("paramo", "/tmp/run", 10, nil)
-func LayOut(name, dir string, net int, workerOptions []string) (*Site, error) {
-	return LayOutTimes(name, dir, net, workerOptions, 1)
+// Example: site, err := testbed.NewSite("paramo", "/tmp/run", 10, nil)
+func NewSite(name, dir string, net int, workerOptions []string) (*Site, error) {
+	return NewScaledSite(name, dir, net, workerOptions, 1)
 }
 
-// LayOutTimes returns a site of 1 to 4 times today's size: the edge machines, the workers and the traffic are
+// NewScaledSite returns a site of 1 to 4 times today's size: the edge machines, the workers and the traffic are
 // multiplied, the four core machines aren't.
 //
-// Example: site, err := testbed.LayOutTimes("daegu", "/tmp/run", 10, nil, 4)
-func LayOutTimes(name, dir string, net int, workerOptions []string, times int) (*Site, error) {
+// Example: site, err := testbed.NewScaledSite("daegu", "/tmp/run", 10, nil, 4)
+func NewScaledSite(name, dir string, net int, workerOptions []string, times int) (*Site, error) {
 	if times < 1 || times > maxTimes {
 		return nil, errs.New(errs.BadInput, "times %d: give 1 to %d", times, maxTimes)
 	}
@@ -157,10 +174,10 @@
 		control := base
 		control.Listen, control.Operator = l.addr(zone, 1, controlPort), l.addr(zone, 1, operatorPort)
 		control.Data = filepath.Join(l.dir, "data", machine)
-		l.add("archive-"+machine, programs.ControlNode, control)
+		l.add(controlNodePrefix+machine, programs.ControlNode, control)
 		placement := base
 		placement.Listen = l.addr(zone, 1, placementPort)
-		l.add("appraiser-"+machine, programs.PlacementController, placement)
+		l.add(placementPrefix+machine, programs.PlacementController, placement)
 		l.site.Operators = append(l.site.Operators, control.Operator)
 	}
 }
@@ -169,17 +186,17 @@
 func (l *layout) addEdgeMachines(count int) {
 	for i := range count {
 		zone, host := i%zones+1, 11+i/zones
-		machine := fmt.Sprintf("edge-%d", i+1)
+		machine := fmt.Sprint(edgePrefix, i+1)
 		base := settings.Process{Name: machine, Zone: zoneName(zone)}
 		agent := base
 		agent.Listen, agent.Operator = l.addr(zone, host, agentPort), l.addr(zone, host, operatorPort)
-		l.add("runner-"+machine, programs.NodeAgent, agent)
+		l.add(agentPrefix+machine, programs.NodeAgent, agent)
 		index := base
 		index.Listen, index.NodeAgent = l.addr(zone, host, indexPort), agent.Listen
-		l.add("catalogue-"+machine, programs.PromptIndex, index)
+		l.add(indexPrefix+machine, programs.PromptIndex, index)
 		proxy := base
 		proxy.Listen, proxy.Public, proxy.NodeAgent = l.addr(zone, host, proxyPort), l.addr(zone, host, clientPort), agent.Listen
-		l.add("dispatcher-"+machine, programs.Proxy, proxy)
+		l.add(proxyPrefix+machine, programs.Proxy, proxy)
 		l.site.Edges = append(l.site.Edges, proxy.Public)
 		l.site.Operators = append(l.site.Operators, agent.Operator)
 	}
@@ -190,7 +207,7 @@
 	model := l.site.Traffic.Model
 	for i := range count {
 		zone, host := i%zones+1, 21+i/zones
-		name, addr := fmt.Sprintf("cab-%d", i+1), l.addr(zone, host, workerPort)
+		name, addr := fmt.Sprint(workerPrefix, i+1), l.addr(zone, host, workerPort)
 		l.site.WorkerList = append(l.site.WorkerList, contract.ListedWorker{Name: name, Addr: addr, Kind: "lm", Service: mainService(model), Zone: zoneName(zone)})
 		l.site.Workers[name] = addr
 		options := append([]string{"service=" + mainService(model), "model=" + model}, l.linkOptions...)
@@ -205,11 +222,11 @@
 	app := l.site.Traffic.App
 	appAddr, storeAddr := l.addr(2, 40, workerPort), l.addr(3, 40, workerPort)
 	l.site.WorkerList = append(l.site.WorkerList,
-		contract.ListedWorker{Name: "app-1", Addr: appAddr, Kind: "app", Service: mainService(app), Zone: zoneName(2)},
-		contract.ListedWorker{Name: "depot-1", Addr: storeAddr, Kind: "store", Zone: zoneName(3)})
-	l.add("app-1", programs.AppServiceSim, settings.Process{Name: "app-1", Zone: zoneName(2), Listen: l.addr(2, 40, workerInternalPort), Public: appAddr,
+		contract.ListedWorker{Name: appName, Addr: appAddr, Kind: "app", Service: mainService(app), Zone: zoneName(2)},
+		contract.ListedWorker{Name: storeName, Addr: storeAddr, Kind: "store", Zone: zoneName(3)})
+	l.add(appName, programs.AppServiceSim, settings.Process{Name: appName, Zone: zoneName(2), Listen: l.addr(2, 40, workerInternalPort), Public: appAddr,
 		Options: []string{"service=" + mainService(app), "model=" + app}})
-	l.add("depot-1", programs.StoreSim, settings.Process{Name: "depot-1", Zone: zoneName(3), Listen: l.addr(3, 40, workerInternalPort), Public: storeAddr})
-	l.add("rank-1", programs.PlatformSim, settings.Process{Name: "rank-1", Zone: zoneName(1), Listen: l.addr(simulatorsZone, 1, platformInternalPort), Public: l.platformAddr,
+	l.add(storeName, programs.StoreSim, settings.Process{Name: storeName, Zone: zoneName(3), Listen: l.addr(3, 40, workerInternalPort), Public: storeAddr})
+	l.add(platformName, programs.PlatformSim, settings.Process{Name: platformName, Zone: zoneName(1), Listen: l.addr(simulatorsZone, 1, platformInternalPort), Public: l.platformAddr,
 		Options: []string{"list=" + filepath.Join(l.dir, "list.json")}})
 }
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -23,7 +23,7 @@
 
 // LinkRule is how a link treats the bytes from one machine to another; the zero value passes them on at once.
 type LinkRule struct {
-	Cut            bool
+	Partitioned    bool
 	Delay          time.Duration
 	BytesPerSecond float64 // 0: no limit
 }
@@ -80,7 +80,7 @@
 	var combined LinkRule
 	for _, link := range [][2]string{{from, to}, {"*", to}, {from, "*"}} {
 		rule := l.rules[link]
-		combined.Cut = combined.Cut || rule.Cut
+		combined.Partitioned = combined.Partitioned || rule.Partitioned
 		combined.Delay = max(combined.Delay, rule.Delay)
 		if rule.BytesPerSecond > 0 && (combined.BytesPerSecond == 0 || rule.BytesPerSecond < combined.BytesPerSecond) {
 			combined.BytesPerSecond = rule.BytesPerSecond
@@ -176,7 +176,7 @@
 func (l *Links) awaitLink(from, to string, bytes int) bool {
 	for {
 		rule, wake := l.RuleBetween(from, to)
-		if !rule.Cut {
+		if !rule.Partitioned {
 			delay := rule.Delay
 			if rule.BytesPerSecond > 0 {
 				delay += time.Duration(float64(bytes) / rule.BytesPerSecond * float64(time.Second))
--- a/internal/sim/testbed/loadgenerator.go
+++ b/internal/sim/testbed/loadgenerator.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	laidOut, err := LayOut(site, "", net, nil)
+	laidOut, err := NewSite(site, "", net, nil)
 	if err != nil {
 		return fail(err)
 	}
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -96,9 +96,9 @@
 	parser.DisableShowVersionWithVersion()
 	parser.ShowCompletion = false
 	subcommands := map[string]*flaggy.Subcommand{}
-	for _, c := range commands() {
-		subcommands[c.name] = newSubcommand(c, options)
-		parser.AttachSubcommand(subcommands[c.name], 1)
+	for _, candidate := range commands() {
+		subcommands[candidate.name] = newSubcommand(candidate, options)
+		parser.AttachSubcommand(subcommands[candidate.name], 1)
 	}
 	words, err := settings.ParseStrict(parser, args)
 	if err == nil && len(words) > 1 {
@@ -110,9 +110,9 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, c := range commands() {
-		if subcommands[c.name].Used {
-			return &c, nil
+	for _, candidate := range commands() {
+		if subcommands[candidate.name].Used {
+			return &candidate, nil
 		}
 	}
 	return nil, errs.New(errs.BadInput, "no command: give up, run, compare, scenarios, play, mix, capacity or fit (see --help)")
@@ -290,7 +290,7 @@
 }
 
 func (options Options) start(ctx context.Context) (*Fleet, error) {
-	site, err := LayOutTimes(options.Site, options.Dir, options.AddressByte, nil, max(1, options.Times))
+	site, err := NewScaledSite(options.Site, options.Dir, options.AddressByte, nil, max(1, options.Times))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -56,7 +56,7 @@
 // addressByte returns the second byte of the site's addresses.
 func (f *Fleet) addressByte() string { return strings.Split(f.platformAddr(), ".")[1] }
 
-func (f *Fleet) platformAddr() string { return f.settingsOf("rank-1").Public }
+func (f *Fleet) platformAddr() string { return f.settingsOf(platformName).Public }
 
 // configLeader returns the core machine that leads the configuration's shard.
 func (f *Fleet) configLeader(ctx context.Context) (string, error) {
@@ -124,14 +124,14 @@
 		code, body := run.fleet.Post(attemptCtx, run.fleet.Site.Operators[(i+run.randomBelow(3))%len(run.fleet.Site.Operators)], path, raw)
 		cancel()
 		var response struct {
-			Epoch int64  `json:"epoch"`
-			Kind  string `json:"kind"`
+			Version int64  `json:"epoch"`
+			Kind    string `json:"kind"`
 		}
 		if json.Unmarshal([]byte(body), &response) == nil && code == 200 {
 			run.mu.Lock()
-			run.acknowledgedVersion = max(run.acknowledgedVersion, response.Epoch)
+			run.acknowledgedVersion = max(run.acknowledgedVersion, response.Version)
 			run.mu.Unlock()
-			return response.Epoch, nil
+			return response.Version, nil
 		}
 		if last = fmt.Sprintf("%d %s", code, body); code == 400 || code == 404 {
 			break
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -100,7 +100,7 @@
 // Each runbook ends a real fault of a site, and in the end the site has no problem.
 func TestRunbooksOnASite(t *testing.T) {
 	dir := t.TempDir()
-	site, err := LayOut("daegu", dir, 34, nil)
+	site, err := NewSite("daegu", dir, 34, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -14,7 +14,7 @@
 	About             string   `json:"about"`
 	Site              string   `json:"site"`
 	Rate              float64  `json:"rate"`
-	ColdStartMs       int      `json:"cold_ms"` // clients start that long after the machines, whether the site is ready or not
+	StartDelayMs      int      `json:"cold_ms"` // clients start that long after the machines, whether the site is ready or not
 	Burst             float64  `json:"burst"`   // further requests a second, until the last step
 	Links             bool     `json:"links"`   // every link goes through a relay
 	WorkerOptions     []string `json:"cab"`     // options of every worker simulator
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -68,7 +68,7 @@
 	if options.Site != "" {
 		scenario.Site = options.Site
 	}
-	site, err := LayOut(scenario.Site, options.Dir, options.AddressByte, scenario.WorkerOptions)
+	site, err := NewSite(scenario.Site, options.Dir, options.AddressByte, scenario.WorkerOptions)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if run.fleet, err = startSite(ctx, site, options.Dir, env, time.Duration(scenario.ColdStartMs)*time.Millisecond); err != nil {
+	if run.fleet, err = startSite(ctx, site, options.Dir, env, time.Duration(scenario.StartDelayMs)*time.Millisecond); err != nil {
 		return nil, err
 	}
 	defer run.fleet.Stop()
@@ -191,9 +191,9 @@
 	names := step.Targets
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	for _, word := range strings.Fields(step.Targets) {
-		if matches := run.resolved[word]; matches != nil {
-			names = strings.Replace(names, word, strings.Join(matches, " "), 1)
+	for _, target := range strings.Fields(step.Targets) {
+		if matches := run.resolved[target]; matches != nil {
+			names = strings.Replace(names, target, strings.Join(matches, " "), 1)
 		}
 	}
 	run.report.Steps = append(run.report.Steps, fmt.Sprintf("%d ms: %s %s %s: %s", time.Since(startedAt).Milliseconds(), step.Action, names, step.Argument, body))
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -16,17 +16,17 @@
 // resolveTargets returns the processes that a step names. A pattern resolves to the same processes throughout a run.
 func (run *scenarioRun) resolveTargets(ctx context.Context, targets string) ([]string, error) {
 	var names []string
-	for _, word := range strings.Fields(targets) {
+	for _, target := range strings.Fields(targets) {
 		run.mu.Lock()
-		matches, ok := run.resolved[word]
+		matches, ok := run.resolved[target]
 		run.mu.Unlock()
 		if !ok {
 			var err error
-			if matches, err = run.resolvePattern(ctx, word); err != nil {
+			if matches, err = run.resolvePattern(ctx, target); err != nil {
 				return nil, err
 			}
 			run.mu.Lock()
-			run.resolved[word] = matches
+			run.resolved[target] = matches
 			run.mu.Unlock()
 		}
 		names = append(names, matches...)
@@ -39,12 +39,12 @@
 }
 
 // resolvePattern returns the processes that match "@owner", a pattern, or "pattern:count".
-func (run *scenarioRun) resolvePattern(ctx context.Context, word string) ([]string, error) {
-	if word == "@owner" {
+func (run *scenarioRun) resolvePattern(ctx context.Context, target string) ([]string, error) {
+	if target == "@owner" {
 		count, err := run.fleet.configLeader(ctx)
-		return []string{"archive-" + count}, err
+		return []string{controlNodePrefix + count}, err
 	}
-	pattern, count, limited := strings.Cut(word, ":")
+	pattern, count, limited := strings.Cut(target, ":")
 	var matches []string
 	for _, process := range run.fleet.Site.Processes {
 		if ok, err := path.Match(pattern, process.Name); ok && err == nil {
@@ -54,7 +54,7 @@
 	if limited {
 		var limit int
 		if _, err := fmt.Sscan(count, &limit); err != nil {
-			return nil, errs.New(errs.BadInput, "%q: give pattern:count", word)
+			return nil, errs.New(errs.BadInput, "%q: give pattern:count", target)
 		}
 		run.mu.Lock()
 		run.random.Shuffle(len(matches), func(i, j int) { matches[i], matches[j] = matches[j], matches[i] })
@@ -126,23 +126,23 @@
 func (run *scenarioRun) setLinks(step Step) error {
 	var batch errs.Batch
 	for _, from := range strings.Fields(step.Targets) {
-		to, rule := step.Argument, LinkRule{Cut: true}
+		peers, rule := step.Argument, LinkRule{Partitioned: true}
 		if step.Action == "slow" {
-			to, rule = "*", LinkRule{}
+			peers, rule = "*", LinkRule{}
 			if _, batch := fmt.Sscan(step.Argument, &rule.BytesPerSecond); batch != nil {
 				return errs.New(errs.BadInput, "slow: %q: give bytes a second", step.Argument)
 			}
 		}
 		if step.Action == "off" {
-			to = "*"
+			peers = "*"
 		}
 		if step.Action == "mend" {
 			rule = LinkRule{}
-			if to == "" {
-				to = "*"
+			if peers == "" {
+				peers = "*"
 			}
 		}
-		for _, peer := range strings.Fields(to) {
+		for _, peer := range strings.Fields(peers) {
 			batch.Add(step.Action, run.fleet.env.SetLink(from, peer, rule))
 			if step.Action != "cut" {
 				batch.Add(step.Action, run.fleet.env.SetLink(peer, from, rule))
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -46,7 +46,7 @@
 
 // A short run of each site as separate processes: responses are streamed, sealed and checked against the journals, and
 // prefixes are reused.
-func TestWholeSites(t *testing.T) {
+func TestSites(t *testing.T) {
 	bin := builtPrograms(t)
 	for i, site := range Sites() {
 		t.Run(site, func(t *testing.T) {
@@ -133,8 +133,8 @@
 // Each violation of the worker leases is found: two holders with one fencing token, and a worker that accepts a lower one.
 // A regular change of the holder is no violation.
 func TestTwoCommandersAreSeen(t *testing.T) {
-	o := func(at int64, fence uint64, holder string) workersim.Run {
-		return workersim.Run{AtMs: at, FencingToken: fence, Holder: holder}
+	o := func(at int64, token uint64, holder string) workersim.Run {
+		return workersim.Run{AtMs: at, FencingToken: token, Holder: holder}
 	}
 	for name, x := range map[string]struct {
 		orders map[string][]workersim.Run
--- a/internal/sim/testbed/upgrade.go
+++ b/internal/sim/testbed/upgrade.go
@@ -65,11 +65,11 @@
 func Upgrade(ctx context.Context, options Options) (*Report, error) {
 	scenario := Scenario{Name: "upgrade", About: "an earlier release is upgraded machine by machine, and back", Site: options.Site, Rate: 25, ReadAll: true, MinSealedShare: 0.97}
 	var targets []string
-	for i := range 4 {
-		targets = append(targets, expandNames(coreProcesses, []string{fmt.Sprintf("core-%d", i+1)}))
+	for i := range coreMachines {
+		targets = append(targets, expandNames(coreProcesses, []string{fmt.Sprint(corePrefix, i+1)}))
 	}
-	for i := range 9 {
-		targets = append(targets, expandNames(edgeProcesses, []string{fmt.Sprintf("edge-%d", i+1)}))
+	for i := range edgeMachines {
+		targets = append(targets, expandNames(edgeProcesses, []string{fmt.Sprint(edgePrefix, i+1)}))
 	}
 	at := 1000
 	for i := range 2 * len(targets) {
@@ -85,7 +85,7 @@
 	return PlayOn(ctx, scenario, options, func(site *Site) (Environment, error) {
 		for i := range site.Processes {
 			process := &site.Processes[i]
-			if strings.HasPrefix(process.Settings.Name, "core-") || strings.HasPrefix(process.Settings.Name, "edge-") {
+			if strings.HasPrefix(process.Settings.Name, corePrefix) || strings.HasPrefix(process.Settings.Name, edgePrefix) {
 				process.Bin = options.EarlierRelease
 			}
 		}
@@ -108,12 +108,12 @@
 }
 
 // programsOf returns the folder of the release that a step names, "old" or "new".
-func (options Options) programsOf(word string) (string, error) {
-	switch word {
+func (options Options) programsOf(release string) (string, error) {
+	switch release {
 	case "new":
 		return filepath.Clean(options.Programs), nil
 	case "old":
 		return options.EarlierRelease, nil
 	}
-	return "", errs.New(errs.BadInput, "swap to %q: give old or new", word)
+	return "", errs.New(errs.BadInput, "swap to %q: give old or new", release)
 }
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -18,96 +18,96 @@
 
 // inBubble runs a test with a worker in a bubble of virtual time. order sends an order and ask a request; both return the
 // reason of the rejection, if any.
-func inBubble(t *testing.T, words []string, do func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(model, adapter string, build uint64) string)) {
+func inBubble(t *testing.T, options []string, test func(t *testing.T, worker *Worker, order func(contract.Order) string, ask func(model, adapter string, build uint64) string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := daemon.RealEnvironment(settings.Process{})
-		w.Clock, w.WallClock = clock.Synctest(), time.Now
-		l := daemon.NewIn(w, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
-			Options: append([]string{"log=off", "model=m", "slots=4", "fixed_us=1000", "load_ms=400", "adapter_ms=100", "memory=100", "model_room=40", "adapter_room=5", "adapters=a@1"}, words...)})
-		defer l.Stop(0)
-		c, err := openWorker(l)
+		environment := daemon.RealEnvironment(settings.Process{})
+		environment.Clock, environment.WallClock = clock.Synctest(), time.Now
+		process := daemon.NewIn(environment, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
+			Options: append([]string{"log=off", "model=m", "slots=4", "fixed_us=1000", "load_ms=400", "adapter_ms=100", "memory=100", "model_room=40", "adapter_room=5", "adapters=a@1"}, options...)})
+		defer process.Stop(0)
+		worker, err := openWorker(process)
 		if err != nil {
 			t.Fatal(err)
 		}
-		post := func(h func(*httptest.ResponseRecorder, *bytes.Reader), v any) *httptest.ResponseRecorder {
+		post := func(handler func(*httptest.ResponseRecorder, *bytes.Reader), v any) *httptest.ResponseRecorder {
 			raw, _ := json.Marshal(v) // plain fields: can't fail
-			r := httptest.NewRecorder()
-			h(r, bytes.NewReader(raw))
-			return r
+			recorder := httptest.NewRecorder()
+			handler(recorder, bytes.NewReader(raw))
+			return recorder
 		}
-		reason := func(r *httptest.ResponseRecorder) string {
+		reason := func(recorder *httptest.ResponseRecorder) string {
 			var d contract.Rejection
-			_ = json.Unmarshal(r.Body.Bytes(), &d) // a stream isn't one
+			_ = json.Unmarshal(recorder.Body.Bytes(), &d) // a stream isn't one
 			return d.Reason
 		}
-		order := func(o contract.Order) string {
-			return reason(post(func(w *httptest.ResponseRecorder, b *bytes.Reader) {
-				c.serveOrder(w, httptest.NewRequest("POST", "/", b))
-			}, o))
+		order := func(toSend contract.Order) string {
+			return reason(post(func(environment *httptest.ResponseRecorder, b *bytes.Reader) {
+				worker.serveOrder(environment, httptest.NewRequest("POST", "/", b))
+			}, toSend))
 		}
-		n := 0
+		count := 0
 		ask := func(model, adapter string, build uint64) string {
-			n++
-			s := contract.StartRequest{RequestID: fmt.Sprint("r", n), Model: model, Weights: 1, Adapter: adapter, Build: build, Parts: []string{"p"}, Chunks: 1, WaitMs: 5000}
-			r := post(func(w *httptest.ResponseRecorder, b *bytes.Reader) {
-				c.serveStart(w, httptest.NewRequest("POST", "/", b))
-			}, s)
-			if r.Code == 200 {
-				lines := strings.Split(strings.TrimSpace(r.Body.String()), "\n")
+			count++
+			request := contract.StartRequest{RequestID: fmt.Sprint("r", count), Model: model, Weights: 1, Adapter: adapter, Build: build, Parts: []string{"p"}, Chunks: 1, WaitMs: 5000}
+			recorder := post(func(environment *httptest.ResponseRecorder, b *bytes.Reader) {
+				worker.serveStart(environment, httptest.NewRequest("POST", "/", b))
+			}, request)
+			if recorder.Code == 200 {
+				lines := strings.Split(strings.TrimSpace(recorder.Body.String()), "\n")
 				var last contract.Chunk
 				if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || last.Model != model || last.Adapter != adapter || last.Build != build {
 					t.Errorf("requested %s %s@%d, sealed by %+v", model, adapter, build, last)
 				}
 				return ""
 			}
-			return reason(r)
+			return reason(recorder)
 		}
-		do(t, c, order, ask)
+		test(t, worker, order, ask)
 	})
 }
 
 // A worker holds several base models and adapters within its memory. It loads one at a time, and rejects requests for
 // what isn't loaded.
 func TestSeveralModelsInMemory(t *testing.T) {
-	inBubble(t, nil, func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
-		is := func(what, got, want string) {
+	inBubble(t, nil, func(t *testing.T, worker *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
+		expect := func(what, got, want string) {
 			t.Helper()
 			if got != want {
 				t.Errorf("%s: %q, want %q", what, got, want)
 			}
 		}
-		is("its model", ask("m", "", 0), "")
-		is("its adapter", ask("m", "a", 1), "")
-		is("another build", ask("m", "a", 2), "adapter")
-		is("another base", ask("m2", "", 0), "model")
-		is("an adapter of a base model that isn't loaded", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 1, WeightMemoryMB: 5}), "busy")
-		is("more than the free memory", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 56}), "room")
-		is("a second base", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 40}), "")
-		is("a third while it loads", order(contract.Order{Kind: "load", Model: "m3", Weights: 1, WeightMemoryMB: 1}), "busy")
-		is("before it is loaded", ask("m2", "", 0), "model")
-		if s := c.workerState(); s.Loading != "m2" || s.FreeWeightMemoryMB != 15 || s.Model != "m" {
-			t.Errorf("%+v", s)
+		expect("its model", ask("m", "", 0), "")
+		expect("its adapter", ask("m", "a", 1), "")
+		expect("another build", ask("m", "a", 2), "adapter")
+		expect("another base", ask("m2", "", 0), "model")
+		expect("an adapter of a base model that isn't loaded", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 1, WeightMemoryMB: 5}), "busy")
+		expect("more than the free memory", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 56}), "room")
+		expect("a second base", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 40}), "")
+		expect("a third while it loads", order(contract.Order{Kind: "load", Model: "m3", Weights: 1, WeightMemoryMB: 1}), "busy")
+		expect("before it is loaded", ask("m2", "", 0), "model")
+		if state := worker.workerState(); state.Loading != "m2" || state.FreeWeightMemoryMB != 15 || state.Model != "m" {
+			t.Errorf("%+v", state)
 		}
 		time.Sleep(400 * time.Millisecond) // virtual
 		synctest.Wait()
-		is("once it is loaded", ask("m2", "", 0), "")
-		is("an adapter on it", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 3, WeightMemoryMB: 5}), "")
+		expect("once it is loaded", ask("m2", "", 0), "")
+		expect("an adapter on it", order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Adapter: "a2", Build: 3, WeightMemoryMB: 5}), "")
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		is("with the adapter", ask("m2", "a2", 3), "")
-		if l := c.workerState().LoadedModels(); len(l) != 2 || l[0].Model != "m" || l[0].Adapters["a"] != 1 || l[1].Adapters["a2"] != 3 {
-			t.Errorf("%+v", l)
+		expect("with the adapter", ask("m2", "a2", 3), "")
+		if loaded := worker.workerState().LoadedModels(); len(loaded) != 2 || loaded[0].Model != "m" || loaded[0].Adapters["a"] != 1 || loaded[1].Adapters["a2"] != 3 {
+			t.Errorf("%+v", loaded)
 		}
-		is("the first base is unloaded", order(contract.Order{Kind: "unload", Model: "m"}), "")
-		is("and rejects requests", ask("m", "a", 1), "model")
-		is("the second stays", ask("m2", "a2", 3), "")
-		if s := c.workerState(); s.Model != "m2" || s.Weights != 1 || s.FreeWeightMemoryMB != 55 || len(s.LoadedModels()) != 1 {
-			t.Errorf("%+v", s)
+		expect("the first base is unloaded", order(contract.Order{Kind: "unload", Model: "m"}), "")
+		expect("and rejects requests", ask("m", "a", 1), "model")
+		expect("the second stays", ask("m2", "a2", 3), "")
+		if state := worker.workerState(); state.Model != "m2" || state.Weights != 1 || state.FreeWeightMemoryMB != 55 || len(state.LoadedModels()) != 1 {
+			t.Errorf("%+v", state)
 		}
-		is("the last is unloaded", order(contract.Order{Kind: "unload", Model: "m2"}), "")
-		if s := c.workerState(); s.Model != "" || len(s.LoadedModels()) != 0 || s.FreeWeightMemoryMB != 100 {
-			t.Errorf("%+v", s)
+		expect("the last is unloaded", order(contract.Order{Kind: "unload", Model: "m2"}), "")
+		if state := worker.workerState(); state.Model != "" || len(state.LoadedModels()) != 0 || state.FreeWeightMemoryMB != 100 {
+			t.Errorf("%+v", state)
 		}
 	})
 }
@@ -115,33 +115,33 @@
 // A base model in use isn't unloaded; an order for another incarnation, or one that a later step of its plan superseded, is
 // rejected; an unload cancels a load that is under way.
 func TestOrdersThatComeLate(t *testing.T) {
-	inBubble(t, []string{"piece_us=1000000"}, func(t *testing.T, c *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
+	inBubble(t, []string{"piece_us=1000000"}, func(t *testing.T, worker *Worker, order func(contract.Order) string, ask func(string, string, uint64) string) {
 		done := make(chan string, 1)
 		go func() { done <- ask("m", "", 0) }()
 		synctest.Wait()
-		if w := order(contract.Order{Kind: "unload", Model: "m", Plan: "p", Step: 3}); w != "busy" {
-			t.Errorf("unloaded under a request: %q", w)
+		if reason := order(contract.Order{Kind: "unload", Model: "m", Plan: "p", Step: 3}); reason != "busy" {
+			t.Errorf("unloaded under a request: %q", reason)
 		}
-		if w := <-done; w != "" {
-			t.Errorf("the request: %q", w)
+		if reason := <-done; reason != "" {
+			t.Errorf("the request: %q", reason)
 		}
 		load := contract.Order{Kind: "load", Model: "m2", Weights: 1, WeightMemoryMB: 5, Plan: "p", Step: 2}
-		if w := order(load); w != "stale" {
-			t.Errorf("a superseded order: %q", w)
+		if reason := order(load); reason != "stale" {
+			t.Errorf("a superseded order: %q", reason)
 		}
 		if load.Plan = "other"; order(load) != "" {
 			t.Error("another plan's order is rejected")
 		}
-		if w := order(contract.Order{Kind: "unload", Model: "m2", Plan: "other", Step: 4}); w != "" {
-			t.Errorf("%q", w)
+		if reason := order(contract.Order{Kind: "unload", Model: "m2", Plan: "other", Step: 4}); reason != "" {
+			t.Errorf("%q", reason)
 		}
 		time.Sleep(time.Second) // virtual
 		synctest.Wait()
-		if l := c.workerState().LoadedModels(); len(l) != 1 || c.workerState().FreeWeightMemoryMB != 55 || c.workerState().Loading != "" {
-			t.Errorf("it was loaded though the load was cancelled: %+v", c.workerState())
+		if loaded := worker.workerState().LoadedModels(); len(loaded) != 1 || worker.workerState().FreeWeightMemoryMB != 55 || worker.workerState().Loading != "" {
+			t.Errorf("it was loaded though the load was cancelled: %+v", worker.workerState())
 		}
-		if w := order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Incarnation: "cab-1/before"}); w != "incarnation" {
-			t.Errorf("an order for another incarnation: %q", w)
+		if reason := order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Incarnation: "cab-1/before"}); reason != "incarnation" {
+			t.Errorf("an order for another incarnation: %q", reason)
 		}
 	})
 }
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -27,19 +27,19 @@
 // run executes a request in a slot: it fetches prefixes from peers, waits for the prefill lock, checks once more that
 // the request may start, prefills the rest, and streams the chunks and the seal. It reports false if the wait ended
 // before the request could start.
-func (w *Worker) run(wait context.Context, rw http.ResponseWriter, r *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
+func (w *Worker) run(wait context.Context, writer http.ResponseWriter, httpRequest *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
 	if w.plantedFault == faultSharesCache {
 		request.CacheDomain = "shared"
 	}
-	a := &attempt{worker: w, http: r, rw: rw, request: request,
+	running := &attempt{worker: w, http: httpRequest, rw: writer, request: request,
 		entries: prefix.Chain(request.CacheDomain, prefix.QualifiedModel(request.Model, request.Adapter, request.Build), request.Weights, request.Parts),
 		final:   contract.Chunk{RequestID: request.RequestID, Worker: w.process.Settings.Name, Weights: request.Weights, Model: request.Model, Adapter: request.Adapter, Build: request.Build}}
-	a.fetchPrefixes()
-	if a.final.PrefilledTokens > 0 && !w.acquire(wait, w.prefill) {
+	running.fetchPrefixes()
+	if running.final.PrefilledTokens > 0 && !w.acquire(wait, w.prefill) {
 		return false
 	}
-	reason := a.begin()
-	if a.run == nil {
+	reason := running.begin()
+	if running.run == nil {
 		reject(409, reason)
 		return true
 	}
@@ -50,9 +50,9 @@
 	case faultAbortsExecutions:
 		panic(http.ErrAbortHandler)
 	}
-	current := a.cachePrefixes()
-	if a.stream() && current {
-		w.saveTo(r.Header.Get(contract.SaveTo), r.Header.Get(contract.SaveUpTo), a.entries)
+	current := running.cachePrefixes()
+	if running.stream() && current {
+		w.saveTo(httpRequest.Header.Get(contract.SaveTo), httpRequest.Header.Get(contract.SaveUpTo), running.entries)
 	}
 	return true
 }
@@ -114,7 +114,7 @@
 // stream sends the chunks and the seal. It reports false if the client has disconnected before the seal.
 func (a *attempt) stream() bool {
 	w := a.worker
-	ended := EndedBroken
+	ended := EndedInterrupted
 	defer func() { w.mu.Lock(); a.run.Ended = ended; w.mu.Unlock() }()
 	a.rw.Header().Set("Content-Type", "application/x-ndjson")
 	a.rw.WriteHeader(200)
@@ -162,8 +162,8 @@
 }
 
 // fetch reads a prefix from a peer or the store, at the speed of the link. It reports whether that succeeded.
-func (w *Worker) fetch(r *http.Request, addr, key string) bool {
-	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+addr+"/kv/"+key, nil)
+func (w *Worker) fetch(original *http.Request, addr, key string) bool {
+	request, err := http.NewRequestWithContext(original.Context(), http.MethodGet, "http://"+addr+"/kv/"+key, nil)
 	if err != nil {
 		return false
 	}
@@ -180,7 +180,7 @@
 	if crossesZones(addr, w.process.Settings.Public) {
 		rate = w.speed.CrossZoneTokensPerSecond
 	}
-	w.sleep(r, time.Duration(float64(entry.Tokens)/rate*float64(time.Second)))
+	w.sleep(original, time.Duration(float64(entry.Tokens)/rate*float64(time.Second)))
 	return true
 }
 
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -40,7 +40,7 @@
 	Once            bool   `json:"once"`
 	Weights         uint64 `json:"weights"`
 	AtMs            int64  `json:"at_ms"`
-	Ended           string `json:"ended"` // EndedSealed or EndedBroken; empty: unknown
+	Ended           string `json:"ended"` // EndedSealed or EndedInterrupted; empty: unknown
 	CachedTokens    int    `json:"hit"`
 	FetchedTokens   int    `json:"fetched"`
 	PrefilledTokens int    `json:"prefilled"`
@@ -54,8 +54,8 @@
 
 // How a journalled request ended.
 const (
-	EndedSealed = "sealed" // the response was complete
-	EndedBroken = "broken" // the client disconnected before the seal
+	EndedSealed      = "sealed" // the response was complete
+	EndedInterrupted = "broken" // the client disconnected before the seal
 )
 
 const (
@@ -162,10 +162,10 @@
 func (w *Worker) workerState() contract.WorkerState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	used, room := w.cache.Used()
+	used, capacity := w.cache.Used()
 	return contract.WorkerState{Name: w.process.Settings.Name, Incarnation: w.incarnation, Service: w.process.Settings.Option("service", ""),
 		Loaded: w.loadedModels(), Loading: w.loading, WeightMemoryMB: w.totalMB, FreeWeightMemoryMB: w.freeMemoryMB(), Model: w.model, Zone: w.process.Settings.Zone, Weights: w.weights, Slots: cap(w.slots),
-		Busy: len(w.slots), Queued: w.waiting, Draining: w.draining, FencingToken: w.fencingToken, ClockUs: w.process.Clock.Now().Microseconds(), KVTokens: used, KVCapacity: room}
+		Busy: len(w.slots), Queued: w.waiting, Draining: w.draining, FencingToken: w.fencingToken, ClockUs: w.process.Clock.Now().Microseconds(), KVTokens: used, KVCapacity: capacity}
 }
 
 func (w *Worker) serveState(rw http.ResponseWriter, _ *http.Request) {
@@ -198,29 +198,29 @@
 }
 
 // serveOrder executes an order, unless a higher fencing token was seen before.
-func (w *Worker) serveOrder(rw http.ResponseWriter, r *http.Request) {
+func (w *Worker) serveOrder(writer http.ResponseWriter, r *http.Request) {
 	var order contract.Order
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxSmallBody)).Decode(&order); err != nil {
-		contract.WriteJSON(rw, 400, contract.Rejection{NotExecuted: true, Reason: "bad"})
+		contract.WriteJSON(writer, 400, contract.Rejection{NotExecuted: true, Reason: "bad"})
 		return
 	}
 	w.mu.Lock()
 	if order.FencingToken < w.fencingToken {
 		newest := w.fencingToken
 		w.mu.Unlock()
-		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: "fence", FencingToken: newest})
+		contract.WriteJSON(writer, 409, contract.Rejection{NotExecuted: true, Reason: "fence", FencingToken: newest})
 		return
 	}
 	w.fencingToken = order.FencingToken
 	if reason := w.rejectStale(&order); reason != "" {
 		w.mu.Unlock()
-		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
+		contract.WriteJSON(writer, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
 		return
 	}
 	_ = w.writeJournal(&Run{Weights: order.Weights, AtMs: w.process.WallClock().UnixMilli(), FencingToken: order.FencingToken, Holder: order.Holder, Kind: order.Kind, Model: order.Model, Adapter: order.Adapter, Build: order.Build}) // writeJournal logs the error; the order is executed nevertheless
 	if reason := w.executeOrder(&order); reason != "" {
 		w.mu.Unlock()
-		contract.WriteJSON(rw, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
+		contract.WriteJSON(writer, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
 		return
 	}
 	if order.Kind == "weights" && (order.Model == "" || order.Model == w.model) && order.Weights > w.weights && w.plantedFault != faultIgnoresWeights {
@@ -229,7 +229,7 @@
 		w.process.Log.Info("weights loaded", "weights", order.Weights)
 	}
 	w.mu.Unlock()
-	contract.WriteJSON(rw, 200, w.workerState())
+	contract.WriteJSON(writer, 200, w.workerState())
 }
 
 func (w *Worker) serveCachedPrefix(rw http.ResponseWriter, r *http.Request) {
@@ -252,12 +252,12 @@
 }
 
 // serveStart admits a request, waits for a slot and executes it.
-func (w *Worker) serveStart(rw http.ResponseWriter, r *http.Request) {
+func (w *Worker) serveStart(writer http.ResponseWriter, httpRequest *http.Request) {
 	var request contract.StartRequest
 	reject := func(code int, reason string) {
-		contract.WriteJSON(rw, code, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: reason})
+		contract.WriteJSON(writer, code, contract.Rejection{RequestID: request.RequestID, NotExecuted: true, Reason: reason})
 	}
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&request); err != nil || len(request.Parts) == 0 || request.RequestID == "" {
+	if err := json.NewDecoder(io.LimitReader(httpRequest.Body, maxBody)).Decode(&request); err != nil || len(request.Parts) == 0 || request.RequestID == "" {
 		reject(400, "bad")
 		return
 	}
@@ -285,14 +285,14 @@
 	if request.BeginByUs > 0 {
 		remaining = min(remaining, time.Duration(request.BeginByUs)*time.Microsecond-w.process.Clock.Now())
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), remaining)
+	ctx, cancel := context.WithTimeout(httpRequest.Context(), remaining)
 	acquired := w.acquire(ctx, w.slots)
 	w.mu.Lock()
 	w.waiting--
 	w.mu.Unlock()
 	if acquired {
 		defer func() { <-w.slots }()
-		acquired = w.run(ctx, rw, r, &request, reject)
+		acquired = w.run(ctx, writer, httpRequest, &request, reject)
 	}
 	if cancel(); !acquired {
 		reject(409, "full")
--- a/internal/tools/ciresult/main.go
+++ b/internal/tools/ciresult/main.go
@@ -21,27 +21,27 @@
 		fmt.Fprintln(errors, "ciresult:", err)
 		return 1
 	}
-	r := newResults()
+	collected := newResults()
 	for _, name := range args[1:] {
-		f, err := os.Open(name)
+		file, err := os.Open(name)
 		if err != nil {
 			fmt.Fprintln(errors, "ciresult:", err)
 			return 1
 		}
-		err = r.read(f)
-		f.Close()
+		err = collected.read(file)
+		file.Close()
 		if err != nil {
 			fmt.Fprintf(errors, "ciresult: %s: %v\n", name, err)
 			return 1
 		}
 	}
-	r.printTimes(out)
-	faults := r.judge(known, out)
-	if r.printTotals(out) == 0 {
+	collected.printTimes(out)
+	faults := collected.judge(known, out)
+	if collected.printTotals(out) == 0 {
 		faults = append(faults, "no test passed: the runs of go test were empty")
 	}
-	for _, f := range faults {
-		fmt.Fprintln(errors, "ciresult:", f)
+	for _, file := range faults {
+		fmt.Fprintln(errors, "ciresult:", file)
 	}
 	if len(faults) > 0 {
 		return 1
--- a/internal/tools/ciresult/results.go
+++ b/internal/tools/ciresult/results.go
@@ -44,7 +44,7 @@
 
 // parseKnown parses the lines FOLDER.TestName, cause, issue.
 func parseKnown(text string) ([]knownFailure, error) {
-	var l []knownFailure
+	var listed []knownFailure
 	for line := range strings.Lines(text) {
 		if line = strings.TrimSpace(line); line == "" {
 			continue
@@ -58,12 +58,12 @@
 		if !ok || folder == "" || !strings.HasPrefix(name, "Test") || cause == "" || issue == "" {
 			return nil, fmt.Errorf("%q: give FOLDER.TestName, cause, issue", line)
 		}
-		l = append(l, knownFailure{strings.TrimSpace(test), cause, issue})
+		listed = append(listed, knownFailure{strings.TrimSpace(test), cause, issue})
 	}
-	if len(l) > maxKnown {
-		return nil, fmt.Errorf("%d known failures, at most %d: mend some first", len(l), maxKnown)
+	if len(listed) > maxKnown {
+		return nil, fmt.Errorf("%d known failures, at most %d: mend some first", len(listed), maxKnown)
 	}
-	return l, nil
+	return listed, nil
 }
 
 // testState counts the outcomes of the runs of a top-level test.
@@ -74,11 +74,11 @@
 
 // packageState is the outcome of the runs of a package.
 type packageState struct {
-	seconds float64
-	failed  bool
-	ended   bool
-	output  []string // outside tests
-	broken  bool     // it didn't build
+	seconds     float64
+	failed      bool
+	ended       bool
+	output      []string // outside tests
+	buildFailed bool     // it didn't build
 }
 
 // results collects the events of all runs of go test.
@@ -128,34 +128,34 @@
 }
 
 // add adds an event to the state of its test or package.
-func (r *results) add(e event) {
-	if e.Package == "" && e.ImportPath != "" {
-		e.Package = e.ImportPath
+func (r *results) add(event event) {
+	if event.Package == "" && event.ImportPath != "" {
+		event.Package = event.ImportPath
 	}
-	p := r.packages[folderOf(e.Package)]
+	p := r.packages[folderOf(event.Package)]
 	if p == nil {
 		p = &packageState{}
-		r.packages[folderOf(e.Package)] = p
+		r.packages[folderOf(event.Package)] = p
 	}
-	if e.Test == "" {
-		p.add(e)
+	if event.Test == "" {
+		p.add(event)
 		return
 	}
-	name, sub, _ := strings.Cut(e.Test, "/")
-	key := folderOf(e.Package) + "." + name
+	name, sub, _ := strings.Cut(event.Test, "/")
+	key := folderOf(event.Package) + "." + name
 	t := r.tests[key]
 	if t == nil {
 		t = &testState{}
 		r.tests[key] = t
 	}
-	if e.Action == "output" {
-		t.output = append(t.output, e.Output)
+	if event.Action == "output" {
+		t.output = append(t.output, event.Output)
 		return
 	}
 	if sub != "" {
 		return // the test itself fails with it
 	}
-	switch e.Action {
+	switch event.Action {
 	case "run":
 		t.running++
 	case "pass":
@@ -172,7 +172,7 @@
 	case "output", "build-output":
 		p.output = append(p.output, e.Output)
 	case "build-fail":
-		p.broken = true
+		p.buildFailed = true
 	case "pass", "skip":
 		p.seconds, p.ended = p.seconds+e.Elapsed, true
 	case "fail":
@@ -247,7 +247,7 @@
 	}
 	for _, folder := range sortedKeys(r.packages) {
 		p := r.packages[folder]
-		if p.broken || p.failed && !explained[folder] || !p.ended && !p.broken && len(p.output) > 0 {
+		if p.buildFailed || p.failed && !explained[folder] || !p.ended && !p.buildFailed && len(p.output) > 0 {
 			faults = append(faults, fmt.Sprintf("%s failed outside its tests:\n%s", folder, strings.Join(p.output, "")))
 		}
 	}
--- a/internal/tools/ciresult/results_test.go
+++ b/internal/tools/ciresult/results_test.go
@@ -35,7 +35,7 @@
 
 // Only a listed test may fail, and it has to; any other failure fails CI.
 func TestOnlyListedTestsMayFail(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		known, events, want string // want: in the message; "": CI passes
 	}{
 		"all pass":                        {"", green, ""},
@@ -60,32 +60,32 @@
 	} {
 		folder := t.TempDir()
 		events, known := filepath.Join(folder, "events"), filepath.Join(folder, "KNOWN-RED.txt")
-		if err := os.WriteFile(events, []byte(x.events+`{"Action":"exit","Elapsed":0}`+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(events, []byte(test.events+`{"Action":"exit","Elapsed":0}`+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if x.known != "" {
-			if err := os.WriteFile(known, []byte(x.known), 0o644); err != nil {
+		if test.known != "" {
+			if err := os.WriteFile(known, []byte(test.known), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
 		var out, bad bytes.Buffer
 		code := run([]string{known, events}, &out, &bad)
-		if (code == 0) != (x.want == "") || !strings.Contains(bad.String(), x.want) {
+		if (code == 0) != (test.want == "") || !strings.Contains(bad.String(), test.want) {
 			t.Errorf("%s: exit %d\n%s%s", name, code, out.String(), bad.String())
 		}
-		if x.want == "" && x.known != "" && !strings.Contains(out.String(), "known red: internal/b.TestBad (it loses an answer; issue 21)") {
+		if test.want == "" && test.known != "" && !strings.Contains(out.String(), "known red: internal/b.TestBad (it loses an answer; issue 21)") {
 			t.Errorf("%s: the known failure isn't printed: %s", name, out.String())
 		}
-		if x.want == "" && !strings.Contains(out.String(), "1.5 s  internal/a") {
+		if test.want == "" && !strings.Contains(out.String(), "1.5 s  internal/a") {
 			t.Errorf("%s: no times: %s", name, out.String())
 		}
 	}
-	cut := filepath.Join(t.TempDir(), "events")
-	if err := os.WriteFile(cut, []byte(green), 0o644); err != nil {
+	truncated := filepath.Join(t.TempDir(), "events")
+	if err := os.WriteFile(truncated, []byte(green), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if code := run([]string{"none", cut}, &out, &out); code != 1 || !strings.Contains(out.String(), "exit code is missing") {
+	if code := run([]string{"none", truncated}, &out, &out); code != 1 || !strings.Contains(out.String(), "exit code is missing") {
 		t.Errorf("events that were cut off: exit %d, %s", code, out.String())
 	}
 	if code := run([]string{"KNOWN-RED.txt"}, &out, &out); code != 2 {
