--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -9,7 +9,6 @@
 	"strings"
 
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/programs"
 	"pebbleloom/internal/sim/loadgen"
 	"pebbleloom/internal/sim/workersim"
 )
@@ -263,29 +262,3 @@
 		run.addFault("the operator addresses return %d different configurations", len(bodies))
 	}
 }
-
-// addRelays routes a site's connections through links: each process advertises a relay's address, whose second
-// byte is net+100.
-func (s *Site) addRelays(links *Links, net int) error {
-	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
-	relayed := func(a string) string { return strings.Replace(a, old, via, 1) }
-	var batch errs.Batch
-	for i := range s.Processes {
-		process := &s.Processes[i].Settings
-		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
-		batch.Add("relay", links.Relay(relayed(process.Listen), process.Listen, process.Name))
-		process.Advertise = relayed(process.Listen)
-		switch s.Processes[i].Program {
-		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
-			batch.Add("relay", links.Relay(relayed(process.Public), process.Public, process.Name))
-		}
-		for j := range process.Seeds {
-			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
-		}
-		process.WorkerList = relayed(process.WorkerList)
-	}
-	for i := range s.WorkerList {
-		s.WorkerList[i].Addr = relayed(s.WorkerList[i].Addr)
-	}
-	return batch.Err()
-}
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -1,13 +1,16 @@
 package testbed
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/netip"
+	"strings"
 	"sync"
 	"time"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 )
 
 // Links relay all connections between the machines of a site: each process is reached through a relay at an address
@@ -203,3 +206,29 @@
 		listener.Close()
 	}
 }
+
+// addRelays routes a site's connections through links: each process advertises a relay's address, whose second
+// byte is net+100.
+func (s *Site) addRelays(links *Links, net int) error {
+	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
+	relayed := func(a string) string { return strings.Replace(a, old, via, 1) }
+	var batch errs.Batch
+	for i := range s.Processes {
+		process := &s.Processes[i].Settings
+		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
+		batch.Add("relay", links.Relay(relayed(process.Listen), process.Listen, process.Name))
+		process.Advertise = relayed(process.Listen)
+		switch s.Processes[i].Program {
+		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
+			batch.Add("relay", links.Relay(relayed(process.Public), process.Public, process.Name))
+		}
+		for j := range process.Seeds {
+			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
+		}
+		process.WorkerList = relayed(process.WorkerList)
+	}
+	for i := range s.WorkerList {
+		s.WorkerList[i].Addr = relayed(s.WorkerList[i].Addr)
+	}
+	return batch.Err()
+}
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -4,15 +4,11 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"strings"
 	"sync"
 	"time"
 
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/programs"
-	"pebbleloom/internal/settings"
-	"pebbleloom/internal/wire"
 )
 
 // Bounds of one call to the operator addresses.
@@ -21,89 +17,6 @@
 	postTimeout  = 8 * time.Second // of one attempt
 )
 
-// settingsOf returns a process's settings; the zero value for an unknown process.
-func (f *Fleet) settingsOf(name string) settings.Process {
-	process, _ := f.process(name)
-	return process.Settings
-}
-
-// startImpostor starts a second process, with an empty disk, under the machine name of an existing one and at
-// another address, while the existing process keeps running or is frozen.
-func (f *Fleet) startImpostor(name string) error {
-	for _, process := range f.Site.Processes {
-		if process.Name != name {
-			continue
-		}
-		process.Name += "-again"
-		octets := strings.Split(process.Settings.Listen, ".")
-		octets[3] = "98:" + strings.Split(octets[3], ":")[1]
-		process.Settings.Listen = strings.Join(octets, ".")
-		if process.Settings.Operator != "" {
-			process.Settings.Operator = strings.Join(octets[:3], ".") + ".98:8090"
-		}
-		if process.Settings.Data != "" {
-			process.Settings.Data += "-again"
-		}
-		if err := f.env.WriteSettings(process); err != nil {
-			return err
-		}
-		f.Site.Processes = append(f.Site.Processes, process)
-		return f.Start(process.Name)
-	}
-	return errs.New(errs.NotFound, "process %q", name)
-}
-
-// addressByte returns the second byte of the site's addresses.
-func (f *Fleet) addressByte() string { return strings.Split(f.platformAddr(), ".")[1] }
-
-func (f *Fleet) platformAddr() string { return f.settingsOf(platformName).Public }
-
-// configLeader returns the core machine that leads the configuration's shard.
-func (f *Fleet) configLeader(ctx context.Context) (string, error) {
-	for _, process := range f.Site.Processes {
-		if process.Program != programs.ControlNode {
-			continue
-		}
-		statusCtx, cancel := context.WithTimeout(ctx, time.Second)
-		status, err := wire.NewControlNodeClient("http://"+process.Settings.Listen, f.client).Status(statusCtx, &wire.StatusRequest{})
-		cancel()
-		for _, shard := range status.GetShards() {
-			if err == nil && shard.Shard == 0 && shard.IsLeader {
-				return process.Settings.Name, nil
-			}
-		}
-	}
-	return "", errs.New(errs.OutcomeUnknown, "the configuration's shard has no leader")
-}
-
-// moveAddress gives a core machine's process a new address, which its next start uses.
-func (f *Fleet) moveAddress(name string) error {
-	for i := range f.Site.Processes {
-		process := &f.Site.Processes[i]
-		if process.Name != name {
-			continue
-		}
-		host, port, err := net.SplitHostPort(process.Settings.Listen)
-		if err != nil {
-			return errs.Wrap(err, "move")
-		}
-		octets := strings.Split(host, ".")
-		host = strings.Join(append(octets[:3], "99"), ".")
-		old := process.Settings.Operator
-		process.Settings.Listen = host + ":" + port
-		if old != "" {
-			process.Settings.Operator = host + ":8090"
-			for j, operator := range f.Site.Operators {
-				if operator == old {
-					f.Site.Operators[j] = process.Settings.Operator
-				}
-			}
-		}
-		return f.env.WriteSettings(*process)
-	}
-	return errs.New(errs.NotFound, "process %q", name)
-}
-
 // randomBelow draws from [0, n).
 func (run *scenarioRun) randomBelow(n int) int {
 	run.mu.Lock()
@@ -143,60 +56,82 @@
 
 // executeOperatorStep executes an operator's step and records when it was acknowledged.
 func (run *scenarioRun) executeOperatorStep(ctx context.Context, step Step) error {
-	now := func() int64 { return time.Now().UnixMilli() }
 	switch step.Action {
 	case "weights":
-		var number uint64
-		if _, err := fmt.Sscan(step.Argument, &number); err != nil {
-			return errs.New(errs.BadInput, "weights %q", step.Argument)
-		}
-		_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": number, "token": "weights-" + step.Argument})
-		run.mu.Lock()
-		run.weightsNamedMs[number] = now()
-		run.mu.Unlock()
-		return err
+		return run.setWeights(ctx, step.Argument)
 	case "revoke":
-		tenant := run.fleet.Site.Config.Tenants[step.Targets]
-		if len(tenant.Keys) == 0 {
-			return errs.New(errs.BadInput, "revoke: tenant %q", step.Targets)
-		}
-		_, err := run.post(ctx, "/v1/keys/revoke", map[string]any{"tenant": step.Targets, "key": tenant.Keys[0]})
-		run.mu.Lock()
-		run.keyRevokedMs[tenant.Keys[0]] = now()
-		run.mu.Unlock()
-		return err
+		return run.revokeKey(ctx, step.Targets)
 	case "drain", "undrain":
-		targets, err := run.resolveTargets(ctx, step.Targets)
-		if err != nil {
-			return err
-		}
-		for _, number := range targets {
-			if _, err := run.post(ctx, "/v1/drain", map[string]any{"worker": number, "drain": step.Action == "drain"}); err != nil {
-				return err
-			}
-			run.mu.Lock()
-			if run.drainedMs[number] = now(); step.Action == "undrain" {
-				delete(run.drainedMs, number)
-			}
-			run.mu.Unlock()
-		}
-		return nil
+		return run.setDraining(ctx, step.Targets, step.Action == "drain")
 	case "seeds":
 		seeds := strings.Fields(strings.ReplaceAll(step.Argument, "{net}", run.fleet.addressByte()))
 		return run.mustChange(ctx, configurationChange{token: "seeds", patch: map[string]any{"seeds": seeds}})
 	case "grow":
-		var number int
-		if _, err := fmt.Sscan(step.Argument, &number); err != nil {
-			return errs.New(errs.BadInput, "grow %q", step.Argument)
+		return run.growConfiguration(ctx, step.Argument)
+	}
+	return run.executeConcurrentChanges(ctx, step)
+}
+
+// setWeights sets the weights of the site's model.
+func (run *scenarioRun) setWeights(ctx context.Context, argument string) error {
+	var weights uint64
+	if _, err := fmt.Sscan(argument, &weights); err != nil {
+		return errs.New(errs.BadInput, "weights %q", argument)
+	}
+	_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": weights, "token": "weights-" + argument})
+	run.mu.Lock()
+	run.weightsNamedMs[weights] = time.Now().UnixMilli()
+	run.mu.Unlock()
+	return err
+}
+
+// revokeKey revokes a tenant's first key.
+func (run *scenarioRun) revokeKey(ctx context.Context, name string) error {
+	tenant := run.fleet.Site.Config.Tenants[name]
+	if len(tenant.Keys) == 0 {
+		return errs.New(errs.BadInput, "revoke: tenant %q", name)
+	}
+	_, err := run.post(ctx, "/v1/keys/revoke", map[string]any{"tenant": name, "key": tenant.Keys[0]})
+	run.mu.Lock()
+	run.keyRevokedMs[tenant.Keys[0]] = time.Now().UnixMilli()
+	run.mu.Unlock()
+	return err
+}
+
+// setDraining starts or ends the draining of workers.
+func (run *scenarioRun) setDraining(ctx context.Context, targets string, draining bool) error {
+	names, err := run.resolveTargets(ctx, targets)
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		if _, err := run.post(ctx, "/v1/drain", map[string]any{"worker": name, "drain": draining}); err != nil {
+			return err
 		}
-		models, services, routes := map[string]any{}, map[string]any{}, map[string]any{}
-		for i := range number {
-			model := fmt.Sprintf("model-%d", i)
-			models[model], services["service-"+model], routes[model] = map[string]any{"weights": 1}, map[string]any{"model": model}, map[string]any{"service": "service-" + model}
+		run.mu.Lock()
+		if run.drainedMs[name] = time.Now().UnixMilli(); !draining {
+			delete(run.drainedMs, name)
 		}
-		return run.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": models, "services": services, "ways": routes}})
+		run.mu.Unlock()
 	}
-	return run.executeConcurrentChanges(ctx, step)
+	return nil
+}
+
+// growConfiguration adds a number of models, each with a service and a route.
+func (run *scenarioRun) growConfiguration(ctx context.Context, argument string) error {
+	var count int
+	if _, err := fmt.Sscan(argument, &count); err != nil {
+		return errs.New(errs.BadInput, "grow %q", argument)
+	}
+	models, services, routes := map[string]any{}, map[string]any{}, map[string]any{}
+	for i := range count {
+		model := fmt.Sprintf("model-%d", i)
+		service := "service-" + model
+		models[model] = map[string]any{"weights": 1}
+		services[service] = map[string]any{"model": model}
+		routes[model] = map[string]any{"service": service}
+	}
+	return run.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": models, "services": services, "ways": routes}})
 }
 
 // executeConcurrentChanges changes the configuration as several operators at once. In a "race" all changes are
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -83,45 +83,57 @@
 	}
 	var batch errs.Batch
 	for _, name := range names {
-		switch step.Action {
-		case "kill":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGKILL))
-		case "warn":
-			code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/warn/"+name, nil)
-			if code != 200 {
-				batch.Addf(errs.Internal, "warn %s: %d %s", name, code, body)
-			}
-			run.mu.Lock()
-			run.drainedMs[name] = time.Now().UnixMilli()
-			run.mu.Unlock()
-		case "term":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGTERM))
-		case "freeze":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGSTOP))
-		case "thaw":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGCONT))
-		case "start":
-			batch.Add(name, run.fleet.Start(name))
-		case "wipe":
-			batch.Add(name, run.onProcess(name, run.fleet.env.WipeDisk))
-		case "swap":
-			bin, err := run.options.programsOf(step.Argument)
-			if batch.Add(name, err); err == nil {
-				batch.Add(name, run.fleet.switchRelease(name, bin))
-			}
-		case "usurp":
-			batch.Add(name, run.fleet.startImpostor(name))
-		case "move":
-			batch.Add(name, run.fleet.moveAddress(name))
-		case "disk", "wall":
-			batch.Add(name, run.onProcess(name, func(process Process) error { return run.fleet.env.SetFault(process, step.Action, step.Argument) }))
-		default:
-			batch.Addf(errs.BadInput, "unknown step %q", step.Action)
-		}
+		batch.Add(name, run.executeOn(ctx, step, name))
 	}
 	return batch.Err()
 }
 
+// executeOn executes a step on one of its processes.
+func (run *scenarioRun) executeOn(ctx context.Context, step Step, name string) error {
+	switch step.Action {
+	case "kill":
+		return run.fleet.Signal(name, syscall.SIGKILL)
+	case "warn":
+		return run.warnWorker(ctx, name)
+	case "term":
+		return run.fleet.Signal(name, syscall.SIGTERM)
+	case "freeze":
+		return run.fleet.Signal(name, syscall.SIGSTOP)
+	case "thaw":
+		return run.fleet.Signal(name, syscall.SIGCONT)
+	case "start":
+		return run.fleet.Start(name)
+	case "wipe":
+		return run.onProcess(name, run.fleet.env.WipeDisk)
+	case "swap":
+		folder, err := run.options.programsOf(step.Argument)
+		if err != nil {
+			return err
+		}
+		return run.fleet.switchRelease(name, folder)
+	case "usurp":
+		return run.fleet.startDuplicate(name)
+	case "move":
+		return run.fleet.moveAddress(name)
+	case "disk", "wall":
+		return run.onProcess(name, func(process Process) error { return run.fleet.env.SetFault(process, step.Action, step.Argument) })
+	}
+	return errs.New(errs.BadInput, "unknown step %q", step.Action)
+}
+
+// warnWorker makes the platform warn that it will terminate a worker, which drains it. The time is recorded even if the
+// call fails, since it may have had an effect.
+func (run *scenarioRun) warnWorker(ctx context.Context, name string) error {
+	code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/warn/"+name, nil)
+	run.mu.Lock()
+	run.drainedMs[name] = time.Now().UnixMilli()
+	run.mu.Unlock()
+	if code != 200 {
+		return errs.New(errs.Internal, "warn: %d %s", code, body)
+	}
+	return nil
+}
+
 // setLinks sets or removes link rules. Targets are machines separated by spaces; "*" is any machine.
 func (run *scenarioRun) setLinks(step Step) error {
 	var batch errs.Batch
