--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -79,20 +79,11 @@
 func (run *scenarioRun) awaitCalendarEntry(ctx context.Context, target, state string) error {
 	for i := 0; ; i++ {
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/calendar")
-		var list struct {
-			Moves []json.RawMessage `json:"moves"`
-		}
 		last := body
-		if json.Unmarshal([]byte(body), &list) == nil {
-			for _, move := range list.Moves {
-				entry, err := calendar.Decode(move)
-				if err != nil || entry.Service+"/"+entry.Name != target {
-					continue
-				}
-				last = fmt.Sprintf("%s, step %d of %d, %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason)
-				if string(entry.State) == state {
-					return nil
-				}
+		if entry := calendarEntry(body, target); entry != nil {
+			last = fmt.Sprintf("%s, step %d of %d, %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason)
+			if string(entry.State) == state {
+				return nil
 			}
 		}
 		if i >= calendarPolls {
@@ -102,6 +93,22 @@
 	}
 }
 
+// calendarEntry returns an entry of the calendar in a response; nil if there is none.
+func calendarEntry(body, target string) *calendar.Entry {
+	var list struct {
+		Moves []json.RawMessage `json:"moves"`
+	}
+	if json.Unmarshal([]byte(body), &list) != nil {
+		return nil
+	}
+	for _, move := range list.Moves {
+		if entry, err := calendar.Decode(move); err == nil && entry.Service+"/"+entry.Name == target {
+			return entry
+		}
+	}
+	return nil
+}
+
 // listWorker adds a worker to the platform simulator's list, or replaces its entry.
 func (run *scenarioRun) listWorker(ctx context.Context, w contract.ListedWorker) error {
 	raw, err := json.Marshal(w)
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -16,6 +16,14 @@
 // fittedWorker is the worker that Fit measures.
 const fittedWorker = workerPrefix + "1"
 
+// Prompts that Fit sends: each length once in each repeat.
+const (
+	fitRepeats    = 3
+	minFitTokens  = 50
+	maxFitTokens  = 4000
+	fitStepTokens = 200
+)
+
 // Fit starts one worker simulator, measures its prefill time for uncached prompts of many lengths, and fits the
 // curve with which the placement estimates prefill time.
 //
@@ -43,26 +51,35 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	var samples []placement.Sample
-	for repeat := range 3 {
-		for tokens := 50; tokens <= 4000; tokens += 200 {
-			prompt := strings.Repeat(fmt.Sprintf("%02d%06d", repeat, tokens), tokens/2)
-			id := fmt.Sprintf("fit-%d-%d", repeat, tokens)
-			attempt := backends.Start(ctx, site.Workers[fittedWorker], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: site.Traffic.Model, Weights: 1, Parts: []string{prompt}, Chunks: 1, WaitMs: 5000}, nil)
-			if attempt.Err != nil {
-				return placement.Curve{}, errs.Wrap(attempt.Err, "measure")
-			}
-			verifier := contract.NewStreamVerifier(id, fittedWorker)
-			for lines := bufio.NewScanner(attempt.Body); lines.Scan(); {
-				if violation := verifier.Verify(lines.Bytes()); violation != "" {
-					return placement.Curve{}, errs.New(errs.Internal, "measure: %s", violation)
-				}
+	for repeat := range fitRepeats {
+		for tokens := minFitTokens; tokens <= maxFitTokens; tokens += fitStepTokens {
+			sample, err := measurePrefill(ctx, backends, site, repeat, tokens)
+			if err != nil {
+				return placement.Curve{}, err
 			}
-			attempt.Body.Close()
-			if verifier.Sealed == nil || verifier.Sealed.PrefilledTokens != tokens {
-				return placement.Curve{}, errs.New(errs.Internal, "measure: %d tokens requested, final record is %+v", tokens, verifier.Sealed)
-			}
-			samples = append(samples, placement.Sample{Tokens: tokens, Micros: float64(verifier.Sealed.PrefillUs)})
+			samples = append(samples, sample)
 		}
 	}
 	return placement.Fit(samples, 2)
 }
+
+// measurePrefill measures the prefill time of a prompt that the worker hasn't cached.
+func measurePrefill(ctx context.Context, backends *contract.Backends, site *Site, repeat, tokens int) (sample placement.Sample, err error) {
+	prompt := strings.Repeat(fmt.Sprintf("%02d%06d", repeat, tokens), tokens/2)
+	id := fmt.Sprintf("fit-%d-%d", repeat, tokens)
+	attempt := backends.Start(ctx, site.Workers[fittedWorker], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: site.Traffic.Model, Weights: 1, Parts: []string{prompt}, Chunks: 1, WaitMs: 5000}, nil)
+	if attempt.Err != nil {
+		return sample, errs.Wrap(attempt.Err, "measure")
+	}
+	defer attempt.Body.Close()
+	verifier := contract.NewStreamVerifier(id, fittedWorker)
+	for lines := bufio.NewScanner(attempt.Body); lines.Scan(); {
+		if violation := verifier.Verify(lines.Bytes()); violation != "" {
+			return sample, errs.New(errs.Internal, "measure: %s", violation)
+		}
+	}
+	if verifier.Sealed == nil || verifier.Sealed.PrefilledTokens != tokens {
+		return sample, errs.New(errs.Internal, "measure: %d tokens requested, final record is %+v", tokens, verifier.Sealed)
+	}
+	return placement.Sample{Tokens: tokens, Micros: float64(verifier.Sealed.PrefillUs)}, nil
+}
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -62,30 +62,46 @@
 // executeRetirementStep executes a step that concerns the retirement of the site's base model: it plans and starts
 // it, sends it a command, or waits until it reaches a state or phase.
 func (run *scenarioRun) executeRetirementStep(ctx context.Context, action, name, argument string) error {
-	model := run.fleet.Site.Traffic.Model
-	service := mainService(model)
 	switch action {
 	case "retire":
-		retirement := &retire.Retirement{}
-		if argument != "" {
-			if err := json.Unmarshal([]byte(argument), retirement); err != nil {
-				return errs.WrapAs(err, errs.BadInput, "retirement")
-			}
-		}
-		retirement.Name, retirement.Service, retirement.OldBase, retirement.NewBase, retirement.Replacements = name, service, model, nextBuild(model), map[string]string{}
-		for _, kind := range run.fleet.Site.Traffic.Kinds[:2] {
-			retirement.Replacements[kind.Name] = nextBuild(kind.Name)
-		}
-		_, run.configBeforeRetirement = run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/setup")
-		if _, err := run.post(ctx, "/v1/retirements", map[string]any{"retirement": retirement}); err != nil {
-			return err
-		}
-		_, err := run.post(ctx, "/v1/retirements/"+service+"/"+name+"/start", map[string]any{})
-		return err
+		return run.planAndStartRetirement(ctx, name, argument)
 	case "retire-ask":
-		_, err := run.post(ctx, "/v1/retirements/"+service+"/"+name+"/"+argument, map[string]any{})
+		return run.commandRetirement(ctx, name, argument)
+	}
+	return run.awaitRetirement(ctx, name, argument)
+}
+
+// planAndStartRetirement plans the retirement of the site's base model, with options as JSON, and starts it.
+func (run *scenarioRun) planAndStartRetirement(ctx context.Context, name, options string) error {
+	retirement := &retire.Retirement{}
+	if options != "" {
+		if err := json.Unmarshal([]byte(options), retirement); err != nil {
+			return errs.WrapAs(err, errs.BadInput, "retirement")
+		}
+	}
+	model := run.fleet.Site.Traffic.Model
+	retirement.Name, retirement.Service = name, mainService(model)
+	retirement.OldBase, retirement.NewBase = model, nextBuild(model)
+	retirement.Replacements = map[string]string{}
+	for _, kind := range run.fleet.Site.Traffic.Kinds[:2] {
+		retirement.Replacements[kind.Name] = nextBuild(kind.Name)
+	}
+	_, run.configBeforeRetirement = run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/setup")
+	if _, err := run.post(ctx, "/v1/retirements", map[string]any{"retirement": retirement}); err != nil {
 		return err
 	}
+	return run.commandRetirement(ctx, name, "start")
+}
+
+// commandRetirement sends a command to a retirement.
+func (run *scenarioRun) commandRetirement(ctx context.Context, name, command string) error {
+	service := mainService(run.fleet.Site.Traffic.Model)
+	_, err := run.post(ctx, "/v1/retirements/"+service+"/"+name+"/"+command, map[string]any{})
+	return err
+}
+
+// awaitRetirement polls until a retirement reaches a state or phase, and checks the fleet if that is its end.
+func (run *scenarioRun) awaitRetirement(ctx context.Context, name, state string) error {
 	for i := 0; ; i++ {
 		_, last := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/retirements")
 		var list struct {
@@ -93,13 +109,14 @@
 		}
 		if json.Unmarshal([]byte(last), &list) == nil {
 			for _, retirement := range list.Retirements {
-				if last = fmt.Sprintf("%s, %s, %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers); retirement.Name == name && (string(retirement.State) == argument || string(retirement.Phase) == argument) {
+				last = fmt.Sprintf("%s, %s, %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers)
+				if retirement.Name == name && (string(retirement.State) == state || string(retirement.Phase) == state) {
 					return run.checkFleetAfterRetirement(ctx, retirement)
 				}
 			}
 		}
 		if i >= retirementPolls {
-			return errs.New(errs.Internal, "%s isn't %s: %s", name, argument, last)
+			return errs.New(errs.Internal, "%s isn't %s: %s", name, state, last)
 		}
 		time.Sleep(retirementPollPause)
 	}
