--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -129,15 +129,25 @@
 	return nil
 }
 
+// openWorker returns a worker with the options of its process. It fails with errs.BadInput for an invalid option.
 func openWorker(process *daemon.Process) (*Worker, error) {
-	seed := fnv64(process.Settings.Name)
-	worker := &Worker{process: process, incarnation: fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano()), cache: NewCache(int(numberOption(process, "kv", 40000))),
-		speed: Speed{numberOption(process, "fixed_us", 2000), numberOption(process, "token_us", 40), numberOption(process, "square_us", 0.004), numberOption(process, "piece_us", 3000),
-			numberOption(process, "link", 100000), numberOption(process, "far", 60000)},
-		slots: make(chan struct{}, int(numberOption(process, "slots", 4))), prefill: make(chan struct{}, 1), queueCapacity: int(numberOption(process, "room", 12)),
-		model: process.Settings.Option("model", ""), weights: uint64(numberOption(process, "weights", 1)), dropReportRatio: numberOption(process, "drop", 0), withholdsReports: process.Settings.Option("mute", "") == "yes", reportDelay: time.Duration(numberOption(process, "late_ms", 0)) * time.Millisecond, plantedFault: process.Settings.Option("lie", ""),
-		random: rand.New(rand.NewPCG(seed, 7)), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4,
-			DialContext: process.Dial}}}
+	worker := &Worker{
+		process:          process,
+		incarnation:      fmt.Sprintf("%s/%x", process.Settings.Name, process.WallClock().UnixNano()),
+		cache:            NewCache(int(numberOption(process, "kv", 40000))),
+		speed:            speedOptions(process),
+		slots:            make(chan struct{}, int(numberOption(process, "slots", 4))),
+		prefill:          make(chan struct{}, 1),
+		queueCapacity:    int(numberOption(process, "room", 12)),
+		model:            process.Settings.Option("model", ""),
+		weights:          uint64(numberOption(process, "weights", 1)),
+		dropReportRatio:  numberOption(process, "drop", 0),
+		withholdsReports: process.Settings.Option("mute", "") == "yes",
+		reportDelay:      time.Duration(numberOption(process, "late_ms", 0)) * time.Millisecond,
+		plantedFault:     process.Settings.Option("lie", ""),
+		random:           rand.New(rand.NewPCG(fnv64(process.Settings.Name), 7)),
+		client:           &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DialContext: process.Dial}},
+	}
 	process.OnStop(worker.client.CloseIdleConnections)
 	if err := worker.loadInitialModels(); err != nil {
 		return nil, err
@@ -151,6 +161,19 @@
 	return worker, nil
 }
 
+// speedOptions returns the speed that the options set.
+func speedOptions(process *daemon.Process) Speed {
+	return Speed{
+		FixedUs:                  numberOption(process, "fixed_us", 2000),
+		TokenUs:                  numberOption(process, "token_us", 40),
+		SquareUs:                 numberOption(process, "square_us", 0.004),
+		ChunkUs:                  numberOption(process, "piece_us", 3000),
+		LinkTokensPerSecond:      numberOption(process, "link", 100000),
+		CrossZoneTokensPerSecond: numberOption(process, "far", 60000),
+	}
+}
+
+// fnv64 hashes a text as FNV-1a does, with an offset basis of its own. It seeds a worker's draws and must not change.
 func fnv64(s string) uint64 {
 	var x uint64 = 1469598103934665603
 	for _, b := range []byte(s) {
@@ -163,9 +186,26 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	used, capacity := w.cache.Used()
-	return contract.WorkerState{Name: w.process.Settings.Name, Incarnation: w.incarnation, Service: w.process.Settings.Option("service", ""),
-		Loaded: w.loadedModels(), Loading: w.loading, WeightMemoryMB: w.totalMB, FreeWeightMemoryMB: w.freeMemoryMB(), Model: w.model, Zone: w.process.Settings.Zone, Weights: w.weights, Slots: cap(w.slots),
-		Busy: len(w.slots), Queued: w.waiting, Draining: w.draining, FencingToken: w.fencingToken, ClockUs: w.process.Clock.Now().Microseconds(), KVTokens: used, KVCapacity: capacity}
+	return contract.WorkerState{
+		Name:               w.process.Settings.Name,
+		Incarnation:        w.incarnation,
+		Service:            w.process.Settings.Option("service", ""),
+		Loaded:             w.loadedModels(),
+		Loading:            w.loading,
+		WeightMemoryMB:     w.totalMB,
+		FreeWeightMemoryMB: w.freeMemoryMB(),
+		Model:              w.model,
+		Zone:               w.process.Settings.Zone,
+		Weights:            w.weights,
+		Slots:              cap(w.slots),
+		Busy:               len(w.slots),
+		Queued:             w.waiting,
+		Draining:           w.draining,
+		FencingToken:       w.fencingToken,
+		ClockUs:            w.process.Clock.Now().Microseconds(),
+		KVTokens:           used,
+		KVCapacity:         capacity,
+	}
 }
 
 func (w *Worker) serveState(rw http.ResponseWriter, _ *http.Request) {
@@ -204,32 +244,34 @@
 		contract.WriteJSON(writer, 400, contract.Rejection{NotExecuted: true, Reason: "bad"})
 		return
 	}
+	if reason, fencingToken := w.handleOrder(&order); reason != "" {
+		contract.WriteJSON(writer, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: fencingToken})
+		return
+	}
+	contract.WriteJSON(writer, 200, w.workerState())
+}
+
+// handleOrder executes an order. If it is rejected, handleOrder returns the reason and the highest fencing token seen.
+func (w *Worker) handleOrder(order *contract.Order) (reason string, fencingToken uint64) {
 	w.mu.Lock()
+	defer w.mu.Unlock()
 	if order.FencingToken < w.fencingToken {
-		newest := w.fencingToken
-		w.mu.Unlock()
-		contract.WriteJSON(writer, 409, contract.Rejection{NotExecuted: true, Reason: "fence", FencingToken: newest})
-		return
+		return "fence", w.fencingToken
 	}
 	w.fencingToken = order.FencingToken
-	if reason := w.rejectStale(&order); reason != "" {
-		w.mu.Unlock()
-		contract.WriteJSON(writer, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
-		return
+	if reason := w.rejectStale(order); reason != "" {
+		return reason, order.FencingToken
 	}
 	_ = w.writeJournal(&Run{Weights: order.Weights, AtMs: w.process.WallClock().UnixMilli(), FencingToken: order.FencingToken, Holder: order.Holder, Kind: order.Kind, Model: order.Model, Adapter: order.Adapter, Build: order.Build}) // writeJournal logs the error; the order is executed nevertheless
-	if reason := w.executeOrder(&order); reason != "" {
-		w.mu.Unlock()
-		contract.WriteJSON(writer, 409, contract.Rejection{NotExecuted: true, Reason: reason, FencingToken: order.FencingToken})
-		return
+	if reason := w.executeOrder(order); reason != "" {
+		return reason, order.FencingToken
 	}
 	if order.Kind == "weights" && (order.Model == "" || order.Model == w.model) && order.Weights > w.weights && w.plantedFault != faultIgnoresWeights {
 		w.weights = order.Weights
 		w.cache.Clear()
 		w.process.Log.Info("weights loaded", "weights", order.Weights)
 	}
-	w.mu.Unlock()
-	contract.WriteJSON(writer, 200, w.workerState())
+	return "", order.FencingToken
 }
 
 func (w *Worker) serveCachedPrefix(rw http.ResponseWriter, r *http.Request) {
@@ -261,25 +303,10 @@
 		reject(400, "bad")
 		return
 	}
-	w.mu.Lock()
-	switch {
-	case w.draining:
-		w.mu.Unlock()
-		reject(409, "draining")
-		return
-	case w.missing(&request) != "":
-		reason := w.missing(&request)
-		w.mu.Unlock()
+	if reason := w.admit(&request); reason != "" {
 		reject(409, reason)
 		return
-	case w.waiting >= w.queueCapacity:
-		w.mu.Unlock()
-		reject(409, "full")
-		return
 	}
-	w.waiting++
-	w.busy[request.Model]++
-	w.mu.Unlock()
 	defer func() { w.mu.Lock(); w.busy[request.Model]--; w.mu.Unlock() }()
 	remaining := time.Duration(request.WaitMs) * time.Millisecond
 	if request.BeginByUs > 0 {
@@ -299,6 +326,24 @@
 	}
 }
 
+// admit adds a request to the queue, or returns the reason why it is rejected.
+func (w *Worker) admit(request *contract.StartRequest) (reason string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.draining {
+		return "draining"
+	}
+	if reason := w.missing(request); reason != "" {
+		return reason
+	}
+	if w.waiting >= w.queueCapacity {
+		return "full"
+	}
+	w.waiting++
+	w.busy[request.Model]++
+	return ""
+}
+
 // writeJournal appends a line to the journal, if there is one, and logs an error of it.
 func (w *Worker) writeJournal(run *Run) error {
 	if w.journalFile == nil {
