--- a/internal/capacity/indexcalls.go
+++ b/internal/capacity/indexcalls.go
@@ -50,7 +50,7 @@
 	process := newProcess("core-1", bounds(), connections)
 	defer process.Stop(time.Second)
 	snapshot := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: workerList(1, 1),
-		Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: "district-0", Addr: connections.addr()}}}
+		Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: zoneName(0), Addr: connections.addr()}}}
 	node, err := promptindex.StartSite(process, &prefixCacheWorker{parts: parts}, func() *fleet.Snapshot { return snapshot })
 	if err != nil {
 		return err
--- a/internal/capacity/nodes.go
+++ b/internal/capacity/nodes.go
@@ -31,7 +31,7 @@
 
 func hollowNode(i int) *wire.Node {
 	return &wire.Node{Name: fmt.Sprintf("runner/edge-%04d", i), Incarnation: uint64(1e15) + uint64(i), Role: "runner",
-		Zone: fmt.Sprintf("district-%d", i%5), Addr: fmt.Sprintf("10.%d.%d.%d:7360", i%5, i/200, i%200)}
+		Zone: zoneName(i), Addr: fmt.Sprintf("10.%d.%d.%d:7360", i%5, i/200, i%200)}
 }
 
 func newHollowFleet(size int) *hollowFleet {
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -28,20 +28,23 @@
 func modelName(i int) string   { return fmt.Sprintf("model-%02d-70000", i) }
 func serviceName(i int) string { return fmt.Sprintf("service-%02d", i) }
 
+// zoneName returns the zone of the node or worker with a number; there are five.
+func zoneName(i int) string { return fmt.Sprintf("district-%d", i%5) }
+
 // workerList returns workers that are spread over a number of services.
 func workerList(count, services int) []fleet.Worker {
 	workers, random := make([]fleet.Worker, count), rand.New(rand.NewPCG(3, 5))
 	for i := range workers {
 		service := i % services
 		workers[i] = fleet.Worker{ID: fmt.Sprintf("i-%08x", random.Uint32()), Service: serviceName(service), Addr: fmt.Sprintf("10.%d.%d.%d:8080", 64+i%5, i/200, i%200),
-			Zone: fmt.Sprintf("district-%d", i%5), Slots: 128, Weights: map[string]uint64{modelName(service): 3}}
+			Zone: zoneName(i), Slots: 128, Weights: map[string]uint64{modelName(service): 3}}
 	}
 	return workers
 }
 
 // newProcess returns a program's process runtime in this process. Its listener is counter, if there is one.
 func newProcess(name string, limits settings.Bounds, counter *byteCounter) *daemon.Process {
-	configuration := settings.Process{Name: name, Zone: "district-0", Listen: "127.0.0.1:0", Bounds: limits, Options: []string{"log=off"},
+	configuration := settings.Process{Name: name, Zone: zoneName(0), Listen: "127.0.0.1:0", Bounds: limits, Options: []string{"log=off"},
 		Site: &settings.Site{FirstStart: true, IP: "127.0.0.1", MemoryLimitMB: 4096, ReadinessListen: "127.0.0.1:0", HeartbeatMs: 1200, GraceMs: 100, LeaseMs: 3000, AckTimeoutMs: 60000, TransitMs: 1000}}
 	environment := daemon.RealEnvironment(configuration)
 	if counter != nil {
@@ -110,9 +113,10 @@
 		snapshot := &fleet.Snapshot{Plan: plan.BuildIndex(), ProofAt: process.Clock.Now(), Workers: workerList(int(count), 1), EdgeCount: 340}
 		selector := selection.New(process, indexclient.New(process, func() []*wire.Node { return nil }))
 		i, random := 0, rand.New(rand.NewPCG(1, 2))
+		zone := zoneName(0) // not formatted in the measured part
 		selectOne := func(snapshot *fleet.Snapshot) {
 			i++
-			request := &selection.Request{ID: fmt.Sprintf("%016x", i), Service: serviceName(0), Route: &plan.Routes[0], Zone: "district-0", Model: modelName(0), PromptTokens: 17000, MaxOutputTokens: 450,
+			request := &selection.Request{ID: fmt.Sprintf("%016x", i), Service: serviceName(0), Route: &plan.Routes[0], Zone: zone, Model: modelName(0), PromptTokens: 17000, MaxOutputTokens: 450,
 				Parts: []selection.PromptPart{{ID: fmt.Sprintf("%08x", random.IntN(8)), Tokens: 2500}, {ID: fmt.Sprintf("%08x", 100+random.IntN(290)), Tokens: 11000}, {ID: fmt.Sprintf("%08x", 1000+i), Tokens: 3500}}}
 			if choice, ok := selector.Select(snapshot, request, nil, map[string]bool{}); ok {
 				selector.RecordSent(request, choice)
@@ -159,7 +163,7 @@
 		}
 		process := newProcess("core-1", short, nil)
 		snapshot := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: workerList(int(workers), 1),
-			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: "district-0", Addr: "127.0.0.1:1"}}}
+			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: zoneName(0), Addr: "127.0.0.1:1"}}}
 		client := &idleWorkerClient{calls: make(chan struct{}, 1<<16)}
 		if _, err := promptindex.StartSite(process, client, func() *fleet.Snapshot { return snapshot }); err != nil {
 			return nil, err
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -31,7 +31,7 @@
 type Step struct {
 	At       int    `json:"at_ms"`
 	Action   string `json:"do"`  // see scenarioRun.execute
-	Targets  string `json:"who"` // names or patterns; "pattern:2" draws two; "@owner" leads the configuration's shard
+	Targets  string `json:"who"` // names or patterns; "pattern:2" draws two; see leaderTarget
 	Argument string `json:"to"`  // the other end of a link, or a value
 	// Later steps don't wait for its end, and an unknown outcome isn't a fault of the run.
 	Background bool `json:"aside"`
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -13,6 +13,9 @@
 	"pebbleloom/internal/errs"
 )
 
+// leaderTarget names the control node that leads the configuration's shard.
+const leaderTarget = "@owner"
+
 // resolveTargets returns the processes that a step names. A pattern resolves to the same processes throughout a run.
 func (run *scenarioRun) resolveTargets(ctx context.Context, targets string) ([]string, error) {
 	var names []string
@@ -38,9 +41,9 @@
 	return slices.Compact(names), nil
 }
 
-// resolvePattern returns the processes that match "@owner", a pattern, or "pattern:count".
+// resolvePattern returns the processes that match leaderTarget, a pattern, or "pattern:count".
 func (run *scenarioRun) resolvePattern(ctx context.Context, target string) ([]string, error) {
-	if target == "@owner" {
+	if target == leaderTarget {
 		count, err := run.fleet.configLeader(ctx)
 		return []string{controlNodePrefix + count}, err
 	}
