--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -18,7 +18,7 @@
 // lines returns the lines of a correct response.
 func lines(request Request, domain string, weights uint64) [][]byte {
 	entries := prefix.Chain(domain, request.Model, weights, request.Parts)
-	seal := contract.NewSeal(request.ID, "cab-1")
+	seal := contract.NewSeal(request.ID, "worker-1")
 	var encoded [][]byte
 	put := func(p contract.Chunk) {
 		b, err := json.Marshal(p)
@@ -32,7 +32,7 @@
 		seal.Add(n, t)
 		put(contract.Chunk{RequestID: request.ID, Number: n, Text: t})
 	}
-	put(contract.Chunk{RequestID: request.ID, Number: request.Chunks, Seal: seal.Close(), Worker: "cab-1", Weights: weights})
+	put(contract.Chunk{RequestID: request.ID, Number: request.Chunks, Seal: seal.Close(), Worker: "worker-1", Weights: weights})
 	return encoded
 }
 
@@ -50,7 +50,7 @@
 // ReadStream detects each fault that is planted in a correct response, and no fault in an interrupted one.
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	right := func() [][]byte { return lines(ask, "shared", 3) }
-	if outcome := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(right(), nil))); !outcome.Sealed || len(outcome.Faults) > 0 {
+	if outcome := ReadStream(ask, "worker-1", bytes.NewReader(bytes.Join(right(), nil))); !outcome.Sealed || len(outcome.Faults) > 0 {
 		t.Fatalf("a correct response: %+v", outcome)
 	}
 	other := ask
@@ -66,11 +66,11 @@
 		"another tenant's response": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
 		"cut short, sealed anew":    func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
-		if outcome := ReadStream(ask, "cab-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(outcome.Faults) == 0 {
+		if outcome := ReadStream(ask, "worker-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(outcome.Faults) == 0 {
 			t.Errorf("%s: not caught: %+v", name, outcome)
 		}
 	}
-	if outcome := ReadStream(ask, "cab-1", interruptedReader{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(outcome.Faults) > 0 || outcome.Sealed || outcome.Interrupted == "" {
+	if outcome := ReadStream(ask, "worker-1", interruptedReader{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(outcome.Faults) > 0 || outcome.Sealed || outcome.Interrupted == "" {
 		t.Errorf("an interrupted stream is no fault: %+v", outcome)
 	}
 }
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -97,6 +98,11 @@
 	return "file=" + file
 }
 
+// processesOf returns the processes of machines by a pattern of their names.
+func processesOf(pattern string, machines ...string) []string {
+	return strings.Fields(expandNames(pattern, machines))
+}
+
 // Each runbook ends a real fault of a site, and in the end the site has no problem.
 func TestRunbooksOnASite(t *testing.T) {
 	dir := t.TempDir()
@@ -125,43 +131,47 @@
 
 // recoverSimulators runs the runbooks for a lost worker and a lost store.
 func (r *runbookTest) recoverSimulators() {
-	r.kill("cab-3")
+	worker := workerPrefix + "3"
+	r.kill(worker)
 	r.awaitStatus(`"worker-gone"`)
-	r.run(r.start("cab-3"), "worker-gone", "--set", "worker=cab-3")
+	r.run(r.start(worker), "worker-gone", "--set", "worker="+worker)
 
-	r.kill("depot-1")
+	r.kill(storeName)
 	r.awaitStatus(`"no-store"`)
-	r.run(r.start("depot-1"), "store-empty")
+	r.run(r.start(storeName), "store-empty")
 }
 
 // recoverCoreMachines runs the runbooks for a lost disk, a lost edge and core machine, and a replaced core machine.
 func (r *runbookTest) recoverCoreMachines() {
 	// The disk of a core machine is lost: it restarts with an empty one.
-	r.kill("archive-core-2", "appraiser-core-2")
-	r.wipeDisk("archive-core-2")
-	r.run(r.start("archive-core-2", "appraiser-core-2"), "disk-lost", "--set", "machine=core-2")
+	core2 := processesOf(coreProcesses, "core-2")
+	r.kill(core2...)
+	r.wipeDisk(controlNodePrefix + "core-2")
+	r.run(r.start(core2...), "disk-lost", "--set", "machine=core-2")
 
-	edge2 := []string{"runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2"}
+	edge2 := processesOf(edgeProcesses, "edge-2")
 	r.kill(edge2...)
 	r.run(r.start(edge2...), "edge-gone", "--set", "machine=edge-2")
 
-	r.kill("archive-core-3", "appraiser-core-3")
-	r.run(r.start("archive-core-3", "appraiser-core-3"), "core-gone", "--set", "machine=core-3")
+	core3 := processesOf(coreProcesses, "core-3")
+	r.kill(core3...)
+	r.run(r.start(core3...), "core-gone", "--set", "machine=core-3")
 
 	// A core machine is replaced by one with an empty disk at another address, under the same name.
-	r.kill("archive-core-4", "appraiser-core-4")
-	r.wipeDisk("archive-core-4")
-	r.forEach(r.fleet.moveAddress, "archive-core-4")()
-	r.run(r.start("archive-core-4", "appraiser-core-4"), "core-replaced", "--set", "machine=core-4")
+	core4 := processesOf(coreProcesses, "core-4")
+	r.kill(core4...)
+	r.wipeDisk(controlNodePrefix + "core-4")
+	r.forEach(r.fleet.moveAddress, controlNodePrefix+"core-4")()
+	r.run(r.start(core4...), "core-replaced", "--set", "machine=core-4")
 }
 
 // recoverEdgeMachines runs the runbooks for a frozen machine, and for several lost at once.
 func (r *runbookTest) recoverEdgeMachines() {
-	edge3 := []string{"runner-edge-3", "catalogue-edge-3", "dispatcher-edge-3"}
+	edge3 := processesOf(edgeProcesses, "edge-3")
 	r.signal(syscall.SIGSTOP, edge3...)()
 	r.run(r.signal(syscall.SIGCONT, edge3...), "machine-frozen", "--set", "machine=edge-3")
 
-	many := append([]string{"archive-core-1", "appraiser-core-1", "runner-edge-4", "catalogue-edge-4", "dispatcher-edge-4"}, edge3...)
+	many := slices.Concat(processesOf(coreProcesses, "core-1"), processesOf(edgeProcesses, "edge-4"), edge3)
 	r.kill(many...)
 	r.run(r.start(many...), "many-gone")
 }
@@ -177,7 +187,8 @@
 
 // blockRetirement blocks the retirement under way by the loss of a worker, and runs the runbook for it.
 func (r *runbookTest) blockRetirement(problem string) {
-	r.kill("cab-7")
+	worker := workerPrefix + "7"
+	r.kill(worker)
 	r.awaitStatus(problem)
-	r.run(r.start("cab-7"), "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
+	r.run(r.start(worker), "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
 }
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -53,7 +53,7 @@
 			dir := t.TempDir()
 			sum, err := Run(context.Background(), Options{Site: site, Dir: dir, Programs: bin, Seconds: 6, AddressByte: 30 + i, Seed: 1, Rate: 15})
 			if err != nil {
-				for _, n := range []string{"archive-core-1", "runner-edge-1", "dispatcher-edge-1", "appraiser-core-1"} {
+				for _, n := range append(processesOf(coreProcesses, "core-1"), processesOf(edgeProcesses, "edge-1")...) {
 					if raw, e := os.ReadFile(filepath.Join(dir, n+".log")); e == nil {
 						t.Logf("%s:\n%s", n, raw[max(0, len(raw)-2000):])
 					}
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -12,6 +12,7 @@
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/settings"
 )
 
@@ -30,12 +31,12 @@
 		"its time ends in the queue": {2 * time.Second, "", nil, "full", 2 * time.Second},
 		"its time was over":          {-time.Second, "", nil, "full", 0},
 		"newer weights":              {0, "", func(worker *Worker) { worker.weights = 2 }, "weights", 6 * time.Second},
-		"another incarnation":        {0, "cab-1/before", nil, "incarnation", 6 * time.Second},
+		"another incarnation":        {0, "worker-1/before", nil, "incarnation", 6 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			environment := daemon.RealEnvironment(settings.Process{})
 			environment.Clock, environment.WallClock = clock.Synctest(), time.Now
-			process := daemon.NewIn(environment, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
+			process := daemon.NewIn(environment, programs.WorkerSim, settings.Process{Name: "worker-1", Bounds: settings.DefaultBounds(),
 				Options: []string{"log=off", "model=m", "slots=1", "fixed_us=5000000", "token_us=0", "square_us=0"}})
 			defer process.Stop(0)
 			worker, err := openWorker(process)
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -13,6 +13,7 @@
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/settings"
 )
 
@@ -23,7 +24,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		environment := daemon.RealEnvironment(settings.Process{})
 		environment.Clock, environment.WallClock = clock.Synctest(), time.Now
-		process := daemon.NewIn(environment, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
+		process := daemon.NewIn(environment, programs.WorkerSim, settings.Process{Name: "worker-1", Bounds: settings.DefaultBounds(),
 			Options: append([]string{"log=off", "model=m", "slots=4", "fixed_us=1000", "load_ms=400", "adapter_ms=100", "memory=100", "model_room=40", "adapter_room=5", "adapters=a@1"}, options...)})
 		defer process.Stop(0)
 		worker, err := openWorker(process)
@@ -140,7 +141,7 @@
 		if loaded := worker.workerState().LoadedModels(); len(loaded) != 1 || worker.workerState().FreeWeightMemoryMB != 55 || worker.workerState().Loading != "" {
 			t.Errorf("it was loaded though the load was cancelled: %+v", worker.workerState())
 		}
-		if reason := order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Incarnation: "cab-1/before"}); reason != "incarnation" {
+		if reason := order(contract.Order{Kind: "load", Model: "m2", Weights: 1, Incarnation: "worker-1/before"}); reason != "incarnation" {
 			t.Errorf("an order for another incarnation: %q", reason)
 		}
 	})
--- a/internal/sim/workersim/worker_test.go
+++ b/internal/sim/workersim/worker_test.go
@@ -12,6 +12,7 @@
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/data/prefix"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/settings"
 )
 
@@ -31,7 +32,7 @@
 	}
 	addr := listener.Addr().String()
 	listener.Close()
-	process := daemon.New("cab", settings.Process{Name: "cab-1", Zone: "d", Listen: "127.0.0.1:1", Public: addr, Bounds: settings.DefaultBounds(),
+	process := daemon.New(programs.WorkerSim, settings.Process{Name: "worker-1", Zone: "d", Listen: "127.0.0.1:1", Public: addr, Bounds: settings.DefaultBounds(),
 		Options: []string{"log=off", "model=m", "service=s", "kv=100", "token_us=1", "piece_us=1", "fixed_us=1"}})
 	if err := Start(process); err != nil {
 		t.Fatal(err)
@@ -46,7 +47,7 @@
 	w.Helper()
 	attempt := w.backends.Start(context.Background(), w.addr, contract.StartRequest{RequestID: id, CacheDomain: domain, Model: "m", Weights: weights,
 		Parts: []string{strings.Repeat(text, 160), "question"}, Chunks: 3, WaitMs: 2000}, nil)
-	verifier := contract.NewStreamVerifier(id, "cab-1")
+	verifier := contract.NewStreamVerifier(id, "worker-1")
 	if attempt.Body == nil {
 		return attempt, nil
 	}
