--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -298,7 +298,7 @@
 func (w *catchUpWorld) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
 	starts := node.starts
 	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: w.ackedVersion}
-	pending, response := node.shard.propose(&wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
+	pending, response := node.shard.propose(putRequest(put), nil)
 	w.runStep(node)
 	for begun := w.now; response == nil && node.starts == starts && w.now-begun < answerTimeout; {
 		select {
--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -112,7 +112,7 @@
 }
 
 // send sends a change once, and records the answer unless it is lost.
-func (s *changeSearch) send(random *rand.Rand, change *sentChange, node *Node, lost bool) (answered bool) {
+func (s *changeSearch) send(change *sentChange, node *Node, lost bool) (answered bool) {
 	version, err := node.PutRoutingConfig(s.ctx, change.baseVersion, body(change.newVersion, change.text), change.partial)
 	kind := errs.KindOf(err)
 	isRejected := err != nil && (kind == errs.Conflict || kind == errs.BadInput || kind == errs.TooLarge)
@@ -159,9 +159,9 @@
 			lost := random.IntN(5) == 0
 			var concurrent sync.WaitGroup
 			if random.IntN(4) == 0 {
-				concurrent.Go(func() { s.send(random, change, second, false) })
+				concurrent.Go(func() { s.send(change, second, false) })
 			}
-			answered := s.send(random, change, node, lost)
+			answered := s.send(change, node, lost)
 			if concurrent.Wait(); answered {
 				break
 			}
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -80,8 +80,7 @@
 // put proposes a change. It returns the answer, nil where there is none after a tick, and whether the
 // process has lived on.
 func (m *singleMember) put(body []byte) (response *wire.ChangeResponse, survived bool) {
-	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: "k", AnyVersion: true, Body: body}}}}
-	pending, response := m.replica.propose(request, nil)
+	pending, response := m.replica.propose(putRequest(&wire.Put{Key: "k", AnyVersion: true, Body: body}), nil)
 	before := m.replica
 	m.tick(1)
 	survived = before == m.replica
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -114,7 +114,7 @@
 	t.Helper()
 	ctx, key := context.Background(), fleet.PlacementKey+"s"
 	put := &wire.Put{Key: key, Body: []byte("{}"), AnyVersion: true, Token: "p1"}
-	if _, err := cluster.node(4).controlClient.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}); err != nil {
+	if _, err := cluster.node(4).controlClient.Change(ctx, putRequest(put)); err != nil {
 		t.Error(err)
 	}
 	first := cluster.node(1)
--- a/internal/control/controlstate/isolation_requests_test.go
+++ b/internal/control/controlstate/isolation_requests_test.go
@@ -39,9 +39,9 @@
 		w := isolateMember(t, true)
 		defer w.healAndStop()
 		for name, request := range map[string]*wire.ChangeRequest{
-			"another version": {Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: fleet.WeightsKey, Body: []byte("{}"), IfVersion: 7}}}},
+			"another version": putRequest(&wire.Put{Key: fleet.WeightsKey, Body: []byte("{}"), IfVersion: 7}),
 			"a dry run":       {DryRun: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: fleet.WeightsKey, Body: []byte("{}")}}}},
-			"a plan":          {Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: body(9, "x"), IfVersion: 8}}}},
+			"a plan":          putRequest(&wire.Put{Key: routingconfig.DocumentKey, Body: body(9, "x"), IfVersion: 8}),
 		} {
 			begun := time.Now()
 			response, _ := w.node(w.victim).Change(context.Background(), request)
@@ -62,7 +62,7 @@
 		ctx, end := context.WithTimeout(context.Background(), isolationTime)
 		defer end()
 		grant := &wire.Grant{Lease: "site", Holder: "x", TtlNs: uint64(leaseTTL)}
-		response := replica.change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}})
+		response := replica.change(ctx, grantRequest(grant))
 		if waited := time.Since(begun); response.Outcome != wire.OutcomeUnknown || waited > stepDownWithin {
 			t.Errorf("%v after %v", response, waited)
 		}
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -143,7 +143,7 @@
 func (w *isolationWorld) checkVictimGrantsNothing() {
 	begun := time.Now()
 	grant := &wire.Grant{Lease: "other", Holder: "x", TtlNs: uint64(leaseTTL)}
-	response, _ := w.node(w.victim).Change(context.Background(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}})
+	response, _ := w.node(w.victim).Change(context.Background(), grantRequest(grant))
 	if waited := time.Since(begun); response.Outcome == wire.OutcomeDone || response.Outcome == wire.OutcomeConflict || waited > grantWithin {
 		w.t.Errorf("%v: the isolated member answers a lease request after %v: %v", w.elapsed(), waited, response)
 	}
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -153,7 +153,7 @@
 	}
 	for ; ctx.Err() == nil; clock.Sleep(ctx, leaseTTL*2/5) {
 		requestedAt := w.elapsed() + time.Hour
-		request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: lease.GrantRequest()}}}
+		request := grantRequest(lease.GrantRequest())
 		attempt, end := context.WithTimeout(ctx, leaseTTL)
 		var response *wire.ChangeResponse
 		for _, machine := range machines {
--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -34,7 +34,9 @@
 
 // makeChange proposes a change and returns its outcome.
 func makeChange(s *shard, put *wire.Put, patch bool) *wire.ChangeResponse {
-	pending, response := s.propose(&wire.ChangeRequest{Patch: patch, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, nil)
+	request := putRequest(put)
+	request.Patch = patch
+	pending, response := s.propose(request, nil)
 	if s.handleReady(); response == nil {
 		response = <-pending.response
 	}
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -262,7 +262,7 @@
 // send sends a change to a member; the answer is recorded whenever it comes.
 func (c *scriptedCluster) send(change *testChange, receiver *scriptedMember) {
 	put := &wire.Put{Key: c.key, Body: change.body(), IfVersion: change.baseVersion, Token: change.name}
-	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}
+	request := putRequest(put)
 	replica := receiver.shard // the member may be started again meanwhile
 	go func() {
 		response := replica.change(c.ctx, request)
--- a/internal/control/controlstate/second_loss_join_test.go
+++ b/internal/control/controlstate/second_loss_join_test.go
@@ -79,7 +79,7 @@
 	acknowledged := false
 	r.waitUntil(4*time.Second, func() bool {
 		if node := r.leader(); node != nil && !acknowledged {
-			r.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(response *wire.ChangeResponse) {
+			r.sendCommand(node, putRequest(put), func(response *wire.ChangeResponse) {
 				acknowledged = acknowledged || response.Outcome == wire.OutcomeDone
 			})
 		}
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -200,7 +200,7 @@
 	if leader != node {
 		s.count("by a node that doesn't lead")
 	}
-	request := &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: routingconfig.DocumentKey, Body: []byte(change.body), IfVersion: change.baseVersion, Token: change.body}}}}
+	request := putRequest(&wire.Put{Key: routingconfig.DocumentKey, Body: []byte(change.body), IfVersion: change.baseVersion, Token: change.body})
 	sentAt, wasAcked := s.now, change.ackedAt > 0
 	s.executeChange(leader, request, func(response *wire.ChangeResponse) {
 		if leader != node && s.callFails(node.addr, leader.addr) {
@@ -290,7 +290,7 @@
 	if node == nil || s.random.IntN(8) == 0 {
 		node = s.randomNode()
 	}
-	s.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}}, func(response *wire.ChangeResponse) {
+	s.sendCommand(node, grantRequest(grant), func(response *wire.ChangeResponse) {
 		s.handleLeaseAnswer(holder, requestedAt, response)
 		if response.Outcome == wire.OutcomeDone {
 			s.checkIsolated(node, sentAt, "grants a lease")
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -45,7 +45,7 @@
 	if s.random.IntN(4) == 0 {
 		put.AnyVersion = true
 	}
-	s.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(response *wire.ChangeResponse) {
+	s.sendCommand(node, putRequest(put), func(response *wire.ChangeResponse) {
 		if response.Outcome == wire.OutcomeDone {
 			write.version, write.ackedAt = response.Version, s.now
 			s.count("acked")
@@ -166,7 +166,7 @@
 	}
 	requestedAt, grant := holder.clock.Now(), holder.lease.GrantRequest()
 	s.awaitLeaseAnswer(holder)
-	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}}, func(response *wire.ChangeResponse) {
+	s.sendCommand(s.randomNode(), grantRequest(grant), func(response *wire.ChangeResponse) {
 		s.handleLeaseAnswer(holder, requestedAt, response)
 	})
 }
