--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -14,7 +14,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// Fleet is a site that runs.
+// Fleet is a running site.
 type Fleet struct {
 	Site   *Site
 	Dir    string
@@ -22,19 +22,24 @@
 	client *http.Client
 }
 
+const (
+	firstConfigTimeout = 60 * time.Second
+	startPollPause     = 200 * time.Millisecond // between polls of a starting site
+)
+
 func newFleet(site *Site, dir string, env Environment) *Fleet {
 	return &Fleet{Site: site, Dir: dir, env: env, client: &http.Client{Transport: &http.Transport{DialContext: env.Dial}}}
 }
 
-// Up starts every process of a site on this machine, and waits until it serves its first setup.
+// Up starts every process of a site on this machine and waits until the site serves its first configuration.
 //
-// Example: f, err := testbed.Up(ctx, site, "/tmp/run", "bin")
-func Up(ctx context.Context, s *Site, dir, bin string) (*Fleet, error) {
-	return startSite(ctx, s, dir, newLocalEnvironment(dir, bin), 0)
+// Example: fleet, err := testbed.Up(ctx, site, "/tmp/run", "bin")
+func Up(ctx context.Context, site *Site, dir, programs string) (*Fleet, error) {
+	return startSite(ctx, site, dir, newLocalEnvironment(dir, programs), 0)
 }
 
-// startSite starts a site, and waits until all is ready; or, cold, only as long as said from the
-// start of its machines, whatever is ready then.
+// startSite starts a site and waits until all processes are ready. A coldStart over 0 is waited for instead, from the
+// start of the first process, whether the site is ready or not.
 func startSite(ctx context.Context, site *Site, dir string, env Environment, coldStart time.Duration) (*Fleet, error) {
 	begun := time.Now()
 	fleet := newFleet(site, dir, env)
@@ -67,45 +72,45 @@
 }
 
 func (f *Fleet) process(name string) (Process, error) {
-	for _, p := range f.Site.Processes {
-		if p.Name == name {
-			return p, nil
+	for _, process := range f.Site.Processes {
+		if process.Name == name {
+			return process, nil
 		}
 	}
 	return Process{}, errs.New(errs.NotFound, "process %q", name)
 }
 
-// Start starts one process, or starts it again.
+// Start starts or restarts a process.
 //
-// Example: err := f.Start("cab-3")
+// Example: err := fleet.Start("cab-3")
 func (f *Fleet) Start(name string) error {
-	p, err := f.process(name)
+	process, err := f.process(name)
 	if err != nil {
 		return err
 	}
-	return f.env.Start(p)
+	return f.env.Start(process)
 }
 
-// Signal sends a signal to one process that this fleet started.
+// Signal sends a signal to a process that this fleet started.
 //
-// Example: err := f.Signal("cab-3", syscall.SIGKILL)
+// Example: err := fleet.Signal("cab-3", syscall.SIGKILL)
 func (f *Fleet) Signal(name string, s syscall.Signal) error { return f.env.Signal(name, s) }
 
 // Stop ends every process that this fleet started.
 //
-// Example: defer f.Down()
+// Example: defer fleet.Stop()
 func (f *Fleet) Stop() {
 	f.env.Stop()
 	f.client.CloseIdleConnections()
 }
 
-// applyFirstConfig applies the site's first setup through any operator address.
+// applyFirstConfig applies the site's first configuration through any operator address.
 func (f *Fleet) applyFirstConfig(ctx context.Context) error {
-	ctx, end := context.WithTimeout(ctx, 60*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, firstConfigTimeout)
+	defer cancel()
 	raw, err := json.Marshal(map[string]any{"setup": f.Site.Config, "token": "first", "if_epoch": 0})
 	if err != nil {
-		return errs.Wrap(err, "write first setup")
+		return errs.Wrap(err, "write first configuration")
 	}
 	last := "nothing answered"
 	for i := 0; ctx.Err() == nil; i++ {
@@ -114,29 +119,30 @@
 			return nil
 		}
 		last = fmt.Sprintf("%d %s", code, body)
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(startPollPause)
 	}
-	return errs.New(errs.OutcomeUnknown, "first setup: %s", last)
+	return errs.New(errs.OutcomeUnknown, "first configuration: %s", last)
 }
 
+// awaitReady polls until every process is ready and the main service has a placement.
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n := 0
-		for _, p := range f.Site.Processes {
-			a := p.Settings.Public
-			if a == "" {
-				a = p.Settings.Listen
+		ready := 0
+		for _, process := range f.Site.Processes {
+			addr := process.Settings.Public
+			if addr == "" {
+				addr = process.Settings.Listen
 			}
-			if r, err := f.client.Get("http://" + a + "/readyz"); err == nil {
-				if r.Body.Close(); r.StatusCode == 200 {
-					n++
+			if response, err := f.client.Get("http://" + addr + "/readyz"); err == nil {
+				if response.Body.Close(); response.StatusCode == 200 {
+					ready++
 				}
 			}
 		}
-		if n == len(f.Site.Processes) && f.hasPlacement(ctx) {
+		if ready == len(f.Site.Processes) && f.hasPlacement(ctx) {
 			return nil
 		}
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(startPollPause)
 	}
 	return errs.New(errs.OutcomeUnknown, "the site isn't ready: see the logs in %s", f.Dir)
 }
@@ -146,16 +152,16 @@
 	return code == 200
 }
 
-// Journals reads what every worker has run, killed ones included.
+// Journals reads the runs of every worker, including killed ones, by worker.
 //
-// Example: js, err := f.Journals()
+// Example: journals, err := fleet.Journals()
 func (f *Fleet) Journals() (map[string][]workersim.Run, error) {
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken == 0 })
 }
 
-// Orders reads which orders every worker has obeyed.
+// Orders reads the orders that every worker has executed, by worker.
 //
-// Example: orders, err := f.Orders()
+// Example: orders, err := fleet.Orders()
 func (f *Fleet) Orders() (map[string][]workersim.Run, error) {
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken > 0 })
 }
@@ -163,44 +169,45 @@
 func (f *Fleet) readJournals(include func(workersim.Run) bool) (map[string][]workersim.Run, error) {
 	byWorker := map[string][]workersim.Run{}
 	var batch errs.Batch
-	for n := range f.Site.Workers {
-		p, err := f.process(n)
-		if batch.Add(n, err); err == nil {
-			runs, err := f.env.Journal(p)
-			batch.Add(n, err)
-			byWorker[n] = slices.DeleteFunc(runs, func(r workersim.Run) bool { return !include(r) })
+	for name := range f.Site.Workers {
+		process, err := f.process(name)
+		if batch.Add(name, err); err == nil {
+			runs, err := f.env.Journal(process)
+			batch.Add(name, err)
+			byWorker[name] = slices.DeleteFunc(runs, func(r workersim.Run) bool { return !include(r) })
 		}
 	}
 	return byWorker, batch.Err()
 }
 
-func (f *Fleet) call(q *http.Request, err error) (int, string) {
+func (f *Fleet) call(request *http.Request, err error) (int, string) {
 	if err != nil {
 		return 0, err.Error()
 	}
-	q.Header.Set("Content-Type", "application/json")
-	r, err := f.client.Do(q)
+	request.Header.Set("Content-Type", "application/json")
+	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer r.Body.Close()
-	var b bytes.Buffer
-	if _, err := b.ReadFrom(r.Body); err != nil {
-		return r.StatusCode, err.Error()
+	defer response.Body.Close()
+	var body bytes.Buffer
+	if _, err := body.ReadFrom(response.Body); err != nil {
+		return response.StatusCode, err.Error()
 	}
-	return r.StatusCode, b.String()
+	return response.StatusCode, body.String()
 }
 
-// Post sends JSON to an operator address.
+// Post sends JSON to an operator address and returns the status and the body; the status is 0, and the body the
+// error, if there was no response.
 //
-// Example: code, said := f.Post(ctx, addr, "/v1/setup", raw)
+// Example: code, body := fleet.Post(ctx, addr, "/v1/setup", raw)
 func (f *Fleet) Post(ctx context.Context, addr, path string, raw []byte) (int, string) {
 	return f.call(http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(raw)))
 }
 
-// Get reads from an operator address.
+// Get reads from an operator address; its results are those of Post.
 //
-// Example: code, said := f.Get(ctx, addr, "/v1/nodes")
+// Example: code, body := fleet.Get(ctx, addr, "/v1/nodes")
 func (f *Fleet) Get(ctx context.Context, addr, path string) (int, string) {
 	return f.call(http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil))
 }
