--- a/internal/sim/testbed/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -8,13 +8,13 @@
 	"pebbleloom/internal/errs"
 )
 
-// measureCapacity measures what each role costs as the fleet grows, into a file whose other series stay; or it
-// writes the page anew from the folder with what was measured.
+// measureCapacity measures the resource use of each role over the size of the fleet and merges the series into
+// options.Out, which keeps its other series. With the part "page" it regenerates the page in the folder options.Out.
 func measureCapacity(options Options, out, bad io.Writer) error {
 	if options.Part == "page" {
 		return capacity.WritePage(options.Out)
 	}
-	m, err := capacity.Measure(options.Part, options.Quick, bad)
+	measured, err := capacity.Measure(options.Part, options.Quick, bad)
 	if err != nil {
 		return err
 	}
@@ -23,9 +23,9 @@
 		if err != nil {
 			return errs.Wrap(err, options.Out)
 		}
-		m = capacity.Join(old, m)
+		measured = capacity.Join(old, measured)
 	}
-	raw, err := m.Write()
+	raw, err := measured.Write()
 	if err != nil {
 		return err
 	}
