--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -43,24 +43,24 @@
 // Example: a, err := agent.Start(process, codec, clustermembership.RoleNodeAgent)
 func Start(process *daemon.Process, codec backend.Codec, role string) (*Agent, error) {
 	clients := daemon.NewClients(process)
-	a := newAgent(process, codec, clients.ControlNode)
-	a.member = clustermembership.Start(process.Ctx, clustermembership.Config{
+	agent := newAgent(process, codec, clients.ControlNode)
+	agent.member = clustermembership.Start(process.Ctx, clustermembership.Config{
 		Process: process.Settings,
 		Role:    role,
 		Clock:   process.Clock,
 		Log:     process.Log,
 		Client:  clients.Membership,
 		OnChange: func(view clustermembership.View) {
-			a.view.Store(&view)
-			a.actor.TrySend(a.updateMembership)
+			agent.view.Store(&view)
+			agent.actor.TrySend(agent.updateMembership)
 		},
 	})
-	process.OnSettingsChanged(func(changed settings.Process) { a.member.SetSeeds(changed.Seeds) })
-	process.Go(func() { <-process.Draining; a.member.Leave() })
-	a.addMetrics()
-	a.actor.Ask(a.updateFollowed)
-	process.Every(process.Settings.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
-	return a, nil
+	process.OnSettingsChanged(func(changed settings.Process) { agent.member.SetSeeds(changed.Seeds) })
+	process.Go(func() { <-process.Draining; agent.member.Leave() })
+	agent.addMetrics()
+	agent.actor.Ask(agent.updateFollowed)
+	process.Every(process.Settings.Bounds.Config(longPollRatio), func() { agent.actor.Ask(agent.updateFollowed) })
+	return agent, nil
 }
 
 // addMetrics adds the metrics of the snapshot in use.
@@ -78,7 +78,7 @@
 	meter.Gauge("pebbleloom_workers_known", "workers in the snapshot in use", func() float64 { return float64(len(a.Snapshot().Workers)) })
 }
 
-// newAgent makes an agent that follows nobody yet.
+// newAgent makes an agent that follows no control node yet.
 func newAgent(process *daemon.Process, codec backend.Codec, connect func(addr string) wire.ControlNode) *Agent {
 	a := &Agent{process: process, connect: connect, seeds: process.Settings.Seeds, followed: map[string]context.CancelFunc{}}
 	t := newTable(process.Settings.Bounds, codec, process.Clock.Now())
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -20,18 +20,18 @@
 // fakeGroup is a group of fake control nodes with the same responses.
 type fakeGroup struct {
 	wire.ControlNode
-	mu           sync.Mutex
-	members      []string
-	index        uint64
-	version      uint64
-	changed      chan struct{}
-	requests     map[string]int
-	heldRequests map[string]int    // requests that are held now
-	behavior     map[string]string // "hangs", "errs", "empty", "behind"
+	mu              sync.Mutex
+	members         []string
+	index           uint64
+	version         uint64
+	changed         chan struct{}
+	requests        map[string]int
+	waitingRequests map[string]int    // requests that are held now
+	behavior        map[string]string // "hangs", "errs", "empty", "behind"
 }
 
 func newFakeGroup(members ...string) *fakeGroup {
-	return &fakeGroup{members: members, index: 1, version: 1, requests: map[string]int{}, heldRequests: map[string]int{}, behavior: map[string]string{}}
+	return &fakeGroup{members: members, index: 1, version: 1, requests: map[string]int{}, waitingRequests: map[string]int{}, behavior: map[string]string{}}
 }
 
 func (g *fakeGroup) change(f func()) {
@@ -42,16 +42,16 @@
 	g.changed = make(chan struct{})
 }
 
-// requestCount is how many requests an address got; heldCount is how many it holds.
+// requestCount is how many requests an address got; waitingCount is how many it holds.
 func (g *fakeGroup) requestCount(addr string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.requests[addr]
 }
-func (g *fakeGroup) heldCount(addr string) int {
+func (g *fakeGroup) waitingCount(addr string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.heldRequests[addr]
+	return g.waitingRequests[addr]
 }
 
 type fakeControlNode struct {
@@ -62,10 +62,10 @@
 func (n fakeControlNode) Follow(ctx context.Context, request *wire.FollowRequest) (*wire.FollowResponse, error) {
 	n.mu.Lock()
 	n.requests[n.addr]++
-	n.heldRequests[n.addr]++
+	n.waitingRequests[n.addr]++
 	behavior, changed, version := n.behavior[n.addr], n.changed, n.version
 	n.mu.Unlock()
-	defer func() { n.mu.Lock(); n.heldRequests[n.addr]--; n.mu.Unlock() }()
+	defer func() { n.mu.Lock(); n.waitingRequests[n.addr]--; n.mu.Unlock() }()
 	timer := time.NewTimer(time.Duration(request.MaxWaitNs))
 	defer timer.Stop()
 	switch behavior {
@@ -237,8 +237,8 @@
 		n := group.requestCount("1:1")
 		group.change(func() { group.version = 9 })
 		wait(3 * time.Second)
-		if group.requestCount("1:1") != n || group.heldCount("1:1") != 0 || group.heldCount("1:4") != 1 {
-			t.Errorf("requests to the removed one: %d then %d; held by the new one: %d", n, group.requestCount("1:1"), group.heldCount("1:4"))
+		if group.requestCount("1:1") != n || group.waitingCount("1:1") != 0 || group.waitingCount("1:4") != 1 {
+			t.Errorf("requests to the removed one: %d then %d; held by the new one: %d", n, group.requestCount("1:1"), group.waitingCount("1:4"))
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; planVersion(agent) != 9 || age > agent.process.Settings.Bounds.Config(1) {
 			t.Errorf("plan %d, proof %v old", planVersion(agent), age)
--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -97,7 +97,7 @@
 const maxSuperseding = 8
 
 // addSuperseding adds a version to those that were named before, oldest first. Once a version's bound has
-// run out, the ones before it say nothing more; if there are too many, the next takes over the oldest's
+// run out, the ones before it don't matter any more; if there are too many, the next takes over the oldest's
 // time, which is stricter.
 func (t *table) addSuperseding(before []fleet.NamedVersion, version fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
 	all := append(slices.Clone(before), version)
--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -30,7 +30,7 @@
 //   - M was appended by a leader of term T but never committed, and will be lost. e of a term before T, or
 //     of T, precedes M in that leader's log: as above. For e of a later term, take the first term after T
 //     that had committed an entry n of its own by then. Its leader's log lacks M, else M would be
-//     committed; and nobody had appended another membership, for want of an entry of its own term. So n
+//     committed; and no leader had appended another membership, for want of an entry of its own term. So n
 //     was committed by the membership before M, adjacent to M: the member shared with Q had n, which had
 //     truncated M from its log for good, against (b). (Without (b) this case fails: from {1,2,3,4},
 //     {a,3,4} of the lost {1,2,3,4,a} never intersects {1,2} of {1,2,3}.)
--- a/internal/data/agent/freshnessproof_test.go
+++ b/internal/data/agent/freshnessproof_test.go
@@ -73,7 +73,7 @@
 		{attestingResponse("1:4/d", 1, 9, four...), 7, 70},
 		{attestingResponse(threeMembers[2], 1, 9, four...), 7, 80},
 	}
-	n := everyOrder(responses, func(order []receivedResponse) {
+	orders := everyOrder(responses, func(order []receivedResponse) {
 		proof := NewFreshnessProof()
 		before := time.Duration(0)
 		for i, received := range order {
@@ -91,8 +91,8 @@
 			t.Fatalf("%v: proof of the newer plan at %v", order, at)
 		}
 	})
-	if n != 40320 {
-		t.Fatalf("%d orders tried", n)
+	if orders != 40320 {
+		t.Fatalf("%d orders tried", orders)
 	}
 }
 
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -137,51 +137,51 @@
 func TestWhenWeightsWereNamed(t *testing.T) {
 	state := newTestTable()
 	bounds := state.bounds
-	name := func(v uint64, now time.Duration, named map[string]uint64) {
+	nameWeights := func(v uint64, now time.Duration, named map[string]uint64) {
 		state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.WeightsKey, v, fleet.Weights{Versions: named})), 1, now, now)
 	}
-	name(1, startTime, map[string]uint64{"m": 1})
+	nameWeights(1, startTime, map[string]uint64{"m": 1})
 	if at := state.snapshot.NamedAt["m"]; at != startTime-bounds.Weights(0.5) {
 		t.Fatalf("weights that were named before the start count from %v", at)
 	}
 	now := startTime + time.Minute
 	state.applyResponse(newFollowResponse(threeMembers[1], true, planDocument(1)), 0, now, now)
 	state.applyResponse(newFollowResponse(threeMembers[0], true), 1, now, now)
-	name(2, now+1, map[string]uint64{"m": 2, "n": 7})
-	name(3, now+2, map[string]uint64{"m": 2, "n": 8})
+	nameWeights(2, now+1, map[string]uint64{"m": 2, "n": 7})
+	nameWeights(3, now+2, map[string]uint64{"m": 2, "n": 8})
 	if a := state.snapshot.NamedAt; a["m"] != now+1 || a["n"] != now+2 {
 		t.Fatalf("in contact: named at %v", a)
 	}
-	if l := state.snapshot.EarlierVersions; len(l["m"]) != 1 || l["m"][0].Version != 1 || len(l["n"]) != 1 || l["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
-		t.Fatalf("superseding %v", l)
+	if earlier := state.snapshot.EarlierVersions; len(earlier["m"]) != 1 || earlier["m"][0].Version != 1 || len(earlier["n"]) != 1 || earlier["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
+		t.Fatalf("superseding %v", earlier)
 	}
-	name(4, now+bounds.Config(2), map[string]uint64{"m": 3})
-	if l := state.snapshot.EarlierVersions["m"]; len(l) != 2 || l[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
-		t.Fatalf("superseding %v", l)
+	nameWeights(4, now+bounds.Config(2), map[string]uint64{"m": 3})
+	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 2 || earlier[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
+		t.Fatalf("superseding %v", earlier)
 	}
 	if a := state.snapshot.NamedAt; a["m"] != now || len(a) != 1 {
 		t.Fatalf("out of contact since %v: named at %v", now, a)
 	}
-	name(5, now+bounds.Weights(3), map[string]uint64{"m": 4})
+	nameWeights(5, now+bounds.Weights(3), map[string]uint64{"m": 4})
 	if a := state.snapshot.NamedAt; a["m"] != now+bounds.Weights(2.5) {
 		t.Fatalf("out of contact for long: named at %v", a)
 	}
-	if l := state.snapshot.EarlierVersions["m"]; len(l) != 1 || l[0].Version != 3 {
-		t.Fatalf("past the bound of version 3 those before say nothing: %v", l)
+	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 1 || earlier[0].Version != 3 {
+		t.Fatalf("past the bound of version 3 those before say nothing: %v", earlier)
 	}
 	for v := uint64(5); v < 30; v++ { // one right after another: the bound of none is extended
-		name(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
+		nameWeights(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
 	}
-	if l := state.snapshot.EarlierVersions["m"]; len(l) != maxSuperseding || l[0].At != now {
-		t.Fatalf("superseding %v", l)
+	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != maxSuperseding || earlier[0].At != now {
+		t.Fatalf("superseding %v", earlier)
 	}
 }
 
-func membershipOf(edges int, gone int) (view clustermembership.View) {
+func membershipOf(edges int, dead int) (view clustermembership.View) {
 	view.Nodes = append(view.Nodes, &wire.Node{Name: "archive/c", Role: clustermembership.RoleControlNode})
 	for i := range edges {
 		node := &wire.Node{Name: clustermembership.RoleNodeAgent + "/" + strconv.Itoa(i), Role: clustermembership.RoleNodeAgent}
-		if i < gone {
+		if i < dead {
 			node.State = clustermembership.Dead
 		}
 		view.Nodes = append(view.Nodes, node)
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -95,7 +95,7 @@
 }
 
 // merge adds an index node's response, one entry for each key. One that isn't warm can't know yet that
-// nobody holds a key.
+// no worker caches a part.
 func (r *batchResult) merge(keys []prefix.Key, response *wire.LookupResponse) {
 	for i, key := range keys {
 		if !response.Warm && len(response.Results[i].Holders) == 0 {
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -65,7 +65,7 @@
 type pendingLookup struct {
 	keys   []prefix.Key
 	wait   time.Duration
-	result chan map[prefix.Key]*wire.LookupResult // buffered: a caller that stopped waiting blocks nobody
+	result chan map[prefix.Key]*wire.LookupResult // buffered: a caller that stopped waiting doesn't block the batch
 }
 
 // New makes an edge machine's client of the index; nodes returns the cluster membership.
@@ -94,7 +94,7 @@
 // and waits for them.
 func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.PromptIndex) *Client {
 	bounds := process.Settings.Bounds
-	c := &Client{
+	client := &Client{
 		lookups: queue.NewRing[pendingLookup](bounds.MaxConcurrentRequests),
 		nodes:   nodes,
 		connect: connect,
@@ -105,12 +105,12 @@
 		zone:    process.Settings.Zone,
 	}
 	incarnation := uint64(process.Clock.Now())
-	c.actor = queue.NewActor(newTable(c, incarnation), 1024)
-	process.OnStop(c.actor.Stop)
-	process.Go(c.run)
-	process.Every(bounds.Heal(flushRatio), c.flush)
-	process.Meter.Counter("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(c.lookupCalls.Load()) })
-	return c
+	client.actor = queue.NewActor(newTable(client, incarnation), 1024)
+	process.OnStop(client.actor.Stop)
+	process.Go(client.run)
+	process.Every(bounds.Heal(flushRatio), client.flush)
+	process.Meter.Counter("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(client.lookupCalls.Load()) })
+	return client
 }
 
 // Lookup looks keys up and waits no longer than wait; nil, or a missing key, is a miss. The result is
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -197,12 +197,12 @@
 }
 
 func TestOtherNodeIsAskedAfterAnErrorOrAColdResponse(t *testing.T) {
-	for _, mood := range []string{"errors", "cold"} {
+	for _, behavior := range []string{"errors", "cold"} {
 		index := &fakeIndex{behavior: map[string]string{}, holders: map[prefix.Key]string{newKey(1): "w"}}
 		runClient(t, index, func(client *Client, serving []*wire.Node) {
-			index.setBehavior(serving[1].Addr, mood)
+			index.setBehavior(serving[1].Addr, behavior)
 			if m := client.Lookup(context.Background(), newKeys(2), lookupWait); len(m[newKey(1)].GetHolders()) != 1 || len(index.called) != 2 {
-				t.Errorf("%s: %v, called %v", mood, m, index.called)
+				t.Errorf("%s: %v, called %v", behavior, m, index.called)
 			}
 		})
 	}
@@ -326,7 +326,7 @@
 	})
 }
 
-// Index nodes that have just started can't know that nobody caches a part: that is a miss, not an answer.
+// Index nodes that have just started can't know that no worker caches a part: that is a miss, not an answer.
 func TestColdIndexCannotRuleOutHolders(t *testing.T) {
 	index := &fakeIndex{holders: map[prefix.Key]string{newKey(3): "w"}}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -166,7 +166,7 @@
 	return answers
 }
 
-// cacheAnswers caches the holders that were found; that nobody holds a key isn't cached. A full cache
+// cacheAnswers caches the holders that were found; that a key has no holder isn't cached. A full cache
 // drops the answers that are no longer valid, or else all.
 func (t *table) cacheAnswers(found map[prefix.Key]*wire.LookupResult, now time.Duration) {
 	if len(t.cached)+len(found) > maxCachedAnswers {
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -83,29 +83,29 @@
 // Example: daemon.Main(programs.NodeAgent, "the agent on an edge machine", required, nodeagent.Start)
 func Start(process *daemon.Process) error {
 	bounds := process.Settings.Bounds
-	a := &Agent{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial)}
-	process.OnStop(a.backends.Close)
+	agent := &Agent{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial)}
+	process.OnStop(agent.backends.Close)
 	members := controlclient.Members(0, process.Settings.Core)
-	a.actor = queue.NewActor(newTable(process), 1024)
-	process.OnStop(a.actor.Stop)
-	a.member = clustermembership.Start(process.Ctx, clustermembership.Config{
+	agent.actor = queue.NewActor(newTable(process), 1024)
+	process.OnStop(agent.actor.Stop)
+	agent.member = clustermembership.Start(process.Ctx, clustermembership.Config{
 		Process: process.Settings,
 		Role:    clustermembership.RoleNodeAgent,
-		Clock:   a.clock,
+		Clock:   agent.clock,
 		Log:     process.Log,
-		Client:  a.clients.Membership,
+		Client:  agent.clients.Membership,
 		OnChange: func(view clustermembership.View) {
-			a.actor.TrySend(func(t *table) { t.membership = view; t.notifyListsChanged() })
+			agent.actor.TrySend(func(t *table) { t.membership = view; t.notifyListsChanged() })
 		},
 	})
 	for _, member := range members {
-		process.Go(func() { a.followConfig(member) })
+		process.Go(func() { agent.followConfig(member) })
 	}
-	process.Every(bounds.Leave(workerPollRatio), a.refreshWorkers)
-	process.Every(bounds.Leave(workerPollRatio), a.probeWorkers)
-	process.Every(bounds.Heal(placementPollRatio), a.followPlacements)
-	a.addMetrics()
-	return a.serve()
+	process.Every(bounds.Leave(workerPollRatio), agent.refreshWorkers)
+	process.Every(bounds.Leave(workerPollRatio), agent.probeWorkers)
+	process.Every(bounds.Heal(placementPollRatio), agent.followPlacements)
+	agent.addMetrics()
+	return agent.serve()
 }
 
 // addMetrics adds the metrics of workers and nodes.
--- a/internal/data/nodeagent/freshnessproof_test.go
+++ b/internal/data/nodeagent/freshnessproof_test.go
@@ -43,7 +43,7 @@
 func TestEveryOrderOfResponses(t *testing.T) {
 	responses := []receivedResponse{{"a", 1, 10, unchangedResponse()}, {"b", 1, 20, unchangedResponse()}, {"c", 1, 30, updatedResponse(2, true)}, {"a", 1, 25, updatedResponse(2, false)}, {"a", 2, 40, unchangedResponse()}, {"b", 1, 35, updatedResponse(2, true)}}
 	adopted := 0
-	n := everyOrder(responses, func(order []receivedResponse) {
+	orders := everyOrder(responses, func(order []receivedResponse) {
 		proof := NewFreshnessProof()
 		proof.HandleResponse("a", 0, 1, updatedResponse(1, true))
 		proof.HandleResponse("b", 0, 2, updatedResponse(1, true))
@@ -76,8 +76,8 @@
 			adopted++
 		}
 	})
-	if n != 720 || adopted < n/2 {
-		t.Fatalf("%d orders, %d ended on the newer configuration", n, adopted)
+	if orders != 720 || adopted < orders/2 {
+		t.Fatalf("%d orders, %d ended on the newer configuration", orders, adopted)
 	}
 }
 
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -15,9 +15,9 @@
 
 const (
 	maxWorkers = 1024
-	// silenceRatio is the time since its last successful probe from which a worker gets no requests, as a
+	// maxProbeAgeRatio is the time since its last successful probe from which a worker gets no requests, as a
 	// ratio of the leave bound.
-	silenceRatio = 0.6
+	maxProbeAgeRatio = 0.6
 )
 
 // refreshWorkers applies the platform's list of workers; without a response the last list stays.
@@ -193,7 +193,7 @@
 // as in a partition, gets no requests.
 func (workers *WorkerTable) health(known *worker, isDrained bool, now time.Duration) uint32 {
 	switch {
-	case known.probedAt == 0 || now-known.probedAt > workers.bounds.Leave(silenceRatio):
+	case known.probedAt == 0 || now-known.probedAt > workers.bounds.Leave(maxProbeAgeRatio):
 		return updatestream.WorkerGone
 	case known.listed.Draining || known.state.Draining || isDrained:
 		return updatestream.WorkerDraining
--- a/internal/data/nodeagent/workers_test.go
+++ b/internal/data/nodeagent/workers_test.go
@@ -46,39 +46,39 @@
 	draining, moved, drainingState := listedWorker, listedWorker, healthyState
 	draining.Draining, drainingState.Draining = true, true
 	moved.Addr = "127.0.0.1:2"
-	soon := afterProbe(0.1)
+	afterward := afterProbe(0.1)
 	for _, test := range []struct {
 		name  string
 		event func(*WorkerTable)
 		now   time.Duration
 		want  int
 	}{
-		{"listed and probed", func(*WorkerTable) {}, soon, int(updatestream.WorkerUp)},
+		{"listed and probed", func(*WorkerTable) {}, afterward, int(updatestream.WorkerUp)},
 		{"silent for longer than the ratio", func(*WorkerTable) {}, afterProbe(0.7), int(updatestream.WorkerGone)},
-		{"not listed any more", func(workers *WorkerTable) { workers.ApplyList(nil, soon) }, soon, notInTable},
+		{"not listed any more", func(workers *WorkerTable) { workers.ApplyList(nil, afterward) }, afterward, notInTable},
 		{"draining by the platform's list", func(workers *WorkerTable) {
-			workers.ApplyList([]contract.ListedWorker{draining}, soon)
-		}, soon, int(updatestream.WorkerDraining)},
+			workers.ApplyList([]contract.ListedWorker{draining}, afterward)
+		}, afterward, int(updatestream.WorkerDraining)},
 		{"draining by its own report", func(workers *WorkerTable) {
-			workers.RecordProbe(listedWorker, drainingState, true, soon, soon)
-		}, soon, int(updatestream.WorkerDraining)},
+			workers.RecordProbe(listedWorker, drainingState, true, afterward, afterward)
+		}, afterward, int(updatestream.WorkerDraining)},
 		{"an attempt failed after its last probe", func(workers *WorkerTable) {
-			workers.RecordAttempts(failedReport, soon)
-		}, soon, int(updatestream.WorkerSuspect)},
+			workers.RecordAttempts(failedReport, afterward)
+		}, afterward, int(updatestream.WorkerSuspect)},
 		{"a successful probe clears a failed attempt", func(workers *WorkerTable) {
-			workers.RecordAttempts(failedReport, soon)
+			workers.RecordAttempts(failedReport, afterward)
 			workers.RecordProbe(listedWorker, healthyState, true, afterProbe(0.2), afterProbe(0.2))
 		}, afterProbe(0.2), int(updatestream.WorkerUp)},
 		{"another worker at its address", func(workers *WorkerTable) {
-			workers.RecordProbe(listedWorker, contract.WorkerState{Name: "worker-9"}, true, soon, soon)
-		}, soon, int(updatestream.WorkerSuspect)},
+			workers.RecordProbe(listedWorker, contract.WorkerState{Name: "worker-9"}, true, afterward, afterward)
+		}, afterward, int(updatestream.WorkerSuspect)},
 		{"listed at another address: another incarnation", func(workers *WorkerTable) {
-			workers.ApplyList([]contract.ListedWorker{moved}, soon)
-		}, soon, int(updatestream.WorkerGone)},
+			workers.ApplyList([]contract.ListedWorker{moved}, afterward)
+		}, afterward, int(updatestream.WorkerGone)},
 		{"an old address's probe comes late", func(workers *WorkerTable) {
-			workers.ApplyList([]contract.ListedWorker{moved}, soon)
-			workers.RecordProbe(listedWorker, healthyState, true, soon, soon)
-		}, soon, int(updatestream.WorkerGone)},
+			workers.ApplyList([]contract.ListedWorker{moved}, afterward)
+			workers.RecordProbe(listedWorker, healthyState, true, afterward, afterward)
+		}, afterward, int(updatestream.WorkerGone)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			workers := newProbedTable()
@@ -88,7 +88,7 @@
 			}
 		})
 	}
-	if got := healthOf(newProbedTable(), map[string]bool{"worker-1": true}, soon); got != int(updatestream.WorkerDraining) {
+	if got := healthOf(newProbedTable(), map[string]bool{"worker-1": true}, afterward); got != int(updatestream.WorkerDraining) {
 		t.Errorf("draining by the configuration: state %d", got)
 	}
 }
--- a/internal/data/promptindex/accesses.go
+++ b/internal/data/promptindex/accesses.go
@@ -11,7 +11,7 @@
 
 const (
 	maxReporters = 1024
-	// reporterMemoryRatio is the silence after which a reporter may be forgotten to make room for another, as
+	// reporterMemoryRatio is the silence after which a reporter may be forgotten for another one, as
 	// a ratio of the heal bound: longer than any batch is retried.
 	reporterMemoryRatio = 1.0
 )
@@ -28,28 +28,28 @@
 //
 // Example: response := c.RecordAccesses(request, now)
 func (c *Core) RecordAccesses(request *wire.CountRequest, now time.Duration) *wire.CountResponse {
-	r := c.reporters[request.Reporter]
-	if r == nil {
+	reporterState := c.reporters[request.Reporter]
+	if reporterState == nil {
 		if len(c.reporters) >= maxReporters && !c.dropOldestReporter(now) {
 			return &wire.CountResponse{Sequence: request.Sequence} // not counted: undercounting is better than counting twice
 		}
-		r = &reporter{}
-		c.reporters[request.Reporter] = r
+		reporterState = &reporter{}
+		c.reporters[request.Reporter] = reporterState
 	}
-	r.lastBatchAt = now
-	if r.incarnation != request.Incarnation && r.previousIncarnation != request.Incarnation {
-		r.previousIncarnation, r.incarnation, r.lastNumber = r.incarnation, request.Incarnation, 0
+	reporterState.lastBatchAt = now
+	if reporterState.incarnation != request.Incarnation && reporterState.previousIncarnation != request.Incarnation {
+		reporterState.previousIncarnation, reporterState.incarnation, reporterState.lastNumber = reporterState.incarnation, request.Incarnation, 0
 	}
-	if request.Sequence <= r.lastNumber || r.incarnation != request.Incarnation {
+	if request.Sequence <= reporterState.lastNumber || reporterState.incarnation != request.Incarnation {
 		c.Stats.Duplicates++
-		return &wire.CountResponse{Sequence: r.lastNumber}
+		return &wire.CountResponse{Sequence: reporterState.lastNumber}
 	}
-	isUnremembered := r.lastNumber == 0 && request.Sequence > 1
-	r.lastNumber = request.Sequence
+	isUnremembered := reporterState.lastNumber == 0 && request.Sequence > 1
+	reporterState.lastNumber = request.Sequence
 	for _, access := range request.Accesses {
 		c.recordAccess(access, now)
 	}
-	return &wire.CountResponse{Sequence: r.lastNumber, ResendWindow: isUnremembered}
+	return &wire.CountResponse{Sequence: reporterState.lastNumber, ResendWindow: isUnremembered}
 }
 
 // recordAccess counts the accesses to one key, and records who is presumed to cache it now. Keys that
@@ -78,8 +78,8 @@
 	}
 }
 
-// dropOldestReporter makes room by dropping the reporter that was silent longest, if that is longer than
-// any batch is retried. It reports whether there is room.
+// dropOldestReporter drops the reporter that was silent longest, if that is longer than any batch is retried.
+// It reports whether it did.
 func (c *Core) dropOldestReporter(now time.Duration) bool {
 	oldest, oldestAt := "", now
 	for name, r := range c.reporters {
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -44,7 +44,7 @@
 	Lapsed      uint64 // holdings that weren't confirmed, or whose worker fell silent
 	Gaps        uint64 // gaps in workers' reports
 	FullReports uint64
-	Evicted     uint64 // entries that made room for others
+	Evicted     uint64 // entries that gave way to others
 	Duplicates  uint64 // batches of accesses that were counted already
 }
 
@@ -154,7 +154,7 @@
 }
 
 // Warm reports whether every worker, or all but a few, has reported everything it caches since this index
-// started: an index that isn't warm can't know that nobody caches a part.
+// started: an index that isn't warm can't know that no worker caches a part.
 //
 // Example: if c.Warm() { … }
 func (c *Core) Warm() bool {
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -107,9 +107,9 @@
 // Accesses are counted once, however often their number arrives; a reporter that is unknown after a restart
 // is asked for its window.
 func TestBatchIsCountedOnce(t *testing.T) {
-	k := key(1)
+	accessed := key(1)
 	newRequest := func(incarnation, sequence uint64) *wire.CountRequest {
-		return &wire.CountRequest{Reporter: "d", Incarnation: incarnation, Sequence: sequence, Accesses: []*wire.Access{{Key: k[:], Count: 5, Service: "s"}}}
+		return &wire.CountRequest{Reporter: "d", Incarnation: incarnation, Sequence: sequence, Accesses: []*wire.Access{{Key: accessed[:], Count: 5, Service: "s"}}}
 	}
 	core := NewCore(settings.DefaultBounds(), anyKey)
 	for range 3 {
@@ -117,7 +117,7 @@
 	}
 	core.RecordAccesses(newRequest(1, 2), 1)
 	core.RecordAccesses(newRequest(1, 1), 1)
-	if h := core.Lookup([]prefix.Key{k}, 1)[0].Hotness; h != 10 {
+	if h := core.Lookup([]prefix.Key{accessed}, 1)[0].Hotness; h != 10 {
 		t.Errorf("hotness %v after two batches of 5", h)
 	}
 	if got := core.RecordAccesses(newRequest(2, 1), 1); got.ResendWindow || got.Sequence != 1 {
@@ -126,7 +126,7 @@
 	if got := NewCore(settings.DefaultBounds(), anyKey).RecordAccesses(newRequest(1, 7), 1); !got.ResendWindow {
 		t.Error("an index without memory didn't ask for the window")
 	}
-	if h := core.Lookup([]prefix.Key{k}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
+	if h := core.Lookup([]prefix.Key{accessed}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
 		t.Errorf("hotness %v a window later, from 15", h)
 	}
 }
--- a/internal/data/promptindex/eventfollower.go
+++ b/internal/data/promptindex/eventfollower.go
@@ -121,15 +121,15 @@
 }
 
 // pollDue polls the targets that are due, forgets those that left, and sweeps the tables.
-func (f *eventFollower) pollDue(c *Core, targets []pollTarget, now time.Duration) {
+func (f *eventFollower) pollDue(core *Core, targets []pollTarget, now time.Duration) {
 	isListed := make(map[string]bool, len(targets))
 	for _, target := range targets {
 		isListed[target.name] = true
-		f.poll(c, target, now)
+		f.poll(core, target, now)
 	}
 	for name := range f.isListed {
 		if !isListed[name] {
-			c.RemoveWorker(name)
+			core.RemoveWorker(name)
 			delete(f.nextPoll, name)
 			delete(f.fullListAt, name)
 		}
@@ -137,7 +137,7 @@
 	f.isListed = isListed
 	if now-f.sweptAt > f.bound(sweepRatio) {
 		f.sweptAt = now
-		c.Sweep(isListed, now)
+		core.Sweep(isListed, now)
 	}
 }
 
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -23,30 +23,30 @@
 //
 // Example: c.ApplyEvents(request, events, now)
 func (c *Core) ApplyEvents(request ReportRequest, events backend.CacheEvents, now time.Duration) {
-	w := c.worker(request.Name)
-	if request.sequence != w.sequence || events.Throttled {
+	worker := c.worker(request.Name)
+	if request.sequence != worker.sequence || events.Throttled {
 		return
 	}
-	w.respondedAt = now
-	w.sequence++ // each request has one response
-	if boot := strconv.FormatUint(events.BootID, 10); boot != w.incarnation && !w.applyBoot(request, boot) {
+	worker.respondedAt = now
+	worker.sequence++ // each request has one response
+	if boot := strconv.FormatUint(events.BootID, 10); boot != worker.incarnation && !worker.applyBoot(request, boot) {
 		return
 	}
 	if request.Full {
-		w.generation++ // what isn't in the list isn't cached any more
+		worker.generation++ // what isn't in the list isn't cached any more
 		c.Stats.FullReports++
 	} else if events.Gap {
-		w.needsFull = true
+		worker.needsFull = true
 		c.Stats.Gaps++
 	}
 	for _, change := range events.Changes {
-		c.applyChange(request, w, change, now)
+		c.applyChange(request, worker, change, now)
 	}
-	w.lastNumber = events.NextSequence
+	worker.lastNumber = events.NextSequence
 	if request.Full {
-		w.needsFull = false
+		worker.needsFull = false
 	}
-	w.isComplete = w.isComplete || !events.Gap || request.Full
+	worker.isComplete = worker.isComplete || !events.Gap || request.Full
 }
 
 // applyBoot records another boot of a worker. It reports whether the response can be used: one to a request
@@ -66,7 +66,7 @@
 }
 
 // applyChange records that a worker or store caches a part now, or has dropped it.
-func (c *Core) applyChange(request ReportRequest, w *worker, change backend.CacheChange, now time.Duration) {
+func (c *Core) applyChange(request ReportRequest, worker *worker, change backend.CacheChange, now time.Duration) {
 	key := PartKey(change.Salt, change.Part)
 	if !c.isAssigned(key) {
 		return
@@ -83,7 +83,7 @@
 	if e.service == "" {
 		e.service = request.Service
 	}
-	e.holders[request.Name] = holding{Confirmed, now, w.generation, uint32(change.Tokens)}
+	e.holders[request.Name] = holding{Confirmed, now, worker.generation, uint32(change.Tokens)}
 }
 
 // StoreUp records that a store responds.
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -37,12 +37,12 @@
 // Example: daemon.Main(programs.PromptIndex, "index node", required, promptindex.Start)
 func Start(process *daemon.Process) error {
 	settings, name := process.Settings, nodeName(process)
-	p := &reportPoller{backends: contract.NewBackends(process.Dial), isPolling: map[string]bool{}, isListed: map[string]bool{}}
-	p.node = newNode(process, NewCore(settings.Bounds, func(key prefix.Key) bool {
-		shards := p.shards.Load()
+	poller := &reportPoller{backends: contract.NewBackends(process.Dial), isPolling: map[string]bool{}, isListed: map[string]bool{}}
+	poller.node = newNode(process, NewCore(settings.Bounds, func(key prefix.Key) bool {
+		shards := poller.shards.Load()
 		return shards != nil && shards.IsAssigned(name, key)
 	}))
-	process.OnStop(p.backends.Close)
+	process.OnStop(poller.backends.Close)
 	clients := daemon.NewClients(process)
 	member := clustermembership.Start(process.Ctx, clustermembership.Config{
 		Process:  settings,
@@ -50,20 +50,20 @@
 		Clock:    process.Clock,
 		Log:      process.Log,
 		Client:   clients.Membership,
-		OnChange: func(view clustermembership.View) { p.reshard(view.Nodes) },
+		OnChange: func(view clustermembership.View) { poller.reshard(view.Nodes) },
 	})
-	p.updates = updatestream.Follow(process.Ctx, updatestream.Config{
+	poller.updates = updatestream.Follow(process.Ctx, updatestream.Config{
 		Clock:        process.Clock,
 		Log:          process.Log,
 		NodeAgent:    func() wire.NodeAgent { return clients.NodeAgent(settings.NodeAgent) },
 		LongPollTime: settings.Bounds.Heal(updatePollRatio),
 		OnSnapshot:   updatestream.OnSeedsChanged(member.SetSeeds),
 	})
-	process.Every(settings.Bounds.Heal(reportPollRatio), p.poll)
+	process.Every(settings.Bounds.Heal(reportPollRatio), poller.poll)
 	process.Go(func() { <-process.Draining; member.Leave() })
-	p.addMetrics()
+	poller.addMetrics()
 	mux := http.NewServeMux()
-	mux.Handle(wire.PromptIndexPathPrefix, p.node.Handler())
+	mux.Handle(wire.PromptIndexPathPrefix, poller.node.Handler())
 	mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(member))
 	if err := process.Serve(settings.Listen, mux); err != nil {
 		return err
--- a/internal/data/promptindex/reports.go
+++ b/internal/data/promptindex/reports.go
@@ -52,50 +52,50 @@
 //
 // Example: c.ApplyReport(request, response, now)
 func (c *Core) ApplyReport(request ReportRequest, response contract.CacheReports, now time.Duration) {
-	w := c.worker(request.Name)
-	if request.sequence != w.sequence {
+	worker := c.worker(request.Name)
+	if request.sequence != worker.sequence {
 		return
 	}
-	w.respondedAt = now
-	w.sequence++ // each request has one response
-	if response.Incarnation != w.incarnation {
-		w.incarnation, w.lastNumber, w.needsFull = response.Incarnation, 0, true
-		w.generation++ // the old incarnation's holdings are void
+	worker.respondedAt = now
+	worker.sequence++ // each request has one response
+	if response.Incarnation != worker.incarnation {
+		worker.incarnation, worker.lastNumber, worker.needsFull = response.Incarnation, 0, true
+		worker.generation++ // the old incarnation's holdings are void
 	}
 	switch {
 	case response.Complete:
-		w.generation++ // what isn't in the report isn't cached any more
+		worker.generation++ // what isn't in the report isn't cached any more
 		c.Stats.FullReports++
 		for _, cached := range response.Cached {
-			c.addHolding(request, w, cached, now)
+			c.addHolding(request, worker, cached, now)
 		}
-		w.lastNumber, w.needsFull, w.isComplete = response.Number, false, true
-	case !w.needsFull:
-		c.applyNumberedReports(request, w, response, now)
+		worker.lastNumber, worker.needsFull, worker.isComplete = response.Number, false, true
+	case !worker.needsFull:
+		c.applyNumberedReports(request, worker, response, now)
 	}
 }
 
 // applyNumberedReports applies the reports that follow the last known one without a gap.
-func (c *Core) applyNumberedReports(request ReportRequest, w *worker, response contract.CacheReports, now time.Duration) {
+func (c *Core) applyNumberedReports(request ReportRequest, worker *worker, response contract.CacheReports, now time.Duration) {
 	for _, report := range response.Reports {
-		if report.Number <= w.lastNumber {
+		if report.Number <= worker.lastNumber {
 			continue
 		}
-		if report.Number != w.lastNumber+1 {
+		if report.Number != worker.lastNumber+1 {
 			break
 		}
 		for _, added := range report.Added {
-			c.addHolding(request, w, added, now)
+			c.addHolding(request, worker, added, now)
 		}
 		for _, removed := range report.Removed {
 			if key, ok := prefix.Parse(removed); ok && c.entries[key] != nil {
 				delete(c.entries[key].holders, request.Name)
 			}
 		}
-		w.lastNumber = report.Number
+		worker.lastNumber = report.Number
 	}
-	if w.lastNumber != response.Number {
-		w.needsFull = true
+	if worker.lastNumber != response.Number {
+		worker.needsFull = true
 		c.Stats.Gaps++
 	}
 }
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -26,17 +26,17 @@
 //
 // Example: s := promptindex.NewShards(snapshot.Nodes)
 func NewShards(nodes []*wire.Node) *Shards {
-	s := &Shards{addresses: map[string]string{}}
+	shards := &Shards{addresses: map[string]string{}}
 	zones := map[string]string{}
 	var names []string
 	for _, node := range nodes {
 		if isLive(node) {
 			names = append(names, node.Name)
-			s.addresses[node.Name], zones[node.Name] = node.Addr, node.Zone
+			shards.addresses[node.Name], zones[node.Name] = node.Addr, node.Zone
 		}
 	}
 	sort.Strings(names)
-	for shard := range s.nodes {
+	for shard := range shards.nodes {
 		ranked := queue.Rendezvous(string([]byte{byte(shard)}), names)
 		if len(ranked) == 0 {
 			continue
@@ -47,9 +47,9 @@
 				second = name
 			}
 		}
-		s.nodes[shard] = [2]string{first, second}
+		shards.nodes[shard] = [2]string{first, second}
 	}
-	return s
+	return shards
 }
 
 // NodesOf returns the names of the index nodes of a key; "" where there is none.
@@ -111,7 +111,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, wait)
 		for node, nodeKeys := range keysByNode {
 			calls.Go(func() {
-				response := lookUpAt(callCtx, connect(s.addresses[node]), nodeKeys)
+				response := callLookup(callCtx, connect(s.addresses[node]), nodeKeys)
 				if response == nil {
 					return // a miss
 				}
@@ -128,8 +128,8 @@
 	return found
 }
 
-// lookUpAt looks keys up at one index node; nil without a complete response.
-func lookUpAt(ctx context.Context, client wire.PromptIndex, keys []prefix.Key) *wire.LookupResponse {
+// callLookup looks keys up at one index node; nil without a complete response.
+func callLookup(ctx context.Context, client wire.PromptIndex, keys []prefix.Key) *wire.LookupResponse {
 	request := &wire.LookupRequest{}
 	for _, key := range keys {
 		request.Keys = append(request.Keys, key[:])
--- a/internal/data/selection/cachesimulation_test.go
+++ b/internal/data/selection/cachesimulation_test.go
@@ -23,7 +23,7 @@
 	everPrefilled    map[prefix.Key]bool
 	prefills         int
 	repeatedPrefills int
-	savesByKey       map[prefix.Key]int
+	storedCounts     map[prefix.Key]int
 	indexLag         time.Duration
 	lostLookupRatio  float64 // share of lookups without a response
 	pendingOutcomes  []func()
@@ -32,7 +32,7 @@
 
 func newCacheSimulation(n, edges int, seed uint64) *cacheSimulation {
 	simulation := &cacheSimulation{snapshot: newFleet(n), random: rand.New(rand.NewPCG(seed, 3)), cachedAt: map[string]map[prefix.Key]time.Duration{}, everPrefilled: map[prefix.Key]bool{},
-		savesByKey: map[prefix.Key]int{}, indexLag: time.Second}
+		storedCounts: map[prefix.Key]int{}, indexLag: time.Second}
 	for range edges {
 		simulation.edges = append(simulation.edges, &testEdge{table: newTable(settings.DefaultBounds(), processStart), snapshot: simulation.snapshot})
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// lookUp responds as the index would: with what was cached a while ago.
-func (simulation *cacheSimulation) lookUp(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
+// respond responds as the index would: with what was cached a while ago.
+func (simulation *cacheSimulation) respond(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
 	if len(keys) == 0 || simulation.random.Float64() < simulation.lostLookupRatio {
 		return nil
 	}
@@ -79,7 +79,7 @@
 	edge.snapshot = simulation.snapshot
 	request := &Request{ID: fmt.Sprint("r", number), Service: "llm", Route: route, Zone: fmt.Sprint("d", simulation.random.IntN(4)), Model: "m", PromptTokens: 15000,
 		Parts: []PromptPart{{fmt.Sprint("t", simulation.random.IntN(partCount)), 13000}, {fmt.Sprint("own", number), 2000}}}
-	found := simulation.lookUp(edge.table.lookupKeys(simulation.snapshot, request, now), now)
+	found := simulation.respond(edge.table.lookupKeys(simulation.snapshot, request, now), now)
 	choice, ok := edge.selectWorker(simulation.snapshot, request, found, nil, now)
 	if !ok {
 		return
@@ -111,7 +111,7 @@
 		simulation.cache(choice.Worker.ID, key, now+firstEvent)
 	}
 	if choice.Save != "" {
-		simulation.savesByKey[key]++
+		simulation.storedCounts[key]++
 		simulation.cache("store", key, now+firstEvent)
 	}
 	simulation.outcomesAt = append(simulation.outcomesAt, now+2*firstEvent)
@@ -143,11 +143,11 @@
 			t.Errorf("seed %d: %d prefills, %d of them repeated", seed, simulation.prefills, simulation.repeatedPrefills)
 		}
 		n := 0
-		for _, x := range simulation.savesByKey {
+		for _, x := range simulation.storedCounts {
 			n += x
 		}
-		if len(simulation.savesByKey) < 200 || n > 2*len(simulation.savesByKey) {
-			t.Errorf("seed %d: %d parts saved in the store %d times", seed, len(simulation.savesByKey), n)
+		if len(simulation.storedCounts) < 200 || n > 2*len(simulation.storedCounts) {
+			t.Errorf("seed %d: %d parts saved in the store %d times", seed, len(simulation.storedCounts), n)
 		}
 	}
 }
--- a/internal/data/selection/ejection.go
+++ b/internal/data/selection/ejection.go
@@ -86,8 +86,8 @@
 // ejectIfSuspect ejects a worker that fails far more often than its peers, by the outcomes that all edge
 // machines share, for as long as that holds and a little longer. The totals are the service's, this
 // worker's included.
-func (t *table) ejectIfSuspect(w *workerStats, totalSucceeded, totalFailed float64, now time.Duration) {
-	failed, succeeded := w.othersFailed+w.outcomes.failed, w.othersSucceeded+w.outcomes.succeeded
+func (t *table) ejectIfSuspect(worker *workerStats, totalSucceeded, totalFailed float64, now time.Duration) {
+	failed, succeeded := worker.othersFailed+worker.outcomes.failed, worker.othersSucceeded+worker.outcomes.succeeded
 	if failed < ejectionTuning.minFailures {
 		return
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	suspectTime := t.bounds.Heal(ejectionTuning.suspectTimeRatio)
-	w.failureRatio = max(w.failureRatio, ratio)
-	w.ejectionTime = max(w.ejectionTime, suspectTime)
-	w.ejectedUntil = max(w.ejectedUntil, now+suspectTime)
+	worker.failureRatio = max(worker.failureRatio, ratio)
+	worker.ejectionTime = max(worker.ejectionTime, suspectTime)
+	worker.ejectedUntil = max(worker.ejectedUntil, now+suspectTime)
 }
--- a/internal/data/selection/layout.go
+++ b/internal/data/selection/layout.go
@@ -87,22 +87,22 @@
 	if t.layout != nil && t.layout.snapshot == snapshot {
 		return t.layout
 	}
-	l := &layout{
+	laidOut := &layout{
 		snapshot:       snapshot,
 		workerListHash: t.workerListHash(snapshot.Workers),
 		groups:         map[string]*serviceGroup{},
 		sizeClasses:    sizeClassesOf(snapshot.Plan),
 	}
 	carried := &carriedStats{from: t, workers: make(map[string]*workerStats, len(snapshot.Workers)), services: map[string]*serviceStats{}}
-	stores := l.addServices(carried)
+	stores := laidOut.addServices(carried)
 	for i := range snapshot.Workers {
 		worker := &snapshot.Workers[i]
-		if group := l.groups[worker.Service]; group != nil {
+		if group := laidOut.groups[worker.Service]; group != nil {
 			group.index[worker.ID] = len(group.candidates)
 			group.candidates = append(group.candidates, candidate{worker, carried.stats(worker.ID, worker.Service), queue.Hash(worker.ID), uint32(i)})
 		}
 	}
-	for _, group := range l.groups {
+	for _, group := range laidOut.groups {
 		group.stores = stores
 		group.cordoned = make([]bool, len(group.candidates))
 		if placement := snapshot.Placements[group.service.Name]; placement != nil {
@@ -111,8 +111,8 @@
 			}
 		}
 	}
-	t.workers, t.services, t.layout = carried.workers, carried.services, l
-	return l
+	t.workers, t.services, t.layout = carried.workers, carried.services, laidOut
+	return laidOut
 }
 
 // addServices makes a group for each of the plan's services with workers, and returns its stores.
--- a/internal/data/selection/loadsharing_test.go
+++ b/internal/data/selection/loadsharing_test.go
@@ -46,20 +46,20 @@
 }
 
 // sendTo sends an attempt of an edge machine to a worker.
-func (edge *testEdge) sendTo(t *testing.T, worker string) (*Request, Choice) {
+func (e *testEdge) sendTo(t *testing.T, worker string) (*Request, Choice) {
 	t.Helper()
-	request := edge.newRequest("", 0)
+	request := e.newRequest("", 0)
 	others := map[string]bool{}
-	for i := range edge.snapshot.Workers {
-		if id := edge.snapshot.Workers[i].ID; id != worker {
+	for i := range e.snapshot.Workers {
+		if id := e.snapshot.Workers[i].ID; id != worker {
 			others[id] = true
 		}
 	}
-	choice, ok := edge.selectWorker(edge.snapshot, request, nil, others, edge.now)
+	choice, ok := e.selectWorker(e.snapshot, request, nil, others, e.now)
 	if !ok {
-		t.Fatal("nobody was selected")
+		t.Fatal("none was selected")
 	}
-	edge.recordSent(request, choice, edge.now)
+	e.recordSent(request, choice, e.now)
 	return request, choice
 }
 
--- a/internal/data/selection/score.go
+++ b/internal/data/selection/score.go
@@ -28,14 +28,14 @@
 	cost += s.queueingMs(index)
 	cost += s.crossZoneMs(candidate)
 	cost += s.affinityMs(index, prompt)
-	cost += candidate.stats.slowStartRatio(s.now) * slowStartTuning.cost * s.targetMs
+	cost += s.slowStartMs(candidate)
 	cost += s.rolloutMs(prompt)
 	slowness := s.table.slowness(candidate.stats, s.now)
-	cost += slowness * (s.stats.firstEventMs + s.table.backlogMs(candidate.stats, s.now))
+	cost += slowness * s.waitingMs(candidate)
 
 	// At best all shared tokens that are missing can be fetched at no cost.
-	if leastMs := cost + slowness*s.stats.msPerToken*(missing-shared); leastMs >= bestMs {
-		return workerCost{totalMs: leastMs}
+	if lowerBoundMs := cost + slowness*s.stats.msPerToken*(missing-shared); lowerBoundMs >= bestMs {
+		return workerCost{totalMs: lowerBoundMs}
 	}
 	var fetched sourceChoice
 	if shared > 0 {
@@ -99,6 +99,16 @@
 	return weight * (s.rereadMsPerToken + s.stats.msPerToken) * s.tokensUpTo[prompt.decidingPart+1]
 }
 
+// slowStartMs is the cost of a worker that was ejected lately.
+func (s *scorer) slowStartMs(candidate *candidate) float64 {
+	return candidate.stats.slowStartRatio(s.now) * slowStartTuning.cost * s.targetMs
+}
+
+// waitingMs is the time to the first event of an empty prompt, behind the prompts that are queued there.
+func (s *scorer) waitingMs(candidate *candidate) float64 {
+	return s.stats.firstEventMs + s.table.backlogMs(candidate.stats, s.now)
+}
+
 // rolloutMs is the cost of a worker on an older version than the prompt is assigned to.
 func (s *scorer) rolloutMs(prompt *promptState) float64 {
 	if prompt.version >= s.assignedVersion {
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -36,9 +36,7 @@
 }
 
 // parts are the parts that the selection looks at: their sets are kept in a uint64.
-func (request *Request) parts() []PromptPart {
-	return request.Parts[:min(len(request.Parts), maxParts)]
-}
+func (r *Request) parts() []PromptPart { return r.Parts[:min(len(r.Parts), maxParts)] }
 
 // selectBest selects the usable candidate with the least cost. There has to be one.
 func (s *scorer) selectBest() Choice {
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -44,23 +44,23 @@
 
 var route = &routingconfig.Route{Kind: routingconfig.EventStream, LatencyTarget: 400 * time.Millisecond, Priority: 4, NamesPromptParts: true}
 
-func (edge *testEdge) newRequest(shared string, tokens int) *Request {
-	edge.requestCount++
-	request := &Request{ID: fmt.Sprint("r", edge.requestCount), Service: "llm", Route: route, Zone: "d0", Model: "m", PromptTokens: tokens + 1000}
+func (e *testEdge) newRequest(shared string, tokens int) *Request {
+	e.requestCount++
+	request := &Request{ID: fmt.Sprint("r", e.requestCount), Service: "llm", Route: route, Zone: "d0", Model: "m", PromptTokens: tokens + 1000}
 	if shared != "" {
 		request.Parts = append(request.Parts, PromptPart{shared, tokens})
 	}
-	request.Parts = append(request.Parts, PromptPart{fmt.Sprint("own", edge.requestCount), 1000})
+	request.Parts = append(request.Parts, PromptPart{fmt.Sprint("own", e.requestCount), 1000})
 	return request
 }
 
-func (edge *testEdge) mustSelect(t *testing.T, request *Request, tried ...string) Choice {
+func (e *testEdge) mustSelect(t *testing.T, request *Request, tried ...string) Choice {
 	t.Helper()
 	triedWorkers := map[string]bool{}
 	for _, id := range tried {
 		triedWorkers[id] = true
 	}
-	choice, ok := edge.selectWorker(edge.snapshot, request, edge.found, triedWorkers, edge.now)
+	choice, ok := e.selectWorker(e.snapshot, request, e.found, triedWorkers, e.now)
 	if !ok {
 		t.Fatal("none was selected")
 	}
@@ -68,23 +68,23 @@
 }
 
 // setHolders sets the index's holders of a part.
-func (edge *testEdge) setHolders(part string, certainty uint32, holders ...string) {
+func (e *testEdge) setHolders(part string, certainty uint32, holders ...string) {
 	found := &wire.LookupResult{Hotness: 1}
 	for _, holder := range holders {
 		found.Holders = append(found.Holders, &wire.Holder{Worker: holder, State: certainty})
 	}
-	edge.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = found
+	e.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = found
 }
 
-func (edge *testEdge) serve(request *Request, choice Choice, firstEvent time.Duration) {
-	edge.recordSent(request, choice, edge.now)
-	edge.now += firstEvent
-	edge.recordOutcome(request, choice, Completed, nil, firstEvent, edge.now)
+func (e *testEdge) serve(request *Request, choice Choice, firstEvent time.Duration) {
+	e.recordSent(request, choice, e.now)
+	e.now += firstEvent
+	e.recordOutcome(request, choice, Completed, nil, firstEvent, e.now)
 }
 
 // homeOf is the worker that prefills a cold part.
-func (edge *testEdge) homeOf(t *testing.T, part string) string {
-	return newEdge(edge.snapshot).mustSelect(t, edge.newRequest(part, 13000)).Worker.ID
+func (e *testEdge) homeOf(t *testing.T, part string) string {
+	return newEdge(e.snapshot).mustSelect(t, e.newRequest(part, 13000)).Worker.ID
 }
 
 func otherWorker(id string) string {
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -5,18 +5,18 @@
 // the latency target of the request's route. Where a value was measured, the comment names the entries
 // in journal/; their figures are of the simulated sites there.
 
-// affinityParameters weighs the copies of a part that workers cache. A part that isn't replicated has one home, by
-// rendezvous hashing; a copy elsewhere evicts other parts. Weights are ratios of what prefilling the
-// prompt up to the deciding part costs.
+// affinityParameters weighs the copies of a part that workers cache. A part that the placement doesn't
+// replicate has one home, by rendezvous hashing; a copy elsewhere evicts other parts. Weights are ratios of
+// what prefilling the prompt up to the deciding part costs.
 type affinityParameters struct {
 	// homeLoadRatio is the multiple of the workers' mean load up to which a worker may be a home; one
 	// request more is always allowed. Range: 1 to 4. Lower spreads load, higher keeps parts at one worker.
 	// Source: docs/design.md (1.25 of the mean, plus one).
 	homeLoadRatio float64
 	// homeSlotRatio is the share of a worker's slots that is added to that load, so that a home with many
-	// slots isn't left for a few requests. Range: 0 to 1. Chosen, not measured.
+	// slots isn't avoided for a few requests. Range: 0 to 1. Chosen, not measured.
 	homeSlotRatio float64
-	// coldWeight is charged to other workers than the home while nobody caches the part, so that it is
+	// coldWeight is charged to other workers than the home while no worker caches the part, so that it is
 	// read once. Range: 0 to 1. Higher avoids reading a part twice, lower avoids waiting at its home.
 	// Source: docs/design.md (three quarters).
 	coldWeight float64
@@ -28,7 +28,7 @@
 	// edge machines make copies at the same worker. Range: 0 to 1. Chosen, not measured.
 	copyElsewhereWeight float64
 	// rereadRatio is the cost of reading one token that another worker caches already, as a ratio of the
-	// target: it stands for the time that is lost to other requests, and for the parts that are evicted.
+	// target: the time that is lost to other requests, and the parts that are evicted.
 	// Range: above 0, to 0.001. Higher favors transfers and waiting over prefill. Chosen, not measured.
 	rereadRatio float64
 }
@@ -138,13 +138,13 @@
 	// range: above 0, to 1. Chosen, not measured.
 	outcomeFadeRatio float64
 	// minFailures is the number of recent failures, of all edge machines, from which a worker is suspect.
-	// Range: above 1, so that a single failure ejects nobody. Lower reacts sooner. Chosen, not measured.
+	// Range: above 1, so that a single failure ejects no worker. Lower reacts sooner. Chosen, not measured.
 	minFailures float64
 	// minFailureRatio is the share of its outcomes that have to be failures. Range: 0 to 1. Chosen, not
 	// measured.
 	minFailureRatio float64
 	// peerMultiple is how many times the failure ratio of its peers a suspect worker's has to be, so that
-	// a failure of all workers ejects nobody. Range: above 1. Chosen, not measured.
+	// a failure of all workers ejects none. Range: above 1. Chosen, not measured.
 	peerMultiple float64
 	// suspectTimeRatio is how long a suspect worker is ejected after each report. Ratio of the heal bound;
 	// range: above 0, to maxTimeRatio. Chosen, not measured.
@@ -259,7 +259,8 @@
 	// lookups, lower learns sooner of copies elsewhere. Chosen, not measured.
 	lookupRatio float64
 	// indexLagRatio is the time within which the index knows of what a worker dropped: a record that is
-	// older doesn't count if the index knows the part. Measured: journal/20261202T031717 and T031718.
+	// older doesn't count if the index knows the part. That records give way to the index was measured
+	// (journal/20261202T031717 and T031718); the value was chosen.
 	indexLagRatio float64
 	// lifetimeRatio is the age at which a record stops counting in any case. Chosen, not measured.
 	lifetimeRatio float64
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -53,7 +53,7 @@
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	edge := newEdge(snapshot)
 	if n := edge.countOlder(); n != 60 {
-		t.Errorf("nobody has the newest: %d of 60 on the old", n)
+		t.Errorf("no worker has the newest: %d of 60 on the old", n)
 	}
 	if edge.upgrade(snapshot, 6); edge.countOlder() > 30 {
 		t.Errorf("most have the newest: %d of 60 on the old", edge.countOlder())
@@ -68,7 +68,7 @@
 	}
 	edge.upgrade(snapshot, 0)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok {
-		t.Error("past the bound nobody has the newest, and one was selected")
+		t.Error("past the bound no worker has the newest, and one was selected")
 	}
 }
 
@@ -96,7 +96,7 @@
 	for part, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
 		edge.now = processStart + edge.bounds.Weights(part)
 		if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok != want {
-			t.Errorf("nobody serves what was named before the start, %v of the bound later: selected %v", part, ok)
+			t.Errorf("no worker serves what was named before the start, %v of the bound later: selected %v", part, ok)
 		}
 	}
 }
@@ -107,14 +107,14 @@
 	snapshot.Placements["llm"] = &placement.Placement{Cordoned: []string{"w0", "w1"}}
 	edge := newEdge(snapshot)
 	selected := func() map[string]int {
-		m := map[string]int{}
+		byWorker := map[string]int{}
 		for range 40 {
-			m[edge.mustSelect(t, edge.newRequest("p"+fmt.Sprint(edge.requestCount), 1000)).Worker.ID]++
+			byWorker[edge.mustSelect(t, edge.newRequest("p"+fmt.Sprint(edge.requestCount), 1000)).Worker.ID]++
 		}
-		return m
+		return byWorker
 	}
-	if m := selected(); m["w0"]+m["w1"] != 0 {
-		t.Errorf("cordoned ones: %v", m)
+	if byWorker := selected(); byWorker["w0"]+byWorker["w1"] != 0 {
+		t.Errorf("cordoned ones: %v", byWorker)
 	}
 	request := edge.newRequest("p", 1000)
 	choice := edge.mustSelect(t, request, "w0", "w1", "w2")
@@ -123,8 +123,8 @@
 	}
 	edge.recordSent(request, choice, edge.now)
 	edge.recordOutcome(request, choice, NotReady, nil, 0, edge.now)
-	if m := selected(); m["w3"] != 0 {
-		t.Errorf("one that isn't ready: %v", m)
+	if byWorker := selected(); byWorker["w3"] != 0 {
+		t.Errorf("one that isn't ready: %v", byWorker)
 	}
 	if choice := edge.mustSelect(t, request, "w2", "w3"); choice.Worker.ID != "w0" && choice.Worker.ID != "w1" {
 		t.Errorf("none but the cordoned are left, yet %s", choice.Worker.ID)
@@ -139,14 +139,14 @@
 	}
 	edge.snapshot = snapshot
 	edge.now += edge.bounds.Heal(avoidanceTuning.notReadyRatio)
-	if m := selected(); m["w3"] == 0 {
-		t.Errorf("the time to be avoided is over: %v", m)
+	if byWorker := selected(); byWorker["w3"] == 0 {
+		t.Errorf("the time to be avoided is over: %v", byWorker)
 	}
 }
 
 // No two isolated tenants, models or versions share a salt, whatever their names.
 func TestCacheSaltsOfTenantsModelsAndVersionsDiffer(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	names := []string{"", ".", "a", "a.b", "a.", ".a", "1", "1.a", "b c", "a\x00", "ñ", "%2E", "1.1.a", "a/b", "+"}
 	type domain struct {
 		model, name string
@@ -164,9 +164,9 @@
 		}
 	}
 	for range 20000 {
-		m, n, v := names[r.IntN(len(names))], names[r.IntN(len(names))], uint64(r.IntN(13))
-		if r.IntN(4) == 0 {
-			m += names[r.IntN(len(names))]
+		m, n, v := names[random.IntN(len(names))], names[random.IntN(len(names))], uint64(random.IntN(13))
+		if random.IntN(4) == 0 {
+			m += names[random.IntN(len(names))]
 		}
 		check(domain{m, "isolated " + n, v}, &routingconfig.Tenant{Name: n, Isolated: true})
 		check(domain{m, "", v}, &routingconfig.Tenant{Name: n})
@@ -220,7 +220,7 @@
 
 // Within a priority the shorter prompt goes first; none goes before one of a better priority, however many
 // priorities the plan has.
-func TestShorterPromptGoesFirstWithinItsPriority(t *testing.T) {
+func TestShorterPromptComesFirstWithinItsPriority(t *testing.T) {
 	for _, lowest := range []int{0, 1, 2, 4, 9, 20} {
 		snapshot := newFleet(18)
 		snapshot.Plan.Routes = []routingconfig.Route{{Priority: lowest}}
@@ -252,24 +252,24 @@
 	snapshot.Workers[0].Weights = map[string]uint64{"m": 2}
 	edge := newEdge(snapshot)
 	countByVersion := func() map[uint64]int {
-		n := map[uint64]int{}
+		counts := map[uint64]int{}
 		for range 60 {
 			if choice, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p"+fmt.Sprint(edge.requestCount), 1000), nil, nil, edge.now); ok {
-				n[choice.Weights]++
+				counts[choice.Weights]++
 			}
 		}
-		return n
+		return counts
 	}
 	edge.now = first + edge.bounds.Weights(0.84)
-	if n := countByVersion(); n[1] == 0 {
-		t.Errorf("inside the first bound: %v", n)
+	if counts := countByVersion(); counts[1] == 0 {
+		t.Errorf("inside the first bound: %v", counts)
 	}
 	edge.now = first + edge.bounds.Weights(0.86)
-	if n := countByVersion(); n[1] != 0 || n[2] == 0 {
-		t.Errorf("past the first bound, inside the second: %v", n)
+	if counts := countByVersion(); counts[1] != 0 || counts[2] == 0 {
+		t.Errorf("past the first bound, inside the second: %v", counts)
 	}
 	edge.now = second + edge.bounds.Weights(0.86)
-	if n := countByVersion(); len(n) != 0 {
-		t.Errorf("past both: %v", n)
+	if counts := countByVersion(); len(counts) != 0 {
+		t.Errorf("past both: %v", counts)
 	}
 }
--- a/internal/data/selection/workerstats.go
+++ b/internal/data/selection/workerstats.go
@@ -108,7 +108,7 @@
 }
 
 // estimatedLoad estimates a worker's requests, waiting ones included: the last report of those of others,
-// which fades into the mean, plus this edge machine's own. If nobody reports load, the own requests stand
+// which fades into the mean, plus this edge machine's own. If load isn't reported, the own requests stand
 // for those of the other edge machines too.
 func (t *table) estimatedLoad(w *workerStats, edges int, now time.Duration) float64 {
 	if !w.service.reportsLoad {
--- a/internal/data/updatestream/snapshot.go
+++ b/internal/data/updatestream/snapshot.go
@@ -47,24 +47,24 @@
 //
 // Example: snapshot, err := updatestream.ReadSnapshot(response, old, clock.Now())
 func ReadSnapshot(response *wire.FeedResponse, old *Snapshot, now time.Duration) (*Snapshot, error) {
-	s := &Snapshot{ListsVersion: response.ListsVersion, Placements: map[string]*placement.Placement{}, Weights: map[string]WeightsHistory{}}
+	snapshot := &Snapshot{ListsVersion: response.ListsVersion, Placements: map[string]*placement.Placement{}, Weights: map[string]WeightsHistory{}}
 	hasSameLists := old != nil && response.ListsVersion == old.ListsVersion && response.ListsVersion != 0
 	if hasSameLists {
 		copied := *old
-		s = &copied
+		snapshot = &copied
 	}
-	s.Version, s.ProofAt, s.WorkersListedAt = response.Version, time.Duration(response.ProofAtNs), time.Duration(response.WorkersListedAtNs)
-	if err := s.applyConfig(response.Config, old, now); err != nil {
+	snapshot.Version, snapshot.ProofAt, snapshot.WorkersListedAt = response.Version, time.Duration(response.ProofAtNs), time.Duration(response.WorkersListedAtNs)
+	if err := snapshot.applyConfig(response.Config, old, now); err != nil {
 		return nil, err
 	}
 	if hasSameLists {
-		return s, nil
+		return snapshot, nil
 	}
-	s.Workers, s.Nodes, s.Stores = response.Workers, response.Nodes, response.Stores
-	if err := s.readPlacements(response.Placements, old); err != nil {
+	snapshot.Workers, snapshot.Nodes, snapshot.Stores = response.Workers, response.Nodes, response.Stores
+	if err := snapshot.readPlacements(response.Placements, old); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return snapshot, nil
 }
 
 // readPlacements reads the placements, but for those that the old snapshot has in the same version.
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -23,7 +23,7 @@
 
 // What a response leaves out stays as it was, and what it has replaces it; a snapshot that is shared is never
 // changed.
-func TestOmittedFieldsAreKept(t *testing.T) {
+func TestOmittedFieldsStayTheSame(t *testing.T) {
 	a := mustRead(t, &wire.FeedResponse{Version: 1, ListsVersion: 7, ProofAtNs: 10, Config: newDocument(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
 	b := mustRead(t, &wire.FeedResponse{Version: 2, ListsVersion: 7, ProofAtNs: 20}, a, 200)
