--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -40,8 +40,17 @@
 )
 
 // programStarts are the entry points of the programs.
-var programStarts = map[string]func(*daemon.Process) error{programs.ControlNode: controlstate.Start, programs.PlacementController: placementcontroller.Start, programs.NodeAgent: nodeagent.Start,
-	programs.PromptIndex: promptindex.Start, programs.Proxy: callerproxy.Start, programs.WorkerSim: workersim.Start, programs.AppServiceSim: appservicesim.Start, programs.StoreSim: storesim.Start, programs.PlatformSim: platformsim.Start}
+var programStarts = map[string]func(*daemon.Process) error{
+	programs.ControlNode:         controlstate.Start,
+	programs.PlacementController: placementcontroller.Start,
+	programs.NodeAgent:           nodeagent.Start,
+	programs.PromptIndex:         promptindex.Start,
+	programs.Proxy:               callerproxy.Start,
+	programs.WorkerSim:           workersim.Start,
+	programs.AppServiceSim:       appservicesim.Start,
+	programs.StoreSim:            storesim.Start,
+	programs.PlatformSim:         platformsim.Start,
+}
 
 // Cluster is a testbed.Environment in virtual time.
 type Cluster struct {
@@ -97,8 +106,17 @@
 //
 // Example: cluster := clustersim.New(7, site); defer cluster.Stop()
 func New(seed uint64, site *testbed.Site) *Cluster {
-	cluster := &Cluster{Links: testbed.NewLinks(), seed: seed, begin: time.Now(), dialTimeout: settings.DefaultBounds().Leave(1.0 / 3), processes: map[string]*proc{},
-		machines: map[string]*machine{}, hosts: map[netip.Addr]string{}, listeners: map[string]*listener{}, files: map[string]*file{}}
+	cluster := &Cluster{
+		Links:       testbed.NewLinks(),
+		seed:        seed,
+		begin:       time.Now(),
+		dialTimeout: settings.DefaultBounds().Leave(1.0 / 3),
+		processes:   map[string]*proc{},
+		machines:    map[string]*machine{},
+		hosts:       map[netip.Addr]string{},
+		listeners:   map[string]*listener{},
+		files:       map[string]*file{},
+	}
 	cluster.outside = newProc(cluster, testbed.Process{}, cluster.machine(outsideMachine), seed)
 	for _, process := range site.Processes {
 		cluster.machineOf(process)
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -44,12 +44,13 @@
 
 // localEnvironment runs a site as processes of this machine.
 type localEnvironment struct {
-	dir, programs  string
-	links          *Links // nil: connections go directly
-	earlierRelease string // the folder of an earlier release, in upgrades
-	mu             sync.Mutex
+	dir            string     // of settings and logs
+	programs       string     // folder of the programs
+	links          *Links     // nil: connections go directly
+	earlierRelease string     // the folder of an earlier release, in upgrades
+	mu             sync.Mutex // protects the fields below
 	processes      map[string]*exec.Cmd
-	exited         map[string]chan struct{}
+	exited         map[string]chan struct{} // closed once the process has ended
 }
 
 const (
@@ -57,8 +58,9 @@
 	dialTimeout = time.Second
 )
 
-func newLocalEnvironment(dir, bin string) *localEnvironment {
-	return &localEnvironment{dir: dir, programs: bin, processes: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}}
+// newLocalEnvironment returns an environment that writes settings and logs to dir and runs the programs in a folder.
+func newLocalEnvironment(dir, folder string) *localEnvironment {
+	return &localEnvironment{dir: dir, programs: folder, processes: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}}
 }
 
 // Start implements Environment; the process's output is appended to its log file.
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -16,10 +16,10 @@
 // Links relay all connections between the machines of a site: each process is reached through a relay at an address
 // of its own, which knows the client by its address. A link can be cut in one or both directions, delayed or slowed.
 type Links struct {
-	mu        sync.Mutex
-	rules     map[[2]string]LinkRule
-	wake      chan struct{}
-	names     map[netip.Addr]string // machine by address
+	mu        sync.Mutex             // protects rules, wake and names
+	rules     map[[2]string]LinkRule // by the machines from and to
+	wake      chan struct{}          // closed when rules change
+	names     map[netip.Addr]string  // machine by address
 	listeners []net.Listener
 	quit      chan struct{}
 }
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -99,9 +99,16 @@
 }
 
 func newScenarioRun(scenario Scenario, options Options) *scenarioRun {
-	return &scenarioRun{options: options, scenario: scenario, random: rand.New(rand.NewPCG(options.Seed, 11)),
-		report:   &Report{Scenario: scenario.Name, Site: scenario.Site, Seed: options.Seed, Faults: []string{}},
-		resolved: map[string][]string{}, keyRevokedMs: map[string]int64{}, weightsNamedMs: map[uint64]int64{}, drainedMs: map[string]int64{}}
+	return &scenarioRun{
+		options:        options,
+		scenario:       scenario,
+		random:         rand.New(rand.NewPCG(options.Seed, 11)),
+		report:         &Report{Scenario: scenario.Name, Site: scenario.Site, Seed: options.Seed, Faults: []string{}},
+		resolved:       map[string][]string{},
+		keyRevokedMs:   map[string]int64{},
+		weightsNamedMs: map[uint64]int64{},
+		drainedMs:      map[string]int64{},
+	}
 }
 
 // recoveryMs returns the bound within which service recovers after the last step.
