--- a/internal/data/callerproxy/promptindex.go
+++ b/internal/data/callerproxy/promptindex.go
@@ -29,9 +29,12 @@
 	counterQueueLength   = 1024 // commands to the access counter; more accesses aren't counted
 	maxLookupsPerBatch   = 64   // requests whose keys are looked up in one call
 	maxConcurrentLookups = 8    // calls
-	reporterPrefix       = "dispatcher/"
 )
 
+// reporterPrefix and the node's name are the sender by which index nodes number batches of accesses. It is on
+// the wire, so it keeps the program's name of the first release.
+const reporterPrefix = "dispatcher/"
+
 // promptIndex looks up prefixes at the index nodes in batches, and reports to them the accesses that this
 // proxy has made.
 type promptIndex struct {
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -57,7 +57,7 @@
 
 // Start runs the edge proxy until the process stops.
 //
-// Example: daemon.Main("dispatcher", "edge proxy", need, callerproxy.Start)
+// Example: daemon.Main(programs.Proxy, "the edge proxy", required, callerproxy.Start)
 func Start(process *daemon.Process) error {
 	proxy := &Proxy{
 		process:      process,
