--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -17,20 +17,13 @@
 	}
 	pending, response := node.shard.propose(request, nil)
 	node.shard.handleReady()
-	generation, begun := node.generation, s.now
-	lost := s.random.Float64() < s.lossRate
-	s.inProgress = append(s.inProgress, func() bool {
-		if response == nil {
-			select {
-			case response = <-pending.response:
-			default:
-				return node.generation == generation && s.now-begun < answerTimeout
-			}
-		}
-		if node.generation == generation && !lost && s.isRunning(node) {
+	generation := node.generation
+	isLost := s.random.Float64() < s.lossRate
+	isSameProcess := func() bool { return node.generation == generation }
+	s.awaitResponse(response, pending.response, isSameProcess, func(response *wire.ChangeResponse) {
+		if !isLost && s.isRunning(node) {
 			done(response)
 		}
-		return false
 	})
 }
 
@@ -52,7 +45,7 @@
 	if s.random.IntN(4) == 0 {
 		put.AnyVersion = true
 	}
-	s.sendCommand(node, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}}, func(response *wire.ChangeResponse) {
+	s.sendCommand(node, putRequest(put), func(response *wire.ChangeResponse) {
 		if response.Outcome == wire.OutcomeDone {
 			write.version, write.ackedAt = response.Version, s.now
 			s.count("acked")
@@ -173,7 +166,7 @@
 	}
 	requestedAt, grant := holder.clock.Now(), holder.lease.GrantRequest()
 	s.awaitLeaseAnswer(holder)
-	s.sendCommand(s.randomNode(), &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Grant{Grant: grant}}}, func(response *wire.ChangeResponse) {
+	s.sendCommand(s.randomNode(), grantRequest(grant), func(response *wire.ChangeResponse) {
 		s.handleLeaseAnswer(holder, requestedAt, response)
 	})
 }
--- a/internal/sim/testbed/faultkinds.go
+++ b/internal/sim/testbed/faultkinds.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// faultKind is one kind of fault that a mixture may hold.
+// faultKind is a kind of fault that a mixture may contain.
 type faultKind struct {
 	name string
 	draw func(gen *faultGenerator, fault *Fault)
 }
 
-// faultKinds are drawn by their position: a seed's faults change if they are reordered.
+// faultKinds are drawn by index: a seed draws other faults if they are reordered.
 var faultKinds = []faultKind{
 	{"workers-killed", onWorkers("kill", "start", 4)},
 	{"workers-vanish", onWorkers("off", "mend", 2)},
 	{"edge-killed", onEdges("kill", "start", edgeProcesses, 1)},
 	{"edge-frozen", onEdges("freeze", "thaw", edgeProcesses, 1)},
 	{"edge-cut", onEdges("off", "mend", "%", 1)},
-	{"edge-half-cut", drawEdgeHalfCut},
+	{"edge-half-cut", drawOneWayPartition},
 	{"edges-killed", onEdges("kill", "start", edgeProcesses, 3)},
 	{"worker-frozen", onWorkers("freeze", "thaw", 2)},
 	{"core-killed", onCoreMachine("kill", "start", coreProcesses)},
@@ -61,25 +61,25 @@
 	fault.Steps = append(fault.Steps, Step{At: gen.startMs + ms, Action: action, Targets: targets, Argument: argument})
 }
 
-// onWorkers is a fault of one to so many workers.
-func onWorkers(action, undo string, atMost int) func(*faultGenerator, *Fault) {
+// onWorkers returns a fault of one to atMost healthy workers.
+func onWorkers(action, undo string, limit int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
-		if names := gen.takeHealthy("cab", workers, 1+gen.random.IntN(atMost)); len(names) > 0 {
+		if names := gen.takeHealthy(workerPrefix, workers, 1+gen.random.IntN(limit)); len(names) > 0 {
 			fault.Steps = gen.faultAndRepair(action, undo, expandNames("%", names))
 		}
 	}
 }
 
-// onEdges is a fault of so many edge machines, or of as many as are healthy.
+// onEdges returns a fault of count edge machines, or of as many as are healthy.
 func onEdges(action, undo, processes string, count int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
-		if names := gen.takeHealthy("edge", edgeMachines, count); len(names) > 0 {
+		if names := gen.takeHealthy(edgePrefix, edgeMachines, count); len(names) > 0 {
 			fault.Steps = gen.faultAndRepair(action, undo, expandNames(processes, names))
 		}
 	}
 }
 
-// onCoreMachine is a fault of one core machine.
+// onCoreMachine returns a fault of one core machine.
 func onCoreMachine(action, undo, processes string) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if machine, ok := gen.takeCoreMachine(); ok {
@@ -88,29 +88,29 @@
 	}
 }
 
-// concurrentChanges is many operators' changes at once.
+// concurrentChanges returns a step in which 3 to 14 operators change the configuration concurrently.
 func concurrentChanges(action string) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		gen.atStart(fault, action, "", fmt.Sprint(3+gen.random.IntN(12)))
 	}
 }
 
-// withWorkerOption has all workers misbehave throughout.
+// withWorkerOption returns a fault of all workers throughout the run.
 func withWorkerOption(option string) func(*faultGenerator, *Fault) {
 	return func(_ *faultGenerator, fault *Fault) { fault.WorkerOptions = []string{option} }
 }
 
-// drawEdgeHalfCut: what an edge machine sends to the core is lost, what it receives isn't.
-func drawEdgeHalfCut(gen *faultGenerator, fault *Fault) {
+// drawOneWayPartition draws a one-way partition: what an edge machine sends to the core is lost, what it receives isn't.
+func drawOneWayPartition(gen *faultGenerator, fault *Fault) {
 	const core = "core-1 core-2 core-3 core-4"
-	if names := gen.takeHealthy("edge", edgeMachines, 1); len(names) > 0 {
+	if names := gen.takeHealthy(edgePrefix, edgeMachines, 1); len(names) > 0 {
 		gen.atStart(fault, "cut", names[0], core)
 		gen.atEnd(fault, "mend", names[0], core)
 	}
 }
 
-// drawDiskLost: a core machine dies right after changes were acknowledged, and comes back with an empty
-// disk, half of the times at another address.
+// drawDiskLost draws the crash of a core machine during concurrent changes. It restarts with an empty disk, in half
+// of the cases at another address.
 func drawDiskLost(gen *faultGenerator, fault *Fault) {
 	machine, ok := gen.takeCoreMachine()
 	if !ok {
@@ -125,7 +125,7 @@
 	gen.atEnd(fault, "start", expandNames(coreProcesses, machine), "")
 }
 
-// drawDiskFull: a core machine's disk refuses writes; it is restarted once there is space again.
+// drawDiskFull draws a full disk of a core machine, whose control node restarts once there is space again.
 func drawDiskFull(gen *faultGenerator, fault *Fault) {
 	machine, ok := gen.takeCoreMachine()
 	if !ok {
@@ -144,7 +144,8 @@
 	}
 }
 
-// drawPowerLost: all core machines lose power right after something was acknowledged.
+// drawPowerLost draws a power loss of all core machines during concurrent changes. No other fault of a core machine
+// is drawn beside it.
 func drawPowerLost(gen *faultGenerator, fault *Fault) {
 	if gen.nextCoreFaultMs != 0 {
 		return
@@ -156,7 +157,7 @@
 }
 
 func drawClockJump(gen *faultGenerator, fault *Fault) {
-	gen.atStart(fault, "wall", fmt.Sprintf("archive-core-%d", 1+gen.random.IntN(4)), fmt.Sprint(gen.random.IntN(20000000)-10000000))
+	gen.atStart(fault, "wall", fmt.Sprint(controlNodePrefix+corePrefix, 1+gen.random.IntN(coreMachines)), fmt.Sprint(gen.random.IntN(20000000)-10000000))
 }
 
 func drawWeights(gen *faultGenerator, fault *Fault) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// drawWeightsTwice names newer weights while the ones before are being rolled out.
+// drawWeightsTwice draws a rollout of weights that starts during the rollout of the ones before.
 func drawWeightsTwice(gen *faultGenerator, fault *Fault) {
 	if gen.weightsNamed++; gen.weightsNamed == 1 {
 		gen.atStart(fault, "weights", "", "2")
@@ -178,13 +179,13 @@
 }
 
 func drawDrain(gen *faultGenerator, fault *Fault) {
-	if names := gen.takeHealthy("cab", workers, 2); len(names) > 0 {
+	if names := gen.takeHealthy(workerPrefix, workers, 2); len(names) > 0 {
 		gen.atStart(fault, "drain", strings.Join(names, " "), "")
 	}
 }
 
 func drawWarning(gen *faultGenerator, fault *Fault) {
-	if names := gen.takeHealthy("cab", workers, 1); len(names) > 0 {
+	if names := gen.takeHealthy(workerPrefix, workers, 1); len(names) > 0 {
 		gen.atStart(fault, "warn", names[0], "")
 	}
 }
@@ -194,11 +195,11 @@
 }
 
 func drawStoreKilled(gen *faultGenerator, fault *Fault) {
-	fault.Steps = gen.faultAndRepair("kill", "start", "depot-1")
+	fault.Steps = gen.faultAndRepair("kill", "start", storeName)
 }
 
 func drawSlowLinks(gen *faultGenerator, fault *Fault) {
-	if names := gen.takeHealthy("cab", workers, 3); len(names) > 0 {
+	if names := gen.takeHealthy(workerPrefix, workers, 3); len(names) > 0 {
 		gen.atStart(fault, "slow", strings.Join(names, " "), fmt.Sprint(5000+gen.random.IntN(100000)))
 		gen.atEnd(fault, "mend", strings.Join(names, " "), "*")
 	}
@@ -209,9 +210,9 @@
 }
 
 func drawIndexKilled(gen *faultGenerator, fault *Fault) {
-	machine := fmt.Sprintf("edge-%d", 1+gen.random.IntN(edgeMachines))
+	machine := fmt.Sprint(edgePrefix, 1+gen.random.IntN(edgeMachines))
 	if !gen.faulty[machine] {
 		gen.faulty[machine] = true
-		fault.Steps = gen.faultAndRepair("kill", "start", "catalogue-"+machine)
+		fault.Steps = gen.faultAndRepair("kill", "start", indexPrefix+machine)
 	}
 }
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -1,18 +1,20 @@
 package testbed
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/netip"
+	"strings"
 	"sync"
 	"time"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 )
 
-// Links stand in the path between all machines of a site: each process is reached through
-// a relay on an address of its own, which knows who calls by the caller's address. A link
-// can be cut one way or both, stalled, or slowed.
+// Links relay all connections between the machines of a site: each process is reached through a relay at an address
+// of its own, which knows the client by its address. A link can be cut in one or both directions, delayed or slowed.
 type Links struct {
 	mu        sync.Mutex
 	rules     map[[2]string]LinkRule
@@ -22,32 +24,32 @@
 	quit      chan struct{}
 }
 
-// LinkRule is what a link does to bytes from one machine to another.
+// LinkRule is how a link treats the bytes from one machine to another; the zero value passes them on at once.
 type LinkRule struct {
-	Cut            bool
+	Partitioned    bool
 	Delay          time.Duration
-	BytesPerSecond float64 // a second; 0: no bound
+	BytesPerSecond float64 // 0: no limit
 }
 
-// NewLinks makes links without rules.
+// NewLinks returns links without rules.
 //
-// Example: l := testbed.NewLinks()
+// Example: links := testbed.NewLinks()
 func NewLinks() *Links {
 	return &Links{rules: map[[2]string]LinkRule{}, wake: make(chan struct{}), names: map[netip.Addr]string{}, quit: make(chan struct{})}
 }
 
-// NameAddress tells which machine an address belongs to.
+// NameAddress records the machine that an address belongs to.
 //
-// Example: l.Name("127.10.1.11", "edge-1")
+// Example: links.NameAddress("127.10.1.11", "edge-1")
 func (l *Links) NameAddress(ip, machine string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.names[netip.MustParseAddr(ip)] = machine
 }
 
-// Set puts a rule on the way from one machine to another; "*" is any.
+// Set sets the rule of the link from one machine to another; "*" is any machine. The zero rule removes it.
 //
-// Example: l.Set("edge-1", "core-2", testbed.LinkRule{Cut: true})
+// Example: links.Set("edge-1", "core-2", testbed.LinkRule{Cut: true})
 func (l *Links) Set(from, to string, r LinkRule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,9 +62,9 @@
 	l.wake = make(chan struct{})
 }
 
-// HealLinks takes all rules away.
+// HealLinks removes all rules.
 //
-// Example: l.Heal()
+// Example: links.HealLinks()
 func (l *Links) HealLinks() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,70 +73,71 @@
 	l.wake = make(chan struct{})
 }
 
-// RuleBetween gives the rule on the way from one machine to another, and what is closed when rules change.
+// RuleBetween returns the strictest combination of the rules that apply from one machine to another, and a channel
+// that is closed when rules change.
 //
-// Example: r, changed := l.At("edge-1", "core-2")
+// Example: rule, changed := links.RuleBetween("edge-1", "core-2")
 func (l *Links) RuleBetween(from, to string) (LinkRule, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var r LinkRule
-	for _, k := range [][2]string{{from, to}, {"*", to}, {from, "*"}} {
-		x := l.rules[k]
-		r.Cut = r.Cut || x.Cut
-		r.Delay = max(r.Delay, x.Delay)
-		if x.BytesPerSecond > 0 && (r.BytesPerSecond == 0 || x.BytesPerSecond < r.BytesPerSecond) {
-			r.BytesPerSecond = x.BytesPerSecond
+	var combined LinkRule
+	for _, link := range [][2]string{{from, to}, {"*", to}, {from, "*"}} {
+		rule := l.rules[link]
+		combined.Partitioned = combined.Partitioned || rule.Partitioned
+		combined.Delay = max(combined.Delay, rule.Delay)
+		if rule.BytesPerSecond > 0 && (combined.BytesPerSecond == 0 || rule.BytesPerSecond < combined.BytesPerSecond) {
+			combined.BytesPerSecond = rule.BytesPerSecond
 		}
 	}
-	return r, l.wake
+	return combined, l.wake
 }
 
-// Relay listens at one address for a machine's process, and passes all on to the other.
+// Relay listens at one address and relays connections to another, that of a machine's process.
 //
-// Example: err := l.Relay("127.110.1.11:7000", "127.10.1.11:7000", "edge-1")
+// Example: err := links.Relay("127.110.1.11:7000", "127.10.1.11:7000", "edge-1")
 func (l *Links) Relay(at, to, machine string) error {
-	ln, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", at)
 	if err != nil {
 		return errs.WrapAs(err, errs.BadInput, "relay at "+at)
 	}
-	l.listeners = append(l.listeners, ln)
+	l.listeners = append(l.listeners, listener)
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return // closed
 			}
-			go l.proxyConn(c, to, machine)
+			go l.proxyConn(conn, to, machine)
 		}
 	}()
 	return nil
 }
 
-func (l *Links) proxyConn(c net.Conn, to, machine string) {
+func (l *Links) proxyConn(client net.Conn, to, machine string) {
 	from := "?"
-	if a, err := netip.ParseAddrPort(c.RemoteAddr().String()); err == nil {
+	if addr, err := netip.ParseAddrPort(client.RemoteAddr().String()); err == nil {
 		l.mu.Lock()
-		if n := l.names[a.Addr().Unmap()]; n != "" {
-			from = n
+		if name := l.names[addr.Addr().Unmap()]; name != "" {
+			from = name
 		}
 		l.mu.Unlock()
 	}
-	defer c.Close()
-	if !l.awaitLink(from, machine, 0) { // the first packet waits with the rest
+	defer client.Close()
+	if !l.awaitLink(from, machine, 0) { // connecting waits like the bytes after it
 		return
 	}
-	d, err := net.DialTimeout("tcp", to, time.Second)
+	server, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
-		// Nobody listens: the caller is to see a refusal, as from the machine itself.
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a reset, not an end
+		// Nobody listens: reset the connection, as the machine itself would refuse it.
+		if tcp, ok := client.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // sends a reset instead of an orderly end
 		}
 		return
 	}
-	defer d.Close()
+	defer server.Close()
 	done := make(chan struct{}, 2)
-	go func() { l.copy(d, c, from, machine); done <- struct{}{} }()
-	go func() { l.copy(c, d, machine, from); done <- struct{}{} }()
+	go func() { l.copy(server, client, from, machine); done <- struct{}{} }()
+	go func() { l.copy(client, server, machine, from); done <- struct{}{} }()
 	select {
 	case <-done:
 		<-done
@@ -142,28 +145,28 @@
 	}
 }
 
-// copy moves bytes one way; a half that ends is ended on the other side as well.
+// copy relays bytes in one direction, and an orderly end or a reset of it.
 func (l *Links) copy(dst, src net.Conn, from, to string) {
-	b := make([]byte, 16<<10)
+	buffer := make([]byte, 16<<10)
 	for {
-		n, err := src.Read(b)
+		n, err := src.Read(buffer)
 		if n > 0 {
 			if !l.awaitLink(from, to, n) {
 				break
 			}
-			if _, e := dst.Write(b[:n]); e != nil {
+			if _, e := dst.Write(buffer[:n]); e != nil {
 				break
 			}
 		}
 		if err != nil {
 			if err != io.EOF {
-				if t, ok := dst.(*net.TCPConn); ok {
-					_ = t.SetLinger(0) // broken here is broken there
+				if tcp, ok := dst.(*net.TCPConn); ok {
+					_ = tcp.SetLinger(0) // a reset is relayed as a reset
 				}
 				break
 			}
-			if t, ok := dst.(*net.TCPConn); ok {
-				_ = t.CloseWrite() // an end that can't be passed on is seen as a reset
+			if tcp, ok := dst.(*net.TCPConn); ok {
+				_ = tcp.CloseWrite() // if it fails, the peer sees a reset
 			}
 			return
 		}
@@ -172,17 +175,17 @@
 	src.Close()
 }
 
-// awaitLink waits as the link's rule says; false when the links are taken down.
-func (l *Links) awaitLink(from, to string, n int) bool {
+// awaitLink waits until n bytes may pass by the link's rule; it reports false if the links are closed.
+func (l *Links) awaitLink(from, to string, bytes int) bool {
 	for {
-		r, wake := l.RuleBetween(from, to)
-		if !r.Cut {
-			d := r.Delay
-			if r.BytesPerSecond > 0 {
-				d += time.Duration(float64(n) / r.BytesPerSecond * float64(time.Second))
+		rule, wake := l.RuleBetween(from, to)
+		if !rule.Partitioned {
+			delay := rule.Delay
+			if rule.BytesPerSecond > 0 {
+				delay += time.Duration(float64(bytes) / rule.BytesPerSecond * float64(time.Second))
 			}
-			if d > 0 {
-				time.Sleep(d)
+			if delay > 0 {
+				time.Sleep(delay)
 			}
 			return true
 		}
@@ -196,10 +199,36 @@
 
 // Close closes all relays.
 //
-// Example: defer l.Down()
+// Example: defer links.Close()
 func (l *Links) Close() {
 	close(l.quit)
-	for _, ln := range l.listeners {
-		ln.Close()
+	for _, listener := range l.listeners {
+		listener.Close()
 	}
 }
+
+// addRelays routes a site's connections through links: each process advertises a relay's address, whose second
+// byte is net+100.
+func (s *Site) addRelays(links *Links, net int) error {
+	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
+	relayed := func(a string) string { return strings.Replace(a, old, via, 1) }
+	var batch errs.Batch
+	for i := range s.Processes {
+		process := &s.Processes[i].Settings
+		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
+		batch.Add("relay", links.Relay(relayed(process.Listen), process.Listen, process.Name))
+		process.Advertise = relayed(process.Listen)
+		switch s.Processes[i].Program {
+		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
+			batch.Add("relay", links.Relay(relayed(process.Public), process.Public, process.Name))
+		}
+		for j := range process.Seeds {
+			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
+		}
+		process.WorkerList = relayed(process.WorkerList)
+	}
+	for i := range s.WorkerList {
+		s.WorkerList[i].Addr = relayed(s.WorkerList[i].Addr)
+	}
+	return batch.Err()
+}
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -4,126 +4,47 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"strings"
 	"sync"
 	"time"
 
 	"pebbleloom/internal/errs"
-	"pebbleloom/internal/programs"
-	"pebbleloom/internal/settings"
-	"pebbleloom/internal/wire"
 )
 
-// settingsOf is where a process stands.
-func (f *Fleet) settingsOf(name string) settings.Process {
-	p, _ := f.process(name) // none: no place
-	return p.Settings
-}
-
-// startImpostor starts an empty machine under the name that a process has, at another address,
-// while the process itself lives on, frozen or not.
-func (f *Fleet) startImpostor(name string) error {
-	for _, p := range f.Site.Processes {
-		if p.Name != name {
-			continue
-		}
-		p.Name += "-again"
-		at := strings.Split(p.Settings.Listen, ".")
-		at[3] = "98:" + strings.Split(at[3], ":")[1]
-		p.Settings.Listen = strings.Join(at, ".")
-		if p.Settings.Operator != "" {
-			p.Settings.Operator = strings.Join(at[:3], ".") + ".98:8090"
-		}
-		if p.Settings.Data != "" {
-			p.Settings.Data += "-again"
-		}
-		if err := f.env.WriteSettings(p); err != nil {
-			return err
-		}
-		f.Site.Processes = append(f.Site.Processes, p)
-		return f.Start(p.Name)
-	}
-	return errs.New(errs.NotFound, "process %q", name)
-}
-
-// addressByte is the second byte of the site's addresses.
-func (f *Fleet) addressByte() string { return strings.Split(f.platformAddr(), ".")[1] }
-
-func (f *Fleet) platformAddr() string { return f.settingsOf("rank-1").Public }
-
-// configLeader names the core machine that owns the setup's part.
-func (f *Fleet) configLeader(ctx context.Context) (string, error) {
-	for _, p := range f.Site.Processes {
-		if p.Program != programs.ControlNode {
-			continue
-		}
-		one, end := context.WithTimeout(ctx, time.Second)
-		t, err := wire.NewControlNodeClient("http://"+p.Settings.Listen, f.client).Status(one, &wire.StatusRequest{})
-		end()
-		for _, x := range t.GetShards() {
-			if err == nil && x.Shard == 0 && x.IsLeader {
-				return p.Settings.Name, nil
-			}
-		}
-	}
-	return "", errs.New(errs.OutcomeUnknown, "nobody owns the setup's part")
-}
-
-// moveAddress gives a process of a core machine a new address; it is started there by a later step.
-func (f *Fleet) moveAddress(name string) error {
-	for i := range f.Site.Processes {
-		p := &f.Site.Processes[i]
-		if p.Name != name {
-			continue
-		}
-		h, port, err := net.SplitHostPort(p.Settings.Listen)
-		if err != nil {
-			return errs.Wrap(err, "move")
-		}
-		q := strings.Split(h, ".")
-		h = strings.Join(append(q[:3], "99"), ".")
-		old := p.Settings.Operator
-		p.Settings.Listen = h + ":" + port
-		if old != "" {
-			p.Settings.Operator = h + ":8090"
-			for j, o := range f.Site.Operators {
-				if o == old {
-					f.Site.Operators[j] = p.Settings.Operator
-				}
-			}
-		}
-		return f.env.WriteSettings(*p)
-	}
-	return errs.New(errs.NotFound, "process %q", name)
-}
+// Bounds of one call to the operator addresses.
+const (
+	postAttempts = 40
+	postTimeout  = 8 * time.Second // of one attempt
+)
 
+// randomBelow draws from [0, n).
 func (run *scenarioRun) randomBelow(n int) int {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return run.random.IntN(n)
 }
 
-// operator is a living operator address, another one at each try.
+// post sends a request to the operator addresses in turn until one succeeds, rejects it as invalid, or postAttempts
+// are used up. It returns the configuration version of the response.
 func (run *scenarioRun) post(ctx context.Context, path string, request any) (int64, error) {
 	raw, err := json.Marshal(request)
 	if err != nil {
 		return 0, errs.Wrap(err, "write")
 	}
 	last := ""
-	for i := range 40 {
-		one, end := context.WithTimeout(ctx, 8*time.Second)
-		code, body := run.fleet.Post(one, run.fleet.Site.Operators[(i+run.randomBelow(3))%len(run.fleet.Site.Operators)], path, raw)
-		end()
+	for i := range postAttempts {
+		attemptCtx, cancel := context.WithTimeout(ctx, postTimeout)
+		code, body := run.fleet.Post(attemptCtx, run.fleet.Site.Operators[(i+run.randomBelow(3))%len(run.fleet.Site.Operators)], path, raw)
+		cancel()
 		var response struct {
-			Epoch int64  `json:"epoch"`
-			Kind  string `json:"kind"`
+			Version int64  `json:"epoch"`
+			Kind    string `json:"kind"`
 		}
 		if json.Unmarshal([]byte(body), &response) == nil && code == 200 {
 			run.mu.Lock()
-			run.acknowledgedVersion = max(run.acknowledgedVersion, response.Epoch)
+			run.acknowledgedVersion = max(run.acknowledgedVersion, response.Version)
 			run.mu.Unlock()
-			return response.Epoch, nil
+			return response.Version, nil
 		}
 		if last = fmt.Sprintf("%d %s", code, body); code == 400 || code == 404 {
 			break
@@ -133,66 +54,88 @@
 	return 0, errs.New(errs.OutcomeUnknown, "%s: %s", path, last)
 }
 
-// executeOperatorStep does what operators do, and notes when it was acknowledged.
+// executeOperatorStep executes an operator's step and records when it was acknowledged.
 func (run *scenarioRun) executeOperatorStep(ctx context.Context, step Step) error {
-	now := func() int64 { return time.Now().UnixMilli() }
 	switch step.Action {
 	case "weights":
-		var n uint64
-		if _, err := fmt.Sscan(step.Argument, &n); err != nil {
-			return errs.New(errs.BadInput, "weights %q", step.Argument)
-		}
-		_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": n, "token": "weights-" + step.Argument})
-		run.mu.Lock()
-		run.weightsNamedMs[n] = now()
-		run.mu.Unlock()
-		return err
+		return run.setWeights(ctx, step.Argument)
 	case "revoke":
-		tenant := run.fleet.Site.Config.Tenants[step.Targets]
-		if len(tenant.Keys) == 0 {
-			return errs.New(errs.BadInput, "revoke: tenant %q", step.Targets)
-		}
-		_, err := run.post(ctx, "/v1/keys/revoke", map[string]any{"tenant": step.Targets, "key": tenant.Keys[0]})
-		run.mu.Lock()
-		run.keyRevokedMs[tenant.Keys[0]] = now()
-		run.mu.Unlock()
-		return err
+		return run.revokeKey(ctx, step.Targets)
 	case "drain", "undrain":
-		targets, err := run.resolveTargets(ctx, step.Targets)
-		if err != nil {
-			return err
-		}
-		for _, n := range targets {
-			if _, err := run.post(ctx, "/v1/drain", map[string]any{"worker": n, "drain": step.Action == "drain"}); err != nil {
-				return err
-			}
-			run.mu.Lock()
-			if run.drainedMs[n] = now(); step.Action == "undrain" {
-				delete(run.drainedMs, n)
-			}
-			run.mu.Unlock()
-		}
-		return nil
+		return run.setDraining(ctx, step.Targets, step.Action == "drain")
 	case "seeds":
 		seeds := strings.Fields(strings.ReplaceAll(step.Argument, "{net}", run.fleet.addressByte()))
 		return run.mustChange(ctx, configurationChange{token: "seeds", patch: map[string]any{"seeds": seeds}})
 	case "grow":
-		var n int
-		if _, err := fmt.Sscan(step.Argument, &n); err != nil {
-			return errs.New(errs.BadInput, "grow %q", step.Argument)
+		return run.growConfiguration(ctx, step.Argument)
+	}
+	return run.executeConcurrentChanges(ctx, step)
+}
+
+// setWeights sets the weights of the site's model.
+func (run *scenarioRun) setWeights(ctx context.Context, argument string) error {
+	var weights uint64
+	if _, err := fmt.Sscan(argument, &weights); err != nil {
+		return errs.New(errs.BadInput, "weights %q", argument)
+	}
+	_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": weights, "token": "weights-" + argument})
+	run.mu.Lock()
+	run.weightsNamedMs[weights] = time.Now().UnixMilli()
+	run.mu.Unlock()
+	return err
+}
+
+// revokeKey revokes a tenant's first key.
+func (run *scenarioRun) revokeKey(ctx context.Context, name string) error {
+	tenant := run.fleet.Site.Config.Tenants[name]
+	if len(tenant.Keys) == 0 {
+		return errs.New(errs.BadInput, "revoke: tenant %q", name)
+	}
+	_, err := run.post(ctx, "/v1/keys/revoke", map[string]any{"tenant": name, "key": tenant.Keys[0]})
+	run.mu.Lock()
+	run.keyRevokedMs[tenant.Keys[0]] = time.Now().UnixMilli()
+	run.mu.Unlock()
+	return err
+}
+
+// setDraining starts or ends the draining of workers.
+func (run *scenarioRun) setDraining(ctx context.Context, targets string, draining bool) error {
+	names, err := run.resolveTargets(ctx, targets)
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		if _, err := run.post(ctx, "/v1/drain", map[string]any{"worker": name, "drain": draining}); err != nil {
+			return err
 		}
-		models, services, routes := map[string]any{}, map[string]any{}, map[string]any{}
-		for i := range n {
-			model := fmt.Sprintf("model-%d", i)
-			models[model], services["service-"+model], routes[model] = map[string]any{"weights": 1}, map[string]any{"model": model}, map[string]any{"service": "service-" + model}
+		run.mu.Lock()
+		if run.drainedMs[name] = time.Now().UnixMilli(); !draining {
+			delete(run.drainedMs, name)
 		}
-		return run.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": models, "services": services, "ways": routes}})
+		run.mu.Unlock()
 	}
-	return run.executeConcurrentChanges(ctx, step)
+	return nil
+}
+
+// growConfiguration adds a number of models, each with a service and a route.
+func (run *scenarioRun) growConfiguration(ctx context.Context, argument string) error {
+	var count int
+	if _, err := fmt.Sscan(argument, &count); err != nil {
+		return errs.New(errs.BadInput, "grow %q", argument)
+	}
+	models, services, routes := map[string]any{}, map[string]any{}, map[string]any{}
+	for i := range count {
+		model := fmt.Sprintf("model-%d", i)
+		service := "service-" + model
+		models[model] = map[string]any{"weights": 1}
+		services[service] = map[string]any{"model": model}
+		routes[model] = map[string]any{"service": service}
+	}
+	return run.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": models, "services": services, "ways": routes}})
 }
 
-// executeConcurrentChanges and race: many operators at once. A race is compare-and-set on one version: of all
-// that ask for a version exactly one may get it.
+// executeConcurrentChanges changes the configuration as several operators at once. In a "race" all changes are
+// conditional on one version, and at most one of them may be acknowledged.
 func (run *scenarioRun) executeConcurrentChanges(ctx context.Context, step Step) error {
 	var changes int
 	if _, err := fmt.Sscan(step.Argument, &changes); err != nil {
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -13,126 +14,181 @@
 	"pebbleloom/internal/cli"
 )
 
-// operatorHand is the person at the pebblectl: asked to confirm, it does what the book says first.
-type operatorHand struct{ confirm func() }
+// confirmation is the input of an operator who, when asked to confirm, first does what the runbook instructs.
+type confirmation struct{ do func() }
 
-func (h *operatorHand) Read(p []byte) (int, error) {
-	if h.confirm != nil {
-		h.confirm()
-		h.confirm = nil
+func (c *confirmation) Read(p []byte) (int, error) {
+	if c.do != nil {
+		c.do()
+		c.do = nil
 	}
 	return copy(p, "yes\n"), nil
 }
 
-// Runbooks are carried out on a site whose trouble is real: it is brought about, the book
-// is run, and in the end nothing is wrong.
-func TestRunbooksOnASite(t *testing.T) {
-	dir := t.TempDir()
-	s, err := LayOut("daegu", dir, 34, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.addAdapters(true)
-	f, err := Up(context.Background(), s, dir, builtPrograms(t))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Stop()
-	node := s.Operators[4]
-	run := func(in *operatorHand, args ...string) {
-		t.Helper()
-		var out, bad bytes.Buffer
-		rec := filepath.Join(dir, args[0]+".jsonl")
-		a := append([]string{"--node", node, "--record", rec, "runbook", "run", "--name"}, args...)
-		if code := cli.Main(a, in, &out, &bad); code != 0 {
-			raw, _ := os.ReadFile(rec)
-			t.Fatalf("%v: exit %d: %s\n%s", args, code, bad.String(), raw)
-		}
-		if raw, err := os.ReadFile(rec); err != nil || strings.Count(string(raw), `"state":"done"`) < 2 {
-			t.Fatalf("%v: record %s %v", args, raw, err)
-		}
+// runbookTest runs runbooks on a site.
+type runbookTest struct {
+	*testing.T
+	fleet *Fleet
+	dir   string
+	node  string // operator address
+}
+
+// run runs a runbook by the command line. The operator does what is given when the runbook asks for confirmation.
+func (r *runbookTest) run(do func(), args ...string) {
+	r.Helper()
+	var out, bad bytes.Buffer
+	record := filepath.Join(r.dir, args[0]+".jsonl")
+	command := append([]string{"--node", r.node, "--record", record, "runbook", "run", "--name"}, args...)
+	if code := cli.Main(command, &confirmation{do}, &out, &bad); code != 0 {
+		raw, _ := os.ReadFile(record)
+		r.Fatalf("%v: exit %d: %s\n%s", args, code, bad.String(), raw)
 	}
-	each := func(do func(string) error, names ...string) func() {
-		return func() {
-			for _, n := range names {
-				if err := do(n); err != nil {
-					t.Errorf("%s: %v", n, err)
-				}
-			}
-		}
+	if raw, err := os.ReadFile(record); err != nil || strings.Count(string(raw), `"state":"done"`) < 2 {
+		r.Fatalf("%v: record %s %v", args, raw, err)
 	}
-	kill := func(n string) error { return f.Signal(n, syscall.SIGKILL) }
-	gone := func(view string) {
-		t.Helper()
-		ctx, end := context.WithTimeout(context.Background(), 30*time.Second)
-		defer end()
-		for ctx.Err() == nil { // each look takes its time: it asks every core machine
-			if _, body := f.Get(ctx, node, "/v1/status"); strings.Contains(body, view) {
-				return
+}
+
+// forEach returns a function that does something to each of the processes.
+func (r *runbookTest) forEach(do func(string) error, names ...string) func() {
+	return func() {
+		for _, name := range names {
+			if err := do(name); err != nil {
+				r.Errorf("%s: %v", name, err)
 			}
 		}
-		t.Fatalf("status never says %s", view)
 	}
+}
 
-	each(kill, "cab-3")()
-	gone(`"worker-gone"`)
-	run(&operatorHand{each(f.Start, "cab-3")}, "worker-gone", "--set", "worker=cab-3")
+// signal returns a function that sends a signal to each of the processes.
+func (r *runbookTest) signal(signal syscall.Signal, names ...string) func() {
+	return r.forEach(func(name string) error { return r.fleet.Signal(name, signal) }, names...)
+}
 
-	each(kill, "depot-1")()
-	gone(`"no-store"`)
-	run(&operatorHand{each(f.Start, "depot-1")}, "store-empty")
+func (r *runbookTest) kill(names ...string)         { r.signal(syscall.SIGKILL, names...)() }
+func (r *runbookTest) start(names ...string) func() { return r.forEach(r.fleet.Start, names...) }
+
+// awaitStatus waits until the status of the site contains a text.
+func (r *runbookTest) awaitStatus(text string) {
+	r.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	defer cancel()
+	for ctx.Err() == nil { // no pause: each request takes its time, since it queries every core machine
+		if _, body := r.fleet.Get(ctx, r.node, "/v1/status"); strings.Contains(body, text) {
+			return
+		}
+	}
+	r.Fatalf("the status never contains %s", text)
+}
 
-	// A core machine's disk is lost: it comes back empty under its name.
-	each(kill, "archive-core-2", "appraiser-core-2")()
-	if err := os.RemoveAll(f.settingsOf("archive-core-2").Data); err != nil {
-		t.Fatal(err)
+// wipeDisk removes the data of a process.
+func (r *runbookTest) wipeDisk(name string) {
+	r.Helper()
+	if err := os.RemoveAll(r.fleet.settingsOf(name).Data); err != nil {
+		r.Fatal(err)
 	}
-	run(&operatorHand{each(f.Start, "archive-core-2", "appraiser-core-2")}, "disk-lost", "--set", "machine=core-2")
+}
 
-	each(kill, "runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2")()
-	run(&operatorHand{each(f.Start, "runner-edge-2", "catalogue-edge-2", "dispatcher-edge-2")}, "edge-gone", "--set", "machine=edge-2")
+// patchFile writes a partial configuration into a file, and returns the runbook's parameter that names it.
+func (r *runbookTest) patchFile(name, content string) string {
+	r.Helper()
+	file := filepath.Join(r.dir, name)
+	if err := os.WriteFile(file, []byte(content), 0o644); err != nil {
+		r.Fatal(err)
+	}
+	return "file=" + file
+}
 
-	each(kill, "archive-core-3", "appraiser-core-3")()
-	run(&operatorHand{each(f.Start, "archive-core-3", "appraiser-core-3")}, "core-gone", "--set", "machine=core-3")
+// processesOf returns the processes of machines by a pattern of their names.
+func processesOf(pattern string, machines ...string) []string {
+	return strings.Fields(expandNames(pattern, machines))
+}
 
-	// A core machine is replaced: empty, at another address, under its name.
-	each(kill, "archive-core-4", "appraiser-core-4")()
-	if err := os.RemoveAll(f.settingsOf("archive-core-4").Data); err != nil {
+// Each runbook ends a real fault of a site, and in the end the site has no problem.
+func TestRunbooksOnASite(t *testing.T) {
+	dir := t.TempDir()
+	site, err := NewSite("daegu", dir, 34, nil)
+	if err != nil {
 		t.Fatal(err)
 	}
-	each(f.moveAddress, "archive-core-4")()
-	run(&operatorHand{each(f.Start, "archive-core-4", "appraiser-core-4")}, "core-replaced", "--set", "machine=core-4")
-
-	edge3 := []string{"runner-edge-3", "catalogue-edge-3", "dispatcher-edge-3"}
-	signal := func(s syscall.Signal) func(string) error { return func(n string) error { return f.Signal(n, s) } }
-	each(signal(syscall.SIGSTOP), edge3...)()
-	run(&operatorHand{each(signal(syscall.SIGCONT), edge3...)}, "machine-frozen", "--set", "machine=edge-3")
-
-	many := append([]string{"archive-core-1", "appraiser-core-1", "runner-edge-4", "catalogue-edge-4", "dispatcher-edge-4"}, edge3...)
-	each(kill, many...)()
-	run(&operatorHand{each(f.Start, many...)}, "many-gone")
-
-	part := func(name, body string) string {
-		file := filepath.Join(dir, name)
-		if err := os.WriteFile(file, []byte(body), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return "file=" + file
+	site.addAdapters(true)
+	fleet, err := Up(context.Background(), site, dir, builtPrograms(t))
+	if err != nil {
+		t.Fatal(err)
 	}
-	run(&operatorHand{}, "seeds-change", "--set", part("seeds.json", `{"seeds":["127.34.2.1:7003","127.34.3.1:7003","127.34.2.11:7000"]}`))
-	run(&operatorHand{}, "setup-wrong", "--set", part("right.json", `{"tenants":{"tenant-5":{"inflight":40}}}`))
-
-	run(&operatorHand{}, "weights-midday", "--set", "model=gisa", "--set", "weights=2", "--set", "service=gisa-main")
-	run(&operatorHand{}, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
-
-	retireByCommandLine(t, f, node, func(held string) {
-		each(kill, "cab-7")()
-		gone(held)
-		run(&operatorHand{each(f.Start, "cab-7")}, "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
-	})
+	defer fleet.Stop()
+	r := &runbookTest{T: t, fleet: fleet, dir: dir, node: site.Operators[4]}
+	r.recoverSimulators()
+	r.recoverCoreMachines()
+	r.recoverEdgeMachines()
+	r.changeConfiguration()
+	retireByCommandLine(t, fleet, r.node, r.blockRetirement)
 
 	var out, bad bytes.Buffer
-	if code := cli.Main([]string{"--node", node, "status"}, &operatorHand{}, &out, &bad); code != 0 {
-		t.Errorf("in the end something is wrong: %s%s", out.String(), bad.String())
+	if code := cli.Main([]string{"--node", r.node, "status"}, &confirmation{}, &out, &bad); code != 0 {
+		t.Errorf("in the end the status has a problem: %s%s", out.String(), bad.String())
 	}
 }
+
+// recoverSimulators runs the runbooks for a lost worker and a lost store.
+func (r *runbookTest) recoverSimulators() {
+	worker := workerPrefix + "3"
+	r.kill(worker)
+	r.awaitStatus(`"worker-gone"`)
+	r.run(r.start(worker), "worker-gone", "--set", "worker="+worker)
+
+	r.kill(storeName)
+	r.awaitStatus(`"no-store"`)
+	r.run(r.start(storeName), "store-empty")
+}
+
+// recoverCoreMachines runs the runbooks for a lost disk, a lost edge and core machine, and a replaced core machine.
+func (r *runbookTest) recoverCoreMachines() {
+	// The disk of a core machine is lost: it restarts with an empty one.
+	core2 := processesOf(coreProcesses, "core-2")
+	r.kill(core2...)
+	r.wipeDisk(controlNodePrefix + "core-2")
+	r.run(r.start(core2...), "disk-lost", "--set", "machine=core-2")
+
+	edge2 := processesOf(edgeProcesses, "edge-2")
+	r.kill(edge2...)
+	r.run(r.start(edge2...), "edge-gone", "--set", "machine=edge-2")
+
+	core3 := processesOf(coreProcesses, "core-3")
+	r.kill(core3...)
+	r.run(r.start(core3...), "core-gone", "--set", "machine=core-3")
+
+	// A core machine is replaced by one with an empty disk at another address, under the same name.
+	core4 := processesOf(coreProcesses, "core-4")
+	r.kill(core4...)
+	r.wipeDisk(controlNodePrefix + "core-4")
+	r.forEach(r.fleet.moveAddress, controlNodePrefix+"core-4")()
+	r.run(r.start(core4...), "core-replaced", "--set", "machine=core-4")
+}
+
+// recoverEdgeMachines runs the runbooks for a frozen machine, and for several lost at once.
+func (r *runbookTest) recoverEdgeMachines() {
+	edge3 := processesOf(edgeProcesses, "edge-3")
+	r.signal(syscall.SIGSTOP, edge3...)()
+	r.run(r.signal(syscall.SIGCONT, edge3...), "machine-frozen", "--set", "machine=edge-3")
+
+	many := slices.Concat(processesOf(coreProcesses, "core-1"), processesOf(edgeProcesses, "edge-4"), edge3)
+	r.kill(many...)
+	r.run(r.start(many...), "many-gone")
+}
+
+// changeConfiguration runs the runbooks that change the configuration.
+func (r *runbookTest) changeConfiguration() {
+	r.run(nil, "seeds-change", "--set", r.patchFile("seeds.json", `{"seeds":["127.34.2.1:7003","127.34.3.1:7003","127.34.2.11:7000"]}`))
+	r.run(nil, "setup-wrong", "--set", r.patchFile("right.json", `{"tenants":{"tenant-5":{"inflight":40}}}`))
+
+	r.run(nil, "weights-midday", "--set", "model=gisa", "--set", "weights=2", "--set", "service=gisa-main")
+	r.run(nil, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
+}
+
+// blockRetirement blocks the retirement under way by the loss of a worker, and runs the runbook for it.
+func (r *runbookTest) blockRetirement(problem string) {
+	worker := workerPrefix + "7"
+	r.kill(worker)
+	r.awaitStatus(problem)
+	r.run(r.start(worker), "retirement-held", "--set", "service=gisa-main", "--set", "retirement=spring")
+}
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -12,68 +12,68 @@
 	"pebbleloom/internal/clock"
 	"pebbleloom/internal/contract"
 	"pebbleloom/internal/daemon"
+	"pebbleloom/internal/programs"
 	"pebbleloom/internal/settings"
 )
 
-// A go that waits at a worker is looked at again right before its prefill begins. Between,
-// each thing that it depends on changes; what was let in never begins then, the denial says
-// that it didn't run, and it comes when its time is over, not when a slot is free.
+// The conditions of a queued request are checked again right before its prefill. If one has changed since the admission
+// the request is rejected as not executed; if its time is over, at once and not when a slot is free.
 func TestWhatWaitsIsLookedAtAgain(t *testing.T) {
-	for name, x := range map[string]struct {
-		by     time.Duration // from now; zero: none
-		inc    string
-		change func(*Worker)
-		why    string // empty: it runs
-		within time.Duration
+	for name, test := range map[string]struct {
+		beginBy     time.Duration // from now; zero: no limit
+		incarnation string
+		change      func(*Worker)
+		want        string // reason of the rejection; empty: it runs
+		within      time.Duration
 	}{
-		"nothing changes":         {0, "", nil, "", 11 * time.Second},
-		"its time is long enough": {9 * time.Second, "", nil, "", 11 * time.Second},
-		"its time ends in line":   {2 * time.Second, "", nil, "full", 2 * time.Second},
-		"its time was over":       {-time.Second, "", nil, "full", 0},
-		"newer weights":           {0, "", func(c *Worker) { c.weights = 2 }, "weights", 6 * time.Second},
-		"another life":            {0, "cab-1/before", nil, "incarnation", 6 * time.Second},
+		"nothing changes":            {0, "", nil, "", 11 * time.Second},
+		"its time is long enough":    {9 * time.Second, "", nil, "", 11 * time.Second},
+		"its time ends in the queue": {2 * time.Second, "", nil, "full", 2 * time.Second},
+		"its time was over":          {-time.Second, "", nil, "full", 0},
+		"newer weights":              {0, "", func(worker *Worker) { worker.weights = 2 }, "weights", 6 * time.Second},
+		"another incarnation":        {0, "worker-1/before", nil, "incarnation", 6 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			w := daemon.RealEnvironment(settings.Process{})
-			w.Clock, w.WallClock = clock.Synctest(), time.Now
-			l := daemon.NewIn(w, "cab", settings.Process{Name: "cab-1", Bounds: settings.DefaultBounds(),
+			environment := daemon.RealEnvironment(settings.Process{})
+			environment.Clock, environment.WallClock = clock.Synctest(), time.Now
+			process := daemon.NewIn(environment, programs.WorkerSim, settings.Process{Name: "worker-1", Bounds: settings.DefaultBounds(),
 				Options: []string{"log=off", "model=m", "slots=1", "fixed_us=5000000", "token_us=0", "square_us=0"}})
-			defer l.Stop(0)
-			c, err := openWorker(l)
+			defer process.Stop(0)
+			worker, err := openWorker(process)
 			if err != nil {
 				t.Fatal(err)
 			}
-			ask := func(s contract.StartRequest) *httptest.ResponseRecorder {
-				s.Model, s.Weights, s.Parts, s.WaitMs, s.Chunks = "m", 1, []string{s.RequestID}, 60000, 1
-				raw, _ := json.Marshal(s) // plain fields: can't fail
-				r := httptest.NewRecorder()
-				c.serveStart(r, httptest.NewRequest("POST", "/v1/start", strings.NewReader(string(raw))))
-				return r
+			ask := func(request contract.StartRequest) *httptest.ResponseRecorder {
+				request.Model, request.Weights, request.Parts, request.WaitMs, request.Chunks = "m", 1, []string{request.RequestID}, 60000, 1
+				raw, _ := json.Marshal(request) // plain fields: can't fail
+				recorder := httptest.NewRecorder()
+				worker.serveStart(recorder, httptest.NewRequest("POST", "/v1/start", strings.NewReader(string(raw))))
+				return recorder
 			}
 			var first sync.WaitGroup
 			first.Go(func() { ask(contract.StartRequest{RequestID: "first"}) }) // its prefill takes five seconds
 			synctest.Wait()
-			if x.change != nil {
-				time.AfterFunc(time.Second, func() { c.mu.Lock(); x.change(c); c.mu.Unlock() })
+			if test.change != nil {
+				time.AfterFunc(time.Second, func() { worker.mu.Lock(); test.change(worker); worker.mu.Unlock() })
 			}
-			s := contract.StartRequest{RequestID: "second", Incarnation: x.inc}
-			if x.by != 0 {
-				s.BeginByUs = (l.Clock.Now() + x.by).Microseconds()
+			request := contract.StartRequest{RequestID: "second", Incarnation: test.incarnation}
+			if test.beginBy != 0 {
+				request.BeginByUs = (process.Clock.Now() + test.beginBy).Microseconds()
 			}
 			t0 := time.Now()
-			r := ask(s)
-			took := time.Since(t0)
+			recorder := ask(request)
+			elapsed := time.Since(t0)
 			first.Wait()
-			var d contract.Rejection
-			_ = json.Unmarshal(r.Body.Bytes(), &d) // a stream isn't one: its lines are no denial
+			var rejection contract.Rejection
+			_ = json.Unmarshal(recorder.Body.Bytes(), &rejection) // the lines of a stream decode as no rejection
 			ran := 0
-			for _, y := range c.runs {
-				if y.RequestID == "second" {
+			for _, run := range worker.runs {
+				if run.RequestID == "second" {
 					ran++
 				}
 			}
-			if d.Reason != x.why || d.NotExecuted != (x.why != "") || (ran > 0) == (x.why != "") || took > x.within {
-				t.Errorf("%s: %d %+v, ran %d times, after %v", name, r.Code, d, ran, took)
+			if rejection.Reason != test.want || rejection.NotExecuted != (test.want != "") || (ran > 0) == (test.want != "") || elapsed > test.within {
+				t.Errorf("%s: %d %+v, ran %d times, after %v", name, recorder.Code, rejection, ran, elapsed)
 			}
 		})
 	}
--- a/internal/tools/ciresult/results.go
+++ b/internal/tools/ciresult/results.go
@@ -14,7 +14,7 @@
 
 const (
 	module   = "pebbleloom/"
-	maxKnown = 3
+	maxKnown = 3 // known failures that may be listed
 )
 
 // event is one event of `go test -json`.
@@ -42,8 +42,9 @@
 	return parseKnown(string(raw))
 }
 
+// parseKnown parses the lines FOLDER.TestName, cause, issue.
 func parseKnown(text string) ([]knownFailure, error) {
-	var l []knownFailure
+	var listed []knownFailure
 	for line := range strings.Lines(text) {
 		if line = strings.TrimSpace(line); line == "" {
 			continue
@@ -57,29 +58,30 @@
 		if !ok || folder == "" || !strings.HasPrefix(name, "Test") || cause == "" || issue == "" {
 			return nil, fmt.Errorf("%q: give FOLDER.TestName, cause, issue", line)
 		}
-		l = append(l, knownFailure{strings.TrimSpace(test), cause, issue})
+		listed = append(listed, knownFailure{strings.TrimSpace(test), cause, issue})
 	}
-	if len(l) > maxKnown {
-		return nil, fmt.Errorf("%d known failures, at most %d: mend some first", len(l), maxKnown)
+	if len(listed) > maxKnown {
+		return nil, fmt.Errorf("%d known failures, at most %d: mend some first", len(listed), maxKnown)
 	}
-	return l, nil
+	return listed, nil
 }
 
-// testState is what the runs of one top-level test came to.
+// testState counts the outcomes of the runs of a top-level test.
 type testState struct {
 	running, passed, failed, skipped int
 	output                           []string
 }
 
-// packageState is what the runs of one package came to.
+// packageState is the outcome of the runs of a package.
 type packageState struct {
-	seconds float64
-	failed  bool
-	ended   bool
-	output  []string // outside tests
-	broken  bool     // it didn't build
+	seconds     float64
+	failed      bool
+	ended       bool
+	output      []string // outside tests
+	buildFailed bool     // it didn't build
 }
 
+// results collects the events of all runs of go test.
 type results struct {
 	tests    map[string]*testState // by folder and name
 	packages map[string]*packageState
@@ -90,12 +92,13 @@
 	return &results{tests: map[string]*testState{}, packages: map[string]*packageState{}}
 }
 
+// folderOf returns the folder of an import path within the module.
 func folderOf(importPath string) string {
 	path, _, _ := strings.Cut(importPath, " ")
 	return strings.TrimPrefix(path, module)
 }
 
-// read adds the events of one run of go test; the last one has to be its exit code, which CI appends.
+// read adds the events of a run of go test. The last one must be its exit code, which CI appends.
 func (r *results) read(in io.Reader) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 16<<20)
@@ -124,34 +127,35 @@
 	return nil
 }
 
-func (r *results) add(e event) {
-	if e.Package == "" && e.ImportPath != "" {
-		e.Package = e.ImportPath
+// add adds an event to the state of its test or package.
+func (r *results) add(event event) {
+	if event.Package == "" && event.ImportPath != "" {
+		event.Package = event.ImportPath
 	}
-	p := r.packages[folderOf(e.Package)]
+	p := r.packages[folderOf(event.Package)]
 	if p == nil {
 		p = &packageState{}
-		r.packages[folderOf(e.Package)] = p
+		r.packages[folderOf(event.Package)] = p
 	}
-	if e.Test == "" {
-		p.add(e)
+	if event.Test == "" {
+		p.add(event)
 		return
 	}
-	name, sub, _ := strings.Cut(e.Test, "/")
-	key := folderOf(e.Package) + "." + name
+	name, sub, _ := strings.Cut(event.Test, "/")
+	key := folderOf(event.Package) + "." + name
 	t := r.tests[key]
 	if t == nil {
 		t = &testState{}
 		r.tests[key] = t
 	}
-	if e.Action == "output" {
-		t.output = append(t.output, e.Output)
+	if event.Action == "output" {
+		t.output = append(t.output, event.Output)
 		return
 	}
 	if sub != "" {
 		return // the test itself fails with it
 	}
-	switch e.Action {
+	switch event.Action {
 	case "run":
 		t.running++
 	case "pass":
@@ -168,7 +172,7 @@
 	case "output", "build-output":
 		p.output = append(p.output, e.Output)
 	case "build-fail":
-		p.broken = true
+		p.buildFailed = true
 	case "pass", "skip":
 		p.seconds, p.ended = p.seconds+e.Elapsed, true
 	case "fail":
@@ -185,7 +189,7 @@
 	return l
 }
 
-// printTimes lists the packages, the slowest first.
+// printTimes prints the time of each package, the slowest first.
 func (r *results) printTimes(out io.Writer) {
 	l := sortedKeys(r.packages)
 	slices.SortStableFunc(l, func(a, b string) int { return int((r.packages[b].seconds - r.packages[a].seconds) * 1000) })
@@ -209,7 +213,7 @@
 	return passed
 }
 
-// judge lists the reasons why CI doesn't pass; it prints the known failures.
+// judge returns the reasons why CI fails, if any, and prints the known failures.
 func (r *results) judge(known []knownFailure, out io.Writer) (faults []string) {
 	excused := map[string]bool{}
 	for _, k := range known {
@@ -243,7 +247,7 @@
 	}
 	for _, folder := range sortedKeys(r.packages) {
 		p := r.packages[folder]
-		if p.broken || p.failed && !explained[folder] || !p.ended && !p.broken && len(p.output) > 0 {
+		if p.buildFailed || p.failed && !explained[folder] || !p.ended && !p.buildFailed && len(p.output) > 0 {
 			faults = append(faults, fmt.Sprintf("%s failed outside its tests:\n%s", folder, strings.Join(p.output, "")))
 		}
 	}
