--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -13,20 +13,23 @@
 	"pebbleloom/internal/errs"
 )
 
+// leaderTarget names the control node that leads the configuration's shard.
+const leaderTarget = "@owner"
+
 // resolveTargets returns the processes that a step names. A pattern resolves to the same processes throughout a run.
 func (run *scenarioRun) resolveTargets(ctx context.Context, targets string) ([]string, error) {
 	var names []string
-	for _, word := range strings.Fields(targets) {
+	for _, target := range strings.Fields(targets) {
 		run.mu.Lock()
-		matches, ok := run.resolved[word]
+		matches, ok := run.resolved[target]
 		run.mu.Unlock()
 		if !ok {
 			var err error
-			if matches, err = run.resolvePattern(ctx, word); err != nil {
+			if matches, err = run.resolvePattern(ctx, target); err != nil {
 				return nil, err
 			}
 			run.mu.Lock()
-			run.resolved[word] = matches
+			run.resolved[target] = matches
 			run.mu.Unlock()
 		}
 		names = append(names, matches...)
@@ -38,13 +41,13 @@
 	return slices.Compact(names), nil
 }
 
-// resolvePattern returns the processes that match "@owner", a pattern, or "pattern:count".
-func (run *scenarioRun) resolvePattern(ctx context.Context, word string) ([]string, error) {
-	if word == "@owner" {
+// resolvePattern returns the processes that match leaderTarget, a pattern, or "pattern:count".
+func (run *scenarioRun) resolvePattern(ctx context.Context, target string) ([]string, error) {
+	if target == leaderTarget {
 		count, err := run.fleet.configLeader(ctx)
-		return []string{"archive-" + count}, err
+		return []string{controlNodePrefix + count}, err
 	}
-	pattern, count, limited := strings.Cut(word, ":")
+	pattern, count, limited := strings.Cut(target, ":")
 	var matches []string
 	for _, process := range run.fleet.Site.Processes {
 		if ok, err := path.Match(pattern, process.Name); ok && err == nil {
@@ -54,7 +57,7 @@
 	if limited {
 		var limit int
 		if _, err := fmt.Sscan(count, &limit); err != nil {
-			return nil, errs.New(errs.BadInput, "%q: give pattern:count", word)
+			return nil, errs.New(errs.BadInput, "%q: give pattern:count", target)
 		}
 		run.mu.Lock()
 		run.random.Shuffle(len(matches), func(i, j int) { matches[i], matches[j] = matches[j], matches[i] })
@@ -83,66 +86,78 @@
 	}
 	var batch errs.Batch
 	for _, name := range names {
-		switch step.Action {
-		case "kill":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGKILL))
-		case "warn":
-			code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/warn/"+name, nil)
-			if code != 200 {
-				batch.Addf(errs.Internal, "warn %s: %d %s", name, code, body)
-			}
-			run.mu.Lock()
-			run.drainedMs[name] = time.Now().UnixMilli()
-			run.mu.Unlock()
-		case "term":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGTERM))
-		case "freeze":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGSTOP))
-		case "thaw":
-			batch.Add(name, run.fleet.Signal(name, syscall.SIGCONT))
-		case "start":
-			batch.Add(name, run.fleet.Start(name))
-		case "wipe":
-			batch.Add(name, run.onProcess(name, run.fleet.env.WipeDisk))
-		case "swap":
-			bin, err := run.options.programsOf(step.Argument)
-			if batch.Add(name, err); err == nil {
-				batch.Add(name, run.fleet.switchRelease(name, bin))
-			}
-		case "usurp":
-			batch.Add(name, run.fleet.startImpostor(name))
-		case "move":
-			batch.Add(name, run.fleet.moveAddress(name))
-		case "disk", "wall":
-			batch.Add(name, run.onProcess(name, func(process Process) error { return run.fleet.env.SetFault(process, step.Action, step.Argument) }))
-		default:
-			batch.Addf(errs.BadInput, "unknown step %q", step.Action)
-		}
+		batch.Add(name, run.executeOn(ctx, step, name))
 	}
 	return batch.Err()
 }
 
+// executeOn executes a step on one of its processes.
+func (run *scenarioRun) executeOn(ctx context.Context, step Step, name string) error {
+	switch step.Action {
+	case "kill":
+		return run.fleet.Signal(name, syscall.SIGKILL)
+	case "warn":
+		return run.warnWorker(ctx, name)
+	case "term":
+		return run.fleet.Signal(name, syscall.SIGTERM)
+	case "freeze":
+		return run.fleet.Signal(name, syscall.SIGSTOP)
+	case "thaw":
+		return run.fleet.Signal(name, syscall.SIGCONT)
+	case "start":
+		return run.fleet.Start(name)
+	case "wipe":
+		return run.onProcess(name, run.fleet.env.WipeDisk)
+	case "swap":
+		folder, err := run.options.programsOf(step.Argument)
+		if err != nil {
+			return err
+		}
+		return run.fleet.switchRelease(name, folder)
+	case "usurp":
+		return run.fleet.startDuplicate(name)
+	case "move":
+		return run.fleet.moveAddress(name)
+	case "disk", "wall":
+		return run.onProcess(name, func(process Process) error { return run.fleet.env.SetFault(process, step.Action, step.Argument) })
+	}
+	return errs.New(errs.BadInput, "unknown step %q", step.Action)
+}
+
+// warnWorker makes the platform warn that it will terminate a worker, which drains it. The time is recorded even if the
+// call fails, since it may have had an effect.
+func (run *scenarioRun) warnWorker(ctx context.Context, name string) error {
+	code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/warn/"+name, nil)
+	run.mu.Lock()
+	run.drainedMs[name] = time.Now().UnixMilli()
+	run.mu.Unlock()
+	if code != 200 {
+		return errs.New(errs.Internal, "warn: %d %s", code, body)
+	}
+	return nil
+}
+
 // setLinks sets or removes link rules. Targets are machines separated by spaces; "*" is any machine.
 func (run *scenarioRun) setLinks(step Step) error {
 	var batch errs.Batch
 	for _, from := range strings.Fields(step.Targets) {
-		to, rule := step.Argument, LinkRule{Cut: true}
+		peers, rule := step.Argument, LinkRule{Partitioned: true}
 		if step.Action == "slow" {
-			to, rule = "*", LinkRule{}
+			peers, rule = "*", LinkRule{}
 			if _, batch := fmt.Sscan(step.Argument, &rule.BytesPerSecond); batch != nil {
 				return errs.New(errs.BadInput, "slow: %q: give bytes a second", step.Argument)
 			}
 		}
 		if step.Action == "off" {
-			to = "*"
+			peers = "*"
 		}
 		if step.Action == "mend" {
 			rule = LinkRule{}
-			if to == "" {
-				to = "*"
+			if peers == "" {
+				peers = "*"
 			}
 		}
-		for _, peer := range strings.Fields(to) {
+		for _, peer := range strings.Fields(peers) {
 			batch.Add(step.Action, run.fleet.env.SetLink(from, peer, rule))
 			if step.Action != "cut" {
 				batch.Add(step.Action, run.fleet.env.SetLink(peer, from, rule))
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -46,14 +46,14 @@
 
 // A short run of each site as separate processes: responses are streamed, sealed and checked against the journals, and
 // prefixes are reused.
-func TestWholeSites(t *testing.T) {
+func TestSites(t *testing.T) {
 	bin := builtPrograms(t)
 	for i, site := range Sites() {
 		t.Run(site, func(t *testing.T) {
 			dir := t.TempDir()
 			sum, err := Run(context.Background(), Options{Site: site, Dir: dir, Programs: bin, Seconds: 6, AddressByte: 30 + i, Seed: 1, Rate: 15})
 			if err != nil {
-				for _, n := range []string{"archive-core-1", "runner-edge-1", "dispatcher-edge-1", "appraiser-core-1"} {
+				for _, n := range append(processesOf(coreProcesses, "core-1"), processesOf(edgeProcesses, "edge-1")...) {
 					if raw, e := os.ReadFile(filepath.Join(dir, n+".log")); e == nil {
 						t.Logf("%s:\n%s", n, raw[max(0, len(raw)-2000):])
 					}
@@ -133,8 +133,8 @@
 // Each violation of the worker leases is found: two holders with one fencing token, and a worker that accepts a lower one.
 // A regular change of the holder is no violation.
 func TestTwoCommandersAreSeen(t *testing.T) {
-	o := func(at int64, fence uint64, holder string) workersim.Run {
-		return workersim.Run{AtMs: at, FencingToken: fence, Holder: holder}
+	o := func(at int64, token uint64, holder string) workersim.Run {
+		return workersim.Run{AtMs: at, FencingToken: token, Holder: holder}
 	}
 	for name, x := range map[string]struct {
 		orders map[string][]workersim.Run
