--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -119,7 +119,7 @@
 		edge.mu.Lock()
 		known, sentAt := edge.version, w.elapsed()
 		edge.mu.Unlock()
-		response, err := node.Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: known}}, MaxWaitNs: uint64(300 * time.Millisecond), ProofKey: routingconfig.DocumentKey})
+		response, err := node.Follow(ctx, followRequest(pollTime, &wire.KnownVersion{Key: routingconfig.DocumentKey, Version: known}))
 		if err != nil {
 			clock.Sleep(ctx, 50*time.Millisecond)
 			continue
--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -54,13 +54,13 @@
 	}
 	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
 	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each call is that of a new holder
-		doc := replica.state.documents[controlclient.ConfigKey]
-		config, err := serviceconfig.Decode(doc.Body)
+		document := replica.state.documents[controlclient.ConfigKey]
+		config, err := serviceconfig.Decode(document.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		entry, move, _ := calendar.NewPlanner().Next(entry, calendar.Observation{ConfigVersion: doc.Version, EntryVersion: 3, Config: config})
-		return entry, move, doc.Version
+		entry, move, _ := calendar.NewPlanner().Next(entry, calendar.Observation{ConfigVersion: document.Version, EntryVersion: 3, Config: config})
+		return entry, move, document.Version
 	}
 	entry, _, _ = next(entry)
 	entry, _, _ = next(entry)
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -171,26 +171,62 @@
 	return listener
 }
 
+// environment is the daemon.Environment of a machine: the bubble's clock, the cluster's disks and connections.
+func (c *testCluster) environment(addr string, seed func() uint64) daemon.Environment {
+	return daemon.Environment{
+		Clock:     clock.Synctest(),
+		WallClock: time.Now,
+		Seed:      seed,
+		Disk:      func(string) storage.Disk { return c.disks[addr] },
+		Listen:    func(listenAddr string) (net.Listener, error) { return c.listen(listenAddr), nil },
+		Dial:      func(ctx context.Context, _, to string) (net.Conn, error) { return c.dial(ctx, addr, to) },
+		Journal:   func(string) (io.Writer, error) { return io.Discard, nil },
+	}
+}
+
+// processConfig is the configuration of a machine's process.
+func (c *testCluster) processConfig(machine int, firstStart bool) settings.Process {
+	return settings.Process{
+		Name:    fmt.Sprint("core-", machine),
+		Zone:    fmt.Sprint("d", machine),
+		Listen:  c.addr(machine),
+		Seeds:   c.seeds,
+		Data:    "x",
+		Bounds:  settings.DefaultBounds(),
+		Options: []string{"log=off"},
+		Site: &settings.Site{
+			FirstStart:         firstStart,
+			ToleratedFailures:  max(1, c.toleratedLosses),
+			IP:                 c.addr(machine),
+			AckTimeoutMs:       4000,
+			GraceMs:            8000,
+			HeartbeatMs:        300,
+			PortRange:          [2]int{7360, 7375},
+			ControlPlaneListen: fmt.Sprintf("10.0.0.%d:8683", machine),
+		},
+	}
+}
+
 // start starts a machine's node; firstStart: it is the first start of the whole site.
-func (c *testCluster) start(index int, firstStart bool) *Node {
+func (c *testCluster) start(machine int, firstStart bool) *Node {
 	c.t.Helper()
-	addr := c.addr(index)
+	addr := c.addr(machine)
 	if c.disks[addr] == nil {
 		c.disks[addr] = &stallingDisk{disk: newSimDisk()}
 	}
 	c.seed++
 	seed := c.seed
-	config := settings.Process{Name: fmt.Sprint("core-", index), Zone: fmt.Sprint("d", index), Listen: addr, Seeds: c.seeds, Data: "x", Bounds: settings.DefaultBounds(),
-		Options: []string{"log=off"}, Site: &settings.Site{FirstStart: firstStart, ToleratedFailures: max(1, c.toleratedLosses), IP: addr, AckTimeoutMs: 4000, GraceMs: 8000, HeartbeatMs: 300, PortRange: [2]int{7360, 7375}}}
-	environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
-		Disk:    func(string) storage.Disk { return c.disks[addr] },
-		Listen:  func(listenAddr string) (net.Listener, error) { return c.listen(listenAddr), nil },
-		Dial:    func(ctx context.Context, _, to string) (net.Conn, error) { return c.dial(ctx, addr, to) },
-		Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
-	process := daemon.NewIn(environment, "archive", config)
+	nextSeed := func() uint64 {
+		seed += 7919
+		return seed * 0x9e3779b97f4a7c15
+	}
+	process := daemon.NewIn(c.environment(addr, nextSeed), "archive", c.processConfig(machine, firstStart))
 	var node *Node
-	process.Settings.Site.ControlPlaneListen = fmt.Sprintf("10.0.0.%d:8683", index)
-	if err := StartGroup(process, versionCodec{}, func(started *Node) http.Handler { node = started; return http.NotFoundHandler() }); err != nil {
+	operatorHandler := func(started *Node) http.Handler {
+		node = started
+		return http.NotFoundHandler()
+	}
+	if err := StartGroup(process, versionCodec{}, operatorHandler); err != nil {
 		c.t.Fatal(err)
 	}
 	c.mu.Lock()
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"io"
-	"net"
 	"net/http"
 	"sync"
 	"testing"
@@ -11,7 +9,6 @@
 	"time"
 
 	"pebbleloom/internal/clock"
-	"pebbleloom/internal/control/storage"
 	"pebbleloom/internal/daemon"
 	"pebbleloom/internal/settings"
 	"pebbleloom/internal/wire"
@@ -65,12 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		config := settings.Process{Name: "core-1", Listen: cluster.addr(1), Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
-		environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }, Disk: func(string) storage.Disk { return newSimDisk() },
-			Dial: func(ctx context.Context, _, to string) (net.Conn, error) {
-				return cluster.dial(ctx, cluster.addr(1), to)
-			},
-			Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
-		process := daemon.NewIn(environment, "archive", config)
+		process := daemon.NewIn(cluster.environment(cluster.addr(1), func() uint64 { return 1 }), "archive", config)
 		member := &stalledMember{}
 		server := &http.Server{Handler: wire.NewControlNodeServer(member)}
 		go server.Serve(cluster.listen(stalledAddress))
