--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -1,13 +1,16 @@
 package testbed
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/netip"
+	"strings"
 	"sync"
 	"time"
 
 	"pebbleloom/internal/errs"
+	"pebbleloom/internal/programs"
 )
 
 // Links relay all connections between the machines of a site: each process is reached through a relay at an address
@@ -23,7 +26,7 @@
 
 // LinkRule is how a link treats the bytes from one machine to another; the zero value passes them on at once.
 type LinkRule struct {
-	Cut            bool
+	Partitioned    bool
 	Delay          time.Duration
 	BytesPerSecond float64 // 0: no limit
 }
@@ -80,7 +83,7 @@
 	var combined LinkRule
 	for _, link := range [][2]string{{from, to}, {"*", to}, {from, "*"}} {
 		rule := l.rules[link]
-		combined.Cut = combined.Cut || rule.Cut
+		combined.Partitioned = combined.Partitioned || rule.Partitioned
 		combined.Delay = max(combined.Delay, rule.Delay)
 		if rule.BytesPerSecond > 0 && (combined.BytesPerSecond == 0 || rule.BytesPerSecond < combined.BytesPerSecond) {
 			combined.BytesPerSecond = rule.BytesPerSecond
@@ -176,7 +179,7 @@
 func (l *Links) awaitLink(from, to string, bytes int) bool {
 	for {
 		rule, wake := l.RuleBetween(from, to)
-		if !rule.Cut {
+		if !rule.Partitioned {
 			delay := rule.Delay
 			if rule.BytesPerSecond > 0 {
 				delay += time.Duration(float64(bytes) / rule.BytesPerSecond * float64(time.Second))
@@ -203,3 +206,29 @@
 		listener.Close()
 	}
 }
+
+// addRelays routes a site's connections through links: each process advertises a relay's address, whose second
+// byte is net+100.
+func (s *Site) addRelays(links *Links, net int) error {
+	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
+	relayed := func(a string) string { return strings.Replace(a, old, via, 1) }
+	var batch errs.Batch
+	for i := range s.Processes {
+		process := &s.Processes[i].Settings
+		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
+		batch.Add("relay", links.Relay(relayed(process.Listen), process.Listen, process.Name))
+		process.Advertise = relayed(process.Listen)
+		switch s.Processes[i].Program {
+		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
+			batch.Add("relay", links.Relay(relayed(process.Public), process.Public, process.Name))
+		}
+		for j := range process.Seeds {
+			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
+		}
+		process.WorkerList = relayed(process.WorkerList)
+	}
+	for i := range s.WorkerList {
+		s.WorkerList[i].Addr = relayed(s.WorkerList[i].Addr)
+	}
+	return batch.Err()
+}
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -14,7 +14,7 @@
 	About             string   `json:"about"`
 	Site              string   `json:"site"`
 	Rate              float64  `json:"rate"`
-	ColdStartMs       int      `json:"cold_ms"` // clients start that long after the machines, whether the site is ready or not
+	StartDelayMs      int      `json:"cold_ms"` // clients start that long after the machines, whether the site is ready or not
 	Burst             float64  `json:"burst"`   // further requests a second, until the last step
 	Links             bool     `json:"links"`   // every link goes through a relay
 	WorkerOptions     []string `json:"cab"`     // options of every worker simulator
@@ -31,7 +31,7 @@
 type Step struct {
 	At       int    `json:"at_ms"`
 	Action   string `json:"do"`  // see scenarioRun.execute
-	Targets  string `json:"who"` // names or patterns; "pattern:2" draws two; "@owner" leads the configuration's shard
+	Targets  string `json:"who"` // names or patterns; "pattern:2" draws two; see leaderTarget
 	Argument string `json:"to"`  // the other end of a link, or a value
 	// Later steps don't wait for its end, and an unknown outcome isn't a fault of the run.
 	Background bool `json:"aside"`
