--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -133,7 +133,7 @@
 	return body, errs.Wrap(err, "write the weights that are named")
 }
 
-// leaderView returns the newest published view after the client was told the members and the leader that
+// leaderView returns the newest published view after it has given the client the members and the leader that
 // it names.
 func (n *Node) leaderView() *publishedView {
 	view := n.shards[0].published.current()
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -13,7 +13,7 @@
 )
 
 // publishedView is what a member holds at one moment, for readers on other goroutines. It is immutable.
-// It is published after its disk holds it and before any peer is told so: whoever reads the view sees
+// It is published once it is on the disk and before any peer is notified: whoever reads the view sees
 // all that this member has acknowledged to hold, also while its goroutine waits for the disk.
 type publishedView struct {
 	self                string                    // this member's incarnation
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -21,7 +21,7 @@
 	maxCommandsPerReady = 64  // executed before the core's output is handled
 )
 
-// shard drives one member of one replicated shard. The goroutine of run owns core, state, store and
+// shard drives one member of one replicated shard. The goroutine of run is the only user of core, state, store and
 // all other fields without a lock of their own; others reach them through runOnLoop and query.
 type shard struct {
 	core     *consensus.Core
@@ -122,7 +122,7 @@
 		s.halt(err)
 		return
 	}
-	// Readers of the view see what is on this disk before any peer is told that it is.
+	// Readers of the view see what is on this disk before any peer is notified that it is.
 	s.publish(consensus.Ready{Snapshot: ready.Snapshot, Records: ready.Records})
 	for _, message := range ready.Messages {
 		s.send(message)
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -11,15 +11,15 @@
 // Decode reads a settings file into p. Each unknown key and each wrong type is added to faults.
 //
 // Example: settings.Decode(raw, "edge-1.json", &process, &faults)
-func Decode(raw []byte, file string, p *Process, faults *errs.Batch) {
+func Decode(raw []byte, file string, process *Process, faults *errs.Batch) {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &top); err != nil {
 		faults.Addf(errs.BadInput, "%s: not a JSON object (%v): write one with `name`, `district`, `listen`, `seeds`", file, err)
 		return
 	}
-	fields := map[string]any{"name": &p.Name, "district": &p.Zone, "listen": &p.Listen, "tell": &p.Advertise, "public": &p.Public,
-		"operator": &p.Operator, "operator_key": &p.OperatorKey, "seeds": &p.Seeds, "core": &p.Core, "data": &p.Data,
-		"runner": &p.NodeAgent, "rank": &p.WorkerList, "extra": &p.Options}
+	fields := map[string]any{"name": &process.Name, "district": &process.Zone, "listen": &process.Listen, "tell": &process.Advertise, "public": &process.Public,
+		"operator": &process.Operator, "operator_key": &process.OperatorKey, "seeds": &process.Seeds, "core": &process.Core, "data": &process.Data,
+		"runner": &process.NodeAgent, "rank": &process.WorkerList, "extra": &process.Options}
 	var bounds map[string]json.RawMessage
 	for _, key := range queue.Keys(top) {
 		if key == "bounds" {
@@ -37,7 +37,7 @@
 			faults.Addf(errs.BadInput, "%s: %s: wrong type (%v): give what `docs/operate.md` shows", file, key, err)
 		}
 	}
-	decodeBounds(bounds, file, &p.Bounds, faults)
+	decodeBounds(bounds, file, &process.Bounds, faults)
 }
 
 func decodeBounds(raw map[string]json.RawMessage, file string, b *Bounds, faults *errs.Batch) {
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -102,10 +102,10 @@
 //
 // Example: process, err := settings.Read("runner", "the agent on a machine", os.Args[1:], settings.Required{Seeds: true})
 func Read(program, about string, args []string, required Required) (Process, error) {
-	p := Process{Bounds: DefaultBounds()}
+	process := Process{Bounds: DefaultBounds()}
 	flags, err := parseFlags(program, about, args)
 	if err != nil {
-		return p, err
+		return process, err
 	}
 	var faults errs.Batch
 	source := "flags"
@@ -114,10 +114,10 @@
 		raw, err := os.ReadFile(flags.file)
 		faults.Add("settings file "+flags.file, errs.WrapAs(err, errs.BadInput, "read"))
 		if err == nil {
-			Decode(raw, flags.file, &p, &faults)
+			Decode(raw, flags.file, &process, &faults)
 		}
 	}
-	flags.override(&p)
-	Validate(&p, required, source, &faults)
-	return p, faults.Err()
+	flags.override(&process)
+	Validate(&process, required, source, &faults)
+	return process, faults.Err()
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -42,36 +42,36 @@
 // Validate adds every fault of the settings to faults, under the name of their source.
 //
 // Example: settings.Validate(&process, settings.Required{Data: true}, "core-1.json", &faults)
-func Validate(p *Process, required Required, source string, faults *errs.Batch) {
+func Validate(process *Process, required Required, source string, faults *errs.Batch) {
 	v := validator{source, faults}
-	if p.Name == "" || strings.ContainsAny(p.Name, " ,/\x00") {
-		v.fault("name", "%q: give a word without spaces, commas or slashes", p.Name)
+	if process.Name == "" || strings.ContainsAny(process.Name, " ,/\x00") {
+		v.fault("name", "%q: give a word without spaces, commas or slashes", process.Name)
 	}
-	if p.Zone == "" {
+	if process.Zone == "" {
 		v.fault("district", "missing: name the zone that this machine is in")
 	}
-	v.address("listen", p.Listen, true)
-	v.address("tell", p.Advertise, false)
-	v.address("public", p.Public, required.Public)
-	v.address("operator", p.Operator, required.Operator)
-	v.address("runner", p.NodeAgent, required.NodeAgent)
-	v.address("rank", p.WorkerList, required.WorkerList)
-	if n := len(p.OperatorKey); n != 0 && (n < minOperatorKeyLength || n > maxOperatorKeyLength || strings.ContainsAny(p.OperatorKey, " \t\r\n")) {
+	v.address("listen", process.Listen, true)
+	v.address("tell", process.Advertise, false)
+	v.address("public", process.Public, required.Public)
+	v.address("operator", process.Operator, required.Operator)
+	v.address("runner", process.NodeAgent, required.NodeAgent)
+	v.address("rank", process.WorkerList, required.WorkerList)
+	if n := len(process.OperatorKey); n != 0 && (n < minOperatorKeyLength || n > maxOperatorKeyLength || strings.ContainsAny(process.OperatorKey, " \t\r\n")) {
 		v.fault("operator_key", "%d letters: give %d to %d without spaces, or none", n, minOperatorKeyLength, maxOperatorKeyLength)
 	}
-	if required.Seeds && len(p.Seeds) != seedCount {
-		v.fault("seeds", "%d given: give three addresses of other processes", len(p.Seeds))
+	if required.Seeds && len(process.Seeds) != seedCount {
+		v.fault("seeds", "%d given: give three addresses of other processes", len(process.Seeds))
 	}
-	for _, seed := range p.Seeds {
+	for _, seed := range process.Seeds {
 		v.address("seeds", seed, true)
 	}
-	if required.Core && len(p.Core) != coreCount {
-		v.fault("core", "%d given: name the four core machines", len(p.Core))
+	if required.Core && len(process.Core) != coreCount {
+		v.fault("core", "%d given: name the four core machines", len(process.Core))
 	}
-	if required.Data && p.Data == "" {
+	if required.Data && process.Data == "" {
 		v.fault("data", "missing: name the data folder on this machine's disk")
 	}
-	v.bounds(p.Bounds)
+	v.bounds(process.Bounds)
 }
 
 func (v validator) bounds(b Bounds) {
