--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -277,26 +277,26 @@
 // searchChanges runs one seed.
 func searchChanges(t *testing.T, seed uint64) *changeSearch {
 	random := rand.New(rand.NewPCG(seed, 22))
-	s := &changeSearch{t: t, cluster: newTestCluster(t), ctx: t.Context(), nodes: map[int]*Node{}, counts: map[string]int{}, readBodies: map[string]bool{}}
-	s.cluster.seed = seed << 8
+	search := &changeSearch{t: t, cluster: newTestCluster(t), ctx: t.Context(), nodes: map[int]*Node{}, counts: map[string]int{}, readBodies: map[string]bool{}}
+	search.cluster.seed = seed << 8
 	for i := range searchMachines {
-		s.start(i+1, true)
+		search.start(i+1, true)
 	}
-	defer s.cluster.stopAll()
-	s.cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(s.cluster.members()) == 3 })
+	defer search.cluster.stopAll()
+	search.cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(search.cluster.members()) == 3 })
 	var clients sync.WaitGroup
-	clients.Go(func() { s.runReader(rand.New(rand.NewPCG(seed, 23))) })
-	clients.Go(func() { s.injectFaults(rand.New(rand.NewPCG(seed, 24))) })
+	clients.Go(func() { search.runReader(rand.New(rand.NewPCG(seed, 23))) })
+	clients.Go(func() { search.injectFaults(rand.New(rand.NewPCG(seed, 24))) })
 	for i := range searchOperators {
 		operatorRandom := rand.New(rand.NewPCG(seed, random.Uint64()))
-		clients.Go(func() { s.runOperator(operatorRandom, i) })
+		clients.Go(func() { search.runOperator(operatorRandom, i) })
 	}
-	clock.Sleep(s.ctx, searchTime)
-	s.stopped.Store(true)
+	clock.Sleep(search.ctx, searchTime)
+	search.stopped.Store(true)
 	clients.Wait()
-	clock.Sleep(s.ctx, settings.DefaultBounds().Heal(1))
-	s.checkFinal()
-	return s
+	clock.Sleep(search.ctx, settings.DefaultBounds().Heal(1))
+	search.checkFinal()
+	return search
 }
 
 // Eight concurrent changes from as many operators, mostly by nodes that don't lead, with lost answers,
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -103,25 +103,25 @@
 func TestAcknowledgedChangesAreDurable(t *testing.T) {
 	acked, starts, crashes := 0, 0, 0
 	for seed := range uint64(400) {
-		m := newSingleMember(seed)
+		member := newSingleMember(seed)
 		for step := range 60 {
-			m.injectFault()
-			m.tick(1 + m.random.IntN(30))
+			member.injectFault()
+			member.tick(1 + member.random.IntN(30))
 			diskIsWell := step%10 == 9
 			if diskIsWell {
-				m.disk.failWrites = false
-				m.tick(60)
+				member.disk.failWrites = false
+				member.tick(60)
 			}
-			response, survived := m.put(fmt.Append(nil, step))
-			refused := response.GetOutcome() != wire.OutcomeDone && m.disk.writesUntilCrash < 0 && survived
-			if diskIsWell && (m.replica.failure != nil || refused) {
-				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, m.replica.failure, response)
+			response, survived := member.put(fmt.Append(nil, step))
+			refused := response.GetOutcome() != wire.OutcomeDone && member.disk.writesUntilCrash < 0 && survived
+			if diskIsWell && (member.replica.failure != nil || refused) {
+				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, member.replica.failure, response)
 			}
-			if version := m.replica.state.documents["k"].GetVersion(); m.replica.failure == nil && m.replica.core.HasAppliedCurrentTerm() && version < m.newest {
-				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, step, m.newest, version)
+			if version := member.replica.state.documents["k"].GetVersion(); member.replica.failure == nil && member.replica.core.HasAppliedCurrentTerm() && version < member.newest {
+				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, step, member.newest, version)
 			}
 		}
-		acked, starts, crashes = acked+m.ackedPuts, starts+m.starts, crashes+m.crashes
+		acked, starts, crashes = acked+member.ackedPuts, starts+member.starts, crashes+member.crashes
 	}
 	t.Logf("%d acknowledged, %d starts, %d crashes in a write", acked, starts, crashes)
 	if acked < 2000 || starts < 1000 || crashes < 200 {
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -143,7 +143,7 @@
 		replaceLostDisk(cluster)
 		cluster.putVersion(3)
 		for i := range 2 { // twice, so that there is no other spare
-			replaceLeaderForGood(cluster, 5+i)
+			replaceLeaderByNewMachine(cluster, 5+i)
 			cluster.putVersion(uint64(4 + i))
 		}
 		restartMachines(cluster, 6)
@@ -184,8 +184,8 @@
 	cluster.awaitMembers("a group without the lost disk", 8*time.Second, func(members []string) bool { return !slices.Contains(members, lost) })
 }
 
-// replaceLeaderForGood shuts the leader down and starts another machine.
-func replaceLeaderForGood(cluster *testCluster, replacement int) {
+// replaceLeaderByNewMachine shuts the leader down and starts another machine.
+func replaceLeaderByNewMachine(cluster *testCluster, replacement int) {
 	cluster.t.Helper()
 	leader := cluster.leader()
 	cluster.stop(leader)
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -233,19 +233,19 @@
 // checkDuringIsolation sends each change to the isolated member, and the very same change to the others:
 // in the first round, and when members have restarted, to both at once.
 func (w *isolationWorld) checkDuringIsolation(begun time.Duration) {
-	for round := 0; w.elapsed()-begun < isolationTime; round++ {
-		atOnce := round == 0
+	for iteration := 0; w.elapsed()-begun < isolationTime; iteration++ {
+		atOnce := iteration == 0
 		if !w.restarted && w.scenario.restarts != restartNone && w.elapsed()-begun > 3*time.Second {
 			w.restartMachines()
 			w.restarted, atOnce = true, true
 		}
 		base := w.newestAcked()
-		plan := body(base+1, fmt.Sprintf("round %d", round))
+		plan := body(base+1, fmt.Sprintf("round %d", iteration))
 		var others sync.WaitGroup
 		if atOnce {
 			others.Go(func() { w.putAtMajority(base, plan) })
 		}
-		w.checkVictim(base, plan, round, w.elapsed()-begun > isolationTime*3/4)
+		w.checkVictim(base, plan, iteration, w.elapsed()-begun > isolationTime*3/4)
 		if others.Wait(); !atOnce {
 			w.putAtMajority(base, plan)
 		}
@@ -263,11 +263,11 @@
 func (w *isolationWorld) checkHolders(begun time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lastHeld[0] > begun+leaseTTL {
-		w.t.Errorf("the holder at the isolated member held its lease until %v, the isolation began at %v", w.lastHeld[0], begun)
+	if w.lastLeaseAt[0] > begun+leaseTTL {
+		w.t.Errorf("the holder at the isolated member held its lease until %v, the isolation began at %v", w.lastLeaseAt[0], begun)
 	}
-	if w.lastHeld[1] < w.elapsed()-2*time.Second {
-		w.t.Errorf("the holder at the other members doesn't hold the lease at the end of the isolation: last at %v", w.lastHeld[1])
+	if w.lastLeaseAt[1] < w.elapsed()-2*time.Second {
+		w.t.Errorf("the holder at the other members doesn't hold the lease at the end of the isolation: last at %v", w.lastLeaseAt[1])
 	}
 }
 
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -30,7 +30,7 @@
 	ackedAt      map[uint64]time.Time // when each version was acknowledged first
 	edges        []*isolationEdge
 	leases       [2]*controlclient.Lease // one at the isolated member, one at the others
-	lastHeld     [2]time.Duration        // when each held the lease last
+	lastLeaseAt  [2]time.Duration        // when each held the lease last
 	longestWait  time.Duration           // until the other members acknowledged a change
 	restarted    bool                    // the restarts of the scenario are over
 	startedAt    time.Time
@@ -178,10 +178,10 @@
 		}
 		w.mu.Lock()
 		if firstHolds {
-			w.lastHeld[0] = w.elapsed()
+			w.lastLeaseAt[0] = w.elapsed()
 		}
 		if secondHolds {
-			w.lastHeld[1] = w.elapsed()
+			w.lastLeaseAt[1] = w.elapsed()
 		}
 		w.mu.Unlock()
 	}
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// deliverRound lets all members run, and delivers what was sent before. It reports whether anything is left
+// deliverOnce lets all members run, and delivers what was sent before. It reports whether anything is left
 // to do.
-func (c *scriptedCluster) deliverRound() bool {
+func (c *scriptedCluster) deliverOnce() bool {
 	synctest.Wait()
 	for _, member := range c.members {
 		c.runMember(member)
@@ -164,7 +164,7 @@
 // deliverAll delivers messages until the group is idle.
 func (c *scriptedCluster) deliverAll() {
 	for range 200 {
-		if !c.deliverRound() {
+		if !c.deliverOnce() {
 			return
 		}
 	}
@@ -236,7 +236,7 @@
 			return
 		}
 		c.tick()
-		c.deliverRound()
+		c.deliverOnce()
 	}
 	c.t.Fatal("no other leader")
 }
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -48,12 +48,12 @@
 	return !n.partitioned[[2]string{from, to}], n.changed
 }
 
-func (n *simNetwork) dial(ctx context.Context, cluster *testCluster, from, to string) (net.Conn, error) {
+func (n *simNetwork) dial(ctx context.Context, cluster *testCluster, source, target string) (net.Conn, error) {
 	ctx, end := context.WithTimeout(ctx, dialTimeout)
 	defer end()
 	for {
-		outward, changed := n.isOpen(from, to)
-		inward, _ := n.isOpen(to, from)
+		outward, changed := n.isOpen(source, target)
+		inward, _ := n.isOpen(target, source)
 		if outward && inward {
 			break
 		}
@@ -64,12 +64,12 @@
 		}
 	}
 	cluster.mu.Lock()
-	listener := cluster.listeners[to]
+	listener := cluster.listeners[target]
 	cluster.mu.Unlock()
 	if listener == nil {
 		return nil, errors.New("connection refused")
 	}
-	outward, inward := newHalfConn(n, from, to), newHalfConn(n, to, from)
+	outward, inward := newHalfConn(n, source, target), newHalfConn(n, target, source)
 	select {
 	case listener.connections <- &netConn{in: outward, out: inward}:
 		return &netConn{in: inward, out: outward}, nil
--- a/internal/control/controlstate/sim_shard_faults_test.go
+++ b/internal/control/controlstate/sim_shard_faults_test.go
@@ -12,7 +12,7 @@
 var shardSimFaults = []shardSimFault{
 	{"kill", (*shardSim).kill},
 	{"freeze", (*shardSim).freeze},
-	{"one-way partition", func(s *shardSim, _ *shardSimNode) { s.partitionOneWay() }},
+	{"one-way partition", func(s *shardSim, _ *shardSimNode) { s.partitionLink() }},
 	{"isolation", (*shardSim).isolate},
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
@@ -52,7 +52,7 @@
 	s.count("freeze")
 }
 
-func (s *shardSim) partitionOneWay() {
+func (s *shardSim) partitionLink() {
 	from, to := s.nodes[s.random.IntN(len(s.nodes))], s.nodes[s.random.IntN(len(s.nodes))]
 	s.partitioned[from.name+">"+to.name] = true
 	s.count("partition")
--- a/internal/control/controlstate/snapshot_cost_test.go
+++ b/internal/control/controlstate/snapshot_cost_test.go
@@ -57,8 +57,8 @@
 	for _, size := range []int{1 << 20, 4 << 20, 8 << 20} {
 		body, _ := stateOf(size).save()
 		snapshot := &wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}, State: body}
-		d := newSimDisk()
-		store, _, err := storage.Open(d)
+		disk := newSimDisk()
+		store, _, err := storage.Open(disk)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 		b.Run(fmt.Sprint("open ", size>>20, "MB"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, _, err := storage.Open(d); err != nil {
+				if _, _, err := storage.Open(disk); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -45,15 +45,15 @@
 	return command
 }
 
-func grantCommand(holder string, ifFence uint64, release bool) *wire.Command {
-	return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: holder, IfFence: ifFence, TtlNs: 1e9, Release: release}}}
+func grantCommand(holder string, expectedToken uint64, release bool) *wire.Command {
+	return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: holder, IfFence: expectedToken, TtlNs: 1e9, Release: release}}}
 }
 
 // fencedPut is a holder's write under its lease.
-func fencedPut(holder string, fence uint64) *wire.Command {
+func fencedPut(holder string, token uint64) *wire.Command {
 	command := putCommand("p", holder, "", 0)
 	put := command.GetPut()
-	put.AnyVersion, put.Lease, put.Fence, put.Holder = true, "d", fence, holder
+	put.AnyVersion, put.Lease, put.Fence, put.Holder = true, "d", token, holder
 	return command
 }
 
@@ -63,11 +63,11 @@
 func TestRacingChangesInEveryOrder(t *testing.T) {
 	commands := []*wire.Command{putCommand("k", "a", "ta", 1), putCommand("k", "a", "ta", 1), putCommand("k", "b", "tb", 1), putCommand("k", "b", "tb", 1), putOnAnyVersion("k", "c", "tc")}
 	count := permutations(len(commands), func(order []int) {
-		s := newState()
-		s.apply(putCommand("k", "first", "t0", 0), 0)
+		machine := newState()
+		machine.apply(putCommand("k", "first", "t0", 0), 0)
 		won, bodies := map[int]uint64{}, map[uint64]string{} // the version by operator, the body by version
 		for _, index := range order {
-			response := s.apply(proto.Clone(commands[index]).(*wire.Command), 0)
+			response := machine.apply(proto.Clone(commands[index]).(*wire.Command), 0)
 			if response.Outcome != wire.OutcomeDone {
 				continue
 			}
@@ -79,8 +79,8 @@
 		}
 		_, firstWon := won[0]
 		_, secondWon := won[1]
-		if won[2] == 0 || firstWon && secondWon || s.documents["k"].Version != uint64(1+len(won)) {
-			t.Fatalf("%v: won %v, version %d", order, won, s.documents["k"].Version)
+		if won[2] == 0 || firstWon && secondWon || machine.documents["k"].Version != uint64(1+len(won)) {
+			t.Fatalf("%v: won %v, version %d", order, won, machine.documents["k"].Version)
 		}
 	})
 	if count != 120 {
@@ -94,12 +94,12 @@
 func TestLeaseHandoverInEveryOrder(t *testing.T) {
 	commands := []*wire.Command{grantCommand("a", 1, false), fencedPut("a", 1), grantCommand("b", 1, false), fencedPut("b", 2), grantCommand("a", 1, true), fencedPut("a", 2)}
 	count := permutations(len(commands), func(order []int) {
-		s := newState()
-		s.apply(grantCommand("a", 0, false), 0)
+		machine := newState()
+		machine.apply(grantCommand("a", 0, false), 0)
 		last, writers := uint64(1), map[uint64]string{}
 		for _, index := range order {
-			response := s.apply(commands[index], 0)
-			token := s.leases["d"].Fence
+			response := machine.apply(commands[index], 0)
+			token := machine.leases["d"].Fence
 			if token < last {
 				t.Fatalf("%v: the fencing token fell from %d to %d", order, last, token)
 			}
@@ -120,21 +120,21 @@
 // A lease is grantable to another holder only when it has run out by the member's own clock, with a
 // margin; to its holder always.
 func TestWhenALeaseIsGrantable(t *testing.T) {
-	s := newState()
+	machine := newState()
 	grantTo := func(holder string) *wire.Grant {
 		return &wire.Grant{Lease: "d", Holder: holder, TtlNs: uint64(8 * time.Second)}
 	}
-	s.apply(&wire.Command{Kind: &wire.Command_Grant{Grant: grantTo("a")}}, 10*time.Second)
+	machine.apply(&wire.Command{Kind: &wire.Command_Grant{Grant: grantTo("a")}}, 10*time.Second)
 	for _, test := range []struct {
 		holder string
 		at     time.Duration
 		want   bool
 	}{{"a", 11, true}, {"b", 11, false}, {"b", 18, false}, {"b", 19, false}, {"b", 20, true}} {
-		if got := s.isGrantable(grantTo(test.holder), test.at*time.Second); got != test.want {
+		if got := machine.isGrantable(grantTo(test.holder), test.at*time.Second); got != test.want {
 			t.Errorf("%s at %d s: %v", test.holder, test.at, got)
 		}
 	}
-	saved, err := s.save()
+	saved, err := machine.save()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,17 +149,17 @@
 
 // Documents and tokens stay within their bounds.
 func TestStateIsBounded(t *testing.T) {
-	s := newState()
+	machine := newState()
 	for i := range maxDocuments + 10 {
-		response := s.apply(putCommand(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
+		response := machine.apply(putCommand(fmt.Sprint("k", i), "x", fmt.Sprint("t", i), 0), 0)
 		if (response.Outcome == wire.OutcomeDone) != (i < maxDocuments) {
 			t.Fatalf("document %d: %s", i, response.Outcome)
 		}
 	}
-	if len(s.recentTokens) > maxRecentTokens {
-		t.Errorf("%d tokens", len(s.recentTokens))
+	if len(machine.recentTokens) > maxRecentTokens {
+		t.Errorf("%d tokens", len(machine.recentTokens))
 	}
-	if response := s.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); response.Outcome != wire.OutcomeTooLarge {
+	if response := machine.apply(putCommand("k0", string(make([]byte, maxStateBytes+1)), "", 1), 0); response.Outcome != wire.OutcomeTooLarge {
 		t.Errorf("a body over the bound: %s", response.Outcome)
 	}
 }
@@ -186,22 +186,22 @@
 // Claims are released by age alone, at the same time by every member, also through a snapshot. Released ids
 // leave room at once, and the list of them stays bounded.
 func TestClaimsAreReleasedByAge(t *testing.T) {
-	s := newState()
+	machine := newState()
 	for number := range maxClaims {
-		if granted, full := applyClaim(s, 0, claimOf(number, 1)); !granted || full {
+		if granted, full := applyClaim(machine, 0, claimOf(number, 1)); !granted || full {
 			t.Fatalf("claim %d was rejected", number)
 		}
 	}
-	if granted, full := applyClaim(s, defaultClaimRetention-1, claimOf(maxClaims, 1)); granted || !full {
+	if granted, full := applyClaim(machine, defaultClaimRetention-1, claimOf(maxClaims, 1)); granted || !full {
 		t.Fatalf("a full shard accepted one more claim: %v %v", granted, full)
 	}
-	if granted, _ := applyClaim(s, 0, claimOf(0, 2)); granted {
+	if granted, _ := applyClaim(machine, 0, claimOf(0, 2)); granted {
 		t.Fatal("the oldest claim was released too early")
 	}
-	if granted, _ := applyClaim(s, 0, claimOf(0, 1)); !granted {
+	if granted, _ := applyClaim(machine, 0, claimOf(0, 1)); !granted {
 		t.Fatal("a claim that its holder retried was rejected")
 	}
-	saved, err := s.save()
+	saved, err := machine.save()
 	if err != nil || len(saved) > 4<<20 {
 		t.Fatalf("a full shard's snapshot: %d bytes, %v", len(saved), err)
 	}
@@ -209,20 +209,20 @@
 	if err := restored.load(saved, 0); err != nil {
 		t.Fatal(err)
 	}
-	checkReleases(t, s)
+	checkReleases(t, machine)
 	checkReleases(t, restored)
-	byLog, _ := s.save()
+	byLog, _ := machine.save()
 	bySnapshot, _ := restored.save()
 	if string(byLog) != string(bySnapshot) {
 		t.Error("members that read a snapshot differ from those that applied the log")
 	}
 	for number := range 4 * maxClaims {
 		nonce := uint64(number + 100)
-		applyClaim(s, 0, claimOf(3, nonce))
-		applyClaim(s, 0, releaseOf(3, nonce))
+		applyClaim(machine, 0, claimOf(3, nonce))
+		applyClaim(machine, 0, releaseOf(3, nonce))
 	}
-	if len(s.claims.order) > 2*maxClaims+2 {
-		t.Errorf("%d places for %d ids", len(s.claims.order), len(s.claims.holders))
+	if len(machine.claims.order) > 2*maxClaims+2 {
+		t.Errorf("%d places for %d ids", len(machine.claims.order), len(machine.claims.holders))
 	}
 }
 
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -93,53 +93,53 @@
 
 // play plays a case; it returns the violations.
 func (tc twoChangesCase) play(t *testing.T, key string) []string {
-	c := newScriptedCluster(t, key)
-	defer c.stopAll()
-	c.awaitLeader()
+	cluster := newScriptedCluster(t, key)
+	defer cluster.stopAll()
+	cluster.awaitLeader()
 	version := uint64(1) // documents count their versions, a configuration names its own
 	if key == routingconfig.DocumentKey {
 		version = 2
 	}
 	first, second := &testChange{name: "a", newVersion: version}, &testChange{name: "b", newVersion: version}
-	c.changes = []*testChange{first, second}
+	cluster.changes = []*testChange{first, second}
 	for _, event := range tc.events {
-		tc.playEvent(c, event)
+		tc.playEvent(cluster, event)
 	}
-	c.heal()
+	cluster.heal()
 	if !first.acked && !second.acked && !first.inForce && !second.inForce { // all attempts were lost
-		c.sendAndDeliver(first, c.leader())
+		cluster.sendAndDeliver(first, cluster.leader())
 	}
 	third := &testChange{name: "third", baseVersion: version, newVersion: 2 * version}
-	c.changes = append(c.changes, third)
-	c.sendAndDeliver(third, c.leader())
-	c.send(first, c.leader())
-	c.sendAndDeliver(second, c.leader())
-	c.checkFinal(third)
+	cluster.changes = append(cluster.changes, third)
+	cluster.sendAndDeliver(third, cluster.leader())
+	cluster.send(first, cluster.leader())
+	cluster.sendAndDeliver(second, cluster.leader())
+	cluster.checkFinal(third)
 	if first.inForce != first.acked || second.inForce != second.acked || first.acked == second.acked || first.rejected == second.rejected {
-		c.violationf("the one in force is acknowledged when it is retried, the other one is rejected: %+v, %+v", *first, *second)
+		cluster.violationf("the one in force is acknowledged when it is retried, the other one is rejected: %+v, %+v", *first, *second)
 	}
-	return c.violations
+	return cluster.violations
 }
 
-func (tc twoChangesCase) playEvent(c *scriptedCluster, event int) {
+func (tc twoChangesCase) playEvent(cluster *scriptedCluster, event int) {
 	switch event {
 	case newLeader, secondNewLeader:
-		c.changeLeader()
+		cluster.changeLeader()
 		return
 	case snapshotAndRestart:
-		c.restart()
+		cluster.restart()
 		return
 	}
-	if c.leader() == nil { // one that was isolated has returned, and has just stepped down
-		c.awaitLeader()
+	if cluster.leader() == nil { // one that was isolated has returned, and has just stepped down
+		cluster.awaitLeader()
 	}
-	receiver := c.leader()
-	if tc.target == toIsolatedMember && c.isolated != nil {
-		receiver = c.isolated
+	receiver := cluster.leader()
+	if tc.target == toIsolatedMember && cluster.isolated != nil {
+		receiver = cluster.isolated
 	}
-	c.send(c.changes[event/2], receiver)
+	cluster.send(cluster.changes[event/2], receiver)
 	for range tc.rounds[event%2] {
-		if !c.deliverRound() {
+		if !cluster.deliverOnce() {
 			break
 		}
 	}
@@ -164,21 +164,21 @@
 // is one that isn't validated before it is proposed.
 func TestDeposedLeaderRejectsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newScriptedCluster(t, otherKey)
-		defer c.stopAll()
-		c.awaitLeader()
-		c.sendAndDeliver(&testChange{name: "1"}, c.leader())
-		deposed := c.leader()
-		c.changeLeader()
-		c.awaitLeader()
+		cluster := newScriptedCluster(t, otherKey)
+		defer cluster.stopAll()
+		cluster.awaitLeader()
+		cluster.sendAndDeliver(&testChange{name: "1"}, cluster.leader())
+		deposed := cluster.leader()
+		cluster.changeLeader()
+		cluster.awaitLeader()
 		applied := &testChange{name: "3", baseVersion: 2}
-		c.sendAndDeliver(&testChange{name: "2", baseVersion: 1}, c.leader())
-		c.sendAndDeliver(applied, c.leader())
+		cluster.sendAndDeliver(&testChange{name: "2", baseVersion: 1}, cluster.leader())
+		cluster.sendAndDeliver(applied, cluster.leader())
 		if !applied.acked || !deposed.shard.core.Status().IsLeader {
 			t.Fatalf("the change isn't applied, or the deposed leader knows that it was deposed: %+v", *applied)
 		}
-		c.sendAndDeliver(applied, deposed)
-		if c.cancel(); applied.rejected {
+		cluster.sendAndDeliver(applied, deposed)
+		if cluster.cancel(); applied.rejected {
 			t.Errorf("the deposed leader rejects what was applied: %+v", *applied)
 		}
 	})
@@ -190,28 +190,28 @@
 func TestNewLeaderRejectsNothingInItsLog(t *testing.T) {
 	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newScriptedCluster(t, key)
-			defer c.stopAll()
-			c.awaitLeader()
+			cluster := newScriptedCluster(t, key)
+			defer cluster.stopAll()
+			cluster.awaitLeader()
 			first, second := &testChange{name: "1", newVersion: 1}, &testChange{name: "2", baseVersion: 1, newVersion: 2}
-			c.changes = append(c.changes, first, second)
-			c.sendAndDeliver(first, c.leader())
-			c.send(second, c.leader())
-			for !slices.ContainsFunc(c.members, func(member *scriptedMember) bool {
-				return member != c.leader() && len(member.shard.core.UnappliedEntries()) > 0
+			cluster.changes = append(cluster.changes, first, second)
+			cluster.sendAndDeliver(first, cluster.leader())
+			cluster.send(second, cluster.leader())
+			for !slices.ContainsFunc(cluster.members, func(member *scriptedMember) bool {
+				return member != cluster.leader() && len(member.shard.core.UnappliedEntries()) > 0
 			}) {
-				c.deliverRound()
+				cluster.deliverOnce()
 			}
-			c.changeLeader()
-			c.send(second, c.leader())
-			c.deliverRound()
-			c.awaitLeader()
-			c.sendAndDeliver(second, c.leader())
+			cluster.changeLeader()
+			cluster.send(second, cluster.leader())
+			cluster.deliverOnce()
+			cluster.awaitLeader()
+			cluster.sendAndDeliver(second, cluster.leader())
 			if !second.acked || second.rejected {
 				t.Errorf("%s: %+v", key, *second)
 			}
-			if c.checkInvariants(); len(c.violations) > 0 {
-				t.Error(c.violations)
+			if cluster.checkInvariants(); len(cluster.violations) > 0 {
+				t.Error(cluster.violations)
 			}
 		})
 	}
@@ -221,19 +221,19 @@
 // retry it. One on a version that nobody has proposed is a conflict.
 func TestChangeOnAProposedBaseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newScriptedCluster(t, otherKey)
-		defer c.stopAll()
-		c.awaitLeader()
+		cluster := newScriptedCluster(t, otherKey)
+		defer cluster.stopAll()
+		cluster.awaitLeader()
 		next, early := &testChange{name: "2", baseVersion: 1}, &testChange{name: "9", baseVersion: 8}
-		c.send(&testChange{name: "1"}, c.leader())
-		c.deliverRound()
-		c.sendAndDeliver(next, c.leader())
+		cluster.send(&testChange{name: "1"}, cluster.leader())
+		cluster.deliverOnce()
+		cluster.sendAndDeliver(next, cluster.leader())
 		if next.rejected || next.acked {
 			t.Errorf("its base was proposed: %+v", *next)
 		}
-		c.sendAndDeliver(next, c.leader())
-		c.send(early, c.leader()) // nothing is proposed that might be its base
-		c.deliverAll()
+		cluster.sendAndDeliver(next, cluster.leader())
+		cluster.send(early, cluster.leader()) // nothing is proposed that might be its base
+		cluster.deliverAll()
 		if !next.acked || next.rejected || !early.rejected {
 			t.Errorf("%+v, %+v", *next, *early)
 		}
