--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -28,8 +28,8 @@
 	// WipeDisk removes a process's data.
 	WipeDisk(process Process) error
 	// SetFault sets a fault of a machine's "disk" (full, sync or stall MS) or "wall" clock (an offset in
-	// milliseconds); an empty word ends it.
-	SetFault(process Process, what, word string) error
+	// milliseconds); an empty value ends it.
+	SetFault(process Process, what, value string) error
 	// Journal reads a worker simulator's journal of runs and orders.
 	Journal(process Process) ([]workersim.Run, error)
 	// SetLink sets the rule of the link from one machine to another; "*" is any machine.
--- a/internal/sim/testbed/faultkinds.go
+++ b/internal/sim/testbed/faultkinds.go
@@ -18,7 +18,7 @@
 	{"edge-killed", onEdges("kill", "start", edgeProcesses, 1)},
 	{"edge-frozen", onEdges("freeze", "thaw", edgeProcesses, 1)},
 	{"edge-cut", onEdges("off", "mend", "%", 1)},
-	{"edge-half-cut", drawOneWayPartition},
+	{"edge-half-cut", drawAsymmetricPartition},
 	{"edges-killed", onEdges("kill", "start", edgeProcesses, 3)},
 	{"worker-frozen", onWorkers("freeze", "thaw", 2)},
 	{"core-killed", onCoreMachine("kill", "start", coreProcesses)},
@@ -100,8 +100,8 @@
 	return func(_ *faultGenerator, fault *Fault) { fault.WorkerOptions = []string{option} }
 }
 
-// drawOneWayPartition draws a one-way partition: what an edge machine sends to the core is lost, what it receives isn't.
-func drawOneWayPartition(gen *faultGenerator, fault *Fault) {
+// drawAsymmetricPartition draws an asymmetric partition: what an edge machine sends to the core is lost, what it receives isn't.
+func drawAsymmetricPartition(gen *faultGenerator, fault *Fault) {
 	const core = "core-1 core-2 core-3 core-4"
 	if names := gen.takeHealthy(edgePrefix, edgeMachines, 1); len(names) > 0 {
 		gen.atStart(fault, "cut", names[0], core)
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -106,10 +106,10 @@
 		first = append(first, i*100) // ten a second for ten seconds, then none
 	}
 	for _, x := range []struct {
-		extra       []int64
-		e, least, f int
+		extra         []int64
+		e, minimum, f int
 	}{{[]int64{5000, 5001, 5002}, 3, 40, 100}, {[]int64{18000, 18001, 18002, 18003}, 4, 0, 30}, {nil, 0, 0, 0}} {
-		if e, f := worstWindow(x.extra, first, 10000, 0.2); e != x.e || f < x.least || f > x.f {
+		if e, f := worstWindow(x.extra, first, 10000, 0.2); e != x.e || f < x.minimum || f > x.f {
 			t.Errorf("%v: %d extra runs on %d requests", x.extra, e, f)
 		}
 	}
