--- a/internal/control/controlstate/catch_up_network_test.go
+++ b/internal/control/controlstate/catch_up_network_test.go
@@ -60,6 +60,7 @@
 	w.queued = append(w.queued, queued)
 }
 
+// link is the link from one machine to another.
 func (w *catchUpWorld) link(from, to string) *simLink {
 	name := from + ">" + to
 	if w.links[name] == nil {
--- a/internal/control/controlstate/catch_up_plans_test.go
+++ b/internal/control/controlstate/catch_up_plans_test.go
@@ -12,6 +12,7 @@
 // textPlanCodec reads the version at the front of a configuration and keeps the rest as it is.
 type textPlanCodec struct{}
 
+// planVersion reads the version at the front of a configuration.
 func planVersion(plan []byte) (uint64, error) {
 	rest, ok := bytes.CutPrefix(plan, []byte(`{"version":`))
 	end := bytes.IndexByte(rest, ',')
--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -38,6 +38,7 @@
 	moreChanges         = 20
 )
 
+// changesPerFault is how many changes are made while a member is away.
 func changesPerFault() int {
 	if changesFromEnv() > changesForAllFaults {
 		return moreChanges
@@ -175,6 +176,7 @@
 	r.awaitCaughtUp(fault, node)
 }
 
+// replaceDisk empties a member's disk, and starts it again after some changes.
 func (r *catchUpRun) replaceDisk(node *catchUpNode) {
 	r.t.Helper()
 	r.wipe(node)
@@ -184,6 +186,7 @@
 	r.awaitCaughtUp("wiped", node)
 }
 
+// replaceMachine removes a machine for good, and starts another one.
 func (r *catchUpRun) replaceMachine(node *catchUpNode) {
 	r.t.Helper()
 	r.kill(node, false)
@@ -206,6 +209,7 @@
 	r.awaitCaughtUp(fault, node)
 }
 
+// restartAll kills all machines at once and starts them again.
 func (r *catchUpRun) restartAll(node *catchUpNode) {
 	r.t.Helper()
 	for _, peer := range r.nodes {
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -129,6 +129,7 @@
 	return nil
 }
 
+// isHealthy reports whether a machine runs and its shard has not failed.
 func (w *catchUpWorld) isHealthy(node *catchUpNode) bool {
 	return node != nil && node.shard != nil && node.shard.failure == nil
 }
@@ -257,6 +258,7 @@
 	return w.now - begun
 }
 
+// logStatus logs the status of all members.
 func (w *catchUpWorld) logStatus() {
 	for _, node := range w.nodes {
 		if node.shard != nil {
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -30,6 +30,7 @@
 	return m
 }
 
+// start starts the process from its disk.
 func (m *singleMember) start() {
 	m.starts++
 	m.disk.crashed, m.disk.writesUntilCrash = false, -1
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -31,6 +31,7 @@
 	return replica, d
 }
 
+// snapshotMessage is a message of a newer leader that carries a complete snapshot.
 func snapshotMessage(snapshot *wire.Snapshot) *wire.Message {
 	return &wire.Message{From: "b", To: "a", Incarnation: "b", Kind: wire.MessageKind_SNAPSHOT_REQUEST, Term: 5, Snapshot: snapshot}
 }
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -76,6 +76,7 @@
 	return text
 }
 
+// isolationScenarios lists all combinations that are tested.
 func isolationScenarios() (scenarios []isolationScenario) {
 	for _, isolatesLeader := range []bool{true, false} {
 		for _, direction := range []isolationDirection{isolatedBoth, isolatedOut, isolatedIn} {
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -231,6 +231,7 @@
 	return err
 }
 
+// newIsolationWorld is a world without machines.
 func newIsolationWorld(t *testing.T, scenario isolationScenario) *isolationWorld {
 	w := &isolationWorld{testCluster: newTestCluster(t), t: t, scenario: scenario, ackedAt: map[uint64]time.Time{}, startedAt: time.Now()}
 	w.network = newSimNetwork()
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -52,6 +52,7 @@
 	inForce                 bool
 }
 
+// newScriptedCluster starts three members, none of which leads yet.
 func newScriptedCluster(t *testing.T, key string) *scriptedCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &scriptedCluster{t: t, ctx: ctx, cancel: cancel, key: key, bodies: map[uint64]string{}}
@@ -64,7 +65,8 @@
 	return c
 }
 
-func (c *scriptedCluster) start(member *scriptedMember, first bool) {
+// start starts a member from its disk.
+func (c *scriptedCluster) start(member *scriptedMember, firstStart bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	member.stop = stop
 	replica := newShard(ctx, 0, &clock.Manual{}, hclog.NewNullLogger(), func(message *wire.Message) {
@@ -72,7 +74,7 @@
 	})
 	random := rand.New(rand.NewPCG(uint64(member.addr[1]), 1))
 	openGroupShard(replica, newTestGroup(member.disk, random, func() *wire.Snapshot {
-		return initialGroupSnapshot(first, member.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
+		return initialGroupSnapshot(firstStart, member.addr, []string{"m1:1", "m2:1", "m3:1"}, func() uint64 { return 7 })
 	}))
 	member.shard = replica
 }
@@ -114,7 +116,7 @@
 	}
 }
 
-func (change *testChange) body() []byte { return body(change.newVersion, change.name) }
+func (c *testChange) body() []byte { return body(c.newVersion, c.name) }
 
 // checkInvariants checks all answers together; they must agree at any time.
 func (c *scriptedCluster) checkInvariants() {
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -214,6 +214,7 @@
 	return b.String()
 }
 
+// formatSteps is a list of steps in words.
 func formatSteps(steps []int) string {
 	if len(steps) == 0 {
 		return "never"
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -87,6 +87,7 @@
 	silent      map[string]bool // addresses that didn't answer the last request
 }
 
+// newLossRun starts the site of a scenario.
 func newLossRun(scenario lossScenario) *lossRun {
 	s := emptyGroupSim(newSimBase(scenario.seed, 7, ""))
 	s.toleratedLosses, s.compactAt = scenario.toleratedLosses, lossCompactAt
--- a/internal/control/controlstate/sim_disk_test.go
+++ b/internal/control/controlstate/sim_disk_test.go
@@ -24,6 +24,7 @@
 	return bytes.Clone(content), ok, nil
 }
 
+// appendBytes writes as much as the disk and its power allow.
 func (d *simDisk) appendBytes(name string, appended []byte) error {
 	if d.beforeWrite != nil {
 		d.beforeWrite()
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -16,6 +16,7 @@
 	confirmedAt                        map[string]time.Duration // when the request was sent that a member answered with nothing newer
 }
 
+// handleResponse takes in newer members and versions, and a confirmation that nothing is newer.
 func (e *simEdge) handleResponse(sentAt time.Duration, response *wire.FollowResponse) {
 	if len(response.Members) > 0 && (response.MembersTerm > e.membersTerm || response.MembersTerm == e.membersTerm && response.MembersIndex > e.membersIndex) {
 		e.members, e.membersTerm, e.membersIndex = response.Members, response.MembersTerm, response.MembersIndex
--- a/internal/control/controlstate/sim_group_faults_test.go
+++ b/internal/control/controlstate/sim_group_faults_test.go
@@ -25,6 +25,7 @@
 	inject func(*groupSim, *groupSimNode)
 }
 
+// simFaults are drawn by weight.
 var simFaults = []simFault{
 	{"kill", 2, func(s *groupSim, node *groupSimNode) {
 		s.tracef("kill %s", node.addr)
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -127,6 +127,7 @@
 	s.founding = false
 }
 
+// addNode adds a machine with an empty disk, which isn't started yet.
 func (s *groupSim) addNode() *groupSimNode {
 	node := &groupSimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clock: &clock.Manual{}, clockRate: s.randomClockRate()}
 	s.wipeDisk(node)
@@ -205,9 +206,12 @@
 
 func (s *groupSim) randomNode() *groupSimNode { return s.nodes[s.random.IntN(len(s.nodes))] }
 
+// isRunning reports whether a machine's process runs and isn't frozen.
 func (s *groupSim) isRunning(node *groupSimNode) bool {
 	return node != nil && node.shard != nil && s.now >= node.frozenUntil
 }
+
+// isHealthy reports whether a machine runs and its shard has not failed.
 func (s *groupSim) isHealthy(node *groupSimNode) bool {
 	return s.isRunning(node) && node.shard.failure == nil
 }
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -48,6 +48,7 @@
 	return !n.partitioned[[2]string{from, to}], n.changed
 }
 
+// dial connects two machines, once both directions are open.
 func (n *simNetwork) dial(ctx context.Context, cluster *testCluster, source, target string) (net.Conn, error) {
 	ctx, end := context.WithTimeout(ctx, dialTimeout)
 	defer end()
@@ -96,6 +97,7 @@
 	return &halfConn{network: network, from: from, to: to, changed: make(chan struct{})}
 }
 
+// update changes the state and wakes readers.
 func (h *halfConn) update(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/control/controlstate/sim_shard_test.go
+++ b/internal/control/controlstate/sim_shard_test.go
@@ -64,6 +64,7 @@
 	shardSimTick = 50 * time.Millisecond
 )
 
+// newShardSim starts three members.
 func newShardSim(seed uint64, plantedFault string) *shardSim {
 	s := &shardSim{simBase: newSimBase(seed, 1, plantedFault), grantedNonces: map[byte]uint64{}}
 	for i := range 3 {
@@ -137,6 +138,7 @@
 	}
 }
 
+// isRunning reports whether a machine's process runs and isn't frozen.
 func (s *shardSim) isRunning(node *shardSimNode) bool {
 	return node.shard != nil && s.now >= node.frozenUntil
 }
@@ -182,6 +184,7 @@
 	s.inFlight = append(waiting, s.inFlight...)
 }
 
+// tickNodes ticks the members whose next tick is due.
 func (s *shardSim) tickNodes() {
 	for _, node := range s.allNodes() {
 		if !s.isRunning(node) || s.now < node.nextTick {
@@ -214,6 +217,7 @@
 	}
 }
 
+// allNodes are the nodes and the zombies.
 func (s *shardSim) allNodes() []*shardSimNode {
 	return append(append([]*shardSimNode(nil), s.nodes...), s.zombies...)
 }
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -30,6 +30,7 @@
 	return orders
 }
 
+// putCommand is a change of a document that builds on a version.
 func putCommand(key, body, token string, base uint64) *wire.Command {
 	put := &wire.Put{Key: key, Body: []byte(body), IfVersion: base, Token: token}
 	put.Digest = requestDigest(put, false)
@@ -45,6 +46,7 @@
 	return command
 }
 
+// grantCommand requests a lease, or releases it.
 func grantCommand(holder string, expectedToken uint64, release bool) *wire.Command {
 	return &wire.Command{Kind: &wire.Command_Grant{Grant: &wire.Grant{Lease: "d", Holder: holder, IfFence: expectedToken, TtlNs: 1e9, Release: release}}}
 }
@@ -176,6 +178,7 @@
 	return response.Granted[0], response.Full[0]
 }
 
+// releaseOf releases what claimOf claims.
 func releaseOf(number int, nonce uint64) *wire.Claim {
 	claim := claimOf(number, nonce)
 	claim.Release = true
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -77,13 +77,14 @@
 	stalled chan struct{} // writes wait until it is closed; nil: they don't
 }
 
-func (d *stallingDisk) Read(n string) ([]byte, bool, error) {
+func (d *stallingDisk) Read(name string) ([]byte, bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.disk.Read(n)
+	return d.disk.Read(name)
 }
 
-func (d *stallingDisk) write(f func() error) error {
+// write waits while the disk stalls, then writes.
+func (d *stallingDisk) write(run func() error) error {
 	d.mu.Lock()
 	stalled := d.stalled
 	d.mu.Unlock()
@@ -92,23 +93,23 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return f()
+	return run()
 }
 
 // update changes how the disk behaves.
-func (d *stallingDisk) update(f func(*stallingDisk)) {
+func (d *stallingDisk) update(change func(*stallingDisk)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f(d)
+	change(d)
 }
-func (d *stallingDisk) Write(n string, b []byte) error {
-	return d.write(func() error { return d.disk.Write(n, b) })
+func (d *stallingDisk) Write(name string, content []byte) error {
+	return d.write(func() error { return d.disk.Write(name, content) })
 }
-func (d *stallingDisk) Append(n string, b []byte) error {
-	return d.write(func() error { return d.disk.Append(n, b) })
+func (d *stallingDisk) Append(name string, content []byte) error {
+	return d.write(func() error { return d.disk.Append(name, content) })
 }
-func (d *stallingDisk) Truncate(n string, s int) error {
-	return d.write(func() error { return d.disk.Truncate(n, s) })
+func (d *stallingDisk) Truncate(name string, size int) error {
+	return d.write(func() error { return d.disk.Truncate(name, size) })
 }
 
 // newTestCluster is a cluster without machines; the first three will be the seeds.
@@ -123,6 +124,7 @@
 
 func (c *testCluster) addr(i int) string { return fmt.Sprintf("10.0.0.%d:7360", i) }
 
+// dial connects two machines.
 func (c *testCluster) dial(ctx context.Context, from, addr string) (net.Conn, error) {
 	if c.network != nil {
 		return c.network.dial(ctx, c, from, addr)
@@ -241,6 +243,7 @@
 	delete(c.nodes, c.addr(i))
 }
 
+// stopAll shuts all machines down.
 func (c *testCluster) stopAll() {
 	for addr := range c.nodes {
 		c.processes[addr].Stop(time.Second)
@@ -287,6 +290,7 @@
 // versionCodec is a format of routing configurations for tests: {"version": 7, "text": "…", "bad": false}.
 type versionCodec struct{}
 
+// versionBody is the content of a configuration of versionCodec.
 type versionBody struct {
 	Version uint64 `json:"version"`
 	Text    string `json:"text"`
@@ -317,6 +321,7 @@
 	return b, content.Version, err
 }
 
+// body is a configuration of versionCodec.
 func body(version uint64, text string) []byte {
 	b, _ := json.Marshal(versionBody{Version: version, Text: text})
 	return b
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -78,6 +78,7 @@
 	return &wire.Message{To: stalledAddress + "/0", Kind: wire.MessageKind_APPEND_REQUEST}
 }
 
+// largeMessage is above largeMessageBytes.
 func largeMessage() *wire.Message {
 	return &wire.Message{To: stalledAddress + "/0", Kind: wire.MessageKind_APPEND_REQUEST, Entries: []*wire.Entry{{Index: 1, Body: make([]byte, 600<<10)}}}
 }
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -121,6 +121,7 @@
 	return cluster.violations
 }
 
+// playEvent plays one event of a case.
 func (tc twoChangesCase) playEvent(cluster *scriptedCluster, event int) {
 	switch event {
 	case newLeader, secondNewLeader:
