--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -178,6 +178,7 @@
 // A key is accepted only under a plan that was proven newest less than a ratio of the bound ago.
 func TestKeyNeedsFreshProof(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
+		synctest.Wait() // the server has read its settings, which the cases change
 		bound := time.Duration(float64(site.process.Settings.Bounds.KeyRevocationMs)*keyProofRatio) * time.Millisecond
 		for _, test := range []struct {
 			route, key string
