--- a/internal/tools/ciresult/results.go
+++ b/internal/tools/ciresult/results.go
@@ -14,7 +14,7 @@
 
 const (
 	module   = "pebbleloom/"
-	maxKnown = 3
+	maxKnown = 3 // known failures that may be listed
 )
 
 // event is one event of `go test -json`.
@@ -42,6 +42,7 @@
 	return parseKnown(string(raw))
 }
 
+// parseKnown parses the lines FOLDER.TestName, cause, issue.
 func parseKnown(text string) ([]knownFailure, error) {
 	var l []knownFailure
 	for line := range strings.Lines(text) {
@@ -65,13 +66,13 @@
 	return l, nil
 }
 
-// testState is what the runs of one top-level test came to.
+// testState counts the outcomes of the runs of a top-level test.
 type testState struct {
 	running, passed, failed, skipped int
 	output                           []string
 }
 
-// packageState is what the runs of one package came to.
+// packageState is the outcome of the runs of a package.
 type packageState struct {
 	seconds float64
 	failed  bool
@@ -80,6 +81,7 @@
 	broken  bool     // it didn't build
 }
 
+// results collects the events of all runs of go test.
 type results struct {
 	tests    map[string]*testState // by folder and name
 	packages map[string]*packageState
@@ -90,12 +92,13 @@
 	return &results{tests: map[string]*testState{}, packages: map[string]*packageState{}}
 }
 
+// folderOf returns the folder of an import path within the module.
 func folderOf(importPath string) string {
 	path, _, _ := strings.Cut(importPath, " ")
 	return strings.TrimPrefix(path, module)
 }
 
-// read adds the events of one run of go test; the last one has to be its exit code, which CI appends.
+// read adds the events of a run of go test. The last one must be its exit code, which CI appends.
 func (r *results) read(in io.Reader) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 16<<20)
@@ -124,6 +127,7 @@
 	return nil
 }
 
+// add adds an event to the state of its test or package.
 func (r *results) add(e event) {
 	if e.Package == "" && e.ImportPath != "" {
 		e.Package = e.ImportPath
@@ -185,7 +189,7 @@
 	return l
 }
 
-// printTimes lists the packages, the slowest first.
+// printTimes prints the time of each package, the slowest first.
 func (r *results) printTimes(out io.Writer) {
 	l := sortedKeys(r.packages)
 	slices.SortStableFunc(l, func(a, b string) int { return int((r.packages[b].seconds - r.packages[a].seconds) * 1000) })
@@ -209,7 +213,7 @@
 	return passed
 }
 
-// judge lists the reasons why CI doesn't pass; it prints the known failures.
+// judge returns the reasons why CI fails, if any, and prints the known failures.
 func (r *results) judge(known []knownFailure, out io.Writer) (faults []string) {
 	excused := map[string]bool{}
 	for _, k := range known {
--- a/internal/tools/tools.go
+++ b/internal/tools/tools.go
@@ -1,6 +1,6 @@
 //go:build tools
 
-// Package tools pins what the generators need.
+// Package tools pins the modules that the code generators need in go.mod.
 package tools
 
 import (
