--- a/internal/control/controllers/concurrency.go
+++ b/internal/control/controllers/concurrency.go
@@ -9,46 +9,50 @@
 	"pebbleloom/internal/fleet"
 )
 
-// How many of a service's workers load at once. More end the rollout sooner and leave fewer in service.
+// Limits on how many workers of one service load weights at the same time. A higher limit completes the
+// rollout sooner but leaves fewer workers to serve requests.
 const (
-	baseConcurrencyRatio = 1.0 / 5 // of a service's workers, while there is time
-	maxConcurrencyRatio  = 1.0 / 3 // of a service's workers, when the bound is close
+	baseConcurrencyRatio = 1.0 / 5 // fraction of the service's workers, while the deadline is far
+	maxConcurrencyRatio  = 1.0 / 3 // fraction of the service's workers, when the deadline is near
 
-	// Ratios of the weights bound, from when the rollout became due.
-	rolloutTailRatio = 0.2 // the last may load while older weights are no longer selected
-	rolloutSpanRatio = 0.8 // all loads fit into it, after the tail
+	// Fractions of Bounds.Weights. The limit is chosen such that all loads fit into a span of
+	// rolloutSpanRatio that begins rolloutTailRatio after the rollout became due. The last loads may run
+	// past the point at which proxies stop selecting workers with older weights.
+	rolloutTailRatio = 0.2
+	rolloutSpanRatio = 0.8
 )
 
-// serviceProgress is how far the rollout has come at one service.
+// serviceProgress summarizes the state of the rollout for one service.
 type serviceProgress struct {
-	behind     int            // workers to bring to a newer version, except those waiting for a retry
-	loading    int            // workers whose load delays others
-	finishing  int            // loading ones that are about to end
-	cordoned   int            // workers that wait for their order
+	outdated   int            // workers that need a newer version, without those waiting for a retry
+	loading    int            // workers that load and count toward the concurrency limit
+	finishing  int            // loading workers that are expected to finish soon
+	cordoned   int            // cordoned workers that have not been sent an order yet
 	candidates []fleet.Worker // workers that may be cordoned next
-	model      string         // the model whose rollout became due first
-	dueSince   time.Duration  // when it did; negative if unknown
+	model      string         // model whose rollout became due first
+	dueSince   time.Duration  // when the rollout of model became due; negative if unknown
 }
 
-// stepService advances one service's loads. There is at least one worker.
+// stepService advances the rollout of one service: it sends orders to cordoned workers and cordons the
+// next ones. workers must not be empty.
 func (r *Rollout) stepService(inputs RolloutInputs, workers []fleet.Worker, actions *RolloutActions) {
 	slices.SortFunc(workers, func(x, y fleet.Worker) int { return cmp.Compare(x.ID, y.ID) })
 	service := workers[0].Service
 	progress := r.assessService(inputs, workers)
-	if progress.behind == 0 {
+	if progress.outdated == 0 {
 		delete(r.concurrency, service)
 		return
 	}
-	// The limit never falls during a rollout: workers were cordoned ahead under it.
-	limit := r.concurrencyLimit(inputs.Now, len(workers), progress.behind-progress.loading, r.spanStart(progress), progress.model)
+	// The limit never decreases during a rollout, since workers have been cordoned in advance on its basis.
+	limit := r.concurrencyLimit(inputs.Now, len(workers), progress.outdated-progress.loading, r.spanStart(progress), progress.model)
 	limit = max(limit, r.concurrency[service])
 	r.concurrency[service] = limit
 	r.orderCordoned(inputs, workers, &progress, limit, actions)
 	r.cordonNext(inputs, progress, limit)
 }
 
-// assessService counts what a service's workers still need. A worker that may have received an order of
-// a past holder becomes a load with an unknown outcome.
+// assessService counts a service's workers by the state of their load. For a worker that may have received
+// an order from a previous lease holder, it adds a load with unknown outcome.
 func (r *Rollout) assessService(inputs RolloutInputs, workers []fleet.Worker) serviceProgress {
 	progress := serviceProgress{dueSince: -1}
 	for _, worker := range workers {
@@ -56,7 +60,7 @@
 		if model == "" {
 			continue
 		}
-		progress.behind++
+		progress.outdated++
 		if at, ok := inputs.NamedAt[model]; ok && (progress.dueSince < 0 || at < progress.dueSince) {
 			progress.dueSince, progress.model = at, model
 		}
@@ -67,10 +71,10 @@
 		case load != nil:
 			r.countLoading(load, inputs.Now, &progress)
 		case inputs.Now < r.retryAt[worker.ID]:
-			progress.behind--
+			progress.outdated--
 		case r.possiblyOrdered[worker.ID]:
 			r.loads[worker.ID] = &weightLoad{worker: worker, model: model, version: version, stage: stageUnknown,
-				cordonedAt: notYet, startedAt: inputs.Now, nextReportAt: inputs.Now}
+				cordonedAt: notCordonedYet, startedAt: inputs.Now, nextReportAt: inputs.Now}
 			progress.loading++
 		case r.cordonDue(inputs, worker):
 			progress.candidates = append(progress.candidates, worker)
@@ -79,7 +83,8 @@
 	return progress
 }
 
-// countLoading counts a load in progress. One that takes too long no longer delays others.
+// countLoading adds a load in progress to the counts. A load that exceeds slowLoadRatio is left out, so
+// that it does not delay other workers.
 func (r *Rollout) countLoading(load *weightLoad, now time.Duration, progress *serviceProgress) {
 	elapsed := now - load.startedAt
 	if elapsed >= r.bounds.Weights(slowLoadRatio) {
@@ -92,7 +97,8 @@
 	}
 }
 
-// orderCordoned sends orders to workers that have been cordoned for long enough, up to the limit.
+// orderCordoned adds an order for each worker that has been cordoned for long enough, up to the limit on
+// concurrent loads.
 func (r *Rollout) orderCordoned(inputs RolloutInputs, workers []fleet.Worker, progress *serviceProgress, limit int, actions *RolloutActions) {
 	for _, worker := range workers {
 		load := r.loads[worker.ID]
@@ -108,24 +114,25 @@
 	}
 }
 
-// orderDue reports whether a cordoned worker may get its order: proxies have had time to learn that it
-// is cordoned, and no past holder's order can be in flight.
+// orderDue reports whether an order may be sent to a cordoned worker: proxies have had time to learn that
+// it is cordoned, and no order from a previous lease holder can still be in flight.
 func (r *Rollout) orderDue(inputs RolloutInputs, worker fleet.Worker, load *weightLoad) bool {
 	return load.stage == stageCordoned && load.cordonedAt >= 0 &&
 		inputs.Now >= load.cordonedAt+r.bounds.Leave(cordonLeadRatio) &&
 		inputs.Now >= r.earliestOrder(inputs, worker)
 }
 
-// cordonNext cordons as many candidates as can be ordered next.
+// cordonNext cordons as many candidates as there will be free load slots, counting loads that are about to
+// finish.
 func (r *Rollout) cordonNext(inputs RolloutInputs, progress serviceProgress, limit int) {
 	free := limit - progress.loading - progress.cordoned + progress.finishing
 	for _, worker := range progress.candidates[:max(0, min(len(progress.candidates), free))] {
 		model, version := nextVersion(worker, inputs)
-		r.loads[worker.ID] = &weightLoad{worker: worker, model: model, version: version, cordonedAt: notYet}
+		r.loads[worker.ID] = &weightLoad{worker: worker, model: model, version: version, cordonedAt: notCordonedYet}
 	}
 }
 
-// spanStart is when the span begins that all loads have to fit into; negative if unknown.
+// spanStart returns the start of the time span that all loads must fit into; negative if unknown.
 func (r *Rollout) spanStart(progress serviceProgress) time.Duration {
 	if progress.dueSince < 0 {
 		return progress.dueSince
@@ -133,8 +140,8 @@
 	return progress.dueSince + r.bounds.Weights(rolloutTailRatio)
 }
 
-// concurrencyLimit is how many of a service's workers load at once while so many wait for their load:
-// more when the end of the span is close.
+// concurrencyLimit returns how many of a service's workers may load at the same time, given how many are
+// still waiting to load. The limit rises when the remaining time is too short for the base limit.
 func (r *Rollout) concurrencyLimit(now time.Duration, workers, waiting int, spanStart time.Duration, model string) int {
 	base := max(1, int(float64(workers)*baseConcurrencyRatio))
 	if spanStart < 0 || waiting <= 0 {
@@ -144,9 +151,9 @@
 	if shortest := r.shortestLoad[model]; shortest > 0 {
 		loadTime = shortest
 	}
-	left := spanStart + r.bounds.Weights(rolloutSpanRatio) - now
+	remaining := spanStart + r.bounds.Weights(rolloutSpanRatio) - now
 	perBatch := float64(loadTime + r.bounds.Leave(reportIntervalRatio))
-	batches := max(1, (float64(left)-perBatch/2)/perBatch) // the running loads are half done
+	batches := max(1, (float64(remaining)-perBatch/2)/perBatch) // running loads are half done on average
 	required := int(math.Round(float64(waiting) / batches))
 	return min(max(base, required), max(base, int(float64(workers)*maxConcurrencyRatio)))
 }
--- a/internal/control/controllers/rollout.go
+++ b/internal/control/controllers/rollout.go
@@ -9,101 +9,102 @@
 	"pebbleloom/internal/settings"
 )
 
-// Timing of one worker's load.
+// Timing of a single worker's load of new weights.
 const (
-	// Ratios of the leave bound.
-	cordonLeadRatio     = 1.0 / 15 // from cordoning a worker to its order: proxies learn of it in between
-	reportIntervalRatio = 1.0 / 20 // between two reports of a worker
-	maxReportAgeRatio   = 1.0 / 3  // a worker's report may be this old
+	// Fractions of Bounds.Leave.
+	cordonLeadRatio     = 1.0 / 15 // delay between cordoning a worker and its order, in which proxies learn that it is cordoned
+	reportIntervalRatio = 1.0 / 20 // interval between report requests to a worker
+	maxReportAgeRatio   = 1.0 / 3  // maximum age of the state that a worker's report shows
 
-	// Ratios of the weights bound.
-	initialLoadRatio = 1.0 / 10 // assumed duration of a load until one was measured
-	slowLoadRatio    = 1.0 / 4  // a longer load no longer delays others
-	loadRetryRatio   = 1.0 / 8  // before a failed worker is retried
+	// Fractions of Bounds.Weights.
+	initialLoadRatio = 1.0 / 10 // assumed duration of a load before one has been measured
+	slowLoadRatio    = 1.0 / 4  // a load that takes longer no longer counts toward the concurrency limit
+	loadRetryRatio   = 1.0 / 8  // delay before a failed load is retried
 
-	firstReportRatio = 0.7 // of the shortest measured load: when the first report is requested
-	maxMissedReports = 3   // consecutive reports without a response before the worker is retried later
+	firstReportRatio = 0.7 // fraction of the shortest measured load after which the first report is requested
+	maxMissedReports = 3   // consecutive report requests without a response after which the load is retried later
 )
 
-// notYet is a cordonedAt before the written placement cordons the worker.
-const notYet = time.Duration(-1)
+// notCordonedYet is the value of cordonedAt until a written placement cordons the worker.
+const notCordonedYet = time.Duration(-1)
 
-// loadStage is how far a worker's load has come:
+// loadStage is the state of a worker's load. The transitions are:
 //
-//	cordoned -> ordered: the order is sent
-//	ordered  -> loading: accepted, or another order is running
-//	ordered  -> unknown: no response; reports show whether the order was accepted
+//	cordoned -> ordered: the order was sent
+//	ordered  -> loading: the order was accepted, or the worker is executing another order
+//	ordered  -> unknown: there was no response; reports will show whether the order was accepted
 //	unknown  -> loading: a report shows a load in progress
-//	loading, unknown -> cordoned: a report shows the version, or that the order was not accepted
+//	loading, unknown -> cordoned: a report shows the new version, or that the order was not accepted
 //
-// The load ends once the worker has the named version, or leaves. It also ends when the order is rejected or
-// too many reports in a row are missed; then the worker is retried later.
+// The load ends when the worker serves the named version or leaves the worker list. It also ends when the
+// order is rejected or too many consecutive reports are missed; it is then retried after a delay.
 type loadStage int
 
 const (
-	stageCordoned loadStage = iota // proxies are to send it no new requests
-	stageOrdered                   // the order's call is in flight
-	stageLoading                   // the order was accepted, or another one is running
-	stageUnknown                   // whether the order was accepted is unknown
+	stageCordoned loadStage = iota // proxies should send the worker no new requests; no order has been sent
+	stageOrdered                   // the call that sends the order is in flight
+	stageLoading                   // the worker accepted the order, or is executing another one
+	stageUnknown                   // it is unknown whether the worker accepted the order
 )
 
-// weightLoad brings one worker to one version.
+// weightLoad is the update of one worker to one version of a model's weights.
 type weightLoad struct {
 	worker            fleet.Worker
 	model             string
 	version           uint64
 	stage             loadStage
-	cordonedAt        time.Duration // when the written placement first cordoned it; notYet before
+	cordonedAt        time.Duration // when a written placement cordoned the worker, or notCordonedYet
 	startedAt         time.Duration // when the order was sent, or its outcome became unknown
 	nextReportAt      time.Duration // when the next report is due
 	reportRequestedAt time.Duration // when the report in flight was requested
-	callInFlight      bool
-	startConfirmed    bool // the worker confirmed the start: its duration can be measured
-	missedReports     int
-	reportedSequence  *uint64 // orders that the worker had accepted at its last report; nil: none was requested yet
+	callInFlight      bool          // an order or a report request is in flight
+	startConfirmed    bool          // the worker confirmed the start of the load, so its duration can be measured
+	missedReports     int           // consecutive report requests without a response
+	reportedSequence  *uint64       // orders that the worker had accepted as of its last report; nil before the first report
 }
 
-// Order is an order to send to a worker.
+// Order instructs a worker to load a version of a model's weights.
 type Order struct {
 	Worker   fleet.Worker
 	Model    string
 	Version  uint64
-	Sequence *uint64 // orders that the worker must have accepted so far; nil: any number
+	Sequence *uint64 // the worker rejects the order unless it has accepted this many so far; nil: no check
 }
 
-// RolloutActions are the actions that a step asks for. The caller performs them and passes their results
+// RolloutActions are the actions requested by Rollout.Step. The caller performs them and passes the results
 // to HandleOrderOutcome, HandleUnsentOrder, HandleReport and ConfirmCordoned.
 type RolloutActions struct {
 	Orders   []Order
 	Reports  []fleet.Worker      // workers to request a report from
-	Cordoned map[string][]string // by service: the IDs of the workers to cordon, sorted
+	Cordoned map[string][]string // sorted IDs of the workers to cordon, by service
 }
 
-// RolloutInputs are the inputs of a step. Instants are readings of the process's clock.
+// RolloutInputs are the inputs of Rollout.Step. Points in time are readings of the process's clock.
 type RolloutInputs struct {
 	Now             time.Duration
 	Workers         []fleet.Worker
-	NamedVersions   map[string]uint64        // by model: the desired version
-	NamedAt         map[string]time.Duration // by model: when the rollout became due
-	UpdatedServices map[string]bool          // the services whose workers are updated
-	EarliestOrder   time.Duration            // for workers that a past holder may have sent an order lately
+	NamedVersions   map[string]uint64        // version that workers should serve, by model
+	NamedAt         map[string]time.Duration // time since which the rollout is due, by model
+	UpdatedServices map[string]bool          // services whose workers are to be updated
+	EarliestOrder   time.Duration            // earliest order to a worker to which a previous lease holder may have sent one
 }
 
-// Rollout brings workers to the named versions of their weights, several at once: each is first
-// cordoned, so that proxies send it no new requests; then it gets an order, and is polled until it
-// serves the weights. While some load, the next are cordoned. Rollout only decides; it makes no calls.
+// Rollout updates workers to the named versions of their weights, several at a time. Each worker is first
+// cordoned, so that proxies send it no new requests, then ordered to load the weights, and polled until it
+// serves them. While some workers load, the next ones are cordoned. Rollout makes no calls itself: Step
+// returns the actions to perform.
 type Rollout struct {
 	bounds             settings.Bounds
-	loads              map[string]*weightLoad   // by worker
-	retryAt            map[string]time.Duration // by failed worker: no earlier retry
-	possiblyOrdered    map[string]bool          // workers that may have received an order
-	previouslyCordoned map[string]bool          // workers that a past holder had cordoned
-	shortestLoad       map[string]time.Duration // by model: the shortest measured load
-	concurrency        map[string]int           // by service: concurrent loads in this rollout
+	loads              map[string]*weightLoad   // by worker ID
+	retryAt            map[string]time.Duration // earliest retry of a failed load, by worker ID
+	possiblyOrdered    map[string]bool          // IDs of workers that may have received an order
+	previouslyCordoned map[string]bool          // IDs of workers that a previous lease holder had cordoned
+	shortestLoad       map[string]time.Duration // shortest measured duration of a load, by model
+	concurrency        map[string]int           // highest limit on concurrent loads in this rollout, by service
 }
 
-// NewRollout returns a rollout that resumes from the workers that a past holder cordoned: each of those
-// may have received an order.
+// NewRollout returns a rollout. cordoned lists the workers that a previous lease holder had cordoned; each of
+// them may have received an order.
 //
 // Example: r := controllers.NewRollout(bounds, placement.Cordoned)
 func NewRollout(bounds settings.Bounds, cordoned []string) *Rollout {
@@ -122,12 +123,13 @@
 	return r
 }
 
-// Idle reports whether no worker is out of service for a load.
+// Idle reports whether no worker is cordoned or loading.
 //
 // Example: if r.Idle() { slowDown() }
 func (r *Rollout) Idle() bool { return len(r.loads) == 0 }
 
-// nextVersion returns the model and version that a worker is to load next; "" if it is up to date.
+// nextVersion returns the model and version that a worker should load next; the model is empty if the worker
+// needs no update.
 func nextVersion(worker fleet.Worker, inputs RolloutInputs) (model string, version uint64) {
 	if worker.Draining || !inputs.UpdatedServices[worker.Service] {
 		return "", 0
@@ -140,7 +142,7 @@
 	return "", 0
 }
 
-// Step returns the actions that are due now.
+// Step advances the rollout and returns the actions to perform now.
 //
 // Example: actions := r.Step(inputs)
 func (r *Rollout) Step(inputs RolloutInputs) RolloutActions {
@@ -161,7 +163,7 @@
 	return actions
 }
 
-// collectLoads adds the workers to cordon and the reports that are due.
+// collectLoads adds the workers to cordon and the report requests that are due to actions.
 func (r *Rollout) collectLoads(now time.Duration, actions *RolloutActions) {
 	for _, id := range maputil.SortedKeys(r.loads) {
 		load := r.loads[id]
@@ -174,17 +176,17 @@
 	}
 }
 
-// pruneLoads drops the loads that have ended or become obsolete, and what is remembered of workers that
-// have left or need no load.
+// pruneLoads removes loads that have ended or become obsolete, as well as the state kept for workers that have
+// left or need no update.
 func (r *Rollout) pruneLoads(inputs RolloutInputs, listed map[string]fleet.Worker) {
 	for id, load := range r.loads {
 		worker, ok := listed[id]
 		model, version := nextVersion(worker, inputs)
 		switch {
 		case !ok || model == "":
-			r.forgetLoad(id)
+			r.dropLoad(id)
 		case load.stage == stageCordoned && !r.cordonDue(inputs, worker):
-			delete(r.loads, id) // it keeps serving until an order may be sent
+			delete(r.loads, id) // the worker continues to serve until shortly before an order may be sent
 		case load.stage == stageCordoned:
 			load.worker, load.model, load.version = worker, model, version // a newer version may have been named
 		default:
@@ -197,7 +199,7 @@
 		}
 	}
 	for id := range r.possiblyOrdered {
-		// A worker that isn't listed keeps its entry: it may be listed again.
+		// The entry of a worker that is not listed is kept, since the worker may be listed again.
 		if worker, ok := listed[id]; ok {
 			if model, _ := nextVersion(worker, inputs); model == "" {
 				delete(r.possiblyOrdered, id)
@@ -206,9 +208,10 @@
 	}
 }
 
-// earliestOrder is the earliest instant for this holder's first order to a worker. A past holder
-// cordoned each worker before it sent an order, in a document that is read on takeover: a worker that
-// isn't in it, and never had weights newer than its first, had no order lately and needn't wait.
+// earliestOrder returns the earliest time at which this lease holder may send its first order to a worker.
+// Previous holders cordoned each worker in the stored placement, which is read on takeover, before they sent
+// it an order. A worker that is not cordoned there and serves only first versions has not received an order
+// from them, and may be ordered immediately.
 func (r *Rollout) earliestOrder(inputs RolloutInputs, worker fleet.Worker) time.Duration {
 	if r.previouslyCordoned[worker.ID] {
 		return inputs.EarliestOrder
@@ -221,12 +224,13 @@
 	return 0
 }
 
-// cordonDue reports whether a worker may be cordoned: shortly before its order may be sent.
+// cordonDue reports whether a worker may be cordoned, which is the case cordonLeadRatio before its earliest
+// order.
 func (r *Rollout) cordonDue(inputs RolloutInputs, worker fleet.Worker) bool {
 	return inputs.Now >= r.earliestOrder(inputs, worker)-r.bounds.Leave(cordonLeadRatio)
 }
 
-// ConfirmCordoned records that the written placement cordons these workers.
+// ConfirmCordoned records that a written placement cordons the workers with these IDs.
 //
 // Example: r.ConfirmCordoned(ids, now)
 func (r *Rollout) ConfirmCordoned(ids []string, now time.Duration) {
@@ -238,13 +242,13 @@
 }
 
 // HandleOrderOutcome applies the outcome of an order. It returns the version that the worker is known to
-// have; zero if unknown.
+// serve as a result; zero if unknown.
 //
 // Example: version := r.HandleOrderOutcome(order, backend.OutcomeStarted, now)
 func (r *Rollout) HandleOrderOutcome(order Order, outcome backend.Outcome, now time.Duration) uint64 {
 	load := r.loads[order.Worker.ID]
 	if load == nil || load.stage != stageOrdered || load.version != order.Version || load.model != order.Model {
-		return 0 // the worker left, or the load became obsolete
+		return 0 // the worker has left, or the load has become obsolete
 	}
 	reportInterval := r.bounds.Leave(reportIntervalRatio)
 	load.callInFlight = false
@@ -253,43 +257,43 @@
 		expected := time.Duration(float64(r.shortestLoad[load.model]) * firstReportRatio)
 		load.stage, load.startConfirmed = stageLoading, true
 		load.nextReportAt = load.startedAt + max(reportInterval, expected)
-	case backend.OutcomeBusy: // another order of this holder or a past one is running
+	case backend.OutcomeBusy: // the worker is executing another order, of this or a previous holder
 		load.stage, load.startedAt, load.nextReportAt = stageLoading, now, now+reportInterval
-	case backend.OutcomeUnknown: // it may have been accepted
+	case backend.OutcomeUnknown: // the worker may have accepted the order
 		load.stage, load.nextReportAt = stageUnknown, now+reportInterval
 	case backend.OutcomeAlreadyDone:
-		r.forgetLoad(order.Worker.ID)
+		r.dropLoad(order.Worker.ID)
 		return order.Version
-	default: // it was not accepted
+	default: // the worker did not accept the order
 		r.scheduleRetry(load, now)
 		delete(r.possiblyOrdered, order.Worker.ID)
 	}
 	return 0
 }
 
-// HandleUnsentOrder cancels an order that was never sent.
+// HandleUnsentOrder ends the load of an order that was never sent.
 //
 // Example: r.HandleUnsentOrder(order)
 func (r *Rollout) HandleUnsentOrder(order Order) {
 	if load := r.loads[order.Worker.ID]; load != nil && load.stage == stageOrdered && load.version == order.Version {
-		r.forgetLoad(order.Worker.ID)
+		r.dropLoad(order.Worker.ID)
 	}
 }
 
-// forgetLoad ends a load of a worker that has certainly no order left to carry out.
-func (r *Rollout) forgetLoad(id string) {
+// dropLoad ends a load when the worker cannot have an order left to execute.
+func (r *Rollout) dropLoad(id string) {
 	delete(r.loads, id)
 	delete(r.possiblyOrdered, id)
 }
 
-// scheduleRetry ends a load that has failed; the worker gets another one later.
+// scheduleRetry ends a failed load and sets the time after which the worker is tried again.
 func (r *Rollout) scheduleRetry(load *weightLoad, now time.Duration) {
 	delete(r.loads, load.worker.ID)
 	r.retryAt[load.worker.ID] = now + r.bounds.Weights(loadRetryRatio)
 }
 
-// HandleReport applies a worker's report; ok is false if there was none. It returns the model and the
-// version that the worker is known to have; zero if nothing is new.
+// HandleReport applies a worker's response to a report request; ok is false if there was no response. It
+// returns the model and the version that the worker newly serves; the version is zero if nothing changed.
 //
 // Example: model, version := r.HandleReport("i-7f3a", report, err == nil, now)
 func (r *Rollout) HandleReport(id string, report backend.Report, ok bool, now time.Duration) (model string, version uint64) {
@@ -300,7 +304,7 @@
 	load.callInFlight, load.nextReportAt = false, now+r.bounds.Leave(reportIntervalRatio)
 	if !ok {
 		if load.missedReports++; load.missedReports >= maxMissedReports {
-			r.scheduleRetry(load, now) // its order's outcome stays unknown
+			r.scheduleRetry(load, now) // the outcome of its order remains unknown
 		}
 		return "", 0
 	}
@@ -310,19 +314,19 @@
 	case reported >= load.version:
 		r.measureLoad(load, now)
 		delete(r.possiblyOrdered, id)
-		load.stage = stageCordoned // the next step drops it, or orders a newer version
+		load.stage = stageCordoned // the next step ends the load or orders a newer version
 		return load.model, reported
 	case report.Busy:
 		load.stage = stageLoading
 	case load.reportRequestedAt-load.startedAt >= r.bounds.Leave(maxReportAgeRatio):
-		// A started load would show by now: the order was not accepted.
+		// A load in progress would be visible in the report by now, so the order was not accepted.
 		delete(r.possiblyOrdered, id)
 		load.stage = stageCordoned
 	}
 	return "", 0
 }
 
-// measureLoad records the duration of a load whose start was confirmed.
+// measureLoad updates shortestLoad with the duration of a load, if its start was confirmed.
 func (r *Rollout) measureLoad(load *weightLoad, now time.Duration) {
 	shortest := r.shortestLoad[load.model]
 	if duration := now - load.startedAt; load.startConfirmed && (shortest == 0 || duration < shortest) {
