--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -1,20 +1,21 @@
-// Package controllers runs the site-wide controllers: the worker list, the rollout of named weights
-// and the placement of each service. They are a singleton role: every core machine runs a Controller,
-// and the one that holds the site's lease runs a session, in which the controllers reconcile the
-// desired with the observed state.
+// Package controllers runs the site-wide controllers: the worker list, the rollout of model weights to
+// workers, and the placement of each service's prompt prefixes. Every core machine runs a Controller, but
+// only the one that holds the site's lease runs a session, in which the controllers reconcile the observed
+// state with the desired state.
 //
-// Each grant of the lease to another holder raises its fencing token. Documents are written, and
-// orders sent, under the token of the session, so that a past holder can't change anything.
+// The fencing token of the lease increases each time the lease passes to another holder. Documents are
+// written and orders are sent with the token of the session, so that a previous holder cannot change
+// anything.
 //
-// A worker that is to load other weights is cordoned first: the stored placement names it, and proxies
-// send it no new requests while it does.
+// A worker is cordoned before it is ordered to load other weights: the stored placement lists it as
+// cordoned, and proxies send it no new requests while it is listed.
 //
-// Durations are ratios of the site's bounds (settings.Bounds): the leave bound, within which a worker
-// that left gets no more requests, the weights bound, within which older weights are out of use, and the
-// heal bound, within which service is restored after a fault.
+// Durations are fractions of the bounds in settings.Bounds: Leave, after which a worker that left receives
+// no more requests; Weights, after which no request starts on older weights; and Heal, after which service
+// is restored following a fault.
 //
-// The package drives workers through a backend.Client. Package placementcontroller is its counterpart for
-// workers that speak the product's own contract.
+// The package controls workers through a backend.Client. Package placementcontroller does the same for
+// workers that implement the product's own contract.
 package controllers
 
 import (
@@ -28,7 +29,7 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Controller campaigns for the site's lease and runs a session while it holds it.
+// Controller tries to acquire the site's lease and runs a session while it holds the lease.
 type Controller struct {
 	process        *daemon.Process
 	store          stateStore
@@ -42,7 +43,8 @@
 	released       chan struct{} // closed once the lease has been released
 }
 
-// Start campaigns for the lease and runs the controllers while it is held.
+// Start starts a Controller, which tries to acquire the site's lease and runs the controllers while it
+// holds the lease.
 //
 // Example: controllers.Start(process, client, calls, agent.Snapshot, agent.Membership, hotEntries)
 func Start(process *daemon.Process, store stateStore, workerClient backend.Client, latestSnapshot func() *fleet.Snapshot,
@@ -76,7 +78,7 @@
 	})
 }
 
-// awaitRelease waits until the lease has been released, or ctx ends.
+// awaitRelease waits until the lease has been released or ctx is done.
 func (c *Controller) awaitRelease(ctx context.Context) {
 	select {
 	case <-c.released:
@@ -84,7 +86,7 @@
 	}
 }
 
-// HoldsLease reports whether this machine holds the lease now.
+// HoldsLease reports whether this machine currently holds the site's lease.
 //
 // Example: if controller.HoldsLease() { … }
 func (c *Controller) HoldsLease() bool {
@@ -109,17 +111,18 @@
 	}
 }
 
-// reconcileLease renews the lease when that is due, and starts or ends a session accordingly.
+// reconcileLease requests or renews the lease when that is due, starts a session when the lease is acquired,
+// and ends the session when the fencing token has changed.
 func (c *Controller) reconcileLease() {
 	if !c.lease.renewalDue(c.process.Clock.Now(), c.membership()) {
 		return
 	}
 	if err := c.lease.renew(c.process.Ctx); err != nil && errs.KindOf(err) != errs.Conflict {
-		c.process.Log.Debug("no lease", "error", err)
+		c.process.Log.Debug("lease request failed", "error", err)
 	}
 	token, ok := c.lease.currentToken()
 	if c.session != nil && token != c.session.fencingToken {
-		c.endSession() // another machine held the lease in between
+		c.endSession() // another machine has held the lease in the meantime
 	}
 	if ok && c.session == nil {
 		c.startSession(token)
@@ -127,7 +130,7 @@
 }
 
 func (c *Controller) startSession(token uint64) {
-	c.process.Log.Info("lease acquired", "fencing_token", token, "holder", c.lease.holderID())
+	c.process.Log.Info("site lease acquired", "fencing_token", token, "holder", c.lease.holderID())
 	session, done := newSession(c, token), make(chan struct{})
 	c.session, c.sessionDone = session, done
 	c.process.Go(func() { defer close(done); session.run() })
@@ -141,7 +144,8 @@
 	}
 }
 
-// releaseLease releases the lease once every order in flight has been answered.
+// releaseLease waits for the orders in flight, then releases the lease, so that the next holder's orders
+// cannot overlap with this holder's.
 func (c *Controller) releaseLease() {
 	defer close(c.released)
 	if c.session != nil {
@@ -150,6 +154,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.process.Settings.Bounds.Leave(releaseTimeoutRatio))
 	defer cancel()
 	if err := c.lease.release(ctx); err != nil {
-		c.process.Log.Warn("the lease can't be released: it expires by itself", "error", errs.Text(err))
+		c.process.Log.Warn("releasing the site lease failed; it stays held until it expires", "error", errs.Text(err))
 	}
 }
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -15,11 +15,11 @@
 	"pebbleloom/internal/wire"
 )
 
-// actorQueueSize is how many calls to a session's actor may wait.
+// actorQueueSize is the capacity of the queue of calls to a session's actor.
 const actorQueueSize = 256
 
-// session runs the controllers under one fencing token. Its state is used on the actor's goroutine
-// only.
+// session runs the controllers while the lease is held under one fencing token. The fields in the second
+// group are accessed only on the actor's goroutine.
 type session struct {
 	process        *daemon.Process
 	workerClient   backend.Client
@@ -34,10 +34,10 @@
 	wake           chan struct{} // wakes the document writer
 	ordersInFlight sync.WaitGroup
 
-	// State of the actor.
-	ordersStopped bool // no more orders may be sent
+	// Accessed only on the actor's goroutine.
+	ordersStopped bool // set to prevent further orders
 	workers       *WorkerList
-	listKnown     bool // the list has been read, or a stored one was loaded
+	listKnown     bool // the worker list was read from the platform or loaded from the stored document
 	rollout       *Rollout
 	placements    map[string]*servicePlacement // by service
 	pending       map[string][]byte            // document bodies to write, by key
@@ -63,20 +63,22 @@
 	return s
 }
 
-// currentToken returns the session's fencing token, and whether the lease is held under it.
+// currentToken returns the lease's fencing token, and whether the lease is held under the session's token.
 func (s *session) currentToken() (uint64, bool) {
 	token, ok := s.lease.currentToken()
 	return token, ok && token == s.fencingToken
 }
 
-// run runs the controllers until the session ends. It resumes from the stored documents.
+// run loads the state that the previous holder stored and runs the controllers until the session ends.
 func (s *session) run() {
 	defer s.actor.Stop()
 	if !s.loadStoredDocuments() {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { s.writer.run(s.ctx, s.wake, s.pendingWrites, s.logWarning("the document can't be written")) })
+	wg.Go(func() {
+		s.writer.run(s.ctx, s.wake, s.pendingWrites, s.logWarning("writing a document to the control state failed"))
+	})
 	wg.Go(s.followWorkerList)
 	wg.Go(s.runPlacement)
 	s.runRollout()
@@ -84,19 +86,19 @@
 	s.stopOrders()
 }
 
-// logWarning returns a function that logs an error under a message.
+// logWarning returns a function that logs an error as a warning with the given message.
 func (s *session) logWarning(message string) func(error) {
 	return func(err error) { s.process.Log.Warn(message, "fencing_token", s.fencingToken, "error", errs.Text(err)) }
 }
 
-// loadStoredDocuments takes over the state that the previous holder stored. It retries until it
-// succeeds; false if the session ends before.
+// loadStoredDocuments initializes the session from the documents that the previous holder stored. It retries
+// on errors, and returns false if the session ends first.
 func (s *session) loadStoredDocuments() bool {
 	bounds := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
 		workers, placements, err := s.readStoredDocuments()
 		if err != nil {
-			s.logWarning("the stored documents can't be read")(err)
+			s.logWarning("reading the stored worker list and placements failed")(err)
 			clock.Sleep(s.ctx, bounds.Leave(listRetryRatio))
 			continue
 		}
@@ -124,19 +126,19 @@
 func (s *session) decodeWorkerList(documents []*wire.Document) (list fleet.WorkerList) {
 	for _, document := range documents {
 		if err := json.Unmarshal(document.Body, &list); err != nil {
-			s.logWarning("the stored worker list can't be decoded")(err) // the platform's list restores it
+			s.logWarning("decoding the stored worker list failed")(err) // the next read from the platform replaces the list
 		}
 	}
 	return list
 }
 
-// decodePlacements returns the stored placements by service, and the workers that they cordon.
+// decodePlacements returns the stored placements by service, and the IDs of the workers that they cordon.
 func (s *session) decodePlacements(documents []*wire.Document) (byService map[string]*servicePlacement, cordoned []string) {
 	byService = map[string]*servicePlacement{}
 	for _, document := range documents {
 		stored, err := placement.Read(document.Body, document.Version)
 		if err != nil {
-			s.logWarning("a stored placement can't be decoded")(err)
+			s.logWarning("decoding a stored placement failed")(err)
 			continue
 		}
 		byService[stored.Service] = &servicePlacement{desired: stored, publishedCordoned: stored.Cordoned}
@@ -149,36 +151,36 @@
 func (s *session) queueWorkerList() {
 	body, err := json.Marshal(s.workers.Document())
 	if err != nil {
-		s.logWarning("the worker list can't be encoded")(err)
+		s.logWarning("encoding the worker list failed")(err)
 		return
 	}
 	s.queueWrite(fleet.WorkersKey, body)
 }
 
-// queuePlacement makes a placement the service's desired one and queues it for writing. It runs on the
-// actor's goroutine.
+// queuePlacement sets the desired placement of a service and queues it for writing. It runs on the actor's
+// goroutine.
 func (s *session) queuePlacement(service *servicePlacement, desired *placement.Placement) {
 	desired.FencingToken, desired.Version = s.fencingToken, 0
 	body, err := json.Marshal(desired)
 	if err != nil {
-		s.logWarning("the placement can't be encoded")(err)
+		s.logWarning("encoding a placement failed")(err)
 		return
 	}
 	service.desired = desired
 	s.queueWrite(fleet.PlacementKey+desired.Service, body)
 }
 
-// queueWrite queues a document body for writing, in place of an older one. It runs on the actor's
+// queueWrite queues a document body for writing and replaces an older queued body. It runs on the actor's
 // goroutine.
 func (s *session) queueWrite(key string, body []byte) {
 	s.pending[key] = body
 	select {
 	case s.wake <- struct{}{}:
-	default: // the writer has been woken already
+	default: // the writer has already been signaled
 	}
 }
 
-// pendingWrites returns the documents to write; each stays pending until its newest body was written.
+// pendingWrites returns the documents to write. Each stays pending until its newest body has been written.
 func (s *session) pendingWrites() pendingWrites {
 	writes := pendingWrites{bodies: map[string][]byte{}, onWritten: map[string]func(){}}
 	s.actor.Ask(func(*session) {
@@ -190,7 +192,8 @@
 	return writes
 }
 
-// documentWritten records that a document was written. It runs on the actor's goroutine.
+// documentWritten records that a document was written: it is no longer pending unless a newer body was queued,
+// and publishedCordoned is taken from a written placement. It runs on the actor's goroutine.
 func (s *session) documentWritten(key string, body []byte) {
 	if string(s.pending[key]) == string(body) {
 		delete(s.pending, key)
