--- a/internal/control/controllers/documents.go
+++ b/internal/control/controllers/documents.go
@@ -13,24 +13,24 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of documents, as ratios of the leave bound.
+// Timing of document reads and writes, as fractions of Bounds.Leave.
 const (
-	documentTimeoutRatio = 0.5      // timeout of reading or writing one document
-	writeRetryRatio      = 1.0 / 40 // between two attempts to write a document
+	documentTimeoutRatio = 0.5      // timeout of one read or write
+	writeRetryRatio      = 1.0 / 40 // pause before a failed write is retried
 )
 
-// errNotHolder means that this process no longer holds the lease under which it would write.
-var errNotHolder = errors.New("the lease is no longer held")
+// errNotHolder means that a document was not written because this process no longer holds the site's lease.
+var errNotHolder = errors.New("document not written: this process no longer holds the site lease")
 
-// storedDocument is a document as it was last read or written.
+// storedDocument caches a document as it was last read or written.
 type storedDocument struct {
 	version uint64
 	body    []byte
-	current bool // false once a write has failed: it may have been applied
+	current bool // false after a failed write, which may have been applied nevertheless
 }
 
-// documentWriter writes the documents of one session. A write carries the session's fencing token and
-// the version that was read, so that a past holder can't change anything.
+// documentWriter writes the documents of one session. Each write carries the session's fencing token and
+// the expected version of the document, so that the control state rejects writes of a previous lease holder.
 type documentWriter struct {
 	store        stateStore
 	currentToken func() (uint64, bool)
@@ -43,13 +43,13 @@
 	return &documentWriter{store: store, currentToken: currentToken, holder: holder, bounds: bounds, stored: map[string]*storedDocument{}}
 }
 
-// read fetches a document, or all documents whose keys have the prefix.
+// read fetches the document with a key or, if prefix is true, all documents whose keys begin with it.
 func (w *documentWriter) read(ctx context.Context, key string, prefix bool) ([]*wire.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.bounds.Leave(documentTimeoutRatio))
 	defer cancel()
 	response, err := w.store.Read(ctx, &wire.ReadRequest{Key: key, Prefix: prefix})
 	if err != nil {
-		return nil, errs.Wrap(err, "read "+key)
+		return nil, errs.Wrap(err, "read document "+key)
 	}
 	if !prefix {
 		w.stored[key] = &storedDocument{current: true}
@@ -60,7 +60,8 @@
 	return response.Documents, nil
 }
 
-// write replaces a document's body. It returns errNotHolder if the lease is no longer held.
+// write replaces the body of a document, unless it is unchanged. It returns errNotHolder if the lease is no
+// longer held.
 func (w *documentWriter) write(ctx context.Context, key string, body []byte) error {
 	stored := w.stored[key]
 	if stored == nil || !stored.current {
@@ -81,21 +82,22 @@
 	put := &wire.Put{Key: key, Body: body, IfVersion: stored.version, Lease: LeaseName, Fence: token, Holder: w.holder}
 	response, err := w.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
-		stored.current = false // read it again before the next attempt
-		return errs.Wrap(err, "write "+key)
+		stored.current = false // the next attempt reads the document again
+		return errs.Wrap(err, "write document "+key)
 	}
 	stored.version, stored.body = response.Version, body
 	return nil
 }
 
-// pendingWrites holds the bodies to write, and the callback of each once it is written; both by key.
+// pendingWrites holds the document bodies to write, and the callbacks to run after each write, by document
+// key.
 type pendingWrites struct {
 	bodies    map[string][]byte
 	onWritten map[string]func()
 }
 
-// sequence is the order in which documents are written: the worker list first, so that a worker isn't
-// back in service before its weights are published.
+// sequence returns the keys in the order in which the documents are written. The worker list comes first,
+// so that a worker's new weights are published before its placement uncordons it.
 func (p pendingWrites) sequence() []string {
 	keys := maputil.SortedKeys(p.bodies)
 	for i, key := range keys {
@@ -107,7 +109,7 @@
 	return keys
 }
 
-// run writes pending documents on every wake-up until ctx ends.
+// run writes the pending documents each time it receives from wake, until ctx is done.
 func (w *documentWriter) run(ctx context.Context, wake <-chan struct{}, pending func() pendingWrites, logError func(error)) {
 	for {
 		select {
@@ -121,8 +123,8 @@
 	}
 }
 
-// writeAll writes a batch up to the first failure. What wasn't written stays pending, and the next batch
-// holds it again, or a newer body in its place.
+// writeAll writes a batch of documents and stops at the first failure. Documents that were not written stay
+// pending; the next batch contains them again, possibly with newer bodies.
 func (w *documentWriter) writeAll(ctx context.Context, batch pendingWrites, logError func(error)) {
 	for _, key := range batch.sequence() {
 		if err := w.write(ctx, key, batch.bodies[key]); err != nil {
--- a/internal/control/controllers/listsync.go
+++ b/internal/control/controllers/listsync.go
@@ -9,20 +9,20 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Timing of reading the platform's list. Shorter intervals notice a change of the workers sooner and
-// cost more of the platform's allowed call rate.
+// Timing of reads of the platform's worker list. Shorter intervals detect changes sooner, but use more of the
+// platform's API rate limit.
 const (
-	// Ratios of the leave bound.
-	listPollRatio    = 0.25 // between two reads
-	listRetryRatio   = 0.1  // before a failed read is retried
-	pageTimeoutRatio = 1.0  // timeout of one page
+	// Fractions of Bounds.Leave.
+	listPollRatio    = 0.25 // interval between reads
+	listRetryRatio   = 0.1  // initial pause before a failed read is retried
+	pageTimeoutRatio = 1.0  // timeout for reading one page
 
-	maxPages         = 64   // pages of one read
-	listRateRatio    = 0.25 // of the allowed call rate: the part that reads may use up
-	maxRetryDoubling = 4    // how often the pause between failed reads doubles
+	maxPages         = 64   // maximum number of pages in one read
+	listRateRatio    = 0.25 // fraction of the platform's API rate limit that reads may use
+	maxRetryDoubling = 4    // maximum number of times the pause between failed reads doubles
 )
 
-// followWorkerList reads the platform's list periodically and publishes what has changed.
+// followWorkerList periodically reads the platform's worker list and publishes changes.
 func (s *session) followWorkerList() {
 	bounds := s.process.Settings.Bounds
 	failures := 0
@@ -42,7 +42,7 @@
 			}
 		case s.ctx.Err() == nil:
 			if failures++; failures == 1 {
-				s.process.Log.Warn("the list of workers can't be read: the stored one stays", "error", errs.Text(err))
+				s.process.Log.Warn("reading the platform's worker list failed; keeping the stored list", "error", errs.Text(err))
 			}
 			pause = min(pause*2, bounds.Leave(listRetryRatio)<<min(failures-1, maxRetryDoubling))
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// minListInterval is the shortest interval between reads of so many pages that stays within the reads'
-// part of the allowed call rate; zero if the rate isn't limited.
+// minListInterval returns the shortest interval between reads of the given number of pages that stays within
+// the reads' share of the platform's API rate limit; zero if there is no limit.
 func (s *session) minListInterval(pages int) time.Duration {
 	site := s.process.Settings.Site
 	if site == nil || site.WorkerListRate <= 0 {
@@ -60,8 +60,8 @@
 	return time.Duration(float64(pages) / (site.WorkerListRate * listRateRatio) * float64(time.Second))
 }
 
-// mergeWorkerList applies a read of the list on the actor's goroutine. It reports whether a removal is
-// unconfirmed, so that the list is to be read again soon.
+// mergeWorkerList applies a worker list read from the platform, on the actor's goroutine. It reports whether
+// a removal is unconfirmed; if so, the list should be read again soon.
 func (s *session) mergeWorkerList(list []fleet.Worker, complete bool) (unconfirmed bool) {
 	s.actor.Ask(func(*session) {
 		if s.workers.Merge(list, complete) || !s.listKnown {
@@ -73,7 +73,7 @@
 	return unconfirmed
 }
 
-// readWorkerList reads all pages of the platform's list.
+// readWorkerList reads all pages of the platform's worker list.
 func (s *session) readWorkerList() (list []fleet.Worker, pages int, err error) {
 	page := ""
 	for pages < maxPages {
@@ -81,12 +81,12 @@
 		workers, next, err := s.workerClient.ListWorkers(ctx, page)
 		cancel()
 		if err != nil {
-			return nil, pages, errs.Wrap(err, "list of workers")
+			return nil, pages, errs.Wrap(err, "list workers")
 		}
 		list, pages = append(list, workers...), pages+1
 		if page = next; page == "" {
 			return list, pages, nil
 		}
 	}
-	return nil, pages, errs.New(errs.TooLarge, "the list of workers has more than %d pages", maxPages)
+	return nil, pages, errs.New(errs.TooLarge, "platform's worker list has more than %d pages", maxPages)
 }
--- a/internal/control/controllers/workerlist.go
+++ b/internal/control/controllers/workerlist.go
@@ -8,16 +8,17 @@
 	"pebbleloom/internal/maputil"
 )
 
-// WorkerList is the site's list of workers, as its document holds it. It follows the platform's list,
-// which lags: the weights of one incarnation of a worker never go back to an older version.
+// WorkerList is the site's list of workers, as published in the document fleet.WorkersKey. It follows the
+// platform's list. Since that list may lag behind, the recorded version of a worker's weights never
+// decreases while the worker keeps its ID.
 type WorkerList struct{ entries map[string]*listEntry }
 
 type listEntry struct {
 	worker      fleet.Worker
-	missedReads int // consecutive reads of the list without it
+	missedReads int // consecutive reads of the platform's list that did not contain the worker
 }
 
-// NewWorkerList returns a list that starts from the stored document.
+// NewWorkerList returns a worker list with the workers of a stored document.
 //
 // Example: list := controllers.NewWorkerList(fleet.WorkerList{})
 func NewWorkerList(document fleet.WorkerList) *WorkerList {
@@ -29,9 +30,9 @@
 	return l
 }
 
-// Merge applies a read of the platform's list and reports whether anything relevant changed. Pages are
-// read one after another, and a worker may slip through between two of them: unless the read is known
-// to be complete, a worker is removed only after two consecutive reads without it.
+// Merge applies a read of the platform's list and reports whether the worker list changed. If the list was
+// read in several pages, a worker may be missing because it moved to another page between two of the calls.
+// Unless complete is true, a worker is therefore removed only after two consecutive reads without it.
 //
 // Example: changed := list.Merge(workers, pages == 1)
 func (l *WorkerList) Merge(workers []fleet.Worker, complete bool) bool {
@@ -57,7 +58,7 @@
 	return changed
 }
 
-// mergeWorker applies one worker as the platform lists it, and reports whether anything relevant changed.
+// mergeWorker adds or updates one worker of the platform's list and reports whether its entry changed.
 func (l *WorkerList) mergeWorker(worker fleet.Worker) bool {
 	entry := l.entries[worker.ID]
 	added := entry == nil
@@ -72,7 +73,8 @@
 	return changed
 }
 
-// HasUnconfirmedRemovals reports whether a worker was missing in the last read and is kept for now.
+// HasUnconfirmedRemovals reports whether a worker was missing from the last read but has not been removed
+// yet.
 //
 // Example: if list.HasUnconfirmedRemovals() { readAgainSoon() }
 func (l *WorkerList) HasUnconfirmedRemovals() bool {
@@ -84,8 +86,8 @@
 	return false
 }
 
-// SetWeights records that a worker serves a version of a model's weights, and reports whether that is
-// new.
+// SetWeights records that a worker serves a version of a model's weights, and reports whether its entry
+// changed.
 //
 // Example: changed := list.SetWeights("i-7f3a", "daka", 2)
 func (l *WorkerList) SetWeights(id, model string, version uint64) bool {
@@ -93,12 +95,12 @@
 	if entry == nil || entry.worker.Weights[model] >= version {
 		return false
 	}
-	// A new map: documents that were handed out share the previous one.
+	// The map is replaced, not modified: documents returned by Document share the previous one.
 	entry.worker.Weights = mergeVersions(entry.worker.Weights, map[string]uint64{model: version})
 	return true
 }
 
-// Document returns all workers, sorted by ID.
+// Document returns the worker list, sorted by ID.
 //
 // Example: body, err := json.Marshal(list.Document())
 func (l *WorkerList) Document() fleet.WorkerList {
@@ -109,7 +111,8 @@
 	return document
 }
 
-// mergeVersions returns each model's higher version. A model that isn't listed any more is dropped.
+// mergeVersions returns, for each model in listed, the higher of the two versions. Models that are only in
+// known are dropped.
 func mergeVersions(known, listed map[string]uint64) map[string]uint64 {
 	merged := make(map[string]uint64, len(listed))
 	for model, version := range listed {
