--- a/internal/control/controllers/orders.go
+++ b/internal/control/controllers/orders.go
@@ -11,14 +11,14 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Timing of a rollout's steps and calls, as ratios of the leave bound.
+// Timing of a rollout's steps and calls, as fractions of Bounds.Leave.
 const (
-	rolloutStepRatio = 1.0 / 40 // between two steps while weights are rolled out
-	rolloutIdleRatio = 1.0 / 12 // between two steps while none are
-	callTimeoutRatio = 1.0 / 6  // timeout of one order or report
+	rolloutStepRatio = 1.0 / 40 // interval between steps while a load is in progress
+	rolloutIdleRatio = 1.0 / 12 // interval between steps otherwise
+	callTimeoutRatio = 1.0 / 6  // timeout of one order or report call
 )
 
-// runRollout steps the rollout, faster while one is in progress.
+// runRollout steps the rollout until the session ends, more often while a load is in progress.
 func (s *session) runRollout() {
 	bounds := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
@@ -32,7 +32,8 @@
 	}
 }
 
-// stepRollout advances the rollout by one step. It runs on the actor's goroutine.
+// stepRollout advances the rollout by one step and starts the calls it asks for. It runs on the actor's
+// goroutine.
 func (s *session) stepRollout() {
 	snapshot := s.latestSnapshot()
 	if _, ok := s.currentToken(); !ok || snapshot == nil || snapshot.Plan == nil || s.ordersStopped {
@@ -72,8 +73,8 @@
 	return inputs
 }
 
-// cordonWorkers publishes in a service's placement which of its workers are cordoned, and informs the
-// rollout of those that the written placement names already.
+// cordonWorkers queues a placement of the service that lists the workers to cordon, if the list changed. It
+// confirms to the rollout those that are cordoned by the placement that has been written already.
 func (s *session) cordonWorkers(service string, cordoned []string, workers []fleet.Worker, now time.Duration) {
 	current := s.placements[service]
 	if current == nil {
@@ -106,16 +107,16 @@
 	}
 }
 
-// sendOrder sends one order. The lease is checked right before it is sent, and the call times out
-// before the lease ends on this machine.
+// sendOrder sends one order to a worker. The lease is checked immediately before sending, and the call times
+// out before the lease ends on this machine.
 func (s *session) sendOrder(order Order) {
 	defer s.ordersInFlight.Done()
-	token, left, ok := s.lease.remaining()
+	token, leaseTime, ok := s.lease.remaining()
 	if !ok || token != s.fencingToken {
 		s.actor.Ask(func(*session) { s.rollout.HandleUnsentOrder(order) })
 		return
 	}
-	outcome := s.callOrder(order, min(left, s.process.Settings.Bounds.Leave(callTimeoutRatio)))
+	outcome := s.callOrder(order, min(leaseTime, s.process.Settings.Bounds.Leave(callTimeoutRatio)))
 	s.process.Log.Info("order", "worker", order.Worker.ID, "model", order.Model, "version", order.Version,
 		"fencing_token", token, "outcome", int(outcome))
 	s.actor.Ask(func(*session) {
@@ -125,13 +126,13 @@
 	})
 }
 
-// callOrder makes an order's call. Its outcome is unknown if it may have been accepted without an answer.
-// The call outlives the session: stopOrders waits for it.
+// callOrder makes the call that sends an order. The outcome is unknown if the call fails, since the worker
+// may have accepted the order. The call is not canceled when the session ends; stopOrders waits for it.
 func (s *session) callOrder(order Order, timeout time.Duration) backend.Outcome {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), timeout)
 	defer cancel()
 	deadline := s.process.Clock.Now() + timeout
-	ctx = backend.WithGuard(ctx, func() bool { // right before the first byte is sent
+	ctx = backend.WithGuard(ctx, func() bool { // evaluated immediately before the first byte is sent
 		token, _, ok := s.lease.remaining()
 		return ok && token == s.fencingToken && s.process.Clock.Now() < deadline
 	})
@@ -150,7 +151,7 @@
 	return outcome
 }
 
-// requestReport asks one worker for its state.
+// requestReport requests a worker's status report and passes the result to the rollout.
 func (s *session) requestReport(worker fleet.Worker) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(callTimeoutRatio))
 	defer cancel()
@@ -164,15 +165,15 @@
 	})
 }
 
-// recordVersion publishes the version that a worker is known to have; zero: none is known. It runs on
-// the actor's goroutine.
+// recordVersion publishes the version that a worker is known to serve; zero means unknown and is ignored. It
+// runs on the actor's goroutine.
 func (s *session) recordVersion(worker, model string, version uint64) {
 	if version > 0 && s.workers.SetWeights(worker, model, version) {
 		s.queueWorkerList()
 	}
 }
 
-// stopOrders stops further orders and waits for those in flight.
+// stopOrders prevents further orders and waits for those in flight.
 func (s *session) stopOrders() {
 	s.actor.Ask(func(*session) { s.ordersStopped = true })
 	s.ordersInFlight.Wait()
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -12,29 +12,29 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing and limits of the placement.
+// Timing and limits of the placement controller.
 const (
-	placementPollRatio = 0.25 // of the heal bound: between two placement computations
-	recomputeRatio     = 1.0  // of the heal bound: between two full computations
+	placementPollRatio = 0.25 // interval between placement updates, as a fraction of Bounds.Heal
+	recomputeRatio     = 1.0  // interval between full computations, as a fraction of Bounds.Heal
 
-	hotEntriesLimit = 1000 // entries requested from an index node
+	hotEntriesLimit = 1000 // hot entries requested from one index node
 )
 
-// linkSpan is how long the engine's own link counts as measured: long enough to outweigh the initial
-// estimate of the bandwidth.
-const linkSpan = 1000 * time.Second
+// linkMeasurementSpan is the measurement period assumed for the configured bandwidth of the engine's link. It
+// is long enough to outweigh the initial bandwidth estimate.
+const linkMeasurementSpan = 1000 * time.Second
 
-// HotEntriesFunc asks the prompt index for a service's hot entries.
+// HotEntriesFunc queries the prompt index for the most frequently used prompt prefixes of a service.
 type HotEntriesFunc func(ctx context.Context, service string) []*wire.HotPrefix
 
-// servicePlacement is the placement of one service.
+// servicePlacement is the state of one service's placement.
 type servicePlacement struct {
-	desired           *placement.Placement // the newest one, written or pending; nil: none yet
-	publishedCordoned []string             // workers that the written document cordons
-	recomputedAt      time.Duration        // the last full computation; zero: none yet
+	desired           *placement.Placement // newest placement, written or pending; nil if there is none
+	publishedCordoned []string             // workers cordoned by the last written placement
+	recomputedAt      time.Duration        // time of the last full computation; zero if there was none
 }
 
-// runPlacement recomputes every service's placement periodically.
+// runPlacement periodically updates the placement of every service.
 func (s *session) runPlacement() {
 	for s.ctx.Err() == nil {
 		if snapshot := s.latestSnapshot(); snapshot != nil && snapshot.Plan != nil {
@@ -54,11 +54,11 @@
 	}
 }
 
-// updatePlacement computes one service's placement and queues it for writing if it changed. It runs on
+// updatePlacement computes one service's placement and queues it for writing if it has changed. It runs on
 // the actor's goroutine.
 func (s *session) updatePlacement(service routingconfig.Service, hot []*wire.HotPrefix) {
 	if len(hot) == 0 {
-		return // no index node answers, or there was no request yet
+		return // no index node responded, or the service has had no requests yet
 	}
 	p := s.placements[service.Name]
 	if p == nil {
@@ -75,8 +75,9 @@
 	}
 }
 
-// nextPlacement computes the next placement, and whether the change is worth publishing. In between full
-// computations it only swaps entries in.
+// nextPlacement returns the next placement and whether it differs enough from the current one to be
+// published. Between full computations, it only replaces the coldest replicated prefixes by ones that have become hot in
+// a burst of requests.
 func nextPlacement(p *servicePlacement, service routingconfig.Service, hot []*wire.HotPrefix, workers []string,
 	now, recomputeInterval time.Duration) (*placement.Placement, bool) {
 	old := p.desired
@@ -91,8 +92,8 @@
 	return next, placement.Changed(old, next)
 }
 
-// placementInputs are the inputs of the placement. The bandwidth is that of the engine's own link, which
-// the routing configuration gives.
+// placementInputs returns the inputs of a placement computation. The fetch bandwidth is the link bandwidth of
+// the engine in the routing configuration, where it is set.
 func placementInputs(service routingconfig.Service, hot []*wire.HotPrefix, workers []string) placementcontroller.Inputs {
 	inputs := placementcontroller.Inputs{
 		Service:        service.Name,
@@ -105,7 +106,7 @@
 	}
 	if service.Engine.LinkMbps > 0 && service.Engine.TokenBytes > 0 {
 		tokensPerSecond := service.Engine.LinkMbps * 1e6 / 8 / float64(service.Engine.TokenBytes)
-		inputs.Links = []*wire.LinkThroughput{{Class: "plan", Tokens: tokensPerSecond * linkSpan.Seconds(), ElapsedNs: float64(linkSpan)}}
+		inputs.Links = []*wire.LinkThroughput{{Class: "plan", Tokens: tokensPerSecond * linkMeasurementSpan.Seconds(), ElapsedNs: float64(linkMeasurementSpan)}}
 	}
 	return inputs
 }
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -16,18 +16,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// hotEntriesTimeoutRatio is the timeout of the index nodes' responses, as a ratio of the heal bound.
+// hotEntriesTimeoutRatio is the timeout of queries to the index nodes, as a fraction of Bounds.Heal.
 const hotEntriesTimeoutRatio = 1.0 / 48
 
-// StartProcess runs a core machine's index and placement process: a cluster member in the index role,
-// an index node, and the site's controllers while this machine holds the lease. The error is of the
-// kind errs.BadInput if the settings hold no site.
+// StartProcess starts the index and placement process of a core machine: a cluster member in the index
+// role, an index node, and a Controller. It returns an error of kind errs.BadInput if the settings have no
+// site section.
 //
 // Example: err := controllers.StartProcess(process, codec, calls)
 func StartProcess(process *daemon.Process, codec backend.Codec, workerClient backend.Client) error {
 	site := process.Settings.Site
 	if site == nil {
-		return errs.New(errs.BadInput, "index and placement: the settings hold no site: give its ports and bounds")
+		return errs.New(errs.BadInput, "index and placement process: settings have no site section; add one with the site's ports and bounds")
 	}
 	process.Settings.Listen = site.Port(site.IP, settings.PortIndex)
 	member, err := agent.Start(process, codec, clustermembership.RolePromptIndex)
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// queryIndexNodes returns a function that asks all serving index nodes at once, within one short
-// timeout. Two nodes hold each entry: the higher count is used.
+// queryIndexNodes returns a function that queries all serving index nodes concurrently, with a common
+// timeout. Each entry is held by two nodes; the higher hotness is used.
 func queryIndexNodes(process *daemon.Process, membership func() clustermembership.View, client func(addr string) wire.PromptIndex) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.HotPrefix {
 		ctx, cancel := context.WithTimeout(ctx, process.Settings.Bounds.Heal(hotEntriesTimeoutRatio))
