--- a/internal/control/controlclient/addresses.go
+++ b/internal/control/controlclient/addresses.go
@@ -9,27 +9,27 @@
 	"pebbleloom/internal/control/clustermembership"
 )
 
-// maxUnresponsive bounds how many unresponsive addresses are remembered.
+// maxUnresponsive is the maximum number of unresponsive addresses that are tracked.
 const maxUnresponsive = 256
 
-// groupAddresses finds the members of a group whose membership is part of its replicated log.
+// groupAddresses tracks the addresses of a Raft group whose membership is stored in its replicated log.
 type groupAddresses struct {
 	seeds   atomic.Pointer[[]string]
-	members atomic.Pointer[[]string] // addresses of the newest membership that this process knows
+	members atomic.Pointer[[]string] // member addresses in the newest membership known to this process
 	leader  atomic.Pointer[string]   // address of the last known leader
-	self    atomic.Pointer[string]   // this process's own address, where it is a member itself
+	self    atomic.Pointer[string]   // this process's own address, if it is a member
 
 	mu           sync.Mutex
-	unresponsive map[string]bool // addresses whose last attempt got no response
+	unresponsive map[string]bool // addresses that did not respond to the last attempt
 }
 
-// SetSeeds replaces the seed addresses at run time.
+// SetSeeds replaces the seed addresses, which are used to find members.
 //
 // Example: c.SetSeeds(process.Settings.Seeds)
 func (c *Client) SetSeeds(seeds []string) { c.group.seeds.Store(&seeds) }
 
-// SetMembers gives the newest membership that this process knows, and its own name in the group. A
-// member that was restarted knows its peers from its log, also where its seeds can't be reached.
+// SetMembers sets the newest group membership known to this process, and its own member name. After a
+// restart, a member knows its peers from its log even if the seeds cannot be reached.
 //
 // Example: c.SetMembers("10.1.0.17:7360/8f3a", []string{"10.1.0.17:7360/8f3a", "10.2.0.24:7360/0"})
 func (c *Client) SetMembers(self string, members []string) {
@@ -42,7 +42,7 @@
 	c.group.self.Store(&selfAddr)
 }
 
-// MemberAddr returns the address inside a member's name, "IP:PORT/INCARNATION".
+// MemberAddr returns the address part of a member name, which has the form IP:PORT/INCARNATION.
 //
 // Example: controlclient.MemberAddr("10.1.0.17:7360/8f3a") == "10.1.0.17:7360"
 func MemberAddr(member string) string {
@@ -50,8 +50,8 @@
 	return addr
 }
 
-// HintLeader sets the address to try first from the name of a member that leads, or led, the group;
-// an empty name changes nothing.
+// HintLeader records the member name of the current or last known leader, whose address is then tried first.
+// An empty name has no effect.
 //
 // Example: c.HintLeader("10.1.0.17:7360/8f3a")
 func (c *Client) HintLeader(leader string) {
@@ -60,10 +60,10 @@
 	}
 }
 
-// Addresses lists where members may be, the likeliest first: the last known leader, the control nodes
-// of the cluster membership, the members of the newest known membership, the seeds. Those that didn't
-// respond the last time come after all others, and last this process's own address, which it has
-// asked without the network.
+// Addresses returns the addresses at which to try group members, in this order: the last known leader, the
+// control nodes of the cluster membership, the members of the newest known group membership, and the seeds.
+// Addresses that did not respond to the last attempt come after all others. This process's own address comes
+// last, since a member checks its own state without a network call before it uses the client.
 //
 // Example: for _, addr := range c.Addresses() { ask(addr) }
 func (c *Client) Addresses() []string {
@@ -90,7 +90,7 @@
 	return c.group.unresponsiveLast(addresses)
 }
 
-// unresponsiveLast orders addresses by how likely they are to respond.
+// unresponsiveLast moves unresponsive addresses behind the others, and this process's own address to the end.
 func (g *groupAddresses) unresponsiveLast(addresses []string) []string {
 	others := slices.DeleteFunc(slices.Clone(addresses), g.isSelf)
 	self := slices.DeleteFunc(addresses, func(addr string) bool { return !g.isSelf(addr) })
@@ -98,8 +98,8 @@
 	return slices.Concat(responsive, unresponsive, self)
 }
 
-// SplitByResponsiveness separates the addresses that didn't respond the last time from the others,
-// each in the order given.
+// SplitByResponsiveness separates the addresses that did not respond to the last attempt from the others. Both
+// results keep the given order.
 //
 // Example: responsive, unresponsive := controlclient.SplitByResponsiveness(addresses, c.IsUnresponsive)
 func SplitByResponsiveness(addresses []string, isUnresponsive func(addr string) bool) (responsive, unresponsive []string) {
@@ -118,12 +118,12 @@
 	return self != nil && *self == addr
 }
 
-// RecordResponse records whether an address has responded to a call that this client didn't make.
+// RecordResponse records whether an address responded to a call that was not made through this client.
 //
 // Example: c.RecordResponse(addr, err == nil)
 func (c *Client) RecordResponse(addr string, responded bool) { c.group.record(addr, responded) }
 
-// IsUnresponsive reports whether the last attempt at an address got no response.
+// IsUnresponsive reports whether an address did not respond to the last attempt.
 //
 // Example: if !c.IsUnresponsive(addr) { ask(addr) }
 func (c *Client) IsUnresponsive(addr string) bool { return c.group.isUnresponsive(addr) }
@@ -136,7 +136,7 @@
 		return
 	}
 	if len(g.unresponsive) >= maxUnresponsive {
-		clear(g.unresponsive) // only the order of the attempts depends on it
+		clear(g.unresponsive) // only affects the order of attempts
 	}
 	g.unresponsive[addr] = true
 }
@@ -147,8 +147,8 @@
 	return g.unresponsive[addr]
 }
 
-// leaderUnreachable reports whether the leader probably can't be reached from here: a majority of the
-// known members didn't respond the last time, or none of the addresses where no members are known.
+// leaderUnreachable reports whether the leader is probably unreachable from this process: a majority of the
+// known members did not respond to the last attempt or, if no members are known, none of the addresses did.
 func (g *groupAddresses) leaderUnreachable(addresses []string) bool {
 	needed := len(addresses)
 	if members := g.members.Load(); members != nil && len(*members) > 0 {
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -1,6 +1,6 @@
-// Package controlclient is the client of the replicated control state. It finds the leader of a
-// shard, retries at other members when one fails, and returns a typed error where the outcome of a
-// change is unknown. It also holds the lease client, which counts a lease's time at its holder.
+// Package controlclient is the client of the replicated control state. It finds the leader of a shard,
+// retries requests with other members when one fails, and returns a distinct kind of error when the outcome
+// of a change is unknown. Its Lease tracks a lease and its expiry on the holder's side.
 package controlclient
 
 import (
@@ -17,27 +17,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// requestRatio is how long a request goes on to start attempts, as a ratio of the heal bound. An
-// attempt that has started has its own timeout, so that its response isn't lost when this time ends.
+// requestRatio is the period in which a request may start attempts, as a fraction of Bounds.Heal. An attempt
+// that has started is bounded by its own timeout, so that its response is not lost at the end of the period.
 const requestRatio = 0.5
 
-// Attempts at the members that the settings name, as ratios of the heal bound.
+// Timing of attempts when the settings list the control nodes, as fractions of Bounds.Heal.
 const (
 	fixedAttemptRatio = 1.0 / 8   // timeout of one attempt
-	fixedPauseRatio   = 1.0 / 120 // pause once all members were tried
+	fixedPauseRatio   = 1.0 / 120 // pause after all members have been tried
 )
 
-// Client sends requests to the leaders of the shards. It is safe for concurrent use. The methods about
-// seeds, members and addresses are for clients made by NewGroupClient alone.
+// Client sends requests to the leaders of the control state's shards. It is safe for concurrent use. The
+// methods that concern seeds, members and addresses may be called only on clients made by NewGroupClient.
 type Client struct {
-	controlNodes []string // machines that the settings name; none for a group
+	controlNodes []string // control node machines listed in the settings; empty for a group client
 	view         func() clustermembership.View
 	clients      *daemon.Clients
 	bounds       settings.Bounds
-	group        *groupAddresses // nil where the settings name the members
+	group        *groupAddresses // nil if the settings list the control nodes
 }
 
-// New makes a client of the shards that the control nodes on the named machines replicate.
+// New returns a client of the shards that are replicated by the control nodes on the given machines.
 //
 // Example: c := controlclient.New(process.Settings.Core, member.View, clients, process.Settings.Bounds)
 func New(controlNodes []string, view func() clustermembership.View, clients *daemon.Clients, bounds settings.Bounds) *Client {
@@ -47,15 +47,15 @@
 // attemptFunc sends a request to one control node.
 type attemptFunc func(ctx context.Context, node wire.ControlNode) attemptResult
 
-// attemptResult is what one attempt came to.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
-	done      bool   // no further attempt is needed, or none may be made
-	responded bool   // a response came, whatever it says
-	leader    string // whom the response names as the leader
+	done      bool   // no further attempt is needed or allowed
+	responded bool   // the node responded, with any outcome
+	leader    string // leader named in the response, if any
 }
 
-// tryMembers tries a shard's members until one attempt is done or the time is over, and reports
-// whether one was. bodySize is that of the request, in bytes.
+// tryMembers makes attempts at a shard's members until one is done or the time limit is reached, and reports
+// whether one was done. bodySize is the size of the request body in bytes.
 func (c *Client) tryMembers(ctx context.Context, shard uint32, bodySize int, attempt attemptFunc) bool {
 	if c.group != nil {
 		return c.tryGroup(ctx, bodySize, attempt)
@@ -63,17 +63,17 @@
 	return c.tryFixedMembers(ctx, shard, attempt)
 }
 
-// tryFixedMembers tries the members that the settings name, in turn; one that is named as the leader
-// comes right after the one that named it.
+// tryFixedMembers tries the members listed in the settings in turn. When a member names another one as the
+// leader, that one is tried next.
 func (c *Client) tryFixedMembers(caller context.Context, shard uint32, attempt attemptFunc) bool {
 	ctx, cancel := context.WithTimeout(caller, c.bounds.Heal(requestRatio))
 	defer cancel()
 	members := Members(shard, c.controlNodes)
-	named := ""
+	namedLeader := ""
 	for i := 0; ctx.Err() == nil; i++ {
 		member := members[i%len(members)]
-		if named != "" {
-			member, named = named, ""
+		if namedLeader != "" {
+			member, namedLeader = namedLeader, ""
 		}
 		if addr, ok := c.view().Addr(clustermembership.RoleControlNode + "/" + member); ok {
 			result := c.tryOne(caller, c.bounds.Heal(fixedAttemptRatio), addr, attempt)
@@ -81,7 +81,7 @@
 				return true
 			}
 			if result.leader != member {
-				named = result.leader
+				namedLeader = result.leader
 			}
 		}
 		if i%len(members) == len(members)-1 {
@@ -100,16 +100,16 @@
 	return attempt(ctx, c.clients.ControlNode(addr))
 }
 
-// Change makes a change at most once. A put that has no token and names no version isn't retried after
-// a lost response, since it could be made twice; all other changes are.
+// Change applies a change at most once. After a lost response, it is retried only if a second execution has
+// no effect; a put without a token or an expected version is therefore not retried.
 //
-// Errors: errs.MayHaveExecuted if the change was sent and its outcome isn't known, the kind that the
-// leader names if it rejects the change, and errs.OutcomeUnknown if no leader was found.
+// The kind of the error is errs.MayHaveExecuted if the change was sent but its outcome is unknown,
+// errs.OutcomeUnknown if no leader was found, and the kind given by the leader if it rejected the change.
 //
 // Example: response, err := c.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
 func (c *Client) Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	var final *wire.ChangeResponse
-	lost := false // a response was lost: the change may have been made
+	lost := false // a response was lost, so the change may have been applied
 	put := request.Command.GetPut()
 	once := put != nil && put.Token == "" && put.AnyVersion
 	versioned := put != nil && put.Token == "" && !put.AnyVersion
@@ -127,24 +127,26 @@
 	})
 	switch {
 	case final == nil && lost && !request.DryRun:
-		return nil, errs.New(errs.MayHaveExecuted, "the change was sent, and no response came")
+		return nil, errs.New(errs.MayHaveExecuted, "change was sent to shard %d, but no response was received; it may have been applied", request.Shard)
 	case final == nil:
 		return nil, noLeader(request.Shard)
 	case final.Outcome == wire.OutcomeConflict && lost && versioned:
-		// The conflict may be with the change itself.
-		return nil, errs.New(errs.MayHaveExecuted, "a response was lost, and version %d is in force now: read it back", final.Version)
+		// An earlier attempt whose response was lost may have caused the conflict.
+		return nil, errs.New(errs.MayHaveExecuted, "response to a change of shard %d was lost, and the current version is %d; read the document to see whether the change was applied", request.Shard, final.Version)
 	}
 	return final, ErrorOf(final)
 }
 
-// isConnectionRefused reports whether an error proves that a request was never sent.
+// isConnectionRefused reports whether a request failed because the connection was refused, which proves that
+// the request was not sent.
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 func noLeader(shard uint32) error {
-	return errs.New(errs.OutcomeUnknown, "shard %d has no leader that responds", shard)
+	return errs.New(errs.OutcomeUnknown, "no leader of control state shard %d responded", shard)
 }
 
-// ErrorOf is the error that the response to a change amounts to; nil if it was made, or is valid.
+// ErrorOf converts the response to a change to an error; nil if the change was applied or, in a dry run, is
+// valid.
 //
 // Example: err := controlclient.ErrorOf(response)
 func ErrorOf(response *wire.ChangeResponse) error {
@@ -152,12 +154,13 @@
 	case wire.OutcomeDone, wire.OutcomeValid:
 		return nil
 	case wire.OutcomeConflict:
-		return errs.New(errs.Conflict, "version or fence in force: %d/%d %s", response.Version, response.Fence, response.Leader)
+		return errs.New(errs.Conflict, "change conflicts with the control state: current version %d, fencing token %d, lease holder %q", response.Version, response.Fence, response.Leader)
 	}
 	return errs.New(errs.KindNamed(response.Outcome), "%s", strings.Join(response.Errors, "; "))
 }
 
-// Read reads acknowledged state by majority, or returns errs.OutcomeUnknown if no leader was found.
+// Read performs a linearizable read, which a majority of the members confirms. The kind of the error is
+// errs.OutcomeUnknown if no leader was found.
 //
 // Example: response, err := c.Read(ctx, &wire.ReadRequest{Shard: 0, Key: controlclient.ConfigKey})
 func (c *Client) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -10,16 +10,17 @@
 	"pebbleloom/internal/settings"
 )
 
-// Attempts at the members of a group.
+// Timing of attempts at the members of a group.
 const (
-	attemptRatio         = 1.0 / 24  // of the heal bound: timeout of an attempt without a body
-	attemptDoublingBytes = 256 << 10 // size of a body that doubles that timeout
-	retryPauseRatio      = 1.0 / 80  // of the heal bound: pause once all addresses were tried
-	shortAttemptRatio    = 1.0 / 4   // of an attempt's timeout: see tryEachAddress
+	attemptRatio         = 1.0 / 24  // timeout of an attempt with an empty body, as a fraction of Bounds.Heal
+	attemptDoublingBytes = 256 << 10 // body size in bytes that doubles this timeout
+	retryPauseRatio      = 1.0 / 80  // pause after all addresses have been tried, as a fraction of Bounds.Heal
+	shortAttemptRatio    = 1.0 / 4   // timeout of a short attempt, as a fraction of the usual one; see tryEachAddress
 )
 
-// NewGroupClient makes a client of the one group of a site whose settings name no members: it finds
-// them by the seeds, the cluster membership and what members say.
+// NewGroupClient returns a client for a site whose settings do not list the control nodes, and where a single
+// group replicates the control state. It finds the group's members through the seeds, the cluster membership
+// and the responses of members.
 //
 // Example: c := controlclient.NewGroupClient(process.Settings.Seeds, member.View, clients, process.Settings.Bounds)
 func NewGroupClient(seeds []string, view func() clustermembership.View, clients *daemon.Clients, bounds settings.Bounds) *Client {
@@ -28,9 +29,9 @@
 	return c
 }
 
-// tryGroup tries all addresses, again and again, until an attempt is done, the time is over, or all
-// were tried and the leader can't be reached from here: then the caller learns that while it can still
-// ask elsewhere.
+// tryGroup tries all addresses repeatedly until an attempt is done or the time limit is reached. It stops
+// early if the leader is unreachable from this process after all addresses have been tried, so that the
+// caller has time left to send its request elsewhere.
 func (c *Client) tryGroup(caller context.Context, bodySize int, attempt attemptFunc) bool {
 	ctx, cancel := context.WithTimeout(caller, c.bounds.Heal(requestRatio))
 	defer cancel()
@@ -46,10 +47,10 @@
 	return false
 }
 
-// tryEachAddress tries each address once; one that is named as the leader comes right after the one
-// that named it, unless it is unresponsive. Where a majority is unresponsive, this process is probably
-// the one that is partitioned, and an unresponsive address gets only a short attempt. ctx bounds when
-// an attempt may start, caller bounds the attempts.
+// tryEachAddress tries each address once. When a member names another one as the leader, that one is tried
+// next, unless it is unresponsive. If a majority is unresponsive, it is probably this process that is
+// partitioned, and attempts at unresponsive addresses have a short timeout. No attempt is started after ctx
+// is done; the attempts themselves are bounded by the context caller.
 func (c *Client) tryEachAddress(ctx, caller context.Context, bodySize int, attempt attemptFunc) bool {
 	pending, tried := c.Addresses(), map[string]bool{}
 	timeout, unreachable := c.attemptTimeout(bodySize), c.group.leaderUnreachable(pending)
@@ -66,7 +67,7 @@
 		}
 		minWait := time.NewTimer(shortTimeout)
 		result := c.tryOne(caller, limit, addr, attempt)
-		if result.responded || stopExpired(minWait) { // a refused connection or a canceled caller proves nothing
+		if result.responded || stopExpired(minWait) { // a refused connection or a canceled call does not show that the address is unresponsive
 			c.group.record(addr, result.responded)
 		}
 		if result.done {
@@ -78,7 +79,7 @@
 		}
 		c.HintLeader(result.leader)
 		if leader := MemberAddr(result.leader); c.group.isUnresponsive(leader) {
-			pending = append(pending, leader) // others first: it may be the one that is partitioned
+			pending = append(pending, leader) // try the others first: the named leader may be partitioned
 		} else {
 			pending = append([]string{leader}, pending...)
 		}
@@ -86,7 +87,7 @@
 	return false
 }
 
-// stopExpired stops a timer and reports whether it has expired.
+// stopExpired stops a timer and reports whether it had already expired.
 func stopExpired(timer *time.Timer) bool {
 	defer timer.Stop()
 	select {
@@ -97,7 +98,7 @@
 	}
 }
 
-// attemptTimeout is the timeout of an attempt with a body of a size in bytes.
+// attemptTimeout returns the timeout of an attempt with a body of the given size in bytes.
 func (c *Client) attemptTimeout(bodySize int) time.Duration {
 	return c.bounds.Heal(attemptRatio * (1 + float64(bodySize)/attemptDoublingBytes))
 }
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -10,30 +10,31 @@
 	"pebbleloom/internal/wire"
 )
 
-// Lease is a lease as its holder sees it. Its time is counted from when it was requested, by a clock
-// that counts sleep: it ends here before it can be granted to another holder.
+// Lease tracks a lease on the side of its holder. The duration is counted from the time of the request, on a
+// clock that continues while the machine is suspended. The lease therefore ends at the holder before it can
+// be granted to another one.
 type Lease struct {
 	Name   string
-	Shard  uint32 // that grants it
+	Shard  uint32 // shard that grants the lease
 	Holder string
 	TTL    time.Duration
 
 	mu           sync.Mutex
 	clock        clock.Clock
 	client       *Client
-	fencingToken uint64 // the highest known
+	fencingToken uint64 // highest known fencing token
 	deadline     time.Duration
 }
 
-// NewLease prepares to hold a lease; nothing is requested yet.
+// NewLease returns a lease that has not been requested yet.
 //
 // Example: l := controlclient.NewLease(client, clk, "appraise/lector", controlclient.ShardOf("lector"), "core-1/8f", 3*time.Second)
 func NewLease(client *Client, clk clock.Clock, name string, shard uint32, holder string, ttl time.Duration) *Lease {
 	return &Lease{Name: name, Shard: shard, Holder: holder, TTL: ttl, clock: clk, client: client}
 }
 
-// FencingToken returns the lease's fencing token, and whether the lease is held now. Call it right
-// before acting under the lease.
+// FencingToken returns the fencing token of the lease, and whether the lease is currently held. It should be
+// called immediately before each action that requires the lease.
 //
 // Example: if token, held := l.FencingToken(); held { order(token) }
 func (l *Lease) FencingToken() (token uint64, held bool) {
@@ -51,8 +52,8 @@
 	return &wire.Grant{Lease: l.Name, Holder: l.Holder, TtlNs: uint64(l.TTL), IfFence: l.fencingToken}
 }
 
-// HandleResponse records the response to a grant that was requested at an instant. Fencing tokens
-// never decrease: a conflict under a lower one than is known here comes from a member that was
+// HandleResponse applies the response to a grant request that was sent at requestedAt. Since fencing tokens
+// never decrease, a conflict with a lower token than the highest known one comes from a member that was
 // partitioned, and is ignored.
 //
 // Example: l.HandleResponse(requestedAt, response)
@@ -68,14 +69,14 @@
 		if response.Fence < l.fencingToken {
 			return
 		}
-		// Another process holds it, or an earlier response was lost: the next request names this token.
+		// Another process holds the lease, or an earlier response was lost. The next request uses this token.
 		if l.fencingToken = response.Fence; response.Leader != l.Holder {
 			l.deadline = 0
 		}
 	}
 }
 
-// Renew requests the lease, or extends it.
+// Renew requests the lease or, if it is held, extends it.
 //
 // Example: err := l.Renew(ctx)
 func (l *Lease) Renew(ctx context.Context) error {
