--- a/internal/control/controllers/controller_test.go
+++ b/internal/control/controllers/controller_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newRunningSite is a site whose four core machines are up, whose worker list is written, and where version
+// newRunningSite returns a site with four running core machines and a published worker list, in which version
 // 2 of the weights has just been named.
 func newRunningSite(t *testing.T, workers int) *testSite {
 	t.Helper()
@@ -24,7 +24,7 @@
 
 func TestRolloutReachesAllWorkers(t *testing.T) {
 	for _, workers := range []int{1, 3, 18, 60} {
-		t.Run(fmt.Sprint(workers), func(t *testing.T) {
+		t.Run(fmt.Sprint(workers, " workers"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				site := newRunningSite(t, workers)
 				defer site.stop()
@@ -32,17 +32,17 @@
 				site.mu.Lock()
 				defer site.mu.Unlock()
 				if site.ordersReceived != workers || site.maxLoading > max(1, workers/3) {
-					t.Errorf("%d orders for %d workers, %d at once", site.ordersReceived, workers, site.maxLoading)
+					t.Errorf("workers received %d orders, want %d; at most %d loaded at the same time, want at most a third of them", site.ordersReceived, workers, site.maxLoading)
 				}
-				t.Logf("%d workers: %v, %d at once, calls %v", workers, elapsed, site.maxLoading, site.callCounts)
+				t.Logf("rollout to %d workers took %v; at most %d loaded at the same time; calls by kind: %v", workers, elapsed, site.maxLoading, site.callCounts)
 			})
 		})
 	}
 }
 
-// The lease holder dies, or is stopped, between any two effects of a rollout: nothing is ordered twice,
-// orders of two holders keep their distance, no worker stays cordoned, and all have the weights within
-// the bound, counted from when the lease is held again.
+// The lease holder crashes or is stopped before or after each single effect (a write, an order or a report) of
+// a rollout. No worker loads a version twice, orders of two holders are at least minOrderGap apart, no worker
+// stays cordoned, and all workers serve the new version within Bounds.Weights after the next holder took over.
 func TestRolloutSurvivesHolderDeathBetweenAnyTwoEffects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 4)
@@ -51,38 +51,38 @@
 		total := site.effects - before
 		site.stop()
 		if total < 30 {
-			t.Fatalf("only %d effects", total)
+			t.Fatalf("the rollout without a failure had %d effects, want at least 30", total)
 		}
-		for _, kind := range []deathKind{diesBefore, diesAfter, stops} {
+		for _, kind := range []failureKind{crashBeforeEffect, crashAfterEffect, gracefulStop} {
 			for effect := 1; effect <= total; effect++ {
-				runWithHolderDeath(t, kind, effect)
+				runWithHolderFailure(t, kind, effect)
 				if t.Failed() {
-					t.Fatalf("%s effect %d of %d", kind, effect, total)
+					t.Fatalf("the rollout failed when the holder failed (%s) at effect %d of %d", kind, effect, total)
 				}
 			}
 		}
 	})
 }
 
-func runWithHolderDeath(t *testing.T, kind deathKind, effect int) {
+func runWithHolderFailure(t *testing.T, kind failureKind, effect int) {
 	t.Helper()
 	site := newRunningSite(t, 4)
 	defer site.stop()
 	site.mu.Lock()
-	site.deathKind, site.deathAt = kind, site.effects+effect
+	site.failureKind, site.failAtEffect = kind, site.effects+effect
 	site.mu.Unlock()
 	site.waitUntil(func() bool { return site.rolledOut(2) }, 3*time.Second+site.bounds.Weights(1))
 	site.mu.Lock()
 	defer site.mu.Unlock()
-	if site.victim == "" {
-		t.Error("nobody died")
+	if site.failedMachine == "" {
+		t.Error("the lease holder did not fail: the rollout never reached the chosen effect")
 	}
-	if kind == stops && strings.HasPrefix(site.lease.Holder, site.victim+"/") {
-		t.Errorf("the lease wasn't released: %v", site.lease)
+	if kind == gracefulStop && strings.HasPrefix(site.lease.Holder, site.failedMachine+"/") {
+		t.Errorf("the stopped holder still holds the lease: %v", site.lease)
 	}
 }
 
-// Responses are lost at random: still no load is ordered twice.
+// With 10% of the responses lost at random, no worker loads a version twice.
 func TestLostResponsesCauseNoSecondLoad(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -106,7 +106,7 @@
 		site := newRunningSite(t, 18)
 		defer site.stop()
 		site.mu.Lock()
-		site.workers["w00"].silent, site.workers["w07"].silent = true, true
+		site.workers["w00"].unresponsive, site.workers["w07"].unresponsive = true, true
 		site.mu.Unlock()
 		<-time.After(2 * time.Second)
 		site.nameVersion("daka", 3)
@@ -118,13 +118,14 @@
 			intermediate += worker.loads[2]
 		}
 		if intermediate > 6 {
-			t.Errorf("%d loaded what was named in between", intermediate)
+			t.Errorf("%d workers loaded version 2 although version 3 was named 2 s later, want at most 6", intermediate)
 		}
 	})
 }
 
-// What the platform's list shows is published well within the bound on workers that left, also when the
-// lease holder dies just then. While the list can't be read the published one stays.
+// A worker that drains or disappears from the platform's list is removed from the published list within
+// Bounds.Leave, even if the lease holder crashes at that moment. While the platform's list cannot be read, the
+// published list stays unchanged.
 func TestWorkerListFollowsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 5)
@@ -139,33 +140,33 @@
 		site.waitUntil(removed("w01"), site.bounds.Leave(0.35))
 
 		site.mu.Lock()
-		site.listDown = true
+		site.listUnavailable = true
 		before := site.listReads
 		delete(site.workers, "w02")
 		site.mu.Unlock()
 		<-time.After(10 * time.Second)
 		site.mu.Lock()
 		if _, ok := site.publishedVersions()["w02"]; !ok || site.listReads-before > 10 {
-			t.Errorf("%v after %d failed reads", site.publishedVersions(), site.listReads-before)
+			t.Errorf("with the platform's list unavailable: published workers %v, want w02 among them; %d reads in 10 s, want at most 10", site.publishedVersions(), site.listReads-before)
 		}
-		site.listDown = false
+		site.listUnavailable = false
 		site.mu.Unlock()
 		site.waitUntil(removed("w02"), site.bounds.Leave(0.6))
 
-		for i := range 3 { // the holder dies as a worker begins to drain
+		for i := range 3 { // the holder crashes as a worker begins to drain
 			<-time.After(time.Duration(3000+70*i) * time.Millisecond)
 			id := fmt.Sprint("w0", []int{0, 3, 4}[i])
 			site.mu.Lock()
 			holder := site.lease.Holder[:len("core-1")]
-			site.kill(holder)
+			site.crash(holder)
 			site.workers[id].worker.Draining = true
 			site.mu.Unlock()
-			t.Logf("published after %v", site.waitUntil(removed(id), site.bounds.Leave(0.8)))
+			t.Logf("draining worker was removed from the published list after %v", site.waitUntil(removed(id), site.bounds.Leave(0.8)))
 		}
 	})
 }
 
-// A new worker is published soon, and one that restarts with its old weights is updated.
+// A worker that restarts with older weights, and thus under a new ID, is published and updated.
 func TestRestartedWorkerIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 5)
@@ -179,7 +180,7 @@
 	})
 }
 
-// An idle site costs few calls.
+// When no rollout is in progress, the controllers make few calls, and no writes, orders or report requests.
 func TestIdleSiteMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 18)
@@ -197,7 +198,7 @@
 		defer site.mu.Unlock()
 		for kind, limit := range map[callKind]int{callPut: 0, callOrder: 0, callReport: 0, callRead: 0, callList: 140, callGrant: 700} {
 			if calls := site.callCounts[kind] - before[kind]; calls > limit {
-				t.Errorf("%d × %s in 100 s", calls, kind)
+				t.Errorf("%d calls of kind %s in 100 s on an idle site, want at most %d", calls, kind, limit)
 			}
 		}
 	})
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -17,20 +17,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// coreMachine is a core machine's view of the site: its clients of the control state, the platform's list
-// and the workers.
+// coreMachine implements the clients of one core machine: those of the control state, the platform's worker
+// list and the workers.
 type coreMachine struct {
 	site *testSite
 	name string
 }
 
-// call is one call of the machine: the request travels, has its effect, and the response travels back.
-// The machine may be planned to die before or after the effect.
+// call simulates one call of the machine: a network delay, the effect of the request, and another delay for the
+// response. The machine fails before or after the effect if the test has scheduled that.
 func (m *coreMachine) call(ctx context.Context, kind callKind, effect func() error) error {
-	clock.Sleep(ctx, callDelay)
+	clock.Sleep(ctx, networkDelay)
 	site := m.site
 	site.mu.Lock()
-	if _, ok := site.dead[m.name]; ok || ctx.Err() != nil {
+	if _, ok := site.crashedAt[m.name]; ok || ctx.Err() != nil {
 		site.mu.Unlock()
 		return errNoResponse
 	}
@@ -38,19 +38,19 @@
 	if kind == callPut || kind == callOrder || kind == callReport {
 		site.effects++
 	}
-	die := site.effects == site.deathAt && site.victim == "" && site.lease.GetHolder() != "" && strings.HasPrefix(site.lease.Holder, m.name+"/")
-	if die && site.deathKind == diesBefore {
-		site.kill(m.name)
+	fail := site.effects == site.failAtEffect && site.failedMachine == "" && site.lease.GetHolder() != "" && strings.HasPrefix(site.lease.Holder, m.name+"/")
+	if fail && site.failureKind == crashBeforeEffect {
+		site.crash(m.name)
 		site.mu.Unlock()
 		return errNoResponse
 	}
 	err := effect()
-	if die && site.deathKind == diesAfter {
-		site.kill(m.name)
+	if fail && site.failureKind == crashAfterEffect {
+		site.crash(m.name)
 		err = errNoResponse
 	}
-	if die && site.deathKind == stops {
-		site.victim = m.name
+	if fail && site.failureKind == gracefulStop {
+		site.failedMachine = m.name
 		process := site.processes[m.name]
 		site.stopping.Go(func() { process.Stop(site.bounds.Leave(1)) })
 	}
@@ -58,14 +58,14 @@
 		err = errNoResponse
 	}
 	site.mu.Unlock()
-	clock.Sleep(ctx, callDelay)
+	clock.Sleep(ctx, networkDelay)
 	if ctx.Err() != nil {
 		return errNoResponse
 	}
 	return err
 }
 
-func (s *testSite) kill(name string) { s.dead[name], s.victim = s.clock.Now(), name }
+func (s *testSite) crash(name string) { s.crashedAt[name], s.failedMachine = s.clock.Now(), name }
 
 func (m *coreMachine) Change(ctx context.Context, request *wire.ChangeRequest) (response *wire.ChangeResponse, err error) {
 	kind := callPut
@@ -89,7 +89,7 @@
 	return response, nil
 }
 
-// grant applies a request for the lease, as the control state does.
+// grant applies a request to acquire, renew or release the lease, like the control state.
 func (s *testSite) grant(request *wire.Grant) *wire.ChangeResponse {
 	now, lease := s.clock.Now(), s.lease
 	if lease == nil {
@@ -103,7 +103,7 @@
 	next := &wire.Lease{Name: request.Lease, Holder: request.Holder, Fence: lease.Fence, TtlNs: request.TtlNs}
 	if request.Release {
 		if s.inFlight[request.Holder] > 0 {
-			s.t.Errorf("%s releases the lease while its order is in flight", request.Holder)
+			s.t.Errorf("holder %s releases the lease while one of its orders is in flight", request.Holder)
 		}
 		next.Holder = ""
 	} else if lease.Holder != request.Holder {
@@ -113,7 +113,7 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: next.Fence, Leader: next.Holder}
 }
 
-// put writes a document, as the control state does.
+// put writes a document like the control state: only with the current version, lease holder and fencing token.
 func (s *testSite) put(put *wire.Put) *wire.ChangeResponse {
 	document := s.documents[put.Key]
 	if lease := s.lease; put.Lease != LeaseName || lease.GetFence() != put.Fence || lease.GetHolder() != put.Holder || put.AnyVersion || put.IfVersion != document.GetVersion() {
@@ -132,7 +132,7 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: put.IfVersion + 1}
 }
 
-// cordoned are the workers that the stored placement cordons.
+// cordoned returns the IDs of the workers that the stored placement cordons.
 func (s *testSite) cordoned() []string {
 	var placement struct {
 		Cordoned []string `json:"rolling"`
@@ -145,7 +145,7 @@
 	return placement.Cordoned
 }
 
-// publishedVersions are the versions that the stored worker list shows, by worker that isn't draining.
+// publishedVersions returns the versions in the stored worker list by worker ID, without draining workers.
 func (s *testSite) publishedVersions() map[string]uint64 {
 	var list fleet.WorkerList
 	if document := s.documents[fleet.WorkersKey]; document != nil {
@@ -178,8 +178,8 @@
 func (m *coreMachine) ListWorkers(ctx context.Context, page string) (workers []fleet.Worker, next string, err error) {
 	err = m.call(ctx, callList, func() error {
 		site := m.site
-		if site.listReads++; site.listDown {
-			return errs.New(errs.Overloaded, "called too often")
+		if site.listReads++; site.listUnavailable {
+			return errs.New(errs.Overloaded, "platform's worker list: too many calls")
 		}
 		ids := maputil.SortedKeys(site.workers)
 		if i := slices.Index(ids, page); i > 0 {
@@ -190,7 +190,7 @@
 		}
 		for _, id := range ids {
 			worker := site.workers[id].worker
-			worker.Weights = map[string]uint64{"daka": site.workers[id].stateAt(site.clock.Now() - listLag).version}
+			worker.Weights = map[string]uint64{"daka": site.workers[id].stateAt(site.clock.Now() - listAge).version}
 			workers = append(workers, worker)
 		}
 		return nil
@@ -200,7 +200,7 @@
 
 func (m *coreMachine) workerAt(addr string) *testWorker {
 	for _, worker := range m.site.workers {
-		if worker.worker.Addr == addr && !worker.silent {
+		if worker.worker.Addr == addr && !worker.unresponsive {
 			return worker
 		}
 	}
@@ -234,14 +234,14 @@
 	return outcome, err
 }
 
-// countInFlight counts a holder's orders that aren't answered yet.
+// countInFlight updates the number of a holder's orders that have not been answered yet.
 func (m *coreMachine) countInFlight(holder string, delta int) {
 	m.site.mu.Lock()
 	defer m.site.mu.Unlock()
 	m.site.inFlight[holder] += delta
 }
 
-// receiveOrder is how a worker responds to an order. It also checks the rules that hold for every order.
+// receiveOrder simulates a worker's response to an order. It also checks the order with checkOrder.
 func (s *testSite) receiveOrder(worker *testWorker, order backend.Order) backend.Outcome {
 	now, id := s.clock.Now(), worker.worker.ID
 	s.ordersReceived++
@@ -258,7 +258,7 @@
 	}
 	worker.fencingToken = order.FencingToken
 	if worker.loads[order.Version]++; worker.loads[order.Version] > 1 {
-		s.t.Errorf("%s loads %d twice", id, order.Version)
+		s.t.Errorf("worker %s loads version %d a second time", id, order.Version)
 	}
 	loaded := now + drainTime + s.loadTime(now)
 	worker.states = append(worker.states,
@@ -267,27 +267,27 @@
 	return backend.OutcomeStarted
 }
 
-// checkOrder checks that an order is meant for the worker, that fencing tokens never decrease, that orders
-// of two holders keep their distance, and that the worker was cordoned long enough before.
+// checkOrder checks that the order is addressed to the worker, that fencing tokens never decrease, that orders
+// from different holders are at least minOrderGap apart, and that the worker has been cordoned long enough.
 func (s *testSite) checkOrder(id string, order backend.Order, now time.Duration) {
 	if last, ok := s.lastOrders[id]; ok {
 		otherHolder := last.holder != order.LeaseHolder
 		if last.fencingToken > order.FencingToken || last.fencingToken == order.FencingToken && otherHolder {
-			s.t.Errorf("%s: fencing token %d of %s after %d of %s", id, order.FencingToken, order.LeaseHolder, last.fencingToken, last.holder)
+			s.t.Errorf("worker %s got an order with fencing token %d from %s after one with token %d from %s", id, order.FencingToken, order.LeaseHolder, last.fencingToken, last.holder)
 		}
-		if otherHolder && now-last.at < orderDistance {
-			s.t.Errorf("%s: %s orders %v after %s", id, order.LeaseHolder, now-last.at, last.holder)
+		if otherHolder && now-last.at < minOrderGap {
+			s.t.Errorf("worker %s got an order from %s only %v after one from %s", id, order.LeaseHolder, now-last.at, last.holder)
 		}
 	}
 	if at := s.cordonedAt[id]; at == 0 || now-at < s.bounds.Leave(cordonLeadRatio) {
-		s.t.Errorf("%s is ordered before proxies can know that it is cordoned", id)
+		s.t.Errorf("worker %s got an order before proxies could learn that it is cordoned", id)
 	}
 	if order.Instance != id || order.Mode != backend.ModeAwait || order.Model != "daka" || order.Version > s.named["daka"] {
-		s.t.Errorf("%s: %+v", id, order)
+		s.t.Errorf("worker %s got an order with an unexpected instance, mode, model or version: %+v", id, order)
 	}
 }
 
-// loadTime is how long a load takes that starts now: longer when many load at once.
+// loadTime returns the duration of a load that starts now. It is longer when many workers load at the same time.
 func (s *testSite) loadTime(now time.Duration) time.Duration {
 	loading := 1
 	for _, worker := range s.workers {
--- a/internal/control/controllers/namedweights_test.go
+++ b/internal/control/controllers/namedweights_test.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/fleet"
 )
 
-// The rollout is due since the oldest naming whose version a worker lacks.
+// A rollout is due since the oldest naming of a version that some worker does not serve yet.
 func TestRolloutIsDueSinceOldestMissingNaming(t *testing.T) {
 	snapshot := func(version uint64, atSeconds int) *fleet.Snapshot {
 		return &fleet.Snapshot{NamedVersions: map[string]uint64{"daka": version}, NamedAt: map[string]time.Duration{"daka": time.Duration(atSeconds) * time.Second}}
@@ -22,20 +22,20 @@
 		wantVersion   uint64
 		wantSeconds   int
 	}{
-		{"first naming", snapshot(1, 10), 1, 1, 10},
-		{"named again, all workers had the version before", snapshot(2, 20), 1, 2, 20},
-		{"named again during the rollout", snapshot(3, 22), 1, 3, 20},
-		{"an old snapshot", snapshot(2, 20), 1, 3, 20},
-		{"named again while workers have the intermediate version", snapshot(4, 25), 2, 4, 20},
-		{"named again once all have the newest", snapshot(5, 40), 4, 5, 40},
+		{"first version named", snapshot(1, 10), 1, 1, 10},
+		{"newer version named after all workers served the previous one", snapshot(2, 20), 1, 2, 20},
+		{"newer version named during the rollout", snapshot(3, 22), 1, 3, 20},
+		{"outdated snapshot with an older version", snapshot(2, 20), 1, 3, 20},
+		{"newer version named while workers serve an intermediate one", snapshot(4, 25), 2, 4, 20},
+		{"newer version named after all workers served the newest", snapshot(5, 40), 4, 5, 40},
 	} {
 		weights.update(test.snapshot, []fleet.Worker{worker("1", test.workerVersion), worker("2", 9), draining})
 		if weights.versions["daka"] != test.wantVersion || weights.namedAt["daka"] != time.Duration(test.wantSeconds)*time.Second {
-			t.Errorf("%s: %d since %v", test.name, weights.versions["daka"], weights.namedAt["daka"])
+			t.Errorf("%s: version %d is due since %v, want version %d since %d s", test.name, weights.versions["daka"], weights.namedAt["daka"], test.wantVersion, test.wantSeconds)
 		}
 	}
 	weights.update(&fleet.Snapshot{NamedVersions: map[string]uint64{"other": 1}}, nil)
 	if _, ok := weights.namedAt["other"]; ok || weights.versions["other"] != 1 {
-		t.Error("a version without a naming time has one")
+		t.Error("model named without a time: want version 1 and no entry in namedAt")
 	}
 }
--- a/internal/control/controllers/placement_test.go
+++ b/internal/control/controllers/placement_test.go
@@ -16,7 +16,7 @@
 	return routingconfig.Service{Name: "reading", Engine: &routingconfig.Engine{CapacityTokens: 100000, TokenBytes: 18432, LinkMbps: mbps}}
 }
 
-// hotPrefixes returns so many entries, each colder than the one before by one.
+// hotPrefixes returns count entries whose hotness decreases by one from each entry to the next.
 func hotPrefixes(count int, hottest float64) (prefixes []*wire.HotPrefix) {
 	for i := range count {
 		prefixes = append(prefixes, &wire.HotPrefix{Key: fmt.Appendf(nil, "k%02d", i), Hotness: hottest - float64(i), Tokens: 1000, Head: i < count/2})
@@ -24,16 +24,17 @@
 	return prefixes
 }
 
-// The bandwidth is that of the engine's own link, whatever the prior is.
+// The fetch bandwidth of a placement is that of the engine's configured link, regardless of the initial
+// estimate. Slower links lead to more replicated entries.
 func TestBandwidthIsThatOfTheEnginesLink(t *testing.T) {
 	fast := placementcontroller.Compute(placementInputs(serviceWithLink(370000), hotPrefixes(20, 30), []string{"1", "2", "3"}), nil)
 	want := 370000e6 / 8 / 18432
 	if fast.FetchBandwidth < 0.99*want || fast.FetchBandwidth > 1.01*want {
-		t.Errorf("%v, want %v", fast.FetchBandwidth, want)
+		t.Errorf("fetch bandwidth = %v tokens/s, want %v within 1%%", fast.FetchBandwidth, want)
 	}
 	slow := placementcontroller.Compute(placementInputs(serviceWithLink(10), hotPrefixes(20, 30), []string{"1", "2", "3"}), nil)
 	if len(slow.Replicated) <= len(fast.Replicated) {
-		t.Errorf("slow links replicate %d, fast ones %d", len(slow.Replicated), len(fast.Replicated))
+		t.Errorf("a slow link replicates %d entries, want more than the %d of a fast link", len(slow.Replicated), len(fast.Replicated))
 	}
 }
 
@@ -43,7 +44,7 @@
 	first := &servicePlacement{}
 	old, changed := nextPlacement(first, serviceWithLink(10), hotPrefixes(20, 30), workers, time.Minute, interval)
 	if !changed || first.recomputedAt != time.Minute {
-		t.Fatal("the first placement isn't published")
+		t.Fatal("the first placement of a service was not fully computed and published")
 	}
 	old.Cordoned = []string{"2"}
 	burst := append(hotPrefixes(20, 30), &wire.HotPrefix{Key: []byte("new"), Hotness: 90, Tokens: 1000})
@@ -51,26 +52,26 @@
 		name    string
 		hot     []*wire.HotPrefix
 		workers []string
-		after   time.Duration // the last full computation
+		after   time.Duration // time since the last full computation
 		changed bool
-		full    bool // a full computation
+		full    bool // whether a full computation is expected
 	}{
-		{"nothing new", hotPrefixes(20, 30), workers, time.Second, false, false},
-		{"nothing new in a full computation", hotPrefixes(20, 30), workers, interval, false, true},
-		{"a burst", burst, workers, time.Second, true, false},
-		{"another worker", hotPrefixes(20, 30), []string{"1", "2", "3"}, time.Second, true, true},
+		{"same hot entries shortly after a full computation", hotPrefixes(20, 30), workers, time.Second, false, false},
+		{"same hot entries when a full computation is due", hotPrefixes(20, 30), workers, interval, false, true},
+		{"burst of requests for a new entry", burst, workers, time.Second, true, false},
+		{"additional worker", hotPrefixes(20, 30), []string{"1", "2", "3"}, time.Second, true, true},
 	} {
 		current := &servicePlacement{desired: old, recomputedAt: time.Minute}
 		next, changed := nextPlacement(current, serviceWithLink(10), test.hot, test.workers, time.Minute+test.after, interval)
 		if changed != test.changed || (current.recomputedAt != time.Minute) != test.full {
-			t.Errorf("%s: changed %v, computed at %v", test.name, changed, current.recomputedAt)
+			t.Errorf("%s: changed = %v, want %v; full computation at %v, want a new one: %v", test.name, changed, test.changed, current.recomputedAt, test.full)
 		}
 		if !slices.Equal(next.Cordoned, old.Cordoned) {
-			t.Errorf("%s: the cordoned workers got lost", test.name)
+			t.Errorf("%s: cordoned workers %v, want %v", test.name, next.Cordoned, old.Cordoned)
 		}
 	}
 	var none *placement.Placement
 	if next, changed := nextPlacement(&servicePlacement{desired: none}, serviceWithLink(10), hotPrefixes(20, 30), workers, time.Minute, interval); !changed || next.Mode != placement.ModeHRCS {
-		t.Errorf("%+v", next)
+		t.Errorf("first placement of a service: got %+v, want a changed one in mode ModeHRCS", next)
 	}
 }
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -14,7 +14,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// indexNode is an index node; one without entries doesn't respond.
+// indexNode is a simulated index node. A node without entries does not respond.
 type indexNode struct {
 	wire.PromptIndex
 	hot []*wire.HotPrefix
@@ -23,16 +23,16 @@
 func (n indexNode) Hottest(ctx context.Context, request *wire.HottestRequest) (*wire.HottestResponse, error) {
 	if n.hot == nil {
 		<-ctx.Done()
-		return nil, errors.New("no response")
+		return nil, errors.New("index node: no response")
 	}
 	if request.Service != "reading" {
-		return nil, errors.New("another service")
+		return nil, errors.New("index node: request for an unexpected service")
 	}
 	return &wire.HottestResponse{Prefixes: n.hot}, nil
 }
 
-// Two index nodes hold each entry, and the higher count is used. A silent node delays the query by its
-// timeout at most. Without index nodes there are no hot entries.
+// When two index nodes hold an entry, the higher hotness is used. A node that does not respond delays the query
+// by at most the timeout. Without index nodes, the result is empty.
 func TestQueryIndexNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		process := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
@@ -63,15 +63,15 @@
 			}
 			for k, x := range want {
 				if got[k] != x || len(got) != len(want) {
-					t.Errorf("%v: %v, want %v", pair, got, want)
+					t.Errorf("hotness by key from index nodes %v: %v, want %v", pair, got, want)
 				}
 			}
 		}
 		if elapsed := process.Clock.Now() - start; elapsed > 2*bounds().Heal(hotEntriesTimeoutRatio) {
-			t.Errorf("waited %v for silent nodes", elapsed)
+			t.Errorf("three queries, two of them to a node that does not respond, took %v, want at most two timeouts", elapsed)
 		}
 		if got := query(clustermembership.View{}); len(got) != 0 {
-			t.Errorf("%v", got)
+			t.Errorf("hotness by key without index nodes: %v, want none", got)
 		}
 	})
 }
@@ -79,6 +79,6 @@
 func TestStartProcessNeedsASite(t *testing.T) {
 	process := daemon.New("controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
 	if err := StartProcess(process, nil, nil); errs.KindOf(err) != errs.BadInput {
-		t.Errorf("%v", err)
+		t.Errorf("StartProcess without site settings: error %v, want kind errs.BadInput", err)
 	}
 }
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -15,14 +15,14 @@
 	return b
 }
 
-// singleWorker drives a rollout of one worker by hand.
+// singleWorker runs a rollout to one worker, step by step under the control of the test.
 type singleWorker struct {
 	t       *testing.T
 	rollout *Rollout
 	worker  fleet.Worker
 	named   uint64
 	now     time.Duration
-	events  []string // names of the responses so far
+	events  []string // names of the responses given so far
 }
 
 func newSingleWorker(t *testing.T, cordoned ...string) *singleWorker {
@@ -34,7 +34,7 @@
 		NamedAt: map[string]time.Duration{"daka": time.Minute}, UpdatedServices: map[string]bool{"reading": true}})
 }
 
-// stepUntilAction steps until the rollout calls the worker, or the span is over.
+// stepUntilAction runs steps until the rollout asks for a call to the worker, or the time span has passed.
 func (s *singleWorker) stepUntilAction(span time.Duration) RolloutActions {
 	for end := s.now + span; s.now < end; s.now += 50 * time.Millisecond {
 		actions := s.step()
@@ -46,7 +46,7 @@
 	return RolloutActions{}
 }
 
-// scriptedResponse is a response of the worker to an order or a report request.
+// scriptedResponse is a worker's response to an order or a report request.
 type scriptedResponse struct {
 	name    string
 	outcome backend.Outcome
@@ -76,28 +76,29 @@
 	}
 )
 
-// scriptedWorker is a single worker that responds by a script. It fails the test if the rollout calls it
-// where it mustn't.
+// scriptedWorker is a singleWorker that responds according to a script. It fails the test if the rollout makes
+// a call that is not allowed, or makes none although the worker is outdated.
 type scriptedWorker struct {
 	*singleWorker
-	mayBeLoading bool
-	upToDate     bool
-	orderedAt    time.Duration // when the last order was answered
+	mayBeLoading bool          // an order may have been accepted and may still be executing
+	upToDate     bool          // the worker serves the named version
+	orderedAt    time.Duration // time of the response to the last order
 }
 
-// nextCall returns the responses to choose from for the rollout's next call; nil once it makes none.
+// nextCall returns the actions of the rollout's next call and the possible responses to it. The responses are
+// nil if the rollout makes no more calls.
 func (s *scriptedWorker) nextCall() (RolloutActions, []scriptedResponse) {
 	actions := s.stepUntilAction(bounds().Weights(1))
 	calls := len(actions.Orders) + len(actions.Reports)
 	switch {
 	case s.upToDate && calls > 0:
-		s.t.Fatalf("%v: called though it has the weights", s.events)
+		s.t.Fatalf("after responses %v: the rollout calls the worker although it serves the named version", s.events)
 	case calls == 0 && !s.upToDate:
-		s.t.Fatalf("%v: no more calls, and it lacks the weights", s.events)
+		s.t.Fatalf("after responses %v: the rollout makes no more calls although the worker is outdated", s.events)
 	case calls == 0:
 		return actions, nil
 	case len(actions.Orders) > 0 && s.mayBeLoading:
-		s.t.Fatalf("%v: ordered again though it may be loading", s.events)
+		s.t.Fatalf("after responses %v: the worker is ordered again although it may be loading", s.events)
 	case len(actions.Orders) > 0:
 		return actions, orderResponses
 	}
@@ -115,11 +116,11 @@
 	switch {
 	case response.name == "new":
 		if s.upToDate = true; version != 2 || model != "daka" {
-			s.t.Fatalf("%v: the new weights aren't reported: %q %d", s.events, model, version)
+			s.t.Fatalf("after responses %v: HandleReport returned model %q, version %d; want daka, 2", s.events, model, version)
 		}
 		s.worker.Weights = newWeights
 	case response.name == "old" && s.now-s.orderedAt >= bounds().Leave(maxReportAgeRatio):
-		s.mayBeLoading = false // it would show by now
+		s.mayBeLoading = false // the report would show a load by now
 	}
 }
 
@@ -131,8 +132,8 @@
 	}
 }
 
-// In every sequence of a worker's responses, lost and unexpected ones included, it is never ordered
-// again while it is known to load, or may be, nor once it has the version.
+// For every sequence of responses, including lost and unexpected ones, a worker is not ordered again while it is
+// loading or may be loading, nor once it serves the version.
 func TestNoOrderIsSentTwice(t *testing.T) {
 	const maxResponses = 4
 	paths := 0
@@ -155,26 +156,27 @@
 		}
 	}
 	run(nil)
-	t.Logf("%d paths", paths)
+	t.Logf("tried %d sequences of responses", paths)
 	if paths < 500 {
-		t.Errorf("only %d paths", paths)
+		t.Errorf("tried %d sequences of responses, want at least 500", paths)
 	}
 }
 
-// An order of a past holder that may have reached the worker is resolved by a report first.
+// If a previous lease holder may have sent an order to a worker, a report is requested before the worker is
+// ordered.
 func TestPastHoldersOrderIsResolvedByAReport(t *testing.T) {
 	single := newSingleWorker(t, "1")
 	actions := single.stepUntilAction(bounds().Weights(1))
 	if len(actions.Orders) != 0 || len(actions.Reports) != 1 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("first actions for a worker cordoned by a previous holder: %+v, want one report request and no order", actions)
 	}
 	if _, v := single.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, single.now); v != 2 {
-		t.Error("not reported")
+		t.Error("HandleReport did not return version 2, which the report shows")
 	}
 }
 
-// Named again while it loads: the newest is ordered next, without being cordoned anew, and
-// the version that was named in between is skipped.
+// When newer versions are named while a worker loads, the newest one is ordered next. The versions in between
+// are skipped, and the worker stays cordoned.
 func TestNewerVersionIsOrderedAfterTheRunningLoad(t *testing.T) {
 	single := newSingleWorker(t)
 	actions := single.stepUntilAction(bounds().Weights(1))
@@ -187,37 +189,37 @@
 	single.worker = worker("1", 2)
 	actions = single.step()
 	if len(actions.Orders) != 1 || actions.Orders[0].Version != 4 || len(actions.Cordoned["reading"]) != 1 {
-		t.Errorf("%+v", actions)
+		t.Errorf("actions after the first load: %+v, want an order of version 4 to the cordoned worker", actions)
 	}
 }
 
-// The load of a worker that drains is dropped, and responses that come after that change nothing.
+// The load of a worker that starts to drain is dropped, and responses that arrive later have no effect.
 func TestDrainingWorkersLoadIsDropped(t *testing.T) {
 	single := newSingleWorker(t)
 	actions := single.stepUntilAction(bounds().Weights(1))
 	single.worker.Draining = true
 	if later := single.step(); len(later.Cordoned["reading"]) != 0 || !single.rollout.Idle() {
-		t.Errorf("%+v", later)
+		t.Errorf("actions for a draining worker: %+v, want none and an idle rollout", later)
 	}
 	if v := single.rollout.HandleOrderOutcome(actions.Orders[0], backend.OutcomeAlreadyDone, single.now); v != 0 {
-		t.Errorf("%d", v)
+		t.Errorf("HandleOrderOutcome for a dropped load returned version %d, want 0", v)
 	}
 	single.rollout.HandleUnsentOrder(actions.Orders[0])
 	if _, v := single.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, single.now); v != 0 {
-		t.Errorf("%d", v)
+		t.Errorf("HandleReport for a dropped load returned version %d, want 0", v)
 	}
 }
 
-// No order is sent to a worker while a past holder's order may have been sent lately, and until shortly
-// before that it isn't cordoned. A worker to which no past holder can have sent an order needn't wait:
-// it wasn't cordoned, and has the weights that it began with.
+// A worker that may have received an order from a previous lease holder is not ordered before EarliestOrder, and
+// is cordoned only shortly before. A worker that was not cordoned and serves a first version cannot have
+// received such an order, and is ordered without that delay.
 func TestNoOrderBeforeEarliestOrder(t *testing.T) {
 	for _, test := range []struct {
-		past    []string
-		version uint64
-		from    time.Duration
+		previouslyCordoned []string
+		version            uint64
+		earliest           time.Duration
 	}{{nil, 2, 3 * time.Second}, {[]string{"2"}, 2, 3 * time.Second}, {nil, 1, 0}, {[]string{"2"}, 1, 0}} {
-		rollout, b := NewRollout(bounds(), test.past), bounds()
+		rollout, b := NewRollout(bounds(), test.previouslyCordoned), bounds()
 		ordered, cordoned := time.Duration(-1), time.Duration(-1)
 		for now := time.Duration(0); now < 5*time.Second; now += 10 * time.Millisecond {
 			actions := rollout.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", test.version)}, NamedVersions: map[string]uint64{"daka": 3},
@@ -230,11 +232,11 @@
 				ordered = now
 			}
 		}
-		if cordoned < test.from-b.Leave(cordonLeadRatio) || ordered < test.from || ordered-cordoned < b.Leave(cordonLeadRatio) || ordered > test.from+2*b.Leave(cordonLeadRatio) {
-			t.Errorf("%+v: cordoned at %v, ordered at %v", test, cordoned, ordered)
+		if cordoned < test.earliest-b.Leave(cordonLeadRatio) || ordered < test.earliest || ordered-cordoned < b.Leave(cordonLeadRatio) || ordered > test.earliest+2*b.Leave(cordonLeadRatio) {
+			t.Errorf("case %+v: worker cordoned at %v, ordered at %v; want both shortly after the earliest times", test, cordoned, ordered)
 		}
 	}
-	rollout := NewRollout(bounds(), []string{"1"}) // a cordoned worker may have had an order
+	rollout := NewRollout(bounds(), []string{"1"}) // a previously cordoned worker may have received an order
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
 		actions := rollout.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", 1)}, NamedVersions: map[string]uint64{"daka": 2},
 			UpdatedServices: map[string]bool{"reading": true}, EarliestOrder: 3 * time.Second})
@@ -243,7 +245,7 @@
 			rollout.HandleReport(w.ID, backend.Report{Weights: map[string]uint64{"daka": 1}}, true, now)
 		}
 		if len(actions.Orders) > 0 {
-			t.Fatalf("ordered at %v", now)
+			t.Fatalf("worker cordoned by a previous holder was ordered at %v, want not before 3 s", now)
 		}
 	}
 }
--- a/internal/control/controllers/sequence_test.go
+++ b/internal/control/controllers/sequence_test.go
@@ -8,7 +8,7 @@
 	"pebbleloom/internal/data/backend"
 )
 
-// sequencedWorker accepts an order only if it names the number of orders accepted so far, or none.
+// sequencedWorker accepts an order only if the order's sequence is the number of orders accepted so far, or nil.
 type sequencedWorker struct {
 	t                 *testing.T
 	sequence, version uint64
@@ -23,13 +23,13 @@
 	case order.Version > w.version:
 		w.loads++
 	case order.Version < w.version:
-		w.t.Errorf("went back from version %d to %d", w.version, order.Version)
+		w.t.Errorf("worker accepted an order that replaces version %d with version %d", w.version, order.Version)
 	}
 	w.sequence, w.version = w.sequence+1, order.Version
 }
 
-// retryOrder steps until the rollout sends another order. The worker reports all the while that it has
-// accepted a number of orders and serves version 1.
+// retryOrder runs steps until the rollout sends another order. Until then, the worker's reports show the given
+// number of accepted orders and version 1.
 func (s *singleWorker) retryOrder(sequence uint64) *Order {
 	for end := s.now + 10*time.Second; s.now < end; s.now += 50 * time.Millisecond {
 		actions := s.stepUntilAction(time.Second)
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// An order without a response may be in flight for long. Whatever is ordered in its place, the same
-// version or a newer one, names the number of orders that the worker had accepted when it reported that
-// this one wasn't among them: it accepts one of the two, in whichever order they arrive.
+// An order without a response may arrive much later. Its retry, for the same or a newer version, carries the
+// number of orders that the worker had accepted when a report showed that the first one was not among them.
+// Therefore the worker accepts only one of the two orders, regardless of which one arrives first.
 func TestWorkerAcceptsOneOfAnUnknownOrderAndItsRetry(t *testing.T) {
 	const sequence = 4
 	for _, newer := range []bool{false, true} {
@@ -54,7 +54,7 @@
 				single := newSingleWorker(t)
 				first := single.stepUntilAction(time.Second).Orders[0]
 				if first.Sequence != nil {
-					t.Error("the first order names a number that nobody reported")
+					t.Error("the first order has a sequence although the worker has not reported one")
 				}
 				single.rollout.HandleOrderOutcome(first, backend.OutcomeUnknown, single.now)
 				if newer {
@@ -62,7 +62,7 @@
 				}
 				second := single.retryOrder(sequence)
 				if second == nil || second.Sequence == nil || *second.Sequence != sequence {
-					t.Fatalf("retried as %+v", second)
+					t.Fatalf("retry of the order: %+v, want sequence 4", second)
 				}
 				worker := sequencedWorker{t: t, sequence: sequence}
 				if firstArrives {
@@ -70,7 +70,7 @@
 				}
 				worker.receive(*second)
 				if worker.loads != 1 {
-					t.Errorf("%d orders loaded weights", worker.loads)
+					t.Errorf("%d of the two orders loaded weights, want 1", worker.loads)
 				}
 			})
 		}
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	callDelay     = 4 * time.Millisecond   // of a request, and of its response
-	reportAge     = 200 * time.Millisecond // age of the state that a report shows
-	listLag       = 800 * time.Millisecond // age of the weights that the list shows
-	drainTime     = 100 * time.Millisecond // until the requests at a worker have ended
-	orderDistance = 3 * time.Second        // least time between a worker's orders of two holders
-	pageSize      = 50                     // workers on one page of the list
+	networkDelay = 4 * time.Millisecond   // delay of each request and of each response
+	reportAge    = 200 * time.Millisecond // age of the state that a report shows
+	listAge      = 800 * time.Millisecond // age of the weights in the platform's list
+	drainTime    = 100 * time.Millisecond // time until a worker's requests in progress have ended
+	minOrderGap  = 3 * time.Second        // minimum time between orders to a worker from different holders
+	pageSize     = 50                     // workers per page of the platform's list
 )
 
-// callKind is a kind of call that core machines make.
+// callKind is a kind of call made by core machines.
 type callKind string
 
 const (
@@ -40,48 +40,48 @@
 	callOrder  callKind = "order"
 )
 
-// deathKind is how a lease holder ends.
-type deathKind string
+// failureKind is the way in which a lease holder fails.
+type failureKind string
 
 const (
-	diesBefore deathKind = "before" // before an effect
-	diesAfter  deathKind = "after"  // after an effect, whose response it doesn't get
-	stops      deathKind = "stop"   // it is stopped, and releases the lease
+	crashBeforeEffect failureKind = "before" // crash before the effect of a call
+	crashAfterEffect  failureKind = "after"  // crash after the effect of a call, before its response
+	gracefulStop      failureKind = "stop"   // regular shutdown, which releases the lease
 )
 
-var errNoResponse = errors.New("no response")
+var errNoResponse = errors.New("simulated network: no response")
 
-// testSite is a site made of test doubles: control state, list, workers and four core machines.
+// testSite is a simulated site: control state, the platform's worker list, workers and core machines.
 type testSite struct {
-	t          *testing.T
-	clock      clock.Clock
-	bounds     settings.Bounds
-	mu         sync.Mutex
-	documents  map[string]*wire.Document
-	lease      *wire.Lease
-	grantedAt  time.Duration // when the lease was granted
-	workers    map[string]*testWorker
-	named      map[string]uint64
-	namedAt    map[string]time.Duration
-	cordonedAt map[string]time.Duration // by worker: since when the stored placement cordons it
-	processes  map[string]*daemon.Process
-	dead       map[string]time.Duration
-	listDown   bool // the list can't be read
-
-	effects         int // so far
-	deathAt         int // the effect at which the holder dies; 0: none
-	deathKind       deathKind
-	lossProbability float64 // of each response
+	t               *testing.T
+	clock           clock.Clock
+	bounds          settings.Bounds
+	mu              sync.Mutex
+	documents       map[string]*wire.Document
+	lease           *wire.Lease
+	grantedAt       time.Duration // when the lease was last granted or renewed
+	workers         map[string]*testWorker
+	named           map[string]uint64
+	namedAt         map[string]time.Duration
+	cordonedAt      map[string]time.Duration // time since which the stored placement cordons a worker, by worker ID
+	processes       map[string]*daemon.Process
+	crashedAt       map[string]time.Duration
+	listUnavailable bool // reads of the platform's list fail
+
+	effects         int // puts, orders and report requests so far
+	failAtEffect    int // number of the effect at which the holder fails; 0: none
+	failureKind     failureKind
+	lossProbability float64 // probability that a response is lost
 	random          *rand.Rand
-	victim          string
+	failedMachine   string // machine that crashed or was stopped; empty if none
 	stopping        sync.WaitGroup
 
-	lastOrders     map[string]receivedOrder // by worker
+	lastOrders     map[string]receivedOrder // by worker ID
 	ordersReceived int
 	listReads      int
 	maxLoading     int
 	callCounts     map[callKind]int
-	inFlight       map[string]int // orders, by holder
+	inFlight       map[string]int // unanswered orders, by holder
 }
 
 // receivedOrder is the last order that a worker received.
@@ -91,13 +91,13 @@
 	at           time.Duration
 }
 
-// testWorker is a worker whose states are known for all time.
+// testWorker is a simulated worker with its past and scheduled states.
 type testWorker struct {
 	worker       fleet.Worker
 	fencingToken uint64
 	states       []workerState  // oldest first
-	loads        map[uint64]int // how often it loaded each version
-	silent       bool           // it responds to nobody
+	loads        map[uint64]int // number of loads of each version
+	unresponsive bool           // responds to no call
 }
 
 type workerState struct {
@@ -119,7 +119,7 @@
 
 func newTestSite(t *testing.T, workers int) *testSite {
 	s := &testSite{t: t, clock: clock.Synctest(), bounds: bounds(), documents: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
-		namedAt: map[string]time.Duration{}, cordonedAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, dead: map[string]time.Duration{},
+		namedAt: map[string]time.Duration{}, cordonedAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, crashedAt: map[string]time.Duration{},
 		lastOrders: map[string]receivedOrder{}, random: rand.New(rand.NewPCG(1, 2)), callCounts: map[callKind]int{}, inFlight: map[string]int{}}
 	for i := range workers {
 		s.addWorker(fmt.Sprintf("w%02d", i), 1)
@@ -146,8 +146,8 @@
 func (s *testSite) stop() {
 	s.mu.Lock()
 	for name := range s.processes {
-		if _, ok := s.dead[name]; !ok {
-			s.dead[name] = s.clock.Now()
+		if _, ok := s.crashedAt[name]; !ok {
+			s.crashedAt[name] = s.clock.Now()
 		}
 	}
 	processes := s.processes
@@ -177,7 +177,7 @@
 	var view clustermembership.View
 	for _, name := range maputil.SortedKeys(s.processes) {
 		node := &wire.Node{Name: clustermembership.RolePromptIndex + "/" + name, Role: clustermembership.RolePromptIndex}
-		if at, ok := s.dead[name]; ok && s.clock.Now()-at > 4*time.Second {
+		if at, ok := s.crashedAt[name]; ok && s.clock.Now()-at > 4*time.Second {
 			node.State = clustermembership.Dead
 		}
 		view.Nodes = append(view.Nodes, node)
@@ -191,13 +191,14 @@
 	s.named[model], s.namedAt[model] = version, s.clock.Now()
 }
 
-// rolledOut reports whether all workers serve a version, the documents say so, and none is cordoned.
+// rolledOut reports whether all workers that can serve have at least the version, the stored worker list shows
+// it, and no worker is cordoned.
 func (s *testSite) rolledOut(version uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	published, serving := s.publishedVersions(), 0
 	for id, worker := range s.workers {
-		if worker.worker.Draining || worker.silent {
+		if worker.worker.Draining || worker.unresponsive {
 			continue
 		}
 		if serving++; published[id] < version || worker.stateAt(s.clock.Now()).version < version {
@@ -207,7 +208,7 @@
 	return serving > 0 && len(s.cordoned()) == 0
 }
 
-// waitUntil lets time pass until a condition holds, and returns how long that took.
+// waitUntil waits until the condition holds, and returns how long that took. On timeout, it fails the test.
 func (s *testSite) waitUntil(condition func() bool, timeout time.Duration) time.Duration {
 	s.t.Helper()
 	start := s.clock.Now()
@@ -215,7 +216,7 @@
 		if s.clock.Now()-start > timeout {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.t.Errorf("the condition doesn't hold after %v: workers %v, cordoned %v, lease %v, dead %v", timeout, s.publishedVersions(), s.cordoned(), s.lease, s.dead)
+			s.t.Errorf("expected state of the site was not reached within %v: published versions by worker %v, cordoned %v, lease %v, crashed machines %v", timeout, s.publishedVersions(), s.cordoned(), s.lease, s.crashedAt)
 			return timeout
 		}
 		<-time.After(25 * time.Millisecond)
