--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -12,7 +12,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// groupMember is a control node of a group; the name of the leader that it knows is shared by all.
+// groupMember is a simulated control node of a group. All members share the name of the leader that they know.
 type groupMember struct {
 	wire.ControlNode
 	mu       *sync.Mutex // guards the fields of all members
@@ -31,8 +31,8 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: *m.leader}, nil
 }
 
-// The leader of a group is found through members that name it, the cluster membership and the seeds;
-// it is then tried first. An error is returned in time if no member is the leader.
+// The leader of a group is found through the cluster membership, the seeds and members that name it, and is then
+// tried first. If no member is the leader, an error is returned before the caller's deadline.
 func TestGroupLeaderIsFound(t *testing.T) {
 	var addr [4]string
 	var members [4]*groupMember
@@ -42,19 +42,19 @@
 		members[i] = &groupMember{mu: &mu, leader: &leader}
 		addr[i] = serve(t, members[i])
 	}
-	bounds := boundsWithHeal(60000) // so long that no attempt starts too late on a busy machine
+	bounds := boundsWithHeal(60000) // long enough that attempts do not time out on a busy machine
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-2", Role: "archive", Addr: addr[1]}, {Name: "runner/e", Role: "runner", Addr: addr[0]}}}
 	client := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, newTestClients(bounds), bounds)
 	for _, test := range []struct {
 		name     string
 		leader   int
-		named    string // whom the others name as the leader
+		named    string // leader named by the other members
 		attempts [4]int
 	}{
-		{"named by a node of the cluster membership", 3, addr[3] + "/8f3a", [4]int{0, 1, 0, 1}},
-		{"tried first the next time", 3, "", [4]int{0, 0, 0, 1}},
-		{"another leads, and the one before names it", 1, addr[1] + "/0", [4]int{0, 1, 0, 1}},
-		{"another leads, and none names it", 2, "", [4]int{0, 1, 1, 0}},
+		{"leader is named by a node of the cluster membership", 3, addr[3] + "/8f3a", [4]int{0, 1, 0, 1}},
+		{"known leader is tried first", 3, "", [4]int{0, 0, 0, 1}},
+		{"new leader is named by the previous one", 1, addr[1] + "/0", [4]int{0, 1, 0, 1}},
+		{"new leader is not named by any member", 2, "", [4]int{0, 1, 1, 0}},
 	} {
 		mu.Lock()
 		for i, member := range members {
@@ -66,7 +66,7 @@
 		mu.Lock()
 		attempts := [4]int{members[0].attempts, members[1].attempts, members[2].attempts, members[3].attempts}
 		if err != nil || response.Version != 7 || attempts != test.attempts {
-			t.Errorf("%s: %v, %v, attempts %v, want %v", test.name, response, err, attempts, test.attempts)
+			t.Errorf("%s: response %v, error %v; attempts by member %v, want %v", test.name, response, err, attempts, test.attempts)
 		}
 		mu.Unlock()
 	}
@@ -78,13 +78,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := client.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
-		t.Errorf("no member is the leader: %v", err)
+		t.Errorf("change without a leader: error %v, want kind errs.OutcomeUnknown", err)
 	}
 	client.SetSeeds([]string{"127.0.0.1:2"})
 	if got, want := fmt.Sprint(client.Addresses()), fmt.Sprint([]string{addr[2], addr[1], "127.0.0.1:2"}); got != want {
-		t.Errorf("addresses: %s, want %s", got, want)
+		t.Errorf("Addresses after SetSeeds: %s, want %s", got, want)
 	}
 	if MemberAddr("10.1.0.17:7360/8f3a") != "10.1.0.17:7360" || MemberAddr("10.1.0.17:7360") != "10.1.0.17:7360" {
-		t.Error("the address in a member's name")
+		t.Error("MemberAddr did not return the address part of a member name")
 	}
 }
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -17,7 +17,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// connectionFault is what a faultyMember does to a connection.
+// connectionFault is a fault that a faultyMember injects into a connection.
 type connectionFault string
 
 const (
@@ -27,26 +27,26 @@
 	faultGarbage connectionFault = "garbage"
 )
 
-// faultStep is when a faultyMember does it.
+// faultStep is the step of a change at which a faultyMember injects its fault.
 type faultStep string
 
 const (
 	stepConnected     faultStep = "connected"
 	stepBodyRead      faultStep = "body read"
 	stepHalfResponded faultStep = "half responded"
-	stepResponded     faultStep = "responded" // the next change finds the connection so
+	stepResponded     faultStep = "responded" // the fault is injected after the response to the first change
 )
 
-// faultyMember is a control node on a real socket: it responds to each change, counts those that it
-// has read completely, and does one fault at one step of the second change.
+// faultyMember is a control node with a real TCP listener. It responds to each change, counts the changes that it
+// has read completely, and injects one fault at one step of the second change.
 type faultyMember struct {
 	addr  string
 	step  faultStep
 	fault connectionFault
-	once  sync.Once // the fault is done once
+	once  sync.Once // limits the fault to one injection
 
 	mu       sync.Mutex
-	received map[string]int // changes by the key of the put
+	received map[string]int // number of changes received, by document key
 }
 
 func newFaultyMember(t *testing.T, step faultStep, fault connectionFault) *faultyMember {
@@ -73,39 +73,40 @@
 	return m
 }
 
-// serve handles the requests of one connection until it is closed or the fault is done.
+// serve handles the requests of one connection until it is closed or the fault has been injected.
 func (m *faultyMember) serve(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for requests := 0; ; requests++ {
-		failed := func(step faultStep) bool { return m.isDue(requests, step) && m.fail(conn) }
+		injected := func(step faultStep) bool { return m.isDue(requests, step) && m.inject(conn) }
 		if requests == 1 {
-			if _, err := reader.Peek(1); err != nil || failed(stepConnected) {
+			if _, err := reader.Peek(1); err != nil || injected(stepConnected) {
 				return
 			}
 		}
-		if !m.readChange(reader) || failed(stepBodyRead) {
+		if !m.readChange(reader) || injected(stepBodyRead) {
 			return
 		}
 		response := changeResponse()
-		if _, err := io.WriteString(conn, response[:len(response)/2]); err != nil || failed(stepHalfResponded) {
+		if _, err := io.WriteString(conn, response[:len(response)/2]); err != nil || injected(stepHalfResponded) {
 			return
 		}
-		if _, err := io.WriteString(conn, response[len(response)/2:]); err != nil || failed(stepResponded) {
+		if _, err := io.WriteString(conn, response[len(response)/2:]); err != nil || injected(stepResponded) {
 			return
 		}
 	}
 }
 
-// isDue reports whether the fault is to be done at a step of a request, of which so many came before
-// on the connection. The second change finds the connection as the first one's response left it.
+// isDue reports whether the fault should be injected at a step of a request, given the number of earlier requests
+// on the connection. With stepResponded, the fault follows the first response, so that the second change is sent
+// on the faulty connection.
 func (m *faultyMember) isDue(requestsBefore int, step faultStep) bool {
 	return step == m.step && (requestsBefore == 1 || requestsBefore == 0 && step == stepResponded)
 }
 
-// fail does the fault, and reports whether it did: false from the second time on.
-func (m *faultyMember) fail(conn net.Conn) (failed bool) {
-	m.once.Do(func() { failed = true })
-	if !failed {
+// inject injects the fault. It returns false without an effect if the fault has been injected before.
+func (m *faultyMember) inject(conn net.Conn) (injected bool) {
+	m.once.Do(func() { injected = true })
+	if !injected {
 		return false
 	}
 	switch m.fault {
@@ -120,7 +121,7 @@
 	return true
 }
 
-// readChange reads one change and counts it; false if it wasn't complete.
+// readChange reads one change and counts it. It returns false if the change is incomplete.
 func (m *faultyMember) readChange(reader *bufio.Reader) bool {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -137,15 +138,15 @@
 	return true
 }
 
-// changeResponse is the HTTP response to a change that was made.
+// changeResponse returns the HTTP response to an applied change.
 func changeResponse() string {
 	body, _ := proto.Marshal(&wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7})
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// A change without a token is sent once, whatever fault its connection has, and also by net/http,
-// which retries by itself on connections that served before. With a token it may be sent again, and
-// has the same outcome.
+// A change without a token is sent at most once, regardless of the connection fault. In particular, net/http must
+// not resend it, as it does with some requests on reused connections. A change with a token may be sent again and
+// must succeed.
 func TestChangeWithoutTokenIsSentOnce(t *testing.T) {
 	for _, step := range []faultStep{stepConnected, stepBodyRead, stepHalfResponded, stepResponded} {
 		for _, fault := range []connectionFault{faultTimeout, faultReset, faultClose, faultGarbage} {
@@ -177,12 +178,12 @@
 	defer member.mu.Unlock()
 	received := member.received["second"]
 	if token == "" && received > 1 {
-		t.Errorf("received %d times", received)
+		t.Errorf("change without a token was received %d times, want at most once", received)
 	}
 	if err == nil && received == 0 || err != nil && errs.KindOf(err) != errs.MayHaveExecuted {
-		t.Errorf("%v, received %d times", err, received)
+		t.Errorf("change with the fault: error %v, received %d times; want an error of kind errs.MayHaveExecuted, or none if received", err, received)
 	}
 	if token != "" && err != nil {
-		t.Errorf("with a token: %v", err)
+		t.Errorf("change with a token: error %v, want none", err)
 	}
 }
