--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -100,8 +100,8 @@
 	return attempt(ctx, c.clients.ControlNode(addr))
 }
 
-// Change applies a change at most once. After a lost response, it is retried only if a second execution has
-// no effect; a put without a token or an expected version is therefore not retried.
+// Change applies a change at most once. After a lost response, it sends the change again unless the change could
+// then be applied twice, as is the case for a put without a token and an expected version.
 //
 // The kind of the error is errs.MayHaveExecuted if the change was sent but its outcome is unknown,
 // errs.OutcomeUnknown if no leader was found, and the kind given by the leader if it rejected the change.
--- a/internal/control/controlclient/partition_test.go
+++ b/internal/control/controlclient/partition_test.go
@@ -36,7 +36,7 @@
 	g := m.group
 	g.mu.Lock()
 	g.tried = append(g.tried, m.name)
-	partitioned, isLeader, named := g.partitioned[m.name], g.leader == m.name, g.addr[g.namedLeader]
+	partitioned, isLeader, namedLeader := g.partitioned[m.name], g.leader == m.name, g.addr[g.namedLeader]
 	g.mu.Unlock()
 	switch {
 	case partitioned:
@@ -45,7 +45,7 @@
 	case isLeader:
 		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7}, nil
 	}
-	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: named}, nil
+	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: namedLeader}, nil
 }
 
 func newTestGroup(t *testing.T, names ...string) (*testGroup, *Client) {
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -171,7 +171,7 @@
 		return err
 	}
 	if err := change("first", "first"); err != nil {
-		t.Fatal(err)
+		t.Fatal("first change, before the fault:", err)
 	}
 	err := change("second", token)
 	member.mu.Lock()
--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -10,9 +10,9 @@
 // A worker is cordoned before it is ordered to load other weights: the stored placement lists it as
 // cordoned, and proxies send it no new requests while it is listed.
 //
-// Durations are fractions of the bounds in settings.Bounds: Leave, after which a worker that left receives
-// no more requests; Weights, after which no request starts on older weights; and Heal, after which service
-// is restored following a fault.
+// Durations are fractions of the bounds in settings.Bounds: Leave, within which a worker that left stops
+// receiving requests; Weights, within which requests stop starting on older weights; and Heal, within which
+// service is restored after a fault.
 //
 // The package controls workers through a backend.Client. Package placementcontroller does the same for
 // workers that implement the product's own contract.
--- a/internal/control/controllers/controller_test.go
+++ b/internal/control/controllers/controller_test.go
@@ -57,7 +57,7 @@
 			for effect := 1; effect <= total; effect++ {
 				runWithHolderFailure(t, kind, effect)
 				if t.Failed() {
-					t.Fatalf("the rollout failed when the holder failed (%s) at effect %d of %d", kind, effect, total)
+					t.Fatalf("rollout with a holder failure (%s) at effect %d of %d did not pass the checks reported above", kind, effect, total)
 				}
 			}
 		}
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -139,7 +139,7 @@
 	}
 	if document := s.documents[fleet.PlacementKey+"reading"]; document != nil {
 		if err := json.Unmarshal(document.Body, &placement); err != nil {
-			s.t.Error(err)
+			s.t.Error("decode stored placement:", err)
 		}
 	}
 	return placement.Cordoned
@@ -150,7 +150,7 @@
 	var list fleet.WorkerList
 	if document := s.documents[fleet.WorkersKey]; document != nil {
 		if err := json.Unmarshal(document.Body, &list); err != nil {
-			s.t.Error(err)
+			s.t.Error("decode stored worker list:", err)
 		}
 	}
 	versions := map[string]uint64{}
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// nextPlacement returns the next placement and whether it differs enough from the current one to be
-// published. Between full computations, it only replaces the coldest replicated prefixes by ones that have become hot in
-// a burst of requests.
+// nextPlacement returns the next placement and whether it differs enough from the current one to be published.
+// Between full computations, it only replaces the coldest replicated prefixes by ones that have become hot in a
+// burst of requests.
 func nextPlacement(p *servicePlacement, service routingconfig.Service, hot []*wire.HotPrefix, workers []string,
 	now, recomputeInterval time.Duration) (*placement.Placement, bool) {
 	old := p.desired
--- a/internal/control/controllers/rollout.go
+++ b/internal/control/controllers/rollout.go
@@ -103,8 +103,8 @@
 	concurrency        map[string]int           // highest limit on concurrent loads in this rollout, by service
 }
 
-// NewRollout returns a rollout. cordoned lists the workers that a previous lease holder had cordoned; each of
-// them may have received an order.
+// NewRollout returns a rollout. cordoned holds the IDs of the workers that a previous lease holder had cordoned;
+// each of them may have received an order.
 //
 // Example: r := controllers.NewRollout(bounds, placement.Cordoned)
 func NewRollout(bounds settings.Bounds, cordoned []string) *Rollout {
@@ -280,7 +280,7 @@
 	}
 }
 
-// dropLoad ends a load when the worker cannot have an order left to execute.
+// dropLoad ends a load whose worker has no order left to execute.
 func (r *Rollout) dropLoad(id string) {
 	delete(r.loads, id)
 	delete(r.possiblyOrdered, id)
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -116,7 +116,7 @@
 	switch {
 	case response.name == "new":
 		if s.upToDate = true; version != 2 || model != "daka" {
-			s.t.Fatalf("after responses %v: HandleReport returned model %q, version %d; want daka, 2", s.events, model, version)
+			s.t.Fatalf("after responses %v: HandleReport returned model %q, version %d; want model daka, version 2", s.events, model, version)
 		}
 		s.worker.Weights = newWeights
 	case response.name == "old" && s.now-s.orderedAt >= bounds().Leave(maxReportAgeRatio):
@@ -233,7 +233,7 @@
 			}
 		}
 		if cordoned < test.earliest-b.Leave(cordonLeadRatio) || ordered < test.earliest || ordered-cordoned < b.Leave(cordonLeadRatio) || ordered > test.earliest+2*b.Leave(cordonLeadRatio) {
-			t.Errorf("case %+v: worker cordoned at %v, ordered at %v; want both shortly after the earliest times", test, cordoned, ordered)
+			t.Errorf("case %+v: worker cordoned at %v, ordered at %v; want it ordered soon after the earliest time, and cordoned for cordonLeadRatio before that", test, cordoned, ordered)
 		}
 	}
 	rollout := NewRollout(bounds(), []string{"1"}) // a previously cordoned worker may have received an order
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -40,7 +40,7 @@
 	callOrder  callKind = "order"
 )
 
-// failureKind is the way in which a lease holder fails.
+// failureKind is the way in which a test takes down a lease holder.
 type failureKind string
 
 const (
@@ -69,7 +69,7 @@
 	listUnavailable bool // reads of the platform's list fail
 
 	effects         int // puts, orders and report requests so far
-	failAtEffect    int // number of the effect at which the holder fails; 0: none
+	failAtEffect    int // value of effects at which the holder fails; 0: never
 	failureKind     failureKind
 	lossProbability float64 // probability that a response is lost
 	random          *rand.Rand
