--- a/internal/control/controllers/concurrency.go
+++ b/internal/control/controllers/concurrency.go
@@ -16,8 +16,8 @@
 	maxConcurrencyRatio  = 1.0 / 3 // fraction of the service's workers, when the deadline is near
 
 	// Fractions of Bounds.Weights. The limit is chosen such that all loads fit into a span of
-	// rolloutSpanRatio that begins rolloutTailRatio after the rollout became due. The last loads may run
-	// past the point at which proxies stop selecting workers with older weights.
+	// rolloutSpanRatio that begins rolloutTailRatio after the rollout became due. The delayed start allows
+	// the last loads to run after proxies have stopped selecting workers with older weights.
 	rolloutTailRatio = 0.2
 	rolloutSpanRatio = 0.8
 )
@@ -27,7 +27,7 @@
 	outdated   int            // workers that need a newer version, without those waiting for a retry
 	loading    int            // workers that load and count toward the concurrency limit
 	finishing  int            // loading workers that are expected to finish soon
-	cordoned   int            // cordoned workers that have not been sent an order yet
+	cordoned   int            // cordoned workers that wait for an order
 	candidates []fleet.Worker // workers that may be cordoned next
 	model      string         // model whose rollout became due first
 	dueSince   time.Duration  // when the rollout of model became due; negative if unknown
--- a/internal/control/controllers/rollout.go
+++ b/internal/control/controllers/rollout.go
@@ -41,7 +41,7 @@
 type loadStage int
 
 const (
-	stageCordoned loadStage = iota // proxies should send the worker no new requests; no order has been sent
+	stageCordoned loadStage = iota // the worker is, or is about to be, cordoned and waits for an order
 	stageOrdered                   // the call that sends the order is in flight
 	stageLoading                   // the worker accepted the order, or is executing another one
 	stageUnknown                   // it is unknown whether the worker accepted the order
