--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent keeps one machine's processes in contact with the control state: it joins the cluster
-// membership, follows the documents that requests are routed by, proves that the plan in use is fresh,
-// and publishes it all as one immutable snapshot.
+// Package agent connects a process to the replicated control state: it joins the cluster membership,
+// receives updates of the routing plan and related documents by long polling, proves that the plan in use
+// is the newest, and publishes everything as one immutable snapshot.
 package agent
 
 import (
@@ -18,27 +18,28 @@
 	"pebbleloom/internal/wire"
 )
 
-// Agent is the agent of one process. All its methods are safe for concurrent use.
+// Agent maintains one process's snapshot of the control state. All its methods are safe for concurrent use.
 type Agent struct {
 	process   *daemon.Process
 	actor     *queue.Actor[table]
 	member    *clustermembership.Member
-	view      atomic.Pointer[clustermembership.View] // the newest, for the actor
+	view      atomic.Pointer[clustermembership.View] // latest cluster membership, read by the actor
 	connect   func(addr string) wire.ControlNode
 	published atomic.Pointer[publishedSnapshot]
 
-	// Guarded by the actor.
-	followed map[string]context.CancelFunc // by address: the control nodes that are followed
+	// Accessed only by the actor's commands.
+	followed map[string]context.CancelFunc // cancels the long polling of a control node, by its address
 	seeds    []string
 }
 
-// publishedSnapshot is a snapshot, and a channel that is closed when one with an update replaces it.
+// publishedSnapshot is a snapshot with a channel that is closed once a snapshot with other contents replaces it.
 type publishedSnapshot struct {
 	snapshot *fleet.Snapshot
 	replaced chan struct{}
 }
 
-// Start joins the cluster membership in a role and follows the control state until the process stops.
+// Start joins the cluster membership in the given role and receives updates of the control state until the
+// process stops.
 //
 // Example: a, err := agent.Start(process, codec, clustermembership.RoleNodeAgent)
 func Start(process *daemon.Process, codec backend.Codec, role string) (*Agent, error) {
@@ -63,7 +64,7 @@
 	return agent, nil
 }
 
-// addMetrics adds the metrics of the snapshot in use.
+// addMetrics registers gauges for the current snapshot.
 func (a *Agent) addMetrics() {
 	meter := a.process.Meter
 	meter.Gauge("pebbleloom_plan_version", "version of the plan in use", func() float64 {
@@ -78,7 +79,7 @@
 	meter.Gauge("pebbleloom_workers_known", "workers in the snapshot in use", func() float64 { return float64(len(a.Snapshot().Workers)) })
 }
 
-// newAgent makes an agent that follows no control node yet.
+// newAgent returns an agent that does not poll any control node yet.
 func newAgent(process *daemon.Process, codec backend.Codec, connect func(addr string) wire.ControlNode) *Agent {
 	a := &Agent{process: process, connect: connect, seeds: process.Settings.Seeds, followed: map[string]context.CancelFunc{}}
 	t := newTable(process.Settings.Bounds, codec, process.Clock.Now())
@@ -93,13 +94,14 @@
 	return a
 }
 
-// Snapshot returns the current snapshot; its Plan is nil before the first one. It must not be changed.
+// Snapshot returns the current snapshot, which the caller must not modify. Its Plan is nil until the first
+// plan has been received.
 //
 // Example: snapshot := a.Snapshot(); if snapshot.Plan == nil { return notReady }
 func (a *Agent) Snapshot() *fleet.Snapshot { return a.published.Load().snapshot }
 
-// Changed is closed on an update other than a later proof. Call it before Snapshot, so that no update is
-// missed in between.
+// Changed returns a channel that is closed when the contents of the snapshot change; a newer freshness proof
+// alone does not close it. Call it before Snapshot so that no update in between is missed.
 //
 // Example: changed := a.Changed(); use(a.Snapshot()); <-changed
 func (a *Agent) Changed() <-chan struct{} { return a.published.Load().replaced }
@@ -109,13 +111,14 @@
 // Example: for _, node := range a.Membership().Role(clustermembership.RolePromptIndex) { ask(node.Addr) }
 func (a *Agent) Membership() clustermembership.View { return a.member.View() }
 
-// Handler serves the calls of the cluster membership; the caller mounts it where this process listens.
+// Handler returns the HTTP handler of the cluster membership protocol. The caller registers it with the
+// process's HTTP server.
 //
 // Example: mux.Handle(wire.MembershipPathPrefix, a.Handler())
 func (a *Agent) Handler() http.Handler { return wire.NewMembershipServer(a.member) }
 
-// publish makes the table's snapshot visible to readers, as a copy that is never changed. isUpdate is
-// false if only the proof is later.
+// publish makes a copy of the table's snapshot visible to readers; the copy is never modified. isUpdate is
+// false if nothing but the time of the freshness proof has changed.
 func (a *Agent) publish(t *table, isUpdate bool) {
 	old, snapshot := a.published.Load(), t.snapshot
 	if !isUpdate {
@@ -126,14 +129,14 @@
 	close(old.replaced)
 }
 
-// updateMembership applies the current cluster membership.
+// updateMembership applies the latest cluster membership to the table and publishes the result if it differs.
 func (a *Agent) updateMembership(t *table) {
 	if t.applyMembership(*a.view.Load(), a.process.Clock.Now()) {
 		a.publish(t, true)
 	}
 }
 
-// updateFollowed starts and stops followers, so that the right control nodes are followed.
+// updateFollowed starts polling the control nodes returned by controlNodes and stops polling all others.
 func (a *Agent) updateFollowed(t *table) {
 	a.updateMembership(t)
 	wanted := a.controlNodes(t)
@@ -152,9 +155,9 @@
 	}
 }
 
-// controlNodes are the addresses of the control nodes to follow: the members of the group. An agent that is
-// out of contact follows the seeds and all known control nodes too: the members may have been replaced
-// meanwhile.
+// controlNodes returns the addresses of the control nodes to poll: normally the members of the consensus
+// group. An agent that is out of contact also polls the seeds and all known control nodes, because the
+// members may have been replaced in the meantime.
 func (a *Agent) controlNodes(t *table) map[string]bool {
 	addrs := map[string]bool{}
 	for _, member := range t.proof.Members() {
@@ -174,19 +177,21 @@
 	return addrs
 }
 
-// handleResponse applies one member's response, and reports whether it had an update.
+// handleResponse applies the response of one member of the consensus group and reports whether it contained
+// an update. requested is the version of the plan that the request was sent with.
 func (a *Agent) handleResponse(response *wire.FollowResponse, requested uint64, requestedAt time.Duration) (isUpdate bool) {
 	a.actor.Ask(func(t *table) {
 		generation, term, index, hadNoProof := t.proof.generation, t.proof.term, t.proof.index, t.snapshot.ProofAt == 0
 		var err error
 		isUpdate, err = t.applyResponse(response, requested, requestedAt, a.process.Clock.Now())
 		if err != nil {
-			// The control state holds checked documents; a program older than a document can still fail here.
-			a.process.Log.Error("document can't be read: the previous one stays in use", "from", response.Member, "error", err)
+			// Documents are validated before they are stored, but a newer release may use a format that this
+			// one does not know.
+			a.process.Log.Error("failed to decode documents from control node; keeping their previous versions", "from", response.Member, "error", err)
 		}
 		a.publish(t, isUpdate)
 		if hadNoProof && t.snapshot.ProofAt > 0 {
-			a.process.Log.Info("first plan proved", "version", t.snapshot.Plan.Version, "workers", len(t.snapshot.Workers))
+			a.process.Log.Info("first routing plan confirmed as the newest by a quorum of control nodes", "version", t.snapshot.Plan.Version, "workers", len(t.snapshot.Workers))
 		}
 		if t.proof.generation != generation || t.proof.term != term || t.proof.index != index {
 			a.updateFollowed(t)
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -17,7 +17,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// fakeGroup is a group of fake control nodes with the same responses.
+// fakeGroup is a group of fake control nodes that share one state; each may fail in its own way.
 type fakeGroup struct {
 	wire.ControlNode
 	mu              sync.Mutex
@@ -26,8 +26,8 @@
 	version         uint64
 	changed         chan struct{}
 	requests        map[string]int
-	waitingRequests map[string]int    // requests that are held now
-	behavior        map[string]string // "hangs", "errs", "empty", "behind"
+	waitingRequests map[string]int    // by address: long polls that have not been answered yet
+	behavior        map[string]string // by address: "" (responds), "hangs", "errs", "empty", "behind"
 }
 
 func newFakeGroup(members ...string) *fakeGroup {
@@ -42,12 +42,14 @@
 	g.changed = make(chan struct{})
 }
 
-// requestCount is how many requests an address got; waitingCount is how many it holds.
+// requestCount returns how many requests the node at addr has received.
 func (g *fakeGroup) requestCount(addr string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.requests[addr]
 }
+
+// waitingCount returns how many requests the node at addr has not answered yet.
 func (g *fakeGroup) waitingCount(addr string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,7 +75,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case "errs":
-		return nil, errs.New(errs.OutcomeUnknown, "no")
+		return nil, errs.New(errs.OutcomeUnknown, "injected failure of the control node")
 	case "empty":
 		return &wire.FollowResponse{}, nil
 	}
@@ -102,13 +104,13 @@
 func runAgent(t *testing.T, group *fakeGroup, test func(t *testing.T, a *Agent)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		group.changed = make(chan struct{}) // of this bubble
+		group.changed = make(chan struct{}) // must be created inside the synctest bubble
 		environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
 		process := daemon.NewIn(environment, "agent", settings.Process{Name: "edge-1", Bounds: settings.DefaultBounds(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Options: []string{"log=off"}})
 		a := newAgent(process, &versionCodec{}, func(addr string) wire.ControlNode { return fakeControlNode{group, addr} })
 		if a.Snapshot() == nil || a.Snapshot().Plan != nil {
-			t.Fatal("a plan before any was received")
+			t.Fatalf("snapshot before any response: got %+v, want one without a plan", a.Snapshot())
 		}
 		a.actor.Ask(a.updateFollowed)
 		process.Every(process.Settings.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
@@ -118,7 +120,7 @@
 	})
 }
 
-// wait waits for a moment in the bubble's time, in which only the agent runs.
+// wait advances the fake time of the synctest bubble by d and lets all goroutines block again.
 func wait(d time.Duration) {
 	timer := time.NewTimer(d)
 	<-timer.C
@@ -138,7 +140,7 @@
 	runAgent(t, group, func(t *testing.T, agent *Agent) {
 		synctest.Wait()
 		if planVersion(agent) != 1 {
-			t.Fatalf("plan %d", planVersion(agent))
+			t.Fatalf("plan version after start: got %d, want 1", planVersion(agent))
 		}
 		wait(10*time.Second + 100*time.Millisecond)
 		changed, before := agent.Changed(), agent.Snapshot()
@@ -147,36 +149,36 @@
 		select {
 		case <-changed:
 		default:
-			t.Fatal("Changed isn't closed on the update")
+			t.Fatal("channel returned by Changed was not closed when a plan update arrived")
 		}
 		if planVersion(agent) != 2 || before.Plan.Version != 1 {
-			t.Fatalf("plan %d, and the old snapshot says %d", planVersion(agent), before.Plan.Version)
+			t.Fatalf("plan versions after the update: got %d in the new snapshot and %d in the old one, want 2 and 1", planVersion(agent), before.Plan.Version)
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; agent.Snapshot().ProofAt == 0 || age > agent.process.Settings.Bounds.Config(1.1) {
-			t.Fatalf("the proof is %v old", age)
+			t.Fatalf("freshness proof is %v old with one unresponsive member, want at most %v", age, agent.process.Settings.Bounds.Config(1.1))
 		}
 	})
 }
 
-// On a quiet site each member gets about one request in a long poll's time, the seeds that aren't members
-// get none, and a proof is never older than two long polls.
+// While nothing changes, each member gets about one request per long-poll wait, seeds that aren't members get
+// none, and the freshness proof is never older than two long-poll waits.
 func TestQuietSiteIsPolledOncePerLongPoll(t *testing.T) {
 	group := newFakeGroup(threeMembers...)
 	group.behavior["9:9"] = "empty"
 	runAgent(t, group, func(t *testing.T, a *Agent) {
 		wait(5 * time.Second)
-		before, strange := group.requestCount("1:3"), group.requestCount("9:9")
+		memberRequests, nonMemberRequests := group.requestCount("1:3"), group.requestCount("9:9")
 		for range 100 {
 			wait(100 * time.Millisecond)
 			if age := a.process.Clock.Now() - a.Snapshot().ProofAt; age > a.process.Settings.Bounds.Config(2*longPollRatio) {
-				t.Fatalf("the proof is %v old", age)
+				t.Fatalf("freshness proof is %v old, want at most two long-poll waits (%v)", age, a.process.Settings.Bounds.Config(2*longPollRatio))
 			}
 		}
-		if n := group.requestCount("1:3") - before; n < 9 || n > 11 {
-			t.Errorf("%d requests in ten seconds", n)
+		if n := group.requestCount("1:3") - memberRequests; n < 9 || n > 11 {
+			t.Errorf("requests to member 1:3 in ten seconds: got %d, want 9 to 11", n)
 		}
-		if n := group.requestCount("9:9") - strange; n != 0 {
-			t.Errorf("%d requests to one that is no member", n)
+		if n := group.requestCount("9:9") - nonMemberRequests; n != 0 {
+			t.Errorf("requests to seed 9:9, which is not a member: got %d, want none", n)
 		}
 	})
 }
@@ -191,39 +193,40 @@
 		for _, addr := range []string{"1:1", "1:2", "9:9"} {
 			requests := group.requestCount(addr)
 			if requests < 10 || requests > 40 {
-				t.Errorf("%s got %d requests in ten seconds", addr, requests)
+				t.Errorf("requests to failing node %s in ten seconds: got %d, want 10 to 40", addr, requests)
 			}
 		}
 		group.change(func() { group.behavior["1:2"], group.behavior["1:3"] = "", "" })
 		wait(time.Second)
 		if planVersion(agent) != 1 {
-			t.Fatal("no plan a second after two respond again")
+			t.Fatalf("plan version one second after two of three members recovered: got %d, want 1", planVersion(agent))
 		}
 		wait(time.Second)
 		if agent.Snapshot().ProofAt == 0 {
-			t.Fatal("no proof two seconds after two respond again")
+			t.Fatal("no freshness proof two seconds after two of three members recovered")
 		}
-		// A quorum doesn't respond: the proof doesn't advance, and the plan stays.
+		// With a single responsive member there is no quorum: the proof doesn't advance, and the plan stays.
 		group.change(func() { group.behavior["1:3"] = "hangs" })
 		wait(2 * time.Second)
 		proofAt, requests := agent.Snapshot().ProofAt, group.requestCount("1:2")
 		wait(10 * time.Second)
 		if agent.Snapshot().ProofAt != proofAt || planVersion(agent) != 1 {
-			t.Fatalf("one of three moved the proof from %v to %v", proofAt, agent.Snapshot().ProofAt)
+			t.Fatalf("with one of three members responsive: got plan %d with proof at %v, want plan 1 with proof at %v", planVersion(agent), agent.Snapshot().ProofAt, proofAt)
 		}
 		if requests = group.requestCount("1:2") - requests; requests < 20 || requests > 40 {
-			t.Errorf("the one that responds got %d requests in ten seconds", requests)
+			t.Errorf("requests to the only responsive member in ten seconds: got %d, want 20 to 40", requests)
 		}
-		// Once a quorum responds again, there is a proof without waiting for a long poll.
+		// Once a quorum is responsive again, a proof is obtained without waiting for a long poll to end.
 		group.change(func() { group.behavior["1:3"] = "" })
-		wait(agent.process.Settings.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // the last one that hangs
+		wait(agent.process.Settings.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // until the pending request to 1:3 has timed out and was retried
 		if agent.Snapshot().ProofAt <= proofAt {
-			t.Errorf("no proof yet: %v old", agent.process.Clock.Now()-agent.Snapshot().ProofAt)
+			t.Errorf("freshness proof did not advance after a quorum recovered: it is %v old", agent.process.Clock.Now()-agent.Snapshot().ProofAt)
 		}
 	})
 }
 
-// A member is replaced by one at another address; then all that were seeds are removed.
+// The agent keeps polling the current members when a member is replaced by one at another address, and finds
+// the new members through the seeds when all of them are replaced at once.
 func TestMembersAreFollowedAsTheyChange(t *testing.T) {
 	group := newFakeGroup(threeMembers...)
 	runAgent(t, group, func(t *testing.T, agent *Agent) {
@@ -238,67 +241,69 @@
 		group.change(func() { group.version = 9 })
 		wait(3 * time.Second)
 		if group.requestCount("1:1") != n || group.waitingCount("1:1") != 0 || group.waitingCount("1:4") != 1 {
-			t.Errorf("requests to the removed one: %d then %d; held by the new one: %d", n, group.requestCount("1:1"), group.waitingCount("1:4"))
+			t.Errorf("removed member 1:1: got %d requests (%d pending), want %d (none pending); added member 1:4: got %d pending requests, want 1",
+				group.requestCount("1:1"), group.waitingCount("1:1"), n, group.waitingCount("1:4"))
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; planVersion(agent) != 9 || age > agent.process.Settings.Bounds.Config(1) {
-			t.Errorf("plan %d, proof %v old", planVersion(agent), age)
+			t.Errorf("after a member was replaced: got plan %d with a proof %v old, want plan 9 with a proof at most %v old", planVersion(agent), age, agent.process.Settings.Bounds.Config(1))
 		}
-		// All members are replaced while none of them responds: the seeds name the new ones.
+		// All members are replaced while none of the old ones responds: seed 9:9 is one of the new members.
 		group.change(func() {
 			group.members, group.index = []string{"2:1/x", "2:2/y", "9:9/z"}, 9
 			group.behavior["1:2"], group.behavior["1:3"], group.behavior["1:4"] = "hangs", "hangs", "hangs"
 		})
 		wait(10 * time.Second)
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; age > agent.process.Settings.Bounds.Config(1) {
-			t.Errorf("the new members aren't found: proof %v old", age)
+			t.Errorf("after all members were replaced: freshness proof is %v old, want at most %v", age, agent.process.Settings.Bounds.Config(1))
 		}
 	})
 }
 
-// A member that is behind, and one that knows nothing, get no more requests than the retry delay allows.
+// A member whose log lags behind, and a node that belongs to no group, get no more requests than the retry
+// delay allows.
 func TestUselessResponsesAreRetriedWithDelay(t *testing.T) {
 	group := newFakeGroup(threeMembers...)
 	group.behavior["1:1"], group.behavior["1:2"], group.behavior["9:9"] = "behind", "empty", "empty"
 	runAgent(t, group, func(t *testing.T, a *Agent) {
 		wait(10 * time.Second)
 		if n := group.requestCount("1:2"); n > 40 {
-			t.Errorf("%d requests in ten seconds", n)
+			t.Errorf("requests in ten seconds to a node that sends empty responses: got %d, want at most 40", n)
 		}
-		if had := group.requestCount("1:1"); had > 12 {
-			t.Errorf("the one that is behind got %d requests", had)
+		if n := group.requestCount("1:1"); n > 12 {
+			t.Errorf("requests in ten seconds to a member that lags behind: got %d, want at most 12", n)
 		}
 		if a.Snapshot().Plan == nil || a.Snapshot().Plan.Version != 1 {
-			t.Errorf("plan %v", a.Snapshot().Plan)
+			t.Errorf("plan from the remaining member: got %v, want version 1", a.Snapshot().Plan)
 		}
 	})
 }
 
-// All seeds that a process started with are down; the settings then name others, and it finds the members.
+// All seeds that a process started with are down. After its settings list other seeds, it finds the members.
 func TestSeedsChangeWhileItRuns(t *testing.T) {
 	group := newFakeGroup("2:1/x", "2:2/y", "2:3/z")
 	group.behavior["1:1"], group.behavior["1:2"], group.behavior["9:9"] = "hangs", "errs", "hangs"
 	runAgent(t, group, func(t *testing.T, a *Agent) {
 		wait(5 * time.Second)
 		if a.Snapshot().Plan != nil {
-			t.Fatal("a plan from nowhere")
+			t.Fatalf("plan while all seeds are down: got version %d, want none", a.Snapshot().Plan.Version)
 		}
 		changed := a.process.Settings
 		changed.Seeds = []string{"2:3", "8:8", "8:9"}
 		a.process.ApplySettings(changed)
 		wait(2 * time.Second)
 		if planVersion(a) != 1 || a.Snapshot().ProofAt == 0 {
-			t.Fatalf("plan %d, proof at %v", planVersion(a), a.Snapshot().ProofAt)
+			t.Fatalf("after the seeds changed: got plan %d with proof at %v, want plan 1 with a proof", planVersion(a), a.Snapshot().ProofAt)
 		}
 	})
 }
 
-// A process that reaches no other starts, serves its snapshot, and stops.
+// A process that can't connect to any other node starts, provides an empty snapshot, and stops.
 func TestStartWithoutReachableMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 },
 			Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				clock.Sleep(ctx, time.Second)
-				return nil, errs.New(errs.OutcomeUnknown, "nobody is there")
+				return nil, errs.New(errs.OutcomeUnknown, "connection refused by the test")
 			}}
 		process := daemon.NewIn(environment, "agent", settings.Process{Name: "edge-1", Listen: "1:9", Bounds: settings.DefaultBounds(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Options: []string{"log=off"}})
@@ -308,10 +313,10 @@
 		}
 		wait(10 * time.Second)
 		if snapshot := a.Snapshot(); snapshot.Plan != nil || snapshot.ProofAt != 0 || snapshot.EdgeCount != assumedEdges || len(snapshot.Nodes) != 1 || a.Membership().Nodes[0].Name != "runner/edge-1" {
-			t.Fatalf("%+v", snapshot)
+			t.Fatalf("snapshot without reachable nodes: got %+v, want no plan, no proof, %d assumed edge machines and only runner/edge-1", snapshot, assumedEdges)
 		}
 		if a.Handler() == nil {
-			t.Fatal("no handler of the cluster membership's calls")
+			t.Fatal("Handler returned nil, want the HTTP handler of the cluster membership protocol")
 		}
 		process.Stop(time.Second)
 		wait(10 * time.Second)
--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -14,8 +14,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// applyDocument takes a newer document into use. Members send committed documents only. One that this
-// program can't read leaves the previous one in use, and the plan's proof then stops growing.
+// applyDocument decodes a newer document and stores it in the snapshot. Members send only committed
+// documents. If decoding fails, the previous version stays in use; for the plan, the freshness proof then no
+// longer advances.
 func (t *table) applyDocument(document *wire.Document, now time.Duration) error {
 	document, err := fleet.Decompress(document)
 	if err != nil {
@@ -27,14 +28,14 @@
 	case fleet.WorkersKey:
 		var list fleet.WorkerList
 		if err := json.Unmarshal(document.Body, &list); err != nil {
-			return errs.WrapAs(err, errs.Internal, "not a table of workers")
+			return errs.WrapAs(err, errs.Internal, "decode list of workers")
 		}
 		t.snapshot.Workers = list.Workers
 		return nil
 	case fleet.WeightsKey:
 		var weights fleet.Weights
 		if err := json.Unmarshal(document.Body, &weights); err != nil {
-			return errs.WrapAs(err, errs.Internal, "not a list of weights")
+			return errs.WrapAs(err, errs.Internal, "decode list of weights versions")
 		}
 		t.applyWeights(weights.Versions, now)
 		return nil
@@ -47,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	plan.Version = document.Version // the committed version counts
+	plan.Version = document.Version // the committed version takes precedence over one in the body
 	t.snapshot.Plan = plan
 	return nil
 }
@@ -66,45 +67,46 @@
 	return nil
 }
 
-// assumedElapsedRatio is how much of the weights bound counts as elapsed for versions that were named while
-// the agent was out of contact.
+// assumedElapsedRatio is the fraction of the weights bound that is assumed to have elapsed for versions of
+// model weights that were configured while the agent was out of contact.
 const assumedElapsedRatio = 0.5
 
-// applyWeights sets the named weights, by model. An agent in contact learns of them at once. One that was
-// out of contact, or has just started, can't know how long ago they were named: half the bound counts as
-// elapsed, or the time since the last contact if that is less.
+// applyWeights sets the configured version of the weights of each model. An agent in contact with the
+// control nodes receives a change immediately. One that was out of contact, or has just started, can't know
+// when the change was made: it assumes that half the weights bound has elapsed since, or the time since the
+// last contact if that is shorter.
 func (t *table) applyWeights(named map[string]uint64, now time.Duration) {
 	since := now
 	if t.isOutOfContact(now) {
 		since = max(t.snapshot.ProofAt, now-t.bounds.Weights(assumedElapsedRatio))
 	}
-	namedAt, superseding := map[string]time.Duration{}, map[string][]fleet.NamedVersion{}
+	namedAt, earlier := map[string]time.Duration{}, map[string][]fleet.NamedVersion{}
 	for model, version := range named {
-		namedAt[model], superseding[model] = since, t.snapshot.EarlierVersions[model]
+		namedAt[model], earlier[model] = since, t.snapshot.EarlierVersions[model]
 		previous, ok := t.snapshot.NamedVersions[model]
 		switch {
 		case ok && previous == version:
 			namedAt[model] = t.snapshot.NamedAt[model]
 		case ok:
 			before := fleet.NamedVersion{Version: previous, At: t.snapshot.NamedAt[model]}
-			superseding[model] = t.addSuperseding(superseding[model], before, now)
+			earlier[model] = t.addEarlierVersion(earlier[model], before, now)
 		}
 	}
-	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = named, namedAt, superseding
+	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = named, namedAt, earlier
 }
 
-// maxSuperseding bounds the versions that are kept of one model.
-const maxSuperseding = 8
+// maxEarlierVersions is the maximum number of earlier versions of the weights that are kept for one model.
+const maxEarlierVersions = 8
 
-// addSuperseding adds a version to those that were named before, oldest first. Once a version's bound has
-// run out, the ones before it don't matter any more; if there are too many, the next takes over the oldest's
-// time, which is stricter.
-func (t *table) addSuperseding(before []fleet.NamedVersion, version fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
+// addEarlierVersion appends a version to the earlier versions of a model, oldest first. Versions that precede
+// one whose bound has expired are dropped, because the bound of that one is the stricter limit. Beyond
+// maxEarlierVersions the oldest is dropped and its successor gets its time, which is the stricter choice.
+func (t *table) addEarlierVersion(before []fleet.NamedVersion, version fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
 	all := append(slices.Clone(before), version)
 	for len(all) > 1 && now-all[1].At >= t.bounds.Weights(1) {
 		all = all[1:]
 	}
-	if len(all) > maxSuperseding {
+	if len(all) > maxEarlierVersions {
 		all[1].At = all[0].At
 		all = all[1:]
 	}
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -10,32 +10,33 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of the requests to members, as ratios of the configuration bound. Chosen, not measured.
+// Timing of the requests to members of the consensus group, as fractions of the configuration bound (the
+// longest time for which a configuration may be used without a new freshness proof).
 const (
-	// longPollRatio is how long a member may wait for an update before it responds. Updates come at once;
-	// this only bounds how often a quiet site is polled. While nothing fails a proof is at most two of these
-	// old.
+	// longPollRatio is how long a member may wait for an update before it responds. Updates are sent
+	// immediately, so this only determines how often members are polled while nothing changes. Without
+	// failures, a freshness proof is never older than two such waits.
 	longPollRatio = 1.0 / 2
-	// responseGraceRatio is how much longer a response may take before the request times out.
+	// responseGraceRatio is added to the wait of a long poll to get the timeout of the request.
 	responseGraceRatio = 1.0 / 4
-	// minRetryDelayRatio is the first delay after an error, or after an early response without an update;
-	// it doubles up to maxRetryDelayRatio.
+	// minRetryDelayRatio is the initial retry delay after an error or after an early response without an
+	// update. The delay doubles with each retry, up to maxRetryDelayRatio.
 	minRetryDelayRatio = 1.0 / 40
 	maxRetryDelayRatio = 1.0 / 5
-	// startRetryDelayRatio is the greatest delay during startPhaseRatio after the start, while there is no
-	// proof: the whole site may have restarted.
+	// startRetryDelayRatio replaces maxRetryDelayRatio for the time startPhaseRatio after the start while there
+	// is no freshness proof, because the whole site may just have restarted.
 	startRetryDelayRatio = 1.0 / 25
 	startPhaseRatio      = 1.0 / 2
 )
 
-// address is where a member listens: its name without its incarnation.
+// address returns the network address of a member, whose name has the form "address/incarnation".
 func address(member string) string {
 	addr, _, _ := strings.Cut(member, "/")
 	return addr
 }
 
-// follow polls one member until ctx is canceled, at the latest when the process stops. Each member has
-// its own goroutine, so that one that hangs delays the updates of none of the others.
+// follow polls one member until ctx is canceled, at the latest when the process stops. Each member is polled
+// by its own goroutine, so that an unresponsive member does not delay updates from the others.
 func (a *Agent) follow(ctx context.Context, addr string) {
 	bounds := a.process.Settings.Bounds
 	longPollTime := bounds.Config(longPollRatio)
@@ -45,7 +46,7 @@
 		var request *wire.FollowRequest
 		requestedAt := a.process.Clock.Now()
 		if !a.actor.Ask(func(t *table) { request = t.newRequest(t.longPollTime(requestedAt)) }) {
-			return // the process stops
+			return // the actor was stopped because the process is stopping
 		}
 		callCtx, cancel := context.WithTimeout(ctx, time.Duration(request.MaxWaitNs)+bounds.Config(responseGraceRatio))
 		response, err := client.Follow(callCtx, request)
@@ -62,7 +63,7 @@
 	}
 }
 
-// requestedVersion is the version of the plan that a request was sent with.
+// requestedVersion returns the version of the plan that a request reports as known to the agent; 0 if none.
 func requestedVersion(request *wire.FollowRequest) uint64 {
 	for _, known := range request.Known {
 		if known.Key == routingconfig.DocumentKey {
--- a/internal/data/agent/freshnessproof_test.go
+++ b/internal/data/agent/freshnessproof_test.go
@@ -8,8 +8,11 @@
 	"pebbleloom/internal/wire"
 )
 
+// threeMembers are the initial members of the consensus group, as "address/incarnation".
 var threeMembers = []string{"1:1/a", "1:2/b", "1:3/c"}
 
+// attestingResponse returns a member's response that its disk has no newer plan and that names the newest
+// membership on its disk, by term and index.
 func attestingResponse(member string, term, index uint64, members ...string) *wire.FollowResponse {
 	return &wire.FollowResponse{Member: member, NothingNewer: true, MembersTerm: term, MembersIndex: index, Members: members}
 }
@@ -20,24 +23,26 @@
 	requestedAt time.Duration
 }
 
-func everyOrder[T any](l []T, f func([]T)) (n int) {
-	var walk func(left, done []T)
-	walk = func(left, done []T) {
-		if len(left) == 0 {
-			n++
-			f(done)
+// forEachPermutation calls visit with every permutation of items and returns their number.
+func forEachPermutation[T any](items []T, visit func([]T)) (count int) {
+	var extend func(remaining, permutation []T)
+	extend = func(remaining, permutation []T) {
+		if len(remaining) == 0 {
+			count++
+			visit(permutation)
 			return
 		}
-		for i := range left {
-			walk(append(slices.Clone(left[:i]), left[i+1:]...), append(slices.Clone(done), left[i]))
+		for i := range remaining {
+			extend(append(slices.Clone(remaining[:i]), remaining[i+1:]...), append(slices.Clone(permutation), remaining[i]))
 		}
 	}
-	walk(l, nil)
-	return n
+	extend(items, nil)
+	return count
 }
 
-// provenByDefinition is the latest instant that the responses received so far prove, by the claim's own
-// words: a quorum of one membership, all of whom reported just that one and had nothing newer.
+// provenByDefinition computes the latest instant that a list of responses proves directly from the claim in
+// the comment of FreshnessProof: each member of a quorum of one membership reported exactly that membership
+// and no newer plan. It is the reference that the implementation is compared with.
 func provenByDefinition(responses []receivedResponse, version uint64) (best time.Duration) {
 	for _, membership := range responses {
 		quorum := len(membership.response.Members)/2 + 1
@@ -57,42 +62,42 @@
 	return best
 }
 
-// Every order of eight responses, between which a member is added: no proof is ever later than what a quorum
-// attested, none decreases, and in the end there is the newest.
+// Tries every order of eight responses, between which a member is added to the group. The proof must never be
+// later than what a quorum attested, must never decrease, and must be the latest possible after all responses.
 func TestEveryOrderOfResponses(t *testing.T) {
 	four := append(slices.Clone(threeMembers), "1:4/d")
-	silent := attestingResponse(threeMembers[2], 1, 9, four...)
-	silent.NothingNewer = false
+	withoutAttestation := attestingResponse(threeMembers[2], 1, 9, four...)
+	withoutAttestation.NothingNewer = false
 	responses := []receivedResponse{
 		{attestingResponse(threeMembers[0], 1, 1, threeMembers...), 7, 10},
 		{attestingResponse(threeMembers[1], 1, 1, threeMembers...), 7, 20},
 		{attestingResponse(threeMembers[2], 1, 1, threeMembers...), 7, 30},
 		{attestingResponse(threeMembers[0], 1, 9, four...), 7, 40},
 		{attestingResponse(threeMembers[1], 1, 9, four...), 8, 50}, // received a newer plan
-		{silent, 7, 60},
+		{withoutAttestation, 7, 60},
 		{attestingResponse("1:4/d", 1, 9, four...), 7, 70},
 		{attestingResponse(threeMembers[2], 1, 9, four...), 7, 80},
 	}
-	orders := everyOrder(responses, func(order []receivedResponse) {
+	orders := forEachPermutation(responses, func(order []receivedResponse) {
 		proof := NewFreshnessProof()
 		before := time.Duration(0)
 		for i, received := range order {
 			proof.AddResponse(received.response, received.version, received.requestedAt)
 			at := proof.FreshUntil(7)
 			if at < before || at > provenByDefinition(order[:i+1], 7) {
-				t.Fatalf("%v: proof at %v, attested at %v, before it %v", order[:i+1], at, provenByDefinition(order[:i+1], 7), before)
+				t.Fatalf("after responses %v: FreshUntil(7) is %v, want at least %v (its previous value) and at most %v (attested by a quorum)", order[:i+1], at, before, provenByDefinition(order[:i+1], 7))
 			}
 			before = at
 		}
 		if before != 40 {
-			t.Fatalf("%v: proof at %v in the end", order, before)
+			t.Fatalf("after all responses, in order %v: FreshUntil(7) is %v, want 40ns", order, before)
 		}
 		if at := proof.FreshUntil(8); at != 50 {
-			t.Fatalf("%v: proof of the newer plan at %v", order, at)
+			t.Fatalf("after all responses, in order %v: FreshUntil(8) is %v, want 50ns", order, at)
 		}
 	})
 	if orders != 40320 {
-		t.Fatalf("%d orders tried", orders)
+		t.Fatalf("tried %d orders of eight responses, want 40320", orders)
 	}
 }
 
@@ -102,13 +107,13 @@
 		proof.AddResponse(attestingResponse(threeMembers[0], 1, 1, threeMembers...), 7, time.Duration(10+i))
 	}
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("one of three proves %v", at)
+		t.Fatalf("attestations of one of three members: FreshUntil is %v, want 0", at)
 	}
-	proof.AddResponse(attestingResponse("1:1/x", 1, 1, threeMembers...), 7, 90) // the same address, another incarnation: its disk was lost
+	proof.AddResponse(attestingResponse("1:1/x", 1, 1, threeMembers...), 7, 90) // same address, new incarnation: the member lost its disk
 	proof.AddResponse(attestingResponse("9:9/z", 1, 1, threeMembers...), 7, 95)
 	proof.AddResponse(&wire.FollowResponse{Member: threeMembers[1], NothingNewer: true}, 7, 99)
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("members of no group and one that knows no members prove %v", at)
+		t.Fatalf("responses of one member, two non-members and one node without a membership: FreshUntil is %v, want 0", at)
 	}
 }
 
@@ -117,27 +122,29 @@
 	proof := NewFreshnessProof()
 	proof.AddResponse(attestingResponse(threeMembers[0], 1, 1, four...), 7, 10)
 	proof.AddResponse(attestingResponse("1:4/d", 1, 1, four...), 7, 20)
-	proof.AddResponse(attestingResponse(threeMembers[0], 1, 5, threeMembers...), 7, 30) // d was removed
+	proof.AddResponse(attestingResponse(threeMembers[0], 1, 5, threeMembers...), 7, 30) // member 1:4/d was removed
 	proof.AddResponse(attestingResponse("1:4/d", 1, 1, four...), 7, 40)
-	proof.AddResponse(attestingResponse(threeMembers[1], 1, 1, four...), 7, 50) // hasn't received that yet
+	proof.AddResponse(attestingResponse(threeMembers[1], 1, 1, four...), 7, 50) // has not received the removal yet
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("a removed member, and one behind, prove %v", at)
+		t.Fatalf("attestations of one current member, one removed member and one with an outdated membership: FreshUntil is %v, want 0", at)
 	}
 	proof.AddResponse(attestingResponse(threeMembers[1], 1, 5, threeMembers...), 7, 60)
 	if at := proof.FreshUntil(7); at != 30 {
-		t.Fatalf("two of three prove %v", at)
+		t.Fatalf("attestations of two of three members at 30ns and 60ns: FreshUntil is %v, want 30ns", at)
 	}
 }
 
-// {a,3,4} of a membership that will never be committed are no quorum against {1,2} of a committed one.
+// Members {a,3,4} are a quorum of the uncommitted membership {1,2,3,4,a}, but don't intersect the quorum {1,2}
+// of the later committed {1,2,3}. Their attestations must not be combined into a proof, because they report
+// different memberships.
 func TestUncommittedMembershipProvesNothing(t *testing.T) {
 	old, lost := []string{"1", "2", "3", "4"}, []string{"1", "2", "3", "4", "a"}
 	proof := NewFreshnessProof()
 	proof.AddResponse(attestingResponse("a", 2, 5, lost...), 7, 10)
 	proof.AddResponse(attestingResponse("4", 2, 5, lost...), 7, 10)
-	// The leader of term 3 has truncated the lost membership from 3's log.
+	// The leader of term 3 has truncated the uncommitted membership from the log of member 3.
 	proof.AddResponse(attestingResponse("3", 1, 1, old...), 7, 20)
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("proof at %v, while {1,2} of {1,2,3} may have acknowledged a newer plan", at)
+		t.Fatalf("FreshUntil is %v, want 0: the quorum {1,2} of {1,2,3} may have acknowledged a newer plan", at)
 	}
 }
--- a/internal/data/agent/restored_test.go
+++ b/internal/data/agent/restored_test.go
@@ -8,20 +8,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// restoredMember is the only member of a group that was restored from the first of the three.
+// restoredMember is the only member of the group that was restored from the disk of threeMembers[0].
 const restoredMember = "1:1/r"
 
+// restoredGeneration is the restore generation of that group; the group before the restore has generation 0.
 const restoredGeneration = 1<<32 | 7
 
-// restoredResponse is a response of the restored group's member, whose term is lower than that of the members that
-// were given up.
+// restoredResponse returns a response of the restored group's only member. Its term is lower than that of the
+// members that the restore abandoned.
 func restoredResponse(docs ...*wire.Document) *wire.FollowResponse {
 	return &wire.FollowResponse{Member: restoredMember, NothingNewer: true, Members: []string{restoredMember}, MembersTerm: 1, MembersIndex: 1,
 		RestoreGeneration: restoredGeneration, Documents: docs}
 }
 
-// In every order of responses of the restored group and of the members that were given up: once the agent has heard of
-// the restore, only the restored group's member proves anything, whatever the terms.
+// Tries every order of responses from the restored group and from members that the restore abandoned. Once the
+// agent has received a response of the restored group, only that group's member may advance the proof, even
+// though the abandoned members report higher terms.
 func TestRestoredGroupReplacesMembership(t *testing.T) {
 	type receivedResponse struct {
 		response    *wire.FollowResponse
@@ -36,28 +38,28 @@
 		{attestingResponse(threeMembers[2], 9, 4, threeMembers...), 8, 50},
 		{restoredResponse(), 6, 35},
 	}
-	everyOrder(responses, func(order []receivedResponse) {
+	forEachPermutation(responses, func(order []receivedResponse) {
 		proof, knowsRestore, before := NewFreshnessProof(), false, time.Duration(0)
 		for _, received := range order {
 			proof.AddResponse(received.response, received.version, received.requestedAt)
 			knowsRestore = knowsRestore || received.response.RestoreGeneration > 0
 			at := proof.FreshUntil(8)
 			if knowsRestore && at > before && received.response.RestoreGeneration == 0 {
-				t.Fatalf("%v: a member that was given up proves the plan up to %v", order, at)
+				t.Fatalf("responses %v: %s, which the restore abandoned, advanced the proof from %v to %v", order, received.response.Member, before, at)
 			}
 			before = at
 		}
 		if members := proof.Members(); len(members) != 1 || members[0] != restoredMember || proof.Generation() != restoredGeneration {
-			t.Fatalf("%v: members %v of generation %d", order, members, proof.Generation())
+			t.Fatalf("responses %v: got members %v of restore generation %d, want only %s of generation %d", order, members, proof.Generation(), restoredMember, uint64(restoredGeneration))
 		}
 		if before < 35 {
-			t.Fatalf("%v: proof at %v in the end", order, before)
+			t.Fatalf("after all responses, in order %v: proof at %v, want at least 35ns", order, before)
 		}
 	})
 }
 
-// An agent that hears of a restored group takes over its documents, also where they are older than what it has: the
-// group may have lost those. What members that were given up still send is ignored.
+// An agent that receives a response of a restored group adopts its documents, even if they are older than its
+// own, because the group may have lost the newer versions. Later responses of abandoned members are ignored.
 func TestRestoredGroupReplacesDocuments(t *testing.T) {
 	state := newTestTable()
 	placement := newDocument(t, fleet.PlacementKey+"lost", 3, map[string]any{})
@@ -68,25 +70,25 @@
 	state.applyResponse(newFollowResponse(threeMembers[1], true), 7, startTime+2, startTime+2)
 	provedAt := state.snapshot.ProofAt
 	if provedAt != startTime+1 {
-		t.Fatalf("proved at %v", provedAt)
+		t.Fatalf("proof before the restore: got %v, want %v", provedAt, startTime+1)
 	}
 	older := newDocument(t, fleet.WeightsKey, 8, fleet.Weights{Versions: map[string]uint64{"m": 3}})
 	changed, err := state.applyResponse(restoredResponse(planDocument(6), older), 7, startTime+3, startTime+3)
 	if err != nil || !changed || state.snapshot.Plan.Version != 6 || state.snapshot.NamedVersions["m"] != 3 || len(state.snapshot.Placements) != 0 {
-		t.Fatalf("after the restore: %v, %v, %+v", changed, err, state.snapshot)
+		t.Fatalf("response of the restored group: got changed %v, error %v, snapshot %+v; want changed, plan 6, weights version 3 and no placements", changed, err, state.snapshot)
 	}
 	if state.snapshot.ProofAt != startTime+3 {
-		t.Errorf("the restored plan is proved at %v", state.snapshot.ProofAt)
+		t.Errorf("proof of the restored group's plan: got %v, want %v", state.snapshot.ProofAt, startTime+3)
 	}
 	if request := state.newRequest(0); request.RestoreGeneration != restoredGeneration || requestedVersion(request) != 6 {
-		t.Errorf("next request: %v", request)
+		t.Errorf("request after the restore: got %v, want restore generation %d and plan version 6", request, uint64(restoredGeneration))
 	}
 	for _, member := range threeMembers {
 		if changed, err := state.applyResponse(newFollowResponse(member, true, planDocument(8)), 6, startTime+9, startTime+9); changed || err != nil {
-			t.Errorf("%s, which was given up, changes documents: %v", member, err)
+			t.Errorf("response of abandoned member %s: got changed %v, error %v; want it to be ignored", member, changed, err)
 		}
 	}
 	if state.snapshot.Plan.Version != 6 || state.snapshot.ProofAt != startTime+3 {
-		t.Errorf("plan %d is proved at %v by members that were given up", state.snapshot.Plan.Version, state.snapshot.ProofAt)
+		t.Errorf("after responses of abandoned members: got plan %d with proof at %v, want plan 6 with proof at %v", state.snapshot.Plan.Version, state.snapshot.ProofAt, startTime+3)
 	}
 }
--- a/internal/data/agent/simulatedgroup_test.go
+++ b/internal/data/agent/simulatedgroup_test.go
@@ -9,19 +9,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// logEntry is an entry of a simulated log: a plan, a membership, or neither at the start of a term.
+// logEntry is an entry of a simulated Raft log: a plan, a membership, or the empty entry that starts a term.
 type logEntry struct {
 	term    int
-	version uint64   // of the plan; 0: none
-	members []string // nil: no membership
+	version uint64   // of the plan; 0: the entry contains no plan
+	members []string // nil: the entry contains no membership
 }
 
+// simulatedMember is the state of one member; commit is the length of the log that it knows to be committed.
 type simulatedMember struct {
 	term, commit int
 	log          []logEntry
 }
 
-// hasUpToDateLog is Raft's rule for granting a vote to a candidate.
+// hasUpToDateLog reports whether m's log is at least as up to date as the voter's, which Raft requires for the
+// voter to grant m its vote.
 func (m *simulatedMember) hasUpToDateLog(voter *simulatedMember) bool {
 	if len(voter.log) == 0 {
 		return true
@@ -30,37 +32,39 @@
 	return votersLast.term < last.term || votersLast.term == last.term && len(voter.log) <= len(m.log)
 }
 
+// simulatedLeader is the state of a member as the leader of one term.
 type simulatedLeader struct {
 	name         string
 	term, commit int
-	match        map[string]int // by member: how long a log it is known to have
+	match        map[string]int // length of the log that is known to be replicated, by member
 }
 
-// pendingRequest is a request of the agent that hasn't arrived at a member yet.
+// pendingRequest is a request of the agent that a member has not received yet.
 type pendingRequest struct {
 	name    string
 	version uint64
 	sentAt  int
 }
 
-// simulatedGroup is a small consensus group whose members change, and the proof of an agent that follows
-// it. Its steps are drawn at random.
+// simulatedGroup is a small consensus group with changing membership and an agent that requests proofs from
+// it. Its steps are chosen at random.
 type simulatedGroup struct {
 	random            *rand.Rand
 	now               int
 	hosts             map[string]*simulatedMember
 	names             []string
 	leaders           []*simulatedLeader
-	committed         map[uint64]int // by plan: when it was
+	committed         map[uint64]int // step at which a plan was committed, by plan version
 	addedMembers      int
 	proof             *FreshnessProof
 	pendingRequests   []pendingRequest
-	version           uint64 // of the plan that the agent uses
-	ignoresMembership bool   // planted: counts each response as if its member had the newest membership
-	isRefuted         bool   // a newer plan was committed before the proof's instant
-	proofs            int
+	version           uint64 // of the plan in use by the agent
+	ignoresMembership bool   // injected fault: each response counts as if it reported the newest membership
+	isRefuted         bool   // a plan newer than the one in use was committed before the proof's instant
+	proofs            int    // responses after which the agent had a proof
 }
 
+// newestMembership returns the last membership in a log and the index of its entry.
 func newestMembership(log []logEntry) (index int, members []string) {
 	for i, entry := range log {
 		if entry.members != nil {
@@ -77,7 +81,7 @@
 	return version
 }
 
-// elect lets a member campaign.
+// elect lets a member run for leader; each voter is unreachable with probability 1/3.
 func (g *simulatedGroup) elect(name string) {
 	candidate := g.hosts[name]
 	_, members := newestMembership(candidate.log)
@@ -101,8 +105,8 @@
 	}
 }
 
-// lead lets a leader do one step: propose a plan or a membership, or replicate its log to a member. Then it
-// commits what a quorum has.
+// lead executes one step of a leader: it proposes a plan or a membership, or replicates its log to a member,
+// and then commits the entries that a quorum has.
 func (g *simulatedGroup) lead(leader *simulatedLeader) {
 	member := g.hosts[leader.name]
 	if member.term != leader.term {
@@ -126,7 +130,7 @@
 	l.match[l.name] = len(member.log)
 }
 
-// changeMembers proposes a membership with one member less, or one more.
+// changeMembers proposes a membership with one member removed or added.
 func (g *simulatedGroup) changeMembers(leader *simulatedLeader, member *simulatedMember, members []string) {
 	if len(members) > 2 && g.random.IntN(2) == 0 {
 		i := g.random.IntN(len(members))
@@ -140,7 +144,7 @@
 	}
 }
 
-// replicate sends a part of a leader's log to a member.
+// replicate copies a random-length prefix of a leader's log to a member.
 func (g *simulatedGroup) replicate(leader *simulatedLeader, member *simulatedMember, name string) {
 	follower := g.hosts[name]
 	if name == leader.name || follower.term > leader.term {
@@ -158,7 +162,7 @@
 	follower.commit = max(follower.commit, min(leader.commit, length))
 }
 
-// commit commits the longest part of a leader's log that ends in its term and that a quorum has.
+// commit commits the longest prefix of a leader's log that ends with an entry of its term and that a quorum has.
 func (g *simulatedGroup) commit(leader *simulatedLeader, member *simulatedMember) {
 	_, members := newestMembership(member.log)
 	for length := len(member.log); length > leader.commit && member.log[length-1].term == leader.term; length-- {
@@ -181,7 +185,8 @@
 	}
 }
 
-// respond lets a member respond to a request, and checks the agent's proof.
+// respond lets a member respond to a request, and checks the agent's resulting proof against the plans that
+// have been committed.
 func (g *simulatedGroup) respond(request pendingRequest) {
 	member := g.hosts[request.name]
 	reported := newestPlan(member.log[:min(member.commit, len(member.log))])
@@ -206,7 +211,7 @@
 	}
 }
 
-// randomWalk does 150 random steps of a group, or fewer if the proof is refuted.
+// randomWalk simulates up to 150 random steps of a group; it stops early if the proof is refuted.
 func randomWalk(seed uint64, ignoresMembership bool) *simulatedGroup {
 	group := &simulatedGroup{random: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*simulatedMember{}, committed: map[uint64]int{},
 		proof: NewFreshnessProof(), ignoresMembership: ignoresMembership}
@@ -234,14 +239,14 @@
 	return group
 }
 
-// A group whose leaders come and go and whose members change: whatever the order of its steps and of the
-// responses, nothing newer than the plan in use was committed before the proof's instant.
+// In random simulations of a group with leader elections and membership changes, no plan newer than the one in
+// use may have been committed before the proof's instant, whatever the order of steps and responses.
 func TestNoFalseProofInAChangingGroup(t *testing.T) {
 	proofs, changed := 0, 0
 	for seed := range uint64(40000) {
 		group := randomWalk(seed, false)
 		if group.isRefuted {
-			t.Fatalf("seed %d: a newer plan than %d was committed before the proof: %v", seed, group.version, group.committed)
+			t.Fatalf("seed %d: a plan newer than %d was committed before the proof's instant; commit steps by plan version: %v", seed, group.version, group.committed)
 		}
 		proofs += group.proofs
 		if group.proof.index > 0 {
@@ -249,16 +254,17 @@
 		}
 	}
 	if proofs < 100000 || changed < 10000 {
-		t.Fatalf("%d proofs, %d groups changed: the walks prove nothing", proofs, changed)
+		t.Fatalf("got %d proofs, and a membership change in %d simulations; want at least 100000 proofs and 10000 simulations for a meaningful test", proofs, changed)
 	}
 }
 
-// The same walks refute an agent that counts members without the newest membership.
+// The same simulations must detect an agent that ignores which membership a response reports. Otherwise
+// TestNoFalseProofInAChangingGroup would pass without checking anything.
 func TestRandomWalksFindThePlantedFault(t *testing.T) {
 	for seed := range uint64(40000) {
 		if randomWalk(seed, true).isRefuted {
 			return
 		}
 	}
-	t.Fatal("the planted fault was not found")
+	t.Fatal("no simulation detected the injected fault of ignoring the reported membership")
 }
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -16,28 +16,30 @@
 	"pebbleloom/internal/wire"
 )
 
-// assumedEdges is the assumed number of edge machines while the real one isn't known.
+// assumedEdges is the number of edge machines that is assumed until the actual number is known.
 const assumedEdges = 32
 
 const (
-	// edgeMemoryRatio is how long an edge machine counts after it was last seen, as a ratio of the heal bound.
+	// edgeMemoryRatio is how long an edge machine is counted after it was last seen alive, as a multiple of the
+	// heal bound (the time within which service is restored after a failure).
 	edgeMemoryRatio = 5
-	// joiningRatio is how long after its start a node may not know all others, as a ratio of the leave bound.
+	// joiningRatio is how long after its start a node may not know all other nodes yet, as a fraction of the
+	// leave bound (the longest time for which a worker that left may still get requests).
 	joiningRatio = 1.0 / 3
-	// outOfContactRatio is the age of a proof from which updates may have been missed, as a ratio of the
-	// configuration bound.
+	// outOfContactRatio is the age of the freshness proof above which the agent may have missed updates, as a
+	// multiple of the configuration bound.
 	outOfContactRatio = 1.5
 )
 
-// table is the state of an agent. The actor guards it: its methods do no I/O.
+// table is the state of an agent. Only the actor's goroutine accesses it, so its methods do no I/O.
 type table struct {
 	bounds     settings.Bounds
 	codec      backend.Codec
 	startedAt  time.Duration
 	proof      *FreshnessProof
-	versions   map[string]uint64 // by document: the newest version received, readable or not
+	versions   map[string]uint64 // newest version received by document key, even if it could not be decoded
 	edgeSeenAt map[string]time.Duration
-	snapshot   fleet.Snapshot // it is published by value: its maps and slices are replaced, never changed
+	snapshot   fleet.Snapshot // published as a shallow copy: its maps and slices are replaced, never modified
 }
 
 func newTable(bounds settings.Bounds, codec backend.Codec, now time.Duration) *table {
@@ -52,14 +54,15 @@
 	}
 }
 
-// isOutOfContact reports whether updates may have been missed: there is no proof, or only an old one.
+// isOutOfContact reports whether the agent may have missed updates: there is no freshness proof, or it is
+// older than outOfContactRatio.
 func (t *table) isOutOfContact(now time.Duration) bool {
 	return t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio)
 }
 
-// longPollTime is how long a member may wait before it responds to a request that is sent now. An agent
-// that was out of contact, or suspended, needs a proof before it can serve again: it asks for an immediate
-// response.
+// longPollTime returns how long a member may wait for an update before it responds to a request sent now.
+// An agent whose process was suspended or lost contact can't serve until it has a new freshness proof, so it
+// requests an immediate response.
 func (t *table) longPollTime(now time.Duration) time.Duration {
 	if t.snapshot.Plan != nil && t.isOutOfContact(now) {
 		return 0
@@ -67,7 +70,7 @@
 	return t.bounds.Config(longPollRatio)
 }
 
-// newRequest makes the next request to a member.
+// newRequest returns the next long-poll request to a member, with the versions of all known documents.
 func (t *table) newRequest(longPollTime time.Duration) *wire.FollowRequest {
 	request := &wire.FollowRequest{MaxWaitNs: uint64(longPollTime), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true, RestoreGeneration: t.proof.Generation()}
 	for _, key := range []string{routingconfig.DocumentKey, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
@@ -81,23 +84,24 @@
 	return request
 }
 
-// isPlacement reports whether a document is a service's placement: the key alone is their common prefix.
+// isPlacement reports whether key belongs to the placement document of a service. fleet.PlacementKey itself
+// is only the common prefix of such keys.
 func isPlacement(key string) bool {
 	return strings.HasPrefix(key, fleet.PlacementKey) && key != fleet.PlacementKey
 }
 
-// isFollowed reports whether the agent uses a document.
+// isFollowed reports whether the agent uses the document with the given key.
 func isFollowed(key string) bool {
 	return key == routingconfig.DocumentKey || key == fleet.WorkersKey || key == fleet.WeightsKey || isPlacement(key)
 }
 
-// applyResponse applies a member's response to a request that was sent with a version of the plan at an
-// instant. It reports whether there was a newer document. An error says which documents can't be read; the
-// others are applied.
+// applyResponse applies a member's response to a request that was sent at requestedAt with plan version
+// requested. It reports whether the response contained a newer document. The error lists the documents that
+// could not be decoded; all others are applied.
 func (t *table) applyResponse(response *wire.FollowResponse, requested uint64, requestedAt, now time.Duration) (changed bool, err error) {
 	switch known := t.proof.Generation(); {
 	case response.RestoreGeneration < known:
-		return false, nil // of a group that was given up
+		return false, nil // sent by an abandoned group, which a restored one has replaced
 	case response.RestoreGeneration > known && len(response.Members) > 0:
 		t.forgetDocuments()
 		requested, changed = 0, true
@@ -112,7 +116,7 @@
 		if isFollowed(key) && document.GetVersion() > t.versions[key] {
 			t.versions[key] = document.GetVersion()
 			changed = true
-			faults.Add("document "+key, errs.Wrap(t.applyDocument(document, now), "read"))
+			faults.Add("document "+key, errs.Wrap(t.applyDocument(document, now), "decode"))
 		}
 	}
 	t.proof.AddResponse(response, version, requestedAt)
@@ -120,32 +124,33 @@
 	return changed, faults.Err()
 }
 
-// forgetDocuments prepares the table for the documents of a group that was restored: it may have lost versions that
-// this agent has received. The plan and the workers stay in use until it sends others; the plan isn't proved by then.
+// forgetDocuments prepares the table for the documents of a restored group, which may have lost versions that
+// this agent has received. The plan and the workers stay in use until the restored group sends others; until
+// then the freshness proof of the plan does not advance.
 func (t *table) forgetDocuments() {
 	clear(t.versions)
 	t.snapshot.Placements = nil
 	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = nil, nil, nil
 }
 
-// updateProof sets up to when the plan in use is proved to be the newest.
+// updateProof sets the instant up to which the plan in use is proved to have been the newest.
 func (t *table) updateProof() {
 	if t.snapshot.Plan != nil {
 		t.snapshot.ProofAt = t.proof.FreshUntil(t.snapshot.Plan.Version)
 	}
 }
 
-// applyMembership sets the cluster membership and counts the edge machines. It reports whether anything
-// changed.
+// applyMembership stores the cluster membership and the number of edge machines in the snapshot. It reports
+// whether either changed.
 func (t *table) applyMembership(view clustermembership.View, now time.Duration) bool {
-	isAlone := true // no control node is known
+	isAlone := true // no control node is in the membership
 	for _, node := range view.Nodes {
 		isAlone = isAlone && node.Role != clustermembership.RoleControlNode
 		if node.Role == clustermembership.RoleNodeAgent && node.State != clustermembership.Dead {
 			t.edgeSeenAt[node.Name] = now
 		}
 	}
-	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // a partitioned machine sees all others dead
+	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // a partitioned machine considers all others dead, so it must not forget them
 		maps.DeleteFunc(t.edgeSeenAt, func(_ string, seenAt time.Duration) bool { return now-seenAt > t.bounds.Heal(edgeMemoryRatio) })
 	}
 	edges := max(1, len(t.edgeSeenAt))
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -14,14 +14,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// versionCodec reads plans that are nothing but their version.
+// versionCodec decodes plans whose body is just their version as a decimal number.
 type versionCodec struct{ reads int }
 
 func (c *versionCodec) Read(body []byte) (*routingconfig.Plan, error) {
 	c.reads++
 	v, err := strconv.ParseUint(string(body), 10, 64)
 	if err != nil {
-		return nil, errs.WrapAs(err, errs.BadInput, "not a number")
+		return nil, errs.WrapAs(err, errs.BadInput, "parse plan version")
 	}
 	return &routingconfig.Plan{Version: v}, nil
 }
@@ -41,21 +41,21 @@
 	return &wire.Document{Key: key, Version: v, Body: b}
 }
 
-func newFollowResponse(member string, same bool, docs ...*wire.Document) *wire.FollowResponse {
-	return &wire.FollowResponse{Member: member, NothingNewer: same, Members: threeMembers, MembersTerm: 1, MembersIndex: 1, Documents: docs}
+func newFollowResponse(member string, nothingNewer bool, docs ...*wire.Document) *wire.FollowResponse {
+	return &wire.FollowResponse{Member: member, NothingNewer: nothingNewer, Members: threeMembers, MembersTerm: 1, MembersIndex: 1, Documents: docs}
 }
 
 const startTime = time.Hour
 
 func newTestTable() *table { return newTable(settings.DefaultBounds(), &versionCodec{}, startTime) }
 
-// In every order of the members' responses the version in use never decreases, no document is read twice,
-// and a plan that was received is attested by its sender.
+// Tries every order of the members' responses: the version in use and the proof never decrease, only newer
+// versions count as a change, and a member that sends a plan also attests it.
 func TestPlanVersionNeverDecreases(t *testing.T) {
 	type receivedResponse struct {
-		response *wire.FollowResponse
-		had      uint64
-		at       time.Duration
+		response    *wire.FollowResponse
+		requested   uint64
+		requestedAt time.Duration
 	}
 	responses := []receivedResponse{
 		{newFollowResponse(threeMembers[0], true, planDocument(2)), 0, startTime + 1},
@@ -65,27 +65,27 @@
 		{newFollowResponse(threeMembers[1], true, planDocument(5)), 3, startTime + 5},
 		{newFollowResponse(threeMembers[2], false, planDocument(5)), 3, startTime + 6},
 	}
-	everyOrder(responses, func(responses []receivedResponse) {
+	forEachPermutation(responses, func(responses []receivedResponse) {
 		state := newTestTable()
 		newest := uint64(0)
 		proof := time.Duration(0)
 		for _, received := range responses {
-			changed, err := state.applyResponse(received.response, received.had, received.at, startTime+10)
+			changed, err := state.applyResponse(received.response, received.requested, received.requestedAt, startTime+10)
 			reported := uint64(0)
 			for _, d := range received.response.Documents {
 				reported = d.Version
 			}
 			if err != nil || changed != (reported > newest) {
-				t.Fatalf("%v: changed %v, %v", responses, changed, err)
+				t.Fatalf("responses %v, at plan %d after newest plan %d: got changed %v, error %v; want changed only for a newer plan and no error", responses, reported, newest, changed, err)
 			}
 			newest = max(newest, reported)
 			if newest > 0 && state.snapshot.Plan.Version != newest || state.versions[routingconfig.DocumentKey] != newest || state.snapshot.ProofAt < proof {
-				t.Fatalf("%v: plan %v in use, %d reported, proof %v after %v", responses, state.snapshot.Plan, newest, state.snapshot.ProofAt, proof)
+				t.Fatalf("responses %v: got plan %v with proof at %v, want plan %d with proof at %v or later", responses, state.snapshot.Plan, state.snapshot.ProofAt, newest, proof)
 			}
 			proof = state.snapshot.ProofAt
 		}
 		if proof != startTime+4 {
-			t.Fatalf("%v: proof at %v in the end", responses, proof)
+			t.Fatalf("after all responses, in order %v: proof at %v, want %v", responses, proof, startTime+4)
 		}
 	})
 }
@@ -96,15 +96,16 @@
 	state.applyResponse(newFollowResponse(threeMembers[1], true), 2, startTime+2, startTime+2)
 	bad := &wire.Document{Key: routingconfig.DocumentKey, Version: 3, Body: []byte("?")}
 	if changed, err := state.applyResponse(newFollowResponse(threeMembers[0], true, bad), 2, startTime+3, startTime+3); !changed || err == nil {
-		t.Fatalf("changed %v, error %v", changed, err)
+		t.Fatalf("response with an undecodable plan: got changed %v, error %v; want a change and an error", changed, err)
 	}
 	state.applyResponse(newFollowResponse(threeMembers[1], true, bad), 2, startTime+4, startTime+4)
 	state.applyResponse(newFollowResponse(threeMembers[2], true), 3, startTime+5, startTime+5)
 	if state.snapshot.Plan.Version != 2 || state.snapshot.ProofAt != startTime+1 || state.versions[routingconfig.DocumentKey] != 3 {
-		t.Fatalf("plan %d, proof %v, requests with %d", state.snapshot.Plan.Version, state.snapshot.ProofAt, state.versions[routingconfig.DocumentKey])
+		t.Fatalf("after an undecodable plan 3: got plan %d with proof at %v and version %d in requests, want plan 2 with proof at %v and version 3 in requests",
+			state.snapshot.Plan.Version, state.snapshot.ProofAt, state.versions[routingconfig.DocumentKey], startTime+1)
 	}
 	if r := state.codec.(*versionCodec).reads; r != 2 {
-		t.Fatalf("%d reads", r)
+		t.Fatalf("plans decoded: got %d, want 2 (an undecodable plan must not be decoded again)", r)
 	}
 }
 
@@ -112,28 +113,32 @@
 	state := newTestTable()
 	before := state.snapshot
 	workers := fleet.WorkerList{Workers: []fleet.Worker{{ID: "w1", Service: "s"}}}
-	placed := newDocument(t, fleet.PlacementKey+"s", 4, map[string]any{})
-	if _, err := state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.WorkersKey, 3, workers), placed, newDocument(t, "strange", 9, 1), newDocument(t, fleet.PlacementKey, 9, 1)), 0, startTime, startTime); err != nil {
+	placementDocument := newDocument(t, fleet.PlacementKey+"s", 4, map[string]any{})
+	if _, err := state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.WorkersKey, 3, workers), placementDocument, newDocument(t, "unknown-key", 9, 1), newDocument(t, fleet.PlacementKey, 9, 1)), 0, startTime, startTime); err != nil {
 		t.Fatal(err)
 	}
 	if state.snapshot.Workers[0].ID != "w1" || state.snapshot.Placements["s"] == nil || len(state.snapshot.Placements) != 1 || before.Placements != nil {
-		t.Fatalf("%+v, before %+v", state.snapshot, before)
+		t.Fatalf("got snapshot %+v (copy taken before the update: %+v), want worker w1 and one placement, and the copy unchanged", state.snapshot, before)
 	}
 	got := map[string]uint64{}
 	request := state.newRequest(time.Second)
-	for _, h := range request.Known {
-		got[h.Key] = h.Version
+	for _, known := range request.Known {
+		got[known.Key] = known.Version
 	}
 	if len(request.Known) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || request.ProofKey != routingconfig.DocumentKey || request.MaxWaitNs != 1e9 {
-		t.Fatalf("requests %v", request)
+		t.Fatalf("next request: got %v, want five known versions (workers 3, placement of s 4), the plan as proof key and a wait of 1 s", request)
 	}
 	published := state.snapshot
 	state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.PlacementKey+"t", 1, map[string]any{}), newDocument(t, fleet.WorkersKey, 2, fleet.WorkerList{})), 0, startTime, startTime)
 	if len(state.snapshot.Placements) != 2 || len(published.Placements) != 1 || len(state.snapshot.Workers) != 1 {
-		t.Fatal("the published snapshot has changed, or the workers' version decreased")
+		t.Fatalf("got %d placements, %d in the published copy, %d workers; want 2, 1 and 1 (published copy unchanged, older list of workers ignored)",
+			len(state.snapshot.Placements), len(published.Placements), len(state.snapshot.Workers))
 	}
 }
 
+// NamedAt is the instant from which the weights bound of a version counts. An agent that was out of contact when
+// a version was configured uses an earlier instant than that of the response, and the bounds of earlier versions
+// are never extended.
 func TestWhenWeightsWereNamed(t *testing.T) {
 	state := newTestTable()
 	bounds := state.bounds
@@ -142,41 +147,42 @@
 	}
 	nameWeights(1, startTime, map[string]uint64{"m": 1})
 	if at := state.snapshot.NamedAt["m"]; at != startTime-bounds.Weights(0.5) {
-		t.Fatalf("weights that were named before the start count from %v", at)
+		t.Fatalf("weights configured before the agent started: NamedAt is %v, want %v", at, startTime-bounds.Weights(0.5))
 	}
 	now := startTime + time.Minute
 	state.applyResponse(newFollowResponse(threeMembers[1], true, planDocument(1)), 0, now, now)
 	state.applyResponse(newFollowResponse(threeMembers[0], true), 1, now, now)
 	nameWeights(2, now+1, map[string]uint64{"m": 2, "n": 7})
 	nameWeights(3, now+2, map[string]uint64{"m": 2, "n": 8})
-	if a := state.snapshot.NamedAt; a["m"] != now+1 || a["n"] != now+2 {
-		t.Fatalf("in contact: named at %v", a)
+	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+1 || namedAt["n"] != now+2 {
+		t.Fatalf("weights configured while in contact: NamedAt is %v, want m at %v and n at %v", namedAt, now+1, now+2)
 	}
 	if earlier := state.snapshot.EarlierVersions; len(earlier["m"]) != 1 || earlier["m"][0].Version != 1 || len(earlier["n"]) != 1 || earlier["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
-		t.Fatalf("superseding %v", earlier)
+		t.Fatalf("earlier versions: got %v, want version 1 of m and version 7 of n, configured at %v", earlier, now+1)
 	}
 	nameWeights(4, now+bounds.Config(2), map[string]uint64{"m": 3})
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 2 || earlier[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
-		t.Fatalf("superseding %v", earlier)
+		t.Fatalf("earlier versions of m: got %v, want versions 1 and 2, the latter configured at %v", earlier, now+1)
 	}
-	if a := state.snapshot.NamedAt; a["m"] != now || len(a) != 1 {
-		t.Fatalf("out of contact since %v: named at %v", now, a)
+	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now || len(namedAt) != 1 {
+		t.Fatalf("weights configured while out of contact since %v: NamedAt is %v, want m at that instant alone", now, namedAt)
 	}
 	nameWeights(5, now+bounds.Weights(3), map[string]uint64{"m": 4})
-	if a := state.snapshot.NamedAt; a["m"] != now+bounds.Weights(2.5) {
-		t.Fatalf("out of contact for long: named at %v", a)
+	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+bounds.Weights(2.5) {
+		t.Fatalf("weights configured while out of contact for three times the weights bound: NamedAt is %v, want m at %v", namedAt, now+bounds.Weights(2.5))
 	}
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 1 || earlier[0].Version != 3 {
-		t.Fatalf("past the bound of version 3 those before say nothing: %v", earlier)
+		t.Fatalf("earlier versions of m after the bound of version 3 expired: got %v, want version 3 alone", earlier)
 	}
-	for v := uint64(5); v < 30; v++ { // one right after another: the bound of none is extended
+	for v := uint64(5); v < 30; v++ { // in quick succession: dropping old versions must not extend any bound
 		nameWeights(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
 	}
-	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != maxSuperseding || earlier[0].At != now {
-		t.Fatalf("superseding %v", earlier)
+	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != maxEarlierVersions || earlier[0].At != now {
+		t.Fatalf("earlier versions of m after 25 changes: got %v, want %d versions, the oldest configured at %v", earlier, maxEarlierVersions, now)
 	}
 }
 
+// membershipOf returns a membership of one control node and some edge machines, the first of which are dead.
 func membershipOf(edges int, dead int) (view clustermembership.View) {
 	view.Nodes = append(view.Nodes, &wire.Node{Name: "archive/c", Role: clustermembership.RoleControlNode})
 	for i := range edges {
@@ -189,36 +195,38 @@
 	return view
 }
 
+// An edge machine that died recently is still counted, and so is one that died earlier while this node has no
+// contact to the control nodes: a partitioned node considers all others dead.
 func TestEdgesThatLeftLatelyAreCounted(t *testing.T) {
 	state := newTestTable()
 	state.applyMembership(clustermembership.View{Nodes: []*wire.Node{{Name: "runner/0", Role: clustermembership.RoleNodeAgent}}}, startTime+state.bounds.Leave(1))
 	if state.snapshot.EdgeCount != assumedEdges {
-		t.Fatalf("alone: %d edges", state.snapshot.EdgeCount)
+		t.Fatalf("edge machines counted by a node that knows no control node: got %d, want the assumed %d", state.snapshot.EdgeCount, assumedEdges)
 	}
 	state = newTestTable()
 	if state.applyMembership(membershipOf(3, 0), startTime); state.snapshot.EdgeCount != assumedEdges {
-		t.Fatalf("just started: %d edges", state.snapshot.EdgeCount)
+		t.Fatalf("edge machines counted right after the start: got %d, want the assumed %d", state.snapshot.EdgeCount, assumedEdges)
 	}
 	now := startTime + state.bounds.Leave(1)
 	view := membershipOf(3, 0)
 	if !state.applyMembership(view, now) || state.snapshot.EdgeCount != 3 || state.applyMembership(view, now) {
-		t.Fatalf("%d edges", state.snapshot.EdgeCount)
+		t.Fatalf("edge machines counted after joining: got %d, want 3, and no change when the same membership is applied again", state.snapshot.EdgeCount)
 	}
 	prove := func() { state.snapshot.ProofAt = now }
 	prove()
 	state.applyMembership(membershipOf(3, 2), now)
 	if state.snapshot.EdgeCount != 3 {
-		t.Fatalf("just dead: %d edges", state.snapshot.EdgeCount)
+		t.Fatalf("edge machines counted right after two of three died: got %d, want 3", state.snapshot.EdgeCount)
 	}
 	now += state.bounds.Heal(edgeMemoryRatio) + 1
 	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.EdgeCount != 3 {
-		t.Fatalf("out of contact with the control nodes: %d edges", state.snapshot.EdgeCount)
+		t.Fatalf("edge machines counted without contact to the control nodes, long after two of three died: got %d, want 3", state.snapshot.EdgeCount)
 	}
 	prove()
 	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.EdgeCount != 1 {
-		t.Fatalf("dead for long: %d edges", state.snapshot.EdgeCount)
+		t.Fatalf("edge machines counted with contact to the control nodes, long after two of three died: got %d, want 1", state.snapshot.EdgeCount)
 	}
 	if state.applyMembership(membershipOf(3, 3), now+state.bounds.Heal(2*edgeMemoryRatio)); state.snapshot.EdgeCount != 1 {
-		t.Fatalf("none left: %d edges", state.snapshot.EdgeCount)
+		t.Fatalf("edge machines counted after all died: got %d, want the minimum of 1", state.snapshot.EdgeCount)
 	}
 }
