--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -7,80 +7,84 @@
 	"pebbleloom/internal/wire"
 )
 
-// FreshnessProof proves by quorum up to which instant no newer plan had been acknowledged, in a consensus
-// group whose members change one at a time.
+// FreshnessProof determines, from the responses of a quorum, the latest instant before which no plan newer
+// than the one in use had been acknowledged. The members of the consensus group may change, one at a time.
 //
-// The claim: let M be a membership, and let each of a quorum Q of M have responded to a request sent at t
-// or later that (a) its disk has no plan newer than v, and (b) the newest membership on its disk is M
-// itself, by term and index. Then no plan newer than v was acknowledged before t.
+// Claim: let M be a membership, and let each member of a quorum Q of M have stated, in response to a request
+// sent at time t or later, that (a) its disk has no plan newer than version v, and (b) the newest membership
+// on its disk is M itself, identified by term and index. Then no plan newer than v was acknowledged before t.
 //
-// What the group guarantees: an entry is committed by a quorum of the newest membership in its leader's
-// log, committed or not; a leader appends a membership only when the one before it, and an entry of its
-// own term, are committed; it differs by one member; a member that lost its disk has another incarnation,
-// so another name; (a) and (b) are read at one instant from the synced log.
+// Guarantees of the group: an entry is committed by a quorum of the newest membership in its leader's
+// log, whether or not that membership is committed; a leader appends a membership only when the previous
+// membership and an entry of the leader's own term are committed; consecutive memberships differ by one
+// member; a member that lost its disk gets a new incarnation and thereby a new name; (a) and (b) are read
+// at the same instant from the synced log.
 //
-// Why it holds. Say a newer plan e was committed before t, by a quorum of C. Any quorums of the same
-// membership, or of two that are adjacent, share a member, and a committed entry stays on the disks that
-// have it.
-//   - C is M or adjacent to it: the member shared by both quorums had e, against (a).
-//   - C came later, and not next: the membership N next after M was committed before C was appended. The
-//     member shared by Q and N's quorum had N before t, against (b).
-//   - C came earlier, and not next: e precedes the membership after C in the log, so it precedes M. A
-//     member that has M's entry has the log up to it, so e, against (a).
-//   - M was appended by a leader of term T but never committed, and will be lost. e of a term before T, or
-//     of T, precedes M in that leader's log: as above. For e of a later term, take the first term after T
-//     that had committed an entry n of its own by then. Its leader's log lacks M, else M would be
-//     committed; and no leader had appended another membership, for want of an entry of its own term. So n
-//     was committed by the membership before M, adjacent to M: the member shared with Q had n, which had
-//     truncated M from its log for good, against (b). (Without (b) this case fails: from {1,2,3,4},
-//     {a,3,4} of the lost {1,2,3,4,a} never intersects {1,2} of {1,2,3}.)
+// Proof. Suppose a newer plan e was committed before t, by a quorum of membership C. Any two quorums of the
+// same membership, or of two adjacent memberships, have a common member, and a committed entry stays on the
+// disks that have it.
+//   - C is M or adjacent to M: the common member of both quorums had e, which contradicts (a).
+//   - C is later than M and not adjacent: the membership N that follows M was committed before C was
+//     appended. The common member of Q and N's quorum had N before t, which contradicts (b).
+//   - C is earlier than M and not adjacent: e precedes the membership after C in the log, so it precedes M.
+//     A member that has M's entry has the log up to it, including e, which contradicts (a).
+//   - M was appended by a leader of term T but is never committed. If the term of e is T or earlier, e
+//     precedes M in that leader's log, as in the previous case. If it is later, take the first term after T
+//     that had committed an entry n of its own by then. Its leader's log lacks M, or else M would be
+//     committed; and no leader had appended another membership, because none had committed an entry of its
+//     own term. So n was committed by the membership before M, which is adjacent to M: the common member
+//     with Q had n, which had permanently truncated M from its log, which contradicts (b). (Without (b) this
+//     case fails: after {1,2,3,4}, the quorum {a,3,4} of the uncommitted {1,2,3,4,a} does not intersect the
+//     quorum {1,2} of {1,2,3}.)
 //
-// A group that was restored from one member (restore generation) is another group: what it doesn't hold was
-// given up. So memberships rank by restore generation first. A member that was given up has another name than
-// any voter of the restored group, so what it says doesn't count once that group is known.
+// A group that was restored from the disk of one member gets a higher restore generation and counts as a
+// different group: entries that it lacks are abandoned. Memberships are therefore ordered by restore
+// generation first. An abandoned member has a different name from every voter of the restored group, so its
+// statements are ignored once the restored group is known.
 //
-// A proof is about the past, so it stays valid when members change, and a proof for v is one for any newer
-// plan. It is none for an older one: an attestation for v says nothing about plans between u and v, so it
-// doesn't count while u is in use.
+// A proof is a statement about the past, so it stays valid when members change, and a proof for version v
+// also holds for any newer plan. It does not hold for an older version u: an attestation for v says nothing
+// about plans between u and v, so it is not counted while u is in use.
 type FreshnessProof struct {
-	generation   uint64 // the newest restore generation that any member reported
-	term, index  uint64 // of the newest membership of that generation
+	generation   uint64 // newest restore generation that any member reported
+	term, index  uint64 // of the log entry of the newest membership of that generation
 	members      []string
 	attestations map[string]attestation // by member of that membership
 	freshUntil   time.Duration
 }
 
-// attestation is the latest statement of one member: its disk had nothing newer.
+// attestation is a member's latest statement that its disk had no plan newer than a version.
 type attestation struct {
-	requestedAt time.Duration // when the request was sent: the statement is younger
-	version     uint64        // of the plan that nothing was newer than
-	term, index uint64        // of the newest membership on its disk
+	requestedAt time.Duration // when the request was sent; the statement was made later
+	version     uint64        // of the plan
+	term, index uint64        // of the log entry of the newest membership on the member's disk
 }
 
-// NewFreshnessProof makes a proof without members, which proves nothing yet.
+// NewFreshnessProof returns a FreshnessProof without members or attestations, which proves nothing yet.
 //
 // Example: p := agent.NewFreshnessProof()
 func NewFreshnessProof() *FreshnessProof {
 	return &FreshnessProof{attestations: map[string]attestation{}}
 }
 
-// Members is the newest known membership; nil before the first.
+// Members returns the members of the consensus group in the newest known membership; nil if none is known yet.
 //
 // Example: for _, member := range p.Members() { follow(member) }
 func (p *FreshnessProof) Members() []string { return p.members }
 
-// Generation is the newest known restore generation of the group.
+// Generation returns the newest known restore generation of the consensus group, which increases each time
+// the group is restored from one member's disk.
 //
 // Example: request.RestoreGeneration = p.Generation()
 func (p *FreshnessProof) Generation() uint64 { return p.generation }
 
-// AddResponse records a response to a request that was sent at an instant. version is the newest plan
-// that the member was sent or returned.
+// AddResponse records a member's response to a request that was sent at requestedAt. version is the higher
+// of the plan versions in the request and in the response.
 //
 // Example: p.AddResponse(response, 7, requestedAt)
 func (p *FreshnessProof) AddResponse(response *wire.FollowResponse, version uint64, requestedAt time.Duration) {
 	if len(response.Members) == 0 {
-		return // it knows no group
+		return // the responding node does not belong to a consensus group
 	}
 	if p.members == nil || p.isNewerMembership(response) {
 		p.setMembers(response)
@@ -89,12 +93,12 @@
 		return
 	}
 	if requestedAt <= p.attestations[response.Member].requestedAt {
-		return // responses may overtake each other
+		return // responses may arrive out of order
 	}
 	p.attestations[response.Member] = attestation{requestedAt, version, response.MembersTerm, response.MembersIndex}
 }
 
-// isNewerMembership reports whether a response has a newer membership than the newest known.
+// isNewerMembership reports whether a response contains a newer membership of the group than p.members.
 func (p *FreshnessProof) isNewerMembership(response *wire.FollowResponse) bool {
 	if response.RestoreGeneration != p.generation {
 		return response.RestoreGeneration > p.generation
@@ -105,7 +109,7 @@
 	return response.MembersIndex > p.index
 }
 
-// setMembers takes a response's membership over. Members that were removed attest nothing any more.
+// setMembers adopts the membership of a response and discards the attestations of removed members.
 func (p *FreshnessProof) setMembers(response *wire.FollowResponse) {
 	p.generation = response.RestoreGeneration
 	p.term, p.index, p.members = response.MembersTerm, response.MembersIndex, slices.Clone(response.Members)
@@ -116,12 +120,12 @@
 	}
 }
 
-// FreshUntil is the instant up to which nothing newer than the version in use had been acknowledged; zero
-// without a proof. It never decreases while the versions in use only grow.
+// FreshUntil returns the instant before which no plan newer than the given version in use had been
+// acknowledged; zero without a proof. It never decreases as long as version does not decrease.
 //
 // Example: if now-p.FreshUntil(7) > bound { reject() }
 func (p *FreshnessProof) FreshUntil(version uint64) time.Duration {
-	var requestedAt []time.Duration // of the members that attest the version and the membership
+	var requestedAt []time.Duration // of attestations for the newest membership and at most this version
 	for _, member := range p.members {
 		a, ok := p.attestations[member]
 		if ok && a.version <= version && a.term == p.term && a.index == p.index {
@@ -133,6 +137,6 @@
 		return p.freshUntil
 	}
 	slices.Sort(requestedAt)
-	p.freshUntil = max(p.freshUntil, requestedAt[len(requestedAt)-quorum]) // a quorum was asked then or later
+	p.freshUntil = max(p.freshUntil, requestedAt[len(requestedAt)-quorum]) // a quorum was sent its requests at that instant or later
 	return p.freshUntil
 }
