--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	maxPendingKeys     = 4096 // keys whose accesses are pending for one index node
-	maxPresumedHolders = 8    // presumed holders of one key in one batch
+	maxPendingKeys     = 4096 // keys with unsent accesses per index node; accesses to further keys are not counted
+	maxPresumedHolders = 8    // presumed holders per key in one batch; further ones are not reported
 )
 
-// AccessCounter collects accesses to prompt parts until the index nodes have acknowledged them. Each
-// index node has a queue of its own with at most one batch in flight. A batch keeps its number until it
-// is acknowledged, and the index applies each number once, so a lost response can't make it count twice.
+// AccessCounter accumulates accesses to prompt parts until the nodes of the prompt index have acknowledged
+// them. Each index node has its own queue with at most one batch in flight. A batch keeps its sequence number
+// until it is acknowledged, and the index applies each number once, so a lost response does not lead to
+// double counting.
 //
-// The accesses of the last one to two half windows are kept beside the queues: they are queued again
-// for an index node that reports that it has lost its memory.
+// The accesses of the current and the previous half window are also kept after they were acknowledged. They
+// are queued again for an index node that reports that it has lost its state.
 //
-// It serves both senders of accesses: Client here, and the prompt index client of package callerproxy.
-// It does no I/O and isn't safe for concurrent use: the sender's actor guards it, sends what NextBatch
-// returns and passes the result on to Acknowledge or RecordFailure.
+// AccessCounter is used by both senders of accesses: Client and the prompt index client of package
+// callerproxy. It does no I/O and isn't safe for concurrent use: the sender's actor serializes all calls,
+// sends the batches that NextBatch returns and reports the result to Acknowledge or RecordFailure.
 type AccessCounter struct {
 	sender         string
 	incarnation    uint64
@@ -34,17 +35,17 @@
 	windowStart    time.Duration
 }
 
-// nodeQueue is what one index node hasn't acknowledged yet.
+// nodeQueue holds the accesses that one index node hasn't acknowledged yet.
 type nodeQueue struct {
 	lastNumber uint64
 	pending    map[prefix.Key]*wire.Access
-	inFlight   *wire.CountRequest // not acknowledged yet: it is sent again under the same number
-	sending    bool
+	inFlight   *wire.CountRequest // unacknowledged batch: sent again with the same sequence number
+	sending    bool               // a call with inFlight has not returned yet
 }
 
-// NewAccessCounter makes an empty counter for the batches of one sender. The incarnation distinguishes this
-// process's batch numbers from those of its predecessors; accesses are kept for two half windows at the
-// most.
+// NewAccessCounter returns an empty counter for the batches of one sender. The incarnation distinguishes this
+// process's sequence numbers from those of earlier processes with the same name. Accesses are kept for
+// resending for at most two half windows.
 //
 // Example: c := indexclient.NewAccessCounter("edge/edge-1", uint64(clock.Now()), bounds.Heal(1.25))
 func NewAccessCounter(sender string, incarnation uint64, halfWindow time.Duration) *AccessCounter {
@@ -58,8 +59,8 @@
 	}
 }
 
-// Add counts an access to a key, for each of the index nodes that the key is assigned to ("": none). The
-// access is only read; its Key is ignored.
+// Add counts an access to a key for each of the index nodes that the key is assigned to ("": none). It does
+// not modify or keep the access, and ignores access.Key.
 //
 // Example: c.Add(entry.Key, shards.NodesOf(entry.Key), &wire.Access{Count: 1, Service: "lectores"})
 func (c *AccessCounter) Add(key prefix.Key, nodes [2]string, access *wire.Access) {
@@ -77,7 +78,7 @@
 	mergeAccess(c.window, key, access)
 }
 
-// RotateWindow starts a new half window if the current one is over.
+// RotateWindow starts a new half window if the current one is over, and discards the previous one.
 //
 // Example: c.RotateWindow(clock.Now())
 func (c *AccessCounter) RotateWindow(now time.Duration) {
@@ -86,14 +87,14 @@
 	}
 }
 
-// Nodes lists the index nodes that accesses were counted for, in no order.
+// Nodes returns the names of the index nodes that accesses were counted for, in no particular order.
 //
 // Example: for _, node := range c.Nodes() { send(node, c.NextBatch(node, nil)) }
 func (c *AccessCounter) Nodes() []string { return slices.Collect(maps.Keys(c.queues)) }
 
-// NextBatch returns the batch to send to an index node now: the one that wasn't acknowledged, or a new
-// one. It is nil while one is being sent, and if there is nothing to send. The loads (nil: none) are
-// those of this instant, also in a batch that is sent again; they are sent without accesses as well.
+// NextBatch returns the batch to send to an index node now: the unacknowledged one, or else a new one. It is
+// nil while a batch is being sent, and if there is nothing to send. The batch carries the given current loads
+// of the workers (nil: none), also when it is sent again; loads are sent even if there are no accesses.
 //
 // Example: if batch := c.NextBatch(node, loads); batch != nil { go send(node, batch) }
 func (c *AccessCounter) NextBatch(node string, loads *wire.WorkerLoads) *wire.CountRequest {
@@ -116,8 +117,8 @@
 	return queue.inFlight
 }
 
-// Acknowledge records an index node's response to a batch. If the node has lost its memory, the window
-// is queued again: the keys that are assigned to it, without presumed holders.
+// Acknowledge records an index node's response to a batch. If the node has lost its state, the accesses of
+// the last two half windows to keys assigned to it are queued again, without presumed holders.
 //
 // Example: c.Acknowledge(node, batch, response, func(k prefix.Key) bool { return shards.IsAssigned(node, k) })
 func (c *AccessCounter) Acknowledge(node string, batch *wire.CountRequest, response *wire.CountResponse, isAssigned func(prefix.Key) bool) {
@@ -127,7 +128,7 @@
 	}
 	queue.sending = false
 	if queue.inFlight != batch {
-		return // its accesses were dropped meanwhile
+		return // the batch was dropped by DropPending in the meantime
 	}
 	queue.inFlight = nil
 	if !response.ResendWindow {
@@ -142,7 +143,7 @@
 	}
 }
 
-// RecordFailure records that a batch wasn't acknowledged: it will be sent again.
+// RecordFailure records that a batch wasn't acknowledged. NextBatch then returns the same batch again.
 //
 // Example: if err != nil { c.RecordFailure(node) }
 func (c *AccessCounter) RecordFailure(node string) {
@@ -151,8 +152,8 @@
 	}
 }
 
-// DropPending drops what is queued for an index node that no longer serves. Its batch numbers go on
-// when it serves again: it would take lower ones for duplicates.
+// DropPending discards the accesses queued for an index node that no longer serves. Sequence numbers are not
+// reset, because the node would treat lower ones as duplicates if it serves again.
 //
 // Example: if shards.Addr(node) == "" { c.DropPending(node) }
 func (c *AccessCounter) DropPending(node string) {
@@ -161,7 +162,7 @@
 	}
 }
 
-// mergeAccess adds an access to a table of pending ones.
+// mergeAccess adds an access to a map of pending accesses; one to a new key is dropped if the map is full.
 func mergeAccess(pending map[prefix.Key]*wire.Access, key prefix.Key, access *wire.Access) {
 	merged := pending[key]
 	if merged == nil {
--- a/internal/data/indexclient/accesscounter_test.go
+++ b/internal/data/indexclient/accesscounter_test.go
@@ -16,15 +16,15 @@
 
 func newTestCounter() *AccessCounter { return NewAccessCounter("edge/e", 1, testHalfWindow) }
 
-// addAccess counts an access to a key that is assigned to the test's node alone.
+// addAccess counts an access to a key that is assigned to testNode alone.
 func addAccess(counter *AccessCounter, number int) {
 	access := &wire.Access{Count: 1, Service: "llm", PresumedHolders: []string{"w"}}
 	counter.Add(newKey(number), [2]string{testNode, testNode}, access)
 }
 
-func anyKey(prefix.Key) bool { return true }
+func isAlwaysAssigned(prefix.Key) bool { return true }
 
-// keysOf lists the numbers of a batch's keys, of those below ten.
+// keysOf returns the numbers n below ten for which a batch contains an access to newKey(n).
 func keysOf(batch *wire.CountRequest) (numbers []int) {
 	for number := range 10 {
 		key := newKey(number)
@@ -40,52 +40,52 @@
 	addAccess(counter, 1)
 	first := counter.NextBatch(testNode, nil)
 	if first.GetSequence() != 1 || !slices.Equal(keysOf(first), []int{1}) || first.Accesses[0].Count != 1 {
-		t.Fatalf("first batch: %v", first)
+		t.Fatalf("first batch: got %v, want sequence 1 with one access to key 1", first)
 	}
 	addAccess(counter, 2)
 	if batch := counter.NextBatch(testNode, nil); batch != nil {
-		t.Errorf("a batch while another is being sent: %v", batch)
+		t.Errorf("NextBatch while a batch is being sent: got %v, want nil", batch)
 	}
 	counter.RecordFailure(testNode)
 	if batch := counter.NextBatch(testNode, nil); batch != first || !slices.Equal(keysOf(batch), []int{1}) {
-		t.Errorf("after a failure: %v", batch)
+		t.Errorf("NextBatch after a failed call: got %v, want the first batch unchanged: %v", batch, first)
 	}
-	counter.Acknowledge(testNode, first, &wire.CountResponse{Sequence: 1}, anyKey)
+	counter.Acknowledge(testNode, first, &wire.CountResponse{Sequence: 1}, isAlwaysAssigned)
 	if batch := counter.NextBatch(testNode, nil); batch.GetSequence() != 2 || !slices.Equal(keysOf(batch), []int{2}) {
-		t.Errorf("after the acknowledgement: %v", batch)
+		t.Errorf("NextBatch after the acknowledgement: got %v, want sequence 2 with an access to key 2", batch)
 	}
 }
 
 func TestLoadsAreSentWithoutAccesses(t *testing.T) {
 	counter := newTestCounter()
 	addAccess(counter, 1)
-	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1}, anyKey)
+	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1}, isAlwaysAssigned)
 	if batch := counter.NextBatch(testNode, &wire.WorkerLoads{}); batch != nil {
-		t.Errorf("a batch without accesses and loads: %v", batch)
+		t.Errorf("NextBatch without accesses and loads: got %v, want nil", batch)
 	}
 	loads := &wire.WorkerLoads{WorkerIndexes: []uint32{3}}
 	if batch := counter.NextBatch(testNode, loads); batch.GetLoads() != loads || len(batch.Accesses) != 0 {
-		t.Errorf("loads alone: %v", batch)
+		t.Errorf("NextBatch with loads only: got %v, want a batch with loads %v and no accesses", batch, loads)
 	}
 }
 
-// A node stops serving while a batch is in flight: a late response to that batch doesn't acknowledge the
-// next one, and the numbers continue.
+// A node stops serving while a batch is in flight. A late response to that batch must not acknowledge the next
+// one, and sequence numbers continue.
 func TestDroppedBatchIsNotAcknowledged(t *testing.T) {
 	counter := newTestCounter()
 	addAccess(counter, 1)
 	dropped := counter.NextBatch(testNode, nil)
 	counter.DropPending(testNode)
 	addAccess(counter, 2)
-	counter.Acknowledge(testNode, dropped, &wire.CountResponse{Sequence: 1, ResendWindow: true}, anyKey)
+	counter.Acknowledge(testNode, dropped, &wire.CountResponse{Sequence: 1, ResendWindow: true}, isAlwaysAssigned)
 	next := counter.NextBatch(testNode, nil)
 	if next.GetSequence() != 2 || !slices.Equal(keysOf(next), []int{2}) {
-		t.Errorf("next batch: %v", next)
+		t.Errorf("batch after a dropped one: got %v, want sequence 2 with an access to key 2", next)
 	}
 }
 
-// A node that lost its memory gets the accesses of two half windows again, but for keys that aren't assigned
-// to it, and without presumed holders.
+// A node that lost its state gets the accesses of the last two half windows again, without presumed holders,
+// except those to keys that aren't assigned to it.
 func TestWindowIsSentAgain(t *testing.T) {
 	counter := newTestCounter()
 	now := time.Hour
@@ -98,6 +98,6 @@
 	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1, ResendWindow: true}, isAssigned)
 	batch := counter.NextBatch(testNode, nil)
 	if batch.GetSequence() != 2 || !slices.Equal(keysOf(batch), []int{3}) || len(batch.Accesses[0].PresumedHolders) != 0 {
-		t.Errorf("the window: %v", batch)
+		t.Errorf("batch resent to a node that lost its state: got %v, want sequence 2 with an access to key 3 without presumed holders", batch)
 	}
 }
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -9,7 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// run joins waiting lookups into batches; a few batches may be in flight at once.
+// run combines waiting lookups into batches until the process stops. At most maxConcurrentBatches are in
+// flight at the same time.
 func (c *Client) run() {
 	inFlight := make(chan struct{}, maxConcurrentBatches)
 	for {
@@ -31,15 +32,15 @@
 	}
 }
 
-// batchResult is what index nodes have responded to a batch.
+// batchResult accumulates the responses of index nodes to a batch of lookups.
 type batchResult struct {
 	found   map[prefix.Key]*wire.LookupResult
-	isFinal map[prefix.Key]bool // by key of the batch: a warm index node has responded
-	asked   map[string]bool     // the index nodes that were asked
+	isFinal map[prefix.Key]bool // whether a warm index node has responded, for each key of the batch
+	asked   map[string]bool     // names of the index nodes that were called
 }
 
-// lookUpBatch looks up the keys of all lookups: at the fewest index nodes that hold them all, then at
-// the other holders of what wasn't answered, or not by a warm node.
+// lookUpBatch resolves a batch of lookups. The first attempt calls the smallest set of index nodes that covers
+// all keys. The second one calls the other assigned nodes of each key that no warm node has answered.
 func (c *Client) lookUpBatch(lookups []pendingLookup) {
 	result := &batchResult{found: map[prefix.Key]*wire.LookupResult{}, isFinal: map[prefix.Key]bool{}, asked: map[string]bool{}}
 	keys, wait := joinKeys(lookups, result.isFinal)
@@ -69,8 +70,8 @@
 	}
 }
 
-// joinKeys lists the keys of all lookups once each, enters them into isFinal, and returns the longest of
-// the lookups' waits.
+// joinKeys returns the distinct keys of all lookups, which it also adds to isFinal, and the longest of the
+// lookups' maximum waits.
 func joinKeys(lookups []pendingLookup, isFinal map[prefix.Key]bool) (keys []prefix.Key, wait time.Duration) {
 	for _, lookup := range lookups {
 		wait = max(wait, lookup.wait)
@@ -84,7 +85,7 @@
 	return keys, wait
 }
 
-// missing lists the keys that no warm index node has responded to.
+// missing returns the keys for which no warm index node has responded.
 func (r *batchResult) missing(keys []prefix.Key) (missing []prefix.Key) {
 	for _, key := range keys {
 		if !r.isFinal[key] {
@@ -94,8 +95,9 @@
 	return missing
 }
 
-// merge adds an index node's response, one entry for each key. One that isn't warm can't know yet that
-// no worker caches a part.
+// merge adds an index node's response, which has one result per key. A node that isn't warm (has not yet
+// collected the contents of the workers' caches) can't know that a key has no holder, so such results of it
+// are ignored.
 func (r *batchResult) merge(keys []prefix.Key, response *wire.LookupResponse) {
 	for i, key := range keys {
 		if !response.Warm && len(response.Results[i].Holders) == 0 {
@@ -112,7 +114,7 @@
 	err      error
 }
 
-// callNodes makes all calls at once and merges the responses into the result.
+// callNodes makes all calls concurrently and merges the responses into result.
 func (c *Client) callNodes(ctx context.Context, calls []nodeCall, result *batchResult) {
 	responses := make(chan nodeResponse, len(calls))
 	for _, call := range calls {
@@ -134,7 +136,7 @@
 		if sharing := c.loadSharing.Load(); sharing != nil && r.err == nil && r.response.GetLoads() != nil {
 			sharing.receiveLoads(r.response.Loads)
 		}
-		if isComplete { // any other response is a miss
+		if isComplete { // an error or a response with missing results counts as a miss for all keys of the call
 			result.merge(r.call.keys, r.response)
 		}
 	}
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -1,6 +1,6 @@
-// Package indexclient is an edge machine's client of the prompt index: it looks up the holders of
-// prompt parts and reports the accesses to them. A late or missing response is a miss: no request
-// waits for the index.
+// Package indexclient is an edge machine's client of the prompt index. It looks up which workers hold the
+// KV cache of prompt parts, and reports accesses to the parts. A late or missing response counts as a miss, so
+// that no request waits for the index longer than its lookup timeout.
 package indexclient
 
 import (
@@ -17,41 +17,44 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing, as ratios of the heal bound unless the comment says otherwise. Chosen, not measured.
+// Timing, as fractions of the heal bound (the time within which service is restored after a failure) unless
+// the comment says otherwise.
 const (
-	// flushRatio is the time between two flushes of counted accesses. Longer saves calls; shorter lets
-	// the other edge machines learn sooner where a part is cached.
+	// flushRatio is the interval at which counted accesses are sent to the index. A longer interval saves calls;
+	// a shorter one lets other edge machines find newly cached parts sooner.
 	flushRatio = 1.0 / 60
-	// flushTimeoutRatio is the timeout of sending one batch of accesses.
+	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses.
 	flushTimeoutRatio = 1.0 / 24
-	// resendWindowRatio is one half window of accesses that a node which lost its memory gets again.
+	// resendWindowRatio is half of the time for which accesses are kept, to be resent to an index node that has
+	// lost its state.
 	resendWindowRatio = 1.25
-	// cacheLifetimeRatio is the lifetime of a cached answer. Longer saves calls; shorter notices sooner
-	// that a worker dropped a part.
+	// cacheLifetimeRatio is the lifetime of a cached lookup result. A longer lifetime saves calls; with a shorter
+	// one it is noticed sooner that a worker has evicted a part.
 	cacheLifetimeRatio = 1.0 / 48
-	// lateNodeRatio is how long an index node that was late, or isn't warm, is asked last.
+	// lateNodeRatio is how long an index node that responded late, or wasn't warm, is only called as a last resort.
 	lateNodeRatio = 1.0 / 12
-	// lateProbeRatio is the least time between two calls to an index node that was late.
+	// lateProbeRatio is the minimum time between two calls to an index node that responded late.
 	lateProbeRatio = 1.0 / 96
-	// firstAttemptRatio is the share of a lookup's wait that the first holder has to respond.
+	// firstAttemptRatio is the fraction of a lookup's timeout (not of the heal bound) after which the first
+	// attempt is abandoned, so that time is left to call the other nodes assigned to the keys.
 	firstAttemptRatio = 0.6
 )
 
-// Bounds of memory and of calls in flight.
+// Limits on memory and on concurrent calls.
 const (
 	maxCachedAnswers     = 4096
-	maxBatchedLookups    = 63 // lookups that join the first one of a batch
+	maxBatchedLookups    = 63 // lookups in a batch in addition to the first one
 	maxConcurrentBatches = 4
-	maxConnections       = 64 // index nodes whose clients are kept
+	maxConnections       = 64 // cached connections to index nodes; all are dropped when there are more
 )
 
-// Client looks up keys in batches and sends the accesses that this edge machine has seen. All methods
+// Client looks up keys in batches and reports the accesses made by requests of this edge machine. All methods
 // are safe for concurrent use.
 type Client struct {
 	lookups     *queue.Ring[pendingLookup]
 	actor       *queue.Actor[table]
-	nodes       func() []*wire.Node                // the cluster membership
-	connect     func(addr string) wire.PromptIndex // the index node at an address
+	nodes       func() []*wire.Node                // returns the current cluster membership
+	connect     func(addr string) wire.PromptIndex // returns a client of the index node at an address
 	bounds      settings.Bounds
 	clock       clock.Clock
 	ctx         context.Context // canceled when the process stops
@@ -61,14 +64,14 @@
 	lookupCalls atomic.Uint64
 }
 
-// pendingLookup is a caller of Lookup that waits for a batch.
+// pendingLookup is a call of Lookup that waits for the result of its batch.
 type pendingLookup struct {
 	keys   []prefix.Key
 	wait   time.Duration
-	result chan map[prefix.Key]*wire.LookupResult // buffered: a caller that stopped waiting doesn't block the batch
+	result chan map[prefix.Key]*wire.LookupResult // buffered, so that a caller that timed out doesn't block the batch
 }
 
-// New makes an edge machine's client of the index; nodes returns the cluster membership.
+// New returns an edge machine's client of the prompt index; nodes must return the current cluster membership.
 //
 // Example: c := indexclient.New(process, func() []*wire.Node { return agent.Snapshot().Nodes })
 func New(process *daemon.Process, nodes func() []*wire.Node) *Client {
@@ -90,8 +93,8 @@
 	})
 }
 
-// start makes a client that reaches index nodes by connect, and starts its goroutines: the process ends
-// and waits for them.
+// start returns a client that uses connect to reach index nodes, and starts its goroutines. They end when the
+// process stops, which waits for them.
 func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.PromptIndex) *Client {
 	bounds := process.Settings.Bounds
 	client := &Client{
@@ -113,8 +116,8 @@
 	return client
 }
 
-// Lookup looks keys up and waits no longer than wait; nil, or a missing key, is a miss. The result is
-// shared: it must not be changed.
+// Lookup returns the holders of keys, after at most the time wait. A key that is missing from the result, or a
+// nil result, is a miss. The result is shared and must not be modified.
 //
 // Example: found := c.Lookup(ctx, keys, 12*time.Millisecond)
 func (c *Client) Lookup(ctx context.Context, keys []prefix.Key, wait time.Duration) map[prefix.Key]*wire.LookupResult {
@@ -141,21 +144,21 @@
 	return cached
 }
 
-// ShareLoads makes lookups and flushes carry this edge machine's load at the workers (localLoads), and
-// passes on what the index reports of the other edge machines (receiveLoads).
+// ShareLoads makes lookups and reports of accesses carry the load that this edge machine puts on the workers, as
+// returned by localLoads. The loads of the other edge machines, which the index returns, go to receiveLoads.
 //
 // Example: c.ShareLoads(selector.loads, selector.receiveLoads)
 func (c *Client) ShareLoads(localLoads func() *wire.WorkerLoads, receiveLoads func(*wire.WorkerLoads)) {
 	c.loadSharing.Store(&loadSharing{localLoads, receiveLoads})
 }
 
-// loadSharing is how a Client exchanges loads.
+// loadSharing holds the callbacks passed to ShareLoads.
 type loadSharing struct {
 	localLoads   func() *wire.WorkerLoads
 	receiveLoads func(*wire.WorkerLoads)
 }
 
-// loads is this edge machine's load at the workers; nil if it isn't shared.
+// loads returns the load that this edge machine puts on the workers; nil if ShareLoads was not called.
 func (c *Client) loads() *wire.WorkerLoads {
 	if sharing := c.loadSharing.Load(); sharing != nil {
 		return sharing.localLoads()
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -19,16 +19,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// fakeIndex is the index nodes: all know the same holders, and each has a behavior of its own.
+// fakeIndex simulates the index nodes. All know the same holders; the behavior of each can be set separately.
 type fakeIndex struct {
 	mu           sync.Mutex
-	behavior     map[string]string // by address: "" (responds), hangs, errors, cold
-	called       []string
-	keyCount     int
+	behavior     map[string]string // by address: "" (responds), hangs, errors, cold (responds, but isn't warm)
+	called       []string          // addresses of all Lookup calls, in order
+	keyCount     int               // keys of all Lookup calls
 	batches      map[string][]*wire.CountRequest
 	holders      map[prefix.Key]string
-	resendWindow bool
-	unblock      chan struct{}
+	resendWindow bool          // the next Count call is answered as by a node that lost its state
+	unblock      chan struct{} // if set, Lookup calls block until it is closed
 }
 
 func (i *fakeIndex) setBehavior(addr, behavior string) {
@@ -76,9 +76,9 @@
 		return nil, errors.New("down")
 	}
 	n.index.batches[n.addr] = append(n.index.batches[n.addr], batch)
-	again := n.index.resendWindow
+	resendWindow := n.index.resendWindow
 	n.index.resendWindow = false
-	return &wire.CountResponse{Sequence: batch.Sequence, ResendWindow: again}, nil
+	return &wire.CountResponse{Sequence: batch.Sequence, ResendWindow: resendWindow}, nil
 }
 
 func (n fakeNode) Hottest(context.Context, *wire.HottestRequest) (*wire.HottestResponse, error) {
@@ -92,6 +92,7 @@
 	return nodes
 }
 
+// runClient runs a test in a synctest bubble with a client of a fake index; serving are the nodes in use.
 func runClient(t *testing.T, index *fakeIndex, test func(client *Client, serving []*wire.Node)) {
 	t.Helper()
 	if index.behavior == nil {
@@ -110,6 +111,7 @@
 	})
 }
 
+// advance lets d pass on the bubble's fake clock and waits until all goroutines block.
 func advance(d time.Duration) {
 	<-time.NewTimer(d).C
 	synctest.Wait()
@@ -126,31 +128,31 @@
 
 const lookupWait = 12 * time.Millisecond
 
-// All keys of a lookup go in one call, to the serving node of this zone.
+// All keys of a lookup are sent in one call, to the serving node in the client's zone.
 func TestOneCallForAllKeysOfALookup(t *testing.T) {
 	index := &fakeIndex{holders: map[prefix.Key]string{newKey(3): "w"}}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
 		found := client.Lookup(context.Background(), newKeys(20), lookupWait)
 		if len(found) != 20 || len(found[newKey(3)].Holders) != 1 || len(found[newKey(4)].Holders) != 0 {
-			t.Errorf("found %v", found)
+			t.Errorf("lookup of 20 keys: got %v, want 20 results with a holder of key 3 and none of key 4", found)
 		}
 		if !slices.Equal(index.called, []string{serving[1].Addr}) {
-			t.Errorf("called %v, want %v alone", index.called, serving[1].Addr)
+			t.Errorf("index nodes called for one lookup: got %v, want only %v, which is in the client's zone", index.called, serving[1].Addr)
 		}
 		if found = client.Lookup(context.Background(), []prefix.Key{newKey(3)}, lookupWait); len(found) != 1 || len(index.called) != 1 {
-			t.Errorf("called again at once: %v", index.called)
+			t.Errorf("second lookup of a key: got %d results after calls of %v, want one cached result and no second call", len(found), index.called)
 		}
 		advance(client.bounds.Heal(cacheLifetimeRatio))
 		if client.Lookup(context.Background(), []prefix.Key{newKey(3)}, lookupWait); len(index.called) != 2 {
-			t.Errorf("an outdated answer was used: %v", index.called)
+			t.Errorf("lookup after the cached result expired: index nodes called so far %v, want two calls", index.called)
 		}
 		if client.Lookup(context.Background(), nil, lookupWait) != nil || len(index.called) != 2 {
-			t.Errorf("called for no keys: %v", index.called)
+			t.Errorf("lookup without keys: index nodes called so far %v, want a nil result and no further call after the first two", index.called)
 		}
 	})
 }
 
-// Lookups that arrive while others are in flight are joined into one call.
+// Lookups that arrive while the maximum number of batches is in flight are combined into one call.
 func TestWaitingLookupsAreJoined(t *testing.T) {
 	index := &fakeIndex{}
 	runClient(t, index, func(client *Client, _ []*wire.Node) {
@@ -164,13 +166,13 @@
 			lookUp(i)
 		}
 		if len(index.called) != maxConcurrentBatches {
-			t.Errorf("%d calls in flight", len(index.called))
+			t.Errorf("concurrent lookup calls: got %d, want %d", len(index.called), maxConcurrentBatches)
 		}
 		close(index.unblock)
 		wg.Wait()
-		// One lookup had left the ring already while the others waited in it.
+		// The run loop had already taken one lookup from the ring while the other 20 waited in it; all 21 form one batch.
 		if len(index.called) != maxConcurrentBatches+1 || index.keyCount != 2*maxConcurrentBatches-1+22 {
-			t.Errorf("%d calls with %d keys", len(index.called), index.keyCount)
+			t.Errorf("after all lookups: got %d calls with %d keys, want %d calls with %d keys", len(index.called), index.keyCount, maxConcurrentBatches+1, 2*maxConcurrentBatches-1+22)
 		}
 	})
 }
@@ -182,16 +184,16 @@
 		index.setBehavior(serving[1].Addr, "hangs")
 		startedAt := client.clock.Now()
 		if found := client.Lookup(context.Background(), newKeys(2), lookupWait); found != nil || client.clock.Now()-startedAt > lookupWait {
-			t.Errorf("%v after %v", found, client.clock.Now()-startedAt)
+			t.Errorf("lookup while both index nodes hang: got %v after %v, want nil after at most %v", found, client.clock.Now()-startedAt, lookupWait)
 		}
 		index.setBehavior(serving[0].Addr, "")
 		advance(time.Second)
 		if found := client.Lookup(context.Background(), newKeys(2), lookupWait); len(found[newKey(1)].GetHolders()) != 1 {
-			t.Errorf("the other node wasn't called in time: %v", found)
+			t.Errorf("lookup while one index node hangs: got %v, want the holder of key 1 from the other node", found)
 		}
 		calls := len(index.called)
 		if client.Lookup(context.Background(), newKeys(1), lookupWait); index.called[calls] != serving[0].Addr || len(index.called) != calls+1 {
-			t.Errorf("the one that was late was called first: %v", index.called[calls:])
+			t.Errorf("index nodes called while %s counts as late: got %v, want only %s", serving[1].Addr, index.called[calls:], serving[0].Addr)
 		}
 	})
 }
@@ -201,22 +203,23 @@
 		index := &fakeIndex{behavior: map[string]string{}, holders: map[prefix.Key]string{newKey(1): "w"}}
 		runClient(t, index, func(client *Client, serving []*wire.Node) {
 			index.setBehavior(serving[1].Addr, behavior)
-			if m := client.Lookup(context.Background(), newKeys(2), lookupWait); len(m[newKey(1)].GetHolders()) != 1 || len(index.called) != 2 {
-				t.Errorf("%s: %v, called %v", behavior, m, index.called)
+			if found := client.Lookup(context.Background(), newKeys(2), lookupWait); len(found[newKey(1)].GetHolders()) != 1 || len(index.called) != 2 {
+				t.Errorf("lookup with a node of behavior %q: got %v after calls of %v, want the holder of key 1 after calls of two nodes", behavior, found, index.called)
 			}
 		})
 	}
 	runClient(t, &fakeIndex{}, func(client *Client, _ []*wire.Node) {
 		client.nodes = func() []*wire.Node { return nil }
-		if m := client.Lookup(context.Background(), newKeys(2), lookupWait); m != nil {
-			t.Errorf("no index: %v", m)
+		if found := client.Lookup(context.Background(), newKeys(2), lookupWait); found != nil {
+			t.Errorf("lookup without index nodes: got %v, want nil", found)
 		}
 	})
 }
 
 func newPart(i int) []prefix.Entry { return []prefix.Entry{{Key: newKey(i), Tokens: 100}} }
 
-// Accesses go to both nodes of a key in numbered batches; one that wasn't acknowledged is sent again as it was.
+// Accesses are sent to both index nodes of a key in batches with sequence numbers. An unacknowledged batch is sent
+// again unchanged.
 func TestAccessesAreSentInNumberedBatches(t *testing.T) {
 	index := &fakeIndex{behavior: map[string]string{}}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
@@ -229,12 +232,12 @@
 			batches := index.batches[node.Addr]
 			if len(batches) != 1 || len(batches[0].Accesses) != 1 || batches[0].Sequence != 1 || batches[0].Accesses[0].Count != 4 ||
 				!slices.Equal(batches[0].Accesses[0].PresumedHolders, []string{"w1", "w2", "store"}) || !batches[0].Accesses[0].Head {
-				t.Fatalf("%s was sent %v", node.Addr, batches)
+				t.Fatalf("batches sent to %s: got %v, want one with sequence 1 and four accesses to one key, presumably held by w1, w2 and store", node.Addr, batches)
 			}
 		}
 		advance(client.bounds.Heal(3 * flushRatio))
 		if len(index.batches[serving[0].Addr]) != 1 {
-			t.Error("sent again without new accesses")
+			t.Errorf("batches sent to %s without new accesses: got %d in total, want still 1", serving[0].Addr, len(index.batches[serving[0].Addr]))
 		}
 		index.setBehavior(serving[0].Addr, "errors")
 		client.RecordAccesses("llm", newPart(2), "w1", "")
@@ -244,11 +247,12 @@
 		advance(client.bounds.Heal(2 * flushRatio))
 		batches := index.batches[serving[0].Addr][1:]
 		if len(batches) != 2 || batches[0].Sequence != 2 || batches[1].Sequence != 3 || string(batches[0].Accesses[0].Key) != string(newPart(2)[0].Key[:]) {
-			t.Errorf("after an error: %v", batches)
+			t.Errorf("batches acknowledged after a failed call: got %v, want sequence 2 with the access to key 2, then sequence 3", batches)
 		}
 	})
 }
 
+// An index node that lost its state gets the accesses of the last two half windows again.
 func TestRestartedIndexNodeGetsTheWindow(t *testing.T) {
 	index := &fakeIndex{}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
@@ -264,17 +268,18 @@
 			if len(batches) == 3 {
 				resent++
 				if len(batches[2].Accesses) != 2 || len(batches[2].Accesses[0].PresumedHolders) != 0 {
-					t.Errorf("the window: %v", batches[2])
+					t.Errorf("batch resent to a node that lost its state: got %v, want two accesses without presumed holders", batches[2])
 				}
 			}
 		}
 		if resent != 1 {
-			t.Errorf("%d nodes were sent the window", resent)
+			t.Errorf("index nodes that were sent the kept accesses again: got %d, want only the one that lost its state", resent)
 		}
 	})
 }
 
-// A node that stops serving and then serves again knows this edge machine's batch numbers: they continue.
+// An index node that stops serving and then serves again remembers the sequence numbers of this edge machine's
+// batches, so they must continue rather than restart.
 func TestBatchNumbersContinueWhenANodeReturns(t *testing.T) {
 	index := &fakeIndex{}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
@@ -282,8 +287,8 @@
 		client.RecordAccesses("llm", newPart(1), "w1", "")
 		advance(client.bounds.Heal(flushRatio))
 		without := slices.DeleteFunc(slices.Clone(all), func(n *wire.Node) bool { return n.Name == serving[0].Name })
-		setNodes := func(batches []*wire.Node) {
-			client.actor.Ask(func(*table) { client.nodes = func() []*wire.Node { return batches } })
+		setNodes := func(nodes []*wire.Node) {
+			client.actor.Ask(func(*table) { client.nodes = func() []*wire.Node { return nodes } })
 		}
 		setNodes(without)
 		client.RecordAccesses("llm", newPart(2), "w1", "")
@@ -293,18 +298,18 @@
 		advance(client.bounds.Heal(2 * flushRatio))
 		batches := index.batches[serving[0].Addr]
 		if len(batches) != 2 || batches[1].Sequence != 2 {
-			t.Errorf("sent %v", batches)
+			t.Errorf("batches sent to a node that left and returned: got %v, want two with sequences 1 and 2", batches)
 		}
 	})
 }
 
-// While all index nodes are silent, requests don't wait for them one after another: one call now and then
-// probes whether they respond again.
+// While no index node responds, lookups return immediately instead of each waiting for a timeout. Occasional
+// calls probe whether a node responds again.
 func TestSilentNodesAreProbed(t *testing.T) {
 	index := &fakeIndex{behavior: map[string]string{}}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
-		for _, calls := range serving {
-			index.setBehavior(calls.Addr, "hangs")
+		for _, node := range serving {
+			index.setBehavior(node.Addr, "hangs")
 		}
 		for range 3 {
 			client.Lookup(context.Background(), newKeys(1), lookupWait)
@@ -314,19 +319,20 @@
 			client.Lookup(context.Background(), newKeys(1), lookupWait)
 		}
 		if len(index.called) > calls+len(serving) || client.clock.Now()-startedAt > 2*lookupWait {
-			t.Errorf("%d calls in %v", len(index.called)-calls, client.clock.Now()-startedAt)
+			t.Errorf("20 lookups while all index nodes hang: got %d calls in %v, want at most %d calls in %v", len(index.called)-calls, client.clock.Now()-startedAt, len(serving), 2*lookupWait)
 		}
-		for _, calls := range serving {
-			index.setBehavior(calls.Addr, "")
+		for _, node := range serving {
+			index.setBehavior(node.Addr, "")
 		}
 		advance(client.bounds.Heal(lateProbeRatio))
 		if client.Lookup(context.Background(), newKeys(1), lookupWait) == nil {
-			t.Error("they respond again and aren't called")
+			t.Error("lookup after the index nodes recovered: got nil, want a result from a probe of a late node")
 		}
 	})
 }
 
-// Index nodes that have just started can't know that no worker caches a part: that is a miss, not an answer.
+// Index nodes that aren't warm, because they have just started, can't know that no worker caches a part. Their
+// empty results must count as misses.
 func TestColdIndexCannotRuleOutHolders(t *testing.T) {
 	index := &fakeIndex{holders: map[prefix.Key]string{newKey(3): "w"}}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
@@ -334,14 +340,14 @@
 			index.setBehavior(n.Addr, "cold")
 		}
 		if found := client.Lookup(context.Background(), newKeys(5), lookupWait); len(found) != 0 {
-			t.Errorf("%d answers from nodes that aren't warm", len(found))
+			t.Errorf("lookup while no index node is warm: got %d results, want none", len(found))
 		}
 		for _, n := range serving {
 			index.setBehavior(n.Addr, "")
 		}
 		advance(client.bounds.Heal(lateNodeRatio))
 		if found := client.Lookup(context.Background(), newKeys(5), lookupWait); len(found) != 5 || len(found[newKey(3)].GetHolders()) != 1 {
-			t.Errorf("warm again: %d answers", len(found))
+			t.Errorf("lookup after the index nodes became warm: got %d results, %d holders of key 3; want 5 results and one holder", len(found), len(found[newKey(3)].GetHolders()))
 		}
 	})
 }
--- a/internal/data/indexclient/flush.go
+++ b/internal/data/indexclient/flush.go
@@ -7,8 +7,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// RecordAccesses counts a request's accesses: its parts, the worker that is presumed to hold them from
-// now on, and the store that they were sent to ("" if none). It doesn't wait.
+// RecordAccesses counts one access to each prompt part of a request. holder is the worker that is presumed to
+// cache the parts from now on, and store the KV cache store that they were sent to ("" if none). It doesn't
+// block; the accesses are dropped if the actor's queue is full.
 //
 // Example: c.RecordAccesses("lectores", parts, worker.ID, "")
 func (c *Client) RecordAccesses(service string, parts []prefix.Entry, holder, store string) {
@@ -28,7 +29,7 @@
 	})
 }
 
-// flush sends each index node the accesses that were counted for it.
+// flush starts sending each index node the accesses counted for it.
 func (c *Client) flush() {
 	loads := c.loads()
 	c.actor.Ask(func(t *table) {
@@ -46,7 +47,7 @@
 	})
 }
 
-// sendBatch sends one batch of accesses and records the result.
+// sendBatch sends one batch of accesses to an index node and records whether it was acknowledged.
 func (c *Client) sendBatch(node, addr string, batch *wire.CountRequest) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.bounds.Heal(flushTimeoutRatio))
 	defer cancel()
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -12,27 +12,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// table is a Client's memory: the layout of the index, late nodes, cached answers and counted accesses.
-// The actor guards it.
+// table is the mutable state of a Client: the assignment of keys to index nodes, late nodes, cached lookup
+// results and counted accesses. Only the actor's goroutine accesses it.
 type table struct {
 	client     *Client
-	membership []*wire.Node // that the shards were last checked against
-	layout     string       // names and addresses of the index nodes that the shards are assigned to
+	membership []*wire.Node // the cluster membership that shards was last compared with
+	layout     string       // names and addresses of the index nodes in shards
 	shards     *promptindex.Shards
-	sameZone   map[string]bool          // index nodes of this zone
-	lateUntil  map[string]time.Duration // by index node: until then it is asked last
-	probeAt    map[string]time.Duration // by late index node: it isn't asked before
+	sameZone   map[string]bool          // whether an index node is in the client's zone
+	lateUntil  map[string]time.Duration // by index node: it is only called as a last resort until then
+	probeAt    map[string]time.Duration // by late index node: it isn't called again before then
 	cached     map[prefix.Key]cachedAnswer
 	accesses   *AccessCounter
 }
 
-// cachedAnswer is an answer that is reused for a short time.
+// cachedAnswer is a lookup result that is reused until cacheLifetimeRatio has passed.
 type cachedAnswer struct {
 	found *wire.LookupResult
 	at    time.Duration
 }
 
-// nodeCall is one call to one index node.
+// nodeCall is a planned lookup call to one index node.
 type nodeCall struct {
 	node, addr string
 	keys       []prefix.Key
@@ -49,8 +49,8 @@
 	}
 }
 
-// currentShards is the assignment of keys to index nodes. It is computed again if the index nodes have
-// changed; a slice of nodes is never changed once it is published, so the same slice has the same nodes.
+// currentShards returns the assignment of keys to index nodes, which it recomputes if the index nodes have
+// changed. A published membership slice is never modified, so an unchanged slice means unchanged nodes.
 func (t *table) currentShards() *promptindex.Shards {
 	nodes := t.client.nodes()
 	if t.shards != nil && len(nodes) == len(t.membership) && (len(nodes) == 0 || &nodes[0] == &t.membership[0]) {
@@ -75,8 +75,8 @@
 	return t.shards
 }
 
-// planCalls distributes keys over the fewest index nodes that haven't been asked yet. Index nodes that
-// were late come last, and only if their next probe is due; those of this zone come first.
+// planCalls distributes keys over as few index nodes as possible, excluding those already asked. Late nodes are
+// used only if their next probe is due and no other node is left; see isPreferred for the order.
 func (t *table) planCalls(keys []prefix.Key, asked map[string]bool, now time.Duration) (calls []nodeCall) {
 	shards := t.currentShards()
 	for len(keys) > 0 {
@@ -101,13 +101,13 @@
 	return calls
 }
 
-// keysByNode counts, for each index node that may be asked now, the keys that it holds.
+// keysByNode returns, for each index node that may be called now, how many of the keys are assigned to it.
 func (t *table) keysByNode(keys []prefix.Key, asked map[string]bool, now time.Duration) map[string]int {
 	counts := map[string]int{}
 	for _, key := range keys {
-		holders := t.shards.NodesOf(key)
-		for i, node := range holders {
-			if node == "" || asked[node] || i > 0 && node == holders[0] {
+		assigned := t.shards.NodesOf(key)
+		for i, node := range assigned {
+			if node == "" || asked[node] || i > 0 && node == assigned[0] {
 				continue
 			}
 			if t.lateUntil[node] <= now || t.probeAt[node] <= now {
@@ -118,7 +118,7 @@
 	return counts
 }
 
-// bestNode is the index node to ask next; "" if there is none.
+// bestNode returns the index node to call next; "" if there is none.
 func (t *table) bestNode(keyCounts map[string]int, now time.Duration) (best string) {
 	for _, node := range maputil.SortedKeys(keyCounts) {
 		if best == "" || t.isPreferred(node, best, keyCounts, now) {
@@ -128,9 +128,9 @@
 	return best
 }
 
-// isPreferred reports whether index node a is asked before b: one that isn't late, that holds more of
-// the keys, that is in this zone; a hash decides between equals, so that edge machines don't all ask the
-// same one.
+// isPreferred reports whether index node a is called rather than b. In order of precedence, a node is preferred
+// if it isn't late, if more of the keys are assigned to it, and if it is in the client's zone. Ties are broken
+// by a hash that includes the client's name, so that edge machines don't all call the same node.
 func (t *table) isPreferred(a, b string, keyCounts map[string]int, now time.Duration) bool {
 	if aIsLate, bIsLate := t.lateUntil[a] > now, t.lateUntil[b] > now; aIsLate != bIsLate {
 		return bIsLate
@@ -144,7 +144,8 @@
 	return rendezvous.Hash(t.client.name+a) > rendezvous.Hash(t.client.name+b)
 }
 
-// recordResult records whether an index node responded in time, with all answers, and warm.
+// recordResult records whether a call to an index node succeeded: it was warm and responded in time with a
+// result for every key. Otherwise the node counts as late for a while.
 func (t *table) recordResult(node string, succeeded bool, now time.Duration) {
 	if succeeded {
 		delete(t.lateUntil, node)
@@ -153,7 +154,7 @@
 	}
 }
 
-// cachedAnswers returns the cached answers that are still valid; nil if there are none.
+// cachedAnswers returns the cached lookup results of keys that have not expired; nil if there are none.
 func (t *table) cachedAnswers(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
 	var answers map[prefix.Key]*wire.LookupResult
 	for _, key := range keys {
@@ -167,8 +168,8 @@
 	return answers
 }
 
-// cacheAnswers caches the holders that were found; that a key has no holder isn't cached. A full cache
-// drops the answers that are no longer valid, or else all.
+// cacheAnswers caches the lookup results that have a holder; results without one are not cached. If the cache
+// would become too large, expired results are dropped, and if that isn't enough, all results.
 func (t *table) cacheAnswers(found map[prefix.Key]*wire.LookupResult, now time.Duration) {
 	if len(t.cached)+len(found) > maxCachedAnswers {
 		for key, answer := range t.cached {
@@ -180,9 +181,9 @@
 			clear(t.cached)
 		}
 	}
-	for key, f := range found {
-		if len(f.Holders) > 0 {
-			t.cached[key] = cachedAnswer{f, now}
+	for key, result := range found {
+		if len(result.Holders) > 0 {
+			t.cached[key] = cachedAnswer{result, now}
 		}
 	}
 }
