--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -1,5 +1,6 @@
-// Package updatestream is how a process without its own link to the control state follows the node agent on
-// its machine: it long-polls with the versions that it has and receives what changed.
+// Package updatestream receives control-state updates from the node agent on the same machine, for processes
+// that have no connection of their own to the control nodes. A process sends the versions that it has in a
+// long-polling request, and receives what has changed since.
 package updatestream
 
 import (
@@ -14,27 +15,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// responseGrace is how much longer than twice its wait a request for an update may take.
+// responseGrace is added to twice the long-poll wait to get the timeout of a request.
 const responseGrace = time.Second
 
-// Config is how a process follows its node agent.
+// Config configures a Follower.
 type Config struct {
 	Clock        clock.Clock
 	Log          hclog.Logger
-	NodeAgent    func() wire.NodeAgent   // called before each request; nil: none is known yet
+	NodeAgent    func() wire.NodeAgent   // returns a client of the node agent, nil if none is known yet; called before each request
 	LongPollTime time.Duration           // how long the node agent may wait for an update before it responds
-	AddReports   func(*wire.FeedRequest) // adds what the process has seen since the last request; nil: nothing
-	OnSnapshot   func(*Snapshot)         // called with every new snapshot, must not block; nil: not called
+	AddReports   func(*wire.FeedRequest) // adds this process's observations since the last request; may be nil
+	OnSnapshot   func(*Snapshot)         // called with every new snapshot; must not block; may be nil
 }
 
-// Follower keeps the newest snapshot. Its methods are safe for concurrent use.
+// Follower polls the node agent and holds the newest snapshot. Its methods are safe for concurrent use.
 type Follower struct {
 	config  Config
 	current atomic.Pointer[Snapshot]
-	fixed   func() *Snapshot // instead of current, for tests; nil: none
+	fixed   func() *Snapshot // if not nil, replaces current in tests
 }
 
-// Follow follows a node agent until ctx is canceled.
+// Follow starts polling a node agent for updates, until ctx is canceled, and returns the Follower.
 //
 // Example: f := updatestream.Follow(ctx, updatestream.Config{Clock: clk, Log: log, NodeAgent: nodeAgent, LongPollTime: time.Second})
 func Follow(ctx context.Context, config Config) *Follower {
@@ -43,12 +44,12 @@
 	return f
 }
 
-// NewFixedFollower makes a follower of snapshots that a function returns, for tests.
+// NewFixedFollower returns a Follower for tests whose Snapshot method calls the given function.
 //
 // Example: f := updatestream.NewFixedFollower(func() *updatestream.Snapshot { return snapshot })
 func NewFixedFollower(snapshot func() *Snapshot) *Follower { return &Follower{fixed: snapshot} }
 
-// Snapshot returns the newest snapshot; nil before the first. It must not be changed.
+// Snapshot returns the newest snapshot; nil until the first is received. The caller must not modify it.
 //
 // Example: snapshot := f.Snapshot()
 func (f *Follower) Snapshot() *Snapshot {
@@ -58,7 +59,8 @@
 	return f.current.Load()
 }
 
-// OnSeedsChanged makes an OnSnapshot callback that passes the configuration's seeds on when they change.
+// OnSeedsChanged returns an OnSnapshot callback that calls setSeeds with the seeds of each new version of the
+// configuration.
 //
 // Example: updatestream.Config{OnSnapshot: updatestream.OnSeedsChanged(member.SetSeeds)}
 func OnSeedsChanged(setSeeds func([]string)) func(*Snapshot) {
@@ -76,7 +78,7 @@
 	for ctx.Err() == nil {
 		response, err := f.poll(ctx)
 		if err != nil {
-			f.config.Log.Debug("no update", "error", err)
+			f.config.Log.Debug("failed to get an update from the node agent; retrying", "error", err)
 			clock.Sleep(ctx, f.config.LongPollTime/2)
 			continue
 		}
@@ -97,16 +99,17 @@
 	defer cancel()
 	nodeAgent := f.config.NodeAgent()
 	if nodeAgent == nil {
-		return nil, errs.New(errs.OutcomeUnknown, "no node agent is known yet")
+		return nil, errs.New(errs.OutcomeUnknown, "request update: no node agent is known yet")
 	}
 	return nodeAgent.Feed(ctx, request)
 }
 
-// apply makes a response the current snapshot. One that this program can't read leaves the previous one.
+// apply replaces the current snapshot by that of a response. If the response can't be decoded, it keeps the
+// previous snapshot.
 func (f *Follower) apply(response *wire.FeedResponse) {
 	snapshot, err := ReadSnapshot(response, f.current.Load(), f.config.Clock.Now())
 	if err != nil {
-		f.config.Log.Error("update can't be read", "error", errs.Text(err))
+		f.config.Log.Error("failed to decode update from the node agent; keeping the previous snapshot", "error", errs.Text(err))
 		return
 	}
 	f.current.Store(snapshot)
--- a/internal/data/updatestream/snapshot.go
+++ b/internal/data/updatestream/snapshot.go
@@ -9,24 +9,24 @@
 	"pebbleloom/internal/wire"
 )
 
-// The states of a worker, from the most to the least usable. The values are on the wire.
+// The states of a worker, from the most to the least usable. The values are part of the wire protocol.
 const (
 	WorkerUp       uint32 = iota
-	WorkerSuspect         // an attempt or a probe has failed since its last successful probe
-	WorkerDraining        // it gets no new requests
-	WorkerGone            // it was never probed successfully, or not for long
+	WorkerSuspect         // a request or a probe has failed since the last successful probe
+	WorkerDraining        // the worker gets no new requests
+	WorkerGone            // no probe has ever succeeded, or none for a long time
 )
 
-// Snapshot is everything that a request uses. It is never changed once it is shared; instants are those of
-// the machine's clock.
+// Snapshot is the control state that requests are routed by. It is never modified once it is shared. Instants
+// are readings of the machine's monotonic clock.
 type Snapshot struct {
-	Version         uint64 // of everything in an update
+	Version         uint64 // of the update as a whole
 	ConfigVersion   uint64
-	ListsVersion    uint64 // of workers, nodes, placements and stores
+	ListsVersion    uint64 // of the lists of workers, nodes, placements and stores
 	Config          *serviceconfig.Config
-	ProofAt         time.Duration // no configuration newer than ConfigVersion had been acknowledged then; 0: no proof
-	LatestProofAt   time.Duration // the latest such instant known, also after a restart of the node agent
-	WorkersListedAt time.Duration // when the platform's list of workers was last requested successfully
+	ProofAt         time.Duration // instant at which no configuration newer than ConfigVersion had been acknowledged; 0: no proof
+	LatestProofAt   time.Duration // latest ProofAt of this configuration version, kept when the node agent restarts without a proof
+	WorkersListedAt time.Duration // when the list of workers was last read successfully from the platform
 	Workers         []*wire.Worker
 	Nodes           []*wire.Node
 	Placements      map[string]*placement.Placement // by service
@@ -34,16 +34,16 @@
 	Weights         map[string]WeightsHistory       // by model
 }
 
-// IsFresh reports whether the configuration may still be used at an instant: its proof is younger than age.
-// A nil snapshot isn't fresh.
+// IsFresh reports whether the configuration may still be used at the instant now: the proof that it is the newest
+// is younger than age. A nil snapshot isn't fresh.
 //
 // Example: if !s.IsFresh(clock.Now(), bounds.Config(0.8)) { reject() }
 func (s *Snapshot) IsFresh(now, age time.Duration) bool {
 	return s != nil && s.Config != nil && s.ProofAt > 0 && now-s.ProofAt < age
 }
 
-// ReadSnapshot makes a snapshot of a node agent's response. What the response leaves out is the old
-// snapshot's (nil: none), whose data is reused. An error says which document can't be read.
+// ReadSnapshot decodes a node agent's response. What the response omits because it has not changed is taken from
+// the old snapshot (nil: none). The error names the document that could not be decoded.
 //
 // Example: snapshot, err := updatestream.ReadSnapshot(response, old, clock.Now())
 func ReadSnapshot(response *wire.FeedResponse, old *Snapshot, now time.Duration) (*Snapshot, error) {
@@ -67,7 +67,7 @@
 	return snapshot, nil
 }
 
-// readPlacements reads the placements, but for those that the old snapshot has in the same version.
+// readPlacements decodes the placements, and reuses those that the old snapshot has in the same version.
 func (s *Snapshot) readPlacements(documents []*wire.Document, old *Snapshot) error {
 	for _, document := range documents {
 		if old != nil && old.Placements[document.Key] != nil && old.Placements[document.Key].Version == document.Version {
@@ -76,19 +76,19 @@
 		}
 		read, err := placement.Read(document.Body, document.Version)
 		if err != nil {
-			return errs.Wrap(err, "placement in update")
+			return errs.Wrap(err, "decode placement of service "+document.Key)
 		}
 		s.Placements[document.Key] = read
 	}
 	return nil
 }
 
-// applyConfig takes the configuration of a response, or keeps the old one if the response has none (nil),
-// or the same version.
+// applyConfig sets the configuration from a response, or keeps the old one if the response has none (nil) or
+// has the same version.
 func (s *Snapshot) applyConfig(document *wire.Document, old *Snapshot, now time.Duration) error {
 	if old != nil && old.Config != nil && (document == nil || old.ConfigVersion == document.Version) {
 		s.ConfigVersion, s.Config, s.Weights = old.ConfigVersion, old.Config, old.Weights
-		s.LatestProofAt = max(old.LatestProofAt, s.ProofAt) // a proof of this version stays valid
+		s.LatestProofAt = max(old.LatestProofAt, s.ProofAt) // an earlier proof of the same version stays valid
 		return nil
 	}
 	if document == nil {
@@ -96,7 +96,7 @@
 	}
 	config, err := serviceconfig.Decode(document.Body)
 	if err != nil {
-		return errs.Wrap(err, "configuration in update")
+		return errs.Wrap(err, "decode configuration in update of the node agent")
 	}
 	s.ConfigVersion, s.Config, s.LatestProofAt = document.Version, config.BuildIndex(), s.ProofAt
 	s.Weights = map[string]WeightsHistory{}
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -8,6 +8,7 @@
 	"pebbleloom/internal/wire"
 )
 
+// newDocument returns a configuration with one model m whose weights have the given version.
 func newDocument(version uint64, weights string) *wire.Document {
 	return &wire.Document{Version: version, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
 }
@@ -21,32 +22,32 @@
 	return s
 }
 
-// What a response leaves out stays as it was, and what it has replaces it; a snapshot that is shared is never
-// changed.
+// Fields that a response omits keep their previous values, and fields that it contains replace them. A shared
+// snapshot is never modified.
 func TestOmittedFieldsStayTheSame(t *testing.T) {
 	a := mustRead(t, &wire.FeedResponse{Version: 1, ListsVersion: 7, ProofAtNs: 10, Config: newDocument(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
 	b := mustRead(t, &wire.FeedResponse{Version: 2, ListsVersion: 7, ProofAtNs: 20}, a, 200)
 	if b.ConfigVersion != 3 || len(b.Workers) != 1 || b.Placements["s"] == nil || b.ProofAt != 20 || a.ProofAt != 10 {
-		t.Errorf("%+v after %+v", b, a)
+		t.Errorf("update with a proof only: got %+v, previous snapshot %+v; want the same configuration, worker and placement, and only the new snapshot with proof at 20ns", b, a)
 	}
 	c := mustRead(t, &wire.FeedResponse{Version: 3, ListsVersion: 8, ProofAtNs: 30, Workers: []*wire.Worker{{Name: "x"}, {Name: "y"}}}, b, 300)
 	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.ConfigVersion != 3 || len(b.Workers) != 1 {
-		t.Errorf("%+v after %+v", c, b)
+		t.Errorf("update with new lists: got %+v, previous snapshot %+v; want two workers, no placements, the same configuration, and the previous snapshot unchanged", c, b)
 	}
 	if _, err := ReadSnapshot(&wire.FeedResponse{Config: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
-		t.Error("half a configuration was read")
+		t.Error("update with a truncated configuration: got no error, want one")
 	}
 }
 
-// update is a response of the node agent, ten nanoseconds after its proof.
+// update describes a response of the node agent that is received 10 ns after the instant of its proof.
 type update struct {
 	configVersion uint64 // 0: no configuration
 	proofAt       uint64
-	weights       uint64 // that the configuration names
+	weights       uint64 // version of the weights of model m in the configuration
 }
 
-// readChain reads a chain of updates.
+// readChain reads successive updates and returns the last snapshot.
 func readChain(t *testing.T, chain ...update) (snapshot *Snapshot) {
 	t.Helper()
 	for _, u := range chain {
@@ -59,36 +60,36 @@
 	return snapshot
 }
 
-// Each superseded version has its own instant, however many are named after it: newer weights can't have been
-// acknowledged before the last proof of the older ones. A process that never saw the older ones knows no such
-// instant, and allows none of them.
+// The instant at which a version of the weights was superseded doesn't change however many versions follow: newer
+// weights can't have been acknowledged before the last proof that the older ones were the newest. A process that
+// never received the older ones knows no such instant and allows none of them.
 func TestInstantsAtWhichWeightsAreSuperseded(t *testing.T) {
 	for name, test := range map[string]struct {
 		chain []update
-		since map[uint64]uint64 // zero: unknown
+		since map[uint64]uint64 // expected instant by version; 0: unknown or not superseded
 	}{
-		"first seen":                           {[]update{{1, 50, 2}}, map[uint64]uint64{1: 0, 2: 0}},
-		"named once":                           {[]update{{1, 50, 1}, {2, 500, 2}}, map[uint64]uint64{1: 50}},
-		"another change between":               {[]update{{1, 50, 1}, {2, 500, 2}, {3, 900, 2}}, map[uint64]uint64{1: 50}},
-		"a later proof counts":                 {[]update{{1, 50, 1}, {0, 90, 0}, {2, 500, 2}}, map[uint64]uint64{1: 90}},
-		"named thrice":                         {[]update{{1, 50, 1}, {2, 500, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 500}},
-		"one version missed":                   {[]update{{1, 50, 1}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 50}},
-		"the node agent restarted":             {[]update{{1, 50, 1}, {0, 0, 0}, {2, 500, 2}}, map[uint64]uint64{1: 50}},
-		"restarted without proof, named again": {[]update{{1, 50, 1}, {2, 0, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 0}},
-		"named an earlier one again":           {[]update{{1, 50, 1}, {2, 500, 2}, {3, 600, 1}, {4, 900, 2}}, map[uint64]uint64{1: 600}},
+		"only the first version received":       {[]update{{1, 50, 2}}, map[uint64]uint64{1: 0, 2: 0}},
+		"superseded once":                       {[]update{{1, 50, 1}, {2, 500, 2}}, map[uint64]uint64{1: 50}},
+		"same weights in a third configuration": {[]update{{1, 50, 1}, {2, 500, 2}, {3, 900, 2}}, map[uint64]uint64{1: 50}},
+		"later proof of the first version":      {[]update{{1, 50, 1}, {0, 90, 0}, {2, 500, 2}}, map[uint64]uint64{1: 90}},
+		"superseded twice":                      {[]update{{1, 50, 1}, {2, 500, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 500}},
+		"one version not received":              {[]update{{1, 50, 1}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 50}},
+		"node agent restarted without proof":    {[]update{{1, 50, 1}, {0, 0, 0}, {2, 500, 2}}, map[uint64]uint64{1: 50}},
+		"no proof for the second version":       {[]update{{1, 50, 1}, {2, 0, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 0}},
+		"reverted to an earlier version":        {[]update{{1, 50, 1}, {2, 500, 2}, {3, 600, 1}, {4, 900, 2}}, map[uint64]uint64{1: 600}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			history := readChain(t, test.chain...).Weights["m"]
 			for version, want := range test.since {
 				if notBefore, _, ok := history.SupersededAt(version); ok != (want > 0) || notBefore != time.Duration(want) {
-					t.Errorf("weights %d: %d %v, want %d", version, notBefore, ok, want)
+					t.Errorf("SupersededAt of weights version %d: got %d ns, ok %v; want %d ns (0: not ok)", version, notBefore, ok, want)
 				}
 			}
 		})
 	}
 	a := readChain(t, update{1, 50, 1})
 	if mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 500, Config: newDocument(2, "2")}, a, 510); a.Weights["m"].Version != 1 {
-		t.Error("a shared snapshot was changed")
+		t.Errorf("weights version in the previous snapshot after an update: got %d, want still 1", a.Weights["m"].Version)
 	}
 	many := []update{}
 	for i := uint64(1); i <= 20; i++ {
@@ -96,14 +97,15 @@
 	}
 	history := readChain(t, many...).Weights["m"]
 	if _, _, ok := history.SupersededAt(5); ok || len(history.Past) != maxPastVersions {
-		t.Errorf("requests may start on a forgotten version: %+v", history)
+		t.Errorf("history after 20 versions: got %+v, want %d past versions and no instant for the dropped version 5", history, maxPastVersions)
 	}
 }
 
 func TestProofAgeDecidesFreshness(t *testing.T) {
-	var none *Snapshot
+	var nilSnapshot *Snapshot
 	s := mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 100, Config: newDocument(1, "1")}, nil, 0)
-	if none.IsFresh(1, 10) || !s.IsFresh(109, 10) || s.IsFresh(110, 10) || (&Snapshot{Config: s.Config}).IsFresh(1, 10) {
-		t.Error("wrong freshness")
+	if nilSnapshot.IsFresh(1, 10) || !s.IsFresh(109, 10) || s.IsFresh(110, 10) || (&Snapshot{Config: s.Config}).IsFresh(1, 10) {
+		t.Errorf("IsFresh with an age of 10 ns: got nil snapshot %v, proof 9 ns old %v, proof 10 ns old %v, no proof %v; want only the second to be fresh",
+			nilSnapshot.IsFresh(1, 10), s.IsFresh(109, 10), s.IsFresh(110, 10), (&Snapshot{Config: s.Config}).IsFresh(1, 10))
 	}
 }
--- a/internal/data/updatestream/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// WeightsHistory is the version of the weights that the configuration names for a model, and those that it
-// named before.
+// WeightsHistory records which version of a model's weights the configuration specifies, and the versions that
+// it specified before.
 type WeightsHistory struct {
 	Version           uint64
-	FirstSeen         time.Duration    // when this process first saw it named
-	ProvenNewestUntil time.Duration    // it was proved to be the newest until then; 0: no proof
-	Past              []WeightsHistory // earlier versions, oldest first, without their Past
+	FirstSeen         time.Duration    // when this process first received a configuration with Version
+	ProvenNewestUntil time.Duration    // latest instant at which Version was proved to be the newest; 0: no proof
+	Past              []WeightsHistory // earlier versions, oldest first, each with an empty Past
 }
 
-// maxPastVersions bounds the earlier versions of a model that are remembered: requests may not start on
-// forgotten ones.
+// maxPastVersions is the maximum number of earlier versions of a model that are kept. Requests may not start on
+// versions that are no longer kept.
 const maxPastVersions = 8
 
-// next extends the history with the version of a newer configuration; provenUntil is the latest instant at
-// which the previous configuration was still the newest. A new model, or one whose version decreased, has a
-// new history.
+// next returns the history extended by the version in a newer configuration. provenUntil is the latest instant
+// at which the previous configuration was proved to be the newest. For a new model, or one whose version
+// decreased, a new history starts.
 func (h WeightsHistory) next(version uint64, provenUntil, now time.Duration) WeightsHistory {
 	h.ProvenNewestUntil = max(h.ProvenNewestUntil, provenUntil)
 	switch {
@@ -33,12 +33,13 @@
 	return WeightsHistory{Version: version, FirstSeen: now, Past: past[max(0, len(past)-maxPastVersions):]}
 }
 
-// SupersededAt returns when a version was superseded: nothing newer was acknowledged before notBefore, and
-// this process saw something newer at seen. False: it is the newest, or the time is unknown.
+// SupersededAt returns when a version was superseded by a newer one: not before notBefore, as shown by a proof,
+// and at the latest at seen, when this process received the newer version. ok is false if no version is newer
+// or if there was no such proof.
 //
 // Example: notBefore, seen, ok := snapshot.Weights["lector"].SupersededAt(3)
 func (h WeightsHistory) SupersededAt(version uint64) (notBefore, seen time.Duration, ok bool) {
-	if version >= h.Version { // the usual case, on the path of every request
+	if version >= h.Version { // common case, checked first because every request makes this call
 		return 0, 0, false
 	}
 	named := append(slices.Clone(h.Past), h)
