--- a/internal/data/backend/backend.go
+++ b/internal/data/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend defines what the product needs of a platform: the calls to its registry of workers and to
-// the workers themselves, and the configuration format that its operators write. The platform's adapter
-// implements Client and Codec in the platform's names and formats; it takes no decisions.
+// Package backend defines the interfaces to an inference platform: the calls to its worker registry and to the
+// workers, and the configuration format that its operators write. A platform's adapter implements Client and
+// Codec by translating to the platform's names and formats; it contains no decision logic.
 package backend
 
 import (
@@ -13,45 +13,46 @@
 
 // Client makes the calls to a platform's registry and workers. All methods are safe for concurrent use.
 type Client interface {
-	// ListWorkers reads one page of the registry; next names the page after it, and is "" on the last.
+	// ListWorkers reads one page of the worker registry; page is "" for the first one. next identifies the
+	// following page and is "" if there is none.
 	ListWorkers(ctx context.Context, page string) (workers []fleet.Worker, next string, err error)
-	// Report reads a worker's status.
+	// Report reads the current status of the worker at addr.
 	Report(ctx context.Context, addr string) (Report, error)
-	// Order has a worker load a version of a model's weights. With OutcomeUnknown the worker may have
-	// accepted the order, unless the error is errs.NotExecuted.
+	// Order tells a worker to load a version of a model's weights. If it returns OutcomeUnknown, the worker may
+	// have accepted the order, unless the error is of kind errs.NotExecuted.
 	Order(ctx context.Context, addr string, o Order) (Outcome, error)
-	// CacheEvents reads what a worker's or store's prompt cache gained and lost since a sequence number. The
-	// call is held until there is something to report, for wait at most (long polling).
+	// CacheEvents reads the parts added to and evicted from the prompt cache of a worker or KV cache store since a
+	// sequence number. It is a long poll: it returns when there are changes, or after the time wait.
 	CacheEvents(ctx context.Context, addr string, since uint64, wait time.Duration) (CacheEvents, error)
-	// CachedPrefixes reads everything that a worker's or store's prompt cache holds.
+	// CachedPrefixes reads the complete contents of the prompt cache of a worker or KV cache store.
 	CachedPrefixes(ctx context.Context, addr string) (CacheEvents, error)
 }
 
-// Report is a worker's status, as it was some hundred milliseconds ago.
+// Report is a worker's status. It may be a few hundred milliseconds old.
 type Report struct {
 	Busy            bool              // an order is being executed
 	Sequence        uint64            // how many orders the worker has accepted
 	Weights         map[string]uint64 // loaded version by model
-	Queued, Running int               // requests
-	UsedTokens      int               // of the KV cache
-	CapacityTokens  int               // of the KV cache
+	Queued, Running int               // number of requests
+	UsedTokens      int               // tokens stored in the KV cache
+	CapacityTokens  int               // tokens that fit into the KV cache
 }
 
-// Order has a worker load a version of a model's weights.
+// Order is an instruction to a worker to load a version of a model's weights.
 type Order struct {
 	Model        string
 	Version      uint64
-	Mode         string // how requests in progress are treated: ModeAwait
+	Mode         string // how requests in progress are treated: always ModeAwait
 	LeaseHolder  string // node that holds the lease under which the order is sent
-	FencingToken uint64 // of that lease: a worker rejects an order with a lower one than it has seen
-	Instance     string // ID of the worker that is meant: another may have its address by now
-	// Sequence is how many orders the worker must have accepted so far; nil: any number. With it, an order
-	// whose outcome is unknown and the one that is sent in its place can't both take effect.
+	FencingToken uint64 // of that lease: a worker rejects an order whose token is lower than one it has seen
+	Instance     string // ID of the intended worker, since another one may have taken over its address
+	// Sequence is the number of orders that the worker must have accepted so far; nil: any number. It prevents
+	// an order whose outcome is unknown and its retry from both taking effect.
 	Sequence *uint64
 }
 
-// ModeAwait has a worker finish the requests in progress before it loads other weights. Platforms may know
-// other modes, which reset streams or move them to the new weights; the product doesn't use them.
+// ModeAwait tells a worker to finish the requests in progress before it loads other weights. Platforms may have
+// other modes, which abort response streams or continue them on the new weights; they are not used.
 const ModeAwait = "await"
 
 // Outcome is a worker's response to an order.
@@ -59,37 +60,37 @@
 
 // Outcomes of an order.
 const (
-	OutcomeUnknown       Outcome = iota // no response: the order may have been accepted
-	OutcomeStarted                      // accepted, and being executed
-	OutcomeAlreadyDone                  // the worker serves that version already
+	OutcomeUnknown       Outcome = iota // no response was received; the order may have been accepted
+	OutcomeStarted                      // the order was accepted and is being executed
+	OutcomeAlreadyDone                  // the worker already serves that version
 	OutcomeBusy                         // another order is being executed, or Order.Sequence differs
 	OutcomeFenced                       // the worker has seen a higher fencing token
-	OutcomeRejected                     // there is no such model or version, or the order is malformed
-	OutcomeWrongInstance                // another worker has that address
-	OutcomeThrottled                    // too many orders in a short time, or too many calls at once
+	OutcomeRejected                     // the model or version doesn't exist, or the order is malformed
+	OutcomeWrongInstance                // the worker at that address isn't Order.Instance
+	OutcomeThrottled                    // too many orders in a short time, or too many concurrent calls
 )
 
-// CacheChange is the state of one part of a prompt in a worker's or store's cache.
+// CacheChange reports that a prompt part was added to, or evicted from, the cache of a worker or KV cache store.
 type CacheChange struct {
 	Salt, Part, Model string
-	Tokens            int // 0: the part was evicted
+	Tokens            int // length of the cached part; 0: the part was evicted
 }
 
-// CacheEvents are the changes of a prompt cache since a sequence number, or its complete contents.
+// CacheEvents contains the changes of a prompt cache since a sequence number, or its complete contents.
 type CacheEvents struct {
-	BootID       uint64 // identifies the process: when it changes, earlier contents are lost
-	NextSequence uint64 // since of the next call
-	Gap          bool   // changes are missing: read the contents again (CachedPrefixes)
-	Throttled    bool   // rejected: the worker holds as many calls as it allows
+	BootID       uint64 // identifies the cache's process: a new ID means that earlier contents are lost
+	NextSequence uint64 // the sequence number to pass to the next call of Client.CacheEvents
+	Gap          bool   // some changes are missing: read the complete contents with Client.CachedPrefixes
+	Throttled    bool   // the call was rejected because the limit of concurrent long polls is reached
 	Changes      []CacheChange
 }
 
-// Codec converts the configuration format that operators write.
+// Codec decodes and merges configurations in the format that the platform's operators write.
 type Codec interface {
 	// Read parses a complete configuration.
 	Read(body []byte) (*routingconfig.Plan, error)
-	// Merge applies what an operator sent to the configuration in force: a complete one, or if partial only
-	// the named items. It returns what is stored, and its version. Where nothing is merged, the stored form
-	// is byte for byte what was sent.
+	// Merge applies a configuration sent by an operator to the one in force. If partial is set, sent contains only
+	// the items to change; otherwise it replaces the whole configuration. Merge returns the configuration to
+	// store and its version. If there is nothing to merge, stored equals sent byte for byte.
 	Merge(old, sent []byte, partial bool) (stored []byte, version uint64, err error)
 }
--- a/internal/data/backend/client.go
+++ b/internal/data/backend/client.go
@@ -10,10 +10,10 @@
 	"pebbleloom/internal/errs"
 )
 
-// Dial opens a connection, as net.Dialer.DialContext does.
+// Dial opens a network connection; it has the signature of net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// notSentError marks the error of a call of which no byte has left this node.
+// notSentError marks the error of a call of which no byte was sent.
 type notSentError struct{ error }
 
 // Unwrap returns the marked error.
@@ -21,8 +21,8 @@
 // Example: errors.Is(err, net.ErrClosed)
 func (e *notSentError) Unwrap() error { return e.error }
 
-// NotSent reports whether a failed call is proven not to have reached the other side: it had no connection,
-// or its guard let no byte of it leave.
+// NotSent reports whether a failed call certainly did not reach the server: no connection was established, or
+// the call's guard (see WithGuard) prevented it from being sent.
 //
 // Example: if backend.NotSent(err) { tryElsewhere() }
 func NotSent(err error) bool {
@@ -33,21 +33,21 @@
 // guardKey is the context key of a call's guard.
 type guardKey struct{}
 
-// WithGuard returns a context for a call of a single-use client. The guard is asked right before the call's
-// first byte is written; if it returns false, none is. A process that was stopped comes to that point late,
-// before any of its timers has fired, so a lease has to be checked there.
+// WithGuard returns a context for a call of a single-use client. The guard is called immediately before the
+// first byte of the call is written; if it returns false, nothing is written and the call fails. Leases have to
+// be checked at this point, because a process that was suspended may resume here before any of its timers fires.
 //
 // Example: ctx = backend.WithGuard(ctx, leaseHeld)
 func WithGuard(ctx context.Context, guard func() bool) context.Context {
 	return context.WithValue(ctx, guardKey{}, guard)
 }
 
-// idleTimeout closes a connection that no call has used for so long.
+// idleTimeout is how long a connection is kept open without being used.
 const idleTimeout = 30 * time.Second
 
-// NewHTTPClient returns a client that opens at most maxConns connections to one address (0: any number), and
-// keeps maxIdle of them for later calls. It follows no redirect: a response that names another address is
-// a response like any other.
+// NewHTTPClient returns a client that opens at most maxConns connections per address (0: unlimited) and keeps
+// at most maxIdle of them open for reuse. It does not follow redirects: they are returned to the caller like
+// any other response.
 //
 // Example: reports := backend.NewHTTPClient(process.Dial, 2, 0)
 func NewHTTPClient(dial Dial, maxIdle, maxConns int) *http.Client {
@@ -62,7 +62,7 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// markNotSent marks the errors of a dialer: without a connection nothing was sent.
+// markNotSent wraps a dialer so that its errors are marked as notSentError: without a connection, nothing was sent.
 func markNotSent(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -73,10 +73,10 @@
 	}
 }
 
-// NewSingleUseHTTPClient returns a client for calls that may take effect only once and whose responses bear
-// no ID: orders. Each call has a connection of its own, so that no response to an earlier call can be taken
-// for this one's, and net/http has no reused connection on which it would send a call again. What the kernel
-// hasn't delivered when a call is abandoned is discarded.
+// NewSingleUseHTTPClient returns a client for calls that must not take effect more than once and whose responses
+// contain no request ID, such as orders. Each call uses a new connection. A late response to an earlier call can
+// thus not be mistaken for its own, and net/http does not resend it, as it may on a reused connection. When a
+// call is abandoned, data that the kernel has not yet delivered is discarded.
 //
 // Example: orders := backend.NewSingleUseHTTPClient(process.Dial)
 func NewSingleUseHTTPClient(dial Dial) *http.Client {
@@ -87,7 +87,7 @@
 	}}}
 }
 
-// dialSingleUse makes connections that ask the guard of the call that opens them.
+// dialSingleUse wraps a dialer so that each connection checks the guard of the call for which it was opened.
 func dialSingleUse(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -95,17 +95,18 @@
 			return nil, err
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // where it can't be set, the receiver's own check of the order has to do
+			_ = tcp.SetLinger(0) // on failure, the worker's own validation of the order has to suffice
 		}
 		guard, _ := ctx.Value(guardKey{}).(func() bool)
 		return &singleUseConn{Conn: conn, guard: guard}, nil
 	}
 }
 
-// singleUseTransport sends each call once.
+// singleUseTransport is a transport that never resends a request.
 type singleUseTransport struct{ *http.Transport }
 
-// RoundTrip makes one call. net/http sends a call again only if it can read the body again.
+// RoundTrip sends a request once. It clears GetBody, because net/http resends a request only if it can read the
+// body again.
 //
 // Example: response, err := singleUseTransport{transport}.RoundTrip(request)
 func (t singleUseTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -114,19 +115,20 @@
 	return t.Transport.RoundTrip(request)
 }
 
-// singleUseConn is one call's connection. Only one goroutine writes to it.
+// singleUseConn is the connection of a single call. Only one goroutine may write to it.
 type singleUseConn struct {
 	net.Conn
-	guard   func() bool // nil: none
-	started bool        // a byte may have been written
+	guard   func() bool // reports whether the call may be sent; nil: always
+	started bool        // whether data may already have been written
 }
 
-// Write asks the guard before the first byte.
+// Write checks the guard before it writes the first byte, and fails with a notSentError if sending is no longer
+// allowed.
 //
 // Example: n, err := conn.Write(request)
 func (c *singleUseConn) Write(p []byte) (int, error) {
 	if !c.started && c.guard != nil && !c.guard() {
-		return 0, &notSentError{errs.New(errs.NotExecuted, "its sender may not send it any more")}
+		return 0, &notSentError{errs.New(errs.NotExecuted, "call not sent: its guard no longer permits it (for example, the sender's lease has expired)")}
 	}
 	c.started = true
 	return c.Conn.Write(p)
--- a/internal/data/placement/curve.go
+++ b/internal/data/placement/curve.go
@@ -16,26 +16,28 @@
 // fitUnit scales token counts while fitting, so that the columns of the matrix have similar magnitudes.
 const fitUnit = 1000.0
 
-// Curve is the duration of a prefill by the number of its tokens: a polynomial that was fitted offline.
+// Curve estimates the duration of a prefill from its number of tokens, as a polynomial that was fitted offline.
 type Curve struct {
-	Coefficients   []float64 `json:"c"`                  // microseconds: c[0] + c[1]·n + c[2]·n² …
-	Samples        int       `json:"samples,omitempty"`  // how many it was fitted to
-	RMSErrorMicros float64   `json:"rms_us,omitempty"`   // root mean square of its residuals
-	MaxErrorMicros float64   `json:"worst_us,omitempty"` // largest residual
+	Coefficients   []float64 `json:"c"`                  // duration in microseconds for n tokens: c[0] + c[1]·n + c[2]·n² …
+	Samples        int       `json:"samples,omitempty"`  // number of samples that the curve was fitted to
+	RMSErrorMicros float64   `json:"rms_us,omitempty"`   // root mean square of the residuals at the samples
+	MaxErrorMicros float64   `json:"worst_us,omitempty"` // largest absolute residual at the samples
 }
 
-// Default is the curve fitted offline on the worker simulator's data by the test bed's `fit` command.
+// Default returns the embedded curve, which the test bed's `fit` command fitted to measurements of the worker
+// simulator.
 //
 // Example: micros := placement.Default().At(4000)
 func Default() Curve {
 	var curve Curve
 	if err := json.Unmarshal(curveJSON, &curve); err != nil {
-		panic("placement: curve.json is broken: " + err.Error())
+		panic("placement: decode embedded curve.json: " + err.Error())
 	}
 	return curve
 }
 
-// At returns the duration of a prefill of so many tokens in microseconds, never below zero.
+// At returns the estimated duration, in microseconds, of a prefill of the given number of tokens. It is never
+// negative.
 //
 // Example: micros := curve.At(4000)
 func (c Curve) At(tokens float64) float64 {
@@ -46,19 +48,19 @@
 	return math.Max(0, value)
 }
 
-// Sample is one measured prefill.
+// Sample is the measured duration of one prefill.
 type Sample struct {
 	Tokens int
 	Micros float64
 }
 
-// Fit fits a polynomial to measured prefills by least squares, offline. The error is of the kind
-// errs.BadInput: there are too few samples, or of too few different lengths.
+// Fit fits a polynomial of the given degree to measured prefills by least squares. It returns an error of kind
+// errs.BadInput if there are too few samples, or samples of too few different lengths.
 //
 // Example: curve, err := placement.Fit(samples, 2)
 func Fit(samples []Sample, degree int) (Curve, error) {
 	if len(samples) <= degree+1 {
-		return Curve{}, errs.New(errs.BadInput, "%d samples for degree %d: measure more", len(samples), degree)
+		return Curve{}, errs.New(errs.BadInput, "fit prefill curve of degree %d: got %d samples, need at least %d", degree, len(samples), degree+2)
 	}
 	powers, durations := mat.NewDense(len(samples), degree+1, nil), mat.NewVecDense(len(samples), nil)
 	for i, sample := range samples {
@@ -71,7 +73,7 @@
 	}
 	var solution mat.VecDense
 	if err := solution.SolveVec(powers, durations); err != nil {
-		return Curve{}, errs.WrapAs(err, errs.BadInput, "fit: measure prompts of more different lengths")
+		return Curve{}, errs.WrapAs(err, errs.BadInput, "fit prefill curve: the samples need prompts of more different lengths")
 	}
 	curve := Curve{Samples: len(samples)}
 	for j := range degree + 1 {
@@ -81,7 +83,7 @@
 	return curve, nil
 }
 
-// measureErrors sets the curve's residuals at the samples that it was fitted to.
+// measureErrors computes the curve's root mean square and maximum error at the samples that it was fitted to.
 func (c *Curve) measureErrors(samples []Sample) {
 	sum := 0.0
 	for _, sample := range samples {
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -1,6 +1,7 @@
-// Package placement decides which prompt prefixes every worker of a service holds (the replicated set)
-// and which single worker holds each of the others (its shard worker). It implements the hot-replicated,
-// cold-sharded placement of BAT; docs/design.md names the sources and our changes.
+// Package placement decides which prompt prefixes are cached by every worker of a service (the replicated set)
+// and which single worker caches each of the others (its shard worker). It implements the hot-replicated,
+// cold-sharded (HRCS) placement of the BAT paper; docs/design.md cites the sources and describes the
+// differences.
 package placement
 
 import (
@@ -14,10 +15,10 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// Mode is how a service's prefixes are placed, as the service configuration names it.
+// Mode determines how a service's prefixes are placed. Its values are those of the service configuration.
 type Mode string
 
-// The modes. ModeHRCS is the regular one; the others exist to compare with it.
+// The placement modes. ModeHRCS is meant for production; the others serve as baselines for comparison.
 const (
 	ModeHRCS          Mode = serviceconfig.PlacementHRCS          // hot prefixes replicated, cold ones sharded
 	ModeAllSharded    Mode = serviceconfig.PlacementAllSharded    // no prefix is replicated
@@ -28,32 +29,32 @@
 // Placement is the placement controller's decision for one service. It is stored as a JSON document in
 // the control state.
 type Placement struct {
-	Version          uint64   `json:"-"` // the document's version
+	Version          uint64   `json:"-"` // version of the document in the control state
 	Service          string   `json:"service"`
 	Mode             Mode     `json:"mode"`
-	FencingToken     uint64   `json:"fence"` // of the lease under which it was written
+	FencingToken     uint64   `json:"fence"` // of the lease under which the document was written
 	Workers          []string `json:"workers"`
 	Replicated       []string `json:"replicated"`        // keys, hottest first
 	Cordoned         []string `json:"rolling,omitempty"` // workers that get no new requests while they load other weights
-	ReplicatedRatio  float64  `json:"ratio"`             // of the entries
-	RMax             float64  `json:"r_max"`             // see the function RMax
-	Entries          int      `json:"entries"`           // hot entries that it was computed from
-	FetchBandwidth   float64  `json:"b"`                 // tokens per second between workers
+	ReplicatedRatio  float64  `json:"ratio"`             // fraction of Entries that is replicated
+	RMax             float64  `json:"r_max"`             // result of the function RMax
+	Entries          int      `json:"entries"`           // number of hot entries that the placement was computed from
+	FetchBandwidth   float64  `json:"b"`                 // of KV cache transfers between workers, in tokens per second
 	PrefillCurve     Curve    `json:"prefill"`
-	MeanSharedTokens float64  `json:"mean_len"` // tokens of a request's shared part
-	AdmissionFloor   float64  `json:"floor"`    // hotness of the coldest cached entry that no prompt begins with
-	Reason           string   `json:"why"`
+	MeanSharedTokens float64  `json:"mean_len"` // mean number of tokens in the shared part of a request
+	AdmissionFloor   float64  `json:"floor"`    // access frequency of the least used cached entry that is not the first part of a prompt
+	Reason           string   `json:"why"`      // explanation for operators
 
-	replicated map[string]bool // the set of Replicated
+	replicated map[string]bool // the keys in Replicated
 }
 
-// Read decodes a stored placement. The error is of the kind errs.BadInput.
+// Read decodes a stored placement document of the given version. Its errors are of kind errs.BadInput.
 //
 // Example: p, err := placement.Read(document.Body, document.Version)
 func Read(body []byte, version uint64) (*Placement, error) {
 	p := &Placement{}
 	if err := json.Unmarshal(body, p); err != nil {
-		return nil, errs.WrapAs(err, errs.BadInput, "read placement")
+		return nil, errs.WrapAs(err, errs.BadInput, "decode placement document")
 	}
 	p.Version = version
 	p.replicated = make(map[string]bool, len(p.Replicated))
@@ -63,14 +64,14 @@
 	return p, nil
 }
 
-// Tolerance of the admission floor: a smaller change isn't published.
+// Tolerance of the admission floor: a change of the floor by no more than this isn't published.
 const (
-	floorToleranceRatio  = 0.25 // of the old floor
-	floorToleranceOffset = 0.05 // added to it, in units of hotness
+	floorToleranceRatio  = 0.25 // fraction of the old floor
+	floorToleranceOffset = 0.05 // added to that fraction, in the unit of the floor
 )
 
-// Changed reports whether a computed placement differs enough from the old one to be published. A nil
-// old placement stands for none.
+// Changed reports whether a newly computed placement differs enough from the old one to be published. If old is
+// nil, there is no placement yet and next counts as changed.
 //
 // Example: if placement.Changed(old, next) { publish(next) }
 func Changed(old, next *Placement) bool {
@@ -78,7 +79,7 @@
 		math.Abs(next.AdmissionFloor-old.AdmissionFloor) > floorToleranceRatio*old.AdmissionFloor+floorToleranceOffset
 }
 
-// IsReplicated reports whether every worker should hold a prefix. A nil placement replicates none.
+// IsReplicated reports whether every worker should cache a prefix. A nil placement replicates no prefix.
 //
 // Example: if p.IsReplicated(entry.Key) { … }
 func (p *Placement) IsReplicated(key prefix.Key) bool {
@@ -91,8 +92,8 @@
 	return p.replicated[key.String()]
 }
 
-// RankShardWorkers orders workers for a prefix that isn't replicated: the first is its shard worker. A
-// worker that leaves moves only the prefixes that it was the shard worker of.
+// RankShardWorkers orders workers by preference for a prefix that isn't replicated; the first one is its shard
+// worker. When a worker leaves, only the prefixes of which it was the shard worker move to another worker.
 //
 // Example: shardWorker := placement.RankShardWorkers(entry.Key, names)[0]
 func RankShardWorkers(key prefix.Key, workers []string) []string {
--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// Computed by hand from R_max = α·t·B·(N−1) / (c·S·N).
+// The expected values were computed by hand from R_max = α·t·B·(N−1) / (c·S·N).
 func TestRMax(t *testing.T) {
 	for _, test := range []struct {
 		name                                           string
@@ -15,27 +15,27 @@
 		workers                                        int
 		want                                           float64
 	}{
-		{"paper's shape", 0.5, 0.2, 4000, 1000, 4, 0.5 * 0.2 * 4000 * 3 / (1000 * 4)},
-		{"one worker has no other to fetch from", 1, 1, 1e6, 10, 1, 0},
+		{"typical values, result between 0 and 1", 0.5, 0.2, 4000, 1000, 4, 0.5 * 0.2 * 4000 * 3 / (1000 * 4)},
+		{"one worker: no other to fetch from", 1, 1, 1e6, 10, 1, 0},
 		{"no workers", 1, 1, 1e6, 10, 0, 0},
-		{"links fast enough for all: limited to 1", 1, 1, 1e6, 10, 18, 1},
+		{"bandwidth above what is needed: limited to 1", 1, 1, 1e6, 10, 18, 1},
 		{"no shared part", 1, 1, 1e6, 0, 4, 0},
-		{"a curve below zero is no time", 1, -0.1, 1e6, 10, 4, 0},
+		{"negative prefill time counts as zero", 1, -0.1, 1e6, 10, 4, 0},
 		{"alpha 0 tolerates no fetch", 0, 1, 1e6, 10, 4, 0},
 	} {
 		if got := RMax(test.alpha, test.prefillSeconds, test.bandwidth, test.sharedTokens, test.workers); math.Abs(got-test.want) > 1e-12 {
-			t.Errorf("%s: %v, by hand %v", test.name, got, test.want)
+			t.Errorf("RMax, case %q: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
 func TestSelectReplicated(t *testing.T) {
 	entries := func(frequencies ...float64) []EntryFrequency {
-		var l []EntryFrequency
+		var list []EntryFrequency
 		for i, frequency := range frequencies {
-			l = append(l, EntryFrequency{Key: string(rune('a' + i)), Frequency: frequency})
+			list = append(list, EntryFrequency{Key: string(rune('a' + i)), Frequency: frequency})
 		}
-		return l
+		return list
 	}
 	for _, test := range []struct {
 		name      string
@@ -44,24 +44,24 @@
 		want      int
 		wantFirst string
 	}{
-		{"0.5 reached by the first", entries(5, 3, 2), 0.5, 1, "a"},
-		{"0.8 reached by two, in descending order", entries(2, 5, 3), 0.2, 2, "b"},
-		{"R_max 0 replicates all", entries(2, 5, 3), 0, 3, "b"},
-		{"R_max 1: the scan as written stops at the first", entries(2, 5, 3), 1, 1, "b"},
-		{"R_max above 1 does so too", entries(2, 5, 3), 1.7, 1, "b"},
-		{"R_max below 0 replicates all", entries(2, 5, 3), -0.5, 3, "b"},
-		{"no accesses: nothing is hot", entries(0, 0), 0.3, 0, "a"},
+		{"first entry reaches the threshold 0.5", entries(5, 3, 2), 0.5, 1, "a"},
+		{"two most frequent entries reach the threshold 0.8", entries(2, 5, 3), 0.2, 2, "b"},
+		{"R_max 0 replicates all entries", entries(2, 5, 3), 0, 3, "b"},
+		{"R_max 1 still replicates the most frequent entry", entries(2, 5, 3), 1, 1, "b"},
+		{"R_max above 1 still replicates the most frequent entry", entries(2, 5, 3), 1.7, 1, "b"},
+		{"R_max below 0 replicates all entries", entries(2, 5, 3), -0.5, 3, "b"},
+		{"no accesses: no entry is replicated", entries(0, 0), 0.3, 0, "a"},
 		{"no entries", nil, 0.3, 0, ""},
-		{"ties go by key", entries(1, 1, 1, 1), 0.5, 2, "a"},
+		{"ties are broken by key", entries(1, 1, 1, 1), 0.5, 2, "a"},
 	} {
 		sorted, n := SelectReplicated(test.entries, test.rMax)
 		if n != test.want || len(sorted) > 0 && sorted[0].Key != test.wantFirst {
-			t.Errorf("%s: %d of %v, by hand %d", test.name, n, sorted, test.want)
+			t.Errorf("SelectReplicated, case %q: got the first %d of %v, want %d with key %q first", test.name, n, sorted, test.want, test.wantFirst)
 		}
 	}
 }
 
-// A worker that leaves moves its own keys only, and the keys are spread evenly.
+// When a worker leaves, only its own keys move to other workers. The keys are distributed evenly.
 func TestShardWorkersAreEvenAndStable(t *testing.T) {
 	workers := []string{"a", "b", "c", "d", "e", "f"}
 	keys := map[string]int{}
@@ -70,17 +70,17 @@
 		before, after := RankShardWorkers(key, workers), RankShardWorkers(key, workers[:5])
 		keys[before[0]]++
 		if before[0] != "f" && after[0] != before[0] {
-			t.Fatalf("key %s moved from %s to %s though only f left", key, before[0], after[0])
+			t.Fatalf("after worker f left, key %s moved from worker %s to %s, want it to stay", key, before[0], after[0])
 		}
 	}
 	for worker, n := range keys {
 		if n < 850 || n > 1150 {
-			t.Errorf("worker %s is the shard worker of %d of 6000", worker, n)
+			t.Errorf("worker %s is the shard worker of %d of 6000 keys, want 850 to 1150", worker, n)
 		}
 	}
 }
 
-// A known polynomial is recovered; too few lengths are rejected.
+// Fit recovers a known polynomial from exact samples and rejects samples of too few different lengths.
 func TestFitRecoversKnownCurve(t *testing.T) {
 	var samples []Sample
 	for n := 100; n <= 4000; n += 100 {
@@ -88,13 +88,13 @@
 	}
 	curve, err := Fit(samples, 2)
 	if err != nil || math.Abs(curve.Coefficients[0]-1500) > 0.01 || math.Abs(curve.Coefficients[1]-38) > 1e-6 || math.Abs(curve.Coefficients[2]-0.005) > 1e-9 || curve.RMSErrorMicros > 0.01 {
-		t.Errorf("%+v, %v", curve, err)
+		t.Errorf("Fit of samples from 1500 + 38n + 0.005n²: got %+v, error %v; want these coefficients", curve, err)
 	}
 	if _, err := Fit([]Sample{{5, 1}, {5, 1}, {5, 1}, {5, 1}}, 2); err == nil {
-		t.Error("one length gave a curve")
+		t.Error("Fit of samples that all have the same length: got no error, want one")
 	}
 	if d := Default(); d.Samples < 50 || d.At(3000) <= d.At(1000) || d.RMSErrorMicros > 0.2*d.At(1000) {
-		t.Errorf("the embedded curve: %+v", d)
+		t.Errorf("embedded curve: got %+v, want at least 50 samples, longer durations for more tokens and an RMS error of at most 20%% at 1000 tokens", d)
 	}
 }
 
@@ -117,10 +117,10 @@
 		next := old
 		test.change(&next)
 		if got := Changed(&old, &next); got != test.want {
-			t.Errorf("%s: changed %v", test.name, got)
+			t.Errorf("Changed after a change of %s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 	if !Changed(nil, &old) {
-		t.Error("the first placement is no change")
+		t.Error("Changed(nil, placement): got false, want true for the first placement")
 	}
 }
--- a/internal/data/placement/replication.go
+++ b/internal/data/placement/replication.go
@@ -5,13 +5,14 @@
 	"sort"
 )
 
-// cdfTolerance absorbs rounding where the summed frequencies reach the threshold exactly.
+// cdfTolerance compensates for rounding errors when the summed frequencies reach the threshold exactly.
 const cdfTolerance = 1e-12
 
-// RMax is the largest share of a request's tokens that may be fetched from other workers, so that
-// fetching takes at most the part alpha of the prefill time that it saves:
-// α·t·B·(N−1) / (c·S_item·N), limited to 0…1. Here t is prefillSeconds, B the bandwidth in tokens per
-// second, c·S_item sharedTokens, the tokens of a request's shared part, and N the number of workers.
+// RMax returns the largest fraction of a request's tokens that may be fetched from other workers such that
+// fetching takes at most the fraction alpha of the prefill time that it saves:
+// α·t·B·(N−1) / (c·S_item·N), limited to the range 0 to 1. Here t is prefillSeconds, B is bandwidth in tokens
+// per second, c·S_item is sharedTokens (the number of tokens in a request's shared part), and N is the number
+// of workers.
 //
 // Example: placement.RMax(1, 0.1, 20000, 1000, 4) == 1
 func RMax(alpha, prefillSeconds, bandwidth, sharedTokens float64, workers int) float64 {
@@ -21,16 +22,17 @@
 	return math.Min(1, alpha*prefillSeconds*bandwidth*float64(workers-1)/(sharedTokens*float64(workers)))
 }
 
-// EntryFrequency is one entry's part in the accesses of the past period.
+// EntryFrequency is the access frequency of one prefix entry in the past period.
 type EntryFrequency struct {
 	Key       string
-	Frequency float64 // any unit: need not be normalized
+	Frequency float64 // in any unit; need not be normalized
 	Tokens    int
 }
 
-// SelectReplicated is the paper's CDF scan: entries are summed by descending frequency until 1 − rMax of
-// all accesses is reached. It returns the sorted entries and how many of them are replicated. Ties are
-// broken by key, so that every scan of the same counts selects the same set.
+// SelectReplicated selects the most frequently accessed entries by the CDF scan of the BAT paper: frequencies
+// are summed in descending order until the fraction 1 − rMax of all accesses is reached. It returns the sorted
+// entries and how many of them, from the start, are replicated. Ties are broken by key, so that the result is
+// deterministic.
 //
 // Example: sorted, n := placement.SelectReplicated(entries, 0.3)
 func SelectReplicated(entries []EntryFrequency, rMax float64) (sorted []EntryFrequency, n int) {
@@ -46,7 +48,7 @@
 		total += entry.Frequency
 	}
 	if total <= 0 {
-		return sorted, 0 // nothing was accessed: nothing is hot
+		return sorted, 0 // without accesses no entry is hot
 	}
 	cdf := 0.0
 	for i, entry := range sorted {
