--- a/internal/data/prefix/prefix.go
+++ b/internal/data/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix names the entries of the prompt index. An entry stands for the KV cache of a prompt's first
-// parts, in order, under one cache domain (the isolation boundary between tenants), model and version of its
-// weights.
+// Package prefix computes the keys of entries in the prompt index. An entry represents the KV cache of the first
+// parts of a prompt, in order, for one cache domain (the isolation boundary between tenants), one model and one
+// version of its weights.
 package prefix
 
 import (
@@ -10,15 +10,15 @@
 	"strconv"
 )
 
-// Key names one entry. Cache domain, model and version of the weights are hashed into it, so that an entry
-// of another domain or version can't be named by accident.
+// Key identifies an entry. It is a hash that includes the cache domain, the model and the version of the weights,
+// so that entries of different domains, models or versions can't be mistaken for each other.
 type Key [16]byte
 
 // Entry is one prefix of a prompt.
 type Entry struct {
 	Key              Key
-	Tokens           int // of the last part alone
-	CumulativeTokens int // of all parts up to the last
+	Tokens           int // estimated tokens of the prefix's last part alone
+	CumulativeTokens int // estimated tokens of all parts of the prefix
 }
 
 // String returns the key in hex.
@@ -26,7 +26,7 @@
 // Example: fmt.Println(e.Key.String())
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Parse reads a key in hex; ok is false if the text isn't one.
+// Parse decodes the hex form of a key; ok is false if s is not a valid key.
 //
 // Example: k, ok := prefix.Parse("0f…")
 func Parse(s string) (k Key, ok bool) {
@@ -38,16 +38,16 @@
 	return k, true
 }
 
-// bytesPerToken is a rough average: the estimate only ranks prefixes by size.
+// bytesPerToken is a rough average, which suffices because the estimates only rank prefixes by size.
 const bytesPerToken = 4
 
-// EstimateTokens estimates a part's tokens by its length.
+// EstimateTokens estimates the number of tokens in a prompt part from its length in bytes.
 //
 // Example: prefix.EstimateTokens("una primera edición") == 5
 func EstimateTokens(part string) int { return (len(part) + bytesPerToken - 1) / bytesPerToken }
 
-// QualifiedModel returns the model's name in the keys. What one base model, or one build of an adapter on
-// it, has computed is of no use to another; adapter "" is the base model itself.
+// QualifiedModel returns the model name that is hashed into keys. It is different for each base model and for each
+// build of an adapter on it, because they can't share KV caches. An empty adapter stands for the base model itself.
 //
 // Example: entries := prefix.Chain("shared", prefix.QualifiedModel("lector", "rare", 2), 3, parts)
 func QualifiedModel(model, adapter string, build uint64) string {
@@ -57,8 +57,9 @@
 	return model + "\x00" + adapter + "\x00" + strconv.FormatUint(build, 10)
 }
 
-// Chain returns the entries of all prefixes of a prompt, the shortest first. Each key is the hash of the key
-// before it and one more part. Lengths are hashed before the texts, so that no two splits share a key.
+// Chain returns the entries of all prefixes of a prompt, the shortest first. Each key is derived from the hash of
+// the previous prefix and the next part. The length of each string is hashed before the string itself, so that
+// prompts with the same text but different part boundaries have different keys.
 //
 // Example: entries := prefix.Chain("shared", "lector", 3, parts)
 func Chain(domain, model string, weights uint64, parts []string) []Entry {
--- a/internal/data/prefix/prefix_test.go
+++ b/internal/data/prefix/prefix_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Entries of different domains, models, versions of the weights or prompts have different keys, however the
-// prompts are split into parts.
+// Entries that differ in domain, model, version of the weights or prompt have different keys, also if the prompts
+// differ only in how the same text is split into parts.
 func TestKeysAreDistinct(t *testing.T) {
 	seen := map[Key]string{}
 	for _, domain := range []string{"shared", "t:a", "t:b", ""} {
@@ -17,11 +17,11 @@
 					for i, entry := range Chain(domain, model, weights, parts) {
 						name := fmt.Sprintf("%q %q %d %q", domain, model, weights, parts[:i+1])
 						if other, ok := seen[entry.Key]; ok && other != name {
-							t.Fatalf("%s has the key of %s", prompt, other)
+							t.Fatalf("prefix %s of prompt %s has the same key as prefix %s, want different keys", name, prompt, other)
 						}
 						seen[entry.Key] = name
 						if key, ok := Parse(entry.Key.String()); !ok || key != entry.Key {
-							t.Fatalf("%s doesn't read back", entry.Key)
+							t.Fatalf("Parse(%q): got key %s, ok %v; want the same key", entry.Key, key, ok)
 						}
 					}
 				}
@@ -29,6 +29,6 @@
 		}
 	}
 	if len(seen) < 300 {
-		t.Fatalf("only %d keys", len(seen))
+		t.Fatalf("distinct keys tested: got %d, want at least 300", len(seen))
 	}
 }
--- a/internal/queue/actor.go
+++ b/internal/queue/actor.go
@@ -5,14 +5,16 @@
 	"sync/atomic"
 )
 
-// Actor guards a table: commands run on it one at a time, on the actor's own goroutine, so the table needs no lock.
+// Actor serializes access to a value of type T, called its table. Commands (functions that get a pointer to the
+// table) run one at a time on the actor's goroutine, so the table needs no lock.
 type Actor[T any] struct {
 	commands *Ring[func(*T)]
 	stopped  chan struct{}
 	once     sync.Once
 }
 
-// NewActor starts an actor that guards a table and queues at most capacity commands. The caller must Stop it.
+// NewActor starts an actor for a table, with a queue of at most capacity commands. The caller must call Stop to end
+// its goroutine.
 //
 // Example: actor := queue.NewActor(&table{}, 256)
 func NewActor[T any](table *T, capacity int) *Actor[T] {
@@ -37,8 +39,8 @@
 // Example: actor.TrySend(func(t *table) { t.count++ })
 func (a *Actor[T]) TrySend(command func(*T)) bool { return a.commands.Offer(command) }
 
-// Send queues a command, and waits for room if the queue is full. It returns false if the actor is stopped before
-// that. It must not be called from a command of the same actor.
+// Send queues a command, and blocks while the queue is full. It returns false if the actor is stopped before the
+// command could be queued. It must not be called from a command of the same actor, which could deadlock.
 //
 // Example: actor.Send(func(t *table) { t.inFlight-- })
 func (a *Actor[T]) Send(command func(*T)) bool {
@@ -51,12 +53,12 @@
 }
 
 // Ask queues a command and waits until it has run. It returns false if the actor is stopped before the command
-// begins; the command then never runs. Either way the caller may read what the command writes. It must not be
-// called from a command of the same actor.
+// starts; the command then never runs. In both cases the caller may read variables that the command writes without
+// further synchronization. It must not be called from a command of the same actor, which would deadlock.
 //
 // Example: actor.Ask(func(t *table) { count = t.count })
 func (a *Actor[T]) Ask(command func(*T)) bool {
-	var claimed atomic.Bool // by the actor, which then runs the command, or by this call, which then gives it up
+	var claimed atomic.Bool // set by the actor when it starts the command, or by this call when it cancels the command
 	done := make(chan struct{})
 	runIfClaimed := func(table *T) {
 		if claimed.CompareAndSwap(false, true) {
@@ -79,8 +81,8 @@
 	return true
 }
 
-// Stop ends the actor's goroutine after the command that is running. Queued commands aren't run any more. It
-// doesn't wait, and may be called repeatedly.
+// Stop ends the actor's goroutine after the command that is currently running, without waiting for it. Commands
+// still in the queue are not run. Stop may be called more than once.
 //
 // Example: defer actor.Stop()
 func (a *Actor[T]) Stop() { a.once.Do(func() { close(a.stopped) }) }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -10,10 +10,10 @@
 func TestFullRingRejects(t *testing.T) {
 	ring := NewRing[int](2)
 	if !ring.Offer(1) || !ring.Offer(2) || ring.Offer(3) {
-		t.Fatal("a ring of two accepts two items")
+		t.Fatal("ring of capacity 2: want the first two items to be accepted and the third to be rejected")
 	}
 	if drained := ring.Drain(5); !slices.Equal(drained, []int{1, 2}) || ring.Len() != 0 {
-		t.Fatalf("drained %v, %d left", drained, ring.Len())
+		t.Fatalf("Drain(5) of two items: got %v with %d left, want [1 2] with none left", drained, ring.Len())
 	}
 }
 
@@ -23,7 +23,7 @@
 		ring.Offer(item)
 	}
 	if drained := ring.Drain(2); !slices.Equal(drained, []int{0, 1}) || ring.Len() != 1 {
-		t.Fatalf("drained %v, %d left", drained, ring.Len())
+		t.Fatalf("Drain(2) of three items: got %v with %d left, want [0 1] with one left", drained, ring.Len())
 	}
 }
 
@@ -33,44 +33,44 @@
 	defer actor.Stop()
 	for item := range 3 {
 		if !actor.TrySend(func(table *[]int) { *table = append(*table, item) }) {
-			t.Fatal("a command is rejected although the queue has room")
+			t.Fatalf("TrySend of command %d of 3 to a queue of capacity 4: got false, want true", item+1)
 		}
 	}
 	var seen []int
 	if !actor.Ask(func(table *[]int) { seen = slices.Clone(*table) }) || !slices.Equal(seen, []int{0, 1, 2}) {
-		t.Fatalf("the table is %v", seen)
+		t.Fatalf("table after three commands: got %v, want [0 1 2] and Ask to return true", seen)
 	}
 }
 
-// A full queue delays a command that is sent, and rejects one that is only tried.
+// While the queue is full, Send blocks and TrySend rejects the command.
 func TestSendWaitsForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		count, blocked := 0, make(chan struct{})
 		actor := NewActor(&count, 1)
 		actor.Send(func(*int) { <-blocked })
-		synctest.Wait() // until it runs
+		synctest.Wait() // until the command runs and blocks the actor
 		increment := func(count *int) { *count++ }
 		actor.Send(increment)
 		if actor.TrySend(increment) {
-			t.Error("a command is accepted although the queue is full")
+			t.Error("TrySend to a full queue: got true, want false")
 		}
 		sent := make(chan bool)
 		go func() { sent <- actor.Send(increment) }()
 		synctest.Wait()
 		close(blocked)
 		if !<-sent {
-			t.Error("a command that waited for room is rejected")
+			t.Error("Send that waited for a full queue: got false, want true")
 		}
 		seen := 0
 		actor.Ask(func(count *int) { seen = *count })
 		if seen != 2 {
-			t.Errorf("%d commands have run, want 2", seen)
+			t.Errorf("increments executed: got %d, want 2", seen)
 		}
 		actor.Stop()
 		synctest.Wait()
-		actor.TrySend(increment) // fills the queue, which nobody empties any more
+		actor.TrySend(increment) // fills the queue, from which the stopped actor takes no more commands
 		if actor.Send(increment) {
-			t.Error("a command is accepted by a stopped actor")
+			t.Error("Send to a stopped actor with a full queue: got true, want false")
 		}
 	})
 }
@@ -80,15 +80,15 @@
 		actor := NewActor(new(int), 1)
 		actor.Stop()
 		actor.Stop()
-		synctest.Wait() // for the end of its goroutine
+		synctest.Wait() // until the actor's goroutine has ended
 		if actor.Ask(func(*int) {}) {
-			t.Fatal("a command has run after Stop")
+			t.Fatal("Ask on a stopped actor: got true, want false")
 		}
 	})
 }
 
-// A call that the actor's end overtakes either waits for its command, or the command never runs: so what the command
-// writes may be read after the call, whatever it returns.
+// When Stop is called during Ask, either Ask waits for its command to finish, or the command never runs. Variables
+// that the command writes may therefore be read after Ask, whatever it returns.
 func TestAskAndItsCommandEndTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		actor := NewActor(new(int), 4)
@@ -112,16 +112,17 @@
 		synctest.Wait()
 		for call, outcome := range results {
 			if outcome.ran != outcome.returned {
-				t.Errorf("call %d: %+v", call, outcome)
+				t.Errorf("Ask call %d during Stop: command has run: %v, Ask returned %v; want equal values", call, outcome.ran, outcome.returned)
 			}
 		}
 		if !results[0].ran {
-			t.Error("the command that was running was given up")
+			t.Error("the command that was running when Stop was called did not finish, want it to finish")
 		}
 	})
 }
 
-// Calls that race with the actor's end: the race detector finds a command that still writes what its caller reads.
+// Calls of Ask race with Stop. Under the race detector, this finds a command that writes a variable while the caller
+// of Ask already reads it.
 func TestAskRacesWithStop(t *testing.T) {
 	const rounds, callers = 2000, 4
 	for range rounds {
@@ -132,7 +133,7 @@
 				seen := 0
 				ok := actor.Ask(func(*int) { seen = 1 })
 				if ok != (seen == 1) {
-					t.Errorf("returned %v, the command has run: %d", ok, seen)
+					t.Errorf("Ask that races with Stop returned %v, but the command ran %d times; want true with 1 or false with 0", ok, seen)
 				}
 			})
 		}
--- a/internal/queue/ring.go
+++ b/internal/queue/ring.go
@@ -1,11 +1,11 @@
-// Package queue provides what goroutines hand each other work with: Ring, a bounded queue, and Actor, which runs
-// commands on a table one at a time.
+// Package queue provides primitives for passing work between goroutines: Ring, a bounded queue, and Actor, which
+// serializes access to a value by running commands on it one at a time.
 package queue
 
-// Ring is a bounded queue between goroutines. A full ring rejects items; it never grows.
+// Ring is a bounded FIFO queue that is safe for concurrent use. A full ring rejects items instead of growing.
 type Ring[T any] struct{ items chan T }
 
-// NewRing returns a ring with room for capacity items.
+// NewRing returns an empty ring that holds at most capacity items.
 //
 // Example: ring := queue.NewRing[int](16)
 func NewRing[T any](capacity int) *Ring[T] { return &Ring[T]{items: make(chan T, capacity)} }
@@ -22,7 +22,7 @@
 	}
 }
 
-// Out returns the channel that items are received from. It is never closed.
+// Out returns the channel from which queued items are received. The channel is never closed.
 //
 // Example: for item := range ring.Out() { use(item) }
 func (r *Ring[T]) Out() <-chan T { return r.items }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous assigns keys to nodes by highest random weight hashing, so that nodes that know the same names agree
-// without talking to each other.
+// Package rendezvous assigns keys to nodes by rendezvous (highest random weight) hashing. Nodes that know the same
+// set of names compute the same assignment without communicating.
 package rendezvous
 
 import (
@@ -7,14 +7,14 @@
 	"sort"
 )
 
-// Hash returns a hash of a string that is evenly distributed over 64 bits. Nodes of different releases must agree
-// on it: it never changes.
+// Hash returns a 64-bit hash of a string with a uniform distribution. The algorithm must never change, because
+// nodes that run different releases must compute the same hash.
 //
 // Example: rendezvous.Hash("edge-1")
 func Hash(s string) uint64 {
 	fnvHash := fnv.New64a()
 	fnvHash.Write([]byte(s))
-	// FNV leaves the hashes of short names close together: the finalizer of MurmurHash3 spreads them.
+	// FNV hashes of short strings are close together. The finalizer of MurmurHash3 distributes them evenly.
 	hash := fnvHash.Sum64()
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
@@ -23,8 +23,8 @@
 	return hash ^ hash>>33
 }
 
-// Order returns names in the order of their weights for a key, the highest first (highest random weight hashing,
-// Thaler and Ravishankar 1998): when a name is removed, only the keys that it was first for move.
+// Order returns names in descending order of their weights for a key (highest random weight hashing, Thaler and
+// Ravishankar 1998). When a name is removed, only the keys that had this name first are assigned to another one.
 //
 // Example: rendezvous.Order("key", []string{"a", "b"})[0]
 func Order(key string, names []string) []string {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A name that is removed moves only the keys that it was first for.
+// Removing a name doesn't change the relative order of the other names for any key, so that only keys that had
+// the removed name first move.
 func TestRendezvousMovesOnlyKeysOfARemovedName(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	for _, key := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
@@ -14,7 +15,7 @@
 			rest := Order(key, slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == removed }))
 			want := slices.DeleteFunc(slices.Clone(ordered), func(name string) bool { return name == removed })
 			if !slices.Equal(rest, want) {
-				t.Fatalf("key %s without %s: %v, want %v", key, removed, rest, want)
+				t.Fatalf("order for key %s after removing name %s: got %v, want %v", key, removed, rest, want)
 			}
 		}
 	}
