--- a/internal/data/retrybudget/bucket.go
+++ b/internal/data/retrybudget/bucket.go
@@ -1,26 +1,26 @@
 package retrybudget
 
-// bucket bounds the retries of one stream of requests: each request deposits a fraction of a token, each
-// retry withdraws one, and no more than the allowance is ever saved up. In any window, wherever it begins and
-// ends, there are at most ratio × requests + allowance retries. A bucket starts empty, so that a restart grants
-// nothing. It isn't safe for concurrent use.
+// bucket is a token bucket that limits the retries of one stream of requests: each request deposits a fraction of
+// a token, each retry withdraws one token, and the bucket never holds more tokens than the allowance. In any
+// interval of time there are therefore at most ratio × requests + allowance retries. A bucket starts empty, so
+// that a restart grants no additional retries. It isn't safe for concurrent use.
 type bucket struct {
-	ratio  float64 // tokens that a request deposits
+	ratio  float64 // tokens that each request deposits
 	tokens float64
 }
 
 func newBucket(ratio float64) *bucket { return &bucket{ratio: ratio} }
 
-// roundingSlack makes up for ratios that have no exact binary form: five deposits of a fifth have to pay for
-// one retry.
+// roundingSlack compensates for rounding errors of ratios without an exact binary representation. For example,
+// five deposits of 0.2 tokens must suffice for one retry.
 const roundingSlack = 1e-9
 
-// deposit counts a request's first attempt. The allowance is the most tokens that may be saved up.
+// deposit adds the tokens for a request's first attempt. The allowance is the capacity of the bucket in tokens.
 func (b *bucket) deposit(allowance float64) { b.tokens = min(allowance, b.tokens+b.ratio) }
 
-// tryWithdraw reports whether the bucket covers one more retry, and takes the token for it if so.
+// tryWithdraw takes the token for one retry and reports whether the bucket held one.
 func (b *bucket) tryWithdraw(allowance float64) bool {
-	b.tokens = min(allowance, b.tokens) // this node's share may have become smaller
+	b.tokens = min(allowance, b.tokens) // the capacity may have decreased since the last call
 	if b.tokens < 1-roundingSlack {
 		return false
 	}
--- a/internal/data/retrybudget/bucket_test.go
+++ b/internal/data/retrybudget/bucket_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// In every window, wherever it begins and ends, there are at most ratio × requests + allowance retries.
+// In every interval of a random sequence there are at most ratio × requests + allowance retries, while the number of
+// nodes that share the allowance varies.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		ratio, total := []float64{0, 0.2, 0.5}[r.IntN(3)], float64(r.IntN(8))
 		b := newBucket(ratio)
-		onlyRequests := true // else retries alone
+		onlyRequests := true // whether the current phase consists of requests or of retries
 		var log []int        // 1: a request, -1: a retry
 		for range 400 {
 			allowance := PerNode(total*3, 3+r.IntN(3))
@@ -27,42 +28,42 @@
 		}
 		for i := range log {
 			requests, retries := 0, 0
-			for _, x := range log[i:] {
-				if x > 0 {
+			for _, event := range log[i:] {
+				if event > 0 {
 					requests++
 				} else {
 					retries++
 				}
 				if float64(retries) > ratio*float64(requests)+total+roundingSlack {
-					t.Fatalf("seed %d: %d retries of %d requests, ratio %v, allowance %v", seed, retries, requests, ratio, total)
+					t.Fatalf("seed %d: interval with %d retries and %d requests, want at most ratio %v × requests + allowance %v retries", seed, retries, requests, ratio, total)
 				}
 			}
 		}
 	}
 }
 
-// When more nodes share the site's allowance, tokens beyond the smaller share are lost; when fewer do, tokens
-// that weren't saved up aren't granted.
+// When the number of nodes that share the allowance increases, tokens above the smaller share are lost. When it
+// decreases, the larger share doesn't add tokens that were not deposited.
 func TestTokensAreCappedWhenNodesAreAdded(t *testing.T) {
 	for _, nodes := range [][2]int{{1, 10}, {10, 1}} {
 		b := newBucket(1)
 		for range 30 {
 			b.deposit(PerNode(20, nodes[0]))
 		}
-		n := 0
+		granted := 0
 		for b.tryWithdraw(PerNode(20, nodes[1])) {
-			n++
+			granted++
 		}
-		if n != 2 {
-			t.Errorf("%d retries of a share of 2", n)
+		if granted != 2 {
+			t.Errorf("retries granted after a change from %d to %d nodes: got %d, want 2", nodes[0], nodes[1], granted)
 		}
 	}
 }
 
-// excess returns by how much the retries of some window exceed ratio × requests + allowance: the maximum
-// over all windows, wherever they begin and end. Of the log, true is a retry.
+// excess returns the maximum, over all intervals of the log, by which the number of retries exceeds
+// ratio × requests + allowance. In the log, true is a retry and false is a request.
 func excess(log []bool, ratio, allowance float64) float64 {
-	worst, run := 0.0, 0.0 // run: the maximum over the windows that end here
+	worst, run := 0.0, 0.0 // run: the maximum over the intervals that end at the current event
 	for _, retry := range log {
 		if retry {
 			run++
@@ -74,11 +75,11 @@
 	return worst - allowance
 }
 
-// The bound holds in every window also with traffic that falls, bursts and stops, with a node's share that
-// shrinks as nodes are added, and with restarts.
+// The limit on retries also holds in every interval with bursts and pauses of traffic, with a node's share that
+// varies as nodes are added and removed, and with restarts.
 func TestRetriesInEveryWindow(t *testing.T) {
 	if excess([]bool{false, true, true}, 0.2, 1) <= 0 || excess([]bool{true, false, false, false, false, false, true}, 0.2, 1) > roundingSlack {
-		t.Fatal("the check itself can't distinguish one retry too many")
+		t.Fatal("excess: want a positive result for one retry too many, and none for a sequence within the limit")
 	}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -86,7 +87,7 @@
 		var log []bool
 		granted, rejected := 0, 0
 		for range 40 {
-			requests, retries := r.IntN(60), r.IntN(60) // a phase of traffic, from none to a burst
+			requests, retries := r.IntN(60), r.IntN(60) // of one phase, from no traffic to a burst
 			allowance := share / float64(1+r.IntN(2))
 			if r.IntN(10) == 0 {
 				budget = newBucket(0.2)
@@ -105,7 +106,7 @@
 			}
 		}
 		if over := excess(log, 0.2, share); over > 1e-6 || granted < 20 || rejected < 20 {
-			t.Fatalf("seed %d: over by %g; granted %d, rejected %d", seed, over, granted, rejected)
+			t.Fatalf("seed %d: limit exceeded by %g retries, %d granted, %d rejected; want no excess, and at least 20 granted and 20 rejected", seed, over, granted, rejected)
 		}
 	}
 }
--- a/internal/data/retrybudget/budget_test.go
+++ b/internal/data/retrybudget/budget_test.go
@@ -8,15 +8,15 @@
 		budgets.Deposit("chat", 2)
 	}
 	if budgets.TryWithdraw("search", 2) {
-		t.Error("a service without requests has a retry")
+		t.Error("TryWithdraw for a service without requests: got true, want false")
 	}
 	for range 2 {
 		if !budgets.TryWithdraw("chat", 2) {
-			t.Fatal("four requests don't pay for two retries")
+			t.Fatal("TryWithdraw for one of two retries after four requests with ratio 0.5: got false, want true")
 		}
 	}
 	if budgets.TryWithdraw("chat", 2) {
-		t.Error("four requests pay for three retries")
+		t.Error("TryWithdraw for a third retry after four requests with ratio 0.5: got true, want false")
 	}
 }
 
@@ -31,7 +31,7 @@
 			granted++
 		}
 		if granted != want {
-			t.Errorf("%d nodes: %d retries of an allowance of 10, want %d", nodes, granted, want)
+			t.Errorf("retries granted by one of %d nodes that share an allowance of 10: got %d, want %d", nodes, granted, want)
 		}
 	}
 }
