--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -116,7 +116,7 @@
 		if isFollowed(key) && document.GetVersion() > t.versions[key] {
 			t.versions[key] = document.GetVersion()
 			changed = true
-			faults.Add("document "+key, errs.Wrap(t.applyDocument(document, now), "decode"))
+			faults.Add("document "+key, errs.Wrap(t.applyDocument(document, now), "read"))
 		}
 	}
 	t.proof.AddResponse(response, version, requestedAt)
