--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -27,13 +27,14 @@
 	changed         chan struct{}
 	requests        map[string]int
 	waitingRequests map[string]int    // by address: long polls that have not been answered yet
-	behavior        map[string]string // by address: "" (responds), "hangs", "errs", "empty", "behind"
+	behavior        map[string]string // by address: "" (responds), hangs, errs, empty (is in no group), behind (sends no plan)
 }
 
 func newFakeGroup(members ...string) *fakeGroup {
 	return &fakeGroup{members: members, index: 1, version: 1, requests: map[string]int{}, waitingRequests: map[string]int{}, behavior: map[string]string{}}
 }
 
+// change applies f to the state of the group and answers the pending long polls.
 func (g *fakeGroup) change(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -56,6 +57,7 @@
 	return g.waitingRequests[addr]
 }
 
+// fakeControlNode is the client of one node of a fakeGroup.
 type fakeControlNode struct {
 	*fakeGroup
 	addr string
@@ -101,6 +103,7 @@
 	return response, nil
 }
 
+// runAgent runs a test in a synctest bubble with an agent whose seeds are 1:1, 1:2 and 9:9.
 func runAgent(t *testing.T, group *fakeGroup, test func(t *testing.T, a *Agent)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -127,6 +130,7 @@
 	synctest.Wait()
 }
 
+// planVersion returns the version of the agent's current plan; 0 if it has none.
 func planVersion(a *Agent) uint64 {
 	if p := a.Snapshot().Plan; p != nil {
 		return p.Version
--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -47,17 +47,17 @@
 // about plans between u and v, so it is not counted while u is in use.
 type FreshnessProof struct {
 	generation   uint64 // newest restore generation that any member reported
-	term, index  uint64 // of the log entry of the newest membership of that generation
+	term, index  uint64 // log position of the newest membership of that generation
 	members      []string
-	attestations map[string]attestation // by member of that membership
+	attestations map[string]attestation // latest attestation of each member
 	freshUntil   time.Duration
 }
 
 // attestation is a member's latest statement that its disk had no plan newer than a version.
 type attestation struct {
 	requestedAt time.Duration // when the request was sent; the statement was made later
-	version     uint64        // of the plan
-	term, index uint64        // of the log entry of the newest membership on the member's disk
+	version     uint64        // plan version; the member's disk had no newer one
+	term, index uint64        // log position of the newest membership on the member's disk
 }
 
 // NewFreshnessProof returns a FreshnessProof without members or attestations, which proves nothing yet.
--- a/internal/data/agent/simulatedgroup_test.go
+++ b/internal/data/agent/simulatedgroup_test.go
@@ -12,7 +12,7 @@
 // logEntry is an entry of a simulated Raft log: a plan, a membership, or the empty entry that starts a term.
 type logEntry struct {
 	term    int
-	version uint64   // of the plan; 0: the entry contains no plan
+	version uint64   // plan version; 0: the entry contains no plan
 	members []string // nil: the entry contains no membership
 }
 
@@ -58,7 +58,7 @@
 	addedMembers      int
 	proof             *FreshnessProof
 	pendingRequests   []pendingRequest
-	version           uint64 // of the plan in use by the agent
+	version           uint64 // version of the plan that the agent uses
 	ignoresMembership bool   // injected fault: each response counts as if it reported the newest membership
 	isRefuted         bool   // a plan newer than the one in use was committed before the proof's instant
 	proofs            int    // responses after which the agent had a proof
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -38,7 +38,7 @@
 	startedAt  time.Duration
 	proof      *FreshnessProof
 	versions   map[string]uint64 // newest version received by document key, even if it could not be decoded
-	edgeSeenAt map[string]time.Duration
+	edgeSeenAt map[string]time.Duration // when an edge machine was last seen alive, by its name
 	snapshot   fleet.Snapshot // published as a shallow copy: its maps and slices are replaced, never modified
 }
 
@@ -150,7 +150,7 @@
 			t.edgeSeenAt[node.Name] = now
 		}
 	}
-	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // a partitioned machine considers all others dead, so it must not forget them
+	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // while out of contact, machines that seem dead may only be unreachable, so none is forgotten
 		maps.DeleteFunc(t.edgeSeenAt, func(_ string, seenAt time.Duration) bool { return now-seenAt > t.bounds.Heal(edgeMemoryRatio) })
 	}
 	edges := max(1, len(t.edgeSeenAt))
--- a/internal/data/backend/backend.go
+++ b/internal/data/backend/backend.go
@@ -32,7 +32,7 @@
 type Report struct {
 	Busy            bool              // an order is being executed
 	Sequence        uint64            // how many orders the worker has accepted
-	Weights         map[string]uint64 // loaded version by model
+	Weights         map[string]uint64 // version of the loaded weights, by model
 	Queued, Running int               // number of requests
 	UsedTokens      int               // tokens stored in the KV cache
 	CapacityTokens  int               // tokens that fit into the KV cache
@@ -58,7 +58,7 @@
 // Outcome is a worker's response to an order.
 type Outcome int
 
-// Outcomes of an order.
+// The possible outcomes of an order.
 const (
 	OutcomeUnknown       Outcome = iota // no response was received; the order may have been accepted
 	OutcomeStarted                      // the order was accepted and is being executed
@@ -87,7 +87,7 @@
 
 // Codec decodes and merges configurations in the format that the platform's operators write.
 type Codec interface {
-	// Read parses a complete configuration.
+	// Read decodes a complete configuration into a routing plan.
 	Read(body []byte) (*routingconfig.Plan, error)
 	// Merge applies a configuration sent by an operator to the one in force. If partial is set, sent contains only
 	// the items to change; otherwise it replaces the whole configuration. Merge returns the configuration to
--- a/internal/data/backend/client.go
+++ b/internal/data/backend/client.go
@@ -16,7 +16,7 @@
 // notSentError marks the error of a call of which no byte was sent.
 type notSentError struct{ error }
 
-// Unwrap returns the marked error.
+// Unwrap returns the underlying error.
 //
 // Example: errors.Is(err, net.ErrClosed)
 func (e *notSentError) Unwrap() error { return e.error }
@@ -30,7 +30,7 @@
 	return errors.As(err, &e)
 }
 
-// guardKey is the context key of a call's guard.
+// guardKey is the context key under which WithGuard stores the guard.
 type guardKey struct{}
 
 // WithGuard returns a context for a call of a single-use client. The guard is called immediately before the
--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -29,7 +29,7 @@
 	sender         string
 	incarnation    uint64
 	halfWindow     time.Duration
-	queues         map[string]*nodeQueue // by index node
+	queues         map[string]*nodeQueue // by name of the index node
 	window         map[prefix.Key]*wire.Access
 	previousWindow map[prefix.Key]*wire.Access
 	windowStart    time.Duration
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -66,7 +66,7 @@
 			lookup.result <- nil
 			continue
 		}
-		lookup.result <- result.found // shared and read-only from here on
+		lookup.result <- result.found // shared by all callers, so not modified from here on
 	}
 }
 
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -20,7 +20,7 @@
 
 // The placement modes. ModeHRCS is meant for production; the others serve as baselines for comparison.
 const (
-	ModeHRCS          Mode = serviceconfig.PlacementHRCS          // hot prefixes replicated, cold ones sharded
+	ModeHRCS          Mode = serviceconfig.PlacementHRCS          // frequently accessed prefixes are replicated, the others sharded
 	ModeAllSharded    Mode = serviceconfig.PlacementAllSharded    // no prefix is replicated
 	ModeAllReplicated Mode = serviceconfig.PlacementAllReplicated // every prefix is replicated
 	ModeNoIndex       Mode = serviceconfig.PlacementNoIndex       // proxies don't use the prompt index
@@ -34,7 +34,7 @@
 	Mode             Mode     `json:"mode"`
 	FencingToken     uint64   `json:"fence"` // of the lease under which the document was written
 	Workers          []string `json:"workers"`
-	Replicated       []string `json:"replicated"`        // keys, hottest first
+	Replicated       []string `json:"replicated"`        // keys of the replicated prefixes, most frequently accessed first
 	Cordoned         []string `json:"rolling,omitempty"` // workers that get no new requests while they load other weights
 	ReplicatedRatio  float64  `json:"ratio"`             // fraction of Entries that is replicated
 	RMax             float64  `json:"r_max"`             // result of the function RMax
--- a/internal/data/placement/replication.go
+++ b/internal/data/placement/replication.go
@@ -17,7 +17,7 @@
 // Example: placement.RMax(1, 0.1, 20000, 1000, 4) == 1
 func RMax(alpha, prefillSeconds, bandwidth, sharedTokens float64, workers int) float64 {
 	if workers < 2 || sharedTokens <= 0 || prefillSeconds <= 0 || bandwidth <= 0 || alpha <= 0 {
-		return 0 // a single worker has no other to fetch from
+		return 0 // fetching is impossible, as with a single worker, or can't save time
 	}
 	return math.Min(1, alpha*prefillSeconds*bandwidth*float64(workers-1)/(sharedTokens*float64(workers)))
 }
--- a/internal/data/prefix/prefix.go
+++ b/internal/data/prefix/prefix.go
@@ -14,14 +14,14 @@
 // so that entries of different domains, models or versions can't be mistaken for each other.
 type Key [16]byte
 
-// Entry is one prefix of a prompt.
+// Entry describes one prefix of a prompt, which consists of the prompt's first parts.
 type Entry struct {
 	Key              Key
 	Tokens           int // estimated tokens of the prefix's last part alone
 	CumulativeTokens int // estimated tokens of all parts of the prefix
 }
 
-// String returns the key in hex.
+// String returns the key in hexadecimal.
 //
 // Example: fmt.Println(e.Key.String())
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
--- a/internal/data/retrybudget/bucket_test.go
+++ b/internal/data/retrybudget/bucket_test.go
@@ -13,7 +13,7 @@
 		ratio, total := []float64{0, 0.2, 0.5}[r.IntN(3)], float64(r.IntN(8))
 		b := newBucket(ratio)
 		onlyRequests := true // whether the current phase consists of requests or of retries
-		var log []int        // 1: a request, -1: a retry
+		var log []int        // sequence of events: 1 is a request, -1 a retry
 		for range 400 {
 			allowance := PerNode(total*3, 3+r.IntN(3))
 			if r.IntN(40) == 0 {
@@ -87,7 +87,7 @@
 		var log []bool
 		granted, rejected := 0, 0
 		for range 40 {
-			requests, retries := r.IntN(60), r.IntN(60) // of one phase, from no traffic to a burst
+			requests, retries := r.IntN(60), r.IntN(60) // in one phase, from no traffic to a burst
 			allowance := share / float64(1+r.IntN(2))
 			if r.IntN(10) == 0 {
 				budget = newBucket(0.2)
--- a/internal/data/updatestream/snapshot.go
+++ b/internal/data/updatestream/snapshot.go
@@ -30,7 +30,7 @@
 	Workers         []*wire.Worker
 	Nodes           []*wire.Node
 	Placements      map[string]*placement.Placement // by service
-	Stores          []string                        // addresses
+	Stores          []string                        // addresses of the KV cache stores
 	Weights         map[string]WeightsHistory       // by model
 }
 
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -42,7 +42,7 @@
 
 // update describes a response of the node agent that is received 10 ns after the instant of its proof.
 type update struct {
-	configVersion uint64 // 0: no configuration
+	configVersion uint64 // 0: the response contains no configuration
 	proofAt       uint64
 	weights       uint64 // version of the weights of model m in the configuration
 }
