--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -37,9 +37,9 @@
 	codec      backend.Codec
 	startedAt  time.Duration
 	proof      *FreshnessProof
-	versions   map[string]uint64 // newest version received by document key, even if it could not be decoded
+	versions   map[string]uint64        // newest version received by document key, even if it could not be decoded
 	edgeSeenAt map[string]time.Duration // when an edge machine was last seen alive, by its name
-	snapshot   fleet.Snapshot // published as a shallow copy: its maps and slices are replaced, never modified
+	snapshot   fleet.Snapshot           // published as a shallow copy: its maps and slices are replaced, never modified
 }
 
 func newTable(bounds settings.Bounds, codec backend.Codec, now time.Duration) *table {
