--- a/internal/data/backend/backend.go
+++ b/internal/data/backend/backend.go
@@ -18,7 +18,7 @@
 	ListWorkers(ctx context.Context, page string) (workers []fleet.Worker, next string, err error)
 	// Report reads the current status of the worker at addr.
 	Report(ctx context.Context, addr string) (Report, error)
-	// Order tells a worker to load a version of a model's weights. If it returns OutcomeUnknown, the worker may
+	// Order instructs a worker to load a version of a model's weights. If it returns OutcomeUnknown, the worker may
 	// have accepted the order, unless the error is of kind errs.NotExecuted.
 	Order(ctx context.Context, addr string, o Order) (Outcome, error)
 	// CacheEvents reads the parts added to and evicted from the prompt cache of a worker or KV cache store since a
@@ -51,7 +51,7 @@
 	Sequence *uint64
 }
 
-// ModeAwait tells a worker to finish the requests in progress before it loads other weights. Platforms may have
+// ModeAwait instructs a worker to finish the requests in progress before it loads other weights. Platforms may have
 // other modes, which abort response streams or continue them on the new weights; they are not used.
 const ModeAwait = "await"
 
