--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -98,9 +98,10 @@
 // maxEarlierVersions is the maximum number of earlier versions of the weights that are kept for one model.
 const maxEarlierVersions = 8
 
-// addEarlierVersion appends a version to the earlier versions of a model, oldest first. Versions that precede
-// one whose bound has expired are dropped, because the bound of that one is the stricter limit. Beyond
-// maxEarlierVersions the oldest is dropped and its successor gets its time, which is the stricter choice.
+// addEarlierVersion appends a version to the earlier versions of a model, oldest first. A version is dropped
+// once the weights bound of its successor has expired, because it no longer has any effect. If more than
+// maxEarlierVersions are left, the oldest is dropped and its successor takes over its earlier instant, so that
+// the successor's bound expires sooner rather than later than it should.
 func (t *table) addEarlierVersion(before []fleet.NamedVersion, version fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
 	all := append(slices.Clone(before), version)
 	for len(all) > 1 && now-all[1].At >= t.bounds.Weights(1) {
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -11,7 +11,7 @@
 )
 
 // Timing of the requests to members of the consensus group, as fractions of the configuration bound (the
-// longest time for which a configuration may be used without a new freshness proof).
+// longest time for which an outdated configuration may be in use).
 const (
 	// longPollRatio is how long a member may wait for an update before it responds. Updates are sent
 	// immediately, so this only determines how often members are polled while nothing changes. Without
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -55,7 +55,7 @@
 }
 
 // isOutOfContact reports whether the agent may have missed updates: there is no freshness proof, or it is
-// older than outOfContactRatio.
+// older than outOfContactRatio allows.
 func (t *table) isOutOfContact(now time.Duration) bool {
 	return t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio)
 }
--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -28,7 +28,7 @@
 type AccessCounter struct {
 	sender         string
 	incarnation    uint64
-	halfWindow     time.Duration
+	halfWindow     time.Duration         // half of the time for which accesses are kept for resending
 	queues         map[string]*nodeQueue // by name of the index node
 	window         map[prefix.Key]*wire.Access
 	previousWindow map[prefix.Key]*wire.Access
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -39,8 +39,8 @@
 	asked   map[string]bool     // names of the index nodes that were called
 }
 
-// lookUpBatch resolves a batch of lookups. The first attempt calls the smallest set of index nodes that covers
-// all keys. The second one calls the other assigned nodes of each key that no warm node has answered.
+// lookUpBatch resolves a batch of lookups. The first attempt calls as few index nodes as possible to cover all
+// keys. The second one calls the other nodes assigned to the keys for which no warm node has responded.
 func (c *Client) lookUpBatch(lookups []pendingLookup) {
 	result := &batchResult{found: map[prefix.Key]*wire.LookupResult{}, isFinal: map[prefix.Key]bool{}, asked: map[string]bool{}}
 	keys, wait := joinKeys(lookups, result.isFinal)
--- a/internal/data/updatestream/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -19,8 +19,8 @@
 const maxPastVersions = 8
 
 // next returns the history extended by the version in a newer configuration. provenUntil is the latest instant
-// at which the previous configuration was proved to be the newest. For a new model, or one whose version
-// decreased, a new history starts.
+// at which the previous configuration was proved to be the newest. A new history starts for a new model, and for
+// one whose version decreased.
 func (h WeightsHistory) next(version uint64, provenUntil, now time.Duration) WeightsHistory {
 	h.ProvenNewestUntil = max(h.ProvenNewestUntil, provenUntil)
 	switch {
