--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -68,7 +68,7 @@
 		chain []update
 		since map[uint64]uint64 // expected instant by version; 0: unknown or not superseded
 	}{
-		"only the first version received":       {[]update{{1, 50, 2}}, map[uint64]uint64{1: 0, 2: 0}},
+		"only the newest version received":      {[]update{{1, 50, 2}}, map[uint64]uint64{1: 0, 2: 0}},
 		"superseded once":                       {[]update{{1, 50, 1}, {2, 500, 2}}, map[uint64]uint64{1: 50}},
 		"same weights in a third configuration": {[]update{{1, 50, 1}, {2, 500, 2}, {3, 900, 2}}, map[uint64]uint64{1: 50}},
 		"later proof of the first version":      {[]update{{1, 50, 1}, {0, 90, 0}, {2, 500, 2}}, map[uint64]uint64{1: 90}},
