--- a/internal/data/proxy/admission.go
+++ b/internal/data/proxy/admission.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/fleet"
 )
 
-// admit finds the request's route, tenant, service and deadline under a snapshot. It answers a request
-// that isn't admitted, and returns false.
+// admit determines the request's route, tenant, service and deadline from a snapshot. If the request isn't
+// admitted, it answers the request with an error and returns false.
 func (req *request) admit(snapshot *fleet.Snapshot) bool {
 	planIsFresh := proofIsFresh(snapshot, req.receivedAt, req.server.maxKeyProofAge())
 	if !req.matchRoute(snapshot.Plan, planIsFresh) || !req.authenticate(snapshot.Plan, planIsFresh) {
@@ -20,7 +20,8 @@
 	return true
 }
 
-// matchRoute finds the route by host and path, both as the client wrote them.
+// matchRoute finds the route by host and path, both as the client wrote them, without decoding. If no route
+// matches, it rejects the request and returns false.
 func (req *request) matchRoute(plan *routingconfig.Plan, planIsFresh bool) bool {
 	path, _, _ := strings.Cut(req.incoming.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
@@ -34,8 +35,8 @@
 	return true
 }
 
-// authenticate finds the tenant by the client's key. A public route, and every route of a plan without
-// tenants, needs no key.
+// authenticate finds the tenant by the client's API key. Public routes, and all routes of a plan without tenants,
+// need no key. If the key isn't accepted, it rejects the request and returns false.
 func (req *request) authenticate(plan *routingconfig.Plan, planIsFresh bool) bool {
 	if req.selection.Route.Public || len(plan.Tenants) == 0 {
 		return true
@@ -52,7 +53,7 @@
 	return true
 }
 
-// setDeadline takes the earlier of the client's deadline and the route's time-out.
+// setDeadline sets the deadline to the earlier of the client's deadline and the end of the route's time-out.
 func (req *request) setDeadline() {
 	headers := &req.server.Headers
 	timeout := req.selection.Route.Timeout
@@ -62,8 +63,8 @@
 	req.deadline = req.receivedAt + timeout
 }
 
-// selectService selects the service among the route's split, and this node's share of the connections
-// that a worker of it accepts.
+// selectService selects a service by the weights of the route's split, and sets maxConns to this node's share of
+// the connections that each worker of the service accepts.
 func (req *request) selectService(snapshot *fleet.Snapshot) {
 	req.selection.Service = req.selection.Route.SelectService(req.selection.ID)
 	req.maxConns = 0
@@ -72,8 +73,8 @@
 	}
 }
 
-// rejectUnknown rejects a request for something that the plan doesn't hold. Under a plan that may have been
-// replaced that isn't certain: the client is asked to come again instead. It returns false.
+// rejectUnknown rejects a request whose route or key isn't in the routing plan, and returns false. If the plan may
+// be outdated, a newer plan could contain it, so the client gets a retryable error instead of the given kind.
 func (req *request) rejectUnknown(planIsFresh bool, kind *errs.Kind, reason string) bool {
 	if !planIsFresh {
 		req.reject(errs.NotExecuted, "the plan known here may be old, and "+reason, req.server.planRetryAfter())
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -10,51 +10,51 @@
 	"pebbleloom/internal/errs"
 )
 
-// outcome is what became of an attempt, as far as this node has proof.
+// outcome is the result of an attempt, as far as this node can prove it.
 type outcome int
 
 const (
-	notSent     outcome = iota // proven: no byte of it left this node
-	notExecuted                // the worker says that it didn't execute the request
-	interrupted                // it may have been executed, and there is no complete response
-	responded                  // a response that may be relayed has begun
+	notSent     outcome = iota // proven: no byte of the request left this node
+	notExecuted                // the worker reported that it didn't execute the request
+	interrupted                // the worker may have executed the request, but gave no usable, complete response
+	responded                  // the header of a response came that may be relayed
 	completed                  // the response was relayed completely
 	clientGone                 // the client disconnected
 )
 
-// attempt is one try to have one worker execute a request.
+// attempt is one try to have a request executed by one worker.
 type attempt struct {
 	request *request
 	choice  selection.Choice
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	conn      *workerConn   // nil: none yet, or given back
-	reused    bool          // conn has carried a request before
-	idleTime  time.Duration // that conn was idle before this attempt
-	staleConn bool          // conn was discarded unused, because it couldn't be reused safely
+	conn      *workerConn   // nil: none acquired yet, or already released
+	reused    bool          // conn has carried an earlier request
+	idleTime  time.Duration // how long conn was idle before this attempt
+	staleConn bool          // conn was closed before anything was sent, because it wasn't safe to reuse
 
 	response       *http.Response
 	startedAt      time.Duration
-	firstByteAfter time.Duration // from startedAt to the first byte of the body; 0: none came
+	firstByteAfter time.Duration // from startedAt to the first byte of the response body; 0: none received
 	outcome        outcome
-	reported       selection.Outcome // reported to the selector
-	definitive     bool              // another worker would respond the same
-	load           *selection.Load   // that the worker reported with its response; nil: none
+	reported       selection.Outcome // the outcome that is reported to the selector
+	definitive     bool              // a retry is pointless: any worker would respond the same
+	load           *selection.Load   // the load that the worker reported in its response; nil: none
 }
 
 const (
-	// dialTimeoutDivisor of the route's latency target is how long connecting to a worker may take, so
-	// that another worker can still respond within the target; but at least minDialTimeoutRatio of the
-	// bound on leaving workers (Bounds.LeaveMs), where a target is very short or unset.
+	// The dial time-out is the route's latency target divided by dialTimeoutDivisor, so that another worker can
+	// still respond within the target, but at least minDialTimeoutRatio of the bound on leaving workers
+	// (Bounds.LeaveMs), in case the target is very short or unset.
 	dialTimeoutDivisor  = 2
 	minDialTimeoutRatio = 0.05
-	// maxConnsTried bounds how often an attempt goes to another connection because the worker had closed
-	// the reused one. Stale connections don't count: each is discarded, and in the end a new one is dialed.
+	// maxConnsTried bounds how many connections an attempt tries because the worker had closed the reused one.
+	// Connections with staleConn set don't count: each is closed, and once none is left a new one is dialed.
 	maxConnsTried = 4
 )
 
-// sendTo sends the request to a worker, and waits for the header of its response.
+// sendTo sends the request to a worker, waits for the header of its response and classifies it.
 func (req *request) sendTo(choice selection.Choice) *attempt {
 	a := &attempt{request: req, choice: choice, startedAt: req.server.process.Clock.Now()}
 	a.ctx, a.cancel = context.WithCancel(httptrace.WithClientTrace(a.dialContext(), &httptrace.ClientTrace{GotConn: a.gotConn}))
@@ -70,14 +70,14 @@
 	return a
 }
 
-// dialContext is the request's context with the limits of a connection that is dialed for this attempt.
+// dialContext returns the request's context with the dialLimits of a connection dialed for this attempt.
 func (a *attempt) dialContext() context.Context {
 	req := a.request
 	timeout := max(req.selection.Route.LatencyTarget/dialTimeoutDivisor, req.server.process.Settings.Bounds.Leave(minDialTimeoutRatio))
 	return context.WithValue(req.ctx, dialLimitsKey{}, dialLimits{maxConns: req.maxConns, timeout: timeout})
 }
 
-// countSent counts an attempt that may have reached a worker.
+// countSent counts an attempt of which some bytes may have reached a worker.
 func (req *request) countSent() {
 	req.attemptsSent++
 	if req.attemptsSent == 1 {
@@ -89,8 +89,8 @@
 	}
 }
 
-// roundTripWithReconnects makes round trips until one was sent. A reused connection may have been closed by
-// the worker, or be too old, before a byte was written: then another connection is tried.
+// roundTripWithReconnects repeats the round trip on another connection as long as nothing was sent because a
+// reused connection had been closed by the worker or wasn't safe to reuse.
 func (a *attempt) roundTripWithReconnects() {
 	req := a.request
 	for tried := 0; tried < maxConnsTried; {
@@ -117,7 +117,7 @@
 		}
 	case a.conn == nil || a.conn.discard(a):
 		a.outcome, a.reported = notSent, selection.Failed
-		if errs.KindOf(err) == errs.Overloaded { // this node's share of the connections, not the worker's fault
+		if errs.KindOf(err) == errs.Overloaded { // the limit on this node's connections was reached; not a failure of the worker
 			a.reported = selection.NoFreeSlot
 		}
 	default:
@@ -128,8 +128,8 @@
 	}
 }
 
-// gotConn acquires the connection before a byte is written, as httptrace.ClientTrace.GotConn. It discards
-// one that isn't sure to carry this request and only this request's response: nothing was sent on it then.
+// gotConn is the httptrace.ClientTrace.GotConn hook: it acquires the connection before net/http writes to it. A
+// connection that may be broken, or may deliver bytes of another response, is closed with nothing sent on it.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	a.conn, a.reused, a.idleTime = info.Conn.(*workerConn), info.Reused, info.IdleTime
 	if info.Reused {
@@ -137,15 +137,15 @@
 	}
 	a.conn.acquire(a)
 	switch {
-	case a.request.timeRemaining() <= 0: // connecting took too long, or this process was stopped
+	case a.request.timeRemaining() <= 0: // connecting took too long, or the process was suspended (SIGSTOP)
 		a.conn.discard(a)
 	case info.Reused && !a.connIsReusable():
 		a.staleConn = a.conn.discard(a)
 	}
 }
 
-// connIsReusable reports whether a connection that has carried a request before may carry this one. Without
-// an ID its response couldn't be distinguished from another's, so such a request gets a new connection.
+// connIsReusable reports whether a connection that carried an earlier request may carry this one. A request
+// without an ID always gets a new connection, because its response can't be matched to it by ID.
 func (a *attempt) connIsReusable() bool {
 	req := a.request
 	if req.selection.ID == "" || !a.conn.withinKeepAlive(a.idleTime) {
@@ -154,19 +154,19 @@
 	return req.isIdempotent() || req.server.conns.idleLimit.allows(a.idleTime) && !a.conn.hasUnreadData()
 }
 
-// markInterrupted ends an attempt without a response that can be relayed.
+// markInterrupted ends an attempt that the worker may have executed but for which no response can be relayed.
 func (a *attempt) markInterrupted() {
 	a.outcome, a.reported = interrupted, selection.Failed
 	a.conn.discard(a)
 }
 
-// markNotExecuted ends an attempt on the worker's word that it didn't execute the request.
+// markNotExecuted ends an attempt for which the worker reported that it didn't execute the request.
 func (a *attempt) markNotExecuted(reported selection.Outcome) {
 	a.bufferResponse(false)
 	a.outcome, a.reported = notExecuted, reported
 }
 
-// releaseConn keeps the connection for another attempt; that of a request without an ID is closed.
+// releaseConn returns the connection to the pool, or closes it if the request has no ID.
 func (a *attempt) releaseConn() {
 	_ = a.response.Body.Close()
 	if a.request.selection.ID == "" {
@@ -179,7 +179,7 @@
 	a.conn = nil
 }
 
-// finish closes the connection if it wasn't released, and reports the attempt to the selector.
+// finish closes the connection unless it was released, and reports the attempt's outcome to the selector.
 func (a *attempt) finish() {
 	req := a.request
 	switch {
--- a/internal/data/proxy/body.go
+++ b/internal/data/proxy/body.go
@@ -11,14 +11,14 @@
 	"pebbleloom/internal/errs"
 )
 
-// readBody reads the complete body into memory, so that it can be sent again. It answers a request whose
-// body is too large or too slow, and returns false.
+// readBody reads the complete request body into memory, so that it can be sent again on a retry. If the body is
+// too large or doesn't come before the deadline, it rejects the request and returns false.
 func (req *request) readBody(plan *routingconfig.Plan) bool {
 	limit := int64(plan.Limits.BodyBytes)
 	if limit <= 0 {
 		limit = int64(req.server.process.Settings.Bounds.MaxBodyKB) << 10
 	}
-	length := req.incoming.ContentLength // below 0: unknown
+	length := req.incoming.ContentLength // -1: chunked, length unknown
 	if length > limit {
 		req.rejectTooLarge(limit)
 		return false
@@ -42,8 +42,8 @@
 	return !req.chunked || req.reserveMemory(int64(len(req.body)))
 }
 
-// readBodyInTime reads the body until the request's deadline. Of a chunked body it reads at most one byte
-// more than the limit.
+// readBodyInTime reads the body, and fails if the request's deadline passes before its end. Of a chunked body it
+// reads at most one byte more than the limit, enough to detect that the limit is exceeded.
 func (req *request) readBodyInTime(length, limit int64) (err error) {
 	timer := time.AfterFunc(req.deadline-req.receivedAt, func() { _ = req.controller.SetReadDeadline(pastTime) })
 	if req.chunked {
@@ -55,7 +55,7 @@
 		_, err = io.ReadFull(req.incoming.Body, req.body)
 	}
 	if !timer.Stop() {
-		err = errors.Join(err, errs.New(errs.DeadlineExceeded, "read body"))
+		err = errors.Join(err, errs.New(errs.DeadlineExceeded, "read request body: deadline passed"))
 	}
 	return err
 }
@@ -65,8 +65,8 @@
 	req.reject(errs.TooLarge, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
 }
 
-// reserveMemory counts bytes that the request keeps until its release. It answers a request that the
-// node has no memory for, and returns false.
+// reserveMemory reserves bytes of the server's memory limit until the request is released. If that exceeds the
+// limit, it rejects the request and returns false.
 func (req *request) reserveMemory(bytes int64) bool {
 	req.reservedMemory += bytes
 	if req.server.reservedMemory.Add(bytes) <= req.server.memoryLimit {
--- a/internal/data/proxy/classify.go
+++ b/internal/data/proxy/classify.go
@@ -9,13 +9,13 @@
 	"pebbleloom/internal/data/selection"
 )
 
-// maxBufferedResponse is the longest body of an error response that is kept, in bytes. A response that
-// declares a longer one is relayed as it comes; if one of undeclared length turns out longer, the attempt
-// counts as interrupted.
+// maxBufferedResponse is the maximum body size of an error response that is buffered, in bytes. A response with a
+// larger Content-Length is relayed as it comes. If a response without a Content-Length turns out to be larger,
+// the attempt counts as interrupted.
 const maxBufferedResponse = 64 << 10
 
-// classifyResponse decides by the header of a response whether it is the worker's response to this request,
-// and whether it may be relayed, is kept as a fallback, or proves that the request wasn't executed.
+// classifyResponse checks by its header that a response belongs to this request, and decides whether it is
+// relayed, buffered as a fallback, or taken as proof that the request wasn't executed.
 func (a *attempt) classifyResponse() {
 	headers := &a.request.server.Headers
 	header, status := a.response.Header, a.response.StatusCode
@@ -23,7 +23,7 @@
 		a.load = &load
 	}
 	if status < 200 || !a.matchesRequestID() || header.Get("Content-Encoding") != "" || !a.isSelfDelimited() {
-		a.markInterrupted() // another request's response, or not one of a worker
+		a.markInterrupted() // a response to another request, or one that no conforming worker sends
 		return
 	}
 	claimsNotExecuted := len(header.Values(headers.NotExecuted)) > 0
@@ -36,11 +36,11 @@
 		a.definitive = true
 		a.markNotExecuted(selection.Failed)
 	case claimsNotExecuted || impliesNotExecuted(status):
-		a.markInterrupted() // the claim contradicts the status, or is missing: no proof
+		a.markInterrupted() // the not-executed field contradicts the status or is missing, so nothing is proven
 	case status < 300 && header.Get(headers.Seal) == "":
 		a.markInterrupted()
 	case a.request.responseStarted && !a.isResumableStream():
-		a.markInterrupted() // nothing that could continue the stream
+		a.markInterrupted() // part of a stream was relayed, and this response can't continue it
 	case status >= 500 && a.response.ContentLength <= maxBufferedResponse:
 		a.bufferResponse(true)
 	default:
@@ -48,8 +48,8 @@
 	}
 }
 
-// markMisdirected ends an attempt that the worker rejected with a 421: another instance has its address,
-// or it serves another version of the weights.
+// markMisdirected ends an attempt that was rejected with a 421: the address now belongs to another worker
+// instance, or the worker serves another version of the model weights.
 func (a *attempt) markMisdirected() {
 	a.markNotExecuted(selection.Misdirected)
 	served := a.response.Header.Get(a.request.server.Headers.WeightVersions)
@@ -58,14 +58,14 @@
 	}
 }
 
-// matchesRequestID reports whether the response names this request, and no other.
+// matchesRequestID reports whether the response carries exactly the ID of this request, or none if it has none.
 func (a *attempt) matchesRequestID() bool {
 	ids := a.response.Header.Values(a.request.server.Headers.ID)
 	return len(ids) == 1 && ids[0] == a.request.selection.ID || len(ids) == 0 && a.request.selection.ID == ""
 }
 
-// impliesNotExecuted reports whether a client may take a status to say that its request was not executed
-// and never will be.
+// impliesNotExecuted reports whether clients may conclude from a status code that their request was not executed
+// and won't be.
 func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -74,8 +74,8 @@
 	return false
 }
 
-// isSelfDelimited reports whether the response marks its own end; otherwise a broken connection would look
-// like the end.
+// isSelfDelimited reports whether the end of the response body can be told from a broken connection: by a
+// Content-Length, by chunked encoding, or because the response has no body.
 func (a *attempt) isSelfDelimited() bool {
 	status := a.response.StatusCode
 	return a.response.ContentLength >= 0 || len(a.response.TransferEncoding) > 0 || a.request.incoming.Method == http.MethodHead ||
@@ -88,14 +88,14 @@
 	return err == nil && mediaType == "text/event-stream"
 }
 
-// isResumableStream reports whether the response is a stream of events that another worker could continue,
-// or that could continue another worker's.
+// isResumableStream reports whether the response is an event stream that another worker can continue, or that
+// can itself continue the stream of another worker.
 func (a *attempt) isResumableStream() bool {
 	return a.response.StatusCode == http.StatusOK && a.isEventStream() && a.response.ContentLength < 0
 }
 
-// bufferResponse reads a worker's own short response, and keeps it as the request's fallback unless there is
-// a better one. Executed says whether the worker executed the request.
+// bufferResponse reads a short error response of a worker and stores it as the request's fallback, unless the
+// stored one is better. executed tells whether the worker executed the request.
 func (a *attempt) bufferResponse(executed bool) {
 	req := a.request
 	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBufferedResponse+1))
@@ -107,7 +107,7 @@
 	a.outcome, a.reported = interrupted, selection.Failed
 	a.definitive = a.definitive || a.response.StatusCode == http.StatusGatewayTimeout
 	if a.response.StatusCode == http.StatusMisdirectedRequest {
-		return // it concerns this node, not the client
+		return // a 421 concerns this node's routing and isn't passed on to the client
 	}
 	if req.fallback != nil && req.fallback.executed && !executed {
 		return
--- a/internal/data/proxy/connpool.go
+++ b/internal/data/proxy/connpool.go
@@ -11,33 +11,33 @@
 	"pebbleloom/internal/errs"
 )
 
-// Settings of the HTTP transport, in bytes but for the number of connections.
+// Settings of the HTTP transport to the workers.
 const (
-	maxIdleConnsPerWorker  = 1 << 10 // above any share of a worker's connections: idle ones end by their keep-alive time
+	maxIdleConnsPerWorker  = 1 << 10 // above any node's share of a worker's connections, so that only the keep-alive time closes idle ones
 	maxResponseHeaderBytes = 64 << 10
 	connBufferBytes        = 4 << 10
 )
 
-// TCP keep-alive probes, as ratios of the bound on leaving workers (Bounds.LeaveMs).
+// TCP keep-alive settings. The times are ratios of the bound on leaving workers (Bounds.LeaveMs).
 const (
 	tcpKeepAliveIdleRatio     = 2.0 / 3
 	tcpKeepAliveIntervalRatio = 1.0 / 3
 	tcpKeepAliveCount         = 2
 )
 
-// connPool holds the connections from this node to the workers.
+// connPool manages the connections from this node to the workers, and limits their number per worker.
 type connPool struct {
 	process   *daemon.Process
 	transport *http.Transport
 	idleLimit idleLimit
 	mu        sync.Mutex
-	openConns map[string]int // by the worker's address; also those being dialed
+	openConns map[string]int // number of connections by worker address, including those being dialed
 }
 
-// dialLimits bounds a new connection. It is passed in the context of the attempt that needs one.
+// dialLimits limits the dialing of a new connection. It is passed to the dialer in the attempt's context.
 type dialLimits struct {
-	maxConns int           // to one worker; 0: no limit
-	timeout  time.Duration // of connecting; 0: that of the context
+	maxConns int           // connections of this node to the worker; 0: no limit
+	timeout  time.Duration // of the dial; 0: only the context's deadline applies
 }
 
 type dialLimitsKey struct{}
@@ -55,12 +55,12 @@
 	return p
 }
 
-// dial opens a connection to a worker. It fails with errs.Overloaded if this node's share of the worker's
-// connections is in use.
+// dial opens a connection to a worker. It fails with errs.Overloaded if this node already has its share of the
+// worker's connections open.
 func (p *connPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	limits, _ := ctx.Value(dialLimitsKey{}).(dialLimits)
 	if !p.reserve(addr, limits.maxConns) {
-		return nil, errs.New(errs.Overloaded, "%s: all %d connections that are this node's share are in use", addr, limits.maxConns)
+		return nil, errs.New(errs.Overloaded, "dial worker %s: all %d connections of this node's share are in use", addr, limits.maxConns)
 	}
 	if limits.timeout > 0 {
 		var cancel context.CancelFunc
@@ -76,7 +76,7 @@
 	return newWorkerConn(conn, p.process.Settings.Bounds.Leave(1), func() { p.connClosed(addr) }), nil
 }
 
-// reserve counts a connection to a worker; false if there are as many already as there may be.
+// reserve counts a new connection to a worker. It returns false if maxConns connections are open already.
 func (p *connPool) reserve(addr string, maxConns int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,9 +95,9 @@
 	}
 }
 
-// setKeepAlive has the kernel probe the connection, so that a dead machine is noticed also while nothing is
-// sent; for bytes that were sent and aren't acknowledged the dialer has set TCP_USER_TIMEOUT. Where keep-alive
-// can't be set, the request's own deadline is the bound.
+// setKeepAlive enables TCP keep-alive probes, which detect a dead machine while nothing is being sent. For sent
+// but unacknowledged bytes the dialer has set TCP_USER_TIMEOUT. If keep-alive can't be enabled, the request's
+// deadline still bounds the wait.
 func (p *connPool) setKeepAlive(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/data/proxy/eventsplitter.go
+++ b/internal/data/proxy/eventsplitter.go
@@ -7,32 +7,31 @@
 	"pebbleloom/internal/errs"
 )
 
-// maxBufferedEvent is the longest incomplete event that is held back, in bytes. A stream with a longer one
-// isn't split any more.
+// maxBufferedEvent is the maximum size of an incomplete event that is buffered, in bytes. A stream with a larger
+// event is relayed unsplit from then on.
 const maxBufferedEvent = 64 << 10
 
-// eventSplitter splits a stream of server-sent events behind each event, so that what was relayed always
-// ends with a complete one, and remembers that event's ID: another worker may continue the stream from
-// there.
+// eventSplitter splits a stream of server-sent events at event boundaries, so that the relayed bytes always end
+// with a complete event. It records the ID of that event, after which another worker can continue the stream.
 type eventSplitter struct {
-	lastID      string // of the last event that was relayed, or that the client had before
-	canResume   bool   // everything relayed so far ends with the event lastID
-	resuming    bool   // this worker continues another's stream: each event must prove that it follows
-	passthrough bool   // the stream isn't one of events with increasing IDs: it is relayed unsplit
-
-	buffer    []byte // backs pending
-	pending   []byte // what came after the last complete event
-	scanned   int    // length of pending's complete lines, which were scanned already
-	currentID string // of the event that pending begins
-	hasData   bool   // that event has a data field
+	lastID      string // ID of the last relayed event, or the client's Last-Event-ID before the first one
+	canResume   bool   // the relayed bytes end with the event lastID, so a resumed stream would lose nothing
+	resuming    bool   // this worker continues another worker's stream: event IDs must increase from lastID
+	passthrough bool   // the stream has no increasing event IDs or isn't parseable, and is relayed unsplit
+
+	buffer    []byte // backing storage of pending, reused between calls
+	pending   []byte // bytes received after the last complete event
+	scanned   int    // length of the complete lines at the start of pending, which are scanned already
+	currentID string // ID of the incomplete event in pending
+	hasData   bool   // the incomplete event has a data field
 }
 
-// reset readies the splitter for another worker's stream: what wasn't relayed is dropped.
+// reset prepares the splitter for another worker's stream, and drops bytes that were not relayed.
 func (s *eventSplitter) reset(resuming bool) {
 	s.pending, s.scanned, s.currentID, s.hasData, s.resuming = nil, 0, "", false, resuming
 }
 
-// feedChunk is feed for a chunk that may be the stream's last: then an incomplete event is relayed, too.
+// feedChunk is like feed, but if the chunk is the last of the stream it also returns a final incomplete event.
 func (s *eventSplitter) feedChunk(chunk []byte, last bool) ([]byte, error) {
 	out, err := s.feed(chunk)
 	if err != nil || !last {
@@ -44,8 +43,8 @@
 	return out, nil
 }
 
-// feed adds a chunk, and returns the bytes that may be relayed now; they are valid until the next call. An
-// error means that what comes after these bytes doesn't continue the stream.
+// feed adds a chunk of the stream and returns the bytes that may be relayed now, valid until the next call. On an
+// error, the bytes after the returned ones don't continue the resumed stream and must not be relayed.
 func (s *eventSplitter) feed(chunk []byte) ([]byte, error) {
 	if s.passthrough {
 		return chunk, nil
@@ -61,13 +60,13 @@
 	}
 	s.passthrough, s.canResume = true, false
 	if s.resuming {
-		return s.consume(complete), errs.New(errs.MayHaveExecuted, "bytes after event %q that aren't events", s.lastID)
+		return s.consume(complete), errs.New(errs.MayHaveExecuted, "resumed stream after event %q: event is too long, or its lines end with a lone CR", s.lastID)
 	}
 	return s.consume(len(s.pending)), nil
 }
 
-// scanEvents scans the complete lines that weren't scanned before. It returns the length of the complete
-// events; with an error, of those before the event that doesn't follow.
+// scanEvents scans the complete lines that were not scanned before, and returns the total length of the complete
+// events. On an error, this is the length of the events before the one that doesn't continue the stream.
 func (s *eventSplitter) scanEvents() (complete int, err error) {
 	for !s.passthrough {
 		length := bytes.IndexByte(s.pending[s.scanned:], '\n')
@@ -88,8 +87,8 @@
 	return complete, nil
 }
 
-// hasLoneCR reports whether the incomplete line holds a carriage return that ends a line by itself. The
-// format allows that, but such streams aren't split here.
+// hasLoneCR reports whether the incomplete line contains a carriage return without a line feed. The event stream
+// format allows that as a line ending, but this splitter doesn't support it.
 func (s *eventSplitter) hasLoneCR() bool {
 	return bytes.IndexByte(bytes.TrimSuffix(s.pending[s.scanned:], []byte("\r")), '\r') >= 0
 }
@@ -102,10 +101,10 @@
 	return out
 }
 
-// flush returns what is pending when the stream has ended properly.
+// flush returns the incomplete event that is pending when the stream has ended without an error.
 func (s *eventSplitter) flush() []byte { return s.consume(len(s.pending)) }
 
-// scanLine reads one field of the current event.
+// scanLine parses one line of the current event: only the id and data fields matter.
 func (s *eventSplitter) scanLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch string(name) {
@@ -116,17 +115,17 @@
 	}
 }
 
-// endEvent ends the current event. IDs have to increase; a stream can't be resumed after an event without
-// one.
+// endEvent handles the blank line that ends the current event. Event IDs must increase, and a stream can't be
+// resumed after an event without an ID.
 func (s *eventSplitter) endEvent() error {
 	id, hasData := s.currentID, s.hasData
 	s.currentID, s.hasData = "", false
 	switch {
-	case id == "" && !hasData: // a comment
+	case id == "" && !hasData: // no event: only comments or other fields
 	case id != "" && (s.lastID == "" || idIncreases(s.lastID, id)):
 		s.lastID, s.canResume = id, isNumericID(id)
 	case s.resuming:
-		return errs.New(errs.MayHaveExecuted, "event %q after %q: the worker didn't continue the stream from there", id, s.lastID)
+		return errs.New(errs.MayHaveExecuted, "resumed stream has event ID %q after %q: want increasing numeric IDs", id, s.lastID)
 	case id != "":
 		s.passthrough = true
 	default:
@@ -137,7 +136,7 @@
 
 func isNumericID(id string) bool { _, err := strconv.ParseUint(id, 10, 64); return err == nil }
 
-// idIncreases reports whether both IDs are numbers and the next is higher.
+// idIncreases reports whether both event IDs are numbers and next is higher than last.
 func idIncreases(last, next string) bool {
 	lastNumber, lastErr := strconv.ParseUint(last, 10, 64)
 	nextNumber, nextErr := strconv.ParseUint(next, 10, 64)
--- a/internal/data/proxy/handler.go
+++ b/internal/data/proxy/handler.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// minRetryDivisor of the route's latency target is the time that has to remain for another attempt:
-// with less it would only add load.
+// minRetryDivisor divides the route's latency target. The result is the least time until the deadline that
+// still permits a retry: a later retry could hardly succeed and would only add load.
 const minRetryDivisor = 10
 
 // ServeHTTP forwards one request to a worker and relays its response.
@@ -30,8 +30,8 @@
 	}
 }
 
-// forward makes attempts, each at another worker, until one completes or none may follow. It reports
-// whether a response was relayed completely.
+// forward makes attempts, each on a different worker, until one completes or no retry is permitted. It
+// reports whether a response was relayed completely.
 func (req *request) forward() (ok bool) {
 	s := req.server
 	found := req.lookUpPrefixes()
@@ -64,7 +64,8 @@
 	return a
 }
 
-// lookUpPrefixes asks the prompt index which workers hold the prompt's parts; nil if it names none.
+// lookUpPrefixes asks the prompt index which workers have cached parts of the prompt. It returns nil if the
+// request names no prompt parts.
 func (req *request) lookUpPrefixes() map[prefix.Key]*wire.LookupResult {
 	if len(req.selection.Parts) == 0 {
 		return nil
@@ -73,14 +74,15 @@
 	return s.Selector.Lookup(req.ctx, s.Snapshot(), &req.selection)
 }
 
-// endResponse ends a response that was relayed completely.
+// endResponse finishes a completely relayed response. It aborts the response if the write deadline passed
+// before the last bytes were written.
 func (req *request) endResponse() {
 	if !req.stopWriteDeadline() {
-		panic(http.ErrAbortHandler) // the deadline passed with the last bytes: the client doesn't wait for them
+		panic(http.ErrAbortHandler) // the write deadline was set, so the last bytes may not reach the client
 	}
 }
 
-// mayRetry reports whether another attempt may follow a failed one, and spends the retry budget for it.
+// mayRetry reports whether a failed attempt may be retried, and if so withdraws the retry from the budgets.
 func (req *request) mayRetry(failed *attempt) bool {
 	route := req.selection.Route
 	if failed.outcome == clientGone || req.ctx.Err() != nil || req.timeRemaining() < max(route.LatencyTarget/minRetryDivisor, time.Millisecond) {
@@ -104,15 +106,15 @@
 	return req.spendRetryBudget()
 }
 
-// depositRetryTokens counts the request's first attempt for the retry budgets.
+// depositRetryTokens credits the request to the retry budgets, which limit retries to a ratio of the requests.
 func (req *request) depositRetryTokens() {
 	edges := req.server.Snapshot().EdgeCount
 	req.server.retryBudgets.Deposit(req.selection.Service, edges)
 	req.server.misdirectedBudget.Deposit(edges)
 }
 
-// spendRetryBudget reports whether the service's retry budget covers another attempt. An attempt that
-// wasn't sent leaves what was granted for it to the next one.
+// spendRetryBudget reports whether the service's retry budget permits another attempt. A token granted for an
+// attempt that was never sent is kept for the next attempt.
 func (req *request) spendRetryBudget() bool {
 	if req.attemptsSent <= req.retriesGranted {
 		return true
@@ -124,7 +126,7 @@
 	return true
 }
 
-// edgeNodes is the number of nodes that share the retry budgets.
+// edgeNodes returns the number of edge nodes among which the retry budgets are divided.
 func (req *request) edgeNodes() int {
 	if snapshot := req.server.Snapshot(); snapshot != nil {
 		return snapshot.EdgeCount
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -10,27 +10,27 @@
 	"pebbleloom/internal/data/selection"
 )
 
-// Headers names the platform's header fields, and converts their values. The platform's adapter fills it in;
-// every field has to be set. Unless noted, a field is one of the request.
+// Headers holds the names of the platform's HTTP header fields, and functions that parse and format their values.
+// The platform's adapter provides it; all members are required. Unless noted, the fields are request fields.
 type Headers struct {
-	ID               string // of the attempt; forwarded unchanged both ways
-	TimeRemaining    string // until the client's deadline
-	Tenant           string // whose key the client presented; set for the worker
+	ID               string // request ID; forwarded unchanged in request and response
+	TimeRemaining    string // time until the client's deadline
+	Tenant           string // name of the tenant whose API key the client presented; set by this node
 	ExpectedInstance string // ID of the only worker that may execute the request
-	ExpectedVersion  string // the only version of the weights that may execute it
-	Priority         string // 0 to 9, 0 first
-	CacheSalt        string // cache domain of the prompt's parts
-	FetchFrom        string // address from which the worker fetches missing parts
-	SaveTo           string // address to which it saves parts
-	Model            string
-	TokenUsage       string // tokens of the prompt, and the output limit
-	PromptParts      string // IDs and sizes of the prompt's parts, in order
-	LastEventID      string // of a stream that is resumed
-	NotExecuted      string // of the response: present if the worker didn't execute the request
-	Seal             string // of the response: the worker's signature
-	Load             string // of the response: the worker's running and waiting requests and slots
-	WeightVersions   string // of the response: the version that the worker serves
-	AuthScheme       string // that precedes the key in Authorization
+	ExpectedVersion  string // the only version of the model weights that may execute the request
+	Priority         string // 0 to 9; 0 is the most urgent
+	CacheSalt        string // salt that separates the cache entries of the prompt's parts by cache domain
+	FetchFrom        string // address from which the worker fetches prompt parts that it hasn't cached
+	SaveTo           string // address to which the worker saves prompt parts
+	Model            string // name of the requested model
+	TokenUsage       string // number of prompt tokens and maximum number of output tokens
+	PromptParts      string // IDs and sizes of the prompt's parts, in prompt order
+	LastEventID      string // ID of the event after which a stream is resumed
+	NotExecuted      string // response field: present if the worker didn't execute the request
+	Seal             string // response field: the worker's signature
+	Load             string // response field: numbers of running requests, waiting requests and slots of the worker
+	WeightVersions   string // response field: the version of the model weights that the worker serves
+	AuthScheme       string // authentication scheme before the API key in the Authorization field
 
 	ParseTimeRemaining  func(value string) (remaining time.Duration, ok bool)
 	FormatTimeRemaining func(remaining time.Duration) string
@@ -39,20 +39,21 @@
 	ParseLoad           func(value string) (load selection.Load, ok bool)
 }
 
-// hopByHop are the fields that concern a single connection (RFC 9110, section 7.6.1), and Expect, which
-// net/http has answered itself.
+// hopByHop lists the header fields that apply to a single connection (RFC 9110, section 7.6.1), and Expect,
+// which net/http handles itself.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// idempotencyKeys are fields by which net/http takes a request for idempotent.
+// idempotencyKeys lists the header fields whose presence makes net/http treat a request as idempotent.
 var idempotencyKeys = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// proxyOnly lists the fields that only this node may set in a request to a worker.
+// proxyOnly lists the request fields that only this node may set, and Authorization, which workers must not see.
 func (h *Headers) proxyOnly() []string {
 	return []string{"Authorization", h.Tenant, h.ExpectedInstance, h.Priority, h.CacheSalt, h.FetchFrom, h.SaveTo, h.TimeRemaining}
 }
 
-// endToEnd lists fields that a Connection field can't declare hop-by-hop: a client could suppress them so.
+// endToEnd lists the fields that are forwarded even if the Connection field names them: otherwise a client could
+// suppress them by declaring them hop-by-hop.
 func (h *Headers) endToEnd() []string {
 	return []string{h.ID, h.ExpectedVersion, h.Model, h.TokenUsage, h.PromptParts, h.LastEventID, h.NotExecuted, h.Seal, h.Load, h.WeightVersions,
 		"Host", "Content-Length", "Content-Type", "Content-Encoding"}
@@ -67,9 +68,9 @@
 	return false
 }
 
-// withoutHopByHop copies a header without the hop-by-hop fields. The values are shared.
+// withoutHopByHop returns a copy of a header without the hop-by-hop fields. The value slices are shared.
 func (h *Headers) withoutHopByHop(from http.Header) http.Header {
-	const added = 8 // fields that the caller may add without growing the map
+	const added = 8 // spare capacity for fields that the caller adds
 	to := make(http.Header, len(from)+added)
 	for name, values := range from {
 		to[name] = values
@@ -88,8 +89,8 @@
 	return to
 }
 
-// workerHeader is the header of the request to the selected worker. Fields that only this node may set are
-// never the client's.
+// workerHeader returns the header of the request to the selected worker. Values that the client sent for fields
+// that only this node may set are removed.
 func (req *request) workerHeader(choice selection.Choice, remaining time.Duration) http.Header {
 	headers := &req.server.Headers
 	header := headers.withoutHopByHop(req.incoming.Header)
@@ -105,7 +106,7 @@
 		setIfAny(header, headers.LastEventID, req.events.lastID)
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = nil // net/http would add its own
+		header["User-Agent"] = nil // a nil value keeps net/http from adding its own
 	}
 	if len(req.body) == 0 && !req.chunked {
 		hideIdempotencyKeys(header)
@@ -113,7 +114,7 @@
 	return header
 }
 
-// setChoice sets the fields by which the worker learns what the selector decided.
+// setChoice sets the fields that pass the selector's decision on to the worker.
 func (req *request) setChoice(to http.Header, choice selection.Choice) {
 	headers := &req.server.Headers
 	setIfAny(to, headers.ExpectedInstance, choice.Worker.ID)
@@ -134,8 +135,9 @@
 	}
 }
 
-// hideIdempotencyKeys keeps net/http from sending a request without a body again by itself: it looks for
-// these fields under their canonical names only. On the wire names are the same in any case.
+// hideIdempotencyKeys keeps net/http from resending a request without a body on its own. net/http looks for the
+// idempotency fields under their canonical names only, so they are stored in lower case. Field names are
+// case-insensitive on the wire.
 func hideIdempotencyKeys(header http.Header) {
 	for _, name := range idempotencyKeys {
 		if values, ok := header[name]; ok {
@@ -145,7 +147,7 @@
 	}
 }
 
-// bearerKey returns the key that the client presents; "" if none.
+// bearerKey returns the API key that the client presents, or "" if there is none.
 func (h *Headers) bearerKey(r *http.Request) string {
 	scheme, key, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, h.AuthScheme) {
@@ -154,7 +156,7 @@
 	return strings.TrimSpace(key)
 }
 
-// formatRetryAfter formats a Retry-After value: seconds, with three decimals.
+// formatRetryAfter formats a Retry-After value in seconds with three decimals, at least 0.001.
 func formatRetryAfter(wait time.Duration) string {
 	return strconv.FormatFloat(max(wait, time.Millisecond).Seconds(), 'f', 3, 64)
 }
--- a/internal/data/proxy/idlelimit.go
+++ b/internal/data/proxy/idlelimit.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// idleLimit learns for how long a connection may be idle and still be open at the workers. A worker may drop
-// an idle connection silently and reset it at the next request. A request that isn't idempotent would be lost
-// by that, so it is sent on a connection within the learnt limit only; idempotent requests try longer idle
-// times, and their reuses raise the limit again.
+// idleLimit estimates how long a connection may be idle before a worker drops it. A worker may drop an idle
+// connection silently and reset it at the next request. A request that isn't idempotent can't be retried then, so
+// it is sent only on connections whose idle time is within the estimated limit. Idempotent requests may use
+// connections with longer idle times, and if these succeed, the limit is raised again.
 type idleLimit struct {
 	mu           sync.Mutex
-	maxSafe      time.Duration // the limit; 0: no connection was ever dropped
-	longerReuses int           // reuses in a row after an idle time above maxSafe
+	maxSafe      time.Duration // the limit; 0: no dropped connection was seen yet
+	longerReuses int           // consecutive successful reuses after an idle time above maxSafe
 }
 
 const (
-	// safeIdleRatio of the idle time after which a connection was dropped is taken as the new limit.
+	// safeIdleRatio, of the idle time after which a connection was found dropped, is the new limit.
 	safeIdleRatio = 0.5
-	// idleGrowthRatio is by how much the limit is raised after reusesToGrow longer reuses in a row.
+	// idleGrowthRatio is the factor by which the limit grows after reusesToGrow consecutive longer reuses.
 	idleGrowthRatio = 1.25
 	reusesToGrow    = 8
 )
 
-// allows reports whether a connection that was idle so long may carry a request that isn't idempotent.
+// allows reports whether a connection with this idle time may carry a request that isn't idempotent.
 func (l *idleLimit) allows(idleTime time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.maxSafe == 0 || idleTime <= l.maxSafe
 }
 
-// recordDropped lowers the limit after a connection turned out to have been dropped while idle.
+// recordDropped lowers the limit after a connection with this idle time was found to have been dropped.
 func (l *idleLimit) recordDropped(idleTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	l.longerReuses = 0
 }
 
-// recordReuse counts a connection that was still open after it was idle so long.
+// recordReuse counts a successful reuse of a connection after this idle time.
 func (l *idleLimit) recordReuse(idleTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/data/proxy/outgoing.go
+++ b/internal/data/proxy/outgoing.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// outgoingRequest is the request as it is sent to the worker: method, target, framing and body are the
-// client's, byte for byte.
+// outgoingRequest returns the request to send to the worker. Method, request target, framing (length or
+// chunked) and body are the client's, byte for byte.
 func (a *attempt) outgoingRequest() *http.Request {
 	req := a.request
 	outgoing := &http.Request{
@@ -26,7 +26,8 @@
 	} else {
 		outgoing.ContentLength = int64(len(req.body))
 	}
-	// Without a body net/http would silently send idempotent methods again.
+	// net/http would silently resend a request with an idempotent method and no body; a non-nil body that
+	// can't be rewound prevents that.
 	if body := new(nonReplayableBody); req.chunked || len(req.body) > 0 || !declaresEmptyBody(req.incoming.Method) {
 		body.Reset(req.body)
 		outgoing.Body = body
@@ -34,7 +35,8 @@
 	return outgoing.WithContext(a.ctx)
 }
 
-// outgoingURL keeps the request target as the client wrote it, where that has the usual form.
+// outgoingURL returns the worker's URL with the request target exactly as the client wrote it, if that starts
+// with a single slash; otherwise the target is rebuilt from the parsed URL.
 func (a *attempt) outgoingURL() *url.URL {
 	incoming := a.request.incoming
 	target := &url.URL{Scheme: "http", Host: a.choice.Worker.Addr}
@@ -47,15 +49,15 @@
 	return target
 }
 
-// nonReplayableBody is a request body that net/http can't rewind: it has no way to send the request again
-// by itself.
+// nonReplayableBody is a request body that net/http can't rewind, so that it can't resend the request on its
+// own.
 type nonReplayableBody struct{ bytes.Reader }
 
-// Close does nothing: the bytes belong to the request, which may make another attempt.
+// Close does nothing: the body is kept in memory for possible retries.
 func (*nonReplayableBody) Close() error { return nil }
 
-// declaresEmptyBody reports whether net/http sends "Content-Length: 0" with a method if there is no body;
-// it never sends these methods again by itself.
+// declaresEmptyBody reports whether net/http sends "Content-Length: 0" for the method if the body is empty.
+// net/http doesn't resend requests with such a method on its own.
 func declaresEmptyBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
--- a/internal/data/proxy/readiness.go
+++ b/internal/data/proxy/readiness.go
@@ -8,23 +8,23 @@
 	"pebbleloom/internal/settings"
 )
 
-// keyProofRatio of the bound on revoked keys (Bounds.KeyRevocationMs) is how old the proof may be that a plan is
-// the newest, for a key to be accepted under it. The rest of the bound covers the time from reading the
-// request to sending it.
+// keyProofRatio, of the bound on key revocation (Bounds.KeyRevocationMs), is the maximum age of the proof that a
+// routing plan is the newest, for API keys to be accepted under that plan. The rest of the bound covers the time
+// from reading the request to sending it to a worker.
 const keyProofRatio = 0.95
 
-// maxKeyProofAge is how old the proof may be under which a key is accepted.
+// maxKeyProofAge returns the maximum age of the proof that a routing plan is the newest, for accepting API keys.
 func (s *server) maxKeyProofAge() time.Duration {
 	return settings.Fraction(s.process.Settings.Bounds.KeyRevocationMs, keyProofRatio)
 }
 
-// proofIsFresh reports whether the snapshot's plan was proven to be the newest less than maxAge before
-// the instant.
+// proofIsFresh reports whether the snapshot's routing plan was proven to be the newest less than maxAge before the
+// given instant.
 func proofIsFresh(snapshot *fleet.Snapshot, instant, maxAge time.Duration) bool {
 	return snapshot.ProofAt > 0 && instant-snapshot.ProofAt < maxAge
 }
 
-// serveReadiness answers a readiness check: 200 if this node can serve, else 503.
+// serveReadiness answers a readiness check with 200 if this node is ready and with 503 if not.
 func (s *server) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != s.ReadyPath {
 		w.WriteHeader(http.StatusNotFound)
@@ -37,9 +37,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// isReady reports whether this node has a plan, a fresh proof where keys are revoked, and has known a
-// worker to forward to at least once. Workers that leave later don't make it unready: sending the clients
-// to another edge node wouldn't bring the workers back.
+// isReady reports whether this node has a routing plan, a fresh proof that it is the newest if key revocation is
+// enforced, and has seen a worker of a routed service at least once. Workers that leave later don't make it
+// unready: moving clients to another edge node wouldn't bring the workers back.
 func (s *server) isReady() bool {
 	snapshot := s.Snapshot()
 	if snapshot == nil || snapshot.Plan == nil || s.draining.Load() {
@@ -54,7 +54,7 @@
 	return s.wasReady.Load()
 }
 
-// hasRoutedWorker reports whether the snapshot holds a worker of a service that some route leads to.
+// hasRoutedWorker reports whether the snapshot has a worker of a service to which some route sends requests.
 func hasRoutedWorker(snapshot *fleet.Snapshot) bool {
 	hasWorker := map[string]bool{}
 	for i := range snapshot.Workers {
--- a/internal/data/proxy/relay.go
+++ b/internal/data/proxy/relay.go
@@ -7,9 +7,9 @@
 	"pebbleloom/internal/data/selection"
 )
 
-// relayResponse relays a worker's response to the client. A streamed response is flushed as it comes. Any
-// other is held back until the buffer is full or the response complete, so that until then another worker
-// may still be tried.
+// relayResponse relays a worker's response to the client. A streamed response is flushed as it comes. Any other
+// response is held back until the buffer is full or the response is complete, so that the request can still be
+// retried on another worker if the response breaks off early.
 func (a *attempt) relayResponse() {
 	req := a.request
 	pooled := req.server.bufferPool.Get().(*[]byte)
@@ -22,7 +22,7 @@
 		n, err := a.readChunk(buffer, fill)
 		fill = false
 		if err != nil && err != io.EOF && !req.responseStarted {
-			a.markInterrupted() // nothing was relayed yet: another worker may still be tried
+			a.markInterrupted() // nothing was relayed yet, so a retry on another worker is still possible
 			return
 		}
 		if n > 0 && a.firstByteAfter == 0 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// prepareEvents readies the request's event splitter for this worker's stream, or drops it if the response
-// can't be resumed.
+// prepareEvents resets the request's event splitter for this worker's stream, or removes the splitter if the
+// response isn't a resumable stream.
 func (a *attempt) prepareEvents() {
 	req := a.request
 	if req.events == nil {
@@ -63,7 +63,7 @@
 	req.server.Selector.RecordFirstEvent(&req.selection, a.choice, a.load, a.firstByteAfter)
 }
 
-// readChunk reads what has come; with fill, until the buffer is full or the body has ended.
+// readChunk reads the bytes that are available. With fill set, it reads until the buffer is full or the body ends.
 func (a *attempt) readChunk(buffer []byte, fill bool) (n int, err error) {
 	for n < len(buffer) && err == nil {
 		var more int
@@ -75,8 +75,8 @@
 	return n, err
 }
 
-// writeToClient relays a chunk of the body; last says that the body ends with it. It returns false if the
-// attempt has ended: the client is gone, or the chunk doesn't continue the stream.
+// writeToClient relays a chunk of the response body; last tells whether the body ends with it. It returns false if
+// the attempt has ended, because the client disconnected or the chunk doesn't continue a resumed stream.
 func (a *attempt) writeToClient(chunk []byte, last, streamed bool) bool {
 	req := a.request
 	var splitErr error
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -11,8 +11,8 @@
 	"pebbleloom/internal/settings"
 )
 
-// request is one request of a client, from its header to the last byte of its response. Its goroutine is
-// the handler's; only ctx and the response controller are used from others.
+// request is the state of one client request, from its header to the last byte of its response. It is used by the
+// goroutine of its handler; only ctx and controller are used by other goroutines as well.
 type request struct {
 	server     *server
 	writer     http.ResponseWriter
@@ -21,41 +21,40 @@
 
 	ctx               context.Context // done at the deadline, or when the client disconnects
 	cancel            context.CancelFunc
-	stopWriteDeadline func() bool // undoes the end of writing that comes with the end of ctx; false: too late
+	stopWriteDeadline func() bool // cancels the write deadline that is set when ctx is done; false: it was set already
 
-	receivedAt     time.Duration // instant at which the header was read
-	deadline       time.Duration // instant: the earlier of the client's and the route's
+	receivedAt     time.Duration // when the request header was read, by the process clock
+	deadline       time.Duration // the earlier of the client's and the route's deadline, by the process clock
 	selection      selection.Request
-	maxConns       int // connections of this node to one worker; 0: no limit
+	maxConns       int // maximum number of connections of this node to one worker; 0: no limit
 	body           []byte
-	chunked        bool            // the body came with chunked transfer encoding, and is forwarded so
-	reservedMemory int64           // bytes of server.reservedMemory
-	tried          map[string]bool // workers that an attempt was made at, by ID
+	chunked        bool            // the body came with chunked transfer encoding and is forwarded that way
+	reservedMemory int64           // this request's part of server.reservedMemory, in bytes
+	tried          map[string]bool // IDs of the workers that were selected for an attempt
 
-	attemptsSent       int               // attempts of which some byte may have left this node
+	attemptsSent       int               // attempts of which some bytes may have left this node
 	attemptsNotSent    int               // attempts proven not to have left this node
-	retriesGranted     int               // attempts beyond the first that the retry budget has granted
-	mayHaveExecuted    bool              // some worker may have executed it
-	capacityExpectedIn time.Duration     // when a worker may have a free slot, if none has one now; 0: unknown
-	fallback           *bufferedResponse // the best error response of a worker so far; nil: none
-	responseStarted    bool              // the response's header was written to the client
-	events             *eventSplitter    // of a resumable stream; nil: not resumable
+	retriesGranted     int               // attempts beyond the first that the retry budget has permitted
+	mayHaveExecuted    bool              // some worker may have executed the request
+	capacityExpectedIn time.Duration     // estimated time until a worker has a free slot; 0: unknown
+	fallback           *bufferedResponse // the best error response received from a worker so far; nil: none
+	responseStarted    bool              // the response header was written to the client
+	events             *eventSplitter    // splits a resumable event stream; nil: the response can't be resumed
 }
 
-// pastTime is a deadline that has passed, whatever the clock says.
+// pastTime is an I/O deadline in the past: setting it makes pending reads or writes fail at once.
 var pastTime = time.Unix(1, 0)
 
 const (
-	// transitRatio of settings.Site.TransitMs is by how much a request's context outlasts its deadline, so
-	// that a response which the worker sent in time still reaches the client.
+	// transitRatio, of settings.Site.TransitMs, is how long the request's context lasts beyond its deadline, so
+	// that a response that the worker sent just in time still reaches the client.
 	transitRatio = 0.5
-	// retryAfterDivisor of the route's latency target is the default Retry-After: short enough that the
-	// next try can still be served within the target.
+	// The default Retry-After value is the route's latency target divided by retryAfterDivisor: short enough that
+	// the client's retry can still be served within the target.
 	retryAfterDivisor = 4
 )
 
-// accept admits a request and reads its body. A request that can't be accepted is answered at once; nil
-// is returned then.
+// accept admits a request and reads its body. It answers a request that it can't accept, and returns nil.
 func (s *server) accept(writer http.ResponseWriter, incoming *http.Request) *request {
 	req := s.newRequest(writer, incoming)
 	snapshot := s.Snapshot()
@@ -67,7 +66,7 @@
 		req.release()
 		return nil
 	}
-	// A plan that came while the body was read may have revoked the key.
+	// A routing plan that arrived while the body was read may have revoked the API key.
 	if newest := s.Snapshot(); newest.Plan != snapshot.Plan && !req.admit(newest) {
 		req.release()
 		return nil
@@ -92,7 +91,7 @@
 	return req
 }
 
-// release gives back what the request holds of the server.
+// release cancels the request's context and returns its reserved memory to the server.
 func (req *request) release() {
 	if req.cancel != nil {
 		req.cancel()
@@ -101,7 +100,7 @@
 	req.reservedMemory = 0
 }
 
-// readPromptHeaders reads what the header says about the prompt; many requests say nothing.
+// readPromptHeaders parses the optional header fields that describe the prompt, and prepares resumable streams.
 func (req *request) readPromptHeaders() {
 	headers := &req.server.Headers
 	req.selection.Model = req.incoming.Header.Get(headers.Model)
@@ -116,12 +115,12 @@
 	}
 }
 
-// timeRemaining is the time until the deadline; negative after it.
+// timeRemaining returns the time until the deadline; it is negative after the deadline.
 func (req *request) timeRemaining() time.Duration {
 	return req.deadline - req.server.process.Clock.Now()
 }
 
-// retryAfter is when a client whose request was rejected may send it again.
+// retryAfter returns how long a client should wait before it retries a rejected request.
 func (req *request) retryAfter() time.Duration {
 	if req.capacityExpectedIn > 0 {
 		return req.capacityExpectedIn
@@ -132,7 +131,7 @@
 	return req.selection.Route.LatencyTarget / retryAfterDivisor
 }
 
-// isIdempotent reports whether more than one worker may execute the request.
+// isIdempotent reports whether the request may be executed more than once, by its route's kind.
 func (req *request) isIdempotent() bool {
 	route := req.selection.Route
 	return route.Kind == routingconfig.Idempotent || route.Kind == routingconfig.EventStream && route.Resumable
--- a/internal/data/proxy/response.go
+++ b/internal/data/proxy/response.go
@@ -11,16 +11,16 @@
 	"pebbleloom/internal/errs"
 )
 
-// bufferedResponse is a worker's own short response, kept in case no other worker gives a better one.
+// bufferedResponse is a short error response of a worker, relayed if no other worker gives a better response.
 type bufferedResponse struct {
 	status   int
 	header   http.Header
 	body     []byte
-	executed bool // the worker executed the request; false: it says that it didn't
+	executed bool // whether the worker executed the request; false: it reported that it didn't
 }
 
-// startResponse writes the header of a worker's response to the client. From here on the end of the
-// request's context ends writing, too.
+// startResponse writes the header of a worker's response to the client. From now on, writes to the client fail
+// once the request's context is done.
 func (req *request) startResponse(response *http.Response) {
 	req.responseStarted = true
 	req.copyHeader(response.Header)
@@ -34,8 +34,8 @@
 	req.writer.WriteHeader(response.StatusCode)
 }
 
-// respondWithFailure answers a request of which no attempt completed. A response that has started, and one
-// that nobody waits for, is aborted: the client must see that it is incomplete.
+// respondWithFailure answers a request of which no attempt completed. If a response has already started, or the
+// client has disconnected, it aborts the connection, so that a partial response can't look complete.
 func (req *request) respondWithFailure() {
 	defer req.stopWriteDeadline()
 	if req.responseStarted || req.incoming.Context().Err() != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// respondBuffered relays a worker's response that was kept.
+// respondBuffered relays a buffered error response of a worker to the client.
 func (req *request) respondBuffered(response *bufferedResponse) {
 	header := req.writer.Header()
 	req.copyHeader(response.header)
@@ -68,7 +68,8 @@
 	_, _ = req.writer.Write(response.body)
 }
 
-// reject answers a request with an error of this node's own. A retryAfter of 0 sets no Retry-After.
+// reject answers a request with an error response from this node. With a retryAfter of 0 it sets no Retry-After
+// field.
 func (req *request) reject(kind *errs.Kind, reason string, retryAfter time.Duration) {
 	header := req.writer.Header()
 	req.closeWhenDraining()
@@ -86,8 +87,8 @@
 	_, _ = io.WriteString(req.writer, text)
 }
 
-// copyHeader replaces the fields of the client's response with those of the worker's, and keeps net/http
-// from adding its own.
+// copyHeader copies the header of a worker's response to the client's response. It keeps net/http from adding
+// Date and Content-Type fields of its own.
 func (req *request) copyHeader(from http.Header) {
 	header := req.writer.Header()
 	for name, values := range req.server.Headers.withoutHopByHop(from) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// closeWhenDraining ends the client's connection with this response if the node is shutting down.
+// closeWhenDraining closes the client's connection after this response if the node is shutting down.
 func (req *request) closeWhenDraining() {
 	if req.server.draining.Load() {
 		req.writer.Header().Set("Connection", "close")
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -1,12 +1,13 @@
-// Package proxy is the reverse proxy of an edge node: it accepts HTTP requests of any shape from clients,
-// forwards each to a worker of the service that its route selects, and relays the worker's response.
+// Package proxy is the reverse proxy of an edge node: it accepts HTTP requests from clients, forwards
+// each to a worker of the service that its route selects, and relays the worker's response. Request bodies
+// and paths are forwarded unchanged.
 //
 // A request passes through server.ServeHTTP: accept (admission, body), forward (select a worker, make an
-// attempt, relay the response, retry elsewhere) and, if no attempt completes, respondWithFailure.
+// attempt, relay the response, retry on another worker) and, if no attempt completes, respondWithFailure.
 //
-// Two invariants hold throughout. A request that isn't idempotent is sent again only with proof that no
-// worker has executed it; "not executed" is answered to a client only with that proof. And no
-// byte that a worker sent for another request, or unsolicited, is ever relayed as a response.
+// Two invariants hold throughout. First, a request that isn't idempotent is retried only with proof that no
+// worker has executed it, and a client is answered "not executed" only with that proof. Second, bytes that a
+// worker sent for another request, or that no request asked for, are never relayed as a response.
 package proxy
 
 import (
@@ -30,11 +31,11 @@
 	"pebbleloom/internal/settings"
 )
 
-// Config holds what Start needs beside the process's settings. Every field has to be set.
+// Config holds the dependencies of the proxy that do not come from the process settings. All fields are required.
 type Config struct {
 	Headers   Headers
 	ReadyPath string                 // URL path of the readiness check
-	Snapshot  func() *fleet.Snapshot // the newest routing plan and workers; nil while none is known
+	Snapshot  func() *fleet.Snapshot // returns the newest routing plan and workers; nil before the first update
 	Selector  selection.Selector
 }
 
@@ -45,46 +46,46 @@
 	siteSettings      *settings.Site
 	conns             *connPool
 	retryBudgets      *retrybudget.ByService
-	misdirectedBudget *retrybudget.Budget // of attempts after a 421; for all services together
-	memoryLimit       int64               // bytes that all requests in flight may reserve
-	reservedMemory    atomic.Int64        // bytes
-	inFlight          atomic.Int64        // requests
-	retries           atomic.Int64        // attempts beyond the first of a request
-	resumedStreams    atomic.Int64        // streams that another worker continued
+	misdirectedBudget *retrybudget.Budget // limits retries after a 421; shared by all services
+	memoryLimit       int64               // upper bound of reservedMemory, in bytes
+	reservedMemory    atomic.Int64        // bytes reserved by requests in flight
+	inFlight          atomic.Int64        // number of requests in flight
+	retries           atomic.Int64        // attempts sent beyond the first of each request
+	resumedStreams    atomic.Int64        // event streams that were continued by another worker
 	draining          atomic.Bool         // set on shutdown, never reset
-	wasReady          atomic.Bool         // set once a routed worker was known, never reset
-	bufferPool        sync.Pool           // of *[]byte, relayBufferBytes each
+	wasReady          atomic.Bool         // set once a worker of a routed service was seen, never reset
+	bufferPool        sync.Pool           // *[]byte buffers of relayBufferBytes each
 }
 
-// Memory.
+// Memory accounting of requests in flight.
 const (
-	// requestMemoryDivisor gives requests a third of the node's memory: the rest is for buffers of
-	// connections, the snapshot and the garbage collector's headroom.
+	// requestMemoryDivisor reserves a third of the node's memory for requests; the rest is for connection
+	// buffers, the snapshot and the headroom of the garbage collector.
 	requestMemoryDivisor = 3
-	// requestOverhead is what a request is taken to need beside its body, in bytes.
+	// requestOverhead is the assumed memory use of a request without its body, in bytes.
 	requestOverhead  = 32 << 10
 	relayBufferBytes = 8 << 10
 )
 
-// Graceful shutdown, as ratios of the platform's grace period (settings.Site.GraceMs). Their sum has to
-// stay below 1: the process has to end by itself before it is killed.
+// Phases of graceful shutdown, as ratios of the platform's grace period (settings.Site.GraceMs). Their sum
+// must stay below 1, so that the process exits before the platform kills it.
 const (
-	// lameDuckRatio is how long requests are still accepted after the signal, until the platform's
-	// load balancer has seen the failing readiness check.
+	// lameDuckRatio is how long new requests are still accepted after the shutdown signal. It gives the
+	// platform's load balancer time to notice the failing readiness check.
 	lameDuckRatio = 0.3
-	// drainRatio is how long requests in flight may then run to their end.
+	// drainRatio is how long requests in flight may continue after the lame-duck period.
 	drainRatio = 0.55
 )
 
-// firstPlanRatio of the configuration bound is how long the front listener waits for the first plan;
-// firstPlanChecks is how often it looks in that time. Longer would delay a node that can't reach the
-// control nodes but could reject requests in order.
+// firstPlanRatio, of the configuration bound (Bounds.ConfigMs), is how long the client listener waits for the
+// first routing plan; firstPlanChecks is the number of checks in that time. A longer wait would delay a node
+// that can't reach the control nodes, and that should reject requests with a proper response instead.
 const (
 	firstPlanRatio  = 0.25
 	firstPlanChecks = 25
 )
 
-// Limits of HTTP connections where no plan gives any: time-outs are ratios of the healing bound.
+// HTTP limits used when no routing plan sets any. Time-outs are ratios of the bound on healing (Bounds.HealMs).
 const (
 	defaultHeaderBytes      = 16 << 10
 	headerTimeoutRatio      = 0.25
@@ -92,17 +93,16 @@
 	readyHeaderTimeoutRatio = 0.25
 )
 
-// Retries after a misdirected response (421: the address belongs to another worker now) have a budget
-// of their own beside the service's, for all services together. The next attempt may go to another
-// reused address, and both arrive at a service that the request isn't for, beyond that service's own
-// budget. Both are ratios of the retry budget's settings.
+// A retry after a 421 response (the worker's address now belongs to another worker) also needs a token from a
+// second budget, which all services share. Such attempts load the service that now owns the address, and that
+// service's own retry budget doesn't limit them. Both constants are ratios of the retry budget's settings.
 const (
 	misdirectedRatio          = 0.1
 	misdirectedAllowanceRatio = 0.5
 )
 
 // Start listens for clients and for readiness checks, and serves until the process stops. It fails with
-// errs.BadInput if it can't listen at an address of the settings.
+// errs.BadInput if it can't listen on a configured address.
 //
 // Example: err := proxy.Start(process, proxy.Config{Headers: platform.Headers(), ReadyPath: path, Snapshot: agent.Snapshot, Selector: selector})
 func Start(process *daemon.Process, config Config) error { return newServer(process, config).start() }
@@ -134,20 +134,20 @@
 func (s *server) start() error {
 	front, err := s.process.Listen(s.process.Settings.Public)
 	if err != nil {
-		return errs.WrapAs(err, errs.BadInput, "listen at "+s.process.Settings.Public)
+		return errs.WrapAs(err, errs.BadInput, "listen for clients on "+s.process.Settings.Public)
 	}
 	ready, err := s.process.Listen(s.siteSettings.ReadinessListen)
 	if err != nil {
 		front.Close()
-		return errs.WrapAs(err, errs.BadInput, "listen at "+s.siteSettings.ReadinessListen)
+		return errs.WrapAs(err, errs.BadInput, "listen for readiness checks on "+s.siteSettings.ReadinessListen)
 	}
-	s.serveReadinessAt(ready)
-	s.serveClientsAt(front)
+	s.serveReadinessOn(ready)
+	s.serveClientsOn(front)
 	return nil
 }
 
-// serveReadinessAt answers readiness checks until the process ends, also while it drains.
-func (s *server) serveReadinessAt(listener net.Listener) {
+// serveReadinessOn answers readiness checks on a listener until the process stops, including while it drains.
+func (s *server) serveReadinessOn(listener net.Listener) {
 	ready := &http.Server{
 		Handler:           http.HandlerFunc(s.serveReadiness),
 		ReadHeaderTimeout: s.process.Settings.Bounds.Heal(readyHeaderTimeoutRatio),
@@ -157,8 +157,9 @@
 	s.process.OnStop(func() { ready.Close() })
 }
 
-// serveClientsAt accepts clients once the first plan has given their limits, and drains on shutdown.
-func (s *server) serveClientsAt(listener net.Listener) {
+// serveClientsOn accepts clients once the HTTP limits of the first routing plan are known (see awaitLimits),
+// and drains on shutdown.
+func (s *server) serveClientsOn(listener net.Listener) {
 	started := make(chan *http.Server, 1)
 	s.process.Go(func() {
 		limits := s.awaitLimits()
@@ -177,16 +178,17 @@
 
 func (s *server) serveHTTP(httpServer *http.Server, listener net.Listener) {
 	if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		s.process.Log.Error("proxy: HTTP server ended", "addr", listener.Addr().String(), "error", err)
+		s.process.Log.Error("proxy: HTTP server stopped unexpectedly", "addr", listener.Addr().String(), "error", err)
 	}
 }
 
-// discardLogger drops what net/http logs: clients could fill the log with malformed requests.
+// discardLogger returns a logger that drops net/http's messages: clients could flood the log by sending
+// malformed requests.
 func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// awaitLimits returns the limits of the first plan, if it is known soon, and proven newest where keys are
-// revoked. Until then connections wait at the listener: a request that would have to be rejected now is
-// served a moment later.
+// awaitLimits returns the HTTP limits of the first routing plan if it comes within firstPlanRatio, and the
+// default limits otherwise. If key revocation is enforced, the plan must also be proven to be the newest. In the
+// meantime connections wait in the listen queue, so that early requests are delayed instead of rejected.
 func (s *server) awaitLimits() routingconfig.Limits {
 	bounds := s.process.Settings.Bounds
 	pause := bounds.Config(firstPlanRatio / firstPlanChecks)
@@ -221,7 +223,7 @@
 	}
 }
 
-// currentPlan returns the newest routing plan; nil while none is known.
+// currentPlan returns the newest routing plan, or nil before the first update.
 func (s *server) currentPlan() *routingconfig.Plan {
 	if snapshot := s.Snapshot(); snapshot != nil {
 		return snapshot.Plan
@@ -229,22 +231,22 @@
 	return nil
 }
 
-// drain shuts the server down gracefully: readiness checks fail from now on, requests are accepted for
-// the lame-duck period and then no more, and those in flight may end within the drain period.
+// drain shuts the server down gracefully: readiness checks fail at once, new requests are accepted until the
+// lame-duck period ends, and requests in flight may finish within the drain period after it.
 func (s *server) drain(ctx context.Context, front *http.Server) {
 	s.draining.Store(true)
 	clock.Sleep(ctx, settings.Fraction(s.siteSettings.GraceMs, lameDuckRatio))
 	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(s.siteSettings.GraceMs, drainRatio))
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
-		s.process.Log.Warn("proxy: requests aborted at the end of the grace period", "requests", s.inFlight.Load())
+		s.process.Log.Warn("proxy: aborting requests still in flight at the end of the drain period", "requests", s.inFlight.Load())
 		front.Close()
 	}
 	s.conns.transport.CloseIdleConnections()
 }
 
-// planRetryAfterRatio of the configuration bound is the Retry-After of a request that this node can't
-// judge before it has a newer plan or proof.
+// planRetryAfterRatio, of the configuration bound (Bounds.ConfigMs), is the Retry-After value for a request that
+// this node can't route or authenticate until it has a newer routing plan or a newer proof.
 const planRetryAfterRatio = 0.1
 
 func (s *server) planRetryAfter() time.Duration {
--- a/internal/data/proxy/workerconn.go
+++ b/internal/data/proxy/workerconn.go
@@ -15,23 +15,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// workerConn is a connection to a worker, held by one attempt at a time. Two invariants hold: it knows
-// whether any byte of its holder may have left this node, and it passes on no byte that came before the
-// first of them.
+// workerConn is a connection to a worker that one attempt, its holder, uses at a time. It guarantees two things:
+// it knows whether any byte of the holder's request may have left this node, and Read never returns a byte
+// that the worker sent before the holder's request began to leave.
 type workerConn struct {
 	net.Conn
-	raw     syscall.RawConn // of a socket; nil: the connection isn't one
-	onClose func()          // called once
+	raw     syscall.RawConn // raw access to the socket; nil if Conn isn't a socket
+	onClose func()          // called once, at the first Close
 
 	mu            sync.Mutex
-	changed       sync.Cond // closed or reading was set
+	changed       sync.Cond // signals that closed or reading was set
 	closed        bool
-	reading       bool // a Read is in progress: everything that came before it was looked at
-	pendingWrites int  // Writes in progress
-	wroteBytes    bool // the kernel has accepted bytes of the holder
-	holder        any  // the *attempt; nil: idle
+	reading       bool // a Read is in progress; all bytes received before it have been consumed
+	pendingWrites int  // number of Write calls in progress
+	wroteBytes    bool // the kernel has accepted bytes of the holder's request
+	holder        any  // the *attempt that uses the connection; nil: idle
 	idleTimer     *time.Timer
-	keepAlive     time.Duration // how long the worker is sure to keep it open while idle
+	keepAlive     time.Duration // how long the worker keeps the connection open while idle
 	closeOnce     sync.Once
 }
 
@@ -44,7 +44,8 @@
 	return c
 }
 
-// Write hands bytes to the kernel. After the connection was closed or discarded it writes none.
+// Write writes to the socket and tracks whether the kernel accepted any byte. Once the connection is closed or
+// discarded, it fails with net.ErrClosed.
 func (c *workerConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.closed {
@@ -61,8 +62,8 @@
 	return n, err
 }
 
-// Read reads what the worker sends. Bytes that come while the connection is idle, or before a byte of the
-// holder's request has left, belong to no request: they end the connection.
+// Read reads bytes that the worker sent. Bytes that come while the connection is idle, or before any byte of the
+// holder's request was written, are unsolicited: they are dropped and the connection is closed.
 func (c *workerConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.reading = true
@@ -82,9 +83,9 @@
 	return n, err
 }
 
-// readSocket takes bytes from the kernel and decides whom they belong to in one critical section. Otherwise an
-// attempt could acquire the connection and send its request between the two, and find neither the bytes in the
-// kernel (hasUnreadData) nor the connection closed.
+// readSocket receives bytes and decides in the same critical section whether they are unsolicited. If the two
+// steps were separate, an attempt could acquire the connection between them and send its request: it would find
+// the socket's receive buffer empty (hasUnreadData) and the connection still open.
 func (c *workerConn) readSocket(p []byte) (received int, err error) {
 	unsolicited := false
 	pollErr := c.raw.Read(func(fd uintptr) bool {
@@ -98,7 +99,7 @@
 		return true
 	})
 	switch {
-	case pollErr != nil: // closed, or past a deadline, before anything came
+	case pollErr != nil: // the connection was closed, or its deadline passed, before any byte came
 		c.mu.Lock()
 		c.reading = false
 		c.mu.Unlock()
@@ -114,7 +115,7 @@
 	return received, nil
 }
 
-// receive reads from a socket without blocking, as often as a signal interrupts it.
+// receive reads from a socket without blocking, and repeats the call if a signal interrupts it (EINTR).
 func receive(socket int, p []byte) (int, error) {
 	for {
 		n, _, err := unix.Recvfrom(socket, p, unix.MSG_DONTWAIT)
@@ -124,8 +125,8 @@
 	}
 }
 
-// endRead notes that a Read has taken n bytes, and reports whether they belong to no request. Then the connection
-// counts as closed at once: no later Write sends on it. The caller holds mu.
+// endRead records that a Read received n bytes, and reports whether they are unsolicited. If so, it marks the
+// connection as closed at once, so that no later Write sends anything. The caller holds mu.
 func (c *workerConn) endRead(n int) (unsolicited bool) {
 	c.reading = false
 	unsolicited = n > 0 && (c.holder == nil || !c.wroteBytes && c.pendingWrites == 0)
@@ -133,7 +134,7 @@
 	return unsolicited
 }
 
-// Close closes the connection, whoever holds it.
+// Close closes the connection even if an attempt holds it.
 func (c *workerConn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -146,7 +147,7 @@
 	return c.Conn.Close()
 }
 
-// acquire makes an attempt the connection's holder.
+// acquire makes the given attempt the connection's holder.
 func (c *workerConn) acquire(holder any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,9 +157,9 @@
 	}
 }
 
-// awaitReader waits until a reused connection is read from again or has been closed: then everything that
-// came with the response before has been looked at. net/http may hand out a connection while its buffer
-// still holds bytes behind that response; it finds them before it reads on, and closes the connection.
+// awaitReader waits until net/http reads from a reused connection again or has closed it. net/http may hand out a
+// connection while its read buffer still holds surplus bytes after the previous response. It checks the buffer
+// before it reads on, and closes the connection if it finds such bytes.
 func (c *workerConn) awaitReader() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,30 +168,30 @@
 	}
 }
 
-// withinKeepAlive reports whether the worker was sure to keep the connection open while it was idle so long.
-// The idle timer alone doesn't ensure it: after a stop of the process it fires late.
+// withinKeepAlive reports whether the idle time is within the worker's keep-alive time-out. The idle timer alone
+// doesn't ensure that: it fires late if the process was suspended (SIGSTOP).
 func (c *workerConn) withinKeepAlive(idleTime time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return idleTime <= c.keepAlive
 }
 
-// hasUnreadData reports whether the kernel holds bytes, or the connection's end, that weren't read yet: after
-// a stop of the process they may have come before any reader runs. Of a connection that isn't a socket it
-// reports false.
+// hasUnreadData reports whether the socket has unread bytes, a FIN or a reset pending. After the process was
+// suspended (SIGSTOP), these may have come before any reader goroutine runs. For a connection that isn't a
+// socket it returns false.
 func (c *workerConn) hasUnreadData() (unread bool) {
 	if c.raw == nil {
 		return false
 	}
 	err := c.raw.Control(func(fd uintptr) {
 		n, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		unread = err == nil && n >= 0 || errors.Is(err, unix.ECONNRESET) // no byte and no error: the end
+		unread = err == nil && n >= 0 || errors.Is(err, unix.ECONNRESET) // n is 0 without an error at the end of the stream
 	})
 	return unread || err != nil
 }
 
-// release makes the connection idle, and closes it after keepAlive unless another attempt acquires it. It
-// does nothing if the connection has another holder already.
+// release makes the connection idle and closes it after keepAlive, unless another attempt acquires it before. It
+// does nothing if another attempt holds the connection already.
 func (c *workerConn) release(holder any, keepAlive time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,15 +210,15 @@
 	c.mu.Lock()
 	idle := c.holder == nil
 	c.mu.Unlock()
-	if idle { // if it is acquired just now, its holder can't write a byte, and takes another connection
+	if idle { // an attempt that acquires it right now can't write any byte, and uses another connection
 		c.Close()
 	}
 }
 
-// discard closes the connection, and reports whether the holder is proven not to have sent anything: the
-// kernel accepted no byte, and will accept none. If another attempt holds the connection by now, it stays
-// open, and nothing is proven.
-func (c *workerConn) discard(holder any) (untouched bool) {
+// discard closes the connection, and reports whether it is proven that nothing of the holder's request was sent:
+// the kernel accepted no byte and will accept none. If another attempt holds the connection by now, discard
+// leaves it open and returns false.
+func (c *workerConn) discard(holder any) (nothingSent bool) {
 	c.mu.Lock()
 	if c.holder != holder {
 		c.mu.Unlock()
@@ -225,14 +226,14 @@
 	}
 	c.closed = true
 	c.changed.Broadcast()
-	untouched = !c.wroteBytes && c.pendingWrites == 0
+	nothingSent = !c.wroteBytes && c.pendingWrites == 0
 	c.mu.Unlock()
 	c.Close()
-	return untouched
+	return nothingSent
 }
 
-// parseKeepAlive returns how long a worker is sure to keep an idle connection open: four fifths of the
-// time-out that its Keep-Alive field gives, or the default if that gives none.
+// parseKeepAlive returns how long an idle connection may be reused: four fifths of the time-out in the worker's
+// Keep-Alive field, so that this node closes it first, or the default if the field gives no time-out.
 func parseKeepAlive(header http.Header, defaultKeepAlive time.Duration) time.Duration {
 	for _, line := range header["Keep-Alive"] {
 		for parameter := range strings.SplitSeq(line, ",") {
