--- a/internal/control/mutation/point5_test.go
+++ b/internal/control/mutation/point5_test.go
@@ -11,7 +11,7 @@
 		file:        "internal/data/proxy/classify.go",
 		original:    "if status < 200 || !a.matchesRequestID() ||",
 		replacement: "if status < 200 ||",
-		pkg:         proxyPackage, run: "TestEveryKindOfWorkerResponse/another's_response"},
+		pkg:         proxyPackage, run: "TestEveryKindOfWorkerResponse/response_to_another_request"},
 	mutant{point: 5, name: "a connection is reused before surplus bytes are read",
 		file:        "internal/data/proxy/workerconn.go",
 		original:    "for !c.reading && !c.closed {",
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -19,19 +19,19 @@
 	"pebbleloom/internal/settings"
 )
 
-// step is a point in a request and its response, as the worker sees it.
+// step is a point in the exchange of a request and its response, as seen by the worker.
 type step int
 
 const (
-	connected        step = iota // the connection is established, no byte of the request has come
-	headReceived                 // the request's head was read
-	halfBodyReceived             // and half of its body
-	bodyReceived                 // the complete request was read: from here on it counts as executed
+	connected        step = iota // the connection is established, but no byte of the request was read
+	headReceived                 // the request's header was read
+	halfBodyReceived             // half of the request's body was read
+	bodyReceived                 // the complete request was read; from this step on it counts as executed
 	firstByteSent                // one byte of the response was sent
-	halfHeadSent                 // half of the response's header
-	halfBodySent                 // half of the response's body
-	responseSent                 // the complete response, in one write with what follows
-	afterResponse                // the client has the response
+	halfHeadSent                 // half of the response's header was sent
+	halfBodySent                 // half of the response's body was sent
+	responseSent                 // the complete response was sent, with the surplus bytes of the fault in the same write
+	afterResponse                // the client has received the response
 	stepCount
 )
 
@@ -39,44 +39,44 @@
 	return [stepCount]string{"connected", "header received", "half of the body received", "body received", "first byte sent", "half of the header sent", "half of the body sent", "response sent", "after the response"}[s]
 }
 
-// fault is how a worker misbehaves.
+// fault is a kind of misbehavior of a worker.
 type fault int
 
 const (
 	hang fault = iota
 	reset
-	closeWrite // a FIN without a response
-	extraBytes // bytes that aren't HTTP
+	closeWrite // a FIN in place of the rest of the response
+	extraBytes // bytes that aren't HTTP; the connection stays open
 	duplicateResponse
-	staleResponse // of an earlier request, in place of this one's
-	wrongID       // a response to another request, in place of its own
-	garbage       // bytes that aren't HTTP, then the end
+	staleResponse // a response to an earlier request
+	wrongID       // a response to another request, and then no more bytes
+	garbage       // bytes that aren't HTTP, and then the connection is closed
 	faultCount
 )
 
 func (f fault) String() string {
-	return [faultCount]string{"hang", "reset", "FIN", "extra bytes", "duplicate response", "stale response", "another's response", "garbage"}[f]
+	return [faultCount]string{"hang", "reset", "FIN", "extra bytes", "duplicate response", "stale response", "response to another request", "garbage"}[f]
 }
 
-// adversary is a worker on a real socket that misbehaves at one step of one request. It records what it
-// executed, and which connections must not be reused.
+// adversary is a worker on a real socket that injects faults as its plan says. It counts the requests that it
+// executed, and those that came on connections that should not have been reused.
 type adversary struct {
 	fleet.Worker
 	t                *testing.T
-	plan             func(id string, served int) (step, fault, bool) // by the request's ID, "" while none has come, and the requests served on the connection
-	misbehaved       chan struct{}                                   // closed once it has misbehaved
-	responseReceived chan struct{}                                   // closed once the client has its response
+	plan             func(id string, served int) (step, fault, bool) // returns the fault to inject and its step, by the request's ID ("" before a request has come) and the number of requests served on the connection
+	misbehaved       chan struct{}                                   // closed once a fault was injected
+	responseReceived chan struct{}                                   // closed by the test once the client has its response
 
 	mu      sync.Mutex
 	once    sync.Once
-	runs    map[string]int
-	tainted int // requests on a connection on which unsolicited bytes were sent
+	runs    map[string]int // executions by request ID
+	tainted int            // requests received on connections on which unsolicited bytes had been sent
 }
 
 func newAdversary(t *testing.T, id string, plan func(string, int) (step, fault, bool)) *adversary {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen as worker %s: %v", id, err)
 	}
 	a := &adversary{Worker: fleet.Worker{ID: id, Service: "s", Addr: listener.Addr().String(), Slots: 8}, t: t, plan: plan,
 		misbehaved: make(chan struct{}), responseReceived: make(chan struct{}), runs: map[string]int{}}
@@ -96,7 +96,7 @@
 
 func (a *adversary) ran(id string) int { a.mu.Lock(); defer a.mu.Unlock(); return a.runs[id] }
 
-// adversaryConn is one connection of an adversary.
+// adversaryConn is a connection that an adversary accepted.
 type adversaryConn struct {
 	net.Conn
 	adversary *adversary
@@ -107,7 +107,7 @@
 	ended     bool
 }
 
-// serve answers the requests of a connection one after another, each step by step.
+// serve answers the requests of a connection one after another, and injects the planned fault at its step.
 func (a *adversary) serve(conn *adversaryConn) {
 	defer conn.Close()
 	for !conn.ended {
@@ -131,7 +131,7 @@
 	}
 }
 
-// serveRequest answers one request whose header was read.
+// serveRequest reads the body of a request whose header was read, and responds.
 func (c *adversaryConn) serveRequest(r *http.Request) {
 	id := r.Header.Get("Go-Id")
 	out := properResponse(r, id)
@@ -173,7 +173,7 @@
 		}
 	}
 	if s, f, ok := c.adversary.plan(id, c.served); ok && s == responseSent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID) {
-		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in one write
+		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in the same write, so that the proxy reads both at once
 		c.acted, c.strays = true, true
 		return
 	}
@@ -190,7 +190,7 @@
 	}
 }
 
-// surplusBytes are the bytes of a fault that no request waits for.
+// surplusBytes returns the unsolicited bytes that a fault sends. own is the correct response, if there is one.
 func surplusBytes(f fault, own []byte) []byte {
 	switch f {
 	case extraBytes:
@@ -206,7 +206,7 @@
 	return plainResponse("stranger")
 }
 
-// misbehaveAt misbehaves if the plan names this step.
+// misbehaveAt injects the planned fault if this is its step and the connection hasn't had a fault yet.
 func (c *adversaryConn) misbehaveAt(moment step, id string, own []byte) {
 	plannedStep, kind, ok := c.adversary.plan(id, c.served)
 	if !ok || plannedStep != moment || c.acted {
@@ -238,7 +238,7 @@
 	if c.ended {
 		c.Close()
 	}
-	if c.ended || moment == connected { // else the rest of the response comes first
+	if c.ended || moment == connected { // otherwise the rest of the response is sent first
 		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
 	}
 }
@@ -247,12 +247,12 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nGo-Id: %s\r\nGo-Seal: seal\r\nContent-Length: %d\r\n\r\nof %s", id, len(id)+3, id)
 }
 
-// resumableEvents is how many events a stream has.
+// resumableEvents is the number of events of each test stream.
 const resumableEvents = 4
 
 func resumableEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", n, id) }
 
-// properResponse is the correct response to a request: a body, or the events after the last that it names.
+// properResponse returns the correct response to a request: a short body, or the events after its Last-Event-Id.
 func properResponse(r *http.Request, id string) []byte {
 	if !strings.HasPrefix(r.URL.Path, "/resume/") {
 		return plainResponse(id)
@@ -265,7 +265,7 @@
 	return []byte(out + "0\r\n\r\n")
 }
 
-// completeBody is the body that a client has to receive.
+// completeBody returns the body that the client must receive for a request.
 func completeBody(route, id string) (all string) {
 	if route != "resume" {
 		return "of " + id
@@ -276,7 +276,7 @@
 	return all
 }
 
-// loopbackSite is one edge node with workers, all on real sockets.
+// loopbackSite is an edge node with its workers on loopback sockets.
 type loopbackSite struct {
 	t        *testing.T
 	server   *server
@@ -303,13 +303,13 @@
 	snapshot := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), EdgeCount: 1, Workers: workers}
 	site.server = newServer(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: site.selector})
 	if err := site.server.start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the proxy: %v", err)
 	}
 	t.Cleanup(func() { process.Stop(time.Millisecond) })
 	return site
 }
 
-// send sends a request with the given deadline on a new connection.
+// send sends a request with the given time until its deadline on a new connection, and returns the response.
 func (s *loopbackSite) send(route, id string, left time.Duration) reply {
 	c, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", s.front)
 	if err != nil {
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -15,19 +15,19 @@
 	"pebbleloom/internal/settings"
 )
 
-// dialLoopbackSite starts a site on loopback sockets and connects a client to it.
+// dialLoopbackSite starts an edge node with one worker on loopback sockets, and connects a client to it.
 func dialLoopbackSite(b *testing.B, play workerScript) *clientConn {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("listen as worker: %v", err)
 	}
 	worker := &testWorker{script: func(conn net.Conn, r *http.Request, s string) bool { return play(conn, r, s) }}
 	worker.Worker = fleet.Worker{ID: "w0", Service: "s", Addr: listener.Addr().String(), Slots: 8}
 	go worker.serve(listener)
 	door, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("listen for clients: %v", err)
 	}
 	processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.DefaultBounds(), Options: []string{"log=off"},
 		Site: &settings.Site{ReadinessListen: "127.0.0.1:0", MemoryLimitMB: 256, GraceMs: 10, TransitMs: 120}}
@@ -41,32 +41,32 @@
 	process := daemon.NewIn(world, "edge", processSettings)
 	snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clock.BootTime().Now(), EdgeCount: 1, Workers: []fleet.Worker{worker.Worker}}
 	if err := Start(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &fakeSelector{}}); err != nil {
-		b.Fatal(err)
+		b.Fatalf("start the proxy: %v", err)
 	}
 	conn, err := net.Dial("tcp", door.Addr().String())
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("dial the proxy: %v", err)
 	}
 	b.Cleanup(func() { conn.Close(); listener.Close(); process.Stop(time.Second) })
 	return &clientConn{conn, bufio.NewReader(conn)}
 }
 
-// BenchmarkPlain measures one request with a body of 1 KB and a short response.
+// BenchmarkPlain measures a request with a body of 1000 bytes and a short response, on a persistent connection.
 func BenchmarkPlain(b *testing.B) {
 	client := dialLoopbackSite(b, respondWith(okResponse))
 	text := postRequest("once", "a1", strings.Repeat("x", 1000))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := io.WriteString(client, text); err != nil {
-			b.Fatal(err)
+			b.Fatalf("send request: %v", err)
 		}
 		if response := client.readReply("POST"); response.status != 200 {
-			b.Fatal(response)
+			b.Fatalf("got response %+v, want status 200", response)
 		}
 	}
 }
 
-// BenchmarkEvents measures one event of a long resumable stream.
+// BenchmarkEvents measures the relaying of one event of a long resumable stream.
 func BenchmarkEvents(b *testing.B) {
 	next := make(chan string)
 	client := dialLoopbackSite(b, func(c net.Conn, r *http.Request, _ string) bool {
@@ -78,14 +78,14 @@
 		return true
 	})
 	if _, err := io.WriteString(client, strings.Replace(postRequest("resume", "a1", "b"), "4000", "9000000", 1)); err != nil {
-		b.Fatal(err)
+		b.Fatalf("send request: %v", err)
 	}
 	got := make([]byte, len(streamedEvent(1000000)))
 	n := 1000000
 	next <- chunk(streamedEvent(n))
 	a, err := http.ReadResponse(client.br, nil)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("read response header: %v", err)
 	}
 	_, _ = io.ReadFull(a.Body, got)
 	b.ReportAllocs()
@@ -93,7 +93,7 @@
 		n++
 		next <- chunk(streamedEvent(n))
 		if _, err := io.ReadFull(a.Body, got); err != nil {
-			b.Fatal(err)
+			b.Fatalf("read event %d: %v", n, err)
 		}
 	}
 	close(next)
--- a/internal/data/proxy/client_test.go
+++ b/internal/data/proxy/client_test.go
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// reply is a response as the client received it.
+// reply is a response as received by a test client.
 type reply struct {
 	status int
 	head   http.Header
 	body   string
-	err    error // the body is incomplete, or there was no response
-	closes bool  // the connection ends with this response
+	err    error // set if no response came or its body is incomplete
+	closes bool  // the response has "Connection: close"
 }
 
-// clientConn is one client's connection.
+// clientConn is a connection of a test client.
 type clientConn struct {
 	net.Conn
 	br *bufio.Reader
@@ -28,7 +28,7 @@
 func (s *testSite) dialClient() *clientConn {
 	c, err := s.network.Dial(context.Background(), "tcp", front)
 	if err != nil {
-		s.t.Fatal(err)
+		s.t.Fatalf("dial the client listener: %v", err)
 	}
 	return &clientConn{c, bufio.NewReader(c)}
 }
@@ -52,24 +52,24 @@
 	return reply{a.StatusCode, a.Header, string(all), err, a.Close}
 }
 
-// send sends one request on a new connection.
+// send sends one request on a new client connection and returns its response.
 func (s *testSite) send(text string) reply {
 	client := s.dialClient()
 	defer client.Close()
 	return client.roundTrip(text)
 }
 
-// postRequest returns the text of a POST request.
+// postRequest returns the text of a POST request with a deadline of 4 s; more holds extra header lines.
 func postRequest(route, id, body string, more ...string) string {
 	return "POST /" + route + "/x HTTP/1.1\r\nHost: " + host + "\r\nGo-Id: " + id + "\r\nGo-Left: 4000\r\n" +
 		strings.Join(append(more, ""), "\r\n") + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// getReadyPage makes a readiness check and returns its status.
+// getReadyPage sends a readiness check for a path and returns the response status.
 func (s *testSite) getReadyPage(path string) int {
 	c, err := s.network.Dial(context.Background(), "tcp", readyAt)
 	if err != nil {
-		s.t.Fatal(err)
+		s.t.Fatalf("dial the readiness listener: %v", err)
 	}
 	defer c.Close()
 	return (&clientConn{c, bufio.NewReader(c)}).roundTrip("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").status
--- a/internal/data/proxy/fakeselector_test.go
+++ b/internal/data/proxy/fakeselector_test.go
@@ -11,7 +11,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// fakeSelector selects the first worker of the service that wasn't tried, and records the outcomes.
+// fakeSelector selects the first worker of the service that was not tried yet, and records the reported outcomes.
 type fakeSelector struct {
 	mu         sync.Mutex
 	endings    []selection.Outcome
--- a/internal/data/proxy/faults_test.go
+++ b/internal/data/proxy/faults_test.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// The clients' deadlines in these tests.
+// Client deadlines of the fault tests.
 const (
-	shortWait = 150 * time.Millisecond // where a worker hangs
+	shortWait = 150 * time.Millisecond // for requests that a worker leaves without a response
 	longWait  = 10 * time.Second
 )
 
-// checkReply checks the invariants of a request: one that isn't idempotent is executed at most once; no
-// response reaches another request; "not executed" is never said of a request that was.
+// checkReply checks the invariants of a request: a request that isn't idempotent is executed at most once, no
+// request gets the response to another one, and an executed request is never answered as "not executed".
 func checkReply(t *testing.T, route, id string, response reply, runs int) {
 	t.Helper()
 	if route == "once" && runs > 1 {
-		t.Errorf("%s ran %d times", id, runs)
+		t.Errorf("request %q, which isn't idempotent, was executed %d times, want at most 1", id, runs)
 	}
 	if impliesNotExecuted(response.status) && runs > 0 {
-		t.Errorf("%s: %d promises that it hasn't run, and it ran %d times", id, response.status, runs)
+		t.Errorf("request %q was answered with status %d (not executed), but workers executed it %d times", id, response.status, runs)
 	}
 	if response.status == 200 && response.head.Get("Go-Id") != id {
-		t.Errorf("%s got a response to %q", id, response.head.Get("Go-Id"))
+		t.Errorf("request %q got the response to request %q", id, response.head.Get("Go-Id"))
 	}
 	if response.status == 200 && response.err == nil && response.body != completeBody(route, id) {
-		t.Errorf("%s got %q, which looks complete", id, response.body)
+		t.Errorf("request %q got a wrong body without an error: got %q, want %q", id, response.body, completeBody(route, id))
 	}
 }
 
-// faultCase is one fault of a worker at one step of a request.
+// faultCase is a test case: a worker fault, the step of the request at which it occurs, and the request's route.
 type faultCase struct {
 	step   step
 	fault  fault
 	route  string
-	reused bool // the request is sent on a connection that has carried one before
+	reused bool // the request is sent on a connection that has carried an earlier request
 }
 
-// Every fault of a worker at every step of a request, for every kind of request, on a new and on a reused
-// connection. The second worker responds correctly. The next request, which isn't idempotent, is served on a
-// connection without leftover bytes.
+// Tests every worker fault at every step of a request, for each kind of route, on a new and on a reused
+// connection, while a second worker responds correctly. It guards against a retry that executes a request twice
+// and against a response that reaches another request. Afterwards, a request that isn't idempotent must be
+// served on a connection without unsolicited bytes.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	for s := range stepCount {
 		for f := range faultCount {
@@ -62,7 +63,7 @@
 	site := newLoopbackSite(t, faulty.Worker, working.Worker)
 	if c.reused {
 		if response := site.send("repeat", "warm", longWait); response.status != 200 || response.body != "of warm" {
-			t.Fatalf("the request before: %+v", response)
+			t.Fatalf("request that opens the connection: got response %+v, want status 200 with body %q", response, "of warm")
 		}
 		if c.step == connected {
 			<-faulty.misbehaved
@@ -74,13 +75,13 @@
 	<-faulty.misbehaved
 	c.checkNext(t, site, faulty, working)
 	if faulty.mu.Lock(); faulty.tainted > 0 {
-		t.Error("a connection with unexplained bytes was reused")
+		t.Errorf("%d requests were sent on connections with unsolicited bytes, want 0", faulty.tainted)
 	}
 	faulty.mu.Unlock()
 }
 
-// newFaultyWorker makes a worker that misbehaves once: at the request "victim", or on the connection that the
-// victim will get.
+// newFaultyWorker starts a worker that injects the fault once: while it serves the request "victim", or on the
+// connection on which that request will be sent.
 func (c faultCase) newFaultyWorker(t *testing.T) *adversary {
 	servedBefore := 0
 	if c.reused {
@@ -98,7 +99,7 @@
 	return faulty
 }
 
-// victimWait is short where the worker leaves the request without a response.
+// victimWait returns the deadline of the request "victim": short if the worker leaves it without a response.
 func (c faultCase) victimWait() time.Duration {
 	if (c.fault == hang || c.fault == wrongID) && c.step < responseSent {
 		return shortWait
@@ -106,8 +107,8 @@
 	return longWait
 }
 
-// isUndetectable reports whether the worker garbles the body itself: it has the declared length, and holds
-// what the worker sent.
+// isUndetectable reports whether the proxy can't detect the fault: the worker sends wrong bytes within the body,
+// which still has the declared length.
 func (c faultCase) isUndetectable() bool {
 	if c.step != halfBodySent || c.route == "resume" {
 		return false
@@ -125,14 +126,15 @@
 		checkReply(t, c.route, "victim", response, runs)
 	}
 	if response.status == 200 && runs == 0 && c.step >= bodyReceived {
-		t.Error("a response, and no worker executed it")
+		t.Errorf("request \"victim\" got status %d, but no worker executed it", response.status)
 	}
 	if c.step >= responseSent && (response.status != 200 || response.err != nil) && (c.fault != reset || c.step == afterResponse) {
-		t.Errorf("the complete response had come: %+v", response)
+		t.Errorf("worker sent its complete response before the fault: client got %+v, want status 200 without error", response)
 	}
 }
 
-// checkNext sends the next request. If nothing showed yet that the worker hangs, this request finds out.
+// checkNext sends another request and checks its response. If the worker hangs after its complete response, this
+// request is the first to notice, and ends with a 504.
 func (c faultCase) checkNext(t *testing.T, site *loopbackSite, faulty, working *adversary) {
 	t.Helper()
 	wait, want := longWait, 200
@@ -141,9 +143,10 @@
 	}
 	next := site.send("once", "next", wait)
 	checkReply(t, "once", "next", next, faulty.ran("next")+working.ran("next"))
-	// On a busy machine its deadline may pass before it is sent, which checkReply judges.
+	// On a busy machine the deadline may pass before the request is sent. A 503 is right then, and checkReply has
+	// checked that the request was not executed.
 	expiredBefore := want == 504 && next.status == 503
 	if next.status != want && !expiredBefore || next.err != nil {
-		t.Errorf("the next request: %+v", next)
+		t.Errorf("request after the fault: got response %+v, want status %d without error", next, want)
 	}
 }
--- a/internal/data/proxy/pipenetwork_test.go
+++ b/internal/data/proxy/pipenetwork_test.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// pipeNetwork connects a site by in-memory pipes, which work in a synctest bubble.
+// pipeNetwork connects a testSite by in-memory pipes: unlike sockets, these work inside a synctest bubble.
 type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -17,7 +17,7 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Method, path, query and body reach the worker unchanged, byte for byte.
+// The proxy must forward method, path, query and body byte for byte, also in forms that net/http would normalize.
 func TestRequestUnchanged(t *testing.T) {
 	big := string(bytes.Repeat([]byte("0123456789\x00\r\n\xff"), 6000))
 	for _, test := range []struct{ method, target, frame, body string }{
@@ -52,23 +52,23 @@
 				text += "\r\n"
 			}
 			if response := site.send(text); response.status != 200 || response.body != "fine" {
-				t.Fatalf("%s %q: %d %q %v", test.method, test.target, response.status, response.body, response.err)
+				t.Fatalf("%s %q: got status %d, body %q, error %v; want 200, \"fine\"", test.method, test.target, response.status, response.body, response.err)
 			}
 			received := site.workers[0].requests[0]
 			if received.Method != test.method || received.RequestURI != test.target || site.workers[0].bodies[0] != test.body || received.Host != "ANY.example:80" {
-				t.Errorf("%s %q: %s %q, %d bytes, host %s", test.method, test.target, received.Method, received.RequestURI, len(site.workers[0].bodies[0]), received.Host)
+				t.Errorf("%s %q: worker received %s %q, body of %d bytes, host %q; want the same request with host ANY.example:80", test.method, test.target, received.Method, received.RequestURI, len(site.workers[0].bodies[0]), received.Host)
 			}
 			if length := received.ContentLength >= 0; test.frame == "length" && !length || test.frame == "chunked" && length && test.body != "" {
-				t.Errorf("%s %q: came by %s, went with length %d", test.method, test.target, test.frame, received.ContentLength)
+				t.Errorf("%s %q: client sent the body framed by %s, worker received it with ContentLength %d", test.method, test.target, test.frame, received.ContentLength)
 			}
 			if received.Header.Get("User-Agent") != "" || received.Header.Get("Accept-Encoding") != "" {
-				t.Errorf("added: %v", received.Header)
+				t.Errorf("proxy added User-Agent or Accept-Encoding to the request: %v", received.Header)
 			}
 		})
 	}
 }
 
-// A response's status, header, body and framing reach the client unchanged.
+// The proxy must relay a response's status, header, body and framing unchanged, except for hop-by-hop fields.
 func TestResponseUnchanged(t *testing.T) {
 	big := strings.Repeat("abcdefghij", 50000)
 	for _, route := range []string{"once", "repeat", "stream", "resume"} {
@@ -86,14 +86,14 @@
 			}
 			withSite(t, []workerScript{respondWith(text)}, func(s *testSite) {
 				client := s.dialClient()
-				for range 2 { // on a persistent connection
+				for range 2 { // two requests on the same client connection
 					response := client.roundTrip(postRequest(route, "a1", "b"))
 					if response.err != nil || response.status != 201 || response.body != test.body || response.head.Get("Go-Seal") != "s1" || fmt.Sprint(response.head["X-Own"]) != "[a b]" {
-						t.Errorf("%s %s %d: %d, %d bytes, %v, %v", route, test.frame, len(test.body), response.status, len(response.body), response.err, response.head)
+						t.Errorf("route %s, %s framing: got status %d, body of %d bytes, error %v, header %v; want 201, %d bytes, fields unchanged", route, test.frame, response.status, len(response.body), response.err, response.head, len(test.body))
 					}
 					for _, k := range []string{"X-Hop", "Keep-Alive", "Date", "Content-Type"} {
 						if response.head.Get(k) != "" {
-							t.Errorf("%s: %s came with the response", route, k)
+							t.Errorf("route %s: client received field %s: %q, want it absent", route, k, response.head.Get(k))
 						}
 					}
 				}
@@ -103,8 +103,8 @@
 	}
 }
 
-// A client can neither set the fields that only this node may set, nor suppress end-to-end fields by
-// declaring them hop-by-hop.
+// A client must not be able to set fields reserved for the proxy, to suppress end-to-end fields by declaring them
+// hop-by-hop in Connection, or to smuggle a request by ambiguous framing.
 func TestSmuggledHeaders(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		response := site.send(postRequest("private", "a1", "b", "Authorization: bearer good", "Go-Tenant: other", "Go-Instance: w9", "go-urgency: 0",
@@ -112,77 +112,79 @@
 			"Go-Usage: 1/2", "X-One: 1", "Te: trailers", "Upgrade: h2c", "Proxy-Authorization: x", "Keep-Alive: timeout=1", "Expect: 100-continue",
 			"Idempotency-Key: k", "X-Own: a", "X-Own: b"))
 		if response.status != 200 || response.err != nil {
-			t.Fatalf("%d %v", response.status, response.err)
+			t.Fatalf("request with forged fields: got status %d, error %v; want 200", response.status, response.err)
 		}
 		synctest.Wait()
 		h := site.workers[0].requests[0].Header
 		for _, k := range []string{"Authorization", "Go-Urgency", "Go-Salt", "Go-Fetch", "Go-Save", "Connection", "X-One", "Te", "Upgrade", "Proxy-Authorization", "Keep-Alive", "Expect"} {
 			if v := h.Values(k); len(v) != 0 {
-				t.Errorf("%s: %q reached the worker", k, v)
+				t.Errorf("field %s: worker received %q, want it removed", k, v)
 			}
 		}
 		for k, want := range map[string]string{"Go-Tenant": "ten", "Go-Instance": "w0", "Go-Id": "a1", "Go-Usage": "1/2", "Idempotency-Key": "k", "X-Own": "a"} {
 			if v := h.Values(k); len(v) == 0 || v[0] != want {
-				t.Errorf("%s: %q reached the worker: want %q", k, v, want)
+				t.Errorf("field %s: worker received %q, want %q", k, v, want)
 			}
 		}
-		// On a public route there is no tenant, whatever the client says.
+		// On a public route the tenant and key fields that a client sends are removed.
 		site.send(postRequest("once", "a2", "b", "Go-Tenant: other", "Authorization: Bearer good"))
 		if h := site.workers[0].requests[1].Header; h.Get("Go-Tenant") != "" || h.Get("Authorization") != "" {
-			t.Errorf("%v", h)
+			t.Errorf("public route: worker received Go-Tenant %q and Authorization %q, want neither", h.Get("Go-Tenant"), h.Get("Authorization"))
 		}
 	})
 	for name, text := range map[string]string{
-		"two lengths":       "POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nbb",
-		"chunked not last":  "POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nTransfer-Encoding: chunked, gzip\r\n\r\n1\r\nb\r\n0\r\n\r\n",
-		"a line in a value": "POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nX: a\x00b\r\nContent-Length: 0\r\n\r\n",
+		"two different Content-Length fields":     "POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nbb",
+		"chunked is not the last transfer coding": "POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nTransfer-Encoding: chunked, gzip\r\n\r\n1\r\nb\r\n0\r\n\r\n",
+		"NUL byte in a field value":               "POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nX: a\x00b\r\nContent-Length: 0\r\n\r\n",
 	} {
 		withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
 			if response := s.send(text); response.status < 400 || s.workers[0].runs() != 0 {
-				t.Errorf("%s: %d, ran %d times", name, response.status, s.workers[0].runs())
+				t.Errorf("%s: got status %d, forwarded %d times; want a 4xx status and no forwarding", name, response.status, s.workers[0].runs())
 			}
 		})
 	}
-	// Of a length and chunks, the chunks count; what follows them is a request of its own.
+	// With both Content-Length and chunked encoding, the latter applies, and the bytes after the last chunk are a
+	// separate request.
 	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
 		s.send("POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /once/no HTTP/1.1\r\n\r\n")
 		for i, r := range s.workers[0].requests {
 			if r.RequestURI != "/once/x" || s.workers[0].bodies[i] != "" {
-				t.Errorf("the worker got %s %q", r.RequestURI, s.workers[0].bodies[i])
+				t.Errorf("worker received target %q with body %q, want only /once/x with an empty body", r.RequestURI, s.workers[0].bodies[i])
 			}
 		}
 	})
 }
 
-// The selector's choice reaches the worker in the header.
+// The selector's choice must reach the worker in the header, and the load in the response must reach the selector.
 func TestChoiceTakesEffect(t *testing.T) {
 	withSite(t, []workerScript{respondWith(strings.Replace(okResponse, "Go-Seal", "Go-Load: 3/1/8\r\nGo-Seal", 1))}, func(s *testSite) {
 		s.selector.editChoice = func(c *selection.Choice) {
 			c.Weights, c.Salt, c.Fetch, c.Save, c.Urgency = 7, "salt", "10.0.1.9:80", "10.0.1.8:80", 0
 		}
 		if response := s.send(postRequest("once", "a1", "b", "Go-Version: 3", "Go-Parts: p1 p22")); response.status != 200 {
-			t.Fatal(response.status, response.err)
+			t.Fatalf("request with a selector's choice: got status %d, error %v; want 200", response.status, response.err)
 		}
 		h := s.workers[0].requests[0].Header
 		for k, want := range map[string]string{"Go-Version": "7", "Go-Salt": "salt", "Go-Fetch": "10.0.1.9:80", "Go-Save": "10.0.1.8:80", "Go-Urgency": "0", "Go-Left": "4000", "Go-Parts": "p1 p22"} {
 			if h.Get(k) != want {
-				t.Errorf("%s: %q", k, h.Get(k))
+				t.Errorf("field %s: worker received %q, want %q", k, h.Get(k), want)
 			}
 		}
 		if len(s.selector.loads) != 1 || s.selector.loads[0] != (selection.Load{Running: 3, Waiting: 1, Slots: 8}) || s.selector.endings[0] != selection.Completed {
-			t.Errorf("%v %v", s.selector.loads, s.selector.endings)
+			t.Errorf("selector got loads %v and outcomes %v, want one load {Running:3 Waiting:1 Slots:8} and Completed", s.selector.loads, s.selector.endings)
 		}
 	})
 }
 
-// A key is accepted only under a plan that was proven newest less than a ratio of the bound ago.
+// If key revocation is enforced, a key must be accepted only while the proof that the routing plan is the newest
+// is younger than keyProofRatio of the revocation bound: an older plan may still list a revoked key.
 func TestKeyNeedsFreshProof(t *testing.T) {
 	for _, enforced := range []bool{true, false} {
 		withRevocation(t, enforced, []workerScript{respondWith(okResponse)}, func(site *testSite) { checkKeysNeedProof(t, site, enforced) })
 	}
 }
 
-// checkKeysNeedProof checks the cases of a site that enforces revocations, or doesn't.
+// checkKeysNeedProof runs the test cases that apply with or without enforced key revocation.
 func checkKeysNeedProof(t *testing.T, site *testSite, enforced bool) {
 	bound := time.Duration(float64(site.process.Settings.Bounds.KeyRevocationMs)*keyProofRatio) * time.Millisecond
 	for _, test := range []struct {
@@ -205,12 +207,12 @@
 		ran := site.workers[0].runs()
 		response := site.send(postRequest(test.route, "a1", "b", "Authorization: Bearer "+test.key))
 		if response.status != test.want || (response.head.Get("Retry-After") != "") != (test.want == 503) || site.workers[0].runs()-ran != map[bool]int{true: 1}[test.want == 200] {
-			t.Errorf("%+v: %d, Retry-After %q, ran %d", test, response.status, response.head.Get("Retry-After"), site.workers[0].runs()-ran)
+			t.Errorf("%+v: got status %d, Retry-After %q, forwarded %d times; want status %d", test, response.status, response.head.Get("Retry-After"), site.workers[0].runs()-ran, test.want)
 		}
 	}
 }
 
-// A plan that revokes the key while the body is read takes effect.
+// A routing plan that revokes the key while the request body is still being read must apply to that request.
 func TestPlanThatChangesWhileTheBodyIsRead(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
 		client := s.dialClient()
@@ -222,13 +224,14 @@
 		p = (&routingconfig.Plan{Version: 2, Routes: p.Routes, Services: p.Services, Tenants: p.Tenants, Limits: p.Limits}).BuildIndex()
 		s.set(func(snapshot *fleet.Snapshot) { snapshot.Plan = p })
 		if response := client.roundTrip(text[len(text)-1:]); response.status != 401 || s.workers[0].runs() != 0 {
-			t.Errorf("%d %v", response.status, response.err)
+			t.Errorf("key revoked while the body was read: got status %d, error %v, forwarded %d times; want 401, not forwarded", response.status, response.err, s.workers[0].runs())
 		}
 		client.Close()
 	})
 }
 
-// Requests that are rejected without an attempt.
+// Requests over the body limit, without a route, without time left or without a routing plan must be rejected at
+// once.
 func TestRejectedAtOnce(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		over := strings.Repeat("x", 100<<10+1)
@@ -236,26 +239,26 @@
 			text string
 			want int
 		}{
-			"too long":            {postRequest("once", "a", over), 413},
-			"too long in chunks":  {"POST /once/x HTTP/1.1\r\nHost: any.example\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(over) + "0\r\n\r\n", 413},
-			"another host":        {"GET /once/x HTTP/1.1\r\nHost: other.example\r\n\r\n", 404},
-			"no time left":        {"GET /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Left: 0\r\n\r\n", 503},
-			"just as long as may": {postRequest("once", "a", over[1:]), 200},
+			"body one byte over the limit":         {postRequest("once", "a", over), 413},
+			"chunked body one byte over the limit": {"POST /once/x HTTP/1.1\r\nHost: any.example\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(over) + "0\r\n\r\n", 413},
+			"host without a route":                 {"GET /once/x HTTP/1.1\r\nHost: other.example\r\n\r\n", 404},
+			"no time remaining":                    {"GET /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Left: 0\r\n\r\n", 503},
+			"body of exactly the limit":            {postRequest("once", "a", over[1:]), 200},
 		} {
 			client := site.dialClient()
 			if response := client.roundTrip(test.text); response.status != test.want || response.err != nil {
-				t.Errorf("%s: %d %v", name, response.status, response.err)
+				t.Errorf("%s: got status %d, error %v; want %d", name, response.status, response.err, test.want)
 			}
 			client.Close()
 		}
 		site.set(func(snapshot *fleet.Snapshot) { snapshot.Plan = nil })
 		if response := site.send(postRequest("once", "a", "b")); response.status != 503 || response.head.Get("Retry-After") == "" || response.head.Get("Go-Id") != "a" {
-			t.Errorf("without a plan: %d %v", response.status, response.head)
+			t.Errorf("no routing plan: got status %d, header %v; want 503 with Retry-After and the request ID", response.status, response.head)
 		}
 	})
 }
 
-// A request whose body doesn't come before the deadline is rejected as not executed.
+// A request whose body is incomplete at the deadline must be rejected as not executed, exactly at the deadline.
 func TestSlowBody(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
 		client := s.dialClient()
@@ -263,16 +266,17 @@
 		began := s.process.Clock.Now()
 		response := client.roundTrip(text[:len(text)-1])
 		if response.status != 503 || !response.closes || response.err != nil || s.workers[0].runs() != 0 {
-			t.Errorf("%d %v", response.status, response.head)
+			t.Errorf("incomplete body: got status %d, header %v, forwarded %d times; want 503 with Connection: close, not forwarded", response.status, response.head, s.workers[0].runs())
 		}
 		if d := s.process.Clock.Now() - began; d != 4*time.Second {
-			t.Errorf("after %v", d)
+			t.Errorf("incomplete body: rejected after %v, want 4s", d)
 		}
 		client.Close()
 	})
 }
 
-// An unresponsive worker is waited for until the deadline; the request may have been executed then.
+// If a worker never responds, the client must get a 504 at its deadline and no second worker may get the request,
+// because the first may have executed it.
 func TestUnresponsiveWorker(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	for _, route := range []string{"once", "repeat", "stream", "resume"} {
@@ -280,16 +284,16 @@
 			began := s.process.Clock.Now()
 			response := s.send(postRequest(route, "a1", "body"))
 			if d := s.process.Clock.Now() - began; response.status != 504 || d < 4*time.Second || d > 4*time.Second+100*time.Millisecond || s.workers[1].runs() != 0 {
-				t.Errorf("%s: %d after %v, second %d", route, response.status, d, s.workers[1].runs())
+				t.Errorf("route %s: got status %d after %v, second worker received %d requests; want 504 after 4s, 0 requests", route, response.status, d, s.workers[1].runs())
 			}
 			if s.selector.endings[0] != selection.TimedOut {
-				t.Errorf("%s: ending %v", route, s.selector.endings)
+				t.Errorf("route %s: selector got outcomes %v, want TimedOut first", route, s.selector.endings)
 			}
 		})
 	}
 }
 
-// The route's time-out bounds the client's deadline, and the worker receives the time that remains.
+// The deadline must be the earlier of the client's and the route's, and the worker must receive the time remaining.
 func TestRouteBoundsTheTime(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	for clientWait, want := range map[string]time.Duration{"99999": 8 * time.Second, "": 8 * time.Second, "1500": 1500 * time.Millisecond} {
@@ -297,37 +301,38 @@
 			began := s.process.Clock.Now()
 			response := s.send(strings.Replace(postRequest("once", "a1", "body"), "Go-Left: 4000", "Go-Left: "+clientWait, 1))
 			if d := s.process.Clock.Now() - began; response.status != 504 || d < want || d > want+100*time.Millisecond {
-				t.Errorf("%q: %d after %v", clientWait, response.status, d)
+				t.Errorf("client time remaining %q: got status %d after %v, want 504 after %v", clientWait, response.status, d, want)
 			}
 			synctest.Wait()
 			if left := s.workers[0].requests[0].Header.Get("Go-Left"); left != fmt.Sprint(want.Milliseconds()) {
-				t.Errorf("%q: the worker received %s", clientWait, left)
+				t.Errorf("client time remaining %q: worker received %s ms, want %d", clientWait, left, want.Milliseconds())
 			}
 		})
 	}
 }
 
-// A response that the client doesn't read is aborted at the deadline, visibly.
+// If a client doesn't read its response, the proxy must abort the response at the deadline, so that the request
+// doesn't stay in flight, and the aborted response must not look complete.
 func TestClientThatDoesNotRead(t *testing.T) {
 	big := strings.Repeat("abcdefghij", 50000)
 	withSite(t, []workerScript{respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nGo-Seal: s\r\nContent-Length: %d\r\n\r\n%s", len(big), big))}, func(s *testSite) {
 		client := s.dialClient()
 		_, _ = io.WriteString(client, postRequest("once", "a1", "b"))
 		synctest.Wait()
-		time.Sleep(5 * time.Second) // of the bubble
+		time.Sleep(5 * time.Second) // fake time of the synctest bubble; past the deadline of 4 s
 		synctest.Wait()
 		if n := s.server.inFlight.Load(); n != 0 {
-			t.Errorf("%d requests hang on a client that doesn't read", n)
+			t.Errorf("client doesn't read its response: %d requests in flight after the deadline, want 0", n)
 		}
 		if response := client.readReply("POST"); response.err == nil {
-			t.Error("an aborted response looks complete")
+			t.Errorf("response aborted at the deadline: client read status %d and a body of %d bytes without an error", response.status, len(response.body))
 		}
 		client.Close()
 		synctest.Wait()
 	})
 }
 
-// Memory is bounded: requests beyond it are rejected as not executed.
+// Requests beyond the memory limit must be rejected as overloaded, and reserved memory must be returned.
 func TestMemoryIsBounded(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(site *testSite) {
@@ -340,17 +345,17 @@
 			synctest.Wait()
 		}
 		if response := site.send(postRequest("once", "a3", "body")); response.status != errs.Overloaded.HTTPStatus || response.head.Get("Retry-After") == "" {
-			t.Errorf("%+v", response)
+			t.Errorf("third request at a memory limit for two: got response %+v, want status %d with Retry-After", response, errs.Overloaded.HTTPStatus)
 		}
 		if response := site.send("POST /once/x HTTP/1.1\r\nHost: any.example\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("body") + "0\r\n\r\n"); response.status != errs.Overloaded.HTTPStatus {
-			t.Errorf("%+v", response)
+			t.Errorf("chunked request over the memory limit: got response %+v, want status %d", response, errs.Overloaded.HTTPStatus)
 		}
 		for _, client := range cs {
 			client.Close()
 		}
 		synctest.Wait()
 		if n := site.server.reservedMemory.Load(); n != 0 || site.workers[0].runs() != 2 {
-			t.Errorf("%d bytes held, ran %d", n, site.workers[0].runs())
+			t.Errorf("after all clients disconnected: %d bytes reserved and %d requests forwarded, want 0 and 2", n, site.workers[0].runs())
 		}
 	})
 }
--- a/internal/data/proxy/retrybudget_test.go
+++ b/internal/data/proxy/retrybudget_test.go
@@ -6,7 +6,7 @@
 	"pebbleloom/internal/data/retrybudget"
 )
 
-// Attempts that reach workers beyond the first of each request stay within the budget, and use it.
+// Attempts beyond the first of each request must stay within the retry budget, and must be able to use all of it.
 func TestAttemptsStayWithinTheRetryBudget(t *testing.T) {
 	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	for _, first := range []workerScript{full, respondThenClose(""), nil} {
@@ -21,17 +21,17 @@
 			for i := 1; i <= 60; i++ {
 				s.send(postRequest("repeat", "a", "b"))
 				if n := arrivals(); n > i+i/5+1 {
-					t.Fatalf("%d arrivals of %d requests", n, i)
+					t.Fatalf("workers received %d attempts for %d requests, want at most %d with a retry ratio of 0.2", n, i, i+i/5+1)
 				}
 			}
 			if n := arrivals(); n < 60+60/5 {
-				t.Errorf("%d arrivals of 60 requests: the budget isn't used", n)
+				t.Errorf("workers received %d attempts for 60 requests, want at least %d: the retry budget isn't used up", n, 60+60/5)
 			}
 		})
 	}
 }
 
-// A route's bound on attempts holds however much budget is left.
+// A route's MaxAttempts must hold even if the retry budgets would permit more attempts.
 func TestAttemptsAreBounded(t *testing.T) {
 	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	withSite(t, []workerScript{full, full, full, full, respondWith(okResponse)}, func(s *testSite) {
@@ -40,18 +40,19 @@
 			s.server.misdirectedBudget.Deposit(1)
 		}
 		if response := s.send(postRequest("once", "a", "b")); response.status != 503 {
-			t.Error(response)
+			t.Errorf("all permitted attempts rejected: got response %+v, want status 503", response)
 		}
 		for i, worker := range s.workers {
 			if want := map[bool]int{true: 1}[i < 3]; worker.runs() != want {
-				t.Errorf("worker %d got it %d times", i, worker.runs())
+				t.Errorf("MaxAttempts 3: worker %d received %d requests, want %d", i, worker.runs(), want)
 			}
 		}
 	})
 }
 
-// Workers whose addresses belong to another service now reject every request, and seem idle: attempts after
-// such a response have a small budget of their own, however much is left of the service's.
+// Retries after 421 responses must stay within misdirectedBudget even if the service's own budget permits more. The
+// addresses belong to workers of another service, which reject each request and look idle, so that unlimited
+// retries would load that service.
 func TestMisdirectedAttemptsAreFew(t *testing.T) {
 	moved := respondWith("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	withSite(t, []workerScript{moved, moved, moved, moved}, func(s *testSite) {
@@ -65,7 +66,7 @@
 		const requests = 100
 		for range requests {
 			if response := s.send(postRequest("repeat", "a", "b")); response.status != 503 {
-				t.Fatalf("%+v: want 503", response)
+				t.Fatalf("all workers respond 421: got response %+v, want status 503", response)
 			}
 		}
 		arrivals := 0
@@ -73,7 +74,7 @@
 			arrivals += worker.runs()
 		}
 		if extra, limit := arrivals-requests, int(allowance*misdirectedAllowanceRatio+requests*share*misdirectedRatio); extra < 1 || extra > limit {
-			t.Errorf("%d attempts beyond the first of %d requests: at least 1, at most %d", extra, requests, limit)
+			t.Errorf("all workers respond 421: %d attempts beyond the first of %d requests, want 1 to %d", extra, requests, limit)
 		}
 	})
 }
--- a/internal/data/proxy/search_test.go
+++ b/internal/data/proxy/search_test.go
@@ -12,19 +12,20 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Size of the search, and how often a worker misbehaves.
+// Size of the randomized test, and its fault rates.
 const (
-	searchSeeds    = 2 // unless POINT5_SEEDS gives another number
+	searchSeeds    = 2 // number of seeds, unless POINT5_SEEDS sets another
 	searchClients  = 24
-	searchRequests = 30 // of each client
+	searchRequests = 30 // requests per client
 	searchWorkers  = 3
-	searchConns    = 4 // to each worker
-	misbehaves     = 0.2
-	staysSilent    = 0.1 // of misbehaves
-	searchWait     = 400 * time.Millisecond
+	searchConns    = 4                      // maximum connections to each worker
+	misbehaves     = 0.2                    // ratio of requests at which a worker injects a fault
+	staysSilent    = 0.1                    // ratio of these faults that are hangs
+	searchWait     = 400 * time.Millisecond // client deadline
 )
 
-// plannedFault returns how a worker misbehaves at a request; it depends on seed, worker and ID alone.
+// plannedFault returns the fault that a worker injects at a request, and its step. The result depends only on the
+// seed, the worker and the request ID, so that a seed reproduces its faults.
 func plannedFault(seed uint64, worker, id string) (step, fault, bool) {
 	if id == "" {
 		return 0, 0, false
@@ -41,15 +42,15 @@
 	if r.Float64() < staysSilent {
 		f = hang
 	}
-	if s == halfBodySent && f > closeWrite { // a body that the worker itself garbles can't be detected
+	if s == halfBodySent && f > closeWrite { // the proxy can't detect wrong bytes within a body of the declared length
 		s = halfHeadSent
 	}
 	return s, f, true
 }
 
-// Many clients share few connections to workers that misbehave at random steps: every client checks that its
-// response has its own ID and body, and the workers count what they executed. No connection may be reused
-// after unsolicited bytes.
+// Randomized test: many clients share few connections to workers that inject faults at random steps. Each response
+// must carry the ID and body of its own request, requests that aren't idempotent must be executed at most once,
+// and no connection may be reused after unsolicited bytes.
 func TestSearchForAnswersGoneWrong(t *testing.T) {
 	seeds := searchSeeds
 	if n, err := strconv.Atoi(os.Getenv("POINT5_SEEDS")); err == nil {
@@ -61,12 +62,12 @@
 			total[status] += n
 		}
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("invariants violated with seed %d", seed)
 		}
 	}
-	t.Logf("%d seeds of %d requests; by status (0: visibly broken): %v", seeds, searchClients*searchRequests, total)
+	t.Logf("%d seeds with %d requests each; number of responses by status (0: incomplete or none): %v", seeds, searchClients*searchRequests, total)
 	if total[200] < seeds*searchClients*searchRequests/3 {
-		t.Errorf("too few are served for the search to show anything: %v", total)
+		t.Errorf("got %d responses with status 200, want at least a third of %d requests; by status: %v", total[200], seeds*searchClients*searchRequests, total)
 	}
 }
 
@@ -107,7 +108,7 @@
 	all.Wait()
 	for _, faultyWorker := range faulty {
 		if faultyWorker.mu.Lock(); faultyWorker.tainted > 0 {
-			t.Errorf("%s: %d requests came on connections with unexplained bytes", faultyWorker.ID, faultyWorker.tainted)
+			t.Errorf("worker %s: %d requests came on connections with unsolicited bytes, want 0", faultyWorker.ID, faultyWorker.tainted)
 		}
 		faultyWorker.mu.Unlock()
 	}
--- a/internal/data/proxy/shutdown_test.go
+++ b/internal/data/proxy/shutdown_test.go
@@ -12,8 +12,8 @@
 	"pebbleloom/internal/fleet"
 )
 
-// A node that is shut down fails its readiness checks at once, serves new requests for the lame-duck period,
-// closes each connection with its response, and interrupts no request in flight.
+// An edge node that is shut down must fail its readiness checks at once, serve new requests during the lame-duck
+// period and close each client connection after its response, and must not interrupt requests in flight.
 func TestGracefulShutdown(t *testing.T) {
 	var release chan struct{}
 	streamUntilReleased := func(conn net.Conn, r *http.Request, body string) bool {
@@ -28,11 +28,11 @@
 	withSite(t, []workerScript{streamUntilReleased}, func(site *testSite) {
 		release = make(chan struct{})
 		if status := site.getReadyPage("/up"); status != 200 {
-			t.Errorf("ready page: %d", status)
+			t.Errorf("readiness check before the shutdown: got status %d, want 200", status)
 		}
 		persistent, streaming := site.dialClient(), site.dialClient()
 		if response := persistent.roundTrip(postRequest("once", "a0", "b")); response.status != 200 || response.closes {
-			t.Errorf("%+v", response)
+			t.Errorf("request before the shutdown: got response %+v, want status 200 without Connection: close", response)
 		}
 		go func() {
 			_, _ = io.WriteString(streaming, strings.Replace(postRequest("stream", "a9", "b"), "4000", "8000", 1))
@@ -43,37 +43,38 @@
 		go func() { site.stop(); stopped <- site.process.Clock.Now() - began }()
 		synctest.Wait()
 		if status := site.getReadyPage("/up"); status != 503 {
-			t.Errorf("ready page after the signal: %d", status)
+			t.Errorf("readiness check after the shutdown signal: got status %d, want 503", status)
 		}
 		for range 3 {
 			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 || !response.closes || response.err != nil {
-				t.Errorf("%+v", response)
+				t.Errorf("new connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
 			}
-			time.Sleep(700 * time.Millisecond) // of the synctest bubble
+			time.Sleep(700 * time.Millisecond) // fake time of the synctest bubble
 		}
 		if response := persistent.roundTrip(postRequest("once", "a2", "b")); response.status != 200 || !response.closes {
-			t.Errorf("%+v", response)
+			t.Errorf("existing connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
 		}
 		time.Sleep(time.Second)
 		if conn, err := site.network.Dial(t.Context(), "tcp", front); err == nil {
 			conn.Close()
-			t.Error("it still takes connections")
+			t.Error("client connection was accepted after the lame-duck period, want it refused")
 		}
 		time.Sleep(2 * time.Second)
 		close(release)
 		if response := streaming.readReply("POST"); response.status != 200 || response.err != nil || response.body != streamedEvent(1)+streamedEvent(2) {
-			t.Errorf("a request in flight was interrupted: %+v", response)
+			t.Errorf("stream in flight during the shutdown: got response %+v, want status 200 with both events", response)
 		}
 		grace := 8 * time.Second
 		if d := <-stopped; d < 4*time.Second || d > grace*9/10 {
-			t.Errorf("stopped after %v of %v", d, grace)
+			t.Errorf("process stopped after %v, want at least 4s and at most 9/10 of the grace period of %v", d, grace)
 		}
 		persistent.Close()
 		streaming.Close()
 	})
 }
 
-// A request that runs longer than the grace period is aborted visibly, before the process is killed.
+// A request that runs longer than the grace period must be aborted before the platform kills the process, and the
+// client must see an error instead of a response that looks complete.
 func TestShutdownEndsWithinTheGracePeriod(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(s *testSite) {
@@ -88,16 +89,17 @@
 		began := s.process.Clock.Now()
 		s.stop()
 		if d := s.process.Clock.Now() - began; d < 5*time.Second || d > 8*time.Second*9/10 {
-			t.Errorf("stopped after %v", d)
+			t.Errorf("process stopped after %v, want at least 5s and at most 7.2s", d)
 		}
 		if response := client.readReply("POST"); response.err == nil {
-			t.Errorf("%+v", response)
+			t.Errorf("request aborted by the shutdown: got response %+v, want an error", response)
 		}
 		client.Close()
 	})
 }
 
-// A node is ready with a plan, a fresh proof where keys are revoked, and once a worker to forward to.
+// An edge node is ready if it has a routing plan and a fresh proof that the plan is the newest, and has seen a
+// worker of a routed service at least once.
 func TestReadiness(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		ws := site.snapshot.Load().Workers
@@ -106,44 +108,44 @@
 			set  func(snapshot *fleet.Snapshot)
 			want int
 		}{
-			{"no worker yet", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
-			{"a worker that no route leads to", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
-			{"a worker", func(snapshot *fleet.Snapshot) { snapshot.Workers = ws }, 200},
-			{"workers left", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
-			{"proof old", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
-			{"proof fresh", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 4*time.Second }, 200},
+			{"no worker seen yet", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
+			{"only a worker of a service without a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
+			{"worker of a routed service", func(snapshot *fleet.Snapshot) { snapshot.Workers = ws }, 200},
+			{"all workers have left", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
+			{"proof older than the limit", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
+			{"fresh proof", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 4*time.Second }, 200},
 			{"no proof", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 }, 503},
-			{"no plan", func(snapshot *fleet.Snapshot) { snapshot.ProofAt, snapshot.Plan = site.process.Clock.Now(), nil }, 503},
+			{"no routing plan", func(snapshot *fleet.Snapshot) { snapshot.ProofAt, snapshot.Plan = site.process.Clock.Now(), nil }, 503},
 		} {
 			site.set(test.set)
 			if n := site.getReadyPage("/up"); n != test.want {
-				t.Errorf("%s: %d", test.name, n)
+				t.Errorf("readiness check, %s: got status %d, want %d", test.name, n, test.want)
 			}
 		}
 		if n := site.getReadyPage("/other"); n != 404 {
-			t.Errorf("another path: %d", n)
+			t.Errorf("readiness listener, path other than ReadyPath: got status %d, want 404", n)
 		}
 	})
 }
 
-// Where keys are revoked, connections wait at the listener for the first proof, for a bounded time: a request
-// that comes just before it is served, not rejected.
+// If key revocation is enforced, new connections must wait in the listen queue until the first proof that the
+// routing plan is the newest, for a bounded time: requests that come shortly before it must not be rejected.
 func TestListenerWaitsForTheFirstProof(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		bounds := site.process.Settings.Bounds
 		for _, test := range []struct {
 			name    string
 			revokes bool
-			proof   time.Duration // when it comes
+			proof   time.Duration // time until the proof comes
 			minWait time.Duration
 			maxWait time.Duration
 		}{
-			{"proved", true, 0, 0, 0},
-			{"proved soon", true, 100 * time.Millisecond, 100 * time.Millisecond, 130 * time.Millisecond},
-			{"never proved", true, time.Hour, bounds.Config(0.8 * firstPlanRatio), bounds.Config(firstPlanRatio)},
-			{"no proof is needed", false, time.Hour, 0, 0},
+			{"proof known at the start", true, 0, 0, 0},
+			{"proof after 100 ms", true, 100 * time.Millisecond, 100 * time.Millisecond, 130 * time.Millisecond},
+			{"no proof within the wait", true, time.Hour, bounds.Config(0.8 * firstPlanRatio), bounds.Config(firstPlanRatio)},
+			{"revocation not enforced", false, time.Hour, 0, 0},
 		} {
-			siteSettings := *site.server.siteSettings // the running server reads its own
+			siteSettings := *site.server.siteSettings // a copy, because the running server reads the original
 			siteSettings.EnforceRevocation = test.revokes
 			d := &server{Config: site.server.Config, process: site.process, siteSettings: &siteSettings}
 			if test.proof > 0 {
@@ -153,7 +155,7 @@
 			from := time.Now()
 			d.awaitLimits()
 			if waited := time.Since(from); waited < test.minWait || waited > test.maxWait {
-				t.Errorf("%s: after %v", test.name, waited)
+				t.Errorf("%s: awaitLimits returned after %v, want %v to %v", test.name, waited, test.minWait, test.maxWait)
 			}
 			e.Stop()
 		}
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -19,7 +19,7 @@
 	"pebbleloom/internal/settings"
 )
 
-// testHeaders names header fields that no platform has: the proxy must not depend on the names.
+// testHeaders uses header field names that no platform uses, because the proxy must not depend on the names.
 func testHeaders() Headers {
 	return Headers{ID: "Go-Id", TimeRemaining: "Go-Left", Tenant: "Go-Tenant", ExpectedInstance: "Go-Instance", ExpectedVersion: "Go-Version",
 		Priority: "Go-Urgency", CacheSalt: "Go-Salt", FetchFrom: "Go-Fetch", SaveTo: "Go-Save", Model: "Go-Model", TokenUsage: "Go-Usage",
@@ -43,7 +43,7 @@
 		}}
 }
 
-// testSite is one edge node with its workers and clients, in a synctest bubble.
+// testSite is an edge node with its workers and clients inside a synctest bubble.
 type testSite struct {
 	t        *testing.T
 	network  *pipeNetwork
@@ -70,14 +70,14 @@
 		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}).BuildIndex()
 }
 
-// withSite starts a site with a worker for each script, which enforces revocations, and calls act in its synctest
-// bubble.
+// withSite starts an edge node that enforces key revocation and one worker per script, and calls act in the same
+// synctest bubble.
 func withSite(t *testing.T, scripts []workerScript, act func(s *testSite)) {
 	t.Helper()
 	withRevocation(t, true, scripts, act)
 }
 
-// withRevocation is withSite for a site that enforces revocations of keys, or doesn't.
+// withRevocation is like withSite, but enforced selects whether the edge node enforces key revocation.
 func withRevocation(t *testing.T, enforced bool, scripts []workerScript, act func(s *testSite)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -94,7 +94,7 @@
 			worker.Worker = fleet.Worker{ID: "w" + strconv.Itoa(i), Service: "s", Addr: "10.0.1." + strconv.Itoa(i) + ":8080", Slots: 8}
 			snap.Workers = append(snap.Workers, worker.Worker)
 			site.workers = append(site.workers, worker)
-			if x != nil { // nil: nobody listens there
+			if x != nil { // a worker without a script doesn't listen on its address
 				listener, _ := site.network.Listen(worker.Addr)
 				go worker.serve(listener)
 				defer listener.Close()
@@ -103,7 +103,7 @@
 		site.snapshot.Store(snap)
 		site.server = newServer(site.process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: site.snapshot.Load, Selector: site.selector})
 		if err := site.server.start(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("start the proxy: %v", err)
 		}
 		defer func() {
 			site.stop()
@@ -111,20 +111,20 @@
 			site.selector.mu.Lock()
 			defer site.selector.mu.Unlock()
 			if site.selector.open != 0 {
-				t.Errorf("%d attempts were never reported as done", site.selector.open)
+				t.Errorf("RecordSent minus RecordOutcome calls at the selector: got %d, want 0", site.selector.open)
 			}
 		}()
-		site.server.misdirectedBudget = retrybudget.New(1, 100) // like the other budget: enough for one more attempt
+		site.server.misdirectedBudget = retrybudget.New(1, 100) // ample, so that it limits no retry unless a test replaces it
 		act(site)
 	})
 }
 
-// set changes the snapshot.
+// set replaces the current snapshot by a copy that f has modified.
 func (s *testSite) set(f func(*fleet.Snapshot)) {
 	n := *s.snapshot.Load()
 	f(&n)
 	s.snapshot.Store(&n)
 }
 
-// stop shuts the node down gracefully, once.
+// stop shuts the edge node down gracefully. Later calls do nothing.
 func (s *testSite) stop() { s.once.Do(func() { s.process.Stop(7200 * time.Millisecond) }) }
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -18,11 +18,11 @@
 	"pebbleloom/internal/fleet"
 )
 
-// workerVariable names the worker's address to the process that is stopped.
+// workerVariable is the environment variable that passes the worker's address to the proxy process.
 const workerVariable = "PROXY_TEST_WORKER"
 
-// TestProxyProcess is the process that TestProcessStoppedAndContinued stops: an edge node that serves until
-// its standard input ends.
+// TestProxyProcess isn't a test of its own: it runs the proxy process that TestProcessStoppedAndContinued starts
+// and suspends. It serves until its standard input is closed.
 func TestProxyProcess(t *testing.T) {
 	addr := os.Getenv(workerVariable)
 	if addr == "" {
@@ -33,15 +33,15 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// blockingWorker responds at once, but to the request "held" only after release.
+// blockingWorker responds to each request at once, except to the request "held", which waits for release.
 type blockingWorker struct {
 	mu      sync.Mutex
 	runs    map[string]int
-	strays  map[net.Conn]bool // unsolicited bytes were sent on it
-	reused  int               // requests that came on one of these
+	strays  map[net.Conn]bool // connections on which spoil has sent unsolicited bytes, a FIN or a reset
+	reused  int               // number of requests received on these connections
 	conns   []net.Conn
-	blocked chan struct{} // closed when the request "held" has come
-	release chan struct{}
+	blocked chan struct{} // closed when the request "held" has been received
+	release chan struct{} // closed by the test to let the worker respond to "held"
 }
 
 func (worker *blockingWorker) serve(listener net.Listener) {
@@ -84,7 +84,8 @@
 	}
 }
 
-// spoil leaves something on each connection: a response to an earlier request, garbage, a FIN, or a reset.
+// spoil sends on each connection something that the proxy must not take for a response: a response to an earlier
+// request, garbage, a FIN or a reset.
 func (worker *blockingWorker) spoil() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -104,21 +105,21 @@
 	}
 }
 
-// startProxy runs an edge node as a process of its own.
+// startProxy starts an edge node as a separate process, and returns that process and its client address.
 func startProxy(t *testing.T, worker string) (p *os.Process, front string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestProxyProcess$")
 	cmd.Env = append(os.Environ(), workerVariable+"="+worker)
 	in, err := cmd.StdinPipe()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("pipe to the proxy process's input: %v", err)
 	}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("pipe from the proxy process's output: %v", err)
 	}
 	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the proxy process: %v", err)
 	}
 	t.Cleanup(func() {
 		_ = cmd.Process.Signal(syscall.SIGCONT)
@@ -131,19 +132,20 @@
 			return cmd.Process, addr
 		}
 	}
-	t.Fatal("the process ended before it listened")
+	t.Fatal("proxy process ended before it printed its client address")
 	return nil, ""
 }
 
-// A process is stopped (SIGSTOP) while responses, garbage, FINs and resets come on its connections, new
-// requests come to it, and the deadline of one in flight passes. After it is continued, each new request is
-// executed once and gets its own response, on a connection without leftover bytes; the one in flight was
-// executed once, and no other request got its response.
+// Guards against a proxy that, after a suspension (SIGSTOP and SIGCONT), takes stale bytes for a response. While
+// the proxy is suspended, responses, garbage, FINs and resets come on its idle connections, new requests come
+// from clients, and the deadline of a request in flight passes. Afterwards each new request must be executed once
+// and get its own response on a connection without such bytes, and the request in flight must have been executed
+// once.
 func TestProcessStoppedAndContinued(t *testing.T) {
 	const conns, fresh, blockedDeadline = 8, 8, 2 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen as worker: %v", err)
 	}
 	defer listener.Close()
 	worker := &blockingWorker{runs: map[string]int{}, strays: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
@@ -151,7 +153,7 @@
 	process, front := startProxy(t, listener.Addr().String())
 	site := &loopbackSite{t: t, front: front}
 	var all sync.WaitGroup
-	for i := range conns { // so that there are idle connections
+	for i := range conns { // open connections that are idle during the suspension
 		all.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longWait) })
 	}
 	all.Wait()
@@ -160,14 +162,14 @@
 	select {
 	case <-worker.blocked:
 	case response := <-blocked:
-		t.Fatalf("the held request didn't reach the worker: %+v", response)
+		t.Fatalf("request \"held\" was answered before the worker received it: %+v", response)
 	}
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
-		t.Fatal(err)
+		t.Fatalf("send SIGSTOP to the proxy process: %v", err)
 	}
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(process.Pid, &status, syscall.WUNTRACED, nil); err != nil || !status.Stopped() {
-		t.Fatalf("not stopped: %v %v", status, err)
+		t.Fatalf("proxy process isn't stopped after SIGSTOP: wait status %v, error %v", status, err)
 	}
 	over := time.NewTimer(blockedDeadline + blockedDeadline/4)
 	close(worker.release)
@@ -178,7 +180,7 @@
 	}
 	<-over.C
 	if err := process.Signal(syscall.SIGCONT); err != nil {
-		t.Fatal(err)
+		t.Fatalf("send SIGCONT to the proxy process: %v", err)
 	}
 	all.Wait()
 	response := <-blocked
@@ -188,11 +190,11 @@
 		id := "fresh" + strconv.Itoa(i)
 		checkReply(t, "once", id, r, worker.runs[id])
 		if r.status != 200 || r.err != nil || worker.runs[id] != 1 {
-			t.Errorf("%s: %+v, ran %d times", id, r, worker.runs[id])
+			t.Errorf("request %q sent during the suspension: got %+v, executed %d times; want status 200, executed once", id, r, worker.runs[id])
 		}
 	}
 	checkReply(t, "once", "held", response, worker.runs["held"])
 	if worker.runs["held"] != 1 || worker.reused > 0 {
-		t.Errorf("the held one ran %d times, %d requests came where something was left", worker.runs["held"], worker.reused)
+		t.Errorf("request \"held\" was executed %d times, want 1; %d requests came on connections with unsolicited bytes, want 0", worker.runs["held"], worker.reused)
 	}
 }
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -18,8 +18,8 @@
 
 func streamedEvent(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
-// streamScript streams the events after the one that the request names, up to n, and closes the connection
-// after so many bytes of them. Below 0 it streams all and ends properly.
+// streamScript returns a script that streams the events after the request's Last-Event-Id, up to event n. It closes
+// the connection after bytesBeforeClose bytes of them, or ends the stream properly if bytesBeforeClose is negative.
 func streamScript(seal string, n, bytesBeforeClose int) workerScript {
 	return func(conn net.Conn, r *http.Request, _ string) bool {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -55,88 +55,91 @@
 	return s
 }
 
-// Wherever the first worker breaks off, the events come exactly once, in order, under its header.
+// Wherever the first worker breaks off a resumable stream, the client must receive each event exactly once and in
+// order. The response header must be from the worker whose bytes were relayed first.
 func TestResumedEventsComeExactlyOnce(t *testing.T) {
 	for bytesBeforeClose := 0; bytesBeforeClose <= len(fiveEvents()); bytesBeforeClose++ {
 		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
 			response := s.send(postRequest("resume", "a1", "body"))
 			if response.err != nil || response.status != 200 || response.body != fiveEvents() {
-				t.Errorf("closed after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
+				t.Errorf("first worker closed after %d bytes of events: got status %d, error %v, body %q; want 200 with all 5 events", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			want := "first"
 			if bytesBeforeClose < len(streamedEvent(1)) {
-				want = "second" // nothing had been relayed
+				want = "second" // no complete event of the first worker was relayed
 			}
 			if response.head.Get("Go-Seal") != want {
-				t.Errorf("closed after %d bytes: seal %q", bytesBeforeClose, response.head.Get("Go-Seal"))
+				t.Errorf("first worker closed after %d bytes of events: got the header of worker %q, want %q", bytesBeforeClose, response.head.Get("Go-Seal"), want)
 			}
 		})
 	}
 }
 
-// A stream that may not be resumed is visibly interrupted, and no second worker executes it.
+// If a worker breaks off a stream that may not be resumed, the client must see an error, and no second worker may
+// execute the request.
 func TestInterruptedStreamIsVisiblyBroken(t *testing.T) {
 	for bytesBeforeClose := 0; bytesBeforeClose <= len(fiveEvents()); bytesBeforeClose++ {
 		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
 			response := s.send(postRequest("stream", "a1", "body"))
 			if bytesBeforeClose == 0 && response.status != 502 || bytesBeforeClose > 0 && response.err == nil || !strings.HasPrefix(fiveEvents(), response.body) && bytesBeforeClose > 0 {
-				t.Errorf("closed after %d bytes: %d %v %q", bytesBeforeClose, response.status, response.err, response.body)
+				t.Errorf("stream closed after %d bytes of events: got status %d, error %v, body %q; want a 502 before the first byte, else an error after a part of the events", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			if n := s.workers[1].runs(); n != 0 {
-				t.Errorf("the second worker ran it %d times", n)
+				t.Errorf("stream closed after %d bytes of events: second worker received %d requests, want 0", bytesBeforeClose, n)
 			}
 		})
 	}
 }
 
-// An incomplete event at the proper end of a stream is relayed as well.
+// If a stream ends properly with an event that lacks its final blank line, that event must be relayed too.
 func TestEndWithoutABlankLine(t *testing.T) {
 	withSite(t, []workerScript{respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk("id: 2\ndata: x") + "0\r\n\r\n")}, func(s *testSite) {
 		if response := s.send(postRequest("resume", "a1", "b")); response.err != nil || response.body != streamedEvent(1)+"id: 2\ndata: x" {
-			t.Errorf("%v %q", response.err, response.body)
+			t.Errorf("stream with an incomplete last event: got error %v, body %q; want the complete stream", response.err, response.body)
 		}
 	})
 }
 
-// A stream that doesn't continue where the first worker stopped isn't relayed.
+// A response of the second worker that doesn't continue the stream after the last relayed event must not be
+// relayed: the client would get missing, repeated or foreign events.
 func TestResumedOnlyByWhatFollows(t *testing.T) {
 	two := len(streamedEvent(1) + streamedEvent(2))
 	for name, second := range map[string]workerScript{
-		"from the start":   respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
-		"the last again":   respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
-		"without ids":      respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk("data: x\n\n") + "0\r\n\r\n"),
-		"no events":        respondWith(okResponse),
-		"without seal":     respondWith(strings.Replace(streamHead, "Go-Seal: SEAL\r\n", "", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
-		"another's":        respondWith(strings.Replace(strings.Replace(streamHead, "SEAL", "s", 1), "ID", "other", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
-		"its own 500":      respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"),
-		"full":             respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-		"breaks off again": streamScript("s", 5, 0),
+		"restarts at the first event":   respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
+		"repeats the last event":        respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
+		"event without ID":              respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk("data: x\n\n") + "0\r\n\r\n"),
+		"not an event stream":           respondWith(okResponse),
+		"no Go-Seal field":              respondWith(strings.Replace(streamHead, "Go-Seal: SEAL\r\n", "", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
+		"response to another request":   respondWith(strings.Replace(strings.Replace(streamHead, "SEAL", "s", 1), "ID", "other", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
+		"status 500":                    respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"),
+		"rejects, no free slot":         respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+		"closes before the first event": streamScript("s", 5, 0),
 	} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, []workerScript{streamScript("first", 5, two), second}, func(s *testSite) {
 				response := s.send(postRequest("resume", "a1", "body"))
 				if response.err == nil || response.body != streamedEvent(1)+streamedEvent(2) {
-					t.Errorf("%v %q", response.err, response.body)
+					t.Errorf("got error %v, body %q; want an error after the 2 events of the first worker", response.err, response.body)
 				}
 				if id := s.workers[1].requests[0].Header.Get("Last-Event-Id"); id != "2" {
-					t.Errorf("asked to resume from %q", id)
+					t.Errorf("second worker received Last-Event-Id %q, want \"2\"", id)
 				}
 			})
 		})
 	}
 }
 
-// A stream can't be resumed after an event without an ID.
+// A stream must not be resumed after an event without an ID was relayed: the second worker would repeat that event.
 func TestNotResumedBehindAnEventWithoutID(t *testing.T) {
 	first := respondThenClose(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk("data: no id\n\n"))
 	withSite(t, []workerScript{first, streamScript("second", 5, -1)}, func(s *testSite) {
 		if response := s.send(postRequest("resume", "a1", "b")); response.err == nil || response.body != streamedEvent(1)+"data: no id\n\n" || s.workers[1].runs() != 0 {
-			t.Errorf("%v %q, second %d", response.err, response.body, s.workers[1].runs())
+			t.Errorf("broken off after an event without ID: got error %v, body %q, second worker received %d requests; want an error after both events, 0 requests", response.err, response.body, s.workers[1].runs())
 		}
 	})
 }
 
-// Each event is relayed when it comes, not when the next does.
+// Each event must be flushed to the client when it comes, and not be held back until the next one.
 func TestEventsAreFlushedAtOnce(t *testing.T) {
 	for _, route := range []string{"stream", "resume"} {
 		step := make(chan string)
@@ -148,18 +151,18 @@
 			return true
 		}
 		withSite(t, []workerScript{play}, func(s *testSite) {
-			step = make(chan string) // made in the synctest bubble
+			step = make(chan string) // must be created inside the synctest bubble
 			client := s.dialClient()
 			go func() { _, _ = io.WriteString(client, postRequest(route, "a1", "b")) }()
 			go func() { step <- chunk(streamedEvent(1)) }()
 			a, err := http.ReadResponse(client.br, nil)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("route %s: read response header: %v", route, err)
 			}
 			for i := 1; i <= 3; i++ {
 				got := make([]byte, len(streamedEvent(i)))
 				if _, err := io.ReadFull(a.Body, got); err != nil || string(got) != streamedEvent(i) {
-					t.Fatalf("%q %v", got, err)
+					t.Fatalf("route %s: read event %d: got %q, error %v; want %q", route, i, got, err, streamedEvent(i))
 				}
 				if i < 3 {
 					step <- chunk(streamedEvent(i + 1))
@@ -168,20 +171,20 @@
 			step <- "0\r\n\r\n"
 			close(step)
 			if rest, err := io.ReadAll(a.Body); len(rest) != 0 || err != nil {
-				t.Errorf("%q %v", rest, err)
+				t.Errorf("route %s: after the last event: got %q, error %v; want the end of the stream", route, rest, err)
 			}
 			client.Close()
 		})
 	}
 }
 
-// When the client disconnects, the attempt is canceled.
+// When the client disconnects, the proxy must close the worker's connection at once and not retry the request.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
-	for _, when := range []string{"before the head", "midway"} {
+	for _, when := range []string{"before the response header", "after the first event"} {
 		t.Run(when, func(t *testing.T) {
 			var ended chan error
 			play := func(c net.Conn, r *http.Request, _ string) bool {
-				if when == "midway" {
+				if when == "after the first event" {
 					respondWith(strings.Replace(streamHead, "SEAL", "s", 1)+chunk(streamedEvent(1)))(c, r, "")
 				}
 				_, err := c.Read(make([]byte, 1))
@@ -192,10 +195,10 @@
 				ended = make(chan error, 1)
 				client := site.dialClient()
 				go func() { _, _ = io.WriteString(client, postRequest("resume", "a1", "b")) }()
-				if when == "midway" {
+				if when == "after the first event" {
 					a, err := http.ReadResponse(client.br, nil)
 					if err != nil {
-						t.Fatal(err)
+						t.Fatalf("read response header: %v", err)
 					}
 					_, _ = io.ReadFull(a.Body, make([]byte, len(streamedEvent(1))))
 				} else {
@@ -204,14 +207,14 @@
 				began := site.process.Clock.Now()
 				client.Close()
 				if err := <-ended; err == nil {
-					t.Error("the worker's connection stays open")
+					t.Error("worker received a byte on its connection after the client disconnected, want the connection closed")
 				}
 				if d := site.process.Clock.Now() - began; d > 10*time.Millisecond {
-					t.Errorf("seen after %v", d)
+					t.Errorf("worker's connection was closed %v after the client disconnected, want at most 10ms", d)
 				}
 				synctest.Wait()
 				if site.workers[1].runs() != 0 {
-					t.Error("another worker ran it for nobody")
+					t.Errorf("request was sent to the second worker %d times after the client disconnected, want 0", site.workers[1].runs())
 				}
 			})
 		})
--- a/internal/data/proxy/testworker_test.go
+++ b/internal/data/proxy/testworker_test.go
@@ -11,10 +11,10 @@
 	"pebbleloom/internal/fleet"
 )
 
-// workerScript answers one request as a worker; false closes the connection.
+// workerScript writes a worker's response to one request. If it returns false, the worker closes the connection.
 type workerScript func(c net.Conn, r *http.Request, body string) bool
 
-// testWorker is one worker process; it records the requests that it received.
+// testWorker is a simulated worker that records the requests it receives and responds as its script says.
 type testWorker struct {
 	fleet.Worker
 	mu       sync.Mutex
@@ -59,7 +59,8 @@
 	}
 }
 
-// respondWith writes these bytes, with ID replaced by the request's, and keeps the connection open.
+// respondWith returns a script that writes the text, with "ID" replaced by the request's ID, and keeps the
+// connection open.
 func respondWith(text string) workerScript {
 	return func(c net.Conn, r *http.Request, _ string) bool {
 		_, err := io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get("Go-Id")))
@@ -67,7 +68,7 @@
 	}
 }
 
-// respondThenClose writes these bytes and closes the connection.
+// respondThenClose returns a script that writes the text like respondWith and then closes the connection.
 func respondThenClose(text string) workerScript {
 	return func(c net.Conn, r *http.Request, b string) bool { respondWith(text)(c, r, b); return false }
 }
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -15,33 +15,34 @@
 	"pebbleloom/internal/fleet"
 )
 
-// A connection that the worker keeps open is reused; one that it closes while idle loses no request, whatever
-// its kind.
+// A connection that the worker keeps open must be reused. If the worker closes it while it is idle, the next request
+// must not be lost, even if it isn't idempotent.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		for range 3 {
 			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 {
-				t.Fatal(response)
+				t.Fatalf("worker keeps connections open: got response %+v, want status 200", response)
 			}
 		}
 		if n := site.network.dials[site.workers[0].Addr]; n != 1 {
-			t.Errorf("%d connections for 3 requests", n)
+			t.Errorf("worker keeps connections open: %d connections dialed for 3 requests, want 1", n)
 		}
 	})
 	withSite(t, []workerScript{respondThenClose(okResponse)}, func(site *testSite) {
 		for i := range 5 {
 			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 {
-				t.Fatal(i, response)
+				t.Fatalf("worker closes idle connections: request %d got response %+v, want status 200", i, response)
 			}
 			synctest.Wait()
 		}
 		if site.workers[0].runs() != 5 {
-			t.Errorf("ran %d times", site.workers[0].runs())
+			t.Errorf("worker closes idle connections: it received %d requests, want 5", site.workers[0].runs())
 		}
 	})
 }
 
-// No request is silently sent again when a reused connection breaks, whatever the method: net/http would.
+// A request that isn't idempotent by its route must not be resent when a reused connection breaks, whatever its
+// method: net/http resends some methods, and requests with an idempotency key, on its own.
 func TestNoSilentRepeats(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "DELETE", "POST"} {
 		for _, key := range []string{"", "Idempotency-Key: k\r\n", "X-Idempotency-Key: k\r\n"} {
@@ -55,17 +56,18 @@
 			withSite(t, []workerScript{play}, func(s *testSite) {
 				text := method + " /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a1\r\n" + key + "\r\n"
 				if response := s.send(text); response.status != 204 {
-					t.Fatalf("%s: %+v", method, response)
+					t.Fatalf("%s %q: first request got response %+v, want status 204", method, key, response)
 				}
 				if response := s.send(text); response.status != 502 || s.workers[0].runs() != 2 {
-					t.Errorf("%s %q: %d, ran %d times", method, key, response.status, s.workers[0].runs()-1)
+					t.Errorf("%s %q on a reused connection that breaks: got status %d, sent %d times; want 502, sent once", method, key, response.status, s.workers[0].runs()-1)
 				}
 			})
 		}
 	}
 }
 
-// An idle connection is closed before the worker closes it: by its Keep-Alive field, or by the default.
+// The proxy must close an idle connection before the worker does: after four fifths of the time-out in the worker's
+// Keep-Alive field, or after the default of 3 s.
 func TestIdleConnectionsEndInTime(t *testing.T) {
 	for keep, want := range map[string]time.Duration{"timeout=1": 800 * time.Millisecond, "max=5, timeout=20": 16 * time.Second, "": 3 * time.Second, "timeout=x": 3 * time.Second} {
 		var ended chan struct{}
@@ -82,47 +84,47 @@
 		withSite(t, []workerScript{play}, func(s *testSite) {
 			ended = make(chan struct{})
 			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
-				t.Fatal(response)
+				t.Fatalf("Keep-Alive %q: got response %+v, want status 200", keep, response)
 			}
 			began := s.process.Clock.Now()
 			<-ended
 			if d := s.process.Clock.Now() - began; d != want {
-				t.Errorf("%q: ended after %v: want %v", keep, d, want)
+				t.Errorf("Keep-Alive %q: idle connection was closed after %v, want %v", keep, d, want)
 			}
 		})
 	}
 }
 
-// Bytes after a complete response belong to no request: the next doesn't get them.
+// Bytes that a worker sends after a complete response must not be relayed as the response to the next request.
 func TestBytesAfterAResponseReachNoRequest(t *testing.T) {
 	late := strings.Replace(okResponse, "ID", "old", 1)
-	for name, stray := range map[string]string{"garbage": "\x00garbage", "another's response": late, "its own response again": okResponse, "a newline": "\r\n"} {
-		for _, when := range []string{"at once", "a while later"} {
+	for name, stray := range map[string]string{"garbage": "\x00garbage", "response to another request": late, "duplicate response": okResponse, "a newline": "\r\n"} {
+		for _, when := range []string{"in the same write", "50 ms later"} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				requests := 0
 				play := func(c net.Conn, r *http.Request, b string) bool {
 					if requests++; requests > 1 {
 						return respondWith(okResponse)(c, r, b)
 					}
-					if when == "at once" {
+					if when == "in the same write" {
 						return respondWith(okResponse+stray)(c, r, b)
 					}
 					respondWith(okResponse)(c, r, b)
-					go func() { time.Sleep(50 * time.Millisecond); respondWith(stray)(c, r, b) }() // of the synctest bubble
+					go func() { time.Sleep(50 * time.Millisecond); respondWith(stray)(c, r, b) }() // fake time of the synctest bubble
 					return true
 				}
 				withSite(t, []workerScript{play}, func(s *testSite) {
 					if response := s.send(postRequest("once", "a1", "b")); response.status != 200 || response.body != "fine" || response.err != nil {
-						t.Fatal(response)
+						t.Fatalf("request before the surplus bytes: got response %+v, want status 200 with body \"fine\"", response)
 					}
 					time.Sleep(100 * time.Millisecond)
 					for _, id := range []string{"a2", "a1"} {
 						if response := s.send(postRequest("once", id, "b")); response.status != 200 || response.body != "fine" || response.head.Get("Go-Id") != id {
-							t.Errorf("%s: %+v", id, response)
+							t.Errorf("request %q after the surplus bytes: got response %+v, want its own response with status 200", id, response)
 						}
 					}
 					if requests := s.workers[0].runs(); requests != 3 {
-						t.Errorf("ran %d times", requests)
+						t.Errorf("worker received %d requests, want 3", requests)
 					}
 				})
 			})
@@ -130,7 +132,8 @@
 	}
 }
 
-// A connection with a surplus response isn't reused.
+// If a worker sends a stale response before the right one, the request must fail and the connection must not be
+// reused.
 func TestSurplusResponseEndsItsConnection(t *testing.T) {
 	n := 0
 	play := func(c net.Conn, r *http.Request, b string) bool {
@@ -141,23 +144,23 @@
 	}
 	withSite(t, []workerScript{play}, func(s *testSite) {
 		if response := s.send(postRequest("once", "a1", "b")); response.status != 502 {
-			t.Error(response)
+			t.Errorf("request that got a stale response first: got response %+v, want status 502", response)
 		}
 		if response := s.send(postRequest("once", "a2", "b")); response.status != 200 || response.head.Get("Go-Id") != "a2" {
-			t.Error(response)
+			t.Errorf("request after a stale response: got response %+v, want its own response with status 200", response)
 		}
 		if n := s.network.dials[s.workers[0].Addr]; n != 2 {
-			t.Errorf("%d connections", n)
+			t.Errorf("%d connections dialed for 2 requests, want 2", n)
 		}
 	})
 }
 
-// There are no more connections to one worker than this node's share; beyond it another worker is selected, or
-// the request is rejected as not executed.
+// The proxy must not open more connections to a worker than this node's share. If no other worker is left, a request
+// beyond it must be rejected as not executed.
 func TestConnectionsToAWorkerAreBounded(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(s *testSite) {
-		s.set(func(snapshot *fleet.Snapshot) { snapshot.EdgeCount = 50 }) // of 100: 2 each
+		s.set(func(snapshot *fleet.Snapshot) { snapshot.EdgeCount = 50 }) // a share of 2 of the worker's 100 connections
 		var cs []*clientConn
 		for i := range 2 {
 			client := s.dialClient()
@@ -166,10 +169,10 @@
 			synctest.Wait()
 		}
 		if response := s.send(postRequest("once", "a3", "b")); response.status != 503 || response.head.Get("Retry-After") == "" {
-			t.Errorf("%+v", response)
+			t.Errorf("request beyond the share of connections: got response %+v, want status 503 with Retry-After", response)
 		}
 		if s.workers[0].runs() != 2 || s.selector.endings[0] != selection.NoFreeSlot {
-			t.Errorf("ran %d, %v", s.workers[0].runs(), s.selector.endings)
+			t.Errorf("share of 2 connections: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].runs(), s.selector.endings)
 		}
 		for _, client := range cs {
 			client.Close()
@@ -177,27 +180,27 @@
 	})
 }
 
-// Connecting to a worker is abandoned after a ratio of the route's latency target, and another worker is
-// selected.
+// A dial that hangs must be abandoned after half of the route's latency target, and the request must be sent to
+// another worker.
 func TestHangingDialIsAbandoned(t *testing.T) {
 	withSite(t, []workerScript{nil, respondWith(okResponse)}, func(s *testSite) {
-		if _, err := s.network.Listen(s.workers[0].Addr); err != nil { // nobody accepts
-			t.Fatal(err)
+		if _, err := s.network.Listen(s.workers[0].Addr); err != nil { // listens, but never accepts
+			t.Fatalf("listen at the first worker's address: %v", err)
 		}
 		began := s.process.Clock.Now()
 		response := s.send(postRequest("once", "a1", "b"))
 		if d := s.process.Clock.Now() - began; response.status != 200 || d != 200*time.Millisecond {
-			t.Errorf("%d after %v", response.status, d)
+			t.Errorf("dial of the first worker hangs: got status %d after %v, want 200 after 200ms", response.status, d)
 		}
 	})
 }
 
-// fakeConn is a connection whose writes have a given result.
+// fakeConn is a connection whose Write accepts at most n bytes and returns err, and whose Read returns stray bytes.
 type fakeConn struct {
 	net.Conn
 	n    int
 	err  error
-	wait chan struct{}
+	wait chan struct{} // Write blocks until it is closed; nil: doesn't block
 }
 
 func (f *fakeConn) Write(p []byte) (int, error) {
@@ -209,17 +212,18 @@
 func (f *fakeConn) Close() error               { return nil }
 func (f *fakeConn) Read(p []byte) (int, error) { return copy(p, "stray"), nil }
 
-// Bytes that come while a connection is idle, or before its holder has sent a byte, are never a response.
+// Bytes that come while a connection is idle, or before its holder has sent a byte, must not be returned by Read,
+// and must close the connection.
 func TestUnsolicitedBytesEndTheConnection(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		do   func(conn *workerConn)
 		want bool
 	}{
-		{"its holder has sent", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")) }, true},
-		{"its holder has sent nothing", func(conn *workerConn) { conn.acquire(1) }, false},
-		{"it is idle", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")); conn.release(1, time.Hour) }, false},
-		{"the next holder has sent nothing", func(conn *workerConn) {
+		{"holder has sent a byte", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")) }, true},
+		{"holder has sent nothing", func(conn *workerConn) { conn.acquire(1) }, false},
+		{"connection is idle", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")); conn.release(1, time.Hour) }, false},
+		{"connection was reused and the new holder has sent nothing", func(conn *workerConn) {
 			conn.acquire(1)
 			_, _ = conn.Write([]byte("x"))
 			conn.release(1, time.Hour)
@@ -230,15 +234,16 @@
 		test.do(conn)
 		n, err := conn.Read(make([]byte, 9))
 		if got := n == 5 && err == nil && !conn.closed; got != test.want {
-			t.Errorf("%s: %d, %v", test.name, n, err)
+			t.Errorf("%s: Read returned %d bytes, error %v; delivered: %v, want %v", test.name, n, err, got, test.want)
 		}
 		if !test.want && (n != 0 || err != io.EOF || !conn.closed) {
-			t.Errorf("%s: %d, %v: the connection must be closed", test.name, n, err)
+			t.Errorf("%s: Read returned %d bytes, error %v, connection closed: %v; want 0 bytes, EOF, closed", test.name, n, err, conn.closed)
 		}
 	}
 }
 
-// Nothing was sent only if the kernel accepted no byte and can accept none any more.
+// discard must report that nothing was sent only if the kernel accepted no byte and can't accept any later:
+// otherwise a request could be executed twice.
 func TestProofThatNothingWasSent(t *testing.T) {
 	bad := errors.New("bad")
 	for _, test := range []struct {
@@ -247,22 +252,22 @@
 		do   func(conn *workerConn)
 		want bool
 	}{
-		{"not written", fakeConn{}, func(*workerConn) {}, true},
-		{"no byte accepted", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
-		{"some accepted", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
-		{"all accepted", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
+		{"nothing written", fakeConn{}, func(*workerConn) {}, true},
+		{"write failed, no byte accepted", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
+		{"write failed, one byte accepted", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
+		{"all bytes accepted", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
 	} {
 		conn := newWorkerConn(&test.fake, time.Hour, func() {})
 		conn.acquire(1)
 		test.do(conn)
 		if got := conn.discard(1); got != test.want {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: discard reported nothing sent: %v, want %v", test.name, got, test.want)
 		}
 		if n, err := conn.Write([]byte("x")); n != 0 || err == nil {
-			t.Errorf("%s: bytes were written after it was discarded", test.name)
+			t.Errorf("%s: Write after discard: got %d bytes, error %v; want 0 bytes and an error", test.name, n, err)
 		}
 	}
-	// The kernel may still accept a write in progress.
+	// The kernel may still accept bytes of a write that is in progress.
 	fake := &fakeConn{n: 1, wait: make(chan struct{})}
 	conn := newWorkerConn(fake, time.Hour, func() {})
 	conn.acquire(1)
@@ -274,22 +279,22 @@
 		conn.mu.Unlock()
 	}
 	if conn.discard(1) {
-		t.Error("nothing was sent, though a write is in progress")
+		t.Error("discard reported nothing sent while a write was in progress")
 	}
 	close(fake.wait)
 	<-done
 }
 
-// An attempt that no longer holds a connection neither closes nor releases it.
+// An attempt that no longer holds a connection must neither close nor release it: another attempt may be using it.
 func TestFormerHolderNeitherClosesNorReleases(t *testing.T) {
 	conn := newWorkerConn(&fakeConn{n: 9}, time.Hour, func() {})
 	conn.acquire(1)
 	conn.acquire(2)
 	conn.release(1, time.Nanosecond)
 	if conn.discard(1) || conn.holder != 2 || conn.idleTimer != nil {
-		t.Error("the former holder has changed the connection")
+		t.Errorf("discard or release by the former holder changed the connection: holder %v (want 2), idle timer set: %v (want false)", conn.holder, conn.idleTimer != nil)
 	}
 	if n, err := conn.Write([]byte("x")); n == 0 || err != nil {
-		t.Error("the holder can't write")
+		t.Errorf("Write by the current holder: got %d bytes, error %v; want 1 byte", n, err)
 	}
 }
--- a/internal/data/proxy/workerresponse_test.go
+++ b/internal/data/proxy/workerresponse_test.go
@@ -4,17 +4,18 @@
 	"testing"
 )
 
-// expected is what a client gets, and how often the second worker executes its request.
+// expected is the response status that the client must get, and the number of requests to the second worker.
 type expected struct {
-	status int // 0: a visibly incomplete response
-	second int
+	status int // 0: an incomplete response, which the client must see as an error
+	second int // requests that reach the second worker
 }
 
-// workerResponse is what the first worker does with a request, and what each kind of request gets for it.
+// workerResponse is a test case: the behavior of the first worker, and the expected result for idempotent requests and
+// for others.
 type workerResponse struct {
 	name                      string
-	first                     workerScript // nil: nobody listens
-	firstRequests             int          // that reach the first worker
+	first                     workerScript // nil: the worker doesn't listen
+	firstRequests             int          // requests that reach the first worker
 	idempotent, notIdempotent expected
 }
 
@@ -22,41 +23,41 @@
 	const sealed = "\r\nGo-Id: ID\r\nGo-Seal: seal\r\n"
 	served, passed := expected{200, 1}, func(status int) expected { return expected{status, 0} }
 	return []workerResponse{
-		{"serves", respondWith(okResponse), 1, passed(200), passed(200)},
-		{"nobody listens", nil, 0, served, served},
-		{"full", respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"full and draining", respondThenClose("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"too many", respondWith("HTTP/1.1 429 Many\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"another instance", respondWith("HTTP/1.1 421 No\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"bad request", respondWith("HTTP/1.1 400 No\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, passed(400), passed(400)},
+		{"valid response", respondWith(okResponse), 1, passed(200), passed(200)},
+		{"connection refused", nil, 0, served, served},
+		{"503 with proof of non-execution", respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
+		{"503 with proof of non-execution and Connection: close", respondThenClose("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
+		{"429 with proof of non-execution", respondWith("HTTP/1.1 429 Many\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
+		{"421", respondWith("HTTP/1.1 421 No\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
+		{"400 with proof of non-execution", respondWith("HTTP/1.1 400 No\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, passed(400), passed(400)},
 		{"503 without proof", respondWith("HTTP/1.1 503 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
 		{"429 without proof", respondWith("HTTP/1.1 429 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
 		{"408 without proof", respondWith("HTTP/1.1 408 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
 		{"504 that claims not executed", respondWith("HTTP/1.1 504 Bad\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
 		{"200 that claims not executed", respondWith("HTTP/1.1 200 OK" + sealed + "Go-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"its own 500", respondWith("HTTP/1.1 500 Oh" + sealed + "Content-Length: 2\r\n\r\noh"), 1, served, passed(500)},
-		{"its own 504", respondWith("HTTP/1.1 504 Late" + sealed + "Content-Length: 0\r\n\r\n"), 1, passed(504), passed(504)},
-		{"its own 404", respondWith("HTTP/1.1 404 No" + sealed + "Content-Length: 0\r\n\r\n"), 1, passed(404), passed(404)},
-		{"its own 302", respondWith("HTTP/1.1 302 There" + sealed + "Location: /\r\nContent-Length: 0\r\n\r\n"), 1, passed(302), passed(302)},
-		{"closes", respondThenClose(""), 1, served, passed(502)},
-		{"garbage", respondThenClose("\x00\x01garbage\r\n\r\n"), 1, served, passed(502)},
-		{"half a header", respondThenClose("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nGo-S"), 1, served, passed(502)},
-		{"another's response", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"another's response without body", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"another's rejection", respondWith("HTTP/1.1 503 Full\r\nGo-Id: other\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"a response without an ID", respondWith("HTTP/1.1 200 OK\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"no seal", respondWith("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"encoded", respondWith("HTTP/1.1 200 OK" + sealed + "Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"too short", respondThenClose("HTTP/1.1 200 OK" + sealed + "Content-Length: 9\r\n\r\nfine"), 1, served, passed(502)},
-		{"no last chunk", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"), 1, served, passed(502)},
-		{"bad chunk", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n"), 1, served, passed(502)},
-		{"not self-delimited", respondThenClose("HTTP/1.1 200 OK" + sealed + "\r\nfine"), 1, served, passed(502)},
-		{"another protocol", respondThenClose("HTTP/1.1 101 Go\r\nGo-Id: ID\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"), 1, served, passed(502)},
+		{"500", respondWith("HTTP/1.1 500 Oh" + sealed + "Content-Length: 2\r\n\r\noh"), 1, served, passed(500)},
+		{"504", respondWith("HTTP/1.1 504 Late" + sealed + "Content-Length: 0\r\n\r\n"), 1, passed(504), passed(504)},
+		{"404", respondWith("HTTP/1.1 404 No" + sealed + "Content-Length: 0\r\n\r\n"), 1, passed(404), passed(404)},
+		{"302", respondWith("HTTP/1.1 302 There" + sealed + "Location: /\r\nContent-Length: 0\r\n\r\n"), 1, passed(302), passed(302)},
+		{"connection closed without a response", respondThenClose(""), 1, served, passed(502)},
+		{"bytes that are not HTTP", respondThenClose("\x00\x01garbage\r\n\r\n"), 1, served, passed(502)},
+		{"connection closed within the header", respondThenClose("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nGo-S"), 1, served, passed(502)},
+		{"response to another request", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
+		{"response to another request without body", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
+		{"rejection of another request", respondWith("HTTP/1.1 503 Full\r\nGo-Id: other\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
+		{"response without a request ID", respondWith("HTTP/1.1 200 OK\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
+		{"200 without Go-Seal field", respondWith("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
+		{"gzip content encoding", respondWith("HTTP/1.1 200 OK" + sealed + "Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
+		{"body shorter than Content-Length", respondThenClose("HTTP/1.1 200 OK" + sealed + "Content-Length: 9\r\n\r\nfine"), 1, served, passed(502)},
+		{"chunked body without last chunk", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"), 1, served, passed(502)},
+		{"invalid chunk size", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n"), 1, served, passed(502)},
+		{"neither Content-Length nor chunked encoding", respondThenClose("HTTP/1.1 200 OK" + sealed + "\r\nfine"), 1, served, passed(502)},
+		{"101 Switching Protocols", respondThenClose("HTTP/1.1 101 Go\r\nGo-Id: ID\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"), 1, served, passed(502)},
 	}
 }
 
-// The second worker, which always responds correctly, gets a request only if it may be sent again after what
-// the first has responded.
+// Tests each kind of response of a first worker while a second one responds correctly. A request must be retried on
+// the second worker only if it is idempotent or the first worker proved that it didn't execute it.
 func TestEveryKindOfWorkerResponse(t *testing.T) {
 	for _, test := range workerResponses() {
 		for _, kind := range []struct {
@@ -65,8 +66,8 @@
 		}{{"repeat", test.idempotent}, {"once", test.notIdempotent}, {"stream", test.notIdempotent}, {"resume", test.idempotent}} {
 			t.Run(test.name+"/"+kind.route, func(t *testing.T) {
 				want := kind.want
-				if (test.name == "too short" || test.name == "no last chunk") && (kind.route == "stream" || kind.route == "resume") {
-					want = expected{0, 0} // a stream is relayed as it comes, and here no event can be resumed from
+				if (test.name == "body shorter than Content-Length" || test.name == "chunked body without last chunk") && (kind.route == "stream" || kind.route == "resume") {
+					want = expected{0, 0} // the part before the error is relayed at once, and there is no event to resume after
 				}
 				withSite(t, []workerScript{test.first, respondWith(okResponse)}, func(site *testSite) {
 					checkResponse(t, site, kind.route, test.firstRequests, want)
@@ -81,22 +82,23 @@
 	response := site.send(postRequest(route, "a1", "body"))
 	switch {
 	case want.status == 0 && response.err == nil:
-		t.Errorf("%d %q looks complete", response.status, response.body)
+		t.Errorf("got status %d, body %q without an error, want an incomplete response", response.status, response.body)
 	case want.status != 0 && (response.err != nil || response.status != want.status):
-		t.Errorf("%d, %v: want %d", response.status, response.err, want.status)
+		t.Errorf("got status %d, error %v; want status %d", response.status, response.err, want.status)
 	}
 	if want.status == 200 && response.body != "fine" {
-		t.Errorf("body %q", response.body)
+		t.Errorf("got response body %q, want \"fine\"", response.body)
 	}
 	if n := site.workers[0].runs(); n != firstRequests {
-		t.Errorf("the first worker got it %d times: want %d", n, firstRequests)
+		t.Errorf("first worker received the request %d times, want %d", n, firstRequests)
 	}
 	if n := site.workers[1].runs(); n != want.second {
-		t.Errorf("the second worker got it %d times: want %d", n, want.second)
+		t.Errorf("second worker received the request %d times, want %d", n, want.second)
 	}
 }
 
-// If no worker is left, the request is rejected as not executed only with proof from each.
+// If no worker completes a request, it must be answered as not executed (503 with Retry-After) only if no worker
+// may have executed it.
 func TestResponseWhenNoWorkerServes(t *testing.T) {
 	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	for _, test := range []struct {
@@ -104,29 +106,29 @@
 		ws      []workerScript
 		route   string
 		status  int
-		waits   bool
-		workers int
+		waits   bool // Retry-After is expected
+		workers int  // maximum number of requests that the workers receive
 	}{
 		{"no worker", nil, "once", 503, true, 0},
-		{"nobody listens", []workerScript{nil, nil}, "once", 503, true, 0},
-		{"all full", []workerScript{full, full}, "once", 503, true, 2},
-		{"one full, one closes", []workerScript{full, respondThenClose("")}, "once", 502, false, 2},
-		{"one closes, one full", []workerScript{respondThenClose(""), full}, "repeat", 502, false, 2},
-		{"one fails, one full", []workerScript{respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), full}, "repeat", 500, false, 2},
-		{"more than the route lets it go to", []workerScript{full, full, full, respondWith(okResponse)}, "once", 503, true, 3},
+		{"all connections refused", []workerScript{nil, nil}, "once", 503, true, 0},
+		{"all reject with proof of non-execution", []workerScript{full, full}, "once", 503, true, 2},
+		{"one rejects, one closes the connection", []workerScript{full, respondThenClose("")}, "once", 502, false, 2},
+		{"one closes the connection, one rejects", []workerScript{respondThenClose(""), full}, "repeat", 502, false, 2},
+		{"one responds 500, one rejects", []workerScript{respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), full}, "repeat", 500, false, 2},
+		{"more workers than MaxAttempts", []workerScript{full, full, full, respondWith(okResponse)}, "once", 503, true, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			withSite(t, test.ws, func(s *testSite) {
 				response := s.send(postRequest(test.route, "a1", "body"))
 				if response.err != nil || response.status != test.status || (response.head.Get("Retry-After") != "") != test.waits {
-					t.Errorf("%d, Retry-After %q, %v", response.status, response.head.Get("Retry-After"), response.err)
+					t.Errorf("got status %d, Retry-After %q, error %v; want status %d, Retry-After set: %v", response.status, response.head.Get("Retry-After"), response.err, test.status, test.waits)
 				}
 				n := 0
 				for _, worker := range s.workers {
 					n += worker.runs()
 				}
 				if n > test.workers {
-					t.Errorf("%d workers got it: want at most %d", n, test.workers)
+					t.Errorf("workers received the request %d times, want at most %d", n, test.workers)
 				}
 			})
 		})
