--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -64,13 +64,13 @@
 	fleet.Worker
 	t                *testing.T
 	plan             func(id string, served int) (step, fault, bool) // returns the fault to inject and its step, by the request's ID ("" before a request has come) and the number of requests served on the connection
-	misbehaved       chan struct{}                                   // closed once a fault was injected
+	faultDone        chan struct{}                                   // closed once a fault was injected
 	responseReceived chan struct{}                                   // closed by the test once the client has its response
 
-	mu      sync.Mutex
-	once    sync.Once
-	runs    map[string]int // executions by request ID
-	tainted int            // requests received on connections on which unsolicited bytes had been sent
+	mu                  sync.Mutex
+	once                sync.Once
+	runs                map[string]int // executions by request ID
+	requestsAfterStrays int            // requests received on connections on which unsolicited bytes had been sent
 }
 
 func newAdversary(t *testing.T, id string, plan func(string, int) (step, fault, bool)) *adversary {
@@ -79,7 +79,7 @@
 		t.Fatalf("listen as worker %s: %v", id, err)
 	}
 	a := &adversary{Worker: fleet.Worker{ID: id, Service: "s", Addr: listener.Addr().String(), Slots: 8}, t: t, plan: plan,
-		misbehaved: make(chan struct{}), responseReceived: make(chan struct{}), runs: map[string]int{}}
+		faultDone: make(chan struct{}), responseReceived: make(chan struct{}), runs: map[string]int{}}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -94,38 +94,38 @@
 	return a
 }
 
-func (a *adversary) ran(id string) int { a.mu.Lock(); defer a.mu.Unlock(); return a.runs[id] }
+func (a *adversary) executions(id string) int { a.mu.Lock(); defer a.mu.Unlock(); return a.runs[id] }
 
 // adversaryConn is a connection that an adversary accepted.
 type adversaryConn struct {
 	net.Conn
-	adversary *adversary
-	br        *bufio.Reader
-	served    int
-	acted     bool
-	strays    bool // unsolicited bytes were sent together with a response
-	ended     bool
+	adversary     *adversary
+	br            *bufio.Reader
+	served        int
+	faultInjected bool
+	sentStrays    bool // unsolicited bytes were sent together with a response
+	ended         bool
 }
 
 // serve answers the requests of a connection one after another, and injects the planned fault at its step.
 func (a *adversary) serve(conn *adversaryConn) {
 	defer conn.Close()
 	for !conn.ended {
-		if conn.misbehaveAt(connected, "", nil); conn.ended {
+		if conn.injectFaultAt(connected, "", nil); conn.ended {
 			return
 		}
 		r, err := http.ReadRequest(conn.br)
 		if err != nil {
 			return
 		}
-		if conn.strays {
+		if conn.sentStrays {
 			a.mu.Lock()
-			a.tainted++
+			a.requestsAfterStrays++
 			a.mu.Unlock()
 		}
 		conn.serveRequest(r)
-		if conn.acted {
-			a.once.Do(func() { close(a.misbehaved) })
+		if conn.faultInjected {
+			a.once.Do(func() { close(a.faultDone) })
 		}
 		conn.served++
 	}
@@ -134,8 +134,8 @@
 // serveRequest reads the body of a request whose header was read, and responds.
 func (c *adversaryConn) serveRequest(r *http.Request) {
 	id := r.Header.Get("Go-Id")
-	out := properResponse(r, id)
-	if c.misbehaveAt(headReceived, id, out); c.ended {
+	out := correctResponse(r, id)
+	if c.injectFaultAt(headReceived, id, out); c.ended {
 		return
 	}
 	half := make([]byte, max(0, r.ContentLength/2))
@@ -143,7 +143,7 @@
 		c.ended = true
 		return
 	}
-	if c.misbehaveAt(halfBodyReceived, id, out); c.ended {
+	if c.injectFaultAt(halfBodyReceived, id, out); c.ended {
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -153,7 +153,7 @@
 	c.adversary.mu.Lock()
 	c.adversary.runs[id]++
 	c.adversary.mu.Unlock()
-	if c.misbehaveAt(bodyReceived, id, out); c.ended {
+	if c.injectFaultAt(bodyReceived, id, out); c.ended {
 		return
 	}
 	head := strings.Index(string(out), "Go-Seal")
@@ -168,25 +168,25 @@
 			return
 		}
 		from = x.to
-		if c.misbehaveAt(x.at, id, out); c.ended {
+		if c.injectFaultAt(x.at, id, out); c.ended {
 			return
 		}
 	}
 	if s, f, ok := c.adversary.plan(id, c.served); ok && s == responseSent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID) {
 		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in the same write, so that the proxy reads both at once
-		c.acted, c.strays = true, true
+		c.faultInjected, c.sentStrays = true, true
 		return
 	}
 	if _, err := c.Write(out[from:]); err != nil {
 		c.ended = true
 		return
 	}
-	if c.misbehaveAt(responseSent, id, out); c.ended {
+	if c.injectFaultAt(responseSent, id, out); c.ended {
 		return
 	}
 	if s, _, ok := c.adversary.plan(id, c.served); ok && s == afterResponse {
 		<-c.adversary.responseReceived
-		c.misbehaveAt(afterResponse, id, out)
+		c.injectFaultAt(afterResponse, id, out)
 	}
 }
 
@@ -206,16 +206,16 @@
 	return plainResponse("stranger")
 }
 
-// misbehaveAt injects the planned fault if this is its step and the connection hasn't had a fault yet.
-func (c *adversaryConn) misbehaveAt(moment step, id string, own []byte) {
+// injectFaultAt injects the planned fault if this is its step and the connection hasn't had a fault yet.
+func (c *adversaryConn) injectFaultAt(currentStep step, id string, own []byte) {
 	plannedStep, kind, ok := c.adversary.plan(id, c.served)
-	if !ok || plannedStep != moment || c.acted {
+	if !ok || plannedStep != currentStep || c.faultInjected {
 		return
 	}
-	c.acted = true
+	c.faultInjected = true
 	switch kind {
 	case hang:
-		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
+		c.adversary.once.Do(func() { close(c.adversary.faultDone) })
 		_, _ = io.Copy(io.Discard, c.Conn)
 		c.ended = true
 	case reset:
@@ -229,7 +229,7 @@
 		c.ended = true
 	case wrongID:
 		_, _ = c.Write(surplusBytes(kind, own))
-		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
+		c.adversary.once.Do(func() { close(c.adversary.faultDone) })
 		_, _ = io.Copy(io.Discard, c.Conn)
 		c.ended = true
 	default:
@@ -238,8 +238,8 @@
 	if c.ended {
 		c.Close()
 	}
-	if c.ended || moment == connected { // otherwise the rest of the response is sent first
-		c.adversary.once.Do(func() { close(c.adversary.misbehaved) })
+	if c.ended || currentStep == connected { // otherwise the rest of the response is sent first
+		c.adversary.once.Do(func() { close(c.adversary.faultDone) })
 	}
 }
 
@@ -252,8 +252,8 @@
 
 func resumableEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", n, id) }
 
-// properResponse returns the correct response to a request: a short body, or the events after its Last-Event-Id.
-func properResponse(r *http.Request, id string) []byte {
+// correctResponse returns the correct response to a request: a short body, or the events after its Last-Event-Id.
+func correctResponse(r *http.Request, id string) []byte {
 	if !strings.HasPrefix(r.URL.Path, "/resume/") {
 		return plainResponse(id)
 	}
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -17,7 +17,7 @@
 	notSent     outcome = iota // proven: no byte of the request left this node
 	notExecuted                // the worker reported that it didn't execute the request
 	interrupted                // the worker may have executed the request, but gave no usable, complete response
-	responded                  // the header of a response came that may be relayed
+	responded                  // the header of a response that may be relayed has come
 	completed                  // the response was relayed completely
 	clientGone                 // the client disconnected
 )
@@ -117,7 +117,7 @@
 		}
 	case a.conn == nil || a.conn.discard(a):
 		a.outcome, a.reported = notSent, selection.Failed
-		if errs.KindOf(err) == errs.Overloaded { // the limit on this node's connections was reached; not a failure of the worker
+		if errs.KindOf(err) == errs.Overloaded { // this node has its share of the worker's connections open; not a failure of the worker
 			a.reported = selection.NoFreeSlot
 		}
 	default:
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -16,34 +16,34 @@
 )
 
 // dialLoopbackSite starts an edge node with one worker on loopback sockets, and connects a client to it.
-func dialLoopbackSite(b *testing.B, play workerScript) *clientConn {
+func dialLoopbackSite(b *testing.B, script workerScript) *clientConn {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatalf("listen as worker: %v", err)
 	}
-	worker := &testWorker{script: func(conn net.Conn, r *http.Request, s string) bool { return play(conn, r, s) }}
+	worker := &testWorker{script: func(conn net.Conn, r *http.Request, s string) bool { return script(conn, r, s) }}
 	worker.Worker = fleet.Worker{ID: "w0", Service: "s", Addr: listener.Addr().String(), Slots: 8}
 	go worker.serve(listener)
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	frontListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatalf("listen for clients: %v", err)
 	}
 	processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.DefaultBounds(), Options: []string{"log=off"},
 		Site: &settings.Site{ReadinessListen: "127.0.0.1:0", MemoryLimitMB: 256, GraceMs: 10, TransitMs: 120}}
-	world := daemon.RealEnvironment(processSettings)
-	world.Listen = func(addr string) (net.Listener, error) {
+	environment := daemon.RealEnvironment(processSettings)
+	environment.Listen = func(addr string) (net.Listener, error) {
 		if addr == "front" {
-			return door, nil
+			return frontListener, nil
 		}
 		return net.Listen("tcp", addr)
 	}
-	process := daemon.NewIn(world, "edge", processSettings)
+	process := daemon.NewIn(environment, "edge", processSettings)
 	snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clock.BootTime().Now(), EdgeCount: 1, Workers: []fleet.Worker{worker.Worker}}
 	if err := Start(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snap }, Selector: &fakeSelector{}}); err != nil {
 		b.Fatalf("start the proxy: %v", err)
 	}
-	conn, err := net.Dial("tcp", door.Addr().String())
+	conn, err := net.Dial("tcp", frontListener.Addr().String())
 	if err != nil {
 		b.Fatalf("dial the proxy: %v", err)
 	}
--- a/internal/data/proxy/client_test.go
+++ b/internal/data/proxy/client_test.go
@@ -12,11 +12,11 @@
 
 // reply is a response as received by a test client.
 type reply struct {
-	status int
-	head   http.Header
-	body   string
-	err    error // set if no response came or its body is incomplete
-	closes bool  // the response has "Connection: close"
+	status     int
+	header     http.Header
+	body       string
+	err        error // set if no response came or its body is incomplete
+	closesConn bool  // the response has "Connection: close"
 }
 
 // clientConn is a connection of a test client.
@@ -26,7 +26,7 @@
 }
 
 func (s *testSite) dialClient() *clientConn {
-	c, err := s.network.Dial(context.Background(), "tcp", front)
+	c, err := s.network.Dial(context.Background(), "tcp", clientAddr)
 	if err != nil {
 		s.t.Fatalf("dial the client listener: %v", err)
 	}
@@ -61,13 +61,13 @@
 
 // postRequest returns the text of a POST request with a deadline of 4 s; more holds extra header lines.
 func postRequest(route, id, body string, more ...string) string {
-	return "POST /" + route + "/x HTTP/1.1\r\nHost: " + host + "\r\nGo-Id: " + id + "\r\nGo-Left: 4000\r\n" +
+	return "POST /" + route + "/x HTTP/1.1\r\nHost: " + testHost + "\r\nGo-Id: " + id + "\r\nGo-Left: 4000\r\n" +
 		strings.Join(append(more, ""), "\r\n") + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// getReadyPage sends a readiness check for a path and returns the response status.
-func (s *testSite) getReadyPage(path string) int {
-	c, err := s.network.Dial(context.Background(), "tcp", readyAt)
+// readinessStatus sends a readiness check for a path and returns the response status.
+func (s *testSite) readinessStatus(path string) int {
+	c, err := s.network.Dial(context.Background(), "tcp", readinessAddr)
 	if err != nil {
 		s.t.Fatalf("dial the readiness listener: %v", err)
 	}
--- a/internal/data/proxy/connpool.go
+++ b/internal/data/proxy/connpool.go
@@ -37,7 +37,7 @@
 // dialLimits limits the dialing of a new connection. It is passed to the dialer in the attempt's context.
 type dialLimits struct {
 	maxConns int           // connections of this node to the worker; 0: no limit
-	timeout  time.Duration // of the dial; 0: only the context's deadline applies
+	timeout  time.Duration // time-out of the dial; 0: only the context's deadline applies
 }
 
 type dialLimitsKey struct{}
--- a/internal/data/proxy/fakeselector_test.go
+++ b/internal/data/proxy/fakeselector_test.go
@@ -13,11 +13,11 @@
 
 // fakeSelector selects the first worker of the service that was not tried yet, and records the reported outcomes.
 type fakeSelector struct {
-	mu         sync.Mutex
-	endings    []selection.Outcome
-	loads      []selection.Load
-	open       int
-	editChoice func(*selection.Choice)
+	mu           sync.Mutex
+	outcomes     []selection.Outcome
+	loads        []selection.Load
+	openAttempts int
+	editChoice   func(*selection.Choice)
 }
 
 func (p *fakeSelector) Lookup(context.Context, *fleet.Snapshot, *selection.Request) map[prefix.Key]*wire.LookupResult {
@@ -40,7 +40,7 @@
 func (p *fakeSelector) RecordSent(*selection.Request, selection.Choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open++
+	p.openAttempts++
 }
 
 func (p *fakeSelector) RecordFirstEvent(*selection.Request, selection.Choice, *selection.Load, time.Duration) {
@@ -49,8 +49,8 @@
 func (p *fakeSelector) RecordOutcome(_ *selection.Request, _ selection.Choice, e selection.Outcome, l *selection.Load, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
-	p.endings = append(p.endings, e)
+	p.openAttempts--
+	p.outcomes = append(p.outcomes, e)
 	if l != nil {
 		p.loads = append(p.loads, *l)
 	}
--- a/internal/data/proxy/faults_test.go
+++ b/internal/data/proxy/faults_test.go
@@ -8,8 +8,8 @@
 
 // Client deadlines of the fault tests.
 const (
-	shortWait = 150 * time.Millisecond // for requests that a worker leaves without a response
-	longWait  = 10 * time.Second
+	shortDeadline = 150 * time.Millisecond // for requests to which the worker never responds
+	longDeadline  = 10 * time.Second
 )
 
 // checkReply checks the invariants of a request: a request that isn't idempotent is executed at most once, no
@@ -22,8 +22,8 @@
 	if impliesNotExecuted(response.status) && runs > 0 {
 		t.Errorf("request %q was answered with status %d (not executed), but workers executed it %d times", id, response.status, runs)
 	}
-	if response.status == 200 && response.head.Get("Go-Id") != id {
-		t.Errorf("request %q got the response to request %q", id, response.head.Get("Go-Id"))
+	if response.status == 200 && response.header.Get("Go-Id") != id {
+		t.Errorf("request %q got the response to request %q", id, response.header.Get("Go-Id"))
 	}
 	if response.status == 200 && response.err == nil && response.body != completeBody(route, id) {
 		t.Errorf("request %q got a wrong body without an error: got %q, want %q", id, response.body, completeBody(route, id))
@@ -62,20 +62,20 @@
 	working := newAdversary(t, "w1", func(string, int) (step, fault, bool) { return 0, 0, false })
 	site := newLoopbackSite(t, faulty.Worker, working.Worker)
 	if c.reused {
-		if response := site.send("repeat", "warm", longWait); response.status != 200 || response.body != "of warm" {
+		if response := site.send("repeat", "warm", longDeadline); response.status != 200 || response.body != "of warm" {
 			t.Fatalf("request that opens the connection: got response %+v, want status 200 with body %q", response, "of warm")
 		}
 		if c.step == connected {
-			<-faulty.misbehaved
+			<-faulty.faultDone
 		}
 	}
-	response := site.send(c.route, "victim", c.victimWait())
+	response := site.send(c.route, "victim", c.victimDeadline())
 	close(faulty.responseReceived)
-	c.checkVictim(t, response, faulty.ran("victim")+working.ran("victim"))
-	<-faulty.misbehaved
+	c.checkVictim(t, response, faulty.executions("victim")+working.executions("victim"))
+	<-faulty.faultDone
 	c.checkNext(t, site, faulty, working)
-	if faulty.mu.Lock(); faulty.tainted > 0 {
-		t.Errorf("%d requests were sent on connections with unsolicited bytes, want 0", faulty.tainted)
+	if faulty.mu.Lock(); faulty.requestsAfterStrays > 0 {
+		t.Errorf("%d requests were sent on connections with unsolicited bytes, want 0", faulty.requestsAfterStrays)
 	}
 	faulty.mu.Unlock()
 }
@@ -90,7 +90,7 @@
 	var faulty *adversary
 	faulty = newAdversary(t, "w0", func(id string, served int) (step, fault, bool) {
 		select {
-		case <-faulty.misbehaved:
+		case <-faulty.faultDone:
 			return c.step, c.fault, id == "victim"
 		default:
 		}
@@ -99,12 +99,12 @@
 	return faulty
 }
 
-// victimWait returns the deadline of the request "victim": short if the worker leaves it without a response.
-func (c faultCase) victimWait() time.Duration {
+// victimDeadline returns the deadline of the request "victim": short if the worker leaves it without a response.
+func (c faultCase) victimDeadline() time.Duration {
 	if (c.fault == hang || c.fault == wrongID) && c.step < responseSent {
-		return shortWait
+		return shortDeadline
 	}
-	return longWait
+	return longDeadline
 }
 
 // isUndetectable reports whether the proxy can't detect the fault: the worker sends wrong bytes within the body,
@@ -137,12 +137,12 @@
 // request is the first to notice, and ends with a 504.
 func (c faultCase) checkNext(t *testing.T, site *loopbackSite, faulty, working *adversary) {
 	t.Helper()
-	wait, want := longWait, 200
+	wait, want := longDeadline, 200
 	if c.fault == hang && c.step >= responseSent {
-		wait, want = shortWait, 504
+		wait, want = shortDeadline, 504
 	}
 	next := site.send("once", "next", wait)
-	checkReply(t, "once", "next", next, faulty.ran("next")+working.ran("next"))
+	checkReply(t, "once", "next", next, faulty.executions("next")+working.executions("next"))
 	// On a busy machine the deadline may pass before the request is sent. A 503 is right then, and checkReply has
 	// checked that the request was not executed.
 	expiredBefore := want == 504 && next.status == 503
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -19,7 +19,7 @@
 	controller *http.ResponseController
 	incoming   *http.Request
 
-	ctx               context.Context // done at the deadline, or when the client disconnects
+	ctx               context.Context // done shortly after the deadline (transitRatio), or when the client disconnects
 	cancel            context.CancelFunc
 	stopWriteDeadline func() bool // cancels the write deadline that is set when ctx is done; false: it was set already
 
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -88,12 +88,12 @@
 				client := s.dialClient()
 				for range 2 { // two requests on the same client connection
 					response := client.roundTrip(postRequest(route, "a1", "b"))
-					if response.err != nil || response.status != 201 || response.body != test.body || response.head.Get("Go-Seal") != "s1" || fmt.Sprint(response.head["X-Own"]) != "[a b]" {
-						t.Errorf("route %s, %s framing: got status %d, body of %d bytes, error %v, header %v; want 201, %d bytes, fields unchanged", route, test.frame, response.status, len(response.body), response.err, response.head, len(test.body))
+					if response.err != nil || response.status != 201 || response.body != test.body || response.header.Get("Go-Seal") != "s1" || fmt.Sprint(response.header["X-Own"]) != "[a b]" {
+						t.Errorf("route %s, %s framing: got status %d, body of %d bytes, error %v, header %v; want 201, %d bytes, fields unchanged", route, test.frame, response.status, len(response.body), response.err, response.header, len(test.body))
 					}
 					for _, k := range []string{"X-Hop", "Keep-Alive", "Date", "Content-Type"} {
-						if response.head.Get(k) != "" {
-							t.Errorf("route %s: client received field %s: %q, want it absent", route, k, response.head.Get(k))
+						if response.header.Get(k) != "" {
+							t.Errorf("route %s: client received field %s: %q, want it absent", route, k, response.header.Get(k))
 						}
 					}
 				}
@@ -138,8 +138,8 @@
 		"NUL byte in a field value":               "POST /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a\r\nX: a\x00b\r\nContent-Length: 0\r\n\r\n",
 	} {
 		withSite(t, []workerScript{respondWith(okResponse)}, func(s *testSite) {
-			if response := s.send(text); response.status < 400 || s.workers[0].runs() != 0 {
-				t.Errorf("%s: got status %d, forwarded %d times; want a 4xx status and no forwarding", name, response.status, s.workers[0].runs())
+			if response := s.send(text); response.status < 400 || s.workers[0].requestCount() != 0 {
+				t.Errorf("%s: got status %d, forwarded %d times; want an error status and no forwarding", name, response.status, s.workers[0].requestCount())
 			}
 		})
 	}
@@ -170,8 +170,8 @@
 				t.Errorf("field %s: worker received %q, want %q", k, h.Get(k), want)
 			}
 		}
-		if len(s.selector.loads) != 1 || s.selector.loads[0] != (selection.Load{Running: 3, Waiting: 1, Slots: 8}) || s.selector.endings[0] != selection.Completed {
-			t.Errorf("selector got loads %v and outcomes %v, want one load {Running:3 Waiting:1 Slots:8} and Completed", s.selector.loads, s.selector.endings)
+		if len(s.selector.loads) != 1 || s.selector.loads[0] != (selection.Load{Running: 3, Waiting: 1, Slots: 8}) || s.selector.outcomes[0] != selection.Completed {
+			t.Errorf("selector got loads %v and outcomes %v, want one load {Running:3 Waiting:1 Slots:8} and Completed", s.selector.loads, s.selector.outcomes)
 		}
 	})
 }
@@ -204,10 +204,10 @@
 		if test.age > site.process.Clock.Now() {
 			site.set(func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 })
 		}
-		ran := site.workers[0].runs()
+		ran := site.workers[0].requestCount()
 		response := site.send(postRequest(test.route, "a1", "b", "Authorization: Bearer "+test.key))
-		if response.status != test.want || (response.head.Get("Retry-After") != "") != (test.want == 503) || site.workers[0].runs()-ran != map[bool]int{true: 1}[test.want == 200] {
-			t.Errorf("%+v: got status %d, Retry-After %q, forwarded %d times; want status %d", test, response.status, response.head.Get("Retry-After"), site.workers[0].runs()-ran, test.want)
+		if response.status != test.want || (response.header.Get("Retry-After") != "") != (test.want == 503) || site.workers[0].requestCount()-ran != map[bool]int{true: 1}[test.want == 200] {
+			t.Errorf("%+v: got status %d, Retry-After %q, forwarded %d times; want status %d", test, response.status, response.header.Get("Retry-After"), site.workers[0].requestCount()-ran, test.want)
 		}
 	}
 }
@@ -223,8 +223,8 @@
 		p.Tenants[0].Keys = []string{"new"}
 		p = (&routingconfig.Plan{Version: 2, Routes: p.Routes, Services: p.Services, Tenants: p.Tenants, Limits: p.Limits}).BuildIndex()
 		s.set(func(snapshot *fleet.Snapshot) { snapshot.Plan = p })
-		if response := client.roundTrip(text[len(text)-1:]); response.status != 401 || s.workers[0].runs() != 0 {
-			t.Errorf("key revoked while the body was read: got status %d, error %v, forwarded %d times; want 401, not forwarded", response.status, response.err, s.workers[0].runs())
+		if response := client.roundTrip(text[len(text)-1:]); response.status != 401 || s.workers[0].requestCount() != 0 {
+			t.Errorf("key revoked while the body was read: got status %d, error %v, forwarded %d times; want 401, not forwarded", response.status, response.err, s.workers[0].requestCount())
 		}
 		client.Close()
 	})
@@ -252,8 +252,8 @@
 			client.Close()
 		}
 		site.set(func(snapshot *fleet.Snapshot) { snapshot.Plan = nil })
-		if response := site.send(postRequest("once", "a", "b")); response.status != 503 || response.head.Get("Retry-After") == "" || response.head.Get("Go-Id") != "a" {
-			t.Errorf("no routing plan: got status %d, header %v; want 503 with Retry-After and the request ID", response.status, response.head)
+		if response := site.send(postRequest("once", "a", "b")); response.status != 503 || response.header.Get("Retry-After") == "" || response.header.Get("Go-Id") != "a" {
+			t.Errorf("no routing plan: got status %d, header %v; want 503 with Retry-After and the request ID", response.status, response.header)
 		}
 	})
 }
@@ -265,8 +265,8 @@
 		text := postRequest("once", "a1", "body")
 		began := s.process.Clock.Now()
 		response := client.roundTrip(text[:len(text)-1])
-		if response.status != 503 || !response.closes || response.err != nil || s.workers[0].runs() != 0 {
-			t.Errorf("incomplete body: got status %d, header %v, forwarded %d times; want 503 with Connection: close, not forwarded", response.status, response.head, s.workers[0].runs())
+		if response.status != 503 || !response.closesConn || response.err != nil || s.workers[0].requestCount() != 0 {
+			t.Errorf("incomplete body: got status %d, header %v, forwarded %d times; want 503 with Connection: close, not forwarded", response.status, response.header, s.workers[0].requestCount())
 		}
 		if d := s.process.Clock.Now() - began; d != 4*time.Second {
 			t.Errorf("incomplete body: rejected after %v, want 4s", d)
@@ -283,11 +283,11 @@
 		withSite(t, []workerScript{silent, respondWith(okResponse)}, func(s *testSite) {
 			began := s.process.Clock.Now()
 			response := s.send(postRequest(route, "a1", "body"))
-			if d := s.process.Clock.Now() - began; response.status != 504 || d < 4*time.Second || d > 4*time.Second+100*time.Millisecond || s.workers[1].runs() != 0 {
-				t.Errorf("route %s: got status %d after %v, second worker received %d requests; want 504 after 4s, 0 requests", route, response.status, d, s.workers[1].runs())
+			if d := s.process.Clock.Now() - began; response.status != 504 || d < 4*time.Second || d > 4*time.Second+100*time.Millisecond || s.workers[1].requestCount() != 0 {
+				t.Errorf("route %s: got status %d after %v, second worker received %d requests; want 504 after 4s, 0 requests", route, response.status, d, s.workers[1].requestCount())
 			}
-			if s.selector.endings[0] != selection.TimedOut {
-				t.Errorf("route %s: selector got outcomes %v, want TimedOut first", route, s.selector.endings)
+			if s.selector.outcomes[0] != selection.TimedOut {
+				t.Errorf("route %s: selector got outcomes %v, want TimedOut first", route, s.selector.outcomes)
 			}
 		})
 	}
@@ -344,7 +344,7 @@
 			_, _ = io.WriteString(client, postRequest("once", "a1", "body"))
 			synctest.Wait()
 		}
-		if response := site.send(postRequest("once", "a3", "body")); response.status != errs.Overloaded.HTTPStatus || response.head.Get("Retry-After") == "" {
+		if response := site.send(postRequest("once", "a3", "body")); response.status != errs.Overloaded.HTTPStatus || response.header.Get("Retry-After") == "" {
 			t.Errorf("third request at a memory limit for two: got response %+v, want status %d with Retry-After", response, errs.Overloaded.HTTPStatus)
 		}
 		if response := site.send("POST /once/x HTTP/1.1\r\nHost: any.example\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("body") + "0\r\n\r\n"); response.status != errs.Overloaded.HTTPStatus {
@@ -354,8 +354,8 @@
 			client.Close()
 		}
 		synctest.Wait()
-		if n := site.server.reservedMemory.Load(); n != 0 || site.workers[0].runs() != 2 {
-			t.Errorf("after all clients disconnected: %d bytes reserved and %d requests forwarded, want 0 and 2", n, site.workers[0].runs())
+		if n := site.server.reservedMemory.Load(); n != 0 || site.workers[0].requestCount() != 2 {
+			t.Errorf("after all clients disconnected: %d bytes reserved and %d requests forwarded, want 0 and 2", n, site.workers[0].requestCount())
 		}
 	})
 }
--- a/internal/data/proxy/retrybudget_test.go
+++ b/internal/data/proxy/retrybudget_test.go
@@ -14,7 +14,7 @@
 			s.server.retryBudgets = retrybudget.NewByService(0.2, 5)
 			arrivals := func() (n int) {
 				for _, worker := range s.workers {
-					n += worker.runs()
+					n += worker.requestCount()
 				}
 				return n
 			}
@@ -43,8 +43,8 @@
 			t.Errorf("all permitted attempts rejected: got response %+v, want status 503", response)
 		}
 		for i, worker := range s.workers {
-			if want := map[bool]int{true: 1}[i < 3]; worker.runs() != want {
-				t.Errorf("MaxAttempts 3: worker %d received %d requests, want %d", i, worker.runs(), want)
+			if want := map[bool]int{true: 1}[i < 3]; worker.requestCount() != want {
+				t.Errorf("MaxAttempts 3: worker %d received %d requests, want %d", i, worker.requestCount(), want)
 			}
 		}
 	})
@@ -71,7 +71,7 @@
 		}
 		arrivals := 0
 		for _, worker := range s.workers {
-			arrivals += worker.runs()
+			arrivals += worker.requestCount()
 		}
 		if extra, limit := arrivals-requests, int(allowance*misdirectedAllowanceRatio+requests*share*misdirectedRatio); extra < 1 || extra > limit {
 			t.Errorf("all workers respond 421: %d attempts beyond the first of %d requests, want 1 to %d", extra, requests, limit)
--- a/internal/data/proxy/reuse_test.go
+++ b/internal/data/proxy/reuse_test.go
@@ -192,8 +192,8 @@
 			if response := s.send(postRequest(route, "a2", "b")); response.status != 200 {
 				t.Fatalf("route %s, request after the keep-alive time: got response %+v, want status 200", route, response)
 			}
-			if len(*conns) != 2 || s.workers[0].runs() != 2 {
-				t.Errorf("route %s: %d connections dialed, %d requests received; want 2 and 2", route, len(*conns), s.workers[0].runs())
+			if len(*conns) != 2 || s.workers[0].requestCount() != 2 {
+				t.Errorf("route %s: %d connections dialed, %d requests received; want 2 and 2", route, len(*conns), s.workers[0].requestCount())
 			}
 		})
 	}
@@ -210,8 +210,8 @@
 		}
 		response := s.send(postRequest("once", "a1", "b"))
 		synctest.Wait()
-		if response.status != 503 || s.workers[0].runs() != 0 {
-			t.Errorf("deadline passed during the dial: got response %+v, worker received %d requests; want status 503, 0 requests", response, s.workers[0].runs())
+		if response.status != 503 || s.workers[0].requestCount() != 0 {
+			t.Errorf("deadline passed during the dial: got response %+v, worker received %d requests; want status 503, 0 requests", response, s.workers[0].requestCount())
 		}
 	})
 }
--- a/internal/data/proxy/search_test.go
+++ b/internal/data/proxy/search_test.go
@@ -19,9 +19,9 @@
 	searchRequests = 30 // requests per client
 	searchWorkers  = 3
 	searchConns    = 4                      // maximum connections to each worker
-	misbehaves     = 0.2                    // ratio of requests at which a worker injects a fault
-	staysSilent    = 0.1                    // ratio of these faults that are hangs
-	searchWait     = 400 * time.Millisecond // client deadline
+	faultRatio     = 0.2                    // ratio of requests at which a worker injects a fault
+	hangRatio      = 0.1                    // ratio of the injected faults that are hangs
+	searchDeadline = 400 * time.Millisecond // deadline of each client request
 )
 
 // plannedFault returns the fault that a worker injects at a request, and its step. The result depends only on the
@@ -35,11 +35,11 @@
 		h = h*1099511628211 + uint64(c)
 	}
 	r := rand.New(rand.NewPCG(seed, h))
-	if r.Float64() >= misbehaves {
+	if r.Float64() >= faultRatio {
 		return 0, 0, false
 	}
 	s, f := headReceived+step(r.IntN(int(responseSent-headReceived)+1)), reset+fault(r.IntN(int(faultCount-reset)))
-	if r.Float64() < staysSilent {
+	if r.Float64() < hangRatio {
 		f = hang
 	}
 	if s == halfBodySent && f > closeWrite { // the proxy can't detect wrong bytes within a body of the declared length
@@ -58,7 +58,7 @@
 	}
 	total := map[int]int{}
 	for seed := range seeds {
-		for status, n := range searchOnce(t, uint64(seed)) {
+		for status, n := range runSearch(t, uint64(seed)) {
 			total[status] += n
 		}
 		if t.Failed() {
@@ -71,7 +71,7 @@
 	}
 }
 
-func searchOnce(t *testing.T, seed uint64) map[int]int {
+func runSearch(t *testing.T, seed uint64) map[int]int {
 	var faulty []*adversary
 	var workers []fleet.Worker
 	for i := range searchWorkers {
@@ -90,10 +90,10 @@
 			for n := range searchRequests {
 				route := []string{"repeat", "once", "once", "resume"}[r.IntN(4)]
 				id := fmt.Sprintf("s%d-c%d-n%d", seed, client, n)
-				response := site.send(route, id, searchWait)
+				response := site.send(route, id, searchDeadline)
 				runs := 0
 				for _, faultyWorker := range faulty {
-					runs += faultyWorker.ran(id)
+					runs += faultyWorker.executions(id)
 				}
 				checkReply(t, route, id, response, runs)
 				mu.Lock()
@@ -107,8 +107,8 @@
 	}
 	all.Wait()
 	for _, faultyWorker := range faulty {
-		if faultyWorker.mu.Lock(); faultyWorker.tainted > 0 {
-			t.Errorf("worker %s: %d requests came on connections with unsolicited bytes, want 0", faultyWorker.ID, faultyWorker.tainted)
+		if faultyWorker.mu.Lock(); faultyWorker.requestsAfterStrays > 0 {
+			t.Errorf("worker %s: %d requests came on connections with unsolicited bytes, want 0", faultyWorker.ID, faultyWorker.requestsAfterStrays)
 		}
 		faultyWorker.mu.Unlock()
 	}
--- a/internal/data/proxy/shutdown_test.go
+++ b/internal/data/proxy/shutdown_test.go
@@ -27,11 +27,11 @@
 	}
 	withSite(t, []workerScript{streamUntilReleased}, func(site *testSite) {
 		release = make(chan struct{})
-		if status := site.getReadyPage("/up"); status != 200 {
+		if status := site.readinessStatus("/up"); status != 200 {
 			t.Errorf("readiness check before the shutdown: got status %d, want 200", status)
 		}
 		persistent, streaming := site.dialClient(), site.dialClient()
-		if response := persistent.roundTrip(postRequest("once", "a0", "b")); response.status != 200 || response.closes {
+		if response := persistent.roundTrip(postRequest("once", "a0", "b")); response.status != 200 || response.closesConn {
 			t.Errorf("request before the shutdown: got response %+v, want status 200 without Connection: close", response)
 		}
 		go func() {
@@ -42,20 +42,20 @@
 		began := site.process.Clock.Now()
 		go func() { site.stop(); stopped <- site.process.Clock.Now() - began }()
 		synctest.Wait()
-		if status := site.getReadyPage("/up"); status != 503 {
+		if status := site.readinessStatus("/up"); status != 503 {
 			t.Errorf("readiness check after the shutdown signal: got status %d, want 503", status)
 		}
 		for range 3 {
-			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 || !response.closes || response.err != nil {
+			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 || !response.closesConn || response.err != nil {
 				t.Errorf("new connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
 			}
 			time.Sleep(700 * time.Millisecond) // fake time of the synctest bubble
 		}
-		if response := persistent.roundTrip(postRequest("once", "a2", "b")); response.status != 200 || !response.closes {
+		if response := persistent.roundTrip(postRequest("once", "a2", "b")); response.status != 200 || !response.closesConn {
 			t.Errorf("existing connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
 		}
 		time.Sleep(time.Second)
-		if conn, err := site.network.Dial(t.Context(), "tcp", front); err == nil {
+		if conn, err := site.network.Dial(t.Context(), "tcp", clientAddr); err == nil {
 			conn.Close()
 			t.Error("client connection was accepted after the lame-duck period, want it refused")
 		}
@@ -118,11 +118,11 @@
 			{"no routing plan", func(snapshot *fleet.Snapshot) { snapshot.ProofAt, snapshot.Plan = site.process.Clock.Now(), nil }, 503},
 		} {
 			site.set(test.set)
-			if n := site.getReadyPage("/up"); n != test.want {
+			if n := site.readinessStatus("/up"); n != test.want {
 				t.Errorf("readiness check, %s: got status %d, want %d", test.name, n, test.want)
 			}
 		}
-		if n := site.getReadyPage("/other"); n != 404 {
+		if n := site.readinessStatus("/other"); n != 404 {
 			t.Errorf("readiness listener, path other than ReadyPath: got status %d, want 404", n)
 		}
 	})
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -55,11 +55,11 @@
 	workers  []*testWorker
 }
 
-const front, readyAt, host = "10.0.0.1:80", "10.0.0.1:81", "any.example"
+const clientAddr, readinessAddr, testHost = "10.0.0.1:80", "10.0.0.1:81", "any.example"
 
 func testPlan() *routingconfig.Plan {
 	one := func(name string, k routingconfig.Kind, resumable bool) routingconfig.Route {
-		return routingconfig.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: k, Resumable: resumable, MaxAttempts: 3, Public: true,
+		return routingconfig.Route{Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: k, Resumable: resumable, MaxAttempts: 3, Public: true,
 			Timeout: 8 * time.Second, LatencyTarget: 400 * time.Millisecond, Split: []routingconfig.WeightedService{{Service: "s", Weight: 1}}}
 	}
 	private := one("private", routingconfig.AtMostOnce, false)
@@ -84,8 +84,8 @@
 		site := &testSite{t: t, network: &pipeNetwork{listeners: map[string]*pipeListener{}, dials: map[string]int{}}, selector: &fakeSelector{}}
 		bounds := settings.DefaultBounds()
 		bounds.RetryPercent, bounds.RetryAllowance = 100, 100
-		processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: bounds, Options: []string{"log=off"},
-			Site: &settings.Site{ReadinessListen: readyAt, MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 120, EnforceRevocation: enforced}}
+		processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: clientAddr, Bounds: bounds, Options: []string{"log=off"},
+			Site: &settings.Site{ReadinessListen: readinessAddr, MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 120, EnforceRevocation: enforced}}
 		clk := clock.Synctest()
 		site.process = daemon.NewIn(daemon.Environment{Clock: clk, Listen: site.network.Listen, Dial: site.network.Dial}, "edge", processSettings)
 		snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), EdgeCount: 1}
@@ -110,8 +110,8 @@
 			synctest.Wait()
 			site.selector.mu.Lock()
 			defer site.selector.mu.Unlock()
-			if site.selector.open != 0 {
-				t.Errorf("RecordSent minus RecordOutcome calls at the selector: got %d, want 0", site.selector.open)
+			if site.selector.openAttempts != 0 {
+				t.Errorf("RecordSent minus RecordOutcome calls at the selector: got %d, want 0", site.selector.openAttempts)
 			}
 		}()
 		site.server.misdirectedBudget = retrybudget.New(1, 100) // ample, so that it limits no retry unless a test replaces it
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -35,13 +35,13 @@
 
 // blockingWorker responds to each request at once, except to the request "held", which waits for release.
 type blockingWorker struct {
-	mu      sync.Mutex
-	runs    map[string]int
-	strays  map[net.Conn]bool // connections on which spoil has sent unsolicited bytes, a FIN or a reset
-	reused  int               // number of requests received on these connections
-	conns   []net.Conn
-	blocked chan struct{} // closed when the request "held" has been received
-	release chan struct{} // closed by the test to let the worker respond to "held"
+	mu                  sync.Mutex
+	runs                map[string]int
+	hasStrayData        map[net.Conn]bool // connections on which sendStrayData has sent unsolicited bytes, a FIN or a reset
+	requestsAfterStrays int               // number of requests received on connections in hasStrayData
+	conns               []net.Conn
+	blocked             chan struct{} // closed when the request "held" has been received
+	release             chan struct{} // closed by the test to let the worker respond to "held"
 }
 
 func (worker *blockingWorker) serve(listener net.Listener) {
@@ -70,8 +70,8 @@
 		id := r.Header.Get("Go-Id")
 		worker.mu.Lock()
 		worker.runs[id]++
-		if worker.strays[conn] {
-			worker.reused++
+		if worker.hasStrayData[conn] {
+			worker.requestsAfterStrays++
 		}
 		worker.mu.Unlock()
 		if id == "held" {
@@ -84,13 +84,13 @@
 	}
 }
 
-// spoil sends on each connection something that the proxy must not take for a response: a response to an earlier
+// sendStrayData sends on each connection something that the proxy must not take for a response: a response to an earlier
 // request, garbage, a FIN or a reset.
-func (worker *blockingWorker) spoil() {
+func (worker *blockingWorker) sendStrayData() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	for i, c := range worker.conns {
-		worker.strays[c] = true
+		worker.hasStrayData[c] = true
 		switch i % 4 {
 		case 0:
 			_, _ = c.Write(plainResponse("warm0"))
@@ -148,13 +148,13 @@
 		t.Fatalf("listen as worker: %v", err)
 	}
 	defer listener.Close()
-	worker := &blockingWorker{runs: map[string]int{}, strays: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
+	worker := &blockingWorker{runs: map[string]int{}, hasStrayData: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
 	go worker.serve(listener)
 	process, front := startProxy(t, listener.Addr().String())
 	site := &loopbackSite{t: t, front: front}
 	var all sync.WaitGroup
-	for i := range conns { // open connections that are idle during the suspension
-		all.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longWait) })
+	for i := range conns { // opens connections that are idle during the suspension
+		all.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longDeadline) })
 	}
 	all.Wait()
 	blocked := make(chan reply, 1)
@@ -173,10 +173,10 @@
 	}
 	over := time.NewTimer(blockedDeadline + blockedDeadline/4)
 	close(worker.release)
-	worker.spoil()
+	worker.sendStrayData()
 	replies := make([]reply, fresh)
 	for i := range fresh {
-		all.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longWait) })
+		all.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longDeadline) })
 	}
 	<-over.C
 	if err := process.Signal(syscall.SIGCONT); err != nil {
@@ -194,7 +194,7 @@
 		}
 	}
 	checkReply(t, "once", "held", response, worker.runs["held"])
-	if worker.runs["held"] != 1 || worker.reused > 0 {
-		t.Errorf("request \"held\" was executed %d times, want 1; %d requests came on connections with unsolicited bytes, want 0", worker.runs["held"], worker.reused)
+	if worker.runs["held"] != 1 || worker.requestsAfterStrays > 0 {
+		t.Errorf("request \"held\" was executed %d times, want 1; %d requests came on connections with unsolicited bytes, want 0", worker.runs["held"], worker.requestsAfterStrays)
 	}
 }
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -68,8 +68,8 @@
 			if bytesBeforeClose < len(streamedEvent(1)) {
 				want = "second" // no complete event of the first worker was relayed
 			}
-			if response.head.Get("Go-Seal") != want {
-				t.Errorf("first worker closed after %d bytes of events: got the header of worker %q, want %q", bytesBeforeClose, response.head.Get("Go-Seal"), want)
+			if response.header.Get("Go-Seal") != want {
+				t.Errorf("first worker closed after %d bytes of events: got the header of worker %q, want %q", bytesBeforeClose, response.header.Get("Go-Seal"), want)
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 			if bytesBeforeClose == 0 && response.status != 502 || bytesBeforeClose > 0 && response.err == nil || !strings.HasPrefix(fiveEvents(), response.body) && bytesBeforeClose > 0 {
 				t.Errorf("stream closed after %d bytes of events: got status %d, error %v, body %q; want a 502 before the first byte, else an error after a part of the events", bytesBeforeClose, response.status, response.err, response.body)
 			}
-			if n := s.workers[1].runs(); n != 0 {
+			if n := s.workers[1].requestCount(); n != 0 {
 				t.Errorf("stream closed after %d bytes of events: second worker received %d requests, want 0", bytesBeforeClose, n)
 			}
 		})
@@ -133,8 +133,8 @@
 func TestNotResumedBehindAnEventWithoutID(t *testing.T) {
 	first := respondThenClose(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk("data: no id\n\n"))
 	withSite(t, []workerScript{first, streamScript("second", 5, -1)}, func(s *testSite) {
-		if response := s.send(postRequest("resume", "a1", "b")); response.err == nil || response.body != streamedEvent(1)+"data: no id\n\n" || s.workers[1].runs() != 0 {
-			t.Errorf("broken off after an event without ID: got error %v, body %q, second worker received %d requests; want an error after both events, 0 requests", response.err, response.body, s.workers[1].runs())
+		if response := s.send(postRequest("resume", "a1", "b")); response.err == nil || response.body != streamedEvent(1)+"data: no id\n\n" || s.workers[1].requestCount() != 0 {
+			t.Errorf("broken off after an event without ID: got error %v, body %q, second worker received %d requests; want an error after both events, 0 requests", response.err, response.body, s.workers[1].requestCount())
 		}
 	})
 }
@@ -143,14 +143,14 @@
 func TestEventsAreFlushedAtOnce(t *testing.T) {
 	for _, route := range []string{"stream", "resume"} {
 		step := make(chan string)
-		play := func(c net.Conn, r *http.Request, _ string) bool {
+		script := func(c net.Conn, r *http.Request, _ string) bool {
 			respondWith(strings.Replace(streamHead, "SEAL", "s", 1))(c, r, "")
 			for e := range step {
 				_, _ = io.WriteString(c, e)
 			}
 			return true
 		}
-		withSite(t, []workerScript{play}, func(s *testSite) {
+		withSite(t, []workerScript{script}, func(s *testSite) {
 			step = make(chan string) // must be created inside the synctest bubble
 			client := s.dialClient()
 			go func() { _, _ = io.WriteString(client, postRequest(route, "a1", "b")) }()
@@ -183,7 +183,7 @@
 	for _, when := range []string{"before the response header", "after the first event"} {
 		t.Run(when, func(t *testing.T) {
 			var ended chan error
-			play := func(c net.Conn, r *http.Request, _ string) bool {
+			script := func(c net.Conn, r *http.Request, _ string) bool {
 				if when == "after the first event" {
 					respondWith(strings.Replace(streamHead, "SEAL", "s", 1)+chunk(streamedEvent(1)))(c, r, "")
 				}
@@ -191,7 +191,7 @@
 				ended <- err
 				return false
 			}
-			withSite(t, []workerScript{play, respondWith(okResponse)}, func(site *testSite) {
+			withSite(t, []workerScript{script, respondWith(okResponse)}, func(site *testSite) {
 				ended = make(chan error, 1)
 				client := site.dialClient()
 				go func() { _, _ = io.WriteString(client, postRequest("resume", "a1", "b")) }()
@@ -213,8 +213,8 @@
 					t.Errorf("worker's connection was closed %v after the client disconnected, want at most 10ms", d)
 				}
 				synctest.Wait()
-				if site.workers[1].runs() != 0 {
-					t.Errorf("request was sent to the second worker %d times after the client disconnected, want 0", site.workers[1].runs())
+				if site.workers[1].requestCount() != 0 {
+					t.Errorf("request was sent to the second worker %d times after the client disconnected, want 0", site.workers[1].requestCount())
 				}
 			})
 		})
--- a/internal/data/proxy/testworker_test.go
+++ b/internal/data/proxy/testworker_test.go
@@ -23,7 +23,7 @@
 	script   workerScript
 }
 
-func (worker *testWorker) runs() int {
+func (worker *testWorker) requestCount() int {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return len(worker.requests)
@@ -49,9 +49,9 @@
 				}
 				worker.mu.Lock()
 				worker.requests, worker.bodies = append(worker.requests, r), append(worker.bodies, string(all))
-				play := worker.script
+				script := worker.script
 				worker.mu.Unlock()
-				if !play(conn, r, string(all)) {
+				if !script(conn, r, string(all)) {
 					return
 				}
 			}
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -35,8 +35,8 @@
 			}
 			synctest.Wait()
 		}
-		if site.workers[0].runs() != 5 {
-			t.Errorf("worker closes idle connections: it received %d requests, want 5", site.workers[0].runs())
+		if site.workers[0].requestCount() != 5 {
+			t.Errorf("worker closes idle connections: it received %d requests, want 5", site.workers[0].requestCount())
 		}
 	})
 }
@@ -47,19 +47,19 @@
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "DELETE", "POST"} {
 		for _, key := range []string{"", "Idempotency-Key: k\r\n", "X-Idempotency-Key: k\r\n"} {
 			n := 0
-			play := func(c net.Conn, r *http.Request, b string) bool {
+			script := func(c net.Conn, r *http.Request, b string) bool {
 				if n++; n == 2 {
 					return false
 				}
 				return respondWith("HTTP/1.1 204 OK\r\nGo-Id: ID\r\nGo-Seal: s\r\n\r\n")(c, r, b)
 			}
-			withSite(t, []workerScript{play}, func(s *testSite) {
+			withSite(t, []workerScript{script}, func(s *testSite) {
 				text := method + " /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a1\r\n" + key + "\r\n"
 				if response := s.send(text); response.status != 204 {
 					t.Fatalf("%s %q: first request got response %+v, want status 204", method, key, response)
 				}
-				if response := s.send(text); response.status != 502 || s.workers[0].runs() != 2 {
-					t.Errorf("%s %q on a reused connection that breaks: got status %d, sent %d times; want 502, sent once", method, key, response.status, s.workers[0].runs()-1)
+				if response := s.send(text); response.status != 502 || s.workers[0].requestCount() != 2 {
+					t.Errorf("%s %q on a reused connection that breaks: got status %d, sent %d times; want 502, sent once", method, key, response.status, s.workers[0].requestCount()-1)
 				}
 			})
 		}
@@ -75,13 +75,13 @@
 		if keep != "" {
 			text = strings.Replace(okResponse, "Content-Length", "Keep-Alive: "+keep+"\r\nContent-Length", 1)
 		}
-		play := func(c net.Conn, r *http.Request, b string) bool {
+		script := func(c net.Conn, r *http.Request, b string) bool {
 			respondWith(text)(c, r, b)
 			_, _ = c.Read(make([]byte, 1))
 			close(ended)
 			return false
 		}
-		withSite(t, []workerScript{play}, func(s *testSite) {
+		withSite(t, []workerScript{script}, func(s *testSite) {
 			ended = make(chan struct{})
 			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
 				t.Fatalf("Keep-Alive %q: got response %+v, want status 200", keep, response)
@@ -102,7 +102,7 @@
 		for _, when := range []string{"in the same write", "50 ms later"} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				requests := 0
-				play := func(c net.Conn, r *http.Request, b string) bool {
+				script := func(c net.Conn, r *http.Request, b string) bool {
 					if requests++; requests > 1 {
 						return respondWith(okResponse)(c, r, b)
 					}
@@ -113,17 +113,17 @@
 					go func() { time.Sleep(50 * time.Millisecond); respondWith(stray)(c, r, b) }() // fake time of the synctest bubble
 					return true
 				}
-				withSite(t, []workerScript{play}, func(s *testSite) {
+				withSite(t, []workerScript{script}, func(s *testSite) {
 					if response := s.send(postRequest("once", "a1", "b")); response.status != 200 || response.body != "fine" || response.err != nil {
 						t.Fatalf("request before the surplus bytes: got response %+v, want status 200 with body \"fine\"", response)
 					}
 					time.Sleep(100 * time.Millisecond)
 					for _, id := range []string{"a2", "a1"} {
-						if response := s.send(postRequest("once", id, "b")); response.status != 200 || response.body != "fine" || response.head.Get("Go-Id") != id {
+						if response := s.send(postRequest("once", id, "b")); response.status != 200 || response.body != "fine" || response.header.Get("Go-Id") != id {
 							t.Errorf("request %q after the surplus bytes: got response %+v, want its own response with status 200", id, response)
 						}
 					}
-					if requests := s.workers[0].runs(); requests != 3 {
+					if requests := s.workers[0].requestCount(); requests != 3 {
 						t.Errorf("worker received %d requests, want 3", requests)
 					}
 				})
@@ -136,17 +136,17 @@
 // reused.
 func TestSurplusResponseEndsItsConnection(t *testing.T) {
 	n := 0
-	play := func(c net.Conn, r *http.Request, b string) bool {
+	script := func(c net.Conn, r *http.Request, b string) bool {
 		if n++; n == 1 {
 			return respondWith(strings.Replace(okResponse, "ID", "old", 1)+okResponse)(c, r, b)
 		}
 		return respondWith(okResponse)(c, r, b)
 	}
-	withSite(t, []workerScript{play}, func(s *testSite) {
+	withSite(t, []workerScript{script}, func(s *testSite) {
 		if response := s.send(postRequest("once", "a1", "b")); response.status != 502 {
 			t.Errorf("request that got a stale response first: got response %+v, want status 502", response)
 		}
-		if response := s.send(postRequest("once", "a2", "b")); response.status != 200 || response.head.Get("Go-Id") != "a2" {
+		if response := s.send(postRequest("once", "a2", "b")); response.status != 200 || response.header.Get("Go-Id") != "a2" {
 			t.Errorf("request after a stale response: got response %+v, want its own response with status 200", response)
 		}
 		if n := s.network.dials[s.workers[0].Addr]; n != 2 {
@@ -168,11 +168,11 @@
 			_, _ = io.WriteString(client, postRequest("once", strconv.Itoa(i), "b"))
 			synctest.Wait()
 		}
-		if response := s.send(postRequest("once", "a3", "b")); response.status != 503 || response.head.Get("Retry-After") == "" {
+		if response := s.send(postRequest("once", "a3", "b")); response.status != 503 || response.header.Get("Retry-After") == "" {
 			t.Errorf("request beyond the share of connections: got response %+v, want status 503 with Retry-After", response)
 		}
-		if s.workers[0].runs() != 2 || s.selector.endings[0] != selection.NoFreeSlot {
-			t.Errorf("share of 2 connections: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].runs(), s.selector.endings)
+		if s.workers[0].requestCount() != 2 || s.selector.outcomes[0] != selection.NoFreeSlot {
+			t.Errorf("share of 2 connections: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].requestCount(), s.selector.outcomes)
 		}
 		for _, client := range cs {
 			client.Close()
@@ -200,7 +200,7 @@
 	net.Conn
 	n    int
 	err  error
-	wait chan struct{} // Write blocks until it is closed; nil: doesn't block
+	wait chan struct{} // Write blocks until this channel is closed; nil: Write doesn't block
 }
 
 func (f *fakeConn) Write(p []byte) (int, error) {
--- a/internal/data/proxy/workerresponse_test.go
+++ b/internal/data/proxy/workerresponse_test.go
@@ -21,38 +21,38 @@
 
 func workerResponses() []workerResponse {
 	const sealed = "\r\nGo-Id: ID\r\nGo-Seal: seal\r\n"
-	served, passed := expected{200, 1}, func(status int) expected { return expected{status, 0} }
+	retried, relayed := expected{200, 1}, func(status int) expected { return expected{status, 0} }
 	return []workerResponse{
-		{"valid response", respondWith(okResponse), 1, passed(200), passed(200)},
-		{"connection refused", nil, 0, served, served},
-		{"503 with proof of non-execution", respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"503 with proof of non-execution and Connection: close", respondThenClose("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"429 with proof of non-execution", respondWith("HTTP/1.1 429 Many\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"421", respondWith("HTTP/1.1 421 No\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, served},
-		{"400 with proof of non-execution", respondWith("HTTP/1.1 400 No\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, passed(400), passed(400)},
-		{"503 without proof", respondWith("HTTP/1.1 503 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"429 without proof", respondWith("HTTP/1.1 429 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"408 without proof", respondWith("HTTP/1.1 408 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"504 that claims not executed", respondWith("HTTP/1.1 504 Bad\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"200 that claims not executed", respondWith("HTTP/1.1 200 OK" + sealed + "Go-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"500", respondWith("HTTP/1.1 500 Oh" + sealed + "Content-Length: 2\r\n\r\noh"), 1, served, passed(500)},
-		{"504", respondWith("HTTP/1.1 504 Late" + sealed + "Content-Length: 0\r\n\r\n"), 1, passed(504), passed(504)},
-		{"404", respondWith("HTTP/1.1 404 No" + sealed + "Content-Length: 0\r\n\r\n"), 1, passed(404), passed(404)},
-		{"302", respondWith("HTTP/1.1 302 There" + sealed + "Location: /\r\nContent-Length: 0\r\n\r\n"), 1, passed(302), passed(302)},
-		{"connection closed without a response", respondThenClose(""), 1, served, passed(502)},
-		{"bytes that are not HTTP", respondThenClose("\x00\x01garbage\r\n\r\n"), 1, served, passed(502)},
-		{"connection closed within the header", respondThenClose("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nGo-S"), 1, served, passed(502)},
-		{"response to another request", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"response to another request without body", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"rejection of another request", respondWith("HTTP/1.1 503 Full\r\nGo-Id: other\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, served, passed(502)},
-		{"response without a request ID", respondWith("HTTP/1.1 200 OK\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"200 without Go-Seal field", respondWith("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"gzip content encoding", respondWith("HTTP/1.1 200 OK" + sealed + "Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nfine"), 1, served, passed(502)},
-		{"body shorter than Content-Length", respondThenClose("HTTP/1.1 200 OK" + sealed + "Content-Length: 9\r\n\r\nfine"), 1, served, passed(502)},
-		{"chunked body without last chunk", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"), 1, served, passed(502)},
-		{"invalid chunk size", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n"), 1, served, passed(502)},
-		{"neither Content-Length nor chunked encoding", respondThenClose("HTTP/1.1 200 OK" + sealed + "\r\nfine"), 1, served, passed(502)},
-		{"101 Switching Protocols", respondThenClose("HTTP/1.1 101 Go\r\nGo-Id: ID\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"), 1, served, passed(502)},
+		{"valid response", respondWith(okResponse), 1, relayed(200), relayed(200)},
+		{"connection refused", nil, 0, retried, retried},
+		{"503 with proof of non-execution", respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, retried, retried},
+		{"503 with proof of non-execution and Connection: close", respondThenClose("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), 1, retried, retried},
+		{"429 with proof of non-execution", respondWith("HTTP/1.1 429 Many\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, retried, retried},
+		{"421", respondWith("HTTP/1.1 421 No\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, retried, retried},
+		{"400 with proof of non-execution", respondWith("HTTP/1.1 400 No\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, relayed(400), relayed(400)},
+		{"503 without proof", respondWith("HTTP/1.1 503 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, retried, relayed(502)},
+		{"429 without proof", respondWith("HTTP/1.1 429 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, retried, relayed(502)},
+		{"408 without proof", respondWith("HTTP/1.1 408 Bad\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), 1, retried, relayed(502)},
+		{"504 that claims not executed", respondWith("HTTP/1.1 504 Bad\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, retried, relayed(502)},
+		{"200 that claims not executed", respondWith("HTTP/1.1 200 OK" + sealed + "Go-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, retried, relayed(502)},
+		{"500", respondWith("HTTP/1.1 500 Oh" + sealed + "Content-Length: 2\r\n\r\noh"), 1, retried, relayed(500)},
+		{"504", respondWith("HTTP/1.1 504 Late" + sealed + "Content-Length: 0\r\n\r\n"), 1, relayed(504), relayed(504)},
+		{"404", respondWith("HTTP/1.1 404 No" + sealed + "Content-Length: 0\r\n\r\n"), 1, relayed(404), relayed(404)},
+		{"302", respondWith("HTTP/1.1 302 There" + sealed + "Location: /\r\nContent-Length: 0\r\n\r\n"), 1, relayed(302), relayed(302)},
+		{"connection closed without a response", respondThenClose(""), 1, retried, relayed(502)},
+		{"bytes that are not HTTP", respondThenClose("\x00\x01garbage\r\n\r\n"), 1, retried, relayed(502)},
+		{"connection closed within the header", respondThenClose("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nGo-S"), 1, retried, relayed(502)},
+		{"response to another request", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, retried, relayed(502)},
+		{"response to another request without body", respondWith("HTTP/1.1 200 OK\r\nGo-Id: other\r\nGo-Seal: seal\r\nContent-Length: 0\r\n\r\n"), 1, retried, relayed(502)},
+		{"rejection of another request", respondWith("HTTP/1.1 503 Full\r\nGo-Id: other\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 1, retried, relayed(502)},
+		{"response without a request ID", respondWith("HTTP/1.1 200 OK\r\nGo-Seal: seal\r\nContent-Length: 4\r\n\r\nfine"), 1, retried, relayed(502)},
+		{"200 without Go-Seal field", respondWith("HTTP/1.1 200 OK\r\nGo-Id: ID\r\nContent-Length: 4\r\n\r\nfine"), 1, retried, relayed(502)},
+		{"gzip content encoding", respondWith("HTTP/1.1 200 OK" + sealed + "Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nfine"), 1, retried, relayed(502)},
+		{"body shorter than Content-Length", respondThenClose("HTTP/1.1 200 OK" + sealed + "Content-Length: 9\r\n\r\nfine"), 1, retried, relayed(502)},
+		{"chunked body without last chunk", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"), 1, retried, relayed(502)},
+		{"invalid chunk size", respondThenClose("HTTP/1.1 200 OK" + sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n"), 1, retried, relayed(502)},
+		{"neither Content-Length nor chunked encoding", respondThenClose("HTTP/1.1 200 OK" + sealed + "\r\nfine"), 1, retried, relayed(502)},
+		{"101 Switching Protocols", respondThenClose("HTTP/1.1 101 Go\r\nGo-Id: ID\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"), 1, retried, relayed(502)},
 	}
 }
 
@@ -89,10 +89,10 @@
 	if want.status == 200 && response.body != "fine" {
 		t.Errorf("got response body %q, want \"fine\"", response.body)
 	}
-	if n := site.workers[0].runs(); n != firstRequests {
+	if n := site.workers[0].requestCount(); n != firstRequests {
 		t.Errorf("first worker received the request %d times, want %d", n, firstRequests)
 	}
-	if n := site.workers[1].runs(); n != want.second {
+	if n := site.workers[1].requestCount(); n != want.second {
 		t.Errorf("second worker received the request %d times, want %d", n, want.second)
 	}
 }
@@ -120,12 +120,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			withSite(t, test.ws, func(s *testSite) {
 				response := s.send(postRequest(test.route, "a1", "body"))
-				if response.err != nil || response.status != test.status || (response.head.Get("Retry-After") != "") != test.waits {
-					t.Errorf("got status %d, Retry-After %q, error %v; want status %d, Retry-After set: %v", response.status, response.head.Get("Retry-After"), response.err, test.status, test.waits)
+				if response.err != nil || response.status != test.status || (response.header.Get("Retry-After") != "") != test.waits {
+					t.Errorf("got status %d, Retry-After %q, error %v; want status %d, Retry-After set: %v", response.status, response.header.Get("Retry-After"), response.err, test.status, test.waits)
 				}
 				n := 0
 				for _, worker := range s.workers {
-					n += worker.runs()
+					n += worker.requestCount()
 				}
 				if n > test.workers {
 					t.Errorf("workers received the request %d times, want at most %d", n, test.workers)
