--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -16,13 +16,13 @@
 )
 
 // dialLoopbackSite starts an edge node with one worker on loopback sockets, and connects a client to it.
-func dialLoopbackSite(b *testing.B, script workerScript) *clientConn {
+func dialLoopbackSite(b *testing.B, respond workerScript) *clientConn {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatalf("listen as worker: %v", err)
 	}
-	worker := &testWorker{script: func(conn net.Conn, r *http.Request, s string) bool { return script(conn, r, s) }}
+	worker := &testWorker{script: func(conn net.Conn, r *http.Request, s string) bool { return respond(conn, r, s) }}
 	worker.Worker = fleet.Worker{ID: "w0", Service: "s", Addr: listener.Addr().String(), Slots: 8}
 	go worker.serve(listener)
 	frontListener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -58,27 +58,27 @@
 const clientAddr, readinessAddr, testHost = "10.0.0.1:80", "10.0.0.1:81", "any.example"
 
 func testPlan() *routingconfig.Plan {
-	one := func(name string, k routingconfig.Kind, resumable bool) routingconfig.Route {
-		return routingconfig.Route{Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: k, Resumable: resumable, MaxAttempts: 3, Public: true,
+	newRoute := func(name string, kind routingconfig.Kind, resumable bool) routingconfig.Route {
+		return routingconfig.Route{Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, Resumable: resumable, MaxAttempts: 3, Public: true,
 			Timeout: 8 * time.Second, LatencyTarget: 400 * time.Millisecond, Split: []routingconfig.WeightedService{{Service: "s", Weight: 1}}}
 	}
-	private := one("private", routingconfig.AtMostOnce, false)
+	private := newRoute("private", routingconfig.AtMostOnce, false)
 	private.Public = false
 	return (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: "s", MaxConns: 100}},
-		Routes:  []routingconfig.Route{one("repeat", routingconfig.Idempotent, false), one("once", routingconfig.AtMostOnce, false), one("stream", routingconfig.EventStream, false), one("resume", routingconfig.EventStream, true), private},
+		Routes:  []routingconfig.Route{newRoute("repeat", routingconfig.Idempotent, false), newRoute("once", routingconfig.AtMostOnce, false), newRoute("stream", routingconfig.EventStream, false), newRoute("resume", routingconfig.EventStream, true), private},
 		Tenants: []routingconfig.Tenant{{Name: "ten", Keys: []string{"good"}, Priority: -1}},
 		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}).BuildIndex()
 }
 
-// withSite starts an edge node that enforces key revocation and one worker per script, and calls act in the same
+// withSite starts an edge node that enforces key revocation and one worker per script, and calls run in the same
 // synctest bubble.
-func withSite(t *testing.T, scripts []workerScript, act func(s *testSite)) {
+func withSite(t *testing.T, scripts []workerScript, run func(s *testSite)) {
 	t.Helper()
-	withRevocation(t, true, scripts, act)
+	withRevocation(t, true, scripts, run)
 }
 
 // withRevocation is like withSite, but enforced selects whether the edge node enforces key revocation.
-func withRevocation(t *testing.T, enforced bool, scripts []workerScript, act func(s *testSite)) {
+func withRevocation(t *testing.T, enforced bool, scripts []workerScript, run func(s *testSite)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		site := &testSite{t: t, network: &pipeNetwork{listeners: map[string]*pipeListener{}, dials: map[string]int{}}, selector: &fakeSelector{}}
@@ -115,7 +115,7 @@
 			}
 		}()
 		site.server.misdirectedBudget = retrybudget.New(1, 100) // ample, so that it limits no retry unless a test replaces it
-		act(site)
+		run(site)
 	})
 }
 
--- a/internal/data/proxy/testworker_test.go
+++ b/internal/data/proxy/testworker_test.go
@@ -49,9 +49,9 @@
 				}
 				worker.mu.Lock()
 				worker.requests, worker.bodies = append(worker.requests, r), append(worker.bodies, string(all))
-				script := worker.script
+				respond := worker.script
 				worker.mu.Unlock()
-				if !script(conn, r, string(all)) {
+				if !respond(conn, r, string(all)) {
 					return
 				}
 			}
