--- a/internal/data/proxy/classify.go
+++ b/internal/data/proxy/classify.go
@@ -74,7 +74,7 @@
 	return false
 }
 
-// isSelfDelimited reports whether the end of the response body can be told from a broken connection: by a
+// isSelfDelimited reports whether the end of the response body can be distinguished from a broken connection: by a
 // Content-Length, by chunked encoding, or because the response has no body.
 func (a *attempt) isSelfDelimited() bool {
 	status := a.response.StatusCode
@@ -95,7 +95,7 @@
 }
 
 // bufferResponse reads a short error response of a worker and stores it as the request's fallback, unless the
-// stored one is better. executed tells whether the worker executed the request.
+// stored one is better. executed reports whether the worker executed the request.
 func (a *attempt) bufferResponse(executed bool) {
 	req := a.request
 	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBufferedResponse+1))
--- a/internal/data/proxy/relay.go
+++ b/internal/data/proxy/relay.go
@@ -75,7 +75,7 @@
 	return n, err
 }
 
-// writeToClient relays a chunk of the response body; last tells whether the body ends with it. It returns false if
+// writeToClient relays a chunk of the response body; last is true if the body ends with it. It returns false if
 // the attempt has ended, because the client disconnected or the chunk doesn't continue a resumed stream.
 func (a *attempt) writeToClient(chunk []byte, last, streamed bool) bool {
 	req := a.request
--- a/internal/data/proxy/reuse_test.go
+++ b/internal/data/proxy/reuse_test.go
@@ -216,8 +216,8 @@
 	})
 }
 
-// A request without an ID must get a new connection that is closed afterwards: its response can't be told apart from
-// a stale one by its ID.
+// A request without an ID must get a new connection that is closed afterwards: its response can't be distinguished
+// from a stale one by its ID.
 func TestRequestsWithoutAnID(t *testing.T) {
 	text := "HTTP/1.1 400 No\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	withSite(t, []workerScript{respondWith(text)}, func(s *testSite) {
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -94,7 +94,7 @@
 )
 
 // A retry after a 421 response (the worker's address now belongs to another worker) also needs a token from a
-// second budget, which all services share. Such attempts load the service that now owns the address, and that
+// second budget, which all services share. Such attempts load the service that now has the address, and that
 // service's own retry budget doesn't limit them. Both constants are ratios of the retry budget's settings.
 const (
 	misdirectedRatio          = 0.1
