--- a/internal/data/proxy/search_test.go
+++ b/internal/data/proxy/search_test.go
@@ -12,19 +12,20 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Size of the search, and how often a worker misbehaves.
+// Size of the randomized test, and its fault rates.
 const (
-	searchSeeds    = 2 // unless POINT5_SEEDS gives another number
+	searchSeeds    = 2 // number of seeds, unless POINT5_SEEDS sets another
 	searchClients  = 24
-	searchRequests = 30 // of each client
+	searchRequests = 30 // requests per client
 	searchWorkers  = 3
-	searchConns    = 4 // to each worker
-	misbehaves     = 0.2
-	staysSilent    = 0.1 // of misbehaves
-	searchWait     = 400 * time.Millisecond
+	searchConns    = 4                      // maximum connections to each worker
+	faultRatio     = 0.2                    // ratio of requests at which a worker injects a fault
+	hangRatio      = 0.1                    // ratio of the injected faults that are hangs
+	searchDeadline = 400 * time.Millisecond // deadline of each client request
 )
 
-// plannedFault returns how a worker misbehaves at a request; it depends on seed, worker and ID alone.
+// plannedFault returns the fault that a worker injects at a request, and its step. The result depends only on the
+// seed, the worker and the request ID, so that a seed reproduces its faults.
 func plannedFault(seed uint64, worker, id string) (step, fault, bool) {
 	if id == "" {
 		return 0, 0, false
@@ -34,22 +35,22 @@
 		h = h*1099511628211 + uint64(c)
 	}
 	r := rand.New(rand.NewPCG(seed, h))
-	if r.Float64() >= misbehaves {
+	if r.Float64() >= faultRatio {
 		return 0, 0, false
 	}
 	s, f := headReceived+step(r.IntN(int(responseSent-headReceived)+1)), reset+fault(r.IntN(int(faultCount-reset)))
-	if r.Float64() < staysSilent {
+	if r.Float64() < hangRatio {
 		f = hang
 	}
-	if s == halfBodySent && f > closeWrite { // a body that the worker itself garbles can't be detected
+	if s == halfBodySent && f > closeWrite { // the proxy can't detect wrong bytes within a body of the declared length
 		s = halfHeadSent
 	}
 	return s, f, true
 }
 
-// Many clients share few connections to workers that misbehave at random steps: every client checks that its
-// response has its own ID and body, and the workers count what they executed. No connection may be reused
-// after unsolicited bytes.
+// Randomized test: many clients share few connections to workers that inject faults at random steps. Each response
+// must carry the ID and body of its own request, requests that aren't idempotent must be executed at most once,
+// and no connection may be reused after unsolicited bytes.
 func TestSearchForAnswersGoneWrong(t *testing.T) {
 	seeds := searchSeeds
 	if n, err := strconv.Atoi(os.Getenv("POINT5_SEEDS")); err == nil {
@@ -57,20 +58,20 @@
 	}
 	total := map[int]int{}
 	for seed := range seeds {
-		for status, n := range searchOnce(t, uint64(seed)) {
+		for status, n := range runSearch(t, uint64(seed)) {
 			total[status] += n
 		}
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("invariants violated with seed %d", seed)
 		}
 	}
-	t.Logf("%d seeds of %d requests; by status (0: visibly broken): %v", seeds, searchClients*searchRequests, total)
+	t.Logf("%d seeds with %d requests each; number of responses by status (0: incomplete or none): %v", seeds, searchClients*searchRequests, total)
 	if total[200] < seeds*searchClients*searchRequests/3 {
-		t.Errorf("too few are served for the search to show anything: %v", total)
+		t.Errorf("got %d responses with status 200, want at least a third of %d requests; by status: %v", total[200], seeds*searchClients*searchRequests, total)
 	}
 }
 
-func searchOnce(t *testing.T, seed uint64) map[int]int {
+func runSearch(t *testing.T, seed uint64) map[int]int {
 	var faulty []*adversary
 	var workers []fleet.Worker
 	for i := range searchWorkers {
@@ -89,10 +90,10 @@
 			for n := range searchRequests {
 				route := []string{"repeat", "once", "once", "resume"}[r.IntN(4)]
 				id := fmt.Sprintf("s%d-c%d-n%d", seed, client, n)
-				response := site.send(route, id, searchWait)
+				response := site.send(route, id, searchDeadline)
 				runs := 0
 				for _, faultyWorker := range faulty {
-					runs += faultyWorker.ran(id)
+					runs += faultyWorker.executions(id)
 				}
 				checkReply(t, route, id, response, runs)
 				mu.Lock()
@@ -106,8 +107,8 @@
 	}
 	all.Wait()
 	for _, faultyWorker := range faulty {
-		if faultyWorker.mu.Lock(); faultyWorker.tainted > 0 {
-			t.Errorf("%s: %d requests came on connections with unexplained bytes", faultyWorker.ID, faultyWorker.tainted)
+		if faultyWorker.mu.Lock(); faultyWorker.requestsAfterStrays > 0 {
+			t.Errorf("worker %s: %d requests came on connections with unsolicited bytes, want 0", faultyWorker.ID, faultyWorker.requestsAfterStrays)
 		}
 		faultyWorker.mu.Unlock()
 	}
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -19,7 +19,7 @@
 	"pebbleloom/internal/settings"
 )
 
-// testHeaders names header fields that no platform has: the proxy must not depend on the names.
+// testHeaders uses header field names that no platform uses, because the proxy must not depend on the names.
 func testHeaders() Headers {
 	return Headers{ID: "Go-Id", TimeRemaining: "Go-Left", Tenant: "Go-Tenant", ExpectedInstance: "Go-Instance", ExpectedVersion: "Go-Version",
 		Priority: "Go-Urgency", CacheSalt: "Go-Salt", FetchFrom: "Go-Fetch", SaveTo: "Go-Save", Model: "Go-Model", TokenUsage: "Go-Usage",
@@ -43,7 +43,7 @@
 		}}
 }
 
-// testSite is one edge node with its workers and clients, in a synctest bubble.
+// testSite is an edge node with its workers and clients inside a synctest bubble.
 type testSite struct {
 	t        *testing.T
 	network  *pipeNetwork
@@ -55,37 +55,37 @@
 	workers  []*testWorker
 }
 
-const front, readyAt, host = "10.0.0.1:80", "10.0.0.1:81", "any.example"
+const clientAddr, readinessAddr, testHost = "10.0.0.1:80", "10.0.0.1:81", "any.example"
 
 func testPlan() *routingconfig.Plan {
-	one := func(name string, k routingconfig.Kind, resumable bool) routingconfig.Route {
-		return routingconfig.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: k, Resumable: resumable, MaxAttempts: 3, Public: true,
+	newRoute := func(name string, kind routingconfig.Kind, resumable bool) routingconfig.Route {
+		return routingconfig.Route{Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, Resumable: resumable, MaxAttempts: 3, Public: true,
 			Timeout: 8 * time.Second, LatencyTarget: 400 * time.Millisecond, Split: []routingconfig.WeightedService{{Service: "s", Weight: 1}}}
 	}
-	private := one("private", routingconfig.AtMostOnce, false)
+	private := newRoute("private", routingconfig.AtMostOnce, false)
 	private.Public = false
 	return (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: "s", MaxConns: 100}},
-		Routes:  []routingconfig.Route{one("repeat", routingconfig.Idempotent, false), one("once", routingconfig.AtMostOnce, false), one("stream", routingconfig.EventStream, false), one("resume", routingconfig.EventStream, true), private},
+		Routes:  []routingconfig.Route{newRoute("repeat", routingconfig.Idempotent, false), newRoute("once", routingconfig.AtMostOnce, false), newRoute("stream", routingconfig.EventStream, false), newRoute("resume", routingconfig.EventStream, true), private},
 		Tenants: []routingconfig.Tenant{{Name: "ten", Keys: []string{"good"}, Priority: -1}},
 		Limits:  routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 100 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}).BuildIndex()
 }
 
-// withSite starts a site with a worker for each script, which enforces revocations, and calls act in its synctest
-// bubble.
-func withSite(t *testing.T, scripts []workerScript, act func(s *testSite)) {
+// withSite starts an edge node that enforces key revocation and one worker per script, and calls run in the same
+// synctest bubble.
+func withSite(t *testing.T, scripts []workerScript, run func(s *testSite)) {
 	t.Helper()
-	withRevocation(t, true, scripts, act)
+	withRevocation(t, true, scripts, run)
 }
 
-// withRevocation is withSite for a site that enforces revocations of keys, or doesn't.
-func withRevocation(t *testing.T, enforced bool, scripts []workerScript, act func(s *testSite)) {
+// withRevocation is like withSite, but enforced selects whether the edge node enforces key revocation.
+func withRevocation(t *testing.T, enforced bool, scripts []workerScript, run func(s *testSite)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		site := &testSite{t: t, network: &pipeNetwork{listeners: map[string]*pipeListener{}, dials: map[string]int{}}, selector: &fakeSelector{}}
 		bounds := settings.DefaultBounds()
 		bounds.RetryPercent, bounds.RetryAllowance = 100, 100
-		processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: front, Bounds: bounds, Options: []string{"log=off"},
-			Site: &settings.Site{ReadinessListen: readyAt, MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 120, EnforceRevocation: enforced}}
+		processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "10.0.0.1:7000", Public: clientAddr, Bounds: bounds, Options: []string{"log=off"},
+			Site: &settings.Site{ReadinessListen: readinessAddr, MemoryLimitMB: 256, GraceMs: 8000, TransitMs: 120, EnforceRevocation: enforced}}
 		clk := clock.Synctest()
 		site.process = daemon.NewIn(daemon.Environment{Clock: clk, Listen: site.network.Listen, Dial: site.network.Dial}, "edge", processSettings)
 		snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), EdgeCount: 1}
@@ -94,7 +94,7 @@
 			worker.Worker = fleet.Worker{ID: "w" + strconv.Itoa(i), Service: "s", Addr: "10.0.1." + strconv.Itoa(i) + ":8080", Slots: 8}
 			snap.Workers = append(snap.Workers, worker.Worker)
 			site.workers = append(site.workers, worker)
-			if x != nil { // nil: nobody listens there
+			if x != nil { // a worker without a script doesn't listen on its address
 				listener, _ := site.network.Listen(worker.Addr)
 				go worker.serve(listener)
 				defer listener.Close()
@@ -103,28 +103,28 @@
 		site.snapshot.Store(snap)
 		site.server = newServer(site.process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: site.snapshot.Load, Selector: site.selector})
 		if err := site.server.start(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("start the proxy: %v", err)
 		}
 		defer func() {
 			site.stop()
 			synctest.Wait()
 			site.selector.mu.Lock()
 			defer site.selector.mu.Unlock()
-			if site.selector.open != 0 {
-				t.Errorf("%d attempts were never reported as done", site.selector.open)
+			if site.selector.openAttempts != 0 {
+				t.Errorf("RecordSent minus RecordOutcome calls at the selector: got %d, want 0", site.selector.openAttempts)
 			}
 		}()
-		site.server.misdirectedBudget = retrybudget.New(1, 100) // like the other budget: enough for one more attempt
-		act(site)
+		site.server.misdirectedBudget = retrybudget.New(1, 100) // ample, so that it limits no retry unless a test replaces it
+		run(site)
 	})
 }
 
-// set changes the snapshot.
+// set replaces the current snapshot by a copy that f has modified.
 func (s *testSite) set(f func(*fleet.Snapshot)) {
 	n := *s.snapshot.Load()
 	f(&n)
 	s.snapshot.Store(&n)
 }
 
-// stop shuts the node down gracefully, once.
+// stop shuts the edge node down gracefully. Later calls do nothing.
 func (s *testSite) stop() { s.once.Do(func() { s.process.Stop(7200 * time.Millisecond) }) }
