--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -32,7 +32,7 @@
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
 		t.Error("the lateness doesn't count after the first event")
 	}
-	edge.now += 8 * edge.bounds.Heal(loadTuning.fadeRatio)
+	edge.now += 8 * edge.bounds.Heal(loadTuning.decayRatio)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
 		t.Errorf("%s, though %s is free again", choice.Worker.ID, home)
 	}
--- a/internal/data/selection/choice.go
+++ b/internal/data/selection/choice.go
@@ -17,17 +17,17 @@
 	}
 	for i, key := range prompt.keys[:prompt.sharedParts] {
 		expected.sharedParts = append(expected.sharedParts, prefix.Entry{Key: key,
-			Tokens: int(s.tokensUpTo[i+1] - s.tokensUpTo[i]), CumulativeTokens: int(s.tokensUpTo[i+1])})
+			Tokens: int(s.cumulativeTokens[i+1] - s.cumulativeTokens[i]), CumulativeTokens: int(s.cumulativeTokens[i+1])})
 	}
 	if storeIndex := s.storeFor(prompt); storeIndex >= 0 {
 		store := s.group.stores[storeIndex].service
-		sharedTokens := s.tokensUpTo[prompt.sharedParts]
+		sharedTokens := s.cumulativeTokens[prompt.sharedParts]
 		if sharedTokens >= transferTuning.minSavedTokens && !s.isStored(prompt) {
 			choice.Save, expected.store = store.Store.Addr, store.Name
 		}
-		cached := cachedRun(t.presumedParts[index], 0)
+		cached := consecutiveParts(t.presumedParts[index], 0)
 		if choice.Fetch == "" && cached < prompt.sharedParts && s.mayBeStored(prompt) &&
-			sharedTokens-s.tokensUpTo[cached] >= 2*transferTuning.minSavedTokens {
+			sharedTokens-s.cumulativeTokens[cached] >= 2*transferTuning.minSavedTokens {
 			choice.Fetch = store.Store.Addr // it probably has them: a miss costs next to nothing
 		}
 	}
@@ -38,10 +38,10 @@
 // mayBeStored reports whether a store may have the shared parts although no holder is known: the index
 // didn't respond, or the deciding part was used recently.
 func (s *scorer) mayBeStored(prompt *promptState) bool {
-	if !prompt.isIndexed {
+	if !prompt.indexResponded {
 		return true
 	}
-	return prompt.decidingPart >= 0 && s.found[prompt.keys[prompt.decidingPart]].GetHotness() > 0
+	return prompt.affinityPart >= 0 && s.found[prompt.keys[prompt.affinityPart]].GetHotness() > 0
 }
 
 // storeFor is the store that a prompt's shared parts belong to, of those that respond; -1 if there is
@@ -51,7 +51,7 @@
 		return -1
 	}
 	best, greatest := -1, uint64(0)
-	part := keyHash(prompt.keys[max(0, prompt.decidingPart)])
+	part := keyHash(prompt.keys[max(0, prompt.affinityPart)])
 	for i, store := range s.group.stores {
 		if s.table.unavailableStores[store.service.Name] {
 			continue
--- a/internal/data/selection/ejection.go
+++ b/internal/data/selection/ejection.go
@@ -41,13 +41,13 @@
 }
 
 // add lets the counts fade to an instant, and adds outcomes.
-func (c *outcomeCounts) add(succeeded, failed float64, now, fadeTime time.Duration) {
-	weight := decayWeight(now-c.updatedAt, fadeTime)
+func (c *outcomeCounts) add(succeeded, failed float64, now, decayTime time.Duration) {
+	weight := decayWeight(now-c.updatedAt, decayTime)
 	c.succeeded, c.failed, c.updatedAt = c.succeeded*weight+succeeded, c.failed*weight+failed, now
-	if c.succeeded < negligible {
+	if c.succeeded < zeroThreshold {
 		c.succeeded = 0
 	}
-	if c.failed < negligible {
+	if c.failed < zeroThreshold {
 		c.failed = 0
 	}
 }
@@ -76,11 +76,11 @@
 	default:
 		return
 	}
-	ended.stats.outcomes.add(succeeded, failed, now, t.outcomeFadeTime())
+	ended.stats.outcomes.add(succeeded, failed, now, t.outcomeDecayTime())
 }
 
-func (t *table) outcomeFadeTime() time.Duration {
-	return t.bounds.Heal(ejectionTuning.outcomeFadeRatio)
+func (t *table) outcomeDecayTime() time.Duration {
+	return t.bounds.Heal(ejectionTuning.outcomeDecayRatio)
 }
 
 // ejectIfSuspect ejects a worker that fails far more often than its peers, by the outcomes that all edge
--- a/internal/data/selection/eligibility.go
+++ b/internal/data/selection/eligibility.go
@@ -16,9 +16,9 @@
 	avoidNotReady
 )
 
-// usable lists the candidates that may be selected: those that are avoided only if no other is left.
+// usable lists the candidates that may be selected: those that are avoided only if no other is remaining.
 func (t *table) usable(group *serviceGroup, versions *modelVersions, snapshot *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
-	named, oldest := snapshot.NamedVersions[model], t.oldestAllowed(snapshot, model, versions, now)
+	named, oldest := snapshot.NamedVersions[model], t.oldestAllowedVersion(snapshot, model, versions, now)
 	weakest := avoidNotReady
 	allowed, reasons := t.usableScratch[:0], t.reasonScratch[:0]
 	for i, candidate := range group.candidates {
@@ -75,13 +75,13 @@
 		until = nextEjectionEnd(group, usable, until)
 		ejected = countEjected(until)
 	}
-	var left []int
+	var remaining []int
 	for _, index := range usable {
 		if group.candidates[index].stats.ejectedUntil <= until {
-			left = append(left, index)
+			remaining = append(remaining, index)
 		}
 	}
-	return left
+	return remaining
 }
 
 // nextEjectionEnd is the first instant after another at which an ejection ends; 0: none.
--- a/internal/data/selection/estimator.go
+++ b/internal/data/selection/estimator.go
@@ -38,9 +38,9 @@
 	stats := w.service
 	ms, expectedMs := milliseconds(firstEvent), stats.expectedFirstEventMs(tokens)
 	if expectedMs > 0 {
-		logSample := math.Log(withinMultiple(ms/expectedMs, 1))
-		faded := w.logSlowness * t.slownessWeight(w, now)
-		w.logSlowness, w.slownessAt = faded+estimatorTuning.slownessWeight*(logSample-faded), now
+		logRatio := math.Log(withinMultiple(ms/expectedMs, 1))
+		decayed := w.logSlowness * t.slownessWeight(w, now)
+		w.logSlowness, w.slownessAt = decayed+estimatorTuning.slownessWeight*(logRatio-decayed), now
 		if math.Abs(w.logSlowness) < estimatorTuning.minSlowness {
 			w.logSlowness = 0
 		}
@@ -59,5 +59,5 @@
 
 // slownessWeight is how much of a worker's slowness is left after the time since its last sample.
 func (t *table) slownessWeight(w *workerStats, now time.Duration) float64 {
-	return decayWeight(now-w.slownessAt, t.bounds.Heal(estimatorTuning.slownessFadeRatio))
+	return decayWeight(now-w.slownessAt, t.bounds.Heal(estimatorTuning.slownessDecayRatio))
 }
--- a/internal/data/selection/layout.go
+++ b/internal/data/selection/layout.go
@@ -87,22 +87,22 @@
 	if t.layout != nil && t.layout.snapshot == snapshot {
 		return t.layout
 	}
-	laidOut := &layout{
+	built := &layout{
 		snapshot:       snapshot,
 		workerListHash: t.workerListHash(snapshot.Workers),
 		groups:         map[string]*serviceGroup{},
 		sizeClasses:    sizeClassesOf(snapshot.Plan),
 	}
 	carried := &carriedStats{from: t, workers: make(map[string]*workerStats, len(snapshot.Workers)), services: map[string]*serviceStats{}}
-	stores := laidOut.addServices(carried)
+	stores := built.addServices(carried)
 	for i := range snapshot.Workers {
 		worker := &snapshot.Workers[i]
-		if group := laidOut.groups[worker.Service]; group != nil {
+		if group := built.groups[worker.Service]; group != nil {
 			group.index[worker.ID] = len(group.candidates)
 			group.candidates = append(group.candidates, candidate{worker, carried.stats(worker.ID, worker.Service), rendezvous.Hash(worker.ID), uint32(i)})
 		}
 	}
-	for _, group := range laidOut.groups {
+	for _, group := range built.groups {
 		group.stores = stores
 		group.cordoned = make([]bool, len(group.candidates))
 		if placement := snapshot.Placements[group.service.Name]; placement != nil {
@@ -111,8 +111,8 @@
 			}
 		}
 	}
-	t.workers, t.services, t.layout = carried.workers, carried.services, laidOut
-	return laidOut
+	t.workers, t.services, t.layout = carried.workers, carried.services, built
+	return built
 }
 
 // addServices makes a group for each of the plan's services with workers, and returns its stores.
--- a/internal/data/selection/loadsharing.go
+++ b/internal/data/selection/loadsharing.go
@@ -46,7 +46,7 @@
 		if worker == nil {
 			continue
 		}
-		worker.outcomes.add(0, 0, now, t.outcomeFadeTime())
+		worker.outcomes.add(0, 0, now, t.outcomeDecayTime())
 		succeeded := uint32(math.Round(worker.outcomes.succeeded * outcomesPerCount))
 		failed := uint32(math.Round((worker.outcomes.failed + overdue[worker]) * outcomesPerCount))
 		pending := uint32(pendingTokens[worker] / pendingTokensUnit)
@@ -106,7 +106,7 @@
 			worker.othersFailed = float64(loads.Failures[row]) / outcomesPerCount
 		}
 		worker.reportedAt, worker.hasReported = now, true
-		worker.outcomes.add(0, 0, now, t.outcomeFadeTime())
+		worker.outcomes.add(0, 0, now, t.outcomeDecayTime())
 		totalLoad += worker.othersLoad
 		totalSucceeded = totalSucceeded + worker.othersSucceeded + worker.outcomes.succeeded
 		totalFailed = totalFailed + worker.othersFailed + worker.outcomes.failed
--- a/internal/data/selection/overload_test.go
+++ b/internal/data/selection/overload_test.go
@@ -31,7 +31,7 @@
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, map[string]bool{"w3": true}, edge.now); !ok {
 		t.Error("a request that was sent before is rejected")
 	}
-	edge.now += 9 * edge.bounds.Heal(loadTuning.fadeRatio) // without new samples the lateness fades
+	edge.now += 9 * edge.bounds.Heal(loadTuning.decayRatio) // without new samples the lateness fades
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok {
 		t.Error("rejects forever")
 	}
--- a/internal/data/selection/promptstate.go
+++ b/internal/data/selection/promptstate.go
@@ -11,18 +11,18 @@
 // promptState is a prompt under one version of the weights, with the workers and stores that cache its
 // parts. A set of parts is a uint64 with a bit for each.
 type promptState struct {
-	version      uint64
-	salt         string
-	keys         []prefix.Key // by part
-	sharedParts  int          // parts, from the first on, that other requests use too
-	decidingPart int          // the part that decides on the home; -1: none
-	isReplicated bool         // the placement replicates the deciding part: any worker may cache it
-	isCold       bool         // the deciding part has no known holder
-	isIndexed    bool         // the index responded for some part
-	home         int          // candidate; -1: none
-	sources      []source
-	storeParts   []uint64 // by store: parts that it is presumed to have
-	knownParts   uint64   // parts that are known to be cached, or being read
+	version         uint64
+	salt            string
+	keys            []prefix.Key // by part
+	sharedParts     int          // parts, from the first on, that other requests use too
+	affinityPart    int          // the part that decides on the home; -1: none
+	isReplicated    bool         // the placement replicates the deciding part: any worker may cache it
+	isCold          bool         // the deciding part has no known holder
+	indexResponded  bool         // the index responded for some part
+	home            int          // candidate; -1: none
+	sources         []source
+	storeParts      []uint64 // by store: parts that it is presumed to have
+	partsWithHolder uint64   // parts that are known to be cached, or being read
 }
 
 // source is a worker or store that caches some of the parts.
@@ -36,9 +36,9 @@
 	msPerToken     float64 // over the slower of its link and the worker's
 }
 
-// storeHolders are, by store, the parts that it is confirmed to have, and those that are being read and
+// storedParts are, by store, the parts that it is confirmed to have, and those that are being read and
 // on their way to it.
-type storeHolders struct{ confirmed, prefilling []uint64 }
+type storedParts struct{ confirmed, prefilling []uint64 }
 
 // holderEvidence is what is known of one holder of a part.
 type holderEvidence struct {
@@ -55,23 +55,23 @@
 		salt:         s.cacheSalt(version),
 		keys:         make([]prefix.Key, len(parts)),
 		sharedParts:  max(0, len(parts)-1),
-		decidingPart: len(parts) - 2,
+		affinityPart: len(parts) - 2,
 		home:         -1,
 		storeParts:   make([]uint64, storeCount),
 	}
-	stores := storeHolders{make([]uint64, storeCount), make([]uint64, storeCount)}
+	stores := storedParts{make([]uint64, storeCount), make([]uint64, storeCount)}
 	for i := range parts {
 		if s.collectHolders(prompt, stores, i) {
 			prompt.sharedParts = len(parts)
 		}
 	}
-	if prompt.decidingPart < 0 && prompt.sharedParts > 0 {
-		prompt.decidingPart = 0
+	if prompt.affinityPart < 0 && prompt.sharedParts > 0 {
+		prompt.affinityPart = 0
 	}
 	s.collectSources(prompt, stores)
-	if prompt.decidingPart >= 0 {
-		prompt.isReplicated = s.snapshot.Placements[s.group.service.Name].IsReplicated(prompt.keys[prompt.decidingPart])
-		prompt.isCold = prompt.knownParts>>prompt.decidingPart&1 == 0
+	if prompt.affinityPart >= 0 {
+		prompt.isReplicated = s.snapshot.Placements[s.group.service.Name].IsReplicated(prompt.keys[prompt.affinityPart])
+		prompt.isCold = prompt.partsWithHolder>>prompt.affinityPart&1 == 0
 		s.findHome(prompt)
 	}
 	return prompt
@@ -80,13 +80,13 @@
 // collectHolders records the holders of one part, from the index and from this edge machine's records.
 // It reports whether the part is the prompt's last and shared all the same: a session's, or a repeated
 // request's.
-func (s *scorer) collectHolders(prompt *promptState, stores storeHolders, index int) (isLastAndShared bool) {
+func (s *scorer) collectHolders(prompt *promptState, stores storedParts, index int) (isLastAndShared bool) {
 	t, parts := s.table, s.request.parts()
 	key := promptindex.PartKey(prompt.salt, parts[index].ID)
 	prompt.keys[index] = key
 	part := uint64(1) << index
 	found, isFound := s.found[key]
-	prompt.isIndexed = prompt.isIndexed || isFound
+	prompt.indexResponded = prompt.indexResponded || isFound
 	for _, holder := range found.GetHolders() {
 		s.addHolder(prompt, stores, part, holderEvidence{id: holder.Worker, isConfirmed: holder.State == promptindex.Confirmed})
 	}
@@ -112,14 +112,14 @@
 }
 
 // addHolder records that a part is cached by a worker that serves the prompt's version, or by a store.
-func (s *scorer) addHolder(prompt *promptState, stores storeHolders, part uint64, holder holderEvidence) {
+func (s *scorer) addHolder(prompt *promptState, stores storedParts, part uint64, holder holderEvidence) {
 	t := s.table
 	if i, ok := s.group.index[holder.id]; ok {
 		if s.versions.byCandidate[i] != prompt.version {
 			return
 		}
 		t.presumedParts[i] |= part
-		prompt.knownParts |= part
+		prompt.partsWithHolder |= part
 		if holder.isConfirmed {
 			t.confirmedParts[i] |= part
 		}
@@ -133,7 +133,7 @@
 			continue
 		}
 		prompt.storeParts[i] |= part
-		prompt.knownParts |= part
+		prompt.partsWithHolder |= part
 		if holder.isConfirmed {
 			stores.confirmed[i] |= part
 		}
@@ -145,7 +145,7 @@
 
 // collectSources lists the workers and stores to fetch from: few enough to compare all with all
 // candidates. A part that is still being read can't be fetched.
-func (s *scorer) collectSources(prompt *promptState, stores storeHolders) {
+func (s *scorer) collectSources(prompt *promptState, stores storedParts) {
 	t, engine := s.table, s.group.service.Engine
 	for i, candidate := range s.group.candidates {
 		parts := t.presumedParts[i] &^ (t.prefillingParts[i] &^ t.confirmedParts[i])
@@ -199,7 +199,7 @@
 // findHome finds the home of the deciding part: the first of the usable candidates by rendezvous hashing
 // that isn't loaded beyond the bound.
 func (s *scorer) findHome(prompt *promptState) {
-	part := keyHash(prompt.keys[prompt.decidingPart])
+	part := keyHash(prompt.keys[prompt.affinityPart])
 	greatest := uint64(0)
 	for _, index := range s.usable {
 		candidate := s.group.candidates[index]
--- a/internal/data/selection/score.go
+++ b/internal/data/selection/score.go
@@ -13,16 +13,16 @@
 	source        *source // that it fetches from; nil: none
 }
 
-// cachedRun is how many parts in a row a set of parts has, from one part on.
-func cachedRun(parts uint64, from int) int { return bits.TrailingZeros64(^(parts >> from)) }
+// consecutiveParts is how many parts in a row a set of parts has, from one part on.
+func consecutiveParts(parts uint64, from int) int { return bits.TrailingZeros64(^(parts >> from)) }
 
 // score returns the cost of the request on a candidate: the sum of the terms that the package comment
 // lists. It stops early, without the exact cost, for a candidate that can't cost less than bestMs.
 func (s *scorer) score(index int, prompt *promptState, bestMs float64) workerCost {
 	candidate := &s.group.candidates[index]
-	cached := min(cachedRun(s.table.presumedParts[index], 0), s.partCount())
-	missing := s.tokensUpTo[s.partCount()] - s.tokensUpTo[cached] + s.ownTokens // tokens that it doesn't cache
-	shared := max(0, s.tokensUpTo[min(prompt.sharedParts, s.partCount())]-s.tokensUpTo[cached])
+	cached := min(consecutiveParts(s.table.presumedParts[index], 0), s.partCount())
+	missing := s.cumulativeTokens[s.partCount()] - s.cumulativeTokens[cached] + s.remainingTokens // tokens that it doesn't cache
+	shared := max(0, s.cumulativeTokens[min(prompt.sharedParts, s.partCount())]-s.cumulativeTokens[cached])
 
 	cost := s.congestionMs(index) + s.tieBreakMs(candidate)
 	cost += s.queueingMs(index)
@@ -31,7 +31,7 @@
 	cost += s.slowStartMs(candidate)
 	cost += s.rolloutMs(prompt)
 	slowness := s.table.slowness(candidate.stats, s.now)
-	cost += slowness * s.waitingMs(candidate)
+	cost += slowness * s.baseLatencyMs(candidate)
 
 	// At best all shared tokens that are missing can be fetched at no cost.
 	if lowerBoundMs := cost + slowness*s.stats.msPerToken*(missing-shared); lowerBoundMs >= bestMs {
@@ -43,14 +43,14 @@
 		missing, shared = missing-fetched.tokens, shared-fetched.tokens
 	}
 	cost += slowness*s.stats.msPerToken*missing + fetched.costMs
-	if shared > 0 && prompt.knownParts>>cached&1 == 1 {
-		cost += s.rereadMsPerToken * shared // another worker caches it, and it would be read once more
+	if shared > 0 && prompt.partsWithHolder>>cached&1 == 1 {
+		cost += s.duplicatePrefillMsPerToken * shared // another worker caches it, and it would be read once more
 	}
 	return workerCost{totalMs: cost, prefillTokens: missing, transferMs: fetched.transferMs, source: fetched.source}
 }
 
 // partCount is the number of the prompt's parts.
-func (s *scorer) partCount() int { return len(s.tokensUpTo) - 1 }
+func (s *scorer) partCount() int { return len(s.cumulativeTokens) - 1 }
 
 // congestionMs is the slowdown of a worker by the requests that it executes at once.
 func (s *scorer) congestionMs(index int) float64 {
@@ -77,26 +77,26 @@
 	if candidate.worker.Zone == s.request.Zone {
 		return 0
 	}
-	return transferTuning.promptWeight * s.targetMs * affinityTuning.rereadRatio * float64(s.request.PromptTokens)
+	return transferTuning.promptWeight * s.targetMs * affinityTuning.duplicatePrefillRatio * float64(s.request.PromptTokens)
 }
 
 // affinityMs is the cost of a copy of the deciding part at a worker that isn't meant to cache it. A
 // part that the placement replicates may be cached anywhere.
 func (s *scorer) affinityMs(index int, prompt *promptState) float64 {
-	if prompt.decidingPart < 0 || prompt.isReplicated {
+	if prompt.affinityPart < 0 || prompt.isReplicated {
 		return 0
 	}
-	isElsewhere := prompt.home >= 0 && prompt.home != index
+	isNotHome := prompt.home >= 0 && prompt.home != index
 	weight := 0.0
-	if !prompt.isCold && s.table.presumedParts[index]>>prompt.decidingPart&1 == 0 {
+	if !prompt.isCold && s.table.presumedParts[index]>>prompt.affinityPart&1 == 0 {
 		weight += affinityTuning.copyWeight // the copy evicts another part
-		if isElsewhere {
+		if isNotHome {
 			weight += affinityTuning.copyElsewhereWeight
 		}
-	} else if prompt.isCold && isElsewhere {
+	} else if prompt.isCold && isNotHome {
 		weight += affinityTuning.coldWeight
 	}
-	return weight * (s.rereadMsPerToken + s.stats.msPerToken) * s.tokensUpTo[prompt.decidingPart+1]
+	return weight * (s.duplicatePrefillMsPerToken + s.stats.msPerToken) * s.cumulativeTokens[prompt.affinityPart+1]
 }
 
 // slowStartMs is the cost of a worker that was ejected lately.
@@ -104,8 +104,8 @@
 	return candidate.stats.slowStartRatio(s.now) * slowStartTuning.cost * s.targetMs
 }
 
-// waitingMs is the time to the first event of an empty prompt, behind the prompts that are queued there.
-func (s *scorer) waitingMs(candidate *candidate) float64 {
+// baseLatencyMs is the time to the first event of an empty prompt, behind the prompts that are queued there.
+func (s *scorer) baseLatencyMs(candidate *candidate) float64 {
 	return s.stats.firstEventMs + s.table.backlogMs(candidate.stats, s.now)
 }
 
@@ -114,7 +114,7 @@
 	if prompt.version >= s.assignedVersion {
 		return 0
 	}
-	return rolloutTuning.assignedWeight * s.stats.msPerToken * s.tokensUpTo[prompt.sharedParts]
+	return rolloutTuning.assignedWeight * s.stats.msPerToken * s.cumulativeTokens[prompt.sharedParts]
 }
 
 // sourceChoice is a source and what fetching from it costs and saves.
@@ -135,30 +135,30 @@
 		if source.candidate == index {
 			continue
 		}
-		count := min(cachedRun(source.presumedParts, cached), prompt.sharedParts-cached)
+		count := min(consecutiveParts(source.presumedParts, cached), prompt.sharedParts-cached)
 		if count <= 0 {
 			continue
 		}
-		choice := s.fetchFrom(source, worker, cached, count)
-		if gainMs := choice.tokens*(s.stats.msPerToken+s.rereadMsPerToken) - choice.costMs; gainMs > bestGainMs {
+		choice := s.evaluateSource(source, worker, cached, count)
+		if gainMs := choice.tokens*(s.stats.msPerToken+s.duplicatePrefillMsPerToken) - choice.costMs; gainMs > bestGainMs {
 			bestGainMs, best = gainMs, choice
 		}
 	}
 	return best
 }
 
-// fetchFrom weighs the transfer of count parts, after the cached ones, from a source to a worker.
-func (s *scorer) fetchFrom(source *source, worker *candidate, cached, count int) sourceChoice {
-	tokens := s.tokensUpTo[cached+count] - s.tokensUpTo[cached]
+// evaluateSource weighs the transfer of count parts, after the cached ones, from a source to a worker.
+func (s *scorer) evaluateSource(source *source, worker *candidate, cached, count int) sourceChoice {
+	tokens := s.cumulativeTokens[cached+count] - s.cumulativeTokens[cached]
 	transferMs := tokens * source.msPerToken
 	if source.zone != worker.worker.Zone {
 		transferMs *= transferTuning.crossZoneMultiple
 	}
 	linkWaitMs := milliseconds(max(0, max(source.stats.linkBusyUntil, worker.stats.linkBusyUntil)-s.now))
-	costMs := transferMs + linkWaitMs + tokens*s.rereadMsPerToken*transferTuning.tokenWeight
-	if confirmed := min(cachedRun(source.confirmedParts, cached), count); confirmed < count {
-		presumedTokens := s.tokensUpTo[cached+count] - s.tokensUpTo[cached+confirmed]
-		costMs += transferTuning.presumedRiskRatio * (s.rereadMsPerToken + s.stats.msPerToken) * presumedTokens
+	costMs := transferMs + linkWaitMs + tokens*s.duplicatePrefillMsPerToken*transferTuning.tokenWeight
+	if confirmed := min(consecutiveParts(source.confirmedParts, cached), count); confirmed < count {
+		presumedTokens := s.cumulativeTokens[cached+count] - s.cumulativeTokens[cached+confirmed]
+		costMs += transferTuning.presumedRiskRatio * (s.duplicatePrefillMsPerToken + s.stats.msPerToken) * presumedTokens
 	}
 	return sourceChoice{source: source, tokens: tokens, costMs: costMs, transferMs: transferMs}
 }
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -26,13 +26,13 @@
 	usable   []int // candidates that may be selected
 	isRetry  bool
 
-	targetMs         float64   // the request's latency target
-	rereadMsPerToken float64   // the cost of reading a token that another worker caches
-	tokensUpTo       []float64 // by part: tokens of the parts before it; at last, of all parts
-	ownTokens        float64   // tokens beside the parts
-	meanLoad         float64   // of the usable candidates
-	requestHash      uint64
-	assignedVersion  uint64 // newest version, if the prompt is assigned to it; else 0
+	targetMs                   float64   // the request's latency target
+	duplicatePrefillMsPerToken float64   // the cost of reading a token that another worker caches
+	cumulativeTokens           []float64 // by part: tokens of the parts before it; at last, of all parts
+	remainingTokens            float64   // tokens beside the parts
+	meanLoad                   float64   // of the usable candidates
+	requestHash                uint64
+	assignedVersion            uint64 // newest version, if the prompt is assigned to it; else 0
 }
 
 // parts are the parts that the selection looks at: their sets are kept in a uint64.
@@ -52,7 +52,7 @@
 
 	best, bestIndex := workerCost{totalMs: math.Inf(1)}, -1
 	s.requestHash = rendezvous.Hash(s.request.ID)
-	try := func(index int) {
+	evaluate := func(index int) {
 		prompt := promptOf(prompts, s.versions.byCandidate[index])
 		if cost := s.score(index, prompt, best.totalMs); cost.totalMs < best.totalMs {
 			best, bestIndex = cost, index
@@ -60,11 +60,11 @@
 	}
 	for _, prompt := range prompts { // likely ones first: then scoring the others stops early
 		if prompt.home >= 0 {
-			try(prompt.home)
+			evaluate(prompt.home)
 		}
 	}
 	for _, index := range s.usable {
-		try(index)
+		evaluate(index)
 	}
 	choice := s.newChoice(promptOf(prompts, s.versions.byCandidate[bestIndex]), bestIndex, best)
 	if waitMs := s.table.backlogMs(s.group.candidates[bestIndex].stats, s.now); waitMs > loadTuning.maxWaitRatio*s.targetMs {
@@ -128,17 +128,17 @@
 	if s.request.Route != nil && s.request.Route.LatencyTarget > 0 {
 		s.targetMs = milliseconds(s.request.Route.LatencyTarget)
 	}
-	s.rereadMsPerToken = s.targetMs * affinityTuning.rereadRatio
+	s.duplicatePrefillMsPerToken = s.targetMs * affinityTuning.duplicatePrefillRatio
 }
 
 // countTokens adds up the tokens of the prompt's parts.
 func (s *scorer) countTokens() {
 	parts := s.request.parts()
-	s.tokensUpTo = make([]float64, len(parts)+1)
+	s.cumulativeTokens = make([]float64, len(parts)+1)
 	for i, part := range parts {
-		s.tokensUpTo[i+1] = s.tokensUpTo[i] + float64(max(0, part.Tokens))
+		s.cumulativeTokens[i+1] = s.cumulativeTokens[i] + float64(max(0, part.Tokens))
 	}
-	s.ownTokens = max(0, float64(s.request.PromptTokens)-s.tokensUpTo[len(parts)])
+	s.remainingTokens = max(0, float64(s.request.PromptTokens)-s.cumulativeTokens[len(parts)])
 }
 
 // updateStoreHealth updates which stores respond, by what the index found.
@@ -154,10 +154,10 @@
 // usable candidates.
 func (s *scorer) estimateLoads() {
 	t, count := s.table, len(s.group.candidates)
-	t.confirmedParts = cleared(t.confirmedParts, count)
-	t.presumedParts = cleared(t.presumedParts, count)
-	t.prefillingParts = cleared(t.prefillingParts, count)
-	t.loads = cleared(t.loads, count)
+	t.confirmedParts = zeroed(t.confirmedParts, count)
+	t.presumedParts = zeroed(t.presumedParts, count)
+	t.prefillingParts = zeroed(t.prefillingParts, count)
+	t.loads = zeroed(t.loads, count)
 	for _, index := range s.usable {
 		t.loads[index] = t.estimatedLoad(s.group.candidates[index].stats, s.snapshot.EdgeCount, s.now)
 		s.meanLoad += t.loads[index] / float64(len(s.usable))
@@ -165,7 +165,7 @@
 }
 
 // cleared returns count zero elements, in the memory of l if there is room.
-func cleared[T any](l []T, count int) []T {
+func zeroed[T any](l []T, count int) []T {
 	if cap(l) < count {
 		return make([]T, count)
 	}
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -29,7 +29,7 @@
 func New(process *daemon.Process, index *indexclient.Client) Selector {
 	t := newTable(process.Settings.Bounds, process.Clock.Now())
 	if site := process.Settings.Site; site != nil {
-		t.unboundUntil = t.startedAt + settings.Fraction(site.ContactWindowMs, rolloutTuning.contactRatio)
+		t.rolloutLimitAppliesFrom = t.startedAt + settings.Fraction(site.ContactWindowMs, rolloutTuning.contactRatio)
 	}
 	s := &selector{clock: process.Clock, bounds: process.Settings.Bounds, index: index, actor: queue.NewActor(t, 1024)}
 	process.OnStop(s.actor.Stop)
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -152,7 +152,7 @@
 	if choice.Worker.ID == home || choice.Fetch != home+":1" {
 		t.Errorf("loaded: %s, fetching from %q", choice.Worker.ID, choice.Fetch)
 	}
-	edge.now += edge.bounds.Heal(1) // an old report has faded
+	edge.now += edge.bounds.Heal(1) // an old report has decayed
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
 		t.Errorf("later: %s", choice.Worker.ID)
 	}
--- a/internal/data/selection/table.go
+++ b/internal/data/selection/table.go
@@ -12,17 +12,17 @@
 // table is one edge machine's memory for selections. An actor guards it: its methods do no I/O and never
 // wait. Instants are those of the process's clock.
 type table struct {
-	bounds            settings.Bounds
-	startedAt         time.Duration
-	unboundUntil      time.Duration // until then the weights bound doesn't apply
-	layout            *layout
-	workers           map[string]*workerStats  // by the worker's ID, or the store's name
-	services          map[string]*serviceStats // by service
-	parts             *recentMap[prefix.Key, partRecord]
-	selected          *recentMap[attemptKey, attempt] // selections that weren't sent yet
-	inFlight          map[attemptKey]attempt
-	unavailableStores map[string]bool // stores that don't respond
-	lastSweep         time.Duration   // of attempts whose outcome was never recorded
+	bounds                  settings.Bounds
+	startedAt               time.Duration
+	rolloutLimitAppliesFrom time.Duration // until then the weights bound doesn't apply
+	layout                  *layout
+	workers                 map[string]*workerStats  // by the worker's ID, or the store's name
+	services                map[string]*serviceStats // by service
+	parts                   *recentMap[prefix.Key, partRecord]
+	selected                *recentMap[attemptKey, attempt] // selections that weren't sent yet
+	inFlight                map[attemptKey]attempt
+	unavailableStores       map[string]bool // stores that don't respond
+	lastSweep               time.Duration   // of attempts whose outcome was never recorded
 
 	// Scratch memory of one selection, by candidate. A set of parts is a uint64 with a bit for each.
 	confirmedParts  []uint64
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -27,19 +27,19 @@
 	// copyElsewhereWeight is charged on top of copyWeight if the worker isn't the part's home, so that
 	// edge machines make copies at the same worker. Range: 0 to 1. Chosen, not measured.
 	copyElsewhereWeight float64
-	// rereadRatio is the cost of reading one token that another worker caches already, as a ratio of the
+	// duplicatePrefillRatio is the cost of reading one token that another worker caches already, as a ratio of the
 	// target: the time that is lost to other requests, and the parts that are evicted.
 	// Range: above 0, to 0.001. Higher favors transfers and waiting over prefill. Chosen, not measured.
-	rereadRatio float64
+	duplicatePrefillRatio float64
 }
 
 var affinityTuning = affinityParameters{
-	homeLoadRatio:       1.25,
-	homeSlotRatio:       1.0 / 16,
-	coldWeight:          0.75,
-	copyWeight:          0.3,
-	copyElsewhereWeight: 0.05,
-	rereadRatio:         1.0 / 12500,
+	homeLoadRatio:         1.25,
+	homeSlotRatio:         1.0 / 16,
+	coldWeight:            0.75,
+	copyWeight:            0.3,
+	copyElsewhereWeight:   0.05,
+	duplicatePrefillRatio: 1.0 / 12500,
 }
 
 // transferParameters weighs the transfer of cached parts between workers and stores, and of prompts between
@@ -87,9 +87,9 @@
 	// target, so that edge machines don't all select the same of equal workers. Range: 0 to 0.1. Chosen,
 	// not measured.
 	tieBreakRatio float64
-	// fadeRatio is the age at which a report of load, or of lateness, has faded to 3/8, as a ratio of
+	// decayRatio is the age at which a report of load, or of lateness, has decayed to 3/8, as a ratio of
 	// the heal bound. Range: above 0, to 1. Higher trusts old reports longer. Chosen, not measured.
-	fadeRatio float64
+	decayRatio float64
 	// sampleWeight is the weight of the newest sample in moving averages of a service: load of others,
 	// tokens of a prompt, time of an attempt. Range: above 0, to 1. Higher adapts sooner, lower is
 	// steadier. Chosen, not measured.
@@ -107,7 +107,7 @@
 var loadTuning = loadParameters{
 	congestionWeight:   0.25,
 	tieBreakRatio:      0.01,
-	fadeRatio:          1.0 / 24,
+	decayRatio:         1.0 / 24,
 	sampleWeight:       0.1,
 	maxWaitRatio:       0.5,
 	defaultTargetRatio: 1.0 / 30,
@@ -134,9 +134,9 @@
 	// 1. Chosen, not measured.
 	sampleWeight float64
 
-	// outcomeFadeRatio is the age at which a shared outcome has faded to 3/8. Ratio of the heal bound;
+	// outcomeDecayRatio is the age at which a shared outcome has decayed to 3/8. Ratio of the heal bound;
 	// range: above 0, to 1. Chosen, not measured.
-	outcomeFadeRatio float64
+	outcomeDecayRatio float64
 	// minFailures is the number of recent failures, of all edge machines, from which a worker is suspect.
 	// Range: above 1, so that a single failure ejects no worker. Lower reacts sooner. Chosen, not measured.
 	minFailures float64
@@ -156,18 +156,18 @@
 }
 
 var ejectionTuning = ejectionParameters{
-	maxEjectedRatio:  1.0 / 3,
-	baseTimeRatio:    1.0 / 48,
-	maxTimeRatio:     0.5,
-	maxDoublings:     8,
-	failureMultiple:  2,
-	sampleWeight:     0.2,
-	outcomeFadeRatio: 0.1,
-	minFailures:      1.5,
-	minFailureRatio:  0.2,
-	peerMultiple:     3,
-	suspectTimeRatio: 1.0 / 48,
-	overdueMultiple:  4,
+	maxEjectedRatio:   1.0 / 3,
+	baseTimeRatio:     1.0 / 48,
+	maxTimeRatio:      0.5,
+	maxDoublings:      8,
+	failureMultiple:   2,
+	sampleWeight:      0.2,
+	outcomeDecayRatio: 0.1,
+	minFailures:       1.5,
+	minFailureRatio:   0.2,
+	peerMultiple:      3,
+	suspectTimeRatio:  1.0 / 48,
+	overdueMultiple:   4,
 }
 
 // slowStartParameters weighs a worker that comes back after an ejection.
@@ -292,10 +292,10 @@
 	// sampleDecay is the weight of a sample relative to the next one of its service. Range: above 0,
 	// below 1. Higher is steadier. Chosen, not measured.
 	sampleDecay float64
-	// slownessWeight is the weight of the newest sample in a worker's slowness, and slownessFadeRatio the
-	// age at which a slowness has faded to 3/8, a ratio of the heal bound. Range: above 0, to 1. Chosen,
+	// slownessWeight is the weight of the newest sample in a worker's slowness, and slownessDecayRatio the
+	// age at which a slowness has decayed to 3/8, a ratio of the heal bound. Range: above 0, to 1. Chosen,
 	// not measured.
-	slownessWeight, slownessFadeRatio float64
+	slownessWeight, slownessDecayRatio float64
 	// minSlowness is the natural logarithm of the least slowness that counts: smaller differences between
 	// workers are noise. Range: 0 to 0.5. Chosen, not measured.
 	minSlowness float64
@@ -309,7 +309,7 @@
 	maxMultiple:          4,
 	sampleDecay:          0.98,
 	slownessWeight:       0.2,
-	slownessFadeRatio:    0.5,
+	slownessDecayRatio:   0.5,
 	minSlowness:          0.02,
 }
 
@@ -333,6 +333,6 @@
 	maxModels        = 64   // models whose versions are kept for a service: clients may name any
 )
 
-// negligible is the magnitude below which averages are set to 0: the processor is slow with denormal
+// zeroThreshold is the magnitude below which averages are set to 0: the processor is slow with denormal
 // numbers.
-const negligible = 1e-6
+const zeroThreshold = 1e-6
--- a/internal/data/selection/versions.go
+++ b/internal/data/selection/versions.go
@@ -44,31 +44,31 @@
 	return versions
 }
 
-// oldestAllowed is the oldest version on which a request may still start. Each version that was named
+// oldestAllowedVersion is the oldest version on which a request may still start. Each version that was named
 // ends the use of those before it once its bound has run out, also where another was named meanwhile.
-func (t *table) oldestAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) (oldest uint64) {
-	if !t.olderAllowed(snapshot, model, versions, now) {
+func (t *table) oldestAllowedVersion(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) (oldest uint64) {
+	if !t.olderVersionAllowed(snapshot, model, versions, now) {
 		return snapshot.NamedVersions[model]
 	}
 	for _, named := range snapshot.EarlierVersions[model] {
-		if now >= t.unboundUntil && now-named.At >= t.bounds.Weights(rolloutTuning.olderVersionRatio) {
+		if now >= t.rolloutLimitAppliesFrom && now-named.At >= t.bounds.Weights(rolloutTuning.olderVersionRatio) {
 			oldest = max(oldest, named.Version)
 		}
 	}
 	return oldest
 }
 
-// olderAllowed reports whether a request may still start on weights older than the named ones. A
+// olderVersionAllowed reports whether a request may still start on weights older than the named ones. A
 // process that has just started isn't in contact yet, and the bound doesn't apply to it. After that,
 // the bound of a version that was named before this process started is running already, half of it as
 // the agent assumes: then the older version is selected only while no worker serves the newer one.
-func (t *table) olderAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) bool {
+func (t *table) olderVersionAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) bool {
 	named := snapshot.NamedVersions[model]
 	if named == 0 {
 		return true
 	}
 	namedAt, ok := snapshot.NamedAt[model]
-	if !ok || now < t.unboundUntil {
+	if !ok || now < t.rolloutLimitAppliesFrom {
 		return true
 	}
 	isInherited := namedAt-t.startedAt < t.bounds.Heal(rolloutTuning.inheritedRatio)
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -82,11 +82,11 @@
 		t.Error("a young process selected older weights though the newest are there")
 	}
 	// While it isn't in contact, it selects by cost alone.
-	edge.unboundUntil = processStart + 2*time.Second
+	edge.rolloutLimitAppliesFrom = processStart + 2*time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
 		t.Error("a process that isn't in contact yet avoids older weights")
 	}
-	edge.now = edge.unboundUntil
+	edge.now = edge.rolloutLimitAppliesFrom
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
 		t.Error("in contact, it selected older weights though the newest are there")
 	}
--- a/internal/data/selection/workerstats.go
+++ b/internal/data/selection/workerstats.go
@@ -30,7 +30,7 @@
 		msPerToken:        msPerToken,
 		priorFirstEventMs: firstEventMs,
 		priorMsPerToken:   msPerToken,
-		meanAttemptMs:     priorAttemptEvents * firstEventMs,
+		meanAttemptMs:     priorAttemptMultiple * firstEventMs,
 	}
 	for range estimatorTuning.priorSamples {
 		for _, tokens := range []float64{0, estimatorTuning.priorTokens} {
@@ -40,8 +40,8 @@
 	return stats
 }
 
-// priorAttemptEvents is the assumed time of an attempt, as a multiple of the assumed time to its first event.
-const priorAttemptEvents = 10
+// priorAttemptMultiple is the assumed time of an attempt, as a multiple of the assumed time to its first event.
+const priorAttemptMultiple = 10
 
 // expectedFirstEventMs is the expected time to the first event of a prompt that waits for nothing.
 func (s *serviceStats) expectedFirstEventMs(tokens float64) float64 {
@@ -101,7 +101,7 @@
 
 // movingAverage moves an average towards a sample of a weight.
 func movingAverage(mean, sample, weight float64) float64 {
-	if mean += weight * (sample - mean); math.Abs(mean) < negligible {
+	if mean += weight * (sample - mean); math.Abs(mean) < zeroThreshold {
 		return 0
 	}
 	return mean
@@ -116,7 +116,7 @@
 	}
 	weight := 0.0
 	if w.hasReported {
-		weight = decayWeight(now-w.reportedAt, t.bounds.Heal(loadTuning.fadeRatio))
+		weight = decayWeight(now-w.reportedAt, t.bounds.Heal(loadTuning.decayRatio))
 	}
 	return weight*w.othersLoad + (1-weight)*w.service.meanOthersLoad + float64(w.inFlight)
 }
@@ -125,12 +125,12 @@
 // estimates: by this edge machine's own prompts there, by those of others, by how late the last first
 // event was, and by how late the next one is already.
 func (t *table) backlogMs(w *workerStats, now time.Duration) float64 {
-	fadeTime := t.bounds.Heal(loadTuning.fadeRatio)
+	decayTime := t.bounds.Heal(loadTuning.decayRatio)
 	ms := milliseconds(max(0, w.prefillUntil-now))
 	if w.hasReported {
-		ms = max(ms, decayWeight(now-w.reportedAt, fadeTime)*w.othersPendingTokens*w.service.msPerToken)
+		ms = max(ms, decayWeight(now-w.reportedAt, decayTime)*w.othersPendingTokens*w.service.msPerToken)
 	}
-	ms = max(ms, decayWeight(now-w.latenessAt, fadeTime)*w.latenessMs)
+	ms = max(ms, decayWeight(now-w.latenessAt, decayTime)*w.latenessMs)
 	for _, pending := range w.pendingPrefills {
 		ms = max(ms, milliseconds(now-pending.sentAt)-pending.expectedMs)
 	}
