--- a/internal/data/selection/api.go
+++ b/internal/data/selection/api.go
@@ -12,65 +12,88 @@
 
 // Request is the input of a selection.
 type Request struct {
-	ID              string // of the attempt
-	Service         string
-	Route           *routingconfig.Route
-	Tenant          *routingconfig.Tenant // nil on a public route
-	Zone            string                // of this edge machine
-	Model           string                // "" if the request names none
-	PromptTokens    int                   // of the whole prompt
+	// Unique ID of the request.
+	ID string
+	// Name of the service that is requested.
+	Service string
+	Route   *routingconfig.Route
+	// The calling tenant; nil on a public route.
+	Tenant *routingconfig.Tenant
+	// Zone of the edge machine that selects the worker.
+	Zone string
+	// Model that the request names; empty if it names none.
+	Model string
+	// Tokens of the complete prompt.
+	PromptTokens int
+	// Limit on the number of tokens to generate.
 	MaxOutputTokens int
-	Parts           []PromptPart // in order; the last is the request's own, or its session's
+	// Parts of the prompt in order; the last is used by this request or its session only.
+	Parts []PromptPart
 }
 
-// PromptPart is one part of a prompt. Its ID stands for the prompt up to its end.
+// PromptPart is one part of a prompt. Its ID identifies the prompt from its start to the end of the part.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Choice is the selected worker, and how the placement applies to it.
+// Choice is the selected worker, and how the cache placement applies to the attempt on it.
 type Choice struct {
-	Worker     fleet.Worker
-	Weights    uint64        // the version that the worker must have; 0: any
-	Salt       string        // cache domain of the parts (CacheSalt); "": no model
-	Fetch      string        // address to fetch missing parts from; "": none
-	Save       string        // address to save parts to; "": none
-	Urgency    int           // 0 to 9, 0 first; -1: unset
-	RetryAfter time.Duration // if none was selected: when there may be capacity again; 0: unknown
+	Worker fleet.Worker
+	// Version of the model weights that the worker must serve; 0: any version.
+	Weights uint64
+	// Cache salt of the prompt parts, see CacheSalt; empty: the service has no prompt cache.
+	Salt string
+	// Address from which the worker fetches parts that it doesn't cache; empty: none.
+	Fetch string
+	// Address of the store to which the worker saves the prompt parts; empty: none.
+	Save string
+	// Priority level for the worker's queue, 0 (highest) to 9; -1: unset.
+	Urgency int
+	// If no worker was selected, after how long the client may retry; 0: unknown.
+	RetryAfter time.Duration
 }
 
-// Load is what a worker reports of itself in a response, in requests.
+// Load is the load that a worker reports in a response, as numbers of running and waiting requests and slots.
 type Load struct{ Running, Waiting, Slots int }
 
-// Outcome is how an attempt ended, as input of the next selection.
+// Outcome is how an attempt ended. Outcomes influence which workers later requests are sent to.
 type Outcome int
 
-// The outcomes of attempts.
+// Outcomes of attempts.
 const (
-	Completed   Outcome = iota // a complete response
-	NoFreeSlot                 // rejected, not executed: no free slot
-	NotReady                   // rejected, not executed: other weights, or an order in progress
-	Misdirected                // not executed: another worker has that address
-	Failed                     // the worker failed the request, or its connection broke
-	ClientGone                 // the client disconnected: says nothing about the worker
-	TimedOut                   // time ran out
+	// Completed means that the worker sent a complete response.
+	Completed Outcome = iota
+	// NoFreeSlot means that the worker rejected the attempt without executing it because all slots were in use.
+	NoFreeSlot
+	// NotReady means that the worker rejected the attempt without executing it because it serves other weights
+	// or is executing a command.
+	NotReady
+	// Misdirected means that the attempt was not executed because another worker instance has the address.
+	Misdirected
+	// Failed means that the worker failed the request, or that the connection to it broke.
+	Failed
+	// ClientGone means that the client disconnected, which says nothing about the worker.
+	ClientGone
+	// TimedOut means that the request's deadline passed before the attempt completed.
+	TimedOut
 )
 
-// Selector is one edge machine's view of load, failures and cached parts. All methods are safe for
-// concurrent use.
+// Selector tracks the load, the failures and the cached prompt parts of workers as one edge machine sees them,
+// and selects workers by them. All methods are safe for concurrent use.
 type Selector interface {
-	// Lookup asks the prompt index for a prompt's parts. It waits only for a ratio of the route's target;
-	// nil is a miss on all of them.
+	// Lookup queries the prompt index for the holders of a prompt's parts. It waits for a bounded fraction of
+	// the route's latency target; a nil result counts as a miss on all parts.
 	Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.LookupResult
-	// Select selects among the service's workers that are neither draining nor tried; false: none.
+	// Select selects among the workers of the request's service that are neither draining nor listed in tried;
+	// it returns false if no worker was selected.
 	Select(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, bool)
-	// RecordSent records an attempt in flight.
+	// RecordSent records that an attempt was sent and is in flight.
 	RecordSent(request *Request, choice Choice)
-	// RecordFirstEvent records an attempt's first event, the worker's reported load (nil: none), and the
-	// time from sending the attempt to the event.
+	// RecordFirstEvent records the first response event of an attempt, the load that the worker reported with
+	// it (nil: none), and the time from sending the attempt to the event.
 	RecordFirstEvent(request *Request, choice Choice, load *Load, firstEvent time.Duration)
-	// RecordOutcome records how an attempt ended, the load that the worker reported (nil: none), and the
-	// time to its first event (0: none came).
+	// RecordOutcome records how an attempt ended, the load that the worker reported (nil: none), and the time
+	// from sending the attempt to its first response event (0: there was none).
 	RecordOutcome(request *Request, choice Choice, outcome Outcome, load *Load, firstEvent time.Duration)
 }
