--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -7,30 +7,43 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// attemptKey identifies one attempt: of a request, at a worker.
+// attemptKey identifies an attempt by the ID of its request and the ID of its worker.
 type attemptKey struct{ request, worker string }
 
-// attempt is what a selection expected of an attempt; its outcome is judged against that.
+// attempt is what the selection expected of an attempt, to be compared with its outcome.
 type attempt struct {
-	prefillTokens float64        // that the worker has to read
-	transferMs    float64        // that the worker's and the source's links are busy for
-	keys          []prefix.Key   // of the parts
-	sharedParts   []prefix.Entry // the parts that other requests use too
-	stats         *workerStats   // of the worker
-	source        *workerStats   // that it fetches from; nil: none
-	store         string         // name of the store that it saves parts to; "": none
-	usesCache     bool           // an engine, and a prompt to read
-
-	// Set once it is sent. The booleans stand together because maps keep values of up to 128 bytes, which
-	// this struct has, without an allocation of their own.
+	// Prompt tokens that the worker has to prefill.
+	prefillTokens float64
+	// Milliseconds for which the transfer of fetched parts occupies the links of worker and source.
+	transferMs float64
+	// Prompt index keys of the prompt's parts.
+	keys []prefix.Key
+	// The parts of the prompt that other requests use too.
+	sharedParts []prefix.Entry
+	// Statistics of the worker that executes the attempt.
+	stats *workerStats
+	// Statistics of the worker or store that parts are fetched from; nil: none.
+	source *workerStats
+	// Name of the store that the worker saves parts to; empty: none.
+	store string
+	// Whether the service has a prompt cache and the prompt isn't empty.
+	usesCache bool
+
+	// The fields below are set when the attempt is sent. The booleans are adjacent to avoid padding, so that
+	// the struct doesn't exceed 128 bytes, the largest value that Go maps store without a separate allocation.
+
+	// Whether the first response event was received.
 	firstEventSeen bool
-	firstEventDue  time.Duration // from then on its first event is overdue
-	sentAt         time.Duration
-	prefillTime    time.Duration // that the worker still reads for it; 0 once it has stopped
+	// Time at which a missing first response event counts as overdue.
+	firstEventDue time.Duration
+	// Time at which the attempt was sent.
+	sentAt time.Duration
+	// Expected time the worker spends on prefill for this attempt; 0 once prefill has ended.
+	prefillTime time.Duration
 }
 
-// recordSent records an attempt in flight and returns what its selection expected. An attempt that
-// nothing is known of, or that is in flight already, isn't recorded.
+// recordSent records that an attempt is in flight and returns what its selection expected of it. It returns a
+// zero attempt if the attempt was never selected or is already in flight.
 func (t *table) recordSent(request *Request, choice Choice, now time.Duration) attempt {
 	key := attemptKey{request.ID, choice.Worker.ID}
 	sent, isSelected := t.selected.get(key)
@@ -59,8 +72,8 @@
 	return sent
 }
 
-// recordParts records that an attempt's worker is presumed to cache its parts from now on, and that they
-// are sent to a store.
+// recordParts records that the worker of an attempt is presumed to cache the prompt's parts from now on, and
+// that the parts are being saved to the attempt's store, if it has one.
 func (t *table) recordParts(sent *attempt, request *Request, choice Choice, now time.Duration) {
 	for _, key := range sent.keys {
 		part, _ := t.parts.get(key)
@@ -74,7 +87,7 @@
 	}
 }
 
-// dropAbandoned drops attempts whose outcome was never recorded.
+// dropAbandoned removes attempts in flight whose outcome was never recorded.
 func (t *table) dropAbandoned(now time.Duration) {
 	if now-t.lastSweep < t.bounds.Heal(recordTuning.lifetimeRatio) {
 		return
@@ -89,12 +102,13 @@
 	}
 }
 
-// abandonedRatio is the age at which an attempt without an outcome is dropped, as a ratio of the bound
-// within which a request's ID is remembered.
+// abandonedRatio is the age at which an attempt without an outcome is removed, as a ratio of the time for
+// which request IDs are remembered.
 const abandonedRatio = 1.0 / 2
 
-// recordFirstEvent records an attempt's first event: its prompt is read and cached. firstEvent is the time
-// from sending it; a nil load wasn't reported.
+// recordFirstEvent records the first response event of an attempt, which shows that its prompt is prefilled
+// and cached. firstEvent is the time from sending the attempt to the event; load is nil if the worker reported
+// none.
 func (t *table) recordFirstEvent(request *Request, choice Choice, load *Load, firstEvent, now time.Duration) {
 	key := attemptKey{request.ID, choice.Worker.ID}
 	sent, ok := t.inFlight[key]
@@ -116,12 +130,14 @@
 	service.meanPrefillTokens = movingAverage(service.meanPrefillTokens, sent.prefillTokens, loadTuning.sampleWeight)
 	worker.latenessMs = max(0, milliseconds(firstEvent)-service.firstEventMs-service.msPerToken*sent.prefillTokens)
 	worker.latenessAt = now
-	if load == nil || load.Waiting == 0 { // a wait behind others says nothing about the time of prefill
+	// With other requests queued, the time to the first event includes more than prefill.
+	if load == nil || load.Waiting == 0 {
 		t.learnFirstEvent(worker, sent.prefillTokens, firstEvent, now)
 	}
 }
 
-// recordPrefillEnd records that a worker has stopped reading a prompt, sooner or later than expected.
+// recordPrefillEnd records that the worker has stopped prefilling the attempt's prompt, whether earlier or
+// later than expected.
 func (a *attempt) recordPrefillEnd(key attemptKey, now time.Duration) {
 	a.stats.removePendingPrefill(key)
 	if left := a.prefillTime - (now - a.sentAt); left > 0 {
@@ -134,7 +150,8 @@
 	w.pendingPrefills = slices.DeleteFunc(w.pendingPrefills, func(p pendingPrefill) bool { return p.attempt == key })
 }
 
-// recordOutcome records how an attempt ended. firstEvent is 0 if none came.
+// recordOutcome records how an attempt ended. firstEvent is the time to its first response event, or 0 if none
+// was received.
 func (t *table) recordOutcome(request *Request, choice Choice, outcome Outcome, load *Load, firstEvent, now time.Duration) {
 	key := attemptKey{request.ID, choice.Worker.ID}
 	if firstEvent > 0 {
@@ -159,7 +176,7 @@
 	t.applyOutcome(&ended, choice, outcome, firstEvent, now)
 }
 
-// applyOutcome applies an outcome to what is known of the attempt's worker.
+// applyOutcome updates the statistics of an attempt's worker with the outcome of the attempt.
 func (t *table) applyOutcome(ended *attempt, choice Choice, outcome Outcome, firstEvent, now time.Duration) {
 	worker := ended.stats
 	switch outcome {
@@ -182,7 +199,8 @@
 	}
 }
 
-// confirmHolder records that a worker caches the parts that it was sent: its first event came.
+// confirmHolder records that the attempt's worker caches the prompt's parts, as its first response event
+// shows.
 func (t *table) confirmHolder(sent *attempt, choice Choice, now time.Duration) {
 	for _, key := range sent.keys {
 		part, _ := t.parts.get(key)
@@ -191,8 +209,8 @@
 	}
 }
 
-// removePresumedHolder records that a worker doesn't cache the parts that it was sent, and saved none of
-// them: the attempt wasn't executed, or failed.
+// removePresumedHolder records that the attempt's worker neither caches the prompt's parts nor saved them to a
+// store, because the attempt was not executed or failed.
 func (t *table) removePresumedHolder(ended *attempt, choice Choice) {
 	for _, key := range ended.keys {
 		part, ok := t.parts.get(key)
--- a/internal/data/selection/cachesalt.go
+++ b/internal/data/selection/cachesalt.go
@@ -7,9 +7,9 @@
 	"pebbleloom/internal/control/routingconfig"
 )
 
-// CacheSalt is the cache domain of a prompt's parts: version of the weights, model and isolated tenant.
-// Two of them are equal only if all three are. A tenant that isn't isolated, or none (nil), has no part
-// in it.
+// CacheSalt returns the salt of the cache keys of a prompt's parts, which separates weights versions, models
+// and isolated tenants: two salts are equal only if all three are. A tenant that is nil or not isolated
+// doesn't contribute to the salt.
 //
 // Example: key := promptindex.PartKey(selection.CacheSalt("daka", 2, tenant), part)
 func CacheSalt(model string, version uint64, tenant *routingconfig.Tenant) string {
--- a/internal/data/selection/choice.go
+++ b/internal/data/selection/choice.go
@@ -5,8 +5,8 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// newChoice applies the placement to the selected worker, and remembers what the selection expects of the
-// attempt.
+// newChoice derives the choice from the selected worker and the cache placement, and stores what the selection
+// expects of the attempt.
 func (s *scorer) newChoice(prompt *promptState, index int, cost workerCost) Choice {
 	t, selected := s.table, s.group.candidates[index]
 	choice := Choice{Worker: *selected.worker, Weights: prompt.version, Salt: prompt.salt,
@@ -28,15 +28,16 @@
 		cached := consecutiveParts(t.presumedParts[index], 0)
 		if choice.Fetch == "" && cached < prompt.sharedParts && s.mayBeStored(prompt) &&
 			sharedTokens-s.cumulativeTokens[cached] >= 2*transferTuning.minSavedTokens {
-			choice.Fetch = store.Store.Addr // it probably has them: a miss costs next to nothing
+			// The store probably has the parts, and a failed fetch costs next to nothing.
+			choice.Fetch = store.Store.Addr
 		}
 	}
 	t.selected.put(attemptKey{s.request.ID, selected.worker.ID}, expected)
 	return choice
 }
 
-// mayBeStored reports whether a store may have the shared parts although no holder is known: the index
-// didn't respond, or the deciding part was used recently.
+// mayBeStored reports whether a store may have the shared parts although no holder is known: the prompt index
+// did not respond, or the affinity part was used recently.
 func (s *scorer) mayBeStored(prompt *promptState) bool {
 	if !prompt.indexResponded {
 		return true
@@ -44,8 +45,9 @@
 	return prompt.affinityPart >= 0 && s.found[prompt.keys[prompt.affinityPart]].GetHotness() > 0
 }
 
-// storeFor is the store that a prompt's shared parts belong to, of those that respond; -1 if there is
-// none, or nothing is shared. Each part has one store, so that together they cache as much as possible.
+// storeFor returns the index of the available store that the prompt's shared parts are assigned to; -1 if no
+// store is available or no part is shared. Each part is assigned to one store only, so that the stores
+// together cache as many parts as possible.
 func (s *scorer) storeFor(prompt *promptState) int {
 	if prompt.sharedParts == 0 {
 		return -1
@@ -63,7 +65,7 @@
 	return best
 }
 
-// isStored reports whether a store that responds has all shared parts.
+// isStored reports whether one of the available stores has all shared parts of the prompt.
 func (s *scorer) isStored(prompt *promptState) bool {
 	shared := uint64(1)<<prompt.sharedParts - 1
 	for i, store := range s.group.stores {
@@ -74,8 +76,8 @@
 	return false
 }
 
-// promptSizeClass is 0 for a prompt that is read within a small share of its target, 1 for a medium
-// share, 2 for more.
+// promptSizeClass returns 0 for a prompt whose prefill takes a small fraction of the latency target, 1 for a
+// medium fraction and 2 for a large one.
 func (s *scorer) promptSizeClass(prefillTokens float64) int {
 	switch ratio := prefillTokens * s.stats.msPerToken / s.targetMs; {
 	case ratio < sizeTuning.smallRatio:
