--- a/internal/data/selection/ejection.go
+++ b/internal/data/selection/ejection.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recordFailure ejects a worker for a time that doubles with each failure and grows with its ratio of
-// failures.
+// recordFailure ejects a worker for a time that doubles with each recent failure and grows with the worker's
+// failure ratio.
 func (t *table) recordFailure(w *workerStats, now time.Duration) {
 	w.failureRatio = movingAverage(w.failureRatio, 1, ejectionTuning.sampleWeight)
 	doublings := math.Exp2(float64(min(w.recentFailures, ejectionTuning.maxDoublings)))
@@ -16,7 +16,8 @@
 	w.ejectedUntil = max(w.ejectedUntil, now+w.ejectionTime)
 }
 
-// recordSuccess takes one failure back, once the worker is no longer ejected.
+// recordSuccess lowers a worker's failure ratio, and its count of recent failures by one unless the worker is
+// ejected.
 func (t *table) recordSuccess(w *workerStats, now time.Duration) {
 	w.failureRatio = movingAverage(w.failureRatio, 0, ejectionTuning.sampleWeight)
 	if now >= w.ejectedUntil && w.recentFailures > 0 {
@@ -24,8 +25,8 @@
 	}
 }
 
-// slowStartRatio is how far a worker is from its usual share of requests after an ejection: its ratio of
-// failures at the end of the ejection, and 0 once as much time has passed as it was ejected for.
+// slowStartRatio is by how much a worker's share of requests is reduced after an ejection: the failure ratio
+// when the ejection ends, falling linearly to 0 over as much time as the ejection lasted.
 func (w *workerStats) slowStartRatio(now time.Duration) float64 {
 	end := w.ejectedUntil + w.ejectionTime
 	if w.ejectionTime <= 0 || now >= end {
@@ -34,13 +35,13 @@
 	return min(1, float64(end-now)/float64(w.ejectionTime)) * w.failureRatio
 }
 
-// outcomeCounts counts outcomes of attempts; old ones fade.
+// outcomeCounts counts outcomes of attempts. The counts decay exponentially with age.
 type outcomeCounts struct {
 	succeeded, failed float64
 	updatedAt         time.Duration
 }
 
-// add lets the counts fade to an instant, and adds outcomes.
+// add applies the decay up to now to the counts, and adds outcomes to them.
 func (c *outcomeCounts) add(succeeded, failed float64, now, decayTime time.Duration) {
 	weight := decayWeight(now-c.updatedAt, decayTime)
 	c.succeeded, c.failed, c.updatedAt = c.succeeded*weight+succeeded, c.failed*weight+failed, now
@@ -52,7 +53,7 @@
 	}
 }
 
-// firstEventTimeout is how long an attempt's first event may take before it counts as overdue.
+// firstEventTimeout returns after how long a missing first response event of an attempt counts as overdue.
 func (t *table) firstEventTimeout(sent *attempt, request *Request, now time.Duration) time.Duration {
 	stats := sent.stats
 	expectedMs := stats.service.expectedFirstEventMs(sent.prefillTokens) + t.backlogMs(stats, now)
@@ -63,8 +64,9 @@
 	return timeout
 }
 
-// countOutcome counts an outcome for or against its worker. A client that disconnected says nothing,
-// unless the first event was overdue then; nor does a worker that rejects requests for lack of a slot.
+// countOutcome counts an outcome as a success or failure of the attempt's worker. A client disconnect or an
+// exceeded deadline counts as a failure only if the first response event was overdue by then. Rejections, such
+// as those for lack of a free slot, are not counted.
 func (t *table) countOutcome(ended *attempt, outcome Outcome, now time.Duration) {
 	isOverdue := !ended.firstEventSeen && now >= ended.firstEventDue
 	succeeded, failed := 0.0, 0.0
@@ -83,9 +85,9 @@
 	return t.bounds.Heal(ejectionTuning.outcomeDecayRatio)
 }
 
-// ejectIfSuspect ejects a worker that fails far more often than its peers, by the outcomes that all edge
-// machines share, for as long as that holds and a little longer. The totals are the service's, this
-// worker's included.
+// ejectIfSuspect ejects a worker whose failure ratio, by the outcomes that all edge machines share, is much
+// higher than that of its peers. The ejection is renewed with each report while that holds. totalSucceeded and
+// totalFailed are sums over all workers of the service, including this one.
 func (t *table) ejectIfSuspect(worker *workerStats, totalSucceeded, totalFailed float64, now time.Duration) {
 	failed, succeeded := worker.othersFailed+worker.outcomes.failed, worker.othersSucceeded+worker.outcomes.succeeded
 	if failed < ejectionTuning.minFailures {
--- a/internal/data/selection/eligibility.go
+++ b/internal/data/selection/eligibility.go
@@ -6,17 +6,21 @@
 	"pebbleloom/internal/fleet"
 )
 
-// avoidReason is why a worker is avoided while another may be selected, from the weakest to the strongest.
+// avoidReason is why a worker is avoided while others may be selected, ordered from the weakest reason to the
+// strongest.
 type avoidReason int
 
 const (
 	notAvoided avoidReason = iota
 	avoidNoFreeSlot
-	avoidCordoned // during a rollout of weights
+	// avoidCordoned means that the worker is excluded from new requests while it loads other weights.
+	avoidCordoned
 	avoidNotReady
 )
 
-// usable lists the candidates that may be selected: those that are avoided only if no other is remaining.
+// usable returns the indexes of the candidates that may be selected. Draining workers, workers that were tried
+// and workers on weights that are too old are excluded; of the rest, only those with the weakest reason to be
+// avoided are included.
 func (t *table) usable(group *serviceGroup, versions *modelVersions, snapshot *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
 	named, oldest := snapshot.NamedVersions[model], t.oldestAllowedVersion(snapshot, model, versions, now)
 	weakest := avoidNotReady
@@ -44,7 +48,8 @@
 	return withoutEjected(group, usable, now)
 }
 
-// avoidReason is why this edge machine's own attempts show that a worker on a version is to be avoided.
+// avoidReason returns why a worker that serves the given version should be avoided, judging by rejections of
+// attempts that this edge machine sent.
 func (w *workerStats) avoidReason(version uint64, now time.Duration) avoidReason {
 	switch {
 	case now < w.notReadyUntil && w.notReadyVersion == version:
@@ -55,8 +60,8 @@
 	return notAvoided
 }
 
-// withoutEjected leaves out the ejected ones of the usable candidates: never more than a share of them,
-// and never all. If more are ejected, those whose ejection ends first are used.
+// withoutEjected removes ejected workers from the usable candidates, but at most a fraction of maxEjectedRatio
+// and never all. If more are ejected, those whose ejection ends first are used all the same.
 func withoutEjected(group *serviceGroup, usable []int, now time.Duration) []int {
 	countEjected := func(after time.Duration) (count int) {
 		for _, index := range usable {
@@ -70,7 +75,8 @@
 	if ejected == 0 || maxEjected == 0 {
 		return usable
 	}
-	until := now // those that are ejected for longer stay ejected
+	// Candidates whose ejection ends later than this are removed.
+	until := now
 	for ejected > maxEjected {
 		until = nextEjectionEnd(group, usable, until)
 		ejected = countEjected(until)
@@ -84,7 +90,8 @@
 	return remaining
 }
 
-// nextEjectionEnd is the first instant after another at which an ejection ends; 0: none.
+// nextEjectionEnd returns the earliest time after the given one at which the ejection of a usable candidate
+// ends; 0 if there is none.
 func nextEjectionEnd(group *serviceGroup, usable []int, after time.Duration) (next time.Duration) {
 	for _, index := range usable {
 		if end := group.candidates[index].stats.ejectedUntil; end > after && (next == 0 || end < next) {
