--- a/internal/data/selection/estimator.go
+++ b/internal/data/selection/estimator.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// linearFit is a regression of y over x, in which older samples count less.
+// linearFit is a linear regression of y on x in which older samples have exponentially lower weight.
 type linearFit struct{ count, sumX, sumY, sumXX, sumXY float64 }
 
-// add adds a sample; decay is the weight that the samples before it keep.
+// add adds a sample; decay is the factor by which the weight of all earlier samples is multiplied.
 func (f *linearFit) add(x, y, decay float64) {
 	f.count = f.count*decay + 1
 	f.sumX = f.sumX*decay + x
@@ -17,8 +17,8 @@
 	f.sumXY = f.sumXY*decay + x*y
 }
 
-// coefficients returns the line through the samples, y = base + slope*x, each bounded to a multiple of its
-// prior.
+// coefficients returns the regression line y = base + slope*x. Base and slope are each limited to between
+// 1/maxMultiple and maxMultiple of their prior.
 func (f *linearFit) coefficients(priorBase, priorSlope float64) (base, slope float64) {
 	base, slope = priorBase, priorSlope
 	if determinant := f.count*f.sumXX - f.sumX*f.sumX; determinant > 0 && f.count > 0 {
@@ -28,12 +28,13 @@
 	return base, slope
 }
 
-// withinMultiple bounds a value to a multiple of its prior, either way.
+// withinMultiple limits a value to between 1/maxMultiple and maxMultiple of its prior.
 func withinMultiple(value, prior float64) float64 {
 	return min(max(value, prior/estimatorTuning.maxMultiple), prior*estimatorTuning.maxMultiple)
 }
 
-// learnFirstEvent applies the time of a first event to the estimates of its worker and service.
+// learnFirstEvent updates the estimates of a worker and its service with the measured time to a first response
+// event. tokens is the number of prompt tokens that were prefilled.
 func (t *table) learnFirstEvent(w *workerStats, tokens float64, firstEvent, now time.Duration) {
 	stats := w.service
 	ms, expectedMs := milliseconds(firstEvent), stats.expectedFirstEventMs(tokens)
@@ -49,7 +50,8 @@
 	stats.firstEventMs, stats.msPerToken = stats.firstEventFit.coefficients(stats.priorFirstEventMs, stats.priorMsPerToken)
 }
 
-// slowness is a worker's time to the first event relative to its peers'; old samples fade.
+// slowness returns the time to a worker's first response events relative to that of its peers; without new
+// samples it decays towards 1.
 func (t *table) slowness(w *workerStats, now time.Duration) float64 {
 	if w.logSlowness == 0 {
 		return 1
@@ -57,7 +59,7 @@
 	return math.Exp(w.logSlowness * t.slownessWeight(w, now))
 }
 
-// slownessWeight is how much of a worker's slowness is left after the time since its last sample.
+// slownessWeight returns the factor by which a worker's slowness has decayed since its last sample.
 func (t *table) slownessWeight(w *workerStats, now time.Duration) float64 {
 	return decayWeight(now-w.slownessAt, t.bounds.Heal(estimatorTuning.slownessDecayRatio))
 }
--- a/internal/data/selection/workerstats.go
+++ b/internal/data/selection/workerstats.go
@@ -7,19 +7,28 @@
 	"pebbleloom/internal/settings"
 )
 
-// serviceStats is what this edge machine knows of a service's workers together.
+// serviceStats are the estimates of this edge machine that apply to all workers of a service.
 type serviceStats struct {
-	// firstEventFit is a regression of the milliseconds from sending a prompt to its first event over the
-	// tokens that the worker had to read. firstEventMs and msPerToken are its coefficients.
-	firstEventFit     linearFit
-	firstEventMs      float64 // of an empty prompt
-	msPerToken        float64 // for each token read
-	priorFirstEventMs float64 // assumed before any sample
-	priorMsPerToken   float64
-	meanPrefillTokens float64 // tokens that were read for a request, recently
-	meanAttemptMs     float64 // time of an attempt, recently
-	reportsLoad       bool    // its workers, or the other edge machines, report load
-	meanOthersLoad    float64 // load of the others at a worker
+	// firstEventFit is a regression of the milliseconds from sending a prompt to its first response event on
+	// the number of prompt tokens that the worker had to prefill. firstEventMs and msPerToken are its
+	// coefficients.
+	firstEventFit linearFit
+	// Estimated time to the first response event of an empty prompt.
+	firstEventMs float64
+	// Estimated prefill time per token.
+	msPerToken float64
+	// Initial estimate of firstEventMs, before any sample.
+	priorFirstEventMs float64
+	// Initial estimate of msPerToken, before any sample.
+	priorMsPerToken float64
+	// Moving average of the prompt tokens that were prefilled per request.
+	meanPrefillTokens float64
+	// Moving average of the duration of an attempt.
+	meanAttemptMs float64
+	// Whether the workers of the service or other edge machines report load.
+	reportsLoad bool
+	// Mean number of requests from other edge machines at a worker.
+	meanOthersLoad float64
 }
 
 func newServiceStats(bounds settings.Bounds) *serviceStats {
@@ -40,57 +49,87 @@
 	return stats
 }
 
-// priorAttemptMultiple is the assumed time of an attempt, as a multiple of the assumed time to its first event.
+// priorAttemptMultiple is the initial estimate of an attempt's duration, as a multiple of the estimated time
+// to its first response event.
 const priorAttemptMultiple = 10
 
-// expectedFirstEventMs is the expected time to the first event of a prompt that waits for nothing.
+// expectedFirstEventMs returns the expected time to the first response event of a prompt that isn't queued.
 func (s *serviceStats) expectedFirstEventMs(tokens float64) float64 {
 	return s.firstEventMs + s.msPerToken*tokens
 }
 
-// workerStats is what this edge machine knows of one worker, or of a store's link.
+// workerStats are the statistics that this edge machine has of one worker, or of a store's network link.
 type workerStats struct {
 	service *serviceStats
 
-	// Load. The loads of others are as the worker, or the other edge machines, reported them last.
-	inFlight            int           // attempts of this edge machine
-	othersLoad          float64       // requests of others
-	othersPendingTokens float64       // tokens of others' prompts that it had to read
-	reportedAt          time.Duration // the last report
-	hasReported         bool
-
-	// Prefill of this edge machine's prompts, and transfers.
-	prefillUntil    time.Duration // until then it reads prompts
+	// Load statistics. The loads of other edge machines are those that the worker or the edge machines
+	// reported last.
+
+	// Number of attempts of this edge machine in flight at the worker.
+	inFlight int
+	// Number of requests of other edge machines at the worker.
+	othersLoad float64
+	// Prompt tokens of other edge machines' requests that the worker had not prefilled yet.
+	othersPendingTokens float64
+	// Time of the last load report.
+	reportedAt time.Duration
+	// Whether the load was reported at least once.
+	hasReported bool
+
+	// Prefill of the prompts that this edge machine sent, and transfers of cached parts.
+
+	// Expected end of the prefill of all prompts that this edge machine sent.
+	prefillUntil time.Duration
+	// Attempts without a first response event.
 	pendingPrefills []pendingPrefill
-	latenessMs      float64 // by which its last first event was late
-	latenessAt      time.Duration
-	linkBusyUntil   time.Duration // until then its link is busy, as far as known here
-
-	// Speed and outcomes.
-	logSlowness     float64 // natural logarithm of its time to a first event, relative to its peers'
-	slownessAt      time.Duration
-	outcomes        outcomeCounts // of this edge machine's attempts
-	othersSucceeded float64       // outcomes of others' attempts
-	othersFailed    float64
-	failureRatio    float64       // moving average
-	recentFailures  int           // a success takes one back
-	ejectedUntil    time.Duration // ejected after failures
-	ejectionTime    time.Duration // of the last ejection
-
-	// Rejections of this edge machine's attempts.
-	noFreeSlotUntil time.Duration // it had no free slot
-	notReadyUntil   time.Duration // it served other weights, or carried out an order
-	notReadyVersion uint64        // the version that its entry had then
+	// Milliseconds by which the last first response event was later than expected.
+	latenessMs float64
+	// Time of the sample in latenessMs.
+	latenessAt time.Duration
+	// Expected end of the transfers on the link that this edge machine knows of.
+	linkBusyUntil time.Duration
+
+	// Relative speed of the worker, and outcomes of its attempts.
+
+	// Natural logarithm of the time to first response events relative to the worker's peers.
+	logSlowness float64
+	// Time of the last sample in logSlowness.
+	slownessAt time.Duration
+	// Outcomes of the attempts that this edge machine sent.
+	outcomes outcomeCounts
+	// Successful attempts of other edge machines.
+	othersSucceeded float64
+	// Failed attempts of other edge machines.
+	othersFailed float64
+	// Moving average of the failure ratio of attempts.
+	failureRatio float64
+	// Number of recent failures; each success reduces it by one.
+	recentFailures int
+	// End of the current or last ejection.
+	ejectedUntil time.Duration
+	// Duration of the last ejection.
+	ejectionTime time.Duration
+
+	// Rejections of the attempts that this edge machine sent.
+
+	// The worker had no free slot and is avoided until this time.
+	noFreeSlotUntil time.Duration
+	// The worker served other weights or was executing a command, and is avoided until this time.
+	notReadyUntil time.Duration
+	// Weights version that the snapshot listed for the worker when it rejected the attempt as not ready.
+	notReadyVersion uint64
 }
 
-// pendingPrefill is an attempt whose first event hasn't come.
+// pendingPrefill is an attempt without a first response event.
 type pendingPrefill struct {
-	attempt    attemptKey
-	sentAt     time.Duration
-	expectedMs float64 // time to the first event, if no other prompt waits
+	attempt attemptKey
+	sentAt  time.Duration
+	// Expected time to the first response event if no other prompt is queued.
+	expectedMs float64
 }
 
-// decayWeight is the weight of a sample of an age: about e to the power of -age/over, but cheaper.
+// decayWeight returns the weight of a sample by its age: about exp(-age/over), by an approximation that is
+// cheaper to compute.
 func decayWeight(age, over time.Duration) float64 {
 	x := float64(age) / float64(over)
 	if x > 8 {
@@ -99,7 +138,7 @@
 	return 1 / (1 + x*(1+x*(0.5+x/6)))
 }
 
-// movingAverage moves an average towards a sample of a weight.
+// movingAverage returns an exponential moving average after a sample with the given weight.
 func movingAverage(mean, sample, weight float64) float64 {
 	if mean += weight * (sample - mean); math.Abs(mean) < zeroThreshold {
 		return 0
@@ -107,9 +146,9 @@
 	return mean
 }
 
-// estimatedLoad estimates a worker's requests, waiting ones included: the last report of those of others,
-// which fades into the mean, plus this edge machine's own. If load isn't reported, the own requests stand
-// for those of the other edge machines too.
+// estimatedLoad estimates the running and waiting requests of a worker: the attempts of this edge machine plus
+// the last reported load of the others, which decays towards the service's mean. If no load is reported, the
+// other edge machines are assumed to have as many requests there as this one.
 func (t *table) estimatedLoad(w *workerStats, edges int, now time.Duration) float64 {
 	if !w.service.reportsLoad {
 		return float64(w.inFlight * edges)
@@ -121,9 +160,9 @@
 	return weight*w.othersLoad + (1-weight)*w.service.meanOthersLoad + float64(w.inFlight)
 }
 
-// backlogMs estimates how long a prompt waits at a worker until it is read. It is the greatest of four
-// estimates: by this edge machine's own prompts there, by those of others, by how late the last first
-// event was, and by how late the next one is already.
+// backlogMs estimates how long a prompt waits at a worker before its prefill starts. It is the maximum of four
+// estimates: from the prompts that this edge machine sent, from the pending prompts of other edge machines,
+// from the lateness of the last first response event, and from the lateness of events still outstanding.
 func (t *table) backlogMs(w *workerStats, now time.Duration) float64 {
 	decayTime := t.bounds.Heal(loadTuning.decayRatio)
 	ms := milliseconds(max(0, w.prefillUntil-now))
@@ -137,7 +176,7 @@
 	return ms
 }
 
-// recordLoad applies a worker's own report of its load.
+// recordLoad applies the load that a worker reported in a response.
 func (t *table) recordLoad(w *workerStats, load *Load, now time.Duration) {
 	w.othersLoad = max(0, float64(load.Running+load.Waiting-w.inFlight))
 	w.othersPendingTokens = max(0, min(float64(load.Waiting), w.othersLoad)) * w.service.meanPrefillTokens
