--- a/internal/data/selection/layout.go
+++ b/internal/data/selection/layout.go
@@ -8,47 +8,57 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// candidate is one worker of a service, with what this edge machine knows of it.
+// candidate is one worker of a service, with the statistics that this edge machine has of it.
 type candidate struct {
 	worker *fleet.Worker
 	stats  *workerStats
-	hash   uint64 // of its ID
-	index  uint32 // in the list of all workers
+	// Hash of the worker's ID.
+	hash uint64
+	// Position of the worker in the snapshot's list of all workers.
+	index uint32
 }
 
-// slots is how many requests the worker executes at once.
+// slots returns how many requests the worker executes concurrently, at least 1.
 func (c *candidate) slots() float64 { return float64(max(1, c.worker.Slots)) }
 
-// storeCandidate is one store, with what this edge machine knows of its link.
+// storeCandidate is one store, with the statistics that this edge machine has of its network link.
 type storeCandidate struct {
 	service *routingconfig.Service
 	stats   *workerStats
 }
 
-// serviceGroup is a service's workers, and the stores that cache parts.
+// serviceGroup is the workers of a service and all stores that cache prompt parts.
 type serviceGroup struct {
 	service    *routingconfig.Service
 	candidates []candidate
-	index      map[string]int // in candidates, by the worker's ID
-	stores     []storeCandidate
-	models     map[string]*modelVersions
-	cordoned   []bool // by candidate: to be avoided during a rollout of weights
+	// By worker ID: position of the worker in candidates.
+	index  map[string]int
+	stores []storeCandidate
+	// By model: weights versions that the candidates serve.
+	models map[string]*modelVersions
+	// By candidate: whether the worker is excluded from new requests while it loads other weights.
+	cordoned []bool
 }
 
-// layout is a snapshot laid out by service.
+// layout is a snapshot indexed by service.
 type layout struct {
-	snapshot       *fleet.Snapshot
+	snapshot *fleet.Snapshot
+	// Hash of the snapshot's list of workers, see table.workerListHash.
 	workerListHash uint64
-	groups         map[string]*serviceGroup
-	sizeClasses    int // of prompts, within one of the plan's priorities
+	// By service name: the workers of the service, and the stores.
+	groups map[string]*serviceGroup
+	// Number of prompt size classes within one priority of the routing plan.
+	sizeClasses int
 }
 
 const (
-	priorityLevels = 10 // that a worker distinguishes: 0 to 9, 0 first
+	// Number of priority levels that workers distinguish: 0 (highest) to 9.
+	priorityLevels = 10
+	// Maximum number of prompt size classes within one priority of the routing plan.
 	maxSizeClasses = 3
 )
 
-// urgency is a request's priority, 0 to 9, 0 first: a tenant's overrides the route's.
+// urgency returns the priority of a request, from 0 (highest) to 9. A tenant's priority overrides the route's.
 func urgency(request *Request) int {
 	priority := 0
 	if request.Route != nil {
@@ -60,14 +70,14 @@
 	return min(max(priority, 0), priorityLevels-1)
 }
 
-// priorityLevel is 0 to 9, 0 first: by the plan's priority, and within it by size class, as far as the
-// plan's priorities leave levels. The shorter prompt goes first, so that most meet their target when not
-// all can.
+// priorityLevel maps a priority of the routing plan and a prompt size class to one of the worker's levels, 0
+// (highest) to 9. Levels that the plan's priorities leave free divide each priority by size class. Shorter
+// prompts go first, so that more requests meet their latency target when not all can.
 func (l *layout) priorityLevel(urgency, sizeClass int) int {
 	return min(urgency*l.sizeClasses+min(sizeClass, l.sizeClasses-1), priorityLevels-1)
 }
 
-// sizeClassesOf is into how many size classes each of the plan's priorities can be divided.
+// sizeClassesOf returns into how many prompt size classes each priority of the routing plan can be divided.
 func sizeClassesOf(plan *routingconfig.Plan) int {
 	lowest := 0
 	if plan != nil {
@@ -81,8 +91,8 @@
 	return min(max(priorityLevels/(lowest+1), 1), maxSizeClasses)
 }
 
-// layoutFor lays a snapshot out by service. What is known of workers and services is carried over by ID
-// and name; that of others is forgotten.
+// layoutFor returns the layout of a snapshot, and builds it if it isn't the current one. Statistics of workers
+// and services that the snapshot still contains are carried over; others are discarded.
 func (t *table) layoutFor(snapshot *fleet.Snapshot) *layout {
 	if t.layout != nil && t.layout.snapshot == snapshot {
 		return t.layout
@@ -115,7 +125,8 @@
 	return built
 }
 
-// addServices makes a group for each of the plan's services with workers, and returns its stores.
+// addServices adds a group for each service of the routing plan that isn't a store, and returns the plan's
+// stores.
 func (l *layout) addServices(carried *carriedStats) (stores []storeCandidate) {
 	if l.snapshot.Plan == nil {
 		return nil
@@ -131,14 +142,14 @@
 	return stores
 }
 
-// carriedStats are the statistics that a new layout takes over from a table.
+// carriedStats are the worker and service statistics that a new layout takes over from the table.
 type carriedStats struct {
 	from     *table
 	workers  map[string]*workerStats
 	services map[string]*serviceStats
 }
 
-// stats returns a worker's statistics: those known already, or new ones.
+// stats returns the statistics of a worker or store: the table's if it has some, else new ones.
 func (c *carriedStats) stats(id, service string) *workerStats {
 	worker := c.from.workers[id]
 	if worker == nil {
--- a/internal/data/selection/leastloaded.go
+++ b/internal/data/selection/leastloaded.go
@@ -7,8 +7,9 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// selectLeastLoaded selects for a service without a prompt cache: the less loaded of two, of the request's
-// zone while that one has a free slot.
+// selectLeastLoaded selects a worker of a service without a prompt cache: the less loaded of two workers drawn
+// by the hash of the request ID. Workers in the request's zone are preferred while the one drawn there has a
+// free slot.
 func (t *table) selectLeastLoaded(group *serviceGroup, usable []int, request *Request, snapshot *fleet.Snapshot, now time.Duration) Choice {
 	var near []int
 	for _, index := range usable {
@@ -41,7 +42,8 @@
 	return Choice{Worker: *worker, Urgency: -1}
 }
 
-// effectiveLoad is a worker's load, increased by up to its slots after an ejection.
+// effectiveLoad returns the estimated load of a worker; during slow start after an ejection it is increased by
+// up to the number of slots.
 func (t *table) effectiveLoad(candidate *candidate, edges int, now time.Duration) float64 {
 	return t.estimatedLoad(candidate.stats, edges, now) + candidate.stats.slowStartRatio(now)*candidate.slots()
 }
