--- a/internal/data/selection/loadsharing.go
+++ b/internal/data/selection/loadsharing.go
@@ -10,13 +10,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// Units of the loads on the wire: mixed releases share them.
+// Units of the load reports on the wire. All releases that run together have to agree on them.
 const (
-	pendingTokensUnit = 64 // tokens: pending tokens are sent as a number of these
-	outcomesPerCount  = 8  // counts of outcomes are sent in eighths
+	// Pending prompt tokens are reported in multiples of this.
+	pendingTokensUnit = 64
+	// Outcome counts are reported in eighths.
+	outcomesPerCount = 8
 )
 
-// workerListHash hashes a list of workers, so that reports can refer to workers by their position in it.
+// workerListHash returns a hash of a list of workers, so that load reports can refer to workers by their
+// position in the list.
 func (t *table) workerListHash(workers []fleet.Worker) uint64 {
 	if t.layout != nil && isSameList(t.layout.snapshot.Workers, workers) {
 		return t.layout.workerListHash
@@ -29,12 +32,14 @@
 	return hash.Sum64()
 }
 
-// isSameList reports whether two lists are one in memory: lists in snapshots are never changed.
+// isSameList reports whether two slices share their memory, which suffices because lists in snapshots are
+// immutable.
 func isSameList(a, b []fleet.Worker) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
-// localLoads is the load of this edge machine at the workers now; workers without any are left out.
+// localLoads returns the current load of this edge machine at each worker; workers without load or outcomes
+// are omitted.
 func (t *table) localLoads(now time.Duration) *wire.WorkerLoads {
 	if t.layout == nil {
 		return nil
@@ -62,8 +67,8 @@
 	return loads
 }
 
-// pendingFirstEvents counts, by worker, the attempts whose first event is overdue, and the tokens of all
-// those without a first event.
+// pendingFirstEvents returns, by worker, the number of attempts whose first response event is overdue, and the
+// prompt tokens to prefill of all attempts without a first response event.
 func (t *table) pendingFirstEvents(now time.Duration) (overdue, tokens map[*workerStats]float64) {
 	overdue, tokens = map[*workerStats]float64{}, map[*workerStats]float64{}
 	for _, sent := range t.inFlight {
@@ -78,8 +83,8 @@
 	return overdue, tokens
 }
 
-// applyOthersLoads applies the loads of the other edge machines. They are ignored if they are on another
-// list of workers, or if no other edge machine reported any.
+// applyOthersLoads applies the loads that the other edge machines reported. Reports are ignored if they refer
+// to a different list of workers, are malformed, or come from no other edge machine.
 func (t *table) applyOthersLoads(loads *wire.WorkerLoads, now time.Duration) {
 	if t.layout == nil || loads.WorkerListHash != t.layout.workerListHash || loads.Reporters == 0 || !promptindex.IsValidReport(loads) {
 		return
@@ -93,7 +98,8 @@
 	}
 }
 
-// applyGroupLoads applies the loads at one service's workers; rows is the position of each worker in them.
+// applyGroupLoads applies the reported loads to the workers of one service. rows maps a worker's position in
+// the worker list to its position in the report.
 func (t *table) applyGroupLoads(group *serviceGroup, loads *wire.WorkerLoads, rows map[uint32]int, now time.Duration) {
 	totalLoad, totalSucceeded, totalFailed := 0.0, 0.0, 0.0
 	for i := range group.candidates {
--- a/internal/data/selection/partrecord.go
+++ b/internal/data/selection/partrecord.go
@@ -8,23 +8,31 @@
 	"pebbleloom/internal/fleet"
 )
 
-// partRecord is what this edge machine itself knows of a part.
+// partRecord is what this edge machine knows of a prompt part from its own requests.
 type partRecord struct {
-	holders     [maxRecentHolders]recentHolder // the latest first
-	lastRequest string                         // ID of the request that used it last
-	isReused    bool                           // another request used it before
-	savedAt     time.Duration                  // when it was sent to a store; 0: never
-	savedIn     string                         // the store's name
+	// Workers that the part was sent to most recently, latest first.
+	holders [maxRecentHolders]recentHolder
+	// ID of the last request that used the part.
+	lastRequest string
+	// Whether at least two different requests used the part.
+	isReused bool
+	// Time at which the part was last sent to a store; 0: never.
+	savedAt time.Duration
+	// Name of the store that the part was last sent to.
+	savedIn string
 }
 
-// recentHolder is a worker that was sent a part. It is confirmed once its first event came.
+// recentHolder is a worker that a prompt part was sent to. It is confirmed once its first response event was
+// received.
 type recentHolder struct {
-	worker     string // "": none
+	// ID of the worker; empty: the entry is unused.
+	worker     string
 	recordedAt time.Duration
 	confirmed  bool
 }
 
-// addHolder makes a worker the latest holder; a confirmed one stays confirmed. The oldest one gives way.
+// addHolder makes a worker the most recent holder and evicts the oldest one if necessary. A confirmed holder
+// stays confirmed.
 func (p *partRecord) addHolder(worker string, confirmed bool, now time.Duration) {
 	replaced := maxRecentHolders - 1
 	for i, holder := range p.holders {
@@ -37,7 +45,7 @@
 	p.holders[0] = recentHolder{worker, now, confirmed}
 }
 
-// removePresumedHolder removes a worker, unless it is confirmed.
+// removePresumedHolder removes a worker from the holders, unless it is confirmed.
 func (p *partRecord) removePresumedHolder(worker string) {
 	for i, holder := range p.holders {
 		if holder.worker == worker && !holder.confirmed {
@@ -48,8 +56,8 @@
 	}
 }
 
-// lookupKeys lists the keys to look up for a request, under the two newest versions that workers serve;
-// none if this edge machine knows enough.
+// lookupKeys returns the keys to look up in the prompt index for a request, for the two newest weights
+// versions that workers serve. It returns none if the records of this edge machine suffice.
 func (t *table) lookupKeys(snapshot *fleet.Snapshot, request *Request, now time.Duration) []prefix.Key {
 	group := t.layoutFor(snapshot).groups[request.Service]
 	if group == nil || group.service.Engine == nil || len(request.Parts) == 0 {
@@ -78,19 +86,22 @@
 	if len(keys) == 0 {
 		return nil
 	}
-	for _, store := range group.stores { // these show which stores respond
+	// The responses for these keys show which stores are available.
+	for _, store := range group.stores {
 		keys = append(keys, promptindex.StoreHealthKey(store.service.Name))
 	}
 	return keys
 }
 
-// knowsHolder reports whether a prompt needs no lookup: it has nothing shared, or this edge machine
-// recently saw a worker on the version that caches everything shared.
+// knowsHolder reports whether a prompt needs no lookup: either no part is shared, or the records of this edge
+// machine contain a recently confirmed worker on the given version that caches all shared parts. If there are
+// stores, the last shared part must also have been saved recently.
 func (s *scorer) knowsHolder(version uint64, keys []prefix.Key) bool {
 	t, lastIndex := s.table, len(keys)-1
 	lastShared := lastIndex - 1
 	if last, _ := t.parts.get(keys[lastIndex]); last.lastRequest != "" {
-		lastShared = lastIndex // a session's
+		// The last part was used before, so it is part of a session.
+		lastShared = lastIndex
 	}
 	if lastShared < 0 {
 		return true
--- a/internal/data/selection/recentmap.go
+++ b/internal/data/selection/recentmap.go
@@ -1,10 +1,11 @@
 package selection
 
-// recentMap is a bounded map in two generations: entries that weren't put again leave with the older one.
-// It holds up to twice its limit.
+// recentMap is a bounded map with two generations. When the current generation is full it replaces the
+// previous one, whose entries are dropped unless they were put again. The map holds up to twice its limit.
 type recentMap[K comparable, V any] struct {
 	current, previous map[K]V
-	limit             int // of one generation
+	// Maximum number of entries in each generation.
+	limit int
 }
 
 func newRecentMap[K comparable, V any](limit int) *recentMap[K, V] {
--- a/internal/data/selection/rendezvous.go
+++ b/internal/data/selection/rendezvous.go
@@ -6,14 +6,15 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// rendezvousWeight is the weight of a worker or store, by the hash of its name, for a part: the one with
-// the greatest weight is the part's home. A member that joins or leaves moves no other member's parts.
+// rendezvousWeight returns the rendezvous hashing weight of a worker or store, given by the hash of its name,
+// for a part. The member with the highest weight is the home of the part, so that adding or removing a member
+// moves only the parts whose home it is.
 func rendezvousWeight(part, member uint64) uint64 { return mix(part ^ member) }
 
-// keyHash is a key's first bytes: keys are hashes already.
+// keyHash returns the first 8 bytes of a key as its hash; keys are themselves hashes.
 func keyHash(key prefix.Key) uint64 { return binary.BigEndian.Uint64(key[:]) }
 
-// mix makes each bit of the result depend on all of x. Source: the 64-bit finalizer of MurmurHash3.
+// mix returns a hash of x in which each bit depends on all bits of x: the 64-bit finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
