--- a/internal/data/selection/promptstate.go
+++ b/internal/data/selection/promptstate.go
@@ -8,46 +8,63 @@
 	"pebbleloom/internal/data/promptindex"
 )
 
-// promptState is a prompt under one version of the weights, with the workers and stores that cache its
-// parts. A set of parts is a uint64 with a bit for each.
+// promptState is a prompt under one version of the weights, with the workers and stores that cache its parts.
+// A set of parts is a uint64 bitmap with one bit per part.
 type promptState struct {
-	version         uint64
-	salt            string
-	keys            []prefix.Key // by part
-	sharedParts     int          // parts, from the first on, that other requests use too
-	affinityPart    int          // the part that decides on the home; -1: none
-	isReplicated    bool         // the placement replicates the deciding part: any worker may cache it
-	isCold          bool         // the deciding part has no known holder
-	indexResponded  bool         // the index responded for some part
-	home            int          // candidate; -1: none
-	sources         []source
-	storeParts      []uint64 // by store: parts that it is presumed to have
-	partsWithHolder uint64   // parts that are known to be cached, or being read
+	version uint64
+	salt    string
+	// Prompt index keys of the parts, in order.
+	keys []prefix.Key
+	// Number of leading parts that other requests use too.
+	sharedParts int
+	// Index of the part that determines the home worker; -1: none.
+	affinityPart int
+	// Whether the cache placement replicates the affinity part, so any worker may cache it.
+	isReplicated bool
+	// Whether the affinity part has no known holder.
+	isCold bool
+	// Whether the prompt index responded for at least one part.
+	indexResponded bool
+	// Index of the home worker among the candidates; -1: none.
+	home int
+	// Workers and stores that missing parts can be fetched from.
+	sources []source
+	// By store: bitmap of the parts that the store is presumed or confirmed to have.
+	storeParts []uint64
+	// Bitmap of the parts that some worker or store caches or is being sent.
+	partsWithHolder uint64
 }
 
-// source is a worker or store that caches some of the parts.
+// source is a worker or store that caches some of the prompt's parts.
 type source struct {
-	stats          *workerStats
-	candidate      int // -1: a store
-	addr           string
-	zone           string
-	presumedParts  uint64
+	stats *workerStats
+	// Index of the worker among the candidates; -1: the source is a store.
+	candidate int
+	addr      string
+	zone      string
+	// Bitmap of the parts that the source is presumed or confirmed to cache.
+	presumedParts uint64
+	// Bitmap of the parts that the source is confirmed to cache.
 	confirmedParts uint64
-	msPerToken     float64 // over the slower of its link and the worker's
+	// Milliseconds to transfer the cache of one token over the slower of the two links.
+	msPerToken float64
 }
 
-// storedParts are, by store, the parts that it is confirmed to have, and those that are being read and
-// on their way to it.
+// storedParts holds two bitmaps for each store: the parts that it is confirmed to have, and the parts that a
+// worker is still prefilling before saving them there.
 type storedParts struct{ confirmed, prefilling []uint64 }
 
-// holderEvidence is what is known of one holder of a part.
+// holderEvidence is what is known of one holder of a prompt part.
 type holderEvidence struct {
-	id           string // of a worker, or the name of a store
-	isConfirmed  bool   // it reported the part, or its first event came
-	isPrefilling bool   // it is still reading the part for this edge machine
+	// ID of the worker, or name of the store.
+	id string
+	// Whether the holder reported the part, or responded to a request that contains it.
+	isConfirmed bool
+	// Whether the holder, or the worker that saves to it, is still prefilling the part for this edge machine.
+	isPrefilling bool
 }
 
-// newPromptState collects the holders of the prompt's parts under one version.
+// newPromptState collects the holders of the prompt's parts under one version of the weights.
 func (s *scorer) newPromptState(version uint64) *promptState {
 	parts, storeCount := s.request.parts(), len(s.group.stores)
 	prompt := &promptState{
@@ -77,9 +94,9 @@
 	return prompt
 }
 
-// collectHolders records the holders of one part, from the index and from this edge machine's records.
-// It reports whether the part is the prompt's last and shared all the same: a session's, or a repeated
-// request's.
+// collectHolders records the holders of one part, from the prompt index and from the records of this edge
+// machine. It reports whether the part is the last of the prompt and shared nevertheless, because it belongs
+// to a session or the request is repeated.
 func (s *scorer) collectHolders(prompt *promptState, stores storedParts, index int) (isLastAndShared bool) {
 	t, parts := s.table, s.request.parts()
 	key := promptindex.PartKey(prompt.salt, parts[index].ID)
@@ -93,7 +110,8 @@
 	known, isKnown := t.parts.get(key)
 	lifetime := t.bounds.Heal(recordTuning.lifetimeRatio)
 	if found.GetHotness() > 0 {
-		lifetime = t.bounds.Heal(recordTuning.indexLagRatio) // the index knows older holders better
+		// For older holders the prompt index is more accurate.
+		lifetime = t.bounds.Heal(recordTuning.indexLagRatio)
 	}
 	prefillTime := t.bounds.Heal(recordTuning.prefillRatio)
 	for _, holder := range known.holders {
@@ -111,7 +129,8 @@
 	return usedByAnother || !s.isRetry && len(found.GetHolders()) > 0 || found.GetHotness() > 0
 }
 
-// addHolder records that a part is cached by a worker that serves the prompt's version, or by a store.
+// addHolder records that a part is cached by a store, or by a worker. Workers on another version of the
+// weights than the prompt's are ignored.
 func (s *scorer) addHolder(prompt *promptState, stores storedParts, part uint64, holder holderEvidence) {
 	t := s.table
 	if i, ok := s.group.index[holder.id]; ok {
@@ -143,8 +162,8 @@
 	}
 }
 
-// collectSources lists the workers and stores to fetch from: few enough to compare all with all
-// candidates. A part that is still being read can't be fetched.
+// collectSources lists the workers and stores from which parts can be fetched, up to a limit because all
+// sources are compared for each candidate. A part that is still being prefilled can't be fetched.
 func (s *scorer) collectSources(prompt *promptState, stores storedParts) {
 	t, engine := s.table, s.group.service.Engine
 	for i, candidate := range s.group.candidates {
@@ -166,8 +185,8 @@
 	}
 }
 
-// addSource adds a worker to the prompt's sources. Once there are too many it replaces the worst of them,
-// if it is better.
+// addSource adds a worker to the prompt's sources. If the limit is reached, it replaces the worst source,
+// provided the added one is better.
 func (s *scorer) addSource(prompt *promptState, added source) {
 	if len(prompt.sources) < transferTuning.maxSources {
 		prompt.sources = append(prompt.sources, added)
@@ -184,8 +203,8 @@
 	}
 }
 
-// isBetterSource prefers the source with more parts from the first on, then one of the request's zone,
-// then the one whose link is free sooner.
+// isBetterSource reports whether source a is better than b: the one that caches more consecutive parts from
+// the first on, then one in the request's zone, then the one whose link is free sooner.
 func (s *scorer) isBetterSource(a, b source) bool {
 	if runA, runB := bits.TrailingZeros64(^a.presumedParts), bits.TrailingZeros64(^b.presumedParts); runA != runB {
 		return runA > runB
@@ -196,8 +215,8 @@
 	return a.stats.linkBusyUntil < b.stats.linkBusyUntil
 }
 
-// findHome finds the home of the deciding part: the first of the usable candidates by rendezvous hashing
-// that isn't loaded beyond the bound.
+// findHome finds the home worker of the affinity part: among the usable candidates whose load is within the
+// limit, the one with the highest rendezvous hashing weight.
 func (s *scorer) findHome(prompt *promptState) {
 	part := keyHash(prompt.keys[prompt.affinityPart])
 	greatest := uint64(0)
@@ -213,8 +232,8 @@
 	}
 }
 
-// transferMsPerToken is how long the cache of one token takes over the slower of two links: the
-// engine's, and one of linkMbps. It is 0 if a link's speed is unknown.
+// transferMsPerToken returns how long the transfer of one token's cache takes over the slower of the engine's
+// link and a link of linkMbps. It returns 0 if the speed of either link is unknown.
 func transferMsPerToken(engine *routingconfig.Engine, linkMbps float64) float64 {
 	if engine.LinkMbps <= 0 || linkMbps <= 0 {
 		return 0
