--- a/internal/data/selection/score.go
+++ b/internal/data/selection/score.go
@@ -5,23 +5,29 @@
 	"time"
 )
 
-// workerCost is the cost of a request on one worker.
+// workerCost is the cost of executing a request on one worker.
 type workerCost struct {
-	totalMs       float64 // in ms of the request's target
-	prefillTokens float64 // that the worker has to read
-	transferMs    float64 // that its link and the source's are busy for
-	source        *source // that it fetches from; nil: none
+	// Sum of all cost terms, in milliseconds.
+	totalMs float64
+	// Prompt tokens that the worker has to prefill.
+	prefillTokens float64
+	// Milliseconds for which the transfer of fetched parts occupies the links of worker and source.
+	transferMs float64
+	// Worker or store that parts are fetched from; nil: none.
+	source *source
 }
 
-// consecutiveParts is how many parts in a row a set of parts has, from one part on.
+// consecutiveParts returns how many consecutive parts a bitmap of parts contains, starting with part number
+// from.
 func consecutiveParts(parts uint64, from int) int { return bits.TrailingZeros64(^(parts >> from)) }
 
-// score returns the cost of the request on a candidate: the sum of the terms that the package comment
-// lists. It stops early, without the exact cost, for a candidate that can't cost less than bestMs.
+// score returns the cost of the request on a candidate, the sum of the terms listed in the package comment.
+// For a candidate that can't cost less than bestMs it stops early and returns a lower bound of the cost.
 func (s *scorer) score(index int, prompt *promptState, bestMs float64) workerCost {
 	candidate := &s.group.candidates[index]
 	cached := min(consecutiveParts(s.table.presumedParts[index], 0), s.partCount())
-	missing := s.cumulativeTokens[s.partCount()] - s.cumulativeTokens[cached] + s.remainingTokens // tokens that it doesn't cache
+	// Prompt tokens that the worker doesn't cache.
+	missing := s.cumulativeTokens[s.partCount()] - s.cumulativeTokens[cached] + s.remainingTokens
 	shared := max(0, s.cumulativeTokens[min(prompt.sharedParts, s.partCount())]-s.cumulativeTokens[cached])
 
 	cost := s.congestionMs(index) + s.tieBreakMs(candidate)
@@ -33,7 +39,7 @@
 	slowness := s.table.slowness(candidate.stats, s.now)
 	cost += slowness * s.baseLatencyMs(candidate)
 
-	// At best all shared tokens that are missing can be fetched at no cost.
+	// Lower bound of the cost: all missing shared tokens are fetched at no cost.
 	if lowerBoundMs := cost + slowness*s.stats.msPerToken*(missing-shared); lowerBoundMs >= bestMs {
 		return workerCost{totalMs: lowerBoundMs}
 	}
@@ -44,26 +50,28 @@
 	}
 	cost += slowness*s.stats.msPerToken*missing + fetched.costMs
 	if shared > 0 && prompt.partsWithHolder>>cached&1 == 1 {
-		cost += s.duplicatePrefillMsPerToken * shared // another worker caches it, and it would be read once more
+		// Another worker caches these parts, so prefilling them here would be duplicate work.
+		cost += s.duplicatePrefillMsPerToken * shared
 	}
 	return workerCost{totalMs: cost, prefillTokens: missing, transferMs: fetched.transferMs, source: fetched.source}
 }
 
-// partCount is the number of the prompt's parts.
+// partCount returns the number of prompt parts that the selection considers.
 func (s *scorer) partCount() int { return len(s.cumulativeTokens) - 1 }
 
-// congestionMs is the slowdown of a worker by the requests that it executes at once.
+// congestionMs is the expected slowdown of the request by the other requests that the worker executes
+// concurrently.
 func (s *scorer) congestionMs(index int) float64 {
 	return loadTuning.congestionWeight * s.stats.meanAttemptMs * s.table.loads[index] / s.group.candidates[index].slots()
 }
 
-// tieBreakMs is a small cost by the hash of request and worker: edge machines that know the same then
-// don't all select the same of equal workers.
+// tieBreakMs is a small cost derived from the hash of request and worker, so that edge machines with the same
+// information don't all select the same one of several equal workers.
 func (s *scorer) tieBreakMs(candidate *candidate) float64 {
 	return loadTuning.tieBreakRatio * s.targetMs * float64(mix(s.requestHash^candidate.hash)>>11) / (1 << 53)
 }
 
-// queueingMs is the wait for a slot if all of a worker's slots are in use.
+// queueingMs is the expected wait for a slot if all slots of the worker are in use.
 func (s *scorer) queueingMs(index int) float64 {
 	load, slots := s.table.loads[index], s.group.candidates[index].slots()
 	if load < slots {
@@ -72,7 +80,7 @@
 	return (load - slots + 1) / slots * s.stats.meanAttemptMs
 }
 
-// crossZoneMs is the cost of sending the prompt to another zone.
+// crossZoneMs is the cost of sending the prompt to a worker in another zone.
 func (s *scorer) crossZoneMs(candidate *candidate) float64 {
 	if candidate.worker.Zone == s.request.Zone {
 		return 0
@@ -80,8 +88,8 @@
 	return transferTuning.promptWeight * s.targetMs * affinityTuning.duplicatePrefillRatio * float64(s.request.PromptTokens)
 }
 
-// affinityMs is the cost of a copy of the deciding part at a worker that isn't meant to cache it. A
-// part that the placement replicates may be cached anywhere.
+// affinityMs is the cost of another copy of the affinity part, charged to a candidate that doesn't cache the
+// part or isn't its home worker. There is no such cost for a part that the cache placement replicates.
 func (s *scorer) affinityMs(index int, prompt *promptState) float64 {
 	if prompt.affinityPart < 0 || prompt.isReplicated {
 		return 0
@@ -89,7 +97,8 @@
 	isNotHome := prompt.home >= 0 && prompt.home != index
 	weight := 0.0
 	if !prompt.isCold && s.table.presumedParts[index]>>prompt.affinityPart&1 == 0 {
-		weight += affinityTuning.copyWeight // the copy evicts another part
+		// The copy evicts another part from the worker's cache.
+		weight += affinityTuning.copyWeight
 		if isNotHome {
 			weight += affinityTuning.copyElsewhereWeight
 		}
@@ -99,17 +108,19 @@
 	return weight * (s.duplicatePrefillMsPerToken + s.stats.msPerToken) * s.cumulativeTokens[prompt.affinityPart+1]
 }
 
-// slowStartMs is the cost of a worker that was ejected lately.
+// slowStartMs is the cost charged to a worker that was ejected recently.
 func (s *scorer) slowStartMs(candidate *candidate) float64 {
 	return candidate.stats.slowStartRatio(s.now) * slowStartTuning.cost * s.targetMs
 }
 
-// baseLatencyMs is the time to the first event of an empty prompt, behind the prompts that are queued there.
+// baseLatencyMs is the expected time to the first event of an empty prompt, after the prompts that are queued
+// ahead of it.
 func (s *scorer) baseLatencyMs(candidate *candidate) float64 {
 	return s.stats.firstEventMs + s.table.backlogMs(candidate.stats, s.now)
 }
 
-// rolloutMs is the cost of a worker on an older version than the prompt is assigned to.
+// rolloutMs is the cost charged to a worker on an older weights version than the one that the prompt is
+// assigned to.
 func (s *scorer) rolloutMs(prompt *promptState) float64 {
 	if prompt.version >= s.assignedVersion {
 		return 0
@@ -117,16 +128,20 @@
 	return rolloutTuning.assignedWeight * s.stats.msPerToken * s.cumulativeTokens[prompt.sharedParts]
 }
 
-// sourceChoice is a source and what fetching from it costs and saves.
+// sourceChoice is a source of prompt parts, with the cost and the savings of fetching them from it.
 type sourceChoice struct {
-	source     *source
-	tokens     float64 // that needn't be read
-	costMs     float64 // in ms of the target
-	transferMs float64 // that the links are busy for
+	source *source
+	// Prompt tokens that needn't be prefilled because they are fetched.
+	tokens float64
+	// Cost of the transfer, in milliseconds.
+	costMs float64
+	// Milliseconds for which the transfer occupies the links of worker and source.
+	transferMs float64
 }
 
-// bestSource finds the source that saves a candidate the most, of those that cache the parts after the
-// ones that the candidate caches itself; none if all cost more than they save.
+// bestSource returns the source from which fetching saves a candidate the most, among those that cache the
+// parts after the leading ones that the candidate caches itself. It returns a zero choice if every transfer
+// costs more than it saves.
 func (s *scorer) bestSource(index int, prompt *promptState, cached int) (best sourceChoice) {
 	worker := &s.group.candidates[index]
 	bestGainMs := 0.0
@@ -147,7 +162,8 @@
 	return best
 }
 
-// evaluateSource weighs the transfer of count parts, after the cached ones, from a source to a worker.
+// evaluateSource returns the cost and the savings of fetching count parts, after the cached leading ones, from
+// a source.
 func (s *scorer) evaluateSource(source *source, worker *candidate, cached, count int) sourceChoice {
 	tokens := s.cumulativeTokens[cached+count] - s.cumulativeTokens[cached]
 	transferMs := tokens * source.msPerToken
@@ -163,8 +179,8 @@
 	return sourceChoice{source: source, tokens: tokens, costMs: costMs, transferMs: transferMs}
 }
 
-// milliseconds is a duration as a number.
+// milliseconds converts a duration to a number of milliseconds.
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1e3 }
 
-// fromMilliseconds is the duration of a number of milliseconds.
+// fromMilliseconds converts a number of milliseconds to a duration.
 func fromMilliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -12,7 +12,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// scorer selects among the workers of a service with a prompt cache, for one request.
+// scorer selects the worker for one request to a service with a prompt cache.
 type scorer struct {
 	table    *table
 	snapshot *fleet.Snapshot
@@ -21,31 +21,43 @@
 	versions *modelVersions
 	stats    *serviceStats
 	model    string
-	found    map[prefix.Key]*wire.LookupResult // the index's response; nil: none
-	now      time.Duration
-	usable   []int // candidates that may be selected
-	isRetry  bool
-
-	targetMs                   float64   // the request's latency target
-	duplicatePrefillMsPerToken float64   // the cost of reading a token that another worker caches
-	cumulativeTokens           []float64 // by part: tokens of the parts before it; at last, of all parts
-	remainingTokens            float64   // tokens beside the parts
-	meanLoad                   float64   // of the usable candidates
-	requestHash                uint64
-	assignedVersion            uint64 // newest version, if the prompt is assigned to it; else 0
+	// The prompt index's response; nil: there was none.
+	found map[prefix.Key]*wire.LookupResult
+	now   time.Duration
+	// Indexes of the candidates that may be selected.
+	usable []int
+	// Whether an earlier attempt of the request was sent to another worker.
+	isRetry bool
+
+	// Latency target of the request in milliseconds.
+	targetMs float64
+	// Extra cost per token, in milliseconds, of prefilling a part that another worker caches.
+	duplicatePrefillMsPerToken float64
+	// Prefix sums of the parts' tokens: element i is the number of tokens before part i.
+	cumulativeTokens []float64
+	// Prompt tokens beyond the considered parts.
+	remainingTokens float64
+	// Mean load of the usable candidates.
+	meanLoad float64
+	// Hash of the request ID.
+	requestHash uint64
+	// Newest weights version if the prompt is assigned to it, else 0.
+	assignedVersion uint64
 }
 
-// parts are the parts that the selection looks at: their sets are kept in a uint64.
+// parts returns the parts that the selection considers, at most maxParts because sets of parts are uint64
+// bitmaps.
 func (r *Request) parts() []PromptPart { return r.Parts[:min(len(r.Parts), maxParts)] }
 
-// selectBest selects the usable candidate with the least cost. There has to be one.
+// selectBest selects the usable candidate with the lowest cost. At least one candidate has to be usable.
 func (s *scorer) selectBest() Choice {
 	s.assignToNewestVersion()
 	s.setTarget()
 	s.countTokens()
 	s.updateStoreHealth()
 	s.estimateLoads()
-	var prompts []*promptState // by version that usable candidates serve, newest first
+	// One prompt state per weights version that usable candidates serve, newest first.
+	var prompts []*promptState
 	for _, version := range s.servedVersions() {
 		prompts = append(prompts, s.newPromptState(version))
 	}
@@ -58,7 +70,8 @@
 			best, bestIndex = cost, index
 		}
 	}
-	for _, prompt := range prompts { // likely ones first: then scoring the others stops early
+	// Home workers are likely the best: scoring them first lets score stop early for the others.
+	for _, prompt := range prompts {
 		if prompt.home >= 0 {
 			evaluate(prompt.home)
 		}
@@ -73,7 +86,7 @@
 	return choice
 }
 
-// promptOf returns the state of the prompt under a version: there are few versions.
+// promptOf returns the prompt state for a weights version by linear search, as there are few versions.
 func promptOf(prompts []*promptState, version uint64) *promptState {
 	for _, prompt := range prompts {
 		if prompt.version == version {
@@ -83,9 +96,10 @@
 	return nil
 }
 
-// assignToNewestVersion assigns the request to the workers on the newest version, for as large a share of
-// prompts as those can take: so the older ones drain. All edge machines assign the same prompts, by a hash
-// of the last shared part, so that a part moves to the newer version once.
+// assignToNewestVersion assigns a fraction of the prompts to the newest weights version, somewhat larger than
+// the fraction of workers that serve it, so that workers on older versions drain. The decision depends only on
+// a hash of the last shared part: all edge machines assign the same prompts, and a part moves to the newer
+// version only once.
 func (s *scorer) assignToNewestVersion() {
 	newest, count := uint64(0), 0
 	for _, index := range s.usable {
@@ -109,7 +123,7 @@
 	}
 }
 
-// servedVersions lists the versions that the usable candidates serve, newest first.
+// servedVersions returns the weights versions that usable candidates serve, newest first.
 func (s *scorer) servedVersions() (served []uint64) {
 	for _, version := range s.versions.distinct {
 		for _, index := range s.usable {
@@ -122,7 +136,7 @@
 	return served
 }
 
-// setTarget sets the latency target and what is a ratio of it.
+// setTarget sets the latency target of the request and the costs that are derived from it.
 func (s *scorer) setTarget() {
 	s.targetMs = milliseconds(s.table.bounds.Heal(loadTuning.defaultTargetRatio))
 	if s.request.Route != nil && s.request.Route.LatencyTarget > 0 {
@@ -131,7 +145,7 @@
 	s.duplicatePrefillMsPerToken = s.targetMs * affinityTuning.duplicatePrefillRatio
 }
 
-// countTokens adds up the tokens of the prompt's parts.
+// countTokens computes the prefix sums of the parts' tokens, and the tokens beyond the considered parts.
 func (s *scorer) countTokens() {
 	parts := s.request.parts()
 	s.cumulativeTokens = make([]float64, len(parts)+1)
@@ -141,7 +155,8 @@
 	s.remainingTokens = max(0, float64(s.request.PromptTokens)-s.cumulativeTokens[len(parts)])
 }
 
-// updateStoreHealth updates which stores respond, by what the index found.
+// updateStoreHealth records which stores are available: the index returns a holder for the health key of an
+// available store.
 func (s *scorer) updateStoreHealth() {
 	for _, store := range s.group.stores {
 		if found, ok := s.found[promptindex.StoreHealthKey(store.service.Name)]; ok {
@@ -150,7 +165,7 @@
 	}
 }
 
-// estimateLoads clears the table's scratch memory for this selection, and estimates the load of the
+// estimateLoads resets the scratch memory of the table for this selection, and estimates the loads of the
 // usable candidates.
 func (s *scorer) estimateLoads() {
 	t, count := s.table, len(s.group.candidates)
@@ -164,7 +179,7 @@
 	}
 }
 
-// cleared returns count zero elements, in the memory of l if there is room.
+// zeroed returns a slice of count zero elements that reuses the memory of l if its capacity suffices.
 func zeroed[T any](l []T, count int) []T {
 	if cap(l) < count {
 		return make([]T, count)
@@ -174,8 +189,9 @@
 	return l
 }
 
-// cacheSalt is the salt of the parts under a version. Workers that don't report which of the named
-// weights they serve can't share any: then each request has a salt of its own.
+// cacheSalt returns the salt of the prompt's cache keys under a weights version. If the control state names a
+// version of the model but workers don't report which one they serve, each request gets a salt of its own, so
+// that no cached parts are shared.
 func (s *scorer) cacheSalt(version uint64) string {
 	salt := CacheSalt(s.model, version, s.request.Tenant)
 	if !s.versions.reported && s.snapshot.NamedVersions[s.model] > 0 {
