--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -14,7 +14,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// selector is the Selector of one edge machine: an actor that guards its table, and a client of the
+// selector implements Selector for one edge machine, with an actor that guards the table and a client of the
 // prompt index.
 type selector struct {
 	clock  clock.Clock
@@ -23,7 +23,8 @@
 	index  *indexclient.Client
 }
 
-// New makes an edge machine's selector over its client of the index. It stops with the process.
+// New returns the selector of an edge machine, which uses the given client of the prompt index. The selector
+// stops with the process.
 //
 // Example: s := selection.New(process, indexclient.New(process, nodes))
 func New(process *daemon.Process, index *indexclient.Client) Selector {
@@ -37,7 +38,7 @@
 	return s
 }
 
-// Lookup asks the index for a prompt's parts, unless this edge machine knows enough itself.
+// Lookup queries the prompt index for the prompt's parts, unless the records of this edge machine suffice.
 //
 // Example: found := s.Lookup(ctx, snapshot, request)
 func (s *selector) Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.LookupResult {
@@ -54,7 +55,7 @@
 	return s.index.Lookup(ctx, keys, min(max(wait, minWait), maxWait))
 }
 
-// Select selects a worker.
+// Select selects the worker for an attempt of a request.
 //
 // Example: choice, ok := s.Select(snapshot, request, found, tried)
 func (s *selector) Select(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (choice Choice, ok bool) {
@@ -62,7 +63,8 @@
 	return choice, ok
 }
 
-// RecordSent records an attempt in flight, and reports the accesses to its shared parts to the index.
+// RecordSent records that an attempt is in flight, and reports the use of its shared parts to the prompt
+// index.
 //
 // Example: s.RecordSent(request, choice)
 func (s *selector) RecordSent(request *Request, choice Choice) {
@@ -71,7 +73,7 @@
 	s.index.RecordAccesses(request.Service, sent.sharedParts, choice.Worker.ID, sent.store)
 }
 
-// RecordFirstEvent records an attempt's first event.
+// RecordFirstEvent records the first response event of an attempt.
 //
 // Example: s.RecordFirstEvent(request, choice, &load, 80*time.Millisecond)
 func (s *selector) RecordFirstEvent(request *Request, choice Choice, load *Load, firstEvent time.Duration) {
@@ -85,13 +87,14 @@
 	s.actor.Ask(func(t *table) { t.recordOutcome(request, choice, outcome, load, firstEvent, s.clock.Now()) })
 }
 
-// localLoads is this edge machine's load at the workers, for the other edge machines.
+// localLoads returns the load of this edge machine at each worker, for other edge machines.
 func (s *selector) localLoads() (loads *wire.WorkerLoads) {
 	s.actor.Ask(func(t *table) { loads = t.localLoads(s.clock.Now()) })
 	return loads
 }
 
-// applyOthersLoads applies the load of the other edge machines. It doesn't wait.
+// applyOthersLoads applies the loads that other edge machines reported. It returns without waiting for the
+// update.
 func (s *selector) applyOthersLoads(loads *wire.WorkerLoads) {
 	s.actor.TrySend(func(t *table) { t.applyOthersLoads(loads, s.clock.Now()) })
 }
--- a/internal/data/selection/table.go
+++ b/internal/data/selection/table.go
@@ -9,28 +9,43 @@
 	"pebbleloom/internal/wire"
 )
 
-// table is one edge machine's memory for selections. An actor guards it: its methods do no I/O and never
-// wait. Instants are those of the process's clock.
+// table is the state on which one edge machine bases its selections. An actor guards it, so its methods do no
+// I/O and never block. Times are those of the process's clock.
 type table struct {
-	bounds                  settings.Bounds
-	startedAt               time.Duration
-	rolloutLimitAppliesFrom time.Duration // until then the weights bound doesn't apply
-	layout                  *layout
-	workers                 map[string]*workerStats  // by the worker's ID, or the store's name
-	services                map[string]*serviceStats // by service
-	parts                   *recentMap[prefix.Key, partRecord]
-	selected                *recentMap[attemptKey, attempt] // selections that weren't sent yet
-	inFlight                map[attemptKey]attempt
-	unavailableStores       map[string]bool // stores that don't respond
-	lastSweep               time.Duration   // of attempts whose outcome was never recorded
+	bounds settings.Bounds
+	// Time of the process's start.
+	startedAt time.Duration
+	// Before this time, the time limit on the use of older weights doesn't apply.
+	rolloutLimitAppliesFrom time.Duration
+	// The current snapshot, indexed by service.
+	layout *layout
+	// Statistics by worker ID, or by store name for stores.
+	workers map[string]*workerStats
+	// Statistics by service name.
+	services map[string]*serviceStats
+	// Records of the prompt parts that this edge machine sent.
+	parts *recentMap[prefix.Key, partRecord]
+	// Selections whose attempt has not been sent yet.
+	selected *recentMap[attemptKey, attempt]
+	// Attempts that were sent and whose outcome is not recorded yet.
+	inFlight map[attemptKey]attempt
+	// By store name: whether the prompt index doesn't list the store as available.
+	unavailableStores map[string]bool
+	// Time of the last removal of attempts whose outcome was never recorded.
+	lastSweep time.Duration
 
-	// Scratch memory of one selection, by candidate. A set of parts is a uint64 with a bit for each.
-	confirmedParts  []uint64
-	presumedParts   []uint64 // confirmed ones included
-	prefillingParts []uint64 // that it is reading for this edge machine
-	loads           []float64
-	usableScratch   []int
-	reasonScratch   []avoidReason
+	// Scratch memory of one selection, by candidate. A set of parts is a uint64 bitmap with one bit per part.
+
+	// By candidate: parts that the worker is confirmed to cache.
+	confirmedParts []uint64
+	// By candidate: parts that the worker is presumed or confirmed to cache.
+	presumedParts []uint64
+	// By candidate: parts that the worker is still prefilling for this edge machine.
+	prefillingParts []uint64
+	// By candidate: estimated number of running and waiting requests.
+	loads         []float64
+	usableScratch []int
+	reasonScratch []avoidReason
 }
 
 func newTable(bounds settings.Bounds, now time.Duration) *table {
@@ -46,8 +61,8 @@
 	}
 }
 
-// selectWorker selects a worker for a request; false if there is none, or if the request would wait too
-// long at the best one and wasn't sent anywhere yet.
+// selectWorker selects a worker for a request. It returns false if no worker is usable, or if the wait at the
+// best worker would be too long and the request was not sent to any worker yet.
 func (t *table) selectWorker(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool, now time.Duration) (Choice, bool) {
 	group := t.layoutFor(snapshot).groups[request.Service]
 	if group == nil || len(group.candidates) == 0 {
--- a/internal/data/selection/versions.go
+++ b/internal/data/selection/versions.go
@@ -8,14 +8,17 @@
 	"pebbleloom/internal/fleet"
 )
 
-// modelVersions is which version of a model's weights each candidate serves.
+// modelVersions lists which version of a model's weights each candidate serves.
 type modelVersions struct {
-	byCandidate []uint64 // 0: none
-	distinct    []uint64 // the versions, newest first
-	reported    bool     // some worker reports its versions
+	// By candidate: served version of the weights; 0: none reported.
+	byCandidate []uint64
+	// The distinct versions that candidates serve, newest first.
+	distinct []uint64
+	// Whether at least one worker reports its version of the model.
+	reported bool
 }
 
-// modelOf is the model of a request: the service's only one if the request names none.
+// modelOf returns the model of a request: the one that it names, or else the only model of the service.
 func (g *serviceGroup) modelOf(request *Request) string {
 	if engine := g.service.Engine; request.Model == "" && engine != nil && len(engine.Models) == 1 {
 		return engine.Models[0]
@@ -23,7 +26,7 @@
 	return request.Model
 }
 
-// versionsOf lists which version of a model each worker serves.
+// versionsOf returns which version of a model's weights each candidate serves, and caches the result.
 func (g *serviceGroup) versionsOf(model string) *modelVersions {
 	if versions := g.models[model]; versions != nil {
 		return versions
@@ -37,15 +40,17 @@
 			versions.distinct = append(versions.distinct, version)
 		}
 	}
-	slices.SortFunc(versions.distinct, func(a, b uint64) int { return cmp.Compare(b, a) }) // newest first
+	// Sort the versions newest first.
+	slices.SortFunc(versions.distinct, func(a, b uint64) int { return cmp.Compare(b, a) })
 	if len(g.models) < maxModels {
 		g.models[model] = versions
 	}
 	return versions
 }
 
-// oldestAllowedVersion is the oldest version on which a request may still start. Each version that was named
-// ends the use of those before it once its bound has run out, also where another was named meanwhile.
+// oldestAllowedVersion returns the oldest weights version on which a request may still start. Each named
+// version ends the use of all versions before it once its own time limit is over, even if yet another version
+// was named in the meantime.
 func (t *table) oldestAllowedVersion(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) (oldest uint64) {
 	if !t.olderVersionAllowed(snapshot, model, versions, now) {
 		return snapshot.NamedVersions[model]
@@ -58,10 +63,10 @@
 	return oldest
 }
 
-// olderVersionAllowed reports whether a request may still start on weights older than the named ones. A
-// process that has just started isn't in contact yet, and the bound doesn't apply to it. After that,
-// the bound of a version that was named before this process started is running already, half of it as
-// the agent assumes: then the older version is selected only while no worker serves the newer one.
+// olderVersionAllowed reports whether a request may still start on weights older than the named version. The
+// limit doesn't apply to a process that has just started and isn't in contact with the control state yet.
+// After that, if the version was named before the process started, part of the limit has already elapsed (the
+// agent assumes half): then an older version is allowed only while no worker serves the named one.
 func (t *table) olderVersionAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) bool {
 	named := snapshot.NamedVersions[model]
 	if named == 0 {
