--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -1,35 +1,35 @@
 package selection
 
-// The parameters of the selection, one group for each concern. They are read-only: TestTuningIsInRange
-// holds each to the range that its comment gives. "Heal bound" is settings.Bounds.HealMs, and "target" is
-// the latency target of the request's route. Where a value was measured, the comment names the entries
-// in journal/; their figures are of the simulated sites there.
+// Parameters of the selection, one struct for each concern. They are read-only, and TestTuningIsInRange checks
+// each against the range in its comment. "Recovery time limit" is settings.Bounds.HealMs, the time within
+// which service is restored after a fault; "latency target" is that of the request's route. Entries in
+// journal/ are records of runs against simulated sites.
 
-// affinityParameters weighs the copies of a part that workers cache. A part that the placement doesn't
-// replicate has one home, by rendezvous hashing; a copy elsewhere evicts other parts. Weights are ratios of
-// what prefilling the prompt up to the deciding part costs.
+// affinityParameters weigh the copies of a prompt part in the workers' caches. A part that the cache placement
+// doesn't replicate has one home worker, by rendezvous hashing; a copy elsewhere evicts other parts. Weights
+// are ratios of the cost of prefilling the prompt up to the end of its affinity part.
 type affinityParameters struct {
-	// homeLoadRatio is the multiple of the workers' mean load up to which a worker may be a home; one
-	// request more is always allowed. Range: 1 to 4. Lower spreads load, higher keeps parts at one worker.
-	// Source: docs/design.md (1.25 of the mean, plus one).
+	// homeLoadRatio is the multiple of the workers' mean load up to which a worker may be the home of a part;
+	// one request more is always allowed. Range: 1 to 4. Lower values spread load, higher values keep parts at
+	// one worker. Source: docs/design.md (1.25 times the mean, plus one).
 	homeLoadRatio float64
-	// homeSlotRatio is the share of a worker's slots that is added to that load, so that a home with many
-	// slots isn't avoided for a few requests. Range: 0 to 1. Chosen, not measured.
+	// homeSlotRatio is the fraction of a worker's slots that is added to the load limit for home workers, so
+	// that a worker with many slots isn't avoided for a few requests. Range: 0 to 1.
 	homeSlotRatio float64
-	// coldWeight is charged to other workers than the home while no worker caches the part, so that it is
-	// read once. Range: 0 to 1. Higher avoids reading a part twice, lower avoids waiting at its home.
-	// Source: docs/design.md (three quarters).
+	// coldWeight is the cost charged to workers other than the home while no worker caches the part, so that
+	// the part is prefilled only once. Range: 0 to 1. Higher values avoid duplicate prefill, lower values
+	// avoid waiting for the home worker. Source: docs/design.md (three quarters).
 	coldWeight float64
-	// copyWeight is charged to a worker without the part while another caches it. Range: 0 to 1. Higher
-	// avoids copies, lower spreads load. Measured: 0.15, 0.4 and 0.3 in journal/20261202T032312 to
-	// 20261202T032314, T032354 to T032356 and T032441 to T032443.
+	// copyWeight is the cost charged to a worker that lacks the part while another worker caches it. Range: 0
+	// to 1. Higher values avoid copies, lower values spread load. The values 0.15, 0.4 and 0.3 were compared
+	// in simulation: journal/20261202T032312 to 20261202T032314, T032354 to T032356 and T032441 to T032443.
 	copyWeight float64
-	// copyElsewhereWeight is charged on top of copyWeight if the worker isn't the part's home, so that
-	// edge machines make copies at the same worker. Range: 0 to 1. Chosen, not measured.
+	// copyElsewhereWeight is charged in addition to copyWeight if the worker isn't the part's home, so that
+	// all edge machines make copies at the same worker. Range: 0 to 1.
 	copyElsewhereWeight float64
-	// duplicatePrefillRatio is the cost of reading one token that another worker caches already, as a ratio of the
-	// target: the time that is lost to other requests, and the parts that are evicted.
-	// Range: above 0, to 0.001. Higher favors transfers and waiting over prefill. Chosen, not measured.
+	// duplicatePrefillRatio is the extra cost of prefilling one token that another worker already caches, as a
+	// ratio of the latency target. It accounts for the time that other requests lose and for the parts that
+	// are evicted. Range: above 0, to 0.001. Higher values favor transfers and waiting over prefill.
 	duplicatePrefillRatio float64
 }
 
@@ -42,29 +42,27 @@
 	duplicatePrefillRatio: 1.0 / 12500,
 }
 
-// transferParameters weighs the transfer of cached parts between workers and stores, and of prompts between
-// zones.
+// transferParameters weigh transfers of cached parts between workers and stores, and of prompts between zones.
 type transferParameters struct {
-	// tokenWeight is the cost of transferring a token beside the time on the links, as a ratio of the cost
-	// of reading it again. Range: 0 to 1. Higher avoids traffic. Chosen, not measured.
+	// tokenWeight is the cost of transferring a token in addition to the time that the links are busy, as a
+	// ratio of duplicatePrefillRatio. Range: 0 to 1. Higher values avoid network traffic.
 	tokenWeight float64
-	// crossZoneMultiple is how many times as long a transfer between zones takes. Range: 1 to 10. Chosen,
-	// not measured.
+	// crossZoneMultiple is how many times longer a transfer takes between zones than within one. Range: 1 to
+	// 10.
 	crossZoneMultiple float64
-	// presumedRiskRatio is the assumed probability that a source doesn't cache a part that it is presumed
-	// to cache. Range: 0 to 1. Higher avoids fetches that fail, lower avoids prefill. Chosen, not measured.
+	// presumedRiskRatio is the assumed probability that a source lacks a part that it is only presumed to
+	// cache. Range: 0 to 1. Higher values avoid fetches that fail, lower values avoid prefill.
 	presumedRiskRatio float64
-	// promptWeight is the cost of sending a prompt to another zone, for each token, as a ratio of the cost
-	// of reading it again. Range: 0 to 1. Higher avoids traffic between zones, lower spreads load. Chosen,
-	// not measured.
+	// promptWeight is the cost per token of sending a prompt to another zone, as a ratio of
+	// duplicatePrefillRatio. Range: 0 to 1. Higher values avoid traffic between zones, lower values spread
+	// load.
 	promptWeight float64
-	// maxSources is the number of workers that are compared as sources of a prompt. Range: 1 to 64. Higher
-	// finds better sources, lower saves processor time: candidates times sources are compared. Chosen, not
-	// measured.
+	// maxSources is the maximum number of workers that are considered as sources of a prompt's parts. Range: 1
+	// to 64. Higher values find better sources, lower values save CPU time, since each source is compared for
+	// each candidate.
 	maxSources int
-	// minSavedTokens is the number of shared tokens from which a prompt is worth saving in a store; from
-	// twice as many a store is asked for them without knowing that it has them. Range: above 0. Chosen, not
-	// measured.
+	// minSavedTokens is the minimum number of shared tokens for which a prompt is saved in a store. A store
+	// that is not known to have the parts is asked for them from twice this number. Range: above 0.
 	minSavedTokens float64
 }
 
@@ -77,30 +75,31 @@
 	minSavedTokens:    128,
 }
 
-// loadParameters weighs a worker's load.
+// loadParameters weigh the load of a worker.
 type loadParameters struct {
-	// congestionWeight is the slowdown of a worker whose slots are all in use, as a ratio of the mean time
-	// of an attempt. Range: 0 to 1. Higher spreads load, lower keeps requests where their prompt is cached.
-	// Chosen, not measured.
+	// congestionWeight is the slowdown of a worker whose slots are all in use, as a ratio of the mean duration
+	// of an attempt. Range: 0 to 1. Higher values spread load, lower values keep requests where their prompt
+	// is cached.
 	congestionWeight float64
-	// tieBreakRatio is the greatest cost that the hash of request and worker adds, as a ratio of the
-	// target, so that edge machines don't all select the same of equal workers. Range: 0 to 0.1. Chosen,
-	// not measured.
+	// tieBreakRatio is the maximum cost derived from the hash of request and worker, as a ratio of the latency
+	// target. It keeps edge machines from all selecting the same one of several equal workers. Range: 0 to
+	// 0.1.
 	tieBreakRatio float64
-	// decayRatio is the age at which a report of load, or of lateness, has decayed to 3/8, as a ratio of
-	// the heal bound. Range: above 0, to 1. Higher trusts old reports longer. Chosen, not measured.
+	// decayRatio is the age at which the weight of a load report or a lateness sample has decayed to 3/8 (see
+	// decayWeight), as a ratio of the recovery time limit. Range: above 0, to 1. Higher values trust old
+	// reports longer.
 	decayRatio float64
-	// sampleWeight is the weight of the newest sample in moving averages of a service: load of others,
-	// tokens of a prompt, time of an attempt. Range: above 0, to 1. Higher adapts sooner, lower is
-	// steadier. Chosen, not measured.
+	// sampleWeight is the weight of the newest sample in a service's moving averages of other edge machines'
+	// load, prompt tokens and attempt duration. Range: above 0, to 1. Higher values adapt faster, lower values
+	// are more stable.
 	sampleWeight float64
-	// maxWaitRatio is the wait at the best worker, as a ratio of the target, above which a request isn't
-	// sent: the client is asked to retry after that wait. Range: above 0. Lower ends an overload sooner,
-	// higher rejects less. Measured: 2, 1 and 0.5 in journal/20261202T034430 to T034501, T034554 to T034704
-	// and T034823 to T034900.
+	// maxWaitRatio is the longest wait at the best worker for which a request is still sent, as a ratio of the
+	// latency target; for a longer wait the client is asked to retry after it. Range: above 0. Lower values
+	// end an overload sooner, higher values reject fewer requests. The values 2, 1 and 0.5 were compared in
+	// simulation: journal/20261202T034430 to T034501, T034554 to T034704 and T034823 to T034900.
 	maxWaitRatio float64
-	// defaultTargetRatio is the target of a request whose route has none, as a ratio of the heal bound.
-	// Range: above 0, to 1. Chosen, not measured.
+	// defaultTargetRatio is the latency target of requests whose route has none, as a ratio of the recovery
+	// time limit. Range: above 0, to 1.
 	defaultTargetRatio float64
 }
 
@@ -113,45 +112,45 @@
 	defaultTargetRatio: 1.0 / 30,
 }
 
-// ejectionParameters bounds the ejection of workers that fail: by this edge machine's own attempts, and by
-// the outcomes that all edge machines share.
+// ejectionParameters control the ejection of workers that fail, judged by the attempts of this edge machine
+// and by the outcomes that all edge machines share.
 type ejectionParameters struct {
-	// maxEjectedRatio is the share of a service's usable workers that may be ejected at once. Range: 0 to
-	// 0.5. Higher avoids more failing workers, lower keeps capacity. Chosen, not measured.
+	// maxEjectedRatio is the maximum fraction of a service's usable workers that are ejected at the same time.
+	// Range: 0 to 0.5. Higher values avoid more failing workers, lower values preserve capacity.
 	maxEjectedRatio float64
-	// baseTimeRatio is the first ejection's time; it doubles with each failure. Ratio of the heal bound;
-	// range: above 0, to maxTimeRatio. Chosen, not measured.
+	// baseTimeRatio is the duration of a worker's first ejection, which doubles with each further failure, as
+	// a ratio of the recovery time limit. Range: above 0, to maxTimeRatio.
 	baseTimeRatio float64
-	// maxTimeRatio bounds an ejection's time. Ratio of the heal bound; range: baseTimeRatio to 1, so that
-	// service is restored within the bound. Chosen, not measured.
+	// maxTimeRatio is the maximum duration of an ejection, as a ratio of the recovery time limit. Range:
+	// baseTimeRatio to 1, so that service is restored within that limit.
 	maxTimeRatio float64
-	// maxDoublings bounds how often the time doubles. Range: 0 to 16. Chosen, not measured.
+	// maxDoublings is the maximum number of times that the duration of ejections doubles. Range: 0 to 16.
 	maxDoublings int
-	// failureMultiple is how many times its ratio of failures is added to the time of an ejection.
-	// Range: 0 to 8. Chosen, not measured.
+	// failureMultiple is by how much the failure ratio extends an ejection: its duration is multiplied by 1 +
+	// failureMultiple * failure ratio. Range: 0 to 8.
 	failureMultiple float64
-	// sampleWeight is the weight of the newest outcome in a worker's ratio of failures. Range: above 0, to
-	// 1. Chosen, not measured.
+	// sampleWeight is the weight of the newest outcome in the moving average of a worker's failure ratio.
+	// Range: above 0, to 1.
 	sampleWeight float64
 
-	// outcomeDecayRatio is the age at which a shared outcome has decayed to 3/8. Ratio of the heal bound;
-	// range: above 0, to 1. Chosen, not measured.
+	// outcomeDecayRatio is the age at which the weight of a shared outcome has decayed to 3/8 (see
+	// decayWeight), as a ratio of the recovery time limit. Range: above 0, to 1.
 	outcomeDecayRatio float64
-	// minFailures is the number of recent failures, of all edge machines, from which a worker is suspect.
-	// Range: above 1, so that a single failure ejects no worker. Lower reacts sooner. Chosen, not measured.
+	// minFailures is the minimum number of recent failures, over all edge machines, for which a worker is
+	// ejected. Range: above 1, so that a single failure ejects no worker. Lower values react sooner.
 	minFailures float64
-	// minFailureRatio is the share of its outcomes that have to be failures. Range: 0 to 1. Chosen, not
-	// measured.
+	// minFailureRatio is the failure ratio that a worker has to exceed to be ejected by shared outcomes.
+	// Range: 0 to 1.
 	minFailureRatio float64
-	// peerMultiple is how many times the failure ratio of its peers a suspect worker's has to be, so that
-	// a failure of all workers ejects none. Range: above 1. Chosen, not measured.
+	// peerMultiple is the multiple of its peers' failure ratio that a worker's failure ratio has to exceed for
+	// an ejection, so that failures common to all workers eject none. Range: above 1.
 	peerMultiple float64
-	// suspectTimeRatio is how long a suspect worker is ejected after each report. Ratio of the heal bound;
-	// range: above 0, to maxTimeRatio. Chosen, not measured.
+	// suspectTimeRatio is for how long each load report ejects a worker whose shared outcomes are bad, as a
+	// ratio of the recovery time limit. Range: above 0, to maxTimeRatio.
 	suspectTimeRatio float64
-	// overdueMultiple is the multiple of the expected time after which a first event is overdue, but never
-	// before the target. Range: above 1. Lower finds silent workers sooner, higher spares slow ones.
-	// Chosen, not measured.
+	// overdueMultiple is the multiple of its expected time after which a first response event is overdue; it
+	// is never overdue before the latency target. Range: above 1. Lower values detect unresponsive workers
+	// sooner, higher values tolerate slow ones.
 	overdueMultiple float64
 }
 
@@ -170,23 +169,26 @@
 	overdueMultiple:   4,
 }
 
-// slowStartParameters weighs a worker that comes back after an ejection.
+// slowStartParameters weigh the cost of a worker that receives requests again after an ejection.
 type slowStartParameters struct {
-	// cost is charged to a worker that has just come back, as a ratio of the target; it falls to 0 within
-	// the time that the worker was ejected for. Range: 0 to 1. Higher sends it fewer requests at first.
-	// Chosen, not measured.
+	// cost is charged to a worker whose ejection has just ended, as a ratio of the latency target; it falls to
+	// 0 within as much time as the ejection lasted. Range: 0 to 1. Higher values send the worker fewer
+	// requests at first.
 	cost float64
 }
 
 var slowStartTuning = slowStartParameters{cost: 0.5}
 
-// avoidanceParameters bounds how long a worker is avoided after it rejected an attempt that it didn't
-// execute. All are ratios of the heal bound; range: above 0, to 0.5. Higher saves rejected attempts,
-// lower notices sooner that the worker accepts requests again. Chosen, not measured.
+// avoidanceParameters control for how long a worker is avoided after it rejected an attempt without executing
+// it. All are ratios of the recovery time limit with the range above 0, to 0.5. Higher values save rejected
+// attempts, lower values let workers that accept requests again be selected sooner.
 type avoidanceParameters struct {
-	noFreeSlotRatio  float64 // it had no free slot
-	notReadyRatio    float64 // it served other weights, or carried out an order
-	misdirectedRatio float64 // another worker had its address
+	// After a rejection because the worker had no free slot.
+	noFreeSlotRatio float64
+	// After a rejection because the worker served other weights or was executing a command.
+	notReadyRatio float64
+	// After a rejection because another worker instance had the address.
+	misdirectedRatio float64
 }
 
 var avoidanceTuning = avoidanceParameters{
@@ -195,31 +197,32 @@
 	misdirectedRatio: 1.0 / 12,
 }
 
-// rolloutParameters says how requests move to newer weights. The weights bound is settings.Bounds.WeightsMs,
-// within which no request may start on older weights any more.
+// rolloutParameters control how requests move to newer model weights. The rollout time limit is
+// settings.Bounds.WeightsMs: once this time has passed since newer weights were named, no request may start on
+// older ones.
 type rolloutParameters struct {
-	// olderVersionRatio is how long after newer weights were named an older version may be selected.
-	// Ratio of the weights bound; range: 0 to below 1, so that a request starts within the bound. Source:
-	// docs/design.md (0.85 of the bound).
+	// olderVersionRatio is for how long after newer weights were named an older version may be selected, as a
+	// ratio of the rollout time limit. Range: 0 to below 1, so that a request starts within the limit. Source:
+	// docs/design.md (0.85 of the limit).
 	olderVersionRatio float64
-	// inheritedRatio is the time after this process's start within which a version counts as named before
-	// it. Ratio of the heal bound; range: 0 to 1. Chosen, not measured.
+	// inheritedRatio is the time after the process's start within which a version that is first seen counts as
+	// named before the start, as a ratio of the recovery time limit. Range: 0 to 1.
 	inheritedRatio float64
-	// contactRatio is how long after its start a machine isn't in contact, so that the weights bound doesn't
-	// apply to it. Ratio of the site's contact window; range: 0 to 1. Chosen, not measured.
+	// contactRatio is the time after the process's start during which the process counts as not in contact
+	// with the control state, so that the rollout time limit doesn't apply to it. Ratio of the site's contact
+	// window (settings.Site.ContactWindowMs); range: 0 to 1.
 	contactRatio float64
-	// minNewestRatio is the share of the workers that serve the newest version from which prompts are
-	// assigned to it. Range: 0 to 1. Higher protects the first workers from too many requests. Chosen, not
-	// measured.
+	// minNewestRatio is the minimum fraction of workers that have to serve the newest version before prompts
+	// are assigned to it. Range: 0 to 1. Higher values protect the first upgraded workers from overload.
 	minNewestRatio float64
-	// assignedMultiple is the share of prompts that are assigned to the newest version, as a multiple of
-	// the share of the workers that serve it. Range: 1 to 2. Higher drains the older ones sooner. Chosen,
-	// not measured.
+	// assignedMultiple determines the fraction of prompts that are assigned to the newest version, as a
+	// multiple of the fraction of workers that serve it. Range: 1 to 2. Higher values drain workers on older
+	// versions sooner.
 	assignedMultiple float64
-	// assignedWeight is the cost of an older version for a prompt that is assigned to the newest, as a
-	// ratio of the time of prefilling the shared parts. Range: 0 to 5. Higher drains the older ones sooner,
-	// lower avoids the queue of the newer ones. Measured: 1, 3 and 0.3 in journal/20261202T032749 to
-	// T032751, T032901 to T032905 and T033020 to T033024.
+	// assignedWeight is the cost of an older version for a prompt that is assigned to the newest, as a ratio
+	// of the time to prefill the shared parts. Range: 0 to 5. Higher values drain older versions sooner, lower
+	// values avoid queues at workers on newer ones. The values 1, 3 and 0.3 were compared in simulation:
+	// journal/20261202T032749 to T032751, T032901 to T032905 and T033020 to T033024.
 	assignedWeight float64
 }
 
@@ -232,14 +235,14 @@
 	assignedWeight:    1,
 }
 
-// indexWaitParameters bounds how long a request waits for the prompt index.
+// indexWaitParameters limit how long a request waits for a response of the prompt index.
 type indexWaitParameters struct {
-	// targetRatio is the wait as a ratio of the request's target. Range: 0 to 1. Higher finds more cached
-	// parts, lower leaves more of the target to the worker. Measured: journal/20261202T031652,
-	// 20261202T031820 and 20261202T032043 (an eighth).
+	// targetRatio is the maximum wait for the prompt index as a ratio of the request's latency target. Range:
+	// 0 to 1. Higher values find more cached parts, lower values leave more of the latency target to the
+	// worker. Simulation runs with 1/8: journal/20261202T031652, 20261202T031820 and 20261202T032043.
 	targetRatio float64
-	// minRatio and maxRatio bound the wait; the wait is the greatest without a target. Ratios of the heal
-	// bound; range: above 0, minRatio to 0.1. Chosen, not measured.
+	// minRatio and maxRatio limit the wait for the prompt index, as ratios of the recovery time limit; without
+	// a latency target the wait is the maximum. Ranges: above 0, to maxRatio; minRatio to 0.1.
 	minRatio, maxRatio float64
 }
 
@@ -249,22 +252,22 @@
 	maxRatio:    1.0 / 150,
 }
 
-// recordParameters says how long this edge machine's own records of parts count. All are ratios of the heal
-// bound; range: above 0.
+// recordParameters control for how long this edge machine relies on its own records of prompt parts. All are
+// ratios of the recovery time limit; range: above 0.
 type recordParameters struct {
-	// prefillRatio is the time within which a worker has read a prompt that was sent to it; until then its
-	// parts can't be fetched from there. Chosen, not measured.
+	// prefillRatio is the time within which a worker is assumed to finish the prefill of a prompt that was
+	// sent to it; until then the prompt's parts can't be fetched from the worker.
 	prefillRatio float64
-	// lookupRatio is the age of a confirmed holder from which the index is asked again. Higher saves
-	// lookups, lower learns sooner of copies elsewhere. Chosen, not measured.
+	// lookupRatio is the age from which the record of a confirmed holder no longer replaces a lookup in the
+	// prompt index. Higher values save lookups, lower values find copies at other workers sooner.
 	lookupRatio float64
-	// indexLagRatio is the time within which the index knows of what a worker dropped: a record that is
-	// older doesn't count if the index knows the part. That records give way to the index was measured
-	// (journal/20261202T031717 and T031718); the value was chosen.
+	// indexLagRatio is the time within which the prompt index learns that a worker evicted a part: if the
+	// index knows the part, older records of this edge machine are ignored. Simulation runs that show the
+	// benefit of preferring the index over old records: journal/20261202T031717 and T031718.
 	indexLagRatio float64
-	// lifetimeRatio is the age at which a record stops counting in any case. Chosen, not measured.
+	// lifetimeRatio is the age from which a record is ignored even if the prompt index doesn't know the part.
 	lifetimeRatio float64
-	// savedRatio is how long a part that was sent to a store counts as saved there. Chosen, not measured.
+	// savedRatio is for how long a part that was sent to a store is presumed to be stored there.
 	savedRatio float64
 }
 
@@ -276,28 +279,30 @@
 	savedRatio:    1,
 }
 
-// estimatorParameters is the prior of the estimated times of first events, and how samples move them.
+// estimatorParameters are the priors of the estimated times to first response events, and the weights of
+// samples.
 type estimatorParameters struct {
-	// priorFirstEventRatio is the assumed time to the first event of an empty prompt, and priorTokenRatio
-	// what each token adds. Ratios of the heal bound; range: above 0. Chosen, not measured.
+	// priorFirstEventRatio is the prior of the time to the first response event of an empty prompt, and
+	// priorTokenRatio the prior of the prefill time per token. Ratios of the recovery time limit; range: above
+	// 0.
 	priorFirstEventRatio, priorTokenRatio float64
-	// priorSamples is how many samples of an empty prompt, and of one with priorTokens, the prior counts
-	// as. Range: 1 to 100 samples; above 0 tokens. Higher adapts later. Chosen, not measured.
+	// The prior counts as priorSamples samples of an empty prompt and as many of a prompt of priorTokens
+	// tokens. Ranges: 1 to 100 samples; above 0 tokens. Higher values adapt more slowly.
 	priorSamples int
 	priorTokens  float64
-	// maxMultiple bounds estimates and samples: from 1/maxMultiple to maxMultiple of the prior, or of the
-	// estimate. Range: above 1. Higher adapts to faster and slower workers, lower is steadier. Chosen, not
-	// measured.
+	// maxMultiple limits estimates to between 1/maxMultiple and maxMultiple of their prior, and samples
+	// likewise relative to the estimate. Range: above 1. Higher values adapt to faster and slower workers,
+	// lower values are more stable.
 	maxMultiple float64
-	// sampleDecay is the weight of a sample relative to the next one of its service. Range: above 0,
-	// below 1. Higher is steadier. Chosen, not measured.
+	// sampleDecay is the factor by which each new sample of a service reduces the weight of the earlier ones.
+	// Range: above 0, below 1. Higher values are more stable.
 	sampleDecay float64
-	// slownessWeight is the weight of the newest sample in a worker's slowness, and slownessDecayRatio the
-	// age at which a slowness has decayed to 3/8, a ratio of the heal bound. Range: above 0, to 1. Chosen,
-	// not measured.
+	// slownessWeight is the weight of the newest sample in a worker's slowness. slownessDecayRatio is the age
+	// at which the slowness has decayed to 3/8 (see decayWeight), as a ratio of the recovery time limit. Range
+	// of both: above 0, to 1.
 	slownessWeight, slownessDecayRatio float64
-	// minSlowness is the natural logarithm of the least slowness that counts: smaller differences between
-	// workers are noise. Range: 0 to 0.5. Chosen, not measured.
+	// minSlowness is the smallest absolute value of a worker's logarithmic slowness that isn't rounded to 0:
+	// smaller differences between workers are noise. Range: 0 to 0.5.
 	minSlowness float64
 }
 
@@ -313,26 +318,33 @@
 	minSlowness:          0.02,
 }
 
-// sizeParameters divides prompts into classes by the share of the target that prefilling takes; within one
-// priority the smaller class goes first. Range: above 0, smallRatio below mediumRatio. That classes
-// raise the worth of a busy day was measured (journal/20261202T033313 and T033314, T033508 and T033509);
-// where they are divided was chosen.
+// sizeParameters divide prompts into size classes by the fraction of the latency target that their prefill
+// takes; within one priority, smaller classes go first. Range: above 0, smallRatio below mediumRatio.
+// Simulation runs in which size classes increased the total value of the requests served on a busy day:
+// journal/20261202T033313, T033314, T033508 and T033509.
 type sizeParameters struct {
-	smallRatio  float64 // below it: the first class
-	mediumRatio float64 // below it: the second class
+	// Upper limit of the class of small prompts.
+	smallRatio float64
+	// Upper limit of the class of medium prompts.
+	mediumRatio float64
 }
 
 var sizeTuning = sizeParameters{smallRatio: 1.0 / 16, mediumRatio: 3.0 / 16}
 
-// Bounds of memory. Chosen, not measured.
+// Limits on the memory of the selection.
 const (
-	maxParts         = 60   // parts of a prompt that are looked at: a set of parts is a uint64
-	maxRecentHolders = 3    // holders of a part that this edge machine itself remembers
-	maxPartRecords   = 4096 // in each of two generations
-	maxSelected      = 4096 // selections that weren't sent yet, in each of two generations
-	maxModels        = 64   // models whose versions are kept for a service: clients may name any
+	// Parts of a prompt that are considered; a set of parts is a uint64 bitmap.
+	maxParts = 60
+	// Most recent holders that are recorded for each prompt part.
+	maxRecentHolders = 3
+	// Records of prompt parts, in each of two generations.
+	maxPartRecords = 4096
+	// Selections that have not been sent yet, in each of two generations.
+	maxSelected = 4096
+	// Models whose served versions are cached per service, limited because clients may send any model name.
+	maxModels = 64
 )
 
-// zeroThreshold is the magnitude below which averages are set to 0: the processor is slow with denormal
-// numbers.
+// zeroThreshold is the magnitude below which decaying values are set to 0, because CPUs compute slowly with
+// denormal numbers.
 const zeroThreshold = 1e-6
