--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// A worker whose first events are late is backlogged, whatever load it reported last: others are selected,
-// and fetch from it what it caches.
+// A worker whose first response events are late counts as backlogged, whatever load it reported last: other
+// workers are selected and fetch the cached parts from it.
 func TestWorkerWithLateFirstEventsIsAvoided(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	home := edge.homeOf(t, "p")
@@ -18,32 +18,33 @@
 	request := edge.newRequest("p", 13000)
 	choice := edge.mustSelect(t, request)
 	if choice.Worker.ID != home {
-		t.Fatalf("%s, not its home %s", choice.Worker.ID, home)
+		t.Fatalf("idle workers: selected %s, want home worker %s", choice.Worker.ID, home)
 	}
 	edge.recordSent(request, choice, edge.now)
 	edge.now += 2 * route.LatencyTarget
 	for range 10 {
 		if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home || choice.Fetch != home+":1" {
-			t.Fatalf("%s, fetching from %q, though %s is late", choice.Worker.ID, choice.Fetch, home)
+			t.Fatalf("first event of %s is overdue: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
 		}
 	}
-	// Once it has come, its lateness still counts for a while.
+	// The lateness still counts for some time after the first event was received.
 	edge.recordFirstEvent(request, choice, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
-		t.Error("the lateness doesn't count after the first event")
+		t.Errorf("selected %s right after its late first event, want another worker", home)
 	}
 	edge.now += 8 * edge.bounds.Heal(loadTuning.decayRatio)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
-		t.Errorf("%s, though %s is free again", choice.Worker.ID, home)
+		t.Errorf("after the lateness decayed: selected %s, want home worker %s", choice.Worker.ID, home)
 	}
 }
 
-// The load that a worker reports counts from the attempt's first event on, not from its end.
+// The load that a worker reports takes effect with the first response event of an attempt, not with its end.
 func TestLoadCountsFromTheFirstEvent(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	home := edge.homeOf(t, "p")
 	edge.setHolders("p", promptindex.Confirmed, home)
-	for i := range 4 { // the time of prefill is known by then
+	// These requests let the table learn the prefill time.
+	for i := range 4 {
 		request := edge.newRequest(fmt.Sprint("x", i), 13000)
 		edge.serve(request, edge.mustSelect(t, request), 150*time.Millisecond)
 	}
@@ -53,19 +54,19 @@
 	edge.now += 40 * time.Millisecond
 	edge.recordFirstEvent(request, choice, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
-		t.Errorf("%s is selected, though 30 wait there", home)
+		t.Errorf("selected %s, which reported 30 waiting requests; want another worker", home)
 	}
-	if x := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; x.inFlight != 1 || len(x.pendingPrefills) != 0 {
-		t.Errorf("%d in flight, %d without a first event", x.inFlight, len(x.pendingPrefills))
+	if homeStats := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; homeStats.inFlight != 1 || len(homeStats.pendingPrefills) != 0 {
+		t.Errorf("after the first event: %d attempts in flight, %d without a first event; want 1 and 0", homeStats.inFlight, len(homeStats.pendingPrefills))
 	}
 	edge.recordOutcome(request, choice, Completed, nil, 40*time.Millisecond, edge.now)
-	if x := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; x.inFlight != 0 || len(x.pendingPrefills) != 0 {
-		t.Errorf("%d in flight, %d without a first event", x.inFlight, len(x.pendingPrefills))
+	if homeStats := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; homeStats.inFlight != 0 || len(homeStats.pendingPrefills) != 0 {
+		t.Errorf("after the outcome: %d attempts in flight, %d without a first event; want 0 and 0", homeStats.inFlight, len(homeStats.pendingPrefills))
 	}
 }
 
-// During a rollout prompts are assigned to the newer weights, but not into a queue: if those workers are
-// backlogged, the older ones are selected.
+// During a rollout prompts are assigned to workers on newer weights, but not if those are backlogged: then
+// workers on older weights are selected.
 func TestPromptsAreNotAssignedToBackloggedWorkers(t *testing.T) {
 	snapshot := newFleet(18)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
@@ -87,42 +88,43 @@
 		}
 	}
 	if assigned < 20 || assigned > 80 {
-		t.Errorf("%d of 100 are assigned to a third of the workers", assigned)
+		t.Errorf("6 of 18 workers serve version 2: %d of 100 requests sent to them, want 20 to 80", assigned)
 	}
-	for _, x := range edge.layoutFor(snapshot).groups["llm"].candidates[:6] {
-		x.stats.latenessMs, x.stats.latenessAt = 4*route.LatencyTarget.Seconds()*1e3, edge.now
+	for _, worker := range edge.layoutFor(snapshot).groups["llm"].candidates[:6] {
+		worker.stats.latenessMs, worker.stats.latenessAt = 4*route.LatencyTarget.Seconds()*1e3, edge.now
 	}
 	for i := range 100 {
 		if isAssigned(i) {
-			t.Fatal("assigned to backlogged workers")
+			t.Fatalf("request %d sent to a backlogged worker on version 2, want an idle worker on version 1", i)
 		}
 	}
 }
 
-// A copy evicts another part: a holder that isn't the part's home is selected despite a short wait.
+// A copy of a part evicts another part, so a holder that isn't the part's home worker is preferred if the wait
+// there is short.
 func TestHolderWithShortWaitIsPreferredToCopy(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	edge.mustSelect(t, edge.newRequest("p", 13000))
 	var holder *candidate
 	for i := range edge.layout.groups["llm"].candidates {
-		if x := &edge.layout.groups["llm"].candidates[i]; x.worker.Zone == "d0" && x.worker.ID != edge.homeOf(t, "p") {
-			holder = x
+		if worker := &edge.layout.groups["llm"].candidates[i]; worker.worker.Zone == "d0" && worker.worker.ID != edge.homeOf(t, "p") {
+			holder = worker
 		}
 	}
 	edge.setHolders("p", promptindex.Confirmed, holder.worker.ID)
 	prefillMs := 13000 * holder.stats.service.msPerToken
 	holder.stats.latenessMs, holder.stats.latenessAt = 0.3*prefillMs, edge.now
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != holder.worker.ID {
-		t.Errorf("%s, for a wait of %.0f ms where prefill takes %.0f", choice.Worker.ID, holder.stats.latenessMs, prefillMs)
+		t.Errorf("selected %s, want holder %s with a wait of %.0f ms, as prefill takes %.0f ms", choice.Worker.ID, holder.worker.ID, holder.stats.latenessMs, prefillMs)
 	}
 	holder.stats.latenessMs = 2 * prefillMs
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == holder.worker.ID || choice.Fetch != holder.worker.Addr {
-		t.Errorf("%s, fetching from %q, despite a wait of %.0f ms at %s", choice.Worker.ID, choice.Fetch, holder.stats.latenessMs, holder.worker.ID)
+		t.Errorf("holder %s has a wait of %.0f ms: selected %s, fetching from %q; want another worker, fetching from %q", holder.worker.ID, holder.stats.latenessMs, choice.Worker.ID, choice.Fetch, holder.worker.Addr)
 	}
 }
 
-// The assignment to newer weights costs an older worker no more than the time of prefilling the shared
-// parts: the first prefill under new weights has no cost beside its time.
+// The assignment to newer weights adds at most the time of prefilling the shared parts to the cost of a worker
+// on older weights: the first prefill under new weights costs no more than its duration.
 func TestAssignmentToNewWeightsCostsNoMoreThanPrefill(t *testing.T) {
 	snapshot := newFleet(18)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
@@ -132,22 +134,22 @@
 	edge := newEdge(snapshot)
 	edge.startedAt = processStart - time.Hour
 	edge.now += time.Second
-	for _, x := range edge.layoutFor(snapshot).groups["llm"].candidates[:12] {
-		x.stats.latenessMs, x.stats.latenessAt = 2.5*13000*x.stats.service.msPerToken, edge.now
+	for _, worker := range edge.layoutFor(snapshot).groups["llm"].candidates[:12] {
+		worker.stats.latenessMs, worker.stats.latenessAt = 2.5*13000*worker.stats.service.msPerToken, edge.now
 	}
 	for i := range 50 {
 		part := fmt.Sprint("p", i)
 		edge.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = confirmedAt("w13", "w14", "w15", "w16", "w17")
 		if choice := edge.mustSelect(t, edge.newRequest(part, 13000)); choice.Weights != 1 {
-			t.Fatalf("%s waits %.0f ms for newer weights, though older workers that cache the part are free", part, 2.5*13000*edge.services["llm"].msPerToken)
+			t.Fatalf("part %s: selected a worker on version %d with a wait of %.0f ms, want an idle worker on version 1 that caches the part", part, choice.Weights, 2.5*13000*edge.services["llm"].msPerToken)
 		}
 	}
 }
 
 func confirmedAt(holders ...string) *wire.LookupResult {
-	f := &wire.LookupResult{Hotness: 1}
-	for _, h := range holders {
-		f.Holders = append(f.Holders, &wire.Holder{Worker: h, State: promptindex.Confirmed})
+	result := &wire.LookupResult{Hotness: 1}
+	for _, holder := range holders {
+		result.Holders = append(result.Holders, &wire.Holder{Worker: holder, State: promptindex.Confirmed})
 	}
-	return f
+	return result
 }
--- a/internal/data/selection/cachesimulation_test.go
+++ b/internal/data/selection/cachesimulation_test.go
@@ -13,21 +13,30 @@
 	"pebbleloom/internal/wire"
 )
 
-// cacheSimulation simulates workers that cache what they prefill, a store, an index that learns of it late,
-// and edge machines that look up in it. Its clock is moved by hand.
+// cacheSimulation simulates workers that cache what they prefill, a store, a prompt index that learns of
+// cached parts with a delay, and edge machines that query it. Its clock advances manually.
 type cacheSimulation struct {
-	snapshot         *fleet.Snapshot
-	random           *rand.Rand
-	edges            []*testEdge
-	cachedAt         map[string]map[prefix.Key]time.Duration // by worker or store: cached from then on
-	everPrefilled    map[prefix.Key]bool
-	prefills         int
+	snapshot *fleet.Snapshot
+	random   *rand.Rand
+	edges    []*testEdge
+	// By worker or store: time from which each part is cached.
+	cachedAt map[string]map[prefix.Key]time.Duration
+	// Parts that some worker prefilled before.
+	everPrefilled map[prefix.Key]bool
+	// Number of prefills of shared parts.
+	prefills int
+	// Number of prefills of parts that some worker had prefilled before.
 	repeatedPrefills int
-	storedCounts     map[prefix.Key]int
-	indexLag         time.Duration
-	lostLookupRatio  float64 // share of lookups without a response
-	pendingOutcomes  []func()
-	outcomesAt       []time.Duration
+	// By part: number of times it was saved to the store.
+	storedCounts map[prefix.Key]int
+	// Delay with which the prompt index learns of cached parts.
+	indexLag time.Duration
+	// Fraction of prompt index lookups without a response.
+	lostLookupRatio float64
+	// Outcomes of attempts in flight, to be recorded at outcomesAt.
+	pendingOutcomes []func()
+	// By element of pendingOutcomes: time at which the outcome is recorded.
+	outcomesAt []time.Duration
 }
 
 func newCacheSimulation(n, edges int, seed uint64) *cacheSimulation {
@@ -53,7 +62,7 @@
 	}
 }
 
-// respond responds as the index would: with what was cached a while ago.
+// respond returns the response of the prompt index, which contains what was cached at least indexLag ago.
 func (simulation *cacheSimulation) respond(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
 	if len(keys) == 0 || simulation.random.Float64() < simulation.lostLookupRatio {
 		return nil
@@ -90,7 +99,8 @@
 	switch cachedFrom, ok := simulation.cachedAt[choice.Worker.ID][key]; {
 	case ok && cachedFrom <= now:
 	case ok:
-		firstEvent += cachedFrom - now // it is still prefilling the part for another request
+		// The worker is still prefilling the part for another request.
+		firstEvent += cachedFrom - now
 	default:
 		source := ""
 		for id := range simulation.cachedAt {
@@ -133,47 +143,47 @@
 	}
 }
 
-// Nine edge machines know of each other by an index that is a second late: a shared part is prefilled once
-// and hardly ever again, and saved in the store about once.
+// Nine edge machines share a prompt index that lags by one second: each shared part is prefilled once, with
+// few exceptions, and saved to the store about once.
 func TestSharedPartsArePrefilledOnce(t *testing.T) {
 	for seed := range uint64(5) {
 		simulation := newCacheSimulation(18, 9, seed)
 		simulation.run(4000, 250, 10*time.Millisecond)
 		if simulation.prefills < 200 || simulation.repeatedPrefills*50 > simulation.prefills {
-			t.Errorf("seed %d: %d prefills, %d of them repeated", seed, simulation.prefills, simulation.repeatedPrefills)
+			t.Errorf("seed %d: %d prefills of which %d repeated an earlier one; want at least 200 and at most 2%% repeated", seed, simulation.prefills, simulation.repeatedPrefills)
 		}
-		n := 0
-		for _, x := range simulation.storedCounts {
-			n += x
+		saveCount := 0
+		for _, count := range simulation.storedCounts {
+			saveCount += count
 		}
-		if len(simulation.storedCounts) < 200 || n > 2*len(simulation.storedCounts) {
-			t.Errorf("seed %d: %d parts saved in the store %d times", seed, len(simulation.storedCounts), n)
+		if len(simulation.storedCounts) < 200 || saveCount > 2*len(simulation.storedCounts) {
+			t.Errorf("seed %d: %d distinct parts saved to the store in %d saves; want at least 200 parts and at most 2 saves per part", seed, len(simulation.storedCounts), saveCount)
 		}
 	}
 }
 
-// The same if a third of the lookups gets no response.
+// Shared parts are rarely prefilled twice even if a third of the prompt index lookups get no response.
 func TestSharedPartsArePrefilledOnceDespiteLostLookups(t *testing.T) {
 	simulation := newCacheSimulation(18, 9, 9)
 	simulation.lostLookupRatio = 1.0 / 3
 	simulation.run(4000, 250, 10*time.Millisecond)
 	if simulation.repeatedPrefills*20 > simulation.prefills {
-		t.Errorf("%d prefills, %d of them repeated", simulation.prefills, simulation.repeatedPrefills)
+		t.Errorf("a third of lookups lost: %d prefills of which %d repeated an earlier one, want at most 5%%", simulation.prefills, simulation.repeatedPrefills)
 	}
 }
 
-// No worker prefills more than three times the mean.
+// Shared parts are spread over the workers: none caches more than three times the mean number of parts.
 func TestSharedPartsSpreadOverWorkers(t *testing.T) {
 	simulation := newCacheSimulation(18, 9, 4)
 	simulation.run(4000, 250, 10*time.Millisecond)
 	greatest := 0
-	for id, m := range simulation.cachedAt {
+	for id, parts := range simulation.cachedAt {
 		if id != "store" {
-			greatest = max(greatest, len(m))
+			greatest = max(greatest, len(parts))
 		}
 	}
 	if greatest > 3*simulation.prefills/18+5 {
-		t.Errorf("one worker caches %d of %d parts", greatest, simulation.prefills)
+		t.Errorf("one of 18 workers caches %d of %d prefilled parts, want at most %d", greatest, simulation.prefills, 3*simulation.prefills/18+5)
 	}
 }
 
