--- a/internal/data/selection/ejection_test.go
+++ b/internal/data/selection/ejection_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// However many workers fail, two thirds stay selectable, and a single one always does.
+// However many workers fail, at least two thirds of them can still be selected, and so can the only worker of
+// a service.
 func TestEjectionKeepsTwoThirds(t *testing.T) {
 	for _, workers := range []int{1, 2, 3, 7, 18} {
 		for failing := range workers + 1 {
@@ -22,10 +23,10 @@
 			}
 			left := withoutEjected(group, all, edge.now)
 			if len(left) == 0 || workers-len(left) > workers/3 {
-				t.Errorf("%d of %d failed: %d are left", failing, workers, len(left))
+				t.Errorf("%d of %d workers failed: %d remain after ejections, want at least two thirds and at least 1", failing, workers, len(left))
 			}
 			if failing > 0 && failing <= workers/3 && len(left) != workers-failing {
-				t.Errorf("%d of %d failed, and %d are ejected", failing, workers, workers-len(left))
+				t.Errorf("%d of %d workers failed: %d are ejected, want %d", failing, workers, workers-len(left), failing)
 			}
 		}
 	}
@@ -37,28 +38,28 @@
 	last := time.Duration(0)
 	for i := range 4 {
 		edge.recordFailure(worker, edge.now)
-		if d := worker.ejectedUntil - edge.now; d <= last {
-			t.Errorf("failure %d: ejected for %v after %v", i, d, last)
+		if duration := worker.ejectedUntil - edge.now; duration <= last {
+			t.Errorf("failure %d: ejected for %v, want longer than the previous ejection of %v", i, duration, last)
 		} else {
-			last = d
+			last = duration
 		}
 		edge.now = worker.ejectedUntil
-		if b := worker.slowStartRatio(edge.now); b <= 0 || worker.slowStartRatio(edge.now+worker.ejectionTime/2) >= b || worker.slowStartRatio(edge.now+worker.ejectionTime) != 0 {
-			t.Error("there is no slow start")
+		if ratio := worker.slowStartRatio(edge.now); ratio <= 0 || worker.slowStartRatio(edge.now+worker.ejectionTime/2) >= ratio || worker.slowStartRatio(edge.now+worker.ejectionTime) != 0 {
+			t.Errorf("slow start ratio at the end of the ejection: %v, want above 0, decreasing, and 0 after the ejection's duration", ratio)
 		}
 	}
 	for range 9 {
 		edge.recordFailure(worker, edge.now)
 	}
 	if worker.ejectedUntil-edge.now > edge.bounds.Heal(ejectionTuning.maxTimeRatio) {
-		t.Errorf("ejected for %v", worker.ejectedUntil-edge.now)
+		t.Errorf("ejected for %v after 13 failures, want at most %v", worker.ejectedUntil-edge.now, edge.bounds.Heal(ejectionTuning.maxTimeRatio))
 	}
 	edge.now = worker.ejectedUntil + time.Minute
 	for range 20 {
 		edge.recordSuccess(worker, edge.now)
 	}
 	if worker.recentFailures != 0 || worker.failureRatio > 0.05 {
-		t.Errorf("%d failures, a ratio of %.2f after twenty successes", worker.recentFailures, worker.failureRatio)
+		t.Errorf("after 20 successes: %d recent failures and failure ratio %.2f, want 0 and at most 0.05", worker.recentFailures, worker.failureRatio)
 	}
 }
 
@@ -70,14 +71,15 @@
 		edge.recordSent(request, choice, edge.now)
 		edge.recordOutcome(request, choice, outcome, nil, 0, edge.now)
 		if next := edge.mustSelect(t, edge.newRequest("p", 13000)); (next.Worker.ID != choice.Worker.ID) != avoided {
-			t.Errorf("outcome %d: then %s after %s", outcome, next.Worker.ID, choice.Worker.ID)
+			t.Errorf("outcome %d at worker %s: next selected %s, want the worker to be avoided: %t", outcome, choice.Worker.ID, next.Worker.ID, avoided)
 		}
 		if len(edge.inFlight) != 0 || edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight != 0 {
-			t.Errorf("outcome %d leaves an attempt in flight", outcome)
+			t.Errorf("outcome %d: the attempt still counts as in flight", outcome)
 		}
-		edge.recordOutcome(request, choice, outcome, nil, 0, edge.now) // recorded twice
+		// A repeated record of the same outcome must have no effect.
+		edge.recordOutcome(request, choice, outcome, nil, 0, edge.now)
 		if edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight != 0 {
-			t.Errorf("outcome %d counts twice", outcome)
+			t.Errorf("outcome %d recorded twice: the number of attempts in flight is not 0", outcome)
 		}
 	}
 }
@@ -96,6 +98,6 @@
 		edge.serve(request, choice, first)
 	}
 	if selected["w2"]*3 > selected["w1"] {
-		t.Errorf("selected: %v", selected)
+		t.Errorf("selections by worker: %v; want w2, which is 6 times slower, at most a third as often as w1", selected)
 	}
 }
--- a/internal/data/selection/loadsharing_test.go
+++ b/internal/data/selection/loadsharing_test.go
@@ -11,7 +11,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// sharingEdges are edge machines that share their loads through one index node.
+// sharingEdges are several edge machines that share their loads through one prompt index node.
 type sharingEdges struct {
 	aggregator *promptindex.LoadAggregator
 	edges      []*testEdge
@@ -20,8 +20,9 @@
 
 func newSharingEdges(workers, edges int) *sharingEdges {
 	sharing := &sharingEdges{aggregator: promptindex.NewLoadAggregator(settings.DefaultBounds()), now: processStart + time.Minute}
-	for _, part := range []float64{1.0 / 15, 1.0 / 30} { // it has received reports for a while
-		sharing.aggregator.Record("before", &wire.WorkerLoads{}, sharing.now-settings.DefaultBounds().Heal(part))
+	// The aggregator only returns loads after it received reports for some time.
+	for _, ratio := range []float64{1.0 / 15, 1.0 / 30} {
+		sharing.aggregator.Record("before", &wire.WorkerLoads{}, sharing.now-settings.DefaultBounds().Heal(ratio))
 	}
 	snapshot := newFleet(workers)
 	snapshot.EdgeCount = edges
@@ -33,7 +34,7 @@
 	return sharing
 }
 
-// exchangeLoads lets every edge machine report its loads and receive those of the others.
+// exchangeLoads makes every edge machine report its loads and receive those of the others.
 func (sharing *sharingEdges) exchangeLoads() {
 	for i, edge := range sharing.edges {
 		edge.now = sharing.now
@@ -45,7 +46,7 @@
 	}
 }
 
-// sendTo sends an attempt of an edge machine to a worker.
+// sendTo sends an attempt of this edge machine to the given worker.
 func (e *testEdge) sendTo(t *testing.T, worker string) (*Request, Choice) {
 	t.Helper()
 	request := e.newRequest("", 0)
@@ -57,7 +58,7 @@
 	}
 	choice, ok := e.selectWorker(e.snapshot, request, nil, others, e.now)
 	if !ok {
-		t.Fatal("none was selected")
+		t.Fatalf("no worker selected, want %s", worker)
 	}
 	e.recordSent(request, choice, e.now)
 	return request, choice
@@ -75,7 +76,7 @@
 	return byWorker
 }
 
-// A worker fails one request of each of three edge machines: those that never sent it any avoid it too.
+// A worker fails requests of three edge machines: edge machines that sent it no requests avoid it too.
 func TestFailuresAreSharedWithOtherEdges(t *testing.T) {
 	sharing := newSharingEdges(20, 30)
 	for _, edge := range sharing.edges[:3] {
@@ -85,15 +86,16 @@
 	}
 	sharing.exchangeLoads()
 	if n := sharing.countSelected(300)["w3"]; n > 0 {
-		t.Errorf("selected %d times", n)
+		t.Errorf("w3, which failed requests of 3 edge machines, selected %d of 300 times, want 0", n)
 	}
-	sharing.now += settings.DefaultBounds().Heal(2) // the ejection has ended
+	// w3's ejection has ended by then.
+	sharing.now += settings.DefaultBounds().Heal(2)
 	if n := sharing.countSelected(300)["w3"]; n == 0 {
-		t.Error("never selected again")
+		t.Error("w3 selected 0 of 300 times after its ejection ended, want at least 1")
 	}
 }
 
-// Failures that all workers have alike eject none of them.
+// Failures that are equally frequent on all workers eject none of them.
 func TestFailuresOfAllWorkersEjectNone(t *testing.T) {
 	sharing := newSharingEdges(12, 30)
 	for i, edge := range sharing.edges {
@@ -107,19 +109,20 @@
 	}
 	sharing.exchangeLoads()
 	for _, edge := range sharing.edges {
-		for _, x := range edge.workers {
-			x.ejectedUntil = 0 // what this edge machine's own attempts caused
+		for _, worker := range edge.workers {
+			// Clear ejections that are due to this edge machine's own attempts.
+			worker.ejectedUntil = 0
 		}
 		edge.applyOthersLoads(sharing.aggregator.Others("none", edge.layout.workerListHash, sharing.now), sharing.now)
-		for id, x := range edge.workers {
-			if x.ejectedUntil > sharing.now {
-				t.Fatalf("%s is ejected", id)
+		for id, worker := range edge.workers {
+			if worker.ejectedUntil > sharing.now {
+				t.Fatalf("half of the attempts failed on every worker: %s is ejected, want no ejection", id)
 			}
 		}
 	}
 }
 
-// A worker accepts requests and stays silent: it is ejected before any of them has ended.
+// A worker that accepts requests but never responds is ejected before any of the requests has ended.
 func TestOverdueFirstEventsEject(t *testing.T) {
 	sharing := newSharingEdges(20, 30)
 	for _, edge := range sharing.edges[:4] {
@@ -128,37 +131,36 @@
 	}
 	sharing.exchangeLoads()
 	if sharing.edges[9].workers["w3"].ejectedUntil > sharing.now {
-		t.Error("ejected before any first event was overdue")
+		t.Error("w3 is ejected before any first response event is overdue")
 	}
 	sharing.now += route.LatencyTarget + time.Millisecond
 	sharing.exchangeLoads()
 	if n := sharing.countSelected(300)["w3"]; n > 0 {
-		t.Errorf("selected %d times", n)
+		t.Errorf("w3, whose first response events are overdue, selected %d of 300 times, want 0", n)
 	}
 }
 
-// After its first event an attempt has no pending tokens, and can't be overdue.
+// After its first response event an attempt has no pending prompt tokens and can't be overdue.
 func TestFirstEventClearsPendingTokens(t *testing.T) {
 	sharing := newSharingEdges(4, 2)
 	edge := sharing.edges[0]
 	edge.now = sharing.now
 	request, choice := edge.sendTo(t, "w1")
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.PendingPrefill[0] != 1000/pendingTokensUnit || loads.InFlight[0] != 1 {
-		t.Fatalf("reported %v", loads)
+		t.Fatalf("attempt sent: reported load %v, want 1 worker with 1 request in flight and %d units of pending prefill", loads, 1000/pendingTokensUnit)
 	}
 	edge.recordFirstEvent(request, choice, nil, time.Millisecond, sharing.now+time.Millisecond)
 	sharing.now += time.Minute / 2
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.PendingPrefill[0] != 0 || loads.Failures[0] != 0 || loads.InFlight[0] != 1 {
-		t.Errorf("reported %v", loads)
+		t.Errorf("after the first event: reported load %v, want 1 request in flight, no pending prefill and no failures", loads)
 	}
 	edge.recordOutcome(request, choice, Completed, nil, time.Millisecond, sharing.now)
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.InFlight[0] != 0 || loads.Successes[0] != outcomesPerCount {
-		t.Errorf("reported %v", loads)
+		t.Errorf("after completion: reported load %v, want no request in flight and a success count of %d", loads, outcomesPerCount)
 	}
 }
 
-// Edge machines that each send few requests, but share loads, spread them: the busiest worker has little
-// more than the mean.
+// Edge machines that send few requests each but share their loads spread requests evenly over the workers.
 func TestSharedLoadsSpreadRequests(t *testing.T) {
 	busiest := func(shared bool) int {
 		sharing := newSharingEdges(40, 80)
@@ -177,17 +179,17 @@
 			}
 		}
 		greatest := 0
-		for _, x := range byWorker {
-			greatest = max(greatest, x)
+		for _, count := range byWorker {
+			greatest = max(greatest, count)
 		}
 		return greatest
 	}
 	if with, without := busiest(true), busiest(false); with > 14 || with >= without {
-		t.Errorf("the busiest of 40 got %d of 400, without sharing %d", with, without)
+		t.Errorf("busiest of 40 workers got %d of 400 requests with shared loads and %d without, want at most 14 and fewer than without", with, without)
 	}
 }
 
-// Loads on another list of workers, or with arrays of unequal length, are ignored.
+// Load reports that refer to another list of workers, or have arrays of different lengths, are ignored.
 func TestLoadsOnAnotherWorkerListAreIgnored(t *testing.T) {
 	sharing := newSharingEdges(4, 2)
 	edge := sharing.edges[0]
@@ -198,12 +200,12 @@
 	loads.Reporters = 1
 	edge.applyOthersLoads(loads, sharing.now)
 	if edge.workers["w1"].othersLoad != 0 {
-		t.Error("applied loads on another list")
+		t.Error("applied a load report that refers to another list of workers")
 	}
 	loads.WorkerListHash--
 	loads.InFlight = nil
 	edge.applyOthersLoads(loads, sharing.now)
 	if edge.workers["w1"].othersLoad != 0 {
-		t.Error("applied loads with arrays of unequal length")
+		t.Error("applied a load report with arrays of different lengths")
 	}
 }
