--- a/internal/data/selection/overload_test.go
+++ b/internal/data/selection/overload_test.go
@@ -6,70 +6,74 @@
 	"time"
 )
 
-// A request that would wait long at the best worker is rejected, with the time after which the client may
-// retry. One that was sent to a worker before is sent in any case.
+// A request that would wait too long at the best worker is rejected with the time after which the client may
+// retry. A request that was already sent to a worker is never rejected for this reason.
 func TestLongWaitIsRejectedWithRetryAfter(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok {
-		t.Fatal("no load, and none is selected")
+		t.Fatal("all workers idle: no worker selected")
 	}
 	setLateness := func(ms float64, n int) {
-		for _, x := range edge.layoutFor(edge.snapshot).groups["llm"].candidates[:n] {
-			x.stats.latenessMs, x.stats.latenessAt = ms, edge.now
+		for _, worker := range edge.layoutFor(edge.snapshot).groups["llm"].candidates[:n] {
+			worker.stats.latenessMs, worker.stats.latenessAt = ms, edge.now
 		}
 	}
 	longMs := 4 * route.LatencyTarget.Seconds() * 1e3
 	setLateness(longMs, 17)
 	if choice, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok || choice.Worker.ID != "w17" {
-		t.Errorf("one worker is free, and %q is selected", choice.Worker.ID)
+		t.Errorf("17 of 18 workers backlogged: selected %q, want the idle w17", choice.Worker.ID)
 	}
 	setLateness(longMs, 18)
 	choice, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now)
 	if want := 4 * route.LatencyTarget; ok || choice.RetryAfter < want/2 || choice.RetryAfter > 2*want {
-		t.Errorf("selected %v %q, retry after %v", ok, choice.Worker.ID, choice.RetryAfter)
+		t.Errorf("all workers backlogged: selected %t (worker %q), retry after %v; want no worker and a retry after %v to %v", ok, choice.Worker.ID, choice.RetryAfter, want/2, 2*want)
 	}
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, map[string]bool{"w3": true}, edge.now); !ok {
-		t.Error("a request that was sent before is rejected")
+		t.Error("all workers backlogged: a retried request is rejected, want a worker")
 	}
-	edge.now += 9 * edge.bounds.Heal(loadTuning.decayRatio) // without new samples the lateness fades
+	// Without new samples the lateness decays.
+	edge.now += 9 * edge.bounds.Heal(loadTuning.decayRatio)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok {
-		t.Error("rejects forever")
+		t.Error("request rejected although the workers' lateness has decayed")
 	}
 }
 
-// Clients disconnect after a long wait. A fleet that was offered more than it can prefill for a while
-// recovers: it doesn't go on prefilling for clients that are gone.
+// Clients disconnect after a timeout. Workers that were offered more than they can prefill for some time
+// recover after the overload, rather than prefilling prompts of disconnected clients indefinitely.
 func TestOverloadEndsWithItsCause(t *testing.T) {
-	const workers, rate, patience = 6, 100.0, 3 * time.Second // tokens a ms
+	// tokensPerMs is the prefill rate of a worker.
+	const workers, tokensPerMs, clientTimeout = 6, 100.0, 3 * time.Second
 	edge := newEdge(newFleet(workers))
 	freeAt := map[string]time.Duration{}
-	type under struct {
-		at, first time.Duration
-		r         *Request
-		c         Choice
+	type sentAttempt struct {
+		sentAt, firstEventAt time.Duration
+		request              *Request
+		choice               Choice
 	}
-	var inFlight []under
+	var inFlight []sentAttempt
 	inTime, offered := 0, 0
 	for i := 0; i < 4000; i++ {
 		edge.now += 5 * time.Millisecond
-		var rest []under
+		var stillInFlight []sentAttempt
 		for _, sent := range inFlight {
 			switch {
-			case sent.first <= edge.now:
-				edge.recordFirstEvent(sent.r, sent.c, &Load{Slots: 128}, sent.first-sent.at, edge.now)
-				edge.recordOutcome(sent.r, sent.c, Completed, nil, sent.first-sent.at, edge.now)
-			case edge.now-sent.at >= patience:
-				edge.recordOutcome(sent.r, sent.c, ClientGone, nil, 0, edge.now)
+			case sent.firstEventAt <= edge.now:
+				edge.recordFirstEvent(sent.request, sent.choice, &Load{Slots: 128}, sent.firstEventAt-sent.sentAt, edge.now)
+				edge.recordOutcome(sent.request, sent.choice, Completed, nil, sent.firstEventAt-sent.sentAt, edge.now)
+			case edge.now-sent.sentAt >= clientTimeout:
+				edge.recordOutcome(sent.request, sent.choice, ClientGone, nil, 0, edge.now)
 			default:
-				rest = append(rest, sent)
+				stillInFlight = append(stillInFlight, sent)
 			}
 		}
-		inFlight = rest
-		isOverloaded := i > 800 && i < 1600 // twice the usual
+		inFlight = stillInFlight
+		// Overload doubles the usual request rate for some time.
+		isOverloaded := i > 800 && i < 1600
 		if i%4 != 0 && !(isOverloaded && i%4 == 2) {
 			continue
 		}
-		request := edge.newRequest(fmt.Sprint("new", i), 8000) // 90 ms each: three quarters of the capacity
+		// Prefill of a request takes 90 ms, so the usual rate is 3/4 of the capacity.
+		request := edge.newRequest(fmt.Sprint("new", i), 8000)
 		choice, ok := edge.selectWorker(edge.snapshot, request, edge.found, nil, edge.now)
 		if i > 2800 {
 			offered++
@@ -78,14 +82,14 @@
 			continue
 		}
 		edge.recordSent(request, choice, edge.now)
-		freeAt[choice.Worker.ID] = max(freeAt[choice.Worker.ID], edge.now) + time.Duration(9000/rate)*time.Millisecond
-		first := freeAt[choice.Worker.ID] + 30*time.Millisecond
-		inFlight = append(inFlight, under{edge.now, first, request, choice})
-		if i > 2800 && first-edge.now <= route.LatencyTarget {
+		freeAt[choice.Worker.ID] = max(freeAt[choice.Worker.ID], edge.now) + time.Duration(9000/tokensPerMs)*time.Millisecond
+		firstEventAt := freeAt[choice.Worker.ID] + 30*time.Millisecond
+		inFlight = append(inFlight, sentAttempt{edge.now, firstEventAt, request, choice})
+		if i > 2800 && firstEventAt-edge.now <= route.LatencyTarget {
 			inTime++
 		}
 	}
 	if inTime*10 < offered*8 {
-		t.Errorf("long after an overload %d of %d are in time", inTime, offered)
+		t.Errorf("after the overload ended, %d of %d requests got their first event within the latency target, want at least 80%%", inTime, offered)
 	}
 }
--- a/internal/data/selection/partrecord_test.go
+++ b/internal/data/selection/partrecord_test.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// A worker evicts what isn't used for long. Once the index knows of it, an edge machine that sent the part
-// there relies on the index: an evicted part isn't fetched.
+// A worker evicts parts that were not used for some time. Once the prompt index has learned of the eviction,
+// an edge machine that sent the part there relies on the index and doesn't fetch the part from that worker.
 func TestEvictedPartIsNotFetched(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	request := edge.newRequest("p", 13000)
@@ -22,15 +22,15 @@
 	for range 30 {
 		choice := edge.mustSelect(t, edge.newRequest("p", 13000))
 		if choice.Worker.ID == first.Worker.ID && choice.Fetch != from {
-			t.Fatalf("%s is presumed to cache what it evicted", choice.Worker.ID)
+			t.Fatalf("worker %s evicted the part: it fetches from %q, want %q", choice.Worker.ID, choice.Fetch, from)
 		}
 		if choice.Worker.ID != holder && choice.Fetch != from {
-			t.Fatalf("%s fetches from %q: only %s caches it", choice.Worker.ID, choice.Fetch, holder)
+			t.Fatalf("worker %s fetches from %q, want %q, the only holder of the part", choice.Worker.ID, choice.Fetch, from)
 		}
 	}
 }
 
-// An index that has just started knows nothing: then an edge machine relies on its own records.
+// A prompt index that has just started knows no holders: then an edge machine relies on its own records.
 func TestOwnRecordsOutweighAnEmptyIndex(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	request := edge.newRequest("p", 13000)
@@ -39,6 +39,6 @@
 	edge.now += edge.bounds.Heal(recordTuning.indexLagRatio)
 	edge.found[promptindex.PartKey(CacheSalt("m", 1, nil), "p")] = &wire.LookupResult{}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != first.Worker.ID && choice.Fetch != first.Worker.Addr {
-		t.Errorf("%s, fetching from %q; %s has prefilled it", choice.Worker.ID, choice.Fetch, first.Worker.ID)
+		t.Errorf("prompt index knows no holder: selected %s, fetching from %q; want %s, which prefilled the part, or a fetch from it", choice.Worker.ID, choice.Fetch, first.Worker.ID)
 	}
 }
