--- a/internal/data/selection/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -19,8 +19,8 @@
 	return newEdge(snapshot)
 }
 
-// Each part belongs to one of several stores, whatever the zone of the worker that prefills it, and the
-// parts are distributed over the stores.
+// Each part is assigned to one of several stores, independently of the zone of the worker that prefills it,
+// and the parts are distributed over all stores.
 func TestPartsAreDistributedOverStores(t *testing.T) {
 	partsByStore := map[string]int{}
 	for p := range 60 {
@@ -30,37 +30,38 @@
 			edge.requestCount = 100 * d
 			request := edge.newRequest(fmt.Sprint("p", p), 13000)
 			tried := map[string]bool{}
-			for i, w := range edge.snapshot.Workers { // only workers of one zone are left
+			// Leave only the workers of one zone.
+			for i, w := range edge.snapshot.Workers {
 				if i%4 != d {
 					tried[w.ID] = true
 				}
 			}
 			choice, ok := edge.selectWorker(edge.snapshot, request, nil, tried, edge.now)
 			if !ok || choice.Save == "" || store != "" && choice.Save != store {
-				t.Fatalf("part %d: %q, then %q", p, store, choice.Save)
+				t.Fatalf("part %d: choices have save addresses %q and %q, want the same store", p, store, choice.Save)
 			}
 			store = choice.Save
 		}
 		partsByStore[store]++
 	}
 	if len(partsByStore) != 3 || partsByStore["store0:1"] < 10 || partsByStore["store1:1"] < 10 || partsByStore["store2:1"] < 10 {
-		t.Errorf("60 parts: %v", partsByStore)
+		t.Errorf("60 parts by store: %v, want at least 10 in each of 3 stores", partsByStore)
 	}
 }
 
-// A part that any store has isn't saved in another.
+// A part that one store has isn't saved to another store.
 func TestPartInAnyStoreIsNotSavedAgain(t *testing.T) {
 	edge := newEdgeWithStores(3)
 	for i := range 3 {
 		part := fmt.Sprint("p", i)
 		edge.setHolders(part, promptindex.Confirmed, fmt.Sprint("store", i))
 		if choice := edge.mustSelect(t, edge.newRequest(part, 13000)); choice.Save != "" || choice.Fetch != fmt.Sprintf("store%d:1", i) {
-			t.Errorf("part %d: save %q, fetch %q", i, choice.Save, choice.Fetch)
+			t.Errorf("part %d is in store%d: choice has save address %q and fetch address %q, want no save and a fetch from that store", i, i, choice.Save, choice.Fetch)
 		}
 	}
 }
 
-// The parts of a store that doesn't respond are saved in the others.
+// Parts that are assigned to an unavailable store are saved to the other stores.
 func TestUnavailableStoreIsReplaced(t *testing.T) {
 	edge := newEdgeWithStores(3)
 	request := edge.newRequest("p", 13000)
@@ -72,16 +73,16 @@
 	}
 	edge.now += time.Second
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Save == "" || choice.Save == first {
-		t.Errorf("%q, then %q", first, choice.Save)
+		t.Errorf("store %q is unavailable: choice has save address %q, want another store", first, choice.Save)
 	}
 }
 
-// A request without prompt parts uses no store.
+// No store is used for a request without prompt parts.
 func TestRequestWithoutPartsUsesNoStore(t *testing.T) {
 	edge := newEdgeWithStores(2)
 	request := edge.newRequest("", 0)
 	request.Parts = nil
 	if choice := edge.mustSelect(t, request); choice.Save != "" || choice.Fetch != "" {
-		t.Errorf("save %q fetch %q", choice.Save, choice.Fetch)
+		t.Errorf("request without parts: choice has save address %q and fetch address %q, want none", choice.Save, choice.Fetch)
 	}
 }
