--- a/internal/data/selection/tuning_test.go
+++ b/internal/data/selection/tuning_test.go
@@ -6,11 +6,12 @@
 	"unsafe"
 )
 
-const positive = 1e-12 // "above 0"
+// Lower limit of ranges that exclude 0.
+const positive = 1e-12
 
 var unbounded = math.Inf(1)
 
-// tunedParameters are all parameters, with the ranges that their comments give.
+// tunedParameters lists all parameters with the ranges that their comments give.
 var tunedParameters = map[string]struct{ value, lowest, highest float64 }{
 	"affinity.homeLoadRatio":         {affinityTuning.homeLoadRatio, 1, 4},
 	"affinity.homeSlotRatio":         {affinityTuning.homeSlotRatio, 0, 1},
@@ -83,24 +84,25 @@
 	"size.mediumRatio": {sizeTuning.mediumRatio, sizeTuning.smallRatio, unbounded},
 }
 
-// Each parameter lies within the range that its comment gives.
+// Each parameter is within the range that its comment gives.
 func TestTuningIsInRange(t *testing.T) {
 	for name, parameter := range tunedParameters {
 		t.Run(name, func(t *testing.T) {
 			if parameter.value < parameter.lowest || parameter.value > parameter.highest {
-				t.Errorf("%v isn't within %v and %v", parameter.value, parameter.lowest, parameter.highest)
+				t.Errorf("value %v is outside its range of %v to %v", parameter.value, parameter.lowest, parameter.highest)
 			}
 		})
 	}
 	if maxParts >= 64 {
-		t.Errorf("%d parts don't fit into a set of parts, which is a uint64", maxParts)
+		t.Errorf("maxParts is %d, want below 64: a set of parts is a uint64 bitmap", maxParts)
 	}
 }
 
-// Attempts are kept in maps by value: larger ones would need an allocation each.
+// Attempts are stored in maps by value, which needs an extra allocation per entry if they are too large.
 func TestAttemptFitsIntoMapEntry(t *testing.T) {
-	const maxInlineValue = 128 // bytes, by the runtime's maps
+	// Size in bytes up to which Go's maps store values inline.
+	const maxInlineValue = 128
 	if size := unsafe.Sizeof(attempt{}); size > maxInlineValue {
-		t.Errorf("an attempt has %d bytes, more than %d", size, maxInlineValue)
+		t.Errorf("attempt struct has %d bytes, want at most %d", size, maxInlineValue)
 	}
 }
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -22,12 +22,12 @@
 	for range 30 {
 		choice := edge.mustSelect(t, edge.newRequest("p"+fmt.Sprint(edge.requestCount), 1000))
 		if choice.Weights != choice.Worker.Weights["m"] || !strings.HasPrefix(choice.Salt, fmt.Sprint(choice.Weights, ".")) {
-			t.Fatalf("weights %d and salt %q at a worker with %d", choice.Weights, choice.Salt, choice.Worker.Weights["m"])
+			t.Fatalf("choice has weights version %d and salt %q, want those of version %d, which the worker serves", choice.Weights, choice.Salt, choice.Worker.Weights["m"])
 		}
 	}
 }
 
-// countOlder selects for 60 requests and counts those on older weights than version 2.
+// countOlder selects workers for 60 requests and returns how many of them serve weights older than version 2.
 func (e *testEdge) countOlder() (count int) {
 	for range 60 {
 		if choice, ok := e.selectWorker(e.snapshot, e.newRequest("p"+fmt.Sprint(e.requestCount), 1000), nil, nil, e.now); ok && choice.Weights < 2 {
@@ -37,7 +37,7 @@
 	return count
 }
 
-// upgrade gives the edge machine a copy of a snapshot in which some workers serve version 2.
+// upgrade replaces the edge machine's snapshot by a copy in which the given number of workers serve version 2.
 func (e *testEdge) upgrade(snapshot *fleet.Snapshot, workers int) {
 	upgraded := *snapshot
 	upgraded.Workers = append([]fleet.Worker(nil), snapshot.Workers...)
@@ -47,56 +47,58 @@
 	e.snapshot = &upgraded
 }
 
-// Older weights are selected until a ratio of their bound; then only the newest are.
+// Workers on older weights are selected until most of the rollout time limit has passed; then only those on
+// the newest weights are.
 func TestOlderWeightsEndWithinTheirBound(t *testing.T) {
 	snapshot := newFleet(9)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	edge := newEdge(snapshot)
 	if n := edge.countOlder(); n != 60 {
-		t.Errorf("no worker has the newest: %d of 60 on the old", n)
+		t.Errorf("no worker serves version 2: %d of 60 requests sent to older weights, want 60", n)
 	}
 	if edge.upgrade(snapshot, 6); edge.countOlder() > 30 {
-		t.Errorf("most have the newest: %d of 60 on the old", edge.countOlder())
+		t.Errorf("6 of 9 workers serve version 2: %d of 60 requests sent to older weights, want at most 30", edge.countOlder())
 	}
 	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.84)
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
-		t.Error("one has the newest: none on the old")
+		t.Error("1 of 9 workers serves version 2, before the rollout time limit: no request sent to older weights")
 	}
 	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.86)
 	if n := edge.countOlder(); n != 0 {
-		t.Errorf("past the bound: %d of 60 on the old", n)
+		t.Errorf("after the rollout time limit: %d of 60 requests sent to older weights, want 0", n)
 	}
 	edge.upgrade(snapshot, 0)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok {
-		t.Error("past the bound no worker has the newest, and one was selected")
+		t.Error("after the rollout time limit: a worker on older weights was selected")
 	}
 }
 
-// A process that has just started doesn't know how long the bound has been running.
+// A process that has just started doesn't know how much of the rollout time limit has passed.
 func TestNewProcessBoundsOlderWeights(t *testing.T) {
 	snapshot := newFleet(9)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart
 	edge := newEdge(snapshot)
 	edge.now = processStart + time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
-		t.Error("a young process selected older weights though the newest are there")
+		t.Error("process just started: older weights selected although a worker serves version 2")
 	}
-	// While it isn't in contact, it selects by cost alone.
+	// While the process isn't in contact with the control state, the rollout time limit doesn't apply.
 	edge.rolloutLimitAppliesFrom = processStart + 2*time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
-		t.Error("a process that isn't in contact yet avoids older weights")
+		t.Error("process not in contact yet: no request sent to older weights")
 	}
 	edge.now = edge.rolloutLimitAppliesFrom
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
-		t.Error("in contact, it selected older weights though the newest are there")
+		t.Error("process in contact: older weights selected although a worker serves version 2")
 	}
-	// The agent counts half of the bound as elapsed: until the rest is, older ones are better than none.
+	// The agent assumes that half of the rollout time limit had passed before the process started. Until the
+	// other half has, older weights are allowed if no worker serves the newer ones.
 	snapshot.NamedAt["m"] = processStart - edge.bounds.Weights(0.5)
 	edge.upgrade(snapshot, 0)
-	for part, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
-		edge.now = processStart + edge.bounds.Weights(part)
+	for ratio, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
+		edge.now = processStart + edge.bounds.Weights(ratio)
 		if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok != want {
-			t.Errorf("no worker serves what was named before the start, %v of the bound later: selected %v", part, ok)
+			t.Errorf("version 2 named before the process started, served by no worker; %v of the rollout time limit after the start: worker selected %t, want %t", ratio, ok, want)
 		}
 	}
 }
@@ -114,20 +116,20 @@
 		return byWorker
 	}
 	if byWorker := selected(); byWorker["w0"]+byWorker["w1"] != 0 {
-		t.Errorf("cordoned ones: %v", byWorker)
+		t.Errorf("selections by worker: %v, want none of the cordoned w0 and w1", byWorker)
 	}
 	request := edge.newRequest("p", 1000)
 	choice := edge.mustSelect(t, request, "w0", "w1", "w2")
 	if choice.Worker.ID != "w3" {
-		t.Fatalf("selected %s", choice.Worker.ID)
+		t.Fatalf("selected %s, want w3, the only worker that was not tried", choice.Worker.ID)
 	}
 	edge.recordSent(request, choice, edge.now)
 	edge.recordOutcome(request, choice, NotReady, nil, 0, edge.now)
 	if byWorker := selected(); byWorker["w3"] != 0 {
-		t.Errorf("one that isn't ready: %v", byWorker)
+		t.Errorf("selections by worker: %v, want none of w3, which is not ready", byWorker)
 	}
 	if choice := edge.mustSelect(t, request, "w2", "w3"); choice.Worker.ID != "w0" && choice.Worker.ID != "w1" {
-		t.Errorf("none but the cordoned are left, yet %s", choice.Worker.ID)
+		t.Errorf("only cordoned workers were not tried: selected %s, want w0 or w1", choice.Worker.ID)
 	}
 	changed := *snapshot
 	changed.Workers = append([]fleet.Worker(nil), snapshot.Workers...)
@@ -135,16 +137,17 @@
 	changed.Placements = nil
 	edge.snapshot = &changed
 	if choice := edge.mustSelect(t, edge.newRequest("p", 1000), "w0", "w1", "w2"); choice.Worker.ID != "w3" || choice.Weights != 2 {
-		t.Errorf("its entry changed: %s on %d", choice.Worker.ID, choice.Weights)
+		t.Errorf("w3 now serves version 2: selected %s on version %d, want w3 on version 2", choice.Worker.ID, choice.Weights)
 	}
 	edge.snapshot = snapshot
 	edge.now += edge.bounds.Heal(avoidanceTuning.notReadyRatio)
 	if byWorker := selected(); byWorker["w3"] == 0 {
-		t.Errorf("the time to be avoided is over: %v", byWorker)
+		t.Errorf("w3 is no longer avoided as not ready: selections by worker %v, want some of w3", byWorker)
 	}
 }
 
-// No two isolated tenants, models or versions share a salt, whatever their names.
+// Cache salts differ if the isolated tenants, models or versions differ, whatever characters the names
+// contain.
 func TestCacheSaltsOfTenantsModelsAndVersionsDiffer(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	names := []string{"", ".", "a", "a.b", "a.", ".a", "1", "1.a", "b c", "a\x00", "ñ", "%2E", "1.1.a", "a/b", "+"}
@@ -156,11 +159,11 @@
 	check := func(w domain, tenant *routingconfig.Tenant) {
 		s := CacheSalt(w.model, w.version, tenant)
 		if old, ok := seen[s]; ok && old != w {
-			t.Fatalf("%q is the salt of %+v and %+v", s, old, w)
+			t.Fatalf("salt %q is shared by %+v and %+v, want distinct salts", s, old, w)
 		}
 		seen[s] = w
 		if strings.ContainsAny(s, "\x00 \r\n") {
-			t.Fatalf("%q isn't valid in a header", s)
+			t.Fatalf("salt %q isn't valid in an HTTP header", s)
 		}
 	}
 	for range 20000 {
@@ -174,7 +177,8 @@
 	}
 }
 
-// An isolated tenant never gets cached parts of others, whatever the index and this edge machine know.
+// An isolated tenant never gets cached parts of other tenants, whatever the prompt index and the edge machine
+// know.
 func TestIsolatedTenantsShareNothing(t *testing.T) {
 	edge := newEdge(newFleet(6))
 	edge.setHolders("p", promptindex.Confirmed, "w1", "w2", "store")
@@ -185,41 +189,41 @@
 	request.Tenant = isolated
 	choice := edge.mustSelect(t, request)
 	if choice.Fetch != "" && choice.Fetch != "store:1" || choice.Salt == CacheSalt("m", 1, nil) || choice.Save == "" {
-		t.Errorf("an isolated tenant: %+v", choice)
+		t.Errorf("choice for an isolated tenant: %+v; want a fetch from store:1 or none, a salt of its own, and a save address", choice)
 	}
-	for _, k := range edge.table.selected.current {
-		for _, x := range k.keys {
-			if edge.found[x] != nil {
-				t.Error("looks up under another tenant's salt")
+	for _, selected := range edge.table.selected.current {
+		for _, key := range selected.keys {
+			if edge.found[key] != nil {
+				t.Errorf("attempt of an isolated tenant uses cache key %x of another tenant", key)
 			}
 		}
 	}
-	// Workers that don't report their version share nothing while versions are named.
+	// Workers that don't report their weights version share no cached parts if the model has a named version.
 	snapshot := newFleet(3)
 	for i := range snapshot.Workers {
 		snapshot.Workers[i].Weights = nil
 	}
 	snapshot.NamedVersions["m"] = 1
 	edge = newEdge(snapshot)
-	if x, y := edge.mustSelect(t, edge.newRequest("p", 100)), edge.mustSelect(t, edge.newRequest("p", 100)); x.Salt == y.Salt {
-		t.Errorf("two requests share %q at workers of unknown version", x.Salt)
+	if first, second := edge.mustSelect(t, edge.newRequest("p", 100)), edge.mustSelect(t, edge.newRequest("p", 100)); first.Salt == second.Salt {
+		t.Errorf("workers of unknown version: two requests share salt %q, want distinct salts", first.Salt)
 	}
 }
 
 func TestUrgency(t *testing.T) {
-	for _, x := range []struct{ route, tenant, want int }{{4, -1, 4}, {4, 0, 0}, {0, 7, 7}, {12, -1, 9}, {-3, -1, 0}} {
-		request := &Request{Route: &routingconfig.Route{Priority: x.route}, Tenant: &routingconfig.Tenant{Priority: x.tenant}}
-		if got := urgency(request); got != x.want {
-			t.Errorf("%+v: %d", x, got)
+	for _, test := range []struct{ route, tenant, want int }{{4, -1, 4}, {4, 0, 0}, {0, 7, 7}, {12, -1, 9}, {-3, -1, 0}} {
+		request := &Request{Route: &routingconfig.Route{Priority: test.route}, Tenant: &routingconfig.Tenant{Priority: test.tenant}}
+		if got := urgency(request); got != test.want {
+			t.Errorf("urgency for route priority %d and tenant priority %d: got %d, want %d", test.route, test.tenant, got, test.want)
 		}
 	}
 	if urgency(&Request{Route: &routingconfig.Route{Priority: 3}}) != 3 {
-		t.Error("a public route")
+		t.Errorf("public route of priority 3: got urgency %d, want 3", urgency(&Request{Route: &routingconfig.Route{Priority: 3}}))
 	}
 }
 
-// Within a priority the shorter prompt goes first; none goes before one of a better priority, however many
-// priorities the plan has.
+// Within a priority shorter prompts get a better level; no prompt gets a better level than one of a higher
+// priority, however many priorities the routing plan has.
 func TestShorterPromptComesFirstWithinItsPriority(t *testing.T) {
 	for _, lowest := range []int{0, 1, 2, 4, 9, 20} {
 		snapshot := newFleet(18)
@@ -233,7 +237,7 @@
 				prioritized.Priority, request.Route, request.PromptTokens = priority, &prioritized, tokens
 				level := edge.mustSelect(t, request).Urgency
 				if level < last || level > 9 || i == 0 && level <= last || lowest < 3 && level <= last {
-					t.Errorf("%d priorities: %d tokens of priority %d get level %d after %d", lowest+1, tokens, priority, level, last)
+					t.Errorf("plan with %d priorities: prompt of %d tokens and priority %d got level %d, previous prompt level %d; want increasing levels up to 9", lowest+1, tokens, priority, level, last)
 				}
 				last = level
 			}
@@ -241,10 +245,12 @@
 	}
 }
 
-// Naming another version before a bound is over doesn't extend it: the version that was superseded first
-// ends on time, and the one that only the newest supersedes has a bound of its own.
+// Naming another version before the rollout time limit of the previous one has passed doesn't extend that
+// limit: the version that was superseded first goes out of use on time, and a version that only the newest
+// supersedes has a time limit of its own.
 func TestNamedAgainBeforeTheBoundIsOver(t *testing.T) {
-	snapshot := newFleet(4) // all of them have version 1
+	// All workers serve version 1.
+	snapshot := newFleet(4)
 	first, second := processStart+time.Minute, processStart+time.Minute+settings.DefaultBounds().Weights(0.6)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 3, second
 	snapshot.EarlierVersions = map[string][]fleet.NamedVersion{"m": {{Version: 2, At: first}}}
@@ -262,14 +268,14 @@
 	}
 	edge.now = first + edge.bounds.Weights(0.84)
 	if counts := countByVersion(); counts[1] == 0 {
-		t.Errorf("inside the first bound: %v", counts)
+		t.Errorf("before the rollout time limit of version 2: requests by version %v, want some on version 1", counts)
 	}
 	edge.now = first + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); counts[1] != 0 || counts[2] == 0 {
-		t.Errorf("past the first bound, inside the second: %v", counts)
+		t.Errorf("after the rollout time limit of version 2, before that of version 3: requests by version %v, want none on version 1 and some on version 2", counts)
 	}
 	edge.now = second + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); len(counts) != 0 {
-		t.Errorf("past both: %v", counts)
+		t.Errorf("after the rollout time limits of versions 2 and 3: requests by version %v, want none", counts)
 	}
 }
