--- a/internal/data/selection/doc.go
+++ b/internal/data/selection/doc.go
@@ -5,9 +5,9 @@
 //
 // A prompt is split into parts, each identified by a hash of the prompt up to its end. A worker or store that
 // caches a part is a holder of it: confirmed if the holder reported the part or already responded to a request
-// that contains it, presumed if a request with the part was only sent there. The affinity part of a prompt is
-// the one by which rendezvous hashing assigns the prompt a home worker. An edge machine runs the proxy that
-// selects workers; several edge machines share the same workers.
+// that contains it, presumed if a request with the part, or an order to save it, was only sent there. The
+// affinity part of a prompt is the one by which rendezvous hashing assigns the prompt a home worker. An edge
+// machine runs the proxy that selects workers; several edge machines share the same workers.
 //
 // # The score
 //
@@ -28,7 +28,7 @@
 //	duplicate prefill  the parts that it prefills although another worker caches them
 //
 // Base latency and prefill are multiplied by how slow the worker is compared with its peers. A service
-// without a prompt cache doesn't use this score: the less loaded of two random workers is selected
+// without a prompt cache doesn't use this score: the less loaded of two workers is selected
 // (leastloaded.go).
 //
 // # Inputs of the score
--- a/internal/data/selection/score.go
+++ b/internal/data/selection/score.go
@@ -88,8 +88,9 @@
 	return transferTuning.promptWeight * s.targetMs * affinityTuning.duplicatePrefillRatio * float64(s.request.PromptTokens)
 }
 
-// affinityMs is the cost of another copy of the affinity part, charged to a candidate that doesn't cache the
-// part or isn't its home worker. There is no such cost for a part that the cache placement replicates.
+// affinityMs is the cost of another copy of the affinity part. It is charged to a candidate that lacks the part
+// while another worker caches it and, while no worker caches it, to all candidates but the home worker. There
+// is no such cost for a part that the cache placement replicates.
 func (s *scorer) affinityMs(index int, prompt *promptState) float64 {
 	if prompt.affinityPart < 0 || prompt.isReplicated {
 		return 0
