--- a/internal/data/selection/tuning_test.go
+++ b/internal/data/selection/tuning_test.go
@@ -6,18 +6,19 @@
 	"unsafe"
 )
 
-const positive = 1e-12 // "above 0"
+// Lower limit of ranges that exclude 0.
+const positive = 1e-12
 
 var unbounded = math.Inf(1)
 
-// tunedParameters are all parameters, with the ranges that their comments give.
+// tunedParameters lists all parameters with the ranges that their comments give.
 var tunedParameters = map[string]struct{ value, lowest, highest float64 }{
-	"affinity.homeLoadRatio":       {affinityTuning.homeLoadRatio, 1, 4},
-	"affinity.homeSlotRatio":       {affinityTuning.homeSlotRatio, 0, 1},
-	"affinity.coldWeight":          {affinityTuning.coldWeight, 0, 1},
-	"affinity.copyWeight":          {affinityTuning.copyWeight, 0, 1},
-	"affinity.copyElsewhereWeight": {affinityTuning.copyElsewhereWeight, 0, 1},
-	"affinity.rereadRatio":         {affinityTuning.rereadRatio, positive, 0.001},
+	"affinity.homeLoadRatio":         {affinityTuning.homeLoadRatio, 1, 4},
+	"affinity.homeSlotRatio":         {affinityTuning.homeSlotRatio, 0, 1},
+	"affinity.coldWeight":            {affinityTuning.coldWeight, 0, 1},
+	"affinity.copyWeight":            {affinityTuning.copyWeight, 0, 1},
+	"affinity.copyElsewhereWeight":   {affinityTuning.copyElsewhereWeight, 0, 1},
+	"affinity.duplicatePrefillRatio": {affinityTuning.duplicatePrefillRatio, positive, 0.001},
 
 	"transfer.tokenWeight":       {transferTuning.tokenWeight, 0, 1},
 	"transfer.crossZoneMultiple": {transferTuning.crossZoneMultiple, 1, 10},
@@ -28,23 +29,23 @@
 
 	"load.congestionWeight":   {loadTuning.congestionWeight, 0, 1},
 	"load.tieBreakRatio":      {loadTuning.tieBreakRatio, 0, 0.1},
-	"load.fadeRatio":          {loadTuning.fadeRatio, positive, 1},
+	"load.decayRatio":         {loadTuning.decayRatio, positive, 1},
 	"load.sampleWeight":       {loadTuning.sampleWeight, positive, 1},
 	"load.maxWaitRatio":       {loadTuning.maxWaitRatio, positive, unbounded},
 	"load.defaultTargetRatio": {loadTuning.defaultTargetRatio, positive, 1},
 
-	"ejection.maxEjectedRatio":  {ejectionTuning.maxEjectedRatio, 0, 0.5},
-	"ejection.baseTimeRatio":    {ejectionTuning.baseTimeRatio, positive, ejectionTuning.maxTimeRatio},
-	"ejection.maxTimeRatio":     {ejectionTuning.maxTimeRatio, ejectionTuning.baseTimeRatio, 1},
-	"ejection.maxDoublings":     {float64(ejectionTuning.maxDoublings), 0, 16},
-	"ejection.failureMultiple":  {ejectionTuning.failureMultiple, 0, 8},
-	"ejection.sampleWeight":     {ejectionTuning.sampleWeight, positive, 1},
-	"ejection.outcomeFadeRatio": {ejectionTuning.outcomeFadeRatio, positive, 1},
-	"ejection.minFailures":      {ejectionTuning.minFailures, 1 + positive, unbounded},
-	"ejection.minFailureRatio":  {ejectionTuning.minFailureRatio, 0, 1},
-	"ejection.peerMultiple":     {ejectionTuning.peerMultiple, 1 + positive, unbounded},
-	"ejection.suspectTimeRatio": {ejectionTuning.suspectTimeRatio, positive, ejectionTuning.maxTimeRatio},
-	"ejection.overdueMultiple":  {ejectionTuning.overdueMultiple, 1 + positive, unbounded},
+	"ejection.maxEjectedRatio":   {ejectionTuning.maxEjectedRatio, 0, 0.5},
+	"ejection.baseTimeRatio":     {ejectionTuning.baseTimeRatio, positive, ejectionTuning.maxTimeRatio},
+	"ejection.maxTimeRatio":      {ejectionTuning.maxTimeRatio, ejectionTuning.baseTimeRatio, 1},
+	"ejection.maxDoublings":      {float64(ejectionTuning.maxDoublings), 0, 16},
+	"ejection.failureMultiple":   {ejectionTuning.failureMultiple, 0, 8},
+	"ejection.sampleWeight":      {ejectionTuning.sampleWeight, positive, 1},
+	"ejection.outcomeDecayRatio": {ejectionTuning.outcomeDecayRatio, positive, 1},
+	"ejection.minFailures":       {ejectionTuning.minFailures, 1 + positive, unbounded},
+	"ejection.minFailureRatio":   {ejectionTuning.minFailureRatio, 0, 1},
+	"ejection.peerMultiple":      {ejectionTuning.peerMultiple, 1 + positive, unbounded},
+	"ejection.suspectTimeRatio":  {ejectionTuning.suspectTimeRatio, positive, ejectionTuning.maxTimeRatio},
+	"ejection.overdueMultiple":   {ejectionTuning.overdueMultiple, 1 + positive, unbounded},
 
 	"slowStart.cost": {slowStartTuning.cost, 0, 1},
 
@@ -76,31 +77,32 @@
 	"estimator.maxMultiple":          {estimatorTuning.maxMultiple, 1 + positive, unbounded},
 	"estimator.sampleDecay":          {estimatorTuning.sampleDecay, positive, 1 - positive},
 	"estimator.slownessWeight":       {estimatorTuning.slownessWeight, positive, 1},
-	"estimator.slownessFadeRatio":    {estimatorTuning.slownessFadeRatio, positive, 1},
+	"estimator.slownessDecayRatio":   {estimatorTuning.slownessDecayRatio, positive, 1},
 	"estimator.minSlowness":          {estimatorTuning.minSlowness, 0, 0.5},
 
 	"size.smallRatio":  {sizeTuning.smallRatio, positive, sizeTuning.mediumRatio},
 	"size.mediumRatio": {sizeTuning.mediumRatio, sizeTuning.smallRatio, unbounded},
 }
 
-// Each parameter lies within the range that its comment gives.
+// Each parameter is within the range that its comment gives.
 func TestTuningIsInRange(t *testing.T) {
 	for name, parameter := range tunedParameters {
 		t.Run(name, func(t *testing.T) {
 			if parameter.value < parameter.lowest || parameter.value > parameter.highest {
-				t.Errorf("%v isn't within %v and %v", parameter.value, parameter.lowest, parameter.highest)
+				t.Errorf("value %v is outside its range of %v to %v", parameter.value, parameter.lowest, parameter.highest)
 			}
 		})
 	}
 	if maxParts >= 64 {
-		t.Errorf("%d parts don't fit into a set of parts, which is a uint64", maxParts)
+		t.Errorf("maxParts is %d, want below 64: a set of parts is a uint64 bitmap", maxParts)
 	}
 }
 
-// Attempts are kept in maps by value: larger ones would need an allocation each.
+// Attempts are stored in maps by value, which needs an extra allocation per entry if they are too large.
 func TestAttemptFitsIntoMapEntry(t *testing.T) {
-	const maxInlineValue = 128 // bytes, by the runtime's maps
+	// Size in bytes up to which Go's maps store values inline.
+	const maxInlineValue = 128
 	if size := unsafe.Sizeof(attempt{}); size > maxInlineValue {
-		t.Errorf("an attempt has %d bytes, more than %d", size, maxInlineValue)
+		t.Errorf("attempt struct has %d bytes, want at most %d", size, maxInlineValue)
 	}
 }
