--- a/internal/control/consensus/append.go
+++ b/internal/control/consensus/append.go
@@ -2,14 +2,14 @@
 
 import "pebbleloom/internal/wire"
 
-// handleAppendRequest appends a leader's entries where they continue this log, and advances the commit
-// index (paper, section 5.3).
+// handleAppendRequest appends a leader's entries if this log matches the leader's up to them, and advances the
+// commit index (paper, section 5.3).
 func (c *Core) handleAppendRequest(message *wire.Message) {
 	if !c.followSender(message) {
 		return
 	}
 	prev, prevTerm, entries := message.Index, message.LogTerm, message.Entries
-	if prev < c.snapshot.Index { // the first entries are compacted here
+	if prev < c.snapshot.Index { // the first entries are already compacted in this log
 		skip := c.snapshot.Index - prev
 		if skip > uint64(len(entries)) {
 			c.sendAppendResponse(message, true, c.snapshot.Index, message.Probe)
@@ -25,7 +25,7 @@
 	last := prev + uint64(len(entries))
 	c.commit = max(c.commit, min(message.Commit, last))
 	if c.incoming != nil && c.incoming.snapshot.Index <= c.commit {
-		c.incoming = nil // the log holds all that the snapshot would bring
+		c.incoming = nil // the log has everything in the snapshot being received
 	}
 	c.sendAppendResponse(message, true, last, message.Probe)
 }
@@ -39,9 +39,9 @@
 	c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
 }
 
-// followSender makes this member a follower of the leader that sent a request; false where the request
-// is of an earlier term. It is rejected then, so that its sender learns the newer term. That rejection
-// may reach a later incarnation of the sender, whose reads it must not confirm: it echoes no probe.
+// followSender makes this member a follower of the leader that sent a request. It returns false if the request
+// is of an earlier term, and rejects the request, so that its sender learns the newer term. The rejection echoes
+// no probe: it may reach a later incarnation of the sender, whose reads it must not confirm.
 func (c *Core) followSender(message *wire.Message) bool {
 	if message.Term < c.hardState.Term {
 		c.sendAppendResponse(message, false, c.lastIndex(), 0)
@@ -51,8 +51,8 @@
 	return true
 }
 
-// appendFromLeader appends a leader's entries. From the first entry that conflicts with them on, this
-// log is truncated; entries that match are kept, since the request may be a late one (paper, section 5.3).
+// appendFromLeader appends a leader's entries. This log is truncated from the first conflicting entry on;
+// entries that match are kept, since the request may be a delayed one (paper, section 5.3).
 func (c *Core) appendFromLeader(entries []*wire.Entry) {
 	for _, entry := range entries {
 		term, exists := c.termAt(entry.Index)
@@ -68,8 +68,9 @@
 	}
 }
 
-// sendAppendResponse responds to a leader. With ok the log matches the leader's up to index; without,
-// index is where the leader may try next. probe echoes the request's, and confirms the reads up to it.
+// sendAppendResponse responds to a leader. If ok is true, the log matches the leader's up to index; otherwise
+// index is the last entry that may match, after which the leader retries. probe echoes the probe of the request
+// and confirms the leader's reads up to that sequence number.
 func (c *Core) sendAppendResponse(request *wire.Message, ok bool, index, probe uint64) {
 	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_APPEND_RESPONSE, Ok: ok, Index: index, Probe: probe, AboutIncarnation: request.Incarnation, AcceptsChunks: true, SentTick: request.SentTick})
 }
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -1,5 +1,5 @@
-// Package consensus implements Raft: the voters of a shard, or of a group whose membership is itself
-// replicated, agree on one log of commands.
+// Package consensus implements Raft: the voters of a shard or a group replicate one log of commands. A shard
+// has three fixed members; the members of a group can change, and are themselves recorded in the log.
 //
 // Core is a deterministic state machine without I/O, clock or goroutines. Its driver calls Step for each
 // received message and Tick at fixed intervals, and after each of them carries out what Ready asks for in
@@ -8,14 +8,15 @@
 // Theory and Practice" (Ongaro: "thesis").
 //
 // The voters are either fixed by Config.Members, for shards of three members, or named by entries of the log
-// (Config.DynamicMembership), for groups that members join and leave. The two differ in how a lost disk comes back:
-// a fixed member rejoins under its name (rejoin.go), a member of a group as a learner under a new name (learner.go).
+// (Config.DynamicMembership), for groups that members join and leave. The two differ in how a member recovers
+// from the loss of its disk: a fixed member rejoins under the same name (rejoin.go), a member of a group joins
+// under a new name as a learner, that is without a vote (learner.go).
 //
-// One concern stands in one file: step.go dispatches messages, election.go holds roles, votes and
+// The files are divided by concern: step.go dispatches messages, election.go holds roles, votes and
 // elections, replication.go the leader's side of replication and append.go the follower's, log.go the
 // log in memory, read_index.go linearizable reads, snapshot_send.go and snapshot_receive.go snapshot
-// transfer, membership.go membership changes, learner.go learners, rejoin.go lost disks of fixed members and
-// restore.go groups that were restored from one member.
+// transfer, membership.go membership changes, learner.go learners, rejoin.go the recovery of fixed members that
+// lost their disks, and restore.go the restore of a group from one member.
 package consensus
 
 import (
@@ -28,19 +29,19 @@
 type Config struct {
 	Shard             uint32     // number of the shard; messages of other shards are ignored
 	Self              string     // name of this member
-	Members           []string   // fixed voters, Self among them; empty with DynamicMembership
+	Members           []string   // fixed voters, including Self; empty with DynamicMembership
 	DynamicMembership bool       // voters are named by log entries (see membership.go)
 	HeartbeatTicks    int        // ticks between two heartbeats of a leader
 	ElectionTicks     int        // minimum election timeout in ticks; the maximum is twice as long
-	MaxBatchBytes     int        // limit of the entries in one append request, and of one snapshot chunk
-	TrailingLogBytes  int        // minimum of compacted entries kept in memory for lagging followers; 0 keeps none
+	MaxBatchBytes     int        // size limit of the entries in one append request, and of one snapshot chunk
+	TrailingLogBytes  int        // size limit of the compacted entries kept in memory for lagging followers, raised to the size of the state; 0: none are kept
 	Rand              *rand.Rand // source of randomized election timeouts
 }
 
-// Ready holds what the driver has to do for the steps taken so far. The order is binding: Snapshot and
-// Records must be on disk before any of Messages is sent, and CommittedEntries are applied after that.
+// Ready holds what the driver has to do for the steps taken so far. The driver must keep this order: Snapshot
+// and Records must be on disk before any of Messages is sent, and CommittedEntries are applied after that.
 type Ready struct {
-	Snapshot         *wire.Snapshot  // replaces the stored snapshot and log and the applied state; nil: none
+	Snapshot         *wire.Snapshot  // replaces the stored snapshot, the log and the applied state; nil: no replacement
 	Records          []*wire.Record  // records to append to the log, after Snapshot if there is one
 	Messages         []*wire.Message // messages to send once Snapshot and Records are on disk
 	CommittedEntries []*wire.Entry   // entries to apply, in the order of the log
@@ -55,7 +56,7 @@
 type Core struct {
 	cfg Config
 
-	// Persistent state, as the records in ready leave it (paper, figure 2).
+	// Persistent state, including records in ready that are not on disk yet (paper, figure 2).
 	hardState *wire.HardState
 	snapshot  *wire.Snapshot
 	log       []*wire.Entry // entries after snapshot
@@ -63,7 +64,7 @@
 	trailing []*wire.Entry     // entries up to snapshot.Index that are kept for lagging followers
 	incoming *incomingSnapshot // snapshot that is being received; nil: none
 	commit   uint64            // highest index known to be committed
-	applied  uint64            // highest index handed to the driver
+	applied  uint64            // highest index handed to the driver for application
 
 	role              role
 	leader            string          // name of the leader of the current term; empty: unknown
@@ -72,23 +73,23 @@
 	electionTimeout   int             // randomized timeout that electionElapsed is compared with
 	heartbeatElapsed  int             // ticks since the last heartbeat
 	lastLeaderContact int             // value of ticks at the last contact with a leader
-	votes             map[string]bool // of a candidate or pre-candidate: the voters that have granted their votes
+	votes             map[string]bool // on a candidate or pre-candidate: the voters that have granted their votes
 
-	voters                voterSet                 // the newest in the log, committed or not
-	peers                 map[string]*peerProgress // of a leader: its voters but itself, and its learners
-	learnerHeartbeatCount int                      // heartbeats of this leader, for the ones that learners get
+	voters                voterSet                 // newest voter set in the log, committed or not
+	peers                 map[string]*peerProgress // on a leader: replication progress of the other voters and the learners, by name
+	learnerHeartbeatCount int                      // heartbeats sent as leader, for the interval of those that learners get
 
-	readSequence uint64 // sequence number of the newest read; every request of a leader carries it as its probe
+	readSequence uint64 // sequence number of the newest read; every request of a leader carries it as Probe
 	pendingReads []pendingRead
 	lastReadID   uint64
 
 	// Rejoining after a lost disk, with fixed members only (rejoin.go).
-	generation      uint64                   // generation that this member rejoins under; 0: not chosen yet
-	peerGenerations map[string]uint64        // by peer: the generation of this member's name that it knows
-	peerStates      map[string]*wire.Message // by peer: its state, sent under the chosen generation
-	rejoinFailure   string                   // why rejoining can't complete; empty: it can
+	generation      uint64                   // generation of its name that this member rejoins under; 0: not chosen yet
+	peerGenerations map[string]uint64        // by peer: the latest generation of this member's name that the peer has recorded
+	peerStates      map[string]*wire.Message // by peer: the state received from it for the chosen generation
+	rejoinFailure   string                   // reason that prevents rejoining; empty: none
 
-	supersededBy uint64 // a later restore generation that this member isn't one of; 0: none is known (restore.go)
+	supersededBy uint64 // later restore generation of the group, to which this member doesn't belong; 0: none is known (restore.go)
 
 	ready Ready
 }
@@ -123,8 +124,8 @@
 	}
 }
 
-// BlankSnapshot returns the first snapshot of a fixed member whose disk was empty. The incarnation
-// distinguishes it from earlier members of its name; the member doesn't vote before it has rejoined.
+// BlankSnapshot returns the initial snapshot of a fixed member that starts with an empty disk. The incarnation
+// distinguishes the member from earlier ones of the same name. It doesn't vote until it has rejoined (rejoin.go).
 //
 // Example: err := store.SaveSnapshot(consensus.BlankSnapshot("core-1/9f3a"), nil)
 func BlankSnapshot(incarnation string) *wire.Snapshot {
@@ -147,7 +148,7 @@
 	}
 }
 
-// tickLeader sends heartbeats. A leader that a quorum hasn't responded to for two election timeouts
+// tickLeader sends heartbeats. A leader that has had no response from a quorum for two election timeouts
 // steps down, so that its clients turn to a leader that can commit (thesis, section 6.2).
 func (c *Core) tickLeader() {
 	for _, progress := range c.peers {
@@ -173,8 +174,8 @@
 }
 
 // Propose appends a command to the log of a leader. It returns the entry's index and term; ok is false
-// where this member isn't the leader. The command is committed once an entry of that index and term is
-// among Ready.CommittedEntries; an entry of another term in its place means that it was overwritten.
+// if this member isn't the leader. The command is committed once an entry of that index and term is among
+// Ready.CommittedEntries; an entry of that index with another term means that the command was overwritten.
 //
 // Example: index, term, ok := c.Propose(body)
 func (c *Core) Propose(body []byte) (index, term uint64, ok bool) {
@@ -191,13 +192,13 @@
 	c.persistEntry(entry)
 	c.forEachPeer(func(peer string) { c.replicate(peer, false) })
 	if len(c.voters.names) == 1 {
-		c.advanceCommit() // no response will trigger it
+		c.advanceCommit() // a single voter gets no response that would trigger it
 	}
 	return entry.Index
 }
 
-// Ready returns what the steps since the last call ask of the driver, which has to carry it out completely
-// before it calls Ready or Compact.
+// Ready returns the output of the steps since the last call. The driver must carry it out completely before it
+// calls Ready or Compact.
 //
 // Example: ready := c.Ready()
 func (c *Core) Ready() Ready {
@@ -245,14 +246,14 @@
 	c.ready.Records = append(c.ready.Records, &wire.Record{Kind: &wire.Record_Entry{Entry: entry}})
 }
 
-// send queues a message of this member.
+// send queues a message with this member as its sender.
 func (c *Core) send(message *wire.Message) {
-	c.ready.Messages = append(c.ready.Messages, c.signed(message))
+	c.ready.Messages = append(c.ready.Messages, c.withSender(message))
 }
 
-// signed returns a message under this member's name, incarnation and restore generation, in the current term unless
-// it has a term of its own.
-func (c *Core) signed(message *wire.Message) *wire.Message {
+// withSender sets the shard, the sender's name, incarnation, disk state and restore generation of a message, and
+// the current term unless the message already has a term.
+func (c *Core) withSender(message *wire.Message) *wire.Message {
 	message.Shard, message.From, message.Incarnation, message.DiskState = c.cfg.Shard, c.cfg.Self, c.hardState.Incarnation, c.hardState.DiskState
 	message.RestoreGeneration = c.hardState.RestoreGeneration
 	if message.Term == 0 {
@@ -261,7 +262,7 @@
 	return message
 }
 
-// forEachPeer calls f for each voter but this member.
+// forEachPeer calls f for each voter other than this member.
 func (c *Core) forEachPeer(f func(peer string)) {
 	for _, voter := range c.voters.names {
 		if voter != c.cfg.Self {
@@ -270,8 +271,8 @@
 	}
 }
 
-// hasQuorum reports whether a majority of the voters satisfies a condition. This member does by
-// definition, but counts only where it is a voter: a leader that has proposed its own removal doesn't
+// hasQuorum reports whether a majority of the voters satisfies a condition. This member satisfies it by
+// definition, but is counted only if it is a voter: a leader that has proposed its own removal isn't
 // (thesis, section 4.2.2).
 func (c *Core) hasQuorum(satisfies func(voter string) bool) bool {
 	count := 0
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -2,11 +2,12 @@
 
 import "pebbleloom/internal/wire"
 
-// The log in memory consists of trailing entries, which the snapshot includes already, and the entries
-// after the snapshot. The trailing entries serve followers that lag a little: without them each
-// compaction would send every such follower a snapshot. They aren't stored; after a restart there are none.
+// The log in memory consists of trailing entries, which the snapshot already includes, and the entries
+// after the snapshot. The trailing entries serve followers that lag a little: without them, the leader would
+// have to send a snapshot to every such follower after each compaction. They are kept in memory only, so there
+// are none after a restart.
 
-// lastIndex returns the index of the last entry, or of the snapshot where none follows it.
+// lastIndex returns the index of the last entry, or of the snapshot if no entry follows it.
 func (c *Core) lastIndex() uint64 {
 	if n := len(c.log); n > 0 {
 		return c.log[n-1].Index
@@ -14,7 +15,7 @@
 	return c.snapshot.Index
 }
 
-// lastTerm returns the term of the last entry.
+// lastTerm returns the term of the last entry, or of the snapshot if no entry follows it.
 func (c *Core) lastTerm() uint64 {
 	term, _ := c.termAt(c.lastIndex())
 	return term
@@ -52,8 +53,8 @@
 	return c.log[index-c.snapshot.Index-1:]
 }
 
-// appendEntry appends an entry in memory; one that doesn't continue the log is ignored. A voter set that
-// it names takes effect at once (thesis, section 4.1).
+// appendEntry appends an entry to the log in memory; an entry that doesn't continue the log is ignored. A voter
+// set that the entry names takes effect immediately (thesis, section 4.1).
 func (c *Core) appendEntry(entry *wire.Entry) {
 	if entry.Index == c.lastIndex()+1 {
 		c.log = append(c.log, entry)
@@ -61,17 +62,17 @@
 	}
 }
 
-// truncate removes the entries from an index on, and with them the voter sets that they name.
+// truncate removes the entries from an index on, and reverts to the newest voter set named before them.
 func (c *Core) truncate(index uint64) {
 	if index > c.snapshot.Index && index <= c.lastIndex() {
 		end := index - c.snapshot.Index - 1
-		c.log = c.log[:end:end] // so that an append doesn't overwrite entries that messages share
+		c.log = c.log[:end:end] // capacity is cut too: an append must not overwrite entries shared with queued messages
 		c.reloadVoters()
 	}
 }
 
 // Compact replaces the applied entries by a snapshot of the state that results from them (paper, section
-// 7). The driver must store the snapshot together with the records that remain.
+// 7). The driver must store the snapshot together with the returned records of the remaining entries.
 //
 // Example: snapshot, records := c.Compact(state)
 func (c *Core) Compact(state []byte) (*wire.Snapshot, []*wire.Record) {
@@ -87,7 +88,8 @@
 }
 
 // retainTrailing keeps the newest compacted entries, up to TrailingLogBytes or the size of the state,
-// whichever is more: a follower that has just been sent the state then finds the entries after it here.
+// whichever is more: a follower that has just received a snapshot can then continue with these entries instead
+// of needing the next snapshot.
 func (c *Core) retainTrailing(compacted []*wire.Entry, stateBytes int) {
 	if c.cfg.TrailingLogBytes == 0 {
 		return
@@ -101,7 +103,7 @@
 		}
 		first--
 	}
-	c.trailing = append([]*wire.Entry(nil), all[first:]...) // copied, so that the others can be collected
+	c.trailing = append([]*wire.Entry(nil), all[first:]...) // copied, so that the dropped entries can be garbage-collected
 }
 
 // entryOverheadBytes is the approximate size of an entry in addition to its body.
--- a/internal/control/consensus/progress.go
+++ b/internal/control/consensus/progress.go
@@ -9,11 +9,11 @@
 	next  uint64 // index of the next entry to send
 	match uint64 // highest index up to which the peer's log is known to match
 
-	incarnation       string // incarnation that match was acknowledged by
-	ackedReadSequence uint64 // highest readSequence that the peer has echoed
-	acceptsChunks     bool   // its release receives snapshots in chunks
+	incarnation       string // incarnation of the peer that acknowledged match
+	ackedReadSequence uint64 // highest read sequence number that the peer has echoed
+	acceptsChunks     bool   // the peer's release can receive snapshots in chunks
 
-	responded          bool // it has responded in this term
+	responded          bool // the peer has responded in this term
 	ticksSinceResponse int  // ticks since the last response came
 	contactAge         int  // ticks since the newest request was sent that it has responded to
 
@@ -33,9 +33,9 @@
 	return progress
 }
 
-// progressAtElection returns what a new leader knows of a peer. A peer that didn't vote for it counts as
-// silent since the last contact with a leader, so that elections don't postpone the replacement of a
-// member that is down.
+// progressAtElection returns the initial progress of a peer for a newly elected leader. A peer that didn't vote
+// for it counts as silent since this member's last contact with a leader. Otherwise each election would
+// postpone the replacement of a member that is down.
 func (c *Core) progressAtElection(peer string) *peerProgress {
 	progress := c.newProgress(peer)
 	if c.cfg.DynamicMembership && !c.votes[peer] {
@@ -45,25 +45,26 @@
 	return progress
 }
 
-// recordResponse updates a peer's progress by a response. It returns nil where the response doesn't count.
+// recordResponse updates and returns a peer's progress for a response. It returns nil if the response is to be
+// ignored.
 func (c *Core) recordResponse(message *wire.Message) *peerProgress {
 	if c.role != leader || message.Term != c.hardState.Term {
 		return nil
 	}
 	progress := c.peers[message.From]
 	if progress == nil {
-		return nil // removed, or a learner that was dropped: it has to join again
+		return nil // a removed voter, or a dropped learner that has to join again
 	}
-	if progress.incarnation != message.Incarnation { // another disk: acknowledgements of the old one are void
+	if progress.incarnation != message.Incarnation { // the peer has a new disk: acknowledgements for the old one are invalid
 		*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, contactAge: c.requestAge(message), responded: true, acceptsChunks: message.AcceptsChunks}
 		c.replicate(message.From, true)
 		return nil
 	}
-	if progress.ticksSinceResponse >= c.responseTimeout(message.From) { // it was down: what was in flight is lost
+	if progress.ticksSinceResponse >= c.responseTimeout(message.From) { // the peer was down: requests in flight are lost
 		progress.inFlight, progress.batchRetryAt = false, 0
 	}
 	if progress.ticksSinceResponse >= max(c.responseTimeout(message.From), c.cfg.ElectionTicks) {
-		progress.batchLosses = 0 // they were caused by the peer, not by its link
+		progress.batchLosses = 0 // the losses were caused by the peer being down, not by its link
 	}
 	progress.ticksSinceResponse, progress.contactAge, progress.responded = 0, min(progress.contactAge, c.requestAge(message)), true
 	progress.ackedReadSequence = max(progress.ackedReadSequence, message.Probe)
--- a/internal/control/consensus/restore.go
+++ b/internal/control/consensus/restore.go
@@ -46,7 +46,7 @@
 //
 // Example: send(c.RestoreNotice("10.2.0.24:7360"))
 func (c *Core) RestoreNotice(to string) *wire.Message {
-	return c.signed(&wire.Message{To: to, Kind: wire.MessageKind_RESTORE_NOTICE})
+	return c.withSender(&wire.Message{To: to, Kind: wire.MessageKind_RESTORE_NOTICE})
 }
 
 // SupersededBy returns a later restore generation that this member isn't one of; 0: none is known.
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -2,16 +2,16 @@
 
 import "pebbleloom/internal/wire"
 
-// messageHandler is how messages of one kind are handled, and which checks they have to pass first.
+// messageHandler defines how messages of one kind are handled, and which checks they have to pass first.
 type messageHandler struct {
 	handle     func(*Core, *wire.Message)
-	rejoin     bool // exchanged with members that are blank or not known yet: exempt from the checks of Step
-	isResponse bool // counts only for the incarnation that sent the request
-	keepsTerm  bool // its term is a question, not adopted as a later term
+	rejoin     bool // part of the rejoin protocol, exchanged with blank members: exempt from Step's incarnation and term checks
+	isResponse bool // ignored unless it responds to a request of this incarnation
+	keepsTerm  bool // a later term in the message is not adopted
 }
 
-// messageHandlers is the table of all message kinds. It has no entry for kinds of later releases, of
-// whose messages only the term counts.
+// messageHandlers is the table of all message kinds. Kinds of later releases have no entry; of their
+// messages only the term is used.
 var messageHandlers = map[wire.MessageKind]messageHandler{
 	wire.MessageKind_STATE_REQUEST:  {handle: (*Core).handleStateRequest, rejoin: true},
 	wire.MessageKind_STATE_RESPONSE: {handle: (*Core).handleStateResponse, rejoin: true},
@@ -25,7 +25,7 @@
 	wire.MessageKind_APPEND_REQUEST:  {handle: (*Core).handleAppendRequest},
 	wire.MessageKind_APPEND_RESPONSE: {handle: (*Core).handleAppendResponse, isResponse: true},
 
-	wire.MessageKind_RESTORE_NOTICE: {keepsTerm: true}, // its generation says it all
+	wire.MessageKind_RESTORE_NOTICE: {keepsTerm: true}, // only its restore generation matters, which Step has checked
 
 	wire.MessageKind_SNAPSHOT_REQUEST:        {handle: (*Core).handleSnapshotRequest},
 	wire.MessageKind_SNAPSHOT_CHUNK_REQUEST:  {handle: (*Core).handleChunkRequest},
@@ -33,8 +33,8 @@
 }
 
 // Step handles one received message. Messages may be lost, delayed, duplicated and reordered; those of
-// other shards, of other restore generations, of senders that aren't known and of superseded incarnations
-// are ignored. The message must not be changed afterwards.
+// other shards, other restore generations, unknown senders and superseded incarnations are ignored. The
+// message must not be changed afterwards.
 //
 // Example: c.Step(message); drive(c.Ready())
 func (c *Core) Step(message *wire.Message) {
@@ -53,7 +53,7 @@
 		return
 	}
 	if c.isBlank() {
-		return // no vote and no acknowledgement before both peers have sent their states
+		return // a blank member doesn't vote or acknowledge entries before both peers have sent their states
 	}
 	if message.Term > c.hardState.Term && !handler.keepsTerm {
 		c.becomeFollower(message.Term, "")
@@ -63,19 +63,19 @@
 	}
 }
 
-// isRecipient reports whether a message is for this member. With fixed members its sender must be one of
-// them; in a group anyone may send, since logs may differ in which members they name.
+// isRecipient reports whether a message is addressed to this member. With fixed members its sender must be one
+// of them; in a group any sender is accepted, since the logs of members may name different voters.
 func (c *Core) isRecipient(message *wire.Message) bool {
 	return message.To == c.cfg.Self && message.From != c.cfg.Self &&
 		(c.cfg.DynamicMembership || c.IsVoter(message.From))
 }
 
-// isFromSupersededIncarnation reports whether another incarnation of the sender's name was recorded,
-// which makes the messages of this one void.
+// isFromSupersededIncarnation reports whether this member has recorded another incarnation of the sender's
+// name, which invalidates messages of the incarnation that sent this one.
 func (c *Core) isFromSupersededIncarnation(message *wire.Message) bool {
 	known := c.knownIncarnation(message.From)
 	return known != nil && known.Incarnation != message.Incarnation
 }
 
-// isBlank reports whether this member has lost its disk, or was never started, and hasn't rejoined.
+// isBlank reports whether this member started with an empty disk, lost or new, and hasn't rejoined.
 func (c *Core) isBlank() bool { return c.hardState.DiskState == wire.DiskState_DISK_BLANK }
