--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -34,7 +34,7 @@
 	HeartbeatTicks    int        // ticks between two heartbeats of a leader
 	ElectionTicks     int        // minimum election timeout in ticks; the maximum is twice as long
 	MaxBatchBytes     int        // size limit of the entries in one append request, and of one snapshot chunk
-	TrailingLogBytes  int        // size limit of the compacted entries kept in memory for lagging followers, raised to the size of the state; 0: none are kept
+	TrailingLogBytes  int        // size limit of compacted entries kept for lagging followers, at least the state's size; 0: none are kept
 	Rand              *rand.Rand // source of randomized election timeouts
 }
 
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -2,28 +2,29 @@
 
 import "pebbleloom/internal/wire"
 
-// role is the part that a member plays in its term (paper, section 5.1).
+// role is the Raft role of a member in its current term (paper, section 5.1).
 type role int
 
 const (
 	follower     role = iota
-	preCandidate      // asks whether it would win an election, in its old term (thesis, section 9.6)
+	preCandidate      // asks the voters, without a new term, whether they would vote for it (thesis, section 9.6)
 	candidate         // asks for votes in a new term
 	leader
 )
 
-// unknownVote is the vote of a member that may have voted in its term before it lost its disk. It
-// equals no name, so the member grants no vote in that term.
+// unknownVote is stored as the vote of a member that may have voted in its term before it lost its disk. It
+// equals no member's name, so the member grants no vote in that term.
 const unknownVote = "-"
 
-// startupElectionDivisor divides ElectionTicks to the longest pause between two pre-votes of a member
-// that has just started. Smaller values elect a leader later after a full restart; larger ones make
-// members campaign at the same time more often.
+// startupElectionDivisor divides ElectionTicks; the quotient is the longest interval between two pre-votes of a
+// member that has just started. With smaller divisors the election after a restart of all members takes longer;
+// with larger ones members campaign at the same time more often.
 const startupElectionDivisor = 3
 
-// justStarted reports whether a member of a group has just started and had no contact with a leader
-// yet. It starts a pre-vote at once, and often: after a full restart no leader will contact it. A
-// pre-vote changes nothing, and whoever has a leader rejects it.
+// justStarted reports whether this member belongs to a group, has just started and has had no contact with a
+// leader yet. Such a member starts pre-votes at once and at short intervals, because no leader contacts it
+// after a restart of all members. This is harmless: a pre-vote changes no state, and members that have a
+// leader reject it.
 func (c *Core) justStarted() bool {
 	return c.cfg.DynamicMembership && c.lastLeaderContact == 0 && c.ticks < c.cfg.ElectionTicks
 }
@@ -36,8 +37,8 @@
 	}
 }
 
-// becomeFollower makes this member a follower of a leader, or of none yet if the name is empty. A later
-// term is persisted with its vote unused.
+// becomeFollower makes this member a follower in a term. The leader's name is empty while the leader of the term
+// is unknown. A term later than the current one is persisted without a vote.
 func (c *Core) becomeFollower(term uint64, leaderName string) {
 	if term > c.hardState.Term {
 		c.saveHardState(term, "")
@@ -45,11 +46,11 @@
 	if c.role == leader {
 		c.abortReads()
 		for _, progress := range c.peers {
-			progress.transfer = nil // releases its snapshot
+			progress.transfer = nil // so that the memory of its snapshot can be freed
 		}
 	}
 	if leaderName != "" {
-		c.lastLeaderContact = c.ticks // before the timer is reset, which is shorter as long as there was no contact
+		c.lastLeaderContact = c.ticks // set before the reset of the timer, which is shorter before the first contact with a leader
 	}
 	if c.role != follower || leaderName != "" {
 		c.resetElectionTimer()
@@ -57,8 +58,9 @@
 	c.role, c.leader = follower, leaderName
 }
 
-// campaign requests votes: as preCandidate whether the peers would vote, which changes no state (thesis,
-// section 9.6), as candidate in a new term, with a vote for itself (paper, section 5.2).
+// campaign requests votes. As preCandidate, this member only asks whether the peers would vote for it, which
+// changes no persistent state (thesis, section 9.6). As candidate, it begins a new term and votes for itself
+// (paper, section 5.2).
 func (c *Core) campaign(as role) {
 	c.resetElectionTimer()
 	c.role, c.leader, c.votes = as, "", map[string]bool{c.cfg.Self: true}
@@ -72,7 +74,7 @@
 	})
 	switch {
 	case !c.hasElectionQuorum():
-	case as == preCandidate: // its own vote is a majority
+	case as == preCandidate: // this member is the only voter: its own vote is a majority
 		c.campaign(candidate)
 	default:
 		c.becomeLeader()
@@ -84,27 +86,27 @@
 	return c.hasQuorum(func(voter string) bool { return c.votes[voter] })
 }
 
-// becomeLeader starts the leadership of the current term with an entry of that term: entries of earlier
-// terms are committed only along with it (paper, section 5.4.2). The entry also names the voters
-// (see membership.go).
+// becomeLeader makes this member the leader of the current term, and proposes an entry of that term: entries of
+// earlier terms are committed only along with it (paper, section 5.4.2). In a group the entry also names the
+// voters (see membership.go).
 func (c *Core) becomeLeader() {
 	c.role, c.leader, c.heartbeatElapsed, c.incoming = leader, c.cfg.Self, 0, nil
 	clear(c.peers)
 	c.forEachPeer(func(peer string) { c.peers[peer] = c.progressAtElection(peer) })
-	c.proposeEntry(nil, c.voters.namesOnWire(c.cfg.DynamicMembership))
+	c.proposeEntry(nil, c.voters.storedNames(c.cfg.DynamicMembership))
 }
 
-// isLogUpToDate reports whether the sender's log, as its request describes it, is at least as up to date
-// as this one: its last entry has a later term, or the same term and no lower index (paper, section 5.4.1).
+// isLogUpToDate reports whether the log described by a vote request is at least as up to date as this one: its
+// last entry has a later term, or the same term and no lower index (paper, section 5.4.1).
 func (c *Core) isLogUpToDate(message *wire.Message) bool {
 	lastTerm := c.lastTerm()
 	return message.LogTerm > lastTerm || message.LogTerm == lastTerm && message.Index >= c.lastIndex()
 }
 
-// handlePreVoteRequest responds whether this member would vote for the sender. A member that has a
-// leader, or leads, would not: a member that comes back from a partition can't disrupt the leader
-// (thesis, sections 4.2.3 and 9.6). The request's term is the one that the sender would campaign in;
-// it isn't adopted.
+// handlePreVoteRequest responds whether this member would vote for the sender. It wouldn't while it leads or
+// had recent contact with a leader, so that a member returning from a partition can't disrupt the leader
+// (thesis, sections 4.2.3 and 9.6). The request's term is the one that the sender would campaign in; it
+// isn't adopted.
 func (c *Core) handlePreVoteRequest(message *wire.Message) {
 	ok := message.Term > c.hardState.Term && c.isLogUpToDate(message) &&
 		(c.leader == "" || c.role != leader && c.electionElapsed >= c.cfg.ElectionTicks)
@@ -115,14 +117,14 @@
 	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_PRE_VOTE_RESPONSE, Ok: ok, Probe: message.Term, AboutIncarnation: message.Incarnation})
 }
 
-// yieldsTo reports whether this pre-candidate leaves campaigning to another one: to one whose log is
-// ahead, or whose name sorts first. Members that start together would otherwise split the vote.
+// yieldsTo reports whether this pre-candidate stops campaigning in favour of the sender of a pre-vote request,
+// whose log is ahead or whose name sorts first. Members that start together would otherwise split the vote.
 func (c *Core) yieldsTo(message *wire.Message) bool {
 	return message.From < c.cfg.Self || message.LogTerm > c.lastTerm() || message.Index > c.lastIndex()
 }
 
-// handlePreVoteResponse counts a pre-vote. Probe is the term that was asked about: late responses
-// to earlier pre-votes don't count.
+// handlePreVoteResponse counts a granted pre-vote. Probe is the term that the pre-vote was requested for, by
+// which late responses to earlier pre-votes are recognized and ignored.
 func (c *Core) handlePreVoteResponse(message *wire.Message) {
 	if c.role != preCandidate || !message.Ok || message.Probe != c.hardState.Term+1 {
 		return
@@ -145,7 +147,7 @@
 	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: ok, AboutIncarnation: message.Incarnation})
 }
 
-// handleVoteResponse counts a vote of the current term.
+// handleVoteResponse counts a vote granted in the current term, and makes a candidate with a majority the leader.
 func (c *Core) handleVoteResponse(message *wire.Message) {
 	if c.role != candidate || !message.Ok || message.Term != c.hardState.Term {
 		return
--- a/internal/control/consensus/leadership_transfer.go
+++ b/internal/control/consensus/leadership_transfer.go
@@ -2,16 +2,16 @@
 
 import "pebbleloom/internal/wire"
 
-// TransferLeadership asks the most recently heard peer with a complete log to start an election at once
-// (thesis, section 3.10). It returns false where this member isn't the leader or no peer has caught
-// up. The peer still has to win its election: a transfer changes who campaigns, not who may win.
+// TransferLeadership asks a voter that has every entry of this leader's log, of several the one with the most
+// recent contact, to start an election at once (thesis, section 3.10). It returns false if this member isn't the
+// leader or no other live voter has caught up. The voter still has to win the election by the usual rules.
 //
 // Example: if c.TransferLeadership() { drive(c.Ready()) }
 func (c *Core) TransferLeadership() bool {
 	return c.TransferLeadershipExcept(func(string) bool { return false })
 }
 
-// TransferLeadershipExcept is TransferLeadership to a peer that isn't excluded.
+// TransferLeadershipExcept is like TransferLeadership, but skips the excluded voters.
 //
 // Example: ok := c.TransferLeadershipExcept(isLeaving)
 func (c *Core) TransferLeadershipExcept(excluded func(name string) bool) bool {
--- a/internal/control/consensus/learner.go
+++ b/internal/control/consensus/learner.go
@@ -7,7 +7,7 @@
 )
 
 // Learners receive the committed entries without being voters (thesis, section 4.2.1). A process joins a
-// group as a learner, and stays one as a spare until the driver proposes it as a voter.
+// group as a learner, and remains one, as a spare member, until the driver proposes it as a voter.
 
 const (
 	// learnerTimeoutElections is the time without a response after which the leader drops a learner,
@@ -15,20 +15,20 @@
 	learnerTimeoutElections = 6
 
 	// learnerHeartbeats is the number of heartbeats between two requests to a learner that has caught
-	// up. To one that hasn't, which a membership change may wait for, requests go at each heartbeat.
+	// up. A learner that hasn't is sent a request at each heartbeat: a membership change may wait for it.
 	learnerHeartbeats = 3
 
-	// maxLearners bounds the learners of a leader, and so what it sends.
+	// maxLearners bounds the learners of a leader, and so its replication traffic.
 	maxLearners = 64
 )
 
-// LearnerSnapshot returns the first snapshot of a process that joins a group with an empty disk.
+// LearnerSnapshot returns the initial snapshot of a process that joins a group with an empty disk.
 //
 // Example: consensus.LearnerSnapshot("10.1.0.17:7360/8f3a")
 func LearnerSnapshot(self string) *wire.Snapshot { return BootstrapSnapshot(self, nil) }
 
-// AddLearner makes the leader replicate to a process that isn't a voter. It returns false where this
-// member isn't the leader, or has the maximum of learners.
+// AddLearner makes the leader replicate to a process that isn't a voter. It returns false if this member isn't
+// the leader, or already has the maximum number of learners.
 //
 // Example: if c.AddLearner("10.1.0.17:7360/8f3a") { drive(c.Ready()) }
 func (c *Core) AddLearner(name string) bool {
@@ -57,8 +57,8 @@
 	}
 }
 
-// replicationLimit returns the index of the last entry that a peer may be sent: to learners only
-// committed ones.
+// replicationLimit returns the index of the last entry that a peer may be sent: learners are sent only committed
+// entries.
 func (c *Core) replicationLimit(peer string) uint64 {
 	if c.cfg.DynamicMembership && !c.IsVoter(peer) {
 		return c.commit
@@ -66,7 +66,8 @@
 	return c.lastIndex()
 }
 
-// replicateToLearners sends the learners their share of a heartbeat, and drops silent ones.
+// replicateToLearners sends requests to the learners that are due at a heartbeat, and drops learners that have
+// stopped responding.
 func (c *Core) replicateToLearners() {
 	if !c.cfg.DynamicMembership {
 		return
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -82,7 +82,7 @@
 	voters := c.votersAt(c.applied)
 	c.retainTrailing(compacted, len(state))
 	c.snapshot = &wire.Snapshot{Format: 1, Index: c.applied, Term: term, HardState: c.hardState, State: state,
-		Members: voters.namesOnWire(c.cfg.DynamicMembership), MembersIndex: voters.index, MembersTerm: voters.term}
+		Members: voters.storedNames(c.cfg.DynamicMembership), MembersIndex: voters.index, MembersTerm: voters.term}
 	c.log = remaining
 	return c.snapshot, entryRecords(remaining)
 }
--- a/internal/control/consensus/peer_status.go
+++ b/internal/control/consensus/peer_status.go
@@ -6,20 +6,20 @@
 )
 
 // caughtUpEntries is the number of committed entries that a peer may lack and still count as caught up.
-// A larger one makes a group wait longer for a new voter; 0 would never be met under load.
+// With a larger number a group waits longer for a new voter; a limit of 0 would never be met under load.
 const caughtUpEntries = 8
 
-// PeerStatus is the leader's view of a peer that it replicates to.
+// PeerStatus describes a peer as seen by the leader that replicates to it.
 type PeerStatus struct {
 	Name       string
 	IsVoter    bool // false: a learner
 	ContactAge int  // ticks since the newest request was sent that the peer has responded to
-	Responded  bool // whether it has responded to this leader at all
-	CaughtUp   bool // whether it has all committed entries, but for what fits into one request
+	Responded  bool // whether the peer has responded to this leader in the current term
+	CaughtUp   bool // whether the committed entries that the peer lacks, if any, fit into one request
 }
 
-// PeerStatuses returns the peers that the leader replicates to, voters and learners, sorted by name; nil
-// where this member isn't the leader.
+// PeerStatuses returns the status of each peer that the leader replicates to, voters and learners, sorted by
+// name; nil if this member isn't the leader.
 //
 // Example: for _, peer := range c.PeerStatuses() { fmt.Println(peer.Name, peer.ContactAge) }
 func (c *Core) PeerStatuses() (statuses []PeerStatus) {
@@ -39,8 +39,8 @@
 	return statuses
 }
 
-// isNearCommit reports whether a log that matches up to an index lacks no more committed entries than one
-// request carries: at most caughtUpEntries and MaxBatchBytes, and no snapshot.
+// isNearCommit reports whether the committed entries after index match fit into one append request: there are
+// at most caughtUpEntries of them, within MaxBatchBytes, and none that only a snapshot has.
 func (c *Core) isNearCommit(match uint64) bool {
 	if match == 0 || match+caughtUpEntries < c.commit {
 		return false
@@ -58,10 +58,9 @@
 	return missing <= c.cfg.MaxBatchBytes
 }
 
-// ReplicatedToLiveVoters reports whether every committed entry is on the disk of all live voters except
-// one, and there is at least one of these: the excepted voter may then stop without making others wait. A
-// voter is live if its contact age is less than maxContactAge ticks. It returns false where this
-// member isn't the leader.
+// ReplicatedToLiveVoters reports whether there is a live voter other than the excepted one, and all such voters
+// have every committed entry on disk: the excepted voter can then stop without delaying the others. A voter is
+// live if its contact age is less than maxContactAge ticks. The result is false if this member isn't the leader.
 //
 // Example: if c.ReplicatedToLiveVoters("10.1.0.17:7360/8f3a", 12) { stop() }
 func (c *Core) ReplicatedToLiveVoters(except string, maxContactAge int) bool {
--- a/internal/control/consensus/read_index.go
+++ b/internal/control/consensus/read_index.go
@@ -4,15 +4,14 @@
 // a quorum has responded to a request sent after it began, and the entries up to index are applied.
 type pendingRead struct {
 	id       uint64
-	sequence uint64 // its readSequence, which responses of peers echo
+	sequence uint64 // sequence number of the read, which responses of peers echo
 	index    uint64 // the commit index when it began
 }
 
-// ReadIndex begins a linearizable read: one that sees every change acknowledged before it. Its id comes
-// back in Ready.ConfirmedReads once a quorum has confirmed that this member still leads, or in
-// Ready.AbortedReads when it stops leading. ok is false where this member isn't the leader or has not
-// committed an entry of its own term, without which its commit index may lag behind that of an
-// earlier leader.
+// ReadIndex begins a linearizable read: one that sees every change acknowledged before it. The id of the read
+// is returned in Ready.ConfirmedReads once a quorum has confirmed that this member still leads, or in
+// Ready.AbortedReads when it stops leading. ok is false if this member isn't the leader, or has not
+// committed an entry of its own term: until then its commit index may lag behind that of an earlier leader.
 //
 // Example: id, ok := c.ReadIndex()
 func (c *Core) ReadIndex() (id uint64, ok bool) {
@@ -26,7 +25,7 @@
 	return c.lastReadID, true
 }
 
-// confirmReads moves the reads that a quorum has confirmed to ready.
+// confirmReads moves the pending reads that a quorum has confirmed and whose index is applied to ready.
 func (c *Core) confirmReads() {
 	var pending []pendingRead
 	for _, read := range c.pendingReads {
@@ -39,7 +38,7 @@
 	c.pendingReads = pending
 }
 
-// abortReads gives up all reads: this member leads no more and can't confirm them.
+// abortReads aborts all pending reads, since this member no longer leads and can't confirm them.
 func (c *Core) abortReads() {
 	for _, read := range c.pendingReads {
 		c.ready.AbortedReads = append(c.ready.AbortedReads, read.id)
--- a/internal/control/consensus/rejoin.go
+++ b/internal/control/consensus/rejoin.go
@@ -2,16 +2,16 @@
 
 import "pebbleloom/internal/wire"
 
-// Rejoining after a lost disk, with fixed members only. In a group a lost disk comes back under another
-// name, as a learner (see membership.go).
+// Rejoining after the loss of a disk, with fixed members only. In a group, a machine that lost its disk joins
+// under another name as a learner (see membership.go).
 //
-// A member that has lost its disk begins blank, and so does a machine that was started under a name that
-// another machine has. Both other members have to admit it: it asks them which generation of its name
-// they know, chooses the next one, and asks to be recorded under it. Each of them persists that before it
-// sends its state, and ignores all earlier incarnations of the name from then on. So of two machines
-// under one name at most one takes part, whichever starts later.
+// A member that has lost its disk starts blank, and so does a second machine that is started under a name
+// already in use. Both other members have to admit a blank member: it asks them for the latest generation of
+// its name that they have recorded, chooses the next one, and asks to be recorded under it. Each of them
+// persists the new generation before it sends its state, and ignores all earlier incarnations of the name from
+// then on. So of two machines with the same name at most one takes part, whichever was started later.
 
-// knownIncarnation returns the recorded incarnation of a peer; nil: none.
+// knownIncarnation returns the incarnation that this member has recorded for a peer; nil: none.
 func (c *Core) knownIncarnation(name string) *wire.KnownIncarnation {
 	for _, known := range c.hardState.KnownIncarnations {
 		if known.Name == name {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// recordIncarnation persists which incarnation of a peer counts from now on.
+// recordIncarnation persists the only incarnation of a peer whose messages are accepted from now on.
 func (c *Core) recordIncarnation(name, incarnation string, generation uint64) {
 	incarnations := []*wire.KnownIncarnation{{Name: name, Incarnation: incarnation, Generation: generation}}
 	for _, known := range c.hardState.KnownIncarnations {
@@ -41,22 +41,23 @@
 	return c.hardState.Incarnation, c.hardState.KnownIncarnations
 }
 
-// tickBlank asks the peers for their states at every second heartbeat interval.
+// tickBlank sends state requests to the peers once in every two heartbeat intervals.
 func (c *Core) tickBlank() {
 	if c.heartbeatElapsed%(2*c.cfg.HeartbeatTicks) == 1 {
 		c.requestState()
 	}
 }
 
-// requestState asks the peers for the generations that they know, or for their states once one is chosen.
+// requestState asks the peers for the generations of this member's name that they have recorded or, once this
+// member has chosen its generation, for their states.
 func (c *Core) requestState() {
 	c.forEachPeer(func(peer string) {
 		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_STATE_REQUEST, AboutIncarnation: c.hardState.Incarnation, Generation: c.generation})
 	})
 }
 
-// handleStateRequest responds to a blank member: first with the generation of its name that is recorded
-// here; then, once the sender is recorded under the generation that it chose, with the complete state.
+// handleStateRequest responds to a blank member: first with the generation of its name that this member has
+// recorded; then, once the sender is recorded under the generation that it chose, with the complete state.
 func (c *Core) handleStateRequest(message *wire.Message) {
 	if c.cfg.DynamicMembership {
 		return
@@ -78,14 +79,14 @@
 	c.send(response)
 }
 
-// resetProgress forgets what earlier incarnations of a peer have acknowledged.
+// resetProgress discards the acknowledgements of earlier incarnations of a peer.
 func (c *Core) resetProgress(peer, incarnation string) {
 	progress := c.peers[peer]
 	*progress = peerProgress{next: c.lastIndex() + 1, incarnation: incarnation, ticksSinceResponse: progress.ticksSinceResponse, contactAge: progress.contactAge}
 }
 
-// handleStateResponse collects the responses of both peers: first the generations that they know, from
-// which it chooses its own, then their states.
+// handleStateResponse collects the responses of both peers: first the generations of this member's name that
+// they have recorded, by which this member chooses its own, then their states.
 func (c *Core) handleStateResponse(message *wire.Message) {
 	if !c.isBlank() || message.AboutIncarnation != c.hardState.Incarnation {
 		return
@@ -94,7 +95,7 @@
 	case c.generation == 0:
 		c.collectGeneration(message)
 	case !message.Ok:
-		if message.Generation >= c.generation { // another incarnation was recorded first
+		if message.Generation >= c.generation { // the peer has recorded another incarnation under this or a later generation
 			c.restartRejoin()
 		}
 	case message.Generation == c.generation:
@@ -104,7 +105,8 @@
 	}
 }
 
-// collectGeneration chooses the generation after all that the peers know, once both have responded.
+// collectGeneration records the generation in a peer's response. Once both peers have responded, it chooses the
+// next generation after theirs.
 func (c *Core) collectGeneration(message *wire.Message) {
 	if c.peerGenerations[message.From] = message.Generation; len(c.peerGenerations) < len(c.cfg.Members)-1 {
 		return
@@ -116,16 +118,16 @@
 	c.requestState()
 }
 
-// restartRejoin makes this member choose another generation.
+// restartRejoin starts rejoining over, so that this member chooses another generation.
 func (c *Core) restartRejoin() {
 	c.generation = 0
 	clear(c.peerGenerations)
 	clear(c.peerStates)
 }
 
-// rejoin restores the more advanced of the peers' states, or an empty one if both are blank: the shard is new then.
-// It starts over where the peers don't recognize each other's incarnations. Where one peer is blank although
-// the other has a log, two disks are lost, and committed entries may be lost with them: this member stays blank.
+// rejoin takes over the more up-to-date of the peers' states, or an empty one if both are blank, as in a new shard.
+// It starts over if the peers haven't recorded each other's current incarnations. If one peer is blank although
+// the other has log entries, two disks are lost, and possibly committed entries with them: this member stays blank.
 func (c *Core) rejoin() {
 	if !c.peersRecognizeEachOther() {
 		c.restartRejoin()
@@ -133,14 +135,14 @@
 	}
 	best, term, hasBlank := c.bestPeerState()
 	if hasBlank && best != nil && best.Index > 0 {
-		c.rejoinFailure = "a peer is blank too, yet the shard has a past: two disks are lost"
+		c.rejoinFailure = "another member is blank too, but the log of the third has entries: two of three disks are lost"
 		clear(c.peerStates)
 		return
 	}
 	c.rejoinFailure = ""
 	vote := ""
 	if term > 0 {
-		vote = unknownVote // it may have voted in that term before it lost its disk
+		vote = unknownVote // this member may have voted in that term before it lost its disk
 	}
 	c.hardState = &wire.HardState{Term: term, Vote: vote, Incarnation: c.hardState.Incarnation, DiskState: wire.DiskState_DISK_FOUNDED, KnownIncarnations: c.mergeIncarnations()}
 	if best == nil {
@@ -156,8 +158,8 @@
 func (c *Core) peersRecognizeEachOther() bool {
 	recognized := true
 	c.forEachPeer(func(peer string) {
-		c.forEachPeer(func(witness string) {
-			for _, known := range c.peerStates[witness].KnownIncarnations {
+		c.forEachPeer(func(reporter string) {
+			for _, known := range c.peerStates[reporter].KnownIncarnations {
 				if known.Name == peer && known.Incarnation != c.peerStates[peer].Incarnation {
 					recognized = false
 				}
@@ -167,8 +169,8 @@
 	return recognized
 }
 
-// bestPeerState returns the most up-to-date of the states received, by the rule of elections (paper,
-// section 5.4.1); nil if all peers are blank. term is the highest term of the others.
+// bestPeerState returns the most up-to-date of the states received, as compared in elections (paper, section
+// 5.4.1); nil if all peers are blank. term is the highest term of the peers that aren't blank.
 func (c *Core) bestPeerState() (best *wire.Message, term uint64, hasBlank bool) {
 	c.forEachPeer(func(peer string) {
 		state := c.peerStates[peer]
@@ -184,13 +186,13 @@
 	return best, term, hasBlank
 }
 
-// mergeIncarnations returns the peers' incarnations as they know each other. Those that this member has
-// recorded itself while it was blank prevail unless theirs are of a later generation.
+// mergeIncarnations returns the incarnations of the peers as they have recorded them for each other. Incarnations
+// that this member has recorded itself while it was blank take precedence unless theirs are of a later generation.
 func (c *Core) mergeIncarnations() (merged []*wire.KnownIncarnation) {
 	c.forEachPeer(func(peer string) {
 		incarnation := &wire.KnownIncarnation{Name: peer, Incarnation: c.peerStates[peer].Incarnation}
-		c.forEachPeer(func(witness string) {
-			for _, known := range c.peerStates[witness].KnownIncarnations {
+		c.forEachPeer(func(reporter string) {
+			for _, known := range c.peerStates[reporter].KnownIncarnations {
 				if known.Name == peer {
 					incarnation.Generation = known.Generation
 				}
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -2,35 +2,35 @@
 
 import "pebbleloom/internal/wire"
 
-// Large batches aren't sent again at each heartbeat, as small ones are: on a slow link duplicates would
+// Unlike small batches, large ones aren't sent again at each heartbeat: on a slow link, duplicates would
 // be queued faster than they are transmitted. A large batch is retried once the driver reports it as
 // lost, or after batchTimeout without a response.
 const (
-	// largeBatchBytes is the size from which a batch counts as large. A smaller one takes less than
-	// a heartbeat even on a slow link.
+	// largeBatchBytes is the size from which a batch counts as large. The transmission of a smaller one
+	// takes less than a heartbeat interval even on a slow link.
 	largeBatchBytes = 16 << 10
 
-	// assumedLinkBytesPerTick is the throughput of the slowest link that time-outs are made for, in bytes
-	// per tick. Larger values detect losses earlier, and send duplicates on slower links.
+	// assumedLinkBytesPerTick is the throughput of the slowest link that timeouts allow for, in bytes per
+	// tick. With larger values losses are detected earlier, but slower links carry duplicates.
 	assumedLinkBytesPerTick = 8 << 10
 
-	// maxBatchTimeoutElections bounds batchTimeout, in election timeouts.
+	// maxBatchTimeoutElections is the upper bound of batchTimeout, in minimum election timeouts.
 	maxBatchTimeoutElections = 8
 
-	// batchLossesBeforeSnapshot is the number of consecutive losses after which the entries are
-	// replaced by a snapshot, which is sent in chunks.
+	// batchLossesBeforeSnapshot is the number of consecutive losses of large batches after which a
+	// snapshot, which is sent in chunks, replaces the entries.
 	batchLossesBeforeSnapshot = 2
 )
 
-// batchTimeout returns how many ticks a response to a batch of size bytes may take. It doubles with
-// each consecutive loss.
+// batchTimeout returns how many ticks the response to a batch of a size in bytes may take. The timeout doubles
+// with each consecutive loss, up to its bound.
 func (c *Core) batchTimeout(size, losses int) int {
 	timeout := (c.cfg.ElectionTicks + size/assumedLinkBytesPerTick) << min(losses, maxBatchTimeoutElections)
 	return min(timeout, maxBatchTimeoutElections*c.cfg.ElectionTicks)
 }
 
-// replicate sends a peer the entries that it lacks, or a snapshot where they are compacted. At a heartbeat
-// it sends a request in any case, otherwise only if nothing is in flight.
+// replicate sends a peer the entries that it lacks, or a snapshot if they are compacted. At a heartbeat it sends
+// a request in any case, otherwise only if no entries or chunk are in flight to the peer.
 func (c *Core) replicate(peer string, heartbeat bool) {
 	progress := c.peers[peer]
 	if progress.inFlight && !heartbeat {
@@ -67,8 +67,8 @@
 	c.send(&wire.Message{To: peer, Kind: wire.MessageKind_APPEND_REQUEST, Index: prev, LogTerm: prevTerm, Entries: entries, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 }
 
-// batchFor returns the entries to send from an index on, at least one if there is any, and their size in
-// bytes.
+// batchFor returns the entries to send to a peer from an index on, up to MaxBatchBytes but at least one if there
+// is any, and their size in bytes.
 func (c *Core) batchFor(peer string, from uint64) (entries []*wire.Entry, size int) {
 	for index := from; index <= c.replicationLimit(peer); index++ {
 		entry := c.entryAt(index)
@@ -81,21 +81,21 @@
 	return entries, size
 }
 
-// countBatchLoss counts a large batch that was lost although the peer responds: its link is too slow.
+// countBatchLoss counts the loss of a large batch if the peer is responding, so that its link must be too slow.
 func (c *Core) countBatchLoss(peer string, progress *peerProgress) {
 	if progress.ticksSinceResponse < max(c.responseTimeout(peer), c.cfg.ElectionTicks) {
 		progress.batchLosses++
 	}
 }
 
-// tooLargeForLink reports whether large batches to a peer were lost so often that its link can't carry
-// them, and the snapshot, which is sent in chunks, has their entries.
+// tooLargeForLink reports whether large batches to a peer were lost so often that its link can't carry them,
+// and the snapshot, which is sent in chunks, includes the next entry to send.
 func (c *Core) tooLargeForLink(progress *peerProgress) bool {
 	return progress.batchLosses >= batchLossesBeforeSnapshot && progress.acceptsChunks && progress.next <= c.snapshot.Index
 }
 
-// ReportSendFailure reports that the driver has given up sending a message. Its content is sent
-// again at the next heartbeat, a snapshot in smaller chunks.
+// ReportSendFailure tells the core that the driver has given up sending a message. The content of the message
+// is sent again at the next heartbeat, a snapshot in smaller chunks.
 //
 // Example: c.ReportSendFailure(message); drive(c.Ready())
 func (c *Core) ReportSendFailure(message *wire.Message) {
@@ -114,8 +114,8 @@
 	}
 }
 
-// sendSnapshot brings a peer up to the snapshot, because the entries that it lacks are compacted. A peer
-// that hasn't responded is sent a heartbeat first: it may be down, and its response says whether its
+// sendSnapshot starts to send the snapshot to a peer that can't be sent the entries that it lacks. A peer that
+// hasn't responded in this term is sent a heartbeat first: it may be down, and its response says whether its
 // release receives chunks. Older releases get the snapshot in one message.
 func (c *Core) sendSnapshot(peer string, progress *peerProgress) {
 	switch {
@@ -123,14 +123,14 @@
 		c.sendAppend(peer, c.snapshot.Index, c.snapshot.Term, nil)
 	case progress.acceptsChunks:
 		c.beginTransfer(peer, progress)
-	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // still in flight
+	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // the snapshot sent last is still in flight
 	default:
 		progress.snapshotSentAt, progress.inFlight = c.ticks, true
 		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
 	}
 }
 
-// handleAppendResponse advances a peer's progress and the commit index, and sends what follows.
+// handleAppendResponse advances a peer's progress and the commit index, and sends the next entries.
 func (c *Core) handleAppendResponse(message *wire.Message) {
 	progress := c.recordResponse(message)
 	if progress == nil {
@@ -156,24 +156,24 @@
 	}
 }
 
-// handleRejection moves next back to where the peer's log may match, and retries from there (paper,
-// section 5.3).
+// handleRejection handles a rejected append request: it moves progress.next back to where the peer's log may
+// match, and retries from there (paper, section 5.3).
 func (c *Core) handleRejection(message *wire.Message, progress *peerProgress) {
 	if progress.transfer != nil {
-		return // the transfer will bring it up to the snapshot
+		return // the snapshot transfer in progress replaces the peer's log
 	}
 	progress.inFlight = false
 	if c.cfg.DynamicMembership && message.Index < progress.match {
-		return // it has lost entries that it had acknowledged, which must not happen: retried at the next heartbeat, not in a loop
+		return // the peer has lost acknowledged entries, which must not happen: retry at the next heartbeat, not at once in a loop
 	}
 	progress.next = max(progress.match+1, min(progress.next-1, message.Index+1))
 	progress.batchRetryAt = 0
 	c.replicate(message.From, true)
 }
 
-// advanceCommit commits the highest entry of the current term that a quorum has. Entries of earlier
-// terms are only committed along with it (paper, section 5.4.2). A leader that isn't a voter any more
-// steps down once its removal is committed (thesis, section 4.2.2).
+// advanceCommit commits the highest entry of the current term that a quorum has stored. Entries of earlier
+// terms are committed only along with it (paper, section 5.4.2). A leader that has been removed from the
+// voters steps down once its removal is committed (thesis, section 4.2.2).
 func (c *Core) advanceCommit() {
 	for index := c.lastIndex(); index > c.commit; index-- {
 		if term, _ := c.termAt(index); term != c.hardState.Term {
--- a/internal/control/consensus/restore.go
+++ b/internal/control/consensus/restore.go
@@ -2,36 +2,36 @@
 
 import "pebbleloom/internal/wire"
 
-// Restoring a group of which a majority of disks is lost for good. An operator has one surviving member go on
-// alone, under a new name, with all that its log holds; the others join it as after any loss. What only the lost
-// members had is lost.
+// Restoring a group that has lost the majority of its disks permanently. An operator selects one surviving member,
+// which continues as the only voter of the group, under a new name and with every entry of its log. Other machines
+// join the group as after the loss of a disk. Entries that only the lost members had are lost.
 //
-// The restored group has a higher restore generation. It is part of every message, and persistent. Members of
-// an earlier generation may come back, also a majority of them, and don't know of the restore:
-//   - What they send counts for no member of a later generation, which responds with its own generation only.
-//   - A member that learns of a later generation takes no part any more: its log and its vote belong to a group
-//     that was given up. Its driver treats its disk as a lost one.
-//   - A member without a log and without voters, as an empty disk starts with, adopts a later generation.
-// So no entry, vote or acknowledgement passes from one generation to another. Until they have heard of the
-// restore, members of an earlier generation may still elect a leader among themselves.
+// The restored group has a higher restore generation, which is persisted and part of every message. Members of
+// an earlier generation, even a majority of them, may return without knowing of the restore:
+//   - Members of a later generation ignore their messages, and respond only with a notice of the later generation.
+//   - A member that learns of a later generation stops taking part: its log and its vote belong to an abandoned
+//     group. Its driver treats its disk as lost.
+//   - A member without log entries and voters, as one that starts with an empty disk, adopts a later generation.
+// So no entry, vote or acknowledgement passes from one generation to another. Until they learn of the restore,
+// members of an earlier generation may still elect a leader among themselves.
 
-// restoreCountShift is the position of the number of restores in a restore generation. The bits below it
-// are random: of two members that are restored at the same time, each with the same number, one prevails.
+// restoreCountShift is the bit position of the number of restores in a restore generation. The bits below it are
+// random: if a group is restored from two members at the same time, one of the two generations is the higher one.
 const restoreCountShift = 32
 
-// NextRestoreGeneration returns a restore generation that is higher than another one.
+// NextRestoreGeneration returns a restore generation that is higher than the current one, with random low bits.
 //
 // Example: generation := consensus.NextRestoreGeneration(core.Status().RestoreGeneration, seed())
 func NextRestoreGeneration(current, random uint64) uint64 {
 	return (current>>restoreCountShift+1)<<restoreCountShift | random>>restoreCountShift
 }
 
-// RestoreCount returns how often a group of a restore generation was restored.
+// RestoreCount returns how often a group was restored, according to its restore generation.
 //
 // Example: consensus.RestoreCount(status.RestoreGeneration) == 1
 func RestoreCount(generation uint64) uint64 { return generation >> restoreCountShift }
 
-// RestoredSnapshot returns the first snapshot of the group that continues from this member alone, under a new
+// RestoredSnapshot returns the initial snapshot of a group that is restored from this member alone, under a new
 // name and a higher restore generation. The state must be the result of all entries of the log, committed or
 // not.
 //
@@ -42,21 +42,23 @@
 	return &wire.Snapshot{Format: 1, Index: index, Term: term, HardState: hardState, State: state, Members: []string{self}, MembersIndex: index, MembersTerm: term}
 }
 
-// RestoreNotice returns a message that informs whoever runs at an address of this member's restore generation.
+// RestoreNotice returns a message that informs the member at an address of this member's restore generation.
 //
 // Example: send(c.RestoreNotice("10.2.0.24:7360"))
 func (c *Core) RestoreNotice(to string) *wire.Message {
 	return c.withSender(&wire.Message{To: to, Kind: wire.MessageKind_RESTORE_NOTICE})
 }
 
-// SupersededBy returns a later restore generation that this member isn't one of; 0: none is known.
+// SupersededBy returns the later restore generation of the group that this member has learned of and doesn't
+// belong to; 0: none.
 //
 // Example: if c.SupersededBy() != 0 { stop() }
 func (c *Core) SupersededBy() uint64 { return c.supersededBy }
 
-// isOfThisGeneration reports whether a message is from a member of this one's restore generation. It responds to
-// an earlier one, and adopts or yields to a later one.
-func (c *Core) isOfThisGeneration(message *wire.Message) bool {
+// acceptsGeneration reports whether this member handles a message, by its restore generation. It responds to an
+// earlier generation with a notice. A later one is adopted if this member has no log entries and no voters, and
+// supersedes this member otherwise.
+func (c *Core) acceptsGeneration(message *wire.Message) bool {
 	own := c.hardState.RestoreGeneration
 	switch {
 	case message.RestoreGeneration == own:
@@ -76,10 +78,10 @@
 	return false
 }
 
-// isPristine reports whether this member has neither a log nor voters, as it starts on an empty disk.
+// isPristine reports whether this member has neither log entries nor voters, as after a start with an empty disk.
 func (c *Core) isPristine() bool { return c.lastIndex() == 0 && len(c.voters.names) == 0 }
 
-// adoptGeneration makes a member that has received nothing yet one of a later restore generation.
+// adoptGeneration moves this member, which has no log entries yet, to a later restore generation.
 func (c *Core) adoptGeneration(generation uint64) {
 	c.incoming = nil
 	adopted := c.nextHardState()
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -8,17 +8,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxSnapshotBytes bounds the memory for a snapshot that is being received. It is twice the bound that
-// the driver sets on its state.
+// maxSnapshotBytes bounds the memory for a snapshot that is being received. It is twice the limit that the
+// driver sets on the size of its state.
 const maxSnapshotBytes = 16 << 20
 
 // incomingSnapshot is a snapshot that is being received in chunks (paper, section 7). A member receives at
 // most one at a time.
 type incomingSnapshot struct {
-	snapshot   *wire.Snapshot // without its state
+	snapshot   *wire.Snapshot // header of the snapshot, without the state
 	totalBytes uint64         // size of the state
 	checksum   uint32         // CRC-32C of the state
-	received   []byte         // the first bytes of the state
+	received   []byte         // bytes of the state received so far, from its beginning
 	leaderTerm uint64         // term of the leader that sent the last chunk
 }
 
@@ -28,8 +28,8 @@
 		s.totalBytes == request.Chunk.Total && s.checksum == request.Chunk.StateChecksum
 }
 
-// addChunk appends a chunk that continues the received bytes. Any other is a duplicate, or follows one
-// that was lost.
+// addChunk appends a chunk that continues the received bytes. Any other chunk is ignored: it is corrupt or a
+// duplicate, or a chunk before it was lost.
 func (s *incomingSnapshot) addChunk(chunk *wire.SnapshotChunk) {
 	offset := uint64(len(s.received))
 	if chunk.Offset != offset || offset+uint64(len(chunk.Data)) > s.totalBytes || crc32.Checksum(chunk.Data, castagnoliTable) != chunk.Checksum {
@@ -41,7 +41,7 @@
 func (s *incomingSnapshot) isComplete() bool { return uint64(len(s.received)) == s.totalBytes }
 
 // handleChunkRequest receives a chunk of a snapshot, installs the snapshot once it is complete, and
-// responds how much of it is here.
+// responds with the number of bytes received.
 func (c *Core) handleChunkRequest(message *wire.Message) {
 	if message.Snapshot == nil || message.Chunk == nil || message.Chunk.Total > maxSnapshotBytes {
 		return
@@ -49,14 +49,14 @@
 	if !c.followSender(message) {
 		return
 	}
-	if message.Snapshot.Index <= c.commit { // the log, or a newer snapshot, holds all of it
+	if message.Snapshot.Index <= c.commit { // this member already has everything in the snapshot
 		c.incoming = nil
 		c.sendAppendResponse(message, true, message.Snapshot.Index, message.Probe)
 		return
 	}
 	if !c.incoming.matches(message) {
 		if c.incoming != nil && c.incoming.leaderTerm == message.Term && c.incoming.snapshot.Index >= message.Snapshot.Index {
-			return // delayed, of a transfer that this leader has given up
+			return // a delayed chunk of a transfer that this leader has abandoned
 		}
 		c.incoming = &incomingSnapshot{snapshot: message.Snapshot, totalBytes: message.Chunk.Total, checksum: message.Chunk.StateChecksum}
 	}
@@ -69,15 +69,16 @@
 	c.sendChunkResponse(message)
 }
 
-// sendChunkResponse responds how many bytes of a snapshot have been received: the next chunk begins there.
+// sendChunkResponse responds with the number of bytes of a snapshot that have been received, which is the offset
+// of the next chunk.
 func (c *Core) sendChunkResponse(request *wire.Message) {
 	c.send(&wire.Message{To: request.From, Kind: wire.MessageKind_SNAPSHOT_CHUNK_RESPONSE, Index: request.Snapshot.Index, LogTerm: request.Snapshot.Term,
 		Probe: request.Probe, AboutIncarnation: request.Incarnation, SentTick: request.SentTick,
 		Chunk: &wire.SnapshotChunk{Offset: uint64(len(c.incoming.received)), Total: request.Chunk.Total, StateChecksum: request.Chunk.StateChecksum}})
 }
 
-// installIncoming installs the snapshot that was received. It returns false if the checksum of the state
-// is wrong, and the state is then received again from its beginning.
+// installIncoming installs the completely received snapshot. If the checksum of the state is wrong, it returns
+// false and discards the received bytes, so that the state is received again from its beginning.
 func (c *Core) installIncoming() bool {
 	s := c.incoming
 	if crc32.Checksum(s.received, castagnoliTable) != s.checksum {
@@ -90,9 +91,9 @@
 	return true
 }
 
-// installSnapshot replaces snapshot, state and log by a leader's. A snapshot that ends at or before the
-// commit index is ignored: all of it is here, and the applied state may be newer. Entries after the
-// snapshot are retained if the log matches it (paper, section 7).
+// installSnapshot replaces this member's snapshot, state and log by the snapshot of a leader. A snapshot that ends
+// at or before the commit index is ignored: this member already has all of it, and the applied state may be newer.
+// Entries after the snapshot are retained if the log matches it (paper, section 7).
 func (c *Core) installSnapshot(snapshot *wire.Snapshot) {
 	if snapshot.Index <= c.commit {
 		return
@@ -104,9 +105,9 @@
 	c.restoreSnapshot(snapshot, remaining)
 }
 
-// restoreSnapshot makes a snapshot and the entries after it this member's log. The hard state remains its
-// own. Records of the current step are dropped: the new snapshot has the hard state, and the records
-// that replace them the log.
+// restoreSnapshot replaces this member's snapshot and log by a snapshot and the entries after it, and keeps its
+// hard state. Records queued in the current step are dropped: the new snapshot contains the hard state, and new
+// records contain the log.
 func (c *Core) restoreSnapshot(snapshot *wire.Snapshot, entries []*wire.Entry) {
 	restored := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, State: snapshot.State, HardState: c.hardState,
 		Members: snapshot.Members, MembersIndex: snapshot.MembersIndex, MembersTerm: snapshot.MembersTerm}
--- a/internal/control/consensus/snapshot_send.go
+++ b/internal/control/consensus/snapshot_send.go
@@ -7,26 +7,26 @@
 )
 
 // A snapshot is sent in chunks, each after the previous one was acknowledged. The leader first asks how
-// much of the snapshot the follower has, so a transfer resumes where it stopped after a loss, a partition
-// or a change of leader.
+// much of the snapshot the follower has, so a transfer resumes where it stopped after a message loss, a
+// partition or a change of leader.
 //
 // A transfer keeps its snapshot when the leader compacts again; otherwise frequent compactions could
-// restart it for ever. On the wire a chunk is called a piece.
+// restart it indefinitely. In the wire format a chunk is called a piece.
 
 const (
 	// initialChunkBytes is the size of the first chunk. Chunks double while they are acknowledged
 	// within one heartbeat, up to Config.MaxBatchBytes.
 	initialChunkBytes = 32 << 10
 
-	// minChunkBytes is the size that chunks are not halved below when they are lost.
+	// minChunkBytes is the minimum size of chunks; a chunk that is lost is retried with half its size.
 	minChunkBytes = 4 << 10
 
-	// maxOutgoingSnapshots bounds the snapshots that are kept for transfers beside the newest one, and
-	// so the leader's memory: a further peer is sent a snapshot that is kept already.
+	// maxOutgoingSnapshots bounds the number of snapshots that are kept for transfers in addition to the
+	// newest one, and so the leader's memory. Once it is reached, a further peer is sent one of these.
 	maxOutgoingSnapshots = 2
 
-	// chunkTimeoutHeartbeats is the time in heartbeats that a chunk may take in addition to the time
-	// of its bytes at assumedLinkBytesPerTick.
+	// chunkTimeoutHeartbeats is the time, in heartbeat intervals, after which a chunk counts as lost, in
+	// addition to its transmission time at assumedLinkBytesPerTick.
 	chunkTimeoutHeartbeats = 2
 )
 
@@ -34,24 +34,24 @@
 
 // outgoingTransfer is the transfer of a snapshot to one peer.
 type outgoingTransfer struct {
-	snapshot    *wire.Snapshot // without its state
+	snapshot    *wire.Snapshot // header of the snapshot, without the state
 	state       []byte         // shared by all transfers of the snapshot; never changed
 	checksum    uint32         // CRC-32C of state
-	ackedOffset uint64         // how many bytes the peer has acknowledged
+	ackedOffset uint64         // number of bytes of the state that the peer has acknowledged
 	chunkBytes  int            // size of the next chunk
 	sentAt      int            // tick in which the chunk in flight was sent
 	retryAt     int            // tick from which the chunk in flight counts as lost
 }
 
-// beginTransfer asks a peer how much it has of the snapshot that it is to receive.
+// beginTransfer begins a snapshot transfer by asking the peer how much of the snapshot it already has.
 func (c *Core) beginTransfer(peer string, progress *peerProgress) {
 	progress.transfer = c.newTransfer()
 	progress.inFlight = false
 	c.sendChunk(peer, progress.transfer, 0)
 }
 
-// newTransfer returns a transfer of the newest snapshot. Where maxOutgoingSnapshots older ones are
-// being transferred, it is of the newest of these instead.
+// newTransfer returns a transfer of the newest snapshot. If maxOutgoingSnapshots other snapshots are already
+// being transferred, it returns a transfer of the newest of these instead.
 func (c *Core) newTransfer() *outgoingTransfer {
 	active := c.activeTransfers()
 	if len(active) >= maxOutgoingSnapshots {
@@ -69,7 +69,7 @@
 	return &outgoingTransfer{snapshot: source.snapshot, state: source.state, checksum: source.checksum, chunkBytes: min(initialChunkBytes, c.cfg.MaxBatchBytes)}
 }
 
-// transferOf returns a transfer with the header, state and checksum of a snapshot.
+// transferOf returns a transfer of a snapshot, with the header, the state and the checksum of the state.
 func transferOf(snapshot *wire.Snapshot) *outgoingTransfer {
 	header := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members, MembersIndex: snapshot.MembersIndex, MembersTerm: snapshot.MembersTerm}
 	return &outgoingTransfer{snapshot: header, state: snapshot.State, checksum: crc32.Checksum(snapshot.State, castagnoliTable)}
@@ -97,8 +97,8 @@
 	return active
 }
 
-// dropSilentTransfers gives up the transfers to peers that have stopped responding. They begin again
-// once the peer responds.
+// dropSilentTransfers abandons the transfers to peers that have stopped responding. A transfer begins again
+// once its peer responds.
 func (c *Core) dropSilentTransfers() {
 	for _, progress := range c.peers {
 		if progress.transfer != nil && progress.ticksSinceResponse >= 2*c.cfg.ElectionTicks {
@@ -107,9 +107,9 @@
 	}
 }
 
-// continueTransfer retries a chunk that wasn't acknowledged in time, with half the size: a slow link
-// then carries it within the driver's time limit for a message. Otherwise, at a heartbeat, it asks how much
-// the peer has.
+// continueTransfer retries a chunk that wasn't acknowledged in time with half its size, so that a slow link
+// can carry it within the driver's time limit for a message. Otherwise, at a heartbeat, it asks the peer how
+// many bytes it has received.
 func (c *Core) continueTransfer(peer string, progress *peerProgress, heartbeat bool) {
 	transfer := progress.transfer
 	switch {
@@ -121,7 +121,7 @@
 	}
 }
 
-// sendNextChunk sends the bytes after those that the peer has acknowledged.
+// sendNextChunk sends the chunk after the bytes that the peer has acknowledged.
 func (c *Core) sendNextChunk(peer string, progress *peerProgress) {
 	transfer := progress.transfer
 	progress.inFlight, transfer.sentAt = true, c.ticks
@@ -129,8 +129,8 @@
 	c.sendChunk(peer, transfer, transfer.chunkBytes)
 }
 
-// sendChunk sends at most size bytes from the acknowledged offset on. Without bytes the request asks how
-// much the peer has.
+// sendChunk sends at most size bytes of the state from the acknowledged offset on. With size 0, the request only
+// asks how many bytes the peer has received.
 func (c *Core) sendChunk(peer string, transfer *outgoingTransfer, size int) {
 	end := min(transfer.ackedOffset+uint64(size), uint64(len(transfer.state)))
 	data := transfer.state[transfer.ackedOffset:end:end]
@@ -138,7 +138,7 @@
 		Chunk: &wire.SnapshotChunk{Offset: transfer.ackedOffset, Total: uint64(len(transfer.state)), Data: data, Checksum: crc32.Checksum(data, castagnoliTable), StateChecksum: transfer.checksum}})
 }
 
-// handleChunkResponse sends the chunk after what a peer says that it has received.
+// handleChunkResponse sends the next chunk, from the offset that a peer reports as received.
 func (c *Core) handleChunkResponse(message *wire.Message) {
 	progress := c.recordResponse(message)
 	if progress == nil || progress.transfer == nil || !progress.transfer.isResponse(message) {
@@ -146,7 +146,7 @@
 	}
 	transfer, offset := progress.transfer, message.Chunk.Offset
 	if progress.inFlight && offset == transfer.ackedOffset {
-		return // the chunk in flight hasn't arrived yet
+		return // the peer sent this response before it received the chunk in flight
 	}
 	if progress.inFlight && offset > transfer.ackedOffset && c.ticks-transfer.sentAt <= c.cfg.HeartbeatTicks {
 		transfer.chunkBytes = min(2*transfer.chunkBytes, c.cfg.MaxBatchBytes)
@@ -155,7 +155,7 @@
 	c.sendNextChunk(message.From, progress)
 }
 
-// isResponse reports whether a response is about the snapshot of this transfer, and its offset is valid.
+// isResponse reports whether a response belongs to the snapshot of this transfer and has a valid offset.
 func (t *outgoingTransfer) isResponse(message *wire.Message) bool {
 	return message.Chunk != nil && message.Index == t.snapshot.Index && message.LogTerm == t.snapshot.Term &&
 		message.Chunk.StateChecksum == t.checksum && message.Chunk.Offset <= uint64(len(t.state))
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -38,7 +38,7 @@
 //
 // Example: c.Step(message); drive(c.Ready())
 func (c *Core) Step(message *wire.Message) {
-	if c.supersededBy != 0 || message.Shard != c.cfg.Shard || !c.isOfThisGeneration(message) || !c.isRecipient(message) {
+	if c.supersededBy != 0 || message.Shard != c.cfg.Shard || !c.acceptsGeneration(message) || !c.isRecipient(message) {
 		return
 	}
 	handler := messageHandlers[message.Kind]
