--- a/internal/control/consensus/model_actions_test.go
+++ b/internal/control/consensus/model_actions_test.go
@@ -8,11 +8,11 @@
 	"pebbleloom/internal/wire"
 )
 
-// initialState returns the first state of a search.
-func (s *space) initialState() *groupState {
+// initialState returns the state that a search begins with, according to its bounds.
+func (s *stateSpace) initialState() *groupState {
 	state := &groupState{history: s.internHistory(observedHistory{})}
 	for slot, name := range slotNames {
-		first := BootstrapSnapshot(name, slotNames[:s.founders])
+		first := BootstrapSnapshot(name, slotNames[:s.initialVoters])
 		switch {
 		case s.fixed:
 			first = BlankSnapshot(name + "/1")
@@ -22,25 +22,25 @@
 		}
 		state.nodes[slot] = s.internNode(startNode(s.config(name), modelDisk{snapshot: first}))
 	}
-	if s.restored() { // nobody has this name before
+	if s.allowsRestore() { // no member has this name before the restore
 		state.nodes[s.restoredSlot()] = s.internNode(&modelNode{name: slotNames[s.restoredSlot()], wiped: true})
 	}
-	if s.elected || s.contested || s.pendingChange != (modelEvent{}) {
+	if s.elected || s.conflictingLogs || s.pendingChange != (modelEvent{}) {
 		s.electFirstLeader(state)
 	}
 	if s.pendingChange != (modelEvent{}) {
-		s.contestMembership(state)
+		s.createMembershipConflict(state)
 	}
-	if s.contested {
-		s.contestLog(state)
+	if s.conflictingLogs {
+		s.createLogConflict(state)
 	}
 	return state
 }
 
-func (s *space) config(self string) Config {
+func (s *stateSpace) config(self string) Config {
 	cfg := Config{Self: self, DynamicMembership: !s.fixed, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(modelRand{})}
 	if s.fixed {
-		cfg.Members = slotNames[:s.founders]
+		cfg.Members = slotNames[:s.initialVoters]
 	}
 	if s.smallMessages {
 		cfg.MaxBatchBytes = 1
@@ -48,16 +48,16 @@
 	return cfg
 }
 
-// applyEvent carries out an event on the way to the first state, and returns the messages that it sends.
-func (s *space) applyEvent(state *groupState, slot int, event modelEvent) []int32 {
+// applyEvent carries out an event in the preparation of the initial state, and returns the messages that it sends.
+func (s *stateSpace) applyEvent(state *groupState, slot int, event modelEvent) []int32 {
 	result := s.step(state.nodes[slot], event)
 	state.nodes[slot] = result.node
 	state.history, _ = s.recordStep(state.history, result)
 	return result.messages
 }
 
-// electFirstLeader makes a the leader, with no messages in flight.
-func (s *space) electFirstLeader(state *groupState) {
+// electFirstLeader makes member a the leader, and leaves no messages in flight.
+func (s *stateSpace) electFirstLeader(state *groupState) {
 	inFlight := s.applyEvent(state, 0, modelEvent{kind: electionTimeout})
 	for len(inFlight) > 0 {
 		id := inFlight[0]
@@ -65,8 +65,9 @@
 	}
 }
 
-// contestLog has a propose an entry that no other member receives, c elect b in term 2, and then a in term 3.
-func (s *space) contestLog(state *groupState) {
+// createLogConflict has member a propose an entry that no other member receives. The others then elect b in term 2,
+// and a is elected in term 3.
+func (s *stateSpace) createLogConflict(state *groupState) {
 	s.applyEvent(state, 0, modelEvent{kind: propose, arg: '0'})
 	s.runElection(state, 1)
 	for _, id := range s.runElection(state, 0) {
@@ -74,17 +75,17 @@
 	}
 }
 
-// contestMembership has a propose the pending change, which no other member receives, and the others elect b in
-// term 2. What b sends then is in flight.
-func (s *space) contestMembership(state *groupState) {
+// createMembershipConflict has member a propose the pending change, which no other member receives, and the others
+// elect b in term 2. The messages that b sends as leader are in flight afterwards.
+func (s *stateSpace) createMembershipConflict(state *groupState) {
 	s.applyEvent(state, 0, s.pendingChange)
 	for _, id := range s.runElection(state, 1) {
 		s.updateInFlight(state, modelAction{}, []int32{id})
 	}
 }
 
-// runElection delivers a member's vote requests and the responses, and returns what it sends as leader.
-func (s *space) runElection(state *groupState, slot int) (sent []int32) {
+// runElection delivers a member's vote requests and their responses, and returns the messages that it sends as leader.
+func (s *stateSpace) runElection(state *groupState, slot int) (sent []int32) {
 	for _, request := range s.applyEvent(state, slot, modelEvent{kind: electionTimeout}) {
 		for _, response := range s.applyEvent(state, s.messages[request].to, modelEvent{kind: deliver, arg: request}) {
 			sent = append(sent, s.applyEvent(state, slot, modelEvent{kind: deliver, arg: response})...)
@@ -93,25 +94,25 @@
 	return sent
 }
 
-// modelAction is an event at one of the slots, or a step of the agent that asks for a proof of freshness.
+// modelAction is an event at the member in a slot, or a step of the client that asks for a proof of freshness.
 type modelAction struct {
 	modelEvent
 	slot       int8
 	budget     budget
 	cost       uint8
-	duplicated bool // the message that is delivered stays in flight
+	duplicated bool // the delivered message stays in flight
 }
 
-// actionList collects the actions that may happen next in a state.
+// actionList collects the actions that are possible in a state.
 type actionList struct {
-	space   *space
-	state   *groupState
-	actions []modelAction
+	stateSpace *stateSpace
+	state      *groupState
+	actions    []modelAction
 }
 
-// actions lists all actions that may happen next in a state.
-func (s *space) actions(state *groupState) []modelAction {
-	list := &actionList{space: s, state: state}
+// actions returns all actions that are possible in a state.
+func (s *stateSpace) actions(state *groupState) []modelAction {
+	list := &actionList{stateSpace: s, state: state}
 	for slot, id := range s.members(state) {
 		if s.nodes[id].wiped {
 			continue
@@ -135,9 +136,9 @@
 	l.actions = append(l.actions, modelAction{modelEvent: event, slot: int8(slot)})
 }
 
-// addWithin adds an event if its budget isn't used up.
+// addWithin adds an event if the limit of its budget isn't reached.
 func (l *actionList) addWithin(budget budget, slot int, event modelEvent) {
-	switch limit := l.space.limits[budget]; {
+	switch limit := l.stateSpace.limits[budget]; {
 	case limit == unlimited:
 		l.add(slot, event)
 	case l.state.used[budget] < limit:
@@ -145,64 +146,65 @@
 	}
 }
 
-// addElections adds the flush of delayed output, and what starts an election in the next term.
+// addElections adds the flush of delayed output, and the events that start an election in the next term.
 func (l *actionList) addElections(slot int) {
-	node := l.space.nodes[l.state.nodes[slot]]
+	node := l.stateSpace.nodes[l.state.nodes[slot]]
 	if node.pending() {
 		l.add(slot, modelEvent{kind: flush})
 	}
-	if node.core.hardState.Term >= l.space.terms || l.space.candidates != "" && !strings.Contains(l.space.candidates, node.name) {
+	if node.core.hardState.Term >= l.stateSpace.terms || l.stateSpace.candidates != "" && !strings.Contains(l.stateSpace.candidates, node.name) {
 		return
 	}
 	kind := electionTimeout
-	if l.space.preVotes {
+	if l.stateSpace.preVotes {
 		kind = preVoteTimeout
 	}
 	l.addWithin(elections, slot, modelEvent{kind: kind})
-	for target := range l.space.memberCount() {
+	for target := range l.stateSpace.memberCount() {
 		l.addWithin(transfers, slot, modelEvent{kind: transfer, arg: int32(target)})
 	}
 }
 
-// addLocalEvents adds the events of time, of the process and its disk, and of clients.
+// addLocalEvents adds timer events, restarts, disk losses, compactions, restores and client requests.
 func (l *actionList) addLocalEvents(slot int) {
 	l.addWithin(heartbeats, slot, modelEvent{kind: heartbeat})
-	l.addWithin(timeouts, slot, modelEvent{kind: quorumSilent})
+	l.addWithin(quorumTimeouts, slot, modelEvent{kind: quorumContactLost})
 	l.addWithin(restarts, slot, modelEvent{kind: restart})
 	l.addWithin(wipes, slot, modelEvent{kind: wipe})
 	l.addWithin(compactions, slot, modelEvent{kind: compact})
-	if l.space.restored() {
-		l.addWithin(restores, slot, modelEvent{kind: restoreGroup, arg: int32(l.space.restoredSlot())})
+	if l.stateSpace.allowsRestore() {
+		l.addWithin(restores, slot, modelEvent{kind: restoreGroup, arg: int32(l.stateSpace.restoredSlot())})
 	}
-	l.addWithin(reads, slot, modelEvent{kind: requestRead, arg: int32(len(l.space.histories[l.state.history].committed))})
+	l.addWithin(reads, slot, modelEvent{kind: requestRead, arg: int32(len(l.stateSpace.histories[l.state.history].committed))})
 	l.addWithin(proposals, slot, modelEvent{kind: propose, arg: int32('1' + l.state.used[proposals])})
 }
 
 // addMembershipChanges adds the proposals to add, remove and replace members.
 func (l *actionList) addMembershipChanges(slot int) {
-	if l.space.learner {
-		newcomer := int32(l.space.learnerSlot())
+	if l.stateSpace.learner {
+		newcomer := int32(l.stateSpace.learnerSlot())
 		l.addWithin(learners, slot, modelEvent{kind: addLearner, arg: newcomer})
 		l.addWithin(changes, slot, modelEvent{kind: addMember, arg: newcomer})
 	}
-	for member := range l.space.memberCount() {
+	for member := range l.stateSpace.memberCount() {
 		l.addWithin(changes, slot, modelEvent{kind: removeMember, arg: int32(member)})
-		if l.space.learner {
+		if l.stateSpace.learner {
 			l.addWithin(changes, slot, modelEvent{kind: replaceMember, arg: int32(member)})
 		}
 	}
 }
 
-// addDeliveries adds the delivery of a message: once and for all, as a duplicate, and with delayed output.
+// addDeliveries adds the deliveries of a message: with its removal, as a duplicate that stays in flight, and with
+// delayed output.
 func (l *actionList) addDeliveries(id int32) {
-	slot := l.space.messages[id].to
-	node := l.space.nodes[l.state.nodes[slot]]
+	slot := l.stateSpace.messages[id].to
+	node := l.stateSpace.nodes[l.state.nodes[slot]]
 	if node.wiped {
 		return
 	}
 	event := modelEvent{kind: deliver, arg: id}
 	duplicate := modelAction{modelEvent: event, slot: int8(slot), duplicated: true}
-	switch limit := l.space.limits[duplicates]; {
+	switch limit := l.stateSpace.limits[duplicates]; {
 	case limit == unlimited:
 		l.actions = append(l.actions, duplicate)
 	default:
@@ -218,9 +220,9 @@
 	}
 }
 
-// applyAction returns the state after an action. changed is false where the action can't happen or changes
-// nothing; fault is the invariant that it violates, if any.
-func (s *space) applyAction(state *groupState, action modelAction) (next *groupState, changed bool, fault string) {
+// applyAction returns the state after an action. changed is false if the action isn't possible or changes nothing;
+// violation describes the invariant that the action violates, if any.
+func (s *stateSpace) applyAction(state *groupState, action modelAction) (next *groupState, changed bool, violation string) {
 	copied := *state
 	next = &copied
 	next.used[action.budget] += action.cost
@@ -240,12 +242,12 @@
 		if result.eventOutcome.restored != nil {
 			next.nodes[s.restoredSlot()] = result.restored
 		}
-		next.history, fault = s.recordStep(state.history, result)
+		next.history, violation = s.recordStep(state.history, result)
 		s.updateInFlight(next, action, result.messages)
-		if fault == "" {
-			fault = s.checkStep(next, action, before, result)
+		if violation == "" {
+			violation = s.checkStep(next, action, before, result)
 		}
 	}
 	changed = next.nodes != state.nodes || next.history != state.history || !slices.Equal(next.inFlight, state.inFlight)
-	return next, changed || fault != "", fault
+	return next, changed || violation != "", violation
 }
--- a/internal/control/consensus/model_encoding_test.go
+++ b/internal/control/consensus/model_encoding_test.go
@@ -16,34 +16,34 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The model checker copies and compares cores by all of their fields, which it finds by reflection: a field that is
-// added to Core needs no change here. It panics at a field of a kind that it can't copy or encode.
+// The model checker copies and compares all fields of cores by reflection, so a new field of Core needs no change
+// here. It panics at a field of a kind that it can't copy or encode.
 
 var (
 	protoType = reflect.TypeFor[proto.Message]()
 	randType  = reflect.TypeFor[*rand.Rand]()
 )
 
-// accessible returns a value that may be read and set although its field isn't exported.
-func accessible(value reflect.Value) reflect.Value {
+// settableField returns a struct field as a value that can be read and set even if the field isn't exported.
+func settableField(value reflect.Value) reflect.Value {
 	return reflect.NewAt(value.Type(), unsafe.Pointer(value.UnsafeAddr())).Elem()
 }
 
-// cloneCore returns a deep copy. Protocol messages are shared: the core must not change them, which verifyUnchanged
-// checks.
+// cloneCore returns a deep copy of a core, except for protocol messages, which are shared. The core must not change
+// them; verifyUnchanged checks this.
 func cloneCore(c *Core) *Core {
 	copied := *c
-	detach(reflect.ValueOf(&copied).Elem())
+	copyReferences(reflect.ValueOf(&copied).Elem())
 	return &copied
 }
 
-// detach replaces every map, slice and pointer below a value by a copy of its own.
-func detach(value reflect.Value) {
+// copyReferences replaces every map, slice and pointer in a value by a deep copy.
+func copyReferences(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Bool, reflect.Int, reflect.Int32, reflect.Int64, reflect.Uint8, reflect.Uint32, reflect.Uint64, reflect.String:
 	case reflect.Struct:
 		for i := range value.NumField() {
-			detach(accessible(value.Field(i)))
+			copyReferences(settableField(value.Field(i)))
 		}
 	case reflect.Slice:
 		if value.IsNil() {
@@ -52,7 +52,7 @@
 		l := reflect.MakeSlice(value.Type(), value.Len(), value.Len())
 		reflect.Copy(l, value)
 		for i := range l.Len() {
-			detach(l.Index(i))
+			copyReferences(l.Index(i))
 		}
 		value.Set(l)
 	case reflect.Map:
@@ -63,7 +63,7 @@
 		for _, k := range value.MapKeys() {
 			e := reflect.New(value.Type().Elem()).Elem()
 			e.Set(value.MapIndex(k))
-			detach(e)
+			copyReferences(e)
 			m.SetMapIndex(k, e)
 		}
 		value.Set(m)
@@ -73,15 +73,15 @@
 		}
 		p := reflect.New(value.Type().Elem())
 		p.Elem().Set(value.Elem())
-		detach(p.Elem())
+		copyReferences(p.Elem())
 		value.Set(p)
 	default:
 		panic(fmt.Sprintf("the model checker can't copy a field of type %s", value.Type()))
 	}
 }
 
-// renaming is a permutation of the members' names. A name has one letter; the incarnation of a fixed member is its
-// name, a slash and a number.
+// renaming is a permutation of the members' names, by their letters. A name has one letter; the incarnation of a
+// fixed member is its name, a slash and a number.
 type renaming map[byte]byte
 
 func (r renaming) apply(s string) string {
@@ -91,7 +91,7 @@
 	return string(r[s[0]]) + s[1:]
 }
 
-// canonicalEncoder writes the canonical form of values under a renaming of the members.
+// canonicalEncoder encodes values in a canonical form, with the members renamed: equal values have equal encodings.
 type canonicalEncoder struct {
 	bytes.Buffer
 	names renaming
@@ -146,7 +146,8 @@
 	}
 }
 
-// encodedFields caches the indexes of the encoded fields by type: of a protocol message only those on the wire.
+// encodedFields caches the indexes of the fields to encode, by type. Of a protocol message, these are its exported
+// fields, which are the ones on the wire.
 var encodedFields sync.Map
 
 func fieldsOf(t reflect.Type) []int {
@@ -202,8 +203,8 @@
 	}
 }
 
-// fingerprint is a hash of 128 bits. The fingerprint of a state is the sum of those of its parts, and so doesn't
-// depend on the order of the messages.
+// fingerprint is a 128-bit hash. The fingerprint of a state is the sum of those of its parts, and so doesn't depend
+// on the order of the messages.
 type fingerprint struct{ high, low uint64 }
 
 func (f fingerprint) add(g fingerprint) fingerprint {
@@ -224,15 +225,15 @@
 }
 
 const (
-	maxPermuted  = 4  // founders that are permuted: of five the last four, which is a smaller group of symmetries
-	maxRenamings = 24 // permutations of maxPermuted names
+	maxPermutedVoters = 4  // maximum number of permuted initial voters: of five, only the last four, which finds fewer equivalent states
+	maxRenamings      = 24 // number of permutations of maxPermutedVoters names
 )
 
-// founderRenamings returns the permutations of the founders but the first ones, which the bounds distinguish; the
-// first permutation is the identity.
-func founderRenamings(founders, distinguished int) []renaming {
-	names := []byte(strings.Join(slotNames[:founders], ""))
-	permuted := names[max(distinguished, founders-maxPermuted):]
+// initialVoterRenamings returns the permutations of the initial voters, except for the first ones, which the bounds
+// distinguish. The first permutation is the identity.
+func initialVoterRenamings(initialVoters, distinguished int) []renaming {
+	names := []byte(strings.Join(slotNames[:initialVoters], ""))
+	permuted := names[max(distinguished, initialVoters-maxPermutedVoters):]
 	renamings := []renaming{}
 	for _, images := range permutations(permuted) {
 		names := renaming{}
@@ -244,7 +245,7 @@
 	return renamings
 }
 
-// permutations returns all orders of some letters, their own order first.
+// permutations returns all orders of some letters, with the given order first.
 func permutations(letters []byte) (orders [][]byte) {
 	if len(letters) == 0 {
 		return [][]byte{{}}
@@ -258,10 +259,10 @@
 	return orders
 }
 
-// fingerprints are the fingerprints of a value under each renaming of a space; those beyond its renamings are zero.
+// fingerprints are the fingerprints of a value under each renaming of a state space; unused elements are zero.
 type fingerprints [maxRenamings]fingerprint
 
-// encodingOf returns the canonical form of values of a kind.
+// encodingOf returns the canonical encoding of values, prefixed with the kind of thing that they describe.
 func encodingOf(names renaming, kind string, values ...any) string {
 	e := canonicalEncoder{names: names}
 	e.text(kind)
@@ -271,15 +272,15 @@
 	return e.String()
 }
 
-func (s *space) fingerprintsOf(encode func(renaming) string) (prints fingerprints) {
+func (s *stateSpace) fingerprintsOf(encode func(renaming) string) (byRenaming fingerprints) {
 	for i, names := range s.renamings {
-		prints[i] = hashOf([]byte(encode(names)))
+		byRenaming[i] = hashOf([]byte(encode(names)))
 	}
-	return prints
+	return byRenaming
 }
 
-// A copy shares nothing that the core changes, every field is encoded, and values that can't be encoded cause a
-// panic.
+// The copy of a core shares nothing with the original that a step changes, every field of a core is encoded, and
+// values that can't be encoded cause a panic. Otherwise the model checker would miss states.
 func TestModelCopiesAndEncodesEveryField(t *testing.T) {
 	core := newTestCore(BootstrapSnapshot("a", []string{"a", "b", "c"}), 1)
 	core.campaign(candidate)
@@ -289,14 +290,14 @@
 	copied.Propose(nil)
 	copied.becomeLeader()
 	if after := encodingOf(nil, "core", core); after != before {
-		t.Fatal("a step of the copy changed the original")
+		t.Fatal("steps of a copy of a core changed the encoding of the original")
 	}
 	if other := encodingOf(nil, "core", copied); other == before {
-		t.Fatal("another state has the same encoding")
+		t.Fatal("a core has the same encoding before and after it became leader")
 	}
 	for i := range reflect.TypeFor[Core]().NumField() {
 		changed := cloneCore(core)
-		f := accessible(reflect.ValueOf(changed).Elem().Field(i))
+		f := settableField(reflect.ValueOf(changed).Elem().Field(i))
 		name := reflect.TypeFor[Core]().Field(i).Name
 		switch f.Kind() {
 		case reflect.Bool:
@@ -309,19 +310,19 @@
 			f.SetString(f.String() + "x")
 		default:
 			f.SetZero()
-			if accessible(reflect.ValueOf(core).Elem().Field(i)).IsZero() || f.Kind() == reflect.Map || f.Kind() == reflect.Slice {
-				continue // empty already
+			if settableField(reflect.ValueOf(core).Elem().Field(i)).IsZero() || f.Kind() == reflect.Map || f.Kind() == reflect.Slice {
+				continue // the field was empty before, or an empty map or slice may be encoded alike
 			}
 		}
 		if after := encodingOf(nil, "core", changed); after == before {
-			t.Errorf("%s isn't encoded", name)
+			t.Errorf("the encoding of a core doesn't change with its field %s", name)
 		}
 	}
 	for _, v := range []any{make(chan int), func() {}, 1.5} {
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%T is encoded without a panic", v)
+					t.Errorf("a value of type %T was encoded, want a panic", v)
 				}
 			}()
 			encodingOf(nil, "", v)
--- a/internal/control/consensus/model_freshness_test.go
+++ b/internal/control/consensus/model_freshness_test.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	queryFreshness  eventKind = 100 + iota // an agent asks all members whether there is a newer document
-	attestFreshness                        // a member responds that it has none
+	queryFreshness  eventKind = 100 + iota // a client (agent) asks all members whether they have a newer document
+	attestFreshness                        // a member responds to the client that it has no newer document
 )
 
-// attestation is a member's response to the agent: it has no newer document, and these are its newest voters.
+// attestation is the response of a member that has no newer document than the asking client. It carries the newest
+// voters in the member's log, and the term and index of the entry that names them.
 type attestation struct {
 	member      string
 	members     []string
@@ -22,9 +23,9 @@
 	generation  uint64
 }
 
-// beginFreshnessQuery records that the agent begins to ask for a proof, with a document that lacks the last
-// committed command.
-func (s *space) beginFreshnessQuery(id int32) int32 {
+// beginFreshnessQuery records that a client, whose document lacks the last committed command, begins to ask the
+// members for a proof that its document is the newest.
+func (s *stateSpace) beginFreshnessQuery(id int32) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked > 0 || history.bodies() == "" {
 		return id
@@ -33,13 +34,13 @@
 	return s.internHistory(history)
 }
 
-// attest records the response of a member, if it attests that it has no newer document.
-func (s *space) attest(id int32, node nodeEntry) int32 {
+// attest records the response of a member to the client, if the member has no newer document.
+func (s *stateSpace) attest(id int32, node nodeEntry) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked == 0 || !node.core.IsVoter(node.name) || node.pending() {
 		return id
 	}
-	newest := len(node.app)
+	newest := len(node.appliedState)
 	for _, entry := range node.core.UnappliedEntries() {
 		newest += len(entry.Body)
 	}
@@ -57,8 +58,9 @@
 	return s.internHistory(history)
 }
 
-// checkFreshnessProof checks that the responses don't prove to the agent that its document was the newest when it
-// asked, which it wasn't. An agent that hasn't heard of the newest restore can't know better.
+// checkFreshnessProof checks that the responses don't prove that the client's document was the newest when the client
+// asked: one command was missing from it. A proof from members of earlier restore generations alone is not a
+// violation, since the client can't learn of the restore from them.
 func (history observedHistory) checkFreshnessProof() string {
 	const version, askedAt = 1, time.Second
 	p := agent.NewFreshnessProof()
@@ -70,5 +72,5 @@
 	if !knowsNewest || p.FreshUntil(version) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("wrong proof of freshness: %v prove that %d changes are all, %d had been committed before they were asked", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
+	return fmt.Sprintf("wrong proof of freshness: responses %v prove that %d commands are all committed ones, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
 }
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -7,29 +7,29 @@
 	"pebbleloom/internal/wire"
 )
 
-// steadyTicks is the age in ticks of every core of the model: it isn't starting, and had contact with a leader
-// in this tick.
-const steadyTicks = 1000
+// steadyStateTicks is the constant number of ticks since the start of every core in the model: the core has left
+// its startup phase, and had contact with a leader in the current tick.
+const steadyStateTicks = 1000
 
-// modelRand replaces a core's source of randomness, which only sets timers that the model abstracts from.
+// modelRand is a constant source of randomness. A core uses randomness only for timers, which the model ignores.
 type modelRand struct{}
 
 func (modelRand) Uint64() uint64 { return 0x5555555555555555 }
 
-// modelDisk is what a member has persisted: a snapshot and the records after it.
+// modelDisk is the disk of a member: a snapshot and the records after it.
 type modelDisk struct {
 	snapshot *wire.Snapshot
 	records  []*wire.Record
 }
 
-// modelNode is one member: its disk, its core, the state that it has applied, and its pending reads.
+// modelNode is one member in a state of the model: its disk, its core, its applied state and its pending reads.
 type modelNode struct {
-	name  string
-	wiped bool // its disk is lost, and it doesn't start again under this name
-	disk  modelDisk
-	core  *Core
-	app   string           // the commands that it has applied, of one letter each
-	reads map[uint64]uint8 // by id: how many entries had been committed when the read began
+	name         string
+	wiped        bool // the member lost its disk, and doesn't start again under this name
+	disk         modelDisk
+	core         *Core
+	appliedState string           // the commands that the member has applied, one letter each
+	reads        map[uint64]uint8 // by read id: number of entries that were committed when the read began
 }
 
 // eventKind is a kind of event at one node.
@@ -40,86 +40,87 @@
 	electionTimeout
 	preVoteTimeout
 	heartbeat
-	quorumSilent
+	quorumContactLost
 	restart
 	wipe
 	propose
 	addLearner
 	addMember
 	removeMember
-	replaceMember // by the learner in one change, which the core must reject
+	replaceMember // replaces a voter by the learner in a single change, which the core must reject
 	transfer
 	compact
 	requestRead
 	flush
-	restoreGroup // from the member's disk alone
+	restoreGroup // restores the group from this member's disk alone
 )
 
-// eventNames describe events in the trace of a search.
+// eventNames describe events in the trace that leads to a violation.
 var eventNames = map[eventKind]string{
-	electionTimeout: "election timeout",
-	preVoteTimeout:  "requests pre-votes",
-	heartbeat:       "heartbeat",
-	quorumSilent:    "has no contact with a quorum",
-	restart:         "crashes and restarts",
-	wipe:            "loses its disk",
-	propose:         "proposes",
-	addLearner:      "adds learner",
-	addMember:       "proposes to add",
-	removeMember:    "proposes to remove",
-	replaceMember:   "proposes to replace",
-	transfer:        "transfers leadership to",
-	compact:         "compacts its log",
-	requestRead:     "begins a read",
-	flush:           "persists and sends what was delayed",
-	restoreGroup:    "goes on alone, as the restored group",
+	electionTimeout:   "election timeout",
+	preVoteTimeout:    "requests pre-votes",
+	heartbeat:         "heartbeat",
+	quorumContactLost: "notices that it lost contact with a quorum",
+	restart:           "crashes and restarts",
+	wipe:              "loses its disk",
+	propose:           "proposes",
+	addLearner:        "adds learner",
+	addMember:         "proposes to add",
+	removeMember:      "proposes to remove",
+	replaceMember:     "proposes to replace",
+	transfer:          "transfers leadership to",
+	compact:           "compacts its log",
+	requestRead:       "begins a read",
+	flush:             "persists and sends its delayed output",
+	restoreGroup:      "is restored as the only voter of the group",
 }
 
-// modelEvent is an event at a node. Equal events at equal nodes have equal outcomes.
+// modelEvent is an event at a node. An event is deterministic: equal events at equal nodes have equal outcomes.
 type modelEvent struct {
 	kind eventKind
 
-	// arg is the number of the message to deliver, the slot of the member to add, remove or transfer to,
-	// the command to propose, or how many entries were committed when a read begins.
+	// arg is, depending on the kind, the number of the message to deliver, the slot of the member to add,
+	// remove or transfer leadership to, the command to propose, or the number of entries that were
+	// committed when a read begins.
 	arg int32
 
-	delayFlush bool // the driver persists and sends the step's output only at a later flush
+	delayFlush bool // the driver persists and sends the output of the step only at a later flush event
 }
 
-// eventOutcome is the result of an event at a node.
+// eventOutcome is the result of an event at a node: the node afterwards, and the output that its driver carried out.
 type eventOutcome struct {
 	node      *modelNode
 	messages  []*wire.Message
 	committed []*wire.Entry
-	term      uint64 // the node's term when it committed them
-	fault     string // the invariant that this step violates; empty: none
+	term      uint64 // term of the node when it committed the entries
+	violation string // description of the invariant that the step violates; empty: none
 
-	restored *modelNode    // the member that goes on alone where this one was; nil: the group wasn't restored
-	survived []*wire.Entry // the entries that it goes on with and hadn't applied, and one for its first snapshot
+	restored    *modelNode    // the only member of the restored group; nil: the event isn't a restore
+	carriedOver []*wire.Entry // unapplied entries that the restored group keeps, and an entry in place of its initial snapshot
 }
 
 // startNode starts a member from its disk.
 func startNode(cfg Config, disk modelDisk) *modelNode {
-	node := &modelNode{name: cfg.Self, disk: disk, reads: map[uint64]uint8{}, app: string(disk.snapshot.State)}
+	node := &modelNode{name: cfg.Self, disk: disk, reads: map[uint64]uint8{}, appliedState: string(disk.snapshot.State)}
 	node.core = New(cfg, disk.snapshot, disk.records)
 	node.normalize()
 	return node
 }
 
-// normalize sets all clocks of a core to the same values: the model abstracts from time, and what depends on
-// it happens by events of their own.
+// normalize sets all timers of a core to fixed values. The model has no time: whatever a timer triggers is an event
+// of its own.
 func (node *modelNode) normalize() {
 	core := node.core
-	core.ticks, core.lastLeaderContact = steadyTicks, steadyTicks
+	core.ticks, core.lastLeaderContact = steadyStateTicks, steadyStateTicks
 	core.electionElapsed, core.electionTimeout = 0, core.cfg.ElectionTicks
 	core.heartbeatElapsed, core.learnerHeartbeatCount = 0, 0
 	for _, progress := range core.peers {
 		progress.ticksSinceResponse, progress.contactAge, progress.snapshotSentAt, progress.batchRetryAt = 0, 0, 0, 0
 		if progress.transfer == nil {
-			progress.inFlight = false // it only delays what a leader sends to its next heartbeat
+			progress.inFlight = false // in-flight entries only delay further ones until the next heartbeat
 			continue
 		}
-		progress.transfer.sentAt, progress.transfer.retryAt = steadyTicks, steadyTicks
+		progress.transfer.sentAt, progress.transfer.retryAt = steadyStateTicks, steadyStateTicks
 	}
 }
 
@@ -137,11 +138,11 @@
 	if node.wiped {
 		return encodingOf(names, "gone", node.name)
 	}
-	return encodingOf(names, "node", node.core, node.disk, node.app, node.reads)
+	return encodingOf(names, "node", node.core, node.disk, node.appliedState, node.reads)
 }
 
-// persist appends records to the disk, which is kept in the form that a restart reads: the newest hard state and
-// the log.
+// persist appends records to the disk. The disk is kept in a canonical form, the newest hard state and the entries
+// of the log, so that disks that a restart reads alike are equal.
 func (disk *modelDisk) persist(cfg Config, records []*wire.Record) {
 	if len(records) == 0 {
 		return
@@ -151,7 +152,7 @@
 	disk.records = append([]*wire.Record{{Kind: &wire.Record_HardState{HardState: read.hardState}}}, entryRecords(read.log)...)
 }
 
-// term returns the term that a restart reads.
+// term returns the term that a restart reads from the disk.
 func (disk modelDisk) term() uint64 {
 	term := disk.snapshot.HardState.Term
 	for _, record := range disk.records {
@@ -162,7 +163,7 @@
 	return term
 }
 
-// step carries out an event at a copy of the node. It returns nil where the event can't happen there.
+// step carries out an event at a copy of the node. It returns nil if the event isn't possible at this node.
 func (node *modelNode) step(event modelEvent, message *wire.Message, learnerSlot int) *eventOutcome {
 	if node.wiped {
 		return nil
@@ -181,7 +182,7 @@
 		return after.flush()
 	case deliver:
 		if node.core.role != leader {
-			after.core.electionElapsed = after.core.cfg.ElectionTicks // long enough to grant a pre-vote
+			after.core.electionElapsed = after.core.cfg.ElectionTicks // the election timeout has passed, so that a pre-vote can be granted
 		}
 		after.core.Step(message)
 	default:
@@ -196,8 +197,8 @@
 	return after.flush()
 }
 
-// applyLocalEvent carries out an event that isn't the delivery of a message. It returns false where the event
-// can't happen, or the core rejects it.
+// applyLocalEvent carries out an event that isn't the delivery of a message. It returns false if the event isn't
+// possible or the core rejects it.
 func (node *modelNode) applyLocalEvent(event modelEvent, learnerSlot int) bool {
 	core := node.core
 	switch event.kind {
@@ -214,8 +215,8 @@
 		core.Tick()
 	case heartbeat:
 		return tickHeartbeat(core)
-	case quorumSilent:
-		return tickSilentQuorum(core)
+	case quorumContactLost:
+		return tickWithoutQuorum(core)
 	case propose:
 		_, _, ok := core.Propose([]byte{byte(event.arg)})
 		return ok
@@ -226,10 +227,10 @@
 		_, _, ok := core.ProposeMembership(append(slices.Clone(core.voters.names), slotNames[event.arg]))
 		return ok && core.IsVoter(slotNames[event.arg])
 	case removeMember:
-		_, _, ok := core.ProposeMembership(without(core.voters.names, slotNames[event.arg]))
+		_, _, ok := core.ProposeMembership(namesWithout(core.voters.names, slotNames[event.arg]))
 		return ok
 	case replaceMember:
-		_, _, ok := core.ProposeMembership(append(without(core.voters.names, slotNames[event.arg]), slotNames[learnerSlot]))
+		_, _, ok := core.ProposeMembership(append(namesWithout(core.voters.names, slotNames[event.arg]), slotNames[learnerSlot]))
 		return ok
 	case transfer:
 		for peer, progress := range core.peers {
@@ -248,13 +249,13 @@
 	return true
 }
 
-// without returns a copy of names that lacks one of them.
-func without(names []string, name string) []string {
+// namesWithout returns a copy of a list of names without one of them.
+func namesWithout(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
 }
 
-// tickHeartbeat ticks a leader when its next heartbeat is due, or a blank member when it asks for its peers'
-// states; false at any other member.
+// tickHeartbeat makes the heartbeat of a leader due, or the state request of a blank member, and ticks the core. It
+// returns false for any other member.
 func tickHeartbeat(core *Core) bool {
 	core.heartbeatElapsed, core.learnerHeartbeatCount = core.cfg.HeartbeatTicks-1, learnerHeartbeats-1
 	if core.isBlank() {
@@ -266,8 +267,9 @@
 	return true
 }
 
-// tickSilentQuorum ticks a leader that no peer has responded to a request of the last two election timeouts.
-func tickSilentQuorum(core *Core) bool {
+// tickWithoutQuorum ticks a leader that has had no response from any peer for two election timeouts. It returns
+// false if the member isn't a leader.
+func tickWithoutQuorum(core *Core) bool {
 	if core.role != leader {
 		return false
 	}
@@ -276,13 +278,13 @@
 	}
 	core.Tick()
 	if core.role == leader && len(core.voters.names) > 1 {
-		panic("the model's event doesn't make the leader step down: the core decides by something else")
+		panic("a leader without contact to a quorum doesn't step down: the model must set what the core now decides by")
 	}
 	return true
 }
 
-// flush carries out what the core asks for, as the driver does: persist, send, apply. A member of an earlier
-// restore generation sends nothing more, and its disk counts as lost.
+// flush carries out the output of the core, as the driver does: persist, send, apply. A member that a later
+// restore generation supersedes sends nothing more, and its disk counts as lost.
 func (node *modelNode) flush() *eventOutcome {
 	if node.core.supersededBy != 0 {
 		return &eventOutcome{node: node.loseDisk()}
@@ -290,16 +292,16 @@
 	ready := node.core.Ready()
 	if ready.Snapshot != nil {
 		node.disk = modelDisk{snapshot: ready.Snapshot}
-		node.app = string(ready.Snapshot.State)
+		node.appliedState = string(ready.Snapshot.State)
 	}
 	node.disk.persist(node.core.cfg, ready.Records)
 	out := &eventOutcome{node: node, messages: ready.Messages, committed: ready.CommittedEntries, term: node.core.hardState.Term}
 	for _, entry := range ready.CommittedEntries {
-		node.app += string(entry.Body)
+		node.appliedState += string(entry.Body)
 	}
 	for _, id := range ready.ConfirmedReads {
 		if asked := node.reads[id]; node.core.applied < uint64(asked) {
-			out.fault = fmt.Sprintf("stale read: %s confirms a read with %d of the %d entries that were committed before it began", node.name, node.core.applied, asked)
+			out.violation = fmt.Sprintf("stale read: %s confirms a read after applying %d entries, but %d were committed before the read began", node.name, node.core.applied, asked)
 		}
 		delete(node.reads, id)
 	}
@@ -310,24 +312,24 @@
 	return out
 }
 
-// compact replaces the applied log by a snapshot, once nothing is left to flush.
+// compact replaces the applied entries by a snapshot. It returns nil if there are none, or output is pending.
 func (node *modelNode) compact() *eventOutcome {
 	if node.core.applied <= node.core.snapshot.Index || node.pending() {
 		return nil
 	}
-	node.disk.snapshot, node.disk.records = node.core.Compact([]byte(node.app))
+	node.disk.snapshot, node.disk.records = node.core.Compact([]byte(node.appliedState))
 	node.normalize()
 	return &eventOutcome{node: node}
 }
 
-// pending reports whether there is output of the core that wasn't flushed.
+// pending reports whether the core has output that wasn't flushed yet.
 func (node *modelNode) pending() bool {
 	r := node.core.ready
 	return r.Snapshot != nil || len(r.Records)+len(r.Messages)+len(r.AbortedReads) > 0 || node.core.commit > node.core.applied
 }
 
-// loseDisk returns the member after its disk was lost. In a group its name isn't used again, and the machine
-// joins under another; a fixed member starts blank under a new incarnation.
+// loseDisk returns the member after the loss of its disk. In a group the name of the member isn't used again; a
+// fixed member starts blank under a new incarnation.
 func (node *modelNode) loseDisk() *modelNode {
 	if node.core.cfg.DynamicMembership {
 		return &modelNode{name: node.name, wiped: true}
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -14,115 +14,115 @@
 	modelAction
 }
 
-// report is the coverage and the outcome of a search.
-type report struct {
+// searchResult is the coverage and the outcome of a search.
+type searchResult struct {
 	states, transitions, depth int
-	nodes, messages            int // numbers of distinct ones
+	nodes, messages            int // numbers of distinct nodes and messages
 	elapsed                    time.Duration
-	fault                      string   // the invariant that is violated; empty: none
+	violation                  string   // description of the violated invariant; empty: none
 	trace                      []string // the actions that lead to the violation
-	limited                    bool     // the search ended before it had visited all states
+	incomplete                 bool     // the search ended before it had visited all states
 }
 
-func (r report) String() string {
-	return fmt.Sprintf("%d states, %d transitions, depth %d, %v (%d different members, %d different messages)",
+func (r searchResult) String() string {
+	return fmt.Sprintf("%d states, %d transitions, depth %d, %v (%d distinct member states, %d distinct messages)",
 		r.states, r.transitions, r.depth, r.elapsed.Round(10*time.Millisecond), r.nodes, r.messages)
 }
 
-// searcher is a breadth-first search of a space.
+// searcher is a breadth-first search of a state space.
 type searcher struct {
-	report
-	space     *space
-	maxStates int // 0: no limit
-	visited   map[fingerprint]struct{}
-	path      []pathStep // by the number of a state: how it was reached
+	searchResult
+	stateSpace *stateSpace
+	maxStates  int // 0: no limit
+	visited    map[fingerprint]struct{}
+	path       []pathStep // by state number: how the state was reached first
 }
 
-// search visits every state within the bounds, breadth first, and stops at the first one that violates an
-// invariant: no shorter path leads to a violation.
-func search(limits bounds, maxStates int) report {
+// search visits every state within the bounds, breadth first, and stops at the first state that violates an
+// invariant, so that the trace to the violation is a shortest one.
+func search(limits bounds, maxStates int) searchResult {
 	begun := time.Now()
-	space := newSpace(limits)
-	first := space.initialState()
-	s := &searcher{space: space, maxStates: maxStates, visited: map[fingerprint]struct{}{space.fingerprint(first): {}}, path: []pathStep{{from: -1}}}
+	stateSpace := newStateSpace(limits)
+	first := stateSpace.initialState()
+	s := &searcher{stateSpace: stateSpace, maxStates: maxStates, visited: map[fingerprint]struct{}{stateSpace.fingerprint(first): {}}, path: []pathStep{{from: -1}}}
 	for level := []*groupState{first}; len(level) > 0 && !s.ended(); s.depth++ {
 		level = s.expand(level)
 	}
-	if s.fault == "" {
-		s.fault = space.verifyNoEffect()
+	if s.violation == "" {
+		s.violation = stateSpace.verifyNoEffect()
 	}
-	if s.fault == "" {
-		s.fault = space.verifyUnchanged()
+	if s.violation == "" {
+		s.violation = stateSpace.verifyUnchanged()
 	}
-	s.states, s.nodes, s.messages, s.elapsed = len(s.path), len(space.nodes), len(space.messages), time.Since(begun)
-	return s.report
+	s.states, s.nodes, s.messages, s.elapsed = len(s.path), len(stateSpace.nodes), len(stateSpace.messages), time.Since(begun)
+	return s.searchResult
 }
 
-func (s *searcher) ended() bool { return s.limited || s.fault != "" }
+func (s *searcher) ended() bool { return s.incomplete || s.violation != "" }
 
-// expand returns the new states that are one action away from those of a level.
+// expand returns the states that are reached for the first time by one action from the states of a level.
 func (s *searcher) expand(level []*groupState) (next []*groupState) {
 	for _, state := range level {
-		for _, action := range s.space.actions(state) {
+		for _, action := range s.stateSpace.actions(state) {
 			if reached := s.follow(state, action); reached != nil {
 				next = append(next, reached)
 			}
-			if s.fault != "" {
+			if s.violation != "" {
 				break
 			}
 		}
-		if s.limited = s.maxStates > 0 && len(s.path) > s.maxStates; s.ended() {
+		if s.incomplete = s.maxStates > 0 && len(s.path) > s.maxStates; s.ended() {
 			break
 		}
 	}
 	return next
 }
 
-// follow returns the state after an action, or nil if it was visited before. It records the first violation.
+// follow returns the state after an action, or nil if the state was visited before. It records the first violation.
 func (s *searcher) follow(state *groupState, action modelAction) *groupState {
-	next, changed, fault := s.space.applyAction(state, action)
+	next, changed, violation := s.stateSpace.applyAction(state, action)
 	if !changed {
 		return nil
 	}
 	s.transitions++
-	key := s.space.fingerprint(next)
-	if _, known := s.visited[key]; known && fault == "" {
+	key := s.stateSpace.fingerprint(next)
+	if _, known := s.visited[key]; known && violation == "" {
 		return nil
 	}
 	s.visited[key] = struct{}{}
 	next.number = int32(len(s.path))
 	s.path = append(s.path, pathStep{state.number, action})
-	if fault == "" {
-		fault = s.space.checkState(next)
+	if violation == "" {
+		violation = s.stateSpace.checkState(next)
 	}
-	if fault != "" {
-		s.fault, s.trace = fault, s.space.trace(s.path)
+	if violation != "" {
+		s.violation, s.trace = violation, s.stateSpace.trace(s.path)
 	}
 	return next
 }
 
-// trace describes the actions from the first state to the last one of a path.
-func (s *space) trace(path []pathStep) (l []string) {
+// trace describes the actions on the way from the initial state to the last state of a path.
+func (s *stateSpace) trace(path []pathStep) (l []string) {
 	for at := int32(len(path) - 1); at > 0; at = path[at].from {
 		l = append([]string{s.describe(path[at].modelAction)}, l...)
 	}
 	return l
 }
 
-func (s *space) describe(action modelAction) string {
+func (s *stateSpace) describe(action modelAction) string {
 	name := slotNames[action.slot]
 	delayed := ""
 	if action.delayFlush {
-		delayed = ", and hasn't persisted yet"
+		delayed = ", and persists its output only later"
 	}
 	switch action.kind {
 	case deliver:
 		message := s.messages[action.arg]
 		return fmt.Sprintf("%s receives from %s: %s%s", name, message.From, describeMessage(message.Message), delayed)
 	case queryFreshness:
-		return "an agent asks whether there is a newer document"
+		return "a client asks all members whether they have a newer document"
 	case attestFreshness:
-		return name + " attests that it has no newer document"
+		return name + " responds to the client that it has no newer document"
 	case addLearner, addMember, removeMember, replaceMember, transfer:
 		return fmt.Sprintf("%s %s %s", name, eventNames[action.kind], slotNames[action.arg])
 	case propose:
@@ -133,7 +133,7 @@
 
 func describeMessage(message *wire.Message) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s of term %d, index %d/%d", message.Kind, message.Term, message.LogTerm, message.Index)
+	fmt.Fprintf(&b, "%s of term %d, log term/index %d/%d", message.Kind, message.Term, message.LogTerm, message.Index)
 	for _, entry := range message.Entries {
 		fmt.Fprintf(&b, ", entry %d/%d %s%v", entry.Term, entry.Index, entry.Body, entry.Members)
 	}
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -14,7 +14,7 @@
 // change of leader.
 func TestSnapshotTransferOverSlowLink(t *testing.T) {
 	for _, size := range []int{100 << 10, 700 << 10, 4 << 20} {
-		t.Run(fmt.Sprint(size), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d bytes", size), func(t *testing.T) {
 			network, lagging := newLaggingNetwork(t, 1, size, 0)
 			network.slowPeer, network.bytesPerTick = lagging, 10<<10 // 100 KB/s at ten ticks a second; the timeout of a message is 5 ticks
 			term := network.leader().hardState.Term
