--- a/internal/control/consensus/contact.go
+++ b/internal/control/consensus/contact.go
@@ -11,8 +11,8 @@
 // 0, which stands for responses of releases that don't echo the tick.
 func (c *Core) sentTick() uint64 { return uint64(c.ticks) + 1 }
 
-// requestAge returns how many ticks ago the request that a response answers was sent. It is 0 if the response
-// echoes no tick, or a tick in the future.
+// requestAge returns how many ticks ago this leader sent the request that a response belongs to. It is 0 if the
+// response echoes no tick, or a tick in the future.
 func (c *Core) requestAge(response *wire.Message) int {
 	now := c.sentTick()
 	if response.SentTick == 0 || response.SentTick > now {
--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -77,7 +77,7 @@
 			core.Ready()
 		}
 		if led := core.ticks - sent; led > 2*core.cfg.ElectionTicks {
-			t.Errorf("a response %d ticks late: the leader led for %d ticks after that request, want at most %d", late, led, 2*core.cfg.ElectionTicks)
+			t.Errorf("a response arrived %d ticks after its request: the leader stepped down %d ticks after the request, want at most %d", late, led, 2*core.cfg.ElectionTicks)
 		}
 	}
 }
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -77,13 +77,13 @@
 
 	voters                voterSet                 // newest voter set in the log, committed or not
 	peers                 map[string]*peerProgress // on a leader: replication progress of the other voters and the learners, by name
-	learnerHeartbeatCount int                      // heartbeats sent as leader, for the interval of those that learners get
+	learnerHeartbeatCount int                      // heartbeats sent as leader; caught-up learners get only every learnerHeartbeats-th
 
 	readSequence uint64 // sequence number of the newest read; every request of a leader carries it as Probe
 	pendingReads []pendingRead
 	lastReadID   uint64
 
-	// Rejoining after a lost disk, with fixed members only (rejoin.go).
+	// State of rejoining after the loss of the disk, with fixed members only (rejoin.go).
 	generation      uint64                   // generation of its name that this member rejoins under; 0: not chosen yet
 	peerGenerations map[string]uint64        // by peer: the latest generation of this member's name that the peer has recorded
 	peerStates      map[string]*wire.Message // by peer: the state received from it for the chosen generation
@@ -110,7 +110,7 @@
 	return c
 }
 
-// replay applies the records of a log to the hard state and the log in memory.
+// replay rebuilds the hard state and the log in memory from the records on disk.
 func (c *Core) replay(records []*wire.Record) {
 	for _, record := range records {
 		switch kind := record.Kind.(type) {
@@ -217,7 +217,7 @@
 	return ready
 }
 
-// saveHardState persists a term and the vote given in it.
+// saveHardState persists a term and the vote cast in it; an empty vote means none.
 func (c *Core) saveHardState(term uint64, vote string) {
 	hardState := c.nextHardState()
 	hardState.Term, hardState.Vote = term, vote
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -7,7 +7,7 @@
 
 const (
 	follower     role = iota
-	preCandidate      // asks the voters, without a new term, whether they would vote for it (thesis, section 9.6)
+	preCandidate      // asks the voters whether they would vote for it, before it begins a new term (thesis, section 9.6)
 	candidate         // asks for votes in a new term
 	leader
 )
@@ -117,8 +117,9 @@
 	c.send(&wire.Message{To: message.From, Kind: wire.MessageKind_PRE_VOTE_RESPONSE, Ok: ok, Probe: message.Term, AboutIncarnation: message.Incarnation})
 }
 
-// yieldsTo reports whether this pre-candidate stops campaigning in favour of the sender of a pre-vote request,
-// whose log is ahead or whose name sorts first. Members that start together would otherwise split the vote.
+// yieldsTo reports whether this pre-candidate stops campaigning in favour of the sender of a pre-vote request: it
+// does if the sender's log is ahead or the sender's name sorts first. Members that start together would otherwise
+// split the vote.
 func (c *Core) yieldsTo(message *wire.Message) bool {
 	return message.From < c.cfg.Self || message.LogTerm > c.lastTerm() || message.Index > c.lastIndex()
 }
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -76,12 +76,12 @@
 
 // checkCommitted fails the test if a different entry was committed at the same index before.
 func (g *testGroup) checkCommitted(name string, entry *wire.Entry) {
-	description := fmt.Sprintf("%d %q %v", entry.Term, entry.Body, entry.Members)
+	description := fmt.Sprintf("term %d, body %q, members %v", entry.Term, entry.Body, entry.Members)
 	for uint64(len(g.committed)) < entry.Index {
 		g.committed = append(g.committed, "")
 	}
 	if earlier := g.committed[entry.Index-1]; earlier != "" && earlier != description {
-		g.t.Fatalf("entry %d was committed as %s, but %s commits %s", entry.Index, earlier, name, description)
+		g.t.Fatalf("entry %d was committed as (%s), but %s commits (%s)", entry.Index, earlier, name, description)
 	}
 	g.committed[entry.Index-1] = description
 }
--- a/internal/control/consensus/leadership_transfer.go
+++ b/internal/control/consensus/leadership_transfer.go
@@ -2,9 +2,10 @@
 
 import "pebbleloom/internal/wire"
 
-// TransferLeadership asks a voter that has every entry of this leader's log, of several the one with the most
-// recent contact, to start an election at once (thesis, section 3.10). It returns false if this member isn't the
-// leader or no other live voter has caught up. The voter still has to win the election by the usual rules.
+// TransferLeadership asks another voter that has every entry of this leader's log to start an election at once
+// (thesis, section 3.10). Of several it selects the one with the most recent contact. It returns false if this
+// member isn't the leader or no other live voter has caught up. The voter still has to win the election by the
+// usual rules.
 //
 // Example: if c.TransferLeadership() { drive(c.Ready()) }
 func (c *Core) TransferLeadership() bool {
--- a/internal/control/consensus/link_network_test.go
+++ b/internal/control/consensus/link_network_test.go
@@ -34,17 +34,17 @@
 	duplicateProbability float64
 	queued               []queuedMessage
 
-	bytesSent     map[wire.MessageKind]int // payload bytes sent over the slow link
-	olderRelease  string                   // the member that runs the previous release; empty: none
-	unknownChunks int                      // number of chunks sent to the member of the previous release
-	recorded      []*wire.Message          // all messages sent with a snapshot or a chunk
+	bytesSent          map[wire.MessageKind]int // payload bytes sent over the slow link
+	olderReleaseMember string                   // the member that runs the previous release; empty: none
+	unsupportedChunks  int                      // number of chunks sent to the member of the previous release
+	snapshotMessages   []*wire.Message          // all messages sent with a snapshot or a chunk
 }
 
-// queuedMessage is a message that arrives in tick at, or whose loss is reported to its sender in that tick.
+// queuedMessage is a message that arrives in arrivalTick, or whose loss is reported to its sender in that tick.
 type queuedMessage struct {
-	at      int
-	message *wire.Message
-	lost    bool
+	arrivalTick int
+	message     *wire.Message
+	lost        bool
 }
 
 // memoryDisk holds the persisted snapshot and records of a member.
@@ -127,30 +127,30 @@
 	if n.random.Float64() < n.lossProbability {
 		return
 	}
-	if message.To == n.olderRelease && message.Chunk != nil {
-		n.unknownChunks++
+	if message.To == n.olderReleaseMember && message.Chunk != nil {
+		n.unsupportedChunks++
 	}
 	if message.Snapshot != nil {
-		n.recorded = append(n.recorded, message)
+		n.snapshotMessages = append(n.snapshotMessages, message)
 	}
-	if message.From == n.olderRelease {
+	if message.From == n.olderReleaseMember {
 		message.AcceptsChunks = false
 	}
-	at, size := n.tick, payloadBytes(message)
+	arrivalTick, size := n.tick, payloadBytes(message)
 	if message.To == n.slowPeer {
 		n.bytesSent[message.Kind] += size
 		if duration := size / n.bytesPerTick; duration > 0 {
 			n.busyUntil = max(n.busyUntil, n.tick) + duration
-			at = n.busyUntil
+			arrivalTick = n.busyUntil
 		}
-		if at-n.tick > n.sendTimeout {
-			n.queued = append(n.queued, queuedMessage{at: n.tick + n.sendTimeout, message: message, lost: true})
+		if arrivalTick-n.tick > n.sendTimeout {
+			n.queued = append(n.queued, queuedMessage{arrivalTick: n.tick + n.sendTimeout, message: message, lost: true})
 			return
 		}
 	}
-	n.queued = append(n.queued, queuedMessage{at: at + 1, message: proto.Clone(message).(*wire.Message)})
+	n.queued = append(n.queued, queuedMessage{arrivalTick: arrivalTick + 1, message: proto.Clone(message).(*wire.Message)})
 	if n.random.Float64() < n.duplicateProbability {
-		n.queued = append(n.queued, queuedMessage{at: at + 2 + n.random.IntN(10), message: proto.Clone(message).(*wire.Message)})
+		n.queued = append(n.queued, queuedMessage{arrivalTick: arrivalTick + 2 + n.random.IntN(10), message: proto.Clone(message).(*wire.Message)})
 	}
 }
 
@@ -159,7 +159,7 @@
 	n.tick++
 	due, later := []queuedMessage(nil), []queuedMessage(nil)
 	for _, queued := range n.queued {
-		if queued.at <= n.tick {
+		if queued.arrivalTick <= n.tick {
 			due = append(due, queued)
 		} else {
 			later = append(later, queued)
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -7,8 +7,8 @@
 )
 
 // Membership changes, one voter at a time (thesis, chapter 4). The voters of a group are recorded in its log: an
-// entry that names voters takes effect as soon as it is appended, and no longer once it is truncated. A
-// member's name includes its incarnation. A machine that lost its disk returns under another name as a new
+// entry that names voters takes effect as soon as it is appended, and loses its effect when it is truncated.
+// A member's name includes its incarnation. A machine that lost its disk returns under another name as a new
 // member, so no member ever loses its record of a vote or an acknowledgement.
 //
 // Why a term has at most one leader, and no committed entry is lost:
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -157,15 +157,15 @@
 // membershipRace is a scenario in a group of a, b and c, led by a, with the learner d: a proposes a membership
 // change and a command while b campaigns.
 type membershipRace struct {
-	proposed string // members that a proposes
-	lost     int    // number of the delivery that is dropped instead; -1: none
-	depth    int    // number of deliveries whose order varies
-	orders   int
-	outcomes map[string]int // by final members: number of orders that end with them
+	proposed     string // members that leader a proposes
+	lostDelivery int    // number of the delivery that is dropped instead; -1: none
+	depth        int    // number of deliveries whose order varies
+	orders       int
+	outcomes     map[string]int // by final members: number of orders that end with them
 }
 
-// replay sets the scenario up and delivers messages by their positions in flight, as path gives them.
-func (r *membershipRace) replay(t *testing.T, path []int) *testGroup {
+// replay starts the scenario, and then delivers messages, each given by its position in flight.
+func (r *membershipRace) replay(t *testing.T, deliveries []int) *testGroup {
 	t.Helper()
 	group := newTestGroup(t, "a b c", "d")
 	group.elect("a")
@@ -175,8 +175,8 @@
 		t.Fatal("proposal rejected: a isn't the leader")
 	}
 	group.campaign("b")
-	for step, i := range path {
-		if step == r.lost {
+	for step, i := range deliveries {
+		if step == r.lostDelivery {
 			group.drop(i)
 			continue
 		}
@@ -185,13 +185,14 @@
 	return group
 }
 
-// walk tries every continuation of path up to depth deliveries, each of one of the first six messages in flight.
-func (r *membershipRace) walk(t *testing.T, path []int) {
+// explore tries every continuation of some deliveries, up to depth of them, each of one of the first six messages in
+// flight, and checks that the group can commit afterwards.
+func (r *membershipRace) explore(t *testing.T, deliveries []int) {
 	t.Helper()
-	group := r.replay(t, path)
-	if len(path) < r.depth && len(group.inFlight) > 0 {
+	group := r.replay(t, deliveries)
+	if len(deliveries) < r.depth && len(group.inFlight) > 0 {
 		for i := range min(len(group.inFlight), 6) {
-			r.walk(t, append(slices.Clone(path), i))
+			r.explore(t, append(slices.Clone(deliveries), i))
 		}
 		return
 	}
@@ -200,7 +201,7 @@
 	group.tick(70)
 	members := membersThatCommit(group)
 	if members == "" {
-		t.Fatalf("change of members to %q, delivery %d lost (-1: none), deliveries in order %v: no leader can commit any more", r.proposed, r.lost, path)
+		t.Fatalf("change of members to %q, delivery %d lost (-1: none), deliveries in order %v: no leader can commit any more", r.proposed, r.lostDelivery, deliveries)
 	}
 	r.outcomes[members]++
 }
@@ -233,13 +234,13 @@
 		{"a b", 6},
 	} {
 		all, changed := 0, 0
-		for lost := -1; lost < 3; lost++ {
-			race := membershipRace{proposed: change.proposed, lost: lost, depth: change.depth, outcomes: map[string]int{}}
-			race.walk(t, nil)
+		for lostDelivery := -1; lostDelivery < 3; lostDelivery++ {
+			race := membershipRace{proposed: change.proposed, lostDelivery: lostDelivery, depth: change.depth, outcomes: map[string]int{}}
+			race.explore(t, nil)
 			all += race.orders
 			changed += race.outcomes[change.proposed]
 			if race.orders < 30 || race.outcomes[change.proposed]+race.outcomes["a b c"] != race.orders {
-				t.Errorf("change of members to %q, delivery %d lost (-1: none): %d orders tried, want at least 30; their final members %v, want only the old or the new ones", change.proposed, lost, race.orders, race.outcomes)
+				t.Errorf("change of members to %q, delivery %d lost (-1: none): %d orders tried, want at least 30; their final members %v, want only the old or the new ones", change.proposed, lostDelivery, race.orders, race.outcomes)
 			}
 		}
 		if all < 300 || changed == 0 || changed == all {
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -8,15 +8,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// contestedElection has a and b campaign in the same term and delivers messages by their positions in flight,
-// as path gives them. The message of step number lost of the path is dropped (-1: none).
-func contestedElection(t *testing.T, path []int, lost int) *testGroup {
+// contestedElection has members a and b campaign in the same term, and then delivers messages, each given by its
+// position in flight. The delivery with number lostDelivery is dropped instead; -1: none.
+func contestedElection(t *testing.T, deliveries []int, lostDelivery int) *testGroup {
 	t.Helper()
 	group := newFixedGroup(t)
 	group.campaign("a")
 	group.campaign("b")
-	for step, i := range path {
-		if step == lost {
+	for step, i := range deliveries {
+		if step == lostDelivery {
 			group.drop(i)
 			continue
 		}
@@ -29,16 +29,16 @@
 // without loss and with the loss of one of them: a term never has two leaders, and if no message is lost, it
 // has one.
 func TestEveryOrderOfTwoCandidatesVotes(t *testing.T) {
-	for lost := -1; lost < 8; lost++ {
+	for lostDelivery := -1; lostDelivery < 8; lostDelivery++ {
 		orders, wins := 0, map[string]int{}
-		var walk func(path []int)
-		walk = func(path []int) {
-			group := contestedElection(t, path, lost)
+		var explore func(deliveries []int)
+		explore = func(deliveries []int) {
+			group := contestedElection(t, deliveries, lostDelivery)
 			complete := true
 			for i, message := range group.inFlight {
 				if isVoteMessage(message) {
 					complete = false
-					walk(append(slices.Clone(path), i))
+					explore(append(slices.Clone(deliveries), i))
 				}
 			}
 			if !complete {
@@ -48,19 +48,19 @@
 			group.deliverAll()
 			wins[group.leaderOfTerm[1]]++
 		}
-		walk(nil)
+		explore(nil)
 		if orders < 300 || wins["a"] == 0 || wins["b"] == 0 {
-			t.Errorf("with delivery %d lost (-1: none): %d orders tried, want at least 300; wins by member %v, want some of both a and b", lost, orders, wins)
+			t.Errorf("with delivery %d lost (-1: none): %d orders tried, want at least 300; wins by member %v, want some of both a and b", lostDelivery, orders, wins)
 		}
-		if lost < 0 && wins[""] > 0 {
+		if lostDelivery < 0 && wins[""] > 0 {
 			t.Errorf("%d message orders end without a leader, although no message was lost and the vote of c decides the election", wins[""])
 		}
 	}
 }
 
-// twoAppends has the leader a propose two commands, duplicates the first message, delivers messages by their
-// positions in flight, and counts the messages left in flight. Finally it delivers all of these.
-func twoAppends(t *testing.T, path []int) (group *testGroup, left int) {
+// twoAppends has leader a propose two commands, duplicates the first message, delivers messages by their positions
+// in flight, and counts the remaining messages in flight. Finally it delivers all of these.
+func twoAppends(t *testing.T, deliveries []int) (group *testGroup, remaining int) {
 	t.Helper()
 	group = newFixedGroup(t)
 	group.elect("a")
@@ -71,39 +71,39 @@
 	}
 	group.collect("a")
 	group.inFlight = append(group.inFlight, group.inFlight[0])
-	for _, i := range path {
+	for _, i := range deliveries {
 		group.deliver(i)
 	}
-	left = len(group.inFlight)
+	remaining = len(group.inFlight)
 	for range 4 {
 		group.cores["a"].Tick()
 		group.collect("a")
 		group.deliverAll()
 	}
-	return group, left
+	return group, remaining
 }
 
 // Two commands are committed on all three members exactly once, in every order of the first six deliveries,
 // with one message duplicated.
 func TestEveryOrderOfTwoAppends(t *testing.T) {
 	orders := 0
-	var walk func(path []int)
-	walk = func(path []int) {
-		group, left := twoAppends(t, path)
-		if len(path) < 6 && left > 0 {
-			for i := range left {
-				walk(append(slices.Clone(path), i))
+	var explore func(deliveries []int)
+	explore = func(deliveries []int) {
+		group, remaining := twoAppends(t, deliveries)
+		if len(deliveries) < 6 && remaining > 0 {
+			for i := range remaining {
+				explore(append(slices.Clone(deliveries), i))
 			}
 			return
 		}
 		orders++
 		for _, name := range []string{"a", "b", "c"} {
 			if fmt.Sprint(group.applied[name]) != "[one two]" {
-				t.Fatalf("deliveries in order %v: %s applied %v, want [one two]", path, name, group.applied[name])
+				t.Fatalf("deliveries in order %v: %s applied %v, want [one two]", deliveries, name, group.applied[name])
 			}
 		}
 	}
-	walk(nil)
+	explore(nil)
 	if orders < 500 {
 		t.Fatalf("%d message orders were tried, want at least 500", orders)
 	}
--- a/internal/control/consensus/model_actions_test.go
+++ b/internal/control/consensus/model_actions_test.go
@@ -131,7 +131,7 @@
 	return list.actions
 }
 
-// add adds an event that may happen any number of times.
+// add adds an event without a limit.
 func (l *actionList) add(slot int, event modelEvent) {
 	l.actions = append(l.actions, modelAction{modelEvent: event, slot: int8(slot)})
 }
@@ -179,7 +179,7 @@
 	l.addWithin(proposals, slot, modelEvent{kind: propose, arg: int32('1' + l.state.used[proposals])})
 }
 
-// addMembershipChanges adds the proposals to add, remove and replace members.
+// addMembershipChanges adds the events that add a learner, and the proposals to add, remove and replace voters.
 func (l *actionList) addMembershipChanges(slot int) {
 	if l.stateSpace.learner {
 		newcomer := int32(l.stateSpace.learnerSlot())
--- a/internal/control/consensus/model_encoding_test.go
+++ b/internal/control/consensus/model_encoding_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// list encodes a slice. Slices of strings are sets of members, whose order has no meaning.
+// list encodes a slice. Slices of strings are sets of members, and are sorted since their order has no meaning.
 func (encoder *canonicalEncoder) list(value reflect.Value) {
 	encoder.number(uint64(value.Len()))
 	if value.Type().Elem().Kind() != reflect.String {
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -10,7 +10,7 @@
 
 // pathStep is the action that leads from an earlier state to a new one.
 type pathStep struct {
-	from int32 // number of the earlier state
+	from int32 // number of the state before the action
 	modelAction
 }
 
@@ -20,7 +20,7 @@
 	nodes, messages            int // numbers of distinct nodes and messages
 	elapsed                    time.Duration
 	violation                  string   // description of the violated invariant; empty: none
-	trace                      []string // the actions that lead to the violation
+	trace                      []string // the actions that lead to the violation, in order
 	incomplete                 bool     // the search ended before it had visited all states
 }
 
@@ -126,7 +126,7 @@
 	case addLearner, addMember, removeMember, replaceMember, transfer:
 		return fmt.Sprintf("%s %s %s", name, eventNames[action.kind], slotNames[action.arg])
 	case propose:
-		return fmt.Sprintf("%s proposes %c%s", name, action.arg, delayed)
+		return fmt.Sprintf("%s proposes command %c%s", name, action.arg, delayed)
 	}
 	return name + " " + eventNames[action.kind]
 }
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -65,7 +65,7 @@
 	nodes       [maxSlots]int32
 	history     int32
 	used        [budgetCount]uint8
-	inFlight    []int32      // sorted
+	inFlight    []int32      // numbers of the messages in flight, sorted
 	inFlightSum fingerprints // sum of the fingerprints of inFlight
 	number      int32        // number of the state in the order of discovery
 }
--- a/internal/control/consensus/peer_status.go
+++ b/internal/control/consensus/peer_status.go
@@ -13,7 +13,7 @@
 type PeerStatus struct {
 	Name       string
 	IsVoter    bool // false: a learner
-	ContactAge int  // ticks since the newest request was sent that the peer has responded to
+	ContactAge int  // age in ticks of the newest request that the peer has responded to
 	Responded  bool // whether the peer has responded to this leader in the current term
 	CaughtUp   bool // whether the committed entries that the peer lacks, if any, fit into one request
 }
@@ -39,8 +39,8 @@
 	return statuses
 }
 
-// isNearCommit reports whether the committed entries after index match fit into one append request: there are
-// at most caughtUpEntries of them, within MaxBatchBytes, and none that only a snapshot has.
+// isNearCommit reports whether the committed entries after index match fit into one append request: they are
+// neither more than caughtUpEntries, nor larger than MaxBatchBytes, nor compacted.
 func (c *Core) isNearCommit(match uint64) bool {
 	if match == 0 || match+caughtUpEntries < c.commit {
 		return false
@@ -49,7 +49,7 @@
 		return true
 	}
 	if _, ok := c.termAt(match); !ok {
-		return false // the entries after it are compacted
+		return false // the entries after index match are compacted
 	}
 	missing := 0
 	for index := match + 1; index <= c.commit; index++ {
--- a/internal/control/consensus/progress.go
+++ b/internal/control/consensus/progress.go
@@ -14,8 +14,8 @@
 	acceptsChunks     bool   // the peer's release can receive snapshots in chunks
 
 	responded          bool // the peer has responded in this term
-	ticksSinceResponse int  // ticks since the last response came
-	contactAge         int  // ticks since the newest request was sent that it has responded to
+	ticksSinceResponse int  // ticks since the peer's last response arrived
+	contactAge         int  // age in ticks of the newest request that the peer has responded to
 
 	inFlight       bool // entries or a chunk were sent and not acknowledged yet
 	batchRetryAt   int  // tick from which a large batch in flight may be sent again
--- a/internal/control/consensus/read_index.go
+++ b/internal/control/consensus/read_index.go
@@ -5,7 +5,7 @@
 type pendingRead struct {
 	id       uint64
 	sequence uint64 // sequence number of the read, which responses of peers echo
-	index    uint64 // the commit index when it began
+	index    uint64 // commit index when the read began
 }
 
 // ReadIndex begins a linearizable read: one that sees every change acknowledged before it. The id of the read
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -22,8 +22,8 @@
 	batchLossesBeforeSnapshot = 2
 )
 
-// batchTimeout returns how many ticks the response to a batch of a size in bytes may take. The timeout doubles
-// with each consecutive loss, up to its bound.
+// batchTimeout returns how many ticks the response to a batch of size bytes may take. The timeout doubles with
+// each consecutive loss, up to maxBatchTimeoutElections.
 func (c *Core) batchTimeout(size, losses int) int {
 	timeout := (c.cfg.ElectionTicks + size/assumedLinkBytesPerTick) << min(losses, maxBatchTimeoutElections)
 	return min(timeout, maxBatchTimeoutElections*c.cfg.ElectionTicks)
@@ -94,8 +94,8 @@
 	return progress.batchLosses >= batchLossesBeforeSnapshot && progress.acceptsChunks && progress.next <= c.snapshot.Index
 }
 
-// ReportSendFailure tells the core that the driver has given up sending a message. The content of the message
-// is sent again at the next heartbeat, a snapshot in smaller chunks.
+// ReportSendFailure informs the core that the driver has given up sending a message. The content of the message
+// is sent again at the next heartbeat; a lost chunk of a snapshot is sent again in smaller chunks.
 //
 // Example: c.ReportSendFailure(message); drive(c.Ready())
 func (c *Core) ReportSendFailure(message *wire.Message) {
@@ -114,9 +114,9 @@
 	}
 }
 
-// sendSnapshot starts to send the snapshot to a peer that can't be sent the entries that it lacks. A peer that
-// hasn't responded in this term is sent a heartbeat first: it may be down, and its response says whether its
-// release receives chunks. Older releases get the snapshot in one message.
+// sendSnapshot sends the snapshot to a peer because the entries that the peer lacks are compacted, or are too large
+// for its link. A peer that hasn't responded in this term is sent a heartbeat first: it may be down, and its
+// response says whether its release can receive chunks. Older releases get the snapshot in one message.
 func (c *Core) sendSnapshot(peer string, progress *peerProgress) {
 	switch {
 	case !progress.responded:
@@ -130,7 +130,8 @@
 	}
 }
 
-// handleAppendResponse advances a peer's progress and the commit index, and sends the next entries.
+// handleAppendResponse advances the progress of a peer that acknowledged entries, advances the commit index, and
+// sends the peer the next entries.
 func (c *Core) handleAppendResponse(message *wire.Message) {
 	progress := c.recordResponse(message)
 	if progress == nil {
--- a/internal/control/consensus/restore.go
+++ b/internal/control/consensus/restore.go
@@ -8,7 +8,7 @@
 //
 // The restored group has a higher restore generation, which is persisted and part of every message. Members of
 // an earlier generation, even a majority of them, may return without knowing of the restore:
-//   - Members of a later generation ignore their messages, and respond only with a notice of the later generation.
+//   - Members of a later generation ignore the messages of these members, and respond with a notice of the restore.
 //   - A member that learns of a later generation stops taking part: its log and its vote belong to an abandoned
 //     group. Its driver treats its disk as lost.
 //   - A member without log entries and voters, as one that starts with an empty disk, adopts a later generation.
--- a/internal/control/consensus/snapshot_receive_test.go
+++ b/internal/control/consensus/snapshot_receive_test.go
@@ -110,7 +110,7 @@
 	complete := proto.Clone(network.leader().snapshot).(*wire.Snapshot)
 	network.propose(randomBody(network.random, 100))
 	network.runUntil("the lagging member applies the entry after the snapshot", 100, func() bool { return network.hasCaughtUp(lagging) })
-	delayed := append(network.recorded, &wire.Message{From: network.leader().cfg.Self, To: lagging, Incarnation: network.leader().cfg.Self, Kind: wire.MessageKind_SNAPSHOT_REQUEST,
+	delayed := append(network.snapshotMessages, &wire.Message{From: network.leader().cfg.Self, To: lagging, Incarnation: network.leader().cfg.Self, Kind: wire.MessageKind_SNAPSHOT_REQUEST,
 		Term: network.leader().hardState.Term, Snapshot: complete})
 	for _, message := range delayed {
 		if message.To == lagging {
@@ -128,8 +128,8 @@
 	network, lagging := newLaggingNetwork(t, 12, 100<<10, 1<<20)
 	network.start(lagging)
 	network.runUntil("the lagging follower catches up", 100, func() bool { return network.hasCaughtUp(lagging) })
-	if len(network.recorded) > 0 {
-		t.Errorf("%d messages with a snapshot were sent, want 0", len(network.recorded))
+	if len(network.snapshotMessages) > 0 {
+		t.Errorf("%d messages with a snapshot were sent, want 0", len(network.snapshotMessages))
 	}
 	if len(network.leader().trailing) == 0 {
 		t.Error("the leader keeps no trailing entries after a compaction")
--- a/internal/control/consensus/snapshot_send.go
+++ b/internal/control/consensus/snapshot_send.go
@@ -14,15 +14,15 @@
 // restart it indefinitely. In the wire format a chunk is called a piece.
 
 const (
-	// initialChunkBytes is the size of the first chunk. Chunks double while they are acknowledged
-	// within one heartbeat, up to Config.MaxBatchBytes.
+	// initialChunkBytes is the size of the first chunk. The size doubles, up to Config.MaxBatchBytes,
+	// with each chunk that is acknowledged within one heartbeat interval.
 	initialChunkBytes = 32 << 10
 
 	// minChunkBytes is the minimum size of chunks; a chunk that is lost is retried with half its size.
 	minChunkBytes = 4 << 10
 
 	// maxOutgoingSnapshots bounds the number of snapshots that are kept for transfers in addition to the
-	// newest one, and so the leader's memory. Once it is reached, a further peer is sent one of these.
+	// newest one, and so the leader's memory. A further peer is then sent one of the snapshots kept.
 	maxOutgoingSnapshots = 2
 
 	// chunkTimeoutHeartbeats is the time, in heartbeat intervals, after which a chunk counts as lost, in
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -127,10 +127,10 @@
 func TestSnapshotTransferBetweenReleases(t *testing.T) {
 	network, lagging := newLaggingNetwork(t, 9, 100<<10, 0)
 	network.start(lagging)
-	network.olderRelease = lagging // its responses don't say that it accepts chunks
+	network.olderReleaseMember = lagging // the responses of this member don't say that it accepts chunks
 	network.runUntil("the member of the older release catches up", 100, func() bool { return network.hasCaughtUp(lagging) })
-	if network.unknownChunks > 0 {
-		t.Errorf("%d chunks were sent to a member of a release that doesn't support them, want 0", network.unknownChunks)
+	if network.unsupportedChunks > 0 {
+		t.Errorf("%d chunks were sent to a member of a release that doesn't support them, want 0", network.unsupportedChunks)
 	}
 
 	network, lagging = newLaggingNetwork(t, 10, 100<<10, 0)
