--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -112,7 +112,7 @@
 // entryBytes returns the approximate size of an entry on the wire.
 func entryBytes(entry *wire.Entry) int { return len(entry.Body) + entryOverheadBytes }
 
-// entryRecords returns the records that store entries.
+// entryRecords returns the log records that store entries, one record for each entry.
 func entryRecords(entries []*wire.Entry) []*wire.Record {
 	records := make([]*wire.Record, 0, len(entries))
 	for _, entry := range entries {
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -36,7 +36,7 @@
 
 // voterSet is a set of voters, with the index and term of the entry that names them.
 type voterSet struct {
-	names       []string // sorted
+	names       []string // names of the voters, sorted
 	index, term uint64   // of the entry that names the voters; 0 for the voters that a group was bootstrapped with
 }
 
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -31,27 +31,27 @@
 	}
 	group.tick(10)
 	if !group.proposeMembership("a", "a b c d") {
-		t.Fatal("the proposal to add d, a learner that has caught up, was rejected")
+		t.Fatal("the proposal to add learner d, which has caught up, as a voter was rejected")
 	}
 	group.tick(10)
 	if !group.proposeMembership("a", "a b d") {
-		t.Fatal("the proposal to remove c was rejected although the previous change is committed")
+		t.Fatal("the proposal to remove voter c was rejected although the previous membership change is committed")
 	}
 	group.tick(10, "c")
 	group.propose("a", "two")
 	group.tick(10, "b", "c") // a and d are a majority of a, b and d
 	if status := group.cores["a"].Status(); status.Applied != status.LastIndex || group.members("b") != "a b d" {
-		t.Fatalf("without b and c, which isn't a voter: status of the leader %+v, want all entries applied; voters in the log of b %q, want a b d", status, group.members("b"))
+		t.Fatalf("with members b and c down, of which c was removed: status of leader a %+v, want all entries applied; voters in the log of b %q, want a b d", status, group.members("b"))
 	}
 	// c hasn't received the entry of its removal: it requests pre-votes, but must not disrupt the leader or be elected.
 	group.tick(60)
 	if !group.cores["a"].Status().IsLeader || group.cores["c"].Status().IsLeader {
-		t.Fatal("removed member c was elected or made the leader a step down")
+		t.Fatal("removed member c was elected, or made leader a step down")
 	}
 	group.addLearner("a", "c")
 	group.tick(10)
 	if group.members("c") != "a b d" {
-		t.Fatalf("the voters in the log of c, removed and joined again as a learner, are %q, want a b d", group.members("c"))
+		t.Fatalf("the voters in the log of member c, removed and joined again as a learner, are %q, want a b d", group.members("c"))
 	}
 }
 
@@ -65,7 +65,7 @@
 	group.campaign("a")
 	group.deliverMatching(isVoteMessage)
 	if !group.cores["a"].Status().IsLeader || group.cores["a"].CanChangeMembership() || group.proposeMembership("a", "a b c d") {
-		t.Error("a isn't the leader, or accepted a membership change before an entry of its own term was committed")
+		t.Error("member a isn't the leader, or accepted a membership change before an entry of its own term was committed")
 	}
 	group.deliverAll()
 	for _, members := range []string{"a b c", "a b c d e", "a", "", "a b d e"} {
@@ -74,7 +74,7 @@
 		}
 	}
 	if !group.proposeMembership("a", "a b c d") || group.proposeMembership("a", "a b c d e") {
-		t.Error("adding d was rejected, or another change was accepted before that was committed")
+		t.Error("the addition of voter d was rejected, or another membership change was accepted before it was committed")
 	}
 	group.deliverAll()
 	if !group.proposeMembership("a", "b c d") {
@@ -82,7 +82,7 @@
 	}
 	group.deliverAll()
 	if status := group.cores["a"].Status(); status.IsLeader || group.members("b") != "b c d" {
-		t.Errorf("the leader didn't step down once its removal was committed, or b doesn't have the voters b c d: status of a %+v", status)
+		t.Errorf("leader a didn't step down once its removal was committed, or the voters in the log of b aren't b c d: status of a %+v", status)
 	}
 	group.tick(60)
 	if group.cores["a"].Status().IsLeader || group.cores["a"].Status().Leader == "" && group.cores["b"].Status().Leader == "" {
@@ -98,7 +98,7 @@
 	group.proposeMembership("a", "a b c d")
 	group.deliverMatching(func(message *wire.Message) bool { return message.To == "b" })
 	if group.members("a") != "a b c d" || group.members("b") != "a b c d" || group.members("c") != "a b c" {
-		t.Fatalf("voters in the logs of a, b and c: %q, %q, %q; want d only in the first two", group.members("a"), group.members("b"), group.members("c"))
+		t.Fatalf("voters in the logs of members a, b and c: %q, %q, %q; want d only in the first two", group.members("a"), group.members("b"), group.members("c"))
 	}
 	// c leads a later term without the entry that adds d, and overwrites it in the log of b.
 	group.inFlight = nil
@@ -106,7 +106,7 @@
 	b.Step(&wire.Message{From: "c", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 9, Index: 1, LogTerm: 1, Entries: []*wire.Entry{{Index: 2, Term: 9, Members: []string{"a", "b", "c"}}}})
 	b.Ready()
 	if group.members("b") != "a b c" {
-		t.Fatalf("voters of b after the entry that added d was truncated: %q, want a b c", group.members("b"))
+		t.Fatalf("voters in the log of member b after the entry that added d was truncated: %q, want a b c", group.members("b"))
 	}
 	group = newTestGroup(t, "a b c", "d")
 	group.elect("a")
@@ -150,7 +150,7 @@
 		group.tick(10)
 	}
 	if group.propose("a", "two"); group.members("c") != "a b c" || a.Status().Applied == a.Status().LastIndex {
-		t.Fatal("the voters in the log of c aren't a b c, or a committed an entry without a response of another voter")
+		t.Fatal("the voters in the log of member c aren't a b c, or leader a committed an entry without a response of another voter")
 	}
 }
 
@@ -172,7 +172,7 @@
 	group.addLearner("a", "d")
 	group.deliverAll()
 	if !group.proposeMembership("a", r.proposed) || !group.propose("a", "one") {
-		t.Fatal("proposal rejected: a isn't the leader")
+		t.Fatal("proposal rejected: member a isn't the leader")
 	}
 	group.campaign("b")
 	for step, i := range deliveries {
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -66,7 +66,7 @@
 	group.elect("a")
 	for _, body := range []string{"one", "two"} {
 		if _, _, ok := group.cores["a"].Propose([]byte(body)); !ok {
-			t.Fatal("proposal rejected: a isn't the leader")
+			t.Fatal("proposal rejected: member a isn't the leader")
 		}
 	}
 	group.collect("a")
--- a/internal/control/consensus/model_freshness_test.go
+++ b/internal/control/consensus/model_freshness_test.go
@@ -72,5 +72,5 @@
 	if !knowsNewest || p.FreshUntil(version) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("wrong proof of freshness: responses %v prove that %d commands are all committed ones, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
+	return fmt.Sprintf("wrong proof of freshness: responses %+v prove that only %d commands are committed, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
 }
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -14,7 +14,7 @@
 	term  uint64
 }
 
-// observedHistory records past events of a group that its members may have lost since, but invariants depend on.
+// observedHistory records past events of a group that its members may have lost since, but that the invariants depend on.
 type observedHistory struct {
 	committed          []committedEntry
 	committedWhenAsked int // number of commands committed when the client asked for a freshness proof; 0: it hasn't asked
@@ -323,7 +323,7 @@
 func (s *stateSpace) checkAppliedState(state *groupState, history observedHistory) string {
 	for _, id := range s.members(state) {
 		node := s.nodes[id]
-		if node.wiped || node.hasEarlierGeneration(history.generation) || node.core.ready.Snapshot != nil { // with ready.Snapshot, the driver hasn't loaded the state yet
+		if node.wiped || node.hasEarlierGeneration(history.generation) || node.core.ready.Snapshot != nil { // with a snapshot in ready, the driver hasn't loaded its state yet
 			continue
 		}
 		if node.core.applied > uint64(len(history.committed)) {
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -278,7 +278,7 @@
 	}
 	core.Tick()
 	if core.role == leader && len(core.voters.names) > 1 {
-		panic("a leader without contact to a quorum doesn't step down: the model must set what the core now decides by")
+		panic("a leader that lost contact with a quorum doesn't step down: the model doesn't set all fields that the core checks")
 	}
 	return true
 }
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -135,10 +135,10 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s of term %d, log term/index %d/%d", message.Kind, message.Term, message.LogTerm, message.Index)
 	for _, entry := range message.Entries {
-		fmt.Fprintf(&b, ", entry %d/%d %s%v", entry.Term, entry.Index, entry.Body, entry.Members)
+		fmt.Fprintf(&b, ", entry term/index %d/%d body %q members %v", entry.Term, entry.Index, entry.Body, entry.Members)
 	}
 	if message.Snapshot != nil {
-		fmt.Fprintf(&b, ", snapshot %d/%d", message.Snapshot.Term, message.Snapshot.Index)
+		fmt.Fprintf(&b, ", snapshot term/index %d/%d", message.Snapshot.Term, message.Snapshot.Index)
 	}
 	fmt.Fprintf(&b, ", commit %d, ok %v, probe %d", message.Commit, message.Ok, message.Probe)
 	return b.String()
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -346,7 +346,7 @@
 				continue
 			}
 			if result := s.step(int32(nodeID), modelEvent{kind: deliver, arg: int32(messageID)}); result.node != int32(nodeID) && !node.pending() || len(result.messages) > 0 && !node.pending() {
-				return fmt.Sprintf("a message that the model drops as having no effect does have one on %s in term %d: %s from %s", node.name, node.core.hardState.Term, describeMessage(message.Message), message.From)
+				return fmt.Sprintf("a message that should have no effect changed member %s in term %d: %s from %s", node.name, node.core.hardState.Term, describeMessage(message.Message), message.From)
 			}
 		}
 	}
--- a/internal/control/consensus/peer_status_test.go
+++ b/internal/control/consensus/peer_status_test.go
@@ -85,16 +85,16 @@
 	group.tick(4)
 	mayStop := func() bool { return group.cores["a"].ReplicatedToLiveVoters("b", 12) }
 	if !mayStop() {
-		t.Error("ReplicatedToLiveVoters except b is false although all voters have all entries")
+		t.Error("ReplicatedToLiveVoters with voter b excepted is false although all voters have all entries")
 	}
 	group.propose("a", "x")
 	group.deliverAll("c")
 	if mayStop() {
-		t.Error("ReplicatedToLiveVoters except b is true although c lacks an entry that was committed with b's acknowledgement")
+		t.Error("ReplicatedToLiveVoters with voter b excepted is true although live voter c lacks a committed entry")
 	}
 	group.tick(15, "c")
 	if !mayStop() {
-		t.Error("ReplicatedToLiveVoters except b is false although c is down and a has all entries")
+		t.Error("ReplicatedToLiveVoters with voter b excepted is false although voter c is down and leader a has all entries")
 	}
 	if group.cores["b"].ReplicatedToLiveVoters("c", 12) {
 		t.Error("ReplicatedToLiveVoters is true on a follower, want false")
