--- a/internal/control/consensus/model_test.go
+++ b/internal/control/consensus/model_test.go
@@ -27,8 +27,8 @@
 	ci, wide bounds
 }
 
-// modelSearches are all configurations of the model checker. Most searches of a group duplicate messages any
-// number of times; fixed members send complete logs to rejoin, so theirs duplicate messages once at most.
+// modelSearches are all configurations of the model checker. Messages of a group may be duplicated without a limit.
+// The bounds limit the duplicates of messages of fixed members, which send complete logs when a member rejoins.
 var modelSearches = []modelSearch{
 	{"elections",
 		bounds{terms: 2, limits: [budgetCount]uint8{elections: unlimited, duplicates: unlimited, restarts: 1}},
--- a/internal/control/consensus/peer_status_test.go
+++ b/internal/control/consensus/peer_status_test.go
@@ -90,7 +90,7 @@
 	group.propose("a", "x")
 	group.deliverAll("c")
 	if mayStop() {
-		t.Error("ReplicatedToLiveVoters with voter b excepted is true although live voter c lacks a committed entry")
+		t.Error("ReplicatedToLiveVoters with voter b excepted is true although live voter c lacks an entry that was committed with b's acknowledgement")
 	}
 	group.tick(15, "c")
 	if !mayStop() {
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -161,7 +161,7 @@
 // match, and retries from there (paper, section 5.3).
 func (c *Core) handleRejection(message *wire.Message, progress *peerProgress) {
 	if progress.transfer != nil {
-		return // the snapshot transfer in progress replaces the peer's log
+		return // the snapshot transfer in progress brings the peer's log up to the snapshot
 	}
 	progress.inFlight = false
 	if c.cfg.DynamicMembership && message.Index < progress.match {
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -5,7 +5,7 @@
 // messageHandler defines how messages of one kind are handled, and which checks they have to pass first.
 type messageHandler struct {
 	handle     func(*Core, *wire.Message)
-	rejoin     bool // part of the rejoin protocol, exchanged with blank members: exempt from Step's incarnation and term checks
+	rejoin     bool // part of the rejoin protocol, exchanged with blank members: exempt from Step's checks of incarnation, blank state and term
 	isResponse bool // ignored unless it responds to a request of this incarnation
 	keepsTerm  bool // a later term in the message is not adopted
 }
