--- a/internal/control/controlstate/claim_table.go
+++ b/internal/control/controlstate/claim_table.go
@@ -7,27 +7,28 @@
 	"pebbleloom/internal/wire"
 )
 
-// claimIDBytes is the size of the id of an at-most-once request.
+// claimIDBytes is the size of an at-most-once request ID.
 const claimIDBytes = 16
 
+// claimID is the ID of an at-most-once request.
 type claimID [claimIDBytes]byte
 
-// claimTable records which caller claimed each id of an at-most-once request. Claims are forgotten by
-// age, never by count: a flood of claims can't make an id claimable again that its caller may still
-// repeat. The age is the shard's own: each leader adds the time that it has seen pass, so the age
-// stands still between leaders and claims are kept a little longer. It advances by log entries, so
-// every member forgets the same claims.
+// claimTable records which caller claimed each at-most-once request ID. Claims are evicted by age, never
+// by count: a flood of claims must not make an ID claimable again while its caller may still retry the
+// request. Ages are measured on the shard's own clock, to which each leader adds the time that elapsed
+// during its term. The clock stops while there is no leader, so claims are kept slightly longer. It advances
+// only through log entries, so all members evict the same claims.
 type claimTable struct {
 	holders map[claimID]claimHolder
-	order   []claimOrderEntry // the oldest first; may still contain ids that were released
-	age     uint64            // of the shard, in nanoseconds
+	order   []claimOrderEntry // oldest first; may contain stale entries of released IDs
+	age     uint64            // the shard's clock, in nanoseconds
 }
 
-// claimHolder identifies who holds an id, and the shard's age when it was claimed, in nanoseconds.
+// claimHolder identifies the caller that claimed an ID, and the shard's clock at that time, in nanoseconds.
 type claimHolder struct{ nonce, claimedAge uint64 }
 
-// claimOrderEntry is an id's position in the order of age. It is stale if the id was released, or
-// released and claimed again at another age.
+// claimOrderEntry is the position of a claimed ID in the eviction queue. It is stale if the ID was released,
+// even if the ID was claimed again at a later time.
 type claimOrderEntry struct {
 	id         claimID
 	claimedAge uint64
@@ -35,8 +36,8 @@
 
 func newClaimTable() claimTable { return claimTable{holders: map[claimID]claimHolder{}} }
 
-// advanceAge adds to the shard's age and forgets the claims that are older than the retention. Both are
-// in nanoseconds.
+// advanceAge advances the shard's clock by the elapsed time and evicts the claims that are older than the
+// retention. Both are in nanoseconds.
 func (c *claimTable) advanceAge(elapsed, retention uint64) {
 	c.age += elapsed
 	expired := 0
@@ -52,14 +53,15 @@
 	}
 }
 
+// isStale reports whether an entry of the eviction queue no longer belongs to a current claim.
 func (c *claimTable) isStale(entry claimOrderEntry) bool {
 	holder, ok := c.holders[entry.id]
 	return !ok || holder.claimedAge != entry.claimedAge
 }
 
-// claim grants an id to the first caller that claims it. A claim repeated by the same caller is granted
-// again, since the first response may have been lost; the holder may release its claim. If the table is
-// full of claims that are too young to be forgotten, full is true and nothing was claimed.
+// claim grants an ID to the first caller that claims it. A claim repeated by the same caller is granted
+// again, since the first response may have been lost. A release request succeeds only for the holder. full
+// reports that the ID was not claimed because the table is full of claims within their retention.
 func (c *claimTable) claim(request *wire.Claim) (granted, full bool) {
 	if len(request.Id) != claimIDBytes {
 		return false, false
@@ -70,7 +72,7 @@
 	switch {
 	case request.Release:
 		if isHolder {
-			delete(c.holders, id) // its entry in the order becomes stale
+			delete(c.holders, id) // the entry in c.order becomes stale
 		}
 		return isHolder, false
 	case claimed:
@@ -82,12 +84,13 @@
 	return true, false
 }
 
+// insert adds a claim as the newest one.
 func (c *claimTable) insert(id claimID, holder claimHolder) {
 	c.holders[id] = holder
 	c.order = append(c.order, claimOrderEntry{id, holder.claimedAge})
 }
 
-// save returns the claims in the order of their age, as a snapshot keeps them.
+// save returns the current claims for a snapshot, oldest first.
 func (c *claimTable) save() (claims []*wire.Claim) {
 	for _, entry := range c.order {
 		if holder, ok := c.holders[entry.id]; ok && holder.claimedAge == entry.claimedAge {
@@ -97,8 +100,8 @@
 	return claims
 }
 
-// load restores the claims of a snapshot. A snapshot of a release that recorded no ages has age 0
-// throughout, so that its claims count as just made.
+// load restores the claims of a snapshot. Snapshots written by releases that recorded no ages have the age 0
+// for the shard and for all claims, so their full retention starts at the load.
 func (c *claimTable) load(claims []*wire.Claim, age uint64) {
 	c.age = age
 	for _, saved := range claims {
@@ -108,8 +111,9 @@
 	}
 }
 
-// elapsedInTerm returns the time that this leader has seen pass since it last proposed claims in the
-// term. Time that is lost, with a proposal or between leaders, only makes the shard seem younger.
+// elapsedInTerm returns the time since this leader last proposed claims in the term, and starts the next
+// interval. An interval that is lost with an uncommitted proposal or between two leaders only slows the
+// shard's clock, so that claims are kept longer.
 func (s *shard) elapsedInTerm(term uint64) (elapsed time.Duration) {
 	now := s.clock.Now()
 	if s.ageRecordedTerm == term {
--- a/internal/control/controlstate/corrupted_disk.go
+++ b/internal/control/controlstate/corrupted_disk.go
@@ -7,26 +7,26 @@
 	"pebbleloom/internal/wire"
 )
 
-// A corrupted disk (storage.ErrCorrupted) says neither what its member has acknowledged nor how it has voted, so the
-// member can't go on under its name. It is of no more use to the group than a lost disk, and is treated as one: the
-// machine joins as a new member. But only once the group is known to serve without it. If more disks are corrupted
-// than the group tolerates, what they hold is all that an operator has to restore it from, and must not be replaced.
-// A read that a quorum has confirmed is that knowledge: a member with a corrupted disk answers no peer, so it isn't
-// one of that quorum.
+// A corrupted disk (storage.ErrCorrupted) no longer proves what its member acknowledged or how it voted, so the member
+// must not continue under its incarnation. The disk is treated as lost, and the machine joins as a new member. That is
+// allowed only once the group is known to serve without the disk: if more disks are corrupted than the group tolerates,
+// their contents are all that an operator can restore the group from, and must not be replaced. A read that a quorum
+// has confirmed proves that the group serves: a member with a corrupted disk responds to no peer, so it is not part of
+// that quorum.
 
-// hasCorruptedDisk reports whether this member is out because its disk is corrupted.
+// hasCorruptedDisk reports whether this member has failed because its disk is corrupted.
 func (s *shard) hasCorruptedDisk() bool { return errors.Is(s.failure, storage.ErrCorrupted) }
 
-// allowReplacement has the next attempt to open the disk replace what it holds, if it is still corrupted, or that of a
-// member which the group was restored without.
+// allowReplacement permits the next attempt to open the disk to replace its contents, provided that the disk is still
+// corrupted or that this member is still superseded by a group that was restored without it.
 func (s *shard) allowReplacement() {
 	s.replacementAllowed = s.hasCorruptedDisk() || s.supersededBy != 0
 }
 
-// replaceCorruptedDisk allows this member's corrupted disk to be replaced if the group serves without it.
+// replaceCorruptedDisk permits this member's corrupted disk to be replaced if a quorum serves reads without it.
 func (n *Node) replaceCorruptedDisk() {
 	if _, err := n.controlClient.Read(n.process.Ctx, &wire.ReadRequest{}); err != nil {
-		n.process.Log.Error("the disk is corrupted and no quorum serves without it: restore a disk of the group", "error", err)
+		n.process.Log.Error("control node disk is corrupted and not replaced because no quorum serves reads: bring back another control node or restore the group", "error", err)
 		return
 	}
 	shard := n.shards[0]
--- a/internal/control/controlstate/doc.go
+++ b/internal/control/controlstate/doc.go
@@ -1,28 +1,32 @@
-// Package controlstate is the control node: the server that replicates the control state (the
-// configuration, leases, calendar entries, retirements and the claims of at-most-once requests) to a
-// quorum of disks.
+// Package controlstate implements the control node: the server that replicates the control state (the
+// configuration, leases, calendar entries, retirements and the claims of at-most-once requests) to the
+// disks of a quorum.
 //
-// A node holds members of replicated shards. Each member is a shard: one goroutine that drives a pure
-// consensus core (package consensus), applies committed entries to a state machine (state) and keeps
-// log and snapshots on disk (package storage). Everything that touches the core, the state or the
-// store runs on that goroutine; other goroutines hand it commands through runOnLoop and query.
+// A node hosts members (replicas) of replicated shards. Each member is a shard: one goroutine that drives
+// the deterministic consensus core (package consensus), applies committed entries to a state machine
+// (state) and persists the log and snapshots (package storage). Only that goroutine accesses the core, the
+// state and the store; other goroutines submit commands to it through runOnLoop and query.
 //
 // There are two kinds of node:
-//   - Start runs a node of a cluster whose members are fixed by the settings, with several shards.
+//   - Start runs a node of a cluster with several shards, whose members are fixed by the settings.
 //   - StartGroup runs a node of one shard, the group, whose membership is itself replicated data:
-//     nodes join as learners and the leader proposes changes of the membership (membershipPlanner).
+//     nodes join as learners, and the leader proposes membership changes (membershipPlanner).
 //
-// Terms: an incarnation names a member between two losses of its disk, by an address or name and a
-// number; a member that lost its disk comes back under another one, so that peers don't take it for the
-// one that held the log. A spare is a learner that is ready to become a voter. A member is out after its
-// disk failed.
+// Terms:
+//   - An incarnation identifies a member from one loss of its disk to the next. It consists of an address or
+//     name and a number. A member that lost its disk returns under a new incarnation, so that its peers do
+//     not mistake it for the member that held the log.
+//   - A spare is a learner that is ready to become a voter.
+//   - A member has failed while its failure field is set, after a disk error for example: it neither votes
+//     nor acknowledges anything.
+//   - The heal bound (settings.Bounds.Heal) is the configured time within which service has to be restored
+//     after a fault. Most time-outs are fractions of it.
 //
 // Invariants that all files rely on:
-//   - A change is acknowledged only after its entry is committed, which means that it is synced to the
-//     disks of a quorum.
-//   - A change of a document is rejected only with a response that no other leader can contradict:
-//     either from the log, or from the applied state after a quorum confirmed this leader (ReadIndex).
-//   - Every member makes the same state of the same log: state.apply depends on nothing else, but for
+//   - A change is acknowledged only after its entry is committed, that is, synced to the disks of a quorum.
+//   - A change of a document is rejected only with a response that no other leader can contradict: one that
+//     comes either from the log, or from the applied state after a quorum confirmed this leader (ReadIndex).
+//   - All members compute the same state from the same log: state.apply depends on nothing else, except for
 //     the local time at which a lease was seen granted.
-//   - Nothing is sent that claims durability before the disk has synced it (handleReady).
+//   - No message that claims durability is sent before the disk has synced the data (handleReady).
 package controlstate
--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -8,13 +8,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bounds of the message queues between fixed members.
+// Limits of the message queues between members of a fixed cluster.
 const (
-	maxQueuedMessages   = 1024 // for one peer; more are dropped
-	maxMessagesPerBatch = 128  // in one request
+	maxQueuedMessages   = 1024 // queued for one peer; further messages are dropped
+	maxMessagesPerBatch = 128  // sent in one Deliver request
 )
 
-// startPeerQueues starts a queue and its sender for each peer.
+// startPeerQueues creates an outgoing message queue for each peer and starts the goroutine that sends from it.
 func (n *Node) startPeerQueues() {
 	for _, member := range n.coreMembers {
 		if member == n.process.Settings.Name {
@@ -26,16 +26,16 @@
 	}
 }
 
-// enqueue hands a message to the sender of its receiver. A full queue drops it: the consensus core
-// tolerates lost messages.
+// enqueue adds a message to the outgoing queue of its receiver. A message that does not fit is dropped: the
+// consensus core tolerates lost messages.
 func (n *Node) enqueue(message *wire.Message) {
 	if queued := n.outgoing[message.To]; queued != nil {
 		queued.Offer(message)
 	}
 }
 
-// sendQueued sends a peer its messages until the process ends. Messages to a peer whose address isn't
-// known are dropped.
+// sendQueued sends the queued messages of a peer in batches until the process ends. Messages to a peer whose
+// address is unknown are dropped.
 func (n *Node) sendQueued(peer string, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
@@ -50,11 +50,12 @@
 	}
 }
 
+// sendBatch sends messages to a peer in one request. Messages of a failed request are not sent again.
 func (n *Node) sendBatch(peer, addr string, batch []*wire.Message) {
 	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(sendTimeoutRatio))
 	defer cancel()
 	_, err := n.clients.ControlNode(addr).Deliver(ctx, &wire.MessageBatch{Format: messageFormat, Messages: batch})
 	if err != nil {
-		n.process.Log.Debug("messages lost", "to", peer, "messages", len(batch), "error", err)
+		n.process.Log.Debug("failed to deliver consensus messages to peer; messages dropped", "to", peer, "messages", len(batch), "error", err)
 	}
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -11,50 +11,50 @@
 	"pebbleloom/internal/wire"
 )
 
-// Times of a group. The ratios are of the heal bound.
+// Timing of a group. groupTick and reopenIntervalRatio are fractions of the heal bound.
 const (
-	groupTick           = 1.0 / 120 // period of a tick
-	reopenIntervalRatio = 1.0 / 12  // between two attempts to open a disk that failed
+	groupTick           = 1.0 / 120 // tick interval
+	reopenIntervalRatio = 1.0 / 12  // interval between attempts to reopen a failed disk
 	heartbeatTicks      = 3
 	electionTicks       = 9
 )
 
-// group is the part of a shard that only a shard with replicated membership has.
+// group holds the fields that only a shard with replicated membership uses.
 type group struct {
 	codec           backend.Codec
-	consensusConfig consensus.Config // without the incarnation, which the disk holds
+	consensusConfig consensus.Config // Self is filled in from the incarnation stored on disk
 	disk            storage.Disk
-	initialSnapshot func(lost bool) *wire.Snapshot // of an empty disk; lost: it has held another incarnation
-	targetSize      int                            // number of voters
+	initialSnapshot func(lost bool) *wire.Snapshot // returns the snapshot for an empty disk; lost: the disk held another incarnation before
+	targetSize      int                            // desired number of voters
 	zoneOf          func(addr string) string
 	published       viewPublisher
-	ticks           int            // since the start of the process
-	reopenTicks     int            // between two attempts to open a disk that failed
-	leaving         map[string]int // by incarnation: the tick in which it last announced that it stops
-	stopping        bool           // this process stops
+	ticks           int            // ticks since the start of the process
+	reopenTicks     int            // ticks between attempts to reopen a failed disk
+	leaving         map[string]int // by incarnation: the tick at which the member last announced its shutdown
+	stopping        bool           // this process is shutting down
 
-	replacementAllowed bool   // the disk counts as lost and may be replaced: the group serves without it
-	supersededBy       uint64 // the restore generation of the group that was restored without this member; 0: none
+	replacementAllowed bool   // the group serves without this disk, so its contents may be replaced
+	supersededBy       uint64 // restore generation of a group that was restored without this member; 0: none
 
-	noticeTicks  int             // between two notices of a restored group to nodes outside it
-	controlNodes func() []string // addresses of the control nodes in the cluster membership
+	restoreNoticeTicks int             // ticks between the notices that a restored group sends to control nodes outside it
+	controlNodes       func() []string // returns the addresses of all control nodes in the cluster membership
 }
 
-// openGroupShard makes a new shard the one of a group. If its disk can't be opened, the shard runs without taking
-// part until retryReopen succeeds.
+// openGroupShard turns a new shard into this node's member of a group. If the disk cannot be opened, the member starts
+// as failed, and retryReopen tries again.
 func openGroupShard(shard *shard, group *group) {
 	shard.group, group.consensusConfig.DynamicMembership = group, true
 	group.leaving = map[string]int{}
 	shard.core = consensus.New(group.consensusConfig, consensus.LearnerSnapshot(""), nil)
 	if shard.failure = shard.reopen(); shard.failure != nil {
-		shard.log.Error("member is out", "error", errs.Text(shard.failure))
+		shard.log.Error("group member cannot take part in consensus: its disk could not be opened", "error", errs.Text(shard.failure))
 	}
 	shard.publishRecovered()
 }
 
-// reopen recovers the member from its disk, as a new start does. What it reads may have been written by
-// a process that died before it synced, or behind a sync that failed: all of it is written and synced
-// again before this member acts on it.
+// reopen recovers the member from its disk, as at process start. The data may have been written by a process
+// that crashed before syncing it, or may follow a failed sync, so it is written and synced again before this
+// member acts on it.
 func (s *shard) reopen() error {
 	if err := s.syncFiles(); err != nil {
 		return err
@@ -65,7 +65,7 @@
 		return err
 	}
 	if err := s.store.SaveSnapshot(recovered.Snapshot, recovered.Records); err != nil {
-		return errs.Wrap(err, "write what was read anew")
+		return errs.Wrap(err, "rewrite recovered snapshot and log to sync them")
 	}
 	config := s.consensusConfig
 	config.Self = recovered.Snapshot.HardState.Incarnation
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// syncFiles syncs the files of the store that exist. An empty append syncs a file.
+// syncFiles syncs the existing files of the store by appending nothing to each, which syncs the file.
 func (s *shard) syncFiles() error {
 	for _, file := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
 		_, exists, err := s.disk.Read(file)
@@ -84,29 +84,28 @@
 			continue
 		}
 		if err := s.disk.Append(file, nil); err != nil {
-			return errs.WrapAs(err, errs.DiskFailure, "sync what was read")
+			return errs.WrapAs(err, errs.DiskFailure, "sync store file "+file+" before recovery")
 		}
 	}
 	return nil
 }
 
-// retryReopen opens a disk again that has failed, at intervals. The member then goes on as after a
-// restart.
+// retryReopen tries at intervals to reopen a failed disk. On success the member continues as after a restart.
 func (s *shard) retryReopen() {
 	if s.ticks%s.reopenTicks != 0 {
 		return
 	}
 	if err := s.reopen(); err != nil {
-		s.log.Debug("disk still fails", "error", errs.Text(err))
+		s.log.Debug("attempt to reopen the failed control node disk was unsuccessful", "error", errs.Text(err))
 		return
 	}
 	s.failure, s.replacementAllowed, s.supersededBy = nil, false, 0
-	s.log.Info("disk works again", "incarnation", s.core.Self())
+	s.log.Info("control node disk reopened; group member is available again", "incarnation", s.core.Self())
 	s.publishRecovered()
 }
 
-// maintainGroup does at each tick what a member of a group does beside the core's own ticks: it retries
-// a failed disk, and as the leader it proposes the next membership.
+// maintainGroup runs the periodic work of a group member that is not part of the core's tick: it tries to
+// reopen a failed disk, and on the leader it sends restore notices and proposes membership changes.
 func (s *shard) maintainGroup() {
 	if s.group == nil {
 		return
@@ -123,12 +122,12 @@
 	}
 	current, _, _ := s.core.Members()
 	if _, _, ok := s.core.ProposeMembership(next); ok {
-		s.log.Info("membership change", "from", current, "to", next)
+		s.log.Info("proposed a change of the voters of the control group", "from", current, "to", next)
 	}
 }
 
-// nextMembership is the membership that this member has to propose as the leader; nil if there is none
-// to propose now.
+// nextMembership returns the set of voters that this member should propose as the leader; nil if it should
+// propose no membership change now.
 func (s *shard) nextMembership() []string {
 	if !s.core.CanChangeMembership() {
 		return nil
@@ -145,18 +144,18 @@
 	return planner.next()
 }
 
-// bootstrapIncarnation is the incarnation of a seed at the first start of the whole system. All seeds
-// know it of each other.
+// bootstrapIncarnation is the incarnation suffix of each seed at the first start of the site. It is a constant
+// so that the seeds can name each other as members before they have communicated.
 const bootstrapIncarnation = "/0"
 
-// newIncarnation is the name of a new member at an address.
+// newIncarnation returns the name of a new member at an address, made unique by a random number.
 func newIncarnation(addr string, random func() uint64) string {
 	return fmt.Sprintf("%s/%016x", addr, random())
 }
 
-// initialGroupSnapshot is the first snapshot of an empty disk. At the first start of the whole system
-// the seeds bootstrap the group. Any other empty disk has lost what it had, or is new: its member starts
-// as a learner under an incarnation of its own.
+// initialGroupSnapshot returns the first snapshot for an empty disk. At the first start of the site the seeds
+// bootstrap the group as its voters. In any other case the disk is new or has lost its data, and its member
+// starts as a learner under a new incarnation.
 func initialGroupSnapshot(isFirstStart bool, self string, seeds []string, random func() uint64) *wire.Snapshot {
 	if !isFirstStart || !slices.Contains(seeds, self) {
 		return consensus.LearnerSnapshot(newIncarnation(self, random))
--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -11,34 +11,34 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bounds of the idempotency records. An operator may send a change again as late as it likes, so the
-// records are bounded by what a site changes within days, and for each document by itself: a stream of
-// changes to one document can't displace those of another.
+// Limits of the idempotency records. An operator may retry a change at any later time, so the limits cover
+// several days of changes. Each document has its own limit, so that frequent changes of one document do not
+// evict the records of another.
 const (
-	configChangesPerDay = 1200                    // of the configuration, at the target size
-	maxConfigRecords    = 3 * configChangesPerDay // of the configuration
-	maxDocumentRecords  = maxRecentTokens         // of any other document
-	tokenHashBytes      = 16
-	digestBytes         = 8
+	configChangesPerDay = 1200                    // expected changes of the configuration at the target size of a site
+	maxConfigRecords    = 3 * configChangesPerDay // records of the configuration, for three days
+	maxDocumentRecords  = maxRecentTokens         // records of any other document
+	tokenHashBytes      = 16                      // stored prefix of a token's hash
+	digestBytes         = 8                       // stored prefix of a change's digest
 )
 
-// idempotencyRecord is one change that was accepted under a token. It keeps the start of the token's
-// hash, so that a record has the same size whatever operators send.
+// idempotencyRecord describes a change that was accepted under a token. It stores a prefix of the token's hash
+// in place of the token, so that all records have the same size.
 type idempotencyRecord struct {
 	tokenHash      [tokenHashBytes]byte
 	digest         [digestBytes]byte
-	version        uint64 // of the document after the change
-	digestWithBase bool   // the digest is Put.digest, of a release that knew no content digest
+	version        uint64 // of the document after this change
+	digestWithBase bool   // the digest is Put.digest, which covers the base version; set for changes by releases without content digests
 }
 
-// idempotencyRecords are the remembered changes of one document, the oldest first. Invariant: they
-// contain every change that made a version above forgottenVersion.
+// idempotencyRecords are the recorded changes of one document, oldest first. Invariant: they contain every
+// change with a token that produced a version above forgottenVersion.
 type idempotencyRecords struct {
 	forgottenVersion uint64
 	records          []idempotencyRecord
 }
 
-// maxRecords is how many changes of a document are remembered.
+// maxRecords returns the maximum number of idempotency records of a document.
 func maxRecords(key string) int {
 	if key == routingconfig.DocumentKey || key == controlclient.ConfigKey {
 		return maxConfigRecords
@@ -46,14 +46,15 @@
 	return maxDocumentRecords
 }
 
+// hashToken returns the prefix of a token's SHA-256 hash under which its record is stored.
 func hashToken(token string) (hash [tokenHashBytes]byte) {
 	sum := sha256.Sum256([]byte(token))
 	copy(hash[:], sum[:])
 	return hash
 }
 
-// contentDigest identifies the content of a change, whatever version it builds on: a step that is
-// repeated under its token on a later version is the same change.
+// contentDigest identifies a change by its content, regardless of its base version: a change that is retried
+// under the same token on a later version is still the same change.
 func contentDigest(put *wire.Put, patch bool) []byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %v ", put.Key, patch)
@@ -61,8 +62,8 @@
 	return hash.Sum(nil)[:digestBytes]
 }
 
-// requestDigest identifies a change together with the version it builds on. Releases without the
-// content digest compare nothing else, so it is still written.
+// requestDigest identifies a change by its content and its base version. It is still written because releases
+// without content digests compare this digest alone.
 func requestDigest(put *wire.Put, patch bool) []byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %d %v %v ", put.Key, put.IfVersion, put.AnyVersion, patch)
@@ -70,7 +71,7 @@
 	return hash.Sum(nil)
 }
 
-// newIdempotencyRecord is the record of a change that has just made a version.
+// newIdempotencyRecord returns the record of a change that produced a version of its document.
 func newIdempotencyRecord(put *wire.Put, version uint64) idempotencyRecord {
 	record := idempotencyRecord{tokenHash: hashToken(put.Token), version: version}
 	digest := put.ContentDigest
@@ -81,7 +82,7 @@
 	return record
 }
 
-// isSameChange reports whether a request under the same token asks for the change that was accepted.
+// isSameChange reports whether a request under the same token is a retry of the recorded change.
 func (r *idempotencyRecord) isSameChange(put *wire.Put) bool {
 	digest := put.ContentDigest
 	if r.digestWithBase {
@@ -92,7 +93,7 @@
 	return start == r.digest
 }
 
-// add appends a record and forgets the oldest ones above the limit.
+// add appends a record and evicts the oldest ones above the limit.
 func (r *idempotencyRecords) add(record idempotencyRecord, limit int) {
 	r.records = append(r.records, record)
 	for len(r.records) > limit {
@@ -101,7 +102,7 @@
 	}
 }
 
-// find returns the newest record of a token.
+// find returns the newest record of a token, if there is one.
 func (r *idempotencyRecords) find(token string) (idempotencyRecord, bool) {
 	if r == nil || token == "" {
 		return idempotencyRecord{}, false
@@ -115,14 +116,15 @@
 	return idempotencyRecord{}, false
 }
 
-// mayHaveForgotten reports whether a change without a record may have been accepted all the same. A
-// change on version v makes a version above v, and all those above forgottenVersion have records.
+// mayHaveForgotten reports whether a change without a record may have been accepted before, with its record
+// evicted since. A change based on version v produces a version above v, and all changes that produced a
+// version above forgottenVersion still have records.
 func (r *idempotencyRecords) mayHaveForgotten(put *wire.Put) bool {
 	return r != nil && put.Token != "" && !put.AnyVersion && put.IfVersion < r.forgottenVersion
 }
 
-// recordChange remembers a change under its token: among the records of its document, and among the
-// newest tokens of all documents, which is what earlier releases go by.
+// recordChange records an accepted change under its token: in the records of its document, and in the list of
+// recent tokens of all documents, which is the only one that earlier releases use.
 func (s *state) recordChange(put *wire.Put, version uint64) {
 	if put.Token == "" {
 		return
@@ -134,7 +136,7 @@
 	s.idempotencyRecordsOf(put.Key).add(newIdempotencyRecord(put, version), maxRecords(put.Key))
 }
 
-// idempotencyRecordsOf returns the records of a document, which it makes if there are none.
+// idempotencyRecordsOf returns the records of a document, and creates an empty list if there is none.
 func (s *state) idempotencyRecordsOf(key string) *idempotencyRecords {
 	if s.idempotency[key] == nil {
 		s.idempotency[key] = &idempotencyRecords{}
@@ -142,30 +144,31 @@
 	return s.idempotency[key]
 }
 
-// isRecentToken reports whether a token is among the newest of all documents. Earlier releases change
-// nothing then; this is the same rule, so that all members make the same state of the same log.
+// isRecentToken reports whether a token is among the recent tokens of all documents. Earlier releases reject or
+// re-acknowledge such a change without applying it. This release has to follow the same rule, so that members
+// of both releases compute the same state from the same log.
 func (s *state) isRecentToken(token string) bool {
 	return token != "" && slices.ContainsFunc(s.recentTokens, func(recent *wire.ChangeToken) bool { return recent.Token == token })
 }
 
-// answerRepeated responds to a change whose token is remembered: the same change has its first outcome,
-// another one is rejected. It returns nil if the token isn't remembered.
-func (s *state) answerRepeated(put *wire.Put) *wire.ChangeResponse {
+// respondToRetry responds to a change whose token has been used before: a retry of the same change gets its
+// first outcome again, and a different change is rejected. It returns nil if the token is not on record.
+func (s *state) respondToRetry(put *wire.Put) *wire.ChangeResponse {
 	record, ok := s.idempotency[put.Key].find(put.Token)
 	if ok && record.isSameChange(put) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: record.version, TokenReuse: "the change was made before"}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: record.version, TokenReuse: "the change was already made by an earlier request with the same token"}
 	}
 	if ok || s.isRecentToken(put.Token) {
-		reused := "token " + put.Token + " was used for another change: give each change its own"
+		reused := "token " + put.Token + " was already used for a different change: use a new token for each change"
 		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{reused}}
 	}
 	return nil
 }
 
-// answerStaleBase responds to a change whose base isn't the document's version: done if it was accepted
-// before, an unknown outcome if its record may have been forgotten, and otherwise a conflict.
-func (s *state) answerStaleBase(put *wire.Put) *wire.ChangeResponse {
-	if response := s.answerRepeated(put); response != nil {
+// respondToStaleBase responds to a change whose base is not the current version of its document: done if the
+// change was accepted before, an unknown outcome if its record may have been evicted, and a conflict otherwise.
+func (s *state) respondToStaleBase(put *wire.Put) *wire.ChangeResponse {
+	if response := s.respondToRetry(put); response != nil {
 		return response
 	}
 	version := s.documents[put.Key].GetVersion()
@@ -175,7 +178,7 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: version}
 }
 
-// saveIdempotency returns the records of all documents, in the order of their keys.
+// saveIdempotency returns the records of all documents for a snapshot, sorted by document key.
 func (s *state) saveIdempotency() (all []*wire.AcceptedChanges) {
 	for _, key := range maputil.SortedKeys(s.idempotency) {
 		all = append(all, s.idempotency[key].save(key))
@@ -183,6 +186,7 @@
 	return all
 }
 
+// save returns the records of one document for a snapshot.
 func (r *idempotencyRecords) save(key string) *wire.AcceptedChanges {
 	saved := &wire.AcceptedChanges{Key: key, ForgottenVersion: r.forgottenVersion}
 	for i := range r.records {
@@ -197,7 +201,7 @@
 	return saved
 }
 
-// loadIdempotency restores the records of a snapshot.
+// loadIdempotency restores the idempotency records of a snapshot.
 func (s *state) loadIdempotency(all []*wire.AcceptedChanges) {
 	if len(all) == 0 {
 		s.deriveIdempotency()
@@ -215,8 +219,8 @@
 	}
 }
 
-// deriveIdempotency makes the records for a snapshot of a release that kept none, from the newest
-// tokens of all documents. If these are as many as that release kept, older ones were forgotten.
+// deriveIdempotency creates the records for a snapshot of a release that had none, from the recent tokens of
+// all documents. If the list of recent tokens is full, that release may have dropped older ones.
 func (s *state) deriveIdempotency() {
 	for _, token := range s.recentTokens {
 		put := &wire.Put{Token: token.Token, Digest: token.Digest}
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -10,72 +10,74 @@
 	"pebbleloom/internal/wire"
 )
 
-// joinIntervalRatio is the time between two checks whether this member has to ask to join, as a ratio of
-// the heal bound.
+// joinIntervalRatio is the interval between checks whether this member has to request to join the group, as a
+// fraction of the heal bound.
 const joinIntervalRatio = 1.0 / 30
 
-// joinTimeoutRatio is the longest wait for the response to a join or leave request, as a ratio of the
-// heal bound.
+// joinTimeoutRatio is the time-out of a join or leave request, as a fraction of the heal bound.
 const joinTimeoutRatio = 1.0 / 30
 
-// Ticks without a message of the leader after which a member asks to join. A voter may have been removed
-// meanwhile: it asks after the time-out of an election, which it then can't win.
+// Ticks without a message from the leader after which a member requests to join. A voter that hears from no
+// leader may have been removed from the group, in which case it cannot win an election. It therefore requests
+// to join after the election time-out.
 const (
 	learnerJoinTicks = aliveTicks
 	voterJoinTicks   = electionTicks
 )
 
-// Bounds of the join requests of one turn.
+// Limits of the join requests that one iteration of joinLoop sends.
 const (
-	joinCandidatesPerTurn = 2
-	maxJoinRequests       = 2 // to a candidate, and to the leader that it names
+	maxJoinCandidates = 2
+	maxJoinRequests   = 2 // one to a candidate, one to the leader that it names
 )
 
-// rejoinNeed is what keeps a member out of its group.
-type rejoinNeed int
+// rejoinAction is what a node has to do next so that its member takes part in the group.
+type rejoinAction int
 
 const (
-	nothingNeeded         rejoinNeed = iota // a leader replicates to it, or it waits for its disk or an election
-	joinNeeded                              // no leader replicates to it
-	diskReplacement                         // its disk is corrupted
-	supersededReplacement                   // the group was restored without it
+	noRejoinAction    rejoinAction = iota // a leader replicates to the member, or it waits for its disk or for an election
+	sendJoinRequest                       // no leader replicates to the member: request to join
+	replaceCorrupted                      // the disk is corrupted: replace it once the group serves without it
+	replaceSuperseded                     // the group was restored without the member: replace its disk
 )
 
-// joinLoop asks the group to replicate to this member whenever no leader does, and replaces a corrupted disk.
+// joinLoop runs until the process ends. It requests to join the group whenever no leader replicates to this member, and
+// permits the replacement of a disk that is corrupted or superseded by a restored group.
 func (n *Node) joinLoop() {
 	bounds := n.process.Settings.Bounds
 	shard := n.shards[0]
-	for turn := 0; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, bounds.Heal(joinIntervalRatio)) {
+	for failures := 0; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, bounds.Heal(joinIntervalRatio)) {
 		ctx, cancel := context.WithTimeout(n.process.Ctx, bounds.Heal(queryTimeoutRatio))
-		need := query(ctx, shard, nothingNeeded, shard.rejoinNeed)
+		action := query(ctx, shard, noRejoinAction, shard.rejoinAction)
 		cancel()
-		switch need {
-		case diskReplacement:
+		switch action {
+		case replaceCorrupted:
 			n.replaceCorruptedDisk()
-		case supersededReplacement:
+		case replaceSuperseded:
 			n.replaceSupersededDisk()
-		case joinNeeded:
+		case sendJoinRequest:
 			view := shard.published.current()
 			n.controlClient.HintLeader(view.leader)
-			turn += n.requestJoin(view.self, view.members, turn)
+			failures += n.requestJoin(view.self, view.members, failures)
 		}
 	}
 }
 
-func (s *shard) rejoinNeed() rejoinNeed {
+// rejoinAction returns what this node has to do so that its member takes part in the group.
+func (s *shard) rejoinAction() rejoinAction {
 	switch {
 	case s.hasCorruptedDisk():
-		return diskReplacement
+		return replaceCorrupted
 	case s.supersededBy != 0:
-		return supersededReplacement
+		return replaceSuperseded
 	case s.needsJoin():
-		return joinNeeded
+		return sendJoinRequest
 	}
-	return nothingNeeded
+	return noRejoinAction
 }
 
-// needsJoin reports whether no leader sends this member entries. A voter that only waits for an
-// election may ask as well: it does no harm.
+// needsJoin reports whether this member has heard from no leader for long enough that it should request to
+// join. For a voter that is only waiting for an election the request has no effect.
 func (s *shard) needsJoin() bool {
 	status := s.core.Status()
 	timeoutTicks := learnerJoinTicks
@@ -87,33 +89,35 @@
 	return s.failure == nil && !s.stopping && !status.IsLeader && status.TicksSinceLeader >= timeoutTicks
 }
 
-// unresponsiveTurnInterval is how often an unresponsive address is asked before responsive ones: in one
-// of so many turns.
-const unresponsiveTurnInterval = 4
+// unresponsiveRetryInterval is the number of failed join requests after which an unresponsive address is tried
+// even though enough responsive ones are known.
+const unresponsiveRetryInterval = 4
 
-// joinCandidates returns the addresses to ask in a turn: those that responded the last time, in
-// rotation, and an unresponsive one if there are too few of them or it is its turn.
-func joinCandidates(addresses []string, isUnresponsive func(addr string) bool, turn int) []string {
+// joinCandidates returns the addresses to send join requests to next, given how many requests have failed so far.
+// It rotates through the addresses that responded last time. It adds unresponsive ones if there are too few
+// responsive ones, and once in every unresponsiveRetryInterval failures.
+func joinCandidates(addresses []string, isUnresponsive func(addr string) bool, failures int) []string {
 	responsive, unresponsive := controlclient.SplitByResponsiveness(addresses, isUnresponsive)
-	unresponsiveTurn := turn / unresponsiveTurnInterval
-	candidates := append(rotate(responsive, turn), rotate(unresponsive, unresponsiveTurn)...)
-	if turn%unresponsiveTurnInterval == unresponsiveTurnInterval-1 && len(unresponsive) > 0 && len(responsive) > 1 {
-		candidates[1] = unresponsive[unresponsiveTurn%len(unresponsive)]
+	unresponsiveOffset := failures / unresponsiveRetryInterval
+	candidates := append(rotate(responsive, failures), rotate(unresponsive, unresponsiveOffset)...)
+	if failures%unresponsiveRetryInterval == unresponsiveRetryInterval-1 && len(unresponsive) > 0 && len(responsive) > 1 {
+		candidates[1] = unresponsive[unresponsiveOffset%len(unresponsive)]
 	}
-	return candidates[:min(len(candidates), joinCandidatesPerTurn)]
+	return candidates[:min(len(candidates), maxJoinCandidates)]
 }
 
-// rotate returns the items starting from another one each turn.
-func rotate(items []string, turn int) []string {
+// rotate returns the items in rotated order, starting with the one at the offset (modulo their number).
+func rotate(items []string, offset int) []string {
 	if len(items) == 0 {
 		return nil
 	}
-	start := turn % len(items)
+	start := offset % len(items)
 	return slices.Concat(items[start:], items[:start])
 }
 
-// requestJoin asks the candidates of this turn until one accepts. It returns how many were of no help.
-func (n *Node) requestJoin(self string, members []string, turn int) (unhelpful int) {
+// requestJoin sends join requests to the next candidates until one accepts. It returns how many candidates failed;
+// previousFailures counts those of earlier calls.
+func (n *Node) requestJoin(self string, members []string, previousFailures int) (failed int) {
 	addresses := n.controlClient.Addresses()
 	for _, member := range members {
 		if addr := controlclient.MemberAddr(member); !slices.Contains(addresses, addr) {
@@ -122,16 +126,16 @@
 	}
 	selfAddr := controlclient.MemberAddr(self)
 	addresses = slices.DeleteFunc(addresses, func(addr string) bool { return addr == selfAddr })
-	for _, addr := range joinCandidates(addresses, n.controlClient.IsUnresponsive, turn) {
+	for _, addr := range joinCandidates(addresses, n.controlClient.IsUnresponsive, previousFailures) {
 		if n.joinThrough(addr, self) {
-			return unhelpful
+			return failed
 		}
-		unhelpful++
+		failed++
 	}
-	return unhelpful
+	return failed
 }
 
-// joinThrough asks a candidate, and then the leader that it names, to have this member replicated to.
+// joinThrough sends a join request to a candidate and, if that is not the leader, to the leader that it names.
 func (n *Node) joinThrough(addr, self string) (accepted bool) {
 	selfAddr := controlclient.MemberAddr(self)
 	for range maxJoinRequests {
@@ -152,15 +156,16 @@
 	return false
 }
 
+// sendJoin sends one join request for this member to a control node.
 func (n *Node) sendJoin(addr, self string) (*wire.JoinResponse, error) {
 	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
 	defer cancel()
 	return n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Settings.Zone})
 }
 
-// Join has the leader replicate to a member that isn't a voter, or lets a member leave. On another
-// member the response names the leader. A node with fixed members responds with OutcomeUnknown, as does
-// a request whose name isn't an address and an incarnation.
+// Join makes the leader replicate to a learner, or asks it whether a member that is shutting down may stop. If
+// this node is not the leader, the response names the leader. The response is OutcomeUnknown if this node has
+// fixed members, or if the name in the request does not consist of an address and an incarnation number.
 //
 // Example: response, err := n.Join(ctx, &wire.JoinRequest{Name: "10.1.0.17:7360/8f3a"})
 func (n *Node) Join(ctx context.Context, request *wire.JoinRequest) (*wire.JoinResponse, error) {
@@ -172,6 +177,7 @@
 	return query(ctx, shard, unknown, func() *wire.JoinResponse { return shard.handleJoin(request) }), nil
 }
 
+// handleJoin handles a join or leave request on the shard's goroutine.
 func (s *shard) handleJoin(request *wire.JoinRequest) *wire.JoinResponse {
 	status := s.core.Status()
 	if s.failure != nil || !status.IsLeader {
--- a/internal/control/controlstate/leadership.go
+++ b/internal/control/controlstate/leadership.go
@@ -7,13 +7,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// confirmTimeoutRatio is the part of a request's time within which a quorum must confirm that this
-// member is still the leader. A leader that a partition cut off spends no more on the request, so that
-// the caller has the rest of the time for the other members.
+// confirmTimeoutRatio is the fraction of a request's time-out within which a quorum must confirm that this
+// member is still the leader. A partitioned leader gives up after that, which leaves the caller time to ask
+// the other members.
 const confirmTimeoutRatio = 0.5
 
-// confirmContext bounds the wait for a quorum's confirmation. The bound grows with the size of the
-// request's body, in bytes.
+// confirmContext returns a context that limits the wait for a quorum to confirm this leader. The time-out grows
+// with the size of the request's body, in bytes.
 func (s *shard) confirmContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
 	if s.confirmTimeout == 0 {
 		return context.WithCancel(ctx)
@@ -21,9 +21,9 @@
 	return context.WithTimeout(ctx, time.Duration(float64(s.confirmTimeout)*(1+float64(size)/timeoutBodyBytes)))
 }
 
-// confirmBeforeMerge confirms this leader before it merges and validates a routing configuration:
-// that takes long, and would be in vain on a member that is cut off. It returns nil if the change may
-// go on.
+// confirmBeforeMerge has a quorum confirm this leader before a routing configuration is merged and validated,
+// which is expensive and would be wasted on a partitioned member. It returns nil if the change may proceed,
+// and the response to the change otherwise.
 func (s *shard) confirmBeforeMerge(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
 	if s.group == nil || request.Command.GetPut().GetKey() != s.configKey() {
 		return nil
@@ -31,9 +31,9 @@
 	return s.confirmAppliedState(ctx, request)
 }
 
-// confirmAppliedState returns nil once a quorum has confirmed that this member is the leader and that
-// its applied state holds all that was acknowledged before the call. Otherwise it returns the response
-// to a change of which nothing was proposed.
+// confirmAppliedState returns nil once a quorum has confirmed that this member is the leader and its applied
+// state includes all changes that were acknowledged before the call. Otherwise it returns the response to the
+// change, none of which has been proposed.
 func (s *shard) confirmAppliedState(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
 	ctx, cancel := s.confirmContext(ctx, len(request.Command.GetPut().GetBody()))
 	defer cancel()
@@ -46,11 +46,12 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 }
 
-// transferLeadership asks a peer that has caught up to take over the leadership before this node stops.
+// transferLeadership transfers the leadership, if this member has it, to a peer with an up-to-date log before this node
+// stops.
 func (s *shard) transferLeadership() {
 	s.commands.Offer(func() {
 		if s.failure == nil && s.core.TransferLeadership() {
-			s.log.Info("leadership transfer requested")
+			s.log.Info("requested transfer of shard leadership before shutdown")
 		}
 	})
 }
--- a/internal/control/controlstate/leave.go
+++ b/internal/control/controlstate/leave.go
@@ -9,15 +9,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// leaveTimeoutRatio is the longest wait until the group can do without this member, as a ratio of the
-// grace time of a shutdown.
+// leaveTimeoutRatio limits how long a shutdown waits until the group can continue without this member, as a
+// fraction of the shutdown grace period.
 const leaveTimeoutRatio = 0.4
 
-// leaveNoticeTicks is how long an announcement to leave counts without being repeated.
+// leaveNoticeTicks is the number of ticks after which an announcement to leave lapses unless it is repeated.
 const leaveNoticeTicks = heartbeatTicks
 
-// leave waits during a shutdown until the group can do without this member: its leadership is
-// transferred, a spare has replaced it if there is one, and the other voters hold what it holds.
+// leave waits during a shutdown until the group can continue without this member: its leadership is
+// transferred, a spare learner has replaced it as a voter if one is available, and the other live voters hold
+// every committed entry.
 func (n *Node) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(n.process.Settings.Site.GraceMs, leaveTimeoutRatio))
 	defer cancel()
@@ -27,7 +28,7 @@
 	n.membership.Leave()
 }
 
-// tryLeave takes the next step towards leaving, and reports whether this member may stop.
+// tryLeave takes the next step of leaving the group, and reports whether this member may stop.
 func (n *Node) tryLeave(ctx context.Context) bool {
 	shard := n.shards[0]
 	progress := query(ctx, shard, leaveProgress{done: true}, shard.prepareToLeave)
@@ -41,15 +42,15 @@
 	return err == nil && response.Outcome == wire.OutcomeDone
 }
 
-// leaveProgress is how far a member has come with leaving. Unless it is done or leads itself, it has to
-// ask the leader.
+// leaveProgress describes how far a member has come in leaving its group. A member that is neither done nor the
+// leader has to ask the leader whether it may stop.
 type leaveProgress struct {
 	done, isLeader bool
 	self, leader   string
 }
 
-// prepareToLeave transfers the leadership once the other voters hold all that this member holds. The
-// group needs nothing of a member that is out, or of a learner without a leader.
+// prepareToLeave transfers the leadership, if this member has it, once the other live voters hold every committed
+// entry. A failed member, or a learner that knows no leader, may stop at once: the group does not depend on it.
 func (s *shard) prepareToLeave() leaveProgress {
 	status, self := s.core.Status(), s.core.Self()
 	s.stopping = true
@@ -61,13 +62,14 @@
 	}
 	s.leaving[self] = s.ticks
 	if s.canLeave(self) && !s.core.TransferLeadershipExcept(s.isLeaving) {
-		s.core.TransferLeadership() // everyone else is leaving as well
+		s.core.TransferLeadership() // there is no suitable voter that is not leaving too
 	}
 	return leaveProgress{isLeader: true}
 }
 
-// canLeave reports whether the group has done what it can before a member stops: there is no membership
-// left to propose, and the other live voters hold the whole log.
+// canLeave reports whether this member, as the leader, has finished the preparations for a voter to stop: there is
+// no membership change left to propose, and the other live voters hold every committed entry. A member that is
+// not a voter can leave unless a membership change is in progress.
 func (s *shard) canLeave(name string) bool {
 	if !s.core.CanChangeMembership() {
 		return false
@@ -78,16 +80,16 @@
 	return s.nextMembership() == nil && s.core.ReplicatedToLiveVoters(name, aliveTicks)
 }
 
-// isLeaving reports whether a member has announced lately that it leaves.
+// isLeaving reports whether a member has announced within the last leaveNoticeTicks that it is shutting down.
 func (s *shard) isLeaving(name string) bool {
 	announced, ok := s.leaving[name]
 	return ok && s.ticks-announced < leaveNoticeTicks
 }
 
-// handleLeave records that a member announced to leave, and reports whether it may stop. A learner may
-// at once. The announcement of a member that may stop is dropped: from then on it counts as any member
-// that may become silent, since a group that counted on it while its successor is added would need that
-// successor for its quorum.
+// handleLeave records a member's announcement that it is shutting down, and reports whether it may stop. Once it
+// may, the announcement is deleted, so that the member is treated like any other that may become silent. If it
+// were still treated as leaving, its successor would be added before its removal, and the group would need that
+// successor for a quorum.
 func (s *shard) handleLeave(name string) bool {
 	for other, announced := range s.leaving {
 		if s.ticks-announced >= leaveNoticeTicks {
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -40,7 +40,7 @@
 		return p.without(lost)
 	}
 	if len(p.members) > p.targetSize {
-		return p.shrink()
+		return p.removeSurplusVoter()
 	}
 	spare := p.bestSpare()
 	switch {
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// shrink removes a voter from a group that has one too many: one that leaves, or else a silent one.
+// removeSurplusVoter removes a voter from a group that has one too many: one that leaves, or else a silent one.
 // While all are alive and stay, one more does no harm.
-func (p *membershipPlanner) shrink() []string {
+func (p *membershipPlanner) removeSurplusVoter() []string {
 	if leaving := p.firstMember(p.isLeaving); leaving != "" {
 		return p.without(leaving)
 	}
@@ -144,7 +144,7 @@
 func (p *membershipPlanner) bestSpare() string {
 	best := ""
 	for _, peer := range p.peers {
-		if p.isReady(peer) && (best == "" || p.hasZoneWithMember(best) && !p.hasZoneWithMember(peer.Name)) {
+		if p.isReady(peer) && (best == "" || p.hasVoterInZoneOf(best) && !p.hasVoterInZoneOf(peer.Name)) {
 			best = peer.Name
 		}
 	}
@@ -165,8 +165,8 @@
 	})
 }
 
-// hasZoneWithMember reports whether a voter that isn't leaving is in a learner's zone.
-func (p *membershipPlanner) hasZoneWithMember(name string) bool {
+// hasVoterInZoneOf reports whether a voter that isn't leaving is in a learner's zone.
+func (p *membershipPlanner) hasVoterInZoneOf(name string) bool {
 	zone := p.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(p.members, func(member string) bool {
 		return zone != "" && !p.isLeaving(member) && p.zoneOf(controlclient.MemberAddr(member)) == zone
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -11,10 +11,10 @@
 func (n *Node) registerMetrics() {
 	meter := n.process.Meter
 	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
-		return gaugeOf(shard.IsLeader)
+		return boolToGauge(shard.IsLeader)
 	}))
 	isOut := func(shard *wire.ShardStatus) float64 {
-		return gaugeOf(shard.Failure != "" || shard.Blank || shard.Stuck != "")
+		return boolToGauge(shard.Failure != "" || shard.Blank || shard.Stuck != "")
 	}
 	meter.Gauge("pebbleloom_parts_out", "shards whose member here has failed, is blank or can't rejoin", n.sumOverShards(isOut))
 	meter.Gauge("pebbleloom_state_bytes", "bytes of the documents in the applied state", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
@@ -51,15 +51,15 @@
 		return float64(len(shard.published.current().members))
 	})
 	meter.Gauge("pebbleloom_group_votes", "1 while this member is a voter and its disk works", func() float64 {
-		return gaugeOf(shard.published.current().isVoter)
+		return boolToGauge(shard.published.current().isVoter)
 	})
 	meter.Gauge("pebbleloom_plan_version", "version of the routing configuration that this member holds", func() float64 {
 		return float64(shard.published.current().documents[routingconfig.DocumentKey].GetVersion())
 	})
 }
 
-// gaugeOf is 1 for true and 0 for false.
-func gaugeOf(condition bool) float64 {
+// boolToGauge is 1 for true and 0 for false.
+func boolToGauge(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -167,7 +167,7 @@
 // on the leader. It returns nil if there is no such document.
 func (n *Node) readDocument(ctx context.Context, key string) (*wire.Document, error) {
 	request := &wire.ReadRequest{Key: key}
-	response := n.readHere(ctx, request)
+	response := n.readLocally(ctx, request)
 	if response.GetOutcome() != wire.OutcomeDone {
 		var err error
 		if response, err = n.controlClient.Read(ctx, request); err != nil {
@@ -182,8 +182,8 @@
 	return nil, nil
 }
 
-// readHere reads from this member; it returns nil if this member doesn't lead the group.
-func (n *Node) readHere(ctx context.Context, request *wire.ReadRequest) *wire.ReadResponse {
+// readLocally reads from this member; it returns nil if this member doesn't lead the group.
+func (n *Node) readLocally(ctx context.Context, request *wire.ReadRequest) *wire.ReadResponse {
 	if !n.leaderView().isLeader {
 		return nil
 	}
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -127,7 +127,7 @@
 // preparePut checks a change of a document. A change that was accepted before is acknowledged again.
 func (s *shard) preparePut(put *wire.Put, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	put.Digest, put.ContentDigest = requestDigest(put, request.Patch), contentDigest(put, request.Patch)
-	if response := s.state.answerRepeated(put); response != nil {
+	if response := s.state.respondToRetry(put); response != nil {
 		return response
 	}
 	old := s.state.documents[put.Key]
@@ -135,7 +135,7 @@
 		if put.IfVersion > old.GetVersion() && len(s.core.UnappliedEntries()) > 0 {
 			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // its base, or its first copy, may be in flight
 		}
-		return s.state.answerStaleBase(put)
+		return s.state.respondToStaleBase(put)
 	}
 	if put.Key == s.configKey() {
 		if response := s.prepareConfig(put, request, config); response != nil {
--- a/internal/control/controlstate/restore.go
+++ b/internal/control/controlstate/restore.go
@@ -21,20 +21,20 @@
 // (consensus/restore.go says what that means for the others). This file decides whether that is allowed, and
 // carries it out on the member that goes on.
 
-// surveyTimeoutRatio is how long the other control nodes may take to answer before a restore, as a ratio of the
+// memberReportTimeoutRatio is how long the other control nodes may take to answer before a restore, as a ratio of the
 // heal bound.
-const surveyTimeoutRatio = 1.0 / 12
+const memberReportTimeoutRatio = 1.0 / 12
 
-// noticeIntervalRatio is the time between two notices of a restored group to control nodes that aren't part of it,
+// restoreNoticeIntervalRatio is the time between two notices of a restored group to control nodes that aren't part of it,
 // as a ratio of the heal bound.
-const noticeIntervalRatio = 1.0 / 12
+const restoreNoticeIntervalRatio = 1.0 / 12
 
 // restoredTokenStep is added to the fencing token of every lease when a group is restored: it is more than the
 // lost members can have granted beyond what the surviving one knows.
 const restoredTokenStep = 1 << 32
 
-// survivor is what a control node says of its disk before a restore.
-type survivor struct {
+// memberReport is what a control node says of its disk before a restore.
+type memberReport struct {
 	member     string // its name in the group
 	generation uint64 // the restore generation of its group
 	logEnd     logPosition
@@ -58,7 +58,7 @@
 
 // newestMembership returns the newest membership that any of the survivors knows, among those of one restore
 // generation.
-func newestMembership(survivors []survivor, generation uint64) (newest membership) {
+func newestMembership(survivors []memberReport, generation uint64) (newest membership) {
 	for _, other := range survivors {
 		if other.generation == generation && (newest.members == nil || other.newest.at.isAfter(newest.at)) {
 			newest = other.newest
@@ -69,7 +69,7 @@
 
 // objectionsToRestore lists why the group must not be restored from a survivor, given all that answered, itself
 // included. It returns none if it may.
-func objectionsToRestore(self survivor, answered []survivor) (objections []string) {
+func objectionsToRestore(self memberReport, answered []memberReport) (objections []string) {
 	if self.failure != "" {
 		objections = append(objections, "this member's disk can't be used: "+self.failure)
 	}
@@ -86,7 +86,7 @@
 	}
 	members := newestMembership(answered, self.generation).members
 	usable := slices.DeleteFunc(slices.Clone(members), func(member string) bool {
-		return !slices.ContainsFunc(answered, func(other survivor) bool { return other.member == member && other.failure == "" })
+		return !slices.ContainsFunc(answered, func(other memberReport) bool { return other.member == member && other.failure == "" })
 	})
 	if 2*len(usable) > len(members) {
 		objections = append(objections, fmt.Sprintf("a majority of the members answers: %s: the group needs no restore, see that they reach each other", strings.Join(usable, ", ")))
@@ -102,7 +102,7 @@
 func (n *Node) RestoreGroup(ctx context.Context, confirmed string) (operatorapi.RestoreReport, error) {
 	shard := n.shards[0]
 	status := query(ctx, shard, consensus.Status{}, func() consensus.Status { return shard.core.Status() })
-	self, answered, silent := n.surveyControlNodes(ctx)
+	self, answered, silent := n.queryMemberReports(ctx)
 	report := operatorapi.RestoreReport{
 		Member:        self.member,
 		LogTerm:       self.logEnd.term,
@@ -148,7 +148,7 @@
 // restore makes this member the only one of a restored group, under a new name. All entries of its log count, the
 // uncommitted ones too: each of them may have been acknowledged.
 func (s *shard) restore(name string, random uint64) error {
-	s.endWaits() // for the old group
+	s.endPendingRequests() // for the old group
 	for _, entry := range s.core.UnappliedEntries() {
 		if _, err := s.applyToState(entry); err != nil {
 			s.halt(err)
@@ -184,21 +184,21 @@
 	}
 }
 
-// surveyControlNodes asks all control nodes that this one knows what their disks hold. answered includes this one;
+// queryMemberReports asks all control nodes that this one knows what their disks hold. answered includes this one;
 // silent are the addresses of those that didn't answer.
-func (n *Node) surveyControlNodes(ctx context.Context) (self survivor, answered []survivor, silent []string) {
-	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(surveyTimeoutRatio))
+func (n *Node) queryMemberReports(ctx context.Context) (self memberReport, answered []memberReport, silent []string) {
+	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
 	defer cancel()
-	self, _ = surveyOf(ctx, n)
-	answered = []survivor{self}
+	self, _ = queryMemberReport(ctx, n)
+	answered = []memberReport{self}
 	selfAddr := controlclient.MemberAddr(self.member)
 	n.leaderView() // whose members are among the addresses
 	addresses := slices.DeleteFunc(n.controlClient.Addresses(), func(addr string) bool { return addr == selfAddr })
-	responses := make([]*survivor, len(addresses))
+	responses := make([]*memberReport, len(addresses))
 	var queries sync.WaitGroup
 	for i, addr := range addresses {
 		queries.Go(func() {
-			if other, err := surveyOf(ctx, n.clients.ControlNode(addr)); err == nil {
+			if other, err := queryMemberReport(ctx, n.clients.ControlNode(addr)); err == nil {
 				responses[i] = &other
 			}
 		})
@@ -220,21 +220,21 @@
 	Follow(context.Context, *wire.FollowRequest) (*wire.FollowResponse, error)
 }
 
-// surveyOf asks one control node what its disk holds.
-func surveyOf(ctx context.Context, node statusReader) (survivor, error) {
+// queryMemberReport asks one control node what its disk holds.
+func queryMemberReport(ctx context.Context, node statusReader) (memberReport, error) {
 	follow, err := node.Follow(ctx, &wire.FollowRequest{})
 	if err != nil {
-		return survivor{}, err
+		return memberReport{}, err
 	}
 	response, err := node.Status(ctx, &wire.StatusRequest{})
 	if err != nil {
-		return survivor{}, err
+		return memberReport{}, err
 	}
 	if len(response.Shards) == 0 {
-		return survivor{}, errs.New(errs.NotFound, "the node has no member of the group")
+		return memberReport{}, errs.New(errs.NotFound, "the node has no member of the group")
 	}
 	status := response.Shards[0]
-	return survivor{
+	return memberReport{
 		member:     follow.Member,
 		generation: follow.RestoreGeneration,
 		logEnd:     logPosition{status.LastLogTerm, status.LastIndex},
@@ -246,7 +246,7 @@
 // sendRestoreNotices has the leader of a restored group inform control nodes outside it, at intervals: on their
 // disks may be members of an earlier generation, which would go on without it.
 func (s *shard) sendRestoreNotices() {
-	if s.ticks%s.noticeTicks != 0 {
+	if s.ticks%s.restoreNoticeTicks != 0 {
 		return
 	}
 	if status := s.core.Status(); !status.IsLeader || status.RestoreGeneration == 0 {
@@ -266,10 +266,10 @@
 // errSuperseded takes a member out that the group was restored without.
 var errSuperseded = errs.New(errs.Conflict, "the group was restored without this member: its disk counts as lost once the restored group serves")
 
-// yieldToRestoredGroup takes this member out once it has learned that the group was restored without it. Its disk
+// haltIfSuperseded takes this member out once it has learned that the group was restored without it. Its disk
 // counts as lost, and the machine joins the restored group as a new member, but only once that is known to serve
 // (replaceSupersededDisk): a wrong number in a message must not have a group set all of its disks aside.
-func (s *shard) yieldToRestoredGroup() {
+func (s *shard) haltIfSuperseded() {
 	if s.supersededBy = s.core.SupersededBy(); s.supersededBy != 0 {
 		s.halt(errSuperseded)
 	}
@@ -279,7 +279,7 @@
 // of that restore generation, or a later one, serves a read that a quorum has confirmed.
 func (n *Node) replaceSupersededDisk() {
 	shard := n.shards[0]
-	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(surveyTimeoutRatio))
+	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
 	defer cancel()
 	generation := query(ctx, shard, 0, func() uint64 { return shard.supersededBy })
 	for _, addr := range n.controlClient.Addresses() {
--- a/internal/control/controlstate/restore_test.go
+++ b/internal/control/controlstate/restore_test.go
@@ -19,10 +19,10 @@
 // What speaks against a restore, by what the control nodes say.
 func TestObjectionsToRestore(t *testing.T) {
 	five := membership{[]string{"a/0", "b/0", "c/0", "d/0", "e/0"}, logPosition{2, 7}}
-	holding := func(name string, end logPosition) survivor {
-		return survivor{member: name, logEnd: end, newest: five}
+	holding := func(name string, end logPosition) memberReport {
+		return memberReport{member: name, logEnd: end, newest: five}
 	}
-	later := func(s survivor, generation uint64) survivor {
+	later := func(s memberReport, generation uint64) memberReport {
 		s.generation = generation
 		return s
 	}
@@ -35,24 +35,24 @@
 	restored.newest = membership{[]string{"a/1", "f/1", "g/1"}, logPosition{1, 3}}
 	for _, test := range []struct {
 		name     string
-		self     survivor
-		answered []survivor
+		self     memberReport
+		answered []memberReport
 		want     string // a part of the objections; empty: there is none
 	}{
 		{"it alone answers", self, nil, ""},
-		{"two of five answer", self, []survivor{holding("b/0", logPosition{2, 8})}, ""},
-		{"two answer, and a new machine", self, []survivor{holding("b/0", logPosition{2, 8}), {member: "c/77"}}, ""},
-		{"a member's disk fails", self, []survivor{failing, holding("c/0", logPosition{1, 8})}, ""},
-		{"three of five answer", self, []survivor{holding("b/0", logPosition{2, 8}), holding("c/0", logPosition{1, 4})}, "a majority of the members answers: a/0, b/0, c/0"},
-		{"another's log is longer", self, []survivor{holding("b/0", logPosition{2, 9})}, "the log of b/0 is newer"},
-		{"another's log is of a later term", self, []survivor{holding("b/0", logPosition{3, 5})}, "the log of b/0 is newer"},
-		{"another knows newer members, a majority of which answers", self, []survivor{newerMembers}, "a majority of the members answers: a/0, f/1"},
-		{"another belongs to a restored group", self, []survivor{later(holding("b/0", logPosition{1, 1}), 1<<32)}, "restored after"},
-		{"the others belong to the group before a restore", restored, []survivor{holding("b/0", logPosition{9, 9}), holding("c/0", logPosition{9, 9}), holding("d/0", logPosition{9, 9})}, ""},
+		{"two of five answer", self, []memberReport{holding("b/0", logPosition{2, 8})}, ""},
+		{"two answer, and a new machine", self, []memberReport{holding("b/0", logPosition{2, 8}), {member: "c/77"}}, ""},
+		{"a member's disk fails", self, []memberReport{failing, holding("c/0", logPosition{1, 8})}, ""},
+		{"three of five answer", self, []memberReport{holding("b/0", logPosition{2, 8}), holding("c/0", logPosition{1, 4})}, "a majority of the members answers: a/0, b/0, c/0"},
+		{"another's log is longer", self, []memberReport{holding("b/0", logPosition{2, 9})}, "the log of b/0 is newer"},
+		{"another's log is of a later term", self, []memberReport{holding("b/0", logPosition{3, 5})}, "the log of b/0 is newer"},
+		{"another knows newer members, a majority of which answers", self, []memberReport{newerMembers}, "a majority of the members answers: a/0, f/1"},
+		{"another belongs to a restored group", self, []memberReport{later(holding("b/0", logPosition{1, 1}), 1<<32)}, "restored after"},
+		{"the others belong to the group before a restore", restored, []memberReport{holding("b/0", logPosition{9, 9}), holding("c/0", logPosition{9, 9}), holding("d/0", logPosition{9, 9})}, ""},
 		{"its own disk fails", failing, nil, "can't be used: no space"},
-		{"its own disk is empty", survivor{member: "a/5"}, nil, "disk is empty"},
+		{"its own disk is empty", memberReport{member: "a/5"}, nil, "disk is empty"},
 	} {
-		objections := objectionsToRestore(test.self, append([]survivor{test.self}, test.answered...))
+		objections := objectionsToRestore(test.self, append([]memberReport{test.self}, test.answered...))
 		if text := strings.Join(objections, "; "); text != "" && test.want == "" || !strings.Contains(text, test.want) {
 			t.Errorf("%s: %q, want %q", test.name, text, test.want)
 		}
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -115,7 +115,7 @@
 // the disk does. A failed write takes the member out: it acknowledges and sends nothing more.
 func (s *shard) handleReady() {
 	if s.group != nil && s.failure == nil {
-		s.yieldToRestoredGroup()
+		s.haltIfSuperseded()
 	}
 	if s.failure != nil {
 		return
@@ -160,13 +160,13 @@
 func (s *shard) halt(err error) {
 	s.failure = err
 	s.log.Error("member is out", "error", errs.Text(err))
-	s.endWaits()
+	s.endPendingRequests()
 	s.publish(consensus.Ready{})
 }
 
-// endWaits ends pending reads, watches and proposals; the outcome of these is unknown, since the other members may
+// endPendingRequests ends pending reads, watches and proposals; the outcome of these is unknown, since the other members may
 // still commit their entries.
-func (s *shard) endWaits() {
+func (s *shard) endPendingRequests() {
 	for id := range s.pendingReads {
 		s.completeRead(id, false)
 	}
--- a/internal/control/controlstate/start_group.go
+++ b/internal/control/controlstate/start_group.go
@@ -67,13 +67,13 @@
 	shard.claimRetention = process.Settings.Bounds.RequestIDRetention(1)
 	shard.confirmTimeout = settings.Fraction(site.AckTimeoutMs, operatorTimeoutRatio*confirmTimeoutRatio)
 	openGroupShard(shard, &group{
-		codec:        codec,
-		disk:         shardDisk(process, groupShardDirectory),
-		zoneOf:       n.zoneOf,
-		targetSize:   2*site.ToleratedFailures + 1,
-		reopenTicks:  int(reopenIntervalRatio / groupTick),
-		noticeTicks:  int(noticeIntervalRatio / groupTick),
-		controlNodes: n.controlNodeAddrs,
+		codec:              codec,
+		disk:               shardDisk(process, groupShardDirectory),
+		zoneOf:             n.zoneOf,
+		targetSize:         2*site.ToleratedFailures + 1,
+		reopenTicks:        int(reopenIntervalRatio / groupTick),
+		restoreNoticeTicks: int(restoreNoticeIntervalRatio / groupTick),
+		controlNodes:       n.controlNodeAddrs,
 		consensusConfig: consensus.Config{
 			HeartbeatTicks:   heartbeatTicks,
 			ElectionTicks:    electionTicks,
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -102,7 +102,7 @@
 // earlier releases, so that members of several releases make the same state of one log.
 func (s *state) applyPut(put *wire.Put) *wire.ChangeResponse {
 	if s.isRecentToken(put.Token) {
-		return s.answerRepeated(put)
+		return s.respondToRetry(put)
 	}
 	if lease := s.leases[put.Lease]; put.Lease != "" && (lease == nil || lease.Fence != put.Fence || lease.Holder != put.Holder) {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the fencing token is stale
@@ -115,7 +115,7 @@
 		document = &wire.Document{Key: put.Key}
 	}
 	if !put.AnyVersion && put.IfVersion != document.Version {
-		return s.answerStaleBase(put)
+		return s.respondToStaleBase(put)
 	}
 	if put.NewVersion > 0 && put.NewVersion <= document.Version {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: document.Version}
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -279,13 +279,13 @@
 // those of versionCodec.
 func newTestGroup(disk storage.Disk, random *rand.Rand, initialSnapshot func(lost bool) *wire.Snapshot) *group {
 	return &group{
-		codec:        versionCodec{},
-		disk:         disk,
-		targetSize:   3,
-		reopenTicks:  3,
-		noticeTicks:  3,
-		controlNodes: func() []string { return nil },
-		zoneOf:       func(string) string { return "" },
+		codec:              versionCodec{},
+		disk:               disk,
+		targetSize:         3,
+		reopenTicks:        3,
+		restoreNoticeTicks: 3,
+		controlNodes:       func() []string { return nil },
+		zoneOf:             func(string) string { return "" },
 		consensusConfig: consensus.Config{
 			HeartbeatTicks: heartbeatTicks,
 			ElectionTicks:  electionTicks,
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -49,7 +49,7 @@
 	box := t.outboxes[to]
 	if box == nil {
 		if len(t.outboxes) >= maxOutboxes {
-			t.evictIdlest()
+			t.evictLeastRecentlyUsed()
 		}
 		box = t.openOutbox(to)
 	}
@@ -76,8 +76,8 @@
 	return box
 }
 
-// evictIdlest closes the outbox that got no message for longest, and drops what it holds.
-func (t *transport) evictIdlest() {
+// evictLeastRecentlyUsed closes the outbox that got no message for longest, and drops what it holds.
+func (t *transport) evictLeastRecentlyUsed() {
 	idlest := ""
 	for addr, box := range t.outboxes {
 		if idlest == "" || box.lastUsed < t.outboxes[idlest].lastUsed {
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -49,7 +49,7 @@
 	faults.Add("calendar", entry.CheckConflicts(others))
 	if entry.Active() {
 		for _, retirement := range s.retirements(&faults) {
-			if retirement.Service == entry.Service && isMoving(retirement) {
+			if retirement.Service == entry.Service && isMovingService(retirement) {
 				faults.Addf(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", entry.Name, retirement.Name, retirement.State, entry.Service)
 			}
 		}
@@ -73,7 +73,7 @@
 		return err
 	}
 	faults.Add("retirement", retirement.CheckConflicts(s.retirements(&faults)))
-	if isMoving(retirement) {
+	if isMovingService(retirement) {
 		var unreadable errs.Batch // entries that can't be read don't concern this retirement
 		for _, entry := range decodeDocuments(s.state.documents, calendarPrefix, calendar.Decode, &unreadable) {
 			if entry.Active() && entry.Service == retirement.Service {
@@ -84,8 +84,8 @@
 	return faults.Err()
 }
 
-// isMoving reports whether a retirement has begun to move its service and hasn't ended.
-func isMoving(retirement *retire.Retirement) bool {
+// isMovingService reports whether a retirement has begun to move its service and hasn't ended.
+func isMovingService(retirement *retire.Retirement) bool {
 	return retirement.Active() && retirement.State != retire.StatePlanned
 }
 
