--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -7,34 +7,33 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// Times since a member was last heard from, in ticks of a group.
+// Thresholds of the time since the leader last heard from a member, in group ticks.
 const (
-	replaceAfterTicks = int(1.0 / 6 / groupTick) // from here on a spare replaces it
-	aliveTicks        = 4 * heartbeatTicks       // up to here it counts as alive
-	spareReadyTicks   = 2 * electionTicks        // up to here a spare may become a voter
+	replaceAfterTicks = int(1.0 / 6 / groupTick) // from this age on, a spare learner may replace the member
+	aliveTicks        = 4 * heartbeatTicks       // below this age the member counts as alive
+	spareReadyTicks   = 2 * electionTicks        // below this age a caught-up learner may become a voter
 )
 
-// membershipPlanner decides the next membership of a group from what its leader knows. It has no state
-// and no effects.
+// membershipPlanner decides the next membership change of a group from what its leader knows. It keeps no state
+// between decisions and has no side effects.
 type membershipPlanner struct {
 	self       string                 // the leader's incarnation
 	members    []string               // the voters' incarnations
 	peers      []consensus.PeerStatus // voters and learners that the leader replicates to
-	targetSize int                    // number of voters
+	targetSize int                    // desired number of voters
 	zoneOf     func(addr string) string
-	isLeaving  func(name string) bool // it has announced that it stops
+	isLeaving  func(name string) bool // reports whether the member has announced its shutdown
 }
 
-// next returns the membership that the leader has to propose: one voter more or one less than now. It
-// returns nil to keep the current one. Its rules are those of the table in docs/control.md, section 3:
-//   - A member whose disk is lost is removed at once: it can never vote again, so no quorum is lost
-//     with it.
-//   - A silent member may come back. It is removed only if a spare, a learner that holds all that is
-//     committed, is ready to replace it, and before that spare is added: so the group never depends
-//     on the new voter, which may be the next to fail.
-//   - A member that leaves in order still votes. Its successor is added first and then it is removed:
-//     the group tolerates as many failures at each step as before.
-//   - No step leaves the group without a live quorum.
+// next returns the voters that the leader should propose, which are one more or one fewer than the current
+// ones, or nil to keep the current ones. Its rules are those of the table in docs/control.md, section 3:
+//   - A member whose disk is lost is removed at once: it can never vote again, so the group loses nothing.
+//   - A silent member may come back. It is removed only if a spare, that is a learner with all committed
+//     entries, is ready to replace it. It is removed before the spare is added, so that the group never
+//     depends on the new voter, which may fail next.
+//   - A member that is shutting down still votes. Its successor is added before it is removed, so that the
+//     group tolerates as many failures as before at each step.
+//   - No step leaves the group without a quorum of live voters.
 func (p *membershipPlanner) next() []string {
 	if lost := p.firstMember(p.hasLostDisk); lost != "" {
 		return p.without(lost)
@@ -58,8 +57,9 @@
 	return nil
 }
 
-// removeSurplusVoter removes a voter from a group that has one too many: one that leaves, or else a silent one.
-// While all are alive and stay, one more does no harm.
+// removeSurplusVoter returns the voters without one that is shutting down, or else without a silent one, for a
+// group with more voters than desired. It returns nil if there is none to remove: a surplus voter that is alive
+// does no harm.
 func (p *membershipPlanner) removeSurplusVoter() []string {
 	if leaving := p.firstMember(p.isLeaving); leaving != "" {
 		return p.without(leaving)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// firstMember returns the first member other than the leader that matches and that can be removed: the
-// others have a live quorum. It returns "" if there is none.
+// firstMember returns the first voter other than the leader that matches and whose removal leaves a quorum of
+// live voters. It returns "" if there is none.
 func (p *membershipPlanner) firstMember(matches func(name string) bool) string {
 	for _, member := range p.members {
 		if member != p.self && matches(member) && p.hasQuorum(p.without(member), 0) {
@@ -81,7 +81,7 @@
 	return ""
 }
 
-// status is what the leader knows of a member. One that it doesn't replicate to counts as silent.
+// status returns what the leader knows about a member. A member that it does not replicate to counts as silent.
 func (p *membershipPlanner) status(name string) consensus.PeerStatus {
 	for _, peer := range p.peers {
 		if peer.Name == name {
@@ -91,21 +91,24 @@
 	return consensus.PeerStatus{Name: name, ContactAge: replaceAfterTicks}
 }
 
+// isAlive reports whether the leader has heard from a member recently, or is that member itself.
 func (p *membershipPlanner) isAlive(name string) bool {
 	return name == p.self || p.status(name).ContactAge < aliveTicks
 }
 
+// isSilent reports whether the leader has not heard from a member for so long that a spare may replace it.
 func (p *membershipPlanner) isSilent(name string) bool {
 	return p.status(name).ContactAge >= replaceAfterTicks
 }
 
+// allAlive reports whether all voters are alive.
 func (p *membershipPlanner) allAlive() bool {
 	return !slices.ContainsFunc(p.members, func(member string) bool { return !p.isAlive(member) })
 }
 
-// hasLostDisk reports whether the member's disk is lost: a learner at its address, under another
-// incarnation, has responded since the member did. That the learner has asked to join isn't enough: the
-// request may be late.
+// hasLostDisk reports whether a member's disk is lost: a learner at the same address, under another
+// incarnation, has responded to the leader more recently than the member did. A join request from that learner
+// does not prove this, since the request may have been delayed.
 func (p *membershipPlanner) hasLostDisk(name string) bool {
 	contactAge := p.status(name).ContactAge
 	return slices.ContainsFunc(p.peers, func(peer consensus.PeerStatus) bool {
@@ -113,10 +116,11 @@
 	})
 }
 
+// sameAddress reports whether two incarnations belong to the same address.
 func sameAddress(a, b string) bool { return controlclient.MemberAddr(a) == controlclient.MemberAddr(b) }
 
-// hasQuorum reports whether the live members, together with a number of additional live ones, are a
-// quorum of the members and the additional ones.
+// hasQuorum reports whether the live ones among the given members form a quorum after a number of additional
+// live members has been added.
 func (p *membershipPlanner) hasQuorum(members []string, additional int) bool {
 	alive := additional
 	for _, member := range members {
@@ -127,11 +131,12 @@
 	return 2*alive > len(members)+additional
 }
 
+// without returns the voters except one.
 func (p *membershipPlanner) without(name string) []string {
 	return slices.DeleteFunc(slices.Clone(p.members), func(member string) bool { return member == name })
 }
 
-// with returns the membership with a spare added; nil if it would have no live quorum.
+// with returns the voters and a spare learner as a new voter; nil if these would have no quorum of live voters.
 func (p *membershipPlanner) with(spare string) []string {
 	if !p.hasQuorum(p.members, 1) {
 		return nil
@@ -139,8 +144,8 @@
 	return append(slices.Clone(p.members), spare)
 }
 
-// bestSpare returns a learner that may become a voter now, in a zone without a voter if there is one.
-// It returns "" if there is no such learner.
+// bestSpare returns a learner that is ready to become a voter, preferably one in a zone without a voter. It
+// returns "" if no learner is ready.
 func (p *membershipPlanner) bestSpare() string {
 	best := ""
 	for _, peer := range p.peers {
@@ -151,8 +156,8 @@
 	return best
 }
 
-// isReady reports whether a learner is alive, holds what is committed, and is alone at its address:
-// neither a voter nor a later incarnation runs there.
+// isReady reports whether a peer is a learner that may become a voter: it is alive, has all committed entries,
+// and neither a voter nor a more recent incarnation exists at its address.
 func (p *membershipPlanner) isReady(peer consensus.PeerStatus) bool {
 	if peer.IsVoter || !peer.CaughtUp || peer.ContactAge >= spareReadyTicks {
 		return false
@@ -165,7 +170,7 @@
 	})
 }
 
-// hasVoterInZoneOf reports whether a voter that isn't leaving is in a learner's zone.
+// hasVoterInZoneOf reports whether the zone of a learner contains a voter that is not shutting down.
 func (p *membershipPlanner) hasVoterInZoneOf(name string) bool {
 	zone := p.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(p.members, func(member string) bool {
--- a/internal/control/controlstate/merge.go
+++ b/internal/control/controlstate/merge.go
@@ -10,16 +10,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// mergedConfig is a configuration that was merged onto the one in force and validated, before it is
-// proposed.
+// mergedConfig is the result of merging a configuration change into the current configuration and validating it,
+// before the change is proposed.
 type mergedConfig struct {
-	baseVersion uint64 // the version that it was merged onto
+	baseVersion uint64 // document version that the change was merged into
 	body        []byte
-	version     uint64 // the document's next version; 0: one more than the last
-	err         error  // why it is invalid; nil if it is valid
+	version     uint64 // the document's new version; 0: the base version plus one
+	err         error  // why the configuration is invalid; nil if it is valid
 }
 
-// configKey is the key of the document that is merged and validated before it is proposed.
+// configKey returns the key of the configuration document, which is merged and validated before it is proposed.
 func (s *shard) configKey() string {
 	if s.group != nil {
 		return routingconfig.DocumentKey
@@ -27,7 +27,7 @@
 	return controlclient.ConfigKey
 }
 
-// mergeConfig applies a complete or partial configuration to the one in force and validates the result.
+// mergeConfig replaces the current configuration or, with patch, merges a partial one into it. It validates the result.
 func (s *shard) mergeConfig(old *wire.Document, put *wire.Put, patch bool) *mergedConfig {
 	config := &mergedConfig{baseVersion: old.GetVersion()}
 	if s.group != nil {
@@ -45,22 +45,22 @@
 	return config
 }
 
-// mergeRoutingConfig merges a routing configuration, or named items of one, onto the one in force. Its
-// version is part of its body and has to increase.
+// mergeRoutingConfig replaces the current routing configuration or, with patch, individual items of it. The version
+// of a routing configuration is part of its body and has to increase.
 func (s *shard) mergeRoutingConfig(config *mergedConfig, old *wire.Document, put *wire.Put, patch bool) {
 	config.body, config.version, config.err = s.codec.Merge(old.GetBody(), put.Body, patch)
 	if config.err != nil && errs.KindOf(config.err) == errs.Internal {
 		config.err = errs.WrapAs(config.err, errs.BadInput, "plan")
 	}
 	if config.err == nil && config.version <= old.GetVersion() {
-		config.err = errs.New(errs.BadInput, "version %d isn't above %d, which is in force", config.version, old.GetVersion())
+		config.err = errs.New(errs.BadInput, "routing configuration version %d isn't above %d, the current version", config.version, old.GetVersion())
 	}
 }
 
-// mergeBeforeProposal merges and validates a configuration on the caller's goroutine, one at a time: a
-// large one takes long, and the shard's goroutine has heartbeats to send. The result is nil if there is
-// nothing to merge, or if propose is going to reject the change anyway. The caller has to call release
-// once the change is done. If ok is false, the request's time ended first, and release is nil.
+// mergeBeforeProposal merges and validates a configuration on the caller's goroutine, one at a time. On the
+// shard's goroutine a large configuration would delay heartbeats. The result is nil if there is nothing to
+// merge, or if propose is going to reject the change anyway. The caller has to call release after the change
+// is completed. ok is false, and release is nil, if the context ended first or the command queue is full.
 func (s *shard) mergeBeforeProposal(ctx context.Context, request *wire.ChangeRequest) (config *mergedConfig, release func(), ok bool) {
 	put := request.Command.GetPut()
 	if put.GetKey() != s.configKey() {
@@ -89,9 +89,9 @@
 	return config, release, true
 }
 
-// prepareConfig replaces the body of a change by the merged configuration. It merges here if that
-// wasn't done before the proposal, or if another change was applied in between. It returns nil if the
-// change is to be proposed.
+// prepareConfig replaces the body of a change by the merged configuration. It merges again on the shard's
+// goroutine if there is no earlier result or another change has been applied since. It returns nil if the change
+// should be proposed, and the response to it otherwise.
 func (s *shard) prepareConfig(put *wire.Put, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	old := s.state.documents[put.Key]
 	if config == nil || config.baseVersion != old.GetVersion() {
@@ -101,11 +101,11 @@
 		return rejection(config.err, old.GetVersion())
 	}
 	if put.AnyVersion && len(s.core.UnappliedEntries()) > 0 {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an entry in flight may replace what it was validated against
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an unapplied entry may change the version that this change was validated against
 	}
 	put.NewVersion, put.Body = config.version, config.body
 	if request.Patch && put.AnyVersion {
-		// The merged body holds for the version that it was merged onto alone.
+		// The merged body is valid only for the version that it was merged into.
 		put.AnyVersion, put.IfVersion = false, old.GetVersion()
 	}
 	return nil
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -7,16 +7,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// registerMetrics registers the metrics of this node's members, summed over its shards.
+// registerMetrics registers the gauges that are summed over the shards of this node.
 func (n *Node) registerMetrics() {
 	meter := n.process.Meter
 	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return boolToGauge(shard.IsLeader)
 	}))
-	isOut := func(shard *wire.ShardStatus) float64 {
+	isUnavailable := func(shard *wire.ShardStatus) float64 {
 		return boolToGauge(shard.Failure != "" || shard.Blank || shard.Stuck != "")
 	}
-	meter.Gauge("pebbleloom_parts_out", "shards whose member here has failed, is blank or can't rejoin", n.sumOverShards(isOut))
+	meter.Gauge("pebbleloom_parts_out", "shards whose member here has failed, is blank or can't rejoin", n.sumOverShards(isUnavailable))
 	meter.Gauge("pebbleloom_state_bytes", "bytes of the documents in the applied state", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return float64(shard.StateBytes)
 	}))
@@ -28,7 +28,8 @@
 	}))
 }
 
-// sumOverShards returns a gauge that sums a value over this node's shards; -1 if they can't be read.
+// sumOverShards returns a gauge function that sums a value over this node's shards. It yields -1 if the status of the
+// shards cannot be read.
 func (n *Node) sumOverShards(value func(*wire.ShardStatus) float64) func() float64 {
 	return func() (total float64) {
 		ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(queryTimeoutRatio))
@@ -44,7 +45,7 @@
 	}
 }
 
-// registerGroupMetrics registers the metrics of this member of a group.
+// registerGroupMetrics registers the gauges of this node's member of a group.
 func (n *Node) registerGroupMetrics(shard *shard) {
 	meter := n.process.Meter
 	meter.Gauge("pebbleloom_group_members", "voters of the newest membership that this member knows", func() float64 {
@@ -58,7 +59,7 @@
 	})
 }
 
-// boolToGauge is 1 for true and 0 for false.
+// boolToGauge returns 1 for true and 0 for false.
 func boolToGauge(condition bool) float64 {
 	if condition {
 		return 1
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"slices"
 	"time"
 
@@ -14,48 +15,49 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node is a control node: its members of shards, and the messages between them and their peers. Its
-// exported methods serve requests of peers, clients and operators and may be called concurrently.
+// Node is a control node: it hosts members of shards and exchanges messages with the members on other nodes. Its
+// exported methods serve requests of peers, clients and operators, and may be called concurrently.
 type Node struct {
 	process     *daemon.Process
-	shards      map[uint32]*shard // by shard number; not changed after the start
+	shards      map[uint32]*shard // by shard number; read-only after startup
 	membership  *clustermembership.Member
 	clients     *daemon.Clients
 	incarnation string
 
-	// Of a node with fixed members.
-	coreMembers []string // sorted
-	outgoing    map[string]*queue.Ring[*wire.Message]
+	// Only set on a node with fixed members.
+	coreMembers []string                              // names of all control nodes, sorted
+	outgoing    map[string]*queue.Ring[*wire.Message] // by peer name
 
-	// Of a node of a group.
+	// Only set on a node of a group.
 	controlClient *controlclient.Client
 	transport     *transport
 }
 
-// messageFormat is the version of the messages between control nodes. A batch of another format is
-// rejected as a whole.
+// messageFormat is the version of the message format between control nodes. A batch of another format is
+// rejected.
 const messageFormat = 1
 
-// maxLongPollTime bounds how long a client may have a long poll wait.
+// maxLongPollTime limits the wait time that a client may request for a long poll.
 const maxLongPollTime = time.Minute
 
-// serveTimeoutRatio is how long this node works on a change or a read that a peer or a client sent, as
-// a ratio of the heal bound. The context of a caller that a partition cut off doesn't end: without a
-// bound its request would hold up those behind it.
+// serveTimeoutRatio is the time-out for serving a change or a read, as a fraction of the heal bound. The context of
+// a request does not end when a network partition separates its caller from this node, so without a time-out
+// the request would block later ones.
 const serveTimeoutRatio = 1.0 / 8
 
-// serveContext bounds the work on a request. The bound grows with the size of its body, in bytes.
+// serveContext returns a context that limits the time for serving a request. The time-out grows with the size of the
+// request body, in bytes.
 func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
 }
 
-// Deliver accepts messages from a peer's consensus core. Messages for a shard that has no member here,
-// or whose queue of commands is full, are dropped.
+// Deliver accepts consensus messages from a peer. Messages are dropped if this node has no member of their shard,
+// or if the command queue of the shard is full.
 //
 // Example: receipt, err := n.Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 func (n *Node) Deliver(_ context.Context, batch *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	if batch.Format != messageFormat {
-		return nil, twirp.InvalidArgumentError("epoch", "this node reads format 1: bring both programs to one release")
+		return nil, twirp.InvalidArgumentError("epoch", fmt.Sprintf("message batch has format %d but this control node requires format %d: run the same release on both nodes", batch.Format, messageFormat))
 	}
 	for _, message := range batch.Messages {
 		if shard := n.shards[message.Shard]; shard != nil {
@@ -65,8 +67,8 @@
 	return &wire.BatchReceipt{Format: messageFormat}, nil
 }
 
-// Change carries out a change if this node leads the shard; otherwise the response names the leader
-// that this node knows.
+// Change carries out a change if this node leads the shard; otherwise the response names the leader, if this node
+// knows one.
 //
 // Example: response, err := n.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: command})
 func (n *Node) Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
@@ -79,8 +81,8 @@
 	return shard.change(ctx, request), nil
 }
 
-// Read reads documents and leases, never older than what was acknowledged before the call, if this
-// node leads the shard; otherwise the response names the leader that this node knows.
+// Read reads documents and leases if this node leads the shard; otherwise the response names the leader, if this
+// node knows one. The result includes all changes that were acknowledged before the call.
 //
 // Example: response, err := n.Read(ctx, &wire.ReadRequest{Shard: 0, Key: "setup"})
 func (n *Node) Read(ctx context.Context, request *wire.ReadRequest) (*wire.ReadResponse, error) {
@@ -93,8 +95,8 @@
 	return shard.read(ctx, request), nil
 }
 
-// Watch serves a long poll for one document: it responds with a newer version, or, when the request's
-// time is over, with whether this member's log holds none.
+// Watch serves a long poll for one document: it responds with a newer version as soon as there is one. If there is
+// none when the wait time is over, the outcome tells whether this member's log is free of newer versions.
 //
 // Example: response, err := n.Watch(ctx, &wire.WatchRequest{Key: "setup", KnownVersion: 7, MaxWaitNs: 3e8})
 func (n *Node) Watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
@@ -106,17 +108,16 @@
 	return shard.watch(ctx, request, n.process.Settings.Name), nil
 }
 
-// Time returns this machine's wall clock, in nanoseconds since the Unix epoch. Callers take the median
-// over the control nodes, so that a clock that jumps on one machine has no effect; this package makes
-// no decision by it.
+// Time returns this machine's wall clock, in nanoseconds since the Unix epoch. Callers use the median over the
+// control nodes, so that a clock jump on one machine has no effect. This package itself makes no decision by it.
 //
 // Example: response, err := n.Time(ctx, &wire.TimeRequest{})
 func (n *Node) Time(context.Context, *wire.TimeRequest) (*wire.TimeResponse, error) {
 	return &wire.TimeResponse{WallNs: n.process.WallClock().UnixNano()}, nil
 }
 
-// currentIncarnation returns this node's incarnation. That of a group's member changes while the process runs if its
-// disk turns out to be corrupted.
+// currentIncarnation returns this node's incarnation. On a node of a group it can change while the process runs, for
+// example when a corrupted disk is replaced.
 func (n *Node) currentIncarnation() string {
 	if shard := n.shards[0]; shard != nil && shard.group != nil {
 		return shard.published.current().self
@@ -124,8 +125,8 @@
 	return n.incarnation
 }
 
-// Status returns the status of this node's member in each of its shards. A member that doesn't respond
-// before ctx ends, or whose disk couldn't be read at the start, is listed with a failure.
+// Status returns the status of this node's member of each of its shards. A member that does not respond before
+// ctx ends, or whose disk could not be read at startup, is listed with a failure.
 //
 // Example: response, err := n.Status(ctx, &wire.StatusRequest{})
 func (n *Node) Status(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
@@ -136,7 +137,7 @@
 		if shard != nil {
 			response.Shards = append(response.Shards, shard.queryStatus(ctx, shardID, name))
 		} else if slices.Contains(controlclient.Members(shardID, n.coreMembers), name) {
-			unreadable := &wire.ShardStatus{Shard: shardID, Member: name, Failure: "its folder can't be read: see the log at the start"}
+			unreadable := &wire.ShardStatus{Shard: shardID, Member: name, Failure: "the shard's data directory could not be opened at startup: see the error in this node's log"}
 			response.Shards = append(response.Shards, unreadable)
 		}
 	}
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -16,25 +16,25 @@
 	"pebbleloom/internal/wire"
 )
 
-// operatorTimeoutRatio is how long an operator's request is worked on, as a ratio of the bound on
-// acknowledgements. It is less than the second without a response after which an operator goes on to
+// operatorTimeoutRatio is the time-out for serving an operator's request, as a fraction of the acknowledgement bound
+// (Site.AckTimeoutMs). It is less than the one second without a response after which operators' clients try
 // another node.
 const operatorTimeoutRatio = 0.22
 
-// timeoutBodyBytes is the size of a body that doubles the time for a request without one; the time grows
-// linearly.
+// timeoutBodyBytes is the body size for which a request gets twice the time-out of a request without a body. The
+// time-out grows linearly with the size.
 const timeoutBodyBytes = 256 << 10
 
-// operatorTimeout is how long a request with a body of so many bytes is worked on.
+// operatorTimeout returns the time-out for serving an operator's request with a body of size bytes.
 func (n *Node) operatorTimeout(size int) time.Duration {
 	return settings.Fraction(n.process.Settings.Site.AckTimeoutMs, operatorTimeoutRatio*(1+float64(size)/timeoutBodyBytes))
 }
 
-// PutRoutingConfig replaces the routing configuration, or named items of it (patch), if base is its
-// version. It returns the new version once the change is acknowledged: committed, and in force. The
-// same request sent again is acknowledged again. Kinds of errors are, among others, errs.Conflict for
-// another base, errs.BadInput for an invalid configuration, and errs.OutcomeUnknown if the change may
-// have been made: it may be sent again.
+// PutRoutingConfig replaces the routing configuration, or individual items of it if patch is set, provided that base
+// is its current version. It returns the new version once the change is committed. A retry of the same request is
+// acknowledged again. Kinds of errors are, among others, errs.Conflict if base is not the current version,
+// errs.BadInput for an invalid configuration, and errs.OutcomeUnknown if the change may have been made, in which
+// case it may be retried.
 //
 // Example: version, err := n.PutRoutingConfig(ctx, 5, body, false)
 func (n *Node) PutRoutingConfig(ctx context.Context, base uint64, body []byte, patch bool) (uint64, error) {
@@ -45,10 +45,10 @@
 	return response.GetVersion(), err
 }
 
-// routingConfigTokenBytes is the part of the hash of a request that serves as its token.
+// routingConfigTokenBytes is the length of the prefix of a request's hash that serves as its token.
 const routingConfigTokenBytes = 16
 
-// routingConfigToken derives the idempotency token from the request itself: operators send none.
+// routingConfigToken derives an idempotency token from the contents of a request, since operators send none.
 func routingConfigToken(base uint64, body []byte, patch bool) string {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%d %v ", base, patch)
@@ -56,12 +56,13 @@
 	return hex.EncodeToString(hash.Sum(nil)[:routingConfigTokenBytes])
 }
 
+// newPutCommand returns the command that changes one document.
 func newPutCommand(put *wire.Put) *wire.Command {
 	return &wire.Command{Kind: &wire.Command_Put{Put: put}}
 }
 
-// ReadRoutingConfig returns the routing configuration and its version, never older than what was
-// acknowledged before the call. Before the first configuration the body is nil and the version 0.
+// ReadRoutingConfig returns the routing configuration and its version. The result includes all changes that were
+// acknowledged before the call. If there is no configuration yet, the body is nil and the version 0.
 //
 // Example: body, version, err := n.ReadRoutingConfig(ctx)
 func (n *Node) ReadRoutingConfig(ctx context.Context) ([]byte, uint64, error) {
@@ -71,15 +72,15 @@
 	return document.GetBody(), document.GetVersion(), err
 }
 
-// SetWeightsVersion sets the version of a model's weights that workers have to run. A version up to the
-// one that is set is superseded already: nothing is changed, and there is no error. Kinds of errors are,
-// among others, errs.BadInput for a missing model or version, and errs.OutcomeUnknown if the change may
-// have been made: it may be sent again.
+// SetWeightsVersion sets the version of a model's weights that workers have to run. If that version or a later one
+// is already set, it changes nothing and returns no error. Kinds of errors are, among others, errs.BadInput for a
+// missing model or version, and errs.OutcomeUnknown if the change may have been made, in which case it may be
+// retried.
 //
 // Example: err := n.SetWeightsVersion(ctx, "daka510000", 2)
 func (n *Node) SetWeightsVersion(ctx context.Context, model string, version uint64) error {
 	if model == "" || version == 0 {
-		return errs.New(errs.BadInput, "model %q, version %d: give a model and a version from 1 on", model, version)
+		return errs.New(errs.BadInput, "set weights of model %q to version %d: model must not be empty and version must be at least 1", model, version)
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.operatorTimeout(0))
 	defer cancel()
@@ -101,25 +102,25 @@
 			return err
 		}
 	}
-	// The conflicts were with changes of other models, or with this change's first copy.
-	return errs.New(errs.OutcomeUnknown, "other namings came first until the time was over: the same again is safe")
+	// Each conflict was with a change of another model or with an earlier attempt of this change.
+	return errs.New(errs.OutcomeUnknown, "weights version not set: every attempt before the time-out conflicted with another change of the weights document: the request may be retried")
 }
 
-// hasAppliedWeights reports whether the state that is applied here has a version of a model's weights, or
-// a later one. What is applied was committed, so it stays set.
+// hasAppliedWeights reports whether this member's applied state sets the given version of a model's weights or a
+// later one. Applied changes are committed and therefore permanent.
 func (n *Node) hasAppliedWeights(model string, version uint64) bool {
 	document := n.shards[0].published.current().documents[fleet.WeightsKey]
 	weights := fleet.Weights{}
 	return json.Unmarshal(document.GetBody(), &weights) == nil && weights.Versions[model] >= version
 }
 
-// addWeightsVersion returns an encoded fleet.Weights with a model's version added; nil if the old one has
-// it already.
+// addWeightsVersion sets a model's version in an encoded fleet.Weights and returns the new encoding. It returns nil if
+// that version or a later one is already set.
 func addWeightsVersion(old []byte, model string, version uint64) ([]byte, error) {
 	weights := fleet.Weights{}
 	if len(old) > 0 {
 		if err := json.Unmarshal(old, &weights); err != nil {
-			return nil, errs.Wrap(err, "read the weights that are named")
+			return nil, errs.Wrap(err, "decode stored weights versions")
 		}
 	}
 	if weights.Versions[model] >= version {
@@ -130,11 +131,11 @@
 	}
 	weights.Versions[model] = version
 	body, err := json.Marshal(weights)
-	return body, errs.Wrap(err, "write the weights that are named")
+	return body, errs.Wrap(err, "encode weights versions")
 }
 
-// leaderView returns the newest published view after it has given the client the members and the leader that
-// it names.
+// leaderView returns the newest published view, and updates the control client with the members and the leader in
+// that view.
 func (n *Node) leaderView() *publishedView {
 	view := n.shards[0].published.current()
 	n.controlClient.SetMembers(view.self, view.members)
@@ -144,8 +145,8 @@
 	return view
 }
 
-// changeOnLeader makes a change: here if this member leads the group, or else on the leader. A change
-// that this member neither accepted nor rejected is sent to the others.
+// changeOnLeader carries out a change on the leader, which may be this member. If this member is the leader but
+// neither accepts nor rejects the change, the change is sent to the other members.
 func (n *Node) changeOnLeader(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	if n.leaderView().isLeader {
 		response := n.shards[0].change(ctx, request)
@@ -158,13 +159,13 @@
 	}
 	response, err := n.controlClient.Change(ctx, request)
 	if errs.KindOf(err) == errs.MayHaveExecuted && err != nil {
-		err = errs.WrapAs(err, errs.OutcomeUnknown, "the same again is safe")
+		err = errs.WrapAs(err, errs.OutcomeUnknown, "change of the control state: the request may be retried")
 	}
 	return response, err
 }
 
-// readDocument reads one document: here if this member leads the group and a quorum confirms it, or else
-// on the leader. It returns nil if there is no such document.
+// readDocument reads one document from the leader, which may be this member if a quorum confirms it. It returns nil
+// if there is no such document.
 func (n *Node) readDocument(ctx context.Context, key string) (*wire.Document, error) {
 	request := &wire.ReadRequest{Key: key}
 	response := n.readLocally(ctx, request)
@@ -182,7 +183,7 @@
 	return nil, nil
 }
 
-// readLocally reads from this member; it returns nil if this member doesn't lead the group.
+// readLocally reads from this member if it leads the group, and returns nil otherwise.
 func (n *Node) readLocally(ctx context.Context, request *wire.ReadRequest) *wire.ReadResponse {
 	if !n.leaderView().isLeader {
 		return nil
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 
 	"google.golang.org/protobuf/proto"
 
@@ -10,28 +11,28 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bounds of proposals.
+// Limits of proposals.
 const (
-	maxPendingProposals = 256                        // of one leader; more are rejected as overloaded
-	maxCommandBytes     = serviceconfig.MaxBytes * 2 // of an encoded command
-	maxClaimsPerCommand = 1024
-	maxKeyBytes         = 256 // of a document's key
+	maxPendingProposals = 256                        // waiting on one leader; further ones are rejected as overloaded
+	maxCommandBytes     = serviceconfig.MaxBytes * 2 // size of an encoded command
+	maxClaimsPerCommand = 1024                       // at-most-once claims in one command
+	maxKeyBytes         = 256                        // length of a document's key
 )
 
-// pendingProposal waits for the entry that was proposed at its log index. If an entry of another term
-// is applied there, the proposal was overwritten.
+// pendingProposal is a proposal whose caller waits until the entry at its log index is applied. If that entry has
+// another term, the proposed entry was overwritten by another leader.
 type pendingProposal struct {
 	term     uint64
-	response chan *wire.ChangeResponse // buffered: the shard's goroutine never waits for a caller
+	response chan *wire.ChangeResponse // buffered, so that the shard's goroutine never blocks on a caller
 }
 
 // change proposes a command if this member is the leader, and waits for its outcome.
 //
-// A rejection has to hold for good, and for every copy of the change: a change that was accepted is
-// never rejected when it is sent again. The outcome of a committed entry is final. An outcome decided
-// without the log, from the applied state, is decided once more after a quorum has confirmed that this
-// member is still the leader and has applied all that was acknowledged before: a deposed leader, or one
-// whose log holds the first copy unapplied, would otherwise reject what another leader accepted.
+// A rejection has to be final, also for retries: a change that was accepted once must never be rejected when it
+// is sent again. The outcome of a committed entry is final. An outcome that was decided from the applied state,
+// without the log, is decided again after a quorum has confirmed that this member is still the leader and has
+// applied all acknowledged changes. Otherwise a deposed leader, or one whose log contains an earlier attempt
+// that is not yet applied, could reject a change that was accepted.
 func (s *shard) change(ctx context.Context, request *wire.ChangeRequest) *wire.ChangeResponse {
 	if response := s.confirmBeforeMerge(ctx, request); response != nil {
 		return response
@@ -52,8 +53,8 @@
 	return response
 }
 
-// isDecidedByState reports whether an outcome that didn't come from the log was decided from the
-// applied state: a final rejection, or the result of a dry run.
+// isDecidedByState reports whether an outcome that did not come from a committed entry is a decision based on the
+// applied state, that is, a rejection or the result of a dry run.
 func isDecidedByState(outcome wire.Outcome) bool {
 	switch outcome {
 	case wire.OutcomeDone, wire.OutcomeNotLeader, wire.OutcomeOverloaded, wire.OutcomeUnknown:
@@ -62,10 +63,10 @@
 	return true
 }
 
-// proposeAndWait proposes a command and waits for its outcome. committed reports whether the outcome
-// is that of a committed entry.
+// proposeAndWait proposes a command and waits for its outcome. committed reports whether the outcome comes from
+// the log, after the entry at the proposal's index was committed.
 func (s *shard) proposeAndWait(ctx context.Context, request *wire.ChangeRequest, config *mergedConfig) (_ *wire.ChangeResponse, committed bool) {
-	// Neither may be read after runOnLoop returned false: the command may still run and write them.
+	// proposal and response must not be read after runOnLoop has returned false: the command may still run and write them.
 	var proposal pendingProposal
 	var response *wire.ChangeResponse
 	if !s.runOnLoop(ctx, func() { proposal, response = s.propose(request, config) }) {
@@ -83,8 +84,8 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}, false
 }
 
-// propose appends a command to the log if this member is the leader. It returns a response instead if
-// it isn't, or if the command's outcome can be decided without the log.
+// propose appends a command to the log if this member is the leader. It returns a response instead if this member
+// is not the leader, cannot accept the command, or can decide its outcome without the log.
 func (s *shard) propose(request *wire.ChangeRequest, config *mergedConfig) (pendingProposal, *wire.ChangeResponse) {
 	status := s.core.Status()
 	if s.failure != nil || !status.IsLeader {
@@ -96,19 +97,20 @@
 	}
 	body, err := proto.Marshal(command)
 	if err != nil || len(body) > maxCommandBytes {
-		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"command can't be written"}}
+		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{fmt.Sprintf("command cannot be encoded within the maximum size of %d bytes", maxCommandBytes)}}
 	}
 	if len(s.pendingProposals) >= maxPendingProposals {
 		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
-	index, term, _ := s.core.Propose(body) // a leader accepts every proposal
+	index, term, _ := s.core.Propose(body) // always succeeds on the leader
 	proposal := pendingProposal{term, make(chan *wire.ChangeResponse, 1)}
 	s.pendingProposals[index] = proposal
 	return proposal, nil
 }
 
-// prepare checks a command against the applied state and completes it: with the merged configuration,
-// or with the shard's age. It returns nil if the command is to be proposed.
+// prepare checks a command against the applied state and fills in the merged configuration or, for claims, the
+// elapsed time and the retention. It returns nil if the command should be proposed, and the response to it
+// otherwise.
 func (s *shard) prepare(command *wire.Command, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	if grant := command.GetGrant(); grant != nil {
 		return s.prepareGrant(grant)
@@ -119,12 +121,13 @@
 	}
 	put := command.GetPut()
 	if put == nil || put.Key == "" || len(put.Key) > maxKeyBytes {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{"no command: give a put or a grant"}}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{fmt.Sprintf("request must contain a grant, 1 to %d claims, or a put with a key of 1 to %d bytes", maxClaimsPerCommand, maxKeyBytes)}}
 	}
 	return s.preparePut(put, request, config)
 }
 
-// preparePut checks a change of a document. A change that was accepted before is acknowledged again.
+// preparePut checks a change of a document, and acknowledges it again if it was accepted before. It returns nil if the
+// change should be proposed, and the response to it otherwise.
 func (s *shard) preparePut(put *wire.Put, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	put.Digest, put.ContentDigest = requestDigest(put, request.Patch), contentDigest(put, request.Patch)
 	if response := s.state.respondToRetry(put); response != nil {
@@ -133,7 +136,7 @@
 	old := s.state.documents[put.Key]
 	if !put.AnyVersion && put.IfVersion != old.GetVersion() {
 		if put.IfVersion > old.GetVersion() && len(s.core.UnappliedEntries()) > 0 {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // its base, or its first copy, may be in flight
+			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an unapplied entry may contain its base version or an earlier attempt
 		}
 		return s.state.respondToStaleBase(put)
 	}
@@ -151,18 +154,19 @@
 	return nil
 }
 
-// rejection is the response to a change that an error rules out at a version of its document.
+// rejection returns the response to a change that failed validation against the given version of its document.
 func rejection(err error, version uint64) *wire.ChangeResponse {
 	return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: version, Errors: []string{err.Error()}}
 }
 
-// prepareGrant decides whether a lease may be granted, renewed or released now.
+// prepareGrant checks whether a lease may be granted, renewed or released now. It returns nil if the command should be
+// proposed, and the response to it otherwise.
 func (s *shard) prepareGrant(grant *wire.Grant) *wire.ChangeResponse {
-	// A new leader knows every holder only after it has applied the grants of earlier terms.
+	// A new leader knows all lease holders only after it has applied the grants of earlier terms.
 	if !s.core.HasAppliedCurrentTerm() {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
-	// While a grant may be in flight nobody else gets the lease.
+	// An unapplied entry may grant the lease, so no other holder may get it now.
 	lease := s.state.leases[grant.Lease]
 	if lease != nil && lease.Holder != grant.Holder && len(s.core.UnappliedEntries()) > 0 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
@@ -173,8 +177,9 @@
 	return nil
 }
 
-// releasePendingProposals ends the wait of all proposals once this member has stopped leading: the next
-// leader may commit their entries or not. Their callers have time left to ask it.
+// releasePendingProposals completes all pending proposals with an unknown outcome once this member is no longer the
+// leader, since the next leader may or may not commit their entries. Their callers then have time left to ask
+// the next leader.
 func (s *shard) releasePendingProposals() {
 	if len(s.pendingProposals) == 0 || s.core.Status().IsLeader {
 		return
@@ -182,7 +187,7 @@
 	s.abandonProposals()
 }
 
-// abandonProposals ends all pending proposals with an unknown outcome.
+// abandonProposals completes all pending proposals with an unknown outcome.
 func (s *shard) abandonProposals() {
 	for index, proposal := range s.pendingProposals {
 		proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -12,51 +12,52 @@
 	"pebbleloom/internal/wire"
 )
 
-// publishedView is what a member holds at one moment, for readers on other goroutines. It is immutable.
-// It is published once it is on the disk and before any peer is notified: whoever reads the view sees
-// all that this member has acknowledged to hold, also while its goroutine waits for the disk.
+// publishedView is an immutable copy of a member's state for readers on other goroutines. A view is published after
+// its contents are synced to disk and before any message about them is sent to peers. Readers therefore see
+// everything that this member has acknowledged, even while the shard's goroutine waits for the disk.
 type publishedView struct {
 	self                string                    // this member's incarnation
 	documents           map[string]*wire.Document // by key
-	compressedDocuments map[string]*wire.Document // the same, for clients that accept them
-	unappliedVersions   map[string]uint64         // by key: see highestVersions
-	members             []string                  // of the newest membership that this member knows
-	generation          uint64                    // of the group: how often it was restored
-	term, index         uint64                    // of that membership
-	isVoter             bool                      // this member is a voter, and its disk works
+	compressedDocuments map[string]*wire.Document // the same documents in compressed form, for clients that accept it
+	unappliedVersions   map[string]uint64         // highest versions in unapplied log entries, by key (highestVersions)
+	members             []string                  // voters of the newest membership that this member knows
+	generation          uint64                    // restore generation of the group
+	term, index         uint64                    // log position of the entry with that membership
+	isVoter             bool                      // this member is a voter and has not failed
 	leader              string
 	isLeader            bool
-	changed             chan struct{} // closed once a newer view has something to respond with
+	changed             chan struct{} // closed when a newer view is published that long polls can respond with
 }
 
-// viewPublisher holds the newest view.
+// viewPublisher provides the newest view to readers on other goroutines.
 type viewPublisher struct {
 	view      atomic.Pointer[publishedView]
-	longPolls atomic.Int64 // that wait for a newer view
+	longPolls atomic.Int64 // number of long polls that are being served
 }
 
+// current returns the newest view.
 func (p *viewPublisher) current() *publishedView { return p.view.Load() }
 
-// publishRecovered publishes what was recovered from the disk, in place of whatever was shown before.
+// publishRecovered publishes a complete view of the state that was recovered from the disk.
 func (s *shard) publishRecovered() {
 	s.publish(consensus.Ready{Snapshot: &wire.Snapshot{}})
 }
 
-// publish publishes a new view if the part of the core's output that was carried out has changed what a
-// view shows. It wakes long polls only if there is something to respond with.
+// publish publishes a new view if the given part of the core's output, which has been carried out, changes the
+// contents of the view. It wakes long polls only if the new view has something to respond with.
 func (s *shard) publish(ready consensus.Ready) {
 	if s.group == nil {
 		return
 	}
 	previous, status := s.published.current(), s.core.Status()
-	isReplaced := previous == nil || ready.Snapshot != nil // whatever was shown before
+	isReplaced := previous == nil || ready.Snapshot != nil // publish all documents, regardless of the previous view
 	isLeader := status.IsLeader && s.failure == nil
 	hasNewEntries := len(ready.Records) > 0 || len(ready.CommittedEntries) > 0
 	if !isReplaced && !hasNewEntries && s.failure == nil && previous.leader == status.Leader && previous.isLeader == isLeader {
 		return
 	}
 	if isLeader && (previous == nil || !previous.isLeader) {
-		s.log.Info("became the leader", "term", status.Term)
+		s.log.Info("control node became leader of its group", "term", status.Term)
 	}
 	view := &publishedView{self: s.core.Self(), leader: status.Leader, isLeader: isLeader}
 	view.unappliedVersions = highestVersions(s.core.UnappliedEntries())
@@ -74,20 +75,20 @@
 		view.changed = make(chan struct{})
 	case view.isNewerThan(previous):
 		view.changed = make(chan struct{})
-		defer close(previous.changed) // after the new view is stored
+		defer close(previous.changed) // deferred until the new view is stored
 	default:
 		view.changed = previous.changed
 	}
 	s.published.view.Store(view)
 }
 
-// containsCommand reports whether an entry carries a command; a leader's first entry of its term is
-// empty.
+// containsCommand reports whether any of the entries carries a command. The first entry of a leader's term, for
+// example, is empty.
 func containsCommand(entries []*wire.Entry) bool {
 	return slices.ContainsFunc(entries, func(entry *wire.Entry) bool { return len(entry.Body) > 0 })
 }
 
-// isNewerThan reports whether a client that has seen the previous view learns something from this one.
+// isNewerThan reports whether this view contains changes that clients of long polls have to learn about.
 func (v *publishedView) isNewerThan(previous *publishedView) bool {
 	if v.generation != previous.generation || v.term != previous.term || v.index != previous.index || v.isVoter != previous.isVoter {
 		return true
@@ -100,8 +101,8 @@
 	return false
 }
 
-// compressDocuments compresses documents. Those that the previous view holds already aren't compressed
-// again.
+// compressDocuments returns the documents in compressed form. It reuses the compressed form of those that are
+// unchanged since the previous view.
 func compressDocuments(documents map[string]*wire.Document, previous *publishedView) map[string]*wire.Document {
 	compressed := make(map[string]*wire.Document, len(documents))
 	for key, document := range documents {
@@ -114,15 +115,16 @@
 	return compressed
 }
 
-// unreadableKey stands for the documents that an entry which can't be decoded may change. No document
-// has it as its key.
+// unreadableKey is the key under which highestVersions reports entries that cannot be decoded, which may change any
+// document. No document has this key.
 const unreadableKey = ""
 
-// anyVersion is the version of a change whose entry doesn't say which version it makes.
+// anyVersion is the version reported for entries that do not state the version they produce. It is higher than all
+// others.
 const anyVersion = ^uint64(0)
 
-// highestVersions returns, by key, the highest version that entries which aren't applied yet may make
-// of each document.
+// highestVersions returns, by key, the highest version of each document that the given unapplied entries may
+// produce.
 func highestVersions(entries []*wire.Entry) map[string]uint64 {
 	var highest map[string]uint64
 	for _, entry := range entries {
@@ -138,8 +140,8 @@
 	return highest
 }
 
-// proposedVersion returns the document that an entry changes and the version that it may make. ok is
-// false if the entry changes no document.
+// proposedVersion returns the key of the document that an entry changes and the highest version that it may
+// produce. ok is false if the entry changes no document.
 func proposedVersion(entry *wire.Entry) (key string, version uint64, ok bool) {
 	if len(entry.Body) == 0 {
 		return "", 0, false
--- a/internal/control/controlstate/read.go
+++ b/internal/control/controlstate/read.go
@@ -8,12 +8,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxPendingReads bounds the reads that wait for a quorum's confirmation. Above it this member responds
-// as if it weren't the leader.
+// maxPendingReads limits the reads that wait for a quorum to confirm this leader. Above the limit this member
+// responds to reads as if it were not the leader.
 const maxPendingReads = 1024
 
-// read responds from the applied state once a quorum has confirmed that this member leads the shard
-// (Raft's ReadIndex).
+// read serves a linearizable read: it responds from the applied state after a quorum has confirmed that this
+// member is the leader (Raft's ReadIndex).
 func (s *shard) read(ctx context.Context, request *wire.ReadRequest) *wire.ReadResponse {
 	confirmation := make(chan bool, 1)
 	response := &wire.ReadResponse{Outcome: wire.OutcomeNotLeader}
@@ -40,20 +40,21 @@
 	return response
 }
 
-// beginRead requests a confirmation of this leader. The channel receives whether the read may be
-// served here. If it may not from the start, leader is the one to ask instead.
+// beginRead starts the confirmation of this leader by a quorum. The channel receives whether the read may be
+// served by this member. If the confirmation cannot be started, leader is the member to ask instead.
 func (s *shard) beginRead(confirmation chan bool) (id uint64, leader string) {
 	status := s.core.Status()
 	if s.failure == nil && status.IsLeader && len(s.pendingReads) < maxPendingReads {
 		if readID, ok := s.core.ReadIndex(); ok {
 			s.pendingReads[readID] = confirmation
-			return readID, "" // if the read is aborted later, this member isn't the one to name
+			return readID, "" // no leader: if the read is aborted later, this member no longer leads
 		}
 	}
 	confirmation <- false
 	return 0, status.Leader
 }
 
+// completeRead delivers the result of a leadership confirmation to a pending read.
 func (s *shard) completeRead(id uint64, confirmed bool) {
 	if confirmation := s.pendingReads[id]; confirmation != nil {
 		confirmation <- confirmed
@@ -61,8 +62,8 @@
 	}
 }
 
-// selectDocuments returns the documents that a request asks for, and all leases, in the order of their
-// keys.
+// selectDocuments returns the documents that match the key or prefix of a request, and all leases, both sorted by
+// key.
 func (s *shard) selectDocuments(request *wire.ReadRequest) ([]*wire.Document, []*wire.Lease) {
 	var documents []*wire.Document
 	for _, key := range maputil.SortedKeys(s.state.documents) {
--- a/internal/control/controlstate/restore.go
+++ b/internal/control/controlstate/restore.go
@@ -17,49 +17,48 @@
 	"pebbleloom/internal/wire"
 )
 
-// An operator restores a group of which a majority of disks is lost for good from one member that survived
-// (consensus/restore.go says what that means for the others). This file decides whether that is allowed, and
-// carries it out on the member that goes on.
+// If a majority of a group's disks is lost permanently, an operator can restore the group from one surviving member
+// (consensus/restore.go describes the effect on the other members). This file decides whether that is allowed, and
+// performs the restore on the surviving member.
 
-// memberReportTimeoutRatio is how long the other control nodes may take to answer before a restore, as a ratio of the
-// heal bound.
+// memberReportTimeoutRatio is the time-out for querying other control nodes before a restore or before a superseded disk
+// is replaced, as a fraction of the heal bound.
 const memberReportTimeoutRatio = 1.0 / 12
 
-// restoreNoticeIntervalRatio is the time between two notices of a restored group to control nodes that aren't part of it,
-// as a ratio of the heal bound.
+// restoreNoticeIntervalRatio is the interval at which the leader of a restored group sends notices to control nodes
+// outside the group, as a fraction of the heal bound.
 const restoreNoticeIntervalRatio = 1.0 / 12
 
-// restoredTokenStep is added to the fencing token of every lease when a group is restored: it is more than the
-// lost members can have granted beyond what the surviving one knows.
+// restoredTokenStep is added to the fencing token of every lease when a group is restored. It exceeds the number of
+// grants that the lost members can have made without the knowledge of the surviving member.
 const restoredTokenStep = 1 << 32
 
-// memberReport is what a control node says of its disk before a restore.
+// memberReport is what a control node reports about its member of the group and its disk.
 type memberReport struct {
-	member     string // its name in the group
-	generation uint64 // the restore generation of its group
+	member     string // the member's incarnation
+	generation uint64 // restore generation of the member's group
 	logEnd     logPosition
 	newest     membership
-	failure    string // why its disk can't be used; empty: it can
+	failure    string // why the member has failed; empty if it has not
 }
 
-// logPosition is a position in a group's log.
+// logPosition identifies an entry of a group's log by its term and index.
 type logPosition struct{ term, index uint64 }
 
-// isAfter reports whether a log that ends at p has more of what was agreed than one that ends at other.
+// isAfter reports whether a log that ends at p is more up to date than one that ends at other.
 func (p logPosition) isAfter(other logPosition) bool {
 	return p.term > other.term || p.term == other.term && p.index > other.index
 }
 
-// membership is a set of voters and the position of the entry that names it.
+// membership is a set of voters and the log position of the entry that established it.
 type membership struct {
 	members []string
 	at      logPosition
 }
 
-// newestMembership returns the newest membership that any of the survivors knows, among those of one restore
-// generation.
-func newestMembership(survivors []memberReport, generation uint64) (newest membership) {
-	for _, other := range survivors {
+// newestMembership returns the newest membership in the reports of one restore generation.
+func newestMembership(reports []memberReport, generation uint64) (newest membership) {
+	for _, other := range reports {
 		if other.generation == generation && (newest.members == nil || other.newest.at.isAfter(newest.at)) {
 			newest = other.newest
 		}
@@ -67,21 +66,21 @@
 	return newest
 }
 
-// objectionsToRestore lists why the group must not be restored from a survivor, given all that answered, itself
-// included. It returns none if it may.
+// objectionsToRestore lists the reasons why the group must not be restored from this member, given the reports of all
+// control nodes that responded, including this one. It returns none if the restore is allowed.
 func objectionsToRestore(self memberReport, answered []memberReport) (objections []string) {
 	if self.failure != "" {
 		objections = append(objections, "this member's disk can't be used: "+self.failure)
 	}
 	if self.logEnd == (logPosition{}) {
-		objections = append(objections, "this member's disk is empty: restore the group from one that isn't")
+		objections = append(objections, "this member's disk is empty: restore the group from a member whose disk holds data")
 	}
 	for _, other := range answered {
 		switch {
 		case other.generation > self.generation:
-			objections = append(objections, fmt.Sprintf("%s belongs to a group that was restored after this member's: have this one join that", other.member))
+			objections = append(objections, fmt.Sprintf("%s belongs to a group that was restored after this member's group: let this member join the newer group", other.member))
 		case other.generation == self.generation && other.failure == "" && other.logEnd.isAfter(self.logEnd):
-			objections = append(objections, fmt.Sprintf("the log of %s is newer: restore the group from there", other.member))
+			objections = append(objections, fmt.Sprintf("the log of %s is newer than this member's: restore the group from that member", other.member))
 		}
 	}
 	members := newestMembership(answered, self.generation).members
@@ -89,14 +88,15 @@
 		return !slices.ContainsFunc(answered, func(other memberReport) bool { return other.member == member && other.failure == "" })
 	})
 	if 2*len(usable) > len(members) {
-		objections = append(objections, fmt.Sprintf("a majority of the members answers: %s: the group needs no restore, see that they reach each other", strings.Join(usable, ", ")))
+		objections = append(objections, fmt.Sprintf("a majority of the members answers: %s: the group does not need a restore: check the network between these members", strings.Join(usable, ", ")))
 	}
 	return objections
 }
 
-// RestoreGroup restores the group from this member alone if confirmed names it as the dry run did, and nothing is
-// to be said against it. Without a confirmation it reports what it would do. Kinds of errors are errs.Conflict for
-// a group that must not be restored from here, or for the confirmation of another member, and errs.DiskFailure.
+// RestoreGroup restores the group from this member alone, provided that confirmed is the member name that the dry run
+// reported and that there are no objections. If confirmed is empty, it only performs a dry run: it reports the
+// objections and what would be restored. Kinds of errors are errs.Conflict if there are objections or if confirmed is
+// the name of another member, errs.DiskFailure, and errs.OutcomeUnknown.
 //
 // Example: report, err := n.RestoreGroup(ctx, "10.1.0.17:7360/8f3a")
 func (n *Node) RestoreGroup(ctx context.Context, confirmed string) (operatorapi.RestoreReport, error) {
@@ -114,16 +114,16 @@
 	}
 	if confirmed != "" && confirmed == status.RestoredFrom {
 		report.Restored = true
-		return report, nil // the same call again
+		return report, nil // a retry of the call that restored the group
 	}
 	report.Objections = objectionsToRestore(self, answered)
 	switch {
 	case confirmed == "":
 		return report, nil
 	case len(report.Objections) > 0:
-		return report, errs.New(errs.Conflict, "the group can't be restored from %s: %s", self.member, strings.Join(report.Objections, "; "))
+		return report, errs.New(errs.Conflict, "the group can't be restored from member %s: %s", self.member, strings.Join(report.Objections, "; "))
 	case confirmed != self.member:
-		return report, errs.New(errs.Conflict, "%s is confirmed, but this member is %s", confirmed, self.member)
+		return report, errs.New(errs.Conflict, "restore was confirmed for member %s, but this member is %s", confirmed, self.member)
 	}
 	restored, err := n.restoreFrom(ctx, confirmed)
 	report.Member, report.Restored = restored, err == nil
@@ -132,23 +132,24 @@
 	return report, err
 }
 
-// restoreFrom restores the group on the shard's goroutine, if this member still has the name that was confirmed.
+// restoreFrom restores the group on the shard's goroutine, provided that this member still has the confirmed name. It
+// returns the new name of the member.
 func (n *Node) restoreFrom(ctx context.Context, confirmed string) (restored string, err error) {
 	shard := n.shards[0]
 	name := newIncarnation(controlclient.MemberAddr(confirmed), n.process.Seed)
-	outcome := query(ctx, shard, errs.New(errs.OutcomeUnknown, "the member's thread doesn't answer: ask for the status, then send the same again"), func() error {
+	outcome := query(ctx, shard, errs.New(errs.OutcomeUnknown, "restore of the group timed out and may still be carried out: check the group status, then retry with the same confirmation"), func() error {
 		if shard.failure != nil || shard.core.Self() != confirmed {
-			return errs.New(errs.Conflict, "the member has changed meanwhile: begin again")
+			return errs.New(errs.Conflict, "member %s has failed or been replaced since the restore was confirmed: repeat the dry run", confirmed)
 		}
 		return shard.restore(name, n.process.Seed())
 	})
 	return name, outcome
 }
 
-// restore makes this member the only one of a restored group, under a new name. All entries of its log count, the
-// uncommitted ones too: each of them may have been acknowledged.
+// restore makes this member, under a new name, the only member of a restored group. It applies all entries of the log,
+// including those not known to be committed, since each of them may have been acknowledged.
 func (s *shard) restore(name string, random uint64) error {
-	s.endPendingRequests() // for the old group
+	s.endPendingRequests() // they were made to the group before the restore
 	for _, entry := range s.core.UnappliedEntries() {
 		if _, err := s.applyToState(entry); err != nil {
 			s.halt(err)
@@ -159,7 +160,7 @@
 	body, err := s.state.save()
 	if err != nil {
 		s.halt(err)
-		return errs.Wrap(err, "save state")
+		return errs.Wrap(err, "encode state for the restored group")
 	}
 	from, generation := s.core.Self(), consensus.NextRestoreGeneration(s.core.Status().RestoreGeneration, random)
 	err = s.store.SaveSnapshot(s.core.RestoredSnapshot(name, generation, body), nil)
@@ -167,15 +168,15 @@
 		err = s.reopen()
 	}
 	if err != nil {
-		s.halt(err) // the disk is opened again later
+		s.halt(err) // retryReopen will try to reopen the disk
 		return errs.Wrap(err, "restore")
 	}
 	s.publishRecovered()
-	s.log.Warn("the group was restored from this member alone", "from", from, "member", name, "generation", generation)
+	s.log.Warn("restored the control group from this member alone", "from", from, "member", name, "generation", generation)
 	return nil
 }
 
-// raiseFencingTokens makes the fencing tokens of all leases higher than any that members granted whose disks are lost.
+// raiseFencingTokens raises the fencing tokens of all leases above any that the lost members may have granted.
 func (s *state) raiseFencingTokens() {
 	for name, lease := range s.leases {
 		raised := proto.Clone(lease).(*wire.Lease)
@@ -184,15 +185,15 @@
 	}
 }
 
-// queryMemberReports asks all control nodes that this one knows what their disks hold. answered includes this one;
-// silent are the addresses of those that didn't answer.
+// queryMemberReports requests the reports of all control nodes that this one knows. answered includes the report of
+// this node; silent contains the addresses of the nodes that did not respond.
 func (n *Node) queryMemberReports(ctx context.Context) (self memberReport, answered []memberReport, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
 	defer cancel()
 	self, _ = queryMemberReport(ctx, n)
 	answered = []memberReport{self}
 	selfAddr := controlclient.MemberAddr(self.member)
-	n.leaderView() // whose members are among the addresses
+	n.leaderView() // adds the members of the newest view to the addresses
 	addresses := slices.DeleteFunc(n.controlClient.Addresses(), func(addr string) bool { return addr == selfAddr })
 	responses := make([]*memberReport, len(addresses))
 	var queries sync.WaitGroup
@@ -214,13 +215,13 @@
 	return self, answered, silent
 }
 
-// statusReader is the part of a control node that a survey reads.
+// statusReader is the part of the control node API from which a memberReport is built.
 type statusReader interface {
 	Status(context.Context, *wire.StatusRequest) (*wire.StatusResponse, error)
 	Follow(context.Context, *wire.FollowRequest) (*wire.FollowResponse, error)
 }
 
-// queryMemberReport asks one control node what its disk holds.
+// queryMemberReport requests the data for a report from one control node.
 func queryMemberReport(ctx context.Context, node statusReader) (memberReport, error) {
 	follow, err := node.Follow(ctx, &wire.FollowRequest{})
 	if err != nil {
@@ -231,7 +232,7 @@
 		return memberReport{}, err
 	}
 	if len(response.Shards) == 0 {
-		return memberReport{}, errs.New(errs.NotFound, "the node has no member of the group")
+		return memberReport{}, errs.New(errs.NotFound, "control node reported no member of the group")
 	}
 	status := response.Shards[0]
 	return memberReport{
@@ -243,8 +244,8 @@
 	}, nil
 }
 
-// sendRestoreNotices has the leader of a restored group inform control nodes outside it, at intervals: on their
-// disks may be members of an earlier generation, which would go on without it.
+// sendRestoreNotices, on the leader of a restored group, informs control nodes outside the group of the restore at
+// intervals. Their disks may hold members of an earlier generation, which could otherwise continue as a second group.
 func (s *shard) sendRestoreNotices() {
 	if s.ticks%s.restoreNoticeTicks != 0 {
 		return
@@ -263,20 +264,20 @@
 	}
 }
 
-// errSuperseded takes a member out that the group was restored without.
-var errSuperseded = errs.New(errs.Conflict, "the group was restored without this member: its disk counts as lost once the restored group serves")
+// errSuperseded is the failure of a member that the group was restored without.
+var errSuperseded = errs.New(errs.Conflict, "the group was restored without this member: its disk will be replaced once the restored group is serving")
 
-// haltIfSuperseded takes this member out once it has learned that the group was restored without it. Its disk
-// counts as lost, and the machine joins the restored group as a new member, but only once that is known to serve
-// (replaceSupersededDisk): a wrong number in a message must not have a group set all of its disks aside.
+// haltIfSuperseded halts this member once it has learned that the group was restored without it. Its disk then counts
+// as lost, and the machine joins the restored group as a new member, but only once that group is known to serve
+// (replaceSupersededDisk): an erroneous generation in a message must not make a group replace all of its disks.
 func (s *shard) haltIfSuperseded() {
 	if s.supersededBy = s.core.SupersededBy(); s.supersededBy != 0 {
 		s.halt(errSuperseded)
 	}
 }
 
-// replaceSupersededDisk allows the disk of a member which the group was restored without to be replaced, if a leader
-// of that restore generation, or a later one, serves a read that a quorum has confirmed.
+// replaceSupersededDisk permits the disk of a member that the group was restored without to be replaced, if a leader
+// of that restore generation or a later one serves a read that a quorum has confirmed.
 func (n *Node) replaceSupersededDisk() {
 	shard := n.shards[0]
 	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
@@ -290,8 +291,8 @@
 	}
 }
 
-// servesGeneration reports whether the node at an address leads a group of a restore generation, or a later one, and a
-// quorum confirms that.
+// servesGeneration reports whether the node at an address leads a group of the given restore generation or a later one,
+// as confirmed by a quorum.
 func (n *Node) servesGeneration(ctx context.Context, addr string, generation uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
 	defer cancel()
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -15,14 +15,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bounds of a shard's queue of commands.
+// Limits of a shard's command queue.
 const (
-	maxQueuedCommands   = 512 // more are not accepted (runOnLoop) or dropped (messages)
-	maxCommandsPerReady = 64  // executed before the core's output is handled
+	maxQueuedCommands   = 512 // beyond this, runOnLoop fails and messages are dropped
+	maxCommandsPerReady = 64  // executed before handleReady processes the core's output
 )
 
-// shard drives one member of one replicated shard. The goroutine of run is the only user of core, state, store and
-// all other fields without a lock of their own; others reach them through runOnLoop and query.
+// shard drives one member of a replicated shard. Only the goroutine of run may access core, state, store and the other
+// fields that have no synchronization of their own; other goroutines access them through runOnLoop and query.
 type shard struct {
 	core     *consensus.Core
 	state    *state
@@ -31,27 +31,27 @@
 	log      hclog.Logger
 	send     func(*wire.Message)
 	commands *queue.Ring[func()]
-	ctx      context.Context // of the process
-	failure  error           // why this member takes no part; nil while it does
+	ctx      context.Context // ends with the process
+	failure  error           // why this member does not take part in consensus; nil while it does
 
 	pendingProposals map[uint64]pendingProposal // by log index
-	pendingReads     map[uint64]chan bool       // by the core's read id; receives whether the read may be served
+	pendingReads     map[uint64]chan bool       // by the core's read ID; receives whether the read may be served
 	watchers         map[chan struct{}]bool     // closed when the applied state changes
 	mergeLock        chan struct{}              // semaphore of one: held while a configuration is merged and proposed
-	confirmTimeout   time.Duration              // within which a quorum must confirm this leader; 0: the request's own
+	confirmTimeout   time.Duration              // time-out for a quorum to confirm this leader; 0: that of the request
 
-	claimRetention  time.Duration // how long the claim of an at-most-once request is remembered
-	ageRecordedAt   time.Duration // local time at which the shard's age was last proposed
-	ageRecordedTerm uint64        // term in which that was
+	claimRetention  time.Duration // how long the claim of an at-most-once request is kept
+	ageRecordedAt   time.Duration // local time at which elapsed time was last added to the shard's clock (claimTable.age)
+	ageRecordedTerm uint64        // term of ageRecordedAt
 
-	compactThreshold int // bytes of the log above which it is compacted, if it is also larger than the snapshot
-	snapshotBytes    int // bytes of the state in the newest snapshot
+	compactThreshold int // log size in bytes above which the log is compacted if it is also larger than the snapshot
+	snapshotBytes    int // size of the state in the newest snapshot, in bytes
 
-	*group // nil if the members are fixed
+	*group // nil on a node with fixed members
 }
 
-// openShard opens a member of a shard with fixed members. An empty disk starts blank, under a new
-// incarnation: whatever this node has acknowledged before under another one is lost.
+// openShard opens a member of a shard with fixed members. On an empty disk the member starts blank under a new
+// incarnation, since whatever it acknowledged under an earlier one is lost.
 func openShard(ctx context.Context, config consensus.Config, disk storage.Disk, newIncarnation func() string,
 	clk clock.Clock, log hclog.Logger, send func(*wire.Message)) (*shard, error) {
 	shard := newShard(ctx, config.Shard, clk, log, send)
@@ -63,6 +63,7 @@
 	return shard, nil
 }
 
+// newShard returns a shard without a core and a store, which the caller has to open.
 func newShard(ctx context.Context, id uint32, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) *shard {
 	return &shard{
 		state:            newState(),
@@ -80,12 +81,12 @@
 	}
 }
 
-// run is the shard's goroutine: it executes ticks and commands, and handles the core's output after
-// each, until the process ends.
+// run is the event loop of the shard's goroutine. It executes ticks and queued commands, and processes the core's
+// output after each tick or batch of commands, until the process ends.
 func (s *shard) run(tick time.Duration) {
 	ticker := clock.NewTicker(tick)
 	defer ticker.Stop()
-	s.onTick() // a member that has just started doesn't wait for the first tick
+	s.onTick() // run the first tick immediately at startup
 	s.handleReady()
 	for {
 		select {
@@ -103,6 +104,7 @@
 	}
 }
 
+// onTick advances the logical clock of the core and runs the periodic work of a group member.
 func (s *shard) onTick() {
 	if s.failure == nil {
 		s.core.Tick()
@@ -110,9 +112,9 @@
 	s.maintainGroup()
 }
 
-// handleReady carries out what the core asks for: it persists records, then sends messages, then
-// applies committed entries. A message may say that its sender holds something, so none is sent before
-// the disk does. A failed write takes the member out: it acknowledges and sends nothing more.
+// handleReady processes the core's output: it persists records, then sends messages, then applies committed
+// entries. Messages may acknowledge records, so they are sent only after the records are synced to disk. A
+// failed write halts the member, which then acknowledges and sends nothing more.
 func (s *shard) handleReady() {
 	if s.group != nil && s.failure == nil {
 		s.haltIfSuperseded()
@@ -125,7 +127,7 @@
 		s.halt(err)
 		return
 	}
-	// Readers of the view see what is on this disk before any peer is notified that it is.
+	// Publish the persisted records before a message can acknowledge them to a peer.
 	s.publish(consensus.Ready{Snapshot: ready.Snapshot, Records: ready.Records})
 	for _, message := range ready.Messages {
 		s.send(message)
@@ -146,7 +148,7 @@
 	s.publish(consensus.Ready{CommittedEntries: ready.CommittedEntries})
 }
 
-// compactIfLarge compacts the log when it has outgrown the newest snapshot.
+// compactIfLarge compacts the log if it is larger than both compactThreshold and the newest snapshot.
 func (s *shard) compactIfLarge() {
 	if s.failure != nil || s.store.LogBytes() <= max(s.compactThreshold, s.snapshotBytes) {
 		return
@@ -156,16 +158,16 @@
 	}
 }
 
-// halt takes this member out, after a failure of its disk for example.
+// halt marks this member as failed, for example after a disk error, and ends its pending requests.
 func (s *shard) halt(err error) {
 	s.failure = err
-	s.log.Error("member is out", "error", errs.Text(err))
+	s.log.Error("shard member stopped taking part in consensus", "error", errs.Text(err))
 	s.endPendingRequests()
 	s.publish(consensus.Ready{})
 }
 
-// endPendingRequests ends pending reads, watches and proposals; the outcome of these is unknown, since the other members may
-// still commit their entries.
+// endPendingRequests ends pending reads, watches and proposals. The outcome of the proposals is unknown, since the
+// other members may still commit their entries.
 func (s *shard) endPendingRequests() {
 	for id := range s.pendingReads {
 		s.completeRead(id, false)
@@ -174,6 +176,7 @@
 	s.notifyWatchers()
 }
 
+// notifyWatchers wakes all watches, which then check the document versions again.
 func (s *shard) notifyWatchers() {
 	for watcher := range s.watchers {
 		close(watcher)
@@ -181,8 +184,8 @@
 	clear(s.watchers)
 }
 
-// applyEntry applies a committed entry and completes the proposal that waits at its index. If the
-// entry at that index is of another term, the proposal was overwritten and never ran.
+// applyEntry applies a committed entry and completes the pending proposal at its index. If that proposal was made
+// in another term, its own entry was overwritten and never applied.
 func (s *shard) applyEntry(entry *wire.Entry) {
 	response, err := s.applyToState(entry)
 	if err != nil {
@@ -201,19 +204,20 @@
 	proposal.response <- response
 }
 
-// applyToState applies an entry's command to the state and returns its outcome; an entry without one changes nothing.
+// applyToState applies the command of an entry to the state and returns its outcome. An entry without a command changes
+// nothing.
 func (s *shard) applyToState(entry *wire.Entry) (*wire.ChangeResponse, error) {
 	if len(entry.Body) == 0 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeDone}, nil
 	}
 	command := &wire.Command{}
 	if err := proto.Unmarshal(entry.Body, command); err != nil {
-		return nil, errs.WrapAs(err, errs.DiskFailure, "read committed entry")
+		return nil, errs.WrapAs(err, errs.DiskFailure, "decode committed log entry")
 	}
 	return s.state.apply(command, s.clock.Now()), nil
 }
 
-// receive hands a peer's message to the core.
+// receive queues a message from a peer for the core. It is dropped if the command queue is full.
 func (s *shard) receive(message *wire.Message) {
 	s.commands.Offer(func() {
 		if s.failure == nil {
@@ -222,7 +226,7 @@
 	})
 }
 
-// reportSendFailure notifies the core that one of its messages couldn't be delivered.
+// reportSendFailure notifies the core that one of its messages could not be delivered.
 func (s *shard) reportSendFailure(message *wire.Message) {
 	s.commands.Offer(func() {
 		if s.failure == nil {
@@ -231,9 +235,9 @@
 	})
 }
 
-// runOnLoop runs a command on the shard's goroutine and waits for it. It returns false if the queue of
-// commands is full, or if ctx or the process ended first: then the command may still run later, and
-// nothing that it writes may be read.
+// runOnLoop runs a command on the shard's goroutine and waits for its completion. It returns false if the command
+// queue is full, or if ctx or the process ends first. In the latter cases the command may still run later, so the
+// caller must not read anything that it writes.
 func (s *shard) runOnLoop(ctx context.Context, command func()) bool {
 	done := make(chan struct{})
 	if !s.commands.Offer(func() { command(); close(done) }) {
@@ -249,10 +253,10 @@
 	}
 }
 
-// query computes a value on the shard's goroutine. It returns the fallback if that doesn't happen in
-// time.
+// query computes a value on the shard's goroutine. It returns the fallback if the command queue is full, or if ctx or
+// the process ends first.
 func query[T any](ctx context.Context, shard *shard, fallback T, read func() T) T {
-	result := make(chan T, 1) // a result that comes too late is dropped
+	result := make(chan T, 1) // buffered, so that a late result does not block the shard's goroutine
 	if shard.runOnLoop(ctx, func() { result <- read() }) {
 		return <-result
 	}
--- a/internal/control/controlstate/shard_status.go
+++ b/internal/control/controlstate/shard_status.go
@@ -7,16 +7,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// queryTimeoutRatio is how long a status query waits for a shard's goroutine, as a ratio of the heal
-// bound.
+// queryTimeoutRatio is the time-out of an internal query to a shard's goroutine, as a fraction of the heal bound.
 const queryTimeoutRatio = 1.0 / 24
 
-// queryStatus returns the status of this member under the member's name in the shard.
+// queryStatus returns the status of this member, listed under the given name. If the shard's goroutine does not respond
+// in time, the status says so in Failure.
 func (s *shard) queryStatus(ctx context.Context, shardID uint32, member string) *wire.ShardStatus {
-	unresponsive := &wire.ShardStatus{Shard: shardID, Member: member, Failure: "its thread doesn't answer: the disk may be stalled"}
+	unresponsive := &wire.ShardStatus{Shard: shardID, Member: member, Failure: "the shard's goroutine does not respond: its disk may be stalled"}
 	return query(ctx, s, unresponsive, func() *wire.ShardStatus { return s.status(shardID, member) })
 }
 
+// status returns the status of this member. It runs on the shard's goroutine.
 func (s *shard) status(shardID uint32, member string) *wire.ShardStatus {
 	status := s.core.Status()
 	response := &wire.ShardStatus{
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -10,14 +10,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxMessageBatchBytes bounds the log entries that one replication message carries, in bytes.
+// maxMessageBatchBytes limits the log entries in one replication message, in bytes.
 const maxMessageBatchBytes = 256 << 10
 
+// newNode returns a node without shards.
 func newNode(process *daemon.Process) *Node {
 	return &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
 }
 
-// startMembership announces this node to the cluster membership.
+// startMembership starts this node's member of the cluster membership, in the role of a control node.
 func (n *Node) startMembership() {
 	process := n.process
 	n.membership = clustermembership.Start(process.Ctx, clustermembership.Config{
@@ -29,7 +30,7 @@
 	})
 }
 
-// peerHandler serves the requests of other nodes.
+// peerHandler returns the HTTP handler for requests from other nodes.
 func (n *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(n))
@@ -37,8 +38,8 @@
 	return mux
 }
 
-// shardDisk is the directory of one shard below the node's data directory. The option "faults" wraps
-// it so that tests of a whole site can make the disk fail.
+// shardDisk opens the directory of one shard in the node's data directory. If the option "faults" is set, it injects
+// disk faults, for tests of a complete site.
 func shardDisk(process *daemon.Process, directory string) storage.Disk {
 	disk := process.Disk(filepath.Join(process.Settings.Data, directory))
 	if faults := process.Settings.Option("faults", ""); faults != "" {
--- a/internal/control/controlstate/start_fixed.go
+++ b/internal/control/controlstate/start_fixed.go
@@ -16,22 +16,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// Times of a node with fixed members. The ratios are of the heal bound.
+// Timing of a node with fixed members. The ratios are fractions of the heal bound.
 const (
-	fixedTickRatio           = 1.0 / 240 // period of a tick
+	fixedTickRatio           = 1.0 / 240 // tick interval
 	fixedHeartbeatTicks      = 2
 	fixedElectionTicks       = 12
-	seedRefreshIntervalRatio = 0.25 // between two reads of the configured seeds
+	seedRefreshIntervalRatio = 0.25 // interval between reads of the configured seeds
 )
 
-// configuredSeedCount is how many seeds a configuration names; one with another number is ignored.
+// configuredSeedCount is the number of seeds that a configuration must list. Other lists are ignored.
 const configuredSeedCount = 3
 
-// fixedShardDirectory is the format of the name of a shard's directory, by the shard's number.
+// fixedShardDirectory is the format of a shard's directory name; its argument is the shard number.
 const fixedShardDirectory = "part-%d"
 
-// Start runs a control node of a cluster whose members are fixed by the settings. It returns an error
-// if a listener can't be opened. A shard whose disk can't be read stays closed; the others run.
+// Start runs a control node of a cluster whose members are fixed by the settings. It returns an error if a listener
+// cannot be opened. A shard whose disk cannot be read is not served; the other shards run.
 //
 // Example: daemon.Main("archive", "control node", need, controlstate.Start)
 func Start(process *daemon.Process) error {
@@ -58,6 +58,7 @@
 	return nil
 }
 
+// newFixedNode returns a node of a cluster with fixed members, with its cluster membership started.
 func newFixedNode(process *daemon.Process) *Node {
 	node := newNode(process)
 	node.outgoing = map[string]*queue.Ring[*wire.Message]{}
@@ -67,7 +68,7 @@
 	return node
 }
 
-// newIncarnation is a name that no earlier run of this node has used.
+// newIncarnation returns an incarnation with a random number, so that it differs from all earlier ones of this node.
 func (n *Node) newIncarnation() string {
 	return fmt.Sprintf("%s/%016x", n.process.Settings.Name, n.process.Seed())
 }
@@ -77,15 +78,15 @@
 	bounds := n.process.Settings.Bounds
 	tick := bounds.Heal(fixedTickRatio)
 	for shardID := range uint32(controlclient.ShardCount) {
-		config := n.fixedShardConfig(shardID) // draws a seed for each shard, also for those of other nodes
+		config := n.fixedShardConfig(shardID) // draws a random seed even if this node is not a member of the shard
 		if !slices.Contains(config.Members, config.Self) {
 			continue
 		}
 		disk := shardDisk(n.process, fmt.Sprintf(fixedShardDirectory, shardID))
 		shard, err := openShard(n.process.Ctx, config, disk, n.newIncarnation, n.process.Clock, n.process.Log, n.enqueue)
 		if err != nil {
-			// The other shards have disks of their own and run on.
-			n.process.Log.Error("shard stays closed", "shard", shardID, "error", errs.Text(err))
+			// The other shards use separate directories and are not affected.
+			n.process.Log.Error("shard could not be opened and is not served by this control node", "shard", shardID, "error", errs.Text(err))
 			continue
 		}
 		shard.claimRetention = bounds.RequestIDRetention(1)
@@ -95,6 +96,7 @@
 	}
 }
 
+// fixedShardConfig returns the configuration of the consensus core for one shard.
 func (n *Node) fixedShardConfig(shardID uint32) consensus.Config {
 	name := n.process.Settings.Name
 	return consensus.Config{
@@ -109,8 +111,8 @@
 	}
 }
 
-// refreshSeeds adopts the seeds that the configuration in force names. While it can't be read, the
-// seeds that are known stay.
+// refreshSeeds sets the seeds of the cluster membership to those in the current configuration. If it cannot be read,
+// the seeds stay as they are.
 func (n *Node) refreshSeeds(client *controlclient.Client) {
 	response, err := client.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(response.Documents) == 0 {
--- a/internal/control/controlstate/start_group.go
+++ b/internal/control/controlstate/start_group.go
@@ -15,14 +15,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// groupShardDirectory holds the disk of the group's one shard.
+// groupShardDirectory is the name of the directory of the group's only shard.
 const groupShardDirectory = "part-0"
 
-// StartGroup runs a control node of a group whose membership is replicated data. The codec merges and
-// reads the site's routing configuration; newOperatorHandler makes the handler of the operators'
-// listener. It returns an error if a listener can't be opened. A disk that can't be read leaves the
-// member out of the group until it can (retryReopen); one that is corrupted counts as lost
-// once the group serves without it (replaceCorruptedDisk).
+// StartGroup runs a control node of a group whose membership is replicated data. The codec merges and decodes the
+// site's routing configuration; newOperatorHandler creates the HTTP handler for operators. StartGroup returns an error
+// if a listener cannot be opened. A member whose disk cannot be read takes no part in the group until the disk works
+// again (retryReopen). A corrupted disk counts as lost once the group serves without it (replaceCorruptedDisk).
 //
 // Example: err := controlstate.StartGroup(process, codec, func(n *controlstate.Node) http.Handler { return operatorHandler(n) })
 func StartGroup(process *daemon.Process, codec backend.Codec, newOperatorHandler func(*Node) http.Handler) error {
@@ -47,6 +46,7 @@
 	return nil
 }
 
+// newGroupNode returns a node of a group, with its cluster membership started.
 func newGroupNode(process *daemon.Process) *Node {
 	node := newNode(process)
 	node.startMembership()
@@ -59,7 +59,7 @@
 	return node
 }
 
-// openGroupMember opens this node's member of the group.
+// openGroupMember creates this node's member of the group and opens its disk.
 func (n *Node) openGroupMember(codec backend.Codec) *shard {
 	process := n.process
 	site, address := process.Settings.Site, process.Settings.AdvertisedAddr()
@@ -89,9 +89,9 @@
 	return shard
 }
 
-// serveGroup opens the listeners for operators and for peers. Listeners close in the order in which
-// they were opened: the operators' closes first, so that requests accepted there can finish while
-// peers are still reachable.
+// serveGroup opens the listeners for operators and for peers. Listeners close in the order in which they were opened.
+// The operators' listener is opened first and therefore closes first, so that requests accepted there can finish
+// while peers are still reachable.
 func (n *Node) serveGroup(newOperatorHandler func(*Node) http.Handler) error {
 	process := n.process
 	if address := process.Settings.Site.ControlPlaneListen; address != "" {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// controlNodeAddrs are the addresses of the control nodes in the cluster membership.
+// controlNodeAddrs returns the addresses of the control nodes in the cluster membership.
 func (n *Node) controlNodeAddrs() (addrs []string) {
 	for _, member := range n.membership.View().WithRole(clustermembership.RoleControlNode) {
 		addrs = append(addrs, member.Addr)
@@ -113,7 +113,7 @@
 	return addrs
 }
 
-// zoneOf is the zone of a control node by the cluster membership; "" if it isn't known.
+// zoneOf returns the zone of a control node according to the cluster membership; "" if it is not known.
 func (n *Node) zoneOf(addr string) string {
 	for _, member := range n.membership.View().WithRole(clustermembership.RoleControlNode) {
 		if member.Addr == addr {
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -11,34 +11,35 @@
 	"pebbleloom/internal/wire"
 )
 
-// defaultClaimRetention is how long claims are remembered if the settings don't say.
+// defaultClaimRetention is how long the claims of at-most-once requests are kept if the settings do not set a time.
 const defaultClaimRetention = 30 * time.Minute
 
-// Bounds of one shard's state. A command that would exceed one is rejected as too large. They are part
-// of what every member computes from the log, so a release that changes one makes another state of it.
+// Limits of a shard's state. A command that would exceed one is rejected as too large. They affect the state that
+// members compute from the log, so a release with different limits would compute a different state.
 const (
 	maxDocuments    = 512
 	maxLeases       = 64
-	maxRecentTokens = 256     // the newest changes of all documents, as earlier releases remember them
-	maxStateBytes   = 8 << 20 // of all documents' bodies
-	maxClaims       = 1 << 16 // remembered at once; more are rejected, not forgotten
+	maxRecentTokens = 256     // newest change tokens of all documents, as many as earlier releases keep
+	maxStateBytes   = 8 << 20 // total size of all documents' bodies
+	maxClaims       = 1 << 16 // claims kept at once; further claims are rejected
 )
 
-// stateFormat is the newest version of a saved state that this program reads, and the one it writes.
+// stateFormat is the newest version of the encoded state that this release reads, and the one that it writes.
 const stateFormat = 1
 
-// state is the state machine of a shard. Only apply changes it, in log order, and every member makes
-// the same state of the same log; grantedAt alone is local.
+// state is the replicated state machine of a shard. Only apply changes it, in log order. All members compute the same
+// state from the same log, except for grantedAt, which is local.
 type state struct {
 	documents     map[string]*wire.Document // by key
-	documentBytes int                       // of all documents' bodies
+	documentBytes int                       // total size of all documents' bodies
 	leases        map[string]*wire.Lease    // by name
 	grantedAt     map[string]time.Duration  // by lease: local time at which this member saw the grant
 	claims        claimTable
-	recentTokens  []*wire.ChangeToken            // of the newest changes of all documents, the oldest first
-	idempotency   map[string]*idempotencyRecords // by the document's key
+	recentTokens  []*wire.ChangeToken            // newest change tokens of all documents, oldest first
+	idempotency   map[string]*idempotencyRecords // by document key
 }
 
+// newState returns an empty state.
 func newState() *state {
 	return &state{
 		documents:   map[string]*wire.Document{},
@@ -49,15 +50,15 @@
 	}
 }
 
-// load replaces the state by a saved one. Leases count as granted now, which is later than they were:
-// a holder is trusted for longer than its lease, never for less.
+// load replaces the state by a decoded one. Leases count as granted at the time of the load, which is later than
+// their actual grant, so that they are never given to another holder too early.
 func (s *state) load(encoded []byte, now time.Duration) error {
 	saved := &wire.ShardState{}
 	if err := proto.Unmarshal(encoded, saved); err != nil {
 		return err
 	}
 	if saved.Format > stateFormat {
-		return fmt.Errorf("state of format %d: this program reads format %d: start the newer program", saved.Format, stateFormat)
+		return fmt.Errorf("encoded state has format %d but this release reads formats up to %d: run the release that wrote the state", saved.Format, stateFormat)
 	}
 	*s = *newState()
 	for _, document := range saved.Documents {
@@ -98,19 +99,19 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone}
 }
 
-// applyPut applies a change of a document. The rules by which it changes the state are those of all
-// earlier releases, so that members of several releases make the same state of one log.
+// applyPut applies a change of a document. It changes the state by the same rules as all earlier releases, so that
+// members running different releases compute the same state from the same log.
 func (s *state) applyPut(put *wire.Put) *wire.ChangeResponse {
 	if s.isRecentToken(put.Token) {
 		return s.respondToRetry(put)
 	}
 	if lease := s.leases[put.Lease]; put.Lease != "" && (lease == nil || lease.Fence != put.Fence || lease.Holder != put.Holder) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the fencing token is stale
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the lease is held by another holder or under another fencing token
 	}
 	document := s.documents[put.Key]
 	if document == nil {
 		if len(s.documents) >= maxDocuments {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"the shard holds as many documents as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{fmt.Sprintf("shard already holds the maximum of %d documents", maxDocuments)}}
 		}
 		document = &wire.Document{Key: put.Key}
 	}
@@ -121,7 +122,7 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: document.Version}
 	}
 	if s.documentBytes-len(document.Body)+len(put.Body) > maxStateBytes {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Version: document.Version, Errors: []string{"the shard holds as many bytes as it may"}}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Version: document.Version, Errors: []string{fmt.Sprintf("change would exceed the maximum of %d bytes for all documents of the shard", maxStateBytes)}}
 	}
 	s.documentBytes += len(put.Body) - len(document.Body)
 	changed := &wire.Document{Key: put.Key, Body: put.Body, Version: max(put.NewVersion, document.Version+1)}
@@ -136,7 +137,7 @@
 	lease := s.leases[grant.Lease]
 	if lease == nil {
 		if len(s.leases) >= maxLeases {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{"the shard holds as many leases as it may"}}
+			return &wire.ChangeResponse{Outcome: wire.OutcomeTooLarge, Errors: []string{fmt.Sprintf("shard already holds the maximum of %d leases", maxLeases)}}
 		}
 		lease = &wire.Lease{Name: grant.Lease}
 	}
@@ -153,9 +154,9 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: granted.Fence, Leader: granted.Holder}
 }
 
-// isGrantable reports whether a lease may be granted to a holder, or released by it, now. A holder
-// counts its lease from when it sent the request, which is before any member saw the grant: so it stops
-// using the lease before another holder gets it.
+// isGrantable reports whether a lease may now be granted to a holder or released by it. A holder measures its lease
+// from the time at which it sent the request, before any member saw the grant. It therefore stops using the lease
+// before another holder can get it.
 func (s *state) isGrantable(grant *wire.Grant, now time.Duration) bool {
 	lease := s.leases[grant.Lease]
 	if grant.Release {
@@ -168,10 +169,10 @@
 	return now-s.grantedAt[grant.Lease] > ttl+time.Duration(float64(ttl)*settings.LeaseMarginRatio)
 }
 
-// applyClaims advances the shard's age and claims or releases ids of at-most-once requests.
+// applyClaims advances the shard's clock for claims, and claims or releases IDs of at-most-once requests.
 func (s *state) applyClaims(claims *wire.Claims) *wire.ChangeResponse {
 	response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
-	if claims.RetentionNs > 0 { // 0: proposed by a release that sent no age
+	if claims.RetentionNs > 0 { // 0: proposed by a release that did not send the elapsed time
 		s.claims.advanceAge(claims.ElapsedNs, claims.RetentionNs)
 	}
 	for _, claim := range claims.Claims {
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -10,40 +10,41 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bounds of the transport. The ratios are of the heal bound.
+// Limits of the transport. The ratios are fractions of the heal bound.
 const (
-	maxOutboxes          = 16       // addresses with queues at once
-	maxQueuedSmall       = 64       // messages for one address
-	maxQueuedLarge       = 2        // messages for one address
-	maxBatchMessages     = 16       // small messages in one request
-	largeMessageBytes    = 16 << 10 // from which on a message counts as large
-	sendTimeoutRatio     = 1.0 / 24 // for a request without a payload
-	megabyteTimeoutRatio = 1.0      // added for each megabyte of payload
+	maxOutboxes          = 16       // addresses that have queues at one time
+	maxQueuedSmall       = 64       // small messages queued for one address
+	maxQueuedLarge       = 2        // large messages queued for one address
+	maxBatchMessages     = 16       // small messages sent in one request
+	largeMessageBytes    = 16 << 10 // payload size from which a message counts as large
+	sendTimeoutRatio     = 1.0 / 24 // time-out of a request without a payload
+	megabyteTimeoutRatio = 1.0      // added to the time-out for each MiB of payload
 )
 
-// transport sends a group's messages. Each address has one queue of small messages and one of large
-// ones, each with a goroutine of its own, so that no heartbeat waits behind a snapshot. The transport
-// belongs to the shard's goroutine; the senders' goroutines end with ctx.
+// transport sends the messages of a group. Each address has a queue for small messages and one for large messages,
+// each with its own sending goroutine, so that a heartbeat never waits behind a snapshot. Only the shard's goroutine
+// may use the transport; the sending goroutines end with ctx.
 type transport struct {
 	ctx      context.Context
 	node     *Node
 	outboxes map[string]*outbox // by address
-	sent     int                // messages queued so far, for all addresses
+	sent     int                // number of messages queued so far, for all addresses
 }
 
-// outbox holds the queues of one address.
+// outbox holds the message queues for one address.
 type outbox struct {
 	small, large *queue.Ring[*wire.Message]
-	lastUsed     int // transport.sent when a message was last queued
+	lastUsed     int // value of transport.sent when a message was last queued here
 	stop         context.CancelFunc
 }
 
+// newTransport returns a transport whose sending goroutines run until ctx ends.
 func newTransport(ctx context.Context, node *Node) *transport {
 	return &transport{ctx: ctx, node: node, outboxes: map[string]*outbox{}}
 }
 
-// send queues a message for the address of its receiver. A full queue drops it: the consensus core
-// tolerates lost messages.
+// send queues a message for the address of its receiver. A message that does not fit into the queue is dropped: the
+// consensus core tolerates lost messages.
 func (t *transport) send(message *wire.Message) {
 	to := controlclient.MemberAddr(message.To)
 	box := t.outboxes[to]
@@ -62,6 +63,7 @@
 	}
 }
 
+// openOutbox creates the queues for an address and starts their sending goroutines.
 func (t *transport) openOutbox(to string) *outbox {
 	ctx, stop := context.WithCancel(t.ctx)
 	box := &outbox{
@@ -76,19 +78,19 @@
 	return box
 }
 
-// evictLeastRecentlyUsed closes the outbox that got no message for longest, and drops what it holds.
+// evictLeastRecentlyUsed closes the outbox that has been unused for the longest time and drops its messages.
 func (t *transport) evictLeastRecentlyUsed() {
-	idlest := ""
+	oldest := ""
 	for addr, box := range t.outboxes {
-		if idlest == "" || box.lastUsed < t.outboxes[idlest].lastUsed {
-			idlest = addr
+		if oldest == "" || box.lastUsed < t.outboxes[oldest].lastUsed {
+			oldest = addr
 		}
 	}
-	t.outboxes[idlest].stop()
-	delete(t.outboxes, idlest)
+	t.outboxes[oldest].stop()
+	delete(t.outboxes, oldest)
 }
 
-// payloadBytes is the approximate size of a message: that of its entries, snapshot and chunk.
+// payloadBytes returns the approximate size of a message: that of its log entries, snapshot state and snapshot chunk.
 func payloadBytes(message *wire.Message) int {
 	size := len(message.GetSnapshot().GetState()) + len(message.GetChunk().GetData())
 	for _, entry := range message.Entries {
@@ -97,30 +99,31 @@
 	return size
 }
 
-// peerSender sends the messages for one address. Its two goroutines share what mu guards.
+// peerSender sends the messages for one address. mu guards the fields that its two goroutines share.
 type peerSender struct {
 	node *Node
 	to   string
 
 	mu              sync.Mutex
-	lastSmallFailed bool               // the last small messages didn't arrive
-	abortLarge      context.CancelFunc // aborts the large message in flight; nil if there is none
+	lastSmallFailed bool               // the last request with small messages failed
+	abortLarge      context.CancelFunc // cancels the request that sends a large message; nil if none is in progress
 }
 
-// timeout is how long a request with a payload of so many bytes may take.
+// timeout returns the time-out of a request with a payload of size bytes.
 func (p *peerSender) timeout(size int) time.Duration {
 	return p.node.process.Settings.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
+// deliver sends messages to the peer in one request. Messages of a failed request are not sent again.
 func (p *peerSender) deliver(ctx context.Context, messages []*wire.Message) error {
 	_, err := p.node.clients.ControlNode(p.to).Deliver(ctx, &wire.MessageBatch{Format: messageFormat, Messages: messages})
 	if err != nil {
-		p.node.process.Log.Debug("messages lost", "to", p.to, "messages", len(messages), "error", err)
+		p.node.process.Log.Debug("failed to deliver consensus messages to peer; messages dropped", "to", p.to, "messages", len(messages), "error", err)
 	}
 	return err
 }
 
-// sendSmall sends small messages in batches until ctx ends.
+// sendSmall sends the queued small messages in batches until ctx ends.
 func (p *peerSender) sendSmall(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
@@ -135,8 +138,8 @@
 	}
 }
 
-// recordSmallResult aborts a large message in flight when small ones get through again: it was begun on
-// a connection that may stay silent for long.
+// recordSmallResult records whether small messages were delivered. When they are delivered again after a failure, it
+// aborts a large message in progress, which may be stuck on a connection from before the failure.
 func (p *peerSender) recordSmallResult(failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +149,7 @@
 	p.lastSmallFailed = failed
 }
 
-// sendLarge sends large messages one by one until ctx ends. The core is notified of each that is lost.
+// sendLarge sends the queued large messages one at a time until ctx ends. It notifies the core of each failed one.
 func (p *peerSender) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
@@ -165,6 +168,7 @@
 	}
 }
 
+// setAbort sets the function that aborts the large message in progress.
 func (p *peerSender) setAbort(abort context.CancelFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -9,17 +9,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// Prefixes of the keys of documents that are validated against each other, as calendar.Key and
-// retire.Key make them.
+// Key prefixes of the documents that are validated against each other; calendar.Key and retire.Key return keys
+// with these prefixes.
 const (
 	calendarPrefix   = "calendar/"
 	retirementPrefix = "retire/"
 )
 
-// validateDocument validates a calendar entry or a retirement against the others. Any other document is
-// accepted. It returns errs.BadInput for an invalid document, errs.Conflict for a valid one that
-// conflicts with others, and errs.Overloaded while another change is in flight that it may conflict
-// with.
+// validateDocument validates a calendar entry or a retirement, also against the other ones. Any other document is
+// accepted. It returns errs.BadInput for an invalid document, errs.Conflict for a valid one that conflicts with
+// others, and errs.Overloaded while there are unapplied changes that it may conflict with.
 func (s *shard) validateDocument(put *wire.Put) error {
 	switch {
 	case strings.HasPrefix(put.Key, calendarPrefix):
@@ -30,8 +29,8 @@
 	return nil
 }
 
-// validateCalendarEntry validates a calendar entry against the others of its service, and against the
-// retirements that move the same service.
+// validateCalendarEntry validates a calendar entry, also against the other entries and against the retirements that
+// change the same service.
 func (s *shard) validateCalendarEntry(put *wire.Put) error {
 	entry, err := calendar.Decode(put.Body)
 	if err != nil {
@@ -40,7 +39,7 @@
 	var faults errs.Batch
 	entry.Validate(&faults)
 	if calendar.Key(entry.Service, entry.Name) != put.Key {
-		faults.Addf(errs.BadInput, "entry %q of service %q doesn't belong under %s", entry.Name, entry.Service, put.Key)
+		faults.Addf(errs.BadInput, "calendar entry %q of service %q does not match its document key %q", entry.Name, entry.Service, put.Key)
 	}
 	if err := s.checkNothingInFlight(); err != nil {
 		return err
@@ -49,16 +48,16 @@
 	faults.Add("calendar", entry.CheckConflicts(others))
 	if entry.Active() {
 		for _, retirement := range s.retirements(&faults) {
-			if retirement.Service == entry.Service && isMovingService(retirement) {
-				faults.Addf(errs.Conflict, "entry %q clashes with retirement %q (%s): both move service %s", entry.Name, retirement.Name, retirement.State, entry.Service)
+			if retirement.Service == entry.Service && isChangingService(retirement) {
+				faults.Addf(errs.Conflict, "calendar entry %q conflicts with retirement %q (state %s): both change service %s", entry.Name, retirement.Name, retirement.State, entry.Service)
 			}
 		}
 	}
 	return faults.Err()
 }
 
-// validateRetirement validates a retirement against the others, and against the calendar entries that
-// move the same service.
+// validateRetirement validates a retirement, also against the other retirements and against the calendar entries that
+// change the same service.
 func (s *shard) validateRetirement(put *wire.Put) error {
 	retirement, err := retire.Read(put.Body)
 	if err != nil {
@@ -67,41 +66,43 @@
 	var faults errs.Batch
 	retirement.Validate(&faults)
 	if retire.Key(retirement.Service, retirement.Name) != put.Key {
-		faults.Addf(errs.BadInput, "retirement %q of service %q doesn't belong under %s", retirement.Name, retirement.Service, put.Key)
+		faults.Addf(errs.BadInput, "retirement %q of service %q does not match its document key %q", retirement.Name, retirement.Service, put.Key)
 	}
 	if err := s.checkNothingInFlight(); err != nil {
 		return err
 	}
 	faults.Add("retirement", retirement.CheckConflicts(s.retirements(&faults)))
-	if isMovingService(retirement) {
-		var unreadable errs.Batch // entries that can't be read don't concern this retirement
+	if isChangingService(retirement) {
+		var unreadable errs.Batch // undecodable entries do not invalidate the retirement
 		for _, entry := range decodeDocuments(s.state.documents, calendarPrefix, calendar.Decode, &unreadable) {
 			if entry.Active() && entry.Service == retirement.Service {
-				faults.Addf(errs.Conflict, "retirement %q clashes with calendar entry %q (%s): both move service %s: let it end, cancel or undo it first", retirement.Name, entry.Name, entry.State, entry.Service)
+				faults.Addf(errs.Conflict, "retirement %q conflicts with calendar entry %q (state %s): both change service %s: let the entry end, cancel it or undo it first", retirement.Name, entry.Name, entry.State, entry.Service)
 			}
 		}
 	}
 	return faults.Err()
 }
 
-// isMovingService reports whether a retirement has begun to move its service and hasn't ended.
-func isMovingService(retirement *retire.Retirement) bool {
+// isChangingService reports whether a retirement has started to change its service and has not ended.
+func isChangingService(retirement *retire.Retirement) bool {
 	return retirement.Active() && retirement.State != retire.StatePlanned
 }
 
+// checkNothingInFlight returns errs.Overloaded if the log has entries that are not applied yet.
 func (s *shard) checkNothingInFlight() error {
 	if len(s.core.UnappliedEntries()) > 0 {
-		return errs.New(errs.Overloaded, "another change is under way: ask again")
+		return errs.New(errs.Overloaded, "another change of the control state has not been applied yet: retry the request")
 	}
 	return nil
 }
 
+// retirements returns the stored retirements. Those that cannot be decoded are added to the faults.
 func (s *shard) retirements(faults *errs.Batch) []*retire.Retirement {
 	return decodeDocuments(s.state.documents, retirementPrefix, retire.Read, faults)
 }
 
-// decodeDocuments decodes the documents whose keys begin with a prefix. Those that can't be decoded are
-// left out and added to the faults, by their keys.
+// decodeDocuments decodes the documents whose keys begin with a prefix. Documents that cannot be decoded are skipped
+// and reported in faults with their keys.
 func decodeDocuments[T any](documents map[string]*wire.Document, prefix string, decode func([]byte) (T, error), faults *errs.Batch) (decoded []T) {
 	for key, document := range documents {
 		if !strings.HasPrefix(key, prefix) {
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -9,18 +9,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxWatchers bounds the watches that wait at once. More are ended without waiting.
+// maxWatchers limits the watches that wait concurrently. Further ones get an immediate response.
 const maxWatchers = 1024
 
-// watch waits until there is a newer version of a document or the request's time is over.
-// OutcomeUnchanged attests that this member's disk holds nothing newer; what a majority of such
-// attestations proves is for the caller to decide.
+// watch waits until there is a newer version of a document or the wait time of the request is over.
+// OutcomeUnchanged means that this member's log contains no newer version. Whether such responses from a majority
+// of members prove that there is none is for the caller to decide.
 func (s *shard) watch(ctx context.Context, request *wire.WatchRequest, member string) *wire.WatchResponse {
 	unknown := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	timer := time.NewTimer(time.Duration(request.MaxWaitNs))
 	defer timer.Stop()
 	for expired := false; ; {
-		// Neither may be read after runOnLoop returned false.
+		// response and changed must not be read after runOnLoop has returned false.
 		var response *wire.WatchResponse
 		var changed chan struct{}
 		if !s.runOnLoop(ctx, func() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// watchResponse returns the response that can be given now; nil if the request has to wait.
+// watchResponse returns the response to a watch, with this member's incarnations; nil if the watch has to wait.
 func (s *shard) watchResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
 	response := s.documentResponse(request, member, expired)
 	if response != nil {
@@ -56,6 +56,7 @@
 	return response
 }
 
+// documentResponse returns the response to a watch without incarnations; nil if the watch has to wait.
 func (s *shard) documentResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
 	document := s.state.documents[request.Key]
 	switch {
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// hasNothingNewer reports whether this member's log holds no newer version of a document than the
-// applied one: then no newer one was acknowledged with this member's help.
+// hasNothingNewer reports whether this member's log contains no newer version of a document than the applied one. In
+// that case this member has not contributed to the acknowledgement of a newer version.
 func (s *shard) hasNothingNewer(key string) bool {
 	if s.failure != nil || s.core.Status().Blank {
 		return false
