--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -16,10 +16,10 @@
 // evict the records of another.
 const (
 	configChangesPerDay = 1200                    // expected changes of the configuration at the target size of a site
-	maxConfigRecords    = 3 * configChangesPerDay // records of the configuration, for three days
-	maxDocumentRecords  = maxRecentTokens         // records of any other document
-	tokenHashBytes      = 16                      // stored prefix of a token's hash
-	digestBytes         = 8                       // stored prefix of a change's digest
+	maxConfigRecords    = 3 * configChangesPerDay // limit for a configuration document: three days of changes
+	maxDocumentRecords  = maxRecentTokens         // limit for any other document
+	tokenHashBytes      = 16                      // length of the stored prefix of a token's hash
+	digestBytes         = 8                       // length of the stored prefix of a change's digest
 )
 
 // idempotencyRecord describes a change that was accepted under a token. It stores a prefix of the token's hash
@@ -27,7 +27,7 @@
 type idempotencyRecord struct {
 	tokenHash      [tokenHashBytes]byte
 	digest         [digestBytes]byte
-	version        uint64 // of the document after this change
+	version        uint64 // document version that the change produced
 	digestWithBase bool   // the digest is Put.digest, which covers the base version; set for changes by releases without content digests
 }
 
@@ -156,7 +156,7 @@
 func (s *state) respondToRetry(put *wire.Put) *wire.ChangeResponse {
 	record, ok := s.idempotency[put.Key].find(put.Token)
 	if ok && record.isSameChange(put) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: record.version, TokenReuse: "the change was already made by an earlier request with the same token"}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: record.version, TokenReuse: "the change was made before"}
 	}
 	if ok || s.isRecentToken(put.Token) {
 		reused := "token " + put.Token + " was already used for a different change: use a new token for each change"
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -17,17 +17,17 @@
 // membershipPlanner decides the next membership change of a group from what its leader knows. It keeps no state
 // between decisions and has no side effects.
 type membershipPlanner struct {
-	self       string                 // the leader's incarnation
-	members    []string               // the voters' incarnations
-	peers      []consensus.PeerStatus // voters and learners that the leader replicates to
-	targetSize int                    // desired number of voters
-	zoneOf     func(addr string) string
-	isLeaving  func(name string) bool // reports whether the member has announced its shutdown
+	self       string                   // the leader's incarnation
+	members    []string                 // the voters' incarnations
+	peers      []consensus.PeerStatus   // voters and learners that the leader replicates to
+	targetSize int                      // desired number of voters
+	zoneOf     func(addr string) string // returns the zone of an address
+	isLeaving  func(name string) bool   // reports whether the member has announced its shutdown
 }
 
 // next returns the voters that the leader should propose, which are one more or one fewer than the current
 // ones, or nil to keep the current ones. Its rules are those of the table in docs/control.md, section 3:
-//   - A member whose disk is lost is removed at once: it can never vote again, so the group loses nothing.
+//   - A member whose disk is lost is removed at once: it can never vote again, so its removal costs no quorum.
 //   - A silent member may come back. It is removed only if a spare, that is a learner with all committed
 //     entries, is ready to replace it. It is removed before the spare is added, so that the group never
 //     depends on the new voter, which may fail next.
--- a/internal/control/controlstate/merge.go
+++ b/internal/control/controlstate/merge.go
@@ -15,7 +15,7 @@
 type mergedConfig struct {
 	baseVersion uint64 // document version that the change was merged into
 	body        []byte
-	version     uint64 // the document's new version; 0: the base version plus one
+	version     uint64 // new version of the document; 0: the base version plus one
 	err         error  // why the configuration is invalid; nil if it is valid
 }
 
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -26,7 +26,7 @@
 
 	// Only set on a node with fixed members.
 	coreMembers []string                              // names of all control nodes, sorted
-	outgoing    map[string]*queue.Ring[*wire.Message] // by peer name
+	outgoing    map[string]*queue.Ring[*wire.Message] // message queues by peer name
 
 	// Only set on a node of a group.
 	controlClient *controlclient.Client
@@ -96,7 +96,7 @@
 }
 
 // Watch serves a long poll for one document: it responds with a newer version as soon as there is one. If there is
-// none when the wait time is over, the outcome tells whether this member's log is free of newer versions.
+// none when the wait time is over, the outcome states whether this member's log is free of newer versions.
 //
 // Example: response, err := n.Watch(ctx, &wire.WatchRequest{Key: "setup", KnownVersion: 7, MaxWaitNs: 3e8})
 func (n *Node) Watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -17,7 +17,7 @@
 )
 
 // operatorTimeoutRatio is the time-out for serving an operator's request, as a fraction of the acknowledgement bound
-// (Site.AckTimeoutMs). It is less than the one second without a response after which operators' clients try
+// (Site.AckTimeoutMs). It is less than the one second without a response after which an operator's client tries
 // another node.
 const operatorTimeoutRatio = 0.22
 
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -17,16 +17,16 @@
 // everything that this member has acknowledged, even while the shard's goroutine waits for the disk.
 type publishedView struct {
 	self                string                    // this member's incarnation
-	documents           map[string]*wire.Document // by key
+	documents           map[string]*wire.Document // documents of the applied state, by key
 	compressedDocuments map[string]*wire.Document // the same documents in compressed form, for clients that accept it
 	unappliedVersions   map[string]uint64         // highest versions in unapplied log entries, by key (highestVersions)
 	members             []string                  // voters of the newest membership that this member knows
 	generation          uint64                    // restore generation of the group
-	term, index         uint64                    // log position of the entry with that membership
+	term, index         uint64                    // log position of the entry that established the membership
 	isVoter             bool                      // this member is a voter and has not failed
-	leader              string
-	isLeader            bool
-	changed             chan struct{} // closed when a newer view is published that long polls can respond with
+	leader              string                    // incarnation of the leader, if known
+	isLeader            bool                      // this member is the leader and has not failed
+	changed             chan struct{}             // closed when a newer view is published that long polls can respond with
 }
 
 // viewPublisher provides the newest view to readers on other goroutines.
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -50,7 +50,7 @@
 	box := t.outboxes[to]
 	if box == nil {
 		if len(t.outboxes) >= maxOutboxes {
-			t.evictLeastRecentlyUsed()
+			t.evictLongestIdle()
 		}
 		box = t.openOutbox(to)
 	}
@@ -78,8 +78,8 @@
 	return box
 }
 
-// evictLeastRecentlyUsed closes the outbox that has been unused for the longest time and drops its messages.
-func (t *transport) evictLeastRecentlyUsed() {
+// evictLongestIdle closes the outbox that has been unused for the longest time and drops its messages.
+func (t *transport) evictLongestIdle() {
 	oldest := ""
 	for addr, box := range t.outboxes {
 		if oldest == "" || box.lastUsed < t.outboxes[oldest].lastUsed {
