--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -12,27 +12,29 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node is an index node: an actor guards its tables, a poller feeds them, and its methods serve edge
-// machines and the placement controller.
+// Node is an index node. An actor serializes the accesses to its Core, and a reportPoller or an eventFollower feeds
+// it. The methods of Node serve the RPCs of proxies and of the placement controller.
 type Node struct {
 	process *daemon.Process
 	actor   *queue.Actor[Core]
 	clock   clock.Clock
-	name    string // in the cluster membership
+	// name is the name of the index node in the cluster membership.
+	name string
 }
 
+// nodeName returns the name of a process's index node in the cluster membership.
 func nodeName(process *daemon.Process) string {
 	return clustermembership.RolePromptIndex + "/" + process.Settings.Name
 }
 
-// newNode makes a node over an index. It stops with the process.
+// newNode returns an index node that serves core. Its actor stops when the process stops.
 func newNode(process *daemon.Process, core *Core) *Node {
 	n := &Node{process: process, clock: process.Clock, name: nodeName(process), actor: queue.NewActor(core, 1024)}
 	process.OnStop(n.actor.Stop)
 	return n
 }
 
-// addMetrics adds the metrics that all index nodes have.
+// addMetrics registers the metrics that all index nodes export.
 func (n *Node) addMetrics() {
 	meter := n.process.Meter
 	meter.Gauge("pebbleloom_index_entries", "prefix entries in the index", n.coreMetric(func(c *Core) float64 { return float64(len(c.entries)) }))
@@ -40,7 +42,7 @@
 	meter.Counter("pebbleloom_index_whole_reports_total", "full reports received", n.coreMetric(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
 }
 
-// coreMetric makes a metric of a value that is read from the tables.
+// coreMetric returns a metric callback that reads a value from the Core within the actor.
 func (n *Node) coreMetric(read func(*Core) float64) func() float64 {
 	return func() (value float64) {
 		n.actor.Ask(func(c *Core) { value = read(c) })
@@ -48,12 +50,13 @@
 	}
 }
 
-// Handler serves the calls of edge machines and the placement controller.
+// Handler returns the HTTP handler for the RPCs of proxies and of the placement controller.
 //
 // Example: mux.Handle(wire.PromptIndexPathPrefix, n.Handler())
 func (n *Node) Handler() http.Handler { return wire.NewPromptIndexServer(n) }
 
-// Lookup serves lookups. Keys of another length are ignored.
+// Lookup handles lookups of keys; malformed keys are ignored. If the request reports the worker loads of a proxy,
+// they are recorded, and the response has the loads reported by the other proxies.
 //
 // Example: wire.NewPromptIndexProtobufClient(url, h).Lookup(ctx, request)
 func (n *Node) Lookup(_ context.Context, request *wire.LookupRequest) (*wire.LookupResponse, error) {
@@ -75,7 +78,7 @@
 	return response, nil
 }
 
-// Count serves reports of accesses.
+// Count handles batches of accesses, and the worker loads that a proxy reports with them.
 //
 // Example: wire.NewPromptIndexProtobufClient(url, h).Count(ctx, request)
 func (n *Node) Count(_ context.Context, request *wire.CountRequest) (*wire.CountResponse, error) {
@@ -88,7 +91,7 @@
 	return response, nil
 }
 
-// Hottest serves the hottest entries.
+// Hottest handles requests for the hottest entries of a service.
 //
 // Example: wire.NewPromptIndexProtobufClient(url, h).Hottest(ctx, request)
 func (n *Node) Hottest(_ context.Context, request *wire.HottestRequest) (*wire.HottestResponse, error) {
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -13,26 +13,33 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing, as ratios of the heal bound. Chosen, not measured.
+// Intervals and timeouts, as ratios of the recovery time bound (Bounds.Heal).
 const (
-	reportPollRatio    = 1.0 / 12 // between two requests to a worker for its reports
-	reportTimeoutRatio = 1.0 / 6  // of such a request
-	updatePollRatio    = 1.0 / 24 // how long the node agent may wait for an update before it responds
+	// reportPollRatio is the interval between two requests to a worker for its cache reports.
+	reportPollRatio = 1.0 / 12
+	// reportTimeoutRatio is the timeout of one request to a worker for its cache reports.
+	reportTimeoutRatio = 1.0 / 6
+	// updateLongPollRatio is how long the node agent may hold a request for an update until there is one.
+	updateLongPollRatio = 1.0 / 24
 )
 
-// reportPoller feeds an index node with the numbered reports of the workers that the node agent lists.
+// reportPoller feeds an index node with the numbered cache reports of the workers that the node agent lists.
 type reportPoller struct {
-	node     *Node
-	shards   atomic.Pointer[Shards] // nil before the first cluster membership
+	node *Node
+	// shards is the current assignment of keys to index nodes; nil until the cluster membership is known.
+	shards   atomic.Pointer[Shards]
 	backends *contract.Backends
 	updates  *updatestream.Follower
 
-	// Guarded by the node's actor.
-	isPolling map[string]bool // workers with a poll in flight
-	isListed  map[string]bool // workers at the last poll
+	// isPolling has the workers with a poll in flight. It is accessed only within the node's actor.
+	isPolling map[string]bool
+	// isListed has the workers that the node agent listed at the last poll. It is accessed only within the node's
+	// actor.
+	isListed map[string]bool
 }
 
-// Start runs an index node until the process stops.
+// Start runs an index node that polls workers for numbered cache reports, until the process stops. The node agent on
+// the same host supplies the list of workers and the configuration.
 //
 // Example: daemon.Main(programs.PromptIndex, "index node", required, promptindex.Start)
 func Start(process *daemon.Process) error {
@@ -56,7 +63,7 @@
 		Clock:        process.Clock,
 		Log:          process.Log,
 		NodeAgent:    func() wire.NodeAgent { return clients.NodeAgent(settings.NodeAgent) },
-		LongPollTime: settings.Bounds.Heal(updatePollRatio),
+		LongPollTime: settings.Bounds.Heal(updateLongPollRatio),
 		OnSnapshot:   updatestream.OnSeedsChanged(member.SetSeeds),
 	})
 	process.Every(settings.Bounds.Heal(reportPollRatio), poller.poll)
@@ -72,6 +79,7 @@
 	return nil
 }
 
+// addMetrics registers the metrics of an index node that is fed by a reportPoller.
 func (p *reportPoller) addMetrics() {
 	p.node.addMetrics()
 	meter := p.node.process.Meter
@@ -84,7 +92,8 @@
 	}))
 }
 
-// reshard assigns the keys again after the index nodes may have changed.
+// reshard recomputes the assignment of keys after a change of the cluster membership. If the keys of this node have
+// changed, its tables are updated.
 func (p *reportPoller) reshard(nodes []*wire.Node) {
 	shards := NewShards(nodes)
 	if old := p.shards.Swap(shards); !shards.SameAssignment(old, p.node.name) {
@@ -92,7 +101,8 @@
 	}
 }
 
-// poll polls every listed worker, and the stores, for what they cache. Each has at most one poll in flight.
+// poll requests cache reports from each listed worker and store that has no poll in flight. It removes those that
+// are not listed any more.
 func (p *reportPoller) poll() {
 	snapshot := p.updates.Snapshot()
 	if snapshot == nil {
@@ -119,7 +129,7 @@
 	})
 }
 
-// pollWorker makes one request to a worker and applies its response.
+// pollWorker sends one request for cache reports to a worker and applies the response.
 func (p *reportPoller) pollWorker(addr string, request ReportRequest) {
 	process := p.node.process
 	ctx, cancel := context.WithTimeout(process.Ctx, process.Settings.Bounds.Heal(reportTimeoutRatio))
--- a/internal/data/promptindex/serving.go
+++ b/internal/data/promptindex/serving.go
@@ -6,17 +6,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// minServingNodes is the least number of index nodes that serve, if there are as many: each key has two.
+// minServingNodes is the minimum number of serving index nodes, if there are as many. Each key is assigned to two.
 const minServingNodes = 2
 
-// isLive reports whether a node is an index node that may be asked.
+// isLive reports whether a node is an index node that is not known to be dead.
 func isLive(node *wire.Node) bool {
 	return node.Role == clustermembership.RolePromptIndex && node.State < clustermembership.Dead
 }
 
-// ServingNodes selects the index nodes that a site's keys are assigned to: half of them, two at least, in
-// different zones if possible. The others stand by, and cost no calls. All processes that know the same
-// nodes select the same.
+// ServingNodes selects the live index nodes that keys are assigned to: half of them, but at least two, and in
+// different zones if possible. The others are on standby and do not poll workers. Processes with the same view of
+// the cluster membership select the same nodes.
 //
 // Example: s := promptindex.NewShards(promptindex.ServingNodes(snapshot.Nodes))
 func ServingNodes(nodes []*wire.Node) (serving []*wire.Node) {
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -13,17 +13,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// shardCount is the number of shards: a key's first byte is its shard.
+// shardCount is the number of shards. The first byte of a key is the number of its shard.
 const shardCount = 256
 
-// Shards assigns each key to two index nodes: the first by rendezvous hashing, and the next one in another
-// zone. It is immutable.
+// Shards assigns each key to two index nodes: the first one in the order of rendezvous hashing, and the next one in
+// another zone, if there is one. It is immutable.
 type Shards struct {
-	nodes     [shardCount][2]string // names; "": none
-	addresses map[string]string     // by name
+	// nodes has the names of the two index nodes of each shard, in the order in which they are asked; "" if there
+	// are fewer.
+	nodes [shardCount][2]string
+	// addresses has the address of each live index node, by name.
+	addresses map[string]string
 }
 
-// NewShards assigns the shards to the live index nodes.
+// NewShards assigns the shards to those of nodes that are live index nodes.
 //
 // Example: s := promptindex.NewShards(snapshot.Nodes)
 func NewShards(nodes []*wire.Node) *Shards {
@@ -53,12 +56,12 @@
 	return shards
 }
 
-// NodesOf returns the names of the index nodes of a key; "" where there is none.
+// NodesOf returns the names of the two index nodes that a key is assigned to; "" if there are fewer.
 //
 // Example: first := s.NodesOf(key)[0]
 func (s *Shards) NodesOf(key prefix.Key) [2]string { return s.nodes[key[0]] }
 
-// IsAssigned reports whether a key is assigned to a node.
+// IsAssigned reports whether a key is assigned to the index node of that name.
 //
 // Example: s.IsAssigned("catalogue/edge-1", key)
 func (s *Shards) IsAssigned(name string, key prefix.Key) bool { return s.isAssigned(name, int(key[0])) }
@@ -68,7 +71,7 @@
 	return nodes[0] == name || nodes[1] == name
 }
 
-// SameAssignment reports whether the same shards are assigned to a node; false if the other assignment is
+// SameAssignment reports whether s and other assign the same shards to an index node. It returns false if other is
 // nil.
 //
 // Example: if !old.SameAssignment(s, name) { core.Reshard() }
@@ -84,20 +87,20 @@
 	return true
 }
 
-// Addr returns the address of an index node; "" if it isn't live.
+// Addr returns the address of an index node; "" if the node is not live.
 //
 // Example: addr := s.Addr("catalogue/edge-1")
 func (s *Shards) Addr(name string) string { return s.addresses[name] }
 
-// Lookup looks keys up, one call per node, all at once. If a node doesn't respond in time, or isn't warm
-// yet, the other one of its keys is asked; a missing shard never fails a request. Each of the two attempts
-// waits no longer than wait.
+// Lookup looks up keys with one concurrent call to each of their first index nodes. Keys whose node does not
+// respond in time, or is not warm yet, are then looked up on their second node. Each of the two attempts takes at
+// most wait. Keys that neither node responded to are missing from the result; this is not an error.
 //
 // Example: found := s.Lookup(ctx, keys, clients.PromptIndex, 20*time.Millisecond)
 func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, connect func(addr string) wire.PromptIndex, wait time.Duration) map[prefix.Key]*wire.LookupResult {
 	found := make(map[prefix.Key]*wire.LookupResult, len(keys))
-	isFinal := make(map[prefix.Key]bool, len(keys)) // a warm node has responded
-	var mu sync.Mutex                               // guards found and isFinal
+	isFinal := make(map[prefix.Key]bool, len(keys)) // keys for which a warm index node has responded
+	var mu sync.Mutex                               // guards found and isFinal, which the concurrent calls write
 	for attempt := range 2 {
 		keysByNode := map[string][]prefix.Key{}
 		for _, key := range keys {
@@ -114,7 +117,7 @@
 			calls.Go(func() {
 				response := callLookup(callCtx, connect(s.addresses[node]), nodeKeys)
 				if response == nil {
-					return // a miss
+					return // the keys of this call stay missing, and the next attempt looks them up
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -129,7 +132,7 @@
 	return found
 }
 
-// callLookup looks keys up at one index node; nil without a complete response.
+// callLookup looks up keys on one index node. It returns nil if the call fails or the response is incomplete.
 func callLookup(ctx context.Context, client wire.PromptIndex, keys []prefix.Key) *wire.LookupResponse {
 	request := &wire.LookupRequest{}
 	for _, key := range keys {
@@ -142,8 +145,8 @@
 	return response
 }
 
-// MergeFound combines the results of two index nodes for a key; a may be nil. Where both know a holder, b's
-// certainty of it counts.
+// MergeFound merges the lookup results of two index nodes for the same key; a may be nil. For a holder that is in
+// both, the certainty that b reports is used.
 //
 // Example: found[key] = promptindex.MergeFound(found[key], response.Results[i])
 func MergeFound(a, b *wire.LookupResult) *wire.LookupResult {
@@ -159,8 +162,8 @@
 	return merged
 }
 
-// MergeHot combines the hot entries that index nodes report. Two nodes count each entry: the higher count
-// is used. The result is sorted by key.
+// MergeHot merges the hottest entries that several index nodes report. Two nodes count the accesses to each entry;
+// the higher hotness is used. The result is sorted by key.
 //
 // Example: hot := promptindex.MergeHot(responses)
 func MergeHot(responses []*wire.HottestResponse) []*wire.HotPrefix {
