--- a/internal/data/promptindex/loadaggregator.go
+++ b/internal/data/promptindex/loadaggregator.go
@@ -8,36 +8,38 @@
 	"pebbleloom/internal/wire"
 )
 
-// reportLifetimeRatio is how long an edge machine's report of workers' load counts, as a ratio of the heal
-// bound: four reports, at the pace at which they come.
-const reportLifetimeRatio = 1.0 / 15
+// loadReportLifetimeRatio is how long a proxy's report of worker loads is valid, as a ratio of the recovery time
+// bound (Bounds.Heal). It is four times the interval at which proxies report.
+const loadReportLifetimeRatio = 1.0 / 15
 
-// LoadAggregator adds up the loads that edge machines report: each sees a small share of the traffic, and
-// can't see from its own how loaded or how unhealthy a worker is. It isn't safe for concurrent use.
+// LoadAggregator adds up the worker loads that proxies report. Each proxy handles only a small share of the traffic,
+// from which it can't tell how loaded or unhealthy a worker is. A LoadAggregator is not safe for concurrent use.
 type LoadAggregator struct {
-	bounds        settings.Bounds
-	reports       map[string]*loadReport // by edge machine: the last one
-	completeSince time.Duration          // reports have come without a break since then
-	lastReportAt  time.Duration
+	bounds settings.Bounds
+	// reports has the last report of each proxy, by the proxy's name.
+	reports map[string]*loadReport
+	// uninterruptedSince is the time since which there has always been a valid report of some proxy.
+	uninterruptedSince time.Duration
+	lastReportAt       time.Duration
 }
 
-// loadReport is the last report of an edge machine.
+// loadReport is the last report of one proxy.
 type loadReport struct {
 	loads      *wire.WorkerLoads
 	receivedAt time.Duration
 }
 
-// NewLoadAggregator makes an aggregator without reports.
+// NewLoadAggregator returns an aggregator without reports.
 //
 // Example: a := promptindex.NewLoadAggregator(bounds)
 func NewLoadAggregator(bounds settings.Bounds) *LoadAggregator {
 	return &LoadAggregator{bounds: bounds, reports: map[string]*loadReport{}}
 }
 
-// lifetime is how long a report counts.
-func (a *LoadAggregator) lifetime() time.Duration { return a.bounds.Heal(reportLifetimeRatio) }
+// lifetime returns how long a report is valid.
+func (a *LoadAggregator) lifetime() time.Duration { return a.bounds.Heal(loadReportLifetimeRatio) }
 
-// IsValidReport reports whether a report of loads has one element for each worker in all its arrays.
+// IsValidReport reports whether loads is not nil and all of its per-worker arrays have the same length.
 //
 // Example: if !promptindex.IsValidReport(response.Loads) { return }
 func IsValidReport(loads *wire.WorkerLoads) bool {
@@ -45,8 +47,8 @@
 	return loads != nil && len(loads.InFlight) == count && len(loads.PendingPrefill) == count && len(loads.Successes) == count && len(loads.Failures) == count
 }
 
-// Record replaces an edge machine's last report. Reports with arrays of unequal length are ignored, and
-// those of further edge machines while there are too many.
+// Record replaces the last report of a proxy. It ignores reports with arrays of different lengths, and reports of
+// further proxies while the number of proxies with valid reports is at its limit.
 //
 // Example: a.Record("edge/edge-1", request.Loads, now)
 func (a *LoadAggregator) Record(reporter string, loads *wire.WorkerLoads, now time.Duration) {
@@ -54,20 +56,20 @@
 		return
 	}
 	if a.reports[reporter] == nil && len(a.reports) >= maxReporters {
-		a.dropOutdated(now)
+		a.dropExpired(now)
 		if len(a.reports) >= maxReporters {
 			return
 		}
 	}
 	if len(a.reports) == 0 || now-a.lastReportAt > a.lifetime() {
-		a.completeSince = now
+		a.uninterruptedSince = now
 	}
 	a.lastReportAt = now
 	a.reports[reporter] = &loadReport{loads, now}
 }
 
-// dropOutdated drops the reports that count no more.
-func (a *LoadAggregator) dropOutdated(now time.Duration) {
+// dropExpired removes the reports that are older than the lifetime of a report.
+func (a *LoadAggregator) dropExpired(now time.Duration) {
 	for reporter, report := range a.reports {
 		if now-report.receivedAt > a.lifetime() {
 			delete(a.reports, reporter)
@@ -75,16 +77,17 @@
 	}
 }
 
-// workerLoad is the load of one worker, added up.
+// workerLoad is the load of one worker, summed over the reports of several proxies.
 type workerLoad struct{ inFlight, pendingPrefill, successes, failures uint32 }
 
-// Others adds up the recent reports of all edge machines but one, on the same list of workers. While some
-// of them may not have reported yet it returns none: half of the load is worse than none.
+// Others returns the sum of the valid reports of all proxies except reporter, so far as they refer to the same list
+// of workers. It returns no loads until reports have arrived for one report lifetime: before that, some proxies may
+// not have reported yet, and a partial sum is worse than none.
 //
 // Example: response.Loads = a.Others("edge/edge-1", request.Loads.WorkerListHash, now)
 func (a *LoadAggregator) Others(reporter string, workerListHash uint64, now time.Duration) *wire.WorkerLoads {
 	total := &wire.WorkerLoads{WorkerListHash: workerListHash}
-	if now-a.completeSince < a.lifetime() {
+	if now-a.uninterruptedSince < a.lifetime() {
 		return total
 	}
 	byWorker := map[uint32]*workerLoad{}
--- a/internal/data/promptindex/loadaggregator_test.go
+++ b/internal/data/promptindex/loadaggregator_test.go
@@ -9,47 +9,49 @@
 	"pebbleloom/internal/wire"
 )
 
+// newLoads returns a report of the loads of one worker, given by its index in a worker list.
 func newLoads(list uint64, worker, inFlight, pending, succeeded, failed uint32) *wire.WorkerLoads {
 	return &wire.WorkerLoads{WorkerListHash: list, WorkerIndexes: []uint32{worker}, InFlight: []uint32{inFlight}, PendingPrefill: []uint32{pending}, Successes: []uint32{succeeded}, Failures: []uint32{failed}}
 }
 
-// newWarmAggregator makes one that has had reports for long enough to pass them on.
+// newWarmAggregator returns an aggregator whose first report is old enough, at now, for it to return sums.
 func newWarmAggregator(now time.Duration) *LoadAggregator {
 	aggregator := NewLoadAggregator(settings.DefaultBounds())
-	aggregator.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-aggregator.bounds.Heal(reportLifetimeRatio))
+	aggregator.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-aggregator.bounds.Heal(loadReportLifetimeRatio))
 	return aggregator
 }
 
-// An index node that has just started, or had no report for a while, doesn't have all reports yet.
+// An index node that has just started, or has received no reports for a while, may not have the reports of all proxies
+// yet. It must not return partial sums.
 func TestIncompleteLoadsAreNotPassedOn(t *testing.T) {
 	b := settings.DefaultBounds()
 	aggregator, now := NewLoadAggregator(b), time.Hour
 	for i := range 3 {
-		at := now + time.Duration(i)*b.Heal(reportLifetimeRatio)/2
+		at := now + time.Duration(i)*b.Heal(loadReportLifetimeRatio)/2
 		aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
-		if x := aggregator.Others("c", 1, at); (x.Reporters > 0) != (i == 2) {
-			t.Errorf("%d: %d reporters", i, x.Reporters)
+		if total := aggregator.Others("c", 1, at); (total.Reporters > 0) != (i == 2) {
+			t.Errorf("reporters in the sum of loads, %d half report lifetimes after the first report: got %d, want 0 before 2 half lifetimes and at least 1 from then on", i, total.Reporters)
 		}
 	}
-	at := now + 3*b.Heal(reportLifetimeRatio)
+	at := now + 3*b.Heal(loadReportLifetimeRatio)
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
-	if x := aggregator.Others("c", 1, at); x.Reporters > 0 {
-		t.Errorf("after a break: %d reporters", x.Reporters)
+	if total := aggregator.Others("c", 1, at); total.Reporters > 0 {
+		t.Errorf("reporters in the sum of loads, after 2 report lifetimes without reports: got %d, want 0", total.Reporters)
 	}
 }
 
 func TestLoadsAreAddedUpOverOtherReporters(t *testing.T) {
 	aggregator, now := newWarmAggregator(time.Hour), time.Hour
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
-	aggregator.Record("a", newLoads(1, 7, 2, 20, 8, 0), now) // only the last report counts
+	aggregator.Record("a", newLoads(1, 7, 2, 20, 8, 0), now) // replaces the first report of a
 	aggregator.Record("b", newLoads(1, 7, 3, 30, 0, 8), now)
 	aggregator.Record("b2", newLoads(1, 4, 1, 0, 16, 0), now)
-	aggregator.Record("c", newLoads(1, 7, 50, 50, 0, 0), now) // the requester itself
-	aggregator.Record("d", newLoads(2, 7, 50, 50, 0, 0), now) // of another list
+	aggregator.Record("c", newLoads(1, 7, 50, 50, 0, 0), now) // excluded: the report of the requesting proxy
+	aggregator.Record("d", newLoads(2, 7, 50, 50, 0, 0), now) // excluded: refers to a different worker list
 	total := aggregator.Others("c", 1, now)
 	if total.Reporters != 3 || total.WorkerListHash != 1 || !slices.Equal(total.WorkerIndexes, []uint32{4, 7}) || !slices.Equal(total.InFlight, []uint32{1, 5}) ||
 		!slices.Equal(total.PendingPrefill, []uint32{0, 50}) || !slices.Equal(total.Successes, []uint32{16, 8}) || !slices.Equal(total.Failures, []uint32{0, 8}) {
-		t.Fatalf("reported %v", total)
+		t.Fatalf("sum of the loads reported by proxies other than c: got %v, want 3 reporters and, for workers 4 and 7, in_flight 1 and 5, pending_prefill 0 and 50, successes 16 and 8, failures 0 and 8", total)
 	}
 }
 
@@ -57,11 +59,11 @@
 	b := settings.DefaultBounds()
 	aggregator, now := newWarmAggregator(time.Hour), time.Hour
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
-	if x := aggregator.Others("b", 1, now+b.Heal(reportLifetimeRatio)); x.Reporters != 1 {
-		t.Fatalf("reported %v", x)
+	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)); total.Reporters != 1 {
+		t.Fatalf("sum of the loads exactly one report lifetime after the report: got %v, want 1 reporter", total)
 	}
-	if x := aggregator.Others("b", 1, now+b.Heal(reportLifetimeRatio)+1); x.Reporters != 0 || len(x.WorkerIndexes) != 0 {
-		t.Fatalf("reported %v", x)
+	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)+1); total.Reporters != 0 || len(total.WorkerIndexes) != 0 {
+		t.Fatalf("sum of the loads more than one report lifetime after the report: got %v, want no reporters and no workers", total)
 	}
 }
 
@@ -69,12 +71,13 @@
 	aggregator, now := NewLoadAggregator(settings.DefaultBounds()), time.Hour
 	aggregator.Record("a", &wire.WorkerLoads{WorkerListHash: 1, WorkerIndexes: []uint32{1, 2}, InFlight: []uint32{1}}, now)
 	aggregator.Record("b", nil, now)
-	if x := aggregator.Others("c", 1, now); x.Reporters != 0 {
-		t.Fatalf("reported %v", x)
+	if total := aggregator.Others("c", 1, now); total.Reporters != 0 {
+		t.Fatalf("sum of the loads after a report with arrays of different lengths and a nil report: got %v, want no reporters", total)
 	}
 }
 
-// However many reporters there are, the memory for them is bounded, and recent reports count.
+// The number of stored reports is limited, however many proxies report. When the limit is reached, new reports replace
+// expired ones.
 func TestReportersAreBounded(t *testing.T) {
 	b := settings.DefaultBounds()
 	aggregator, now := NewLoadAggregator(b), time.Hour
@@ -82,12 +85,12 @@
 		aggregator.Record("x"+string(rune(i)), newLoads(1, 0, 1, 0, 0, 0), now)
 	}
 	if len(aggregator.reports) > maxReporters {
-		t.Fatalf("%d reports kept", len(aggregator.reports))
+		t.Fatalf("stored reports after reports of 3072 proxies: got %d, want at most 1024", len(aggregator.reports))
 	}
-	later := now + 3*b.Heal(reportLifetimeRatio)
-	aggregator.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(reportLifetimeRatio))
+	later := now + 3*b.Heal(loadReportLifetimeRatio)
+	aggregator.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(loadReportLifetimeRatio))
 	aggregator.Record("new", newLoads(1, 0, 1, 0, 0, 0), later)
-	if x := aggregator.Others("c", 1, later); x.Reporters != 2 {
-		t.Fatalf("%d reporters", x.Reporters)
+	if total := aggregator.Others("c", 1, later); total.Reporters != 2 {
+		t.Fatalf("reporters in the sum of loads, after 2 new reports and 1024 expired ones: got %d, want 2", total.Reporters)
 	}
 }
