--- a/internal/data/promptindex/accesses.go
+++ b/internal/data/promptindex/accesses.go
@@ -10,50 +10,56 @@
 )
 
 const (
+	// maxReporters limits the number of senders of access counts, and of load reports, that are remembered.
 	maxReporters = 1024
-	// reporterMemoryRatio is the silence after which a reporter may be forgotten for another one, as
-	// a ratio of the heal bound: longer than any batch is retried.
-	reporterMemoryRatio = 1.0
+	// reporterRetentionRatio is the time without batches after which a reporter may be dropped to make room for a
+	// new one, as a ratio of the recovery time bound (Bounds.Heal). No batch is retried for that long.
+	reporterRetentionRatio = 1.0
 )
 
-// reporter is a sender of accesses, and the last of its batches.
+// reporter is the state by which duplicate batches of one sender of access counts are detected.
 type reporter struct {
-	incarnation, lastNumber uint64
-	previousIncarnation     uint64 // its late batches aren't counted
-	lastBatchAt             time.Duration
+	// lastSequence is the sequence number of the last batch that was counted in the current incarnation.
+	incarnation, lastSequence uint64
+	// previousIncarnation is the incarnation before the current one. Batches of it that arrive late are not counted.
+	previousIncarnation uint64
+	lastBatchAt         time.Duration
 }
 
-// RecordAccesses counts a reporter's batch of accesses once: a repeated number isn't counted again. A
-// reporter that this index doesn't remember is asked to send its whole window again.
+// RecordAccesses counts each batch of accesses at most once: a batch whose sequence number was counted before is
+// ignored. If the index does not know the reporter, as after a restart of the index node, the response asks the
+// reporter to resend its window of recent batches.
 //
 // Example: response := c.RecordAccesses(request, now)
 func (c *Core) RecordAccesses(request *wire.CountRequest, now time.Duration) *wire.CountResponse {
 	reporterState := c.reporters[request.Reporter]
 	if reporterState == nil {
 		if len(c.reporters) >= maxReporters && !c.dropOldestReporter(now) {
-			return &wire.CountResponse{Sequence: request.Sequence} // not counted: undercounting is better than counting twice
+			// Without state for this reporter a retried batch would be counted twice. Acknowledging the batch
+			// without counting it gives too low a hotness, which does less harm than too high a one.
+			return &wire.CountResponse{Sequence: request.Sequence}
 		}
 		reporterState = &reporter{}
 		c.reporters[request.Reporter] = reporterState
 	}
 	reporterState.lastBatchAt = now
 	if reporterState.incarnation != request.Incarnation && reporterState.previousIncarnation != request.Incarnation {
-		reporterState.previousIncarnation, reporterState.incarnation, reporterState.lastNumber = reporterState.incarnation, request.Incarnation, 0
+		reporterState.previousIncarnation, reporterState.incarnation, reporterState.lastSequence = reporterState.incarnation, request.Incarnation, 0
 	}
-	if request.Sequence <= reporterState.lastNumber || reporterState.incarnation != request.Incarnation {
-		c.Stats.Duplicates++
-		return &wire.CountResponse{Sequence: reporterState.lastNumber}
+	if request.Sequence <= reporterState.lastSequence || reporterState.incarnation != request.Incarnation {
+		c.Stats.DuplicateBatches++
+		return &wire.CountResponse{Sequence: reporterState.lastSequence}
 	}
-	isUnremembered := reporterState.lastNumber == 0 && request.Sequence > 1
-	reporterState.lastNumber = request.Sequence
+	hasMissedBatches := reporterState.lastSequence == 0 && request.Sequence > 1
+	reporterState.lastSequence = request.Sequence
 	for _, access := range request.Accesses {
 		c.recordAccess(access, now)
 	}
-	return &wire.CountResponse{Sequence: reporterState.lastNumber, ResendWindow: isUnremembered}
+	return &wire.CountResponse{Sequence: reporterState.lastSequence, ResendWindow: hasMissedBatches}
 }
 
-// recordAccess counts the accesses to one key, and records who is presumed to cache it now. Keys that
-// aren't assigned to this node are ignored.
+// recordAccess counts the accesses to one key, and records its presumed holders. It ignores keys that are not
+// assigned to this index node.
 func (c *Core) recordAccess(access *wire.Access, now time.Duration) {
 	if len(access.Key) != len(prefix.Key{}) {
 		return
@@ -62,7 +68,7 @@
 	if !c.isAssigned(key) {
 		return
 	}
-	e := c.entry(key, now)
+	e := c.ensureEntry(key, now)
 	e.decay(now)
 	e.hotness += float64(access.Count)
 	e.service, e.isHead = access.Service, e.isHead || access.Head
@@ -70,16 +76,16 @@
 		e.tokens = access.Tokens
 	}
 	for _, holder := range access.PresumedHolders {
-		w := c.worker(holder)
+		w := c.ensureWorker(holder)
 		h, isKnown := e.holders[holder]
 		if !isKnown || h.generation != w.generation || h.certainty == Presumed || h.isPartial(e) {
-			e.holders[holder] = holding{certainty: Presumed, updatedAt: now, generation: w.generation}
+			e.holders[holder] = holderRecord{certainty: Presumed, updatedAt: now, generation: w.generation}
 		}
 	}
 }
 
-// dropOldestReporter drops the reporter that was silent longest, if that is longer than any batch is retried.
-// It reports whether it did.
+// dropOldestReporter drops the reporter whose last batch is the oldest, unless that reporter may still retry a
+// batch. It reports whether a reporter was dropped.
 func (c *Core) dropOldestReporter(now time.Duration) bool {
 	oldest, oldestAt := "", now
 	for name, r := range c.reporters {
@@ -87,14 +93,15 @@
 			oldest, oldestAt = name, r.lastBatchAt
 		}
 	}
-	if now-oldestAt < c.bounds.Heal(reporterMemoryRatio) {
+	if now-oldestAt < c.bounds.Heal(reporterRetentionRatio) {
 		return false
 	}
 	delete(c.reporters, oldest)
 	return true
 }
 
-// Hottest lists a service's hottest entries, the hottest first, with the sum over all of them.
+// Hottest returns at most limit entries of a service, in descending order of hotness, and the number and total
+// hotness of all entries of the service.
 //
 // Example: response := c.Hottest("appraisals", 1000, now)
 func (c *Core) Hottest(service string, limit int, now time.Duration) *wire.HottestResponse {
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -1,9 +1,10 @@
-// Package promptindex is an index node: for every part of a prompt that is assigned to it, it knows which
-// workers and stores cache the part, and how often it was used lately. It caches no data itself and has no
-// disk.
+// Package promptindex implements a node of the prompt index. For each prompt prefix assigned to it, an index
+// node knows which workers and stores have the prefix in their KV caches, and how often the prefix was accessed
+// recently. It caches no KV data itself and writes nothing to disk.
 //
-// Core is a pure state machine. Node serves it and feeds it with the workers' numbered reports; StartSite
-// does the same with the events of a site's workers. Shards assigns keys to index nodes.
+// Core is the state machine, which performs no I/O. Node serves it over RPC. Start feeds it from the numbered
+// cache reports of workers, StartSite from the cache events of workers and stores. Shards assigns keys to index
+// nodes.
 package promptindex
 
 import (
@@ -15,50 +16,67 @@
 )
 
 const (
-	// hotnessWindow is the time in which an access decays to 1/e.
-	hotnessWindow = 30 * time.Second
-	// evictionSample is the number of entries of which the coldest one is evicted.
-	evictionSample = 16
-	// minEntryHotness is the hotness below which an entry without holders is dropped.
-	minEntryHotness = 0.05
-	// minReportedHotness is the hotness from which an entry is listed among the hottest.
+	// hotnessTimeConstant is the time in which the weight of an access decays to 1/e.
+	hotnessTimeConstant = 30 * time.Second
+	// evictionSampleSize is the number of entries that are sampled for an eviction. The one with the lowest hotness
+	// is evicted.
+	evictionSampleSize = 16
+	// minRetainedHotness is the hotness below which an entry without holders is removed.
+	minRetainedHotness = 0.05
+	// minReportedHotness is the hotness below which an entry is left out of the response to Hottest.
 	minReportedHotness = 0.01
 )
 
-// Core is one index node's tables. It isn't safe for concurrent use: an actor guards it. Instants are those
-// of the process's clock.
+// Core holds the tables of one index node. It is not safe for concurrent use: Node accesses it through an actor.
+// All times are readings of the process's clock.
 type Core struct {
-	bounds             settings.Bounds
-	entries            map[prefix.Key]*entry
-	workers            map[string]*worker
-	reporters          map[string]*reporter
-	isAssigned         func(prefix.Key) bool
-	maxIncompleteRatio float64 // of the polled workers: the index is warm without their reports
+	bounds  settings.Bounds
+	entries map[prefix.Key]*entry
+	// workers has the polling state of each worker and store, by name.
+	workers map[string]*worker
+	// reporters has the deduplication state of each sender of access counts, by name.
+	reporters map[string]*reporter
+	// isAssigned reports whether a key is assigned to this index node.
+	isAssigned func(prefix.Key) bool
+	// maxIncompleteRatio is the maximum share of polled workers that have not reported their complete caches while
+	// the index counts as warm.
+	maxIncompleteRatio float64
 	loads              *LoadAggregator
-	// Stats counts what the index has done.
+	// Stats counts events since the index node started.
 	Stats Stats
 }
 
-// Stats counts what an index has done since it started.
+// Stats counts events on an index node since it started.
 type Stats struct {
-	Lapsed      uint64 // holdings that weren't confirmed, or whose worker fell silent
-	Gaps        uint64 // gaps in workers' reports
+	// ExpiredHolders counts holder records that were not confirmed in time, or whose worker stopped reporting.
+	ExpiredHolders uint64
+	// Gaps counts responses of workers in which cache changes were missing.
+	Gaps uint64
+	// FullReports counts reports of the complete cache of a worker or store.
 	FullReports uint64
-	Evicted     uint64 // entries that gave way to others
-	Duplicates  uint64 // batches of accesses that were counted already
+	// Evicted counts entries that were removed to keep the table within its size limit.
+	Evicted uint64
+	// DuplicateBatches counts batches of accesses that were ignored because they had been counted before.
+	DuplicateBatches uint64
 }
 
-// entry is what the index knows of one key.
+// entry is the index entry of one prompt prefix.
 type entry struct {
-	tokens    uint32
-	hotness   float64 // accesses, each of which decays
+	// tokens is the length of the last part of the prefix.
+	tokens uint32
+	// hotness is the number of accesses, each weighted by exponential decay over its age.
+	hotness float64
+	// decayedAt is the time up to which hotness has been decayed.
 	decayedAt time.Duration
-	service   string
-	isHead    bool // a prompt begins with it
-	holders   map[string]holding
+	// service is the service that accessed the prefix last, or whose worker first reported it.
+	service string
+	// isHead is true if the prefix is the first one of a prompt, so that no shorter prefix precedes it.
+	isHead bool
+	// holders has the workers and stores that cache the prefix, by name.
+	holders map[string]holderRecord
 }
 
-// NewCore makes an empty index; isAssigned reports which keys this node is responsible for.
+// NewCore returns an empty index. isAssigned reports which keys are assigned to this index node.
 //
 // Example: c := promptindex.NewCore(bounds, func(k prefix.Key) bool { return shards.IsAssigned(name, k) })
 func NewCore(bounds settings.Bounds, isAssigned func(prefix.Key) bool) *Core {
@@ -72,28 +90,30 @@
 	}
 }
 
-// decay lets an entry's hotness decay to an instant.
+// decay applies the exponential decay of the entry's hotness up to now.
 func (e *entry) decay(now time.Duration) {
 	if age := now - e.decayedAt; age > 0 {
-		e.hotness *= math.Exp(-float64(age) / float64(hotnessWindow))
+		e.hotness *= math.Exp(-float64(age) / float64(hotnessTimeConstant))
 		e.decayedAt = now
 	}
 }
 
-// entry returns the entry of a key, a new one if there is none.
-func (c *Core) entry(key prefix.Key, now time.Duration) *entry {
+// ensureEntry returns the entry of a key. If there is none it creates one, and evicts another entry if the table
+// is full.
+func (c *Core) ensureEntry(key prefix.Key, now time.Duration) *entry {
 	e := c.entries[key]
 	if e == nil {
 		if len(c.entries) >= c.bounds.MaxIndexEntries {
 			c.evict(now)
 		}
-		e = &entry{decayedAt: now, holders: map[string]holding{}}
+		e = &entry{decayedAt: now, holders: map[string]holderRecord{}}
 		c.entries[key] = e
 	}
 	return e
 }
 
-// evict drops the coldest one of a small random sample, so that the table stays within its bound.
+// evict removes the entry with the lowest hotness among a few entries, which Go's random map iteration order
+// selects. It keeps the table within its size limit.
 func (c *Core) evict(now time.Duration) {
 	var evicted prefix.Key
 	lowest, sampled := math.Inf(1), 0
@@ -102,7 +122,7 @@
 		if e.hotness < lowest {
 			lowest, evicted = e.hotness, key
 		}
-		if sampled++; sampled >= evictionSample {
+		if sampled++; sampled >= evictionSampleSize {
 			break
 		}
 	}
@@ -110,15 +130,16 @@
 	c.Stats.Evicted++
 }
 
-// dropIfUnused removes an entry without holders and accesses.
-func (c *Core) dropIfUnused(key prefix.Key, e *entry, now time.Duration) {
+// removeIfUnused removes an entry that has no holders and hardly any recent accesses.
+func (c *Core) removeIfUnused(key prefix.Key, e *entry, now time.Duration) {
 	e.decay(now)
-	if len(e.holders) == 0 && e.hotness < minEntryHotness {
+	if len(e.holders) == 0 && e.hotness < minRetainedHotness {
 		delete(c.entries, key)
 	}
 }
 
-// Sweep removes holdings that no longer count, entries without any, and workers that left.
+// Sweep removes expired holder records, unused entries, and the state of workers that are not listed any more
+// and have stopped responding. listed has the names of all current workers and stores.
 //
 // Example: c.Sweep(listed, now)
 func (c *Core) Sweep(listed map[string]bool, now time.Duration) {
@@ -126,10 +147,10 @@
 		for holder, h := range e.holders {
 			if !c.isValid(holder, h, now) {
 				delete(e.holders, holder)
-				c.Stats.Lapsed++
+				c.Stats.ExpiredHolders++
 			}
 		}
-		c.dropIfUnused(key, e, now)
+		c.removeIfUnused(key, e, now)
 	}
 	for name, w := range c.workers {
 		if !listed[name] && now-w.respondedAt > c.bounds.Heal(maxReportAgeRatio) {
@@ -138,13 +159,13 @@
 	}
 }
 
-// Reshard requests full reports from all workers, after this node's shards have changed, and drops the
-// entries that aren't assigned to it any more.
+// Reshard must be called after the shards of this index node have changed. It removes the entries that are no
+// longer assigned to the node, and requests full reports from all workers.
 //
 // Example: c.Reshard()
 func (c *Core) Reshard() {
 	for _, w := range c.workers {
-		w.needsFull, w.isComplete = true, false
+		w.needsFullReport, w.isComplete = true, false
 	}
 	for key := range c.entries {
 		if !c.isAssigned(key) {
@@ -153,8 +174,9 @@
 	}
 }
 
-// Warm reports whether every worker, or all but a few, has reported everything it caches since this index
-// started: an index that isn't warm can't know that no worker caches a part.
+// Warm reports whether enough workers have reported their complete caches to this index: all of them, or all but
+// the share maxIncompleteRatio. While an index is not warm, an entry without holders does not mean that no worker
+// caches the prefix.
 //
 // Example: if c.Warm() { … }
 func (c *Core) Warm() bool {
--- a/internal/data/promptindex/eventfollower.go
+++ b/internal/data/promptindex/eventfollower.go
@@ -11,39 +11,45 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// Timing of the polls of a site's workers, as ratios of the heal bound: each call costs the worker.
+// Intervals and timeouts of the polls of workers and stores, as ratios of the recovery time bound (Bounds.Heal). They
+// limit the number of calls, because each call takes resources of the worker.
 const (
-	// tickRatio is the time between two looks for workers that are due.
+	// tickRatio is the interval between two checks for workers that are due to be polled.
 	tickRatio = 1.0 / 48
-	// pollRatio is the time between two calls to one worker: longer saves calls, shorter lets the index know
-	// sooner what a worker dropped. Measured: journal/20261202T031717 and T031718 (a 24th).
+	// pollRatio is the interval between two calls to one worker. A longer interval saves calls; with a shorter one
+	// the index learns earlier what a worker has evicted.
 	pollRatio = 1.0 / 24
-	// firstPollRatio is the time within which new workers are first polled.
+	// firstPollRatio is the maximum delay until a new worker is first polled.
 	firstPollRatio = 1.0 / 96
-	// longPollRatio is how long a worker may wait for an event before it responds, and responseGraceRatio how
-	// much longer its response may take.
-	longPollRatio      = 1.0 / 12
+	// longPollRatio is how long a worker may hold a request until it has a cache event to report.
+	longPollRatio = 1.0 / 12
+	// responseGraceRatio is how long a response may take beyond the long-poll time.
 	responseGraceRatio = 1.0 / 12
-	// fullListRatio is the time between two full lists of any workers, and workerFullListRatio between two of
-	// one worker: they slow workers down.
-	fullListRatio       = 1.0 / 24
+	// fullListRatio is the minimum interval between two requests for the complete cache of any worker, since listing
+	// the cache slows a worker down.
+	fullListRatio = 1.0 / 24
+	// workerFullListRatio is the minimum interval between two requests for the complete cache of the same worker,
+	// since listing the cache slows the worker down.
 	workerFullListRatio = 1.0
-	// sweepRatio is the time between two sweeps of the tables.
+	// sweepRatio is the interval between two sweeps that remove expired holder records and unused entries.
 	sweepRatio = 1.0
 )
 
-// maxIncompleteRatio is the share of the workers without whose reports the index of a site is warm.
+// maxIncompleteRatio is the maximum share of polled workers that have not reported their complete caches while an
+// index that is fed by cache events counts as warm.
 const maxIncompleteRatio = 1.0 / 8
 
-// pollTarget is a worker or store whose events are followed.
+// pollTarget is a worker or store that is polled for cache events.
 type pollTarget struct {
 	name, addr string
-	service    string // "": a store
+	// service is the service that a worker belongs to; "" for a store.
+	service string
 }
 
+// isStore reports whether the target is a store, not a worker.
 func (t pollTarget) isStore() bool { return t.service == "" }
 
-// pollTargets lists the stores of a snapshot, and the workers of services with a prompt cache.
+// pollTargets returns the stores in a snapshot, and the workers whose service has a prompt cache.
 func pollTargets(snapshot *fleet.Snapshot) (targets []pollTarget) {
 	hasCache := map[string]bool{}
 	for _, service := range snapshot.Plan.Services {
@@ -60,28 +66,36 @@
 	return targets
 }
 
-// eventFollower feeds an index node with the events of the workers and stores of a snapshot. All its fields
-// but the first three are guarded by the node's actor.
+// eventFollower feeds an index node with the cache events of the workers and stores in a snapshot. Its fields are
+// accessed only within the node's actor, except for the first three, which never change.
 type eventFollower struct {
 	node     *Node
 	client   backend.Client
 	snapshot func() *fleet.Snapshot
 
-	isPolling    map[string]bool          // workers with a poll in flight
-	isListed     map[string]bool          // workers at the last tick
-	nextPoll     map[string]time.Duration // by worker
-	fullListAt   map[string]time.Duration // by worker: the last full list
-	lastFullList time.Duration            // of any worker; 0: none
-	sweptAt      time.Duration
-	isServing    bool // keys are assigned to this node
+	// isPolling has the workers and stores with a poll in flight.
+	isPolling map[string]bool
+	// isListed has the workers and stores in the snapshot at the last tick.
+	isListed map[string]bool
+	// nextPollAt has the time from which each worker or store is due to be polled, by name.
+	nextPollAt map[string]time.Duration
+	// fullListAt has the time of the last request for the complete cache of each worker or store, by name.
+	fullListAt map[string]time.Duration
+	// lastFullListAt is the time of the last request for the complete cache of any worker or store; 0 if there was
+	// none.
+	lastFullListAt time.Duration
+	sweptAt        time.Duration
+	// isServing is true while keys are assigned to this index node; otherwise the node is on standby.
+	isServing bool
 }
 
-// StartSite runs an index node that follows the workers and stores of a snapshot, until the process stops.
-// The caller serves its Handler.
+// StartSite starts an index node that polls the workers and stores in a snapshot for cache events, until the process
+// stops. The caller must serve the node's Handler.
 //
 // Example: n, err := promptindex.StartSite(process, client, agent.Snapshot)
 func StartSite(process *daemon.Process, client backend.Client, snapshot func() *fleet.Snapshot) (*Node, error) {
-	core := NewCore(process.Settings.Bounds, func(prefix.Key) bool { return true }) // a node that takes over a shard has its keys already
+	// The index has the keys of all shards, so that a node that takes over a shard already knows its keys.
+	core := NewCore(process.Settings.Bounds, func(prefix.Key) bool { return true })
 	core.maxIncompleteRatio = maxIncompleteRatio
 	n := newNode(process, core)
 	f := &eventFollower{
@@ -90,7 +104,7 @@
 		snapshot:   snapshot,
 		isPolling:  map[string]bool{},
 		isListed:   map[string]bool{},
-		nextPoll:   map[string]time.Duration{},
+		nextPollAt: map[string]time.Duration{},
 		fullListAt: map[string]time.Duration{},
 	}
 	process.Every(process.Settings.Bounds.Heal(tickRatio), f.tick)
@@ -98,7 +112,7 @@
 	return n, nil
 }
 
-// tick polls the workers that are due, if keys are assigned to this node.
+// tick polls the workers and stores that are due, if this index node is serving.
 func (f *eventFollower) tick() {
 	snapshot := f.snapshot()
 	if snapshot == nil || snapshot.Plan == nil {
@@ -120,7 +134,8 @@
 	})
 }
 
-// pollDue polls the targets that are due, forgets those that left, and sweeps the tables.
+// pollDue polls the targets that are due, removes those that are no longer in the snapshot, and sweeps the tables if
+// a sweep is due.
 func (f *eventFollower) pollDue(core *Core, targets []pollTarget, now time.Duration) {
 	isListed := make(map[string]bool, len(targets))
 	for _, target := range targets {
@@ -130,29 +145,30 @@
 	for name := range f.isListed {
 		if !isListed[name] {
 			core.RemoveWorker(name)
-			delete(f.nextPoll, name)
+			delete(f.nextPollAt, name)
 			delete(f.fullListAt, name)
 		}
 	}
 	f.isListed = isListed
-	if now-f.sweptAt > f.bound(sweepRatio) {
+	if now-f.sweptAt > f.interval(sweepRatio) {
 		f.sweptAt = now
 		core.Sweep(isListed, now)
 	}
 }
 
-// bound is a ratio of the heal bound.
-func (f *eventFollower) bound(ratio float64) time.Duration {
+// interval returns the duration that is a ratio of the recovery time bound (Bounds.Heal).
+func (f *eventFollower) interval(ratio float64) time.Duration {
 	return f.node.process.Settings.Bounds.Heal(ratio)
 }
 
-// poll polls one target if it is due. New ones are polled soon, spread by a hash so that the index nodes
-// don't all call one worker at once.
+// poll polls one target if it is due and has no poll in flight. A new target is polled after a short delay. The
+// delay depends on a hash of the names of the index node and the target, so that the index nodes do not all call
+// the same worker at once.
 func (f *eventFollower) poll(c *Core, target pollTarget, now time.Duration) {
-	due, isKnown := f.nextPoll[target.name]
+	due, isKnown := f.nextPollAt[target.name]
 	if !isKnown {
-		due = now + time.Duration(rendezvous.Hash(f.node.name+target.name)%uint64(f.bound(firstPollRatio)))
-		f.nextPoll[target.name] = due
+		due = now + time.Duration(rendezvous.Hash(f.node.name+target.name)%uint64(f.interval(firstPollRatio)))
+		f.nextPollAt[target.name] = due
 	}
 	if f.isPolling[target.name] || now < due {
 		return
@@ -160,43 +176,44 @@
 	request := c.NextEvents(target.name, target.service)
 	request.Full = request.Full && f.mayRequestFullList(target.name, now)
 	if request.Full {
-		f.lastFullList, f.fullListAt[target.name] = now, now
+		f.lastFullListAt, f.fullListAt[target.name] = now, now
 	}
-	f.isPolling[target.name], f.nextPoll[target.name] = true, now+f.bound(pollRatio)
-	go f.call(target, request)
+	f.isPolling[target.name], f.nextPollAt[target.name] = true, now+f.interval(pollRatio)
+	go f.fetchEvents(target, request)
 }
 
-// mayRequestFullList reports whether a full list may be requested now.
+// mayRequestFullList reports whether the minimum intervals since the last full lists have passed, both of any worker
+// and of the named one.
 func (f *eventFollower) mayRequestFullList(name string, now time.Duration) bool {
 	lastOfWorker, hasList := f.fullListAt[name]
-	isPaced := f.lastFullList == 0 || now-f.lastFullList >= f.bound(fullListRatio)
-	return isPaced && (!hasList || now-lastOfWorker >= f.bound(workerFullListRatio))
+	hasIntervalPassed := f.lastFullListAt == 0 || now-f.lastFullListAt >= f.interval(fullListRatio)
+	return hasIntervalPassed && (!hasList || now-lastOfWorker >= f.interval(workerFullListRatio))
 }
 
-// call makes one request to a target and applies its response. An error of a store means that it is down.
-func (f *eventFollower) call(target pollTarget, request ReportRequest) {
-	ctx, cancel := context.WithTimeout(f.node.process.Ctx, f.bound(longPollRatio+responseGraceRatio))
+// fetchEvents sends one request to a target and applies the response. A store whose request fails counts as down.
+func (f *eventFollower) fetchEvents(target pollTarget, request ReportRequest) {
+	ctx, cancel := context.WithTimeout(f.node.process.Ctx, f.interval(longPollRatio+responseGraceRatio))
 	defer cancel()
 	var events backend.CacheEvents
 	var err error
 	if request.Full {
 		events, err = f.client.CachedPrefixes(ctx, target.addr)
 	} else {
-		events, err = f.client.CacheEvents(ctx, target.addr, request.After, f.bound(longPollRatio))
+		events, err = f.client.CacheEvents(ctx, target.addr, request.After, f.interval(longPollRatio))
 	}
 	f.node.actor.Ask(func(c *Core) {
 		delete(f.isPolling, target.name)
 		now := f.node.clock.Now()
 		if err != nil || events.Throttled {
-			f.nextPoll[target.name] = now + f.bound(pollRatio)
+			f.nextPollAt[target.name] = now + f.interval(pollRatio)
 			if err != nil && target.isStore() {
-				c.StoreDown(target.name)
+				c.RecordStoreDown(target.name)
 			}
 			return
 		}
 		c.ApplyEvents(request, events, now)
 		if target.isStore() {
-			c.StoreUp(target.name, now)
+			c.RecordStoreUp(target.name, now)
 		}
 	})
 }
--- a/internal/data/promptindex/eventfollower_test.go
+++ b/internal/data/promptindex/eventfollower_test.go
@@ -20,6 +20,7 @@
 	"pebbleloom/internal/wire"
 )
 
+// indexNodes returns live index nodes, one in each of the given zones.
 func indexNodes(zones ...string) (nodes []*wire.Node) {
 	for i, zone := range zones {
 		nodes = append(nodes, &wire.Node{Name: fmt.Sprintf("catalogue/core-%d", i), Role: clustermembership.RolePromptIndex, Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
@@ -31,40 +32,45 @@
 	four := indexNodes("a", "a", "b", "b")
 	serving := ServingNodes(append(four, &wire.Node{Name: "edge/1", Role: "edge"}))
 	if len(serving) != 2 || serving[0].Zone == serving[1].Zone {
-		t.Fatalf("serving: %v", serving)
+		t.Fatalf("serving index nodes of 4 nodes in 2 zones: got %v, want 2 nodes in different zones", serving)
 	}
 	reversed := slices.Clone(four)
 	slices.Reverse(reversed)
 	if others := ServingNodes(reversed); others[0].Name != serving[0].Name || others[1].Name != serving[1].Name {
-		t.Fatal("another order of nodes changes who serves")
+		t.Fatal("the selection of serving index nodes depends on the order of the nodes in the membership")
 	}
 	serving[0].State = 2
 	others := ServingNodes(four)
 	if len(others) != 2 || others[0] != serving[1] && others[1] != serving[1] || others[0] == serving[0] || others[1] == serving[0] {
-		t.Fatal("when one is dead the other doesn't stay, or no third replaces it")
+		t.Fatal("after the death of one of 2 serving index nodes, the other one must keep serving and a standby node must replace the dead one")
 	}
 	if n := len(ServingNodes(indexNodes("a", "a", "a", "a", "b", "b", "b", "b"))); n != 4 {
-		t.Fatalf("%d of 8 serve", n)
+		t.Fatalf("number of serving index nodes, of 8: got %d, want 4", n)
 	}
 	if n := len(ServingNodes(indexNodes("a"))); n != 1 {
-		t.Fatalf("%d of 1 serve", n)
+		t.Fatalf("number of serving index nodes, of 1: got %d, want 1", n)
 	}
 }
 
-// fakeWorkers is the workers' and stores' side of the calls.
+// fakeWorkers is a backend.Client that stands in for workers and stores. All its maps are keyed by address.
 type fakeWorkers struct {
 	backend.Client
-	mu            sync.Mutex
-	events        map[string]int
-	lists         map[string]int
+	mu sync.Mutex
+	// eventCalls counts the calls for cache events.
+	eventCalls map[string]int
+	// fullListCalls counts the calls for the complete cache.
+	fullListCalls map[string]int
+	// hasGap makes the first response with events report that changes are missing.
 	hasGap        bool
 	unreachable   map[string]bool
 	waits         []time.Duration
 	callsInFlight map[string]int
-	maxInFlight   int
-	isThrottled   bool
+	// maxInFlight is the largest number of calls to one address that were in flight at once.
+	maxInFlight int
+	isThrottled bool
 }
 
+// startCall counts a call to an address, and fails if the address is unreachable.
 func (w *fakeWorkers) startCall(addr string, calls map[string]int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,7 +78,7 @@
 	w.callsInFlight[addr]++
 	w.maxInFlight = max(w.maxInFlight, w.callsInFlight[addr])
 	if w.unreachable[addr] {
-		return errors.New("dead")
+		return errors.New("fake worker is unreachable")
 	}
 	return nil
 }
@@ -83,9 +89,10 @@
 	w.mu.Unlock()
 }
 
+// CacheEvents implements backend.Client: each call returns the event that part a is cached.
 func (w *fakeWorkers) CacheEvents(_ context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	defer w.endCall(addr)
-	if err := w.startCall(addr, w.events); err != nil {
+	if err := w.startCall(addr, w.eventCalls); err != nil {
 		return backend.CacheEvents{}, err
 	}
 	w.mu.Lock()
@@ -94,17 +101,19 @@
 	return backend.CacheEvents{BootID: 1, NextSequence: 5, Gap: w.hasGap && since == 0, Throttled: w.isThrottled, Changes: []backend.CacheChange{cacheChange("a", 10)}}, nil
 }
 
+// CachedPrefixes implements backend.Client: the complete cache has the parts a and b.
 func (w *fakeWorkers) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
 	defer w.endCall(addr)
-	if err := w.startCall(addr, w.lists); err != nil {
+	if err := w.startCall(addr, w.fullListCalls); err != nil {
 		return backend.CacheEvents{}, err
 	}
 	return backend.CacheEvents{BootID: 1, NextSequence: 6, Changes: []backend.CacheChange{cacheChange("a", 10), cacheChange("b", 10)}}, nil
 }
 
+// runSite runs test with an index node that polls the fake workers in a snapshot, on a simulated clock.
 func runSite(t *testing.T, workers *fakeWorkers, snapshot *fleet.Snapshot, test func(node *Node)) {
 	t.Helper()
-	workers.events, workers.lists, workers.callsInFlight = map[string]int{}, map[string]int{}, map[string]int{}
+	workers.eventCalls, workers.fullListCalls, workers.callsInFlight = map[string]int{}, map[string]int{}, map[string]int{}
 	if workers.unreachable == nil {
 		workers.unreachable = map[string]bool{}
 	}
@@ -121,35 +130,37 @@
 	})
 }
 
+// wait advances the simulated clock.
 func wait(d time.Duration) {
 	<-time.NewTimer(d).C
 	synctest.Wait()
 }
 
+// newSnapshot returns a snapshot with two workers of a service with a prompt cache, a worker of one without, and a store.
 func newSnapshot(nodes []*wire.Node) *fleet.Snapshot {
 	return &fleet.Snapshot{Nodes: nodes, Workers: []fleet.Worker{{ID: "w1", Service: "llm", Addr: "1:1"}, {ID: "w2", Service: "llm", Addr: "1:2"}, {ID: "p", Service: "app", Addr: "1:9"}},
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{{Name: "llm", Engine: &routingconfig.Engine{MaxPolls: 12}}, {Name: "app"}, {Name: "d", Store: &routingconfig.Store{Addr: "2:1"}}}}}
 }
 
-// Each call has its cost: one a worker and poll interval, none to workers without a prompt cache, none by a
-// node that stands by.
+// Polls take resources of the workers. A serving index node makes one call to each worker per poll interval, and none to
+// workers without a prompt cache. An index node on standby makes no calls.
 func TestWorkersArePolledAtTheirPace(t *testing.T) {
 	bounds := settings.DefaultBounds()
 	workers := &fakeWorkers{}
 	runSite(t, workers, newSnapshot(indexNodes("a")), func(n *Node) {
 		wait(10 * bounds.Heal(pollRatio))
 		for _, a := range []string{"1:1", "1:2", "2:1"} {
-			if workers.events[a] < 9 || workers.events[a] > 11 {
-				t.Errorf("%s was polled %d times in ten intervals", a, workers.events[a])
+			if workers.eventCalls[a] < 9 || workers.eventCalls[a] > 11 {
+				t.Errorf("number of polls of %s in 10 poll intervals: got %d, want 9 to 11", a, workers.eventCalls[a])
 			}
 		}
-		if workers.events["1:9"] != 0 || len(workers.lists) != 0 || workers.maxInFlight != 1 {
-			t.Errorf("worker without a cache %d, full lists %v, at once %d", workers.events["1:9"], workers.lists, workers.maxInFlight)
+		if workers.eventCalls["1:9"] != 0 || len(workers.fullListCalls) != 0 || workers.maxInFlight != 1 {
+			t.Errorf("got %d polls of the worker without a prompt cache, calls for the complete cache %v, and up to %d concurrent calls to one worker; want 0, none and 1", workers.eventCalls["1:9"], workers.fullListCalls, workers.maxInFlight)
 		}
 		k, up := PartKey("s", "a"), StoreHealthKey("d")
 		a, err := n.Lookup(context.Background(), &wire.LookupRequest{Keys: [][]byte{k[:], up[:]}})
 		if err != nil || len(a.Results) != 2 || !a.Warm || len(a.Results[0].Holders) != 3 || len(a.Results[1].Holders) != 1 {
-			t.Errorf("%v, %v", a, err)
+			t.Errorf("lookup of a part cached by 2 workers and a store, and of the health key of the store: got %v, error %v; want a warm response with 3 holders and 1 holder", a, err)
 		}
 	})
 	workers = &fakeWorkers{}
@@ -161,8 +172,8 @@
 		nodes[1].Name, nodes[2].Name = fmt.Sprintf("catalogue/b-%d", i), fmt.Sprintf("catalogue/c-%d", i)
 	}
 	runSite(t, workers, newSnapshot(nodes), func(*Node) { wait(bounds.Heal(1)) })
-	if len(workers.events) != 0 {
-		t.Errorf("a node that stands by polled %v", workers.events)
+	if len(workers.eventCalls) != 0 {
+		t.Errorf("polls by an index node on standby: got %v, want none", workers.eventCalls)
 	}
 }
 
@@ -171,8 +182,8 @@
 	workers := &fakeWorkers{hasGap: true}
 	runSite(t, workers, newSnapshot(indexNodes("a")), func(n *Node) {
 		wait(b.Heal(0.9))
-		if workers.lists["1:1"] != 1 || workers.lists["1:2"] != 1 || workers.lists["2:1"] != 1 {
-			t.Errorf("full lists: %v", workers.lists)
+		if workers.fullListCalls["1:1"] != 1 || workers.fullListCalls["1:2"] != 1 || workers.fullListCalls["2:1"] != 1 {
+			t.Errorf("calls for the complete cache, by address, within 0.9 of the recovery time bound: got %v, want 1 for each of 1:1, 1:2 and 2:1", workers.fullListCalls)
 		}
 	})
 }
@@ -187,19 +198,19 @@
 			return len(a.Results[0].Holders) > 0
 		}
 		if wait(bounds.Heal(0.4)); isUp() {
-			t.Error("an unreachable store is up")
+			t.Error("a store that was never reachable is listed as up, want down")
 		}
 		workers.mu.Lock()
 		workers.unreachable["2:1"] = false
 		workers.mu.Unlock()
 		if wait(bounds.Heal(0.4)); !isUp() {
-			t.Error("a store that is reachable again is down")
+			t.Error("a store that became reachable is listed as down, want up")
 		}
 		workers.mu.Lock()
 		workers.unreachable["2:1"] = true
 		workers.mu.Unlock()
 		if wait(bounds.Heal(0.2)); isUp() {
-			t.Error("a store that became unreachable is up")
+			t.Error("a store that became unreachable is listed as up, want down")
 		}
 	})
 }
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -7,65 +7,66 @@
 	"pebbleloom/internal/data/backend"
 )
 
-// NextEvents returns the next request to a worker or store of a site. One that never responded is asked
-// for its events from its start on: usually that is everything it caches.
+// NextEvents returns the next request for the cache events of a worker or store. The first request asks for the
+// events since the worker started, which usually cover everything that it caches.
 //
 // Example: request := c.NextEvents(w.ID, w.Service); events, err := client.CacheEvents(ctx, w.Addr, request.After, wait)
 func (c *Core) NextEvents(name, service string) ReportRequest {
 	request := c.NextReport(name, service)
-	request.Full = request.Full && c.worker(name).incarnation != ""
+	request.Full = request.Full && c.ensureWorker(name).incarnation != ""
 	return request
 }
 
-// ApplyEvents applies a worker's response: changes since request.After, or everything it caches if
-// request.Full. After a gap known holdings stay, and a full list is requested later; another boot has
-// dropped the whole cache.
+// ApplyEvents applies a response of a worker or store: the cache changes since request.After, or the complete
+// cache if request.Full. If changes are missing, the known holder records stay and a full list is requested later.
+// If the boot ID has changed, the worker has restarted with an empty cache, and its holder records are invalidated.
 //
 // Example: c.ApplyEvents(request, events, now)
 func (c *Core) ApplyEvents(request ReportRequest, events backend.CacheEvents, now time.Duration) {
-	worker := c.worker(request.Name)
-	if request.sequence != worker.sequence || events.Throttled {
+	worker := c.ensureWorker(request.Name)
+	if request.pollSequence != worker.pollSequence || events.Throttled {
 		return
 	}
 	worker.respondedAt = now
-	worker.sequence++ // each request has one response
-	if boot := strconv.FormatUint(events.BootID, 10); boot != worker.incarnation && !worker.applyBoot(request, boot) {
+	worker.pollSequence++ // a second response to the same request is discarded
+	if bootID := strconv.FormatUint(events.BootID, 10); bootID != worker.incarnation && !worker.applyBootID(request, bootID) {
 		return
 	}
 	if request.Full {
-		worker.generation++ // what isn't in the list isn't cached any more
+		worker.generation++ // invalidates the holder records of prefixes that are missing from the full list
 		c.Stats.FullReports++
 	} else if events.Gap {
-		worker.needsFull = true
+		worker.needsFullReport = true
 		c.Stats.Gaps++
 	}
 	for _, change := range events.Changes {
 		c.applyChange(request, worker, change, now)
 	}
-	worker.lastNumber = events.NextSequence
+	worker.lastSequence = events.NextSequence
 	if request.Full {
-		worker.needsFull = false
+		worker.needsFullReport = false
 	}
 	worker.isComplete = worker.isComplete || !events.Gap || request.Full
 }
 
-// applyBoot records another boot of a worker. It reports whether the response can be used: one to a request
-// with another boot's number can't, and the events of the new boot are requested from their start on.
-func (w *worker) applyBoot(request ReportRequest, boot string) (isUsable bool) {
+// applyBootID records the new boot ID of a worker that has restarted, or that responds for the first time. It
+// reports whether the response can be applied. After a restart, a response to a request with a sequence number of
+// the old process can't; the next request then asks for the events since the start of the new process.
+func (w *worker) applyBootID(request ReportRequest, bootID string) (isUsable bool) {
 	isFirst := w.incarnation == ""
-	w.incarnation, w.needsFull = boot, false
+	w.incarnation, w.needsFullReport = bootID, false
 	if isFirst {
 		return true
 	}
-	w.generation++ // the old boot's holdings are void
+	w.generation++ // invalidates the holder records from before the restart
 	if request.Full || request.After == 0 {
 		return true
 	}
-	w.lastNumber, w.isComplete = 0, false
+	w.lastSequence, w.isComplete = 0, false
 	return false
 }
 
-// applyChange records that a worker or store caches a part now, or has dropped it.
+// applyChange records that a worker or store now caches a prompt part, or has evicted it.
 func (c *Core) applyChange(request ReportRequest, worker *worker, change backend.CacheChange, now time.Duration) {
 	key := PartKey(change.Salt, change.Part)
 	if !c.isAssigned(key) {
@@ -74,27 +75,27 @@
 	if change.Tokens <= 0 {
 		if e := c.entries[key]; e != nil {
 			delete(e.holders, request.Name)
-			c.dropIfUnused(key, e, now)
+			c.removeIfUnused(key, e, now)
 		}
 		return
 	}
-	e := c.entry(key, now)
+	e := c.ensureEntry(key, now)
 	e.tokens = max(e.tokens, uint32(change.Tokens))
 	if e.service == "" {
 		e.service = request.Service
 	}
-	e.holders[request.Name] = holding{Confirmed, now, worker.generation, uint32(change.Tokens)}
+	e.holders[request.Name] = holderRecord{Confirmed, now, worker.generation, uint32(change.Tokens)}
 }
 
-// StoreUp records that a store responds.
+// RecordStoreUp records that a store has responded to a poll.
 //
-// Example: c.StoreUp("cartons", now)
-func (c *Core) StoreUp(store string, now time.Duration) {
-	c.entry(StoreHealthKey(store), now).holders[store] = holding{certainty: Presumed, updatedAt: now, generation: c.worker(store).generation}
+// Example: c.RecordStoreUp("cartons", now)
+func (c *Core) RecordStoreUp(store string, now time.Duration) {
+	c.ensureEntry(StoreHealthKey(store), now).holders[store] = holderRecord{certainty: Presumed, updatedAt: now, generation: c.ensureWorker(store).generation}
 }
 
-// StoreDown records that a store doesn't respond. Its holdings stay known: only the path to it may be
-// broken.
+// RecordStoreDown records that a store has not responded to a poll. The holder records of the store stay, since
+// only the network path to it may have failed.
 //
-// Example: c.StoreDown("cartons")
-func (c *Core) StoreDown(store string) { delete(c.entries, StoreHealthKey(store)) }
+// Example: c.RecordStoreDown("cartons")
+func (c *Core) RecordStoreDown(store string) { delete(c.entries, StoreHealthKey(store)) }
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -11,10 +11,12 @@
 	"pebbleloom/internal/wire"
 )
 
+// cacheChange returns the cache event that a part has a number of cached tokens; 0 tokens mean that it was evicted.
 func cacheChange(part string, tokens int) backend.CacheChange {
 	return backend.CacheChange{Salt: "s", Part: part, Model: "m", Tokens: tokens}
 }
 
+// holdersOfPart returns the valid holders of a part, each formatted as "name:certainty ".
 func holdersOfPart(core *Core, part string, now time.Duration) string {
 	text := ""
 	for _, h := range core.Lookup([]prefix.Key{PartKey("s", part)}, now)[0].Holders {
@@ -23,24 +25,27 @@
 	return text
 }
 
+// applyEvents applies events as the response to the next request to worker w.
 func applyEvents(core *Core, events backend.CacheEvents, now time.Duration) {
 	core.ApplyEvents(core.NextEvents("w", "llm"), events, now)
 }
 
+// presumeHolders records one access to a part, with presumed holders.
 func presumeHolders(core *Core, part string, tokens uint32, sequence uint64, now time.Duration, holders ...string) {
 	key := PartKey("s", part)
 	core.RecordAccesses(&wire.CountRequest{Reporter: "e", Incarnation: 1, Sequence: sequence, Accesses: []*wire.Access{
 		{Key: key[:], Count: 1, Tokens: tokens, Service: "llm", PresumedHolders: holders}}}, now)
 }
 
-// No salt and part have the key of another salt and part.
+// Different pairs of salt and part ID have different keys, also if their concatenations are equal or the salt is longer
+// than the key buffer.
 func TestKeysOfSaltsAndPartsDiffer(t *testing.T) {
 	if PartKey("a", "bc") == PartKey("ab", "c") || PartKey("a", "b") == PartKey("a", "c") || PartKey("1", "x") == PartKey("2", "x") || StoreHealthKey("x") == PartKey("", "x") {
-		t.Fatal("two keys are one")
+		t.Fatal("two different pairs of salt and part ID have the same key")
 	}
-	long, same := string(make([]byte, 4*keyBuffer)), string(make([]byte, 4*keyBuffer))
+	long, same := string(make([]byte, 4*keyBufferSize)), string(make([]byte, 4*keyBufferSize))
 	if PartKey(long, "a") == PartKey(long, "b") || PartKey(long, "a") != PartKey(same, "a") {
-		t.Fatal("a long salt's key")
+		t.Fatal("keys under a salt longer than the key buffer: want equal keys for equal parts and different keys for different parts")
 	}
 }
 
@@ -48,10 +53,10 @@
 	core := NewCore(settings.DefaultBounds(), anyKey)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{cacheChange("a", 100), cacheChange("b", 50), cacheChange("a", 0)}}, 1)
 	if holdersOfPart(core, "a", 2) != "" || holdersOfPart(core, "b", 2) != "w:2 " || !core.Warm() {
-		t.Fatalf("a %q, b %q, warm %v", holdersOfPart(core, "a", 2), holdersOfPart(core, "b", 2), core.Warm())
+		t.Fatalf("after the worker cached a and b and evicted a: got holders of a %q, of b %q, warm index %v; want none, \"w:2 \" (confirmed), true", holdersOfPart(core, "a", 2), holdersOfPart(core, "b", 2), core.Warm())
 	}
-	if q := core.NextEvents("w", "llm"); q.After != 3 || q.Full {
-		t.Fatalf("requests next %+v", q)
+	if request := core.NextEvents("w", "llm"); request.After != 3 || request.Full {
+		t.Fatalf("next request after events with NextSequence 3: got %+v, want After 3 and Full false", request)
 	}
 }
 
@@ -60,14 +65,14 @@
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{cacheChange("a", 100)}}, 1)
 	applyEvents(core, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{cacheChange("b", 100)}}, 2)
 	if holdersOfPart(core, "a", 3)+holdersOfPart(core, "b", 3) != "" {
-		t.Fatal("applied events with another boot's numbers")
+		t.Fatal("after a response with a new boot ID to a request with a sequence number of the old process: a part still has holders, want none")
 	}
-	if q := core.NextEvents("w", "llm"); q.After != 0 || q.Full || core.Warm() {
-		t.Fatalf("requests next %+v, warm %v", q, core.Warm())
+	if request := core.NextEvents("w", "llm"); request.After != 0 || request.Full || core.Warm() {
+		t.Fatalf("next request after the worker restarted: got %+v, warm index %v; want After 0, Full false, and an index that is not warm", request, core.Warm())
 	}
 	applyEvents(core, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{cacheChange("c", 100), cacheChange("b", 100)}}, 4)
 	if holdersOfPart(core, "c", 5) != "w:2 " || holdersOfPart(core, "a", 5) != "" || !core.Warm() {
-		t.Fatalf("c %q a %q", holdersOfPart(core, "c", 5), holdersOfPart(core, "a", 5))
+		t.Fatalf("after all events of the restarted worker, which caches b and c: got holders of c %q, of a %q; want \"w:2 \", none, and a warm index", holdersOfPart(core, "c", 5), holdersOfPart(core, "a", 5))
 	}
 }
 
@@ -75,19 +80,19 @@
 	core := NewCore(settings.DefaultBounds(), anyKey)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{cacheChange("a", 100)}}, 1)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 90, Gap: true, Changes: []backend.CacheChange{cacheChange("b", 100)}}, 2)
-	q := core.NextEvents("w", "llm")
-	if !q.Full || holdersOfPart(core, "a", 3) != "w:2 " || holdersOfPart(core, "b", 3) != "w:2 " || !core.Warm() {
-		t.Fatalf("%+v: a %q b %q", q, holdersOfPart(core, "a", 3), holdersOfPart(core, "b", 3))
+	request := core.NextEvents("w", "llm")
+	if !request.Full || holdersOfPart(core, "a", 3) != "w:2 " || holdersOfPart(core, "b", 3) != "w:2 " || !core.Warm() {
+		t.Fatalf("after a gap in the events: got next request %+v, holders of a %q, of b %q; want a full request, \"w:2 \" for both, and a warm index", request, holdersOfPart(core, "a", 3), holdersOfPart(core, "b", 3))
 	}
-	// Until the full list is requested, changes are applied as they come.
-	q.Full = false
-	core.ApplyEvents(q, backend.CacheEvents{BootID: 1, NextSequence: 91, Changes: []backend.CacheChange{cacheChange("b", 0)}}, 4)
-	if q = core.NextEvents("w", "llm"); !q.Full || q.After != 91 || holdersOfPart(core, "b", 4) != "" {
-		t.Fatalf("%+v: b %q", q, holdersOfPart(core, "b", 4))
+	// While a full list is needed but its interval has not passed, requests ask for changes, and these are applied.
+	request.Full = false
+	core.ApplyEvents(request, backend.CacheEvents{BootID: 1, NextSequence: 91, Changes: []backend.CacheChange{cacheChange("b", 0)}}, 4)
+	if request = core.NextEvents("w", "llm"); !request.Full || request.After != 91 || holdersOfPart(core, "b", 4) != "" {
+		t.Fatalf("after b was evicted while a full list is pending: got next request %+v, holders of b %q; want Full true, After 91, no holders", request, holdersOfPart(core, "b", 4))
 	}
-	core.ApplyEvents(q, backend.CacheEvents{BootID: 1, NextSequence: 95, Changes: []backend.CacheChange{cacheChange("c", 100)}}, 5)
-	if q = core.NextEvents("w", "llm"); q.Full || holdersOfPart(core, "a", 6) != "" || holdersOfPart(core, "c", 6) != "w:2 " {
-		t.Fatalf("%+v: a %q c %q", q, holdersOfPart(core, "a", 6), holdersOfPart(core, "c", 6))
+	core.ApplyEvents(request, backend.CacheEvents{BootID: 1, NextSequence: 95, Changes: []backend.CacheChange{cacheChange("c", 100)}}, 5)
+	if request = core.NextEvents("w", "llm"); request.Full || holdersOfPart(core, "a", 6) != "" || holdersOfPart(core, "c", 6) != "w:2 " {
+		t.Fatalf("after a full list with only c: got next request %+v, holders of a %q, of c %q; want Full false, none, \"w:2 \"", request, holdersOfPart(core, "a", 6), holdersOfPart(core, "c", 6))
 	}
 }
 
@@ -100,45 +105,45 @@
 	}{{1000, "w:2 "}, {992, "w:2 "}, {900, "w:2 "}, {880, ""}, {16, ""}} {
 		applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{cacheChange("a", test.cached)}}, 2)
 		if got := holdersOfPart(core, "a", 2); got != test.want {
-			t.Errorf("%d of 1000 cached: %q, want %q", test.cached, got, test.want)
+			t.Errorf("holders of a part of 1000 tokens, %d of them cached: got %q, want %q", test.cached, got, test.want)
 		}
 	}
-	presumeHolders(core, "b", 20, 2, 1) // only whole blocks of 16 are cached
+	presumeHolders(core, "b", 20, 2, 1) // 20 tokens, of which a worker can cache one complete block of 16
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{cacheChange("b", 16)}}, 2)
 	if holdersOfPart(core, "b", 2) != "w:2 " {
-		t.Error("a short part that is cached but for its last block has no holder")
+		t.Error("a worker that caches 16 of a part's 20 tokens, all but an incomplete block, is not listed as a holder")
 	}
-	presumeHolders(core, "a", 1000, 3, 3, "w") // the part will be prefilled there, and cached completely
+	presumeHolders(core, "a", 1000, 3, 3, "w") // the request is routed to w, which will compute the whole part and cache it completely
 	if got := holdersOfPart(core, "a", 3); got != "w:1 " {
-		t.Errorf("sent to a partial holder: %q", got)
+		t.Errorf("holders after a request was routed to a worker that cached 16 of 1000 tokens: got %q, want \"w:1 \" (presumed)", got)
 	}
 }
 
-// A response that arrives twice, or after a later one, changes nothing.
+// A response is ignored if it arrives twice, after the response to a later request, or after the worker was removed.
 func TestLateAndDuplicateResponsesAreIgnored(t *testing.T) {
 	core := NewCore(settings.DefaultBounds(), anyKey)
-	q := core.NextEvents("w", "llm")
-	e := backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{cacheChange("a", 100)}}
-	core.ApplyEvents(q, e, 1)
+	request := core.NextEvents("w", "llm")
+	events := backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{cacheChange("a", 100)}}
+	core.ApplyEvents(request, events, 1)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 2, Changes: []backend.CacheChange{cacheChange("a", 0)}}, 2)
-	core.ApplyEvents(q, e, 3)
+	core.ApplyEvents(request, events, 3)
 	if holdersOfPart(core, "a", 3) != "" || core.NextEvents("w", "llm").After != 2 {
-		t.Fatal("a response counted twice")
+		t.Fatal("a duplicate of an earlier response was applied: want no holders of a, and After 2 in the next request")
 	}
-	q = core.NextEvents("w", "llm")
+	request = core.NextEvents("w", "llm")
 	core.RemoveWorker("w")
-	core.ApplyEvents(q, e, 4)
+	core.ApplyEvents(request, events, 4)
 	if holdersOfPart(core, "a", 4) != "" {
-		t.Fatal("a response from before the worker left counted")
+		t.Fatal("a response to a request from before the worker's removal was applied: want no holders of a")
 	}
 	applyEvents(core, backend.CacheEvents{Throttled: true}, 5)
-	if q := core.NextEvents("w", "llm"); q.After != 0 || core.Warm() {
-		t.Fatal("a throttled response counted as a report")
+	if request := core.NextEvents("w", "llm"); request.After != 0 || core.Warm() {
+		t.Fatal("a throttled response was applied as a report: want After 0 in the next request, and the index not warm")
 	}
 }
 
-// Three changes of one part arrive in one to three responses, split in every manner, one of which may be
-// marked as a gap: the last change counts.
+// Three changes of one part arrive in one to three responses, split in every possible way, and one response may report
+// a gap. The last change must determine the holders.
 func TestEverySplitOfChanges(t *testing.T) {
 	changes := []backend.CacheChange{cacheChange("a", 100), cacheChange("a", 0), cacheChange("a", 200)}
 	for cuts := range 4 {
@@ -152,7 +157,7 @@
 				}
 			}
 			if got := holdersOfPart(core, "a", 4); got != "w:2 " {
-				t.Errorf("cuts %b, gap at %d: %q", cuts, gapAt, got)
+				t.Errorf("changes split into responses at the bits of %b, with a gap in the response that ends with change %d (0: no gap): got holders %q, want \"w:2 \" (confirmed)", cuts, gapAt, got)
 			}
 		}
 	}
@@ -163,31 +168,31 @@
 	core := NewCore(b, anyKey)
 	presumeHolders(core, "a", 100, 1, 1, "w", "store")
 	if got := holdersOfPart(core, "a", 2); got != "store:1 w:1 " {
-		t.Fatalf("presumed: %q", got)
+		t.Fatalf("presumed holders before the first response of the worker: got %q, want \"store:1 w:1 \" (both presumed)", got)
 	}
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 0}, 3)
 	if got := holdersOfPart(core, "a", 4); got != "store:1 w:1 " {
-		t.Fatalf("the first response dropped what was presumed: %q", got)
+		t.Fatalf("presumed holders after the first response of the worker, which has no events: got %q, want \"store:1 w:1 \" (both presumed)", got)
 	}
 	if got := holdersOfPart(core, "a", b.Heal(0.6)); got != "" {
-		t.Fatalf("never confirmed: %q", got)
+		t.Fatalf("presumed holders after 0.6 of the recovery time bound without confirmation: got %q, want none", got)
 	}
 }
 
 func TestStoreHealth(t *testing.T) {
 	b := settings.DefaultBounds()
 	core := NewCore(b, anyKey)
-	up := func(now time.Duration) bool {
+	isUp := func(now time.Duration) bool {
 		return len(core.Lookup([]prefix.Key{StoreHealthKey("d")}, now)[0].Holders) > 0
 	}
-	if core.StoreUp("d", 1); !up(2) {
-		t.Error("a store that responded is down")
+	if core.RecordStoreUp("d", 1); !isUp(2) {
+		t.Error("a store that responded to a poll is listed as down, want up")
 	}
-	if core.StoreDown("d"); up(3) {
-		t.Error("a store that didn't respond is up")
+	if core.RecordStoreDown("d"); isUp(3) {
+		t.Error("a store that did not respond to a poll is listed as up, want down")
 	}
-	if core.StoreUp("d", 4); up(b.Heal(0.6)) {
-		t.Error("a store that wasn't polled for long is up")
+	if core.RecordStoreUp("d", 4); isUp(b.Heal(0.6)) {
+		t.Error("a store that last responded 0.6 of the recovery time bound ago is listed as up, want down")
 	}
 }
 
@@ -199,12 +204,12 @@
 	presumeHolders(core, "lapsed", 10, 2, 0, "x")
 	core.Sweep(map[string]bool{"w": true}, 2)
 	if len(core.entries) != 3 {
-		t.Fatalf("%d entries, want 3", len(core.entries))
+		t.Fatalf("entries after a sweep before any entry has expired: got %d, want 3", len(core.entries))
 	}
 	late := b.Heal(20)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 1}, late)
 	core.Sweep(map[string]bool{"w": true}, late)
 	if len(core.entries) != 1 || len(core.workers) != 1 {
-		t.Fatalf("%d entries and %d workers, want one of each", len(core.entries), len(core.workers))
+		t.Fatalf("after a sweep with one confirmed holder left: got %d entries and %d workers, want 1 and 1", len(core.entries), len(core.workers))
 	}
 }
--- a/internal/data/promptindex/holdings.go
+++ b/internal/data/promptindex/holdings.go
@@ -9,50 +9,60 @@
 	"pebbleloom/internal/wire"
 )
 
-// How certain the index is of a holder. The values are on the wire.
+// The certainty that a worker or store caches a prefix. The values are on the wire.
 const (
-	Presumed  uint32 = iota + 1 // a request was routed there, or a save was ordered
-	Confirmed                   // the worker reported it
+	// Presumed means that a request with the prefix was routed to the worker, or that the store was ordered to save
+	// the prefix, but that neither has reported it yet.
+	Presumed uint32 = iota + 1
+	// Confirmed means that the worker or store has reported that it caches the prefix.
+	Confirmed
 )
 
 const (
-	// presumedRatio is how long a presumed holding counts without confirmation, and maxReportAgeRatio how long a
-	// confirmed one counts after its worker's last report. Ratios of the heal bound.
-	presumedRatio     = 0.5
+	// presumedLifetimeRatio is how long a presumed holder record is valid without confirmation, as a ratio of the
+	// recovery time bound (Bounds.Heal).
+	presumedLifetimeRatio = 0.5
+	// maxReportAgeRatio is how long a confirmed holder record is valid after the last report of its worker, as a
+	// ratio of the recovery time bound (Bounds.Heal).
 	maxReportAgeRatio = 2.5
-	// minHolderRatio is the share of an entry's tokens below which a worker doesn't count as a holder.
-	minHolderRatio = 0.9
-	// blockTokens is the size of a worker's cache block: it caches whole blocks only.
+	// minCachedRatio is the share of an entry's tokens that a worker must cache to count as a holder. Up to one
+	// block less is tolerated.
+	minCachedRatio = 0.9
+	// blockTokens is the size of a block of a worker's KV cache. Workers cache complete blocks only, so the last
+	// tokens of a prefix may be missing.
 	blockTokens = 16
 )
 
-// holding is what the index knows of one holder of an entry.
-type holding struct {
-	certainty    uint32
-	updatedAt    time.Duration
-	generation   uint32 // of the worker's holdings: those of older generations don't count
-	cachedTokens uint32 // of the entry's; 0: all
+// holderRecord records that a worker or store caches the prefix of an entry.
+type holderRecord struct {
+	certainty uint32
+	updatedAt time.Duration
+	// generation is the worker's generation when the record was made. The record is valid as long as the two are
+	// equal.
+	generation uint32
+	// cachedTokens is the number of the entry's tokens that are cached; 0 means all of them.
+	cachedTokens uint32
 }
 
-// isPartial reports whether too little of an entry is cached to count.
-func (h holding) isPartial(e *entry) bool {
-	return h.cachedTokens > 0 && h.cachedTokens+blockTokens <= e.tokens && float64(h.cachedTokens) < minHolderRatio*float64(e.tokens)
+// isPartial reports whether the holder caches too few of the entry's tokens to be listed as a holder.
+func (h holderRecord) isPartial(e *entry) bool {
+	return h.cachedTokens > 0 && h.cachedTokens+blockTokens <= e.tokens && float64(h.cachedTokens) < minCachedRatio*float64(e.tokens)
 }
 
-// isValid reports whether a holding still counts: presumed ones lapse unless confirmed, and confirmed ones
-// lapse when the worker hasn't reported for long.
-func (c *Core) isValid(holder string, h holding, now time.Duration) bool {
+// isValid reports whether a holder record is still valid. A presumed record expires unless it is confirmed, and a
+// confirmed one expires when its worker has not reported for too long.
+func (c *Core) isValid(holder string, h holderRecord, now time.Duration) bool {
 	w := c.workers[holder]
 	if w == nil || h.generation != w.generation {
 		return false
 	}
 	if h.certainty == Presumed {
-		return now-h.updatedAt < c.bounds.Heal(presumedRatio)
+		return now-h.updatedAt < c.bounds.Heal(presumedLifetimeRatio)
 	}
 	return now-max(w.respondedAt, h.updatedAt) < c.bounds.Heal(maxReportAgeRatio)
 }
 
-// Lookup looks a batch of keys up; the result has one element for each. Holders are sorted by name.
+// Lookup returns the hotness and the holders, sorted by name, of each key. The results are in the order of keys.
 //
 // Example: results := c.Lookup(keys, now)
 func (c *Core) Lookup(keys []prefix.Key, now time.Duration) []*wire.LookupResult {
@@ -68,13 +78,14 @@
 	return results
 }
 
-// validHolders lists the holders of an entry, and removes the holdings that no longer count.
+// validHolders returns the holders of an entry, sorted by name, and removes expired holder records. Holders that
+// cache too few of the entry's tokens are left out.
 func (c *Core) validHolders(e *entry, now time.Duration) (holders []*wire.Holder) {
 	for holder, h := range e.holders {
 		switch {
 		case !c.isValid(holder, h, now):
 			delete(e.holders, holder)
-			c.Stats.Lapsed++
+			c.Stats.ExpiredHolders++
 		case !h.isPartial(e):
 			holders = append(holders, &wire.Holder{Worker: holder, State: h.certainty})
 		}
--- a/internal/data/promptindex/keys.go
+++ b/internal/data/promptindex/keys.go
@@ -7,16 +7,17 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// keyBuffer is the size in bytes of a salt and part that are hashed without an allocation.
-const keyBuffer = 256
+// keyBufferSize is the number of bytes of a salt and a part ID that are hashed without a heap allocation.
+const keyBufferSize = 256
 
-// PartKey is the key of one part as it is cached under a salt. A part's ID stands for the whole prefix up
-// to it; the salt for isolation, model and version. The salt's length is hashed too, so that no two pairs
-// have the same text.
+// PartKey returns the index key of a prompt part that is cached under a salt. The ID of a part identifies the
+// complete prompt prefix up to and including the part; the salt stands for the isolation domain, the model and the
+// version of its weights. The length of the salt is hashed too, so that two different pairs of salt and part ID
+// never hash the same text.
 //
 // Example: key := promptindex.PartKey("1.2.m0", "5c1e07a2")
 func PartKey(salt, part string) (key prefix.Key) {
-	var buffer [keyBuffer]byte
+	var buffer [keyBufferSize]byte
 	text := strconv.AppendInt(buffer[:0], int64(len(salt)), 10)
 	text = append(append(append(text, ' '), salt...), part...)
 	sum := sha256.Sum256(text)
@@ -24,7 +25,8 @@
 	return key
 }
 
-// StoreHealthKey is the key that a store is a holder of for as long as it responds.
+// StoreHealthKey returns the key that indicates the health of a store: the store is listed as its holder while it
+// responds to polls.
 //
 // Example: isUp := len(found[promptindex.StoreHealthKey("cartons")].GetHolders()) > 0
 func StoreHealthKey(store string) prefix.Key { return PartKey("\x00up", store) }
--- a/internal/data/promptindex/reports.go
+++ b/internal/data/promptindex/reports.go
@@ -7,127 +7,142 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// worker is what the index knows of one worker's reports.
+// worker is the polling state of one worker or store.
 type worker struct {
+	// incarnation identifies the process that responded last; "" before the first response.
 	incarnation string
-	generation  uint32 // counts the times that all of its holdings became void
-	lastNumber  uint64 // of its reports
-	needsFull   bool   // a full report is needed
-	respondedAt time.Duration
-	isPolled    bool   // it is polled for reports
-	isComplete  bool   // it has reported everything it caches
-	sequence    uint64 // counts its removals and its responses
+	// generation is incremented to invalidate all holder records of the worker.
+	generation uint32
+	// lastSequence is the number of the last cache change that is known; the next request asks for later ones.
+	lastSequence uint64
+	// needsFullReport is true while the next request must ask for the complete cache, not only for changes.
+	needsFullReport bool
+	respondedAt     time.Duration
+	// isPolled is true for workers that are polled, and false for workers that are known only as presumed holders.
+	isPolled bool
+	// isComplete is true once the worker has reported everything that it caches.
+	isComplete bool
+	// pollSequence is incremented by each applied response and each removal of the worker, so that responses to earlier
+	// requests are recognized and discarded.
+	pollSequence uint64
 }
 
-// worker returns what is known of a worker, or a new one.
-func (c *Core) worker(name string) *worker {
+// ensureWorker returns the polling state of a worker or store, and creates it if there is none.
+func (c *Core) ensureWorker(name string) *worker {
 	w := c.workers[name]
 	if w == nil {
-		w = &worker{needsFull: true}
+		w = &worker{needsFullReport: true}
 		c.workers[name] = w
 	}
 	return w
 }
 
-// ReportRequest is a request to a worker. A response to one from before the worker was removed, or from
-// before another response, is outdated.
+// ReportRequest is a request to a worker or store for its cache changes. The response is discarded if, in the
+// meantime, the worker was removed or a response to another request was applied.
 type ReportRequest struct {
 	Name, Service string
-	After         uint64 // the number of the last report that is known
-	Full          bool   // everything that the worker caches is requested
-	sequence      uint64
+	// After is the number of the last known cache change: later changes are requested.
+	After uint64
+	// Full requests the complete cache contents instead of the changes.
+	Full bool
+	// pollSequence is the worker's pollSequence when the request was made.
+	pollSequence uint64
 }
 
-// NextReport returns the next request to a worker.
+// NextReport returns the next request for the cache reports of a worker.
 //
 // Example: request := c.NextReport("worker-3", "lectores"); reports := call(request.After, request.Full); c.ApplyReport(request, reports, now)
 func (c *Core) NextReport(name, service string) ReportRequest {
-	w := c.worker(name)
+	w := c.ensureWorker(name)
 	w.isPolled = true
-	return ReportRequest{name, service, w.lastNumber, w.needsFull, w.sequence}
+	return ReportRequest{name, service, w.lastSequence, w.needsFullReport, w.pollSequence}
 }
 
-// ApplyReport applies a worker's response. After a gap in the numbers or a new incarnation a full report is
-// requested next; until then known holdings stay, and lapse as usual.
+// ApplyReport applies a worker's response. If the numbers of its reports have a gap, a full report is requested
+// next, and the known holder records stay until they expire. If the worker has a new incarnation, its holder
+// records are invalidated and a full report is requested as well.
 //
 // Example: c.ApplyReport(request, response, now)
 func (c *Core) ApplyReport(request ReportRequest, response contract.CacheReports, now time.Duration) {
-	worker := c.worker(request.Name)
-	if request.sequence != worker.sequence {
+	worker := c.ensureWorker(request.Name)
+	if request.pollSequence != worker.pollSequence {
 		return
 	}
 	worker.respondedAt = now
-	worker.sequence++ // each request has one response
+	worker.pollSequence++ // a second response to the same request is discarded
 	if response.Incarnation != worker.incarnation {
-		worker.incarnation, worker.lastNumber, worker.needsFull = response.Incarnation, 0, true
-		worker.generation++ // the old incarnation's holdings are void
+		worker.incarnation, worker.lastSequence, worker.needsFullReport = response.Incarnation, 0, true
+		worker.generation++ // invalidates the holder records of the previous incarnation
 	}
 	switch {
 	case response.Complete:
-		worker.generation++ // what isn't in the report isn't cached any more
+		worker.generation++ // invalidates the holder records of prefixes that are missing from the full report
 		c.Stats.FullReports++
 		for _, cached := range response.Cached {
-			c.addHolding(request, worker, cached, now)
+			c.addHolder(request, worker, cached, now)
 		}
-		worker.lastNumber, worker.needsFull, worker.isComplete = response.Number, false, true
-	case !worker.needsFull:
+		worker.lastSequence, worker.needsFullReport, worker.isComplete = response.Number, false, true
+	case !worker.needsFullReport:
 		c.applyNumberedReports(request, worker, response, now)
 	}
 }
 
-// applyNumberedReports applies the reports that follow the last known one without a gap.
+// applyNumberedReports applies the cache reports that follow the last known one without a gap in their numbers. If
+// this does not reach the last report of the worker, a full report is requested.
 func (c *Core) applyNumberedReports(request ReportRequest, worker *worker, response contract.CacheReports, now time.Duration) {
 	for _, report := range response.Reports {
-		if report.Number <= worker.lastNumber {
+		if report.Number <= worker.lastSequence {
 			continue
 		}
-		if report.Number != worker.lastNumber+1 {
+		if report.Number != worker.lastSequence+1 {
 			break
 		}
 		for _, added := range report.Added {
-			c.addHolding(request, worker, added, now)
+			c.addHolder(request, worker, added, now)
 		}
 		for _, removed := range report.Removed {
 			if key, ok := prefix.Parse(removed); ok && c.entries[key] != nil {
 				delete(c.entries[key].holders, request.Name)
 			}
 		}
-		worker.lastNumber = report.Number
+		worker.lastSequence = report.Number
 	}
-	if worker.lastNumber != response.Number {
-		worker.needsFull = true
+	if worker.lastSequence != response.Number {
+		worker.needsFullReport = true
 		c.Stats.Gaps++
 	}
 }
 
-// addHolding records that a worker caches a prefix. Keys that aren't assigned to this node are ignored.
-func (c *Core) addHolding(request ReportRequest, w *worker, cached contract.CachedPrefix, now time.Duration) {
+// addHolder records that a worker caches a prefix. It ignores keys that are not assigned to this index node.
+func (c *Core) addHolder(request ReportRequest, w *worker, cached contract.CachedPrefix, now time.Duration) {
 	key, ok := prefix.Parse(cached.Key)
 	if !ok || !c.isAssigned(key) {
 		return
 	}
-	e := c.entry(key, now)
+	e := c.ensureEntry(key, now)
 	if cached.Tokens > 0 {
 		e.tokens = uint32(cached.Tokens)
 	}
 	if e.service == "" {
 		e.service = request.Service
 	}
-	e.holders[request.Name] = holding{certainty: Confirmed, updatedAt: now, generation: w.generation}
+	e.holders[request.Name] = holderRecord{certainty: Confirmed, updatedAt: now, generation: w.generation}
 }
 
-// RemoveWorker makes the holdings of a worker that has left void.
+// RemoveWorker invalidates the holder records of a worker that was removed from the deployment, and resets its
+// polling state.
 //
 // Example: c.RemoveWorker("worker-3")
 func (c *Core) RemoveWorker(name string) {
 	if w := c.workers[name]; w != nil {
 		w.generation++
-		w.sequence++
-		w.incarnation, w.lastNumber, w.needsFull, w.isPolled, w.isComplete = "", 0, true, false, false
+		w.pollSequence++
+		w.incarnation, w.lastSequence, w.needsFullReport, w.isPolled, w.isComplete = "", 0, true, false, false
 	}
 }
 
-// MarkIncomplete marks all workers as incomplete: the index hasn't followed them.
+// MarkIncomplete records that this index has missed cache changes of all workers, as it didn't poll them. The index
+// is not warm until the workers have responded again.
 //
 // Example: c.MarkIncomplete()
 func (c *Core) MarkIncomplete() {
