--- a/internal/data/nodeagent/freshnessproof.go
+++ b/internal/data/nodeagent/freshnessproof.go
@@ -6,27 +6,34 @@
 	"pebbleloom/internal/wire"
 )
 
-// FreshnessProof proves by quorum up to which instant no newer configuration had been acknowledged. An
-// acknowledged configuration is synced on two of the three members of its shard; so once two of the three
-// have attested, after an instant, that their disks have nothing newer, nothing newer was acknowledged
-// before it. A newer configuration is taken into use as soon as two members attest it as well. Until then
-// the old one is used as long as its own proof is within the bound.
+// FreshnessProof proves by quorum that, up to some time, no configuration newer than the one in use had been acknowledged
+// as committed. An acknowledged configuration is synced to the disks of two of the three members of the control state
+// shard that stores it. If two of the three members attest, in responses to requests sent at time t or later, that their
+// disks have no newer configuration, then none was acknowledged before t. A newer configuration replaces the one in use
+// as soon as two members attest it in the same manner. Until then the old one stays in use, as long as its own proof is
+// recent enough.
 type FreshnessProof struct{ current, next attestedConfig }
 
-// attestedConfig is a configuration with the members that attest it.
+// attestedConfig is a configuration and the attestations for it.
 type attestedConfig struct {
-	document     *wire.Document         // nil: none
-	attestations map[string]attestation // by member
+	// document is the configuration document; nil if there is none.
+	document *wire.Document
+	// attestations has the latest attestation of each member, by the name of the member.
+	attestations map[string]attestation
 }
 
-// attestation is one member's statement that its disk has nothing newer.
+// attestation is the statement of one shard member that its disk has no newer configuration.
 type attestation struct {
-	requestedAt          time.Duration // when the request was sent: the statement is younger
-	incarnation          string        // of the member
+	// requestedAt is the time at which the request was sent. The member made the statement later.
+	requestedAt time.Duration
+	// incarnation is the incarnation of the member that made the statement.
+	incarnation string
+	// acceptedIncarnations has the incarnations of the other members that this member regards as valid.
 	acceptedIncarnations []*wire.KnownIncarnation
 }
 
-// accepts reports whether a member accepts another member's incarnation.
+// accepts reports whether the member that made the statement regards an incarnation of another member as valid. It
+// does if it knows no incarnation of that member.
 func (a attestation) accepts(member, incarnation string) bool {
 	for _, known := range a.acceptedIncarnations {
 		if known.Name == member {
@@ -36,22 +43,23 @@
 	return true
 }
 
-// NewFreshnessProof makes a proof without a configuration.
+// NewFreshnessProof returns a proof without a configuration.
 //
 // Example: p := nodeagent.NewFreshnessProof()
 func NewFreshnessProof() *FreshnessProof {
 	return &FreshnessProof{current: attestedConfig{attestations: map[string]attestation{}}}
 }
 
-// LatestVersion is the newest version received, in use already or not; the next request carries it.
+// LatestVersion returns the newest version that was received, whether or not it is in use yet. The next request sends it
+// as the known version.
 //
 // Example: request.KnownVersion = p.LatestVersion()
 func (p *FreshnessProof) LatestVersion() uint64 {
 	return max(p.current.document.GetVersion(), p.next.document.GetVersion())
 }
 
-// HandleResponse applies a member's response to a request that was sent at an instant with the version
-// known then. It reports whether the configuration in use has changed.
+// HandleResponse applies the response of a member to a request that was sent at requestedAt with knownVersion as the
+// known version. It reports whether the configuration in use has changed.
 //
 // Example: changed := p.HandleResponse("core-1", 7, requestedAt, response)
 func (p *FreshnessProof) HandleResponse(member string, knownVersion uint64, requestedAt time.Duration, response *wire.WatchResponse) bool {
@@ -80,15 +88,17 @@
 	return false
 }
 
-// attest records a member's statement, unless a younger one is known: responses may overtake each other.
+// attest records the statement of a member, unless a statement in response to a later request is known: responses may
+// arrive out of order.
 func (c *attestedConfig) attest(member string, requestedAt time.Duration, response *wire.WatchResponse) {
 	if requestedAt > c.attestations[member].requestedAt {
 		c.attestations[member] = attestation{requestedAt, response.Incarnation, response.KnownIncarnations}
 	}
 }
 
-// freshUntil is the earlier request of the best two of three members that accept each other: a machine
-// whose name was taken over attests nothing. It is zero without two such members.
+// freshUntil returns the latest time t for which two members have made statements in response to requests sent at t or
+// later, or zero if there are no two such members. Each of the two must regard the other's incarnation as valid, because
+// a member whose name another machine has taken over must not count.
 func (c *attestedConfig) freshUntil() (latest time.Duration) {
 	for nameA, a := range c.attestations {
 		for nameB, b := range c.attestations {
@@ -100,13 +110,13 @@
 	return latest
 }
 
-// FreshUntil is the instant up to which nothing newer than the configuration in use had been acknowledged;
-// zero without a proof.
+// FreshUntil returns the time up to which no configuration newer than the one in use had been acknowledged; zero if there
+// is no proof.
 //
 // Example: if now-p.FreshUntil() > bound { reject() }
 func (p *FreshnessProof) FreshUntil() time.Duration { return p.current.freshUntil() }
 
-// Document is the configuration document in use; nil if there is none.
+// Document returns the configuration document in use; nil if there is none.
 //
 // Example: config, err := serviceconfig.Decode(p.Document().Body)
 func (p *FreshnessProof) Document() *wire.Document { return p.current.document }
--- a/internal/data/nodeagent/freshnessproof_test.go
+++ b/internal/data/nodeagent/freshnessproof_test.go
@@ -8,13 +8,18 @@
 	"pebbleloom/internal/wire"
 )
 
+// unchangedResponse returns a member's statement that its disk has no configuration newer than the known version.
 func unchangedResponse() *wire.WatchResponse {
 	return &wire.WatchResponse{Outcome: wire.OutcomeUnchanged}
 }
+
+// updatedResponse returns a response with a newer configuration. With nothingNewer the member also states that its disk
+// has no configuration newer than that.
 func updatedResponse(version uint64, nothingNewer bool) *wire.WatchResponse {
 	return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, NothingNewer: nothingNewer, Document: &wire.Document{Version: version, Body: []byte("x")}}
 }
 
+// receivedResponse has the arguments of one call of HandleResponse.
 type receivedResponse struct {
 	member       string
 	knownVersion uint64
@@ -22,6 +27,7 @@
 	response     *wire.WatchResponse
 }
 
+// everyOrder calls check with each permutation of responses, and returns the number of permutations.
 func everyOrder(responses []receivedResponse, check func([]receivedResponse)) (n int) {
 	var walk func(left, done []receivedResponse)
 	walk = func(left, done []receivedResponse) {
@@ -38,8 +44,8 @@
 	return n
 }
 
-// Every order of six responses: a configuration is in use only once two members attest it, its proof is never
-// later than what two of them attested, and its version never decreases.
+// Applies six responses in every order. A configuration must be in use only once two members have attested it, the proof
+// must not be later than two of the members attested, and the version in use must not decrease.
 func TestEveryOrderOfResponses(t *testing.T) {
 	responses := []receivedResponse{{"a", 1, 10, unchangedResponse()}, {"b", 1, 20, unchangedResponse()}, {"c", 1, 30, updatedResponse(2, true)}, {"a", 1, 25, updatedResponse(2, false)}, {"a", 2, 40, unchangedResponse()}, {"b", 1, 35, updatedResponse(2, true)}}
 	adopted := 0
@@ -63,13 +69,13 @@
 			if len(attested[2]) >= 2 {
 				inUse = 2
 			}
-			var instants []time.Duration
-			for _, x := range attested[inUse] {
-				instants = append(instants, x)
+			var requestTimes []time.Duration
+			for _, attestedAt := range attested[inUse] {
+				requestTimes = append(requestTimes, attestedAt)
 			}
-			sort.Slice(instants, func(i, j int) bool { return instants[i] > instants[j] })
-			if proof.Document().Version != inUse || proof.FreshUntil() != instants[1] {
-				t.Fatalf("after %v: version %d with proof %d, want %d with %d", order, proof.Document().Version, proof.FreshUntil(), inUse, instants[1])
+			sort.Slice(requestTimes, func(i, j int) bool { return requestTimes[i] > requestTimes[j] })
+			if proof.Document().Version != inUse || proof.FreshUntil() != requestTimes[1] {
+				t.Fatalf("response order %v: got configuration version %d proved fresh until %d, want version %d proved fresh until %d", order, proof.Document().Version, proof.FreshUntil(), inUse, requestTimes[1])
 			}
 		}
 		if proof.Document().Version == 2 {
@@ -77,7 +83,7 @@
 		}
 	})
 	if orders != 720 || adopted < orders/2 {
-		t.Fatalf("%d orders, %d ended on the newer configuration", orders, adopted)
+		t.Fatalf("tested %d response orders, of which %d ended with the newer configuration in use; want 720 orders and at least half of them", orders, adopted)
 	}
 }
 
@@ -89,6 +95,6 @@
 	}
 	proof.HandleResponse("b", 1, 20, &wire.WatchResponse{Outcome: wire.OutcomeUnknown})
 	if proof.FreshUntil() != 0 || proof.Document() != nil {
-		t.Fatalf("one member's attestation counts as a quorum's: %d", proof.FreshUntil())
+		t.Fatalf("after attestations of a single member: got a configuration in use, or a proof of freshness until %d; want no configuration and 0", proof.FreshUntil())
 	}
 }
