--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -1,6 +1,6 @@
-// Package nodeagent is the agent on each edge machine: it follows the control state, proves that the
-// configuration in use is fresh, watches the workers' health, and sends updates to the processes beside it
-// over loopback.
+// Package nodeagent implements the agent that runs on each edge machine, beside a proxy. It follows the configuration and
+// the placements in the control state, proves that the configuration in use is fresh, checks the health of the workers,
+// and serves updates of all this over loopback to the other processes on the machine.
 package nodeagent
 
 import (
@@ -18,55 +18,75 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing. Chosen, not measured.
+// Intervals and timeouts, as ratios of the bounds in settings.Bounds.
 const (
-	// configCallRatio is the timeout of one request for the configuration, configPollRatio how long a member
-	// may wait in it for a newer one, and configRetryRatio the delay after a failure. Ratios of the
-	// configuration bound: calls of a quiet site are spared, and a proof is never older than the bound.
-	configCallRatio  = 0.3
-	configPollRatio  = 0.15
+	// configTimeoutRatio is the timeout of one request for the configuration, as a ratio of the bound on how
+	// long an outdated configuration stays in use (Bounds.Config).
+	configTimeoutRatio = 0.3
+	// configLongPollRatio is how long a control node may hold a request for the configuration until there is a newer one,
+	// as a ratio of the bound on how long an outdated configuration stays in use (Bounds.Config). Long polls save calls
+	// while the configuration does not change, but must be short enough for the freshness proof to stay within the bound.
+	configLongPollRatio = 0.15
+	// configRetryRatio is the delay after a failed request for the configuration, as a ratio of the bound on how long
+	// an outdated configuration stays in use (Bounds.Config).
 	configRetryRatio = 0.05
-	// workerPollRatio is the time between two lists of the workers, and between two probes of one worker;
-	// listTimeoutRatio and probeTimeoutRatio are the timeouts of the calls. Ratios of the leave bound.
-	workerPollRatio   = 0.15
-	listTimeoutRatio  = 0.3
+	// workerPollRatio is the interval between two requests for the worker list, and between two probes of one worker, as
+	// a ratio of the bound on how long a removed worker still gets requests (Bounds.Leave).
+	workerPollRatio = 0.15
+	// listTimeoutRatio is the timeout of a request for the worker list, as a ratio of the bound on how long a removed
+	// worker still gets requests (Bounds.Leave).
+	listTimeoutRatio = 0.3
+	// probeTimeoutRatio is the timeout of one probe of a worker, as a ratio of the bound on how long a removed worker
+	// still gets requests (Bounds.Leave).
 	probeTimeoutRatio = 0.25
-	// placementPollRatio is the time between two requests for the placements, and placementTimeoutRatio the
-	// timeout of one. Ratios of the heal bound.
-	placementPollRatio    = 1.0 / 12
+	// placementPollRatio is the interval between two requests for the placement of a service, as a ratio of the recovery
+	// time bound (Bounds.Heal).
+	placementPollRatio = 1.0 / 12
+	// placementTimeoutRatio is the timeout of one request for a placement, as a ratio of the recovery time bound
+	// (Bounds.Heal).
 	placementTimeoutRatio = 1.0 / 24
 )
 
-// Agent is the node agent of one machine.
+// Agent is the node agent of one machine. An actor serializes the accesses to its state.
 type Agent struct {
 	process  *daemon.Process
-	actor    *queue.Actor[table]
+	actor    *queue.Actor[agentState]
 	clock    clock.Clock
 	clients  *daemon.Clients
 	backends *contract.Backends
 	member   *clustermembership.Member
 }
 
-// table is the state of a node agent; the actor guards it.
-type table struct {
-	proof        *FreshnessProof
-	config       *serviceconfig.Config // in use; nil: none, or an unreadable one
-	workers      *WorkerTable
-	rows         []*wire.Worker // the workers as they were sent last; published rows are never changed
-	membership   clustermembership.View
-	placements   map[string]*wire.Document       // by service
-	links        map[string]*wire.LinkThroughput // by class of source
-	outcomes     map[string]*recentOutcomes      // by worker
-	decisions    []*wire.Decision                // the latest ones of the proxy on this machine, oldest first
-	version      uint64                          // of everything in an update
-	listsVersion uint64                          // of workers, nodes, placements, stores and links
-	waiting      map[chan struct{}]bool          // requests for an update; closed when there is one
+// agentState is the mutable state of a node agent. It is accessed only within the agent's actor.
+type agentState struct {
+	proof *FreshnessProof
+	// config is the configuration in use; nil if there is none, or if it can't be decoded.
+	config  *serviceconfig.Config
+	workers *WorkerTable
+	// rows has the workers as they are sent in updates. Rows are replaced but never modified, because responses share
+	// them.
+	rows       []*wire.Worker
+	membership clustermembership.View
+	// placements has the newest known placement of each service, by the name of the service.
+	placements map[string]*wire.Document
+	// links has the throughput of recent fetches of cached prefixes, by the class of the network link.
+	links map[string]*wire.LinkThroughput
+	// outcomes has the outcomes of recent requests to each worker, by the name of the worker.
+	outcomes map[string]*recentOutcomes
+	// decisions has the latest routing decisions of the proxy on this machine, oldest first.
+	decisions []*wire.Decision
+	// version is incremented whenever anything in an update changes.
+	version uint64
+	// listsVersion is incremented whenever the workers, nodes, placements, stores or links in an update change.
+	listsVersion uint64
+	// waiters has a channel for each waiting request for an update. It is closed when there is an update.
+	waiters map[chan struct{}]bool
 }
 
-// newTable makes an empty table. Its versions start at random, so that a client can't mistake a new
-// incarnation's for the old one's.
-func newTable(process *daemon.Process) *table {
-	return &table{
+// newAgentState returns an empty state. Its version numbers start at random values, so that a client that knows a
+// version from before a restart of the node agent does not mistake a new version for it.
+func newAgentState(process *daemon.Process) *agentState {
+	return &agentState{
 		version:      process.Seed(),
 		listsVersion: process.Seed(),
 		proof:        NewFreshnessProof(),
@@ -74,11 +94,11 @@
 		placements:   map[string]*wire.Document{},
 		links:        map[string]*wire.LinkThroughput{},
 		outcomes:     map[string]*recentOutcomes{},
-		waiting:      map[chan struct{}]bool{},
+		waiters:      map[chan struct{}]bool{},
 	}
 }
 
-// Start runs the node agent until the process stops.
+// Start starts the node agent and returns once it serves requests. The agent runs until the process stops.
 //
 // Example: daemon.Main(programs.NodeAgent, "the agent on an edge machine", required, nodeagent.Start)
 func Start(process *daemon.Process) error {
@@ -86,7 +106,7 @@
 	agent := &Agent{process: process, clock: process.Clock, clients: daemon.NewClients(process), backends: contract.NewBackends(process.Dial)}
 	process.OnStop(agent.backends.Close)
 	members := controlclient.Members(0, process.Settings.Core)
-	agent.actor = queue.NewActor(newTable(process), 1024)
+	agent.actor = queue.NewActor(newAgentState(process), 1024)
 	process.OnStop(agent.actor.Stop)
 	agent.member = clustermembership.Start(process.Ctx, clustermembership.Config{
 		Process: process.Settings,
@@ -95,7 +115,7 @@
 		Log:     process.Log,
 		Client:  agent.clients.Membership,
 		OnChange: func(view clustermembership.View) {
-			agent.actor.TrySend(func(t *table) { t.membership = view; t.notifyListsChanged() })
+			agent.actor.TrySend(func(s *agentState) { s.membership = view; s.notifyListsChanged() })
 		},
 	})
 	for _, member := range members {
@@ -108,11 +128,11 @@
 	return agent.serve()
 }
 
-// addMetrics adds the metrics of workers and nodes.
+// addMetrics registers the metrics of workers and cluster nodes.
 func (a *Agent) addMetrics() {
 	a.process.Meter.Gauge("pebbleloom_workers_up", "workers that this machine sees up", func() (up float64) {
-		a.actor.Ask(func(t *table) {
-			for _, row := range t.rows {
+		a.actor.Ask(func(s *agentState) {
+			for _, row := range s.rows {
 				if row.State == updatestream.WorkerUp {
 					up++
 				}
@@ -130,7 +150,7 @@
 	})
 }
 
-// serve serves the processes on this machine, the cluster membership and the operators.
+// serve starts the servers for the processes on this machine, for the cluster membership and for operators.
 func (a *Agent) serve() error {
 	settings := a.process.Settings
 	mux := http.NewServeMux()
--- a/internal/data/nodeagent/outcomes.go
+++ b/internal/data/nodeagent/outcomes.go
@@ -8,60 +8,68 @@
 )
 
 const (
-	outcomeWindowRatio = 1.0  // over which outcomes of attempts decay, as a ratio of the heal bound
-	linkDecay          = 0.98 // weight of older fetches over a class of links when a new one is added
-	maxLinkClasses     = 8
+	// outcomeDecayRatio is the time in which the weight of the outcome of an attempt decays to 1/e, as a ratio of the
+	// recovery time bound (Bounds.Heal).
+	outcomeDecayRatio = 1.0
+	// linkDecay is multiplied with the weight of earlier fetches over a class of links at each new report of fetches.
+	linkDecay = 0.98
+	// maxLinkClasses limits the classes of links whose throughput is recorded.
+	maxLinkClasses = 8
 )
 
-// recentOutcomes counts how a worker's recent attempts ended, as the proxy on this machine saw them. Older
-// ones decay.
+// recentOutcomes counts the successes and failures of attempts that the proxy on this machine made at a worker, each
+// weighted by exponential decay over its age.
 type recentOutcomes struct {
 	succeeded, failed float64
 	updatedAt         time.Duration
 }
 
-func (o *recentOutcomes) decay(now, window time.Duration) {
-	weight := math.Exp(-float64(now-o.updatedAt) / float64(window))
+// decay applies the exponential decay of the counts up to now.
+func (o *recentOutcomes) decay(now, timeConstant time.Duration) {
+	weight := math.Exp(-float64(now-o.updatedAt) / float64(timeConstant))
 	o.succeeded, o.failed, o.updatedAt = o.succeeded*weight, o.failed*weight, now
 }
 
-// recordAttempts records how attempts of the proxy on this machine ended, and how fast their fetches were.
-func (a *Agent) recordAttempts(t *table, reports []*wire.AttemptReport) {
-	t.workers.RecordAttempts(reports, a.clock.Now())
+// recordAttempts records the outcomes of attempts that the proxy on this machine reports, and the throughput of its
+// prefix fetches.
+func (a *Agent) recordAttempts(s *agentState, reports []*wire.AttemptReport) {
+	s.workers.RecordAttempts(reports, a.clock.Now())
 	for _, report := range reports {
-		a.recordOutcomes(t, report)
-		t.recordLink(report)
+		a.recordOutcomes(s, report)
+		s.recordLink(report)
 	}
 }
 
-func (a *Agent) recordOutcomes(t *table, report *wire.AttemptReport) {
+// recordOutcomes adds reported successes and failures to the recent outcomes of a worker.
+func (a *Agent) recordOutcomes(s *agentState, report *wire.AttemptReport) {
 	if report.Successes+report.Failures <= 0 {
 		return
 	}
-	outcomes := t.outcomes[report.Worker]
+	outcomes := s.outcomes[report.Worker]
 	if outcomes == nil {
-		if len(t.outcomes) >= maxWorkers {
+		if len(s.outcomes) >= maxWorkers {
 			return
 		}
 		outcomes = &recentOutcomes{}
-		t.outcomes[report.Worker] = outcomes
+		s.outcomes[report.Worker] = outcomes
 	}
-	outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeWindowRatio))
+	outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeDecayRatio))
 	outcomes.succeeded += float64(report.Successes)
 	outcomes.failed += float64(report.Failures)
 }
 
-func (t *table) recordLink(report *wire.AttemptReport) {
+// recordLink adds reported prefix fetches to the throughput of their class of links.
+func (s *agentState) recordLink(report *wire.AttemptReport) {
 	if report.LinkNs <= 0 {
 		return
 	}
-	link := t.links[report.LinkClass]
+	link := s.links[report.LinkClass]
 	if link == nil {
-		if len(t.links) > maxLinkClasses {
+		if len(s.links) > maxLinkClasses {
 			return
 		}
 		link = &wire.LinkThroughput{Class: report.LinkClass}
-		t.links[report.LinkClass] = link
+		s.links[report.LinkClass] = link
 	}
 	link.Tokens, link.ElapsedNs = link.Tokens*linkDecay+report.LinkTokens, link.ElapsedNs*linkDecay+report.LinkNs
 }
--- a/internal/data/nodeagent/updates.go
+++ b/internal/data/nodeagent/updates.go
@@ -10,33 +10,36 @@
 )
 
 const (
-	maxWaitTime  = 10 * time.Second // of a request for an update
-	maxWaiting   = 64               // requests for an update that wait at once; others get a response at once
-	maxDecisions = 1024             // of the proxy that are kept
+	// maxWaitTime limits how long a request waits for an update.
+	maxWaitTime = 10 * time.Second
+	// maxWaiters limits the requests that wait for an update at the same time. Further requests get a response at once.
+	maxWaiters = 64
+	// maxDecisions limits the stored routing decisions of the proxy on this machine.
+	maxDecisions = 1024
 )
 
-// notifyWaiting records that an update has changed, and wakes the requests that wait for one.
-func (t *table) notifyWaiting() {
-	t.version++
-	for waiting := range t.waiting {
-		close(waiting)
+// notifyWaiters increments the version of the update, and wakes the requests that wait for an update.
+func (s *agentState) notifyWaiters() {
+	s.version++
+	for waiter := range s.waiters {
+		close(waiter)
 	}
-	clear(t.waiting)
+	clear(s.waiters)
 }
 
-// notifyListsChanged records that the lists in an update have changed.
-func (t *table) notifyListsChanged() {
-	t.listsVersion++
-	t.notifyWaiting()
+// notifyListsChanged increments the version of the lists in the update, and wakes the requests that wait for an update.
+func (s *agentState) notifyListsChanged() {
+	s.listsVersion++
+	s.notifyWaiters()
 }
 
-// Explain returns what the proxy on this machine decided on a request.
+// Explain returns the stored routing decisions that the proxy on this machine made for a request.
 //
 // Example: wire.NewNodeAgentProtobufClient(url, h).Explain(ctx, &wire.ExplainRequest{RequestId: "r1"})
 func (a *Agent) Explain(_ context.Context, request *wire.ExplainRequest) (*wire.ExplainResponse, error) {
 	response := &wire.ExplainResponse{}
-	a.actor.Ask(func(t *table) {
-		for _, decision := range t.decisions {
+	a.actor.Ask(func(s *agentState) {
+		for _, decision := range s.decisions {
 			if decision.RequestId == request.RequestId {
 				response.Decisions = append(response.Decisions, decision)
 			}
@@ -45,8 +48,8 @@
 	return response, nil
 }
 
-// Feed responds to the processes on this machine: at once if there is an update, else when the wait is
-// over. It records the attempts and decisions that the request reports.
+// Feed handles the long polls of the processes on this machine. It responds as soon as there is an update, or when the
+// wait time of the request has passed. It also records the attempts and decisions that the request reports.
 //
 // Example: wire.NewNodeAgentProtobufClient(url, h).Feed(ctx, &wire.FeedRequest{KnownVersion: 9, MaxWaitNs: 2e8})
 func (a *Agent) Feed(ctx context.Context, request *wire.FeedRequest) (*wire.FeedResponse, error) {
@@ -57,17 +60,17 @@
 		var response *wire.FeedResponse
 		updated := make(chan struct{})
 		isOver := hasFired(timer)
-		ok := a.actor.Ask(func(t *table) {
+		ok := a.actor.Ask(func(s *agentState) {
 			if !isRecorded {
-				a.recordReports(t, request)
+				a.recordReports(s, request)
 			}
-			if t.version != request.KnownVersion || isOver || request.MaxWaitNs == 0 || len(t.waiting) > maxWaiting {
-				response = t.newResponse(request)
+			if s.version != request.KnownVersion || isOver || request.MaxWaitNs == 0 || len(s.waiters) > maxWaiters {
+				response = s.newResponse(request)
 				return
 			}
-			t.waiting[updated] = true
+			s.waiters[updated] = true
 		})
-		if !ok { // the process stops
+		if !ok { // the actor is stopped, since the process is stopping
 			return &wire.FeedResponse{Version: request.KnownVersion}, nil
 		}
 		if response != nil {
@@ -81,11 +84,11 @@
 		case <-ctx.Done():
 			request.MaxWaitNs = 0
 		}
-		a.actor.TrySend(func(t *table) { delete(t.waiting, updated) })
+		a.actor.TrySend(func(s *agentState) { delete(s.waiters, updated) })
 	}
 }
 
-// hasFired reports whether a timer has fired, and receives its signal.
+// hasFired reports whether a timer has fired, and drains its channel.
 func hasFired(timer *time.Timer) bool {
 	select {
 	case <-timer.C:
@@ -95,34 +98,35 @@
 	}
 }
 
-// recordReports records what the proxy on this machine has reported with a request.
-func (a *Agent) recordReports(t *table, request *wire.FeedRequest) {
-	a.recordAttempts(t, request.Attempts)
-	t.decisions = append(t.decisions, request.Decisions...)
-	t.decisions = t.decisions[max(0, len(t.decisions)-maxDecisions):]
+// recordReports records the attempts and decisions that the proxy on this machine reports in a request for an update.
+func (a *Agent) recordReports(s *agentState, request *wire.FeedRequest) {
+	a.recordAttempts(s, request.Attempts)
+	s.decisions = append(s.decisions, request.Decisions...)
+	s.decisions = s.decisions[max(0, len(s.decisions)-maxDecisions):]
 }
 
-// newResponse makes an update. What the client has already isn't sent again.
-func (t *table) newResponse(request *wire.FeedRequest) *wire.FeedResponse {
-	response := &wire.FeedResponse{Version: t.version, ListsVersion: t.listsVersion, ProofAtNs: uint64(t.proof.FreshUntil()),
-		Config: t.proof.Document(), WorkersListedAtNs: uint64(t.workers.listedAt)}
-	if t.config == nil {
-		response.Config, response.ProofAtNs = nil, 0 // an unreadable configuration is none
+// newResponse returns the update for a request. It leaves out the configuration and the lists if the client already has
+// their current versions.
+func (s *agentState) newResponse(request *wire.FeedRequest) *wire.FeedResponse {
+	response := &wire.FeedResponse{Version: s.version, ListsVersion: s.listsVersion, ProofAtNs: uint64(s.proof.FreshUntil()),
+		Config: s.proof.Document(), WorkersListedAtNs: uint64(s.workers.listedAt)}
+	if s.config == nil {
+		response.Config, response.ProofAtNs = nil, 0 // a configuration that can't be decoded is not in use
 	} else if response.Config.GetVersion() == request.KnownConfigVersion {
 		response.Config = nil
 	}
-	if request.KnownListsVersion == t.listsVersion && t.listsVersion != 0 {
+	if request.KnownListsVersion == s.listsVersion && s.listsVersion != 0 {
 		return response
 	}
-	response.Nodes, response.Workers = t.membership.Nodes, t.rows
-	for _, service := range maputil.SortedKeys(t.placements) {
-		response.Placements = append(response.Placements, t.placements[service])
+	response.Nodes, response.Workers = s.membership.Nodes, s.rows
+	for _, service := range maputil.SortedKeys(s.placements) {
+		response.Placements = append(response.Placements, s.placements[service])
 	}
-	for _, class := range maputil.SortedKeys(t.links) {
-		link := t.links[class]
+	for _, class := range maputil.SortedKeys(s.links) {
+		link := s.links[class]
 		response.Links = append(response.Links, &wire.LinkThroughput{Class: link.Class, Tokens: link.Tokens, ElapsedNs: link.ElapsedNs})
 	}
-	for _, row := range t.rows {
+	for _, row := range s.rows {
 		if row.Kind == "store" && row.State < updatestream.WorkerDraining {
 			response.Stores = append(response.Stores, row.Addr)
 		}
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -14,101 +14,111 @@
 )
 
 const (
+	// maxWorkers limits the workers in the table; further workers in the platform's list are ignored.
 	maxWorkers = 1024
-	// maxProbeAgeRatio is the time since its last successful probe from which a worker gets no requests, as a
-	// ratio of the leave bound.
+	// maxProbeAgeRatio is the time since the last successful probe of a worker after which it gets no more requests, as a
+	// ratio of the bound on how long a removed worker still gets requests (Bounds.Leave).
 	maxProbeAgeRatio = 0.6
 )
 
-// refreshWorkers applies the platform's list of workers; without a response the last list stays.
+// refreshWorkers reads the platform's list of workers and applies it. If the request fails, the previous list stays in
+// use.
 func (a *Agent) refreshWorkers() {
 	requestedAt := a.clock.Now()
 	ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Leave(listTimeoutRatio))
 	defer cancel()
 	list, err := a.backends.List(ctx, a.process.Settings.WorkerList)
 	if err != nil {
-		a.process.Log.Debug("platform doesn't respond: the last list stays", "error", err)
+		a.process.Log.Debug("cannot read the platform's worker list; keeping the previous list", "error", err)
 		return
 	}
-	a.actor.TrySend(func(t *table) { t.workers.ApplyList(list, requestedAt); a.publishWorkers(t) })
+	a.actor.TrySend(func(s *agentState) { s.workers.ApplyList(list, requestedAt); a.publishWorkers(s) })
 }
 
-// probeWorkers starts a health check of each worker without one in flight. A probe ends with its timeout,
-// which the process's end cuts short.
+// probeWorkers starts a health probe of each worker that has none in flight. A probe ends at its timeout at the latest,
+// or when the process stops.
 func (a *Agent) probeWorkers() {
 	var due []contract.ListedWorker
-	a.actor.Ask(func(t *table) { due = t.workers.StartProbes() })
+	a.actor.Ask(func(s *agentState) { due = s.workers.StartProbes() })
 	for _, worker := range due {
 		go func() {
 			startedAt := a.clock.Now()
 			ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Leave(probeTimeoutRatio))
 			defer cancel()
 			state, err := a.backends.State(ctx, worker.Addr)
-			a.actor.Ask(func(t *table) { t.workers.RecordProbe(worker, state, err == nil, startedAt, a.clock.Now()) })
+			a.actor.Ask(func(s *agentState) { s.workers.RecordProbe(worker, state, err == nil, startedAt, a.clock.Now()) })
 		}()
 	}
 	a.actor.TrySend(a.publishWorkers)
 }
 
-// publishWorkers makes new rows of the worker table, and wakes the waiting requests unless only loads have
-// changed.
-func (a *Agent) publishWorkers(t *table) {
+// publishWorkers replaces the rows that are sent in updates by the current state of the worker table. It wakes the
+// requests that wait for an update, unless only loads and recent outcomes have changed.
+func (a *Agent) publishWorkers(s *agentState) {
 	var draining map[string]bool
-	if t.config != nil {
-		draining = t.config.Draining
+	if s.config != nil {
+		draining = s.config.Draining
 	}
-	rows := t.workers.Rows(draining, a.clock.Now())
+	rows := s.workers.Rows(draining, a.clock.Now())
 	for _, row := range rows {
-		if outcomes := t.outcomes[row.Name]; outcomes != nil {
-			outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeWindowRatio))
+		if outcomes := s.outcomes[row.Name]; outcomes != nil {
+			outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeDecayRatio))
 			row.Successes, row.Failures = outcomes.succeeded, outcomes.failed
 		}
 	}
-	isSame := slices.EqualFunc(rows, t.rows, isSameButForLoad)
-	t.rows = rows
-	t.listsVersion++
+	isSame := slices.EqualFunc(rows, s.rows, isSameExceptLoad)
+	s.rows = rows
+	s.listsVersion++
 	if !isSame {
-		t.notifyWaiting()
+		s.notifyWaiters()
 	}
 }
 
-// isSameButForLoad reports whether two rows differ in nothing but load and recent outcomes.
-func isSameButForLoad(a, b *wire.Worker) bool {
+// isSameExceptLoad reports whether two rows are equal, apart from their load and recent outcomes.
+func isSameExceptLoad(a, b *wire.Worker) bool {
 	return a.Name == b.Name && a.Addr == b.Addr && a.State == b.State && a.Weights == b.Weights &&
 		a.Incarnation == b.Incarnation && a.Model == b.Model && slices.EqualFunc(a.LoadedModels, b.LoadedModels, isSameLoadedModel)
 }
 
+// isSameLoadedModel reports whether two loaded models have the same name, version of weights and adapters.
 func isSameLoadedModel(a, b *wire.LoadedModel) bool {
 	return a.Model == b.Model && a.Weights == b.Weights && maps.Equal(a.Adapters, b.Adapters)
 }
 
-// WorkerTable is the health of the workers: lists, probes and failed attempts feed it. It isn't safe for
-// concurrent use.
+// WorkerTable tracks the health of the workers in the platform's list by probes and by failed attempts of the proxy. It
+// is not safe for concurrent use.
 type WorkerTable struct {
-	bounds   settings.Bounds
-	workers  map[string]*worker
-	listedAt time.Duration // when the last list was requested
+	bounds settings.Bounds
+	// workers has the state of each listed worker, by the name of the worker.
+	workers map[string]*worker
+	// listedAt is the time at which the last applied list was requested.
+	listedAt time.Duration
 }
 
-// worker is one listed worker.
+// worker is the state of one worker in the platform's list.
 type worker struct {
-	listed      contract.ListedWorker
-	state       contract.WorkerState // by the last successful probe
-	probedAt    time.Duration        // start of the last successful probe; 0: none
-	respondedAt time.Duration        // end of it
-	failedAt    time.Duration        // the last failed attempt or probe
-	isProbing   bool                 // a probe is in flight
+	listed contract.ListedWorker
+	// state is what the worker reported in its last successful probe.
+	state contract.WorkerState
+	// probedAt is the time at which the last successful probe was started; 0 if there was none.
+	probedAt time.Duration
+	// respondedAt is the time at which the last successful probe ended.
+	respondedAt time.Duration
+	// failedAt is the time of the last failed attempt or probe.
+	failedAt time.Duration
+	// isProbing is true while a probe is in flight.
+	isProbing bool
 }
 
-// NewWorkerTable makes an empty table.
+// NewWorkerTable returns an empty table.
 //
 // Example: w := nodeagent.NewWorkerTable(bounds)
 func NewWorkerTable(bounds settings.Bounds) *WorkerTable {
 	return &WorkerTable{bounds: bounds, workers: map[string]*worker{}}
 }
 
-// ApplyList applies the platform's list, which was requested at an instant. A worker that isn't in it is
-// removed at once; another address is another incarnation.
+// ApplyList applies the platform's list of workers, which was requested at requestedAt. Workers that are not in the list
+// are removed at once. A worker whose address has changed is a new incarnation, of which nothing is known yet.
 //
 // Example: w.ApplyList(list, requestedAt)
 func (workers *WorkerTable) ApplyList(list []contract.ListedWorker, requestedAt time.Duration) {
@@ -133,7 +143,7 @@
 	}
 }
 
-// StartProbes returns the workers to probe now; each has at most one probe in flight.
+// StartProbes returns the workers that have no probe in flight, and records that the caller probes them now.
 //
 // Example: for _, worker := range w.StartProbes() { go probe(worker) }
 func (workers *WorkerTable) StartProbes() (due []contract.ListedWorker) {
@@ -146,7 +156,7 @@
 	return due
 }
 
-// RecordProbe records the result of a probe. Another worker at the address counts as a failure.
+// RecordProbe records the result of a probe. A response from a different worker at the same address counts as a failure.
 //
 // Example: w.RecordProbe(worker, state, err == nil, startedAt, now)
 func (workers *WorkerTable) RecordProbe(probed contract.ListedWorker, state contract.WorkerState, succeeded bool, startedAt, now time.Duration) {
@@ -162,7 +172,7 @@
 	known.failedAt = now
 }
 
-// RecordAttempts records how the proxy's attempts ended.
+// RecordAttempts records which workers have failed attempts of the proxy on this machine.
 //
 // Example: w.RecordAttempts(reports, now)
 func (workers *WorkerTable) RecordAttempts(reports []*wire.AttemptReport, now time.Duration) {
@@ -173,8 +183,8 @@
 	}
 }
 
-// Rows returns the workers as proxies are to see them, by name. draining are those that the configuration
-// drains.
+// Rows returns the workers as they are sent in updates, sorted by name. draining has the names of the workers that are
+// marked as draining in the configuration.
 //
 // Example: rows := w.Rows(config.Draining, now)
 func (workers *WorkerTable) Rows(draining map[string]bool, now time.Duration) (rows []*wire.Worker) {
@@ -189,8 +199,8 @@
 	return rows
 }
 
-// health is a worker's state on the wire. One that was never probed successfully, or is silent for too long,
-// as in a partition, gets no requests.
+// health returns the state of a worker that is sent in updates. A worker that was never probed successfully, or not for
+// too long, as in a network partition, gets no requests.
 func (workers *WorkerTable) health(known *worker, isDrained bool, now time.Duration) uint32 {
 	switch {
 	case known.probedAt == 0 || now-known.probedAt > workers.bounds.Leave(maxProbeAgeRatio):
@@ -203,7 +213,7 @@
 	return updatestream.WorkerUp
 }
 
-// loadedModels is what a worker reports to have in memory beside its one model.
+// loadedModels returns the models that a worker reports to have in memory, if it reports more than a single model.
 func loadedModels(state contract.WorkerState) (models []*wire.LoadedModel) {
 	for _, loaded := range state.Loaded {
 		models = append(models, &wire.LoadedModel{Model: loaded.Model, Weights: loaded.Weights, Adapters: loaded.Adapters})
--- a/internal/data/nodeagent/workers_test.go
+++ b/internal/data/nodeagent/workers_test.go
@@ -16,12 +16,12 @@
 	failedReport = []*wire.AttemptReport{{Worker: "worker-1", Failures: 1}}
 )
 
-// afterProbe is an instant after the first successful probe, by a ratio of the leave bound.
+// afterProbe returns the time that is a ratio of Bounds.Leave after the first successful probe.
 func afterProbe(ratio float64) time.Duration {
 	return time.Second + settings.DefaultBounds().Leave(ratio)
 }
 
-// newProbedTable makes a table with one worker, which was probed successfully.
+// newProbedTable returns a table with one worker, which was probed successfully after one second.
 func newProbedTable() *WorkerTable {
 	workers := NewWorkerTable(settings.DefaultBounds())
 	workers.ApplyList([]contract.ListedWorker{listedWorker}, time.Second)
@@ -30,9 +30,10 @@
 	return workers
 }
 
+// notInTable is the result of healthOf for an empty table.
 const notInTable = -1
 
-// healthOf is the state of the only worker of a table.
+// healthOf returns the state of the only worker in a table, or notInTable if the table is empty.
 func healthOf(workers *WorkerTable, draining map[string]bool, now time.Duration) int {
 	rows := workers.Rows(draining, now)
 	if len(rows) == 0 {
@@ -41,7 +42,7 @@
 	return int(rows[0].State)
 }
 
-// What changes a worker's health, as proxies see it.
+// Worker lists, probes, failed attempts and the configuration determine the state of a worker that proxies see.
 func TestWorkerHealth(t *testing.T) {
 	draining, moved, drainingState := listedWorker, listedWorker, healthyState
 	draining.Draining, drainingState.Draining = true, true
@@ -54,12 +55,12 @@
 		want  int
 	}{
 		{"listed and probed", func(*WorkerTable) {}, afterward, int(updatestream.WorkerUp)},
-		{"silent for longer than the ratio", func(*WorkerTable) {}, afterProbe(0.7), int(updatestream.WorkerGone)},
-		{"not listed any more", func(workers *WorkerTable) { workers.ApplyList(nil, afterward) }, afterward, notInTable},
-		{"draining by the platform's list", func(workers *WorkerTable) {
+		{"last successful probe is too long ago", func(*WorkerTable) {}, afterProbe(0.7), int(updatestream.WorkerGone)},
+		{"removed from the platform's list", func(workers *WorkerTable) { workers.ApplyList(nil, afterward) }, afterward, notInTable},
+		{"draining in the platform's list", func(workers *WorkerTable) {
 			workers.ApplyList([]contract.ListedWorker{draining}, afterward)
 		}, afterward, int(updatestream.WorkerDraining)},
-		{"draining by its own report", func(workers *WorkerTable) {
+		{"draining in its own report", func(workers *WorkerTable) {
 			workers.RecordProbe(listedWorker, drainingState, true, afterward, afterward)
 		}, afterward, int(updatestream.WorkerDraining)},
 		{"an attempt failed after its last probe", func(workers *WorkerTable) {
@@ -69,13 +70,13 @@
 			workers.RecordAttempts(failedReport, afterward)
 			workers.RecordProbe(listedWorker, healthyState, true, afterProbe(0.2), afterProbe(0.2))
 		}, afterProbe(0.2), int(updatestream.WorkerUp)},
-		{"another worker at its address", func(workers *WorkerTable) {
+		{"a different worker responds at its address", func(workers *WorkerTable) {
 			workers.RecordProbe(listedWorker, contract.WorkerState{Name: "worker-9"}, true, afterward, afterward)
 		}, afterward, int(updatestream.WorkerSuspect)},
-		{"listed at another address: another incarnation", func(workers *WorkerTable) {
+		{"listed with a new address, not probed there yet", func(workers *WorkerTable) {
 			workers.ApplyList([]contract.ListedWorker{moved}, afterward)
 		}, afterward, int(updatestream.WorkerGone)},
-		{"an old address's probe comes late", func(workers *WorkerTable) {
+		{"late result of a probe of its old address", func(workers *WorkerTable) {
 			workers.ApplyList([]contract.ListedWorker{moved}, afterward)
 			workers.RecordProbe(listedWorker, healthyState, true, afterward, afterward)
 		}, afterward, int(updatestream.WorkerGone)},
@@ -84,17 +85,18 @@
 			workers := newProbedTable()
 			test.event(workers)
 			if got := healthOf(workers, nil, test.now); got != test.want {
-				t.Errorf("state %d, want %d", got, test.want)
+				t.Errorf("worker state: got %d, want %d (0 up, 1 suspect, 2 draining, 3 gone, -1 not in the table)", got, test.want)
 			}
 		})
 	}
 	if got := healthOf(newProbedTable(), map[string]bool{"worker-1": true}, afterward); got != int(updatestream.WorkerDraining) {
-		t.Errorf("draining by the configuration: state %d", got)
+		t.Errorf("state of a worker that is draining in the configuration: got %d, want 2 (draining)", got)
 	}
 }
 
-// A worker is draining by the platform's list, by the configuration and by its own report, and is no longer
-// listed, in every order: from the first of these on it gets no new requests, and an unlisted one has no row.
+// A worker is marked as draining in the platform's list, in the configuration and in its own report, and is removed from
+// the list, in every order of these four events. From the first event on it must get no new requests, and after its
+// removal it must have no row.
 func TestDrainingWorkerGetsNoRequestsInEveryOrder(t *testing.T) {
 	bounds := settings.DefaultBounds()
 	listed := contract.ListedWorker{Name: "w", Addr: "127.0.0.1:1", Kind: "lm"}
@@ -116,7 +118,7 @@
 		workers.RecordProbe(listed, contract.WorkerState{Name: "w", Weights: 1}, true, now, now)
 		var draining map[string]bool
 		if workers.Rows(draining, now)[0].State != updatestream.WorkerUp {
-			t.Fatal("it isn't up at the start")
+			t.Fatal("a listed and successfully probed worker that is not draining: got a state other than WorkerUp")
 		}
 		changed, state, unlisted := listed, contract.WorkerState{Name: "w", Weights: 1}, false
 		for _, i := range done {
@@ -139,12 +141,12 @@
 			workers.RecordProbe(changed, state, true, now, now)
 			rows := workers.Rows(draining, now)
 			if unlisted != (len(rows) == 0) || !unlisted && rows[0].State != updatestream.WorkerDraining {
-				t.Fatalf("after %v, at %d: %v", done, i, rows)
+				t.Fatalf("event order %v, after event %d (0 to 2: draining, 3: removal): got rows %v, want one draining row, or none after the removal", done, i, rows)
 			}
 		}
 	}
 	visit(nil, 0)
 	if orders != 24 {
-		t.Fatalf("%d orders", orders)
+		t.Fatalf("tested %d event orders, want 24", orders)
 	}
 }
