--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -18,12 +18,13 @@
 const (
 	// hotnessTimeConstant is the time in which the weight of an access decays to 1/e.
 	hotnessTimeConstant = 30 * time.Second
-	// evictionSampleSize is the number of entries that are sampled for an eviction. The one with the lowest hotness
-	// is evicted.
+	// evictionSampleSize is the number of entries that are sampled for an eviction. The one with the fewest recent
+	// accesses is evicted.
 	evictionSampleSize = 16
-	// minRetainedHotness is the hotness below which an entry without holders is removed.
+	// minRetainedHotness is the hotness (decayed number of accesses) below which an entry without holders is removed.
 	minRetainedHotness = 0.05
-	// minReportedHotness is the hotness below which an entry is left out of the response to Hottest.
+	// minReportedHotness is the hotness (decayed number of accesses) below which an entry is left out of the response to
+	// Hottest.
 	minReportedHotness = 0.01
 )
 
@@ -66,7 +67,7 @@
 	tokens uint32
 	// hotness is the number of accesses, each weighted by exponential decay over its age.
 	hotness float64
-	// decayedAt is the time up to which hotness has been decayed.
+	// decayedAt is the time up to which the decay is included in hotness.
 	decayedAt time.Duration
 	// service is the service that accessed the prefix last, or whose worker first reported it.
 	service string
@@ -112,8 +113,8 @@
 	return e
 }
 
-// evict removes the entry with the lowest hotness among a few entries, which Go's random map iteration order
-// selects. It keeps the table within its size limit.
+// evict keeps the table within its size limit. It samples a few entries in Go's random map iteration order, and removes
+// the one with the fewest recent accesses.
 func (c *Core) evict(now time.Duration) {
 	var evicted prefix.Key
 	lowest, sampled := math.Inf(1), 0
@@ -159,8 +160,8 @@
 	}
 }
 
-// Reshard must be called after the shards of this index node have changed. It removes the entries that are no
-// longer assigned to the node, and requests full reports from all workers.
+// Reshard must be called after the shards of this index node have changed. It removes the entries that are no longer
+// assigned to the node, and has all workers asked for a report of their complete caches.
 //
 // Example: c.Reshard()
 func (c *Core) Reshard() {
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -28,12 +28,12 @@
 		return
 	}
 	worker.respondedAt = now
-	worker.pollSequence++ // a second response to the same request is discarded
+	worker.pollSequence++ // from now on, another response to the same request is discarded
 	if bootID := strconv.FormatUint(events.BootID, 10); bootID != worker.incarnation && !worker.applyBootID(request, bootID) {
 		return
 	}
 	if request.Full {
-		worker.generation++ // invalidates the holder records of prefixes that are missing from the full list
+		worker.generation++ // invalidates the holder records of parts that the worker no longer caches, as the full list lacks them
 		c.Stats.FullReports++
 	} else if events.Gap {
 		worker.needsFullReport = true
@@ -58,7 +58,7 @@
 	if isFirst {
 		return true
 	}
-	w.generation++ // invalidates the holder records from before the restart
+	w.generation++ // invalidates the worker's holder records from before its restart
 	if request.Full || request.After == 0 {
 		return true
 	}
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -15,11 +15,13 @@
 
 // Intervals and timeouts, as ratios of the recovery time bound (Bounds.Heal).
 const (
-	// reportPollRatio is the interval between two requests to a worker for its cache reports.
+	// reportPollRatio is the interval between two requests to a worker for its cache reports, as a ratio of
+	// Bounds.Heal.
 	reportPollRatio = 1.0 / 12
-	// reportTimeoutRatio is the timeout of one request to a worker for its cache reports.
+	// reportTimeoutRatio is the timeout of one request to a worker for its cache reports, as a ratio of Bounds.Heal.
 	reportTimeoutRatio = 1.0 / 6
-	// updateLongPollRatio is how long the node agent may hold a request for an update until there is one.
+	// updateLongPollRatio is how long the node agent may hold a request for an update until there is one, as a ratio
+	// of Bounds.Heal.
 	updateLongPollRatio = 1.0 / 24
 )
 
@@ -92,8 +94,8 @@
 	}))
 }
 
-// reshard recomputes the assignment of keys after a change of the cluster membership. If the keys of this node have
-// changed, its tables are updated.
+// reshard recomputes the assignment of keys to index nodes after a change of the cluster membership. If the keys of this
+// node have changed, it updates the node's tables.
 func (p *reportPoller) reshard(nodes []*wire.Node) {
 	shards := NewShards(nodes)
 	if old := p.shards.Swap(shards); !shards.SameAssignment(old, p.node.name) {
--- a/internal/data/promptindex/reports.go
+++ b/internal/data/promptindex/reports.go
@@ -15,7 +15,7 @@
 	generation uint32
 	// lastSequence is the number of the last cache change that is known; the next request asks for later ones.
 	lastSequence uint64
-	// needsFullReport is true while the next request must ask for the complete cache, not only for changes.
+	// needsFullReport is true if the next request must ask for the complete cache of the worker, not only for changes.
 	needsFullReport bool
 	respondedAt     time.Duration
 	// isPolled is true for workers that are polled, and false for workers that are known only as presumed holders.
@@ -45,7 +45,8 @@
 	After uint64
 	// Full requests the complete cache contents instead of the changes.
 	Full bool
-	// pollSequence is the worker's pollSequence when the request was made.
+	// pollSequence is the worker's pollSequence at the time of the request. A response is discarded if the worker's
+	// pollSequence has changed since.
 	pollSequence uint64
 }
 
@@ -58,7 +59,7 @@
 	return ReportRequest{name, service, w.lastSequence, w.needsFullReport, w.pollSequence}
 }
 
-// ApplyReport applies a worker's response. If the numbers of its reports have a gap, a full report is requested
+// ApplyReport applies a worker's response to a request for its cache reports. If the numbers of its reports have a gap, a full report is requested
 // next, and the known holder records stay until they expire. If the worker has a new incarnation, its holder
 // records are invalidated and a full report is requested as well.
 //
@@ -69,14 +70,14 @@
 		return
 	}
 	worker.respondedAt = now
-	worker.pollSequence++ // a second response to the same request is discarded
+	worker.pollSequence++ // from now on, another response to the same request is discarded
 	if response.Incarnation != worker.incarnation {
 		worker.incarnation, worker.lastSequence, worker.needsFullReport = response.Incarnation, 0, true
-		worker.generation++ // invalidates the holder records of the previous incarnation
+		worker.generation++ // invalidates the holder records of the worker's previous incarnation
 	}
 	switch {
 	case response.Complete:
-		worker.generation++ // invalidates the holder records of prefixes that are missing from the full report
+		worker.generation++ // invalidates the holder records of prefixes that the worker no longer caches, as the full report lacks them
 		c.Stats.FullReports++
 		for _, cached := range response.Cached {
 			c.addHolder(request, worker, cached, now)
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -19,7 +19,7 @@
 // Shards assigns each key to two index nodes: the first one in the order of rendezvous hashing, and the next one in
 // another zone, if there is one. It is immutable.
 type Shards struct {
-	// nodes has the names of the two index nodes of each shard, in the order in which they are asked; "" if there
+	// nodes has the names of the two index nodes of each shard, in the order in which lookups call them; "" if there
 	// are fewer.
 	nodes [shardCount][2]string
 	// addresses has the address of each live index node, by name.
@@ -117,7 +117,7 @@
 			calls.Go(func() {
 				response := callLookup(callCtx, connect(s.addresses[node]), nodeKeys)
 				if response == nil {
-					return // the keys of this call stay missing, and the next attempt looks them up
+					return // the second attempt, if there is one, looks up the keys of this failed call
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -145,7 +145,7 @@
 	return response
 }
 
-// MergeFound merges the lookup results of two index nodes for the same key; a may be nil. For a holder that is in
+// MergeFound merges the lookup results a (may be nil) and b of two index nodes for the same key. For a holder that is in
 // both, the certainty that b reports is used.
 //
 // Example: found[key] = promptindex.MergeFound(found[key], response.Results[i])
@@ -162,8 +162,8 @@
 	return merged
 }
 
-// MergeHot merges the hottest entries that several index nodes report. Two nodes count the accesses to each entry;
-// the higher hotness is used. The result is sorted by key.
+// MergeHot merges the hottest entries (those with the most recent accesses) that several index nodes report. Two nodes
+// count the accesses to each entry; the higher count is used. The result is sorted by key.
 //
 // Example: hot := promptindex.MergeHot(responses)
 func MergeHot(responses []*wire.HottestResponse) []*wire.HotPrefix {
