--- a/internal/data/nodeagent/follow.go
+++ b/internal/data/nodeagent/follow.go
@@ -76,7 +76,8 @@
 	for service, knownVersion := range knownVersions {
 		shard := controlclient.ShardOf(service)
 		members := controlclient.Members(shard, a.process.Settings.Core)
-		member := members[int(a.clock.Now()/time.Second)%len(members)] // a different member each second
+		// Ask a different member each second.
+		member := members[int(a.clock.Now()/time.Second)%len(members)]
 		if addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + member); ok {
 			a.followPlacement(addr, shard, service, knownVersion)
 		}
--- a/internal/data/nodeagent/updates.go
+++ b/internal/data/nodeagent/updates.go
@@ -70,7 +70,8 @@
 			}
 			s.waiters[updated] = true
 		})
-		if !ok { // the actor is stopped, since the process is stopping
+		if !ok {
+			// The actor is stopped, since the process is stopping.
 			return &wire.FeedResponse{Version: request.KnownVersion}, nil
 		}
 		if response != nil {
@@ -111,7 +112,8 @@
 	response := &wire.FeedResponse{Version: s.version, ListsVersion: s.listsVersion, ProofAtNs: uint64(s.proof.FreshUntil()),
 		Config: s.proof.Document(), WorkersListedAtNs: uint64(s.workers.listedAt)}
 	if s.config == nil {
-		response.Config, response.ProofAtNs = nil, 0 // a configuration that can't be decoded is not in use
+		// There is no configuration, or it can't be decoded.
+		response.Config, response.ProofAtNs = nil, 0
 	} else if response.Config.GetVersion() == request.KnownConfigVersion {
 		response.Config = nil
 	}
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -48,7 +48,8 @@
 		{Number: 3, Added: []contract.CachedPrefix{cachedPrefix(1)}},
 		{Number: 4, Removed: []string{key(2).String(), key(3).String()}},
 	}
-	want := "worker:2 " // the holders of key 1 after all four reports; keys 2 and 3 are no longer cached then
+	// After all four reports the worker caches key 1 alone; want has the holders of key 1.
+	want := "worker:2 "
 	orders, fullRequests := 0, 0
 	var walk func(left []contract.CacheReport, applied []contract.CacheReport)
 	walk = func(left, done []contract.CacheReport) {
@@ -58,7 +59,8 @@
 		for _, report := range done {
 			applyReport(core, contract.CacheReports{Incarnation: "i", Number: report.Number, Reports: []contract.CacheReport{report}}, 2)
 		}
-		applyReport(core, contract.CacheReports{Incarnation: "i", Number: 4}, 3) // a response without reports, from which the index learns that the last report has number 4
+		// This response has no reports, but tells the index that the last report has number 4.
+		applyReport(core, contract.CacheReports{Incarnation: "i", Number: 4}, 3)
 		if core.NextReport("worker", "s").Full {
 			fullRequests++
 			applyReport(core, contract.CacheReports{Incarnation: "i", Number: 4, Complete: true, Cached: []contract.CachedPrefix{cachedPrefix(1)}}, 4)
@@ -71,7 +73,8 @@
 		}
 	}
 	walk(reports, nil)
-	if orders != 65 || fullRequests != 64 { // every order except the complete, ascending one needs a full report
+	// Every sequence of reports except the complete, ascending one makes a full report necessary.
+	if orders != 65 || fullRequests != 64 {
 		t.Fatalf("tested %d report orders with %d full reports requested; want 65 orders with 64 full reports", orders, fullRequests)
 	}
 }
@@ -146,7 +149,9 @@
 	}
 	hotness := func(core *Core) float64 { return core.Lookup([]prefix.Key{accessed}, 1)[0].Hotness }
 	core := NewCore(bounds, anyKey)
-	for _, batch := range [][2]uint64{{9, 1}, {4, 1}, {9, 1}, {9, 2}, {4, 1}, {4, 2}} { // the later incarnation has the smaller number, as after a reboot
+	// The batches are pairs of incarnation and sequence number. The later incarnation has the smaller number, as is possible
+	// after a reboot.
+	for _, batch := range [][2]uint64{{9, 1}, {4, 1}, {9, 1}, {9, 2}, {4, 1}, {4, 2}} {
 		core.RecordAccesses(newRequest("d", batch[0], batch[1]), 1)
 	}
 	if h := hotness(core); h != 3 {
--- a/internal/data/promptindex/eventfollower.go
+++ b/internal/data/promptindex/eventfollower.go
@@ -14,26 +14,28 @@
 // Intervals and timeouts of the polls of workers and stores, as ratios of the recovery time bound (Bounds.Heal). They
 // limit the number of calls, because each call takes resources of the worker.
 const (
-	// tickRatio is the interval between two checks for workers that are due to be polled, as a ratio of Bounds.Heal.
+	// tickRatio is the interval between two checks for workers that are due to be polled, as a ratio of the recovery
+	// time bound.
 	tickRatio = 1.0 / 48
-	// pollRatio is the interval between two calls to one worker, as a ratio of Bounds.Heal. A longer interval saves
-	// calls; with a shorter one the index learns earlier what a worker has evicted.
+	// pollRatio is the interval between two calls to one worker, as a ratio of the recovery time bound. A longer
+	// interval saves calls; with a shorter one the index learns earlier what a worker has evicted.
 	pollRatio = 1.0 / 24
-	// firstPollRatio is the maximum delay until a new worker is first polled, as a ratio of Bounds.Heal.
+	// firstPollRatio is the maximum delay until a new worker is first polled, as a ratio of the recovery time bound.
 	firstPollRatio = 1.0 / 96
-	// longPollRatio is how long a worker may hold a request until it has a cache event to report, as a ratio of
-	// Bounds.Heal.
+	// longPollRatio is how long a worker may hold a request until it has a cache event to report, as a ratio of the
+	// recovery time bound.
 	longPollRatio = 1.0 / 12
-	// responseGraceRatio is how long a response may take beyond the long-poll time, as a ratio of Bounds.Heal.
+	// responseGraceRatio is how long a response may take beyond the long-poll time, as a ratio of the recovery time
+	// bound.
 	responseGraceRatio = 1.0 / 12
 	// fullListRatio is the minimum interval between two requests for the complete cache of any worker, as a ratio of
-	// Bounds.Heal. Listing the complete cache slows a worker down.
+	// the recovery time bound. Listing the complete cache slows a worker down.
 	fullListRatio = 1.0 / 24
 	// workerFullListRatio is the minimum interval between two requests for the complete cache of the same worker, as a
-	// ratio of Bounds.Heal. Listing the complete cache slows the worker down.
+	// ratio of the recovery time bound. Listing the complete cache slows the worker down.
 	workerFullListRatio = 1.0
-	// sweepRatio is the interval between two sweeps that remove expired holder records and unused entries, as a ratio of
-	// Bounds.Heal.
+	// sweepRatio is the interval between two sweeps that remove expired holder records and unused entries, as a ratio
+	// of the recovery time bound.
 	sweepRatio = 1.0
 )
 
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -28,12 +28,14 @@
 		return
 	}
 	worker.respondedAt = now
-	worker.pollSequence++ // from now on, another response to the same request is discarded
+	// From now on, any other response to the same request is discarded.
+	worker.pollSequence++
 	if bootID := strconv.FormatUint(events.BootID, 10); bootID != worker.incarnation && !worker.applyBootID(request, bootID) {
 		return
 	}
 	if request.Full {
-		worker.generation++ // invalidates the holder records of parts that the worker no longer caches, as the full list lacks them
+		// Invalidate the holder records of parts that the worker no longer caches, as the full list lacks them.
+		worker.generation++
 		c.Stats.FullReports++
 	} else if events.Gap {
 		worker.needsFullReport = true
@@ -58,7 +60,8 @@
 	if isFirst {
 		return true
 	}
-	w.generation++ // invalidates the worker's holder records from before its restart
+	// Invalidate the worker's holder records from before its restart.
+	w.generation++
 	if request.Full || request.After == 0 {
 		return true
 	}
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -53,7 +53,7 @@
 	core := NewCore(settings.DefaultBounds(), anyKey)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 3, Changes: []backend.CacheChange{cacheChange("a", 100), cacheChange("b", 50), cacheChange("a", 0)}}, 1)
 	if holdersOfPart(core, "a", 2) != "" || holdersOfPart(core, "b", 2) != "w:2 " || !core.Warm() {
-		t.Fatalf("after the worker cached a and b and evicted a: got holders of a %q, of b %q, warm index %v; want none, \"w:2 \" (confirmed), true", holdersOfPart(core, "a", 2), holdersOfPart(core, "b", 2), core.Warm())
+		t.Fatalf("after the worker cached parts a and b and evicted a: got holders of part a %q, of part b %q, warm index %v; want none, \"w:2 \" (confirmed), true", holdersOfPart(core, "a", 2), holdersOfPart(core, "b", 2), core.Warm())
 	}
 	if request := core.NextEvents("w", "llm"); request.After != 3 || request.Full {
 		t.Fatalf("next request after events with NextSequence 3: got %+v, want After 3 and Full false", request)
@@ -72,7 +72,7 @@
 	}
 	applyEvents(core, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{cacheChange("c", 100), cacheChange("b", 100)}}, 4)
 	if holdersOfPart(core, "c", 5) != "w:2 " || holdersOfPart(core, "a", 5) != "" || !core.Warm() {
-		t.Fatalf("after all events of the restarted worker, which caches b and c: got holders of c %q, of a %q; want \"w:2 \", none, and a warm index", holdersOfPart(core, "c", 5), holdersOfPart(core, "a", 5))
+		t.Fatalf("after all events of the restarted worker, which caches parts b and c: got holders of part c %q, of part a %q; want \"w:2 \", none, and a warm index", holdersOfPart(core, "c", 5), holdersOfPart(core, "a", 5))
 	}
 }
 
@@ -82,17 +82,17 @@
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 90, Gap: true, Changes: []backend.CacheChange{cacheChange("b", 100)}}, 2)
 	request := core.NextEvents("w", "llm")
 	if !request.Full || holdersOfPart(core, "a", 3) != "w:2 " || holdersOfPart(core, "b", 3) != "w:2 " || !core.Warm() {
-		t.Fatalf("after a gap in the events: got next request %+v, holders of a %q, of b %q; want a full request, \"w:2 \" for both, and a warm index", request, holdersOfPart(core, "a", 3), holdersOfPart(core, "b", 3))
+		t.Fatalf("after a gap in the events: got next request %+v, holders of part a %q, of part b %q; want a full request, \"w:2 \" for both, and a warm index", request, holdersOfPart(core, "a", 3), holdersOfPart(core, "b", 3))
 	}
 	// While a full list is needed but its interval has not passed, requests ask for changes, and these are applied.
 	request.Full = false
 	core.ApplyEvents(request, backend.CacheEvents{BootID: 1, NextSequence: 91, Changes: []backend.CacheChange{cacheChange("b", 0)}}, 4)
 	if request = core.NextEvents("w", "llm"); !request.Full || request.After != 91 || holdersOfPart(core, "b", 4) != "" {
-		t.Fatalf("after b was evicted while a full list is pending: got next request %+v, holders of b %q; want Full true, After 91, no holders", request, holdersOfPart(core, "b", 4))
+		t.Fatalf("after part b was evicted while a full list is pending: got next request %+v, holders of part b %q; want Full true, After 91, no holders", request, holdersOfPart(core, "b", 4))
 	}
 	core.ApplyEvents(request, backend.CacheEvents{BootID: 1, NextSequence: 95, Changes: []backend.CacheChange{cacheChange("c", 100)}}, 5)
 	if request = core.NextEvents("w", "llm"); request.Full || holdersOfPart(core, "a", 6) != "" || holdersOfPart(core, "c", 6) != "w:2 " {
-		t.Fatalf("after a full list with only c: got next request %+v, holders of a %q, of c %q; want Full false, none, \"w:2 \"", request, holdersOfPart(core, "a", 6), holdersOfPart(core, "c", 6))
+		t.Fatalf("after a full list with only part c: got next request %+v, holders of part a %q, of part c %q; want Full false, none, \"w:2 \"", request, holdersOfPart(core, "a", 6), holdersOfPart(core, "c", 6))
 	}
 }
 
@@ -108,12 +108,14 @@
 			t.Errorf("holders of a part of 1000 tokens, %d of them cached: got %q, want %q", test.cached, got, test.want)
 		}
 	}
-	presumeHolders(core, "b", 20, 2, 1) // 20 tokens, of which a worker can cache one complete block of 16
+	// Of a part of 20 tokens, a worker can cache only one complete block of 16.
+	presumeHolders(core, "b", 20, 2, 1)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{cacheChange("b", 16)}}, 2)
 	if holdersOfPart(core, "b", 2) != "w:2 " {
 		t.Error("a worker that caches 16 of a part's 20 tokens, all but an incomplete block, is not listed as a holder")
 	}
-	presumeHolders(core, "a", 1000, 3, 3, "w") // the request is routed to w, which will compute the whole part and cache it completely
+	// A request is routed to w, which will compute the whole part and cache it completely.
+	presumeHolders(core, "a", 1000, 3, 3, "w")
 	if got := holdersOfPart(core, "a", 3); got != "w:1 " {
 		t.Errorf("holders after a request was routed to a worker that cached 16 of 1000 tokens: got %q, want \"w:1 \" (presumed)", got)
 	}
@@ -128,13 +130,13 @@
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 2, Changes: []backend.CacheChange{cacheChange("a", 0)}}, 2)
 	core.ApplyEvents(request, events, 3)
 	if holdersOfPart(core, "a", 3) != "" || core.NextEvents("w", "llm").After != 2 {
-		t.Fatal("a duplicate of an earlier response was applied: want no holders of a, and After 2 in the next request")
+		t.Fatal("a duplicate of an earlier response was applied: want no holders of part a, and After 2 in the next request")
 	}
 	request = core.NextEvents("w", "llm")
 	core.RemoveWorker("w")
 	core.ApplyEvents(request, events, 4)
 	if holdersOfPart(core, "a", 4) != "" {
-		t.Fatal("a response to a request from before the worker's removal was applied: want no holders of a")
+		t.Fatal("a response to a request from before the worker's removal was applied: want no holders of part a")
 	}
 	applyEvents(core, backend.CacheEvents{Throttled: true}, 5)
 	if request := core.NextEvents("w", "llm"); request.After != 0 || core.Warm() {
--- a/internal/data/promptindex/loadaggregator_test.go
+++ b/internal/data/promptindex/loadaggregator_test.go
@@ -43,11 +43,14 @@
 func TestLoadsAreAddedUpOverOtherReporters(t *testing.T) {
 	aggregator, now := newWarmAggregator(time.Hour), time.Hour
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
-	aggregator.Record("a", newLoads(1, 7, 2, 20, 8, 0), now) // replaces the first report of a
+	// This report replaces the first one of a.
+	aggregator.Record("a", newLoads(1, 7, 2, 20, 8, 0), now)
 	aggregator.Record("b", newLoads(1, 7, 3, 30, 0, 8), now)
 	aggregator.Record("b2", newLoads(1, 4, 1, 0, 16, 0), now)
-	aggregator.Record("c", newLoads(1, 7, 50, 50, 0, 0), now) // excluded: the report of the requesting proxy
-	aggregator.Record("d", newLoads(2, 7, 50, 50, 0, 0), now) // excluded: refers to a different worker list
+	// The report of c is excluded from the sum for c.
+	aggregator.Record("c", newLoads(1, 7, 50, 50, 0, 0), now)
+	// The report of d is excluded because it refers to a different worker list.
+	aggregator.Record("d", newLoads(2, 7, 50, 50, 0, 0), now)
 	total := aggregator.Others("c", 1, now)
 	if total.Reporters != 3 || total.WorkerListHash != 1 || !slices.Equal(total.WorkerIndexes, []uint32{4, 7}) || !slices.Equal(total.InFlight, []uint32{1, 5}) ||
 		!slices.Equal(total.PendingPrefill, []uint32{0, 50}) || !slices.Equal(total.Successes, []uint32{16, 8}) || !slices.Equal(total.Failures, []uint32{0, 8}) {
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -15,13 +15,14 @@
 
 // Intervals and timeouts, as ratios of the recovery time bound (Bounds.Heal).
 const (
-	// reportPollRatio is the interval between two requests to a worker for its cache reports, as a ratio of
-	// Bounds.Heal.
+	// reportPollRatio is the interval between two requests to a worker for its cache reports, as a ratio of the
+	// recovery time bound.
 	reportPollRatio = 1.0 / 12
-	// reportTimeoutRatio is the timeout of one request to a worker for its cache reports, as a ratio of Bounds.Heal.
+	// reportTimeoutRatio is the timeout of one request to a worker for its cache reports, as a ratio of the recovery
+	// time bound.
 	reportTimeoutRatio = 1.0 / 6
 	// updateLongPollRatio is how long the node agent may hold a request for an update until there is one, as a ratio
-	// of Bounds.Heal.
+	// of the recovery time bound.
 	updateLongPollRatio = 1.0 / 24
 )
 
--- a/internal/data/promptindex/reports.go
+++ b/internal/data/promptindex/reports.go
@@ -59,9 +59,9 @@
 	return ReportRequest{name, service, w.lastSequence, w.needsFullReport, w.pollSequence}
 }
 
-// ApplyReport applies a worker's response to a request for its cache reports. If the numbers of its reports have a gap, a full report is requested
-// next, and the known holder records stay until they expire. If the worker has a new incarnation, its holder
-// records are invalidated and a full report is requested as well.
+// ApplyReport applies a worker's response to a request for its cache reports. If the numbers of its reports have a
+// gap, a full report is requested next, and the known holder records stay until they expire. If the worker has a new
+// incarnation, its holder records are invalidated and a full report is requested as well.
 //
 // Example: c.ApplyReport(request, response, now)
 func (c *Core) ApplyReport(request ReportRequest, response contract.CacheReports, now time.Duration) {
@@ -70,14 +70,17 @@
 		return
 	}
 	worker.respondedAt = now
-	worker.pollSequence++ // from now on, another response to the same request is discarded
+	// From now on, any other response to the same request is discarded.
+	worker.pollSequence++
 	if response.Incarnation != worker.incarnation {
 		worker.incarnation, worker.lastSequence, worker.needsFullReport = response.Incarnation, 0, true
-		worker.generation++ // invalidates the holder records of the worker's previous incarnation
+		// Invalidate the holder records of the worker's previous incarnation.
+		worker.generation++
 	}
 	switch {
 	case response.Complete:
-		worker.generation++ // invalidates the holder records of prefixes that the worker no longer caches, as the full report lacks them
+		// Invalidate the holder records of prefixes that the worker no longer caches, as the full report lacks them.
+		worker.generation++
 		c.Stats.FullReports++
 		for _, cached := range response.Cached {
 			c.addHolder(request, worker, cached, now)
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -99,8 +99,10 @@
 // Example: found := s.Lookup(ctx, keys, clients.PromptIndex, 20*time.Millisecond)
 func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, connect func(addr string) wire.PromptIndex, wait time.Duration) map[prefix.Key]*wire.LookupResult {
 	found := make(map[prefix.Key]*wire.LookupResult, len(keys))
-	isFinal := make(map[prefix.Key]bool, len(keys)) // keys for which a warm index node has responded
-	var mu sync.Mutex                               // guards found and isFinal, which the concurrent calls write
+	// isFinal has the keys for which a warm index node has responded.
+	isFinal := make(map[prefix.Key]bool, len(keys))
+	// mu guards found and isFinal, which the concurrent calls write.
+	var mu sync.Mutex
 	for attempt := range 2 {
 		keysByNode := map[string][]prefix.Key{}
 		for _, key := range keys {
@@ -117,7 +119,8 @@
 			calls.Go(func() {
 				response := callLookup(callCtx, connect(s.addresses[node]), nodeKeys)
 				if response == nil {
-					return // the second attempt, if there is one, looks up the keys of this failed call
+					// The second attempt, if there is one, looks up the keys of this failed call.
+					return
 				}
 				mu.Lock()
 				defer mu.Unlock()
