--- a/internal/data/nodeagent/follow.go
+++ b/internal/data/nodeagent/follow.go
@@ -50,19 +50,19 @@
 
 // applyConfig applies a shard member's response to the freshness proof. If this proves a newer configuration, the agent
 // uses it from now on.
-func (a *Agent) applyConfig(s *agentState, member string, knownVersion uint64, requestedAt time.Duration, response *wire.WatchResponse) {
-	defer s.notifyWaiters()
-	if !s.proof.HandleResponse(member, knownVersion, requestedAt, response) {
+func (a *Agent) applyConfig(state *agentState, member string, knownVersion uint64, requestedAt time.Duration, response *wire.WatchResponse) {
+	defer state.notifyWaiters()
+	if !state.proof.HandleResponse(member, knownVersion, requestedAt, response) {
 		return
 	}
-	document := s.proof.Document()
+	document := state.proof.Document()
 	config, err := serviceconfig.Decode(document.Body)
 	if err != nil {
 		// The control state stores only valid configurations, but an older release of this program may be unable to
 		// decode one. It then runs without a configuration rather than with an incomplete one.
 		a.process.Log.Error("cannot decode the new configuration; running without a configuration", "version", document.Version, "error", err)
 	}
-	s.config = config
+	state.config = config
 	if config != nil && len(config.Seeds) == 3 {
 		a.member.SetSeeds(config.Seeds)
 	}
--- a/internal/data/nodeagent/updates.go
+++ b/internal/data/nodeagent/updates.go
@@ -60,15 +60,15 @@
 		var response *wire.FeedResponse
 		updated := make(chan struct{})
 		isOver := hasFired(timer)
-		ok := a.actor.Ask(func(s *agentState) {
+		ok := a.actor.Ask(func(state *agentState) {
 			if !isRecorded {
-				a.recordReports(s, request)
+				a.recordReports(state, request)
 			}
-			if s.version != request.KnownVersion || isOver || request.MaxWaitNs == 0 || len(s.waiters) > maxWaiters {
-				response = s.newResponse(request)
+			if state.version != request.KnownVersion || isOver || request.MaxWaitNs == 0 || len(state.waiters) > maxWaiters {
+				response = state.newResponse(request)
 				return
 			}
-			s.waiters[updated] = true
+			state.waiters[updated] = true
 		})
 		if !ok {
 			// The actor is stopped, since the process is stopping.
@@ -85,7 +85,7 @@
 		case <-ctx.Done():
 			request.MaxWaitNs = 0
 		}
-		a.actor.TrySend(func(s *agentState) { delete(s.waiters, updated) })
+		a.actor.TrySend(func(state *agentState) { delete(state.waiters, updated) })
 	}
 }
 
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -54,23 +54,23 @@
 
 // publishWorkers replaces the rows that are sent in updates by the current state of the worker table. It wakes the
 // requests that wait for an update, unless only loads and recent outcomes have changed.
-func (a *Agent) publishWorkers(s *agentState) {
+func (a *Agent) publishWorkers(state *agentState) {
 	var draining map[string]bool
-	if s.config != nil {
-		draining = s.config.Draining
+	if state.config != nil {
+		draining = state.config.Draining
 	}
-	rows := s.workers.Rows(draining, a.clock.Now())
+	rows := state.workers.Rows(draining, a.clock.Now())
 	for _, row := range rows {
-		if outcomes := s.outcomes[row.Name]; outcomes != nil {
+		if outcomes := state.outcomes[row.Name]; outcomes != nil {
 			outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeDecayRatio))
 			row.Successes, row.Failures = outcomes.succeeded, outcomes.failed
 		}
 	}
-	isSame := slices.EqualFunc(rows, s.rows, isSameExceptLoad)
-	s.rows = rows
-	s.listsVersion++
+	isSame := slices.EqualFunc(rows, state.rows, isSameExceptLoad)
+	state.rows = rows
+	state.listsVersion++
 	if !isSame {
-		s.notifyWaiters()
+		state.notifyWaiters()
 	}
 }
 
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -59,7 +59,7 @@
 		for _, report := range done {
 			applyReport(core, contract.CacheReports{Incarnation: "i", Number: report.Number, Reports: []contract.CacheReport{report}}, 2)
 		}
-		// This response has no reports, but tells the index that the last report has number 4.
+		// This response has no reports, but gives the number of the last report, 4.
 		applyReport(core, contract.CacheReports{Incarnation: "i", Number: 4}, 3)
 		if core.NextReport("worker", "s").Full {
 			fullRequests++
--- a/internal/data/promptindex/loadaggregator.go
+++ b/internal/data/promptindex/loadaggregator.go
@@ -13,7 +13,7 @@
 const loadReportLifetimeRatio = 1.0 / 15
 
 // LoadAggregator adds up the worker loads that proxies report. Each proxy handles only a small share of the traffic,
-// from which it can't tell how loaded or unhealthy a worker is. A LoadAggregator is not safe for concurrent use.
+// from which it can't determine how loaded or unhealthy a worker is. A LoadAggregator is not safe for concurrent use.
 type LoadAggregator struct {
 	bounds settings.Bounds
 	// reports has the last report of each proxy, by the proxy's name.
