--- a/internal/data/promptindex/eventfollower.go
+++ b/internal/data/promptindex/eventfollower.go
@@ -71,7 +71,7 @@
 }
 
 // eventFollower feeds an index node with the cache events of the workers and stores in a snapshot. Its fields are
-// accessed only within the node's actor, except for the first three, which never change.
+// accessed only within the node's actor, except for node, client and snapshot, which never change.
 type eventFollower struct {
 	node     *Node
 	client   backend.Client
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -12,8 +12,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node is an index node. An actor serializes the accesses to its Core, and a reportPoller or an eventFollower feeds
-// it. The methods of Node serve the RPCs of proxies and of the placement controller.
+// Node is an index node. An actor serializes the accesses to its Core. A reportPoller or an eventFollower keeps the Core
+// up to date. The methods of Node serve the RPCs of proxies and of the placement controller.
 type Node struct {
 	process *daemon.Process
 	actor   *queue.Actor[Core]
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -41,8 +41,8 @@
 	isListed map[string]bool
 }
 
-// Start runs an index node that polls workers for numbered cache reports, until the process stops. The node agent on
-// the same host supplies the list of workers and the configuration.
+// Start starts an index node that polls workers for numbered cache reports, and returns once the node serves requests.
+// The node runs until the process stops. The process's node agent supplies the list of workers and the configuration.
 //
 // Example: daemon.Main(programs.PromptIndex, "index node", required, promptindex.Start)
 func Start(process *daemon.Process) error {
