--- a/internal/data/callerproxy/affinity.go
+++ b/internal/data/callerproxy/affinity.go
@@ -11,9 +11,9 @@
 	affinityLoadRatio = 1.25
 	// affinityRatio of the prefill of an entry is what a request costs more at another worker than the
 	// preferred one: the entry would have to be computed there again, and cached twice.
-	affinityRatio = 0.75
+	affinityPenaltyRatio = 0.75
 	// sharedUseRatio of the accesses to a prompt's first part makes a later part shared as well.
-	sharedUseRatio = 0.25
+	sharedAccessRatio = 0.25
 	// sharedMinAccesses in the index's window make an entry shared: one access is the request's own.
 	sharedMinAccesses = 1.5
 )
@@ -26,12 +26,12 @@
 
 // affinityOf returns the first shard worker of the deciding entry that isn't overloaded. A replicated entry
 // prefers none.
-func (q *Query) affinityOf(entries []prefix.Entry, view *siteView) affinity {
-	key, index, _ := q.decidingEntry(entries)
+func (q *Query) affinityFor(entries []prefix.Entry, view *selectionView) affinity {
+	key, index, _ := q.affinityEntry(entries)
 	if index < 0 || q.Placement.IsReplicated(key) || !q.usesIndex() {
 		return affinity{}
 	}
-	for _, worker := range placement.RankShardWorkers(key, view.up) {
+	for _, worker := range placement.RankShardWorkers(key, view.upWorkers) {
 		if q.Load(worker) <= affinityLoadRatio*view.meanLoad+1 {
 			return affinity{worker, entries[index].CumulativeTokens}
 		}
@@ -43,30 +43,30 @@
 // prefix if that is admitted; index -1 if there is none. Admission follows BAT's rule for user prefixes: at
 // least as long as the shared prefix, and accessed more often than the coldest cached entry. A worker evicts
 // on its own, so an admitted prefix is one that its shard worker is preferred for, and that is saved there.
-func (q *Query) decidingEntry(entries []prefix.Entry) (key prefix.Key, index int, session bool) {
+func (q *Query) affinityEntry(entries []prefix.Entry) (key prefix.Key, index int, isSession bool) {
 	if len(entries) == 0 {
 		return key, -1, false
 	}
-	index = q.sharedPrefix(entries)
-	shared := entries[index]
-	ownIndex := len(entries) - 2 // the last entry holds the request's own question
-	if ownIndex <= index || q.Placement == nil {
-		return shared.Key, index, false
+	index = q.sharedPrefixIndex(entries)
+	sharedEntry := entries[index]
+	sessionIndex := len(entries) - 2 // the last entry holds the request's own question
+	if sessionIndex <= index || q.Placement == nil {
+		return sharedEntry.Key, index, false
 	}
-	own := entries[ownIndex]
-	isLongEnough := own.CumulativeTokens-shared.CumulativeTokens >= shared.CumulativeTokens
-	if isLongEnough && q.hotness(own) > q.Placement.AdmissionFloor {
-		return own.Key, ownIndex, true
+	sessionEntry := entries[sessionIndex]
+	isLongEnough := sessionEntry.CumulativeTokens-sharedEntry.CumulativeTokens >= sharedEntry.CumulativeTokens
+	if isLongEnough && q.hotness(sessionEntry) > q.Placement.AdmissionFloor {
+		return sessionEntry.Key, sessionIndex, true
 	}
-	return shared.Key, index, false
+	return sharedEntry.Key, index, false
 }
 
 // sharedPrefix returns the index of the longest entry that other requests use, too: it was accessed more than
 // once lately, and not much less than the prompt's first part. The last entry is the request's own.
-func (q *Query) sharedPrefix(entries []prefix.Entry) (index int) {
+func (q *Query) sharedPrefixIndex(entries []prefix.Entry) (index int) {
 	for i := 1; i < len(entries)-1; i++ {
 		hotness := q.hotness(entries[i])
-		if hotness >= sharedMinAccesses && hotness >= sharedUseRatio*q.hotness(entries[0]) {
+		if hotness >= sharedMinAccesses && hotness >= sharedAccessRatio*q.hotness(entries[0]) {
 			index = i
 		}
 	}
@@ -74,4 +74,4 @@
 }
 
 // hotness is how often an entry was accessed in the index's window.
-func (q *Query) hotness(entry prefix.Entry) float64 { return q.Found[entry.Key].GetHotness() }
+func (q *Query) hotness(entry prefix.Entry) float64 { return q.LookupResults[entry.Key].GetHotness() }
--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -92,11 +92,11 @@
 	})
 	proxy.index = newPromptIndex(process, test.clock)
 	proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot { test.mu.Lock(); defer test.mu.Unlock(); return test.snapshot })
-	api, err := caller.NewServer(proxy, caller.WithErrorHandler(handleRequestError))
+	apiServer, err := caller.NewServer(proxy, caller.WithErrorHandler(handleRequestError))
 	if err != nil {
 		t.Fatal(err)
 	}
-	test.proxy, test.edge = proxy, httptest.NewServer(http.MaxBytesHandler(flushEveryWrite(api), 1<<20))
+	test.proxy, test.edge = proxy, httptest.NewServer(http.MaxBytesHandler(flushEveryWrite(apiServer), 1<<20))
 	t.Cleanup(func() { test.edge.Close(); process.Stop(time.Second); proxy.traffic.Stop() })
 	return test
 }
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -15,9 +15,9 @@
 
 // Ratios of the bound on leaving workers (Bounds.Leave).
 const (
-	watchIntervalRatio = 0.2 // how often an attempt checks that its worker is still known
-	failedWorkerRatio  = 0.3 // for how long a worker gets no attempt after a failed one: until its next health check
-	noWorkerRetryRatio = 0.3 // Retry-After if no worker can be selected
+	watchIntervalRatio      = 0.2 // how often an attempt checks that its worker is still known
+	failedWorkerPauseRatio  = 0.3 // for how long a worker gets no attempt after a failed one: until its next health check
+	noWorkerRetryAfterRatio = 0.3 // Retry-After if no worker can be selected
 )
 
 // defaultAnswerChunks is how many chunks an answer has if the caller names no number.
@@ -34,13 +34,13 @@
 	var choice Choice
 	selected := false
 	p.traffic.Ask(func(table *trafficTable) {
-		table.addLoads(&query, now, p.bounds.Leave(failedWorkerRatio))
+		table.addLoads(&query, now, p.bounds.Leave(failedWorkerPauseRatio))
 		if choice, selected = Select(query); selected {
 			table.worker(choice.Worker.Name).attempts++
 		}
 	})
 	if !selected {
-		return choice, reject(errs.NotExecuted, req.ask.RequestID, p.bounds.Leave(noWorkerRetryRatio), "no worker of service %s can accept it now", service)
+		return choice, reject(errs.NotExecuted, req.body.RequestID, p.bounds.Leave(noWorkerRetryAfterRatio), "no worker of service %s can accept it now", service)
 	}
 	return choice, nil
 }
@@ -48,30 +48,30 @@
 // newQuery is the query for the request's next worker, without what the traffic table knows.
 func (req *request) newQuery(service string) Query {
 	p, snapshot := req.proxy, req.snapshot
-	target := weightsFor(snapshot, req.ask)
+	target := targetFor(snapshot, req.body)
 	query := Query{
-		ID:             req.ask.RequestID,
+		ID:             req.body.RequestID,
 		Mode:           placementMode(snapshot.Config, service),
 		Entries:        req.prefixEntries(req.entries),
-		Found:          req.found,
-		Tried:          req.tried,
+		LookupResults:  req.lookupResults,
+		FailedWorkers:  req.failedWorkers,
 		NewestWeights:  snapshot.Weights[target.Model].Version,
 		Placement:      snapshot.Placements[service],
 		PrefillCurve:   p.prefillCurve,
-		NearBandwidth:  p.links.near.Load(),
-		FarBandwidth:   p.links.far.Load(),
-		StoreBandwidth: p.links.store.Load(),
-		Stores:         map[string]string{},
+		NearBandwidth:  p.bandwidths.near.Load(),
+		FarBandwidth:   p.bandwidths.far.Load(),
+		StoreBandwidth: p.bandwidths.store.Load(),
+		StoreAddrs:     map[string]string{},
 	}
 	if query.Placement != nil {
 		query.PrefillCurve = query.Placement.PrefillCurve
 	}
 	for _, worker := range snapshot.Workers {
 		if worker.Kind == kindStore && worker.State == updatestream.WorkerUp {
-			query.Stores[worker.Name] = worker.Addr
+			query.StoreAddrs[worker.Name] = worker.Addr
 		}
-		if view := viewForTarget(worker, target); view != nil && worker.Service == service && worker.State <= updatestream.WorkerSuspect {
-			query.Workers = append(query.Workers, view)
+		if workerView := workerForTarget(worker, target); workerView != nil && worker.Service == service && worker.State <= updatestream.WorkerSuspect {
+			query.Workers = append(query.Workers, workerView)
 		}
 	}
 	return query
@@ -111,61 +111,61 @@
 	proxy, worker := req.proxy, choice.Worker
 	remaining := req.timeRemaining()
 	ctx, cancel := context.WithCancel(req.ctx)
-	answer := &stream{
+	newStream := &stream{
 		proxy:     proxy,
-		id:        req.ask.RequestID,
+		id:        req.body.RequestID,
 		worker:    worker.Name,
 		zone:      worker.Zone,
 		startedAt: proxy.clock.Now(),
 		cancel:    cancel,
 		snapshot:  req.snapshot,
 	}
-	answer.watch = time.AfterFunc(proxy.bounds.Leave(watchIntervalRatio), func() { proxy.watchWorker(answer, worker, cancel) })
-	response := proxy.backends.Start(ctx, worker.Addr, req.startRequest(worker, remaining, deadline), choice.hints())
-	if response.Err != nil {
-		answer.finish(false)
-		return nil, response.NotExecuted(), response.Err
+	newStream.watch = time.AfterFunc(proxy.bounds.Leave(watchIntervalRatio), func() { proxy.watchWorker(newStream, worker, cancel) })
+	attempt := proxy.backends.Start(ctx, worker.Addr, req.startRequest(worker, remaining, deadline), choice.headers())
+	if attempt.Err != nil {
+		newStream.finish(false)
+		return nil, attempt.NotExecuted(), attempt.Err
 	}
 	proxy.index.recordAccesses(service, choice.Entries, worker.Name, choice.SaveNames, choice.SaveEntries)
-	answer.body, answer.reader = response.Body, bufio.NewReaderSize(response.Body, contract.MaxLineBytes)
-	answer.verifier = contract.NewStreamVerifier(req.ask.RequestID, worker.Name)
-	if err := answer.readLine(); err != nil {
-		answer.finish(false)
+	newStream.responseBody, newStream.reader = attempt.Body, bufio.NewReaderSize(attempt.Body, contract.MaxLineBytes)
+	newStream.verifier = contract.NewStreamVerifier(req.body.RequestID, worker.Name)
+	if err := newStream.readLine(); err != nil {
+		newStream.finish(false)
 		return nil, false, err
 	}
-	req.logDecision(choice)
-	return answer, false, nil
+	req.queueDecision(choice)
+	return newStream, false, nil
 }
 
 func (req *request) startRequest(worker *wire.Worker, remaining, deadline time.Duration) contract.StartRequest {
-	ask, target := req.ask, weightsFor(req.snapshot, req.ask)
+	body, target := req.body, targetFor(req.snapshot, req.body)
 	return contract.StartRequest{
-		RequestID:   ask.RequestID,
+		RequestID:   body.RequestID,
 		Tenant:      req.tenant,
 		CacheDomain: req.snapshot.Config.CacheDomain(req.tenant),
 		Model:       target.Model,
 		Adapter:     target.Adapter,
 		Build:       target.Build,
 		Weights:     worker.Weights,
-		Parts:       ask.Parts,
-		Chunks:      ask.Pieces.Or(defaultAnswerChunks),
+		Parts:       body.Parts,
+		Chunks:      body.Pieces.Or(defaultAnswerChunks),
 		WaitMs:      int(min(remaining, deadline-req.proxy.clock.Now()).Milliseconds()),
-		AtMostOnce:  req.once,
+		AtMostOnce:  req.atMostOnce,
 		Incarnation: worker.Incarnation,
 		BeginByUs:   workerStartDeadline(worker, deadline),
 	}
 }
 
 // hints are the header fields that name where the worker fetches prefixes from and where it saves them.
-func (c *Choice) hints() map[string]string {
-	hints := map[string]string{}
+func (c *Choice) headers() map[string]string {
+	headers := map[string]string{}
 	if c.FetchFrom != "" {
-		hints[contract.FetchFrom] = c.FetchFrom
+		headers[contract.FetchFrom] = c.FetchFrom
 	}
 	if c.SaveAddrs != "" {
-		hints[contract.SaveTo], hints[contract.SaveUpTo] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
+		headers[contract.SaveTo], headers[contract.SaveUpTo] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
 	}
-	return hints
+	return headers
 }
 
 // watchWorker cancels an attempt whose worker is gone, without waiting for a time-out.
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -22,16 +22,16 @@
 	// maxClaimsPerCommand bounds the claims that are sent to a shard in one command.
 	maxClaimsPerCommand = 256
 	// onceIDBytes is the length of the hash by which a shard remembers a once-only request.
-	onceIDBytes = 16
+	claimKeyBytes = 16
 )
 
 // onceClaims claims the IDs of once-only requests.
-type onceClaims interface {
+type idClaims interface {
 	// acquire claims an ID, with a nonce of its own. After an error the claim may have been granted: the
 	// request must not start, and the claim should be released.
-	acquire(ctx context.Context, id []byte) (nonce uint64, granted bool, err error)
+	acquire(ctx context.Context, key []byte) (nonce uint64, granted bool, err error)
 	// release gives up a claim; its request was proven not to have been executed.
-	release(id []byte, nonce uint64)
+	release(key []byte, nonce uint64)
 }
 
 // claimer claims IDs at the control state before anything starts, so that one ID can't be executed through
@@ -54,14 +54,14 @@
 }
 
 // onceID is the ID by which the control state remembers a tenant's request.
-func onceID(tenant, request string) []byte {
+func claimKey(tenant, request string) []byte {
 	sum := sha256.Sum256([]byte(tenant + "\x00" + request))
-	return sum[:onceIDBytes]
+	return sum[:claimKeyBytes]
 }
 
 // newClaimer starts a claimer. The seed has to be above all nonces of earlier incarnations of this process: a
 // nonce is never used twice.
-func newClaimer(process *daemon.Process, snapshot func() *updatestream.Snapshot, clients *daemon.Clients, seed uint64) *claimer {
+func newClaimer(process *daemon.Process, snapshot func() *updatestream.Snapshot, rpcClients *daemon.Clients, seed uint64) *claimer {
 	view := func() clustermembership.View {
 		if current := snapshot(); current != nil {
 			return clustermembership.View{Nodes: current.Nodes}
@@ -69,41 +69,41 @@
 		return clustermembership.View{}
 	}
 	bounds := process.Settings.Bounds
-	c := &claimer{control: controlclient.New(process.Settings.Core, view, clients, bounds), timeout: bounds.Heal(claimTimeoutRatio)}
+	c := &claimer{control: controlclient.New(process.Settings.Core, view, rpcClients, bounds), timeout: bounds.Heal(claimTimeoutRatio)}
 	c.lastNonce.Store(seed)
 	for shard := range c.queues {
 		c.queues[shard] = queue.NewRing[pendingClaim](bounds.MaxConcurrentRequests)
-		process.Go(func() { c.runShard(process.Ctx, uint32(shard)) })
+		process.Go(func() { c.sendShardClaims(process.Ctx, uint32(shard)) })
 	}
 	return c
 }
 
-func (c *claimer) acquire(ctx context.Context, id []byte) (nonce uint64, granted bool, err error) {
+func (c *claimer) acquire(ctx context.Context, key []byte) (nonce uint64, granted bool, err error) {
 	nonce = c.lastNonce.Add(1)
 	result := make(chan claimResult, 1)
-	if !c.queueOf(id).Offer(pendingClaim{&wire.Claim{Id: id, Nonce: nonce}, result}) {
+	if !c.queueFor(key).Offer(pendingClaim{&wire.Claim{Id: key, Nonce: nonce}, result}) {
 		return nonce, false, errs.New(errs.Overloaded, "too many claims wait")
 	}
 	select {
-	case r := <-result:
-		return nonce, r.granted, r.err
+	case claimed := <-result:
+		return nonce, claimed.granted, claimed.err
 	case <-ctx.Done():
 		return nonce, false, errs.WrapAs(ctx.Err(), errs.DeadlineExceeded, "claim")
 	}
 }
 
 // release doesn't wait. If the queue is full, the ID stays claimed, which is safe.
-func (c *claimer) release(id []byte, nonce uint64) {
-	c.queueOf(id).Offer(pendingClaim{claim: &wire.Claim{Id: id, Nonce: nonce, Release: true}})
+func (c *claimer) release(key []byte, nonce uint64) {
+	c.queueFor(key).Offer(pendingClaim{claim: &wire.Claim{Id: key, Nonce: nonce, Release: true}})
 }
 
 // queueOf is the queue of an ID's shard. Shard 0 holds no claims.
-func (c *claimer) queueOf(id []byte) *queue.Ring[pendingClaim] {
-	return c.queues[1+binary.LittleEndian.Uint64(id)%(controlclient.ShardCount-1)]
+func (c *claimer) queueFor(key []byte) *queue.Ring[pendingClaim] {
+	return c.queues[1+binary.LittleEndian.Uint64(key)%(controlclient.ShardCount-1)]
 }
 
 // runShard sends one shard's claims, one command at a time; those that come meanwhile join the next.
-func (c *claimer) runShard(ctx context.Context, shard uint32) {
+func (c *claimer) sendShardClaims(ctx context.Context, shard uint32) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -111,7 +111,7 @@
 		case first := <-c.queues[shard].Out():
 			batch := append([]pendingClaim{first}, c.queues[shard].Drain(maxClaimsPerCommand-1)...)
 			response, err := c.send(ctx, shard, batch)
-			deliver(batch, response, err)
+			deliverResults(batch, response, err)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 // deliver passes each claim's result on to the request that waits for it.
-func deliver(batch []pendingClaim, response *wire.ChangeResponse, err error) {
+func deliverResults(batch []pendingClaim, response *wire.ChangeResponse, err error) {
 	for i, pending := range batch {
 		result := claimResult{err: err}
 		if err == nil {
--- a/internal/data/callerproxy/cost.go
+++ b/internal/data/callerproxy/cost.go
@@ -15,7 +15,7 @@
 const microsecondsPerSecond = 1e6
 
 // estimateCost estimates what a request costs at a worker: the wait for a slot, fetches, and prefill.
-func (q *Query) estimateCost(worker *wire.Worker, entries []prefix.Entry, view *siteView) *candidate {
+func (q *Query) estimateCost(worker *wire.Worker, entries []prefix.Entry, view *selectionView) *candidate {
 	estimate := &candidate{worker: worker, entries: entries}
 	missingTokens, fetchUs := q.planFetches(estimate, view)
 	estimate.waitUs = q.waitUs(worker)
@@ -28,7 +28,7 @@
 
 // planFetches goes through the entries from the front, as far as the worker holds them or can fetch them for
 // less than their prefill. It returns the tokens that have to be prefilled, and the time of the fetches.
-func (q *Query) planFetches(plan *candidate, view *siteView) (missingTokens int, fetchUs float64) {
+func (q *Query) planFetches(plan *candidate, view *selectionView) (missingTokens int, fetchUs float64) {
 	if len(plan.entries) > 0 {
 		missingTokens = plan.entries[len(plan.entries)-1].CumulativeTokens
 	}
@@ -42,12 +42,12 @@
 		if source == "" || bandwidth <= 0 {
 			break
 		}
-		entryUs := float64(entry.Tokens) / bandwidth * microsecondsPerSecond
-		savedUs := q.PrefillCurve.At(float64(missingTokens)) - q.PrefillCurve.At(float64(missingTokens-entry.Tokens))
-		if entryUs >= savedUs {
+		fetchEntryUs := float64(entry.Tokens) / bandwidth * microsecondsPerSecond
+		savedPrefillUs := q.PrefillCurve.At(float64(missingTokens)) - q.PrefillCurve.At(float64(missingTokens-entry.Tokens))
+		if fetchEntryUs >= savedPrefillUs {
 			break
 		}
-		fetchUs += entryUs
+		fetchUs += fetchEntryUs
 		missingTokens -= entry.Tokens
 		plan.fetchTokens += entry.Tokens
 		plan.fetchFrom = append(plan.fetchFrom, fmt.Sprintf("%d=%s", i, source))
@@ -57,10 +57,10 @@
 
 // fastestSource returns the address of the holder of an entry with the highest bandwidth to a zone; among
 // equals the lowest address. It is "" if there is none.
-func (q *Query) fastestSource(key prefix.Key, zone string, view *siteView) (source string, bandwidth float64) {
+func (q *Query) fastestSource(key prefix.Key, zone string, view *selectionView) (source string, bandwidth float64) {
 	for holder := range view.holders[key] {
 		holderBandwidth := q.FarBandwidth
-		if _, isStore := q.Stores[holder]; isStore {
+		if _, isStore := q.StoreAddrs[holder]; isStore {
 			holderBandwidth = q.StoreBandwidth
 		} else if view.zone[holder] == zone {
 			holderBandwidth = q.NearBandwidth
--- a/internal/data/callerproxy/flush.go
+++ b/internal/data/callerproxy/flush.go
@@ -8,14 +8,14 @@
 // flushingWriter flushes every write, so that each line of a stream is sent as it comes.
 type flushingWriter struct {
 	http.ResponseWriter
-	started bool // the response's header was written
+	headerWritten bool // the response's header was written
 }
 
 // WriteHeader writes the response's header.
 //
 // Example: w.WriteHeader(200)
 func (w *flushingWriter) WriteHeader(status int) {
-	w.started = true
+	w.headerWritten = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
@@ -23,7 +23,7 @@
 //
 // Example: w.Write(line)
 func (w *flushingWriter) Write(data []byte) (int, error) {
-	w.started = true
+	w.headerWritten = true
 	n, err := w.ResponseWriter.Write(data)
 	if err == nil {
 		err = http.NewResponseController(w.ResponseWriter).Flush()
--- a/internal/data/callerproxy/freshness.go
+++ b/internal/data/callerproxy/freshness.go
@@ -11,16 +11,16 @@
 // Ratios of the bound on following an old configuration (Bounds.Config): the sum of the time until a request
 // is checked and until a worker begins it stays below the bound.
 const (
-	maxProofAgeRatio   = 0.8  // age of the proof under which a request is admitted or an attempt started
-	startDeadlineRatio = 0.95 // age of the proof at which a worker may begin an attempt at the latest
-	drainingRetryRatio = 0.1  // Retry-After of a draining node
-	noProofRetryRatio  = 0.25 // Retry-After without a fresh proof
+	maxProofAgeRatio        = 0.8  // age of the proof under which a request is admitted or an attempt started
+	startDeadlineRatio      = 0.95 // age of the proof at which a worker may begin an attempt at the latest
+	drainingRetryAfterRatio = 0.1  // Retry-After of a draining node
+	noProofRetryAfterRatio  = 0.25 // Retry-After without a fresh proof
 )
 
 // Ratios of the bound on superseded weights (Bounds.Weights).
 const (
-	supersededWeightsRatio = 0.85 // for how long an attempt on superseded weights may still be sent
-	supersededStartRatio   = 0.95 // for how long a worker may still begin it
+	supersededSendRatio  = 0.85 // for how long an attempt on superseded weights may still be sent
+	supersededStartRatio = 0.95 // for how long a worker may still begin it
 )
 
 // isFresh reports whether a snapshot's configuration was proven newest recently enough to serve under it.
@@ -32,18 +32,18 @@
 func (p *Proxy) freshSnapshot(requestID string) (*updatestream.Snapshot, error) {
 	snapshot := p.follower.Snapshot()
 	if p.isDraining() {
-		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(drainingRetryRatio), "this proxy is draining: ask another")
+		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(drainingRetryAfterRatio), "this proxy is draining: ask another")
 	}
 	if !p.isFresh(snapshot) {
-		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(noProofRetryRatio), "no proof that the configuration is the newest")
+		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(noProofRetryAfterRatio), "no proof that the configuration is the newest")
 	}
 	return snapshot, nil
 }
 
 // isCurrent reports whether a request's configuration is still the newest, with a fresh proof.
 func (p *Proxy) isCurrent(snapshot *updatestream.Snapshot) bool {
-	newest := p.follower.Snapshot()
-	return newest.ConfigVersion == snapshot.ConfigVersion && p.isFresh(newest)
+	latest := p.follower.Snapshot()
+	return latest.ConfigVersion == snapshot.ConfigVersion && p.isFresh(latest)
 }
 
 // startDeadline is the instant until which a worker may begin an attempt: by then the configuration may have
@@ -52,7 +52,7 @@
 func (req *request) startDeadline(worker *wire.Worker) time.Duration {
 	p := req.proxy
 	deadline := req.snapshot.ProofAt + p.bounds.Config(startDeadlineRatio)
-	history := req.snapshot.Weights[weightsFor(req.snapshot, req.ask).Model]
+	history := req.snapshot.Weights[targetFor(req.snapshot, req.body).Model]
 	if supersededAt, _, ok := history.SupersededAt(worker.Weights); ok {
 		deadline = min(deadline, supersededAt+p.bounds.Weights(supersededStartRatio))
 	}
@@ -76,5 +76,5 @@
 	if !ok || weights == 0 {
 		return 0
 	}
-	return max(0, supersededAt+p.bounds.Weights(supersededWeightsRatio)-p.clock.Now())
+	return max(0, supersededAt+p.bounds.Weights(supersededSendRatio)-p.clock.Now())
 }
--- a/internal/data/callerproxy/freshness_test.go
+++ b/internal/data/callerproxy/freshness_test.go
@@ -39,7 +39,7 @@
 	test := newTestProxy(t, "well")
 	bounds, now := settings.DefaultBounds(), test.clock.Now()
 	test.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: now - bounds.Weights(0.9)}, {Version: 2, ProvenNewestUntil: now}}}}
-	req := &request{proxy: test.proxy, snapshot: test.snapshot, ask: &caller.Ask{Model: "m"}}
+	req := &request{proxy: test.proxy, snapshot: test.snapshot, body: &caller.Ask{Model: "m"}}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
 		2: now + bounds.Config(0.95),
--- a/internal/data/callerproxy/links.go
+++ b/internal/data/callerproxy/links.go
@@ -26,15 +26,15 @@
 )
 
 // linkEstimates are moving averages of the bandwidth at which workers fetch prefixes, in tokens per second.
-type linkEstimates struct{ near, far, store atomicFloat }
+type bandwidthEstimates struct{ near, far, store atomicFloat }
 
-func (l *linkEstimates) reset() {
+func (l *bandwidthEstimates) reset() {
 	l.near.Store(initialBandwidth)
 	l.far.Store(initialBandwidth)
 	l.store.Store(initialBandwidth)
 }
 
-func (l *linkEstimates) of(class linkClass) *atomicFloat {
+func (l *bandwidthEstimates) forClass(class linkClass) *atomicFloat {
 	switch class {
 	case nearLinks:
 		return &l.near
@@ -45,25 +45,25 @@
 }
 
 // learnBandwidth takes what a worker has reported of a fetch into the estimates, and into the next report.
-func (p *Proxy) learnBandwidth(table *trafficTable, snapshot *updatestream.Snapshot, sealed *contract.Chunk, zone string) {
-	class := classOf(snapshot, sealed.FetchAddr, zone)
-	duration := time.Duration(sealed.FetchUs) * time.Microsecond
-	table.recordTransfer(class, sealed.FetchedTokens, duration)
-	estimate := p.links.of(class)
-	observed := float64(sealed.FetchedTokens) / duration.Seconds()
+func (p *Proxy) recordFetch(table *trafficTable, snapshot *updatestream.Snapshot, lastChunk *contract.Chunk, workerZone string) {
+	class := linkClassBetween(snapshot, lastChunk.FetchAddr, workerZone)
+	duration := time.Duration(lastChunk.FetchUs) * time.Microsecond
+	table.recordTransfer(class, lastChunk.FetchedTokens, duration)
+	estimate := p.bandwidths.forClass(class)
+	observed := float64(lastChunk.FetchedTokens) / duration.Seconds()
 	estimate.Store((1-bandwidthSmoothing)*estimate.Load() + bandwidthSmoothing*observed)
 }
 
 // classOf returns the class of the links from an address to a zone.
-func classOf(snapshot *updatestream.Snapshot, addr, zone string) linkClass {
+func linkClassBetween(snapshot *updatestream.Snapshot, sourceAddr, workerZone string) linkClass {
 	class := farLinks
 	for _, worker := range snapshot.Workers {
-		if worker.Addr != addr {
+		if worker.Addr != sourceAddr {
 			continue
 		}
 		if worker.Kind == kindStore {
 			class = storeLinks
-		} else if worker.Zone == zone {
+		} else if worker.Zone == workerZone {
 			class = nearLinks
 		}
 	}
--- a/internal/data/callerproxy/metrics.go
+++ b/internal/data/callerproxy/metrics.go
@@ -10,11 +10,11 @@
 // stats counts the outcomes of attempts. The numbers of tokens are those that the workers seal.
 type stats struct{ sealed, hitTokens, fetchedTokens, prefilledTokens, retries, interrupted atomic.Int64 }
 
-func (s *stats) addSealed(seal *contract.Chunk) {
+func (s *stats) addSealedStream(lastChunk *contract.Chunk) {
 	s.sealed.Add(1)
-	s.hitTokens.Add(int64(seal.CachedTokens))
-	s.fetchedTokens.Add(int64(seal.FetchedTokens))
-	s.prefilledTokens.Add(int64(seal.PrefilledTokens))
+	s.hitTokens.Add(int64(lastChunk.CachedTokens))
+	s.fetchedTokens.Add(int64(lastChunk.FetchedTokens))
+	s.prefilledTokens.Add(int64(lastChunk.PrefilledTokens))
 }
 
 func (p *Proxy) registerMetrics(meter *daemon.Meter) {
@@ -40,20 +40,20 @@
 		name, help string
 		value      func() float64
 	}{
-		{"pebbleloom_sealed_total", "answers that ended with the worker's seal", loadInt(&p.stats.sealed)},
-		{"pebbleloom_hit_tokens_total", "prompt tokens found in a worker's cache", loadInt(&p.stats.hitTokens)},
-		{"pebbleloom_fetched_tokens_total", "prompt tokens fetched from another worker or a store", loadInt(&p.stats.fetchedTokens)},
-		{"pebbleloom_prefilled_tokens_total", "prompt tokens prefilled", loadInt(&p.stats.prefilledTokens)},
+		{"pebbleloom_sealed_total", "answers that ended with the worker's seal", counterValue(&p.stats.sealed)},
+		{"pebbleloom_hit_tokens_total", "prompt tokens found in a worker's cache", counterValue(&p.stats.hitTokens)},
+		{"pebbleloom_fetched_tokens_total", "prompt tokens fetched from another worker or a store", counterValue(&p.stats.fetchedTokens)},
+		{"pebbleloom_prefilled_tokens_total", "prompt tokens prefilled", counterValue(&p.stats.prefilledTokens)},
 		{"pebbleloom_lookup_batches_total", "batches of look-ups sent to the prompt index", func() float64 { return float64(p.index.lookupBatches.Load()) }},
 		{"pebbleloom_lookup_keys_total", "keys looked up in the prompt index", func() float64 { return float64(p.index.lookupKeys.Load()) }},
-		{"pebbleloom_extra_goes_total", "attempts beyond the first of a request", loadInt(&p.stats.retries)},
-		{"pebbleloom_broken_total", "streams that ended without the worker's seal", loadInt(&p.stats.interrupted)},
+		{"pebbleloom_extra_goes_total", "attempts beyond the first of a request", counterValue(&p.stats.retries)},
+		{"pebbleloom_broken_total", "streams that ended without the worker's seal", counterValue(&p.stats.interrupted)},
 	}
 	for _, counter := range counters {
 		meter.Counter(counter.name, counter.help, counter.value)
 	}
 }
 
-func loadInt(counter *atomic.Int64) func() float64 {
+func counterValue(counter *atomic.Int64) func() float64 {
 	return func() float64 { return float64(counter.Load()) }
 }
--- a/internal/data/callerproxy/promptindex.go
+++ b/internal/data/callerproxy/promptindex.go
@@ -19,10 +19,10 @@
 
 // Time-outs and intervals, as ratios of the healing bound (Bounds.Heal).
 const (
-	lookupTimeoutRatio = 1.0 / 400 // a late result isn't worth the wait: the prefix is computed again
-	flushIntervalRatio = 1.0 / 48
-	flushTimeoutRatio  = 1.0 / 24
-	resendWindowRatio  = 1.25 // half of the window of accesses that an index node has to be able to recover
+	lookupTimeoutRatio    = 1.0 / 400 // a late result isn't worth the wait: the prefix is computed again
+	flushIntervalRatio    = 1.0 / 48
+	flushTimeoutRatio     = 1.0 / 24
+	resendHalfWindowRatio = 1.25 // half of the window of accesses that an index node has to be able to recover
 )
 
 const (
@@ -38,35 +38,35 @@
 // promptIndex looks up prefixes at the index nodes in batches, and reports to them the accesses that this
 // proxy has made.
 type promptIndex struct {
-	clients       *daemon.Clients
-	bounds        settings.Bounds
-	clock         clock.Clock
-	shards        atomic.Pointer[promptindex.Shards] // nil: no index nodes are known yet
-	layout        string                             // the index nodes that shards was made for
-	lookups       *queue.Ring[lookup]
-	accesses      *queue.Actor[indexclient.AccessCounter]
-	lookupBatches atomic.Uint64 // calls
-	lookupKeys    atomic.Uint64 // keys in these calls
+	clients        *daemon.Clients
+	bounds         settings.Bounds
+	clock          clock.Clock
+	shards         atomic.Pointer[promptindex.Shards] // nil: no index nodes are known yet
+	shardLayout    string                             // the index nodes that shards was made for
+	pendingLookups *queue.Ring[lookupRequest]
+	accesses       *queue.Actor[indexclient.AccessCounter]
+	lookupBatches  atomic.Uint64 // calls
+	lookupKeys     atomic.Uint64 // keys in these calls
 }
 
 // lookup is one request's keys, and the channel for the result.
-type lookup struct {
+type lookupRequest struct {
 	keys   []prefix.Key
 	result chan map[prefix.Key]*wire.LookupResult
 }
 
-func newPromptIndex(process *daemon.Process, clk clock.Clock) *promptIndex {
+func newPromptIndex(process *daemon.Process, processClock clock.Clock) *promptIndex {
 	bounds := process.Settings.Bounds
-	counter := indexclient.NewAccessCounter(reporterPrefix+process.Settings.Name, uint64(clk.Now()), bounds.Heal(resendWindowRatio))
+	counter := indexclient.NewAccessCounter(reporterPrefix+process.Settings.Name, uint64(processClock.Now()), bounds.Heal(resendHalfWindowRatio))
 	index := &promptIndex{
-		clients:  daemon.NewClients(process),
-		bounds:   bounds,
-		clock:    clk,
-		lookups:  queue.NewRing[lookup](bounds.MaxConcurrentRequests),
-		accesses: queue.NewActor(counter, counterQueueLength),
+		clients:        daemon.NewClients(process),
+		bounds:         bounds,
+		clock:          processClock,
+		pendingLookups: queue.NewRing[lookupRequest](bounds.MaxConcurrentRequests),
+		accesses:       queue.NewActor(counter, counterQueueLength),
 	}
 	process.OnStop(index.accesses.Stop)
-	process.Go(func() { index.runLookups(process.Ctx) })
+	process.Go(func() { index.sendLookups(process.Ctx) })
 	process.Every(bounds.Heal(flushIntervalRatio), func() { index.flushAccesses(process.Ctx) })
 	return index
 }
@@ -79,58 +79,58 @@
 			indexNodes = append(indexNodes, fmt.Sprintf("%s %s %v", node.Name, node.Addr, node.State < clustermembership.Dead))
 		}
 	}
-	if layout := strings.Join(indexNodes, "\n"); layout != idx.layout {
-		idx.layout = layout
+	if shardLayout := strings.Join(indexNodes, "\n"); shardLayout != idx.shardLayout {
+		idx.shardLayout = shardLayout
 		idx.shards.Store(promptindex.NewShards(nodes))
 	}
 }
 
 // lookUp returns what the index knows of the keys; nil if nothing, or not in time.
-func (idx *promptIndex) lookUp(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.LookupResult {
-	request := lookup{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)} // buffered: the batch never waits for a request that has gone
-	if !idx.lookups.Offer(request) {
+func (idx *promptIndex) lookup(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.LookupResult {
+	request := lookupRequest{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)} // buffered: the batch never waits for a request that has gone
+	if !idx.pendingLookups.Offer(request) {
 		return nil
 	}
 	select {
-	case found := <-request.result:
-		return found
+	case results := <-request.result:
+		return results
 	case <-ctx.Done():
 		return nil
 	}
 }
 
 // runLookups joins the lookups that wait into one batch, and has a few batches in flight at once.
-func (idx *promptIndex) runLookups(ctx context.Context) {
+func (idx *promptIndex) sendLookups(ctx context.Context) {
 	slots := make(chan struct{}, maxConcurrentLookups)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-idx.lookups.Out():
+		case first := <-idx.pendingLookups.Out():
 			slots <- struct{}{}
-			batch := append([]lookup{first}, idx.lookups.Drain(maxLookupsPerBatch-1)...)
+			batch := append([]lookupRequest{first}, idx.pendingLookups.Drain(maxLookupsPerBatch-1)...)
 			go func() {
 				defer func() { <-slots }()
-				idx.lookUpBatch(ctx, batch)
+				idx.lookupBatch(ctx, batch)
 			}()
 		}
 	}
 }
 
-func (idx *promptIndex) lookUpBatch(ctx context.Context, batch []lookup) {
+func (idx *promptIndex) lookupBatch(ctx context.Context, batch []lookupRequest) {
 	keys := distinctKeys(batch)
-	var found map[prefix.Key]*wire.LookupResult
+	var results map[prefix.Key]*wire.LookupResult
 	if shards := idx.shards.Load(); shards != nil {
 		idx.lookupBatches.Add(1)
 		idx.lookupKeys.Add(uint64(len(keys)))
-		found = shards.Lookup(ctx, keys, idx.clients.PromptIndex, idx.bounds.Heal(lookupTimeoutRatio))
+		results = shards.Lookup(ctx, keys, idx.clients.PromptIndex, idx.bounds.Heal(lookupTimeoutRatio))
 	}
 	for _, request := range batch {
-		request.result <- found
+		request.result <- results
 	}
 }
 
-func distinctKeys(batch []lookup) (keys []prefix.Key) {
+func distinctKeys(batch []lookupRequest) (keys []prefix.Key) {
 	seen := map[prefix.Key]bool{}
 	for _, request := range batch {
 		for _, key := range request.keys {
@@ -145,7 +145,7 @@
 
 // recordAccesses counts a request's accesses: its entries, the worker that is presumed to hold them from now
 // on, and the workers and stores that it saves the first savedEntries of them to. It doesn't wait.
-func (idx *promptIndex) recordAccesses(service string, entries []prefix.Entry, holder string, savedTo []string, savedEntries int) {
+func (idx *promptIndex) recordAccesses(service string, entries []prefix.Entry, holder string, saveTargets []string, saveEntries int) {
 	shards := idx.shards.Load()
 	if shards == nil {
 		return
@@ -153,8 +153,8 @@
 	idx.accesses.TrySend(func(counter *indexclient.AccessCounter) {
 		for i, entry := range entries {
 			access := &wire.Access{Count: 1, Tokens: uint32(entry.Tokens), Service: service, Head: i == 0, PresumedHolders: []string{holder}}
-			if i < savedEntries {
-				access.PresumedHolders = append(access.PresumedHolders, savedTo...)
+			if i < saveEntries {
+				access.PresumedHolders = append(access.PresumedHolders, saveTargets...)
 			}
 			counter.Add(entry.Key, shards.NodesOf(entry.Key), access)
 		}
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -33,23 +33,23 @@
 
 const (
 	// feedWaitRatio of the configuration bound is how long the node agent may hold a call for updates.
-	feedWaitRatio = 0.1
+	longPollRatio = 0.1
 	// openCheckRatio of the configuration bound is how often the proxy checks whether it can serve.
-	openCheckRatio = 0.02
+	readinessCheckRatio = 0.02
 )
 
 // Proxy is one edge proxy.
 type Proxy struct {
-	process  *daemon.Process
-	bounds   settings.Bounds
-	clock    clock.Clock
-	follower *updatestream.Follower
-	traffic  *queue.Actor[trafficTable]
-	index    *promptIndex
-	claims   onceClaims
-	backends *contract.Backends
-	links    linkEstimates
-	stats    stats
+	process    *daemon.Process
+	bounds     settings.Bounds
+	clock      clock.Clock
+	follower   *updatestream.Follower
+	traffic    *queue.Actor[trafficTable]
+	index      *promptIndex
+	claims     idClaims
+	backends   *contract.Backends
+	bandwidths bandwidthEstimates
+	stats      stats
 
 	prefillCurve placement.Curve             // where the placement gives none
 	decisions    *queue.Ring[*wire.Decision] // to be reported to the node agent
@@ -67,26 +67,26 @@
 		prefillCurve: placement.Default(),
 		decisions:    queue.NewRing[*wire.Decision](decisionQueueLength),
 	}
-	proxy.links.reset()
+	proxy.bandwidths.reset()
 	proxy.traffic = queue.NewActor(newTrafficTable(proxy.bounds), trafficQueueLength)
 	process.OnStop(proxy.traffic.Stop)
 	process.OnStop(proxy.backends.Close)
 	proxy.index = newPromptIndex(process, proxy.clock)
-	clients := daemon.NewClients(process)
-	proxy.follow(clients)
-	proxy.claims = newClaimer(process, proxy.follower.Snapshot, clients, process.Seed())
-	api, err := caller.NewServer(proxy, caller.WithErrorHandler(handleRequestError))
+	rpcClients := daemon.NewClients(process)
+	proxy.followNodeAgent(rpcClients)
+	proxy.claims = newClaimer(process, proxy.follower.Snapshot, rpcClients, process.Seed())
+	apiServer, err := caller.NewServer(proxy, caller.WithErrorHandler(handleRequestError))
 	if err != nil {
 		return errs.Wrap(err, "caller API")
 	}
-	process.Go(func() { proxy.serveCallers(http.MaxBytesHandler(flushEveryWrite(api), proxy.maxRequestBytes())) })
+	process.Go(func() { proxy.serveClients(http.MaxBytesHandler(flushEveryWrite(apiServer), proxy.maxRequestBytes())) })
 	proxy.registerMetrics(process.Meter)
 	return process.Serve(process.Settings.Listen, http.NewServeMux())
 }
 
 // follow follows the configuration and the lists of workers and nodes that the node agent passes on.
-func (p *Proxy) follow(clients *daemon.Clients) {
-	nodeAgent := func() wire.NodeAgent { return clients.NodeAgent(p.process.Settings.NodeAgent) }
+func (p *Proxy) followNodeAgent(rpcClients *daemon.Clients) {
+	nodeAgent := func() wire.NodeAgent { return rpcClients.NodeAgent(p.process.Settings.NodeAgent) }
 	onSnapshot := func(snapshot *updatestream.Snapshot) {
 		p.index.updateShards(snapshot.Nodes)
 		p.process.Ready.Store(p.isFresh(snapshot))
@@ -95,8 +95,8 @@
 		Clock:        p.clock,
 		Log:          p.process.Log,
 		NodeAgent:    nodeAgent,
-		LongPollTime: p.bounds.Config(feedWaitRatio),
-		AddReports:   p.fillReport,
+		LongPollTime: p.bounds.Config(longPollRatio),
+		AddReports:   p.addReports,
 		OnSnapshot:   onSnapshot,
 	})
 }
@@ -108,8 +108,8 @@
 
 // serveCallers listens for callers once there is a fresh configuration with workers. Before that a caller is
 // better off with a refused connection: it tries another edge node at once.
-func (p *Proxy) serveCallers(handler http.Handler) {
-	ticker := clock.NewTicker(p.bounds.Config(openCheckRatio))
+func (p *Proxy) serveClients(handler http.Handler) {
+	ticker := clock.NewTicker(p.bounds.Config(readinessCheckRatio))
 	defer ticker.Stop()
 	for {
 		snapshot := p.follower.Snapshot()
--- a/internal/data/callerproxy/rejection.go
+++ b/internal/data/callerproxy/rejection.go
@@ -29,16 +29,16 @@
 
 // retryJitter and half of the Retry-After are the most by which a Retry-After is lengthened at random, so that
 // callers that were rejected together don't come back together.
-const retryJitter = 50 * time.Millisecond
+const retryAfterJitter = 50 * time.Millisecond
 
 func reject(kind *errs.Kind, requestID string, retryAfter time.Duration, format string, arguments ...any) error {
-	retryAfter += time.Duration(rand.Int64N(int64(retryAfter)/2 + int64(retryJitter)))
+	retryAfter += time.Duration(rand.Int64N(int64(retryAfter)/2 + int64(retryAfterJitter)))
 	return rejection{errs.New(kind, format, arguments...), requestID, retryAfter}
 }
 
 // withholdNotExecuted turns a rejection that says that nothing was executed into one that says that the
 // request may have been, if an earlier attempt may have been.
-func withholdNotExecuted(err error, mayHaveExecuted bool) error {
+func withoutNotExecuted(err error, mayHaveExecuted bool) error {
 	var rejected rejection
 	if !mayHaveExecuted || !errors.As(err, &rejected) {
 		return err
@@ -47,8 +47,8 @@
 	case errs.DeadlineExceeded, errs.MayHaveExecuted:
 		return err
 	}
-	text := errs.New(errs.MayHaveExecuted, "an earlier attempt may have been executed; then: %v", rejected.error)
-	return rejection{text, rejected.requestID, rejected.retryAfter}
+	replacement := errs.New(errs.MayHaveExecuted, "an earlier attempt may have been executed; then: %v", rejected.error)
+	return rejection{replacement, rejected.requestID, rejected.retryAfter}
 }
 
 // NewError converts an error of Answer to the response that api/caller.yaml defines.
@@ -83,7 +83,7 @@
 
 // handleRequestError answers a request that never reached Answer, and aborts a response that has started.
 func handleRequestError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
-	if writer, ok := ctx.Value(flushingWriter{}).(*flushingWriter); ok && writer.started {
+	if writer, ok := ctx.Value(flushingWriter{}).(*flushingWriter); ok && writer.headerWritten {
 		panic(http.ErrAbortHandler) // the caller must see that the stream is incomplete
 	}
 	kind := errs.BadInput
--- a/internal/data/callerproxy/request.go
+++ b/internal/data/callerproxy/request.go
@@ -18,35 +18,35 @@
 	// is looked at again.
 	recheckRatio = 0.02
 	// failureRetryRatio of the healing bound is the Retry-After where all attempts have failed.
-	failureRetryRatio = 1.0 / 24
+	failedAttemptsRetryAfterRatio = 1.0 / 24
 )
 
 // request is one request of a caller: what it was admitted under, and what became of its attempts.
 type request struct {
-	proxy     *Proxy
-	ask       *caller.Ask
-	tenantKey string
-	tenant    string
-	once      bool            // it may be executed only once, whatever the outcome
-	ctx       context.Context // done when the caller's wait is over, or it disconnects
-	cancel    context.CancelFunc
-	startedAt time.Duration
-	wait      time.Duration // from startedAt: how long the caller waits for the first chunk
+	proxy      *Proxy
+	body       *caller.Ask
+	tenantKey  string
+	tenant     string
+	atMostOnce bool            // it may be executed only once, whatever the outcome
+	ctx        context.Context // done when the caller's wait is over, or it disconnects
+	cancel     context.CancelFunc
+	startedAt  time.Duration
+	waitLimit  time.Duration // from startedAt: how long the caller waits for the first chunk
 
-	snapshot        *updatestream.Snapshot // checked again right before each attempt starts
-	entries         map[uint64][]prefix.Entry
-	found           map[prefix.Key]*wire.LookupResult
-	tried           map[string]bool // workers of failed attempts, by name
-	budgeted        bool            // its first attempt was counted for the retry budget
-	claimNonce      uint64          // of its claim; 0: none
-	mayHaveExecuted bool
+	snapshot             *updatestream.Snapshot // checked again right before each attempt starts
+	entries              map[uint64][]prefix.Entry
+	lookupResults        map[prefix.Key]*wire.LookupResult
+	failedWorkers        map[string]bool // workers of failed attempts, by name
+	retryTokensDeposited bool            // its first attempt was counted for the retry budget
+	claimNonce           uint64          // of its claim; 0: none
+	mayHaveExecuted      bool
 }
 
 // Answer answers one request; see the package's comment.
 //
 // Example: POST /v1/answers {"request_id": "r1", "model": "lector", "parts": ["…"], "wait_ms": 8000}
-func (p *Proxy) Answer(ctx context.Context, ask *caller.Ask, params caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
-	req, err := p.admit(ctx, ask, params)
+func (p *Proxy) Answer(ctx context.Context, body *caller.Ask, params caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
+	req, err := p.admit(ctx, body, params)
 	if err != nil {
 		return nil, err
 	}
@@ -54,13 +54,13 @@
 		req.release()
 		return nil, err
 	}
-	req.lookUpPrefixes()
+	req.queryPromptIndex()
 	for {
 		started, err := req.tryWorker()
 		if started != nil {
 			started.release = req.release
 			return &caller.AnswerOKHeaders{
-				XRequestID:  ask.RequestID,
+				XRequestID:  body.RequestID,
 				XWorker:     started.worker,
 				XSetupEpoch: fmt.Sprint(req.snapshot.ConfigVersion),
 				Response:    caller.AnswerOK{Data: started},
@@ -68,7 +68,7 @@
 		}
 		if err != nil {
 			req.release()
-			return nil, withholdNotExecuted(err, req.mayHaveExecuted)
+			return nil, withoutNotExecuted(err, req.mayHaveExecuted)
 		}
 	}
 }
@@ -79,14 +79,14 @@
 	req.cancel()
 	req.proxy.traffic.Send(func(table *trafficTable) { table.endRequest(req.tenant) })
 	if req.claimNonce != 0 && !req.mayHaveExecuted {
-		req.proxy.claims.release(onceID(req.tenant, req.ask.RequestID), req.claimNonce)
+		req.proxy.claims.release(claimKey(req.tenant, req.body.RequestID), req.claimNonce)
 	}
 }
 
 // lookUpPrefixes asks the prompt index who holds the prompt's prefixes.
-func (req *request) lookUpPrefixes() {
+func (req *request) queryPromptIndex() {
 	req.entries = req.prefixEntries(nil)
-	req.found = req.proxy.index.lookUp(req.ctx, entryKeys(req.entries))
+	req.lookupResults = req.proxy.index.lookup(req.ctx, entryKeys(req.entries))
 }
 
 // tryWorker makes one attempt. It returns a stream that has started, or the request's final error; if
@@ -115,30 +115,30 @@
 	if err == nil {
 		return started, nil
 	}
-	req.tried[worker.Name] = true
-	proxy.process.Log.Debug("callerproxy: attempt failed", "request", req.ask.RequestID, "worker", worker.Name, "not_executed", notExecuted, "error", err)
+	req.failedWorkers[worker.Name] = true
+	proxy.process.Log.Debug("callerproxy: attempt failed", "request", req.body.RequestID, "worker", worker.Name, "not_executed", notExecuted, "error", err)
 	return nil, req.retryOrFail(service, worker.Name, notExecuted, err)
 }
 
 // resolveRoute takes over a newer configuration, and finds the service that the request is routed to.
 func (req *request) resolveRoute() (service string, err error) {
-	id := req.ask.RequestID
-	newest, err := req.proxy.freshSnapshot(id)
+	id := req.body.RequestID
+	latest, err := req.proxy.freshSnapshot(id)
 	if err != nil {
 		return "", err
 	}
-	if newest.ConfigVersion != req.snapshot.ConfigVersion {
-		if req.snapshot = newest; !newest.Config.KeyBelongsTo(req.tenantKey, req.tenant) {
+	if latest.ConfigVersion != req.snapshot.ConfigVersion {
+		if req.snapshot = latest; !latest.Config.KeyBelongsTo(req.tenantKey, req.tenant) {
 			return "", reject(errs.BadKey, id, 0, "the key was revoked")
 		}
-		req.lookUpPrefixes()
+		req.queryPromptIndex()
 	}
 	config := req.snapshot.Config
-	route, ok := config.Routes[req.ask.Model]
+	route, ok := config.Routes[req.body.Model]
 	if !ok {
-		return "", reject(errs.NoSuchModel, id, 0, "no route leads to model %q", req.ask.Model)
+		return "", reject(errs.NoSuchModel, id, 0, "no route leads to model %q", req.body.Model)
 	}
-	if target := weightsFor(req.snapshot, req.ask); !config.Allows(target.Adapter, req.tenant) {
+	if target := targetFor(req.snapshot, req.body); !config.Allows(target.Adapter, req.tenant) {
 		return "", reject(errs.NoSuchModel, id, 0, "adapter %q isn't for tenant %s", target.Adapter, req.tenant)
 	}
 	return route.ServiceFor(id), nil
@@ -149,16 +149,16 @@
 func (req *request) mayStart(choice Choice, service string, deadline time.Duration) (ready bool, pause time.Duration, err error) {
 	p, queued := req.proxy, time.Duration(choice.WaitUs)*time.Microsecond
 	if req.timeRemaining() <= 0 || req.ctx.Err() != nil {
-		return false, 0, reject(errs.NotExecuted, req.ask.RequestID, 0, "the wait was over before an attempt could start")
+		return false, 0, reject(errs.NotExecuted, req.body.RequestID, 0, "the wait was over before an attempt could start")
 	}
 	if queued > req.timeRemaining() {
-		return false, 0, reject(errs.Overloaded, req.ask.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", choice.WaitUs/1000)
+		return false, 0, reject(errs.Overloaded, req.body.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", choice.WaitUs/1000)
 	}
 	if p.clock.Now()+queued > deadline { // the request waits here, where its configuration is checked again
 		return false, p.bounds.Config(recheckRatio), nil
 	}
-	if !req.budgeted {
-		req.budgeted = true
+	if !req.retryTokensDeposited {
+		req.retryTokensDeposited = true
 		p.traffic.Send(func(table *trafficTable) { table.depositRetryTokens(service, req.snapshot) })
 	}
 	return p.isCurrent(req.snapshot), 0, nil
@@ -166,24 +166,24 @@
 
 // timeRemaining is how much of the caller's wait remains.
 func (req *request) timeRemaining() time.Duration {
-	return req.wait - (req.proxy.clock.Now() - req.startedAt)
+	return req.waitLimit - (req.proxy.clock.Now() - req.startedAt)
 }
 
 // retryOrFail returns nil if another attempt may follow a failed one, and else the request's final error.
 func (req *request) retryOrFail(service, worker string, notExecuted bool, err error) error {
-	p, id := req.proxy, req.ask.RequestID
+	p, id := req.proxy, req.body.RequestID
 	retry, expired := false, req.ctx.Err() != nil
-	if (notExecuted || !req.once) && !expired {
+	if (notExecuted || !req.atMostOnce) && !expired {
 		p.traffic.Ask(func(table *trafficTable) { retry = table.spendRetryBudget(service, req.snapshot) })
 	}
 	switch {
 	case retry:
 		p.stats.retries.Add(1)
 		return nil
-	case !req.mayHaveExecuted || !expired && !req.once:
-		return reject(errs.NotExecuted, id, p.bounds.Heal(failureRetryRatio), "worker %s: %v", worker, err)
-	case req.once:
+	case !req.mayHaveExecuted || !expired && !req.atMostOnce:
+		return reject(errs.NotExecuted, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "worker %s: %v", worker, err)
+	case req.atMostOnce:
 		return reject(errs.MayHaveExecuted, id, 0, "worker %s: %v", worker, err)
 	}
-	return reject(errs.DeadlineExceeded, id, p.bounds.Heal(failureRetryRatio), "worker %s didn't begin in time", worker)
+	return reject(errs.DeadlineExceeded, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "worker %s didn't begin in time", worker)
 }
--- a/internal/data/callerproxy/saves.go
+++ b/internal/data/callerproxy/saves.go
@@ -8,24 +8,24 @@
 // saved to one more worker that lacks it; any other to its preferred worker, if it is computed elsewhere.
 // Both are saved to the stores, the latter once it is accessed again: its one worker may evict it, and
 // fetching it from a store is faster than prefilling.
-func (q *Query) planSaves(choice *Choice, view *siteView) {
-	key, index, session := q.decidingEntry(choice.Entries)
+func (q *Query) planSaveTargets(choice *Choice, view *selectionView) {
+	key, index, isSession := q.affinityEntry(choice.Entries)
 	if index < 0 || !q.usesIndex() {
 		return
 	}
-	choice.Session = session
-	choice.Hot = q.Placement.IsReplicated(key)
+	choice.SessionPrefix = isSession
+	choice.Replicated = q.Placement.IsReplicated(key)
 	holders := view.holders[key]
-	isReused := session || q.Found[key].GetHotness() >= sharedMinAccesses
+	isReused := isSession || q.LookupResults[key].GetHotness() >= sharedMinAccesses
 	preferred := choice.PreferredWorker
-	if choice.Hot {
-		q.saveToNextReplica(choice, holders, view)
+	if choice.Replicated {
+		q.saveToOneWorker(choice, holders, view)
 	} else if preferred != "" && preferred != choice.Worker.Name && !holders[preferred] && isReused {
-		choice.saveTo(preferred, view)
+		choice.addSaveTarget(preferred, view)
 	}
-	for store := range q.Stores {
-		if (choice.Hot || isReused) && !holders[store] {
-			choice.saveTo(store, view)
+	for store := range q.StoreAddrs {
+		if (choice.Replicated || isReused) && !holders[store] {
+			choice.addSaveTarget(store, view)
 		}
 	}
 	if len(choice.SaveNames) > 0 {
@@ -34,17 +34,17 @@
 }
 
 // saveToNextReplica saves to one worker that lacks the entry, a different one for each request.
-func (q *Query) saveToNextReplica(choice *Choice, holders map[string]bool, view *siteView) {
-	for _, worker := range placement.RankShardWorkers(q.tieKey(), view.up) {
+func (q *Query) saveToOneWorker(choice *Choice, holders map[string]bool, view *selectionView) {
+	for _, worker := range placement.RankShardWorkers(q.tieBreakKey(), view.upWorkers) {
 		if !holders[worker] && worker != choice.Worker.Name {
-			choice.saveTo(worker, view)
+			choice.addSaveTarget(worker, view)
 			return
 		}
 	}
 }
 
 // saveTo adds a worker or store to those that are saved to.
-func (c *Choice) saveTo(name string, view *siteView) {
+func (c *Choice) addSaveTarget(name string, view *selectionView) {
 	addr := view.addr[name]
 	if addr == "" || name == c.Worker.Name {
 		return
--- a/internal/data/callerproxy/select.go
+++ b/internal/data/callerproxy/select.go
@@ -16,13 +16,13 @@
 	ID            string // of the request: it breaks ties
 	Mode          string // of the service's placement (serviceconfig.PlacementHRCS and others)
 	Entries       map[uint64][]prefix.Entry
-	Found         map[prefix.Key]*wire.LookupResult // what the prompt index knows of the entries
+	LookupResults map[prefix.Key]*wire.LookupResult // what the prompt index knows of the entries
 	Workers       []*wire.Worker                    // of the service
 	Load          func(worker string) float64       // attempts in flight or waiting, as known here
-	Tried         map[string]bool                   // workers that have failed the request, by name
+	FailedWorkers map[string]bool                   // workers that have failed the request, by name
 	NewestWeights uint64                            // version that the configuration names
 	Placement     *placement.Placement              // nil: none yet
-	Stores        map[string]string                 // addresses of the stores that are up, by name
+	StoreAddrs    map[string]string                 // addresses of the stores that are up, by name
 
 	PrefillCurve   placement.Curve // microseconds to prefill by tokens
 	MeanAttemptUs  float64         // mean duration of an attempt
@@ -45,8 +45,8 @@
 	SaveAddrs       string         // addresses to save to, with commas between
 	SaveNames       []string       // the names of these
 	SaveEntries     int            // how many of the first entries to save
-	Hot             bool           // the deciding entry is replicated
-	Session         bool           // the deciding entry is the session's prefix
+	Replicated      bool           // the deciding entry is replicated
+	SessionPrefix   bool           // the deciding entry is the session's prefix
 	PreferredWorker string         // that the deciding entry has an affinity to; "": none
 }
 
@@ -61,12 +61,12 @@
 }
 
 // siteView is what a selection derives from its query once for all workers.
-type siteView struct {
-	holders  map[prefix.Key]map[string]bool // workers and stores that hold an entry, by name
-	addr     map[string]string              // of workers and stores
-	zone     map[string]string              // of workers
-	up       []string                       // workers
-	meanLoad float64                        // of the workers that are up
+type selectionView struct {
+	holders   map[prefix.Key]map[string]bool // workers and stores that hold an entry, by name
+	addr      map[string]string              // of workers and stores
+	zone      map[string]string              // of workers
+	upWorkers []string                       // workers
+	meanLoad  float64                        // of the workers that are up
 }
 
 // Select selects the worker at which the request costs least: the wait for a slot, the prefill of what is
@@ -75,8 +75,8 @@
 //
 // Example: choice, ok := callerproxy.Select(query)
 func Select(query Query) (Choice, bool) {
-	view := query.newView()
-	best, preferred := query.cheapest(view)
+	view := query.newSelectionView()
+	best, preferredWorker := query.lowestCost(view)
 	if best == nil && !query.includeCordoned && query.Placement != nil && len(query.Placement.Cordoned) > 0 {
 		query.includeCordoned = true // better a cordoned worker than none
 		return Select(query)
@@ -92,32 +92,32 @@
 		CostUs:          best.costUs,
 		WaitUs:          best.waitUs,
 		FetchFrom:       strings.Join(best.fetchFrom, ","),
-		PreferredWorker: preferred,
+		PreferredWorker: preferredWorker,
 	}
-	query.planSaves(&choice, view)
+	query.planSaveTargets(&choice, view)
 	return choice, true
 }
 
 // cheapest returns the candidate with the lowest cost, and the worker that its deciding entry prefers; nil if
 // there is no candidate.
-func (q *Query) cheapest(view *siteView) (best *candidate, preferred string) {
+func (q *Query) lowestCost(view *selectionView) (best *candidate, preferredWorker string) {
 	affinities := map[uint64]affinity{} // by version of the weights: the entries are the same for all workers of one
 	for _, worker := range q.Workers {
 		entries, ok := q.Entries[worker.Weights]
-		if !ok || q.Tried[worker.Name] || worker.State != updatestream.WorkerUp || q.isCordoned(worker) {
+		if !ok || q.FailedWorkers[worker.Name] || worker.State != updatestream.WorkerUp || q.isCordoned(worker) {
 			continue
 		}
-		current := q.estimateCost(worker, entries, view)
-		bias, ok := affinities[worker.Weights]
+		estimate := q.estimateCost(worker, entries, view)
+		preference, ok := affinities[worker.Weights]
 		if !ok {
-			bias = q.affinityOf(entries, view)
-			affinities[worker.Weights] = bias
+			preference = q.affinityFor(entries, view)
+			affinities[worker.Weights] = preference
 		}
-		if bias.worker != "" && bias.worker != worker.Name {
-			current.costUs += affinityRatio * q.PrefillCurve.At(float64(bias.tokens))
+		if preference.worker != "" && preference.worker != worker.Name {
+			estimate.costUs += affinityPenaltyRatio * q.PrefillCurve.At(float64(preference.tokens))
 		}
-		if best == nil || current.costUs < best.costUs || current.costUs == best.costUs && q.winsTie(worker.Name, best.worker.Name) {
-			best = current
+		if best == nil || estimate.costUs < best.costUs || estimate.costUs == best.costUs && q.ranksFirst(worker.Name, best.worker.Name) {
+			best = estimate
 		}
 	}
 	if best == nil {
@@ -132,12 +132,12 @@
 }
 
 // winsTie ranks two workers of equal cost, differently for each request.
-func (q *Query) winsTie(a, b string) bool {
-	return placement.RankShardWorkers(q.tieKey(), []string{a, b})[0] == a
+func (q *Query) ranksFirst(first, second string) bool {
+	return placement.RankShardWorkers(q.tieBreakKey(), []string{first, second})[0] == first
 }
 
 // tieKey is a key by which workers are ranked for this request alone.
-func (q *Query) tieKey() (key prefix.Key) {
+func (q *Query) tieBreakKey() (key prefix.Key) {
 	copy(key[:], q.ID)
 	return key
 }
@@ -145,20 +145,20 @@
 // usesIndex reports whether the service's mode uses the prompt index.
 func (q *Query) usesIndex() bool { return q.Mode != serviceconfig.PlacementNoIndex }
 
-func (q *Query) newView() *siteView {
-	view := &siteView{holders: q.holders(), addr: map[string]string{}, zone: map[string]string{}, up: []string{}}
+func (q *Query) newSelectionView() *selectionView {
+	view := &selectionView{holders: q.holders(), addr: map[string]string{}, zone: map[string]string{}, upWorkers: []string{}}
 	for _, worker := range q.Workers {
 		view.addr[worker.Name], view.zone[worker.Name] = worker.Addr, worker.Zone
 		if worker.State == updatestream.WorkerUp {
-			view.up = append(view.up, worker.Name)
+			view.upWorkers = append(view.upWorkers, worker.Name)
 			view.meanLoad += q.Load(worker.Name)
 		}
 	}
-	for name, addr := range q.Stores {
+	for name, addr := range q.StoreAddrs {
 		view.addr[name] = addr
 	}
-	if len(view.up) > 0 {
-		view.meanLoad /= float64(len(view.up))
+	if len(view.upWorkers) > 0 {
+		view.meanLoad /= float64(len(view.upWorkers))
 	}
 	return view
 }
@@ -169,9 +169,9 @@
 	if !q.usesIndex() {
 		return holders
 	}
-	for key, found := range q.Found {
+	for key, result := range q.LookupResults {
 		names := map[string]bool{}
-		for _, holder := range found.Holders {
+		for _, holder := range result.Holders {
 			names[holder.Worker] = true
 		}
 		holders[key] = names
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -14,13 +14,13 @@
 
 func testQuery(hot bool, holders map[string]string) Query {
 	entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", 4000), strings.Repeat("q", 40)})
-	query := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: entries}, Found: map[prefix.Key]*wire.LookupResult{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
-		MeanAttemptUs: 100000, Tried: map[string]bool{}, Load: func(string) float64 { return 0 }, Stores: map[string]string{"store": "d:1"}}
+	query := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: entries}, LookupResults: map[prefix.Key]*wire.LookupResult{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
+		MeanAttemptUs: 100000, FailedWorkers: map[string]bool{}, Load: func(string) float64 { return 0 }, StoreAddrs: map[string]string{"store": "d:1"}}
 	found := &wire.LookupResult{Hotness: 5}
 	for name := range holders {
 		found.Holders = append(found.Holders, &wire.Holder{Worker: name, State: 2})
 	}
-	query.Found[entries[0].Key] = found
+	query.LookupResults[entries[0].Key] = found
 	for i := range 4 {
 		query.Workers = append(query.Workers, &wire.Worker{Name: fmt.Sprintf("w%d", i), Addr: fmt.Sprintf("w%d:1", i), Zone: fmt.Sprint(i % 2), Weights: 1, Slots: 2})
 	}
@@ -73,10 +73,10 @@
 	entries := testQuery(false, nil).Entries[1]
 	query := testQuery(false, nil)
 	choice, ok := Select(query)
-	if !ok || choice.Worker.Name != home[0] || choice.Hot || choice.SaveAddrs != "d:1" {
+	if !ok || choice.Worker.Name != home[0] || choice.Replicated || choice.SaveAddrs != "d:1" {
 		t.Fatalf("%+v, shard worker is %s", choice, home[0])
 	}
-	query.Found[entries[0].Key].Hotness = 1
+	query.LookupResults[entries[0].Key].Hotness = 1
 	if choice, _ := Select(query); choice.Worker.Name != home[0] || choice.SaveAddrs != "" {
 		t.Fatalf("used once: %+v", choice)
 	}
@@ -115,7 +115,7 @@
 
 func testReplicatedEntryIsSaved(t *testing.T) {
 	choice, _ := Select(testQuery(true, map[string]string{"w0": ""}))
-	if !choice.Hot || choice.SaveEntries != 1 || len(choice.SaveNames) != 2 || !strings.Contains(choice.SaveAddrs, "d:1") {
+	if !choice.Replicated || choice.SaveEntries != 1 || len(choice.SaveNames) != 2 || !strings.Contains(choice.SaveAddrs, "d:1") {
 		t.Fatalf("%+v", choice)
 	}
 }
@@ -152,14 +152,14 @@
 		entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", test.prefixBytes), strings.Repeat("s", 2000), "question"})
 		query := testQuery(false, nil)
 		query.Entries = map[uint64][]prefix.Entry{1: entries}
-		query.Found = map[prefix.Key]*wire.LookupResult{entries[0].Key: {Hotness: 40}, entries[1].Key: {Hotness: test.hot}}
+		query.LookupResults = map[prefix.Key]*wire.LookupResult{entries[0].Key: {Hotness: 40}, entries[1].Key: {Hotness: test.hot}}
 		query.Placement.AdmissionFloor = test.floor
 		home := placement.RankShardWorkers(entries[0].Key, selectWorkers)[0]
 		if test.want {
 			home = placement.RankShardWorkers(entries[1].Key, selectWorkers)[0]
 		}
-		if choice, _ := Select(query); choice.Session != test.want || choice.Worker.Name != home {
-			t.Errorf("%s: session %v, selected %s, shard worker %s", test.name, choice.Session, choice.Worker.Name, home)
+		if choice, _ := Select(query); choice.SessionPrefix != test.want || choice.Worker.Name != home {
+			t.Errorf("%s: session %v, selected %s, shard worker %s", test.name, choice.SessionPrefix, choice.Worker.Name, home)
 		}
 	}
 }
@@ -178,11 +178,11 @@
 
 func testExcludedWorkers(t *testing.T) {
 	query := testQuery(true, nil)
-	query.Workers[0].Weights, query.Workers[1].State, query.Tried = 2, 1, map[string]bool{"w2": true}
+	query.Workers[0].Weights, query.Workers[1].State, query.FailedWorkers = 2, 1, map[string]bool{"w2": true}
 	if choice, _ := Select(query); choice.Worker.Name != "w3" {
 		t.Fatalf("selected %s", choice.Worker.Name)
 	}
-	query.Tried["w3"] = true
+	query.FailedWorkers["w3"] = true
 	if _, ok := Select(query); ok {
 		t.Fatal("selected a worker")
 	}
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -15,19 +15,19 @@
 // stream passes a worker's answer on to the caller line by line, and verifies each line. It ends with io.EOF
 // only after the worker's seal; any other error aborts the caller's connection visibly.
 type stream struct {
-	proxy     *Proxy
-	id        string // of the request
-	worker    string
-	zone      string // of the worker
-	snapshot  *updatestream.Snapshot
-	startedAt time.Duration
-	cancel    func()
-	release   func() // ends the request; nil while the attempt may still fail
-	body      io.ReadCloser
-	reader    *bufio.Reader
-	verifier  *contract.StreamVerifier
-	line      []byte // verified, not yet read; valid until the next line is read
-	err       error  // that ended the stream; io.EOF after the seal
+	proxy        *Proxy
+	id           string // of the request
+	worker       string
+	zone         string // of the worker
+	snapshot     *updatestream.Snapshot
+	startedAt    time.Duration
+	cancel       func()
+	release      func() // ends the request; nil while the attempt may still fail
+	responseBody io.ReadCloser
+	reader       *bufio.Reader
+	verifier     *contract.StreamVerifier
+	line         []byte // verified, not yet read; valid until the next line is read
+	err          error  // that ended the stream; io.EOF after the seal
 
 	mu    sync.Mutex
 	watch *time.Timer // checks that the worker is still known
@@ -47,8 +47,8 @@
 	case err != nil:
 		return errs.Wrap(err, "read stream")
 	}
-	if fault := s.verifier.Verify(line); fault != "" {
-		return errs.New(errs.Internal, "%s", fault)
+	if violation := s.verifier.Verify(line); violation != "" {
+		return errs.New(errs.Internal, "%s", violation)
 	}
 	s.line = line
 	return nil
@@ -94,22 +94,22 @@
 	s.watch.Stop()
 	s.mu.Unlock()
 	s.cancel()
-	if s.body != nil {
-		s.body.Close()
+	if s.responseBody != nil {
+		s.responseBody.Close()
 	}
 	duration := s.proxy.clock.Now() - s.startedAt
-	var sealed *contract.Chunk
+	var lastChunk *contract.Chunk
 	if s.verifier != nil {
-		sealed = s.verifier.Sealed
+		lastChunk = s.verifier.Sealed
 	}
 	s.proxy.traffic.Send(func(table *trafficTable) {
 		table.endAttempt(s.worker, ok, duration, s.proxy.clock.Now())
-		if sealed != nil && sealed.FetchedTokens > 0 && sealed.FetchUs > 0 {
-			s.proxy.learnBandwidth(table, s.snapshot, sealed, s.zone)
+		if lastChunk != nil && lastChunk.FetchedTokens > 0 && lastChunk.FetchUs > 0 {
+			s.proxy.recordFetch(table, s.snapshot, lastChunk, s.zone)
 		}
 	})
-	if sealed != nil {
-		s.proxy.stats.addSealed(sealed)
+	if lastChunk != nil {
+		s.proxy.stats.addSealedStream(lastChunk)
 	}
 }
 
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -10,16 +10,16 @@
 
 // weightsFor returns the model, adapter and build that answer a request under a configuration. If no route
 // leads there, it is the model that the request names.
-func weightsFor(snapshot *updatestream.Snapshot, ask *caller.Ask) serviceconfig.Target {
-	if target, ok := snapshot.Config.Target(ask.Model, ask.RequestID); ok {
+func targetFor(snapshot *updatestream.Snapshot, body *caller.Ask) serviceconfig.Target {
+	if target, ok := snapshot.Config.Target(body.Model, body.RequestID); ok {
 		return target
 	}
-	return serviceconfig.Target{Model: ask.Model}
+	return serviceconfig.Target{Model: body.Model}
 }
 
 // viewForTarget returns a worker with the version of the target's base model that it has loaded. It is nil if
 // the worker hasn't loaded the base model, or not that build of the adapter, and so can't serve the target.
-func viewForTarget(worker *wire.Worker, target serviceconfig.Target) *wire.Worker {
+func workerForTarget(worker *wire.Worker, target serviceconfig.Target) *wire.Worker {
 	if len(worker.LoadedModels) == 0 {
 		if target.Adapter != "" || worker.Model != "" && worker.Model != target.Model {
 			return nil
@@ -79,32 +79,32 @@
 // prefixEntries returns the prompt's entries under each version of the weights on which an attempt may still
 // start, by version. Which versions those are is decided anew every time. Entries that were computed under
 // the same configuration (known) are used again, because hashing a long prompt takes time.
-func (req *request) prefixEntries(known map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
-	snapshot, ask := req.snapshot, req.ask
+func (req *request) prefixEntries(reusable map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
+	snapshot, body := req.snapshot, req.body
 	entries := map[uint64][]prefix.Entry{}
-	target := weightsFor(snapshot, ask)
+	target := targetFor(snapshot, body)
 	history := snapshot.Weights[target.Model]
-	service := snapshot.Config.Routes[ask.Model].ServiceFor(ask.RequestID)
+	service := snapshot.Config.Routes[body.Model].ServiceFor(body.RequestID)
 	for _, worker := range snapshot.Workers {
 		if worker.Service != service || worker.State == updatestream.WorkerGone {
 			continue
 		}
-		view := viewForTarget(worker, target)
-		if view == nil {
+		workerView := workerForTarget(worker, target)
+		if workerView == nil {
 			continue
 		}
-		weights := view.Weights
+		weights := workerView.Weights
 		if _, done := entries[weights]; done {
 			continue
 		}
 		if weights != history.Version && req.proxy.supersededTimeLeft(history, weights) <= 0 {
 			continue
 		}
-		if chain, ok := known[weights]; ok {
+		if chain, ok := reusable[weights]; ok {
 			entries[weights] = chain
 			continue
 		}
-		entries[weights] = prefixChain(snapshot, target, req.tenant, weights, ask.Parts)
+		entries[weights] = prefixChain(snapshot, target, req.tenant, weights, body.Parts)
 	}
 	return entries
 }
--- a/internal/data/callerproxy/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -34,7 +34,7 @@
 		"an adapter on an unknown worker": {&wire.Worker{}, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
 	} {
 		got := uint64(0)
-		if view := viewForTarget(test.w, test.t); view != nil {
+		if view := workerForTarget(test.w, test.t); view != nil {
 			if got = view.Weights; view.Name != test.w.Name || view.Slots != test.w.Slots || test.w.Model != "" && view.Model != test.t.Model {
 				t.Errorf("%s: %+v", name, view)
 			}
@@ -57,7 +57,7 @@
 	moved := 0
 	for i := range 1000 {
 		q := &caller.Ask{Model: "r", RequestID: string(rune(i + 32))}
-		a, b := weightsFor(snapshot, q), weightsFor(snapshot, q)
+		a, b := targetFor(snapshot, q), targetFor(snapshot, q)
 		if a != b {
 			t.Fatalf("%+v and %+v", a, b)
 		}
@@ -76,7 +76,7 @@
 		}
 		seen[k] = true
 	}
-	if x := weightsFor(snapshot, &caller.Ask{Model: "none"}); x.Model != "none" {
+	if x := targetFor(snapshot, &caller.Ask{Model: "none"}); x.Model != "none" {
 		t.Errorf("%+v", x)
 	}
 }
--- a/internal/data/callerproxy/traffic.go
+++ b/internal/data/callerproxy/traffic.go
@@ -61,7 +61,7 @@
 }
 
 // refusal is why a request isn't admitted, and when it may come again.
-type refusal struct {
+type admissionRejection struct {
 	kind       *errs.Kind
 	reason     string
 	retryAfter time.Duration
@@ -69,18 +69,18 @@
 
 // admit counts a request as in flight; if it may not be, it returns why. A tenant's limits are the site's:
 // each of the live edge nodes has an equal share of them.
-func (t *trafficTable) admit(tenant string, limits serviceconfig.Tenant, maxInFlight, edgeNodes int, now time.Duration) *refusal {
+func (t *trafficTable) admit(tenant string, limits serviceconfig.Tenant, maxInFlight, edgeNodes int, now time.Duration) *admissionRejection {
 	meanAttempt := time.Duration(t.meanAttemptUs) * time.Microsecond
 	if t.inFlight >= maxInFlight {
-		return &refusal{errs.Overloaded, "this proxy has as many requests in flight as it may", meanAttempt}
+		return &admissionRejection{errs.Overloaded, "this proxy has as many requests in flight as it may", meanAttempt}
 	}
 	state := t.tenant(tenant, now)
 	if limits.MaxInFlight > 0 && state.inFlight >= int(retrybudget.PerNode(float64(limits.MaxInFlight), edgeNodes)) {
-		return &refusal{errs.RateLimited, "the tenant has as many requests in flight as its limit allows", meanAttempt}
+		return &admissionRejection{errs.RateLimited, "the tenant has as many requests in flight as its limit allows", meanAttempt}
 	}
 	if rate := limits.RequestsPerSecond / float64(max(1, edgeNodes)); rate > 0 {
 		if wait := state.takeToken(rate, now); wait > 0 {
-			return &refusal{errs.RateLimited, "the tenant's rate is over its limit", wait}
+			return &admissionRejection{errs.RateLimited, "the tenant's rate is over its limit", wait}
 		}
 	}
 	state.inFlight++
@@ -174,17 +174,17 @@
 
 // depositRetryTokens counts a request's first attempt at a service.
 func (t *trafficTable) depositRetryTokens(service string, snapshot *updatestream.Snapshot) {
-	t.retryBudgets.Deposit(service, t.retryNodes(snapshot))
+	t.retryBudgets.Deposit(service, t.retryBudgetNodes(snapshot))
 }
 
 // spendRetryBudget reports whether the service's retry budget covers one more attempt, and spends it if so.
 func (t *trafficTable) spendRetryBudget(service string, snapshot *updatestream.Snapshot) bool {
-	return t.retryBudgets.TryWithdraw(service, t.retryNodes(snapshot))
+	return t.retryBudgets.TryWithdraw(service, t.retryBudgetNodes(snapshot))
 }
 
 // retryNodes is the number of nodes that share the retry budgets. Dead edge nodes count as long as they are
 // remembered: one that is only partitioned still spends its share.
-func (t *trafficTable) retryNodes(snapshot *updatestream.Snapshot) int {
+func (t *trafficTable) retryBudgetNodes(snapshot *updatestream.Snapshot) int {
 	t.maxEdgeNodes = max(t.maxEdgeNodes, countEdgeNodes(snapshot, true))
 	return t.maxEdgeNodes
 }
