--- a/internal/data/callerproxy/freshness_test.go
+++ b/internal/data/callerproxy/freshness_test.go
@@ -16,30 +16,30 @@
 // health check that clock was read, the worker refuses the attempt no later than the instant meant here, and
 // earlier by the duration of the check at most.
 func TestWorkerStartDeadlineHoldsOnAnyClock(t *testing.T) {
-	const until = 100 * time.Second
-	for _, ahead := range []time.Duration{-time.Hour, 0, 90 * time.Hour} {
-		for _, probe := range []time.Duration{0, time.Millisecond, 700 * time.Millisecond} {
-			for _, read := range []time.Duration{0, probe / 2, probe} {
-				asked := 98 * time.Second
-				worker := &wire.Worker{ClockNs: uint64(200*time.Hour + asked + read + ahead), ClockReadAt: uint64(asked + probe)}
-				here := time.Duration(workerStartDeadline(worker, until))*time.Microsecond - 200*time.Hour - ahead
-				if here > until || here < until-probe {
-					t.Errorf("ahead %v, probe %v read after %v: converted deadline is %v here, %v is meant", ahead, probe, read, here, until)
+	const deadline = 100 * time.Second
+	for _, clockOffset := range []time.Duration{-time.Hour, 0, 90 * time.Hour} {
+		for _, probeDuration := range []time.Duration{0, time.Millisecond, 700 * time.Millisecond} {
+			for _, readDelay := range []time.Duration{0, probeDuration / 2, probeDuration} {
+				probeSentAt := 98 * time.Second
+				worker := &wire.Worker{ClockNs: uint64(200*time.Hour + probeSentAt + readDelay + clockOffset), ClockReadAt: uint64(probeSentAt + probeDuration)}
+				converted := time.Duration(workerStartDeadline(worker, deadline))*time.Microsecond - 200*time.Hour - clockOffset
+				if converted > deadline || converted < deadline-probeDuration {
+					t.Errorf("ahead %v, probe %v read after %v: converted deadline is %v here, %v is meant", clockOffset, probeDuration, readDelay, converted, deadline)
 				}
 			}
 		}
 	}
-	if workerStartDeadline(&wire.Worker{}, until) != 0 {
+	if workerStartDeadline(&wire.Worker{}, deadline) != 0 {
 		t.Error("a worker that reports no clock was given a deadline")
 	}
 }
 
 // The deadline is the earliest of the configuration's and that of the worker's superseded weights.
 func TestStartDeadline(t *testing.T) {
-	test := newTestProxy(t, "well")
-	bounds, now := settings.DefaultBounds(), test.clock.Now()
-	test.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: now - bounds.Weights(0.9)}, {Version: 2, ProvenNewestUntil: now}}}}
-	req := &request{proxy: test.proxy, snapshot: test.snapshot, body: &caller.Ask{Model: "m"}}
+	fixture := newProxyFixture(t, "well")
+	bounds, now := settings.DefaultBounds(), fixture.clock.Now()
+	fixture.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: now - bounds.Weights(0.9)}, {Version: 2, ProvenNewestUntil: now}}}}
+	req := &request{proxy: fixture.proxy, snapshot: fixture.snapshot, body: &caller.Ask{Model: "m"}}
 	for weights, want := range map[uint64]time.Duration{
 		1: now + bounds.Weights(0.05),
 		2: now + bounds.Config(0.95),
@@ -50,35 +50,35 @@
 		}
 	}
 	// A queue that is longer than that is waited for here, where the configuration is checked again.
-	test.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 200000 })
-	test.started = func() { t.Error("it was sent to a worker whose queue outlasts its proof") }
-	test.snapshot.ProofAt = now - bounds.Config(0.7)
-	test.snapshot.Workers[0].Weights = 3
-	none, looks := *test.snapshot, 0
-	none.Workers = nil
-	test.proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
-		test.mu.Lock()
-		defer test.mu.Unlock()
-		if looks++; looks > 10 { // the worker leaves while the request waits
-			return &none
+	fixture.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 200000 })
+	fixture.onAttemptStarted = func() { t.Error("it was sent to a worker whose queue outlasts its proof") }
+	fixture.snapshot.ProofAt = now - bounds.Config(0.7)
+	fixture.snapshot.Workers[0].Weights = 3
+	withoutWorkers, snapshotReads := *fixture.snapshot, 0
+	withoutWorkers.Workers = nil
+	fixture.proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
+		fixture.mu.Lock()
+		defer fixture.mu.Unlock()
+		if snapshotReads++; snapshotReads > 10 { // the worker leaves while the request waits
+			return &withoutWorkers
 		}
-		return test.snapshot
+		return fixture.snapshot
 	})
-	if outcome := test.ask("r", true); outcome.Rejected != "not-run" || looks <= 10 {
-		t.Errorf("rejected as %s after %d looks", outcome.Rejected, looks)
+	if outcome := fixture.send("r", true); outcome.Rejected != "not-run" || snapshotReads <= 10 {
+		t.Errorf("rejected as %s after %d looks", outcome.Rejected, snapshotReads)
 	}
 }
 
 // The end of the caller's wait ends the request, whatever the clocks say: a clock that runs a little slower than
 // the timer must not make a waiting request spin.
 func TestExpiredWaitIsAnswered(t *testing.T) {
-	test := newTestProxy(t, "well") // its clock stands still
-	test.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 1000 })
-	test.snapshot.ProofAt = test.clock.Now() - settings.DefaultBounds().Config(0.799)
-	test.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
+	fixture := newProxyFixture(t, "well") // its clock stands still
+	fixture.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 1000 })
+	fixture.snapshot.ProofAt = fixture.clock.Now() - settings.DefaultBounds().Config(0.799)
+	fixture.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
 	request := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Chunks: 5, WaitMs: 60, Once: true}
-	outcome := loadgen.NewClient([]string{test.edge.Listener.Addr().String()}).Send(context.Background(), 0, request)
-	if outcome.Rejected != "not-run" || test.attemptsStarted("r") > 0 {
+	outcome := loadgen.NewClient([]string{fixture.server.Listener.Addr().String()}).Send(context.Background(), 0, request)
+	if outcome.Rejected != "not-run" || fixture.attemptsStarted("r") > 0 {
 		t.Errorf("%s %s", outcome.Rejected, outcome.Message)
 	}
 }
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -12,20 +12,20 @@
 
 var testCurve = placement.Curve{Coefficients: []float64{0, 100}} // 100 µs a token
 
-func testQuery(hot bool, holders map[string]string) Query {
+func testQuery(replicated bool, holders map[string]string) Query {
 	entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", 4000), strings.Repeat("q", 40)})
 	query := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: entries}, LookupResults: map[prefix.Key]*wire.LookupResult{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
 		MeanAttemptUs: 100000, FailedWorkers: map[string]bool{}, Load: func(string) float64 { return 0 }, StoreAddrs: map[string]string{"store": "d:1"}}
-	found := &wire.LookupResult{Hotness: 5}
+	result := &wire.LookupResult{Hotness: 5}
 	for name := range holders {
-		found.Holders = append(found.Holders, &wire.Holder{Worker: name, State: 2})
+		result.Holders = append(result.Holders, &wire.Holder{Worker: name, State: 2})
 	}
-	query.LookupResults[entries[0].Key] = found
+	query.LookupResults[entries[0].Key] = result
 	for i := range 4 {
 		query.Workers = append(query.Workers, &wire.Worker{Name: fmt.Sprintf("w%d", i), Addr: fmt.Sprintf("w%d:1", i), Zone: fmt.Sprint(i % 2), Weights: 1, Slots: 2})
 	}
 	current := &placement.Placement{Mode: "hrcs"}
-	if hot {
+	if replicated {
 		current.Replicated = []string{entries[0].Key.String()}
 	}
 	body := fmt.Sprintf(`{"mode":"hrcs","replicated":["%s"]}`, strings.Join(current.Replicated, ""))
@@ -36,16 +36,16 @@
 	return query
 }
 
-func loadsOf(m map[string]float64) func(string) float64 {
-	return func(n string) float64 { return m[n] }
+func loadFrom(loads map[string]float64) func(string) float64 {
+	return func(worker string) float64 { return loads[worker] }
 }
 
 // selectWorkers are the workers of testQuery.
-var selectWorkers = []string{"w0", "w1", "w2", "w3"}
+var testWorkers = []string{"w0", "w1", "w2", "w3"}
 
 // shardWorkers ranks the workers for the first entry of testQuery.
-func shardWorkers() []string {
-	return placement.RankShardWorkers(testQuery(false, nil).Entries[1][0].Key, selectWorkers)
+func rankedShardWorkers() []string {
+	return placement.RankShardWorkers(testQuery(false, nil).Entries[1][0].Key, testWorkers)
 }
 
 func TestSelect(t *testing.T) {
@@ -69,45 +69,45 @@
 }
 
 func testUncachedEntry(t *testing.T) {
-	home := shardWorkers()
+	ranked := rankedShardWorkers()
 	entries := testQuery(false, nil).Entries[1]
 	query := testQuery(false, nil)
 	choice, ok := Select(query)
-	if !ok || choice.Worker.Name != home[0] || choice.Replicated || choice.SaveAddrs != "d:1" {
-		t.Fatalf("%+v, shard worker is %s", choice, home[0])
+	if !ok || choice.Worker.Name != ranked[0] || choice.Replicated || choice.SaveAddrs != "d:1" {
+		t.Fatalf("%+v, shard worker is %s", choice, ranked[0])
 	}
 	query.LookupResults[entries[0].Key].Hotness = 1
-	if choice, _ := Select(query); choice.Worker.Name != home[0] || choice.SaveAddrs != "" {
+	if choice, _ := Select(query); choice.Worker.Name != ranked[0] || choice.SaveAddrs != "" {
 		t.Fatalf("used once: %+v", choice)
 	}
 }
 
 func testOverloadedShardWorker(t *testing.T) {
-	home := shardWorkers()
+	ranked := rankedShardWorkers()
 	query := testQuery(false, nil)
-	query.Load = loadsOf(map[string]float64{home[0]: 6})
-	if choice, _ := Select(query); choice.Worker.Name != home[1] {
-		t.Fatalf("selected %s, next shard worker is %s", choice.Worker.Name, home[1])
+	query.Load = loadFrom(map[string]float64{ranked[0]: 6})
+	if choice, _ := Select(query); choice.Worker.Name != ranked[1] {
+		t.Fatalf("selected %s, next shard worker is %s", choice.Worker.Name, ranked[1])
 	}
 }
 
 func testHolder(t *testing.T) {
-	home := shardWorkers()
-	query := testQuery(true, map[string]string{home[2]: ""})
-	if choice, _ := Select(query); choice.Worker.Name != home[2] || choice.HitTokens != 1000 {
-		t.Fatalf("selected %s with hit %d, held by %s", choice.Worker.Name, choice.HitTokens, home[2])
+	ranked := rankedShardWorkers()
+	query := testQuery(true, map[string]string{ranked[2]: ""})
+	if choice, _ := Select(query); choice.Worker.Name != ranked[2] || choice.HitTokens != 1000 {
+		t.Fatalf("selected %s with hit %d, held by %s", choice.Worker.Name, choice.HitTokens, ranked[2])
 	}
 }
 
 func testReplicatedEntry(t *testing.T) {
 	holders := map[string]string{}
 	loads := map[string]float64{}
-	for _, n := range selectWorkers {
-		holders[n], loads[n] = "", 2
+	for _, worker := range testWorkers {
+		holders[worker], loads[worker] = "", 2
 	}
 	loads["w2"] = 0
 	query := testQuery(true, holders)
-	query.Load = loadsOf(loads)
+	query.Load = loadFrom(loads)
 	if choice, _ := Select(query); choice.Worker.Name != "w2" {
 		t.Fatalf("selected %s", choice.Worker.Name)
 	}
@@ -122,7 +122,7 @@
 
 func testFetch(t *testing.T) {
 	query := testQuery(true, map[string]string{"w0": ""})
-	query.Load = loadsOf(map[string]float64{"w0": 9})
+	query.Load = loadFrom(map[string]float64{"w0": 9})
 	choice, _ := Select(query) // 1000 tokens: 100 ms to prefill, 20 ms near, 50 ms far
 	if choice.Worker.Name != "w2" || choice.FetchTokens != 1000 || choice.FetchFrom != "0=w0:1" {
 		t.Fatalf("selected %s, fetch %d from %q", choice.Worker.Name, choice.FetchTokens, choice.FetchFrom)
@@ -143,23 +143,23 @@
 
 func testSessionPrefix(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		prefixBytes int
-		hot         float64
-		floor       float64
-		want        bool
+		name            string
+		sharedPartBytes int
+		hotness         float64
+		admissionFloor  float64
+		wantSession     bool
 	}{{"long and hot", 100, 3, 1, true}, {"shorter than the shared part", 3000, 3, 1, false}, {"colder than the coldest cached", 100, 1, 1.2, false}} {
-		entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", test.prefixBytes), strings.Repeat("s", 2000), "question"})
+		entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", test.sharedPartBytes), strings.Repeat("s", 2000), "question"})
 		query := testQuery(false, nil)
 		query.Entries = map[uint64][]prefix.Entry{1: entries}
-		query.LookupResults = map[prefix.Key]*wire.LookupResult{entries[0].Key: {Hotness: 40}, entries[1].Key: {Hotness: test.hot}}
-		query.Placement.AdmissionFloor = test.floor
-		home := placement.RankShardWorkers(entries[0].Key, selectWorkers)[0]
-		if test.want {
-			home = placement.RankShardWorkers(entries[1].Key, selectWorkers)[0]
+		query.LookupResults = map[prefix.Key]*wire.LookupResult{entries[0].Key: {Hotness: 40}, entries[1].Key: {Hotness: test.hotness}}
+		query.Placement.AdmissionFloor = test.admissionFloor
+		wantWorker := placement.RankShardWorkers(entries[0].Key, testWorkers)[0]
+		if test.wantSession {
+			wantWorker = placement.RankShardWorkers(entries[1].Key, testWorkers)[0]
 		}
-		if choice, _ := Select(query); choice.SessionPrefix != test.want || choice.Worker.Name != home {
-			t.Errorf("%s: session %v, selected %s, shard worker %s", test.name, choice.SessionPrefix, choice.Worker.Name, home)
+		if choice, _ := Select(query); choice.SessionPrefix != test.wantSession || choice.Worker.Name != wantWorker {
+			t.Errorf("%s: session %v, selected %s, shard worker %s", test.name, choice.SessionPrefix, choice.Worker.Name, wantWorker)
 		}
 	}
 }
--- a/internal/data/callerproxy/traffic_test.go
+++ b/internal/data/callerproxy/traffic_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	simulatedEdges    = 9
-	tenantRate        = 30.0 // requests per second
-	tenantMaxInFlight = 45
+	simulatedEdgeNodes = 9
+	tenantRate         = 30.0 // requests per second
+	tenantMaxInFlight  = 45
 )
 
 // tenantSimulation is a site whose edge nodes admit one tenant's requests, fail and return.
@@ -20,17 +20,17 @@
 	t          *testing.T
 	seed       uint64
 	random     *rand.Rand
-	tables     [simulatedEdges]*trafficTable
-	isUp       [simulatedEdges]bool
-	inFlight   [simulatedEdges]int
+	tables     [simulatedEdgeNodes]*trafficTable
+	isUp       [simulatedEdgeNodes]bool
+	inFlight   [simulatedEdgeNodes]int
 	live       int           // nodes that are up
-	known      int           // live nodes that the nodes know of
+	knownLive  int           // live nodes that the nodes know of
 	staleUntil time.Duration // until then known may be stale
 	admittedAt []time.Duration
 }
 
 func newTenantSimulation(t *testing.T, seed uint64) *tenantSimulation {
-	sim := &tenantSimulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 3)), live: simulatedEdges, known: simulatedEdges}
+	sim := &tenantSimulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 3)), live: simulatedEdgeNodes, knownLive: simulatedEdgeNodes}
 	for i := range sim.tables {
 		sim.tables[i], sim.isUp[i] = newTrafficTable(settings.DefaultBounds()), true
 	}
@@ -38,8 +38,8 @@
 }
 
 // failOrReturn changes whether a node is up: its requests end, and the others learn of it a second late.
-func (sim *tenantSimulation) failOrReturn(now time.Duration) {
-	i := sim.random.IntN(simulatedEdges)
+func (sim *tenantSimulation) toggleNode(now time.Duration) {
+	i := sim.random.IntN(simulatedEdgeNodes)
 	sim.isUp[i] = !sim.isUp[i]
 	sim.tables[i], sim.inFlight[i] = newTrafficTable(settings.DefaultBounds()), 0
 	sim.live = 0
@@ -54,28 +54,28 @@
 // step has a node admit a request, and perhaps end one.
 func (sim *tenantSimulation) step(now time.Duration) {
 	if sim.random.IntN(300) == 0 {
-		sim.failOrReturn(now)
+		sim.toggleNode(now)
 	}
 	if now >= sim.staleUntil {
-		sim.known = sim.live
+		sim.knownLive = sim.live
 	}
-	i := sim.random.IntN(simulatedEdges)
+	i := sim.random.IntN(simulatedEdgeNodes)
 	if !sim.isUp[i] || sim.live == 0 {
 		return
 	}
 	limits := serviceconfig.Tenant{RequestsPerSecond: tenantRate, MaxInFlight: tenantMaxInFlight}
-	refused := sim.tables[i].admit("t", limits, 256, max(1, sim.known), now)
-	if refused == nil {
+	rejected := sim.tables[i].admit("t", limits, 256, max(1, sim.knownLive), now)
+	if rejected == nil {
 		sim.admittedAt = append(sim.admittedAt, now)
 		sim.inFlight[i]++
-	} else if refused.retryAfter <= 0 {
+	} else if rejected.retryAfter <= 0 {
 		sim.t.Fatal("rejected without a Retry-After")
 	}
 	if sim.random.IntN(2) == 0 && sim.inFlight[i] > 0 {
 		sim.tables[i].endRequest("t")
 		sim.inFlight[i]--
 	}
-	if share := tenantMaxInFlight / max(1, sim.known); sim.inFlight[i] > share && refused == nil {
+	if share := tenantMaxInFlight / max(1, sim.knownLive); sim.inFlight[i] > share && rejected == nil {
 		sim.t.Fatalf("seed %d at %v: admitted as number %d of a node's %d", sim.seed, now, sim.inFlight[i], share)
 	}
 	sim.checkInFlight(now)
@@ -84,8 +84,8 @@
 // checkInFlight checks the site's limit once what was admitted under a stale number of nodes has ended.
 func (sim *tenantSimulation) checkInFlight(now time.Duration) {
 	total := 0
-	for _, n := range sim.inFlight {
-		total += n
+	for _, count := range sim.inFlight {
+		total += count
 	}
 	if now > sim.staleUntil+5*time.Second && total > tenantMaxInFlight {
 		sim.t.Fatalf("seed %d at %v: %d in flight at the site, at most %d", sim.seed, now, total, tenantMaxInFlight)
@@ -102,7 +102,7 @@
 				count++
 			}
 		}
-		if float64(count) > 1.4*(10*tenantRate)+tenantRate+simulatedEdges {
+		if float64(count) > 1.4*(10*tenantRate)+tenantRate+simulatedEdgeNodes {
 			sim.t.Fatalf("seed %d: %d admitted within ten seconds from %v", sim.seed, count, from)
 		}
 	}
@@ -122,10 +122,10 @@
 			t.Fatalf("seed %d: only %d admitted", seed, len(sim.admittedAt))
 		}
 	}
-	single := newTrafficTable(settings.DefaultBounds()) // a single node has the full rate
+	singleNode := newTrafficTable(settings.DefaultBounds()) // a single node has the full rate
 	count := 0
 	for now := time.Second; now < 11*time.Second; now += 10 * time.Millisecond {
-		if refused := single.admit("t", serviceconfig.Tenant{RequestsPerSecond: tenantRate}, 1000, 1, now); refused == nil {
+		if rejected := singleNode.admit("t", serviceconfig.Tenant{RequestsPerSecond: tenantRate}, 1000, 1, now); rejected == nil {
 			count++
 		}
 	}
