--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -1,12 +1,14 @@
-// Package callerproxy is the edge proxy of the product's own caller interface (api/caller.yaml): it accepts
-// requests for an answer, selects a worker by prompt prefixes and load, and streams the worker's answer.
+// Package callerproxy implements the edge proxy for the caller API (api/caller.yaml). It accepts prompts from
+// HTTP clients, selects a worker by cached prompt prefixes and load, and streams the worker's response back.
 //
-// A request passes through Proxy.Answer: admit, claimID (for a once-only request), lookUpPrefixes, and then
-// tryWorker until an attempt has started: resolveRoute, selectWorker, mayStart, startAttempt. A stream that
-// has started is checked line by line; it is never retried.
+// Proxy.Answer handles a request in this order: admit, claimID (at-most-once requests only), queryPromptIndex,
+// and then tryWorker, repeated until an attempt has started or the request fails. Each call of tryWorker runs
+// resolveRoute, selectWorker, mayStart and startAttempt. Once a response stream has started, every line of it
+// is verified, and the request is never retried.
 //
-// Invariants: a request is served under a configuration that was proven newest shortly before; a once-only
-// request starts at most once; and no rejection says that nothing was executed unless that is proven.
+// Invariants: a request is served only under a configuration that was recently confirmed to be the latest; an
+// at-most-once request starts at most once; and a rejection reports a request as not executed only if that is
+// proven.
 package callerproxy
 
 import (
@@ -25,20 +27,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// Queue lengths, in entries.
+// Capacities of the proxy's in-memory queues, in entries.
 const (
-	trafficQueueLength  = 4096 // commands to the traffic table
-	decisionQueueLength = 512  // decisions that weren't reported yet; more are dropped
+	trafficQueueLength  = 4096 // pending commands for the actor that guards the traffic table
+	decisionQueueLength = 512  // routing decisions not yet reported to the node agent; excess ones are dropped
 )
 
 const (
-	// feedWaitRatio of the configuration bound is how long the node agent may hold a call for updates.
+	// longPollRatio is how long the node agent may hold a long poll for updates, as a fraction of Bounds.Config,
+	// the bound on configuration staleness.
 	longPollRatio = 0.1
-	// openCheckRatio of the configuration bound is how often the proxy checks whether it can serve.
+	// readinessCheckRatio is the interval at which a starting proxy checks whether it can serve clients, as a
+	// fraction of Bounds.Config, the bound on configuration staleness.
 	readinessCheckRatio = 0.02
 )
 
-// Proxy is one edge proxy.
+// Proxy is the edge proxy of one node. It implements the server interface generated from api/caller.yaml.
 type Proxy struct {
 	process    *daemon.Process
 	bounds     settings.Bounds
@@ -51,8 +55,8 @@
 	bandwidths bandwidthEstimates
 	stats      stats
 
-	prefillCurve placement.Curve             // where the placement gives none
-	decisions    *queue.Ring[*wire.Decision] // to be reported to the node agent
+	prefillCurve placement.Curve             // prefill time curve used for services without a placement
+	decisions    *queue.Ring[*wire.Decision] // routing decisions waiting to be reported to the node agent
 }
 
 // Start runs the edge proxy until the process stops.
@@ -77,14 +81,15 @@
 	proxy.claims = newClaimer(process, proxy.follower.Snapshot, rpcClients, process.Seed())
 	apiServer, err := caller.NewServer(proxy, caller.WithErrorHandler(handleRequestError))
 	if err != nil {
-		return errs.Wrap(err, "caller API")
+		return errs.Wrap(err, "create caller API server")
 	}
 	process.Go(func() { proxy.serveClients(http.MaxBytesHandler(flushEveryWrite(apiServer), proxy.maxRequestBytes())) })
 	proxy.registerMetrics(process.Meter)
 	return process.Serve(process.Settings.Listen, http.NewServeMux())
 }
 
-// follow follows the configuration and the lists of workers and nodes that the node agent passes on.
+// followNodeAgent starts long-polling the local node agent for the configuration, workers and cluster nodes, and
+// applies each new snapshot.
 func (p *Proxy) followNodeAgent(rpcClients *daemon.Clients) {
 	nodeAgent := func() wire.NodeAgent { return rpcClients.NodeAgent(p.process.Settings.NodeAgent) }
 	onSnapshot := func(snapshot *updatestream.Snapshot) {
@@ -101,13 +106,14 @@
 	})
 }
 
-// maxRequestBytes is the limit of a request's JSON: half as much again as the prompt may have, for escapes.
+// maxRequestBytes returns the size limit of an encoded JSON request: 1.5 times the prompt size limit, to leave
+// room for escape sequences.
 func (p *Proxy) maxRequestBytes() int64 {
 	return int64(p.bounds.MaxBodyKB)<<10 + int64(p.bounds.MaxBodyKB)<<9
 }
 
-// serveCallers listens for callers once there is a fresh configuration with workers. Before that a caller is
-// better off with a refused connection: it tries another edge node at once.
+// serveClients starts the client-facing HTTP listener once the proxy has a fresh configuration with a usable
+// worker. Until then connections are refused, so that clients fail over to another edge node immediately.
 func (p *Proxy) serveClients(handler http.Handler) {
 	ticker := clock.NewTicker(p.bounds.Config(readinessCheckRatio))
 	defer ticker.Stop()
@@ -123,11 +129,11 @@
 		}
 	}
 	if err := p.process.Serve(p.process.Settings.Public, handler); err != nil {
-		p.process.Log.Error("callerproxy: can't serve callers", "error", errs.Text(err))
+		p.process.Log.Error("callerproxy: client-facing HTTP listener failed", "error", errs.Text(err))
 	}
 }
 
-// hasRoutedWorker reports whether any service that a route leads to has a worker that is up.
+// hasRoutedWorker reports whether at least one service that is the target of a route has a worker that is up.
 func hasRoutedWorker(snapshot *updatestream.Snapshot) bool {
 	hasWorker := map[string]bool{}
 	for _, worker := range snapshot.Workers {
@@ -150,7 +156,7 @@
 	}
 }
 
-// countEdgeNodes counts the edge nodes that a snapshot knows; dead ones only if asked for.
+// countEdgeNodes returns the number of edge nodes in a snapshot, with or without those considered dead.
 func countEdgeNodes(snapshot *updatestream.Snapshot, includeDead bool) (count int) {
 	for _, node := range snapshot.Nodes {
 		if node.Role == clustermembership.RoleNodeAgent && (includeDead || node.State < clustermembership.Dead) {
--- a/internal/data/callerproxy/request.go
+++ b/internal/data/callerproxy/request.go
@@ -14,35 +14,37 @@
 )
 
 const (
-	// recheckRatio of the configuration bound is the pause before a request whose attempt can't start yet
-	// is looked at again.
+	// recheckRatio is the delay before a request whose attempt cannot start yet is evaluated again, as a fraction
+	// of Bounds.Config, the bound on configuration staleness.
 	recheckRatio = 0.02
-	// failureRetryRatio of the healing bound is the Retry-After where all attempts have failed.
+	// failedAttemptsRetryAfterRatio is the Retry-After of a request whose attempts have all failed, as a
+	// fraction of Bounds.Heal, the bound on recovery time.
 	failedAttemptsRetryAfterRatio = 1.0 / 24
 )
 
-// request is one request of a caller: what it was admitted under, and what became of its attempts.
+// request is the state of one client request: the configuration that it was admitted under and the outcome of
+// its attempts.
 type request struct {
 	proxy      *Proxy
-	body       *caller.Ask
+	body       *caller.Ask // decoded JSON body
 	tenantKey  string
 	tenant     string
-	atMostOnce bool            // it may be executed only once, whatever the outcome
-	ctx        context.Context // done when the caller's wait is over, or it disconnects
+	atMostOnce bool            // the request must not be executed twice, even if the outcome of an attempt is unknown
+	ctx        context.Context // canceled when waitLimit has elapsed or the client disconnects
 	cancel     context.CancelFunc
-	startedAt  time.Duration
-	waitLimit  time.Duration // from startedAt: how long the caller waits for the first chunk
+	startedAt  time.Duration // when the request arrived, by the process's clock
+	waitLimit  time.Duration // time limit of the request from startedAt: the client's wait_ms, capped by the configuration
 
-	snapshot             *updatestream.Snapshot // checked again right before each attempt starts
-	entries              map[uint64][]prefix.Entry
+	snapshot             *updatestream.Snapshot    // configuration and workers; its freshness is checked again right before each attempt
+	entries              map[uint64][]prefix.Entry // prefix entries of the prompt, by version of the weights
 	lookupResults        map[prefix.Key]*wire.LookupResult
-	failedWorkers        map[string]bool // workers of failed attempts, by name
-	retryTokensDeposited bool            // its first attempt was counted for the retry budget
-	claimNonce           uint64          // of its claim; 0: none
+	failedWorkers        map[string]bool // names of workers at which an attempt of this request has failed
+	retryTokensDeposited bool            // the first attempt has been credited to the retry budget
+	claimNonce           uint64          // nonce of the claim on the request ID; 0 if there is no claim
 	mayHaveExecuted      bool
 }
 
-// Answer answers one request; see the package's comment.
+// Answer handles a client's request for a streamed model response. The package comment describes the steps.
 //
 // Example: POST /v1/answers {"request_id": "r1", "model": "lector", "parts": ["…"], "wait_ms": 8000}
 func (p *Proxy) Answer(ctx context.Context, body *caller.Ask, params caller.AnswerParams) (*caller.AnswerOKHeaders, error) {
@@ -73,8 +75,8 @@
 	}
 }
 
-// release ends the request. Its claim is released only if it is proven that nothing was executed: then the
-// caller may send the ID again.
+// release ends the request and stops counting it as in flight. The claim on its ID is released only if the
+// request is proven not to have been executed; the client may then send the same ID again.
 func (req *request) release() {
 	req.cancel()
 	req.proxy.traffic.Send(func(table *trafficTable) { table.endRequest(req.tenant) })
@@ -83,14 +85,14 @@
 	}
 }
 
-// lookUpPrefixes asks the prompt index who holds the prompt's prefixes.
+// queryPromptIndex computes the prompt's prefix entries and asks the prompt index which workers hold them.
 func (req *request) queryPromptIndex() {
 	req.entries = req.prefixEntries(nil)
 	req.lookupResults = req.proxy.index.lookup(req.ctx, entryKeys(req.entries))
 }
 
-// tryWorker makes one attempt. It returns a stream that has started, or the request's final error; if
-// neither, it may be called again.
+// tryWorker makes one attempt to run the request on a worker. It returns the response stream if the attempt has
+// started, or the request's final error. If both are nil, Answer calls it again.
 func (req *request) tryWorker() (*stream, error) {
 	proxy := req.proxy
 	service, err := req.resolveRoute()
@@ -116,11 +118,12 @@
 		return started, nil
 	}
 	req.failedWorkers[worker.Name] = true
-	proxy.process.Log.Debug("callerproxy: attempt failed", "request", req.body.RequestID, "worker", worker.Name, "not_executed", notExecuted, "error", err)
+	proxy.process.Log.Debug("callerproxy: attempt to run a request on a worker failed", "request", req.body.RequestID, "worker", worker.Name, "not_executed", notExecuted, "error", err)
 	return nil, req.retryOrFail(service, worker.Name, notExecuted, err)
 }
 
-// resolveRoute takes over a newer configuration, and finds the service that the request is routed to.
+// resolveRoute returns the service that the request is routed to. If the configuration has a new version, the
+// request switches to it first: the tenant key is checked again, and the prompt index is queried again.
 func (req *request) resolveRoute() (service string, err error) {
 	id := req.body.RequestID
 	latest, err := req.proxy.freshSnapshot(id)
@@ -129,32 +132,33 @@
 	}
 	if latest.ConfigVersion != req.snapshot.ConfigVersion {
 		if req.snapshot = latest; !latest.Config.KeyBelongsTo(req.tenantKey, req.tenant) {
-			return "", reject(errs.BadKey, id, 0, "the key was revoked")
+			return "", reject(errs.BadKey, id, 0, "tenant key was revoked while the request was being processed")
 		}
 		req.queryPromptIndex()
 	}
 	config := req.snapshot.Config
 	route, ok := config.Routes[req.body.Model]
 	if !ok {
-		return "", reject(errs.NoSuchModel, id, 0, "no route leads to model %q", req.body.Model)
+		return "", reject(errs.NoSuchModel, id, 0, "no route is configured for model %q", req.body.Model)
 	}
 	if target := targetFor(req.snapshot, req.body); !config.Allows(target.Adapter, req.tenant) {
-		return "", reject(errs.NoSuchModel, id, 0, "adapter %q isn't for tenant %s", target.Adapter, req.tenant)
+		return "", reject(errs.NoSuchModel, id, 0, "adapter %q is not available to tenant %s", target.Adapter, req.tenant)
 	}
 	return route.ServiceFor(id), nil
 }
 
-// mayStart reports whether an attempt may start now: within the caller's wait, the deadline and the newest
-// configuration. If not, and without an error, the request is looked at again after the pause.
+// mayStart reports whether an attempt may be sent now: within the client's time limit, before the worker's start
+// deadline, and under the latest configuration. If it returns neither true nor an error, tryWorker sleeps for the
+// returned pause, and a worker is selected anew.
 func (req *request) mayStart(choice Choice, service string, deadline time.Duration) (ready bool, pause time.Duration, err error) {
 	p, queued := req.proxy, time.Duration(choice.WaitUs)*time.Microsecond
 	if req.timeRemaining() <= 0 || req.ctx.Err() != nil {
-		return false, 0, reject(errs.NotExecuted, req.body.RequestID, 0, "the wait was over before an attempt could start")
+		return false, 0, reject(errs.NotExecuted, req.body.RequestID, 0, "the request's time limit was reached before an attempt could start")
 	}
 	if queued > req.timeRemaining() {
-		return false, 0, reject(errs.Overloaded, req.body.RequestID, queued, "a slot is free in %.0f ms, after the wait is over", choice.WaitUs/1000)
+		return false, 0, reject(errs.Overloaded, req.body.RequestID, queued, "expected queueing time of %.0f ms exceeds the request's remaining time", choice.WaitUs/1000)
 	}
-	if p.clock.Now()+queued > deadline { // the request waits here, where its configuration is checked again
+	if p.clock.Now()+queued > deadline { // wait in the proxy rather than in the worker's queue, so that the configuration is checked again
 		return false, p.bounds.Config(recheckRatio), nil
 	}
 	if !req.retryTokensDeposited {
@@ -164,12 +168,13 @@
 	return p.isCurrent(req.snapshot), 0, nil
 }
 
-// timeRemaining is how much of the caller's wait remains.
+// timeRemaining returns the part of the request's time limit that is left; it is negative once the limit has
+// passed.
 func (req *request) timeRemaining() time.Duration {
 	return req.waitLimit - (req.proxy.clock.Now() - req.startedAt)
 }
 
-// retryOrFail returns nil if another attempt may follow a failed one, and else the request's final error.
+// retryOrFail decides what follows a failed attempt: nil if the request may be retried, else its final error.
 func (req *request) retryOrFail(service, worker string, notExecuted bool, err error) error {
 	p, id := req.proxy, req.body.RequestID
 	retry, expired := false, req.ctx.Err() != nil
@@ -181,9 +186,9 @@
 		p.stats.retries.Add(1)
 		return nil
 	case !req.mayHaveExecuted || !expired && !req.atMostOnce:
-		return reject(errs.NotExecuted, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "worker %s: %v", worker, err)
+		return reject(errs.NotExecuted, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "attempt on worker %s failed: %v", worker, err)
 	case req.atMostOnce:
-		return reject(errs.MayHaveExecuted, id, 0, "worker %s: %v", worker, err)
+		return reject(errs.MayHaveExecuted, id, 0, "attempt on worker %s failed: %v", worker, err)
 	}
-	return reject(errs.DeadlineExceeded, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "worker %s didn't begin in time", worker)
+	return reject(errs.DeadlineExceeded, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "worker %s did not start the response within the request's time limit", worker)
 }
