--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -13,20 +13,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// Ratios of the bound on leaving workers (Bounds.Leave).
+// Intervals and pauses as fractions of Bounds.Leave, the time within which a departed worker stops receiving
+// requests.
 const (
-	watchIntervalRatio      = 0.2 // how often an attempt checks that its worker is still known
-	failedWorkerPauseRatio  = 0.3 // for how long a worker gets no attempt after a failed one: until its next health check
-	noWorkerRetryAfterRatio = 0.3 // Retry-After if no worker can be selected
+	watchIntervalRatio      = 0.2 // interval at which a running attempt checks that its worker still exists
+	failedWorkerPauseRatio  = 0.3 // how long a worker gets no further attempt after a failed one: until its next health check
+	noWorkerRetryAfterRatio = 0.3 // Retry-After of a request for which no worker can be selected
 )
 
-// defaultAnswerChunks is how many chunks an answer has if the caller names no number.
+// defaultAnswerChunks is the number of response chunks to generate if the request does not specify it.
 const defaultAnswerChunks = 16
 
-// kindStore is the kind of a worker that only stores prefixes.
+// kindStore is the kind of a cache store: it is listed as a worker, but only stores KV cache prefixes.
 const kindStore = "store"
 
-// selectWorker selects the worker of the next attempt, and counts the attempt there.
+// selectWorker selects a worker for the next attempt and counts the attempt in that worker's load.
 func (req *request) selectWorker(service string) (Choice, error) {
 	p := req.proxy
 	query := req.newQuery(service)
@@ -40,12 +41,13 @@
 		}
 	})
 	if !selected {
-		return choice, reject(errs.NotExecuted, req.body.RequestID, p.bounds.Leave(noWorkerRetryAfterRatio), "no worker of service %s can accept it now", service)
+		return choice, reject(errs.NotExecuted, req.body.RequestID, p.bounds.Leave(noWorkerRetryAfterRatio), "no worker of service %s can currently accept the request", service)
 	}
 	return choice, nil
 }
 
-// newQuery is the query for the request's next worker, without what the traffic table knows.
+// newQuery builds the worker selection query of the next attempt. The load and the mean duration of attempts are
+// missing; trafficTable.addLoads fills them in.
 func (req *request) newQuery(service string) Query {
 	p, snapshot := req.proxy, req.snapshot
 	target := targetFor(snapshot, req.body)
@@ -77,8 +79,8 @@
 	return query
 }
 
-// addLoads adds the load of the workers to a query, and takes out those that have failed an attempt of this
-// node less than failurePause ago.
+// addLoads adds the workers' loads to a query and removes workers that failed an attempt from this node less than
+// failurePause ago. The load is the larger of the reported load and this node's own attempts.
 func (t *trafficTable) addLoads(query *Query, now, failurePause time.Duration) {
 	query.MeanAttemptUs = t.meanAttemptUs
 	var healthy []*wire.Worker
@@ -98,6 +100,7 @@
 	query.Load = func(name string) float64 { return loads[name] }
 }
 
+// placementMode returns the placement mode that the configuration sets for a service, or the default mode.
 func placementMode(config *serviceconfig.Config, service string) string {
 	if mode := config.Services[service].Placement; mode != "" {
 		return mode
@@ -105,8 +108,8 @@
 	return serviceconfig.PlacementHRCS
 }
 
-// startAttempt starts an attempt and waits for its first line. If it fails, notExecuted says whether it is
-// proven that the attempt never started.
+// startAttempt sends the request to the chosen worker and waits for the first line of the response. If that fails,
+// notExecuted reports whether the worker is proven not to have executed the request.
 func (req *request) startAttempt(service string, choice Choice, deadline time.Duration) (started *stream, notExecuted bool, err error) {
 	proxy, worker := req.proxy, choice.Worker
 	remaining := req.timeRemaining()
@@ -137,6 +140,7 @@
 	return newStream, false, nil
 }
 
+// startRequest builds the request that asks a worker to start an attempt.
 func (req *request) startRequest(worker *wire.Worker, remaining, deadline time.Duration) contract.StartRequest {
 	body, target := req.body, targetFor(req.snapshot, req.body)
 	return contract.StartRequest{
@@ -156,7 +160,8 @@
 	}
 }
 
-// hints are the header fields that name where the worker fetches prefixes from and where it saves them.
+// headers returns the HTTP headers that tell the worker where to fetch cached prefixes from and where to copy
+// them to.
 func (c *Choice) headers() map[string]string {
 	headers := map[string]string{}
 	if c.FetchFrom != "" {
@@ -168,7 +173,8 @@
 	return headers
 }
 
-// watchWorker cancels an attempt whose worker is gone, without waiting for a time-out.
+// watchWorker cancels an attempt as soon as its worker is no longer listed, instead of waiting for a timeout. It
+// reschedules itself while the worker exists.
 func (p *Proxy) watchWorker(s *stream, worker *wire.Worker, cancel func()) {
 	for _, known := range p.follower.Snapshot().Workers {
 		if isSameWorker(known, worker) && known.State != updatestream.WorkerGone {
@@ -179,8 +185,8 @@
 	cancel()
 }
 
-// isSameWorker reports whether a known worker is the one that an attempt was started at, in the same
-// incarnation if that was known.
+// isSameWorker reports whether a listed worker is the one that an attempt was sent to. The incarnation has to
+// match only if it was known when the attempt started.
 func isSameWorker(known, started *wire.Worker) bool {
 	return known.Name == started.Name && known.Addr == started.Addr &&
 		(started.Incarnation == "" || known.Incarnation == started.Incarnation)
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -12,40 +12,41 @@
 	"pebbleloom/internal/errs"
 )
 
-// stream passes a worker's answer on to the caller line by line, and verifies each line. It ends with io.EOF
-// only after the worker's seal; any other error aborts the caller's connection visibly.
+// stream is the response body sent to the client. It forwards the worker's response line by line and verifies each
+// line. Read returns io.EOF only after the worker's seal (the checksum in the last chunk). Any other error aborts the
+// client's connection, so that the client notices the incomplete response.
 type stream struct {
 	proxy        *Proxy
-	id           string // of the request
-	worker       string
-	zone         string // of the worker
+	id           string // ID of the request
+	worker       string // name of the worker
+	zone         string // zone of the worker
 	snapshot     *updatestream.Snapshot
 	startedAt    time.Duration
-	cancel       func()
-	release      func() // ends the request; nil while the attempt may still fail
+	cancel       func() // cancels the call to the worker
+	release      func() // ends the request (request.release); nil until the attempt counts as started
 	responseBody io.ReadCloser
 	reader       *bufio.Reader
 	verifier     *contract.StreamVerifier
-	line         []byte // verified, not yet read; valid until the next line is read
-	err          error  // that ended the stream; io.EOF after the seal
+	line         []byte // verified bytes that Read has not returned yet; valid until the next readLine
+	err          error  // error that ended the response stream; io.EOF after the worker's seal
 
 	mu    sync.Mutex
-	watch *time.Timer // checks that the worker is still known
-	ended bool
+	watch *time.Timer // timer of the next check that the worker still exists
+	ended bool        // finish was called: no further check is scheduled
 }
 
-// readLine reads and verifies the next line.
+// readLine reads the next line of the worker's response and verifies it. It returns io.EOF only after the seal.
 func (s *stream) readLine() error {
 	line, err := s.reader.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return errs.New(errs.Internal, "a line longer than %d bytes", contract.MaxLineBytes)
+		return errs.New(errs.Internal, "response line from the worker exceeds %d bytes", contract.MaxLineBytes)
 	case errors.Is(err, io.EOF) && len(line) == 0 && s.verifier.Sealed != nil:
 		return io.EOF
 	case errors.Is(err, io.EOF):
-		return errs.New(errs.Internal, "the stream ended without its seal")
+		return errs.New(errs.Internal, "response stream from the worker was truncated: it ended without a complete seal line")
 	case err != nil:
-		return errs.Wrap(err, "read stream")
+		return errs.Wrap(err, "read response stream from the worker")
 	}
 	if violation := s.verifier.Verify(line); violation != "" {
 		return errs.New(errs.Internal, "%s", violation)
@@ -54,7 +55,8 @@
 	return nil
 }
 
-// Read returns at most one line at a time, so that each is flushed as it comes.
+// Read implements io.Reader. It returns at most one line at a time, so that each line is flushed to the client as
+// soon as it is verified.
 //
 // Example: n, err := s.Read(buffer)
 func (s *stream) Read(p []byte) (int, error) {
@@ -71,23 +73,24 @@
 	return n, nil
 }
 
-// Close ends the attempt and the request. If the caller has disconnected, the worker's side is canceled.
+// Close ends the attempt and the request. If the response is incomplete, for example because the client has
+// disconnected, the call to the worker is canceled.
 //
 // Example: defer s.Close()
 func (s *stream) Close() error {
 	interrupted := s.err != nil && !errors.Is(s.err, io.EOF)
 	if interrupted {
 		s.proxy.stats.interrupted.Add(1)
-		s.proxy.process.Log.Warn("callerproxy: stream interrupted", "request", s.id, "worker", s.worker, "error", s.err)
+		s.proxy.process.Log.Warn("callerproxy: response stream from a worker was interrupted or invalid", "request", s.id, "worker", s.worker, "error", s.err)
 	}
-	s.finish(!interrupted) // a caller that disconnects is no failure of the worker
+	s.finish(!interrupted) // a client that disconnects does not count as a failure of the worker
 	if s.release != nil {
 		s.release()
 	}
 	return nil
 }
 
-// finish ends the attempt; ok says that the worker didn't fail it.
+// finish ends the attempt and records its result; ok reports whether the worker did not fail it.
 func (s *stream) finish(ok bool) {
 	s.mu.Lock()
 	s.ended = true
@@ -113,7 +116,7 @@
 	}
 }
 
-// rescheduleWatch has the worker checked again after an interval, unless the attempt has ended.
+// rescheduleWatch schedules the next check that the attempt's worker still exists, unless the attempt has ended.
 func (s *stream) rescheduleWatch(interval time.Duration, check func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
