--- a/internal/data/callerproxy/admission.go
+++ b/internal/data/callerproxy/admission.go
@@ -8,10 +8,12 @@
 	"pebbleloom/internal/errs"
 )
 
-// claimRetryRatio of the healing bound is the Retry-After where a request's ID can't be claimed.
+// claimRetryAfterRatio is the Retry-After of a request whose ID cannot be claimed, as a fraction of Bounds.Heal, the
+// bound on recovery time.
 const claimRetryAfterRatio = 1.0 / 12
 
-// admit admits a request under the newest configuration, or rejects it.
+// admit checks a request against the latest configuration and the tenant's limits, and counts it as in flight. The
+// error is the request's rejection.
 func (p *Proxy) admit(ctx context.Context, body *caller.Ask, params caller.AnswerParams) (*request, error) {
 	req := &request{proxy: p, body: body, tenantKey: params.XTenantKey, atMostOnce: body.Once.Or(false), startedAt: p.clock.Now(), failedWorkers: map[string]bool{}}
 	var err error
@@ -24,11 +26,11 @@
 		req.waitLimit = min(req.waitLimit, time.Duration(config.MaxWaitMs)*time.Millisecond)
 	}
 	if size, limit := promptBytes(body), p.bounds.MaxBodyKB<<10; size > limit {
-		return nil, reject(errs.TooLarge, body.RequestID, 0, "parts: %d bytes, at most %d", size, limit)
+		return nil, reject(errs.TooLarge, body.RequestID, 0, "prompt parts: %d bytes in total, at most %d are allowed", size, limit)
 	}
 	tenant, limits, ok := config.Tenant(req.tenantKey)
 	if !ok {
-		return nil, reject(errs.BadKey, body.RequestID, 0, "the key is not in force")
+		return nil, reject(errs.BadKey, body.RequestID, 0, "tenant key is not in the current configuration")
 	}
 	req.tenant = tenant
 	var rejected *admissionRejection
@@ -42,6 +44,7 @@
 	return req, nil
 }
 
+// promptBytes returns the total size of the prompt's parts in bytes.
 func promptBytes(body *caller.Ask) (size int) {
 	for _, part := range body.Parts {
 		size += len(part)
@@ -49,7 +52,7 @@
 	return size
 }
 
-// claimID claims the ID of a once-only request before anything starts.
+// claimID claims the ID of an at-most-once request before its first attempt. It does nothing for other requests.
 func (req *request) claimID() error {
 	if !req.atMostOnce {
 		return nil
@@ -57,11 +60,11 @@
 	id := req.body.RequestID
 	nonce, granted, err := req.proxy.claims.acquire(req.ctx, claimKey(req.tenant, id))
 	if err != nil {
-		req.claimNonce = nonce // it may have been granted
-		return reject(errs.NotExecuted, id, req.proxy.bounds.Heal(claimRetryAfterRatio), "its ID can't be claimed now: %v", err)
+		req.claimNonce = nonce // the claim may have been granted, so release has to give it up
+		return reject(errs.NotExecuted, id, req.proxy.bounds.Heal(claimRetryAfterRatio), "cannot claim the ID of the at-most-once request: %v", err)
 	}
 	if !granted {
-		return reject(errs.MayHaveExecuted, id, 0, "a once-only request with this ID was accepted before")
+		return reject(errs.MayHaveExecuted, id, 0, "an at-most-once request with the same ID was accepted earlier")
 	}
 	req.claimNonce = nonce
 	return nil
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -17,25 +17,27 @@
 )
 
 const (
-	// claimTimeoutRatio of the healing bound is how long a command with claims may take.
+	// claimTimeoutRatio is the timeout of a control state command with claims, as a fraction of Bounds.Heal,
+	// the bound on recovery time.
 	claimTimeoutRatio = 1.0 / 6
-	// maxClaimsPerCommand bounds the claims that are sent to a shard in one command.
+	// maxClaimsPerCommand is the maximum number of claims sent to a control state shard in one command.
 	maxClaimsPerCommand = 256
-	// onceIDBytes is the length of the hash by which a shard remembers a once-only request.
+	// claimKeyBytes is the length of the truncated hash under which a shard stores an at-most-once request ID.
 	claimKeyBytes = 16
 )
 
-// onceClaims claims the IDs of once-only requests.
+// idClaims acquires and releases exclusive claims on the IDs of at-most-once requests.
 type idClaims interface {
-	// acquire claims an ID, with a nonce of its own. After an error the claim may have been granted: the
-	// request must not start, and the claim should be released.
+	// acquire claims a request ID by its claimKey, under a new nonce. After an error the claim may have been
+	// granted nevertheless: the request must not start, and the claim should be released.
 	acquire(ctx context.Context, key []byte) (nonce uint64, granted bool, err error)
-	// release gives up a claim; its request was proven not to have been executed.
+	// release gives up the claim on an ID whose request is proven not to have been executed.
 	release(key []byte, nonce uint64)
 }
 
-// claimer claims IDs at the control state before anything starts, so that one ID can't be executed through
-// two proxies. The IDs are spread over the shards; the claims that wait for a shard go into one command.
+// claimer claims request IDs in the control state before an attempt starts, so that the same ID cannot be
+// executed through two proxies. IDs are distributed over the control state's shards, and pending claims of a
+// shard are batched into one command.
 type claimer struct {
 	control   *controlclient.Client
 	queues    [controlclient.ShardCount]*queue.Ring[pendingClaim]
@@ -43,24 +45,27 @@
 	timeout   time.Duration
 }
 
+// pendingClaim is a claim or a release that waits to be sent to its control state shard.
 type pendingClaim struct {
 	claim  *wire.Claim
-	result chan claimResult // nil: nobody waits
+	result chan claimResult // receives the outcome; nil for a release, which nobody waits for
 }
 
+// claimResult is the outcome of one claim; granted is valid only if err is nil.
 type claimResult struct {
 	granted bool
 	err     error
 }
 
-// onceID is the ID by which the control state remembers a tenant's request.
+// claimKey returns the key under which the control state stores a claimed request ID: a truncated hash of the
+// tenant and the ID.
 func claimKey(tenant, request string) []byte {
 	sum := sha256.Sum256([]byte(tenant + "\x00" + request))
 	return sum[:claimKeyBytes]
 }
 
-// newClaimer starts a claimer. The seed has to be above all nonces of earlier incarnations of this process: a
-// nonce is never used twice.
+// newClaimer creates a claimer and starts one sender goroutine per control state shard. A nonce must never be
+// reused, so the seed has to be greater than every nonce of earlier incarnations of this process.
 func newClaimer(process *daemon.Process, snapshot func() *updatestream.Snapshot, rpcClients *daemon.Clients, seed uint64) *claimer {
 	view := func() clustermembership.View {
 		if current := snapshot(); current != nil {
@@ -78,11 +83,12 @@
 	return c
 }
 
+// acquire queues a claim for its control state shard and waits for the result.
 func (c *claimer) acquire(ctx context.Context, key []byte) (nonce uint64, granted bool, err error) {
 	nonce = c.lastNonce.Add(1)
 	result := make(chan claimResult, 1)
 	if !c.queueFor(key).Offer(pendingClaim{&wire.Claim{Id: key, Nonce: nonce}, result}) {
-		return nonce, false, errs.New(errs.Overloaded, "too many claims wait")
+		return nonce, false, errs.New(errs.Overloaded, "request ID claim not queued: too many claims are pending")
 	}
 	select {
 	case claimed := <-result:
@@ -92,17 +98,19 @@
 	}
 }
 
-// release doesn't wait. If the queue is full, the ID stays claimed, which is safe.
+// release queues the release of a claim without waiting for it. If the queue is full, the ID stays claimed.
+// That is safe, because it only keeps the client from sending the same ID again.
 func (c *claimer) release(key []byte, nonce uint64) {
 	c.queueFor(key).Offer(pendingClaim{claim: &wire.Claim{Id: key, Nonce: nonce, Release: true}})
 }
 
-// queueOf is the queue of an ID's shard. Shard 0 holds no claims.
+// queueFor returns the queue of the control state shard that stores a claim key. Shard 0 stores no claims.
 func (c *claimer) queueFor(key []byte) *queue.Ring[pendingClaim] {
 	return c.queues[1+binary.LittleEndian.Uint64(key)%(controlclient.ShardCount-1)]
 }
 
-// runShard sends one shard's claims, one command at a time; those that come meanwhile join the next.
+// sendShardClaims sends the queued claims of one control state shard, one command at a time. Claims that are queued
+// while a command is in progress go into the next one.
 func (c *claimer) sendShardClaims(ctx context.Context, shard uint32) {
 	for {
 		select {
@@ -116,7 +124,8 @@
 	}
 }
 
-// send sends claims in one command. The response has a result for each of them if there is no error.
+// send submits a batch of claims in one control state command. Without an error, the response has one result for
+// each claim.
 func (c *claimer) send(ctx context.Context, shard uint32, batch []pendingClaim) (*wire.ChangeResponse, error) {
 	claims := &wire.Claims{}
 	for _, pending := range batch {
@@ -127,19 +136,19 @@
 	command := &wire.Command{Kind: &wire.Command_Claims{Claims: claims}}
 	response, err := c.control.Change(ctx, &wire.ChangeRequest{Shard: shard, Command: command})
 	if err == nil && len(response.Granted) != len(batch) {
-		err = errs.New(errs.Internal, "%d claims, %d results", len(batch), len(response.Granted))
+		err = errs.New(errs.Internal, "sent %d request ID claims to the control state, got %d results", len(batch), len(response.Granted))
 	}
 	return response, err
 }
 
-// deliver passes each claim's result on to the request that waits for it.
+// deliverResults passes the result of each claim in a batch to the request that waits for it.
 func deliverResults(batch []pendingClaim, response *wire.ChangeResponse, err error) {
 	for i, pending := range batch {
 		result := claimResult{err: err}
 		if err == nil {
 			result.granted = response.Granted[i]
 			if i < len(response.Full) && response.Full[i] {
-				result.err = errs.New(errs.Overloaded, "the shard remembers as many once-only IDs as it may")
+				result.err = errs.New(errs.Overloaded, "control state shard has reached its limit of stored at-most-once request IDs")
 			}
 		}
 		if pending.result != nil {
