--- a/internal/data/callerproxy/traffic.go
+++ b/internal/data/callerproxy/traffic.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// maxTenants is the number of tenants at which those without a request in flight are forgotten. A
-	// tenant that is forgotten starts again with one token of its rate.
+	// maxTenants is the number of tracked tenants at which the state of all tenants without a request in flight
+	// is discarded. A tenant whose state was discarded starts again with one rate limit token.
 	maxTenants = 4096
-	// maxWorkers is the number of workers above which all are forgotten, with their attempts in flight and
-	// failures; the load that they report themselves still counts.
+	// maxWorkers is the number of tracked workers above which the state of all workers is discarded, including
+	// their attempts in flight and recent failures. The load that workers report themselves still counts.
 	maxWorkers = 2048
-	// initialAttemptUs is the mean duration of an attempt before one has ended, in microseconds.
+	// initialAttemptUs is the assumed mean duration of an attempt until one has succeeded, in microseconds.
 	initialAttemptUs = 100000
-	// attemptSmoothing is the weight of a new duration in the moving average.
+	// attemptSmoothing is the weight of a new sample in the exponential moving average of attempt durations.
 	attemptSmoothing = 0.05
 )
 
-// trafficTable is what this node has in flight, by tenant and by worker, and what its attempts have shown
-// since the last report. The Proxy's actor guards it.
+// trafficTable tracks this node's requests in flight by tenant, its attempts by worker, and the results of attempts
+// that have not been reported to the node agent yet. It is accessed only through the actor Proxy.traffic.
 type trafficTable struct {
-	inFlight      int // requests
+	inFlight      int // requests in flight on this node
 	tenants       map[string]*tenantState
 	workers       map[string]*workerState
 	retryBudgets  *retrybudget.ByService
-	meanAttemptUs float64                        // moving average of successful attempts
-	reports       map[string]*wire.AttemptReport // by worker, or by class of links
-	maxEdgeNodes  int                            // the most edge nodes seen by this process
+	meanAttemptUs float64                        // exponential moving average of the duration of successful attempts, in microseconds
+	reports       map[string]*wire.AttemptReport // unreported results, by worker name or "link/" and the link class
+	maxEdgeNodes  int                            // largest number of edge nodes that this process has seen
 }
 
-// tenantState is one tenant's token bucket and requests in flight.
+// tenantState holds the rate limit token bucket and the number of requests in flight of one tenant on this node.
 type tenantState struct {
-	inFlight   int
-	tokens     float64 // requests that may start now; one node's share of the tenant's rate refills it
-	refilledAt time.Duration
+	inFlight   int           // requests of the tenant in flight on this node
+	tokens     float64       // requests that may start now; refilled at this node's share of the tenant's rate
+	refilledAt time.Duration // when tokens was last updated
 }
 
-// workerState is what this node knows of a worker by its own attempts.
+// workerState is a worker's load and latest failure as observed by this node's own attempts.
 type workerState struct {
-	attempts int           // in flight or waiting
-	failedAt time.Duration // instant of the last failed attempt; 0: none
+	attempts int           // number of attempts of this node in flight or waiting at the worker
+	failedAt time.Duration // when the last attempt failed; 0 if none has
 }
 
 func newTrafficTable(bounds settings.Bounds) *trafficTable {
@@ -60,27 +60,27 @@
 	}
 }
 
-// refusal is why a request isn't admitted, and when it may come again.
+// admissionRejection is the reason why a request is not admitted, and the time after which it may be retried.
 type admissionRejection struct {
 	kind       *errs.Kind
 	reason     string
 	retryAfter time.Duration
 }
 
-// admit counts a request as in flight; if it may not be, it returns why. A tenant's limits are the site's:
-// each of the live edge nodes has an equal share of them.
+// admit counts a request as in flight and returns nil, or returns the reason why the request is rejected. A tenant's
+// limits apply to the whole site: each live edge node enforces an equal share of them.
 func (t *trafficTable) admit(tenant string, limits serviceconfig.Tenant, maxInFlight, edgeNodes int, now time.Duration) *admissionRejection {
 	meanAttempt := time.Duration(t.meanAttemptUs) * time.Microsecond
 	if t.inFlight >= maxInFlight {
-		return &admissionRejection{errs.Overloaded, "this proxy has as many requests in flight as it may", meanAttempt}
+		return &admissionRejection{errs.Overloaded, "proxy has reached its limit of concurrent requests", meanAttempt}
 	}
 	state := t.tenant(tenant, now)
 	if limits.MaxInFlight > 0 && state.inFlight >= int(retrybudget.PerNode(float64(limits.MaxInFlight), edgeNodes)) {
-		return &admissionRejection{errs.RateLimited, "the tenant has as many requests in flight as its limit allows", meanAttempt}
+		return &admissionRejection{errs.RateLimited, "tenant has reached its limit of concurrent requests on this edge node", meanAttempt}
 	}
 	if rate := limits.RequestsPerSecond / float64(max(1, edgeNodes)); rate > 0 {
 		if wait := state.takeToken(rate, now); wait > 0 {
-			return &admissionRejection{errs.RateLimited, "the tenant's rate is over its limit", wait}
+			return &admissionRejection{errs.RateLimited, "tenant has exceeded its request rate limit", wait}
 		}
 	}
 	state.inFlight++
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// tenant returns a tenant's state. A tenant that is new here starts with one token.
+// tenant returns the state of a tenant. A tenant that is not tracked yet starts with one rate limit token.
 func (t *trafficTable) tenant(name string, now time.Duration) *tenantState {
 	state := t.tenants[name]
 	if state == nil {
@@ -101,8 +101,9 @@
 	return state
 }
 
-// takeToken takes a token of a bucket that is refilled at a rate, in tokens per second, and holds at most one
-// second's worth, but at least one. If there is none, it returns the time until there is.
+// takeToken takes one token from the tenant's token bucket. The bucket is refilled at the given rate in tokens per
+// second, and its capacity is one second's worth of tokens, but at least one. Without a token it returns the time
+// until the next one is available.
 func (s *tenantState) takeToken(rate float64, now time.Duration) (wait time.Duration) {
 	s.tokens = min(max(rate, 1), s.tokens+rate*(now-s.refilledAt).Seconds())
 	s.refilledAt = now
@@ -113,7 +114,7 @@
 	return 0
 }
 
-// endRequest ends a request that was admitted.
+// endRequest stops counting an admitted request as in flight.
 func (t *trafficTable) endRequest(tenant string) {
 	t.inFlight--
 	if state := t.tenants[tenant]; state != nil && state.inFlight > 0 {
@@ -121,6 +122,7 @@
 	}
 }
 
+// worker returns the state of a worker and creates it if necessary.
 func (t *trafficTable) worker(name string) *workerState {
 	state := t.workers[name]
 	if state == nil {
@@ -133,14 +135,15 @@
 	return state
 }
 
-// cancelAttempt ends an attempt that was never sent.
+// cancelAttempt stops counting an attempt that was planned, but never sent to the worker.
 func (t *trafficTable) cancelAttempt(worker string) {
 	if state := t.worker(worker); state.attempts > 0 {
 		state.attempts--
 	}
 }
 
-// endAttempt ends an attempt that was sent, for the next selection and for the report to the node agent.
+// endAttempt stops counting an attempt that was sent to a worker. It records the result for worker selection and
+// for the next report to the node agent.
 func (t *trafficTable) endAttempt(worker string, ok bool, duration, now time.Duration) {
 	state := t.worker(worker)
 	if state.attempts > 0 {
@@ -160,7 +163,7 @@
 	state.failedAt = now
 }
 
-// recordTransfer adds a fetch over a link to the report.
+// recordTransfer adds the size and duration of a prefix fetch to the next report to the node agent.
 func (t *trafficTable) recordTransfer(class linkClass, tokens int, duration time.Duration) {
 	key := "link/" + string(class)
 	report := t.reports[key]
@@ -172,18 +175,18 @@
 	report.LinkNs += float64(duration)
 }
 
-// depositRetryTokens counts a request's first attempt at a service.
+// depositRetryTokens credits the retry budget of a service with the first attempt of a request.
 func (t *trafficTable) depositRetryTokens(service string, snapshot *updatestream.Snapshot) {
 	t.retryBudgets.Deposit(service, t.retryBudgetNodes(snapshot))
 }
 
-// spendRetryBudget reports whether the service's retry budget covers one more attempt, and spends it if so.
+// spendRetryBudget reports whether the retry budget of a service covers one more attempt, and withdraws it if so.
 func (t *trafficTable) spendRetryBudget(service string, snapshot *updatestream.Snapshot) bool {
 	return t.retryBudgets.TryWithdraw(service, t.retryBudgetNodes(snapshot))
 }
 
-// retryNodes is the number of nodes that share the retry budgets. Dead edge nodes count as long as they are
-// remembered: one that is only partitioned still spends its share.
+// retryBudgetNodes returns the number of edge nodes that share the site's retry budgets: the largest number seen so
+// far. Dead nodes count as well, because a node that is merely partitioned still spends its share.
 func (t *trafficTable) retryBudgetNodes(snapshot *updatestream.Snapshot) int {
 	t.maxEdgeNodes = max(t.maxEdgeNodes, countEdgeNodes(snapshot, true))
 	return t.maxEdgeNodes
