--- a/internal/data/callerproxy/affinity.go
+++ b/internal/data/callerproxy/affinity.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// affinityLoadRatio of the mean load, and one attempt more, is the load up to which a worker is
-	// preferred (consistent hashing with bounded loads).
+	// affinityLoadRatio bounds the load of a preferred worker: at most this multiple of the mean load, plus one
+	// attempt (consistent hashing with bounded loads).
 	affinityLoadRatio = 1.25
-	// affinityRatio of the prefill of an entry is what a request costs more at another worker than the
-	// preferred one: the entry would have to be computed there again, and cached twice.
+	// affinityPenaltyRatio is the cost added at workers other than the preferred one, as a fraction of the prefill
+	// time of the prefix: they would compute the prefix again, and it would be cached twice.
 	affinityPenaltyRatio = 0.75
-	// sharedUseRatio of the accesses to a prompt's first part makes a later part shared as well.
+	// sharedAccessRatio is the minimum hotness of an entry that counts as shared between requests, as a fraction
+	// of the hotness of the prompt's first entry.
 	sharedAccessRatio = 0.25
-	// sharedMinAccesses in the index's window make an entry shared: one access is the request's own.
+	// sharedMinAccesses is the minimum hotness of an entry that counts as shared between requests. It is above 1,
+	// because one access may be the request's own.
 	sharedMinAccesses = 1.5
 )
 
-// affinity is the worker that a prompt prefers, and the tokens of the entry that decides it.
+// affinity is the worker preferred for a prompt, and the prefix length that the preference is based on.
 type affinity struct {
-	worker string // "": none
-	tokens int
+	worker string // name of the preferred worker; empty if there is none
+	tokens int    // length in tokens of the prefix that determines the preference
 }
 
-// affinityOf returns the first shard worker of the deciding entry that isn't overloaded. A replicated entry
-// prefers none.
+// affinityFor returns the first worker in the hash ranking of the affinity entry that is not overloaded. There is none
+// if the entry is replicated on all workers or the placement mode does not use the prompt index.
 func (q *Query) affinityFor(entries []prefix.Entry, view *selectionView) affinity {
 	key, index, _ := q.affinityEntry(entries)
 	if index < 0 || q.Placement.IsReplicated(key) || !q.usesIndex() {
@@ -39,17 +41,19 @@
 	return affinity{}
 }
 
-// decidingEntry returns the entry that decides where a request is sent: its shared prefix, or its session's
-// prefix if that is admitted; index -1 if there is none. Admission follows BAT's rule for user prefixes: at
-// least as long as the shared prefix, and accessed more often than the coldest cached entry. A worker evicts
-// on its own, so an admitted prefix is one that its shard worker is preferred for, and that is saved there.
+// affinityEntry returns the prefix entry that determines the preferred worker of a request: the prefix shared with
+// other requests, or the session's prefix if that is admitted. The index is -1 if the prompt has no entries.
+// Admission follows the rule for user prefixes in the BAT paper (docs/design.md names the source): the session's
+// part must be at least as long as the shared prefix, and be accessed more often than the coldest cached entry.
+// Workers evict on their own, so admission only means that the worker the prefix is assigned to is preferred and
+// gets a copy of the prefix.
 func (q *Query) affinityEntry(entries []prefix.Entry) (key prefix.Key, index int, isSession bool) {
 	if len(entries) == 0 {
 		return key, -1, false
 	}
 	index = q.sharedPrefixIndex(entries)
 	sharedEntry := entries[index]
-	sessionIndex := len(entries) - 2 // the last entry holds the request's own question
+	sessionIndex := len(entries) - 2 // the last entry also contains the request's own question
 	if sessionIndex <= index || q.Placement == nil {
 		return sharedEntry.Key, index, false
 	}
@@ -61,8 +65,9 @@
 	return sharedEntry.Key, index, false
 }
 
-// sharedPrefix returns the index of the longest entry that other requests use, too: it was accessed more than
-// once lately, and not much less than the prompt's first part. The last entry is the request's own.
+// sharedPrefixIndex returns the index of the longest entry that other requests also use. Such an entry was accessed
+// more than once recently, and not much less often than the prompt's first entry. The last entry is never shared,
+// because it contains the request's own question.
 func (q *Query) sharedPrefixIndex(entries []prefix.Entry) (index int) {
 	for i := 1; i < len(entries)-1; i++ {
 		hotness := q.hotness(entries[i])
@@ -73,5 +78,5 @@
 	return index
 }
 
-// hotness is how often an entry was accessed in the index's window.
+// hotness returns how often an entry was accessed within the prompt index's time window.
 func (q *Query) hotness(entry prefix.Entry) float64 { return q.LookupResults[entry.Key].GetHotness() }
--- a/internal/data/callerproxy/select.go
+++ b/internal/data/callerproxy/select.go
@@ -11,74 +11,77 @@
 	"pebbleloom/internal/wire"
 )
 
-// Query is the input of a selection.
+// Query is the input of worker selection (Select) for one attempt of a request.
 type Query struct {
-	ID            string // of the request: it breaks ties
-	Mode          string // of the service's placement (serviceconfig.PlacementHRCS and others)
-	Entries       map[uint64][]prefix.Entry
-	LookupResults map[prefix.Key]*wire.LookupResult // what the prompt index knows of the entries
-	Workers       []*wire.Worker                    // of the service
-	Load          func(worker string) float64       // attempts in flight or waiting, as known here
-	FailedWorkers map[string]bool                   // workers that have failed the request, by name
-	NewestWeights uint64                            // version that the configuration names
-	Placement     *placement.Placement              // nil: none yet
-	StoreAddrs    map[string]string                 // addresses of the stores that are up, by name
-
-	PrefillCurve   placement.Curve // microseconds to prefill by tokens
-	MeanAttemptUs  float64         // mean duration of an attempt
-	NearBandwidth  float64         // within a zone, in tokens per second
-	FarBandwidth   float64         // between zones, in tokens per second
-	StoreBandwidth float64         // from a store, in tokens per second
-
-	includeCordoned bool // no other worker is left
+	ID            string                            // request ID; breaks ties between workers of equal cost
+	Mode          string                            // the service's placement mode, such as serviceconfig.PlacementHRCS
+	Entries       map[uint64][]prefix.Entry         // the prompt's prefix entries, by version of the model weights
+	LookupResults map[prefix.Key]*wire.LookupResult // the prompt index's lookup results for the prefix entries
+	Workers       []*wire.Worker                    // candidate workers of the service
+	Load          func(worker string) float64       // number of attempts running or queued at a worker, as far as known
+	FailedWorkers map[string]bool                   // names of workers at which an attempt of this request has failed
+	NewestWeights uint64                            // latest version of the weights according to the configuration
+	Placement     *placement.Placement              // placement of the service; nil if none has been computed yet
+	StoreAddrs    map[string]string                 // addresses of the cache stores that are up, by name
+
+	PrefillCurve   placement.Curve // prefill time in microseconds as a function of the number of tokens
+	MeanAttemptUs  float64         // mean duration of an attempt in microseconds
+	NearBandwidth  float64         // fetch bandwidth between workers in the same zone, in tokens per second
+	FarBandwidth   float64         // fetch bandwidth between workers in different zones, in tokens per second
+	StoreBandwidth float64         // fetch bandwidth from a cache store, in tokens per second
+
+	includeCordoned bool // cordoned workers may be selected, because no other is available
 }
 
-// Choice is the selected worker, and how the placement applies to the request.
+// Choice is the result of worker selection: the worker, the expected cost, and which cached prefixes the worker
+// fetches and copies.
 type Choice struct {
 	Worker          *wire.Worker
-	Entries         []prefix.Entry // under the worker's weights
-	HitTokens       int            // of the prompt that the worker should have cached
-	FetchTokens     int            // of the prompt that it should fetch
-	CostUs          float64        // estimated time until the first token, with the affinity's discount
-	WaitUs          float64        // of it: until a slot is free
-	FetchFrom       string         // "entry=address" for each entry to fetch, with commas between
-	SaveAddrs       string         // addresses to save to, with commas between
-	SaveNames       []string       // the names of these
-	SaveEntries     int            // how many of the first entries to save
-	Replicated      bool           // the deciding entry is replicated
-	SessionPrefix   bool           // the deciding entry is the session's prefix
-	PreferredWorker string         // that the deciding entry has an affinity to; "": none
+	Entries         []prefix.Entry // prefix entries of the prompt under the worker's version of the weights
+	HitTokens       int            // prompt tokens that the worker is expected to have in its cache
+	FetchTokens     int            // prompt tokens that the worker is to fetch from other holders
+	CostUs          float64        // estimated time to first token, including any affinity penalty
+	WaitUs          float64        // part of CostUs: estimated time until a slot is free
+	FetchFrom       string         // prefix entries to fetch, as a comma-separated list of "index=address"
+	SaveAddrs       string         // comma-separated addresses that the worker copies the prefix to
+	SaveNames       []string       // names of the workers and stores in SaveAddrs
+	SaveEntries     int            // number of leading prefix entries that are copied to SaveAddrs
+	Replicated      bool           // the prefix that determines worker affinity is replicated on all workers
+	SessionPrefix   bool           // worker affinity is determined by the session's prefix rather than the shared prefix
+	PreferredWorker string         // worker preferred by prefix affinity; empty if there is none
 }
 
-// candidate is a worker with the estimated cost of the request there.
+// candidate is a worker with the estimated cost of running the request on it.
 type candidate struct {
 	worker                 *wire.Worker
 	entries                []prefix.Entry
-	costUs                 float64
-	waitUs                 float64
-	hitTokens, fetchTokens int
-	fetchFrom              []string // "entry=address"
+	costUs                 float64  // estimated time to first token, including any affinity penalty
+	waitUs                 float64  // part of costUs: estimated time until a slot is free
+	hitTokens, fetchTokens int      // prompt tokens in the worker's cache, and to be fetched from other holders
+	fetchFrom              []string // prefix entries to fetch, as "index=address"
 }
 
-// siteView is what a selection derives from its query once for all workers.
+// selectionView holds the data that a selection derives from its query once and uses for every worker.
 type selectionView struct {
-	holders   map[prefix.Key]map[string]bool // workers and stores that hold an entry, by name
-	addr      map[string]string              // of workers and stores
-	zone      map[string]string              // of workers
-	upWorkers []string                       // workers
-	meanLoad  float64                        // of the workers that are up
+	holders   map[prefix.Key]map[string]bool // names of the workers and stores that hold a prefix entry, by its key
+	addr      map[string]string              // addresses of workers and stores, by name
+	zone      map[string]string              // zones of workers, by name
+	upWorkers []string                       // names of the workers that are up
+	meanLoad  float64                        // mean load of the workers that are up
 }
 
-// Select selects the worker at which the request costs least: the wait for a slot, the prefill of what is
-// missing, and the time to fetch what others hold. A replicated entry lets load decide; any other gives its
-// shard worker a discount, as long as that isn't loaded far beyond the mean.
+// Select selects the worker with the lowest estimated time to first token: the wait for a slot, the fetch of
+// prefixes that other holders have cached, and the prefill of the rest. If the prefix that
+// determines affinity is replicated on all workers, none of them is preferred. Otherwise the prefix's shard worker
+// (the worker it is assigned to by hashing) is preferred, and all others get a penalty; an overloaded shard worker
+// is replaced by the next one in the hash ranking.
 //
 // Example: choice, ok := callerproxy.Select(query)
 func Select(query Query) (Choice, bool) {
 	view := query.newSelectionView()
 	best, preferredWorker := query.lowestCost(view)
 	if best == nil && !query.includeCordoned && query.Placement != nil && len(query.Placement.Cordoned) > 0 {
-		query.includeCordoned = true // better a cordoned worker than none
+		query.includeCordoned = true // a cordoned worker is better than none
 		return Select(query)
 	}
 	if best == nil {
@@ -98,10 +101,10 @@
 	return choice, true
 }
 
-// cheapest returns the candidate with the lowest cost, and the worker that its deciding entry prefers; nil if
-// there is no candidate.
+// lowestCost returns the candidate with the lowest cost, and the worker that prefix affinity prefers. The candidate
+// is nil if no worker can be selected.
 func (q *Query) lowestCost(view *selectionView) (best *candidate, preferredWorker string) {
-	affinities := map[uint64]affinity{} // by version of the weights: the entries are the same for all workers of one
+	affinities := map[uint64]affinity{} // by version of the weights, since workers with the same version share their entries
 	for _, worker := range q.Workers {
 		entries, ok := q.Entries[worker.Weights]
 		if !ok || q.FailedWorkers[worker.Name] || worker.State != updatestream.WorkerUp || q.isCordoned(worker) {
@@ -126,25 +129,29 @@
 	return best, affinities[best.worker.Weights].worker
 }
 
-// isCordoned reports whether a worker gets no new requests because it is about to load newer weights.
+// isCordoned reports whether the placement keeps new requests away from a worker that is about to load newer
+// weights.
 func (q *Query) isCordoned(worker *wire.Worker) bool {
 	return !q.includeCordoned && q.Placement != nil && worker.Weights < q.NewestWeights && slices.Contains(q.Placement.Cordoned, worker.Name)
 }
 
-// winsTie ranks two workers of equal cost, differently for each request.
+// ranksFirst reports whether the first of two workers of equal cost is selected. The ranking depends on the
+// request ID, so that ties are spread over the workers.
 func (q *Query) ranksFirst(first, second string) bool {
 	return placement.RankShardWorkers(q.tieBreakKey(), []string{first, second})[0] == first
 }
 
-// tieKey is a key by which workers are ranked for this request alone.
+// tieBreakKey returns the key for ranking workers of equal cost: the beginning of the request ID, as long as a
+// prefix.Key.
 func (q *Query) tieBreakKey() (key prefix.Key) {
 	copy(key[:], q.ID)
 	return key
 }
 
-// usesIndex reports whether the service's mode uses the prompt index.
+// usesIndex reports whether the service's placement mode uses the prompt index.
 func (q *Query) usesIndex() bool { return q.Mode != serviceconfig.PlacementNoIndex }
 
+// newSelectionView derives the data that all cost estimates of this selection share.
 func (q *Query) newSelectionView() *selectionView {
 	view := &selectionView{holders: q.holders(), addr: map[string]string{}, zone: map[string]string{}, upWorkers: []string{}}
 	for _, worker := range q.Workers {
@@ -163,7 +170,8 @@
 	return view
 }
 
-// holders returns who is known to hold each entry.
+// holders returns the names of the known holders of each entry, according to the prompt index. It is empty if the
+// placement mode does not use the index.
 func (q *Query) holders() map[prefix.Key]map[string]bool {
 	holders := map[prefix.Key]map[string]bool{}
 	if !q.usesIndex() {
