--- a/internal/data/callerproxy/cost.go
+++ b/internal/data/callerproxy/cost.go
@@ -7,14 +7,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// freeSlotWaitRatio of the time that a full worker's queue would take is the wait at a worker with a free
-// slot: its other requests' prefill delays this one.
+// freeSlotWaitRatio scales the estimated wait at a worker that has a free slot. The wait is not zero, because the
+// prefill of the worker's other requests delays the new one.
 const freeSlotWaitRatio = 0.25
 
-// microsecondsPerSecond converts bandwidths to times.
+// microsecondsPerSecond converts seconds to microseconds in fetch time estimates.
 const microsecondsPerSecond = 1e6
 
-// estimateCost estimates what a request costs at a worker: the wait for a slot, fetches, and prefill.
+// estimateCost estimates the time to first token of the request on a worker: the wait for a slot, the prefix fetches
+// and the prefill of the remaining tokens.
 func (q *Query) estimateCost(worker *wire.Worker, entries []prefix.Entry, view *selectionView) *candidate {
 	estimate := &candidate{worker: worker, entries: entries}
 	missingTokens, fetchUs := q.planFetches(estimate, view)
@@ -26,8 +27,9 @@
 	return estimate
 }
 
-// planFetches goes through the entries from the front, as far as the worker holds them or can fetch them for
-// less than their prefill. It returns the tokens that have to be prefilled, and the time of the fetches.
+// planFetches decides which prefix entries the worker fetches from other holders. It walks the entries from the front
+// and stops at the first one that the worker neither holds nor can fetch faster than prefill it. It returns the
+// number of tokens left to prefill and the total fetch time.
 func (q *Query) planFetches(plan *candidate, view *selectionView) (missingTokens int, fetchUs float64) {
 	if len(plan.entries) > 0 {
 		missingTokens = plan.entries[len(plan.entries)-1].CumulativeTokens
@@ -55,8 +57,8 @@
 	return missingTokens, fetchUs
 }
 
-// fastestSource returns the address of the holder of an entry with the highest bandwidth to a zone; among
-// equals the lowest address. It is "" if there is none.
+// fastestSource returns the address of the holder of an entry that has the highest bandwidth to a zone, and that
+// bandwidth. Ties go to the lowest address. The address is empty if there is no holder.
 func (q *Query) fastestSource(key prefix.Key, zone string, view *selectionView) (source string, bandwidth float64) {
 	for holder := range view.holders[key] {
 		holderBandwidth := q.FarBandwidth
@@ -73,7 +75,7 @@
 	return source, bandwidth
 }
 
-// waitUs estimates the time until a worker begins the request.
+// waitUs estimates the queueing time of the request at a worker from its load, in microseconds.
 func (q *Query) waitUs(worker *wire.Worker) float64 {
 	slots := float64(max(1, worker.Slots))
 	load := q.Load(worker.Name)
--- a/internal/data/callerproxy/saves.go
+++ b/internal/data/callerproxy/saves.go
@@ -4,10 +4,10 @@
 	"pebbleloom/internal/data/placement"
 )
 
-// planSaves decides where the selected worker saves the prefix up to the deciding entry. A replicated entry is
-// saved to one more worker that lacks it; any other to its preferred worker, if it is computed elsewhere.
-// Both are saved to the stores, the latter once it is accessed again: its one worker may evict it, and
-// fetching it from a store is faster than prefilling.
+// planSaveTargets decides where the selected worker copies the prefix that determines affinity. A replicated prefix is
+// copied to one more worker that does not hold it. Any other prefix is copied to its preferred worker, if another
+// worker was selected and the prefix is reused. Both kinds are also copied to the stores, a prefix that is not
+// replicated only once it is reused: its only worker may evict it, and a fetch from a store is faster than prefill.
 func (q *Query) planSaveTargets(choice *Choice, view *selectionView) {
 	key, index, isSession := q.affinityEntry(choice.Entries)
 	if index < 0 || !q.usesIndex() {
@@ -33,7 +33,8 @@
 	}
 }
 
-// saveToNextReplica saves to one worker that lacks the entry, a different one for each request.
+// saveToOneWorker adds one worker that does not hold the prefix yet to the save targets. The choice depends on the
+// request ID, so that copies are spread over the workers.
 func (q *Query) saveToOneWorker(choice *Choice, holders map[string]bool, view *selectionView) {
 	for _, worker := range placement.RankShardWorkers(q.tieBreakKey(), view.upWorkers) {
 		if !holders[worker] && worker != choice.Worker.Name {
@@ -43,7 +44,8 @@
 	}
 }
 
-// saveTo adds a worker or store to those that are saved to.
+// addSaveTarget adds a worker or store to the save targets. The selected worker itself, and names without a known
+// address, are skipped.
 func (c *Choice) addSaveTarget(name string, view *selectionView) {
 	addr := view.addr[name]
 	if addr == "" || name == c.Worker.Name {
