--- a/internal/data/callerproxy/links.go
+++ b/internal/data/callerproxy/links.go
@@ -10,30 +10,32 @@
 )
 
 const (
-	// initialBandwidth is taken for every class of links until a fetch was seen, in tokens per second.
+	// initialBandwidth is the assumed bandwidth of each link class before the first fetch, in tokens per second.
 	initialBandwidth = 50000
-	// bandwidthSmoothing is the weight of a new observation in the moving average.
+	// bandwidthSmoothing is the weight of a new sample in the exponential moving average of bandwidths.
 	bandwidthSmoothing = 0.1
 )
 
-// linkClass is a class of links between workers that share one estimate of their bandwidth.
+// linkClass is a class of network links for prefix fetches. All links of a class share one bandwidth estimate.
 type linkClass string
 
 const (
-	nearLinks  linkClass = "near"  // within a zone
-	farLinks   linkClass = "far"   // between zones
-	storeLinks linkClass = "store" // from a store
+	nearLinks  linkClass = "near"  // between workers in the same zone
+	farLinks   linkClass = "far"   // between workers in different zones
+	storeLinks linkClass = "store" // from a cache store to a worker
 )
 
-// linkEstimates are moving averages of the bandwidth at which workers fetch prefixes, in tokens per second.
+// bandwidthEstimates are moving averages of the bandwidth of prefix fetches, by link class, in tokens per second.
 type bandwidthEstimates struct{ near, far, store atomicFloat }
 
+// reset sets the estimates of all link classes to initialBandwidth.
 func (l *bandwidthEstimates) reset() {
 	l.near.Store(initialBandwidth)
 	l.far.Store(initialBandwidth)
 	l.store.Store(initialBandwidth)
 }
 
+// forClass returns the bandwidth estimate of a link class.
 func (l *bandwidthEstimates) forClass(class linkClass) *atomicFloat {
 	switch class {
 	case nearLinks:
@@ -44,7 +46,8 @@
 	return &l.far
 }
 
-// learnBandwidth takes what a worker has reported of a fetch into the estimates, and into the next report.
+// recordFetch updates the bandwidth estimate of a link class with a prefix fetch, as reported by a worker in the last
+// chunk of a response. It also adds the fetch to the next report to the node agent.
 func (p *Proxy) recordFetch(table *trafficTable, snapshot *updatestream.Snapshot, lastChunk *contract.Chunk, workerZone string) {
 	class := linkClassBetween(snapshot, lastChunk.FetchAddr, workerZone)
 	duration := time.Duration(lastChunk.FetchUs) * time.Microsecond
@@ -54,7 +57,8 @@
 	estimate.Store((1-bandwidthSmoothing)*estimate.Load() + bandwidthSmoothing*observed)
 }
 
-// classOf returns the class of the links from an address to a zone.
+// linkClassBetween returns the class of the link from a source address to a worker in a zone. A source that is not
+// listed counts as being in another zone.
 func linkClassBetween(snapshot *updatestream.Snapshot, sourceAddr, workerZone string) linkClass {
 	class := farLinks
 	for _, worker := range snapshot.Workers {
@@ -70,15 +74,15 @@
 	return class
 }
 
-// atomicFloat is a float64 for concurrent use.
+// atomicFloat is a float64 that can be loaded and stored atomically.
 type atomicFloat struct{ bits atomic.Uint64 }
 
-// Load returns the value.
+// Load returns the current value atomically.
 //
-// Example: bandwidth := links.near.Load()
+// Example: bandwidth := bandwidths.near.Load()
 func (f *atomicFloat) Load() float64 { return math.Float64frombits(f.bits.Load()) }
 
-// Store sets the value.
+// Store replaces the value atomically.
 //
-// Example: links.near.Store(50000)
+// Example: bandwidths.near.Store(50000)
 func (f *atomicFloat) Store(value float64) { f.bits.Store(math.Float64bits(value)) }
--- a/internal/data/callerproxy/promptindex.go
+++ b/internal/data/callerproxy/promptindex.go
@@ -17,44 +17,45 @@
 	"pebbleloom/internal/wire"
 )
 
-// Time-outs and intervals, as ratios of the healing bound (Bounds.Heal).
+// Timeouts and intervals of the prompt index client, as fractions of Bounds.Heal, the bound on recovery time.
 const (
-	lookupTimeoutRatio    = 1.0 / 400 // a late result isn't worth the wait: the prefix is computed again
-	flushIntervalRatio    = 1.0 / 48
-	flushTimeoutRatio     = 1.0 / 24
-	resendHalfWindowRatio = 1.25 // half of the window of accesses that an index node has to be able to recover
+	lookupTimeoutRatio    = 1.0 / 400 // timeout of a lookup; waiting longer is not worthwhile, since the prefix can be recomputed
+	flushIntervalRatio    = 1.0 / 48  // interval at which counted accesses are sent to the index nodes
+	flushTimeoutRatio     = 1.0 / 24  // timeout of sending one batch of counted accesses to an index node
+	resendHalfWindowRatio = 1.25      // half of the time window whose accesses are kept, to be resent to an index node that lost its state
 )
 
 const (
-	counterQueueLength   = 1024 // commands to the access counter; more accesses aren't counted
-	maxLookupsPerBatch   = 64   // requests whose keys are looked up in one call
-	maxConcurrentLookups = 8    // calls
+	counterQueueLength   = 1024 // commands queued for the access counter; accesses beyond that are not counted
+	maxLookupsPerBatch   = 64   // requests whose keys are combined into one lookup batch
+	maxConcurrentLookups = 8    // lookup batches in flight at the same time
 )
 
-// reporterPrefix and the node's name are the sender by which index nodes number batches of accesses. It is on
-// the wire, so it keeps the program's name of the first release.
+// reporterPrefix and the node's name identify this proxy as the sender of access batches to the index nodes. The
+// value is part of the wire protocol, so it keeps the program's name from the first release.
 const reporterPrefix = "dispatcher/"
 
-// promptIndex looks up prefixes at the index nodes in batches, and reports to them the accesses that this
-// proxy has made.
+// promptIndex is the client of the prompt index. It looks up prefix entries at the index nodes in batches and reports
+// to them which entries this proxy's requests have accessed.
 type promptIndex struct {
 	clients        *daemon.Clients
 	bounds         settings.Bounds
 	clock          clock.Clock
-	shards         atomic.Pointer[promptindex.Shards] // nil: no index nodes are known yet
-	shardLayout    string                             // the index nodes that shards was made for
-	pendingLookups *queue.Ring[lookupRequest]
-	accesses       *queue.Actor[indexclient.AccessCounter]
-	lookupBatches  atomic.Uint64 // calls
-	lookupKeys     atomic.Uint64 // keys in these calls
+	shards         atomic.Pointer[promptindex.Shards]      // assignment of keys to index nodes; nil until index nodes are known
+	shardLayout    string                                  // index nodes that shards was computed from, to detect changes
+	pendingLookups *queue.Ring[lookupRequest]              // lookups waiting to be batched
+	accesses       *queue.Actor[indexclient.AccessCounter] // accesses not yet acknowledged by the index nodes
+	lookupBatches  atomic.Uint64                           // metric: number of lookup batches
+	lookupKeys     atomic.Uint64                           // metric: number of keys in all lookup batches
 }
 
-// lookup is one request's keys, and the channel for the result.
+// lookupRequest holds the keys that one client request looks up, and the channel that receives the result.
 type lookupRequest struct {
 	keys   []prefix.Key
 	result chan map[prefix.Key]*wire.LookupResult
 }
 
+// newPromptIndex creates the client of the prompt index and starts its background lookups and flushes.
 func newPromptIndex(process *daemon.Process, processClock clock.Clock) *promptIndex {
 	bounds := process.Settings.Bounds
 	counter := indexclient.NewAccessCounter(reporterPrefix+process.Settings.Name, uint64(processClock.Now()), bounds.Heal(resendHalfWindowRatio))
@@ -71,7 +72,7 @@
 	return index
 }
 
-// updateShards assigns the keys anew if the index nodes have changed.
+// updateShards recomputes the assignment of keys to index nodes if the index nodes have changed.
 func (idx *promptIndex) updateShards(nodes []*wire.Node) {
 	var indexNodes []string
 	for _, node := range nodes {
@@ -85,9 +86,10 @@
 	}
 }
 
-// lookUp returns what the index knows of the keys; nil if nothing, or not in time.
+// lookup returns the prompt index's results for the keys. It returns nil if the lookup queue is full, no index node
+// is known or responds in time, or ctx is canceled.
 func (idx *promptIndex) lookup(ctx context.Context, keys []prefix.Key) map[prefix.Key]*wire.LookupResult {
-	request := lookupRequest{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)} // buffered: the batch never waits for a request that has gone
+	request := lookupRequest{keys, make(chan map[prefix.Key]*wire.LookupResult, 1)} // buffered, so that a batch never blocks on a request that has stopped waiting
 	if !idx.pendingLookups.Offer(request) {
 		return nil
 	}
@@ -99,7 +101,7 @@
 	}
 }
 
-// runLookups joins the lookups that wait into one batch, and has a few batches in flight at once.
+// sendLookups combines pending lookups into batches and keeps at most maxConcurrentLookups batches in flight.
 func (idx *promptIndex) sendLookups(ctx context.Context) {
 	slots := make(chan struct{}, maxConcurrentLookups)
 	for {
@@ -117,6 +119,7 @@
 	}
 }
 
+// lookupBatch looks up the distinct keys of a batch and passes the results to every request in it.
 func (idx *promptIndex) lookupBatch(ctx context.Context, batch []lookupRequest) {
 	keys := distinctKeys(batch)
 	var results map[prefix.Key]*wire.LookupResult
@@ -130,6 +133,7 @@
 	}
 }
 
+// distinctKeys returns the keys of all lookups in a batch without duplicates.
 func distinctKeys(batch []lookupRequest) (keys []prefix.Key) {
 	seen := map[prefix.Key]bool{}
 	for _, request := range batch {
@@ -143,8 +147,9 @@
 	return keys
 }
 
-// recordAccesses counts a request's accesses: its entries, the worker that is presumed to hold them from now
-// on, and the workers and stores that it saves the first savedEntries of them to. It doesn't wait.
+// recordAccesses counts accesses to a request's prefix entries for the next flush. The holder is the worker presumed
+// to cache all of them from now on; saveTargets are the workers and stores that the first saveEntries entries are
+// copied to. It does not block.
 func (idx *promptIndex) recordAccesses(service string, entries []prefix.Entry, holder string, saveTargets []string, saveEntries int) {
 	shards := idx.shards.Load()
 	if shards == nil {
@@ -162,7 +167,7 @@
 	})
 }
 
-// flushAccesses sends each index node the accesses that were counted for it.
+// flushAccesses sends to each index node the accesses that were counted for its keys.
 func (idx *promptIndex) flushAccesses(ctx context.Context) {
 	shards := idx.shards.Load()
 	if shards == nil {
@@ -182,7 +187,7 @@
 	})
 }
 
-// sendBatch sends one batch of accesses and records the result.
+// sendBatch sends one batch of accesses to an index node and records whether the node has acknowledged it.
 func (idx *promptIndex) sendBatch(ctx context.Context, node, addr string, batch *wire.CountRequest) {
 	ctx, cancel := context.WithTimeout(ctx, idx.bounds.Heal(flushTimeoutRatio))
 	defer cancel()
