--- a/internal/data/callerproxy/freshness.go
+++ b/internal/data/callerproxy/freshness.go
@@ -8,47 +8,51 @@
 	"pebbleloom/internal/wire"
 )
 
-// Ratios of the bound on following an old configuration (Bounds.Config): the sum of the time until a request
-// is checked and until a worker begins it stays below the bound.
+// Limits on the age of the proof that a configuration is the latest, as fractions of Bounds.Config, the bound on
+// using an outdated configuration. The time until a request is checked plus the time until a worker begins it stays
+// below that bound.
 const (
-	maxProofAgeRatio        = 0.8  // age of the proof under which a request is admitted or an attempt started
-	startDeadlineRatio      = 0.95 // age of the proof at which a worker may begin an attempt at the latest
-	drainingRetryAfterRatio = 0.1  // Retry-After of a draining node
-	noProofRetryAfterRatio  = 0.25 // Retry-After without a fresh proof
+	maxProofAgeRatio        = 0.8  // maximum age of a configuration's proof when a request is admitted or an attempt is sent
+	startDeadlineRatio      = 0.95 // maximum age of a configuration's proof when a worker begins an attempt
+	drainingRetryAfterRatio = 0.1  // Retry-After while this node is draining
+	noProofRetryAfterRatio  = 0.25 // Retry-After while there is no recent proof that the configuration is the latest
 )
 
-// Ratios of the bound on superseded weights (Bounds.Weights).
+// Time limits for requests on superseded weights, as fractions of Bounds.Weights, the bound on their use.
 const (
-	supersededSendRatio  = 0.85 // for how long an attempt on superseded weights may still be sent
-	supersededStartRatio = 0.95 // for how long a worker may still begin it
+	supersededSendRatio  = 0.85 // how long after weights were superseded the proxy may send attempts on them
+	supersededStartRatio = 0.95 // how long after weights were superseded a worker may begin an attempt on them
 )
 
-// isFresh reports whether a snapshot's configuration was proven newest recently enough to serve under it.
+// isFresh reports whether a snapshot's configuration was proven to be the latest recently enough to serve requests
+// under it.
 func (p *Proxy) isFresh(snapshot *updatestream.Snapshot) bool {
 	return snapshot.IsFresh(p.clock.Now(), p.bounds.Config(maxProofAgeRatio))
 }
 
-// freshSnapshot returns the newest snapshot if a request may be served under it.
+// freshSnapshot returns the latest snapshot, or a rejection if no request may be served: the proxy is draining, or the
+// snapshot is not fresh.
 func (p *Proxy) freshSnapshot(requestID string) (*updatestream.Snapshot, error) {
 	snapshot := p.follower.Snapshot()
 	if p.isDraining() {
-		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(drainingRetryAfterRatio), "this proxy is draining: ask another")
+		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(drainingRetryAfterRatio), "proxy is draining: send the request to another edge node")
 	}
 	if !p.isFresh(snapshot) {
-		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(noProofRetryAfterRatio), "no proof that the configuration is the newest")
+		return nil, reject(errs.NotExecuted, requestID, p.bounds.Config(noProofRetryAfterRatio), "proxy has no recent proof that its configuration is the latest")
 	}
 	return snapshot, nil
 }
 
-// isCurrent reports whether a request's configuration is still the newest, with a fresh proof.
+// isCurrent reports whether a request's configuration is still the latest and fresh.
 func (p *Proxy) isCurrent(snapshot *updatestream.Snapshot) bool {
 	latest := p.follower.Snapshot()
 	return latest.ConfigVersion == snapshot.ConfigVersion && p.isFresh(latest)
 }
 
-// startDeadline is the instant until which a worker may begin an attempt: by then the configuration may have
-// been replaced for as long as the bound allows, or the worker's weights. A worker that reports no clock is
-// held to it only by the wait that it is given; the ratios leave time for that.
+// startDeadline returns the latest time at which a worker may begin an attempt. After that, the configuration or the
+// worker's weights might have been superseded for longer than their bounds allow. A worker that does not report its
+// clock cannot enforce the deadline itself and is limited only by the wait time in the start request; the ratios
+// above leave a margin for that.
 func (req *request) startDeadline(worker *wire.Worker) time.Duration {
 	p := req.proxy
 	deadline := req.snapshot.ProofAt + p.bounds.Config(startDeadlineRatio)
@@ -59,9 +63,9 @@
 	return deadline
 }
 
-// workerStartDeadline converts an instant of this process's clock to the worker's clock, in microseconds; 0
-// if the worker reports no clock. The worker's clock was read before its report came here, so it shows the
-// converted value no later than the instant, however long the attempt takes to reach the worker.
+// workerStartDeadline converts a deadline from this process's clock to the worker's clock, in microseconds. It
+// returns 0 if the worker does not report its clock. The worker read its clock before its report arrived here, so
+// the converted deadline is never later than the original, no matter how long the attempt takes to reach the worker.
 func workerStartDeadline(worker *wire.Worker, deadline time.Duration) int64 {
 	if worker.ClockNs == 0 {
 		return 0
@@ -69,8 +73,8 @@
 	return int64(worker.ClockNs/1000) + (deadline - time.Duration(worker.ClockReadAt)).Microseconds()
 }
 
-// supersededTimeLeft is for how long attempts on superseded weights may still be sent; 0: no longer, or the
-// weights were never the newest.
+// supersededTimeLeft returns how much longer attempts on superseded weights may be sent. It returns 0 if the time is
+// over, or if it is not known when the weights were superseded.
 func (p *Proxy) supersededTimeLeft(history updatestream.WeightsHistory, weights uint64) time.Duration {
 	supersededAt, _, ok := history.SupersededAt(weights)
 	if !ok || weights == 0 {
--- a/internal/data/callerproxy/target.go
+++ b/internal/data/callerproxy/target.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// weightsFor returns the model, adapter and build that answer a request under a configuration. If no route
-// leads there, it is the model that the request names.
+// targetFor returns the base model, adapter and adapter build that serve a request under a snapshot's configuration.
+// Without a matching route, it is the model named in the request.
 func targetFor(snapshot *updatestream.Snapshot, body *caller.Ask) serviceconfig.Target {
 	if target, ok := snapshot.Config.Target(body.Model, body.RequestID); ok {
 		return target
@@ -17,8 +17,9 @@
 	return serviceconfig.Target{Model: body.Model}
 }
 
-// viewForTarget returns a worker with the version of the target's base model that it has loaded. It is nil if
-// the worker hasn't loaded the base model, or not that build of the adapter, and so can't serve the target.
+// workerForTarget returns a worker as it applies to a target: its model and weights are the loaded version of the
+// target's base model. It returns nil if the worker cannot serve the target, because it has not loaded the base model
+// or that build of the adapter.
 func workerForTarget(worker *wire.Worker, target serviceconfig.Target) *wire.Worker {
 	if len(worker.LoadedModels) == 0 {
 		if target.Adapter != "" || worker.Model != "" && worker.Model != target.Model {
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// serves reports whether a loaded model answers the requests of a target.
+// serves reports whether a loaded model, with its adapters, can serve the requests of a target.
 func serves(loaded *wire.LoadedModel, target serviceconfig.Target) bool {
 	if loaded.Model != target.Model {
 		return false
@@ -46,7 +47,8 @@
 	return target.Adapter == "" || target.Build != 0 && loaded.Adapters[target.Adapter] == target.Build
 }
 
-// withLoadedModel copies a worker, since others share it, with one of its loaded models as its model.
+// withLoadedModel returns a copy of a worker with one of its loaded models as its model. The original is shared and
+// must not be changed.
 func withLoadedModel(worker *wire.Worker, loaded *wire.LoadedModel) *wire.Worker {
 	return &wire.Worker{
 		Name:         worker.Name,
@@ -70,15 +72,16 @@
 	}
 }
 
-// prefixChain returns the entries of a prompt under one version of a target's weights.
+// prefixChain returns a prompt's prefix entries, shortest first, for a tenant's cache domain, a target and one version
+// of the target's weights.
 func prefixChain(snapshot *updatestream.Snapshot, target serviceconfig.Target, tenant string, weights uint64, parts []string) []prefix.Entry {
 	model := prefix.QualifiedModel(target.Model, target.Adapter, target.Build)
 	return prefix.Chain(snapshot.Config.CacheDomain(tenant), model, weights, parts)
 }
 
-// prefixEntries returns the prompt's entries under each version of the weights on which an attempt may still
-// start, by version. Which versions those are is decided anew every time. Entries that were computed under
-// the same configuration (known) are used again, because hashing a long prompt takes time.
+// prefixEntries returns the prompt's prefix entries by version of the weights, for every version on which an attempt
+// may still start. The set of versions is determined anew by each call. Entries in reusable, computed earlier under
+// the same configuration, are not computed again, because hashing a long prompt takes time.
 func (req *request) prefixEntries(reusable map[uint64][]prefix.Entry) map[uint64][]prefix.Entry {
 	snapshot, body := req.snapshot, req.body
 	entries := map[uint64][]prefix.Entry{}
@@ -109,6 +112,7 @@
 	return entries
 }
 
+// entryKeys returns the keys of the prefix entries of all versions of the weights.
 func entryKeys(entries map[uint64][]prefix.Entry) (keys []prefix.Key) {
 	for _, chain := range entries {
 		for _, entry := range chain {
