--- a/internal/data/callerproxy/flush.go
+++ b/internal/data/callerproxy/flush.go
@@ -5,13 +5,14 @@
 	"net/http"
 )
 
-// flushingWriter flushes every write, so that each line of a stream is sent as it comes.
+// flushingWriter is a ResponseWriter that flushes after every write, so that each line of a streamed response is sent
+// to the client immediately.
 type flushingWriter struct {
 	http.ResponseWriter
-	headerWritten bool // the response's header was written
+	headerWritten bool // the HTTP response header has been sent, so the status can no longer change
 }
 
-// WriteHeader writes the response's header.
+// WriteHeader sends the HTTP response header with the given status and records that the response has started.
 //
 // Example: w.WriteHeader(200)
 func (w *flushingWriter) WriteHeader(status int) {
@@ -19,7 +20,7 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes and flushes.
+// Write writes the data to the client and flushes it immediately.
 //
 // Example: w.Write(line)
 func (w *flushingWriter) Write(data []byte) (int, error) {
@@ -31,8 +32,8 @@
 	return n, err
 }
 
-// flushEveryWrite wraps a handler's response writer in a flushingWriter. The handler may wrap it again, so the
-// request's context holds it, too.
+// flushEveryWrite passes a flushingWriter to the handler as its response writer. The request context holds the
+// flushingWriter as well, because the handler may wrap the response writer again.
 func flushEveryWrite(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		writer := &flushingWriter{ResponseWriter: w}
--- a/internal/data/callerproxy/rejection.go
+++ b/internal/data/callerproxy/rejection.go
@@ -15,29 +15,30 @@
 	"pebbleloom/internal/errs"
 )
 
-// rejection is a typed error (errs.Kind) with the time after which the caller may send the request again.
+// rejection is an error with a kind (errs.Kind), and the time after which the client may send the request again.
 type rejection struct {
 	error
 	requestID  string
 	retryAfter time.Duration
 }
 
-// Unwrap returns the error without the request.
+// Unwrap returns the underlying error without the request ID and Retry-After.
 //
 // Example: errs.KindOf(errors.Unwrap(rejection))
 func (r rejection) Unwrap() error { return r.error }
 
-// retryJitter and half of the Retry-After are the most by which a Retry-After is lengthened at random, so that
-// callers that were rejected together don't come back together.
+// retryAfterJitter, plus half of the Retry-After, is the upper limit of the random delay that is added to every
+// Retry-After, so that clients rejected at the same time do not retry at the same time.
 const retryAfterJitter = 50 * time.Millisecond
 
+// reject returns a rejection of a kind. It adds random jitter to retryAfter.
 func reject(kind *errs.Kind, requestID string, retryAfter time.Duration, format string, arguments ...any) error {
 	retryAfter += time.Duration(rand.Int64N(int64(retryAfter)/2 + int64(retryAfterJitter)))
 	return rejection{errs.New(kind, format, arguments...), requestID, retryAfter}
 }
 
-// withholdNotExecuted turns a rejection that says that nothing was executed into one that says that the
-// request may have been, if an earlier attempt may have been.
+// withoutNotExecuted returns the rejection to send when an earlier attempt may have been executed: a rejection
+// whose kind would tell the client that the request was not executed is replaced by one of kind MayHaveExecuted.
 func withoutNotExecuted(err error, mayHaveExecuted bool) error {
 	var rejected rejection
 	if !mayHaveExecuted || !errors.As(err, &rejected) {
@@ -47,19 +48,21 @@
 	case errs.DeadlineExceeded, errs.MayHaveExecuted:
 		return err
 	}
-	replacement := errs.New(errs.MayHaveExecuted, "an earlier attempt may have been executed; then: %v", rejected.error)
+	replacement := errs.New(errs.MayHaveExecuted, "an earlier attempt may have been executed; the request was then rejected: %v", rejected.error)
 	return rejection{replacement, rejected.requestID, rejected.retryAfter}
 }
 
-// NewError converts an error of Answer to the response that api/caller.yaml defines.
+// NewError converts an error of Answer to the error response defined in api/caller.yaml, and counts the rejection by
+// its kind.
 //
-// Example: p.NewError(ctx, errs.New(errs.BadKey, "the key is not in force"))
+// Example: p.NewError(ctx, errs.New(errs.BadKey, "tenant key is not in the current configuration"))
 func (p *Proxy) NewError(_ context.Context, err error) *caller.DeniedStatusCodeWithHeaders {
 	response := errorResponse(err)
 	p.process.Meter.Rejected(errs.KindNamed(response.Response.Kind))
 	return response
 }
 
+// errorResponse builds the error response for an error; a rejection also has a request ID and Retry-After.
 func errorResponse(err error) *caller.DeniedStatusCodeWithHeaders {
 	kind := errs.KindOf(err)
 	var rejected rejection
@@ -81,10 +84,11 @@
 	return response
 }
 
-// handleRequestError answers a request that never reached Answer, and aborts a response that has started.
+// handleRequestError handles errors outside of Answer: it sends an error response for a request that cannot be
+// decoded, and aborts the connection of a response that has already started.
 func handleRequestError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	if writer, ok := ctx.Value(flushingWriter{}).(*flushingWriter); ok && writer.headerWritten {
-		panic(http.ErrAbortHandler) // the caller must see that the stream is incomplete
+		panic(http.ErrAbortHandler) // abort the connection, so that the client notices the incomplete response
 	}
 	kind := errs.BadInput
 	var tooLarge *http.MaxBytesError
@@ -96,5 +100,5 @@
 	response := errorResponse(errs.WrapAs(err, kind, "request"))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(response.StatusCode)
-	_ = json.NewEncoder(w).Encode(&response.Response) // fails only if the caller has disconnected
+	_ = json.NewEncoder(w).Encode(&response.Response) // encoding fails only if the client has disconnected
 }
