--- a/internal/data/callerproxy/decision.go
+++ b/internal/data/callerproxy/decision.go
@@ -6,25 +6,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// Decision explains why a request was sent to a worker. It is stored as JSON, for operators who ask.
+// Decision records why a request was sent to a worker. It is stored as JSON at the node agent, where operators
+// can look it up by request.
 type Decision struct {
-	Request       string  `json:"request"`
-	Worker        string  `json:"worker"`
-	Config        uint64  `json:"setup_epoch"`     // version of the configuration
-	Placement     uint64  `json:"placement_epoch"` // version of the placement; 0: none
-	CachedTokens  int     `json:"hit_tokens"`      // of the prompt that the worker should have cached
-	FetchedTokens int     `json:"fetch_tokens"`    // of the prompt that it should fetch
-	WaitUs        float64 `json:"wait_us"`         // estimated time until a slot is free
-	CostUs        float64 `json:"cost_us"`         // estimated time until the first token, with the affinity's discount
-	Replicated    bool    `json:"hot"`             // the deciding prefix is replicated
-	SessionPrefix bool    `json:"session"`         // the deciding prefix is the session's
-	FetchSources  string  `json:"fetch_from,omitempty"`
-	Node          string  `json:"machine"` // this node
-	ShardWorker   string  `json:"home,omitempty"`
-	SaveTargets   string  `json:"save_to,omitempty"`
+	Request       string  `json:"request"`              // ID of the request
+	Worker        string  `json:"worker"`               // name of the selected worker
+	Config        uint64  `json:"setup_epoch"`          // version of the configuration that the request was routed under
+	Placement     uint64  `json:"placement_epoch"`      // version of the service's placement; 0 if there is none
+	CachedTokens  int     `json:"hit_tokens"`           // prompt tokens that the worker was expected to have in its cache
+	FetchedTokens int     `json:"fetch_tokens"`         // prompt tokens that the worker was told to fetch from other holders
+	WaitUs        float64 `json:"wait_us"`              // estimated time until a slot is free
+	CostUs        float64 `json:"cost_us"`              // estimated time to first token, including any affinity penalty
+	Replicated    bool    `json:"hot"`                  // the prefix that determines worker affinity is replicated on all workers
+	SessionPrefix bool    `json:"session"`              // worker affinity is determined by the session's prefix rather than the shared prefix
+	FetchSources  string  `json:"fetch_from,omitempty"` // prefix entries to fetch, as a comma-separated list of "index=address"
+	Node          string  `json:"machine"`              // name of the node that this proxy runs on
+	ShardWorker   string  `json:"home,omitempty"`       // worker preferred by prefix affinity; empty if there is none
+	SaveTargets   string  `json:"save_to,omitempty"`    // comma-separated addresses that the worker copies the prefix to
 }
 
-// logDecision queues a decision for the node agent. If the queue is full, the decision is dropped.
+// queueDecision queues the routing decision of an attempt for the next report to the node agent. If the queue is full,
+// the decision is dropped.
 func (req *request) queueDecision(choice Choice) {
 	decision := Decision{
 		Request:       req.body.RequestID,
@@ -50,11 +52,11 @@
 	}
 }
 
-// maxReportedDecisions bounds the decisions in one report.
+// maxReportedDecisions is the maximum number of routing decisions in one report to the node agent.
 const maxReportedDecisions = 256
 
-// fillReport adds to a call to the node agent what the attempts since the last one have shown, and why they
-// were sent where they were.
+// addReports adds the results of attempts since the last call, and the queued routing decisions, to a request to the
+// node agent.
 func (p *Proxy) addReports(request *wire.FeedRequest) {
 	p.traffic.Ask(func(table *trafficTable) {
 		for name, report := range table.reports {
--- a/internal/data/callerproxy/metrics.go
+++ b/internal/data/callerproxy/metrics.go
@@ -7,9 +7,11 @@
 	"pebbleloom/internal/daemon"
 )
 
-// stats counts the outcomes of attempts. The numbers of tokens are those that the workers seal.
+// stats counts the outcomes of attempts. Token counts are those that workers report in the last chunk of a response,
+// the one with the seal.
 type stats struct{ sealed, hitTokens, fetchedTokens, prefilledTokens, retries, interrupted atomic.Int64 }
 
+// addSealedStream counts a completed response by the usage that its last chunk reports.
 func (s *stats) addSealedStream(lastChunk *contract.Chunk) {
 	s.sealed.Add(1)
 	s.hitTokens.Add(int64(lastChunk.CachedTokens))
@@ -17,6 +19,7 @@
 	s.prefilledTokens.Add(int64(lastChunk.PrefilledTokens))
 }
 
+// registerMetrics registers the gauges and counters of the proxy.
 func (p *Proxy) registerMetrics(meter *daemon.Meter) {
 	meter.Gauge("pebbleloom_inflight", "requests in flight", func() float64 {
 		inFlight := 0
@@ -54,6 +57,7 @@
 	}
 }
 
+// counterValue adapts an atomic counter to the callback type that daemon.Meter expects.
 func counterValue(counter *atomic.Int64) func() float64 {
 	return func() float64 { return float64(counter.Load()) }
 }
