--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -27,19 +27,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// testProxy is a proxy with its real HTTP server, and workers that fail at a chosen step. Nothing sleeps: the
-// workers act on the requests that they get.
+// proxyFixture is a proxy behind a real HTTP server, with fake workers that fail at a chosen step of an attempt. It uses
+// no sleeps: the workers act only on the requests that they receive.
 type proxyFixture struct {
 	proxy            *Proxy
 	server           *httptest.Server
 	mu               sync.Mutex
-	startedAttempts  map[string]int // attempts that a worker has started, by request
-	claimedKeys      map[string]bool
+	startedAttempts  map[string]int  // number of attempts that workers have started, by request ID
+	claimedKeys      map[string]bool // claim keys of the IDs claimed by at-most-once requests
 	snapshot         *updatestream.Snapshot
 	clock            *clock.Manual
-	onAttemptStarted func() // called when a worker has started an attempt; mu is held
+	onAttemptStarted func() // called with mu held when a worker has started an attempt; may be nil
 }
 
+// fakeClaims is an in-memory idClaims that grants each ID to one request at a time.
 type fakeClaims struct{ proxyFixture *proxyFixture }
 
 func (f fakeClaims) acquire(_ context.Context, key []byte) (uint64, bool, error) {
@@ -58,6 +59,8 @@
 	delete(f.proxyFixture.claimedKeys, string(key))
 }
 
+// newProxyFixture starts a proxy with one worker for each failure mode. The proxy's clock is
+// manual and starts at one hour.
 func newProxyFixture(t *testing.T, failureModes ...string) *proxyFixture {
 	t.Helper()
 	processSettings := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
@@ -69,7 +72,7 @@
 	for i, failureMode := range failureModes {
 		name := fmt.Sprintf("w%d", i)
 		addr := ""
-		if failureMode == "gone" {
+		if failureMode == "unreachable" {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -86,7 +89,7 @@
 	proxy := &Proxy{process: process, bounds: processSettings.Bounds, clock: fixture.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{fixture}}
 	proxy.traffic = queue.NewActor(newTrafficTable(processSettings.Bounds), 64)
 	proxy.traffic.Ask(func(table *trafficTable) {
-		for range 100 / proxy.bounds.RetryPercent { // as after a few requests
+		for range 100 / proxy.bounds.RetryPercent { // fill the retry budget as a few earlier requests would
 			table.retryBudgets.Deposit("s", 1)
 		}
 	})
@@ -101,47 +104,52 @@
 	return fixture
 }
 
+// attemptsStarted returns how many attempts workers have started for a request ID.
 func (fixture *proxyFixture) attemptsStarted(id string) int {
 	fixture.mu.Lock()
 	defer fixture.mu.Unlock()
 	return fixture.startedAttempts[id]
 }
 
+// send sends a request to the proxy and returns its outcome.
 func (fixture *proxyFixture) send(id string, atMostOnce bool) loadgen.Outcome {
 	request := loadgen.Request{ID: id, Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, WaitMs: 5000, Once: atMostOnce}
 	return loadgen.NewClient([]string{fixture.server.Listener.Addr().String()}).Send(context.Background(), 0, request)
 }
 
-// Both workers crash, reject or misbehave at a step of an attempt: what the caller learns, and how often the
-// request was started.
+// Both workers fail in the same way at one step of an attempt. The test checks what the client is told and how often
+// the request was started: an at-most-once request never more than once.
 func TestEveryStepOfAnAttempt(t *testing.T) {
 	for _, test := range []struct {
 		failureMode                          string
-		wantOnce                             string // a once-only request: sealed, broken, or the rejection's kind
-		wantIdempotent                       string
-		wantOnceStarts, wantIdempotentStarts int // attempts that were started
+		wantOnce                             string // expected outcome of an at-most-once request: sealed, interrupted, or the kind of the rejection
+		wantIdempotent                       string // expected outcome of a request that may be executed repeatedly
+		wantOnceStarts, wantIdempotentStarts int    // expected numbers of attempts that workers have started
 	}{
-		{"well", "sealed", "sealed", 1, 1},
-		{"gone", "not-run", "not-run", 0, 0},
-		{"refuse", "not-run", "not-run", 0, 0},
-		{"odd", "may-have-run", "may-have-run", 0, 0},
-		{"dies-before", "may-have-run", "may-have-run", 1, 2},
-		{"dies-within", "broken", "broken", 1, 1},
-		{"loses", "broken", "broken", 1, 1},
-		{"doubles", "broken", "broken", 1, 1},
-		{"mixes", "broken", "broken", 1, 1},
-		{"long", "broken", "broken", 1, 1},
-		{"unsealed", "broken", "broken", 1, 1},
-		{"forges", "broken", "broken", 1, 1},
+		{"healthy", "sealed", "sealed", 1, 1},
+		{"unreachable", "not-run", "not-run", 0, 0},
+		{"rejects", "not-run", "not-run", 0, 0},
+		{"untyped-error", "may-have-run", "may-have-run", 0, 0},
+		{"aborts-before-response", "may-have-run", "may-have-run", 1, 2},
+		{"aborts-mid-stream", "interrupted", "interrupted", 1, 1},
+		{"drops-chunk", "interrupted", "interrupted", 1, 1},
+		{"repeats-chunk", "interrupted", "interrupted", 1, 1},
+		{"wrong-request-id", "interrupted", "interrupted", 1, 1},
+		{"oversized-line", "interrupted", "interrupted", 1, 1},
+		{"omits-seal", "interrupted", "interrupted", 1, 1},
+		{"forged-seal", "interrupted", "interrupted", 1, 1},
 	} {
-		t.Run(test.failureMode+"/once", func(t *testing.T) { checkOutcome(t, test.failureMode, true, test.wantOnce, test.wantOnceStarts) })
+		t.Run(test.failureMode+"/at-most-once", func(t *testing.T) {
+			checkOutcome(t, test.failureMode, true, test.wantOnce, test.wantOnceStarts)
+		})
 		t.Run(test.failureMode+"/idempotent", func(t *testing.T) {
 			checkOutcome(t, test.failureMode, false, test.wantIdempotent, test.wantIdempotentStarts)
 		})
 	}
 }
 
-// checkOutcome sends a request to two workers that fail in the same way.
+// checkOutcome sends a request to a proxy whose two workers fail in the same way, and checks the outcome and the number
+// of started attempts.
 func checkOutcome(t *testing.T, failureMode string, atMostOnce bool, want string, wantStarts int) {
 	t.Helper()
 	fixture := newProxyFixture(t, failureMode, failureMode)
@@ -150,93 +158,94 @@
 	if outcome.Sealed {
 		got = "sealed"
 	} else if outcome.Interrupted != "" {
-		got = "broken"
+		got = "interrupted"
 	}
 	if starts := fixture.attemptsStarted("r"); got != want || starts != wantStarts || len(outcome.Faults) > 0 {
-		t.Errorf("%s after %d starts, want %s after %d; faults %v, %s", got, starts, want, wantStarts, outcome.Faults, outcome.Message)
+		t.Errorf("outcome %s after %d started attempts, want %s after %d; contract violations %v, rejection message %q", got, starts, want, wantStarts, outcome.Faults, outcome.Message)
 	}
 	if strings.HasPrefix(got, "not") && outcome.RetryAfterMs <= 0 {
-		t.Error("no Retry-After")
+		t.Error("request rejected as not executed, but without a Retry-After")
 	}
 }
 
-// A once-only request is retried only with proof that the first attempt wasn't started, and runs once.
+// An at-most-once request is retried at the second worker only if the first worker is proven not to have executed it;
+// then it must be executed exactly once.
 func TestProofAllowsARetryOfAOnceOnlyRequest(t *testing.T) {
-	for _, failureMode := range []string{"gone", "refuse"} {
-		for i := range 6 { // whichever of the two is selected first
-			fixture := newProxyFixture(t, failureMode, "well")
+	for _, failureMode := range []string{"unreachable", "rejects"} {
+		for i := range 6 { // several IDs, because the request ID decides which of the equal workers is selected first
+			fixture := newProxyFixture(t, failureMode, "healthy")
 			id := fmt.Sprint("r", i)
 			if outcome := fixture.send(id, true); !outcome.Sealed || fixture.attemptsStarted(id) != 1 {
-				t.Errorf("%s: %+v after %d starts", failureMode, outcome, fixture.attemptsStarted(id))
+				t.Errorf("first worker %s: outcome %+v after %d started attempts, want a sealed response after 1", failureMode, outcome, fixture.attemptsStarted(id))
 			}
 		}
 	}
 }
 
-// A once-only ID that comes again is rejected if the first request may have been executed, and accepted if it
-// is proven that it wasn't.
+// An at-most-once ID that is sent again is rejected if the first request may have been executed. If the first request
+// is proven not to have been executed, the ID can be used again.
 func TestOnceOnlyIdsAgain(t *testing.T) {
-	fixture := newProxyFixture(t, "well")
+	fixture := newProxyFixture(t, "healthy")
 	if outcome := fixture.send("r", true); !outcome.Sealed {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("first request with ID r: outcome %+v, want a sealed response", outcome)
 	}
 	if outcome := fixture.send("r", true); outcome.Rejected != "may-have-run" || fixture.attemptsStarted("r") != 1 {
-		t.Errorf("%+v after %d starts", outcome, fixture.attemptsStarted("r"))
+		t.Errorf("second request with ID r: outcome %+v after %d started attempts, want rejection may-have-run after 1", outcome, fixture.attemptsStarted("r"))
 	}
-	fixture = newProxyFixture(t, "refuse")
+	fixture = newProxyFixture(t, "rejects")
 	for range 2 {
 		if outcome := fixture.send("r", true); outcome.Rejected != "not-run" {
-			t.Errorf("%+v", outcome)
+			t.Errorf("request with ID r to a worker that rejects everything: outcome %+v, want rejection not-run", outcome)
 		}
 	}
 }
 
-// Without proof that the configuration is the newest nothing starts, nor with a key or a route that was
-// removed. The rejection doesn't wait.
+// No attempt starts without a recent proof that the configuration is the latest, with an unknown key, without a route,
+// or without a usable worker. Attempts on superseded weights start only within their time limit.
 func TestWhatIsRejectedBeforeAnAttempt(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(*proxyFixture)
 		kind    string
 	}{
-		"the proof is too old":      {func(fixture *proxyFixture) { fixture.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
-		"there is no configuration": {func(fixture *proxyFixture) { fixture.snapshot = &updatestream.Snapshot{} }, "not-run"},
-		"the key is unknown": {func(fixture *proxyFixture) {
+		"proof of the configuration too old": {func(fixture *proxyFixture) { fixture.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
+		"no configuration":                   {func(fixture *proxyFixture) { fixture.snapshot = &updatestream.Snapshot{} }, "not-run"},
+		"unknown tenant key": {func(fixture *proxyFixture) {
 			fixture.snapshot.Config.Tenants = nil
 			fixture.snapshot.Config.BuildIndex()
 		}, "bad-key"},
-		"no way leads there":      {func(fixture *proxyFixture) { fixture.snapshot.Config.Routes = nil }, "no-such-model"},
-		"all workers are leaving": {func(fixture *proxyFixture) { fixture.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
-		"older weights alone": {func(fixture *proxyFixture) {
+		"no route for the model": {func(fixture *proxyFixture) { fixture.snapshot.Config.Routes = nil }, "no-such-model"},
+		"all workers draining":   {func(fixture *proxyFixture) { fixture.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
+		"only superseded weights, at an unknown time": {func(fixture *proxyFixture) {
 			fixture.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
-		fixture := newProxyFixture(t, "well")
+		fixture := newProxyFixture(t, "healthy")
 		test.prepare(fixture)
 		if outcome := fixture.send("r", true); outcome.Rejected != test.kind || fixture.attemptsStarted("r") > 0 {
-			t.Errorf("%s: %+v after %d starts", name, outcome, fixture.attemptsStarted("r"))
+			t.Errorf("%s: outcome %+v after %d started attempts, want rejection %s and no started attempt", name, outcome, fixture.attemptsStarted("r"), test.kind)
 		}
 	}
-	fixture := newProxyFixture(t, "well")
+	fixture := newProxyFixture(t, "healthy")
 	fixture.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: time.Hour - time.Second}}}}
 	if outcome := fixture.send("r", true); !outcome.Sealed {
-		t.Errorf("older weights within their bound: %+v", outcome)
+		t.Errorf("superseded weights within their time limit: outcome %+v, want a sealed response", outcome)
 	}
 }
 
-// After an attempt that may have been executed, a rejection for another reason still says that the request may
-// have been executed.
+// Once an attempt may have been executed, the request must never be rejected as not executed, even if it finally fails
+// for an unrelated reason, such as a configuration change during the attempt.
 func TestWhatMayHaveRunIsNeverRejectedAsNotRun(t *testing.T) {
 	for name, change := range map[string]func(*updatestream.Snapshot){
-		"the key is taken out of force": func(updated *updatestream.Snapshot) { updated.Config = (&serviceconfig.Config{}).BuildIndex() },
-		"the way is taken away": func(updated *updatestream.Snapshot) {
+		"tenant key removed": func(updated *updatestream.Snapshot) { updated.Config = (&serviceconfig.Config{}).BuildIndex() },
+		"route removed": func(updated *updatestream.Snapshot) {
 			config := *updated.Config
 			config.Routes = nil
 			updated.Config = config.BuildIndex()
 		},
-		"the proof gets too old": func(updated *updatestream.Snapshot) { updated.ProofAt = time.Minute },
-		"the workers leave":      func(updated *updatestream.Snapshot) { updated.Workers = nil },
+		"proof of the configuration too old": func(updated *updatestream.Snapshot) { updated.ProofAt = time.Minute },
+		"all workers removed":                func(updated *updatestream.Snapshot) { updated.Workers = nil },
 	} {
-		fixture := newProxyFixture(t, "dies-before", "dies-before")
+		fixture := newProxyFixture(t, "aborts-before-response", "aborts-before-response")
 		fixture.onAttemptStarted = func() {
 			updated := *fixture.snapshot
 			updated.ConfigVersion++
@@ -244,14 +253,15 @@
 			fixture.snapshot = &updated
 		}
 		if outcome := fixture.send("r", false); outcome.Rejected != "may-have-run" || fixture.attemptsStarted("r") != 1 {
-			t.Errorf("%s: %s (%s) after %d starts", name, outcome.Rejected, outcome.Message, fixture.attemptsStarted("r"))
+			t.Errorf("%s: rejected as %q (%s) after %d started attempts, want may-have-run after 1", name, outcome.Rejected, outcome.Message, fixture.attemptsStarted("r"))
 		}
 	}
 }
 
-// When the caller disconnects, the worker's side is canceled, and the request is no longer in flight.
+// When the client disconnects during a response, the call to the worker is canceled and the request no longer counts as
+// in flight.
 func TestCallerDisconnectReachesTheWorker(t *testing.T) {
-	fixture := newProxyFixture(t, "hangs")
+	fixture := newProxyFixture(t, "stalls")
 	ctx, disconnect := context.WithCancel(context.Background())
 	body := `{"request_id":"r","model":"m","parts":["x"],"wait_ms":60000}`
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, fixture.server.URL+"/v1/answers", strings.NewReader(body))
@@ -267,21 +277,22 @@
 	}
 	disconnect()
 	if err := <-done; err == nil {
-		t.Fatal("the call went on")
+		t.Fatal("the client's request returned no error after it was canceled")
 	}
-	// The worker's handler waits until its request is canceled; closing the edge server waits for it.
+	// The stalled worker's handler returns only when its request is canceled, and closing the proxy's server waits for
+	// the proxy's handler.
 	fixture.server.Close()
 	remaining := -1
 	fixture.proxy.traffic.Ask(func(table *trafficTable) { remaining = table.inFlight })
 	if remaining != 0 {
-		t.Errorf("%d requests are still in flight", remaining)
+		t.Errorf("%d requests in flight after the client has disconnected, want 0", remaining)
 	}
 }
 
-// A caller that reads nothing neither delays others nor takes memory: its stream waits in the connection, line
-// by line.
+// A client that does not read its response must not delay other requests. The proxy reads the worker's response line by
+// line, so that the slow client's stream blocks in its own connection instead of filling memory.
 func TestSlowCallerDelaysNobody(t *testing.T) {
-	fixture := newProxyFixture(t, "well")
+	fixture := newProxyFixture(t, "healthy")
 	fixture.snapshot.Workers[0].Slots = 64
 	conn, err := net.Dial("tcp", fixture.server.Listener.Addr().String())
 	if err != nil {
@@ -295,16 +306,17 @@
 	}
 	for i := range 20 {
 		if outcome := fixture.send(fmt.Sprint("r", i), true); !outcome.Sealed {
-			t.Fatalf("beside a slow caller: %+v", outcome)
+			t.Fatalf("request beside a client that does not read its response: outcome %+v, want a sealed response", outcome)
 		}
 	}
 }
 
+// Invalid requests are rejected with the kind of the error and a remedy.
 func TestBadRequestsAreTyped(t *testing.T) {
-	fixture := newProxyFixture(t, "well")
+	fixture := newProxyFixture(t, "healthy")
 	for body, kind := range map[string]string{
 		`{`: "bad-input", `{}`: "bad-input", `{"request_id":"r","model":"m","parts":[],"wait_ms":1}`: "bad-input",
-		`{"request_id":"r r","model":"m","parts":["x"],"wait_ms":1}`: "bad-input", `{"request_id":"r","model":"m","parts":["x"],"wait_ms":1,"odd":1}`: "bad-input",
+		`{"request_id":"r r","model":"m","parts":["x"],"wait_ms":1}`: "bad-input", `{"request_id":"r","model":"m","parts":["x"],"wait_ms":1,"unknown":1}`: "bad-input",
 		`{"request_id":"r","model":"m","wait_ms":1,"parts":["` + strings.Repeat("x", 2<<20) + `"]}`: "too-big",
 	} {
 		request, err := http.NewRequest(http.MethodPost, fixture.server.URL+"/v1/answers", bytes.NewReader([]byte(body)))
@@ -320,7 +332,7 @@
 		raw, _ := io.ReadAll(response.Body)
 		response.Body.Close()
 		if !strings.Contains(string(raw), `"kind":"`+kind+`"`) || !strings.Contains(string(raw), `"remedy"`) {
-			t.Errorf("%.60s: %d %s", body, response.StatusCode, raw)
+			t.Errorf("request body %.60s: response %d %s, want kind %s and a remedy", body, response.StatusCode, raw, kind)
 		}
 	}
 }
--- a/internal/data/callerproxy/freshness_test.go
+++ b/internal/data/callerproxy/freshness_test.go
@@ -12,9 +12,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// The deadline is converted to the worker's clock, which may be ahead or behind by any time. Whenever during a
-// health check that clock was read, the worker refuses the attempt no later than the instant meant here, and
-// earlier by the duration of the check at most.
+// A start deadline is converted to the worker's clock, whose offset is arbitrary and which was read at some moment
+// during a health check. The worker must never accept an attempt after the original deadline, and may reject it early
+// by at most the duration of the health check.
 func TestWorkerStartDeadlineHoldsOnAnyClock(t *testing.T) {
 	const deadline = 100 * time.Second
 	for _, clockOffset := range []time.Duration{-time.Hour, 0, 90 * time.Hour} {
@@ -24,19 +24,20 @@
 				worker := &wire.Worker{ClockNs: uint64(200*time.Hour + probeSentAt + readDelay + clockOffset), ClockReadAt: uint64(probeSentAt + probeDuration)}
 				converted := time.Duration(workerStartDeadline(worker, deadline))*time.Microsecond - 200*time.Hour - clockOffset
 				if converted > deadline || converted < deadline-probeDuration {
-					t.Errorf("ahead %v, probe %v read after %v: converted deadline is %v here, %v is meant", clockOffset, probeDuration, readDelay, converted, deadline)
+					t.Errorf("worker clock offset %v, health check of %v, clock read after %v: converted deadline equals %v on the proxy's clock, want at most %v and not earlier by more than the health check", clockOffset, probeDuration, readDelay, converted, deadline)
 				}
 			}
 		}
 	}
 	if workerStartDeadline(&wire.Worker{}, deadline) != 0 {
-		t.Error("a worker that reports no clock was given a deadline")
+		t.Error("start deadline for a worker that reports no clock is not 0")
 	}
 }
 
-// The deadline is the earliest of the configuration's and that of the worker's superseded weights.
+// The start deadline of an attempt is the earlier of two: that of the configuration and that of the worker's superseded
+// weights. A request whose queueing time at the worker exceeds the deadline waits in the proxy and is not sent.
 func TestStartDeadline(t *testing.T) {
-	fixture := newProxyFixture(t, "well")
+	fixture := newProxyFixture(t, "healthy")
 	bounds, now := settings.DefaultBounds(), fixture.clock.Now()
 	fixture.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 3, Past: []updatestream.WeightsHistory{{Version: 1, ProvenNewestUntil: now - bounds.Weights(0.9)}, {Version: 2, ProvenNewestUntil: now}}}}
 	req := &request{proxy: fixture.proxy, snapshot: fixture.snapshot, body: &caller.Ask{Model: "m"}}
@@ -46,12 +47,12 @@
 		3: now + bounds.Config(0.95),
 	} {
 		if got := req.startDeadline(&wire.Worker{Weights: weights}); got != want {
-			t.Errorf("weights %d: until %v, %v is due", weights, got-now, want-now)
+			t.Errorf("weights version %d: start deadline is %v from now, want %v from now", weights, got-now, want-now)
 		}
 	}
-	// A queue that is longer than that is waited for here, where the configuration is checked again.
+	// The worker's queueing time exceeds the start deadline, so the request has to wait in the proxy.
 	fixture.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 200000 })
-	fixture.onAttemptStarted = func() { t.Error("it was sent to a worker whose queue outlasts its proof") }
+	fixture.onAttemptStarted = func() { t.Error("request was sent to a worker whose queueing time exceeds the start deadline") }
 	fixture.snapshot.ProofAt = now - bounds.Config(0.7)
 	fixture.snapshot.Workers[0].Weights = 3
 	withoutWorkers, snapshotReads := *fixture.snapshot, 0
@@ -59,26 +60,26 @@
 	fixture.proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
 		fixture.mu.Lock()
 		defer fixture.mu.Unlock()
-		if snapshotReads++; snapshotReads > 10 { // the worker leaves while the request waits
+		if snapshotReads++; snapshotReads > 10 { // the worker disappears from later snapshots
 			return &withoutWorkers
 		}
 		return fixture.snapshot
 	})
 	if outcome := fixture.send("r", true); outcome.Rejected != "not-run" || snapshotReads <= 10 {
-		t.Errorf("rejected as %s after %d looks", outcome.Rejected, snapshotReads)
+		t.Errorf("request that cannot start before its deadline: rejection %q after %d snapshot reads, want not-run after more than 10", outcome.Rejected, snapshotReads)
 	}
 }
 
-// The end of the caller's wait ends the request, whatever the clocks say: a clock that runs a little slower than
-// the timer must not make a waiting request spin.
+// A waiting request ends when its context's timer expires, even if the proxy's clock has not reached the time limit yet.
+// Otherwise a clock that is slightly slower than the timer would make the request loop without pause.
 func TestExpiredWaitIsAnswered(t *testing.T) {
-	fixture := newProxyFixture(t, "well") // its clock stands still
+	fixture := newProxyFixture(t, "healthy") // the proxy's clock does not advance
 	fixture.proxy.traffic.Ask(func(table *trafficTable) { table.worker("w0").attempts, table.meanAttemptUs = 40, 1000 })
 	fixture.snapshot.ProofAt = fixture.clock.Now() - settings.DefaultBounds().Config(0.799)
-	fixture.proxy.bounds.ConfigMs = 1684 // the proof just holds, and no queue fits before its end
+	fixture.proxy.bounds.ConfigMs = 1684 // the proof is still fresh, but the worker's queueing time exceeds the start deadline
 	request := loadgen.Request{ID: "r", Tenant: "t", Key: "key-of-t", Domain: "shared", Model: "m", Parts: []string{"o", "q"}, Chunks: 5, WaitMs: 60, Once: true}
 	outcome := loadgen.NewClient([]string{fixture.server.Listener.Addr().String()}).Send(context.Background(), 0, request)
 	if outcome.Rejected != "not-run" || fixture.attemptsStarted("r") > 0 {
-		t.Errorf("%s %s", outcome.Rejected, outcome.Message)
+		t.Errorf("request past its time limit: rejection %q (%s), want not-run and no started attempt", outcome.Rejected, outcome.Message)
 	}
 }
