--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -10,8 +10,11 @@
 	"pebbleloom/internal/wire"
 )
 
-var testCurve = placement.Curve{Coefficients: []float64{0, 100}} // 100 µs a token
+// testCurve is a prefill time of 100 µs per token.
+var testCurve = placement.Curve{Coefficients: []float64{0, 100}}
 
+// testQuery returns a query with four idle workers in two zones and one store, for a prompt of 1010 tokens. The prompt's
+// first entry has 1000 tokens, is cached by the holders, and is optionally replicated.
 func testQuery(replicated bool, holders map[string]string) Query {
 	entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", 4000), strings.Repeat("q", 40)})
 	query := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: entries}, LookupResults: map[prefix.Key]*wire.LookupResult{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
@@ -36,14 +39,15 @@
 	return query
 }
 
+// loadFrom returns a Query.Load function that reads the loads from a map; other workers are idle.
 func loadFrom(loads map[string]float64) func(string) float64 {
 	return func(worker string) float64 { return loads[worker] }
 }
 
-// selectWorkers are the workers of testQuery.
+// testWorkers are the names of the workers in testQuery.
 var testWorkers = []string{"w0", "w1", "w2", "w3"}
 
-// shardWorkers ranks the workers for the first entry of testQuery.
+// rankedShardWorkers returns testQuery's workers in the hash ranking of its first prefix entry.
 func rankedShardWorkers() []string {
 	return placement.RankShardWorkers(testQuery(false, nil).Entries[1][0].Key, testWorkers)
 }
@@ -53,16 +57,16 @@
 		name string
 		run  func(t *testing.T)
 	}{
-		{"a cold entry prefers its shard worker, and is saved to the store once it is accessed again", testUncachedEntry},
-		{"an overloaded shard worker isn't preferred", testOverloadedShardWorker},
-		{"a holder is preferred to an idle worker", testHolder},
-		{"a replicated entry lets load decide", testReplicatedEntry},
-		{"a replicated entry is saved to a worker that lacks it, and to the store", testReplicatedEntryIsSaved},
-		{"a fetch is planned only where it is cheaper than prefill", testFetch},
-		{"without the index nothing is known, and no hints are given", testNoIndex},
-		{"a session's prefix is admitted by length and hotness", testSessionPrefix},
-		{"a cordoned worker is selected only if there is no other", testCordonedWorker},
-		{"workers with other weights, tried ones and suspect ones aren't selected", testExcludedWorkers},
+		{"an uncached prefix goes to its shard worker, and is copied to the store once it is reused", testUncachedEntry},
+		{"an overloaded shard worker is not preferred", testOverloadedShardWorker},
+		{"a worker that holds the prefix is preferred over an idle one without it", testHolder},
+		{"the least loaded worker is selected for a replicated prefix", testReplicatedEntry},
+		{"a replicated prefix is copied to a worker that does not hold it and to the store", testReplicatedEntryIsSaved},
+		{"a prefix is fetched only if that is faster than prefill", testFetch},
+		{"without the prompt index there are no cache hits, fetches or copies", testNoIndex},
+		{"a session prefix determines affinity if it is long and hot enough", testSessionPrefix},
+		{"a cordoned worker is selected only if no other worker is available", testCordonedWorker},
+		{"workers with unusable weights, failed workers and suspect workers are not selected", testExcludedWorkers},
 	} {
 		t.Run(test.name, test.run)
 	}
@@ -74,11 +78,11 @@
 	query := testQuery(false, nil)
 	choice, ok := Select(query)
 	if !ok || choice.Worker.Name != ranked[0] || choice.Replicated || choice.SaveAddrs != "d:1" {
-		t.Fatalf("%+v, shard worker is %s", choice, ranked[0])
+		t.Fatalf("uncached prefix: choice %+v, want shard worker %s and a copy to the store only", choice, ranked[0])
 	}
 	query.LookupResults[entries[0].Key].Hotness = 1
 	if choice, _ := Select(query); choice.Worker.Name != ranked[0] || choice.SaveAddrs != "" {
-		t.Fatalf("used once: %+v", choice)
+		t.Fatalf("prefix accessed once: choice %+v, want the shard worker and no copy", choice)
 	}
 }
 
@@ -87,7 +91,7 @@
 	query := testQuery(false, nil)
 	query.Load = loadFrom(map[string]float64{ranked[0]: 6})
 	if choice, _ := Select(query); choice.Worker.Name != ranked[1] {
-		t.Fatalf("selected %s, next shard worker is %s", choice.Worker.Name, ranked[1])
+		t.Fatalf("shard worker overloaded: selected %s, want the next worker in the ranking, %s", choice.Worker.Name, ranked[1])
 	}
 }
 
@@ -95,7 +99,7 @@
 	ranked := rankedShardWorkers()
 	query := testQuery(true, map[string]string{ranked[2]: ""})
 	if choice, _ := Select(query); choice.Worker.Name != ranked[2] || choice.HitTokens != 1000 {
-		t.Fatalf("selected %s with hit %d, held by %s", choice.Worker.Name, choice.HitTokens, ranked[2])
+		t.Fatalf("selected %s with %d cached tokens, want %s with 1000, which holds the prefix", choice.Worker.Name, choice.HitTokens, ranked[2])
 	}
 }
 
@@ -109,27 +113,27 @@
 	query := testQuery(true, holders)
 	query.Load = loadFrom(loads)
 	if choice, _ := Select(query); choice.Worker.Name != "w2" {
-		t.Fatalf("selected %s", choice.Worker.Name)
+		t.Fatalf("replicated prefix: selected %s, want the idle worker w2", choice.Worker.Name)
 	}
 }
 
 func testReplicatedEntryIsSaved(t *testing.T) {
 	choice, _ := Select(testQuery(true, map[string]string{"w0": ""}))
 	if !choice.Replicated || choice.SaveEntries != 1 || len(choice.SaveNames) != 2 || !strings.Contains(choice.SaveAddrs, "d:1") {
-		t.Fatalf("%+v", choice)
+		t.Fatalf("replicated prefix: choice %+v, want a copy of one entry to one worker and the store", choice)
 	}
 }
 
 func testFetch(t *testing.T) {
 	query := testQuery(true, map[string]string{"w0": ""})
 	query.Load = loadFrom(map[string]float64{"w0": 9})
-	choice, _ := Select(query) // 1000 tokens: 100 ms to prefill, 20 ms near, 50 ms far
+	choice, _ := Select(query) // 1000 tokens: 100 ms to prefill, 20 ms to fetch within the zone, 50 ms from another zone
 	if choice.Worker.Name != "w2" || choice.FetchTokens != 1000 || choice.FetchFrom != "0=w0:1" {
-		t.Fatalf("selected %s, fetch %d from %q", choice.Worker.Name, choice.FetchTokens, choice.FetchFrom)
+		t.Fatalf("holder overloaded: selected %s to fetch %d tokens from %q, want w2 to fetch 1000 from 0=w0:1", choice.Worker.Name, choice.FetchTokens, choice.FetchFrom)
 	}
 	query.NearBandwidth, query.FarBandwidth = 5000, 5000
 	if choice, _ = Select(query); choice.FetchTokens != 0 || choice.FetchFrom != "" {
-		t.Fatalf("slow links: fetch %d from %q", choice.FetchTokens, choice.FetchFrom)
+		t.Fatalf("fetch slower than prefill: %d tokens to fetch from %q, want none", choice.FetchTokens, choice.FetchFrom)
 	}
 }
 
@@ -137,7 +141,7 @@
 	query := testQuery(true, map[string]string{"w0": ""})
 	query.Mode = "no-index"
 	if choice, _ := Select(query); choice.HitTokens != 0 || choice.FetchFrom+choice.SaveAddrs != "" {
-		t.Fatalf("%+v", choice)
+		t.Fatalf("placement mode no-index: choice %+v, want no cached tokens, fetches or copies", choice)
 	}
 }
 
@@ -148,7 +152,7 @@
 		hotness         float64
 		admissionFloor  float64
 		wantSession     bool
-	}{{"long and hot", 100, 3, 1, true}, {"shorter than the shared part", 3000, 3, 1, false}, {"colder than the coldest cached", 100, 1, 1.2, false}} {
+	}{{"session prefix long and hot enough", 100, 3, 1, true}, {"session prefix shorter than the shared prefix", 3000, 3, 1, false}, {"session prefix less hot than the coldest cached entry", 100, 1, 1.2, false}} {
 		entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", test.sharedPartBytes), strings.Repeat("s", 2000), "question"})
 		query := testQuery(false, nil)
 		query.Entries = map[uint64][]prefix.Entry{1: entries}
@@ -159,7 +163,7 @@
 			wantWorker = placement.RankShardWorkers(entries[1].Key, testWorkers)[0]
 		}
 		if choice, _ := Select(query); choice.SessionPrefix != test.wantSession || choice.Worker.Name != wantWorker {
-			t.Errorf("%s: session %v, selected %s, shard worker %s", test.name, choice.SessionPrefix, choice.Worker.Name, wantWorker)
+			t.Errorf("%s: affinity to session prefix is %v and worker %s was selected, want worker %s", test.name, choice.SessionPrefix, choice.Worker.Name, wantWorker)
 		}
 	}
 }
@@ -168,11 +172,11 @@
 	query := testQuery(true, map[string]string{"w1": ""})
 	query.NewestWeights, query.Placement.Cordoned = 2, []string{"w1", "w2"}
 	if choice, ok := Select(query); !ok || choice.Worker.Name == "w1" || choice.Worker.Name == "w2" {
-		t.Errorf("selected %s", choice.Worker.Name)
+		t.Errorf("w1 and w2 are cordoned: selected %s, want another worker", choice.Worker.Name)
 	}
 	query.Workers = query.Workers[1:3]
 	if choice, ok := Select(query); !ok || choice.Worker.Name != "w1" {
-		t.Errorf("of two set aside: %v %v", choice.Worker, ok)
+		t.Errorf("only cordoned workers are left: selected %v (found: %v), want w1, which holds the prefix", choice.Worker, ok)
 	}
 }
 
@@ -180,10 +184,10 @@
 	query := testQuery(true, nil)
 	query.Workers[0].Weights, query.Workers[1].State, query.FailedWorkers = 2, 1, map[string]bool{"w2": true}
 	if choice, _ := Select(query); choice.Worker.Name != "w3" {
-		t.Fatalf("selected %s", choice.Worker.Name)
+		t.Fatalf("w3 is the only selectable worker: selected %s", choice.Worker.Name)
 	}
 	query.FailedWorkers["w3"] = true
 	if _, ok := Select(query); ok {
-		t.Fatal("selected a worker")
+		t.Fatal("a worker was selected although none is selectable")
 	}
 }
