--- a/internal/data/callerproxy/traffic_test.go
+++ b/internal/data/callerproxy/traffic_test.go
@@ -11,22 +11,22 @@
 
 const (
 	simulatedEdgeNodes = 9
-	tenantRate         = 30.0 // requests per second
-	tenantMaxInFlight  = 45
+	tenantRate         = 30.0 // rate limit of the tenant for the whole site, in requests per second
+	tenantMaxInFlight  = 45   // limit of the tenant's concurrent requests for the whole site
 )
 
-// tenantSimulation is a site whose edge nodes admit one tenant's requests, fail and return.
+// tenantSimulation simulates a site whose edge nodes admit requests of one tenant, and fail and recover at random.
 type tenantSimulation struct {
 	t          *testing.T
 	seed       uint64
 	random     *rand.Rand
 	tables     [simulatedEdgeNodes]*trafficTable
 	isUp       [simulatedEdgeNodes]bool
-	inFlight   [simulatedEdgeNodes]int
-	live       int           // nodes that are up
-	knownLive  int           // live nodes that the nodes know of
-	staleUntil time.Duration // until then known may be stale
-	admittedAt []time.Duration
+	inFlight   [simulatedEdgeNodes]int // requests in flight, by node
+	live       int                     // number of nodes that are up
+	knownLive  int                     // number of live nodes that the nodes assume; it lags behind live
+	staleUntil time.Duration           // time until which knownLive may be outdated
+	admittedAt []time.Duration         // when each request was admitted
 }
 
 func newTenantSimulation(t *testing.T, seed uint64) *tenantSimulation {
@@ -37,7 +37,8 @@
 	return sim
 }
 
-// failOrReturn changes whether a node is up: its requests end, and the others learn of it a second late.
+// toggleNode makes a random node fail or recover. The node's requests end, and the other nodes learn of the change one
+// second later.
 func (sim *tenantSimulation) toggleNode(now time.Duration) {
 	i := sim.random.IntN(simulatedEdgeNodes)
 	sim.isUp[i] = !sim.isUp[i]
@@ -51,7 +52,7 @@
 	sim.staleUntil = now + time.Second
 }
 
-// step has a node admit a request, and perhaps end one.
+// step lets a random node try to admit a request and, with probability 1/2, end one.
 func (sim *tenantSimulation) step(now time.Duration) {
 	if sim.random.IntN(300) == 0 {
 		sim.toggleNode(now)
@@ -69,31 +70,32 @@
 		sim.admittedAt = append(sim.admittedAt, now)
 		sim.inFlight[i]++
 	} else if rejected.retryAfter <= 0 {
-		sim.t.Fatal("rejected without a Retry-After")
+		sim.t.Fatal("tenant's request was rejected without a Retry-After")
 	}
 	if sim.random.IntN(2) == 0 && sim.inFlight[i] > 0 {
 		sim.tables[i].endRequest("t")
 		sim.inFlight[i]--
 	}
 	if share := tenantMaxInFlight / max(1, sim.knownLive); sim.inFlight[i] > share && rejected == nil {
-		sim.t.Fatalf("seed %d at %v: admitted as number %d of a node's %d", sim.seed, now, sim.inFlight[i], share)
+		sim.t.Fatalf("seed %d at %v: node admitted its concurrent request number %d, its share of the tenant's limit is %d", sim.seed, now, sim.inFlight[i], share)
 	}
 	sim.checkInFlight(now)
 }
 
-// checkInFlight checks the site's limit once what was admitted under a stale number of nodes has ended.
+// checkInFlight checks the tenant's limit of concurrent requests for the whole site. The check pauses after a node
+// change until requests admitted under an outdated number of nodes have ended.
 func (sim *tenantSimulation) checkInFlight(now time.Duration) {
 	total := 0
 	for _, count := range sim.inFlight {
 		total += count
 	}
 	if now > sim.staleUntil+5*time.Second && total > tenantMaxInFlight {
-		sim.t.Fatalf("seed %d at %v: %d in flight at the site, at most %d", sim.seed, now, total, tenantMaxInFlight)
+		sim.t.Fatalf("seed %d at %v: tenant has %d requests in flight at the whole site, its limit is %d", sim.seed, now, total, tenantMaxInFlight)
 	}
 }
 
-// checkRate checks that any ten seconds admit at most ten seconds' rate, what was saved up, and what nodes that
-// learn late of one more can add.
+// checkRate checks that no interval of ten seconds admits more than the tenant's rate allows, plus the tokens saved up
+// before, plus the excess of nodes that assume too few live nodes for a while.
 func (sim *tenantSimulation) checkRate() {
 	for i, from := range sim.admittedAt {
 		count := 0
@@ -103,14 +105,14 @@
 			}
 		}
 		if float64(count) > 1.4*(10*tenantRate)+tenantRate+simulatedEdgeNodes {
-			sim.t.Fatalf("seed %d: %d admitted within ten seconds from %v", sim.seed, count, from)
+			sim.t.Fatalf("seed %d: %d requests admitted within ten seconds from %v, more than the tenant's rate limit allows", sim.seed, count, from)
 		}
 	}
 }
 
-// A tenant's limits are the site's, not each node's: nine nodes together admit its rate, also while nodes fail
-// and return and the others learn of it late. Each node may have saved up one second's share, and one request
-// at least.
+// A tenant's limits apply to the whole site, not to each edge node: nine nodes together must not admit more than the
+// tenant's rate, even while nodes fail and recover and the others learn of it late. Each node may have saved up one
+// second's share of the rate, and at least one request.
 func TestTenantsBudgetsAreShared(t *testing.T) {
 	for seed := range uint64(30) {
 		sim := newTenantSimulation(t, seed)
@@ -119,10 +121,10 @@
 		}
 		sim.checkRate()
 		if len(sim.admittedAt) < 500 {
-			t.Fatalf("seed %d: only %d admitted", seed, len(sim.admittedAt))
+			t.Fatalf("seed %d: only %d requests admitted in a simulation of 59 s, want at least 500", seed, len(sim.admittedAt))
 		}
 	}
-	singleNode := newTrafficTable(settings.DefaultBounds()) // a single node has the full rate
+	singleNode := newTrafficTable(settings.DefaultBounds()) // the only node of a site gets the tenant's full rate
 	count := 0
 	for now := time.Second; now < 11*time.Second; now += 10 * time.Millisecond {
 		if rejected := singleNode.admit("t", serviceconfig.Tenant{RequestsPerSecond: tenantRate}, 1000, 1, now); rejected == nil {
@@ -130,6 +132,6 @@
 		}
 	}
 	if count < 295 || count > 331 {
-		t.Errorf("alone: %d admitted within ten seconds", count)
+		t.Errorf("single edge node: %d requests admitted within ten seconds, want 295 to 331", count)
 	}
 }
