--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -117,8 +117,8 @@
 	return loadgen.NewClient([]string{fixture.server.Listener.Addr().String()}).Send(context.Background(), 0, request)
 }
 
-// Both workers fail in the same way at one step of an attempt. The test checks what the client is told and how often
-// the request was started: an at-most-once request never more than once.
+// Both workers fail in the same way at one step of an attempt. The test checks the outcome that the client
+// receives and how often the request was started: an at-most-once request never more than once.
 func TestEveryStepOfAnAttempt(t *testing.T) {
 	for _, test := range []struct {
 		failureMode                          string
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// headers returns the HTTP headers that tell the worker where to fetch cached prefixes from and where to copy
-// them to.
+// headers returns the HTTP headers that name where the worker fetches cached prefixes from and where it copies them
+// to.
 func (c *Choice) headers() map[string]string {
 	headers := map[string]string{}
 	if c.FetchFrom != "" {
--- a/internal/data/callerproxy/decision.go
+++ b/internal/data/callerproxy/decision.go
@@ -14,7 +14,7 @@
 	Config        uint64  `json:"setup_epoch"`          // version of the configuration that the request was routed under
 	Placement     uint64  `json:"placement_epoch"`      // version of the service's placement; 0 if there is none
 	CachedTokens  int     `json:"hit_tokens"`           // prompt tokens that the worker was expected to have in its cache
-	FetchedTokens int     `json:"fetch_tokens"`         // prompt tokens that the worker was told to fetch from other holders
+	FetchedTokens int     `json:"fetch_tokens"`         // prompt tokens that the worker was directed to fetch from other holders
 	WaitUs        float64 `json:"wait_us"`              // estimated time until a slot is free
 	CostUs        float64 `json:"cost_us"`              // estimated time to first token, including any affinity penalty
 	Replicated    bool    `json:"hot"`                  // the prefix that determines worker affinity is replicated on all workers
--- a/internal/data/callerproxy/rejection.go
+++ b/internal/data/callerproxy/rejection.go
@@ -38,7 +38,7 @@
 }
 
 // withoutNotExecuted returns the rejection to send when an earlier attempt may have been executed: a rejection
-// whose kind would tell the client that the request was not executed is replaced by one of kind MayHaveExecuted.
+// whose kind implies that the request was not executed is replaced by one of kind MayHaveExecuted.
 func withoutNotExecuted(err error, mayHaveExecuted bool) error {
 	var rejected rejection
 	if !mayHaveExecuted || !errors.As(err, &rejected) {
