--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -13,20 +13,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// Ratios of the bound on leaving workers (Bounds.Leave).
+// Intervals and pauses as fractions of Bounds.Leave, the time within which a departed worker stops receiving
+// requests.
 const (
-	watchIntervalRatio = 0.2 // how often an attempt checks that its worker is still known
-	failedWorkerRatio  = 0.3 // for how long a worker gets no attempt after a failed one: until its next health check
-	noWorkerRetryRatio = 0.3 // Retry-After if no worker can be selected
+	watchIntervalRatio      = 0.2 // interval at which a running attempt checks that its worker still exists
+	failedWorkerPauseRatio  = 0.3 // how long a worker gets no further attempt after a failed one: until its next health check
+	noWorkerRetryAfterRatio = 0.3 // Retry-After of a request for which no worker can be selected
 )
 
-// defaultAnswerChunks is how many chunks an answer has if the caller names no number.
+// defaultAnswerChunks is the number of response chunks to generate if the request does not specify it.
 const defaultAnswerChunks = 16
 
-// kindStore is the kind of a worker that only stores prefixes.
+// kindStore is the kind of a cache store: it is listed as a worker, but only stores KV cache prefixes.
 const kindStore = "store"
 
-// selectWorker selects the worker of the next attempt, and counts the attempt there.
+// selectWorker selects a worker for the next attempt and counts the attempt in that worker's load.
 func (req *request) selectWorker(service string) (Choice, error) {
 	p := req.proxy
 	query := req.newQuery(service)
@@ -34,51 +35,52 @@
 	var choice Choice
 	selected := false
 	p.traffic.Ask(func(table *trafficTable) {
-		table.addLoads(&query, now, p.bounds.Leave(failedWorkerRatio))
+		table.addLoads(&query, now, p.bounds.Leave(failedWorkerPauseRatio))
 		if choice, selected = Select(query); selected {
 			table.worker(choice.Worker.Name).attempts++
 		}
 	})
 	if !selected {
-		return choice, reject(errs.NotExecuted, req.ask.RequestID, p.bounds.Leave(noWorkerRetryRatio), "no worker of service %s can accept it now", service)
+		return choice, reject(errs.NotExecuted, req.body.RequestID, p.bounds.Leave(noWorkerRetryAfterRatio), "no worker of service %s can currently accept the request", service)
 	}
 	return choice, nil
 }
 
-// newQuery is the query for the request's next worker, without what the traffic table knows.
+// newQuery builds the worker selection query of the next attempt. The load and the mean duration of attempts are
+// missing; trafficTable.addLoads fills them in.
 func (req *request) newQuery(service string) Query {
 	p, snapshot := req.proxy, req.snapshot
-	target := weightsFor(snapshot, req.ask)
+	target := targetFor(snapshot, req.body)
 	query := Query{
-		ID:             req.ask.RequestID,
+		ID:             req.body.RequestID,
 		Mode:           placementMode(snapshot.Config, service),
 		Entries:        req.prefixEntries(req.entries),
-		Found:          req.found,
-		Tried:          req.tried,
+		LookupResults:  req.lookupResults,
+		FailedWorkers:  req.failedWorkers,
 		NewestWeights:  snapshot.Weights[target.Model].Version,
 		Placement:      snapshot.Placements[service],
 		PrefillCurve:   p.prefillCurve,
-		NearBandwidth:  p.links.near.Load(),
-		FarBandwidth:   p.links.far.Load(),
-		StoreBandwidth: p.links.store.Load(),
-		Stores:         map[string]string{},
+		NearBandwidth:  p.bandwidths.near.Load(),
+		FarBandwidth:   p.bandwidths.far.Load(),
+		StoreBandwidth: p.bandwidths.store.Load(),
+		StoreAddrs:     map[string]string{},
 	}
 	if query.Placement != nil {
 		query.PrefillCurve = query.Placement.PrefillCurve
 	}
 	for _, worker := range snapshot.Workers {
 		if worker.Kind == kindStore && worker.State == updatestream.WorkerUp {
-			query.Stores[worker.Name] = worker.Addr
+			query.StoreAddrs[worker.Name] = worker.Addr
 		}
-		if view := viewForTarget(worker, target); view != nil && worker.Service == service && worker.State <= updatestream.WorkerSuspect {
-			query.Workers = append(query.Workers, view)
+		if workerView := workerForTarget(worker, target); workerView != nil && worker.Service == service && worker.State <= updatestream.WorkerSuspect {
+			query.Workers = append(query.Workers, workerView)
 		}
 	}
 	return query
 }
 
-// addLoads adds the load of the workers to a query, and takes out those that have failed an attempt of this
-// node less than failurePause ago.
+// addLoads adds the workers' loads to a query and removes workers that failed an attempt from this node less than
+// failurePause ago. The load is the larger of the reported load and this node's own attempts.
 func (t *trafficTable) addLoads(query *Query, now, failurePause time.Duration) {
 	query.MeanAttemptUs = t.meanAttemptUs
 	var healthy []*wire.Worker
@@ -98,6 +100,7 @@
 	query.Load = func(name string) float64 { return loads[name] }
 }
 
+// placementMode returns the placement mode that the configuration sets for a service, or the default mode.
 func placementMode(config *serviceconfig.Config, service string) string {
 	if mode := config.Services[service].Placement; mode != "" {
 		return mode
@@ -105,70 +108,73 @@
 	return serviceconfig.PlacementHRCS
 }
 
-// startAttempt starts an attempt and waits for its first line. If it fails, notExecuted says whether it is
-// proven that the attempt never started.
+// startAttempt sends the request to the chosen worker and waits for the first line of the response. If that fails,
+// notExecuted reports whether the worker is proven not to have executed the request.
 func (req *request) startAttempt(service string, choice Choice, deadline time.Duration) (started *stream, notExecuted bool, err error) {
 	proxy, worker := req.proxy, choice.Worker
 	remaining := req.timeRemaining()
 	ctx, cancel := context.WithCancel(req.ctx)
-	answer := &stream{
+	newStream := &stream{
 		proxy:     proxy,
-		id:        req.ask.RequestID,
+		id:        req.body.RequestID,
 		worker:    worker.Name,
 		zone:      worker.Zone,
 		startedAt: proxy.clock.Now(),
 		cancel:    cancel,
 		snapshot:  req.snapshot,
 	}
-	answer.watch = time.AfterFunc(proxy.bounds.Leave(watchIntervalRatio), func() { proxy.watchWorker(answer, worker, cancel) })
-	response := proxy.backends.Start(ctx, worker.Addr, req.startRequest(worker, remaining, deadline), choice.hints())
-	if response.Err != nil {
-		answer.finish(false)
-		return nil, response.NotExecuted(), response.Err
+	newStream.watch = time.AfterFunc(proxy.bounds.Leave(watchIntervalRatio), func() { proxy.watchWorker(newStream, worker, cancel) })
+	attempt := proxy.backends.Start(ctx, worker.Addr, req.startRequest(worker, remaining, deadline), choice.headers())
+	if attempt.Err != nil {
+		newStream.finish(false)
+		return nil, attempt.NotExecuted(), attempt.Err
 	}
 	proxy.index.recordAccesses(service, choice.Entries, worker.Name, choice.SaveNames, choice.SaveEntries)
-	answer.body, answer.reader = response.Body, bufio.NewReaderSize(response.Body, contract.MaxLineBytes)
-	answer.verifier = contract.NewStreamVerifier(req.ask.RequestID, worker.Name)
-	if err := answer.readLine(); err != nil {
-		answer.finish(false)
+	newStream.responseBody, newStream.reader = attempt.Body, bufio.NewReaderSize(attempt.Body, contract.MaxLineBytes)
+	newStream.verifier = contract.NewStreamVerifier(req.body.RequestID, worker.Name)
+	if err := newStream.readLine(); err != nil {
+		newStream.finish(false)
 		return nil, false, err
 	}
-	req.logDecision(choice)
-	return answer, false, nil
+	req.queueDecision(choice)
+	return newStream, false, nil
 }
 
+// startRequest builds the request that asks a worker to start an attempt.
 func (req *request) startRequest(worker *wire.Worker, remaining, deadline time.Duration) contract.StartRequest {
-	ask, target := req.ask, weightsFor(req.snapshot, req.ask)
+	body, target := req.body, targetFor(req.snapshot, req.body)
 	return contract.StartRequest{
-		RequestID:   ask.RequestID,
+		RequestID:   body.RequestID,
 		Tenant:      req.tenant,
 		CacheDomain: req.snapshot.Config.CacheDomain(req.tenant),
 		Model:       target.Model,
 		Adapter:     target.Adapter,
 		Build:       target.Build,
 		Weights:     worker.Weights,
-		Parts:       ask.Parts,
-		Chunks:      ask.Pieces.Or(defaultAnswerChunks),
+		Parts:       body.Parts,
+		Chunks:      body.Pieces.Or(defaultAnswerChunks),
 		WaitMs:      int(min(remaining, deadline-req.proxy.clock.Now()).Milliseconds()),
-		AtMostOnce:  req.once,
+		AtMostOnce:  req.atMostOnce,
 		Incarnation: worker.Incarnation,
 		BeginByUs:   workerStartDeadline(worker, deadline),
 	}
 }
 
-// hints are the header fields that name where the worker fetches prefixes from and where it saves them.
-func (c *Choice) hints() map[string]string {
-	hints := map[string]string{}
+// headers returns the HTTP headers that name where the worker fetches cached prefixes from and where it copies them
+// to.
+func (c *Choice) headers() map[string]string {
+	headers := map[string]string{}
 	if c.FetchFrom != "" {
-		hints[contract.FetchFrom] = c.FetchFrom
+		headers[contract.FetchFrom] = c.FetchFrom
 	}
 	if c.SaveAddrs != "" {
-		hints[contract.SaveTo], hints[contract.SaveUpTo] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
+		headers[contract.SaveTo], headers[contract.SaveUpTo] = c.SaveAddrs, fmt.Sprint(c.SaveEntries)
 	}
-	return hints
+	return headers
 }
 
-// watchWorker cancels an attempt whose worker is gone, without waiting for a time-out.
+// watchWorker cancels an attempt as soon as its worker is no longer listed, instead of waiting for a timeout. It
+// reschedules itself while the worker exists.
 func (p *Proxy) watchWorker(s *stream, worker *wire.Worker, cancel func()) {
 	for _, known := range p.follower.Snapshot().Workers {
 		if isSameWorker(known, worker) && known.State != updatestream.WorkerGone {
@@ -179,8 +185,8 @@
 	cancel()
 }
 
-// isSameWorker reports whether a known worker is the one that an attempt was started at, in the same
-// incarnation if that was known.
+// isSameWorker reports whether a listed worker is the one that an attempt was sent to. The incarnation has to
+// match only if it was known when the attempt started.
 func isSameWorker(known, started *wire.Worker) bool {
 	return known.Name == started.Name && known.Addr == started.Addr &&
 		(started.Incarnation == "" || known.Incarnation == started.Incarnation)
--- a/internal/data/callerproxy/saves.go
+++ b/internal/data/callerproxy/saves.go
@@ -4,28 +4,28 @@
 	"pebbleloom/internal/data/placement"
 )
 
-// planSaves decides where the selected worker saves the prefix up to the deciding entry. A replicated entry is
-// saved to one more worker that lacks it; any other to its preferred worker, if it is computed elsewhere.
-// Both are saved to the stores, the latter once it is accessed again: its one worker may evict it, and
-// fetching it from a store is faster than prefilling.
-func (q *Query) planSaves(choice *Choice, view *siteView) {
-	key, index, session := q.decidingEntry(choice.Entries)
+// planSaveTargets decides where the selected worker copies the prefix that determines affinity. A replicated prefix is
+// copied to one more worker that does not hold it. Any other prefix is copied to its preferred worker, if another
+// worker was selected and the prefix is reused. Both kinds are also copied to the stores, a prefix that is not
+// replicated only once it is reused: its only worker may evict it, and a fetch from a store is faster than prefill.
+func (q *Query) planSaveTargets(choice *Choice, view *selectionView) {
+	key, index, isSession := q.affinityEntry(choice.Entries)
 	if index < 0 || !q.usesIndex() {
 		return
 	}
-	choice.Session = session
-	choice.Hot = q.Placement.IsReplicated(key)
+	choice.SessionPrefix = isSession
+	choice.Replicated = q.Placement.IsReplicated(key)
 	holders := view.holders[key]
-	isReused := session || q.Found[key].GetHotness() >= sharedMinAccesses
+	isReused := isSession || q.LookupResults[key].GetHotness() >= sharedMinAccesses
 	preferred := choice.PreferredWorker
-	if choice.Hot {
-		q.saveToNextReplica(choice, holders, view)
+	if choice.Replicated {
+		q.saveToOneWorker(choice, holders, view)
 	} else if preferred != "" && preferred != choice.Worker.Name && !holders[preferred] && isReused {
-		choice.saveTo(preferred, view)
+		choice.addSaveTarget(preferred, view)
 	}
-	for store := range q.Stores {
-		if (choice.Hot || isReused) && !holders[store] {
-			choice.saveTo(store, view)
+	for store := range q.StoreAddrs {
+		if (choice.Replicated || isReused) && !holders[store] {
+			choice.addSaveTarget(store, view)
 		}
 	}
 	if len(choice.SaveNames) > 0 {
@@ -33,18 +33,20 @@
 	}
 }
 
-// saveToNextReplica saves to one worker that lacks the entry, a different one for each request.
-func (q *Query) saveToNextReplica(choice *Choice, holders map[string]bool, view *siteView) {
-	for _, worker := range placement.RankShardWorkers(q.tieKey(), view.up) {
+// saveToOneWorker adds one worker that does not hold the prefix yet to the save targets. The choice depends on the
+// request ID, so that copies are spread over the workers.
+func (q *Query) saveToOneWorker(choice *Choice, holders map[string]bool, view *selectionView) {
+	for _, worker := range placement.RankShardWorkers(q.tieBreakKey(), view.upWorkers) {
 		if !holders[worker] && worker != choice.Worker.Name {
-			choice.saveTo(worker, view)
+			choice.addSaveTarget(worker, view)
 			return
 		}
 	}
 }
 
-// saveTo adds a worker or store to those that are saved to.
-func (c *Choice) saveTo(name string, view *siteView) {
+// addSaveTarget adds a worker or store to the save targets. The selected worker itself, and names without a known
+// address, are skipped.
+func (c *Choice) addSaveTarget(name string, view *selectionView) {
 	addr := view.addr[name]
 	if addr == "" || name == c.Worker.Name {
 		return
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -10,22 +10,25 @@
 	"pebbleloom/internal/wire"
 )
 
-var testCurve = placement.Curve{Coefficients: []float64{0, 100}} // 100 µs a token
+// testCurve is a prefill time of 100 µs per token.
+var testCurve = placement.Curve{Coefficients: []float64{0, 100}}
 
-func testQuery(hot bool, holders map[string]string) Query {
+// testQuery returns a query with four idle workers in two zones and one store, for a prompt of 1010 tokens. The prompt's
+// first entry has 1000 tokens, is cached by the holders, and is optionally replicated.
+func testQuery(replicated bool, holders map[string]string) Query {
 	entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", 4000), strings.Repeat("q", 40)})
-	query := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: entries}, Found: map[prefix.Key]*wire.LookupResult{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
-		MeanAttemptUs: 100000, Tried: map[string]bool{}, Load: func(string) float64 { return 0 }, Stores: map[string]string{"store": "d:1"}}
-	found := &wire.LookupResult{Hotness: 5}
+	query := Query{ID: "r", Entries: map[uint64][]prefix.Entry{1: entries}, LookupResults: map[prefix.Key]*wire.LookupResult{}, PrefillCurve: testCurve, NearBandwidth: 50000, FarBandwidth: 20000, StoreBandwidth: 20000,
+		MeanAttemptUs: 100000, FailedWorkers: map[string]bool{}, Load: func(string) float64 { return 0 }, StoreAddrs: map[string]string{"store": "d:1"}}
+	result := &wire.LookupResult{Hotness: 5}
 	for name := range holders {
-		found.Holders = append(found.Holders, &wire.Holder{Worker: name, State: 2})
+		result.Holders = append(result.Holders, &wire.Holder{Worker: name, State: 2})
 	}
-	query.Found[entries[0].Key] = found
+	query.LookupResults[entries[0].Key] = result
 	for i := range 4 {
 		query.Workers = append(query.Workers, &wire.Worker{Name: fmt.Sprintf("w%d", i), Addr: fmt.Sprintf("w%d:1", i), Zone: fmt.Sprint(i % 2), Weights: 1, Slots: 2})
 	}
 	current := &placement.Placement{Mode: "hrcs"}
-	if hot {
+	if replicated {
 		current.Replicated = []string{entries[0].Key.String()}
 	}
 	body := fmt.Sprintf(`{"mode":"hrcs","replicated":["%s"]}`, strings.Join(current.Replicated, ""))
@@ -36,16 +39,17 @@
 	return query
 }
 
-func loadsOf(m map[string]float64) func(string) float64 {
-	return func(n string) float64 { return m[n] }
+// loadFrom returns a Query.Load function that reads the loads from a map; other workers are idle.
+func loadFrom(loads map[string]float64) func(string) float64 {
+	return func(worker string) float64 { return loads[worker] }
 }
 
-// selectWorkers are the workers of testQuery.
-var selectWorkers = []string{"w0", "w1", "w2", "w3"}
+// testWorkers are the names of the workers in testQuery.
+var testWorkers = []string{"w0", "w1", "w2", "w3"}
 
-// shardWorkers ranks the workers for the first entry of testQuery.
-func shardWorkers() []string {
-	return placement.RankShardWorkers(testQuery(false, nil).Entries[1][0].Key, selectWorkers)
+// rankedShardWorkers returns testQuery's workers in the hash ranking of its first prefix entry.
+func rankedShardWorkers() []string {
+	return placement.RankShardWorkers(testQuery(false, nil).Entries[1][0].Key, testWorkers)
 }
 
 func TestSelect(t *testing.T) {
@@ -53,83 +57,83 @@
 		name string
 		run  func(t *testing.T)
 	}{
-		{"a cold entry prefers its shard worker, and is saved to the store once it is accessed again", testUncachedEntry},
-		{"an overloaded shard worker isn't preferred", testOverloadedShardWorker},
-		{"a holder is preferred to an idle worker", testHolder},
-		{"a replicated entry lets load decide", testReplicatedEntry},
-		{"a replicated entry is saved to a worker that lacks it, and to the store", testReplicatedEntryIsSaved},
-		{"a fetch is planned only where it is cheaper than prefill", testFetch},
-		{"without the index nothing is known, and no hints are given", testNoIndex},
-		{"a session's prefix is admitted by length and hotness", testSessionPrefix},
-		{"a cordoned worker is selected only if there is no other", testCordonedWorker},
-		{"workers with other weights, tried ones and suspect ones aren't selected", testExcludedWorkers},
+		{"an uncached prefix goes to its shard worker, and is copied to the store once it is reused", testUncachedEntry},
+		{"an overloaded shard worker is not preferred", testOverloadedShardWorker},
+		{"a worker that holds the prefix is preferred over an idle one without it", testHolder},
+		{"the least loaded worker is selected for a replicated prefix", testReplicatedEntry},
+		{"a replicated prefix is copied to a worker that does not hold it and to the store", testReplicatedEntryIsSaved},
+		{"a prefix is fetched only if that is faster than prefill", testFetch},
+		{"without the prompt index there are no cache hits, fetches or copies", testNoIndex},
+		{"a session prefix determines affinity if it is long and hot enough", testSessionPrefix},
+		{"a cordoned worker is selected only if no other worker is available", testCordonedWorker},
+		{"workers with unusable weights, failed workers and suspect workers are not selected", testExcludedWorkers},
 	} {
 		t.Run(test.name, test.run)
 	}
 }
 
 func testUncachedEntry(t *testing.T) {
-	home := shardWorkers()
+	ranked := rankedShardWorkers()
 	entries := testQuery(false, nil).Entries[1]
 	query := testQuery(false, nil)
 	choice, ok := Select(query)
-	if !ok || choice.Worker.Name != home[0] || choice.Hot || choice.SaveAddrs != "d:1" {
-		t.Fatalf("%+v, shard worker is %s", choice, home[0])
+	if !ok || choice.Worker.Name != ranked[0] || choice.Replicated || choice.SaveAddrs != "d:1" {
+		t.Fatalf("uncached prefix: choice %+v, want shard worker %s and a copy to the store only", choice, ranked[0])
 	}
-	query.Found[entries[0].Key].Hotness = 1
-	if choice, _ := Select(query); choice.Worker.Name != home[0] || choice.SaveAddrs != "" {
-		t.Fatalf("used once: %+v", choice)
+	query.LookupResults[entries[0].Key].Hotness = 1
+	if choice, _ := Select(query); choice.Worker.Name != ranked[0] || choice.SaveAddrs != "" {
+		t.Fatalf("prefix accessed once: choice %+v, want the shard worker and no copy", choice)
 	}
 }
 
 func testOverloadedShardWorker(t *testing.T) {
-	home := shardWorkers()
+	ranked := rankedShardWorkers()
 	query := testQuery(false, nil)
-	query.Load = loadsOf(map[string]float64{home[0]: 6})
-	if choice, _ := Select(query); choice.Worker.Name != home[1] {
-		t.Fatalf("selected %s, next shard worker is %s", choice.Worker.Name, home[1])
+	query.Load = loadFrom(map[string]float64{ranked[0]: 6})
+	if choice, _ := Select(query); choice.Worker.Name != ranked[1] {
+		t.Fatalf("shard worker overloaded: selected %s, want the next worker in the ranking, %s", choice.Worker.Name, ranked[1])
 	}
 }
 
 func testHolder(t *testing.T) {
-	home := shardWorkers()
-	query := testQuery(true, map[string]string{home[2]: ""})
-	if choice, _ := Select(query); choice.Worker.Name != home[2] || choice.HitTokens != 1000 {
-		t.Fatalf("selected %s with hit %d, held by %s", choice.Worker.Name, choice.HitTokens, home[2])
+	ranked := rankedShardWorkers()
+	query := testQuery(true, map[string]string{ranked[2]: ""})
+	if choice, _ := Select(query); choice.Worker.Name != ranked[2] || choice.HitTokens != 1000 {
+		t.Fatalf("selected %s with %d cached tokens, want %s with 1000, which holds the prefix", choice.Worker.Name, choice.HitTokens, ranked[2])
 	}
 }
 
 func testReplicatedEntry(t *testing.T) {
 	holders := map[string]string{}
 	loads := map[string]float64{}
-	for _, n := range selectWorkers {
-		holders[n], loads[n] = "", 2
+	for _, worker := range testWorkers {
+		holders[worker], loads[worker] = "", 2
 	}
 	loads["w2"] = 0
 	query := testQuery(true, holders)
-	query.Load = loadsOf(loads)
+	query.Load = loadFrom(loads)
 	if choice, _ := Select(query); choice.Worker.Name != "w2" {
-		t.Fatalf("selected %s", choice.Worker.Name)
+		t.Fatalf("replicated prefix: selected %s, want the idle worker w2", choice.Worker.Name)
 	}
 }
 
 func testReplicatedEntryIsSaved(t *testing.T) {
 	choice, _ := Select(testQuery(true, map[string]string{"w0": ""}))
-	if !choice.Hot || choice.SaveEntries != 1 || len(choice.SaveNames) != 2 || !strings.Contains(choice.SaveAddrs, "d:1") {
-		t.Fatalf("%+v", choice)
+	if !choice.Replicated || choice.SaveEntries != 1 || len(choice.SaveNames) != 2 || !strings.Contains(choice.SaveAddrs, "d:1") {
+		t.Fatalf("replicated prefix: choice %+v, want a copy of one entry to one worker and the store", choice)
 	}
 }
 
 func testFetch(t *testing.T) {
 	query := testQuery(true, map[string]string{"w0": ""})
-	query.Load = loadsOf(map[string]float64{"w0": 9})
-	choice, _ := Select(query) // 1000 tokens: 100 ms to prefill, 20 ms near, 50 ms far
+	query.Load = loadFrom(map[string]float64{"w0": 9})
+	choice, _ := Select(query) // 1000 tokens: 100 ms to prefill, 20 ms to fetch within the zone, 50 ms from another zone
 	if choice.Worker.Name != "w2" || choice.FetchTokens != 1000 || choice.FetchFrom != "0=w0:1" {
-		t.Fatalf("selected %s, fetch %d from %q", choice.Worker.Name, choice.FetchTokens, choice.FetchFrom)
+		t.Fatalf("holder overloaded: selected %s to fetch %d tokens from %q, want w2 to fetch 1000 from 0=w0:1", choice.Worker.Name, choice.FetchTokens, choice.FetchFrom)
 	}
 	query.NearBandwidth, query.FarBandwidth = 5000, 5000
 	if choice, _ = Select(query); choice.FetchTokens != 0 || choice.FetchFrom != "" {
-		t.Fatalf("slow links: fetch %d from %q", choice.FetchTokens, choice.FetchFrom)
+		t.Fatalf("fetch slower than prefill: %d tokens to fetch from %q, want none", choice.FetchTokens, choice.FetchFrom)
 	}
 }
 
@@ -137,29 +141,29 @@
 	query := testQuery(true, map[string]string{"w0": ""})
 	query.Mode = "no-index"
 	if choice, _ := Select(query); choice.HitTokens != 0 || choice.FetchFrom+choice.SaveAddrs != "" {
-		t.Fatalf("%+v", choice)
+		t.Fatalf("placement mode no-index: choice %+v, want no cached tokens, fetches or copies", choice)
 	}
 }
 
 func testSessionPrefix(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		prefixBytes int
-		hot         float64
-		floor       float64
-		want        bool
-	}{{"long and hot", 100, 3, 1, true}, {"shorter than the shared part", 3000, 3, 1, false}, {"colder than the coldest cached", 100, 1, 1.2, false}} {
-		entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", test.prefixBytes), strings.Repeat("s", 2000), "question"})
+		name            string
+		sharedPartBytes int
+		hotness         float64
+		admissionFloor  float64
+		wantSession     bool
+	}{{"session prefix long and hot enough", 100, 3, 1, true}, {"session prefix shorter than the shared prefix", 3000, 3, 1, false}, {"session prefix less hot than the coldest cached entry", 100, 1, 1.2, false}} {
+		entries := prefix.Chain("shared", "m", 1, []string{strings.Repeat("o", test.sharedPartBytes), strings.Repeat("s", 2000), "question"})
 		query := testQuery(false, nil)
 		query.Entries = map[uint64][]prefix.Entry{1: entries}
-		query.Found = map[prefix.Key]*wire.LookupResult{entries[0].Key: {Hotness: 40}, entries[1].Key: {Hotness: test.hot}}
-		query.Placement.AdmissionFloor = test.floor
-		home := placement.RankShardWorkers(entries[0].Key, selectWorkers)[0]
-		if test.want {
-			home = placement.RankShardWorkers(entries[1].Key, selectWorkers)[0]
+		query.LookupResults = map[prefix.Key]*wire.LookupResult{entries[0].Key: {Hotness: 40}, entries[1].Key: {Hotness: test.hotness}}
+		query.Placement.AdmissionFloor = test.admissionFloor
+		wantWorker := placement.RankShardWorkers(entries[0].Key, testWorkers)[0]
+		if test.wantSession {
+			wantWorker = placement.RankShardWorkers(entries[1].Key, testWorkers)[0]
 		}
-		if choice, _ := Select(query); choice.Session != test.want || choice.Worker.Name != home {
-			t.Errorf("%s: session %v, selected %s, shard worker %s", test.name, choice.Session, choice.Worker.Name, home)
+		if choice, _ := Select(query); choice.SessionPrefix != test.wantSession || choice.Worker.Name != wantWorker {
+			t.Errorf("%s: affinity to session prefix is %v and worker %s was selected, want worker %s", test.name, choice.SessionPrefix, choice.Worker.Name, wantWorker)
 		}
 	}
 }
@@ -168,22 +172,22 @@
 	query := testQuery(true, map[string]string{"w1": ""})
 	query.NewestWeights, query.Placement.Cordoned = 2, []string{"w1", "w2"}
 	if choice, ok := Select(query); !ok || choice.Worker.Name == "w1" || choice.Worker.Name == "w2" {
-		t.Errorf("selected %s", choice.Worker.Name)
+		t.Errorf("w1 and w2 are cordoned: selected %s, want another worker", choice.Worker.Name)
 	}
 	query.Workers = query.Workers[1:3]
 	if choice, ok := Select(query); !ok || choice.Worker.Name != "w1" {
-		t.Errorf("of two set aside: %v %v", choice.Worker, ok)
+		t.Errorf("only cordoned workers are left: selected %v (found: %v), want w1, which holds the prefix", choice.Worker, ok)
 	}
 }
 
 func testExcludedWorkers(t *testing.T) {
 	query := testQuery(true, nil)
-	query.Workers[0].Weights, query.Workers[1].State, query.Tried = 2, 1, map[string]bool{"w2": true}
+	query.Workers[0].Weights, query.Workers[1].State, query.FailedWorkers = 2, 1, map[string]bool{"w2": true}
 	if choice, _ := Select(query); choice.Worker.Name != "w3" {
-		t.Fatalf("selected %s", choice.Worker.Name)
+		t.Fatalf("w3 is the only selectable worker: selected %s", choice.Worker.Name)
 	}
-	query.Tried["w3"] = true
+	query.FailedWorkers["w3"] = true
 	if _, ok := Select(query); ok {
-		t.Fatal("selected a worker")
+		t.Fatal("a worker was selected although none is selectable")
 	}
 }
--- a/internal/data/callerproxy/testworker_test.go
+++ b/internal/data/callerproxy/testworker_test.go
@@ -10,92 +10,94 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// faultyChunk is the number of the chunk at which a worker misbehaves.
+// faultyChunk is the number of the response chunk at which a fake worker misbehaves.
 const faultyChunk = 2
 
-// worker returns the handler of a worker that fails in the way that its mode names.
-func (test *testProxy) worker(name, mode string) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
+// worker returns the HTTP handler of a fake worker that fails in the way named by failureMode.
+func (fixture *proxyFixture) worker(name, failureMode string) http.HandlerFunc {
+	return func(writer http.ResponseWriter, request *http.Request) {
 		var start contract.StartRequest
-		if json.NewDecoder(r.Body).Decode(&start) != nil {
+		if json.NewDecoder(request.Body).Decode(&start) != nil {
 			return
 		}
-		switch mode {
-		case "refuse":
-			w.WriteHeader(409)
-			fmt.Fprint(w, `{"not_run":true,"reason":"full"}`)
+		switch failureMode {
+		case "rejects":
+			writer.WriteHeader(409)
+			fmt.Fprint(writer, `{"not_run":true,"reason":"full"}`)
 			return
-		case "odd":
-			w.WriteHeader(500)
-			fmt.Fprint(w, `oops`)
+		case "untyped-error":
+			writer.WriteHeader(500)
+			fmt.Fprint(writer, `internal error`)
 			return
 		}
-		test.recordStart(start.RequestID)
-		if mode == "dies-before" {
+		fixture.recordStart(start.RequestID)
+		if failureMode == "aborts-before-response" {
 			panic(http.ErrAbortHandler)
 		}
-		answer := &workerAnswer{start: start, name: name, mode: mode, writer: w, encoder: json.NewEncoder(w), seal: contract.NewSeal(start.RequestID, name)}
-		if answer.writeChunks(r) {
-			answer.writeSeal()
+		response := &workerResponse{start: start, name: name, failureMode: failureMode, responseWriter: writer, encoder: json.NewEncoder(writer), seal: contract.NewSeal(start.RequestID, name)}
+		if response.writeChunks(request) {
+			response.writeSeal()
 		}
 	}
 }
 
-func (test *testProxy) recordStart(id string) {
-	test.mu.Lock()
-	defer test.mu.Unlock()
-	if test.starts[id]++; test.started != nil {
-		test.started()
+// recordStart counts an attempt that a worker has started for a request ID and calls onAttemptStarted.
+func (fixture *proxyFixture) recordStart(id string) {
+	fixture.mu.Lock()
+	defer fixture.mu.Unlock()
+	if fixture.startedAttempts[id]++; fixture.onAttemptStarted != nil {
+		fixture.onAttemptStarted()
 	}
 }
 
-// workerAnswer is a worker's answer to one attempt.
-type workerAnswer struct {
-	start      contract.StartRequest
-	name, mode string
-	writer     http.ResponseWriter
-	encoder    *json.Encoder
-	seal       *contract.Seal
+// workerResponse is a fake worker's response stream to one attempt.
+type workerResponse struct {
+	start             contract.StartRequest
+	name, failureMode string
+	responseWriter    http.ResponseWriter
+	encoder           *json.Encoder
+	seal              *contract.Seal
 }
 
-// writeChunks writes the chunks; false: the answer ends without its seal.
-func (a *workerAnswer) writeChunks(r *http.Request) bool {
+// writeChunks writes the chunks of the response. It returns false if the stream has to end without a seal.
+func (a *workerResponse) writeChunks(request *http.Request) bool {
 	entries := prefix.Chain(a.start.CacheDomain, a.start.Model, a.start.Weights, a.start.Parts)
 	prompt := entries[len(entries)-1].Key.String()
 	for number := range a.start.Chunks {
 		chunk := contract.Chunk{RequestID: a.start.RequestID, Number: number, Text: contract.SyntheticText(prompt, a.start.Weights, number)}
 		a.seal.Add(number, chunk.Text)
 		switch {
-		case number == faultyChunk && a.mode == "loses":
+		case number == faultyChunk && a.failureMode == "drops-chunk":
 			continue
-		case number == faultyChunk && a.mode == "mixes":
+		case number == faultyChunk && a.failureMode == "wrong-request-id":
 			chunk.RequestID = "another"
-		case number == faultyChunk && a.mode == "long":
+		case number == faultyChunk && a.failureMode == "oversized-line":
 			chunk.Text = strings.Repeat("x", contract.MaxLineBytes)
-		case number == faultyChunk && a.mode == "dies-within":
+		case number == faultyChunk && a.failureMode == "aborts-mid-stream":
 			panic(http.ErrAbortHandler)
-		case number == 0 && a.mode == "hangs":
-			<-r.Context().Done()
+		case number == 0 && a.failureMode == "stalls":
+			<-request.Context().Done()
 			return false
 		}
 		if a.encoder.Encode(chunk) != nil {
 			return false
 		}
-		if number == faultyChunk && a.mode == "doubles" {
+		if number == faultyChunk && a.failureMode == "repeats-chunk" {
 			_ = a.encoder.Encode(chunk)
 		}
-		http.NewResponseController(a.writer).Flush()
+		http.NewResponseController(a.responseWriter).Flush()
 	}
 	return true
 }
 
-func (a *workerAnswer) writeSeal() {
-	last := contract.Chunk{RequestID: a.start.RequestID, Number: a.start.Chunks, Seal: a.seal.Close(), Worker: a.name, Weights: a.start.Weights}
-	switch a.mode {
-	case "unsealed":
+// writeSeal writes the last chunk, which holds the seal over the chunks before it.
+func (a *workerResponse) writeSeal() {
+	lastChunk := contract.Chunk{RequestID: a.start.RequestID, Number: a.start.Chunks, Seal: a.seal.Close(), Worker: a.name, Weights: a.start.Weights}
+	switch a.failureMode {
+	case "omits-seal":
 		return
-	case "forges":
-		last.Seal = strings.Repeat("0", 64)
+	case "forged-seal":
+		lastChunk.Seal = strings.Repeat("0", 64)
 	}
-	_ = a.encoder.Encode(last)
+	_ = a.encoder.Encode(lastChunk)
 }
