--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -1,10 +1,10 @@
-// Package clustermembership detects which nodes of a site are running. It is a gossip protocol: each
-// node sends heartbeats to a few observers, its successors on a hash ring. Heartbeats and responses
-// carry recent changes of state, and the full view where two nodes' views differ. An observer that
-// misses a node's heartbeats marks it suspect, then dead; a node that is alive refutes that with a
-// higher heartbeat counter, a restarted one with a higher incarnation.
+// Package clustermembership tracks which nodes of a site are running, by a gossip protocol. Each node
+// sends heartbeats to a few observers, which are its successors on a hash ring. Heartbeats and their
+// responses carry recent state changes, or the sender's full view if the views of the two nodes differ.
+// An observer that misses a node's heartbeats marks that node suspect and later dead. A node that is
+// alive refutes such a report with a higher heartbeat counter, a restarted one with a higher incarnation.
 //
-// Core is the protocol as a pure state machine; Member runs it over the network.
+// Core is the protocol as a state machine without I/O; Member runs it over the network.
 package clustermembership
 
 import (
@@ -15,16 +15,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// The states of a node, as they are sent on the wire. Of two reports of the same incarnation and
-// heartbeat counter, the one with the higher state wins.
+// Node states, as sent on the wire. If two reports about a node have the same incarnation and heartbeat
+// counter, the report with the higher state wins.
 const (
 	Alive uint32 = iota
 	Suspect
-	Dead // detected as failed, or left gracefully
+	Dead // failure detected, or the node left gracefully
 )
 
-// The roles of nodes in the cluster membership. A node's name is its role, a slash and the name of its
-// machine. The values are shared with earlier releases and must not change.
+// Node roles. A node's name is its role, a slash and the name of its machine. Nodes of earlier releases
+// send and expect the same values, so they must not change.
 const (
 	RoleControlNode         = "archive"
 	RolePromptIndex         = "catalogue"
@@ -32,34 +32,36 @@
 	RoleNodeAgent           = "runner"
 )
 
-// FormatVersion is the version of the heartbeat format that this release sends and reads.
+// FormatVersion is the version of the heartbeat message format that this release sends and accepts.
 const FormatVersion = 1
 
-// maxNodes bounds the view; nodes beyond it are ignored.
+// maxNodes is the maximum number of other nodes in a view; reports about further nodes are ignored.
 const maxNodes = 4096
 
-// joiningHeartbeats is how many heartbeats a new node asks for full views in: others may not have
-// noticed that it was away, and have no reason to send it everything. They are all sent within the
-// first period, so that nodes that start together discover each other soon.
-const joiningHeartbeats = 8
+// joinTicks is the number of ticks after a start in which a node exchanges full views with its
+// observers. If the other nodes have not noticed a short downtime, they have no updates to send to it.
+// All of these ticks run within the first heartbeat period, so that nodes that start together discover
+// each other quickly.
+const joinTicks = 8
 
-// reconnectTicks is the number of ticks between heartbeats to a seed or a dead node.
-const reconnectTicks = 4
+// reconnectIntervalTicks is the number of ticks between two heartbeats to a seed or a dead node.
+const reconnectIntervalTicks = 4
 
-// maxLeaveAnnouncements bounds how many nodes a leaving node notifies; gossip reaches the others.
+// maxLeaveAnnouncements is the maximum number of nodes that a leaving node notifies itself; gossip
+// notifies the others.
 const maxLeaveAnnouncements = 8
 
-// peer is another node as this one knows it.
+// peer is what this node knows about another node.
 type peer struct {
 	node          *wire.Node
-	position      uint64        // on the ring
-	changedAt     time.Duration // when this state began
-	lastContact   time.Duration // when the node itself was last heard; kept current while it isn't observed
-	transmitsLeft int           // how many more heartbeats carry this state
+	position      uint64        // position on the hash ring
+	changedAt     time.Duration // time of the last state change
+	lastContact   time.Duration // time of the last message from the node itself; advanced on every tick while this node does not observe it
+	transmitsLeft int           // number of further ticks whose heartbeats carry this state
 }
 
-// Core is one node's view of all nodes. It isn't safe for concurrent use. All instants are readings
-// of one monotonic clock that counts sleep.
+// Core is one node's view of all nodes of the site. It is not safe for concurrent use. All times that
+// are passed to it are readings of one monotonic clock that keeps running while the machine is suspended.
 type Core struct {
 	bounds     settings.Bounds
 	self       *wire.Node
@@ -67,15 +69,15 @@
 	peers      map[string]*peer // by name
 	ticks      int
 	version    uint64
-	checksum   uint64 // of the view, as of the last tick or merge
+	checksum   uint64 // checksum of the view, as of the last tick or merge
 	nameReused bool
-	startedAt  time.Duration            // the first tick
-	sendFull   map[string]bool          // addresses whose view differs: the next reconnect heartbeat carries the full view
-	divergedAt map[string]time.Duration // by a sender's name: since when its view differs from this one
+	startedAt  time.Duration            // time of the first tick
+	sendFull   map[string]bool          // addresses of nodes whose view differs: the next reconnect heartbeat to them carries the full view
+	divergedAt map[string]time.Duration // time from which a sender's view has differed from this one, by the sender's name
 }
 
-// New returns a view that holds this node alone. Seeds are addresses of other nodes, by which it
-// joins them.
+// New returns a view that contains only the node itself. It joins the other nodes of its site by sending
+// heartbeats to the seeds, which are addresses of other nodes.
 //
 // Example: c := clustermembership.New(bounds, self, seeds)
 func New(bounds settings.Bounds, self *wire.Node, seeds []string) *Core {
@@ -90,22 +92,22 @@
 	}
 }
 
-// Replaced reports whether another machine has taken this node's name: the node has to stop.
+// Replaced reports whether another machine has joined under this node's name. The node must then stop.
 //
 // Example: if c.Replaced() { stop() }
 func (c *Core) Replaced() bool { return c.nameReused }
 
-// Version returns a number that grows whenever the view changes.
+// Version returns the version of the view, a number that increases with every change of the view.
 //
 // Example: if c.Version() != seen { … }
 func (c *Core) Version() uint64 { return c.version }
 
-// SetSeeds changes the seeds at run time.
+// SetSeeds replaces the seed addresses of a running node.
 //
 // Example: c.SetSeeds([]string{"127.10.1.1:7000"})
 func (c *Core) SetSeeds(seeds []string) { c.seeds = seeds }
 
-// Nodes lists the view by name, including this node.
+// Nodes returns copies of all nodes in the view, including this one, sorted by name.
 //
 // Example: for _, n := range c.Nodes() { fmt.Println(n.Name, n.State) }
 func (c *Core) Nodes() []*wire.Node {
@@ -117,14 +119,14 @@
 	return nodes
 }
 
-// OutgoingHeartbeat is a heartbeat to send to an address.
+// OutgoingHeartbeat is a heartbeat with the address of the node that it must be sent to.
 type OutgoingHeartbeat struct {
 	Address   string
 	Heartbeat *wire.Heartbeat
 }
 
-// Tick runs one heartbeat period: it checks the observed nodes for failures, then returns the
-// heartbeats to send.
+// Tick must be called once per heartbeat period. It checks the observed nodes for failures and returns
+// the heartbeats to send.
 //
 // Example: for _, outgoing := range c.Tick(clock.Now()) { send(outgoing) }
 func (c *Core) Tick(now time.Duration) []OutgoingHeartbeat {
@@ -138,8 +140,8 @@
 
 	var heartbeats []OutgoingHeartbeat
 	for _, observer := range observers {
-		if observer.State != Dead { // it may have been declared dead in this very tick
-			heartbeats = append(heartbeats, OutgoingHeartbeat{observer.Addr, c.newHeartbeat(c.ticks <= joiningHeartbeats)})
+		if observer.State != Dead { // detectFailures may have declared it dead after the ring was computed
+			heartbeats = append(heartbeats, OutgoingHeartbeat{observer.Addr, c.newHeartbeat(c.ticks <= joinTicks)})
 		}
 	}
 	heartbeats = append(heartbeats, c.reconnectHeartbeats(len(heartbeats) == 0)...)
@@ -151,17 +153,18 @@
 	return heartbeats
 }
 
-// reconnectHeartbeats returns a heartbeat to a seed or a dead node every fourth period, so that
-// partitions heal; a node that is alone sends two of them in every period.
+// reconnectHeartbeats returns a heartbeat to a seed or a dead node every reconnectIntervalTicks, so that
+// the sides of a former partition find each other again. A node that knows no other running node sends
+// two such heartbeats on every tick.
 func (c *Core) reconnectHeartbeats(alone bool) []OutgoingHeartbeat {
-	if !alone && c.ticks%reconnectTicks != 0 {
+	if !alone && c.ticks%reconnectIntervalTicks != 0 {
 		return nil
 	}
 	addresses := c.reconnectAddresses()
 	if len(addresses) == 0 {
 		return nil
 	}
-	address := addresses[c.ticks/reconnectTicks%len(addresses)]
+	address := addresses[c.ticks/reconnectIntervalTicks%len(addresses)]
 	heartbeats := []OutgoingHeartbeat{{address, c.newHeartbeat(alone || c.sendFull[address])}}
 	delete(c.sendFull, address)
 	if alone && len(addresses) > 1 {
@@ -170,7 +173,7 @@
 	return heartbeats
 }
 
-// reconnectAddresses lists the seeds and the dead nodes.
+// reconnectAddresses returns the addresses of the seeds, without this node itself, and of the dead nodes.
 func (c *Core) reconnectAddresses() []string {
 	var addresses []string
 	for _, seed := range c.seeds {
@@ -186,8 +189,8 @@
 	return addresses
 }
 
-// Leave returns the heartbeats that announce that this node stops, so that its observers needn't
-// detect it by a timeout.
+// Leave marks this node dead in its own view and returns the heartbeats that announce this to other
+// nodes, so that they need not wait for a timeout to detect that it has stopped.
 //
 // Example: for _, outgoing := range c.Leave() { send(outgoing) }
 func (c *Core) Leave() []OutgoingHeartbeat {
--- a/internal/control/clustermembership/exchange.go
+++ b/internal/control/clustermembership/exchange.go
@@ -6,15 +6,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// Views are compared by their checksums. Two that differ converge by themselves while updates are in
-// flight; otherwise the full view is sent.
+// Nodes compare their views by checksum. If two views differ while updates are in flight, the updates are
+// expected to make them equal; otherwise, or if they differ for too long, the full view is sent.
 const (
-	divergenceRatio = 0.5 // of the leave bound: how long views may differ before the full view is sent although updates are in flight
-	stableRatio     = 0.3 // of the leave bound: age from which no update of a change is in flight any more
-	maxDiverged     = 64  // nodes, or addresses, whose differing views are remembered
+	maxDivergenceRatio = 0.5 // time for which views may differ before the full view is sent although updates are in flight, as a ratio of the leave bound
+	settledRatio       = 0.3 // age of a state change from which none of its updates is in flight, as a ratio of the leave bound
+	maxDiverged        = 64  // maximum number of entries in each of divergedAt and sendFull
 )
 
-// newHeartbeat returns a heartbeat with the recent changes of state, or with the full view.
+// newHeartbeat returns a heartbeat with the recent state changes or, if full, with the full view.
 func (c *Core) newHeartbeat(full bool) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{Format: FormatVersion, From: clone(c.self), FullView: full, ViewChecksum: c.checksum}
 	for _, p := range c.peers {
@@ -25,8 +25,8 @@
 	return heartbeat
 }
 
-// HandleHeartbeat merges a heartbeat and returns the response: the recent changes of state, or the
-// full view if the two views differ.
+// HandleHeartbeat merges a heartbeat and returns the response to it. The response has the recent state
+// changes, or the full view if the sender asked for it, is new, or has a view that differs.
 //
 // Example: response := c.HandleHeartbeat(heartbeat, clock.Now())
 func (c *Core) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Duration) *wire.Heartbeat {
@@ -34,7 +34,7 @@
 		return &wire.Heartbeat{Format: FormatVersion, From: clone(c.self)}
 	}
 	if heartbeat.GetFrom() == nil {
-		return c.newHeartbeat(true) // the sender only reads the view; it is no node itself
+		return c.newHeartbeat(true) // a client that is not a node and only reads the view
 	}
 	sender := heartbeat.From.Name
 	known := c.peers[sender]
@@ -42,14 +42,14 @@
 	c.mergeHeartbeat(heartbeat, now)
 	response := c.newHeartbeat(heartbeat.FullView || isNew || c.needsFullView(heartbeat, now))
 	if p := c.peers[sender]; p != nil && p.node.Incarnation > heartbeat.From.Incarnation {
-		response.Updates = append(response.Updates, clone(p.node)) // the sender learns that its name was reused
+		response.Updates = append(response.Updates, clone(p.node)) // tells the sender that another machine has joined under its name
 	}
 	return response
 }
 
-// HandleResponse merges the response to a heartbeat that was sent to an address. If the other node
-// sent its full view and the views still differ, the next reconnect heartbeat to it carries this
-// node's full view.
+// HandleResponse merges the response to a heartbeat that was sent to an address. If the response has the
+// other node's full view and the two views still differ, the next reconnect heartbeat to that address
+// carries this node's full view.
 //
 // Example: c.HandleResponse(address, response, clock.Now())
 func (c *Core) HandleResponse(address string, response *wire.Heartbeat, now time.Duration) {
@@ -59,7 +59,8 @@
 	}
 }
 
-// mergeHeartbeat merges the sender's own state and the changes that it reports.
+// mergeHeartbeat merges the state of the sender and its reports about other nodes, and updates the
+// checksum if the view has changed.
 func (c *Core) mergeHeartbeat(heartbeat *wire.Heartbeat, now time.Duration) {
 	version := c.version
 	c.merge(heartbeat.GetFrom(), now, true)
@@ -71,8 +72,8 @@
 	}
 }
 
-// needsFullView reports whether a sender's view differs from this one and no update in flight will
-// fix that: there is none, or the views have differed for long.
+// needsFullView reports whether the sender of a heartbeat has a view that differs from this one and must
+// be sent the full view, because no updates are in flight or the views have differed for too long.
 func (c *Core) needsFullView(heartbeat *wire.Heartbeat, now time.Duration) bool {
 	sender := heartbeat.From.Name
 	if heartbeat.ViewChecksum == c.checksum {
@@ -82,22 +83,22 @@
 	since, diverged := c.divergedAt[sender]
 	if !diverged {
 		if len(c.divergedAt) >= maxDiverged {
-			clear(c.divergedAt) // measured again from now
+			clear(c.divergedAt) // bounds the map; the times of the other senders are then measured anew
 		}
 		c.divergedAt[sender] = now
 	}
-	if diverged && now-since > c.bounds.Leave(divergenceRatio) {
-		c.divergedAt[sender] = now // sent once, and again if that didn't help
+	if diverged && now-since > c.bounds.Leave(maxDivergenceRatio) {
+		c.divergedAt[sender] = now // the full view is sent again only if the views still differ after maxDivergenceRatio
 		return true
 	}
 	return len(heartbeat.Updates) == 0 && c.isStable(now)
 }
 
-// isStable reports whether no update is in flight here: views that differ then will not converge by
-// themselves.
+// isStable reports whether no updates are in flight in this view. Views that differ then stay different
+// until a full view is sent.
 func (c *Core) isStable(now time.Duration) bool {
 	for _, p := range c.peers {
-		if p.transmitsLeft > 0 || now-p.changedAt < c.bounds.Leave(stableRatio) {
+		if p.transmitsLeft > 0 || now-p.changedAt < c.bounds.Leave(settledRatio) {
 			return false
 		}
 	}
--- a/internal/control/clustermembership/failure.go
+++ b/internal/control/clustermembership/failure.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Failure detection. A node that fails is dead in all views within the leave bound: its observers
-// suspect it, declare it dead, and gossip spreads that.
+// Failure detection timeouts. Together with the time for gossip, suspectRatio and deadRatio add up to
+// less than 1, so that a failed node is dead in all views within the leave bound.
 const (
-	suspectRatio = 0.35 // of the leave bound: time without a heartbeat after which a node is suspect
-	deadRatio    = 0.25 // of the leave bound: time as a suspect after which it is dead
-	reapRatio    = 10   // of the heal bound: time after which a dead node is forgotten
+	suspectRatio = 0.35 // time without a heartbeat after which a node is suspect, as a ratio of the leave bound
+	deadRatio    = 0.25 // time after which a suspect node is dead, as a ratio of the leave bound
+	reapRatio    = 10   // time after which a dead node is removed from the view, as a ratio of the heal bound
 )
 
-// detectFailures moves the observed nodes that sent no heartbeat to suspect, suspects to dead, and
-// forgets nodes that have been dead for long. observed holds the names of the nodes that this one
-// observes.
+// detectFailures marks observed nodes suspect if their heartbeats are missing, marks suspect nodes dead
+// after a timeout, and removes nodes that have been dead for long. observed is the set of names of the
+// nodes that this one observes.
 func (c *Core) detectFailures(observed map[string]bool, now time.Duration) {
 	for name, p := range c.peers {
 		switch state := p.node.State; {
 		case state == Alive && !observed[name]:
-			p.lastContact = now // its timeout starts when this node becomes its observer
+			p.lastContact = now // its heartbeat timeout starts only when this node becomes its observer
 		case state == Alive && now-p.lastContact > c.bounds.Leave(suspectRatio):
 			c.setState(p, Suspect, now)
 		case state == Suspect && now-p.changedAt > c.bounds.Leave(deadRatio):
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -13,16 +13,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of the heartbeats, as ratios of the leave bound.
+// Heartbeat timing, as ratios of the leave bound (settings.Bounds.LeaveMs).
 const (
-	heartbeatRatio        = 0.1 // between two heartbeats
-	heartbeatTimeoutRatio = 0.2 // of one heartbeat
+	heartbeatRatio        = 0.1 // heartbeat period
+	heartbeatTimeoutRatio = 0.2 // timeout of one heartbeat request
 )
 
-// maxPendingCommands bounds the member's queue; heartbeats beyond it are dropped.
+// maxPendingCommands is the capacity of a member's command queue; ticks and responses are dropped while
+// it is full.
 const maxPendingCommands = 256
 
-// Member runs a Core: it sends and receives heartbeats and publishes the view.
+// Member runs a Core over the network: it sends and receives heartbeats and publishes the view.
 type Member struct {
 	actor    *queue.Actor[Core]
 	clock    clock.Clock
@@ -31,16 +32,17 @@
 	client   func(addr string) wire.Membership
 	view     atomic.Pointer[View]
 	onChange func(View)
-	left     bool // no heartbeats are sent any more; owned by the actor
+	left     bool // the node has left and sends no more heartbeats; accessed only by the actor
 }
 
-// View is what a member knew at one instant.
+// View is a snapshot of the nodes that a member knows.
 type View struct {
-	Version uint64 // grows with every change
+	Version uint64 // increases with every change of the view
 	Nodes   []*wire.Node
 }
 
-// Addr returns the address of a node by its name, unless it is dead; a suspect counts as alive.
+// Addr returns the address of the node with a name. It reports false if that node is unknown or dead;
+// a suspect node still counts as running.
 //
 // Example: a, ok := v.Addr("core-1")
 func (v View) Addr(name string) (string, bool) {
@@ -52,7 +54,7 @@
 	return "", false
 }
 
-// WithRole lists the nodes of a role that aren't dead.
+// WithRole returns the nodes with a role, except dead ones.
 //
 // Example: v.WithRole("catalogue")
 func (v View) WithRole(role string) []*wire.Node {
@@ -65,8 +67,8 @@
 	return nodes
 }
 
-// siteBounds returns the process's bounds; a site with a slower heartbeat has a proportionally longer
-// leave bound.
+// siteBounds returns the bounds of a process. If the site configures a heartbeat period that is too long
+// for the leave bound, the leave bound is extended in proportion.
 func siteBounds(p settings.Process) settings.Bounds {
 	if p.Site != nil {
 		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.HeartbeatMs)/heartbeatRatio))
@@ -74,18 +76,18 @@
 	return p.Bounds
 }
 
-// Config is what a member needs to join its site.
+// Config holds the parameters of Start.
 type Config struct {
-	Process  settings.Process // names the node, its addresses, seeds and bounds
+	Process  settings.Process // settings with the node's name, addresses, seeds and bounds
 	Role     string
-	Clock    clock.Clock // monotonic, and counts sleep
+	Clock    clock.Clock // monotonic clock that keeps running while the machine is suspended
 	Log      hclog.Logger
-	Client   func(addr string) wire.Membership // of the member at an address
-	OnChange func(View)                        // called with every changed view, must not block; nil: not called
+	Client   func(addr string) wire.Membership // returns a client for the member at an address
+	OnChange func(View)                        // called with every changed view; must not block; may be nil
 }
 
-// Start makes this process a member of its site until ctx ends. The time of the start is the node's
-// incarnation.
+// Start makes this process a member of its site until ctx is done. The clock reading at the start is the
+// node's incarnation.
 //
 // Example: m := clustermembership.Start(ctx, clustermembership.Config{Process: process.Settings, Role: clustermembership.RoleNodeAgent, Clock: clk, Log: log, Client: clients.Membership})
 func Start(ctx context.Context, config Config) *Member {
@@ -112,12 +114,12 @@
 	return m
 }
 
-// SetSeeds changes the seeds at run time.
+// SetSeeds replaces the seed addresses of the running member.
 //
 // Example: m.SetSeeds(config.Seeds)
 func (m *Member) SetSeeds(seeds []string) { m.actor.TrySend(func(c *Core) { c.SetSeeds(seeds) }) }
 
-// publish makes the view visible to readers if it has changed.
+// publish makes the current view available to View and calls onChange, if the view has changed.
 func (m *Member) publish(c *Core) {
 	if v := m.view.Load(); v != nil && v.Version == c.Version() {
 		return
@@ -129,12 +131,12 @@
 	}
 }
 
-// View returns the current view.
+// View returns the view that was published last.
 //
 // Example: m.View().WithRole("archive")
 func (m *Member) View() View { return *m.view.Load() }
 
-// Leave announces that this node stops; it sends no more heartbeats.
+// Leave announces to other nodes that this node stops, and stops its heartbeats.
 //
 // Example: m.Leave()
 func (m *Member) Leave() {
@@ -146,7 +148,8 @@
 	})
 }
 
-// run ticks the core once per heartbeat period, and faster while the node joins.
+// run ticks the core once per heartbeat period until ctx is done. The first joinTicks ticks are all run
+// within one period.
 func (m *Member) run(ctx context.Context) {
 	period := m.bounds.Leave(heartbeatRatio)
 	next := time.NewTimer(0)
@@ -158,8 +161,8 @@
 			return
 		case <-next.C:
 		}
-		if ticks < joiningHeartbeats {
-			next.Reset(period / joiningHeartbeats)
+		if ticks < joinTicks {
+			next.Reset(period / joinTicks)
 		} else {
 			next.Reset(period)
 		}
@@ -167,14 +170,15 @@
 	}
 }
 
-// tick sends the heartbeats of one period. A node whose name was reused sends none.
+// tick sends the heartbeats of one period. It sends none if another machine has joined under this node's
+// name.
 func (m *Member) tick(ctx context.Context, c *Core) {
 	if m.left {
 		return
 	}
 	if c.Replaced() {
 		m.left = true
-		m.log.Error("another machine has taken this name: this one stops its heartbeats", "remedy", "stop it, or give it a name of its own")
+		m.log.Error("another machine has joined the cluster under this node's name; this node stops sending heartbeats", "remedy", "stop this process, or configure a unique node name for it")
 		return
 	}
 	for _, outgoing := range c.Tick(m.clock.Now()) {
@@ -188,7 +192,7 @@
 	defer cancel()
 	response, err := m.client(outgoing.Address).Exchange(ctx, outgoing.Heartbeat)
 	if err != nil {
-		return // the observers detect the failure by their timeouts
+		return // no retry: if the receiver has failed, its observers detect that by their timeouts
 	}
 	m.actor.TrySend(func(c *Core) {
 		c.HandleResponse(outgoing.Address, response, m.clock.Now())
@@ -196,7 +200,7 @@
 	})
 }
 
-// Exchange serves the heartbeats of other nodes.
+// Exchange handles a heartbeat from another node and returns the response to it.
 //
 // Example: srv := wire.NewRosterServer(m)
 func (m *Member) Exchange(_ context.Context, heartbeat *wire.Heartbeat) (*wire.Heartbeat, error) {
@@ -205,7 +209,7 @@
 		response = c.HandleHeartbeat(heartbeat, m.clock.Now())
 		m.publish(c)
 	})
-	if response == nil { // the member has stopped
+	if response == nil { // the actor has stopped and did not run the command
 		response = &wire.Heartbeat{Format: FormatVersion}
 	}
 	return response, nil
--- a/internal/control/clustermembership/merge.go
+++ b/internal/control/clustermembership/merge.go
@@ -7,18 +7,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// replacementAgeRatio is the age of a node, as a ratio of the leave bound and sleep included, from
-// which a newer incarnation of its name elsewhere is its replacement and not its own past.
+// replacementAgeRatio is how long a node must have run, as a ratio of the leave bound and including
+// time in which the machine was suspended, before it takes a newer incarnation of its name at another
+// address for its replacement. In a younger node, that incarnation may be a stale report of its own
+// previous run.
 const replacementAgeRatio = 2
 
-// A change of state is sent in a number of heartbeats that grows with the logarithm of the number of
-// nodes, so that gossip reaches all of them.
+// A state change is sent in the heartbeats of a number of ticks that grows with the logarithm of the
+// number of nodes, so that gossip reaches all of them.
 const (
 	minRetransmits         = 3
-	retransmitsPerDoubling = 2 // of the number of nodes
+	retransmitsPerDoubling = 2 // additional ticks per doubling of the number of nodes
 )
 
-// retransmitLimit is how many heartbeats carry a change of state.
+// retransmitLimit returns the number of ticks whose heartbeats carry a state change.
 func (c *Core) retransmitLimit() int {
 	limit := minRetransmits
 	for n := len(c.peers); n > 1; n /= 2 {
@@ -27,7 +29,7 @@
 	return limit
 }
 
-// isNewer reports whether a is a more recent state of a node than b.
+// isNewer reports whether a supersedes b; both are reports about the same node.
 func isNewer(a, b *wire.Node) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -43,7 +45,8 @@
 		Addr: n.Addr, State: n.State, Heartbeat: n.Heartbeat, Operator: n.Operator}
 }
 
-// merge takes a report of a node's state into the view; direct says that the node itself sent it.
+// merge merges a report about a node into the view. direct says that the report came from the node
+// itself and not by gossip.
 func (c *Core) merge(report *wire.Node, now time.Duration, direct bool) {
 	switch {
 	case report == nil || report.Name == "":
@@ -56,15 +59,16 @@
 	}
 }
 
-// mergeSelf refutes a report that this node is suspect or dead, or that remembers an older incarnation
-// of it, by a higher heartbeat counter or incarnation.
+// mergeSelf handles a report about this node. If the report says that the node is suspect or dead, the
+// node refutes it with a higher heartbeat counter. If the report has a higher incarnation, from an earlier
+// run, the node takes a still higher one, unless another machine has joined under its name.
 func (c *Core) mergeSelf(report *wire.Node, now time.Duration) {
 	switch {
 	case report.State != Alive && report.Incarnation == c.self.Incarnation && report.Heartbeat >= c.self.Heartbeat:
 		c.self.Heartbeat = report.Heartbeat + 1
 	case report.Incarnation > c.self.Incarnation:
 		if report.Addr != c.self.Addr && report.State == Alive && c.ticks > 0 && now-c.startedAt > c.bounds.Leave(replacementAgeRatio) {
-			c.nameReused = true // another machine took this name while this one was suspended
+			c.nameReused = true // another machine joined under this name, while this one was suspended
 			return
 		}
 		c.self.Incarnation = report.Incarnation + 1
@@ -85,7 +89,7 @@
 	c.version++
 }
 
-// mergePeer merges a report into what is known of the node already.
+// mergePeer merges a report about a node that is in the view already.
 func (c *Core) mergePeer(existing *peer, report *wire.Node, now time.Duration, direct bool) {
 	known := existing.node
 	if direct && report.Incarnation >= known.Incarnation {
@@ -93,7 +97,7 @@
 	}
 	if !isNewer(report, known) {
 		if report.State != Alive && known.State == Alive && known.Heartbeat > report.Heartbeat && report.Incarnation == known.Incarnation {
-			existing.transmitsLeft = c.retransmitLimit() // a later heartbeat is known here: refute the report
+			existing.transmitsLeft = c.retransmitLimit() // this view has a later heartbeat of the node: gossip it to refute the report
 		}
 		return
 	}
--- a/internal/control/clustermembership/ring.go
+++ b/internal/control/clustermembership/ring.go
@@ -8,13 +8,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// ringNode is a node at its position on the hash ring.
+// ringNode is a node and its position on the hash ring.
 type ringNode struct {
 	position uint64
 	node     *wire.Node
 }
 
-// ring lists all nodes that aren't dead, by position.
+// ring returns all nodes that are not dead, sorted by their positions on the hash ring.
 func (c *Core) ring() []ringNode {
 	ring := make([]ringNode, 0, len(c.peers)+1)
 	ring = append(ring, ringNode{rendezvous.Hash(c.self.Name), c.self})
@@ -29,8 +29,8 @@
 	return ring
 }
 
-// neighbors returns the nodes that observe this one, nearest first, and the names of those that it
-// observes.
+// neighbors returns the nodes that observe this one, nearest first, and the set of names of the nodes
+// that it observes.
 func (c *Core) neighbors() (observers []*wire.Node, observed map[string]bool) {
 	ring := c.ring()
 	self := slices.IndexFunc(ring, func(r ringNode) bool { return r.node == c.self })
@@ -42,9 +42,9 @@
 	return observers, observed
 }
 
-// observerOffsets are the distances on a ring of n nodes from a node to its observers: the next, and
-// two farther ones at the cube root of n and its square, so that gossip crosses a large ring in few
-// heartbeats.
+// observerOffsets returns the distances on a ring of n nodes from a node to its observers: the next node
+// and two farther ones, at the cube root of n and the square of that, so that gossip crosses a large ring
+// in a few heartbeats.
 func observerOffsets(n int) []int {
 	if n < 2 {
 		return nil
@@ -62,16 +62,17 @@
 	return offsets
 }
 
-// computeChecksum adds up names, incarnations and states, independent of their order.
+// computeChecksum returns a checksum of the names, incarnations and states of all nodes that are not dead.
+// It does not depend on the order of iteration over them.
 func (c *Core) computeChecksum() uint64 {
-	const incarnationFactor = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio: spreads small numbers
+	const incarnationFactor = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio; spreads small incarnations over all bits
 	sum := uint64(0)
 	add := func(n *wire.Node, position uint64) {
 		sum += (position ^ n.Incarnation*incarnationFactor) * uint64(n.State*2+3)
 	}
 	add(c.self, rendezvous.Hash(c.self.Name))
 	for _, p := range c.peers {
-		if p.node.State != Dead { // views forget dead nodes at different times
+		if p.node.State != Dead { // dead nodes are removed from different views at different times
 			add(p.node, p.position)
 		}
 	}
