--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -10,28 +10,29 @@
 	"pebbleloom/internal/wire"
 )
 
-// unknownState is how a view is counted that doesn't hold the node.
-const unknownState uint32 = 99
+// notInView is the state under which simulatedSite.states counts views that do not contain the node.
+const notInView uint32 = 99
 
-// simulatedSite is many cores on virtual time; a heartbeat and its response take none.
+// simulatedSite runs the cores of many nodes on virtual time. Heartbeats and responses are delivered
+// without delay.
 type simulatedSite struct {
-	random     *rand.Rand
-	now        time.Duration
-	cores      map[string]*Core // by address
-	down       map[string]bool
-	linkDown   func(from, to string) bool // whether messages from one address to another are lost
-	heartbeats int
-	bytes      int // of heartbeats and responses
-	maxNumber  int // of a machine
+	random      *rand.Rand
+	now         time.Duration
+	cores       map[string]*Core           // nodes by address
+	down        map[string]bool            // addresses of nodes that neither send nor receive
+	linkDown    func(from, to string) bool // reports whether messages from one address to another are lost
+	heartbeats  int                        // number of heartbeats sent
+	bytes       int                        // total size of the heartbeats and responses sent
+	numberLimit int                        // run ticks the nodes with numbers below this
 }
 
 func newSite(n int, seed uint64) *simulatedSite {
 	s := &simulatedSite{
-		random:    rand.New(rand.NewPCG(seed, 5)),
-		cores:     map[string]*Core{},
-		down:      map[string]bool{},
-		linkDown:  noPartition,
-		maxNumber: 400,
+		random:      rand.New(rand.NewPCG(seed, 5)),
+		cores:       map[string]*Core{},
+		down:        map[string]bool{},
+		linkDown:    noPartition,
+		numberLimit: 400,
 	}
 	for i := range n {
 		s.add(i, 1)
@@ -47,29 +48,31 @@
 
 func seedAddrs() []string { return []string{addr(0), addr(1), addr(2)} }
 
-// add starts machine i with a new incarnation.
+// add starts node i with an incarnation, in place of an earlier run of it.
 func (s *simulatedSite) add(i int, incarnation uint64) {
 	self := &wire.Node{Name: nodeName(i), Incarnation: incarnation, Role: "x", Zone: fmt.Sprint(i % 4), Addr: addr(i)}
 	s.cores[addr(i)] = New(settings.DefaultBounds(), self, seedAddrs())
 	delete(s.down, addr(i))
 }
 
-// addElsewhere starts a machine under the name of machine i at another address. Its clock began anew,
-// so its incarnation is 0.
-func (s *simulatedSite) addElsewhere(i, number int) {
+// addReplacement starts another machine under the name of node i, at the address of number. Its clock
+// has restarted, so its incarnation is 0.
+func (s *simulatedSite) addReplacement(i, number int) {
 	self := &wire.Node{Name: nodeName(i), Incarnation: 0, Role: "x", Addr: addr(number)}
 	s.cores[addr(number)] = New(settings.DefaultBounds(), self, seedAddrs())
 }
 
+// run ticks all nodes once per heartbeat period until a duration of virtual time has passed.
 func (s *simulatedSite) run(d time.Duration) {
 	period := settings.DefaultBounds().Leave(0.1)
 	for end := s.now + d; s.now < end; s.now += period {
-		for i := range s.maxNumber {
+		for i := range s.numberLimit {
 			s.tick(addr(i))
 		}
 	}
 }
 
+// tick runs one heartbeat period of a node and delivers its heartbeats and their responses.
 func (s *simulatedSite) tick(from string) {
 	core := s.cores[from]
 	if core == nil || s.down[from] {
@@ -90,14 +93,14 @@
 	}
 }
 
-// states counts in how many views of running nodes a node has each state.
+// states returns the number of running nodes that see a node in each state, by state.
 func (s *simulatedSite) states(name string) map[uint32]int {
 	counts := map[uint32]int{}
 	for address, core := range s.cores {
 		if s.down[address] {
 			continue
 		}
-		state := unknownState
+		state := notInView
 		for _, n := range core.Nodes() {
 			if n.Name == name {
 				state = n.State
@@ -108,13 +111,13 @@
 	return counts
 }
 
-// requireNodeAt checks that all running nodes see a node alive at an address.
+// requireNodeAt fails the test if a running node sees a node at another address than want, or not alive.
 func (s *simulatedSite) requireNodeAt(t *testing.T, name, want string) {
 	t.Helper()
 	for address, core := range s.cores {
 		for _, n := range core.Nodes() {
 			if !s.down[address] && n.Name == name && (n.Addr != want || n.State != Alive) {
-				t.Fatalf("%s sees %s at %s in state %d", address, name, n.Addr, n.State)
+				t.Fatalf("node at %s sees node %s at address %s in state %d, want address %s and state alive (%d)", address, name, n.Addr, n.State, want, Alive)
 			}
 		}
 	}
@@ -126,14 +129,14 @@
 		s.run(3 * time.Second)
 		for i := range n {
 			if got := s.states(nodeName(i)); got[Alive] != n {
-				t.Fatalf("%d nodes: n-%d is seen as %v", n, i, got)
+				t.Fatalf("site of %d nodes: counts of nodes by the state in which they see n-%d: %v, want all of them alive (%d)", n, i, got, Alive)
 			}
 		}
 	}
 }
 
-// A node that fails is dead in all views within the leave bound, and no other is; the heartbeats that
-// a node sends don't grow with the site.
+// A node that fails is dead in all views within the leave bound, and no running node is suspect or dead.
+// The number of heartbeats that a node sends does not grow with the size of the site.
 func TestDeadNodeIsDetectedWithinLeaveBound(t *testing.T) {
 	for _, n := range []int{13, 26, 104} {
 		s := newSite(n, 2)
@@ -142,20 +145,21 @@
 		s.down[addr(5)] = true
 		s.run(settings.DefaultBounds().Leave(1))
 		if got := s.states(nodeName(5)); got[Dead] != n-1 {
-			t.Errorf("%d nodes: the dead one is seen as %v after the bound", n, got)
+			t.Errorf("site of %d nodes: counts of nodes by the state in which they see the failed node after the leave bound: %v, want %d dead (%d)", n, got, n-1, Dead)
 		}
 		for i := range n {
 			if got := s.states(nodeName(i)); i != 5 && got[Dead]+got[Suspect] > 0 {
-				t.Errorf("%d nodes: running n-%d is seen as %v", n, i, got)
+				t.Errorf("site of %d nodes: counts of nodes by the state in which they see running n-%d: %v, want none suspect (%d) or dead (%d)", n, i, got, Suspect, Dead)
 			}
 		}
 		if perPeriod := float64(s.heartbeats) / float64(n) / 10; perPeriod > 3.6 {
-			t.Errorf("%d nodes: %.2f heartbeats per node and period", n, perPeriod)
+			t.Errorf("site of %d nodes: each node sent %.2f heartbeats per period, want at most 3.6", n, perPeriod)
 		}
 	}
 }
 
-// One broken link in one direction causes no false detection: another observer has heard the node.
+// If messages are lost on one link in one direction, no node is declared dead: the node's other observers
+// still receive its heartbeats.
 func TestOneBrokenLinkCausesNoFalseDetection(t *testing.T) {
 	for from := range 13 {
 		for to := range 13 {
@@ -165,15 +169,15 @@
 			s.run(6 * time.Second)
 			for i := range 13 {
 				if got := s.states(nodeName(i)); got[Dead] > 0 {
-					t.Fatalf("link %d>%d cut: n-%d is seen as %v", from, to, i, got)
+					t.Fatalf("link from n-%d to n-%d broken: counts of nodes by the state in which they see running n-%d: %v, want none dead (%d)", from, to, i, got, Dead)
 				}
 			}
 		}
 	}
 }
 
-// A node that leaves is dead in all views within a few periods, without a timeout; late reports that
-// it is alive don't bring it back.
+// A node that leaves gracefully is dead in all views within a few heartbeat periods, before any timeout
+// expires. Late reports that it is alive do not change that.
 func TestGracefulLeaveNeedsNoTimeout(t *testing.T) {
 	s := newSite(26, 6)
 	s.run(4 * time.Second)
@@ -183,34 +187,34 @@
 	s.down[addr(7)] = true
 	s.run(settings.DefaultBounds().Leave(0.4))
 	if got := s.states(nodeName(7)); got[Dead] != 25 {
-		t.Fatalf("the node that left is seen as %v", got)
+		t.Fatalf("counts of nodes by the state in which they see the node that left: %v, want 25 dead (%d)", got, Dead)
 	}
 }
 
-// A machine is suspended, another one is started under its name at another address, and the first one
-// resumes: it stops, and all see the new one.
+// While a machine is suspended, another machine joins under its name at another address. When the first
+// one resumes, it must stop, and all nodes must keep seeing the new one.
 func TestReplacedNodeStops(t *testing.T) {
 	site := newSite(13, 8)
-	site.run(2 * time.Second) // it was young when it was suspended: the suspension counts as age
+	site.run(2 * time.Second) // less than the replacement age; the time of the suspension must count towards it
 	site.down[addr(3)] = true
 	site.run(4 * time.Second)
-	site.addElsewhere(3, 300)
+	site.addReplacement(3, 300)
 	site.run(8 * time.Second)
 	delete(site.down, addr(3))
 	for range 30 {
 		site.run(300 * time.Millisecond)
 		if site.cores[addr(3)].Replaced() {
-			site.down[addr(3)] = true // its member sends no more heartbeats
+			site.down[addr(3)] = true // Member sends no more heartbeats for it
 		}
 	}
 	if !site.down[addr(3)] || site.cores[addr(300)].Replaced() {
-		t.Fatalf("the old one stopped: %v, the new one: %v", site.down[addr(3)], site.cores[addr(300)].Replaced())
+		t.Fatalf("suspended machine stopped after it resumed: %v, want true; machine that took its name is replaced: %v, want false", site.down[addr(3)], site.cores[addr(300)].Replaced())
 	}
 	site.requireNodeAt(t, nodeName(3), addr(300))
 }
 
-// The halves of a partition find each other again, and a machine that returns without its state at a
-// new address under its old name is seen there.
+// The two sides of a healed partition see each other again. A machine that restarts under its old name
+// without its state and at a new address is seen at the new address.
 func TestPartitionHealsAndNameMovesToNewAddress(t *testing.T) {
 	site := newSite(13, 4)
 	site.run(3 * time.Second)
@@ -224,26 +228,26 @@
 	site.linkDown = func(from, to string) bool { return inFirstHalf(from) != inFirstHalf(to) }
 	site.run(10 * time.Second)
 	if got := site.states(nodeName(12)); got[Dead] != 6 {
-		t.Fatalf("partitioned: n-12 is seen as %v", got)
+		t.Fatalf("during the partition: counts of nodes by the state in which they see n-12: %v, want 6 dead (%d)", got, Dead)
 	}
 	site.linkDown = noPartition
 	site.run(settings.DefaultBounds().Heal(0.5))
 	for i := range 13 {
 		if got := site.states(nodeName(i)); got[Alive] != 13 {
-			t.Fatalf("healed: n-%d is seen as %v", i, got)
+			t.Fatalf("after the partition healed: counts of nodes by the state in which they see n-%d: %v, want 13 alive (%d)", i, got, Alive)
 		}
 	}
 	site.down[addr(3)] = true
 	delete(site.cores, addr(3))
 	site.run(4 * time.Second)
-	site.addElsewhere(3, 300)
+	site.addReplacement(3, 300)
 	site.run(4 * time.Second)
 	site.requireNodeAt(t, nodeName(3), addr(300))
 }
 
-// A machine that is back before its failure was detected receives the full view: its peers send
-// heartbeats to it before its own first one, and have no updates for it. Two machines restart at once,
-// while others come and go.
+// A node that restarts before its failure is detected must still learn the full view, although the other
+// nodes have no updates for it and their heartbeats reach it before it has sent its first one. Two nodes
+// restart at once, while other nodes fail and return.
 func TestQuickRestartReceivesFullView(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSite(26, seed)
@@ -254,22 +258,23 @@
 			s.run(300 * time.Millisecond)
 			s.add(i, uint64(100+i))
 			s.add(j, uint64(200+i))
-			s.observeFirst(addr(i), addr(j))
-			s.down[addr((i+13)%26)] = s.random.IntN(2) == 0 // so that updates are in flight meanwhile
+			s.deliverHeartbeatsTo(addr(i), addr(j))
+			s.down[addr((i+13)%26)] = s.random.IntN(2) == 0 // a third node may fail, so that updates are in flight
 			s.run(3 * time.Second)
 			s.down[addr((i+13)%26)] = false
 			s.run(3 * time.Second)
 			for _, restarted := range []int{i, j} {
 				if n := s.countAlive(addr(restarted)); n != 26 {
-					t.Fatalf("seed %d: n-%d sees %d of 26 six seconds after its restart", seed, restarted, n)
+					t.Fatalf("seed %d: node n-%d sees %d nodes alive six seconds after its restart, want 26", seed, restarted, n)
 				}
 			}
 		}
 	}
 }
 
-// observeFirst delivers the heartbeats of all other nodes to two that were just restarted.
-func (s *simulatedSite) observeFirst(first, second string) {
+// deliverHeartbeatsTo ticks all other nodes and delivers only their heartbeats to the nodes at two
+// addresses.
+func (s *simulatedSite) deliverHeartbeatsTo(first, second string) {
 	for address, core := range s.cores {
 		if address == first || address == second {
 			continue
@@ -282,7 +287,7 @@
 	}
 }
 
-// countAlive counts the nodes that the one at an address sees alive.
+// countAlive returns the number of nodes that the node at an address sees alive, including itself.
 func (s *simulatedSite) countAlive(address string) int {
 	alive := 0
 	for _, n := range s.cores[address].Nodes() {
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -15,22 +15,23 @@
 	"pebbleloom/internal/wire"
 )
 
-// A site's settings give its heartbeat period; a longer one stretches the leave bound, a shorter one
-// doesn't cut it.
+// A configured heartbeat period that is longer than the default extends the leave bound; a shorter one
+// does not reduce it.
 func TestSiteHeartbeatStretchesLeaveBound(t *testing.T) {
 	process := settings.Process{Bounds: settings.DefaultBounds()}
 	if b := siteBounds(process); b != settings.DefaultBounds() {
-		t.Errorf("without a site: %+v", b)
+		t.Errorf("bounds of a process without site settings: %+v, want the default %+v", b, settings.DefaultBounds())
 	}
 	for ms, want := range map[int]time.Duration{100: 300 * time.Millisecond, 1200: 1200 * time.Millisecond} {
 		process.Site = &settings.Site{HeartbeatMs: ms}
 		if b := siteBounds(process); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.DefaultBounds().Heal(1) {
-			t.Errorf("a heartbeat every %d ms: %v", ms, b.Leave(heartbeatRatio))
+			t.Errorf("heartbeat period configured as %d ms: got a period of %v, want %v; got a heal bound of %v, want %v",
+				ms, b.Leave(heartbeatRatio), want, b.Heal(1), settings.DefaultBounds().Heal(1))
 		}
 	}
 }
 
-// memberNetwork lets members call each other by address.
+// memberNetwork delivers calls between members of one process, by address.
 type memberNetwork struct {
 	mu      sync.Mutex
 	members map[string]*Member
@@ -51,7 +52,7 @@
 	return unreachableMember{}
 }
 
-// unreachableMember answers nothing until its caller gives up.
+// unreachableMember is a member that never responds; calls to it end when their context is done.
 type unreachableMember struct{}
 
 func (unreachableMember) Exchange(ctx context.Context, _ *wire.Heartbeat) (*wire.Heartbeat, error) {
@@ -59,7 +60,7 @@
 	return nil, ctx.Err()
 }
 
-// Nodes that start within a quarter of a heartbeat period know each other by its end.
+// Nodes that all start within the first quarter of a heartbeat period know each other by the end of it.
 func TestNodesStartedTogetherDiscoverEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -79,7 +80,7 @@
 		<-time.NewTimer(period * 3 / 4).C
 		for i, member := range members {
 			if known := len(member.View().WithRole(RoleNodeAgent)); known != nodes {
-				t.Errorf("%d knows %d nodes after a heartbeat period", i, known)
+				t.Errorf("node %d knows %d nodes one heartbeat period after the first start, want %d", i, known, nodes)
 			}
 		}
 	})
--- a/internal/control/clustermembership/traffic_test.go
+++ b/internal/control/clustermembership/traffic_test.go
@@ -10,33 +10,35 @@
 	"pebbleloom/internal/settings"
 )
 
-// What a node sends at 1, 4 and 16 times today's 26 nodes, at rest and while ten fail: the heartbeats
-// per second don't grow, and a heartbeat's size is bounded by the number of recent changes.
+// The heartbeats per second and node do not grow with the number of nodes, and the size of a heartbeat
+// depends on the number of recent state changes only. Measured with 26 and 104 nodes (and with 416 if
+// GROWTH is set), at rest and while ten nodes fail.
 func TestTrafficPerNodeStaysBounded(t *testing.T) {
 	period := settings.DefaultBounds().Leave(0.1)
 	sizes := []int{26, 104}
-	if os.Getenv("GROWTH") != "" { // slow under the race detector
+	if os.Getenv("GROWTH") != "" { // not by default, because it is slow under the race detector
 		sizes = append(sizes, 416)
 	}
 	for _, n := range sizes {
 		s := newSite(n, 9)
-		s.maxNumber = n
-		s.run(14 * time.Second) // until all updates of the joining have spread
+		s.numberLimit = n
+		s.run(14 * time.Second) // until all nodes have joined and no updates are in flight
 		restHeartbeats, restBytes := s.measureTraffic(n, 4*time.Second)
 		for i := range 10 {
 			s.down[addr(3+i)] = true
 		}
 		failureHeartbeats, failureBytes := s.measureTraffic(n, 4*time.Second)
-		t.Logf("%3d nodes, a heartbeat every %v: at rest %.1f heartbeats, %.0f bytes a second and node; ten fail: %.1f heartbeats, %.0f bytes",
+		t.Logf("site of %3d nodes, heartbeat period %v: %.1f heartbeats and %.0f bytes per second and node at rest, %.1f and %.0f while ten nodes fail",
 			n, period, restHeartbeats, restBytes, failureHeartbeats, failureBytes)
 		if restHeartbeats > 12 || failureHeartbeats > 14 || restBytes > 2048 {
-			t.Errorf("%d nodes: %.1f heartbeats and %.0f bytes a second and node at rest, %.1f heartbeats when ten fail",
+			t.Errorf("site of %d nodes: %.1f heartbeats and %.0f bytes per second and node at rest, want at most 12 and 2048; %.1f heartbeats while ten nodes fail, want at most 14",
 				n, restHeartbeats, restBytes, failureHeartbeats)
 		}
 	}
 }
 
-// measureTraffic returns what each of n nodes sends per second, on average over a time.
+// measureTraffic runs the site for a duration and returns the average numbers of heartbeats and bytes that
+// each of n nodes caused per second; the bytes include the responses to its heartbeats.
 func (s *simulatedSite) measureTraffic(n int, d time.Duration) (heartbeats, bytes float64) {
 	s.heartbeats, s.bytes = 0, 0
 	s.run(d)
