--- a/internal/control/storage/directory.go
+++ b/internal/control/storage/directory.go
@@ -9,7 +9,8 @@
 
 type directory struct{ path string }
 
-// Directory returns the Disk of a folder of the file system. The folder is created when it is first written to.
+// Directory returns a Disk that stores its files in a directory of the file system. The directory is created by
+// the first write.
 //
 // Example: disk := storage.Directory("/var/lib/pebbleloom/part-0")
 func Directory(path string) Disk { return directory{path} }
@@ -32,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	// The entry of the file in the folder, and that of the folder in its parent, must survive a crash too.
+	// The directory entries of the file and of the directory itself must survive a crash, too.
 	for _, path := range []string{d.path, filepath.Dir(d.path)} {
 		if err := syncDirectory(path); err != nil {
 			return err
@@ -54,7 +55,7 @@
 	return d.withFile(name, os.O_WRONLY, func(file *os.File) error { return file.Truncate(int64(size)) })
 }
 
-// withFile opens a file for change, and syncs and closes it after the change. It returns the first error.
+// withFile opens a file, applies a change to it, syncs it and closes it. It returns the first error.
 func (d directory) withFile(name string, flag int, change func(*os.File) error) error {
 	if err := os.MkdirAll(d.path, 0o755); err != nil {
 		return err
@@ -73,12 +74,13 @@
 	return err
 }
 
+// syncDirectory syncs the entries of a directory.
 func syncDirectory(path string) error {
-	folder, err := os.Open(path)
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	err = folder.Sync()
-	folder.Close()
+	err = dir.Sync()
+	dir.Close()
 	return err
 }
--- a/internal/control/storage/faults.go
+++ b/internal/control/storage/faults.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-var errSync = errors.New("sync failed (switched on by a failure test)")
+var errSync = errors.New("sync failed (fault injected by a failure test)")
 
+// faultyDisk injects the fault that is described in faultFile into the writes of a Disk.
 type faultyDisk struct {
 	Disk
-	switchFile string
+	faultFile string
 }
 
-// WithFaults returns a Disk whose writes fail as the content of a file says (see ParseFault), which failure
-// tests write. Without that file it has no faults.
+// WithFaults returns a Disk for failure tests, which injects a fault into every write while the file faultFile
+// exists. The content of that file describes the fault; see ParseFault.
 //
 // Example: disk := storage.WithFaults(storage.Directory(path), "/tmp/run/core-1.fault")
-func WithFaults(disk Disk, switchFile string) Disk { return faultyDisk{disk, switchFile} }
+func WithFaults(disk Disk, faultFile string) Disk { return faultyDisk{disk, faultFile} }
 
-// ParseFault returns how a fault affects a write: for how long it stalls, and the error that it fails with.
-// The faults are "full" (the disk is full), "sync" (every sync fails) and "stall N" (every write takes N
-// milliseconds longer). Any other description is no fault.
+// ParseFault returns the effect of a fault on a write: how long the write stalls, and the error with which it
+// fails. The descriptions are "full" (the disk is full), "sync" (every sync fails) and "stall N" (every write
+// takes N milliseconds longer). Any other description means no fault.
 //
 // Example: stall, err := storage.ParseFault("stall 800")
 func ParseFault(description string) (stall time.Duration, err error) {
@@ -44,7 +45,7 @@
 
 // Write implements Disk.
 func (d faultyDisk) Write(name string, content []byte) error {
-	if err := d.fail(); err != nil {
+	if err := d.injectFault(); err != nil {
 		return err
 	}
 	return d.Disk.Write(name, content)
@@ -52,17 +53,17 @@
 
 // Append implements Disk.
 func (d faultyDisk) Append(name string, content []byte) error {
-	if err := d.fail(); err != nil {
+	if err := d.injectFault(); err != nil {
 		return err
 	}
 	return d.Disk.Append(name, content)
 }
 
-// fail stalls, and returns the error of the fault that is switched on.
-func (d faultyDisk) fail() error {
-	description, err := os.ReadFile(d.switchFile)
+// injectFault stalls the caller or returns an error, as the fault file describes.
+func (d faultyDisk) injectFault() error {
+	description, err := os.ReadFile(d.faultFile)
 	if err != nil {
-		return nil // no file, no fault
+		return nil // no fault is injected while the fault file cannot be read
 	}
 	stall, err := ParseFault(string(description))
 	time.Sleep(stall)
--- a/internal/control/storage/format.go
+++ b/internal/control/storage/format.go
@@ -9,13 +9,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// The formats of the files. Integers are little-endian, checksums CRC-32C.
+// File formats, with sizes in bytes. Integers are little-endian, checksums are CRC-32C.
 //
-//	snapshot: magic (4 bytes), generation (8), wire.Snapshot, checksum of all that precedes it (4)
-//	log:      magic (4), generation (8), number of initial records (4), checksum of these (4), records
-//	record:   size of the body (4), checksum of the size (4), checksum of the body (4), body: wire.Record
+//	snapshot file: magic (4), generation (8), encoded wire.Snapshot, checksum of everything before it (4)
+//	log file:      magic (4), generation (8), number of initial records (4), checksum of these fields (4), records
+//	record:        size of the body (4), checksum of the size (4), checksum of the body (4), body: encoded wire.Record
 const (
-	// formatMagic marks the format of both kinds of file ("PBL1"). A later format gets another one.
+	// formatMagic ("PBL1") begins snapshot and log files of this format. A later format needs another value.
 	formatMagic = 0x50424c31
 
 	logHeaderBytes        = 20
@@ -23,7 +23,7 @@
 	snapshotHeaderBytes   = 12
 	snapshotChecksumBytes = 4
 
-	// maxRecordBytes bounds the body of a record. A larger size is a sign of corruption.
+	// maxRecordBytes is the maximum size of a record's body. A larger size field is treated as corruption.
 	maxRecordBytes = 16 << 20
 )
 
@@ -31,13 +31,14 @@
 
 func checksum(content []byte) uint32 { return crc32.Checksum(content, castagnoliTable) }
 
-// logHeader is the header of a log.
+// logHeader is the decoded header of a log file.
 type logHeader struct {
-	generation     uint64 // of the snapshot that the log continues
+	generation     uint64 // generation of the snapshot that the log's records follow
 	initialRecords int    // number of records that were written together with the header
 }
 
-// encodeSnapshot returns the content of a snapshot file. A snapshot may be large: it is copied once.
+// encodeSnapshot returns the content of a snapshot file. It allocates the buffer at its final size, because a
+// snapshot may be large.
 func encodeSnapshot(snapshot *wire.Snapshot, generation uint64) ([]byte, error) {
 	content := make([]byte, snapshotHeaderBytes, snapshotHeaderBytes+proto.Size(snapshot)+snapshotChecksumBytes)
 	binary.LittleEndian.PutUint32(content, formatMagic)
@@ -49,8 +50,8 @@
 	return binary.LittleEndian.AppendUint32(content, checksum(content)), nil
 }
 
-// decodeSnapshot returns the snapshot in a file and its generation; nil and 0 if the file is incomplete or
-// corrupted.
+// decodeSnapshot returns the snapshot in the content of a file and its generation, or nil and 0 if the content is
+// incomplete or corrupted.
 func decodeSnapshot(content []byte) (*wire.Snapshot, uint64) {
 	if len(content) < snapshotHeaderBytes+snapshotChecksumBytes || binary.LittleEndian.Uint32(content) != formatMagic {
 		return nil, 0
@@ -75,7 +76,7 @@
 	return header
 }
 
-// decodeLogHeader returns the header of a log; false if it is incomplete or corrupted.
+// decodeLogHeader decodes the header of a log file. It returns false if the header is incomplete or corrupted.
 func decodeLogHeader(content []byte) (logHeader, bool) {
 	if len(content) < logHeaderBytes || binary.LittleEndian.Uint32(content) != formatMagic ||
 		checksum(content[:16]) != binary.LittleEndian.Uint32(content[16:]) {
@@ -87,13 +88,13 @@
 	}, true
 }
 
-// encodeRecords returns records as they are stored in a log.
+// encodeRecords returns records in the encoding of the log file.
 func encodeRecords(records []*wire.Record) []byte {
 	var content []byte
 	for _, record := range records {
 		body, err := proto.Marshal(record)
 		if err != nil {
-			panic("storage: a record can't be marshalled: " + err.Error())
+			panic("storage: marshal log record: " + err.Error())
 		}
 		header := make([]byte, recordHeaderBytes)
 		binary.LittleEndian.PutUint32(header, uint32(len(body)))
@@ -104,8 +105,8 @@
 	return content
 }
 
-// decodeRecord returns the record at the beginning of content, and its size; nil and 0 if it is incomplete or
-// corrupted.
+// decodeRecord returns the record at the start of content and its encoded size, or nil and 0 if the record is
+// incomplete or corrupted.
 func decodeRecord(content []byte) (record *wire.Record, size int) {
 	if len(content) < recordHeaderBytes || checksum(content[:4]) != binary.LittleEndian.Uint32(content[4:]) {
 		return nil, 0
@@ -121,15 +122,15 @@
 	return record, end
 }
 
-// logScan is what can be decoded of a log.
+// logScan is the result of decoding the records of a log.
 type logScan struct {
 	records   []*wire.Record
-	end       int  // offset after the last of records
-	corrupted bool // complete records follow what can't be decoded
+	end       int  // offset after the last decoded record
+	corrupted bool // a record that cannot be decoded is followed by complete records
 }
 
-// scanLog decodes the records of a log up to the first one that is incomplete. An append that was interrupted leaves
-// such a record at the end; if complete records follow it, the log is corrupted.
+// scanLog decodes the records of a log up to the first one that cannot be decoded. An interrupted append leaves an
+// incomplete record at the end of the log; if complete records follow it, the log is corrupted.
 func scanLog(content []byte) logScan {
 	var scan logScan
 	for scan.end < len(content) {
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -1,11 +1,12 @@
-// Package storage keeps the snapshot and the log of one shard on disk. Nothing that was acknowledged is
-// lost to a torn write, and nothing corrupted is read silently.
+// Package storage keeps the snapshot and the log of one shard on disk. A torn write does not lose
+// acknowledged records, and corrupted content is reported as an error instead of being used.
 //
-// A shard has two slots, used in turn: the snapshot files slot-0 and slot-1, each with a log of what came
-// after its snapshot in log-0 and log-1. Each snapshot has a generation, one more than the previous one, and
-// goes to the slot of the generation's parity. Saving generation g first writes its log, with the generation
-// and the records that remain after the snapshot, and then the snapshot. Until the snapshot is complete,
-// snapshot and log of generation g-1 are valid, and their slot isn't written to.
+// A shard has two slots that are used alternately. Slot N consists of the snapshot file slot-N and the file
+// log-N, which holds the records appended after that snapshot. Each snapshot has a generation, one higher
+// than that of the previous snapshot, and is stored in slot generation%2. To save generation g, the store
+// first writes the new log file, with the generation and the records that the snapshot does not cover, and
+// then the snapshot file. Until the snapshot file is complete, the snapshot and log of generation g-1 stay
+// valid; their slot is not written to.
 package storage
 
 import (
@@ -15,35 +16,35 @@
 	"pebbleloom/internal/wire"
 )
 
-// Disk is a folder of files. Each call returns once its effect is synced: the content of the file and its
-// entry in the folder.
+// Disk is a directory of files. Each call that changes a file returns after the change is synced, including
+// the directory entry of a new file.
 type Disk interface {
-	// Read returns the content of a file; exists is false, without an error, if there is none.
+	// Read returns the content of a file. If the file does not exist, it returns false and no error.
 	Read(name string) (content []byte, exists bool, err error)
-	// Write replaces the content of a file, and creates it if it doesn't exist.
+	// Write replaces the content of a file and creates the file if it does not exist.
 	Write(name string, content []byte) error
-	// Append appends to a file that exists.
+	// Append appends to an existing file.
 	Append(name string, content []byte) error
 	// Truncate shortens a file to size bytes.
 	Truncate(name string, size int) error
 }
 
-// Store writes the files of one shard. After a failed write, which may have left part of its content on the disk,
-// it returns the same error from every later call and writes nothing.
+// Store writes the files of one shard. A failed write may leave part of its content on the disk; after one, the
+// store writes nothing more and returns the same error from every later write.
 type Store struct {
 	disk       Disk
-	generation uint64 // of the current snapshot; 0: none was saved
-	logBytes   int    // size of the current log
-	failure    error  // of the first failed write
+	generation uint64 // generation of the current snapshot; 0 if none has been saved
+	logBytes   int    // size of the current log file
+	failure    error  // error of the first failed write; nil if no write has failed
 }
 
 func snapshotName(slot uint64) string { return fmt.Sprintf("slot-%d", slot) }
 func logName(slot uint64) string      { return fmt.Sprintf("log-%d", slot) }
 
-// slotOf returns the slot of a generation.
+// slotOf returns the number of the slot that stores a generation.
 func slotOf(generation uint64) uint64 { return generation % slotCount }
 
-// Append appends records to the log and returns once they are synced. Its error is of kind errs.DiskFailure.
+// Append appends records to the log and returns after they are synced. Its errors are of kind errs.DiskFailure.
 //
 // Example: err := store.Append([]*wire.Record{record})
 func (s *Store) Append(records []*wire.Record) error {
@@ -55,15 +56,15 @@
 	}
 	content := encodeRecords(records)
 	if err := s.disk.Append(logName(slotOf(s.generation)), content); err != nil {
-		s.failure = errs.WrapAs(err, errs.DiskFailure, "append to log")
+		s.failure = errs.WrapAs(err, errs.DiskFailure, "append records to log")
 		return s.failure
 	}
 	s.logBytes += len(content)
 	return nil
 }
 
-// SaveSnapshot saves a snapshot as the next generation and starts its log with the records that remain after
-// it. Its error is of kind errs.DiskFailure.
+// SaveSnapshot saves a snapshot as the next generation and starts its log with the given records, which are those
+// that the snapshot does not cover. Its errors are of kind errs.DiskFailure.
 //
 // Example: err := store.SaveSnapshot(snapshot, records)
 func (s *Store) SaveSnapshot(snapshot *wire.Snapshot, records []*wire.Record) error {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// LogBytes returns the size of the current log in bytes.
+// LogBytes returns the size of the current log file in bytes.
 //
 // Example: if store.LogBytes() > 1<<20 { compact() }
 func (s *Store) LogBytes() int { return s.logBytes }
