--- a/internal/control/storage/disk_test.go
+++ b/internal/control/storage/disk_test.go
@@ -3,15 +3,16 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 
 	"pebbleloom/internal/wire"
 )
 
-// noLimit is the write budget of a disk whose power isn't lost.
+// noLimit is the write budget of a memoryDisk that never loses power.
 const noLimit = -1
 
-// openNew opens an empty disk and saves a first snapshot. It returns nil if the power is lost meanwhile.
-func openNew(disk Disk) *Store {
+// createStore opens an empty disk and saves the first snapshot. It returns nil if that fails.
+func createStore(disk Disk) *Store {
 	store, _, err := Open(disk)
 	if err != nil || store.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}}, nil) != nil {
 		return nil
@@ -21,7 +22,8 @@
 
 var errPowerLost = errors.New("power lost")
 
-// memoryDisk is a disk in memory whose power is lost after writeBudget bytes were written.
+// memoryDisk is a Disk in memory. It simulates a power loss after writeBudget further bytes have been written: the
+// write that exceeds the budget is torn.
 type memoryDisk struct {
 	files       map[string][]byte
 	writeBudget int
@@ -58,13 +60,13 @@
 
 func (d *memoryDisk) Truncate(name string, size int) error {
 	if size > len(d.files[name]) {
-		return errors.New("truncated beyond the end")
+		return fmt.Errorf("truncate %s to %d bytes: the file has only %d", name, size, len(d.files[name]))
 	}
 	d.files[name] = d.files[name][:size]
 	return nil
 }
 
-// clone returns a disk of the same content, whose power isn't lost.
+// clone returns a copy of the disk that never loses power.
 func (d *memoryDisk) clone() *memoryDisk {
 	copied := newMemoryDisk(noLimit)
 	for name, content := range d.files {
@@ -73,8 +75,8 @@
 	return copied
 }
 
-// forEachFlippedBit calls a function with a copy of the disk for each byte of each file, in which a bit of that byte is
-// flipped.
+// forEachFlippedBit calls check once for each byte i of each file, with a copy of the disk in which one bit of that
+// byte is flipped.
 func (d *memoryDisk) forEachFlippedBit(check func(name string, i int, disk *memoryDisk)) {
 	for name, content := range d.files {
 		for i := range content {
--- a/internal/control/storage/fuzz_test.go
+++ b/internal/control/storage/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Whatever the files contain, they are read or rejected with an error; nothing makes Open panic.
-// `go test ./internal/control/storage -fuzz FuzzDisks`
+// Open returns a store or an error for any content of the files, and never panics. To run the fuzzer:
+// go test ./internal/control/storage -fuzz FuzzDisks
 func FuzzDisks(f *testing.F) {
 	f.Add([]byte{}, []byte{}, []byte{}, []byte{})
 	f.Add([]byte("1LBP\x00\x00"), []byte("1LBP"), []byte{0, 0}, []byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
@@ -15,7 +15,7 @@
 			}
 		}
 		if store, _, err := Open(disk); err == nil && store == nil {
-			t.Fatal("neither a store nor an error")
+			t.Fatal("Open returned neither a store nor an error")
 		}
 	})
 }
--- a/internal/control/storage/large_snapshot_test.go
+++ b/internal/control/storage/large_snapshot_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	largeBodyBytes = 200 << 10
-	largeRecords   = 5 // number of records that runLargeWorkload appends
+	largeBodyBytes = 200 << 10 // size of a record's body and of a snapshot's state
+	largeRecords   = 5         // number of records that runLargeWorkload appends
 )
 
-// runLargeWorkload appends large records, and saves a large snapshot after every second one. It returns the index of
-// the last record that was acknowledged before the power was lost.
+// runLargeWorkload appends largeRecords records with a large body and saves a large snapshot after every second one.
+// It returns the index of the last record that was acknowledged before the disk lost power.
 func runLargeWorkload(disk Disk, body []byte) (acknowledged int) {
-	store := openNew(disk)
+	store := createStore(disk)
 	if store == nil {
 		return 0
 	}
@@ -34,43 +34,43 @@
 	return largeRecords
 }
 
-// The power is lost within snapshots and records of 200 KB: around the beginning and end of each write, and after
-// random bytes in between. All that was acknowledged is recovered, and nothing is read as corrupted.
+// A disk loses power while snapshots and records of 200 KiB are written: near the start and end of each write, and at
+// random points in between. Every acknowledged record must be recovered, with the saved state intact.
 func TestPowerLossDuringLargeSnapshots(t *testing.T) {
-	const ample = 1 << 30
+	const largeBudget = 1 << 30 // more than the workload writes
 	random := rand.New(rand.NewPCG(1, 7))
 	body := make([]byte, largeBodyBytes)
 	for i := range body {
 		body[i] = byte(random.Uint32())
 	}
-	complete := newMemoryDisk(ample)
+	complete := newMemoryDisk(largeBudget)
 	if runLargeWorkload(complete, body) != largeRecords {
-		t.Fatal("the workload doesn't complete")
+		t.Fatal("workload did not complete on a disk without power loss")
 	}
-	total := ample - complete.writeBudget
-	var losses []int                                         // numbers of bytes after which the power is lost
-	for begin := 0; begin < total; begin += largeBodyBytes { // writes begin and end a little after these
+	total := largeBudget - complete.writeBudget
+	var lossPoints []int                                     // numbers of written bytes after which the power is lost
+	for begin := 0; begin < total; begin += largeBodyBytes { // each write starts and ends shortly after a multiple of largeBodyBytes
 		for written := begin; written < min(begin+300, total); written += 3 {
-			losses = append(losses, written)
+			lossPoints = append(lossPoints, written)
 		}
 	}
 	for range 400 {
-		losses = append(losses, random.IntN(total))
+		lossPoints = append(lossPoints, random.IntN(total))
 	}
-	for _, written := range losses {
+	for _, written := range lossPoints {
 		disk := newMemoryDisk(written)
 		acknowledged := runLargeWorkload(disk, body)
 		disk.writeBudget = noLimit
 		_, recovered, err := Open(disk)
 		if err != nil {
-			t.Fatalf("power lost after %d bytes: %v", written, err)
+			t.Fatalf("Open after a power loss at %d written bytes: %v", written, err)
 		}
 		if got := lastIndex(recovered); got < acknowledged || got > acknowledged+1 {
-			t.Fatalf("power lost after %d bytes: %d records acknowledged, %d recovered", written, acknowledged, got)
+			t.Fatalf("power loss at %d written bytes: recovered up to record %d, want record %d or the one after it", written, got, acknowledged)
 		}
 		if snapshot := recovered.Snapshot; snapshot != nil && snapshot.Index > 0 && !bytes.Equal(snapshot.State, body) {
-			t.Fatalf("power lost after %d bytes: the recovered state isn't the one that was saved", written)
+			t.Fatalf("power loss at %d written bytes: the state of the recovered snapshot differs from the saved state", written)
 		}
 	}
-	t.Logf("%d losses within %d bytes", len(losses), total)
+	t.Logf("simulated %d power losses within %d written bytes", len(lossPoints), total)
 }
--- a/internal/control/storage/replace_test.go
+++ b/internal/control/storage/replace_test.go
@@ -9,7 +9,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// corruptedDisks returns every disk that differs from an intact one by a flipped bit, and is found to be corrupted.
+// corruptedDisks returns copies of an intact disk, each with one flipped bit that Open reports as corruption.
 func corruptedDisks(t *testing.T, intact *memoryDisk) (disks []*memoryDisk) {
 	t.Helper()
 	intact.forEachFlippedBit(func(name string, i int, disk *memoryDisk) {
@@ -18,21 +18,22 @@
 			return
 		}
 		if !errors.Is(err, ErrCorrupted) || errs.KindOf(err) != errs.DiskFailure {
-			t.Fatalf("%s byte %d: %v", name, i, err)
+			t.Fatalf("Open with a flipped bit in byte %d of %s: error %v, want ErrCorrupted of kind %s", i, name, err, errs.DiskFailure.Name)
 		}
 		disks = append(disks, disk)
 	})
 	return disks
 }
 
-// What replaces a corrupted disk is recovered in place of what it held, and copies of that are kept. If the power is
-// lost meanwhile, the disk is still corrupted, or replaced: never does it go on with older state.
+// After a corrupted disk is replaced, Open recovers the new state, and copies of the corrupted files are kept. If the
+// power is lost during the replacement, Open either still reports corruption or recovers the new state, but never
+// recovers an older state.
 func TestReplaceACorruptedDisk(t *testing.T) {
 	intact := newMemoryDisk(noLimit)
 	runWorkload(intact)
 	disks := corruptedDisks(t, intact)
 	if len(disks) < 50 {
-		t.Fatalf("%d corrupted disks: too few", len(disks))
+		t.Fatalf("flipped bits that Open reported as corruption: %d, want at least 50", len(disks))
 	}
 	replaced := 0
 	for _, corrupted := range disks {
@@ -43,7 +44,7 @@
 			disk.writeBudget = noLimit
 			_, recovered, err := Open(disk)
 			if isReplaced := err == nil && recovered.Snapshot.GetHardState().GetIncarnation() == "new"; !isReplaced && (done || !errors.Is(err, ErrCorrupted)) {
-				t.Fatalf("power lost after %d bytes, replaced %v: recovered %v, %v", budget, done, recovered.Snapshot, err)
+				t.Fatalf("Open after a replacement with a write budget of %d bytes (completed: %v): snapshot %v, error %v; want the new snapshot, or ErrCorrupted if not completed", budget, done, recovered.Snapshot, err)
 			}
 			if done {
 				checkCopies(t, corrupted, disk)
@@ -53,21 +54,23 @@
 		}
 	}
 	if replaced != len(disks) {
-		t.Errorf("%d of %d disks were replaced", replaced, len(disks))
+		t.Errorf("replaced %d corrupted disks, want %d", replaced, len(disks))
 	}
 }
 
-// replaceDisk replaces what a disk holds by the first snapshot of another incarnation; false if that fails.
+// replaceDisk replaces the content of a disk by a first snapshot with the incarnation "new". It returns false if that
+// fails.
 func replaceDisk(disk Disk) bool {
 	store, err := Replace(disk, CorruptedCopies)
 	return err == nil && store.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "new"}}, nil) == nil
 }
 
+// checkCopies checks that a replaced disk has copies of all files of the corrupted one.
 func checkCopies(t *testing.T, corrupted, disk *memoryDisk) {
 	t.Helper()
 	for name, content := range corrupted.files {
 		if !bytes.Equal(disk.files["corrupted-"+name], content) {
-			t.Errorf("%s: no copy is kept", name)
+			t.Errorf("copy of corrupted file %s after the replacement: missing or different", name)
 		}
 	}
 }
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -15,10 +15,11 @@
 	return &wire.Record{Kind: &wire.Record_Entry{Entry: &wire.Entry{Index: uint64(index), Term: 1, Body: []byte(fmt.Sprint("body ", index))}}}
 }
 
-// runWorkload appends records, and saves a snapshot of all but the last one after every fourth. It returns the
-// index of the last record that was acknowledged before the power was lost.
+// runWorkload appends workloadRecords records. After every fourth one it saves a snapshot of all records except the
+// last, which becomes the initial record of the new log. It returns the index of the last record that was
+// acknowledged before the disk lost power.
 func runWorkload(disk Disk) (acknowledged int) {
-	store := openNew(disk)
+	store := createStore(disk)
 	if store == nil {
 		return 0
 	}
@@ -35,7 +36,7 @@
 	return workloadRecords
 }
 
-// lastIndex returns the index of the last record that was recovered, from the log or within the snapshot.
+// lastIndex returns the index of the last recovered record, from the log or covered by the snapshot.
 func lastIndex(recovered Recovered) int {
 	index := 0
 	if recovered.Snapshot != nil {
@@ -47,30 +48,30 @@
 	return index
 }
 
-// The power is lost after each single byte that the workload writes: all that was acknowledged is recovered.
+// Every acknowledged record is recovered after a power loss at any byte that the workload writes.
 func TestPowerLossAtEveryByte(t *testing.T) {
-	const ample = 1 << 30
-	complete := newMemoryDisk(ample)
+	const largeBudget = 1 << 30 // more than the workload writes
+	complete := newMemoryDisk(largeBudget)
 	if runWorkload(complete) != workloadRecords {
-		t.Fatal("the workload doesn't complete")
+		t.Fatal("workload did not complete on a disk without power loss")
 	}
-	total := ample - complete.writeBudget
+	total := largeBudget - complete.writeBudget
 	for written := range total {
 		disk := newMemoryDisk(written)
 		acknowledged := runWorkload(disk)
 		disk.writeBudget = noLimit
 		_, recovered, err := Open(disk)
 		if err != nil {
-			t.Fatalf("power lost after %d bytes: %v", written, err)
+			t.Fatalf("Open after a power loss at %d written bytes: %v", written, err)
 		}
 		if got := lastIndex(recovered); got < acknowledged || got > acknowledged+1 {
-			t.Fatalf("power lost after %d bytes: %d records acknowledged, %d recovered", written, acknowledged, got)
+			t.Fatalf("power loss at %d written bytes: recovered up to record %d, want record %d or the one after it", written, got, acknowledged)
 		}
 	}
 }
 
-// A flipped bit either has no effect on what is recovered, or the disk is rejected with errs.DiskFailure. In the
-// last record corruption can't be distinguished from a torn append.
+// If a bit is flipped on the disk, Open either recovers the same records or fails with errs.DiskFailure. In the last
+// record, corruption cannot be distinguished from a torn append; Open then drops that record.
 func TestBitRotIsDetected(t *testing.T) {
 	intact := newMemoryDisk(noLimit)
 	want := runWorkload(intact)
@@ -80,24 +81,24 @@
 		got := lastIndex(recovered)
 		switch {
 		case err != nil && errs.KindOf(err) != errs.DiskFailure:
-			t.Fatalf("%s byte %d: kind %s", name, i, errs.KindOf(err).Name)
+			t.Fatalf("Open with a flipped bit in byte %d of %s: error kind %s, want %s", i, name, errs.KindOf(err).Name, errs.DiskFailure.Name)
 		case err != nil:
 			rejected++
 		case recovered.TornBytes > 0:
 			torn++
 			if got != want-1 {
-				t.Fatalf("%s byte %d: %d records recovered, want %d", name, i, got, want-1)
+				t.Fatalf("Open with a flipped bit in byte %d of %s truncated the log: recovered up to record %d, want %d", i, name, got, want-1)
 			}
 		case got != want:
-			t.Fatalf("%s byte %d: %d of %d records recovered without an error", name, i, got, want)
+			t.Fatalf("Open with a flipped bit in byte %d of %s, without an error: recovered up to record %d, want %d", i, name, got, want)
 		}
 	})
 	if rejected < 50 || torn == 0 {
-		t.Fatalf("rejected %d, torn %d: too few of the flipped bits had an effect", rejected, torn)
+		t.Fatalf("flipped bits that Open rejected: %d, want at least 50; taken for a torn append: %d, want at least 1", rejected, torn)
 	}
 }
 
-// After a failed write the store accepts no other.
+// After a failed write, every later write fails as well, although the disk works again.
 func TestWritesFailAfterAnError(t *testing.T) {
 	disk := newMemoryDisk(noLimit)
 	store, _, err := Open(disk)
@@ -109,10 +110,10 @@
 	}
 	disk.writeBudget = 3
 	if store.Append([]*wire.Record{newRecord(1)}) == nil {
-		t.Fatal("a record was appended to a full disk")
+		t.Fatal("Append of a record beyond the write budget of the disk: no error")
 	}
 	disk.writeBudget = noLimit
 	if err := store.Append([]*wire.Record{newRecord(2)}); errs.KindOf(err) != errs.DiskFailure {
-		t.Fatalf("after a failure: %v", err)
+		t.Fatalf("Append after a failed write: error %v, want one of kind %s", err, errs.DiskFailure.Name)
 	}
 }
