--- a/internal/control/routingconfig/check.go
+++ b/internal/control/routingconfig/check.go
@@ -2,16 +2,16 @@
 
 import "pebbleloom/internal/errs"
 
-// Check reports every fault of a plan, each with the item it lies in: a version of 0, a route that
-// names an unknown service, or has weights that add up to 0, or no timeout, two routes with the same
-// host and prefix, two tenants that share a key. Anything else is valid. The error's kind is
-// errs.BadInput.
+// Check returns an error of kind errs.BadInput that lists every fault of a plan with the item that has it.
+// The faults are: a version of 0; a route that names an unknown service, whose weights add up to 0, or that
+// has no positive timeout; two routes with the same host and prefix; two tenants that share a key.
+// Everything else is valid.
 //
 // Example: if err := routingconfig.Check(p); err != nil { return err }
 func Check(p *Plan) error {
 	var faults errs.Batch
 	if p.Version == 0 {
-		faults.Addf(errs.BadInput, "version: missing or 0: give one above that of the plan in force")
+		faults.Addf(errs.BadInput, "version: missing or 0; must be above the version of the plan in force")
 	}
 	p.checkRoutes(&faults)
 	p.checkTenants(&faults)
@@ -30,24 +30,24 @@
 		route.check(known, faults)
 		key := routeKey{hostname(route.Host), route.Prefix}
 		if other, ok := nameOf[key]; ok {
-			faults.Addf(errs.BadInput, "route %q: host %q and prefix %q: those of route %q too", route.Name, route.Host, route.Prefix, other)
+			faults.Addf(errs.BadInput, "route %q: host %q and prefix %q: already used by route %q", route.Name, route.Host, route.Prefix, other)
 		}
 		nameOf[key] = route.Name
 	}
 }
 
-// check reports the faults that lie in a route alone.
+// check adds the faults of a route that do not depend on other routes.
 func (r *Route) check(knownServices map[string]bool, faults *errs.Batch) {
 	for _, weighted := range r.Split {
 		if !knownServices[weighted.Service] {
-			faults.Addf(errs.BadInput, "route %q: service %q: not among the services", r.Name, weighted.Service)
+			faults.Addf(errs.BadInput, "route %q: service %q: not defined among the services of the plan", r.Name, weighted.Service)
 		}
 	}
 	if r.totalWeight() == 0 {
-		faults.Addf(errs.BadInput, "route %q: its weights add up to 0", r.Name)
+		faults.Addf(errs.BadInput, "route %q: its weights add up to 0; at least one must be positive", r.Name)
 	}
 	if r.Timeout <= 0 {
-		faults.Addf(errs.BadInput, "route %q: timeout: missing or 0", r.Name)
+		faults.Addf(errs.BadInput, "route %q: timeout: missing or not positive", r.Name)
 	}
 }
 
@@ -56,20 +56,20 @@
 	for i := range p.Tenants {
 		for _, key := range p.Tenants[i].Keys {
 			if other, ok := indexByKey[key]; ok && other != i {
-				faults.Addf(errs.BadInput, "tenant %q: shares a key with tenant %q", p.Tenants[i].Name, p.Tenants[other].Name)
+				faults.Addf(errs.BadInput, "tenant %q: shares a key with tenant %q; keys must be unique", p.Tenants[i].Name, p.Tenants[other].Name)
 			}
 			indexByKey[key] = i
 		}
 	}
 }
 
-// CheckSuccessor reports whether a plan of one version may replace the plan in force of another (0 if
-// there is none): versions must increase.
+// CheckSuccessor returns an error of kind errs.BadInput unless the version of a new plan is above the version
+// of the plan in force, which is 0 if there is none.
 //
 // Example: if err := routingconfig.CheckSuccessor(inForce.Version, p.Version); err != nil { return err }
 func CheckSuccessor(inForce, next uint64) error {
 	if next <= inForce {
-		return errs.New(errs.BadInput, "version: %d is not above %d, which is in force", next, inForce)
+		return errs.New(errs.BadInput, "version: %d is not above %d, the version in force", next, inForce)
 	}
 	return nil
 }
--- a/internal/control/routingconfig/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -7,16 +7,16 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// hostRoutes holds the routes of one host. A lookup probes once per slash of a path, and no further
-// than the longest prefix: its cost doesn't depend on the number of routes.
+// hostRoutes holds the routes of one host. Looking up a path probes withSlash once per slash within the length
+// of the longest prefix, so the cost does not depend on the number of routes in withSlash.
 type hostRoutes struct {
-	longestPrefix int               // bytes
-	withSlash     map[string]*Route // by prefix, those that end with a slash
-	withoutSlash  []*Route          // longest first; usually none
+	longestPrefix int               // length of the longest prefix in bytes
+	withSlash     map[string]*Route // routes whose prefix ends with a slash, by prefix
+	withoutSlash  []*Route          // routes whose prefix does not end with a slash, longest prefix first; usually none
 }
 
-// BuildIndex builds the lookup tables, unless they exist, and returns the plan. It has to be called
-// before the plan is shared: lookups in a plan without them find nothing.
+// BuildIndex builds the lookup tables, unless they exist already, and returns the plan. It must be called
+// before the plan is shared between goroutines. Lookups in a plan without these tables find nothing.
 //
 // Example: snapshot.Plan = p.BuildIndex()
 func (p *Plan) BuildIndex() *Plan {
@@ -39,6 +39,7 @@
 	return p
 }
 
+// indexRoutes builds the lookup table of routes.
 func (p *Plan) indexRoutes() {
 	p.routesByHost = map[string]*hostRoutes{}
 	for i := range p.Routes {
@@ -61,7 +62,7 @@
 	}
 }
 
-// hostname returns a host without its port, in lower case.
+// hostname returns the host of a host:port or host, in lower case.
 func hostname(hostport string) string {
 	if i := strings.LastIndexByte(hostport, ':'); i >= 0 && !strings.HasSuffix(hostport, "]") {
 		hostport = hostport[:i]
@@ -69,7 +70,8 @@
 	return strings.ToLower(hostport)
 }
 
-// MatchRoute returns the route of a host that has the longest prefix of the path. It doesn't allocate.
+// MatchRoute returns the route of a host whose prefix is the longest one that the path begins with. It is on
+// the path of every request and does not allocate.
 //
 // Example: route, ok := p.MatchRoute(req.Host, req.URL.EscapedPath())
 func (p *Plan) MatchRoute(hostport, path string) (*Route, bool) {
@@ -89,7 +91,8 @@
 	return found, found != nil
 }
 
-// matchWithSlash returns the longest of the prefixes that end with a slash; nil if none matches.
+// matchWithSlash returns the route with the longest matching prefix that ends with a slash, or nil if none
+// matches.
 func (h *hostRoutes) matchWithSlash(path string) *Route {
 	rest := path[:min(len(path), h.longestPrefix)]
 	for {
@@ -104,7 +107,7 @@
 	}
 }
 
-// TenantByKey returns the tenant of a key.
+// TenantByKey returns the tenant that a key belongs to.
 //
 // Example: tenant, ok := p.TenantByKey(key)
 func (p *Plan) TenantByKey(key string) (*Tenant, bool) {
@@ -112,7 +115,7 @@
 	return tenant, ok
 }
 
-// ServiceByName returns a service; of two with the same name, the last.
+// ServiceByName returns the service with a name. If several services have that name, it returns the last one.
 //
 // Example: service, ok := p.ServiceByName(route.SelectService(id))
 func (p *Plan) ServiceByName(name string) (*Service, bool) {
@@ -120,9 +123,9 @@
 	return service, ok
 }
 
-// SelectService returns the name of the service that gets an attempt; "" if the route has no weights.
-// A hash of the attempt's ID selects among the weights, so the same ID leads to the same service on
-// every machine. A service that is named twice has the sum of its weights.
+// SelectService returns the name of the service that an attempt of a request is sent to, or "" if the route's
+// weights add up to 0. A hash of the attempt's ID selects a service in proportion to the weights, so the same
+// ID selects the same service on every machine. The weights of a service that is listed twice are added.
 //
 // Example: name := route.SelectService(attemptID)
 func (r *Route) SelectService(attemptID string) string {
@@ -139,6 +142,7 @@
 	return ""
 }
 
+// totalWeight returns the sum of the route's weights; negative weights count as 0.
 func (r *Route) totalWeight() int {
 	total := 0
 	for _, weighted := range r.Split {
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -1,18 +1,18 @@
-// Package routingconfig is a site's routing configuration, called the plan: routes by host and path
-// prefix, the services they send requests to, tenants with their keys, and limits. It is independent
-// of the format in which operators write it; its types are never encoded by their Go names.
+// Package routingconfig is the routing configuration of a site, called the plan: routes by host and path
+// prefix, the services that they send requests to, tenants with their API keys, and limits. It does not depend
+// on the format in which operators write a plan, and its types are never encoded by their Go names.
 package routingconfig
 
 import "time"
 
-// DocumentKey is the key of the document that holds the plan, in shard 0 of the control state. The
-// document's version is the plan's own.
+// DocumentKey is the key of the document in shard 0 of the control state that holds the plan. The document
+// has the same version as the plan.
 const DocumentKey = "plan"
 
-// Plan is one version of the routing configuration. BuildIndex must be called before lookups; a plan
-// must not be changed after that.
+// Plan is one version of the routing configuration. BuildIndex must be called before lookups. The plan
+// must not be changed after that call.
 type Plan struct {
-	Version  uint64 // from 1
+	Version  uint64 // valid versions begin at 1
 	Routes   []Route
 	Services []Service
 	Tenants  []Tenant
@@ -23,73 +23,73 @@
 	servicesByName map[string]*Service
 }
 
-// Kind says whether a route's requests may be retried.
+// Kind determines whether the requests of a route may be retried.
 type Kind int
 
-// The kinds of a route.
+// Kinds of routes.
 const (
-	Idempotent  Kind = iota // may run more than once
-	AtMostOnce              // an attempt that may have run isn't retried
-	EventStream             // a series of events; at most once, unless it is resumable
+	Idempotent  Kind = iota // a request may run more than once
+	AtMostOnce              // a request is not retried after an attempt that may have run
+	EventStream             // the response is a stream of events; the request runs at most once, unless the stream is resumable
 )
 
-// Route sends the requests to a host and path prefix to services.
+// Route sends the requests to a host and path prefix to one or more services.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	Timeout            time.Duration // of an attempt
-	LatencyTarget      time.Duration // a response within this counts in full
-	MaxEventGap        time.Duration // between two events, for a stream to be in time
-	Priority           int           // 0 is highest
-	Split              []WeightedService
-	MaxAttempts        int  // the most workers that one request may be sent to
-	Public             bool // requests need no tenant's key
-	NamesPromptParts   bool // requests name the parts of their prompt
-	Resumable          bool // an event stream may be resumed at another worker
+	Timeout            time.Duration     // timeout of one attempt of a request
+	LatencyTarget      time.Duration     // target for the response time; a response within it counts as full service
+	MaxEventGap        time.Duration     // maximum time between two events of a stream that is still on time
+	Priority           int               // priority of the requests; 0 is the highest
+	Split              []WeightedService // services that share the requests
+	MaxAttempts        int               // maximum number of workers that one request may be sent to
+	Public             bool              // requests do not need a tenant's API key
+	NamesPromptParts   bool              // requests list the identifiers of their prompt parts
+	Resumable          bool              // an event stream may be resumed on another worker
 }
 
-// WeightedService is a service's weight among those of a route.
+// WeightedService is a service with its weight within a route.
 type WeightedService struct {
-	Service string // by name
-	Weight  int    // its share of attempts is this over the sum of the route's weights; negative: 0
+	Service string // name of the service
+	Weight  int    // share of the attempts, relative to the sum of the route's weights; negative counts as 0
 }
 
-// Service is a group of workers, or a store of cached prompt parts.
+// Service is a group of workers, optionally with a shared store for their cached prompt parts.
 type Service struct {
 	Name       string
-	HealthPath string  // of health checks
-	MaxConns   int     // connections to one worker, from all proxies together; 0: no bound
-	Engine     *Engine // properties of its model workers; nil if they serve no model
-	Store      *Store  // nil unless workers hand their cached prompt parts to one
+	HealthPath string  // HTTP path of health checks
+	MaxConns   int     // maximum number of connections to one worker, from all proxies together; 0 means no limit
+	Engine     *Engine // properties of the workers that run a model; nil if the service's workers run none
+	Store      *Store  // store to which the workers copy cached prompt parts; nil if there is none
 }
 
 // Engine holds the properties of a service's model workers.
 type Engine struct {
-	Slots          int     // requests that one worker runs concurrently
-	CapacityTokens int     // tokens that running requests and cached prompt parts share on one worker
-	TokenBytes     int     // size of a cached token
-	LinkMbps       float64 // bandwidth of a worker's transfers of cached prompt parts, in Mbit/s
-	MaxPolls       int     // polls for events that one worker holds open, from all proxies together
-	Models         []string
+	Slots          int      // maximum number of requests that one worker runs concurrently
+	CapacityTokens int      // number of tokens that running requests and cached prompt parts may occupy on one worker
+	TokenBytes     int      // size of one cached token in bytes
+	LinkMbps       float64  // bandwidth of a worker's transfers of cached prompt parts, in Mbit/s
+	MaxPolls       int      // maximum number of long polls for events that one worker holds open, from all proxies together
+	Models         []string // names of the models that the workers run
 }
 
-// Store is where workers put cached prompt parts for other workers.
+// Store is a store in which workers put cached prompt parts for other workers.
 type Store struct {
 	Addr, Zone     string
-	CapacityTokens int
-	LinkMbps       float64 // bandwidth of its transfers, in Mbit/s
-	MaxPolls       int     // polls for events that it holds open, from all proxies together
+	CapacityTokens int     // number of tokens that the stored prompt parts may occupy
+	LinkMbps       float64 // bandwidth of the store's transfers, in Mbit/s
+	MaxPolls       int     // maximum number of long polls for events that the store holds open, from all proxies together
 }
 
-// Tenant is one tenant with its keys.
+// Tenant is one tenant with its API keys.
 type Tenant struct {
 	Name     string
-	Keys     []string
-	Priority int  // overrides the route's; -1: unset
-	Isolated bool // shares no cached prompt parts with other tenants
+	Keys     []string // API keys that identify the tenant's requests
+	Priority int      // overrides the priority of the route; -1 if unset
+	Isolated bool     // cached prompt parts are not shared with other tenants
 }
 
-// Limits bound what a client may send, and how slowly.
+// Limits bounds the size of client requests and the time that clients may take to send them.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -10,12 +10,12 @@
 	"pebbleloom/internal/errs"
 )
 
-// newRoute is a valid route to a service named s.
+// newRoute returns a valid route to a service named s.
 func newRoute(name, host, prefix string) Route {
 	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Split: []WeightedService{{"s", 1}}}
 }
 
-// newPlan is a plan of these routes to the services s and u.
+// newPlan returns a plan with the given routes and the services s and u.
 func newPlan(routes ...Route) *Plan {
 	return &Plan{Version: 1, Routes: routes, Services: []Service{{Name: "s"}, {Name: "u"}}}
 }
@@ -35,15 +35,15 @@
 	} {
 		route, ok := plan.MatchRoute(test.host, test.path)
 		if ok != (test.name != "") || ok && route.Name != test.name {
-			t.Errorf("%s%s: %v, want %q", test.host, test.path, route, test.name)
+			t.Errorf("MatchRoute for host %q and path %q: route %v, want the one named %q (\"\": none)", test.host, test.path, route, test.name)
 		}
 	}
 	if _, ok := newPlan(newRoute("a", "one.example", "/a/")).MatchRoute("one.example", "/a/"); ok {
-		t.Error("a plan without its index finds a route")
+		t.Error("MatchRoute before BuildIndex found a route, want none")
 	}
 }
 
-// A lookup finds what a linear scan over all routes finds.
+// For many combinations of prefixes, MatchRoute returns the same route as a linear scan over all routes.
 func TestLookupMatchesLinearScan(t *testing.T) {
 	parts := []string{"/", "a", "/b", "/a/", "b/"}
 	var all []string
@@ -72,7 +72,7 @@
 				}
 			}
 			if route, ok := plan.MatchRoute("h", path); ok != (want != "") || ok && route.Prefix != want {
-				t.Fatalf("%s among %v: %v, want %q", path, used, route, want)
+				t.Fatalf("MatchRoute of path %q among routes with the prefixes %v: route %v, want the one with prefix %q (\"\": none)", path, used, route, want)
 			}
 		}
 	}
@@ -85,17 +85,17 @@
 	plan.BuildIndex()
 	for key, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "k": "", "": ""} {
 		if tenant, ok := plan.TenantByKey(key); ok != (want != "") || ok && tenant.Name != want {
-			t.Errorf("key %q: %v", key, tenant)
+			t.Errorf("TenantByKey(%q): tenant %v, want the one named %q (\"\": none)", key, tenant, want)
 		}
 	}
 	if service, ok := plan.ServiceByName("s"); !ok || service.HealthPath != "/last" {
-		t.Errorf("of two services with one name: %v", service)
+		t.Errorf("ServiceByName with two services of the same name: %v, want the last one, with health path /last", service)
 	}
 	if _, ok := plan.ServiceByName("none"); ok {
-		t.Error("an unknown service was found")
+		t.Error("ServiceByName of an unknown name found a service, want none")
 	}
 	if plan.BuildIndex() != plan || len(plan.routesByHost) != 0 {
-		t.Error("the index was built twice")
+		t.Error("second BuildIndex returned another plan or changed the lookup tables, want the same plan unchanged")
 	}
 }
 
@@ -118,16 +118,16 @@
 			id := fmt.Sprintf("%016x", i)
 			name := route.SelectService(id)
 			if route.SelectService(id) != name {
-				t.Fatal("one ID, two services")
+				t.Fatalf("SelectService for attempt ID %s: got %s and then another service, want the same one", id, name)
 			}
 			got[name] += 1.0 / n
 		}
 		if len(got) != len(test.want) {
-			t.Errorf("%v: %v", test.split, got)
+			t.Errorf("SelectService with weights %v: shares of attempts by service %v, want %v", test.split, got, test.want)
 		}
 		for name, share := range test.want {
 			if math.Abs(got[name]-share) > 0.01 {
-				t.Errorf("%v: %s gets %.3f, want %.3f", test.split, name, got[name], share)
+				t.Errorf("SelectService with weights %v: service %s gets %.3f of the attempts, want %.3f", test.split, name, got[name], share)
 			}
 		}
 	}
@@ -136,36 +136,36 @@
 func TestCheckRejectsInvalidPlans(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(p *Plan)
-		want   string // in the error; none: it is valid
+		want   string // substring of the error; empty if the plan is valid
 	}{
-		"as it is":                      {func(*Plan) {}, ""},
-		"no version":                    {func(p *Plan) { p.Version = 0 }, "version"},
+		"unchanged valid plan":          {func(*Plan) {}, ""},
+		"version 0":                     {func(p *Plan) { p.Version = 0 }, "version"},
 		"unknown service":               {func(p *Plan) { p.Routes[1].Split[0].Service = "gone" }, `route "b": service "gone"`},
 		"unknown service of weight 0":   {func(p *Plan) { p.Routes[1].Split = []WeightedService{{"s", 1}, {"gone", 0}} }, `route "b": service "gone"`},
-		"no service at all":             {func(p *Plan) { p.Routes[0].Split = nil }, `route "a": its weights`},
-		"weights of 0":                  {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 0}} }, `route "a": its weights`},
-		"one weight of 0":               {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 1}} }, ""},
-		"no timeout":                    {func(p *Plan) { p.Routes[1].Timeout = 0 }, `route "b": timeout`},
-		"same host and prefix":          {func(p *Plan) { p.Routes[1].Prefix = "/a/" }, `those of route "a"`},
-		"same host in capitals":         {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "H" }, `those of route "a"`},
-		"same prefix, another host":     {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "g" }, ""},
-		"two tenants, one key":          {func(p *Plan) { p.Tenants[1].Keys = []string{"k9", "k1"} }, `tenant "two": shares a key with tenant "one"`},
-		"a key twice at one tenant":     {func(p *Plan) { p.Tenants[0].Keys = []string{"k1", "k1"} }, ""},
-		"routes of one name":            {func(p *Plan) { p.Routes[1].Name = "a" }, ""},
-		"services of one name":          {func(p *Plan) { p.Services[1].Name = "s" }, ""},
-		"a prefix without its slash":    {func(p *Plan) { p.Routes[1].Prefix = "b" }, ""},
+		"route without services":        {func(p *Plan) { p.Routes[0].Split = nil }, `route "a": its weights`},
+		"all weights are 0":             {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 0}} }, `route "a": its weights`},
+		"one of two weights is 0":       {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 1}} }, ""},
+		"timeout 0":                     {func(p *Plan) { p.Routes[1].Timeout = 0 }, `route "b": timeout`},
+		"same host and prefix":          {func(p *Plan) { p.Routes[1].Prefix = "/a/" }, `already used by route "a"`},
+		"same host in upper case":       {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "H" }, `already used by route "a"`},
+		"same prefix, different host":   {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "g" }, ""},
+		"key of two tenants":            {func(p *Plan) { p.Tenants[1].Keys = []string{"k9", "k1"} }, `tenant "two": shares a key with tenant "one"`},
+		"key listed twice for a tenant": {func(p *Plan) { p.Tenants[0].Keys = []string{"k1", "k1"} }, ""},
+		"two routes of the same name":   {func(p *Plan) { p.Routes[1].Name = "a" }, ""},
+		"two services of the same name": {func(p *Plan) { p.Services[1].Name = "s" }, ""},
+		"prefix without a slash":        {func(p *Plan) { p.Routes[1].Prefix = "b" }, ""},
 		"no tenants":                    {func(p *Plan) { p.Tenants = nil }, ""},
-		"no routes, no services at all": {func(p *Plan) { *p = Plan{Version: 3} }, ""},
+		"no routes and no services":     {func(p *Plan) { *p = Plan{Version: 3} }, ""},
 	} {
 		plan := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/b/"))
 		plan.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2"}}, {Name: "two", Keys: []string{"k3"}}}
 		test.change(plan)
 		err := Check(plan)
 		if (err != nil) != (test.want != "") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Check of plan %q: error %v, want one that contains %q (\"\": no error)", name, err, test.want)
 		}
 		if err != nil && (errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), test.want)) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Check of plan %q: error %v, want one of kind %s that contains %q", name, err, errs.BadInput.Name, test.want)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	err := Check(plan)
 	for _, want := range []string{"4 faults", "version", `route "a": timeout`, `route "b": service "gone"`, `host "h" and prefix "/a/"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: doesn't name %s", err, want)
+			t.Errorf("Check of a plan with four faults: error %v, want one that contains %q", err, want)
 		}
 	}
 }
@@ -187,12 +187,12 @@
 		ok            bool
 	}{{0, 0, false}, {0, 1, true}, {7, 7, false}, {7, 6, false}, {7, 8, true}, {7, 100, true}} {
 		if err := CheckSuccessor(test.inForce, test.next); (err == nil) != test.ok || err != nil && errs.KindOf(err) != errs.BadInput {
-			t.Errorf("%d after %d: %v", test.next, test.inForce, err)
+			t.Errorf("CheckSuccessor of version %d with version %d in force: error %v, want success: %v", test.next, test.inForce, err, test.ok)
 		}
 	}
 }
 
-// newLargePlan is a plan of n routes at five hosts.
+// newLargePlan returns a plan with n routes, spread over five hosts.
 func newLargePlan(n int) *Plan {
 	plan := newPlan()
 	for i := range n {
@@ -201,16 +201,16 @@
 	return plan
 }
 
-// A lookup allocates nothing, and takes as long among thousands of routes as among a few.
+// MatchRoute does not allocate, also in a plan with thousands of routes and for a long path.
 func TestLookupDoesNotAllocate(t *testing.T) {
 	plan := newLargePlan(3500).BuildIndex()
-	path := "/p3000/" + strings.Repeat("a/", 8000) // no slash beyond the longest prefix is looked at
+	path := "/p3000/" + strings.Repeat("a/", 8000) // slashes beyond the longest prefix must not be probed
 	if n := testing.AllocsPerRun(100, func() {
 		if route, ok := plan.MatchRoute("h0.example:8080", path); !ok || route.Name != "r3000" {
-			t.Fatal(route)
+			t.Fatalf("MatchRoute in a plan of 3500 routes: route %v, want the one named r3000", route)
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations in a lookup", n)
+		t.Errorf("MatchRoute made %v allocations per call, want 0", n)
 	}
 }
 
@@ -221,7 +221,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				if _, ok := plan.MatchRoute(last.Host, last.Prefix+"some/thing"); !ok {
-					b.Fatal("not found")
+					b.Fatalf("MatchRoute found no route for host %s and prefix %s", last.Host, last.Prefix)
 				}
 			}
 		})
