--- a/internal/control/serviceconfig/codec.go
+++ b/internal/control/serviceconfig/codec.go
@@ -1,5 +1,5 @@
-// Package serviceconfig is the service configuration that operators write: its model, and how it is
-// decoded, checked, merged and rendered from templates.
+// Package serviceconfig defines the service configuration that operators write, and decodes, checks, merges and
+// encodes it and renders it from templates.
 package serviceconfig
 
 import (
@@ -14,27 +14,27 @@
 
 //go:generate sh -c "PATH=$(go env GOPATH)/bin:$PATH easyjson -all -disallow_unknown_fields model.go"
 
-// MaxBytes bounds an encoded service configuration.
+// MaxBytes is the maximum size of an encoded service configuration.
 const MaxBytes = 1 << 20
 
-// Decode decodes and checks a service configuration. The error lists all faults, each with its path
-// and remedy; its kind is errs.TooLarge or errs.BadInput.
+// Decode decodes and checks a service configuration. Its error lists all faults, each with the path of the value
+// that has it; the kind of the error is errs.TooLarge or errs.BadInput.
 //
 // Example: config, err := serviceconfig.Decode(body)
 func Decode(body []byte) (*Config, error) {
 	config := &Config{}
 	if len(body) > MaxBytes {
-		return nil, errs.New(errs.TooLarge, "service configuration: %d bytes, at most %d", len(body), MaxBytes)
+		return nil, errs.New(errs.TooLarge, "service configuration has %d bytes, more than the limit of %d", len(body), MaxBytes)
 	}
 	if err := easyjson.Unmarshal(body, config); err != nil {
-		return nil, errs.WrapAs(err, errs.BadInput, "service configuration")
+		return nil, errs.WrapAs(err, errs.BadInput, "decode service configuration")
 	}
 	var faults errs.Batch
 	config.check(&faults)
 	return config, faults.Err()
 }
 
-// Encode encodes a service configuration in its one canonical form.
+// Encode encodes a service configuration in its canonical form: equal configurations have the same encoding.
 //
 // Example: body, err := serviceconfig.Encode(config)
 func Encode(config *Config) ([]byte, error) {
@@ -42,24 +42,25 @@
 	if err != nil {
 		return nil, errs.Wrap(err, "encode service configuration")
 	}
-	// The generated encoder leaves the order of maps open; the canonical form sorts their keys.
+	// The generated encoder writes maps in random order. The canonical form sorts their keys, as json.Marshal does.
 	var value any
 	if err := decodeJSON(unordered, &value); err != nil {
-		return nil, errs.Wrap(err, "order service configuration")
+		return nil, errs.Wrap(err, "sort keys of service configuration")
 	}
 	body, err := json.Marshal(value)
-	return body, errs.Wrap(err, "order service configuration")
+	return body, errs.Wrap(err, "sort keys of service configuration")
 }
 
-// decodeJSON decodes the first JSON value of a body. Numbers keep their digits.
+// decodeJSON decodes the first JSON value of a body. Numbers are decoded as json.Number, so that they keep all
+// their digits.
 func decodeJSON(body []byte, value any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
 	return decoder.Decode(value)
 }
 
-// Merge applies a patch to a service configuration (RFC 7396: null removes) and checks the result. An
-// empty document stands for an empty configuration.
+// Merge applies a JSON merge patch (RFC 7396), in which null removes a value, to an encoded service configuration.
+// It checks the result and returns it in canonical form. An empty document stands for an empty configuration.
 //
 // Example: body, err := serviceconfig.Merge(old, []byte(`{"models":{"lector":{"weights":4}}}`))
 func Merge(document, patch []byte) ([]byte, error) {
@@ -68,7 +69,7 @@
 	}
 	merged, err := jsonpatch.MergePatch(document, patch)
 	if err != nil {
-		return nil, errs.WrapAs(err, errs.BadInput, "merge partial service configuration")
+		return nil, errs.WrapAs(err, errs.BadInput, "apply merge patch to service configuration")
 	}
 	config, err := Decode(merged)
 	if err != nil {
--- a/internal/control/serviceconfig/codec_test.go
+++ b/internal/control/serviceconfig/codec_test.go
@@ -10,7 +10,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// testdata/setups holds what is decoded, merged and rejected, and with which messages.
+// Each case of testdata/setups replaces (apply) or merges (patch) a configuration and holds the resulting
+// configuration or the error with all faults.
 func TestConfigs(t *testing.T) {
 	var inForce []byte
 	datadriven.RunTest(t, "testdata/setups", func(_ *testing.T, data *datadriven.TestData) string {
@@ -27,8 +28,8 @@
 	})
 }
 
-// A configuration has one encoding, whatever the order of iteration over its maps, and numbers keep
-// all their digits.
+// A configuration always has the same encoding, although Go iterates over maps in random order, and large numbers
+// keep all their digits.
 func TestEncodingIsCanonical(t *testing.T) {
 	config := &Config{Models: map[string]Model{}}
 	for i := range 20 {
@@ -40,15 +41,15 @@
 	}
 	for range 20 {
 		if again, err := Encode(config); err != nil || string(first) != string(again) {
-			t.Fatalf("%s\n%s\n%v", first, again, err)
+			t.Fatalf("Encode of the same configuration: first %s, then %s, error %v; want equal encodings", first, again, err)
 		}
 	}
 	if !strings.Contains(string(first), "9223372036854775827") {
-		t.Errorf("a large version lost digits: %s", first)
+		t.Errorf("Encode of weights versions from 2^63: %s, want it to contain 9223372036854775827", first)
 	}
 }
 
-// The version of a model's weights doesn't decrease, also where the whole configuration is replaced.
+// The version of a model's weights must not decrease, even if the whole configuration is replaced.
 func TestWeightsVersionNeverDecreases(t *testing.T) {
 	withWeights := func(version string) []byte {
 		return []byte(`{"models":{"m":{"weights":` + version + `}},"services":{"s":{"model":"m"}}}`)
@@ -65,7 +66,7 @@
 	} {
 		err := CheckSuccessor(test.inForce, test.next)
 		if (err == nil) != test.ok || err != nil && errs.KindOf(err) != errs.BadInput {
-			t.Errorf("%s after %s: %v", test.next, test.inForce, err)
+			t.Errorf("CheckSuccessor of %s with %q in force: error %v, want success: %v", test.next, test.inForce, err, test.ok)
 		}
 	}
 }
--- a/internal/control/serviceconfig/fuzz_test.go
+++ b/internal/control/serviceconfig/fuzz_test.go
@@ -7,8 +7,9 @@
 	"pebbleloom/internal/errs"
 )
 
-// Any configuration or patch is decoded or rejected with a typed error; what is decoded is encoded in a
-// form that decodes to the same. `go test ./internal/control/serviceconfig -fuzz FuzzConfigs`
+// Any input is either accepted as a configuration or patch, or rejected with an error that has a kind. The encoding of
+// an accepted configuration decodes to the same configuration. To run the fuzzer:
+// go test ./internal/control/serviceconfig -fuzz FuzzConfigs
 func FuzzConfigs(f *testing.F) {
 	for _, seed := range []string{
 		`{}`,
@@ -28,22 +29,22 @@
 		encoded, err := Merge(nil, document)
 		if err != nil {
 			if errs.KindOf(err) == errs.Internal {
-				t.Fatalf("rejected without a type: %v", err)
+				t.Fatalf("Merge of a document rejected it with an error of kind %s: %v; want another kind", errs.Internal.Name, err)
 			}
 			return
 		}
 		if again, err := Merge(nil, encoded); err != nil || !bytes.Equal(encoded, again) {
-			t.Fatalf("%s decodes to %s, %v", encoded, again, err)
+			t.Fatalf("Merge of its own result %s: got %s, error %v; want the same configuration", encoded, again, err)
 		}
 		if err := CheckSuccessor(encoded, encoded); err != nil {
-			t.Fatalf("a configuration is no successor of itself: %v", err)
+			t.Fatalf("CheckSuccessor rejected a configuration as the successor of itself: %v", err)
 		}
 		if merged, err := Merge(encoded, patch); err == nil {
 			if _, err := Decode(merged); err != nil {
-				t.Fatalf("the merged configuration isn't decoded: %v", err)
+				t.Fatalf("Decode rejected the result of a Merge: %v", err)
 			}
 		} else if errs.KindOf(err) == errs.Internal {
-			t.Fatalf("rejected without a type: %v", err)
+			t.Fatalf("Merge of a patch rejected it with an error of kind %s: %v; want another kind", errs.Internal.Name, err)
 		}
 	})
 }
--- a/internal/control/serviceconfig/lookup.go
+++ b/internal/control/serviceconfig/lookup.go
@@ -6,30 +6,30 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// Target is the set of weights that answers one request.
+// Target is the set of weights that serves a request.
 type Target struct {
-	Model   string // the base model
-	Weights uint64 // their version in force
-	Adapter string // empty: the base alone
-	Build   uint64 // of the adapter
+	Model   string // name of the base model
+	Weights uint64 // version of the base model's weights
+	Adapter string // name of the adapter; empty if the base model serves the request alone
+	Build   uint64 // build of the adapter
 }
 
-// percentOf maps a key to 0..99, the same on all machines.
-func percentOf(key string) int { return int(rendezvous.Hash(key) % 100) }
+// hashPercent maps a key to a number from 0 to 99 by a hash, so that all machines get the same number.
+func hashPercent(key string) int { return int(rendezvous.Hash(key) % 100) }
 
-// ServiceFor returns the service of one request: a request ID always gets the same service under one
-// configuration.
+// ServiceFor returns the name of the service that serves a request. During a handover, a hash of the request ID
+// selects the service, so a request ID always gets the same service under the same configuration.
 //
 // Example: service := config.Routes["lector"].ServiceFor("r-17")
 func (r Route) ServiceFor(requestID string) string {
-	if r.HandoverTo != "" && percentOf(requestID) < r.HandoverPercent {
+	if r.HandoverTo != "" && hashPercent(requestID) < r.HandoverPercent {
 		return r.HandoverTo
 	}
 	return r.Service
 }
 
-// DefaultTarget is the model or adapter that answers the requests of the route of a name, except those
-// that were moved.
+// DefaultTarget returns the name of the model or adapter that serves the requests of the route with a name, except
+// requests that are moved to Route.MoveTo.
 //
 // Example: config.Routes["rare"].DefaultTarget("rare")
 func (r Route) DefaultTarget(name string) string {
@@ -39,8 +39,8 @@
 	return name
 }
 
-// Target returns the set of weights for one request by the name of its route. A request ID always gets
-// the same one under one configuration.
+// Target returns the set of weights that serves a request of the route with a name. A request ID always gets the
+// same one under the same configuration. Target reports false if the route or its model or adapter does not exist.
 //
 // Example: target, ok := config.Target("rare", "r-17")
 func (c *Config) Target(routeName, requestID string) (Target, bool) {
@@ -49,13 +49,13 @@
 		return Target{}, false
 	}
 	name := route.DefaultTarget(routeName)
-	if route.MoveTo != "" && percentOf("move/"+requestID) < route.MovedPercent {
+	if route.MoveTo != "" && hashPercent("move/"+requestID) < route.MovedPercent {
 		name = route.MoveTo
 	}
 	return c.Resolve(name)
 }
 
-// Resolve returns the set of weights that a model or an adapter of a name has in force.
+// Resolve returns the set of weights of the model or adapter with a name, and false if there is none.
 //
 // Example: target, ok := config.Resolve("rare")
 func (c *Config) Resolve(name string) (Target, bool) {
@@ -66,7 +66,8 @@
 	return Target{Model: adapter.BaseModel, Weights: c.Models[adapter.BaseModel].Weights, Adapter: name, Build: adapter.Build}, ok
 }
 
-// Allows reports whether a tenant may name an adapter; models are open to all.
+// Allows reports whether a tenant may name a model or adapter in its requests. All tenants may name any model, and
+// any adapter that lists no tenants.
 //
 // Example: if !config.Allows("rare", tenant) { reject() }
 func (c *Config) Allows(name, tenant string) bool {
@@ -74,7 +75,8 @@
 	return !ok || len(adapter.Tenants) == 0 || slices.Contains(adapter.Tenants, tenant)
 }
 
-// BuildIndex builds the lookup tables; call it once, before the configuration is shared.
+// BuildIndex builds the lookup table of tenants by key and returns the configuration. It must be called once, before
+// the configuration is shared between goroutines.
 //
 // Example: config.BuildIndex()
 func (c *Config) BuildIndex() *Config {
@@ -87,7 +89,7 @@
 	return c
 }
 
-// Tenant returns the tenant of a key.
+// Tenant returns the tenant that a key belongs to, with its name.
 //
 // Example: name, tenant, ok := config.Tenant(key)
 func (c *Config) Tenant(key string) (string, Tenant, bool) {
@@ -95,7 +97,7 @@
 	return name, c.Tenants[name], ok
 }
 
-// KeyBelongsTo reports whether a key still belongs to a tenant.
+// KeyBelongsTo reports whether a key belongs to the tenant with a name.
 //
 // Example: if !config.KeyBelongsTo(key, tenant) { reject() }
 func (c *Config) KeyBelongsTo(key, tenant string) bool {
@@ -103,8 +105,8 @@
 	return ok && name == tenant
 }
 
-// CacheDomain is the domain within which a tenant's requests share cached prefixes: its own if the
-// tenant is isolated, the shared one otherwise.
+// CacheDomain returns the name of the domain within which a tenant's requests share cached prefixes: a domain of its
+// own if the tenant is isolated, otherwise the one that all other tenants share.
 //
 // Example: config.CacheDomain("hospital-norte")
 func (c *Config) CacheDomain(tenant string) string {
--- a/internal/control/serviceconfig/model.go
+++ b/internal/control/serviceconfig/model.go
@@ -1,73 +1,73 @@
 package serviceconfig
 
-// The ways in which a service's workers change to new weights.
+// Rollout strategies, by which a service's workers load new weights.
 const (
 	RolloutPaced  = "paced"   // the default: a few workers at a time
-	RolloutAtOnce = "at-once" // all workers together, to compare with
+	RolloutAtOnce = "at-once" // all workers at the same time, as a baseline for comparisons
 )
 
-// The ways in which a service's hot prefixes are placed on its workers.
+// Placement strategies, by which cached prefixes are placed on a service's workers.
 const (
-	PlacementHRCS          = "hrcs" // the default: hot prefixes are replicated, the others sharded
-	PlacementAllReplicated = "all-replicated"
-	PlacementAllSharded    = "all-sharded"
-	PlacementNoIndex       = "no-index" // requests are routed without the prompt index
+	PlacementHRCS          = "hrcs"           // the default: hot prefixes are replicated, the others sharded
+	PlacementAllReplicated = "all-replicated" // all prefixes are replicated
+	PlacementAllSharded    = "all-sharded"    // all prefixes are sharded
+	PlacementNoIndex       = "no-index"       // requests are routed without the prompt index
 )
 
-// Config is the configuration of a site, as operators write it. The JSON keys are those of the first
-// release.
+// Config is the service configuration of a site, as operators write it. Its JSON keys are those of the first
+// release, for compatibility.
 type Config struct {
 	Tenants   map[string]Tenant  `json:"tenants,omitempty"`
 	Models    map[string]Model   `json:"models,omitempty"`
 	Adapters  map[string]Adapter `json:"adapters,omitempty"`
 	Services  map[string]Service `json:"services,omitempty"`
-	Routes    map[string]Route   `json:"ways,omitempty"`   // by the name of a model or adapter in requests
-	Draining  map[string]bool    `json:"drains,omitempty"` // workers that get no new requests
-	Seeds     []string           `json:"seeds,omitempty"`  // three addresses that override those of the settings
-	MaxWaitMs int                `json:"wait_max_ms,omitempty"`
+	Routes    map[string]Route   `json:"ways,omitempty"`        // routes by the name of the model or adapter that requests ask for
+	Draining  map[string]bool    `json:"drains,omitempty"`      // names of workers that get no new requests
+	Seeds     []string           `json:"seeds,omitempty"`       // three addresses that override the seeds of each machine's settings
+	MaxWaitMs int                `json:"wait_max_ms,omitempty"` // maximum waiting time of a request in milliseconds
 
 	tenantByKey map[string]string
 }
 
-// Tenant is one tenant with its keys and budget.
+// Tenant is one tenant with its API keys and request limits.
 type Tenant struct {
 	Keys              []string `json:"keys,omitempty"`
-	Isolated          bool     `json:"walled,omitempty"`   // shares no cache with other tenants
-	RequestsPerSecond float64  `json:"rate,omitempty"`     // at one proxy; 0: no bound
-	MaxInFlight       int      `json:"inflight,omitempty"` // concurrent requests at one proxy; 0: no bound
+	Isolated          bool     `json:"walled,omitempty"`   // cached prefixes are not shared with other tenants
+	RequestsPerSecond float64  `json:"rate,omitempty"`     // rate limit at each proxy; 0 means no limit
+	MaxInFlight       int      `json:"inflight,omitempty"` // maximum number of concurrent requests at each proxy; 0 means no limit
 }
 
-// Model is a model with the version of its weights in force.
+// Model is a model with the current version of its weights.
 type Model struct {
 	Weights  uint64 `json:"weights"`
-	MemoryMB int    `json:"room,omitempty"` // that it takes of a worker's memory
+	MemoryMB int    `json:"room,omitempty"` // worker memory in MB that the weights take
 }
 
-// Adapter is a small set of weights on top of one base model. Requests may name it as they name a model.
+// Adapter is a small set of weights on top of one base model. Requests may name an adapter in place of a model.
 type Adapter struct {
 	BaseModel string   `json:"base"`
 	Build     uint64   `json:"build"`
-	Services  []string `json:"services,omitempty"` // whose workers have it loaded
-	Tenants   []string `json:"tenants,omitempty"`  // that may name it; none: all
-	MemoryMB  int      `json:"room,omitempty"`     // that it takes of a worker's memory
+	Services  []string `json:"services,omitempty"` // services whose workers load the adapter
+	Tenants   []string `json:"tenants,omitempty"`  // tenants that may name the adapter; empty means all tenants
+	MemoryMB  int      `json:"room,omitempty"`     // worker memory in MB that the weights take
 }
 
-// Service is a group of workers that answer for a model.
+// Service is a group of workers that serve a model.
 type Service struct {
 	Model          string  `json:"model"`
-	FetchTolerance float64 `json:"alpha,omitempty"`    // fetch time that is tolerated, as a ratio of prefill time; 0: 1
-	HotnessWindowS int     `json:"window_s,omitempty"` // seconds over which a prefix's hotness is counted; 0: 30
-	Placement      string  `json:"placement,omitempty"`
-	Rollout        string  `json:"roll_out,omitempty"`
-	WorkerMemoryMB int     `json:"room,omitempty"` // each worker's memory for weights
+	FetchTolerance float64 `json:"alpha,omitempty"`     // tolerated time to fetch a cached prefix, as a ratio of the time to prefill it; 0 means 1
+	HotnessWindowS int     `json:"window_s,omitempty"`  // window in seconds over which the hotness of prefixes is measured; 0 means 30
+	Placement      string  `json:"placement,omitempty"` // placement strategy; empty means PlacementHRCS
+	Rollout        string  `json:"roll_out,omitempty"`  // rollout strategy; empty means RolloutPaced
+	WorkerMemoryMB int     `json:"room,omitempty"`      // memory of each worker for weights in MB
 }
 
 // Route sends the requests that name a model or adapter to a service.
 type Route struct {
 	Service         string `json:"service"`
-	HandoverTo      string `json:"next,omitempty"`  // a handover to this service is in progress
-	HandoverPercent int    `json:"share,omitempty"` // of requests that it gets already
-	ServedBy        string `json:"use,omitempty"`   // the model or adapter that answers; empty: the one that names the route
-	MoveTo          string `json:"move,omitempty"`  // requests are being moved to this model or adapter
-	MovedPercent    int    `json:"moved,omitempty"` // of requests that were moved already
+	HandoverTo      string `json:"next,omitempty"`  // service to which the route is being handed over; empty if no handover is in progress
+	HandoverPercent int    `json:"share,omitempty"` // percentage of requests that HandoverTo serves already
+	ServedBy        string `json:"use,omitempty"`   // model or adapter that serves the requests; empty means the one with the name of the route
+	MoveTo          string `json:"move,omitempty"`  // model or adapter to which the requests are being moved; empty if no move is in progress
+	MovedPercent    int    `json:"moved,omitempty"` // percentage of requests that MoveTo serves already
 }
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -15,29 +15,29 @@
 	"pebbleloom/internal/maputil"
 )
 
-// Template is a service configuration with parameters: strings in it may contain {{.name}}. A string
-// that is nothing but one parameter becomes a number or a boolean if the parameter is one.
+// Template is a service configuration with parameters: strings in it may contain {{.name}}. A string that
+// consists of a single parameter becomes a number or boolean if the value of the parameter is one.
 type Template struct {
-	Params map[string]string `json:"params"` // name -> what it means
+	Params map[string]string `json:"params"` // descriptions of the parameters by name
 	Config map[string]any    `json:"setup"`
 }
 
-// Overlay is a partial service configuration that is merged into a rendered one. Origins refer to it by its
-// name.
+// Overlay is a partial service configuration that is merged into a rendered one. Origins refer to it by name.
 type Overlay struct {
 	Name string
 	Body []byte
 }
 
-// Origin is where one value of a rendered service configuration comes from.
+// Origin says where a value of a rendered service configuration comes from: the template, a parameter or an overlay.
 type Origin struct {
 	Path  string `json:"path"`
 	Value string `json:"value"`
 	From  string `json:"from"`
 }
 
-// Render fills in a template, applies overlays in order, and checks the result like any service
-// configuration. Missing and unknown parameters are rejected by name, with errs.BadInput.
+// Render renders a template with parameters, applies overlays in order and checks the result like any other service
+// configuration. It returns the encoded configuration and the origins of its values. If parameters are missing or
+// unknown, the error is of kind errs.BadInput and lists their names.
 //
 // Example: body, origins, err := serviceconfig.Render(raw, map[string]string{"weights": "3"}, overlays)
 func Render(raw []byte, parameters map[string]string, overlays []Overlay) ([]byte, []Origin, error) {
@@ -46,7 +46,7 @@
 		return nil, nil, err
 	}
 	r := &renderer{parameters: parameters, known: source.Params, origins: map[string]string{}}
-	body, err := r.fill(source)
+	body, err := r.render(source)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -59,6 +59,7 @@
 	return body, r.listOrigins(body), nil
 }
 
+// decodeTemplate decodes a JSON template and rejects unknown fields.
 func decodeTemplate(raw []byte) (*Template, error) {
 	var source Template
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -72,37 +73,39 @@
 
 // renderer renders one template.
 type renderer struct {
-	parameters map[string]string // values by name
-	known      map[string]string // the template's descriptions by name
-	origins    map[string]string // by path; none: the template
+	parameters map[string]string // values of the parameters by name
+	known      map[string]string // descriptions of the template's parameters by name
+	origins    map[string]string // origins of values by path; a value without an entry comes from the template
 	faults     errs.Batch
 }
 
-// fill returns the template's configuration with all parameters replaced.
-func (r *renderer) fill(source *Template) ([]byte, error) {
+// render returns the encoded configuration of a template with all parameters replaced by their values.
+func (r *renderer) render(source *Template) ([]byte, error) {
 	r.checkParameters()
-	filled := r.renderValue(source.Config, "", r.origins)
+	rendered := r.renderValue(source.Config, "", r.origins)
 	if err := r.faults.Err(); err != nil {
 		return nil, err
 	}
-	body, err := json.Marshal(filled)
+	body, err := json.Marshal(rendered)
 	return body, errs.Wrap(err, "encode rendered service configuration")
 }
 
+// checkParameters reports the parameters that are missing or unknown.
 func (r *renderer) checkParameters() {
 	for _, name := range maputil.SortedKeys(r.known) {
 		if _, ok := r.parameters[name]; !ok {
-			r.faults.Addf(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", name, r.known[name], name)
+			r.faults.Addf(errs.BadInput, "parameter %s is missing (%s): set it with --set %s=…", name, r.known[name], name)
 		}
 	}
 	for _, name := range maputil.SortedKeys(r.parameters) {
 		if _, ok := r.known[name]; !ok {
-			r.faults.Addf(errs.BadInput, "parameter %s is unknown: this template takes %v", name, maputil.SortedKeys(r.known))
+			r.faults.Addf(errs.BadInput, "parameter %s is unknown: the template has the parameters %v", name, maputil.SortedKeys(r.known))
 		}
 	}
 }
 
-// renderValue renders every string of a value, keys included, and records the origins of its values.
+// renderValue renders every string in a value, including the keys of objects, and records the origins of values
+// that contain parameters.
 func (r *renderer) renderValue(value any, path string, origins map[string]string) any {
 	switch v := value.(type) {
 	case map[string]any:
@@ -122,10 +125,10 @@
 func (r *renderer) renderObject(fields map[string]any, path string, origins map[string]string) map[string]any {
 	rendered := map[string]any{}
 	for field, value := range fields {
-		keyOrigins := map[string]string{} // a key has no origin of its own
+		keyOrigins := map[string]string{} // discarded: origins are recorded for values only
 		key, ok := r.renderValue(field, path+" (key)", keyOrigins).(string)
 		if !ok {
-			r.faults.Addf(errs.BadInput, "%s: a key that renders to a number: write it with another word", path)
+			r.faults.Addf(errs.BadInput, "%s: key %q renders to a number or boolean, must render to a string", path, field)
 			key = field
 		}
 		rendered[key] = r.renderValue(value, fieldPath(path, key), origins)
@@ -133,6 +136,7 @@
 	return rendered
 }
 
+// renderString renders one string and records the parameters that it contains as the origin of the value.
 func (r *renderer) renderString(text, path string, origins map[string]string) any {
 	parsed, err := template.New(path).Option("missingkey=error").Parse(text)
 	if err != nil {
@@ -147,7 +151,7 @@
 		}
 		name := strings.TrimPrefix(action.Pipe.String(), ".")
 		if _, ok := r.known[name]; !ok {
-			r.faults.Addf(errs.BadInput, "%s: {{%s}}: no such parameter: describe it under params", path, action.Pipe)
+			r.faults.Addf(errs.BadInput, "%s: {{%s}}: no such parameter in the template: describe it under params", path, action.Pipe)
 			return text
 		}
 		used = append(used, name)
@@ -158,7 +162,7 @@
 	origins[path] = "parameter " + strings.Join(used, ", ")
 	var output bytes.Buffer
 	if err := parsed.Execute(&output, r.parameters); err != nil {
-		return text // a missing parameter is reported already
+		return text // a parameter is missing, which checkParameters has reported
 	}
 	if len(parsed.Root.Nodes) == 1 {
 		if scalar, ok := decodeScalar(output.Bytes()); ok {
@@ -168,7 +172,7 @@
 	return output.String()
 }
 
-// decodeScalar decodes a text that is one JSON number or boolean.
+// decodeScalar decodes a text that is a single JSON number or boolean; it returns false for any other text.
 func decodeScalar(text []byte) (any, bool) {
 	var value any
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -183,8 +187,8 @@
 	return nil, false
 }
 
-// applyOverlays merges the overlays into a body, in order. An overlay is the origin of all values that
-// it names or changes.
+// applyOverlays merges the overlays into an encoded configuration, in order. An overlay becomes the origin of all
+// values that it contains or changes.
 func (r *renderer) applyOverlays(body []byte, overlays []Overlay) ([]byte, error) {
 	before := flatten(body)
 	for _, overlay := range overlays {
@@ -203,7 +207,7 @@
 	return body, nil
 }
 
-// listOrigins lists the origins of a body's values by path.
+// listOrigins returns the origins of the values of an encoded configuration, sorted by path.
 func (r *renderer) listOrigins(body []byte) []Origin {
 	var list []Origin
 	for path, value := range flatten(body) {
@@ -217,7 +221,8 @@
 	return list
 }
 
-// flatten returns the JSON of a body's scalar values by their paths; nothing if the body isn't JSON.
+// flatten returns the scalar values of a JSON body as JSON, by path. It returns an empty map if the body is not
+// valid JSON.
 func flatten(body []byte) map[string]string {
 	values := map[string]string{}
 	var root any
@@ -227,6 +232,7 @@
 	return values
 }
 
+// flattenInto adds the scalar values below a value to a map, by path.
 func flattenInto(values map[string]string, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
--- a/internal/control/serviceconfig/render_test.go
+++ b/internal/control/serviceconfig/render_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const siteTemplate = `{"params":{"site":"its name","weights":"the epoch","rate":"of tenants"},
+const siteTemplate = `{"params":{"site":"name of the site","weights":"version of the weights","rate":"rate limit of tenants"},
  "setup":{"models":{"{{.site}}-lm":{"weights":"{{.weights}}"}},"services":{"main":{"model":"{{.site}}-lm"}},"ways":{"{{.site}}-lm":{"service":"main"}},
  "tenants":{"t1":{"keys":["key-{{.site}}-t1"],"rate":"{{.rate}}"}}}}`
 
@@ -21,7 +21,7 @@
 	}
 	config, err := Decode(body)
 	if err != nil || config.Models["daegu-lm"].Weights != 7 || config.Tenants["t1"].RequestsPerSecond != 1 || config.MaxWaitMs != 9000 {
-		t.Errorf("%s %v", body, err)
+		t.Errorf("Decode of the rendered configuration %s: error %v, values %+v; want weights 7, rate 1 and wait_max_ms 9000", body, err, config)
 	}
 	from := map[string]string{}
 	for _, origin := range origins {
@@ -36,7 +36,7 @@
 		"wait_max_ms":             "overlay night.json",
 	} {
 		if from[path] != want {
-			t.Errorf("%s is from %q, want %q", path, from[path], want)
+			t.Errorf("origin of %s: %q, want %q", path, from[path], want)
 		}
 	}
 }
@@ -45,17 +45,17 @@
 	for name, test := range map[string]struct {
 		template   string
 		parameters map[string]string
-		want       string // in the error
+		want       string // substring of the error
 	}{
-		"missing":                  {siteTemplate, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
-		"unknown":                  {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
-		"undescribed":              {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x}}"}}}}`, nil, "no such parameter"},
-		"a broken one":             {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x"}}}}`, nil, "ways.m.service"},
-		"not a good configuration": {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "0"}, "models.x-lm.weights"},
-		"no program in it":         {`{"params":{"x":"y"},"setup":{"ways":{"m":{"service":"{{printf .x}}"}}}}`, map[string]string{"x": "1"}, "no such parameter"},
+		"missing parameter":                    {siteTemplate, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
+		"unknown parameter":                    {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
+		"parameter without description":        {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x}}"}}}}`, nil, "no such parameter"},
+		"malformed template action":            {`{"params":{},"setup":{"ways":{"m":{"service":"{{.x"}}}}`, nil, "ways.m.service"},
+		"template of an invalid configuration": {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "0"}, "models.x-lm.weights"},
+		"function call in the template":        {`{"params":{"x":"y"},"setup":{"ways":{"m":{"service":"{{printf .x}}"}}}}`, map[string]string{"x": "1"}, "no such parameter"},
 	} {
 		if _, _, err := Render([]byte(test.template), test.parameters, nil); err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Render, case %q: error %v, want one that contains %q", name, err, test.want)
 		}
 	}
 }
--- a/internal/control/serviceconfig/successor.go
+++ b/internal/control/serviceconfig/successor.go
@@ -5,9 +5,9 @@
 	"pebbleloom/internal/maputil"
 )
 
-// CheckSuccessor checks an encoded service configuration against the one in force: the version of a
-// model's weights never decreases, otherwise a request could start on weights that were superseded
-// long before. Nothing in force (no bytes) allows any successor.
+// CheckSuccessor returns an error if an encoded service configuration may not replace the one in force, because
+// the version of a model's weights would decrease. A request could then start on weights that were superseded
+// long before. If none is in force (inForce is empty), any configuration may follow, and next is not checked.
 //
 // Example: if err := serviceconfig.CheckSuccessor(inForce.Body, body); err != nil { reject() }
 func CheckSuccessor(inForce, next []byte) error {
@@ -16,7 +16,7 @@
 	}
 	oldConfig, err := Decode(inForce)
 	if err != nil {
-		return errs.Wrap(err, "service configuration in force")
+		return errs.Wrap(err, "check service configuration in force")
 	}
 	newConfig, err := Decode(next)
 	if err != nil {
@@ -26,7 +26,7 @@
 	for _, name := range maputil.SortedKeys(newConfig.Models) {
 		oldWeights, newWeights := oldConfig.Models[name].Weights, newConfig.Models[name].Weights
 		if newWeights < oldWeights {
-			faults.Addf(errs.BadInput, "models.%s.weights: %d are older than %d in force: name a later version", name, newWeights, oldWeights)
+			faults.Addf(errs.BadInput, "models.%s.weights: version %d is older than version %d in force: name that version or a later one", name, newWeights, oldWeights)
 		}
 	}
 	return faults.Err()
