--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -20,7 +20,7 @@
 const (
 	Alive uint32 = iota
 	Suspect
-	Dead // failure detected, or the node left gracefully
+	Dead // state of a node whose failure was detected, or that left gracefully
 )
 
 // Node roles. A node's name is its role, a slash and the name of its machine. Nodes of earlier releases
@@ -66,7 +66,7 @@
 	bounds     settings.Bounds
 	self       *wire.Node
 	seeds      []string
-	peers      map[string]*peer // by name
+	peers      map[string]*peer // other nodes by name
 	ticks      int
 	version    uint64
 	checksum   uint64 // checksum of the view, as of the last tick or merge
@@ -140,7 +140,7 @@
 
 	var heartbeats []OutgoingHeartbeat
 	for _, observer := range observers {
-		if observer.State != Dead { // detectFailures may have declared it dead after the ring was computed
+		if observer.State != Dead { // detectFailures, which runs after the observers were selected, may have declared this one dead
 			heartbeats = append(heartbeats, OutgoingHeartbeat{observer.Addr, c.newHeartbeat(c.ticks <= joinTicks)})
 		}
 	}
@@ -155,7 +155,7 @@
 
 // reconnectHeartbeats returns a heartbeat to a seed or a dead node every reconnectIntervalTicks, so that
 // the sides of a former partition find each other again. A node that knows no other running node sends
-// two such heartbeats on every tick.
+// up to two such heartbeats on every tick.
 func (c *Core) reconnectHeartbeats(alone bool) []OutgoingHeartbeat {
 	if !alone && c.ticks%reconnectIntervalTicks != 0 {
 		return nil
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -23,7 +23,7 @@
 	linkDown    func(from, to string) bool // reports whether messages from one address to another are lost
 	heartbeats  int                        // number of heartbeats sent
 	bytes       int                        // total size of the heartbeats and responses sent
-	numberLimit int                        // run ticks the nodes with numbers below this
+	numberLimit int                        // run ticks only nodes with a number below this limit
 }
 
 func newSite(n int, seed uint64) *simulatedSite {
@@ -195,7 +195,7 @@
 // one resumes, it must stop, and all nodes must keep seeing the new one.
 func TestReplacedNodeStops(t *testing.T) {
 	site := newSite(13, 8)
-	site.run(2 * time.Second) // less than the replacement age; the time of the suspension must count towards it
+	site.run(2 * time.Second) // shorter than the age from which a node accepts its replacement; the following suspension must count towards that age
 	site.down[addr(3)] = true
 	site.run(4 * time.Second)
 	site.addReplacement(3, 300)
@@ -204,7 +204,7 @@
 	for range 30 {
 		site.run(300 * time.Millisecond)
 		if site.cores[addr(3)].Replaced() {
-			site.down[addr(3)] = true // Member sends no more heartbeats for it
+			site.down[addr(3)] = true // a replaced node sends no more heartbeats; see Member.tick
 		}
 	}
 	if !site.down[addr(3)] || site.cores[addr(300)].Replaced() {
--- a/internal/control/clustermembership/exchange.go
+++ b/internal/control/clustermembership/exchange.go
@@ -10,11 +10,11 @@
 // expected to make them equal; otherwise, or if they differ for too long, the full view is sent.
 const (
 	maxDivergenceRatio = 0.5 // time for which views may differ before the full view is sent although updates are in flight, as a ratio of the leave bound
-	settledRatio       = 0.3 // age of a state change from which none of its updates is in flight, as a ratio of the leave bound
+	settledRatio       = 0.3 // age of a state change from which its updates are assumed to have reached all nodes, as a ratio of the leave bound
 	maxDiverged        = 64  // maximum number of entries in each of divergedAt and sendFull
 )
 
-// newHeartbeat returns a heartbeat with the recent state changes or, if full, with the full view.
+// newHeartbeat returns a heartbeat with the recent state changes, or with the full view if full is true.
 func (c *Core) newHeartbeat(full bool) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{Format: FormatVersion, From: clone(c.self), FullView: full, ViewChecksum: c.checksum}
 	for _, p := range c.peers {
@@ -83,12 +83,12 @@
 	since, diverged := c.divergedAt[sender]
 	if !diverged {
 		if len(c.divergedAt) >= maxDiverged {
-			clear(c.divergedAt) // bounds the map; the times of the other senders are then measured anew
+			clear(c.divergedAt) // keeps the map bounded; the divergence of the other senders is measured anew
 		}
 		c.divergedAt[sender] = now
 	}
 	if diverged && now-since > c.bounds.Leave(maxDivergenceRatio) {
-		c.divergedAt[sender] = now // the full view is sent again only if the views still differ after maxDivergenceRatio
+		c.divergedAt[sender] = now // the full view is sent again only if the views still differ after the same time
 		return true
 	}
 	return len(heartbeat.Updates) == 0 && c.isStable(now)
--- a/internal/control/clustermembership/failure.go
+++ b/internal/control/clustermembership/failure.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Failure detection timeouts. Together with the time for gossip, suspectRatio and deadRatio add up to
-// less than 1, so that a failed node is dead in all views within the leave bound.
+// Failure detection timeouts. suspectRatio and deadRatio leave enough of the leave bound for gossip, so that
+// a failed node is dead in all views within the leave bound.
 const (
 	suspectRatio = 0.35 // time without a heartbeat after which a node is suspect, as a ratio of the leave bound
 	deadRatio    = 0.25 // time after which a suspect node is dead, as a ratio of the leave bound
@@ -17,7 +17,7 @@
 	for name, p := range c.peers {
 		switch state := p.node.State; {
 		case state == Alive && !observed[name]:
-			p.lastContact = now // its heartbeat timeout starts only when this node becomes its observer
+			p.lastContact = now // the heartbeat timeout of an unobserved node starts when this node becomes its observer
 		case state == Alive && now-p.lastContact > c.bounds.Leave(suspectRatio):
 			c.setState(p, Suspect, now)
 		case state == Suspect && now-p.changedAt > c.bounds.Leave(deadRatio):
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -15,7 +15,7 @@
 
 // Heartbeat timing, as ratios of the leave bound (settings.Bounds.LeaveMs).
 const (
-	heartbeatRatio        = 0.1 // heartbeat period
+	heartbeatRatio        = 0.1 // time between two heartbeats of a node
 	heartbeatTimeoutRatio = 0.2 // timeout of one heartbeat request
 )
 
@@ -37,7 +37,7 @@
 
 // View is a snapshot of the nodes that a member knows.
 type View struct {
-	Version uint64 // increases with every change of the view
+	Version uint64 // version number that increases with every change of the view
 	Nodes   []*wire.Node
 }
 
@@ -56,7 +56,7 @@
 
 // WithRole returns the nodes with a role, except dead ones.
 //
-// Example: v.WithRole("catalogue")
+// Example: v.WithRole(clustermembership.RolePromptIndex)
 func (v View) WithRole(role string) []*wire.Node {
 	var nodes []*wire.Node
 	for _, n := range v.Nodes {
@@ -133,7 +133,7 @@
 
 // View returns the view that was published last.
 //
-// Example: m.View().WithRole("archive")
+// Example: m.View().WithRole(clustermembership.RoleControlNode)
 func (m *Member) View() View { return *m.view.Load() }
 
 // Leave announces to other nodes that this node stops, and stops its heartbeats.
@@ -209,7 +209,7 @@
 		response = c.HandleHeartbeat(heartbeat, m.clock.Now())
 		m.publish(c)
 	})
-	if response == nil { // the actor has stopped and did not run the command
+	if response == nil { // the actor has stopped, so the command did not run
 		response = &wire.Heartbeat{Format: FormatVersion}
 	}
 	return response, nil
--- a/internal/control/clustermembership/merge.go
+++ b/internal/control/clustermembership/merge.go
@@ -45,8 +45,8 @@
 		Addr: n.Addr, State: n.State, Heartbeat: n.Heartbeat, Operator: n.Operator}
 }
 
-// merge merges a report about a node into the view. direct says that the report came from the node
-// itself and not by gossip.
+// merge merges a report about a node into the view. direct says whether the report came from the node
+// itself or by gossip.
 func (c *Core) merge(report *wire.Node, now time.Duration, direct bool) {
 	switch {
 	case report == nil || report.Name == "":
--- a/internal/control/routingconfig/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// hostname returns the host of a host:port or host, in lower case.
+// hostname returns a host without its optional port, in lower case.
 func hostname(hostport string) string {
 	if i := strings.LastIndexByte(hostport, ':'); i >= 0 && !strings.HasSuffix(hostport, "]") {
 		hostport = hostport[:i]
@@ -70,8 +70,8 @@
 	return strings.ToLower(hostport)
 }
 
-// MatchRoute returns the route of a host whose prefix is the longest one that the path begins with. It is on
-// the path of every request and does not allocate.
+// MatchRoute returns the route of a host whose prefix is the longest one that the path begins with. It does
+// not allocate, because it runs for every request.
 //
 // Example: route, ok := p.MatchRoute(req.Host, req.URL.EscapedPath())
 func (p *Plan) MatchRoute(hostport, path string) (*Route, bool) {
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -28,7 +28,7 @@
 
 // Kinds of routes.
 const (
-	Idempotent  Kind = iota // a request may run more than once
+	Idempotent  Kind = iota // requests may run more than once
 	AtMostOnce              // a request is not retried after an attempt that may have run
 	EventStream             // the response is a stream of events; the request runs at most once, unless the stream is resumable
 )
@@ -38,13 +38,13 @@
 	Name, Host, Prefix string
 	Kind               Kind
 	Timeout            time.Duration     // timeout of one attempt of a request
-	LatencyTarget      time.Duration     // target for the response time; a response within it counts as full service
+	LatencyTarget      time.Duration     // target for the response time, up to which a response counts as fully successful
 	MaxEventGap        time.Duration     // maximum time between two events of a stream that is still on time
 	Priority           int               // priority of the requests; 0 is the highest
-	Split              []WeightedService // services that share the requests
+	Split              []WeightedService // services that share the requests, with their weights
 	MaxAttempts        int               // maximum number of workers that one request may be sent to
 	Public             bool              // requests do not need a tenant's API key
-	NamesPromptParts   bool              // requests list the identifiers of their prompt parts
+	NamesPromptParts   bool              // requests carry the IDs of their prompt parts
 	Resumable          bool              // an event stream may be resumed on another worker
 }
 
@@ -73,7 +73,7 @@
 	Models         []string // names of the models that the workers run
 }
 
-// Store is a store in which workers put cached prompt parts for other workers.
+// Store describes a shared store in which workers put cached prompt parts for other workers.
 type Store struct {
 	Addr, Zone     string
 	CapacityTokens int     // number of tokens that the stored prompt parts may occupy
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -35,7 +35,7 @@
 	} {
 		route, ok := plan.MatchRoute(test.host, test.path)
 		if ok != (test.name != "") || ok && route.Name != test.name {
-			t.Errorf("MatchRoute for host %q and path %q: route %v, want the one named %q (\"\": none)", test.host, test.path, route, test.name)
+			t.Errorf("MatchRoute for host %q and path %q: route %v, want the one named %q (empty: none)", test.host, test.path, route, test.name)
 		}
 	}
 	if _, ok := newPlan(newRoute("a", "one.example", "/a/")).MatchRoute("one.example", "/a/"); ok {
@@ -72,7 +72,7 @@
 				}
 			}
 			if route, ok := plan.MatchRoute("h", path); ok != (want != "") || ok && route.Prefix != want {
-				t.Fatalf("MatchRoute of path %q among routes with the prefixes %v: route %v, want the one with prefix %q (\"\": none)", path, used, route, want)
+				t.Fatalf("MatchRoute of path %q among routes with the prefixes %v: route %v, want the one with prefix %q (empty: none)", path, used, route, want)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 	plan.BuildIndex()
 	for key, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "k": "", "": ""} {
 		if tenant, ok := plan.TenantByKey(key); ok != (want != "") || ok && tenant.Name != want {
-			t.Errorf("TenantByKey(%q): tenant %v, want the one named %q (\"\": none)", key, tenant, want)
+			t.Errorf("TenantByKey(%q): tenant %v, want the one named %q (empty: none)", key, tenant, want)
 		}
 	}
 	if service, ok := plan.ServiceByName("s"); !ok || service.HealthPath != "/last" {
@@ -136,7 +136,7 @@
 func TestCheckRejectsInvalidPlans(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(p *Plan)
-		want   string // substring of the error; empty if the plan is valid
+		want   string // expected substring of the error; empty if the plan is valid
 	}{
 		"unchanged valid plan":          {func(*Plan) {}, ""},
 		"version 0":                     {func(p *Plan) { p.Version = 0 }, "version"},
@@ -162,7 +162,7 @@
 		test.change(plan)
 		err := Check(plan)
 		if (err != nil) != (test.want != "") {
-			t.Errorf("Check of plan %q: error %v, want one that contains %q (\"\": no error)", name, err, test.want)
+			t.Errorf("Check of plan %q: error %v, want one that contains %q (empty: no error)", name, err, test.want)
 		}
 		if err != nil && (errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), test.want)) {
 			t.Errorf("Check of plan %q: error %v, want one of kind %s that contains %q", name, err, errs.BadInput.Name, test.want)
--- a/internal/control/serviceconfig/check.go
+++ b/internal/control/serviceconfig/check.go
@@ -24,7 +24,7 @@
 
 // Format strings of faults that are reported from several places.
 const (
-	negativeMemoryFormat = "memory of %d MB: must be the worker memory that the weights take, 0 or more"
+	negativeMemoryFormat = "memory of %d MB must not be negative: give the worker memory in MB that the weights take"
 	unknownModelFormat   = "model %q is not defined: add it to models or name another"
 	unknownServiceFormat = "service %q is not defined: add it to services or name another"
 )
@@ -136,7 +136,7 @@
 			faults.add(path+".alpha", "fetch tolerance %g is out of range: must be 0 (for the default of 1) to 10", service.FetchTolerance)
 		}
 		if service.WorkerMemoryMB < 0 {
-			faults.add(path+".room", "worker memory of %d MB: must be each worker's memory for weights, 0 or more, or be left out", service.WorkerMemoryMB)
+			faults.add(path+".room", "worker memory of %d MB must not be negative: give the memory in MB that each worker has for weights, or leave it out", service.WorkerMemoryMB)
 		}
 		if service.HotnessWindowS < 0 || service.HotnessWindowS > maxWindowS {
 			faults.add(path+".window_s", "window of %d s is out of range: must be 0 (for the default of 30) to 86400", service.HotnessWindowS)
@@ -162,7 +162,7 @@
 		}
 		if route.HandoverTo != "" {
 			if service, ok := c.Services[route.HandoverTo]; !ok || service.Model != name {
-				faults.add(path+".next", "%q is not a service of model %s: name a service that has this model", route.HandoverTo, name)
+				faults.add(path+".next", "handover target %q is not a service of model %s: name a service that has this model", route.HandoverTo, name)
 			}
 		}
 		if route.HandoverPercent < 0 || route.HandoverPercent > maxPercent {
--- a/internal/control/serviceconfig/fuzz_test.go
+++ b/internal/control/serviceconfig/fuzz_test.go
@@ -7,8 +7,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// Any input is either accepted as a configuration or patch, or rejected with an error that has a kind. The encoding of
-// an accepted configuration decodes to the same configuration. To run the fuzzer:
+// Any input is either accepted as a configuration or patch, or rejected with an error of a kind other than
+// errs.Internal. The encoding of an accepted configuration decodes to the same configuration. To run the fuzzer:
 // go test ./internal/control/serviceconfig -fuzz FuzzConfigs
 func FuzzConfigs(f *testing.F) {
 	for _, seed := range []string{
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &renderer{parameters: parameters, known: source.Params, origins: map[string]string{}}
+	r := &renderer{parameters: parameters, descriptions: source.Params, origins: map[string]string{}}
 	body, err := r.render(source)
 	if err != nil {
 		return nil, nil, err
@@ -73,10 +73,10 @@
 
 // renderer renders one template.
 type renderer struct {
-	parameters map[string]string // values of the parameters by name
-	known      map[string]string // descriptions of the template's parameters by name
-	origins    map[string]string // origins of values by path; a value without an entry comes from the template
-	faults     errs.Batch
+	parameters   map[string]string // values of the parameters by name
+	descriptions map[string]string // descriptions of the template's parameters by name
+	origins      map[string]string // origins of values by path; a value without an entry comes from the template
+	faults       errs.Batch
 }
 
 // render returns the encoded configuration of a template with all parameters replaced by their values.
@@ -92,14 +92,14 @@
 
 // checkParameters reports the parameters that are missing or unknown.
 func (r *renderer) checkParameters() {
-	for _, name := range maputil.SortedKeys(r.known) {
+	for _, name := range maputil.SortedKeys(r.descriptions) {
 		if _, ok := r.parameters[name]; !ok {
-			r.faults.Addf(errs.BadInput, "parameter %s is missing (%s): set it with --set %s=…", name, r.known[name], name)
+			r.faults.Addf(errs.BadInput, "parameter %s is missing (%s): set it with --set %s=…", name, r.descriptions[name], name)
 		}
 	}
 	for _, name := range maputil.SortedKeys(r.parameters) {
-		if _, ok := r.known[name]; !ok {
-			r.faults.Addf(errs.BadInput, "parameter %s is unknown: the template has the parameters %v", name, maputil.SortedKeys(r.known))
+		if _, ok := r.descriptions[name]; !ok {
+			r.faults.Addf(errs.BadInput, "parameter %s is unknown: the template has the parameters %v", name, maputil.SortedKeys(r.descriptions))
 		}
 	}
 }
@@ -150,7 +150,7 @@
 			continue
 		}
 		name := strings.TrimPrefix(action.Pipe.String(), ".")
-		if _, ok := r.known[name]; !ok {
+		if _, ok := r.descriptions[name]; !ok {
 			r.faults.Addf(errs.BadInput, "%s: {{%s}}: no such parameter in the template: describe it under params", path, action.Pipe)
 			return text
 		}
--- a/internal/control/serviceconfig/render_test.go
+++ b/internal/control/serviceconfig/render_test.go
@@ -45,7 +45,7 @@
 	for name, test := range map[string]struct {
 		template   string
 		parameters map[string]string
-		want       string // substring of the error
+		want       string // expected substring of the error
 	}{
 		"missing parameter":                    {siteTemplate, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
 		"unknown parameter":                    {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
--- a/internal/control/storage/large_snapshot_test.go
+++ b/internal/control/storage/large_snapshot_test.go
@@ -37,7 +37,7 @@
 // A disk loses power while snapshots and records of 200 KiB are written: near the start and end of each write, and at
 // random points in between. Every acknowledged record must be recovered, with the saved state intact.
 func TestPowerLossDuringLargeSnapshots(t *testing.T) {
-	const largeBudget = 1 << 30 // more than the workload writes
+	const largeBudget = 1 << 30 // write budget that exceeds what the workload writes
 	random := rand.New(rand.NewPCG(1, 7))
 	body := make([]byte, largeBodyBytes)
 	for i := range body {
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -13,8 +13,8 @@
 
 // Recovered is the content of a disk when it was opened.
 type Recovered struct {
-	Snapshot  *wire.Snapshot // nil on an empty disk
-	Records   []*wire.Record // in the order in which they were appended
+	Snapshot  *wire.Snapshot // newest snapshot; nil on an empty disk
+	Records   []*wire.Record // records of the log in the order in which they were appended
 	TornBytes int            // size of an incomplete append that was truncated
 }
 
@@ -22,11 +22,11 @@
 type slot struct {
 	number      uint64
 	hasSnapshot bool           // the snapshot file exists
-	snapshot    *wire.Snapshot // nil if the snapshot file cannot be decoded
+	snapshot    *wire.Snapshot // decoded snapshot; nil if the snapshot file cannot be decoded
 	generation  uint64         // generation of the snapshot
 	hasLog      bool           // the log file exists
 	log         []byte         // encoded records of the log; nil if its header cannot be decoded
-	logHeader   logHeader      // zero if the header cannot be decoded
+	logHeader   logHeader      // decoded header of the log; zero if it cannot be decoded
 }
 
 // ErrCorrupted is wrapped by the error that Open returns if a disk does not hold what was acknowledged. The member
--- a/internal/control/storage/replace.go
+++ b/internal/control/storage/replace.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	if err := disk.Write(string(prefix)+file, content); err != nil {
-		return fmt.Errorf("%s: %w", file, err)
+		return fmt.Errorf("write copy of %s: %w", file, err)
 	}
 	return nil
 }
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -50,7 +50,7 @@
 
 // Every acknowledged record is recovered after a power loss at any byte that the workload writes.
 func TestPowerLossAtEveryByte(t *testing.T) {
-	const largeBudget = 1 << 30 // more than the workload writes
+	const largeBudget = 1 << 30 // write budget that exceeds what the workload writes
 	complete := newMemoryDisk(largeBudget)
 	if runWorkload(complete) != workloadRecords {
 		t.Fatal("workload did not complete on a disk without power loss")
