--- a/internal/control/clustermembership/exchange.go
+++ b/internal/control/clustermembership/exchange.go
@@ -10,7 +10,7 @@
 // expected to make them equal; otherwise, or if they differ for too long, the full view is sent.
 const (
 	maxDivergenceRatio = 0.5 // time for which views may differ before the full view is sent although updates are in flight, as a ratio of the leave bound
-	settledRatio       = 0.3 // age of a state change from which its updates are assumed to have reached all nodes, as a ratio of the leave bound
+	quiescenceRatio    = 0.3 // age of a state change from which its updates are assumed to have reached all nodes, as a ratio of the leave bound
 	maxDiverged        = 64  // maximum number of entries in each of divergedAt and sendFull
 )
 
@@ -42,7 +42,7 @@
 	c.mergeHeartbeat(heartbeat, now)
 	response := c.newHeartbeat(heartbeat.FullView || isNew || c.needsFullView(heartbeat, now))
 	if p := c.peers[sender]; p != nil && p.node.Incarnation > heartbeat.From.Incarnation {
-		response.Updates = append(response.Updates, clone(p.node)) // tells the sender that another machine has joined under its name
+		response.Updates = append(response.Updates, clone(p.node)) // informs the sender that another machine has joined under its name
 	}
 	return response
 }
@@ -98,7 +98,7 @@
 // until a full view is sent.
 func (c *Core) isStable(now time.Duration) bool {
 	for _, p := range c.peers {
-		if p.transmitsLeft > 0 || now-p.changedAt < c.bounds.Leave(settledRatio) {
+		if p.transmitsLeft > 0 || now-p.changedAt < c.bounds.Leave(quiescenceRatio) {
 			return false
 		}
 	}
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -30,7 +30,7 @@
 }
 
 // ErrCorrupted is wrapped by the error that Open returns if a disk does not hold what was acknowledged. The member
-// that owns the disk must not continue under its identity, because it may have lost acknowledged state; see Replace.
+// that the disk belongs to must not continue under its identity, because it may have lost acknowledged state; see Replace.
 var ErrCorrupted = errors.New("corrupted")
 
 // corruptionError returns an error of kind errs.DiskFailure that wraps ErrCorrupted.
--- a/internal/control/storage/replace.go
+++ b/internal/control/storage/replace.go
@@ -13,7 +13,7 @@
 // Prefixes of copies, by the reason for the replacement.
 const (
 	CorruptedCopies  CopyPrefix = "corrupted-"  // the disk is corrupted
-	SupersededCopies CopyPrefix = "superseded-" // the group was restored without the member that owns the disk
+	SupersededCopies CopyPrefix = "superseded-" // the group was restored without the member that the disk belongs to
 )
 
 // Replace returns a store that replaces the content of a disk: its first snapshot gets a higher generation than
