--- a/internal/control/retire/abort.go
+++ b/internal/control/retire/abort.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/maputil"
 )
 
-// advanceAbort makes a step of reverting a retirement: routes first, then requests that still run on the
-// new base, then the new base itself.
+// advanceAbort performs one step of an abort: it restores the routes, waits until no request runs on the
+// new base model, and then unloads the new base model from every node.
 func (e *evaluation) advanceAbort() {
 	switch e.retirement.Phase {
 	case PhaseRevertRoutes:
@@ -24,14 +24,14 @@
 	}
 }
 
-// revertedRoutes is the change of the routes that restores their previous targets.
+// revertedRoutes returns the configuration patch that restores the recorded previous target of each route.
 func (e *evaluation) revertedRoutes() jsonObject {
 	patch := jsonObject{}
 	for _, route := range maputil.SortedKeys(e.retirement.PreviousTargets) {
 		if _, ok := e.observed.Config.Routes[route]; !ok {
 			continue
 		}
-		previous := any(nil) // the target that the route is named by
+		previous := any(nil) // null removes the explicit target: the route then serves the model or adapter it is named after
 		if e.retirement.PreviousTargets[route] != "" {
 			previous = e.retirement.PreviousTargets[route]
 		}
@@ -40,15 +40,16 @@
 	return patch
 }
 
-// unloadNewBase orders every node to unload the new base, also one that reports not to have it: an order
-// of a past holder to load it may still be in flight, and the node rejects that after this one.
+// unloadNewBase orders every node to unload the new base model, even a node that does not report it as
+// loaded: a load order from a previous lease holder may still be in flight, and a node that has obeyed
+// this newer order rejects the older one.
 func (e *evaluation) unloadNewBase() {
-	e.catchUp(e.oldSet, adaptersLoaded, passNone) // a node that joined with only the new base needs the old one
-	behind := e.blockedNodes()
+	e.catchUp(e.oldSet, adaptersLoaded, passNone) // a node that joined with only the new base model must load the old one first
+	blocked := e.blockedNodes()
 	e.pruneUnloaded()
 	for _, node := range e.observed.Nodes {
 		confirmed := e.retirement.Unloaded[node.Name] == node.Incarnation
-		if !behind[node.Name] && (!confirmed || hasModelLoaded(node, e.retirement.NewBase)) {
+		if !blocked[node.Name] && (!confirmed || hasModelLoaded(node, e.retirement.NewBase)) {
 			e.addBlocker(node.Name, "it is to drop "+e.retirement.NewBase+" again", remedySeeWorkerLog)
 			e.addOrder(node, contract.Order{Kind: OrderUnload, Model: e.retirement.NewBase})
 		}
@@ -58,7 +59,8 @@
 	}
 }
 
-// pruneUnloaded drops the confirmations of past incarnations. A node that isn't reachable keeps its own.
+// pruneUnloaded removes unload confirmations given by earlier incarnations of a node and by nodes that are
+// no longer listed. An unreachable node keeps its confirmation.
 func (e *evaluation) pruneUnloaded() {
 	maps.DeleteFunc(e.retirement.Unloaded, func(name, incarnation string) bool {
 		return !slices.ContainsFunc(e.observed.Nodes, func(node Node) bool {
--- a/internal/control/retire/catchup.go
+++ b/internal/control/retire/catchup.go
@@ -7,23 +7,23 @@
 	"pebbleloom/internal/contract"
 )
 
-// readiness is what a phase requires of a node. Each level includes the ones before.
+// readiness is what a phase requires of a node. Each level includes the preceding ones.
 type readiness int
 
 const (
-	baseLoaded     readiness = iota // the set's base model
-	adaptersLoaded                  // its adapters, in the set's builds
-	proved                          // a proof by the node's present incarnation
+	baseLoaded     readiness = iota // the base model of the weight set is loaded
+	adaptersLoaded                  // every adapter of the weight set is loaded, in the configured build
+	proved                          // the node's current incarnation has a recorded Proof
 )
 
 func hasModelLoaded(node Node, base string) bool {
 	return slices.ContainsFunc(node.Loaded, func(loaded contract.LoadedModel) bool { return loaded.Model == base })
 }
 
-// catchUp brings every node to a set, up to the required readiness; proofs have to be of the pass or a
-// later one. Each node that isn't there yet becomes a blocker.
+// catchUp brings every node to the required readiness for a weight set. Proofs count only if they were
+// made in the given pass or a later one. Each node that is not ready yet is added as a blocker.
 func (e *evaluation) catchUp(set WeightSet, required readiness, pass proofPass) {
-	busy := 0 // nodes that load or prove
+	busy := 0 // nodes that are loading weights or answering a proof request
 	for _, node := range e.observed.Nodes {
 		if node.Loading != "" {
 			busy++
@@ -44,7 +44,8 @@
 	}
 }
 
-// nextLoad returns what a node has to load next, in words, and the order for it; "" if it has all.
+// nextLoad returns a description of what the node must load next and the order to load it. The
+// description is empty if nothing is missing.
 func (w WeightSet) nextLoad(node Node, required readiness) (missing string, order contract.Order) {
 	base := w.loadedBase(node.Loaded)
 	if base == nil {
@@ -67,7 +68,8 @@
 	}
 }
 
-// loadMissing orders a node to load what it lacks, if it has the memory and few enough nodes are busy.
+// loadMissing orders a node to load a missing base model or adapter, provided that the node has enough
+// free memory and that fewer nodes are busy than the concurrency limit allows.
 func (e *evaluation) loadMissing(node Node, missing string, order contract.Order, busy *int) {
 	switch {
 	case node.Loading != "":
@@ -84,7 +86,8 @@
 	}
 }
 
-// requestProof requests a proof of a node unless its incarnation has one under this set and pass.
+// requestProof adds a proof request to a node unless its current incarnation already has a proof for this
+// weight set from the given pass or a later one.
 func (e *evaluation) requestProof(node Node, set WeightSet, pass proofPass, busy *int) {
 	if proof, ok := e.retirement.Proofs[node.Name]; ok && proof.Incarnation == node.Incarnation && proof.Set == e.newFingerprint && proof.Pass >= pass {
 		return
--- a/internal/control/retire/phases.go
+++ b/internal/control/retire/phases.go
@@ -10,10 +10,12 @@
 	"pebbleloom/internal/maputil"
 )
 
-// jsonObject is a part of a patch of the service configuration; null removes a field.
+// jsonObject is a JSON object within a merge patch of the service configuration; a null value removes the
+// field.
 type jsonObject = map[string]any
 
-// requirements are what each phase requires of every node.
+// requirements returns the readiness that the current phase requires of every node, and the earliest pass
+// whose proofs count.
 func (r *Retirement) requirements() (readiness, proofPass) {
 	switch r.Phase {
 	case PhaseLoadBase:
@@ -27,7 +29,7 @@
 	}
 }
 
-// advance makes a step of the phase that a running retirement is in.
+// advance performs one step of the current phase of a running retirement.
 func (e *evaluation) advance() {
 	required, pass := e.retirement.requirements()
 	e.catchUp(e.newSet, required, pass)
@@ -48,16 +50,17 @@
 			e.enterPhase(StateRunning, PhaseDrop)
 		}
 	case PhaseDrop:
-		e.dropOldBase(ready)
+		e.unloadOldBase(ready)
 	case PhaseFinish:
 		patch := jsonObject{"services": jsonObject{e.retirement.Service: jsonObject{"model": e.retirement.NewBase}}}
 		e.applyConfigChange(ready, patch, func() { e.enterPhase(StateDone, "") })
 	}
 }
 
-// applyConfigChange makes the phase's change of the service configuration: recorded as started, made,
-// recorded as acknowledged; then next runs. Repeating it is harmless, and makes any change that an
-// earlier holder still has in flight meet a later version.
+// applyConfigChange patches the service configuration for the current phase. The change is recorded as
+// started, applied, and recorded as acknowledged; then next runs. Applying the patch again is harmless, and
+// it raises the configuration's version, so that a patch which a previous lease holder still has in flight
+// is rejected.
 func (e *evaluation) applyConfigChange(ready bool, patch jsonObject, next func()) {
 	switch {
 	case e.retirement.ChangeAcked:
@@ -68,13 +71,14 @@
 	default:
 		body, err := json.Marshal(patch)
 		if err != nil {
-			panic("retire: a patch of plain values can't be encoded: " + err.Error())
+			panic("retire: cannot encode the service configuration patch as JSON: " + err.Error())
 		}
 		e.actions = append(e.actions, Action{Patch: body})
 	}
 }
 
-// moveRoutes moves requests to the new base, step by step; each step lasts for the soak time.
+// moveRoutes shifts requests to the new base model in steps of rising percentage. Each step lasts at least
+// for the soak time.
 func (e *evaluation) moveRoutes(ready bool) {
 	steps := e.retirement.trafficSteps()
 	if e.retirement.TrafficStep >= len(steps) {
@@ -99,7 +103,8 @@
 	})
 }
 
-// routePatch is the change of the routes that moves a percentage of their requests to the new targets.
+// routePatch returns the configuration patch that sends a percentage of each route's requests to its new
+// target.
 func routePatch(moves map[string]string, percent int) jsonObject {
 	patch := jsonObject{}
 	for route, target := range moves {
@@ -111,7 +116,8 @@
 	return patch
 }
 
-// recordPreviousTargets records what answers the routes before they are moved, for an abort.
+// recordPreviousTargets records the target of each route before it is moved, so that an abort can restore
+// it.
 func (e *evaluation) recordPreviousTargets(moves map[string]string) {
 	for route := range moves {
 		if _, ok := e.retirement.PreviousTargets[route]; ok {
@@ -125,8 +131,8 @@
 	}
 }
 
-// hasUnrecordedRoute reports whether a route is new: its previous target has to be recorded before the
-// change is made.
+// hasUnrecordedRoute reports whether any route to be moved has no recorded previous target, as a newly
+// added route. The target must be recorded before the route is changed.
 func (e *evaluation) hasUnrecordedRoute(moves map[string]string) bool {
 	for route := range moves {
 		if _, ok := e.retirement.PreviousTargets[route]; !ok {
@@ -136,7 +142,8 @@
 	return false
 }
 
-// noRequestsOn reports whether no request runs or waits under a base.
+// noRequestsOn reports whether no node has a request running or queued on a base model. Otherwise it adds
+// the first such node as a blocker.
 func (e *evaluation) noRequestsOn(base string) bool {
 	for _, node := range e.observed.Nodes {
 		for _, loaded := range node.Loaded {
@@ -149,8 +156,8 @@
 	return true
 }
 
-// allRoutesMoved reports whether no route leads to the old base. A route that was pointed there meanwhile
-// is moved as well.
+// allRoutesMoved reports whether no route targets the old base model. If a route was pointed back to it in
+// the meantime, the retirement returns to the last traffic step of PhaseMove, which moves that route too.
 func (e *evaluation) allRoutesMoved() bool {
 	moves := e.retirement.routeMoves(e.observed.Config)
 	if len(moves) == 0 {
@@ -162,8 +169,9 @@
 	return false
 }
 
-// dropOldBase unloads the old base from the nodes, a few at once.
-func (e *evaluation) dropOldBase(ready bool) {
+// unloadOldBase unloads the old base model from the nodes, at most as many at once as the concurrency limit
+// allows.
+func (e *evaluation) unloadOldBase(ready bool) {
 	if moves := e.retirement.routeMoves(e.observed.Config); len(moves) > 0 {
 		e.addBlocker(maputil.SortedKeys(moves)[0], "this route is answered on the old base again, which is leaving", "lead it to "+e.retirement.NewBase+": pebblectl config patch")
 		return
@@ -173,7 +181,7 @@
 	e.retirement.Dropping = slices.DeleteFunc(e.retirement.Dropping, func(node string) bool { return loaded[node] == nil })
 	e.changed = e.changed || dropping != len(e.retirement.Dropping)
 	if !ready {
-		return // a node that joined or restarted is caught up first
+		return // a node that joined or restarted must first load the new weight set
 	}
 	if len(loaded) == 0 {
 		e.enterPhase(StateRunning, PhaseFinish)
@@ -193,8 +201,8 @@
 	}
 }
 
-// nodesWithOldBase returns the nodes that have the old base loaded, or may have: those that aren't
-// reachable.
+// nodesWithOldBase returns, by name, the nodes that have the old base model loaded. Unreachable nodes are
+// included, because they may have it.
 func (e *evaluation) nodesWithOldBase() map[string]*Node {
 	nodes := map[string]*Node{}
 	for i, node := range e.observed.Nodes {
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -13,84 +13,85 @@
 	"pebbleloom/internal/errs"
 )
 
-// Automatic abort, by the service's recent attempts.
+// Limits of the automatic abort, which watches the service's recent request attempts.
 const (
-	defaultAbortRatio = 0.2 // of attempts that fail, unless the retirement sets another ratio
-	minAttempts       = 20  // fewer attempts are no evidence
+	defaultAbortRatio = 0.2 // failed attempts per attempt above which a retirement is aborted; AbortFailureRatio overrides it
+	minAttempts       = 20  // with fewer recent attempts the failure ratio says nothing, and the retirement is not aborted
 )
 
-// Kinds of the orders to nodes, as they are sent.
+// Values of contract.Order.Kind, as they are sent to nodes.
 const (
 	OrderLoad   = "load"   // load a base model, or an adapter on it
-	OrderUnload = "unload" // unload a base model with its adapters
+	OrderUnload = "unload" // unload a base model together with its adapters
 )
 
-// platformBlocker is the name under which the platform blocks a retirement.
+// platformBlocker is the Blocker.Node of a blocker that concerns the platform instead of a node.
 const platformBlocker = "platform"
 
-// noActionPrefix is the prefix of a remedy that needs no operator.
+// noActionPrefix begins every Blocker.Remedy that requires no action from an operator.
 const noActionPrefix = "nothing to do"
 
-// remedySeeWorkerLog is the remedy for a node that is at work.
+// remedySeeWorkerLog is the Blocker.Remedy for a node that is loading or unloading weights.
 const remedySeeWorkerLog = noActionPrefix + "; if it stays so, see the worker's log"
 
-// Node is the observed state of one worker that the platform lists.
+// Node is the observed state of one worker on the platform's list of workers.
 type Node struct {
 	Name        string
-	Incarnation string // "" if it isn't reachable
+	Incarnation string // changes at each restart; empty if the node is unreachable
 	Reachable   bool
 	Draining    bool
 	Loaded      []contract.LoadedModel
-	Loading     string // what it is loading; "": nothing
-	MemoryMB    int    // for weights; 0: unknown
-	FreeMB      int    // of MemoryMB
+	Loading     string // model or adapter that the node is loading; empty if none
+	MemoryMB    int    // memory for weights, in MB; 0 if unknown
+	FreeMB      int    // unused part of MemoryMB
 }
 
-// Observation is the input of a step. The service configuration was read by majority before the
-// retirement was, the nodes after it: so whatever this holder does late meets a later version.
+// Observation is the input of Planner.Next. The service configuration must have been read from a majority
+// before the retirement, and the nodes after it. With this order, an action that a lease holder performs
+// late meets a newer version and is rejected.
 type Observation struct {
-	Now           time.Duration // reading of the process's clock
-	Version       uint64        // of the retirement's document
+	Now           time.Duration // monotonic clock of this process
+	Version       uint64        // version of the retirement's document
 	Config        *serviceconfig.Config
-	WorkersListed bool // the platform's list was read just now
+	WorkersListed bool // whether the platform's list of workers could be read for this observation
 	Nodes         []Node
-	Succeeded     float64       // recent attempts of the service
-	Failed        float64       // recent attempts of the service
-	MaxConfigAge  time.Duration // how long a proxy may use an older configuration
+	Succeeded     float64       // recent request attempts of the service that succeeded
+	Failed        float64       // recent request attempts of the service that failed
+	MaxConfigAge  time.Duration // longest time for which a proxy may use an outdated configuration
 }
 
-// Action is one thing to do now; exactly one of Patch, Order and ProofSet is set.
+// Action is one effect for the lease holder to perform; exactly one of Patch, Order and ProofSet is set.
 type Action struct {
-	Patch       []byte          // a partial service configuration
-	Order       *contract.Order // to the node
-	ProofSet    *WeightSet      // send the node a request under each element
-	Node        string
-	Incarnation string // of the node that gets the requests
+	Patch       []byte          // JSON merge patch for the service configuration
+	Order       *contract.Order // order to send to the node
+	ProofSet    *WeightSet      // weight set whose base model and adapters the node must each answer a proof request with
+	Node        string          // name of the node that receives the order or the proof requests
+	Incarnation string          // incarnation of the node to which the proof requests are addressed
 }
 
-// Planner advances one retirement. Between calls it remembers only since when conditions hold, by the
-// process's clock, and why proofs failed; a new lease holder starts without both.
+// Planner advances one retirement. Its only state between calls is when each timed condition began, by
+// the clock of this process, and why proofs failed. A new lease holder starts with neither.
 type Planner struct {
-	conditionSince map[string]time.Duration // by condition
-	failedProofs   map[string]string        // by node: why its last proof failed
+	conditionSince map[string]time.Duration // when each timed condition began, by condition
+	failedProofs   map[string]string        // why the last proof of a node failed, by node
 }
 
-// NewPlanner returns a planner that remembers nothing.
+// NewPlanner returns a planner without any state.
 //
 // Example: planner := retire.NewPlanner()
 func NewPlanner() *Planner {
 	return &Planner{conditionSince: map[string]time.Duration{}, failedProofs: map[string]string{}}
 }
 
-// RecordFailedProof remembers why a node's proof failed, for the list of blockers.
+// RecordFailedProof records why a node's proof failed, so that the blocker of that node can state it.
 //
 // Example: planner.RecordFailedProof("worker-3", err.Error())
 func (p *Planner) RecordFailedProof(node, reason string) { p.failedProofs[node] = reason }
 
-// Next computes a retirement's next step: the retirement as it is to be written (changed reports
-// whether it differs), and the actions that the written one already allows. Every action is
-// idempotent: a patch states the target, an order names what is to be loaded, a proof is a request. So
-// a holder that dies between any two effects leaves nothing that the next one can't resume.
+// Next computes one step of a retirement. It returns the document to be written next, the actions that the
+// document already stored allows, and whether the document has changed. Every action is idempotent: a
+// patch states the target values, an order names what must be loaded, and a proof is a plain request. A
+// lease holder may therefore crash between any two effects, and its successor can resume.
 //
 // Example: next, actions, changed := planner.Next(retirement, observation)
 func (p *Planner) Next(old *Retirement, observed Observation) (next *Retirement, actions []Action, changed bool) {
@@ -116,12 +117,13 @@
 	if next.Phase == old.Phase && next.State == old.State {
 		e.recordBlockers()
 	} else {
-		e.actions = nil // the written state no longer allows them
+		e.actions = nil // they become allowed only once the new state or phase is stored
 	}
 	return next, e.actions, e.changed || !slices.Equal(old.Blockers, next.Blockers) || old.Ready != next.Ready || old.Nodes != next.Nodes
 }
 
-// missingObservation returns a blocker if the observation isn't enough to decide on anything.
+// missingObservation returns a blocker if the observation lacks the service configuration or the list of
+// workers, without which no step can be decided.
 func (r *Retirement) missingObservation(observed Observation) (Blocker, bool) {
 	switch {
 	case observed.Config == nil || !observed.WorkersListed:
@@ -142,8 +144,9 @@
 	return Blocker{}, false
 }
 
-// stopOnFailures aborts or pauses a retirement by itself: on too many failed attempts, or a service
-// configuration that the plan no longer fits. It reports whether it did.
+// stopOnFailures aborts or pauses a retirement without an operator's request: if too many recent request
+// attempts fail, or if the plan is no longer valid for the service configuration. It reports whether it
+// did.
 func (r *Retirement) stopOnFailures(observed Observation) bool {
 	limit := r.AbortFailureRatio
 	if limit == 0 {
@@ -170,16 +173,16 @@
 	return false
 }
 
-// evaluation is one evaluation of a running or aborting retirement.
+// evaluation is the working state of one call of Planner.Next for a running or aborting retirement.
 type evaluation struct {
 	*Planner
-	retirement     *Retirement // the next one
+	retirement     *Retirement // the document to be written next
 	observed       Observation
 	oldSet, newSet WeightSet
-	newFingerprint string // of newSet
+	newFingerprint string // fingerprint of newSet
 	actions        []Action
 	blockers       []Blocker
-	changed        bool // the retirement differs in more than its blockers
+	changed        bool // whether the retirement differs from the stored one in more than its blockers
 }
 
 func newEvaluation(p *Planner, retirement *Retirement, observed Observation) *evaluation {
@@ -189,8 +192,8 @@
 	return e
 }
 
-// pruneProofs drops proofs of past incarnations and of other sets. A node that isn't reachable keeps its
-// own.
+// pruneProofs removes proofs made by earlier incarnations of a node, proofs for other weight sets, and
+// proofs of nodes that are no longer listed. An unreachable node keeps its proof.
 func (e *evaluation) pruneProofs() {
 	proofs := e.retirement.Proofs
 	incarnations := map[string]string{}
@@ -207,7 +210,7 @@
 	e.changed = e.changed || before != len(proofs)
 }
 
-// addBlocker adds a blocker. It needs an operator unless its remedy says that there is nothing to do.
+// addBlocker adds a blocker. The blocker needs an operator unless its remedy begins with noActionPrefix.
 func (e *evaluation) addBlocker(node, reason, remedy string) {
 	e.blockers = append(e.blockers, Blocker{
 		Node:          node,
@@ -217,7 +220,7 @@
 	})
 }
 
-// blockedNodes are the names of the nodes that block the retirement so far.
+// blockedNodes returns the names of the nodes that block the retirement so far.
 func (e *evaluation) blockedNodes() map[string]bool {
 	blocked := map[string]bool{}
 	for _, blocker := range e.blockers {
@@ -226,7 +229,8 @@
 	return blocked
 }
 
-// recordBlockers copies the blockers into the retirement.
+// recordBlockers stores the first blockers, at most maxBlockers, and the numbers of all nodes and of ready
+// nodes in the retirement.
 func (e *evaluation) recordBlockers() {
 	blocked := e.blockedNodes()
 	e.retirement.Nodes, e.retirement.Ready = len(e.observed.Nodes), len(e.observed.Nodes)
@@ -238,15 +242,15 @@
 	e.retirement.Blockers = e.blockers[:min(len(e.blockers), maxBlockers)]
 }
 
-// addOrder adds an order to a node's incarnation. It carries the document's version: a node rejects an
-// order from before one that it has obeyed.
+// addOrder adds an order to the current incarnation of a node. The order carries the version of the
+// retirement's document as its step: a node rejects an order that is older than one it has obeyed.
 func (e *evaluation) addOrder(node Node, order contract.Order) {
 	order.Incarnation = node.Incarnation
 	order.Plan, order.Step = Key(e.retirement.Service, e.retirement.Name), e.observed.Version
 	e.actions = append(e.actions, Action{Node: node.Name, Order: &order})
 }
 
-// enterPhase starts the next phase, or ends the retirement.
+// enterPhase changes the retirement's state and phase, and resets what is tracked per phase.
 func (e *evaluation) enterPhase(state State, phase Phase) {
 	e.retirement.ChangeStarted, e.retirement.ChangeAcked = false, false
 	e.retirement.transition(state, phase, "")
@@ -255,8 +259,8 @@
 	clear(e.failedProofs)
 }
 
-// conditionLasted reports whether a condition has lasted for a duration, by the process's clock. The
-// first call since the phase began starts the count.
+// conditionLasted reports whether a condition has held for a duration, by the clock of this process. The
+// time counts from the first call for the condition in the current phase.
 func (e *evaluation) conditionLasted(condition string, duration time.Duration) bool {
 	since, ok := e.conditionSince[condition]
 	if !ok {
--- a/internal/control/retire/repair.go
+++ b/internal/control/retire/repair.go
@@ -5,10 +5,11 @@
 	"pebbleloom/internal/control/serviceconfig"
 )
 
-// Repair returns the orders that bring a service's workers to the set that the service configuration
-// names, while nothing is being retired: a worker that restarts empty, or with a model retired long
-// ago, is caught up. A service without adapters is left as its workers start. A retired model is
-// unloaded again from a worker that has the complete set.
+// Repair returns the orders that bring a service's workers to the weight set that the service
+// configuration names, for use while no retirement is active. A worker that restarted without weights, or
+// with a base model that was retired earlier, loads the configured set; a worker that has the complete set
+// unloads the retired models. Repair returns no orders for a service without adapters: its workers keep
+// the weights that they start with.
 //
 // Example: actions := retire.Repair(config, "lector-main", nodes, []string{"lector"})
 func Repair(config *serviceconfig.Config, service string, nodes []Node, retired []string) []Action {
@@ -18,27 +19,28 @@
 	if !ok || len(adapters) == 0 {
 		return nil
 	}
-	plan := &evaluation{
+	repair := &evaluation{
 		Planner:    NewPlanner(),
 		retirement: &Retirement{Service: service, MaxConcurrent: len(nodes)},
 		observed:   Observation{Nodes: nodes},
 	}
-	plan.catchUp(NewWeightSet(config, base, adapters), adaptersLoaded, passNone)
-	behind := plan.blockedNodes()
+	repair.catchUp(NewWeightSet(config, base, adapters), adaptersLoaded, passNone)
+	blocked := repair.blockedNodes()
 	for _, node := range nodes {
 		for _, old := range retired {
-			if old != base && !behind[node.Name] && hasModelLoaded(node, old) && !anyRouteTo(config, service, old) {
-				plan.addOrder(node, contract.Order{Kind: OrderUnload, Model: old})
+			if old != base && !blocked[node.Name] && hasModelLoaded(node, old) && !anyRouteTo(config, service, old) {
+				repair.addOrder(node, contract.Order{Kind: OrderUnload, Model: old})
 			}
 		}
 	}
-	for _, action := range plan.actions {
-		action.Order.Plan, action.Order.Step = "", 0 // no document orders them
+	for _, action := range repair.actions {
+		action.Order.Plan, action.Order.Step = "", 0 // these orders belong to no retirement document
 	}
-	return plan.actions
+	return repair.actions
 }
 
-// anyRouteTo reports whether any route of a service leads to a base, or is being moved there.
+// anyRouteTo reports whether any route that a service serves or takes over targets a base model, or is
+// being moved to one of its targets.
 func anyRouteTo(config *serviceconfig.Config, service, base string) bool {
 	for name, route := range config.Routes {
 		if route.Service != service && route.HandoverTo != service {
--- a/internal/control/retire/retirement.go
+++ b/internal/control/retire/retirement.go
@@ -1,9 +1,10 @@
-// Package retire takes a base model out of service: every adapter that depends on it is loaded on the
-// new base model and answers there on every node before the old one is unloaded from any of them.
+// Package retire plans the replacement of a base model by a new one. Every adapter of the old base model
+// has a replacement that was built for the new one. The old base model is unloaded from a node only after
+// every node has answered requests under the new base model and each replacement.
 //
-// The package only decides. From a retirement's document, the service configuration and the observed
-// nodes a Planner computes the next document and the actions that the written one allows. The holder of
-// the service's lease performs them; docs/retire.md explains the protocol.
+// The package only decides and performs no I/O. From a retirement's document, the service configuration
+// and the observed nodes, a Planner computes the next document and the actions that the stored document
+// allows. The holder of the service's lease performs them; docs/retire.md explains the protocol.
 package retire
 
 import (
@@ -16,44 +17,45 @@
 	"pebbleloom/internal/errs"
 )
 
-// State is the state of a retirement, as it is stored.
+// State is the state of a retirement, as stored in its document.
 type State string
 
-// The states.
+// States of a retirement.
 const (
 	StatePlanned  State = "planned"
 	StateRunning  State = "running"
 	StatePaused   State = "paused"
-	StateAborting State = "aborting" // what was done is being reverted
+	StateAborting State = "aborting" // routes and loaded weights are being reverted
 	StateAborted  State = "aborted"
 	StateDone     State = "done"
 )
 
-// Phase is what a running or aborting retirement does, as it is stored.
+// Phase is the stage of a running or aborting retirement, as stored in its document.
 type Phase string
 
-// The phases of a running retirement, in order. From PhaseDrop on it can't be aborted.
+// Phases of a running retirement, in order. From PhaseDrop on it cannot be aborted.
 const (
-	PhaseLoadBase     Phase = "load-base"     // the new base is loaded, where there is memory
-	PhaseLoadAdapters Phase = "load-adapters" // the replacements are loaded on it
-	PhaseProve        Phase = "prove"         // each node answers a real request under each of them
-	PhaseMove         Phase = "move"          // requests are moved to them, in steps
-	PhaseDrain        Phase = "drain"         // requests on the old base end
-	PhaseBarrier      Phase = "barrier"       // every node answers once more, after all that
-	PhaseDrop         Phase = "drop"          // the old base is unloaded, a few nodes at once
-	PhaseFinish       Phase = "finish"        // the service is named by the new base
+	PhaseLoadBase     Phase = "load-base"     // every node loads the new base model beside the old one
+	PhaseLoadAdapters Phase = "load-adapters" // every node loads the replacement adapters on the new base model
+	PhaseProve        Phase = "prove"         // every node answers a real request under the new base model and each replacement
+	PhaseMove         Phase = "move"          // routes are moved to the new base model and the replacements, in steps
+	PhaseDrain        Phase = "drain"         // requests that still run on the old base model end
+	PhaseBarrier      Phase = "barrier"       // every node answers the proof requests once more, after the drain
+	PhaseDrop         Phase = "drop"          // the old base model is unloaded, from a few nodes at a time
+	PhaseFinish       Phase = "finish"        // the service configuration names the new base model for the service
 )
 
-// The phases of an aborting retirement, in order.
+// Phases of an aborting retirement, in order.
 const (
-	PhaseRevertRoutes Phase = "return" // requests are moved back
-	PhaseRevertDrain  Phase = "settle" // requests on the new base end
-	PhaseRevertUnload Phase = "clean"  // the new base is unloaded from the nodes
+	PhaseRevertRoutes Phase = "return" // routes are moved back to their previous targets
+	PhaseRevertDrain  Phase = "settle" // requests that still run on the new base model end
+	PhaseRevertUnload Phase = "clean"  // the new base model is unloaded from every node
 )
 
+// phases lists the phases of a running retirement in order.
 var phases = []Phase{PhaseLoadBase, PhaseLoadAdapters, PhaseProve, PhaseMove, PhaseDrain, PhaseBarrier, PhaseDrop, PhaseFinish}
 
-// An operator's requests.
+// Verbs by which an operator controls a retirement.
 const (
 	verbStart  = "start"
 	verbPause  = "pause"
@@ -62,71 +64,75 @@
 )
 
 const (
-	maxHistory  = 64 // entries of a retirement's history
-	maxBlockers = 16 // listed blockers; the others are counted by Nodes and Ready
+	maxHistory  = 64 // transitions that Retirement.History keeps
+	maxBlockers = 16 // blockers that Retirement.Blockers lists; all blocked nodes are counted by Nodes minus Ready
 )
 
-// Retirement is the removal of one base model, with its progress. It is one document of the control
-// state, so that the next holder of the lease resumes exactly where the last one stopped.
+// Retirement is the replacement of one base model by another: the operator's plan and its progress. It is
+// stored as one document of the control state, so that the next holder of the lease resumes exactly where
+// the previous one stopped.
 type Retirement struct {
-	// The plan.
+	// Plan, as written by the operator.
 	Name              string            `json:"name"`
 	Service           string            `json:"service"`
 	OldBase           string            `json:"from"`
 	NewBase           string            `json:"to"`
-	Replacements      map[string]string `json:"replace"`            // adapter -> the one that was built for the new base
-	TrafficPercents   []int             `json:"shares,omitempty"`   // of requests moved by each step, rising to 100
-	SoakSeconds       int               `json:"soak_s,omitempty"`   // how long each step lasts at least
-	MaxConcurrent     int               `json:"at_once,omitempty"`  // how many nodes load, prove or unload at once; 0: 1
-	AbortFailureRatio float64           `json:"abort_at,omitempty"` // abort when a higher ratio of attempts fails; 0: defaultAbortRatio
+	Replacements      map[string]string `json:"replace"`            // adapter on the old base model -> its replacement, built for the new one
+	TrafficPercents   []int             `json:"shares,omitempty"`   // percent of requests moved at each traffic step, rising to 100; empty: 10, 50, 100
+	SoakSeconds       int               `json:"soak_s,omitempty"`   // minimum duration of each traffic step, in seconds
+	MaxConcurrent     int               `json:"at_once,omitempty"`  // nodes that may load, prove or unload at the same time; 0: 1
+	AbortFailureRatio float64           `json:"abort_at,omitempty"` // ratio of failed attempts above which the retirement is aborted; 0: defaultAbortRatio
 
-	// Its progress.
+	// Progress, as written by the lease holder.
 	State           State             `json:"state"`
 	Phase           Phase             `json:"phase,omitempty"`
-	Reason          string            `json:"why,omitempty"`    // of the latest transition
+	Reason          string            `json:"why,omitempty"`    // reason of the latest transition
 	TrafficStep     int               `json:"share"`            // index of the current step in TrafficPercents
-	ChangeStarted   bool              `json:"doing,omitempty"`  // the phase's change of the service configuration was started
-	ChangeAcked     bool              `json:"made,omitempty"`   // and acknowledged
-	PreviousTargets map[string]string `json:"before,omitempty"` // route -> the model or adapter that answered it; "": the one it is named by
-	Proofs          map[string]Proof  `json:"proofs,omitempty"` // by node
-	Unloaded        map[string]string `json:"clean,omitempty"`  // node -> the incarnation that unloaded the new base
-	Dropping        []string          `json:"going,omitempty"`  // nodes that are unloading the old base
-	Nodes           int               `json:"nodes,omitempty"`
-	Ready           int               `json:"ready,omitempty"` // nodes that block nothing
+	ChangeStarted   bool              `json:"doing,omitempty"`  // the current phase has started its change of the service configuration
+	ChangeAcked     bool              `json:"made,omitempty"`   // the current phase's change of the service configuration was acknowledged
+	PreviousTargets map[string]string `json:"before,omitempty"` // route -> model or adapter that served it before the move; "": the one that the route is named after
+	Proofs          map[string]Proof  `json:"proofs,omitempty"` // latest valid proof of each node
+	Unloaded        map[string]string `json:"clean,omitempty"`  // node -> incarnation that confirmed unloading the new base model during an abort
+	Dropping        []string          `json:"going,omitempty"`  // nodes that are unloading the old base model
+	Nodes           int               `json:"nodes,omitempty"`  // listed nodes of the service
+	Ready           int               `json:"ready,omitempty"`  // nodes without a blocker
 	Blockers        []Blocker         `json:"holds,omitempty"`
-	History         []string          `json:"log,omitempty"` // transitions, oldest first
+	History         []string          `json:"log,omitempty"` // latest transitions, oldest first
 }
 
-// Proof records that a node's incarnation answered a real request under its base model and each adapter.
+// Proof records that one incarnation of a node answered a real request under the base model of a weight
+// set and under each of its adapters.
 type Proof struct {
 	Incarnation string    `json:"life"`
-	Set         string    `json:"set"` // fingerprint of the WeightSet
+	Set         string    `json:"set"` // WeightSet.Fingerprint of the set
 	Pass        proofPass `json:"round"`
 }
 
-// proofPass is when a proof was made. A later pass includes the earlier ones.
+// proofPass is the stage of a retirement in which a proof was made. A proof of a later pass also counts
+// for the earlier ones.
 type proofPass int
 
 const (
 	passNone       proofPass = iota // no proof is required
-	passBeforeMove                  // before requests were moved
-	passBarrier                     // at the barrier
+	passBeforeMove                  // made before the barrier; required before any route is moved
+	passBarrier                     // made in PhaseBarrier or later; required before the old base model is unloaded
 )
 
-// Blocker is a node that blocks a retirement, why, and the remedy.
+// Blocker states which node blocks a retirement, the reason, and the remedy.
 type Blocker struct {
 	Node          string `json:"node"`
 	Reason        string `json:"why"`
 	Remedy        string `json:"remedy"`
-	NeedsOperator bool   `json:"stuck,omitempty"` // the system can't resolve it by itself
+	NeedsOperator bool   `json:"stuck,omitempty"` // the retirement cannot proceed without an operator's action
 }
 
-// Key is the key of the document that holds a retirement.
+// Key returns the key of the document that stores a retirement.
 //
 // Example: retire.Key("lector-main", "spring") == "retire/lector-main/spring"
 func Key(service, name string) string { return "retire/" + service + "/" + name }
 
-// Read decodes a retirement. An unknown field is an error, of the kind errs.BadInput.
+// Read decodes a retirement from JSON. Invalid JSON and unknown fields are errors of the kind
+// errs.BadInput.
 //
 // Example: r, err := retire.Read(document.Body)
 func Read(body []byte) (*Retirement, error) {
@@ -139,29 +145,30 @@
 	return r, nil
 }
 
-// Write encodes a retirement.
+// Write encodes the retirement as JSON.
 //
 // Example: body, err := r.Write()
 func (r *Retirement) Write() ([]byte, error) {
 	body, err := json.Marshal(r)
-	return body, errs.Wrap(err, "write retirement")
+	return body, errs.Wrap(err, "encode retirement as JSON")
 }
 
-// Active reports whether a retirement hasn't ended.
+// Active reports whether the retirement is neither done nor aborted.
 //
 // Example: if r.Active() { … }
 func (r *Retirement) Active() bool { return r.State != StateDone && r.State != StateAborted }
 
-// PastBarrier reports whether the barrier is passed: the old base may have been unloaded from a node.
+// PastBarrier reports whether the retirement has passed the barrier, so that the old base model may already
+// be unloaded from some nodes.
 //
 // Example: if r.PastBarrier() { … }
 func (r *Retirement) PastBarrier() bool {
 	return r.Phase == PhaseDrop || r.Phase == PhaseFinish || r.State == StateDone
 }
 
-// ApplyVerb applies an operator's verb: start, pause, resume or abort. Repeating it changes nothing. It
-// changes the state alone; the lease holder carries out what follows from it. The error is of the kind
-// errs.Conflict if the state doesn't allow the verb, errs.BadInput if there is no such verb.
+// ApplyVerb applies an operator's verb: start, pause, resume or abort. Repeating a verb changes nothing.
+// Only the state and the phase change; the lease holder performs the resulting actions. The error is of the
+// kind errs.Conflict if the current state does not allow the verb, and errs.BadInput if the verb is unknown.
 //
 // Example: err := r.ApplyVerb("pause")
 func (r *Retirement) ApplyVerb(verb string) error {
@@ -176,21 +183,22 @@
 		r.transition(StateRunning, r.Phase, "")
 	case verb == verbResume && r.State == StateRunning:
 	case verb == verbAbort && r.PastBarrier():
-		return errs.New(errs.Conflict, "retirement %q has passed its barrier: old weights may have gone: let it end, then retire %s in favour of %s", r.Name, r.NewBase, r.OldBase)
+		return errs.New(errs.Conflict, "retirement %q has passed its barrier and cannot be aborted: some nodes may have unloaded the old base model; let it finish, then plan a retirement from %s to %s", r.Name, r.NewBase, r.OldBase)
 	case verb == verbAbort && (r.State == StateAborting || r.State == StateAborted):
 	case verb == verbAbort && r.State == StatePlanned:
 		r.transition(StateAborted, "", "before it began")
 	case verb == verbAbort:
 		r.abort("by an operator")
 	case verb == verbStart || verb == verbPause || verb == verbResume:
-		return errs.New(errs.Conflict, "retirement %q is %s: %s doesn't go with that", r.Name, r.State, verb)
+		return errs.New(errs.Conflict, "retirement %q is %s, and the verb %q is not allowed in that state", r.Name, r.State, verb)
 	default:
-		return errs.New(errs.BadInput, "%q: give start, pause, resume or abort", verb)
+		return errs.New(errs.BadInput, "unknown retirement verb %q: use start, pause, resume or abort", verb)
 	}
 	return nil
 }
 
-// abort starts to revert what was done: routes first, if any may have been moved.
+// abort enters StateAborting. It begins with the routes if any of them may have been moved, and otherwise
+// with draining the new base model.
 func (r *Retirement) abort(reason string) {
 	first := PhaseRevertDrain
 	if i := slices.Index(phases, r.Phase); i >= slices.Index(phases, PhaseMove) {
@@ -200,7 +208,8 @@
 	r.transition(StateAborting, first, reason)
 }
 
-// transition enters a state and a phase, and appends them to the history.
+// transition sets the state, the phase and the reason, and clears the blockers. A change of state or phase
+// is appended to the history.
 func (r *Retirement) transition(state State, phase Phase, reason string) {
 	if r.State != state || r.Phase != phase {
 		line := strings.TrimSuffix(fmt.Sprintf("%s %s: %s", state, phase, reason), ": ")
@@ -210,7 +219,8 @@
 	r.State, r.Phase, r.Reason, r.Blockers = state, phase, reason, nil
 }
 
-// RecordProof records that a node's incarnation has answered under every element of a set.
+// RecordProof records that an incarnation of a node has answered under the base model and every adapter of
+// a weight set.
 //
 // Example: r.RecordProof("worker-3", incarnation, set)
 func (r *Retirement) RecordProof(node, incarnation string, set WeightSet) {
@@ -224,12 +234,13 @@
 	r.Proofs[node] = Proof{Incarnation: incarnation, Set: set.Fingerprint(), Pass: pass}
 }
 
-// RecordPatch records that the change of the service configuration was acknowledged.
+// RecordPatch records that the current phase's change of the service configuration was acknowledged.
 //
 // Example: r.RecordPatch()
 func (r *Retirement) RecordPatch() { r.ChangeAcked = true }
 
-// RecordUnload records that a node's incarnation acknowledged the order to unload the new base.
+// RecordUnload records that an incarnation of a node acknowledged the order to unload the new base model.
+// It has an effect only in PhaseRevertUnload.
 //
 // Example: r.RecordUnload("worker-3", incarnation)
 func (r *Retirement) RecordUnload(node, incarnation string) {
@@ -249,10 +260,10 @@
 	return &c
 }
 
-// concurrency is how many nodes load, prove or unload at once.
+// concurrency returns how many nodes may load, prove or unload at the same time.
 func (r *Retirement) concurrency() int { return max(1, r.MaxConcurrent) }
 
-// trafficSteps are the percents of requests that are moved, step by step.
+// trafficSteps returns the percentage of requests moved at each traffic step, by default 10, 50 and 100.
 func (r *Retirement) trafficSteps() []int {
 	if len(r.TrafficPercents) == 0 {
 		return []int{10, 50, 100}
@@ -260,29 +271,29 @@
 	return r.TrafficPercents
 }
 
-// Progress describes how far a retirement has come, for people.
+// Progress returns a human-readable description of how far the retirement has come.
 //
 // Example: fmt.Println(r.Progress())
 func (r *Retirement) Progress() string {
 	phase := slices.Index(phases, r.Phase)
 	switch {
 	case r.State == StateDone:
-		return "the old base is gone"
+		return "done: the old base model is unloaded from every node"
 	case r.State == StateAborted:
-		return "as it was before"
+		return "aborted: routes and weights are as they were before the retirement"
 	case r.State == StatePlanned:
-		return "not begun"
+		return "not started yet"
 	case phase < 0:
-		return fmt.Sprintf("%s, %d of %d nodes as before", r.Phase, r.Ready, r.Nodes)
+		return fmt.Sprintf("abort phase %s, %d of %d nodes reverted", r.Phase, r.Ready, r.Nodes)
 	}
 	text := fmt.Sprintf("phase %d of %d (%s), %d of %d nodes ready", phase+1, len(phases), r.Phase, r.Ready, r.Nodes)
 	if steps := r.trafficSteps(); r.Phase == PhaseMove && r.TrafficStep < len(steps) {
-		text += fmt.Sprintf(", share %d of %d: %d percent", r.TrafficStep+1, len(steps), steps[r.TrafficStep])
+		text += fmt.Sprintf(", traffic step %d of %d: %d percent of requests moved", r.TrafficStep+1, len(steps), steps[r.TrafficStep])
 	}
 	return text
 }
 
-// NeedsOperator reports whether a blocker needs an operator.
+// NeedsOperator reports whether the retirement is active and any of its blockers needs an operator.
 //
 // Example: if r.NeedsOperator() { lookIntoIt() }
 func (r *Retirement) NeedsOperator() bool {
--- a/internal/control/retire/weightset.go
+++ b/internal/control/retire/weightset.go
@@ -10,25 +10,26 @@
 	"pebbleloom/internal/maputil"
 )
 
-// fingerprintBytes is how many bytes of the hash a set's fingerprint keeps.
+// fingerprintBytes is the length of WeightSet.Fingerprint in bytes, before hex encoding.
 const fingerprintBytes = 8
 
-// AdapterBuild is one adapter of a set.
+// AdapterBuild is one build of an adapter in a WeightSet.
 type AdapterBuild struct {
 	Name     string
 	Build    uint64
 	MemoryMB int
 }
 
-// WeightSet is a base model with the adapters that a service's workers have loaded on it.
+// WeightSet is a base model together with the adapters that the workers of a service load on it.
 type WeightSet struct {
 	Base     string
 	Weights  uint64         // version of the base model's weights
-	MemoryMB int            // of the base model
+	MemoryMB int            // memory of the base model alone, without adapters
 	Adapters []AdapterBuild // sorted by name
 }
 
-// NewWeightSet returns the set of a base and some adapters, as the service configuration defines them.
+// NewWeightSet returns the weight set of a base model and the named adapters. Versions, builds and memory
+// sizes are those of the service configuration.
 //
 // Example: set := retire.NewWeightSet(config, "lector-2", []string{"rare-2"})
 func NewWeightSet(config *serviceconfig.Config, base string, adapters []string) WeightSet {
@@ -42,7 +43,7 @@
 	return set
 }
 
-// TotalMemoryMB is the memory of a worker that the set uses, in MB.
+// TotalMemoryMB returns the memory that the base model and all adapters of the set take on a worker, in MB.
 //
 // Example: megabytes := set.TotalMemoryMB()
 func (w WeightSet) TotalMemoryMB() int {
@@ -53,8 +54,8 @@
 	return total
 }
 
-// Fingerprint identifies a set: another version of the base or another build of an adapter is another
-// set.
+// Fingerprint returns a hash that identifies the set: it changes with the version of the base model and
+// with the build of any adapter.
 //
 // Example: if proof.Set != set.Fingerprint() { proveAgain() }
 func (w WeightSet) Fingerprint() string {
@@ -66,8 +67,8 @@
 	return fmt.Sprintf("%x", hash.Sum(nil)[:fingerprintBytes])
 }
 
-// loadedBase returns the set's base as a node has it loaded; nil if it has none or another version of
-// it.
+// loadedBase returns the entry of the set's base model among a node's loaded models, or nil if the node
+// does not have it loaded in the set's version.
 func (w WeightSet) loadedBase(loaded []contract.LoadedModel) *contract.LoadedModel {
 	for i := range loaded {
 		if loaded[i].Model == w.Base && loaded[i].Weights == w.Weights {
@@ -77,7 +78,8 @@
 	return nil
 }
 
-// missingAdapter is the first adapter that a node lacks in the required build; nil if it has all.
+// missingAdapter returns the first adapter of the set that is not loaded on a base model in the required
+// build, or nil if all are.
 func (w WeightSet) missingAdapter(base *contract.LoadedModel) *AdapterBuild {
 	for i, adapter := range w.Adapters {
 		if base.Adapters[adapter.Name] != adapter.Build {
@@ -87,7 +89,8 @@
 	return nil
 }
 
-// dependentAdapters lists a service's adapters on a base, sorted by name.
+// dependentAdapters returns the names of the adapters on a base model that a service's workers load,
+// sorted.
 func dependentAdapters(config *serviceconfig.Config, service, base string) []string {
 	var names []string
 	for _, name := range maputil.SortedKeys(config.Adapters) {
@@ -98,7 +101,7 @@
 	return names
 }
 
-// oldAndNewSets are the sets before and after a retirement.
+// oldAndNewSets returns the weight sets that the service's workers have before and after the retirement.
 func (r *Retirement) oldAndNewSets(config *serviceconfig.Config) (oldSet, newSet WeightSet) {
 	var replacements []string
 	for _, adapter := range r.Replacements {
@@ -108,7 +111,8 @@
 	return NewWeightSet(config, r.OldBase, oldAdapters), NewWeightSet(config, r.NewBase, replacements)
 }
 
-// routeMoves maps each of the service's routes on the old base to its new model or adapter.
+// routeMoves returns the routes of the service whose target is the old base model or an adapter on it,
+// each with its new target; the new target is empty if the adapter has no replacement.
 func (r *Retirement) routeMoves(config *serviceconfig.Config) map[string]string {
 	moves := map[string]string{}
 	for name, route := range config.Routes {
