--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -1,9 +1,9 @@
-// Package calendar is the operators' calendar of planned changes to a service, which the service's
-// placement controller carries out step by step: rollouts of new weights, releases of a service's
-// workers in batches, and handovers of a route from one service to another.
+// Package calendar implements operators' scheduled changes to a service: rollouts of new weights, releases
+// that replace a service's workers in batches, and handovers of a route from one service to another. The
+// placement controller of the service carries them out step by step.
 //
-// The package is a pure state machine: Planner decides, and the holder of the service's lease writes
-// the entries and changes the configuration. The JSON keys and values are those of the first release.
+// The package performs no I/O: Planner decides, and the holder of the service's lease writes the entries
+// and changes the service configuration. The JSON keys and values are those of the first release.
 package calendar
 
 import (
@@ -13,21 +13,21 @@
 	"pebbleloom/internal/errs"
 )
 
-// Kind is what an entry changes.
+// Kind is the kind of change that an entry makes.
 type Kind string
 
-// The kinds of entry.
+// Kinds of entries.
 const (
-	KindWeights  Kind = "weights"  // names newer weights, then waits until every worker serves them
-	KindRelease  Kind = "release"  // drains workers in batches, and waits for their replacements
-	KindHandover Kind = "handover" // moves a route's requests to another service, by rising percents
+	KindWeights  Kind = "weights"  // sets a newer version of a model's weights and waits until every worker serves it
+	KindRelease  Kind = "release"  // drains workers in batches and waits until each has been replaced
+	KindHandover Kind = "handover" // moves a route's requests to another service in steps of rising percentage
 )
 
-// State is how far an entry has come.
+// State is the state of an entry, as stored in its document.
 type State string
 
-// The states of an entry. Done, cancelled and undone are final, except that a handover that is done
-// can be undone.
+// States of an entry. Done, cancelled and undone are final, except that a completed handover can still be
+// undone.
 const (
 	StatePlanned   State = "planned"
 	StateRunning   State = "running"
@@ -38,38 +38,38 @@
 	StateUndone    State = "undone"
 )
 
-// Entry is one planned change and its progress. It is one document of the control state, so a new
-// holder of the lease continues where the last one stopped.
+// Entry is one scheduled change and its progress. It is stored as one document of the control state, so that
+// the next holder of the lease continues where the previous one stopped.
 type Entry struct {
 	Name            string   `json:"name"`
 	Service         string   `json:"service"`
 	Kind            Kind     `json:"kind"`
-	NotBefore       string   `json:"at,omitempty"`      // RFC 3339; empty: at once
-	Model           string   `json:"model,omitempty"`   // weights, handover
-	Weights         uint64   `json:"weights,omitempty"` // weights: the new version
-	ToService       string   `json:"to,omitempty"`      // handover
-	Percents        []int    `json:"shares,omitempty"`  // handover: of requests, rising; the last is 100; none: 10, 50, 100
-	SoakS           int      `json:"soak_s,omitempty"`  // handover: seconds to wait at each percent
-	Workers         []string `json:"workers,omitempty"` // release: in this order; none: all of the service
-	BatchSize       int      `json:"at_once,omitempty"` // release: workers; 0: 1
-	MinUpRatio      float64  `json:"keep,omitempty"`    // release: the ratio of the service's workers that stays up
-	MaxFailureRatio float64  `json:"stop_at,omitempty"` // of recent attempts, above which the entry is paused; 0: 0.2
+	NotBefore       string   `json:"at,omitempty"`      // earliest start, in RFC 3339 format; empty: immediately
+	Model           string   `json:"model,omitempty"`   // weights and handover: the model, or the model that the route is named after
+	Weights         uint64   `json:"weights,omitempty"` // weights: the new version of the model's weights
+	ToService       string   `json:"to,omitempty"`      // handover: the service that takes over the route
+	Percents        []int    `json:"shares,omitempty"`  // handover: percent of requests moved at each step, rising to 100; empty: 10, 50, 100
+	SoakS           int      `json:"soak_s,omitempty"`  // handover: seconds to wait after each step
+	Workers         []string `json:"workers,omitempty"` // release: workers in the order of their replacement; empty: all of the service
+	BatchSize       int      `json:"at_once,omitempty"` // release: workers to drain at the same time; 0: 1
+	MinUpRatio      float64  `json:"keep,omitempty"`    // release: ratio of the service's workers that must keep accepting requests
+	MaxFailureRatio float64  `json:"stop_at,omitempty"` // ratio of failed recent attempts above which the entry is paused; 0: 0.2
 
 	State       State  `json:"state"`
-	Reason      string `json:"why,omitempty"` // of the state, or what the current step waits for
+	Reason      string `json:"why,omitempty"` // why the entry is in its state, or what the current step waits for
 	Steps       []Step `json:"steps,omitempty"`
-	CurrentStep int    `json:"step"` // the first that isn't done
+	CurrentStep int    `json:"step"` // index in Steps of the first step that is not done
 }
 
-// KeyPrefix begins the keys of all documents that hold entries.
+// KeyPrefix begins the key of every document that stores an entry.
 const KeyPrefix = "calendar/"
 
-// Key is the key of the document that holds an entry.
+// Key returns the key of the document that stores an entry.
 //
 // Example: calendar.Key("lector-main", "spring") == "calendar/lector-main/spring"
 func Key(service, name string) string { return KeyPrefix + service + "/" + name }
 
-// Decode decodes an entry; the error's kind is errs.BadInput.
+// Decode decodes an entry from JSON. Invalid JSON and unknown fields are errors of the kind errs.BadInput.
 //
 // Example: entry, err := calendar.Decode(doc.Body)
 func Decode(body []byte) (*Entry, error) {
@@ -82,22 +82,22 @@
 	return entry, nil
 }
 
-// Encode encodes an entry.
+// Encode encodes the entry as JSON.
 //
 // Example: body, err := entry.Encode()
 func (e *Entry) Encode() ([]byte, error) {
 	body, err := json.Marshal(e)
-	return body, errs.Wrap(err, "write calendar entry")
+	return body, errs.Wrap(err, "encode calendar entry as JSON")
 }
 
-// Active reports whether the entry isn't in a final state.
+// Active reports whether the entry is planned, running, paused or being undone, and not in a final state.
 //
 // Example: if entry.Active() { … }
 func (e *Entry) Active() bool {
 	return e.State == StatePlanned || e.State == StateRunning || e.State == StatePaused || e.State == StateUndoing
 }
 
-// setReason sets the reason and reports whether it has changed.
+// setReason sets the entry's reason and reports whether it differs from the previous one.
 func (e *Entry) setReason(reason string) bool {
 	changed := e.Reason != reason
 	e.Reason = reason
--- a/internal/control/calendar/planner.go
+++ b/internal/control/calendar/planner.go
@@ -9,55 +9,56 @@
 	"pebbleloom/internal/control/serviceconfig"
 )
 
-// A running entry is paused when too many of its services' recent attempts fail.
+// Limits above which a running entry is paused because recent request attempts of its services fail.
 const (
-	defaultMaxFailureRatio = 0.2
-	minAttemptsToJudge     = 20
+	defaultMaxFailureRatio = 0.2 // failed attempts per attempt; Entry.MaxFailureRatio overrides it
+	minAttemptsToJudge     = 20  // with fewer recent attempts the failure ratio says nothing, and the entry is not paused
 )
 
-// Worker is what the planner needs to know of one of the service's workers.
+// Worker is the observed state of one of the service's workers.
 type Worker struct {
 	Name, Incarnation string
-	Weights           uint64 // the version that it serves
-	AcceptsRequests   bool   // up, and not draining
-	Reachable         bool   // responds to health checks, draining or not
+	Weights           uint64 // version of the weights that the worker serves
+	AcceptsRequests   bool   // whether the worker is up and not draining
+	Reachable         bool   // whether the worker responds to health checks, draining or not
 }
 
-// Observation is what is known when a step is decided.
+// Observation is the input of Planner.Next.
 type Observation struct {
-	WallTime          time.Time     // the median of the control nodes' clocks; zero if no majority responded
-	Now               time.Duration // by the holder's own clock
+	WallTime          time.Time     // median of the control nodes' wall clocks; zero if no majority responded
+	Now               time.Duration // monotonic clock of this process
 	ConfigVersion     uint64
-	EntryVersion      uint64 // of the entry's document, as it was read
+	EntryVersion      uint64 // version of the entry's document
 	Config            *serviceconfig.Config
 	Workers           []Worker
-	Succeeded, Failed float64 // recent attempts of the entry's services
+	Succeeded, Failed float64 // recent request attempts of the entry's services, by outcome
 }
 
-// Action is a change of the service configuration to make now: a patch under a token.
+// Action is a change of the service configuration for the lease holder to make.
 type Action struct {
-	Patch []byte // nil: nothing to do
-	Token string // makes the change once, whoever makes it
+	Patch []byte // JSON merge patch; nil if there is no change to make
+	Token string // idempotency token: the change is applied once, even if several holders make it
 }
 
-// Planner decides the steps of a service's entries. Between calls it remembers only when a soak began,
-// by the holder's own clock; a new holder soaks anew.
+// Planner decides the steps of a service's entries. Its only state between calls is when a soak began, by
+// the clock of this process; a new lease holder starts the soak again.
 type Planner struct {
-	soakStarted map[string]time.Duration // by the entry's name and the step
+	soakStarted map[string]time.Duration // when a soak began, by entry name and step index
 }
 
-// NewPlanner makes a planner that remembers no soak.
+// NewPlanner returns a planner without any state.
 //
 // Example: p := calendar.NewPlanner()
 func NewPlanner() *Planner { return &Planner{map[string]time.Duration{}} }
 
-// Next decides what an entry does now. It returns the entry as it is to be written, whether it has
-// changed, and the action to take once it is written.
+// Next computes what an entry does now. It returns the entry to be written next, the action that the entry
+// already stored allows, and whether the entry has changed.
 //
-// A step that acts is first written as doing, then its action is taken under the step's own token,
-// then it is written as done: see RecordAction. A holder that loses the lease in between leaves it
-// doing. The next holder takes the same action under the same token, on whatever version of the
-// configuration is in force then, and the control state acknowledges an action that was taken.
+// A step that changes the configuration is first written as StepDoing; then its action is performed under
+// the step's own token; then it is written as StepDone, as RecordAction returns it. If a holder loses the
+// lease in between, the next holder performs the same action under the same token, on the version of the
+// configuration that is then in force. The control state acknowledges a token that it has already applied
+// without applying it again.
 //
 // Example: next, action, changed := p.Next(entry, observed)
 func (p *Planner) Next(old *Entry, observed Observation) (next *Entry, action Action, changed bool) {
@@ -77,7 +78,7 @@
 	return next, action, changed
 }
 
-// advance takes a running entry through its current step.
+// advance performs the next transition of a running entry's current step.
 func (p *Planner) advance(entry *Entry, observed Observation) (action Action, changed bool) {
 	if entry.CurrentStep >= len(entry.Steps) {
 		entry.State, entry.Reason = StateDone, ""
@@ -93,7 +94,7 @@
 		return Action{}, true
 	}
 	if patch := entry.patch(step); patch != nil {
-		return Action{marshalPatch(patch), actionToken(entry, observed, "")}, false // RecordAction ends the step
+		return Action{marshalPatch(patch), actionToken(entry, observed, "")}, false // RecordAction completes the step
 	}
 	if reason := p.unmetCompletion(entry, step, observed); reason != "" {
 		return Action{}, entry.setReason(reason)
@@ -103,7 +104,7 @@
 	return Action{}, true
 }
 
-// RecordAction returns the entry after the action that Next returned was acknowledged.
+// RecordAction returns the entry to be written after the action that Next returned was acknowledged.
 //
 // Example: next := calendar.RecordAction(entry)
 func RecordAction(old *Entry) *Entry {
@@ -119,13 +120,15 @@
 	return next
 }
 
+// clone copies an entry, with its own slice of steps.
 func clone(e *Entry) *Entry {
 	c := *e
 	c.Steps = slices.Clone(e.Steps)
 	return &c
 }
 
-// start plans the steps once it is time by a majority's clocks, and reports whether it did.
+// start plans the steps and enters StateRunning once the start time is reached by the median wall clock. It
+// reports whether it did.
 func (e *Entry) start(observed Observation) bool {
 	if e.NotBefore != "" {
 		notBefore, err := time.Parse(time.RFC3339, e.NotBefore)
@@ -135,14 +138,14 @@
 	}
 	steps := e.planSteps(observed)
 	if e.Kind == KindRelease && len(steps) == 0 {
-		return false // no worker is known yet
+		return false // no worker of the service is known yet, so there is nothing to release
 	}
 	e.Steps = steps
 	e.State = StateRunning
 	return true
 }
 
-// stopReason is why a running entry has to be paused; "" if it needn't.
+// stopReason returns why a running entry must be paused, or "" if it may continue.
 func (e *Entry) stopReason(observed Observation) string {
 	limit := e.MaxFailureRatio
 	if limit == 0 {
@@ -155,7 +158,7 @@
 	return ""
 }
 
-// revert takes back what the steps have changed, in one action.
+// revert undoes the configuration changes of all steps in one action.
 func (e *Entry) revert(observed Observation) (action Action, changed bool) {
 	if patch := e.revertPatch(); patch != nil {
 		return Action{marshalPatch(patch), actionToken(e, observed, "undo")}, false
@@ -164,7 +167,7 @@
 	return Action{}, true
 }
 
-// revertPatch is the patch that takes back what the steps have changed; nil if there is nothing to.
+// revertPatch returns the patch that undoes the configuration changes of all steps, or nil if there are none.
 func (e *Entry) revertPatch() object {
 	switch e.Kind {
 	case KindRelease:
@@ -187,25 +190,28 @@
 	return nil
 }
 
-// object is a JSON object of a patch; a nil value removes its key (RFC 7396).
+// object is a JSON object within a merge patch (RFC 7396); a nil value removes its key.
 type object = map[string]any
 
+// routePatch returns a patch of fields of the route that is named after a model.
 func routePatch(model string, fields object) object {
 	return object{"ways": object{model: fields}}
 }
 
+// marshalPatch encodes a patch as JSON.
 func marshalPatch(patch object) []byte {
 	body, err := json.Marshal(patch)
 	if err != nil {
-		panic("calendar: a patch of plain values can't be encoded: " + err.Error())
+		panic("calendar: cannot encode the service configuration patch as JSON: " + err.Error())
 	}
 	return body
 }
 
-// actionToken names one step's action, the same for every holder: nobody writes the entry while the
-// step is doing. The version of the entry's document distinguishes it from a later entry of the
-// same name, whose actions would otherwise count as taken; a step that is resumed after a pause acts
-// again, which changes nothing where it acted before.
+// actionToken returns the idempotency token of the current step's action. Every lease holder computes the
+// same token, because the entry is not written while the step is in StepDoing. The version of the entry's
+// document distinguishes the token from those of a later entry of the same name, whose actions would
+// otherwise count as already applied. A step that is resumed after a pause gets a new token and patches the
+// configuration again, with the same values.
 func actionToken(e *Entry, observed Observation, suffix string) string {
 	return fmt.Sprintf("calendar/%s/%s/%d/%d%s", e.Service, e.Name, observed.EntryVersion, e.CurrentStep, suffix)
 }
--- a/internal/control/calendar/planner_test.go
+++ b/internal/control/calendar/planner_test.go
@@ -14,22 +14,24 @@
 	"pebbleloom/internal/errs"
 )
 
-// testSite is what entries act on: a configuration with its version and the tokens of its changes, and
-// workers that follow it.
+// testSite simulates what entries act on: a service configuration with its version and the idempotency tokens
+// of its changes, and workers that follow the configuration.
 type testSite struct {
 	config   []byte
 	version  uint64
 	tokens   map[string]bool
-	applied  []string // patches
+	applied  []string // applied configuration patches, in order
 	workers  []Worker
 	now      time.Duration
 	wallTime time.Time
-	failed   float64 // of 100 attempts
-	restarts int
+	failed   float64 // failed request attempts of 100
+	restarts int     // workers that were replaced
 }
 
+// firstIncarnation is the incarnation of every worker before it is replaced.
 const firstIncarnation = "incarnation-0"
 
+// newTestSite returns a site with the services s and s2, a route of s, and six workers.
 func newTestSite() *testSite {
 	s := &testSite{version: 1, tokens: map[string]bool{}, wallTime: time.Unix(1e9, 0)}
 	s.config = []byte(`{"models":{"m":{"weights":1}},"services":{"s":{"model":"m"},"s2":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)
@@ -39,6 +41,7 @@
 	return s
 }
 
+// observe returns the observation that a lease holder makes of the site.
 func (s *testSite) observe(tb testing.TB) Observation {
 	tb.Helper()
 	config, err := serviceconfig.Decode(s.config)
@@ -56,8 +59,8 @@
 	}
 }
 
-// apply takes an action on a version of the configuration, once a token, and reports whether it was
-// acknowledged.
+// apply patches the configuration if it still has the given version, and only once for each token. It reports
+// whether the action was acknowledged, which is also so for a repeated token.
 func (s *testSite) apply(tb testing.TB, action Action, version uint64) bool {
 	tb.Helper()
 	if s.tokens[action.Token] {
@@ -75,8 +78,8 @@
 	return true
 }
 
-// advance lets a second pass, in which the workers follow the configuration: drained ones are replaced
-// once.
+// advance lets one second pass, in which the workers follow the configuration. Each worker is replaced when it
+// is drained for the first time.
 func (s *testSite) advance(tb testing.TB) {
 	tb.Helper()
 	config := s.observe(tb).Config
@@ -93,11 +96,13 @@
 	s.wallTime = s.wallTime.Add(time.Second)
 }
 
+// newEntry returns a planned entry "e" of service "s" with the other fields of its argument.
 func newEntry(e Entry) *Entry {
 	e.Name, e.Service, e.State = "e", "s", StatePlanned
 	return &e
 }
 
+// expectedPatches returns the configuration patches that an entry of entriesByKind must apply, in order.
 func expectedPatches(e *Entry) []string {
 	switch e.Kind {
 	case KindWeights:
@@ -112,24 +117,25 @@
 	return patches
 }
 
+// entriesByKind holds one entry of each kind.
 var entriesByKind = []*Entry{
 	newEntry(Entry{Kind: KindWeights, Model: "m", Weights: 2}),
 	newEntry(Entry{Kind: KindRelease, BatchSize: 2, MinUpRatio: 0.5}),
 	newEntry(Entry{Kind: KindHandover, Model: "m", ToService: "s2", Percents: []int{25, 100}, SoakS: 3}),
 }
 
-// crashRun carries out an entry with two holders of the lease. They crash between any two effects:
-// after the entry was written, after the action was acknowledged and before that was written. Responses
-// are lost, and holders that stalled act late.
+// crashRun carries out an entry with two lease holders that crash at random between any two effects: after
+// the entry was written, or after the action was acknowledged but before that was written. Responses are
+// lost, and holders that stalled act late.
 type crashRun struct {
 	random   *rand.Rand
 	site     *testSite
-	entry    *Entry // as it is stored
-	version  int    // of the entry's document
+	entry    *Entry // stored entry
+	version  int    // version of the entry's document
 	planners [2]*Planner
 }
 
-// step lets a random holder take one step; now and then the other one steps while it stalls.
+// step runs one pass of a random holder. Sometimes the other holder completes a pass while this one stalls.
 func (c *crashRun) step(t *testing.T) {
 	t.Helper()
 	holder := c.random.IntN(2)
@@ -139,19 +145,20 @@
 	}
 	next, action, changed := c.planners[holder].Next(read, observed)
 	if action.Patch != nil {
-		if !c.site.apply(t, action, observed.ConfigVersion) || c.random.IntN(5) == 0 { // rejected, or it crashes before it writes
+		if !c.site.apply(t, action, observed.ConfigVersion) || c.random.IntN(5) == 0 { // the patch was rejected, or the holder crashes before it writes the entry
 			c.planners[holder] = NewPlanner()
 			c.site.advance(t)
 			return
 		}
 		next, changed = RecordAction(read), true
 	}
-	if changed && readVersion == c.version && c.random.IntN(5) > 0 { // compare and set; or it crashes before
+	if changed && readVersion == c.version && c.random.IntN(5) > 0 { // a conditional write succeeds, unless the holder crashes before it
 		c.entry, c.version = next, c.version+1
 	}
 	c.site.advance(t)
 }
 
+// stepUndisturbed runs one pass of a holder without a crash or a stall.
 func (c *crashRun) stepUndisturbed(t *testing.T, planner *Planner) {
 	t.Helper()
 	observed := c.observe(t)
@@ -164,6 +171,7 @@
 	}
 }
 
+// observe returns the site's observation with the version of the stored entry.
 func (c *crashRun) observe(t *testing.T) Observation {
 	t.Helper()
 	observed := c.site.observe(t)
@@ -171,8 +179,8 @@
 	return observed
 }
 
-// Whatever holders crash between any two effects, every step acts once and in order, and none is
-// skipped.
+// Lease holders crash at random between any two effects. Every step must still change the configuration
+// exactly once and in order, and none may be skipped.
 func TestEveryStepRunsOnceDespiteHolderCrashes(t *testing.T) {
 	for _, entry := range entriesByKind {
 		for seed := range uint64(300) {
@@ -181,16 +189,17 @@
 				run.step(t)
 			}
 			if run.entry.State != StateDone {
-				t.Fatalf("%s, seed %d: %s at step %d, %s", entry.Kind, seed, run.entry.State, run.entry.CurrentStep, run.entry.Reason)
+				t.Fatalf("entry of kind %s, seed %d: state %s at step %d with reason %q after 400 passes, want done", entry.Kind, seed, run.entry.State, run.entry.CurrentStep, run.entry.Reason)
 			}
 			if got, want := strings.Join(run.site.applied, "\n"), strings.Join(expectedPatches(entry), "\n"); got != want {
-				t.Fatalf("%s, seed %d: patches\n%s\nwant\n%s", entry.Kind, seed, got, want)
+				t.Fatalf("entry of kind %s, seed %d: applied configuration patches\n%s\nwant\n%s", entry.Kind, seed, got, want)
 			}
 		}
 	}
 }
 
-// A planted fault: tokens are forgotten. The check above must see that actions are taken twice.
+// The simulated site forgets its idempotency tokens, so that a repeated action is applied again. The recorded
+// patches must show this, or TestEveryStepRunsOnceDespiteHolderCrashes could not detect a duplicate.
 func TestDuplicatedActionsAreDetected(t *testing.T) {
 	site, entry, planner := newTestSite(), entriesByKind[0], NewPlanner()
 	for range 10 {
@@ -198,7 +207,7 @@
 		next, action, changed := planner.Next(entry, observed)
 		if action.Patch != nil {
 			clear(site.tokens)
-			site.apply(t, action, observed.ConfigVersion) // and it crashes before it writes
+			site.apply(t, action, observed.ConfigVersion) // the holder crashes before it writes the entry
 			continue
 		}
 		if changed {
@@ -206,11 +215,11 @@
 		}
 	}
 	if len(site.applied) < 2 {
-		t.Errorf("patches %v", site.applied)
+		t.Errorf("applied patches %v, want a duplicate because the site forgets idempotency tokens", site.applied)
 	}
 }
 
-// advanceEntry carries out an entry for so many steps without faults.
+// advanceEntry runs a number of passes of a lease holder without faults and returns the resulting entry.
 func advanceEntry(t *testing.T, site *testSite, planner *Planner, entry *Entry, steps int) *Entry {
 	t.Helper()
 	for range steps {
@@ -227,48 +236,50 @@
 	return entry
 }
 
-// An entry starts when the median clock says so; a clock that isn't known doesn't start it, and one
-// that goes back after the start changes nothing.
+// An entry starts once the median wall clock reaches its start time. It does not start while no majority
+// reports a clock, and a clock that is set back after the start changes nothing.
 func TestStartWaitsForMajorityClock(t *testing.T) {
 	site, planner := newTestSite(), NewPlanner()
 	entry := newEntry(Entry{Kind: KindWeights, Model: "m", Weights: 2, NotBefore: time.Unix(1e9+100, 0).UTC().Format(time.RFC3339)})
 	if entry = advanceEntry(t, site, planner, entry, 50); entry.State != StatePlanned {
-		t.Fatalf("started before its time: %s", entry.State)
+		t.Fatalf("50 s before its start time the entry is in state %s, want planned", entry.State)
 	}
 	wallTime := site.wallTime
 	site.wallTime = time.Time{}
 	if next, _, changed := planner.Next(entry, site.observe(t)); changed || next.State != StatePlanned {
-		t.Fatal("started though no majority reported its clock")
+		t.Fatal("the entry changed although no majority of control nodes reported a clock")
 	}
 	site.wallTime = wallTime.Add(51 * time.Second)
 	if entry = advanceEntry(t, site, planner, entry, 1); entry.State != StateRunning {
-		t.Fatalf("it is time to start, yet it is %s", entry.State)
+		t.Fatalf("the start time is reached, but the entry is in state %s, want running", entry.State)
 	}
 	site.wallTime = site.wallTime.Add(-time.Hour)
 	if entry = advanceEntry(t, site, planner, entry, 20); entry.State != StateDone || len(site.applied) != 1 {
-		t.Fatalf("the clock went back: %s, patches %v", entry.State, site.applied)
+		t.Fatalf("the clock was set back by an hour after the start: state %s, applied patches %v, want done and one patch", entry.State, site.applied)
 	}
 }
 
+// A running handover is paused when 30 of 100 request attempts fail, changes nothing while it is paused, and
+// can be undone. Undoing a release removes its draining marks.
 func TestPauseStopUndo(t *testing.T) {
 	site, planner := newTestSite(), NewPlanner()
 	entry := advanceEntry(t, site, planner, entriesByKind[2], 4)
 	if entry.State != StateRunning {
-		t.Fatalf("%+v", entry)
+		t.Fatalf("handover after four passes: %+v, want it running", entry)
 	}
 	site.failed = 30
 	if entry = advanceEntry(t, site, planner, entry, 1); entry.State != StatePaused || !strings.Contains(entry.Reason, "30 of 100") {
-		t.Fatalf("30 of 100 attempts fail: %s %s", entry.State, entry.Reason)
+		t.Fatalf("30 of 100 attempts fail: state %s, reason %q, want paused with these figures as reason", entry.State, entry.Reason)
 	}
 	applied := len(site.applied)
 	if entry = advanceEntry(t, site, planner, entry, 20); len(site.applied) != applied {
-		t.Fatal("acted while paused")
+		t.Fatal("the handover patched the configuration while it was paused")
 	}
 	if err := entry.ApplyVerb(VerbUndo); err != nil {
 		t.Fatal(err)
 	}
 	if entry = advanceEntry(t, site, planner, entry, 3); entry.State != StateUndone || site.observe(t).Config.Routes["m"] != (serviceconfig.Route{Service: "s"}) {
-		t.Fatalf("undone: %s, route %+v", entry.State, site.observe(t).Config.Routes["m"])
+		t.Fatalf("handover after undo: state %s, route %+v, want undone and the route at service s alone", entry.State, site.observe(t).Config.Routes["m"])
 	}
 	site = newTestSite()
 	entry = advanceEntry(t, site, planner, entriesByKind[1], 3)
@@ -276,14 +287,15 @@
 		t.Fatal(err)
 	}
 	if entry = advanceEntry(t, site, planner, entry, 3); entry.State != StateUndone || len(site.observe(t).Config.Draining) > 0 {
-		t.Fatalf("undone: %s, draining %v", entry.State, site.observe(t).Config.Draining)
+		t.Fatalf("release after undo: state %s, draining %v, want undone and no worker draining", entry.State, site.observe(t).Config.Draining)
 	}
 	if err := entry.ApplyVerb(VerbResume); errs.KindOf(err) != errs.Conflict {
-		t.Errorf("resumed after it was undone: %v", err)
+		t.Errorf("resume an undone release: error %v, want the kind Conflict", err)
 	}
 }
 
-// A release waits for capacity rather than drain more workers than it may.
+// A release waits while draining its batch would leave fewer workers accepting requests than MinUpRatio
+// requires.
 func TestReleaseKeepsCapacity(t *testing.T) {
 	site, planner := newTestSite(), NewPlanner()
 	for i := range 3 {
@@ -293,19 +305,19 @@
 	for range 5 {
 		next, action, changed := planner.Next(entry, site.observe(t))
 		if action.Patch != nil {
-			t.Fatalf("drained %s with three of six up", action.Patch)
+			t.Fatalf("the release drains %s, which leaves one of six workers accepting requests, want at least three", action.Patch)
 		}
 		if changed {
 			entry = next
 		}
 	}
 	if !strings.Contains(entry.Reason, "capacity") {
-		t.Errorf("%+v", entry)
+		t.Errorf("release without enough capacity: %+v, want a reason that names the capacity", entry)
 	}
 }
 
-// A step that a new holder takes again, on a later version of the configuration, has the same token; a
-// later entry of the same name has another, or its actions would count as taken.
+// A step that a new lease holder repeats, on a later version of the configuration, has the same token. A later
+// entry of the same name has another token, or its actions would count as already applied.
 func TestStepTokenIsStableAcrossHolders(t *testing.T) {
 	entry := newEntry(Entry{Kind: KindRelease, BatchSize: 2, Workers: []string{"w0", "w1"}})
 	tokens := map[string]string{}
@@ -323,10 +335,10 @@
 		observed.EntryVersion, observed.ConfigVersion = test.entryVersion, test.configVersion
 		_, action, _ := NewPlanner().Next(doing, observed)
 		if tokens[test.holder] = action.Token; action.Patch == nil || action.Token == "" {
-			t.Fatalf("%s: no action: %+v", test.holder, doing)
+			t.Fatalf("holder %q: got no action with a token for the entry %+v", test.holder, doing)
 		}
 	}
 	if tokens["first"] != tokens["second"] || tokens["first"] == tokens["of a later entry"] {
-		t.Errorf("tokens %v", tokens)
+		t.Errorf("action tokens by holder %v: want equal ones for the same entry and another for the later entry", tokens)
 	}
 }
--- a/internal/control/calendar/steps.go
+++ b/internal/control/calendar/steps.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// StepKind is what a step does, or waits for.
+// StepKind is the change of the service configuration that a step makes, or the condition that it waits for.
 type StepKind string
 
-// The kinds of step. Those that act change the configuration; the others wait.
+// Kinds of steps.
 const (
-	StepNameWeights   StepKind = "name"     // acts: names the new weights
-	StepAwaitWeights  StepKind = "see"      // until every worker serves them
-	StepDrain         StepKind = "drain"    // acts: drains a batch of workers
-	StepAwaitReplaced StepKind = "replaced" // until each of them is back as a new incarnation
-	StepUndrain       StepKind = "back"     // acts: lets them get requests again
-	StepSetPercent    StepKind = "share"    // acts: sends a percent of the requests to the other service
-	StepSoak          StepKind = "soak"     // for the entry's soak time
+	StepNameWeights   StepKind = "name"     // sets the new version of the model's weights in the configuration
+	StepAwaitWeights  StepKind = "see"      // waits until every worker serves the new weights
+	StepDrain         StepKind = "drain"    // marks a batch of workers as draining in the configuration
+	StepAwaitReplaced StepKind = "replaced" // waits until each worker of the batch is reachable as a new incarnation
+	StepUndrain       StepKind = "back"     // removes the draining marks of the batch, so that its workers get requests again
+	StepSetPercent    StepKind = "share"    // sends a percentage of the route's requests to the other service
+	StepSoak          StepKind = "soak"     // waits for the entry's soak time
 )
 
-// StepState is how far a step has come.
+// StepState is the state of a step, as stored in the entry's document.
 type StepState string
 
-// The states of a step.
+// States of a step.
 const (
 	StepPending StepState = "todo"
-	StepDoing   StepState = "doing"
+	StepDoing   StepState = "doing" // the step has begun, and its configuration change may already be applied
 	StepDone    StepState = "done"
 )
 
-// Step is one step of an entry and its progress.
+// Step is one step of an entry with its progress.
 type Step struct {
 	Kind         StepKind          `json:"do"`
-	Workers      []string          `json:"on,omitempty"`
-	Percent      int               `json:"share,omitempty"`
-	Incarnations map[string]string `json:"lives,omitempty"` // of the workers before the step
+	Workers      []string          `json:"on,omitempty"`    // release: workers of the batch
+	Percent      int               `json:"share,omitempty"` // handover: percent of requests moved
+	Incarnations map[string]string `json:"lives,omitempty"` // StepDrain: incarnation of each worker before it was drained
 	State        StepState         `json:"state"`
 }
 
-// allRequests is the percent at which a handover ends.
+// allRequests is the percentage at which a handover is complete.
 const allRequests = 100
 
-// defaultPercents are those of a handover that names none.
+// defaultPercents returns the percentages of a handover that sets none.
 func defaultPercents() []int { return []int{10, 50, allRequests} }
 
+// pendingStep returns a step of a kind in StepPending.
 func pendingStep(kind StepKind) Step { return Step{Kind: kind, State: StepPending} }
 
-// planSteps lists the steps of an entry that starts now.
+// planSteps returns the steps of an entry that starts now.
 func (e *Entry) planSteps(observed Observation) []Step {
 	switch e.Kind {
 	case KindWeights:
@@ -60,6 +61,7 @@
 	return nil
 }
 
+// planRelease returns three steps for each batch of workers: drain, wait for the replacements, undrain.
 func (e *Entry) planRelease(observed Observation) []Step {
 	names := e.Workers
 	if len(names) == 0 {
@@ -79,6 +81,7 @@
 	return steps
 }
 
+// planHandover returns two steps for each percentage: set it, then soak.
 func (e *Entry) planHandover() []Step {
 	percents := e.Percents
 	if len(percents) == 0 {
@@ -95,7 +98,7 @@
 	return steps
 }
 
-// unmetPrecondition is why a step can't begin yet; "" if it can.
+// unmetPrecondition returns why a step cannot begin yet, or "" if it can.
 func (e *Entry) unmetPrecondition(step *Step, observed Observation) string {
 	config := observed.Config
 	if config == nil {
@@ -120,23 +123,23 @@
 	return ""
 }
 
-// missingCapacity is why a batch can't be drained yet: too few other workers are up.
+// missingCapacity returns why a batch cannot be drained yet, or "" if enough other workers accept requests.
 func (e *Entry) missingCapacity(step *Step, observed Observation) string {
-	stayUp := 0
+	remaining := 0
 	for _, worker := range observed.Workers {
 		if worker.AcceptsRequests && !slices.Contains(step.Workers, worker.Name) {
-			stayUp++
+			remaining++
 		}
 	}
 	needed := e.MinUpRatio * float64(len(observed.Workers))
-	if stayUp < 1 || float64(stayUp) < needed {
-		return fmt.Sprintf("waits for capacity: %d workers would stay up, %.0f are to", stayUp, max(1, needed))
+	if remaining < 1 || float64(remaining) < needed {
+		return fmt.Sprintf("waits for capacity: %d workers would stay up, %.0f are to", remaining, max(1, needed))
 	}
 	return ""
 }
 
-// recordIncarnations records the incarnations of the workers that the step drains, which distinguish
-// their replacements.
+// recordIncarnations records the incarnation of each worker before the step drains it. A worker counts as
+// replaced once it reports another incarnation.
 func (s *Step) recordIncarnations(observed Observation) {
 	if s.Kind != StepDrain {
 		return
@@ -149,7 +152,7 @@
 	}
 }
 
-// patch is the change of the configuration that a step makes; nil for one that waits.
+// patch returns the configuration patch of a step, or nil for a step that waits.
 func (e *Entry) patch(step *Step) object {
 	switch step.Kind {
 	case StepNameWeights:
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// drainPatch sets the workers to draining, or removes them with nil.
+// drainPatch returns a patch that marks workers as draining, or removes the marks if draining is nil.
 func drainPatch(workers []string, draining any) object {
 	fields := object{}
 	for _, worker := range workers {
@@ -176,7 +179,7 @@
 	return object{"drains": fields}
 }
 
-// unmetCompletion is why a step that waits isn't over; "" if it is.
+// unmetCompletion returns why a step that waits is not complete, or "" if it is.
 func (p *Planner) unmetCompletion(entry *Entry, step *Step, observed Observation) string {
 	switch step.Kind {
 	case StepAwaitWeights:
@@ -202,14 +205,15 @@
 	return ""
 }
 
-// isReplaced reports whether a worker is reachable as another incarnation than the one before.
-func isReplaced(name, before string, observed Observation) bool {
+// isReplaced reports whether a worker is reachable under an incarnation other than the previous one.
+func isReplaced(name, previous string, observed Observation) bool {
 	return slices.ContainsFunc(observed.Workers, func(w Worker) bool {
-		return w.Name == name && w.Reachable && w.Incarnation != "" && w.Incarnation != before
+		return w.Name == name && w.Reachable && w.Incarnation != "" && w.Incarnation != previous
 	})
 }
 
-// remainingSoak is why a soak isn't over. It begins when the planner first sees it.
+// remainingSoak returns why a soak is not over, or "" if it is. The soak begins when this planner first
+// evaluates the step.
 func (p *Planner) remainingSoak(entry *Entry, step *Step, observed Observation) string {
 	key := fmt.Sprintf("%s/%d", entry.Name, entry.CurrentStep)
 	started, ok := p.soakStarted[key]
--- a/internal/control/calendar/validate.go
+++ b/internal/control/calendar/validate.go
@@ -8,15 +8,16 @@
 	"pebbleloom/internal/errs"
 )
 
+// Limits of an entry's fields.
 const (
 	maxNameBytes = 64
-	maxSoakS     = 86400 // seconds: a day
+	maxSoakS     = 86400 // one day, in seconds
 )
 
-// faultFunc reports a fault of a field, named by its JSON key.
+// faultFunc reports a validation fault of a field, which is named by its JSON key.
 type faultFunc func(field, format string, args ...any)
 
-// Validate reports every fault of a new entry; their kind is errs.BadInput.
+// Validate adds every fault of a new entry to a batch. All faults are of the kind errs.BadInput.
 //
 // Example: entry.Validate(&faults)
 func (e *Entry) Validate(faults *errs.Batch) {
@@ -27,56 +28,59 @@
 	validateName("service", e.Service, report)
 	if e.NotBefore != "" {
 		if _, err := time.Parse(time.RFC3339, e.NotBefore); err != nil {
-			report("at", "%q: give a time like 2027-01-31T06:00:00Z", e.NotBefore)
+			report("at", "invalid start time %q: use RFC 3339 format, as in 2027-01-31T06:00:00Z", e.NotBefore)
 		}
 	}
 	switch e.Kind {
 	case KindWeights:
 		if e.Model == "" || e.Weights == 0 {
-			report("model, weights", "missing: name the model and its newer weights version")
+			report("model, weights", "model or weights version is missing: set both")
 		}
 	case KindRelease:
 		if e.BatchSize < 0 || e.MinUpRatio < 0 || e.MinUpRatio >= 1 {
-			report("at_once, keep", "%d, %g: give at_once from 1, keep from 0 to under 1", e.BatchSize, e.MinUpRatio)
+			report("at_once, keep", "batch size %d or ratio of workers to keep %g is out of range: use at_once of 1 or more and keep from 0 to below 1", e.BatchSize, e.MinUpRatio)
 		}
 	case KindHandover:
 		e.validateHandover(report)
 	default:
-		report("kind", "%q: give weights, release or handover", e.Kind)
+		report("kind", "unknown kind of calendar entry %q: use weights, release or handover", e.Kind)
 	}
 	if e.MaxFailureRatio < 0 || e.MaxFailureRatio > 1 {
-		report("stop_at", "%g: give a share from 0 to 1", e.MaxFailureRatio)
+		report("stop_at", "failure ratio %g is out of range: use 0 to 1", e.MaxFailureRatio)
 	}
 }
 
+// validateName reports a fault if the name of an entry or service is empty, too long, or contains a space, a
+// line break or a slash.
 func validateName(field, name string, report faultFunc) {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name, " /\x00\n") {
-		report(field, "%q: give a word of 1 to 64 letters without spaces or slashes", name)
+		report(field, "invalid name %q: use 1 to 64 characters without spaces, line breaks or slashes", name)
 	}
 }
 
+// validateHandover reports the faults of the fields that only a handover uses.
 func (e *Entry) validateHandover(report faultFunc) {
 	if e.Model == "" || e.ToService == "" || e.ToService == e.Service {
-		report("model, to", "name the route's model and the other service")
+		report("model, to", "a handover needs the model that the route is named after and a service other than the current one")
 	}
 	last := 0
 	for _, percent := range e.Percents {
 		if percent <= last || percent > allRequests {
-			report("shares", "%v: give rising percents", e.Percents)
+			report("shares", "percentages %v must rise from step to step and not exceed 100", e.Percents)
 			break
 		}
 		last = percent
 	}
 	if len(e.Percents) > 0 && last != allRequests {
-		report("shares", "%v: end with 100", e.Percents)
+		report("shares", "percentages %v must end with 100", e.Percents)
 	}
 	if e.SoakS < 0 || e.SoakS > maxSoakS {
-		report("soak_s", "%d: give 0 to 86400", e.SoakS)
+		report("soak_s", "soak time of %d s is out of range: use 0 to 86400", e.SoakS)
 	}
 }
 
-// CheckConflicts returns an errs.Conflict that names the first of the other entries that changes the
-// same service at the same time; nil if there is none.
+// CheckConflicts returns an error of the kind errs.Conflict if another active entry changes the same service.
+// The error names both entries.
 //
 // Example: if err := entry.CheckConflicts(others); err != nil { return err }
 func (e *Entry) CheckConflicts(others []*Entry) error {
@@ -84,10 +88,10 @@
 		if other.Name == e.Name && other.Service == e.Service || !other.Active() || !e.Active() {
 			continue
 		}
-		for _, mine := range e.services() {
-			for _, theirs := range other.services() {
-				if mine == theirs {
-					return errs.New(errs.Conflict, "entry %q (%s) clashes with entry %q (%s, %s): both move service %s", e.Name, e.Kind, other.Name, other.Kind, other.State, mine)
+		for _, service := range e.services() {
+			for _, otherService := range other.services() {
+				if service == otherService {
+					return errs.New(errs.Conflict, "calendar entry %q (%s) clashes with entry %q (%s, %s): both change service %s", e.Name, e.Kind, other.Name, other.Kind, other.State, service)
 				}
 			}
 		}
@@ -95,7 +99,7 @@
 	return nil
 }
 
-// services lists the services that the entry changes.
+// services returns the services that the entry changes.
 func (e *Entry) services() []string {
 	if e.Kind == KindHandover {
 		return []string{e.Service, e.ToService}
--- a/internal/control/calendar/verbs.go
+++ b/internal/control/calendar/verbs.go
@@ -2,22 +2,23 @@
 
 import "pebbleloom/internal/errs"
 
-// Verb is an operator's request to an entry.
+// Verb is an operator's request to control an entry.
 type Verb string
 
-// The verbs.
+// Verbs that operators may apply to an entry.
 const (
 	VerbPause  Verb = "pause"
 	VerbResume Verb = "resume"
-	VerbCancel Verb = "cancel" // before the first step
-	VerbUndo   Verb = "undo"   // after it
+	VerbCancel Verb = "cancel" // ends an entry that has not started
+	VerbUndo   Verb = "undo"   // reverts the configuration changes of an entry that has started
 )
 
+// byOperator is the Entry.Reason of a state that an operator requested.
 const byOperator = "by an operator"
 
-// ApplyVerb applies an operator's request to the entry's state. It changes the state alone; the holder
-// of the lease carries out what follows from it. The error's kind is errs.Conflict if the verb isn't
-// allowed in this state, errs.BadInput if it is unknown.
+// ApplyVerb applies an operator's request to the entry. Only the state and its reason change; the lease
+// holder performs the resulting actions. The error is of the kind errs.Conflict if the current state does
+// not allow the verb, and errs.BadInput if the verb is unknown.
 //
 // Example: err := entry.ApplyVerb(calendar.VerbPause)
 func (e *Entry) ApplyVerb(verb Verb) error {
@@ -31,7 +32,7 @@
 	case VerbUndo:
 		return e.undo()
 	}
-	return errs.New(errs.BadInput, "%q: give pause, resume, cancel or undo", verb)
+	return errs.New(errs.BadInput, "unknown calendar verb %q: use pause, resume, cancel or undo", verb)
 }
 
 func (e *Entry) pause() error {
@@ -59,7 +60,7 @@
 		e.State, e.Reason = StateCancelled, byOperator
 		return nil
 	case e.Active():
-		return errs.New(errs.Conflict, "entry %q has begun: undo it, or let it end", e.Name)
+		return errs.New(errs.Conflict, "calendar entry %q has started and cannot be cancelled: undo it, or let it finish", e.Name)
 	}
 	return e.notAllowed(VerbCancel)
 }
@@ -67,7 +68,7 @@
 func (e *Entry) undo() error {
 	switch {
 	case e.Kind == KindWeights && len(e.Steps) > 0:
-		return errs.New(errs.Conflict, "weights don't go back: name a later version with the older weights in it")
+		return errs.New(errs.Conflict, "a started rollout of weights cannot be undone, because weights versions only increase: publish the older weights under a newer version and roll that out")
 	case e.State == StateRunning || e.State == StatePaused || e.State == StateDone && e.Kind == KindHandover:
 		e.State, e.Reason = StateUndoing, byOperator
 		return nil
@@ -76,5 +77,5 @@
 }
 
 func (e *Entry) notAllowed(verb Verb) error {
-	return errs.New(errs.Conflict, "entry %q is %s: %s doesn't go with that", e.Name, e.State, verb)
+	return errs.New(errs.Conflict, "calendar entry %q is %s, and the verb %q is not allowed in that state", e.Name, e.State, verb)
 }
