--- a/internal/control/placementcontroller/acquire_test.go
+++ b/internal/control/placementcontroller/acquire_test.go
@@ -14,8 +14,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// A holder that has lost its lease and acquired it again, or whose last write of the placement failed, holds the
-// placement of before but not the document: until it has read that again it neither advances the roll-out nor writes.
+// After a lease was lost and acquired again, or after a write of the placement failed, the controller still has the
+// previous placement in memory but not its stored document. Until it has read the document again, it must neither
+// advance the rollout nor write the placement.
 func TestRolloutWaitsForStoredPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clk := clock.Synctest()
@@ -30,7 +31,7 @@
 			Weights: map[string]updatestream.WeightsHistory{"m": {Version: 2}},
 		}
 		if err := controller.stepRollout(service, snapshot, serviceconfig.Service{Model: "m"}); err != nil || len(service.rollout.Batch) != 0 {
-			t.Errorf("the roll-out advances to %v, %v", service.rollout.Batch, err)
+			t.Errorf("rollout without a stored placement: batch %v, error %v, want an empty batch and no error", service.rollout.Batch, err)
 		}
 	})
 }
--- a/internal/control/placementcontroller/actions.go
+++ b/internal/control/placementcontroller/actions.go
@@ -9,18 +9,18 @@
 	"pebbleloom/internal/settings"
 )
 
-// actionBatch is the actions of one step, with what they need.
+// actionBatch executes the actions of one retirement step or repair.
 type actionBatch struct {
 	*Controller
 	svc           *serviceController
-	retirement    *retire.Retirement // records what is acknowledged; nil for repairs
-	configVersion uint64             // of the service configuration that patches apply to
-	addrs         map[string]string  // of the nodes, by name
+	retirement    *retire.Retirement // retirement that records acknowledged actions; nil for a repair
+	configVersion uint64             // version of the service configuration that patches apply to
+	addrs         map[string]string  // addresses of the nodes, by name
 }
 
-// execute performs the actions, all at once, and records in the retirement what was acknowledged;
-// recorded reports whether there was any. The lease is checked right before each action, and none may
-// take longer than an order.
+// execute performs all actions concurrently and records the acknowledged ones in the retirement; recorded
+// reports whether this changed the retirement. The lease is checked immediately before each action, and
+// all actions must end within the timeout of an order.
 func (b *actionBatch) execute(actions []retire.Action) (recorded bool, err error) {
 	ctx, cancel := context.WithTimeout(b.process.Ctx, b.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
 	defer cancel()
@@ -31,7 +31,7 @@
 		wg.Go(func() {
 			token, ok := b.svc.lease.FencingToken()
 			if !ok {
-				return // another machine may hold it soon
+				return // the lease has expired or is about to, and another machine may acquire it
 			}
 			err := b.executeAction(ctx, action, token)
 			mu.Lock()
@@ -47,6 +47,8 @@
 	return recorded, failures.Err()
 }
 
+// executeAction performs one action: it patches the service configuration, sends an order under the fencing
+// token, or requests a proof.
 func (b *actionBatch) executeAction(ctx context.Context, action retire.Action, token uint64) error {
 	switch {
 	case action.Patch != nil:
@@ -59,17 +61,17 @@
 	}
 }
 
-// recordFailure records a failed action: a failed proof blocks the retirement, with its reason; any other
-// failure is an error of the step.
+// recordFailure records a failed action. A failed proof is passed to the planner, which names it as the reason
+// of a blocker; any other failure is added to the errors of the step.
 func (b *actionBatch) recordFailure(action retire.Action, err error, failures *errs.Batch) {
 	if action.ProofSet != nil {
 		b.svc.retirementPlanner.RecordFailedProof(action.Node, err.Error())
 		return
 	}
-	failures.Add("retire "+action.Node, err)
+	failures.Add("retirement or repair of node "+action.Node, err)
 }
 
-// recordSuccess records an acknowledged action, and reports whether the retirement changed.
+// recordSuccess records an acknowledged action in the retirement and reports whether the retirement changed.
 func (b *actionBatch) recordSuccess(action retire.Action) bool {
 	switch {
 	case action.Patch != nil:
--- a/internal/control/placementcontroller/calendar.go
+++ b/internal/control/placementcontroller/calendar.go
@@ -10,9 +10,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// stepCalendar advances the service's calendar by one step. Entries are read by majority and written
-// under the lease's fencing token onto the version that was read, and moves are made onto the service
-// configuration's version: a past holder can't change anything.
+// stepCalendar advances each active calendar entry of the service by one step. Entries are read from a
+// majority, and written under the lease's fencing token and only onto the version that was read. Patches
+// apply only to the observed version of the service configuration. A previous lease holder can therefore
+// change nothing.
 func (c *Controller) stepCalendar(svc *serviceController, snapshot *updatestream.Snapshot) error {
 	stored, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{
 		Shard:  controlclient.ShardOf(svc.name),
@@ -20,10 +21,10 @@
 		Prefix: true,
 	})
 	if err != nil {
-		return errs.Wrap(err, "read calendar")
+		return errs.Wrap(err, "read calendar entries of the service")
 	}
 	var failures errs.Batch
-	recentUsage := sync.OnceValue(c.collectUsage) // at most once a step, and only for an active entry
+	recentUsage := sync.OnceValue(c.collectUsage) // queries the node agents at most once per step, and only if an entry is active
 	for _, document := range stored.Documents {
 		entry, err := calendar.Decode(document.Body)
 		if failures.Add(document.Key, err); err != nil || !entry.Active() || entry.State == calendar.StatePaused {
@@ -38,35 +39,35 @@
 	return failures.Err()
 }
 
-// stepEntry advances one entry of the calendar: it makes the entry's move, if one is due, and writes the
-// entry if it changed. It returns false if the lease is no longer held.
+// stepEntry advances one calendar entry: it applies the entry's patch of the service configuration, if one
+// is due, and writes the entry if it changed. It returns false if the lease is no longer held.
 func (c *Controller) stepEntry(svc *serviceController, document *wire.Document, entry *calendar.Entry,
 	observation calendar.Observation, failures *errs.Batch) bool {
-	next, move, changed := svc.calendarPlanner.Next(entry, observation)
-	if move.Patch != nil {
+	next, action, changed := svc.calendarPlanner.Next(entry, observation)
+	if action.Patch != nil {
 		if _, ok := svc.lease.FencingToken(); !ok {
 			return false
 		}
-		err := c.patchConfig(c.process.Ctx, move.Patch, observation.ConfigVersion, move.Token)
+		err := c.patchConfig(c.process.Ctx, action.Patch, observation.ConfigVersion, action.Token)
 		switch {
 		case err == nil:
 			next = calendar.RecordAction(entry)
-		case errs.KindOf(err) == errs.BadInput: // an operator must correct it
+		case errs.KindOf(err) == errs.BadInput: // the patch is invalid, and an operator must correct the entry
 			next = entry
 			next.State, next.Reason = calendar.StatePaused, "stopped: "+err.Error()
 		default:
-			failures.Add("move of "+entry.Name, err)
+			failures.Add("patch service configuration for calendar entry "+entry.Name, err)
 			return true
 		}
 		changed = true
 	}
 	if changed {
-		failures.Add("write "+entry.Name, c.writeCalendarEntry(svc, document, next))
+		failures.Add("calendar entry "+entry.Name, c.writeCalendarEntry(svc, document, next))
 	}
 	return true
 }
 
-// writeCalendarEntry writes an entry if the lease is still held.
+// writeCalendarEntry writes a calendar entry if the lease is still held, and logs its progress.
 func (c *Controller) writeCalendarEntry(svc *serviceController, document *wire.Document, entry *calendar.Entry) error {
 	token, ok := svc.lease.FencingToken()
 	if !ok {
@@ -77,14 +78,14 @@
 		return err
 	}
 	if _, err := c.writeDocument(svc, token, document.Key, body, document.Version); err != nil {
-		return errs.Wrap(err, "write entry")
+		return errs.Wrap(err, "write calendar entry")
 	}
 	c.process.Log.Info("calendar", "entry", entry.Name, "service", entry.Service, "state", entry.State,
 		"step", entry.CurrentStep, "reason", entry.Reason)
 	return nil
 }
 
-// observeCalendar gathers what an entry's next step depends on.
+// observeCalendar gathers the input of the next step of a calendar entry.
 func (c *Controller) observeCalendar(service string, snapshot *updatestream.Snapshot, entry *calendar.Entry,
 	recentUsage func() usage) calendar.Observation {
 	observation := calendar.Observation{Now: c.clock.Now(), ConfigVersion: snapshot.ConfigVersion, Config: snapshot.Config}
@@ -93,7 +94,7 @@
 	}
 	recent := recentUsage()
 	for _, worker := range snapshot.Workers {
-		// The failures of the service that a handover leads to stop it too.
+		// Failed attempts at the service that takes over the route count as well, and can pause the handover.
 		receiving := entry.Kind == calendar.KindHandover && worker.Service == entry.ToService
 		if worker.Service != service && !receiving {
 			continue
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -9,38 +9,39 @@
 	"pebbleloom/internal/wire"
 )
 
-// Hysteresis and limits of the replicated set. A wider hysteresis changes the set less often and follows
-// the accesses less closely.
+// Hysteresis and limits of the set of replicated entries, which every worker caches. With a wider hysteresis
+// the set changes less often, but follows the access frequencies less closely.
 const (
-	retainRatio             = 0.7 // an entry leaves the set only below this ratio of the threshold
-	swapInRatio             = 1.3 // between full computations an entry swaps in only above this multiple of the coldest
-	replicatedCapacityRatio = 0.5 // of a worker's cache capacity: what the set may use
-	sharedHotness           = 1.5 // an entry this hot had more than one recent request: it is shared
+	retainRatio             = 0.7 // a replicated entry leaves the set only if its frequency is below this ratio of the threshold
+	swapInRatio             = 1.3 // between full computations, an entry swaps in only above this multiple of the coldest entry's frequency
+	replicatedCapacityRatio = 0.5 // part of a worker's cache capacity that the replicated set may use
+	sharedHotness           = 1.5 // an entry at least this hot had more than one recent request, and counts as shared
 )
 
-// Prior of the fetch bandwidth, until fetches have been measured.
+// Initial estimate of the fetch bandwidth, which measured fetches gradually outweigh.
 const (
 	initialBandwidth        = 50000.0 // tokens per second
-	initialBandwidthSeconds = 0.02    // weight of the prior, in seconds of fetching
+	initialBandwidthSeconds = 0.02    // weight of the initial estimate, as seconds of fetching
 )
 
-// storeLinkClass is the class of links to stores: they aren't links between workers.
+// storeLinkClass is the class of links to cache stores. They do not count for the bandwidth between workers.
 const storeLinkClass = "store"
 
-// Inputs are what a placement is computed from.
+// Inputs are the values from which Compute makes a placement.
 type Inputs struct {
 	Service        string
 	Mode           placement.Mode
-	FetchTolerance float64  // the paper's α: the part of the saved prefill time that fetching may take
-	Workers        []string // names, sorted
+	FetchTolerance float64  // α of the paper: the part of the saved prefill time that fetching may take
+	Workers        []string // sorted names of the service's workers
 	CapacityTokens int      // cache capacity of the smallest worker, in tokens
 	HotEntries     []*wire.HotPrefix
 	Links          []*wire.LinkThroughput
 	PrefillCurve   placement.Curve
 }
 
-// Compute makes a placement: the ratio by the paper's Algorithm 1, the set of the hottest entries,
-// with hysteresis for those that are in the old set already. old is nil if there is none.
+// Compute makes a placement: the replication ratio by Algorithm 1 of the paper, and the set of the hottest
+// entries, with hysteresis for entries that are replicated in the old placement. old is nil if there is
+// none.
 //
 // Example: next := placementcontroller.Compute(inputs, old)
 func Compute(inputs Inputs, old *placement.Placement) *placement.Placement {
@@ -66,8 +67,8 @@
 	return next
 }
 
-// selectReplicated fills the replicated set with the hottest entries up to a capacity in tokens, and
-// with those of the old set that are still hot enough.
+// selectReplicated fills the replicated set, up to a capacity in tokens, with the hottest entries and with
+// entries of the old set that are still hot enough to be retained.
 func selectReplicated(next *placement.Placement, entries []placement.EntryFrequency, old *placement.Placement, capacity int) {
 	sorted, selected := placement.SelectReplicated(entries, next.RMax)
 	if selected == 0 {
@@ -92,8 +93,8 @@
 	}
 }
 
-// SwapInBurst replaces the coldest entries of the replicated set by ones that have become hot, between
-// full computations. It returns the placement and whether anything changed.
+// SwapInBurst replaces the coldest replicated entries by entries that have become hot since the last full
+// computation. It returns the new placement and whether the set changed.
 //
 // Example: next, changed := placementcontroller.SwapInBurst(old, hot)
 func SwapInBurst(old *placement.Placement, hot []*wire.HotPrefix) (*placement.Placement, bool) {
@@ -129,8 +130,9 @@
 	return &next, changed
 }
 
-// frequencies converts hot entries. It also returns the hotness of all first entries, which is that of
-// all requests, and the tokens of all shared entries, weighted by hotness.
+// frequencies converts hot prefixes to access frequencies of entries. It also returns the total hotness of
+// prefixes at the beginning of a prompt, which estimates the number of requests, and the total tokens of
+// shared entries weighted by hotness.
 func frequencies(hot []*wire.HotPrefix) (entries []placement.EntryFrequency, requests, sharedTokens float64) {
 	for _, prefix := range hot {
 		entries = append(entries, placement.EntryFrequency{
@@ -148,8 +150,8 @@
 	return entries, requests, sharedTokens
 }
 
-// admissionFloor is the hotness of the coldest cached entry that no prompt begins with: a session's
-// prefix has to be hotter to be admitted. Zero if there is none.
+// admissionFloor returns the hotness of the coldest cached entry that is not at the beginning of a prompt, or
+// zero if there is none. The prefix of a session must be hotter than that to be admitted to a cache.
 func admissionFloor(hot []*wire.HotPrefix) float64 {
 	coldest := -1.0
 	for _, prefix := range hot {
@@ -160,8 +162,8 @@
 	return max(0, coldest)
 }
 
-// fetchBandwidth is the measured bandwidth of fetches from other workers, in tokens per second; the
-// prior until there are any.
+// fetchBandwidth returns the bandwidth of fetches from other workers in tokens per second: the measured
+// fetches combined with the initial estimate.
 func fetchBandwidth(links []*wire.LinkThroughput) float64 {
 	tokens, elapsedNs := initialBandwidth*initialBandwidthSeconds, initialBandwidthSeconds*float64(time.Second)
 	for _, link := range links {
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -8,7 +8,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// hotEntries returns entries of 1000 tokens each.
+// hotEntries returns entries of 1000 tokens each, with the given hotness.
 func hotEntries(hotness ...float64) []*wire.HotPrefix {
 	var entries []*wire.HotPrefix
 	for i, h := range hotness {
@@ -17,6 +17,7 @@
 	return entries
 }
 
+// testInputs returns the inputs of a service with four workers and entries of the given hotness.
 func testInputs(hotness ...float64) Inputs {
 	return Inputs{
 		Service:        "s",
@@ -29,39 +30,41 @@
 	}
 }
 
-// By hand: 1000 shared tokens per request take 40 ms; B is the initial 50000 tokens per second;
-// α·t·B·(N−1)/(S·N) = 0.5·0.04·50000·3/(1000·4) = 0.75. The scan stops at 0.25.
+// The expected values are calculated by hand: 1000 shared tokens per request take 40 ms of prefill, the initial
+// bandwidth B is 50000 tokens per second, and R_max = α·t·B·(N−1)/(S·N) = 0.5·0.04·50000·3/(1000·4) = 0.75. The
+// scan selects entries until they cover 1 − 0.75 = 0.25 of all accesses, which the first one does alone. Slow links, a small cache, a single worker and no accesses are checked too.
 func TestCompute(t *testing.T) {
 	next := Compute(testInputs(50, 30, 20), nil)
 	if next.RMax < 0.7499 || next.RMax > 0.7501 || len(next.Replicated) != 1 || next.Replicated[0] != "00" || next.MeanSharedTokens != 1000 {
-		t.Errorf("%+v", next)
+		t.Errorf("placement with four workers at the initial bandwidth: %+v, want R_max 0.75, only entry 00 replicated, 1000 shared tokens", next)
 	}
 	inputs := testInputs(50, 30, 20)
 	inputs.Links = []*wire.LinkThroughput{{Class: "near", Tokens: 1e6, ElapsedNs: 1e12}, {Class: "store", Tokens: 1e12, ElapsedNs: 1}}
 	if next = Compute(inputs, nil); next.RMax > 0.05 || len(next.Replicated) != 3 {
-		t.Errorf("slow links, the store's left out: R_max %v, %d replicated", next.RMax, len(next.Replicated))
+		t.Errorf("slow links between workers and a fast link to the store: R_max %v with %d entries replicated, want at most 0.05 with 3", next.RMax, len(next.Replicated))
 	}
 	inputs = testInputs(50, 30, 20)
 	inputs.FetchTolerance, inputs.CapacityTokens = 0.01, 4500
 	if next = Compute(inputs, nil); len(next.Replicated) != 2 {
-		t.Errorf("half of a capacity of 4500 tokens holds %d entries of 1000", len(next.Replicated))
+		t.Errorf("capacity of 4500 tokens: %d entries of 1000 tokens replicated, want 2, which fit into half of it", len(next.Replicated))
 	}
 	inputs.Workers = []string{"a"}
 	if next = Compute(inputs, nil); next.RMax != 0 {
-		t.Errorf("one worker: R_max %v", next.RMax)
+		t.Errorf("placement with one worker: R_max %v, want 0", next.RMax)
 	}
 	if next = Compute(testInputs(), nil); len(next.Replicated) != 0 || next.ReplicatedRatio != 0 {
-		t.Errorf("no accesses: %+v", next)
+		t.Errorf("placement without hot entries: %+v, want none replicated and ratio 0", next)
 	}
 }
 
-// Counts that oscillate around the threshold of the set don't make it flap.
+// If the access counts of two entries oscillate around the threshold of the replicated set, the hysteresis
+// keeps the set stable.
 func TestReplicatedSetDoesntFlap(t *testing.T) {
 	inputs := testInputs(40, 30, 16, 14)
-	inputs.FetchTolerance = 0.15 // R_max 0.225: three of four
+	inputs.FetchTolerance = 0.15 // gives R_max 0.225, so that three of four entries are replicated
 	current := Compute(inputs, nil)
 	if len(current.Replicated) != 3 {
-		t.Fatalf("%+v", current)
+		t.Fatalf("initial placement %+v, want three entries replicated", current)
 	}
 	changes := 0
 	for i := range 50 {
@@ -81,17 +84,18 @@
 		current = next
 	}
 	if changes > 1 {
-		t.Errorf("%d changes over 50 oscillations", changes)
+		t.Errorf("the replicated set changed %d times over 50 oscillations, want at most 1", changes)
 	}
 }
 
+// An entry that becomes hot replaces the coldest replicated one, once.
 func TestSwapInBurst(t *testing.T) {
 	current := Compute(testInputs(40, 30, 16, 14), nil)
 	next, changed := SwapInBurst(current, hotEntries(40, 30, 16, 90))
 	if !changed || len(next.Replicated) != len(current.Replicated) || next.Replicated[0] != "03" {
-		t.Errorf("%v after %v", next.Replicated, current.Replicated)
+		t.Errorf("replicated entries %v after a burst on entry 03, before %v: want 03 first and as many entries", next.Replicated, current.Replicated)
 	}
 	if _, changed = SwapInBurst(next, hotEntries(40, 30, 16, 90)); changed {
-		t.Error("swapped again with nothing new")
+		t.Error("a second SwapInBurst with unchanged hot entries changed the placement")
 	}
 }
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -1,13 +1,13 @@
 // Package placementcontroller reconciles each service's workers under the service's lease: it computes
-// the placement of prompt prefixes, rolls out named weights, carries out the calendar's planned moves
-// and retires base models.
+// the placement of prompt prefixes, rolls out new weights, carries out calendar entries and retires base
+// models.
 //
-// The Controller runs on every core machine. Each service has a lease of its own; the machine that
-// holds it works on that service. Documents are written, and orders sent, under the lease's fencing
-// token and onto the version that was read, so that a past holder can't change anything.
+// The Controller runs on every core machine. Each service has its own lease, and the machine that holds it
+// reconciles that service. Orders carry the lease's fencing token; documents are written under the token and
+// only onto the version that was read. A previous lease holder can therefore change nothing.
 //
-// Durations are ratios of the bounds (settings.Bounds): the weights bound, within which older weights are
-// out of use, and the heal bound, within which service is restored after a fault.
+// Durations are ratios of two fields of settings.Bounds: WeightsMs, the time after which no request may start
+// on superseded weights, and HealMs, the time within which service is restored after a fault.
 package placementcontroller
 
 import (
@@ -31,20 +31,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of the controller, as ratios of the heal bound.
+// Timing of the controller, as ratios of the heal bound (settings.Bounds.HealMs).
 const (
-	reconcileRatio    = 1.0 / 24 // between two steps of a service, and between two lease renewals
-	updateWaitRatio   = 1.0 / 12 // how long a node agent may hold a request for updates
-	queryTimeoutRatio = 1.0 / 48 // timeout of one query of other nodes or of the platform's list
+	reconcileRatio    = 1.0 / 24 // interval between two reconcile steps of a service, and between two lease renewals
+	updateWaitRatio   = 1.0 / 12 // how long a node agent may hold a long poll for updates
+	queryTimeoutRatio = 1.0 / 48 // timeout of one round of queries to other nodes or to the platform
 )
 
-// leasePrefix is the first part of the name of each service's lease.
+// leasePrefix begins the name of each service's lease; the service name follows.
 const leasePrefix = "appraise/"
 
-// languageModelKind is the kind of the workers that hold weights and prompt prefixes.
+// languageModelKind is the wire.Worker.Kind of workers that load weights and cache prompt prefixes.
 const languageModelKind = "lm"
 
-// Controller assigns a serviceController to each service.
+// Controller runs a serviceController for each service.
 type Controller struct {
 	process      *daemon.Process
 	clock        clock.Clock
@@ -52,30 +52,30 @@
 	clients      *daemon.Clients
 	store        *controlclient.Client
 	backends     *contract.Backends
-	holder       string // under which this process holds leases: MACHINE/INCARNATION
+	holder       string // identity under which this process holds leases: MACHINE/INCARNATION
 	services     map[string]*serviceController
 	updates      *updatestream.Follower
-	blockedNodes sync.Map // service -> how many nodes block its retirement
+	blockedNodes sync.Map // service -> number of nodes that block its retirement
 }
 
-// serviceController is the work on one service under its lease. Only the goroutine that reconciles it
-// uses the fields below the lease.
+// serviceController reconciles one service while this process holds the service's lease. The fields below
+// the lease are used only by the goroutine that runs reconcileService.
 type serviceController struct {
 	name   string
 	cancel context.CancelFunc
 	lease  *controlclient.Lease
 
-	fencingToken      uint64               // of the lease at the last step
-	document          *wire.Document       // the stored placement; nil: to be read again
-	placement         *placement.Placement // that it holds; nil: none yet
-	recomputedAt      time.Duration        // the last full computation of the placement
+	fencingToken      uint64               // fencing token of the lease at the last step
+	document          *wire.Document       // document that stores the placement; nil if it must be read again
+	placement         *placement.Placement // decoded content of document; nil if no placement is stored
+	recomputedAt      time.Duration        // time of the last full computation of the placement
 	rollout           Rollout
 	calendarPlanner   *calendar.Planner
 	retirementPlanner *retire.Planner
-	repairedAt        time.Duration // the last repair while nothing is being retired
+	repairedAt        time.Duration // time of the last repair of workers without an active retirement
 }
 
-// Start runs the controller.
+// Start starts the placement controller in a process.
 //
 // Example: daemon.Main("appraiser", "placement under a lease", need, placementcontroller.Start)
 func Start(process *daemon.Process) error {
@@ -116,12 +116,14 @@
 	return nil
 }
 
+// countBlockedNodes returns how many nodes block a retirement that this controller carries out.
 func (c *Controller) countBlockedNodes() (total float64) {
 	c.blockedNodes.Range(func(_, nodes any) bool { total += float64(nodes.(int)); return true })
 	return total
 }
 
-// nodeAgent returns any live node agent: workers are observed through it.
+// nodeAgent returns a client of some live node agent, which streams the state of all workers, or nil if there
+// is none.
 func (c *Controller) nodeAgent() wire.NodeAgent {
 	for _, node := range c.members.View().WithRole(clustermembership.RoleNodeAgent) {
 		if node.State == clustermembership.Alive {
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// assignServices runs a service controller for every service that any worker serves, and ends those of
-// services that the configuration no longer names.
+// assignServices starts a serviceController for each configured service that has a worker, and stops those of
+// services that are no longer configured.
 func (c *Controller) assignServices() {
 	snapshot := c.updates.Snapshot()
 	if snapshot == nil || snapshot.Config == nil {
@@ -149,15 +151,15 @@
 	}
 	for name, svc := range c.services {
 		if _, ok := snapshot.Config.Services[name]; !ok {
-			svc.cancel() // the lease expires by itself
+			svc.cancel() // the lease is no longer renewed and expires
 			delete(c.services, name)
 		}
 	}
 }
 
-// startService campaigns for a service's lease and works on the service while it is held. One goroutine
-// renews the lease and another one reconciles: if one of them blocks, it delays neither another service
-// nor its own renewal.
+// startService tries to acquire and renew a service's lease, and reconciles the service while the lease is
+// held. The lease and the reconciliation have separate goroutines, so that a reconcile step that blocks
+// delays neither the renewal of its lease nor other services.
 func (c *Controller) startService(name string) *serviceController {
 	ctx, cancel := context.WithCancel(c.process.Ctx)
 	ttl := c.process.Settings.Bounds.Heal(settings.LeaseRatio)
@@ -170,14 +172,15 @@
 	}
 	c.runPeriodically(ctx, func() {
 		if err := svc.lease.Renew(ctx); err != nil {
-			c.process.Log.Debug("no lease", "service", name, "error", err)
+			c.process.Log.Debug("lease not acquired or renewed", "service", name, "error", err)
 		}
 	})
 	c.runPeriodically(ctx, func() { c.reconcileService(svc) })
 	return svc
 }
 
-// runPeriodically runs a step now and at every tick until ctx ends.
+// runPeriodically runs a step in a new goroutine, immediately and then at every reconcile interval, until ctx
+// is done.
 func (c *Controller) runPeriodically(ctx context.Context, step func()) {
 	c.process.Go(func() {
 		ticker := clock.NewTicker(c.process.Settings.Bounds.Heal(reconcileRatio))
@@ -192,7 +195,7 @@
 	})
 }
 
-// reconcileService makes one step of a service's work if its lease is held.
+// reconcileService performs one reconcile step of a service if the service's lease is held.
 func (c *Controller) reconcileService(svc *serviceController) {
 	snapshot := c.updates.Snapshot()
 	config, ok := snapshot.Config.Services[svc.name]
@@ -211,12 +214,12 @@
 	failures.Add("calendar", c.stepCalendar(svc, snapshot))
 	failures.Add("retirement", c.stepRetirement(svc, snapshot))
 	if err := failures.Err(); err != nil {
-		c.process.Log.Warn("service step failed", "service", svc.name, "error", errs.Text(err))
+		c.process.Log.Warn("reconcile step of service failed", "service", svc.name, "error", errs.Text(err))
 	}
 }
 
-// writeDocument writes a document of the service's shard under the lease's fencing token, onto the
-// version at which it was read.
+// writeDocument writes a document of the service's shard under the lease's fencing token. The write fails if
+// the stored document no longer has the given version.
 func (c *Controller) writeDocument(svc *serviceController, token uint64, key string, body []byte, version uint64) (*wire.ChangeResponse, error) {
 	put := &wire.Put{Key: key, Body: body, IfVersion: version, Lease: svc.lease.Name, Fence: token, Holder: c.holder}
 	return c.store.Change(c.process.Ctx, &wire.ChangeRequest{
@@ -225,15 +228,16 @@
 	})
 }
 
-// patchConfig merges a partial service configuration into the one in force, if that has the version.
-// The control state applies a change once for each token; "" stands for none.
+// patchConfig merges a patch into the service configuration. It fails if the configuration no longer has the
+// given version. The control state applies the changes of one idempotency token only once; an empty token
+// means none.
 func (c *Controller) patchConfig(ctx context.Context, patch []byte, version uint64, token string) error {
 	put := &wire.Put{Key: controlclient.ConfigKey, Body: patch, IfVersion: version, Token: token}
 	_, err := c.store.Change(ctx, &wire.ChangeRequest{Patch: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	return err
 }
 
-// languageModelWorkers returns the service's workers that hold weights and aren't draining.
+// languageModelWorkers returns the service's language model workers that are neither draining nor gone.
 func languageModelWorkers(snapshot *updatestream.Snapshot, service string) []*wire.Worker {
 	var workers []*wire.Worker
 	for _, worker := range snapshot.Workers {
--- a/internal/control/placementcontroller/orders.go
+++ b/internal/control/placementcontroller/orders.go
@@ -14,16 +14,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// loadWeightsOrder is the kind of an order to load other weights of the base model.
+// loadWeightsOrder is the contract.Order.Kind of an order to load other weights of the base model.
 const loadWeightsOrder = "weights"
 
-// stepRollout advances the service's workers to the named weights.
+// stepRollout advances the rollout of the configured weights to the service's workers by one step.
 func (c *Controller) stepRollout(svc *serviceController, snapshot *updatestream.Snapshot, config serviceconfig.Service) error {
 	if svc.document == nil || svc.placement == nil {
-		return nil // the stored placement isn't read yet, or not again since the lease was acquired or a write failed
+		return nil // the stored placement must first be read, as after the lease was acquired or a write failed
 	}
 	workers := slices.DeleteFunc(languageModelWorkers(snapshot, svc.name), func(worker *wire.Worker) bool {
-		return worker.Model != config.Model && worker.Model != "" // it has another base model
+		return worker.Model != config.Model && worker.Model != "" // another base model
 	})
 	history := snapshot.Weights[config.Model]
 	now := c.clock.Now()
@@ -43,9 +43,9 @@
 	return failures.Err()
 }
 
-// sendOrders orders workers to load weights, all at once: a silent worker delays no other. The lease
-// is checked right before each order is sent, and none stays in flight for longer than from the
-// lease's end on this machine until another may hold it.
+// sendOrders orders workers to load weights, all concurrently, so that a worker that does not respond delays
+// no other. The lease is checked immediately before each order is sent. The timeout of an order is shorter
+// than the time between the lease's end on this machine and its earliest acquisition by another one.
 func (c *Controller) sendOrders(lease *controlclient.Lease, workers []*wire.Worker, weights uint64) error {
 	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
 	defer cancel()
@@ -60,7 +60,8 @@
 	return failures.Err()
 }
 
-// sendOrder sends one order, if the lease is still held: else another machine may hold it soon.
+// sendOrder sends an order to load weights if the lease is still held. Otherwise it sends nothing and returns
+// nil, because another machine may acquire the lease.
 func (c *Controller) sendOrder(ctx context.Context, lease *controlclient.Lease, worker *wire.Worker, weights uint64) error {
 	token, ok := lease.FencingToken()
 	if !ok {
--- a/internal/control/placementcontroller/orders_test.go
+++ b/internal/control/placementcontroller/orders_test.go
@@ -18,8 +18,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// Eighteen silent workers delay an order no longer than one does, and every order has been answered or
-// has timed out before another machine may hold the lease. Once the lease has expired none is sent.
+// Orders to eighteen workers that do not respond take no longer than one order. Every order ends before another
+// machine may acquire the lease, and no order is sent once the lease has expired.
 func TestSilentWorkersDelayNoOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bounds := settings.DefaultBounds()
@@ -27,7 +27,7 @@
 		sent := atomic.Int32{}
 		environment := daemon.Environment{Clock: clk, Dial: func(context.Context, string, string) (net.Conn, error) {
 			sent.Add(1)
-			<-time.After(bounds.Leave(1.0 / 3)) // the dial times out by itself
+			<-time.After(bounds.Leave(1.0 / 3)) // each dial fails after this timeout
 			return nil, errors.New("timeout")
 		}}
 		process := daemon.NewIn(environment, "placement", settings.Process{Name: "core-1", Bounds: bounds, Options: []string{"log=off"}})
@@ -43,21 +43,21 @@
 		}
 		start := time.Now()
 		if err := controller.sendOrders(lease, workers, 2); err == nil || time.Since(start) != bounds.Heal(settings.OrderTimeoutRatio) || sent.Load() != 18 {
-			t.Errorf("%v after %v, %d sent", err, time.Since(start), sent.Load())
+			t.Errorf("orders to 18 silent workers: error %v after %v, %d sent, want all sent and a timeout of one order", err, time.Since(start), sent.Load())
 		}
 		last := time.NewTimer(requestedAt + ttl - time.Duration(float64(ttl)*settings.LeaseMarginRatio) - clk.Now() - 1)
 		<-last.C // the last instant at which the lease is held
 		sent.Store(0)
 		if err := controller.sendOrders(lease, workers, 2); err == nil || sent.Load() != 18 {
-			t.Errorf("lease still held: %v, %d sent", err, sent.Load())
+			t.Errorf("orders at the last instant of the lease: error %v, %d sent, want a timeout and 18 sent", err, sent.Load())
 		}
 		if next := requestedAt + ttl + time.Duration(float64(ttl)*settings.LeaseMarginRatio); clk.Now() >= next {
-			t.Errorf("the last order ended at %v, the next holder may order from %v on", clk.Now(), next)
+			t.Errorf("the last order ended at %v, want it before %v, when the next holder may send orders", clk.Now(), next)
 		}
 		sent.Store(0)
 		if err := controller.sendOrders(lease, workers, 2); err != nil || sent.Load() != 0 {
-			t.Errorf("lease expired: %v, %d sent", err, sent.Load())
+			t.Errorf("orders after the lease has expired: error %v, %d sent, want none sent and no error", err, sent.Load())
 		}
-		<-time.After(bounds.Leave(1)) // all dials are over
+		<-time.After(bounds.Leave(1)) // until all dials have ended
 	})
 }
--- a/internal/control/placementcontroller/placement.go
+++ b/internal/control/placementcontroller/placement.go
@@ -13,13 +13,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// recomputeRatio is the interval of full computations of a placement, as a ratio of the heal bound.
+// recomputeRatio is the interval between full computations of a placement, as a ratio of the heal bound.
 const recomputeRatio = 0.5
 
-// defaultFetchTolerance is the fetch tolerance of a service that sets none.
+// defaultFetchTolerance is the value of Inputs.FetchTolerance for a service that configures none.
 const defaultFetchTolerance = 1
 
-// updatePlacement computes the service's placement and publishes it if it changed.
+// updatePlacement computes the service's placement and publishes it if it has changed.
 func (c *Controller) updatePlacement(svc *serviceController, snapshot *updatestream.Snapshot, config serviceconfig.Service) error {
 	now := c.clock.Now()
 	if svc.document == nil {
@@ -38,11 +38,12 @@
 	return c.publishPlacement(svc, next)
 }
 
-// resumePlacement reads the stored placement: a new holder of the lease resumes its rollout.
+// resumePlacement reads the stored placement and resumes the rollout whose batch it cordons, so that a new
+// lease holder continues where the previous one stopped.
 func (c *Controller) resumePlacement(svc *serviceController, now time.Duration) error {
 	stored, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(svc.name), Key: placementKey(svc.name)})
 	if err != nil {
-		return errs.Wrap(err, "read placement")
+		return errs.Wrap(err, "read stored placement")
 	}
 	svc.document, svc.placement, svc.recomputedAt = &wire.Document{}, nil, 0
 	if len(stored.Documents) == 0 {
@@ -50,14 +51,14 @@
 	}
 	svc.document = stored.Documents[0]
 	if svc.placement, err = placement.Read(svc.document.Body, svc.document.Version); err != nil {
-		return errs.Wrap(err, "stored placement")
+		return errs.Wrap(err, "decode stored placement")
 	}
 	svc.rollout = Rollout{Batch: svc.placement.Cordoned, CordonedAt: now}
 	return nil
 }
 
-// nextPlacement computes the next placement, and whether the change is worth publishing. In between full
-// computations it only swaps entries in.
+// nextPlacement computes the next placement and reports whether it differs enough from the current one to be
+// published. Between full computations it only swaps in entries that have become hot.
 func (c *Controller) nextPlacement(svc *serviceController, workers []*wire.Worker, config serviceconfig.Service,
 	now time.Duration) (*placement.Placement, bool) {
 	hot := c.hotEntries(svc.name)
@@ -84,20 +85,20 @@
 	return next, placement.Changed(old, next)
 }
 
-// publishPlacement writes a placement under the lease, if that is still held.
+// publishPlacement writes a placement if the lease is still held.
 func (c *Controller) publishPlacement(svc *serviceController, next *placement.Placement) error {
 	token, ok := svc.lease.FencingToken()
 	if !ok {
-		return nil // the lease expired during the computation
+		return nil // the lease has expired since the step began
 	}
 	next.FencingToken = token
 	body, err := json.Marshal(next)
 	if err != nil {
-		return errs.Wrap(err, "write placement")
+		return errs.Wrap(err, "encode placement as JSON")
 	}
 	response, err := c.writeDocument(svc, token, placementKey(svc.name), body, svc.document.Version)
 	if err != nil {
-		svc.document = nil // read it again before the next attempt
+		svc.document = nil // the document must be read again before the next attempt to write it
 		return errs.Wrap(err, "publish placement")
 	}
 	next.Version = response.Version
@@ -107,9 +108,10 @@
 	return nil
 }
 
-// placementKey is the key of the document that holds a service's placement.
+// placementKey returns the key of the document that stores a service's placement.
 func placementKey(service string) string { return "placement/" + service }
 
+// placementMode returns the placement mode that a service configures, by default placement.ModeHRCS.
 func placementMode(config serviceconfig.Service) placement.Mode {
 	if config.Placement == "" {
 		return placement.ModeHRCS
@@ -117,6 +119,7 @@
 	return placement.Mode(config.Placement)
 }
 
+// workerNames returns the names of workers in their order.
 func workerNames(workers []*wire.Worker) []string {
 	names := make([]string, 0, len(workers))
 	for _, worker := range workers {
@@ -125,7 +128,7 @@
 	return names
 }
 
-// smallestCapacity is the cache capacity of the smallest worker, in tokens.
+// smallestCapacity returns the smallest cache capacity of any worker, in tokens.
 func smallestCapacity(workers []*wire.Worker) int {
 	smallest := 0
 	for _, worker := range workers {
--- a/internal/control/placementcontroller/proof.go
+++ b/internal/control/placementcontroller/proof.go
@@ -15,16 +15,17 @@
 	"pebbleloom/internal/settings"
 )
 
-// proofDomain is the cache domain of proofs: no other request reads what they leave in a cache.
+// proofDomain is the cache domain of proof requests. It keeps their cache entries apart from those of all
+// other requests.
 const proofDomain = "retire"
 
-// proveNode sends a node one real request under its base model and each adapter, and verifies each
-// answer's seal, which names the weights that produced it. A worker's own word isn't enough: it may
-// report weights that it doesn't answer under.
+// proveNode sends a node one real request under the base model of a weight set and one under each adapter,
+// and verifies the seal of each answer, which names the weights that produced it. The loaded models that a
+// worker reports are not sufficient proof: it may answer under other weights.
 func (c *Controller) proveNode(ctx context.Context, retirement *retire.Retirement, action retire.Action, addr string) error {
 	wait := c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio)
-	baseAlone := retire.AdapterBuild{}
-	for i, adapter := range append([]retire.AdapterBuild{baseAlone}, action.ProofSet.Adapters...) {
+	noAdapter := retire.AdapterBuild{} // a request under the base model alone
+	for i, adapter := range append([]retire.AdapterBuild{noAdapter}, action.ProofSet.Adapters...) {
 		request := contract.StartRequest{
 			RequestID:   fmt.Sprintf("retire/%s/%s/%x/%d", retirement.Name, action.Node, c.clock.Now(), i),
 			CacheDomain: proofDomain,
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// verifyAnswer sends one request, reads its answer to the end and compares the seal with the request.
+// verifyAnswer sends one request, reads the answer to its end, and checks that the answer's seal names the
+// requested model, weights and adapter.
 func (c *Controller) verifyAnswer(ctx context.Context, addr, node string, request contract.StartRequest) error {
 	attempt := c.backends.Start(ctx, addr, request, nil)
 	if attempt.Err != nil {
@@ -58,7 +60,7 @@
 			break
 		}
 		if err != nil {
-			return errs.WrapAs(err, errs.Internal, "read answer")
+			return errs.WrapAs(err, errs.Internal, "read answer to proof request")
 		}
 		if fault := verifier.Verify(line); fault != "" {
 			return errs.New(errs.Internal, "%s", fault)
@@ -67,7 +69,7 @@
 	seal := verifier.Sealed
 	if seal == nil || seal.Number != request.Chunks || seal.Model != request.Model || seal.Weights != request.Weights ||
 		seal.Adapter != request.Adapter || seal.Build != request.Build {
-		return errs.New(errs.Internal, "its answer isn't sealed under what was asked for")
+		return errs.New(errs.Internal, "the answer to the proof request is not sealed with the requested model, weights, adapter and number of chunks")
 	}
 	return nil
 }
--- a/internal/control/placementcontroller/queries.go
+++ b/internal/control/placementcontroller/queries.go
@@ -11,19 +11,20 @@
 	"pebbleloom/internal/wire"
 )
 
+// Limits of the queries to other nodes.
 const (
-	maxConcurrentQueries = 16   // calls of one query in flight at once
-	hotEntriesLimit      = 1000 // entries requested from an index node
+	maxConcurrentQueries = 16   // calls in flight at the same time in one round of queries
+	hotEntriesLimit      = 1000 // hot entries requested from each node of the prompt index
 )
 
-// usage is what all proxies together have measured recently.
+// usage is the sum of the recent measurements of all proxies.
 type usage struct {
-	links             []*wire.LinkThroughput
-	succeeded, failed map[string]float64 // attempts, by worker
+	links             []*wire.LinkThroughput // throughput by class of links
+	succeeded, failed map[string]float64     // request attempts by worker
 }
 
-// queryRole calls all nodes of a role at once with a short timeout, and passes their responses to handle
-// one by one. A node that doesn't respond is left out and delays no other.
+// queryRole calls all nodes of a role concurrently, with a common timeout, and passes their responses to
+// handle one after the other. Nodes that fail or do not respond in time are skipped.
 func queryRole[T any](c *Controller, role string, call func(ctx context.Context, addr string) (T, error), handle func(T)) {
 	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(queryTimeoutRatio))
 	defer cancel()
@@ -47,7 +48,7 @@
 	}
 }
 
-// collectUsage adds up what the node agents report of their proxies.
+// collectUsage returns the sum of the measurements that the node agents report for their proxies.
 func (c *Controller) collectUsage() usage {
 	total := usage{succeeded: map[string]float64{}, failed: map[string]float64{}}
 	byClass := map[string]*wire.LinkThroughput{}
@@ -73,8 +74,8 @@
 	return total
 }
 
-// medianWallClock is the median of the core machines' wall clocks if a majority reports, else the zero
-// time. A single machine's clock that jumps has no effect.
+// medianWallClock returns the median of the core machines' wall clocks, or the zero time if no majority of
+// them responds. With the median, a wrong clock on a single machine has no effect.
 func (c *Controller) medianWallClock() time.Time {
 	var clocks []int64
 	call := func(ctx context.Context, addr string) (*wire.TimeResponse, error) {
@@ -86,17 +87,18 @@
 	return majorityMedian(clocks, len(c.process.Settings.Core))
 }
 
-// majorityMedian is the median of clock readings in Unix nanoseconds, if more than half of all report.
-func majorityMedian(clocks []int64, all int) time.Time {
-	if 2*len(clocks) <= all {
+// majorityMedian returns the median of clock readings in Unix nanoseconds, or the zero time if there are
+// readings from no more than half of all machines.
+func majorityMedian(clocks []int64, machines int) time.Time {
+	if 2*len(clocks) <= machines {
 		return time.Time{}
 	}
 	slices.Sort(clocks)
 	return time.Unix(0, clocks[(len(clocks)-1)/2])
 }
 
-// hotEntries gathers the hottest entries of all index nodes. Two nodes hold each: the higher count is
-// used.
+// hotEntries returns a service's hottest entries, merged from all nodes of the prompt index. Two nodes count
+// the accesses to each entry, and the higher count is used.
 func (c *Controller) hotEntries(service string) []*wire.HotPrefix {
 	var all []*wire.HottestResponse
 	call := func(ctx context.Context, addr string) (*wire.HottestResponse, error) {
--- a/internal/control/placementcontroller/retirement.go
+++ b/internal/control/placementcontroller/retirement.go
@@ -13,21 +13,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// repairIntervalRatio is the interval of repairs while nothing is being retired, as a ratio of the heal bound.
+// repairIntervalRatio is the minimum interval between repairs of a service's workers while no retirement is
+// active, as a ratio of the heal bound.
 const repairIntervalRatio = 1.0 / 6
 
-// storedRetirements are a service's retirements as they were read.
+// storedRetirements holds what readRetirements found of a service's retirements.
 type storedRetirements struct {
-	active   *retire.Retirement // that was started and hasn't ended; nil: none
-	document *wire.Document     // of the active one
-	retired  []string           // without an active one: the base models that were retired before
+	active   *retire.Retirement // started retirement that has not ended; nil if there is none
+	document *wire.Document     // document that stores the active retirement
+	retired  []string           // base models that were retired earlier; set only if no retirement is active
 }
 
-// readRetirements reads the service's retirements.
+// readRetirements reads a service's retirements from the control state.
 func (c *Controller) readRetirements(service string) (storedRetirements, error) {
 	response, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(service), Key: retire.Key(service, ""), Prefix: true})
 	if err != nil {
-		return storedRetirements{}, errs.Wrap(err, "read retirements")
+		return storedRetirements{}, errs.Wrap(err, "read retirements of the service")
 	}
 	var stored storedRetirements
 	for _, document := range response.Documents {
@@ -45,8 +46,8 @@
 	return stored, nil
 }
 
-// stepRetirement advances the service's retirement by one step, or repairs its workers while there is
-// none.
+// stepRetirement advances the service's active retirement by one step. Without one it repairs the service's
+// workers.
 func (c *Controller) stepRetirement(svc *serviceController, snapshot *updatestream.Snapshot) error {
 	stored, err := c.readRetirements(svc.name)
 	if err != nil {
@@ -63,17 +64,17 @@
 	return c.advanceRetirement(svc)
 }
 
-// advanceRetirement computes the next step of the active retirement, performs its actions and writes it.
-// The service configuration is read first, then the retirement, then the nodes: whatever a past holder
-// still does meets a later version of one of them.
+// advanceRetirement computes the next step of the active retirement, performs its actions and writes its
+// document. The service configuration is read first, then the retirement, then the nodes. With this order, an
+// action that a previous lease holder performs late meets a newer version and is rejected.
 func (c *Controller) advanceRetirement(svc *serviceController) error {
 	configs, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(configs.Documents) == 0 {
-		return errs.Wrap(err, "read service configuration")
+		return errs.Wrap(err, "read service configuration for a retirement step")
 	}
 	config, err := serviceconfig.Decode(configs.Documents[0].Body)
 	if err != nil {
-		return errs.Wrap(err, "service configuration in force")
+		return errs.Wrap(err, "decode stored service configuration")
 	}
 	stored, err := c.readRetirements(svc.name)
 	if err != nil || stored.active == nil {
@@ -90,14 +91,15 @@
 	}
 	recorded, err := batch.execute(actions)
 	var failures errs.Batch
-	failures.Add("execute actions", err)
+	failures.Add("execute retirement actions", err)
 	if changed || recorded {
-		failures.Add("write "+stored.active.Name, c.writeRetirement(svc, stored.document, stored.active, next))
+		failures.Add("retirement "+stored.active.Name, c.writeRetirement(svc, stored.document, stored.active, next))
 	}
 	return failures.Err()
 }
 
-// observeRetirement gathers what a step of a retirement depends on, and the workers' addresses by name.
+// observeRetirement gathers the input of the next step of a retirement. It also returns the workers' addresses
+// by name.
 func (c *Controller) observeRetirement(service string, config *serviceconfig.Config, version uint64) (retire.Observation, map[string]string) {
 	observation := retire.Observation{Version: version, Config: config, MaxConfigAge: c.process.Settings.Bounds.Config(1)}
 	var addrs map[string]string
@@ -111,8 +113,8 @@
 	return observation, addrs
 }
 
-// repairWorkers loads what the service's workers lack of the service configuration while nothing is
-// being retired, and unloads what was retired.
+// repairWorkers orders the service's workers to load configured weights that they lack and to unload retired
+// base models. It runs while no retirement is active.
 func (c *Controller) repairWorkers(svc *serviceController, snapshot *updatestream.Snapshot, retired []string) error {
 	now := c.clock.Now()
 	interval := c.process.Settings.Bounds.Heal(repairIntervalRatio)
@@ -129,8 +131,9 @@
 	return err
 }
 
-// observeWorkers asks the platform for the service's workers, and each of them for its state, all at
-// once. It returns their addresses by name as well; listed is false if the platform's list can't be read.
+// observeWorkers reads the list of the service's workers from the platform and queries all of them
+// concurrently for their state. It also returns their addresses by name; listed is false if the platform's
+// list cannot be read.
 func (c *Controller) observeWorkers(service string) (nodes []retire.Node, addrs map[string]string, listed bool) {
 	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(queryTimeoutRatio))
 	defer cancel()
@@ -157,8 +160,8 @@
 	return nodes, addrs, true
 }
 
-// observeWorker asks a worker for its state. One that doesn't respond, or at whose address another one
-// responds, counts as unreachable.
+// observeWorker queries a worker for its state. The worker counts as unreachable if it does not respond, or if
+// another worker responds at its address.
 func (c *Controller) observeWorker(ctx context.Context, worker contract.ListedWorker) retire.Node {
 	state, err := c.backends.State(ctx, worker.Addr)
 	if err != nil || state.Name != worker.Name {
@@ -176,7 +179,8 @@
 	}
 }
 
-// writeRetirement writes a retirement if the lease is still held, and logs its progress.
+// writeRetirement writes a retirement if the lease is still held, and logs a change of its state, phase or
+// traffic step.
 func (c *Controller) writeRetirement(svc *serviceController, document *wire.Document, old, next *retire.Retirement) error {
 	token, ok := svc.lease.FencingToken()
 	if !ok {
--- a/internal/control/placementcontroller/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -9,33 +9,34 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing and concurrency of a rollout. Larger batches end it sooner and leave fewer workers in service.
+// Timing and concurrency of a rollout. With larger batches a rollout ends sooner, but fewer workers stay in
+// service.
 const (
 	// Ratios of the heal bound.
-	cordonRatio       = 0.125 // from cordoning a batch to its orders: proxies learn of it in between
-	batchTimeoutRatio = 0.25  // how long an ordered batch may take
+	cordonRatio       = 0.125 // time between cordoning a batch and ordering it, in which proxies learn of the cordon
+	batchTimeoutRatio = 0.25  // time after which a cordoned batch is given up and the next one begins
 
-	rolloutSpanRatio    = 0.6       // of the weights bound: all batches fit into it
-	maxConcurrencyRatio = 1.0 / 3.0 // of the workers that may be out of service at once
+	rolloutSpanRatio    = 0.6       // part of the weights bound within which all batches must be done
+	maxConcurrencyRatio = 1.0 / 3.0 // part of the workers that may be out of service at the same time
 )
 
-// Rollout brings workers to named weights batch by batch. A batch is first cordoned in the placement,
-// so that proxies send it no new requests; then it gets its orders; then the next one follows. It
-// resumes from the stored placement when the lease changes hands.
+// Rollout loads new weights on the workers of a service batch by batch. Each batch is first cordoned in the
+// placement, so that proxies send it no new requests, and then ordered to load the weights. A new lease holder
+// resumes the rollout from the stored placement.
 type Rollout struct {
 	Batch      []string      // names of the cordoned workers
-	CordonedAt time.Duration // when the batch was cordoned, by the process's clock
-	AllAtOnce  bool          // one batch of all workers, for comparison
+	CordonedAt time.Duration // when the batch was cordoned, by the clock of this process
+	AllAtOnce  bool          // put all workers into one batch, for comparison with rollouts in batches
 }
 
-// Step advances the rollout: it returns the workers to order now, and whether the batch has changed and
-// is to be published. since returns how long ago a worker's own weights were superseded: each version
-// has its own bound.
+// Step advances the rollout. It returns the workers to order now, and whether the batch has changed and must
+// be published in the placement. since returns how long ago a version of the weights was superseded; the time
+// that is left for the rollout counts from when the oldest weights in use were superseded.
 //
 // Example: order, changed := r.Step(workers, 4, since, now, bounds)
 func (r *Rollout) Step(workers []*wire.Worker, want uint64, since func(uint64) time.Duration, now time.Duration,
 	bounds settings.Bounds) (order []*wire.Worker, changed bool) {
-	behind, batch := r.workersBehind(workers, want)
+	outdated, batch := r.outdatedWorkers(workers, want)
 	if len(r.Batch) > 0 {
 		elapsed := now - r.CordonedAt
 		if len(batch) > 0 && elapsed < bounds.Heal(batchTimeoutRatio) {
@@ -44,26 +45,26 @@
 			}
 			return nil, false
 		}
-		r.Batch, changed = nil, true // done, or too slow: the others are ordered again with a later batch
+		r.Batch, changed = nil, true // the batch is done or timed out; its outdated workers are ordered again in a later batch
 	}
-	if len(behind) == 0 {
+	if len(outdated) == 0 {
 		return nil, changed
 	}
-	slices.SortFunc(behind, func(x, y *wire.Worker) int { // the oldest weights first
+	slices.SortFunc(outdated, func(x, y *wire.Worker) int { // workers with the oldest weights come first
 		return cmp.Or(cmp.Compare(x.Weights, y.Weights), cmp.Compare(x.Name, y.Name))
 	})
-	left := bounds.Weights(rolloutSpanRatio) - since(behind[0].Weights)
-	size := r.batchSize(len(workers), len(behind), left, bounds)
+	left := bounds.Weights(rolloutSpanRatio) - since(outdated[0].Weights)
+	size := r.batchSize(len(workers), len(outdated), left, bounds)
 	r.CordonedAt = now
-	for _, worker := range behind[:min(size, len(behind))] {
+	for _, worker := range outdated[:min(size, len(outdated))] {
 		r.Batch = append(r.Batch, worker.Name)
 	}
 	return nil, true
 }
 
-// workersBehind returns the workers with weights older than the wanted ones, and those of them in the
-// batch. A worker that hasn't reported its weights isn't among them.
-func (r *Rollout) workersBehind(workers []*wire.Worker, want uint64) (behind, batch []*wire.Worker) {
+// outdatedWorkers returns the workers with weights older than the wanted version, and those of them that are
+// in the current batch. Workers that have not reported their weights are left out.
+func (r *Rollout) outdatedWorkers(workers []*wire.Worker, want uint64) (outdated, batch []*wire.Worker) {
 	inBatch := map[string]bool{}
 	for _, name := range r.Batch {
 		inBatch[name] = true
@@ -72,20 +73,20 @@
 		if worker.Weights == 0 || worker.Weights >= want {
 			continue
 		}
-		behind = append(behind, worker)
+		outdated = append(outdated, worker)
 		if inBatch[worker.Name] {
 			batch = append(batch, worker)
 		}
 	}
-	return behind, batch
+	return outdated, batch
 }
 
-// batchSize is how many of the workers that are behind make up the next batch, so that all are done
-// within the time that is left.
-func (r *Rollout) batchSize(workers, behind int, left time.Duration, bounds settings.Bounds) int {
+// batchSize returns how many outdated workers make up the next batch, so that all of them are done within the
+// time that is left. It is limited by maxConcurrencyRatio, unless AllAtOnce is set.
+func (r *Rollout) batchSize(workers, outdated int, left time.Duration, bounds settings.Bounds) int {
 	if r.AllAtOnce {
-		return behind
+		return outdated
 	}
 	batches := max(1, int(left/bounds.Heal(batchTimeoutRatio)))
-	return min((behind+batches-1)/batches, max(1, int(float64(workers)*maxConcurrencyRatio)))
+	return min((outdated+batches-1)/batches, max(1, int(float64(workers)*maxConcurrencyRatio)))
 }
--- a/internal/control/placementcontroller/rollout_test.go
+++ b/internal/control/placementcontroller/rollout_test.go
@@ -10,6 +10,7 @@
 	"pebbleloom/internal/wire"
 )
 
+// workersWithOldWeights returns n workers with version 1 of the weights.
 func workersWithOldWeights(n int) []*wire.Worker {
 	var workers []*wire.Worker
 	for i := range n {
@@ -18,9 +19,9 @@
 	return workers
 }
 
-// A rollout cordons a batch before it orders it, keeps two thirds of the workers in service, and is done
-// within the bound: also when the lease changes hands in the middle, when a worker doesn't obey the first
-// orders, and under both sites' bounds.
+// A rollout cordons a batch before it orders it, keeps two thirds of the workers in service, and is done within
+// eight tenths of the weights bound. This must also hold if another lease holder takes over in the middle, if a
+// worker does not obey its first orders, and for weights bounds of both 20 s and 25 s.
 func TestRolloutIsPaced(t *testing.T) {
 	for _, bound := range []int{20000, 25000} {
 		bounds := settings.DefaultBounds()
@@ -30,7 +31,7 @@
 		cordonedAt := map[string]time.Duration{}
 		for now := time.Duration(0); now < 30*time.Second; now += 500 * time.Millisecond {
 			if now == 4*time.Second {
-				rollout = &Rollout{Batch: rollout.Batch, CordonedAt: now} // another holder resumes from the stored placement
+				rollout = &Rollout{Batch: rollout.Batch, CordonedAt: now} // another lease holder resumes from the stored placement
 			}
 			due, changed := rollout.Step(workers, 2, func(uint64) time.Duration { return now }, now, bounds)
 			if changed {
@@ -41,28 +42,28 @@
 			largest = max(largest, len(rollout.Batch))
 			for _, worker := range due {
 				if now-cordonedAt[worker.Name] < bounds.Heal(cordonRatio) {
-					t.Fatalf("%s was ordered %v after it was cordoned", worker.Name, now-cordonedAt[worker.Name])
+					t.Fatalf("worker %s got its order only %v after it was cordoned, want the time that proxies need to learn of the cordon", worker.Name, now-cordonedAt[worker.Name])
 				}
 				if orders[worker.Name]++; worker.Name != "w03" || orders[worker.Name] > 2 {
 					worker.Weights = 2
 				}
 			}
-			behind := slices.ContainsFunc(workers, func(worker *wire.Worker) bool { return worker.Weights < 2 })
-			if !behind && done == 0 {
+			outdated := slices.ContainsFunc(workers, func(worker *wire.Worker) bool { return worker.Weights < 2 })
+			if !outdated && done == 0 {
 				done = now
 			}
 		}
 		if limit := time.Duration(bound) * time.Millisecond * 8 / 10; done == 0 || done > limit {
-			t.Errorf("bound %d ms: done after %v, %v at most", bound, done, limit)
+			t.Errorf("rollout with a weights bound of %d ms: done after %v (zero: never), want at most %v", bound, done, limit)
 		}
 		if largest > 6 || len(rollout.Batch) > 0 {
-			t.Errorf("%d cordoned at once, %v still cordoned", largest, rollout.Batch)
+			t.Errorf("%d workers were cordoned at the same time and %v remain cordoned, want at most 6 of 18 and none at the end", largest, rollout.Batch)
 		}
 	}
 }
 
-// When weights are named again in quick succession, the workers with the oldest go first, and are done
-// within the bound from when those were superseded, not from the latest naming.
+// If a second version of the weights follows during a rollout, the workers with the oldest weights are updated
+// first. Their time limit counts from when their own weights were superseded, not from the latest version.
 func TestRolloutOfWeightsNamedAgain(t *testing.T) {
 	bounds := settings.DefaultBounds()
 	workers := workersWithOldWeights(18)
@@ -78,7 +79,7 @@
 		}
 		for _, worker := range workers {
 			if limit := bounds.Weights(0.8) + 6*time.Second*time.Duration(worker.Weights-1); worker.Weights < want && now > limit {
-				t.Fatalf("%s has weights %d at %v", worker.Name, worker.Weights, now)
+				t.Fatalf("worker %s still has version %d of the weights after %v, beyond eight tenths of the weights bound", worker.Name, worker.Weights, now)
 			}
 		}
 	}
