--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -45,14 +45,14 @@
 	Service         string   `json:"service"`
 	Kind            Kind     `json:"kind"`
 	NotBefore       string   `json:"at,omitempty"`      // earliest start, in RFC 3339 format; empty: immediately
-	Model           string   `json:"model,omitempty"`   // weights and handover: the model, or the model that the route is named after
-	Weights         uint64   `json:"weights,omitempty"` // weights: the new version of the model's weights
-	ToService       string   `json:"to,omitempty"`      // handover: the service that takes over the route
-	Percents        []int    `json:"shares,omitempty"`  // handover: percent of requests moved at each step, rising to 100; empty: 10, 50, 100
-	SoakS           int      `json:"soak_s,omitempty"`  // handover: seconds to wait after each step
-	Workers         []string `json:"workers,omitempty"` // release: workers in the order of their replacement; empty: all of the service
-	BatchSize       int      `json:"at_once,omitempty"` // release: workers to drain at the same time; 0: 1
-	MinUpRatio      float64  `json:"keep,omitempty"`    // release: ratio of the service's workers that must keep accepting requests
+	Model           string   `json:"model,omitempty"`   // for weights: the model to update; for a handover: the model that the route is named after
+	Weights         uint64   `json:"weights,omitempty"` // for weights: the new version of the model's weights
+	ToService       string   `json:"to,omitempty"`      // for a handover: the service that takes over the route
+	Percents        []int    `json:"shares,omitempty"`  // for a handover: percent of requests moved at each step, rising to 100; empty: 10, 50, 100
+	SoakS           int      `json:"soak_s,omitempty"`  // for a handover: seconds to wait after each step
+	Workers         []string `json:"workers,omitempty"` // for a release: workers in the order of their replacement; empty: all of the service
+	BatchSize       int      `json:"at_once,omitempty"` // for a release: workers to drain at the same time; 0: 1
+	MinUpRatio      float64  `json:"keep,omitempty"`    // for a release: ratio of the service's workers that must keep accepting requests
 	MaxFailureRatio float64  `json:"stop_at,omitempty"` // ratio of failed recent attempts above which the entry is paused; 0: 0.2
 
 	State       State  `json:"state"`
--- a/internal/control/calendar/planner_test.go
+++ b/internal/control/calendar/planner_test.go
@@ -24,7 +24,7 @@
 	workers  []Worker
 	now      time.Duration
 	wallTime time.Time
-	failed   float64 // failed request attempts of 100
+	failed   float64 // failed attempts among 100 recent request attempts
 	restarts int     // workers that were replaced
 }
 
--- a/internal/control/calendar/steps.go
+++ b/internal/control/calendar/steps.go
@@ -33,9 +33,9 @@
 // Step is one step of an entry with its progress.
 type Step struct {
 	Kind         StepKind          `json:"do"`
-	Workers      []string          `json:"on,omitempty"`    // release: workers of the batch
-	Percent      int               `json:"share,omitempty"` // handover: percent of requests moved
-	Incarnations map[string]string `json:"lives,omitempty"` // StepDrain: incarnation of each worker before it was drained
+	Workers      []string          `json:"on,omitempty"`    // for a release: workers of the batch
+	Percent      int               `json:"share,omitempty"` // for a handover: percent of requests moved
+	Incarnations map[string]string `json:"lives,omitempty"` // for StepDrain: incarnation of each worker before it was drained
 	State        StepState         `json:"state"`
 }
 
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -15,7 +15,7 @@
 	retainRatio             = 0.7 // a replicated entry leaves the set only if its frequency is below this ratio of the threshold
 	swapInRatio             = 1.3 // between full computations, an entry swaps in only above this multiple of the coldest entry's frequency
 	replicatedCapacityRatio = 0.5 // part of a worker's cache capacity that the replicated set may use
-	sharedHotness           = 1.5 // an entry at least this hot had more than one recent request, and counts as shared
+	sharedHotness           = 1.5 // an entry at least this hot had more than one recent access, and counts as shared by requests
 )
 
 // Initial estimate of the fetch bandwidth, which measured fetches gradually outweigh.
--- a/internal/control/placementcontroller/orders.go
+++ b/internal/control/placementcontroller/orders.go
@@ -23,7 +23,7 @@
 		return nil // the stored placement must first be read, as after the lease was acquired or a write failed
 	}
 	workers := slices.DeleteFunc(languageModelWorkers(snapshot, svc.name), func(worker *wire.Worker) bool {
-		return worker.Model != config.Model && worker.Model != "" // another base model
+		return worker.Model != config.Model && worker.Model != "" // the worker has another base model than the service
 	})
 	history := snapshot.Weights[config.Model]
 	now := c.clock.Now()
--- a/internal/control/placementcontroller/orders_test.go
+++ b/internal/control/placementcontroller/orders_test.go
@@ -58,6 +58,6 @@
 		if err := controller.sendOrders(lease, workers, 2); err != nil || sent.Load() != 0 {
 			t.Errorf("orders after the lease has expired: error %v, %d sent, want none sent and no error", err, sent.Load())
 		}
-		<-time.After(bounds.Leave(1)) // until all dials have ended
+		<-time.After(bounds.Leave(1)) // wait until all dials have ended
 	})
 }
--- a/internal/control/retire/fleet_test.go
+++ b/internal/control/retire/fleet_test.go
@@ -151,7 +151,7 @@
 // violation records that an invariant was violated; beyond the fifth violation it does nothing.
 func (f *testFleet) violation(violated invariant, format string, args ...any) {
 	if len(f.violations) < 5 {
-		f.violations = append(f.violations, fmt.Sprintf("(%d) tick %d: ", violated, f.now)+fmt.Sprintf(format, args...))
+		f.violations = append(f.violations, fmt.Sprintf("invariant %d violated at tick %d: ", violated, f.now)+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/control/retire/retirement_test.go
+++ b/internal/control/retire/retirement_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	decoded, err := Read(body)
-	encoded, _ := json.Marshal(decoded) // plain fields: can't fail
+	encoded, _ := json.Marshal(decoded) // a struct of plain fields can always be encoded
 	if err != nil || string(body) != string(encoded) {
 		t.Errorf("retirement after decoding and encoding again: %s, error %v, want no change", encoded, err)
 	}
--- a/internal/control/retire/validate.go
+++ b/internal/control/retire/validate.go
@@ -146,7 +146,7 @@
 		}
 		adapter, ok := config.Adapters[replacement]
 		switch {
-		case replacement == "": // validateOldAdapters records it
+		case replacement == "": // validateOldAdapters already records an adapter without a replacement
 		case !ok:
 			fault(path, "replacement %q is not configured: add it to adapters or name a configured one", replacement)
 		case adapter.BaseModel != r.NewBase:
--- a/internal/control/retire/validate_test.go
+++ b/internal/control/retire/validate_test.go
@@ -18,7 +18,7 @@
 		"a valid plan":                      {`{}`, nil, ""},
 		"an adapter without a replacement":  {`{}`, func(r *Retirement) { delete(r.Replacements, "rare") }, `replace.rare: adapter rare depends on base model old and has no replacement: name the adapter that replaces it on new`},
 		"an unknown replacement":            {`{}`, func(r *Retirement) { r.Replacements["rare"] = "gone" }, `replace.rare: replacement "gone" is not configured`},
-		"a replacement for another base":    {`{"models":{"third":{"weights":1}},"adapters":{"rare-2":{"base":"third"}}}`, nil, `rare-2 was built for base model third: name an adapter that was built for new`},
+		"a replacement on a third base":     {`{"models":{"third":{"weights":1}},"adapters":{"rare-2":{"base":"third"}}}`, nil, `rare-2 was built for base model third: name an adapter that was built for new`},
 		"one replacement for two adapters":  {`{}`, func(r *Retirement) { r.Replacements["fare"] = "rare-2" }, `already replaces adapter`},
 		"a replacement workers don't load":  {`{"adapters":{"rare-2":{"services":null}}}`, nil, `rare-2 is not loaded by workers of service s`},
 		"a replacement for fewer tenants":   {`{"tenants":{"t":{},"u":{}},"adapters":{"rare-2":{"tenants":["u"]}}}`, nil, `rare-2 does not allow tenant t`},
