--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -49,7 +49,7 @@
 	Weights         uint64   `json:"weights,omitempty"` // for weights: the new version of the model's weights
 	ToService       string   `json:"to,omitempty"`      // for a handover: the service that takes over the route
 	Percents        []int    `json:"shares,omitempty"`  // for a handover: percent of requests moved at each step, rising to 100; empty: 10, 50, 100
-	SoakS           int      `json:"soak_s,omitempty"`  // for a handover: seconds to wait after each step
+	SoakSeconds     int      `json:"soak_s,omitempty"`  // for a handover: seconds to wait after each step
 	Workers         []string `json:"workers,omitempty"` // for a release: workers in the order of their replacement; empty: all of the service
 	BatchSize       int      `json:"at_once,omitempty"` // for a release: workers to drain at the same time; 0: 1
 	MinUpRatio      float64  `json:"keep,omitempty"`    // for a release: ratio of the service's workers that must keep accepting requests
--- a/internal/control/calendar/planner_test.go
+++ b/internal/control/calendar/planner_test.go
@@ -121,7 +121,7 @@
 var entriesByKind = []*Entry{
 	newEntry(Entry{Kind: KindWeights, Model: "m", Weights: 2}),
 	newEntry(Entry{Kind: KindRelease, BatchSize: 2, MinUpRatio: 0.5}),
-	newEntry(Entry{Kind: KindHandover, Model: "m", ToService: "s2", Percents: []int{25, 100}, SoakS: 3}),
+	newEntry(Entry{Kind: KindHandover, Model: "m", ToService: "s2", Percents: []int{25, 100}, SoakSeconds: 3}),
 }
 
 // crashRun carries out an entry with two lease holders that crash at random between any two effects: after
--- a/internal/control/calendar/steps.go
+++ b/internal/control/calendar/steps.go
@@ -221,8 +221,8 @@
 		started = observed.Now
 		p.soakStarted[key] = started
 	}
-	if observed.Now-started < time.Duration(entry.SoakS)*time.Second {
-		return fmt.Sprintf("holds %d percent for %d s", step.Percent, entry.SoakS)
+	if observed.Now-started < time.Duration(entry.SoakSeconds)*time.Second {
+		return fmt.Sprintf("holds %d percent for %d s", step.Percent, entry.SoakSeconds)
 	}
 	delete(p.soakStarted, key)
 	return ""
--- a/internal/control/calendar/validate.go
+++ b/internal/control/calendar/validate.go
@@ -10,8 +10,8 @@
 
 // Limits of an entry's fields.
 const (
-	maxNameBytes = 64
-	maxSoakS     = 86400 // one day, in seconds
+	maxNameBytes   = 64
+	maxSoakSeconds = 86400 // one day, in seconds
 )
 
 // faultFunc reports a validation fault of a field, which is named by its JSON key.
@@ -74,8 +74,8 @@
 	if len(e.Percents) > 0 && last != allRequests {
 		report("shares", "percentages %v must end with 100", e.Percents)
 	}
-	if e.SoakS < 0 || e.SoakS > maxSoakS {
-		report("soak_s", "soak time of %d s is out of range: use 0 to 86400", e.SoakS)
+	if e.SoakSeconds < 0 || e.SoakSeconds > maxSoakSeconds {
+		report("soak_s", "soak time of %d s is out of range: use 0 to 86400", e.SoakSeconds)
 	}
 }
 
