--- a/internal/control/calendar/planner.go
+++ b/internal/control/calendar/planner.go
@@ -11,7 +11,7 @@
 
 // Limits above which a running entry is paused because recent request attempts of its services fail.
 const (
-	defaultMaxFailureRatio = 0.2 // failed attempts per attempt; Entry.MaxFailureRatio overrides it
+	defaultMaxFailureRatio = 0.2 // ratio of failed to all attempts; Entry.MaxFailureRatio overrides it
 	minAttemptsToJudge     = 20  // with fewer recent attempts the failure ratio says nothing, and the entry is not paused
 )
 
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -15,7 +15,7 @@
 
 // Limits of the automatic abort, which watches the service's recent request attempts.
 const (
-	defaultAbortRatio = 0.2 // failed attempts per attempt above which a retirement is aborted; AbortFailureRatio overrides it
+	defaultAbortRatio = 0.2 // ratio of failed to all attempts above which a retirement is aborted; AbortFailureRatio overrides it
 	minAttempts       = 20  // with fewer recent attempts the failure ratio says nothing, and the retirement is not aborted
 )
 
--- a/internal/control/retire/retirement.go
+++ b/internal/control/retire/retirement.go
@@ -35,7 +35,7 @@
 
 // Phases of a running retirement, in order. From PhaseDrop on it cannot be aborted.
 const (
-	PhaseLoadBase     Phase = "load-base"     // every node loads the new base model beside the old one
+	PhaseLoadBase     Phase = "load-base"     // every node loads the new base model beside the old one; a node without enough memory blocks the retirement
 	PhaseLoadAdapters Phase = "load-adapters" // every node loads the replacement adapters on the new base model
 	PhaseProve        Phase = "prove"         // every node answers a real request under the new base model and each replacement
 	PhaseMove         Phase = "move"          // routes are moved to the new base model and the replacements, in steps
@@ -81,7 +81,7 @@
 	TrafficPercents   []int             `json:"shares,omitempty"`   // percent of requests moved at each traffic step, rising to 100; empty: 10, 50, 100
 	SoakSeconds       int               `json:"soak_s,omitempty"`   // minimum duration of each traffic step, in seconds
 	MaxConcurrent     int               `json:"at_once,omitempty"`  // nodes that may load, prove or unload at the same time; 0: 1
-	AbortFailureRatio float64           `json:"abort_at,omitempty"` // ratio of failed attempts above which the retirement is aborted; 0: defaultAbortRatio
+	AbortFailureRatio float64           `json:"abort_at,omitempty"` // ratio of failed attempts above which the retirement is aborted, or paused after the barrier; 0: defaultAbortRatio
 
 	// Progress, as written by the lease holder.
 	State           State             `json:"state"`
