--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Bounds are the guarantees that pebbleloom keeps, and limits on its memory. Every other duration is a
-// ratio of one of them, so that a site can be tightened or relaxed as a whole.
+// Bounds are the time limits that pebbleloom guarantees, its retry budget and its memory limits. Every other duration
+// is a fixed ratio of one of these time limits, so that the timing of a site can be scaled as one.
 type Bounds struct {
-	ConfigMs              int `json:"setup_ms"`    // an old configuration is in use no longer than this
-	KeyRevocationMs       int `json:"key_ms"`      // a revoked key works no longer than this
-	LeaveMs               int `json:"leave_ms"`    // a worker that left gets requests no longer than this
-	WeightsMs             int `json:"weights_ms"`  // requests start on older weights no longer than this
-	HealMs                int `json:"heal_ms"`     // service is restored within this after a fault
-	RetryPercent          int `json:"try_share"`   // retries, percent of traffic
-	RetryWindowMs         int `json:"try_span_ms"` // over which retries are counted; only the test bed's checks use it
-	RetryAllowance        int `json:"try_allow"`   // retries of a service at the whole site beside RetryPercent
-	RequestIDRetentionMs  int `json:"once_ms"`     // the id of an at-most-once request is remembered at least this long
-	MaxBodyKB             int `json:"body_kb"`     // of a request
-	MaxConcurrentRequests int `json:"waiting"`     // of one proxy
-	MaxIndexEntries       int `json:"entries"`     // prefix entries of one index node
+	ConfigMs              int `json:"setup_ms"`    // longest time that a superseded configuration stays in use
+	KeyRevocationMs       int `json:"key_ms"`      // longest time that a revoked API key is still accepted
+	LeaveMs               int `json:"leave_ms"`    // longest time that a worker still gets requests after it has left
+	WeightsMs             int `json:"weights_ms"`  // longest time that requests still start on superseded weights
+	HealMs                int `json:"heal_ms"`     // longest time until service is restored after a fault
+	RetryPercent          int `json:"try_share"`   // retries that are allowed, as a percentage of the traffic
+	RetryWindowMs         int `json:"try_span_ms"` // interval over which retries are counted; only the test bed's checks use it
+	RetryAllowance        int `json:"try_allow"`   // retries per service in the entire site that are allowed in addition to RetryPercent
+	RequestIDRetentionMs  int `json:"once_ms"`     // shortest time that the ID of an at-most-once request is remembered
+	MaxBodyKB             int `json:"body_kb"`     // largest body of a request
+	MaxConcurrentRequests int `json:"waiting"`     // limit for each proxy
+	MaxIndexEntries       int `json:"entries"`     // limit for prefix entries in each prompt index node
 }
 
-// DefaultBounds returns the bounds of the Páramo site.
+// DefaultBounds returns the bounds that apply if the settings give no others.
 //
 // Example: process.Bounds = settings.DefaultBounds()
 func DefaultBounds() Bounds {
@@ -28,48 +28,48 @@
 		MaxBodyKB: 512, MaxConcurrentRequests: 256, MaxIndexEntries: 60000}
 }
 
-// These ratios keep the orders of two lease holders apart. A holder stops LeaseMarginRatio of a lease
-// before its end, the next one starts LeaseMarginRatio after it, and an order takes OrderTimeoutRatio
-// at most: the last order of the one must arrive before the first of the other.
+// These ratios ensure that the last order of one lease holder arrives before the first order of the next. A holder
+// stops sending LeaseMarginRatio of a lease before its lease ends, the next one starts LeaseMarginRatio of a lease
+// after that end, and an order takes at most OrderTimeoutRatio.
 const (
-	LeaseRatio        = 1.0 / 4  // duration of a lease, of the heal bound
-	LeaseMarginRatio  = 1.0 / 8  // of a lease
-	OrderTimeoutRatio = 1.0 / 24 // of the heal bound
+	LeaseRatio        = 1.0 / 4  // duration of a lease, as a ratio of the recovery time limit
+	LeaseMarginRatio  = 1.0 / 8  // safety margin, as a ratio of the duration of a lease
+	OrderTimeoutRatio = 1.0 / 24 // timeout of an order, as a ratio of the recovery time limit
 )
 
-// handoverGap is the time between the end of a holder's last order and the next holder's first.
+// handoverGap returns the time between the latest end of a lease holder's last order and the next holder's first.
 func (b Bounds) handoverGap() time.Duration {
 	return b.Heal(2*LeaseMarginRatio*LeaseRatio) - b.Heal(OrderTimeoutRatio)
 }
 
-// Fraction returns a ratio of a bound in milliseconds.
+// Fraction returns a ratio of a number of milliseconds as a duration.
 //
 // Example: settings.Fraction(site.GraceMs, 0.5)
 func Fraction(milliseconds int, ratio float64) time.Duration {
 	return time.Duration(float64(milliseconds) * ratio * float64(time.Millisecond))
 }
 
-// Config returns a ratio of the bound on old configurations.
+// Config returns a ratio of the longest time that a superseded configuration stays in use.
 //
 // Example: maxProofAge := bounds.Config(0.8)
 func (b Bounds) Config(ratio float64) time.Duration { return Fraction(b.ConfigMs, ratio) }
 
-// Weights returns a ratio of the bound on older weights.
+// Weights returns a ratio of the longest time that requests still start on superseded weights.
 //
 // Example: selectableFor := bounds.Weights(0.85)
 func (b Bounds) Weights(ratio float64) time.Duration { return Fraction(b.WeightsMs, ratio) }
 
-// Leave returns a ratio of the bound on workers that left.
+// Leave returns a ratio of the longest time that a worker still gets requests after it has left.
 //
 // Example: heartbeatInterval := bounds.Leave(0.1)
 func (b Bounds) Leave(ratio float64) time.Duration { return Fraction(b.LeaveMs, ratio) }
 
-// Heal returns a ratio of the bound on restored service.
+// Heal returns a ratio of the longest time until service is restored after a fault.
 //
 // Example: lease := bounds.Heal(settings.LeaseRatio)
 func (b Bounds) Heal(ratio float64) time.Duration { return Fraction(b.HealMs, ratio) }
 
-// RequestIDRetention returns a ratio of how long ids of at-most-once requests are remembered.
+// RequestIDRetention returns a ratio of the time that IDs of at-most-once requests are remembered.
 //
 // Example: retention := bounds.RequestIDRetention(1)
 func (b Bounds) RequestIDRetention(ratio float64) time.Duration {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,7 +8,8 @@
 	"pebbleloom/internal/maputil"
 )
 
-// Decode reads a settings file into p. Each unknown key and each wrong type is added to faults.
+// Decode decodes a JSON settings file into process. It adds an error to faults for each unknown field and for each
+// value of the wrong type.
 //
 // Example: settings.Decode(raw, "edge-1.json", &process, &faults)
 func Decode(raw []byte, file string, process *Process, faults *errs.Batch) {
@@ -24,7 +25,7 @@
 	for _, key := range maputil.SortedKeys(top) {
 		if key == "bounds" {
 			if err := json.Unmarshal(top[key], &bounds); err != nil {
-				faults.Addf(errs.BadInput, "%s: bounds: not an object: write {\"setup_ms\": 2000, …}", file)
+				faults.Addf(errs.BadInput, "%s: bounds: not a JSON object: write for example {\"setup_ms\": 2000, …}", file)
 			}
 			continue
 		}
@@ -34,7 +35,7 @@
 			continue
 		}
 		if err := json.Unmarshal(top[key], field); err != nil {
-			faults.Addf(errs.BadInput, "%s: %s: wrong type (%v): give what `docs/operate.md` shows", file, key, err)
+			faults.Addf(errs.BadInput, "%s: %s: wrong type (%v): see `docs/operate.md`", file, key, err)
 		}
 	}
 	decodeBounds(bounds, file, &process.Bounds, faults)
@@ -50,7 +51,7 @@
 		if !known {
 			faults.Addf(errs.BadInput, "%s: bounds.%s: unknown field: remove it (known: %s)", file, key, strings.Join(maputil.SortedKeys(fields), " "))
 		} else if err := json.Unmarshal(raw[key], field); err != nil {
-			faults.Addf(errs.BadInput, "%s: bounds.%s: not a whole number: give one", file, key)
+			faults.Addf(errs.BadInput, "%s: bounds.%s: %s is not an integer: give a whole number", file, key, raw[key])
 		}
 	}
 }
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -11,31 +11,31 @@
 	"pebbleloom/internal/programs"
 )
 
-// flagValues are the values of a command line; empty where a flag wasn't given.
+// flagValues are the values of the flags on a command line; empty for flags that weren't given.
 type flagValues struct {
 	Process
 	file                 string
-	seeds, core, options string // joined by commas
+	seeds, core, options string // comma-separated
 }
 
 func (f *flagValues) register(parser *flaggy.Parser) {
 	parser.String(&f.file, "s", "settings", "settings file (JSON)")
 	parser.String(&f.Name, "n", "name", "name of the machine or worker")
-	parser.String(&f.Zone, "d", "zone", "zone that it runs in")
-	parser.String(&f.Listen, "l", "listen", "own address (IP:port) towards pebbleloom's processes")
-	parser.String(&f.Public, "p", "public", "own address (IP:port) towards clients")
-	parser.String(&f.Operator, "o", "operator", "own address (IP:port) towards operators")
-	parser.String(&f.seeds, "", "seeds", "three seeds, joined by commas")
-	parser.String(&f.core, "", "core", "names of the core machines, joined by commas")
-	parser.String(&f.Data, "", "data", "data folder")
-	parser.String(&f.NodeAgent, "", "node-agent", "address of the node agent beside it")
-	parser.String(&f.WorkerList, "", "worker-list", "address where the platform lists workers")
-	parser.String(&f.options, "", "options", "the program's own options, key=value joined by commas")
+	parser.String(&f.Zone, "d", "zone", "zone of the machine or worker")
+	parser.String(&f.Listen, "l", "listen", "address (IP:port) to listen at for other pebbleloom processes")
+	parser.String(&f.Public, "p", "public", "address (IP:port) to listen at for clients")
+	parser.String(&f.Operator, "o", "operator", "address (IP:port) to listen at for operators")
+	parser.String(&f.seeds, "", "seeds", "addresses (IP:port) of three other processes to join through, comma-separated")
+	parser.String(&f.core, "", "core", "names of the core machines, comma-separated")
+	parser.String(&f.Data, "", "data", "data directory")
+	parser.String(&f.NodeAgent, "", "node-agent", "address (IP:port) of the node agent on the same machine")
+	parser.String(&f.WorkerList, "", "worker-list", "address (IP:port) of the platform's worker list")
+	parser.String(&f.options, "", "options", "program-specific options key=value, comma-separated")
 	AddFirstNames(parser)
 }
 
-// AddFirstNames declares the flags of a parser that were renamed under their first names, too. These do
-// the same as before; --help doesn't show them.
+// AddFirstNames adds, for each renamed flag of a parser, a hidden flag with its former name, which sets the same
+// value. Scripts that use former names keep working; --help doesn't list them.
 //
 // Example: settings.AddFirstNames(parser)
 func AddFirstNames(parser *flaggy.Parser) {
@@ -46,16 +46,16 @@
 			}
 			switch value := flag.AssignmentVar.(type) {
 			case *string:
-				parser.String(value, "", renamed.First, "now --"+renamed.Name)
+				parser.String(value, "", renamed.First, "deprecated: use --"+renamed.Name)
 			case *int64:
-				parser.Int64(value, "", renamed.First, "now --"+renamed.Name)
+				parser.Int64(value, "", renamed.First, "deprecated: use --"+renamed.Name)
 			}
 			parser.Flags[len(parser.Flags)-1].Hidden = true
 		}
 	}
 }
 
-// override replaces the settings whose flags were given.
+// override replaces those settings whose flags were given on the command line.
 func (f *flagValues) override(p *Process) {
 	for _, text := range []struct {
 		setting *string
@@ -78,7 +78,7 @@
 	}
 }
 
-// parseFlags parses a command line that consists of flags alone.
+// parseFlags parses a command line that may contain only flags, no positional arguments.
 func parseFlags(program, about string, args []string) (*flagValues, error) {
 	values := &flagValues{}
 	parser := flaggy.NewParser(program)
@@ -89,7 +89,7 @@
 	values.register(parser)
 	arguments, err := ParseStrict(parser, args)
 	if err == nil && len(arguments) > 0 {
-		err = errs.New(errs.BadInput, "%q: %s takes flags alone: see --help", arguments, program)
+		err = errs.New(errs.BadInput, "unexpected arguments %q: %s accepts only flags: see --help", arguments, program)
 	}
 	if err == nil {
 		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
@@ -97,8 +97,8 @@
 	return values, errs.WrapAs(err, errs.BadInput, "flags")
 }
 
-// Read reads the settings file and the flags of a program and validates the result. Flags override the
-// file. An error lists every fault with its file, field and remedy; its kind is errs.BadInput.
+// Read reads the flags of a program and the settings file that they name, and validates the result. Flags override
+// the file. An error lists every invalid setting with its source and how to correct it; its kind is errs.BadInput.
 //
 // Example: process, err := settings.Read("runner", "the agent on a machine", os.Args[1:], settings.Required{Seeds: true})
 func Read(program, about string, args []string, required Required) (Process, error) {
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -1,6 +1,6 @@
-// Package settings holds the settings of a process: its addresses, its zone, its seeds, its data folder
-// and the bounds that all durations are ratios of. They come from a JSON file and from flags (Read), or
-// from the platform's own file (package platform).
+// Package settings defines the settings of a process: its addresses, zone, seeds, data directory and time limits.
+// They are read from a JSON file and from flags (Read), or from the settings file of the platform on which the
+// process runs (package platform).
 package settings
 
 import (
@@ -12,29 +12,29 @@
 
 // Process holds the settings of one process.
 type Process struct {
-	Name        string   `json:"name"`         // the machine's or worker's name; it survives restarts
-	Zone        string   `json:"district"`     // one of the site's zones
-	Listen      string   `json:"listen"`       // listens here (IP:port) for pebbleloom's processes
-	Advertise   string   `json:"tell"`         // address given to other processes; empty: Listen
-	Public      string   `json:"public"`       // listens here for clients; a simulator's own address
-	Operator    string   `json:"operator"`     // listens here for operators
-	OperatorKey string   `json:"operator_key"` // key that operators must present; empty: none
-	Seeds       []string `json:"seeds"`        // three addresses of other processes
-	Core        []string `json:"core"`         // the names of the core machines
-	Data        string   `json:"data"`         // the data folder; empty on machines without a disk
-	NodeAgent   string   `json:"runner"`       // address of the node agent beside a proxy, on loopback
-	WorkerList  string   `json:"rank"`         // address where the platform lists workers
-	Options     []string `json:"extra"`        // the program's own options, "key=value"
+	Name        string   `json:"name"`         // name of the machine or worker; stays the same after a restart
+	Zone        string   `json:"district"`     // zone of the machine, one of the site's
+	Listen      string   `json:"listen"`       // address (IP:port) to listen at for other pebbleloom processes
+	Advertise   string   `json:"tell"`         // address at which other processes reach this one; empty: Listen
+	Public      string   `json:"public"`       // address to listen at for clients; a simulator serves only this one
+	Operator    string   `json:"operator"`     // address to listen at for operators
+	OperatorKey string   `json:"operator_key"` // key that operators must present; empty: no key is required
+	Seeds       []string `json:"seeds"`        // addresses of three other processes, to join the cluster through
+	Core        []string `json:"core"`         // names of the core machines, which hold the control state
+	Data        string   `json:"data"`         // data directory; empty on machines without a disk
+	NodeAgent   string   `json:"runner"`       // loopback address of the node agent on the same machine
+	WorkerList  string   `json:"rank"`         // address of the platform's worker list
+	Options     []string `json:"extra"`        // program-specific options, each "key=value"
 	Bounds      Bounds   `json:"bounds"`
-	Site        *Site    `json:"-"` // nil if the core machines are named
+	Site        *Site    `json:"-"` // nil if Core lists the core machines
 }
 
-// Required lists the optional settings that a program can't do without.
+// Required selects which of the settings that may be empty a program requires.
 type Required struct {
 	Seeds, Core, Data, NodeAgent, WorkerList, Public, Operator bool
 }
 
-// AdvertisedAddr returns the address under which other processes reach this one.
+// AdvertisedAddr returns the address at which other processes reach this one.
 //
 // Example: node.Addr = process.AdvertisedAddr()
 func (p Process) AdvertisedAddr() string {
@@ -44,15 +44,15 @@
 	return p.Listen
 }
 
-// dialTimeoutRatio is how long a connection may take to open, as a ratio of the leave bound.
+// dialTimeoutRatio is the timeout for opening a connection, as a ratio of Bounds.LeaveMs.
 const dialTimeoutRatio = 1.0 / 3
 
-// DialTimeout returns how long a connection may take to open.
+// DialTimeout returns the timeout for opening a connection.
 //
 // Example: dialer := net.Dialer{Timeout: process.DialTimeout()}
 func (p Process) DialTimeout() time.Duration { return p.Bounds.Leave(dialTimeoutRatio) }
 
-// Dialer returns a dialer that connects from this process's own address.
+// Dialer returns a dialer whose connections come from the IP address that this process listens at.
 //
 // Example: conn, err := process.Dialer().DialContext(ctx, "tcp", addr)
 func (p Process) Dialer() *net.Dialer {
@@ -63,7 +63,7 @@
 	return dialer
 }
 
-// Option returns the value of one of the program's own options, or a default.
+// Option returns the value of a program-specific option, or the default if it is not given.
 //
 // Example: process.Option("slots", "2") returns "4" if the options contain "slots=4"
 func (p Process) Option(key, defaultValue string) string {
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -5,35 +5,35 @@
 	"strconv"
 )
 
-// Site holds the settings of a process on a site with consensus-managed membership: the core machines
-// aren't named. Process.Seeds then holds three addresses at which core machines listen for pebbleloom's
-// processes.
+// Site holds further settings of a process on a site whose control state members are managed by consensus, instead of
+// being listed in Process.Core. Process.Seeds then holds three addresses at which core machines listen for other
+// pebbleloom processes.
 type Site struct {
-	FirstStart         bool    // the first start of the whole system: empty disks are no data loss
-	ToleratedFailures  int     // machines that may fail at once
-	ControlPlaneListen string  // listens here for operators of the platform's interface; empty: doesn't serve them
-	ReadinessListen    string  // listens here for the readiness check
-	PortRange          [2]int  // first and last port for pebbleloom's processes; the same on every machine
-	IP                 string  // own address
-	MemoryLimitMB      int     // the process is killed above it
-	HeartbeatMs        int     // between two heartbeats of the cluster membership
-	WorkerListRate     float64 // calls per second that the platform's worker list allows
-	EnforceRevocation  bool    // Bounds.KeyRevocationMs holds even without contact to the control state
-	GraceMs            int     // from SIGTERM until the process is killed
+	FirstStart         bool    // the entire system starts for the first time, so empty disks do not mean data loss
+	ToleratedFailures  int     // number of machines that may be down at the same time
+	ControlPlaneListen string  // address of the operator API in the platform's format; empty: not served
+	ReadinessListen    string  // address of the readiness endpoint
+	PortRange          [2]int  // first and last port for internal calls; the same on every machine
+	IP                 string  // IP address of this machine
+	MemoryLimitMB      int     // memory use above which the process is killed
+	HeartbeatMs        int     // interval of the cluster membership's heartbeats
+	WorkerListRate     float64 // rate limit of the platform's worker list, in calls per second
+	EnforceRevocation  bool    // Bounds.KeyRevocationMs applies even while the control state is unreachable
+	GraceMs            int     // time from SIGTERM until the process is killed
 	LeaseMs            int     // duration of a lease
-	AckTimeoutMs       int     // an operator's change is acknowledged or rejected within this
-	ContactWindowMs    int     // a process must have been in contact for this long before the bounds hold for it
-	TransitMs          int     // an event of a stream is forwarded within this
+	AckTimeoutMs       int     // longest time until an operator's change is acknowledged or rejected
+	ContactWindowMs    int     // how long a process must have been connected before Bounds apply to it
+	TransitMs          int     // longest time until an event of a stream is forwarded
 }
 
-// Offsets of the processes' ports from the first port of Site.PortRange.
+// Offsets of the internal ports from the first port of Site.PortRange.
 const (
-	PortState    = 0 // control state; on an edge machine the agent
+	PortState    = 0 // control state; on an edge machine: node agent
 	PortIndex    = 1 // prompt index and controllers
-	PortOperator = 2 // operator API, beside the control state
+	PortOperator = 2 // operator API, served by the control state process
 )
 
-// Port returns the address of a process on a machine, by the offset of its port.
+// Port returns the address of a process on a machine, given the machine's IP address and the port's offset.
 //
 // Example: addr := site.Port("10.1.0.14", settings.PortIndex)
 func (s *Site) Port(ip string, offset int) string {
--- a/internal/settings/strict.go
+++ b/internal/settings/strict.go
@@ -9,9 +9,9 @@
 	"pebbleloom/internal/errs"
 )
 
-// ParseStrict checks a command line before flaggy parses it, which ignores unknown flags: a typo in a
-// flag's name must not become another command. It returns the arguments that are neither flags nor
-// their values. An error lists all faults; its kind is errs.BadInput.
+// ParseStrict rejects unknown flags and invalid values in a command line that flaggy will parse. Flaggy itself ignores
+// unknown flags, so a mistyped flag would change what a command does. ParseStrict returns the positional arguments.
+// An error lists every invalid flag; its kind is errs.BadInput.
 //
 // Example: arguments, err := settings.ParseStrict(parser, os.Args[1:])
 func ParseStrict(parser *flaggy.Parser, args []string) ([]string, error) {
@@ -29,21 +29,21 @@
 		switch {
 		case name == "help" || name == "h":
 		case flag == nil:
-			faults.Addf(errs.BadInput, "--%s: no such flag: see --help", name)
+			faults.Addf(errs.BadInput, "--%s: unknown flag: see --help", name)
 		case isBool(flag):
 			if _, err := strconv.ParseBool(value); hasValue && err != nil {
-				faults.Addf(errs.BadInput, "--%s: %q: give true or false", name, value)
+				faults.Addf(errs.BadInput, "--%s: %q is not a Boolean value: give true or false", name, value)
 			}
 		case !hasValue && i+1 >= len(args):
-			faults.Addf(errs.BadInput, "--%s: its value is missing", name)
+			faults.Addf(errs.BadInput, "--%s: missing value", name)
 		case !hasValue:
-			i++ // the next argument is the value
+			i++ // skips the next argument, which is the value of the flag
 		}
 	}
 	return arguments, faults.Err()
 }
 
-// addFlags adds the flags of a command and its subcommands to known, by both their names.
+// addFlags adds the flags of a command and of its subcommands to known, by long and by short name.
 func addFlags(known map[string]*flaggy.Flag, command *flaggy.Subcommand) {
 	for _, flag := range command.Flags {
 		known[flag.LongName] = flag
@@ -56,7 +56,7 @@
 	}
 }
 
-// isFlag reports whether an argument is a flag; "-" and negative numbers aren't.
+// isFlag reports whether an argument is a flag; "-" and negative numbers are not.
 func isFlag(argument string) bool {
 	_, notNumber := strconv.ParseFloat(argument, 64)
 	return strings.HasPrefix(argument, "-") && argument != "-" && notNumber != nil
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,13 +14,13 @@
 	maxOperatorKeyLength = 128
 )
 
-// validator adds faults under the name of the source that the settings come from.
+// validator collects the errors in settings, each prefixed with the source of the settings: a file, or "flags".
 type validator struct {
 	source string
 	faults *errs.Batch
 }
 
-func (v validator) fault(field, format string, args ...any) {
+func (v validator) invalid(field, format string, args ...any) {
 	v.faults.Addf(errs.BadInput, v.source+": "+field+": "+format, args...)
 }
 
@@ -29,26 +29,27 @@
 		return
 	}
 	if addr, err := netip.ParseAddrPort(value); err != nil || addr.Port() == 0 {
-		v.fault(field, "%q: give IP:port, by number", value)
+		v.invalid(field, "%q is not an address: give a numeric IP:port, with a port from 1 on", value)
 	}
 }
 
 func (v validator) inRange(field string, value, low, high int) {
 	if value < low || value > high {
-		v.fault("bounds."+field, "%d: give %d to %d", value, low, high)
+		v.invalid("bounds."+field, "%d is out of range: give %d to %d", value, low, high)
 	}
 }
 
-// Validate adds every fault of the settings to faults, under the name of their source.
+// Validate adds an error to faults for each invalid setting and for each required one that is missing. Each error
+// begins with the source of the settings.
 //
 // Example: settings.Validate(&process, settings.Required{Data: true}, "core-1.json", &faults)
 func Validate(process *Process, required Required, source string, faults *errs.Batch) {
 	v := validator{source, faults}
 	if process.Name == "" || strings.ContainsAny(process.Name, " ,/\x00") {
-		v.fault("name", "%q: give a word without spaces, commas or slashes", process.Name)
+		v.invalid("name", "%q is not a valid name: give one without spaces, commas and slashes", process.Name)
 	}
 	if process.Zone == "" {
-		v.fault("district", "missing: name the zone that this machine is in")
+		v.invalid("district", "missing: set it to the zone of this machine")
 	}
 	v.address("listen", process.Listen, true)
 	v.address("tell", process.Advertise, false)
@@ -57,19 +58,19 @@
 	v.address("runner", process.NodeAgent, required.NodeAgent)
 	v.address("rank", process.WorkerList, required.WorkerList)
 	if n := len(process.OperatorKey); n != 0 && (n < minOperatorKeyLength || n > maxOperatorKeyLength || strings.ContainsAny(process.OperatorKey, " \t\r\n")) {
-		v.fault("operator_key", "%d letters: give %d to %d without spaces, or none", n, minOperatorKeyLength, maxOperatorKeyLength)
+		v.invalid("operator_key", "invalid key of %d characters: give %d to %d characters without white space, or no key", n, minOperatorKeyLength, maxOperatorKeyLength)
 	}
 	if required.Seeds && len(process.Seeds) != seedCount {
-		v.fault("seeds", "%d given: give three addresses of other processes", len(process.Seeds))
+		v.invalid("seeds", "%d given: give the IP:port addresses of three other processes", len(process.Seeds))
 	}
 	for _, seed := range process.Seeds {
 		v.address("seeds", seed, true)
 	}
 	if required.Core && len(process.Core) != coreCount {
-		v.fault("core", "%d given: name the four core machines", len(process.Core))
+		v.invalid("core", "%d given: give the names of the four core machines", len(process.Core))
 	}
 	if required.Data && process.Data == "" {
-		v.fault("data", "missing: name the data folder on this machine's disk")
+		v.invalid("data", "missing: set it to a directory on this machine's disk")
 	}
 	v.bounds(process.Bounds)
 }
@@ -83,9 +84,9 @@
 	v.inRange("try_share", b.RetryPercent, 0, 100)
 	v.inRange("try_span_ms", b.RetryWindowMs, 1000, 600000)
 	v.inRange("try_allow", b.RetryAllowance, 0, 10000)
-	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // no request waits longer than the minimum
+	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // at least 10 min: no request takes longer
 	if b.HealMs > 0 && b.handoverGap() < b.Heal(OrderTimeoutRatio)/4 {
-		v.fault("bounds.heal_ms", "%d: an order could land after the next holder's first: give more", b.HealMs)
+		v.invalid("bounds.heal_ms", "%d is too short: an order could arrive after the first order of the next lease holder: give more", b.HealMs)
 	}
 	v.inRange("body_kb", b.MaxBodyKB, 1, 16384)
 	v.inRange("waiting", b.MaxConcurrentRequests, 1, 65536)
