--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,5 +1,5 @@
-// Package errs gives errors a Kind, which names the remedy and determines HTTP status and exit code, adds
-// context to them and collects several into one. An error that has no kind is of kind Internal.
+// Package errs classifies errors by Kind, which determines the remedy, the HTTP status and the exit code. It also adds
+// context to errors and combines several into one. An error without a kind counts as Internal.
 package errs
 
 import (
@@ -10,33 +10,33 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Kind is a class of errors with one remedy.
+// Kind is a class of errors that have the same remedy, HTTP status and exit code.
 type Kind struct {
-	Name       string // stable: clients and scripts read it
-	Remedy     string // what a person should do
-	HTTPStatus int    // status towards clients and operators
-	ExitCode   int    // exit code of the command line
+	Name       string // stable, because clients and scripts depend on it
+	Remedy     string // what the user or operator should do
+	HTTPStatus int    // status in responses to clients and operators
+	ExitCode   int    // exit code of the programs
 }
 
-// The kinds in use. Names and exit codes are stable; statuses are those towards clients and operators.
+// The kinds. Their names, statuses and exit codes must not change: clients and scripts depend on them.
 var (
 	BadInput         = &Kind{"bad-input", "correct the named fields and send it again", 400, 2}
-	BadKey           = &Kind{"bad-key", "use a key that the configuration in force lists for the tenant", 401, 3}
-	BadOperatorKey   = &Kind{"bad-operator-key", "give the operators' key of this site: --operator-key FILE or PEBBLELOOM_KEY", 401, 3}
-	NoSuchModel      = &Kind{"no-such-model", "name a model that the configuration in force routes", 404, 4}
+	BadKey           = &Kind{"bad-key", "use an API key that the current configuration lists for the tenant", 401, 3}
+	BadOperatorKey   = &Kind{"bad-operator-key", "provide this site's operator key with --operator-key FILE or in PEBBLELOOM_KEY", 401, 3}
+	NoSuchModel      = &Kind{"no-such-model", "use a model that the current configuration has a route for", 404, 4}
 	NotFound         = &Kind{"not-found", "check the name with the matching list command", 404, 4}
-	Conflict         = &Kind{"epoch-conflict", "read the configuration back, redo the change on the version in force, apply again", 409, 5}
-	TooLarge         = &Kind{"too-big", "send less: the bound is in the message", 413, 2}
-	RateLimited      = &Kind{"over-budget", "wait as long as Retry-After says, or raise the tenant's budget", 429, 6}
-	Overloaded       = &Kind{"overloaded", "wait as long as Retry-After says, then ask again", 503, 6}
-	DeadlineExceeded = &Kind{"expired", "ask again with a longer wait, or when load is lower", 504, 6}
-	NotExecuted      = &Kind{"not-run", "nothing ran: ask again after Retry-After", 503, 6}
-	MayHaveExecuted  = &Kind{"may-have-run", "find out whether it took effect before asking again", 502, 7}
-	OutcomeUnknown   = &Kind{"cant-say", "no majority of the shard answers: check the core machines with `pebblectl nodes`", 503, 8}
-	CheckFailed      = &Kind{"not-as-due", "do what the step says, then go on with --resume", 409, 1}
-	NotSupported     = &Kind{"not-here", "this kind of site has no such thing: use what the message names instead", 501, 10}
-	DiskFailure      = &Kind{"disk-bad", "free or replace the disk, clear the data folder, restart the member", 500, 9}
-	Internal         = &Kind{"inside", "look at this process's log for the step named here", 500, 9}
+	Conflict         = &Kind{"epoch-conflict", "read the current version, redo the change on top of it and apply it again", 409, 5}
+	TooLarge         = &Kind{"too-big", "reduce the size: the message states the limit", 413, 2}
+	RateLimited      = &Kind{"over-budget", "retry after the time in Retry-After, or raise the tenant's budget", 429, 6}
+	Overloaded       = &Kind{"overloaded", "retry after the time in Retry-After", 503, 6}
+	DeadlineExceeded = &Kind{"expired", "retry with a longer deadline, or when the load is lower", 504, 6}
+	NotExecuted      = &Kind{"not-run", "the request was not executed: retry after the time in Retry-After", 503, 6}
+	MayHaveExecuted  = &Kind{"may-have-run", "check whether the request took effect before retrying", 502, 7}
+	OutcomeUnknown   = &Kind{"cant-say", "no majority of the shard responds: check the core machines with `pebblectl nodes`", 503, 8}
+	CheckFailed      = &Kind{"not-as-due", "follow the instructions of the failed step, then continue with --resume", 409, 1}
+	NotSupported     = &Kind{"not-here", "not available on this type of site: use the alternative in the message", 501, 10}
+	DiskFailure      = &Kind{"disk-bad", "free space or replace the disk, clear the data directory, restart the member", 500, 9}
+	Internal         = &Kind{"inside", "search the log of the failing process for this error", 500, 9}
 )
 
 // Kinds returns every kind.
@@ -47,7 +47,7 @@
 		DeadlineExceeded, NotExecuted, MayHaveExecuted, OutcomeUnknown, CheckFailed, NotSupported, DiskFailure, Internal}
 }
 
-// KindNamed returns the kind with that name, or Internal.
+// KindNamed returns the kind with a name, or Internal if there is none.
 //
 // Example: errs.KindNamed("not-run") == errs.NotExecuted
 func KindNamed(name string) *Kind {
@@ -59,17 +59,17 @@
 	return Internal
 }
 
-// kindKey is the key of the kind among an error's values.
+// kindKey is the key under which merry stores an error's kind.
 type kindKey struct{}
 
-// New returns an error of a kind.
+// New returns an error of a kind, with a formatted message.
 //
 // Example: errs.New(errs.BadInput, "parts: %d given, at most %d allowed", n, max)
 func New(kind *Kind, format string, args ...any) error {
 	return merry.New(fmt.Sprintf(format, args...), merry.NoCaptureStack(), merry.WithValue(kindKey{}, kind))
 }
 
-// Wrap prepends the step that failed to an error and keeps its kind; nil stays nil.
+// Wrap prepends the step that failed to the message of an error and keeps its kind. It returns nil for a nil error.
 //
 // Example: return errs.Wrap(err, "read snapshot")
 func Wrap(err error, step string) error {
@@ -79,7 +79,7 @@
 	return merry.Prepend(err, step, merry.NoCaptureStack())
 }
 
-// WrapAs prepends the step that failed to an error and gives it a kind; nil stays nil.
+// WrapAs prepends the step that failed to the message of an error and sets its kind. It returns nil for a nil error.
 //
 // Example: return errs.WrapAs(err, errs.DiskFailure, "sync log")
 func WrapAs(err error, kind *Kind, step string) error {
@@ -89,7 +89,7 @@
 	return merry.Prepend(err, step, merry.NoCaptureStack(), merry.WithValue(kindKey{}, kind))
 }
 
-// KindOf returns an error's kind; Internal if none was set.
+// KindOf returns the kind of an error, or Internal if it has none.
 //
 // Example: os.Exit(errs.KindOf(err).ExitCode)
 func KindOf(err error) *Kind {
@@ -99,17 +99,17 @@
 	return Internal
 }
 
-// Text returns an error's message with its remedy.
+// Text returns the message of an error, followed by the remedy for its kind.
 //
 // Example: fmt.Fprintln(os.Stderr, errs.Text(err))
 func Text(err error) string {
 	return err.Error() + " (remedy: " + KindOf(err).Remedy + ")"
 }
 
-// Batch collects the errors of one step, which returns them all at once. The zero value is empty.
+// Batch collects errors, to be returned as one. The zero value is an empty batch.
 type Batch struct{ errors []error }
 
-// Add adds an error, if it isn't nil, with the step that failed prepended.
+// Add adds an error with the step that failed prepended to its message. A nil error is ignored.
 //
 // Example: faults.Add("listen", err)
 func (b *Batch) Add(step string, err error) {
@@ -118,15 +118,15 @@
 	}
 }
 
-// Addf adds a new error of a kind.
+// Addf adds a new error of a kind, with a formatted message.
 //
 // Example: faults.Addf(errs.BadInput, "%s: unknown zone", path)
 func (b *Batch) Addf(kind *Kind, format string, args ...any) {
 	b.errors = append(b.errors, New(kind, format, args...))
 }
 
-// Err returns nil if the batch is empty, its error if it has one, and else one error that lists all and
-// has the kind of the first.
+// Err returns nil for an empty batch and the error itself if there is just one. Otherwise, it returns an error that
+// lists all messages and has the kind of the first error.
 //
 // Example: if err := faults.Err(); err != nil { return err }
 func (b *Batch) Err() error {
@@ -139,7 +139,7 @@
 	return WrapAs(errors.New(strings.Join(b.Lines(), "; ")), KindOf(b.errors[0]), fmt.Sprintf("%d faults", len(b.errors)))
 }
 
-// Lines returns the message of each error.
+// Lines returns the messages of the errors, in the order in which they were added.
 //
 // Example: for _, line := range faults.Lines() { fmt.Println(line) }
 func (b *Batch) Lines() []string {
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Clients and scripts go by names, statuses and exit codes.
+// Clients and scripts depend on the names, statuses and exit codes of error kinds, so these must not change.
 func TestKindsAreStable(t *testing.T) {
 	want := map[string]struct{ httpStatus, exitCode int }{
 		"bad-input": {400, 2}, "bad-key": {401, 3}, "bad-operator-key": {401, 3}, "no-such-model": {404, 4}, "not-found": {404, 4},
@@ -16,20 +16,20 @@
 		"disk-bad": {500, 9}, "inside": {500, 9},
 	}
 	if len(Kinds()) != len(want) {
-		t.Errorf("%d kinds, want %d", len(Kinds()), len(want))
+		t.Errorf("Kinds returned %d kinds, want %d", len(Kinds()), len(want))
 	}
 	for _, kind := range Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
 			if w, known := want[kind.Name]; !known || kind.HTTPStatus != w.httpStatus || kind.ExitCode != w.exitCode || kind.Remedy == "" {
-				t.Errorf("%+v, want %+v", kind, w)
+				t.Errorf("kind %+v: want HTTP status and exit code %+v, and a remedy", kind, w)
 			}
 			if KindNamed(kind.Name) != kind {
-				t.Errorf("its name is that of kind %s", KindNamed(kind.Name).Name)
+				t.Errorf("KindNamed(%q) returned a different kind: %+v", kind.Name, KindNamed(kind.Name))
 			}
 		})
 	}
 	if KindNamed("unknown") != Internal {
-		t.Error("an unknown name isn't of kind Internal")
+		t.Errorf("KindNamed of an unknown name returned kind %s, want %s", KindNamed("unknown").Name, Internal.Name)
 	}
 }
 
@@ -49,32 +49,32 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if KindOf(test.err) != test.want || test.err.Error() != test.text {
-				t.Errorf("%q of kind %s, want %q of kind %s", test.err, KindOf(test.err).Name, test.text, test.want.Name)
+				t.Errorf("error %q of kind %s, want %q of kind %s", test.err, KindOf(test.err).Name, test.text, test.want.Name)
 			}
 		})
 	}
 	if err := WrapAs(io.EOF, DiskFailure, "sync log"); !errors.Is(err, io.EOF) {
-		t.Errorf("%v isn't io.EOF", err)
+		t.Errorf("errors.Is(%v, io.EOF) is false after WrapAs", err)
 	}
 	if Wrap(nil, "x") != nil || WrapAs(nil, Conflict, "x") != nil {
-		t.Error("nil was wrapped")
+		t.Error("Wrap or WrapAs of a nil error returned a non-nil error")
 	}
 }
 
 func TestBatch(t *testing.T) {
 	var batch Batch
 	if batch.Add("read", nil); batch.Err() != nil {
-		t.Errorf("empty: %v", batch.Err())
+		t.Errorf("Err of an empty batch returned %v, want nil", batch.Err())
 	}
 	batch.Addf(BadKey, "key %q", "k")
 	if err := batch.Err(); KindOf(err) != BadKey || err.Error() != `key "k"` {
-		t.Errorf("one error: %v", err)
+		t.Errorf("Err of a batch with one error returned %v, want that error", err)
 	}
 	batch.Add("read", io.EOF)
 	if err := batch.Err(); KindOf(err) != BadKey || err.Error() != `2 faults: key "k"; read: EOF` {
-		t.Errorf("two errors: %v", err)
+		t.Errorf("Err of a batch with two errors returned %v, want both messages and the kind of the first", err)
 	}
 	if lines := batch.Lines(); len(lines) != 2 || lines[1] != "read: EOF" {
-		t.Errorf("lines %q", lines)
+		t.Errorf("Lines returned %q, want two messages, the second \"read: EOF\"", lines)
 	}
 }
