--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock provides the monotonic time that all decisions are made by, and waits that a context ends. Monotonic
-// time includes suspend and never jumps; no decision depends on the wall clock.
+// Package clock provides the monotonic clock on which all decisions are based, and waits that a context can end. The
+// clock includes the time during which the machine is suspended and never jumps; no decision uses the wall clock.
 package clock
 
 import (
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the current time as the time since a fixed origin, which differs between clocks: times of two
-// clocks can't be compared.
+// Clock returns the time since a fixed origin. Different clocks have different origins, so times of two clocks can't be
+// compared.
 type Clock interface{ Now() time.Duration }
 
 type bootTime struct{}
@@ -19,21 +19,21 @@
 func (bootTime) Now() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		// Linux has this clock since 2.6.39. Without it no bound of time can be guaranteed.
+		// Linux has this clock since 2.6.39. Without it, pebbleloom can't guarantee any time limit.
 		panic("clock: CLOCK_BOOTTIME can't be read: " + err.Error())
 	}
 	return time.Duration(now.Nano())
 }
 
-// BootTime returns the clock of the time since the machine booted, including suspend.
+// BootTime returns a clock that shows the time since the machine booted, including time in suspend.
 //
 // Example: start := clock.BootTime().Now()
 func BootTime() Clock { return bootTime{} }
 
-// Manual is a Clock that tests and simulators set. It isn't safe for concurrent use.
+// Manual is a Clock whose time tests and simulators set. It is not safe for concurrent use.
 type Manual struct{ Time time.Duration }
 
-// Now returns Time.
+// Now returns the time that was set.
 //
 // Example: (&clock.Manual{Time: time.Second}).Now() == time.Second
 func (m *Manual) Now() time.Duration { return m.Time }
@@ -43,13 +43,13 @@
 // Now implements Clock.
 func (c synctestClock) Now() time.Duration { return time.Hour + time.Since(c.start) }
 
-// Synctest returns a clock that follows the fake time of a testing/synctest bubble. It starts at one hour, so
-// that a zero time is in the past.
+// Synctest returns a clock that follows the fake time of a testing/synctest bubble. It starts at one hour, so that the
+// zero time is in the past.
 //
 // Example: clk := clock.Synctest()
 func Synctest() Clock { return synctestClock{time.Now()} }
 
-// Sleep waits for a duration, or until the context ends.
+// Sleep waits for a duration, or until the context ends if that is earlier.
 //
 // Example: clock.Sleep(ctx, 40*time.Millisecond)
 func Sleep(ctx context.Context, duration time.Duration) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// NewTicker returns a ticker with an interval of at least one millisecond, so that an interval that was scaled
-// down to nothing doesn't panic.
+// NewTicker returns a ticker with an interval of at least one millisecond. time.NewTicker panics if an interval that is
+// computed from the settings is zero.
 //
 // Example: ticker := clock.NewTicker(time.Second); defer ticker.Stop(); <-ticker.C
 func NewTicker(interval time.Duration) *time.Ticker {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,7 +12,7 @@
 	for last, n := time.Duration(0), 0; n < 1000; n++ {
 		now := boot.Now()
 		if now < last {
-			t.Fatalf("%v after %v", now, last)
+			t.Fatalf("the boot time clock went back from %v to %v", last, now)
 		}
 		last = now
 	}
@@ -24,13 +24,13 @@
 		start := clk.Now()
 		Sleep(context.Background(), time.Minute)
 		if slept := clk.Now() - start; slept != time.Minute {
-			t.Errorf("slept %v", slept)
+			t.Errorf("Sleep of one minute took %v", slept)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		Sleep(ctx, time.Minute)
 		if slept := clk.Now() - start; slept != time.Minute {
-			t.Errorf("slept %v after the context had ended", slept-time.Minute)
+			t.Errorf("Sleep with a canceled context took %v, want 0", slept-time.Minute)
 		}
 	})
 }
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -7,19 +7,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of the connections to one address.
+// Limits for the connections that a process holds to each address.
 const (
 	maxIdleConnections = 8
 	maxConnections     = 64
 	idleTimeout        = time.Minute
 )
 
-// Clients makes the clients of other processes' services. They share one pool of connections.
+// Clients returns clients for the RPC services of other processes. All of them share one connection pool.
 type Clients struct {
 	http *http.Client
 }
 
-// NewClients returns clients whose connections the process opens, and closes when it stops.
+// NewClients returns a Clients that connects with the dialer of the process. Idle connections are closed when the
+// process stops.
 //
 // Example: clients := daemon.NewClients(process)
 func NewClients(process *Process) *Clients {
@@ -33,28 +34,28 @@
 	return &Clients{client}
 }
 
-// ControlNode returns the client of a control node.
+// ControlNode returns a client for the control node at an address.
 //
 // Example: response, err := clients.ControlNode("127.10.1.1:7000").Read(ctx, request)
 func (c *Clients) ControlNode(addr string) wire.ControlNode {
 	return wire.NewControlNodeClient("http://"+addr, c.http)
 }
 
-// Membership returns the client of a node's cluster membership.
+// Membership returns a client for the cluster membership service of the node at an address.
 //
 // Example: response, err := clients.Membership(addr).Exchange(ctx, heartbeat)
 func (c *Clients) Membership(addr string) wire.Membership {
 	return wire.NewMembershipClient("http://"+addr, c.http)
 }
 
-// PromptIndex returns the client of a node of the prompt index.
+// PromptIndex returns a client for the prompt index node at an address.
 //
 // Example: response, err := clients.PromptIndex(addr).Lookup(ctx, request)
 func (c *Clients) PromptIndex(addr string) wire.PromptIndex {
 	return wire.NewPromptIndexClient("http://"+addr, c.http)
 }
 
-// NodeAgent returns the client of a node agent.
+// NodeAgent returns a client for the node agent at an address.
 //
 // Example: response, err := clients.NodeAgent("127.0.0.1:7001").Feed(ctx, request)
 func (c *Clients) NodeAgent(addr string) wire.NodeAgent {
--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -8,11 +8,11 @@
 	"pebbleloom/internal/settings"
 )
 
-// The kernel retransmits a SYN that was lost (a machine without power, a partition, a full queue) after
-// a second or more. Between pebbleloom's own processes another connection is opened sooner.
+// The kernel retransmits a lost SYN (because of a power failure, a partition or a full accept queue) only after a second
+// or more. Connections to other pebbleloom processes are therefore attempted again before that.
 const (
-	firstDialRatio    = 1.0 / 60 // of the leave bound: when the second dial starts
-	dialBackoffFactor = 1.5      // from one pause to the next
+	secondDialRatio   = 1.0 / 60 // delay of the second dial, as a ratio of Bounds.LeaveMs
+	dialBackoffFactor = 1.5      // factor by which the delay grows from dial to dial
 	maxDials          = 6
 )
 
@@ -23,14 +23,14 @@
 	err  error
 }
 
-// hedgedDial dials again while there is no result. The first result counts, also a refusal; connections
-// that come later are closed.
+// hedgedDial returns a dial function that starts further dials as long as none has returned. It returns the first
+// result, even if that is an error, and closes connections that are established later.
 func hedgedDial(dial dialFunc, bounds settings.Bounds) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
 		results := make(chan dialResult, maxDials)
-		started, ended, pause := 0, 0, bounds.Leave(firstDialRatio)
-		nextDial := time.NewTimer(pause)
+		started, ended, delay := 0, 0, bounds.Leave(secondDialRatio)
+		nextDial := time.NewTimer(delay)
 		defer nextDial.Stop()
 		start := func() {
 			started++
@@ -52,15 +52,15 @@
 			case <-nextDial.C:
 				if started < maxDials {
 					start()
-					pause = time.Duration(float64(pause) * dialBackoffFactor)
-					nextDial.Reset(pause)
+					delay = time.Duration(float64(delay) * dialBackoffFactor)
+					nextDial.Reset(delay)
 				}
 			}
 		}
 	}
 }
 
-// closeLate closes the connections of the dials that are still under way.
+// closeLate waits for the dials that are still pending and closes their connections.
 func closeLate(results <-chan dialResult, pending int) {
 	for range pending {
 		if late := <-results; late.conn != nil {
--- a/internal/daemon/dial_test.go
+++ b/internal/daemon/dial_test.go
@@ -12,8 +12,8 @@
 	"pebbleloom/internal/settings"
 )
 
-// fakePeer returns a dial function: dials that start before reachableAfter are lost without an answer,
-// later ones succeed after latency, or are refused with an error.
+// fakePeer returns a dial function for a peer that becomes reachable after a while. Dials that start earlier block until
+// their context ends; later ones return after latency: a connection, or the error refusal if that is set.
 func fakePeer(reachableAfter, latency time.Duration, refusal error, dials, open *atomic.Int64) dialFunc {
 	startedAt := time.Now()
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -22,9 +22,9 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		answer := time.NewTimer(latency)
-		defer answer.Stop()
-		<-answer.C
+		response := time.NewTimer(latency)
+		defer response.Stop()
+		<-response.C
 		if refusal != nil {
 			return nil, refusal
 		}
@@ -33,7 +33,7 @@
 	}
 }
 
-// countedConn counts itself as open until it is closed.
+// countedConn is a connection that decrements the number of open connections when it is closed.
 type countedConn struct{ open *atomic.Int64 }
 
 func (c countedConn) Read([]byte) (int, error)         { return 0, nil }
@@ -45,8 +45,8 @@
 func (c countedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c countedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// A peer that becomes reachable is reached soon after, not when the kernel retransmits the lost SYN; a
-// refusal ends the dialing; a slow peer gets one connection and no more.
+// A peer that becomes reachable must be connected shortly afterwards, and not only when the kernel retransmits the lost
+// SYN. A refused connection ends the attempts, and of several connections to a slow peer only one stays open.
 func TestHedgedDialRepeatsUnansweredDials(t *testing.T) {
 	refused := errors.New("connection refused")
 	bounds := settings.DefaultBounds()
@@ -57,13 +57,13 @@
 		maxDuration             time.Duration
 		dials                   int64
 	}{
-		{"reachable", 0, time.Millisecond, nil, time.Millisecond, 1},
-		{"reachable soon", 100 * time.Millisecond, time.Millisecond, nil, 130 * time.Millisecond, 3},
-		{"reachable late", 600 * time.Millisecond, time.Millisecond, nil, 700 * time.Millisecond, 6},
-		{"refuses", 0, time.Millisecond, refused, time.Millisecond, 1},
-		{"reachable soon and refuses", 100 * time.Millisecond, time.Millisecond, refused, 130 * time.Millisecond, 3},
-		{"slow", 0, 300 * time.Millisecond, nil, 300 * time.Millisecond, 4},
-		{"unreachable", time.Hour, 0, context.DeadlineExceeded, time.Second, maxDials},
+		{"reachable peer", 0, time.Millisecond, nil, time.Millisecond, 1},
+		{"reachable after 100 ms", 100 * time.Millisecond, time.Millisecond, nil, 130 * time.Millisecond, 3},
+		{"reachable after 600 ms", 600 * time.Millisecond, time.Millisecond, nil, 700 * time.Millisecond, 6},
+		{"refused connection", 0, time.Millisecond, refused, time.Millisecond, 1},
+		{"refused after 100 ms", 100 * time.Millisecond, time.Millisecond, refused, 130 * time.Millisecond, 3},
+		{"slow peer", 0, 300 * time.Millisecond, nil, 300 * time.Millisecond, 4},
+		{"unreachable peer", time.Hour, 0, context.DeadlineExceeded, time.Second, maxDials},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var dials, open atomic.Int64
@@ -73,13 +73,13 @@
 			conn, err := hedgedDial(fakePeer(c.reachableAfter, c.latency, c.refusal, &dials, &open), bounds)(ctx, "tcp", "far:1")
 			duration := time.Since(startedAt)
 			if !errors.Is(err, c.refusal) || duration > c.maxDuration || dials.Load() != c.dials {
-				t.Errorf("%s: %v after %v and %d dials", c.name, err, duration, dials.Load())
+				t.Errorf("%s: error %v after %v and %d dials; want error %v within %v and %d dials", c.name, err, duration, dials.Load(), c.refusal, c.maxDuration, c.dials)
 			}
 			later := time.NewTimer(time.Minute)
 			<-later.C
 			synctest.Wait()
 			if want := map[bool]int64{true: 1}[conn != nil]; open.Load() != want {
-				t.Errorf("%s: %d connections stay open", c.name, open.Load())
+				t.Errorf("%s: %d connections are still open after one minute, want %d", c.name, open.Load(), want)
 			}
 		})
 	}
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -18,24 +18,24 @@
 	"pebbleloom/internal/settings"
 )
 
-// Environment is all that a program uses of the outside world. A simulated site replaces it and nothing
-// else: the programs are the same.
+// Environment contains everything through which a program interacts with the operating system. Simulations run the
+// unmodified programs with a different Environment.
 type Environment struct {
-	Clock     clock.Clock      // monotonic: the only clock that decisions use
-	WallClock func() time.Time // for people only
+	Clock     clock.Clock      // monotonic; the only clock that decisions depend on
+	WallClock func() time.Time // for logs and displays; no decision depends on it
 	Listen    func(addr string) (net.Listener, error)
 	Dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 	Disk      func(folder string) storage.Disk
-	Journal   func(file string) (io.Writer, error) // of a simulator; it survives the process
-	Seed      func() uint64                        // of random choices
+	Journal   func(file string) (io.Writer, error) // opens a file to which a simulator appends records that outlive it
+	Seed      func() uint64                        // returns seeds for random number generators
 }
 
-// RealEnvironment returns the environment of a process on a machine.
+// RealEnvironment returns the environment of a process that runs on a machine and not in a simulation.
 //
 // Example: environment := daemon.RealEnvironment(processSettings)
 func RealEnvironment(processSettings settings.Process) Environment {
 	wallClock := time.Now
-	if file := processSettings.Option("wall", ""); file != "" { // a fault test makes the wall clock jump
+	if file := processSettings.Option("wall", ""); file != "" { // fault tests shift the wall clock through this file
 		wallClock = func() time.Time { return time.Now().Add(wallClockOffset(file)) }
 	}
 	dial := processSettings.Dialer().DialContext
@@ -51,11 +51,11 @@
 	return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 }
 
-// unacknowledgedRatio is how long sent bytes may stay unacknowledged, as a ratio of the leave bound.
+// unacknowledgedRatio is the longest time that sent bytes may stay unacknowledged, as a ratio of Bounds.LeaveMs.
 const unacknowledgedRatio = 0.4
 
-// siteDialer returns a dialer that connects from any address of the machine. A peer that lost power sends
-// nothing, not even a reset, so the kernel ends connections whose bytes stay unacknowledged.
+// siteDialer returns a dialer that is not bound to a local address. A peer that loses power sends no reset, so the
+// dialer sets TCP_USER_TIMEOUT: the kernel then closes connections whose data stays unacknowledged for too long.
 func siteDialer(processSettings settings.Process) *net.Dialer {
 	timeout := processSettings.Bounds.Leave(unacknowledgedRatio)
 	return &net.Dialer{Timeout: processSettings.DialTimeout(), KeepAlive: -1, Control: func(_, _ string, conn syscall.RawConn) error {
@@ -70,7 +70,8 @@
 	}}
 }
 
-// wallClockOffset reads by how many milliseconds a machine's wall clock is off; zero without a file.
+// wallClockOffset reads the shift of the wall clock in milliseconds from a file; it is zero if the file is missing or
+// invalid.
 func wallClockOffset(file string) time.Duration {
 	raw, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -10,8 +10,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// Meter holds the Prometheus metrics that a program exports at /metrics. All label values come from fixed
-// lists, so the number of series is bounded.
+// Meter is the registry of the Prometheus metrics that a program exports at /metrics. All label values come from fixed
+// lists, so the number of time series is bounded.
 type Meter struct {
 	registry *prometheus.Registry
 	rejected *prometheus.CounterVec
@@ -25,21 +25,21 @@
 	return m
 }
 
-// Gauge registers a value that goes up and down; read is called at every scrape.
+// Gauge registers a gauge, which may go up and down. Its value is read by calling read at each scrape.
 //
 // Example: process.Meter.Gauge("pebbleloom_inflight", "requests in flight", func() float64 { return n })
 func (m *Meter) Gauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Counter registers a value that only grows; read is called at every scrape.
+// Counter registers a counter, which never decreases. Its value is read by calling read at each scrape.
 //
-// Example: process.Meter.Counter("pebbleloom_sealed_total", "answers sealed", func() float64 { return n })
+// Example: process.Meter.Counter("pebbleloom_sealed_total", "responses sealed", func() float64 { return n })
 func (m *Meter) Counter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
 
-// Rejected counts one rejected request under its kind.
+// Rejected counts a request that was rejected with an error of a kind.
 //
 // Example: process.Meter.Rejected(errs.NotExecuted)
 func (m *Meter) Rejected(kind *errs.Kind) { m.rejected.WithLabelValues(kind.Name).Inc() }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -1,5 +1,5 @@
-// Package daemon is the runtime that all programs share: settings, logs, signals, servers with health
-// and metrics pages, clients of other processes, goroutines, and shutdown.
+// Package daemon is the runtime that all server programs share: settings, logging, signal handling, HTTP servers with
+// health and metrics endpoints, clients for other processes, goroutines and graceful shutdown.
 package daemon
 
 import (
@@ -15,34 +15,34 @@
 	"pebbleloom/internal/settings"
 )
 
-// Process is one running program. Its methods may be called from any goroutine.
+// Process is a running program. Its methods are safe for concurrent use.
 type Process struct {
 	Environment
-	Ctx      context.Context // ends when the program stops
+	Ctx      context.Context // canceled when the program stops
 	Log      hclog.Logger
 	Settings settings.Process
-	Ready    atomic.Bool // what the readiness page responds
+	Ready    atomic.Bool // reported at /readyz
 	Meter    *Meter
-	// Draining is closed when a shutdown begins: finish what runs, accept nothing new.
+	// Draining is closed when a shutdown begins: requests in progress are completed, new ones rejected.
 	Draining chan struct{}
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu                sync.Mutex // guards what follows
+	mu                sync.Mutex // guards the fields below
 	servers           []*http.Server
 	settingsListeners []func(settings.Process)
 	shutdownHooks     []func(context.Context)
 }
 
-// New returns a process in the real environment, without signal handling.
+// New returns a process in the real environment. It does not handle signals.
 //
 // Example: process := daemon.New("runner", processSettings)
 func New(program string, processSettings settings.Process) *Process {
 	return NewIn(RealEnvironment(processSettings), program, processSettings)
 }
 
-// NewIn returns a process in an environment, without signal handling. The option "log" is the log level.
+// NewIn returns a process in an environment. It does not handle signals. The option "log" sets the log level.
 //
 // Example: process := daemon.NewIn(environment, "runner", processSettings)
 func NewIn(environment Environment, program string, processSettings settings.Process) *Process {
@@ -53,7 +53,7 @@
 	return p
 }
 
-// OnSettingsChanged registers a callback for settings that change while the program runs.
+// OnSettingsChanged registers a callback that receives the new settings when they change at run time.
 //
 // Example: process.OnSettingsChanged(func(changed settings.Process) { member.SetSeeds(changed.Seeds) })
 func (p *Process) OnSettingsChanged(callback func(settings.Process)) {
@@ -62,7 +62,7 @@
 	p.settingsListeners = append(p.settingsListeners, callback)
 }
 
-// ApplySettings passes changed settings to all registered callbacks. Settings itself stays as it is.
+// ApplySettings passes changed settings to all registered callbacks. The field Settings is not updated.
 //
 // Example: process.ApplySettings(changed)
 func (p *Process) ApplySettings(changed settings.Process) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// OnShutdown registers a hook that runs at the start of a shutdown: once Draining is closed, while
-// everything else still works. Its context ends with the grace time.
+// OnShutdown registers a hook that runs at the start of a shutdown, after Draining has been closed and while servers
+// and goroutines still run. The context of the hook ends with the grace period.
 //
 // Example: process.OnShutdown(func(ctx context.Context) { finish(ctx) })
 func (p *Process) OnShutdown(hook func(context.Context)) {
@@ -84,13 +84,13 @@
 	p.shutdownHooks = append(p.shutdownHooks, hook)
 }
 
-// OnStop calls stop once Ctx has ended: of an actor, of a pool of connections.
+// OnStop registers a function that is called when Ctx is canceled, to release a resource like a connection pool.
 //
 // Example: process.OnStop(actor.Stop)
 func (p *Process) OnStop(stop func()) { context.AfterFunc(p.Ctx, stop) }
 
-// Stop drains the process within the grace time: it runs the shutdown hooks, shuts the servers down in
-// the order in which they were started, ends Ctx and waits for all goroutines.
+// Stop shuts the process down within the grace period: it runs the shutdown hooks, shuts the servers down in the order
+// in which they were started, cancels Ctx and waits for all goroutines.
 //
 // Example: process.Stop(3 * time.Second)
 func (p *Process) Stop(grace time.Duration) {
@@ -103,7 +103,7 @@
 	servers, hooks := p.servers, p.shutdownHooks
 	p.mu.Unlock()
 	runAll(ctx, hooks)
-	// The first server is the one for clients.
+	// The server for clients was started first, so it is drained first.
 	for _, server := range servers {
 		if err := server.Shutdown(ctx); err != nil {
 			server.Close()
@@ -123,7 +123,7 @@
 	running.Wait()
 }
 
-// Go runs a function on its own goroutine; Stop waits for it.
+// Go runs a function in a new goroutine that Stop waits for.
 //
 // Example: process.Go(func() { poll(process.Ctx) })
 func (p *Process) Go(run func()) {
@@ -131,7 +131,7 @@
 	go func() { defer p.goroutines.Done(); run() }()
 }
 
-// Every runs a function periodically until the program stops. The interval is a millisecond at least.
+// Every runs a function periodically until the program stops. Intervals below a millisecond are raised to one.
 //
 // Example: process.Every(time.Second, sendHeartbeat)
 func (p *Process) Every(interval time.Duration, run func()) {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -19,8 +19,8 @@
 	return NewIn(environment, "test", settings.Process{Name: "m", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
 }
 
-// A shutdown first makes the process unready and closes Draining, then runs the hooks, and ends Ctx only when
-// they have returned. Stop returns after the last goroutine.
+// Stop must mark the process unready and close Draining before it runs the shutdown hooks, cancel Ctx only after the
+// hooks have returned, and return after the last goroutine has ended.
 func TestStopEndsInOrder(t *testing.T) {
 	process := newTestProcess()
 	process.Ready.Store(true)
@@ -34,7 +34,7 @@
 	process.OnShutdown(func(context.Context) {
 		<-process.Draining
 		if process.Ready.Load() || process.Ctx.Err() != nil {
-			t.Error("a hook runs before the process is unready, or after Ctx has ended")
+			t.Errorf("in a shutdown hook: ready is %t and the error of Ctx is %v, want false and nil", process.Ready.Load(), process.Ctx.Err())
 		}
 		add("hook")
 	})
@@ -45,7 +45,7 @@
 	process.Stop(time.Minute)
 	add("stopped")
 	if want := []string{"hook", "goroutine", "stopped"}; !slices.Equal(events, want) {
-		t.Errorf("%q, want %q", events, want)
+		t.Errorf("order of events in a shutdown: %q, want %q", events, want)
 	}
 }
 
@@ -54,12 +54,12 @@
 	defer process.Stop(time.Minute)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen on a local port: %v", err)
 	}
 	process.Listen = func(string) (net.Listener, error) { return listener, nil }
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "handler") })
 	if err := process.Serve("any", handler); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Serve: %v", err)
 	}
 	for _, test := range []struct {
 		name, path string
@@ -68,20 +68,20 @@
 		body       string
 	}{
 		{"health", "/healthz", false, 200, "{\"ok\":true}\n"},
-		{"unready", "/readyz", false, 503, "{\"ready\":false}\n"},
-		{"ready", "/readyz", true, 200, "{\"ready\":true}\n"},
-		{"other paths", "/v1/any", true, 200, "handler"},
+		{"readiness of an unready process", "/readyz", false, 503, "{\"ready\":false}\n"},
+		{"readiness of a ready process", "/readyz", true, 200, "{\"ready\":true}\n"},
+		{"path of the handler", "/v1/any", true, 200, "handler"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			process.Ready.Store(test.ready)
 			response, err := http.Get("http://" + listener.Addr().String() + test.path)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("GET %s: %v", test.path, err)
 			}
 			defer response.Body.Close()
 			body, err := io.ReadAll(response.Body)
 			if err != nil || response.StatusCode != test.status || string(body) != test.body {
-				t.Errorf("%d %q %v, want %d %q", response.StatusCode, body, err, test.status, test.body)
+				t.Errorf("GET %s: status %d, body %q, error %v; want status %d, body %q", test.path, response.StatusCode, body, err, test.status, test.body)
 			}
 		})
 	}
@@ -95,6 +95,6 @@
 	}
 	process.ApplySettings(settings.Process{Zone: "north"})
 	if !slices.Equal(received, []string{"north", "north"}) {
-		t.Errorf("received %q", received)
+		t.Errorf("zones that the two callbacks received: %q, want \"north\" in each", received)
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -15,48 +15,48 @@
 )
 
 const (
-	softMemoryRatio   = 0.7 // of the memory limit: above it the garbage collector runs more often
-	stopRatio         = 0.9 // of the grace time: a shutdown has to end within it
-	settingsPollRatio = 0.5 // of the configuration bound: how often the settings file is checked
+	softMemoryRatio   = 0.7 // soft memory limit, as a ratio of the memory limit: above it the garbage collector runs more often
+	stopRatio         = 0.9 // longest shutdown, as a ratio of the grace period, after which the process is killed
+	settingsPollRatio = 0.5 // interval of checks of the settings file, as a ratio of Bounds.ConfigMs
 
 	maxPendingSignals = 8
 )
 
-// Main reads the settings of a program from its command line, starts it and waits for SIGTERM or SIGINT.
-// Faulty settings end it with the exit code of errs.BadInput, a failed start with that of its error.
+// Main reads the settings of a program from its command line, starts it and stops it at SIGTERM or SIGINT. With invalid
+// settings the program exits with the code of errs.BadInput, after a failed start with the code of the error's kind.
 //
 // Example: daemon.Main("runner", "the agent on a machine", settings.Required{Seeds: true}, nodeagent.Start)
 func Main(program, about string, required settings.Required, start func(*Process) error) {
 	processSettings, err := settings.Read(program, about, os.Args[1:], required)
-	exitOnFaultySettings(program, err)
+	exitOnInvalidSettings(program, err)
 	signals := notify(syscall.SIGTERM, syscall.SIGINT)
 	process := mustStart(program, processSettings, start)
 	<-signals
 	process.Stop(processSettings.Bounds.Leave(1))
 }
 
-// Run runs a program whose settings come from a file until SIGTERM or SIGINT. It reads the file again on
-// SIGHUP and when it has changed without a signal; faulty settings are logged and those in force stay.
+// Run runs a program with settings from a file until SIGTERM or SIGINT. It reloads the file at SIGHUP and whenever a
+// periodic check finds it changed. Invalid settings are logged, and the current ones stay in use.
 //
 // Example: daemon.Run("edge", file, func() (settings.Process, error) { return read(file) }, start)
 func Run(program, file string, read func() (settings.Process, error), start func(*Process) error) {
-	inForce, err := read()
-	exitOnFaultySettings(program, err)
-	debug.SetMemoryLimit(int64(softMemoryRatio * float64(inForce.Site.MemoryLimitMB) * (1 << 20)))
+	current, err := read()
+	exitOnInvalidSettings(program, err)
+	debug.SetMemoryLimit(int64(softMemoryRatio * float64(current.Site.MemoryLimitMB) * (1 << 20)))
 	signals := notify(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	process := mustStart(program, inForce, start)
-	ticker := clock.NewTicker(inForce.Bounds.Config(settingsPollRatio))
+	process := mustStart(program, current, start)
+	ticker := clock.NewTicker(current.Bounds.Config(settingsPollRatio))
 	defer ticker.Stop()
 	lastRead := versionOf(file)
 	reload := func() {
 		changed, err := read()
 		if err != nil {
-			process.Log.Error("changed settings are faulty: those in force stay", "error", errs.Text(err))
+			process.Log.Error("reload of settings failed: the current settings stay in use", "error", errs.Text(err))
 			return
 		}
-		if !reflect.DeepEqual(changed, inForce) {
-			process.Log.Info("settings have changed")
-			inForce = changed
+		if !reflect.DeepEqual(changed, current) {
+			process.Log.Info("settings reloaded")
+			current = changed
 			process.ApplySettings(changed)
 		}
 	}
@@ -67,42 +67,42 @@
 				reload()
 				continue
 			}
-			process.Stop(settings.Fraction(inForce.Site.GraceMs, stopRatio))
+			process.Stop(settings.Fraction(current.Site.GraceMs, stopRatio))
 			return
 		case <-ticker.C:
-			if current := versionOf(file); current != lastRead {
-				lastRead = current
+			if version := versionOf(file); version != lastRead {
+				lastRead = version
 				reload()
 			}
 		}
 	}
 }
 
-func exitOnFaultySettings(program string, err error) {
+func exitOnInvalidSettings(program string, err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, program+": "+errs.Text(err))
 		os.Exit(errs.BadInput.ExitCode)
 	}
 }
 
-// notify returns a channel that receives the signals from now on.
+// notify returns a channel that receives the signals from the time of the call on.
 func notify(signals ...os.Signal) <-chan os.Signal {
 	received := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(received, signals...)
 	return received
 }
 
-// mustStart starts a program, or logs why it can't and ends the process.
+// mustStart starts a program. If that fails, it logs the error and exits the process.
 func mustStart(program string, processSettings settings.Process, start func(*Process) error) *Process {
 	process := New(program, processSettings)
 	if err := start(process); err != nil {
-		process.Log.Error("start failed", "error", errs.Text(err))
+		process.Log.Error("program failed to start", "error", errs.Text(err))
 		os.Exit(errs.KindOf(err).ExitCode)
 	}
 	return process
 }
 
-// fileVersion distinguishes contents of a file. It is zero if the file can't be read.
+// fileVersion identifies the contents of a file by size and modification time. It is zero if the file can't be read.
 type fileVersion struct {
 	size     int64
 	modified time.Time
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -8,14 +8,14 @@
 	"pebbleloom/internal/errs"
 )
 
-// Limits of a server, beside those of its handler.
+// Limits that apply to each server in addition to those of its handler.
 const (
-	headerTimeoutRatio = 0.5 // for reading a request's header, of the heal bound
+	headerTimeoutRatio = 0.5 // timeout for reading the header of a request, as a ratio of the recovery time limit
 	maxHeaderBytes     = 16 << 10
 )
 
-// Serve listens at an address and serves a handler, beside the pages /healthz, /readyz and /metrics.
-// If it can't listen, the error's kind is errs.BadInput.
+// Serve listens at an address and serves the handler there, in addition to the endpoints /healthz, /readyz and /metrics.
+// If it can't listen at the address, it returns an error of kind errs.BadInput.
 //
 // Example: err := process.Serve(process.Settings.Listen, mux)
 func (p *Process) Serve(addr string, handler http.Handler) error {
@@ -34,7 +34,7 @@
 	p.mu.Unlock()
 	p.Go(func() {
 		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			p.Log.Error("server ended", "addr", addr, "error", err)
+			p.Log.Error("HTTP server failed", "addr", addr, "error", err)
 		}
 	})
 	return nil
