--- a/cmd/control-node/main.go
+++ b/cmd/control-node/main.go
@@ -1,4 +1,5 @@
-// Command control-node is one member of the control plane: it holds shards of the control state, replicated by consensus and kept on disk.
+// Command control-node runs a member of the control plane, which stores shards of the control state on disk and
+// replicates them by consensus.
 package main
 
 import (
@@ -9,5 +10,5 @@
 )
 
 func main() {
-	daemon.Main(programs.ControlNode, "the control node: shards of the control state, replicated by consensus and kept on disk", settings.Required{Seeds: true, Core: true, Data: true, Operator: true}, controlstate.Start)
+	daemon.Main(programs.ControlNode, "a control node: stores shards of the control state on disk and replicates them by consensus", settings.Required{Seeds: true, Core: true, Data: true, Operator: true}, controlstate.Start)
 }
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,4 @@
-// Command loadgen generates a site's traffic against a site that is up, and checks every byte.
+// Command loadgen sends generated client traffic to a running site and verifies every byte of the responses.
 package main
 
 import (
--- a/cmd/node-agent/main.go
+++ b/cmd/node-agent/main.go
@@ -1,4 +1,5 @@
-// Command node-agent is the agent on an edge machine: it follows the configuration, proves that it is fresh, watches workers and sends heartbeats.
+// Command node-agent runs the agent of an edge machine, which follows the configuration, verifies that it is current,
+// watches the worker list and sends heartbeats.
 package main
 
 import (
@@ -9,5 +10,5 @@
 )
 
 func main() {
-	daemon.Main(programs.NodeAgent, "the agent on an edge machine: configuration, proof of freshness, workers, heartbeats", settings.Required{Seeds: true, Core: true, WorkerList: true, Operator: true}, nodeagent.Start)
+	daemon.Main(programs.NodeAgent, "the agent of an edge machine: follows the configuration, verifies that it is current, watches workers and sends heartbeats", settings.Required{Seeds: true, Core: true, WorkerList: true, Operator: true}, nodeagent.Start)
 }
--- a/cmd/pebblectl/main.go
+++ b/cmd/pebblectl/main.go
@@ -1,4 +1,4 @@
-// Command pebblectl is the operator's command line. It talks to any node.
+// Command pebblectl is the command-line client for operators. It can connect to any node.
 package main
 
 import (
--- a/cmd/placement-controller/main.go
+++ b/cmd/placement-controller/main.go
@@ -1,4 +1,5 @@
-// Command placement-controller reconciles the placement of prompt prefixes and the weights of each service under a lease.
+// Command placement-controller runs the controller that decides, while it holds a lease, on which workers the prompt
+// prefixes of each service are cached and which versions of weights the workers load.
 package main
 
 import (
@@ -9,5 +10,5 @@
 )
 
 func main() {
-	daemon.Main(programs.PlacementController, "placement under a lease: what every worker holds, and how the long tail is spread", settings.Required{Seeds: true, Core: true}, placementcontroller.Start)
+	daemon.Main(programs.PlacementController, "the placement controller: decides under a lease which prompt prefixes each worker caches, and distributes rarely used ones", settings.Required{Seeds: true, Core: true}, placementcontroller.Start)
 }
--- a/cmd/platform-sim/main.go
+++ b/cmd/platform-sim/main.go
@@ -1,4 +1,4 @@
-// Command platform-sim simulates the platform that lists workers and probes edge nodes.
+// Command platform-sim simulates the platform that a site is deployed on: it lists workers and probes edge nodes.
 package main
 
 import (
--- a/cmd/prompt-index/main.go
+++ b/cmd/prompt-index/main.go
@@ -1,4 +1,5 @@
-// Command prompt-index is an index node: which workers hold each prompt prefix, and how hot the prefix is.
+// Command prompt-index runs a prompt index node, which records the workers that have each prompt prefix cached and how
+// often the prefix is requested.
 package main
 
 import (
@@ -9,5 +10,5 @@
 )
 
 func main() {
-	daemon.Main(programs.PromptIndex, "an index node: which workers hold each prompt prefix, and how hot it is", settings.Required{Seeds: true, NodeAgent: true}, promptindex.Start)
+	daemon.Main(programs.PromptIndex, "a prompt index node: records which workers have each prompt prefix cached, and how often it is requested", settings.Required{Seeds: true, NodeAgent: true}, promptindex.Start)
 }
--- a/cmd/store-sim/main.go
+++ b/cmd/store-sim/main.go
@@ -1,4 +1,4 @@
-// Command store-sim simulates the prompt store.
+// Command store-sim simulates a store of cached prompt prefixes.
 package main
 
 import (
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command testbed runs a whole site on this machine: every program as a process of its own.
+// Command testbed runs a complete site on one machine, each program in its own process, for integration tests.
 package main
 
 import (
--- a/internal/fleet/compression.go
+++ b/internal/fleet/compression.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// minCompressBytes is the size of a body from which compression is tried: shorter ones hardly shrink.
+	// minCompressBytes is the smallest body that is compressed; shorter ones hardly become smaller.
 	minCompressBytes = 512
 
-	// maxDecompressedBytes bounds a decompressed body, and so the memory that a corrupt document takes.
+	// maxDecompressedBytes limits a decompressed body, so that a corrupt document can't use up the memory.
 	maxDecompressedBytes = 64 << 20
 )
 
-// flateWriters are reused: each has buffers larger than most documents.
+// flateWriters is a pool of writers for reuse, because the buffers of each are larger than most documents.
 var flateWriters = sync.Pool{New: func() any {
-	writer, _ := flate.NewWriter(io.Discard, flate.BestSpeed) // fails for invalid levels only
+	writer, _ := flate.NewWriter(io.Discard, flate.BestSpeed) // fails only for an invalid compression level
 	return writer
 }}
 
-// Compress returns a document with its body deflated, or the document itself if that isn't shorter. Lists of
-// workers and routes are repetitive, and every node of a site receives them.
+// Compress returns a copy of a document with a deflated body, or the document itself if that would not be shorter.
+// Compression pays because lists of workers and routes are repetitive and sent to every node of a site.
 //
 // Example: response.Docs = append(response.Docs, fleet.Compress(document))
 func Compress(document *wire.Document) *wire.Document {
@@ -42,8 +42,8 @@
 	return &wire.Document{Key: document.Key, Body: compressed.Bytes(), Version: document.Version, Compressed: true}
 }
 
-// Decompress returns a document as it was before Compress. A body that is corrupt or too long gives an error of
-// kind errs.Internal.
+// Decompress returns a document as it was before Compress. If the compressed body is corrupt, or the decompressed one
+// too long, the error is of kind errs.Internal.
 //
 // Example: document, err := fleet.Decompress(response.Docs[0])
 func Decompress(document *wire.Document) (*wire.Document, error) {
@@ -52,7 +52,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(document.Body)), maxDecompressedBytes+1))
 	if err != nil || len(body) > maxDecompressedBytes {
-		return nil, errs.New(errs.Internal, "document %s can't be decompressed", document.Key)
+		return nil, errs.New(errs.Internal, "decompress document %s of %d bytes: corrupt data, or more than %d bytes decompressed", document.Key, len(document.Body), maxDecompressedBytes)
 	}
 	return &wire.Document{Key: document.Key, Body: body, Version: document.Version}, nil
 }
--- a/internal/fleet/compression_test.go
+++ b/internal/fleet/compression_test.go
@@ -19,19 +19,19 @@
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode worker list: %v", err)
 	}
 	document := &wire.Document{Key: WorkersKey, Body: body, Version: 7}
 	compressed := Compress(document)
 	if !compressed.Compressed || 5*len(compressed.Body) > len(body) || compressed.Key != document.Key || compressed.Version != 7 {
-		t.Fatalf("%d bytes of %d", len(compressed.Body), len(body))
+		t.Fatalf("a worker list of %d bytes was compressed to %d bytes, key %q, version %d; want at most a fifth, with key and version unchanged", len(body), len(compressed.Body), compressed.Key, compressed.Version)
 	}
 	decompressed, err := Decompress(compressed)
 	if err != nil || decompressed.Compressed || decompressed.Key != document.Key || decompressed.Version != 7 || !bytes.Equal(decompressed.Body, body) {
-		t.Fatalf("decompressed: %v", err)
+		t.Fatalf("the decompressed worker list differs from the original, or decompression failed: error %v", err)
 	}
 	if Compress(compressed) != compressed {
-		t.Error("compressed twice")
+		t.Error("Compress compressed a document that was compressed already")
 	}
 }
 
@@ -44,10 +44,10 @@
 	}
 	for _, document := range []*wire.Document{short, noise} {
 		if Compress(document) != document {
-			t.Errorf("%d bytes were compressed", len(document.Body))
+			t.Errorf("Compress changed an incompressible document of %d bytes", len(document.Body))
 		}
 		if decompressed, err := Decompress(document); err != nil || decompressed != document {
-			t.Error(err)
+			t.Errorf("Decompress of an uncompressed document of %d bytes: error %v, want the document itself", len(document.Body), err)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 func TestCorruptDocumentIsAnError(t *testing.T) {
 	for _, body := range [][]byte{nil, {1}, []byte("no deflated bytes")} {
 		if _, err := Decompress(&wire.Document{Key: "k", Body: body, Compressed: true}); err == nil {
-			t.Errorf("%q was decompressed", body)
+			t.Errorf("Decompress of the corrupt body %q returned no error", body)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet defines the documents that the control state distributes to every node in addition to the
-// routing plan: the workers, the named versions of weights, and the placement of each service. They are JSON
-// documents of shard 0. Snapshot combines them to what a node routes requests by.
+// Package fleet defines the documents that the control state distributes to every node in addition to the routing plan:
+// the workers, the target versions of model weights, and the placement of each service. They are JSON documents in shard
+// 0 of the control state. A Snapshot combines all that a node needs for routing requests.
 package fleet
 
 import (
@@ -11,57 +11,57 @@
 	"pebbleloom/internal/wire"
 )
 
-// Keys of the documents in shard 0.
+// Keys of the documents in shard 0 of the control state.
 const (
 	// WorkersKey is the key of the WorkerList.
 	WorkersKey = "workers"
 	// WeightsKey is the key of the Weights.
 	WeightsKey = "weights"
-	// PlacementKey is the prefix of the key of a service's placement; the service's name follows.
+	// PlacementKey is the key prefix of the placement of a service; the name of the service follows it.
 	PlacementKey = "placement/"
 )
 
-// Worker is one incarnation of a worker, as the platform lists it.
+// Worker is a running instance of a worker, as it appears in the platform's worker list.
 type Worker struct {
-	ID       string            `json:"id"` // of this incarnation: a restarted worker has another one
+	ID       string            `json:"id"` // of this instance: a restarted worker has a new ID
 	Service  string            `json:"service"`
 	Addr     string            `json:"addr"` // host:port
 	Zone     string            `json:"district"`
-	Slots    int               `json:"slots"` // requests that it executes concurrently
+	Slots    int               `json:"slots"` // number of requests that the worker executes concurrently
 	Draining bool              `json:"draining,omitempty"`
-	Weights  map[string]uint64 `json:"weights,omitempty"` // by model: the version that it serves
+	Weights  map[string]uint64 `json:"weights,omitempty"` // by model: the version that the worker has loaded
 }
 
-// WorkerList is the document of all workers.
+// WorkerList is the document that lists all workers.
 type WorkerList struct {
 	Workers []Worker `json:"workers"`
 }
 
-// Weights is the document of named weights: by model, the newest version that was named.
+// Weights is the document of the target versions of weights, by model: those that operators named last.
 type Weights struct {
 	Versions map[string]uint64 `json:"named"`
 }
 
-// NamedVersion is a version of a model's weights, and when this process first saw it named.
+// NamedVersion is a target version of a model's weights, and when this process first received it.
 type NamedVersion struct {
 	Version uint64
-	At      time.Duration // on the process's clock
+	At      time.Duration // on the clock of this process
 }
 
-// Snapshot is everything that a request is routed by. It is never changed once it is shared between goroutines.
+// Snapshot is the state that requests are routed by. It must not be changed once it is shared between goroutines.
 type Snapshot struct {
 	Plan    *routingconfig.Plan
-	ProofAt time.Duration // when Plan was last proved to be the newest, on the process's clock; 0: not yet
+	ProofAt time.Duration // when Plan was last verified as the newest, on the clock of this process; 0: never
 
 	Workers    []Worker
 	Placements map[string]*placement.Placement // by service
 
-	NamedVersions map[string]uint64        // by model: the named version
-	NamedAt       map[string]time.Duration // by model: when this process first saw that version named
-	// Superseding holds by model, oldest first, the versions that were named before the current one and still
-	// bound for how long versions older than them may be used: naming a newer version must not extend that.
+	NamedVersions map[string]uint64        // by model: the target version of the weights
+	NamedAt       map[string]time.Duration // by model: when this process first received that target version
+	// EarlierVersions lists by model, oldest first, earlier target versions that still limit how long even older
+	// versions may be used. A new target version must not extend these limits.
 	EarlierVersions map[string][]NamedVersion
 
-	Nodes     []*wire.Node // the cluster membership
-	EdgeCount int          // number of edge machines, recently lost ones included; at least 1
+	Nodes     []*wire.Node // members of the cluster
+	EdgeCount int          // number of edge machines, including those lost recently; at least 1
 }
--- a/internal/maputil/maputil.go
+++ b/internal/maputil/maputil.go
@@ -1,4 +1,4 @@
-// Package maputil iterates over maps in an order that doesn't change from run to run.
+// Package maputil helps to iterate over maps in a deterministic order.
 package maputil
 
 import (
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// SortedKeys returns the keys of a map, sorted.
+// SortedKeys returns the keys of a map in ascending order.
 //
 // Example: for _, key := range maputil.SortedKeys(m) { use(key, m[key]) }
 func SortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/programs/programs.go
+++ b/internal/programs/programs.go
@@ -1,6 +1,5 @@
-// Package programs names the programs of this repository. It is the one place that holds the first
-// names, which releases before the renaming gave their programs and commands: sites that run, their
-// scripts and earlier releases' folders still know them by these.
+// Package programs defines the names of the programs of this repository, and the former names of renamed programs,
+// commands and flags. Scripts of running sites and the directories of earlier releases still use the former names.
 package programs
 
 import (
@@ -8,7 +7,7 @@
 	"path/filepath"
 )
 
-// The programs, as cmd/ and bin/ name them.
+// Names of the programs in cmd/ and bin/.
 const (
 	ControlNode         = "control-node"
 	Proxy               = "proxy"
@@ -24,12 +23,11 @@
 	TestBed             = "testbed"
 )
 
-// Renamed is a program's or command's name beside the one that it had first.
+// Renamed is the current and the former name of a program, command or flag.
 type Renamed struct{ Name, First string }
 
-// Programs lists every program that was renamed. The Makefile leaves a link in bin/ under each first
-// name. A node's role in the cluster membership keeps its first name on the wire: see the Role…
-// constants of internal/control/clustermembership.
+// Programs lists every program with its former name, which the Makefile links to it in bin/. Roles in the cluster
+// membership still have the former names on the wire: see the Role constants of internal/control/clustermembership.
 //
 // Example: for _, p := range programs.Programs() { fmt.Println(p.First, "is now", p.Name) }
 func Programs() []Renamed {
@@ -49,13 +47,12 @@
 	}
 }
 
-// Commands lists the command line's groups of commands that were renamed: the first names still
-// answer as before.
+// Commands lists the command groups of pebblectl that were renamed. Their former names are still accepted.
 //
 // Example: for _, c := range programs.Commands() { fmt.Println(c.First, "is now", c.Name) }
 func Commands() []Renamed { return []Renamed{{"config", "setup"}} }
 
-// Flags lists the flags that were renamed, without their dashes: the first names still do the same.
+// Flags lists the flags that were renamed, without leading dashes. Their former names are still accepted.
 //
 // Example: for _, f := range programs.Flags() { fmt.Println("--"+f.First, "is now", "--"+f.Name) }
 func Flags() []Renamed {
@@ -68,10 +65,10 @@
 	}
 }
 
-// FirstName is the name that a program had first; its own if it was never renamed.
+// FormerName returns the former name of a program, or its current name if it was never renamed.
 //
-// Example: programs.FirstName("control-node") == "archive"
-func FirstName(name string) string {
+// Example: programs.FormerName("control-node") == "archive"
+func FormerName(name string) string {
 	for _, p := range Programs() {
 		if p.Name == name {
 			return p.First
@@ -80,16 +77,16 @@
 	return name
 }
 
-// Find returns the path of a program in a folder of programs. The folder of an earlier release holds
-// it under its first name.
+// Find returns the path of a program in a directory. If the directory has the program only under its former name, as
+// those of earlier releases do, Find returns that path.
 //
 // Example: cmd := exec.Command(programs.Find("bin", programs.ControlNode))
-func Find(folder, name string) string {
-	path := filepath.Join(folder, name)
+func Find(directory, name string) string {
+	path := filepath.Join(directory, name)
 	if _, err := os.Stat(path); err != nil {
-		if first := filepath.Join(folder, FirstName(name)); first != path {
-			if _, err := os.Stat(first); err == nil {
-				return first
+		if former := filepath.Join(directory, FormerName(name)); former != path {
+			if _, err := os.Stat(former); err == nil {
+				return former
 			}
 		}
 	}
