--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -14,7 +14,7 @@
 	idleTimeout        = time.Minute
 )
 
-// Clients returns clients for the RPC services of other processes. All of them share one connection pool.
+// Clients creates clients for the RPC services of other processes. All of them share one connection pool.
 type Clients struct {
 	http *http.Client
 }
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -21,12 +21,12 @@
 // Environment contains everything through which a program interacts with the operating system. Simulations run the
 // unmodified programs with a different Environment.
 type Environment struct {
-	Clock     clock.Clock      // monotonic; the only clock that decisions depend on
-	WallClock func() time.Time // for logs and displays; no decision depends on it
+	Clock     clock.Clock      // monotonic clock; the only one that decisions depend on
+	WallClock func() time.Time // wall clock time for people to read; no decision depends on it
 	Listen    func(addr string) (net.Listener, error)
 	Dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 	Disk      func(folder string) storage.Disk
-	Journal   func(file string) (io.Writer, error) // opens a file to which a simulator appends records that outlive it
+	Journal   func(file string) (io.Writer, error) // opens a file for records of a simulator that must outlive its process
 	Seed      func() uint64                        // returns seeds for random number generators
 }
 
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -18,10 +18,10 @@
 // Process is a running program. Its methods are safe for concurrent use.
 type Process struct {
 	Environment
-	Ctx      context.Context // canceled when the program stops
+	Ctx      context.Context // context of the program, canceled when it stops
 	Log      hclog.Logger
 	Settings settings.Process
-	Ready    atomic.Bool // reported at /readyz
+	Ready    atomic.Bool // whether the program reports itself as ready at /readyz
 	Meter    *Meter
 	// Draining is closed when a shutdown begins: requests in progress are completed, new ones rejected.
 	Draining chan struct{}
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -12,19 +12,19 @@
 
 // Kind is a class of errors that have the same remedy, HTTP status and exit code.
 type Kind struct {
-	Name       string // stable, because clients and scripts depend on it
-	Remedy     string // what the user or operator should do
-	HTTPStatus int    // status in responses to clients and operators
-	ExitCode   int    // exit code of the programs
+	Name       string // name that clients and scripts depend on; it must not change
+	Remedy     string // what the user or operator should do about the error
+	HTTPStatus int    // HTTP status of the response to a client or operator
+	ExitCode   int    // exit code of a program that ends with the error
 }
 
-// The kinds. Their names, statuses and exit codes must not change: clients and scripts depend on them.
+// All kinds of errors. Their names, statuses and exit codes must not change: clients and scripts depend on them.
 var (
-	BadInput         = &Kind{"bad-input", "correct the named fields and send it again", 400, 2}
+	BadInput         = &Kind{"bad-input", "correct the named fields and send the request again", 400, 2}
 	BadKey           = &Kind{"bad-key", "use an API key that the current configuration lists for the tenant", 401, 3}
 	BadOperatorKey   = &Kind{"bad-operator-key", "provide this site's operator key with --operator-key FILE or in PEBBLELOOM_KEY", 401, 3}
 	NoSuchModel      = &Kind{"no-such-model", "use a model that the current configuration has a route for", 404, 4}
-	NotFound         = &Kind{"not-found", "check the name with the matching list command", 404, 4}
+	NotFound         = &Kind{"not-found", "check the name against the output of the matching list command", 404, 4}
 	Conflict         = &Kind{"epoch-conflict", "read the current version, redo the change on top of it and apply it again", 409, 5}
 	TooLarge         = &Kind{"too-big", "reduce the size: the message states the limit", 413, 2}
 	RateLimited      = &Kind{"over-budget", "retry after the time in Retry-After, or raise the tenant's budget", 429, 6}
@@ -32,7 +32,7 @@
 	DeadlineExceeded = &Kind{"expired", "retry with a longer deadline, or when the load is lower", 504, 6}
 	NotExecuted      = &Kind{"not-run", "the request was not executed: retry after the time in Retry-After", 503, 6}
 	MayHaveExecuted  = &Kind{"may-have-run", "check whether the request took effect before retrying", 502, 7}
-	OutcomeUnknown   = &Kind{"cant-say", "no majority of the shard responds: check the core machines with `pebblectl nodes`", 503, 8}
+	OutcomeUnknown   = &Kind{"cant-say", "no majority of the members of the shard responds: check the core machines with `pebblectl nodes`", 503, 8}
 	CheckFailed      = &Kind{"not-as-due", "follow the instructions of the failed step, then continue with --resume", 409, 1}
 	NotSupported     = &Kind{"not-here", "not available on this type of site: use the alternative in the message", 501, 10}
 	DiskFailure      = &Kind{"disk-bad", "free space or replace the disk, clear the data directory, restart the member", 500, 9}
@@ -47,7 +47,7 @@
 		DeadlineExceeded, NotExecuted, MayHaveExecuted, OutcomeUnknown, CheckFailed, NotSupported, DiskFailure, Internal}
 }
 
-// KindNamed returns the kind with a name, or Internal if there is none.
+// KindNamed returns the kind that has the given name, or Internal if there is none.
 //
 // Example: errs.KindNamed("not-run") == errs.NotExecuted
 func KindNamed(name string) *Kind {
@@ -59,7 +59,7 @@
 	return Internal
 }
 
-// kindKey is the key under which merry stores an error's kind.
+// kindKey is the key under which the merry package stores the kind of an error.
 type kindKey struct{}
 
 // New returns an error of a kind, with a formatted message.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,9 +13,9 @@
 
 // Keys of the documents in shard 0 of the control state.
 const (
-	// WorkersKey is the key of the WorkerList.
+	// WorkersKey is the key of the WorkerList document.
 	WorkersKey = "workers"
-	// WeightsKey is the key of the Weights.
+	// WeightsKey is the key of the Weights document.
 	WeightsKey = "weights"
 	// PlacementKey is the key prefix of the placement of a service; the name of the service follows it.
 	PlacementKey = "placement/"
@@ -25,11 +25,11 @@
 type Worker struct {
 	ID       string            `json:"id"` // of this instance: a restarted worker has a new ID
 	Service  string            `json:"service"`
-	Addr     string            `json:"addr"` // host:port
+	Addr     string            `json:"addr"` // address of the worker as host:port
 	Zone     string            `json:"district"`
 	Slots    int               `json:"slots"` // number of requests that the worker executes concurrently
 	Draining bool              `json:"draining,omitempty"`
-	Weights  map[string]uint64 `json:"weights,omitempty"` // by model: the version that the worker has loaded
+	Weights  map[string]uint64 `json:"weights,omitempty"` // version of the weights that the worker has loaded, by model
 }
 
 // WorkerList is the document that lists all workers.
@@ -45,7 +45,7 @@
 // NamedVersion is a target version of a model's weights, and when this process first received it.
 type NamedVersion struct {
 	Version uint64
-	At      time.Duration // on the clock of this process
+	At      time.Duration // when this process first received the version, on its own clock
 }
 
 // Snapshot is the state that requests are routed by. It must not be changed once it is shared between goroutines.
@@ -54,14 +54,14 @@
 	ProofAt time.Duration // when Plan was last verified as the newest, on the clock of this process; 0: never
 
 	Workers    []Worker
-	Placements map[string]*placement.Placement // by service
+	Placements map[string]*placement.Placement // placement of prompt prefixes, by service
 
-	NamedVersions map[string]uint64        // by model: the target version of the weights
-	NamedAt       map[string]time.Duration // by model: when this process first received that target version
+	NamedVersions map[string]uint64        // target version of the weights, by model
+	NamedAt       map[string]time.Duration // when this process first received that target version, by model
 	// EarlierVersions lists by model, oldest first, earlier target versions that still limit how long even older
 	// versions may be used. A new target version must not extend these limits.
 	EarlierVersions map[string][]NamedVersion
 
-	Nodes     []*wire.Node // members of the cluster
+	Nodes     []*wire.Node // members of the cluster, as the cluster membership reports them
 	EdgeCount int          // number of edge machines, including those lost recently; at least 1
 }
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -7,16 +7,16 @@
 type Bounds struct {
 	ConfigMs              int `json:"setup_ms"`    // longest time that a superseded configuration stays in use
 	KeyRevocationMs       int `json:"key_ms"`      // longest time that a revoked API key is still accepted
-	LeaveMs               int `json:"leave_ms"`    // longest time that a worker still gets requests after it has left
+	LeaveMs               int `json:"leave_ms"`    // longest time that a worker still gets requests after it has left the site
 	WeightsMs             int `json:"weights_ms"`  // longest time that requests still start on superseded weights
 	HealMs                int `json:"heal_ms"`     // longest time until service is restored after a fault
 	RetryPercent          int `json:"try_share"`   // retries that are allowed, as a percentage of the traffic
 	RetryWindowMs         int `json:"try_span_ms"` // interval over which retries are counted; only the test bed's checks use it
 	RetryAllowance        int `json:"try_allow"`   // retries per service in the entire site that are allowed in addition to RetryPercent
 	RequestIDRetentionMs  int `json:"once_ms"`     // shortest time that the ID of an at-most-once request is remembered
-	MaxBodyKB             int `json:"body_kb"`     // largest body of a request
-	MaxConcurrentRequests int `json:"waiting"`     // limit for each proxy
-	MaxIndexEntries       int `json:"entries"`     // limit for prefix entries in each prompt index node
+	MaxBodyKB             int `json:"body_kb"`     // largest request body that is accepted
+	MaxConcurrentRequests int `json:"waiting"`     // concurrent requests that each proxy accepts
+	MaxIndexEntries       int `json:"entries"`     // prompt prefixes that each prompt index node stores at most
 }
 
 // DefaultBounds returns the bounds that apply if the settings give no others.
@@ -33,43 +33,44 @@
 // after that end, and an order takes at most OrderTimeoutRatio.
 const (
 	LeaseRatio        = 1.0 / 4  // duration of a lease, as a ratio of the recovery time limit
-	LeaseMarginRatio  = 1.0 / 8  // safety margin, as a ratio of the duration of a lease
+	LeaseMarginRatio  = 1.0 / 8  // safety margin before and after the end of a lease, as a ratio of its duration
 	OrderTimeoutRatio = 1.0 / 24 // timeout of an order, as a ratio of the recovery time limit
 )
 
-// handoverGap returns the time between the latest end of a lease holder's last order and the next holder's first.
+// handoverGap returns the time between the latest arrival of a lease holder's last order and the earliest order of the
+// next holder.
 func (b Bounds) handoverGap() time.Duration {
 	return b.Heal(2*LeaseMarginRatio*LeaseRatio) - b.Heal(OrderTimeoutRatio)
 }
 
-// Fraction returns a ratio of a number of milliseconds as a duration.
+// Fraction multiplies a number of milliseconds by a ratio and returns the result as a duration.
 //
 // Example: settings.Fraction(site.GraceMs, 0.5)
 func Fraction(milliseconds int, ratio float64) time.Duration {
 	return time.Duration(float64(milliseconds) * ratio * float64(time.Millisecond))
 }
 
-// Config returns a ratio of the longest time that a superseded configuration stays in use.
+// Config returns the longest time that a superseded configuration stays in use, multiplied by a ratio.
 //
 // Example: maxProofAge := bounds.Config(0.8)
 func (b Bounds) Config(ratio float64) time.Duration { return Fraction(b.ConfigMs, ratio) }
 
-// Weights returns a ratio of the longest time that requests still start on superseded weights.
+// Weights returns the longest time that requests still start on superseded weights, multiplied by a ratio.
 //
 // Example: selectableFor := bounds.Weights(0.85)
 func (b Bounds) Weights(ratio float64) time.Duration { return Fraction(b.WeightsMs, ratio) }
 
-// Leave returns a ratio of the longest time that a worker still gets requests after it has left.
+// Leave returns the longest time that a worker still gets requests after it has left, multiplied by a ratio.
 //
 // Example: heartbeatInterval := bounds.Leave(0.1)
 func (b Bounds) Leave(ratio float64) time.Duration { return Fraction(b.LeaveMs, ratio) }
 
-// Heal returns a ratio of the longest time until service is restored after a fault.
+// Heal returns the longest time until service is restored after a fault, multiplied by a ratio.
 //
 // Example: lease := bounds.Heal(settings.LeaseRatio)
 func (b Bounds) Heal(ratio float64) time.Duration { return Fraction(b.HealMs, ratio) }
 
-// RequestIDRetention returns a ratio of the time that IDs of at-most-once requests are remembered.
+// RequestIDRetention returns the time that IDs of at-most-once requests are remembered, multiplied by a ratio.
 //
 // Example: retention := bounds.RequestIDRetention(1)
 func (b Bounds) RequestIDRetention(ratio float64) time.Duration {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -15,7 +15,7 @@
 func Decode(raw []byte, file string, process *Process, faults *errs.Batch) {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &top); err != nil {
-		faults.Addf(errs.BadInput, "%s: not a JSON object (%v): write one with `name`, `district`, `listen`, `seeds`", file, err)
+		faults.Addf(errs.BadInput, "%s: not a JSON object (%v): write one with the fields `name`, `district`, `listen`, `seeds`", file, err)
 		return
 	}
 	fields := map[string]any{"name": &process.Name, "district": &process.Zone, "listen": &process.Listen, "tell": &process.Advertise, "public": &process.Public,
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -15,7 +15,7 @@
 type flagValues struct {
 	Process
 	file                 string
-	seeds, core, options string // comma-separated
+	seeds, core, options string // values of the flags for comma-separated lists
 }
 
 func (f *flagValues) register(parser *flaggy.Parser) {
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -13,7 +13,7 @@
 // Process holds the settings of one process.
 type Process struct {
 	Name        string   `json:"name"`         // name of the machine or worker; stays the same after a restart
-	Zone        string   `json:"district"`     // zone of the machine, one of the site's
+	Zone        string   `json:"district"`     // zone of the site that the machine or worker is in
 	Listen      string   `json:"listen"`       // address (IP:port) to listen at for other pebbleloom processes
 	Advertise   string   `json:"tell"`         // address at which other processes reach this one; empty: Listen
 	Public      string   `json:"public"`       // address to listen at for clients; a simulator serves only this one
@@ -26,7 +26,7 @@
 	WorkerList  string   `json:"rank"`         // address of the platform's worker list
 	Options     []string `json:"extra"`        // program-specific options, each "key=value"
 	Bounds      Bounds   `json:"bounds"`
-	Site        *Site    `json:"-"` // nil if Core lists the core machines
+	Site        *Site    `json:"-"` // settings of a site without a fixed list of core machines; nil if Core lists them
 }
 
 // Required selects which of the settings that may be empty a program requires.
@@ -63,9 +63,9 @@
 	return dialer
 }
 
-// Option returns the value of a program-specific option, or the default if it is not given.
+// Option returns the value of a program-specific option, or a default value if the option is not given.
 //
-// Example: process.Option("slots", "2") returns "4" if the options contain "slots=4"
+// Example: process.Option("slots", "2") returns "4" if the options contain "slots=4", else "2"
 func (p Process) Option(key, defaultValue string) string {
 	for _, option := range p.Options {
 		if value, ok := strings.CutPrefix(option, key+"="); ok {
--- a/internal/settings/process_test.go
+++ b/internal/settings/process_test.go
@@ -39,7 +39,7 @@
 	want := Bounds{ConfigMs: 2001, KeyRevocationMs: 5001, LeaveMs: 3001, WeightsMs: 20001, HealMs: 12001, RetryPercent: 21, RetryWindowMs: 10001,
 		RetryAllowance: 11, RequestIDRetentionMs: 1800001, MaxBodyKB: 513, MaxConcurrentRequests: 257, MaxIndexEntries: 60001}
 	if process.Bounds != want {
-		t.Errorf("bounds %+v, want %+v", process.Bounds, want)
+		t.Errorf("decoded bounds %+v, want %+v", process.Bounds, want)
 	}
 }
 
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -9,11 +9,11 @@
 // being listed in Process.Core. Process.Seeds then holds three addresses at which core machines listen for other
 // pebbleloom processes.
 type Site struct {
-	FirstStart         bool    // the entire system starts for the first time, so empty disks do not mean data loss
-	ToleratedFailures  int     // number of machines that may be down at the same time
-	ControlPlaneListen string  // address of the operator API in the platform's format; empty: not served
-	ReadinessListen    string  // address of the readiness endpoint
-	PortRange          [2]int  // first and last port for internal calls; the same on every machine
+	FirstStart         bool    // set when the entire system starts for the first time, so that empty disks do not count as data loss
+	ToleratedFailures  int     // number of machines that may fail at the same time
+	ControlPlaneListen string  // address to listen at for operator requests in the platform's format; empty: not served
+	ReadinessListen    string  // address to listen at for readiness checks
+	PortRange          [2]int  // first and last port for calls between pebbleloom processes; the same on every machine
 	IP                 string  // IP address of this machine
 	MemoryLimitMB      int     // memory use above which the process is killed
 	HeartbeatMs        int     // interval of the cluster membership's heartbeats
@@ -22,15 +22,15 @@
 	GraceMs            int     // time from SIGTERM until the process is killed
 	LeaseMs            int     // duration of a lease
 	AckTimeoutMs       int     // longest time until an operator's change is acknowledged or rejected
-	ContactWindowMs    int     // how long a process must have been connected before Bounds apply to it
-	TransitMs          int     // longest time until an event of a stream is forwarded
+	ContactWindowMs    int     // time that a process must have been connected to the site before the bounds apply to it
+	TransitMs          int     // longest time that the forwarding of an event of a stream may take
 }
 
 // Offsets of the internal ports from the first port of Site.PortRange.
 const (
-	PortState    = 0 // control state; on an edge machine: node agent
-	PortIndex    = 1 // prompt index and controllers
-	PortOperator = 2 // operator API, served by the control state process
+	PortState    = 0 // port of the control state; on an edge machine, of the node agent
+	PortIndex    = 1 // port of the prompt index and the controllers
+	PortOperator = 2 // port of the operator API, which the control state process serves
 )
 
 // Port returns the address of a process on a machine, given the machine's IP address and the port's offset.
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -35,7 +35,7 @@
 
 func (v validator) inRange(field string, value, low, high int) {
 	if value < low || value > high {
-		v.invalid("bounds."+field, "%d is out of range: give %d to %d", value, low, high)
+		v.invalid("bounds."+field, "value %d is out of range: give %d to %d", value, low, high)
 	}
 }
 
@@ -49,7 +49,7 @@
 		v.invalid("name", "%q is not a valid name: give one without spaces, commas and slashes", process.Name)
 	}
 	if process.Zone == "" {
-		v.invalid("district", "missing: set it to the zone of this machine")
+		v.invalid("district", "required setting is missing: set it to the zone of this machine")
 	}
 	v.address("listen", process.Listen, true)
 	v.address("tell", process.Advertise, false)
@@ -58,19 +58,19 @@
 	v.address("runner", process.NodeAgent, required.NodeAgent)
 	v.address("rank", process.WorkerList, required.WorkerList)
 	if n := len(process.OperatorKey); n != 0 && (n < minOperatorKeyLength || n > maxOperatorKeyLength || strings.ContainsAny(process.OperatorKey, " \t\r\n")) {
-		v.invalid("operator_key", "invalid key of %d characters: give %d to %d characters without white space, or no key", n, minOperatorKeyLength, maxOperatorKeyLength)
+		v.invalid("operator_key", "invalid operator key of %d characters: give %d to %d characters without white space, or no key", n, minOperatorKeyLength, maxOperatorKeyLength)
 	}
 	if required.Seeds && len(process.Seeds) != seedCount {
-		v.invalid("seeds", "%d given: give the IP:port addresses of three other processes", len(process.Seeds))
+		v.invalid("seeds", "%d given, want the addresses (IP:port) of three other processes", len(process.Seeds))
 	}
 	for _, seed := range process.Seeds {
 		v.address("seeds", seed, true)
 	}
 	if required.Core && len(process.Core) != coreCount {
-		v.invalid("core", "%d given: give the names of the four core machines", len(process.Core))
+		v.invalid("core", "%d given, want the names of the four core machines", len(process.Core))
 	}
 	if required.Data && process.Data == "" {
-		v.invalid("data", "missing: set it to a directory on this machine's disk")
+		v.invalid("data", "required setting is missing: set it to a directory on this machine's disk")
 	}
 	v.bounds(process.Bounds)
 }
@@ -84,9 +84,9 @@
 	v.inRange("try_share", b.RetryPercent, 0, 100)
 	v.inRange("try_span_ms", b.RetryWindowMs, 1000, 600000)
 	v.inRange("try_allow", b.RetryAllowance, 0, 10000)
-	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // at least 10 min: no request takes longer
+	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // the minimum of 10 min is longer than any request takes
 	if b.HealMs > 0 && b.handoverGap() < b.Heal(OrderTimeoutRatio)/4 {
-		v.invalid("bounds.heal_ms", "%d is too short: an order could arrive after the first order of the next lease holder: give more", b.HealMs)
+		v.invalid("bounds.heal_ms", "%d ms is too short: the last order of a lease holder could arrive after the first order of the next holder", b.HealMs)
 	}
 	v.inRange("body_kb", b.MaxBodyKB, 1, 16384)
 	v.inRange("waiting", b.MaxConcurrentRequests, 1, 65536)
