--- a/internal/control/controlstate/isolation_requests_test.go
+++ b/internal/control/controlstate/isolation_requests_test.go
@@ -14,78 +14,80 @@
 	"pebbleloom/internal/wire"
 )
 
-// isolateMember starts a group of three and isolates one, the leader or a follower, in both directions.
-func isolateMember(t *testing.T, isolatesLeader bool) *isolationWorld {
+// startWithIsolatedMember starts a group of three members and isolates the leader or a follower in both directions.
+func startWithIsolatedMember(t *testing.T, isolatesLeader bool) *isolationWorld {
 	w := newIsolationWorld(t, isolationScenario{isolatesLeader: isolatesLeader, direction: isolatedBoth})
 	w.startFounders(3)
-	w.chooseVictim(3)
-	if err := w.putPlan(w.victim, 0, body(1, "before")); err != nil {
-		t.Fatal(err)
+	w.chooseIsolatedMachine(3)
+	if err := w.putConfig(w.isolatedMachine, 0, body(1, "before")); err != nil {
+		t.Fatalf("change of the configuration before the isolation: %v", err)
 	}
 	clock.Sleep(context.Background(), time.Second)
-	w.isolateVictim()
+	w.startIsolation()
 	return w
 }
 
-// healAndStop ends the isolation first, so that nothing is in flight when the machines stop.
+// healAndStop ends the isolation before it stops the machines, so that no messages are in flight when they stop.
 func (w *isolationWorld) healAndStop() {
 	w.network.heal()
 	w.stopAll()
 }
 
-// An isolated leader doesn't reject by what it has applied: it can't know the outcome, and answers so.
+// An isolated leader does not reject changes based on its applied state: another leader may have accepted them, so it
+// answers that it cannot serve the request.
 func TestIsolatedLeaderRejectsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := isolateMember(t, true)
+		w := startWithIsolatedMember(t, true)
 		defer w.healAndStop()
 		for name, request := range map[string]*wire.ChangeRequest{
-			"another version": putRequest(&wire.Put{Key: fleet.WeightsKey, Body: []byte("{}"), IfVersion: 7}),
-			"a dry run":       {DryRun: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: fleet.WeightsKey, Body: []byte("{}")}}}},
-			"a plan":          putRequest(&wire.Put{Key: routingconfig.DocumentKey, Body: body(9, "x"), IfVersion: 8}),
+			"base version never reached": putRequest(&wire.Put{Key: fleet.WeightsKey, Body: []byte("{}"), IfVersion: 7}),
+			"dry run":                    {DryRun: true, Command: &wire.Command{Kind: &wire.Command_Put{Put: &wire.Put{Key: fleet.WeightsKey, Body: []byte("{}")}}}},
+			"configuration change":       putRequest(&wire.Put{Key: routingconfig.DocumentKey, Body: body(9, "x"), IfVersion: 8}),
 		} {
 			begun := time.Now()
-			response, _ := w.node(w.victim).Change(context.Background(), request)
+			response, _ := w.node(w.isolatedMachine).Change(context.Background(), request)
 			if waited := time.Since(begun); response.Outcome != wire.OutcomeOverloaded && response.Outcome != wire.OutcomeNotLeader || waited > answerWithin {
-				t.Errorf("%s: %v after %v", name, response, waited)
+				t.Errorf("%s: isolated leader responded with %v after %v, want overloaded or not-leader within %v", name, response, waited, answerWithin)
 			}
 		}
 	})
 }
 
-// Changes that wait for their commit are answered when the leader steps down, however long their callers
-// would wait, and none stays pending.
+// Changes that wait for their commit are answered with an unknown outcome when the leader steps down, even if their
+// callers would wait longer, and none stays pending.
 func TestStepDownReleasesPendingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := isolateMember(t, true)
+		w := startWithIsolatedMember(t, true)
 		defer w.healAndStop()
-		replica, begun := w.node(w.victim).shards[0], time.Now()
-		ctx, end := context.WithTimeout(context.Background(), isolationTime)
-		defer end()
+		replica, begun := w.node(w.isolatedMachine).shards[0], time.Now()
+		ctx, cancel := context.WithTimeout(context.Background(), isolationTime)
+		defer cancel()
 		grant := &wire.Grant{Lease: "site", Holder: "x", TtlNs: uint64(leaseTTL)}
 		response := replica.change(ctx, grantRequest(grant))
-		if waited := time.Since(begun); response.Outcome != wire.OutcomeUnknown || waited > stepDownWithin {
-			t.Errorf("%v after %v", response, waited)
+		if waited := time.Since(begun); response.Outcome != wire.OutcomeUnknown || waited > maxStepDownTime {
+			t.Errorf("lease request on an isolated leader: got %v after %v, want an unknown outcome within %v", response, waited, maxStepDownTime)
 		}
-		if n := query(ctx, replica, -1, func() int { return len(replica.pendingProposals) }); n != 0 {
-			t.Errorf("%d changes still wait", n)
+		if count := query(ctx, replica, -1, func() int { return len(replica.pendingProposals) }); count != 0 {
+			t.Errorf("%d proposals are still pending after the step-down, want 0 (-1: no answer from the shard)", count)
 		}
 	})
 }
 
-// A request is served for a bounded time, also where its caller has gone away.
+// A node gives up on a request after a bounded time, even if the caller's context has no deadline.
 func TestRequestsHaveABoundedServingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := isolateMember(t, true)
+		w := startWithIsolatedMember(t, true)
 		defer w.healAndStop()
 		begun := time.Now()
-		response, _ := w.node(w.victim).Read(context.Background(), &wire.ReadRequest{Key: routingconfig.DocumentKey})
-		if waited := time.Since(begun); response.Outcome == wire.OutcomeDone || waited > grantWithin {
-			t.Errorf("a read: %v after %v", response, waited)
+		response, _ := w.node(w.isolatedMachine).Read(context.Background(), &wire.ReadRequest{Key: routingconfig.DocumentKey})
+		if waited := time.Since(begun); response.Outcome == wire.OutcomeDone || waited > maxServeTime {
+			t.Errorf("read on an isolated leader: got %v after %v, want a failure within %v", response, waited, maxServeTime)
 		}
 	})
 }
 
-// contestedNode is a control node on which every change conflicts with another one.
+// contestedNode is a fake control node that answers every change with a conflict, as if another client changed the
+// document at the same time.
 type contestedNode struct{ wire.ControlNode }
 
 func (contestedNode) Read(ctx context.Context, _ *wire.ReadRequest) (*wire.ReadResponse, error) {
@@ -102,14 +104,14 @@
 	return &wire.JoinResponse{Outcome: wire.OutcomeNotLeader}, nil
 }
 
-// A weights version whose change conflicts with others until its time-out has an unknown outcome: it was
-// not rejected.
+// SetWeightsVersion reports an unknown outcome, not a rejection, if its changes conflict with those of other clients
+// until its time-out.
 func TestContestedWeightsVersionIsNotRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := isolateMember(t, false)
+		w := startWithIsolatedMember(t, false)
 		defer w.healAndStop()
-		node := w.node(w.victim)
-		w.waitUntil("no leader known", 5*time.Second, func() bool { return node.shards[0].published.current().leader == "" })
+		node := w.node(w.isolatedMachine)
+		w.waitUntil("isolated follower no longer knows a leader", 5*time.Second, func() bool { return node.shards[0].published.current().leader == "" })
 		server := &http.Server{Handler: wire.NewControlNodeServer(contestedNode{})}
 		listener := w.listen(w.addr(10))
 		go func() { _ = server.Serve(listener) }()
@@ -118,48 +120,48 @@
 		begun := time.Now()
 		err := node.SetWeightsVersion(context.Background(), "m", 2)
 		if waited := time.Since(begun); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || waited > answerWithin {
-			t.Errorf("after %v: %v", waited, err)
+			t.Errorf("SetWeightsVersion with constant conflicts: got error %v after %v, want an unknown outcome within %v", err, waited, answerWithin)
 		}
 	})
 }
 
-// The response of a learner doesn't count for a proof of freshness, whatever it holds.
+// The response of a learner does not count for a proof of freshness, whichever version the learner has.
 func TestLearnerProvesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newIsolationWorld(t, isolationScenario{isolatesLeader: true, direction: isolatedBoth, withSpare: true})
 		defer w.healAndStop()
 		w.startFounders(4)
 		request := followRequest(0, &wire.KnownVersion{Key: routingconfig.DocumentKey, Version: 9})
-		w.waitUntil("a learner that is replicated to", 5*time.Second, func() bool {
+		w.waitUntil("leader replicates to the learner", 5*time.Second, func() bool {
 			response, _ := w.node(4).Follow(context.Background(), request)
 			if response.NothingNewer {
-				t.Error("a learner says that there is nothing newer")
+				t.Error("learner responded to a poll with NothingNewer set, want it unset")
 			}
 			return len(response.Members) == 3
 		})
 		response, _ := w.node(4).Follow(context.Background(), request)
 		memberResponse, _ := w.node(1).Follow(context.Background(), request)
 		if response.NothingNewer || !memberResponse.NothingNewer {
-			t.Errorf("a learner: %v, a member: %v", response, memberResponse)
+			t.Errorf("NothingNewer: learner responded %v, want false; voter responded %v, want true", response, memberResponse)
 		}
 	})
 }
 
-// An isolated follower returns with a log as long as the leader's, and deposes nobody.
+// A follower that returns from an isolation with a log as long as the leader's does not depose the leader.
 func TestReturningFollowerDeposesNobody(t *testing.T) {
 	for _, direction := range []isolationDirection{isolatedBoth, isolatedOut, isolatedIn} {
 		synctest.Test(t, func(t *testing.T) {
-			w := isolateMember(t, false)
+			w := startWithIsolatedMember(t, false)
 			defer w.healAndStop()
 			w.network.heal()
 			w.scenario.direction = direction
-			w.isolateVictim()
+			w.startIsolation()
 			term, leader := w.term(), w.leader()
 			clock.Sleep(context.Background(), isolationTime)
 			w.network.heal()
-			clock.Sleep(context.Background(), recoverWithin)
+			clock.Sleep(context.Background(), maxRecoveryTime)
 			if w.term() != term || w.leader() != leader {
-				t.Errorf("isolated %s: the leader was %d of term %d, now it is %d of %d", direction, leader, term, w.leader(), w.term())
+				t.Errorf("follower isolated %s: machine %d was leader in term %d before the isolation, machine %d is leader in term %d after it", direction, leader, term, w.leader(), w.term())
 			}
 		})
 	}
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -14,48 +14,48 @@
 	"pebbleloom/internal/wire"
 )
 
-// Bounds on a group of which one member is isolated, as ratios of the default heal bound (12 s) and of the
-// bound on acknowledgements (4 s).
+// Durations and upper bounds for the isolation of a member. The bounds follow from the default heal bound (12 s)
+// and the default time-out of acknowledgements (4 s).
 const (
-	isolationTime  = 20 * time.Second
-	answerWithin   = 950 * time.Millisecond  // an operator goes to another node after about a second of silence
-	grantWithin    = 1600 * time.Millisecond // serveTimeoutRatio of the heal bound, and a tick
-	failFastWithin = 450 * time.Millisecond  // once all others were silent: the client's shortened time-out for each
-	stepDownWithin = 2300 * time.Millisecond // two election time-outs without a quorum, and some ticks
-	takeOverWithin = 6 * time.Second         // the step-down of a leader that can't receive, an election, a restart
-	recoverWithin  = 8 * time.Second
-	leaseTTL       = 1200 * time.Millisecond
+	isolationTime   = 20 * time.Second
+	answerWithin    = 950 * time.Millisecond  // time to respond: an operator's client tries another node after about 1 s
+	maxServeTime    = 1600 * time.Millisecond // time to respond to any request: serveTimeoutRatio of the heal bound, plus a tick
+	maxFailFastTime = 450 * time.Millisecond  // time to fail after long isolation: the client shortens its time-out for unresponsive nodes
+	maxStepDownTime = 2300 * time.Millisecond // time until a leader without a quorum steps down: two election time-outs, plus some ticks
+	maxFailoverTime = 6 * time.Second         // time until the others accept changes: step-down of a leader, election and restart
+	maxRecoveryTime = 8 * time.Second         // time from the end of the isolation until the isolated member serves again
+	leaseTTL        = 1200 * time.Millisecond
 )
 
-// isolationDirection is in which direction a member is isolated.
+// isolationDirection is the direction in which a member's messages are blocked.
 type isolationDirection string
 
 // Directions of an isolation.
 const (
-	isolatedBoth isolationDirection = "both"
-	isolatedOut  isolationDirection = "out" // it can't send
-	isolatedIn   isolationDirection = "in"  // it can't receive
+	isolatedBoth isolationDirection = "in both directions"
+	isolatedOut  isolationDirection = "outbound" // the member cannot send
+	isolatedIn   isolationDirection = "inbound"  // the member cannot receive
 )
 
-// restartSet is which members restart during the isolation.
+// restartSet selects the members that restart during the isolation.
 type restartSet string
 
-// Members that restart.
+// Sets of members that restart.
 const (
-	restartNone     restartSet = "none"
-	restartIsolated restartSet = "itself"
-	restartOther    restartSet = "another"
-	restartAll      restartSet = "all"
+	restartNone     restartSet = "no member"
+	restartIsolated restartSet = "the isolated member"
+	restartOther    restartSet = "another member"
+	restartAll      restartSet = "all members"
 )
 
-// isolationScenario is one combination of an isolation.
+// isolationScenario is one combination of isolation and restarts.
 type isolationScenario struct {
-	isolatesLeader    bool // else a follower
+	isolatesLeader    bool // isolates the leader instead of a follower
 	direction         isolationDirection
 	restarts          restartSet
-	onlyIsolatedSeeds bool // members restart with seeds that name only the isolated one
+	onlyIsolatedSeeds bool // members restart with the isolated member as their only seed
 	withSpare         bool // a fourth machine is a spare
-	isolatesPair      bool // two of five members are isolated, and reach each other
+	isolatesPair      bool // two of five members are isolated together, and can reach each other
 }
 
 func (s isolationScenario) String() string {
@@ -65,18 +65,18 @@
 	}
 	text := fmt.Sprintf("%s isolated %s, %s restarted", role, s.direction, s.restarts)
 	if s.onlyIsolatedSeeds {
-		text += ", seeds isolated"
+		text += ", isolated member as only seed"
 	}
 	if s.withSpare {
-		text += ", a spare"
+		text += ", with a spare"
 	}
 	if s.isolatesPair {
-		text += ", two of five"
+		text += ", two of five members isolated"
 	}
 	return text
 }
 
-// isolationScenarios lists all combinations that are tested.
+// isolationScenarios returns all combinations to test.
 func isolationScenarios() (scenarios []isolationScenario) {
 	for _, isolatesLeader := range []bool{true, false} {
 		for _, direction := range []isolationDirection{isolatedBoth, isolatedOut, isolatedIn} {
@@ -102,78 +102,78 @@
 	return scenarios
 }
 
-// checkVictim sends requests to the isolated member in one round: it must carry none out, nor reject any,
-// and answer in time. After a long isolation it must fail fast.
-func (w *isolationWorld) checkVictim(base uint64, plan []byte, attempt int, isLong bool) {
+// checkIsolatedMachine sends one request of each kind to the isolated member. The member must neither execute nor
+// reject any of them, and must respond in time; after a long isolation it must fail fast.
+func (w *isolationWorld) checkIsolatedMachine(base uint64, config []byte, attempt int, isLong bool) {
 	begun := time.Now()
-	if err := w.putPlan(w.victim, base, plan); err == nil {
-		w.t.Errorf("%v: the isolated member acknowledges version %d", w.elapsed(), base+1)
+	if err := w.putConfig(w.isolatedMachine, base, config); err == nil {
+		w.t.Errorf("at %v: isolated member acknowledged version %d without a quorum", w.elapsed(), base+1)
 	}
-	if waited := time.Since(begun); isLong && waited > failFastWithin {
-		w.t.Errorf("%v: the isolated member holds a change for %v though it has had no contact for long", w.elapsed(), waited)
+	if waited := time.Since(begun); isLong && waited > maxFailFastTime {
+		w.t.Errorf("at %v: isolated member took %v to respond to a change after a long isolation, want at most %v", w.elapsed(), waited, maxFailFastTime)
 	}
-	if base > 1 { // one that the leader would reject: this member can't know
-		if err := w.putPlan(w.victim, base-1, body(base+1, "on an old base")); err == nil {
-			w.t.Errorf("%v: the isolated member acknowledges a change on an old base", w.elapsed())
+	if base > 1 { // the leader would reject this change, but the isolated member cannot know that
+		if err := w.putConfig(w.isolatedMachine, base-1, body(base+1, "on a stale base version")); err == nil {
+			w.t.Errorf("at %v: isolated member acknowledged a change on stale base version %d", w.elapsed(), base-1)
 		}
 	}
-	if err := w.readPlan(w.victim); err == nil {
-		w.t.Errorf("%v: the isolated member serves a read", w.elapsed())
+	if err := w.readConfig(w.isolatedMachine); err == nil {
+		w.t.Errorf("at %v: isolated member served a read without a quorum", w.elapsed())
 	}
-	w.checkVictimSetsNoWeights(attempt)
-	w.checkVictimGrantsNothing()
+	w.checkNoWeightsChange(attempt)
+	w.checkNoLeaseGrant()
 }
 
-// checkVictimSetsNoWeights checks that a new weights version isn't set, and that the one that was set
-// before the isolation is acknowledged.
-func (w *isolationWorld) checkVictimSetsNoWeights(attempt int) {
+// checkNoWeightsChange checks that the isolated member does not set a new weights version, but acknowledges a
+// request to set the version that was already set before the isolation.
+func (w *isolationWorld) checkNoWeightsChange(attempt int) {
 	ctx, begun := context.Background(), time.Now()
-	err := w.node(w.victim).SetWeightsVersion(ctx, "m", uint64(100+attempt))
+	err := w.node(w.isolatedMachine).SetWeightsVersion(ctx, "m", uint64(100+attempt))
 	if waited := time.Since(begun); err == nil || errs.KindOf(err).HTTPStatus != 503 || waited > answerWithin {
-		w.t.Errorf("%v: the isolated member sets a weights version after %v: %v", w.elapsed(), waited, err)
+		w.t.Errorf("at %v: isolated member responded to a weights change after %v with error %v, want status 503 within %v", w.elapsed(), waited, err, answerWithin)
 	}
-	switch err := w.node(w.victim).SetWeightsVersion(ctx, "m", 1); {
+	switch err := w.node(w.isolatedMachine).SetWeightsVersion(ctx, "m", 1); {
 	case err == nil:
-	case w.restarted && errs.KindOf(err).HTTPStatus == 503: // after a restart it can't know what was committed
+	case w.restarted && errs.KindOf(err).HTTPStatus == 503: // after its restart the member cannot know which entries were committed
 	default:
-		w.t.Errorf("%v: a weights version that was set before the isolation isn't acknowledged: %v", w.elapsed(), err)
+		w.t.Errorf("at %v: isolated member did not acknowledge the weights version that was set before the isolation: %v", w.elapsed(), err)
 	}
 }
 
-// checkVictimGrantsNothing checks that a lease request is neither granted nor rejected.
-func (w *isolationWorld) checkVictimGrantsNothing() {
+// checkNoLeaseGrant checks that the isolated member neither grants nor rejects a lease request, and responds in time.
+func (w *isolationWorld) checkNoLeaseGrant() {
 	begun := time.Now()
 	grant := &wire.Grant{Lease: "other", Holder: "x", TtlNs: uint64(leaseTTL)}
-	response, _ := w.node(w.victim).Change(context.Background(), grantRequest(grant))
-	if waited := time.Since(begun); response.Outcome == wire.OutcomeDone || response.Outcome == wire.OutcomeConflict || waited > grantWithin {
-		w.t.Errorf("%v: the isolated member answers a lease request after %v: %v", w.elapsed(), waited, response)
+	response, _ := w.node(w.isolatedMachine).Change(context.Background(), grantRequest(grant))
+	if waited := time.Since(begun); response.Outcome == wire.OutcomeDone || response.Outcome == wire.OutcomeConflict || waited > maxServeTime {
+		w.t.Errorf("at %v: isolated member responded to a lease request after %v with %v, want neither a grant nor a conflict, within %v", w.elapsed(), waited, response, maxServeTime)
 	}
 }
 
-// run plays the scenario.
+// run runs the scenario and checks the invariants during and after the isolation.
 func (w *isolationWorld) run() {
-	machines := w.startSite()
+	machines := w.startMachines()
 	defer w.stopAll()
-	w.putBefore()
+	w.putInitialChanges()
 	ctx, stop := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	defer func() { stop(); clients.Wait() }()
 	w.startClients(ctx, &clients)
 	clock.Sleep(ctx, time.Second)
-	w.isolateVictim()
+	w.startIsolation()
 	begun, term := w.elapsed(), w.term()
 	w.checkDuringIsolation(begun)
-	w.checkHolders(begun)
-	w.checkProofs(begun)
+	w.checkLeaseTransfer(begun)
+	w.checkFreshnessProofs(begun)
 	w.network.heal()
 	w.checkAfterIsolation(machines)
 	if now := w.term(); !w.scenario.isolatesLeader && w.scenario.restarts == restartNone && now != term {
-		w.t.Errorf("a follower that was isolated deposed the leader: term %d, then %d", term, now)
+		w.t.Errorf("isolated follower deposed the leader: term rose from %d to %d", term, now)
 	}
 }
 
-// startSite starts the machines, and chooses whom to isolate. It returns how many there are.
-func (w *isolationWorld) startSite() (machines int) {
+// startMachines starts the machines and chooses the members to isolate. It returns the number of machines.
+func (w *isolationWorld) startMachines() (machines int) {
 	machines, members := 3, 3
 	if w.scenario.withSpare {
 		machines = 4
@@ -184,31 +184,31 @@
 	for i := range machines {
 		w.start(i+1, true)
 	}
-	w.waitUntil("a complete group", 10*time.Second, func() bool { return len(w.members()) == members })
-	w.chooseVictim(machines)
+	w.waitUntil("group is complete", 10*time.Second, func() bool { return len(w.members()) == members })
+	w.chooseIsolatedMachine(machines)
 	return machines
 }
 
-// putBefore makes some changes at the member that will be isolated.
-func (w *isolationWorld) putBefore() {
+// putInitialChanges makes some changes through the member that will be isolated.
+func (w *isolationWorld) putInitialChanges() {
 	for i := range uint64(2) {
-		if err := w.putPlan(w.victim, i, body(i+1, "before")); err != nil {
-			w.t.Fatalf("before the isolation: %v", err)
+		if err := w.putConfig(w.isolatedMachine, i, body(i+1, "before")); err != nil {
+			w.t.Fatalf("change of the configuration before the isolation: %v", err)
 		}
 	}
-	if err := w.node(w.victim).SetWeightsVersion(context.Background(), "m", 1); err != nil {
-		w.t.Fatalf("before the isolation: %v", err)
+	if err := w.node(w.isolatedMachine).SetWeightsVersion(context.Background(), "m", 1); err != nil {
+		w.t.Fatalf("change of the weights version before the isolation: %v", err)
 	}
 }
 
-// startClients starts two lease holders, of which the first gets the lease, and three edges: one that
-// reaches the isolated member alone, one that reaches all, and one that reaches the others.
+// startClients starts two lease holders, the first of which acquires the lease, and three edges. The first edge
+// reaches only the isolated member, the second reaches all members, and the third reaches all but the isolated one.
 func (w *isolationWorld) startClients(ctx context.Context, clients *sync.WaitGroup) {
 	clients.Go(func() { w.renewLease(ctx, 0) })
-	w.waitUntil("the lease", 3*time.Second, func() bool { _, ok := w.leases[0].FencingToken(); return ok })
+	w.waitUntil("first holder has the lease", 3*time.Second, func() bool { _, ok := w.leases[0].FencingToken(); return ok })
 	clients.Go(func() { w.renewLease(ctx, 1) })
 	clients.Go(func() { w.checkSingleHolder(ctx) })
-	w.edges = []*isolationEdge{{machines: []int{w.victim}}, {machines: append([]int{w.victim}, w.others...)}, {machines: w.others}}
+	w.edges = []*isolationEdge{{machines: []int{w.isolatedMachine}}, {machines: append([]int{w.isolatedMachine}, w.others...)}, {machines: w.others}}
 	for _, edge := range w.edges {
 		edge.proof = agent.NewFreshnessProof()
 		for _, machine := range edge.machines {
@@ -217,88 +217,88 @@
 	}
 }
 
-// putAtMajority sends a change to the other members until one acknowledges it.
-func (w *isolationWorld) putAtMajority(base uint64, plan []byte) {
+// putAtOthers sends a change to members that are not isolated until one of them acknowledges it.
+func (w *isolationWorld) putAtOthers(base uint64, config []byte) {
 	begun, acked := w.elapsed(), false
-	for attempt := 0; !acked && w.elapsed()-begun < takeOverWithin; attempt++ {
-		if acked = w.putPlan(w.others[attempt%2], base, plan) == nil; !acked {
+	for attempt := 0; !acked && w.elapsed()-begun < maxFailoverTime; attempt++ {
+		if acked = w.putConfig(w.others[attempt%2], base, config) == nil; !acked {
 			clock.Sleep(context.Background(), 100*time.Millisecond)
 		}
 	}
-	w.longestWait = max(w.longestWait, w.elapsed()-begun)
+	w.longestFailover = max(w.longestFailover, w.elapsed()-begun)
 	if !acked {
-		w.t.Errorf("%v: the other members acknowledge no change within %v, restarted %v", w.elapsed(), takeOverWithin, w.restarted)
+		w.t.Errorf("at %v: members that are not isolated acknowledged no change within %v (members restarted: %v)", w.elapsed(), maxFailoverTime, w.restarted)
 	}
 }
 
-// checkDuringIsolation sends each change to the isolated member, and the very same change to the others:
-// in the first round, and when members have restarted, to both at once.
+// checkDuringIsolation sends each change first to the isolated member and then, unmodified, to the others. In the
+// first iteration, and in the one in which members restart, it sends the change to both concurrently.
 func (w *isolationWorld) checkDuringIsolation(begun time.Duration) {
 	for iteration := 0; w.elapsed()-begun < isolationTime; iteration++ {
-		atOnce := iteration == 0
+		isConcurrent := iteration == 0
 		if !w.restarted && w.scenario.restarts != restartNone && w.elapsed()-begun > 3*time.Second {
 			w.restartMachines()
-			w.restarted, atOnce = true, true
+			w.restarted, isConcurrent = true, true
 		}
 		base := w.newestAcked()
-		plan := body(base+1, fmt.Sprintf("round %d", iteration))
+		config := body(base+1, fmt.Sprintf("iteration %d", iteration))
 		var others sync.WaitGroup
-		if atOnce {
-			others.Go(func() { w.putAtMajority(base, plan) })
+		if isConcurrent {
+			others.Go(func() { w.putAtOthers(base, config) })
 		}
-		w.checkVictim(base, plan, iteration, w.elapsed()-begun > isolationTime*3/4)
-		if others.Wait(); !atOnce {
-			w.putAtMajority(base, plan)
+		w.checkIsolatedMachine(base, config, iteration, w.elapsed()-begun > isolationTime*3/4)
+		if others.Wait(); !isConcurrent {
+			w.putAtOthers(base, config)
 		}
 		for _, machine := range w.others[:2] {
-			_ = w.readPlan(machine) // which checks that it is never an old one
+			_ = w.readConfig(machine) // checks that the version is not stale
 		}
-		if view := w.node(w.victim).shards[0].published.current(); view.isLeader && w.elapsed()-begun > stepDownWithin {
-			w.t.Errorf("%v: the isolated member still leads", w.elapsed())
+		if view := w.node(w.isolatedMachine).shards[0].published.current(); view.isLeader && w.elapsed()-begun > maxStepDownTime {
+			w.t.Errorf("at %v: isolated member is still the leader %v after the start of the isolation, want a step-down within %v", w.elapsed(), w.elapsed()-begun, maxStepDownTime)
 		}
 		clock.Sleep(context.Background(), 300*time.Millisecond)
 	}
 }
 
-// checkHolders checks that the lease has passed from the holder at the isolated member to the other one.
-func (w *isolationWorld) checkHolders(begun time.Duration) {
+// checkLeaseTransfer checks that the lease has passed from the holder that uses the isolated member to the other holder.
+func (w *isolationWorld) checkLeaseTransfer(begun time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lastLeaseAt[0] > begun+leaseTTL {
-		w.t.Errorf("the holder at the isolated member held its lease until %v, the isolation began at %v", w.lastLeaseAt[0], begun)
+		w.t.Errorf("holder that uses the isolated member had the lease until %v, want at most %v after the start of the isolation at %v", w.lastLeaseAt[0], leaseTTL, begun)
 	}
 	if w.lastLeaseAt[1] < w.elapsed()-2*time.Second {
-		w.t.Errorf("the holder at the other members doesn't hold the lease at the end of the isolation: last at %v", w.lastLeaseAt[1])
+		w.t.Errorf("holder that uses the other members does not have the lease at the end of the isolation: had it last at %v, now %v", w.lastLeaseAt[1], w.elapsed())
 	}
 }
 
-// checkProofs checks that only those edges have a fresh proof that reach the other members.
-func (w *isolationWorld) checkProofs(begun time.Duration) {
+// checkFreshnessProofs checks that an edge has a current proof of freshness only if it reaches the members that are not isolated.
+func (w *isolationWorld) checkFreshnessProofs(begun time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if until := w.edges[0].freshUntil(); until > begun {
-		w.t.Errorf("an edge that reaches the isolated member alone has a proof up to %v, the isolation began at %v", until, begun)
+		w.t.Errorf("edge that reaches only the isolated member has a proof of freshness up to %v, want none after the start of the isolation at %v", until, begun)
 	}
 	if until := w.edges[2].freshUntil(); until < w.elapsed()-time.Second {
-		w.t.Errorf("an edge that reaches the others has a proof up to %v alone, at %v", until, w.elapsed())
+		w.t.Errorf("edge that reaches the other members has a proof of freshness only up to %v, want at most 1 s before now (%v)", until, w.elapsed())
 	}
 }
 
-// checkAfterIsolation checks that the member has recovered: it accepts changes, and serves the newest.
+// checkAfterIsolation checks that the isolated member accepts changes again and that all machines serve the newest version.
 func (w *isolationWorld) checkAfterIsolation(machines int) {
-	recovered := w.waitUntil("changes at the member that was isolated", recoverWithin, func() bool {
+	recovered := w.waitUntil("member accepts changes after its isolation", maxRecoveryTime, func() bool {
 		base := w.newestAcked()
-		return w.putPlan(w.victim, base, body(base+1, "after")) == nil
+		return w.putConfig(w.isolatedMachine, base, body(base+1, "after")) == nil
 	})
-	w.t.Logf("%s: the other members acknowledge a change within %v, the isolated member %v after the isolation", w.scenario, w.longestWait.Round(time.Millisecond), recovered)
+	w.t.Logf("%s: other members acknowledged each change within %v, isolated member acknowledged one %v after the end of the isolation", w.scenario, w.longestFailover.Round(time.Millisecond), recovered)
 	for i := range machines {
-		w.waitUntil("a read", recoverWithin, func() bool { return w.readPlan(i+1) == nil })
+		w.waitUntil("machine serves a read after the isolation", maxRecoveryTime, func() bool { return w.readConfig(i+1) == nil })
 	}
 }
 
-// One member is isolated for twenty seconds, in every combination: it acknowledges nothing, serves no read,
-// grants and renews no lease, gives no proof, answers in time and never rejects. The others acknowledge the
-// very changes whose outcome it left open.
+// A member that is isolated for 20 s, in any scenario, acknowledges and rejects no change, serves no read, grants
+// and renews no lease, contributes to no proof of freshness, and responds in time. The other members acknowledge
+// the same changes that the isolated member answered with an unknown outcome.
 func TestIsolatedMember(t *testing.T) {
 	for _, scenario := range isolationScenarios() {
 		t.Run(scenario.String(), func(t *testing.T) {
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -15,57 +15,58 @@
 	"pebbleloom/internal/wire"
 )
 
-// isolationWorld plays a scenario with real nodes, operators, edges and two lease holders.
+// isolationWorld runs an isolationScenario on a cluster of real nodes with operators, edges and two lease holders.
 type isolationWorld struct {
 	*testCluster
-	t        *testing.T
-	scenario isolationScenario
-	victim   int
-	// companion is isolated together with the victim, and still reaches it; 0: there is none.
-	companion int
-	others    []int
+	t               *testing.T
+	scenario        isolationScenario
+	isolatedMachine int // number of the machine to isolate
+	// isolatedPeer is a machine that is isolated together with the first one and can still reach it; 0: none.
+	isolatedPeer int
+	others       []int // machines that are not isolated
 
-	mu           sync.Mutex
-	ackedVersion uint64               // the newest acknowledged
-	ackedAt      map[uint64]time.Time // when each version was acknowledged first
-	edges        []*isolationEdge
-	leases       [2]*controlclient.Lease // one at the isolated member, one at the others
-	lastLeaseAt  [2]time.Duration        // when each held the lease last
-	longestWait  time.Duration           // until the other members acknowledged a change
-	restarted    bool                    // the restarts of the scenario are over
-	startedAt    time.Time
+	mu              sync.Mutex
+	ackedVersion    uint64               // newest acknowledged version of the configuration
+	ackedAt         map[uint64]time.Time // time of the first acknowledgement, by version
+	edges           []*isolationEdge
+	leases          [2]*controlclient.Lease // the first uses the isolated member, the second the others
+	lastLeaseAt     [2]time.Duration        // when each holder last had the lease
+	longestFailover time.Duration           // longest time until the other members acknowledged a change
+	restarted       bool                    // the restarts of the scenario have been done
+	startedAt       time.Time
 }
 
-// isolationEdge follows some members by long polls, as an edge's agent does.
+// isolationEdge is an edge that follows the configuration through long polls to some members.
 type isolationEdge struct {
-	machines []int // the machines that it reaches
+	machines []int // machines that the edge can reach
 	mu       sync.Mutex
 	proof    *agent.FreshnessProof
 	version  uint64
 }
 
+// elapsed returns the time since the start of the test.
 func (w *isolationWorld) elapsed() time.Duration { return time.Since(w.startedAt) }
 
-// newestAcked is the newest version that was acknowledged.
+// newestAcked returns the newest acknowledged version of the configuration.
 func (w *isolationWorld) newestAcked() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ackedVersion
 }
 
-// freshUntil is up to when the edge's version is proven to be the newest.
+// freshUntil returns the time up to which the edge's version is proven to be the newest acknowledged one.
 func (e *isolationEdge) freshUntil() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.proof.FreshUntil(e.version)
 }
 
-// isolateVictim partitions the victim, with its companion if it has one, from all others.
-func (w *isolationWorld) isolateVictim() {
+// startIsolation partitions the machines to isolate from all others, in the direction of the scenario.
+func (w *isolationWorld) startIsolation() {
 	w.network.update(func(partitioned map[[2]string]bool) {
-		for _, isolated := range []int{w.victim, w.companion} {
+		for _, isolated := range []int{w.isolatedMachine, w.isolatedPeer} {
 			for other := 1; other <= 9; other++ {
-				if isolated == 0 || other == w.victim || other == w.companion {
+				if isolated == 0 || other == w.isolatedMachine || other == w.isolatedPeer {
 					continue
 				}
 				if w.scenario.direction != isolatedIn {
@@ -79,7 +80,7 @@
 	})
 }
 
-// kill ends a machine's process without a shutdown.
+// kill stops a machine's process without a graceful shutdown.
 func (w *isolationWorld) kill(i int) {
 	process := w.processes[w.addr(i)]
 	w.testCluster.mu.Lock()
@@ -88,19 +89,19 @@
 	process.Stop(0)
 }
 
-// restartMachines restarts the members of the scenario, one after the other.
+// restartMachines kills and restarts the members that the scenario selects, one after the other.
 func (w *isolationWorld) restartMachines() {
 	var machines []int
 	switch w.scenario.restarts {
 	case restartIsolated:
-		machines = []int{w.victim}
+		machines = []int{w.isolatedMachine}
 	case restartOther:
 		machines = w.others[:1]
 	case restartAll:
-		machines = append([]int{w.victim}, w.others[:2]...)
+		machines = append([]int{w.isolatedMachine}, w.others[:2]...)
 	}
 	if w.scenario.onlyIsolatedSeeds {
-		w.seeds = []string{w.addr(w.victim)}
+		w.seeds = []string{w.addr(w.isolatedMachine)}
 	}
 	for _, machine := range machines {
 		w.kill(machine)
@@ -108,7 +109,8 @@
 	}
 }
 
-// followMember has an edge follow one member until the context ends, and checks the edge's proof.
+// followMember sends an edge's long polls to one member until the context ends. After each response it checks the
+// edge's proof of freshness against all acknowledged versions.
 func (w *isolationWorld) followMember(ctx context.Context, edge *isolationEdge, machine int) {
 	for ctx.Err() == nil {
 		node := w.node(machine)
@@ -136,44 +138,44 @@
 		w.mu.Lock()
 		for newer, ackedAt := range w.ackedAt {
 			if newer > version && ackedAt.Sub(w.startedAt) < freshUntil {
-				w.t.Errorf("%v: an edge of %v has the proof for version %d up to %v, yet %d was acknowledged at %v", w.elapsed(), edge.machines, version, freshUntil, newer, ackedAt.Sub(w.startedAt))
+				w.t.Errorf("at %v: edge that follows machines %v has a proof of freshness for version %d up to %v, but version %d was acknowledged at %v", w.elapsed(), edge.machines, version, freshUntil, newer, ackedAt.Sub(w.startedAt))
 			}
 		}
 		w.mu.Unlock()
 	}
 }
 
-// renewLease has a holder request the lease again and again, at the isolated member (0) or at the others
-// (1).
+// renewLease requests the lease periodically for a holder until the context ends. Holder 0 sends its requests to the
+// isolated member, holder 1 to the others.
 func (w *isolationWorld) renewLease(ctx context.Context, holder int) {
 	lease := w.leases[holder]
 	machines := w.others
 	if holder == 0 {
-		machines = []int{w.victim}
+		machines = []int{w.isolatedMachine}
 	}
 	for ; ctx.Err() == nil; clock.Sleep(ctx, leaseTTL*2/5) {
 		requestedAt := w.elapsed() + time.Hour
 		request := grantRequest(lease.GrantRequest())
-		attempt, end := context.WithTimeout(ctx, leaseTTL)
+		requestCtx, cancel := context.WithTimeout(ctx, leaseTTL)
 		var response *wire.ChangeResponse
 		for _, machine := range machines {
 			if node := w.node(machine); node != nil {
-				response, _ = node.controlClient.Change(attempt, request)
+				response, _ = node.controlClient.Change(requestCtx, request)
 				break
 			}
 		}
-		end()
+		cancel()
 		lease.HandleResponse(requestedAt, response)
 	}
 }
 
-// checkSingleHolder checks until the context ends that the two don't hold the lease at once.
+// checkSingleHolder checks, until the context ends, that the two holders never have the lease at the same time.
 func (w *isolationWorld) checkSingleHolder(ctx context.Context) {
 	for ; ctx.Err() == nil; clock.Sleep(ctx, 20*time.Millisecond) {
 		_, firstHolds := w.leases[0].FencingToken()
 		_, secondHolds := w.leases[1].FencingToken()
 		if firstHolds && secondHolds {
-			w.t.Errorf("%v: two hold the lease at once", w.elapsed())
+			w.t.Errorf("at %v: two holders have the lease at the same time", w.elapsed())
 			return
 		}
 		w.mu.Lock()
@@ -187,7 +189,7 @@
 	}
 }
 
-// recordAck records an acknowledgement.
+// recordAck records that a version of the configuration was acknowledged.
 func (w *isolationWorld) recordAck(version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,15 +199,15 @@
 	}
 }
 
-// putPlan sends a change to a machine; it must be answered in time and not be rejected.
-func (w *isolationWorld) putPlan(machine int, base uint64, plan []byte) error {
+// putConfig sends a change of the configuration to a machine, and checks that it is answered in time and not rejected.
+func (w *isolationWorld) putConfig(machine int, base uint64, config []byte) error {
 	begun := time.Now()
-	version, err := w.node(machine).PutRoutingConfig(context.Background(), base, plan, false)
+	version, err := w.node(machine).PutRoutingConfig(context.Background(), base, config, false)
 	if waited := time.Since(begun); waited > answerWithin {
-		w.t.Errorf("%v: machine %d answers a change after %v", w.elapsed(), machine, waited)
+		w.t.Errorf("at %v: machine %d took %v to respond to a change, want at most %v", w.elapsed(), machine, waited, answerWithin)
 	}
 	if err != nil && errs.KindOf(err).HTTPStatus != 503 {
-		w.t.Errorf("%v: machine %d rejects a change on version %d: %v", w.elapsed(), machine, base, err)
+		w.t.Errorf("at %v: machine %d rejected a change on base version %d, want success or status 503: %v", w.elapsed(), machine, base, err)
 	}
 	if err == nil {
 		w.recordAck(version)
@@ -213,25 +215,25 @@
 	return err
 }
 
-// readPlan reads the configuration at a machine; it must be answered in time, and with nothing older than
-// what was acknowledged before.
-func (w *isolationWorld) readPlan(machine int) error {
+// readConfig reads the configuration from a machine, and checks that the response comes in time and is not older than
+// any version that was acknowledged before the read.
+func (w *isolationWorld) readConfig(machine int) error {
 	ackedBefore := w.newestAcked()
 	begun := time.Now()
 	_, version, err := w.node(machine).ReadRoutingConfig(context.Background())
 	if waited := time.Since(begun); waited > answerWithin {
-		w.t.Errorf("%v: machine %d answers a read after %v", w.elapsed(), machine, waited)
+		w.t.Errorf("at %v: machine %d took %v to respond to a read, want at most %v", w.elapsed(), machine, waited, answerWithin)
 	}
 	if err == nil && version < ackedBefore {
-		w.t.Errorf("%v: machine %d serves version %d after %d was acknowledged", w.elapsed(), machine, version, ackedBefore)
+		w.t.Errorf("at %v: stale read: machine %d returned version %d after version %d was acknowledged", w.elapsed(), machine, version, ackedBefore)
 	}
 	if err != nil && errs.KindOf(err).HTTPStatus != 503 {
-		w.t.Errorf("%v: a read at machine %d: %v", w.elapsed(), machine, err)
+		w.t.Errorf("at %v: read from machine %d failed, want success or status 503: %v", w.elapsed(), machine, err)
 	}
 	return err
 }
 
-// newIsolationWorld is a world without machines.
+// newIsolationWorld returns an isolationWorld in which no machine has been started.
 func newIsolationWorld(t *testing.T, scenario isolationScenario) *isolationWorld {
 	w := &isolationWorld{testCluster: newTestCluster(t), t: t, scenario: scenario, ackedAt: map[uint64]time.Time{}, startedAt: time.Now()}
 	w.network = newSimNetwork()
@@ -242,7 +244,7 @@
 	return w
 }
 
-// term is the highest term that a machine is in.
+// term returns the highest term of all machines.
 func (w *isolationWorld) term() (term uint64) {
 	for i := range 5 {
 		if node := w.node(i + 1); node != nil {
@@ -253,14 +255,15 @@
 	return term
 }
 
-// chooseVictim chooses the member to isolate, the leader or a follower, and its companion.
-func (w *isolationWorld) chooseVictim(machines int) {
+// chooseIsolatedMachine chooses the member to isolate, which is the leader or a follower, and in some scenarios a follower
+// to isolate with it.
+func (w *isolationWorld) chooseIsolatedMachine(machines int) {
 	for machine := 1; machine <= machines; machine++ {
 		switch isLeader := machine == w.leader(); {
-		case w.victim == 0 && isLeader == w.scenario.isolatesLeader:
-			w.victim = machine
-		case w.scenario.isolatesPair && w.companion == 0 && !isLeader:
-			w.companion = machine
+		case w.isolatedMachine == 0 && isLeader == w.scenario.isolatesLeader:
+			w.isolatedMachine = machine
+		case w.scenario.isolatesPair && w.isolatedPeer == 0 && !isLeader:
+			w.isolatedPeer = machine
 		default:
 			w.others = append(w.others, machine)
 		}
--- a/internal/control/mutation/point1_test.go
+++ b/internal/control/mutation/point1_test.go
@@ -1,7 +1,7 @@
 package mutation
 
 // isolatedLeader is the test case of a leader that is isolated in both directions.
-const isolatedLeader = "TestIsolatedMember/leader_isolated_both,_none_restarted$"
+const isolatedLeader = "TestIsolatedMember/leader_isolated_in_both_directions,_no_member_restarted$"
 
 // Point 1: an isolated member must not act as leader, nor keep a client waiting.
 var _ = register(
@@ -19,7 +19,7 @@
 		file:        "internal/control/consensus/core.go",
 		original:    "return c.peers[voter].contactAge < 2*c.cfg.ElectionTicks",
 		replacement: "return true",
-		pkg:         statePackage, run: "TestIsolatedMember/leader_isolated_in,_none_restarted$"},
+		pkg:         statePackage, run: "TestIsolatedMember/leader_isolated_inbound,_no_member_restarted$"},
 	mutant{point: 1, name: "a learner's response counts for a proof of freshness",
 		file:        "internal/control/controlstate/follow.go",
 		original:    `request.ProofKey != "" && v.isVoter && `,
@@ -42,7 +42,7 @@
 		file:        "internal/control/controlstate/state.go",
 		original:    "return now-s.grantedAt[grant.Lease] > ttl+time.Duration(float64(ttl)*settings.LeaseMarginRatio)",
 		replacement: "return now-s.grantedAt[grant.Lease] >= 0*(ttl+time.Duration(float64(ttl)*settings.LeaseMarginRatio))",
-		pkg:         statePackage, run: "TestIsolatedMember/follower_isolated_both,_none_restarted$"},
+		pkg:         statePackage, run: "TestIsolatedMember/follower_isolated_in_both_directions,_no_member_restarted$"},
 	mutant{point: 1, name: "a configuration is validated by an unconfirmed leader",
 		file:        "internal/control/controlstate/leadership.go",
 		original:    `	switch read := s.read(ctx, &wire.ReadRequest{}); read.Outcome {`,
