--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -17,48 +17,49 @@
 	"pebbleloom/internal/settings"
 )
 
-// The search of TestEightConcurrentChanges: operators of a group of real nodes, with real requests between
-// them, while machines stop, start, become unreachable and lose their leadership.
+// Parameters of TestEightConcurrentChanges, a randomized test of a group of real nodes: operators send changes
+// while machines stop, restart, become unreachable and lose their leadership.
 const (
-	searchOperators   = 8 // as many changes are in flight at once
-	searchMachines    = 5
-	searchTime        = 15 * time.Second
-	searchSeeds       = 2
-	searchSeedsVar    = "ORDERS_SEEDS" // the environment variable of another number of seeds
-	earlierChangeOdds = 3              // one change in so many is an earlier one that is retried
+	searchOperators = 8                // number of operators, each with one change in flight
+	searchMachines  = 5                // three voters and two spares
+	searchTime      = 15 * time.Second // duration of the faults and requests of one seed
+	searchSeeds     = 2
+	searchSeedsVar  = "ORDERS_SEEDS" // environment variable that overrides searchSeeds
+	retryOdds       = 3              // an operator retries an earlier change once in this many times, on average
 )
 
-// sentChange is a change with all answers that operators got to it.
+// sentChange is a change of the configuration, with the outcomes that operators received for it.
 type sentChange struct {
 	baseVersion, newVersion uint64
-	text                    string
-	partial                 bool
+	text                    string // content of the configuration
+	partial                 bool   // merge the content with that of the base version
 	acked                   bool
-	rejection               error
+	rejection               error // nil: not rejected
 	attempts                int
 }
 
+// name identifies a change in messages.
 func (c *sentChange) name() string {
-	return fmt.Sprintf("%d by %s", c.newVersion, c.text)
+	return fmt.Sprintf("to version %d (%s)", c.newVersion, c.text)
 }
 
-// changeSearch is one seed of the search.
+// changeSearch is the run of one seed.
 type changeSearch struct {
 	t            *testing.T
 	cluster      *testCluster
 	ctx          context.Context
 	mu           sync.Mutex
-	nodes        map[int]*Node // of the machines that run
+	nodes        map[int]*Node // nodes of the running machines, by machine number
 	changes      []*sentChange
-	knownVersion uint64 // the newest version that was acknowledged or read
-	ackedVersion uint64 // the newest version that was acknowledged
-	counts       map[string]int
-	readBodies   map[string]bool // that were read
+	knownVersion uint64          // newest version that was acknowledged or read
+	ackedVersion uint64          // newest version that was acknowledged
+	counts       map[string]int  // number of occurrences, by event
+	readBodies   map[string]bool // configurations that were read
 	violations   []string
 	stopped      atomic.Bool
 }
 
-// locked runs a function under the lock; it must not block.
+// locked runs a function with the mutex locked. The function must not block.
 func (s *changeSearch) locked(run func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +72,8 @@
 
 func (s *changeSearch) count(event string) { s.locked(func() { s.counts[event]++ }) }
 
-// randomNode draws a node to send to, seldom the leader; nil: none runs.
+// randomNode returns a random node to send a request to, preferring nodes that are not the leader. It returns nil if it
+// finds none that runs.
 func (s *changeSearch) randomNode(random *rand.Rand) (chosen *Node) {
 	s.locked(func() {
 		for range 4 {
@@ -85,11 +87,12 @@
 	return chosen
 }
 
-// nextChange is the change that an operator sends now: a new one on the newest version it knows of, perhaps
-// for the same version as another one, or one that was sent before, whatever its outcome was.
+// nextChange returns the change that an operator sends next. It is either a new one based on the newest known
+// version, which may compete with other changes for the same new version, or a random earlier one, whatever its
+// outcome was.
 func (s *changeSearch) nextChange(random *rand.Rand, operator int) (change *sentChange) {
 	s.locked(func() {
-		if n := len(s.changes); n > 0 && random.IntN(earlierChangeOdds) == 0 {
+		if n := len(s.changes); n > 0 && random.IntN(retryOdds) == 0 {
 			change = s.changes[random.IntN(n)]
 			s.counts["retried"]++
 			return
@@ -97,9 +100,9 @@
 		change = &sentChange{baseVersion: s.knownVersion, newVersion: s.knownVersion + 1 + random.Uint64N(2), partial: random.IntN(3) == 0}
 		author := fmt.Sprint(operator)
 		if random.IntN(4) == 0 {
-			author = "any" // two operators, one version, one content: the same change
+			author = "any" // such changes of several operators with equal versions and content are the same change
 		}
-		change.text = fmt.Sprintf("%s on %d, part %v", author, change.baseVersion, change.partial) // no two changes have one body
+		change.text = fmt.Sprintf("author %s, base %d, partial %v", author, change.baseVersion, change.partial) // makes the body of each change unique
 		for _, other := range s.changes {
 			if other.baseVersion == change.baseVersion && other.newVersion == change.newVersion && other.text == change.text {
 				change = other
@@ -111,7 +114,8 @@
 	return change
 }
 
-// send sends a change once, and records the answer unless it is lost.
+// send sends a change once and records the outcome. If lost is set, the response is discarded as if it had been lost.
+// answered reports whether the operator received a definite outcome.
 func (s *changeSearch) send(change *sentChange, node *Node, lost bool) (answered bool) {
 	version, err := node.PutRoutingConfig(s.ctx, change.baseVersion, body(change.newVersion, change.text), change.partial)
 	kind := errs.KindOf(err)
@@ -124,7 +128,7 @@
 		switch {
 		case err == nil:
 			if version != change.newVersion {
-				s.violationf("change %s is acknowledged as %d", change.name(), version)
+				s.violationf("change %s was acknowledged with version %d", change.name(), version)
 			}
 			if change.acked {
 				s.counts["acknowledged again"]++
@@ -136,17 +140,17 @@
 			s.counts["rejected"]++
 			change.rejection = err
 		default:
-			s.counts["left unknown"]++
+			s.counts["outcome unknown"]++
 		}
 		if change.acked && change.rejection != nil {
-			s.violationf("an acknowledged change is never rejected, a rejected one never in force: %s: %v", change.name(), change.rejection)
+			s.violationf("change %s was both acknowledged and rejected: %v", change.name(), change.rejection)
 		}
 	})
 	return err == nil || isRejected
 }
 
-// runOperator is one operator: it retries a change until it knows the outcome, and at times sends it to two
-// nodes at once.
+// runOperator acts as one operator: it retries each change until it knows the outcome or has made eight attempts, and
+// sends some attempts to two nodes concurrently.
 func (s *changeSearch) runOperator(random *rand.Rand, operator int) {
 	for !s.stopped.Load() {
 		change := s.nextChange(random, operator)
@@ -171,7 +175,8 @@
 	}
 }
 
-// runReader is one reader: versions never fall, and what was acknowledged before is there.
+// runReader reads periodically, and checks that no read returns an older version than one that was acknowledged or
+// read before.
 func (s *changeSearch) runReader(random *rand.Rand) {
 	for !s.stopped.Load() {
 		clock.Sleep(s.ctx, 50*time.Millisecond)
@@ -181,22 +186,22 @@
 		}
 		var before uint64
 		s.locked(func() { before = max(s.ackedVersion, s.knownVersion) })
-		got, version, err := node.ReadRoutingConfig(s.ctx)
+		content, version, err := node.ReadRoutingConfig(s.ctx)
 		if err != nil {
 			continue
 		}
 		s.locked(func() {
 			if version < before {
-				s.violationf("versions never fall: %d was acknowledged or read, then %d is read: %s", before, version, got)
+				s.violationf("stale read: version %d was acknowledged or read before, then a read returned version %d: %s", before, version, content)
 			}
 			s.knownVersion = max(s.knownVersion, version)
 			s.counts["read"]++
-			s.readBodies[string(got)] = true
+			s.readBodies[string(content)] = true
 		})
 	}
 }
 
-// injectFaults restarts machines or makes them unreachable, one at a time, and at times restarts all.
+// injectFaults repeatedly restarts one machine, makes one unreachable, or restarts all.
 func (s *changeSearch) injectFaults(random *rand.Rand) {
 	cluster := s.cluster
 	for !s.stopped.Load() {
@@ -228,19 +233,20 @@
 	}
 }
 
+// stop shuts a machine down.
 func (s *changeSearch) stop(machine int) {
 	s.locked(func() { delete(s.nodes, machine) })
 	s.cluster.stop(machine)
 }
 
-// start starts a machine whose log is compacted often.
+// start starts a machine with a low threshold for log compaction, so that its log is compacted often.
 func (s *changeSearch) start(machine int, firstStart bool) {
 	node := s.cluster.start(machine, firstStart)
 	node.shards[0].runOnLoop(s.ctx, func() { node.shards[0].compactThreshold = 4000 })
 	s.locked(func() { s.nodes[machine] = node })
 }
 
-// checkFinal checks all answers together, and what is read back in the end.
+// checkFinal checks the outcomes of all changes for consistency with each other and with a final read from each node.
 func (s *changeSearch) checkFinal() {
 	byBase := map[uint64]*sentChange{}
 	acked := map[uint64]*sentChange{}
@@ -249,32 +255,32 @@
 			continue
 		}
 		if other := byBase[change.baseVersion]; other != nil {
-			s.violationf("one acknowledged change a base: %s, %s", other.name(), change.name())
+			s.violationf("two changes were acknowledged on base version %d: %s and %s", change.baseVersion, other.name(), change.name())
 		}
 		if other := acked[change.newVersion]; other != nil {
-			s.violationf("one acknowledged change a version: %s, %s", other.name(), change.name())
+			s.violationf("two changes were acknowledged with the same new version: %s and %s", other.name(), change.name())
 		}
 		byBase[change.baseVersion], acked[change.newVersion] = change, change
 	}
 	for machine, node := range s.nodes {
-		got, version, err := node.ReadRoutingConfig(s.ctx)
+		content, version, err := node.ReadRoutingConfig(s.ctx)
 		if err != nil || version < s.ackedVersion {
-			s.violationf("what is read back is the newest that was acknowledged: %d gives %d, %v; %d was acknowledged", machine, version, err, s.ackedVersion)
+			s.violationf("final read from machine %d returned version %d (error %v), want at least the acknowledged version %d", machine, version, err, s.ackedVersion)
 			continue
 		}
-		if change := acked[version]; change != nil && !change.partial && string(got) != string(body(change.newVersion, change.text)) {
-			s.violationf("%d gives %s as version %d, %s was acknowledged", machine, got, version, change.name())
+		if change := acked[version]; change != nil && !change.partial && string(content) != string(body(change.newVersion, change.text)) {
+			s.violationf("final read from machine %d returned %s as version %d, but the acknowledged change was %s", machine, content, version, change.name())
 		}
-		s.readBodies[string(got)] = true
+		s.readBodies[string(content)] = true
 	}
 	for _, change := range s.changes {
 		if change.rejection != nil && s.readBodies[string(body(change.newVersion, change.text))] {
-			s.violationf("%s was rejected, and was read as in force: %v", change.name(), change.rejection)
+			s.violationf("change %s was rejected, but a read returned its configuration: rejection %v", change.name(), change.rejection)
 		}
 	}
 }
 
-// searchChanges runs one seed.
+// searchChanges runs the test with one seed and returns the run with its violations.
 func searchChanges(t *testing.T, seed uint64) *changeSearch {
 	random := rand.New(rand.NewPCG(seed, 22))
 	search := &changeSearch{t: t, cluster: newTestCluster(t), ctx: t.Context(), nodes: map[int]*Node{}, counts: map[string]int{}, readBodies: map[string]bool{}}
@@ -283,7 +289,7 @@
 		search.start(i+1, true)
 	}
 	defer search.cluster.stopAll()
-	search.cluster.waitUntil("a leader", 5*time.Second, func() bool { return len(search.cluster.members()) == 3 })
+	search.cluster.waitUntil("leader with three voters", 5*time.Second, func() bool { return len(search.cluster.members()) == 3 })
 	var clients sync.WaitGroup
 	clients.Go(func() { search.runReader(rand.New(rand.NewPCG(seed, 23))) })
 	clients.Go(func() { search.injectFaults(rand.New(rand.NewPCG(seed, 24))) })
@@ -299,10 +305,10 @@
 	return search
 }
 
-// Eight concurrent changes from as many operators, mostly by nodes that don't lead, with lost answers,
-// concurrent attempts, retries of changes that others have overtaken, and machines that restart and become
-// unreachable. At most one change is acknowledged on a version, what was acknowledged is never rejected,
-// what was rejected never comes into force, versions never fall, and the newest acknowledged is read back.
+// Eight operators send changes concurrently, mostly through followers, while responses are lost, superseded changes
+// are retried, and machines restart and become unreachable. At most one change is acknowledged on each base version,
+// an acknowledged change is never rejected, a rejected one never takes effect, no read returns an older version than
+// an earlier one, and the final reads return the newest acknowledged version.
 func TestEightConcurrentChanges(t *testing.T) {
 	seeds := searchSeeds
 	if count, err := strconv.Atoi(os.Getenv(searchSeedsVar)); err == nil {
@@ -313,7 +319,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := searchChanges(t, seed)
 			if len(s.violations) > 0 {
-				t.Errorf("seed %d: %d violations: %v", seed, len(s.violations), s.violations[:min(3, len(s.violations))])
+				t.Errorf("seed %d: %d violations, the first of which are: %v", seed, len(s.violations), s.violations[:min(3, len(s.violations))])
 			}
 			for event, count := range s.counts {
 				total[event] += count
@@ -324,10 +330,10 @@
 			break
 		}
 	}
-	t.Logf("%d seeds: %v", seeds, total)
-	for _, event := range []string{"acknowledged", "acknowledged again", "rejected", "left unknown", "read", "restarted", "unreachable"} {
+	t.Logf("%d seeds, number of occurrences by event: %v", seeds, total)
+	for _, event := range []string{"acknowledged", "acknowledged again", "rejected", "outcome unknown", "read", "restarted", "unreachable"} {
 		if total[event] == 0 {
-			t.Errorf("nothing was %s", event)
+			t.Errorf("event %q never occurred in %d seeds, so the test did not cover it", event, seeds)
 		}
 	}
 }
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -9,9 +9,9 @@
 	"pebbleloom/internal/control/routingconfig"
 )
 
-// The events of TestTwoChangesInEveryOrder: two operators send a change each, on the same version and for
-// the same new version, and each retries it; the leader changes, and all members are compacted and
-// restarted.
+// Events of TestTwoChangesInEveryOrder. Two operators, A and B, each send a change twice; both changes have the same
+// base version and the same new version. Between the attempts the leader changes, and all members compact their logs
+// and restart.
 const (
 	firstAttemptA = iota
 	secondAttemptA
@@ -20,40 +20,44 @@
 	newLeader
 	snapshotAndRestart
 	eventCount
-	secondNewLeader = eventCount // in the long search alone
+	secondNewLeader = eventCount // only if longSearchVar is set
 )
 
-// longSearchVar, set to anything, adds a second change of leader to every order of events.
+// longSearchVar is the environment variable that, if it is not empty, adds a second change of leader to the events.
 const longSearchVar = "ORDERS_LONG"
 
-// roundsAfterSend is how many rounds of messages follow an attempt: none (the leadership is being confirmed),
-// two (it is proposed), three (it is on other disks, uncommitted), or all that there are.
-var roundsAfterSend = []int{0, 2, 3, 100}
+// deliveriesAfterSend lists how many times the messages in flight are delivered after an attempt, before the next event:
+// 0 (the leader is still being confirmed), 2 (the change is proposed), 3 (the change is on the disks of other members,
+// but not committed), or 100 (all messages are delivered).
+var deliveriesAfterSend = []int{0, 2, 3, 100}
 
-// sendTarget is to whom an attempt is sent.
+// sendTarget is the member to which attempts are sent.
 type sendTarget int
 
 const (
 	toLeader         sendTarget = iota
-	toIsolatedMember            // while there is one, else to the leader
+	toIsolatedMember            // the leader if no member is isolated
 )
 
-// otherKey is the key of a document that is neither merged nor validated before it is proposed.
+// otherKey is the key of a document other than the routing configuration. Changes of it are neither merged nor
+// validated before they are proposed.
 const otherKey = "other"
 
-// Two changes on one version, two attempts each, a change of leader, a snapshot and a restart, in every order,
-// each attempt left wherever it is when the next event comes. At the end a third change builds on the one
-// that won, and both are retried.
+// Two competing changes on one base version are sent twice each, in every order with a change of leader and a restart
+// from snapshots, and with different amounts of progress before the next event. Exactly one of them must be
+// acknowledged and the other rejected. At the end a third change builds on the acknowledged one, and the outcomes of
+// the first two must not differ when they are sent again.
 func TestTwoChangesInEveryOrder(t *testing.T) {
 	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		t.Run(key, func(t *testing.T) {
-			t.Logf("%d runs", playEveryOrder(t, key))
+			t.Logf("checked %d combinations of event order, message delivery and receiver", runEveryOrder(t, key))
 		})
 	}
 }
 
-// playEveryOrder plays every order of events that isn't another one with the operators exchanged.
-func playEveryOrder(t *testing.T, key string) (runs int) {
+// runEveryOrder runs all orders of events, except those that equal another one with the operators exchanged. It
+// returns the number of cases.
+func runEveryOrder(t *testing.T, key string) (runs int) {
 	events := eventCount
 	if os.Getenv(longSearchVar) != "" {
 		events++
@@ -63,16 +67,16 @@
 			return !slices.Contains(sequence, second) || slices.Index(sequence, first) < slices.Index(sequence, second)
 		}
 		if !inOrder(firstAttemptA, secondAttemptA) || !inOrder(firstAttemptB, secondAttemptB) || !inOrder(firstAttemptA, firstAttemptB) || !inOrder(newLeader, secondNewLeader) {
-			return // by symmetry
+			return // equivalent to an order in which the operators, the attempts of one operator, or the changes of leader are exchanged
 		}
-		for i := range len(roundsAfterSend) * len(roundsAfterSend) {
-			rounds := [2]int{roundsAfterSend[i%len(roundsAfterSend)], roundsAfterSend[i/len(roundsAfterSend)]}
+		for i := range len(deliveriesAfterSend) * len(deliveriesAfterSend) {
+			deliveries := [2]int{deliveriesAfterSend[i%len(deliveriesAfterSend)], deliveriesAfterSend[i/len(deliveriesAfterSend)]}
 			for _, target := range []sendTarget{toLeader, toIsolatedMember} {
 				runs++
-				tc := twoChangesCase{events: sequence, rounds: rounds, target: target}
+				tc := twoChangesCase{events: sequence, deliveries: deliveries, target: target}
 				synctest.Test(t, func(t *testing.T) {
-					if violations := tc.play(t, key); len(violations) > 0 {
-						t.Errorf("run %d: %s, %+v: %v", runs, key, tc, violations)
+					if violations := tc.run(t, key); len(violations) > 0 {
+						t.Errorf("run %d, document %q, case %+v: violations: %v", runs, key, tc, violations)
 					}
 				})
 				if t.Failed() {
@@ -86,27 +90,27 @@
 
 // twoChangesCase is one case of TestTwoChangesInEveryOrder.
 type twoChangesCase struct {
-	events []int
-	rounds [2]int // after a first attempt, and after a retry
-	target sendTarget
+	events     []int
+	deliveries [2]int // values of deliveriesAfterSend for the first attempts and for the second ones
+	target     sendTarget
 }
 
-// play plays a case; it returns the violations.
-func (tc twoChangesCase) play(t *testing.T, key string) []string {
+// run runs a case on a new cluster and returns the violations.
+func (tc twoChangesCase) run(t *testing.T, key string) []string {
 	cluster := newScriptedCluster(t, key)
 	defer cluster.stopAll()
 	cluster.awaitLeader()
-	version := uint64(1) // documents count their versions, a configuration names its own
+	version := uint64(1) // versions of documents are counted, but a routing configuration contains its own version
 	if key == routingconfig.DocumentKey {
 		version = 2
 	}
 	first, second := &testChange{name: "a", newVersion: version}, &testChange{name: "b", newVersion: version}
 	cluster.changes = []*testChange{first, second}
 	for _, event := range tc.events {
-		tc.playEvent(cluster, event)
+		tc.runEvent(cluster, event)
 	}
 	cluster.heal()
-	if !first.acked && !second.acked && !first.inForce && !second.inForce { // all attempts were lost
+	if !first.acked && !second.acked && !first.inForce && !second.inForce { // no attempt had an effect
 		cluster.sendAndDeliver(first, cluster.leader())
 	}
 	third := &testChange{name: "third", baseVersion: version, newVersion: 2 * version}
@@ -116,13 +120,13 @@
 	cluster.sendAndDeliver(second, cluster.leader())
 	cluster.checkFinal(third)
 	if first.inForce != first.acked || second.inForce != second.acked || first.acked == second.acked || first.rejected == second.rejected {
-		cluster.violationf("the one in force is acknowledged when it is retried, the other one is rejected: %+v, %+v", *first, *second)
+		cluster.violationf("after final retries, want one change applied and acknowledged and the other rejected; got %+v and %+v", *first, *second)
 	}
 	return cluster.violations
 }
 
-// playEvent plays one event of a case.
-func (tc twoChangesCase) playEvent(cluster *scriptedCluster, event int) {
+// runEvent carries out one event of a case.
+func (tc twoChangesCase) runEvent(cluster *scriptedCluster, event int) {
 	switch event {
 	case newLeader, secondNewLeader:
 		cluster.changeLeader()
@@ -131,7 +135,7 @@
 		cluster.restart()
 		return
 	}
-	if cluster.leader() == nil { // one that was isolated has returned, and has just stepped down
+	if cluster.leader() == nil { // the leader was isolated, and has stepped down after its return
 		cluster.awaitLeader()
 	}
 	receiver := cluster.leader()
@@ -139,30 +143,30 @@
 		receiver = cluster.isolated
 	}
 	cluster.send(cluster.changes[event/2], receiver)
-	for range tc.rounds[event%2] {
+	for range tc.deliveries[event%2] {
 		if !cluster.deliverOnce() {
 			break
 		}
 	}
 }
 
-// checkFinal checks that all members hold the newest acknowledged change.
+// checkFinal checks that the newest change was acknowledged and that all members have applied it.
 func (c *scriptedCluster) checkFinal(newest *testChange) {
 	if !newest.acked || c.newestAcked != newest.newVersion {
-		c.violationf("the newest change isn't acknowledged: %+v, newest is %d", *newest, c.newestAcked)
+		c.violationf("the last change was not acknowledged as the newest version: change %+v, newest acknowledged version %d", *newest, c.newestAcked)
 	}
-	c.heal() // so that all learn what is committed
+	c.heal() // lets all members learn which entries are committed
 	for _, member := range c.members {
 		if document := member.shard.state.documents[c.key]; document.GetVersion() != newest.newVersion || string(document.GetBody()) != string(newest.body()) {
-			c.violationf("what is read back is the newest that was acknowledged: %s holds %d %s", member.addr, document.GetVersion(), document.GetBody())
+			c.violationf("member %s has version %d with content %s, want version %d with content %s", member.addr, document.GetVersion(), document.GetBody(), newest.newVersion, newest.body())
 		}
 	}
 	c.checkInvariants()
 }
 
-// An isolated leader that was deposed gets a retry of a change that the next leader has applied on top of
-// others. By its own state it would reject the change; it answers that the outcome is unknown. The document
-// is one that isn't validated before it is proposed.
+// A deposed leader that is still isolated receives a retry of a change that the next leader has already applied. By
+// its own outdated state it would reject the change, which would contradict the acknowledgement. It must answer that
+// the outcome is unknown. The test uses a document that is not validated before it is proposed.
 func TestDeposedLeaderRejectsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newScriptedCluster(t, otherKey)
@@ -176,18 +180,18 @@
 		cluster.sendAndDeliver(&testChange{name: "2", baseVersion: 1}, cluster.leader())
 		cluster.sendAndDeliver(applied, cluster.leader())
 		if !applied.acked || !deposed.shard.core.Status().IsLeader {
-			t.Fatalf("the change isn't applied, or the deposed leader knows that it was deposed: %+v", *applied)
+			t.Fatalf("test preparation failed: want an acknowledged change and a deposed leader that has not stepped down; got change %+v, deposed leader still leads: %v", *applied, deposed.shard.core.Status().IsLeader)
 		}
 		cluster.sendAndDeliver(applied, deposed)
 		if cluster.cancel(); applied.rejected {
-			t.Errorf("the deposed leader rejects what was applied: %+v", *applied)
+			t.Errorf("deposed leader rejected a change that the next leader had applied: %+v", *applied)
 		}
 	})
 }
 
-// A new leader has two changes in its log that the one before had replicated, and has applied neither. The
-// second one, retried, builds on a version that isn't in force yet: it isn't rejected, and is acknowledged
-// once it is applied.
+// A new leader has two changes in its log that its predecessor replicated, and has applied neither. A retry of the
+// second one builds on a version that is not applied yet. The leader must not reject it, and must acknowledge it once
+// it is applied.
 func TestNewLeaderRejectsNothingInItsLog(t *testing.T) {
 	for _, key := range []string{otherKey, routingconfig.DocumentKey} {
 		synctest.Test(t, func(t *testing.T) {
@@ -209,34 +213,34 @@
 			cluster.awaitLeader()
 			cluster.sendAndDeliver(second, cluster.leader())
 			if !second.acked || second.rejected {
-				t.Errorf("%s: %+v", key, *second)
+				t.Errorf("document %q: retry of a replicated change after a change of leader: got %+v, want it acknowledged and not rejected", key, *second)
 			}
 			if cluster.checkInvariants(); len(cluster.violations) > 0 {
-				t.Error(cluster.violations)
+				t.Errorf("document %q: violations: %v", key, cluster.violations)
 			}
 		})
 	}
 }
 
-// A change whose base is proposed and not yet in force is neither rejected nor proposed: the client has to
-// retry it. One on a version that nobody has proposed is a conflict.
+// A change whose base version is proposed but not yet applied is neither rejected nor proposed: the client has to
+// retry it. A change on a base version that was never proposed is rejected with a conflict.
 func TestChangeOnAProposedBaseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newScriptedCluster(t, otherKey)
 		defer cluster.stopAll()
 		cluster.awaitLeader()
-		next, early := &testChange{name: "2", baseVersion: 1}, &testChange{name: "9", baseVersion: 8}
+		next, conflicting := &testChange{name: "2", baseVersion: 1}, &testChange{name: "9", baseVersion: 8}
 		cluster.send(&testChange{name: "1"}, cluster.leader())
 		cluster.deliverOnce()
 		cluster.sendAndDeliver(next, cluster.leader())
 		if next.rejected || next.acked {
-			t.Errorf("its base was proposed: %+v", *next)
+			t.Errorf("change on a base version that is proposed but not applied: got %+v, want neither acknowledged nor rejected", *next)
 		}
 		cluster.sendAndDeliver(next, cluster.leader())
-		cluster.send(early, cluster.leader()) // nothing is proposed that might be its base
+		cluster.send(conflicting, cluster.leader()) // no unapplied entry can produce its base version
 		cluster.deliverAll()
-		if !next.acked || next.rejected || !early.rejected {
-			t.Errorf("%+v, %+v", *next, *early)
+		if !next.acked || next.rejected || !conflicting.rejected {
+			t.Errorf("want the retried change acknowledged and the change on a base version that was never proposed rejected; got %+v and %+v", *next, *conflicting)
 		}
 	})
 }
