--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -272,7 +272,8 @@
 	}
 }
 
-// checkFreshnessProofs checks that an edge has a current proof of freshness only if it reaches the members that are not isolated.
+// checkFreshnessProofs checks that an edge has a current proof of freshness only if it reaches the members that are not
+// isolated.
 func (w *isolationWorld) checkFreshnessProofs(begun time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -284,7 +285,8 @@
 	}
 }
 
-// checkAfterIsolation checks that the isolated member accepts changes again and that all machines serve the newest version.
+// checkAfterIsolation checks that the isolated member accepts changes again and that all machines serve the newest
+// version.
 func (w *isolationWorld) checkAfterIsolation(machines int) {
 	recovered := w.waitUntil("member accepts changes after its isolation", maxRecoveryTime, func() bool {
 		base := w.newestAcked()
--- a/internal/control/controlstate/second_loss_join_test.go
+++ b/internal/control/controlstate/second_loss_join_test.go
@@ -11,19 +11,19 @@
 	"pebbleloom/internal/wire"
 )
 
-// farFuture is after the end of every run.
+// farFuture is a simulated time after the end of every run.
 const farFuture = time.Hour
 
-// runJoinLoops does what Node.joinLoop and Node.requestJoin do, over the simulated network: each request
-// goes to two addresses and to the leaders that these name. One that can't be reached costs the whole
-// time-out.
+// runJoinLoops simulates Node.joinLoop and Node.requestJoin of all machines over the simulated network: a machine that
+// needs to join sends requests to two addresses and to the leaders that their responses name. A request to an
+// unreachable address takes the full time-out.
 func (r *lossRun) runJoinLoops() {
 	bounds := settings.DefaultBounds()
 	for _, node := range r.nodes {
 		node.nextJoin = farFuture
 		join := r.joins[node]
 		if join == nil || join.generation != node.generation {
-			join = &joinState{generation: node.generation, silent: map[string]bool{}}
+			join = &joinState{generation: node.generation, unresponsive: map[string]bool{}}
 			r.joins[node] = join
 		}
 		if !r.isHealthy(node) || r.now < join.nextAttempt {
@@ -36,8 +36,8 @@
 	}
 }
 
-// requestJoin returns how long the request took.
-func (r *lossRun) requestJoin(node *groupSimNode, join *joinState, timeout time.Duration) (cost time.Duration) {
+// requestJoin sends the join requests of one iteration of a machine's join loop, and returns how long they took.
+func (r *lossRun) requestJoin(node *groupSimNode, join *joinState, timeout time.Duration) (duration time.Duration) {
 	var others []string
 	for _, peer := range r.nodes {
 		if peer != node {
@@ -45,32 +45,32 @@
 		}
 	}
 	failed := 0
-	for _, addr := range joinCandidates(others, func(addr string) bool { return join.silent[addr] }, join.turn) {
+	for _, addr := range joinCandidates(others, func(addr string) bool { return join.unresponsive[addr] }, join.failures) {
 		peer := r.node(addr)
 		for range 2 {
 			if peer == nil || peer == node {
 				break
 			}
 			if !r.isHealthy(peer) || r.callFails(node.addr, peer.addr) {
-				cost += timeout
-				join.silent[peer.addr] = true
+				duration += timeout
+				join.unresponsive[peer.addr] = true
 				break
 			}
-			delete(join.silent, peer.addr)
+			delete(join.unresponsive, peer.addr)
 			response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
 			if r.runStep(peer); response.Outcome == wire.OutcomeDone {
 				r.count(eventJoined)
-				return cost
+				return duration
 			}
 			peer = r.node(controlclient.MemberAddr(response.Leader))
 		}
 		failed++
 	}
-	join.turn += failed
-	return cost
+	join.failures += failed
+	return duration
 }
 
-// putLargeDocument puts a document of a size, in bytes, beside the configuration.
+// putLargeDocument stores a document of the given size in bytes in the control state; 0 stores none.
 func (r *lossRun) putLargeDocument(size int) {
 	if size == 0 {
 		return
@@ -87,14 +87,14 @@
 		return acknowledged
 	})
 	if !acknowledged {
-		r.violationf("the large document isn't acknowledged")
+		r.violationf("put of a document of %d bytes was not acknowledged within 4 s", size)
 	}
 }
 
-// memberCount is the size of the newest membership.
+// memberCount returns the number of members in the newest membership.
 func (r *lossRun) memberCount() int { return len(r.newestMembership()) }
 
-// throttle has the messages of a node share its link, one after another at bytesPerSecond.
+// throttle limits the link of a node to bytesPerSecond: its messages are sent one after another at that rate.
 func (r *lossRun) throttle(node *groupSimNode) {
 	if r.bytesPerSecond == 0 || node.shard == nil || r.throttled[node] == node.generation {
 		return
--- a/internal/control/controlstate/second_loss_leave_test.go
+++ b/internal/control/controlstate/second_loss_leave_test.go
@@ -7,50 +7,50 @@
 	"pebbleloom/internal/wire"
 )
 
-// A member that leaves while another voter lags holds the only other replica of what was acknowledged
-// meanwhile: it stays until that voter has caught up.
+// A voter that leaves while another one lags may hold the only second copy of recently acknowledged changes. It must not
+// stop before the lagging voter has caught up.
 func TestLeaverWaitsForALaggingVoter(t *testing.T) {
 	r := newLossRun(lossScenario{machines: 3, toleratedLosses: 1, seed: 5})
 	r.awaitStart()
 	leader, lagging := r.leader(), r.follower()
-	leaver := r.otherMember(leader, lagging)
-	r.partitioned[leader.addr+">"+lagging.addr] = true // so briefly that it still counts as alive
+	leaving := r.otherMember(leader, lagging)
+	r.partitioned[leader.addr+">"+lagging.addr] = true // for such a short time that the follower still counts as alive
 	r.waitUntil(time.Second, r.acknowledgedSince(r.now))
 	committed := leader.shard.core.Status().Applied
 	if last := lagging.shard.core.Status().LastIndex; last >= committed {
-		t.Fatalf("the follower that lags holds %d of %d", last, committed)
+		t.Fatalf("test preparation failed: partitioned follower has log index %d, want less than the committed index %d", last, committed)
 	}
-	if r.mayLeave(leaver) {
-		t.Errorf("the leaver may stop while another voter holds %d of %d committed entries", lagging.shard.core.Status().LastIndex, committed)
+	if r.mayLeave(leaving) {
+		t.Errorf("leaving member may stop while another voter has log index %d, want it to wait for the committed index %d", lagging.shard.core.Status().LastIndex, committed)
 	}
 	clear(r.partitioned)
-	if duration, ok := r.waitUntil(time.Second, func() bool { return r.mayLeave(leaver) }); !ok {
-		t.Errorf("the leaver has to wait for %v though all hold everything", duration)
+	if duration, ok := r.waitUntil(time.Second, func() bool { return r.mayLeave(leaving) }); !ok {
+		t.Errorf("leaving member still may not stop %v after the partition healed, want at most 1 s", duration)
 	}
 	if last := lagging.shard.core.Status().LastIndex; last < committed {
-		t.Errorf("the leaver may stop while another voter holds %d of %d", last, committed)
+		t.Errorf("leaving member may stop after the partition healed while another voter has log index %d, want at least the committed index %d", last, committed)
 	}
 }
 
-// A leaver that has stopped isn't counted for the quorum any more: a newcomer that joins right then
-// isn't added before the leaver is removed, or the group would need that newcomer.
+// A member that has left and stopped no longer counts as alive: if a learner joins at that time, the leader must remove
+// the stopped member before it adds the learner. Otherwise the group would depend on the learner for its quorum.
 func TestDepartedLeaverIsNotCountedForTheQuorum(t *testing.T) {
 	r := newLossRun(lossScenario{machines: 3, toleratedLosses: 1, seed: 6})
 	r.awaitStart()
-	leader, leaver := r.leader(), r.follower()
-	r.waitUntil(time.Second, func() bool { return r.mayLeave(leaver) })
-	r.kill(leaver, false, farFuture)
+	leader, leaving := r.leader(), r.follower()
+	r.waitUntil(time.Second, func() bool { return r.mayLeave(leaving) })
+	r.kill(leaving, false, farFuture)
 	newcomer := r.addNode()
 	r.start(newcomer)
 	leader.shard.handleJoin(&wire.JoinRequest{Name: newcomer.shard.core.Self()})
 	r.runStep(leader)
 	r.waitUntil(time.Second, func() bool { return r.memberCount() != 3 })
 	if count := r.memberCount(); count > 3 {
-		t.Errorf("the group is %d, one of them down, and needs the newcomer", count)
+		t.Errorf("group has %d members, one of which has stopped, want at most 3: its quorum depends on the new member", count)
 	}
 }
 
-// otherMember is a member that is neither of two.
+// otherMember returns a member that is neither of the two given ones; nil if there is none.
 func (r *lossRun) otherMember(first, second *groupSimNode) *groupSimNode {
 	for _, node := range r.nodes {
 		if node != first && node != second && r.isMember(node) {
--- a/internal/control/controlstate/second_loss_node_test.go
+++ b/internal/control/controlstate/second_loss_node_test.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// A member that shuts down is replaced by the spare before it stops, whether it leads or not: the group
-// is complete when it stops, so that the next loss leaves a quorum.
+// A member that shuts down, whether it is the leader or not, is replaced by the spare before it stops. The group is then
+// complete when the member stops, so that it tolerates the next loss.
 func TestLeaverIsReplacedBeforeItStops(t *testing.T) {
-	for _, leads := range []bool{true, false} {
+	for _, isLeader := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			defer cluster.stopAll()
 			cluster.startWithSpare()
-			leaver := cluster.leader()
-			if !leads {
-				leaver = leaver%3 + 1
+			leaving := cluster.leader()
+			if !isLeader {
+				leaving = leaving%3 + 1
 			}
 			begun := time.Now()
-			cluster.stop(leaver)
+			cluster.stop(leaving)
 			stopTime := time.Since(begun)
 			if stopTime > 1500*time.Millisecond {
-				t.Errorf("leads %v: to stop took %v", leads, stopTime)
+				t.Errorf("shutdown of a member (leader: %v) took %v, want at most 1.5 s", isLeader, stopTime)
 			}
-			if members := cluster.members(); len(members) != 3 || cluster.isMember(leaver) {
-				t.Errorf("leads %v: after machine %d stopped the members are %v", leads, leaver, members)
+			if members := cluster.members(); len(members) != 3 || cluster.isMember(leaving) {
+				t.Errorf("shutdown of a member (leader: %v, machine %d): members are %v afterwards, want three without that machine", isLeader, leaving, members)
 			}
-			// The next loss comes at once, of the leader; its disk is lost for good.
+			// The leader is lost immediately afterwards, and its disk is lost permanently.
 			next := cluster.leader()
 			cluster.setUnreachable(next, true)
 			delete(cluster.nodes, cluster.addr(next))
-			t.Logf("leads %v: stopped after %v, the next leader lost, another one after %v", leads, stopTime,
-				cluster.waitUntil("another leader", 3*time.Second, func() bool { leader := cluster.leader(); return leader > 0 && leader != next }))
+			t.Logf("shutdown of a member (leader: %v) took %v; after the loss of the next leader, another one was elected within %v", isLeader, stopTime,
+				cluster.waitUntil("another leader is elected", 3*time.Second, func() bool { leader := cluster.leader(); return leader > 0 && leader != next }))
 			cluster.putVersion(2)
 			cluster.processes[cluster.addr(next)].Stop(time.Millisecond)
 		})
 	}
 }
 
-// Machines that are stopped and started in turn, with their disks, are each replaced by the spare: a
-// configuration is accepted between any two restarts, and the group has three members after each.
+// During a rolling restart, each machine is replaced by the spare before it stops and returns as the new spare. After
+// each restart, the group accepts a change of the configuration and has three members.
 func TestRollingRestartReplacesEachMemberOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
@@ -55,19 +55,19 @@
 			cluster.start(i+1, false)
 			cluster.putVersion(uint64(i + 2))
 			cluster.awaitSpare()
-			t.Logf("machine %d stopped after %v; a spare is known after %v; the membership's entry went from %d to %d", i+1, stopTime, time.Since(begun), before, cluster.membershipIndex())
+			t.Logf("machine %d stopped after %v; a spare was ready after %v; the log index of the membership rose from %d to %d", i+1, stopTime, time.Since(begun), before, cluster.membershipIndex())
 			if members := cluster.members(); len(members) != 3 {
-				t.Errorf("after machine %d the members are %v", i+1, members)
+				t.Errorf("after the restart of machine %d the members are %v, want three", i+1, members)
 			}
 			if stopTime > 2*time.Second {
-				t.Errorf("machine %d took %v to stop", i+1, stopTime)
+				t.Errorf("machine %d took %v to stop, want at most 2 s", i+1, stopTime)
 			}
 		}
 	})
 }
 
-// When all machines shut down at once, each stops well within its grace time, and all that was
-// acknowledged is there when they start again.
+// When all machines shut down at once, none uses up its grace period waiting for the others, and all acknowledged changes
+// are still there after a restart.
 func TestAllMachinesCanStopAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
@@ -82,41 +82,41 @@
 			<-done
 		}
 		if stopTime := time.Since(begun); stopTime > 4*time.Second {
-			t.Errorf("all had stopped after %v", stopTime)
+			t.Errorf("concurrent shutdown of all machines took %v, want at most 4 s", stopTime)
 		} else {
-			t.Logf("all had stopped after %v", stopTime)
+			t.Logf("concurrent shutdown of all machines took %v", stopTime)
 		}
 		clear(cluster.nodes)
 		for i := range 4 {
 			cluster.start(i+1, false)
 		}
-		cluster.waitUntil("the plan", 6*time.Second, func() bool {
+		cluster.waitUntil("acknowledged configuration is read after the restart", 6*time.Second, func() bool {
 			_, version, err := cluster.node(1).ReadRoutingConfig(context.Background())
 			return err == nil && version == 1
 		})
 	})
 }
 
-// A member that was removed while it was away, and comes back with its old disk, joins again well before
-// the time after which it no longer counts as lost, though its log has it as a voter.
+// A member that was removed while it was unreachable, and returns with its old disk, becomes a learner again within 3 s,
+// although it is still a voter according to its own log. That is well before it no longer counts as lost.
 func TestRemovedMemberRejoinsAsSpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
 		cluster.startWithSpare()
-		away := cluster.leader()%3 + 1
-		cluster.setUnreachable(away, true)
-		cluster.processes[cluster.addr(away)].Stop(time.Millisecond)
-		delete(cluster.nodes, cluster.addr(away))
-		cluster.waitUntil("its place is taken", 6*time.Second, func() bool { return len(cluster.members()) == 3 && !cluster.isMember(away) })
-		cluster.setUnreachable(away, false)
-		cluster.start(away, false)
-		rejoinTime := cluster.waitUntil("it is a spare again", 3*time.Second, func() bool {
-			replica := cluster.node(away).shards[0]
+		removed := cluster.leader()%3 + 1
+		cluster.setUnreachable(removed, true)
+		cluster.processes[cluster.addr(removed)].Stop(time.Millisecond)
+		delete(cluster.nodes, cluster.addr(removed))
+		cluster.waitUntil("spare replaces the lost member", 6*time.Second, func() bool { return len(cluster.members()) == 3 && !cluster.isMember(removed) })
+		cluster.setUnreachable(removed, false)
+		cluster.start(removed, false)
+		rejoinTime := cluster.waitUntil("removed member is a learner of the group", 3*time.Second, func() bool {
+			replica := cluster.node(removed).shards[0]
 			return query(context.Background(), replica, false, func() bool {
 				return !replica.core.IsVoter(replica.core.Self()) && replica.core.Status().Leader != ""
 			})
 		})
-		t.Logf("a spare again after %v", rejoinTime)
+		t.Logf("removed member was a learner %v after its restart", rejoinTime)
 	})
 }
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -10,29 +10,30 @@
 	"pebbleloom/internal/control/consensus"
 )
 
-// repairCase is a group with a member to be replaced. A leads, X (and Y) are lost first, N (and M) are the
-// newcomers, the other letters are followers.
+// repairCase is a group in which one or two members have to be replaced. Each machine is one letter: A is the leader,
+// X and Y are the members that are lost first, N and M are their replacements, and all others are followers.
 type repairCase struct {
-	members  string // one letter each
-	lost     string // X, or XY
+	members  string // voters before the loss
+	lost     string // "X" or "XY"
 	failure  repairFailure
-	newcomer string // N, NM, or none
+	newcomer string // replacements: "N", "NM" or "" (none available)
 }
 
-// repairFailure is how members are lost, in the words of docs/control.md.
+// repairFailure is the way in which members are lost. The values appear in the table in docs/control.md.
 type repairFailure string
 
-// Failures of members.
+// Ways in which members are lost.
 const (
 	failureWiped   repairFailure = "disk lost"
 	failureSilent  repairFailure = "silent, disk kept"
 	failureLeaving repairFailure = "leaves in order"
 )
 
-// changeSequence is the order in which a repair changes the membership, in the words of docs/control.md.
+// changeSequence is the order in which a repair changes the membership. The values appear in the table in
+// docs/control.md.
 type changeSequence string
 
-// Sequences of changes that were compared.
+// Sequences of membership changes that the table compares.
 const (
 	sequenceRemoveFirst changeSequence = "remove, then add"
 	sequenceAddFirst    changeSequence = "add, then remove"
@@ -41,11 +42,13 @@
 	sequenceNone        changeSequence = "no change"
 )
 
-// repairStep is one state of a repair: the alternatives that may be the newest in the log of the next leader,
-// and for each of them the memberships whose quorums are needed (two in a joint change).
-type repairStep struct{ memberships [][]string }
+// repairStep is one state of a repair. While a membership change is in flight, the log of the next leader may end with
+// the old or the new membership, which are the alternatives. Each alternative lists the memberships in which it needs a
+// quorum: one, or both in a joint change (as in Raft's joint consensus).
+type repairStep struct{ alternatives [][]string }
 
-// steps are the states of a repair, before, in flight and committed, change by change.
+// steps returns the states of a repair: the state before it and, for each membership change, the states in which the
+// change is in flight and committed.
 func (r repairCase) steps(sequence changeSequence) (steps []repairStep) {
 	current := r.members
 	steps = append(steps, repairStep{[][]string{{current}}})
@@ -77,11 +80,11 @@
 	return steps
 }
 
-// hasQuorum reports whether the group has a quorum without those that are lost, whichever of the alternatives
-// the next leader's log holds.
+// hasQuorum reports whether the group has a quorum without the lost machines, whichever alternative the next leader's
+// log ends with.
 func (s repairStep) hasQuorum(lost string) bool {
-	for _, together := range s.memberships {
-		for _, members := range together {
+	for _, required := range s.alternatives {
+		for _, members := range required {
 			alive := 0
 			for _, member := range members {
 				if !strings.ContainsRune(lost, member) {
@@ -96,11 +99,12 @@
 	return true
 }
 
-// tolerated is how many more machines may be lost, whichever they are; -1: there is no quorum.
+// tolerated returns how many more machines, whichever they are, may be lost without losing the quorum; -1 if there is
+// no quorum.
 func (s repairStep) tolerated(lost string) int {
 	isAlive := map[rune]bool{}
-	for _, together := range s.memberships {
-		for _, members := range together {
+	for _, required := range s.alternatives {
+		for _, members := range required {
 			for _, member := range members {
 				isAlive[member] = !strings.ContainsRune(lost, member)
 			}
@@ -122,7 +126,8 @@
 	}
 }
 
-// everySubset reports whether a condition holds with any so many of the alive added to the lost.
+// everySubset reports whether a condition holds for every set of lost machines that consists of the given ones and
+// count of those that are alive.
 func everySubset(alive []rune, count int, lost string, holds func(lost string) bool) bool {
 	if count == 0 {
 		return holds(lost)
@@ -133,20 +138,20 @@
 	return everySubset(alive[1:], count-1, lost+string(alive[0]), holds) && everySubset(alive[1:], count, lost, holds)
 }
 
-// repairRow is a row of the table: what each step of a repair tolerates.
+// repairRow is a row of the table in docs/control.md. It describes which losses each step of a repair tolerates.
 type repairRow struct {
-	tolerated          []int
-	stepsWithoutQuorum map[string][]int // by second loss: the steps without a quorum
+	tolerated          []int            // by step: number of further machines that may be lost
+	stepsWithoutQuorum map[string][]int // by second loss: steps at which that loss leaves no quorum
 }
 
-// secondLossColumns are the machines that may be lost next.
+// secondLossColumns lists the second losses, each of which is a column of the table.
 var secondLossColumns = []string{"the leader", "a follower", "the newcomer", "the leader, the first one back"}
 
-// row evaluates each step of a sequence.
+// row computes the table row of a sequence of membership changes.
 func (r repairCase) row(sequence changeSequence) repairRow {
 	row := repairRow{stepsWithoutQuorum: map[string][]int{}}
 	steps := r.steps(sequence)
-	if r.failure == failureLeaving { // it serves until the changes are made, then it stops
+	if r.failure == failureLeaving { // the leaving member serves until the changes are committed, and stops in an extra last step
 		steps = append(steps, steps[len(steps)-1])
 	}
 	for i, step := range steps {
@@ -164,13 +169,15 @@
 	return row
 }
 
-// evaluatedRepair is a repair with the sequences of changes that were compared, and the chosen one.
+// evaluatedRepair is a repairCase with the sequences of membership changes that are compared for it, and the one that
+// membershipPlanner implements.
 type evaluatedRepair struct {
 	repairCase
 	sequences []changeSequence
 	chosen    changeSequence
 }
 
+// evaluatedRepairs lists the repairs in the table.
 var evaluatedRepairs = []evaluatedRepair{
 	{repairCase{"ABX", "X", failureWiped, "N"}, []changeSequence{sequenceRemoveFirst, sequenceAddFirst, sequenceJoint, sequenceNone}, sequenceRemoveFirst},
 	{repairCase{"ABX", "X", failureSilent, "N"}, []changeSequence{sequenceRemoveFirst, sequenceAddFirst, sequenceJoint, sequenceNone}, sequenceRemoveFirst},
@@ -185,7 +192,7 @@
 	{repairCase{"ABCXY", "XY", failureSilent, ""}, []changeSequence{sequenceRemoveOnly, sequenceNone}, sequenceNone},
 }
 
-// secondLossTable is the table of docs/control.md.
+// secondLossTable returns the Markdown table that docs/control.md must contain.
 func secondLossTable() string {
 	var b strings.Builder
 	b.WriteString("| members | first loss | newcomers | order | losses tolerated, step by step | no quorum if then lost: " + strings.Join(secondLossColumns, " | ") + " |\n")
@@ -202,7 +209,7 @@
 				cells = append(cells, formatSteps(row.stepsWithoutQuorum[column]))
 			}
 			if evaluated.failure != failureSilent {
-				cells[3] = "" // it doesn't return
+				cells[3] = "" // the first lost machine does not return with its disk
 			}
 			if evaluated.newcomer == "" {
 				cells[2] = ""
@@ -214,7 +221,7 @@
 	return b.String()
 }
 
-// formatSteps is a list of steps in words.
+// formatSteps returns a list of steps as text for a cell of the table.
 func formatSteps(steps []int) string {
 	if len(steps) == 0 {
 		return "never"
@@ -225,32 +232,33 @@
 	return "step " + strings.ReplaceAll(strings.Trim(fmt.Sprint(steps), "[]"), " ", ", ")
 }
 
-// docs/control.md holds the table as it is computed here. For the chosen sequences no step tolerates less than
-// was tolerated before the repair, and for a lost member no step needs the newcomer, as add-first does.
+// docs/control.md contains the computed table. With the chosen sequences, no step tolerates fewer losses than the group
+// did before the repair. After the loss of a member, no step depends on its replacement for a quorum, as it would if
+// the replacement were added first.
 func TestSecondLossTableMatchesTheDocs(t *testing.T) {
 	table := secondLossTable()
 	page, err := os.ReadFile("../../../docs/control.md")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the page that contains the table: %v", err)
 	}
 	if !strings.Contains(string(page), table) {
-		t.Errorf("docs/control.md lacks this table:\n%s", table)
+		t.Errorf("docs/control.md does not contain the computed table:\n%s", table)
 	}
 	for _, evaluated := range evaluatedRepairs {
 		row := evaluated.row(evaluated.chosen)
 		if evaluated.chosen != sequenceNone && slices.Min(row.tolerated) < row.tolerated[0] {
-			t.Errorf("%+v, %s: %v are tolerated step by step", evaluated.repairCase, evaluated.chosen, row.tolerated)
+			t.Errorf("repair %+v, sequence %q: tolerated losses by step are %v, want none lower than the first", evaluated.repairCase, evaluated.chosen, row.tolerated)
 		}
 		if evaluated.failure != failureLeaving && len(row.stepsWithoutQuorum[secondLossColumns[2]]) > 0 {
-			t.Errorf("%+v, %s: the newcomer is needed at %v", evaluated.repairCase, evaluated.chosen, row.stepsWithoutQuorum[secondLossColumns[2]])
+			t.Errorf("repair %+v, sequence %q: the quorum depends on the newcomer at steps %v, want none", evaluated.repairCase, evaluated.chosen, row.stepsWithoutQuorum[secondLossColumns[2]])
 		}
 	}
 	if len(evaluatedRepairs[0].row(sequenceAddFirst).stepsWithoutQuorum[secondLossColumns[2]]) == 0 {
-		t.Error("add-first doesn't need the newcomer: the table doesn't distinguish the sequences")
+		t.Error("no step of \"add, then remove\" depends on the newcomer for a quorum, want at least one: the table must distinguish the sequences")
 	}
 }
 
-// The planner makes the changes of the chosen sequence, from any step on.
+// membershipPlanner proposes the membership changes of the chosen sequence, one at each step.
 func TestPlannerTakesTheChosenSteps(t *testing.T) {
 	for _, evaluated := range evaluatedRepairs {
 		members := strings.Split(evaluated.members, "")
@@ -271,19 +279,19 @@
 		var want []string
 		for i, step := range evaluated.steps(evaluated.chosen) {
 			if i > 0 && i%2 == 0 {
-				want = append(want, step.memberships[0][0])
+				want = append(want, step.alternatives[0][0])
 			}
 		}
 		if evaluated.failure == failureWiped && len(evaluated.lost) == 2 && evaluated.newcomer != "" {
-			want = []string{"ABCY", "ABC", "ABCN", "ABCNM"} // both are removed first: neither can ever vote again
+			want = []string{"ABCY", "ABC", "ABCN", "ABCNM"} // both lost members are removed first, since neither can ever vote again
 		}
 		if fmt.Sprint(sortLetters(got)) != fmt.Sprint(sortLetters(want)) {
-			t.Errorf("%+v: the planner's steps are %v, chosen are %v", evaluated.repairCase, got, want)
+			t.Errorf("repair %+v: planner proposed the memberships %v, want %v", evaluated.repairCase, got, want)
 		}
 	}
 }
 
-// sortLetters sorts the letters of each membership.
+// sortLetters returns the memberships with the letters of each one sorted.
 func sortLetters(memberships []string) (sorted []string) {
 	for _, members := range memberships {
 		letters := strings.Split(members, "")
@@ -293,7 +301,7 @@
 	return sorted
 }
 
-// memberNames are the names of first incarnations.
+// memberNames returns the names of the members' first incarnations.
 func memberNames(members []string) (names []string) {
 	for _, member := range members {
 		names = append(names, member+"/0")
@@ -301,7 +309,7 @@
 	return names
 }
 
-// peers is what the leader sees of its peers; the new incarnation of a wiped member is at its address.
+// peers returns the status of the leader's peers. A member that lost its disk has a new incarnation at its address.
 func (e evaluatedRepair) peers(members []string) (peers []consensus.PeerStatus) {
 	for _, member := range members {
 		peer := consensus.PeerStatus{Name: member + "/0", IsVoter: true, ContactAge: 1, Responded: true, CaughtUp: true}
--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// runScenario plays the scenario. It returns whether the site tolerates the second loss, and how long it
-// took until a change was acknowledged again.
+// runScenario runs the scenario. It returns whether the site has to tolerate the second loss, and the time from then
+// until a change was acknowledged again.
 func (r *lossRun) runScenario() (tolerated bool, duration time.Duration) {
 	if !r.awaitStart() {
-		r.violationf("the group isn't complete at the start")
+		r.violationf("group did not become complete within %v of its start", maxStartTime)
 		return false, 0
 	}
 	r.advanceFor(time.Second)
@@ -20,7 +20,7 @@
 		node = r.follower()
 	}
 	if node == nil {
-		r.violationf("no victim")
+		r.violationf("no healthy %s to inject the first loss into", r.scenario.firstTarget)
 		return false, 0
 	}
 	origin := r.originOf(node)
@@ -36,21 +36,21 @@
 	if len(r.violations) > 0 {
 		return false, 0
 	}
-	victim := r.secondVictim(origin)
-	if victim == nil {
-		r.count("no victim") // there is no leader, or the successor is down
-		victim = r.follower()
+	target := r.secondTargetNode(origin)
+	if target == nil {
+		r.count("second target unavailable") // there is no leader, or the machine that was lost first is down
+		target = r.follower()
 	}
-	if victim == nil {
+	if target == nil {
 		return false, 0
 	}
-	r.injectLoss(r.scenario.second, victim)
+	r.injectLoss(r.scenario.second, target)
 	tolerated = r.lostNow() <= r.scenario.toleratedLosses
 	return tolerated, r.awaitQuorum(tolerated)
 }
 
-// secondVictim is the machine that the second loss is to hit; nil: there is none now.
-func (r *lossRun) secondVictim(origin string) *groupSimNode {
+// secondTargetNode returns the machine that the second loss hits; nil if the scenario's target is unavailable.
+func (r *lossRun) secondTargetNode(origin string) *groupSimNode {
 	switch r.scenario.secondTarget {
 	case targetLeader:
 		return r.leader()
@@ -65,53 +65,55 @@
 	return nil
 }
 
-// awaitQuorum waits until a change is acknowledged, which it must be within the bound: after tolerated
-// losses at once, else after all have returned unless more disks were lost than are tolerated.
+// awaitQuorum waits until a change is acknowledged, and returns how long that took. If the losses are tolerated, a
+// change must be acknowledged within maxQuorumRecoveryTime. Otherwise a change must be acknowledged within twice that
+// time after all machines have returned, unless more disks were lost than the site tolerates.
 func (r *lossRun) awaitQuorum(tolerated bool) time.Duration {
 	if tolerated {
-		duration, ok := r.waitUntil(quorumWithin, r.acknowledgedSince(r.now))
+		duration, ok := r.waitUntil(maxQuorumRecoveryTime, r.acknowledgedSince(r.now))
 		if !ok {
 			r.traceStatus()
-			r.violationf("quorum-back: no change is acknowledged within %v of a loss that is tolerated", quorumWithin)
+			r.violationf("quorum-back: no change was acknowledged within %v of a tolerated loss", maxQuorumRecoveryTime)
 		}
 		return duration
 	}
 	r.awaitReturn()
-	r.awaitReturn() // a shutdown may have taken longer
-	duration, ok := r.waitUntil(2*quorumWithin, r.acknowledgedSince(r.now))
-	if !ok && r.destroyedVotes <= r.scenario.toleratedLosses {
+	r.awaitReturn() // a shutdown that was still in progress may have delayed the last return
+	duration, ok := r.waitUntil(2*maxQuorumRecoveryTime, r.acknowledgedSince(r.now))
+	if !ok && r.destroyedVoters <= r.scenario.toleratedLosses {
 		r.traceStatus()
-		r.violationf("quorum-back-after-return: no change is acknowledged within %v of the last return, %d disks lost", 2*quorumWithin, r.destroyedVotes)
+		r.violationf("quorum-back-after-return: no change was acknowledged within %v of the return of all machines, disks lost: %d", 2*maxQuorumRecoveryTime, r.destroyedVoters)
 	}
 	if !ok {
-		r.count("no quorum for good")
+		r.count("quorum permanently lost")
 	}
 	return duration
 }
 
-// checkEnd checks the last reads and the whole history, unless the run has failed already.
+// checkEnd waits for pending reads and checks the history of all operations, unless a check has failed already.
 func (r *lossRun) checkEnd() {
 	if len(r.violations) > 0 {
 		return
 	}
-	r.advanceFor(time.Second) // each read is checked as it returns
+	r.advanceFor(time.Second) // pending reads return meanwhile, and are checked when they do
 	r.checkHistory()
 }
 
-// secondLosses lists the scenarios of a site: every pair of losses, every target, and the second loss at
-// every tick of the repair. `SECOND_LOSS=full` lists all of them, else one in 97 is listed.
+// secondLosses returns the scenarios for a site: all combinations of the kinds and targets of two losses, with the
+// second loss at every tick of the repair. It returns all of them if the environment variable SECOND_LOSS is "full",
+// and otherwise one in 97.
 func secondLosses(machines, toleratedLosses int) (scenarios []lossScenario) {
-	every := 97
+	stride := 97
 	if os.Getenv("SECOND_LOSS") == "full" {
-		every = 1
+		stride = 1
 	}
 	number := 0
-	for _, first := range losses {
-		for _, second := range losses {
-			for _, target := range targets {
+	for _, first := range lossKinds {
+		for _, second := range lossKinds {
+			for _, target := range lossTargets {
 				for _, firstTarget := range []lossTarget{targetLeader, targetFollower} {
-					for delay := time.Duration(0); delay <= awayTime+catchUpTime+time.Second; delay += time.Second / 10 {
-						if number++; number%every == 0 {
+					for delay := time.Duration(0); delay <= lossDowntime+catchUpTime+time.Second; delay += time.Second / 10 {
+						if number++; number%stride == 0 {
 							scenarios = append(scenarios, lossScenario{machines: machines, toleratedLosses: toleratedLosses, first: first, second: second,
 								firstTarget: firstTarget, secondTarget: target, delay: delay, seed: uint64(number)})
 						}
@@ -123,11 +125,11 @@
 	return scenarios
 }
 
-// A complete group has a loss of each kind, and a second one at every step of the repair. No acknowledged
-// change is lost, as the reads and the history show. A change is acknowledged again within quorumWithin
-// where the site tolerates the losses, and else after all have returned unless more disks are lost than
-// it tolerates. No step of the repair leaves less tolerance than there was before it began.
-// `SECOND_LOSS=full` plays every tick of the repair.
+// A complete group suffers a loss of each kind, and a second loss at every step of the repair. Reads and the history of
+// all operations show that no acknowledged change is lost. If the site tolerates the losses, a change is acknowledged
+// again within maxQuorumRecoveryTime; otherwise a change is acknowledged after all machines have returned, unless more
+// disks are lost than the site tolerates. At no step of the repair does the group tolerate fewer losses than when the
+// repair began. The test runs a sample of the scenarios, or all of them with SECOND_LOSS=full (see secondLosses).
 func TestSecondLossAtEveryStep(t *testing.T) {
 	from, _ := seedsFromEnv(t, 1)
 	for _, site := range []struct{ machines, toleratedLosses int }{{3, 1}, {4, 1}, {5, 2}, {7, 2}} {
@@ -141,7 +143,7 @@
 				isTolerated, duration := r.runScenario()
 				r.checkEnd()
 				if len(r.violations) > 0 {
-					t.Fatalf("%v: %s\n%s", scenario, r.violations[0], r.lastTrace(60))
+					t.Fatalf("scenario %v: violation: %s\n%s", scenario, r.violations[0], r.lastTrace(60))
 				}
 				if runs++; isTolerated {
 					tolerated++
@@ -151,14 +153,14 @@
 					sum[event] += count
 				}
 			}
-			t.Logf("%d runs, %d of them within what is tolerated: a change is acknowledged after %v at the longest; %v", runs, tolerated, longest, sum)
+			t.Logf("%d runs, %d of them with tolerated losses, in which a change was acknowledged within %v of the second loss; occurrences by event: %v", runs, tolerated, longest, sum)
 		})
 	}
 }
 
-// The leader is lost three times, by a planned replacement, a shutdown and a wiped disk, then all lose
-// power: each as soon as the loss before has ended, or some time later. All that was acknowledged stays,
-// and a change is acknowledged again after the last return.
+// The leader is lost three times in a row (by a planned replacement, a shutdown and the loss of its disk), each time as
+// soon as the previous leader has stopped or some time later, and then all machines lose power. No acknowledged
+// change is lost, and a change is acknowledged again after all machines have returned.
 func TestRepeatedLossOfTheLeader(t *testing.T) {
 	from, count := seedsFromEnv(t, 4)
 	longest := time.Duration(0)
@@ -166,52 +168,52 @@
 		for _, gap := range []time.Duration{0, 300 * time.Millisecond, time.Second, 2 * time.Second, catchUpTime} {
 			for seed := from; seed < from+count; seed++ {
 				r := newLossRun(lossScenario{machines: site.machines, toleratedLosses: site.toleratedLosses, seed: seed})
-				longest = max(longest, r.faultLeaderRepeatedly(gap))
+				longest = max(longest, r.loseLeaderRepeatedly(gap))
 				if r.checkEnd(); len(r.violations) > 0 {
-					t.Fatalf("%d machines, gap %v, seed %d: %s\n%s", site.machines, gap, seed, r.violations[0], r.lastTrace(60))
+					t.Fatalf("%d machines, %v between losses, seed %d: violation: %s\n%s", site.machines, gap, seed, r.violations[0], r.lastTrace(60))
 				}
 			}
 		}
 	}
-	t.Logf("a change is acknowledged after %v at the longest from the last return", longest)
+	t.Logf("longest time from the return of all machines to an acknowledged change: %v", longest)
 }
 
-// faultLeaderRepeatedly returns the time from the last return to the next acknowledged change.
-func (r *lossRun) faultLeaderRepeatedly(gap time.Duration) time.Duration {
-	r.waitUntil(startWithin, func() bool { return r.isComplete() && r.sparesReady() && r.counts["acked"] > 2 })
+// loseLeaderRepeatedly injects the losses of TestRepeatedLossOfTheLeader. It returns the time from the return of all
+// machines to the next acknowledged change.
+func (r *lossRun) loseLeaderRepeatedly(gap time.Duration) time.Duration {
+	r.waitUntil(maxStartTime, func() bool { return r.isComplete() && r.sparesReady() && r.counts["acked"] > 2 })
 	r.advanceFor(time.Second)
 	for _, kind := range []lossKind{lossPlannedReplace, lossShutdown, lossWipe} {
 		r.waitUntil(6*time.Second, func() bool { return r.leader() != nil })
-		victim := r.leader()
-		if victim == nil {
+		target := r.leader()
+		if target == nil {
 			r.traceStatus()
-			r.violationf("quorum-back: no leader within 6 s before the %s", kind)
+			r.violationf("quorum-back: no leader was elected within 6 s, which the %s should hit", kind)
 			return 0
 		}
-		r.injectLoss(kind, victim)
-		r.waitUntil(graceTime, func() bool { return victim.shard == nil })
+		r.injectLoss(kind, target)
+		r.waitUntil(lossGracePeriod, func() bool { return target.shard == nil })
 		r.advanceFor(gap)
 	}
-	r.tracef("all lose power")
+	r.tracef("all machines lose power")
 	for _, node := range r.nodes {
-		r.kill(node, true, awayTime)
+		r.kill(node, true, lossDowntime)
 	}
-	r.advanceFor(awayTime)
-	duration, ok := r.waitUntil(2*quorumWithin, r.acknowledgedSince(r.now))
+	r.advanceFor(lossDowntime)
+	duration, ok := r.waitUntil(2*maxQuorumRecoveryTime, r.acknowledgedSince(r.now))
 	if !ok {
 		r.traceStatus()
-		r.violationf("quorum-back-after-return: no change is acknowledged within %v after all are back", 2*quorumWithin)
+		r.violationf("quorum-back-after-return: no change was acknowledged within %v of the return of all machines after a power loss", 2*maxQuorumRecoveryTime)
 	}
 	return duration
 }
 
-// linkScale is how many times smaller the simulator's batches are than those of StartGroup. States and
-// links are scaled down as much, so that the durations are the real ones.
+// linkScale is the ratio of the maximum batch size of StartGroup to that of the simulation. The sizes of states and the
+// bandwidths of links are divided by it, so that transfers take as long as in production.
 const linkScale = (256 << 10) / 4096
 
-// From the return of a machine without its disk, or the start of a replacement, the group is complete
-// again before that machine stops counting as lost, with states of some megabytes on a link of
-// 100 Mbit/s.
+// After a machine has returned with an empty disk, or a replacement has started, the group becomes complete again before
+// that machine no longer counts as lost, with states of up to 4 MiB and links of 100 Mbit/s.
 func TestRepairEndsBeforeTheLossDoes(t *testing.T) {
 	for _, size := range []int{0, 1 << 20, 4 << 20} {
 		for _, kind := range []lossKind{lossWipe, lossReplace} {
@@ -222,28 +224,29 @@
 					r.bytesPerSecond = 100e6 / 8 / linkScale
 					duration := r.measureRepair(kind, size/linkScale)
 					if len(r.violations) > 0 {
-						t.Fatalf("%s, %d machines, %d bytes, seed %d: %s\n%s", kind, machines, size, seed, r.violations[0], r.lastTrace(40))
+						t.Fatalf("%s, %d machines, state of %d bytes, seed %d: violation: %s\n%s", kind, machines, size, seed, r.violations[0], r.lastTrace(40))
 					}
 					longest = max(longest, duration)
 				}
-				t.Logf("%-9s %d machines, state of %d KB: complete again after %v at the longest", kind, machines, size>>10, longest)
+				t.Logf("%s, %d machines, state of %d KiB: group was complete again within %v of the return", kind, machines, size>>10, longest)
 			}
 		}
 	}
 }
 
-// measureRepair is how long the group takes to be complete, from the return or the replacement's start.
+// measureRepair returns the time from the return of the lost machine, or the start of its replacement, until the group
+// is complete again.
 func (r *lossRun) measureRepair(kind lossKind, size int) time.Duration {
-	r.waitUntil(startWithin, r.isComplete)
+	r.waitUntil(maxStartTime, r.isComplete)
 	r.putLargeDocument(size)
 	r.waitUntil(4*time.Second, r.isComplete)
 	r.advanceFor(time.Second)
 	r.injectLoss(kind, r.leader())
 	r.awaitReturn()
-	duration, ok := r.waitUntil(completeWithin, func() bool { return r.isComplete() && r.memberCount() == 3 })
+	duration, ok := r.waitUntil(maxRepairTime, func() bool { return r.isComplete() && r.memberCount() == 3 })
 	if !ok {
 		r.traceStatus()
-		r.violationf("complete-within: the group isn't complete within %v of the return", completeWithin)
+		r.violationf("complete-within: group was not complete within %v of the return of the lost machine", maxRepairTime)
 	}
 	return duration
 }
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -8,97 +8,99 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// lossKind is how a machine is lost; docs/control.md, section 3, has a table of them.
+// lossKind is the way in which a machine is lost. The table in docs/control.md, section 3, lists the kinds.
 type lossKind string
 
 // Kinds of losses.
 const (
-	lossCrash          lossKind = "crash"           // power loss; back with its disk
-	lossWipe           lossKind = "wipe"            // back with an empty disk
-	lossPartition      lossKind = "isolated"        // in both directions; healed later
-	lossShutdown       lossKind = "SIGTERM"         // planned; back with its disk
-	lossReplace        lossKind = "replaced"        // removed for good, a new machine starts
-	lossPlannedReplace lossKind = "planned replace" // SIGTERM, removed for good, a new machine starts
+	lossCrash          lossKind = "crash"               // loses power, and restarts with its disk
+	lossWipe           lossKind = "disk loss"           // loses power, and restarts with an empty disk
+	lossPartition      lossKind = "partition"           // is partitioned in both directions for a while
+	lossShutdown       lossKind = "shutdown"            // is shut down by SIGTERM, and restarts with its disk
+	lossReplace        lossKind = "replacement"         // is removed permanently, and a new machine starts
+	lossPlannedReplace lossKind = "planned replacement" // is shut down by SIGTERM and removed permanently, and a new machine starts
 )
 
-var losses = []lossKind{lossCrash, lossWipe, lossPartition, lossShutdown, lossReplace, lossPlannedReplace}
+// lossKinds lists all kinds of losses.
+var lossKinds = []lossKind{lossCrash, lossWipe, lossPartition, lossShutdown, lossReplace, lossPlannedReplace}
 
-// lossCompactAt is the size in bytes above which a member compacts its log here.
+// lossCompactAt is the size of the log in bytes above which members compact it in these tests.
 const lossCompactAt = 3000
 
-// lossTarget is which machine is lost.
+// lossTarget selects the machine that is lost.
 type lossTarget string
 
 // Targets of a loss.
 const (
 	targetLeader    lossTarget = "leader"
-	targetSuccessor lossTarget = "successor" // the machine that was lost first, or its replacement
+	targetFirstLost lossTarget = "machine that was lost first" // or its replacement
 	targetFollower  lossTarget = "follower"
 )
 
-var targets = []lossTarget{targetLeader, targetSuccessor, targetFollower}
+// lossTargets lists all targets of a second loss.
+var lossTargets = []lossTarget{targetLeader, targetFirstLost, targetFollower}
 
-// Times that the contract gives for small sites, and the bounds that follow from them.
+// Durations that the contract guarantees for small sites, and upper bounds that follow from them.
 const (
-	catchUpTime    = 4 * time.Second         // for which a machine that returned still counts as lost
-	awayTime       = 1500 * time.Millisecond // from a loss to the return
-	graceTime      = 8 * time.Second         // from SIGTERM to the end of the process
-	quorumWithin   = 4 * time.Second         // until a change is acknowledged again
-	completeWithin = catchUpTime             // until the group has all its members again
-	startWithin    = 12 * time.Second        // until a site that starts is complete and serves
+	catchUpTime           = 4 * time.Second         // time after its return during which a machine still counts as lost
+	lossDowntime          = 1500 * time.Millisecond // time from a loss to the return of the machine
+	lossGracePeriod       = 8 * time.Second         // time from SIGTERM until the process is killed
+	maxQuorumRecoveryTime = 4 * time.Second         // time until a change is acknowledged again after a loss
+	maxRepairTime         = catchUpTime             // time until the group has all its members again after a machine has returned
+	maxStartTime          = 12 * time.Second        // time until a starting site is complete and acknowledges changes
 )
 
-// lossScenario is a complete group, a first loss, and a second one after a delay.
+// lossScenario describes two losses in a complete group, the second one after a delay.
 type lossScenario struct {
 	machines, toleratedLosses int
 	first, second             lossKind
-	firstTarget               lossTarget // leader or follower; where two are tolerated, a follower beside it
+	firstTarget               lossTarget // targetLeader or targetFollower; if two losses are tolerated, the first loss also hits another follower
 	secondTarget              lossTarget
 	delay                     time.Duration
 	seed                      uint64
 }
 
 func (s lossScenario) String() string {
-	return fmt.Sprintf("%d machines, %d tolerated, seed %d: %s of the %s, after %v %s of the %s", s.machines, s.toleratedLosses, s.seed,
+	return fmt.Sprintf("%d machines, %d losses tolerated, seed %d: %s of the %s, after %v %s of the %s", s.machines, s.toleratedLosses, s.seed,
 		s.first, s.firstTarget, s.delay, s.second, s.secondTarget)
 }
 
-// lossRun plays a scenario in the simulator of a group.
+// lossRun runs a lossScenario in the simulation of a group.
 type lossRun struct {
 	*groupSim
 	scenario         lossScenario
-	lostUntil        map[string]time.Duration // by the original address of the machine
-	originalAddrs    map[string]string        // by the address of a replacement: that of the machine it replaces
-	destroyedVotes   int                      // members that were destroyed with their disk
-	checksTolerance  bool                     // check in each step that no fewer losses are tolerated than initialTolerance
-	initialTolerance int                      // losses that the group tolerated when the repair began
-	lastReturn       time.Duration
-	joins            map[*groupSimNode]*joinState
-
-	bytesPerSecond float64 // of each machine's link; 0: no limit
-	throttled      map[*groupSimNode]int
+	lostUntil        map[string]time.Duration     // time until which a machine counts as lost, by its original address
+	originalAddrs    map[string]string            // original address of the machine that a replacement stands for, by the replacement's address
+	destroyedVoters  int                          // number of members whose disks were destroyed
+	checksTolerance  bool                         // check at each step that the group tolerates no fewer losses than initialTolerance
+	initialTolerance int                          // number of losses that the group tolerated when the repair began
+	lastReturnAt     time.Duration                // latest time at which a lost machine returns
+	joins            map[*groupSimNode]*joinState // join requests of each machine
+
+	bytesPerSecond float64               // bandwidth of each machine's link; 0: no limit
+	throttled      map[*groupSimNode]int // generation of the machine's process whose link is throttled
 }
 
-// joinState is the progress of a machine's Node.joinLoop.
+// joinState simulates the state of a machine's Node.joinLoop.
 type joinState struct {
-	generation  int
-	nextAttempt time.Duration
-	turn        int
-	silent      map[string]bool // addresses that didn't answer the last request
+	generation   int             // generation of the process
+	nextAttempt  time.Duration   // time of the next join request
+	failures     int             // number of failed join requests
+	unresponsive map[string]bool // addresses that did not respond to the last request
 }
 
-// newLossRun starts the site of a scenario.
+// newLossRun starts the machines of a scenario.
 func newLossRun(scenario lossScenario) *lossRun {
 	s := emptyGroupSim(newSimBase(scenario.seed, 7, ""))
 	s.toleratedLosses, s.compactAt = scenario.toleratedLosses, lossCompactAt
 	s.startSite(scenario.machines)
 	for _, node := range s.nodes {
-		node.nextJoin = farFuture // runJoinLoops joins in its place
+		node.nextJoin = farFuture // disables the simulator's own join requests; runJoinLoops sends them
 	}
 	return &lossRun{groupSim: s, scenario: scenario, lostUntil: map[string]time.Duration{}, originalAddrs: map[string]string{}, joins: map[*groupSimNode]*joinState{}, throttled: map[*groupSimNode]int{}}
 }
 
-// scheduleAt runs an action at a time.
+// scheduleAt runs an action when the simulated time has reached the given one.
 func (r *lossRun) scheduleAt(when time.Duration, run func()) {
 	r.inProgress = append(r.inProgress, func() bool {
 		if r.now < when {
@@ -109,7 +111,7 @@
 	})
 }
 
-// advance moves virtual time on by a step under load: an operator, readers and an edge.
+// advance moves simulated time on by one step, in which an operator, a reader or an edge may send a request.
 func (r *lossRun) advance() {
 	for _, node := range r.nodes {
 		r.throttle(node)
@@ -123,54 +125,55 @@
 		r.read(r.randomNode())
 	case 4, 5:
 		if node := r.leader(); node != nil {
-			r.read(node) // operators build on what it returns
+			r.read(node) // operators base their changes on the version that the leader returns
 		}
 	case 6, 7:
 		r.poll(r.randomNode(), pollTime)
 	}
 	if r.checksTolerance {
 		if tolerated := r.toleratedNow(); tolerated < r.initialTolerance {
-			r.violationf("tolerance-never-lower: %d losses are tolerated in the midst of the repair, %d were before it", tolerated, r.initialTolerance)
+			r.violationf("tolerance-never-lower: group tolerates %d more losses during the repair, want at least the %d from before it", tolerated, r.initialTolerance)
 		}
 	}
 }
 
-// toleratedNow is how many more machines may be lost at once, whichever they are, so that the newest
-// membership still has a quorum. Machines that are down count as lost.
+// toleratedNow returns how many more machines, whichever they are, may be lost at once without the newest membership
+// losing its quorum. Machines that are down count as lost.
 func (r *lossRun) toleratedNow() int {
 	members := r.newestMembership()
 	alive := 0
 	for _, member := range members {
-		if node := r.node(controlclient.MemberAddr(member)); r.isHealthy(node) && node.shard.core.Self() == member && !r.isIsolated(node) {
+		if node := r.node(controlclient.MemberAddr(member)); r.isHealthy(node) && node.shard.core.Self() == member && !r.isLostToPartition(node) {
 			alive++
 		}
 	}
 	return alive - (len(members)/2 + 1)
 }
 
-// isIsolated reports whether a machine is lost by a partition.
-func (r *lossRun) isIsolated(node *groupSimNode) bool {
+// isLostToPartition reports whether a machine is currently lost because of a partition.
+func (r *lossRun) isLostToPartition(node *groupSimNode) bool {
 	isPartitionedFrom := func(peer *groupSimNode) bool {
 		return peer != node && r.partitioned[node.addr+">"+peer.addr] && r.partitioned[peer.addr+">"+node.addr]
 	}
 	return slices.ContainsFunc(r.nodes, isPartitionedFrom) && r.lostUntil[r.originOf(node)] > r.now
 }
 
-// newestMembership is the newest one in the log of any machine that is up.
+// newestMembership returns the members of the newest membership in the logs of all running machines.
 func (r *lossRun) newestMembership() (members []string) {
 	var term, index uint64
 	for _, node := range r.nodes {
 		if node.shard == nil {
 			continue
 		}
-		if itsMembers, itsTerm, itsIndex := node.shard.core.Members(); members == nil || itsTerm > term || itsTerm == term && itsIndex > index {
-			members, term, index = itsMembers, itsTerm, itsIndex
+		if logMembers, logTerm, logIndex := node.shard.core.Members(); members == nil || logTerm > term || logTerm == term && logIndex > index {
+			members, term, index = logMembers, logTerm, logIndex
 		}
 	}
 	return members
 }
 
-// originOf is the address of the machine that a node replaces, directly or not; its own where none.
+// originOf returns the address of the machine that a node replaces, directly or through other replacements. It returns
+// the node's own address if it replaces none.
 func (r *lossRun) originOf(node *groupSimNode) string {
 	if addr := r.originalAddrs[node.addr]; addr != "" {
 		return addr
@@ -178,7 +181,7 @@
 	return node.addr
 }
 
-// lostNow is how many machines count as lost by the contract.
+// lostNow returns the number of machines that currently count as lost according to the contract.
 func (r *lossRun) lostNow() (count int) {
 	for _, until := range r.lostUntil {
 		if until > r.now {
@@ -188,7 +191,7 @@
 	return count
 }
 
-// sparesReady reports whether each machine that isn't a member is a learner that has caught up.
+// sparesReady reports whether all machines that are not members are learners that have caught up.
 func (r *lossRun) sparesReady() bool {
 	leader := r.leader()
 	if leader == nil {
@@ -203,44 +206,45 @@
 	return ready >= len(r.nodes)-r.memberCount()
 }
 
+// isMember reports whether a machine runs and its incarnation belongs to the newest membership.
 func (r *lossRun) isMember(node *groupSimNode) bool {
 	return node.shard != nil && slices.Contains(r.newestMembership(), node.shard.core.Self())
 }
 
-// injectLoss has a machine be lost.
+// injectLoss makes a machine fail in the given way, and schedules its return or the start of its replacement.
 func (r *lossRun) injectLoss(kind lossKind, node *groupSimNode) {
-	returnsAt := r.now + awayTime
-	r.tracef("LOSS %s of %s", kind, node.addr)
+	returnsAt := r.now + lossDowntime
+	r.tracef("inject loss: %s of %s", kind, node.addr)
 	r.count("lost: " + string(kind))
 	switch kind {
 	case lossCrash:
-		r.kill(node, true, awayTime)
+		r.kill(node, true, lossDowntime)
 	case lossWipe:
 		if r.isMember(node) {
-			r.destroyedVotes++
+			r.destroyedVoters++
 		}
-		r.kill(node, true, awayTime)
+		r.kill(node, true, lossDowntime)
 		r.wipeDisk(node)
 	case lossPartition:
 		r.isolateUntil(node, returnsAt)
 	case lossShutdown:
-		r.shutDown(node, func() { r.kill(node, false, awayTime) })
-		returnsAt += graceTime
+		r.shutDown(node, func() { r.kill(node, false, lossDowntime) })
+		returnsAt += lossGracePeriod
 	case lossReplace:
 		r.replace(node)
 		returnsAt = r.now
 	case lossPlannedReplace:
 		r.shutDown(node, func() { r.replace(node) })
-		returnsAt += graceTime
+		returnsAt += lossGracePeriod
 	}
 	r.lostUntil[r.originOf(node)] = returnsAt + catchUpTime
-	r.lastReturn = max(r.lastReturn, returnsAt)
+	r.lastReturnAt = max(r.lastReturnAt, returnsAt)
 }
 
-// replace removes a machine for good and starts another one in its place.
+// replace removes a machine permanently and starts a new one in its place.
 func (r *lossRun) replace(node *groupSimNode) {
 	if r.isMember(node) {
-		r.destroyedVotes++
+		r.destroyedVoters++
 	}
 	r.kill(node, true, 0)
 	node.isRemoved = true
@@ -249,7 +253,7 @@
 	r.start(replacement)
 }
 
-// isolateUntil isolates a machine in both directions until a time.
+// isolateUntil partitions a machine from all others in both directions until the given time.
 func (r *lossRun) isolateUntil(node *groupSimNode, until time.Duration) {
 	setPartitioned := func(partitioned bool) {
 		for _, peer := range r.nodes {
@@ -262,10 +266,10 @@
 	r.scheduleAt(until, func() { setPartitioned(false) })
 }
 
-// shutDown does what Node.leave does: it stops the machine as soon as it may, or after leaveTimeoutRatio
-// of the grace time.
+// shutDown simulates Node.leave: it stops the machine as soon as the group can continue without it, or after
+// leaveTimeoutRatio of the grace period.
 func (r *lossRun) shutDown(node *groupSimNode, stop func()) {
-	generation, end, nextAttempt := node.generation, r.now+time.Duration(leaveTimeoutRatio*float64(graceTime)), r.now
+	generation, deadline, nextAttempt := node.generation, r.now+time.Duration(leaveTimeoutRatio*float64(lossGracePeriod)), r.now
 	r.inProgress = append(r.inProgress, func() bool {
 		if node.shard == nil || node.generation != generation {
 			return false
@@ -274,23 +278,23 @@
 			return true
 		}
 		nextAttempt = r.now + leavePollInterval
-		if r.now < end && !r.mayLeave(node) {
+		if r.now < deadline && !r.mayLeave(node) {
 			return true
 		}
 		if node.shard == nil || node.generation != generation {
-			return false // it crashed in a write
+			return false // the process crashed during a write to its disk
 		}
-		r.tracef("%s stops", node.addr)
-		// A planned end counts as a loss from here on.
-		r.lostUntil[r.originOf(node)] = r.now + awayTime + catchUpTime
-		r.lastReturn = r.now + awayTime
+		r.tracef("%s stops after its shutdown", node.addr)
+		// A machine that is shut down as planned counts as lost from its stop on.
+		r.lostUntil[r.originOf(node)] = r.now + lossDowntime + catchUpTime
+		r.lastReturnAt = r.now + lossDowntime
 		stop()
 		return false
 	})
 }
 
-// waitUntil lets time pass until a condition holds, up to a bound. It returns the time that passed, and
-// whether the condition holds.
+// waitUntil advances simulated time until a condition holds, but at most by the given duration. It returns the time
+// that passed, and whether the condition holds. It stops early if a check has failed.
 func (r *lossRun) waitUntil(within time.Duration, holds func() bool) (time.Duration, bool) {
 	begun := r.now
 	for r.now-begun < within && len(r.violations) == 0 {
@@ -302,21 +306,22 @@
 	return r.now - begun, holds()
 }
 
-// advanceFor lets time pass.
+// advanceFor advances simulated time by a duration.
 func (r *lossRun) advanceFor(duration time.Duration) {
 	r.waitUntil(duration, func() bool { return false })
 }
 
-// awaitReturn lets time pass until the last machine that was lost for a while has returned.
-func (r *lossRun) awaitReturn() { r.advanceFor(max(0, r.lastReturn-r.now)) }
+// awaitReturn advances simulated time until all lost machines have returned.
+func (r *lossRun) awaitReturn() { r.advanceFor(max(0, r.lastReturnAt-r.now)) }
 
-// awaitStart lets a site start, and reports whether it is complete and serves.
+// awaitStart waits until a starting site is complete and acknowledges changes, and reports whether it does in time.
 func (r *lossRun) awaitStart() bool {
-	_, ok := r.waitUntil(startWithin, func() bool { return r.isComplete() && r.counts["acked"] > 2 })
+	_, ok := r.waitUntil(maxStartTime, func() bool { return r.isComplete() && r.counts["acked"] > 2 })
 	return ok
 }
 
-// acknowledgedSince reports whether a change that began after a time was acknowledged.
+// acknowledgedSince returns a condition that holds once a change that was created at or after the given time is
+// acknowledged.
 func (r *lossRun) acknowledgedSince(when time.Duration) func() bool {
 	return func() bool {
 		for i := len(r.changes) - 1; i >= 0 && i >= len(r.changes)-40; i-- {
@@ -328,7 +333,7 @@
 	}
 }
 
-// follower is a healthy member that doesn't lead and doesn't count as lost; nil: there is none.
+// follower returns a healthy member that is not the leader and does not count as lost; nil if there is none.
 func (r *lossRun) follower() *groupSimNode {
 	leader := r.leader()
 	for _, member := range r.newestMembership() {
