--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("to version %d (%s)", c.newVersion, c.text)
 }
 
-// changeSearch is the run of one seed.
+// changeSearch is a run of TestEightConcurrentChanges with one seed.
 type changeSearch struct {
 	t            *testing.T
 	cluster      *testCluster
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -30,7 +30,7 @@
 // isolationDirection is the direction in which a member's messages are blocked.
 type isolationDirection string
 
-// Directions of an isolation.
+// Directions in which a member can be isolated.
 const (
 	isolatedBoth isolationDirection = "in both directions"
 	isolatedOut  isolationDirection = "outbound" // the member cannot send
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -36,7 +36,7 @@
 	startedAt       time.Time
 }
 
-// isolationEdge is an edge that follows the configuration through long polls to some members.
+// isolationEdge is a simulated edge machine that follows the configuration through long polls to some members.
 type isolationEdge struct {
 	machines []int // machines that the edge can reach
 	mu       sync.Mutex
@@ -255,8 +255,8 @@
 	return term
 }
 
-// chooseIsolatedMachine chooses the member to isolate, which is the leader or a follower, and in some scenarios a follower
-// to isolate with it.
+// chooseIsolatedMachine chooses the member to isolate, which is the leader or a follower, and in some scenarios a
+// follower to isolate with it.
 func (w *isolationWorld) chooseIsolatedMachine(machines int) {
 	for machine := 1; machine <= machines; machine++ {
 		switch isLeader := machine == w.leader(); {
--- a/internal/control/controlstate/second_loss_leave_test.go
+++ b/internal/control/controlstate/second_loss_leave_test.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// A member that has left and stopped no longer counts as alive: if a learner joins at that time, the leader must remove
-// the stopped member before it adds the learner. Otherwise the group would depend on the learner for its quorum.
+// A member that was allowed to stop is no longer treated as one that is leaving and can still vote. If a learner joins
+// at that time, the leader must remove the stopped member before it adds the learner. Otherwise the group would depend
+// on the learner for its quorum.
 func TestDepartedLeaverIsNotCountedForTheQuorum(t *testing.T) {
 	r := newLossRun(lossScenario{machines: 3, toleratedLosses: 1, seed: 6})
 	r.awaitStart()
--- a/internal/control/controlstate/second_loss_node_test.go
+++ b/internal/control/controlstate/second_loss_node_test.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// When all machines shut down at once, none uses up its grace period waiting for the others, and all acknowledged changes
-// are still there after a restart.
+// When all machines shut down at once, none uses up its grace period waiting for the others, and all acknowledged
+// changes are still there after a restart.
 func TestAllMachinesCanStopAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -24,9 +24,9 @@
 
 // Ways in which members are lost.
 const (
-	failureWiped   repairFailure = "disk lost"
-	failureSilent  repairFailure = "silent, disk kept"
-	failureLeaving repairFailure = "leaves in order"
+	failureWiped   repairFailure = "disk lost"         // the machine returns with an empty disk
+	failureSilent  repairFailure = "silent, disk kept" // the machine does not respond, but may return with its disk
+	failureLeaving repairFailure = "leaves in order"   // the machine announces its shutdown
 )
 
 // changeSequence is the order in which a repair changes the membership. The values appear in the table in
--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -188,7 +188,7 @@
 		target := r.leader()
 		if target == nil {
 			r.traceStatus()
-			r.violationf("quorum-back: no leader was elected within 6 s, which the %s should hit", kind)
+			r.violationf("quorum-back: no leader was elected within 6 s to inject the %s into", kind)
 			return 0
 		}
 		r.injectLoss(kind, target)
