--- a/internal/control/controlstate/second_loss_test.go
+++ b/internal/control/controlstate/second_loss_test.go
@@ -11,7 +11,7 @@
 // until a change was acknowledged again.
 func (r *lossRun) runScenario() (tolerated bool, duration time.Duration) {
 	if !r.awaitStart() {
-		r.violationf("group did not become complete within %v of its start", maxStartTime)
+		r.violationf("group was not complete and acknowledging changes within %v of its start", maxStartTime)
 		return false, 0
 	}
 	r.advanceFor(time.Second)
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -132,7 +132,7 @@
 	}
 	if r.checksTolerance {
 		if tolerated := r.toleratedNow(); tolerated < r.initialTolerance {
-			r.violationf("tolerance-never-lower: group tolerates %d more losses during the repair, want at least the %d from before it", tolerated, r.initialTolerance)
+			r.violationf("tolerance-never-lower: group tolerates %d more losses during the repair, want at least the %d from its beginning", tolerated, r.initialTolerance)
 		}
 	}
 }
