--- a/internal/control/controlstate/catch_up_network_test.go
+++ b/internal/control/controlstate/catch_up_network_test.go
@@ -8,35 +8,36 @@
 	"pebbleloom/internal/wire"
 )
 
-// catchUpMessage is a message on its way.
+// catchUpMessage is a message that the simulated network has accepted and not yet delivered.
 type catchUpMessage struct {
 	deliverAt      time.Duration
-	sequence       int
-	receiverStarts int // of the receiver when it was sent
+	sequence       int // position in the order of sending
+	receiverStarts int // the receiver's start count when the message was sent; a later process does not receive the message
 	message        *wire.Message
-	isLost         bool // it times out
-	link           *simLink
+	isLost         bool     // the message times out instead of arriving
+	link           *simLink // set only for a large message
 }
 
-// simLink carries large messages one after another, as the transport sends them.
+// simLink is the link from one machine to another. It transmits large messages one at a time, as the transport does.
 type simLink struct {
-	freeAt         time.Duration
-	queuedMessages int
+	freeAt         time.Duration // time at which the last queued message will have been transmitted
+	queuedMessages int           // messages that wait or are being transmitted
 }
 
-// largeMessageTimeout is the transport's time-out for a large message.
+// largeMessageTimeout returns the transport's time-out for a message with a payload of the given size in bytes.
 func largeMessageTimeout(size int) time.Duration {
 	return time.Duration(float64(catchUpHeal) * (sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20)))
 }
 
-// isLargeMessage reports whether the transport sends a message by itself, as product code decides it.
+// isLargeMessage reports whether the transport sends a message in a request of its own. It follows the rule of
+// transport.send.
 func isLargeMessage(message *wire.Message) bool {
 	return len(message.GetChunk().GetData()) > 0 || payloadBytes(message) >= largeMessageBytes
 }
 
-// send puts a message on its way. Large ones share the link between two machines, one after another; one
-// that takes longer than its time-out is lost.
-func (w *catchUpWorld) send(message *wire.Message) {
+// send queues a message for delivery. Large messages from one machine to another share a link, which transmits them
+// one at a time; a message whose transmission takes longer than its time-out is lost.
+func (w *catchUpSim) send(message *wire.Message) {
 	from, to := controlclient.MemberAddr(message.From), controlclient.MemberAddr(message.To)
 	receiver := w.node(to)
 	if receiver == nil || w.isolated[from] || w.isolated[to] {
@@ -46,7 +47,7 @@
 	if isLargeMessage(message) {
 		link := w.link(from, to)
 		if link.queuedMessages > maxQueuedLarge {
-			return // the queue is full, and one more is being sent
+			return // one message is being transmitted and the queue behind it is full
 		}
 		size := payloadBytes(message)
 		sendTime, timeout := time.Duration(float64(size)/float64(w.bytesPerSecond)*float64(time.Second)), largeMessageTimeout(size)
@@ -60,8 +61,8 @@
 	w.queued = append(w.queued, queued)
 }
 
-// link is the link from one machine to another.
-func (w *catchUpWorld) link(from, to string) *simLink {
+// link returns the link from one machine to another, and creates it at its first use.
+func (w *catchUpSim) link(from, to string) *simLink {
 	name := from + ">" + to
 	if w.links[name] == nil {
 		w.links[name] = &simLink{}
@@ -69,8 +70,9 @@
 	return w.links[name]
 }
 
-// deliver hands over the messages that are due. The sender of a large one that is lost gets a report.
-func (w *catchUpWorld) deliver() {
+// deliver passes the messages that are due to their receivers. If a large message is lost, the failure is reported to
+// its sender.
+func (w *catchUpSim) deliver() {
 	sort.SliceStable(w.queued, func(i, j int) bool { return w.queued[i].deliverAt < w.queued[j].deliverAt })
 	due := w.queued
 	w.queued = nil
--- a/internal/control/controlstate/catch_up_plans_test.go
+++ b/internal/control/controlstate/catch_up_plans_test.go
@@ -9,15 +9,16 @@
 	"pebbleloom/internal/errs"
 )
 
-// textPlanCodec reads the version at the front of a configuration and keeps the rest as it is.
+// textPlanCodec is a codec for large routing configurations: it parses only the version at the start of the text and
+// keeps the rest unchanged.
 type textPlanCodec struct{}
 
-// planVersion reads the version at the front of a configuration.
+// planVersion parses the version at the start of a routing configuration in the format of planText.
 func planVersion(plan []byte) (uint64, error) {
 	rest, ok := bytes.CutPrefix(plan, []byte(`{"version":`))
 	end := bytes.IndexByte(rest, ',')
 	if !ok || end < 0 {
-		return 0, errs.New(errs.BadInput, "no version")
+		return 0, errs.New(errs.BadInput, "routing configuration does not start with a version: %.40q", plan)
 	}
 	return strconv.ParseUint(string(rest[:end]), 10, 64)
 }
@@ -32,8 +33,8 @@
 	return sent, version, err
 }
 
-// planText is a configuration of so many routes, about 300 bytes each. The hosts differ from version to
-// version, so that no two versions have one content.
+// planText returns a routing configuration with the given number of routes, about 300 bytes each. The host names
+// contain the version, so that the contents of any two versions differ.
 func planText(version uint64, routes int) []byte {
 	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
 	for i := range routes {
--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -10,19 +10,21 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// planSizes are numbers of routes of a configuration: a usual one, and a large one by the contract.
+// planSizes are the sizes of the tested routing configurations, in routes: a typical one and the largest one that the
+// contract covers.
 var planSizes = []int{350, 2000}
 
-// fastLinkRate is the bandwidth of a control machine's link, in bytes a second.
+// fastLinkRate is the bandwidth of a control machine's network link, in bytes per second.
 const fastLinkRate = 125 << 20
 
-// catchUpBound is within how long a member catches up: an election or a join, and four times the state's
-// time on the link. Sizes are in bytes, the rate in bytes a second.
+// catchUpBound returns the time within which a member has to catch up: the time for an election or a join, plus four
+// times the transmission time of the state. stateBytes is in bytes, rate in bytes per second.
 func catchUpBound(stateBytes, rate int) time.Duration {
 	return 6*time.Second + 4*time.Duration(float64(stateBytes)/float64(rate)*float64(time.Second))
 }
 
-// changesFromEnv is the number of changes of a run: CATCH_UP_CHANGES, or as many as reach each fault.
+// changesFromEnv returns the number of configuration changes in a test run: the environment variable CATCH_UP_CHANGES,
+// or by default the number that covers every kind of fault.
 func changesFromEnv() int {
 	if count, err := strconv.Atoi(os.Getenv("CATCH_UP_CHANGES")); err == nil {
 		return count
@@ -30,15 +32,15 @@
 	return changesForAllFaults
 }
 
-// Each fault comes at least once in changesForAllFaults changes, with fewChanges while a member is away; in a
-// longer run there are moreChanges.
+// changesForAllFaults is the number of changes within which every kind of fault is injected at least once, given that
+// fewChanges changes are made during each fault. Longer runs make moreChanges changes during each fault.
 const (
 	changesForAllFaults = 135
 	fewChanges          = 6
 	moreChanges         = 20
 )
 
-// changesPerFault is how many changes are made while a member is away.
+// changesPerFault returns the number of changes that are made while a member is down or isolated.
 func changesPerFault() int {
 	if changesFromEnv() > changesForAllFaults {
 		return moreChanges
@@ -46,43 +48,46 @@
 	return fewChanges
 }
 
-// catchUpSeedFromEnv is CATCH_UP_SEED, for runs with other draws.
+// catchUpSeedFromEnv returns the environment variable CATCH_UP_SEED, which is added to the seeds of the random number
+// generators; 0 if it is not set.
 func catchUpSeedFromEnv() uint64 {
 	seed, _ := strconv.ParseUint(os.Getenv("CATCH_UP_SEED"), 10, 64)
 	return seed
 }
 
-// Hundreds of changes of configurations of 350 and of 2,000 routes, with compactions. Meanwhile members are
-// restarted, killed in a write, wiped, replaced and isolated, one by one and all at once. Each catches up
-// within the bound; catchUpWorld.runStep checks what holds at any time.
+// A group accepts many changes of routing configurations of 350 and of 2,000 routes, and compacts its logs, while members
+// are restarted, crash in the middle of a write, lose their disks, are replaced by new machines or isolated, and while
+// all members restart at once. Each affected member has to catch up within catchUpBound. catchUpSim.runStep checks the
+// invariants after each step.
 func TestCatchUpAfterHundredsOfChanges(t *testing.T) {
 	changes := changesFromEnv()
 	for _, routes := range planSizes {
 		t.Run(fmt.Sprint(routes, " routes"), func(t *testing.T) {
-			w := newCatchUpWorld(t, uint64(routes)+catchUpSeedFromEnv(), 4, fastLinkRate)
-			r := &catchUpRun{catchUpWorld: w, routes: routes, longest: map[string]time.Duration{}, counts: map[string]int{}}
+			w := newCatchUpSim(t, uint64(routes)+catchUpSeedFromEnv(), 4, fastLinkRate)
+			r := &catchUpRun{catchUpSim: w, routes: routes, longest: map[string]time.Duration{}, counts: map[string]int{}}
 			r.change(routes, 10*time.Second)
 			for number := 0; w.ackedVersion < uint64(changes); number++ {
 				r.injectFault(number)
 			}
 			for _, fault := range []string{"restarted", "leader restarted", "torn in a write", "wiped", "replaced", "isolated", "leader isolated", "all restarted"} {
-				t.Logf("%-16s %2d times, caught up within %v", fault, r.counts[fault], r.longest[fault])
+				t.Logf("fault %-16s injected %2d times, members caught up within %v", fault, r.counts[fault], r.longest[fault])
 				if r.counts[fault] == 0 && changes >= changesForAllFaults {
-					t.Errorf("%s: never happened", fault)
+					t.Errorf("fault %q was not injected in %d changes", fault, changes)
 				}
 			}
 		})
 	}
 }
 
-// catchUpRun injects faults while changes are made.
+// catchUpRun injects faults into a catchUpSim while configuration changes are made.
 type catchUpRun struct {
-	*catchUpWorld
-	routes  int
-	longest map[string]time.Duration // until a member had caught up, by fault
-	counts  map[string]int           // by fault
+	*catchUpSim
+	routes  int                      // size of the routing configurations
+	longest map[string]time.Duration // by fault: the longest time that a member took to catch up
+	counts  map[string]int           // by fault: how often it was injected
 }
 
+// makeChanges makes a number of configuration changes, and fails the test if one is not acknowledged within 20 s.
 func (r *catchUpRun) makeChanges(count int) {
 	r.t.Helper()
 	for range count {
@@ -90,10 +95,11 @@
 	}
 }
 
-// member is the leader, or a follower where there is a healthy one.
+// member returns the leader if isLeader is set, and a healthy follower otherwise. If there is no healthy follower, it
+// returns the leader.
 func (r *catchUpRun) member(isLeader bool) *catchUpNode {
 	r.t.Helper()
-	r.waitUntil("a leader", 10*time.Second, func() bool { return r.leader() != nil })
+	r.waitUntil("the election of a leader", 10*time.Second, func() bool { return r.leader() != nil })
 	leader := r.leader()
 	if isLeader {
 		return leader
@@ -107,25 +113,26 @@
 	return leader
 }
 
-// awaitCaughtUp waits until a member has caught up and the group is complete.
+// awaitCaughtUp waits until a member has caught up after a fault and the group is complete again. It fails the test if
+// the member exceeds catchUpBound.
 func (r *catchUpRun) awaitCaughtUp(fault string, node *catchUpNode) {
 	r.t.Helper()
-	begun := r.now
+	startedAt := r.now
 	bound := catchUpBound(len(r.bodies[r.ackedVersion]), r.bytesPerSecond)
 	for !r.hasCaughtUp(node) {
-		if r.step(); r.now-begun > bound {
+		if r.step(); r.now-startedAt > bound {
 			r.logStatus()
-			r.t.Fatalf("%s: %s hasn't caught up within %v", fault, node.addr, bound)
+			r.t.Fatalf("fault %q: member %s did not catch up within %v", fault, node.addr, bound)
 		}
 	}
-	r.longest[fault], r.counts[fault] = max(r.longest[fault], r.now-begun), r.counts[fault]+1
+	r.longest[fault], r.counts[fault] = max(r.longest[fault], r.now-startedAt), r.counts[fault]+1
 	r.awaitComplete()
 }
 
-// awaitComplete waits until the group has three members that have all caught up.
+// awaitComplete waits until the group has three voters and all of them have caught up.
 func (r *catchUpRun) awaitComplete() {
 	r.t.Helper()
-	r.waitUntil("three members that have caught up", 30*time.Second, func() bool {
+	r.waitUntil("three voters that have all caught up", 30*time.Second, func() bool {
 		leader := r.leader()
 		if leader == nil || !leader.shard.core.CanChangeMembership() {
 			return false
@@ -140,14 +147,14 @@
 	})
 }
 
-// injectFault injects one of eight faults, in turn: eight times to a follower, then eight times to the
-// leader. It waits until the member has caught up.
+// injectFault injects a fault and waits until the affected member has caught up. The number of the fault determines its
+// kind and its target: in each 16 faults the first eight hit a follower and the other eight the leader.
 func (r *catchUpRun) injectFault(number int) {
 	r.t.Helper()
-	hitsLeader := number%16 >= 8
-	node := r.member(hitsLeader)
+	targetsLeader := number%16 >= 8
+	node := r.member(targetsLeader)
 	prefix := ""
-	if hitsLeader {
+	if targetsLeader {
 		prefix = "leader "
 	}
 	switch number % 8 {
@@ -166,7 +173,8 @@
 	}
 }
 
-// restart keeps a member down for some changes; where torn, it ends in the middle of a write.
+// restart stops a member, makes changes without it and starts it again. If torn is set, the member crashes in the middle
+// of a write.
 func (r *catchUpRun) restart(fault string, node *catchUpNode, torn bool) {
 	r.t.Helper()
 	r.kill(node, torn)
@@ -176,7 +184,7 @@
 	r.awaitCaughtUp(fault, node)
 }
 
-// replaceDisk empties a member's disk, and starts it again after some changes.
+// replaceDisk stops a member, replaces its disk by an empty one, makes changes without it and starts it again.
 func (r *catchUpRun) replaceDisk(node *catchUpNode) {
 	r.t.Helper()
 	r.wipe(node)
@@ -186,7 +194,7 @@
 	r.awaitCaughtUp("wiped", node)
 }
 
-// replaceMachine removes a machine for good, and starts another one.
+// replaceMachine removes a machine permanently, and starts a new one at another address.
 func (r *catchUpRun) replaceMachine(node *catchUpNode) {
 	r.t.Helper()
 	r.kill(node, false)
@@ -197,19 +205,19 @@
 	r.awaitCaughtUp("replaced", replacement)
 }
 
-// isolate isolates a member for twenty seconds.
+// isolate isolates a member for at least isolationTime while changes are made.
 func (r *catchUpRun) isolate(fault string, node *catchUpNode) {
 	r.t.Helper()
 	r.isolated[node.addr] = true
-	begun := r.now
+	startedAt := r.now
 	r.makeChanges(changesPerFault())
-	r.advance(max(0, isolationTime-(r.now-begun)))
+	r.advance(max(0, isolationTime-(r.now-startedAt)))
 	delete(r.isolated, node.addr)
 	r.makeChanges(3)
 	r.awaitCaughtUp(fault, node)
 }
 
-// restartAll kills all machines at once and starts them again.
+// restartAll kills all machines at the same time, starts them again, and waits until the given member has caught up.
 func (r *catchUpRun) restartAll(node *catchUpNode) {
 	r.t.Helper()
 	for _, peer := range r.nodes {
@@ -226,21 +234,21 @@
 	r.awaitCaughtUp("all restarted", node)
 }
 
-// The virtual time to catch up after a restart, by the size of the state, the number of changes missed and the
-// bandwidth. The processor's time is measured in snapshot_cost_test.go.
+// Logs the virtual time that a restarted member takes to catch up, for several state sizes, numbers of missed changes and
+// bandwidths, and fails if it exceeds twice the bound. The benchmarks in snapshot_cost_test.go measure the CPU time.
 func TestTimeToCatchUp(t *testing.T) {
 	rates, missedChanges := []int{fastLinkRate, 128 << 10}, []int{10}
 	if changesFromEnv() > changesForAllFaults {
 		rates, missedChanges = []int{fastLinkRate, 1 << 20, 128 << 10}, []int{1, 10, 100}
 	}
-	t.Logf("%8s %10s %8s %12s %10s %12s", "routes", "state KB", "missed", "link MB/s", "ms", "KB sent")
+	t.Logf("%8s %10s %8s %12s %10s %12s", "routes", "state KB", "missed", "link MB/s", "time ms", "KB received")
 	for _, rate := range rates {
 		for _, routes := range []int{350, 1000, 2000} {
 			for _, missed := range missedChanges {
-				w := newCatchUpWorld(t, 1, 3, fastLinkRate)
+				w := newCatchUpSim(t, 1, 3, fastLinkRate)
 				w.change(routes, 10*time.Second)
 				w.advance(time.Second)
-				node := (&catchUpRun{catchUpWorld: w}).member(false)
+				node := (&catchUpRun{catchUpSim: w}).member(false)
 				w.kill(node, false)
 				for range missed {
 					w.change(routes, 10*time.Second)
@@ -249,7 +257,7 @@
 				w.start(node, false)
 				node.receivedBytes = 0
 				size := len(planText(w.ackedVersion, routes))
-				duration := w.waitUntil("caught up", 2*catchUpBound(size, rate), func() bool { return w.hasCaughtUp(node) })
+				duration := w.waitUntil("the restarted member to have applied the last acknowledged version", 2*catchUpBound(size, rate), func() bool { return w.hasCaughtUp(node) })
 				t.Logf("%8d %10d %8d %12.3f %10d %12d", routes, size>>10, missed, float64(rate)/(1<<20), duration.Milliseconds(), node.receivedBytes>>10)
 			}
 		}
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -16,9 +16,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// catchUpWorld runs the real members (consensus core, state, storage, membership planner) of one group on
-// virtual time, over links of a bandwidth. It is for large configurations: messages aren't cloned.
-type catchUpWorld struct {
+// catchUpSim simulates one group in virtual time. The members are real shards (consensus core, state, storage and
+// membership planner); the disks and the network, whose links have a limited bandwidth, are simulated. Messages are not
+// cloned, so that large routing configurations can be simulated quickly.
+type catchUpSim struct {
 	t              testing.TB
 	random         *rand.Rand
 	now            time.Duration
@@ -26,41 +27,42 @@
 	seeds          []string
 	queued         []catchUpMessage
 	sentMessages   int
-	links          map[string]*simLink // from>to
-	bytesPerSecond int                 // of a link
-	isolated       map[string]bool     // addresses
-	ackedVersion   uint64              // acknowledged last
-	bodies         map[uint64][]byte   // by version, for as long as it may be read
-	termLeaders    map[uint64]string   // by term
-	tailBytes      int
+	links          map[string]*simLink // keys have the form "from>to", with the addresses of two machines
+	bytesPerSecond int                 // bandwidth of each link
+	isolated       map[string]bool     // addresses of isolated machines
+	ackedVersion   uint64              // last acknowledged version of the routing configuration
+	bodies         map[uint64][]byte   // by version: the bodies of the last eight versions that were sent
+	termLeaders    map[uint64]string   // by term: the incarnation of the leader
+	trailingBytes  int                 // consensus.Config.TrailingLogBytes of the members
 }
 
-// catchUpNode is one machine.
+// catchUpNode is one simulated machine.
 type catchUpNode struct {
 	addr          string
 	disk          *simDisk
-	shard         *shard // nil: down
+	shard         *shard // nil while the process is down
 	clock         *clock.Manual
-	starts        int
+	starts        int // incremented at each start and stop, so that messages of an earlier process are recognized
 	nextTick      time.Duration
-	nextJoin      time.Duration
-	version       uint64 // that it has applied since its start
-	isRemoved     bool   // for good
-	receivedBytes int    // bytes of large messages
+	nextJoin      time.Duration // earliest time of the next join request
+	version       uint64        // version of the routing configuration that the current process has applied
+	isRemoved     bool          // the machine was removed permanently
+	receivedBytes int           // total payload of the large messages sent to this machine
 }
 
-// Virtual time passes in steps; ticks are those of the default heal bound.
+// Timing of the simulation. Virtual time advances by catchUpStep; the other values follow from the default heal bound.
 const (
 	catchUpStep = 5 * time.Millisecond
 	catchUpTick = 100 * time.Millisecond // groupTick of the heal bound
-	catchUpHeal = 12 * time.Second
-	linkDelay   = 2 * time.Millisecond
+	catchUpHeal = 12 * time.Second       // default heal bound
+	linkDelay   = 2 * time.Millisecond   // latency of a message, in addition to its transmission time
 )
 
-// newCatchUpWorld founds a group; rate is the bandwidth of its links in bytes a second.
-func newCatchUpWorld(t testing.TB, seed uint64, machines, rate int) *catchUpWorld {
-	w := &catchUpWorld{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
-		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: trailingLogBytes}
+// newCatchUpSim starts a group and waits for its first leader. The first three machines are the seeds; rate is the
+// bandwidth of each link in bytes per second.
+func newCatchUpSim(t testing.TB, seed uint64, machines, rate int) *catchUpSim {
+	w := &catchUpSim{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
+		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, trailingBytes: trailingLogBytes}
 	for range machines {
 		node := w.addNode()
 		if len(w.seeds) < 3 {
@@ -70,18 +72,20 @@
 	for _, node := range w.nodes {
 		w.start(node, true)
 	}
-	w.waitUntil("a leader", 10*time.Second, func() bool { return w.leader() != nil })
+	w.waitUntil("the election of a leader", 10*time.Second, func() bool { return w.leader() != nil })
 	return w
 }
 
-func (w *catchUpWorld) addNode() *catchUpNode {
+// addNode adds a machine with an empty disk, whose process is not running yet.
+func (w *catchUpSim) addNode() *catchUpNode {
 	node := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(w.nodes)+1), disk: newSimDisk(), clock: &clock.Manual{}}
 	w.nodes = append(w.nodes, node)
 	return node
 }
 
-// start starts a machine from its disk.
-func (w *catchUpWorld) start(node *catchUpNode, firstStart bool) {
+// start starts the process of a machine, which recovers from the disk. firstStart tells it that this is the first start
+// of the site.
+func (w *catchUpSim) start(node *catchUpNode, firstStart bool) {
 	node.starts++
 	starts := node.starts
 	node.disk.powerBudget = -1
@@ -96,13 +100,14 @@
 	config.codec = textPlanCodec{}
 	config.reopenTicks = int(reopenIntervalRatio / groupTick)
 	config.consensusConfig.MaxBatchBytes = 256 << 10
-	config.consensusConfig.TrailingLogBytes = w.tailBytes
+	config.consensusConfig.TrailingLogBytes = w.trailingBytes
 	openGroupShard(replica, config)
 	node.shard, node.nextTick, node.version = replica, w.now, 0
 }
 
-// kill ends a process, in the middle of a write where torn.
-func (w *catchUpWorld) kill(node *catchUpNode, torn bool) {
+// kill ends the process of a machine without a shutdown. If torn is set, it first waits for up to 200 steps until the
+// process crashes in the middle of a write.
+func (w *catchUpSim) kill(node *catchUpNode, torn bool) {
 	if torn && node.shard != nil {
 		node.disk.powerBudget = w.random.IntN(1 << 20)
 		for range 200 {
@@ -114,13 +119,14 @@
 	node.shard, node.starts = nil, node.starts+1
 }
 
-// wipe ends a process and empties its disk.
-func (w *catchUpWorld) wipe(node *catchUpNode) {
+// wipe kills the process of a machine and replaces the disk by an empty one.
+func (w *catchUpSim) wipe(node *catchUpNode) {
 	w.kill(node, false)
 	node.disk = newSimDisk()
 }
 
-func (w *catchUpWorld) node(addr string) *catchUpNode {
+// node returns the machine at an address; nil if there is none.
+func (w *catchUpSim) node(addr string) *catchUpNode {
 	for _, node := range w.nodes {
 		if node.addr == addr {
 			return node
@@ -129,13 +135,13 @@
 	return nil
 }
 
-// isHealthy reports whether a machine runs and its shard has not failed.
-func (w *catchUpWorld) isHealthy(node *catchUpNode) bool {
+// isHealthy reports whether the process of a machine is running and its member has not failed.
+func (w *catchUpSim) isHealthy(node *catchUpNode) bool {
 	return node != nil && node.shard != nil && node.shard.failure == nil
 }
 
-// step moves virtual time on, delivers what is due and ticks the members.
-func (w *catchUpWorld) step() {
+// step advances virtual time by catchUpStep, delivers the messages that are due and ticks the members.
+func (w *catchUpSim) step() {
 	w.now += catchUpStep
 	for _, node := range w.nodes {
 		node.clock.Time += catchUpStep
@@ -146,8 +152,9 @@
 	}
 }
 
-// tick ticks a member once a catchUpTick; one that isn't a member of the group requests to join.
-func (w *catchUpWorld) tick(node *catchUpNode) {
+// tick ticks a member if catchUpTick has passed since its last tick. If no leader replicates to the member, it then sends
+// a join request.
+func (w *catchUpSim) tick(node *catchUpNode) {
 	if node.shard == nil || w.now < node.nextTick {
 		return
 	}
@@ -163,9 +170,10 @@
 	}
 }
 
-// runStep lets a member act on its input, and checks the invariants: state never goes back to an older one, a
-// version has one content, a term has one leader, and no leader has older state than was acknowledged.
-func (w *catchUpWorld) runStep(node *catchUpNode) {
+// runStep has a member process its input, and checks the invariants: the applied state never becomes older, all members
+// hold the same body for a version, a term has at most one leader, and a leader that has applied an entry of the newest
+// term holds every acknowledged change.
+func (w *catchUpSim) runStep(node *catchUpNode) {
 	before := node.shard.core.Status()
 	node.shard.handleReady()
 	if node.shard.failure != nil {
@@ -173,15 +181,15 @@
 	}
 	status := node.shard.core.Status()
 	if status.Applied < before.Applied {
-		w.t.Fatalf("old snapshot never installed over newer state: %s went from %d to %d", node.addr, before.Applied, status.Applied)
+		w.t.Fatalf("member %s replaced its state by an older one: applied index went from %d to %d", node.addr, before.Applied, status.Applied)
 	}
 	document := node.shard.state.documents[routingconfig.DocumentKey]
 	if document.GetVersion() < node.version {
-		w.t.Fatalf("old snapshot never installed over newer state: %s went from version %d to %d", node.addr, node.version, document.GetVersion())
+		w.t.Fatalf("member %s replaced its state by an older one: routing configuration went from version %d to version %d", node.addr, node.version, document.GetVersion())
 	}
 	if document.GetVersion() > node.version {
 		if want := w.bodies[document.Version]; want != nil && !bytes.Equal(want, document.Body) {
-			w.t.Fatalf("%s holds another body under version %d", node.addr, document.Version)
+			w.t.Fatalf("member %s holds a different body than the one sent for routing configuration version %d", node.addr, document.Version)
 		}
 	}
 	node.version = document.GetVersion()
@@ -189,24 +197,24 @@
 		return
 	}
 	if leader := w.termLeaders[status.Term]; leader != "" && leader != node.shard.core.Self() {
-		w.t.Fatalf("one leader a term: %d has %s and %s", status.Term, leader, node.shard.core.Self())
+		w.t.Fatalf("term %d has two leaders: %s and %s", status.Term, leader, node.shard.core.Self())
 	}
 	w.termLeaders[status.Term] = node.shard.core.Self()
 	if node.shard.core.HasAppliedCurrentTerm() && status.Term >= w.highestTerm() && node.version < w.ackedVersion {
-		w.t.Fatalf("never leads with old state: %s leads term %d with version %d, %d was acknowledged", node.addr, status.Term, node.version, w.ackedVersion)
+		w.t.Fatalf("member %s leads term %d with routing configuration version %d, but version %d was acknowledged", node.addr, status.Term, node.version, w.ackedVersion)
 	}
 }
 
-// highestTerm is the highest one that had a leader.
-func (w *catchUpWorld) highestTerm() (highest uint64) {
+// highestTerm returns the highest term in which there was a leader.
+func (w *catchUpSim) highestTerm() (highest uint64) {
 	for term := range w.termLeaders {
 		highest = max(highest, term)
 	}
 	return highest
 }
 
-// join requests to join from a random machine, then from the leader that it names.
-func (w *catchUpWorld) join(node *catchUpNode) {
+// join sends a join request for a member to a random machine and, if that is not the leader, to the leader that it names.
+func (w *catchUpSim) join(node *catchUpNode) {
 	peer := w.nodes[w.random.IntN(len(w.nodes))]
 	for peer.isRemoved {
 		peer = w.nodes[w.random.IntN(len(w.nodes))]
@@ -223,8 +231,9 @@
 	}
 }
 
-// leader is the leader of the highest term that has applied an entry of its term; nil: there is none.
-func (w *catchUpWorld) leader() *catchUpNode {
+// leader returns the healthy, non-isolated leader of the highest term that has applied an entry of its term; nil if there
+// is none.
+func (w *catchUpSim) leader() *catchUpNode {
 	var leader *catchUpNode
 	for _, node := range w.nodes {
 		if !w.isHealthy(node) || w.isolated[node.addr] || !node.shard.core.HasAppliedCurrentTerm() {
@@ -237,55 +246,56 @@
 	return leader
 }
 
-// advance lets time pass.
-func (w *catchUpWorld) advance(duration time.Duration) {
+// advance runs the simulation for a period of virtual time.
+func (w *catchUpSim) advance(duration time.Duration) {
 	for end := w.now + duration; w.now < end; {
 		w.step()
 	}
 }
 
-// waitUntil lets time pass until a condition holds, and fails the test when it doesn't hold in time. It
-// returns how long that took.
-func (w *catchUpWorld) waitUntil(what string, within time.Duration, holds func() bool) time.Duration {
+// waitUntil runs the simulation until a condition holds and returns the virtual time that this took. It fails the test on
+// a time-out; condition describes what it waited for.
+func (w *catchUpSim) waitUntil(condition string, within time.Duration, holds func() bool) time.Duration {
 	w.t.Helper()
-	begun := w.now
+	startedAt := w.now
 	for !holds() {
-		if w.step(); w.now-begun > within {
+		if w.step(); w.now-startedAt > within {
 			w.logStatus()
-			w.t.Fatalf("%s: not within %v", what, within)
+			w.t.Fatalf("timed out after %v waiting for: %s", within, condition)
 		}
 	}
-	return w.now - begun
+	return w.now - startedAt
 }
 
-// logStatus logs the status of all members.
-func (w *catchUpWorld) logStatus() {
+// logStatus logs the status of all running members.
+func (w *catchUpSim) logStatus() {
 	for _, node := range w.nodes {
 		if node.shard != nil {
 			members, _, _ := node.shard.core.Members()
-			w.t.Logf("%s: %+v members %v version %d failure %v", node.addr, node.shard.core.Status(), members, node.version, node.shard.failure)
+			w.t.Logf("member %s: status %+v, members %v, routing configuration version %d, failure %v", node.addr, node.shard.core.Status(), members, node.version, node.shard.failure)
 		}
 	}
 }
 
-// change has an operator put the next version until it is acknowledged, within a bound.
-func (w *catchUpWorld) change(routes int, within time.Duration) {
+// change sends the next version of the routing configuration to the leader, repeatedly until the version is acknowledged
+// or found applied. It fails the test on a time-out.
+func (w *catchUpSim) change(routes int, within time.Duration) {
 	w.t.Helper()
 	next := w.ackedVersion + 1
 	plan := planText(next, routes)
 	w.bodies[next] = plan
 	delete(w.bodies, next-8)
-	for begun := w.now; ; {
-		if w.now-begun > within {
+	for startedAt := w.now; ; {
+		if w.now-startedAt > within {
 			w.logStatus()
-			w.t.Fatalf("version %d: not acknowledged within %v", next, within)
+			w.t.Fatalf("routing configuration version %d was not acknowledged within %v", next, within)
 		}
 		node := w.leader()
 		if node == nil {
 			w.step()
 			continue
 		}
-		if node.version >= next { // an earlier attempt was applied
+		if node.version >= next { // an earlier attempt without a response was applied
 			break
 		}
 		if w.put(node, plan).GetOutcome() == wire.OutcomeDone {
@@ -296,13 +306,14 @@
 	w.ackedVersion = next
 }
 
-// put proposes a change to a node, and waits for its answer; nil: none came in time.
-func (w *catchUpWorld) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
+// put proposes a routing configuration to a node and waits for the response. It returns nil if the process ended first
+// or answerTimeout passed.
+func (w *catchUpSim) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
 	starts := node.starts
 	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: w.ackedVersion}
 	pending, response := node.shard.propose(putRequest(put), nil)
 	w.runStep(node)
-	for begun := w.now; response == nil && node.starts == starts && w.now-begun < answerTimeout; {
+	for startedAt := w.now; response == nil && node.starts == starts && w.now-startedAt < answerTimeout; {
 		select {
 		case response = <-pending.response:
 		default:
@@ -312,7 +323,7 @@
 	return response
 }
 
-// hasCaughtUp reports whether a member has applied what was acknowledged.
-func (w *catchUpWorld) hasCaughtUp(node *catchUpNode) bool {
+// hasCaughtUp reports whether a member is healthy and has applied the last acknowledged version.
+func (w *catchUpSim) hasCaughtUp(node *catchUpNode) bool {
 	return w.isHealthy(node) && node.version >= w.ackedVersion
 }
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -12,14 +12,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// singleMember is a group of one, on a disk that fails: it has nothing but this disk.
+// singleMember is a group with a single member on an unreliable disk. The disk holds the only copy of the data.
 type singleMember struct {
 	random    *rand.Rand
 	disk      *cacheDisk
 	replica   *shard
-	newest    uint64 // the newest version that was acknowledged
+	newest    uint64 // highest acknowledged version of the document
 	starts    int
-	crashes   int // in a write
+	crashes   int // crashes of the process during a write
 	ackedPuts int
 }
 
@@ -30,7 +30,7 @@
 	return m
 }
 
-// start starts the process from its disk.
+// start starts the process, which recovers from the disk.
 func (m *singleMember) start() {
 	m.starts++
 	m.disk.crashed, m.disk.writesUntilCrash = false, -1
@@ -43,7 +43,8 @@
 	openGroupShard(m.replica, config)
 }
 
-// tick lets time pass; a process that crashes in a write starts again, at times after a loss of power.
+// tick runs the member for a number of ticks. If the process crashes during a write, it is restarted, sometimes after a
+// power loss.
 func (m *singleMember) tick(ticks int) {
 	for range ticks {
 		if m.replica.failure == nil {
@@ -58,7 +59,7 @@
 	}
 }
 
-// restart starts the process again, at times after a loss of power.
+// restart restarts the process, half of the time after a power loss.
 func (m *singleMember) restart() {
 	if m.random.IntN(2) == 0 {
 		m.disk.losePower()
@@ -66,7 +67,8 @@
 	m.start()
 }
 
-// injectFault fills the disk or frees it, has the process crash in a coming write, or restarts it.
+// injectFault makes writes fail or succeed again, schedules a crash of the process during one of the next writes, or
+// restarts the process. Half of the time it does nothing.
 func (m *singleMember) injectFault() {
 	switch m.random.IntN(6) {
 	case 0:
@@ -78,8 +80,8 @@
 	}
 }
 
-// put proposes a change. It returns the answer, nil where there is none after a tick, and whether the
-// process has lived on.
+// put proposes a change and runs the member for one tick. It returns the response, or nil if there is none after that
+// tick, and whether the process survived the tick.
 func (m *singleMember) put(body []byte) (response *wire.ChangeResponse, survived bool) {
 	pending, response := m.replica.propose(putRequest(&wire.Put{Key: "k", AnyVersion: true, Body: body}), nil)
 	before := m.replica
@@ -98,9 +100,8 @@
 	return response, survived
 }
 
-// Whatever becomes of the process, of the machine's power and of single writes and syncs, what a group of
-// one has acknowledged is there once it runs again; and it accepts changes again as soon as its disk
-// accepts writes.
+// A group with a single member keeps all acknowledged changes through process crashes, power losses and failed writes
+// and syncs, and accepts changes again as soon as its disk accepts writes.
 func TestAcknowledgedChangesAreDurable(t *testing.T) {
 	acked, starts, crashes := 0, 0, 0
 	for seed := range uint64(400) {
@@ -108,24 +109,24 @@
 		for step := range 60 {
 			member.injectFault()
 			member.tick(1 + member.random.IntN(30))
-			diskIsWell := step%10 == 9
-			if diskIsWell {
+			diskWorks := step%10 == 9
+			if diskWorks {
 				member.disk.failWrites = false
 				member.tick(60)
 			}
 			response, survived := member.put(fmt.Append(nil, step))
-			refused := response.GetOutcome() != wire.OutcomeDone && member.disk.writesUntilCrash < 0 && survived
-			if diskIsWell && (member.replica.failure != nil || refused) {
-				t.Fatalf("seed %d: with a disk that is well: %v, %v", seed, member.replica.failure, response)
+			failed := response.GetOutcome() != wire.OutcomeDone && member.disk.writesUntilCrash < 0 && survived
+			if diskWorks && (member.replica.failure != nil || failed) {
+				t.Fatalf("seed %d, step %d: change failed although the disk accepts writes: member failure %v, response %v", seed, step, member.replica.failure, response)
 			}
 			if version := member.replica.state.documents["k"].GetVersion(); member.replica.failure == nil && member.replica.core.HasAppliedCurrentTerm() && version < member.newest {
-				t.Fatalf("seed %d, step %d: %d was acknowledged, %d is there", seed, step, member.newest, version)
+				t.Fatalf("seed %d, step %d: document version %d was acknowledged, but the member holds version %d", seed, step, member.newest, version)
 			}
 		}
 		acked, starts, crashes = acked+member.ackedPuts, starts+member.starts, crashes+member.crashes
 	}
-	t.Logf("%d acknowledged, %d starts, %d crashes in a write", acked, starts, crashes)
+	t.Logf("%d changes acknowledged, %d process starts, %d crashes during a write", acked, starts, crashes)
 	if acked < 2000 || starts < 1000 || crashes < 200 {
-		t.Errorf("%d acknowledged, %d starts, %d crashes in a write: the test doesn't reach enough", acked, starts, crashes)
+		t.Errorf("test covered too little: %d changes acknowledged, %d process starts, %d crashes during a write; want at least 2000, 1000 and 200", acked, starts, crashes)
 	}
 }
--- a/internal/control/controlstate/idempotency_test.go
+++ b/internal/control/controlstate/idempotency_test.go
@@ -14,7 +14,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// changeCommand is a change as a leader proposes it.
+// changeCommand returns a change of a document with digests and a new version, as a leader proposes it.
 func changeCommand(key, content, token string, base, version uint64) *wire.Command {
 	put := &wire.Put{Key: key, Body: []byte(content), IfVersion: base, Token: token}
 	put.Digest, put.ContentDigest = requestDigest(put, false), contentDigest(put, false)
@@ -22,25 +22,25 @@
 	return &wire.Command{Kind: &wire.Command_Put{Put: put}}
 }
 
-// planChange is the n-th change of the routing configuration, from 1 on: it makes version 2n on version
-// 2n-2.
+// planChange returns the n-th change of the routing configuration, counted from 1. It is based on version 2n-2 and
+// produces version 2n.
 func planChange(n int) *wire.Command {
 	return changeCommand(routingconfig.DocumentKey, fmt.Sprint("plan ", n), fmt.Sprintf("%032x", n), uint64(2*n-2), uint64(2*n))
 }
 
-// stateAfter is a state to which that many changes of the routing configuration were applied.
+// stateAfter returns a state to which the given number of changes of the routing configuration has been applied.
 func stateAfter(t *testing.T, changes int) *state {
 	t.Helper()
 	s := newState()
 	for n := 1; n <= changes; n++ {
 		if response := s.apply(planChange(n), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*n) {
-			t.Fatalf("change %d: %v", n, response)
+			t.Fatalf("change %d of the routing configuration: got %v, want outcome %s at version %d", n, response, wire.OutcomeDone, 2*n)
 		}
 	}
 	return s
 }
 
-// reloaded is the state that a member has that installs a snapshot of s.
+// reloaded saves a state to a snapshot and returns the state that a member loads from it.
 func reloaded(t *testing.T, s *state) *state {
 	t.Helper()
 	saved, err := s.save()
@@ -54,48 +54,49 @@
 	return restored
 }
 
-// A change that is retried after a day's changes, or after hundreds of changes of other documents, is
-// acknowledged again, also by a member that got the state by a snapshot.
+// A retry of a change is acknowledged again even after a day's worth of later changes of its document and hundreds of
+// changes of other documents. That holds as well for a member that received its state as a snapshot.
 func TestLateRetryIsAcknowledged(t *testing.T) {
 	s := stateAfter(t, configChangesPerDay)
 	for i := range 2 * maxRecentTokens {
 		s.apply(changeCommand("other", "x", fmt.Sprint("o", i), uint64(i), 0), 0)
 	}
-	for name, s := range map[string]*state{"by the log": s, "by a snapshot": reloaded(t, s)} {
+	for name, s := range map[string]*state{"state from the log": s, "state from a snapshot": reloaded(t, s)} {
 		for n := 1; n <= configChangesPerDay; n++ {
 			if response := s.apply(planChange(n), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*n) {
-				t.Fatalf("%s: change %d retried: %v", name, n, response)
+				t.Fatalf("%s: retry of change %d: got %v, want outcome %s at version %d", name, n, response, wire.OutcomeDone, 2*n)
 			}
 		}
 		if version := s.documents[routingconfig.DocumentKey].Version; version != 2*configChangesPerDay {
-			t.Errorf("%s: version %d is in force", name, version)
+			t.Errorf("%s: routing configuration has version %d after the retries, want %d", name, version, 2*configChangesPerDay)
 		}
 	}
 }
 
-// A change older than the records may have been applied or not: its outcome is unknown. One on a base that
-// is recorded, and that wasn't applied, is a conflict.
+// A retry of a change whose record may have been evicted gets an unknown outcome, since the change may or may not have
+// been applied. A new change that is based on an old version is a conflict if all changes since that version are still
+// on record, and gets an unknown outcome otherwise.
 func TestForgottenChangeHasUnknownOutcome(t *testing.T) {
-	const past = 50
-	s := stateAfter(t, maxConfigRecords+past)
-	for name, s := range map[string]*state{"by the log": s, "by a snapshot": reloaded(t, s)} {
-		for n := 1; n <= maxConfigRecords+past; n++ {
-			want, fresh := wire.OutcomeDone, wire.OutcomeConflict
-			if n <= past {
-				want, fresh = wire.OutcomeUnknown, wire.OutcomeUnknown
+	const evicted = 50 // changes whose records have been evicted
+	s := stateAfter(t, maxConfigRecords+evicted)
+	for name, s := range map[string]*state{"state from the log": s, "state from a snapshot": reloaded(t, s)} {
+		for n := 1; n <= maxConfigRecords+evicted; n++ {
+			want, wantOfRival := wire.OutcomeDone, wire.OutcomeConflict
+			if n <= evicted {
+				want, wantOfRival = wire.OutcomeUnknown, wire.OutcomeUnknown
 			}
 			if response := s.apply(planChange(n), 0); response.Outcome != want {
-				t.Fatalf("%s: change %d retried: %v, want %s", name, n, response, want)
+				t.Fatalf("%s: retry of change %d: got %v, want outcome %s", name, n, response, want)
 			}
 			rival := changeCommand(routingconfig.DocumentKey, "another", fmt.Sprint("rival ", n), uint64(2*n-2), uint64(2*n))
-			if response := s.apply(rival, 0); response.Outcome != fresh {
-				t.Fatalf("%s: another change on the base of %d: %v, want %s", name, n, response, fresh)
+			if response := s.apply(rival, 0); response.Outcome != wantOfRival {
+				t.Fatalf("%s: different change with the base version of change %d: got %v, want outcome %s", name, n, response, wantOfRival)
 			}
 		}
 	}
 }
 
-// All members forget the same changes, whenever each of them has installed a snapshot.
+// All members evict the same idempotency records, regardless of when each of them installed a snapshot.
 func TestMembersForgetTheSameChanges(t *testing.T) {
 	s := stateAfter(t, maxConfigRecords-20)
 	other := reloaded(t, s)
@@ -109,15 +110,16 @@
 	a, errA := s.save()
 	b, errB := other.save()
 	if errA != nil || errB != nil || !bytes.Equal(a, b) {
-		t.Errorf("states differ: %d and %d bytes, %v, %v", len(a), len(b), errA, errB)
+		t.Errorf("saved states of two members with the same log differ: %d and %d bytes, errors %v and %v", len(a), len(b), errA, errB)
 	}
 }
 
-// The bytes of the records in a snapshot: for each change, after a day's changes, and at the bound.
+// Limits the size of the idempotency records in a snapshot: per change, and for a document with the maximum number of
+// records.
 func TestIdempotencyRecordSize(t *testing.T) {
 	size := func(changes int) int {
 		s := stateAfter(t, changes)
-		s.recentTokens = nil // the records of earlier releases have a bound of their own
+		s.recentTokens = nil // the recent tokens, which earlier releases use, have a limit of their own
 		saved, err := s.save()
 		if err != nil {
 			t.Fatal(err)
@@ -131,19 +133,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("a recorded change: %.1f bytes; %d changes: %d bytes; at the bound of %d: %d bytes; the complete state after %d changes: %d bytes",
+	t.Logf("size of one idempotency record: %.1f bytes; of the records of %d changes: %d bytes; at the limit of %d records: %d bytes; complete state after %d changes: %d bytes",
 		perChange, configChangesPerDay, day, maxConfigRecords, full, configChangesPerDay, len(saved))
 	if perChange > 40 || full > 150<<10 {
-		t.Errorf("%.1f bytes a change, %d bytes at the bound", perChange, full)
+		t.Errorf("idempotency records take %.1f bytes per change and %d bytes at the limit, want at most 40 and %d", perChange, full, 150<<10)
 	}
 }
 
-// earlierRelease applies changes as the releases did that had no records by document.
+// earlierRelease applies changes like the releases that kept only the recent tokens and no idempotency records by document.
 type earlierRelease struct {
 	docs   map[string]*wire.Document
 	tokens []*wire.ChangeToken
 }
 
+// put applies a change to the documents and the recent tokens.
 func (e *earlierRelease) put(put *wire.Put) {
 	for _, token := range e.tokens {
 		if put.Token != "" && token.Token == put.Token {
@@ -164,13 +167,13 @@
 	}
 }
 
-// Members of an earlier release and of this one have the same documents after the same log, whichever
-// release's leader proposed an entry; and what an earlier release reads of a snapshot is what it would hold.
+// Members of an earlier release and of this release hold the same documents and recent tokens after the same log,
+// regardless of which release proposed each entry and of when a member of this release installed a snapshot.
 func TestEarlierReleaseAppliesTheSameState(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 17))
 		state, earlier := newState(), &earlierRelease{docs: map[string]*wire.Document{}}
-		var sent []*wire.Command
+		var proposed []*wire.Command
 		for i := range 1500 {
 			key := []string{routingconfig.DocumentKey, controlclient.ConfigKey, "other"}[random.IntN(3)]
 			command := changeCommand(key, fmt.Sprint(random.IntN(3)), fmt.Sprint("t", i), state.documents[key].GetVersion(), 0)
@@ -180,13 +183,13 @@
 			case 1:
 				command.GetPut().AnyVersion = true
 			case 2:
-				command.GetPut().Token = fmt.Sprint("t", random.IntN(i+1)) // of another change, which may be forgotten
+				command.GetPut().Token = fmt.Sprint("t", random.IntN(i+1)) // token of an earlier change, which may have been evicted
 			}
 			if random.IntN(2) == 0 {
-				command.GetPut().ContentDigest = nil // an earlier release proposed it
+				command.GetPut().ContentDigest = nil // as proposed by an earlier release
 			}
-			if sent = append(sent, command); random.IntN(3) == 0 {
-				command = sent[random.IntN(len(sent))]
+			if proposed = append(proposed, command); random.IntN(3) == 0 {
+				command = proposed[random.IntN(len(proposed))]
 			}
 			if state.apply(proto.Clone(command).(*wire.Command), 0); random.IntN(100) == 0 {
 				state = reloaded(t, state)
@@ -198,18 +201,18 @@
 			same = same && proto.Equal(document, state.documents[key])
 		}
 		if !same || len(state.documents) != len(earlier.docs) {
-			t.Fatalf("seed %d: the documents or the newest tokens differ", seed)
+			t.Fatalf("seed %d: documents or recent tokens differ between this release (%d documents) and an earlier one (%d documents)", seed, len(state.documents), len(earlier.docs))
 		}
 	}
 }
 
-// A snapshot of an earlier release has records of the newest changes alone. A change that it may have
-// forgotten has an unknown outcome; where it can't have forgotten any, an unknown change is a conflict.
+// A snapshot of an earlier release contains only the recent tokens. After it is loaded, a change whose token may have been
+// evicted gets an unknown outcome. If no token can have been evicted, a change that is not on record is a conflict.
 func TestSnapshotOfEarlierReleaseIsReadable(t *testing.T) {
 	for _, test := range []struct {
 		changes int
-		first   wire.Outcome // of the first change, retried
-		fresh   wire.Outcome // of another change on its base
+		first   wire.Outcome // wanted for a retry of the first change
+		rival   wire.Outcome // wanted for a different change with the same base version
 	}{{maxRecentTokens - 1, wire.OutcomeDone, wire.OutcomeConflict}, {maxRecentTokens + 44, wire.OutcomeUnknown, wire.OutcomeUnknown}} {
 		state := newState()
 		for n := 1; n <= test.changes; n++ {
@@ -217,25 +220,25 @@
 			command.GetPut().ContentDigest = nil
 			state.apply(command, 0)
 		}
-		state.idempotency = nil // as an earlier release writes it
+		state.idempotency = nil // earlier releases do not write them
 		state = reloaded(t, state)
 		if response := state.apply(planChange(1), 0); response.Outcome != test.first {
-			t.Errorf("%d changes: the first retried: %v, want %s", test.changes, response, test.first)
+			t.Errorf("after %d changes, retry of the first: got %v, want outcome %s", test.changes, response, test.first)
 		}
-		if response := state.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); response.Outcome != test.fresh {
-			t.Errorf("%d changes: another on the first base: %v, want %s", test.changes, response, test.fresh)
+		if response := state.apply(changeCommand(routingconfig.DocumentKey, "another", "rival", 0, 2), 0); response.Outcome != test.rival {
+			t.Errorf("after %d changes, different change with the base version of the first: got %v, want outcome %s", test.changes, response, test.rival)
 		}
 		if response := state.apply(planChange(test.changes), 0); response.Outcome != wire.OutcomeDone || response.Version != uint64(2*test.changes) {
-			t.Errorf("%d changes: the last retried: %v", test.changes, response)
+			t.Errorf("after %d changes, retry of the last: got %v, want outcome %s at version %d", test.changes, response, wire.OutcomeDone, 2*test.changes)
 		}
 		if response := state.apply(planChange(test.changes+1), 0); response.Outcome != wire.OutcomeDone {
-			t.Errorf("%d changes: the next: %v", test.changes, response)
+			t.Errorf("after %d changes, the next change: got %v, want outcome %s", test.changes, response, wire.OutcomeDone)
 		}
 	}
 }
 
-// The same change under its token is acknowledged again, whatever version it builds on; another one under
-// that token is rejected, of this document or of any other.
+// A retry of a change under the same token is acknowledged again, regardless of its base version. A different change under
+// that token is rejected, whether it is for the same document or for another one.
 func TestTokenIdentifiesOneChange(t *testing.T) {
 	state := newState()
 	state.apply(changeCommand("k", "step", "token", 0, 0), 0)
@@ -245,17 +248,17 @@
 		command *wire.Command
 		want    wire.Outcome
 	}{
-		{"on its own base", changeCommand("k", "step", "token", 0, 0), wire.OutcomeDone},
-		{"on the version in force", changeCommand("k", "step", "token", 2, 0), wire.OutcomeDone},
-		{"another content", changeCommand("k", "another", "token", 2, 0), wire.OutcomeBadInput},
-		{"another document", changeCommand("l", "step", "token", 0, 0), wire.OutcomeBadInput},
-		{"another token", changeCommand("k", "step", "token 2", 0, 0), wire.OutcomeConflict},
+		{"retry with the same base version", changeCommand("k", "step", "token", 0, 0), wire.OutcomeDone},
+		{"retry with the current base version", changeCommand("k", "step", "token", 2, 0), wire.OutcomeDone},
+		{"different content", changeCommand("k", "another", "token", 2, 0), wire.OutcomeBadInput},
+		{"different document", changeCommand("l", "step", "token", 0, 0), wire.OutcomeBadInput},
+		{"different token", changeCommand("k", "step", "token 2", 0, 0), wire.OutcomeConflict},
 	} {
 		if response := state.apply(test.command, 0); response.Outcome != test.want {
-			t.Errorf("%s: %v, want %s", test.name, response, test.want)
+			t.Errorf("%s: got %v, want outcome %s", test.name, response, test.want)
 		}
 	}
 	if version := state.documents["k"].Version; version != 2 {
-		t.Errorf("version %d is in force", version)
+		t.Errorf("document has version %d after the retries, want 2", version)
 	}
 }
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// newTestMember is a member of a group whose snapshot holds a document at version 1.
+// newTestMember returns a member of a group and its disk, whose snapshot contains a document at version 1.
 func newTestMember(t *testing.T) (*shard, *simDisk) {
 	t.Helper()
 	d := newSimDisk()
@@ -31,60 +31,60 @@
 	return replica, d
 }
 
-// snapshotMessage is a message of a newer leader that carries a complete snapshot.
+// snapshotMessage returns a message with a complete snapshot from the leader of a newer term.
 func snapshotMessage(snapshot *wire.Snapshot) *wire.Message {
 	return &wire.Message{From: "b", To: "a", Incarnation: "b", Kind: wire.MessageKind_SNAPSHOT_REQUEST, Term: 5, Snapshot: snapshot}
 }
 
-// A snapshot whose state can't be read, or that a later release wrote, is never stored: the member fails,
-// and opens its disk with what it held before.
+// A snapshot with undecodable state, or in the format of a later release, is never stored. The member fails, and after it
+// reopens its disk it has its earlier state.
 func TestUnreadableSnapshotIsNotStored(t *testing.T) {
 	later, _ := (&state{}).save()
-	for what, snapshot := range map[string]*wire.Snapshot{
-		"torn state":         {Format: 1, Index: 9, Term: 5, State: []byte("\x12\xffnot a state"), Members: []string{"a", "b", "c"}},
-		"of a later release": {Format: 2, Index: 9, Term: 5, State: later, Members: []string{"a", "b", "c"}},
+	for name, snapshot := range map[string]*wire.Snapshot{
+		"undecodable state":         {Format: 1, Index: 9, Term: 5, State: []byte("\x12\xffnot a state"), Members: []string{"a", "b", "c"}},
+		"format of a later release": {Format: 2, Index: 9, Term: 5, State: later, Members: []string{"a", "b", "c"}},
 	} {
 		replica, d := newTestMember(t)
 		replica.core.Step(snapshotMessage(snapshot))
 		if replica.handleReady(); replica.failure == nil {
-			t.Errorf("%s: the member doesn't fail", what)
+			t.Errorf("snapshot with %s: member did not fail after receiving it", name)
 		}
 		_, recovered, err := storage.Open(d)
 		if err != nil || recovered.Snapshot.Index != 0 {
-			t.Errorf("%s: the disk holds snapshot %d, %v", what, recovered.Snapshot.GetIndex(), err)
+			t.Errorf("snapshot with %s: disk holds a snapshot at index %d, error %v; want the one at index 0", name, recovered.Snapshot.GetIndex(), err)
 		}
 		replica.ticks = 0
 		if replica.maintainGroup(); replica.failure != nil || replica.state.documents["k"].GetVersion() != 1 {
-			t.Errorf("%s: opened again: %v, %v", what, replica.failure, replica.state.documents["k"])
+			t.Errorf("snapshot with %s: after reopening the disk: failure %v, document %v; want no failure and version 1", name, replica.failure, replica.state.documents["k"])
 		}
 	}
 }
 
-// A change that is pending when a snapshot of another leader supersedes its entry gets an unknown outcome at
-// once, and isn't pending any more.
+// If a snapshot of another leader covers the log index of a pending change, the change immediately gets an unknown
+// outcome and is no longer pending.
 func TestSnapshotCompletesTheChangesItSupersedes(t *testing.T) {
 	replica, _ := newTestMember(t)
-	passed := pendingProposal{1, make(chan *wire.ChangeResponse, 1)}
-	replica.pendingProposals[9] = passed
+	superseded := pendingProposal{1, make(chan *wire.ChangeResponse, 1)}
+	replica.pendingProposals[9] = superseded
 	body, _ := newState().save()
 	replica.core.Step(snapshotMessage(&wire.Snapshot{Format: 1, Index: 9, Term: 5, State: body, Members: []string{"a", "b", "c"}}))
 	if replica.handleReady(); replica.failure != nil {
 		t.Fatal(replica.failure)
 	}
 	select {
-	case response := <-passed.response:
+	case response := <-superseded.response:
 		if response.Outcome != wire.OutcomeUnknown {
-			t.Errorf("the change that was passed is %s", response.Outcome)
+			t.Errorf("change superseded by a snapshot: got outcome %s, want %s", response.Outcome, wire.OutcomeUnknown)
 		}
 	default:
-		t.Error("the change that was passed isn't answered")
+		t.Error("change superseded by a snapshot got no response")
 	}
 	if len(replica.pendingProposals) != 0 {
-		t.Errorf("%d changes are pending", len(replica.pendingProposals))
+		t.Errorf("%d changes are pending after the snapshot superseded the only one, want 0", len(replica.pendingProposals))
 	}
 }
 
-// A member acknowledges a snapshot only when its disk holds it.
+// A member acknowledges a snapshot only after the snapshot is stored on its disk.
 func TestSnapshotIsStoredBeforeItIsAcknowledged(t *testing.T) {
 	replica, d := newTestMember(t)
 	acknowledged := 0
@@ -94,13 +94,13 @@
 		}
 		acknowledged++
 		if _, recovered, err := storage.Open(d); err != nil || recovered.Snapshot.Index != message.Index {
-			t.Errorf("snapshot %d is acknowledged, the disk holds %d, %v", message.Index, recovered.Snapshot.GetIndex(), err)
+			t.Errorf("member acknowledged the snapshot at index %d, but its disk holds the one at index %d, error %v", message.Index, recovered.Snapshot.GetIndex(), err)
 		}
 	}
 	body, _ := newState().save()
 	replica.core.Step(snapshotMessage(&wire.Snapshot{Format: 1, Index: 9, Term: 5, State: body, Members: []string{"a", "b", "c"}}))
 	if replica.handleReady(); acknowledged != 1 || replica.failure != nil {
-		t.Errorf("%d acknowledgements, %v", acknowledged, replica.failure)
+		t.Errorf("member sent %d acknowledgements of the snapshot, failure %v; want 1 and no failure", acknowledged, replica.failure)
 	}
 }
 
--- a/internal/control/controlstate/join_test.go
+++ b/internal/control/controlstate/join_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// A machine sends its join requests in rotation to those that answered the last one, and to a silent one where
-// fewer than two answered, or each fourth turn: a silent one may be the leader that has returned.
+// Join requests rotate among the addresses that responded to the previous one. An unresponsive address is included if fewer
+// than two are responsive, and after every fourth failure, since it may belong to a leader that is available again.
 func TestJoinCandidates(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
 	for _, test := range []struct {
-		silent string
-		want   string // by the turns 0 to 8
+		unresponsive string // addresses, one letter each
+		want         string // candidates after 0 to 8 failed requests
 	}{
 		{"", "[[a b] [b c] [c d] [d a] [a b] [b c] [c d] [d a] [a b]]"},
 		{"a", "[[b c] [c d] [d b] [b a] [c d] [d b] [b c] [c a] [d b]]"},
@@ -19,23 +19,23 @@
 		{"abc", "[[d a] [d a] [d a] [d a] [d b] [d b] [d b] [d b] [d c]]"},
 		{"abcd", "[[a b] [a b] [a b] [a b] [b c] [b c] [b c] [b c] [c d]]"},
 	} {
-		isSilent := func(addr string) bool {
-			for _, s := range test.silent {
-				if string(s) == addr {
+		isUnresponsive := func(addr string) bool {
+			for _, letter := range test.unresponsive {
+				if string(letter) == addr {
 					return true
 				}
 			}
 			return false
 		}
-		var asked [][]string
-		for turn := range 9 {
-			asked = append(asked, joinCandidates(all, isSilent, turn))
+		var candidates [][]string
+		for failures := range 9 {
+			candidates = append(candidates, joinCandidates(all, isUnresponsive, failures))
 		}
-		if got := fmt.Sprint(asked); got != test.want {
-			t.Errorf("silent %q: %s, want %s", test.silent, got, test.want)
+		if got := fmt.Sprint(candidates); got != test.want {
+			t.Errorf("join candidates after 0 to 8 failures with unresponsive addresses %q: got %s, want %s", test.unresponsive, got, test.want)
 		}
 	}
 	if got := joinCandidates(nil, func(string) bool { return false }, 3); len(got) != 0 {
-		t.Errorf("no address is known, and the candidates are %v", got)
+		t.Errorf("join candidates without any known address: got %v, want none", got)
 	}
 }
--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -15,13 +15,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// singleMemberShard is a shard with one fixed member, which leads.
+// singleMemberShard returns a shard whose only, fixed member has become the leader.
 func singleMemberShard(t *testing.T) *shard {
 	t.Helper()
 	replica := newShard(context.Background(), 0, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 	loaded, err := replica.load(newSimDisk(), func(bool) *wire.Snapshot { return consensus.BootstrapSnapshot("core-1", nil) })
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the shard from an empty disk: %v", err)
 	}
 	cfg := consensus.Config{Self: "core-1", Members: []string{"core-1"}, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(1, 1))}
 	replica.core = consensus.New(cfg, loaded.Snapshot, loaded.Records)
@@ -32,7 +32,7 @@
 	return replica
 }
 
-// makeChange proposes a change and returns its outcome.
+// makeChange proposes a change and returns the response.
 func makeChange(s *shard, put *wire.Put, patch bool) *wire.ChangeResponse {
 	request := putRequest(put)
 	request.Patch = patch
@@ -43,45 +43,45 @@
 	return response
 }
 
-// A lease holder makes the change of a calendar step, and ends before it records the step as done. Another
-// client changes the configuration meanwhile. The next holder makes the change again, under the same token
-// and on a later version: it is acknowledged, and changes nothing.
+// A calendar planner makes the change of a step and stops before it records the step as done; then another client changes
+// the configuration. The planner of the next lease holder sends the change again under the same token, based on the later
+// version. The change must be acknowledged without being applied a second time.
 func TestRepeatedCalendarStepIsAcknowledged(t *testing.T) {
 	replica := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
 	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); response.Outcome != wire.OutcomeDone {
-		t.Fatal(response)
+		t.Fatalf("storing the recorded configuration: got %v, want outcome %s", response, wire.OutcomeDone)
 	}
 	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
-	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each call is that of a new holder
+	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each call uses a new planner, like a new lease holder
 		document := replica.state.documents[controlclient.ConfigKey]
 		config, err := serviceconfig.Decode(document.Body)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decoding configuration version %d: %v", document.Version, err)
 		}
-		entry, move, _ := calendar.NewPlanner().Next(entry, calendar.Observation{ConfigVersion: document.Version, EntryVersion: 3, Config: config})
-		return entry, move, document.Version
+		entry, step, _ := calendar.NewPlanner().Next(entry, calendar.Observation{ConfigVersion: document.Version, EntryVersion: 3, Config: config})
+		return entry, step, document.Version
 	}
 	entry, _, _ = next(entry)
 	entry, _, _ = next(entry)
-	_, move, version := next(entry)
-	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: move.Patch, IfVersion: version, Token: move.Token}, true); response.Outcome != wire.OutcomeDone || response.Version != 2 {
-		t.Fatal(response)
+	_, step, version := next(entry)
+	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: step.Patch, IfVersion: version, Token: step.Token}, true); response.Outcome != wire.OutcomeDone || response.Version != 2 {
+		t.Fatalf("change of the calendar step: got %v, want outcome %s at version 2", response, wire.OutcomeDone)
 	}
 	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: []byte(`{"drains":{"cab-1":true}}`), IfVersion: 2}, true); response.Outcome != wire.OutcomeDone {
-		t.Fatal(response)
+		t.Fatalf("change by another client: got %v, want outcome %s", response, wire.OutcomeDone)
 	}
-	_, again, version := next(entry)
-	response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: again.Patch, IfVersion: version, Token: again.Token}, true)
-	if version != 3 || again.Token != move.Token || response.Outcome != wire.OutcomeDone || response.Version != 2 || response.TokenReuse == "" {
-		t.Errorf("made again on version %d under %s: %v", version, again.Token, response)
+	_, repeated, version := next(entry)
+	response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: repeated.Patch, IfVersion: version, Token: repeated.Token}, true)
+	if version != 3 || repeated.Token != step.Token || response.Outcome != wire.OutcomeDone || response.Version != 2 || response.TokenReuse == "" {
+		t.Errorf("repeated change with base version %d and token %s: got %v, want version 2 acknowledged again for base version 3 and token %s", version, repeated.Token, response, step.Token)
 	}
 	if version := replica.state.documents[controlclient.ConfigKey].Version; version != 3 {
-		t.Errorf("version %d is in force", version)
+		t.Errorf("configuration has version %d after the repeated change, want 3", version)
 	}
 }
 
-// recordedConfiguration is the one that a core machine of the first release left behind.
+// recordedConfiguration returns the configuration on the recorded disk of a control machine of the first release.
 func recordedConfiguration(t *testing.T) []byte {
 	t.Helper()
 	replica := openRecorded(t)
--- a/internal/control/controlstate/repeated_weights_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -13,9 +13,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// Weights versions are set, eight at once by nodes that don't lead, each twice, a lower version after a
-// higher one, across a restart of all. Each is acknowledged in the end, the version of a model never falls,
-// and the highest version of each model is in force in the end.
+// Sets weights versions concurrently through nodes that are not the leader, each version twice and some lower versions
+// after higher ones, and once more after a restart of all nodes. Each request must be acknowledged eventually, the version
+// of a model must never decrease, and in the end each model must have the highest version that was set.
 func TestRepeatedWeightsVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
@@ -27,7 +27,7 @@
 				nodes = append(nodes, cluster.node(i+1))
 			}
 		}
-		named := map[string]uint64{}
+		observed := map[string]uint64{}
 		follow := func() {
 			response, err := nodes[0].Follow(ctx, &wire.FollowRequest{Known: []*wire.KnownVersion{{Key: fleet.WeightsKey}}})
 			if err != nil || len(response.Documents) == 0 {
@@ -35,14 +35,14 @@
 			}
 			weights := fleet.Weights{}
 			if err := json.Unmarshal(response.Documents[0].Body, &weights); err != nil {
-				t.Error(err)
+				t.Errorf("decoding the weights document %q: %v", response.Documents[0].Body, err)
 			}
-			for model, version := range named {
+			for model, version := range observed {
 				if weights.Versions[model] < version {
-					t.Errorf("weights of %s fall from %d to %d", model, version, weights.Versions[model])
+					t.Errorf("weights version of model %s decreased from %d to %d", model, version, weights.Versions[model])
 				}
 			}
-			named = weights.Versions
+			observed = weights.Versions
 		}
 		set := func(node *Node, model string, version uint64) {
 			for range 100 {
@@ -50,7 +50,7 @@
 					return
 				}
 			}
-			t.Errorf("weights %d of %s are never acknowledged", version, model)
+			t.Errorf("weights version %d of model %s was not acknowledged in 100 attempts", version, model)
 		}
 		for _, versions := range [][]uint64{{3, 1, 4, 2}, {1, 6, 5, 6}} {
 			var operators sync.WaitGroup
@@ -70,7 +70,7 @@
 			cluster.start(i+1, false)
 		}
 		nodes = []*Node{cluster.node(1)}
-		set(nodes[0], "m0", 2) // a lower one, again
-		cluster.waitUntil("the highest of each", 3*time.Second, func() bool { follow(); return named["m0"] == 6 && named["m1"] == 6 })
+		set(nodes[0], "m0", 2) // lower than the highest version that was set
+		cluster.waitUntil("weights version 6 of the models m0 and m1", 3*time.Second, func() bool { follow(); return observed["m0"] == 6 && observed["m1"] == 6 })
 	})
 }
--- a/internal/control/controlstate/retire_test.go
+++ b/internal/control/controlstate/retire_test.go
@@ -10,58 +10,58 @@
 	"pebbleloom/internal/wire"
 )
 
-// A service's shard accepts a retirement unless it conflicts with another one of the base model, or with a
-// calendar entry that moves the service; and no calendar entry once the retirement runs. Errors name what
-// it conflicts with.
+// A service's shard rejects a retirement that conflicts with another retirement of the same base model, or with a calendar
+// entry of the service when it starts running. While a retirement runs, calendar entries of the service are rejected. The
+// errors name the conflicting retirement or entry.
 func TestConflictingRetirementsAreRejected(t *testing.T) {
 	replica, err := openTestShard(t, newSimDisk())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the shard: %v", err)
 	}
 	store := func(key string, body []byte, err error) {
 		t.Helper()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding document %s: %v", key, err)
 		}
 		replica.state.documents[key] = &wire.Document{Key: key, Body: body, Version: 1}
 	}
-	ret := func(name string, state retire.State) *retire.Retirement {
+	retirement := func(name string, state retire.State) *retire.Retirement {
 		return &retire.Retirement{Name: name, Service: "s", OldBase: "a", NewBase: "b", State: state}
 	}
 	validate := func(retirement *retire.Retirement) error {
 		b, err := retirement.Write()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding retirement %s: %v", retirement.Name, err)
 		}
 		return replica.validateRetirement(&wire.Put{Key: retire.Key("s", retirement.Name), Body: b})
 	}
-	move := &calendar.Entry{Name: "night", Service: "s", Kind: calendar.KindRelease, State: calendar.StatePlanned}
-	if err := validate(ret("spring", retire.StatePlanned)); err != nil {
-		t.Errorf("alone: %v", err)
+	entry := &calendar.Entry{Name: "night", Service: "s", Kind: calendar.KindRelease, State: calendar.StatePlanned}
+	if err := validate(retirement("spring", retire.StatePlanned)); err != nil {
+		t.Errorf("retirement without a conflict: unexpected error %v", err)
 	}
-	b, err := ret("spring", retire.StatePlanned).Write()
+	b, err := retirement("spring", retire.StatePlanned).Write()
 	store(retire.Key("s", "spring"), b, err)
-	if err := validate(ret("summer", retire.StatePlanned)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
-		t.Errorf("two of one base: %v", err)
+	if err := validate(retirement("summer", retire.StatePlanned)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
+		t.Errorf("second retirement of the same base model: got error %v, want a conflict with \"spring\"", err)
 	}
 	if err := replica.validateRetirement(&wire.Put{Key: retire.Key("other", "spring"), Body: b}); errs.KindOf(err) != errs.BadInput {
-		t.Errorf("under another key: %v", err)
+		t.Errorf("retirement stored under the key of another service: got error %v, want kind %v", err, errs.BadInput.Name)
 	}
 	if err := replica.validateRetirement(&wire.Put{Key: retire.Key("s", "spring"), Body: []byte(`{"odd":1}`)}); errs.KindOf(err) != errs.BadInput {
-		t.Errorf("what can't be read: %v", err)
+		t.Errorf("undecodable retirement: got error %v, want kind %v", err, errs.BadInput.Name)
 	}
-	m, err := move.Encode()
+	m, err := entry.Encode()
 	store(calendar.Key("s", "night"), m, err)
-	if err := validate(ret("spring", retire.StateRunning)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
-		t.Errorf("begun beside a planned move: %v", err)
+	if err := validate(retirement("spring", retire.StateRunning)); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"night"`) {
+		t.Errorf("start of a retirement with a planned calendar entry: got error %v, want a conflict with \"night\"", err)
 	}
 	delete(replica.state.documents, calendar.Key("s", "night"))
-	if err := validate(ret("spring", retire.StateRunning)); err != nil {
-		t.Errorf("begun: %v", err)
+	if err := validate(retirement("spring", retire.StateRunning)); err != nil {
+		t.Errorf("start of a retirement without a calendar entry: unexpected error %v", err)
 	}
-	b, err = ret("spring", retire.StateRunning).Write()
+	b, err = retirement("spring", retire.StateRunning).Write()
 	store(retire.Key("s", "spring"), b, err)
 	if err := replica.validateCalendarEntry(&wire.Put{Key: calendar.Key("s", "night"), Body: m}); errs.KindOf(err) != errs.Conflict || !strings.Contains(err.Error(), `"spring"`) {
-		t.Errorf("a move beside one that runs: %v", err)
+		t.Errorf("calendar entry during a running retirement: got error %v, want a conflict with \"spring\"", err)
 	}
 }
